--- a/cmd/lanewheel/rotation_test.go
+++ b/cmd/lanewheel/rotation_test.go
@@ -194,15 +194,15 @@
 		first, unsure := i.right(t, claims, kind, before)
 		last, alsoUnsure := i.right(t, claims, kind, after)
 		why, _ := a.Fields["why"].(string)
-		switch {
-		case a.Error == "Denied":
+		switch a.Error {
+		case "Denied":
 			s.denied++
 			s.denials[why]++
 			s.deniedIDs[id] = true
 			if first == "" && last == "" && !unsure && !alsoUnsure {
 				s.wrong = append(s.wrong, fmt.Sprintf("refused %s %s of %s: %s", kind, claims, t.subject, why))
 			}
-		case a.Error == "Busy":
+		case "Busy":
 			s.nacked++
 		default:
 			if a.Error == "" {
--- a/internal/amqp/amqp_test.go
+++ b/internal/amqp/amqp_test.go
@@ -38,11 +38,10 @@
 // core is a core that runs what it is handed, one run each, and counts.
 type core struct {
 	*loop.Loop
-	mu      sync.Mutex
-	runs    map[string]int // by body
-	load    front.Load
-	behave  func(ask front.Ask, body string, owed front.Owed) // on its loop; nil: acked after a millisecond
-	holding []func()                                          // what Release lets go
+	mu     sync.Mutex
+	runs   map[string]int // by body
+	load   front.Load
+	behave func(ask front.Ask, body string, owed front.Owed) // on its loop; nil: acked after a millisecond
 }
 
 func newCore() *core {
--- a/internal/below/below.go
+++ b/internal/below/below.go
@@ -84,7 +84,7 @@
 	var list []spread.Member
 	here := map[spread.Name]bool{}
 	for m := range v.All() {
-		if m.Roles&members.Below == 0 || m.Serves == "" || !m.State.Here() && !(m.State == members.Suspect && !v.Standing.Judges()) {
+		if m.Roles&members.Below == 0 || m.Serves == "" || !m.State.Here() && (m.State != members.Suspect || v.Standing.Judges()) {
 			continue
 		}
 		name := spread.Name(m.Name)
--- a/internal/drill/drill_test.go
+++ b/internal/drill/drill_test.go
@@ -49,7 +49,8 @@
 // The same seed draws the same; another one draws other moments and others.
 func Example_timeline() {
 	fmt.Print(timeline(script, 7))
-	fmt.Println(timeline(script, 7) == timeline(script, 7), timeline(script, 7) == timeline(script, 8))
+	again := timeline(script, 7)
+	fmt.Println(timeline(script, 7) == again, again == timeline(script, 8))
 	// Output:
 	// 1.98s halves: swallow 3 5 6 8 10 11 -> 0 1 2 4 7 9
 	//   2.00s zone: kill on 1 4 7 10
--- a/internal/grants/grants_test.go
+++ b/internal/grants/grants_test.go
@@ -167,7 +167,6 @@
 	most    int // of them, with those that are made alone
 	served  int
 	lossy   float64
-	trace   func(...any)
 }
 
 type event struct {
@@ -193,7 +192,6 @@
 	open   int
 	wants  int
 	deaf   bool
-	calls  int // open ones by life, so that the end of one of an earlier life counts for nobody
 	lifeNo int
 }
 
--- a/internal/keyring/keyring_test.go
+++ b/internal/keyring/keyring_test.go
@@ -151,10 +151,10 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewRing(scenes.Must(Read(nil)), time.Second)
-		ever, table := map[string]bool{}, map[string]key{}
+		ever := map[string]bool{}
 		for range rapid.IntRange(1, 6).Draw(t, "reloads") {
 			files := map[string][]byte{}
-			table = map[string]key{}
+			table := map[string]key{}
 			for _, id := range []string{"a", "b", "c"} {
 				if rapid.Bool().Draw(t, "there") {
 					k := key{rapid.IntRange(1, 3).Draw(t, "from"), rapid.IntRange(4, 6).Draw(t, "until")}
--- a/internal/life/told.go
+++ b/internal/life/told.go
@@ -57,7 +57,7 @@
 		{"roster", &told.Roster, true}} {
 		at := v.Get(text.name)
 		*text.to = string(v.GetStringBytes(text.name))
-		if *text.to == "" && !(text.may && (at == nil || at.Type() == fastjson.TypeNull || at.Type() == fastjson.TypeString)) {
+		if *text.to == "" && (!text.may || at != nil && at.Type() != fastjson.TypeNull && at.Type() != fastjson.TypeString) {
 			wrong(text.name, "wants text")
 		}
 	}
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -588,7 +588,7 @@
 					}
 				}
 				for m := range view.All() {
-					if m.Claim.before(highest[m.Name]) {
+					if m.before(highest[m.Name]) {
 						t.Fatal("a number went down")
 					}
 					highest[m.Name] = m.Claim
--- a/internal/members/reach.go
+++ b/internal/members/reach.go
@@ -37,9 +37,7 @@
 			here++
 		}
 	}
-	for _, seed := range t.told.Seeds {
-		missing = append(missing, seed)
-	}
+	missing = append(missing, t.told.Seeds...)
 	for m := range t.view.All() {
 		if m.lost && m.Why != Left && m.State != Fenced {
 			missing = append(missing, m.Addr)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -18,8 +18,6 @@
 // below is a member by script: what it does with each op that comes is told by its type and how many came before.
 type below struct {
 	listener net.Listener
-	mu       sync.Mutex
-	did      []string
 }
 
 // script says what becomes of the nth op that comes to any member: ack, busy, last, fail, close, silent.
--- a/internal/rights/rights.go
+++ b/internal/rights/rights.go
@@ -110,7 +110,7 @@
 		for _, match := range c.Match {
 			if kind, rest, is := strings.Cut(match, ":"); !is || rest == "" ||
 				!slices.Contains([]string{"uri", "dns", "subject", "token"}, kind) {
-				return nil, fmt.Errorf("caller %q: %q begins with none of uri:, dns:, subject:, token:", c.Title, match)
+				return nil, fmt.Errorf("caller %q: %q must begin with uri:, dns:, subject: or token:, and go on", c.Title, match)
 			}
 			if with, open := strings.CutSuffix(match, "*"); open {
 				if slices.ContainsFunc(b.starts, func(s start) bool { return s.with == with }) {
--- a/internal/spread/sim_test.go
+++ b/internal/spread/sim_test.go
@@ -29,9 +29,8 @@
 
 	byLoad [][]int // members by their load, for who sees it
 
-	took      []float64
-	acked, in int
-	failed    int
+	took   []float64
+	failed int
 }
 
 type server struct {
@@ -136,8 +135,7 @@
 	}
 	was := int(s.load())
 	defer func() { f.moved(s, was) }()
-	var start func()
-	start = func() {
+	start := func() {
 		s.busy++
 		f.after(f.chance.ExpFloat64()*f.mean/s.speed, func() {
 			was := int(s.load())
@@ -175,13 +173,11 @@
 }
 
 type result struct {
-	p99, late          float64 // s; share over 8 means
-	most, fair         float64 // the most loaded of a window against the mean, and what pure chance gives
-	idle               float64 // longest gap against the expected one
-	failed             float64
-	connections        int
-	least              float64
-	gotBroken, gotSlow float64 // share of what they would get
+	p99, late   float64 // s; share over 8 means
+	most, fair  float64 // the most loaded of a window against the mean, and what pure chance gives
+	idle        float64 // longest gap against the expected one
+	failed      float64
+	connections int
 }
 
 func (k sketch) run() (r result) {
--- a/internal/wire/link.go
+++ b/internal/wire/link.go
@@ -681,8 +681,8 @@
 			continue
 		}
 		_ = raw.Control(func(fd uintptr) {
-			drop := []syscall.SockFilter{*syscall.LsfStmt(syscall.BPF_RET|syscall.BPF_K, 0)}
-			_ = syscall.AttachLsf(int(fd), drop)
+			drop := unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K}
+			_ = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &unix.SockFprog{Len: 1, Filter: &drop})
 		})
 	}
 }
