--- /dev/null
+++ b/internal/fleet/desk/golden_test.go
@@ -0,0 +1,41 @@
+package desk
+
+import (
+	"reflect"
+	"testing"
+	"time"
+
+	"lanewheel/internal/fleet/gossip"
+	"lanewheel/internal/grants"
+	"lanewheel/internal/members"
+)
+
+// What a desk says of itself in the fleet, by the names that others read.
+func TestReportGolden(t *testing.T) {
+	told := grants.Usual()
+	told.Cap = 16
+	d := New(told, "127.0.0.1:1")
+	d.desk = grants.NewDesk(told, 1, -time.Hour)
+	d.up, d.leaving = true, true
+	done := make(chan struct{})
+	go func() {
+		d.Run(func() {})
+		close(done)
+	}()
+	d.Hand(func() {
+		d.desk.Asked(d.Now(), grants.Ask{Who: members.ID{Name: "n1", Life: 1}, Seq: 1, Wants: 3})
+	})
+	got := make(chan gossip.Report, 1)
+	d.Report(func(r gossip.Report) { got <- r })
+	want := gossip.Report{Ready: true, Leaving: true, Facts: []members.Fact{{Key: "cap", Value: 16}, {Key: "granted", Value: 3}, {Key: "holders", Value: 1}}}
+	if r := <-got; !reflect.DeepEqual(r, want) {
+		t.Errorf("%+v, wanted %+v", r, want)
+	}
+	load := make(chan float64, 1)
+	d.Load(func(x float64, f gossip.Figures) { load <- x })
+	if x := <-load; x != 3 {
+		t.Error(x)
+	}
+	d.Hand(d.Over)
+	<-done
+}
--- /dev/null
+++ b/internal/fleet/steward/ask/golden_test.go
@@ -0,0 +1,252 @@
+package ask
+
+import (
+	"bufio"
+	"bytes"
+	"crypto/hmac"
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"lanewheel/internal/accord"
+	"lanewheel/internal/members"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew; only where the spoken form is meant to change")
+
+var (
+	match  = accord.Match{Zone: "a", Release: "1", Role: "instance", Below: "db"}
+	budget = accord.Budget{Name: "zone-a", Of: match, Most: 2, Share: 0.25, Least: 12.5}
+	seen   = accord.Seen{Name: "n1", Incarnation: 1_700_000_000_001, Zone: "a", Release: "1", Roles: members.Instance, Below: "db", Capacity: 1.5, Why: accord.Leaving}
+	permit = accord.Permit{Number: 42, Member: "n1", Of: 1_700_000_000_001, By: "operator", Why: "drain", Stage: accord.Begun, Asked: 50 * time.Second, At: 60 * time.Second,
+		Span: 30 * time.Second, Passed: 4, Waits: "halted", Outcome: "back"}
+	reply = accord.Reply{OK: true, Why: "a reason", Number: 42, Numbers: []accord.Number{42, 43}}
+	plan  = accord.Plan{Name: "r2", To: "2", Of: match, Waves: []accord.Wave{{Count: 3, Share: 0.1, Zone: "b"}}, Pause: 10 * time.Second, Judged: true, Faster: 2.5, Tries: 3}
+
+	questions = []Question{
+		{Command: &accord.Command{Term: 7, At: 1500 * time.Millisecond, Key: "0123456789abcdef", By: "operator", Do: accord.DoRelease, Seen: []accord.Seen{seen},
+			Budgets: []accord.Budget{budget}, Member: "n1", Of: 1_700_000_000_001, Group: match, Number: 42, Span: 30 * time.Second, Why: "a reason", Plan: &plan,
+			Release: "r2", Wave: 1, Good: true}},
+		{Status: true},
+		{History: true},
+		{Join: &Joining{ID: "s1.0a1b2c3d", At: "127.0.0.1:7400"}},
+		{Leave: "s1"},
+	}
+	answers = []Answer{
+		{Error: "no majority of stewards"},
+		{Leader: "127.0.0.1:7401"},
+		{Reply: &reply},
+		{Status: &Status{
+			Steward: "s0.0a1b2c3d", Leader: "127.0.0.1:7400", Leads: true, Term: 7, Index: 99, Others: map[string]string{"s0.0a1b2c3d": "127.0.0.1:7400"}, Now: "1m30s",
+			Halted: &accord.Halt{At: 85 * time.Second, By: "operator", Why: "for the night"},
+			// Of and Judged of a Release hide those of its Plan, which are not spoken.
+			Release: &accord.Release{Plan: accord.Plan{Name: "r2", To: "2", Waves: plan.Waves, Pause: plan.Pause, Faster: 2.5, Tries: 3}, By: "operator", Phase: accord.Judging,
+				Wave: 1, Since: 75 * time.Second, Of: [][]accord.Name{{"n1"}, {"n2"}}, Waits: "the verdict on wave 2", Judged: true, Why: "slower"},
+			Uses:    []accord.Use{{Budget: budget, Of: 8, Out: 1, Limit: 2, Up: 10.5}},
+			Permits: []accord.Permit{permit},
+			Out:     []accord.Member{{Seen: seen, Since: 70 * time.Second, Permit: 42, Before: "0", Tries: 1}},
+			Members: 9,
+		}},
+		{History: []accord.Entry{{Nth: 3, Now: 50 * time.Second, By: "operator", Do: accord.DoDrain, What: "zone=a", Reply: reply}}, Over: []accord.Permit{permit}},
+	}
+)
+
+// golden gives the lines of a file, after checking that the values are written as these lines and the lines read as the values.
+func golden[T any](t *testing.T, name string, want []T) []string {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	var b bytes.Buffer
+	for _, x := range want {
+		if err := json.NewEncoder(&b).Encode(x); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if *update {
+		if err := os.WriteFile(path, b.Bytes(), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	stored, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := strings.Split(strings.TrimSuffix(string(stored), "\n"), "\n")
+	now := strings.Split(strings.TrimSuffix(b.String(), "\n"), "\n")
+	if len(lines) != len(want) {
+		t.Fatalf("%s has %d lines, wanted %d", path, len(lines), len(want))
+	}
+	for i, line := range lines {
+		if line != now[i] {
+			t.Errorf("%s:%d: spoken as\n%s\nnow written as\n%s", path, i+1, line, now[i])
+		}
+		var got T
+		d := json.NewDecoder(strings.NewReader(line))
+		d.DisallowUnknownFields()
+		if err := d.Decode(&got); err != nil {
+			t.Fatalf("%s:%d: %v", path, i+1, err)
+		}
+		if !reflect.DeepEqual(got, want[i]) {
+			t.Errorf("%s:%d reads as\n%+v\nwanted\n%+v", path, i+1, got, want[i])
+		}
+	}
+	return lines
+}
+
+// set gives the fields of a struct that are not zero.
+func set(v any) (names []string) {
+	x := reflect.ValueOf(v)
+	for i := range x.NumField() {
+		if !x.Field(i).IsZero() {
+			names = append(names, x.Type().Field(i).Name)
+		}
+	}
+	return names
+}
+
+// Every question and every answer as it goes over a connection, a line each. Stewards and programs of two releases speak with each other.
+func TestMessagesGolden(t *testing.T) {
+	asked := golden(t, "questions.jsonl", questions)
+	said := golden(t, "answers.jsonl", answers)
+	// No field of theirs is without a line; the status is shown whole.
+	covered := map[string]bool{}
+	for _, q := range questions {
+		for _, name := range set(q) {
+			covered[name] = true
+		}
+	}
+	if n := reflect.TypeFor[Question]().NumField(); len(covered) != n {
+		t.Errorf("questions cover %v of %d fields", covered, n)
+	}
+	clear(covered)
+	for _, a := range answers {
+		for _, name := range set(a) {
+			covered[name] = true
+		}
+	}
+	if n := reflect.TypeFor[Answer]().NumField(); len(covered) != n {
+		t.Errorf("answers cover %v of %d fields", covered, n)
+	}
+	for _, x := range []any{*answers[3].Status, *questions[0].Command, *questions[3].Join, *answers[3].Status.Halted, answers[3].Status.Out[0], permit, reply} {
+		if n := reflect.TypeOf(x).NumField(); len(set(x)) != n {
+			t.Errorf("%T has %d fields, shown are %v", x, n, set(x))
+		}
+	}
+
+	// A client's own words, behind a proof by the documented steps, and what it takes from an answer.
+	key := members.Key("0123456789abcdef0123456789abcdef")
+	for i, q := range questions {
+		l, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		heard := make(chan string, 1)
+		go func() {
+			c, err := l.Accept()
+			if err != nil {
+				heard <- err.Error()
+				return
+			}
+			defer c.Close()
+			kind, err := oldListener(c, key)
+			if err != nil || kind != 'o' {
+				heard <- fmt.Sprint(string(kind), err)
+				return
+			}
+			line, _ := bufio.NewReader(c).ReadString('\n')
+			heard <- line
+			_, _ = io.WriteString(c, said[2+i%3]+"\n") // the first two answers would have it ask elsewhere
+		}()
+		got, err := Client{Stewards: []string{l.Addr().String()}, Keys: []members.Key{key}, Limit: 5 * time.Second}.Ask(q)
+		if err != nil || !reflect.DeepEqual(got, answers[2+i%3]) {
+			t.Errorf("question %d: answered %+v %v", i, got, err)
+		}
+		if line := <-heard; line != asked[i]+"\n" {
+			t.Errorf("question %d: heard %q, wanted %q", i, line, asked[i])
+		}
+		l.Close()
+	}
+}
+
+// oldListener proves the key as a steward does, written out: 16 bytes of each side's, the kind, and HMAC-SHA256 over a side's letter, the listener's bytes,
+// the dialer's bytes and the kind.
+func oldListener(c net.Conn, key []byte) (kind byte, err error) {
+	own := []byte("listener's bytes")
+	theirs := make([]byte, 16)
+	if _, err := io.ReadFull(c, theirs); err != nil {
+		return 0, err
+	}
+	if _, err := c.Write(own); err != nil {
+		return 0, err
+	}
+	said := make([]byte, 33)
+	if _, err := io.ReadFull(c, said); err != nil {
+		return 0, err
+	}
+	if !hmac.Equal(said[1:], mac(key, "d"+string(own)+string(theirs)+string(said[:1]))) {
+		return 0, fmt.Errorf("a proof by other steps")
+	}
+	_, err = c.Write(mac(key, "l"+string(own)+string(theirs)+string(said[:1])))
+	return said[0], err
+}
+
+func mac(key []byte, text string) []byte {
+	h := hmac.New(sha256.New, key)
+	h.Write([]byte(text))
+	return h.Sum(nil)
+}
+
+// The proof of both sides, and the letters that it begins with.
+func TestProofGolden(t *testing.T) {
+	key := members.Key("0123456789abcdef0123456789abcdef")
+	const want = "d2b5fc6ec5591b99529923fc42469d4f235c0081d186a6f9249ec08b2bbd9c2f"
+	if got := hex.EncodeToString(prove(key, 'd', []byte("listener's bytesdialer's bytes..o"))); got != want {
+		t.Errorf("%s, wanted %s", got, want)
+	}
+	if AsSteward != 'r' || AsOperator != 'o' {
+		t.Error(AsSteward, AsOperator)
+	}
+	for _, kind := range []byte{AsSteward, AsOperator} {
+		here, there := net.Pipe()
+		done := make(chan error, 1)
+		go func() {
+			got, err := Greeted(here, []members.Key{members.Key("another key of as many bytes...."), key})
+			if err == nil && got != kind {
+				err = fmt.Errorf("taken for %q", got)
+			}
+			done <- err
+		}()
+		own, theirs := []byte("dialer's bytes.."), make([]byte, 16)
+		if _, err := there.Write(own); err != nil {
+			t.Fatal(err)
+		}
+		if _, err := io.ReadFull(there, theirs); err != nil {
+			t.Fatal(err)
+		}
+		both := string(theirs) + string(own) + string(kind)
+		if _, err := there.Write(append([]byte{kind}, mac(key, "d"+both)...)); err != nil {
+			t.Fatal(err)
+		}
+		back := make([]byte, 32)
+		if _, err := io.ReadFull(there, back); err != nil || !hmac.Equal(back, mac(key, "l"+both)) {
+			t.Error("a proof by other steps", err)
+		}
+		if err := <-done; err != nil {
+			t.Error(err)
+		}
+		there.Close()
+		here.Close()
+	}
+	if ErrNobody.Error() != "no majority of stewards" { // a client decides by it
+		t.Error(ErrNobody)
+	}
+}
--- /dev/null
+++ b/internal/fleet/steward/golden_test.go
@@ -0,0 +1,333 @@
+package steward
+
+import (
+	"archive/tar"
+	"bytes"
+	"compress/gzip"
+	"encoding/json"
+	"errors"
+	"flag"
+	"fmt"
+	"io"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/raft"
+
+	"lanewheel/internal/accord"
+	"lanewheel/internal/accord/judge"
+	"lanewheel/internal/members"
+	"lanewheel/internal/standin"
+)
+
+var update = flag.Bool("update", false, "write the golden folder anew; only where the stored form is meant to change")
+
+const (
+	goldenFolder = "testdata/folder.tar.gz"
+	goldenState  = "testdata/state.json"
+	goldenAt     = "127.0.0.1:7373" // where the others would dial it: it stands in the folder
+)
+
+func goldenTold(folder string) Told {
+	return Told{Name: "s0", Listen: "127.0.0.1:0", At: goldenAt, Folder: folder, Begin: true, Beat: 300 * time.Millisecond, Keys: []members.Key{key}, Accord: accord.Usual(),
+		Judge: judge.Usual(), Window: time.Second, Asked: 8, Patience: time.Second, Output: 64, Snapshot: 1000}
+}
+
+// goldenCommands are of every kind, and come out well unless said; at is when the first is given, from is the number of its first permit. They leave
+// n0 out by a permit, n1 with one that has been granted, n2 one that waits, and a release on its way.
+func goldenCommands(term uint64, at time.Duration, from accord.Number, inc members.Incarnation, old, next string) (all []accord.Command) {
+	seen := func(name accord.Name, zone, release string, plus members.Incarnation, why accord.Reason) accord.Seen {
+		return accord.Seen{Name: name, Incarnation: inc + plus, Zone: zone, Release: release, Roles: members.Instance, Capacity: 1.5, Why: why}
+	}
+	group := accord.Match{Zone: "b", Role: "instance"}
+	all = []accord.Command{
+		{Do: accord.DoSee, Seen: []accord.Seen{seen("n0", "a", old, 0, accord.Up), seen("n1", "a", old, 0, accord.Up), seen("n2", "b", old, 0, accord.Up), seen("n3", "b", old, 0, accord.Up),
+			seen("n4", "c", old, 0, accord.Up), seen("n5", "c", old, 0, accord.Up),
+			{Name: "d0", Incarnation: inc, Zone: "a", Release: old, Roles: members.Below, Below: "d0", Capacity: 1, Why: accord.Up},
+			{Name: "r0", Incarnation: inc, Zone: "a", Release: old, Roles: members.Relay | members.Steward, Capacity: 2, Why: accord.Doubted}}},
+		{Do: accord.DoBudgets, Budgets: []accord.Budget{{Name: "all", Most: 3, Least: 4}, {Name: "share-b", Of: group, Most: -1, Share: 0.5},
+			{Name: "below", Of: accord.Match{Below: "d0", Release: old}, Most: 1}}},
+		{Do: accord.DoAsk, Member: "n0", Key: fmt.Sprint("key-", term), Span: 20 * time.Second, Why: "by hand"}, // from
+		{Do: accord.DoAsk, Member: "n0", Key: fmt.Sprint("key-", term), Span: 20 * time.Second, Why: "by hand"}, // the same once more
+		{Do: accord.DoBegin, Member: "n0", Of: inc, Number: from},
+		{Do: accord.DoDrain, Group: group, Span: 25 * time.Second}, // from+1 granted, from+2 waits
+		{Do: accord.DoUndrain, Group: accord.Match{Zone: "b"}},
+		{Do: accord.DoAsk, Member: "n4"}, // from+3
+		{Do: accord.DoDrop, Number: from + 3},
+		{Do: accord.DoDrop, Number: 999}, // refused
+		{Do: accord.DoSee, Seen: []accord.Seen{seen("n5", "c", old, 0, accord.Gone)}},
+		{Do: accord.DoForget, Member: "n5", Why: "it burnt"},
+		{Do: accord.DoHalt, Why: "for the night"},
+		{Do: accord.DoResume},
+		{Do: accord.DoSee, Seen: []accord.Seen{seen("n0", "a", old, 0, accord.Leaving)}},
+		{Do: accord.DoSee, Seen: []accord.Seen{seen("n0", "a", old, 1, accord.Up)}}, // from is over
+		// A release, a wave of it judged, and its way back.
+		{Do: accord.DoRelease, Plan: &accord.Plan{Name: "r" + next, To: next, Of: accord.Match{Role: "instance"}, Waves: []accord.Wave{{Count: 1}, {Share: 0.5}, {Zone: "c"}}, Pause: time.Second, Judged: true, Faster: 2, Tries: 3}}, // from+4: n0
+		{Do: accord.DoBegin, Member: "n0", Of: inc + 1, Number: from + 4},
+		{Do: accord.DoSee, Seen: []accord.Seen{seen("n0", "a", next, 2, accord.Cold)}},
+		{Do: accord.DoSee, Seen: []accord.Seen{seen("n0", "a", next, 2, accord.Up)}},
+		{Do: accord.DoVerdict, Release: "r" + next, Wave: 0, Good: true, Why: "+0.1%"},
+		{Do: accord.DoTick},
+		{Do: accord.DoTick},
+		{Do: accord.DoBack, Why: "second thoughts"}, // from+5: n0 goes back
+		{Do: accord.DoAsk, Member: "n3", Span: 40 * time.Second},
+		{Do: accord.DoBegin, Member: "n0", Of: inc + 2, Number: from + 7},
+		{Do: accord.DoTick},
+	}
+	for i := range all {
+		c := &all[i]
+		c.Term, c.At = term, at+time.Duration(i)*500*time.Millisecond
+		if c.Do != accord.DoSee && c.Do != accord.DoTick {
+			c.By = fmt.Sprint("operator-", term)
+		}
+	}
+	return all
+}
+
+// goldenLog is the two halves: before the snapshot and behind it.
+func goldenLog() (before, behind []accord.Command) {
+	before = goldenCommands(2, 3*time.Second, 1, 1_700_000_000_001, "1", "2")
+	behind = goldenCommands(3, time.Second, 10, 1_700_000_000_101, "1", "3")
+	last := behind[len(behind)-1]
+	behind = append(behind, accord.Command{Term: last.Term, At: last.At + time.Second, By: "operator-3", Do: accord.DoAsk, Member: "n1"}) // 19 waits
+	return before, behind
+}
+
+func pack(folder, path string) error {
+	var b bytes.Buffer
+	z, err := gzip.NewWriterLevel(&b, gzip.BestCompression)
+	if err != nil {
+		return err
+	}
+	w := tar.NewWriter(z)
+	if err := w.AddFS(os.DirFS(folder)); err != nil {
+		return err
+	}
+	return errors.Join(w.Close(), z.Close(), os.WriteFile(path, b.Bytes(), 0o644))
+}
+
+func unpack(t *testing.T, path, folder string) {
+	t.Helper()
+	f, err := os.Open(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer f.Close()
+	z, err := gzip.NewReader(f)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := tar.NewReader(z)
+	for {
+		h, err := r.Next()
+		if err == io.EOF {
+			return
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		to := filepath.Join(folder, filepath.FromSlash(h.Name))
+		if h.Typeflag == tar.TypeDir {
+			if err := os.MkdirAll(to, 0o700); err != nil {
+				t.Fatal(err)
+			}
+			continue
+		}
+		b, err := io.ReadAll(r)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := errors.Join(os.MkdirAll(filepath.Dir(to), 0o700), os.WriteFile(to, b, 0o600)); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+func (n *Node) settled() bool { return n.raft.Barrier(time.Second).Error() == nil }
+
+// A folder that an earlier program wrote: its identity, its log with every kind of command, a snapshot amid them. It opens, holds what was agreed, and goes on.
+func TestFolderGolden(t *testing.T) {
+	before, behind := goldenLog()
+	if *update {
+		folder := t.TempDir()
+		s := standin.Must(New(goldenTold(folder)))
+		standin.Until("it leads", func() bool { return s.Leads() && s.node.settled() })
+		for _, c := range before {
+			t.Log(c.Do, c.Member, c.Number, standin.Must(s.node.apply(c)))
+		}
+		if err := s.node.raft.Snapshot().Error(); err != nil {
+			t.Fatal(err)
+		}
+		for _, c := range behind {
+			t.Log(c.Do, c.Member, c.Number, standin.Must(s.node.apply(c)))
+		}
+		s.streams.Close()
+		s.node.close()
+		if err := pack(folder, goldenFolder); err != nil {
+			t.Fatal(err)
+		}
+	}
+
+	folder := t.TempDir()
+	unpack(t, goldenFolder, folder)
+	var names []string
+	if err := fs.WalkDir(os.DirFS(folder), ".", func(path string, d fs.DirEntry, err error) error {
+		if !d.IsDir() {
+			names = append(names, path)
+		}
+		return err
+	}); err != nil {
+		t.Fatal(err)
+	}
+	snapshots, _ := filepath.Glob(filepath.Join(folder, "snapshots", "*"))
+	if len(snapshots) != 1 {
+		t.Fatal(snapshots)
+	}
+	snap := "snapshots/" + filepath.Base(snapshots[0])
+	if want := []string{"00000000000000000001-0000000000000000.wal", "life", "lock", snap + "/meta.json", snap + "/state.bin", "wal-meta.db"}; !slices.Equal(names, want) {
+		t.Errorf("the folder holds %q, wanted %q", names, want)
+	}
+	life := string(standin.Must(os.ReadFile(filepath.Join(folder, "life"))))
+
+	// The snapshot is what the commands before it come to, as the code has it now.
+	model := accord.New(accord.Usual())
+	for _, c := range before {
+		model.Apply(c)
+	}
+	stored := standin.Must(os.ReadFile(filepath.Join(folder, snap, "state.bin")))
+	if now := standin.Must(json.Marshal(model)); !bytes.Equal(stored, now) {
+		t.Errorf("the snapshot is\n%s\nnow written as\n%s", stored, now)
+	}
+
+	s := standin.Must(New(goldenTold(folder)))
+	defer func() {
+		s.streams.Close()
+		s.node.close()
+	}()
+	if s.node.id != raft.ServerID("s0."+life) {
+		t.Errorf("it is %s, wanted s0.%s", s.node.id, life)
+	}
+	standin.Until("it leads", func() bool { return s.Leads() && s.node.settled() })
+
+	// The log holds the commands byte for byte as they are written now.
+	commands := append(slices.Clone(before), behind...)
+	first, last := standin.Must(s.node.log.FirstIndex()), standin.Must(s.node.log.LastIndex())
+	kinds := map[accord.Do]int{}
+	for i, next := first, 0; i <= last; i++ {
+		var entry raft.Log
+		if err := s.node.log.GetLog(i, &entry); err != nil {
+			t.Fatal(err)
+		}
+		if entry.Type != raft.LogCommand {
+			continue
+		}
+		if next >= len(commands) {
+			t.Fatalf("the log has more than %d commands", next)
+		}
+		var c accord.Command
+		if err := json.Unmarshal(entry.Data, &c); err != nil || !reflect.DeepEqual(c, commands[next]) {
+			t.Errorf("entry %d reads as\n%+v\nwanted\n%+v (%v)", i, c, commands[next], err)
+		}
+		if now := standin.Must(json.Marshal(commands[next])); !bytes.Equal(entry.Data, now) {
+			t.Errorf("entry %d is\n%s\nnow written as\n%s", i, entry.Data, now)
+		}
+		kinds[c.Do]++
+		next++
+	}
+	for _, do := range []accord.Do{"see", "budgets", "ask", "begin", "drop", "forget", "halt", "resume", "release", "back", "verdict", "tick", "drain", "undrain"} {
+		if kinds[do] < 2 {
+			t.Errorf("%d entries of %q, wanted some on either side of the snapshot", kinds[do], do)
+		}
+	}
+
+	// What it holds, read from the snapshot and the log behind it.
+	var state []byte
+	s.node.read(func(a *accord.State) { state = append(standin.Must(json.MarshalIndent(a, "", "  ")), '\n') })
+	if *update {
+		if err := os.WriteFile(goldenState, state, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if want := standin.Must(os.ReadFile(goldenState)); !bytes.Equal(state, want) {
+		t.Errorf("it holds\n%s\nwanted\n%s", state, want)
+	}
+	s.node.read(func(a *accord.State) {
+		if err := expected(a); err != nil {
+			t.Error(err)
+		}
+	})
+
+	// It goes on where it was.
+	r := standin.Must(s.node.apply(accord.Command{Term: 9, At: time.Second, Do: accord.DoDrop, Number: 18, By: "operator"}))
+	if want := (accord.Reply{OK: true, Number: 18}); !reflect.DeepEqual(r, want) {
+		t.Errorf("%+v, wanted %+v", r, want)
+	}
+}
+
+// expected tells what of the golden folder's state is not as it has to be.
+func expected(a *accord.State) error {
+	var wrong []string
+	is := func(what string, got, want any) {
+		if !reflect.DeepEqual(got, want) {
+			wrong = append(wrong, fmt.Sprintf("%s: %+v, wanted %+v", what, got, want))
+		}
+	}
+	is("told", a.Told, accord.Told{History: 1000, Keys: 4096, Members: 10_000, Waiting: 10_000, Passed: 50, Stuck: time.Minute})
+	is("times", []time.Duration{a.Now, a.LastAt}, []time.Duration{27 * time.Second, 15 * time.Second})
+	is("term", a.Term, uint64(3))
+	is("numbers", []uint64{uint64(a.Last), a.Nth, uint64(len(a.History)), uint64(len(a.Over))}, []uint64{19, 35, 35, 16})
+	is("budgets", a.Budgets, []accord.Budget{{Name: "all", Most: 3, Least: 4}, {Name: "share-b", Of: accord.Match{Zone: "b", Role: "instance"}, Most: -1, Share: 0.5},
+		{Name: "below", Of: accord.Match{Below: "d0", Release: "1"}, Most: 1}})
+	is("members", len(a.Members), 7)
+	is("n0", *a.Members["n0"], accord.Member{Seen: accord.Seen{Name: "n0", Incarnation: 1_700_000_000_103, Zone: "a", Release: "3", Roles: members.Instance, Capacity: 1.5},
+		Since: 22500 * time.Millisecond, Permit: 17, Before: "1"})
+	is("d0", *a.Members["d0"], accord.Member{Seen: accord.Seen{Name: "d0", Incarnation: 1_700_000_000_101, Zone: "a", Release: "1", Roles: members.Below, Below: "d0", Capacity: 1},
+		Since: 13 * time.Second, Before: "1"})
+	is("r0", *a.Members["r0"], accord.Member{Seen: accord.Seen{Name: "r0", Incarnation: 1_700_000_000_101, Zone: "a", Release: "1", Roles: members.Relay | members.Steward, Capacity: 2,
+		Why: accord.Doubted}, Since: 13 * time.Second, Before: "1"})
+	is("permits", len(a.Permits), 3)
+	is("17", *a.Permits[17], accord.Permit{Number: 17, Member: "n0", Of: 1_700_000_000_103, By: "r3", Why: "back", Stage: accord.Begun, Asked: 24500 * time.Millisecond,
+		At: 25500 * time.Millisecond, Span: 30 * time.Second})
+	is("18", *a.Permits[18], accord.Permit{Number: 18, Member: "n3", Of: 1_700_000_000_101, By: "operator-3", Why: "drain", Stage: accord.Granted, Asked: 25 * time.Second,
+		At: 25 * time.Second, Span: 40 * time.Second})
+	is("19", *a.Permits[19], accord.Permit{Number: 19, Member: "n1", By: "operator-3", Why: "drain", Stage: accord.Queued, Asked: 27 * time.Second, At: 27 * time.Second,
+		Span: 30 * time.Second, Waits: "budget all: 3 of 7 out, 3 may be"})
+	is("waiting", a.Waiting, []accord.Number{19})
+	is("keys", a.Keys, map[string]accord.Reply{"key-2": {OK: true, Number: 1}, "key-3": {OK: true, Number: 10}})
+	is("key ring", a.KeyRing, []string{"key-2", "key-3"})
+	is("halted", a.Halted, (*accord.Halt)(nil))
+	// It was started behind the snapshot, so Plan's Of and Judged are known; a snapshot does not hold them.
+	is("release", *a.Release, accord.Release{Plan: accord.Plan{Name: "r3", To: "3", Of: accord.Match{Role: "instance"}, Waves: []accord.Wave{{Count: 1}, {Share: 0.5}, {Zone: "c"}},
+		Pause: time.Second, Judged: true, Faster: 2, Tries: 3}, By: "operator-3", Phase: accord.Backing, Wave: 1, Since: 24500 * time.Millisecond,
+		Of: [][]accord.Name{{"n0"}, {"n1", "n2"}, {"n4"}, {"n3"}}, Waits: "n1: permit 19 is queued", Judged: true, Why: "second thoughts"})
+	is("first entry", a.History[0], accord.Entry{Nth: 1, Now: 500 * time.Millisecond, By: "operator-2", Do: accord.DoBudgets, What: "3 budgets", Reply: accord.Reply{OK: true}})
+	is("an entry", a.History[7], accord.Entry{Nth: 8, Now: 4500 * time.Millisecond, By: "operator-2", Do: accord.DoDrop, What: "permit 999 ", Reply: accord.Reply{Why: "permit 999 is over"}})
+	is("last permit that is over", a.Over[15], accord.Permit{Number: 16, Member: "n2", Of: 1_700_000_000_101, By: "r3", Why: "release", Stage: accord.Ended, Asked: 23500 * time.Millisecond,
+		At: 24500 * time.Millisecond, Span: 30 * time.Second, Outcome: "the release goes back"})
+	if len(wrong) > 0 {
+		return errors.New(strings.Join(wrong, "\n"))
+	}
+	return nil
+}
+
+// What an operator's command is given: the words {name} and {release}, and two variables.
+func TestRestartGolden(t *testing.T) {
+	folder := t.TempDir()
+	script, said := filepath.Join(folder, "start"), filepath.Join(folder, "said")
+	if err := os.WriteFile(script, []byte("#!/bin/sh\necho \"$1 $2 $LANEWHEEL_NAME $LANEWHEEL_RELEASE\" >"+said+"\n"), 0o700); err != nil {
+		t.Fatal(err)
+	}
+	s := &Steward{told: Told{Restart: script + " at={name} to={release}", Patience: 10 * time.Second, Output: 64}}
+	if !s.restart(accord.Permit{Member: "n1", Number: 42}, "2") {
+		t.Fatal("the command failed")
+	}
+	if got := string(standin.Must(os.ReadFile(said))); got != "at=n1 to=2 n1 2\n" {
+		t.Errorf("%q", got)
+	}
+}
--- /dev/null
+++ b/internal/life/stewards/golden_test.go
@@ -0,0 +1,103 @@
+package stewards
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"net"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"lanewheel/internal/accord"
+	"lanewheel/internal/accord/judge"
+	"lanewheel/internal/fleet/gossip"
+	"lanewheel/internal/fleet/steward"
+	"lanewheel/internal/members"
+	"lanewheel/internal/standin"
+	"lanewheel/internal/watch"
+)
+
+var update = flag.Bool("update", false, "write the golden file anew; only where what is shown is meant to change")
+
+// What a steward's status socket shows, a line of JSON, and what is read from it.
+func TestStatusGolden(t *testing.T) {
+	want := gossip.Snapshot{
+		Name: "s0", Life: "00000000000000ff", Incarnation: 1_700_000_000_001, Zone: "a", Release: "1", Standing: "sound", Reach: 0.75, Version: 7, Digest: "0123456789abcdef",
+		States: map[string]int{"joining": 1, "warming": 2, "up": 3, "suspect": 4, "leaving": 5, "gone": 6, "fenced": 7},
+		Members: []gossip.SnapshotMember{{Name: "s1", Life: "00000000000000fe", Incarnation: 1_700_000_000_002, State: "suspect", Why: "unreached", ForMS: 1500, SpokeMS: 2500,
+			Addr: "127.0.0.1:7401", Roles: "steward", Zone: "b", Release: "2", Capacity: 1.5, Facts: map[string]float64{"leads": 1}, Stale: []string{"load"}}},
+		Counts: map[string]uint64{"changes": 9}, CPUms: 12,
+	}
+	text, err := json.Marshal(want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	text = append(text, '\n')
+	path := filepath.Join("testdata", "status.json")
+	if *update {
+		if err := os.WriteFile(path, text, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	stored := standin.Must(os.ReadFile(path))
+	if !bytes.Equal(text, stored) {
+		t.Errorf("shown as\n%s\nnow written as\n%s", stored, text)
+	}
+	// No field is left out.
+	for _, x := range []any{want, want.Members[0]} {
+		v := reflect.ValueOf(x)
+		for i := range v.NumField() {
+			if v.Field(i).IsZero() {
+				t.Errorf("%T.%s is not shown", x, v.Type().Field(i).Name)
+			}
+		}
+	}
+	socket := filepath.Join(t.TempDir(), "s")
+	closed := make(chan struct{})
+	defer close(closed)
+	asked := make(chan string, 1)
+	watch.Serve(socket, closed, func(c net.Conn) {
+		b := make([]byte, 16)
+		n, _ := c.Read(b)
+		asked <- string(b[:n])
+		_, _ = c.Write(stored)
+	})
+	got, err := gossip.Watch(socket, gossip.Brief)
+	if err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("read as\n%+v\nwanted\n%+v (%v)", got, want, err)
+	}
+	if q := <-asked; q != "brief\n" || gossip.Whole != "view" {
+		t.Errorf("asked for %q", q)
+	}
+}
+
+// What a steward says of itself in the fleet, by the name that others read.
+func TestReportGolden(t *testing.T) {
+	s := standin.Must(steward.New(steward.Told{Name: "s0", Listen: "127.0.0.1:0", At: "127.0.0.1:7373", Folder: t.TempDir(), Begin: true, Beat: 300 * time.Millisecond,
+		Keys: []members.Key{members.Key("0123456789abcdef0123456789abcdef")}, Accord: accord.Usual(), Judge: judge.Usual(), Window: time.Second, Snapshot: 64}))
+	p := &speaker{s: s}
+	done := make(chan struct{})
+	go func() {
+		s.Serve(alone{members.New(members.Claim{Name: "s0", Incarnation: 1, Life: 1, Roles: members.Steward}, members.Usual(), 0).View()})
+		close(done)
+	}()
+	standin.Until("it leads", func() bool { return s.Leads() && s.Ready() })
+	p.Report(func(r gossip.Report) {
+		want := gossip.Report{Ready: true, Facts: []members.Fact{{Key: "leads", Value: 1}}}
+		if !reflect.DeepEqual(r, want) {
+			t.Errorf("%+v, wanted %+v", r, want)
+		}
+	})
+	s.Leave()
+	<-done
+}
+
+// alone is a fleet of nobody else.
+type alone struct{ view *members.View }
+
+func (a alone) View() *members.View                                   { return a.view }
+func (a alone) Nudge(members.Name, members.Incarnation, uint64, bool) {}
+func (a alone) Figures(members.Name, func(gossip.Figures))            {}
