--- a/internal/accord/accord.go
+++ b/internal/accord/accord.go
@@ -22,12 +22,12 @@
 
 // Told is what holds for the whole of a fleet's life, the same at every steward.
 type Told struct {
-	History int           // commands that are remembered with what became of them
-	Keys    int           // keys of commands whose replies are remembered
-	Members int           // known at a time
-	Waiting int           // permits that may wait
-	Passed  int           // times that one may be passed over by a later one
-	Stuck   time.Duration // how long one that went out may stay out before it is said that it does not come back
+	History int           `json:"History"` // commands that are remembered with what became of them
+	Keys    int           `json:"Keys"`    // keys of commands whose replies are remembered
+	Members int           `json:"Members"` // known at a time
+	Waiting int           `json:"Waiting"` // permits that may wait
+	Passed  int           `json:"Passed"`  // times that one may be passed over by a later one
+	Stuck   time.Duration `json:"Stuck"`   // how long one that went out may stay out before it is said that it does not come back
 }
 
 // Usual is what holds without being told.
@@ -37,7 +37,10 @@
 
 // Match is a group: members that have all that is told; empty fields match any.
 type Match struct {
-	Zone, Release, Role, Below string
+	Zone    string `json:"Zone"`
+	Release string `json:"Release"`
+	Role    string `json:"Role"`
+	Below   string `json:"Below"`
 }
 
 func (g Match) String() string {
@@ -55,11 +58,11 @@
 
 // Budget bounds how many of a group may be out at once. What is out for any reason counts.
 type Budget struct {
-	Name  string
-	Of    Match
-	Most  int     // at once; under 0: Share says
-	Share float64 // of the group
-	Least float64 // capacity that stays up
+	Name  string  `json:"Name"`
+	Of    Match   `json:"Of"`
+	Most  int     `json:"Most"`  // at once; under 0: Share says
+	Share float64 `json:"Share"` // of the group
+	Least float64 `json:"Least"` // capacity that stays up
 }
 
 // Reason is why a member is out.
@@ -76,23 +79,23 @@
 
 // Seen is a member as a steward's membership has it.
 type Seen struct {
-	Name        Name
-	Incarnation members.Incarnation
-	Zone        string
-	Release     string
-	Roles       members.Roles
-	Below       string // the service that it is, or stands beside
-	Capacity    float64
-	Why         Reason // why it is out
+	Name        Name                `json:"Name"`
+	Incarnation members.Incarnation `json:"Incarnation"`
+	Zone        string              `json:"Zone"`
+	Release     string              `json:"Release"`
+	Roles       members.Roles       `json:"Roles"`
+	Below       string              `json:"Below"` // the service that it is, or stands beside
+	Capacity    float64             `json:"Capacity"`
+	Why         Reason              `json:"Why"` // why it is out
 }
 
 // Member is one that the fleet knows.
 type Member struct {
 	Seen
-	Since  time.Duration // in this state
-	Permit Number        // that it has, or waits for
-	Before string        // its release before the one that is being brought out
-	Tries  int           // permits of the release that brought it back as it was
+	Since  time.Duration `json:"Since"`  // in this state
+	Permit Number        `json:"Permit"` // that it has, or waits for
+	Before string        `json:"Before"` // its release before the one that is being brought out
+	Tries  int           `json:"Tries"`  // permits of the release that brought it back as it was
 }
 
 // Stage is how far a permit is.
@@ -107,25 +110,25 @@
 
 // Permit is leave for one member to go out.
 type Permit struct {
-	Number  Number
-	Member  Name
-	Of      members.Incarnation // the life that has it; 0 while it waits
-	By      string
-	Why     string // drain, release, back
-	Stage   Stage
-	Asked   time.Duration
-	At      time.Duration // when it came into its stage
-	Span    time.Duration // from granted until it has to begin
-	Passed  int           // later ones that were granted before it
-	Waits   string        // for what, as last looked
-	Outcome string        // how it ended
+	Number  Number              `json:"Number"`
+	Member  Name                `json:"Member"`
+	Of      members.Incarnation `json:"Of"` // the life that has it; 0 while it waits
+	By      string              `json:"By"`
+	Why     string              `json:"Why"` // drain, release, back
+	Stage   Stage               `json:"Stage"`
+	Asked   time.Duration       `json:"Asked"`
+	At      time.Duration       `json:"At"`      // when it came into its stage
+	Span    time.Duration       `json:"Span"`    // from granted until it has to begin
+	Passed  int                 `json:"Passed"`  // later ones that were granted before it
+	Waits   string              `json:"Waits"`   // for what, as last looked
+	Outcome string              `json:"Outcome"` // how it ended
 }
 
 // Halt is that nothing further begins.
 type Halt struct {
-	At  time.Duration
-	By  string
-	Why string
+	At  time.Duration `json:"At"`
+	By  string        `json:"By"`
+	Why string        `json:"Why"`
 }
 
 // Do is what a command does.
@@ -150,61 +153,61 @@
 
 // Command is one line of the log.
 type Command struct {
-	Term    uint64        // of the leader who wrote it
-	At      time.Duration // since that began to lead, by a clock that does not jump
-	Key     string        // the same key is the same command, however often it comes; empty: each counts
-	By      string
-	Do      Do
-	Seen    []Seen
-	Budgets []Budget
-	Member  Name
-	Of      members.Incarnation
-	Group   Match
-	Number  Number
-	Span    time.Duration
-	Why     string
-	Plan    *Plan
-	Release string // whose verdict
-	Wave    int
-	Good    bool
+	Term    uint64              `json:"Term"` // of the leader who wrote it
+	At      time.Duration       `json:"At"`   // since that began to lead, by a clock that does not jump
+	Key     string              `json:"Key"`  // the same key is the same command, however often it comes; empty: each counts
+	By      string              `json:"By"`
+	Do      Do                  `json:"Do"`
+	Seen    []Seen              `json:"Seen"`
+	Budgets []Budget            `json:"Budgets"`
+	Member  Name                `json:"Member"`
+	Of      members.Incarnation `json:"Of"`
+	Group   Match               `json:"Group"`
+	Number  Number              `json:"Number"`
+	Span    time.Duration       `json:"Span"`
+	Why     string              `json:"Why"`
+	Plan    *Plan               `json:"Plan"`
+	Release string              `json:"Release"` // whose verdict
+	Wave    int                 `json:"Wave"`
+	Good    bool                `json:"Good"`
 }
 
 // Reply is what became of a command.
 type Reply struct {
-	OK      bool
-	Why     string // what is wrong, or what is waited for
-	Number  Number
-	Numbers []Number `json:",omitempty"`
+	OK      bool     `json:"OK"`
+	Why     string   `json:"Why"` // what is wrong, or what is waited for
+	Number  Number   `json:"Number"`
+	Numbers []Number `json:"Numbers,omitempty"`
 }
 
 // Entry is one command of the history.
 type Entry struct {
-	Nth  uint64
-	Now  time.Duration
-	By   string
-	Do   Do
-	What string
+	Nth  uint64        `json:"Nth"`
+	Now  time.Duration `json:"Now"`
+	By   string        `json:"By"`
+	Do   Do            `json:"Do"`
+	What string        `json:"What"`
 	Reply
 }
 
 // State is all that is agreed. Its fields are read by whoever shows it; only Apply changes them.
 type State struct {
-	Told    Told
-	Now     time.Duration // the sum of the time that leaders were there
-	Term    uint64
-	LastAt  time.Duration
-	Members map[Name]*Member
-	Budgets []Budget
-	Permits map[Number]*Permit // that have not ended
-	Waiting []Number           // in the order of asking
-	Last    Number
-	Halted  *Halt
-	Release *Release
-	Keys    map[string]Reply
-	KeyRing []string
-	History []Entry
-	Nth     uint64
-	Over    []Permit // that ended, the latest last
+	Told    Told               `json:"Told"`
+	Now     time.Duration      `json:"Now"` // the sum of the time that leaders were there
+	Term    uint64             `json:"Term"`
+	LastAt  time.Duration      `json:"LastAt"`
+	Members map[Name]*Member   `json:"Members"`
+	Budgets []Budget           `json:"Budgets"`
+	Permits map[Number]*Permit `json:"Permits"` // that have not ended
+	Waiting []Number           `json:"Waiting"` // in the order of asking
+	Last    Number             `json:"Last"`
+	Halted  *Halt              `json:"Halted"`
+	Release *Release           `json:"Release"`
+	Keys    map[string]Reply   `json:"Keys"`
+	KeyRing []string           `json:"KeyRing"`
+	History []Entry            `json:"History"`
+	Nth     uint64             `json:"Nth"`
+	Over    []Permit           `json:"Over"` // that ended, the latest last
 }
 
 // New is a fleet that has agreed on nothing: without a budget nobody goes out.
@@ -421,11 +424,11 @@
 
 // Use is how a budget stands.
 type Use struct {
-	Budget Budget
-	Of     int     // members of the group
-	Out    int     // of them, for any reason, permits that have been granted among them
-	Limit  int     // that may be
-	Up     float64 // capacity
+	Budget Budget  `json:"Budget"`
+	Of     int     `json:"Of"`    // members of the group
+	Out    int     `json:"Out"`   // of them, for any reason, permits that have been granted among them
+	Limit  int     `json:"Limit"` // that may be
+	Up     float64 `json:"Up"`    // capacity
 }
 
 // out tells whether a member is out, or may be at any moment without asking again.
--- a/internal/accord/release.go
+++ b/internal/accord/release.go
@@ -10,21 +10,21 @@
 // Wave is a part of the fleet that a release goes to at one time: so many, such a share of all that it is meant for, or a zone's; the last wave takes
 // the rest.
 type Wave struct {
-	Count int
-	Share float64
-	Zone  string
+	Count int     `json:"Count"`
+	Share float64 `json:"Share"`
+	Zone  string  `json:"Zone"`
 }
 
 // Plan is a release as it is told.
 type Plan struct {
-	Name   string
-	To     string // the release that it brings
-	Of     Match  // whom it is meant for
-	Waves  []Wave
-	Pause  time.Duration // after each wave, until it is judged at the earliest
-	Judged bool          // whether a wave waits for a verdict; else the pause alone counts
-	Faster float64       // how many waves go back at a time
-	Tries  int           // times that one may come back as it was before the release waits for an operator
+	Name   string        `json:"Name"`
+	To     string        `json:"To"` // the release that it brings
+	Of     Match         `json:"Of"` // whom it is meant for
+	Waves  []Wave        `json:"Waves"`
+	Pause  time.Duration `json:"Pause"`  // after each wave, until it is judged at the earliest
+	Judged bool          `json:"Judged"` // whether a wave waits for a verdict; else the pause alone counts
+	Faster float64       `json:"Faster"` // how many waves go back at a time
+	Tries  int           `json:"Tries"`  // times that one may come back as it was before the release waits for an operator
 }
 
 // Phase is where a release stands.
@@ -41,14 +41,14 @@
 // Release is one on its way. There is one at a time.
 type Release struct {
 	Plan
-	By     string
-	Phase  Phase
-	Wave   int // from 0; of the way back the wave that it has come down to
-	Since  time.Duration
-	Of     [][]Name // by wave, worked out when it starts
-	Waits  string   // what it waits for
-	Judged bool     // the wave has its verdict
-	Why    string
+	By     string        `json:"By"`
+	Phase  Phase         `json:"Phase"`
+	Wave   int           `json:"Wave"` // from 0; of the way back the wave that it has come down to
+	Since  time.Duration `json:"Since"`
+	Of     [][]Name      `json:"Of"`     // by wave, worked out when it starts
+	Waits  string        `json:"Waits"`  // what it waits for
+	Judged bool          `json:"Judged"` // the wave has its verdict
+	Why    string        `json:"Why"`
 }
 
 // For tells whether a release is meant for a member, whichever it has now.
--- a/internal/fleet/steward/ask/ask.go
+++ b/internal/fleet/steward/ask/ask.go
@@ -123,24 +123,27 @@
 
 // Question is what an operator, or a steward that wants to join, asks. One of its fields is set.
 type Question struct {
-	Command *accord.Command `json:",omitempty"`
-	Status  bool            `json:",omitempty"`
-	History bool            `json:",omitempty"`
-	Join    *Joining        `json:",omitempty"`
-	Leave   string          `json:",omitempty"`
+	Command *accord.Command `json:"Command,omitempty"`
+	Status  bool            `json:"Status,omitempty"`
+	History bool            `json:"History,omitempty"`
+	Join    *Joining        `json:"Join,omitempty"`
+	Leave   string          `json:"Leave,omitempty"`
 }
 
 // Joining is a steward that wants to be one of those that agree.
-type Joining struct{ ID, At string }
+type Joining struct {
+	ID string `json:"ID"`
+	At string `json:"At"`
+}
 
 // Answer is what comes back. Leader, where it is set, is whom to ask instead.
 type Answer struct {
-	Error   string          `json:",omitempty"`
-	Leader  string          `json:",omitempty"`
-	Reply   *accord.Reply   `json:",omitempty"`
-	Status  *Status         `json:",omitempty"`
-	History []accord.Entry  `json:",omitempty"`
-	Over    []accord.Permit `json:",omitempty"`
+	Error   string          `json:"Error,omitempty"`
+	Leader  string          `json:"Leader,omitempty"`
+	Reply   *accord.Reply   `json:"Reply,omitempty"`
+	Status  *Status         `json:"Status,omitempty"`
+	History []accord.Entry  `json:"History,omitempty"`
+	Over    []accord.Permit `json:"Over,omitempty"`
 }
 
 // Status is what is agreed, for whoever looks.
