--- a/internal/accord/accord.go
+++ b/internal/accord/accord.go
@@ -355,8 +355,8 @@
 			return no("nothing is halted")
 		}
 		s.Halted = nil
-		if r := s.Release; r != nil {
-			r.resumed(s.Now)
+		if s.Release != nil {
+			s.Release.resumed(s.Now)
 		}
 		return Reply{OK: true}
 	case DoRelease:
@@ -509,8 +509,8 @@
 		return no("%d wait already", len(s.Waiting))
 	}
 	// Danger: what can never be granted waits for ever, and everybody behind it with it.
-	if why, never := s.fits(m); never {
-		return no("never: %s", why)
+	if cause, never := s.fits(m); never {
+		return no("never: %s", cause)
 	}
 	if span <= 0 {
 		span = 30 * time.Second
