--- a/internal/accord/golden_test.go
+++ b/internal/accord/golden_test.go
@@ -8,7 +8,6 @@
 	"os"
 	"path/filepath"
 	"reflect"
-	"strings"
 	"testing"
 	"time"
 
@@ -79,10 +78,10 @@
 	return nil
 }
 
-func nonZero(t *testing.T, v any, but ...string) {
+func nonZero(t *testing.T, v any) {
 	t.Helper()
-	if got := zeros(reflect.ValueOf(v), ""); strings.Join(got, " ") != strings.Join(but, " ") {
-		t.Errorf("fields that the golden value leaves at zero: %q, known: %q", got, but)
+	if got := zeros(reflect.ValueOf(v), ""); len(got) > 0 {
+		t.Errorf("fields that the golden value leaves at zero: %q", got)
 	}
 }
 
@@ -127,7 +126,9 @@
 		Over: []Permit{{Number: 41, Member: "n0", Of: 1_700_000_000_000, By: "r1", Why: "release", Stage: Ended, Asked: 10 * time.Second, At: 40 * time.Second,
 			Span: 30 * time.Second, Passed: 1, Waits: "halted", Outcome: "back"}},
 	}
-	nonZero(t, s, ".Release.Plan.Of.Zone", ".Release.Plan.Of.Release", ".Release.Plan.Of.Role", ".Release.Plan.Of.Below", ".Release.Plan.Judged")
+	filled, release := s, *s.Release
+	release.Plan, filled.Release = fullPlan, &release
+	nonZero(t, filled)
 	golden(t, "state.json", s)
 	golden(t, "state-empty.json", *New(Usual()))
 }
