--- a/internal/accord/golden_test.go
+++ b/internal/accord/golden_test.go
@@ -88,16 +88,19 @@
 var (
 	fullMatch  = Match{Zone: "a", Release: "1", Role: "instance", Below: "db"}
 	fullBudget = Budget{Name: "zone-a", Of: fullMatch, Most: 2, Share: 0.25, Least: 12.5}
-	fullSeen   = Seen{Name: "n1", Incarnation: 1_700_000_000_001, Zone: "a", Release: "1", Roles: members.Instance | members.Below, Below: "db", Capacity: 1.5, Why: Leaving}
-	fullPlan   = Plan{Name: "r2", To: "2", Of: fullMatch, Waves: []Wave{{Count: 3, Share: 0.1, Zone: "b"}}, Pause: 10 * time.Second, Judged: true, Faster: 2.5, Tries: 3}
+	fullSeen   = Seen{Name: "n1", Incarnation: 1_700_000_000_001, Zone: "a", Release: "1",
+		Roles: members.Instance | members.Below, Below: "db", Capacity: 1.5, Why: Leaving}
+	fullPlan = Plan{Name: "r2", To: "2", Of: fullMatch, Waves: []Wave{{Count: 3, Share: 0.1, Zone: "b"}},
+		Pause: 10 * time.Second, Judged: true, Faster: 2.5, Tries: 3}
 )
 
 // The log holds a command as JSON; a field whose stored name changes is lost to every log that was written before.
 func TestCommandGolden(t *testing.T) {
 	c := Command{
 		Term: 7, At: 1500 * time.Millisecond, Key: "0123456789abcdef", By: "operator", Do: DoRelease,
-		Seen: []Seen{fullSeen}, Budgets: []Budget{fullBudget}, Member: "n1", Of: 1_700_000_000_001, Group: fullMatch, Number: 42,
-		Span: 30 * time.Second, Why: "a reason", Plan: &fullPlan, Release: "r2", Wave: 1, Good: true,
+		Seen: []Seen{fullSeen}, Budgets: []Budget{fullBudget}, Member: "n1", Of: 1_700_000_000_001, Group: fullMatch,
+		Number: 42,
+		Span:   30 * time.Second, Why: "a reason", Plan: &fullPlan, Release: "r2", Wave: 1, Good: true,
 	}
 	nonZero(t, c)
 	golden(t, "command.json", c)
@@ -107,23 +110,30 @@
 // A snapshot holds the whole state as JSON.
 func TestStateGolden(t *testing.T) {
 	hidden := fullPlan
-	// Danger: Of and Judged of a Release hide those of its Plan, which are not stored with a state. Here that stays as it is.
+	// Danger: Of and Judged of a Release hide those of its Plan, which are not stored with a state. Here that stays
+	// as it is.
 	hidden.Of, hidden.Judged = Match{}, false
 	s := State{
 		Told: Told{History: 1000, Keys: 4096, Members: 10_000, Waiting: 9000, Passed: 50, Stuck: time.Minute},
 		Now:  90 * time.Second, Term: 7, LastAt: 80 * time.Second,
 		Members: map[Name]*Member{"n1": {Seen: fullSeen, Since: 70 * time.Second, Permit: 42, Before: "0", Tries: 1}},
 		Budgets: []Budget{fullBudget},
-		Permits: map[Number]*Permit{42: {Number: 42, Member: "n1", Of: 1_700_000_000_001, By: "operator", Why: "drain", Stage: Begun, Asked: 50 * time.Second,
-			At: 60 * time.Second, Span: 30 * time.Second, Passed: 4, Waits: "budget zone-a: 2 of 8 out, 2 may be", Outcome: "back"}},
+		Permits: map[Number]*Permit{42: {Number: 42, Member: "n1", Of: 1_700_000_000_001, By: "operator",
+			Why: "drain", Stage: Begun, Asked: 50 * time.Second,
+			At: 60 * time.Second, Span: 30 * time.Second, Passed: 4, Waits: "budget zone-a: 2 of 8 out, 2 may be",
+			Outcome: "back"}},
 		Waiting: []Number{43, 44}, Last: 44,
 		Halted: &Halt{At: 85 * time.Second, By: "operator", Why: "for the night"},
-		Release: &Release{Plan: hidden, By: "operator", Phase: Judging, Wave: 1, Since: 75 * time.Second, Of: [][]Name{{"n1"}, {"n2", "n3"}},
+		Release: &Release{Plan: hidden, By: "operator", Phase: Judging, Wave: 1, Since: 75 * time.Second,
+			Of:    [][]Name{{"n1"}, {"n2", "n3"}},
 			Waits: "the verdict on wave 2", Judged: true, Why: "slower"},
-		Keys: map[string]Reply{"0123456789abcdef": {OK: true, Why: "it has one: queued", Number: 42, Numbers: []Number{42, 43}}}, KeyRing: []string{"0123456789abcdef"},
-		History: []Entry{{Nth: 3, Now: 50 * time.Second, By: "operator", Do: DoDrain, What: "zone=a", Reply: Reply{OK: true, Why: "a reason", Number: 42, Numbers: []Number{42, 43}}}},
-		Nth:     3,
-		Over: []Permit{{Number: 41, Member: "n0", Of: 1_700_000_000_000, By: "r1", Why: "release", Stage: Ended, Asked: 10 * time.Second, At: 40 * time.Second,
+		Keys: map[string]Reply{"0123456789abcdef": {OK: true, Why: "it has one: queued", Number: 42,
+			Numbers: []Number{42, 43}}}, KeyRing: []string{"0123456789abcdef"},
+		History: []Entry{{Nth: 3, Now: 50 * time.Second, By: "operator", Do: DoDrain, What: "zone=a",
+			Reply: Reply{OK: true, Why: "a reason", Number: 42, Numbers: []Number{42, 43}}}},
+		Nth: 3,
+		Over: []Permit{{Number: 41, Member: "n0", Of: 1_700_000_000_000, By: "r1", Why: "release", Stage: Ended,
+			Asked: 10 * time.Second, At: 40 * time.Second,
 			Span: 30 * time.Second, Passed: 1, Waits: "halted", Outcome: "back"}},
 	}
 	filled, release := s, *s.Release
@@ -149,9 +159,11 @@
 		{[]Reason{Up, Cold, Joining, Doubted, Leaving, Gone}, `["","cold","joining","suspect","leaving","gone"]`},
 		{[]Stage{Queued, Granted, Begun, Ended}, `["queued","granted","begun","ended"]`},
 		{[]Phase{Going, Judging, Backing, Done, Undone}, `["going","judging","going back","done","back"]`},
-		{[]Do{DoSee, DoBudgets, DoAsk, DoBegin, DoDrop, DoForget, DoHalt, DoResume, DoRelease, DoBack, DoVerdict, DoTick, DoDrain, DoUndrain},
+		{[]Do{DoSee, DoBudgets, DoAsk, DoBegin, DoDrop, DoForget, DoHalt, DoResume, DoRelease, DoBack, DoVerdict,
+			DoTick, DoDrain, DoUndrain},
 			`["see","budgets","ask","begin","drop","forget","halt","resume","release","back","verdict","tick","drain","undrain"]`},
-		{map[string]members.Roles{"instance": members.Instance, "relay": members.Relay, "steward": members.Steward, "below": members.Below},
+		{map[string]members.Roles{"instance": members.Instance, "relay": members.Relay, "steward": members.Steward,
+			"below": members.Below},
 			`{"below":8,"instance":1,"relay":2,"steward":4}`},
 		{members.Incarnation(1_700_000_000_001), `1700000000001`},
 		{map[Number]Name{42: "n1"}, `{"42":"n1"}`},
--- a/internal/fleet/desk/golden_test.go
+++ b/internal/fleet/desk/golden_test.go
@@ -27,7 +27,8 @@
 	})
 	got := make(chan gossip.Report, 1)
 	d.Report(func(r gossip.Report) { got <- r })
-	want := gossip.Report{Ready: true, Leaving: true, Facts: []members.Fact{{Key: "cap", Value: 16}, {Key: "granted", Value: 3}, {Key: "holders", Value: 1}}}
+	want := gossip.Report{Ready: true, Leaving: true, Facts: []members.Fact{{Key: "cap", Value: 16}, {Key: "granted",
+		Value: 3}, {Key: "holders", Value: 1}}}
 	if r := <-got; !reflect.DeepEqual(r, want) {
 		t.Errorf("%+v, wanted %+v", r, want)
 	}
--- a/internal/fleet/steward/ask/golden_test.go
+++ b/internal/fleet/steward/ask/golden_test.go
@@ -27,15 +27,20 @@
 var (
 	match  = accord.Match{Zone: "a", Release: "1", Role: "instance", Below: "db"}
 	budget = accord.Budget{Name: "zone-a", Of: match, Most: 2, Share: 0.25, Least: 12.5}
-	seen   = accord.Seen{Name: "n1", Incarnation: 1_700_000_000_001, Zone: "a", Release: "1", Roles: members.Instance, Below: "db", Capacity: 1.5, Why: accord.Leaving}
-	permit = accord.Permit{Number: 42, Member: "n1", Of: 1_700_000_000_001, By: "operator", Why: "drain", Stage: accord.Begun, Asked: 50 * time.Second, At: 60 * time.Second,
+	seen   = accord.Seen{Name: "n1", Incarnation: 1_700_000_000_001, Zone: "a", Release: "1", Roles: members.Instance,
+		Below: "db", Capacity: 1.5, Why: accord.Leaving}
+	permit = accord.Permit{Number: 42, Member: "n1", Of: 1_700_000_000_001, By: "operator", Why: "drain",
+		Stage: accord.Begun, Asked: 50 * time.Second, At: 60 * time.Second,
 		Span: 30 * time.Second, Passed: 4, Waits: "halted", Outcome: "back"}
 	reply = accord.Reply{OK: true, Why: "a reason", Number: 42, Numbers: []accord.Number{42, 43}}
-	plan  = accord.Plan{Name: "r2", To: "2", Of: match, Waves: []accord.Wave{{Count: 3, Share: 0.1, Zone: "b"}}, Pause: 10 * time.Second, Judged: true, Faster: 2.5, Tries: 3}
+	plan  = accord.Plan{Name: "r2", To: "2", Of: match, Waves: []accord.Wave{{Count: 3, Share: 0.1, Zone: "b"}},
+		Pause: 10 * time.Second, Judged: true, Faster: 2.5, Tries: 3}
 
 	questions = []Question{
-		{Command: &accord.Command{Term: 7, At: 1500 * time.Millisecond, Key: "0123456789abcdef", By: "operator", Do: accord.DoRelease, Seen: []accord.Seen{seen},
-			Budgets: []accord.Budget{budget}, Member: "n1", Of: 1_700_000_000_001, Group: match, Number: 42, Span: 30 * time.Second, Why: "a reason", Plan: &plan,
+		{Command: &accord.Command{Term: 7, At: 1500 * time.Millisecond, Key: "0123456789abcdef", By: "operator",
+			Do: accord.DoRelease, Seen: []accord.Seen{seen},
+			Budgets: []accord.Budget{budget}, Member: "n1", Of: 1_700_000_000_001, Group: match, Number: 42,
+			Span: 30 * time.Second, Why: "a reason", Plan: &plan,
 			Release: "r2", Wave: 1, Good: true}},
 		{Status: true},
 		{History: true},
@@ -47,21 +52,26 @@
 		{Leader: "127.0.0.1:7401"},
 		{Reply: &reply},
 		{Status: &Status{
-			Steward: "s0.0a1b2c3d", Leader: "127.0.0.1:7400", Leads: true, Term: 7, Index: 99, Others: map[string]string{"s0.0a1b2c3d": "127.0.0.1:7400"}, Now: "1m30s",
+			Steward: "s0.0a1b2c3d", Leader: "127.0.0.1:7400", Leads: true, Term: 7, Index: 99,
+			Others: map[string]string{"s0.0a1b2c3d": "127.0.0.1:7400"}, Now: "1m30s",
 			Halted: &accord.Halt{At: 85 * time.Second, By: "operator", Why: "for the night"},
 			// Of and Judged of a Release hide those of its Plan, which are not spoken.
-			Release: &accord.Release{Plan: accord.Plan{Name: "r2", To: "2", Waves: plan.Waves, Pause: plan.Pause, Faster: 2.5, Tries: 3}, By: "operator", Phase: accord.Judging,
-				Wave: 1, Since: 75 * time.Second, Of: [][]accord.Name{{"n1"}, {"n2"}}, Waits: "the verdict on wave 2", Judged: true, Why: "slower"},
+			Release: &accord.Release{Plan: accord.Plan{Name: "r2", To: "2", Waves: plan.Waves, Pause: plan.Pause,
+				Faster: 2.5, Tries: 3}, By: "operator", Phase: accord.Judging,
+				Wave: 1, Since: 75 * time.Second, Of: [][]accord.Name{{"n1"}, {"n2"}}, Waits: "the verdict on wave 2",
+				Judged: true, Why: "slower"},
 			Uses:    []accord.Use{{Budget: budget, Of: 8, Out: 1, Limit: 2, Up: 10.5}},
 			Permits: []accord.Permit{permit},
 			Out:     []accord.Member{{Seen: seen, Since: 70 * time.Second, Permit: 42, Before: "0", Tries: 1}},
 			Members: 9,
 		}},
-		{History: []accord.Entry{{Nth: 3, Now: 50 * time.Second, By: "operator", Do: accord.DoDrain, What: "zone=a", Reply: reply}}, Over: []accord.Permit{permit}},
+		{History: []accord.Entry{{Nth: 3, Now: 50 * time.Second, By: "operator", Do: accord.DoDrain, What: "zone=a",
+			Reply: reply}}, Over: []accord.Permit{permit}},
 	}
 )
 
-// golden gives the lines of a file, after checking that the values are written as these lines and the lines read as the values.
+// golden gives the lines of a file, after checking that the values are written as these lines and the lines read as
+// the values.
 func golden[T any](t *testing.T, name string, want []T) []string {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -113,7 +123,8 @@
 	return names
 }
 
-// Every question and every answer as it goes over a connection, a line each. Stewards and programs of two releases speak with each other.
+// Every question and every answer as it goes over a connection, a line each. Stewards and programs of two releases
+// speak with each other.
 func TestMessagesGolden(t *testing.T) {
 	asked := golden(t, "questions.jsonl", questions)
 	said := golden(t, "answers.jsonl", answers)
@@ -136,7 +147,8 @@
 	if n := reflect.TypeFor[Answer]().NumField(); len(covered) != n {
 		t.Errorf("answers cover %v of %d fields", covered, n)
 	}
-	for _, x := range []any{*answers[3].Status, *questions[0].Command, *questions[3].Join, *answers[3].Status.Halted, answers[3].Status.Out[0], permit, reply} {
+	for _, x := range []any{*answers[3].Status, *questions[0].Command, *questions[3].Join, *answers[3].Status.Halted,
+		answers[3].Status.Out[0], permit, reply} {
 		if n := reflect.TypeOf(x).NumField(); len(set(x)) != n {
 			t.Errorf("%T has %d fields, shown are %v", x, n, set(x))
 		}
@@ -166,7 +178,8 @@
 			heard <- line
 			_, _ = io.WriteString(c, said[2+i%3]+"\n") // the first two answers would have it ask elsewhere
 		}()
-		got, err := Client{Stewards: []string{l.Addr().String()}, Keys: []members.Key{key}, Limit: 5 * time.Second}.Ask(q)
+		got, err := Client{Stewards: []string{l.Addr().String()}, Keys: []members.Key{key},
+			Limit: 5 * time.Second}.Ask(q)
 		if err != nil || !reflect.DeepEqual(got, answers[2+i%3]) {
 			t.Errorf("question %d: answered %+v %v", i, got, err)
 		}
@@ -177,7 +190,8 @@
 	}
 }
 
-// oldListener proves the key as a steward does, written out: 16 bytes of each side's, the kind, and HMAC-SHA256 over a side's letter, the listener's bytes,
+// oldListener proves the key as a steward does, written out: 16 bytes of each side's, the kind, and HMAC-SHA256 over
+// a side's letter, the listener's bytes,
 // the dialer's bytes and the kind.
 func oldListener(c net.Conn, key []byte) (kind byte, err error) {
 	own := []byte("listener's bytes")
--- a/internal/fleet/steward/golden_test.go
+++ b/internal/fleet/steward/golden_test.go
@@ -35,26 +35,34 @@
 )
 
 func goldenTold(folder string) Told {
-	return Told{Name: "s0", Listen: "127.0.0.1:0", At: goldenAt, Folder: folder, Begin: true, Beat: 300 * time.Millisecond, Keys: []members.Key{key}, Accord: accord.Usual(),
+	return Told{Name: "s0", Listen: "127.0.0.1:0", At: goldenAt, Folder: folder, Begin: true,
+		Beat: 300 * time.Millisecond, Keys: []members.Key{key}, Accord: accord.Usual(),
 		Judge: judge.Usual(), Window: time.Second, Asked: 8, Patience: time.Second, Output: 64, Snapshot: 1000}
 }
 
-// goldenCommands are of every kind, and come out well unless said; at is when the first is given, from is the number of its first permit. They leave
-// n0 out by a permit, n1 with one that has been granted, n2 one that waits, and a release on its way.
-func goldenCommands(term uint64, at time.Duration, from accord.Number, inc members.Incarnation, old, next string) (all []accord.Command) {
+// goldenCommands are of every kind, and come out well unless said; at is when the first is given, from is the number of
+// its first permit. They leave n0 out by a permit, n3 with one that has been granted, and a release on its way back.
+func goldenCommands(term uint64, at time.Duration, from accord.Number, inc members.Incarnation, old,
+	next string) (all []accord.Command) {
 	seen := func(name accord.Name, zone, release string, plus members.Incarnation, why accord.Reason) accord.Seen {
-		return accord.Seen{Name: name, Incarnation: inc + plus, Zone: zone, Release: release, Roles: members.Instance, Capacity: 1.5, Why: why}
+		return accord.Seen{Name: name, Incarnation: inc + plus, Zone: zone, Release: release, Roles: members.Instance,
+			Capacity: 1.5, Why: why}
 	}
 	group := accord.Match{Zone: "b", Role: "instance"}
 	all = []accord.Command{
-		{Do: accord.DoSee, Seen: []accord.Seen{seen("n0", "a", old, 0, accord.Up), seen("n1", "a", old, 0, accord.Up), seen("n2", "b", old, 0, accord.Up), seen("n3", "b", old, 0, accord.Up),
+		{Do: accord.DoSee, Seen: []accord.Seen{seen("n0", "a", old, 0, accord.Up), seen("n1", "a", old, 0, accord.Up),
+			seen("n2", "b", old, 0, accord.Up), seen("n3", "b", old, 0, accord.Up),
 			seen("n4", "c", old, 0, accord.Up), seen("n5", "c", old, 0, accord.Up),
-			{Name: "d0", Incarnation: inc, Zone: "a", Release: old, Roles: members.Below, Below: "d0", Capacity: 1, Why: accord.Up},
-			{Name: "r0", Incarnation: inc, Zone: "a", Release: old, Roles: members.Relay | members.Steward, Capacity: 2, Why: accord.Doubted}}},
-		{Do: accord.DoBudgets, Budgets: []accord.Budget{{Name: "all", Most: 3, Least: 4}, {Name: "share-b", Of: group, Most: -1, Share: 0.5},
+			{Name: "d0", Incarnation: inc, Zone: "a", Release: old, Roles: members.Below, Below: "d0", Capacity: 1,
+				Why: accord.Up},
+			{Name: "r0", Incarnation: inc, Zone: "a", Release: old, Roles: members.Relay | members.Steward,
+				Capacity: 2, Why: accord.Doubted}}},
+		{Do: accord.DoBudgets, Budgets: []accord.Budget{{Name: "all", Most: 3, Least: 4}, {Name: "share-b", Of: group,
+			Most: -1, Share: 0.5},
 			{Name: "below", Of: accord.Match{Below: "d0", Release: old}, Most: 1}}},
-		{Do: accord.DoAsk, Member: "n0", Key: fmt.Sprint("key-", term), Span: 20 * time.Second, Why: "by hand"}, // from
-		{Do: accord.DoAsk, Member: "n0", Key: fmt.Sprint("key-", term), Span: 20 * time.Second, Why: "by hand"}, // the same once more
+		// The permit from; then the same command once more.
+		{Do: accord.DoAsk, Member: "n0", Key: fmt.Sprint("key-", term), Span: 20 * time.Second, Why: "by hand"},
+		{Do: accord.DoAsk, Member: "n0", Key: fmt.Sprint("key-", term), Span: 20 * time.Second, Why: "by hand"},
 		{Do: accord.DoBegin, Member: "n0", Of: inc, Number: from},
 		{Do: accord.DoDrain, Group: group, Span: 25 * time.Second}, // from+1 granted, from+2 waits
 		{Do: accord.DoUndrain, Group: accord.Match{Zone: "b"}},
@@ -68,7 +76,9 @@
 		{Do: accord.DoSee, Seen: []accord.Seen{seen("n0", "a", old, 0, accord.Leaving)}},
 		{Do: accord.DoSee, Seen: []accord.Seen{seen("n0", "a", old, 1, accord.Up)}}, // from is over
 		// A release, a wave of it judged, and its way back.
-		{Do: accord.DoRelease, Plan: &accord.Plan{Name: "r" + next, To: next, Of: accord.Match{Role: "instance"}, Waves: []accord.Wave{{Count: 1}, {Share: 0.5}, {Zone: "c"}}, Pause: time.Second, Judged: true, Faster: 2, Tries: 3}}, // from+4: n0
+		{Do: accord.DoRelease, Plan: &accord.Plan{Name: "r" + next, To: next, Of: accord.Match{Role: "instance"},
+			Waves: []accord.Wave{{Count: 1}, {Share: 0.5}, {Zone: "c"}}, Pause: time.Second, Judged: true, Faster: 2,
+			Tries: 3}}, // from+4: n0
 		{Do: accord.DoBegin, Member: "n0", Of: inc + 1, Number: from + 4},
 		{Do: accord.DoSee, Seen: []accord.Seen{seen("n0", "a", next, 2, accord.Cold)}},
 		{Do: accord.DoSee, Seen: []accord.Seen{seen("n0", "a", next, 2, accord.Up)}},
@@ -95,7 +105,8 @@
 	before = goldenCommands(2, 3*time.Second, 1, 1_700_000_000_001, "1", "2")
 	behind = goldenCommands(3, time.Second, 10, 1_700_000_000_101, "1", "3")
 	last := behind[len(behind)-1]
-	behind = append(behind, accord.Command{Term: last.Term, At: last.At + time.Second, By: "operator-3", Do: accord.DoAsk, Member: "n1"}) // 19 waits
+	behind = append(behind, accord.Command{Term: last.Term, At: last.At + time.Second, By: "operator-3",
+		Do: accord.DoAsk, Member: "n1"}) // 19 waits
 	return before, behind
 }
 
@@ -151,7 +162,8 @@
 
 func (n *Node) settled() bool { return n.raft.Barrier(time.Second).Error() == nil }
 
-// A folder that an earlier program wrote: its identity, its log with every kind of command, a snapshot amid them. It opens, holds what was agreed, and goes on.
+// A folder that an earlier program wrote: its identity, its log with every kind of command, a snapshot amid them. It
+// opens, holds what was agreed, and goes on.
 func TestFolderGolden(t *testing.T) {
 	before, behind := goldenLog()
 	if *update {
@@ -190,7 +202,8 @@
 		t.Fatal(snapshots)
 	}
 	snap := "snapshots/" + filepath.Base(snapshots[0])
-	if want := []string{"00000000000000000001-0000000000000000.wal", "life", "lock", snap + "/meta.json", snap + "/state.bin", "wal-meta.db"}; !slices.Equal(names, want) {
+	if want := []string{"00000000000000000001-0000000000000000.wal", "life", "lock", snap + "/meta.json",
+		snap + "/state.bin", "wal-meta.db"}; !slices.Equal(names, want) {
 		t.Errorf("the folder holds %q, wanted %q", names, want)
 	}
 	life := string(standin.Must(os.ReadFile(filepath.Join(folder, "life"))))
@@ -240,7 +253,8 @@
 		kinds[c.Do]++
 		next++
 	}
-	for _, do := range []accord.Do{"see", "budgets", "ask", "begin", "drop", "forget", "halt", "resume", "release", "back", "verdict", "tick", "drain", "undrain"} {
+	for _, do := range []accord.Do{"see", "budgets", "ask", "begin", "drop", "forget", "halt", "resume", "release",
+		"back", "verdict", "tick", "drain", "undrain"} {
 		if kinds[do] < 2 {
 			t.Errorf("%d entries of %q, wanted some on either side of the snapshot", kinds[do], do)
 		}
@@ -264,7 +278,8 @@
 	})
 
 	// It goes on where it was.
-	r := standin.Must(s.node.apply(accord.Command{Term: 9, At: time.Second, Do: accord.DoDrop, Number: 18, By: "operator"}))
+	r := standin.Must(s.node.apply(accord.Command{Term: 9, At: time.Second, Do: accord.DoDrop, Number: 18,
+		By: "operator"}))
 	if want := (accord.Reply{OK: true, Number: 18}); !reflect.DeepEqual(r, want) {
 		t.Errorf("%+v, wanted %+v", r, want)
 	}
@@ -278,37 +293,52 @@
 			wrong = append(wrong, fmt.Sprintf("%s: %+v, wanted %+v", what, got, want))
 		}
 	}
-	is("told", a.Told, accord.Told{History: 1000, Keys: 4096, Members: 10_000, Waiting: 10_000, Passed: 50, Stuck: time.Minute})
+	is("told", a.Told, accord.Told{History: 1000, Keys: 4096, Members: 10_000, Waiting: 10_000, Passed: 50,
+		Stuck: time.Minute})
 	is("times", []time.Duration{a.Now, a.LastAt}, []time.Duration{27 * time.Second, 15 * time.Second})
 	is("term", a.Term, uint64(3))
-	is("numbers", []uint64{uint64(a.Last), a.Nth, uint64(len(a.History)), uint64(len(a.Over))}, []uint64{19, 35, 35, 16})
-	is("budgets", a.Budgets, []accord.Budget{{Name: "all", Most: 3, Least: 4}, {Name: "share-b", Of: accord.Match{Zone: "b", Role: "instance"}, Most: -1, Share: 0.5},
+	is("numbers", []uint64{uint64(a.Last), a.Nth, uint64(len(a.History)), uint64(len(a.Over))}, []uint64{19, 35, 35,
+		16})
+	is("budgets", a.Budgets, []accord.Budget{{Name: "all", Most: 3, Least: 4}, {Name: "share-b",
+		Of: accord.Match{Zone: "b", Role: "instance"}, Most: -1, Share: 0.5},
 		{Name: "below", Of: accord.Match{Below: "d0", Release: "1"}, Most: 1}})
 	is("members", len(a.Members), 7)
-	is("n0", *a.Members["n0"], accord.Member{Seen: accord.Seen{Name: "n0", Incarnation: 1_700_000_000_103, Zone: "a", Release: "3", Roles: members.Instance, Capacity: 1.5},
+	is("n0", *a.Members["n0"], accord.Member{Seen: accord.Seen{Name: "n0", Incarnation: 1_700_000_000_103, Zone: "a",
+		Release: "3", Roles: members.Instance, Capacity: 1.5},
 		Since: 22500 * time.Millisecond, Permit: 17, Before: "1"})
-	is("d0", *a.Members["d0"], accord.Member{Seen: accord.Seen{Name: "d0", Incarnation: 1_700_000_000_101, Zone: "a", Release: "1", Roles: members.Below, Below: "d0", Capacity: 1},
+	is("d0", *a.Members["d0"], accord.Member{Seen: accord.Seen{Name: "d0", Incarnation: 1_700_000_000_101, Zone: "a",
+		Release: "1", Roles: members.Below, Below: "d0", Capacity: 1},
 		Since: 13 * time.Second, Before: "1"})
-	is("r0", *a.Members["r0"], accord.Member{Seen: accord.Seen{Name: "r0", Incarnation: 1_700_000_000_101, Zone: "a", Release: "1", Roles: members.Relay | members.Steward, Capacity: 2,
+	is("r0", *a.Members["r0"], accord.Member{Seen: accord.Seen{Name: "r0", Incarnation: 1_700_000_000_101, Zone: "a",
+		Release: "1", Roles: members.Relay | members.Steward, Capacity: 2,
 		Why: accord.Doubted}, Since: 13 * time.Second, Before: "1"})
 	is("permits", len(a.Permits), 3)
-	is("17", *a.Permits[17], accord.Permit{Number: 17, Member: "n0", Of: 1_700_000_000_103, By: "r3", Why: "back", Stage: accord.Begun, Asked: 24500 * time.Millisecond,
+	is("17", *a.Permits[17], accord.Permit{Number: 17, Member: "n0", Of: 1_700_000_000_103, By: "r3", Why: "back",
+		Stage: accord.Begun, Asked: 24500 * time.Millisecond,
 		At: 25500 * time.Millisecond, Span: 30 * time.Second})
-	is("18", *a.Permits[18], accord.Permit{Number: 18, Member: "n3", Of: 1_700_000_000_101, By: "operator-3", Why: "drain", Stage: accord.Granted, Asked: 25 * time.Second,
+	is("18", *a.Permits[18], accord.Permit{Number: 18, Member: "n3", Of: 1_700_000_000_101, By: "operator-3",
+		Why: "drain", Stage: accord.Granted, Asked: 25 * time.Second,
 		At: 25 * time.Second, Span: 40 * time.Second})
-	is("19", *a.Permits[19], accord.Permit{Number: 19, Member: "n1", By: "operator-3", Why: "drain", Stage: accord.Queued, Asked: 27 * time.Second, At: 27 * time.Second,
+	is("19", *a.Permits[19], accord.Permit{Number: 19, Member: "n1", By: "operator-3", Why: "drain",
+		Stage: accord.Queued, Asked: 27 * time.Second, At: 27 * time.Second,
 		Span: 30 * time.Second, Waits: "budget all: 3 of 7 out, 3 may be"})
 	is("waiting", a.Waiting, []accord.Number{19})
 	is("keys", a.Keys, map[string]accord.Reply{"key-2": {OK: true, Number: 1}, "key-3": {OK: true, Number: 10}})
 	is("key ring", a.KeyRing, []string{"key-2", "key-3"})
 	is("halted", a.Halted, (*accord.Halt)(nil))
 	// It was started behind the snapshot, so Plan's Of and Judged are known; a snapshot does not hold them.
-	is("release", *a.Release, accord.Release{Plan: accord.Plan{Name: "r3", To: "3", Of: accord.Match{Role: "instance"}, Waves: []accord.Wave{{Count: 1}, {Share: 0.5}, {Zone: "c"}},
-		Pause: time.Second, Judged: true, Faster: 2, Tries: 3}, By: "operator-3", Phase: accord.Backing, Wave: 1, Since: 24500 * time.Millisecond,
-		Of: [][]accord.Name{{"n0"}, {"n1", "n2"}, {"n4"}, {"n3"}}, Waits: "n1: permit 19 is queued", Judged: true, Why: "second thoughts"})
-	is("first entry", a.History[0], accord.Entry{Nth: 1, Now: 500 * time.Millisecond, By: "operator-2", Do: accord.DoBudgets, What: "3 budgets", Reply: accord.Reply{OK: true}})
-	is("an entry", a.History[7], accord.Entry{Nth: 8, Now: 4500 * time.Millisecond, By: "operator-2", Do: accord.DoDrop, What: "permit 999 ", Reply: accord.Reply{Why: "permit 999 is over"}})
-	is("last permit that is over", a.Over[15], accord.Permit{Number: 16, Member: "n2", Of: 1_700_000_000_101, By: "r3", Why: "release", Stage: accord.Ended, Asked: 23500 * time.Millisecond,
+	is("release", *a.Release, accord.Release{Plan: accord.Plan{Name: "r3", To: "3",
+		Of: accord.Match{Role: "instance"}, Waves: []accord.Wave{{Count: 1}, {Share: 0.5}, {Zone: "c"}},
+		Pause: time.Second, Judged: true, Faster: 2, Tries: 3}, By: "operator-3", Phase: accord.Backing, Wave: 1,
+		Since: 24500 * time.Millisecond,
+		Of:    [][]accord.Name{{"n0"}, {"n1", "n2"}, {"n4"}, {"n3"}}, Waits: "n1: permit 19 is queued", Judged: true,
+		Why: "second thoughts"})
+	is("first entry", a.History[0], accord.Entry{Nth: 1, Now: 500 * time.Millisecond, By: "operator-2",
+		Do: accord.DoBudgets, What: "3 budgets", Reply: accord.Reply{OK: true}})
+	is("an entry", a.History[7], accord.Entry{Nth: 8, Now: 4500 * time.Millisecond, By: "operator-2",
+		Do: accord.DoDrop, What: "permit 999 ", Reply: accord.Reply{Why: "permit 999 is over"}})
+	is("last permit that is over", a.Over[15], accord.Permit{Number: 16, Member: "n2", Of: 1_700_000_000_101,
+		By: "r3", Why: "release", Stage: accord.Ended, Asked: 23500 * time.Millisecond,
 		At: 24500 * time.Millisecond, Span: 30 * time.Second, Outcome: "the release goes back"})
 	if len(wrong) > 0 {
 		return errors.New(strings.Join(wrong, "\n"))
@@ -320,7 +350,8 @@
 func TestRestartGolden(t *testing.T) {
 	folder := t.TempDir()
 	script, said := filepath.Join(folder, "start"), filepath.Join(folder, "said")
-	if err := os.WriteFile(script, []byte("#!/bin/sh\necho \"$1 $2 $LANEWHEEL_NAME $LANEWHEEL_RELEASE\" >"+said+"\n"), 0o700); err != nil {
+	if err := os.WriteFile(script, []byte("#!/bin/sh\necho \"$1 $2 $LANEWHEEL_NAME $LANEWHEEL_RELEASE\" >"+said+"\n"),
+		0o700); err != nil {
 		t.Fatal(err)
 	}
 	s := &Steward{told: Told{Restart: script + " at={name} to={release}", Patience: 10 * time.Second, Output: 64}}
--- a/internal/life/stewards/golden_test.go
+++ b/internal/life/stewards/golden_test.go
@@ -25,10 +25,14 @@
 // What a steward's status socket shows, a line of JSON, and what is read from it.
 func TestStatusGolden(t *testing.T) {
 	want := gossip.Snapshot{
-		Name: "s0", Life: "00000000000000ff", Incarnation: 1_700_000_000_001, Zone: "a", Release: "1", Standing: "sound", Reach: 0.75, Version: 7, Digest: "0123456789abcdef",
-		States: map[string]int{"joining": 1, "warming": 2, "up": 3, "suspect": 4, "leaving": 5, "gone": 6, "fenced": 7},
-		Members: []gossip.SnapshotMember{{Name: "s1", Life: "00000000000000fe", Incarnation: 1_700_000_000_002, State: "suspect", Why: "unreached", ForMS: 1500, SpokeMS: 2500,
-			Addr: "127.0.0.1:7401", Roles: "steward", Zone: "b", Release: "2", Capacity: 1.5, Facts: map[string]float64{"leads": 1}, Stale: []string{"load"}}},
+		Name: "s0", Life: "00000000000000ff", Incarnation: 1_700_000_000_001, Zone: "a", Release: "1",
+		Standing: "sound", Reach: 0.75, Version: 7, Digest: "0123456789abcdef",
+		States: map[string]int{"joining": 1, "warming": 2, "up": 3, "suspect": 4, "leaving": 5, "gone": 6,
+			"fenced": 7},
+		Members: []gossip.SnapshotMember{{Name: "s1", Life: "00000000000000fe", Incarnation: 1_700_000_000_002,
+			State: "suspect", Why: "unreached", ForMS: 1500, SpokeMS: 2500,
+			Addr: "127.0.0.1:7401", Roles: "steward", Zone: "b", Release: "2", Capacity: 1.5,
+			Facts: map[string]float64{"leads": 1}, Stale: []string{"load"}}},
 		Counts: map[string]uint64{"changes": 9}, CPUms: 12,
 	}
 	text, err := json.Marshal(want)
@@ -76,12 +80,15 @@
 
 // What a steward says of itself in the fleet, by the name that others read.
 func TestReportGolden(t *testing.T) {
-	s := standin.Must(steward.New(steward.Told{Name: "s0", Listen: "127.0.0.1:0", At: "127.0.0.1:7373", Folder: t.TempDir(), Begin: true, Beat: 300 * time.Millisecond,
-		Keys: []members.Key{members.Key("0123456789abcdef0123456789abcdef")}, Accord: accord.Usual(), Judge: judge.Usual(), Window: time.Second, Snapshot: 64}))
+	s := standin.Must(steward.New(steward.Told{Name: "s0", Listen: "127.0.0.1:0", At: "127.0.0.1:7373",
+		Folder: t.TempDir(), Begin: true, Beat: 300 * time.Millisecond,
+		Keys: []members.Key{members.Key("0123456789abcdef0123456789abcdef")}, Accord: accord.Usual(),
+		Judge: judge.Usual(), Window: time.Second, Snapshot: 64}))
 	p := &speaker{s: s}
 	done := make(chan struct{})
 	go func() {
-		s.Serve(alone{members.New(members.Claim{Name: "s0", Incarnation: 1, Life: 1, Roles: members.Steward}, members.Usual(), 0).View()})
+		s.Serve(alone{members.New(members.Claim{Name: "s0", Incarnation: 1, Life: 1, Roles: members.Steward},
+			members.Usual(), 0).View()})
 		close(done)
 	}()
 	standin.Until("it leads", func() bool { return s.Leads() && s.Ready() })
