--- /dev/null
+++ b/internal/command/further/golden_test.go
@@ -0,0 +1,295 @@
+package further
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"reflect"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/parquet-go/parquet-go"
+
+	"lanewheel/choice"
+	"lanewheel/internal/accord"
+	"lanewheel/internal/command"
+	"lanewheel/internal/fleet/gossip"
+	"lanewheel/internal/fleet/steward/ask"
+	"lanewheel/internal/keep"
+	"lanewheel/internal/members"
+	"lanewheel/internal/operator"
+	"lanewheel/internal/relay"
+	"lanewheel/internal/spread"
+)
+
+var update = flag.Bool("update", false, "write the golden files of testdata anew")
+
+// golden compares what is written today with the file of testdata that an earlier version wrote.
+func golden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if want := stored(t, name); !bytes.Equal(got, want) {
+		t.Fatalf("%s: written otherwise than before; now:\n%s", path, got)
+	}
+}
+
+func stored(t *testing.T, name string) []byte {
+	t.Helper()
+	b, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+// agreed is what a coordinator answers, with every field set.
+func agreed() (ask.Status, []accord.Entry) {
+	// Of and Judged of a plan are not in a release's JSON: the release's own fields of these names stand there.
+	plan := accord.Plan{Name: "r2", To: "2", Waves: []accord.Wave{{Count: 2, Share: 0.1, Zone: "north"}}, Pause: 3 * time.Second, Faster: 2, Tries: 3}
+	permit := accord.Permit{Number: 7, Member: "p001", Of: 12, By: "ann", Why: "drain", Stage: accord.Granted, Asked: time.Second, At: 2 * time.Second,
+		Span: 30 * time.Second, Passed: 4, Waits: "budget all", Outcome: "dropped"}
+	budget := accord.Budget{Name: "all", Of: accord.Match{Zone: "north", Release: "1", Role: "instance", Below: "db"}, Most: 3, Share: 0.5, Least: 6}
+	member := accord.Member{Seen: accord.Seen{Name: "p001", Incarnation: 12, Zone: "north", Release: "1", Roles: members.Instance, Below: "db", Capacity: 2, Why: accord.Gone},
+		Since: 5 * time.Second, Permit: 7, Before: "0", Tries: 1}
+	s := ask.Status{Steward: "s1", Leader: "s2", Leads: true, Term: 3, Index: 44, Others: map[string]string{"s1": "127.0.0.1:7960"}, Now: "1m0s",
+		Halted: &accord.Halt{At: time.Second, By: "bob", Why: "noise"}, Uses: []accord.Use{{Budget: budget, Of: 12, Out: 1, Limit: 3, Up: 22}},
+		Release: &accord.Release{Plan: plan, By: "ann", Phase: accord.Going, Wave: 1, Since: 9 * time.Second, Judged: true,
+			Of: [][]accord.Name{{"p001", "p002"}}, Waits: "a permit", Why: "slower"},
+		Permits: []accord.Permit{permit}, Out: []accord.Member{member}, Members: 15}
+	return s, []accord.Entry{{Nth: 9, Now: 61500 * time.Millisecond, By: "ann", Do: accord.DoRelease, What: "r2 to 2",
+		Reply: accord.Reply{OK: true, Why: "begun", Number: 8, Numbers: []accord.Number{8, 9}}}}
+}
+
+// coordinator is one that answers each question by answer; what it was asked comes on the channel.
+func coordinator(t *testing.T, answer []byte) (file string, questions chan string) {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	folder := t.TempDir()
+	keys := []members.Key{members.Key(bytes.Repeat([]byte("k"), 32))}
+	questions = make(chan string, 16)
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			if kind, err := ask.Greeted(c, keys); err == nil && kind == ask.AsOperator {
+				line, _ := bufio.NewReader(c).ReadString('\n')
+				questions <- line
+				_, _ = c.Write(answer)
+			}
+			c.Close()
+		}
+	}()
+	file = filepath.Join(folder, "operator.ini")
+	text := fmt.Sprintf("[fleet]\nname = s1\nlisten = 127.0.0.1:7946\nkeys = keys\n[steward]\nlisten = 127.0.0.1:7960\nfolder = log\nstewards = %s\n", l.Addr())
+	for path, text := range map[string]string{file: text, filepath.Join(folder, "keys"): "a2tra2tra2tra2tra2tra2tra2tra2tra2tra2tra2s=\n"} {
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return file, questions
+}
+
+// What a coordinator answers is read as ever, and "--json" prints it as ever.
+func TestGoldenAnswers(t *testing.T) {
+	status, history := agreed()
+	for name, want := range map[string]ask.Answer{"status": {Status: &status}, "history": {History: history}} {
+		t.Run(name, func(t *testing.T) {
+			b, err := json.Marshal(want)
+			if err != nil {
+				t.Fatal(err)
+			}
+			golden(t, name+"-answer.json", append(b, '\n'))
+			var got ask.Answer
+			if err := json.Unmarshal(stored(t, name+"-answer.json"), &got); err != nil {
+				t.Fatal(err)
+			}
+			if !reflect.DeepEqual(got, want) {
+				t.Fatalf("read otherwise than before: %+v", got)
+			}
+			file, questions := coordinator(t, stored(t, name+"-answer.json"))
+			var out bytes.Buffer
+			if err := agree(command.Agree{File: file, Do: name, JSON: true}, &out); err != nil {
+				t.Fatal(err)
+			}
+			<-questions
+			golden(t, name+"-printed.json", out.Bytes())
+			if name == "history" {
+				return
+			}
+			out.Reset()
+			if err := agree(command.Agree{File: file, Do: name}, &out); err != nil {
+				t.Fatal(err)
+			}
+			golden(t, name+"-printed.txt", out.Bytes())
+		})
+	}
+}
+
+// What each command asks the coordinators, as it goes over the wire; the key is drawn anew each time.
+func TestGoldenQuestions(t *testing.T) {
+	folder := t.TempDir()
+	budgets, plan := filepath.Join(folder, "budgets.ini"), filepath.Join(folder, "plan.ini")
+	for path, text := range map[string]string{
+		budgets: "[budget all]\nrole = instance\nzone = north\nrelease = 1\nbelow = db\nmost = 3\n[budget share]\nshare = 0.5\nleast-capacity = 6\n",
+		plan:    "[release]\nname = r2\nto = 2\nof-zone = north\nof-release = 1\nof-role = relay\nwaves = 1, 25%, zone north\npause = 2s\njudged = yes\nback-faster = 3\ntries = 4\n",
+	} {
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	file, questions := coordinator(t, []byte(`{"Reply":{"OK":true,"Why":"","Number":7}}`+"\n"))
+	var text strings.Builder
+	for _, a := range []command.Agree{
+		{Do: "drain", Name: "p001"}, {Do: "drain", Zone: "north"}, {Do: "drain", Below: "db"}, {Do: "undrain", Name: "p001"}, {Do: "undrain", Zone: "north"},
+		{Do: "forget", Name: "p001"}, {Do: "halt", Why: "noise"}, {Do: "resume"}, {Do: "back", Why: "slower"}, {Do: "budgets", Path: budgets},
+		{Do: "release", Path: plan}, {Do: "leave", Name: "s2"},
+	} {
+		a.File, a.By = file, "ann"
+		var out bytes.Buffer
+		if err := agree(a, &out); err != nil {
+			t.Fatal(err)
+		}
+		q := regexp.MustCompile(`"Key":"[0-9a-f]{16}"`).ReplaceAllString(<-questions, `"Key":"16 hex digits"`)
+		fmt.Fprintf(&text, "%s: %s%s", a.Do, q, out.String())
+	}
+	golden(t, "questions.txt", []byte(text.String()))
+}
+
+// The history as Parquet: columns, and every value of a row.
+func TestGoldenHistory(t *testing.T) {
+	_, history := agreed()
+	history = append(history, accord.Entry{Nth: 10, Now: time.Second, By: "bob", Do: accord.DoHalt, What: "all", Reply: accord.Reply{Why: "halted already"}})
+	path := filepath.Join(t.TempDir(), "history.parquet")
+	if err := export(history, path); err != nil {
+		t.Fatal(err)
+	}
+	b, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "history.parquet", b)
+	rows, err := parquet.ReadFile[line]("testdata/history.parquet")
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := []line{{9, 61500, "ann", "release", "r2 to 2", true, "begun", 8}, {10, 1000, "bob", "halt", "all", false, "halted already", 0}}
+	if !reflect.DeepEqual(rows, want) {
+		t.Fatalf("%+v", rows)
+	}
+	b = stored(t, "history.parquet")
+	f, err := parquet.OpenFile(bytes.NewReader(b), int64(len(b)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var columns []string
+	for _, c := range f.Schema().Columns() {
+		leaf, _ := f.Schema().Lookup(c...)
+		columns = append(columns, strings.Join(c, ".")+" "+leaf.Node.Type().String())
+	}
+	if got := strings.Join(columns, ", "); got != "nth INT(64,true), at_ms INT(64,true), by STRING, do STRING, what STRING, agreed BOOLEAN, why STRING, number INT(64,true)" {
+		t.Fatal(got)
+	}
+}
+
+// A process's status is read from its socket as ever, and "members --json" prints it as ever.
+func TestGoldenMembers(t *testing.T) {
+	want := gossip.Snapshot{Name: "p000", Life: "000000000000001f", Incarnation: 12, Zone: "north", Release: "1", Standing: "whole", Reach: 0.75, Version: 5,
+		Digest: "00000000000000ff", States: map[string]int{"up": 1}, Counts: map[string]uint64{"packets-out": 7}, CPUms: 40,
+		Members: []gossip.SnapshotMember{{Name: "p001", Life: "0000000000000020", Incarnation: 13, State: "suspect", Why: "silent", ForMS: 1500, SpokeMS: 2500,
+			Addr: "127.0.0.1:7946", Roles: "instance", Zone: "south", Release: "2", Capacity: 2.5, Facts: map[string]float64{"held": 3}, Stale: []string{"signal"}}}}
+	b, err := json.Marshal(want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "members-answer.json", append(b, '\n'))
+	socket := filepath.Join(t.TempDir(), "w")
+	l, err := net.Listen("unix", socket)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	answer := stored(t, "members-answer.json")
+	asked := make(chan string, 4)
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			line, _ := bufio.NewReader(c).ReadString('\n')
+			asked <- line
+			_, _ = c.Write(answer)
+			c.Close()
+		}
+	}()
+	got, err := gossip.Watch(socket, gossip.Whole)
+	if err != nil || !reflect.DeepEqual(got, want) {
+		t.Fatalf("%v, read otherwise than before: %+v", err, got)
+	}
+	if line := <-asked; line != "view\n" {
+		t.Fatalf("asked %q", line)
+	}
+	var out bytes.Buffer
+	if err := show(operator.Fleet{Watch: socket}, nil, true, &out); err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "members-printed.json", out.Bytes())
+	out.Reset()
+	if err := show(operator.Fleet{Watch: socket}, []string{socket}, false, &out); err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "members-printed.txt", out.Bytes())
+}
+
+// The keys of the facts that an instance and a proxy have gossiped of themselves.
+func TestGoldenFacts(t *testing.T) {
+	config := keep.Told{Name: "n", Listen: "127.0.0.1:0", Runtime: "127.0.0.1:1", Stop: time.Second, Sockets: 128, MemoryMB: 32, Cores: 1, Facts: choice.Facts{}}
+	in, err := keep.Open(config)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r, err := relay.Open(config, relay.Told{}, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	go in.Serve()
+	go r.Serve()
+	t.Cleanup(func() { in.Hand(in.Over); r.Hand(r.Over) })
+	var text strings.Builder
+	for _, p := range []gossip.Process{&instance{in}, &relaying{r}} {
+		report := make(chan gossip.Report, 1)
+		p.Report(func(r gossip.Report) { report <- r })
+		for _, f := range (<-report).Facts {
+			fmt.Fprint(&text, f.Key, " ")
+		}
+		load := make(chan float64, 1)
+		p.Load(func(l float64, _ gossip.Figures) { load <- l })
+		if got := <-load; got > 0 || got < -1 {
+			t.Fatal(got)
+		}
+	}
+	if got := text.String(); got != "health signal held running cores passing " {
+		t.Fatal(got)
+	}
+	if got := spread.Idle(time.Second); got != -0.5 {
+		t.Fatal(got)
+	}
+}
--- /dev/null
+++ b/internal/drill/golden_test.go
@@ -0,0 +1,299 @@
+package drill
+
+import (
+	"bufio"
+	"bytes"
+	"flag"
+	"fmt"
+	"hash/fnv"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/parquet-go/parquet-go"
+
+	"lanewheel/internal/members"
+	"lanewheel/internal/operator"
+)
+
+var update = flag.Bool("update", false, "write the golden files of testdata anew")
+
+// golden compares what is written today with the file of testdata that an earlier version wrote.
+func golden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Fatalf("%s: written otherwise than before; now:\n%s", path, got)
+	}
+}
+
+// recorded is a record with a row of each kind, put together as at the end of a run.
+func recorded() Record {
+	began := time.Unix(1_700_000_000, 0)
+	at := func(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
+	w := &world{procs: []*proc{{name: "p000"}, {name: "p001"}}}
+	h := &history{all: []*asked{
+		{id: "0000000000000001", kind: "view", sent: at(100), answered: at(105), outcome: "acked", answers: 1, runs: []run{{1, at(103)}}},
+		{id: "0000000000000002", kind: "pay", proc: 1, sent: at(200), answered: at(202), outcome: "Busy", answers: 1},
+		{id: "0000000000000003", kind: "list", sent: at(300), answered: at(340), outcome: "Failed", answers: 1, runs: []run{{0, at(310)}}},
+		{id: "0000000000000004", kind: "view", sent: at(400), answered: at(450), outcome: "broken"},
+		{id: "0000000000000005", kind: "view", sent: at(500), answered: at(500)},
+	}}
+	halves := &operator.DrillFault{Name: "halves", Do: "swallow", Command: "halt"}
+	agree := &operator.DrillFault{Name: "stop", Do: "agree", Command: "halt"}
+	events := []Event{{At: 1500 * time.Millisecond, Fault: halves, From: []int{0}, To: []int{1}}, {At: 2 * time.Second, Fault: agree, On: []int{}},
+		{At: 3500 * time.Millisecond, Fault: halves, Undo: true, From: []int{0}, To: []int{1}}}
+	l := newLinks(1)
+	l.tally[[2]int{0, 1}] = &counts{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12}
+	links := l.rows(func(i int) string { return w.procs[i].name })
+	return record(w, h, events, []Row{{1600, "differs", "", "", "", 2}}, links, []Violation{{2500 * time.Millisecond, "no op lost", "no answer"}},
+		[]Figure{{"calm seconds", 3}}, began)
+}
+
+// A record keeps its columns, and the words in them: kinds, outcomes, rules and the names of figures.
+func TestGoldenRecord(t *testing.T) {
+	want := Record{
+		{100, "op", "p000", "0000000000000001", "acked", 5},
+		{103, "run", "p001", "0000000000000001", "", 0},
+		{200, "op", "p001", "0000000000000002", "Busy", 2},
+		{300, "op", "p000", "0000000000000003", "Failed", 40},
+		{310, "run", "p000", "0000000000000003", "", 0},
+		{400, "op", "p000", "0000000000000004", "broken", 50},
+		{500, "op", "p000", "0000000000000005", "", 0},
+		{1500, "done", "", "  1.50s halves: swallow 0 -> 1", "swallow", 1.5},
+		{2000, "done", "", "  2.00s stop: halt", "agree", 2},
+		{3500, "undone", "", "  3.50s halves: over: swallow 0 -> 1", "swallow", 3.5},
+		{1600, "differs", "", "", "", 2},
+		{2500, "violation", "", "  2.50s no op lost: no answer", "no op lost", 0},
+		{0, "figure", "", "calm seconds", "", 3},
+		{0, "link", "p000", "p001", "1 datagrams of 2 bytes, 3 streams of 4; lost 5, delayed 6, twice 7, late 8, garbled 9, refused 10, cut 11, halved 12", 6},
+	}
+	if got := recorded(); !reflect.DeepEqual(got, want) {
+		t.Fatalf("the rows of a run are others than before:\n%v", got)
+	}
+	path := filepath.Join(t.TempDir(), "record.parquet")
+	if err := want.Save(path); err != nil {
+		t.Fatal(err)
+	}
+	written, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "record.parquet", written)
+	read, err := Open("testdata/record.parquet")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(read, want) {
+		t.Fatalf("read otherwise than before:\n%v", read)
+	}
+	var table, difference bytes.Buffer
+	read.Table(&table)
+	golden(t, "table.txt", table.Bytes())
+	Differ(&difference, read, read[:3])
+	golden(t, "difference.txt", difference.Bytes())
+}
+
+// The columns of a record, by name and type.
+func TestGoldenSchema(t *testing.T) {
+	b, err := os.ReadFile("testdata/record.parquet")
+	if err != nil {
+		t.Fatal(err)
+	}
+	f, err := parquet.OpenFile(bytes.NewReader(b), int64(len(b)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var columns []string
+	for _, c := range f.Schema().Columns() {
+		leaf, _ := f.Schema().Lookup(c...)
+		columns = append(columns, strings.Join(c, ".")+" "+leaf.Node.Type().String())
+	}
+	want := []string{"at_ms INT(64,true)", "kind STRING", "process STRING", "name STRING", "outcome STRING", "value DOUBLE"}
+	if !reflect.DeepEqual(columns, want) {
+		t.Fatalf("%q", columns)
+	}
+}
+
+// status is what a process says of itself on its status socket, as much of it as a drill reads.
+const status = `{"name":"p000","life":"000000000000001f","standing":"whole","reach":1,"digest":"%016x","states":{"up":1},` +
+	`"members":[{"name":"p001","state":"suspect","why":"silent"}],` +
+	`"counts":{"suspect-gone":3,"up-suspect":5,"bytes-in":1000,"bytes-out":200,"packets-out":7},"cpu_ms":40}` + "\n"
+
+// What is read of a process's status, and the names of the figures and rules that come of that and of the load.
+func TestGoldenFigures(t *testing.T) {
+	folder := t.TempDir()
+	l, err := net.Listen("unix", filepath.Join(folder, "w"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	questions := make(chan string, 64)
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			line, _ := bufio.NewReader(c).ReadString('\n')
+			questions <- line
+			fmt.Fprintf(c, status, members.Mark(members.ID{Name: "p000", Life: 0x1f}))
+			c.Close()
+		}
+	}()
+	d := &operator.Drill{Processes: 2, For: 20 * time.Second, Hands: true, Even: operator.DrillEven{On: true, Most: 0.01, Idle: 0.01, Back: time.Second},
+		EndsOn: "2", EverOn: "3", EverMost: 0.1, Releases: []string{"1"}, Zones: []string{"a"}}
+	p := &proc{name: "p000", folder: folder, cmd: &exec.Cmd{}, release: "1"}
+	w := &world{d: d, procs: []*proc{p, {name: "p001", i: 1, release: "2"}}, say: func(string) {}}
+	v := &views{w: w, took: map[string]time.Duration{}}
+	v.poll(0)
+	if got := <-questions; got != "brief\n" {
+		t.Fatalf("asked %q", got)
+	}
+	id := members.ID{Name: "p000", Life: 0x1f}
+	if !v.equal || v.seen[id] != [3]uint64{1200, 40, 7} || v.pollGave[id] != 3 || v.pollDoubts[id] != 5 {
+		t.Fatal(v.equal, v.last, v.seen, v.pollGave, v.pollDoubts)
+	}
+	figures, all := []Figure{}, []Violation{}
+	r := newRest(v)
+	r.from[id.String()] = [3]uint64{0, 0, 0}
+	r.at = time.Now().Add(-time.Second)
+	r.close(v, 3*time.Second)
+	for _, f := range r.figures {
+		figures = append(figures, Figure{f.Name, 0}) // measured by the clock
+	}
+	halves := &operator.DrillFault{Name: "halves", Do: "kill", For: 2 * time.Second, NoneGone: true}
+	events := []Event{{At: 9 * time.Second, Fault: halves, On: []int{0}}, {At: 11 * time.Second, Fault: halves, Undo: true, On: []int{0}}}
+	v.Begin(&events[0], 9*time.Second)
+	v.poll(10 * time.Second)
+	v.given[id], v.doubts[id] = 1, 1
+	all = append(all, v.Over(&events[0], 10*time.Second)...)
+	v.Begin(&events[1], 11*time.Second)
+	v.poll(13 * time.Second)
+	v.equal = false
+	all = append(all, v.Over(nil, 13*time.Second)...)
+	figures = append(figures, v.figures...)
+	w.outs = &outs{most: map[string]int{"all": 2}, ever: map[string]map[string]bool{"3": {"p000": true}}}
+	f, x := w.agreed()
+	figures, all = append(figures, f...), append(all, x...)
+	began := time.Unix(1_700_000_000, 0)
+	h := &history{}
+	for i := range 200 {
+		at := began.Add(time.Duration(i) * 100 * time.Millisecond)
+		h.all = append(h.all, &asked{id: fmt.Sprint(i), kind: "view", sent: at, answered: at, outcome: "acked", answers: 1, runs: []run{{i % 3 % 2, at}}})
+	}
+	f, x = evenness(w, h, nil, began, began.Add(20*time.Second))
+	figures, all = append(figures, f...), append(all, x...)
+	var text bytes.Buffer
+	for _, f := range figures {
+		fmt.Fprintf(&text, "%s = %.4g\n", f.Name, f.Value)
+	}
+	for _, v := range all {
+		fmt.Fprintf(&text, "%v %s: %s\n", v.At, v.Rule, v.What)
+	}
+	golden(t, "figures.txt", text.Bytes())
+}
+
+// The lines by which a coordinator's hook has a member started.
+func TestGoldenHook(t *testing.T) {
+	w := &world{folder: t.TempDir(), d: &operator.Drill{}}
+	if err := w.stewarding(); err != nil {
+		t.Fatal(err)
+	}
+	defer w.hooks.Close()
+	if err := Hooked(w.hook(), "p009", "2", &bytes.Buffer{}); err == nil || err.Error() != `no process "p009"` {
+		t.Fatal(err)
+	}
+	l, err := net.Listen("unix", filepath.Join(t.TempDir(), "hook"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	heard := make(chan string, 1)
+	go func() {
+		c, err := l.Accept()
+		if err != nil {
+			return
+		}
+		defer c.Close()
+		line, _ := bufio.NewReader(c).ReadString('\n')
+		heard <- line
+		fmt.Fprintln(c, "started")
+	}()
+	var out bytes.Buffer
+	if err := Hooked(l.Addr().String(), "p001", "2", &out); err != nil {
+		t.Fatal(err)
+	}
+	if got := <-heard; got != "p001 2\n" || out.String() != "started\n" {
+		t.Fatalf("%q %q", got, out.String())
+	}
+}
+
+// parsed writes out all of a script that is not zero, by the names of its keys.
+func parsed(d *operator.Drill) string {
+	var b strings.Builder
+	put := func(section string, values ...any) {
+		fmt.Fprintf(&b, "[%s]", section)
+		for i := 0; i < len(values); i += 2 {
+			if v := fmt.Sprint(values[i+1]); v != "" && v != "0" && v != "0s" && v != "[]" && v != "false" && v != "{  0 0}" {
+				fmt.Fprintf(&b, " %v=%s", values[i], v)
+			}
+		}
+		fmt.Fprintln(&b)
+	}
+	put("drill", "processes", d.Processes, "relays", d.Relays, "desks", d.Desks, "stewards", d.Stewards, "seed-processes", d.Seeds, "stubs", d.Stubs,
+		"seed", d.Seed, "for", d.For, "start", d.Start, "settle", d.Settle, "rate", d.Rate, "mean", d.Mean, "memory-mb", d.MemoryMB, "calls-take", d.Takes,
+		"zones", d.Zones, "releases", d.Releases)
+	put("relaying", "pairs", d.Relaying)
+	put("members", "pairs", d.Members)
+	put("calling", "pairs", d.Calling)
+	put("granting", "pairs", d.Granting)
+	put("stewarding", "pairs", d.Agreeing)
+	put("handing", "given", d.Hands, "pairs", d.Handing)
+	put("even", "given", d.Even.On, "most", d.Even.Most, "idle", d.Even.Idle, "back", d.Even.Back)
+	put("bad-release", "release", d.Bad.Release, "slow", d.Bad.Slow, "fails", d.Bad.Fails, "crashes-after", d.Bad.Crashes, "never-up", d.Bad.NeverUp)
+	put("agreed", "ends-on", d.EndsOn, "ever-on", d.EverOn, "ever-on-most", d.EverMost)
+	group := func(g operator.Group) string { return fmt.Sprintf("{%s %s %d %g}", g.Kind, g.Name, g.Count, g.Share) }
+	for _, f := range d.Faults {
+		put("fault "+f.Name, "do", f.Do, "at", f.First.String()+".."+f.Last.String(), "for", f.For, "on", group(f.On), "from", group(f.From), "to", group(f.To),
+			"both", f.Both, "share", f.Share, "factor", f.Factor, "command", f.Command, "delay", f.Delay, "jitter", f.Jitter, "rate", f.Rate, "keys", f.Keys,
+			"seeds", f.Seeds, "none-gone", f.NoneGone, "refuses", f.Refuses)
+	}
+	return b.String()
+}
+
+// The scripts of drills/ and one that sets everything, as they are read, and what is drawn from their seeds: when, and to whom.
+func TestGoldenScripts(t *testing.T) {
+	paths, err := filepath.Glob("../../drills/*.ini")
+	if err != nil || len(paths) == 0 {
+		t.Fatal(err, paths)
+	}
+	var text bytes.Buffer
+	for _, path := range append(paths, "testdata/everything.ini") {
+		d, err := operator.LoadDrill(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&text, "# %s\n%s", filepath.Base(path), parsed(&d))
+		for _, e := range Timeline(&d) {
+			who := fnv.New32a()
+			fmt.Fprint(who, e.On, e.From, e.To)
+			fmt.Fprintf(&text, "%v %s #%08x\n", e.At, e, who.Sum32())
+		}
+	}
+	golden(t, "scripts.txt", text.Bytes())
+}
--- /dev/null
+++ b/internal/spread/golden_test.go
@@ -0,0 +1,153 @@
+package spread
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+	"time"
+)
+
+var update = flag.Bool("update", false, "write the golden files of testdata anew")
+
+// golden compares what is written today with the file of testdata that an earlier version wrote.
+func golden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Fatalf("%s: decided otherwise than before; now:\n%s", path, got)
+	}
+}
+
+// Subsets are worked out by each process on its own: one of another version has to come to the same.
+func TestGoldenSubsets(t *testing.T) {
+	var text bytes.Buffer
+	for _, at := range [][3]int{{3, 10, 4}, {12, 60, 15}, {7, 5, 2}, {2, 3, 3}} {
+		var deciders, members []Name
+		for i := range at[0] {
+			deciders = append(deciders, Name(fmt.Sprint("relay-", i)))
+		}
+		for i := range at[1] {
+			members = append(members, Name(fmt.Sprint("instance-", i)))
+		}
+		subsets := Subsets(deciders, members, at[2])
+		for _, d := range deciders {
+			fmt.Fprint(&text, at, " ", d, ":")
+			for _, m := range slices.Sorted(slices.Values(subsets[d])) {
+				fmt.Fprint(&text, " ", m[len("instance-"):])
+			}
+			fmt.Fprintln(&text)
+		}
+	}
+	golden(t, "subsets.txt", text.Bytes())
+}
+
+// decisions plays a drawn history to a balancer and writes down all that it decides, a letter and a number each.
+func decisions(told Told, hand HandTold, seed uint64, steps int) string {
+	words := map[Why]string{Spent: "b", Late: "l", Deaf: "u", Crowd: "f", NoRoom: "n", Backed: "t"}
+	rng := rand.New(rand.NewPCG(seed, 5))
+	chance := rng.Float64
+	var all []Member
+	for i := range 12 {
+		all = append(all, Member{Name: Name(fmt.Sprint("m", i)), Zone: []string{"a", "b"}[i%2], Capacity: float64(1 + i%3)})
+	}
+	c := New(told)
+	h := NewHander(hand, c)
+	var text bytes.Buffer
+	now := time.Second
+	c.Set(now, all[:10])
+	for n := range steps {
+		now += time.Duration(rng.IntN(40)) * time.Millisecond
+		switch {
+		case n == steps/4: // two come, cold; one is doubted
+			all[10].Cold, all[10].Warm, all[11].Cold, all[11].Warm = 5*time.Second, 8*time.Second, 3*time.Second, 3*time.Second
+			all[1].Doubted = true
+			c.Set(now, all)
+		case n == steps/2: // one goes
+			all[1].Doubted = false
+			c.Set(now, all[1:])
+		}
+		i, ok := c.Pick(now, chance, func(i int) bool { return i == n%7 })
+		fmt.Fprint(&text, "p", i)
+		if !ok {
+			fmt.Fprint(&text, "!")
+			continue
+		}
+		c.Sent(now, i)
+		name := c.At(i)
+		if q, any := c.Ask(now, chance); any {
+			fmt.Fprint(&text, "q", q)
+			c.Asked(now, q, float64(rng.IntN(8))-1, time.Duration(rng.IntN(50))*time.Millisecond)
+		}
+		if n%3 == 0 {
+			c.Told(now, rng.IntN(c.Len()), Idle(time.Duration(rng.IntN(2000))*time.Millisecond), time.Duration(rng.IntN(200))*time.Millisecond)
+		}
+		h.Came()
+		place, why := h.Offer(now, time.Duration(rng.IntN(2000))*time.Millisecond, float64(rng.IntN(9)), chance)
+		if why == Offered {
+			fmt.Fprint(&text, "o", place)
+			c.Sent(now, place)
+			what := Served
+			if rng.IntN(5) == 0 || n%100 > 60 {
+				what = Refused
+			}
+			c.Ended(now, c.At(place), what, 30*time.Millisecond)
+			h.Ended(now, what)
+		} else {
+			fmt.Fprint(&text, "o", words[why])
+		}
+		what := Served
+		switch {
+		case name == "m3" && n > steps/3 && n < 2*steps/3, name >= "m4" && n > 3*steps/4:
+			what = Failed
+		case rng.IntN(10) == 0:
+			what = Outcome(1 + rng.IntN(3))
+		}
+		took := time.Duration(10+rng.IntN(40)) * time.Millisecond
+		if name == "m4" {
+			took *= 4
+		}
+		if rng.IntN(50) == 0 {
+			c.Left(name)
+		} else {
+			c.Ended(now, name, what, took)
+		}
+		try := Try{Due: now + time.Duration(rng.IntN(400))*time.Millisecond, Tries: 1 + rng.IntN(3), Most: 3, Repeats: n%2 == 0, Passed: n%5 == 0}
+		fmt.Fprint(&text, "s", uint8(c.Next(now, try, what, rng.IntN(4) == 0, rng.IntN(20) == 0)))
+		if n%10 == 9 {
+			fmt.Fprintln(&text)
+		}
+	}
+	fmt.Fprintln(&text, "most looked bad", c.Panics)
+	return text.String()
+}
+
+// Decisions by the same history, seed and settings stay what they are, for every way of picking.
+func TestGoldenDecisions(t *testing.T) {
+	var text bytes.Buffer
+	for way := Informed; way <= Greedy; way++ {
+		told, hand := Usual(), UsualHand()
+		told.Way, told.Zone = way, "a"
+		hand.Share, hand.Most = 0.5, 0.8
+		steps := 90
+		if way == Informed {
+			steps = 600
+		}
+		fmt.Fprintln(&text, "#", way)
+		text.WriteString(decisions(told, hand, uint64(way)+1, steps))
+	}
+	golden(t, "decisions.txt", text.Bytes())
+}
