--- a/internal/command/further/golden_test.go
+++ b/internal/command/further/golden_test.go
@@ -14,6 +14,7 @@
 	"strings"
 	"testing"
 	"time"
+	"unicode/utf8"
 
 	"github.com/parquet-go/parquet-go"
 
@@ -41,6 +42,9 @@
 		}
 	}
 	if want := stored(t, name); !bytes.Equal(got, want) {
+		if !utf8.Valid(got) {
+			got = fmt.Appendf(nil, "%d bytes", len(got))
+		}
 		t.Fatalf("%s: written otherwise than before; now:\n%s", path, got)
 	}
 }
