--- a/internal/command/further/agree.go
+++ b/internal/command/further/agree.go
@@ -244,10 +244,13 @@
 	Number int64  `parquet:"number"`
 }
 
+// schema names the root of the exported history's Parquet schema, which would follow the name of the Go type.
+var schema = parquet.NewSchema("line", parquet.SchemaOf(line{}))
+
 func export(all []accord.Entry, path string) error {
 	var rows []line
 	for _, e := range all {
 		rows = append(rows, line{int64(e.Nth), e.Now.Milliseconds(), e.By, string(e.Do), e.What, e.OK, e.Why, int64(e.Number)})
 	}
-	return parquet.WriteFile(path, rows)
+	return parquet.WriteFile(path, rows, schema)
 }
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -131,8 +131,8 @@
 		}
 	}
 	if d.Stewards > 0 {
-		f, v := w.agreed()
-		figures, broken = append(figures, f...), append(broken, v...)
+		rollout, unmet := w.agreed()
+		figures, broken = append(figures, rollout...), append(broken, unmet...)
 	}
 	even, odd := evenness(w, h, events, began, ended)
 	figures, broken = append(figures, even...), append(broken, odd...)
--- a/internal/drill/golden_test.go
+++ b/internal/drill/golden_test.go
@@ -14,7 +14,6 @@
 	"strings"
 	"testing"
 	"time"
-	"unicode/utf8"
 
 	"github.com/parquet-go/parquet-go"
 
@@ -38,7 +37,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		if !utf8.Valid(got) {
+		if bytes.IndexByte(got, 0) >= 0 {
 			got = fmt.Appendf(nil, "%d bytes", len(got))
 		}
 		t.Fatalf("%s: written otherwise than before; now:\n%s", path, got)
--- a/internal/drill/report.go
+++ b/internal/drill/report.go
@@ -30,8 +30,11 @@
 // Record is a rehearsal as it went, row by row.
 type Record []Row
 
+// schema names the root of a record's Parquet schema, which would follow the name of the Go type.
+var schema = parquet.NewSchema("Row", parquet.SchemaOf(Row{}))
+
 // Save writes it as Parquet.
-func (r Record) Save(path string) error { return parquet.WriteFile(path, []Row(r)) }
+func (r Record) Save(path string) error { return parquet.WriteFile(path, []Row(r), schema) }
 
 // Open reads one that was saved.
 func Open(path string) (Record, error) {
