--- /dev/null
+++ b/internal/operator/golden_test.go
@@ -0,0 +1,491 @@
+package operator
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"lanewheel/internal/accord"
+	"lanewheel/internal/amqp"
+	"lanewheel/internal/scenes"
+	"lanewheel/internal/spread"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew from what the code reads")
+
+// listing is what was read of a file, one "section.name = value" a line. The names are those of the settings, so
+// that the listing stays the same whatever the fields that hold them are called.
+type listing struct{ strings.Builder }
+
+func (l *listing) add(name string, value any) {
+	verb := "%v"
+	switch t := reflect.TypeOf(value); {
+	case t.Kind() == reflect.String, t.Kind() == reflect.Slice && t.Elem().Kind() == reflect.String:
+		verb = "%q"
+	}
+	fmt.Fprintf(l, "%s = "+verb+"\n", name, value)
+}
+
+// either is the word that stands in a file for a value that is held as a bool.
+func either(on bool, yes, no string) string {
+	if on {
+		return yes
+	}
+	return no
+}
+
+func listFile(l *listing, f *File) {
+	l.add("log.format", f.Log.Format)
+	listCallers(l, &f.Callers)
+	listTokens(l, &f.Tokens)
+	listTLS(l, &f.TLS)
+	listAMQP(l, &f.AMQP)
+	listFleet(l, &f.Fleet)
+	listRelay(l, &f.Relay)
+	listBelow(l, &f.Below)
+	listGrants(l, &f.Grants)
+	listHandOver(l, &f.HandOver)
+	listSteward(l, &f.Steward)
+}
+
+func listCallers(l *listing, c *Callers) {
+	l.add("callers", c.On)
+	l.add("callers (rights)", c.Book != nil)
+	l.add("callers.anonymous", c.Anonymous)
+	l.add("callers.writes", c.Writes)
+	l.add("callers.entries", c.Entries)
+	for _, r := range c.Roles {
+		name := "role " + string(r.Name)
+		l.add(name+".tenants", r.Tenants)
+		l.add(name+".types", r.Types)
+		l.add(name+".may (read)", r.Reads)
+		l.add(name+".may (write)", r.Writes)
+		l.add(name+".rate", r.Rate)
+		l.add(name+".burst", r.Burst)
+		l.add(name+".open", r.Open)
+	}
+	for _, c := range c.Map {
+		name := "caller " + c.Title
+		l.add(name+".match", c.Match)
+		l.add(name+".tenant", c.Tenant)
+		l.add(name+".roles", c.Roles)
+	}
+}
+
+func listTokens(l *listing, t *Tokens) {
+	l.add("tokens", t.On)
+	l.add("tokens.keys", t.Keys)
+	l.add("tokens.issuer", t.Policy.Issuer)
+	l.add("tokens.audience", t.Policy.Audience)
+	l.add("tokens.leeway", t.Policy.Leeway)
+	l.add("tokens.longest", t.Policy.Longest)
+	l.add("tokens.tenant-claim", t.Policy.Tenant)
+	l.add("tokens.roles-claim", t.Policy.Roles)
+	l.add("tokens.revoked", t.Revoked)
+	l.add("tokens.single-use", t.Policy.Single)
+	l.add("tokens.single-use-remembered", t.Bounds.Once)
+	l.add("tokens.remembered", t.Bounds.Remembered)
+	l.add("tokens.waiting", t.Bounds.Waiting)
+	l.add("tokens.share", t.Bounds.Share)
+	l.add("tokens.look-every", t.Bounds.Every)
+}
+
+func listTLS(l *listing, t *TLS) {
+	l.add("tls", t.On)
+	l.add("tls.listen", t.Listen)
+	l.add("tls.certificate", t.Certificate)
+	l.add("tls.key", t.Key)
+	l.add("tls.authorities", t.Authorities)
+	l.add("tls.revoked", t.Revoked)
+	l.add("tls.revoked-grace", t.Grace)
+	l.add("tls.stale-list", either(t.AllowOld, "allow", "deny"))
+	l.add("tls.clients", either(t.Required, "required", "asked"))
+	l.add("tls.oldest", t.Oldest)
+	l.add("tls.handshakes", t.Handshakes)
+	l.add("tls.handshake-rate", t.Rate)
+}
+
+func listAMQP(l *listing, a *AMQP) {
+	l.add("amqp", a.On)
+	l.add("amqp.brokers", a.Told.Brokers)
+	l.add("amqp.login", a.Login)
+	l.add("amqp.authorities", a.Authorities)
+	l.add("amqp.certificate", a.Certificate)
+	l.add("amqp.key", a.Key)
+	l.add("amqp.in-hand", a.Told.InHand)
+	l.add("amqp.retry-share", a.Told.Share)
+	l.add("amqp.unstarted-rate", a.Told.Unstarted)
+	l.add("amqp.remembered", a.Told.Remembered)
+	l.add("amqp.remembered-for", a.Told.RememberedIn)
+	l.add("amqp.heartbeat", a.Told.Heartbeat)
+	l.add("amqp.watch", a.Told.Watch)
+	source := func(s amqp.Source) string { return either(s.Header, "header:", "") + s.Name }
+	for _, q := range a.Told.Queues {
+		name := "queue " + string(q.Name)
+		l.add(name+".weight", q.Weight)
+		l.add(name+".priority", q.Priority)
+		l.add(name+".floor", q.Floor)
+		l.add(name+".most", q.Most)
+		l.add(name+".identity", q.Identity)
+		l.add(name+".attempts", q.Told.Attempts)
+		l.add(name+".retry-queue", q.Told.Retry)
+		l.add(name+".retry-delay", q.Told.Delay)
+		l.add(name+".dead-letters", q.Dead)
+		l.add(name+".dead-letters (told)", q.Told.Dead)
+		l.add(name+" (answers)", q.Told.Answers)
+		l.add(name+".wait", q.Mapping.Wait)
+		l.add(name+".longest", q.Mapping.Longest)
+		l.add(name+".type", source(q.Mapping.Type))
+		l.add(name+".tenant", source(q.Mapping.Tenant))
+		l.add(name+".subject", source(q.Mapping.Subject))
+		l.add(name+".rank", source(q.Mapping.Rank))
+		l.add(name+".cost", source(q.Mapping.Cost))
+		l.add(name+".kb", source(q.Mapping.KB))
+		l.add(name+".token", source(q.Mapping.Token))
+		l.add(name+".rank-default", q.Mapping.Rank0)
+		l.add(name+".kb-default", q.Mapping.KB0)
+	}
+}
+
+func listFleet(l *listing, f *Fleet) {
+	l.add("fleet", f.On)
+	l.add("fleet.name", f.Name)
+	l.add("fleet.cluster", f.Cluster)
+	l.add("fleet.listen", f.Listen)
+	l.add("fleet.advertise", f.Advertise)
+	l.add("fleet.serves", f.Serves)
+	l.add("fleet.seeds", f.Told.Seeds)
+	l.add("fleet.roles", f.Roles)
+	l.add("fleet.roles (bits)", uint(f.Roles))
+	l.add("fleet.zone", f.Zone)
+	l.add("fleet.release", f.Release)
+	l.add("fleet.capacity", f.Capacity)
+	l.add("fleet.warm-up", f.Warm)
+	l.add("fleet.keys", f.Keys)
+	l.add("fleet.watch", f.Watch)
+	l.add("fleet.fenced", either(f.Leaves, "leave", "serve"))
+	l.add("fleet.permits", f.Permits)
+	l.add("fleet.call-every", f.Probe)
+	l.add("fleet.messages", f.Rate)
+	t := &f.Told
+	l.add("fleet.members", t.Most)
+	l.add("fleet.gone-kept", t.GoneFor)
+	l.add("fleet.doubt", t.Doubt)
+	l.add("fleet.gone-after", t.GoneAfter)
+	l.add("fleet.mute-after", t.MuteAfter)
+	l.add("fleet.stall", t.Stall)
+	l.add("fleet.settle", t.Settle)
+	l.add("fleet.facts-every", t.FactsEvery)
+	l.add("fleet.facts-rate", t.FactsRate)
+	l.add("fleet.facts", t.Facts)
+	l.add("fleet.flaps", t.Damp.At)
+	l.add("fleet.flaps-over", t.Damp.Under)
+	l.add("fleet.flaps (counted at the most)", t.Damp.Most)
+	l.add("fleet.flaps-half", t.Damp.Half)
+	l.add("fleet.hearing", t.Ear.Window)
+	l.add("fleet.thin-at", t.Ear.ThinAt)
+	l.add("fleet.cut-off-at", t.Ear.CutAt)
+	l.add("fleet.adapt", t.Ear.Adapt)
+	l.add("fleet.unanswered", t.Ear.Answers)
+}
+
+// listSpread lists what holds of every choice among members or services; the names that stand in [relay] alone are
+// the last ones.
+func listSpread(l *listing, name string, t *spread.Told) {
+	l.add(name+" (zone)", t.Zone)
+	l.add(name+".near", t.Near)
+	l.add(name+".trickle", t.Trickle)
+	l.add(name+".bad-share", t.Out)
+	l.add(name+".memory", t.Memory)
+	l.add(name+".way", t.Way)
+	l.add(name+".choices", t.Choices)
+	l.add(name+".fades", t.Fades)
+	l.add(name+".believed", t.Believed)
+	l.add(name+".retry-share", t.Retry)
+	l.add(name+".retry-saved", t.Burst)
+}
+
+func listRelay(l *listing, r *Relay) {
+	l.add("relay", r.On)
+	t := &r.Told
+	listSpread(l, "relay", &t.Spread)
+	l.add("relay (dials from)", t.From)
+	l.add("relay.asks", t.Asks)
+	l.add("relay.in-hand", t.Most)
+	l.add("relay.connections", t.Connections)
+	l.add("relay.subset", t.Subset)
+	l.add("relay.unused", t.Unused)
+	l.add("relay.grace", t.Grace)
+	l.add("relay.come-back", t.After)
+}
+
+func listBelow(l *listing, b *Below) {
+	l.add("below", b.On)
+	listSpread(l, "below", &b.Told.Spread)
+	l.add("below.services", b.Told.Addrs)
+	l.add("below.calls", b.Told.Calls)
+	l.add("below.longest", b.Told.Longest)
+}
+
+func listGrants(l *listing, g *Grants) {
+	l.add("grants", g.On)
+	l.add("grants.lock", g.Lock)
+	l.add("grants.cap", g.Told.Cap)
+	l.add("grants.alone", g.Told.Alone)
+	l.add("grants.processes", g.Told.Processes)
+	l.add("grants.holds", g.Told.Holds)
+	l.add("grants.longest", g.Told.Longest)
+	l.add("grants.drift", g.Told.Drift)
+	l.add("grants.holders", g.Told.Holders)
+}
+
+func listHandOver(l *listing, h *HandOver) {
+	l.add("handover", h.On)
+	listSpread(l, "handover", &h.Told.Spread)
+	l.add("handover (dials from)", h.Told.From)
+	l.add("handover (asks)", h.Told.Asks)
+	l.add("handover (subset)", h.Told.Subset)
+	l.add("handover.share", h.Told.Hand.Share)
+	l.add("handover.saved", h.Told.Hand.Saved)
+	l.add("handover.full", h.Told.Hand.Full)
+	l.add("handover.most-full", h.Told.Hand.Most)
+	l.add("handover.fresh", h.Told.Hand.Fresh)
+	l.add("handover.connections", h.Told.Connections)
+	l.add("handover.unused", h.Told.Unused)
+}
+
+func listSteward(l *listing, s *Steward) {
+	l.add("steward", s.On)
+	t := &s.Told
+	l.add("steward (name)", t.Name)
+	l.add("steward.listen", t.Listen)
+	l.add("steward.at", t.At)
+	l.add("steward (dials from)", t.From)
+	l.add("steward.stewards", t.Others)
+	l.add("steward.folder", t.Folder)
+	l.add("steward.beat", t.Beat)
+	l.add("steward.restart", t.Restart)
+	l.add("steward.restart-within", t.Patience)
+	l.add("steward.restart-output", t.Output)
+	l.add("steward.snapshot-every", t.Snapshot)
+	l.add("steward.history", t.Accord.History)
+	l.add("steward.waiting", t.Accord.Waiting)
+	l.add("steward.passed-over", t.Accord.Passed)
+	l.add("steward.stuck-after", t.Accord.Stuck)
+	l.add("steward.wrong", t.Judge.Alpha)
+	l.add("steward.late", t.Judge.Late)
+	l.add("steward.slow", t.Judge.Slow)
+	l.add("steward.windows", t.Judge.Least)
+	l.add("steward.window-ops", t.Judge.Ops)
+	l.add("steward.crashes", t.Judge.Crashes)
+	l.add("steward.window", t.Window)
+	l.add("steward.asked", t.Asked)
+}
+
+func listDrill(l *listing, d *Drill) {
+	l.add("drill.processes", d.Processes)
+	l.add("drill.relays", d.Relays)
+	l.add("drill.desks", d.Desks)
+	l.add("drill.stewards", d.Stewards)
+	l.add("drill.calls-take", d.Takes)
+	l.add("drill.seed-processes", d.Seeds)
+	l.add("drill.stubs", d.Stubs)
+	l.add("drill.seed", d.Seed)
+	l.add("drill.for", d.For)
+	l.add("drill.start", d.Start)
+	l.add("drill.settle", d.Settle)
+	l.add("drill.rate", d.Rate)
+	l.add("drill.mean", d.Mean)
+	l.add("drill.memory-mb", d.MemoryMB)
+	l.add("drill.zones", d.Zones)
+	l.add("drill.releases", d.Releases)
+	for _, s := range []struct {
+		name string
+		all  [][2]string
+	}{{"members", d.Members}, {"relaying", d.Relaying}, {"calling", d.Calling}, {"granting", d.Granting}, {"stewarding",
+		d.Agreeing}, {"handing", d.Handing}} {
+		for _, pair := range s.all {
+			l.add(s.name+"."+pair[0], pair[1])
+		}
+	}
+	l.add("handing", d.Hands)
+	l.add("bad-release.release", d.Bad.Release)
+	l.add("bad-release.slow", d.Bad.Slow)
+	l.add("bad-release.fails", d.Bad.Fails)
+	l.add("bad-release.crashes-after", d.Bad.Crashes)
+	l.add("bad-release.never-up", d.Bad.NeverUp)
+	l.add("agreed.ends-on", d.EndsOn)
+	l.add("agreed.ever-on", d.EverOn)
+	l.add("agreed.ever-on-most", d.EverMost)
+	l.add("even", d.Even.On)
+	l.add("even.most", d.Even.Most)
+	l.add("even.idle", d.Even.Idle)
+	l.add("even.back", d.Even.Back)
+	group := func(g Group) string { return fmt.Sprintf("%v %q count %d share %v", g.Kind, g.Name, g.Count, g.Share) }
+	for _, f := range d.Faults {
+		name := "fault " + f.Name
+		l.add(name+".do", f.Do)
+		l.add(name+".at", fmt.Sprint(f.First, " ", f.Last))
+		l.add(name+".for", f.For)
+		l.add(name+".on", group(f.On))
+		l.add(name+".from", group(f.From))
+		l.add(name+".to", group(f.To))
+		l.add(name+".both", f.Both)
+		l.add(name+".share", f.Share)
+		l.add(name+".factor", f.Factor)
+		l.add(name+".command", f.Command)
+		l.add(name+".delay", f.Delay)
+		l.add(name+".jitter", f.Jitter)
+		l.add(name+".rate", f.Rate)
+		l.add(name+".keys", f.Keys)
+		l.add(name+".seeds", f.Seeds)
+		l.add(name+".none-gone", f.NoneGone)
+		l.add(name+".refuses", f.Refuses)
+	}
+}
+
+func listMatch(l *listing, before string, g accord.Match) {
+	l.add(before+"zone", g.Zone)
+	l.add(before+"release", g.Release)
+	l.add(before+"role", g.Role)
+	l.add(before+"below", g.Below)
+}
+
+func listBudgets(l *listing, all []accord.Budget) {
+	for _, b := range all {
+		name := "budget " + b.Name + "."
+		listMatch(l, name, b.Of)
+		l.add(name+"most", b.Most)
+		l.add(name+"share", b.Share)
+		l.add(name+"least-capacity", b.Least)
+	}
+}
+
+func listPlan(l *listing, p *accord.Plan) {
+	l.add("release.name", p.Name)
+	l.add("release.to", p.To)
+	listMatch(l, "release.of-", p.Of)
+	for i, w := range p.Waves {
+		l.add(fmt.Sprint("release.waves ", i), fmt.Sprintf("count %d share %v zone %q", w.Count, w.Share, w.Zone))
+	}
+	l.add("release.pause", p.Pause)
+	l.add("release.judged", p.Judged)
+	l.add("release.back-faster", p.Faster)
+	l.add("release.tries", p.Tries)
+}
+
+// listGolden lists one of the golden files as its kind, which its name tells.
+func listGolden(t *testing.T, l *listing, path string, text []byte) {
+	t.Helper()
+	name := filepath.Base(path)
+	path = "etc/" + name // so that the golden listings name no other folder
+	switch {
+	case strings.HasPrefix(name, "drill-"):
+		d, err := ParseDrill(path, text)
+		if err != nil {
+			t.Fatal(err)
+		}
+		listDrill(l, &d)
+	case strings.HasPrefix(name, "agreed-budgets"):
+		all, err := ReadBudgets(path, text)
+		if err != nil {
+			t.Fatal(err)
+		}
+		listBudgets(l, all)
+	case strings.HasPrefix(name, "agreed-plan"):
+		p, err := ReadPlan(path, text)
+		if err != nil {
+			t.Fatal(err)
+		}
+		listPlan(l, &p)
+	default:
+		f, err := Parse(path, text)
+		if err != nil {
+			t.Fatal(err)
+		}
+		listFile(l, &f)
+	}
+}
+
+// compare compares a listing with the one beside its file, or with -update writes that.
+func compare(t *testing.T, path, got string) {
+	t.Helper()
+	if *update {
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want := strings.Split(string(scenes.Must(os.ReadFile(path))), "\n")
+	for i, line := range strings.Split(got, "\n") {
+		if i >= len(want) || line != want[i] {
+			t.Fatalf("%s:%d: reads as\n%s\nwant\n%s", path, i+1, line, want[min(i, len(want)-1)])
+		}
+	}
+	if strings.Count(got, "\n")+1 != len(want) {
+		t.Fatalf("%s: %d lines, want %d", path, strings.Count(got, "\n")+1, len(want))
+	}
+}
+
+// The files that were shipped, and files that say everything there is, are read as they always were: each setting
+// by its name.
+func TestGoldenFiles(t *testing.T) {
+	files := scenes.Must(filepath.Glob("testdata/golden/*.ini"))
+	if len(files) < 25 {
+		t.Fatalf("%d golden files", len(files))
+	}
+	for _, path := range files {
+		t.Run(filepath.Base(path), func(t *testing.T) {
+			var l listing
+			listGolden(t, &l, path, scenes.Must(os.ReadFile(path)))
+			compare(t, strings.TrimSuffix(path, ".ini")+".golden", l.String())
+		})
+	}
+}
+
+// Without a file, and with an empty one, what holds is as it always was.
+func TestGoldenDefaults(t *testing.T) {
+	var l listing
+	f := scenes.Must(Load(""))
+	listFile(&l, &f)
+	compare(t, "testdata/golden/without-file.golden", l.String())
+	l.Reset()
+	f = scenes.Must(Parse("etc/empty.ini", nil))
+	listFile(&l, &f)
+	compare(t, "testdata/golden/empty-file.golden", l.String())
+}
+
+// Values that are set in place of a script's.
+func TestGoldenSet(t *testing.T) {
+	text := scenes.Must(os.ReadFile("testdata/golden/drill-release-bad.ini"))
+	d := scenes.Must(ParseDrill("etc/x", text, "bad-release.slow=1", "bad-release.crashes-after=8s", "drill.for=60s",
+		"relaying.way=random"))
+	if d.Bad.Slow != 1 || d.Bad.Crashes != 8*time.Second || d.For != time.Minute ||
+		fmt.Sprint(d.Relaying) != "[[way random]]" {
+		t.Fatalf("%+v", d)
+	}
+}
+
+// A file of cluster keys: one a line in base64, the one to write with first.
+func TestGoldenClusterKeys(t *testing.T) {
+	keys := scenes.Must(ReadClusterKeys("cluster-keys", scenes.Must(os.ReadFile("testdata/golden/cluster-keys.txt"))))
+	var want [3][]byte
+	for i, size := range []int{16, 24, 32} {
+		for n := range size {
+			want[i] = append(want[i], byte(i*32+n))
+		}
+	}
+	if len(keys) != 3 {
+		t.Fatalf("%d keys", len(keys))
+	}
+	for i, key := range keys {
+		if string(key) != string(want[i]) {
+			t.Errorf("key %d: %x, want %x", i, key, want[i])
+		}
+	}
+}
