--- /dev/null
+++ b/internal/amqp/golden_test.go
@@ -0,0 +1,231 @@
+package amqp
+
+import (
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"reflect"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	client "github.com/rabbitmq/amqp091-go"
+
+	"lanewheel/internal/front"
+	"lanewheel/internal/standin"
+	"lanewheel/internal/standin/broker"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew from what the code says")
+
+// compareGolden compares values with those of a file, both as JSON, or with -update writes the file.
+func compareGolden(t *testing.T, name string, got any) {
+	t.Helper()
+	path := "testdata/golden/" + name
+	text := append(standin.Must(json.MarshalIndent(got, "", " ")), '\n')
+	if *update {
+		if err := os.WriteFile(path, text, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	if want := standin.Must(os.ReadFile(path)); string(text) != string(want) {
+		t.Errorf("%s is\n%swant\n%s", path, text, want)
+	}
+}
+
+// goldenDelivery uses every property and header by which a message can say something.
+func goldenDelivery() client.Delivery {
+	return client.Delivery{MessageId: "order-7", Type: "view", CorrelationId: "c-7", ReplyTo: "replies",
+		Expiration: "2500",
+		Timestamp:  time.Unix(1_800_000_000, 0), AppId: "app", UserId: "user", ContentType: "text/plain", RoutingKey: "ops",
+		Headers: client.Table{"tenant": "water", "subject": []byte("s-9"), "rank": 0.75, "cost": int32(40), "kb": "12.5",
+			"token": "a.b.c",
+			"x-death": []any{client.Table{"queue": "other", "reason": "rejected", "count": int64(9)},
+				client.Table{"queue": "ops", "reason": "expired", "count": int64(8)}, client.Table{"queue": "ops",
+					"reason": "rejected", "count": int64(3)}}},
+		Body: []byte("body")}
+}
+
+// Messages read as ever, from headers and from properties. Ids and digests are as good as stored: by them an
+// instance knows a message again that another version has read, or derived the id of.
+func TestGoldenMessages(t *testing.T) {
+	header := func(name string) Source { return standin.Must(ReadSource("header:" + name)) }
+	property := func(name string) Source { return standin.Must(ReadSource(name)) }
+	byHeaders := Mapping{Type: property("type"), Tenant: header("tenant"), Subject: header("subject"),
+		Rank: header("rank"), Cost: header("cost"),
+		KB: header("kb"), Token: header("token"), Wait: time.Minute, Longest: 16, Rank0: 0.5, KB0: 4}
+	byProperties := Mapping{Type: property("app-id"), Tenant: property("user-id"), Subject: property("content-type"),
+		Rank: property(""),
+		Cost: property(""), KB: property("correlation-id"), Token: property("routing-key"), Wait: time.Minute, Longest: 16,
+		Rank0: 0.5, KB0: 4}
+	changed := func(change func(d *client.Delivery)) client.Delivery {
+		d := goldenDelivery()
+		change(&d)
+		return d
+	}
+	var all []map[string]any
+	for _, of := range []struct {
+		name     string
+		mapping  *Mapping
+		delivery client.Delivery
+		marked   string
+	}{
+		{"all headers", &byHeaders, goldenDelivery(), ""},
+		{"all properties", &byProperties, changed(func(d *client.Delivery) { d.CorrelationId = "6" }), ""},
+		{"without ids", &byHeaders, changed(func(d *client.Delivery) { d.MessageId, d.CorrelationId = "", "" }), ""},
+		{"without a correlation id", &byHeaders, changed(func(d *client.Delivery) { d.CorrelationId = "" }), ""},
+		{"bare", &byHeaders, client.Delivery{MessageId: "bare", Type: "view", Body: []byte("b")}, ""},
+		{"bad number", &byHeaders, changed(func(d *client.Delivery) { d.Headers["rank"] = "some" }), ""},
+		{"bad expiration", &byHeaders, changed(func(d *client.Delivery) { d.Expiration = "soon" }), ""},
+		{"too long", &byHeaders, changed(func(d *client.Delivery) { d.Body = []byte("a body of more bytes") }), ""},
+		{"bad header", &byHeaders, changed(func(d *client.Delivery) { d.Headers = nil }), badHeader},
+	} {
+		m := of.mapping.Read("ops", &of.delivery, of.marked, time.Unix(1_800_000_100, 0))
+		all = append(all, map[string]any{"message": of.name, "id": m.ID, "digest": fmt.Sprintf("%016x", m.Digest),
+			"attempt":  m.Attempt,
+			"reply to": m.ReplyTo, "correlation id": m.Reply, "due": m.Due.UnixMilli(), "not to be served": m.Bad,
+			"op": map[string]any{"id": m.Ask.ID, "type": m.Ask.Type, "tenant": m.Ask.Tenant, "subject": m.Ask.Subject,
+				"at":   m.Ask.At,
+				"wait": m.Ask.Wait.String(), "waits": m.Ask.Waits, "cost": m.Ask.Cost.String(), "kb": m.Ask.KB,
+				"rank": m.Ask.Rank, "token": m.Ask.Token,
+				"body": string(m.Ask.Body)}})
+	}
+	compareGolden(t, "messages.json", all)
+}
+
+// published is a message as it lies in a queue, by the names of the specification.
+func published(p client.Publishing) map[string]any {
+	headers := map[string]string{}
+	for name, x := range p.Headers {
+		headers[name] = fmt.Sprintf("%T %v", x, x)
+	}
+	return map[string]any{"message-id": p.MessageId, "correlation-id": p.CorrelationId, "reply-to": p.ReplyTo,
+		"type": p.Type, "headers": headers,
+		"delivery-mode": p.DeliveryMode, "priority": p.Priority, "expiration": p.Expiration, "content-type": p.ContentType,
+		"content-encoding": p.ContentEncoding, "user-id": p.UserId, "app-id": p.AppId,
+		"has a timestamp": !p.Timestamp.IsZero(),
+		"body":            string(p.Body)}
+}
+
+// Answers, dead letters and what goes into the retry queue have the properties and headers that they always had,
+// whatever the outcome.
+func TestGoldenPublished(t *testing.T) {
+	b := broker.New()
+	b.Declare("ops", client.Table{"x-dead-letter-exchange": "", "x-dead-letter-routing-key": "ops.retry"})
+	for _, name := range []string{"ops.retry", "replies", "dead"} {
+		b.Declare(name, nil)
+	}
+	c := newCore()
+	var mu sync.Mutex
+	held := map[string]func(){}
+	c.behave = func(ask front.Ask, body string, owed front.Owed) {
+		end := func() {
+			switch ask.Type {
+			case "deny":
+				owed.Reject("denied", front.With{Why: "tenant"})
+			case "what":
+				owed.Reject("unknown-type", front.With{})
+			case "fail":
+				owed.Fail(front.With{})
+			case "refuse":
+				owed.Refuse(front.With{})
+			default:
+				owed.Answer([]byte("done "+body), front.With{})
+			}
+			owed.Settled()
+		}
+		if body == "hold" {
+			mu.Lock()
+			defer mu.Unlock()
+			held[ask.Type] = end
+			return
+		}
+		end()
+	}
+	q := usual
+	q.Told.Retry, q.Told.Delay = true, time.Millisecond
+	s := open(b, c, told(b, q))
+	// One that a first front has in hand as it ends: it comes to the next one as redelivered.
+	lost := message("lost", "pay")
+	lost.Body = []byte("hold")
+	b.Publish("ops", lost)
+	standin.Until("one in hand", func() bool { mu.Lock(); defer mu.Unlock(); return held["pay"] != nil })
+	s.part.Leave(0)
+	standin.Until("the end of the first front", s.part.Closed)
+	s = open(b, c, told(b, q))
+	defer s.close()
+	standin.Until("its answer", func() bool { return b.Counts("replies").Ready == 1 })
+	for _, kind := range []string{"view", "deny", "what", "fail"} {
+		b.Publish("ops", message(kind, kind))
+	}
+	late := message("late", "view")
+	late.Timestamp, late.Expiration = time.Now().Add(-time.Hour), "1000"
+	odd := message("odd", "view")
+	odd.Expiration = "soon"
+	again := message("again", "refuse") // it was rejected twice before, of three attempts
+	again.Headers = client.Table{"x-death": []any{client.Table{"queue": "ops", "reason": "rejected", "count": int64(2)}}}
+	retried := message("retried", "refuse")
+	retried.Headers = client.Table{"tenant": "water"}
+	once, twice := message("same", "view"), message("same", "view")
+	once.Body, twice.Body = []byte("hold"), []byte("another")
+	for _, p := range []client.Publishing{late, odd, again, retried, once} {
+		b.Publish("ops", p)
+	}
+	standin.Until("one in hand", func() bool { mu.Lock(); defer mu.Unlock(); return held["view"] != nil })
+	b.Publish("ops", twice)
+	standin.Until("all but one answer", func() bool { return b.Counts("replies").Ready == 9 })
+	c.Hand(held["view"])
+	s.settled("ops")
+	standin.Until("all answers", func() bool {
+		return b.Counts("replies").Ready == 10 &&
+			b.Counts("ops.retry").Ready == 1
+	})
+	queues := map[string][]map[string]any{}
+	for _, name := range []string{"replies", "dead", "ops.retry"} {
+		for _, p := range b.Take(name) {
+			queues[name] = append(queues[name], published(p))
+		}
+		slices.SortFunc(queues[name], func(x, y map[string]any) int { return strings.Compare(fmt.Sprint(x), fmt.Sprint(y)) })
+	}
+	compareGolden(t, "published.json", queues)
+}
+
+// What the watch socket says, with every value told.
+func TestGoldenSnapshot(t *testing.T) {
+	const stored = `{"broker":"127.0.0.1:5672","closed":"blocked","level":7,"in_hand":5,"known":99,` +
+		`"queues":[{"name":"ops","state":"probing","limit":3,"in_hand":2}],"counts":{"acked":11,"put-back":4}}`
+	want := Snapshot{Broker: "127.0.0.1:5672", Closed: "blocked", Level: 7, InHand: 5, Known: 99,
+		Queues: []QueueSnapshot{{Name: "ops", State: "probing", Limit: 3, InHand: 2}},
+		Counts: map[string]uint64{"acked": 11, "put-back": 4}}
+	var got Snapshot
+	if err := json.Unmarshal([]byte(stored), &got); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("reads as %+v, %v", got, err)
+	}
+	if text := standin.Must(json.Marshal(want)); string(text) != stored {
+		t.Errorf("is written as\n%s\nwant\n%s", text, stored)
+	}
+}
+
+// The names of the counters, which the watch socket and the log say, as a front counts them.
+func TestGoldenCounters(t *testing.T) {
+	b, c := newBroker(), newCore()
+	s := open(b, c, told(b))
+	defer s.close()
+	b.Publish("ops", message("a", "view"))
+	b.Publish("ops", message("a", "view"))
+	late := message("late", "view")
+	late.Timestamp, late.Expiration = time.Now().Add(-time.Hour), "1000"
+	b.Publish("ops", late)
+	s.settled("ops")
+	say := make(chan map[string]uint64, 1)
+	s.part.Hand(func() { say <- s.part.snapshot().Counts })
+	counts := <-say
+	if counts["acked"] != 1 || counts["past-due"] != 1 ||
+		counts["joined"]+counts["repeated"]+counts["answered-again"] != 1 || len(counts) != 3 {
+		t.Errorf("%v", counts)
+	}
+}
