--- a/internal/command/agree.go
+++ b/internal/command/agree.go
@@ -19,8 +19,8 @@
 
 // asking is what all of these commands take.
 type asking struct {
-	Operator string `help:"Operator's file (INI) whose section [steward] names the stewards and whose [fleet] the keys." placeholder:"FILE" type:"path" required:""`
-	By       string `help:"Who gives the command, as the history is to have it." default:"${user}"`
+	Operator string `name:"operator" help:"Operator's file (INI) whose section [steward] names the stewards and whose [fleet] the keys." placeholder:"FILE" type:"path" required:""`
+	By       string `name:"by" help:"Who gives the command, as the history is to have it." default:"${user}"`
 }
 
 func (a asking) ask(o output, g Agree) error {
@@ -33,10 +33,10 @@
 
 // stewardCommand is one of those that hold what the fleet has agreed.
 type stewardCommand struct {
-	Operator string `help:"Operator's file (INI) with the sections [fleet] and [steward]." placeholder:"FILE" type:"path" required:""`
-	Begin    bool   `help:"Begin a new fleet: once, on one steward. Where there is a state already it changes nothing."`
-	Alone    bool   `help:"The other stewards are lost for good, with their disks: go on from this one's state, and take others in anew."`
-	Log      string `help:"Form of the log: text or json. Without it the operator's file says." enum:"text,json," default:""`
+	Operator string `name:"operator" help:"Operator's file (INI) with the sections [fleet] and [steward]." placeholder:"FILE" type:"path" required:""`
+	Begin    bool   `name:"begin" help:"Begin a new fleet: once, on one steward. Where there is a state already it changes nothing."`
+	Alone    bool   `name:"alone" help:"The other stewards are lost for good, with their disks: go on from this one's state, and take others in anew."`
+	Log      string `name:"log" help:"Form of the log: text or json. Without it the operator's file says." enum:"text,json," default:""`
 }
 
 func (c *stewardCommand) Run() error {
@@ -49,11 +49,11 @@
 // drainCommand asks for leave to go out, and waits for it.
 type drainCommand struct {
 	asking
-	Name  string `arg:"" optional:"" help:"A member."`
-	Zone  string `help:"All that are up in a zone, one after the other as the budgets let them."`
-	Below string `help:"The desk beside a service below, so that the service can be taken out."`
-	Drop  bool   `help:"Take back what has been asked for and has not begun."`
-	Wait  bool   `help:"Say how it goes until all are out." default:"true" negatable:""`
+	Name  string `arg:"" name:"name" optional:"" help:"A member."`
+	Zone  string `name:"zone" help:"All that are up in a zone, one after the other as the budgets let them."`
+	Below string `name:"below" help:"The desk beside a service below, so that the service can be taken out."`
+	Drop  bool   `name:"drop" help:"Take back what has been asked for and has not begun."`
+	Wait  bool   `name:"wait" help:"Say how it goes until all are out." default:"true" negatable:""`
 }
 
 func (c *drainCommand) Run(o output) error {
@@ -66,16 +66,16 @@
 
 // releaseCommand brings a release out in waves.
 type releaseCommand struct {
-	Start  releaseStart  `cmd:"" help:"Start one."`
-	Status releaseStatus `cmd:"" help:"How far it is, and what it waits for."`
-	Halt   releaseHalt   `cmd:"" help:"Nothing further begins, anywhere."`
-	Resume releaseResume `cmd:"" help:"Go on."`
-	Back   releaseBack   `cmd:"" help:"The way back: waves in reverse, under the same budgets."`
+	Start  releaseStart  `cmd:"" name:"start" help:"Start one."`
+	Status releaseStatus `cmd:"" name:"status" help:"How far it is, and what it waits for."`
+	Halt   releaseHalt   `cmd:"" name:"halt" help:"Nothing further begins, anywhere."`
+	Resume releaseResume `cmd:"" name:"resume" help:"Go on."`
+	Back   releaseBack   `cmd:"" name:"back" help:"The way back: waves in reverse, under the same budgets."`
 }
 
 type releaseStart struct {
 	asking
-	File string `arg:"" help:"An INI with a section [release]: docs/operating/releases.md names all that may stand in it." type:"path"`
+	File string `arg:"" name:"file" help:"An INI with a section [release]: docs/operating/releases.md names all that may stand in it." type:"path"`
 }
 
 func (c *releaseStart) Run(o output) error { return c.ask(o, Agree{Do: "release", Path: c.File}) }
@@ -89,7 +89,7 @@
 
 type releaseHalt struct {
 	asking
-	Why string `arg:"" optional:"" help:"Why, for the history."`
+	Why string `arg:"" name:"why" optional:"" help:"Why, for the history."`
 }
 
 func (c *releaseHalt) Run(o output) error { return c.ask(o, Agree{Do: "halt", Why: c.Why}) }
@@ -100,24 +100,24 @@
 
 type releaseBack struct {
 	asking
-	Why string `arg:"" optional:"" help:"Why, for the history."`
+	Why string `arg:"" name:"why" optional:"" help:"Why, for the history."`
 }
 
 func (c *releaseBack) Run(o output) error { return c.ask(o, Agree{Do: "back", Why: c.Why}) }
 
 // fleetCommand shows and changes what is agreed.
 type fleetCommand struct {
-	Status  releaseStatus `cmd:"" help:"Who is out, why and since when; budgets, permits and what each waits for."`
-	History fleetHistory  `cmd:"" help:"Every command, who gave it and what became of it."`
-	Budgets fleetBudgets  `cmd:"" help:"Put budgets in force, all of a file in place of all that were."`
-	Forget  fleetForget   `cmd:"" help:"A member that does not come back counts no more."`
-	Leave   fleetLeave    `cmd:"" help:"Take a steward out of those that agree, for good."`
+	Status  releaseStatus `cmd:"" name:"status" help:"Who is out, why and since when; budgets, permits and what each waits for."`
+	History fleetHistory  `cmd:"" name:"history" help:"Every command, who gave it and what became of it."`
+	Budgets fleetBudgets  `cmd:"" name:"budgets" help:"Put budgets in force, all of a file in place of all that were."`
+	Forget  fleetForget   `cmd:"" name:"forget" help:"A member that does not come back counts no more."`
+	Leave   fleetLeave    `cmd:"" name:"leave" help:"Take a steward out of those that agree, for good."`
 }
 
 type fleetHistory struct {
 	asking
 	JSON    bool   `name:"json"`
-	Parquet string `help:"Write it as Parquet." placeholder:"FILE" type:"path"`
+	Parquet string `name:"parquet" help:"Write it as Parquet." placeholder:"FILE" type:"path"`
 }
 
 func (c *fleetHistory) Run(o output) error {
@@ -126,30 +126,30 @@
 
 type fleetBudgets struct {
 	asking
-	File string `arg:"" help:"An INI with sections [budget NAME]." type:"path"`
+	File string `arg:"" name:"file" help:"An INI with sections [budget NAME]." type:"path"`
 }
 
 func (c *fleetBudgets) Run(o output) error { return c.ask(o, Agree{Do: "budgets", Path: c.File}) }
 
 type fleetForget struct {
 	asking
-	Name string `arg:""`
+	Name string `arg:"" name:"name"`
 }
 
 func (c *fleetForget) Run(o output) error { return c.ask(o, Agree{Do: "forget", Name: c.Name}) }
 
 type fleetLeave struct {
 	asking
-	Name string `arg:""`
+	Name string `arg:"" name:"name"`
 }
 
 func (c *fleetLeave) Run(o output) error { return c.ask(o, Agree{Do: "leave", Name: c.Name}) }
 
 // hookCommand tells a rehearsal to start a member anew: it is what the rehearsal tells its stewards to run.
 type hookCommand struct {
-	Socket  string `arg:""`
-	Name    string `arg:""`
-	Release string `arg:"" optional:""`
+	Socket  string `arg:"" name:"socket"`
+	Name    string `arg:"" name:"name"`
+	Release string `arg:"" name:"release" optional:""`
 }
 
 func (c *hookCommand) Run(o output) error {
--- a/internal/command/cert.go
+++ b/internal/command/cert.go
@@ -13,15 +13,15 @@
 
 // certCommand makes what a deployment needs to know devices by certificates, with this program alone.
 type certCommand struct {
-	Authority certAuthority `cmd:"" help:"Make an authority: FOLDER/authority.pem to tell, and its private key."`
-	Issue     certIssue     `cmd:"" help:"Issue a certificate to a client, or with --server to an instance."`
-	Revoke    certRevoke    `cmd:"" help:"Take certificates back: write the authority's list anew."`
+	Authority certAuthority `cmd:"" name:"authority" help:"Make an authority: FOLDER/authority.pem to tell, and its private key."`
+	Issue     certIssue     `cmd:"" name:"issue" help:"Issue a certificate to a client, or with --server to an instance."`
+	Revoke    certRevoke    `cmd:"" name:"revoke" help:"Take certificates back: write the authority's list anew."`
 }
 
 type certAuthority struct {
-	Folder string        `arg:"" help:"Folder to make it in." type:"path"`
-	Name   string        `default:"lanewheel authority" help:"Its name."`
-	For    time.Duration `default:"43800h" help:"How long it counts."`
+	Folder string        `arg:"" name:"folder" help:"Folder to make it in." type:"path"`
+	Name   string        `name:"name" default:"lanewheel authority" help:"Its name."`
+	For    time.Duration `name:"for" default:"43800h" help:"How long it counts."`
 }
 
 func (c *certAuthority) Run(o output) error {
@@ -78,13 +78,13 @@
 }
 
 type certIssue struct {
-	Path      string        `arg:"" help:"Where to write it, without an ending." type:"path"`
-	Authority string        `required:"" help:"Folder of the authority." type:"path"`
-	Name      string        `help:"Common name; without it, the last part of the path."`
-	URI       []string      `help:"Identities, as rota://water/handheld-7."`
-	Host      []string      `help:"DNS names and addresses."`
-	Server    bool          `help:"For an instance instead of a client."`
-	For       time.Duration `default:"8760h" help:"How long it counts."`
+	Path      string        `arg:"" name:"path" help:"Where to write it, without an ending." type:"path"`
+	Authority string        `name:"authority" required:"" help:"Folder of the authority." type:"path"`
+	Name      string        `name:"name" help:"Common name; without it, the last part of the path."`
+	URI       []string      `name:"uri" help:"Identities, as rota://water/handheld-7."`
+	Host      []string      `name:"host" help:"DNS names and addresses."`
+	Server    bool          `name:"server" help:"For an instance instead of a client."`
+	For       time.Duration `name:"for" default:"8760h" help:"How long it counts."`
 }
 
 func (c *certIssue) Run(o output) error {
@@ -104,9 +104,9 @@
 }
 
 type certRevoke struct {
-	Certs     []string      `arg:"" optional:"" help:"Files of the certificates; without any, the list is only written anew." type:"path"`
-	Authority string        `required:"" help:"Folder of the authority." type:"path"`
-	For       time.Duration `default:"720h" help:"When the next list is due."`
+	Certs     []string      `arg:"" name:"certs" optional:"" help:"Files of the certificates; without any, the list is only written anew." type:"path"`
+	Authority string        `name:"authority" required:"" help:"Folder of the authority." type:"path"`
+	For       time.Duration `name:"for" default:"720h" help:"When the next list is due."`
 }
 
 func (c *certRevoke) Run(o output) error {
--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -13,7 +13,7 @@
 
 // checkCommand reads a file as an instance would, and says all that is wrong with it.
 type checkCommand struct {
-	Named bool     `help:"Also read the keys, certificates and lists that an operator's file names."`
+	Named bool     `name:"named" help:"Also read the keys, certificates and lists that an operator's file names."`
 	Files []string `arg:"" name:"file" help:"Configurations, which begin with a brace, or operator's files."`
 }
 
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -17,23 +17,23 @@
 
 // line is the whole command line.
 type line struct {
-	Serve serveCommand `cmd:"" default:"withargs" help:"Serve as one instance: the same as with no arguments."`
-	Check checkCommand `cmd:"" help:"Read a configuration (JSON) or an operator's file (INI) and say all that is wrong."`
-	Try   tryCommand   `cmd:"" help:"Run an instance among stand-ins for all it speaks to, under a load of client stubs."`
-	Keys  keysCommand  `cmd:"" help:"Make, publish and retire the keys that tokens are signed with."`
-	Token tokenCommand `cmd:"" help:"Issue and show tokens."`
-	Queue queueCommand `cmd:"" help:"Check, feed and watch the queues that an operator's file tells of."`
-	Cert  certCommand  `cmd:"" help:"Make an authority, issue certificates and take them back."`
+	Serve serveCommand `cmd:"" name:"serve" default:"withargs" help:"Serve as one instance: the same as with no arguments."`
+	Check checkCommand `cmd:"" name:"check" help:"Read a configuration (JSON) or an operator's file (INI) and say all that is wrong."`
+	Try   tryCommand   `cmd:"" name:"try" help:"Run an instance among stand-ins for all it speaks to, under a load of client stubs."`
+	Keys  keysCommand  `cmd:"" name:"keys" help:"Make, publish and retire the keys that tokens are signed with."`
+	Token tokenCommand `cmd:"" name:"token" help:"Issue and show tokens."`
+	Queue queueCommand `cmd:"" name:"queue" help:"Check, feed and watch the queues that an operator's file tells of."`
+	Cert  certCommand  `cmd:"" name:"cert" help:"Make an authority, issue certificates and take them back."`
 
-	Relay   relayCommand   `cmd:"" help:"Pass ops on to the instances of a fleet."`
-	Desk    deskCommand    `cmd:"" help:"Stand beside a service below, and grant the fleet its calls."`
-	Steward stewardCommand `cmd:"" help:"Hold what the fleet has agreed, with the other stewards."`
-	Drain   drainCommand   `cmd:"" help:"Ask for leave to take a member out, and wait for its turn."`
-	Release releaseCommand `cmd:"" help:"Bring a release out in waves, halt it, bring it back."`
-	Fleet   fleetCommand   `cmd:"" help:"Show and change what the fleet has agreed."`
-	Hook    hookCommand    `cmd:"" hidden:""`
-	Members membersCommand `cmd:"" help:"Show how a running process sees its fleet, and how far views differ."`
-	Drill   drillCommand   `cmd:"" help:"Start many processes, break what lies between them by a script, and judge."`
+	Relay   relayCommand   `cmd:"" name:"relay" help:"Pass ops on to the instances of a fleet."`
+	Desk    deskCommand    `cmd:"" name:"desk" help:"Stand beside a service below, and grant the fleet its calls."`
+	Steward stewardCommand `cmd:"" name:"steward" help:"Hold what the fleet has agreed, with the other stewards."`
+	Drain   drainCommand   `cmd:"" name:"drain" help:"Ask for leave to take a member out, and wait for its turn."`
+	Release releaseCommand `cmd:"" name:"release" help:"Bring a release out in waves, halt it, bring it back."`
+	Fleet   fleetCommand   `cmd:"" name:"fleet" help:"Show and change what the fleet has agreed."`
+	Hook    hookCommand    `cmd:"" name:"hook" hidden:""`
+	Members membersCommand `cmd:"" name:"members" help:"Show how a running process sees its fleet, and how far views differ."`
+	Drill   drillCommand   `cmd:"" name:"drill" help:"Start many processes, break what lies between them by a script, and judge."`
 }
 
 // output is what a sub-command prints to.
@@ -89,8 +89,8 @@
 
 // serveCommand is one instance, as the platform starts it.
 type serveCommand struct {
-	Operator string `help:"Operator's file (INI); read again at SIGHUP." placeholder:"FILE" type:"path"`
-	Log      string `help:"Form of the log: text or json. Without it the operator's file says." enum:"text,json," default:""`
+	Operator string `name:"operator" help:"Operator's file (INI); read again at SIGHUP." placeholder:"FILE" type:"path"`
+	Log      string `name:"log" help:"Form of the log: text or json. Without it the operator's file says." enum:"text,json," default:""`
 }
 
 func (c *serveCommand) Run() error {
--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -48,8 +48,8 @@
 
 // relayCommand passes ops on to the instances of its fleet.
 type relayCommand struct {
-	Operator string `help:"Operator's file (INI) with the sections [fleet] and [relay]." placeholder:"FILE" type:"path" required:""`
-	Log      string `help:"Form of the log: text or json. Without it the operator's file says." enum:"text,json," default:""`
+	Operator string `name:"operator" help:"Operator's file (INI) with the sections [fleet] and [relay]." placeholder:"FILE" type:"path" required:""`
+	Log      string `name:"log" help:"Form of the log: text or json. Without it the operator's file says." enum:"text,json," default:""`
 }
 
 func (c *relayCommand) Run() error {
@@ -61,8 +61,8 @@
 
 // deskCommand stands beside a service below.
 type deskCommand struct {
-	Operator string `help:"Operator's file (INI) with the sections [fleet] and [grants]." placeholder:"FILE" type:"path" required:""`
-	Log      string `help:"Form of the log: text or json. Without it the operator's file says." enum:"text,json," default:""`
+	Operator string `name:"operator" help:"Operator's file (INI) with the sections [fleet] and [grants]." placeholder:"FILE" type:"path" required:""`
+	Log      string `name:"log" help:"Form of the log: text or json. Without it the operator's file says." enum:"text,json," default:""`
 }
 
 func (c *deskCommand) Run() error {
@@ -75,8 +75,8 @@
 // membersCommand shows how a running process sees its fleet.
 type membersCommand struct {
 	JSON    bool     `name:"json" help:"Print the whole view as JSON."`
-	Against []string `help:"Operator's files of further processes on this machine: say how far their views differ." placeholder:"FILE" type:"path"`
-	File    string   `arg:"" help:"The process's operator's file; its section [fleet] has to name a watch." type:"path"`
+	Against []string `name:"against" help:"Operator's files of further processes on this machine: say how far their views differ." placeholder:"FILE" type:"path"`
+	File    string   `arg:"" name:"file" help:"The process's operator's file; its section [fleet] has to name a watch." type:"path"`
 }
 
 func (c *membersCommand) Run(o output) error {
@@ -105,19 +105,19 @@
 // drillCommand rehearses failures.
 type drillCommand struct {
 	Run_ drillRun    `cmd:"" name:"run" default:"withargs" help:"Carry a script out."`
-	Show drillShow   `cmd:"" help:"Print the table of a record."`
-	Diff drillDiffer `cmd:"" help:"Print the figures of two records side by side."`
+	Show drillShow   `cmd:"" name:"show" help:"Print the table of a record."`
+	Diff drillDiffer `cmd:"" name:"diff" help:"Print the figures of two records side by side."`
 }
 
 type drillRun struct {
-	Check   bool     `help:"Only read the script, and print what would be done when."`
-	Set     []string `help:"A value in place of the script's, as relaying.way=random; may be given several times." placeholder:"SECTION.NAME=VALUE"`
-	Seed    *int     `help:"In place of the script's."`
-	Size    int      `help:"Processes, in place of the script's." default:"0"`
-	Keep    bool     `help:"Keep what the processes logged, also if all held."`
-	Record  string   `help:"Write the raw record as Parquet." placeholder:"FILE" type:"path"`
-	Picture string   `help:"Draw it as SVG." placeholder:"FILE" type:"path"`
-	Script  string   `arg:"" help:"The script, an INI: docs/operating/drills.md names all that may stand in it." type:"path"`
+	Check   bool     `name:"check" help:"Only read the script, and print what would be done when."`
+	Set     []string `name:"set" help:"A value in place of the script's, as relaying.way=random; may be given several times." placeholder:"SECTION.NAME=VALUE"`
+	Seed    *int     `name:"seed" help:"In place of the script's."`
+	Size    int      `name:"size" help:"Processes, in place of the script's." default:"0"`
+	Keep    bool     `name:"keep" help:"Keep what the processes logged, also if all held."`
+	Record  string   `name:"record" help:"Write the raw record as Parquet." placeholder:"FILE" type:"path"`
+	Picture string   `name:"picture" help:"Draw it as SVG." placeholder:"FILE" type:"path"`
+	Script  string   `arg:"" name:"script" help:"The script, an INI: docs/operating/drills.md names all that may stand in it." type:"path"`
 }
 
 func (c *drillRun) Run(o output) error {
@@ -147,8 +147,8 @@
 }
 
 type drillShow struct {
-	Picture string `help:"Draw it as SVG." placeholder:"FILE" type:"path"`
-	Record  string `arg:"" type:"path"`
+	Picture string `name:"picture" help:"Draw it as SVG." placeholder:"FILE" type:"path"`
+	Record  string `arg:"" name:"record" type:"path"`
 }
 
 func (c *drillShow) Run(o output) error {
@@ -159,8 +159,8 @@
 }
 
 type drillDiffer struct {
-	First  string `arg:"" type:"path"`
-	Second string `arg:"" type:"path"`
+	First  string `arg:"" name:"first" type:"path"`
+	Second string `arg:"" name:"second" type:"path"`
 }
 
 func (c *drillDiffer) Run(o output) error {
--- a/internal/command/keys.go
+++ b/internal/command/keys.go
@@ -22,16 +22,16 @@
 
 // keysCommand makes and looks after the keys that tokens are signed with.
 type keysCommand struct {
-	New     keysNew     `cmd:"" help:"Make a key pair; the private half is written for its owner alone, and nothing is published."`
-	List    keysList    `cmd:"" help:"List the published keys of a folder and what they count for now."`
-	Publish keysPublish `cmd:"" help:"Publish the public half of a key, with the times between which it counts."`
-	Retire  keysRetire  `cmd:"" help:"Tell when a published key stops to count, or take it back now."`
+	New     keysNew     `cmd:"" name:"new" help:"Make a key pair; the private half is written for its owner alone, and nothing is published."`
+	List    keysList    `cmd:"" name:"list" help:"List the published keys of a folder and what they count for now."`
+	Publish keysPublish `cmd:"" name:"publish" help:"Publish the public half of a key, with the times between which it counts."`
+	Retire  keysRetire  `cmd:"" name:"retire" help:"Tell when a published key stops to count, or take it back now."`
 }
 
 type keysNew struct {
-	Private   string `help:"Folder for the private key." required:"" type:"path"`
-	Algorithm string `help:"EdDSA, ES256 or RS256." enum:"EdDSA,ES256,RS256" default:"EdDSA"`
-	ID        string `help:"The key's id; without it, its thumbprint." placeholder:"KID"`
+	Private   string `name:"private" help:"Folder for the private key." required:"" type:"path"`
+	Algorithm string `name:"algorithm" help:"EdDSA, ES256 or RS256." enum:"EdDSA,ES256,RS256" default:"EdDSA"`
+	ID        string `name:"id" help:"The key's id; without it, its thumbprint." placeholder:"KID"`
 }
 
 func (c *keysNew) Run(o output) error {
@@ -71,7 +71,7 @@
 }
 
 type keysList struct {
-	Folder string `help:"Folder of the published keys." required:"" type:"path"`
+	Folder string `name:"folder" help:"Folder of the published keys." required:"" type:"path"`
 }
 
 func (c *keysList) Run(o output) error {
@@ -100,8 +100,8 @@
 
 // moments are two ends of a time, each told as a moment or from now.
 type moments struct {
-	From  string `help:"When it begins to count: RFC 3339, or a time from now as 10m. Without it, always." placeholder:"WHEN"`
-	Until string `help:"When it stops to count: RFC 3339, or a time from now as 720h. Without it, never." placeholder:"WHEN"`
+	From  string `name:"from" help:"When it begins to count: RFC 3339, or a time from now as 10m. Without it, always." placeholder:"WHEN"`
+	Until string `name:"until" help:"When it stops to count: RFC 3339, or a time from now as 720h. Without it, never." placeholder:"WHEN"`
 }
 
 // moment reads a moment, or a time from now.
@@ -120,8 +120,8 @@
 }
 
 type keysPublish struct {
-	Key    string `arg:"" help:"File of the private key." type:"path"`
-	Folder string `help:"Folder of the published keys, which instances read." required:"" type:"path"`
+	Key    string `arg:"" name:"key" help:"File of the private key." type:"path"`
+	Folder string `name:"folder" help:"Folder of the published keys, which instances read." required:"" type:"path"`
 	moments
 }
 
@@ -168,9 +168,9 @@
 
 type keysRetire struct {
 	ID     string `arg:"" name:"kid" help:"The key's id."`
-	Folder string `help:"Folder of the published keys." required:"" type:"path"`
-	At     string `help:"When it stops to count: RFC 3339, or a time from now." placeholder:"WHEN"`
-	Now    bool   `help:"Take it back now: whatever it signed counts no more."`
+	Folder string `name:"folder" help:"Folder of the published keys." required:"" type:"path"`
+	At     string `name:"at" help:"When it stops to count: RFC 3339, or a time from now." placeholder:"WHEN"`
+	Now    bool   `name:"now" help:"Take it back now: whatever it signed counts no more."`
 }
 
 func (c *keysRetire) Run(o output) error {
@@ -201,20 +201,20 @@
 
 // tokenCommand issues and shows tokens.
 type tokenCommand struct {
-	Issue tokenIssue `cmd:"" help:"Sign a token and print it."`
-	Show  tokenShow  `cmd:"" help:"Show what a token says and, with an operator's file, whether it counts now."`
+	Issue tokenIssue `cmd:"" name:"issue" help:"Sign a token and print it."`
+	Show  tokenShow  `cmd:"" name:"show" help:"Show what a token says and, with an operator's file, whether it counts now."`
 }
 
 type tokenIssue struct {
-	Key      string        `help:"File of the private key." required:"" type:"path"`
-	Issuer   string        `required:"" help:"Who issues it, as the instances are told."`
-	Audience string        `required:"" help:"For whom it is, as the instances are told."`
-	Subject  string        `required:"" help:"Whom it is for, as handheld-7."`
-	Tenant   string        `help:"Tenant, in the claim that --tenant-claim names."`
-	Roles    []string      `help:"Roles, in the claim that --roles-claim names." placeholder:"ROLE,..."`
+	Key      string        `name:"key" help:"File of the private key." required:"" type:"path"`
+	Issuer   string        `name:"issuer" required:"" help:"Who issues it, as the instances are told."`
+	Audience string        `name:"audience" required:"" help:"For whom it is, as the instances are told."`
+	Subject  string        `name:"subject" required:"" help:"Whom it is for, as handheld-7."`
+	Tenant   string        `name:"tenant" help:"Tenant, in the claim that --tenant-claim names."`
+	Roles    []string      `name:"roles" help:"Roles, in the claim that --roles-claim names." placeholder:"ROLE,..."`
 	TenantIn string        `name:"tenant-claim" default:"tenant" help:"Name of the claim with the tenant."`
 	RolesIn  string        `name:"roles-claim" default:"roles" help:"Name of the claim with the roles."`
-	For      time.Duration `default:"1h" help:"How long it counts."`
+	For      time.Duration `name:"for" default:"1h" help:"How long it counts."`
 	ID       string        `name:"jti" help:"Its id; without one, it has one drawn at random."`
 }
 
@@ -251,8 +251,8 @@
 }
 
 type tokenShow struct {
-	File     string `arg:"" help:"File with the token, - for standard input." default:"-"`
-	Operator string `help:"Operator's file, whose keys and rules it is checked by." placeholder:"FILE" type:"path"`
+	File     string `arg:"" name:"file" help:"File with the token, - for standard input." default:"-"`
+	Operator string `name:"operator" help:"Operator's file, whose keys and rules it is checked by." placeholder:"FILE" type:"path"`
 }
 
 func (c *tokenShow) Run(o output) error {
--- a/internal/command/queue.go
+++ b/internal/command/queue.go
@@ -22,9 +22,9 @@
 
 // queueCommand looks at the queues that an operator's file tells of, and sends to them.
 type queueCommand struct {
-	Check queueCheck `cmd:"" help:"Try each broker: login, the queues, and what the file says of them."`
-	Send  queueSend  `cmd:"" help:"Send ops to a queue and wait for their answers."`
-	Watch queueWatch `cmd:"" help:"Show the intake of a running instance, as its watch socket tells."`
+	Check queueCheck `cmd:"" name:"check" help:"Try each broker: login, the queues, and what the file says of them."`
+	Send  queueSend  `cmd:"" name:"send" help:"Send ops to a queue and wait for their answers."`
+	Watch queueWatch `cmd:"" name:"watch" help:"Show the intake of a running instance, as its watch socket tells."`
 }
 
 // told reads the operator's file with all that it names for queues.
@@ -53,7 +53,7 @@
 }
 
 type queueCheck struct {
-	Operator string `arg:"" help:"Operator's file." type:"path"`
+	Operator string `arg:"" name:"operator" help:"Operator's file." type:"path"`
 }
 
 func (c *queueCheck) Run(o output) error {
@@ -104,14 +104,14 @@
 }
 
 type queueSend struct {
-	Operator string            `arg:"" help:"Operator's file, which names the brokers." type:"path"`
-	Queue    string            `required:"" help:"Queue to send to."`
-	Type     string            `required:"" help:"Op type, in the property type."`
-	Body     string            `default:"" help:"Body of each."`
-	Header   map[string]string `help:"Headers, as tenant=water." placeholder:"NAME=VALUE;..."`
-	Wait     time.Duration     `default:"10s" help:"How long each may take, in the property expiration."`
-	Count    int               `default:"1" help:"How many."`
-	Rate     float64           `default:"100" help:"Messages a second."`
+	Operator string            `arg:"" name:"operator" help:"Operator's file, which names the brokers." type:"path"`
+	Queue    string            `name:"queue" required:"" help:"Queue to send to."`
+	Type     string            `name:"type" required:"" help:"Op type, in the property type."`
+	Body     string            `name:"body" default:"" help:"Body of each."`
+	Header   map[string]string `name:"header" help:"Headers, as tenant=water." placeholder:"NAME=VALUE;..."`
+	Wait     time.Duration     `name:"wait" default:"10s" help:"How long each may take, in the property expiration."`
+	Count    int               `name:"count" default:"1" help:"How many."`
+	Rate     float64           `name:"rate" default:"100" help:"Messages a second."`
 }
 
 // Run sends and waits: its own queue takes the answers, and each message has one.
@@ -207,9 +207,9 @@
 }
 
 type queueWatch struct {
-	Operator string        `arg:"" help:"Operator's file, which names the socket." type:"path"`
-	Every    time.Duration `default:"1s" help:"How often."`
-	Count    int           `default:"0" help:"How often at most; 0: until it is interrupted."`
+	Operator string        `arg:"" name:"operator" help:"Operator's file, which names the socket." type:"path"`
+	Every    time.Duration `name:"every" default:"1s" help:"How often."`
+	Count    int           `name:"count" default:"0" help:"How often at most; 0: until it is interrupted."`
 }
 
 func (c *queueWatch) Run(o output) error {
--- a/internal/command/try.go
+++ b/internal/command/try.go
@@ -26,15 +26,15 @@
 
 // tryCommand runs an instance with nothing else running.
 type tryCommand struct {
-	For      time.Duration `help:"How long the load goes on." default:"10s"`
-	Rate     float64       `help:"Ops a second, of all types together." default:"200"`
-	Stubs    int           `help:"Client stubs, a connection each." default:"8"`
-	Mean     time.Duration `help:"What a run takes on average on one of the runtime's two cores." default:"5ms"`
-	Seed     uint64        `help:"For chance: the same seed gives the same load." default:"1"`
-	Operator string        `help:"Operator's file for the instance." placeholder:"FILE" type:"path"`
+	For      time.Duration `name:"for" help:"How long the load goes on." default:"10s"`
+	Rate     float64       `name:"rate" help:"Ops a second, of all types together." default:"200"`
+	Stubs    int           `name:"stubs" help:"Client stubs, a connection each." default:"8"`
+	Mean     time.Duration `name:"mean" help:"What a run takes on average on one of the runtime's two cores." default:"5ms"`
+	Seed     uint64        `name:"seed" help:"For chance: the same seed gives the same load." default:"1"`
+	Operator string        `name:"operator" help:"Operator's file for the instance." placeholder:"FILE" type:"path"`
 	AMQP     bool          `name:"amqp" help:"Send a third of the ops by a queue, with a stand-in for the broker."`
-	Token    string        `help:"File with a token that the stubs bring." placeholder:"FILE" type:"path"`
-	Log      string        `help:"File for the instance's log; without it, a file that is removed if all went well." placeholder:"FILE" type:"path"`
+	Token    string        `name:"token" help:"File with a token that the stubs bring." placeholder:"FILE" type:"path"`
+	Log      string        `name:"log" help:"File for the instance's log; without it, a file that is removed if all went well." placeholder:"FILE" type:"path"`
 }
 
 // tried is what became of the ops of one type.
