--- /dev/null
+++ b/internal/fleet/gossip/golden_test.go
@@ -0,0 +1,322 @@
+package gossip
+
+import (
+	"bytes"
+	"encoding/hex"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"lanewheel/internal/grants"
+	"lanewheel/internal/loop"
+	"lanewheel/internal/members"
+)
+
+// The golden files hold what a released process sends and shows. Processes of two versions speak to each other
+// while a fleet is replaced, so these bytes stay as they are; -update is for a message that is added.
+var update = flag.Bool("update", false, "write the golden files anew")
+
+const (
+	messagesFile = "messages.txt"
+	snapshotFile = "snapshot.json"
+)
+
+// goldenMessage is one message as it is sent, and how it reads.
+type goldenMessage struct {
+	name    string
+	encoded []byte
+	decode  func(t *testing.T, stored []byte)
+}
+
+// goldenMessages lists every message with all fields set.
+func goldenMessages() []goldenMessage {
+	const age = 1500 * time.Millisecond
+	self := members.ID{Name: "blue", Life: 0x0123456789abcdef}
+	other := members.ID{Name: "green", Life: 0xfedcba9876543210}
+	claimed := members.Claim{Name: "blue", Incarnation: 1_700_000_000_123, Life: self.Life,
+		Addr: "10.0.0.7:7946", Serves: "10.0.0.7:8000",
+		Roles: members.Instance | members.Relay | members.Steward | members.Below, Zone: "north",
+		Release: "v7", Capacity: 2.5, Warm: 4500 * time.Millisecond}
+	told := members.Bulletin{ID: self, Incarnation: 1_700_000_000_123, Seq: 77, Ready: true,
+		ReadyFor: 61_001 * time.Millisecond, Leaving: true, Digest: 0xdeadbeef01234567,
+		Facts: []members.Fact{
+			{Key: "health", Value: 0.75, Holds: 3 * time.Second},
+			{Key: "held", Value: 12, Holds: 4 * time.Second},
+		}}
+	asked := grants.Ask{Who: other, Seq: 9, Has: grants.Has{Desk: 11, Seq: 8, Limit: 5}, Open: 4, Wants: 6}
+	granted := grants.Grant{Desk: 11, Seq: 9, Limit: 5, Holds: 2 * time.Second, Alone: 1,
+		Longest: 5 * time.Second}
+
+	askWire := ask{To: self.String(), Who: other.String(), Addr: "10.0.0.8:7946", Seq: 9, Desk: 11,
+		Has: 8, Limit: 5, Open: 4, Wants: 6}
+	stateParts := [][]byte{aged(packBulletin(told), age), pack('f', fenced{Name: "green", Incarnation: 1, Life: 2})}
+	grantWire := grant{Desk: 11, Seq: 9, Limit: 5, HoldsMS: 2000, Alone: 1, LongestMS: 5000}
+	return []goldenMessage{
+		{"claim", packClaim(claimed), func(t *testing.T, stored []byte) {
+			back, err := readClaim(self.String(), claimed.Addr, stored)
+			same(t, err, back, claimed)
+			wire, err := decoded[claim](stored)
+			same(t, err, wire, claim{Incarnation: 1_700_000_000_123, Roles: 15, Zone: "north",
+				Release: "v7", Capacity: 2.5, WarmMS: 4500, Serves: "10.0.0.7:8000"})
+		}},
+		{"bulletin", aged(packBulletin(told), age), func(t *testing.T, stored []byte) {
+			body := head(t, stored, 'b', age)
+			back, err := readBulletin(body)
+			sameValues(t, err, back, told) // when a fact was taken is not sent: it is by the clock of who hears
+			wire, err := decoded[bulletin](body)
+			same(t, err, wire, bulletin{Name: "blue", Life: 0x0123456789abcdef,
+				Incarnation: 1_700_000_000_123, Seq: 77, Ready: true, ReadyForMS: 61_001, Leaving: true,
+				Digest: 0xdeadbeef01234567, Facts: []fact_{{Key: "health", Value: 0.75, HoldsMS: 3000},
+					{Key: "held", Value: 12, HoldsMS: 4000}}})
+		}},
+		plain("fenced", 'f', age, fenced{Name: "blue", Incarnation: 3, Life: 5}),
+		plain("query", 'q', age, query{Nonce: 42, To: self.String(), Who: other.String(),
+			Addr: "10.0.0.8:7946"}),
+		plain("word", 'w', age, word{Nonce: 42, Load: -0.5, Done: 300, Well: 299, Took: 17.25}),
+		plain("permit", 'p', age, permit{To: self.String(), Who: other.String(), Addr: "10.0.0.8:7946",
+			Number: 19, Begun: true}),
+		plain("begin", 'i', age, begin{To: self.String(), Who: other.String(), Addr: "10.0.0.8:7946",
+			Incarnation: 1_700_000_000_123, Number: 19}),
+		{"ask", packAsk(asked, self, "10.0.0.8:7946"), func(t *testing.T, stored []byte) {
+			body := head(t, stored, 'a', 0)
+			back, addr, err := readAsk(body, self)
+			same(t, err, back, asked)
+			same(t, nil, addr, "10.0.0.8:7946")
+			wire, err := decoded[ask](body)
+			same(t, err, wire, askWire)
+			same(t, nil, pack('a', askWire), stored)
+		}},
+		{"grant", packGrant(granted), func(t *testing.T, stored []byte) {
+			body := head(t, stored, 'g', 0)
+			back, err := readGrant(body)
+			same(t, err, back, granted)
+			wire, err := decoded[grant](body)
+			same(t, err, wire, grantWire)
+			same(t, nil, pack('g', grantWire), stored)
+		}},
+		{"state", packState(stateParts), func(t *testing.T, stored []byte) {
+			var parts [][]byte
+			err := readState(stored, 2, func(part []byte) { parts = append(parts, part) })
+			same(t, err, parts, stateParts)
+		}},
+	}
+}
+
+// plain is a message whose wire struct is what the program uses.
+func plain[T any](name string, kind byte, age time.Duration, value T) goldenMessage {
+	return goldenMessage{name, aged(pack(kind, value), age), func(t *testing.T, stored []byte) {
+		t.Helper()
+		back, err := decoded[T](head(t, stored, kind, age))
+		same(t, err, back, value)
+	}}
+}
+
+func decoded[T any](body []byte) (value T, err error) {
+	err = unpack(body, &value)
+	return value, err
+}
+
+// head checks a stored message's head and gives what stands behind it.
+func head(t *testing.T, stored []byte, wantKind byte, wantAge time.Duration) []byte {
+	t.Helper()
+	kind, age, body, err := kindOf(stored)
+	if err != nil || kind != wantKind || age != wantAge {
+		t.Fatalf("head %q %v, error %v; want %q %v", kind, age, err, wantKind, wantAge)
+	}
+	return body
+}
+
+// same fails unless got is want and every field of want is set.
+func same[T any](t *testing.T, err error, got, want T) {
+	t.Helper()
+	sameValues(t, err, got, want)
+	if unset := unsetFields(reflect.ValueOf(want), ""); len(unset) > 0 {
+		t.Errorf("fields without a value: %v", unset)
+	}
+}
+
+func sameValues[T any](t *testing.T, err error, got, want T) {
+	t.Helper()
+	if err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("got  %+v\nwant %+v\nerror %v", got, want, err)
+	}
+}
+
+// unsetFields names the fields of a value that are zero, each once.
+func unsetFields(v reflect.Value, path string) (unset []string) {
+	switch {
+	case v.Kind() == reflect.Struct:
+		for i := range v.NumField() {
+			unset = append(unset, unsetFields(v.Field(i),
+				strings.TrimPrefix(path+"."+v.Type().Field(i).Name, "."))...)
+		}
+	case v.Kind() == reflect.Slice && v.Len() > 0 && v.Type().Elem().Kind() == reflect.Struct:
+		for i := range v.Len() {
+			unset = append(unset, unsetFields(v.Index(i), path)...)
+		}
+	case v.IsZero() || (v.Kind() == reflect.Map || v.Kind() == reflect.Slice) && v.Len() == 0:
+		unset = append(unset, path)
+	}
+	slices.Sort(unset)
+	return slices.Compact(unset)
+}
+
+// What is sent stays as the version before wrote it, and is read to the same values.
+func TestGoldenMessages(t *testing.T) {
+	all := goldenMessages()
+	if *update {
+		var text strings.Builder
+		text.WriteString("# Gossip messages, all fields set: name, then the bytes in hex.\n")
+		for _, m := range all {
+			fmt.Fprintf(&text, "%s %x\n", m.name, m.encoded)
+		}
+		writeGolden(t, messagesFile, []byte(text.String()))
+	}
+	stored := map[string][]byte{}
+	for line := range strings.Lines(string(readGolden(t, messagesFile))) {
+		if strings.HasPrefix(line, "#") {
+			continue
+		}
+		name, text, _ := strings.Cut(strings.TrimSpace(line), " ")
+		b, err := hex.DecodeString(text)
+		if err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+		stored[name] = b
+	}
+	if len(stored) != len(all) {
+		t.Errorf("%d messages are stored, %d are known", len(stored), len(all))
+	}
+	for _, m := range all {
+		t.Run(m.name, func(t *testing.T) {
+			if len(stored[m.name]) == 0 {
+				t.Fatal("is not stored")
+			}
+			if !bytes.Equal(m.encoded, stored[m.name]) {
+				t.Errorf("encodes to\n%x, stored is\n%x", m.encoded, stored[m.name])
+			}
+			m.decode(t, stored[m.name])
+		})
+	}
+}
+
+// libraryLines are lines of memberlist, one for each code that the status socket counts.
+var libraryLines = []string{
+	"[ERR] memberlist: Decrypt packet failed: No installed keys could decrypt the message",
+	"[ERR] memberlist: failed to receive: Remote state is not encrypted",
+	"[WARN] memberlist: Label mismatch", "[ERR] memberlist: Push/Pull with green failed",
+	"[ERR] memberlist: msg type (9) not supported", "[ERR] memberlist: Failed to decode ping request",
+	"[WARN] memberlist: Got ping for unexpected node 'blue@0000000000000001' from=10.0.0.8:7946",
+	"[INFO] memberlist: Suspect green has failed", "[INFO] memberlist: Marking green as failed",
+	"[WARN] memberlist: Refuting a suspect message", "[ERR] memberlist: Failed to send gossip",
+	"[INFO] memberlist: anything else",
+}
+
+// goldenPart is a part that was never started, with something in all that a snapshot shows.
+func goldenPart() *Part {
+	told := members.Usual()
+	table := members.New(members.Claim{Name: "blue", Incarnation: 7, Life: 0x0123456789abcdef,
+		Addr: "10.0.0.7:7946", Roles: members.Instance, Zone: "north", Release: "v7", Capacity: 4}, told, 0)
+	p := &Part{Loop: loop.New(1), table: table, net: &transport{},
+		lines: &lines{count: map[string]uint64{}, former: func(string) {}}, steps: map[string]uint64{}}
+	p.view.Store(table.View())
+	green := members.ID{Name: "green", Life: 0xfedcba9876543210}
+	table.Claimed(members.Claim{Name: "green", Incarnation: 9, Life: green.Life, Addr: "10.0.0.8:7946",
+		Serves: "10.0.0.8:8000", Roles: members.Instance | members.Relay,
+		Zone: "south", Release: "v8", Capacity: 2.5, Warm: time.Minute}, time.Second)
+	table.Told(members.Bulletin{ID: green, Incarnation: 9, Seq: 3, Ready: true, ReadyFor: time.Second,
+		Digest: 5, Facts: []members.Fact{
+			{Key: "health", Value: 0.75, Holds: 4 * time.Second},
+			{Key: "held", Value: 12, Holds: time.Second},
+		}}, 0, 2*time.Second)
+	p.Stand(3500 * time.Millisecond)
+	p.after()
+	counters := []*atomic.Uint64{&p.net.in, &p.net.out, &p.net.inBytes, &p.net.outBytes, &p.net.kept,
+		&p.dropped, &p.bad, &p.refused}
+	for i, counter := range counters {
+		counter.Store(uint64(101 + i))
+	}
+	table.Counts = members.Counts{Changes: 201, Refused: 202, Stale: 203, Oversized: 204, Fenced: 205,
+		Refuted: 206, Stood: 207}
+	for _, line := range libraryLines {
+		_, _ = p.lines.Write([]byte(line))
+	}
+	return p
+}
+
+// goldenSnapshot is what the stored snapshot reads as.
+func goldenSnapshot() Snapshot {
+	return Snapshot{Name: "blue", Life: "0123456789abcdef", Incarnation: 7, Zone: "north",
+		Release: "v7", Standing: "young", Reach: 1, Version: 3, Digest: "3f221ae6bba73235",
+		States: map[string]int{"warming": 1}, CPUms: 1234,
+		Members: []SnapshotMember{{Name: "green", Life: "fedcba9876543210", Incarnation: 9,
+			State: "warming", Why: "ready", ForMS: 1500, SpokeMS: 1500, Addr: "10.0.0.8:7946",
+			Roles: "instance+relay", Zone: "south", Release: "v8", Capacity: 2.5,
+			Facts: map[string]float64{"health": 0.75}, Stale: []string{"held"}}},
+		Counts: map[string]uint64{"packets-in": 101, "packets-out": 102, "bytes-in": 103,
+			"bytes-out": 104, "kept-back": 105, "dropped": 106, "bad": 107, "refused": 108 + 202,
+			"changes": 201, "stale": 203, "oversized": 204, "fenced": 205, "refuted": 206,
+			"stood-still": 207, "joining-joining": 1, "joining-warming": 1,
+			"gossip-not-our-key": 2, "gossip-not-our-cluster": 1, "gossip-state-not-exchanged": 1,
+			"gossip-bad-message": 2, "gossip-old-life": 1, "gossip-suspects": 1,
+			"gossip-gives-up": 1, "gossip-refutes": 1, "gossip-not-sent": 1, "gossip-other": 1}}
+}
+
+// The status socket shows the same names and values as the version before: `lanewheel members` and
+// operators' scripts read it.
+func TestGoldenSnapshot(t *testing.T) {
+	shown := goldenPart().snapshot(Whole)
+	shown.CPUms = 1234
+	text, err := json.MarshalIndent(shown, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	text = append(text, '\n')
+	if *update {
+		writeGolden(t, snapshotFile, text)
+	}
+	stored := readGolden(t, snapshotFile)
+	if !bytes.Equal(text, stored) {
+		t.Errorf("shows\n%s\nstored is\n%s", text, stored)
+	}
+	var back Snapshot
+	d := json.NewDecoder(bytes.NewReader(stored))
+	d.DisallowUnknownFields()
+	same(t, d.Decode(&back), back, goldenSnapshot())
+}
+
+// What may be asked for on the status socket.
+func TestGoldenSnapshotKinds(t *testing.T) {
+	same(t, nil, []string{Whole, Brief}, []string{"view", "brief"})
+	p := goldenPart()
+	same(t, nil, slices.Sorted(maps.Keys(p.snapshot(Brief).Counts)),
+		slices.Sorted(maps.Keys(p.snapshot(Whole).Counts)))
+}
+
+func readGolden(t *testing.T, name string) []byte {
+	t.Helper()
+	b, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+func writeGolden(t *testing.T, name string, b []byte) {
+	t.Helper()
+	if err := os.MkdirAll("testdata", 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(filepath.Join("testdata", name), b, 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
--- /dev/null
+++ b/internal/members/golden_test.go
@@ -0,0 +1,98 @@
+package members
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+)
+
+// The golden file holds the words and numbers that processes of two versions share: what is sent, shown on status
+// sockets and written in operators' files. -update is for one that is added.
+var update = flag.Bool("update", false, "write the golden file anew")
+
+const sharedFile = "shared.json"
+
+// shared is every enumeration by its value, and what an identity looks like in a message.
+type shared struct {
+	Roles    map[string]uint8 `json:"roles"`
+	States   []string         `json:"states"`
+	Standing []string         `json:"standing"`
+	Reasons  []string         `json:"reasons"`
+	ID       string           `json:"id"`
+	Mark     uint64           `json:"mark"`   // of the identity
+	Digest   uint64           `json:"digest"` // of a view of two
+}
+
+func currentShared() shared {
+	s := shared{Roles: map[string]uint8{}}
+	for _, r := range []Roles{Instance, Relay, Steward, Below} {
+		s.Roles[r.String()] = uint8(r)
+	}
+	for _, x := range []State{Joining, Warming, Up, Suspect, Leaving, Gone, Fenced} {
+		s.States = append(s.States, x.String())
+	}
+	for _, x := range []Standing{Young, Sound, Thin, CutOff, Unheard, Woken, Ousted} {
+		s.Standing = append(s.Standing, x.String())
+	}
+	for _, x := range []Reason{Claimed, Served, Warmed, Unreached, Mute, Flapping, Returned, Said, Left,
+		GivenUp, Superseded} {
+		s.Reasons = append(s.Reasons, string(x))
+	}
+	id := ID{Name: "blue", Life: 0x0123456789abcdef}
+	s.ID, s.Mark = id.String(), Mark(id)
+	table := New(Claim{Name: "self", Life: 1}, Usual(), 0)
+	table.Claimed(Claim{Name: "blue", Life: id.Life}, 0)
+	table.Claimed(Claim{Name: "green", Life: 2}, 0)
+	s.Digest = table.View().Digest()
+	return s
+}
+
+// What other processes and operators' files go by stays as the version before had it.
+func TestGoldenShared(t *testing.T) {
+	current := currentShared()
+	text, err := json.MarshalIndent(current, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	text = append(text, '\n')
+	path := filepath.Join("testdata", sharedFile)
+	if *update {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, text, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	stored, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(text, stored) {
+		t.Errorf("now\n%s\nstored is\n%s", text, stored)
+	}
+	var back shared
+	if err := json.Unmarshal(stored, &back); err != nil {
+		t.Fatal(err)
+	}
+	want := shared{Roles: map[string]uint8{"instance": 1, "relay": 2, "steward": 4, "below": 8},
+		States:   []string{"joining", "warming", "up", "suspect", "leaving", "gone", "fenced"},
+		Standing: []string{"young", "sound", "thin", "cut-off", "unheard", "woken", "fenced"},
+		Reasons: []string{"claimed", "ready", "warmed", "unreached", "mute", "flapping", "returned",
+			"said", "left", "given-up", "superseded"},
+		ID: "blue@0123456789abcdef", Mark: 10703471849183513418, Digest: 9472487049747876169}
+	if !reflect.DeepEqual(back, want) {
+		t.Errorf("stored is\n%+v\nwant\n%+v", back, want)
+	}
+	if id, ok := ReadID(back.ID); !ok || id != (ID{Name: "blue", Life: 0x0123456789abcdef}) {
+		t.Errorf("%q reads as %v, %v", back.ID, id, ok)
+	}
+	if r, bad := ReadRoles([]string{"instance", "relay", "steward",
+		"below"}); bad != "" || r != 15 || r.String() != "instance+relay+steward+below" {
+		t.Errorf("the roles read as %v (%d), bad %q", r, r, bad)
+	}
+}
--- /dev/null
+++ b/internal/operator/cluster_keys_test.go
@@ -0,0 +1,30 @@
+package operator
+
+import (
+	"bytes"
+	"os"
+	"reflect"
+	"testing"
+
+	"lanewheel/internal/members"
+)
+
+// The file of cluster keys is an operator's: comments, blanks and the three sizes of keys read as
+// ever, in the order of the file.
+func TestGoldenClusterKeys(t *testing.T) {
+	const path = "testdata/cluster.keys"
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var all [72]byte
+	for i := range all {
+		all[i] = byte(1 + i)
+	}
+	want := []members.Key{all[:16], all[16:40], all[40:]}
+	for _, text := range [][]byte{text, bytes.ReplaceAll(text, []byte("\n"), []byte("\r\n"))} {
+		if keys, err := ReadClusterKeys(path, text); err != nil || !reflect.DeepEqual(keys, want) {
+			t.Errorf("keys %x, error %v; want %x", keys, err, want)
+		}
+	}
+}
