--- /dev/null
+++ b/cmd/wirehost/golden_test.go
@@ -0,0 +1,59 @@
+package main
+
+import (
+	"bytes"
+	"os"
+	"regexp"
+	"testing"
+	"time"
+
+	"lanewheel/choice"
+	"lanewheel/internal/goldentest"
+)
+
+// A whole session in which each message kind comes in, and all that goes out. What is printed is for people and may be
+// worded otherwise.
+func TestGoldenSession(t *testing.T) {
+	in, err := os.ReadFile("testdata/session.in")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range []string{"boot", "order", "timeout-fired", "blocked", "ended", "call-done", "terminate-soon",
+		"aborted", "power-off"} {
+		if !bytes.Contains(in, []byte(`["`+name+`",3`)) {
+			t.Errorf("no %s in the session", name)
+		}
+	}
+	var out bytes.Buffer
+	if err := serve(bytes.NewReader(in), &out); err != nil {
+		t.Fatal(err)
+	}
+	printed := regexp.MustCompile(`(?m)^(\["print",\d+,)".*"\]$`)
+	goldentest.CheckText(t, "testdata/session.out", printed.ReplaceAll(out.Bytes(), []byte(`$1"TEXT"]`)))
+}
+
+// Each action that the module may take, as it goes out.
+func TestGoldenActions(t *testing.T) {
+	h := newHost()
+	in := &instance{host: h, who: 3, atCall: map[choice.OpID]func(){},
+		ended:  map[choice.OpID]func(choice.Ending, time.Duration){},
+		called: map[choice.OpID]func(choice.Ending, time.Duration){}, wakes: map[string]func(map[string]float64){}}
+	const id = choice.OpID("addf482b5d3a91c4")
+	in.Run(id, nil, nil)
+	in.Share(id, nil)
+	in.Stop(id)
+	in.Fail(id)
+	in.Nack(id, 1500*time.Millisecond, true)
+	in.Nack(id, 0, false)
+	in.Call(id, 2500*time.Millisecond, nil)
+	in.SkipCall(id)
+	in.KeepKey(id, 5*time.Second)
+	in.DropKey(id)
+	in.Health(true, false)
+	in.Health(false, true)
+	in.Signal(0.25)
+	in.IdleFor(30 * time.Second)
+	in.Note("text")
+	in.Wake(6*time.Second, nil)
+	goldentest.CheckText(t, "testdata/actions.out", h.reply.Close())
+}
--- /dev/null
+++ b/internal/facts/golden_test.go
@@ -0,0 +1,118 @@
+package facts
+
+import (
+	"os"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/valyala/fastjson"
+
+	"lanewheel/choice"
+)
+
+// Each setting that is known, by its stored name, and what it is read as.
+func TestGoldenSettings(t *testing.T) {
+	text, err := os.ReadFile("testdata/settings.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	told := fastjson.MustParseBytes(text)
+	got, wrong := Check(told)
+	if len(wrong) > 0 {
+		t.Fatal(wrong)
+	}
+	const ms = time.Millisecond
+	want := choice.Facts{
+		"op types": []choice.Facts{
+			{"name": "view", "importance": 1.5, "target latency": 300 * ms, "target stretch": 2.5, "op timeout": 1250 * ms,
+				"late share": 0.2, "repeat window": 5 * time.Second, "repeats": "retryable"},
+			{"name": "pay", "importance": 2.0, "target latency": 400 * ms, "target stretch": 3.0, "op timeout": 2 * time.Second,
+				"late share": 0.1, "repeat window": 500 * ms, "repeats": "keyed"},
+			{"name": "list", "importance": 3.0, "target latency": 500 * ms, "target stretch": 4.0, "op timeout": 3 * time.Second,
+				"late share": 0.3, "repeat window": 250 * ms, "repeats": "non-retryable"},
+		},
+		"tenants": []choice.Facts{
+			{"name": "acme", "quota a second": 9.0, "share": 0.7},
+			{"name": "beta", "quota a second": 5.0, "share": 0.3},
+		},
+		"tries are marked":         true,
+		"below":                    "shared",
+		"calls over":               5 * time.Second,
+		"call share":               0.8,
+		"calls below by type":      []bool{true, false, true},
+		"skip share by type":       []float64{0.25, 0.5, 0.75},
+		"callers":                  7.0,
+		"cores":                    2.0,
+		"just started":             true,
+		"shared reads for":         200 * ms,
+		"halt":                     "drop",
+		"hears when callers leave": true,
+		"signal heard for":         time.Second,
+		"connections idle":         30 * time.Second,
+		"key KB":                   1.5,
+		"given-up call lingers":    150 * ms,
+		"memory KB":                1900.0,
+		"run memory factor":        4.0,
+		"signal":                   "least rank",
+		"fleet size":               3.0,
+		"over-share importance":    0.1,
+		"longest stay away":        1750 * ms,
+		"stay away is passed on":   true,
+		"drain grace":              500 * ms,
+		"crowd a core":             8.0,
+		"crowd over":               2 * time.Second,
+		"cold speed share":         0.3,
+		"warm within":              6 * time.Second,
+		"tick":                     2 * ms,
+		"tier":                     2.0,
+	}
+	for name, value := range want {
+		if !reflect.DeepEqual(got[name], value) {
+			t.Errorf("%s is read as %v, want %v", name, got[name], value)
+		}
+	}
+	if len(got) != len(want) || len(got) != len(startNames) {
+		t.Errorf("%d settings are read, %d are known, want %d", len(got), len(startNames), len(want))
+	}
+	for i, item := range want["op types"].([]choice.Facts) {
+		if len(item) != len(opTypeNames) {
+			t.Errorf("class %d has %d settings, %d are known", i, len(item), len(opTypeNames))
+		}
+	}
+	for i, item := range want["tenants"].([]choice.Facts) {
+		if len(item) != len(tenantNames) {
+			t.Errorf("tenant %d has %d settings, %d are known", i, len(item), len(tenantNames))
+		}
+	}
+	gauges := []string{"cores busy", "want a core", "memory used", "connections", "other"}
+	if got := Gauges(told); !reflect.DeepEqual(got, gauges) {
+		t.Errorf("gauges are read as %q, want %q", got, gauges)
+	}
+}
+
+// Each word that a setting may have. One that is not known stays as it is.
+func TestGoldenWords(t *testing.T) {
+	for _, tc := range []struct{ name, word, ours, want string }{
+		{"below", "common", "below", "shared"}, {"below", "next_hop", "below", "next tier"},
+		{"below", "silent", "below", "none"},
+		{"below", "other", "below", "other"},
+		{"halt", "silent", "halt", "none"}, {"halt", "drop", "halt", "drop"},
+		{"signal", "min_rank", "signal", "least rank"}, {"signal", "bias", "signal", "chance"},
+		{"signal", "silent", "signal", "none"},
+		{"signal", "tokens", "signal", "tokens"},
+	} {
+		got, _ := Check(fastjson.MustParse(`{"domain":{"` + tc.name + `":"` + tc.word + `"}}`))
+		if got[tc.ours] != tc.want {
+			t.Errorf("%s %q is read as %v, want %q", tc.name, tc.word, got[tc.ours], tc.want)
+		}
+	}
+	for word, want := range map[string]string{
+		"idempotent": "retryable", "deduplicated": "keyed", "at_most_once": "non-retryable",
+	} {
+		got, _ := Check(fastjson.MustParse(`{"classes":[{"name":"view","repeat":"` + word + `"}]}`))
+		if types, _ := got["op types"].([]choice.Facts); len(types) != 1 || types[0]["repeats"] != want {
+			t.Errorf("repeat %q is read as %v, want %q", word, got["op types"], want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/life/golden_test.go
@@ -0,0 +1,75 @@
+package life
+
+import (
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"lanewheel/choice"
+	"lanewheel/internal/keep"
+)
+
+// Each field of an instance's configuration, by its stored name, and what it is read as. The settings have a file of
+// their own, beside the package that reads them.
+func TestGoldenConfiguration(t *testing.T) {
+	text, err := os.ReadFile("testdata/config.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	const ms = time.Millisecond
+	want := keep.Told{
+		Name:     "instance-1",
+		Listen:   "127.0.0.1:1",
+		Runtime:  "127.0.0.1:2",
+		Database: "127.0.0.1:3",
+		Roster:   "127.0.0.1:4",
+		Seed:     0x8c1f30d27a5be964,
+		Stop:     1500*ms + 500*time.Microsecond,
+		Sockets:  64,
+		MemoryMB: 192.25,
+		Cores:    1.5,
+		Facts: choice.Facts{
+			"op types": []choice.Facts{
+				{"name": "view", "importance": 1.5, "target latency": 300 * ms, "op timeout": 1250 * ms, "repeats": "retryable"},
+			},
+			"tenants":           []choice.Facts{{"name": "acme", "quota a second": 9.0, "share": 0.7}},
+			"below":             "next tier",
+			"cores":             2.0,
+			"longest stay away": 1750 * ms,
+			"tick":              2 * ms,
+		},
+		Gauges:    []string{"cores busy", "want a core", "memory used", "connections"},
+		Readiness: true,
+	}
+	for _, tc := range []struct {
+		name, before, after string
+		seed                uint64
+	}{
+		{"as it is", "", "", want.Seed},
+		{"a seed that is not hexadecimal is hashed", "8c1f30d27a5be964", "instance-1", 0x3ca7aed14d2daa34},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			got, faults := parse("config.json", []byte(strings.Replace(string(text), tc.before, tc.after, 1)))
+			if len(faults) > 0 {
+				t.Fatal(faults)
+			}
+			want := want
+			want.Seed = tc.seed
+			if !reflect.DeepEqual(got, want) {
+				t.Errorf("read as\n%+v, want\n%+v", got, want)
+			}
+		})
+	}
+	// All that is wanted is asked for by its stored name.
+	_, faults := parse("config.json", []byte("{}"))
+	var names []string
+	for _, f := range faults {
+		names = append(names, f.Name)
+	}
+	if got, want := strings.Join(names, " "),
+		"name listen runtime limits.cores limits.memory_mb limits.sockets settings"; got != want {
+		t.Errorf("missing: %s, want %s", got, want)
+	}
+}
--- /dev/null
+++ b/internal/simwire/golden_test.go
@@ -0,0 +1,145 @@
+package simwire
+
+import (
+	"fmt"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"lanewheel/choice"
+	"lanewheel/internal/goldentest"
+)
+
+const (
+	ms      = time.Millisecond
+	id      = choice.OpID("addf482b5d3a91c4")
+	another = choice.OpID("bbbf482b5d3a91c4")
+)
+
+// read gives all that a line tells, as one list, whatever its kind.
+func read(t *testing.T, text []byte) []any {
+	t.Helper()
+	var r Reader
+	l, err := r.Parse(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	told := []any{l.Name}
+	add := func(values ...any) {
+		if err := values[len(values)-1]; err != nil {
+			t.Fatal(err)
+		}
+		told = append(told, values[:len(values)-1]...)
+	}
+	if l.Name != "tick" && l.Name != "flush" {
+		who, err := l.Who()
+		add(who, err)
+	}
+	switch l.Name {
+	case "tick":
+		at, err := l.Tick()
+		add(at, err)
+	case "flush":
+		add(l.Flush())
+	case "boot":
+		seed, facts, err := l.Boot()
+		add(seed, facts, err)
+	case "order":
+		op, err := l.Order()
+		add(op, err)
+	case "timeout-fired":
+		token, gauges, err := l.TimeoutFired()
+		add(token, gauges, err)
+	case "blocked", "aborted":
+		id, err := l.Op()
+		add(id, err)
+	case "ended":
+		id, took, how, err := l.Ended()
+		add(id, took, how, err)
+	case "call-done":
+		id, took, how, err := l.CallDone()
+		add(id, took, how, err)
+	case "terminate-soon":
+		at, err := l.TerminateSoon()
+		add(at, err)
+	case "power-off":
+		add(l.PowerOff())
+	default:
+		t.Fatalf("unknown line %s", l.Name)
+	}
+	return told
+}
+
+// Each line that the simulator writes, and what it is read as.
+func TestGoldenLines(t *testing.T) {
+	file := goldentest.Open(t, "testdata/lines.golden")
+	for _, tc := range []struct {
+		name string
+		want []any
+	}{
+		{"tick", []any{"tick", 5500 * ms}},
+		{"flush", []any{"flush"}},
+		{"boot", []any{"boot", 3, uint64(12345678901234567890), choice.Facts{"cores": 2.0, "op types": []choice.Facts{
+			{"name": "view", "importance": 1.5, "target latency": 300 * ms, "op timeout": 1250 * ms}}}}},
+		{"order", []any{"order", 3, choice.Arrival{
+			ID: id, Type: "view", Rank: 0.625, Retry: true, Write: true, Subject: "k1", Caller: 17, Waits: true,
+			ToldWait: 8650 * ms, Hint: 12 * ms, KB: 24.5, Lay: 1850 * time.Microsecond, Tenant: "acme", RepeatsOf: another}}},
+		{"order-least", []any{"order", 3, choice.Arrival{
+			ID: id, Type: "view", Rank: 0.625, Caller: 17, KB: 24.5, Lay: 2 * ms}}},
+		{"order-hint-not-marked", []any{"order", 3, choice.Arrival{
+			ID: id, Type: "view", Rank: 0.625, Retry: true, Caller: 17, KB: 24.5, Lay: 2 * ms}}},
+		{"timeout-fired", []any{"timeout-fired", 3, "12", map[string]float64{
+			"cores busy": 0.5, "want a core": 3, "memory used": 100, "connections": 7, "other": 1.5}}},
+		{"blocked", []any{"blocked", 3, id}},
+		{"aborted", []any{"aborted", 3, id}},
+		{"ended", []any{"ended", 3, id, 300 * ms, choice.Acked}},
+		{"call-done", []any{"call-done", 3, id, 100 * ms, choice.Failed}},
+		{"terminate-soon", []any{"terminate-soon", 3, 9500 * ms}},
+		{"power-off", []any{"power-off", 3}},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			if got := read(t, file.Bytes(tc.name)); !reflect.DeepEqual(got, tc.want) {
+				t.Errorf("read as %+v, want %+v", got, tc.want)
+			}
+		})
+	}
+}
+
+// Each code of an outcome, of a run and of a call.
+func TestGoldenOutcomes(t *testing.T) {
+	codes := map[int]choice.Ending{0: choice.Acked, 1: choice.Cancelled, 4: choice.GivenUp, 8: choice.Full,
+		9: choice.Moot, 10: choice.Broken, 13: choice.Failed, 14: choice.Unreached}
+	var r Reader
+	for code := range 256 {
+		want, known := codes[code]
+		l, err := r.Parse(fmt.Appendf(nil, `["ended",3,%q,0.3,%d]`, id, code))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if _, _, got, err := l.Ended(); known != (err == nil) || known && got != want {
+			t.Errorf("a run's code %d is read as %v, %v", code, got, err)
+		}
+		if l, err = r.Parse(fmt.Appendf(nil, `["call-done",3,%q,%d,0.3]`, id, code)); err != nil {
+			t.Fatal(err)
+		}
+		if _, _, got, err := l.CallDone(); known != (err == nil) || known && got != want {
+			t.Errorf("a call's code %d is read as %v, %v", code, got, err)
+		}
+	}
+}
+
+// Each kind of value that a reply may hold.
+func TestGoldenReply(t *testing.T) {
+	var r Reply
+	for range 2 { // one that was closed is begun anew
+		r.Say("name", 3, id, "a\"b\\<\u00e9\x01", true, false, 0.1234567, 12.0,
+			1850*time.Microsecond, -time.Second)
+		r.Say("none", 4)
+		want := `["name",3,"addf482b5d3a91c4","a\"b\\\u003cé\u0001",true,false,0.123457,12.000000,0.001850,0.000000]` + "\n" +
+			`["none",4]` + "\n" + `["eor"]` + "\n"
+		if got := string(r.Close()); got != want {
+			t.Errorf("written %s, want %s", got, strings.TrimSpace(want))
+		}
+	}
+}
--- /dev/null
+++ b/internal/wire/golden_database_test.go
@@ -0,0 +1,47 @@
+package wire
+
+import (
+	"reflect"
+	"testing"
+	"time"
+
+	"lanewheel/internal/goldentest"
+)
+
+// What is asked of the database.
+func TestGoldenToDatabase(t *testing.T) {
+	file := goldentest.Open(t, "testdata/database_calls.golden")
+	for name, limit := range map[string]time.Duration{"call": 1500 * time.Millisecond, "call-late": time.Microsecond} {
+		d := &Database{Link: hears()}
+		d.Call("127.0.0.1:5432", "0123456789abcdef", limit, []byte("statement"))
+		file.Check(name, d.out)
+	}
+}
+
+// What the database answers. Only 503 and 409 prove that a call never ran.
+func TestGoldenFromDatabase(t *testing.T) {
+	file := goldentest.Open(t, "testdata/database_replies.golden")
+	for _, tc := range []struct {
+		name string
+		want Reply
+	}{
+		{"success", Reply{Status: 200, Body: []byte("rows")}},
+		{"success-chunked", Reply{Status: 200, Body: []byte("rows")}},
+		{"unavailable", Reply{Status: 503, NeverStarted: true, Body: []byte{}}},
+		{"conflict", Reply{Status: 409, NeverStarted: true, Body: []byte("x")}},
+		{"timeout", Reply{Status: 504, Body: []byte{}}},
+		{"failed", Reply{Status: 500, Body: []byte{}}},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			var got []Reply
+			d := &Database{Link: hears()}
+			d.parse = d.message
+			d.fault = func(code string) { t.Error(code) }
+			d.OnReply = func(r Reply) { got = append(got, r) }
+			d.read(file.Bytes(tc.name))
+			if !reflect.DeepEqual(got, []Reply{tc.want}) {
+				t.Errorf("read as %+v, want %+v", got, tc.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/wire/golden_registry_test.go
@@ -0,0 +1,39 @@
+package wire
+
+import (
+	"net"
+	"testing"
+	"time"
+
+	"lanewheel/internal/goldentest"
+)
+
+// What is reported to the registry, one datagram each.
+func TestGoldenToRegistry(t *testing.T) {
+	file := goldentest.Open(t, "testdata/registry_reports.golden")
+	registry, err := net.ListenPacket("udp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer registry.Close()
+	r, err := NewRoster(registry.LocalAddr().String(), "instance-1")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer r.Close()
+	for _, report := range []struct {
+		name string
+		on   bool
+	}{{"on", true}, {"off", false}} {
+		r.Report(report.on)
+		b := make([]byte, 100)
+		if err := registry.SetReadDeadline(time.Now().Add(10 * time.Second)); err != nil {
+			t.Fatal(err)
+		}
+		n, _, err := registry.ReadFrom(b)
+		if err != nil {
+			t.Fatal(err)
+		}
+		file.Check(report.name, b[:n])
+	}
+}
