--- a/internal/facts/golden_test.go
+++ b/internal/facts/golden_test.go
@@ -3,6 +3,7 @@
 import (
 	"os"
 	"reflect"
+	"strings"
 	"testing"
 	"time"
 
@@ -116,3 +117,43 @@
 		}
 	}
 }
+
+// What stands in for times that are absent or too short to mean anything, and for shares past their ends.
+func TestGoldenDefaults(t *testing.T) {
+	got, wrong := Check(fastjson.MustParse(`{"classes":[{"name":"none"},{"name":"target","promise-s":0.4},
+		{"name":"timeout","give-up-s":2},{"name":"short","promise-s":0.0001,"give-up-s":0.0002}],
+		"domain":{"cpus":1},"rules":{"start-capacity":7}}`))
+	if len(wrong) > 0 {
+		t.Fatal(wrong)
+	}
+	const ms = time.Millisecond
+	want := choice.Facts{"cores": 1.0, "cold speed share": 1.0, "op types": []choice.Facts{
+		{"name": "none", "target latency": 1000 * ms, "op timeout": 1000 * ms},
+		{"name": "target", "target latency": 400 * ms, "op timeout": 400 * ms},
+		{"name": "timeout", "target latency": 2000 * ms, "op timeout": 2000 * ms},
+		{"name": "short", "target latency": 1000 * ms, "op timeout": 1000 * ms},
+	}}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read as %v, want %v", got, want)
+	}
+}
+
+// What is wrong is named by where it is stored.
+func TestGoldenPaths(t *testing.T) {
+	for _, tc := range []struct{ text, want string }{
+		{`{}`, "domain.cpus classes"},
+		{`{"domain":{"cpus":0},"classes":[]}`, "domain.cpus classes"},
+		{`{"domain":{"cpus":1},"classes":[{"name":"a"},{}]}`, "classes.1.name"},
+		{`{"domain":{"cpus":"x"},"classes":[{"name":"a","credit":"x"}],"rules":{"warm-within-s":true}}`,
+			"classes.0.credit domain.cpus rules.warm-within-s"},
+	} {
+		_, wrong := Check(fastjson.MustParse(tc.text))
+		var paths []string
+		for _, w := range wrong {
+			paths = append(paths, strings.Join(w.Path, "."))
+		}
+		if got := strings.Join(paths, " "); got != tc.want {
+			t.Errorf("%s: wrong are %q, want %q", tc.text, got, tc.want)
+		}
+	}
+}
--- a/internal/life/golden_test.go
+++ b/internal/life/golden_test.go
@@ -1,6 +1,7 @@
 package life
 
 import (
+	"errors"
 	"os"
 	"reflect"
 	"strings"
@@ -8,6 +9,7 @@
 	"time"
 
 	"lanewheel/choice"
+	"lanewheel/internal/fault"
 	"lanewheel/internal/keep"
 )
 
@@ -73,3 +75,28 @@
 		t.Errorf("missing: %s, want %s", got, want)
 	}
 }
+
+// A configuration that cannot be read is named, as is an address that is missing where calls go somewhere.
+func TestGoldenPaths(t *testing.T) {
+	text, err := os.ReadFile("testdata/config.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, faults := parse("config.json", []byte(strings.Replace(string(text), `"db"`, `"was-db"`, 1)))
+	if len(faults) != 1 || faults[0].Name != "db" {
+		t.Errorf("without a database: %v, want db", faults)
+	}
+	without := strings.NewReplacer(`"db"`, `"was-db"`, `"next_hop"`, `"silent"`, `"roster"`, `"was-roster"`)
+	if _, faults = parse("config.json", []byte(without.Replace(string(text)))); len(faults) > 0 {
+		t.Errorf("nothing below and no registry: %v", faults)
+	}
+	broken := strings.Replace(string(text), `"cpus":2`, `"cpus":"two"`, 1)
+	_, faults = parse("config.json", []byte(broken))
+	if len(faults) != 1 || faults[0].Name != "settings.domain.cpus" || faults[0].Line != 6 {
+		t.Errorf("a wrong setting: %v, want settings.domain.cpus in line 6", faults)
+	}
+	var list fault.List
+	if _, err = Tell(""); !errors.As(err, &list) || len(list) != 1 || list[0].File != "RELAY_CONFIG" {
+		t.Errorf("no path: %v, want RELAY_CONFIG", err)
+	}
+}
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -136,7 +136,8 @@
 		r.Say("name", 3, id, "a\"b\\<\u00e9\x01", true, false, 0.1234567, 12.0,
 			1850*time.Microsecond, -time.Second)
 		r.Say("none", 4)
-		want := `["name",3,"addf482b5d3a91c4","a\"b\\\u003cé\u0001",true,false,0.123457,12.000000,0.001850,0.000000]` + "\n" +
+		want := `["name",3,"addf482b5d3a91c4","a\"b\\\u003cé\u0001"` +
+			`,true,false,0.123457,12.000000,0.001850,0.000000]` + "\n" +
 			`["none",4]` + "\n" + `["eor"]` + "\n"
 		if got := string(r.Close()); got != want {
 			t.Errorf("written %s, want %s", got, strings.TrimSpace(want))
--- a/internal/wire/golden_runtime_test.go
+++ b/internal/wire/golden_runtime_test.go
@@ -32,7 +32,8 @@
 	}
 }
 
-// What the runtime says. The last line has all fields that are known, whatever kind has them, and some that are not.
+// What the runtime says. One line has all fields that are known, whatever kind has them, and some that are not;
+// one has all escapes and all words of JSON.
 func TestGoldenFromRuntime(t *testing.T) {
 	file := goldentest.Open(t, "testdata/runtime_notices.golden")
 	const id = "0123456789abcdef"
@@ -55,6 +56,7 @@
 		{"info", Notice{Kind: "info", No: 10, Status: "any"}},
 		{"all", Notice{Kind: "k", ID: "r", Status: "s", Mark: "m\"A/", No: 11, Took: time.Millisecond, Bytes: []byte("b"),
 			Gauges: []float64{-1.5, 0.1}}},
+		{"escapes", Notice{Kind: "info", Mark: "\"\\/\b\f\n\r\t\u00e9\U0001f600"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var got []Notice
