--- a/internal/keep/room_test.go
+++ b/internal/keep/room_test.go
@@ -26,13 +26,14 @@
 // The usual limits and small ones.
 func Example_room() {
 	for _, limit := range []int{32, 40, 64, 128, 512, 1024} {
-		fmt.Printf("%d %+v\n", limit, roomOf(limit, 10))
+		r := roomOf(limit, 10)
+		fmt.Printf("%d: all %d, stubs %d, calls %d\n", limit, r.all, r.stubs, r.calls)
 	}
 	// Output:
-	// 32 {all:6 stubs:4 calls:2}
-	// 40 {all:14 stubs:10 calls:4}
-	// 64 {all:38 stubs:32 calls:6}
-	// 128 {all:102 stubs:72 calls:30}
-	// 512 {all:486 stubs:320 calls:128}
-	// 1024 {all:998 stubs:640 calls:256}
+	// 32: all 6, stubs 4, calls 2
+	// 40: all 14, stubs 10, calls 4
+	// 64: all 38, stubs 32, calls 6
+	// 128: all 102, stubs 72, calls 30
+	// 512: all 486, stubs 320, calls 128
+	// 1024: all 998, stubs 640, calls 256
 }
