--- a/internal/operator/cluster_keys_test.go
+++ b/internal/operator/cluster_keys_test.go
@@ -11,7 +11,7 @@
 
 // The file of cluster keys is an operator's: comments, blanks and the three sizes of keys read as
 // ever, in the order of the file.
-func TestGoldenClusterKeys(t *testing.T) {
+func TestClusterKeyFile(t *testing.T) {
 	const path = "testdata/cluster.keys"
 	text, err := os.ReadFile(path)
 	if err != nil {
