--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -16,8 +16,8 @@
 	s.read(arrival("urgent", 200*ms, 0.1))
 	s.now += 620 * ms // its slack runs out
 	s.read(arrival("long", 220*ms, 0.1), arrival("short", 100*ms, 0.1), arrival("protected", 210*ms, 0.9))
-	s.end(Acked, 620*ms, "a1", "a2")
-	s.end(Acked, 200*ms, "protected", "urgent")
+	s.end(Succeeded, 620*ms, "a1", "a2")
+	s.end(Succeeded, 200*ms, "protected", "urgent")
 	// Output:
 	// 3200ms run a1
 	// 3200ms run a2
@@ -32,7 +32,7 @@
 	s := open(nil)
 	s.warm(200 * ms)
 	late := arrival("late", 200*ms, 0.1)
-	late.Waits, late.ToldWait = true, s.now+100*ms
+	late.HasDeadline, late.Deadline = true, s.now+100*ms
 	s.read(late) // a core is free: it runs
 	late.ID = "late again"
 	s.read(arrival("b", 100*ms, 0.9))
@@ -49,17 +49,17 @@
 	scene := func(age time.Duration) {
 		s := open(nil)
 		s.warm(200 * ms)
-		s.desk.grown = 3
+		s.desk.grownLimit = 3
 		s.read(arrival("a1", 200*ms, 0.9), arrival("a2", 200*ms, 0.9), arrival("a3", 200*ms, 0.9))
 		s.read(arrival("waiting", 200*ms, 0.1))
 		s.now += age
-		s.desk.lastLife = s.now
-		s.desk.look(map[string]float64{"want a core": 3})
-		s.desk.grown = 3 // as idle cores let it grow before
+		s.desk.lastProgress = s.now
+		s.desk.recordGauges(map[string]float64{"want a core": 3})
+		s.desk.grownLimit = 3 // as idle cores let it grow before
 		for _, o := range s.desk.running {
-			o.came = s.now // their slack leaves the limit as it is
+			o.arrivedAt = s.now // their slack leaves the limit as it is
 		}
-		s.ended["a1"](Acked, 200*ms)
+		s.ended["a1"](Succeeded, 200*ms)
 		s.read(arrival("head", 150*ms, 0.9))
 	}
 	scene(660 * ms)
@@ -90,17 +90,17 @@
 func Example_limit() {
 	s := open(nil)
 	s.warm(100 * ms)
-	fmt.Println("limit", s.desk.limit(s.now))
+	fmt.Println("limit", s.desk.concurrencyLimit(s.now))
 	s.read(arrival("a", 100*ms, 0.1), arrival("b", 100*ms, 0.1), arrival("c", 100*ms, 0.1),
 		arrival("d", 100*ms, 0.1))
 	s.pass(50*ms, map[string]float64{"want a core": 1}) // one of the two waits on disk
-	fmt.Println("limit", s.desk.limit(s.now))
+	fmt.Println("limit", s.desk.concurrencyLimit(s.now))
 	s.pass(50*ms, map[string]float64{"want a core": 1})
-	s.end(Acked, 100*ms, "a")
+	s.end(Succeeded, 100*ms, "a")
 	s.pass(300*ms, map[string]float64{"want a core": 4})
-	fmt.Println("limit", s.desk.limit(s.now))
-	cold := open(Facts{"just started": true, "warm within": 10 * time.Second, "cold speed share": 0.25})
-	fmt.Println("crowd survived warm", s.desk.crowdCeiling(), "cold", cold.desk.crowdCeiling())
+	fmt.Println("limit", s.desk.concurrencyLimit(s.now))
+	cold := open(Settings{"just started": true, "warm within": 10 * time.Second, "cold speed share": 0.25})
+	fmt.Println("crowd survived warm", s.desk.concurrencyCeiling(), "cold", cold.desk.concurrencyCeiling())
 	// Output:
 	// limit 2
 	// 1600ms run a
@@ -115,15 +115,15 @@
 // The fit: run time against the running count, in proportion while there are too few runs for a line.
 func Example_fit() {
 	s := open(nil)
-	low := s.desk.types["low"]
+	low := s.desk.classes["low"]
 	for i := range 12 {
 		crowd := float64(2 + i%4)
-		low.ran = append(low.ran, sample{took: time.Duration(100+50*crowd) * ms, hint: 100 * ms, crowd: crowd})
+		low.recentRuns = append(low.recentRuns, runSample{took: time.Duration(100+50*crowd) * ms, hint: 100 * ms, concurrency: crowd})
 	}
-	fmt.Println("line", s.desk.fitted(low, 2).Round(ms), s.desk.fitted(low, 6).Round(ms))
-	low.ran = low.ran[:1]
-	low.acked++ // runs come by ended alone, which counts them
-	fmt.Println("proportion", s.desk.fitted(low, 2).Round(ms), s.desk.fitted(low, 4).Round(ms))
+	fmt.Println("line", s.desk.fittedRunTime(low, 2).Round(ms), s.desk.fittedRunTime(low, 6).Round(ms))
+	low.recentRuns = low.recentRuns[:1]
+	low.successes++ // runs come by ended alone, which counts them
+	fmt.Println("proportion", s.desk.fittedRunTime(low, 2).Round(ms), s.desk.fittedRunTime(low, 4).Round(ms))
 	// Output:
 	// line 200ms 400ms
 	// proportion 200ms 400ms
@@ -131,15 +131,15 @@
 
 // No op is lost: a held one, a running one and one at a call are answered before they are due.
 func Example_lost() {
-	s := open(Facts{"below": "shared", "call share": 1.0, "calls over": time.Second, "halt": "drop"})
+	s := open(Settings{"below": "shared", "call share": 1.0, "calls over": time.Second, "halt": "drop"})
 	s.warm(200 * ms)
 	s.read(arrival("calls", 200*ms, 0.1), arrival("runs", 200*ms, 0.1))
 	s.atCall["calls"]()
-	s.desk.Settle()
-	s.desk.endings = s.desk.grownAt // no growth: the third is held
-	s.desk.lastLife += time.Hour    // and no stuck state
+	s.desk.Decide()
+	s.desk.completions = s.desk.grownAtCompletions // no growth: the third is held
+	s.desk.lastProgress += time.Hour               // and no stuck state
 	third := arrival("held", 200*ms, 0.1)
-	third.Waits, third.ToldWait = true, s.now+650*ms
+	third.HasDeadline, third.Deadline = true, s.now+650*ms
 	s.read(arrival("runs too", 200*ms, 0.1), third)
 	s.pass(3100*ms, map[string]float64{"want a core": 2})
 	// Output:
@@ -158,16 +158,16 @@
 // No effect happens twice: a repeat gets the first one's result, a nacked op gives its key back, and a run
 // that is given up fails instead of being nacked.
 func Example_twice() {
-	keyed := Facts{"name": "low", "importance": 1.0, "target latency": time.Second,
+	keyed := Settings{"name": "low", "importance": 1.0, "target latency": time.Second,
 		"op timeout": 2 * time.Second, "repeats": "keyed", "repeat window": 5 * time.Second}
-	s := open(Facts{"op types": []Facts{keyed}, "key KB": 5.0})
+	s := open(Settings{"op types": []Settings{keyed}, "key KB": 5.0})
 	first := arrival("first", 200*ms, 0.1)
-	first.Lay = 10 * ms
+	first.QueueDelay = 10 * ms
 	s.read(first)
 	again := arrival("again", 200*ms, 0.1)
-	again.RepeatsOf = "first"
+	again.DuplicateOf = "first"
 	s.read(again)
-	s.read(Arrival{ID: "too big", Type: "low", KB: 2000})
+	s.read(Request{ID: "too big", Class: "low", MemoryKB: 2000})
 	s.pass(2*time.Second, map[string]float64{"want a core": 2})
 	// Output:
 	// 0ms keep first 4.994s
@@ -182,24 +182,24 @@
 
 // A call is repeated only where that is harmless or the outcome proves that it never ran.
 func Example_calls() {
-	once := Facts{"name": "low", "importance": 1.0, "target latency": time.Second, "op timeout": 2 * time.Second,
+	once := Settings{"name": "low", "importance": 1.0, "target latency": time.Second, "op timeout": 2 * time.Second,
 		"repeats": "non-retryable"}
-	s := open(Facts{"op types": []Facts{once}, "below": "next tier"})
+	s := open(Settings{"op types": []Settings{once}, "below": "next tier"})
 	s.read(arrival("a", 200*ms, 0.1), arrival("b", 200*ms, 0.1))
 	s.atCall["a"]()
 	s.atCall["b"]()
-	s.desk.Settle()
-	s.called["a"](Full, ms)
-	s.called["b"](GivenUp, ms)
-	s.desk.Settle()
+	s.desk.Decide()
+	s.called["a"](Rejected, ms)
+	s.called["b"](TimedOut, ms)
+	s.desk.Decide()
 	fmt.Println("where a poorer answer is worth something")
-	s = open(Facts{"below": "shared", "call share": 1.0, "calls over": time.Second,
+	s = open(Settings{"below": "shared", "call share": 1.0, "calls over": time.Second,
 		"skip share by type": []float64{0.5, 0}})
 	s.read(arrival("c", 200*ms, 0.1))
 	s.atCall["c"]()
-	s.desk.Settle()
-	s.called["c"](GivenUp, ms)
-	s.desk.Settle()
+	s.desk.Decide()
+	s.called["c"](TimedOut, ms)
+	s.desk.Decide()
 	// Output:
 	// 0ms run a
 	// 0ms run b
@@ -217,42 +217,42 @@
 // One spoilt reply, or one that never comes, is no reason for the poorer answer while a run's time is left; the first
 // call is not waited for much longer than any took. What never started is no failure and no sign of life.
 func Example_spoilt() {
-	s := open(Facts{"below": "shared", "call share": 4.0, "calls over": time.Second,
+	s := open(Settings{"below": "shared", "call share": 4.0, "calls over": time.Second,
 		"skip share by type": []float64{0.5, 0.5}})
 	s.warm(100 * ms)
 	s.quiet = true
 	for i := range 16 {
-		id := OpID(fmt.Sprint("called", i))
+		id := RequestID(fmt.Sprint("called", i))
 		s.read(arrival(string(id), 100*ms, 0.1))
 		s.atCall[id]()
-		s.desk.Settle()
+		s.desk.Decide()
 		s.now += 20 * ms
-		s.called[id](Acked, 20*ms)
-		s.end(Acked, 100*ms, id)
+		s.called[id](Succeeded, 20*ms)
+		s.end(Succeeded, 100*ms, id)
 	}
 	s.quiet = false
 	s.read(arrival("a", 100*ms, 0.1))
 	s.atCall["a"]()
-	s.desk.Settle()
-	for _, how := range []Ending{GivenUp, Broken, Broken} {
+	s.desk.Decide()
+	for _, how := range []Outcome{TimedOut, ConnectionLost, ConnectionLost} {
 		fmt.Println("waits for", s.until-s.now)
 		s.now += 20 * ms
 		s.called["a"](how, 20*ms)
-		s.desk.Settle()
+		s.desk.Decide()
 	}
-	s.end(Acked, 100*ms, "a")
+	s.end(Succeeded, 100*ms, "a")
 	fmt.Println("with little time left")
 	s.read(arrival("b", 100*ms, 0.1))
 	s.atCall["b"]()
-	s.desk.Settle()
+	s.desk.Decide()
 	s.now += 920 * ms
-	s.called["b"](Broken, 920*ms)
-	s.end(Acked, 100*ms, "b")
+	s.called["b"](ConnectionLost, 920*ms)
+	s.end(Succeeded, 100*ms, "b")
 	s.read(arrival("c", 100*ms, 0.1))
-	life := s.desk.lastLife
+	life := s.desk.lastProgress
 	s.now += ms
-	s.end(Moot, 0, "c")
-	fmt.Println(s.desk.lastLife == life, s.desk.failShare(s.now))
+	s.end(NotStarted, 0, "c")
+	fmt.Println(s.desk.lastProgress == life, s.desk.failureRate(s.now))
 	// Output:
 	// 1920ms run a
 	// 1920ms call a
@@ -274,7 +274,7 @@
 func Example_drain() {
 	s := open(nil)
 	s.warm(200 * ms)
-	s.desk.Leave(s.now + 1500*ms)
+	s.desk.Drain(s.now + 1500*ms)
 	s.read(arrival("in time", 200*ms, 0.1))
 	s.pass(1100*ms, map[string]float64{"want a core": 1})
 	s.read(arrival("after the grace", 200*ms, 0.1))
@@ -291,13 +291,13 @@
 func Example_memory() {
 	s := open(nil)
 	big := arrival("big", 200*ms, 0.1)
-	big.KB = 200
+	big.MemoryKB = 200
 	s.read(big)
 	big.ID = "second"
 	s.read(big) // would need 4 x 200 more
-	big.ID, big.KB = "third", 900
+	big.ID, big.MemoryKB = "third", 900
 	s.read(big)
-	s.end(Acked, 200*ms, "big")
+	s.end(Succeeded, 200*ms, "big")
 	// Output:
 	// 0ms run big
 	// 0ms nack third
@@ -306,12 +306,12 @@
 
 // Stuck: work goes in and none comes out. All are told at once; the first ending is the way back.
 func Example_stuck() {
-	s := open(Facts{"signal": "chance"})
+	s := open(Settings{"signal": "chance"})
 	s.warm(100 * ms)
 	s.read(arrival("a", 100*ms, 0.1), arrival("b", 100*ms, 0.1), arrival("c", 100*ms, 0.9))
 	s.pass(800*ms, map[string]float64{"want a core": 2})
 	s.read(arrival("d", 100*ms, 0.1))
-	s.end(Acked, 900*ms, "a", "b")
+	s.end(Succeeded, 900*ms, "a", "b")
 	s.read(arrival("e", 100*ms, 0.1))
 	// Output:
 	// 1600ms run c
@@ -339,8 +339,8 @@
 		id := fmt.Sprint("f", i)
 		s.quiet = i > 0 && i < 14
 		s.read(arrival(id, 100*ms, 0.1))
-		if end := s.ended[OpID(id)]; end != nil {
-			s.end(Failed, ms, OpID(id))
+		if end := s.ended[RequestID(id)]; end != nil {
+			s.end(Failed, ms, RequestID(id))
 		}
 	}
 	s.pass(6*time.Second, nil)
@@ -356,24 +356,24 @@
 
 // A tenant beyond its quota waits for the others: its first op is within, its later ones are not.
 func Example_quota() {
-	s := open(Facts{"fleet size": 1.0, "tenants": []Facts{{"name": "x", "quota a second": 0.1},
+	s := open(Settings{"fleet size": 1.0, "tenants": []Settings{{"name": "x", "quota a second": 0.1},
 		{"name": "y", "quota a second": 100.0}}})
 	s.warm(200 * ms)
 	s.read(arrival("a", 200*ms, 0.1), arrival("b", 200*ms, 0.1))
 	for i := range 6 {
 		x := arrival(fmt.Sprint("x", i), 100*ms, 0.1)
 		x.Tenant = "x"
-		s.desk.Read(x)
+		s.desk.Submit(x)
 	}
 	y := arrival("y", 150*ms, 0.1)
 	y.Tenant = "y"
 	s.read(y)
-	s.end(Acked, 200*ms, "a", "b")
-	s = open(Facts{"fleet size": 1.0, "tenants": []Facts{{"name": "x", "quota a second": 100.0},
+	s.end(Succeeded, 200*ms, "a", "b")
+	s = open(Settings{"fleet size": 1.0, "tenants": []Settings{{"name": "x", "quota a second": 100.0},
 		{"name": "y", "quota a second": 100.0}}})
 	y.Tenant = "y"
 	n := 1
-	for ; n < 900 && !s.desk.beyondQuota(&op{Arrival: y}, s.now); n++ {
+	for ; n < 900 && !s.desk.exceedsQuota(&trackedRequest{Request: y}, s.now); n++ {
 	}
 	fmt.Println("of hundreds within a moment, the first one beyond is", n)
 	// Output:
@@ -387,11 +387,11 @@
 // Reading is swamped: ops come in that lay unread for long. The signal falls, and once it lasts, nacked ops
 // are asked not to walk on.
 func Example_swamped() {
-	s := open(Facts{"signal": "chance"})
+	s := open(Settings{"signal": "chance"})
 	s.warm(200 * ms)
 	for i := range 12 {
 		late := arrival(fmt.Sprint("s", i), 400*ms, 0.1)
-		late.Lay = 450 * ms
+		late.QueueDelay = 450 * ms
 		s.quiet = i > 0 && i < 11
 		s.read(late)
 		s.pass(50*ms, map[string]float64{"want a core": 4})
@@ -406,20 +406,20 @@
 func Example_sameSeed() {
 	trace := func() string {
 		var out strings.Builder
-		s := open(Facts{"signal": "chance", "stay away is passed on": true, "longest stay away": time.Second})
+		s := open(Settings{"signal": "chance", "stay away is passed on": true, "longest stay away": time.Second})
 		s.out = &out
 		for i := range 20 {
 			s.read(arrival(fmt.Sprint("op", i), time.Duration(100+i)*ms, float64(i%5)/5))
 			s.now += 40 * ms
 			if i%4 == 3 {
-				s.end(Acked, 150*ms, "op0", "op1")
+				s.end(Succeeded, 150*ms, "op0", "op1")
 			}
 		}
 		return out.String()
 	}
 	first := trace()
 	fmt.Println(strings.Count(first, "\n"), "lines, the same:", first == trace())
-	fmt.Println(open(nil).desk.chance() == (&Desk{seed: 8}).chance())
+	fmt.Println(open(nil).desk.random() == (&Controller{seed: 8}).random())
 	// Output:
 	// 44 lines, the same: true
 	// false
@@ -430,17 +430,17 @@
 	s := open(nil)
 	for i := range 16 {
 		first := arrival(fmt.Sprint("first", i), 100*ms, 0.1)
-		first.Waits, first.ToldWait = true, s.now+1500*ms
+		first.HasDeadline, first.Deadline = true, s.now+1500*ms
 		s.quiet = true
 		s.read(first)
-		s.end(Acked, 100*ms, first.ID)
+		s.end(Succeeded, 100*ms, first.ID)
 		s.now += 100 * ms
 	}
 	for _, left := range []time.Duration{1500, 2300} {
 		a := arrival(fmt.Sprint("left ", int(left)), 100*ms, 0.1)
-		a.Waits, a.ToldWait = true, s.now+left*ms
+		a.HasDeadline, a.Deadline = true, s.now+left*ms
 		s.read(a)
-		fmt.Println(a.ID, "slack", s.desk.slack(s.desk.ops[a.ID], s.now))
+		fmt.Println(a.ID, "slack", s.desk.slack(s.desk.requests[a.ID], s.now))
 	}
 	// Output:
 	// left 1500 slack 1s
@@ -449,35 +449,35 @@
 
 // What is below is crowded: while calls take over four times their quickest quarter, fewer are in hand.
 func Example_callsCrowded() {
-	s := open(Facts{"below": "shared", "call share": 4.0, "calls over": time.Second, "cores": 4.0})
+	s := open(Settings{"below": "shared", "call share": 4.0, "calls over": time.Second, "cores": 4.0})
 	for i := range 24 {
 		took := 10 * ms
 		if i >= 20 {
 			took = 100 * ms
 		}
-		s.desk.callRan = append(s.desk.callRan, took)
+		s.desk.recentCallTimes = append(s.desk.recentCallTimes, took)
 		if i == 19 || i == 23 {
-			ease, _ := s.desk.callEase()
+			ease, _ := s.desk.callThrottle()
 			fmt.Printf("calls of %v: %.2f of the share\n", took, ease)
 		}
 	}
 	s.read(arrival("a", 100*ms, 0.1), arrival("b", 100*ms, 0.1))
 	s.atCall["a"]()
 	s.atCall["b"]()
-	s.desk.Settle()
+	s.desk.Decide()
 	s.now += 100 * ms
-	s.called["a"](Acked, 100*ms)
-	s.desk.Settle()
+	s.called["a"](Succeeded, 100*ms)
+	s.desk.Decide()
 	fmt.Println("much was held before it was crowded")
-	s.called["b"](Acked, 100*ms)
-	s.end(Acked, 200*ms, "a", "b")
+	s.called["b"](Succeeded, 100*ms)
+	s.end(Succeeded, 200*ms, "a", "b")
 	for range 5 {
-		s.desk.calls = append(s.desk.calls, call{from: s.now - 900*ms, until: s.now})
+		s.desk.calls = append(s.desk.calls, upstreamCall{from: s.now - 900*ms, until: s.now})
 	}
 	s.now += ms
 	s.read(arrival("c", 100*ms, 0.1))
 	s.atCall["c"]()
-	s.desk.Settle()
+	s.desk.Decide()
 	fmt.Println("c may take", s.until-s.now)
 	// Output:
 	// calls of 10ms: 1.00 of the share
@@ -494,13 +494,13 @@
 
 // A run past its target latency is stopped while another waits and no core is free.
 func Example_worthless() {
-	s := open(Facts{"halt": "drop"})
+	s := open(Settings{"halt": "drop"})
 	s.warm(400 * ms)
 	s.read(arrival("a", 400*ms, 0.1), arrival("b", 400*ms, 0.1))
 	s.now += 1010 * ms
-	s.desk.lastLife = s.now
+	s.desk.lastProgress = s.now
 	s.read(arrival("c", 100*ms, 0.1))
-	s.end(Cancelled, 1010*ms, "a", "b")
+	s.end(Stopped, 1010*ms, "a", "b")
 	// Output:
 	// 6400ms run a
 	// 6400ms run b
@@ -515,7 +515,7 @@
 // sooner at each look, but not while more is nacked than started.
 func Example_idle() {
 	scene := func(callers int, work time.Duration) {
-		s := open(Facts{"connections idle": 8 * time.Second})
+		s := open(Settings{"connections idle": 8 * time.Second})
 		for i := range 20 {
 			a := arrival(fmt.Sprint("op", i), work, 0.1)
 			a.Caller = CallerID(i % callers)
@@ -523,11 +523,11 @@
 			s.read(a)
 			s.pass(100*ms, map[string]float64{"want a core": 2, "cores busy": 1})
 			if work < time.Second {
-				s.end(Acked, 100*ms, a.ID)
+				s.end(Succeeded, 100*ms, a.ID)
 			}
 		}
-		nacked := s.desk.nackedShare() > 0.5
-		fmt.Println(callers, "callers, ops of", work, "nacked", nacked, "idle for", s.desk.idleFor)
+		nacked := s.desk.rejectionRate() > 0.5
+		fmt.Println(callers, "callers, ops of", work, "nacked", nacked, "idle for", s.desk.idleTimeout)
 	}
 	scene(2, 100*ms)
 	scene(20, 100*ms)
@@ -541,27 +541,27 @@
 // A call share under one is a part of the time: one call in hand at most, given up when the part is used, and
 // no other until enough of the span has passed.
 func Example_callsInPart() {
-	patient := Facts{"name": "low", "importance": 1.0, "target latency": 10 * time.Second,
+	patient := Settings{"name": "low", "importance": 1.0, "target latency": 10 * time.Second,
 		"op timeout": 20 * time.Second, "repeats": "retryable"}
-	s := open(Facts{"op types": []Facts{patient}, "below": "shared", "call share": 0.4,
+	s := open(Settings{"op types": []Settings{patient}, "below": "shared", "call share": 0.4,
 		"calls over": 5 * time.Second})
 	for range 16 {
-		s.desk.callRan = append(s.desk.callRan, 100*ms)
+		s.desk.recentCallTimes = append(s.desk.recentCallTimes, 100*ms)
 	}
-	ops := []OpID{"a", "b", "c"}
+	ops := []RequestID{"a", "b", "c"}
 	for _, id := range ops {
 		s.read(arrival(string(id), 100*ms, 0.1))
 		s.atCall[id]()
 	}
-	s.desk.Settle()
-	most, held := s.desk.callTime(s.now)
+	s.desk.Decide()
+	most, held := s.desk.callTimeBudget(s.now)
 	fmt.Println("in hand for", most, "at most, so far", held)
 	s.now += 1750 * ms
-	s.called["a"](Acked, 1750*ms)
-	s.desk.Settle() // too little is left for another
+	s.called["a"](Succeeded, 1750*ms)
+	s.desk.Decide() // too little is left for another
 	s.now += 4 * time.Second
-	s.desk.lastLife = s.now // and no stuck state
-	s.desk.Settle()
+	s.desk.lastProgress = s.now // and no stuck state
+	s.desk.Decide()
 	// Output:
 	// 0ms run a
 	// 0ms run b
@@ -574,7 +574,7 @@
 // A token for each caller is told as a chance where callers seldom have two ops here.
 func Example_tokens() {
 	for _, callers := range []int{2, 40} {
-		s := open(Facts{"signal": "tokens"})
+		s := open(Settings{"signal": "tokens"})
 		s.warm(200 * ms)
 		s.quiet = true
 		for i := range 60 {
@@ -583,7 +583,7 @@
 			s.read(a)
 			s.now += 20 * ms
 		}
-		fmt.Printf("%d callers: welcome %.2f, token %.2f\n", callers, s.desk.welcome(), s.desk.level)
+		fmt.Printf("%d callers: welcome %.2f, token %.2f\n", callers, s.desk.acceptance(), s.desk.loadLevel)
 	}
 	// Output:
 	// 2 callers: welcome 0.14, token 0.50
@@ -596,7 +596,7 @@
 	s.warm(400 * ms)
 	for i := range 10 {
 		a := arrival(fmt.Sprint("op", i), 400*ms, 0.1)
-		a.Retry = i%2 == 1
+		a.IsRetry = i%2 == 1
 		s.quiet = i < 7
 		s.read(a)
 	}
--- a/choice/cold_test.go
+++ b/choice/cold_test.go
@@ -13,7 +13,7 @@
 	const from, target, fall = 0.3, time.Second, 2 * time.Second
 	for callers := 1; callers <= 300; callers++ {
 		for _, seen := range []int{0, 1, callers / 2, callers} {
-			s := open(Facts{"signal": "tokens", "callers": float64(callers), "just started": true, "warm within": 10 * time.Second,
+			s := open(Settings{"signal": "tokens", "callers": float64(callers), "just started": true, "warm within": 10 * time.Second,
 				"cold speed share": from, "crowd over": fall})
 			s.quiet = true
 			for i := range seen {
@@ -21,15 +21,15 @@
 				a.Caller = CallerID(i)
 				s.read(a)
 				s.now += ms
-				s.end(Acked, 10*ms, a.ID)
+				s.end(Succeeded, 10*ms, a.ID)
 			}
-			s.desk.Settle()
+			s.desk.Decide()
 			// What is allowed in the told span while nothing is known of the work: an eighth of a target each, on two cores.
-			n := 2 * s.desk.speedShare() * float64(fall) / float64(target/8)
+			n := 2 * s.desk.warmUpShare() * float64(fall) / float64(target/8)
 			if seen > 0 {
-				n = 2 * s.desk.speedShare() * float64(fall) / float64(10*ms)
+				n = 2 * s.desk.warmUpShare() * float64(fall) / float64(10*ms)
 			}
-			if sum := float64(callers) * s.desk.level; sum > n+2*math.Sqrt(n+2) || sum <= 0 {
+			if sum := float64(callers) * s.desk.loadLevel; sum > n+2*math.Sqrt(n+2) || sum <= 0 {
 				t.Fatalf("%d callers, %d seen: %.1f invited, %.1f allowed", callers, seen, sum, n)
 			}
 		}
@@ -38,10 +38,10 @@
 
 // The level by rank holds from the first answer of a cold instance on: nobody has come yet, and three in ten of the ranks are wanted.
 func Example_coldLevel() {
-	s := open(Facts{"signal": "least rank", "just started": true, "warm within": 10 * time.Second, "cold speed share": 0.3})
-	s.desk.Settle()
-	warm := open(Facts{"signal": "least rank"})
-	warm.desk.Settle()
+	s := open(Settings{"signal": "least rank", "just started": true, "warm within": 10 * time.Second, "cold speed share": 0.3})
+	s.desk.Decide()
+	warm := open(Settings{"signal": "least rank"})
+	warm.desk.Decide()
 	// Output:
 	// 0ms signal 0.70
 	// 0ms signal 0.00
--- a/choice/crowd_test.go
+++ b/choice/crowd_test.go
@@ -12,20 +12,20 @@
 func TestCallsComeBackTogether(t *testing.T) {
 	for _, cores := range []float64{1, 4} {
 		for _, crowd := range []float64{2, 3, 4, 8} {
-			s := open(Facts{"cores": cores, "crowd a core": crowd, "below": "shared", "call share": 100.0, "calls over": 5 * time.Second, "memory KB": 1e6})
+			s := open(Settings{"cores": cores, "crowd a core": crowd, "below": "shared", "call share": 100.0, "calls over": 5 * time.Second, "memory KB": 1e6})
 			s.quiet = true
-			chance, n := s.desk.chance, 0
-			var inCall []OpID
+			chance, n := s.desk.random, 0
+			var inCall []RequestID
 			most := 0
 			for step := range 400 {
 				s.now += 2 * ms
-				var in []Arrival
-				for len(s.desk.hold) < 12 && len(in) < 4 {
+				var in []Request
+				for len(s.desk.queue) < 12 && len(in) < 4 {
 					n++
 					in = append(in, arrival(fmt.Sprint("o", n), 10*ms, 0.9))
 				}
 				s.read(in...)
-				var on []OpID
+				var on []RequestID
 				for _, o := range s.desk.running {
 					on = append(on, o.ID)
 				}
@@ -37,11 +37,11 @@
 						delete(s.atCall, id)
 						at()
 					} else {
-						s.ended[id](Acked, 10*ms)
+						s.ended[id](Succeeded, 10*ms)
 						delete(s.ended, id)
 					}
 				}
-				s.desk.Settle()
+				s.desk.Decide()
 				for id := range s.called {
 					if !slices.Contains(inCall, id) {
 						inCall = append(inCall, id)
@@ -51,13 +51,13 @@
 					for _, id := range inCall {
 						if done := s.called[id]; done != nil {
 							delete(s.called, id)
-							done(Acked, 100*ms)
+							done(Succeeded, 100*ms)
 						}
 					}
 					inCall = nil
 				}
-				s.desk.Settle()
-				s.desk.look(map[string]float64{"want a core": 0.5, "cores busy": 0.5}) // idle cores let it grow
+				s.desk.Decide()
+				s.desk.recordGauges(map[string]float64{"want a core": 0.5, "cores busy": 0.5}) // idle cores let it grow
 				most = max(most, len(s.desk.running))
 			}
 			if float64(most) > cores*crowd || float64(most) < cores {
@@ -74,19 +74,19 @@
 		for _, crowd := range []float64{2, 3, 8} {
 			for _, cold := range []bool{false, true} {
 				for _, share := range []float64{2, 1e6} {
-					s := open(Facts{"cores": cores, "crowd a core": crowd, "below": "shared", "call share": share, "calls over": 5 * time.Second, "memory KB": 4000 * cores,
+					s := open(Settings{"cores": cores, "crowd a core": crowd, "below": "shared", "call share": share, "calls over": 5 * time.Second, "memory KB": 4000 * cores,
 						"skip share by type": []float64{0.8}, "just started": cold, "warm within": 4 * time.Second, "cold speed share": 0.05})
 					s.quiet = true
 					n, calls, ends := 0, 0, 0
 					for step := range 400 {
 						s.now += 10 * ms
-						var in []Arrival
-						for len(s.desk.hold)+len(in) < 12 {
+						var in []Request
+						for len(s.desk.queue)+len(in) < 12 {
 							n++
 							in = append(in, arrival(fmt.Sprint("o", n), 10*ms, 0.9))
 						}
 						s.read(in...)
-						var on []OpID
+						var on []RequestID
 						for _, o := range s.desk.running {
 							on = append(on, o.ID)
 						}
@@ -98,22 +98,22 @@
 								delete(s.atCall, id)
 								at()
 							} else {
-								s.ended[id](Acked, 10*ms)
+								s.ended[id](Succeeded, 10*ms)
 								ends++
 							}
 						}
-						s.desk.Settle()
+						s.desk.Decide()
 						for id, done := range s.called { // each call takes a while, and with little below comes back alone
-							if o := s.desk.ops[id]; o != nil && (share <= 2 || step%7 == 0) {
+							if o := s.desk.requests[id]; o != nil && (share <= 2 || step%7 == 0) {
 								delete(s.called, id)
-								done(Acked, 100*ms)
+								done(Succeeded, 100*ms)
 								calls++
 							}
 						}
-						s.desk.Settle()
-						survived := s.desk.survived()
-						if most := float64(len(s.desk.running) + s.desk.open); most > survived && most > 1 {
-							t.Fatalf("%v cores, %v a core, cold %v, share %v: %d run and %d are in a call, %.1f are survived", cores, crowd, cold, share, len(s.desk.running), s.desk.open, survived)
+						s.desk.Decide()
+						survived := s.desk.survivableConcurrency()
+						if most := float64(len(s.desk.running) + s.desk.openCalls); most > survived && most > 1 {
+							t.Fatalf("%v cores, %v a core, cold %v, share %v: %d run and %d are in a call, %.1f are survived", cores, crowd, cold, share, len(s.desk.running), s.desk.openCalls, survived)
 						}
 					}
 					if calls < 50 || ends < 50 { // one call at a time comes back 57 times
@@ -131,12 +131,12 @@
 		s := open(nil)
 		s.quiet = true
 		a := arrival("a", 10*ms, 0.1)
-		a.Waits, a.ToldWait = true, time.Minute
+		a.HasDeadline, a.Deadline = true, time.Minute
 		s.read(a)
 		killAt := s.now + drain
-		s.desk.Leave(killAt)
-		s.desk.Settle()
-		for !s.desk.ops["a"].answered && s.now < killAt {
+		s.desk.Drain(killAt)
+		s.desk.Decide()
+		for !s.desk.requests["a"].answered && s.now < killAt {
 			s.pass(2*ms, nil)
 		}
 		fmt.Println(drain, "answered before the kill by", killAt-s.now)
--- a/choice/decisions_test.go
+++ b/choice/decisions_test.go
@@ -30,10 +30,10 @@
 type recorder struct {
 	hash   hash.Hash64
 	now    time.Duration
-	desk   *Desk
-	atCall map[OpID]func()
-	ended  map[OpID]func(Ending, time.Duration)
-	called map[OpID]func(Ending, time.Duration)
+	desk   *Controller
+	atCall map[RequestID]func()
+	ended  map[RequestID]func(Outcome, time.Duration)
+	called map[RequestID]func(Outcome, time.Duration)
 	wakes  []wake
 	said   int
 }
@@ -44,37 +44,37 @@
 }
 
 func (r *recorder) Now() time.Duration { return r.now }
-func (r *recorder) Run(id OpID, atCall func(), ended func(Ending, time.Duration)) {
+func (r *recorder) Start(id RequestID, atCall func(), ended func(Outcome, time.Duration)) {
 	r.say("run %s", id)
 	r.atCall[id], r.ended[id] = atCall, ended
 }
-func (r *recorder) Stop(id OpID) { r.say("stop %s", id) }
-func (r *recorder) Fail(id OpID) { r.say("fail %s", id) }
-func (r *recorder) Share(id OpID, ended func(Ending, time.Duration)) {
+func (r *recorder) Stop(id RequestID) { r.say("stop %s", id) }
+func (r *recorder) Fail(id RequestID) { r.say("fail %s", id) }
+func (r *recorder) Coalesce(id RequestID, ended func(Outcome, time.Duration)) {
 	r.say("share %s", id)
 	r.ended[id] = ended
 }
-func (r *recorder) Nack(id OpID, away time.Duration, nowhere bool) {
+func (r *recorder) Reject(id RequestID, away time.Duration, nowhere bool) {
 	r.say("nack %s %d %v", id, away, nowhere)
 }
-func (r *recorder) Call(id OpID, until time.Duration, done func(Ending, time.Duration)) {
+func (r *recorder) Call(id RequestID, until time.Duration, done func(Outcome, time.Duration)) {
 	r.say("call %s %d", id, until)
 	r.called[id] = done
 }
-func (r *recorder) SkipCall(id OpID)                    { r.say("skip %s", id) }
-func (r *recorder) KeepKey(id OpID, span time.Duration) { r.say("keep %s %d", id, span) }
-func (r *recorder) DropKey(id OpID)                     { r.say("drop %s", id) }
-func (r *recorder) Health(good, stored bool)            { r.say("health %v %v", good, stored) }
-func (r *recorder) Signal(level float64)                { r.say("signal %v", level) }
-func (r *recorder) IdleFor(span time.Duration)          { r.say("idle %d", span) }
-func (r *recorder) Note(line string)                    { r.say("note %s", line) }
-func (r *recorder) Wake(at time.Duration, then func(map[string]float64)) {
+func (r *recorder) SkipCall(id RequestID)                       { r.say("skip %s", id) }
+func (r *recorder) KeepRecord(id RequestID, span time.Duration) { r.say("keep %s %d", id, span) }
+func (r *recorder) DropRecord(id RequestID)                     { r.say("drop %s", id) }
+func (r *recorder) SetHealth(good, stored bool)                 { r.say("health %v %v", good, stored) }
+func (r *recorder) PublishLoad(level float64)                   { r.say("signal %v", level) }
+func (r *recorder) SetIdleTimeout(span time.Duration)           { r.say("idle %d", span) }
+func (r *recorder) LogTransition(line string)                   { r.say("note %s", line) }
+func (r *recorder) WakeAt(at time.Duration, then func(map[string]float64)) {
 	r.say("wake %d", at)
 	r.wakes = append(r.wakes, wake{at, then})
 }
 
 // pick gives one of a map's keys, by chance but not by the map's order.
-func pick[T any](chance *rand.Rand, m map[OpID]T) (OpID, bool) {
+func pick[T any](chance *rand.Rand, m map[RequestID]T) (RequestID, bool) {
 	if len(m) == 0 {
 		return "", false
 	}
@@ -85,25 +85,25 @@
 // play plays one scene: types, tenants, quotas, calls, hints, drains, crowds, cold starts, times and gauges that jump.
 func play(seed uint64) (uint64, int) {
 	c := rand.New(rand.NewPCG(seed, 18))
-	r := &recorder{hash: fnv.New64a(), atCall: map[OpID]func(){}, ended: map[OpID]func(Ending, time.Duration){},
-		called: map[OpID]func(Ending, time.Duration){}}
+	r := &recorder{hash: fnv.New64a(), atCall: map[RequestID]func(){}, ended: map[RequestID]func(Outcome, time.Duration){},
+		called: map[RequestID]func(Outcome, time.Duration){}}
 	ms := func(least, most int) time.Duration {
 		return time.Duration(least+c.IntN(most-least+1)) * time.Millisecond
 	}
 	one := func(words ...string) string { return words[c.IntN(len(words))] }
-	var types []Facts
+	var types []Settings
 	for i := range 1 + c.IntN(3) {
 		target := ms(200, 2000)
-		types = append(types, Facts{"name": fmt.Sprint("t", i), "importance": float64(1 + c.IntN(3)), "target latency": target,
+		types = append(types, Settings{"name": fmt.Sprint("t", i), "importance": float64(1 + c.IntN(3)), "target latency": target,
 			"op timeout": target + ms(0, 3000), "late share": []float64{0, 0, 0.3, 0.6}[c.IntN(4)], "repeats": one("retryable", "retryable", "keyed", "non-retryable"),
 			"repeat window": ms(500, 5000), "target stretch": []float64{0, 0, 4}[c.IntN(3)]})
 	}
-	var tenants []Facts
+	var tenants []Settings
 	for i := range c.IntN(4) {
-		tenants = append(tenants, Facts{"name": fmt.Sprint("w", i), "quota a second": float64(1 + c.IntN(50))})
+		tenants = append(tenants, Settings{"name": fmt.Sprint("w", i), "quota a second": float64(1 + c.IntN(50))})
 	}
 	cores := 1 + c.IntN(8)
-	facts := Facts{"op types": types, "tenants": tenants, "cores": float64(cores), "run memory factor": float64(1 + c.IntN(4)),
+	facts := Settings{"op types": types, "tenants": tenants, "cores": float64(cores), "run memory factor": float64(1 + c.IntN(4)),
 		"memory KB": float64(200 + c.IntN(4000)), "tick": 2 * time.Millisecond, "crowd a core": []float64{0, 4, 8}[c.IntN(3)],
 		"drain grace": ms(0, 1000), "below": one("shared", "next tier", "none"), "call share": []float64{0, 0.3, 2, 8}[c.IntN(4)],
 		"calls over": ms(1000, 5000), "given-up call lingers": ms(0, 300), "skip share by type": []float64{0, 0.5, 0}[:1+c.IntN(3)],
@@ -111,7 +111,7 @@
 		"signal": one("chance", "least rank", "tokens", "none"), "just started": c.IntN(3) == 0, "warm within": ms(0, 5000),
 		"cold speed share": 0.3, "key KB": float64(c.IntN(3)), "fleet size": float64(1 + c.IntN(5)), "callers": 4.0,
 		"connections idle": ms(1000, 30000), "shared reads for": []time.Duration{0, 0, time.Second}[c.IntN(3)]}
-	r.desk = Open(seed, facts, r)
+	r.desk = New(seed, facts, r)
 	runs := time.Duration(5+c.IntN(60)) * time.Millisecond // of one op, about
 	gauges := func() map[string]float64 {
 		switch c.IntN(8) {
@@ -127,24 +127,24 @@
 		for range batch {
 			n++
 			t := types[c.IntN(len(types))]
-			a := Arrival{ID: OpID(fmt.Sprintf("%016x", n)), Type: OpType(t.text("name")), Rank: c.Float64(), Retry: c.IntN(5) == 0,
-				Write: c.IntN(2) == 0, Caller: CallerID(c.IntN(6)), Hint: time.Duration(c.ExpFloat64() * float64(runs)), KB: 1 + 20*c.Float64()}
+			a := Request{ID: RequestID(fmt.Sprintf("%016x", n)), Class: Class(t.text("name")), Rank: c.Float64(), IsRetry: c.IntN(5) == 0,
+				IsWrite: c.IntN(2) == 0, Caller: CallerID(c.IntN(6)), WorkHint: time.Duration(c.ExpFloat64() * float64(runs)), MemoryKB: 1 + 20*c.Float64()}
 			if c.IntN(3) == 0 {
-				a.Hint = []time.Duration{0, runs, 100 * runs}[c.IntN(3)]
+				a.WorkHint = []time.Duration{0, runs, 100 * runs}[c.IntN(3)]
 			}
 			if c.IntN(3) == 0 {
-				a.Lay = ms(0, 400)
+				a.QueueDelay = ms(0, 400)
 			}
 			if c.IntN(2) == 0 {
-				a.Waits, a.ToldWait = true, r.now-a.Lay+ms(10, 3000)
+				a.HasDeadline, a.Deadline = true, r.now-a.QueueDelay+ms(10, 3000)
 			}
-			if !a.Write {
-				a.Subject = one("", "k1", "k2")
+			if !a.IsWrite {
+				a.Resource = one("", "k1", "k2")
 			}
 			if len(tenants) > 0 {
 				a.Tenant = TenantID(tenants[c.IntN(len(tenants))].text("name"))
 			}
-			r.desk.Read(a)
+			r.desk.Submit(a)
 		}
 	}
 	for range 150 {
@@ -160,7 +160,7 @@
 		case 3:
 			if !left && c.IntN(25) == 0 {
 				left = true
-				r.desk.Leave(r.now + ms(500, 3000))
+				r.desk.Drain(r.now + ms(500, 3000))
 			}
 		default:
 			read(c.IntN(6))
@@ -173,9 +173,9 @@
 					at()
 				case r.called[id] == nil:
 					delete(r.ended, id)
-					how := Acked
+					how := Succeeded
 					if c.IntN(10) == 0 {
-						how = []Ending{Failed, Cancelled, Moot}[c.IntN(3)]
+						how = []Outcome{Failed, Stopped, NotStarted}[c.IntN(3)]
 					}
 					done(how, time.Duration((0.2+c.ExpFloat64())*float64(runs)))
 				}
@@ -185,13 +185,13 @@
 			if id, any := pick(c, r.called); any {
 				done := r.called[id]
 				delete(r.called, id)
-				done([]Ending{Acked, Acked, Acked, Failed, Full, GivenUp, Unreached, Broken}[c.IntN(8)], ms(1, 100))
+				done([]Outcome{Succeeded, Succeeded, Succeeded, Failed, Rejected, TimedOut, Unreachable, ConnectionLost}[c.IntN(8)], ms(1, 100))
 			}
 		}
 		if n > 0 && c.IntN(10) == 0 {
-			r.desk.Gone(OpID(fmt.Sprintf("%016x", 1+c.IntN(n))))
+			r.desk.Cancel(RequestID(fmt.Sprintf("%016x", 1+c.IntN(n))))
 		}
-		r.desk.Settle()
+		r.desk.Decide()
 		due := r.wakes
 		r.wakes = nil
 		for _, w := range due {
@@ -201,7 +201,7 @@
 				r.wakes = append(r.wakes, w)
 			}
 		}
-		r.desk.Settle()
+		r.desk.Decide()
 	}
 	return r.hash.Sum64(), r.said
 }
--- a/choice/held_test.go
+++ b/choice/held_test.go
@@ -13,18 +13,18 @@
 func BenchmarkHeld(b *testing.B) {
 	for _, held := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(held), func(b *testing.B) {
-			long := Facts{"name": "low", "importance": 1.0, "target latency": 1e6 * time.Second, "op timeout": 3e6 * time.Second, "repeats": "retryable"}
-			s := open(Facts{"op types": []Facts{long}, "memory KB": 1e12, "cores": 4.0})
+			long := Settings{"name": "low", "importance": 1.0, "target latency": 1e6 * time.Second, "op timeout": 3e6 * time.Second, "repeats": "retryable"}
+			s := open(Settings{"op types": []Settings{long}, "memory KB": 1e12, "cores": 4.0})
 			s.quiet = true
 			n := 0
 			add := func() {
 				n++
-				s.desk.Read(Arrival{ID: OpID(fmt.Sprint(n)), Type: "low", Hint: 10 * time.Millisecond, Rank: 0.1, KB: 1})
+				s.desk.Submit(Request{ID: RequestID(fmt.Sprint(n)), Class: "low", WorkHint: 10 * time.Millisecond, Rank: 0.1, MemoryKB: 1})
 			}
 			end := func(most int) {
 				for id, done := range s.ended {
 					delete(s.ended, id)
-					done(Acked, 10*time.Millisecond)
+					done(Succeeded, 10*time.Millisecond)
 					if most--; most == 0 {
 						break
 					}
@@ -32,15 +32,15 @@
 			}
 			for range 64 {
 				add()
-				s.desk.Settle()
+				s.desk.Decide()
 				s.now += 10 * time.Millisecond
 				end(-1)
-				s.desk.Settle()
+				s.desk.Decide()
 			}
 			for range held {
 				add()
 			}
-			s.desk.Settle()
+			s.desk.Decide()
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
@@ -48,7 +48,7 @@
 				add()
 				end(1)
 				s.wakes = s.wakes[:0]
-				s.desk.Settle()
+				s.desk.Decide()
 			}
 		})
 	}
--- a/choice/helper_test.go
+++ b/choice/helper_test.go
@@ -10,12 +10,12 @@
 // bench-free stand-in for the port: it prints what the module does and keeps the closures it leaves.
 type scene struct {
 	now    time.Duration
-	desk   *Desk
+	desk   *Controller
 	quiet  bool
 	out    io.Writer
-	atCall map[OpID]func()
-	ended  map[OpID]func(Ending, time.Duration)
-	called map[OpID]func(Ending, time.Duration)
+	atCall map[RequestID]func()
+	ended  map[RequestID]func(Outcome, time.Duration)
+	called map[RequestID]func(Outcome, time.Duration)
 	wakes  []wake
 	until  time.Duration // when the last call is given up
 }
@@ -32,75 +32,75 @@
 }
 
 func (s *scene) Now() time.Duration { return s.now }
-func (s *scene) Run(id OpID, atCall func(), ended func(Ending, time.Duration)) {
+func (s *scene) Start(id RequestID, atCall func(), ended func(Outcome, time.Duration)) {
 	s.say("run %s", id)
 	s.atCall[id], s.ended[id] = atCall, ended
 }
-func (s *scene) Stop(id OpID) { s.say("stop %s", id) }
-func (s *scene) Fail(id OpID) { s.say("fail %s", id) }
-func (s *scene) Nack(id OpID, stayAway time.Duration, nowhereElse bool) {
+func (s *scene) Stop(id RequestID) { s.say("stop %s", id) }
+func (s *scene) Fail(id RequestID) { s.say("fail %s", id) }
+func (s *scene) Reject(id RequestID, stayAway time.Duration, nowhereElse bool) {
 	s.say("nack %s%s%s", id, map[bool]string{true: fmt.Sprint(", away ", stayAway)}[stayAway > 0], map[bool]string{true: ", nowhere else"}[nowhereElse])
 }
-func (s *scene) Share(id OpID, ended func(Ending, time.Duration)) {
+func (s *scene) Coalesce(id RequestID, ended func(Outcome, time.Duration)) {
 	s.say("share %s", id)
 	s.ended[id] = ended
 }
-func (s *scene) Call(id OpID, until time.Duration, done func(Ending, time.Duration)) {
+func (s *scene) Call(id RequestID, until time.Duration, done func(Outcome, time.Duration)) {
 	s.say("call %s", id)
 	s.until = until
 	s.called[id] = done
 }
-func (s *scene) SkipCall(id OpID)                    { s.say("skip call %s", id) }
-func (s *scene) KeepKey(id OpID, span time.Duration) { s.say("keep %s %v", id, span) }
-func (s *scene) DropKey(id OpID)                     { s.say("drop key %s", id) }
-func (s *scene) Health(good, _ bool)                 { s.say("health %v", good) }
-func (s *scene) Signal(level float64)                { s.say("signal %.2f", level) }
-func (s *scene) IdleFor(span time.Duration)          { s.say("idle connections stay %v", span) }
-func (s *scene) Note(line string)                    { s.say("note %s", line) }
-func (s *scene) Wake(at time.Duration, f func(map[string]float64)) {
+func (s *scene) SkipCall(id RequestID)                       { s.say("skip call %s", id) }
+func (s *scene) KeepRecord(id RequestID, span time.Duration) { s.say("keep %s %v", id, span) }
+func (s *scene) DropRecord(id RequestID)                     { s.say("drop key %s", id) }
+func (s *scene) SetHealth(good, _ bool)                      { s.say("health %v", good) }
+func (s *scene) PublishLoad(level float64)                   { s.say("signal %.2f", level) }
+func (s *scene) SetIdleTimeout(span time.Duration)           { s.say("idle connections stay %v", span) }
+func (s *scene) LogTransition(line string)                   { s.say("note %s", line) }
+func (s *scene) WakeAt(at time.Duration, f func(map[string]float64)) {
 	s.wakes = append(s.wakes, wake{at, f})
 }
 
 // open starts an instance of two cores; extra facts replace the usual ones.
-func open(extra Facts) *scene {
-	s := &scene{atCall: map[OpID]func(){}, ended: map[OpID]func(Ending, time.Duration){},
-		called: map[OpID]func(Ending, time.Duration){}, quiet: true, out: os.Stdout}
-	low := Facts{"name": "low", "importance": 1.0, "target latency": time.Second, "op timeout": 3 * time.Second,
+func open(extra Settings) *scene {
+	s := &scene{atCall: map[RequestID]func(){}, ended: map[RequestID]func(Outcome, time.Duration){},
+		called: map[RequestID]func(Outcome, time.Duration){}, quiet: true, out: os.Stdout}
+	low := Settings{"name": "low", "importance": 1.0, "target latency": time.Second, "op timeout": 3 * time.Second,
 		"repeats": "retryable"}
-	high := Facts{"name": "high", "importance": 3.0, "target latency": time.Second, "op timeout": 3 * time.Second,
+	high := Settings{"name": "high", "importance": 3.0, "target latency": time.Second, "op timeout": 3 * time.Second,
 		"repeats": "retryable"}
-	facts := Facts{"op types": []Facts{low, high}, "cores": 2.0, "run memory factor": 4.0, "memory KB": 1200.0,
+	facts := Settings{"op types": []Settings{low, high}, "cores": 2.0, "run memory factor": 4.0, "memory KB": 1200.0,
 		"tick": 2 * time.Millisecond, "crowd a core": 8.0, "drain grace": time.Second}
 	for name, value := range extra {
 		facts[name] = value
 	}
-	s.desk = Open(7, facts, s)
+	s.desk = New(7, facts, s)
 	s.quiet = false
 	return s
 }
 
 // read takes ops of 10 kB with a hint, and settles the batch.
-func (s *scene) read(arrivals ...Arrival) {
+func (s *scene) read(arrivals ...Request) {
 	for _, a := range arrivals {
-		if a.KB == 0 {
-			a.KB = 10
+		if a.MemoryKB == 0 {
+			a.MemoryKB = 10
 		}
-		s.desk.Read(a)
+		s.desk.Submit(a)
 	}
-	s.desk.Settle()
+	s.desk.Decide()
 }
 
 // op is an arrival of the low type, or of the high one by its rank.
-func arrival(id string, hint time.Duration, rank float64) Arrival {
-	a := Arrival{ID: OpID(id), Type: "low", Hint: hint, Rank: rank}
+func arrival(id string, hint time.Duration, rank float64) Request {
+	a := Request{ID: RequestID(id), Class: "low", WorkHint: hint, Rank: rank}
 	if rank >= 0.5 {
-		a.Type = "high"
+		a.Class = "high"
 	}
 	return a
 }
 
 // end ends runs after the time they took, in one batch.
-func (s *scene) end(how Ending, took time.Duration, ids ...OpID) {
+func (s *scene) end(how Outcome, took time.Duration, ids ...RequestID) {
 	for _, id := range ids {
 		if s.ended[id] == nil {
 			s.say("%s does not run", id)
@@ -110,7 +110,7 @@
 		delete(s.ended, id)
 		done(how, took)
 	}
-	s.desk.Settle()
+	s.desk.Decide()
 }
 
 // pass moves the clock on, firing the timers with these gauges.
@@ -129,7 +129,7 @@
 			}
 		}
 		if fired {
-			s.desk.Settle()
+			s.desk.Decide()
 		}
 	}
 }
@@ -141,7 +141,7 @@
 		id := fmt.Sprint("warm", i)
 		s.read(arrival(id, took, float64(i%2)*0.6))
 		s.now += took
-		s.end(Acked, took, OpID(id))
+		s.end(Succeeded, took, RequestID(id))
 	}
 	s.quiet = false
 }
--- a/choice/port.go
+++ b/choice/port.go
@@ -4,73 +4,73 @@
 
 // Ids are opaque: they say nothing of age, order or place.
 type (
-	OpID     string
-	CallerID int
-	TenantID string
-	OpType   string
+	RequestID string
+	CallerID  int
+	TenantID  string
+	Class     string
 )
 
-// Facts are what an instance is told at its start: names to values. A value is a float64, a bool, a
+// Settings are what an instance is told at its start: names to values. A value is a float64, a bool, a
 // string, a time.Duration, a []bool, a []float64 or a []Facts.
-type Facts map[string]any
+type Settings map[string]any
 
-// Ending tells how a run or a call came out.
-type Ending int
+// Outcome tells how a run or a call came out.
+type Outcome int
 
 const (
-	Acked     Ending = iota // it went well
-	Failed                  // the run failed, or the call failed below; an effect is possible
-	Full                    // the call was turned away unseen: it never ran
-	GivenUp                 // the call was given up; an effect is possible
-	Unreached               // what lies below could not be reached: it never ran
-	Broken                  // the call broke off; an effect is possible
-	Cancelled               // the run was stopped
-	Moot                    // nothing started: the op was over already
+	Succeeded      Outcome = iota // it went well
+	Failed                        // the run failed, or the call failed below; an effect is possible
+	Rejected                      // the call was turned away unseen: it never ran
+	TimedOut                      // the call was given up; an effect is possible
+	Unreachable                   // what lies below could not be reached: it never ran
+	ConnectionLost                // the call broke off; an effect is possible
+	Stopped                       // the run was stopped
+	NotStarted                    // nothing started: the op was over already
 )
 
-// Arrival is an op that has just been read.
-type Arrival struct {
-	ID        OpID
-	Type      OpType
-	Rank      float64 // 0 to under 1, an equal band for each importance
-	Retry     bool    // a further try, where tries are marked
-	Write     bool
-	Subject   string // empty where ops name none
-	Caller    CallerID
-	Waits     bool          // whether the caller says how long it waits
-	ToldWait  time.Duration // when it stops waiting, a time since the start
-	Hint      time.Duration // rough work, 0 where none is given
-	KB        float64       // memory while held
-	Lay       time.Duration // time since it came to the machine
-	Tenant    TenantID      // empty where there are none
-	RepeatsOf OpID          // the kept op that this one repeats, or empty
+// Request is an op that has just been read.
+type Request struct {
+	ID          RequestID
+	Class       Class
+	Rank        float64 // 0 to under 1, an equal band for each importance
+	IsRetry     bool    // a further try, where tries are marked
+	IsWrite     bool
+	Resource    string // empty where ops name none
+	Caller      CallerID
+	HasDeadline bool          // whether the caller says how long it waits
+	Deadline    time.Duration // when it stops waiting, a time since the start
+	WorkHint    time.Duration // rough work, 0 where none is given
+	MemoryKB    float64       // memory while held
+	QueueDelay  time.Duration // time since it came to the machine
+	Tenant      TenantID      // empty where there are none
+	DuplicateOf RequestID     // the kept op that this one repeats, or empty
 }
 
-// Port is all that an instance can do. Each step names the closures that its result is handed to.
-type Port interface {
+// Executor is all that an instance can do. Each step names the closures that its result is handed to.
+type Executor interface {
 	Now() time.Duration
 
 	// Run starts a held op. atCall is called each time it stands at a call, ended once.
-	Run(id OpID, atCall func(), ended func(how Ending, took time.Duration))
+	Start(id RequestID, atCall func(), ended func(how Outcome, took time.Duration))
 	// Stop takes a running op off the cores; ended of its Run confirms.
-	Stop(id OpID)
+	Stop(id RequestID)
 	// Share answers a held op with the result of the op that it repeats.
-	Share(id OpID, ended func(how Ending, took time.Duration))
+	Coalesce(id RequestID, ended func(how Outcome, took time.Duration))
 	// Nack turns an op away; Fail answers it with an error.
-	Nack(id OpID, stayAway time.Duration, nowhereElse bool)
-	Fail(id OpID)
+	Reject(id RequestID, stayAway time.Duration, nowhereElse bool)
+	Fail(id RequestID)
 
 	// Call lets an op that stands at a call make it; SkipCall leaves the call out.
-	Call(id OpID, until time.Duration, done func(how Ending, took time.Duration))
-	SkipCall(id OpID)
+	Call(id RequestID, until time.Duration, done func(how Outcome, took time.Duration))
+	SkipCall(id RequestID)
 
 	// KeepKey remembers an op so that repeats of it are known; DropKey forgets it.
-	KeepKey(id OpID, span time.Duration)
-	DropKey(id OpID)
+	KeepRecord(id RequestID, span time.Duration)
+	DropRecord(id RequestID)
 
-	Health(good, fromState bool)
-	Signal(level float64)
-	IdleFor(span time.Duration) // how long an unused connection may stay
-	Wake(at time.Duration, then func(gauges map[string]float64))
-	Note(line string)
+	SetHealth(good, fromState bool)
+	PublishLoad(level float64)
+	SetIdleTimeout(span time.Duration) // how long an unused connection may stay
+	WakeAt(at time.Duration, then func(gauges map[string]float64))
+	LogTransition(line string)
 }
--- a/cmd/wirehost/golden_test.go
+++ b/cmd/wirehost/golden_test.go
@@ -35,25 +35,25 @@
 // Each action that the module may take, as it goes out.
 func TestGoldenActions(t *testing.T) {
 	h := newHost()
-	in := &instance{host: h, who: 3, atCall: map[choice.OpID]func(){},
-		ended:  map[choice.OpID]func(choice.Ending, time.Duration){},
-		called: map[choice.OpID]func(choice.Ending, time.Duration){}, wakes: map[string]func(map[string]float64){}}
-	const id = choice.OpID("addf482b5d3a91c4")
-	in.Run(id, nil, nil)
-	in.Share(id, nil)
+	in := &instance{host: h, who: 3, atCall: map[choice.RequestID]func(){},
+		ended:  map[choice.RequestID]func(choice.Outcome, time.Duration){},
+		called: map[choice.RequestID]func(choice.Outcome, time.Duration){}, wakes: map[string]func(map[string]float64){}}
+	const id = choice.RequestID("addf482b5d3a91c4")
+	in.Start(id, nil, nil)
+	in.Coalesce(id, nil)
 	in.Stop(id)
 	in.Fail(id)
-	in.Nack(id, 1500*time.Millisecond, true)
-	in.Nack(id, 0, false)
+	in.Reject(id, 1500*time.Millisecond, true)
+	in.Reject(id, 0, false)
 	in.Call(id, 2500*time.Millisecond, nil)
 	in.SkipCall(id)
-	in.KeepKey(id, 5*time.Second)
-	in.DropKey(id)
-	in.Health(true, false)
-	in.Health(false, true)
-	in.Signal(0.25)
-	in.IdleFor(30 * time.Second)
-	in.Note("text")
-	in.Wake(6*time.Second, nil)
+	in.KeepRecord(id, 5*time.Second)
+	in.DropRecord(id)
+	in.SetHealth(true, false)
+	in.SetHealth(false, true)
+	in.PublishLoad(0.25)
+	in.SetIdleTimeout(30 * time.Second)
+	in.LogTransition("text")
+	in.WakeAt(6*time.Second, nil)
 	goldentest.CheckText(t, "testdata/actions.out", h.reply.Close())
 }
--- a/cmd/wirehost/host.go
+++ b/cmd/wirehost/host.go
@@ -24,11 +24,11 @@
 type instance struct {
 	host   *host
 	who    int
-	desk   *choice.Desk
+	desk   *choice.Controller
 	met    bool // has had an event in this batch
-	atCall map[choice.OpID]func()
-	ended  map[choice.OpID]func(choice.Ending, time.Duration)
-	called map[choice.OpID]func(choice.Ending, time.Duration)
+	atCall map[choice.RequestID]func()
+	ended  map[choice.RequestID]func(choice.Outcome, time.Duration)
+	called map[choice.RequestID]func(choice.Outcome, time.Duration)
 	wakes  map[string]func(map[string]float64)
 	armed  uint64
 }
@@ -58,7 +58,7 @@
 	case line.Name == "flush":
 		for _, in := range h.touched {
 			if h.instances[in.who] == in {
-				in.desk.Settle()
+				in.desk.Decide()
 			}
 			in.met = false
 		}
@@ -81,14 +81,14 @@
 		}
 		in = &instance{
 			host: h, who: who,
-			atCall: map[choice.OpID]func(){},
-			ended:  map[choice.OpID]func(choice.Ending, time.Duration){},
-			called: map[choice.OpID]func(choice.Ending, time.Duration){},
+			atCall: map[choice.RequestID]func(){},
+			ended:  map[choice.RequestID]func(choice.Outcome, time.Duration){},
+			called: map[choice.RequestID]func(choice.Outcome, time.Duration){},
 			wakes:  map[string]func(map[string]float64){},
 		}
 		h.instances[who] = in
 		h.touch(in)
-		in.desk = choice.Open(seed, facts, in)
+		in.desk = choice.New(seed, facts, in)
 		return nil
 	}
 	if in == nil {
@@ -112,7 +112,7 @@
 		if err != nil {
 			return err
 		}
-		in.desk.Read(op)
+		in.desk.Submit(op)
 	case "timeout-fired":
 		token, gauges, err := line.TimeoutFired()
 		if err != nil {
@@ -156,13 +156,13 @@
 		if err != nil {
 			return err
 		}
-		in.desk.Leave(at)
+		in.desk.Drain(at)
 	case "aborted":
 		id, err := line.Op()
 		if err != nil {
 			return err
 		}
-		in.desk.Gone(id)
+		in.desk.Cancel(id)
 	case "power-off":
 		if err := line.PowerOff(); err != nil {
 			return err
@@ -180,36 +180,38 @@
 
 func (in *instance) Now() time.Duration { return in.host.now }
 
-func (in *instance) Run(id choice.OpID, atCall func(), ended func(choice.Ending, time.Duration)) {
+func (in *instance) Start(id choice.RequestID, atCall func(), ended func(choice.Outcome, time.Duration)) {
 	in.atCall[id], in.ended[id] = atCall, ended
 	in.say("serve", id)
 }
 
-func (in *instance) Share(id choice.OpID, ended func(choice.Ending, time.Duration)) {
+func (in *instance) Coalesce(id choice.RequestID, ended func(choice.Outcome, time.Duration)) {
 	in.ended[id] = ended
 	in.say("attach", id)
 }
 
-func (in *instance) Stop(id choice.OpID) { in.say("take-off", id) }
-func (in *instance) Fail(id choice.OpID) { in.say("end-failed", id) }
+func (in *instance) Stop(id choice.RequestID) { in.say("take-off", id) }
+func (in *instance) Fail(id choice.RequestID) { in.say("end-failed", id) }
 
-func (in *instance) Nack(id choice.OpID, stayAway time.Duration, nowhereElse bool) {
+func (in *instance) Reject(id choice.RequestID, stayAway time.Duration, nowhereElse bool) {
 	in.say("shed", id, stayAway, nowhereElse)
 }
 
-func (in *instance) Call(id choice.OpID, until time.Duration, done func(choice.Ending, time.Duration)) {
+func (in *instance) Call(id choice.RequestID, until time.Duration, done func(choice.Outcome, time.Duration)) {
 	in.called[id] = done
 	in.say("call", id, until)
 }
 
-func (in *instance) SkipCall(id choice.OpID)                    { in.say("fall-back", id) }
-func (in *instance) KeepKey(id choice.OpID, span time.Duration) { in.say("store-key", id, span) }
-func (in *instance) DropKey(id choice.OpID)                     { in.say("unpin", id) }
-func (in *instance) Health(good, fromState bool)                { in.say("mark-health", good, fromState) }
-func (in *instance) Signal(level float64)                       { in.say("hint-out", level) }
-func (in *instance) IdleFor(span time.Duration)                 { in.say("idle", span) }
-func (in *instance) Note(text string)                           { in.say("print", text) }
-func (in *instance) Wake(at time.Duration, then func(map[string]float64)) {
+func (in *instance) SkipCall(id choice.RequestID) { in.say("fall-back", id) }
+func (in *instance) KeepRecord(id choice.RequestID, span time.Duration) {
+	in.say("store-key", id, span)
+}
+func (in *instance) DropRecord(id choice.RequestID)    { in.say("unpin", id) }
+func (in *instance) SetHealth(good, fromState bool)    { in.say("mark-health", good, fromState) }
+func (in *instance) PublishLoad(level float64)         { in.say("hint-out", level) }
+func (in *instance) SetIdleTimeout(span time.Duration) { in.say("idle", span) }
+func (in *instance) LogTransition(text string)         { in.say("print", text) }
+func (in *instance) WakeAt(at time.Duration, then func(map[string]float64)) {
 	in.armed++
 	token := strconv.FormatUint(in.armed, 10)
 	in.wakes[token] = then
--- a/internal/amqp/amqp_test.go
+++ b/internal/amqp/amqp_test.go
@@ -91,7 +91,7 @@
 		queues = []Queue{usual}
 	}
 	return Told{Brokers: []string{b.URL()}, Queues: queues, InHand: 100, Share: 1, Unstarted: 10_000, Remembered: 1000, RememberedIn: time.Minute,
-		Heartbeat: 10 * time.Second, Repeats: map[choice.OpType]bool{"view": true, "key": true}}
+		Heartbeat: 10 * time.Second, Repeats: map[choice.Class]bool{"view": true, "key": true}}
 }
 
 func newBroker() *broker.Broker {
--- a/internal/amqp/part.go
+++ b/internal/amqp/part.go
@@ -26,10 +26,10 @@
 	Remembered   int
 	RememberedIn time.Duration
 	Heartbeat    time.Duration
-	TLS          *tls.Config            // for amqps addresses
-	Watch        string                 // path of a local socket that tells how the intake stands, empty for none
-	Login        string                 // user:password in place of the URLs', empty for theirs
-	Repeats      map[choice.OpType]bool // the op types that may run twice
+	TLS          *tls.Config           // for amqps addresses
+	Watch        string                // path of a local socket that tells how the intake stands, empty for none
+	Login        string                // user:password in place of the URLs', empty for theirs
+	Repeats      map[choice.Class]bool // the op types that may run twice
 }
 
 // Part is the front. All its tables belong to its own loop; the broker's client, which blocks, works beside it.
@@ -202,7 +202,7 @@
 		p.session.requeue(q.Name, tag)
 		return
 	}
-	twice := p.told.Repeats[choice.OpType(m.Ask.Type)]
+	twice := p.told.Repeats[choice.Class(m.Ask.Type)]
 	step, answer := p.memory.Came(p.Now(), m.ID, m.Digest, tag, redelivered, twice)
 	clash := step == intake.Clash
 	if clash { // it is known by what it says, too
@@ -255,7 +255,7 @@
 // fate decides what becomes of a message.
 func (p *Part) fate(j *job, how intake.Outcome, after time.Duration) intake.Fate {
 	return p.budget.Settle(intake.Message{Attempt: max(j.msg.Attempt, p.memory.Backs(j.msg.ID)), Left: time.Until(j.msg.Due),
-		Twice: p.told.Repeats[choice.OpType(j.msg.Ask.Type)]}, j.queue.Told, how, after, p.seed.Float64())
+		Twice: p.told.Repeats[choice.Class(j.msg.Ask.Type)]}, j.queue.Told, how, after, p.seed.Float64())
 }
 
 // outcome takes how the op of a message came out.
--- a/internal/below/below.go
+++ b/internal/below/below.go
@@ -205,11 +205,11 @@
 func (c *place) Addr() string           { return c.s.addr }
 func (c *place) Longest() time.Duration { return c.longest }
 
-var outcomes = map[choice.Ending]spread.Outcome{choice.Acked: spread.Served, choice.Full: spread.Refused, choice.Failed: spread.Failed}
+var outcomes = map[choice.Outcome]spread.Outcome{choice.Succeeded: spread.Served, choice.Rejected: spread.Refused, choice.Failed: spread.Failed}
 
 // Over is keep.Place. What may be running on counts until its time there is up. Danger: who gives a call up and makes another at once has two running
 // below.
-func (c *place) Over(how choice.Ending, running bool) {
+func (c *place) Over(how choice.Outcome, running bool) {
 	p, now := c.s.p, c.s.p.loop.Now()
 	what, known := outcomes[how]
 	if !known {
--- a/internal/command/further/golden_test.go
+++ b/internal/command/further/golden_test.go
@@ -264,7 +264,7 @@
 
 // The keys of the facts that an instance and a proxy have gossiped of themselves.
 func TestGoldenFacts(t *testing.T) {
-	config := keep.Told{Name: "n", Listen: "127.0.0.1:0", Runtime: "127.0.0.1:1", Stop: time.Second, Sockets: 128, MemoryMB: 32, Cores: 1, Facts: choice.Facts{}}
+	config := keep.Told{Name: "n", Listen: "127.0.0.1:0", Runtime: "127.0.0.1:1", Stop: time.Second, Sockets: 128, MemoryMB: 32, Cores: 1, Facts: choice.Settings{}}
 	in, err := keep.Open(config)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/facts/facts.go
+++ b/internal/facts/facts.go
@@ -105,7 +105,7 @@
 }
 
 // Read translates the settings; without cores or op types there is nothing to decide on. The error is the first Wrong.
-func Read(told *fastjson.Value) (choice.Facts, error) {
+func Read(told *fastjson.Value) (choice.Settings, error) {
 	facts, wrong := Check(told)
 	if len(wrong) > 0 {
 		return nil, wrong[0]
@@ -128,7 +128,7 @@
 }
 
 // Check translates the settings and tells all that is wrong with them.
-func Check(told *fastjson.Value) (choice.Facts, []Wrong) {
+func Check(told *fastjson.Value) (choice.Settings, []Wrong) {
 	facts, wrong := translate(told, startNames)
 	complete(facts)
 	absent := func(ours, want string, path ...string) {
@@ -140,7 +140,7 @@
 	if cores, told := facts["cores"].(float64); !told || cores < 1 {
 		absent("cores", "wants a number of 1 or more", "domain", "cpus")
 	}
-	if types, told := facts["op types"].([]choice.Facts); !told || len(types) == 0 {
+	if types, told := facts["op types"].([]choice.Settings); !told || len(types) == 0 {
 		absent("op types", "wants a list that is not empty", "classes")
 	}
 	return facts, wrong
@@ -148,8 +148,8 @@
 
 // complete gives what was told of times and shares without a meaning the nearest that has one. Danger: the module divides by a target
 // latency, and works out spans from the others.
-func complete(facts choice.Facts) {
-	types, _ := facts["op types"].([]choice.Facts)
+func complete(facts choice.Settings) {
+	types, _ := facts["op types"].([]choice.Settings)
 	for _, t := range types {
 		target, _ := t["target latency"].(time.Duration)
 		timeout, _ := t["op timeout"].(time.Duration)
@@ -173,8 +173,8 @@
 }
 
 // translate picks the named values out of an object. Absent and unknown ones are passed over.
-func translate(from *fastjson.Value, names []fact) (choice.Facts, []Wrong) {
-	facts := choice.Facts{}
+func translate(from *fastjson.Value, names []fact) (choice.Settings, []Wrong) {
+	facts := choice.Settings{}
 	var wrong []Wrong
 	for _, n := range names {
 		v := from.Get(n.path...)
@@ -204,7 +204,7 @@
 		if err != nil {
 			return nil
 		}
-		out := []choice.Facts{}
+		out := []choice.Settings{}
 		var wrong []Wrong
 		for i, item := range items {
 			if item.Type() != fastjson.TypeObject {
--- a/internal/facts/facts_test.go
+++ b/internal/facts/facts_test.go
@@ -30,11 +30,11 @@
 type world struct {
 	now      time.Duration
 	todo     map[time.Duration][]func()
-	answers  map[choice.OpID]int
+	answers  map[choice.RequestID]int
 	wrong    []string
 	runs     int
-	run      map[choice.OpID]func(choice.Ending, time.Duration)
-	finished map[choice.OpID]bool
+	run      map[choice.RequestID]func(choice.Outcome, time.Duration)
+	finished map[choice.RequestID]bool
 }
 
 func (w *world) at(at time.Duration, do func()) {
@@ -43,26 +43,26 @@
 }
 
 // answer gives the one answer; what is said of an op that has it changes nothing, as in an instance.
-func (w *world) answer(id choice.OpID)              { w.answers[id] = 1 }
-func (w *world) Now() time.Duration                 { return w.now }
-func (w *world) Fail(id choice.OpID)                { w.answer(id) }
-func (w *world) SkipCall(id choice.OpID)            { w.end(id, 30*time.Millisecond) }
-func (w *world) KeepKey(choice.OpID, time.Duration) {}
-func (w *world) DropKey(choice.OpID)                {}
-func (w *world) Health(bool, bool)                  {}
-func (w *world) Signal(float64)                     {}
-func (w *world) IdleFor(time.Duration)              {}
-func (w *world) Note(string)                        {}
-func (w *world) Share(choice.OpID, func(choice.Ending, time.Duration)) {
+func (w *world) answer(id choice.RequestID)                 { w.answers[id] = 1 }
+func (w *world) Now() time.Duration                         { return w.now }
+func (w *world) Fail(id choice.RequestID)                   { w.answer(id) }
+func (w *world) SkipCall(id choice.RequestID)               { w.end(id, 30*time.Millisecond) }
+func (w *world) KeepRecord(choice.RequestID, time.Duration) {}
+func (w *world) DropRecord(choice.RequestID)                {}
+func (w *world) SetHealth(bool, bool)                       {}
+func (w *world) PublishLoad(float64)                        {}
+func (w *world) SetIdleTimeout(time.Duration)               {}
+func (w *world) LogTransition(string)                       {}
+func (w *world) Coalesce(choice.RequestID, func(choice.Outcome, time.Duration)) {
 	w.wrong = append(w.wrong, "shares, and nothing repeats")
 }
-func (w *world) Nack(id choice.OpID, away time.Duration, _ bool) {
+func (w *world) Reject(id choice.RequestID, away time.Duration, _ bool) {
 	w.answer(id)
 	if away < 0 {
 		w.wrong = append(w.wrong, "away for "+away.String())
 	}
 }
-func (w *world) Run(id choice.OpID, atCall func(), ended func(choice.Ending, time.Duration)) {
+func (w *world) Start(id choice.RequestID, atCall func(), ended func(choice.Outcome, time.Duration)) {
 	w.runs++
 	w.run[id] = ended
 	if w.runs%2 == 0 {
@@ -71,57 +71,57 @@
 	}
 	w.end(id, 30*time.Millisecond)
 }
-func (w *world) end(id choice.OpID, after time.Duration) {
+func (w *world) end(id choice.RequestID, after time.Duration) {
 	w.at(w.now+after, func() {
 		if !w.finished[id] {
 			w.finished[id] = true
 			if w.answers[id] == 0 {
 				w.answer(id)
 			}
-			w.run[id](choice.Acked, after)
+			w.run[id](choice.Succeeded, after)
 		}
 	})
 }
-func (w *world) Stop(id choice.OpID) {
+func (w *world) Stop(id choice.RequestID) {
 	w.at(w.now+time.Millisecond, func() {
 		if !w.finished[id] {
 			w.finished[id] = true
-			w.run[id](choice.Cancelled, time.Millisecond)
+			w.run[id](choice.Stopped, time.Millisecond)
 		}
 	})
 }
-func (w *world) Call(id choice.OpID, until time.Duration, done func(choice.Ending, time.Duration)) {
+func (w *world) Call(id choice.RequestID, until time.Duration, done func(choice.Outcome, time.Duration)) {
 	w.at(w.now+5*time.Millisecond, func() {
-		done(choice.Acked, 5*time.Millisecond)
+		done(choice.Succeeded, 5*time.Millisecond)
 		w.end(id, 20*time.Millisecond)
 	})
 }
-func (w *world) Wake(at time.Duration, then func(map[string]float64)) {
+func (w *world) WakeAt(at time.Duration, then func(map[string]float64)) {
 	w.at(at, func() { then(map[string]float64{"want a core": 2, "cores busy": 0.9}) })
 }
 
 // serve plays two seconds with settings and tells what was wrong: an op without exactly one answer in its time.
-func serve(told choice.Facts) (wrong []string) {
-	w := &world{todo: map[time.Duration][]func(){}, answers: map[choice.OpID]int{}, run: map[choice.OpID]func(choice.Ending, time.Duration){}, finished: map[choice.OpID]bool{}}
-	d := choice.Open(1, told, w)
+func serve(told choice.Settings) (wrong []string) {
+	w := &world{todo: map[time.Duration][]func(){}, answers: map[choice.RequestID]int{}, run: map[choice.RequestID]func(choice.Outcome, time.Duration){}, finished: map[choice.RequestID]bool{}}
+	d := choice.New(1, told, w)
 	n := 0
 	for ; w.now < 2*time.Second; w.now += 2 * time.Millisecond {
 		if w.now < time.Second && w.now%(8*time.Millisecond) == 0 {
 			n++
-			d.Read(choice.Arrival{ID: choice.OpID(strconv.Itoa(n)), Type: choice.OpType("abc"[n%3 : n%3+1]), Rank: float64(n%10) / 10, Write: n%3 > 0, Caller: choice.CallerID(n % 5),
-				Waits: true, ToldWait: w.now + 500*time.Millisecond, Hint: 30 * time.Millisecond, KB: 20, Tenant: choice.TenantID("xy"[n%2 : n%2+1])})
+			d.Submit(choice.Request{ID: choice.RequestID(strconv.Itoa(n)), Class: choice.Class("abc"[n%3 : n%3+1]), Rank: float64(n%10) / 10, IsWrite: n%3 > 0, Caller: choice.CallerID(n % 5),
+				HasDeadline: true, Deadline: w.now + 500*time.Millisecond, WorkHint: 30 * time.Millisecond, MemoryKB: 20, Tenant: choice.TenantID("xy"[n%2 : n%2+1])})
 		}
 		if w.now == 1500*time.Millisecond {
-			d.Leave(w.now + 400*time.Millisecond)
+			d.Drain(w.now + 400*time.Millisecond)
 		}
 		for _, do := range w.todo[w.now] {
 			do()
 		}
 		delete(w.todo, w.now)
-		d.Settle()
+		d.Decide()
 		if w.now%(50*time.Millisecond) == 0 { // what came over half a second ago has its answer
 			for k := 1; time.Duration(k)*8*time.Millisecond < w.now-530*time.Millisecond && k <= n; k++ {
-				if a := w.answers[choice.OpID(strconv.Itoa(k))]; a != 1 {
+				if a := w.answers[choice.RequestID(strconv.Itoa(k))]; a != 1 {
 					return append(w.wrong, fmt.Sprintf("op %d has %d answers at %v", k, a, w.now))
 				}
 			}
--- a/internal/keep/calls.go
+++ b/internal/keep/calls.go
@@ -26,7 +26,7 @@
 	conn  *wire.Database // nil while it waits for room
 	sent  bool
 	limit *loop.Timer
-	done  func(choice.Ending, time.Duration)
+	done  func(choice.Outcome, time.Duration)
 	place Place  // where it goes, where there are several
 	last  string // where it was refused before
 	tries int
@@ -46,7 +46,7 @@
 	Addr() string
 	Longest() time.Duration // that the call may last there
 	// Over gives the place back, once. running tells that the call may go on there for as long as it was told.
-	Over(how choice.Ending, running bool)
+	Over(how choice.Outcome, running bool)
 }
 
 // CallAt has calls go to services that are told elsewhere. It belongs to the time before Serve.
@@ -55,11 +55,11 @@
 	b.Freed(func() { in.database.next(in) })
 }
 
-func (d *database) call(in *Instance, o *op, until time.Duration, done func(choice.Ending, time.Duration)) {
+func (d *database) call(in *Instance, o *op, until time.Duration, done func(choice.Outcome, time.Duration)) {
 	d.drop(o.run.call) // a second call gives up the first
 	c := &call{op: o, began: in.Now(), until: until, done: done}
 	o.run.call = c
-	c.limit = in.At(until, func() { d.end(in, c, c.cut(choice.GivenUp)) })
+	c.limit = in.At(until, func() { d.end(in, c, c.cut(choice.TimedOut)) })
 	if d.open >= d.most || !d.settle(in, c) {
 		d.wait = append(d.wait, c)
 		return
@@ -80,13 +80,13 @@
 	if until := in.Now() + c.place.Longest(); until < c.until {
 		c.until = until
 		c.limit.Drop()
-		c.limit = in.At(until, func() { d.end(in, c, c.cut(choice.GivenUp)) })
+		c.limit = in.At(until, func() { d.end(in, c, c.cut(choice.TimedOut)) })
 	}
 	return true
 }
 
 // leave gives a call's place back. running tells that it may go on below.
-func (c *call) leave(how choice.Ending, running bool) {
+func (c *call) leave(how choice.Outcome, running bool) {
 	if p := c.place; p != nil {
 		c.place = nil
 		p.Over(how, running)
@@ -111,8 +111,8 @@
 			if c.op.run != nil && c.op.run.call == c && d.again(in, c, addr) {
 				return
 			}
-			c.leave(choice.Unreached, false)
-			d.end(in, c, choice.Unreached) // nothing was sent
+			c.leave(choice.Unreachable, false)
+			d.end(in, c, choice.Unreachable) // nothing was sent
 			d.next(in)
 		}
 	})
@@ -120,8 +120,8 @@
 	conn.OnReply = func(r wire.Reply) { d.reply(in, c, r) }
 	conn.OnEnd = func(string) {
 		d.open--
-		c.leave(choice.Broken, c.sent)
-		d.end(in, c, c.cut(choice.Broken))
+		c.leave(choice.ConnectionLost, c.sent)
+		d.end(in, c, c.cut(choice.ConnectionLost))
 		d.next(in)
 	}
 }
@@ -135,7 +135,7 @@
 		d.dial(in, c)
 		return true
 	}
-	c.leave(choice.Unreached, false)
+	c.leave(choice.Unreachable, false)
 	c.last = addr
 	const tries = 2 // two that are refused one after the other are a network that is gone
 	switch {
@@ -178,7 +178,7 @@
 	how := choice.Failed
 	switch {
 	case r.Status == 200:
-		how = choice.Acked
+		how = choice.Succeeded
 		o := c.op
 		o.run.give = append(make([]byte, 0, len(r.Body)), r.Body...)
 		o.run.wants = 0
@@ -186,9 +186,9 @@
 			in.runtime.conn.Give(o.id, o.run.give)
 		}
 	case r.NeverStarted:
-		how = choice.Full
+		how = choice.Rejected
 	case r.Status == 504:
-		how = choice.GivenUp
+		how = choice.TimedOut
 	}
 	c.conn.Blame("answered")
 	c.leave(how, false)
@@ -196,7 +196,7 @@
 }
 
 // end tells the outcome of a call, once, and ends its connection.
-func (d *database) end(in *Instance, c *call, how choice.Ending) {
+func (d *database) end(in *Instance, c *call, how choice.Outcome) {
 	if c.op.run == nil || c.op.run.call != c {
 		return
 	}
@@ -207,11 +207,11 @@
 }
 
 // cut is how a call comes out that was cut short. One that was never sent can't have run.
-func (c *call) cut(how choice.Ending) choice.Ending {
+func (c *call) cut(how choice.Outcome) choice.Outcome {
 	if c.sent {
 		return how
 	}
-	return choice.Unreached
+	return choice.Unreachable
 }
 
 // drop gives a call up: one that is on its way ends with its connection, as nothing else would end it there.
@@ -220,7 +220,7 @@
 		return
 	}
 	c.limit.Drop()
-	c.leave(choice.GivenUp, c.sent)
+	c.leave(choice.TimedOut, c.sent)
 	if c.conn != nil {
 		c.conn.Close("call-given-up")
 	}
--- a/internal/keep/door.go
+++ b/internal/keep/door.go
@@ -10,7 +10,7 @@
 // enter asks the door for an op that was read. One whose caller is not known yet waits in the tables, unheard by the module:
 // it can be given up, and its id is taken, as that of any other.
 func (in *Instance) enter(badge *identity.Badge, ask front.Ask, owed front.Owed) *op {
-	want := identity.Ask{Token: ask.Token, Ask: rights.Ask{Type: choice.OpType(ask.Type),
+	want := identity.Ask{Token: ask.Token, Ask: rights.Ask{Type: choice.Class(ask.Type),
 		Tenant: choice.TenantID(ask.Tenant), Write: ask.Subject == ""}}
 	o := in.take(ask, owed)
 	o.outside = true
--- a/internal/keep/instance.go
+++ b/internal/keep/instance.go
@@ -26,7 +26,7 @@
 	Sockets   int
 	MemoryMB  float64
 	Cores     float64
-	Facts     choice.Facts
+	Facts     choice.Settings
 	Gauges    []string // our names, in the order told
 	Readiness bool     // the list follows health
 
@@ -40,16 +40,16 @@
 	told    Told
 	net     *wire.Net
 	pool    *Pool
-	desk    *choice.Desk // nil until the runtime has come up
-	touched bool         // the module has heard something in this batch
+	desk    *choice.Controller // nil until the runtime has come up
+	touched bool               // the module has heard something in this batch
 
-	kinds   map[choice.OpType]time.Duration // the op timeouts of those that were told
-	repeats map[choice.OpType]bool          // those of them that may run twice
-	keyed   map[choice.OpType]bool          // those of whose tries only one may run
-	targets map[choice.OpType]time.Duration // their target latencies
-	tenants map[choice.TenantID]bool        // those that were told
+	kinds   map[choice.Class]time.Duration // the op timeouts of those that were told
+	repeats map[choice.Class]bool          // those of them that may run twice
+	keyed   map[choice.Class]bool          // those of whose tries only one may run
+	targets map[choice.Class]time.Duration // their target latencies
+	tenants map[choice.TenantID]bool       // those that were told
 
-	ops   map[choice.OpID]*op
+	ops   map[choice.RequestID]*op
 	stubs *stubs.Front
 
 	runtime  link
@@ -76,16 +76,16 @@
 // Open makes an instance that listens and looks for its runtime.
 func Open(told Told) (*Instance, error) {
 	buffers := int(told.MemoryMB*(1<<20)) / wire.BufferSize
-	in := &Instance{Loop: loop.New(buffers / 8), told: told, pool: &Pool{}, say: -1, ops: map[choice.OpID]*op{}}
+	in := &Instance{Loop: loop.New(buffers / 8), told: told, pool: &Pool{}, say: -1, ops: map[choice.RequestID]*op{}}
 	in.health.good = true
-	in.kinds, in.tenants, in.repeats = map[choice.OpType]time.Duration{}, map[choice.TenantID]bool{}, map[choice.OpType]bool{}
-	in.targets, in.keyed = map[choice.OpType]time.Duration{}, map[choice.OpType]bool{}
+	in.kinds, in.tenants, in.repeats = map[choice.Class]time.Duration{}, map[choice.TenantID]bool{}, map[choice.Class]bool{}
+	in.targets, in.keyed = map[choice.Class]time.Duration{}, map[choice.Class]bool{}
 	for _, kind := range list(told.Facts, "op types") {
 		name, _ := kind["name"].(string)
-		in.kinds[choice.OpType(name)] = max(span(kind, "op timeout"), span(kind, "target latency"))
-		in.targets[choice.OpType(name)] = span(kind, "target latency")
-		in.repeats[choice.OpType(name)] = kind["repeats"] == "retryable"
-		in.keyed[choice.OpType(name)] = kind["repeats"] == "keyed"
+		in.kinds[choice.Class(name)] = max(span(kind, "op timeout"), span(kind, "target latency"))
+		in.targets[choice.Class(name)] = span(kind, "target latency")
+		in.repeats[choice.Class(name)] = kind["repeats"] == "retryable"
+		in.keyed[choice.Class(name)] = kind["repeats"] == "keyed"
 	}
 	if tier, _ := told.Facts["tier"].(float64); tier > 0 {
 		in.keys.calls = true
@@ -130,14 +130,14 @@
 }
 
 // span is a told time, 0 if none was told.
-func span(told choice.Facts, name string) time.Duration {
+func span(told choice.Settings, name string) time.Duration {
 	x, _ := told[name].(time.Duration)
 	return x
 }
 
 // list is a told list, empty if none was told.
-func list(told choice.Facts, name string) []choice.Facts {
-	x, _ := told[name].([]choice.Facts)
+func list(told choice.Settings, name string) []choice.Settings {
+	x, _ := told[name].([]choice.Settings)
 	return x
 }
 
@@ -146,7 +146,7 @@
 	in.Loop.Run(func() {
 		if in.touched && in.desk != nil {
 			in.touched = false
-			in.desk.Settle()
+			in.desk.Decide()
 		}
 		in.net.Flush()
 	})
@@ -154,8 +154,8 @@
 
 // op is one op in hand: from its reading until it is answered and its run is over.
 type op struct {
-	id      choice.OpID
-	kind    choice.OpType
+	id      choice.RequestID
+	kind    choice.Class
 	subject string
 	tenant  choice.TenantID // whose it is, by its caller's rights where these are known; empty where there are no tenants
 	like    like
@@ -163,9 +163,9 @@
 	body    []byte
 	owed    front.Owed // its one answer; nil once it is given or the caller has left
 	run     *run
-	ran     bool                               // it was started, whatever became of that
-	sharing func(choice.Ending, time.Duration) // waits for another's result
-	since   time.Duration                      // when it began to wait
+	ran     bool                                // it was started, whatever became of that
+	sharing func(choice.Outcome, time.Duration) // waits for another's result
+	since   time.Duration                       // when it began to wait
 	came    time.Duration
 	outside bool          // the module does not know of it: it waits at the door, or is elsewhere
 	asked   *front.Ask    // as it came, less its body; nil where nothing is handed over
@@ -194,7 +194,7 @@
 // come up, nor under the id of an op in hand that came elsewhere: whose it is can't be told, and it never ran.
 func (in *Instance) Enter(ask front.Ask, badge *identity.Badge, owed front.Owed) front.Op {
 	// Danger: more bodies than there is memory for.
-	if in.desk == nil || len(in.ops) >= in.most || in.ops[choice.OpID(ask.ID)] != nil {
+	if in.desk == nil || len(in.ops) >= in.most || in.ops[choice.RequestID(ask.ID)] != nil {
 		owed.Refuse(in.with())
 		owed.Settled()
 		return nil
@@ -226,7 +226,7 @@
 
 // Owes is stubs.Core: who is owed the answer of an op in hand.
 func (in *Instance) Owes(id string) front.Owed {
-	if o := in.ops[choice.OpID(id)]; o != nil {
+	if o := in.ops[choice.RequestID(id)]; o != nil {
 		return o.owed
 	}
 	return nil
@@ -277,7 +277,7 @@
 func (in *Instance) admit(ask front.Ask, owed front.Owed, before *op) *op {
 	lay := max(0, in.Wall().Sub(time.UnixMilli(ask.At)))
 	code := in.unservable(ask)
-	if code != "" || lay > longest(in.kinds[choice.OpType(ask.Type)]) { // the second: long over, by a clock that is not ours
+	if code != "" || lay > longest(in.kinds[choice.Class(ask.Type)]) { // the second: long over, by a clock that is not ours
 		if before == nil {
 			before = in.take(ask, owed)
 		}
@@ -301,10 +301,10 @@
 	}
 	o.like = in.keys.like(o, ask, in.keyed[o.kind])
 	in.touched = true
-	in.desk.Read(choice.Arrival{ID: o.id, Type: o.kind, Rank: ask.Rank, Write: ask.Subject == "",
-		Subject: ask.Subject, Caller: choice.CallerID(ask.From), Waits: ask.Waits,
-		ToldWait: in.Now() - lay + ask.Wait, Hint: ask.Cost, KB: ask.KB, Lay: lay,
-		Tenant: choice.TenantID(ask.Tenant), RepeatsOf: in.keys.repeated(o, in.Now()-lay)})
+	in.desk.Submit(choice.Request{ID: o.id, Class: o.kind, Rank: ask.Rank, IsWrite: ask.Subject == "",
+		Resource: ask.Subject, Caller: choice.CallerID(ask.From), HasDeadline: ask.Waits,
+		Deadline: in.Now() - lay + ask.Wait, WorkHint: ask.Cost, MemoryKB: ask.KB, QueueDelay: lay,
+		Tenant: choice.TenantID(ask.Tenant), DuplicateOf: in.keys.repeated(o, in.Now()-lay)})
 	return o
 }
 
@@ -377,7 +377,7 @@
 
 // take puts an op in the tables.
 func (in *Instance) take(ask front.Ask, owed front.Owed) *op {
-	o := &op{id: choice.OpID(ask.ID), kind: choice.OpType(ask.Type), subject: ask.Subject, owed: owed, came: in.Loop.Now(),
+	o := &op{id: choice.RequestID(ask.ID), kind: choice.Class(ask.Type), subject: ask.Subject, owed: owed, came: in.Loop.Now(),
 		body: append(in.pool.Take(), ask.Body...)}
 	in.ops[o.id] = o
 	return o
@@ -399,7 +399,7 @@
 // unservable tells what makes an ask one that could never be served, whatever else is here. Danger: the module would
 // learn from figures that nobody meant, or reckon with such as overflow.
 func (in *Instance) unservable(ask front.Ask) string {
-	kind, known := in.kinds[choice.OpType(ask.Type)]
+	kind, known := in.kinds[choice.Class(ask.Type)]
 	switch {
 	case !known:
 		return "unknown-type"
@@ -426,7 +426,7 @@
 		return
 	}
 	in.touched = true
-	in.desk.Gone(o.id)
+	in.desk.Cancel(o.id)
 	in.release(o)
 }
 
@@ -474,7 +474,7 @@
 // Now is the module's time. While the module opens, it is as much earlier as the runtime is older than we are.
 func (in *Instance) Now() time.Duration { return in.Loop.Now() - in.early }
 
-func (in *Instance) Run(id choice.OpID, atCall func(), ended func(choice.Ending, time.Duration)) {
+func (in *Instance) Start(id choice.RequestID, atCall func(), ended func(choice.Outcome, time.Duration)) {
 	if o := in.ops[id]; o != nil {
 		o.run, o.ran = &run{atCall: atCall, ended: ended}, true
 		in.running++
@@ -484,7 +484,7 @@
 	}
 }
 
-func (in *Instance) Stop(id choice.OpID) {
+func (in *Instance) Stop(id choice.RequestID) {
 	if o := in.ops[id]; o != nil && o.run != nil {
 		o.run.stop = true
 		if in.runtime.synced {
@@ -493,7 +493,7 @@
 	}
 }
 
-func (in *Instance) Nack(id choice.OpID, stayAway time.Duration, nowhereElse bool) {
+func (in *Instance) Reject(id choice.RequestID, stayAway time.Duration, nowhereElse bool) {
 	if o := in.ops[id]; o != nil {
 		if in.elsewhere != nil && !nowhereElse && in.hand(o) {
 			return
@@ -506,7 +506,7 @@
 	}
 }
 
-func (in *Instance) Fail(id choice.OpID) {
+func (in *Instance) Fail(id choice.RequestID) {
 	if o := in.ops[id]; o != nil {
 		in.count(o, false)
 		in.answer(o, func(w front.Owed) { w.Fail(in.with()) })
@@ -514,13 +514,13 @@
 	}
 }
 
-func (in *Instance) Call(id choice.OpID, until time.Duration, done func(choice.Ending, time.Duration)) {
+func (in *Instance) Call(id choice.RequestID, until time.Duration, done func(choice.Outcome, time.Duration)) {
 	if o := in.ops[id]; o != nil && o.run != nil && o.run.wants != 0 {
 		in.database.call(in, o, until, done)
 	}
 }
 
-func (in *Instance) SkipCall(id choice.OpID) {
+func (in *Instance) SkipCall(id choice.RequestID) {
 	if o := in.ops[id]; o != nil && o.run != nil && o.run.wants != 0 {
 		o.run.omit = o.run.wants
 		if in.runtime.synced {
@@ -529,33 +529,33 @@
 	}
 }
 
-func (in *Instance) Share(id choice.OpID, ended func(choice.Ending, time.Duration)) {
+func (in *Instance) Coalesce(id choice.RequestID, ended func(choice.Outcome, time.Duration)) {
 	if o := in.ops[id]; o != nil {
 		o.sharing, o.since = ended, in.Now()
 		in.keys.share(in, o)
 	}
 }
 
-func (in *Instance) KeepKey(id choice.OpID, span time.Duration) {
+func (in *Instance) KeepRecord(id choice.RequestID, span time.Duration) {
 	if o := in.ops[id]; o != nil {
 		in.keys.keep(in, o, span)
 	}
 }
 
-func (in *Instance) DropKey(id choice.OpID) {
+func (in *Instance) DropRecord(id choice.RequestID) {
 	if o := in.ops[id]; o != nil {
 		in.keys.drop(o.kept)
 	}
 }
 
-func (in *Instance) Health(good, fromState bool) {
+func (in *Instance) SetHealth(good, fromState bool) {
 	in.health.good, in.health.fromState = good, fromState
 }
-func (in *Instance) Signal(level float64)       { in.say = level }
-func (in *Instance) IdleFor(span time.Duration) { in.stubs.IdleFor(span) }
-func (in *Instance) Note(line string)           { slog.Info("note", "text", line) }
+func (in *Instance) PublishLoad(level float64)         { in.say = level }
+func (in *Instance) SetIdleTimeout(span time.Duration) { in.stubs.IdleFor(span) }
+func (in *Instance) LogTransition(line string)         { slog.Info("note", "text", line) }
 
-func (in *Instance) Wake(at time.Duration, then func(map[string]float64)) {
+func (in *Instance) WakeAt(at time.Duration, then func(map[string]float64)) {
 	in.At(at, func() {
 		in.touched = true // what is due is answered in this batch, whatever becomes of the gauges
 		in.look(then)
--- a/internal/keep/keep_test.go
+++ b/internal/keep/keep_test.go
@@ -48,7 +48,7 @@
 	free.Close()
 	in, err := Open(Told{Name: "n1", Listen: free.Addr().String(), Runtime: runtime.Addr().String(),
 		Database: "127.0.0.1:9", Roster: "127.0.0.1:9", Sockets: 64, MemoryMB: 64, Cores: 1,
-		Facts: choice.Facts{"cores": 2.0, "op types": []choice.Facts{{"name": "view", "target latency": time.Second}}}})
+		Facts: choice.Settings{"cores": 2.0, "op types": []choice.Settings{{"name": "view", "target latency": time.Second}}}})
 	if err != nil {
 		fmt.Println(err)
 		return
@@ -84,7 +84,7 @@
 	// health from the state is good before the link is synced; a deep check asks the runtime only after
 	for turned := make(chan bool); ; {
 		in.Hand(func() {
-			in.Health(true, false)
+			in.SetHealth(true, false)
 			turned <- in.runtime.synced
 		})
 		if <-turned {
@@ -115,12 +115,12 @@
 // A keyed op's key: in hand it does not age, however short the window; once over it holds for tries that came within it, however late they are
 // read. One that never ran leaves none. A read's key is over with its time.
 func Example_keysAge() {
-	in := &Instance{Loop: loop.New(9), told: Told{Facts: choice.Facts{"shared reads for": 100 * time.Millisecond}}}
+	in := &Instance{Loop: loop.New(9), told: Told{Facts: choice.Settings{"shared reads for": 100 * time.Millisecond}}}
 	k := &in.keys
 	n := 0
 	op := func(keyed bool) *op {
 		n++
-		o := &op{id: choice.OpID(fmt.Sprint(n)), kind: "pay", subject: "s", body: []byte("x")}
+		o := &op{id: choice.RequestID(fmt.Sprint(n)), kind: "pay", subject: "s", body: []byte("x")}
 		o.like = k.like(o, front.Ask{Anew: true}, keyed)
 		return o
 	}
@@ -170,7 +170,7 @@
 
 // The id of an op that is over is sent once more, with something else to say: the key of the first is neither prolonged nor dropped with it.
 func Example_idOnceMore() {
-	in := &Instance{Loop: loop.New(9), told: Told{Facts: choice.Facts{"shared reads for": 100 * time.Millisecond}}}
+	in := &Instance{Loop: loop.New(9), told: Told{Facts: choice.Settings{"shared reads for": 100 * time.Millisecond}}}
 	k := &in.keys
 	op := func(body string, keyed bool) *op {
 		o := &op{id: "1", kind: "pay", subject: body, body: []byte(body)}
@@ -199,7 +199,7 @@
 	free.Close()
 	in, err := Open(Told{Name: "n1", Listen: free.Addr().String(), Runtime: runtime.Addr().String(), Stop: time.Second,
 		Database: "127.0.0.1:9", Roster: "127.0.0.1:9", Sockets: 64, MemoryMB: 64, Cores: 1,
-		Facts: choice.Facts{"cores": 2.0, "op types": []choice.Facts{{"name": "view", "target latency": time.Second, "op timeout": time.Second}}}})
+		Facts: choice.Settings{"cores": 2.0, "op types": []choice.Settings{{"name": "view", "target latency": time.Second, "op timeout": time.Second}}}})
 	if err != nil {
 		fmt.Println(err)
 		return
--- a/internal/keep/keys.go
+++ b/internal/keep/keys.go
@@ -16,7 +16,7 @@
 }
 
 type like struct {
-	kind    choice.OpType
+	kind    choice.Class
 	subject string
 	tenant  choice.TenantID   // empty where there are none
 	content [sha256.Size]byte // of a keyed op, or of a read that is a call; zero of any other
@@ -26,7 +26,7 @@
 // kept is one key and, once its run has gone well, the result. It is its op's, not that of an id. Danger: a client that sends the id of an op that
 // is over once more has the key of that one prolonged, or dropped when it is turned away, and a try of a keyed op runs a second time.
 type kept struct {
-	id      choice.OpID
+	id      choice.RequestID
 	gone    bool // forgotten
 	like    like
 	until   time.Duration
@@ -53,7 +53,7 @@
 }
 
 // repeated is the kept op that this one, which came at a time, repeats, or none.
-func (k *keys) repeated(o *op, came time.Duration) choice.OpID {
+func (k *keys) repeated(o *op, came time.Duration) choice.RequestID {
 	e := k.of[o.like]
 	if o.like == (like{}) || e == nil {
 		return ""
@@ -170,7 +170,7 @@
 	if o.owed == nil || in.ops[o.id] != o {
 		return
 	}
-	how := choice.Acked
+	how := choice.Succeeded
 	switch {
 	case result != nil:
 		in.answer(o, func(w front.Owed) { w.Answer(result, in.with()) })
--- a/internal/keep/leave.go
+++ b/internal/keep/leave.go
@@ -44,7 +44,7 @@
 		killAt = min(killAt, in.Now()+spans.Part)
 	} else {
 		in.touched = true
-		in.desk.Leave(killAt)
+		in.desk.Drain(killAt)
 	}
 	in.At(max(in.Now(), killAt-spans.Part), func() {
 		if in.door != nil { // no op waits at the door past the module's last answers
--- a/internal/keep/runs.go
+++ b/internal/keep/runs.go
@@ -15,7 +15,7 @@
 // run is an op's run, from its start until its end is read. It says what is to be sent anew on a new link.
 type run struct {
 	atCall func()
-	ended  func(choice.Ending, time.Duration)
+	ended  func(choice.Outcome, time.Duration)
 	heard  bool   // the runtime is known to have got the start
 	stop   bool   // it was asked to stop
 	wants  uint64 // the notice by which it stands at a call, 0 when it does not
@@ -116,7 +116,7 @@
 	case "end":
 		in.end(n)
 	case "wants":
-		if o := in.ops[choice.OpID(n.ID)]; o != nil && o.run != nil {
+		if o := in.ops[choice.RequestID(n.ID)]; o != nil && o.run != nil {
 			r := o.run
 			in.database.drop(r.call)
 			r.heard, r.wants, r.give, r.omit, r.call = true, n.No, nil, 0, nil
@@ -139,7 +139,7 @@
 	if in.desk == nil && !in.leaving {
 		in.told.Facts["just started"] = n.Status == "booting"
 		in.early = n.Took // the age that a cold instance has counts from its runtime's start
-		in.desk = choice.Open(in.told.Seed, in.told.Facts, in)
+		in.desk = choice.New(in.told.Seed, in.told.Facts, in)
 		in.early = 0
 		in.touched = true
 	}
@@ -228,13 +228,13 @@
 	}
 }
 
-var ends = map[string]choice.Ending{
-	"success": choice.Acked, "failure": choice.Failed, "interrupted": choice.Cancelled, "nothing": choice.Moot,
+var ends = map[string]choice.Outcome{
+	"success": choice.Succeeded, "failure": choice.Failed, "interrupted": choice.Stopped, "nothing": choice.NotStarted,
 }
 
 // end takes the end of a run. One that went well or failed answers its op.
 func (in *Instance) end(n wire.Notice) {
-	o := in.ops[choice.OpID(n.ID)]
+	o := in.ops[choice.RequestID(n.ID)]
 	if o == nil || o.run == nil {
 		return
 	}
@@ -248,7 +248,7 @@
 	o.run = nil
 	in.running--
 	switch how {
-	case choice.Acked:
+	case choice.Succeeded:
 		in.keys.over(in, o, n.Bytes)
 		in.count(o, true)
 		in.answer(o, func(w front.Owed) { w.Answer(n.Bytes, in.with()) })
@@ -258,7 +258,7 @@
 	}
 	in.touched = true
 	r.ended(how, n.Took)
-	if how == choice.Moot { // nothing ran here, so an answer that is owed all the same can only be this
+	if how == choice.NotStarted { // nothing ran here, so an answer that is owed all the same can only be this
 		in.answer(o, func(w front.Owed) { w.Fail(in.with()) })
 	}
 	in.release(o)
@@ -267,7 +267,7 @@
 // refused hears that a command was not carried out. A start that was not ends its op, and its front hears that the id, type
 // or body is that of no op. Danger: the module would take it for a run that failed.
 func (in *Instance) refused(n wire.Notice) {
-	o := in.ops[choice.OpID(n.ID)]
+	o := in.ops[choice.RequestID(n.ID)]
 	if o == nil || o.run == nil || o.run.heard || n.Status != "start" {
 		slog.Warn("command-refused", "command", n.Status, "op", n.ID)
 		return
--- a/internal/life/fronts.go
+++ b/internal/life/fronts.go
@@ -60,11 +60,11 @@
 		return
 	}
 	how := o.File.AMQP.Told
-	how.Repeats = map[choice.OpType]bool{}
-	types, _ := told.Facts["op types"].([]choice.Facts)
+	how.Repeats = map[choice.Class]bool{}
+	types, _ := told.Facts["op types"].([]choice.Settings)
 	for _, t := range types {
 		name, _ := t["name"].(string)
-		how.Repeats[choice.OpType(name)] = t["repeats"] == "retryable"
+		how.Repeats[choice.Class(name)] = t["repeats"] == "retryable"
 	}
 	in.Attach(amqp.New(how, in, in.Hand, told.Seed))
 }
--- a/internal/life/golden_test.go
+++ b/internal/life/golden_test.go
@@ -32,11 +32,11 @@
 		Sockets:  64,
 		MemoryMB: 192.25,
 		Cores:    1.5,
-		Facts: choice.Facts{
-			"op types": []choice.Facts{
+		Facts: choice.Settings{
+			"op types": []choice.Settings{
 				{"name": "view", "importance": 1.5, "target latency": 300 * ms, "op timeout": 1250 * ms, "repeats": "retryable"},
 			},
-			"tenants":           []choice.Facts{{"name": "acme", "quota a second": 9.0, "share": 0.7}},
+			"tenants":           []choice.Settings{{"name": "acme", "quota a second": 9.0, "share": 0.7}},
 			"below":             "next tier",
 			"cores":             2.0,
 			"longest stay away": 1750 * ms,
--- a/internal/operator/callers.go
+++ b/internal/operator/callers.go
@@ -19,7 +19,7 @@
 		c.Anonymous = append(c.Anonymous, rights.RoleName(name))
 	}
 	for _, name := range s.list("writes") {
-		c.Writes = append(c.Writes, choice.OpType(name))
+		c.Writes = append(c.Writes, choice.Class(name))
 	}
 	s.count("entries", &c.Entries, 16, 1_000_000)
 	s.close()
@@ -65,7 +65,7 @@
 		role.Tenants = append(role.Tenants, choice.TenantID(t))
 	}
 	for _, t := range s.list("types") {
-		role.Types = append(role.Types, choice.OpType(t))
+		role.Types = append(role.Types, choice.Class(t))
 	}
 	if len(role.Types) == 0 {
 		s.wrong("types", "", "wants op types with commas between, or * for all")
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -34,7 +34,7 @@
 type Callers struct {
 	On        bool
 	Anonymous []rights.RoleName // of callers that prove nothing
-	Writes    []choice.OpType   // what changes something, whatever an op says of itself
+	Writes    []choice.Class    // what changes something, whatever an op says of itself
 	Entries   int               // identities whose rates and counts are kept, by role
 	Roles     []rights.Role
 	Map       []rights.Caller
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -67,7 +67,7 @@
 	buffers := int(config.MemoryMB*(1<<20)) / wire.BufferSize
 	told.Most = min(told.Most, buffers/4) // a quarter of the memory is for bodies in hand, as in an instance
 	r := &Relay{Loop: loop.New(buffers / 8), told: told, config: config, pool: &keep.Pool{}, kinds: map[string]kind{}, ops: map[string]*op{}}
-	types, _ := config.Facts["op types"].([]choice.Facts)
+	types, _ := config.Facts["op types"].([]choice.Settings)
 	for _, t := range types {
 		name, _ := t["name"].(string)
 		timeout, _ := t["op timeout"].(time.Duration)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -117,11 +117,11 @@
 	roster := standin.NewRoster()
 	told := Told{Told: pass.Told{Spread: spread.Usual(), Connections: 2, Unused: time.Minute}, Most: 100, Grace: 500 * time.Millisecond, After: 90 * time.Millisecond}
 	told.Spread.Retry = 1
-	kind := func(name, repeats string) choice.Facts {
-		return choice.Facts{"name": name, "repeats": repeats, "op timeout": 3 * time.Second, "target latency": time.Second}
+	kind := func(name, repeats string) choice.Settings {
+		return choice.Settings{"name": name, "repeats": repeats, "op timeout": 3 * time.Second, "target latency": time.Second}
 	}
 	r, err := Open(keep.Told{Name: "relay", Listen: listen, Roster: roster.Addr(), Seed: 1, Stop: 1500 * time.Millisecond, Sockets: 256, MemoryMB: 64, Cores: 1,
-		Facts: choice.Facts{"op types": []choice.Facts{kind("view", "retryable"), kind("pay", "non-retryable")}}}, told, nil)
+		Facts: choice.Settings{"op types": []choice.Settings{kind("view", "retryable"), kind("pay", "non-retryable")}}}, told, nil)
 	if err != nil {
 		panic(err)
 	}
--- a/internal/rights/rights.go
+++ b/internal/rights/rights.go
@@ -38,7 +38,7 @@
 type Role struct {
 	Name    RoleName
 	Tenants []choice.TenantID // beside the identity's own
-	Types   []choice.OpType
+	Types   []choice.Class
 	Reads   bool
 	Writes  bool
 	Rate    float64 // ops a second of one identity; 0 is no bound
@@ -50,7 +50,7 @@
 	return slices.Contains(r.Tenants, t) || slices.Contains(r.Tenants, Every)
 }
 
-func (r *Role) kind(t choice.OpType) bool {
+func (r *Role) kind(t choice.Class) bool {
 	return slices.Contains(r.Types, t) || slices.Contains(r.Types, Every)
 }
 
@@ -71,7 +71,7 @@
 
 // Ask is what an op wants to do.
 type Ask struct {
-	Type   choice.OpType
+	Type   choice.Class
 	Tenant choice.TenantID // empty where it claims none
 	Write  bool            // by the op's own account
 }
@@ -82,7 +82,7 @@
 	callers   []Caller
 	exact     map[Name]int // the caller that names it whole
 	starts    []start      // the longest first
-	writes    map[choice.OpType]bool
+	writes    map[choice.Class]bool
 	anonymous []*Role
 }
 
@@ -93,8 +93,8 @@
 
 // NewBook makes a book, or tells what is wrong with it. writes are the op types that change something whatever an op says of
 // itself; anonymous are the roles of callers without an identity.
-func NewBook(roles []Role, callers []Caller, writes []choice.OpType, anonymous []RoleName) (*Book, error) {
-	b := &Book{roles: map[RoleName]*Role{}, callers: callers, exact: map[Name]int{}, writes: map[choice.OpType]bool{}}
+func NewBook(roles []Role, callers []Caller, writes []choice.Class, anonymous []RoleName) (*Book, error) {
+	b := &Book{roles: map[RoleName]*Role{}, callers: callers, exact: map[Name]int{}, writes: map[choice.Class]bool{}}
 	for i := range roles {
 		if b.roles[roles[i].Name] != nil {
 			return nil, fmt.Errorf("role %q stands twice", roles[i].Name)
--- a/internal/rights/rights_test.go
+++ b/internal/rights/rights_test.go
@@ -15,14 +15,14 @@
 )
 
 var book = scenes.Must(NewBook([]Role{
-	{Name: "crew", Types: []choice.OpType{"view", "set"}, Reads: true, Writes: true, Rate: 10, Burst: 2, Open: 3},
-	{Name: "viewer", Types: []choice.OpType{"view"}, Reads: true},
-	{Name: "desk", Types: []choice.OpType{Every}, Tenants: []choice.TenantID{Every}, Reads: true, Writes: true},
+	{Name: "crew", Types: []choice.Class{"view", "set"}, Reads: true, Writes: true, Rate: 10, Burst: 2, Open: 3},
+	{Name: "viewer", Types: []choice.Class{"view"}, Reads: true},
+	{Name: "desk", Types: []choice.Class{Every}, Tenants: []choice.TenantID{Every}, Reads: true, Writes: true},
 }, []Caller{
 	{Title: "water", Match: []string{"uri:rota://water/*"}, Tenant: "water", Roles: []RoleName{"crew"}},
 	{Title: "foreman", Match: []string{"uri:rota://water/foreman", "token:desk-1"}, Tenant: "water", Roles: []RoleName{"desk"}},
 	{Title: "roads", Match: []string{"uri:rota://*"}, Tenant: "roads", Roles: []RoleName{"crew", "viewer"}},
-}, []choice.OpType{"set"}, nil))
+}, []choice.Class{"set"}, nil))
 
 // Who a caller is, and what it may: a whole name goes before a start, a longer start before a shorter; a write that calls
 // itself a read stays a write; another tenant's op is denied.
@@ -31,7 +31,7 @@
 		name   Name
 		claim  choice.TenantID
 		roles  []RoleName
-		kind   choice.OpType
+		kind   choice.Class
 		tenant choice.TenantID
 		write  bool
 	}{
@@ -138,7 +138,7 @@
 func TestBook(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tenants := []choice.TenantID{"", "a", "b", Every}
-		kinds := []choice.OpType{"x", "y", Every}
+		kinds := []choice.Class{"x", "y", Every}
 		var roles []Role
 		for i := range rapid.IntRange(1, 4).Draw(t, "roles") {
 			roles = append(roles, Role{Name: RoleName(fmt.Sprint("r", i)),
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -13,8 +13,8 @@
 
 const (
 	ms      = time.Millisecond
-	id      = choice.OpID("addf482b5d3a91c4")
-	another = choice.OpID("bbbf482b5d3a91c4")
+	id      = choice.RequestID("addf482b5d3a91c4")
+	another = choice.RequestID("bbbf482b5d3a91c4")
 )
 
 // read gives all that a line tells, as one list, whatever its kind.
@@ -80,20 +80,20 @@
 	}{
 		{"tick", []any{"tick", 5500 * ms}},
 		{"flush", []any{"flush"}},
-		{"boot", []any{"boot", 3, uint64(12345678901234567890), choice.Facts{"cores": 2.0, "op types": []choice.Facts{
+		{"boot", []any{"boot", 3, uint64(12345678901234567890), choice.Settings{"cores": 2.0, "op types": []choice.Settings{
 			{"name": "view", "importance": 1.5, "target latency": 300 * ms, "op timeout": 1250 * ms}}}}},
-		{"order", []any{"order", 3, choice.Arrival{
-			ID: id, Type: "view", Rank: 0.625, Retry: true, Write: true, Subject: "k1", Caller: 17, Waits: true,
-			ToldWait: 8650 * ms, Hint: 12 * ms, KB: 24.5, Lay: 1850 * time.Microsecond, Tenant: "acme", RepeatsOf: another}}},
-		{"order-least", []any{"order", 3, choice.Arrival{
-			ID: id, Type: "view", Rank: 0.625, Caller: 17, KB: 24.5, Lay: 2 * ms}}},
-		{"order-hint-not-marked", []any{"order", 3, choice.Arrival{
-			ID: id, Type: "view", Rank: 0.625, Retry: true, Caller: 17, KB: 24.5, Lay: 2 * ms}}},
+		{"order", []any{"order", 3, choice.Request{
+			ID: id, Class: "view", Rank: 0.625, IsRetry: true, IsWrite: true, Resource: "k1", Caller: 17, HasDeadline: true,
+			Deadline: 8650 * ms, WorkHint: 12 * ms, MemoryKB: 24.5, QueueDelay: 1850 * time.Microsecond, Tenant: "acme", DuplicateOf: another}}},
+		{"order-least", []any{"order", 3, choice.Request{
+			ID: id, Class: "view", Rank: 0.625, Caller: 17, MemoryKB: 24.5, QueueDelay: 2 * ms}}},
+		{"order-hint-not-marked", []any{"order", 3, choice.Request{
+			ID: id, Class: "view", Rank: 0.625, IsRetry: true, Caller: 17, MemoryKB: 24.5, QueueDelay: 2 * ms}}},
 		{"timeout-fired", []any{"timeout-fired", 3, "12", map[string]float64{
 			"cores busy": 0.5, "want a core": 3, "memory used": 100, "connections": 7, "other": 1.5}}},
 		{"blocked", []any{"blocked", 3, id}},
 		{"aborted", []any{"aborted", 3, id}},
-		{"ended", []any{"ended", 3, id, 300 * ms, choice.Acked}},
+		{"ended", []any{"ended", 3, id, 300 * ms, choice.Succeeded}},
 		{"call-done", []any{"call-done", 3, id, 100 * ms, choice.Failed}},
 		{"terminate-soon", []any{"terminate-soon", 3, 9500 * ms}},
 		{"power-off", []any{"power-off", 3}},
@@ -108,8 +108,8 @@
 
 // Each code of an outcome, of a run and of a call.
 func TestGoldenOutcomes(t *testing.T) {
-	codes := map[int]choice.Ending{0: choice.Acked, 1: choice.Cancelled, 4: choice.GivenUp, 8: choice.Full,
-		9: choice.Moot, 10: choice.Broken, 13: choice.Failed, 14: choice.Unreached}
+	codes := map[int]choice.Outcome{0: choice.Succeeded, 1: choice.Stopped, 4: choice.TimedOut, 8: choice.Rejected,
+		9: choice.NotStarted, 10: choice.ConnectionLost, 13: choice.Failed, 14: choice.Unreachable}
 	var r Reader
 	for code := range 256 {
 		want, known := codes[code]
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -154,12 +154,12 @@
 	return f.text(field)
 }
 
-func (f *fields) op(field string) choice.OpID {
+func (f *fields) op(field string) choice.RequestID {
 	id := f.text(field)
 	if f.err == nil && !isHex16(id) {
 		f.fault(field, "16 hex digits")
 	}
-	return choice.OpID(id)
+	return choice.RequestID(id)
 }
 
 func isHex16(s string) bool {
@@ -182,12 +182,12 @@
 	return facts.Seconds(x)
 }
 
-var endings = map[int64]choice.Ending{
-	0: choice.Acked, 13: choice.Failed, 8: choice.Full, 4: choice.GivenUp, 14: choice.Unreached,
-	10: choice.Broken, 1: choice.Cancelled, 9: choice.Moot,
+var endings = map[int64]choice.Outcome{
+	0: choice.Succeeded, 13: choice.Failed, 8: choice.Rejected, 4: choice.TimedOut, 14: choice.Unreachable,
+	10: choice.ConnectionLost, 1: choice.Stopped, 9: choice.NotStarted,
 }
 
-func (f *fields) ending(field string) choice.Ending {
+func (f *fields) ending(field string) choice.Outcome {
 	e, known := endings[f.integer(field)]
 	if !known {
 		f.fault(field, "an outcome code")
@@ -219,7 +219,7 @@
 }
 
 // Boot reads a start: the seed and what the instance is told.
-func (l Line) Boot() (uint64, choice.Facts, error) {
+func (l Line) Boot() (uint64, choice.Settings, error) {
 	f := take(l, 3, 3)
 	f.integer("who")
 	seed := f.unsigned("random-seed")
@@ -235,25 +235,25 @@
 }
 
 // Order reads an op.
-func (l Line) Order() (choice.Arrival, error) {
+func (l Line) Order() (choice.Request, error) {
 	const hinted, again, writes = 1, 2, 4
 	f := take(l, 11, 13)
 	f.integer("who")
-	a := choice.Arrival{ID: f.op("tid"), Type: choice.OpType(f.text("priority")), Rank: f.number("place")}
+	a := choice.Request{ID: f.op("tid"), Class: choice.Class(f.text("priority")), Rank: f.number("place")}
 	bits := f.integer("bits")
-	a.Retry, a.Write = bits&again != 0, bits&writes != 0
-	a.Subject = f.textOr("path-key")
+	a.IsRetry, a.IsWrite = bits&again != 0, bits&writes != 0
+	a.Resource = f.textOr("path-key")
 	a.Caller = choice.CallerID(f.integer("from"))
 	if until := f.numberOr0("valid-until-s"); until > 0 {
-		a.Waits, a.ToldWait = true, facts.Seconds(until)
+		a.HasDeadline, a.Deadline = true, facts.Seconds(until)
 	}
 	if hint := f.numberOr0("expected-s"); bits&hinted != 0 && hint > 0 {
-		a.Hint = facts.Seconds(hint)
+		a.WorkHint = facts.Seconds(hint)
 	}
-	a.KB, a.Lay = f.number("kb"), f.span("lay-s")
+	a.MemoryKB, a.QueueDelay = f.number("kb"), f.span("lay-s")
 	a.Tenant = choice.TenantID(f.textOr("billing"))
-	a.RepeatsOf = choice.OpID(f.textOr("dup-of"))
-	if f.err == nil && a.RepeatsOf != "" && !isHex16(string(a.RepeatsOf)) {
+	a.DuplicateOf = choice.RequestID(f.textOr("dup-of"))
+	if f.err == nil && a.DuplicateOf != "" && !isHex16(string(a.DuplicateOf)) {
 		f.fault("dup-of", "16 hex digits")
 	}
 	return a, f.err
@@ -279,7 +279,7 @@
 }
 
 // Op reads an event that only names an op: blocked and aborted.
-func (l Line) Op() (choice.OpID, error) {
+func (l Line) Op() (choice.RequestID, error) {
 	f := take(l, 2, 2)
 	f.integer("who")
 	id := f.op("tid")
@@ -287,7 +287,7 @@
 }
 
 // Ended reads the end of a run.
-func (l Line) Ended() (choice.OpID, time.Duration, choice.Ending, error) {
+func (l Line) Ended() (choice.RequestID, time.Duration, choice.Outcome, error) {
 	f := take(l, 4, 4)
 	f.integer("who")
 	id, took := f.op("tid"), f.span("elapsed-s")
@@ -296,7 +296,7 @@
 }
 
 // CallDone reads the end of a call, whose outcome comes before its time.
-func (l Line) CallDone() (choice.OpID, time.Duration, choice.Ending, error) {
+func (l Line) CallDone() (choice.RequestID, time.Duration, choice.Outcome, error) {
 	f := take(l, 4, 4)
 	f.integer("who")
 	id, how := f.op("tid"), f.ending("how")
--- a/internal/simwire/write.go
+++ b/internal/simwire/write.go
@@ -28,7 +28,7 @@
 	for _, v := range values {
 		r.buf = append(r.buf, ',')
 		switch v := v.(type) {
-		case choice.OpID:
+		case choice.RequestID:
 			r.text(string(v))
 		case string:
 			r.text(v)
--- a/internal/wire/database.go
+++ b/internal/wire/database.go
@@ -35,7 +35,7 @@
 }
 
 // Call sends one call.
-func (d *Database) Call(host string, id choice.OpID, limit time.Duration, body []byte) {
+func (d *Database) Call(host string, id choice.RequestID, limit time.Duration, body []byte) {
 	b := append(d.room(), "POST /v1/exec HTTP/1.1\r\nHost: "...)
 	b = append(append(b, host...), "\r\nRequest-Ref: "...)
 	b = append(append(b, id...), "\r\nStatement-Timeout-Ms: "...)
--- a/internal/wire/runtime.go
+++ b/internal/wire/runtime.go
@@ -42,19 +42,21 @@
 
 func (r *Runtime) Sync(last uint64) { r.put(r.open("sync").no(last).close()) }
 
-func (r *Runtime) Start(id choice.OpID, route choice.OpType, body []byte) {
+func (r *Runtime) Start(id choice.RequestID, route choice.Class, body []byte) {
 	r.put(r.open("start").rid(id).word("route", string(route)).b64(body).close())
 }
 
-func (r *Runtime) Stop(id choice.OpID) { r.put(r.open("stop").rid(id).close()) }
+func (r *Runtime) Stop(id choice.RequestID) { r.put(r.open("stop").rid(id).close()) }
 
-func (r *Runtime) Give(id choice.OpID, reply []byte) {
+func (r *Runtime) Give(id choice.RequestID, reply []byte) {
 	r.put(r.open("give").rid(id).b64(reply).close())
 }
 
-func (r *Runtime) Omit(id choice.OpID, wants uint64) { r.put(r.open("omit").rid(id).no(wants).close()) }
-func (r *Runtime) Gauges(mark string)                { r.put(r.open("gauges").word("mark", mark).close()) }
-func (r *Runtime) Selftest(mark string)              { r.put(r.open("selftest").word("mark", mark).close()) }
+func (r *Runtime) Omit(id choice.RequestID, wants uint64) {
+	r.put(r.open("omit").rid(id).no(wants).close())
+}
+func (r *Runtime) Gauges(mark string)   { r.put(r.open("gauges").word("mark", mark).close()) }
+func (r *Runtime) Selftest(mark string) { r.put(r.open("selftest").word("mark", mark).close()) }
 
 // jsonLine is a command that is being written.
 type jsonLine []byte
@@ -64,7 +66,7 @@
 }
 
 func (j jsonLine) no(n uint64) jsonLine { return strconv.AppendUint(append(j, `,"no":`...), n, 10) }
-func (j jsonLine) rid(id choice.OpID) jsonLine {
+func (j jsonLine) rid(id choice.RequestID) jsonLine {
 	return j.word("rid", string(id))
 }
 
