--- a/internal/below/below.go
+++ b/internal/below/below.go
@@ -115,7 +115,7 @@
 }
 
 // Take is keep.Below.
-func (p *Part) Take(not string, waiting int) keep.Place {
+func (p *Part) Take(not string, waiting int) keep.UpstreamSlot {
 	now := p.loop.Now()
 	p.waiting = waiting
 	i, any := p.chooser.Pick(now, p.chance.Float64, func(i int) bool {
@@ -202,14 +202,14 @@
 	longest time.Duration
 }
 
-func (c *place) Addr() string           { return c.s.addr }
-func (c *place) Longest() time.Duration { return c.longest }
+func (c *place) Addr() string               { return c.s.addr }
+func (c *place) MaxDuration() time.Duration { return c.longest }
 
 var outcomes = map[choice.Outcome]spread.Outcome{choice.Succeeded: spread.Served, choice.Rejected: spread.Refused, choice.Failed: spread.Failed}
 
-// Over is keep.Place. What may be running on counts until its time there is up. Danger: who gives a call up and makes another at once has two running
+// Release is keep.Place. What may be running on counts until its time there is up. Danger: who gives a call up and makes another at once has two running
 // below.
-func (c *place) Over(how choice.Outcome, running bool) {
+func (c *place) Release(how choice.Outcome, running bool) {
 	p, now := c.s.p, c.s.p.loop.Now()
 	what, known := outcomes[how]
 	if !known {
--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -52,37 +52,37 @@
 }
 
 // join brings an instance into its fleet.
-func join(in *keep.Instance, config keep.Told, o *life.Operated) (func(*life.Operated), error) {
+func join(in *keep.Server, config keep.Config, o *life.Operated) (func(*life.Operated), error) {
 	if !o.File.Fleet.On { // services at told addresses need nobody else
 		services := below.New(in.Loop, o.File.Below.Told, members.ID{}, config.Seed, nil)
-		in.CallAt(services)
+		in.UseUpstreams(services)
 		in.Hand(services.Start)
 		return func(*life.Operated) {}, nil
 	}
-	part, err := gossip.New(Told(&o.File.Fleet, config.Name, config.Listen, o.ClusterKeys), &instance{in}, config.Seed)
+	part, err := gossip.New(Told(&o.File.Fleet, config.Name, config.ListenAddr, o.ClusterKeys), &instance{in}, config.Seed)
 	if err != nil {
 		return nil, err
 	}
 	var over *handover.Part
 	if o.File.HandOver.On {
-		in.HandOver(func(net *wire.Net) keep.Elsewhere {
+		in.EnableSpillover(func(net *wire.Net) keep.Spillover {
 			over = handover.New(in, net, o.File.HandOver.Told, config.Seed, asks(part))
 			return over
 		})
 		seeing(part, in.Loop, over.See)
-		in.Attach(over)
+		in.AddFrontend(over)
 	}
 	if o.File.Below.On {
 		below := below.New(in.Loop, o.File.Below.Told, part.View().Self.ID(), config.Seed, part.AskDesk)
 		part.Grants = func(g grants.Grant) { in.Hand(func() { below.Granted(g) }) }
 		seeing(part, in.Loop, below.See)
-		in.CallAt(below)
+		in.UseUpstreams(below)
 		in.Hand(below.Start)
 	}
-	in.Attach(part)
+	in.AddFrontend(part)
 	slog.Info("fleet", "name", string(part.View().Self.Name), "listen", o.File.Fleet.Listen, "seeds", len(o.File.Fleet.Told.Seeds), "keys", len(o.ClusterKeys))
 	return func(o *life.Operated) {
-		part.Put(Told(&o.File.Fleet, config.Name, config.Listen, o.ClusterKeys))
+		part.Put(Told(&o.File.Fleet, config.Name, config.ListenAddr, o.ClusterKeys))
 		if over != nil {
 			in.Hand(func() { over.Put(o.File.HandOver.Told) })
 		}
@@ -90,7 +90,7 @@
 }
 
 // instance speaks for an instance: what it says of itself comes from its core's loop.
-type instance struct{ in *keep.Instance }
+type instance struct{ in *keep.Server }
 
 func (i *instance) Report(then func(gossip.Report)) {
 	i.in.Hand(func() {
@@ -106,8 +106,8 @@
 
 func (i *instance) Load(then func(float64, gossip.Figures)) {
 	i.in.Hand(func() {
-		f := i.in.Figures()
-		figures := gossip.Figures{Done: float64(f.Done), Well: float64(f.Well), Took: f.Took.Seconds()}
+		f := i.in.Stats()
+		figures := gossip.Figures{Done: float64(f.Answered), Well: float64(f.WithinObjective), Took: f.TotalLatency.Seconds()}
 		if l := i.in.Load(); l.Held+l.Running > 0 {
 			then(float64(l.Held+l.Running), figures)
 		} else {
@@ -119,11 +119,11 @@
 func (i *instance) Drain(number uint64) {
 	i.in.Hand(func() {
 		slog.Info("permitted", "permit", number)
-		i.in.Leave()
+		i.in.Drain()
 	})
 }
 
-func (i *instance) Fenced() { i.in.Hand(i.in.Leave) }
+func (i *instance) Fenced() { i.in.Hand(i.in.Drain) }
 
 // desked runs a desk.
 func desked(operated, format string) error {
@@ -148,11 +148,11 @@
 
 // relayed runs a relay.
 func relayed(operated, format string) error {
-	return relays.Live(os.Getenv("RELAY_CONFIG"), operated, format, func(config keep.Told, o *life.Operated) (*relay.Relay, func(*life.Operated), error) {
+	return relays.Live(os.Getenv("RELAY_CONFIG"), operated, format, func(config keep.Config, o *life.Operated) (*relay.Relay, func(*life.Operated), error) {
 		fleet := o.File.Fleet
 		fleet.Roles = fleet.Roles&^members.Instance | members.Relay
 		speaks := &relaying{}
-		part, err := gossip.New(Told(&fleet, config.Name, config.Listen, o.ClusterKeys), speaks, config.Seed)
+		part, err := gossip.New(Told(&fleet, config.Name, config.ListenAddr, o.ClusterKeys), speaks, config.Seed)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -167,7 +167,7 @@
 		return r, func(o *life.Operated) {
 			f := o.File.Fleet
 			f.Roles = fleet.Roles
-			part.Put(Told(&f, config.Name, config.Listen, o.ClusterKeys))
+			part.Put(Told(&f, config.Name, config.ListenAddr, o.ClusterKeys))
 		}, nil
 	})
 }
--- a/internal/command/further/golden_test.go
+++ b/internal/command/further/golden_test.go
@@ -264,8 +264,8 @@
 
 // The keys of the facts that an instance and a proxy have gossiped of themselves.
 func TestGoldenFacts(t *testing.T) {
-	config := keep.Told{Name: "n", Listen: "127.0.0.1:0", Runtime: "127.0.0.1:1", Stop: time.Second, Sockets: 128, MemoryMB: 32, Cores: 1, Facts: choice.Settings{}}
-	in, err := keep.Open(config)
+	config := keep.Config{Name: "n", ListenAddr: "127.0.0.1:0", RuntimeAddr: "127.0.0.1:1", TerminationGrace: time.Second, MaxDescriptors: 128, MemoryMB: 32, Cores: 1, Settings: choice.Settings{}}
+	in, err := keep.New(config)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -25,7 +25,7 @@
 // Part is the hand-over of one instance. It is a keep.Elsewhere and a front.Front.
 type Part struct {
 	loop    *loop.Loop
-	in      *keep.Instance
+	in      *keep.Server
 	told    Told
 	passer  *pass.Passer
 	hander  *spread.Hander
@@ -43,7 +43,7 @@
 }
 
 // New makes the part of an instance whose loop and sockets it shares.
-func New(in *keep.Instance, net *wire.Net, told Told, seed uint64, ask pass.Ask) *Part {
+func New(in *keep.Server, net *wire.Net, told Told, seed uint64, ask pass.Ask) *Part {
 	passer := pass.New(in.Loop, net, told.Told, seed, ask)
 	return &Part{loop: in.Loop, in: in, told: told, passer: passer, hander: spread.NewHander(told.Hand, passer.Chooser), open: map[*op]bool{}, counts: map[string]uint64{}}
 }
@@ -87,11 +87,11 @@
 	}
 }
 
-// Came is keep.Elsewhere.
-func (p *Part) Came() { p.hander.Came() }
+// RequestArrived is keep.Elsewhere.
+func (p *Part) RequestArrived() { p.hander.Came() }
 
-// Take is keep.Elsewhere.
-func (p *Part) Take(ask front.Ask, due time.Duration, repeats bool, owed front.Owed) front.Op {
+// Forward is keep.Elsewhere.
+func (p *Part) Forward(ask front.Ask, due time.Duration, repeats bool, owed front.Owed) front.Op {
 	why := spread.Handed
 	place := 0
 	switch {
@@ -140,8 +140,8 @@
 	owed.Settled()
 }
 
-// Gone is keep.Elsewhere: nobody waits any more.
-func (p *Part) Gone(x front.Op) {
+// Cancel is keep.Elsewhere: nobody waits any more.
+func (p *Part) Cancel(x front.Op) {
 	if o, is := x.(*op); is && o.owed != nil {
 		o.owed = nil
 		delete(p.open, o)
--- a/internal/keep/calls.go
+++ b/internal/keep/calls.go
@@ -8,225 +8,225 @@
 	"lanewheel/internal/wire"
 )
 
-// database is the calls to the database that all instances share. Each has a connection of its own. Danger: a reply may
+// databaseCalls is the calls to the database that all instances share. Each has a connection of its own. Danger: a reply may
 // come twice, or noise behind it, and what comes late on a connection that is used again would be taken for the next
 // call's reply; and a resting connection may be forgotten there, so that nobody can tell whether the next call ran.
-type database struct {
-	below Below   // services that calls go to; nil: the configuration's one address
-	open  int     // connections that stand or are being opened
-	most  int     // as many as the descriptors left beside the client stubs allow
-	wait  []*call // calls that wait for one
-}
-
-// call is one call of a run, until its outcome is told.
-type call struct {
-	op    *op
-	began time.Duration
-	until time.Duration
-	conn  *wire.Database // nil while it waits for room
-	sent  bool
-	limit *loop.Timer
-	done  func(choice.Outcome, time.Duration)
-	place Place  // where it goes, where there are several
-	last  string // where it was refused before
-	tries int
-}
-
-// Below is several services that calls may go to. It belongs to the owner loop.
-type Below interface {
+type databaseCalls struct {
+	upstreams Upstreams       // services that calls go to; nil: the configuration's one address
+	open      int             // connections that stand or are being opened
+	maxConns  int             // as many as the descriptors left beside the client stubs allow
+	waiting   []*databaseCall // calls that wait for one
+}
+
+// databaseCall is one call of a run, until its outcome is told.
+type databaseCall struct {
+	request     *activeRequest
+	startedAt   time.Duration
+	deadline    time.Duration
+	conn        *wire.Database // nil while it waits for room
+	sent        bool
+	timer       *loop.Timer
+	done        func(choice.Outcome, time.Duration)
+	slot        UpstreamSlot // where it goes, where there are several
+	refusedAddr string       // where it was refused before
+	attempts    int
+}
+
+// Upstreams is several services that calls may go to. It belongs to the owner loop.
+type Upstreams interface {
 	// Take gives a call a place at a service, but not at the one where it was refused; waiting is how many calls wait for one. It gives nil
 	// while none has room.
-	Take(not string, waiting int) Place
+	Acquire(not string, waiting int) UpstreamSlot
 	// Freed has then called whenever there may be room again.
-	Freed(then func())
+	OnAvailable(then func())
 }
 
-// Place is a call's at one service.
-type Place interface {
+// UpstreamSlot is a call's at one service.
+type UpstreamSlot interface {
 	Addr() string
-	Longest() time.Duration // that the call may last there
+	MaxDuration() time.Duration // that the call may last there
 	// Over gives the place back, once. running tells that the call may go on there for as long as it was told.
-	Over(how choice.Outcome, running bool)
+	Release(how choice.Outcome, running bool)
 }
 
-// CallAt has calls go to services that are told elsewhere. It belongs to the time before Serve.
-func (in *Instance) CallAt(b Below) {
-	in.database.below = b
-	b.Freed(func() { in.database.next(in) })
+// UseUpstreams has calls go to services that are told elsewhere. It belongs to the time before Serve.
+func (in *Server) UseUpstreams(upstreams Upstreams) {
+	in.database.upstreams = upstreams
+	upstreams.OnAvailable(func() { in.database.startWaiting(in) })
 }
 
-func (d *database) call(in *Instance, o *op, until time.Duration, done func(choice.Outcome, time.Duration)) {
-	d.drop(o.run.call) // a second call gives up the first
-	c := &call{op: o, began: in.Now(), until: until, done: done}
-	o.run.call = c
-	c.limit = in.At(until, func() { d.end(in, c, c.cut(choice.TimedOut)) })
-	if d.open >= d.most || !d.settle(in, c) {
-		d.wait = append(d.wait, c)
+func (d *databaseCalls) start(server *Server, active *activeRequest, deadline time.Duration, done func(choice.Outcome, time.Duration)) {
+	d.cancel(active.run.call) // a second call gives up the first
+	call := &databaseCall{request: active, startedAt: server.Now(), deadline: deadline, done: done}
+	active.run.call = call
+	call.timer = server.At(deadline, func() { d.finish(server, call, call.interruptedOutcome(choice.TimedOut)) })
+	if d.open >= d.maxConns || !d.acquireSlot(server, call) {
+		d.waiting = append(d.waiting, call)
 		return
 	}
-	d.dial(in, c)
+	d.dial(server, call)
 }
 
-// settle finds a call its place, where there are several services.
-func (d *database) settle(in *Instance, c *call) bool {
-	if d.below == nil {
+// acquireSlot finds a call its place, where there are several services.
+func (d *databaseCalls) acquireSlot(server *Server, call *databaseCall) bool {
+	if d.upstreams == nil {
 		return true
 	}
-	if c.place = d.below.Take(c.last, len(d.wait)+1); c.place == nil {
+	if call.slot = d.upstreams.Acquire(call.refusedAddr, len(d.waiting)+1); call.slot == nil {
 		return false
 	}
-	c.tries++
+	call.attempts++
 	// Danger: what is granted counts on calls that last no longer than is told.
-	if until := in.Now() + c.place.Longest(); until < c.until {
-		c.until = until
-		c.limit.Drop()
-		c.limit = in.At(until, func() { d.end(in, c, c.cut(choice.TimedOut)) })
+	if deadline := server.Now() + call.slot.MaxDuration(); deadline < call.deadline {
+		call.deadline = deadline
+		call.timer.Drop()
+		call.timer = server.At(deadline, func() { d.finish(server, call, call.interruptedOutcome(choice.TimedOut)) })
 	}
 	return true
 }
 
-// leave gives a call's place back. running tells that it may go on below.
-func (c *call) leave(how choice.Outcome, running bool) {
-	if p := c.place; p != nil {
-		c.place = nil
-		p.Over(how, running)
+// releaseSlot gives a call's place back. running tells that it may go on below.
+func (c *databaseCall) releaseSlot(outcome choice.Outcome, running bool) {
+	if slot := c.slot; slot != nil {
+		c.slot = nil
+		slot.Release(outcome, running)
 	}
 }
 
 // dial opens the connection of a call and sends it.
-func (d *database) dial(in *Instance, c *call) {
+func (d *databaseCalls) dial(server *Server, call *databaseCall) {
 	d.open++
-	addr := in.told.Database
-	if c.place != nil {
-		addr = c.place.Addr()
+	addr := server.config.DatabaseAddr
+	if call.slot != nil {
+		addr = call.slot.Addr()
 	}
 	var conn *wire.Database
-	conn = in.net.DialDatabase(addr, func(refused error) {
+	conn = server.net.DialDatabase(addr, func(refused error) {
 		switch {
-		case refused == nil && c.op.run != nil && c.op.run.call == c:
-			c.sent = true
-			conn.Call(addr, c.op.id, c.until-in.Now(), c.op.run.ask)
+		case refused == nil && call.request.run != nil && call.request.run.call == call:
+			call.sent = true
+			conn.Call(addr, call.request.id, call.deadline-server.Now(), call.request.run.callBody)
 		case refused != nil:
 			d.open--
-			if c.op.run != nil && c.op.run.call == c && d.again(in, c, addr) {
+			if call.request.run != nil && call.request.run.call == call && d.retry(server, call, addr) {
 				return
 			}
-			c.leave(choice.Unreachable, false)
-			d.end(in, c, choice.Unreachable) // nothing was sent
-			d.next(in)
+			call.releaseSlot(choice.Unreachable, false)
+			d.finish(server, call, choice.Unreachable) // nothing was sent
+			d.startWaiting(server)
 		}
 	})
-	c.conn = conn
-	conn.OnReply = func(r wire.Reply) { d.reply(in, c, r) }
+	call.conn = conn
+	conn.OnReply = func(reply wire.Reply) { d.handleReply(server, call, reply) }
 	conn.OnEnd = func(string) {
 		d.open--
-		c.leave(choice.ConnectionLost, c.sent)
-		d.end(in, c, c.cut(choice.ConnectionLost))
-		d.next(in)
+		call.releaseSlot(choice.ConnectionLost, call.sent)
+		d.finish(server, call, call.interruptedOutcome(choice.ConnectionLost))
+		d.startWaiting(server)
 	}
 }
 
-// again makes a call anew of which nothing was sent, as its address was refused: the database has moved, or there is another service.
-func (d *database) again(in *Instance, c *call, addr string) bool {
-	if d.below == nil {
-		if addr == in.told.Database {
+// retry makes a call anew of which nothing was sent, as its address was refused: the database has moved, or there is another service.
+func (d *databaseCalls) retry(server *Server, call *databaseCall, addr string) bool {
+	if d.upstreams == nil {
+		if addr == server.config.DatabaseAddr {
 			return false
 		}
-		d.dial(in, c)
+		d.dial(server, call)
 		return true
 	}
-	c.leave(choice.Unreachable, false)
-	c.last = addr
-	const tries = 2 // two that are refused one after the other are a network that is gone
+	call.releaseSlot(choice.Unreachable, false)
+	call.refusedAddr = addr
+	const maxAttempts = 2 // two that are refused one after the other are a network that is gone
 	switch {
-	case c.tries >= tries:
+	case call.attempts >= maxAttempts:
 		return false
-	case d.open >= d.most || !d.settle(in, c):
-		d.wait = append(d.wait, c) // until another has room, or its time is up
+	case d.open >= d.maxConns || !d.acquireSlot(server, call):
+		d.waiting = append(d.waiting, call) // until another has room, or its time is up
 	default:
-		d.dial(in, c)
+		d.dial(server, call)
 	}
 	return true
 }
 
-// moved hears that the database's address is another now. Danger: calls whose dials the old one swallows wait there for their whole time.
-func (d *database) moved(in *Instance) {
-	if d.below != nil {
+// addressChanged hears that the database's address is another now. Danger: calls whose dials the old one swallows wait there for their whole time.
+func (d *databaseCalls) addressChanged(server *Server) {
+	if d.upstreams != nil {
 		return
 	}
-	for _, o := range in.ops {
-		if r := o.run; r != nil && r.call != nil && r.call.conn != nil && !r.call.sent {
-			r.call.conn.GiveUpDial() // it is refused so, and made again
+	for _, active := range server.requests {
+		if run := active.run; run != nil && run.call != nil && run.call.conn != nil && !run.call.sent {
+			run.call.conn.GiveUpDial() // it is refused so, and made again
 		}
 	}
 }
 
-// next gives waiting calls the room that there is.
-func (d *database) next(in *Instance) {
-	for len(d.wait) > 0 && d.open < d.most && d.settle(in, d.wait[0]) {
-		c := d.wait[0]
-		d.wait = d.wait[1:]
-		d.dial(in, c)
+// startWaiting gives waiting calls the room that there is.
+func (d *databaseCalls) startWaiting(server *Server) {
+	for len(d.waiting) > 0 && d.open < d.maxConns && d.acquireSlot(server, d.waiting[0]) {
+		call := d.waiting[0]
+		d.waiting = d.waiting[1:]
+		d.dial(server, call)
 	}
 }
 
-// reply tells what a reply proves, and no more.
-func (d *database) reply(in *Instance, c *call, r wire.Reply) {
-	if c.op.run == nil || c.op.run.call != c {
+// handleReply tells what a reply proves, and no more.
+func (d *databaseCalls) handleReply(server *Server, call *databaseCall, reply wire.Reply) {
+	if call.request.run == nil || call.request.run.call != call {
 		return
 	}
-	how := choice.Failed
+	outcome := choice.Failed
 	switch {
-	case r.Status == 200:
-		how = choice.Succeeded
-		o := c.op
-		o.run.give = append(make([]byte, 0, len(r.Body)), r.Body...)
-		o.run.wants = 0
-		if in.runtime.synced {
-			in.runtime.conn.Give(o.id, o.run.give)
+	case reply.Status == 200:
+		outcome = choice.Succeeded
+		active := call.request
+		active.run.callReply = append(make([]byte, 0, len(reply.Body)), reply.Body...)
+		active.run.callSequence = 0
+		if server.runtime.synced {
+			server.runtime.conn.Give(active.id, active.run.callReply)
 		}
-	case r.NeverStarted:
-		how = choice.Rejected
-	case r.Status == 504:
-		how = choice.TimedOut
+	case reply.NeverStarted:
+		outcome = choice.Rejected
+	case reply.Status == 504:
+		outcome = choice.TimedOut
 	}
-	c.conn.Blame("answered")
-	c.leave(how, false)
-	d.end(in, c, how)
+	call.conn.Blame("answered")
+	call.releaseSlot(outcome, false)
+	d.finish(server, call, outcome)
 }
 
-// end tells the outcome of a call, once, and ends its connection.
-func (d *database) end(in *Instance, c *call, how choice.Outcome) {
-	if c.op.run == nil || c.op.run.call != c {
+// finish tells the outcome of a call, once, and ends its connection.
+func (d *databaseCalls) finish(server *Server, call *databaseCall, outcome choice.Outcome) {
+	if call.request.run == nil || call.request.run.call != call {
 		return
 	}
-	d.drop(c)
-	c.op.run.call = nil
-	in.touched = true
-	c.done(how, in.Now()-c.began)
+	d.cancel(call)
+	call.request.run.call = nil
+	server.decisionPending = true
+	call.done(outcome, server.Now()-call.startedAt)
 }
 
-// cut is how a call comes out that was cut short. One that was never sent can't have run.
-func (c *call) cut(how choice.Outcome) choice.Outcome {
+// interruptedOutcome is how a call comes out that was cut short. One that was never sent can't have run.
+func (c *databaseCall) interruptedOutcome(outcome choice.Outcome) choice.Outcome {
 	if c.sent {
-		return how
+		return outcome
 	}
 	return choice.Unreachable
 }
 
-// drop gives a call up: one that is on its way ends with its connection, as nothing else would end it there.
-func (d *database) drop(c *call) {
-	if c == nil {
+// cancel gives a call up: one that is on its way ends with its connection, as nothing else would end it there.
+func (d *databaseCalls) cancel(call *databaseCall) {
+	if call == nil {
 		return
 	}
-	c.limit.Drop()
-	c.leave(choice.TimedOut, c.sent)
-	if c.conn != nil {
-		c.conn.Close("call-given-up")
+	call.timer.Drop()
+	call.releaseSlot(choice.TimedOut, call.sent)
+	if call.conn != nil {
+		call.conn.Close("call-given-up")
 	}
-	for i, waiting := range d.wait {
-		if waiting == c {
-			d.wait = append(d.wait[:i], d.wait[i+1:]...)
+	for i, waiting := range d.waiting {
+		if waiting == call {
+			d.waiting = append(d.waiting[:i], d.waiting[i+1:]...)
 			break
 		}
 	}
--- a/internal/keep/door.go
+++ b/internal/keep/door.go
@@ -7,60 +7,60 @@
 	"lanewheel/internal/rights"
 )
 
-// enter asks the door for an op that was read. One whose caller is not known yet waits in the tables, unheard by the module:
+// authenticate asks the door for an op that was read. One whose caller is not known yet waits in the tables, unheard by the module:
 // it can be given up, and its id is taken, as that of any other.
-func (in *Instance) enter(badge *identity.Badge, ask front.Ask, owed front.Owed) *op {
-	want := identity.Ask{Token: ask.Token, Ask: rights.Ask{Type: choice.Class(ask.Type),
-		Tenant: choice.TenantID(ask.Tenant), Write: ask.Subject == ""}}
-	o := in.take(ask, owed)
-	o.outside = true
-	in.door.Enter(badge, want, func(v identity.Verdict) {
-		if o.owed == nil || in.ops[o.id] != o { // gone meanwhile
-			in.door.Give(&v.Pass)
+func (in *Server) authenticate(credential *identity.Badge, request front.Ask, responder front.Owed) *activeRequest {
+	wanted := identity.Ask{Token: request.Token, Ask: rights.Ask{Type: choice.Class(request.Type),
+		Tenant: choice.TenantID(request.Tenant), Write: request.Subject == ""}}
+	active := in.track(request, responder)
+	active.outsideController = true
+	in.authenticator.Enter(credential, wanted, func(verdict identity.Verdict) {
+		if active.responder == nil || in.requests[active.id] != active { // gone meanwhile
+			in.authenticator.Give(&verdict.Pass)
 			return
 		}
-		in.verdict(ask, o, v)
+		in.applyVerdict(request, active, verdict)
 	})
-	ask.Body = nil // it is the reader's; the op has its own
-	return o
+	request.Body = nil // it is the reader's; the op has its own
+	return active
 }
 
-// verdict carries out what the door said of an op.
-func (in *Instance) verdict(ask front.Ask, o *op, v identity.Verdict) {
+// applyVerdict carries out what the door said of an op.
+func (in *Server) applyVerdict(request front.Ask, active *activeRequest, verdict identity.Verdict) {
 	switch {
-	case v.Why != "":
-		with := in.with()
-		with.Why = string(v.Why)
-		in.dismiss(o, func(w front.Owed) { w.Reject("denied", with) })
-	case v.After > 0:
+	case verdict.Why != "":
+		metadata := in.metadata()
+		metadata.Why = string(verdict.Why)
+		in.answerOutside(active, func(responder front.Owed) { responder.Reject("denied", metadata) })
+	case verdict.After > 0:
 		// When to come again is said where the settings allow it, and no more.
-		with := in.with()
-		if passed, _ := in.told.Facts["stay away is passed on"].(bool); passed {
-			with.After = v.After
-			if longest := span(in.told.Facts, "longest stay away"); longest > 0 {
-				with.After = min(v.After, longest)
+		metadata := in.metadata()
+		if passed, _ := in.config.Settings["stay away is passed on"].(bool); passed {
+			metadata.After = verdict.After
+			if maxRetryAfter := durationSetting(in.config.Settings, "longest stay away"); maxRetryAfter > 0 {
+				metadata.After = min(verdict.After, maxRetryAfter)
 			}
 		}
-		in.dismiss(o, func(w front.Owed) { w.Refuse(with) })
+		in.answerOutside(active, func(responder front.Owed) { responder.Refuse(metadata) })
 	default:
-		ask.Tenant = string(v.Tenant)
-		o.pass, o.tenant = v.Pass, v.Tenant
-		in.admit(ask, nil, o)
+		request.Tenant = string(verdict.Tenant)
+		active.permission, active.tenant = verdict.Pass, verdict.Tenant
+		in.submitToController(request, nil, active)
 	}
 }
 
-// dismiss answers an op that the module has not heard of, and takes it out of the tables.
-func (in *Instance) dismiss(o *op, send func(front.Owed)) {
-	o.outside = true
-	in.answer(o, send)
-	in.release(o)
+// answerOutside answers an op that the module has not heard of, and takes it out of the tables.
+func (in *Server) answerOutside(active *activeRequest, send func(front.Owed)) {
+	active.outsideController = true
+	in.respond(active, send)
+	in.forget(active)
 }
 
-// Admit puts what an operator's file says of callers in force, as it was read anew.
-func (in *Instance) Admit(p *identity.Parts) {
-	if in.door == nil || p == nil {
+// UpdateAuthn puts what an operator's file says of callers in force, as it was read anew.
+func (in *Server) UpdateAuthn(parts *identity.Parts) {
+	if in.authenticator == nil || parts == nil {
 		return
 	}
-	in.door.Replace(*p)
-	in.net.Tokens.Store(p.Keys != nil)
+	in.authenticator.Replace(*parts)
+	in.net.Tokens.Store(parts.Keys != nil)
 }
--- a/internal/keep/health.go
+++ b/internal/keep/health.go
@@ -9,56 +9,56 @@
 
 // health is how checks are answered, and the reports to the roster.
 type health struct {
-	good, fromState bool
-	roster          *wire.Roster
+	healthy, fromState bool
+	registry           *wire.Roster
 }
 
-// well tells whether a check is answered good: never before the runtime has come up.
-func (in *Instance) well() bool { return in.desk != nil && in.health.good }
+// healthy tells whether a check is answered good: never before the runtime has come up.
+func (in *Server) healthy() bool { return in.controller != nil && in.health.healthy }
 
 // Check is stubs.Core: a deep one goes by work unless the module has said to answer from its state.
-func (in *Instance) Check(deep bool, then func(good bool)) {
-	if !deep || in.health.fromState || !in.well() || !in.runtime.synced {
-		then(in.well() && (in.runtime.synced || !deep || in.health.fromState))
+func (in *Server) Check(deep bool, then func(healthy bool)) {
+	if !deep || in.health.fromState || !in.healthy() || !in.runtime.synced {
+		then(in.healthy() && (in.runtime.synced || !deep || in.health.fromState))
 		return
 	}
-	in.selftest(func(good bool) { then(good && in.well()) })
+	in.runSelfTest(func(healthy bool) { then(healthy && in.healthy()) })
 }
 
-// selftest has the runtime do the work of a check. One that does not return in a second is bad.
-func (in *Instance) selftest(done func(good bool)) {
-	l := &in.runtime
-	if l.tests == nil {
-		l.tests = map[string]func(bool){}
+// runSelfTest has the runtime do the work of a check. One that does not return in a second is bad.
+func (in *Server) runSelfTest(done func(healthy bool)) {
+	link := &in.runtime
+	if link.selfTests == nil {
+		link.selfTests = map[string]func(bool){}
 	}
-	mark := in.mark("test")
-	late := in.At(in.Now()+time.Second, func() { l.tests[mark](false) })
-	l.tests[mark] = func(good bool) {
-		delete(l.tests, mark)
-		late.Drop()
-		done(good)
+	correlationID := in.nextCorrelationID("test")
+	timeout := in.At(in.Now()+time.Second, func() { link.selfTests[correlationID](false) })
+	link.selfTests[correlationID] = func(healthy bool) {
+		delete(link.selfTests, correlationID)
+		timeout.Drop()
+		done(healthy)
 	}
-	l.conn.Selftest(mark)
+	link.conn.Selftest(correlationID)
 }
 
-// reports tells the roster again and again that we are here, whatever else there is to do. Danger: the list forgets
+// reportPeriodically tells the roster again and again that we are here, whatever else there is to do. Danger: the list forgets
 // who is not heard for some seconds, and a datagram may be lost; so often, many in a row would have to be.
-func (in *Instance) reports() {
+func (in *Server) reportPeriodically() {
 	in.report()
-	in.At(in.Now()+250*time.Millisecond, in.reports)
+	in.At(in.Now()+250*time.Millisecond, in.reportPeriodically)
 }
 
-func (in *Instance) report() {
-	if in.told.Roster == "" { // there is none
+func (in *Server) report() {
+	if in.config.RegistryAddr == "" { // there is none
 		return
 	}
-	if in.health.roster == nil {
-		r, err := wire.NewRoster(in.told.Roster, in.told.Name)
+	if in.health.registry == nil {
+		registry, err := wire.NewRoster(in.config.RegistryAddr, in.config.Name)
 		if err != nil {
 			slog.Warn("no-roster", "err", err)
 			return
 		}
-		in.health.roster = r
+		in.health.registry = registry
 	}
-	in.health.roster.Report(!in.leaving && (in.health.good || !in.told.Readiness))
+	in.health.registry.Report(!in.draining && (in.health.healthy || !in.config.ReportReadiness))
 }
--- a/internal/keep/keep_test.go
+++ b/internal/keep/keep_test.go
@@ -15,12 +15,12 @@
 
 // Without a link the gauges last heard count for some looks, and then nothing is known.
 func Example_oldGauges() {
-	in := &Instance{Loop: loop.New(9)}
-	in.load(wire.Notice{Mark: "look"})
-	in.gauges["want a core"] = 3
+	instance := &Server{Loop: loop.New(9)}
+	instance.handleGauges(wire.Notice{Mark: "look"})
+	instance.gauges["want a core"] = 3
 	for _, at := range []time.Duration{0, 200 * time.Millisecond, 400 * time.Millisecond} {
-		in.Stand(at)
-		in.look(func(gauges map[string]float64) { fmt.Println(in.Now(), gauges) })
+		instance.Stand(at)
+		instance.requestGauges(func(gauges map[string]float64) { fmt.Println(instance.Now(), gauges) })
 	}
 	// Output:
 	// 0s map[want a core:3]
@@ -30,7 +30,7 @@
 
 // Buffers of another size are not taken back.
 func Example_pool() {
-	p := &Pool{}
+	p := &BufferPool{}
 	p.Give(make([]byte, 10))
 	b := p.Take()
 	fmt.Println(len(b), cap(b) == wire.BufferSize)
@@ -46,14 +46,14 @@
 	runtime, _ := net.Listen("tcp", "127.0.0.1:0")
 	free, _ := net.Listen("tcp", "127.72.0.1:0") // where no connection of another test takes the port
 	free.Close()
-	in, err := Open(Told{Name: "n1", Listen: free.Addr().String(), Runtime: runtime.Addr().String(),
-		Database: "127.0.0.1:9", Roster: "127.0.0.1:9", Sockets: 64, MemoryMB: 64, Cores: 1,
-		Facts: choice.Settings{"cores": 2.0, "op types": []choice.Settings{{"name": "view", "target latency": time.Second}}}})
+	instance, err := New(Config{Name: "n1", ListenAddr: free.Addr().String(), RuntimeAddr: runtime.Addr().String(),
+		DatabaseAddr: "127.0.0.1:9", RegistryAddr: "127.0.0.1:9", MaxDescriptors: 64, MemoryMB: 64, Cores: 1,
+		Settings: choice.Settings{"cores": 2.0, "op types": []choice.Settings{{"name": "view", "target latency": time.Second}}}})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	go in.Serve()
+	go instance.Serve()
 	link, _ := runtime.Accept()
 	fmt.Fprintln(link, `{"t":"ready","status":"steady"}`)
 	asked := make(chan string, 9)
@@ -83,9 +83,9 @@
 	}
 	// health from the state is good before the link is synced; a deep check asks the runtime only after
 	for turned := make(chan bool); ; {
-		in.Hand(func() {
-			in.SetHealth(true, false)
-			turned <- in.runtime.synced
+		instance.Hand(func() {
+			instance.SetHealth(true, false)
+			turned <- instance.runtime.synced
 		})
 		if <-turned {
 			break
@@ -105,7 +105,7 @@
 		}
 		fmt.Println(answer(), "in time:", time.Since(began) < 1500*time.Millisecond)
 	}
-	in.Hand(func() { in.Over() })
+	instance.Hand(func() { instance.Over() })
 	// Output:
 	// 9401ce00000002c092c380 in time: true
 	// 9401ce00000003c092c280 in time: true
@@ -115,40 +115,40 @@
 // A keyed op's key: in hand it does not age, however short the window; once over it holds for tries that came within it, however late they are
 // read. One that never ran leaves none. A read's key is over with its time.
 func Example_keysAge() {
-	in := &Instance{Loop: loop.New(9), told: Told{Facts: choice.Settings{"shared reads for": 100 * time.Millisecond}}}
-	k := &in.keys
+	instance := &Server{Loop: loop.New(9), config: Config{Settings: choice.Settings{"shared reads for": 100 * time.Millisecond}}}
+	k := &instance.idempotency
 	n := 0
-	op := func(keyed bool) *op {
+	op := func(keyed bool) *activeRequest {
 		n++
-		o := &op{id: choice.RequestID(fmt.Sprint(n)), kind: "pay", subject: "s", body: []byte("x")}
-		o.like = k.like(o, front.Ask{Anew: true}, keyed)
-		return o
+		active := &activeRequest{id: choice.RequestID(fmt.Sprint(n)), class: "pay", resource: "s", body: []byte("x")}
+		active.identity = k.identify(active, front.Ask{Anew: true}, keyed)
+		return active
 	}
-	say := func(what string, keyed bool, came time.Duration) {
-		fmt.Printf("%s, came %v: %q\n", what, came, k.repeated(op(keyed), came))
+	printDuplicate := func(what string, keyed bool, came time.Duration) {
+		fmt.Printf("%s, came %v: %q\n", what, came, k.duplicateOf(op(keyed), came))
 	}
 	first := op(true)
-	k.keep(in, first, 200*time.Millisecond)
-	first.ran = true
-	say("keyed, in hand", true, 900*time.Millisecond)
-	k.over(in, first, []byte("one"))
-	say("keyed, over", true, 199*time.Millisecond)
-	say("keyed, over", true, 200*time.Millisecond)
-	k.drop(first.kept)
+	k.store(instance, first, 200*time.Millisecond)
+	first.started = true
+	printDuplicate("keyed, in hand", true, 900*time.Millisecond)
+	k.finish(instance, first, []byte("one"))
+	printDuplicate("keyed, over", true, 199*time.Millisecond)
+	printDuplicate("keyed, over", true, 200*time.Millisecond)
+	k.forget(first.record)
 	second := op(true)
-	k.keep(in, second, time.Second)
-	k.over(in, second, nil)
-	say("keyed, never ran", true, 0)
+	k.store(instance, second, time.Second)
+	k.finish(instance, second, nil)
+	printDuplicate("keyed, never ran", true, 0)
 	third := op(true)
-	third.ran = true
-	k.keep(in, third, time.Second)
-	k.over(in, third, nil)
-	say("keyed, ran and failed", true, 0)
+	third.started = true
+	k.store(instance, third, time.Second)
+	k.finish(instance, third, nil)
+	printDuplicate("keyed, ran and failed", true, 0)
 	read := op(false)
-	k.keep(in, read, time.Second)
-	k.over(in, read, []byte("one"))
-	say("read", false, 99*time.Millisecond)
-	say("read", false, 100*time.Millisecond)
+	k.store(instance, read, time.Second)
+	k.finish(instance, read, []byte("one"))
+	printDuplicate("read", false, 99*time.Millisecond)
+	printDuplicate("read", false, 100*time.Millisecond)
 	// Output:
 	// keyed, in hand, came 900ms: "1"
 	// keyed, over, came 199ms: "1"
@@ -159,33 +159,33 @@
 	// read, came 100ms: ""
 }
 
-// asker is owed an answer and prints it.
-type asker struct{}
+// printingResponder is owed an answer and prints it.
+type printingResponder struct{}
 
-func (asker) Answer([]byte, front.With) { fmt.Println("answered") }
-func (asker) Refuse(front.With)         { fmt.Println("turned away") }
-func (asker) Fail(front.With)           { fmt.Println("failed") }
-func (asker) Reject(string, front.With) { fmt.Println("rejected") }
-func (asker) Settled()                  {}
+func (printingResponder) Answer([]byte, front.With) { fmt.Println("answered") }
+func (printingResponder) Refuse(front.With)         { fmt.Println("turned away") }
+func (printingResponder) Fail(front.With)           { fmt.Println("failed") }
+func (printingResponder) Reject(string, front.With) { fmt.Println("rejected") }
+func (printingResponder) Settled()                  {}
 
 // The id of an op that is over is sent once more, with something else to say: the key of the first is neither prolonged nor dropped with it.
 func Example_idOnceMore() {
-	in := &Instance{Loop: loop.New(9), told: Told{Facts: choice.Settings{"shared reads for": 100 * time.Millisecond}}}
-	k := &in.keys
-	op := func(body string, keyed bool) *op {
-		o := &op{id: "1", kind: "pay", subject: body, body: []byte(body)}
-		o.like = k.like(o, front.Ask{Anew: true}, keyed)
-		return o
+	instance := &Server{Loop: loop.New(9), config: Config{Settings: choice.Settings{"shared reads for": 100 * time.Millisecond}}}
+	k := &instance.idempotency
+	op := func(body string, keyed bool) *activeRequest {
+		active := &activeRequest{id: "1", class: "pay", resource: body, body: []byte(body)}
+		active.identity = k.identify(active, front.Ask{Anew: true}, keyed)
+		return active
 	}
 	for _, keyed := range []bool{true, false} {
 		first := op("x", keyed)
-		k.keep(in, first, 200*time.Millisecond)
-		first.ran = true
-		k.over(in, first, []byte("one"))
+		k.store(instance, first, 200*time.Millisecond)
+		first.started = true
+		k.finish(instance, first, []byte("one"))
 		again := op("z", keyed)
-		k.keep(in, again, time.Hour)
-		k.drop(again.kept) // it is turned away
-		fmt.Printf("keyed %v: %q, later %q\n", keyed, k.repeated(op("x", keyed), 99*time.Millisecond), k.repeated(op("x", keyed), 201*time.Millisecond))
+		k.store(instance, again, time.Hour)
+		k.forget(again.record) // it is turned away
+		fmt.Printf("keyed %v: %q, later %q\n", keyed, k.duplicateOf(op("x", keyed), 99*time.Millisecond), k.duplicateOf(op("x", keyed), 201*time.Millisecond))
 	}
 	// Output:
 	// keyed true: "1", later ""
@@ -197,29 +197,29 @@
 	runtime, _ := net.Listen("tcp", "127.0.0.1:0")
 	free, _ := net.Listen("tcp", "127.72.0.2:0") // where no connection of another test takes the port
 	free.Close()
-	in, err := Open(Told{Name: "n1", Listen: free.Addr().String(), Runtime: runtime.Addr().String(), Stop: time.Second,
-		Database: "127.0.0.1:9", Roster: "127.0.0.1:9", Sockets: 64, MemoryMB: 64, Cores: 1,
-		Facts: choice.Settings{"cores": 2.0, "op types": []choice.Settings{{"name": "view", "target latency": time.Second, "op timeout": time.Second}}}})
+	instance, err := New(Config{Name: "n1", ListenAddr: free.Addr().String(), RuntimeAddr: runtime.Addr().String(), TerminationGrace: time.Second,
+		DatabaseAddr: "127.0.0.1:9", RegistryAddr: "127.0.0.1:9", MaxDescriptors: 64, MemoryMB: 64, Cores: 1,
+		Settings: choice.Settings{"cores": 2.0, "op types": []choice.Settings{{"name": "view", "target latency": time.Second, "op timeout": time.Second}}}})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	served := make(chan bool)
 	go func() {
-		in.Serve()
+		instance.Serve()
 		close(served)
 	}()
 	link, _ := runtime.Accept()
 	for stands := make(chan bool); ; {
-		in.Hand(func() { stands <- in.runtime.conn != nil })
+		instance.Hand(func() { stands <- instance.runtime.conn != nil })
 		if <-stands {
 			break
 		}
 	}
-	in.Hand(func() {
-		in.Leave()
-		in.notice(wire.Notice{Kind: "ready", Status: "steady"})
-		in.Enter(front.Ask{ID: "0123456789abcdef", Type: "view", At: time.Now().UnixMilli(), KB: 1}, nil, asker{})
+	instance.Hand(func() {
+		instance.Drain()
+		instance.handleEvent(wire.Notice{Kind: "ready", Status: "steady"})
+		instance.Enter(front.Ask{ID: "0123456789abcdef", Type: "view", At: time.Now().UnixMilli(), KB: 1}, nil, printingResponder{})
 	})
 	<-served
 	_ = link.SetReadDeadline(time.Now().Add(50 * time.Millisecond)) // all that was sent lies there by now
--- a/internal/keep/room_test.go
+++ b/internal/keep/room_test.go
@@ -9,14 +9,14 @@
 func TestRoom(t *testing.T) {
 	for limit := 32; limit <= 4096; limit++ {
 		for taken := 3; taken <= 20; taken++ {
-			r := roomOf(limit, taken)
-			if r.stubs < 2 || r.calls < 1 || r.stubs+r.calls > r.all {
+			r := divideDescriptors(limit, taken)
+			if r.clients < 2 || r.calls < 1 || r.clients+r.calls > r.total {
 				t.Fatal(limit, taken, r)
 			}
-			if left := limit - taken - ours; left >= 3 && r.all > left {
+			if left := limit - taken - reservedDescriptors; left >= 3 && r.total > left {
 				t.Fatal("over the limit:", limit, taken, r)
 			}
-			if limit >= 128 && r.stubs < limit/2 {
+			if limit >= 128 && r.clients < limit/2 {
 				t.Fatal("less than stubs may open:", limit, taken, r)
 			}
 		}
@@ -26,8 +26,8 @@
 // The usual limits and small ones.
 func Example_room() {
 	for _, limit := range []int{32, 40, 64, 128, 512, 1024} {
-		r := roomOf(limit, 10)
-		fmt.Printf("%d: all %d, stubs %d, calls %d\n", limit, r.all, r.stubs, r.calls)
+		budget := divideDescriptors(limit, 10)
+		fmt.Printf("%d: all %d, stubs %d, calls %d\n", limit, budget.total, budget.clients, budget.calls)
 	}
 	// Output:
 	// 32: all 6, stubs 4, calls 2
--- a/internal/life/fleet.go
+++ b/internal/life/fleet.go
@@ -9,7 +9,7 @@
 )
 
 // Joins brings an instance into its fleet, if the file tells of one, to the services that it tells of, and gives what takes a file that was read anew.
-type Joins func(in *keep.Instance, told keep.Told, o *Operated) (reload func(*Operated), err error)
+type Joins func(in *keep.Server, told keep.Config, o *Operated) (reload func(*Operated), err error)
 
 // Fleet is set by a program that has the fleet's parts linked; they take memory at rest, so not every program has.
 var Fleet Joins
--- a/internal/life/fronts.go
+++ b/internal/life/fronts.go
@@ -55,16 +55,16 @@
 }
 
 // attach starts the further fronts that the operator's file turns on.
-func attach(in *keep.Instance, told keep.Told, o *Operated) {
+func attach(in *keep.Server, told keep.Config, o *Operated) {
 	if !o.File.AMQP.On {
 		return
 	}
 	how := o.File.AMQP.Told
 	how.Repeats = map[choice.Class]bool{}
-	types, _ := told.Facts["op types"].([]choice.Settings)
+	types, _ := told.Settings["op types"].([]choice.Settings)
 	for _, t := range types {
 		name, _ := t["name"].(string)
 		how.Repeats[choice.Class(name)] = t["repeats"] == "retryable"
 	}
-	in.Attach(amqp.New(how, in, in.Hand, told.Seed))
+	in.AddFrontend(amqp.New(how, in, in.Hand, told.Seed))
 }
--- a/internal/life/golden_test.go
+++ b/internal/life/golden_test.go
@@ -21,18 +21,18 @@
 		t.Fatal(err)
 	}
 	const ms = time.Millisecond
-	want := keep.Told{
-		Name:     "instance-1",
-		Listen:   "127.0.0.1:1",
-		Runtime:  "127.0.0.1:2",
-		Database: "127.0.0.1:3",
-		Roster:   "127.0.0.1:4",
-		Seed:     0x8c1f30d27a5be964,
-		Stop:     1500*ms + 500*time.Microsecond,
-		Sockets:  64,
-		MemoryMB: 192.25,
-		Cores:    1.5,
-		Facts: choice.Settings{
+	want := keep.Config{
+		Name:             "instance-1",
+		ListenAddr:       "127.0.0.1:1",
+		RuntimeAddr:      "127.0.0.1:2",
+		DatabaseAddr:     "127.0.0.1:3",
+		RegistryAddr:     "127.0.0.1:4",
+		Seed:             0x8c1f30d27a5be964,
+		TerminationGrace: 1500*ms + 500*time.Microsecond,
+		MaxDescriptors:   64,
+		MemoryMB:         192.25,
+		Cores:            1.5,
+		Settings: choice.Settings{
 			"op types": []choice.Settings{
 				{"name": "view", "importance": 1.5, "target latency": 300 * ms, "op timeout": 1250 * ms, "repeats": "retryable"},
 			},
@@ -42,8 +42,8 @@
 			"longest stay away": 1750 * ms,
 			"tick":              2 * ms,
 		},
-		Gauges:    []string{"cores busy", "want a core", "memory used", "connections"},
-		Readiness: true,
+		GaugeNames:      []string{"cores busy", "want a core", "memory used", "connections"},
+		ReportReadiness: true,
 	}
 	for _, tc := range []struct {
 		name, before, after string
--- a/internal/life/life.go
+++ b/internal/life/life.go
@@ -49,7 +49,7 @@
 	// Half the limit: the rest is for what the kernel and the binary itself take.
 	debug.SetMemoryLimit(int64(told.MemoryMB * (1 << 19)))
 	k := &keeper{path: path, operated: operated, with: with, pause: func() { time.Sleep(still) }}
-	told.Callers, told.Secure = with.Callers, with.listener(&k.server)
+	told.Authn, told.TLS = with.Callers, with.listener(&k.server)
 	if k.in, err = opened(told, signals.Leave); k.in == nil {
 		return err
 	}
@@ -60,7 +60,7 @@
 		}
 	}
 	go k.heed(signals)
-	slog.Info("listening", "name", told.Name, "addr", told.Listen)
+	slog.Info("listening", "name", told.Name, "addr", told.ListenAddr)
 	if with.Server != nil {
 		slog.Info("listening", "name", told.Name, "addr", with.File.TLS.Listen, "tls", with.File.TLS.Oldest)
 	}
@@ -71,10 +71,10 @@
 // opened makes the instance. Danger: one that is started anew, while the last moments of the life before it still hold the address, ends at once, and
 // its platform counts that as a crash. The address is tried for again for some seconds, longer than a drain's last steps; the notice to leave
 // ends that, and there is no instance then and no error.
-func opened(told keep.Told, leave <-chan os.Signal) (*keep.Instance, error) {
+func opened(told keep.Config, leave <-chan os.Signal) (*keep.Server, error) {
 	const held, again = 3 * time.Second, 20 * time.Millisecond
 	for began := time.Now(); ; {
-		in, err := keep.Open(told)
+		in, err := keep.New(told)
 		if !errors.Is(err, syscall.EADDRINUSE) || time.Since(began) > held {
 			return in, err
 		}
@@ -88,7 +88,7 @@
 
 // keeper keeps a running instance on what its files say.
 type keeper struct {
-	in       *keep.Instance
+	in       *keep.Server
 	path     string   // of the configuration
 	operated string   // of the operator's file, empty if there is none
 	with     Operated // what is in force of it
@@ -109,7 +109,7 @@
 	for {
 		select {
 		case <-signals.Leave:
-			k.in.Hand(k.in.Leave)
+			k.in.Hand(k.in.Drain)
 			continue
 		case <-signals.Reread:
 			wanted, wait = true, 0
@@ -139,7 +139,7 @@
 
 // reread is what the files say now.
 type reread struct {
-	told keep.Told
+	told keep.Config
 	with Operated
 	err  error
 }
@@ -174,14 +174,14 @@
 		if r.with.Server != nil {
 			k.server.Store(r.with.Server)
 		}
-		k.in.Hand(func() { k.in.Admit(r.with.Callers) })
+		k.in.Hand(func() { k.in.UpdateAuthn(r.with.Callers) })
 		if k.refleet != nil {
 			k.refleet(&r.with)
 		}
 		slog.Info("operated", "file", k.operated, "keys", r.with.keys(), "roles", len(r.with.File.Callers.Roles),
 			"callers", len(r.with.File.Callers.Map))
 	}
-	k.in.Hand(func() { k.in.Move(r.told) })
+	k.in.Hand(func() { k.in.UpdateAddresses(r.told) })
 	return nil
 }
 
--- a/internal/life/relays/relays.go
+++ b/internal/life/relays/relays.go
@@ -15,7 +15,7 @@
 )
 
 // Join brings a relay into its fleet: it gives the relay, which listens, and what takes an operator's file that was read anew.
-type Join func(config keep.Told, o *life.Operated) (r *relay.Relay, reload func(*life.Operated), err error)
+type Join func(config keep.Config, o *life.Operated) (r *relay.Relay, reload func(*life.Operated), err error)
 
 // Live starts the relay that the configuration at path and the operator's file tell of, and passes ops on until it is told to go.
 func Live(path, operated, format string, join Join) error {
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	slog.Info("listening", "name", config.Name, "addr", config.Listen, "relay", true)
+	slog.Info("listening", "name", config.Name, "addr", config.ListenAddr, "relay", true)
 	go life.Heed(signals, operated, with, func() { r.Hand(r.Leave) }, reload)
 	r.Serve()
 	// The last answers lie in the kernel's hands by now; a moment for the gossip's last word.
--- a/internal/life/told.go
+++ b/internal/life/told.go
@@ -16,19 +16,19 @@
 )
 
 // Tell reads the platform's configuration. The error is a fault.List with all that is wrong.
-func Tell(path string) (keep.Told, error) {
+func Tell(path string) (keep.Config, error) {
 	if path == "" {
-		return keep.Told{}, fault.List{{File: "RELAY_CONFIG", Want: "is not set; wants the path of a configuration"}}
+		return keep.Config{}, fault.List{{File: "RELAY_CONFIG", Want: "is not set; wants the path of a configuration"}}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return keep.Told{}, fault.List{{File: path, Want: "can't be read: " + err.Error()}}
+		return keep.Config{}, fault.List{{File: path, Want: "can't be read: " + err.Error()}}
 	}
 	told, faults := parse(path, text)
 	return told, faults.Err()
 }
 
-func parse(path string, text []byte) (told keep.Told, faults fault.List) {
+func parse(path string, text []byte) (told keep.Config, faults fault.List) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
 		return told, fault.List{{File: path, Want: err.Error()}}
@@ -53,8 +53,8 @@
 		name string
 		to   *string
 		may  bool // be absent, null or empty: there is no such party
-	}{{"name", &told.Name, false}, {"listen", &told.Listen, false}, {"runtime", &told.Runtime, false}, {"db", &told.Database, true},
-		{"roster", &told.Roster, true}} {
+	}{{"name", &told.Name, false}, {"listen", &told.ListenAddr, false}, {"runtime", &told.RuntimeAddr, false}, {"db", &told.DatabaseAddr, true},
+		{"roster", &told.RegistryAddr, true}} {
 		at := v.Get(text.name)
 		*text.to = string(v.GetStringBytes(text.name))
 		if *text.to == "" && (!text.may || at != nil && at.Type() != fastjson.TypeNull && at.Type() != fastjson.TypeString) {
@@ -69,10 +69,10 @@
 			wrong("limits."+limit.name, "wants a number over 0")
 		}
 	}
-	if told.Sockets = v.GetInt("limits", "sockets"); told.Sockets < 32 {
+	if told.MaxDescriptors = v.GetInt("limits", "sockets"); told.MaxDescriptors < 32 {
 		wrong("limits.sockets", "wants a number of 32 or more")
 	}
-	told.Stop = time.Duration(v.GetFloat64("stop_ms") * float64(time.Millisecond))
+	told.TerminationGrace = time.Duration(v.GetFloat64("stop_ms") * float64(time.Millisecond))
 	seed := string(v.GetStringBytes("seed"))
 	if told.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
 		h := fnv.New64a()
@@ -85,17 +85,17 @@
 		return told, faults
 	}
 	var bad []facts.Wrong
-	if told.Facts, bad = facts.Check(settings); len(bad) > 0 {
+	if told.Settings, bad = facts.Check(settings); len(bad) > 0 {
 		for _, w := range bad {
 			wrong("settings."+strings.Join(w.Path, "."), w.Want)
 		}
 	}
 	// Danger: customers whose ops call nothing, or whose calls end at this tier, have no database and are told of none: their instances have to start.
 	// Where calls go somewhere the address is needed, and a configuration without it is cut short.
-	if below, _ := told.Facts["below"].(string); told.Database == "" && below != "" && below != "none" && len(faults) == 0 {
+	if below, _ := told.Settings["below"].(string); told.DatabaseAddr == "" && below != "" && below != "none" && len(faults) == 0 {
 		wrong("db", fmt.Sprintf("wants text, as calls go to what settings.domain.below tells of (%s)", below))
 	}
-	told.Gauges = facts.Gauges(settings)
-	told.Readiness = settings.GetBool("domain", "readiness")
+	told.GaugeNames = facts.Gauges(settings)
+	told.ReportReadiness = settings.GetBool("domain", "readiness")
 	return told, faults
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -32,9 +32,9 @@
 type Relay struct {
 	*loop.Loop
 	told    Told
-	config  keep.Told
+	config  keep.Config
 	net     *wire.Net
-	pool    *keep.Pool
+	pool    *keep.BufferPool
 	stubs   *stubs.Front
 	passer  *pass.Passer
 	kinds   map[string]kind
@@ -63,11 +63,11 @@
 }
 
 // Open makes a relay that listens. Of the platform's configuration it takes what an instance would, less the runtime and the database.
-func Open(config keep.Told, told Told, ask pass.Ask) (*Relay, error) {
+func Open(config keep.Config, told Told, ask pass.Ask) (*Relay, error) {
 	buffers := int(config.MemoryMB*(1<<20)) / wire.BufferSize
 	told.Most = min(told.Most, buffers/4) // a quarter of the memory is for bodies in hand, as in an instance
-	r := &Relay{Loop: loop.New(buffers / 8), told: told, config: config, pool: &keep.Pool{}, kinds: map[string]kind{}, ops: map[string]*op{}}
-	types, _ := config.Facts["op types"].([]choice.Settings)
+	r := &Relay{Loop: loop.New(buffers / 8), told: told, config: config, pool: &keep.BufferPool{}, kinds: map[string]kind{}, ops: map[string]*op{}}
+	types, _ := config.Settings["op types"].([]choice.Settings)
 	for _, t := range types {
 		name, _ := t["name"].(string)
 		timeout, _ := t["op timeout"].(time.Duration)
@@ -75,13 +75,13 @@
 		r.kinds[name] = kind{t["repeats"] == "retryable", max(timeout, target)}
 	}
 	r.net = &wire.Net{Buffers: r.pool, Hand: r.Hand, Read: r.HandRead, Accept: func(l *wire.Link) { r.stubs.Accept(l) }, Crowded: func() { r.stubs.MakeRoom() },
-		Most: int64(config.Sockets) / 2, Limit: config.Sockets, Unread: int64(config.MemoryMB*(1<<20)) / 8, From: told.Source()}
+		Most: int64(config.MaxDescriptors) / 2, Limit: config.MaxDescriptors, Unread: int64(config.MemoryMB*(1<<20)) / 8, From: told.Source()}
 	r.net.Tokens.Store(true) // who calls is the instance's to judge; a relay passes on what is brought
 	r.net.Passed.Store(true)
 	r.passer = pass.New(r.Loop, r.net, told.Told, config.Seed, ask)
-	idle, _ := config.Facts["connections idle"].(time.Duration)
+	idle, _ := config.Settings["connections idle"].(time.Duration)
 	r.stubs = stubs.New(r, r.Loop, r.net, nil, idle)
-	if err := r.net.Start(config.Listen); err != nil {
+	if err := r.net.Start(config.ListenAddr); err != nil {
 		return nil, err
 	}
 	r.Hand(func() {
@@ -205,9 +205,9 @@
 
 // report tells the roster that we are here, as an instance does.
 func (r *Relay) report() {
-	if r.roster == nil && r.config.Roster != "" {
+	if r.roster == nil && r.config.RegistryAddr != "" {
 		var err error
-		if r.roster, err = wire.NewRoster(r.config.Roster, r.config.Name); err != nil {
+		if r.roster, err = wire.NewRoster(r.config.RegistryAddr, r.config.Name); err != nil {
 			slog.Warn("no-roster", "err", err)
 		}
 	}
@@ -224,12 +224,12 @@
 		return
 	}
 	r.leaving, r.until = true, r.Now()+r.told.Grace
-	slog.Info("leaving", "kill_ms", r.config.Stop.Milliseconds(), "held", len(r.ops))
-	killAt := r.Now() + r.config.Stop
+	slog.Info("leaving", "kill_ms", r.config.TerminationGrace.Milliseconds(), "held", len(r.ops))
+	killAt := r.Now() + r.config.TerminationGrace
 	r.report()
-	spans := stubs.SpansOf(r.config.Stop)
+	spans := stubs.SpansOf(r.config.TerminationGrace)
 	for _, f := range r.fronts {
-		f.Leave(max(0, r.config.Stop-spans.Fronts))
+		f.Leave(max(0, r.config.TerminationGrace-spans.Fronts))
 	}
 	r.stubs.Part()
 	// What is still open then gets its answer; nothing new is passed on from then on either.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -120,8 +120,8 @@
 	kind := func(name, repeats string) choice.Settings {
 		return choice.Settings{"name": name, "repeats": repeats, "op timeout": 3 * time.Second, "target latency": time.Second}
 	}
-	r, err := Open(keep.Told{Name: "relay", Listen: listen, Roster: roster.Addr(), Seed: 1, Stop: 1500 * time.Millisecond, Sockets: 256, MemoryMB: 64, Cores: 1,
-		Facts: choice.Settings{"op types": []choice.Settings{kind("view", "retryable"), kind("pay", "non-retryable")}}}, told, nil)
+	r, err := Open(keep.Config{Name: "relay", ListenAddr: listen, RegistryAddr: roster.Addr(), Seed: 1, TerminationGrace: 1500 * time.Millisecond, MaxDescriptors: 256, MemoryMB: 64, Cores: 1,
+		Settings: choice.Settings{"op types": []choice.Settings{kind("view", "retryable"), kind("pay", "non-retryable")}}}, told, nil)
 	if err != nil {
 		panic(err)
 	}
