--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -47,11 +47,11 @@
 		return fault.List{{File: path, Want: "can't be read: " + err.Error()}}
 	}
 	if bytes.HasPrefix(bytes.TrimSpace(text), []byte("{")) {
-		_, err = life.Tell(path)
+		_, err = life.LoadConfig(path)
 		return err
 	}
 	if c.Named {
-		_, err = life.Operate(path)
+		_, err = life.LoadOperatorConfig(path)
 		return err
 	}
 	_, err = operator.Load(path)
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -101,8 +101,8 @@
 }
 
 func serve(operated, format string) int {
-	err := life.Live(os.Getenv("RELAY_CONFIG"), operated, format)
-	if errors.Is(err, life.ErrFleet) {
+	err := life.Run(os.Getenv("RELAY_CONFIG"), operated, format)
+	if errors.Is(err, life.ErrFleetNotLinked) {
 		logline.End()
 		err = over(sibling)
 	}
--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -14,7 +14,7 @@
 
 // Parts is what only a program brings that has the fleet's parts linked.
 type Parts struct {
-	Joins   life.Joins
+	Joins   life.FleetJoiner
 	Relay   func(operated, format string) error
 	Desk    func(operated, format string) error
 	Members func(f operator.Fleet, against []string, asJSON bool, out io.Writer) error
@@ -29,7 +29,7 @@
 // Link says what is linked, before Main.
 func Link(p Parts) {
 	linked = &p
-	life.Fleet = p.Joins
+	life.JoinFleet = p.Joins
 }
 
 // sibling is the program that has most of it, beside ours, and withStewards the one that has all.
--- a/internal/command/further/agree.go
+++ b/internal/command/further/agree.go
@@ -23,7 +23,7 @@
 
 // agree asks the stewards, and prints what they say.
 func agree(a command.Agree, out io.Writer) error {
-	o, err := life.Operate(a.File)
+	o, err := life.LoadOperatorConfig(a.File)
 	if err != nil {
 		return err
 	}
--- a/internal/command/further/agreed/agreed.go
+++ b/internal/command/further/agreed/agreed.go
@@ -15,8 +15,8 @@
 // Parts adds to what lanewheel-fleet has.
 func Parts(p command.Parts) command.Parts {
 	p.Steward = func(operated, format string, begin, alone bool) error {
-		return stewards.Live(operated, format, begin, alone, func(process gossip.Process, o *life.Operated) (*gossip.Part, func(*life.Operated), error) {
-			as := func(o *life.Operated) gossip.Told {
+		return stewards.Live(operated, format, begin, alone, func(process gossip.Process, o *life.OperatorConfig) (*gossip.Part, func(*life.OperatorConfig), error) {
+			as := func(o *life.OperatorConfig) gossip.Told {
 				f := o.File.Fleet
 				f.Roles = members.Steward
 				return further.Told(&f, "", "", o.ClusterKeys)
@@ -25,7 +25,7 @@
 			if err != nil {
 				return nil, nil, err
 			}
-			return part, func(o *life.Operated) { part.Put(as(o)) }, nil
+			return part, func(o *life.OperatorConfig) { part.Put(as(o)) }, nil
 		})
 	}
 	return p
--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -52,12 +52,12 @@
 }
 
 // join brings an instance into its fleet.
-func join(in *keep.Server, config keep.Config, o *life.Operated) (func(*life.Operated), error) {
+func join(in *keep.Server, config keep.Config, o *life.OperatorConfig) (func(*life.OperatorConfig), error) {
 	if !o.File.Fleet.On { // services at told addresses need nobody else
 		services := below.New(in.Loop, o.File.Below.Told, members.ID{}, config.Seed, nil)
 		in.UseUpstreams(services)
 		in.Hand(services.Start)
-		return func(*life.Operated) {}, nil
+		return func(*life.OperatorConfig) {}, nil
 	}
 	part, err := gossip.New(Told(&o.File.Fleet, config.Name, config.ListenAddr, o.ClusterKeys), &instance{in}, config.Seed)
 	if err != nil {
@@ -81,7 +81,7 @@
 	}
 	in.AddFrontend(part)
 	slog.Info("fleet", "name", string(part.View().Self.Name), "listen", o.File.Fleet.Listen, "seeds", len(o.File.Fleet.Told.Seeds), "keys", len(o.ClusterKeys))
-	return func(o *life.Operated) {
+	return func(o *life.OperatorConfig) {
 		part.Put(Told(&o.File.Fleet, config.Name, config.ListenAddr, o.ClusterKeys))
 		if over != nil {
 			in.Hand(func() { over.Put(o.File.HandOver.Told) })
@@ -127,8 +127,8 @@
 
 // desked runs a desk.
 func desked(operated, format string) error {
-	return desks.Live(operated, format, func(d *desk.Desk, o *life.Operated) (func(*life.Operated), error) {
-		as := func(o *life.Operated) gossip.Told {
+	return desks.Live(operated, format, func(d *desk.Desk, o *life.OperatorConfig) (func(*life.OperatorConfig), error) {
+		as := func(o *life.OperatorConfig) gossip.Told {
 			f := o.File.Fleet
 			f.Roles = members.Below
 			return Told(&f, "", "", o.ClusterKeys)
@@ -139,7 +139,7 @@
 		}
 		d.Join(part)
 		part.Start()
-		return func(o *life.Operated) {
+		return func(o *life.OperatorConfig) {
 			part.Put(as(o))
 			d.Retell(o.File.Grants.Told)
 		}, nil
@@ -148,7 +148,7 @@
 
 // relayed runs a relay.
 func relayed(operated, format string) error {
-	return relays.Live(os.Getenv("RELAY_CONFIG"), operated, format, func(config keep.Config, o *life.Operated) (*relay.Relay, func(*life.Operated), error) {
+	return relays.Live(os.Getenv("RELAY_CONFIG"), operated, format, func(config keep.Config, o *life.OperatorConfig) (*relay.Relay, func(*life.OperatorConfig), error) {
 		fleet := o.File.Fleet
 		fleet.Roles = fleet.Roles&^members.Instance | members.Relay
 		speaks := &relaying{}
@@ -164,7 +164,7 @@
 		seeing(part, r.Loop, r.See)
 		r.Attach(part)
 		slog.Info("fleet", "name", string(part.View().Self.Name), "listen", fleet.Listen, "seeds", len(fleet.Told.Seeds), "keys", len(o.ClusterKeys))
-		return r, func(o *life.Operated) {
+		return r, func(o *life.OperatorConfig) {
 			f := o.File.Fleet
 			f.Roles = fleet.Roles
 			part.Put(Told(&f, config.Name, config.ListenAddr, o.ClusterKeys))
--- a/internal/command/keys.go
+++ b/internal/command/keys.go
@@ -283,14 +283,14 @@
 	if c.Operator == "" {
 		return nil
 	}
-	with, err := life.Operate(c.Operator)
+	with, err := life.LoadOperatorConfig(c.Operator)
 	if err != nil {
 		return err
 	}
-	if with.Callers == nil || with.Callers.Keys == nil {
+	if with.Authn == nil || with.Authn.Keys == nil {
 		return errors.New("the operator's file has no tokens")
 	}
-	p := with.Callers
+	p := with.Authn
 	why := judge(raw, p.Keys, p.Policy, p.Revoked)
 	if why != "" {
 		fmt.Fprintf(o.out, "denied: %s\n", why)
--- a/internal/command/queue.go
+++ b/internal/command/queue.go
@@ -29,7 +29,7 @@
 
 // told reads the operator's file with all that it names for queues.
 func toldQueues(path string) (operator.AMQP, error) {
-	o, err := life.Operate(path)
+	o, err := life.LoadOperatorConfig(path)
 	if err != nil {
 		return operator.AMQP{}, err
 	}
--- a/internal/life/beside.go
+++ b/internal/life/beside.go
@@ -11,56 +11,56 @@
 	"lanewheel/internal/operator"
 )
 
-// Notices are what signals ask for. One of each that waits stands for all that come meanwhile.
-type Notices struct{ Leave, Reread <-chan os.Signal }
+// SignalChannels are what signals ask for. One of each that waits stands for all that come meanwhile.
+type SignalChannels struct{ Terminate, Reload <-chan os.Signal }
 
-// Signals has the notices to leave and to read anew come. It is called before all else: untold, either would end us. Danger: notices of
+// notifySignals has the notices to leave and to read anew come. It is called before all else: untold, either would end us. Danger: notices of
 // one kind that fill the room of the other before anybody takes them, at a slow start; each has its own.
-func Signals() Notices {
-	leave, reread := make(chan os.Signal, 1), make(chan os.Signal, 1)
-	signal.Notify(leave, syscall.SIGTERM)
-	signal.Notify(reread, syscall.SIGHUP)
+func notifySignals() SignalChannels {
+	terminate, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	signal.Notify(terminate, syscall.SIGTERM)
+	signal.Notify(reload, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE) // Danger: whoever read our log is gone, and the next line ends us
-	return Notices{leave, reread}
+	return SignalChannels{terminate, reload}
 }
 
-// Beside begins the start of a process beside the instances: the log, the signals, and the operator's file, which has to have what on tells of. want names
+// StartStandalone begins the start of a process beside the instances: the log, the signals, and the operator's file, which has to have what on tells of. want names
 // that for whoever reads why it did not start.
-func Beside(operated, format, want string, on func(*operator.File) bool) (signals Notices, with Operated, err error) {
-	signals = Signals()
-	logline.Serve(os.Stderr, format)
-	if with, err = Operate(operated); err != nil {
-		return signals, with, err
+func StartStandalone(operatorPath, logFormat, want string, enabled func(*operator.File) bool) (signals SignalChannels, operatorConfig OperatorConfig, err error) {
+	signals = notifySignals()
+	logline.Serve(os.Stderr, logFormat)
+	if operatorConfig, err = LoadOperatorConfig(operatorPath); err != nil {
+		return signals, operatorConfig, err
 	}
-	if !on(&with.File) {
-		return signals, with, fault.List{{File: operated, Want: want}}
+	if !enabled(&operatorConfig.File) {
+		return signals, operatorConfig, fault.List{{File: operatorPath, Want: want}}
 	}
-	if format == "" {
-		logline.Serve(os.Stderr, with.File.Log.Format)
+	if logFormat == "" {
+		logline.Serve(os.Stderr, operatorConfig.File.Log.Format)
 	}
-	return signals, with, nil
+	return signals, operatorConfig, nil
 }
 
-// Heed carries out what signals ask of a process beside the instances: leave, or go by the operator's file as it is now. A file that is being
+// HandleSignals carries out what signals ask of a process beside the instances: leave, or go by the operator's file as it is now. A file that is being
 // written may be wrong for a moment: the old one holds, and the next notice reads it again.
-func Heed(signals Notices, operated string, with Operated, leave func(), reload func(*Operated)) {
+func HandleSignals(signals SignalChannels, operatorPath string, current OperatorConfig, drain func(), reload func(*OperatorConfig)) {
 	for {
 		select {
-		case <-signals.Leave:
-			leave()
+		case <-signals.Terminate:
+			drain()
 			continue
-		case <-signals.Reread:
+		case <-signals.Reload:
 		}
-		again, err := Operate(operated)
+		next, err := LoadOperatorConfig(operatorPath)
 		if err == nil {
-			err = Fixed(&again, &with)
+			err = checkUnchanged(&next, &current)
 		}
 		if err != nil {
 			slog.Warn("configuration-kept", "err", err)
 			continue
 		}
-		with = again
-		reload(&again)
-		slog.Info("operated", "file", operated)
+		current = next
+		reload(&next)
+		slog.Info("operated", "file", operatorPath)
 	}
 }
--- a/internal/life/callers.go
+++ b/internal/life/callers.go
@@ -22,20 +22,20 @@
 	"lanewheel/internal/wire"
 )
 
-// Operated is an operator's file with all that it names, read and checked whole.
-type Operated struct {
-	File    operator.File
-	Callers *identity.Parts // nil: all may do everything
-	Server  *tls.Config     // nil: no listener with TLS
+// OperatorConfig is an operator's file with all that it names, read and checked whole.
+type OperatorConfig struct {
+	File      operator.File
+	Authn     *identity.Parts // nil: all may do everything
+	serverTLS *tls.Config     // nil: no listener with TLS
 
 	ClusterKeys []members.Key // the first is the one to write with
 	digest      [sha256.Size]byte
 }
 
-// sum goes by the bytes of all that was read.
-type sum struct{ hash.Hash }
+// fileDigest goes by the bytes of all that was read.
+type fileDigest struct{ hash.Hash }
 
-func (s sum) file(path string) ([]byte, error) {
+func (s fileDigest) readFile(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fault.List{{File: path, Want: "can't be read: " + err.Error()}}
@@ -45,51 +45,51 @@
 	return text, nil
 }
 
-// Operate reads an operator's file and the keys, certificates and lists that it names. Whatever is wrong is the error; then
+// LoadOperatorConfig reads an operator's file and the keys, certificates and lists that it names. Whatever is wrong is the error; then
 // nothing of it counts.
-func Operate(path string) (o Operated, err error) {
-	s := sum{sha256.New()}
+func LoadOperatorConfig(path string) (operatorConfig OperatorConfig, err error) {
+	digest := fileDigest{sha256.New()}
 	if path == "" {
-		o.File, err = operator.Load(path)
-		return o, err
+		operatorConfig.File, err = operator.Load(path)
+		return operatorConfig, err
 	}
-	text, err := s.file(path)
+	text, err := digest.readFile(path)
 	if err != nil {
-		return o, err
+		return operatorConfig, err
 	}
-	if o.File, err = operator.Parse(path, text); err != nil {
-		return o, err
+	if operatorConfig.File, err = operator.Parse(path, text); err != nil {
+		return operatorConfig, err
 	}
-	f := &o.File
-	if f.Callers.On {
-		o.Callers = &identity.Parts{Book: f.Callers.Book, Entries: f.Callers.Entries}
+	file := &operatorConfig.File
+	if file.Callers.On {
+		operatorConfig.Authn = &identity.Parts{Book: file.Callers.Book, Entries: file.Callers.Entries}
 	}
-	if f.Tokens.On {
-		if err := s.tokens(&f.Tokens, o.Callers); err != nil {
-			return o, err
+	if file.Tokens.On {
+		if err := digest.readTokens(&file.Tokens, operatorConfig.Authn); err != nil {
+			return operatorConfig, err
 		}
 	}
-	if f.TLS.On {
-		if o.Server, err = s.server(&f.TLS, o.Callers); err != nil {
-			return o, err
+	if file.TLS.On {
+		if operatorConfig.serverTLS, err = digest.readServerTLS(&file.TLS, operatorConfig.Authn); err != nil {
+			return operatorConfig, err
 		}
 	}
-	if f.Fleet.On {
-		if err := s.fleet(&o); err != nil {
-			return o, err
+	if file.Fleet.On {
+		if err := digest.readFleet(&operatorConfig); err != nil {
+			return operatorConfig, err
 		}
 	}
-	if f.AMQP.On {
-		if err := s.queues(&o); err != nil {
-			return o, err
+	if file.AMQP.On {
+		if err := digest.readAMQP(&operatorConfig); err != nil {
+			return operatorConfig, err
 		}
 	}
-	s.Sum(o.digest[:0])
-	return o, nil
+	digest.Sum(operatorConfig.digest[:0])
+	return operatorConfig, nil
 }
 
-// tokens reads the keys and the list of what was taken back.
-func (s sum) tokens(t *operator.Tokens, to *identity.Parts) error {
+// readTokens reads the keys and the list of what was taken back.
+func (s fileDigest) readTokens(t *operator.Tokens, authnConfig *identity.Parts) error {
 	files, err := keyring.Folder(t.Keys)
 	if err != nil {
 		return err
@@ -98,14 +98,14 @@
 		fmt.Fprintf(s, "%q%d:", name, len(files[name]))
 		s.Write(files[name])
 	}
-	if to.Keys, err = keyring.Read(files); err != nil {
+	if authnConfig.Keys, err = keyring.Read(files); err != nil {
 		return err
 	}
-	to.Folder, to.Policy, to.Bounds = t.Keys, &t.Policy, t.Bounds
+	authnConfig.Folder, authnConfig.Policy, authnConfig.Bounds = t.Keys, &t.Policy, t.Bounds
 	if t.Revoked == "" {
 		return nil
 	}
-	text, err := s.file(t.Revoked)
+	text, err := s.readFile(t.Revoked)
 	if err != nil {
 		return err
 	}
@@ -113,79 +113,79 @@
 	if line > 0 {
 		return fault.List{{File: t.Revoked, Line: line, Want: `wants "jti ID" or "sub SUBJECT"`}}
 	}
-	to.Revoked = list
+	authnConfig.Revoked = list
 	return nil
 }
 
-// server reads what the listener with TLS needs.
-func (s sum) server(t *operator.TLS, to *identity.Parts) (*tls.Config, error) {
-	cert, err := s.file(t.Certificate)
+// readServerTLS reads what the listener with TLS needs.
+func (s fileDigest) readServerTLS(t *operator.TLS, authnConfig *identity.Parts) (*tls.Config, error) {
+	cert, err := s.readFile(t.Certificate)
 	if err != nil {
 		return nil, err
 	}
-	key, err := s.file(t.Key)
+	key, err := s.readFile(t.Key)
 	if err != nil {
 		return nil, err
 	}
-	pair, err := tls.X509KeyPair(cert, key)
+	certificate, err := tls.X509KeyPair(cert, key)
 	if err != nil { // never what stands in the key's file
 		return nil, fault.List{{File: t.Certificate, Want: "can't be used with " + t.Key + ": " + err.Error()}}
 	}
-	c := &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS13}
+	serverConfig := &tls.Config{Certificates: []tls.Certificate{certificate}, MinVersion: tls.VersionTLS13}
 	if t.Oldest == "1.2" {
-		c.MinVersion = tls.VersionTLS12
+		serverConfig.MinVersion = tls.VersionTLS12
 	}
 	if t.Authorities == "" {
-		to.Trust, err = nil, nil
-		return c, nil
+		authnConfig.Trust, err = nil, nil
+		return serverConfig, nil
 	}
-	authorities, err := s.file(t.Authorities)
+	authorities, err := s.readFile(t.Authorities)
 	if err != nil {
 		return nil, err
 	}
 	var lists []byte
 	if t.Revoked != "" {
-		if lists, err = s.file(t.Revoked); err != nil {
+		if lists, err = s.readFile(t.Revoked); err != nil {
 			return nil, err
 		}
 	}
-	if to.Trust, err = certs.NewTrust(authorities, lists, t.Grace, t.AllowOld, time.Now()); err != nil {
+	if authnConfig.Trust, err = certs.NewTrust(authorities, lists, t.Grace, t.AllowOld, time.Now()); err != nil {
 		return nil, fault.List{{File: t.Authorities, Want: err.Error()}}
 	}
-	c.ClientCAs = to.Trust.Pool()
-	c.ClientAuth = tls.RequestClientCert // the chain is followed by certs, as it is again and again later
+	serverConfig.ClientCAs = authnConfig.Trust.Pool()
+	serverConfig.ClientAuth = tls.RequestClientCert // the chain is followed by certs, as it is again and again later
 	if t.Required {
-		c.ClientAuth = tls.RequireAnyClientCert
+		serverConfig.ClientAuth = tls.RequireAnyClientCert
 	}
-	return c, nil
+	return serverConfig, nil
 }
 
-// listener is the further listener that a file turns on, with what is in force for its handshakes.
-func (o *Operated) listener(server *atomic.Pointer[tls.Config]) *wire.Secure {
-	if o.Server == nil {
+// tlsListener is the further listener that a file turns on, with what is in force for its handshakes.
+func (o *OperatorConfig) tlsListener(serverTLS *atomic.Pointer[tls.Config]) *wire.Secure {
+	if o.serverTLS == nil {
 		return nil
 	}
-	server.Store(o.Server)
+	serverTLS.Store(o.serverTLS)
 	t := &o.File.TLS
-	return &wire.Secure{Listen: t.Listen, Config: server.Load, Most: int64(t.Handshakes), Rate: t.Rate}
+	return &wire.Secure{Listen: t.Listen, Config: serverTLS.Load, Most: int64(t.Handshakes), Rate: t.Rate}
 }
 
-// Fixed tells what differs between two files that holds from the next start.
-func Fixed(o, before *Operated) error { return o.fixed(before) }
+// checkUnchanged tells what differs between two files that holds from the next start.
+func checkUnchanged(o, before *OperatorConfig) error { return o.checkUnchanged(before) }
 
-// fixed tells what differs between two files that holds from the next start. Danger: half of a change in force.
-func (o *Operated) fixed(before *Operated) error {
-	of := func(o *Operated) map[string]string {
+// checkUnchanged tells what differs between two files that holds from the next start. Danger: half of a change in force.
+func (o *OperatorConfig) checkUnchanged(before *OperatorConfig) error {
+	fixedSettings := func(o *OperatorConfig) map[string]string {
 		t := &o.File.TLS
-		return map[string]string{"callers": strconv.FormatBool(o.Callers != nil), "tls.listen": t.Listen,
+		return map[string]string{"callers": strconv.FormatBool(o.Authn != nil), "tls.listen": t.Listen,
 			"tls.handshakes": strconv.Itoa(t.Handshakes), "tls.handshake-rate": fmt.Sprint(t.Rate), "log.format": o.File.Log.Format, "amqp": o.File.AMQP.Fixed(),
-			"fleet": fixedFleet(&o.File.Fleet), "relay": fmt.Sprint(o.File.Relay),
+			"fleet": fixedFleetSettings(&o.File.Fleet), "relay": fmt.Sprint(o.File.Relay),
 			"below": fmt.Sprint(o.File.Below), "grants": fmt.Sprint(o.File.Grants.On, o.File.Grants.Lock, o.File.Grants.Told.Alone, o.File.Grants.Told.Processes), "handover": fmt.Sprint(o.File.HandOver.On, o.File.HandOver.Told.Told)}
 	}
-	is, was := of(o), of(before)
-	for _, name := range slices.Sorted(maps.Keys(is)) {
-		if is[name] != was[name] {
-			return fault.List{{File: o.File.Path, Name: name, Value: is[name], Want: "was " + strconv.Quote(was[name]) + " at the start, and changes with the next one only"}}
+	now, then := fixedSettings(o), fixedSettings(before)
+	for _, name := range slices.Sorted(maps.Keys(now)) {
+		if now[name] != then[name] {
+			return fault.List{{File: o.File.Path, Name: name, Value: now[name], Want: "was " + strconv.Quote(then[name]) + " at the start, and changes with the next one only"}}
 		}
 	}
 	return nil
--- a/internal/life/desks/desks.go
+++ b/internal/life/desks/desks.go
@@ -13,14 +13,14 @@
 )
 
 // Join brings a desk into its fleet and gives what takes an operator's file that was read anew.
-type Join func(d *desk.Desk, o *life.Operated) (reload func(*life.Operated), err error)
+type Join func(d *desk.Desk, o *life.OperatorConfig) (reload func(*life.OperatorConfig), err error)
 
 // stop is how long a desk takes to leave: its word has to get through.
 const stop = time.Second
 
 // Live starts the desk that the operator's file tells of, and grants until it is told to go.
 func Live(operated, format string, join Join) error {
-	signals, with, err := life.Beside(operated, format, "wants the sections [fleet] and [grants]", func(f *operator.File) bool { return f.Grants.On })
+	signals, with, err := life.StartStandalone(operated, format, "wants the sections [fleet] and [grants]", func(f *operator.File) bool { return f.Grants.On })
 	if err != nil {
 		return err
 	}
@@ -28,7 +28,7 @@
 	if path := with.File.Grants.Lock; path != "" {
 		held, err := lock.Hold(path, func() bool {
 			select {
-			case <-signals.Leave:
+			case <-signals.Terminate:
 				return false
 			case <-time.After(200 * time.Millisecond):
 				return true
@@ -45,7 +45,7 @@
 		return err
 	}
 	slog.Info("desk", "name", with.File.Fleet.Name, "service", with.File.Fleet.Serves, "cap", with.File.Grants.Told.Cap, "room", with.File.Grants.Told.Room())
-	go life.Heed(signals, operated, with, func() { d.Hand(func() { d.Leave(stop) }) }, reload)
+	go life.HandleSignals(signals, operated, with, func() { d.Hand(func() { d.Leave(stop) }) }, reload)
 	d.Serve()
 	return nil
 }
--- a/internal/life/fleet.go
+++ b/internal/life/fleet.go
@@ -8,27 +8,27 @@
 	"lanewheel/internal/operator"
 )
 
-// Joins brings an instance into its fleet, if the file tells of one, to the services that it tells of, and gives what takes a file that was read anew.
-type Joins func(in *keep.Server, told keep.Config, o *Operated) (reload func(*Operated), err error)
+// FleetJoiner brings an instance into its fleet, if the file tells of one, to the services that it tells of, and gives what takes a file that was read anew.
+type FleetJoiner func(in *keep.Server, told keep.Config, o *OperatorConfig) (reload func(*OperatorConfig), err error)
 
-// Fleet is set by a program that has the fleet's parts linked; they take memory at rest, so not every program has.
-var Fleet Joins
+// JoinFleet is set by a program that has the fleet's parts linked; they take memory at rest, so not every program has.
+var JoinFleet FleetJoiner
 
-// ErrFleet says that the operator's file asks for what this program has not linked.
-var ErrFleet = errors.New("the operator's file tells of a fleet or of services, which another program has linked")
+// ErrFleetNotLinked says that the operator's file asks for what this program has not linked.
+var ErrFleetNotLinked = errors.New("the operator's file tells of a fleet or of services, which another program has linked")
 
-// fleet reads what the part needs beside the operator's file.
-func (s sum) fleet(o *Operated) error {
-	path := o.File.Fleet.Keys
-	text, err := s.file(path)
+// readFleet reads what the part needs beside the operator's file.
+func (s fileDigest) readFleet(operatorConfig *OperatorConfig) error {
+	path := operatorConfig.File.Fleet.Keys
+	text, err := s.readFile(path)
 	if err != nil {
 		return err
 	}
-	o.ClusterKeys, err = operator.ReadClusterKeys(path, text)
+	operatorConfig.ClusterKeys, err = operator.ReadClusterKeys(path, text)
 	return err
 }
 
-// fixedFleet is all of the section that holds from the start on, as text to compare.
-func fixedFleet(f *operator.Fleet) string {
+// fixedFleetSettings is all of the section that holds from the start on, as text to compare.
+func fixedFleetSettings(f *operator.Fleet) string {
 	return fmt.Sprint(f.On, f.Name, f.Cluster, f.Listen, f.Advertise, f.Serves, f.Roles, f.Zone, f.Release, f.Capacity, f.Warm, f.Probe, f.Watch, f.Leaves, f.Permits)
 }
--- a/internal/life/fronts.go
+++ b/internal/life/fronts.go
@@ -11,11 +11,11 @@
 	"lanewheel/internal/keep"
 )
 
-// queues reads what the front for messages needs beside the operator's file.
-func (s sum) queues(o *Operated) error {
-	a := &o.File.AMQP
+// readAMQP reads what the front for messages needs beside the operator's file.
+func (s fileDigest) readAMQP(operatorConfig *OperatorConfig) error {
+	a := &operatorConfig.File.AMQP
 	if a.Login != "" {
-		text, err := s.file(a.Login)
+		text, err := s.readFile(a.Login)
 		if err != nil {
 			return err
 		}
@@ -24,47 +24,47 @@
 			return fault.List{{File: a.Login, Want: "wants user:password"}} // never what stands in it
 		}
 	}
-	c := &tls.Config{MinVersion: tls.VersionTLS12}
+	tlsConfig := &tls.Config{MinVersion: tls.VersionTLS12}
 	if a.Authorities != "" {
-		text, err := s.file(a.Authorities)
+		text, err := s.readFile(a.Authorities)
 		if err != nil {
 			return err
 		}
-		c.RootCAs = x509.NewCertPool()
-		if !c.RootCAs.AppendCertsFromPEM(text) {
+		tlsConfig.RootCAs = x509.NewCertPool()
+		if !tlsConfig.RootCAs.AppendCertsFromPEM(text) {
 			return fault.List{{File: a.Authorities, Want: "wants certificates in PEM"}}
 		}
 	}
 	if a.Certificate != "" {
-		cert, err := s.file(a.Certificate)
+		cert, err := s.readFile(a.Certificate)
 		if err != nil {
 			return err
 		}
-		key, err := s.file(a.Key)
+		key, err := s.readFile(a.Key)
 		if err != nil {
 			return err
 		}
-		pair, err := tls.X509KeyPair(cert, key)
+		certificate, err := tls.X509KeyPair(cert, key)
 		if err != nil {
 			return fault.List{{File: a.Certificate, Want: "can't be used with " + a.Key + ": " + err.Error()}}
 		}
-		c.Certificates = []tls.Certificate{pair}
+		tlsConfig.Certificates = []tls.Certificate{certificate}
 	}
-	a.Told.TLS = c
+	a.Told.TLS = tlsConfig
 	return nil
 }
 
-// attach starts the further fronts that the operator's file turns on.
-func attach(in *keep.Server, told keep.Config, o *Operated) {
-	if !o.File.AMQP.On {
+// attachFrontends starts the further fronts that the operator's file turns on.
+func attachFrontends(instance *keep.Server, config keep.Config, operatorConfig *OperatorConfig) {
+	if !operatorConfig.File.AMQP.On {
 		return
 	}
-	how := o.File.AMQP.Told
-	how.Repeats = map[choice.Class]bool{}
-	types, _ := told.Settings["op types"].([]choice.Settings)
-	for _, t := range types {
-		name, _ := t["name"].(string)
-		how.Repeats[choice.Class(name)] = t["repeats"] == "retryable"
+	queueConfig := operatorConfig.File.AMQP.Told
+	queueConfig.Repeats = map[choice.Class]bool{}
+	classes, _ := config.Settings["op types"].([]choice.Settings)
+	for _, class := range classes {
+		name, _ := class["name"].(string)
+		queueConfig.Repeats[choice.Class(name)] = class["repeats"] == "retryable"
 	}
-	in.AddFrontend(amqp.New(how, in, in.Hand, told.Seed))
+	instance.AddFrontend(amqp.New(queueConfig, instance, instance.Hand, config.Seed))
 }
--- a/internal/life/golden_test.go
+++ b/internal/life/golden_test.go
@@ -53,9 +53,9 @@
 		{"a seed that is not hexadecimal is hashed", "8c1f30d27a5be964", "instance-1", 0x3ca7aed14d2daa34},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			got, faults := parse("config.json", []byte(strings.Replace(string(text), tc.before, tc.after, 1)))
-			if len(faults) > 0 {
-				t.Fatal(faults)
+			got, diagnostics := parseConfig("config.json", []byte(strings.Replace(string(text), tc.before, tc.after, 1)))
+			if len(diagnostics) > 0 {
+				t.Fatal(diagnostics)
 			}
 			want := want
 			want.Seed = tc.seed
@@ -65,9 +65,9 @@
 		})
 	}
 	// All that is wanted is asked for by its stored name.
-	_, faults := parse("config.json", []byte("{}"))
+	_, diagnostics := parseConfig("config.json", []byte("{}"))
 	var names []string
-	for _, f := range faults {
+	for _, f := range diagnostics {
 		names = append(names, f.Name)
 	}
 	if got, want := strings.Join(names, " "),
@@ -82,21 +82,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, faults := parse("config.json", []byte(strings.Replace(string(text), `"db"`, `"was-db"`, 1)))
+	_, faults := parseConfig("config.json", []byte(strings.Replace(string(text), `"db"`, `"was-db"`, 1)))
 	if len(faults) != 1 || faults[0].Name != "db" {
 		t.Errorf("without a database: %v, want db", faults)
 	}
 	without := strings.NewReplacer(`"db"`, `"was-db"`, `"next_hop"`, `"silent"`, `"roster"`, `"was-roster"`)
-	if _, faults = parse("config.json", []byte(without.Replace(string(text)))); len(faults) > 0 {
+	if _, faults = parseConfig("config.json", []byte(without.Replace(string(text)))); len(faults) > 0 {
 		t.Errorf("nothing below and no registry: %v", faults)
 	}
 	broken := strings.Replace(string(text), `"cpus":2`, `"cpus":"two"`, 1)
-	_, faults = parse("config.json", []byte(broken))
+	_, faults = parseConfig("config.json", []byte(broken))
 	if len(faults) != 1 || faults[0].Name != "settings.domain.cpus" || faults[0].Line != 6 {
 		t.Errorf("a wrong setting: %v, want settings.domain.cpus in line 6", faults)
 	}
 	var list fault.List
-	if _, err = Tell(""); !errors.As(err, &list) || len(list) != 1 || list[0].File != "RELAY_CONFIG" {
+	if _, err = LoadConfig(""); !errors.As(err, &list) || len(list) != 1 || list[0].File != "RELAY_CONFIG" {
 		t.Errorf("no path: %v, want RELAY_CONFIG", err)
 	}
 }
--- a/internal/life/life.go
+++ b/internal/life/life.go
@@ -18,176 +18,176 @@
 	"lanewheel/internal/logline"
 )
 
-// Live starts the instance that the configuration at path and the operator's file, if one is named, tell of, and serves
+// Run starts the instance that the configuration at path and the operator's file, if one is named, tell of, and serves
 // until it is told to go. format is text or json; empty, the operator's file says.
-func Live(path, operated, format string) error {
-	signals := Signals()
-	logline.Serve(os.Stderr, format)
-	told, err := Tell(path)
+func Run(configPath, operatorPath, logFormat string) error {
+	signals := notifySignals()
+	logline.Serve(os.Stderr, logFormat)
+	config, err := LoadConfig(configPath)
 	if err != nil {
 		return err
 	}
-	with, err := Operate(operated)
+	operatorConfig, err := LoadOperatorConfig(operatorPath)
 	if err != nil {
 		return err
 	}
-	further := with.File.Fleet.On || with.File.Below.On
-	if further && Fleet == nil {
-		return ErrFleet
+	needsFleet := operatorConfig.File.Fleet.On || operatorConfig.File.Below.On
+	if needsFleet && JoinFleet == nil {
+		return ErrFleetNotLinked
 	}
-	if format == "" {
-		logline.Serve(os.Stderr, with.File.Log.Format)
+	if logFormat == "" {
+		logline.Serve(os.Stderr, operatorConfig.File.Log.Format)
 	}
 	// One processor for each core told, and no more: a second one on a part of a core wakes and sleeps for each message.
-	processors := int(math.Ceil(told.Cores))
+	processors := int(math.Ceil(config.Cores))
 	// A further front waits for its sockets otherwise than the poller does, which keeps a processor for up to 10 ms while it waits:
 	// with one alone the 99th percentile of stubs' ops under a flood of messages is 7.3 ms instead of 4.5.
-	if with.File.AMQP.On {
+	if operatorConfig.File.AMQP.On {
 		processors++
 	}
 	runtime.GOMAXPROCS(processors)
 	// Half the limit: the rest is for what the kernel and the binary itself take.
-	debug.SetMemoryLimit(int64(told.MemoryMB * (1 << 19)))
-	k := &keeper{path: path, operated: operated, with: with, pause: func() { time.Sleep(still) }}
-	told.Authn, told.TLS = with.Callers, with.listener(&k.server)
-	if k.in, err = opened(told, signals.Leave); k.in == nil {
+	debug.SetMemoryLimit(int64(config.MemoryMB * (1 << 19)))
+	reload := &reloader{configPath: configPath, operatorPath: operatorPath, operatorConfig: operatorConfig, pause: func() { time.Sleep(stableFor) }}
+	config.Authn, config.TLS = operatorConfig.Authn, operatorConfig.tlsListener(&reload.serverTLS)
+	if reload.server, err = openServer(config, signals.Terminate); reload.server == nil {
 		return err
 	}
-	attach(k.in, told, &with)
-	if further {
-		if k.refleet, err = Fleet(k.in, told, &with); err != nil {
+	attachFrontends(reload.server, config, &operatorConfig)
+	if needsFleet {
+		if reload.reloadFleet, err = JoinFleet(reload.server, config, &operatorConfig); err != nil {
 			return err
 		}
 	}
-	go k.heed(signals)
-	slog.Info("listening", "name", told.Name, "addr", told.ListenAddr)
-	if with.Server != nil {
-		slog.Info("listening", "name", told.Name, "addr", with.File.TLS.Listen, "tls", with.File.TLS.Oldest)
+	go reload.handleSignals(signals)
+	slog.Info("listening", "name", config.Name, "addr", config.ListenAddr)
+	if operatorConfig.serverTLS != nil {
+		slog.Info("listening", "name", config.Name, "addr", operatorConfig.File.TLS.Listen, "tls", operatorConfig.File.TLS.Oldest)
 	}
-	k.in.Serve()
+	reload.server.Serve()
 	return nil
 }
 
-// opened makes the instance. Danger: one that is started anew, while the last moments of the life before it still hold the address, ends at once, and
+// openServer makes the instance. Danger: one that is started anew, while the last moments of the life before it still hold the address, ends at once, and
 // its platform counts that as a crash. The address is tried for again for some seconds, longer than a drain's last steps; the notice to leave
 // ends that, and there is no instance then and no error.
-func opened(told keep.Config, leave <-chan os.Signal) (*keep.Server, error) {
-	const held, again = 3 * time.Second, 20 * time.Millisecond
+func openServer(config keep.Config, terminate <-chan os.Signal) (*keep.Server, error) {
+	const addressTimeout, retryInterval = 3 * time.Second, 20 * time.Millisecond
 	for began := time.Now(); ; {
-		in, err := keep.New(told)
-		if !errors.Is(err, syscall.EADDRINUSE) || time.Since(began) > held {
-			return in, err
+		instance, err := keep.New(config)
+		if !errors.Is(err, syscall.EADDRINUSE) || time.Since(began) > addressTimeout {
+			return instance, err
 		}
 		select {
-		case <-leave:
+		case <-terminate:
 			return nil, nil
-		case <-time.After(again):
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
-// keeper keeps a running instance on what its files say.
-type keeper struct {
-	in       *keep.Server
-	path     string   // of the configuration
-	operated string   // of the operator's file, empty if there is none
-	with     Operated // what is in force of it
-	server   atomic.Pointer[tls.Config]
-	pause    func()          // between two readings: for as long as still
-	refleet  func(*Operated) // takes the section [fleet] anew; nil where there is none
+// reloader keeps a running instance on what its files say.
+type reloader struct {
+	server         *keep.Server
+	configPath     string         // of the configuration
+	operatorPath   string         // of the operator's file, empty if there is none
+	operatorConfig OperatorConfig // what is in force of it
+	serverTLS      atomic.Pointer[tls.Config]
+	pause          func()                // between two readings: for as long as still
+	reloadFleet    func(*OperatorConfig) // takes the section [fleet] anew; nil where there is none
 }
 
-// heed carries out what signals ask for: SIGTERM to leave, SIGHUP to go by the files as they are now.
+// handleSignals carries out what signals ask for: SIGTERM to leave, SIGHUP to go by the files as they are now.
 // Danger: a file that can't be read, or is still being written, must not end or change a running instance. The old ones
 // stay in force and the files are read again, soon and then less and less often.
-func (k *keeper) heed(signals Notices) {
-	const soon, seldom = 50 * time.Millisecond, 5 * time.Second // a file takes far less to write; a person far more
-	var again <-chan time.Time
+func (k *reloader) handleSignals(signals SignalChannels) {
+	const minRetry, maxRetry = 50 * time.Millisecond, 5 * time.Second // a file takes far less to write; a person far more
+	var retry <-chan time.Time
 	var wait time.Duration
 	wanted, reading := false, false
-	came := make(chan reread, 1)
+	results := make(chan reloadResult, 1)
 	for {
 		select {
-		case <-signals.Leave:
-			k.in.Hand(k.in.Drain)
+		case <-signals.Terminate:
+			k.server.Hand(k.server.Drain)
 			continue
-		case <-signals.Reread:
+		case <-signals.Reload:
 			wanted, wait = true, 0
-		case <-again:
+		case <-retry:
 			wanted = true
-		case r := <-came:
+		case result := <-results:
 			reading = false
-			err := r.err
+			err := result.err
 			if err == nil {
-				err = k.carryOut(r)
+				err = k.apply(result)
 			}
 			if err != nil {
 				if wait == 0 {
 					slog.Warn("configuration-kept", "err", err)
 				}
-				wait = min(max(2*wait, soon), seldom)
-				again = time.After(wait)
+				wait = min(max(2*wait, minRetry), maxRetry)
+				retry = time.After(wait)
 			}
 		}
 		// Danger: a disk that hangs would keep the notice to leave from us. Files are read aside, one reading at a time.
 		if wanted && !reading {
-			wanted, reading, again = false, true, nil
-			go func() { came <- k.read() }()
+			wanted, reading, retry = false, true, nil
+			go func() { results <- k.read() }()
 		}
 	}
 }
 
-// reread is what the files say now.
-type reread struct {
-	told keep.Config
-	with Operated
-	err  error
+// reloadResult is what the files say now.
+type reloadResult struct {
+	config         keep.Config
+	operatorConfig OperatorConfig
+	err            error
 }
 
-// still is how long files have to stay as they are before they count: some times what a program takes between two writes.
-const still = 20 * time.Millisecond
+// stableFor is how long files have to stay as they are before they count: some times what a program takes between two writes.
+const stableFor = 20 * time.Millisecond
 
 // read reads all files. Danger: a file that is cut off behind a whole line reads as one that says less. What is still being
 // written is another one a moment later.
-func (k *keeper) read() (r reread) {
-	if r.told, r.err = Tell(k.path); r.err != nil || k.operated == "" {
-		return r
+func (k *reloader) read() (result reloadResult) {
+	if result.config, result.err = LoadConfig(k.configPath); result.err != nil || k.operatorPath == "" {
+		return result
 	}
-	if r.with, r.err = Operate(k.operated); r.err != nil {
-		return r
+	if result.operatorConfig, result.err = LoadOperatorConfig(k.operatorPath); result.err != nil {
+		return result
 	}
 	k.pause()
-	second, err := Operate(k.operated)
-	if r.err = err; err == nil && second.digest != r.with.digest {
-		r.err = fault.List{{File: k.operated, Want: "or a file it names, is being written"}}
+	second, err := LoadOperatorConfig(k.operatorPath)
+	if result.err = err; err == nil && second.digest != result.operatorConfig.digest {
+		result.err = fault.List{{File: k.operatorPath, Want: "or a file it names, is being written"}}
 	}
-	return r
+	return result
 }
 
-// carryOut puts in force what was read, all of it or nothing.
-func (k *keeper) carryOut(r reread) error {
-	if k.operated != "" {
-		if err := r.with.fixed(&k.with); err != nil {
+// apply puts in force what was read, all of it or nothing.
+func (k *reloader) apply(result reloadResult) error {
+	if k.operatorPath != "" {
+		if err := result.operatorConfig.checkUnchanged(&k.operatorConfig); err != nil {
 			return err
 		}
-		k.with = r.with
-		if r.with.Server != nil {
-			k.server.Store(r.with.Server)
+		k.operatorConfig = result.operatorConfig
+		if result.operatorConfig.serverTLS != nil {
+			k.serverTLS.Store(result.operatorConfig.serverTLS)
 		}
-		k.in.Hand(func() { k.in.UpdateAuthn(r.with.Callers) })
-		if k.refleet != nil {
-			k.refleet(&r.with)
+		k.server.Hand(func() { k.server.UpdateAuthn(result.operatorConfig.Authn) })
+		if k.reloadFleet != nil {
+			k.reloadFleet(&result.operatorConfig)
 		}
-		slog.Info("operated", "file", k.operated, "keys", r.with.keys(), "roles", len(r.with.File.Callers.Roles),
-			"callers", len(r.with.File.Callers.Map))
+		slog.Info("operated", "file", k.operatorPath, "keys", result.operatorConfig.keyCount(), "roles", len(result.operatorConfig.File.Callers.Roles),
+			"callers", len(result.operatorConfig.File.Callers.Map))
 	}
-	k.in.Hand(func() { k.in.UpdateAddresses(r.told) })
+	k.server.Hand(func() { k.server.UpdateAddresses(result.config) })
 	return nil
 }
 
-func (o *Operated) keys() int {
-	if o.Callers == nil {
+func (o *OperatorConfig) keyCount() int {
+	if o.Authn == nil {
 		return 0
 	}
-	return len(o.Callers.Keys.Keys())
+	return len(o.Authn.Keys.Keys())
 }
--- a/internal/life/life_test.go
+++ b/internal/life/life_test.go
@@ -26,22 +26,22 @@
 		`"settings":{"classes":[{"name":"view"}],"domain":{"cpus":1}}}`)
 	const whole = "[role a]\ntypes = view\nmay = read\n[role b]\ntypes = view\nmay = read\n"
 	path := write("op.ini", whole)
-	with, err := Operate(path)
+	operatorConfig, err := LoadOperatorConfig(path)
 	if err != nil {
 		panic(err)
 	}
-	k := &keeper{path: config, operated: path, with: with, pause: func() {}}
-	say := func(r reread) {
-		fmt.Println(len(r.with.File.Callers.Roles), strings.ReplaceAll(fmt.Sprint(r.err), dir+"/", ""))
+	reload := &reloader{configPath: config, operatorPath: path, operatorConfig: operatorConfig, pause: func() {}}
+	printResult := func(result reloadResult) {
+		fmt.Println(len(result.operatorConfig.File.Callers.Roles), strings.ReplaceAll(fmt.Sprint(result.err), dir+"/", ""))
 	}
-	say(k.read())
+	printResult(reload.read())
 	write("op.ini", whole[:len(whole)/2])
-	k.pause = func() { write("op.ini", whole) }
-	say(k.read())
-	k.pause = func() {}
+	reload.pause = func() { write("op.ini", whole) }
+	printResult(reload.read())
+	reload.pause = func() {}
 	write("op.ini", whole+"[log]\nformat = json\n")
-	r := k.read()
-	fmt.Println(strings.ReplaceAll(fmt.Sprint(k.carryOut(r)), dir+"/", ""))
+	result := reload.read()
+	fmt.Println(strings.ReplaceAll(fmt.Sprint(reload.apply(result)), dir+"/", ""))
 	// Output:
 	// 2 <nil>
 	// 1 op.ini: or a file it names, is being written
--- a/internal/life/relays/relays.go
+++ b/internal/life/relays/relays.go
@@ -15,15 +15,15 @@
 )
 
 // Join brings a relay into its fleet: it gives the relay, which listens, and what takes an operator's file that was read anew.
-type Join func(config keep.Config, o *life.Operated) (r *relay.Relay, reload func(*life.Operated), err error)
+type Join func(config keep.Config, o *life.OperatorConfig) (r *relay.Relay, reload func(*life.OperatorConfig), err error)
 
 // Live starts the relay that the configuration at path and the operator's file tell of, and passes ops on until it is told to go.
 func Live(path, operated, format string, join Join) error {
-	signals, with, err := life.Beside(operated, format, "wants the sections [fleet] and [relay]", func(f *operator.File) bool { return f.Fleet.On && f.Relay.On })
+	signals, with, err := life.StartStandalone(operated, format, "wants the sections [fleet] and [relay]", func(f *operator.File) bool { return f.Fleet.On && f.Relay.On })
 	if err != nil {
 		return err
 	}
-	config, err := life.Tell(path)
+	config, err := life.LoadConfig(path)
 	if err != nil {
 		return err
 	}
@@ -35,7 +35,7 @@
 		return err
 	}
 	slog.Info("listening", "name", config.Name, "addr", config.ListenAddr, "relay", true)
-	go life.Heed(signals, operated, with, func() { r.Hand(r.Leave) }, reload)
+	go life.HandleSignals(signals, operated, with, func() { r.Hand(r.Leave) }, reload)
 	r.Serve()
 	// The last answers lie in the kernel's hands by now; a moment for the gossip's last word.
 	time.Sleep(10 * time.Millisecond)
--- a/internal/life/stewards/stewards.go
+++ b/internal/life/stewards/stewards.go
@@ -14,14 +14,14 @@
 )
 
 // Join makes the part of a steward that speaks to the fleet, and gives what takes an operator's file that was read anew.
-type Join func(p gossip.Process, o *life.Operated) (part *gossip.Part, reload func(*life.Operated), err error)
+type Join func(p gossip.Process, o *life.OperatorConfig) (part *gossip.Part, reload func(*life.OperatorConfig), err error)
 
 // stop is how long a steward takes to leave.
 const stop = 2 * time.Second
 
 // Live starts the steward that the operator's file tells of.
 func Live(operated, format string, begin, alone bool, join Join) error {
-	signals, with, err := life.Beside(operated, format, "wants the sections [fleet] and [steward]", func(f *operator.File) bool { return f.Steward.On })
+	signals, with, err := life.StartStandalone(operated, format, "wants the sections [fleet] and [steward]", func(f *operator.File) bool { return f.Steward.On })
 	if err != nil {
 		return err
 	}
@@ -41,7 +41,7 @@
 	part.Begins = s.Begins
 	part.Start()
 	slog.Info("steward", "name", told.Name, "at", told.At, "others", len(told.Others))
-	go life.Heed(signals, operated, with, func() { p.leave() }, func(o *life.Operated) {
+	go life.HandleSignals(signals, operated, with, func() { p.leave() }, func(o *life.OperatorConfig) {
 		reload(o)
 		s.Put(o.ClusterKeys)
 	})
