--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -127,7 +127,7 @@
 
 // desked runs a desk.
 func desked(operated, format string) error {
-	return desks.Live(operated, format, func(d *desk.Desk, o *life.OperatorConfig) (func(*life.OperatorConfig), error) {
+	return desks.Run(operated, format, func(d *desk.Desk, o *life.OperatorConfig) (func(*life.OperatorConfig), error) {
 		as := func(o *life.OperatorConfig) gossip.Told {
 			f := o.File.Fleet
 			f.Roles = members.Below
--- a/internal/life/desks/desks.go
+++ b/internal/life/desks/desks.go
@@ -12,21 +12,21 @@
 	"lanewheel/internal/operator"
 )
 
-// Join brings a desk into its fleet and gives what takes an operator's file that was read anew.
-type Join func(d *desk.Desk, o *life.OperatorConfig) (reload func(*life.OperatorConfig), err error)
+// Attach brings a desk into its fleet and gives what takes an operator's file that was read anew.
+type Attach func(d *desk.Desk, o *life.OperatorConfig) (reload func(*life.OperatorConfig), err error)
 
-// stop is how long a desk takes to leave: its word has to get through.
-const stop = time.Second
+// shutdownTimeout is how long a desk takes to leave: its word has to get through.
+const shutdownTimeout = time.Second
 
-// Live starts the desk that the operator's file tells of, and grants until it is told to go.
-func Live(operated, format string, join Join) error {
-	signals, with, err := life.StartStandalone(operated, format, "wants the sections [fleet] and [grants]", func(f *operator.File) bool { return f.Grants.On })
+// Run starts the desk that the operator's file tells of, and grants until it is told to go.
+func Run(configPath, logFormat string, attach Attach) error {
+	signals, operatorConfig, err := life.StartStandalone(configPath, logFormat, "wants the sections [fleet] and [grants]", func(f *operator.File) bool { return f.Grants.On })
 	if err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(2) // one for the gossip's sockets
-	if path := with.File.Grants.Lock; path != "" {
-		held, err := lock.Hold(path, func() bool {
+	if path := operatorConfig.File.Grants.Lock; path != "" {
+		fileLock, err := lock.Hold(path, func() bool {
 			select {
 			case <-signals.Terminate:
 				return false
@@ -37,15 +37,15 @@
 		if err != nil {
 			return err
 		}
-		defer held.Close()
+		defer fileLock.Close()
 	}
-	d := desk.New(with.File.Grants.Told, with.File.Fleet.Serves)
-	reload, err := join(d, &with)
+	server := desk.New(operatorConfig.File.Grants.Told, operatorConfig.File.Fleet.Serves)
+	reload, err := attach(server, &operatorConfig)
 	if err != nil {
 		return err
 	}
-	slog.Info("desk", "name", with.File.Fleet.Name, "service", with.File.Fleet.Serves, "cap", with.File.Grants.Told.Cap, "room", with.File.Grants.Told.Room())
-	go life.HandleSignals(signals, operated, with, func() { d.Hand(func() { d.Leave(stop) }) }, reload)
-	d.Serve()
+	slog.Info("desk", "name", operatorConfig.File.Fleet.Name, "service", operatorConfig.File.Fleet.Serves, "cap", operatorConfig.File.Grants.Told.Cap, "room", operatorConfig.File.Grants.Told.Room())
+	go life.HandleSignals(signals, configPath, operatorConfig, func() { server.Hand(func() { server.Leave(shutdownTimeout) }) }, reload)
+	server.Serve()
 	return nil
 }
