--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -148,7 +148,7 @@
 
 // relayed runs a relay.
 func relayed(operated, format string) error {
-	return relays.Live(os.Getenv("RELAY_CONFIG"), operated, format, func(config keep.Config, o *life.OperatorConfig) (*relay.Relay, func(*life.OperatorConfig), error) {
+	return relays.Run(os.Getenv("RELAY_CONFIG"), operated, format, func(config keep.Config, o *life.OperatorConfig) (*relay.Relay, func(*life.OperatorConfig), error) {
 		fleet := o.File.Fleet
 		fleet.Roles = fleet.Roles&^members.Instance | members.Relay
 		speaks := &relaying{}
--- a/internal/life/relays/relays.go
+++ b/internal/life/relays/relays.go
@@ -17,26 +17,26 @@
 // Join brings a relay into its fleet: it gives the relay, which listens, and what takes an operator's file that was read anew.
 type Join func(config keep.Config, o *life.OperatorConfig) (r *relay.Relay, reload func(*life.OperatorConfig), err error)
 
-// Live starts the relay that the configuration at path and the operator's file tell of, and passes ops on until it is told to go.
-func Live(path, operated, format string, join Join) error {
-	signals, with, err := life.StartStandalone(operated, format, "wants the sections [fleet] and [relay]", func(f *operator.File) bool { return f.Fleet.On && f.Relay.On })
+// Run starts the relay that the configuration at path and the operator's file tell of, and passes ops on until it is told to go.
+func Run(platformPath, operatorPath, logFormat string, join Join) error {
+	signals, operatorConfig, err := life.StartStandalone(operatorPath, logFormat, "wants the sections [fleet] and [relay]", func(file *operator.File) bool { return file.Fleet.On && file.Relay.On })
 	if err != nil {
 		return err
 	}
-	config, err := life.LoadConfig(path)
+	platform, err := life.LoadConfig(platformPath)
 	if err != nil {
 		return err
 	}
 	// One processor more than cores: the gossip's sockets wait elsewhere than in the poller, as a further front's of an instance.
-	runtime.GOMAXPROCS(int(math.Ceil(config.Cores)) + 1)
-	debug.SetMemoryLimit(int64(config.MemoryMB * (1 << 19)))
-	r, reload, err := join(config, &with)
+	runtime.GOMAXPROCS(int(math.Ceil(platform.Cores)) + 1)
+	debug.SetMemoryLimit(int64(platform.MemoryMB * (1 << 19)))
+	proxy, reload, err := join(platform, &operatorConfig)
 	if err != nil {
 		return err
 	}
-	slog.Info("listening", "name", config.Name, "addr", config.ListenAddr, "relay", true)
-	go life.HandleSignals(signals, operated, with, func() { r.Hand(r.Leave) }, reload)
-	r.Serve()
+	slog.Info("listening", "name", platform.Name, "addr", platform.ListenAddr, "relay", true)
+	go life.HandleSignals(signals, operatorPath, operatorConfig, func() { proxy.Hand(proxy.Leave) }, reload)
+	proxy.Serve()
 	// The last answers lie in the kernel's hands by now; a moment for the gossip's last word.
 	time.Sleep(10 * time.Millisecond)
 	return nil
