--- a/internal/command/further/agreed/agreed.go
+++ b/internal/command/further/agreed/agreed.go
@@ -15,7 +15,7 @@
 // Parts adds to what lanewheel-fleet has.
 func Parts(p command.Parts) command.Parts {
 	p.Steward = func(operated, format string, begin, alone bool) error {
-		return stewards.Live(operated, format, begin, alone, func(process gossip.Process, o *life.OperatorConfig) (*gossip.Part, func(*life.OperatorConfig), error) {
+		return stewards.Run(operated, format, begin, alone, func(process gossip.Process, o *life.OperatorConfig) (*gossip.Part, func(*life.OperatorConfig), error) {
 			as := func(o *life.OperatorConfig) gossip.Told {
 				f := o.File.Fleet
 				f.Roles = members.Steward
--- a/internal/life/stewards/golden_test.go
+++ b/internal/life/stewards/golden_test.go
@@ -84,7 +84,7 @@
 		Folder: t.TempDir(), Begin: true, Beat: 300 * time.Millisecond,
 		Keys: []members.Key{members.Key("0123456789abcdef0123456789abcdef")}, Accord: accord.Usual(),
 		Judge: judge.Usual(), Window: time.Second, Snapshot: 64}))
-	p := &speaker{s: s}
+	p := &fleetAdapter{coordinator: s}
 	done := make(chan struct{})
 	go func() {
 		s.Serve(alone{members.New(members.Claim{Name: "s0", Incarnation: 1, Life: 1, Roles: members.Steward},
@@ -92,7 +92,7 @@
 		close(done)
 	}()
 	standin.Until("it leads", func() bool { return s.Leads() && s.Ready() })
-	p.Report(func(r gossip.Report) {
+	p.Status(func(r gossip.Report) {
 		want := gossip.Report{Ready: true, Facts: []members.Fact{{Key: "leads", Value: 1}}}
 		if !reflect.DeepEqual(r, want) {
 			t.Errorf("%+v, wanted %+v", r, want)
--- a/internal/life/stewards/stewards.go
+++ b/internal/life/stewards/stewards.go
@@ -13,77 +13,77 @@
 	"lanewheel/internal/operator"
 )
 
-// Join makes the part of a steward that speaks to the fleet, and gives what takes an operator's file that was read anew.
-type Join func(p gossip.Process, o *life.OperatorConfig) (part *gossip.Part, reload func(*life.OperatorConfig), err error)
+// Attach makes the part of a steward that speaks to the fleet, and gives what takes an operator's file that was read anew.
+type Attach func(p gossip.Process, o *life.OperatorConfig) (part *gossip.Part, reload func(*life.OperatorConfig), err error)
 
-// stop is how long a steward takes to leave.
-const stop = 2 * time.Second
+// shutdownTimeout is how long a steward takes to leave.
+const shutdownTimeout = 2 * time.Second
 
-// Live starts the steward that the operator's file tells of.
-func Live(operated, format string, begin, alone bool, join Join) error {
-	signals, with, err := life.StartStandalone(operated, format, "wants the sections [fleet] and [steward]", func(f *operator.File) bool { return f.Steward.On })
+// Run starts the steward that the operator's file tells of.
+func Run(configPath, logFormat string, bootstrap, forceNewCluster bool, attach Attach) error {
+	signals, operatorConfig, err := life.StartStandalone(configPath, logFormat, "wants the sections [fleet] and [steward]", func(f *operator.File) bool { return f.Steward.On })
 	if err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(2)
-	told := with.File.Steward.Told
-	told.Begin, told.Alone, told.Keys = begin, alone, with.ClusterKeys
-	s, err := steward.New(told)
+	config := operatorConfig.File.Steward.Told
+	config.Begin, config.Alone, config.Keys = bootstrap, forceNewCluster, operatorConfig.ClusterKeys
+	node, err := steward.New(config)
 	if err != nil {
 		return err
 	}
-	p := &speaker{s: s}
-	part, reload, err := join(p, &with)
+	adapter := &fleetAdapter{coordinator: node}
+	agent, reload, err := attach(adapter, &operatorConfig)
 	if err != nil {
 		return err
 	}
-	p.part = part
-	part.Begins = s.Begins
-	part.Start()
-	slog.Info("steward", "name", told.Name, "at", told.At, "others", len(told.Others))
-	go life.HandleSignals(signals, operated, with, func() { p.leave() }, func(o *life.OperatorConfig) {
+	adapter.agent = agent
+	agent.Begins = node.Begins
+	agent.Start()
+	slog.Info("steward", "name", config.Name, "at", config.At, "others", len(config.Others))
+	go life.HandleSignals(signals, configPath, operatorConfig, func() { adapter.shutdown() }, func(o *life.OperatorConfig) {
 		reload(o)
-		s.Put(o.ClusterKeys)
+		node.Put(o.ClusterKeys)
 	})
-	s.Serve(p)
-	for end := time.Now().Add(stop); !part.Closed() && time.Now().Before(end); {
+	node.Serve(adapter)
+	for end := time.Now().Add(shutdownTimeout); !agent.Closed() && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
 	return nil
 }
 
-// speaker speaks for a steward in the fleet: a gossip.Process and a steward.Fleet.
-type speaker struct {
-	s    *steward.Steward
-	part *gossip.Part
+// fleetAdapter speaks for a steward in the fleet: a gossip.Process and a steward.Fleet.
+type fleetAdapter struct {
+	coordinator *steward.Steward
+	agent       *gossip.Part
 }
 
-func (p *speaker) Report(then func(gossip.Report)) {
-	leads := 0.0
-	if p.s.Leads() {
-		leads = 1
+func (p *fleetAdapter) Status(then func(gossip.Report)) {
+	isLeader := 0.0
+	if p.coordinator.Leads() {
+		isLeader = 1
 	}
-	then(gossip.Report{Ready: p.s.Ready(), Facts: []members.Fact{{Key: "leads", Value: leads}}})
+	then(gossip.Report{Ready: p.coordinator.Ready(), Facts: []members.Fact{{Key: "leads", Value: isLeader}}})
 }
 
-func (p *speaker) Load(then func(float64, gossip.Figures)) { then(0, gossip.Figures{}) }
+func (p *fleetAdapter) Load(then func(float64, gossip.Figures)) { then(0, gossip.Figures{}) }
 
 // Drain has it leave: stewards go out by permits as all members do.
-func (p *speaker) Drain(uint64) { p.leave() }
-func (p *speaker) Fenced()      { p.leave() }
+func (p *fleetAdapter) Drain(uint64) { p.shutdown() }
+func (p *fleetAdapter) Fenced()      { p.shutdown() }
 
-func (p *speaker) leave() {
-	slog.Info("leaving", "kill_ms", stop.Milliseconds())
-	p.part.Leave(stop)
-	p.s.Leave()
+func (p *fleetAdapter) shutdown() {
+	slog.Info("leaving", "kill_ms", shutdownTimeout.Milliseconds())
+	p.agent.Leave(shutdownTimeout)
+	p.coordinator.Leave()
 }
 
-func (p *speaker) View() *members.View { return p.part.View() }
+func (p *fleetAdapter) View() *members.View { return p.agent.View() }
 
-func (p *speaker) Nudge(name members.Name, of members.Incarnation, number uint64, begun bool) {
-	p.part.Nudge(name, of, number, begun)
+func (p *fleetAdapter) Nudge(name members.Name, of members.Incarnation, number uint64, begun bool) {
+	p.agent.Nudge(name, of, number, begun)
 }
 
-func (p *speaker) Figures(name members.Name, then func(gossip.Figures)) {
-	p.part.Hand(func() { p.part.AskFigures(name, then) })
+func (p *fleetAdapter) Figures(name members.Name, then func(gossip.Figures)) {
+	p.agent.Hand(func() { p.agent.AskFigures(name, then) })
 }
