--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -90,13 +90,13 @@
 		if err != nil {
 			return err
 		}
-		if !f.Fleet.On || f.Fleet.Watch == "" {
+		if !f.Fleet.Enabled || f.Fleet.StatusSocket == "" {
 			return fmt.Errorf("%s: fleet.watch names no socket", path)
 		}
 		if i == 0 {
 			first = f.Fleet
 		} else {
-			sockets = append(sockets, f.Fleet.Watch)
+			sockets = append(sockets, f.Fleet.StatusSocket)
 		}
 	}
 	return linked.Members(first, sockets, c.JSON, o.out)
@@ -129,12 +129,12 @@
 		return err
 	}
 	if c.Seed != nil {
-		d.Seed = uint64(*c.Seed)
+		d.RandomSeed = uint64(*c.Seed)
 	}
 	if c.Size > 0 {
-		d.Processes = c.Size
+		d.Instances = c.Size
 	}
-	d.Keep = c.Keep
+	d.KeepLogs = c.Keep
 	record, picture := c.Record, c.Picture
 	if c.Check {
 		record, picture = "check", ""
--- a/internal/command/further/agree.go
+++ b/internal/command/further/agree.go
@@ -27,10 +27,10 @@
 	if err != nil {
 		return err
 	}
-	if !o.File.Steward.On || len(o.ClusterKeys) == 0 {
+	if !o.File.Coordinator.Enabled || len(o.ClusterKeys) == 0 {
 		return fmt.Errorf("%s: wants the sections [fleet], with keys, and [steward]", a.File)
 	}
-	k := ask.Client{Stewards: o.File.Steward.Told.Others, Keys: o.ClusterKeys, Limit: 20 * time.Second}
+	k := ask.Client{Stewards: o.File.Coordinator.Config.Others, Keys: o.ClusterKeys, Limit: 20 * time.Second}
 	show := func(v any) error {
 		e := json.NewEncoder(out)
 		e.SetIndent("", "  ")
@@ -131,14 +131,14 @@
 		c.Do = accord.DoBudgets
 		b := text()
 		if err == nil {
-			c.Budgets, err = operator.ReadBudgets(a.Path, b)
+			c.Budgets, err = operator.ParseBudgets(a.Path, b)
 		}
 	case "release":
 		c.Do = accord.DoRelease
 		b := text()
 		if err == nil {
 			var p accord.Plan
-			p, err = operator.ReadPlan(a.Path, b)
+			p, err = operator.ParseRollout(a.Path, b)
 			c.Plan = &p
 		}
 	}
--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -44,17 +44,17 @@
 	if f.Name != "" {
 		name = f.Name
 	}
-	if f.Serves != "" {
-		serves = f.Serves
+	if f.ServiceAddress != "" {
+		serves = f.ServiceAddress
 	}
-	return gossip.Told{Name: members.Name(name), Cluster: f.Cluster, Listen: f.Listen, Advertise: f.Advertise, Serves: serves, Roles: f.Roles, Zone: f.Zone, Release: f.Release,
-		Capacity: f.Capacity, Warm: f.Warm, Keys: keys, Probe: f.Probe, Rate: f.Rate, Watch: f.Watch, Leaves: f.Leaves, Permits: f.Permits, Members: f.Told}
+	return gossip.Told{Name: members.Name(name), Cluster: f.Cluster, Listen: f.ListenAddress, Advertise: f.AdvertiseAddress, Serves: serves, Roles: f.Roles, Zone: f.Zone, Release: f.Release,
+		Capacity: f.Capacity, Warm: f.WarmUp, Keys: keys, Probe: f.ProbeInterval, Rate: f.MaxMessageRate, Watch: f.StatusSocket, Leaves: f.DrainWhenFenced, Permits: f.RequirePermit, Members: f.Config}
 }
 
 // join brings an instance into its fleet.
 func join(in *keep.Server, config keep.Config, o *life.OperatorConfig) (func(*life.OperatorConfig), error) {
-	if !o.File.Fleet.On { // services at told addresses need nobody else
-		services := below.New(in.Loop, o.File.Below.Told, members.ID{}, config.Seed, nil)
+	if !o.File.Fleet.Enabled { // services at told addresses need nobody else
+		services := below.New(in.Loop, o.File.Upstream.Config, members.ID{}, config.Seed, nil)
 		in.UseUpstreams(services)
 		in.Hand(services.Start)
 		return func(*life.OperatorConfig) {}, nil
@@ -64,27 +64,27 @@
 		return nil, err
 	}
 	var over *handover.Part
-	if o.File.HandOver.On {
+	if o.File.Spillover.Enabled {
 		in.EnableSpillover(func(net *wire.Net) keep.Spillover {
-			over = handover.New(in, net, o.File.HandOver.Told, config.Seed, asks(part))
+			over = handover.New(in, net, o.File.Spillover.Config, config.Seed, asks(part))
 			return over
 		})
 		seeing(part, in.Loop, over.See)
 		in.AddFrontend(over)
 	}
-	if o.File.Below.On {
-		below := below.New(in.Loop, o.File.Below.Told, part.View().Self.ID(), config.Seed, part.AskDesk)
+	if o.File.Upstream.Enabled {
+		below := below.New(in.Loop, o.File.Upstream.Config, part.View().Self.ID(), config.Seed, part.AskDesk)
 		part.Grants = func(g grants.Grant) { in.Hand(func() { below.Granted(g) }) }
 		seeing(part, in.Loop, below.See)
 		in.UseUpstreams(below)
 		in.Hand(below.Start)
 	}
 	in.AddFrontend(part)
-	slog.Info("fleet", "name", string(part.View().Self.Name), "listen", o.File.Fleet.Listen, "seeds", len(o.File.Fleet.Told.Seeds), "keys", len(o.ClusterKeys))
+	slog.Info("fleet", "name", string(part.View().Self.Name), "listen", o.File.Fleet.ListenAddress, "seeds", len(o.File.Fleet.Config.Seeds), "keys", len(o.ClusterKeys))
 	return func(o *life.OperatorConfig) {
 		part.Put(Told(&o.File.Fleet, config.Name, config.ListenAddr, o.ClusterKeys))
 		if over != nil {
-			in.Hand(func() { over.Put(o.File.HandOver.Told) })
+			in.Hand(func() { over.Put(o.File.Spillover.Config) })
 		}
 	}, nil
 }
@@ -141,7 +141,7 @@
 		part.Start()
 		return func(o *life.OperatorConfig) {
 			part.Put(as(o))
-			d.Retell(o.File.Grants.Told)
+			d.Retell(o.File.Allocator.Config)
 		}, nil
 	})
 }
@@ -156,14 +156,14 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		r, err := relay.Open(config, o.File.Relay.Told, asks(part))
+		r, err := relay.Open(config, o.File.Proxy.Config, asks(part))
 		if err != nil {
 			return nil, nil, err
 		}
 		speaks.r = r
 		seeing(part, r.Loop, r.See)
 		r.Attach(part)
-		slog.Info("fleet", "name", string(part.View().Self.Name), "listen", fleet.Listen, "seeds", len(fleet.Told.Seeds), "keys", len(o.ClusterKeys))
+		slog.Info("fleet", "name", string(part.View().Self.Name), "listen", fleet.ListenAddress, "seeds", len(fleet.Config.Seeds), "keys", len(o.ClusterKeys))
 		return r, func(o *life.OperatorConfig) {
 			f := o.File.Fleet
 			f.Roles = fleet.Roles
@@ -212,9 +212,9 @@
 
 // show prints how a process sees its fleet, and how far others' views are from its.
 func show(f operator.Fleet, against []string, asJSON bool, out io.Writer) error {
-	s, err := gossip.Watch(f.Watch, gossip.Whole)
+	s, err := gossip.Watch(f.StatusSocket, gossip.Whole)
 	if err != nil {
-		return fmt.Errorf("nobody answers at %s: %w", f.Watch, err)
+		return fmt.Errorf("nobody answers at %s: %w", f.StatusSocket, err)
 	}
 	if asJSON {
 		e := json.NewEncoder(out)
@@ -305,7 +305,7 @@
 	if bad == 0 {
 		fmt.Fprintln(out, "all held")
 	} else {
-		fmt.Fprintf(out, "%d did not hold, seed %d\n", bad, d.Seed)
+		fmt.Fprintf(out, "%d did not hold, seed %d\n", bad, d.RandomSeed)
 	}
 	if picture != "" {
 		err = r.Draw(picture)
--- a/internal/command/further/golden_test.go
+++ b/internal/command/further/golden_test.go
@@ -251,12 +251,12 @@
 		t.Fatalf("asked %q", line)
 	}
 	var out bytes.Buffer
-	if err := show(operator.Fleet{Watch: socket}, nil, true, &out); err != nil {
+	if err := show(operator.Fleet{StatusSocket: socket}, nil, true, &out); err != nil {
 		t.Fatal(err)
 	}
 	golden(t, "members-printed.json", out.Bytes())
 	out.Reset()
-	if err := show(operator.Fleet{Watch: socket}, []string{socket}, false, &out); err != nil {
+	if err := show(operator.Fleet{StatusSocket: socket}, []string{socket}, false, &out); err != nil {
 		t.Fatal(err)
 	}
 	golden(t, "members-printed.txt", out.Bytes())
--- a/internal/command/queue.go
+++ b/internal/command/queue.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return operator.AMQP{}, err
 	}
-	if !o.File.AMQP.On {
+	if !o.File.AMQP.Enabled {
 		return operator.AMQP{}, fmt.Errorf("%s has no section amqp", path)
 	}
 	return o.File.AMQP, nil
@@ -45,10 +45,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if user, password, told := strings.Cut(a.Told.Login, ":"); told {
+	if user, password, told := strings.Cut(a.Config.Login, ":"); told {
 		u.Username, u.Password = user, password
 	}
-	return client.DialConfig(u.String(), client.Config{TLSClientConfig: a.Told.TLS, Heartbeat: a.Told.Heartbeat, Locale: "en_US",
+	return client.DialConfig(u.String(), client.Config{TLSClientConfig: a.Config.TLS, Heartbeat: a.Config.Heartbeat, Locale: "en_US",
 		Dial: client.DefaultDial(5 * time.Second)})
 }
 
@@ -64,7 +64,7 @@
 	w := tabwriter.NewWriter(o.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "broker\tqueue\tready\tconsumers\tfound")
 	wrong := false
-	for _, addr := range a.Told.Brokers {
+	for _, addr := range a.Config.Brokers {
 		u, _ := client.ParseURI(addr)
 		where := net.JoinHostPort(u.Host, strconv.Itoa(u.Port))
 		conn, err := dial(&a, addr)
@@ -87,7 +87,7 @@
 			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\n", where, name, q.Messages, q.Consumers, found)
 		}
 		dead := map[string]bool{}
-		for _, q := range a.Told.Queues {
+		for _, q := range a.Config.Queues {
 			look(string(q.Name), "good")
 			if q.Dead != "" && !dead[q.Dead] {
 				dead[q.Dead] = true
@@ -123,7 +123,7 @@
 	if c.Count < 1 || c.Rate <= 0 {
 		return errors.New("--count and --rate want more than 0")
 	}
-	conn, err := dial(&a, a.Told.Brokers[0])
+	conn, err := dial(&a, a.Config.Brokers[0])
 	if err != nil {
 		return err
 	}
@@ -217,14 +217,14 @@
 	if err != nil {
 		return err
 	}
-	if a.Told.Watch == "" {
+	if a.Config.Watch == "" {
 		return errors.New("the file's section amqp names no watch socket")
 	}
 	for n := 0; c.Count == 0 || n < c.Count; n++ {
 		if n > 0 {
 			time.Sleep(c.Every)
 		}
-		s, err := amqp.Watch(a.Told.Watch)
+		s, err := amqp.Watch(a.Config.Watch)
 		if err != nil {
 			return err
 		}
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -37,7 +37,7 @@
 		return nil, err
 	}
 	defer w.close()
-	if d.Stewards > 0 {
+	if d.Coordinators > 0 {
 		w.binary = filepath.Join(filepath.Dir(binary), "lanewheel-steward") // it has all that the others have
 	}
 	var mu sync.Mutex
@@ -51,7 +51,7 @@
 	w.say = func(line string) { fmt.Fprintln(out, line) }
 	h := &history{ops: map[string]*asked{}}
 	w.heard = h.ran
-	if d.Stewards > 0 {
+	if d.Coordinators > 0 {
 		if err := w.stewarding(); err != nil {
 			return nil, err
 		}
@@ -74,11 +74,11 @@
 	var differs []Row
 	var loads sync.WaitGroup
 	loads.Add(1)
-	go func() { defer loads.Done(); h.issue(w, began.Add(d.For)) }()
+	go func() { defer loads.Done(); h.issue(w, began.Add(d.LoadDuration)) }()
 	rest := newRest(v)
-	until := d.For // the last fault has its time to settle
+	until := d.LoadDuration // the last fault has its time to settle
 	if len(events) > 0 {
-		until = max(until, events[len(events)-1].At+d.Settle)
+		until = max(until, events[len(events)-1].At+d.SettleTimeout)
 	}
 	for at := 0; at < len(events) || time.Since(began) < until; {
 		now := time.Since(began)
@@ -101,12 +101,12 @@
 		broken = append(broken, v.Look(now)...)
 		differs = append(differs, Row{now.Milliseconds(), "differs", "", "", "", float64(v.differs)})
 		for _, p := range w.procs {
-			if mb := p.resident(); mb > d.MemoryMB {
+			if mb := p.resident(); mb > d.MaxMemoryMB {
 				w.failed(fmt.Sprintf("%s holds %.0f MB", p.name, mb))
 			}
 		}
 		// A fault that is behind, with its time to settle, is judged; the next one may have begun within it.
-		if at > 0 && (at == len(events) || events[at].At > events[at-1].At+d.Settle) && !events[at-1].judged(now, d) {
+		if at > 0 && (at == len(events) || events[at].At > events[at-1].At+d.SettleTimeout) && !events[at-1].judged(now, d) {
 			broken = append(broken, v.Over(&events[at-1], now)...)
 			events[at-1].over = true
 		}
@@ -130,7 +130,7 @@
 			w.failed(fmt.Sprintf("%s: %d calls at a time, the cap is %d", s.name, most, s.cap))
 		}
 	}
-	if d.Stewards > 0 {
+	if d.Coordinators > 0 {
 		rollout, unmet := w.agreed()
 		figures, broken = append(figures, rollout...), append(broken, unmet...)
 	}
@@ -147,19 +147,19 @@
 		return w.procs[i].name
 	}), broken, figures, began)
 	fmt.Fprintln(out, "the links carried", sum)
-	keep = len(broken) > 0 || d.Keep
+	keep = len(broken) > 0 || d.KeepLogs
 	return r, nil
 }
 
 // pollEvery is how often views are compared: what is told in seconds is told to a quarter of one, or, with hundreds of processes
 // that each have to answer, to some more.
 func pollEvery(d *operator.Drill) time.Duration {
-	return max(250*time.Millisecond, time.Duration(d.Processes)*3*time.Millisecond)
+	return max(250*time.Millisecond, time.Duration(d.Instances)*3*time.Millisecond)
 }
 
 // judged tells whether an event is not to be judged now: it was, its time to settle is not over, or it is not the fault's last.
 func (e *Event) judged(now time.Duration, d *operator.Drill) bool {
-	return e.over || now < e.At+d.Settle || e.Fault.For > 0 && !e.Undo
+	return e.over || now < e.At+d.SettleTimeout || e.Fault.Duration > 0 && !e.Undo
 }
 
 // raise starts all processes over the told time and waits until each knows all.
@@ -171,13 +171,13 @@
 	}
 	first := time.Now()
 	for i, p := range w.procs {
-		time.Sleep(time.Until(first.Add(w.d.Start * time.Duration(i) / time.Duration(len(w.procs)))))
+		time.Sleep(time.Until(first.Add(w.d.StartupDuration * time.Duration(i) / time.Duration(len(w.procs)))))
 		if err := w.start(p); err != nil {
 			return 0, err
 		}
 	}
 	started := time.Now()
-	limit := 60*time.Second + w.d.Start
+	limit := 60*time.Second + w.d.StartupDuration
 	for v.poll(0); !v.equal; v.poll(0) {
 		if time.Since(started) > limit {
 			return 0, fmt.Errorf("%d of %d processes don't know all others after %v; %s", v.differs, len(w.procs), limit, v.last)
@@ -240,10 +240,10 @@
 		}
 	}
 	const each = 24 // MB: what a process was seen to hold with 300 members, the pages of its own and a share of the binary's
-	need := float64(d.Processes+d.Relays+d.Desks+d.Stewards)*each + 200
-	fmt.Fprintf(out, "%d processes, %d relays and %d desks, some %.0f MB of %.0f free, %d cores, seed %d, from %s\n", d.Processes, d.Relays, d.Desks, need, free, runtime.NumCPU(), d.Seed, filepath.Base(d.Path))
+	need := float64(d.Instances+d.Proxies+d.Allocators+d.Coordinators)*each + 200
+	fmt.Fprintf(out, "%d processes, %d relays and %d desks, some %.0f MB of %.0f free, %d cores, seed %d, from %s\n", d.Instances, d.Proxies, d.Allocators, need, free, runtime.NumCPU(), d.RandomSeed, filepath.Base(d.Path))
 	if need > free {
-		return fmt.Errorf("%d processes take some %.0f MB, and %.0f are free", d.Processes, need, free)
+		return fmt.Errorf("%d processes take some %.0f MB, and %.0f are free", d.Instances, need, free)
 	}
 	return nil
 }
--- a/internal/drill/drill_test.go
+++ b/internal/drill/drill_test.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		panic(err)
 	}
-	d.Seed = seed
+	d.RandomSeed = seed
 	for _, e := range Timeline(&d) {
 		lines += e.String() + "\n"
 	}
@@ -81,7 +81,7 @@
 func TestFourRules(t *testing.T) {
 	began := time.Now()
 	at := func(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
-	d := operator.Drill{Processes: 2}
+	d := operator.Drill{Instances: 2}
 	w := &world{d: &d, procs: []*proc{{name: "p0"}, {name: "p1", told: [][2]time.Time{{at(9000), at(10500)}}}, {name: "p2", stops: [][2]time.Time{{at(0), at(5000)}}}}}
 	good := []*asked{
 		{id: "1", kind: "view", sent: at(0), answered: at(10), outcome: "acked", answers: 1, runs: []run{{0, at(5)}}},
--- a/internal/drill/even.go
+++ b/internal/drill/even.go
@@ -16,7 +16,7 @@
 // evenness measures how load was spread over the instances in the seconds in which nothing was done, and judges it where the script says so.
 func evenness(w *world, h *history, events []Event, began, ended time.Time) (figures []Figure, all []Violation) {
 	d := w.d
-	span := int(min(ended.Sub(began), d.For).Seconds())
+	span := int(min(ended.Sub(began), d.LoadDuration).Seconds())
 	calm := make([]bool, max(0, span))
 	const warm = 8 // s: instances start cold
 	for s := range calm {
@@ -25,14 +25,14 @@
 	// Whose runs fail or are lost rests, up to half a minute by each relay's own judgement, and that is no load badly spread: it is not held to be idle.
 	ill := map[int]bool{}
 	for _, e := range events {
-		if e.Fault.Do == "fail-runs" || e.Fault.Do == "lose-runs" {
+		if e.Fault.Action == "fail-runs" || e.Fault.Action == "lose-runs" {
 			for _, i := range e.On {
 				ill[i] = true
 			}
 		}
-		from, to := e.At, e.At+d.Even.Back
-		if e.Fault.For > 0 && !e.Undo {
-			to = e.At + e.Fault.For + d.Even.Back
+		from, to := e.At, e.At+d.Balance.RecoveryTime
+		if e.Fault.Duration > 0 && !e.Undo {
+			to = e.At + e.Fault.Duration + d.Balance.RecoveryTime
 		}
 		if len(e.On) > 0 { // who was started anew is cold
 			to += warm * time.Second
@@ -45,10 +45,10 @@
 	}
 	counts := make([][]int, len(calm))
 	for s := range counts {
-		counts[s] = make([]int, d.Processes)
+		counts[s] = make([]int, d.Instances)
 	}
-	last := make([]time.Duration, d.Processes)
-	gaps := make([]float64, d.Processes) // the longest, s
+	last := make([]time.Duration, d.Instances)
+	gaps := make([]float64, d.Instances) // the longest, s
 	h.mu.Lock()
 	elsewhere := 0
 	type ran struct {
@@ -69,7 +69,7 @@
 	total, waited := 0, ""
 	for _, r := range runs {
 		s := int(r.at / time.Second)
-		if r.proc >= d.Processes || s < 0 || s >= len(calm) || !calm[s] {
+		if r.proc >= d.Instances || s < 0 || s >= len(calm) || !calm[s] {
 			continue
 		}
 		counts[s][r.proc]++
@@ -95,30 +95,30 @@
 		for _, c := range row {
 			n += c
 		}
-		x, by := float64(slices.Max(row)), mostByChance(n, d.Processes)
+		x, by := float64(slices.Max(row)), mostByChance(n, d.Instances)
 		most += x
 		chance += by
 		if by > 0 {
 			ratios = append(ratios, x/by)
 		}
 	}
-	if d.Hands && d.Relays == 0 {
+	if d.SpilloverEnabled && d.Proxies == 0 {
 		figures = append(figures, Figure{"ops handed over and run", float64(elsewhere)})
 	}
-	if seconds < 3 || total == 0 || d.Stewards > 0 { // by permits somebody is out all the time
+	if seconds < 3 || total == 0 || d.Coordinators > 0 { // by permits somebody is out all the time
 		return figures, nil
 	}
 	slices.Sort(ratios)
-	gap := float64(seconds) * float64(d.Processes) / float64(total)
+	gap := float64(seconds) * float64(d.Instances) / float64(total)
 	ratio, idle := most/chance, slices.Max(gaps)/gap
-	figures = append(figures, []Figure{{"calm seconds", float64(seconds)}, {"ops a second of an instance, calm", float64(total) / float64(seconds) / float64(d.Processes)},
+	figures = append(figures, []Figure{{"calm seconds", float64(seconds)}, {"ops a second of an instance, calm", float64(total) / float64(seconds) / float64(d.Instances)},
 		{"most loaded of a second, of what chance gives", ratio}, {"... in the worst second", ratios[len(ratios)-1]}, {"longest idle, expected gaps", idle}}...)
 	w.say("longest idle: " + waited)
-	if d.Even.On && ratio > d.Even.Most {
-		all = append(all, Violation{d.For, "load even", fmt.Sprintf("the most loaded of a second had %.2f of what chance gives, %.2f is told", ratio, d.Even.Most)})
+	if d.Balance.Enabled && ratio > d.Balance.MaxImbalance {
+		all = append(all, Violation{d.LoadDuration, "load even", fmt.Sprintf("the most loaded of a second had %.2f of what chance gives, %.2f is told", ratio, d.Balance.MaxImbalance)})
 	}
-	if d.Even.On && idle > d.Even.Idle {
-		all = append(all, Violation{d.For, "none idle", fmt.Sprintf("one waited for %.1f expected gaps, %.1f is told", idle, d.Even.Idle)})
+	if d.Balance.Enabled && idle > d.Balance.MaxIdleGaps {
+		all = append(all, Violation{d.LoadDuration, "none idle", fmt.Sprintf("one waited for %.1f expected gaps, %.1f is told", idle, d.Balance.MaxIdleGaps)})
 	}
 	return figures, all
 }
@@ -151,8 +151,8 @@
 }
 
 func newService(name string, d *operator.Drill) *service {
-	s := &service{name: name, takes: d.Takes}
-	for _, pair := range d.Granting {
+	s := &service{name: name, takes: d.UpstreamCallDuration}
+	for _, pair := range d.AllocatorSettings {
 		if pair[0] == "cap" {
 			s.cap, _ = strconv.Atoi(pair[1])
 		}
--- a/internal/drill/golden_test.go
+++ b/internal/drill/golden_test.go
@@ -56,8 +56,8 @@
 		{id: "0000000000000004", kind: "view", sent: at(400), answered: at(450), outcome: "broken"},
 		{id: "0000000000000005", kind: "view", sent: at(500), answered: at(500)},
 	}}
-	halves := &operator.DrillFault{Name: "halves", Do: "swallow", Command: "halt"}
-	agree := &operator.DrillFault{Name: "stop", Do: "agree", Command: "halt"}
+	halves := &operator.DrillFault{Name: "halves", Action: "swallow", Command: "halt"}
+	agree := &operator.DrillFault{Name: "stop", Action: "agree", Command: "halt"}
 	events := []Event{{At: 1500 * time.Millisecond, Fault: halves, From: []int{0}, To: []int{1}}, {At: 2 * time.Second, Fault: agree, On: []int{}},
 		{At: 3500 * time.Millisecond, Fault: halves, Undo: true, From: []int{0}, To: []int{1}}}
 	l := newLinks(1)
@@ -158,8 +158,8 @@
 			c.Close()
 		}
 	}()
-	d := &operator.Drill{Processes: 2, For: 20 * time.Second, Hands: true, Even: operator.DrillEven{On: true, Most: 0.01, Idle: 0.01, Back: time.Second},
-		EndsOn: "2", EverOn: "3", EverMost: 0.1, Releases: []string{"1"}, Zones: []string{"a"}}
+	d := &operator.Drill{Instances: 2, LoadDuration: 20 * time.Second, SpilloverEnabled: true, Balance: operator.DrillBalance{Enabled: true, MaxImbalance: 0.01, MaxIdleGaps: 0.01, RecoveryTime: time.Second},
+		FinalRelease: "2", LimitedRelease: "3", MaxLimitedFraction: 0.1, Releases: []string{"1"}, Zones: []string{"a"}}
 	p := &proc{name: "p000", folder: folder, cmd: &exec.Cmd{}, release: "1"}
 	w := &world{d: d, procs: []*proc{p, {name: "p001", i: 1, release: "2"}}, say: func(string) {}}
 	v := &views{w: w, took: map[string]time.Duration{}}
@@ -179,7 +179,7 @@
 	for _, f := range r.figures {
 		figures = append(figures, Figure{f.Name, 0}) // measured by the clock
 	}
-	halves := &operator.DrillFault{Name: "halves", Do: "kill", For: 2 * time.Second, NoneGone: true}
+	halves := &operator.DrillFault{Name: "halves", Action: "kill", Duration: 2 * time.Second, ForbidEviction: true}
 	events := []Event{{At: 9 * time.Second, Fault: halves, On: []int{0}}, {At: 11 * time.Second, Fault: halves, Undo: true, On: []int{0}}}
 	v.Begin(&events[0], 9*time.Second)
 	v.poll(10 * time.Second)
@@ -258,23 +258,25 @@
 		}
 		fmt.Fprintln(&b)
 	}
-	put("drill", "processes", d.Processes, "relays", d.Relays, "desks", d.Desks, "stewards", d.Stewards, "seed-processes", d.Seeds, "stubs", d.Stubs,
-		"seed", d.Seed, "for", d.For, "start", d.Start, "settle", d.Settle, "rate", d.Rate, "mean", d.Mean, "memory-mb", d.MemoryMB, "calls-take", d.Takes,
+	put("drill", "processes", d.Instances, "relays", d.Proxies, "desks", d.Allocators, "stewards", d.Coordinators, "seed-processes", d.SeedMembers, "stubs", d.Clients,
+		"seed", d.RandomSeed, "for", d.LoadDuration, "start", d.StartupDuration, "settle", d.SettleTimeout, "rate", d.RequestRate, "mean", d.MeanRunTime, "memory-mb", d.MaxMemoryMB, "calls-take", d.UpstreamCallDuration,
 		"zones", d.Zones, "releases", d.Releases)
-	put("relaying", "pairs", d.Relaying)
-	put("members", "pairs", d.Members)
-	put("calling", "pairs", d.Calling)
-	put("granting", "pairs", d.Granting)
-	put("stewarding", "pairs", d.Agreeing)
-	put("handing", "given", d.Hands, "pairs", d.Handing)
-	put("even", "given", d.Even.On, "most", d.Even.Most, "idle", d.Even.Idle, "back", d.Even.Back)
-	put("bad-release", "release", d.Bad.Release, "slow", d.Bad.Slow, "fails", d.Bad.Fails, "crashes-after", d.Bad.Crashes, "never-up", d.Bad.NeverUp)
-	put("agreed", "ends-on", d.EndsOn, "ever-on", d.EverOn, "ever-on-most", d.EverMost)
-	group := func(g operator.Group) string { return fmt.Sprintf("{%s %s %d %g}", g.Kind, g.Name, g.Count, g.Share) }
+	put("relaying", "pairs", d.ProxySettings)
+	put("members", "pairs", d.FleetSettings)
+	put("calling", "pairs", d.UpstreamSettings)
+	put("granting", "pairs", d.AllocatorSettings)
+	put("stewarding", "pairs", d.CoordinatorSettings)
+	put("handing", "given", d.SpilloverEnabled, "pairs", d.SpilloverSettings)
+	put("even", "given", d.Balance.Enabled, "most", d.Balance.MaxImbalance, "idle", d.Balance.MaxIdleGaps, "back", d.Balance.RecoveryTime)
+	put("bad-release", "release", d.BadRelease.Release, "slow", d.BadRelease.RunTimeFactor, "fails", d.BadRelease.FailRuns, "crashes-after", d.BadRelease.CrashAfter, "never-up", d.BadRelease.NeverReady)
+	put("agreed", "ends-on", d.FinalRelease, "ever-on", d.LimitedRelease, "ever-on-most", d.MaxLimitedFraction)
+	group := func(g operator.DrillSelector) string {
+		return fmt.Sprintf("{%s %s %d %g}", g.Kind, g.Name, g.Count, g.Fraction)
+	}
 	for _, f := range d.Faults {
-		put("fault "+f.Name, "do", f.Do, "at", f.First.String()+".."+f.Last.String(), "for", f.For, "on", group(f.On), "from", group(f.From), "to", group(f.To),
-			"both", f.Both, "share", f.Share, "factor", f.Factor, "command", f.Command, "delay", f.Delay, "jitter", f.Jitter, "rate", f.Rate, "keys", f.Keys,
-			"seeds", f.Seeds, "none-gone", f.NoneGone, "refuses", f.Refuses)
+		put("fault "+f.Name, "do", f.Action, "at", f.Earliest.String()+".."+f.Latest.String(), "for", f.Duration, "on", group(f.Targets), "from", group(f.From), "to", group(f.To),
+			"both", f.Bidirectional, "share", f.Fraction, "factor", f.Factor, "command", f.Command, "delay", f.Delay, "jitter", f.Jitter, "rate", f.BytesPerSecond, "keys", f.KeyNumbers,
+			"seeds", f.SeedMembers, "none-gone", f.ForbidEviction, "refuses", f.AllowUnanswered)
 	}
 	return b.String()
 }
--- a/internal/drill/judge.go
+++ b/internal/drill/judge.go
@@ -234,7 +234,7 @@
 		name = e.Fault.Name
 	}
 	// Where a release goes on members come and go all the time, and views with them: they are judged once that rests.
-	if !v.equal && !v.w.outs.moving() && v.w.d.Bad.Crashes == 0 {
+	if !v.equal && !v.w.outs.moving() && v.w.d.BadRelease.CrashAfter == 0 {
 		all = append(all, Violation{now, "views equal", fmt.Sprintf("%d processes hold others to be there than are, %v after %s; %s", v.differs, now-v.since, name, v.last)})
 	}
 	gave, doubts := uint64(0), uint64(0)
@@ -244,7 +244,7 @@
 	}
 	if e != nil {
 		v.figures = append(v.figures, Figure{"suspicions, " + name, float64(doubts)}, Figure{"given up, " + name, float64(gave)})
-		if e.Fault.NoneGone && gave > 0 {
+		if e.Fault.ForbidEviction && gave > 0 {
 			all = append(all, Violation{now, "none given up", fmt.Sprintf("%d times somebody that was there, over %s", gave, name)})
 		}
 	}
--- a/internal/drill/links.go
+++ b/internal/drill/links.go
@@ -118,7 +118,7 @@
 			if at != link || e.Undo {
 				continue
 			}
-			switch e.Fault.Do {
+			switch e.Fault.Action {
 			case "refuse":
 				l.tally[link].Cut++
 				_ = c.(*net.TCPConn).SetLinger(0)
@@ -132,7 +132,7 @@
 	for _, a := range e.From {
 		for _, b := range e.To {
 			one(a, b)
-			if e.Fault.Both {
+			if e.Fault.Bidirectional {
 				one(b, a)
 			}
 		}
@@ -167,10 +167,10 @@
 		}
 		m := append([]byte(nil), b[:n]...)
 		for _, r := range rules {
-			if !l.draw(r.Share) {
+			if !l.draw(r.Fraction) {
 				continue
 			}
-			switch r.Do {
+			switch r.Action {
 			case "refuse", "swallow", "lose", "stall", "half-close":
 				copies = 0
 				l.count(&c.Lost, 1)
@@ -187,7 +187,7 @@
 				m[rand.IntN(len(m))] ^= 0x55
 				l.count(&c.Garbled, 1)
 			case "narrow":
-				wait += time.Duration(float64(n) / float64(max(1, r.Rate)) * float64(time.Second))
+				wait += time.Duration(float64(n) / float64(max(1, r.BytesPerSecond)) * float64(time.Second))
 			}
 		}
 		for range copies {
@@ -213,7 +213,7 @@
 func has(rules []*operator.DrillFault, do ...string) bool {
 	for _, r := range rules {
 		for _, d := range do {
-			if r.Do == d {
+			if r.Action == d {
 				return true
 			}
 		}
@@ -276,13 +276,13 @@
 				_, _, rules, _ = l.between(host, end)
 			}
 			for _, r := range rules {
-				switch r.Do {
+				switch r.Action {
 				case "delay":
 					time.Sleep(r.Delay + time.Duration(rand.Float64()*float64(r.Jitter)))
 				case "narrow":
-					time.Sleep(time.Duration(float64(n) / float64(max(1, r.Rate)) * float64(time.Second)))
+					time.Sleep(time.Duration(float64(n) / float64(max(1, r.BytesPerSecond)) * float64(time.Second)))
 				case "garble":
-					if l.draw(r.Share) {
+					if l.draw(r.Fraction) {
 						b[rand.IntN(n)] ^= 0x55
 						l.count(&c.Garbled, 1)
 					}
--- a/internal/drill/links_test.go
+++ b/internal/drill/links_test.go
@@ -83,7 +83,7 @@
 }
 
 func (p *pair) put(do string, share float64, undo bool) *operator.DrillFault {
-	f := &operator.DrillFault{Do: do, Share: share, Rate: 1000, Delay: 30 * time.Millisecond}
+	f := &operator.DrillFault{Action: do, Fraction: share, BytesPerSecond: 1000, Delay: 30 * time.Millisecond}
 	p.l.put(Event{Fault: f, From: []int{0}, To: []int{1}})
 	return f
 }
--- a/internal/drill/load.go
+++ b/internal/drill/load.go
@@ -47,7 +47,7 @@
 // issue asks at the told rate, whatever comes back, by connections to processes that are drawn anew whenever one ends.
 func (h *history) issue(w *world, until time.Time) {
 	var all sync.WaitGroup
-	for k := range w.d.Stubs {
+	for k := range w.d.Clients {
 		all.Add(1)
 		go func() {
 			defer all.Done()
@@ -63,15 +63,15 @@
 const opTimeout = 3*time.Second + 500*time.Millisecond
 
 func (h *history) stub(w *world, k int, until time.Time) {
-	chance := rand.New(rand.NewPCG(w.d.Seed, 1000+uint64(k)))
-	gap := float64(w.d.Stubs) / w.d.Rate * float64(time.Second)
+	chance := rand.New(rand.NewPCG(w.d.RandomSeed, 1000+uint64(k)))
+	gap := float64(w.d.Clients) / w.d.RequestRate * float64(time.Second)
 	next := time.Now()
 	for n := 1; next.Before(until); {
 		to := w.procs
-		if w.d.Relays > 0 { // then only they are known to the stubs
-			to = to[w.d.Processes:]
+		if w.d.Proxies > 0 { // then only they are known to the stubs
+			to = to[w.d.Instances:]
 		}
-		to = to[:len(to)-w.d.Desks-w.d.Stewards]
+		to = to[:len(to)-w.d.Allocators-w.d.Coordinators]
 		p := to[chance.IntN(len(to))]
 		conn, err := net.DialTimeout("tcp", net.JoinHostPort(p.host, strconv.Itoa(stubPort)), 200*time.Millisecond)
 		if err != nil {
--- a/internal/drill/report.go
+++ b/internal/drill/report.go
@@ -244,7 +244,7 @@
 		if e.Undo {
 			kind = "undone"
 		}
-		r = append(r, Row{e.At.Milliseconds(), kind, "", e.String(), e.Fault.Do, e.At.Seconds()})
+		r = append(r, Row{e.At.Milliseconds(), kind, "", e.String(), e.Fault.Action, e.At.Seconds()})
 	}
 	r = append(r, differs...)
 	for _, v := range all {
--- a/internal/drill/script.go
+++ b/internal/drill/script.go
@@ -24,12 +24,12 @@
 }
 
 func (e Event) String() string {
-	what := e.Fault.Do
+	what := e.Fault.Action
 	if e.Undo {
 		what = "over: " + what
 	}
 	who := fmt.Sprint("on ", short(e.On))
-	if e.Fault.Do == "agree" {
+	if e.Fault.Action == "agree" {
 		return fmt.Sprintf("%6.2fs %s: %s", e.At.Seconds(), e.Fault.Name, e.Fault.Command)
 	}
 	if e.On == nil {
@@ -52,20 +52,20 @@
 	for i := range d.Faults {
 		f := &d.Faults[i]
 		// Each has chance of its own, so that a fault more or less in the script leaves the others as they were.
-		chance := rand.New(rand.NewPCG(d.Seed, uint64(i)+1))
-		at := f.First + time.Duration(chance.Float64()*float64(f.Last-f.First))
+		chance := rand.New(rand.NewPCG(d.RandomSeed, uint64(i)+1))
+		at := f.Earliest + time.Duration(chance.Float64()*float64(f.Latest-f.Earliest))
 		e := Event{At: at, Fault: f}
-		if f.Do == "agree" {
+		if f.Action == "agree" {
 			e.On = []int{}
-		} else if f.On.Kind != "" {
-			e.On = pick(f.On, d, nil, chance)
+		} else if f.Targets.Kind != "" {
+			e.On = pick(f.Targets, d, nil, chance)
 		} else {
 			e.From = pick(f.From, d, nil, chance)
 			e.To = pick(f.To, d, e.From, chance)
 		}
 		all = append(all, e)
-		if f.For > 0 {
-			e.At, e.Undo = at+f.For, true
+		if f.Duration > 0 {
+			e.At, e.Undo = at+f.Duration, true
 			all = append(all, e)
 		}
 	}
@@ -73,8 +73,8 @@
 	return all
 }
 
-func pick(g operator.Group, d *operator.Drill, but []int, chance *rand.Rand) (all []int) {
-	everybody := make([]int, d.Processes+d.Relays+d.Desks+d.Stewards)
+func pick(g operator.DrillSelector, d *operator.Drill, but []int, chance *rand.Rand) (all []int) {
+	everybody := make([]int, d.Instances+d.Proxies+d.Allocators+d.Coordinators)
 	for i := range everybody {
 		everybody[i] = i
 	}
@@ -82,13 +82,13 @@
 	case "all":
 		return everybody
 	case "instances":
-		return everybody[:d.Processes]
+		return everybody[:d.Instances]
 	case "relays":
-		return everybody[d.Processes : d.Processes+d.Relays]
+		return everybody[d.Instances : d.Instances+d.Proxies]
 	case "desks":
-		return everybody[d.Processes+d.Relays : d.Processes+d.Relays+d.Desks]
+		return everybody[d.Instances+d.Proxies : d.Instances+d.Proxies+d.Allocators]
 	case "stewards":
-		return everybody[d.Processes+d.Relays+d.Desks:]
+		return everybody[d.Instances+d.Proxies+d.Allocators:]
 	case "rest":
 		return slices.DeleteFunc(everybody, func(i int) bool { return slices.Contains(but, i) })
 	case "zone", "release":
@@ -103,10 +103,10 @@
 		all = everybody[:g.Count]
 	case "draw":
 		n := g.Count
-		if g.Share > 0 {
-			n = int(g.Share*float64(d.Processes) + 0.5)
+		if g.Fraction > 0 {
+			n = int(g.Fraction*float64(d.Instances) + 0.5)
 		}
-		all = chance.Perm(d.Processes)[:n]
+		all = chance.Perm(d.Instances)[:n]
 		slices.Sort(all)
 	}
 	return all
--- a/internal/drill/stewards.go
+++ b/internal/drill/stewards.go
@@ -187,7 +187,7 @@
 		}
 	}
 	for _, key := range w.keys[:1] {
-		parsed, _ := operator.ReadClusterKeys("keys", []byte(key))
+		parsed, _ := operator.ParseClusterKeys("keys", []byte(key))
 		k.Keys = append(k.Keys, parsed...)
 	}
 	return k
@@ -206,7 +206,7 @@
 			return "", err
 		}
 		c.Do = accord.DoBudgets
-		if c.Budgets, err = operator.ReadBudgets(rest, b); err != nil {
+		if c.Budgets, err = operator.ParseBudgets(rest, b); err != nil {
 			return "", err
 		}
 		w.outs.budgets(c.Budgets)
@@ -215,7 +215,7 @@
 		if err != nil {
 			return "", err
 		}
-		p, err := operator.ReadPlan(rest, b)
+		p, err := operator.ParseRollout(rest, b)
 		if err != nil {
 			return "", err
 		}
@@ -267,25 +267,25 @@
 	for _, g := range []string{"all"} {
 		figures = append(figures, Figure{"out by permits at a time, the most of " + g, float64(w.outs.most[g])})
 	}
-	if d.EndsOn != "" {
+	if d.FinalRelease != "" {
 		off := 0
-		for _, p := range w.procs[:d.Processes] {
+		for _, p := range w.procs[:d.Instances] {
 			p.mu.Lock()
-			if p.release != d.EndsOn || p.gone {
+			if p.release != d.FinalRelease || p.gone {
 				off++
 			}
 			p.mu.Unlock()
 		}
-		figures = append(figures, Figure{"instances that are not on release " + d.EndsOn + " at the end", float64(off)})
+		figures = append(figures, Figure{"instances that are not on release " + d.FinalRelease + " at the end", float64(off)})
 		if off > 0 {
-			all = append(all, Violation{d.For, "release", fmt.Sprintf("%d instances are not on release %s at the end", off, d.EndsOn)})
+			all = append(all, Violation{d.LoadDuration, "release", fmt.Sprintf("%d instances are not on release %s at the end", off, d.FinalRelease)})
 		}
 	}
-	if d.EverOn != "" {
-		n := len(w.outs.ever[d.EverOn])
-		figures = append(figures, Figure{"instances that were ever on release " + d.EverOn, float64(n)})
-		if float64(n) > d.EverMost*float64(d.Processes) {
-			all = append(all, Violation{d.For, "release", fmt.Sprintf("%d instances were on release %s, %.0f%% is told", n, d.EverOn, 100*d.EverMost)})
+	if d.LimitedRelease != "" {
+		n := len(w.outs.ever[d.LimitedRelease])
+		figures = append(figures, Figure{"instances that were ever on release " + d.LimitedRelease, float64(n)})
+		if float64(n) > d.MaxLimitedFraction*float64(d.Instances) {
+			all = append(all, Violation{d.LoadDuration, "release", fmt.Sprintf("%d instances were on release %s, %.0f%% is told", n, d.LimitedRelease, 100*d.MaxLimitedFraction)})
 		}
 	}
 	return figures, all
@@ -293,8 +293,8 @@
 
 // bad is what is wrong with a release, as the script has it.
 func (w *world) bad(release string) (standin.Spoils, bool) {
-	if w.d.Bad.Release == "" || w.d.Bad.Release != release {
+	if w.d.BadRelease.Release == "" || w.d.BadRelease.Release != release {
 		return standin.Spoils{}, false
 	}
-	return standin.Spoils{Slow: w.d.Bad.Slow, Fail: w.d.Bad.Fails}, true
+	return standin.Spoils{Slow: w.d.BadRelease.RunTimeFactor, Fail: w.d.BadRelease.FailRuns}, true
 }
--- a/internal/drill/world.go
+++ b/internal/drill/world.go
@@ -80,7 +80,7 @@
 )
 
 func newWorld(d *operator.Drill, binary, folder string) (*world, error) {
-	w := &world{d: d, binary: binary, folder: folder, links: newLinks(d.Seed, ports(d)...), db: standin.NewDatabase(), roster: standin.NewRoster(), started: make(chan func())}
+	w := &world{d: d, binary: binary, folder: folder, links: newLinks(d.RandomSeed, ports(d)...), db: standin.NewDatabase(), roster: standin.NewRoster(), started: make(chan func())}
 	w.db.Work()
 	w.burst.Store(math.Float64bits(1))
 	go func() { // the kernel ends a child with the thread that started it: this one stays, whatever becomes of the others
@@ -90,20 +90,20 @@
 		}
 	}()
 	for k := range 8 { // the keys of a script go by number; the same for the same seed
-		w.keys = append(w.keys, base64.StdEncoding.EncodeToString([]byte(fmt.Sprintf("drill key %02d %019d", k+1, d.Seed))))
+		w.keys = append(w.keys, base64.StdEncoding.EncodeToString([]byte(fmt.Sprintf("drill key %02d %019d", k+1, d.RandomSeed))))
 	}
 	// Danger: two rehearsals on one machine must not meet. Each has loopback networks of its own by its process number.
 	net8 := 64 + os.Getpid()%64
-	for i := range d.Processes + d.Relays + d.Desks + d.Stewards {
-		p := &proc{w: w, i: i, relay: i >= d.Processes && i < d.Processes+d.Relays, name: fmt.Sprintf("p%03d", i), host: fmt.Sprintf("127.%d.%d.%d", net8, i/250, i%250+1), front: fmt.Sprintf("127.%d.%d.%d", net8+64, i/250, i%250+1),
-			rt: standin.NewRuntime(), keys: []int{1}, seeds: d.Seeds}
+	for i := range d.Instances + d.Proxies + d.Allocators + d.Coordinators {
+		p := &proc{w: w, i: i, relay: i >= d.Instances && i < d.Instances+d.Proxies, name: fmt.Sprintf("p%03d", i), host: fmt.Sprintf("127.%d.%d.%d", net8, i/250, i%250+1), front: fmt.Sprintf("127.%d.%d.%d", net8+64, i/250, i%250+1),
+			rt: standin.NewRuntime(), keys: []int{1}, seeds: d.SeedMembers}
 		p.folder = filepath.Join(folder, p.name)
 		if err := w.links.add(i, p.host, p.front); err != nil {
 			return nil, err
 		}
 		p.release = release(d, i)
-		p.steward = i >= d.Processes+d.Relays+d.Desks
-		if i >= d.Processes+d.Relays && !p.steward {
+		p.steward = i >= d.Instances+d.Proxies+d.Allocators
+		if i >= d.Instances+d.Proxies && !p.steward {
 			p.service = newService(p.name, d)
 			w.services = append(w.services, p.service)
 		}
@@ -115,7 +115,7 @@
 
 // ports are where streams are taken between processes.
 func ports(d *operator.Drill) []int {
-	if d.Stewards > 0 {
+	if d.Coordinators > 0 {
 		return []int{gossipPort, stubPort, stewardPort}
 	}
 	return []int{gossipPort, stubPort}
@@ -136,7 +136,7 @@
 		if w.outs != nil {
 			w.outs.back(p)
 		}
-		link.Work(2, w.d.Mean, w.d.Seed+n<<32+uint64(p.i), func(_, _, body string) { w.heard(p, body) })
+		link.Work(2, w.d.MeanRunTime, w.d.RandomSeed+n<<32+uint64(p.i), func(_, _, body string) { w.heard(p, body) })
 	}
 }
 
@@ -152,7 +152,7 @@
 func (p *proc) isLate() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.late || p.w.d.Bad.NeverUp && p.release == p.w.d.Bad.Release
+	return p.late || p.w.d.BadRelease.NeverReady && p.release == p.w.d.BadRelease.Release
 }
 
 func (p *proc) file(name string) string { return filepath.Join(p.folder, name) }
@@ -165,7 +165,7 @@
 	settings := strings.NewReplacer("IDLE", "30", "FRESH", "0", `"memory-kb":1900`, `"memory-kb":190000`, `"dep-share":8,`, `"dep-share":800,`).Replace(standin.Settings)
 	config := fmt.Sprintf(`{"name":%q,"listen":"%s:%d","runtime":%q,"roster":%q,"db":%q,"seed":"%x","stop_ms":1500,`+
 		`"limits":{"cores":1,"memory_mb":%g,"sockets":512},"settings":%s}`, p.name, p.host, stubPort, p.rt.Addr(), w.roster.Addr(), w.db.Addr(),
-		w.d.Seed+uint64(p.i), w.d.MemoryMB, settings)
+		w.d.RandomSeed+uint64(p.i), w.d.MaxMemoryMB, settings)
 	var list []string
 	for _, q := range w.procs[:p.seeds] {
 		list = append(list, fmt.Sprintf("%s:%d", q.front, gossipPort))
@@ -173,7 +173,7 @@
 	var ini string
 	fleet := fmt.Sprintf("[fleet]\nlisten = %s:%d\nadvertise = %s:%d\nseeds = %s\nzone = %s\nrelease = %s\nkeys = keys\nwatch = w\n",
 		p.host, gossipPort, p.front, gossipPort, strings.Join(list, ", "), zone(w.d, p.i), p.release)
-	if w.d.Stewards > 0 {
+	if w.d.Coordinators > 0 {
 		fleet += "permits = yes\n"
 	}
 	section := func(name string, pairs [][2]string) {
@@ -184,9 +184,9 @@
 	}
 	switch {
 	case p.relay:
-		section("relay", w.d.Relaying)
+		section("relay", w.d.ProxySettings)
 	case p.steward:
-		section("steward", w.d.Agreeing)
+		section("steward", w.d.CoordinatorSettings)
 		var all []string
 		for _, q := range w.procs {
 			if q.steward {
@@ -196,20 +196,20 @@
 		ini += fmt.Sprintf("listen = %s:%d\nat = %s:%d\nstewards = %s\nfolder = log.d\nrestart = %s hook %s {name} {release}\n", p.host, stewardPort, p.front, stewardPort, strings.Join(all, ", "), w.binary, w.hook())
 		fleet += fmt.Sprintf("name = %s\n", p.name)
 	case p.service != nil:
-		section("grants", w.d.Granting)
+		section("grants", w.d.AllocatorSettings)
 		ini += fmt.Sprintf("lock = %s\n", filepath.Join(w.folder, p.name+".lock"))
 		fleet += fmt.Sprintf("name = %s\nserves = %s\n", p.name, p.service.Addr())
 	default:
-		if w.d.Desks > 0 {
-			section("below", w.d.Calling)
+		if w.d.Allocators > 0 {
+			section("below", w.d.UpstreamSettings)
 		}
-		if w.d.Hands {
-			section("handover", w.d.Handing)
+		if w.d.SpilloverEnabled {
+			section("handover", w.d.SpilloverSettings)
 		}
 		fleet += fmt.Sprintf("serves = %s:%d\n", p.front, stubPort)
 	}
 	ini += fleet
-	for _, pair := range w.d.Members {
+	for _, pair := range w.d.FleetSettings {
 		ini += pair[0] + " = " + pair[1] + "\n"
 	}
 	var text string
@@ -240,7 +240,7 @@
 	line := []string{as, "--operator", p.file("fleet.ini")}
 	if p.steward {
 		line[0] = "steward"
-		if !p.begun && p.i == w.d.Processes+w.d.Relays+w.d.Desks {
+		if !p.begun && p.i == w.d.Instances+w.d.Proxies+w.d.Allocators {
 			line = append(line, "--begin")
 		}
 		p.begun = true
@@ -258,9 +258,9 @@
 		return err
 	}
 	ended := make(chan struct{})
-	crashes := w.d.Bad.Crashes > 0 && p.release == w.d.Bad.Release
+	crashes := w.d.BadRelease.CrashAfter > 0 && p.release == w.d.BadRelease.Release
 	if crashes {
-		time.AfterFunc(w.d.Bad.Crashes, func() { _ = cmd.Process.Kill() })
+		time.AfterFunc(w.d.BadRelease.CrashAfter, func() { _ = cmd.Process.Kill() })
 	}
 	p.mu.Lock()
 	p.cmd, p.ended, p.meant, p.gone, p.paused, p.since, p.id = cmd, ended, false, false, false, time.Now(), members.ID{}
@@ -398,8 +398,8 @@
 
 // do carries out what is done to processes.
 func (w *world) do(e Event) {
-	if e.Fault.Do == "agree" && e.Undo { // whoever was drained is started again
-		for _, p := range w.procs[:w.d.Processes] {
+	if e.Fault.Action == "agree" && e.Undo { // whoever was drained is started again
+		for _, p := range w.procs[:w.d.Instances] {
 			p.mu.Lock()
 			gone := p.gone && !p.meant
 			p.mu.Unlock()
@@ -411,7 +411,7 @@
 		}
 		return
 	}
-	if e.Fault.Do == "agree" {
+	if e.Fault.Action == "agree" {
 		go func() { // an operator's command waits for its answer; the timeline does not
 			said, err := w.agree(e.Fault.Command, fmt.Sprint(e.Fault.Name, e.At))
 			if err != nil {
@@ -421,7 +421,7 @@
 		}()
 		return
 	}
-	if e.Fault.Do == "burst" {
+	if e.Fault.Action == "burst" {
 		w.burst.Store(math.Float64bits(1))
 		if !e.Undo {
 			w.burst.Store(math.Float64bits(e.Fault.Factor))
@@ -445,19 +445,19 @@
 func (w *world) one(e Event, p *proc) error {
 	f := e.Fault
 	switch {
-	case f.Do == "kill" && !e.Undo, f.Do == "wipe" && !e.Undo:
+	case f.Action == "kill" && !e.Undo, f.Action == "wipe" && !e.Undo:
 		p.end(syscall.SIGKILL)
-		if f.Do == "wipe" {
+		if f.Action == "wipe" {
 			return os.RemoveAll(p.folder)
 		}
-	case f.Do == "kill" || f.Do == "wipe" || f.Do == "leave" && e.Undo:
+	case f.Action == "kill" || f.Action == "wipe" || f.Action == "leave" && e.Undo:
 		if err := w.write(p); err != nil {
 			return err
 		}
 		return w.start(p)
-	case f.Do == "leave":
+	case f.Action == "leave":
 		p.end(syscall.SIGTERM)
-	case f.Do == "pause":
+	case f.Action == "pause":
 		p.mu.Lock()
 		p.paused = !e.Undo
 		if e.Undo {
@@ -471,14 +471,14 @@
 		} else {
 			p.signal(syscall.SIGSTOP)
 		}
-	case (f.Do == "restart" || f.Do == "replace") && !e.Undo: // under its old name and address; the second one leaves first
-		if f.Do == "restart" {
+	case (f.Action == "restart" || f.Action == "replace") && !e.Undo: // under its old name and address; the second one leaves first
+		if f.Action == "restart" {
 			p.end(syscall.SIGKILL)
 		} else {
 			p.end(syscall.SIGTERM)
 		}
 		return w.start(p)
-	case f.Do == "late-runtime":
+	case f.Action == "late-runtime":
 		p.mu.Lock()
 		p.late = !e.Undo
 		p.mu.Unlock()
@@ -486,23 +486,23 @@
 			p.end(syscall.SIGKILL)
 			return w.start(p)
 		}
-	case f.Do == "slow-runs" || f.Do == "fail-runs" || f.Do == "lose-runs":
+	case f.Action == "slow-runs" || f.Action == "fail-runs" || f.Action == "lose-runs":
 		p.mu.Lock()
 		p.spoils = standin.Spoils{}
 		if !e.Undo {
-			p.spoils = standin.Spoils{Slow: f.Factor, Fail: f.Do == "fail-runs", Lose: f.Do == "lose-runs"}
+			p.spoils = standin.Spoils{Slow: f.Factor, Fail: f.Action == "fail-runs", Lose: f.Action == "lose-runs"}
 		}
 		p.mu.Unlock()
-	case f.Do == "keys" && !e.Undo || f.Do == "seeds" && !e.Undo:
-		if len(f.Keys) > 0 {
-			p.keys = f.Keys
+	case f.Action == "keys" && !e.Undo || f.Action == "seeds" && !e.Undo:
+		if len(f.KeyNumbers) > 0 {
+			p.keys = f.KeyNumbers
 		}
-		p.seeds = max(p.seeds, f.Seeds)
+		p.seeds = max(p.seeds, f.SeedMembers)
 		if err := w.write(p); err != nil {
 			return err
 		}
 		p.signal(syscall.SIGHUP)
-	case f.Do == "flood" && !e.Undo:
+	case f.Action == "flood" && !e.Undo:
 		go w.flood(p, f)
 	}
 	return nil
@@ -517,7 +517,7 @@
 	}
 	defer c.Close()
 	noise := make([]byte, 1400)
-	for end := time.Now().Add(max(f.For, time.Second)); time.Now().Before(end); {
+	for end := time.Now().Add(max(f.Duration, time.Second)); time.Now().Before(end); {
 		for k := range noise {
 			noise[k] = byte(k * int(time.Now().UnixNano()))
 		}
--- a/internal/life/beside.go
+++ b/internal/life/beside.go
@@ -26,7 +26,7 @@
 
 // StartStandalone begins the start of a process beside the instances: the log, the signals, and the operator's file, which has to have what on tells of. want names
 // that for whoever reads why it did not start.
-func StartStandalone(operatorPath, logFormat, want string, enabled func(*operator.File) bool) (signals SignalChannels, operatorConfig OperatorConfig, err error) {
+func StartStandalone(operatorPath, logFormat, want string, enabled func(*operator.Operator) bool) (signals SignalChannels, operatorConfig OperatorConfig, err error) {
 	signals = notifySignals()
 	logline.Serve(os.Stderr, logFormat)
 	if operatorConfig, err = LoadOperatorConfig(operatorPath); err != nil {
--- a/internal/life/callers.go
+++ b/internal/life/callers.go
@@ -24,7 +24,7 @@
 
 // OperatorConfig is an operator's file with all that it names, read and checked whole.
 type OperatorConfig struct {
-	File      operator.File
+	File      operator.Operator
 	Authn     *identity.Parts // nil: all may do everything
 	serverTLS *tls.Config     // nil: no listener with TLS
 
@@ -61,25 +61,25 @@
 		return operatorConfig, err
 	}
 	file := &operatorConfig.File
-	if file.Callers.On {
-		operatorConfig.Authn = &identity.Parts{Book: file.Callers.Book, Entries: file.Callers.Entries}
+	if file.Callers.Enabled {
+		operatorConfig.Authn = &identity.Parts{Book: file.Callers.Policy, Entries: file.Callers.MaxRateEntries}
 	}
-	if file.Tokens.On {
+	if file.Tokens.Enabled {
 		if err := digest.readTokens(&file.Tokens, operatorConfig.Authn); err != nil {
 			return operatorConfig, err
 		}
 	}
-	if file.TLS.On {
+	if file.TLS.Enabled {
 		if operatorConfig.serverTLS, err = digest.readServerTLS(&file.TLS, operatorConfig.Authn); err != nil {
 			return operatorConfig, err
 		}
 	}
-	if file.Fleet.On {
+	if file.Fleet.Enabled {
 		if err := digest.readFleet(&operatorConfig); err != nil {
 			return operatorConfig, err
 		}
 	}
-	if file.AMQP.On {
+	if file.AMQP.Enabled {
 		if err := digest.readAMQP(&operatorConfig); err != nil {
 			return operatorConfig, err
 		}
@@ -90,7 +90,7 @@
 
 // readTokens reads the keys and the list of what was taken back.
 func (s fileDigest) readTokens(t *operator.Tokens, authnConfig *identity.Parts) error {
-	files, err := keyring.Folder(t.Keys)
+	files, err := keyring.Folder(t.KeyDir)
 	if err != nil {
 		return err
 	}
@@ -101,17 +101,17 @@
 	if authnConfig.Keys, err = keyring.Read(files); err != nil {
 		return err
 	}
-	authnConfig.Folder, authnConfig.Policy, authnConfig.Bounds = t.Keys, &t.Policy, t.Bounds
-	if t.Revoked == "" {
+	authnConfig.Folder, authnConfig.Policy, authnConfig.Bounds = t.KeyDir, &t.Policy, t.Limits
+	if t.RevocationFile == "" {
 		return nil
 	}
-	text, err := s.readFile(t.Revoked)
+	text, err := s.readFile(t.RevocationFile)
 	if err != nil {
 		return err
 	}
 	list, line := tokens.ReadRevocations(string(text))
 	if line > 0 {
-		return fault.List{{File: t.Revoked, Line: line, Want: `wants "jti ID" or "sub SUBJECT"`}}
+		return fault.List{{File: t.RevocationFile, Line: line, Want: `wants "jti ID" or "sub SUBJECT"`}}
 	}
 	authnConfig.Revoked = list
 	return nil
@@ -119,42 +119,42 @@
 
 // readServerTLS reads what the listener with TLS needs.
 func (s fileDigest) readServerTLS(t *operator.TLS, authnConfig *identity.Parts) (*tls.Config, error) {
-	cert, err := s.readFile(t.Certificate)
+	cert, err := s.readFile(t.CertificateFile)
 	if err != nil {
 		return nil, err
 	}
-	key, err := s.readFile(t.Key)
+	key, err := s.readFile(t.KeyFile)
 	if err != nil {
 		return nil, err
 	}
 	certificate, err := tls.X509KeyPair(cert, key)
 	if err != nil { // never what stands in the key's file
-		return nil, fault.List{{File: t.Certificate, Want: "can't be used with " + t.Key + ": " + err.Error()}}
+		return nil, fault.List{{File: t.CertificateFile, Want: "can't be used with " + t.KeyFile + ": " + err.Error()}}
 	}
 	serverConfig := &tls.Config{Certificates: []tls.Certificate{certificate}, MinVersion: tls.VersionTLS13}
-	if t.Oldest == "1.2" {
+	if t.MinVersion == "1.2" {
 		serverConfig.MinVersion = tls.VersionTLS12
 	}
-	if t.Authorities == "" {
+	if t.AuthoritiesFile == "" {
 		authnConfig.Trust, err = nil, nil
 		return serverConfig, nil
 	}
-	authorities, err := s.readFile(t.Authorities)
+	authorities, err := s.readFile(t.AuthoritiesFile)
 	if err != nil {
 		return nil, err
 	}
 	var lists []byte
-	if t.Revoked != "" {
-		if lists, err = s.readFile(t.Revoked); err != nil {
+	if t.RevocationFile != "" {
+		if lists, err = s.readFile(t.RevocationFile); err != nil {
 			return nil, err
 		}
 	}
-	if authnConfig.Trust, err = certs.NewTrust(authorities, lists, t.Grace, t.AllowOld, time.Now()); err != nil {
-		return nil, fault.List{{File: t.Authorities, Want: err.Error()}}
+	if authnConfig.Trust, err = certs.NewTrust(authorities, lists, t.RevocationGrace, t.AllowStaleRevocations, time.Now()); err != nil {
+		return nil, fault.List{{File: t.AuthoritiesFile, Want: err.Error()}}
 	}
 	serverConfig.ClientCAs = authnConfig.Trust.Pool()
 	serverConfig.ClientAuth = tls.RequestClientCert // the chain is followed by certs, as it is again and again later
-	if t.Required {
+	if t.RequireClientCertificate {
 		serverConfig.ClientAuth = tls.RequireAnyClientCert
 	}
 	return serverConfig, nil
@@ -167,7 +167,7 @@
 	}
 	serverTLS.Store(o.serverTLS)
 	t := &o.File.TLS
-	return &wire.Secure{Listen: t.Listen, Config: serverTLS.Load, Most: int64(t.Handshakes), Rate: t.Rate}
+	return &wire.Secure{Listen: t.ListenAddress, Config: serverTLS.Load, Most: int64(t.MaxHandshakes), Rate: t.HandshakeRate}
 }
 
 // checkUnchanged tells what differs between two files that holds from the next start.
@@ -177,10 +177,10 @@
 func (o *OperatorConfig) checkUnchanged(before *OperatorConfig) error {
 	fixedSettings := func(o *OperatorConfig) map[string]string {
 		t := &o.File.TLS
-		return map[string]string{"callers": strconv.FormatBool(o.Authn != nil), "tls.listen": t.Listen,
-			"tls.handshakes": strconv.Itoa(t.Handshakes), "tls.handshake-rate": fmt.Sprint(t.Rate), "log.format": o.File.Log.Format, "amqp": o.File.AMQP.Fixed(),
-			"fleet": fixedFleetSettings(&o.File.Fleet), "relay": fmt.Sprint(o.File.Relay),
-			"below": fmt.Sprint(o.File.Below), "grants": fmt.Sprint(o.File.Grants.On, o.File.Grants.Lock, o.File.Grants.Told.Alone, o.File.Grants.Told.Processes), "handover": fmt.Sprint(o.File.HandOver.On, o.File.HandOver.Told.Told)}
+		return map[string]string{"callers": strconv.FormatBool(o.Authn != nil), "tls.listen": t.ListenAddress,
+			"tls.handshakes": strconv.Itoa(t.MaxHandshakes), "tls.handshake-rate": fmt.Sprint(t.HandshakeRate), "log.format": o.File.Log.Format, "amqp": o.File.AMQP.StartupFingerprint(),
+			"fleet": fixedFleetSettings(&o.File.Fleet), "relay": fmt.Sprint(o.File.Proxy),
+			"below": fmt.Sprint(o.File.Upstream), "grants": fmt.Sprint(o.File.Allocator.Enabled, o.File.Allocator.LockFile, o.File.Allocator.Config.Alone, o.File.Allocator.Config.Processes), "handover": fmt.Sprint(o.File.Spillover.Enabled, o.File.Spillover.Config.Told)}
 	}
 	now, then := fixedSettings(o), fixedSettings(before)
 	for _, name := range slices.Sorted(maps.Keys(now)) {
--- a/internal/life/desks/desks.go
+++ b/internal/life/desks/desks.go
@@ -20,12 +20,12 @@
 
 // Run starts the desk that the operator's file tells of, and grants until it is told to go.
 func Run(configPath, logFormat string, attach Attach) error {
-	signals, operatorConfig, err := life.StartStandalone(configPath, logFormat, "wants the sections [fleet] and [grants]", func(f *operator.File) bool { return f.Grants.On })
+	signals, operatorConfig, err := life.StartStandalone(configPath, logFormat, "wants the sections [fleet] and [grants]", func(f *operator.Operator) bool { return f.Allocator.Enabled })
 	if err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(2) // one for the gossip's sockets
-	if path := operatorConfig.File.Grants.Lock; path != "" {
+	if path := operatorConfig.File.Allocator.LockFile; path != "" {
 		fileLock, err := lock.Hold(path, func() bool {
 			select {
 			case <-signals.Terminate:
@@ -39,12 +39,12 @@
 		}
 		defer fileLock.Close()
 	}
-	server := desk.New(operatorConfig.File.Grants.Told, operatorConfig.File.Fleet.Serves)
+	server := desk.New(operatorConfig.File.Allocator.Config, operatorConfig.File.Fleet.ServiceAddress)
 	reload, err := attach(server, &operatorConfig)
 	if err != nil {
 		return err
 	}
-	slog.Info("desk", "name", operatorConfig.File.Fleet.Name, "service", operatorConfig.File.Fleet.Serves, "cap", operatorConfig.File.Grants.Told.Cap, "room", operatorConfig.File.Grants.Told.Room())
+	slog.Info("desk", "name", operatorConfig.File.Fleet.Name, "service", operatorConfig.File.Fleet.ServiceAddress, "cap", operatorConfig.File.Allocator.Config.Cap, "room", operatorConfig.File.Allocator.Config.Room())
 	go life.HandleSignals(signals, configPath, operatorConfig, func() { server.Hand(func() { server.Leave(shutdownTimeout) }) }, reload)
 	server.Serve()
 	return nil
--- a/internal/life/fleet.go
+++ b/internal/life/fleet.go
@@ -19,16 +19,16 @@
 
 // readFleet reads what the part needs beside the operator's file.
 func (s fileDigest) readFleet(operatorConfig *OperatorConfig) error {
-	path := operatorConfig.File.Fleet.Keys
+	path := operatorConfig.File.Fleet.KeyFile
 	text, err := s.readFile(path)
 	if err != nil {
 		return err
 	}
-	operatorConfig.ClusterKeys, err = operator.ReadClusterKeys(path, text)
+	operatorConfig.ClusterKeys, err = operator.ParseClusterKeys(path, text)
 	return err
 }
 
 // fixedFleetSettings is all of the section that holds from the start on, as text to compare.
 func fixedFleetSettings(f *operator.Fleet) string {
-	return fmt.Sprint(f.On, f.Name, f.Cluster, f.Listen, f.Advertise, f.Serves, f.Roles, f.Zone, f.Release, f.Capacity, f.Warm, f.Probe, f.Watch, f.Leaves, f.Permits)
+	return fmt.Sprint(f.Enabled, f.Name, f.Cluster, f.ListenAddress, f.AdvertiseAddress, f.ServiceAddress, f.Roles, f.Zone, f.Release, f.Capacity, f.WarmUp, f.ProbeInterval, f.StatusSocket, f.DrainWhenFenced, f.RequirePermit)
 }
--- a/internal/life/life.go
+++ b/internal/life/life.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	needsFleet := operatorConfig.File.Fleet.On || operatorConfig.File.Below.On
+	needsFleet := operatorConfig.File.Fleet.Enabled || operatorConfig.File.Upstream.Enabled
 	if needsFleet && JoinFleet == nil {
 		return ErrFleetNotLinked
 	}
@@ -42,7 +42,7 @@
 	processors := int(math.Ceil(config.Cores))
 	// A further front waits for its sockets otherwise than the poller does, which keeps a processor for up to 10 ms while it waits:
 	// with one alone the 99th percentile of stubs' ops under a flood of messages is 7.3 ms instead of 4.5.
-	if operatorConfig.File.AMQP.On {
+	if operatorConfig.File.AMQP.Enabled {
 		processors++
 	}
 	runtime.GOMAXPROCS(processors)
@@ -62,7 +62,7 @@
 	go reload.handleSignals(signals)
 	slog.Info("listening", "name", config.Name, "addr", config.ListenAddr)
 	if operatorConfig.serverTLS != nil {
-		slog.Info("listening", "name", config.Name, "addr", operatorConfig.File.TLS.Listen, "tls", operatorConfig.File.TLS.Oldest)
+		slog.Info("listening", "name", config.Name, "addr", operatorConfig.File.TLS.ListenAddress, "tls", operatorConfig.File.TLS.MinVersion)
 	}
 	reload.server.Serve()
 	return nil
@@ -179,7 +179,7 @@
 			k.reloadFleet(&result.operatorConfig)
 		}
 		slog.Info("operated", "file", k.operatorPath, "keys", result.operatorConfig.keyCount(), "roles", len(result.operatorConfig.File.Callers.Roles),
-			"callers", len(result.operatorConfig.File.Callers.Map))
+			"callers", len(result.operatorConfig.File.Callers.Bindings))
 	}
 	k.server.Hand(func() { k.server.UpdateAddresses(result.config) })
 	return nil
--- a/internal/life/relays/relays.go
+++ b/internal/life/relays/relays.go
@@ -19,7 +19,7 @@
 
 // Run starts the relay that the configuration at path and the operator's file tell of, and passes ops on until it is told to go.
 func Run(platformPath, operatorPath, logFormat string, join Join) error {
-	signals, operatorConfig, err := life.StartStandalone(operatorPath, logFormat, "wants the sections [fleet] and [relay]", func(file *operator.File) bool { return file.Fleet.On && file.Relay.On })
+	signals, operatorConfig, err := life.StartStandalone(operatorPath, logFormat, "wants the sections [fleet] and [relay]", func(file *operator.Operator) bool { return file.Fleet.Enabled && file.Proxy.Enabled })
 	if err != nil {
 		return err
 	}
--- a/internal/life/stewards/stewards.go
+++ b/internal/life/stewards/stewards.go
@@ -21,12 +21,12 @@
 
 // Run starts the steward that the operator's file tells of.
 func Run(configPath, logFormat string, bootstrap, forceNewCluster bool, attach Attach) error {
-	signals, operatorConfig, err := life.StartStandalone(configPath, logFormat, "wants the sections [fleet] and [steward]", func(f *operator.File) bool { return f.Steward.On })
+	signals, operatorConfig, err := life.StartStandalone(configPath, logFormat, "wants the sections [fleet] and [steward]", func(f *operator.Operator) bool { return f.Coordinator.Enabled })
 	if err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(2)
-	config := operatorConfig.File.Steward.Told
+	config := operatorConfig.File.Coordinator.Config
 	config.Begin, config.Alone, config.Keys = bootstrap, forceNewCluster, operatorConfig.ClusterKeys
 	node, err := steward.New(config)
 	if err != nil {
--- a/internal/operator/callers.go
+++ b/internal/operator/callers.go
@@ -10,187 +10,187 @@
 	"lanewheel/internal/rights"
 )
 
-// callers reads [callers], and each [role NAME] and [caller NAME].
-func (r *reader) callers() Callers {
-	c := Callers{Entries: 10_000} // some times the devices that one instance sees
+// readCallers reads [callers], and each [role NAME] and [caller NAME].
+func (r *reader) readCallers() Callers {
+	callers := Callers{MaxRateEntries: 10_000} // some times the devices that one instance sees
 	s := r.section("callers")
-	c.On = s.given()
-	for _, name := range s.list("anonymous") {
-		c.Anonymous = append(c.Anonymous, rights.RoleName(name))
-	}
-	for _, name := range s.list("writes") {
-		c.Writes = append(c.Writes, choice.Class(name))
-	}
-	s.count("entries", &c.Entries, 16, 1_000_000)
-	s.close()
-	known := map[string]bool{}
-	for _, s := range r.named("role") {
-		c.On = true
-		c.Roles = append(c.Roles, s.role())
-		known[s.title()] = true
-	}
-	hasRoles := func(s *section, name string, roles []rights.RoleName) {
+	callers.Enabled = s.exists()
+	for _, name := range s.listValue("anonymous") {
+		callers.anonymousRoles = append(callers.anonymousRoles, rights.RoleName(name))
+	}
+	for _, name := range s.listValue("writes") {
+		callers.writeClasses = append(callers.writeClasses, choice.Class(name))
+	}
+	s.intValue("entries", &callers.MaxRateEntries, 16, 1_000_000)
+	s.reportUnknownNames()
+	knownRoles := map[string]bool{}
+	for _, s := range r.sectionsOfKind("role") {
+		callers.Enabled = true
+		callers.Roles = append(callers.Roles, s.readRole())
+		knownRoles[s.label()] = true
+	}
+	checkRoles := func(s *section, name string, roles []rights.RoleName) {
 		for _, role := range roles {
-			if !known[string(role)] {
-				s.wrong(name, string(role), "is no role of this file; wants one of "+words(known))
+			if !knownRoles[string(role)] {
+				s.report(name, string(role), "is no role of this file; wants one of "+joinSorted(knownRoles))
 			}
 		}
 	}
-	hasRoles(s, "anonymous", c.Anonymous)
-	matched := map[string]string{}
-	for _, s := range r.named("caller") {
-		c.On = true
-		caller := s.caller()
-		hasRoles(s, "roles", caller.Roles)
-		for _, match := range caller.Match {
-			if before, twice := matched[match]; twice {
-				s.wrong("match", match, "is matched by caller "+before+" already")
+	checkRoles(s, "anonymous", callers.anonymousRoles)
+	boundPatterns := map[string]string{}
+	for _, s := range r.sectionsOfKind("caller") {
+		callers.Enabled = true
+		binding := s.readBinding()
+		checkRoles(s, "roles", binding.Roles)
+		for _, pattern := range binding.Match {
+			if otherBinding, duplicate := boundPatterns[pattern]; duplicate {
+				s.report("match", pattern, "is matched by caller "+otherBinding+" already")
 			}
-			matched[match] = caller.Title
+			boundPatterns[pattern] = binding.Title
 		}
-		c.Map = append(c.Map, caller)
+		callers.Bindings = append(callers.Bindings, binding)
 	}
-	if len(r.faults) == 0 {
+	if len(r.diagnostics) == 0 {
 		var err error
-		if c.Book, err = rights.NewBook(c.Roles, c.Map, c.Writes, c.Anonymous); err != nil {
-			r.wrong("callers", "", "", err.Error())
+		if callers.Policy, err = rights.NewBook(callers.Roles, callers.Bindings, callers.writeClasses, callers.anonymousRoles); err != nil {
+			r.report("callers", "", "", err.Error())
 		}
 	}
-	return c
+	return callers
 }
 
-func (s *section) role() rights.Role {
-	role := rights.Role{Name: rights.RoleName(s.title())}
-	for _, t := range s.list("tenants") {
-		role.Tenants = append(role.Tenants, choice.TenantID(t))
+func (s *section) readRole() rights.Role {
+	role := rights.Role{Name: rights.RoleName(s.label())}
+	for _, name := range s.listValue("tenants") {
+		role.Tenants = append(role.Tenants, choice.TenantID(name))
 	}
-	for _, t := range s.list("types") {
-		role.Types = append(role.Types, choice.Class(t))
+	for _, name := range s.listValue("types") {
+		role.Types = append(role.Types, choice.Class(name))
 	}
 	if len(role.Types) == 0 {
-		s.wrong("types", "", "wants op types with commas between, or * for all")
+		s.report("types", "", "wants op types with commas between, or * for all")
 	}
-	for _, what := range s.list("may") {
-		switch what {
+	for _, permission := range s.listValue("may") {
+		switch permission {
 		case "read":
 			role.Reads = true
 		case "write":
 			role.Writes = true
 		default:
-			s.wrong("may", what, "wants read, write or both")
+			s.report("may", permission, "wants read, write or both")
 		}
 	}
 	if !role.Reads && !role.Writes {
-		s.wrong("may", "", "wants read, write or both")
+		s.report("may", "", "wants read, write or both")
 	}
-	s.number("rate", &role.Rate, 0, 1e6)
+	s.floatValue("rate", &role.Rate, 0, 1e6)
 	role.Burst = max(1, role.Rate) // a second's worth
-	s.number("burst", &role.Burst, 1, 1e6)
-	s.count("open", &role.Open, 0, 1_000_000)
-	s.close()
+	s.floatValue("burst", &role.Burst, 1, 1e6)
+	s.intValue("open", &role.Open, 0, 1_000_000)
+	s.reportUnknownNames()
 	return role
 }
 
-func (s *section) caller() rights.Caller {
-	c := rights.Caller{Title: s.title(), Match: s.list("match")}
-	if len(c.Match) == 0 {
-		s.wrong("match", "", "wants identities, as uri:rota://water/* or token:depot-7")
+func (s *section) readBinding() rights.Caller {
+	binding := rights.Caller{Title: s.label(), Match: s.listValue("match")}
+	if len(binding.Match) == 0 {
+		s.report("match", "", "wants identities, as uri:rota://water/* or token:depot-7")
 	}
-	for _, match := range c.Match {
-		kind, rest, _ := strings.Cut(match, ":")
+	for _, pattern := range binding.Match {
+		kind, rest, _ := strings.Cut(pattern, ":")
 		if rest == "" || kind != "uri" && kind != "dns" && kind != "subject" && kind != "token" {
-			s.wrong("match", match, "wants uri:, dns:, subject: or token: in front")
+			s.report("match", pattern, "wants uri:, dns:, subject: or token: in front")
 		}
 	}
 	var tenant string
-	s.text("tenant", &tenant)
-	c.Tenant = choice.TenantID(tenant)
-	for _, name := range s.list("roles") {
-		c.Roles = append(c.Roles, rights.RoleName(name))
+	s.stringValue("tenant", &tenant)
+	binding.Tenant = choice.TenantID(tenant)
+	for _, name := range s.listValue("roles") {
+		binding.Roles = append(binding.Roles, rights.RoleName(name))
 	}
-	if len(c.Roles) == 0 {
-		s.wrong("roles", "", "wants roles with commas between")
+	if len(binding.Roles) == 0 {
+		s.report("roles", "", "wants roles with commas between")
 	}
-	s.close()
-	return c
+	s.reportUnknownNames()
+	return binding
 }
 
-// path reads the path of a file or folder; one that does not begin at the root counts from where the operator's file is.
-func (s *section) path(name string, to *string) {
-	s.text(name, to)
-	if *to != "" && !filepath.IsAbs(*to) {
-		*to = filepath.Join(filepath.Dir(s.r.file), *to)
+// pathValue reads the path of a file or folder; one that does not begin at the root counts from where the operator's file is.
+func (s *section) pathValue(name string, target *string) {
+	s.stringValue(name, target)
+	if *target != "" && !filepath.IsAbs(*target) {
+		*target = filepath.Join(filepath.Dir(s.reader.file), *target)
 	}
 }
 
-// file is a path that has to be told once its section is there.
-func (s *section) file(name string, to *string) {
-	if s.path(name, to); *to == "" && s.given() {
-		s.wrong(name, "", "wants a path")
+// requiredPath is a path that has to be told once its section is there.
+func (s *section) requiredPath(name string, target *string) {
+	if s.pathValue(name, target); *target == "" && s.exists() {
+		s.report(name, "", "wants a path")
 	}
 }
 
-func (r *reader) tokens() Tokens {
-	var t Tokens
+func (r *reader) readTokens() Tokens {
+	var parsed Tokens
 	s := r.section("tokens")
-	t.On = s.given()
-	s.file("keys", &t.Keys)
-	s.wanted("issuer", &t.Policy.Issuer)
-	s.wanted("audience", &t.Policy.Audience)
-	t.Policy.Leeway = 30 * time.Second // devices set their clocks by the network now and then
-	s.span("leeway", &t.Policy.Leeway, 0, time.Hour)
-	t.Policy.Longest = 2048 // bytes: an RSA signature and a page of claims
-	s.count("longest", &t.Policy.Longest, 64, 4096)
-	s.text("tenant-claim", &t.Policy.Tenant)
-	s.text("roles-claim", &t.Policy.Roles)
-	s.path("revoked", &t.Revoked)
-	s.flag("single-use", &t.Policy.Single)
-	t.Bounds.Once = 65_536 // ids: some minutes of a busy instance
-	s.count("single-use-remembered", &t.Bounds.Once, 1, 10_000_000)
-	t.Bounds.Remembered = 8_192 // half a kilobyte each
-	s.count("remembered", &t.Bounds.Remembered, 16, 1_000_000)
-	t.Bounds.Waiting = 256 // as many ops as are checked in some tens of milliseconds
-	s.count("waiting", &t.Bounds.Waiting, 1, 4096)
-	t.Bounds.Share = 0.1 // of a core: some hundred checks a second
-	s.number("share", &t.Bounds.Share, 0.001, 1)
-	t.Bounds.Every = time.Second
-	s.span("look-every", &t.Bounds.Every, 10*time.Millisecond, time.Hour)
-	s.close()
-	return t
+	parsed.Enabled = s.exists()
+	s.requiredPath("keys", &parsed.KeyDir)
+	s.requiredString("issuer", &parsed.Policy.Issuer)
+	s.requiredString("audience", &parsed.Policy.Audience)
+	parsed.Policy.Leeway = 30 * time.Second // devices set their clocks by the network now and then
+	s.durationValue("leeway", &parsed.Policy.Leeway, 0, time.Hour)
+	parsed.Policy.Longest = 2048 // bytes: an RSA signature and a page of claims
+	s.intValue("longest", &parsed.Policy.Longest, 64, 4096)
+	s.stringValue("tenant-claim", &parsed.Policy.Tenant)
+	s.stringValue("roles-claim", &parsed.Policy.Roles)
+	s.pathValue("revoked", &parsed.RevocationFile)
+	s.boolValue("single-use", &parsed.Policy.Single)
+	parsed.Limits.Once = 65_536 // ids: some minutes of a busy instance
+	s.intValue("single-use-remembered", &parsed.Limits.Once, 1, 10_000_000)
+	parsed.Limits.Remembered = 8_192 // half a kilobyte each
+	s.intValue("remembered", &parsed.Limits.Remembered, 16, 1_000_000)
+	parsed.Limits.Waiting = 256 // as many ops as are checked in some tens of milliseconds
+	s.intValue("waiting", &parsed.Limits.Waiting, 1, 4096)
+	parsed.Limits.Share = 0.1 // of a core: some hundred checks a second
+	s.floatValue("share", &parsed.Limits.Share, 0.001, 1)
+	parsed.Limits.Every = time.Second
+	s.durationValue("look-every", &parsed.Limits.Every, 10*time.Millisecond, time.Hour)
+	s.reportUnknownNames()
+	return parsed
 }
 
-func (r *reader) tls() TLS {
-	t := TLS{Oldest: "1.3"}
+func (r *reader) readTLS() TLS {
+	parsed := TLS{MinVersion: "1.3"}
 	s := r.section("tls")
-	t.On = s.given()
-	if s.wanted("listen", &t.Listen); t.Listen != "" {
-		if _, _, err := net.SplitHostPort(t.Listen); err != nil {
-			s.wrong("listen", t.Listen, "wants an address and a port, as 127.0.0.1:9443")
+	parsed.Enabled = s.exists()
+	if s.requiredString("listen", &parsed.ListenAddress); parsed.ListenAddress != "" {
+		if _, _, err := net.SplitHostPort(parsed.ListenAddress); err != nil {
+			s.report("listen", parsed.ListenAddress, "wants an address and a port, as 127.0.0.1:9443")
 		}
 	}
-	s.file("certificate", &t.Certificate)
-	s.file("key", &t.Key)
-	s.path("authorities", &t.Authorities)
-	s.path("revoked", &t.Revoked)
-	if t.Revoked != "" && t.Authorities == "" {
-		s.wrong("revoked", t.Revoked, "wants authorities, which sign it")
-	}
-	t.Grace = time.Hour
-	s.span("revoked-grace", &t.Grace, 0, 30*24*time.Hour)
-	old := "deny"
-	s.word("stale-list", &old, "deny", "allow")
-	t.AllowOld = old == "allow"
-	clients := "required"
-	s.word("clients", &clients, "required", "asked")
-	t.Required = clients == "required"
-	if t.Required && t.Authorities == "" && s.given() {
-		s.wrong("authorities", "", "wants a path, as clients is required")
-	}
-	s.word("oldest", &t.Oldest, "1.3", "1.2")
-	t.Handshakes = 64 // at a time: a megabyte or two of their state
-	s.count("handshakes", &t.Handshakes, 1, 10_000)
-	t.Rate = 200 // a second: about a tenth of a core
-	s.number("handshake-rate", &t.Rate, 0.1, 100_000)
-	s.close()
-	return t
+	s.requiredPath("certificate", &parsed.CertificateFile)
+	s.requiredPath("key", &parsed.KeyFile)
+	s.pathValue("authorities", &parsed.AuthoritiesFile)
+	s.pathValue("revoked", &parsed.RevocationFile)
+	if parsed.RevocationFile != "" && parsed.AuthoritiesFile == "" {
+		s.report("revoked", parsed.RevocationFile, "wants authorities, which sign it")
+	}
+	parsed.RevocationGrace = time.Hour
+	s.durationValue("revoked-grace", &parsed.RevocationGrace, 0, 30*24*time.Hour)
+	staleList := "deny"
+	s.enumValue("stale-list", &staleList, "deny", "allow")
+	parsed.AllowStaleRevocations = staleList == "allow"
+	clientCertificates := "required"
+	s.enumValue("clients", &clientCertificates, "required", "asked")
+	parsed.RequireClientCertificate = clientCertificates == "required"
+	if parsed.RequireClientCertificate && parsed.AuthoritiesFile == "" && s.exists() {
+		s.report("authorities", "", "wants a path, as clients is required")
+	}
+	s.enumValue("oldest", &parsed.MinVersion, "1.3", "1.2")
+	parsed.MaxHandshakes = 64 // at a time: a megabyte or two of their state
+	s.intValue("handshakes", &parsed.MaxHandshakes, 1, 10_000)
+	parsed.HandshakeRate = 200 // a second: about a tenth of a core
+	s.floatValue("handshake-rate", &parsed.HandshakeRate, 0.1, 100_000)
+	s.reportUnknownNames()
+	return parsed
 }
--- a/internal/operator/cluster_keys_test.go
+++ b/internal/operator/cluster_keys_test.go
@@ -23,7 +23,7 @@
 	}
 	want := []members.Key{all[:16], all[16:40], all[40:]}
 	for _, text := range [][]byte{text, bytes.ReplaceAll(text, []byte("\n"), []byte("\r\n"))} {
-		if keys, err := ReadClusterKeys(path, text); err != nil || !reflect.DeepEqual(keys, want) {
+		if keys, err := ParseClusterKeys(path, text); err != nil || !reflect.DeepEqual(keys, want) {
 			t.Errorf("keys %x, error %v; want %x", keys, err, want)
 		}
 	}
--- a/internal/operator/fleet_test.go
+++ b/internal/operator/fleet_test.go
@@ -15,14 +15,14 @@
 	}
 	shipped, err := Parse("fleet.ini", text)
 	bare, _ := Parse("x", []byte("[fleet]\nlisten = 127.0.0.1:7946\nkeys = k\n"))
-	fmt.Println(err, shipped.Fleet.Probe == bare.Fleet.Probe, shipped.Fleet.Warm == bare.Fleet.Warm, shipped.Fleet.Rate == bare.Fleet.Rate)
-	shipped.Fleet.Told.Seeds = nil
-	fmt.Println(fmt.Sprint(shipped.Fleet.Told) == fmt.Sprint(bare.Fleet.Told))
+	fmt.Println(err, shipped.Fleet.ProbeInterval == bare.Fleet.ProbeInterval, shipped.Fleet.WarmUp == bare.Fleet.WarmUp, shipped.Fleet.MaxMessageRate == bare.Fleet.MaxMessageRate)
+	shipped.Fleet.Config.Seeds = nil
+	fmt.Println(fmt.Sprint(shipped.Fleet.Config) == fmt.Sprint(bare.Fleet.Config))
 	_, err = Parse("op.ini", []byte("[fleet]\nlisten = here:7946\nseeds = 10.0.0.1:7946, 10.0.0.2\nroles = instance, king\nzone = a b\nflaps = 2\nflaps-over = 2\ncut-off-at = 0.9\n"))
 	for _, f := range err.(fault.List) {
 		fmt.Println(f)
 	}
-	_, err = ReadClusterKeys("keys", []byte("# two\nAAAAAAAAAAAAAAAAAAAAAA==\nAAAAAAAAAAAAAAAAAAAAAA==\nsecret\n"))
+	_, err = ParseClusterKeys("keys", []byte("# two\nAAAAAAAAAAAAAAAAAAAAAA==\nAAAAAAAAAAAAAAAAAAAAAA==\nsecret\n"))
 	fmt.Println(err)
 	// Output:
 	// <nil> true true true
@@ -40,7 +40,7 @@
 // The shipped files of services below and of hand-over say what holds without them, but for their examples; what is wrong is said whole.
 func Example_below() {
 	const fleet = "[fleet]\nlisten = 127.0.0.1:7948\nkeys = k\nname = d\nserves = 127.0.0.1:1\n"
-	read := func(name string) File {
+	read := func(name string) Operator {
 		text, err := os.ReadFile("../../deploy/" + name)
 		if err != nil {
 			panic(err)
@@ -51,9 +51,9 @@
 	}
 	shipped, over := read("below.ini"), read("handover.ini")
 	bare, err := Parse("x", []byte("[below]\n[grants]\ncap = 200\n[handover]\n"+fleet))
-	shipped.Below.Told.Addrs, shipped.Grants.Lock = nil, ""
-	bare.HandOver.Told.From = over.HandOver.Told.From
-	fmt.Println(err, fmt.Sprint(shipped.Below) == fmt.Sprint(bare.Below), shipped.Grants == bare.Grants, over.HandOver == bare.HandOver)
+	shipped.Upstream.Config.Addrs, shipped.Allocator.LockFile = nil, ""
+	bare.Spillover.Config.From = over.Spillover.Config.From
+	fmt.Println(err, fmt.Sprint(shipped.Upstream) == fmt.Sprint(bare.Upstream), shipped.Allocator == bare.Allocator, over.Spillover == bare.Spillover)
 	_, err = Parse("x", []byte("[below]\ncalls = some\n[grants]\ncap = 5\nalone = 1\n[handover]\nshare = 2\n"))
 	for _, f := range err.(fault.List) {
 		fmt.Println(f)
@@ -82,27 +82,27 @@
 	}
 	shipped, err := Parse("steward.ini", text)
 	bare, _ := Parse("x", []byte("[steward]\nlisten = 127.0.0.1:7960\nfolder = steward.d\nstewards = 127.0.0.1:7960\n[fleet]\nname = steward-1\nlisten = 127.0.0.1:7949\nkeys = k\n"))
-	shipped.Steward.Told.Restart, shipped.Steward.Told.Others = "", bare.Steward.Told.Others
-	fmt.Println(err, fmt.Sprint(shipped.Steward) == fmt.Sprint(bare.Steward))
+	shipped.Coordinator.Config.Restart, shipped.Coordinator.Config.Others = "", bare.Coordinator.Config.Others
+	fmt.Println(err, fmt.Sprint(shipped.Coordinator) == fmt.Sprint(bare.Coordinator))
 	_, err = Parse("x", []byte("[steward]\nlisten = here\nbeat = 1ms\n"))
 	for _, f := range err.(fault.List) {
 		fmt.Println(f)
 	}
 	for _, name := range []string{"budgets.ini", "budgets-100.ini"} {
 		text, _ := os.ReadFile("../../drills/agreed/" + name)
-		all, err := ReadBudgets(name, text)
+		all, err := ParseBudgets(name, text)
 		fmt.Println(len(all), all[0], err)
 	}
 	for _, name := range []string{"plan.ini", "plan-judged.ini"} {
 		text, _ := os.ReadFile("../../drills/agreed/" + name)
-		p, err := ReadPlan(name, text)
+		p, err := ParseRollout(name, text)
 		fmt.Println(p.Name, p.To, p.Waves, p.Pause, p.Judged, err)
 	}
-	_, err = ReadBudgets("b", []byte("[budget x]\nmost = 1\nshare = 0.5\n[budget y]\n[other]\n"))
+	_, err = ParseBudgets("b", []byte("[budget x]\nmost = 1\nshare = 0.5\n[budget y]\n[other]\n"))
 	for _, f := range err.(fault.List) {
 		fmt.Println(f)
 	}
-	_, err = ReadPlan("p", []byte("[release]\nto = 2\nwaves = 1, ten, 120%\n"))
+	_, err = ParseRollout("p", []byte("[release]\nto = 2\nwaves = 1, ten, 120%\n"))
 	for _, f := range err.(fault.List) {
 		fmt.Println(f)
 	}
@@ -133,7 +133,7 @@
 	}
 	shipped, err := Parse("relay.ini", text)
 	bare, _ := Parse("x", []byte("[relay]\n[fleet]\nlisten = 127.0.0.1:7947\nkeys = k\n"))
-	fmt.Println(err, shipped.Relay == bare.Relay)
+	fmt.Println(err, shipped.Proxy == bare.Proxy)
 	_, err = Parse("x", []byte("[relay]\nway = best\nasks = many\n"))
 	for _, f := range err.(fault.List) {
 		fmt.Println(f)
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -39,26 +39,26 @@
 	return no
 }
 
-func listFile(l *listing, f *File) {
+func listFile(l *listing, f *Operator) {
 	l.add("log.format", f.Log.Format)
 	listCallers(l, &f.Callers)
 	listTokens(l, &f.Tokens)
 	listTLS(l, &f.TLS)
 	listAMQP(l, &f.AMQP)
 	listFleet(l, &f.Fleet)
-	listRelay(l, &f.Relay)
-	listBelow(l, &f.Below)
-	listGrants(l, &f.Grants)
-	listHandOver(l, &f.HandOver)
-	listSteward(l, &f.Steward)
+	listProxy(l, &f.Proxy)
+	listUpstream(l, &f.Upstream)
+	listAllocator(l, &f.Allocator)
+	listSpillover(l, &f.Spillover)
+	listCoordinator(l, &f.Coordinator)
 }
 
 func listCallers(l *listing, c *Callers) {
-	l.add("callers", c.On)
-	l.add("callers (rights)", c.Book != nil)
-	l.add("callers.anonymous", c.Anonymous)
-	l.add("callers.writes", c.Writes)
-	l.add("callers.entries", c.Entries)
+	l.add("callers", c.Enabled)
+	l.add("callers (rights)", c.Policy != nil)
+	l.add("callers.anonymous", c.anonymousRoles)
+	l.add("callers.writes", c.writeClasses)
+	l.add("callers.entries", c.MaxRateEntries)
 	for _, r := range c.Roles {
 		name := "role " + string(r.Name)
 		l.add(name+".tenants", r.Tenants)
@@ -69,7 +69,7 @@
 		l.add(name+".burst", r.Burst)
 		l.add(name+".open", r.Open)
 	}
-	for _, c := range c.Map {
+	for _, c := range c.Bindings {
 		name := "caller " + c.Title
 		l.add(name+".match", c.Match)
 		l.add(name+".tenant", c.Tenant)
@@ -78,54 +78,54 @@
 }
 
 func listTokens(l *listing, t *Tokens) {
-	l.add("tokens", t.On)
-	l.add("tokens.keys", t.Keys)
+	l.add("tokens", t.Enabled)
+	l.add("tokens.keys", t.KeyDir)
 	l.add("tokens.issuer", t.Policy.Issuer)
 	l.add("tokens.audience", t.Policy.Audience)
 	l.add("tokens.leeway", t.Policy.Leeway)
 	l.add("tokens.longest", t.Policy.Longest)
 	l.add("tokens.tenant-claim", t.Policy.Tenant)
 	l.add("tokens.roles-claim", t.Policy.Roles)
-	l.add("tokens.revoked", t.Revoked)
+	l.add("tokens.revoked", t.RevocationFile)
 	l.add("tokens.single-use", t.Policy.Single)
-	l.add("tokens.single-use-remembered", t.Bounds.Once)
-	l.add("tokens.remembered", t.Bounds.Remembered)
-	l.add("tokens.waiting", t.Bounds.Waiting)
-	l.add("tokens.share", t.Bounds.Share)
-	l.add("tokens.look-every", t.Bounds.Every)
+	l.add("tokens.single-use-remembered", t.Limits.Once)
+	l.add("tokens.remembered", t.Limits.Remembered)
+	l.add("tokens.waiting", t.Limits.Waiting)
+	l.add("tokens.share", t.Limits.Share)
+	l.add("tokens.look-every", t.Limits.Every)
 }
 
 func listTLS(l *listing, t *TLS) {
-	l.add("tls", t.On)
-	l.add("tls.listen", t.Listen)
-	l.add("tls.certificate", t.Certificate)
-	l.add("tls.key", t.Key)
-	l.add("tls.authorities", t.Authorities)
-	l.add("tls.revoked", t.Revoked)
-	l.add("tls.revoked-grace", t.Grace)
-	l.add("tls.stale-list", either(t.AllowOld, "allow", "deny"))
-	l.add("tls.clients", either(t.Required, "required", "asked"))
-	l.add("tls.oldest", t.Oldest)
-	l.add("tls.handshakes", t.Handshakes)
-	l.add("tls.handshake-rate", t.Rate)
+	l.add("tls", t.Enabled)
+	l.add("tls.listen", t.ListenAddress)
+	l.add("tls.certificate", t.CertificateFile)
+	l.add("tls.key", t.KeyFile)
+	l.add("tls.authorities", t.AuthoritiesFile)
+	l.add("tls.revoked", t.RevocationFile)
+	l.add("tls.revoked-grace", t.RevocationGrace)
+	l.add("tls.stale-list", either(t.AllowStaleRevocations, "allow", "deny"))
+	l.add("tls.clients", either(t.RequireClientCertificate, "required", "asked"))
+	l.add("tls.oldest", t.MinVersion)
+	l.add("tls.handshakes", t.MaxHandshakes)
+	l.add("tls.handshake-rate", t.HandshakeRate)
 }
 
 func listAMQP(l *listing, a *AMQP) {
-	l.add("amqp", a.On)
-	l.add("amqp.brokers", a.Told.Brokers)
-	l.add("amqp.login", a.Login)
-	l.add("amqp.authorities", a.Authorities)
-	l.add("amqp.certificate", a.Certificate)
-	l.add("amqp.key", a.Key)
-	l.add("amqp.in-hand", a.Told.InHand)
-	l.add("amqp.retry-share", a.Told.Share)
-	l.add("amqp.unstarted-rate", a.Told.Unstarted)
-	l.add("amqp.remembered", a.Told.Remembered)
-	l.add("amqp.remembered-for", a.Told.RememberedIn)
-	l.add("amqp.heartbeat", a.Told.Heartbeat)
-	l.add("amqp.watch", a.Told.Watch)
+	l.add("amqp", a.Enabled)
+	l.add("amqp.brokers", a.Config.Brokers)
+	l.add("amqp.login", a.LoginFile)
+	l.add("amqp.authorities", a.AuthoritiesFile)
+	l.add("amqp.certificate", a.CertificateFile)
+	l.add("amqp.key", a.KeyFile)
+	l.add("amqp.in-hand", a.Config.InHand)
+	l.add("amqp.retry-share", a.Config.Share)
+	l.add("amqp.unstarted-rate", a.Config.Unstarted)
+	l.add("amqp.remembered", a.Config.Remembered)
+	l.add("amqp.remembered-for", a.Config.RememberedIn)
+	l.add("amqp.heartbeat", a.Config.Heartbeat)
+	l.add("amqp.watch", a.Config.Watch)
 	source := func(s amqp.Source) string { return either(s.Header, "header:", "") + s.Name }
-	for _, q := range a.Told.Queues {
+	for _, q := range a.Config.Queues {
 		name := "queue " + string(q.Name)
 		l.add(name+".weight", q.Weight)
 		l.add(name+".priority", q.Priority)
@@ -153,26 +153,26 @@
 }
 
 func listFleet(l *listing, f *Fleet) {
-	l.add("fleet", f.On)
+	l.add("fleet", f.Enabled)
 	l.add("fleet.name", f.Name)
 	l.add("fleet.cluster", f.Cluster)
-	l.add("fleet.listen", f.Listen)
-	l.add("fleet.advertise", f.Advertise)
-	l.add("fleet.serves", f.Serves)
-	l.add("fleet.seeds", f.Told.Seeds)
+	l.add("fleet.listen", f.ListenAddress)
+	l.add("fleet.advertise", f.AdvertiseAddress)
+	l.add("fleet.serves", f.ServiceAddress)
+	l.add("fleet.seeds", f.Config.Seeds)
 	l.add("fleet.roles", f.Roles)
 	l.add("fleet.roles (bits)", uint(f.Roles))
 	l.add("fleet.zone", f.Zone)
 	l.add("fleet.release", f.Release)
 	l.add("fleet.capacity", f.Capacity)
-	l.add("fleet.warm-up", f.Warm)
-	l.add("fleet.keys", f.Keys)
-	l.add("fleet.watch", f.Watch)
-	l.add("fleet.fenced", either(f.Leaves, "leave", "serve"))
-	l.add("fleet.permits", f.Permits)
-	l.add("fleet.call-every", f.Probe)
-	l.add("fleet.messages", f.Rate)
-	t := &f.Told
+	l.add("fleet.warm-up", f.WarmUp)
+	l.add("fleet.keys", f.KeyFile)
+	l.add("fleet.watch", f.StatusSocket)
+	l.add("fleet.fenced", either(f.DrainWhenFenced, "leave", "serve"))
+	l.add("fleet.permits", f.RequirePermit)
+	l.add("fleet.call-every", f.ProbeInterval)
+	l.add("fleet.messages", f.MaxMessageRate)
+	t := &f.Config
 	l.add("fleet.members", t.Most)
 	l.add("fleet.gone-kept", t.GoneFor)
 	l.add("fleet.doubt", t.Doubt)
@@ -194,9 +194,9 @@
 	l.add("fleet.unanswered", t.Ear.Answers)
 }
 
-// listSpread lists what holds of every choice among members or services; the names that stand in [relay] alone are
+// listBalancer lists what holds of every choice among members or services; the names that stand in [relay] alone are
 // the last ones.
-func listSpread(l *listing, name string, t *spread.Told) {
+func listBalancer(l *listing, name string, t *spread.Told) {
 	l.add(name+" (zone)", t.Zone)
 	l.add(name+".near", t.Near)
 	l.add(name+".trickle", t.Trickle)
@@ -210,10 +210,10 @@
 	l.add(name+".retry-saved", t.Burst)
 }
 
-func listRelay(l *listing, r *Relay) {
-	l.add("relay", r.On)
-	t := &r.Told
-	listSpread(l, "relay", &t.Spread)
+func listProxy(l *listing, r *Proxy) {
+	l.add("relay", r.Enabled)
+	t := &r.Config
+	listBalancer(l, "relay", &t.Spread)
 	l.add("relay (dials from)", t.From)
 	l.add("relay.asks", t.Asks)
 	l.add("relay.in-hand", t.Most)
@@ -224,44 +224,44 @@
 	l.add("relay.come-back", t.After)
 }
 
-func listBelow(l *listing, b *Below) {
-	l.add("below", b.On)
-	listSpread(l, "below", &b.Told.Spread)
-	l.add("below.services", b.Told.Addrs)
-	l.add("below.calls", b.Told.Calls)
-	l.add("below.longest", b.Told.Longest)
+func listUpstream(l *listing, b *Upstream) {
+	l.add("below", b.Enabled)
+	listBalancer(l, "below", &b.Config.Spread)
+	l.add("below.services", b.Config.Addrs)
+	l.add("below.calls", b.Config.Calls)
+	l.add("below.longest", b.Config.Longest)
 }
 
-func listGrants(l *listing, g *Grants) {
-	l.add("grants", g.On)
-	l.add("grants.lock", g.Lock)
-	l.add("grants.cap", g.Told.Cap)
-	l.add("grants.alone", g.Told.Alone)
-	l.add("grants.processes", g.Told.Processes)
-	l.add("grants.holds", g.Told.Holds)
-	l.add("grants.longest", g.Told.Longest)
-	l.add("grants.drift", g.Told.Drift)
-	l.add("grants.holders", g.Told.Holders)
+func listAllocator(l *listing, g *Allocator) {
+	l.add("grants", g.Enabled)
+	l.add("grants.lock", g.LockFile)
+	l.add("grants.cap", g.Config.Cap)
+	l.add("grants.alone", g.Config.Alone)
+	l.add("grants.processes", g.Config.Processes)
+	l.add("grants.holds", g.Config.Holds)
+	l.add("grants.longest", g.Config.Longest)
+	l.add("grants.drift", g.Config.Drift)
+	l.add("grants.holders", g.Config.Holders)
 }
 
-func listHandOver(l *listing, h *HandOver) {
-	l.add("handover", h.On)
-	listSpread(l, "handover", &h.Told.Spread)
-	l.add("handover (dials from)", h.Told.From)
-	l.add("handover (asks)", h.Told.Asks)
-	l.add("handover (subset)", h.Told.Subset)
-	l.add("handover.share", h.Told.Hand.Share)
-	l.add("handover.saved", h.Told.Hand.Saved)
-	l.add("handover.full", h.Told.Hand.Full)
-	l.add("handover.most-full", h.Told.Hand.Most)
-	l.add("handover.fresh", h.Told.Hand.Fresh)
-	l.add("handover.connections", h.Told.Connections)
-	l.add("handover.unused", h.Told.Unused)
+func listSpillover(l *listing, h *Spillover) {
+	l.add("handover", h.Enabled)
+	listBalancer(l, "handover", &h.Config.Spread)
+	l.add("handover (dials from)", h.Config.From)
+	l.add("handover (asks)", h.Config.Asks)
+	l.add("handover (subset)", h.Config.Subset)
+	l.add("handover.share", h.Config.Hand.Share)
+	l.add("handover.saved", h.Config.Hand.Saved)
+	l.add("handover.full", h.Config.Hand.Full)
+	l.add("handover.most-full", h.Config.Hand.Most)
+	l.add("handover.fresh", h.Config.Hand.Fresh)
+	l.add("handover.connections", h.Config.Connections)
+	l.add("handover.unused", h.Config.Unused)
 }
 
-func listSteward(l *listing, s *Steward) {
-	l.add("steward", s.On)
-	t := &s.Told
+func listCoordinator(l *listing, s *Coordinator) {
+	l.add("steward", s.Enabled)
+	t := &s.Config
 	l.add("steward (name)", t.Name)
 	l.add("steward.listen", t.Listen)
 	l.add("steward.at", t.At)
@@ -288,68 +288,70 @@
 }
 
 func listDrill(l *listing, d *Drill) {
-	l.add("drill.processes", d.Processes)
-	l.add("drill.relays", d.Relays)
-	l.add("drill.desks", d.Desks)
-	l.add("drill.stewards", d.Stewards)
-	l.add("drill.calls-take", d.Takes)
-	l.add("drill.seed-processes", d.Seeds)
-	l.add("drill.stubs", d.Stubs)
-	l.add("drill.seed", d.Seed)
-	l.add("drill.for", d.For)
-	l.add("drill.start", d.Start)
-	l.add("drill.settle", d.Settle)
-	l.add("drill.rate", d.Rate)
-	l.add("drill.mean", d.Mean)
-	l.add("drill.memory-mb", d.MemoryMB)
+	l.add("drill.processes", d.Instances)
+	l.add("drill.relays", d.Proxies)
+	l.add("drill.desks", d.Allocators)
+	l.add("drill.stewards", d.Coordinators)
+	l.add("drill.calls-take", d.UpstreamCallDuration)
+	l.add("drill.seed-processes", d.SeedMembers)
+	l.add("drill.stubs", d.Clients)
+	l.add("drill.seed", d.RandomSeed)
+	l.add("drill.for", d.LoadDuration)
+	l.add("drill.start", d.StartupDuration)
+	l.add("drill.settle", d.SettleTimeout)
+	l.add("drill.rate", d.RequestRate)
+	l.add("drill.mean", d.MeanRunTime)
+	l.add("drill.memory-mb", d.MaxMemoryMB)
 	l.add("drill.zones", d.Zones)
 	l.add("drill.releases", d.Releases)
 	for _, s := range []struct {
 		name string
 		all  [][2]string
-	}{{"members", d.Members}, {"relaying", d.Relaying}, {"calling", d.Calling}, {"granting", d.Granting}, {"stewarding",
-		d.Agreeing}, {"handing", d.Handing}} {
+	}{{"members", d.FleetSettings}, {"relaying", d.ProxySettings}, {"calling", d.UpstreamSettings}, {"granting", d.AllocatorSettings}, {"stewarding",
+		d.CoordinatorSettings}, {"handing", d.SpilloverSettings}} {
 		for _, pair := range s.all {
 			l.add(s.name+"."+pair[0], pair[1])
 		}
 	}
-	l.add("handing", d.Hands)
-	l.add("bad-release.release", d.Bad.Release)
-	l.add("bad-release.slow", d.Bad.Slow)
-	l.add("bad-release.fails", d.Bad.Fails)
-	l.add("bad-release.crashes-after", d.Bad.Crashes)
-	l.add("bad-release.never-up", d.Bad.NeverUp)
-	l.add("agreed.ends-on", d.EndsOn)
-	l.add("agreed.ever-on", d.EverOn)
-	l.add("agreed.ever-on-most", d.EverMost)
-	l.add("even", d.Even.On)
-	l.add("even.most", d.Even.Most)
-	l.add("even.idle", d.Even.Idle)
-	l.add("even.back", d.Even.Back)
-	group := func(g Group) string { return fmt.Sprintf("%v %q count %d share %v", g.Kind, g.Name, g.Count, g.Share) }
+	l.add("handing", d.SpilloverEnabled)
+	l.add("bad-release.release", d.BadRelease.Release)
+	l.add("bad-release.slow", d.BadRelease.RunTimeFactor)
+	l.add("bad-release.fails", d.BadRelease.FailRuns)
+	l.add("bad-release.crashes-after", d.BadRelease.CrashAfter)
+	l.add("bad-release.never-up", d.BadRelease.NeverReady)
+	l.add("agreed.ends-on", d.FinalRelease)
+	l.add("agreed.ever-on", d.LimitedRelease)
+	l.add("agreed.ever-on-most", d.MaxLimitedFraction)
+	l.add("even", d.Balance.Enabled)
+	l.add("even.most", d.Balance.MaxImbalance)
+	l.add("even.idle", d.Balance.MaxIdleGaps)
+	l.add("even.back", d.Balance.RecoveryTime)
+	group := func(g DrillSelector) string {
+		return fmt.Sprintf("%v %q count %d share %v", g.Kind, g.Name, g.Count, g.Fraction)
+	}
 	for _, f := range d.Faults {
 		name := "fault " + f.Name
-		l.add(name+".do", f.Do)
-		l.add(name+".at", fmt.Sprint(f.First, " ", f.Last))
-		l.add(name+".for", f.For)
-		l.add(name+".on", group(f.On))
+		l.add(name+".do", f.Action)
+		l.add(name+".at", fmt.Sprint(f.Earliest, " ", f.Latest))
+		l.add(name+".for", f.Duration)
+		l.add(name+".on", group(f.Targets))
 		l.add(name+".from", group(f.From))
 		l.add(name+".to", group(f.To))
-		l.add(name+".both", f.Both)
-		l.add(name+".share", f.Share)
+		l.add(name+".both", f.Bidirectional)
+		l.add(name+".share", f.Fraction)
 		l.add(name+".factor", f.Factor)
 		l.add(name+".command", f.Command)
 		l.add(name+".delay", f.Delay)
 		l.add(name+".jitter", f.Jitter)
-		l.add(name+".rate", f.Rate)
-		l.add(name+".keys", f.Keys)
-		l.add(name+".seeds", f.Seeds)
-		l.add(name+".none-gone", f.NoneGone)
-		l.add(name+".refuses", f.Refuses)
+		l.add(name+".rate", f.BytesPerSecond)
+		l.add(name+".keys", f.KeyNumbers)
+		l.add(name+".seeds", f.SeedMembers)
+		l.add(name+".none-gone", f.ForbidEviction)
+		l.add(name+".refuses", f.AllowUnanswered)
 	}
 }
 
-func listMatch(l *listing, before string, g accord.Match) {
+func listSelector(l *listing, before string, g accord.Match) {
 	l.add(before+"zone", g.Zone)
 	l.add(before+"release", g.Release)
 	l.add(before+"role", g.Role)
@@ -359,17 +361,17 @@
 func listBudgets(l *listing, all []accord.Budget) {
 	for _, b := range all {
 		name := "budget " + b.Name + "."
-		listMatch(l, name, b.Of)
+		listSelector(l, name, b.Of)
 		l.add(name+"most", b.Most)
 		l.add(name+"share", b.Share)
 		l.add(name+"least-capacity", b.Least)
 	}
 }
 
-func listPlan(l *listing, p *accord.Plan) {
+func listRollout(l *listing, p *accord.Plan) {
 	l.add("release.name", p.Name)
 	l.add("release.to", p.To)
-	listMatch(l, "release.of-", p.Of)
+	listSelector(l, "release.of-", p.Of)
 	for i, w := range p.Waves {
 		l.add(fmt.Sprint("release.waves ", i), fmt.Sprintf("count %d share %v zone %q", w.Count, w.Share, w.Zone))
 	}
@@ -392,17 +394,17 @@
 		}
 		listDrill(l, &d)
 	case strings.HasPrefix(name, "agreed-budgets"):
-		all, err := ReadBudgets(path, text)
+		all, err := ParseBudgets(path, text)
 		if err != nil {
 			t.Fatal(err)
 		}
 		listBudgets(l, all)
 	case strings.HasPrefix(name, "agreed-plan"):
-		p, err := ReadPlan(path, text)
+		p, err := ParseRollout(path, text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		listPlan(l, &p)
+		listRollout(l, &p)
 	default:
 		f, err := Parse(path, text)
 		if err != nil {
@@ -465,15 +467,15 @@
 	text := scenes.Must(os.ReadFile("testdata/golden/drill-release-bad.ini"))
 	d := scenes.Must(ParseDrill("etc/x", text, "bad-release.slow=1", "bad-release.crashes-after=8s", "drill.for=60s",
 		"relaying.way=random"))
-	if d.Bad.Slow != 1 || d.Bad.Crashes != 8*time.Second || d.For != time.Minute ||
-		fmt.Sprint(d.Relaying) != "[[way random]]" {
+	if d.BadRelease.RunTimeFactor != 1 || d.BadRelease.CrashAfter != 8*time.Second || d.LoadDuration != time.Minute ||
+		fmt.Sprint(d.ProxySettings) != "[[way random]]" {
 		t.Fatalf("%+v", d)
 	}
 }
 
 // A file of cluster keys: one a line in base64, the one to write with first.
 func TestGoldenClusterKeys(t *testing.T) {
-	keys := scenes.Must(ReadClusterKeys("cluster-keys", scenes.Must(os.ReadFile("testdata/golden/cluster-keys.txt"))))
+	keys := scenes.Must(ParseClusterKeys("cluster-keys", scenes.Must(os.ReadFile("testdata/golden/cluster-keys.txt"))))
 	var want [3][]byte
 	for i, size := range []int{16, 24, 32} {
 		for n := range size {
--- a/internal/operator/ini.go
+++ b/internal/operator/ini.go
@@ -17,21 +17,21 @@
 
 // reader reads the sections of one file and gathers what is wrong with them.
 type reader struct {
-	file   string
-	ini    *ini.File
-	lines  map[string]int // by section, or section and name with a dot between
-	known  map[string]bool
-	faults fault.List
+	file          string
+	ini           *ini.File
+	lines         map[string]int // by section, or section and name with a dot between
+	knownSections map[string]bool
+	diagnostics   fault.List
 }
 
-// most is how many bytes an operator's file may have: some thousands of callers, and far from what hurts.
-const most = 1 << 20
+// maxFileBytes is how many bytes an operator's file may have: some thousands of callers, and far from what hurts.
+const maxFileBytes = 1 << 20
 
-// read takes the text apart. What stands twice is wrong: the library would let the later one win in silence.
-func read(file string, text []byte) *reader {
-	r := &reader{file: file, lines: map[string]int{}, known: map[string]bool{}}
-	if len(text) > most {
-		r.wrong("", "", "", fmt.Sprintf("wants %d bytes or fewer", most))
+// newReader takes the text apart. What stands twice is wrong: the library would let the later one win in silence.
+func newReader(file string, text []byte) *reader {
+	r := &reader{file: file, lines: map[string]int{}, knownSections: map[string]bool{}}
+	if len(text) > maxFileBytes {
+		r.report("", "", "", fmt.Sprintf("wants %d bytes or fewer", maxFileBytes))
 		return r
 	}
 	section := ""
@@ -48,9 +48,9 @@
 			name, _, _ := strings.Cut(line, "=")
 			key = section + "." + strings.TrimSpace(name)
 		}
-		if first, told := r.lines[key]; told {
-			r.faults = append(r.faults, fault.Fault{File: file, Line: i + 1, Name: key,
-				Want: fmt.Sprintf("stands in line %d already", first)})
+		if firstLine, duplicate := r.lines[key]; duplicate {
+			r.diagnostics = append(r.diagnostics, fault.Fault{File: file, Line: i + 1, Name: key,
+				Want: fmt.Sprintf("stands in line %d already", firstLine)})
 			continue
 		}
 		r.lines[key] = i + 1
@@ -60,17 +60,17 @@
 	r.ini, err = ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: true, IgnoreContinuation: true,
 		KeyValueDelimiters: "=", PreserveSurroundedQuote: true, SkipUnrecognizableLines: false}, text)
 	if err != nil {
-		r.wrong("", "", "", "can't be read: "+strings.TrimSpace(err.Error()))
+		r.report("", "", "", "can't be read: "+strings.TrimSpace(err.Error()))
 		return r
 	}
 	if unnamed := r.ini.Section(ini.DefaultSection); len(unnamed.Keys()) > 0 {
-		r.wrong("", unnamed.Keys()[0].Name(), "", "stands before the first section")
+		r.report("", unnamed.Keys()[0].Name(), "", "stands before the first section")
 	}
 	return r
 }
 
-// wrong notes a fault; a name that does not stand in the file is told with its section's line.
-func (r *reader) wrong(section, name, value, want string) {
+// report notes a fault; a name that does not stand in the file is told with its section's line.
+func (r *reader) report(section, name, value, want string) {
 	key := section
 	if name != "" {
 		key += "." + name
@@ -79,184 +79,184 @@
 	if line == 0 {
 		line = r.lines[section]
 	}
-	r.faults = append(r.faults, fault.Fault{File: r.file, Line: line, Name: strings.TrimPrefix(key, "."),
+	r.diagnostics = append(r.diagnostics, fault.Fault{File: r.file, Line: line, Name: strings.TrimPrefix(key, "."),
 		Value: value, Want: want})
 }
 
 // section is one section that is being read.
 type section struct {
-	r     *reader
-	name  string
-	keys  *ini.Section // nil if the file has none such
-	known map[string]bool
+	reader     *reader
+	name       string
+	source     *ini.Section // nil if the file has none such
+	knownNames map[string]bool
 }
 
 // section gives a section that has a place of its own in the program.
 func (r *reader) section(name string) *section {
-	s := &section{r: r, name: name, known: map[string]bool{}}
-	r.known[name] = true
+	s := &section{reader: r, name: name, knownNames: map[string]bool{}}
+	r.knownSections[name] = true
 	if r.ini != nil && r.ini.HasSection(name) {
-		s.keys = r.ini.Section(name)
+		s.source = r.ini.Section(name)
 	}
 	return s
 }
 
-// named gives the sections of a kind that may stand several times, as [role crew]; in the file's order.
-func (r *reader) named(kind string) []*section {
-	var all []*section
+// sectionsOfKind gives the sections of a kind that may stand several times, as [role crew]; in the file's order.
+func (r *reader) sectionsOfKind(kind string) []*section {
+	var sections []*section
 	if r.ini == nil {
 		return nil
 	}
 	for _, name := range r.ini.SectionStrings() {
-		if rest, is := strings.CutPrefix(name, kind+" "); is && strings.TrimSpace(rest) != "" {
-			all = append(all, r.section(name))
+		if rest, matches := strings.CutPrefix(name, kind+" "); matches && strings.TrimSpace(rest) != "" {
+			sections = append(sections, r.section(name))
 		}
 	}
-	return all
+	return sections
 }
 
-// given tells whether the file has the section.
-func (s *section) given() bool { return s.keys != nil }
+// exists tells whether the file has the section.
+func (s *section) exists() bool { return s.source != nil }
 
-// title is what stands behind the kind in the section's name.
-func (s *section) title() string {
-	_, title, _ := strings.Cut(s.name, " ")
-	return strings.TrimSpace(title)
+// label is what stands behind the kind in the section's name.
+func (s *section) label() string {
+	_, label, _ := strings.Cut(s.name, " ")
+	return strings.TrimSpace(label)
 }
 
-// value is what stands under a name. Raw: the library's %(name)s is no part of our form.
-func (s *section) value(name string) (string, bool) {
-	s.known[name] = true
-	if s.keys == nil || !s.keys.HasKey(name) {
+// lookup is what stands under a name. Raw: the library's %(name)s is no part of our form.
+func (s *section) lookup(name string) (string, bool) {
+	s.knownNames[name] = true
+	if s.source == nil || !s.source.HasKey(name) {
 		return "", false
 	}
-	return s.keys.Key(name).Value(), true
+	return s.source.Key(name).Value(), true
 }
 
-func (s *section) wrong(name, value, want string) { s.r.wrong(s.name, name, value, want) }
+func (s *section) report(name, value, want string) { s.reader.report(s.name, name, value, want) }
 
-// text reads a value; an empty one counts as none.
-func (s *section) text(name string, to *string) {
-	if v, told := s.value(name); told && v != "" {
-		*to = v
+// stringValue reads a value; an empty one counts as none.
+func (s *section) stringValue(name string, target *string) {
+	if text, found := s.lookup(name); found && text != "" {
+		*target = text
 	}
 }
 
-// wanted is text that has to be there once its section is.
-func (s *section) wanted(name string, to *string) {
-	if s.text(name, to); *to == "" && s.given() {
-		s.wrong(name, "", "wants text")
+// requiredString is text that has to be there once its section is.
+func (s *section) requiredString(name string, target *string) {
+	if s.stringValue(name, target); *target == "" && s.exists() {
+		s.report(name, "", "wants text")
 	}
 }
 
-// word reads one of some words.
-func (s *section) word(name string, to *string, words ...string) {
-	v, told := s.value(name)
-	if !told {
+// enumValue reads one of some words.
+func (s *section) enumValue(name string, target *string, allowed ...string) {
+	text, found := s.lookup(name)
+	if !found {
 		return
 	}
-	for _, w := range words {
-		if v == w {
-			*to = v
+	for _, word := range allowed {
+		if text == word {
+			*target = text
 			return
 		}
 	}
-	s.wrong(name, v, "wants one of "+strings.Join(slices.Sorted(slices.Values(words)), ", "))
+	s.report(name, text, "wants one of "+strings.Join(slices.Sorted(slices.Values(allowed)), ", "))
 }
 
-// flag reads yes or no.
-func (s *section) flag(name string, to *bool) {
+// boolValue reads yes or no.
+func (s *section) boolValue(name string, target *bool) {
 	word := "no"
-	if *to {
+	if *target {
 		word = "yes"
 	}
-	s.word(name, &word, "yes", "no")
-	*to = word == "yes"
+	s.enumValue(name, &word, "yes", "no")
+	*target = word == "yes"
 }
 
-// number reads a number from least to greatest.
-func (s *section) number(name string, to *float64, least, greatest float64) {
-	v, told := s.value(name)
-	if !told {
+// floatValue reads a number from least to greatest.
+func (s *section) floatValue(name string, target *float64, lowest, highest float64) {
+	text, found := s.lookup(name)
+	if !found {
 		return
 	}
-	x, err := strconv.ParseFloat(v, 64)
-	if err != nil || math.IsNaN(x) || x < least || x > greatest {
-		s.wrong(name, v, fmt.Sprintf("wants a number from %g to %g", least, greatest))
+	parsed, err := strconv.ParseFloat(text, 64)
+	if err != nil || math.IsNaN(parsed) || parsed < lowest || parsed > highest {
+		s.report(name, text, fmt.Sprintf("wants a number from %g to %g", lowest, highest))
 		return
 	}
-	*to = x
+	*target = parsed
 }
 
-// count reads a whole number from least to greatest.
-func (s *section) count(name string, to *int, least, greatest int) {
-	v, told := s.value(name)
-	if !told {
+// intValue reads a whole number from least to greatest.
+func (s *section) intValue(name string, target *int, lowest, highest int) {
+	text, found := s.lookup(name)
+	if !found {
 		return
 	}
-	x, err := strconv.Atoi(v)
-	if err != nil || x < least || x > greatest {
-		s.wrong(name, v, fmt.Sprintf("wants a whole number from %d to %d", least, greatest))
+	parsed, err := strconv.Atoi(text)
+	if err != nil || parsed < lowest || parsed > highest {
+		s.report(name, text, fmt.Sprintf("wants a whole number from %d to %d", lowest, highest))
 		return
 	}
-	*to = x
+	*target = parsed
 }
 
-// span reads a time with its unit, as 30s or 1h30m.
-func (s *section) span(name string, to *time.Duration, least, greatest time.Duration) {
-	v, told := s.value(name)
-	if !told {
+// durationValue reads a time with its unit, as 30s or 1h30m.
+func (s *section) durationValue(name string, target *time.Duration, lowest, highest time.Duration) {
+	text, found := s.lookup(name)
+	if !found {
 		return
 	}
-	x, err := time.ParseDuration(v)
-	if err != nil || x < least || x > greatest {
-		s.wrong(name, v, fmt.Sprintf("wants a time from %v to %v, as 1m30s", least, greatest))
+	parsed, err := time.ParseDuration(text)
+	if err != nil || parsed < lowest || parsed > highest {
+		s.report(name, text, fmt.Sprintf("wants a time from %v to %v, as 1m30s", lowest, highest))
 		return
 	}
-	*to = x
+	*target = parsed
 }
 
-// list reads values with commas between.
-func (s *section) list(name string) []string {
-	v, _ := s.value(name)
-	var all []string
-	for _, item := range strings.Split(v, ",") {
+// listValue reads values with commas between.
+func (s *section) listValue(name string) []string {
+	text, _ := s.lookup(name)
+	var items []string
+	for _, item := range strings.Split(text, ",") {
 		if item = strings.TrimSpace(item); item != "" {
-			all = append(all, item)
+			items = append(items, item)
 		}
 	}
-	return all
+	return items
 }
 
-// close flags the names in the section that nobody asked for.
-func (s *section) close() {
-	if s.keys == nil {
+// reportUnknownNames flags the names in the section that nobody asked for.
+func (s *section) reportUnknownNames() {
+	if s.source == nil {
 		return
 	}
-	for _, key := range s.keys.KeyStrings() {
-		if !s.known[key] {
-			s.wrong(key, "", "is no name of this section; wants "+words(s.known))
+	for _, key := range s.source.KeyStrings() {
+		if !s.knownNames[key] {
+			s.report(key, "", "is no name of this section; wants "+joinSorted(s.knownNames))
 		}
 	}
 }
 
-// close flags the sections that nobody asked for.
-func (r *reader) close(kinds ...string) {
+// reportUnknownSections flags the sections that nobody asked for.
+func (r *reader) reportUnknownSections(kinds ...string) {
 	if r.ini == nil {
 		return
 	}
 	for _, name := range r.ini.SectionStrings() {
-		if name != ini.DefaultSection && !r.known[name] {
-			all := map[string]bool{}
-			for known := range r.known {
+		if name != ini.DefaultSection && !r.knownSections[name] {
+			allowed := map[string]bool{}
+			for known := range r.knownSections {
 				if !strings.Contains(known, " ") {
-					all[known] = true
+					allowed[known] = true
 				}
 			}
 			for _, kind := range kinds {
-				all[kind+" NAME"] = true
+				allowed[kind+" NAME"] = true
 			}
-			r.wrong(name, "", "", "is no section; wants "+words(all))
+			r.report(name, "", "", "is no section; wants "+joinSorted(allowed))
 		}
 	}
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -10,7 +10,7 @@
 	"lanewheel/internal/scenes"
 )
 
-const good = `[callers]
+const validFile = `[callers]
 writes = set
 [role crew]
 types = view, set
@@ -33,12 +33,12 @@
 
 // Defaults stand where nothing is said, and paths count from the file's folder; without a file everything is off.
 func Example() {
-	f := scenes.Must(Parse("etc/op.ini", []byte(good)))
+	f := scenes.Must(Parse("etc/op.ini", []byte(validFile)))
 	r := f.Callers.Roles[0]
-	fmt.Println(f.Callers.On, r.Rate, r.Burst, r.Open, f.Callers.Map[0].Match, f.Callers.Book != nil)
-	fmt.Println(f.Tokens.Keys, f.Tokens.Policy.Leeway, f.Tokens.Bounds.Remembered, f.TLS.Certificate, f.TLS.Oldest, f.TLS.Required, f.TLS.AllowOld)
+	fmt.Println(f.Callers.Enabled, r.Rate, r.Burst, r.Open, f.Callers.Bindings[0].Match, f.Callers.Policy != nil)
+	fmt.Println(f.Tokens.KeyDir, f.Tokens.Policy.Leeway, f.Tokens.Limits.Remembered, f.TLS.CertificateFile, f.TLS.MinVersion, f.TLS.RequireClientCertificate, f.TLS.AllowStaleRevocations)
 	f = scenes.Must(Load(""))
-	fmt.Println(f.Callers.On, f.Tokens.On, f.TLS.On, f.Log.Format)
+	fmt.Println(f.Callers.Enabled, f.Tokens.Enabled, f.TLS.Enabled, f.Log.Format)
 	// Output:
 	// true 5 5 0 [uri:rota://water/*] true
 	// etc/keys 30s 8192 etc/a.pem 1.3 true false
@@ -51,7 +51,7 @@
 		{"match = uri:rota://water/*", "match = rota://water/*"}, {"keys = keys\n", ""}, {"listen = 127.0.0.1:9443", "listen = 9443"},
 		{"authorities = ca.pem", "revoked = list.pem"}, {"issuer = us", "issuer = us\nissuer = them"}, {"audience = rota", "audience = %(keys)s"},
 		{"[callers]", "stray = 1\n[callers]"}, {"[role crew]", "[role]\n[role crew]"}} {
-		_, err := Parse("op.ini", []byte(strings.Replace(good, change[0], change[1], 1)))
+		_, err := Parse("op.ini", []byte(strings.Replace(validFile, change[0], change[1], 1)))
 		all, _ := err.(fault.List)
 		for _, f := range all {
 			fmt.Println(f)
@@ -78,20 +78,20 @@
 	if _, err := Parse("edge.ini", text); err != nil {
 		t.Fatal(err)
 	}
-	r := read("edge.ini", text)
-	r.log()
-	r.callers()
-	r.tokens()
-	r.tls()
+	r := newReader("edge.ini", text)
+	r.readLog()
+	r.readCallers()
+	r.readTokens()
+	r.readTLS()
 	for _, name := range []string{"log", "callers", "tokens", "tls", "role visitor", "caller water-handhelds"} {
 		s := r.section(name)
 		switch {
 		case name == "role visitor":
-			s.role()
+			s.readRole()
 		case strings.HasPrefix(name, "caller "):
-			s.caller()
+			s.readBinding()
 		}
-		if !s.given() {
+		if !s.exists() {
 			t.Errorf("the example has no [%s]", name)
 		}
 	}
@@ -104,11 +104,11 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validFile))
 	f.Add([]byte("[log]\nformat = %(format)s\n[a\nb=c\n\"\"\"x\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		file, err := Parse("f.ini", text)
-		if err == nil && file.Callers.On && file.Callers.Book == nil {
+		if err == nil && file.Callers.Enabled && file.Callers.Policy == nil {
 			t.Fatal("callers without rights")
 		}
 	})
--- a/internal/operator/steward.go
+++ b/internal/operator/steward.go
@@ -11,142 +11,142 @@
 	"lanewheel/internal/fleet/steward/told"
 )
 
-// Steward is a process that holds what the fleet has agreed.
-type Steward struct {
-	On   bool
-	Told told.Told
+// Coordinator is a process that holds what the fleet has agreed.
+type Coordinator struct {
+	Enabled bool
+	Config  told.Told
 }
 
-func (r *reader) steward(f *Fleet) Steward {
-	t := Steward{Told: told.Told{Beat: time.Second, Accord: accord.Usual(), Judge: judge.Usual(), Window: time.Second, Asked: 32, Patience: 30 * time.Second, Output: 4096, Snapshot: 8192}}
+func (r *reader) readCoordinator(fleet *Fleet) Coordinator {
+	parsed := Coordinator{Config: told.Told{Beat: time.Second, Accord: accord.Usual(), Judge: judge.Usual(), Window: time.Second, Asked: 32, Patience: 30 * time.Second, Output: 4096, Snapshot: 8192}}
 	s := r.section("steward")
-	t.On = s.given()
-	x := &t.Told
+	parsed.Enabled = s.exists()
+	config := &parsed.Config
 	switch {
-	case t.On && !f.On:
-		s.wrong("", "", "wants a section [fleet], by which the members are known")
-	case t.On && f.Name == "":
-		s.wrong("", "", "wants fleet.name: a steward keeps its name over restarts")
+	case parsed.Enabled && !fleet.Enabled:
+		s.report("", "", "wants a section [fleet], by which the members are known")
+	case parsed.Enabled && fleet.Name == "":
+		s.report("", "", "wants fleet.name: a steward keeps its name over restarts")
 	}
-	x.Name = f.Name
-	s.wanted("listen", &x.Listen)
-	s.address("listen", x.Listen)
-	s.text("at", &x.At)
-	s.address("at", x.At)
-	if x.At == "" {
-		x.At = x.Listen
+	config.Name = fleet.Name
+	s.requiredString("listen", &config.Listen)
+	s.checkAddress("listen", config.Listen)
+	s.stringValue("at", &config.At)
+	s.checkAddress("at", config.At)
+	if config.At == "" {
+		config.At = config.Listen
 	}
-	if host, _, err := net.SplitHostPort(x.Listen); err == nil {
-		x.From = host
+	if host, _, err := net.SplitHostPort(config.Listen); err == nil {
+		config.From = host
 	}
-	x.Others = r.stewards(s)
-	s.file("folder", &x.Folder)
-	s.span("beat", &x.Beat, 100*time.Millisecond, time.Minute)
-	s.text("restart", &x.Restart)
-	s.span("restart-within", &x.Patience, 100*time.Millisecond, time.Hour)
-	s.count("restart-output", &x.Output, 0, 1<<20)
-	snapshot := int(x.Snapshot)
-	s.count("snapshot-every", &snapshot, 64, 1<<30)
-	x.Snapshot = uint64(snapshot)
-	s.count("history", &x.Accord.History, 10, 1_000_000)
-	s.count("waiting", &x.Accord.Waiting, 1, 100_000)
-	s.count("passed-over", &x.Accord.Passed, 0, 100_000)
-	s.span("stuck-after", &x.Accord.Stuck, time.Second, 24*time.Hour)
-	s.number("wrong", &x.Judge.Alpha, 0.0001, 0.2)
-	s.number("late", &x.Judge.Late, 0.001, 1)
-	s.number("slow", &x.Judge.Slow, 0.001, 10)
-	s.count("windows", &x.Judge.Least, 2, 10_000)
-	s.number("window-ops", &x.Judge.Ops, 1, 1_000_000)
-	s.count("crashes", &x.Judge.Crashes, 0, 1000)
-	s.span("window", &x.Window, 200*time.Millisecond, time.Hour)
-	s.count("asked", &x.Asked, 1, 1000)
-	s.close()
-	return t
+	config.Others = r.readCoordinatorAddresses(s)
+	s.requiredPath("folder", &config.Folder)
+	s.durationValue("beat", &config.Beat, 100*time.Millisecond, time.Minute)
+	s.stringValue("restart", &config.Restart)
+	s.durationValue("restart-within", &config.Patience, 100*time.Millisecond, time.Hour)
+	s.intValue("restart-output", &config.Output, 0, 1<<20)
+	snapshot := int(config.Snapshot)
+	s.intValue("snapshot-every", &snapshot, 64, 1<<30)
+	config.Snapshot = uint64(snapshot)
+	s.intValue("history", &config.Accord.History, 10, 1_000_000)
+	s.intValue("waiting", &config.Accord.Waiting, 1, 100_000)
+	s.intValue("passed-over", &config.Accord.Passed, 0, 100_000)
+	s.durationValue("stuck-after", &config.Accord.Stuck, time.Second, 24*time.Hour)
+	s.floatValue("wrong", &config.Judge.Alpha, 0.0001, 0.2)
+	s.floatValue("late", &config.Judge.Late, 0.001, 1)
+	s.floatValue("slow", &config.Judge.Slow, 0.001, 10)
+	s.intValue("windows", &config.Judge.Least, 2, 10_000)
+	s.floatValue("window-ops", &config.Judge.Ops, 1, 1_000_000)
+	s.intValue("crashes", &config.Judge.Crashes, 0, 1000)
+	s.durationValue("window", &config.Window, 200*time.Millisecond, time.Hour)
+	s.intValue("asked", &config.Asked, 1, 1000)
+	s.reportUnknownNames()
+	return parsed
 }
 
-// stewards reads the addresses of the stewards.
-func (r *reader) stewards(s *section) []string {
-	all := s.list("stewards")
-	for _, at := range all {
-		s.address("stewards", at)
+// readCoordinatorAddresses reads the addresses of the stewards.
+func (r *reader) readCoordinatorAddresses(s *section) []string {
+	addresses := s.listValue("stewards")
+	for _, address := range addresses {
+		s.checkAddress("stewards", address)
 	}
-	if s.given() && len(all) == 0 {
-		s.wrong("stewards", "", "wants the addresses of the stewards, one of which leads")
+	if s.exists() && len(addresses) == 0 {
+		s.report("stewards", "", "wants the addresses of the stewards, one of which leads")
 	}
-	return all
+	return addresses
 }
 
 // Budgets and Release are what an operator hands to the stewards as a file.
 
-// ReadBudgets reads a file of sections [budget NAME].
-func ReadBudgets(path string, text []byte) ([]accord.Budget, error) {
-	r := read(path, text)
-	var all []accord.Budget
-	for _, s := range r.named("budget") {
-		b := accord.Budget{Name: s.title(), Most: -1, Of: s.match()}
-		most := -1
-		s.count("most", &most, 0, 100_000)
-		b.Most = most
-		share := -1.0
-		s.number("share", &share, 0, 1)
-		if b.Share = share; (share < 0) == (most < 0) {
-			s.wrong("most", "", "wants one of most and share")
+// ParseBudgets reads a file of sections [budget NAME].
+func ParseBudgets(path string, text []byte) ([]accord.Budget, error) {
+	r := newReader(path, text)
+	var budgets []accord.Budget
+	for _, s := range r.sectionsOfKind("budget") {
+		budget := accord.Budget{Name: s.label(), Most: -1, Of: s.readMemberSelector()}
+		maxUnavailable := -1
+		s.intValue("most", &maxUnavailable, 0, 100_000)
+		budget.Most = maxUnavailable
+		fraction := -1.0
+		s.floatValue("share", &fraction, 0, 1)
+		if budget.Share = fraction; (fraction < 0) == (maxUnavailable < 0) {
+			s.report("most", "", "wants one of most and share")
 		}
-		s.number("least-capacity", &b.Least, 0, 1e9)
-		s.close()
-		all = append(all, b)
+		s.floatValue("least-capacity", &budget.Least, 0, 1e9)
+		s.reportUnknownNames()
+		budgets = append(budgets, budget)
 	}
-	if len(all) == 0 && len(r.faults) == 0 {
-		r.wrong("", "", "", "wants sections [budget NAME]")
+	if len(budgets) == 0 && len(r.diagnostics) == 0 {
+		r.report("", "", "", "wants sections [budget NAME]")
 	}
-	r.close("budget")
-	return all, r.faults.Err()
+	r.reportUnknownSections("budget")
+	return budgets, r.diagnostics.Err()
 }
 
-func (s *section) match() (g accord.Match) {
-	s.text("zone", &g.Zone)
-	s.text("release", &g.Release)
-	s.word("role", &g.Role, "instance", "relay", "steward", "below")
-	s.text("below", &g.Below)
-	return g
+func (s *section) readMemberSelector() (selector accord.Match) {
+	s.stringValue("zone", &selector.Zone)
+	s.stringValue("release", &selector.Release)
+	s.enumValue("role", &selector.Role, "instance", "relay", "steward", "below")
+	s.stringValue("below", &selector.Below)
+	return selector
 }
 
-// ReadPlan reads a file with a section [release].
-func ReadPlan(path string, text []byte) (accord.Plan, error) {
-	r := read(path, text)
-	p := accord.Plan{Pause: time.Minute, Judged: true, Faster: 2, Tries: 3}
+// ParseRollout reads a file with a section [release].
+func ParseRollout(path string, text []byte) (accord.Plan, error) {
+	r := newReader(path, text)
+	plan := accord.Plan{Pause: time.Minute, Judged: true, Faster: 2, Tries: 3}
 	s := r.section("release")
-	if !s.given() {
-		s.wrong("", "", "is missing")
+	if !s.exists() {
+		s.report("", "", "is missing")
 	}
-	s.wanted("name", &p.Name)
-	s.wanted("to", &p.To)
-	s.text("of-zone", &p.Of.Zone)
-	s.text("of-release", &p.Of.Release)
-	p.Of.Role = "instance"
-	s.word("of-role", &p.Of.Role, "instance", "relay", "steward", "below")
-	for _, w := range s.list("waves") {
+	s.requiredString("name", &plan.Name)
+	s.requiredString("to", &plan.To)
+	s.stringValue("of-zone", &plan.Of.Zone)
+	s.stringValue("of-release", &plan.Of.Release)
+	plan.Of.Role = "instance"
+	s.enumValue("of-role", &plan.Of.Role, "instance", "relay", "steward", "below")
+	for _, spec := range s.listValue("waves") {
 		wave := accord.Wave{}
-		zone, isZone := strings.CutPrefix(w, "zone ")
-		share, isShare := strings.CutSuffix(w, "%")
+		zone, isZone := strings.CutPrefix(spec, "zone ")
+		share, isShare := strings.CutSuffix(spec, "%")
 		n, err := strconv.Atoi(share)
 		switch {
 		case isZone:
 			wave.Zone = strings.TrimSpace(zone)
 		case err != nil || n < 1 || isShare && n > 100:
-			s.wrong("waves", w, "wants a number, a share as 10%, or zone NAME")
+			s.report("waves", spec, "wants a number, a share as 10%, or zone NAME")
 		case isShare:
 			wave.Share = float64(n) / 100
 		default:
 			wave.Count = n
 		}
-		p.Waves = append(p.Waves, wave)
+		plan.Waves = append(plan.Waves, wave)
 	}
-	s.span("pause", &p.Pause, 0, 24*time.Hour)
-	s.flag("judged", &p.Judged)
-	s.number("back-faster", &p.Faster, 1, 1000)
-	s.count("tries", &p.Tries, 1, 100)
-	s.close()
-	r.close()
-	return p, r.faults.Err()
+	s.durationValue("pause", &plan.Pause, 0, 24*time.Hour)
+	s.boolValue("judged", &plan.Judged)
+	s.floatValue("back-faster", &plan.Faster, 1, 1000)
+	s.intValue("tries", &plan.Tries, 1, 100)
+	s.reportUnknownNames()
+	r.reportUnknownSections()
+	return plan, r.diagnostics.Err()
 }
