--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -11,8 +11,8 @@
 	"strings"
 )
 
-// Fault is one thing that is wrong. Line counts from 1 and is 0 where no line is to blame; Value is as it was read.
-type Fault struct {
+// Diagnostic is one thing that is wrong. Line counts from 1 and is 0 where no line is to blame; Value is as it was read.
+type Diagnostic struct {
 	File  string
 	Line  int
 	Name  string
@@ -20,7 +20,7 @@
 	Want  string
 }
 
-func (f Fault) Error() string {
+func (f Diagnostic) Error() string {
 	var b strings.Builder
 	b.WriteString(f.File)
 	if f.Line > 0 {
@@ -31,9 +31,9 @@
 		b.WriteString(f.Name + ": ")
 	}
 	if f.Value != "" {
-		const enough = 60 // bytes of a value that show which one it is
-		if value := f.Value; len(value) > enough {
-			fmt.Fprintf(&b, "is %q..., ", value[:enough])
+		const maxValueBytes = 60 // bytes of a value that show which one it is
+		if value := f.Value; len(value) > maxValueBytes {
+			fmt.Fprintf(&b, "is %q..., ", value[:maxValueBytes])
 		} else {
 			fmt.Fprintf(&b, "is %q, ", value)
 		}
@@ -42,7 +42,7 @@
 }
 
 // List is all that is wrong with what was read together; as an error it tells the first and how many more there are.
-type List []Fault
+type List []Diagnostic
 
 func (l List) Error() string {
 	switch len(l) {
@@ -59,57 +59,57 @@
 	if len(l) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(l, func(a, b Fault) int { return cmp.Compare(a.Line, b.Line) })
+	slices.SortStableFunc(l, func(a, b Diagnostic) int { return cmp.Compare(a.Line, b.Line) })
 	return l
 }
 
 // JSONLines tells on which line each name of a JSON text stands, by its path: names and places in lists with dots
 // between. Names told twice in one object come back as twice. A text that can't be read gives the lines up to there.
-func JSONLines(text []byte) (at map[string]int, twice []string) {
-	at = map[string]int{}
-	from := json.NewDecoder(bytes.NewReader(text))
-	from.UseNumber()
-	line, seen := 1, 0
-	here := func() int { // the line of the last token
-		end := int(from.InputOffset())
-		line += bytes.Count(text[seen:end], []byte{'\n'})
-		seen = end
+func JSONLines(text []byte) (lines map[string]int, duplicates []string) {
+	lines = map[string]int{}
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.UseNumber()
+	line, counted := 1, 0
+	currentLine := func() int { // the line of the last token
+		end := int(decoder.InputOffset())
+		line += bytes.Count(text[counted:end], []byte{'\n'})
+		counted = end
 		return line
 	}
-	const deepest = 32 // Danger: a text nested so deep that walking it uses up the stack
-	var value func(path string, depth int) bool
-	value = func(path string, depth int) bool {
-		t, err := from.Token()
-		if err != nil || depth > deepest {
+	const maxDepth = 32 // Danger: a text nested so deep that walking it uses up the stack
+	var walk func(path string, depth int) bool
+	walk = func(path string, depth int) bool {
+		token, err := decoder.Token()
+		if err != nil || depth > maxDepth {
 			return false
 		}
-		if _, told := at[path]; !told {
-			at[path] = here()
+		if _, known := lines[path]; !known {
+			lines[path] = currentLine()
 		}
-		open, is := t.(json.Delim)
-		for i := 0; is && from.More(); i++ {
+		delimiter, isContainer := token.(json.Delim)
+		for i := 0; isContainer && decoder.More(); i++ {
 			name := strconv.Itoa(i)
-			if open == '{' {
-				t, err := from.Token()
+			if delimiter == '{' {
+				token, err := decoder.Token()
 				if err != nil {
 					return false
 				}
-				name = t.(string)
+				name = token.(string)
 			}
-			under := strings.TrimPrefix(path+"."+name, ".")
-			if _, told := at[under]; told {
-				twice = append(twice, under)
+			child := strings.TrimPrefix(path+"."+name, ".")
+			if _, known := lines[child]; known {
+				duplicates = append(duplicates, child)
 			}
-			at[under] = here()
-			if !value(under, depth+1) {
+			lines[child] = currentLine()
+			if !walk(child, depth+1) {
 				return false
 			}
 		}
-		if is {
-			_, err = from.Token()
+		if isContainer {
+			_, err = decoder.Token()
 		}
 		return err == nil
 	}
-	value("", 0)
-	return at, twice
+	walk("", 0)
+	return lines, duplicates
 }
--- a/internal/keyring/keyring.go
+++ b/internal/keyring/keyring.go
@@ -110,7 +110,7 @@
 		faults = append(faults, s.file(name, text)...)
 	}
 	if len(s.keys) > mostKeys {
-		faults = append(faults, fault.Fault{File: "keys", Value: strconv.Itoa(len(s.keys)), Want: fmt.Sprintf("wants %d keys or fewer", mostKeys)})
+		faults = append(faults, fault.Diagnostic{File: "keys", Value: strconv.Itoa(len(s.keys)), Want: fmt.Sprintf("wants %d keys or fewer", mostKeys)})
 	}
 	if err := faults.Err(); err != nil {
 		return nil, err
@@ -123,7 +123,7 @@
 func (s *Set) file(name string, text []byte) (faults fault.List) {
 	lines, twice := fault.JSONLines(text)
 	wrong := func(path, value, want string) {
-		faults = append(faults, fault.Fault{File: name, Line: lines[path], Name: path, Value: value, Want: want})
+		faults = append(faults, fault.Diagnostic{File: name, Line: lines[path], Name: path, Value: value, Want: want})
 	}
 	if len(text) > mostBytes {
 		wrong("", strconv.Itoa(len(text)), fmt.Sprintf("wants %d bytes or fewer", mostBytes))
--- a/internal/life/told.go
+++ b/internal/life/told.go
@@ -47,7 +47,7 @@
 			ancestor = ancestor[:strings.LastIndexByte(ancestor, '.')]
 			line = lines[ancestor]
 		}
-		diagnostics = append(diagnostics, fault.Fault{File: path, Line: line, Name: name, Value: value, Want: want})
+		diagnostics = append(diagnostics, fault.Diagnostic{File: path, Line: line, Name: name, Value: value, Want: want})
 	}
 	for _, text := range []struct {
 		name string
--- a/internal/operator/ini.go
+++ b/internal/operator/ini.go
@@ -49,7 +49,7 @@
 			key = section + "." + strings.TrimSpace(name)
 		}
 		if firstLine, duplicate := r.lines[key]; duplicate {
-			r.diagnostics = append(r.diagnostics, fault.Fault{File: file, Line: i + 1, Name: key,
+			r.diagnostics = append(r.diagnostics, fault.Diagnostic{File: file, Line: i + 1, Name: key,
 				Want: fmt.Sprintf("stands in line %d already", firstLine)})
 			continue
 		}
@@ -79,7 +79,7 @@
 	if line == 0 {
 		line = r.lines[section]
 	}
-	r.diagnostics = append(r.diagnostics, fault.Fault{File: r.file, Line: line, Name: strings.TrimPrefix(key, "."),
+	r.diagnostics = append(r.diagnostics, fault.Diagnostic{File: r.file, Line: line, Name: strings.TrimPrefix(key, "."),
 		Value: value, Want: want})
 }
 
