--- a/internal/facts/facts.go
+++ b/internal/facts/facts.go
@@ -15,229 +15,231 @@
 	"lanewheel/choice"
 )
 
-// reader turns one value of the start message into ours, nil if it is of the wrong type; a list tells what is Wrong in it.
-type reader func(*fastjson.Value) any
+// valueReader turns one value of the start message into ours, nil if it is of the wrong type; a list tells what is Wrong in it.
+type valueReader func(*fastjson.Value) any
 
-// fact is one translated name; path is where it stands on the wire.
-type fact struct {
-	path []string
-	name string
-	read reader
+// setting is one translated name; path is where it stands on the wire.
+type setting struct {
+	storedPath []string
+	name       string
+	read       valueReader
 }
 
-func at(name string, read reader, path ...string) fact { return fact{path, name, read} }
+func newSetting(name string, read valueReader, path ...string) setting {
+	return setting{path, name, read}
+}
 
-var startNames = []fact{
-	at("op types", list(opTypeNames), "classes"),
-	at("tenants", list(tenantNames), "tenants"),
-	at("tries are marked", flag, "clients", "marks-retry"),
-	at("below", word(map[string]string{"common": "shared", "next_hop": "next tier", "silent": "none"}),
+var instanceSettings = []setting{
+	newSetting("op types", objects(classSettings), "classes"),
+	newSetting("tenants", objects(tenantSettings), "tenants"),
+	newSetting("tries are marked", boolean, "clients", "marks-retry"),
+	newSetting("below", enum(map[string]string{"common": "shared", "next_hop": "next tier", "silent": "none"}),
 		"domain", "below"),
-	at("calls over", span, "domain", "calls-over-s"),
-	at("call share", number, "domain", "dep-share"),
-	at("calls below by type", flags, "domain", "class-calls"),
-	at("skip share by type", numbers, "domain", "class-skip-worth"),
-	at("callers", number, "domain", "clients-total"),
-	at("cores", number, "domain", "cpus"),
-	at("just started", flag, "domain", "fresh-start"),
-	at("shared reads for", span, "domain", "fresh-s"),
-	at("halt", word(map[string]string{"silent": "none"}), "domain", "halt"),
-	at("hears when callers leave", flag, "domain", "hangup-seen"),
-	at("signal heard for", span, "domain", "heard-for-s"),
-	at("connections idle", span, "domain", "idle-s"),
-	at("key KB", number, "domain", "key-kb"),
-	at("given-up call lingers", span, "domain", "linger-s"),
-	at("memory KB", number, "domain", "memory-kb"),
-	at("run memory factor", number, "domain", "run-mem-factor"),
-	at("signal", word(map[string]string{"min_rank": "least rank", "bias": "chance", "silent": "none"}),
+	newSetting("calls over", duration, "domain", "calls-over-s"),
+	newSetting("call share", number, "domain", "dep-share"),
+	newSetting("calls below by type", booleans, "domain", "class-calls"),
+	newSetting("skip share by type", numbers, "domain", "class-skip-worth"),
+	newSetting("callers", number, "domain", "clients-total"),
+	newSetting("cores", number, "domain", "cpus"),
+	newSetting("just started", boolean, "domain", "fresh-start"),
+	newSetting("shared reads for", duration, "domain", "fresh-s"),
+	newSetting("halt", enum(map[string]string{"silent": "none"}), "domain", "halt"),
+	newSetting("hears when callers leave", boolean, "domain", "hangup-seen"),
+	newSetting("signal heard for", duration, "domain", "heard-for-s"),
+	newSetting("connections idle", duration, "domain", "idle-s"),
+	newSetting("key KB", number, "domain", "key-kb"),
+	newSetting("given-up call lingers", duration, "domain", "linger-s"),
+	newSetting("memory KB", number, "domain", "memory-kb"),
+	newSetting("run memory factor", number, "domain", "run-mem-factor"),
+	newSetting("signal", enum(map[string]string{"min_rank": "least rank", "bias": "chance", "silent": "none"}),
 		"domain", "signal"),
-	at("fleet size", number, "fleet-size"),
-	at("over-share importance", number, "over-share-worth"),
-	at("longest stay away", span, "policy-limits", "max-retry-after-s"),
-	at("stay away is passed on", flag, "policy-limits", "retry-after"),
-	at("drain grace", span, "rules", "drain-grace-s"),
-	at("crowd a core", number, "rules", "fall-multiple"),
-	at("crowd over", span, "rules", "tip-after-s"),
-	at("cold speed share", number, "rules", "start-capacity"),
-	at("warm within", span, "rules", "warm-within-s"),
-	at("tick", span, "tick-s"),
-	at("tier", number, "tier"),
+	newSetting("fleet size", number, "fleet-size"),
+	newSetting("over-share importance", number, "over-share-worth"),
+	newSetting("longest stay away", duration, "policy-limits", "max-retry-after-s"),
+	newSetting("stay away is passed on", boolean, "policy-limits", "retry-after"),
+	newSetting("drain grace", duration, "rules", "drain-grace-s"),
+	newSetting("crowd a core", number, "rules", "fall-multiple"),
+	newSetting("crowd over", duration, "rules", "tip-after-s"),
+	newSetting("cold speed share", number, "rules", "start-capacity"),
+	newSetting("warm within", duration, "rules", "warm-within-s"),
+	newSetting("tick", duration, "tick-s"),
+	newSetting("tier", number, "tier"),
 }
 
-var opTypeNames = []fact{
-	at("name", text, "name"),
-	at("importance", number, "credit"),
-	at("target latency", span, "promise-s"),
-	at("target stretch", number, "aim-stretch"),
-	at("op timeout", span, "give-up-s"),
-	at("late share", number, "late-share"),
-	at("repeat window", span, "dedup-window-s"),
-	at("repeats", word(map[string]string{
+var classSettings = []setting{
+	newSetting("name", text, "name"),
+	newSetting("importance", number, "credit"),
+	newSetting("target latency", duration, "promise-s"),
+	newSetting("target stretch", number, "aim-stretch"),
+	newSetting("op timeout", duration, "give-up-s"),
+	newSetting("late share", number, "late-share"),
+	newSetting("repeat window", duration, "dedup-window-s"),
+	newSetting("repeats", enum(map[string]string{
 		"idempotent": "retryable", "deduplicated": "keyed", "at_most_once": "non-retryable",
 	}), "repeat"),
 }
 
-var tenantNames = []fact{
-	at("name", text, "name"),
-	at("quota a second", number, "quota-per-s"),
-	at("share", number, "portion"),
+var tenantSettings = []setting{
+	newSetting("name", text, "name"),
+	newSetting("quota a second", number, "quota-per-s"),
+	newSetting("share", number, "portion"),
 }
 
 var gaugeNames = map[string]string{
 	"cpu_busy": "cores busy", "runnable": "want a core", "mem_used": "memory used", "sockets": "connections",
 }
 
-// Gauge is our name of a gauge.
-func Gauge(s string) string {
-	if ours, known := gaugeNames[s]; known {
-		return ours
+// GaugeName is our name of a gauge.
+func GaugeName(stored string) string {
+	if name, known := gaugeNames[stored]; known {
+		return name
 	}
-	return s
+	return stored
 }
 
-// Gauges are our names of the gauges, in the order in which they are told.
-func Gauges(told *fastjson.Value) []string {
+// GaugeNames are our names of the gauges, in the order in which they are told.
+func GaugeNames(stored *fastjson.Value) []string {
 	var names []string
-	for _, v := range told.GetArray("domain", "meters") {
-		names = append(names, Gauge(string(v.GetStringBytes())))
+	for _, v := range stored.GetArray("domain", "meters") {
+		names = append(names, GaugeName(string(v.GetStringBytes())))
 	}
 	return names
 }
 
-// Read translates the settings; without cores or op types there is nothing to decide on. The error is the first Wrong.
-func Read(told *fastjson.Value) (choice.Settings, error) {
-	facts, wrong := Check(told)
-	if len(wrong) > 0 {
-		return nil, wrong[0]
+// Parse translates the settings; without cores or op types there is nothing to decide on. The error is the first Wrong.
+func Parse(stored *fastjson.Value) (choice.Settings, error) {
+	parsed, problems := ParseAll(stored)
+	if len(problems) > 0 {
+		return nil, problems[0]
 	}
-	return facts, nil
+	return parsed, nil
 }
 
-// Wrong is a setting that can't be used: where it stands, what was read there and what is wanted.
-type Wrong struct {
+// FieldError is a setting that can't be used: where it stands, what was read there and what is wanted.
+type FieldError struct {
 	Path []string
-	Got  string
+	got  string
 	Want string
 }
 
-func (w Wrong) Error() string {
-	if w.Got == "" {
+func (w FieldError) Error() string {
+	if w.got == "" {
 		return fmt.Sprintf("%s: %s", strings.Join(w.Path, "."), w.Want)
 	}
-	return fmt.Sprintf("%v: is a %s, which is the wrong type", w.Path, w.Got)
+	return fmt.Sprintf("%v: is a %s, which is the wrong type", w.Path, w.got)
 }
 
-// Check translates the settings and tells all that is wrong with them.
-func Check(told *fastjson.Value) (choice.Settings, []Wrong) {
-	facts, wrong := translate(told, startNames)
-	complete(facts)
-	absent := func(ours, want string, path ...string) {
-		at := told.Get(path...)
-		if _, there := facts[ours]; there || at == nil || at.Type() == fastjson.TypeNull { // else it has been told as wrong already
-			wrong = append(wrong, Wrong{Path: path, Want: want})
+// ParseAll translates the settings and tells all that is wrong with them.
+func ParseAll(told *fastjson.Value) (choice.Settings, []FieldError) {
+	parsed, problems := readObject(told, instanceSettings)
+	applyDefaults(parsed)
+	requirePresent := func(name, want string, path ...string) {
+		value := told.Get(path...)
+		if _, known := parsed[name]; known || value == nil || value.Type() == fastjson.TypeNull { // else it has been told as wrong already
+			problems = append(problems, FieldError{Path: path, Want: want})
 		}
 	}
-	if cores, told := facts["cores"].(float64); !told || cores < 1 {
-		absent("cores", "wants a number of 1 or more", "domain", "cpus")
+	if cores, told := parsed["cores"].(float64); !told || cores < 1 {
+		requirePresent("cores", "wants a number of 1 or more", "domain", "cpus")
 	}
-	if types, told := facts["op types"].([]choice.Settings); !told || len(types) == 0 {
-		absent("op types", "wants a list that is not empty", "classes")
+	if classes, told := parsed["op types"].([]choice.Settings); !told || len(classes) == 0 {
+		requirePresent("op types", "wants a list that is not empty", "classes")
 	}
-	return facts, wrong
+	return parsed, problems
 }
 
-// complete gives what was told of times and shares without a meaning the nearest that has one. Danger: the module divides by a target
+// applyDefaults gives what was told of times and shares without a meaning the nearest that has one. Danger: the module divides by a target
 // latency, and works out spans from the others.
-func complete(facts choice.Settings) {
-	types, _ := facts["op types"].([]choice.Settings)
-	for _, t := range types {
-		target, _ := t["target latency"].(time.Duration)
-		timeout, _ := t["op timeout"].(time.Duration)
+func applyDefaults(parsed choice.Settings) {
+	classes, _ := parsed["op types"].([]choice.Settings)
+	for _, class := range classes {
+		target, _ := class["target latency"].(time.Duration)
+		timeout, _ := class["op timeout"].(time.Duration)
 		// An answer counts as long as it is owed where nothing else is told, and is owed as long as it counts. Where neither is
 		// told it is one second, the unit that both are told in.
-		const least = time.Millisecond // what a caller's clock can tell
-		if target < least && timeout < least {
+		const minDuration = time.Millisecond // what a caller's clock can tell
+		if target < minDuration && timeout < minDuration {
 			target, timeout = time.Second, time.Second
 		}
-		if target < least {
+		if target < minDuration {
 			target = timeout
 		}
-		if timeout < least {
+		if timeout < minDuration {
 			timeout = target
 		}
-		t["target latency"], t["op timeout"] = target, timeout
+		class["target latency"], class["op timeout"] = target, timeout
 	}
-	if share, told := facts["cold speed share"].(float64); told {
-		facts["cold speed share"] = min(1, max(0, share))
+	if share, isSet := parsed["cold speed share"].(float64); isSet {
+		parsed["cold speed share"] = min(1, max(0, share))
 	}
 }
 
-// translate picks the named values out of an object. Absent and unknown ones are passed over.
-func translate(from *fastjson.Value, names []fact) (choice.Settings, []Wrong) {
-	facts := choice.Settings{}
-	var wrong []Wrong
-	for _, n := range names {
-		v := from.Get(n.path...)
+// readObject picks the named values out of an object. Absent and unknown ones are passed over.
+func readObject(object *fastjson.Value, known []setting) (choice.Settings, []FieldError) {
+	parsed := choice.Settings{}
+	var problems []FieldError
+	for _, field := range known {
+		v := object.Get(field.storedPath...)
 		if v == nil || v.Type() == fastjson.TypeNull {
 			continue
 		}
-		got := n.read(v)
-		if inside, bad := got.([]Wrong); bad {
-			for _, w := range inside {
-				w.Path = append(slices.Clone(n.path), w.Path...)
-				wrong = append(wrong, w)
+		value := field.read(v)
+		if nested, invalid := value.([]FieldError); invalid {
+			for _, w := range nested {
+				w.Path = append(slices.Clone(field.storedPath), w.Path...)
+				problems = append(problems, w)
 			}
 			continue
 		}
-		if got == nil {
-			wrong = append(wrong, Wrong{Path: n.path, Got: v.Type().String(), Want: "wants another type than " + v.Type().String()})
+		if value == nil {
+			problems = append(problems, FieldError{Path: field.storedPath, got: v.Type().String(), Want: "wants another type than " + v.Type().String()})
 			continue
 		}
-		facts[n.name] = got
+		parsed[field.name] = value
 	}
-	return facts, wrong
+	return parsed, problems
 }
 
-func list(names []fact) reader {
+func objects(known []setting) valueReader {
 	return func(v *fastjson.Value) any {
 		items, err := v.Array()
 		if err != nil {
 			return nil
 		}
 		out := []choice.Settings{}
-		var wrong []Wrong
+		var problems []FieldError
 		for i, item := range items {
 			if item.Type() != fastjson.TypeObject {
 				return nil
 			}
-			one, inside := translate(item, names)
-			if _, named := one["name"]; !named && len(inside) == 0 {
-				inside = []Wrong{{Path: []string{"name"}, Want: "wants text"}}
+			parsed, nested := readObject(item, known)
+			if _, named := parsed["name"]; !named && len(nested) == 0 {
+				nested = []FieldError{{Path: []string{"name"}, Want: "wants text"}}
 			}
-			for _, w := range inside {
+			for _, w := range nested {
 				w.Path = append([]string{strconv.Itoa(i)}, w.Path...)
-				wrong = append(wrong, w)
+				problems = append(problems, w)
 			}
-			out = append(out, one)
+			out = append(out, parsed)
 		}
-		if len(wrong) > 0 {
-			return wrong
+		if len(problems) > 0 {
+			return problems
 		}
 		return out
 	}
 }
 
-func number(v *fastjson.Value) any { return orNil(v.Float64()) }
-func flag(v *fastjson.Value) any   { return orNil(v.Bool()) }
+func number(v *fastjson.Value) any  { return valueOrNil(v.Float64()) }
+func boolean(v *fastjson.Value) any { return valueOrNil(v.Bool()) }
 
-func span(v *fastjson.Value) any {
+func duration(v *fastjson.Value) any {
 	if x, isNumber := number(v).(float64); isNumber {
-		return max(0, Seconds(x))
+		return max(0, SecondsToDuration(x))
 	}
 	return nil
 }
 
-func orNil[T any](x T, err error) any {
+func valueOrNil[T any](x T, err error) any {
 	if err != nil {
 		return nil
 	}
@@ -251,25 +253,25 @@
 	return nil
 }
 
-// word reads text and gives ours for the words in the table, the rest as they come.
-func word(ours map[string]string) reader {
+// enum reads text and gives ours for the words in the table, the rest as they come.
+func enum(names map[string]string) valueReader {
 	return func(v *fastjson.Value) any {
 		s, isText := text(v).(string)
 		if !isText {
 			return nil
 		}
-		if w, known := ours[s]; known {
+		if w, known := names[s]; known {
 			return w
 		}
 		return s
 	}
 }
 
-func flags(v *fastjson.Value) any   { return each(v, (*fastjson.Value).Bool) }
-func numbers(v *fastjson.Value) any { return each(v, (*fastjson.Value).Float64) }
+func booleans(v *fastjson.Value) any { return listOf(v, (*fastjson.Value).Bool) }
+func numbers(v *fastjson.Value) any  { return listOf(v, (*fastjson.Value).Float64) }
 
-// each reads a list of one type of value.
-func each[T any](v *fastjson.Value, read func(*fastjson.Value) (T, error)) any {
+// listOf reads a list of one type of value.
+func listOf[T any](v *fastjson.Value, read func(*fastjson.Value) (T, error)) any {
 	items, err := v.Array()
 	if err != nil {
 		return nil
@@ -285,8 +287,8 @@
 	return out
 }
 
-// Seconds turns a told time into ours, in whole microseconds as the simulator counts.
-func Seconds(x float64) time.Duration {
+// SecondsToDuration turns a told time into ours, in whole microseconds as the simulator counts.
+func SecondsToDuration(x float64) time.Duration {
 	if math.Abs(x) > 9e9 { // past what a Duration holds
 		return time.Duration(math.MaxInt64)
 	}
--- a/internal/facts/facts_test.go
+++ b/internal/facts/facts_test.go
@@ -14,7 +14,7 @@
 	"lanewheel/choice"
 )
 
-const settings = `{"classes":[
+const sampleSettings = `{"classes":[
  {"name":"a","credit":1,"promise-s":0.3,"give-up-s":1,"late-share":0.2,"repeat":"idempotent","dedup-window-s":5,"aim-stretch":0.5,"portion":0.5},
  {"name":"b","credit":2,"promise-s":0.3,"give-up-s":1,"late-share":0,"repeat":"at_most_once"},
  {"name":"c","credit":3,"promise-s":0.3,"give-up-s":1,"late-share":0,"repeat":"deduplicated","dedup-window-s":0.5}],
@@ -26,116 +26,116 @@
  "fleet-size":3,"over-share-worth":0.1,"policy-limits":{"max-retry-after-s":1,"retry-after":true},
  "rules":{"drain-grace-s":0.5,"fall-multiple":8,"start-capacity":0.3,"tip-after-s":2,"warm-within-s":5},"tick-s":0.002}`
 
-// world carries out what a desk decides: a run takes 30 ms, and every second one stands at a call of 5 ms first.
-type world struct {
-	now      time.Duration
-	todo     map[time.Duration][]func()
-	answers  map[choice.RequestID]int
-	wrong    []string
-	runs     int
-	run      map[choice.RequestID]func(choice.Outcome, time.Duration)
-	finished map[choice.RequestID]bool
+// fakeExecutor carries out what a desk decides: a run takes 30 ms, and every second one stands at a call of 5 ms first.
+type fakeExecutor struct {
+	now       time.Duration
+	scheduled map[time.Duration][]func()
+	answers   map[choice.RequestID]int
+	problems  []string
+	started   int
+	onEnd     map[choice.RequestID]func(choice.Outcome, time.Duration)
+	finished  map[choice.RequestID]bool
 }
 
-func (w *world) at(at time.Duration, do func()) {
+func (w *fakeExecutor) schedule(at time.Duration, call func()) {
 	at = max(at, w.now+2*time.Millisecond).Truncate(2 * time.Millisecond)
-	w.todo[at] = append(w.todo[at], do)
+	w.scheduled[at] = append(w.scheduled[at], call)
 }
 
 // answer gives the one answer; what is said of an op that has it changes nothing, as in an instance.
-func (w *world) answer(id choice.RequestID)                 { w.answers[id] = 1 }
-func (w *world) Now() time.Duration                         { return w.now }
-func (w *world) Fail(id choice.RequestID)                   { w.answer(id) }
-func (w *world) SkipCall(id choice.RequestID)               { w.end(id, 30*time.Millisecond) }
-func (w *world) KeepRecord(choice.RequestID, time.Duration) {}
-func (w *world) DropRecord(choice.RequestID)                {}
-func (w *world) SetHealth(bool, bool)                       {}
-func (w *world) PublishLoad(float64)                        {}
-func (w *world) SetIdleTimeout(time.Duration)               {}
-func (w *world) LogTransition(string)                       {}
-func (w *world) Coalesce(choice.RequestID, func(choice.Outcome, time.Duration)) {
-	w.wrong = append(w.wrong, "shares, and nothing repeats")
+func (w *fakeExecutor) answer(id choice.RequestID)                 { w.answers[id] = 1 }
+func (w *fakeExecutor) Now() time.Duration                         { return w.now }
+func (w *fakeExecutor) Fail(id choice.RequestID)                   { w.answer(id) }
+func (w *fakeExecutor) SkipCall(id choice.RequestID)               { w.endAfter(id, 30*time.Millisecond) }
+func (w *fakeExecutor) KeepRecord(choice.RequestID, time.Duration) {}
+func (w *fakeExecutor) DropRecord(choice.RequestID)                {}
+func (w *fakeExecutor) SetHealth(bool, bool)                       {}
+func (w *fakeExecutor) PublishLoad(float64)                        {}
+func (w *fakeExecutor) SetIdleTimeout(time.Duration)               {}
+func (w *fakeExecutor) LogTransition(string)                       {}
+func (w *fakeExecutor) Coalesce(choice.RequestID, func(choice.Outcome, time.Duration)) {
+	w.problems = append(w.problems, "shares, and nothing repeats")
 }
-func (w *world) Reject(id choice.RequestID, away time.Duration, _ bool) {
+func (w *fakeExecutor) Reject(id choice.RequestID, away time.Duration, _ bool) {
 	w.answer(id)
 	if away < 0 {
-		w.wrong = append(w.wrong, "away for "+away.String())
+		w.problems = append(w.problems, "away for "+away.String())
 	}
 }
-func (w *world) Start(id choice.RequestID, atCall func(), ended func(choice.Outcome, time.Duration)) {
-	w.runs++
-	w.run[id] = ended
-	if w.runs%2 == 0 {
-		w.at(w.now+2*time.Millisecond, atCall)
+func (w *fakeExecutor) Start(id choice.RequestID, atCall func(), ended func(choice.Outcome, time.Duration)) {
+	w.started++
+	w.onEnd[id] = ended
+	if w.started%2 == 0 {
+		w.schedule(w.now+2*time.Millisecond, atCall)
 		return
 	}
-	w.end(id, 30*time.Millisecond)
+	w.endAfter(id, 30*time.Millisecond)
 }
-func (w *world) end(id choice.RequestID, after time.Duration) {
-	w.at(w.now+after, func() {
+func (w *fakeExecutor) endAfter(id choice.RequestID, after time.Duration) {
+	w.schedule(w.now+after, func() {
 		if !w.finished[id] {
 			w.finished[id] = true
 			if w.answers[id] == 0 {
 				w.answer(id)
 			}
-			w.run[id](choice.Succeeded, after)
+			w.onEnd[id](choice.Succeeded, after)
 		}
 	})
 }
-func (w *world) Stop(id choice.RequestID) {
-	w.at(w.now+time.Millisecond, func() {
+func (w *fakeExecutor) Stop(id choice.RequestID) {
+	w.schedule(w.now+time.Millisecond, func() {
 		if !w.finished[id] {
 			w.finished[id] = true
-			w.run[id](choice.Stopped, time.Millisecond)
+			w.onEnd[id](choice.Stopped, time.Millisecond)
 		}
 	})
 }
-func (w *world) Call(id choice.RequestID, until time.Duration, done func(choice.Outcome, time.Duration)) {
-	w.at(w.now+5*time.Millisecond, func() {
+func (w *fakeExecutor) Call(id choice.RequestID, until time.Duration, done func(choice.Outcome, time.Duration)) {
+	w.schedule(w.now+5*time.Millisecond, func() {
 		done(choice.Succeeded, 5*time.Millisecond)
-		w.end(id, 20*time.Millisecond)
+		w.endAfter(id, 20*time.Millisecond)
 	})
 }
-func (w *world) WakeAt(at time.Duration, then func(map[string]float64)) {
-	w.at(at, func() { then(map[string]float64{"want a core": 2, "cores busy": 0.9}) })
+func (w *fakeExecutor) WakeAt(at time.Duration, then func(map[string]float64)) {
+	w.schedule(at, func() { then(map[string]float64{"want a core": 2, "cores busy": 0.9}) })
 }
 
-// serve plays two seconds with settings and tells what was wrong: an op without exactly one answer in its time.
-func serve(told choice.Settings) (wrong []string) {
-	w := &world{todo: map[time.Duration][]func(){}, answers: map[choice.RequestID]int{}, run: map[choice.RequestID]func(choice.Outcome, time.Duration){}, finished: map[choice.RequestID]bool{}}
-	d := choice.New(1, told, w)
+// simulate plays two seconds with settings and tells what was wrong: an op without exactly one answer in its time.
+func simulate(settings choice.Settings) (problems []string) {
+	executor := &fakeExecutor{scheduled: map[time.Duration][]func(){}, answers: map[choice.RequestID]int{}, onEnd: map[choice.RequestID]func(choice.Outcome, time.Duration){}, finished: map[choice.RequestID]bool{}}
+	controller := choice.New(1, settings, executor)
 	n := 0
-	for ; w.now < 2*time.Second; w.now += 2 * time.Millisecond {
-		if w.now < time.Second && w.now%(8*time.Millisecond) == 0 {
+	for ; executor.now < 2*time.Second; executor.now += 2 * time.Millisecond {
+		if executor.now < time.Second && executor.now%(8*time.Millisecond) == 0 {
 			n++
-			d.Submit(choice.Request{ID: choice.RequestID(strconv.Itoa(n)), Class: choice.Class("abc"[n%3 : n%3+1]), Rank: float64(n%10) / 10, IsWrite: n%3 > 0, Caller: choice.CallerID(n % 5),
-				HasDeadline: true, Deadline: w.now + 500*time.Millisecond, WorkHint: 30 * time.Millisecond, MemoryKB: 20, Tenant: choice.TenantID("xy"[n%2 : n%2+1])})
+			controller.Submit(choice.Request{ID: choice.RequestID(strconv.Itoa(n)), Class: choice.Class("abc"[n%3 : n%3+1]), Rank: float64(n%10) / 10, IsWrite: n%3 > 0, Caller: choice.CallerID(n % 5),
+				HasDeadline: true, Deadline: executor.now + 500*time.Millisecond, WorkHint: 30 * time.Millisecond, MemoryKB: 20, Tenant: choice.TenantID("xy"[n%2 : n%2+1])})
 		}
-		if w.now == 1500*time.Millisecond {
-			d.Drain(w.now + 400*time.Millisecond)
+		if executor.now == 1500*time.Millisecond {
+			controller.Drain(executor.now + 400*time.Millisecond)
 		}
-		for _, do := range w.todo[w.now] {
-			do()
+		for _, call := range executor.scheduled[executor.now] {
+			call()
 		}
-		delete(w.todo, w.now)
-		d.Decide()
-		if w.now%(50*time.Millisecond) == 0 { // what came over half a second ago has its answer
-			for k := 1; time.Duration(k)*8*time.Millisecond < w.now-530*time.Millisecond && k <= n; k++ {
-				if a := w.answers[choice.RequestID(strconv.Itoa(k))]; a != 1 {
-					return append(w.wrong, fmt.Sprintf("op %d has %d answers at %v", k, a, w.now))
+		delete(executor.scheduled, executor.now)
+		controller.Decide()
+		if executor.now%(50*time.Millisecond) == 0 { // what came over half a second ago has its answer
+			for k := 1; time.Duration(k)*8*time.Millisecond < executor.now-530*time.Millisecond && k <= n; k++ {
+				if answers := executor.answers[choice.RequestID(strconv.Itoa(k))]; answers != 1 {
+					return append(executor.problems, fmt.Sprintf("op %d has %d answers at %v", k, answers, executor.now))
 				}
 			}
 		}
 	}
-	return w.wrong
+	return executor.problems
 }
 
 // Every value of the settings left out, of another type, zero, under zero, tiny and huge: it is refused with its name, or the module goes on
 // and every op has one answer in its time.
 func TestSettings(t *testing.T) {
-	base := fastjson.MustParse(settings)
-	if told, wrong := Check(base); len(wrong) > 0 || len(serve(told)) > 0 {
-		t.Fatal(wrong, serve(told))
+	base := fastjson.MustParse(sampleSettings)
+	if parsed, problems := ParseAll(base); len(problems) > 0 || len(simulate(parsed)) > 0 {
+		t.Fatal(problems, simulate(parsed))
 	}
 	var paths [][]string
 	var walk func(v *fastjson.Value, path []string)
@@ -151,12 +151,12 @@
 		}
 	}
 	walk(base, nil)
-	var all sync.WaitGroup
-	defer all.Wait()
-	room := make(chan bool, runtime.NumCPU())
+	var tests sync.WaitGroup
+	defer tests.Wait()
+	slots := make(chan bool, runtime.NumCPU())
 	for _, path := range paths {
 		for _, value := range []string{"", "null", `"what"`, `""`, "true", "[]", "{}", "[null]", "0", "-1", "-0.0001", "1e-12", "1e7", "9e15", "1e300"} {
-			v := fastjson.MustParse(settings)
+			v := fastjson.MustParse(sampleSettings)
 			in := v.Get(path[:len(path)-1]...)
 			if last := path[len(path)-1]; value == "" {
 				in.Del(last)
@@ -165,32 +165,32 @@
 			} else {
 				in.Set(last, fastjson.MustParse(value))
 			}
-			what := strings.Join(path, ".") + " = " + value
-			all.Add(1)
-			room <- true
+			description := strings.Join(path, ".") + " = " + value
+			tests.Add(1)
+			slots <- true
 			go func() {
 				defer func() {
-					<-room
-					all.Done()
+					<-slots
+					tests.Done()
 				}()
 				defer func() {
 					if p := recover(); p != nil {
-						t.Error(what, "panics:", p)
+						t.Error(description, "panics:", p)
 					}
 				}()
-				told, wrong := Check(v)
-				if len(wrong) > 0 {
-					if text := fmt.Sprint(wrong[0]); !strings.Contains(text, path[0]) {
-						t.Error(what, "is refused with:", text)
+				parsed, problems := ParseAll(v)
+				if len(problems) > 0 {
+					if text := fmt.Sprint(problems[0]); !strings.Contains(text, path[0]) {
+						t.Error(description, "is refused with:", text)
 					}
 					return
 				}
 				began := time.Now()
-				if bad := serve(told); len(bad) > 0 {
-					t.Error(what, bad[0])
+				if failures := simulate(parsed); len(failures) > 0 {
+					t.Error(description, failures[0])
 				}
 				if took := time.Since(began); took > time.Minute {
-					t.Error(what, "takes", took)
+					t.Error(description, "takes", took)
 				}
 			}()
 		}
--- a/internal/facts/golden_test.go
+++ b/internal/facts/golden_test.go
@@ -18,10 +18,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := fastjson.MustParseBytes(text)
-	got, wrong := Check(told)
-	if len(wrong) > 0 {
-		t.Fatal(wrong)
+	stored := fastjson.MustParseBytes(text)
+	got, problems := ParseAll(stored)
+	if len(problems) > 0 {
+		t.Fatal(problems)
 	}
 	const ms = time.Millisecond
 	want := choice.Settings{
@@ -73,21 +73,21 @@
 			t.Errorf("%s is read as %v, want %v", name, got[name], value)
 		}
 	}
-	if len(got) != len(want) || len(got) != len(startNames) {
-		t.Errorf("%d settings are read, %d are known, want %d", len(got), len(startNames), len(want))
+	if len(got) != len(want) || len(got) != len(instanceSettings) {
+		t.Errorf("%d settings are read, %d are known, want %d", len(got), len(instanceSettings), len(want))
 	}
 	for i, item := range want["op types"].([]choice.Settings) {
-		if len(item) != len(opTypeNames) {
-			t.Errorf("class %d has %d settings, %d are known", i, len(item), len(opTypeNames))
+		if len(item) != len(classSettings) {
+			t.Errorf("class %d has %d settings, %d are known", i, len(item), len(classSettings))
 		}
 	}
 	for i, item := range want["tenants"].([]choice.Settings) {
-		if len(item) != len(tenantNames) {
-			t.Errorf("tenant %d has %d settings, %d are known", i, len(item), len(tenantNames))
+		if len(item) != len(tenantSettings) {
+			t.Errorf("tenant %d has %d settings, %d are known", i, len(item), len(tenantSettings))
 		}
 	}
 	gauges := []string{"cores busy", "want a core", "memory used", "connections", "other"}
-	if got := Gauges(told); !reflect.DeepEqual(got, gauges) {
+	if got := GaugeNames(stored); !reflect.DeepEqual(got, gauges) {
 		t.Errorf("gauges are read as %q, want %q", got, gauges)
 	}
 }
@@ -103,7 +103,7 @@
 		{"signal", "silent", "signal", "none"},
 		{"signal", "tokens", "signal", "tokens"},
 	} {
-		got, _ := Check(fastjson.MustParse(`{"domain":{"` + tc.name + `":"` + tc.word + `"}}`))
+		got, _ := ParseAll(fastjson.MustParse(`{"domain":{"` + tc.name + `":"` + tc.word + `"}}`))
 		if got[tc.ours] != tc.want {
 			t.Errorf("%s %q is read as %v, want %q", tc.name, tc.word, got[tc.ours], tc.want)
 		}
@@ -111,7 +111,7 @@
 	for word, want := range map[string]string{
 		"idempotent": "retryable", "deduplicated": "keyed", "at_most_once": "non-retryable",
 	} {
-		got, _ := Check(fastjson.MustParse(`{"classes":[{"name":"view","repeat":"` + word + `"}]}`))
+		got, _ := ParseAll(fastjson.MustParse(`{"classes":[{"name":"view","repeat":"` + word + `"}]}`))
 		if types, _ := got["op types"].([]choice.Settings); len(types) != 1 || types[0]["repeats"] != want {
 			t.Errorf("repeat %q is read as %v, want %q", word, got["op types"], want)
 		}
@@ -120,7 +120,7 @@
 
 // What stands in for times that are absent or too short to mean anything, and for shares past their ends.
 func TestGoldenDefaults(t *testing.T) {
-	got, wrong := Check(fastjson.MustParse(`{"classes":[{"name":"none"},{"name":"target","promise-s":0.4},
+	got, wrong := ParseAll(fastjson.MustParse(`{"classes":[{"name":"none"},{"name":"target","promise-s":0.4},
 		{"name":"timeout","give-up-s":2},{"name":"short","promise-s":0.0001,"give-up-s":0.0002}],
 		"domain":{"cpus":1},"rules":{"start-capacity":7}}`))
 	if len(wrong) > 0 {
@@ -147,7 +147,7 @@
 		{`{"domain":{"cpus":"x"},"classes":[{"name":"a","credit":"x"}],"rules":{"warm-within-s":true}}`,
 			"classes.0.credit domain.cpus rules.warm-within-s"},
 	} {
-		_, wrong := Check(fastjson.MustParse(tc.text))
+		_, wrong := ParseAll(fastjson.MustParse(tc.text))
 		var paths []string
 		for _, w := range wrong {
 			paths = append(paths, strings.Join(w.Path, "."))
--- a/internal/life/told.go
+++ b/internal/life/told.go
@@ -84,8 +84,8 @@
 		report("settings", "wants an object")
 		return config, diagnostics
 	}
-	var problems []facts.Wrong
-	if config.Settings, problems = facts.Check(settingsObject); len(problems) > 0 {
+	var problems []facts.FieldError
+	if config.Settings, problems = facts.ParseAll(settingsObject); len(problems) > 0 {
 		for _, problem := range problems {
 			report("settings."+strings.Join(problem.Path, "."), problem.Want)
 		}
@@ -95,7 +95,7 @@
 	if upstream, _ := config.Settings["below"].(string); config.DatabaseAddr == "" && upstream != "" && upstream != "none" && len(diagnostics) == 0 {
 		report("db", fmt.Sprintf("wants text, as calls go to what settings.domain.below tells of (%s)", upstream))
 	}
-	config.GaugeNames = facts.Gauges(settingsObject)
+	config.GaugeNames = facts.GaugeNames(settingsObject)
 	config.ReportReadiness = settingsObject.GetBool("domain", "readiness")
 	return config, diagnostics
 }
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -179,7 +179,7 @@
 	if x < 0 {
 		f.fault(field, "a time of 0 or more")
 	}
-	return facts.Seconds(x)
+	return facts.SecondsToDuration(x)
 }
 
 var endings = map[int64]choice.Outcome{
@@ -227,7 +227,7 @@
 	if f.err != nil {
 		return 0, nil, f.err
 	}
-	told, err := facts.Read(info)
+	told, err := facts.Parse(info)
 	if err != nil {
 		return 0, nil, fmt.Errorf("%s: boot-info: %w", l.Name, err)
 	}
@@ -245,10 +245,10 @@
 	a.Resource = f.textOr("path-key")
 	a.Caller = choice.CallerID(f.integer("from"))
 	if until := f.numberOr0("valid-until-s"); until > 0 {
-		a.HasDeadline, a.Deadline = true, facts.Seconds(until)
+		a.HasDeadline, a.Deadline = true, facts.SecondsToDuration(until)
 	}
 	if hint := f.numberOr0("expected-s"); bits&hinted != 0 && hint > 0 {
-		a.WorkHint = facts.Seconds(hint)
+		a.WorkHint = facts.SecondsToDuration(hint)
 	}
 	a.MemoryKB, a.QueueDelay = f.number("kb"), f.span("lay-s")
 	a.Tenant = choice.TenantID(f.textOr("billing"))
@@ -272,7 +272,7 @@
 			if err != nil {
 				f.fault("health-info."+string(key), "a number")
 			}
-			gauges[facts.Gauge(string(key))] = x
+			gauges[facts.GaugeName(string(key))] = x
 		})
 	}
 	return token, gauges, f.err
