--- a/internal/amqp/part.go
+++ b/internal/amqp/part.go
@@ -52,7 +52,7 @@
 	leaving bool
 	last    time.Duration // when all has to be over
 	closed  chan struct{}
-	tally   logline.Tally[string]
+	tally   logline.Sampler[string]
 	counts  map[string]uint64 // by outcome, and what else happens
 	slow    []func()          // acks that are paced
 	said    time.Duration
@@ -306,7 +306,7 @@
 // finish answers, copies to the dead-letter queue, and acks once both are confirmed.
 func (p *Part) finish(j *job, a *answering, fate intake.Fate, why string, tags []intake.Tag) {
 	p.counts[fate.Word]++
-	if fate.Word != intake.Acked.Word() && p.tally.Line(fate.Word, time.Now()) {
+	if fate.Word != intake.Acked.Word() && p.tally.Allow(fate.Word, time.Now()) {
 		slog.Info("message", "queue", j.queue.Name, "code", fate.Word, "why", why, "id", clip(string(j.msg.ID)), "attempt", j.msg.Attempt)
 	}
 	s := p.session
@@ -418,7 +418,7 @@
 	p.open(addr, p.gen, func(s *session, code string) {
 		if code != "" {
 			p.routes.Down(p.Now(), addr, code)
-			if p.tally.Line("broker "+code, time.Now()) {
+			if p.tally.Allow("broker "+code, time.Now()) {
 				slog.Warn("broker", "addr", host(addr), "code", code)
 			}
 			p.connect()
@@ -437,7 +437,7 @@
 
 // sweep does what is due now and then.
 func (p *Part) sweep() {
-	p.tally.Rest(time.Now(), func(kind string, more int) { slog.Info("messages", "code", kind, "more", more) })
+	p.tally.FlushSuppressed(time.Now(), func(kind string, more int) { slog.Info("messages", "code", kind, "more", more) })
 	if p.session != nil && !p.leaving && p.routes.Return(p.Now()) && len(p.jobs) == 0 {
 		p.session.close("returning")
 	}
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -45,7 +45,7 @@
 // Main carries a command line out and gives the exit code: 0 done, 1 failed or something is wrong, 2 a command line
 // that can't be read. With no arguments it serves; the platform starts it so, and the parser is not even built then.
 func Main(args []string, out, errs io.Writer) int {
-	defer logline.End()
+	defer logline.Flush()
 	if len(args) == 0 {
 		return serve("", "")
 	}
@@ -103,7 +103,7 @@
 func serve(operated, format string) int {
 	err := life.Run(os.Getenv("RELAY_CONFIG"), operated, format)
 	if errors.Is(err, life.ErrFleetNotLinked) {
-		logline.End()
+		logline.Flush()
 		err = over(sibling)
 	}
 	if started(err) != nil {
--- a/internal/fleet/gossip/part.go
+++ b/internal/fleet/gossip/part.go
@@ -101,7 +101,7 @@
 	ousted   bool
 	closed   chan struct{}
 	listens  []func(*members.View)
-	tally    logline.Tally[string]
+	tally    logline.Sampler[string]
 	steps    map[string]uint64
 	standing members.Standing
 	began    time.Time
@@ -239,7 +239,7 @@
 		}
 	}
 	p.after()
-	p.tally.Rest(p.Wall(), func(step string, more int) { slog.Info("members", "step", step, "more", more) })
+	p.tally.FlushSuppressed(p.Wall(), func(step string, more int) { slog.Info("members", "step", step, "more", more) })
 	if !p.Ended() {
 		p.At(p.Now()+look, p.look)
 	}
@@ -269,7 +269,7 @@
 	for _, c := range p.table.Changes() {
 		step := fmt.Sprintf("%v-%v", c.Was, c.Is)
 		p.steps[step]++
-		if p.tally.Line(step, p.Wall()) {
+		if p.tally.Allow(step, p.Wall()) {
 			slog.Info("member", "name", string(c.Name), "incarnation", uint64(c.Incarnation), "was", c.Was, "is", c.Is, "why", string(c.Why), "view", c.Version)
 		}
 	}
@@ -382,7 +382,7 @@
 				if n > 0 {
 					p.table.Answered(p.Now())
 					p.table.Heard(host(addr))
-				} else if p.tally.Line("call-failed", p.Wall()) {
+				} else if p.tally.Allow("call-failed", p.Wall()) {
 					slog.Info("call-failed", "addr", addr, "err", err)
 				}
 			})
--- a/internal/fleet/gossip/transport.go
+++ b/internal/fleet/gossip/transport.go
@@ -108,7 +108,7 @@
 // lines has the library's own log come as lines of ours, few a second of each kind: what a stranger sends must not fill it.
 type lines struct {
 	mu    sync.Mutex
-	tally logline.Tally[string]
+	tally logline.Sampler[string]
 	count map[string]uint64
 	// former hears the address of a member that called the life before ours. Set before the library writes.
 	former func(addr string)
@@ -146,8 +146,8 @@
 		return len(b), nil
 	}
 	now := time.Now()
-	l.tally.Rest(now, func(code string, more int) { slog.Info("gossip", "code", code, "more", more) })
-	if l.tally.Line(code, now) {
+	l.tally.FlushSuppressed(now, func(code string, more int) { slog.Info("gossip", "code", code, "more", more) })
+	if l.tally.Allow(code, now) {
 		const enough = 200 // bytes: the library's lines name an address and a cause
 		text = text[:min(len(text), enough)]
 		slog.Info("gossip", "code", code, "text", strings.ToValidUTF8(text, "?"))
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -32,7 +32,7 @@
 	open    map[*op]bool
 	leaving bool
 	counts  map[string]uint64
-	tally   logline.Tally[string]
+	tally   logline.Sampler[string]
 }
 
 // op is one that is elsewhere.
@@ -70,7 +70,7 @@
 		p.passer.Query()
 		p.passer.Query()
 	}
-	p.tally.Rest(p.loop.Wall(), func(what string, more int) { slog.Info("handover", "what", what, "more", more) })
+	p.tally.FlushSuppressed(p.loop.Wall(), func(what string, more int) { slog.Info("handover", "what", what, "more", more) })
 	p.loop.At(p.loop.Now()+50*time.Millisecond, p.look)
 }
 
@@ -82,7 +82,7 @@
 
 func (p *Part) note(what string) {
 	p.counts[what]++
-	if p.tally.Line(what, p.loop.Wall()) {
+	if p.tally.Allow(what, p.loop.Wall()) {
 		slog.Info("handover", "what", what, "so_far", p.counts[what])
 	}
 }
--- a/internal/identity/door.go
+++ b/internal/identity/door.go
@@ -69,7 +69,7 @@
 	gate       *rights.Gate
 	office     *tokens.Office
 	jobs       chan job
-	tally      logline.Tally[rights.Reason]
+	tally      logline.Sampler[rights.Reason]
 	counts     map[rights.Reason]uint64
 	admitted   uint64
 	later      uint64
@@ -345,7 +345,7 @@
 // deny counts a denial and leaves its line.
 func (d *Door) deny(name rights.Name, ask Ask, why rights.Reason) Verdict {
 	d.counts[why]++
-	if _, wall := d.clock(); d.tally.Line(why, wall) {
+	if _, wall := d.clock(); d.tally.Allow(why, wall) {
 		slog.Warn("denied", "why", why, "caller", clip(string(name)), "type", clip(string(ask.Type)), "tenant", clip(string(ask.Tenant)))
 	}
 	return Verdict{Why: why}
@@ -380,7 +380,7 @@
 	if d.office != nil {
 		d.office.Expire(now, false)
 	}
-	d.tally.Rest(wall, func(why rights.Reason, more int) { slog.Warn("denials", "why", why, "more", more) })
+	d.tally.FlushSuppressed(wall, func(why rights.Reason, more int) { slog.Warn("denials", "why", why, "more", more) })
 	if now-d.said >= often {
 		d.said = now
 		d.Say()
--- a/internal/life/beside.go
+++ b/internal/life/beside.go
@@ -28,7 +28,7 @@
 // that for whoever reads why it did not start.
 func StartStandalone(operatorPath, logFormat, want string, enabled func(*operator.Operator) bool) (signals SignalChannels, operatorConfig OperatorConfig, err error) {
 	signals = notifySignals()
-	logline.Serve(os.Stderr, logFormat)
+	logline.Setup(os.Stderr, logFormat)
 	if operatorConfig, err = LoadOperatorConfig(operatorPath); err != nil {
 		return signals, operatorConfig, err
 	}
@@ -36,7 +36,7 @@
 		return signals, operatorConfig, fault.List{{File: operatorPath, Want: want}}
 	}
 	if logFormat == "" {
-		logline.Serve(os.Stderr, operatorConfig.File.Log.Format)
+		logline.Setup(os.Stderr, operatorConfig.File.Log.Format)
 	}
 	return signals, operatorConfig, nil
 }
--- a/internal/logline/behind_test.go
+++ b/internal/logline/behind_test.go
@@ -10,8 +10,8 @@
 // A reader that stops holds up nobody who logs. What there is no room for is counted, and said once it reads again.
 func Example_behind() {
 	r, w := io.Pipe()
-	q := Behind(w)
-	for i := range mostLines + 10 { // one line is being written, the rest wait, some are dropped
+	q := newAsyncWriter(w)
+	for i := range maxQueuedLines + 10 { // one line is being written, the rest wait, some are dropped
 		if i == 1 {
 			for len(q.lines) > 0 { // the first has been taken by then
 				time.Sleep(time.Millisecond)
@@ -20,7 +20,7 @@
 		fmt.Fprintln(q, "line", i)
 	}
 	q.Flush(time.Millisecond) // in vain
-	fmt.Println("wait:", q.waiting.Load())
+	fmt.Println("wait:", q.unwritten.Load())
 	go func() {
 		q.Flush(time.Minute)
 		w.Close()
--- a/internal/logline/logline.go
+++ b/internal/logline/logline.go
@@ -8,60 +8,60 @@
 	"time"
 )
 
-// Start has all of the program log to w: key=value text, or JSON objects if format is "json". Times are in UTC.
-func Start(w io.Writer, format string) {
-	how := &slog.HandlerOptions{ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
+// setDefault has all of the program log to w: key=value text, or JSON objects if format is "json". Times are in UTC.
+func setDefault(w io.Writer, format string) {
+	options := &slog.HandlerOptions{ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
 		if a.Key == slog.TimeKey && len(groups) == 0 {
 			a.Value = slog.TimeValue(a.Value.Time().UTC())
 		}
 		return a
 	}}
-	var to slog.Handler = slog.NewTextHandler(w, how)
+	var handler slog.Handler = slog.NewTextHandler(w, options)
 	if format == "json" {
-		to = slog.NewJSONHandler(w, how)
+		handler = slog.NewJSONHandler(w, options)
 	}
-	slog.SetDefault(slog.New(to))
+	slog.SetDefault(slog.New(handler))
 }
 
-// few is how many lines a second one kind may leave; a handful shows who and how.
-const few = 4
+// linesPerWindow is how many lines a second one kind may leave; a handful shows who and how.
+const linesPerWindow = 4
 
-// most is how many kinds are told apart within a second. Kinds are codes and reasons of ours, some dozens in all.
-const most = 256
+// maxKeys is how many kinds are told apart within a second. Kinds are codes and reasons of ours, some dozens in all.
+const maxKeys = 256
 
-// Tally lets a few lines a second of each kind through and counts the rest. Danger: what comes by the hundred would fill
+// Sampler lets a few lines a second of each kind through and counts the rest. Danger: what comes by the hundred would fill
 // the log with its lines, and the core with writing them. It belongs to one goroutine.
-type Tally[K comparable] struct {
-	counts map[K]int
-	began  time.Time // when this second began
+type Sampler[K comparable] struct {
+	counts      map[K]int
+	windowStart time.Time // when this second began
 }
 
-// Line counts one of kind k and tells whether it may leave a line of its own.
-func (t *Tally[K]) Line(k K, now time.Time) bool {
+// Allow counts one of kind k and tells whether it may leave a line of its own.
+func (t *Sampler[K]) Allow(key K, now time.Time) bool {
 	if t.counts == nil {
 		t.counts = map[K]int{}
 	}
 	if len(t.counts) == 0 {
-		t.began = now
+		t.windowStart = now
 	}
-	if _, known := t.counts[k]; !known && len(t.counts) >= most {
+	if _, known := t.counts[key]; !known && len(t.counts) >= maxKeys {
 		return false
 	}
-	t.counts[k]++
-	return t.counts[k] <= few
+	t.counts[key]++
+	return t.counts[key] <= linesPerWindow
 }
 
-// Waits tells whether something was counted since the last second ended.
-func (t *Tally[K]) Waits() bool { return len(t.counts) > 0 }
+// HasPending tells whether something was counted since the last second ended.
+func (t *Sampler[K]) HasPending() bool { return len(t.counts) > 0 }
 
-// Rest says, once a second, how many more there were of each kind than left lines.
-func (t *Tally[K]) Rest(now time.Time, say func(k K, more int)) {
-	if len(t.counts) == 0 || now.Sub(t.began) <= time.Second {
+// FlushSuppressed says, once a second, how many more there were of each kind than left lines.
+func (t *Sampler[K]) FlushSuppressed(now time.Time, report func(key K, more int)) {
+	if len(t.counts) == 0 || now.Sub(t.windowStart) <= time.Second {
 		return
 	}
-	for k, count := range t.counts {
-		if count > few {
-			say(k, count-few)
+	for key, count := range t.counts {
+		if count > linesPerWindow {
+			report(key, count-linesPerWindow)
 		}
 	}
 	clear(t.counts)
--- a/internal/wire/link.go
+++ b/internal/wire/link.go
@@ -56,7 +56,7 @@
 	secure *secure // nil: no listener with TLS
 	dirty  []*Link
 	dials  map[string]chan func() // those that wait, by party; the owner's
-	ends   logline.Tally[end]     // connections that ended in this second
+	ends   logline.Sampler[end]   // connections that ended in this second
 	stubs  atomic.Int64           // connections that were accepted and are not closed
 	calls  atomic.Int64           // those that stand or are being opened by us
 	unread atomic.Int64           // bytes of all connections that their peers have not taken yet
@@ -144,8 +144,8 @@
 		l.flush()
 	}
 	n.dirty = n.dirty[:0]
-	if n.ends.Waits() {
-		n.ends.Rest(time.Now(), func(e end, more int) {
+	if n.ends.HasPending() {
+		n.ends.FlushSuppressed(time.Now(), func(e end, more int) {
 			slog.Info("ends", "party", e.party, "code", e.code, "more", more)
 		})
 	}
@@ -610,7 +610,7 @@
 	default:
 		code = "never-reads"
 	}
-	if now := time.Now(); l.net.ends.Line(end{l.party, code}, now) {
+	if now := time.Now(); l.net.ends.Allow(end{l.party, code}, now) {
 		slog.Info("end", "party", l.party, "code", code, "open_ms", now.Sub(l.began).Milliseconds())
 	}
 	if l.out != nil {
