--- a/internal/amqp/amqp_test.go
+++ b/internal/amqp/amqp_test.go
@@ -57,7 +57,7 @@
 		return nil
 	}
 	c.run(body)
-	c.At(c.Now()+time.Millisecond, func() {
+	c.ScheduleAt(c.Now()+time.Millisecond, func() {
 		owed.Answer([]byte("done "+body), front.With{})
 		owed.Settled()
 	})
@@ -73,7 +73,7 @@
 func (c *core) Gone(front.Op)    {}
 func (c *core) Load() front.Load { return c.load }
 
-func (c *core) set(load func(*front.Load)) { c.Hand(func() { load(&c.load) }) }
+func (c *core) set(load func(*front.Load)) { c.Post(func() { load(&c.load) }) }
 
 // stage is a front between a broker and a core.
 type stage struct {
@@ -103,7 +103,7 @@
 }
 
 func open(b *broker.Broker, c *core, t Told) *stage {
-	s := &stage{b, c, New(t, c, c.Hand, 1)}
+	s := &stage{b, c, New(t, c, c.Post, 1)}
 	s.part.Start()
 	return s
 }
@@ -112,7 +112,7 @@
 	s.part.Leave(time.Second)
 	standin.Until("the end of the front", s.part.Closed)
 	s.broker.Close()
-	s.core.Hand(s.core.Over)
+	s.core.Post(s.core.Quit)
 }
 
 func message(id, kind string) client.Publishing {
@@ -346,7 +346,7 @@
 			b.Silence(true)
 		}
 		began := time.Now()
-		c.Hand(func() {
+		c.Post(func() {
 			mu.Lock()
 			defer mu.Unlock()
 			for i, end := range held {
@@ -362,7 +362,7 @@
 			fmt.Println("connections", standing, b.Wrong())
 		}
 		b.Close()
-		c.Hand(c.Over)
+		c.Post(c.Quit)
 	}
 	// Output:
 	// well in time true
@@ -429,7 +429,7 @@
 	standin.Until("the other's end", func() bool { return b.Counts("ops").Acked == 1 })
 	b.Break()
 	standin.Until("both again", func() bool { x := b.Counts("ops"); return x.Redelivered == 2 && x.Unsettled == 2 })
-	c.Hand(func() {
+	c.Post(func() {
 		mu.Lock()
 		defer mu.Unlock()
 		for _, then := range end {
@@ -479,7 +479,7 @@
 
 func state(s *stage) string {
 	say := make(chan string)
-	s.part.Hand(func() { say <- s.part.desk.State("ops") })
+	s.part.Post(func() { say <- s.part.desk.State("ops") })
 	return <-say
 }
 
@@ -524,7 +524,7 @@
 	slow.behave = func(_ front.Ask, body string, owed front.Owed) {
 		slow.run(body)
 		slow.load.Held = 40 // it holds more than it has cores
-		slow.At(slow.Now()+300*time.Millisecond, func() { owed.Answer([]byte("slow"), front.With{}); owed.Settled() })
+		slow.ScheduleAt(slow.Now()+300*time.Millisecond, func() { owed.Answer([]byte("slow"), front.With{}); owed.Settled() })
 	}
 	one, two := open(b, slow, told(b)), open(b, fast, told(b))
 	for i := range 300 {
--- a/internal/amqp/golden_test.go
+++ b/internal/amqp/golden_test.go
@@ -178,7 +178,7 @@
 	standin.Until("one in hand", func() bool { mu.Lock(); defer mu.Unlock(); return held["view"] != nil })
 	b.Publish("ops", twice)
 	standin.Until("all but one answer", func() bool { return b.Counts("replies").Ready == 9 })
-	c.Hand(held["view"])
+	c.Post(held["view"])
 	s.settled("ops")
 	standin.Until("all answers", func() bool {
 		return b.Counts("replies").Ready == 10 &&
@@ -222,7 +222,7 @@
 	b.Publish("ops", late)
 	s.settled("ops")
 	say := make(chan map[string]uint64, 1)
-	s.part.Hand(func() { say <- s.part.snapshot().Counts })
+	s.part.Post(func() { say <- s.part.snapshot().Counts })
 	counts := <-say
 	if counts["acked"] != 1 || counts["past-due"] != 1 ||
 		counts["joined"]+counts["repeated"]+counts["answered-again"] != 1 || len(counts) != 3 {
--- a/internal/amqp/part.go
+++ b/internal/amqp/part.go
@@ -90,7 +90,7 @@
 	if p.told.Watch != "" {
 		watch.Serve(p.told.Watch, p.closed, p.show)
 	}
-	p.Hand(func() {
+	p.Post(func() {
 		p.connect()
 		p.look()
 	})
@@ -104,7 +104,7 @@
 // Leave is the notice to drain: consuming stops at once; what was not started goes back, what runs is answered, and all is
 // closed by last, a time from now.
 func (p *Part) Leave(last time.Duration) {
-	p.Hand(func() {
+	p.Post(func() {
 		if p.leaving {
 			return
 		}
@@ -138,7 +138,7 @@
 			}
 		}
 		wait := func() {
-			p.Over()
+			p.Quit()
 			close(p.closed)
 		}
 		if s == nil {
@@ -148,7 +148,7 @@
 		s.whenClosed(wait)
 		return
 	}
-	p.At(p.Now()+5*time.Millisecond, p.part)
+	p.ScheduleAt(p.Now()+5*time.Millisecond, p.part)
 }
 
 // look asks the core how it stands, and goes by it.
@@ -159,7 +159,7 @@
 	p.asking = true
 	p.hand(func() {
 		load := p.core.Load()
-		p.Hand(func() {
+		p.Post(func() {
 			p.asking = false
 			load.Leaving = load.Leaving || p.leaving
 			was := p.desk.Closed()
@@ -169,8 +169,8 @@
 			}
 			p.apply()
 			p.sweep()
-			if !p.Ended() {
-				p.At(p.Now()+intake.Every, p.look)
+			if !p.HasQuit() {
+				p.ScheduleAt(p.Now()+intake.Every, p.look)
 			}
 		})
 	})
@@ -275,7 +275,7 @@
 	}
 	fate := p.fate(j, how, with.After)
 	if fate.Wait > 0 {
-		p.At(p.Now()+fate.Wait, func() { p.settle(j, result, fate, with.Why) })
+		p.ScheduleAt(p.Now()+fate.Wait, func() { p.settle(j, result, fate, with.Why) })
 		return
 	}
 	p.settle(j, result, fate, with.Why)
@@ -357,7 +357,7 @@
 func (p *Part) paced(step func()) {
 	p.slow = append(p.slow, step)
 	if len(p.slow) == 1 {
-		p.At(p.Now()+paceTick, p.release)
+		p.ScheduleAt(p.Now()+paceTick, p.release)
 	}
 }
 
@@ -371,7 +371,7 @@
 	}
 	p.slow = append(p.slow[:0], p.slow[n:]...)
 	if len(p.slow) > 0 {
-		p.At(p.Now()+paceTick, p.release)
+		p.ScheduleAt(p.Now()+paceTick, p.release)
 	}
 }
 
@@ -411,7 +411,7 @@
 	}
 	addr, wait := p.routes.Pick(p.Now())
 	if wait > 0 {
-		p.At(p.Now()+wait, p.connect)
+		p.ScheduleAt(p.Now()+wait, p.connect)
 		return
 	}
 	p.gen++
@@ -469,7 +469,7 @@
 	if result != nil {
 		result = append(make([]byte, 0, len(result)), result...)
 	}
-	j.part.Hand(func() { j.part.outcome(j, how, result, with) })
+	j.part.Post(func() { j.part.outcome(j, how, result, with) })
 }
 
 func (j *job) Answer(result []byte, with front.With) { j.tell(intake.Acked, result, with) }
--- a/internal/amqp/session.go
+++ b/internal/amqp/session.go
@@ -75,7 +75,7 @@
 		s := &session{p: p, no: no, addr: addr, chans: map[intake.QueueName]*channel{}, confirms: map[uint64]func(){}}
 		s.wake = sync.NewCond(&s.mu)
 		err := s.dial()
-		p.Hand(func() {
+		p.Post(func() {
 			if err != nil {
 				if s.raw != nil {
 					s.raw.Close()
@@ -164,7 +164,7 @@
 	}()
 	go func() {
 		for b := range blocked {
-			s.p.Hand(func() {
+			s.p.Post(func() {
 				s.blocked = b.Active
 				slog.Warn("broker", "addr", host(s.addr), "code", map[bool]string{true: "blocked", false: "unblocked"}[b.Active])
 			})
@@ -183,7 +183,7 @@
 			}
 			s.raw.Close()
 		}
-		s.p.Hand(func() { s.end(code) })
+		s.p.Post(func() { s.end(code) })
 	}()
 	return nil
 }
@@ -276,7 +276,7 @@
 		case <-time.After(enough):
 		}
 		s.raw.Close()
-		s.p.Hand(func() { s.end(code) })
+		s.p.Post(func() { s.end(code) })
 	}()
 }
 
@@ -294,7 +294,7 @@
 	s.p.gen++
 	c := &channel{no: s.p.gen, queue: q, wanted: s.p.desk.Limit(q.Name), backoff: after}
 	s.chans[q.Name] = c
-	s.p.At(s.p.Now()+after, func() {
+	s.p.ScheduleAt(s.p.Now()+after, func() {
 		if s.ended || s.closing {
 			return
 		}
@@ -307,7 +307,7 @@
 			cancelled := ch.NotifyCancel(make(chan string, 8))
 			go func() {
 				for range cancelled {
-					s.p.Hand(func() {
+					s.p.Post(func() {
 						slog.Warn("queue", "queue", q.Name, "code", "cancelled")
 						s.reopen(c)
 					})
@@ -315,14 +315,14 @@
 			}()
 			go func() {
 				e := <-closed
-				s.p.Hand(func() {
+				s.p.Post(func() {
 					if e != nil && s.chans[q.Name] == c {
 						slog.Warn("queue", "queue", q.Name, "code", "amqp-"+strconv.Itoa(e.Code), "err", clip(e.Reason))
 					}
 					s.reopen(c)
 				})
 			}()
-			s.p.Hand(func() {
+			s.p.Post(func() {
 				c.ch = ch
 				s.limit(q.Name, c.wanted)
 			})
@@ -394,7 +394,7 @@
 			m.ID = intake.MessageID(fmt.Sprintf("unread:%d:%d", tag.Connection, tag.Delivery))
 		}
 		redelivered := d.Redelivered
-		s.p.Hand(func() { s.p.came(c.queue, m, tag, redelivered) })
+		s.p.Post(func() { s.p.came(c.queue, m, tag, redelivered) })
 	}
 }
 
@@ -489,6 +489,6 @@
 	s.answers--
 	s.mu.Unlock()
 	if then != nil && c.Ack {
-		s.p.Hand(then)
+		s.p.Post(then)
 	}
 }
--- a/internal/amqp/watch.go
+++ b/internal/amqp/watch.go
@@ -44,7 +44,7 @@
 // show answers one who asks.
 func (p *Part) show(c net.Conn) {
 	came := make(chan Snapshot, 1)
-	p.Hand(func() { came <- p.snapshot() })
+	p.Post(func() { came <- p.snapshot() })
 	select {
 	case s := <-came:
 		_ = json.NewEncoder(c).Encode(s)
--- a/internal/below/below.go
+++ b/internal/below/below.go
@@ -173,7 +173,7 @@
 		// A limit that ran out is told once, as one that was given.
 		s.note(now)
 	}
-	p.loop.At(now+10*time.Millisecond, p.look) // a hundredth of what a grant holds at the least
+	p.loop.ScheduleAt(now+10*time.Millisecond, p.look) // a hundredth of what a grant holds at the least
 }
 
 func (s *service) note(now time.Duration) {
@@ -221,11 +221,11 @@
 		return
 	}
 	p.Counts.Running++
-	p.loop.At(max(now, c.began+c.longest), c.back)
+	p.loop.ScheduleAt(max(now, c.began+c.longest), c.back)
 }
 
 func (c *place) back() {
 	c.s.open--
 	// What waits is given the room in a turn of its own: whoever gives it back is in the middle of something.
-	c.s.p.loop.At(c.s.p.loop.Now(), c.s.p.freed)
+	c.s.p.loop.ScheduleAt(c.s.p.loop.Now(), c.s.p.freed)
 }
--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -56,7 +56,7 @@
 	if !o.File.Fleet.Enabled { // services at told addresses need nobody else
 		services := below.New(in.Loop, o.File.Upstream.Config, members.ID{}, config.Seed, nil)
 		in.UseUpstreams(services)
-		in.Hand(services.Start)
+		in.Post(services.Start)
 		return func(*life.OperatorConfig) {}, nil
 	}
 	part, err := gossip.New(Told(&o.File.Fleet, config.Name, config.ListenAddr, o.ClusterKeys), &instance{in}, config.Seed)
@@ -74,17 +74,17 @@
 	}
 	if o.File.Upstream.Enabled {
 		below := below.New(in.Loop, o.File.Upstream.Config, part.View().Self.ID(), config.Seed, part.AskDesk)
-		part.Grants = func(g grants.Grant) { in.Hand(func() { below.Granted(g) }) }
+		part.Grants = func(g grants.Grant) { in.Post(func() { below.Granted(g) }) }
 		seeing(part, in.Loop, below.See)
 		in.UseUpstreams(below)
-		in.Hand(below.Start)
+		in.Post(below.Start)
 	}
 	in.AddFrontend(part)
 	slog.Info("fleet", "name", string(part.View().Self.Name), "listen", o.File.Fleet.ListenAddress, "seeds", len(o.File.Fleet.Config.Seeds), "keys", len(o.ClusterKeys))
 	return func(o *life.OperatorConfig) {
 		part.Put(Told(&o.File.Fleet, config.Name, config.ListenAddr, o.ClusterKeys))
 		if over != nil {
-			in.Hand(func() { over.Put(o.File.Spillover.Config) })
+			in.Post(func() { over.Put(o.File.Spillover.Config) })
 		}
 	}, nil
 }
@@ -93,7 +93,7 @@
 type instance struct{ in *keep.Server }
 
 func (i *instance) Report(then func(gossip.Report)) {
-	i.in.Hand(func() {
+	i.in.Post(func() {
 		l := i.in.Load()
 		health := 0.0
 		if l.Well {
@@ -105,7 +105,7 @@
 }
 
 func (i *instance) Load(then func(float64, gossip.Figures)) {
-	i.in.Hand(func() {
+	i.in.Post(func() {
 		f := i.in.Stats()
 		figures := gossip.Figures{Done: float64(f.Answered), Well: float64(f.WithinObjective), Took: f.TotalLatency.Seconds()}
 		if l := i.in.Load(); l.Held+l.Running > 0 {
@@ -117,13 +117,13 @@
 }
 
 func (i *instance) Drain(number uint64) {
-	i.in.Hand(func() {
+	i.in.Post(func() {
 		slog.Info("permitted", "permit", number)
 		i.in.Drain()
 	})
 }
 
-func (i *instance) Fenced() { i.in.Hand(i.in.Drain) }
+func (i *instance) Fenced() { i.in.Post(i.in.Drain) }
 
 // desked runs a desk.
 func desked(operated, format string) error {
@@ -177,8 +177,8 @@
 	var waits atomic.Bool
 	part.Subscribe(func(*members.View) {
 		if waits.CompareAndSwap(false, true) {
-			l.Hand(func() {
-				l.At(l.Now()+100*time.Millisecond, func() {
+			l.Post(func() {
+				l.ScheduleAt(l.Now()+100*time.Millisecond, func() {
 					waits.Store(false)
 					see(part.View())
 				})
@@ -190,7 +190,7 @@
 // asks is how others are asked how they stand.
 func asks(part *gossip.Part) pass.Ask {
 	return func(name members.Name, then func(float64, time.Duration)) {
-		part.Hand(func() { part.Ask(name, then) })
+		part.Post(func() { part.Ask(name, then) })
 	}
 }
 
@@ -198,17 +198,17 @@
 type relaying struct{ r *relay.Relay }
 
 func (p *relaying) Report(then func(gossip.Report)) {
-	p.r.Hand(func() {
+	p.r.Post(func() {
 		l := p.r.Load()
 		then(gossip.Report{Ready: l.Up, Leaving: l.Leaving, Facts: []members.Fact{{Key: "passing", Value: float64(l.Running)}}})
 	})
 }
 
 func (p *relaying) Load(then func(float64, gossip.Figures)) {
-	p.r.Hand(func() { then(float64(p.r.Load().Running), gossip.Figures{}) })
+	p.r.Post(func() { then(float64(p.r.Load().Running), gossip.Figures{}) })
 }
-func (p *relaying) Fenced()      { p.r.Hand(p.r.Leave) }
-func (p *relaying) Drain(uint64) { p.r.Hand(p.r.Leave) }
+func (p *relaying) Fenced()      { p.r.Post(p.r.Leave) }
+func (p *relaying) Drain(uint64) { p.r.Post(p.r.Leave) }
 
 // show prints how a process sees its fleet, and how far others' views are from its.
 func show(f operator.Fleet, against []string, asJSON bool, out io.Writer) error {
--- a/internal/command/further/golden_test.go
+++ b/internal/command/further/golden_test.go
@@ -275,7 +275,7 @@
 	}
 	go in.Serve()
 	go r.Serve()
-	t.Cleanup(func() { in.Hand(in.Over); r.Hand(r.Over) })
+	t.Cleanup(func() { in.Post(in.Quit); r.Post(r.Quit) })
 	var text strings.Builder
 	for _, p := range []gossip.Process{&instance{in}, &relaying{r}} {
 		report := make(chan gossip.Report, 1)
--- a/internal/fleet/desk/desk.go
+++ b/internal/fleet/desk/desk.go
@@ -35,7 +35,7 @@
 	d.part = part
 	d.desk = grants.NewDesk(d.told, part.View().Self.Life, d.Now())
 	part.Desk = func(a grants.Ask, answer func(grants.Grant)) {
-		d.Hand(func() {
+		d.Post(func() {
 			if g, ok := d.desk.Asked(d.Now(), a); ok {
 				answer(g)
 			}
@@ -43,17 +43,17 @@
 	}
 	part.Subscribe(func(v *members.View) {
 		if v.Standing == members.Ousted { // Danger: two that grant the same calls
-			d.Hand(d.desk.Oust)
+			d.Post(d.desk.Oust)
 		}
 	})
 }
 
 // Retell takes values that were told anew.
-func (d *Desk) Retell(told grants.Told) { d.Hand(func() { d.desk.Retell(told, d.Now()) }) }
+func (d *Desk) Retell(told grants.Told) { d.Post(func() { d.desk.Retell(told, d.Now()) }) }
 
 // Serve runs the loop until the desk has left.
 func (d *Desk) Serve() {
-	d.Hand(func() { d.note() })
+	d.Post(func() { d.note() })
 	go d.look()
 	d.Run(func() {})
 }
@@ -65,7 +65,7 @@
 		if err == nil {
 			c.Close()
 		}
-		d.Hand(func() {
+		d.Post(func() {
 			if up := err == nil; up != d.up {
 				d.up = up
 				slog.Info("service", "addr", d.service, "up", up)
@@ -82,12 +82,12 @@
 		d.calls = calls
 		slog.Info("granted", "calls", calls, "of", d.told.Room(), "holders", holders, "quiet", d.desk.Quiet(d.Now()))
 	}
-	d.At(d.Now()+time.Second, d.note)
+	d.ScheduleAt(d.Now()+time.Second, d.note)
 }
 
 // Report is gossip.Process.
 func (d *Desk) Report(then func(gossip.Report)) {
-	d.Hand(func() {
+	d.Post(func() {
 		calls, holders := d.desk.Granted(d.Now())
 		then(gossip.Report{Ready: d.up, Leaving: d.leaving, Facts: []members.Fact{{Key: "cap", Value: float64(d.told.Cap)},
 			{Key: "granted", Value: float64(calls)}, {Key: "holders", Value: float64(holders)}}})
@@ -96,17 +96,17 @@
 
 // Load is gossip.Process.
 func (d *Desk) Load(then func(float64, gossip.Figures)) {
-	d.Hand(func() {
+	d.Post(func() {
 		calls, _ := d.desk.Granted(d.Now())
 		then(float64(calls), gossip.Figures{})
 	})
 }
 
 // Drain is gossip.Process: what was granted runs out, and the service is no member's any more.
-func (d *Desk) Drain(number uint64) { d.Hand(func() { d.Leave(time.Second) }) }
+func (d *Desk) Drain(number uint64) { d.Post(func() { d.Leave(time.Second) }) }
 
 // Fenced is gossip.Process.
-func (d *Desk) Fenced() { d.Hand(d.desk.Oust) }
+func (d *Desk) Fenced() { d.Post(d.desk.Oust) }
 
 // Leave is the notice to go: what was granted runs out by itself.
 func (d *Desk) Leave(within time.Duration) {
@@ -121,8 +121,8 @@
 
 func (d *Desk) left(last time.Duration) {
 	if d.part.Closed() || d.Now() >= last {
-		d.Over()
+		d.Quit()
 		return
 	}
-	d.At(d.Now()+10*time.Millisecond, func() { d.left(last) })
+	d.ScheduleAt(d.Now()+10*time.Millisecond, func() { d.left(last) })
 }
--- a/internal/fleet/desk/golden_test.go
+++ b/internal/fleet/desk/golden_test.go
@@ -22,7 +22,7 @@
 		d.Run(func() {})
 		close(done)
 	}()
-	d.Hand(func() {
+	d.Post(func() {
 		d.desk.Asked(d.Now(), grants.Ask{Who: members.ID{Name: "n1", Life: 1}, Seq: 1, Wants: 3})
 	})
 	got := make(chan gossip.Report, 1)
@@ -37,6 +37,6 @@
 	if x := <-load; x != 3 {
 		t.Error(x)
 	}
-	d.Hand(d.Over)
+	d.Post(d.Quit)
 	<-done
 }
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -238,7 +238,7 @@
 			{Key: "health", Value: 0.75, Holds: 4 * time.Second},
 			{Key: "held", Value: 12, Holds: time.Second},
 		}}, 0, 2*time.Second)
-	p.Stand(3500 * time.Millisecond)
+	p.SetNow(3500 * time.Millisecond)
 	p.after()
 	counters := []*atomic.Uint64{&p.net.in, &p.net.out, &p.net.inBytes, &p.net.outBytes, &p.net.kept,
 		&p.dropped, &p.bad, &p.refused}
--- a/internal/fleet/gossip/part.go
+++ b/internal/fleet/gossip/part.go
@@ -209,7 +209,7 @@
 		watch.Serve(p.told.Watch, p.closed, p.show)
 	}
 	go p.call()
-	p.Hand(func() {
+	p.Post(func() {
 		p.look()
 		p.reach()
 		p.publish()
@@ -239,9 +239,9 @@
 		}
 	}
 	p.after()
-	p.tally.FlushSuppressed(p.Wall(), func(step string, more int) { slog.Info("members", "step", step, "more", more) })
-	if !p.Ended() {
-		p.At(p.Now()+look, p.look)
+	p.tally.FlushSuppressed(p.WallTime(), func(step string, more int) { slog.Info("members", "step", step, "more", more) })
+	if !p.HasQuit() {
+		p.ScheduleAt(p.Now()+look, p.look)
 	}
 }
 
@@ -269,7 +269,7 @@
 	for _, c := range p.table.Changes() {
 		step := fmt.Sprintf("%v-%v", c.Was, c.Is)
 		p.steps[step]++
-		if p.tally.Allow(step, p.Wall()) {
+		if p.tally.Allow(step, p.WallTime()) {
 			slog.Info("member", "name", string(c.Name), "incarnation", uint64(c.Incarnation), "was", c.Was, "is", c.Is, "why", string(c.Why), "view", c.Version)
 		}
 	}
@@ -289,11 +289,11 @@
 
 // publish looks how we stand, and says so at the table's pace; at once where others have to know.
 func (p *Part) publish() {
-	if p.Ended() {
+	if p.HasQuit() {
 		return
 	}
 	p.process.Report(func(r Report) {
-		p.Hand(func() {
+		p.Post(func() {
 			if p.Now() >= p.next || r.Ready != (p.readyAt >= 0) || r.Leaving && !p.leaving {
 				p.bulletin(r)
 			} else if p.digest != p.table.Digest() && !p.leaving {
@@ -304,7 +304,7 @@
 		})
 	})
 	const often = 250 * time.Millisecond // how late a process that has come up is known to have
-	p.At(p.Now()+often, p.publish)
+	p.ScheduleAt(p.Now()+often, p.publish)
 }
 
 func (p *Part) bulletin(r Report) {
@@ -354,7 +354,7 @@
 
 // reach calls, once a second, whoever may be a part of the fleet that does not know of us.
 func (p *Part) reach() {
-	if p.Ended() {
+	if p.HasQuit() {
 		return
 	}
 	if addr, any := p.table.Reach(p.Now(), p.chance.Float64); any && !p.calling && !p.leaving && !p.ousted {
@@ -365,7 +365,7 @@
 	if p.table.View().Len() == 0 { // alone: soon, and not all at the same moment
 		pause = time.Duration((0.1 + 0.4*p.chance.Float64()) * float64(time.Second))
 	}
-	p.At(p.Now()+pause, p.reach)
+	p.ScheduleAt(p.Now()+pause, p.reach)
 }
 
 // call is the one goroutine that calls.
@@ -376,13 +376,13 @@
 			return
 		case addr := <-p.calls:
 			n, err := p.list.Join([]string{addr})
-			p.Hand(func() {
+			p.Post(func() {
 				p.calling = false
 				p.table.Tried(addr, n > 0, p.Now(), p.chance.Float64)
 				if n > 0 {
 					p.table.Answered(p.Now())
 					p.table.Heard(host(addr))
-				} else if p.tally.Allow("call-failed", p.Wall()) {
+				} else if p.tally.Allow("call-failed", p.WallTime()) {
 					slog.Info("call-failed", "addr", addr, "err", err)
 				}
 			})
@@ -392,7 +392,7 @@
 
 // AskDesk asks the desk beside a service below for calls. Any goroutine may call it; the answer, if one comes, goes to Grants.
 func (p *Part) AskDesk(name members.Name, a grants.Ask) {
-	p.Hand(func() {
+	p.Post(func() {
 		if m, known := p.table.View().Get(name); known {
 			_ = p.list.SendToAddress(memberlist.Address{Addr: m.Addr, Name: m.ID().String()}, packAsk(a, m.ID(), p.table.Self().Addr))
 		}
@@ -418,7 +418,7 @@
 
 // Nudge tells one life of a member that it has a permit, or that it has begun it. Any goroutine may call it.
 func (p *Part) Nudge(name members.Name, of members.Incarnation, number uint64, begun bool) {
-	p.Hand(func() {
+	p.Post(func() {
 		if m, known := p.table.View().Get(name); known && m.Incarnation == of {
 			self := p.table.Self()
 			_ = p.list.SendToAddress(memberlist.Address{Addr: m.Addr, Name: m.ID().String()}, pack(kindPermit, permit{m.ID().String(), self.ID().String(), self.Addr, number, begun}))
@@ -440,7 +440,7 @@
 
 // Put takes values that were told anew: keys, seeds and times. What it listens on and is called holds from the next start.
 func (p *Part) Put(told Told) {
-	p.Hand(func() {
+	p.Post(func() {
 		turn := members.Turned(p.told.Keys, told.Keys)
 		if ring := p.conf.Keyring; ring != nil {
 			var err error
@@ -472,25 +472,25 @@
 
 // Leave is the notice to drain: it is said at once, and the fleet is left shortly before last, a time from now.
 func (p *Part) Leave(last time.Duration) {
-	p.Hand(func() {
+	p.Post(func() {
 		if p.leaving {
 			return
 		}
 		p.leaving = true
-		p.process.Report(func(r Report) { p.Hand(func() { p.bulletin(r) }) })
+		p.process.Report(func(r Report) { p.Post(func() { p.bulletin(r) }) })
 		// The word that we left takes some rounds of gossip; half a second of the end is for it.
 		const word = 500 * time.Millisecond
-		p.At(p.Now()+max(0, last-word), func() { go p.leave(min(last, word) / 2) })
+		p.ScheduleAt(p.Now()+max(0, last-word), func() { go p.leave(min(last, word) / 2) })
 	})
 }
 
 func (p *Part) leave(within time.Duration) {
 	p.depart(within)
-	p.Hand(func() {
-		if p.Ended() {
+	p.Post(func() {
+		if p.HasQuit() {
 			return
 		}
-		p.Over()
+		p.Quit()
 		close(p.closed)
 	})
 }
@@ -586,7 +586,7 @@
 // NotifyJoin is memberlist.EventDelegate.
 func (p *Part) NotifyJoin(n *memberlist.Node) {
 	if c, err := readClaim(n.Name, n.Address(), n.Meta); err == nil {
-		p.Hand(func() { p.claimed(c) })
+		p.Post(func() { p.claimed(c) })
 	}
 }
 
@@ -597,7 +597,7 @@
 func (p *Part) NotifyLeave(n *memberlist.Node) {
 	if id, ok := members.ReadID(n.Name); ok {
 		left := n.State == memberlist.StateLeft
-		p.Hand(func() {
+		p.Post(func() {
 			p.table.Lost(id, left, p.Now())
 			p.after()
 		})
@@ -615,7 +615,7 @@
 // NotifyPingComplete is memberlist.PingDelegate.
 func (p *Part) NotifyPingComplete(other *memberlist.Node, rtt time.Duration, payload []byte) {
 	b := append([]byte(nil), payload...)
-	p.Hand(func() {
+	p.Post(func() {
 		p.table.Answered(p.Now())
 		p.message(b, rtt/2)
 	})
@@ -629,7 +629,7 @@
 		return
 	}
 	b = append([]byte(nil), b...)
-	p.Hand(func() { p.message(b, 0) })
+	p.Post(func() { p.message(b, 0) })
 }
 
 // message reads one and hands it to the table; what is new goes on to others.
@@ -648,7 +648,7 @@
 			if err = unpack(body, &q); err == nil && q.To == p.table.Self().ID().String() {
 				p.process.Load(func(load float64, f Figures) {
 					b := pack(kindWord, word{q.Nonce, load, f.Done, f.Well, f.Took})
-					p.Hand(func() { _ = p.list.SendToAddress(memberlist.Address{Addr: q.Addr, Name: q.Who}, b) })
+					p.Post(func() { _ = p.list.SendToAddress(memberlist.Address{Addr: q.Addr, Name: q.Who}, b) })
 				})
 			}
 		case kindWord:
@@ -665,7 +665,7 @@
 			if a, addr, err = readAsk(body, p.table.Self().ID()); err == nil && p.Desk != nil {
 				p.Desk(a, func(g grants.Grant) {
 					b := packGrant(g)
-					p.Hand(func() { _ = p.list.SendToAddress(memberlist.Address{Addr: addr, Name: a.Who.String()}, b) })
+					p.Post(func() { _ = p.list.SendToAddress(memberlist.Address{Addr: addr, Name: a.Who.String()}, b) })
 				})
 			}
 		case kindPermit:
@@ -736,7 +736,7 @@
 func (p *Part) MergeRemoteState(b []byte, join bool) {
 	if err := readState(b, p.told.Members.Most+1, func(m []byte) {
 		m = append([]byte(nil), m...)
-		p.Hand(func() { p.message(m, 0) })
+		p.Post(func() { p.message(m, 0) })
 	}); err != nil {
 		p.bad.Add(1)
 	}
--- a/internal/fleet/gossip/watch.go
+++ b/internal/fleet/gossip/watch.go
@@ -86,7 +86,7 @@
 	}
 	what := string(line[:len(line)-1])
 	came := make(chan Snapshot, 1)
-	p.Hand(func() { came <- p.snapshot(what) })
+	p.Post(func() { came <- p.snapshot(what) })
 	select {
 	case s := <-came:
 		_ = json.NewEncoder(c).Encode(s)
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -56,7 +56,7 @@
 
 // Start is front.Front.
 func (p *Part) Start() {
-	p.loop.Hand(func() {
+	p.loop.Post(func() {
 		p.passer.Start()
 		p.look()
 	})
@@ -70,8 +70,8 @@
 		p.passer.Query()
 		p.passer.Query()
 	}
-	p.tally.FlushSuppressed(p.loop.Wall(), func(what string, more int) { slog.Info("handover", "what", what, "more", more) })
-	p.loop.At(p.loop.Now()+50*time.Millisecond, p.look)
+	p.tally.FlushSuppressed(p.loop.WallTime(), func(what string, more int) { slog.Info("handover", "what", what, "more", more) })
+	p.loop.ScheduleAt(p.loop.Now()+50*time.Millisecond, p.look)
 }
 
 // own is our load, as others say theirs.
@@ -82,7 +82,7 @@
 
 func (p *Part) note(what string) {
 	p.counts[what]++
-	if p.tally.Allow(what, p.loop.Wall()) {
+	if p.tally.Allow(what, p.loop.WallTime()) {
 		slog.Info("handover", "what", what, "so_far", p.counts[what])
 	}
 }
@@ -152,7 +152,7 @@
 // Leave is front.Front. What is elsewhere may still come back; shortly before the end it is answered as it stands.
 func (p *Part) Leave(last time.Duration) {
 	p.leaving = true
-	p.loop.At(p.loop.Now()+max(0, last-70*time.Millisecond), func() {
+	p.loop.ScheduleAt(p.loop.Now()+max(0, last-70*time.Millisecond), func() {
 		for o := range p.open {
 			o.way.Late()
 		}
--- a/internal/keep/calls.go
+++ b/internal/keep/calls.go
@@ -59,7 +59,7 @@
 	d.cancel(active.run.call) // a second call gives up the first
 	call := &databaseCall{request: active, startedAt: server.Now(), deadline: deadline, done: done}
 	active.run.call = call
-	call.timer = server.At(deadline, func() { d.finish(server, call, call.interruptedOutcome(choice.TimedOut)) })
+	call.timer = server.ScheduleAt(deadline, func() { d.finish(server, call, call.interruptedOutcome(choice.TimedOut)) })
 	if d.open >= d.maxConns || !d.acquireSlot(server, call) {
 		d.waiting = append(d.waiting, call)
 		return
@@ -79,8 +79,8 @@
 	// Danger: what is granted counts on calls that last no longer than is told.
 	if deadline := server.Now() + call.slot.MaxDuration(); deadline < call.deadline {
 		call.deadline = deadline
-		call.timer.Drop()
-		call.timer = server.At(deadline, func() { d.finish(server, call, call.interruptedOutcome(choice.TimedOut)) })
+		call.timer.Stop()
+		call.timer = server.ScheduleAt(deadline, func() { d.finish(server, call, call.interruptedOutcome(choice.TimedOut)) })
 	}
 	return true
 }
@@ -219,7 +219,7 @@
 	if call == nil {
 		return
 	}
-	call.timer.Drop()
+	call.timer.Stop()
 	call.releaseSlot(choice.TimedOut, call.sent)
 	if call.conn != nil {
 		call.conn.Close("call-given-up")
--- a/internal/keep/health.go
+++ b/internal/keep/health.go
@@ -32,10 +32,10 @@
 		link.selfTests = map[string]func(bool){}
 	}
 	correlationID := in.nextCorrelationID("test")
-	timeout := in.At(in.Now()+time.Second, func() { link.selfTests[correlationID](false) })
+	timeout := in.ScheduleAt(in.Now()+time.Second, func() { link.selfTests[correlationID](false) })
 	link.selfTests[correlationID] = func(healthy bool) {
 		delete(link.selfTests, correlationID)
-		timeout.Drop()
+		timeout.Stop()
 		done(healthy)
 	}
 	link.conn.Selftest(correlationID)
@@ -45,7 +45,7 @@
 // who is not heard for some seconds, and a datagram may be lost; so often, many in a row would have to be.
 func (in *Server) reportPeriodically() {
 	in.report()
-	in.At(in.Now()+250*time.Millisecond, in.reportPeriodically)
+	in.ScheduleAt(in.Now()+250*time.Millisecond, in.reportPeriodically)
 }
 
 func (in *Server) report() {
--- a/internal/keep/instance.go
+++ b/internal/keep/instance.go
@@ -100,10 +100,10 @@
 	budget := divideDescriptors(config.MaxDescriptors, openDescriptors()) // the runtime's two links are dialled too, and stand beside it
 	instance.database.maxConns = budget.calls
 	// An eighth of the memory is for answers that nobody reads.
-	instance.net = &wire.Net{Buffers: instance.buffers, Hand: instance.Hand, Read: instance.HandRead, Accept: func(accepted *wire.Link) { instance.clients.Accept(accepted) }, Crowded: func() { instance.clients.MakeRoom() },
+	instance.net = &wire.Net{Buffers: instance.buffers, Hand: instance.Post, Read: instance.PostBlocking, Accept: func(accepted *wire.Link) { instance.clients.Accept(accepted) }, Crowded: func() { instance.clients.MakeRoom() },
 		Most: int64(budget.clients), Room: int64(budget.total) + 2, Limit: config.MaxDescriptors, Unread: int64(config.MemoryMB*(1<<20)) / 8}
 	if config.Authn != nil {
-		instance.authenticator = identity.New(*config.Authn, instance.Hand, func() (time.Duration, time.Time) { return instance.Now(), instance.Wall() })
+		instance.authenticator = identity.New(*config.Authn, instance.Post, func() (time.Duration, time.Time) { return instance.Now(), instance.WallTime() })
 		instance.net.Tokens.Store(config.Authn.Keys != nil)
 	}
 	var authenticator stubs.Door // nil, not a door that is nil
@@ -121,7 +121,7 @@
 			return nil, err
 		}
 	}
-	instance.Hand(func() {
+	instance.Post(func() {
 		instance.connect()
 		instance.clients.Sweep()
 		instance.reportPeriodically()
@@ -275,7 +275,7 @@
 
 // submitToController hands an op to the module. before is the op as it waited at the door, nil if it did not.
 func (in *Server) submitToController(request front.Ask, responder front.Owed, waiting *activeRequest) *activeRequest {
-	queueDelay := max(0, in.Wall().Sub(time.UnixMilli(request.At)))
+	queueDelay := max(0, in.WallTime().Sub(time.UnixMilli(request.At)))
 	code := in.invalidReason(request)
 	if code != "" || queueDelay > maxWait(in.timeouts[choice.Class(request.Type)]) { // the second: long over, by a clock that is not ours
 		if waiting == nil {
@@ -556,7 +556,7 @@
 func (in *Server) LogTransition(line string)            { slog.Info("note", "text", line) }
 
 func (in *Server) WakeAt(at time.Duration, then func(map[string]float64)) {
-	in.At(at, func() {
+	in.ScheduleAt(at, func() {
 		in.decisionPending = true // what is due is answered in this batch, whatever becomes of the gauges
 		in.requestGauges(then)
 	})
--- a/internal/keep/keep_test.go
+++ b/internal/keep/keep_test.go
@@ -19,7 +19,7 @@
 	instance.handleGauges(wire.Notice{Mark: "look"})
 	instance.gauges["want a core"] = 3
 	for _, at := range []time.Duration{0, 200 * time.Millisecond, 400 * time.Millisecond} {
-		instance.Stand(at)
+		instance.SetNow(at)
 		instance.requestGauges(func(gauges map[string]float64) { fmt.Println(instance.Now(), gauges) })
 	}
 	// Output:
@@ -83,7 +83,7 @@
 	}
 	// health from the state is good before the link is synced; a deep check asks the runtime only after
 	for turned := make(chan bool); ; {
-		instance.Hand(func() {
+		instance.Post(func() {
 			instance.SetHealth(true, false)
 			turned <- instance.runtime.synced
 		})
@@ -105,7 +105,7 @@
 		}
 		fmt.Println(answer(), "in time:", time.Since(began) < 1500*time.Millisecond)
 	}
-	instance.Hand(func() { instance.Over() })
+	instance.Post(func() { instance.Quit() })
 	// Output:
 	// 9401ce00000002c092c380 in time: true
 	// 9401ce00000003c092c280 in time: true
@@ -211,12 +211,12 @@
 	}()
 	link, _ := runtime.Accept()
 	for stands := make(chan bool); ; {
-		instance.Hand(func() { stands <- instance.runtime.conn != nil })
+		instance.Post(func() { stands <- instance.runtime.conn != nil })
 		if <-stands {
 			break
 		}
 	}
-	instance.Hand(func() {
+	instance.Post(func() {
 		instance.Drain()
 		instance.handleEvent(wire.Notice{Kind: "ready", Status: "steady"})
 		instance.Enter(front.Ask{ID: "0123456789abcdef", Type: "view", At: time.Now().UnixMilli(), KB: 1}, nil, printingResponder{})
--- a/internal/keep/keys.go
+++ b/internal/keep/keys.go
@@ -98,7 +98,7 @@
 	if record.identity.byKey {
 		at += lateReadGrace
 	}
-	server.At(at, func() {
+	server.ScheduleAt(at, func() {
 		if record.forgotten || record.identity.byKey && (!record.finished || record.expiresAt+lateReadGrace > server.Now()) || record.expiresAt > server.Now() {
 			return // it is in hand still, which ages it when it is over; or it got more time
 		}
@@ -121,11 +121,11 @@
 func (k *idempotencyCache) coalesce(server *Server, active *activeRequest) {
 	record := k.records[active.identity]
 	if record == nil || record.finished && record.result == nil {
-		server.Hand(func() { server.finishCoalesced(active, nil, true) })
+		server.Post(func() { server.finishCoalesced(active, nil, true) })
 		return
 	}
 	if record.finished {
-		server.Hand(func() { server.finishCoalesced(active, record.result, true) })
+		server.Post(func() { server.finishCoalesced(active, record.result, true) })
 		return
 	}
 	record.waiters = append(record.waiters, active)
@@ -147,7 +147,7 @@
 	waiting := record.waiters
 	record.waiters = nil
 	for _, waiter := range waiting {
-		server.Hand(func() { server.finishCoalesced(waiter, record.result, active.started) })
+		server.Post(func() { server.finishCoalesced(waiter, record.result, active.started) })
 	}
 	if record.identity.byKey && !active.started { // a later try is free to
 		k.forget(record)
--- a/internal/keep/leave.go
+++ b/internal/keep/leave.go
@@ -46,13 +46,13 @@
 		in.decisionPending = true
 		in.controller.Drain(killAt)
 	}
-	in.At(max(in.Now(), killAt-schedule.Part), func() {
+	in.ScheduleAt(max(in.Now(), killAt-schedule.Part), func() {
 		if in.authenticator != nil { // no op waits at the door past the module's last answers
 			in.authenticator.Stop()
 		}
 		in.clients.Drain(schedule, killAt, in.frontendsDrained, func(connections int) {
 			slog.Info("stopped", "connections", connections, "ops", len(in.requests))
-			in.Over()
+			in.Quit()
 		})
 	})
 }
--- a/internal/keep/runs.go
+++ b/internal/keep/runs.go
@@ -55,7 +55,7 @@
 	retry := func() {
 		if link.attempt == attempt { // Danger: what a dial to an old address comes to would count for the new one
 			link.backoff = min(max(2*link.backoff, 10*time.Millisecond), 500*time.Millisecond)
-			in.At(in.Now()+link.backoff, func() {
+			in.ScheduleAt(in.Now()+link.backoff, func() {
 				if link.attempt == attempt {
 					in.connect()
 				}
@@ -204,7 +204,7 @@
 	link.conn.Gauges(link.pendingGauges)
 	correlationID := link.pendingGauges
 	// Some round trips on one machine; the last known are a look old, which is worse than none of them.
-	in.At(in.Now()+5*time.Millisecond, func() {
+	in.ScheduleAt(in.Now()+5*time.Millisecond, func() {
 		if link.pendingGauges == correlationID {
 			in.deliverGauges()
 		}
--- a/internal/life/desks/desks.go
+++ b/internal/life/desks/desks.go
@@ -45,7 +45,7 @@
 		return err
 	}
 	slog.Info("desk", "name", operatorConfig.File.Fleet.Name, "service", operatorConfig.File.Fleet.ServiceAddress, "cap", operatorConfig.File.Allocator.Config.Cap, "room", operatorConfig.File.Allocator.Config.Room())
-	go life.HandleSignals(signals, configPath, operatorConfig, func() { server.Hand(func() { server.Leave(shutdownTimeout) }) }, reload)
+	go life.HandleSignals(signals, configPath, operatorConfig, func() { server.Post(func() { server.Leave(shutdownTimeout) }) }, reload)
 	server.Serve()
 	return nil
 }
--- a/internal/life/fronts.go
+++ b/internal/life/fronts.go
@@ -66,5 +66,5 @@
 		name, _ := class["name"].(string)
 		queueConfig.Repeats[choice.Class(name)] = class["repeats"] == "retryable"
 	}
-	instance.AddFrontend(amqp.New(queueConfig, instance, instance.Hand, config.Seed))
+	instance.AddFrontend(amqp.New(queueConfig, instance, instance.Post, config.Seed))
 }
--- a/internal/life/life.go
+++ b/internal/life/life.go
@@ -109,7 +109,7 @@
 	for {
 		select {
 		case <-signals.Terminate:
-			k.server.Hand(k.server.Drain)
+			k.server.Post(k.server.Drain)
 			continue
 		case <-signals.Reload:
 			wanted, wait = true, 0
@@ -174,14 +174,14 @@
 		if result.operatorConfig.serverTLS != nil {
 			k.serverTLS.Store(result.operatorConfig.serverTLS)
 		}
-		k.server.Hand(func() { k.server.UpdateAuthn(result.operatorConfig.Authn) })
+		k.server.Post(func() { k.server.UpdateAuthn(result.operatorConfig.Authn) })
 		if k.reloadFleet != nil {
 			k.reloadFleet(&result.operatorConfig)
 		}
 		slog.Info("operated", "file", k.operatorPath, "keys", result.operatorConfig.keyCount(), "roles", len(result.operatorConfig.File.Callers.Roles),
 			"callers", len(result.operatorConfig.File.Callers.Bindings))
 	}
-	k.server.Hand(func() { k.server.UpdateAddresses(result.config) })
+	k.server.Post(func() { k.server.UpdateAddresses(result.config) })
 	return nil
 }
 
--- a/internal/life/relays/relays.go
+++ b/internal/life/relays/relays.go
@@ -35,7 +35,7 @@
 		return err
 	}
 	slog.Info("listening", "name", platform.Name, "addr", platform.ListenAddr, "relay", true)
-	go life.HandleSignals(signals, operatorPath, operatorConfig, func() { proxy.Hand(proxy.Leave) }, reload)
+	go life.HandleSignals(signals, operatorPath, operatorConfig, func() { proxy.Post(proxy.Leave) }, reload)
 	proxy.Serve()
 	// The last answers lie in the kernel's hands by now; a moment for the gossip's last word.
 	time.Sleep(10 * time.Millisecond)
--- a/internal/life/stewards/stewards.go
+++ b/internal/life/stewards/stewards.go
@@ -85,5 +85,5 @@
 }
 
 func (p *fleetAdapter) Figures(name members.Name, then func(gossip.Figures)) {
-	p.agent.Hand(func() { p.agent.AskFigures(name, then) })
+	p.agent.Post(func() { p.agent.AskFigures(name, then) })
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -10,31 +10,31 @@
 
 // Loop is the owner: the one goroutine that touches the module and all tables. Others hand it calls.
 type Loop struct {
-	mu     sync.Mutex
-	handed []func()
-	most   int           // of those, before who reads has to wait
-	taken  *sync.Cond    // the owner has taken what was handed
-	wake   chan struct{} // one token: something is handed
+	mu         sync.Mutex
+	pending    []func()
+	maxPending int           // of those, before who reads has to wait
+	drained    *sync.Cond    // the owner has taken what was handed
+	wake       chan struct{} // one token: something is handed
 
-	began  time.Time
-	now    time.Duration // since the start, standing still through a batch
-	wall   time.Time     // the same moment on the wall clock
-	timers timers
-	over   bool
+	start    time.Time
+	now      time.Duration // since the start, standing still through a batch
+	wallTime time.Time     // the same moment on the wall clock
+	timers   timerQueue
+	quitting bool
 }
 
 // New starts its time. Past so many calls handed over and not taken, who reads has to wait.
-func New(most int) *Loop {
-	l := &Loop{most: most, wake: make(chan struct{}, 1), began: time.Now()}
-	l.wall = l.began
-	l.taken = sync.NewCond(&l.mu)
+func New(maxPending int) *Loop {
+	l := &Loop{maxPending: maxPending, wake: make(chan struct{}, 1), start: time.Now()}
+	l.wallTime = l.start
+	l.drained = sync.NewCond(&l.mu)
 	return l
 }
 
-// Hand gives calls to the owner, in order. Any goroutine may call it.
-func (l *Loop) Hand(calls ...func()) {
+// Post gives calls to the owner, in order. Any goroutine may call it.
+func (l *Loop) Post(callbacks ...func()) {
 	l.mu.Lock()
-	l.handed = append(l.handed, calls...)
+	l.pending = append(l.pending, callbacks...)
 	l.mu.Unlock()
 	select {
 	case l.wake <- struct{}{}:
@@ -42,125 +42,125 @@
 	}
 }
 
-// HandRead is for what is read from connections. Danger: peers that send faster than the owner takes would fill
+// PostBlocking is for what is read from connections. Danger: peers that send faster than the owner takes would fill
 // the memory; the poller waits here, and they wait in the kernel. It must hold no connection's lock.
-func (l *Loop) HandRead(calls ...func()) {
+func (l *Loop) PostBlocking(callbacks ...func()) {
 	l.mu.Lock()
-	for len(l.handed) > l.most {
-		l.taken.Wait()
+	for len(l.pending) > l.maxPending {
+		l.drained.Wait()
 	}
 	l.mu.Unlock()
-	l.Hand(calls...)
+	l.Post(callbacks...)
 }
 
 // Run takes all that is there as one batch, again and again, and calls after once behind each.
-func (l *Loop) Run(after func()) {
+func (l *Loop) Run(afterBatch func()) {
 	alarm := time.NewTimer(time.Hour) // the one system timer, behind the heap
-	var calls []func()
-	for !l.over {
-		if next, due := l.timers.next(); due {
-			alarm.Reset(max(0, next-time.Since(l.began)))
+	var callbacks []func()
+	for !l.quitting {
+		if next, due := l.timers.nextDeadline(); due {
+			alarm.Reset(max(0, next-time.Since(l.start)))
 		}
 		select {
 		case <-l.wake:
 		case <-alarm.C:
 		}
 		l.mu.Lock()
-		calls, l.handed = l.handed, calls[:0]
-		l.taken.Signal()
+		callbacks, l.pending = l.pending, callbacks[:0]
+		l.drained.Signal()
 		l.mu.Unlock()
-		l.wall = time.Now()
-		l.now = l.wall.Sub(l.began)
-		for i, call := range calls {
-			call()
-			calls[i] = nil
+		l.wallTime = time.Now()
+		l.now = l.wallTime.Sub(l.start)
+		for i, callback := range callbacks {
+			callback()
+			callbacks[i] = nil
 		}
-		for l.timers.fire(l.now) {
+		for l.timers.fireNext(l.now) {
 		}
-		after()
+		afterBatch()
 	}
 	alarm.Stop()
 }
 
-// At has the owner call then at a time since the start. Only the owner may ask for it.
-func (l *Loop) At(at time.Duration, then func()) *Timer {
-	t := &Timer{at: at, then: then, of: &l.timers}
-	l.timers.add(t)
-	return t
+// ScheduleAt has the owner call then at a time since the start. Only the owner may ask for it.
+func (l *Loop) ScheduleAt(deadline time.Duration, callback func()) *Timer {
+	timer := &Timer{deadline: deadline, callback: callback, queue: &l.timers}
+	l.timers.schedule(timer)
+	return timer
 }
 
 // Timer is one entry of the heap.
 type Timer struct {
-	at   time.Duration
-	nth  uint64 // among those of one time the first asked for is the first to fire
-	then func()
-	of   *timers
-	on   int // its place in the heap, under 0 once it is out
+	deadline time.Duration
+	sequence uint64 // among those of one time the first asked for is the first to fire
+	callback func()
+	queue    *timerQueue
+	index    int // its place in the heap, under 0 once it is out
 }
 
-// Drop takes it out. Danger: on a long day, what a dropped one holds would stay until its time.
-func (t *Timer) Drop() {
-	if t != nil && t.on >= 0 {
-		heap.Remove(t.of, t.on)
+// Stop takes it out. Danger: on a long day, what a dropped one holds would stay until its time.
+func (t *Timer) Stop() {
+	if t != nil && t.index >= 0 {
+		heap.Remove(t.queue, t.index)
 	}
 }
 
-type timers struct {
-	heap []*Timer
-	nth  uint64
+type timerQueue struct {
+	entries      []*Timer
+	lastSequence uint64
 }
 
-func (t *timers) Len() int { return len(t.heap) }
-func (t *timers) Less(i, j int) bool {
-	a, b := t.heap[i], t.heap[j]
-	return a.at < b.at || a.at == b.at && a.nth < b.nth
+func (t *timerQueue) Len() int { return len(t.entries) }
+func (t *timerQueue) Less(i, j int) bool {
+	a, b := t.entries[i], t.entries[j]
+	return a.deadline < b.deadline || a.deadline == b.deadline && a.sequence < b.sequence
 }
-func (t *timers) Swap(i, j int) {
-	t.heap[i], t.heap[j] = t.heap[j], t.heap[i]
-	t.heap[i].on, t.heap[j].on = i, j
+func (t *timerQueue) Swap(i, j int) {
+	t.entries[i], t.entries[j] = t.entries[j], t.entries[i]
+	t.entries[i].index, t.entries[j].index = i, j
 }
-func (t *timers) Push(x any) {
-	x.(*Timer).on = len(t.heap)
-	t.heap = append(t.heap, x.(*Timer))
+func (t *timerQueue) Push(x any) {
+	x.(*Timer).index = len(t.entries)
+	t.entries = append(t.entries, x.(*Timer))
 }
-func (t *timers) Pop() any {
-	end := len(t.heap) - 1
-	last := t.heap[end]
-	t.heap[end], t.heap = nil, t.heap[:end]
-	last.on = -1
+func (t *timerQueue) Pop() any {
+	lastIndex := len(t.entries) - 1
+	last := t.entries[lastIndex]
+	t.entries[lastIndex], t.entries = nil, t.entries[:lastIndex]
+	last.index = -1
 	return last
 }
 
-func (t *timers) add(x *Timer) {
-	t.nth++
-	x.nth = t.nth
-	heap.Push(t, x)
+func (t *timerQueue) schedule(timer *Timer) {
+	t.lastSequence++
+	timer.sequence = t.lastSequence
+	heap.Push(t, timer)
 }
 
-// next is when the first one fires.
-func (t *timers) next() (time.Duration, bool) {
-	if len(t.heap) == 0 {
+// nextDeadline is when the first one fires.
+func (t *timerQueue) nextDeadline() (time.Duration, bool) {
+	if len(t.entries) == 0 {
 		return 0, false
 	}
-	return t.heap[0].at, true
+	return t.entries[0].deadline, true
 }
 
-// fire calls the first that is due and tells whether there was one.
-func (t *timers) fire(now time.Duration) bool {
-	if at, any := t.next(); !any || at > now {
+// fireNext calls the first that is due and tells whether there was one.
+func (t *timerQueue) fireNext(now time.Duration) bool {
+	if deadline, pending := t.nextDeadline(); !pending || deadline > now {
 		return false
 	}
-	heap.Pop(t).(*Timer).then()
+	heap.Pop(t).(*Timer).callback()
 	return true
 }
 
 // Now is the time since the start, standing still through a batch; Wall is the same moment on the wall clock.
-func (l *Loop) Now() time.Duration { return l.now }
-func (l *Loop) Wall() time.Time    { return l.wall }
+func (l *Loop) Now() time.Duration  { return l.now }
+func (l *Loop) WallTime() time.Time { return l.wallTime }
 
-// Over ends Run behind this batch; Ended tells whether it was called. Both belong to the owner.
-func (l *Loop) Over()       { l.over = true }
-func (l *Loop) Ended() bool { return l.over }
+// Quit ends Run behind this batch; Ended tells whether it was called. Both belong to the owner.
+func (l *Loop) Quit()         { l.quitting = true }
+func (l *Loop) HasQuit() bool { return l.quitting }
 
-// Stand has time stand at a moment, for tests of what goes by it.
-func (l *Loop) Stand(now time.Duration) { l.now, l.wall = now, l.began.Add(now) }
+// SetNow has time stand at a moment, for tests of what goes by it.
+func (l *Loop) SetNow(now time.Duration) { l.now, l.wallTime = now, l.start.Add(now) }
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -10,12 +10,12 @@
 func Example_loop() {
 	l := New(4096)
 	say := func(text string) func() { return func() { fmt.Print(text, " ") } }
-	l.Hand(say("handed"), func() {
-		l.At(l.now-2, say("second"))
-		l.At(l.now-2, say("third"))
-		l.At(l.now-1, say("dropped")).Drop()
-		l.At(l.now-3, say("first"))
-		l.At(l.now, func() { l.over = true })
+	l.Post(say("handed"), func() {
+		l.ScheduleAt(l.now-2, say("second"))
+		l.ScheduleAt(l.now-2, say("third"))
+		l.ScheduleAt(l.now-1, say("dropped")).Stop()
+		l.ScheduleAt(l.now-3, say("first"))
+		l.ScheduleAt(l.now, func() { l.quitting = true })
 	})
 	l.Run(func() { fmt.Println("after") })
 	// Output:
@@ -27,10 +27,10 @@
 	l := New(4096)
 	passed := make(chan bool, 1)
 	for range 5000 {
-		l.Hand(func() {})
+		l.Post(func() {})
 	}
 	go func() {
-		l.HandRead(func() { l.over = true })
+		l.PostBlocking(func() { l.quitting = true })
 		passed <- true
 	}()
 	select {
@@ -40,7 +40,7 @@
 		fmt.Println("waits")
 	}
 	l.Run(func() {})
-	fmt.Println(<-passed, len(l.handed))
+	fmt.Println(<-passed, len(l.pending))
 	// Output:
 	// waits
 	// true 0
@@ -51,14 +51,14 @@
 	l := New(9)
 	var all []*Timer
 	for i := range 9 {
-		all = append(all, l.At(time.Duration(i%4), func() {}))
+		all = append(all, l.ScheduleAt(time.Duration(i%4), func() {}))
 	}
 	for _, t := range all[2:] {
-		t.Drop()
-		t.Drop()
+		t.Stop()
+		t.Stop()
 	}
-	fmt.Println(len(l.timers.heap))
-	fmt.Println(l.timers.fire(1), l.timers.fire(1), l.timers.fire(1))
+	fmt.Println(len(l.timers.entries))
+	fmt.Println(l.timers.fireNext(1), l.timers.fireNext(1), l.timers.fireNext(1))
 	// Output:
 	// 2
 	// true true false
--- a/internal/pass/conn.go
+++ b/internal/pass/conn.go
@@ -51,9 +51,9 @@
 	}
 	c := &conn{p: p, m: m, open: map[uint32]*Op{}, used: p.loop.Now()}
 	m.conns = append(m.conns, c)
-	late := p.loop.At(p.loop.Now()+standsBy, func() { c.elsewhere() })
+	late := p.loop.ScheduleAt(p.loop.Now()+standsBy, func() { c.elsewhere() })
 	c.client = p.net.Client(m.addr, func(refused error) {
-		late.Drop()
+		late.Stop()
 		if refused != nil {
 			c.remove()
 			c.elsewhere()
@@ -157,5 +157,5 @@
 			}
 		}
 	}
-	p.loop.At(p.loop.Now()+time.Second, p.sweep)
+	p.loop.ScheduleAt(p.loop.Now()+time.Second, p.sweep)
 }
--- a/internal/pass/pass.go
+++ b/internal/pass/pass.go
@@ -171,7 +171,7 @@
 	// The sign that travels down: who gets an op that was passed on leaves second tries to those above it.
 	o.ask.Passed++
 	// Danger: a member that never answers. The op is answered when its time is up, whatever becomes of it below.
-	o.timer = p.loop.At(max(p.loop.Now(), due), o.Late)
+	o.timer = p.loop.ScheduleAt(max(p.loop.Now(), due), o.Late)
 	return o
 }
 
@@ -233,7 +233,7 @@
 	}
 	name := p.Chooser.At(i)
 	p.ask(members.Name(name), func(load float64, age time.Duration) {
-		p.loop.Hand(func() {
+		p.loop.Post(func() {
 			if i, still := p.Chooser.Place(name); still {
 				p.Chooser.Asked(p.loop.Now(), i, load, age)
 			}
@@ -321,7 +321,7 @@
 	if o.done != nil || o.at != nil || o.ask.Body == nil {
 		return
 	}
-	o.timer.Drop()
+	o.timer.Stop()
 	o.p.net.Give(o.ask.Body)
 	o.ask.Body = nil
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -74,7 +74,7 @@
 		target, _ := t["target latency"].(time.Duration)
 		r.kinds[name] = kind{t["repeats"] == "retryable", max(timeout, target)}
 	}
-	r.net = &wire.Net{Buffers: r.pool, Hand: r.Hand, Read: r.HandRead, Accept: func(l *wire.Link) { r.stubs.Accept(l) }, Crowded: func() { r.stubs.MakeRoom() },
+	r.net = &wire.Net{Buffers: r.pool, Hand: r.Post, Read: r.PostBlocking, Accept: func(l *wire.Link) { r.stubs.Accept(l) }, Crowded: func() { r.stubs.MakeRoom() },
 		Most: int64(config.MaxDescriptors) / 2, Limit: config.MaxDescriptors, Unread: int64(config.MemoryMB*(1<<20)) / 8, From: told.Source()}
 	r.net.Tokens.Store(true) // who calls is the instance's to judge; a relay passes on what is brought
 	r.net.Passed.Store(true)
@@ -84,7 +84,7 @@
 	if err := r.net.Start(config.ListenAddr); err != nil {
 		return nil, err
 	}
-	r.Hand(func() {
+	r.Post(func() {
 		r.stubs.Sweep()
 		r.passer.Start()
 		r.report()
@@ -142,7 +142,7 @@
 		owed.Settled()
 		return nil
 	}
-	lay := max(0, r.Wall().Sub(time.UnixMilli(ask.At)))
+	lay := max(0, r.WallTime().Sub(time.UnixMilli(ask.At)))
 	due := r.Now() - lay + k.timeout
 	if ask.Waits {
 		due = min(due, r.Now()-lay+ask.Wait)
@@ -214,7 +214,7 @@
 	if r.roster != nil {
 		r.roster.Report(!r.leaving && r.known() > 0)
 	}
-	r.At(r.Now()+250*time.Millisecond, r.report)
+	r.ScheduleAt(r.Now()+250*time.Millisecond, r.report)
 }
 
 // Leave is the notice to drain: the process is killed Stop from now. What comes within the grace is passed on, what comes later turned away;
@@ -234,19 +234,19 @@
 	r.stubs.Part()
 	// What is still open then gets its answer; nothing new is passed on from then on either.
 	r.until = min(r.until, killAt-spans.Answers)
-	r.At(max(r.Now(), killAt-spans.Answers), func() {
+	r.ScheduleAt(max(r.Now(), killAt-spans.Answers), func() {
 		for _, o := range slices.Collect(maps.Values(r.ops)) { // answering takes them out
 			o.way.Late()
 		}
 	})
-	r.At(max(r.Now(), killAt-spans.Part), func() {
+	r.ScheduleAt(max(r.Now(), killAt-spans.Part), func() {
 		r.stubs.Drain(spans, killAt, func() bool {
 			return len(r.ops) == 0 && !slices.ContainsFunc(r.fronts, func(f front.Front) bool { return !f.Closed() })
 		}, func(connections int) {
 			c := r.Counts
 			slog.Info("stopped", "connections", connections, "ops", len(r.ops), "asked", c.Asked, "served", c.Served, "refused", c.Refused, "failed", c.Failed,
 				"lost", c.Lost, "again", r.passer.Again, "late", c.Late, "nobody", c.Nobody)
-			r.Over()
+			r.Quit()
 		})
 	})
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -126,7 +126,7 @@
 		panic(err)
 	}
 	go r.Serve()
-	r.Hand(func() { r.See(table.View()) })
+	r.Post(func() { r.See(table.View()) })
 	return r, s, listen
 }
 
@@ -151,7 +151,7 @@
 		a := standin.Must(stub.Answer())
 		fmt.Printf("%v: %q %q %v\n", s.said(), a.Error, a.Result, a.Fields)
 		stub.Close()
-		r.Hand(r.Over)
+		r.Post(r.Quit)
 	}
 	// Output:
 	// [pay ack]: "" "body" map[say:0.5]
@@ -188,7 +188,7 @@
 	standin.Until("the member to be told", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.trace) == 2 })
 	fmt.Println(s.said())
 	stub.Close()
-	r.Hand(r.Over)
+	r.Post(r.Quit)
 
 	r, s, listen = open(3)
 	for _, b := range s.all[:2] {
@@ -204,7 +204,7 @@
 	}
 	fmt.Println(acked)
 	stub.Close()
-	r.Hand(r.Over)
+	r.Post(r.Quit)
 	// Output:
 	// 1 Failed true
 	// 2 true
@@ -220,7 +220,7 @@
 	stub.Send(standin.Op(1, "pay", standin.ID(1), nil))
 	fmt.Println(stub.Hear())
 	stub.Close()
-	r.Hand(r.Over)
+	r.Post(r.Quit)
 
 	r, s, listen := open(2, "silent")
 	stub = standin.Dial(listen)
@@ -231,7 +231,7 @@
 	fmt.Println(other.Hear())
 	other.Send(standin.Op(2, "what", standin.ID(2), nil))
 	fmt.Println(other.Hear())
-	r.Hand(r.Leave)
+	r.Post(r.Leave)
 	fmt.Println(other.Hear()) // goaway
 	other.Send(standin.Op(3, "view", standin.ID(3), nil))
 	fmt.Println(other.Hear())
@@ -245,7 +245,7 @@
 	fmt.Println(stub.Hear(), stub.Hear())
 	standin.Until("its end", func() bool {
 		over := make(chan bool, 1)
-		r.Hand(func() { over <- false })
+		r.Post(func() { over <- false })
 		select {
 		case <-over:
 			return false
--- a/internal/stubs/stubs.go
+++ b/internal/stubs/stubs.go
@@ -84,7 +84,7 @@
 	var shut, left func()
 	shut = func() {
 		if f.net.Backlog() && f.loop.Now() < latest {
-			f.loop.At(f.loop.Now()+time.Millisecond, shut)
+			f.loop.ScheduleAt(f.loop.Now()+time.Millisecond, shut)
 			return
 		}
 		f.net.Shut()
@@ -100,7 +100,7 @@
 		// Danger: a connection that was accepted and has not come to the loop yet, with an op on it. It comes before what is handed in now.
 		if !settled && f.net.Done() {
 			settled = true
-			f.loop.Hand(left)
+			f.loop.Post(left)
 			return
 		}
 		next := now + 5*time.Millisecond
@@ -116,9 +116,9 @@
 			}
 			next = min(next, killAt-spans.Gone)
 		}
-		f.loop.At(next, left)
+		f.loop.ScheduleAt(next, left)
 	}
-	f.loop.At(at, shut)
+	f.loop.ScheduleAt(at, shut)
 }
 
 // Part asks all stubs to send nothing new here, also those that are accepted from now on.
@@ -190,7 +190,7 @@
 			in.core.Gone(c.open[n].op)
 		}
 	}
-	in.loop.Hand(func() {
+	in.loop.Post(func() {
 		c.used = in.loop.Now()
 		in.all[s] = c
 		if in.parting {
@@ -322,7 +322,7 @@
 			if in.loop.Now()-c.used > time.Second { // it does not take the last answers either
 				c.conn.Cut()
 			}
-		case c.conn.Unfinished(in.loop.Wall()) > patience && !stood:
+		case c.conn.Unfinished(in.loop.WallTime()) > patience && !stood:
 			c.fault("unfinished")
 		case c.conn.Proves():
 			if in.loop.Now()-c.used > handshakeFor && !stood {
@@ -338,7 +338,7 @@
 			c.part()
 		}
 	}
-	in.loop.At(in.loop.Now()+often, in.Sweep)
+	in.loop.ScheduleAt(in.loop.Now()+often, in.Sweep)
 }
 
 // MakeRoom ends the connection that has been unused for longest, those on which nothing was ever said first. Danger:
@@ -395,7 +395,7 @@
 		return
 	}
 	// The answer that is being sent goes before the close.
-	c.in.loop.At(c.in.loop.Now(), func() {
+	c.in.loop.ScheduleAt(c.in.loop.Now(), func() {
 		if len(c.open) == 0 && c.dying == "" {
 			c.close(c.barred)
 		}
