--- a/internal/amqp/amqp_test.go
+++ b/internal/amqp/amqp_test.go
@@ -41,16 +41,16 @@
 	mu     sync.Mutex
 	runs   map[string]int // by body
 	load   front.Load
-	behave func(ask front.Ask, body string, owed front.Owed) // on its loop; nil: acked after a millisecond
+	behave func(ask front.Request, body string, owed front.Responder) // on its loop; nil: acked after a millisecond
 }
 
 func newCore() *core {
-	c := &core{Loop: loop.New(4096), runs: map[string]int{}, load: front.Load{Up: true, Well: true, Cores: 4, Room: 1000}}
+	c := &core{Loop: loop.New(4096), runs: map[string]int{}, load: front.Load{Ready: true, Healthy: true, Cores: 4, FreeCapacity: 1000}}
 	go c.Run(func() {})
 	return c
 }
 
-func (c *core) Enter(ask front.Ask, _ *identity.Badge, owed front.Owed) front.Op {
+func (c *core) Submit(ask front.Request, _ *identity.Badge, owed front.Responder) front.Handle {
 	body := string(ask.Body)
 	if c.behave != nil {
 		c.behave(ask, body, owed)
@@ -58,8 +58,8 @@
 	}
 	c.run(body)
 	c.ScheduleAt(c.Now()+time.Millisecond, func() {
-		owed.Answer([]byte("done "+body), front.With{})
-		owed.Settled()
+		owed.Succeed([]byte("done "+body), front.ResponseMetadata{})
+		owed.Done()
 	})
 	return nil
 }
@@ -70,8 +70,8 @@
 	c.mu.Unlock()
 }
 
-func (c *core) Gone(front.Op)    {}
-func (c *core) Load() front.Load { return c.load }
+func (c *core) Cancel(front.Handle) {}
+func (c *core) Load() front.Load    { return c.load }
 
 func (c *core) set(load func(*front.Load)) { c.Post(func() { load(&c.load) }) }
 
@@ -109,8 +109,8 @@
 }
 
 func (s *stage) close() {
-	s.part.Leave(time.Second)
-	standin.Until("the end of the front", s.part.Closed)
+	s.part.Drain(time.Second)
+	standin.Until("the end of the front", s.part.Drained)
 	s.broker.Close()
 	s.core.Post(s.core.Quit)
 }
@@ -140,19 +140,19 @@
 // to the dead letters.
 func Example() {
 	b, c := newBroker(), newCore()
-	c.behave = func(ask front.Ask, body string, owed front.Owed) {
-		switch ask.Type {
+	c.behave = func(ask front.Request, body string, owed front.Responder) {
+		switch ask.Class {
 		case "deny":
-			owed.Reject("denied", front.With{Why: "tenant"})
+			owed.RejectPermanently("denied", front.ResponseMetadata{Reason: "tenant"})
 		case "what":
-			owed.Reject("unknown-type", front.With{})
+			owed.RejectPermanently("unknown-type", front.ResponseMetadata{})
 		case "fail":
-			owed.Fail(front.With{})
+			owed.Fail(front.ResponseMetadata{})
 		default:
 			c.run(body)
-			owed.Answer([]byte("done "+body), front.With{})
+			owed.Succeed([]byte("done "+body), front.ResponseMetadata{})
 		}
-		owed.Settled()
+		owed.Done()
 	}
 	s := open(b, c, told(b))
 	defer s.close()
@@ -284,14 +284,14 @@
 			b.Declare("dead", nil)
 		}
 		turned := 0
-		c.behave = func(ask front.Ask, body string, owed front.Owed) {
+		c.behave = func(ask front.Request, body string, owed front.Responder) {
 			if body == "never" || turned < 2 {
 				turned++
-				owed.Refuse(front.With{})
+				owed.Reject(front.ResponseMetadata{})
 			} else {
-				owed.Answer([]byte("at last"), front.With{})
+				owed.Succeed([]byte("at last"), front.ResponseMetadata{})
 			}
-			owed.Settled()
+			owed.Done()
 		}
 		s := open(b, c, told(b, q))
 		b.Publish("ops", message("once", "pay"))
@@ -317,16 +317,16 @@
 		b, c := newBroker(), newCore()
 		var held []func(bool)
 		var mu sync.Mutex
-		c.behave = func(ask front.Ask, body string, owed front.Owed) {
+		c.behave = func(ask front.Request, body string, owed front.Responder) {
 			mu.Lock()
 			defer mu.Unlock()
 			held = append(held, func(runs bool) {
 				if runs {
-					owed.Answer([]byte("done"), front.With{})
+					owed.Succeed([]byte("done"), front.ResponseMetadata{})
 				} else {
-					owed.Refuse(front.With{})
+					owed.Reject(front.ResponseMetadata{})
 				}
-				owed.Settled()
+				owed.Done()
 			})
 		}
 		q := usual
@@ -336,9 +336,9 @@
 			b.Publish("ops", message(fmt.Sprintf("m%02d", i), "view"))
 		}
 		standin.Until("six in hand", func() bool { mu.Lock(); defer mu.Unlock(); return len(held) == 6 })
-		s.core.set(func(l *front.Load) { l.Leaving = true })
-		s.part.Leave(800 * time.Millisecond)
-		s.part.Leave(time.Hour) // a second notice changes nothing
+		s.core.set(func(l *front.Load) { l.Draining = true })
+		s.part.Drain(800 * time.Millisecond)
+		s.part.Drain(time.Hour) // a second notice changes nothing
 		switch how {
 		case "dead":
 			b.Close()
@@ -353,7 +353,7 @@
 				end(i < 2)
 			}
 		})
-		standin.Until("the end", s.part.Closed)
+		standin.Until("the end", s.part.Drained)
 		fmt.Println(how, "in time", time.Since(began) < 1500*time.Millisecond)
 		if how == "well" {
 			counts := b.Counts("ops")
@@ -412,11 +412,11 @@
 	b, c := newBroker(), newCore()
 	var mu sync.Mutex
 	var end []func()
-	c.behave = func(ask front.Ask, body string, owed front.Owed) {
+	c.behave = func(ask front.Request, body string, owed front.Responder) {
 		c.run(body)
 		mu.Lock()
 		defer mu.Unlock()
-		end = append(end, func() { owed.Answer([]byte("done "+body), front.With{}); owed.Settled() })
+		end = append(end, func() { owed.Succeed([]byte("done "+body), front.ResponseMetadata{}); owed.Done() })
 	}
 	s := open(b, c, told(b))
 	defer s.close()
@@ -521,10 +521,10 @@
 func Example_twoInstances() {
 	b := newBroker()
 	slow, fast := newCore(), newCore()
-	slow.behave = func(_ front.Ask, body string, owed front.Owed) {
+	slow.behave = func(_ front.Request, body string, owed front.Responder) {
 		slow.run(body)
-		slow.load.Held = 40 // it holds more than it has cores
-		slow.ScheduleAt(slow.Now()+300*time.Millisecond, func() { owed.Answer([]byte("slow"), front.With{}); owed.Settled() })
+		slow.load.Queued = 40 // it holds more than it has cores
+		slow.ScheduleAt(slow.Now()+300*time.Millisecond, func() { owed.Succeed([]byte("slow"), front.ResponseMetadata{}); owed.Done() })
 	}
 	one, two := open(b, slow, told(b)), open(b, fast, told(b))
 	for i := range 300 {
@@ -533,8 +533,8 @@
 	one.settled("ops")
 	standin.Until("all answers", func() bool { return b.Counts("replies").Ready == 300 })
 	fmt.Println(len(one.replies()), len(fast.runs)+len(slow.runs), len(slow.runs) < 30)
-	one.part.Leave(time.Second)
-	standin.Until("its end", one.part.Closed)
+	one.part.Drain(time.Second)
+	standin.Until("its end", one.part.Drained)
 	two.close()
 	// Output:
 	// 300 300 true
@@ -598,7 +598,7 @@
 			"x-death": []any{client.Table{"queue": "ops", "reason": "rejected", "count": count}}}}
 		r := m.Read("ops", d, "", time.Unix(0, 0))
 		again := m.Read("ops", d, "", time.Unix(1, 0))
-		if r.ID == "" || len(r.Ask.ID) != 16 || r.ID != again.ID || r.Digest != again.Digest || r.Attempt < 0 || r.Ask.Wait < 0 {
+		if r.ID == "" || len(r.Ask.ID) != 16 || r.ID != again.ID || r.Digest != again.Digest || r.Attempt < 0 || r.Ask.Timeout < 0 {
 			t.Fatalf("%+v", r)
 		}
 	})
--- a/internal/amqp/golden_test.go
+++ b/internal/amqp/golden_test.go
@@ -88,9 +88,9 @@
 		all = append(all, map[string]any{"message": of.name, "id": m.ID, "digest": fmt.Sprintf("%016x", m.Digest),
 			"attempt":  m.Attempt,
 			"reply to": m.ReplyTo, "correlation id": m.Reply, "due": m.Due.UnixMilli(), "not to be served": m.Bad,
-			"op": map[string]any{"id": m.Ask.ID, "type": m.Ask.Type, "tenant": m.Ask.Tenant, "subject": m.Ask.Subject,
-				"at":   m.Ask.At,
-				"wait": m.Ask.Wait.String(), "waits": m.Ask.Waits, "cost": m.Ask.Cost.String(), "kb": m.Ask.KB,
+			"op": map[string]any{"id": m.Ask.ID, "type": m.Ask.Class, "tenant": m.Ask.Tenant, "subject": m.Ask.Resource,
+				"at":   m.Ask.SentUnixMilli,
+				"wait": m.Ask.Timeout.String(), "waits": m.Ask.HasTimeout, "cost": m.Ask.WorkHint.String(), "kb": m.Ask.MemoryKB,
 				"rank": m.Ask.Rank, "token": m.Ask.Token,
 				"body": string(m.Ask.Body)}})
 	}
@@ -122,26 +122,26 @@
 	c := newCore()
 	var mu sync.Mutex
 	held := map[string]func(){}
-	c.behave = func(ask front.Ask, body string, owed front.Owed) {
+	c.behave = func(ask front.Request, body string, owed front.Responder) {
 		end := func() {
-			switch ask.Type {
+			switch ask.Class {
 			case "deny":
-				owed.Reject("denied", front.With{Why: "tenant"})
+				owed.RejectPermanently("denied", front.ResponseMetadata{Reason: "tenant"})
 			case "what":
-				owed.Reject("unknown-type", front.With{})
+				owed.RejectPermanently("unknown-type", front.ResponseMetadata{})
 			case "fail":
-				owed.Fail(front.With{})
+				owed.Fail(front.ResponseMetadata{})
 			case "refuse":
-				owed.Refuse(front.With{})
+				owed.Reject(front.ResponseMetadata{})
 			default:
-				owed.Answer([]byte("done "+body), front.With{})
+				owed.Succeed([]byte("done "+body), front.ResponseMetadata{})
 			}
-			owed.Settled()
+			owed.Done()
 		}
 		if body == "hold" {
 			mu.Lock()
 			defer mu.Unlock()
-			held[ask.Type] = end
+			held[ask.Class] = end
 			return
 		}
 		end()
@@ -154,8 +154,8 @@
 	lost.Body = []byte("hold")
 	b.Publish("ops", lost)
 	standin.Until("one in hand", func() bool { mu.Lock(); defer mu.Unlock(); return held["pay"] != nil })
-	s.part.Leave(0)
-	standin.Until("the end of the first front", s.part.Closed)
+	s.part.Drain(0)
+	standin.Until("the end of the first front", s.part.Drained)
 	s = open(b, c, told(b, q))
 	defer s.close()
 	standin.Until("its answer", func() bool { return b.Counts("replies").Ready == 1 })
--- a/internal/amqp/mapping.go
+++ b/internal/amqp/mapping.go
@@ -81,7 +81,7 @@
 // Message is a message as it was read.
 type Message struct {
 	ID      intake.MessageID
-	Ask     front.Ask
+	Ask     front.Request
 	Digest  uint64 // of what it says
 	Attempt int
 	ReplyTo string
@@ -111,8 +111,8 @@
 	op := sha256.Sum256([]byte(string(queue) + "\x00" + string(r.ID)))
 	a := &r.Ask
 	a.ID = hex.EncodeToString(op[:8])
-	a.Type, a.Tenant, a.Subject, a.Token = m.Type.text(d), m.Tenant.text(d), m.Subject.text(d), m.Token.text(d)
-	a.Rank, a.KB, a.Body = m.Rank0, m.KB0, d.Body
+	a.Class, a.Tenant, a.Resource, a.Token = m.Type.text(d), m.Tenant.text(d), m.Subject.text(d), m.Token.text(d)
+	a.Rank, a.MemoryKB, a.Body = m.Rank0, m.KB0, d.Body
 	number := func(s Source, to *float64) {
 		if text := s.text(d); text != "" {
 			x, err := strconv.ParseFloat(text, 64)
@@ -125,28 +125,28 @@
 	}
 	cost := 0.0
 	number(m.Rank, &a.Rank)
-	number(m.KB, &a.KB)
+	number(m.KB, &a.MemoryKB)
 	number(m.Cost, &cost)
 	if cost < 0 || cost > 1e9 {
 		r.bad("bad-number")
 		cost = 0
 	}
-	a.Cost = time.Duration(cost * float64(time.Millisecond))
+	a.WorkHint = time.Duration(cost * float64(time.Millisecond))
 	came := now
 	if !d.Timestamp.IsZero() {
 		came = d.Timestamp
 	}
-	a.Waits, a.Wait = true, m.Wait
+	a.HasTimeout, a.Timeout = true, m.Wait
 	if d.Expiration != "" {
 		ms, err := strconv.ParseInt(d.Expiration, 10, 64)
 		if err != nil || ms < 0 || ms > 1e12 {
 			r.bad("bad-expiration")
 			ms = 0
 		}
-		a.Wait = time.Duration(ms) * time.Millisecond
+		a.Timeout = time.Duration(ms) * time.Millisecond
 	}
-	a.At = came.UnixMilli()
-	r.Due = came.Add(a.Wait)
+	a.SentUnixMilli = came.UnixMilli()
+	r.Due = came.Add(a.Timeout)
 	if len(d.Body) > m.Longest {
 		r.bad(string(tooLong))
 	}
--- a/internal/amqp/part.go
+++ b/internal/amqp/part.go
@@ -36,7 +36,7 @@
 type Part struct {
 	*loop.Loop
 	told    Told
-	core    front.Core
+	core    front.Server
 	hand    func(...func()) // to the core's loop
 	seed    *rand.Rand
 	desk    *intake.Desk
@@ -68,7 +68,7 @@
 }
 
 // New makes the front; it consumes once Start is called. hand gives calls to the core's loop.
-func New(told Told, core front.Core, hand func(...func()), seed uint64) *Part {
+func New(told Told, core front.Server, hand func(...func()), seed uint64) *Part {
 	p := &Part{Loop: loop.New(1 << 16), told: told, core: core, hand: hand, seed: rand.New(rand.NewPCG(seed, 1)),
 		memory: intake.NewMemory(told.Remembered, told.RememberedIn), budget: intake.NewBudget(told.Share),
 		queues: map[intake.QueueName]*Queue{}, badges: map[intake.QueueName]*identity.Badge{},
@@ -101,9 +101,9 @@
 	})
 }
 
-// Leave is the notice to drain: consuming stops at once; what was not started goes back, what runs is answered, and all is
+// Drain is the notice to drain: consuming stops at once; what was not started goes back, what runs is answered, and all is
 // closed by last, a time from now.
-func (p *Part) Leave(last time.Duration) {
+func (p *Part) Drain(last time.Duration) {
 	p.Post(func() {
 		if p.leaving {
 			return
@@ -114,8 +114,8 @@
 	})
 }
 
-// Closed tells whether all is over.
-func (p *Part) Closed() bool {
+// Drained tells whether all is over.
+func (p *Part) Drained() bool {
 	select {
 	case <-p.closed:
 		return true
@@ -161,7 +161,7 @@
 		load := p.core.Load()
 		p.Post(func() {
 			p.asking = false
-			load.Leaving = load.Leaving || p.leaving
+			load.Draining = load.Draining || p.leaving
 			was := p.desk.Closed()
 			p.desk.Look(p.Now(), load, p.session != nil && p.session.blocked)
 			if is := p.desk.Closed(); is != was {
@@ -202,7 +202,7 @@
 		p.session.requeue(q.Name, tag)
 		return
 	}
-	twice := p.told.Repeats[choice.Class(m.Ask.Type)]
+	twice := p.told.Repeats[choice.Class(m.Ask.Class)]
 	step, answer := p.memory.Came(p.Now(), m.ID, m.Digest, tag, redelivered, twice)
 	clash := step == intake.Clash
 	if clash { // it is known by what it says, too
@@ -244,22 +244,22 @@
 	p.jobs[m.ID] = j
 	switch {
 	case m.Bad != "":
-		p.outcome(j, intake.Unservable, nil, front.With{Why: m.Bad})
+		p.outcome(j, intake.Unservable, nil, front.ResponseMetadata{Reason: m.Bad})
 	case !time.Now().Before(m.Due): // the core does not hear of it
-		p.outcome(j, intake.PastDue, nil, front.With{})
+		p.outcome(j, intake.PastDue, nil, front.ResponseMetadata{})
 	default:
-		p.hand(func() { p.core.Enter(m.Ask, p.badges[q.Name], j) })
+		p.hand(func() { p.core.Submit(m.Ask, p.badges[q.Name], j) })
 	}
 }
 
 // fate decides what becomes of a message.
 func (p *Part) fate(j *job, how intake.Outcome, after time.Duration) intake.Fate {
 	return p.budget.Settle(intake.Message{Attempt: max(j.msg.Attempt, p.memory.Backs(j.msg.ID)), Left: time.Until(j.msg.Due),
-		Twice: p.told.Repeats[choice.Class(j.msg.Ask.Type)]}, j.queue.Told, how, after, p.seed.Float64())
+		Twice: p.told.Repeats[choice.Class(j.msg.Ask.Class)]}, j.queue.Told, how, after, p.seed.Float64())
 }
 
 // outcome takes how the op of a message came out.
-func (p *Part) outcome(j *job, how intake.Outcome, result []byte, with front.With) {
+func (p *Part) outcome(j *job, how intake.Outcome, result []byte, with front.ResponseMetadata) {
 	if j.over {
 		return
 	}
@@ -273,12 +273,12 @@
 	case intake.Acked, intake.Failed:
 		p.desk.Ended(p.Now(), j.queue.Name, how == intake.Failed)
 	}
-	fate := p.fate(j, how, with.After)
+	fate := p.fate(j, how, with.RetryAfter)
 	if fate.Wait > 0 {
-		p.ScheduleAt(p.Now()+fate.Wait, func() { p.settle(j, result, fate, with.Why) })
+		p.ScheduleAt(p.Now()+fate.Wait, func() { p.settle(j, result, fate, with.Reason) })
 		return
 	}
-	p.settle(j, result, fate, with.Why)
+	p.settle(j, result, fate, with.Reason)
 }
 
 func (p *Part) settle(j *job, result []byte, fate intake.Fate, why string) {
@@ -465,23 +465,23 @@
 
 // The rest is front.Owed, called on the core's loop.
 
-func (j *job) tell(how intake.Outcome, result []byte, with front.With) {
+func (j *job) tell(how intake.Outcome, result []byte, with front.ResponseMetadata) {
 	if result != nil {
 		result = append(make([]byte, 0, len(result)), result...)
 	}
 	j.part.Post(func() { j.part.outcome(j, how, result, with) })
 }
 
-func (j *job) Answer(result []byte, with front.With) { j.tell(intake.Acked, result, with) }
-func (j *job) Refuse(with front.With)                { j.tell(intake.Nacked, nil, with) }
-func (j *job) Fail(with front.With)                  { j.tell(intake.Failed, nil, with) }
-func (j *job) Settled()                              {}
+func (j *job) Succeed(result []byte, with front.ResponseMetadata) { j.tell(intake.Acked, result, with) }
+func (j *job) Reject(with front.ResponseMetadata)                 { j.tell(intake.Nacked, nil, with) }
+func (j *job) Fail(with front.ResponseMetadata)                   { j.tell(intake.Failed, nil, with) }
+func (j *job) Done()                                              {}
 
-func (j *job) Reject(code string, with front.With) {
-	if with.Why != "" {
+func (j *job) RejectPermanently(code string, with front.ResponseMetadata) {
+	if with.Reason != "" {
 		j.tell(intake.Denied, nil, with)
 		return
 	}
-	with.Why = code
+	with.Reason = code
 	j.tell(intake.Unservable, nil, with)
 }
--- a/internal/amqp/session.go
+++ b/internal/amqp/session.go
@@ -465,7 +465,7 @@
 		headers["why"] = why
 	}
 	s.publish(j.queue.Dead, client.Publishing{MessageId: string(j.msg.ID), CorrelationId: j.msg.Reply, ReplyTo: j.msg.ReplyTo,
-		Type: j.msg.Ask.Type, Headers: headers, Body: j.msg.Ask.Body, DeliveryMode: client.Persistent, Timestamp: time.Now()}, then)
+		Type: j.msg.Ask.Class, Headers: headers, Body: j.msg.Ask.Body, DeliveryMode: client.Persistent, Timestamp: time.Now()}, then)
 }
 
 func (s *session) publish(key string, p client.Publishing, then func()) {
--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -96,11 +96,11 @@
 	i.in.Post(func() {
 		l := i.in.Load()
 		health := 0.0
-		if l.Well {
+		if l.Healthy {
 			health = 1
 		}
-		then(gossip.Report{Ready: l.Up, Leaving: l.Leaving, Facts: []members.Fact{{Key: "health", Value: health}, {Key: "signal", Value: l.Signal},
-			{Key: "held", Value: float64(l.Held)}, {Key: "running", Value: float64(l.Running)}, {Key: "cores", Value: l.Cores}}})
+		then(gossip.Report{Ready: l.Ready, Leaving: l.Draining, Facts: []members.Fact{{Key: "health", Value: health}, {Key: "signal", Value: l.LoadReport},
+			{Key: "held", Value: float64(l.Queued)}, {Key: "running", Value: float64(l.Running)}, {Key: "cores", Value: l.Cores}}})
 	})
 }
 
@@ -108,10 +108,10 @@
 	i.in.Post(func() {
 		f := i.in.Stats()
 		figures := gossip.Figures{Done: float64(f.Answered), Well: float64(f.WithinObjective), Took: f.TotalLatency.Seconds()}
-		if l := i.in.Load(); l.Held+l.Running > 0 {
-			then(float64(l.Held+l.Running), figures)
+		if l := i.in.Load(); l.Queued+l.Running > 0 {
+			then(float64(l.Queued+l.Running), figures)
 		} else {
-			then(spread.Idle(l.Idle), figures)
+			then(spread.Idle(l.IdleFor), figures)
 		}
 	})
 }
@@ -200,7 +200,7 @@
 func (p *relaying) Report(then func(gossip.Report)) {
 	p.r.Post(func() {
 		l := p.r.Load()
-		then(gossip.Report{Ready: l.Up, Leaving: l.Leaving, Facts: []members.Fact{{Key: "passing", Value: float64(l.Running)}}})
+		then(gossip.Report{Ready: l.Ready, Leaving: l.Draining, Facts: []members.Fact{{Key: "passing", Value: float64(l.Running)}}})
 	})
 }
 
--- a/internal/fleet/desk/desk.go
+++ b/internal/fleet/desk/desk.go
@@ -115,12 +115,12 @@
 	}
 	d.leaving = true
 	slog.Info("leaving", "kill_ms", within.Milliseconds())
-	d.part.Leave(within)
+	d.part.Drain(within)
 	d.left(d.Now() + within + 200*time.Millisecond)
 }
 
 func (d *Desk) left(last time.Duration) {
-	if d.part.Closed() || d.Now() >= last {
+	if d.part.Drained() || d.Now() >= last {
 		d.Quit()
 		return
 	}
--- a/internal/fleet/gossip/part.go
+++ b/internal/fleet/gossip/part.go
@@ -470,8 +470,8 @@
 	return b
 }
 
-// Leave is the notice to drain: it is said at once, and the fleet is left shortly before last, a time from now.
-func (p *Part) Leave(last time.Duration) {
+// Drain is the notice to drain: it is said at once, and the fleet is left shortly before last, a time from now.
+func (p *Part) Drain(last time.Duration) {
 	p.Post(func() {
 		if p.leaving {
 			return
@@ -503,8 +503,8 @@
 	})
 }
 
-// Closed tells whether the fleet has been left.
-func (p *Part) Closed() bool {
+// Drained tells whether the fleet has been left.
+func (p *Part) Drained() bool {
 	select {
 	case <-p.closed:
 		return true
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -38,7 +38,7 @@
 // op is one that is elsewhere.
 type op struct {
 	p    *Part
-	owed front.Owed
+	owed front.Responder
 	way  *pass.Op
 }
 
@@ -65,7 +65,7 @@
 // look asks others how they stand while we have more than our cores can do, so that words are fresh when one is turned away; and
 // writes what came of it from time to time.
 func (p *Part) look() {
-	if l := p.in.Load(); l.Held > 0 && !p.leaving {
+	if l := p.in.Load(); l.Queued > 0 && !p.leaving {
 		// Two in a tenth of a second, as a relay asks for each op that it passes on: forty fresh words a second.
 		p.passer.Query()
 		p.passer.Query()
@@ -77,7 +77,7 @@
 // own is our load, as others say theirs.
 func (p *Part) own() float64 {
 	l := p.in.Load()
-	return float64(l.Held+l.Running) / max(1, l.Cores)
+	return float64(l.Queued+l.Running) / max(1, l.Cores)
 }
 
 func (p *Part) note(what string) {
@@ -91,13 +91,13 @@
 func (p *Part) RequestArrived() { p.hander.Came() }
 
 // Forward is keep.Elsewhere.
-func (p *Part) Forward(ask front.Ask, due time.Duration, repeats bool, owed front.Owed) front.Op {
+func (p *Part) Forward(ask front.Request, due time.Duration, repeats bool, owed front.Responder) front.Handle {
 	why := spread.Handed
 	place := 0
 	switch {
 	case p.leaving:
 		why = spread.Leaving
-	case ask.Passed == 0:
+	case ask.Hops == 0:
 		place, why = p.hander.Offer(p.loop.Now(), due-p.loop.Now(), p.own(), p.passer.Chance)
 	}
 	// Whoever has to say no asks others how they stand.
@@ -126,22 +126,22 @@
 	switch {
 	case e.What == spread.Served:
 		p.note("served")
-		owed.Answer(e.Result, e.With)
+		owed.Succeed(e.Result, e.With)
 	case e.Error == "Denied":
 		p.note("denied")
-		owed.Reject("denied", e.With)
+		owed.RejectPermanently("denied", e.With)
 	case !e.Ran():
 		p.note("turned-away")
-		owed.Refuse(e.With)
+		owed.Reject(e.With)
 	default:
 		p.note("failed")
 		owed.Fail(e.With)
 	}
-	owed.Settled()
+	owed.Done()
 }
 
 // Cancel is keep.Elsewhere: nobody waits any more.
-func (p *Part) Cancel(x front.Op) {
+func (p *Part) Cancel(x front.Handle) {
 	if o, is := x.(*op); is && o.owed != nil {
 		o.owed = nil
 		delete(p.open, o)
@@ -149,8 +149,8 @@
 	}
 }
 
-// Leave is front.Front. What is elsewhere may still come back; shortly before the end it is answered as it stands.
-func (p *Part) Leave(last time.Duration) {
+// Drain is front.Front. What is elsewhere may still come back; shortly before the end it is answered as it stands.
+func (p *Part) Drain(last time.Duration) {
 	p.leaving = true
 	p.loop.ScheduleAt(p.loop.Now()+max(0, last-70*time.Millisecond), func() {
 		for o := range p.open {
@@ -159,5 +159,5 @@
 	})
 }
 
-// Closed is front.Front.
-func (p *Part) Closed() bool { return len(p.open) == 0 }
+// Drained is front.Front.
+func (p *Part) Drained() bool { return len(p.open) == 0 }
--- a/internal/intake/golden_test.go
+++ b/internal/intake/golden_test.go
@@ -24,14 +24,14 @@
 
 // The words that a watch socket says of a queue.
 func TestGoldenStates(t *testing.T) {
-	calm := front.Load{Up: true, Well: true, Cores: 4, Room: 1000}
+	calm := front.Load{Ready: true, Healthy: true, Cores: 4, FreeCapacity: 1000}
 	open := Queue{Name: "q", Weight: 1, Floor: 1, Most: 10}
 	for want, change := range map[string]func(d *Desk, load *front.Load) (blocked bool){
 		"open":         func(*Desk, *front.Load) bool { return false },
-		"leaving":      func(_ *Desk, l *front.Load) bool { l.Leaving = true; return false },
-		"runtime-down": func(_ *Desk, l *front.Load) bool { l.Up = false; return false },
+		"leaving":      func(_ *Desk, l *front.Load) bool { l.Draining = true; return false },
+		"runtime-down": func(_ *Desk, l *front.Load) bool { l.Ready = false; return false },
 		"blocked":      func(*Desk, *front.Load) bool { return true },
-		"memory":       func(_ *Desk, l *front.Load) bool { l.Room = 0; return false },
+		"memory":       func(_ *Desk, l *front.Load) bool { l.FreeCapacity = 0; return false },
 		"probing": func(d *Desk, _ *front.Load) bool {
 			for range 8 {
 				d.Ended(0, "q", true)
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -188,13 +188,13 @@
 	d.looked, d.began = now, true
 	d.closed = ""
 	switch {
-	case load.Leaving:
+	case load.Draining:
 		d.closed = "leaving"
-	case !load.Up:
+	case !load.Ready:
 		d.closed = "runtime-down"
 	case blocked:
 		d.closed = "blocked"
-	case load.Room <= 0:
+	case load.FreeCapacity <= 0:
 		d.closed = "memory"
 	}
 	if d.closed != "" {
@@ -208,12 +208,12 @@
 	cores := max(1, load.Cores)
 	d.level = max(d.level, float64(d.floors())) // room that was short may be back
 	switch {
-	case nacked > 0, !load.Well, float64(load.Held) > 2*cores:
+	case nacked > 0, !load.Healthy, float64(load.Queued) > 2*cores:
 		d.level = max(float64(d.floors()), d.level*down)
-	case float64(d.Hand()) >= 0.8*d.level && float64(load.Held) <= cores:
+	case float64(d.Hand()) >= 0.8*d.level && float64(load.Queued) <= cores:
 		d.level += cores
 	}
-	d.level = min(d.level, float64(min(d.most, d.Hand()+load.Room)))
+	d.level = min(d.level, float64(min(d.most, d.Hand()+load.FreeCapacity)))
 	d.share(now)
 }
 
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -12,7 +12,7 @@
 	_ "lanewheel/internal/scenes"
 )
 
-var calm = front.Load{Up: true, Well: true, Cores: 4, Room: 1000}
+var calm = front.Load{Ready: true, Healthy: true, Cores: 4, FreeCapacity: 1000}
 
 // An instance with room takes more as long as what it takes is used; saturated it lets go of all but the floors, and when it
 // leaves, or what it needs is down, it takes nothing.
@@ -37,11 +37,11 @@
 	}
 	fmt.Println(d.State("ops"))
 	busy := calm
-	busy.Held = 20
+	busy.Queued = 20
 	look(busy, false)
 	look(calm, true)
 	fmt.Println(d.State("ops"))
-	for _, change := range []func(*front.Load){func(l *front.Load) { l.Up = false }, func(l *front.Load) { l.Leaving = true }, func(l *front.Load) { l.Room = 0 }} {
+	for _, change := range []func(*front.Load){func(l *front.Load) { l.Ready = false }, func(l *front.Load) { l.Draining = true }, func(l *front.Load) { l.FreeCapacity = 0 }} {
 		load := calm
 		change(&load)
 		look(load, false)
@@ -178,8 +178,8 @@
 		now := time.Duration(0)
 		for range 40 {
 			now += time.Duration(rapid.IntRange(60, 400).Draw(t, "ms")) * time.Millisecond
-			load := front.Load{Up: rapid.IntRange(0, 9).Draw(t, "up") > 0, Well: rapid.Bool().Draw(t, "well"), Cores: 2,
-				Held: rapid.IntRange(0, 9).Draw(t, "held"), Room: rapid.IntRange(0, 100).Draw(t, "room")}
+			load := front.Load{Ready: rapid.IntRange(0, 9).Draw(t, "up") > 0, Healthy: rapid.Bool().Draw(t, "well"), Cores: 2,
+				Queued: rapid.IntRange(0, 9).Draw(t, "held"), FreeCapacity: rapid.IntRange(0, 100).Draw(t, "room")}
 			if rapid.Bool().Draw(t, "nacked") {
 				d.Nacked()
 			}
@@ -194,7 +194,7 @@
 				if d.Closed() != "" && limit > 0 {
 					t.Fatal("closed, and takes")
 				}
-				if d.Closed() == "" && d.State(q.Name) == "open" && load.Room >= floors && limit < q.Floor {
+				if d.Closed() == "" && d.State(q.Name) == "open" && load.FreeCapacity >= floors && limit < q.Floor {
 					t.Fatalf("%s is below its floor: %d", q.Name, limit)
 				}
 			}
--- a/internal/keep/door.go
+++ b/internal/keep/door.go
@@ -9,9 +9,9 @@
 
 // authenticate asks the door for an op that was read. One whose caller is not known yet waits in the tables, unheard by the module:
 // it can be given up, and its id is taken, as that of any other.
-func (in *Server) authenticate(credential *identity.Badge, request front.Ask, responder front.Owed) *activeRequest {
-	wanted := identity.Ask{Token: request.Token, Ask: rights.Ask{Type: choice.Class(request.Type),
-		Tenant: choice.TenantID(request.Tenant), Write: request.Subject == ""}}
+func (in *Server) authenticate(credential *identity.Badge, request front.Request, responder front.Responder) *activeRequest {
+	wanted := identity.Ask{Token: request.Token, Ask: rights.Ask{Type: choice.Class(request.Class),
+		Tenant: choice.TenantID(request.Tenant), Write: request.Resource == ""}}
 	active := in.track(request, responder)
 	active.outsideController = true
 	in.authenticator.Enter(credential, wanted, func(verdict identity.Verdict) {
@@ -26,22 +26,22 @@
 }
 
 // applyVerdict carries out what the door said of an op.
-func (in *Server) applyVerdict(request front.Ask, active *activeRequest, verdict identity.Verdict) {
+func (in *Server) applyVerdict(request front.Request, active *activeRequest, verdict identity.Verdict) {
 	switch {
 	case verdict.Why != "":
 		metadata := in.metadata()
-		metadata.Why = string(verdict.Why)
-		in.answerOutside(active, func(responder front.Owed) { responder.Reject("denied", metadata) })
+		metadata.Reason = string(verdict.Why)
+		in.answerOutside(active, func(responder front.Responder) { responder.RejectPermanently("denied", metadata) })
 	case verdict.After > 0:
 		// When to come again is said where the settings allow it, and no more.
 		metadata := in.metadata()
 		if passed, _ := in.config.Settings["stay away is passed on"].(bool); passed {
-			metadata.After = verdict.After
+			metadata.RetryAfter = verdict.After
 			if maxRetryAfter := durationSetting(in.config.Settings, "longest stay away"); maxRetryAfter > 0 {
-				metadata.After = min(verdict.After, maxRetryAfter)
+				metadata.RetryAfter = min(verdict.After, maxRetryAfter)
 			}
 		}
-		in.answerOutside(active, func(responder front.Owed) { responder.Refuse(metadata) })
+		in.answerOutside(active, func(responder front.Responder) { responder.Reject(metadata) })
 	default:
 		request.Tenant = string(verdict.Tenant)
 		active.permission, active.tenant = verdict.Pass, verdict.Tenant
@@ -50,7 +50,7 @@
 }
 
 // answerOutside answers an op that the module has not heard of, and takes it out of the tables.
-func (in *Server) answerOutside(active *activeRequest, send func(front.Owed)) {
+func (in *Server) answerOutside(active *activeRequest, send func(front.Responder)) {
 	active.outsideController = true
 	in.respond(active, send)
 	in.forget(active)
--- a/internal/keep/instance.go
+++ b/internal/keep/instance.go
@@ -66,7 +66,7 @@
 	spillover   Spillover // where ops may go that are turned away here; nil: nowhere
 	spilledOver int       // ops in hand that are there
 
-	frontends   []front.Front
+	frontends   []front.Frontend
 	stats       Stats
 	emptySince  time.Duration // when the last op in hand was over
 	clockOffset time.Duration // see Now
@@ -161,17 +161,17 @@
 	identity          requestIdentity
 	record            *idempotencyRecord // its key, once that is stored
 	body              []byte
-	responder         front.Owed // its one answer; nil once it is given or the caller has left
+	responder         front.Responder // its one answer; nil once it is given or the caller has left
 	run               *run
 	started           bool                                // it was started, whatever became of that
 	onCoalesced       func(choice.Outcome, time.Duration) // waits for another's result
 	coalescedAt       time.Duration                       // when it began to wait
 	arrivedAt         time.Duration
-	outsideController bool          // the module does not know of it: it waits at the door, or is elsewhere
-	original          *front.Ask    // as it came, less its body; nil where nothing is handed over
-	deadline          time.Duration // with it
-	spilloverHandle   front.Op      // it is elsewhere
-	permission        rights.Pass   // given back when the op is over
+	outsideController bool           // the module does not know of it: it waits at the door, or is elsewhere
+	original          *front.Request // as it came, less its body; nil where nothing is handed over
+	deadline          time.Duration  // with it
+	spilloverHandle   front.Handle   // it is elsewhere
+	permission        rights.Pass    // given back when the op is over
 }
 
 // Spillover is where an op may go that the module has turned away here. It belongs to the owner loop.
@@ -179,9 +179,9 @@
 	// Came tells that an op has come here.
 	RequestArrived()
 	// Take takes what is owed of an op, or gives nil if it does not, or has answered it at once. What is taken is answered by due.
-	Forward(ask front.Ask, due time.Duration, repeats bool, owed front.Owed) front.Op
+	Forward(ask front.Request, due time.Duration, repeats bool, owed front.Responder) front.Handle
 	// Gone tells that nobody waits any more for one that was taken.
-	Cancel(front.Op)
+	Cancel(front.Handle)
 }
 
 // EnableSpillover has ops that are turned away here go elsewhere where that takes them. It belongs to the time before Serve.
@@ -190,13 +190,13 @@
 	in.net.Passed.Store(true)
 }
 
-// Enter is front.Core: it takes an op from a front. What can't be taken is nacked at once: nothing is before the runtime has
+// Submit is front.Core: it takes an op from a front. What can't be taken is nacked at once: nothing is before the runtime has
 // come up, nor under the id of an op in hand that came elsewhere: whose it is can't be told, and it never ran.
-func (in *Server) Enter(request front.Ask, credential *identity.Badge, responder front.Owed) front.Op {
+func (in *Server) Submit(request front.Request, credential *identity.Badge, responder front.Responder) front.Handle {
 	// Danger: more bodies than there is memory for.
 	if in.controller == nil || len(in.requests) >= in.maxRequests || in.requests[choice.RequestID(request.ID)] != nil {
-		responder.Refuse(in.metadata())
-		responder.Settled()
+		responder.Reject(in.metadata())
+		responder.Done()
 		return nil
 	}
 	var active *activeRequest
@@ -212,20 +212,20 @@
 }
 
 // AddFrontend starts a further front. It belongs to the time before Serve.
-func (in *Server) AddFrontend(f front.Front) {
+func (in *Server) AddFrontend(f front.Frontend) {
 	in.frontends = append(in.frontends, f)
 	f.Start()
 }
 
-// Gone is front.Core: nobody waits for an op any more.
-func (in *Server) Gone(handle front.Op) {
+// Cancel is front.Core: nobody waits for an op any more.
+func (in *Server) Cancel(handle front.Handle) {
 	if active, known := handle.(*activeRequest); known && active.responder != nil {
 		in.cancelRequest(active)
 	}
 }
 
 // Owes is stubs.Core: who is owed the answer of an op in hand.
-func (in *Server) Owes(id string) front.Owed {
+func (in *Server) Owes(id string) front.Responder {
 	if active := in.requests[choice.RequestID(id)]; active != nil {
 		return active.responder
 	}
@@ -233,13 +233,13 @@
 }
 
 // With is stubs.Core.
-func (in *Server) With() front.With { return in.metadata() }
+func (in *Server) With() front.ResponseMetadata { return in.metadata() }
 
 // Load is front.Core: how the instance stands.
 func (in *Server) Load() front.Load {
 	cores, _ := in.config.Settings["cores"].(float64)
-	return front.Load{Up: in.controller != nil && in.runtime.synced, Leaving: in.draining, Well: in.healthy(), Cores: cores,
-		Held: len(in.requests) - in.running - in.spilledOver, Running: in.running, Room: in.maxRequests - len(in.requests), Signal: in.loadReport, Idle: in.idleFor()}
+	return front.Load{Ready: in.controller != nil && in.runtime.synced, Draining: in.draining, Healthy: in.healthy(), Cores: cores,
+		Queued: len(in.requests) - in.running - in.spilledOver, Running: in.running, FreeCapacity: in.maxRequests - len(in.requests), LoadReport: in.loadReport, IdleFor: in.idleFor()}
 }
 
 // Stats is what has become of ops since the start.
@@ -274,18 +274,18 @@
 }
 
 // submitToController hands an op to the module. before is the op as it waited at the door, nil if it did not.
-func (in *Server) submitToController(request front.Ask, responder front.Owed, waiting *activeRequest) *activeRequest {
-	queueDelay := max(0, in.WallTime().Sub(time.UnixMilli(request.At)))
+func (in *Server) submitToController(request front.Request, responder front.Responder, waiting *activeRequest) *activeRequest {
+	queueDelay := max(0, in.WallTime().Sub(time.UnixMilli(request.SentUnixMilli)))
 	code := in.invalidReason(request)
-	if code != "" || queueDelay > maxWait(in.timeouts[choice.Class(request.Type)]) { // the second: long over, by a clock that is not ours
+	if code != "" || queueDelay > maxWait(in.timeouts[choice.Class(request.Class)]) { // the second: long over, by a clock that is not ours
 		if waiting == nil {
 			waiting = in.track(request, responder)
 		}
-		in.answerOutside(waiting, func(responder front.Owed) {
+		in.answerOutside(waiting, func(responder front.Responder) {
 			if code != "" {
-				responder.Reject(code, in.metadata())
+				responder.RejectPermanently(code, in.metadata())
 			} else {
-				responder.Refuse(in.metadata())
+				responder.Reject(in.metadata())
 			}
 		})
 		return nil
@@ -301,21 +301,21 @@
 	}
 	active.identity = in.idempotency.identify(active, request, in.idempotentByKey[active.class])
 	in.decisionPending = true
-	in.controller.Submit(choice.Request{ID: active.id, Class: active.class, Rank: request.Rank, IsWrite: request.Subject == "",
-		Resource: request.Subject, Caller: choice.CallerID(request.From), HasDeadline: request.Waits,
-		Deadline: in.Now() - queueDelay + request.Wait, WorkHint: request.Cost, MemoryKB: request.KB, QueueDelay: queueDelay,
+	in.controller.Submit(choice.Request{ID: active.id, Class: active.class, Rank: request.Rank, IsWrite: request.Resource == "",
+		Resource: request.Resource, Caller: choice.CallerID(request.Caller), HasDeadline: request.HasTimeout,
+		Deadline: in.Now() - queueDelay + request.Timeout, WorkHint: request.WorkHint, MemoryKB: request.MemoryKB, QueueDelay: queueDelay,
 		Tenant: choice.TenantID(request.Tenant), DuplicateOf: in.idempotency.duplicateOf(active, in.Now()-queueDelay)})
 	return active
 }
 
 // keepOriginal keeps what it takes to ask for an op elsewhere.
-func (in *Server) keepOriginal(active *activeRequest, request front.Ask, queueDelay time.Duration) {
+func (in *Server) keepOriginal(active *activeRequest, request front.Request, queueDelay time.Duration) {
 	in.spillover.RequestArrived()
 	request.Body = nil
 	active.original = &request
 	active.deadline = in.Loop.Now() - queueDelay + in.timeouts[active.class]
-	if request.Waits {
-		active.deadline = min(active.deadline, in.Loop.Now()-queueDelay+request.Wait)
+	if request.HasTimeout {
+		active.deadline = min(active.deadline, in.Loop.Now()-queueDelay+request.Timeout)
 	}
 }
 
@@ -350,21 +350,21 @@
 	request *activeRequest
 }
 
-func (h *spilledResponder) Answer(result []byte, metadata front.With) {
-	h.server.respond(h.request, func(responder front.Owed) { responder.Answer(result, h.server.metadata()) })
+func (h *spilledResponder) Succeed(result []byte, metadata front.ResponseMetadata) {
+	h.server.respond(h.request, func(responder front.Responder) { responder.Succeed(result, h.server.metadata()) })
 }
-func (h *spilledResponder) Refuse(metadata front.With) {
-	metadata.Say = h.server.loadReport
-	h.server.respond(h.request, func(responder front.Owed) { responder.Refuse(metadata) })
+func (h *spilledResponder) Reject(metadata front.ResponseMetadata) {
+	metadata.LoadReport = h.server.loadReport
+	h.server.respond(h.request, func(responder front.Responder) { responder.Reject(metadata) })
 }
-func (h *spilledResponder) Fail(front.With) {
-	h.server.respond(h.request, func(responder front.Owed) { responder.Fail(h.server.metadata()) })
+func (h *spilledResponder) Fail(front.ResponseMetadata) {
+	h.server.respond(h.request, func(responder front.Responder) { responder.Fail(h.server.metadata()) })
 }
-func (h *spilledResponder) Reject(code string, metadata front.With) {
-	metadata.Say = h.server.loadReport
-	h.server.respond(h.request, func(responder front.Owed) { responder.Reject(code, metadata) })
+func (h *spilledResponder) RejectPermanently(code string, metadata front.ResponseMetadata) {
+	metadata.LoadReport = h.server.loadReport
+	h.server.respond(h.request, func(responder front.Responder) { responder.RejectPermanently(code, metadata) })
 }
-func (h *spilledResponder) Settled() { h.server.returnFromSpillover(h.request) }
+func (h *spilledResponder) Done() { h.server.returnFromSpillover(h.request) }
 
 // returnFromSpillover forgets that an op is elsewhere.
 func (in *Server) returnFromSpillover(active *activeRequest) {
@@ -376,8 +376,8 @@
 }
 
 // track puts an op in the tables.
-func (in *Server) track(request front.Ask, responder front.Owed) *activeRequest {
-	active := &activeRequest{id: choice.RequestID(request.ID), class: choice.Class(request.Type), resource: request.Subject, responder: responder, arrivedAt: in.Loop.Now(),
+func (in *Server) track(request front.Request, responder front.Responder) *activeRequest {
+	active := &activeRequest{id: choice.RequestID(request.ID), class: choice.Class(request.Class), resource: request.Resource, responder: responder, arrivedAt: in.Loop.Now(),
 		body: append(in.buffers.Take(), request.Body...)}
 	in.requests[active.id] = active
 	return active
@@ -398,16 +398,16 @@
 
 // invalidReason tells what makes an ask one that could never be served, whatever else is here. Danger: the module would
 // learn from figures that nobody meant, or reckon with such as overflow.
-func (in *Server) invalidReason(request front.Ask) string {
-	timeout, known := in.timeouts[choice.Class(request.Type)]
+func (in *Server) invalidReason(request front.Request) string {
+	timeout, known := in.timeouts[choice.Class(request.Class)]
 	switch {
 	case !known:
 		return "unknown-type"
 	case len(in.tenants) > 0 && !in.tenants[choice.TenantID(request.Tenant)]:
 		return "unknown-tenant"
-	case request.KB <= 0 || request.KB >= 2000 || request.Rank < 0 || request.Rank >= 1 || request.From < 0 || request.From > math.MaxInt32:
+	case request.MemoryKB <= 0 || request.MemoryKB >= 2000 || request.Rank < 0 || request.Rank >= 1 || request.Caller < 0 || request.Caller > math.MaxInt32:
 		return "out-of-range"
-	case request.Wait > maxWait(timeout) || request.Cost > maxWait(timeout):
+	case request.Timeout > maxWait(timeout) || request.WorkHint > maxWait(timeout):
 		return "out-of-range"
 	}
 	return ""
@@ -435,20 +435,22 @@
 func (in *Server) releaseResponder(active *activeRequest) {
 	if responder := active.responder; responder != nil {
 		active.responder = nil
-		responder.Settled()
+		responder.Done()
 		in.idempotency.detach(active)
 	}
 }
 
 // respond sends the one answer, if it is still owed.
-func (in *Server) respond(active *activeRequest, send func(front.Owed)) {
+func (in *Server) respond(active *activeRequest, send func(front.Responder)) {
 	if responder := active.responder; responder != nil {
 		send(responder)
 		in.releaseResponder(active)
 	}
 }
 
-func (in *Server) metadata() front.With { return front.With{Say: in.loadReport} }
+func (in *Server) metadata() front.ResponseMetadata {
+	return front.ResponseMetadata{LoadReport: in.loadReport}
+}
 
 // forget forgets an op that nothing is owed to any more and that does not run.
 func (in *Server) forget(active *activeRequest) {
@@ -500,8 +502,8 @@
 		}
 		in.recordOutcome(active, false)
 		metadata := in.metadata()
-		metadata.After, metadata.Last = retryAfter, noFailover
-		in.respond(active, func(responder front.Owed) { responder.Refuse(metadata) })
+		metadata.RetryAfter, metadata.NoFailover = retryAfter, noFailover
+		in.respond(active, func(responder front.Responder) { responder.Reject(metadata) })
 		in.forget(active)
 	}
 }
@@ -509,7 +511,7 @@
 func (in *Server) Fail(id choice.RequestID) {
 	if active := in.requests[id]; active != nil {
 		in.recordOutcome(active, false)
-		in.respond(active, func(responder front.Owed) { responder.Fail(in.metadata()) })
+		in.respond(active, func(responder front.Responder) { responder.Fail(in.metadata()) })
 		in.forget(active)
 	}
 }
--- a/internal/keep/keep_test.go
+++ b/internal/keep/keep_test.go
@@ -121,7 +121,7 @@
 	op := func(keyed bool) *activeRequest {
 		n++
 		active := &activeRequest{id: choice.RequestID(fmt.Sprint(n)), class: "pay", resource: "s", body: []byte("x")}
-		active.identity = k.identify(active, front.Ask{Anew: true}, keyed)
+		active.identity = k.identify(active, front.Request{NewIDPerAttempt: true}, keyed)
 		return active
 	}
 	printDuplicate := func(what string, keyed bool, came time.Duration) {
@@ -162,11 +162,11 @@
 // printingResponder is owed an answer and prints it.
 type printingResponder struct{}
 
-func (printingResponder) Answer([]byte, front.With) { fmt.Println("answered") }
-func (printingResponder) Refuse(front.With)         { fmt.Println("turned away") }
-func (printingResponder) Fail(front.With)           { fmt.Println("failed") }
-func (printingResponder) Reject(string, front.With) { fmt.Println("rejected") }
-func (printingResponder) Settled()                  {}
+func (printingResponder) Succeed([]byte, front.ResponseMetadata)           { fmt.Println("answered") }
+func (printingResponder) Reject(front.ResponseMetadata)                    { fmt.Println("turned away") }
+func (printingResponder) Fail(front.ResponseMetadata)                      { fmt.Println("failed") }
+func (printingResponder) RejectPermanently(string, front.ResponseMetadata) { fmt.Println("rejected") }
+func (printingResponder) Done()                                            {}
 
 // The id of an op that is over is sent once more, with something else to say: the key of the first is neither prolonged nor dropped with it.
 func Example_idOnceMore() {
@@ -174,7 +174,7 @@
 	k := &instance.idempotency
 	op := func(body string, keyed bool) *activeRequest {
 		active := &activeRequest{id: "1", class: "pay", resource: body, body: []byte(body)}
-		active.identity = k.identify(active, front.Ask{Anew: true}, keyed)
+		active.identity = k.identify(active, front.Request{NewIDPerAttempt: true}, keyed)
 		return active
 	}
 	for _, keyed := range []bool{true, false} {
@@ -219,7 +219,7 @@
 	instance.Post(func() {
 		instance.Drain()
 		instance.handleEvent(wire.Notice{Kind: "ready", Status: "steady"})
-		instance.Enter(front.Ask{ID: "0123456789abcdef", Type: "view", At: time.Now().UnixMilli(), KB: 1}, nil, printingResponder{})
+		instance.Submit(front.Request{ID: "0123456789abcdef", Class: "view", SentUnixMilli: time.Now().UnixMilli(), MemoryKB: 1}, nil, printingResponder{})
 	})
 	<-served
 	_ = link.SetReadDeadline(time.Now().Add(50 * time.Millisecond)) // all that was sent lies there by now
--- a/internal/keep/keys.go
+++ b/internal/keep/keys.go
@@ -37,9 +37,9 @@
 
 // identify is what repeats of an op have in common, zero where it has none. Danger: one tenant's read answered with what another's came to, of a
 // key that both use.
-func (k *idempotencyCache) identify(active *activeRequest, request front.Ask, byKey bool) (identity requestIdentity) {
+func (k *idempotencyCache) identify(active *activeRequest, request front.Request, byKey bool) (identity requestIdentity) {
 	switch {
-	case byKey && request.Anew:
+	case byKey && request.NewIDPerAttempt:
 		// Not who sends it: a further try may come by another stub.
 		identity = requestIdentity{class: active.class, tenant: active.tenant, bodyHash: sha256.Sum256(active.body), byKey: true}
 	case !byKey && active.resource != "":
@@ -173,13 +173,13 @@
 	outcome := choice.Succeeded
 	switch {
 	case result != nil:
-		in.respond(active, func(responder front.Owed) { responder.Answer(result, in.metadata()) })
+		in.respond(active, func(responder front.Responder) { responder.Succeed(result, in.metadata()) })
 	case started:
 		outcome = choice.Failed
-		in.respond(active, func(responder front.Owed) { responder.Fail(in.metadata()) })
+		in.respond(active, func(responder front.Responder) { responder.Fail(in.metadata()) })
 	default:
 		outcome = choice.Failed
-		in.respond(active, func(responder front.Owed) { responder.Refuse(in.metadata()) })
+		in.respond(active, func(responder front.Responder) { responder.Reject(in.metadata()) })
 	}
 	in.decisionPending = true
 	active.onCoalesced(outcome, in.Now()-active.coalescedAt)
--- a/internal/keep/leave.go
+++ b/internal/keep/leave.go
@@ -38,7 +38,7 @@
 	in.report()
 	schedule := stubs.SpansOf(in.config.TerminationGrace)
 	for _, f := range in.frontends { // they close while connections still may be answered
-		f.Leave(max(0, in.config.TerminationGrace-schedule.Fronts))
+		f.Drain(max(0, in.config.TerminationGrace-schedule.Fronts))
 	}
 	if in.controller == nil { // nothing was ever taken in, so there is nothing to wait for
 		killAt = min(killAt, in.Now()+schedule.Part)
@@ -59,5 +59,5 @@
 
 // frontendsDrained tells whether the fronts beside the stubs' are done.
 func (in *Server) frontendsDrained() bool {
-	return !slices.ContainsFunc(in.frontends, func(f front.Front) bool { return !f.Closed() })
+	return !slices.ContainsFunc(in.frontends, func(f front.Frontend) bool { return !f.Drained() })
 }
--- a/internal/keep/runs.go
+++ b/internal/keep/runs.go
@@ -251,15 +251,15 @@
 	case choice.Succeeded:
 		in.idempotency.finish(in, active, event.Bytes)
 		in.recordOutcome(active, true)
-		in.respond(active, func(responder front.Owed) { responder.Answer(event.Bytes, in.metadata()) })
+		in.respond(active, func(responder front.Responder) { responder.Succeed(event.Bytes, in.metadata()) })
 	case choice.Failed:
 		in.recordOutcome(active, false)
-		in.respond(active, func(responder front.Owed) { responder.Fail(in.metadata()) })
+		in.respond(active, func(responder front.Responder) { responder.Fail(in.metadata()) })
 	}
 	in.decisionPending = true
 	run.onEnd(outcome, event.Took)
 	if outcome == choice.NotStarted { // nothing ran here, so an answer that is owed all the same can only be this
-		in.respond(active, func(responder front.Owed) { responder.Fail(in.metadata()) })
+		in.respond(active, func(responder front.Responder) { responder.Fail(in.metadata()) })
 	}
 	in.forget(active)
 }
@@ -272,6 +272,6 @@
 		slog.Warn("command-refused", "command", event.Status, "op", event.ID)
 		return
 	}
-	in.respond(active, func(responder front.Owed) { responder.Reject("unknown-op", in.metadata()) })
+	in.respond(active, func(responder front.Responder) { responder.RejectPermanently("unknown-op", in.metadata()) })
 	in.handleEnd(wire.Notice{Kind: "end", ID: event.ID, Status: "nothing"})
 }
--- a/internal/life/stewards/stewards.go
+++ b/internal/life/stewards/stewards.go
@@ -46,7 +46,7 @@
 		node.Put(o.ClusterKeys)
 	})
 	node.Serve(adapter)
-	for end := time.Now().Add(shutdownTimeout); !agent.Closed() && time.Now().Before(end); {
+	for end := time.Now().Add(shutdownTimeout); !agent.Drained() && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
 	return nil
@@ -74,7 +74,7 @@
 
 func (p *fleetAdapter) shutdown() {
 	slog.Info("leaving", "kill_ms", shutdownTimeout.Milliseconds())
-	p.agent.Leave(shutdownTimeout)
+	p.agent.Drain(shutdownTimeout)
 	p.coordinator.Leave()
 }
 
--- a/internal/pass/pass.go
+++ b/internal/pass/pass.go
@@ -70,7 +70,7 @@
 // Op is one op on its way.
 type Op struct {
 	p       *Passer
-	ask     front.Ask
+	ask     front.Request
 	due     time.Duration
 	repeats bool
 	most    int
@@ -152,24 +152,24 @@
 
 // Give passes an op on, to the most members told one after the other, and calls done once, by its due time; done may be called before Give
 // returns. What ask.Body points to is copied.
-func (p *Passer) Give(ask front.Ask, due time.Duration, repeats bool, most int, done func(Ended)) *Op {
+func (p *Passer) Give(ask front.Request, due time.Duration, repeats bool, most int, done func(Ended)) *Op {
 	o := p.op(ask, due, repeats, most, done)
 	p.give(o)
 	return o
 }
 
 // GiveTo passes an op on to one member and no other.
-func (p *Passer) GiveTo(place int, ask front.Ask, due time.Duration, repeats bool, done func(Ended)) *Op {
+func (p *Passer) GiveTo(place int, ask front.Request, due time.Duration, repeats bool, done func(Ended)) *Op {
 	o := p.op(ask, due, repeats, 1, done)
 	p.to(o, place)
 	return o
 }
 
-func (p *Passer) op(ask front.Ask, due time.Duration, repeats bool, most int, done func(Ended)) *Op {
+func (p *Passer) op(ask front.Request, due time.Duration, repeats bool, most int, done func(Ended)) *Op {
 	o := &Op{p: p, ask: ask, due: due, repeats: repeats, most: most, done: done}
 	o.ask.Body = append(p.net.Take(), ask.Body...)
 	// The sign that travels down: who gets an op that was passed on leaves second tries to those above it.
-	o.ask.Passed++
+	o.ask.Hops++
 	// Danger: a member that never answers. The op is answered when its time is up, whatever becomes of it below.
 	o.timer = p.loop.ScheduleAt(max(p.loop.Now(), due), o.Late)
 	return o
@@ -187,7 +187,7 @@
 		return false
 	})
 	if !any {
-		o.end(Ended{What: spread.Refused, Nobody: true, Outcome: wire.Outcome{Error: "Busy", With: front.With{Say: -1}}}) // each try before proved that it never ran
+		o.end(Ended{What: spread.Refused, Nobody: true, Outcome: wire.Outcome{Error: "Busy", With: front.ResponseMetadata{LoadReport: -1}}}) // each try before proved that it never ran
 		return
 	}
 	p.to(o, i)
@@ -220,7 +220,7 @@
 	}
 }
 
-var busy, lost = wire.Outcome{Error: "Busy", With: front.With{Say: -1}}, wire.Outcome{Error: "Failed", With: front.With{Say: -1}}
+var busy, lost = wire.Outcome{Error: "Busy", With: front.ResponseMetadata{LoadReport: -1}}, wire.Outcome{Error: "Failed", With: front.ResponseMetadata{LoadReport: -1}}
 
 // Chance draws a number from 0 to 1.
 func (p *Passer) Chance() float64 { return p.chance.Float64() }
@@ -249,7 +249,7 @@
 		o.over()
 		return
 	}
-	if p.Chooser.Next(p.loop.Now(), spread.Try{Due: o.due, Tries: o.tries, Most: o.most, Repeats: o.repeats, Passed: o.ask.Passed > 1}, what, unsent, a.With.Last) == spread.Again {
+	if p.Chooser.Next(p.loop.Now(), spread.Try{Due: o.due, Tries: o.tries, Most: o.most, Repeats: o.repeats, Passed: o.ask.Hops > 1}, what, unsent, a.With.NoFailover) == spread.Again {
 		p.Again++
 		// Each try has an id of its own, as the protocol wants it: an instance can't tell two tries of one op in hand apart.
 		o.ask.ID = fmt.Sprintf("%016x", p.chance.Uint64())
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -39,7 +39,7 @@
 	passer  *pass.Passer
 	kinds   map[string]kind
 	ops     map[string]*op
-	fronts  []front.Front
+	fronts  []front.Frontend
 	roster  *wire.Roster
 	leaving bool
 	until   time.Duration // when it leaves: from then on nothing new is passed on
@@ -57,8 +57,8 @@
 // op is one op in hand.
 type op struct {
 	r    *Relay
-	id   string     // its caller's
-	owed front.Owed // nil once it is answered or nobody waits
+	id   string          // its caller's
+	owed front.Responder // nil once it is answered or nobody waits
 	way  *pass.Op
 }
 
@@ -93,7 +93,7 @@
 }
 
 // Attach starts what works beside the loop. It belongs to the time before Serve.
-func (r *Relay) Attach(f front.Front) {
+func (r *Relay) Attach(f front.Frontend) {
 	r.fronts = append(r.fronts, f)
 	f.Start()
 }
@@ -108,7 +108,7 @@
 func (r *Relay) known() int { return r.passer.Chooser.Len() }
 
 // Owes is stubs.Core.
-func (r *Relay) Owes(id string) front.Owed {
+func (r *Relay) Owes(id string) front.Responder {
 	if o := r.ops[id]; o != nil {
 		return o.owed
 	}
@@ -116,36 +116,36 @@
 }
 
 // With is stubs.Core: a relay has no signal of its own.
-func (r *Relay) With() front.With { return front.With{Say: -1} }
+func (r *Relay) With() front.ResponseMetadata { return front.ResponseMetadata{LoadReport: -1} }
 
 // Check is stubs.Core: all is well while somebody is there to pass to.
 func (r *Relay) Check(deep bool, then func(bool)) { then(r.known() > 0 && !r.leaving) }
 
 // Load is front.Core.
 func (r *Relay) Load() front.Load {
-	return front.Load{Up: r.known() > 0, Leaving: r.leaving, Well: r.known() > 0, Running: len(r.ops), Room: r.told.Most - len(r.ops), Signal: -1}
+	return front.Load{Ready: r.known() > 0, Draining: r.leaving, Healthy: r.known() > 0, Running: len(r.ops), FreeCapacity: r.told.Most - len(r.ops), LoadReport: -1}
 }
 
-// Enter is front.Core.
-func (r *Relay) Enter(ask front.Ask, _ *identity.Badge, owed front.Owed) front.Op {
+// Submit is front.Core.
+func (r *Relay) Submit(ask front.Request, _ *identity.Badge, owed front.Responder) front.Handle {
 	r.Counts.Asked++
-	k, known := r.kinds[ask.Type]
+	k, known := r.kinds[ask.Class]
 	switch {
 	case !known:
-		owed.Reject("unknown-type", r.With())
-		owed.Settled()
+		owed.RejectPermanently("unknown-type", r.With())
+		owed.Done()
 		return nil
 	// Danger: more bodies than there is memory for; and one id in hand twice, of which nobody could tell whose the answer is.
 	case len(r.ops) >= r.told.Most || r.ops[ask.ID] != nil || r.leaving && r.Now() >= r.until:
 		r.Counts.Refused++
-		owed.Refuse(r.With())
-		owed.Settled()
+		owed.Reject(r.With())
+		owed.Done()
 		return nil
 	}
-	lay := max(0, r.WallTime().Sub(time.UnixMilli(ask.At)))
+	lay := max(0, r.WallTime().Sub(time.UnixMilli(ask.SentUnixMilli)))
 	due := r.Now() - lay + k.timeout
-	if ask.Waits {
-		due = min(due, r.Now()-lay+ask.Wait)
+	if ask.HasTimeout {
+		due = min(due, r.Now()-lay+ask.Timeout)
 	}
 	o := &op{r: r, id: ask.ID, owed: owed}
 	r.ops[ask.ID] = o
@@ -159,10 +159,10 @@
 // mostTries is how many members an op is given to at the most. Two that are full one after the other are a full fleet.
 const mostTries = 3
 
-// Gone is front.Core: nobody waits any more.
-func (r *Relay) Gone(x front.Op) {
+// Cancel is front.Core: nobody waits any more.
+func (r *Relay) Cancel(x front.Handle) {
 	if o, is := x.(*op); is && o.owed != nil {
-		o.answer(func(front.Owed) {})
+		o.answer(func(front.Responder) {})
 		o.way.Gone()
 	}
 }
@@ -176,31 +176,31 @@
 	switch {
 	case e.Nobody:
 		c.Nobody++
-		with.After = o.r.told.After
-		o.answer(func(w front.Owed) { w.Refuse(with) })
+		with.RetryAfter = o.r.told.After
+		o.answer(func(w front.Responder) { w.Reject(with) })
 	case e.What == spread.Served:
 		c.Served++
-		o.answer(func(w front.Owed) { w.Answer(e.Result, with) })
+		o.answer(func(w front.Responder) { w.Succeed(e.Result, with) })
 	case e.Error == "Denied":
-		o.answer(func(w front.Owed) { w.Reject("denied", with) })
+		o.answer(func(w front.Responder) { w.RejectPermanently("denied", with) })
 	case !e.Ran():
 		c.Refused++
-		o.answer(func(w front.Owed) { w.Refuse(with) })
+		o.answer(func(w front.Responder) { w.Reject(with) })
 	default:
 		if c.Failed++; e.What == spread.Lost {
 			c.Lost++
 		}
-		o.answer(func(w front.Owed) { w.Fail(with) })
+		o.answer(func(w front.Responder) { w.Fail(with) })
 	}
 }
 
 // answer gives the one answer, and forgets the op.
-func (o *op) answer(send func(front.Owed)) {
+func (o *op) answer(send func(front.Responder)) {
 	w := o.owed
 	o.owed = nil
 	delete(o.r.ops, o.id)
 	send(w)
-	w.Settled()
+	w.Done()
 }
 
 // report tells the roster that we are here, as an instance does.
@@ -229,7 +229,7 @@
 	r.report()
 	spans := stubs.SpansOf(r.config.TerminationGrace)
 	for _, f := range r.fronts {
-		f.Leave(max(0, r.config.TerminationGrace-spans.Fronts))
+		f.Drain(max(0, r.config.TerminationGrace-spans.Fronts))
 	}
 	r.stubs.Part()
 	// What is still open then gets its answer; nothing new is passed on from then on either.
@@ -241,7 +241,7 @@
 	})
 	r.ScheduleAt(max(r.Now(), killAt-spans.Part), func() {
 		r.stubs.Drain(spans, killAt, func() bool {
-			return len(r.ops) == 0 && !slices.ContainsFunc(r.fronts, func(f front.Front) bool { return !f.Closed() })
+			return len(r.ops) == 0 && !slices.ContainsFunc(r.fronts, func(f front.Frontend) bool { return !f.Drained() })
 		}, func(connections int) {
 			c := r.Counts
 			slog.Info("stopped", "connections", connections, "ops", len(r.ops), "asked", c.Asked, "served", c.Served, "refused", c.Refused, "failed", c.Failed,
--- a/internal/stubs/stubs.go
+++ b/internal/stubs/stubs.go
@@ -17,13 +17,13 @@
 
 // Core is what this front needs beside what any front does.
 type Core interface {
-	front.Core
+	front.Server
 	// Owes gives who is owed the answer of an op in hand, nil if none is.
-	Owes(id string) front.Owed
+	Owes(id string) front.Responder
 	// Check has then called with whether all is well; deep asks whether work gets done.
 	Check(deep bool, then func(good bool))
 	// With is what rides on every answer.
-	With() front.With
+	With() front.ResponseMetadata
 }
 
 // Door is who knows callers; nil where everybody may do everything.
@@ -174,7 +174,7 @@
 	s.OnInterrupt = func(n uint32) {
 		c.heard = true
 		if a := c.open[n]; a != nil {
-			in.core.Gone(a.op)
+			in.core.Cancel(a.op)
 		}
 	}
 	s.OnCheck = func(n uint32, deep bool) {
@@ -187,7 +187,7 @@
 	s.OnEnd = func(string) {
 		delete(in.all, s)
 		for _, n := range slices.Sorted(maps.Keys(c.open)) {
-			in.core.Gone(c.open[n].op)
+			in.core.Cancel(c.open[n].op)
 		}
 	}
 	in.loop.Post(func() {
@@ -207,7 +207,7 @@
 	}
 	for _, n := range slices.Sorted(maps.Keys(c.open)) {
 		c.conn.Failed(n, c.in.core.With())
-		c.in.core.Gone(c.open[n].op)
+		c.in.core.Cancel(c.open[n].op)
 	}
 	c.close(code)
 }
@@ -240,24 +240,24 @@
 	}
 	a := &asked{c: c, n: n}
 	c.open[n], c.used = a, c.in.loop.Now()
-	a.op = c.in.core.Enter(ask, &c.badge, a)
+	a.op = c.in.core.Submit(ask, &c.badge, a)
 }
 
 // asked is an op that a stub's connection is owed the answer of: a front.Owed.
 type asked struct {
 	c  *caller
 	n  uint32
-	op front.Op
+	op front.Handle
 }
 
-func (a *asked) Answer(result []byte, with front.With) {
+func (a *asked) Succeed(result []byte, with front.ResponseMetadata) {
 	a.c.strikes = 0
 	a.c.conn.Answer(a.n, result, with)
 }
-func (a *asked) Refuse(with front.With) { a.c.strikes = 0; a.c.conn.Refuse(a.n, with) }
-func (a *asked) Fail(with front.With)   { a.c.strikes = 0; a.c.conn.Failed(a.n, with) }
+func (a *asked) Reject(with front.ResponseMetadata) { a.c.strikes = 0; a.c.conn.Refuse(a.n, with) }
+func (a *asked) Fail(with front.ResponseMetadata)   { a.c.strikes = 0; a.c.conn.Failed(a.n, with) }
 
-func (a *asked) Settled() {
+func (a *asked) Done() {
 	if a.c.open[a.n] == a {
 		delete(a.c.open, a.n)
 	}
@@ -265,12 +265,12 @@
 	a.c.leaveIfBarred()
 }
 
-// Reject answers what could never be served. What the runtime does not know ends the connection, as do several such asks in a
+// RejectPermanently answers what could never be served. What the runtime does not know ends the connection, as do several such asks in a
 // row; a certificate that no longer counts bars it.
-func (a *asked) Reject(code string, with front.With) {
+func (a *asked) RejectPermanently(code string, with front.ResponseMetadata) {
 	c := a.c
 	strike := true
-	if with.Why != "" {
+	if with.Reason != "" {
 		c.conn.Denied(a.n, with)
 		if c.in.door != nil {
 			if standing := c.in.door.Standing(&c.badge); standing != "" {
@@ -278,7 +278,7 @@
 				return
 			}
 		}
-		strike = identity.Forged(rights.Reason(with.Why))
+		strike = identity.Forged(rights.Reason(with.Reason))
 	} else {
 		c.conn.Failed(a.n, with)
 	}
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -39,7 +39,7 @@
 func (c *Client) Ask(n uint32, a Ask) {
 	b := append(c.room(), 0x94, 0x00, 0xce)
 	b = binary.BigEndian.AppendUint32(b, n)
-	b = appendStr(b, a.Type)
+	b = appendStr(b, a.Class)
 	b = append(b, 0x92)
 	at := len(b)
 	b = append(b, 0x80)
@@ -49,25 +49,25 @@
 	}
 	number := func(name string, x float64) { put(name, strconv.FormatFloat(x, 'f', -1, 64)) }
 	put("id", a.ID)
-	put("at", strconv.FormatInt(a.At, 10))
-	put("from", strconv.Itoa(a.From))
-	if a.Waits {
-		number("wait", float64(a.Wait)/float64(time.Millisecond))
+	put("at", strconv.FormatInt(a.SentUnixMilli, 10))
+	put("from", strconv.Itoa(a.Caller))
+	if a.HasTimeout {
+		number("wait", float64(a.Timeout)/float64(time.Millisecond))
 	}
 	if a.Tenant != "" {
 		put("tenant", a.Tenant)
 	}
-	if a.Subject != "" {
-		put("key", a.Subject)
+	if a.Resource != "" {
+		put("key", a.Resource)
 	}
-	number("cost", float64(a.Cost)/float64(time.Millisecond))
-	number("kb", a.KB)
+	number("cost", float64(a.WorkHint)/float64(time.Millisecond))
+	number("kb", a.MemoryKB)
 	number("rank", a.Rank)
 	if a.Token != "" {
 		put("token", a.Token)
 	}
-	if a.Passed > 0 {
-		put("passed", strconv.Itoa(a.Passed))
+	if a.Hops > 0 {
+		put("passed", strconv.Itoa(a.Hops))
 	}
 	c.put(appendBin(b, a.Body))
 }
@@ -117,7 +117,7 @@
 
 func (c *Client) answer(r *unpack) func() {
 	n := r.whole()
-	a := Outcome{With: With{Say: -1}}
+	a := Outcome{With: With{LoadReport: -1}}
 	var body []byte
 	switch {
 	case r.bad || n < 0 || n > math.MaxUint32:
@@ -156,17 +156,17 @@
 
 // with reads the fields of an answer.
 func (r *unpack) with() With {
-	w := With{Say: -1}
+	w := With{LoadReport: -1}
 	for i := r.mapping(); i > 0 && !r.bad && !r.short; i-- {
 		switch name := r.text(); string(name) {
 		case "say":
-			w.Say = max(0, r.number())
+			w.LoadReport = max(0, r.number())
 		case "after":
-			w.After = r.milliseconds()
+			w.RetryAfter = r.milliseconds()
 		case "last":
-			w.Last = r.number() == 1
+			w.NoFailover = r.number() == 1
 		case "why":
-			w.Why = string(r.text())
+			w.Reason = string(r.text())
 		default:
 			r.skip(0)
 		}
--- a/internal/wire/crossings_test.go
+++ b/internal/wire/crossings_test.go
@@ -52,7 +52,7 @@
 		Accept: func(l *Link) {
 			s := l.Stub()
 			s.OnOp, s.OnInterrupt, s.OnFault = func(uint32, Ask) {}, func(uint32) {}, func(string) {}
-			s.OnCheck = func(n uint32, _ bool) { s.Checked(n, true, With{Say: -1}) }
+			s.OnCheck = func(n uint32, _ bool) { s.Checked(n, true, With{LoadReport: -1}) }
 			s.OnEnd = func(code string) { x.ended <- code }
 			x.stubs <- s
 		}}
@@ -246,7 +246,7 @@
 	c.Write(checkCall)
 	comes(s.nb.Hash(), unix.POLLIN)
 	x.own(func() {
-		s.Checked(1, true, With{Say: -1})
+		s.Checked(1, true, With{LoadReport: -1})
 		s.Close("unused")
 	})
 	close(free)
@@ -287,7 +287,7 @@
 		x.own(func() {
 			_ = unix.SetsockoptInt(s.nb.Hash(), unix.SOL_SOCKET, unix.SO_SNDBUF, 8<<10)
 			for i := range 30 {
-				s.Answer(uint32(i), make([]byte, 4096), With{Say: -1})
+				s.Answer(uint32(i), make([]byte, 4096), With{LoadReport: -1})
 			}
 			s.Close("unused")
 		})
@@ -304,7 +304,7 @@
 	defer c.Close()
 	x.own(func() {
 		for i := range 4000 {
-			s.Answer(uint32(i), make([]byte, 4096), With{Say: -1})
+			s.Answer(uint32(i), make([]byte, 4096), With{LoadReport: -1})
 			s.flush()
 		}
 	})
--- a/internal/wire/golden_rpc_test.go
+++ b/internal/wire/golden_rpc_test.go
@@ -52,9 +52,9 @@
 }
 
 func goldenAsk() Ask {
-	return Ask{ID: "0123456789abcdef", Type: "view", Tenant: "acme", Subject: "k1", At: 1764576000123, From: 4,
-		Wait: 480 * time.Millisecond, Waits: true, Cost: 12500 * time.Microsecond, KB: 24.5, Rank: 0.625,
-		Token: "abc.def", Passed: 1, Anew: true, Body: []byte{0xff, 0xc1}}
+	return Ask{ID: "0123456789abcdef", Class: "view", Tenant: "acme", Resource: "k1", SentUnixMilli: 1764576000123, Caller: 4,
+		Timeout: 480 * time.Millisecond, HasTimeout: true, WorkHint: 12500 * time.Microsecond, MemoryKB: 24.5, Rank: 0.625,
+		Token: "abc.def", Hops: 1, NewIDPerAttempt: true, Body: []byte{0xff, 0xc1}}
 }
 
 // goldenLongAsk has a text and a body past the short forms of their heads.
@@ -66,7 +66,7 @@
 
 // goldenLeastAsk has nothing that may be left out.
 func goldenLeastAsk() Ask {
-	return Ask{ID: "0123456789abcdef", Type: "view", Anew: true, Body: []byte{}}
+	return Ask{ID: "0123456789abcdef", Class: "view", NewIDPerAttempt: true, Body: []byte{}}
 }
 
 // What a client stub says: our own client writes the stored bytes, and the server reads them as what was meant.
@@ -104,8 +104,8 @@
 // What a server says to client stubs: it writes the stored bytes, and our own client reads them as what was meant.
 func TestGoldenToClients(t *testing.T) {
 	file := goldentest.Open(t, "testdata/rpc_to_client.golden")
-	with := With{Say: 0.25, After: 1500 * time.Millisecond, Last: true, Why: "type"}
-	bare := With{Say: -1}
+	with := With{LoadReport: 0.25, RetryAfter: 1500 * time.Millisecond, NoFailover: true, Reason: "type"}
+	bare := With{LoadReport: -1}
 	none, short, long := []byte{}, []byte{0, 255}, bytes.Repeat([]byte("r"), 300)
 	for _, tc := range []struct {
 		name  string
--- a/internal/wire/rpc.go
+++ b/internal/wire/rpc.go
@@ -14,8 +14,8 @@
 
 // Ask and With are the seam's; here they are written and read.
 type (
-	Ask  = front.Ask
-	With = front.With
+	Ask  = front.Request
+	With = front.ResponseMetadata
 )
 
 // Stub is a client stub's connection. The fields are its callbacks, called on the owner loop.
@@ -85,22 +85,22 @@
 func appendWith(b []byte, w With) []byte {
 	at := len(b)
 	b = append(b, 0x80)
-	if w.Say >= 0 {
+	if w.LoadReport >= 0 {
 		b[at]++
-		b = appendStr(appendStr(b, "say"), strconv.FormatFloat(w.Say, 'f', -1, 64))
+		b = appendStr(appendStr(b, "say"), strconv.FormatFloat(w.LoadReport, 'f', -1, 64))
 	}
-	if w.After > 0 {
+	if w.RetryAfter > 0 {
 		b[at]++
-		ms := (w.After + time.Millisecond - 1) / time.Millisecond
+		ms := (w.RetryAfter + time.Millisecond - 1) / time.Millisecond
 		b = appendStr(appendStr(b, "after"), strconv.FormatInt(int64(ms), 10))
 	}
-	if w.Last {
+	if w.NoFailover {
 		b[at]++
 		b = appendStr(appendStr(b, "last"), "1")
 	}
-	if w.Why != "" {
+	if w.Reason != "" {
 		b[at]++
-		b = appendStr(appendStr(b, "why"), w.Why)
+		b = appendStr(appendStr(b, "why"), w.Reason)
 	}
 	return b
 }
@@ -173,7 +173,7 @@
 
 func (s *Stub) op(r *unpack, n uint32, method string) func() {
 	ask, _ := s.fields(r)
-	ask.Type, ask.Anew = method, true
+	ask.Class, ask.NewIDPerAttempt = method, true
 	body := r.blob()
 	if len(body) > mostBody || !r.short && !r.bad && len(ask.ID) != 16 {
 		r.bad = true
@@ -197,17 +197,17 @@
 		case "tenant":
 			ask.Tenant = string(r.text())
 		case "key":
-			ask.Subject = string(r.text())
+			ask.Resource = string(r.text())
 		case "at":
-			ask.At = r.whole()
+			ask.SentUnixMilli = r.whole()
 		case "from":
-			ask.From = int(r.whole())
+			ask.Caller = int(r.whole())
 		case "wait":
-			ask.Wait, ask.Waits = r.milliseconds(), true
+			ask.Timeout, ask.HasTimeout = r.milliseconds(), true
 		case "cost":
-			ask.Cost = r.milliseconds()
+			ask.WorkHint = r.milliseconds()
 		case "kb":
-			ask.KB = r.number()
+			ask.MemoryKB = r.number()
 		case "rank":
 			ask.Rank = r.number()
 		case "token":
@@ -228,7 +228,7 @@
 			if n := r.whole(); n < 0 || n > mostPassed {
 				r.bad = true
 			} else {
-				ask.Passed = int(n)
+				ask.Hops = int(n)
 			}
 		case "deep":
 			deep = r.number() == 1
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -27,7 +27,7 @@
 	s := hears().Stub()
 	s.OnOp = func(n uint32, a Ask) {
 		fmt.Fprintf(&out, "op %d %s %s at %d from %d waits %v %v cost %v %g KB rank %g tenant %q subject %q body %d\n",
-			n, a.Type, a.ID, a.At, a.From, a.Waits, a.Wait, a.Cost, a.KB, a.Rank, a.Tenant, a.Subject, len(a.Body))
+			n, a.Class, a.ID, a.SentUnixMilli, a.Caller, a.HasTimeout, a.Timeout, a.WorkHint, a.MemoryKB, a.Rank, a.Tenant, a.Resource, len(a.Body))
 	}
 	s.OnInterrupt = func(n uint32) { fmt.Fprintf(&out, "interrupt %d\n", n) }
 	s.OnCheck = func(n uint32, deep bool) { fmt.Fprintf(&out, "check %d deep %v\n", n, deep) }
@@ -166,13 +166,13 @@
 func Example_answers() {
 	l := hears()
 	s := l.Stub()
-	s.Answer(7, []byte{0, 255}, With{Say: 0.25})
-	s.Refuse(8, With{Say: -1, After: 1500000, Last: true})
-	s.Failed(9, With{Say: -1})
-	s.Checked(10, true, With{Say: -1})
+	s.Answer(7, []byte{0, 255}, With{LoadReport: 0.25})
+	s.Refuse(8, With{LoadReport: -1, RetryAfter: 1500000, NoFailover: true})
+	s.Failed(9, With{LoadReport: -1})
+	s.Checked(10, true, With{LoadReport: -1})
 	s.GoAway()
 	fmt.Printf("%+q\n", l.out)
-	s.Answer(11, make([]byte, 4096), With{Say: -1})
+	s.Answer(11, make([]byte, 4096), With{LoadReport: -1})
 	fmt.Println(len(l.out), cap(l.out) == BufferSize, l.dirty, len(l.net.dirty))
 	// Output:
 	// "\x94\x01\xce\x00\x00\x00\a\xc0\x92\xc4\x02\x00\xff\x81\xa3say\xa40.25\x94\x01\xce\x00\x00\x00\b\x92\xa4Busy\x82\xa5after\xa12\xa4last\xa11\xc0\x94\x01\xce\x00\x00\x00\t\x92\xa6Failed\x80\xc0\x94\x01\xce\x00\x00\x00\n\xc0\x92\u00c0\x93\x02\xa6goaway\x90"
