--- a/internal/identity/door.go
+++ b/internal/identity/door.go
@@ -194,9 +194,9 @@
 	return p, ""
 }
 
-// Standing tells whether what a connection's certificate proved still counts; a reason bars it for good. It costs a
+// RevocationReason tells whether what a connection's certificate proved still counts; a reason bars it for good. It costs a
 // comparison while nothing has changed.
-func (d *Door) Standing(b *Badge) rights.Reason {
+func (d *Door) RevocationReason(b *Badge) rights.Reason {
 	if b.Proof == nil || b.barred != "" {
 		return b.barred
 	}
@@ -213,14 +213,14 @@
 	return b.barred
 }
 
-// Old tells whether a connection's proof was not looked at since something has changed.
-func (d *Door) Old(b *Badge) bool {
+// NeedsRecheck tells whether a connection's proof was not looked at since something has changed.
+func (d *Door) NeedsRecheck(b *Badge) bool {
 	return b.Proof != nil && b.barred == "" && b.looked != d.generation
 }
 
 // Enter asks for an op. done is called once, at once if all is known.
 func (d *Door) Enter(b *Badge, ask Ask, done func(Verdict)) {
-	if why := d.Standing(b); why != "" {
+	if why := d.RevocationReason(b); why != "" {
 		done(d.deny(b.name(), ask, why))
 		return
 	}
@@ -274,7 +274,7 @@
 		b.suspect = b.suspect || Forged(why)
 		return d.deny("", ask, why)
 	}
-	if why := d.Standing(b); why != "" { // the certificate may have been taken back while the token was checked
+	if why := d.RevocationReason(b); why != "" { // the certificate may have been taken back while the token was checked
 		return d.deny(b.name(), ask, why)
 	}
 	d.carried(b, ask.Token, e)
--- a/internal/keep/instance.go
+++ b/internal/keep/instance.go
@@ -50,7 +50,7 @@
 	tenants           map[choice.TenantID]bool       // those that were told
 
 	requests map[choice.RequestID]*activeRequest
-	clients  *stubs.Front
+	clients  *stubs.Frontend
 
 	runtime       runtimeLink
 	gauges        map[string]float64 // the last known
@@ -100,13 +100,13 @@
 	budget := divideDescriptors(config.MaxDescriptors, openDescriptors()) // the runtime's two links are dialled too, and stand beside it
 	instance.database.maxConns = budget.calls
 	// An eighth of the memory is for answers that nobody reads.
-	instance.net = &wire.Net{Buffers: instance.buffers, Hand: instance.Post, Read: instance.PostBlocking, Accept: func(accepted *wire.Link) { instance.clients.Accept(accepted) }, Crowded: func() { instance.clients.MakeRoom() },
+	instance.net = &wire.Net{Buffers: instance.buffers, Hand: instance.Post, Read: instance.PostBlocking, Accept: func(accepted *wire.Link) { instance.clients.Accept(accepted) }, Crowded: func() { instance.clients.EvictIdle() },
 		Most: int64(budget.clients), Room: int64(budget.total) + 2, Limit: config.MaxDescriptors, Unread: int64(config.MemoryMB*(1<<20)) / 8}
 	if config.Authn != nil {
 		instance.authenticator = identity.New(*config.Authn, instance.Post, func() (time.Duration, time.Time) { return instance.Now(), instance.WallTime() })
 		instance.net.Tokens.Store(config.Authn.Keys != nil)
 	}
-	var authenticator stubs.Door // nil, not a door that is nil
+	var authenticator stubs.Authenticator // nil, not a door that is nil
 	if instance.authenticator != nil {
 		authenticator = instance.authenticator
 	}
@@ -224,16 +224,16 @@
 	}
 }
 
-// Owes is stubs.Core: who is owed the answer of an op in hand.
-func (in *Server) Owes(id string) front.Responder {
+// ResponderOf is stubs.Core: who is owed the answer of an op in hand.
+func (in *Server) ResponderOf(id string) front.Responder {
 	if active := in.requests[choice.RequestID(id)]; active != nil {
 		return active.responder
 	}
 	return nil
 }
 
-// With is stubs.Core.
-func (in *Server) With() front.ResponseMetadata { return in.metadata() }
+// ResponseMetadata is stubs.Core.
+func (in *Server) ResponseMetadata() front.ResponseMetadata { return in.metadata() }
 
 // Load is front.Core: how the instance stands.
 func (in *Server) Load() front.Load {
@@ -554,7 +554,7 @@
 	in.health.healthy, in.health.fromState = healthy, fromState
 }
 func (in *Server) PublishLoad(level float64)            { in.loadReport = level }
-func (in *Server) SetIdleTimeout(timeout time.Duration) { in.clients.IdleFor(timeout) }
+func (in *Server) SetIdleTimeout(timeout time.Duration) { in.clients.SetIdleTimeout(timeout) }
 func (in *Server) LogTransition(line string)            { slog.Info("note", "text", line) }
 
 func (in *Server) WakeAt(at time.Duration, then func(map[string]float64)) {
--- a/internal/keep/leave.go
+++ b/internal/keep/leave.go
@@ -36,17 +36,17 @@
 	killAt := in.Now() + in.config.TerminationGrace
 	slog.Info("leaving", "kill_ms", in.config.TerminationGrace.Milliseconds(), "held", len(in.requests))
 	in.report()
-	schedule := stubs.SpansOf(in.config.TerminationGrace)
+	schedule := stubs.DrainScheduleFor(in.config.TerminationGrace)
 	for _, f := range in.frontends { // they close while connections still may be answered
-		f.Drain(max(0, in.config.TerminationGrace-schedule.Fronts))
+		f.Drain(max(0, in.config.TerminationGrace-schedule.FrontendsDrained))
 	}
 	if in.controller == nil { // nothing was ever taken in, so there is nothing to wait for
-		killAt = min(killAt, in.Now()+schedule.Part)
+		killAt = min(killAt, in.Now()+schedule.GoAway)
 	} else {
 		in.decisionPending = true
 		in.controller.Drain(killAt)
 	}
-	in.ScheduleAt(max(in.Now(), killAt-schedule.Part), func() {
+	in.ScheduleAt(max(in.Now(), killAt-schedule.GoAway), func() {
 		if in.authenticator != nil { // no op waits at the door past the module's last answers
 			in.authenticator.Stop()
 		}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -35,7 +35,7 @@
 	config  keep.Config
 	net     *wire.Net
 	pool    *keep.BufferPool
-	stubs   *stubs.Front
+	stubs   *stubs.Frontend
 	passer  *pass.Passer
 	kinds   map[string]kind
 	ops     map[string]*op
@@ -74,7 +74,7 @@
 		target, _ := t["target latency"].(time.Duration)
 		r.kinds[name] = kind{t["repeats"] == "retryable", max(timeout, target)}
 	}
-	r.net = &wire.Net{Buffers: r.pool, Hand: r.Post, Read: r.PostBlocking, Accept: func(l *wire.Link) { r.stubs.Accept(l) }, Crowded: func() { r.stubs.MakeRoom() },
+	r.net = &wire.Net{Buffers: r.pool, Hand: r.Post, Read: r.PostBlocking, Accept: func(l *wire.Link) { r.stubs.Accept(l) }, Crowded: func() { r.stubs.EvictIdle() },
 		Most: int64(config.MaxDescriptors) / 2, Limit: config.MaxDescriptors, Unread: int64(config.MemoryMB*(1<<20)) / 8, From: told.Source()}
 	r.net.Tokens.Store(true) // who calls is the instance's to judge; a relay passes on what is brought
 	r.net.Passed.Store(true)
@@ -107,19 +107,21 @@
 // known is how many members there are to pass to.
 func (r *Relay) known() int { return r.passer.Chooser.Len() }
 
-// Owes is stubs.Core.
-func (r *Relay) Owes(id string) front.Responder {
+// ResponderOf is stubs.Core.
+func (r *Relay) ResponderOf(id string) front.Responder {
 	if o := r.ops[id]; o != nil {
 		return o.owed
 	}
 	return nil
 }
 
-// With is stubs.Core: a relay has no signal of its own.
-func (r *Relay) With() front.ResponseMetadata { return front.ResponseMetadata{LoadReport: -1} }
+// ResponseMetadata is stubs.Core: a relay has no signal of its own.
+func (r *Relay) ResponseMetadata() front.ResponseMetadata {
+	return front.ResponseMetadata{LoadReport: -1}
+}
 
-// Check is stubs.Core: all is well while somebody is there to pass to.
-func (r *Relay) Check(deep bool, then func(bool)) { then(r.known() > 0 && !r.leaving) }
+// CheckHealth is stubs.Core: all is well while somebody is there to pass to.
+func (r *Relay) CheckHealth(deep bool, then func(bool)) { then(r.known() > 0 && !r.leaving) }
 
 // Load is front.Core.
 func (r *Relay) Load() front.Load {
@@ -132,13 +134,13 @@
 	k, known := r.kinds[ask.Class]
 	switch {
 	case !known:
-		owed.RejectPermanently("unknown-type", r.With())
+		owed.RejectPermanently("unknown-type", r.ResponseMetadata())
 		owed.Done()
 		return nil
 	// Danger: more bodies than there is memory for; and one id in hand twice, of which nobody could tell whose the answer is.
 	case len(r.ops) >= r.told.Most || r.ops[ask.ID] != nil || r.leaving && r.Now() >= r.until:
 		r.Counts.Refused++
-		owed.Reject(r.With())
+		owed.Reject(r.ResponseMetadata())
 		owed.Done()
 		return nil
 	}
@@ -227,19 +229,19 @@
 	slog.Info("leaving", "kill_ms", r.config.TerminationGrace.Milliseconds(), "held", len(r.ops))
 	killAt := r.Now() + r.config.TerminationGrace
 	r.report()
-	spans := stubs.SpansOf(r.config.TerminationGrace)
+	spans := stubs.DrainScheduleFor(r.config.TerminationGrace)
 	for _, f := range r.fronts {
-		f.Drain(max(0, r.config.TerminationGrace-spans.Fronts))
+		f.Drain(max(0, r.config.TerminationGrace-spans.FrontendsDrained))
 	}
-	r.stubs.Part()
+	r.stubs.GoAway()
 	// What is still open then gets its answer; nothing new is passed on from then on either.
-	r.until = min(r.until, killAt-spans.Answers)
-	r.ScheduleAt(max(r.Now(), killAt-spans.Answers), func() {
+	r.until = min(r.until, killAt-spans.LastAnswers)
+	r.ScheduleAt(max(r.Now(), killAt-spans.LastAnswers), func() {
 		for _, o := range slices.Collect(maps.Values(r.ops)) { // answering takes them out
 			o.way.Late()
 		}
 	})
-	r.ScheduleAt(max(r.Now(), killAt-spans.Part), func() {
+	r.ScheduleAt(max(r.Now(), killAt-spans.GoAway), func() {
 		r.stubs.Drain(spans, killAt, func() bool {
 			return len(r.ops) == 0 && !slices.ContainsFunc(r.fronts, func(f front.Frontend) bool { return !f.Drained() })
 		}, func(connections int) {
