--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -126,16 +126,16 @@
 	switch {
 	case e.What == spread.Served:
 		p.note("served")
-		owed.Succeed(e.Result, e.With)
+		owed.Succeed(e.Result, e.Metadata)
 	case e.Error == "Denied":
 		p.note("denied")
-		owed.RejectPermanently("denied", e.With)
+		owed.RejectPermanently("denied", e.Metadata)
 	case !e.Ran():
 		p.note("turned-away")
-		owed.Reject(e.With)
+		owed.Reject(e.Metadata)
 	default:
 		p.note("failed")
-		owed.Fail(e.With)
+		owed.Fail(e.Metadata)
 	}
 	owed.Done()
 }
--- a/internal/keep/calls.go
+++ b/internal/keep/calls.go
@@ -23,7 +23,7 @@
 	request     *activeRequest
 	startedAt   time.Duration
 	deadline    time.Duration
-	conn        *wire.Database // nil while it waits for room
+	conn        *wire.DatabaseConn // nil while it waits for room
 	sent        bool
 	timer       *loop.Timer
 	done        func(choice.Outcome, time.Duration)
@@ -100,7 +100,7 @@
 	if call.slot != nil {
 		addr = call.slot.Addr()
 	}
-	var conn *wire.Database
+	var conn *wire.DatabaseConn
 	conn = server.net.DialDatabase(addr, func(refused error) {
 		switch {
 		case refused == nil && call.request.run != nil && call.request.run.call == call:
@@ -118,7 +118,7 @@
 	})
 	call.conn = conn
 	conn.OnReply = func(reply wire.Reply) { d.handleReply(server, call, reply) }
-	conn.OnEnd = func(string) {
+	conn.OnClose = func(string) {
 		d.open--
 		call.releaseSlot(choice.ConnectionLost, call.sent)
 		d.finish(server, call, call.interruptedOutcome(choice.ConnectionLost))
@@ -156,7 +156,7 @@
 	}
 	for _, active := range server.requests {
 		if run := active.run; run != nil && run.call != nil && run.call.conn != nil && !run.call.sent {
-			run.call.conn.GiveUpDial() // it is refused so, and made again
+			run.call.conn.CancelDial() // it is refused so, and made again
 		}
 	}
 }
@@ -183,14 +183,14 @@
 		active.run.callReply = append(make([]byte, 0, len(reply.Body)), reply.Body...)
 		active.run.callSequence = 0
 		if server.runtime.synced {
-			server.runtime.conn.Give(active.id, active.run.callReply)
+			server.runtime.conn.SendCallReply(active.id, active.run.callReply)
 		}
 	case reply.NeverStarted:
 		outcome = choice.Rejected
 	case reply.Status == 504:
 		outcome = choice.TimedOut
 	}
-	call.conn.Blame("answered")
+	call.conn.SetCloseReason("answered")
 	call.releaseSlot(outcome, false)
 	d.finish(server, call, outcome)
 }
--- a/internal/keep/door.go
+++ b/internal/keep/door.go
@@ -62,5 +62,5 @@
 		return
 	}
 	in.authenticator.Replace(*parts)
-	in.net.Tokens.Store(parts.Keys != nil)
+	in.net.ReadTokens.Store(parts.Keys != nil)
 }
--- a/internal/keep/health.go
+++ b/internal/keep/health.go
@@ -10,7 +10,7 @@
 // health is how checks are answered, and the reports to the roster.
 type health struct {
 	healthy, fromState bool
-	registry           *wire.Roster
+	registry           *wire.Registry
 }
 
 // healthy tells whether a check is answered good: never before the runtime has come up.
@@ -38,7 +38,7 @@
 		timeout.Stop()
 		done(healthy)
 	}
-	link.conn.Selftest(correlationID)
+	link.conn.RequestSelfTest(correlationID)
 }
 
 // reportPeriodically tells the roster again and again that we are here, whatever else there is to do. Danger: the list forgets
@@ -53,7 +53,7 @@
 		return
 	}
 	if in.health.registry == nil {
-		registry, err := wire.NewRoster(in.config.RegistryAddr, in.config.Name)
+		registry, err := wire.NewRegistry(in.config.RegistryAddr, in.config.Name)
 		if err != nil {
 			slog.Warn("no-roster", "err", err)
 			return
--- a/internal/keep/instance.go
+++ b/internal/keep/instance.go
@@ -30,8 +30,8 @@
 	GaugeNames       []string // our names, in the order told
 	ReportReadiness  bool     // the list follows health
 
-	Authn *identity.Parts // who may do what; nil: everybody everything
-	TLS   *wire.Secure    // a further listener with TLS; nil: none
+	Authn *identity.Parts   // who may do what; nil: everybody everything
+	TLS   *wire.TLSListener // a further listener with TLS; nil: none
 }
 
 // Server is one life of a service instance. All of it belongs to the owner loop.
@@ -100,11 +100,11 @@
 	budget := divideDescriptors(config.MaxDescriptors, openDescriptors()) // the runtime's two links are dialled too, and stand beside it
 	instance.database.maxConns = budget.calls
 	// An eighth of the memory is for answers that nobody reads.
-	instance.net = &wire.Net{Buffers: instance.buffers, Hand: instance.Post, Read: instance.PostBlocking, Accept: func(accepted *wire.Link) { instance.clients.Accept(accepted) }, Crowded: func() { instance.clients.EvictIdle() },
-		Most: int64(budget.clients), Room: int64(budget.total) + 2, Limit: config.MaxDescriptors, Unread: int64(config.MemoryMB*(1<<20)) / 8}
+	instance.net = &wire.Net{BufferPool: instance.buffers, Post: instance.Post, PostRead: instance.PostBlocking, OnAccept: func(accepted *wire.Conn) { instance.clients.Accept(accepted) }, OnFull: func() { instance.clients.EvictIdle() },
+		MaxAccepted: int64(budget.clients), MaxConns: int64(budget.total) + 2, MaxDescriptors: config.MaxDescriptors, MaxUnread: int64(config.MemoryMB*(1<<20)) / 8}
 	if config.Authn != nil {
 		instance.authenticator = identity.New(*config.Authn, instance.Post, func() (time.Duration, time.Time) { return instance.Now(), instance.WallTime() })
-		instance.net.Tokens.Store(config.Authn.Keys != nil)
+		instance.net.ReadTokens.Store(config.Authn.Keys != nil)
 	}
 	var authenticator stubs.Authenticator // nil, not a door that is nil
 	if instance.authenticator != nil {
@@ -116,8 +116,8 @@
 	}
 	if config.TLS != nil {
 		secure := *config.TLS
-		secure.Prove = instance.authenticator.Prove
-		if err := instance.net.StartSecure(secure); err != nil {
+		secure.VerifyChain = instance.authenticator.Prove
+		if err := instance.net.ListenTLS(secure); err != nil {
 			return nil, err
 		}
 	}
@@ -187,7 +187,7 @@
 // EnableSpillover has ops that are turned away here go elsewhere where that takes them. It belongs to the time before Serve.
 func (in *Server) EnableSpillover(newSpillover func(net *wire.Net) Spillover) {
 	in.spillover = newSpillover(in.net)
-	in.net.Passed.Store(true)
+	in.net.ReadHops.Store(true)
 }
 
 // Submit is front.Core: it takes an op from a front. What can't be taken is nacked at once: nothing is before the runtime has
@@ -378,7 +378,7 @@
 // track puts an op in the tables.
 func (in *Server) track(request front.Request, responder front.Responder) *activeRequest {
 	active := &activeRequest{id: choice.RequestID(request.ID), class: choice.Class(request.Class), resource: request.Resource, responder: responder, arrivedAt: in.Loop.Now(),
-		body: append(in.buffers.Take(), request.Body...)}
+		body: append(in.buffers.Get(), request.Body...)}
 	in.requests[active.id] = active
 	return active
 }
@@ -461,7 +461,7 @@
 	if len(in.requests) == 0 {
 		in.emptySince = in.Loop.Now()
 	}
-	in.buffers.Give(active.body)
+	in.buffers.Put(active.body)
 	active.body = nil
 	if in.authenticator != nil {
 		in.authenticator.Give(&active.permission)
@@ -526,7 +526,7 @@
 	if active := in.requests[id]; active != nil && active.run != nil && active.run.callSequence != 0 {
 		active.run.skippedCall = active.run.callSequence
 		if in.runtime.synced {
-			in.runtime.conn.Omit(id, active.run.skippedCall)
+			in.runtime.conn.SkipCall(id, active.run.skippedCall)
 		}
 	}
 }
--- a/internal/keep/keep_test.go
+++ b/internal/keep/keep_test.go
@@ -16,7 +16,7 @@
 // Without a link the gauges last heard count for some looks, and then nothing is known.
 func Example_oldGauges() {
 	instance := &Server{Loop: loop.New(9)}
-	instance.handleGauges(wire.Notice{Mark: "look"})
+	instance.handleGauges(wire.Event{CorrelationID: "look"})
 	instance.gauges["want a core"] = 3
 	for _, at := range []time.Duration{0, 200 * time.Millisecond, 400 * time.Millisecond} {
 		instance.SetNow(at)
@@ -31,11 +31,11 @@
 // Buffers of another size are not taken back.
 func Example_pool() {
 	p := &BufferPool{}
-	p.Give(make([]byte, 10))
-	b := p.Take()
+	p.Put(make([]byte, 10))
+	b := p.Get()
 	fmt.Println(len(b), cap(b) == wire.BufferSize)
-	p.Give(append(b, "old"...))
-	fmt.Println(len(p.Take()))
+	p.Put(append(b, "old"...))
+	fmt.Println(len(p.Get()))
 	// Output:
 	// 0 true
 	// 0
@@ -218,7 +218,7 @@
 	}
 	instance.Post(func() {
 		instance.Drain()
-		instance.handleEvent(wire.Notice{Kind: "ready", Status: "steady"})
+		instance.handleEvent(wire.Event{Kind: "ready", Status: "steady"})
 		instance.Submit(front.Request{ID: "0123456789abcdef", Class: "view", SentUnixMilli: time.Now().UnixMilli(), MemoryKB: 1}, nil, printingResponder{})
 	})
 	<-served
--- a/internal/keep/runs.go
+++ b/internal/keep/runs.go
@@ -27,12 +27,12 @@
 
 // runtimeLink is what is known of the link to the runtime.
 type runtimeLink struct {
-	conn          *wire.Runtime // in use; nil while there is none
-	attempt       uint64        // the last one to open a link
-	dialing       *wire.Runtime // by that one
-	synced        bool          // all notices of the time without a link have been read
-	lastSequence  uint64        // the number of the last notice read
-	fenceID       string        // the mark behind the replayed notices
+	conn          *wire.RuntimeConn // in use; nil while there is none
+	attempt       uint64            // the last one to open a link
+	dialing       *wire.RuntimeConn // by that one
+	synced        bool              // all notices of the time without a link have been read
+	lastSequence  uint64            // the number of the last notice read
+	fenceID       string            // the mark behind the replayed notices
 	correlations  uint64
 	backoff       time.Duration
 	pendingGauges string // the mark of the gauges that are awaited
@@ -63,9 +63,9 @@
 		}
 	}
 	if link.dialing != nil { // the address that it goes to may swallow it
-		link.dialing.GiveUpDial()
+		link.dialing.CancelDial()
 	}
-	var conn *wire.Runtime
+	var conn *wire.RuntimeConn
 	conn = in.net.DialRuntime(in.config.RuntimeAddr, func(refused error) {
 		if refused != nil {
 			retry()
@@ -82,12 +82,12 @@
 		conn.Sync(link.lastSequence)
 	})
 	link.dialing = conn
-	conn.OnNotice = func(event wire.Notice) {
+	conn.OnEvent = func(event wire.Event) {
 		if link.conn == conn { // what an old link still brings comes again on the new one
 			in.handleEvent(event)
 		}
 	}
-	conn.OnEnd = func(string) {
+	conn.OnClose = func(string) {
 		if link.conn == conn {
 			link.conn, link.synced = nil, false
 		}
@@ -96,13 +96,13 @@
 }
 
 // handleEvent takes one line of the runtime.
-func (in *Server) handleEvent(event wire.Notice) {
+func (in *Server) handleEvent(event wire.Event) {
 	link := &in.runtime
-	if event.No > 0 {
-		if event.No <= link.lastSequence {
+	if event.Sequence > 0 {
+		if event.Sequence <= link.lastSequence {
 			return // read on an earlier link
 		}
-		link.lastSequence = event.No
+		link.lastSequence = event.Sequence
 	}
 	switch event.Kind {
 	case "ready":
@@ -110,17 +110,17 @@
 	case "load":
 		in.handleGauges(event)
 	case "verdict":
-		if done := link.selfTests[event.Mark]; done != nil {
+		if done := link.selfTests[event.CorrelationID]; done != nil {
 			done(event.Status == "success")
 		}
 	case "end":
 		in.handleEnd(event)
 	case "wants":
-		if active := in.requests[choice.RequestID(event.ID)]; active != nil && active.run != nil {
+		if active := in.requests[choice.RequestID(event.RequestID)]; active != nil && active.run != nil {
 			run := active.run
 			in.database.cancel(run.call)
-			run.confirmed, run.callSequence, run.callReply, run.skippedCall, run.call = true, event.No, nil, 0, nil
-			run.callBody = append(run.callBody[:0], event.Bytes...)
+			run.confirmed, run.callSequence, run.callReply, run.skippedCall, run.call = true, event.Sequence, nil, 0, nil
+			run.callBody = append(run.callBody[:0], event.Body...)
 			in.decisionPending = true
 			run.onCall()
 		}
@@ -133,24 +133,24 @@
 }
 
 // handleReady opens the module when the runtime comes up, and sets the fence on each link.
-func (in *Server) handleReady(event wire.Notice) {
-	slog.Info("ready", "state", event.Status, "runtime_up_ms", event.Took.Milliseconds())
+func (in *Server) handleReady(event wire.Event) {
+	slog.Info("ready", "state", event.Status, "runtime_up_ms", event.Elapsed.Milliseconds())
 	// Danger: a module that opens behind the notice to leave knows nothing of it, and lets in what is cut off a moment later.
 	if in.controller == nil && !in.draining {
 		in.config.Settings["just started"] = event.Status == "booting"
-		in.clockOffset = event.Took // the age that a cold instance has counts from its runtime's start
+		in.clockOffset = event.Elapsed // the age that a cold instance has counts from its runtime's start
 		in.controller = choice.New(in.config.Seed, in.config.Settings, in)
 		in.clockOffset = 0
 		in.decisionPending = true
 	}
 	in.runtime.backoff = 0
 	in.runtime.fenceID = in.nextCorrelationID("fence")
-	in.runtime.conn.Gauges(in.runtime.fenceID)
+	in.runtime.conn.RequestGauges(in.runtime.fenceID)
 }
 
 // handleGauges takes the gauges. Danger: starting anew what has ended in the time without a link. The fence comes
 // behind all replayed notices, and only then what is still open is sent again.
-func (in *Server) handleGauges(event wire.Notice) {
+func (in *Server) handleGauges(event wire.Event) {
 	link := &in.runtime
 	in.gauges, link.gaugesAt = map[string]float64{}, in.Now()
 	for i, name := range in.config.GaugeNames {
@@ -158,11 +158,11 @@
 			in.gauges[name] = event.Gauges[i]
 		}
 	}
-	if event.Mark == link.fenceID {
+	if event.CorrelationID == link.fenceID {
 		link.fenceID, link.synced = "", true
 		in.resend()
 	}
-	if event.Mark == link.pendingGauges {
+	if event.CorrelationID == link.pendingGauges {
 		in.deliverGauges()
 	}
 }
@@ -181,10 +181,10 @@
 			in.runtime.conn.Stop(id)
 		}
 		if run.callReply != nil {
-			in.runtime.conn.Give(id, run.callReply)
+			in.runtime.conn.SendCallReply(id, run.callReply)
 		}
 		if run.skippedCall != 0 {
-			in.runtime.conn.Omit(id, run.skippedCall)
+			in.runtime.conn.SkipCall(id, run.skippedCall)
 		}
 	}
 }
@@ -201,7 +201,7 @@
 		return
 	}
 	link.pendingGauges = in.nextCorrelationID("look")
-	link.conn.Gauges(link.pendingGauges)
+	link.conn.RequestGauges(link.pendingGauges)
 	correlationID := link.pendingGauges
 	// Some round trips on one machine; the last known are a look old, which is worse than none of them.
 	in.ScheduleAt(in.Now()+5*time.Millisecond, func() {
@@ -233,8 +233,8 @@
 }
 
 // handleEnd takes the end of a run. One that went well or failed answers its op.
-func (in *Server) handleEnd(event wire.Notice) {
-	active := in.requests[choice.RequestID(event.ID)]
+func (in *Server) handleEnd(event wire.Event) {
+	active := in.requests[choice.RequestID(event.RequestID)]
 	if active == nil || active.run == nil {
 		return
 	}
@@ -249,15 +249,15 @@
 	in.running--
 	switch outcome {
 	case choice.Succeeded:
-		in.idempotency.finish(in, active, event.Bytes)
+		in.idempotency.finish(in, active, event.Body)
 		in.recordOutcome(active, true)
-		in.respond(active, func(responder front.Responder) { responder.Succeed(event.Bytes, in.metadata()) })
+		in.respond(active, func(responder front.Responder) { responder.Succeed(event.Body, in.metadata()) })
 	case choice.Failed:
 		in.recordOutcome(active, false)
 		in.respond(active, func(responder front.Responder) { responder.Fail(in.metadata()) })
 	}
 	in.decisionPending = true
-	run.onEnd(outcome, event.Took)
+	run.onEnd(outcome, event.Elapsed)
 	if outcome == choice.NotStarted { // nothing ran here, so an answer that is owed all the same can only be this
 		in.respond(active, func(responder front.Responder) { responder.Fail(in.metadata()) })
 	}
@@ -266,12 +266,12 @@
 
 // handleRefused hears that a command was not carried out. A start that was not ends its op, and its front hears that the id, type
 // or body is that of no op. Danger: the module would take it for a run that failed.
-func (in *Server) handleRefused(event wire.Notice) {
-	active := in.requests[choice.RequestID(event.ID)]
+func (in *Server) handleRefused(event wire.Event) {
+	active := in.requests[choice.RequestID(event.RequestID)]
 	if active == nil || active.run == nil || active.run.confirmed || event.Status != "start" {
-		slog.Warn("command-refused", "command", event.Status, "op", event.ID)
+		slog.Warn("command-refused", "command", event.Status, "op", event.RequestID)
 		return
 	}
 	in.respond(active, func(responder front.Responder) { responder.RejectPermanently("unknown-op", in.metadata()) })
-	in.handleEnd(wire.Notice{Kind: "end", ID: event.ID, Status: "nothing"})
+	in.handleEnd(wire.Event{Kind: "end", RequestID: event.RequestID, Status: "nothing"})
 }
--- a/internal/life/callers.go
+++ b/internal/life/callers.go
@@ -161,13 +161,13 @@
 }
 
 // tlsListener is the further listener that a file turns on, with what is in force for its handshakes.
-func (o *OperatorConfig) tlsListener(serverTLS *atomic.Pointer[tls.Config]) *wire.Secure {
+func (o *OperatorConfig) tlsListener(serverTLS *atomic.Pointer[tls.Config]) *wire.TLSListener {
 	if o.serverTLS == nil {
 		return nil
 	}
 	serverTLS.Store(o.serverTLS)
 	t := &o.File.TLS
-	return &wire.Secure{Listen: t.ListenAddress, Config: serverTLS.Load, Most: int64(t.MaxHandshakes), Rate: t.HandshakeRate}
+	return &wire.TLSListener{Addr: t.ListenAddress, Config: serverTLS.Load, MaxHandshakes: int64(t.MaxHandshakes), HandshakesPerSecond: t.HandshakeRate}
 }
 
 // checkUnchanged tells what differs between two files that holds from the next start.
--- a/internal/pass/conn.go
+++ b/internal/pass/conn.go
@@ -13,7 +13,7 @@
 type conn struct {
 	p      *Passer
 	m      *member
-	client *wire.Client
+	client *wire.ClientConn
 	stands bool
 	closes bool // nothing new goes on it
 	next   uint32
@@ -52,7 +52,7 @@
 	c := &conn{p: p, m: m, open: map[uint32]*Op{}, used: p.loop.Now()}
 	m.conns = append(m.conns, c)
 	late := p.loop.ScheduleAt(p.loop.Now()+standsBy, func() { c.elsewhere() })
-	c.client = p.net.Client(m.addr, func(refused error) {
+	c.client = p.net.DialMember(m.addr, func(refused error) {
 		late.Stop()
 		if refused != nil {
 			c.remove()
@@ -67,9 +67,9 @@
 		}
 		c.leaveIfDone()
 	})
-	c.client.OnAnswer = c.answered
+	c.client.OnResponse = c.answered
 	c.client.OnGoAway = c.part
-	c.client.OnEnd = func(code string) { c.end() }
+	c.client.OnClose = func(code string) { c.end() }
 	return c
 }
 
@@ -91,11 +91,11 @@
 	c.next++
 	o.n, o.sent = c.next, true
 	c.open[o.n] = o
-	c.client.Ask(o.n, o.ask)
+	c.client.Send(o.n, o.ask)
 }
 
 // answered hears an answer. One to an op that was given up here meanwhile is nobody's.
-func (c *conn) answered(n uint32, a wire.Outcome) {
+func (c *conn) answered(n uint32, a wire.Response) {
 	o := c.open[n]
 	if o == nil {
 		return
@@ -111,7 +111,7 @@
 	case "Denied": // it says nothing of the member
 		c.p.Chooser.Left(c.m.name)
 		o.at = nil
-		o.end(Ended{What: spread.Refused, Outcome: a})
+		o.end(Ended{What: spread.Refused, Response: a})
 		c.leaveIfDone()
 		return
 	}
--- a/internal/pass/pass.go
+++ b/internal/pass/pass.go
@@ -61,7 +61,7 @@
 	Unsent bool // nothing of it went out to who had it last, and each before proved that it never ran
 	Nobody bool // there was nobody to give it to
 	Late   bool // its time was up
-	wire.Outcome
+	wire.Response
 }
 
 // Ran tells whether it may have run.
@@ -167,7 +167,7 @@
 
 func (p *Passer) op(ask front.Request, due time.Duration, repeats bool, most int, done func(Ended)) *Op {
 	o := &Op{p: p, ask: ask, due: due, repeats: repeats, most: most, done: done}
-	o.ask.Body = append(p.net.Take(), ask.Body...)
+	o.ask.Body = append(p.net.Get(), ask.Body...)
 	// The sign that travels down: who gets an op that was passed on leaves second tries to those above it.
 	o.ask.Hops++
 	// Danger: a member that never answers. The op is answered when its time is up, whatever becomes of it below.
@@ -187,7 +187,7 @@
 		return false
 	})
 	if !any {
-		o.end(Ended{What: spread.Refused, Nobody: true, Outcome: wire.Outcome{Error: "Busy", With: front.ResponseMetadata{LoadReport: -1}}}) // each try before proved that it never ran
+		o.end(Ended{What: spread.Refused, Nobody: true, Response: wire.Response{Error: "Busy", Metadata: front.ResponseMetadata{LoadReport: -1}}}) // each try before proved that it never ran
 		return
 	}
 	p.to(o, i)
@@ -220,7 +220,7 @@
 	}
 }
 
-var busy, lost = wire.Outcome{Error: "Busy", With: front.ResponseMetadata{LoadReport: -1}}, wire.Outcome{Error: "Failed", With: front.ResponseMetadata{LoadReport: -1}}
+var busy, lost = wire.Response{Error: "Busy", Metadata: front.ResponseMetadata{LoadReport: -1}}, wire.Response{Error: "Failed", Metadata: front.ResponseMetadata{LoadReport: -1}}
 
 // Chance draws a number from 0 to 1.
 func (p *Passer) Chance() float64 { return p.chance.Float64() }
@@ -242,21 +242,21 @@
 }
 
 // ended hears how a try of an op ended, and tells it or has another member asked.
-func (p *Passer) ended(o *Op, n spread.Name, a wire.Outcome, what spread.Outcome, unsent bool) {
+func (p *Passer) ended(o *Op, n spread.Name, a wire.Response, what spread.Outcome, unsent bool) {
 	p.Chooser.Ended(p.loop.Now(), n, what, p.loop.Now()-o.sentAt)
 	o.at = nil
 	if o.done == nil {
 		o.over()
 		return
 	}
-	if p.Chooser.Next(p.loop.Now(), spread.Try{Due: o.due, Tries: o.tries, Most: o.most, Repeats: o.repeats, Passed: o.ask.Hops > 1}, what, unsent, a.With.NoFailover) == spread.Again {
+	if p.Chooser.Next(p.loop.Now(), spread.Try{Due: o.due, Tries: o.tries, Most: o.most, Repeats: o.repeats, Passed: o.ask.Hops > 1}, what, unsent, a.Metadata.NoFailover) == spread.Again {
 		p.Again++
 		// Each try has an id of its own, as the protocol wants it: an instance can't tell two tries of one op in hand apart.
 		o.ask.ID = fmt.Sprintf("%016x", p.chance.Uint64())
 		p.give(o)
 		return
 	}
-	o.end(Ended{What: what, Unsent: unsent, Outcome: a})
+	o.end(Ended{What: what, Unsent: unsent, Response: a})
 }
 
 // Late ends an op whose time is up, or for which there is no more time.
@@ -266,7 +266,7 @@
 	}
 	unsent := o.at != nil && !o.sent
 	o.leave(spread.Lost)
-	o.end(Ended{What: spread.Lost, Unsent: unsent, Late: true, Outcome: lost})
+	o.end(Ended{What: spread.Lost, Unsent: unsent, Late: true, Response: lost})
 }
 
 // Gone tells that nobody waits any more.
@@ -304,7 +304,7 @@
 	o.at = nil
 	if o.sent {
 		delete(c.open, o.n)
-		c.client.Interrupt(o.n)
+		c.client.Cancel(o.n)
 	} else if i := slices.Index(c.waits, o); i >= 0 {
 		c.waits = slices.Delete(c.waits, i, i+1)
 	}
@@ -322,6 +322,6 @@
 		return
 	}
 	o.timer.Stop()
-	o.p.net.Give(o.ask.Body)
+	o.p.net.Put(o.ask.Body)
 	o.ask.Body = nil
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -40,7 +40,7 @@
 	kinds   map[string]kind
 	ops     map[string]*op
 	fronts  []front.Frontend
-	roster  *wire.Roster
+	roster  *wire.Registry
 	leaving bool
 	until   time.Duration // when it leaves: from then on nothing new is passed on
 	Counts  Counts
@@ -74,10 +74,10 @@
 		target, _ := t["target latency"].(time.Duration)
 		r.kinds[name] = kind{t["repeats"] == "retryable", max(timeout, target)}
 	}
-	r.net = &wire.Net{Buffers: r.pool, Hand: r.Post, Read: r.PostBlocking, Accept: func(l *wire.Link) { r.stubs.Accept(l) }, Crowded: func() { r.stubs.EvictIdle() },
-		Most: int64(config.MaxDescriptors) / 2, Limit: config.MaxDescriptors, Unread: int64(config.MemoryMB*(1<<20)) / 8, From: told.Source()}
-	r.net.Tokens.Store(true) // who calls is the instance's to judge; a relay passes on what is brought
-	r.net.Passed.Store(true)
+	r.net = &wire.Net{BufferPool: r.pool, Post: r.Post, PostRead: r.PostBlocking, OnAccept: func(l *wire.Conn) { r.stubs.Accept(l) }, OnFull: func() { r.stubs.EvictIdle() },
+		MaxAccepted: int64(config.MaxDescriptors) / 2, MaxDescriptors: config.MaxDescriptors, MaxUnread: int64(config.MemoryMB*(1<<20)) / 8, LocalIP: told.Source()}
+	r.net.ReadTokens.Store(true) // who calls is the instance's to judge; a relay passes on what is brought
+	r.net.ReadHops.Store(true)
 	r.passer = pass.New(r.Loop, r.net, told.Told, config.Seed, ask)
 	idle, _ := config.Settings["connections idle"].(time.Duration)
 	r.stubs = stubs.New(r, r.Loop, r.net, nil, idle)
@@ -171,7 +171,7 @@
 
 // ended answers an op by what became of it.
 func (o *op) ended(e pass.Ended) {
-	c, with := &o.r.Counts, e.With
+	c, with := &o.r.Counts, e.Metadata
 	if e.Late {
 		c.Late++
 	}
@@ -209,7 +209,7 @@
 func (r *Relay) report() {
 	if r.roster == nil && r.config.RegistryAddr != "" {
 		var err error
-		if r.roster, err = wire.NewRoster(r.config.RegistryAddr, r.config.Name); err != nil {
+		if r.roster, err = wire.NewRegistry(r.config.RegistryAddr, r.config.Name); err != nil {
 			slog.Warn("no-roster", "err", err)
 		}
 	}
--- a/internal/stubs/stubs.go
+++ b/internal/stubs/stubs.go
@@ -39,7 +39,7 @@
 	loop          *loop.Loop
 	net           *wire.Net
 	authenticator Authenticator
-	connections   map[*wire.Stub]*connection
+	connections   map[*wire.ServerConn]*connection
 	idleTimeout   time.Duration // how long an unused connection may stay, as last said
 	draining      bool          // it asks all connections to go
 	lastSweep     time.Duration // when the connections were last looked through
@@ -47,7 +47,7 @@
 
 // New makes the front of a core whose loop and connections it shares. A nil door lets all in.
 func New(server Server, l *loop.Loop, net *wire.Net, authenticator Authenticator, idleTimeout time.Duration) *Frontend {
-	return &Frontend{server: server, loop: l, net: net, authenticator: authenticator, connections: map[*wire.Stub]*connection{}, idleTimeout: idleTimeout}
+	return &Frontend{server: server, loop: l, net: net, authenticator: authenticator, connections: map[*wire.ServerConn]*connection{}, idleTimeout: idleTimeout}
 }
 
 // SetIdleTimeout says how long an unused connection may stay.
@@ -76,18 +76,18 @@
 // Drain has no connection come in any more, asks all stubs to go, ends those that stay, and calls over when all is gone or the program has to
 // be, with how many had to be ended. It is called Part before killAt; others tells whether all else is done.
 func (f *Frontend) Drain(schedule DrainSchedule, killAt time.Duration, othersDrained func() bool, done func(connections int)) {
-	f.net.Deafen()
+	f.net.RefuseNew()
 	f.GoAway()
 	// Danger: what had connected before and is not accepted yet is reset with the listening socket, and the ops written there are lost. A
 	// few turns of the acceptor do where it is idle; else until all are in.
 	closeAt, latestCloseAt := f.loop.Now()+min(10*time.Millisecond, schedule.GoAway/4), killAt-(schedule.GoAway+schedule.forceClose)/2
 	var closeListeners, awaitDrained func()
 	closeListeners = func() {
-		if f.net.Backlog() && f.loop.Now() < latestCloseAt {
+		if f.net.HasBacklog() && f.loop.Now() < latestCloseAt {
 			f.loop.ScheduleAt(f.loop.Now()+time.Millisecond, closeListeners)
 			return
 		}
-		f.net.Shut()
+		f.net.CloseListeners()
 		awaitDrained()
 	}
 	forceClosed, allAccepted := 0, false
@@ -98,7 +98,7 @@
 			return
 		}
 		// Danger: a connection that was accepted and has not come to the loop yet, with an op on it. It comes before what is handed in now.
-		if !allAccepted && f.net.Done() {
+		if !allAccepted && f.net.AllAccepted() {
 			allAccepted = true
 			f.loop.Post(awaitDrained)
 			return
@@ -144,14 +144,14 @@
 	c.pendingChecks++
 	c.frontend.server.CheckHealth(deep, func(healthy bool) {
 		c.pendingChecks--
-		c.conn.Checked(messageID, healthy, c.frontend.server.ResponseMetadata())
+		c.conn.AnswerHealthCheck(messageID, healthy, c.frontend.server.ResponseMetadata())
 	})
 }
 
 // connection is a client stub's connection with the ops that are open on it.
 type connection struct {
 	frontend      *Frontend
-	conn          *wire.Stub
+	conn          *wire.ServerConn
 	pending       map[uint32]*responder
 	lastUsed      time.Duration // when something last came or went on it
 	goAwayAt      time.Duration // when it was asked to go away, 0 if it was not
@@ -164,27 +164,27 @@
 }
 
 // Accept makes a new connection one of a client stub. It runs beside the owner loop.
-func (in *Frontend) Accept(accepted *wire.Link) {
-	conn := accepted.Stub()
+func (in *Frontend) Accept(accepted *wire.Conn) {
+	conn := accepted.ServerConn()
 	c := &connection{frontend: in, conn: conn, pending: map[uint32]*responder{}}
-	conn.OnOp = func(messageID uint32, request wire.Ask) {
+	conn.OnRequest = func(messageID uint32, request wire.Request) {
 		c.received = true
 		c.submit(messageID, request)
 	}
-	conn.OnInterrupt = func(messageID uint32) {
+	conn.OnCancel = func(messageID uint32) {
 		c.received = true
 		if pending := c.pending[messageID]; pending != nil {
 			in.server.Cancel(pending.handle)
 		}
 	}
-	conn.OnCheck = func(messageID uint32, deep bool) {
+	conn.OnHealthCheck = func(messageID uint32, deep bool) {
 		if c.received = true; c.closeReason == "" {
 			c.checkHealth(messageID, deep)
 		}
 	}
-	conn.OnProven = c.authenticated
-	conn.OnFault = c.failAll
-	conn.OnEnd = func(string) {
+	conn.OnAuthenticated = c.authenticated
+	conn.OnProtocolError = c.failAll
+	conn.OnClose = func(string) {
 		delete(in.connections, conn)
 		for _, messageID := range slices.Sorted(maps.Keys(c.pending)) {
 			in.server.Cancel(c.pending[messageID].handle)
@@ -206,7 +206,7 @@
 		return
 	}
 	for _, messageID := range slices.Sorted(maps.Keys(c.pending)) {
-		c.conn.Failed(messageID, c.frontend.server.ResponseMetadata())
+		c.conn.Fail(messageID, c.frontend.server.ResponseMetadata())
 		c.frontend.server.Cancel(c.pending[messageID].handle)
 	}
 	c.close(code)
@@ -223,7 +223,7 @@
 const maxInvalidInRow = 8
 
 // submit takes an op off the connection.
-func (c *connection) submit(messageID uint32, request wire.Ask) {
+func (c *connection) submit(messageID uint32, request wire.Request) {
 	switch {
 	case c.closeReason != "":
 		return
@@ -252,15 +252,15 @@
 
 func (a *responder) Succeed(result []byte, metadata front.ResponseMetadata) {
 	a.conn.invalidInRow = 0
-	a.conn.conn.Answer(a.messageID, result, metadata)
+	a.conn.conn.Succeed(a.messageID, result, metadata)
 }
 func (a *responder) Reject(metadata front.ResponseMetadata) {
 	a.conn.invalidInRow = 0
-	a.conn.conn.Refuse(a.messageID, metadata)
+	a.conn.conn.Reject(a.messageID, metadata)
 }
 func (a *responder) Fail(metadata front.ResponseMetadata) {
 	a.conn.invalidInRow = 0
-	a.conn.conn.Failed(a.messageID, metadata)
+	a.conn.conn.Fail(a.messageID, metadata)
 }
 
 func (a *responder) Done() {
@@ -277,7 +277,7 @@
 	conn := a.conn
 	invalid := true
 	if metadata.Reason != "" {
-		conn.conn.Denied(a.messageID, metadata)
+		conn.conn.Deny(a.messageID, metadata)
 		if conn.frontend.authenticator != nil {
 			if revoked := conn.frontend.authenticator.RevocationReason(&conn.credential); revoked != "" {
 				conn.bar(string(revoked))
@@ -286,7 +286,7 @@
 		}
 		invalid = identity.Forged(rights.Reason(metadata.Reason))
 	} else {
-		conn.conn.Failed(a.messageID, metadata)
+		conn.conn.Fail(a.messageID, metadata)
 	}
 	if invalid {
 		conn.invalidInRow++
@@ -326,16 +326,16 @@
 		switch {
 		case c.closeReason != "":
 			if in.loop.Now()-c.lastUsed > time.Second { // it does not take the last answers either
-				c.conn.Cut()
+				c.conn.Abort()
 			}
-		case c.conn.Unfinished(in.loop.WallTime()) > messageTimeout && !wasSuspended:
+		case c.conn.PartialFor(in.loop.WallTime()) > messageTimeout && !wasSuspended:
 			c.failAll("unfinished")
-		case c.conn.Proves():
+		case c.conn.Handshaking():
 			if in.loop.Now()-c.lastUsed > handshakeTimeout && !wasSuspended {
 				c.close("handshake-slow")
 			}
 		// Danger: a close in the middle of an op's message, whose sender has to begin again elsewhere.
-		case len(c.pending) > 0 || c.pendingChecks > 0 || c.conn.Partial():
+		case len(c.pending) > 0 || c.pendingChecks > 0 || c.conn.HasPartial():
 		case !c.received && in.loop.Now()-c.lastUsed > messageTimeout && !wasSuspended:
 			c.close("silent")
 		case c.goAwayAt > 0 && in.loop.Now()-max(c.goAwayAt, c.lastUsed) > goAwayGrace:
@@ -353,7 +353,7 @@
 	// Twice what an op may take to come that was sent before its stub saw the end; ten times that where ops have come.
 	const crossingGrace, reuseGrace = 100 * time.Millisecond, time.Second
 	var candidate, closing *connection
-	handshakes, maxHandshakes := in.net.Proving()
+	handshakes, maxHandshakes := in.net.Handshakes()
 	onlyHandshaking := handshakes >= maxHandshakes // there is room for connections, but for no more handshakes
 	for _, c := range in.connections {
 		idleFor := in.loop.Now() - c.lastUsed
@@ -361,7 +361,7 @@
 			closing = c
 		}
 		if c.closeReason != "" || len(c.pending) > 0 || c.pendingChecks > 0 || idleFor < crossingGrace || c.received && idleFor < reuseGrace ||
-			onlyHandshaking && !c.conn.Proves() {
+			onlyHandshaking && !c.conn.Handshaking() {
 			continue
 		}
 		if candidate == nil || candidate.received && !c.received || candidate.received == c.received && c.lastUsed < candidate.lastUsed {
@@ -370,7 +370,7 @@
 	}
 	switch {
 	case closing != nil && in.loop.Now()-closing.lastUsed > crossingGrace: // has had time to read its last answers, and gives its room at once
-		closing.conn.Cut()
+		closing.conn.Abort()
 	case candidate != nil:
 		candidate.close("crowded")
 	}
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -7,169 +7,169 @@
 	"time"
 )
 
-// Client is a connection on which we are a client stub of an instance: ops go out, answers come in. The callbacks are called on the
+// ClientConn is a connection on which we are a client stub of an instance: ops go out, answers come in. The callbacks are called on the
 // owner loop.
-type Client struct {
-	*Link
-	OnAnswer func(n uint32, a Outcome)
-	OnGoAway func()
-	OnEnd    func(code string)
+type ClientConn struct {
+	*Conn
+	OnResponse func(n uint32, a Response)
+	OnGoAway   func()
+	OnClose    func(code string)
 }
 
-const partyMember = "member"
+const peerMember = "member"
 
-// Outcome is one answer. Result stays valid only during the call that it is given to.
-type Outcome struct {
-	Error  string // empty: acked; Busy: it never ran; Denied; another: it may have run
-	With   With
-	Result []byte
+// Response is one answer. Result stays valid only during the call that it is given to.
+type Response struct {
+	Error    string // empty: acked; Busy: it never ran; Denied; another: it may have run
+	Metadata ResponseMetadata
+	Result   []byte
 }
 
-// Client opens a connection to an instance; ready is called with nil once it stands.
-func (n *Net) Client(addr string, ready func(refused error)) *Client {
-	l := &Link{net: n, party: partyMember, began: time.Now()}
-	c := &Client{Link: l}
-	l.parse = c.message
-	l.ended = func(code string) { c.OnEnd(code) }
-	n.dial(l, addr, ready)
-	return c
+// DialMember opens a connection to an instance; ready is called with nil once it stands.
+func (n *Net) DialMember(addr string, ready func(refused error)) *ClientConn {
+	conn := &Conn{net: n, peer: peerMember, openedAt: time.Now()}
+	client := &ClientConn{Conn: conn}
+	conn.parse = client.parseMessage
+	conn.onClose = func(code string) { client.OnClose(code) }
+	n.dial(conn, addr, ready)
+	return client
 }
 
-// Ask sends an op.
-func (c *Client) Ask(n uint32, a Ask) {
-	b := append(c.room(), 0x94, 0x00, 0xce)
-	b = binary.BigEndian.AppendUint32(b, n)
-	b = appendStr(b, a.Class)
+// Send sends an op.
+func (c *ClientConn) Send(messageID uint32, request Request) {
+	b := append(c.outputBuffer(), 0x94, 0x00, 0xce)
+	b = binary.BigEndian.AppendUint32(b, messageID)
+	b = appendString(b, request.Class)
 	b = append(b, 0x92)
-	at := len(b)
+	fieldCount := len(b)
 	b = append(b, 0x80)
-	put := func(name, value string) {
-		b[at]++
-		b = appendStr(appendStr(b, name), value)
+	field := func(name, value string) {
+		b[fieldCount]++
+		b = appendString(appendString(b, name), value)
 	}
-	number := func(name string, x float64) { put(name, strconv.FormatFloat(x, 'f', -1, 64)) }
-	put("id", a.ID)
-	put("at", strconv.FormatInt(a.SentUnixMilli, 10))
-	put("from", strconv.Itoa(a.Caller))
-	if a.HasTimeout {
-		number("wait", float64(a.Timeout)/float64(time.Millisecond))
+	numberField := func(name string, x float64) { field(name, strconv.FormatFloat(x, 'f', -1, 64)) }
+	field("id", request.ID)
+	field("at", strconv.FormatInt(request.SentUnixMilli, 10))
+	field("from", strconv.Itoa(request.Caller))
+	if request.HasTimeout {
+		numberField("wait", float64(request.Timeout)/float64(time.Millisecond))
 	}
-	if a.Tenant != "" {
-		put("tenant", a.Tenant)
+	if request.Tenant != "" {
+		field("tenant", request.Tenant)
 	}
-	if a.Resource != "" {
-		put("key", a.Resource)
+	if request.Resource != "" {
+		field("key", request.Resource)
 	}
-	number("cost", float64(a.WorkHint)/float64(time.Millisecond))
-	number("kb", a.MemoryKB)
-	number("rank", a.Rank)
-	if a.Token != "" {
-		put("token", a.Token)
+	numberField("cost", float64(request.WorkHint)/float64(time.Millisecond))
+	numberField("kb", request.MemoryKB)
+	numberField("rank", request.Rank)
+	if request.Token != "" {
+		field("token", request.Token)
 	}
-	if a.Hops > 0 {
-		put("passed", strconv.Itoa(a.Hops))
+	if request.Hops > 0 {
+		field("passed", strconv.Itoa(request.Hops))
 	}
-	c.put(appendBin(b, a.Body))
+	c.setOutput(appendBytes(b, request.Body))
 }
 
-// Interrupt says that nobody waits for an op any more.
-func (c *Client) Interrupt(n uint32) {
-	b := appendStr(append(c.room(), 0x93, 0x02), "interrupt")
-	c.put(binary.BigEndian.AppendUint32(append(b, 0x91, 0xce), n))
+// Cancel says that nobody waits for an op any more.
+func (c *ClientConn) Cancel(messageID uint32) {
+	b := appendString(append(c.outputBuffer(), 0x93, 0x02), "interrupt")
+	c.setOutput(binary.BigEndian.AppendUint32(append(b, 0x91, 0xce), messageID))
 }
 
-// message reads one message: [1, n, error, result] or [2, method, params].
-func (c *Client) message(b []byte) (int, func(), string) {
-	r := unpack{b: b}
-	parts := r.array()
-	kind := r.whole()
+// parseMessage reads one message: [1, n, error, result] or [2, method, params].
+func (c *ClientConn) parseMessage(b []byte) (int, func(), string) {
+	d := decoder{input: b}
+	parts := d.readArrayLength()
+	kind := d.readInteger()
 	var call func()
 	switch {
-	case r.bad:
+	case d.malformed:
 	case parts == 4 && kind == 1:
-		call = c.answer(&r)
+		call = c.parseResponse(&d)
 	case parts == 3 && kind == 2:
-		method := string(r.text())
-		r.skip(0)
+		method := string(d.readString())
+		d.skip(0)
 		if method == "goaway" {
 			call = func() { c.OnGoAway() }
 		}
 	default:
-		r.bad = true
+		d.malformed = true
 	}
 	switch {
-	case r.short:
+	case d.truncated:
 		return 0, nil, ""
-	case r.bad:
+	case d.malformed:
 		return 0, nil, "bad-message"
 	}
-	return r.at, call, ""
+	return d.offset, call, ""
 }
 
-// null passes over a nil and tells whether one stood there.
-func (r *unpack) null() bool {
-	if r.at < len(r.b) && r.b[r.at] == 0xc0 {
-		r.at++
+// readNil passes over a nil and tells whether one stood there.
+func (r *decoder) readNil() bool {
+	if r.offset < len(r.input) && r.input[r.offset] == 0xc0 {
+		r.offset++
 		return true
 	}
 	return false
 }
 
-func (c *Client) answer(r *unpack) func() {
-	n := r.whole()
-	a := Outcome{With: With{LoadReport: -1}}
+func (c *ClientConn) parseResponse(d *decoder) func() {
+	messageID := d.readInteger()
+	response := Response{Metadata: ResponseMetadata{LoadReport: -1}}
 	var body []byte
 	switch {
-	case r.bad || n < 0 || n > math.MaxUint32:
-		r.bad = true
-	case !r.null(): // [name, fields], and a nil behind it
-		if r.array() != 2 {
-			r.bad = r.bad || !r.short
+	case d.malformed || messageID < 0 || messageID > math.MaxUint32:
+		d.malformed = true
+	case !d.readNil(): // [name, fields], and a nil behind it
+		if d.readArrayLength() != 2 {
+			d.malformed = d.malformed || !d.truncated
 			break
 		}
-		a.Error = string(r.text())
-		a.With = r.with()
-		if a.Error == "" || !r.short && !r.null() {
-			r.bad = r.bad || !r.short
+		response.Error = string(d.readString())
+		response.Metadata = d.readMetadata()
+		if response.Error == "" || !d.truncated && !d.readNil() {
+			d.malformed = d.malformed || !d.truncated
 		}
 	default: // [result, fields]; the result of a check is a bool
-		if r.array() != 2 {
-			r.bad = r.bad || !r.short
+		if d.readArrayLength() != 2 {
+			d.malformed = d.malformed || !d.truncated
 			break
 		}
-		if r.at < len(r.b) && r.b[r.at]&^1 == 0xc2 {
-			r.at++
+		if d.offset < len(d.input) && d.input[d.offset]&^1 == 0xc2 {
+			d.offset++
 		} else {
-			body = r.blob()
+			body = d.readBytes()
 		}
-		a.With = r.with()
+		response.Metadata = d.readMetadata()
 	}
-	if r.short || r.bad {
+	if d.truncated || d.malformed {
 		return nil
 	}
-	a.Result = append(c.net.Take(), body...)
+	response.Result = append(c.net.Get(), body...)
 	return func() {
-		c.OnAnswer(uint32(n), a)
-		c.net.Give(a.Result)
+		c.OnResponse(uint32(messageID), response)
+		c.net.Put(response.Result)
 	}
 }
 
-// with reads the fields of an answer.
-func (r *unpack) with() With {
-	w := With{LoadReport: -1}
-	for i := r.mapping(); i > 0 && !r.bad && !r.short; i-- {
-		switch name := r.text(); string(name) {
+// readMetadata reads the fields of an answer.
+func (r *decoder) readMetadata() ResponseMetadata {
+	metadata := ResponseMetadata{LoadReport: -1}
+	for i := r.readMapLength(); i > 0 && !r.malformed && !r.truncated; i-- {
+		switch name := r.readString(); string(name) {
 		case "say":
-			w.LoadReport = max(0, r.number())
+			metadata.LoadReport = max(0, r.readNumber())
 		case "after":
-			w.RetryAfter = r.milliseconds()
+			metadata.RetryAfter = r.readMilliseconds()
 		case "last":
-			w.NoFailover = r.number() == 1
+			metadata.NoFailover = r.readNumber() == 1
 		case "why":
-			w.Reason = string(r.text())
+			metadata.Reason = string(r.readString())
 		default:
 			r.skip(0)
 		}
 	}
-	return w
+	return metadata
 }
--- a/internal/wire/crossings_test.go
+++ b/internal/wire/crossings_test.go
@@ -15,52 +15,52 @@
 	"golang.org/x/sys/unix"
 )
 
-// crossing is connections on real sockets whose poller and owner a test holds where it wants them.
-type crossing struct {
+// testNet is connections on real sockets whose poller and owner a test holds where it wants them.
+type testNet struct {
 	*Net
-	calls   chan func()
-	stubs   chan *Stub
-	holding chan chan struct{} // one for each reading that is to be held
-	held    chan struct{}      // the poller stands in such a reading
-	ended   chan string
-	peers   []net.Conn // kept: one that a test does not look at again would be closed by the collector, and be told as an end
+	posted   chan func()
+	accepted chan *ServerConn
+	holds    chan chan struct{} // one for each reading that is to be held
+	held     chan struct{}      // the poller stands in such a reading
+	ended    chan string
+	peers    []net.Conn // kept: one that a test does not look at again would be closed by the collector, and be told as an end
 }
 
-func cross() *crossing { return crossAt(0) }
+func newTestNet() *testNet { return newTestNetWithLimit(0) }
 
-// crossAt is told a limit of descriptors.
-func crossAt(limit int) *crossing {
-	x := &crossing{calls: make(chan func(), 1000), stubs: make(chan *Stub, 100), holding: make(chan chan struct{}, 9), held: make(chan struct{}),
+// newTestNetWithLimit is told a limit of descriptors.
+func newTestNetWithLimit(limit int) *testNet {
+	x := &testNet{posted: make(chan func(), 1000), accepted: make(chan *ServerConn, 100), holds: make(chan chan struct{}, 9), held: make(chan struct{}),
 		ended: make(chan string, 100)}
-	x.Net = &Net{Buffers: plain{}, Most: 100, Limit: limit, Unread: 1 << 20, Crowded: func() {},
-		Hand: func(calls ...func()) {
+	x.Net = &Net{BufferPool: unpooledBuffers{}, MaxAccepted: 100, MaxDescriptors: limit, MaxUnread: 1 << 20, OnFull: func() {},
+		Post: func(calls ...func()) {
 			for _, call := range calls {
-				x.calls <- call
+				x.posted <- call
 			}
 		},
-		Read: func(calls ...func()) {
+		PostRead: func(calls ...func()) {
 			select {
-			case free := <-x.holding:
+			case free := <-x.holds:
 				x.held <- struct{}{}
 				<-free
 			default:
 			}
 			for _, call := range calls {
-				x.calls <- call
+				x.posted <- call
 			}
 		},
-		Accept: func(l *Link) {
-			s := l.Stub()
-			s.OnOp, s.OnInterrupt, s.OnFault = func(uint32, Ask) {}, func(uint32) {}, func(string) {}
-			s.OnCheck = func(n uint32, _ bool) { s.Checked(n, true, With{LoadReport: -1}) }
-			s.OnEnd = func(code string) { x.ended <- code }
-			x.stubs <- s
+		OnAccept: func(l *Conn) {
+			s := l.ServerConn()
+			s.OnRequest, s.OnCancel, s.OnProtocolError = func(uint32, Request) {}, func(uint32) {}, func(string) {}
+			s.OnHealthCheck = func(n uint32, _ bool) { s.AnswerHealthCheck(n, true, ResponseMetadata{LoadReport: -1}) }
+			s.OnClose = func(code string) { x.ended <- code }
+			x.accepted <- s
 		}}
 	if err := x.Start("127.0.0.1:0"); err != nil {
 		panic(err)
 	}
 	go func() {
-		for call := range x.calls {
+		for call := range x.posted {
 			call()
 			x.Flush()
 		}
@@ -68,52 +68,52 @@
 	return x
 }
 
-// hold has the next reading stand until free is closed.
-func (x *crossing) hold() (free chan struct{}) {
+// holdNextRead has the next reading stand until free is closed.
+func (x *testNet) holdNextRead() (free chan struct{}) {
 	free = make(chan struct{})
-	x.holding <- free
+	x.holds <- free
 	return free
 }
 
-// own runs on the owner.
-func (x *crossing) own(do func()) {
+// onOwner runs on the owner.
+func (x *testNet) onOwner(call func()) {
 	done := make(chan struct{})
-	x.calls <- func() { do(); close(done) }
+	x.posted <- func() { call(); close(done) }
 	<-done
 }
 
-// peer connects and gives both ends.
-func (x *crossing) peer() (net.Conn, *Stub) {
-	c, err := net.Dial("tcp", x.gates[0].Addr().String())
+// connect connects and gives both ends.
+func (x *testNet) connect() (net.Conn, *ServerConn) {
+	c, err := net.Dial("tcp", x.listeners[0].Addr().String())
 	if err != nil {
 		panic(err)
 	}
 	x.peers = append(x.peers, c)
-	return c, <-x.stubs
+	return c, <-x.accepted
 }
 
-// knocks gives calls that connect, with sockets that there are already, and give our end: no number goes to a peer meanwhile.
-func (x *crossing) knocks(n int) (all []func() *Stub) {
-	at := x.gates[0].Addr().(*net.TCPAddr)
+// prepareConnects gives calls that connect, with sockets that there are already, and give our end: no number goes to a peer meanwhile.
+func (x *testNet) prepareConnects(n int) (all []func() *ServerConn) {
+	addr := x.listeners[0].Addr().(*net.TCPAddr)
 	for range n {
 		fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 		if err != nil {
 			panic(err)
 		}
-		all = append(all, func() *Stub {
-			if err := unix.Connect(fd, &unix.SockaddrInet4{Port: at.Port, Addr: [4]byte(at.IP.To4())}); err != nil {
+		all = append(all, func() *ServerConn {
+			if err := unix.Connect(fd, &unix.SockaddrInet4{Port: addr.Port, Addr: [4]byte(addr.IP.To4())}); err != nil {
 				panic(err)
 			}
-			return <-x.stubs
+			return <-x.accepted
 		})
 	}
 	return all
 }
 
-var checkCall = append([]byte{0x94, 0, 1}, "\xa5check\x91\x80"...)
+var healthCheckMessage = append([]byte{0x94, 0, 1}, "\xa5check\x91\x80"...)
 
-// hear gives what a peer reads to the end of its connection, or to the end of one answer to a check.
-func hear(c net.Conn) string {
+// readAnswer gives what a peer reads to the end of its connection, or to the end of one answer to a check.
+func readAnswer(c net.Conn) string {
 	b := make([]byte, 11)
 	_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	n, err := io.ReadFull(c, b)
@@ -126,11 +126,11 @@
 	return fmt.Sprintf("%d bytes, %v", n, err)
 }
 
-// comes waits until the kernel has something for a descriptor.
-func comes(fd int, what int16) {
-	p := []unix.PollFd{{Fd: int32(fd), Events: what}}
+// waitReady waits until the kernel has something for a descriptor.
+func waitReady(fd int, events int16) {
+	p := []unix.PollFd{{Fd: int32(fd), Events: events}}
 	for {
-		if n, err := unix.Poll(p, 10000); n == 1 && p[0].Revents&what != 0 {
+		if n, err := unix.Poll(p, 10000); n == 1 && p[0].Revents&events != 0 {
 			return
 		} else if err != syscall.EINTR {
 			panic(fmt.Sprint("nothing comes: ", n, err))
@@ -141,42 +141,42 @@
 // The poller has fetched the ends of two connections when the owner ends them too, and a new one comes about before the poller goes on. The
 // new one lives.
 func Example_descriptorGivenOutAgain() {
-	x := cross()
-	_, first := x.peer()
-	second, s := x.peer()
-	third, s3 := x.peer()
-	other, _ := x.peer()
-	fourth, s4 := x.peer()
+	x := newTestNet()
+	_, first := x.connect()
+	second, s := x.connect()
+	third, s3 := x.connect()
+	other, _ := x.connect()
+	fourth, s4 := x.connect()
 	_ = first
-	knocks := x.knocks(12)
-	free := x.hold()
-	other.Write(checkCall)
+	knocks := x.prepareConnects(12)
+	free := x.holdNextRead()
+	other.Write(healthCheckMessage)
 	<-x.held
 	// With the poller standing, in this order: something to read, and two ends.
-	then := x.hold()
-	second.Write(checkCall)
-	comes(s.nb.Hash(), unix.POLLIN)
+	then := x.holdNextRead()
+	second.Write(healthCheckMessage)
+	waitReady(s.polled.Hash(), unix.POLLIN)
 	third.Close()
-	comes(s3.nb.Hash(), unix.POLLRDHUP)
+	waitReady(s3.polled.Hash(), unix.POLLRDHUP)
 	fourth.Close()
-	comes(s4.nb.Hash(), unix.POLLRDHUP)
+	waitReady(s4.polled.Hash(), unix.POLLRDHUP)
 	close(free)
 	<-x.held // it has fetched all three, and stands in the first
-	x.own(func() { s3.Cut(); s4.Cut() })
-	var later []*Stub
+	x.onOwner(func() { s3.Abort(); s4.Abort() })
+	var later []*ServerConn
 	for _, knock := range knocks {
 		later = append(later, knock())
 	}
 	close(then)
 	fmt.Println(<-x.ended, <-x.ended)
-	again, _ := x.peer() // the poller has taken all that it had fetched
-	again.Write(checkCall)
-	fmt.Println(hear(again))
+	again, _ := x.connect() // the poller has taken all that it had fetched
+	again.Write(healthCheckMessage)
+	fmt.Println(readAnswer(again))
 	for _, s := range later {
-		if fd, open := s.hold(); !open {
+		if fd, open := s.lockDescriptor(); !open {
 			fmt.Println("a later one was ended:", fd)
 		} else {
-			s.free()
+			s.unlockDescriptor()
 		}
 	}
 	// Output:
@@ -186,15 +186,15 @@
 
 // A call's connection that its peer has ended gets its order to end without a trace when its number is a stub's already.
 func Example_lingerOfAnother() {
-	x := cross()
+	x := newTestNet()
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
-	var calls []*Database
+	var calls []*DatabaseConn
 	var far []net.Conn
 	for range 2 {
 		stands := make(chan error, 1)
-		x.own(func() {
+		x.onOwner(func() {
 			d := x.DialDatabase(l.Addr().String(), func(refused error) { stands <- refused })
-			d.OnEnd, d.OnReply = func(string) {}, func(Reply) {}
+			d.OnClose, d.OnReply = func(string) {}, func(Reply) {}
 			calls = append(calls, d)
 		})
 		c, _ := l.Accept()
@@ -203,12 +203,12 @@
 			panic(err)
 		}
 	}
-	knocks := x.knocks(12)
-	x.own(func() {
+	knocks := x.prepareConnects(12)
+	x.onOwner(func() {
 		for i, d := range calls {
 			far[i].Close()
 			for gone := false; !gone; time.Sleep(time.Millisecond) { // until the poller has closed it, which the owner has not heard yet
-				_, err := unix.FcntlInt(uintptr(d.nb.Hash()), unix.F_GETFD, 0)
+				_, err := unix.FcntlInt(uintptr(d.polled.Hash()), unix.F_GETFD, 0)
 				gone = err == unix.EBADF
 			}
 		}
@@ -219,8 +219,8 @@
 			if same {
 				continue
 			}
-			fd := s.nb.Hash()
-			same = fd == calls[0].nb.Hash() || fd == calls[1].nb.Hash()
+			fd := s.polled.Hash()
+			same = fd == calls[0].polled.Hash() || fd == calls[1].polled.Hash()
 			if same {
 				for _, d := range calls {
 					d.Close("call-given-up")
@@ -237,36 +237,36 @@
 // A connection is closed while more lies unread on it: the peer still gets its answer and an end in good order, not a reset. One who does not
 // end its side then is cut.
 func Example_closeOverUnread() {
-	x := cross()
-	c, s := x.peer()
-	other, _ := x.peer()
-	free := x.hold()
-	other.Write(checkCall)
+	x := newTestNet()
+	c, s := x.connect()
+	other, _ := x.connect()
+	free := x.holdNextRead()
+	other.Write(healthCheckMessage)
 	<-x.held
-	c.Write(checkCall)
-	comes(s.nb.Hash(), unix.POLLIN)
-	x.own(func() {
-		s.Checked(1, true, With{LoadReport: -1})
+	c.Write(healthCheckMessage)
+	waitReady(s.polled.Hash(), unix.POLLIN)
+	x.onOwner(func() {
+		s.AnswerHealthCheck(1, true, ResponseMetadata{LoadReport: -1})
 		s.Close("unused")
 	})
 	close(free)
 	for range 2 { // what lies unread is read and thrown away, and so is what comes behind the close
 		for left := 1; left > 0; time.Sleep(time.Millisecond) {
 			left = 0
-			if fd, open := s.hold(); open {
+			if fd, open := s.lockDescriptor(); open {
 				left, _ = unix.IoctlGetInt(fd, unix.TIOCINQ)
-				s.free()
+				s.unlockDescriptor()
 			}
 		}
-		c.Write(checkCall)
+		c.Write(healthCheckMessage)
 	}
 	raw, _ := c.(*net.TCPConn).SyscallConn()
 	_ = raw.Control(func(fd uintptr) {
 		wrong, _ := unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_ERROR)
 		fmt.Println("wrong:", wrong)
 	})
-	fmt.Println(hear(c), hear(c))
-	x.own(s.Cut)
+	fmt.Println(readAnswer(c), readAnswer(c))
+	x.onOwner(s.Abort)
 	fmt.Println(<-x.ended)
 	// Output:
 	// wrong: 0
@@ -277,17 +277,17 @@
 // A peer that reads nothing has its answers wait here, in order, up to the bound, and its connection ends then; one that reads in time gets them
 // all, and the close behind them, whoever comes last to the last byte.
 func Example_lastByte() {
-	x := cross()
+	x := newTestNet()
 	for range 20 {
-		c, s := x.peer()
+		c, s := x.connect()
 		// The library opens a connection before it has the poller watch it, and what is left to write in between is never written: stubs are
 		// written to only once something has come from them.
-		c.Write(checkCall)
-		hear(c)
-		x.own(func() {
-			_ = unix.SetsockoptInt(s.nb.Hash(), unix.SOL_SOCKET, unix.SO_SNDBUF, 8<<10)
+		c.Write(healthCheckMessage)
+		readAnswer(c)
+		x.onOwner(func() {
+			_ = unix.SetsockoptInt(s.polled.Hash(), unix.SOL_SOCKET, unix.SO_SNDBUF, 8<<10)
 			for i := range 30 {
-				s.Answer(uint32(i), make([]byte, 4096), With{LoadReport: -1})
+				s.Succeed(uint32(i), make([]byte, 4096), ResponseMetadata{LoadReport: -1})
 			}
 			s.Close("unused")
 		})
@@ -300,44 +300,44 @@
 			fmt.Println(code)
 		}
 	}
-	c, s := x.peer()
+	c, s := x.connect()
 	defer c.Close()
-	x.own(func() {
+	x.onOwner(func() {
 		for i := range 4000 {
-			s.Answer(uint32(i), make([]byte, 4096), With{LoadReport: -1})
+			s.Succeed(uint32(i), make([]byte, 4096), ResponseMetadata{LoadReport: -1})
 			s.flush()
 		}
 	})
-	fmt.Println(<-x.ended, x.unread.Load())
+	fmt.Println(<-x.ended, x.unreadBytes.Load())
 	// Output:
 	// never-reads 0
 }
 
 // Small writes are never held back, on what is accepted and on what is dialled.
 func Example_noDelay() {
-	x := cross()
-	at := func(l *Link) int {
-		on, _ := unix.GetsockoptInt(l.nb.Hash(), unix.IPPROTO_TCP, unix.TCP_NODELAY)
+	x := newTestNet()
+	at := func(l *Conn) int {
+		on, _ := unix.GetsockoptInt(l.polled.Hash(), unix.IPPROTO_TCP, unix.TCP_NODELAY)
 		return on
 	}
-	_, s := x.peer()
-	fmt.Println("accepted", at(s.Link))
+	_, s := x.connect()
+	fmt.Println("accepted", at(s.Conn))
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	defer l.Close() // kept until then: the collector closes one that is out of use, and what stands there is reset
 	addr := l.Addr().String()
 	var stands sync.WaitGroup
 	ready := func(error) { stands.Done() }
 	stands.Add(3)
-	var db *Database
-	var rt *Runtime
-	var cl *Client
-	x.own(func() {
-		db, rt, cl = x.DialDatabase(addr, ready), x.DialRuntime(addr, ready), x.Client(addr, ready)
-		db.OnEnd = func(string) {}
-		rt.OnEnd, cl.OnEnd = db.OnEnd, db.OnEnd
+	var db *DatabaseConn
+	var rt *RuntimeConn
+	var cl *ClientConn
+	x.onOwner(func() {
+		db, rt, cl = x.DialDatabase(addr, ready), x.DialRuntime(addr, ready), x.DialMember(addr, ready)
+		db.OnClose = func(string) {}
+		rt.OnClose, cl.OnClose = db.OnClose, db.OnClose
 	})
 	stands.Wait()
-	fmt.Println("dialled", at(db.Link), at(rt.Link), at(cl.Link))
+	fmt.Println("dialled", at(db.Conn), at(rt.Conn), at(cl.Conn))
 	// Output:
 	// accepted 1
 	// dialled 1 1 1
@@ -345,20 +345,20 @@
 
 // A dial that an address swallows is given up at once, and holds up no other of its party.
 func Example_swallowedDials() {
-	x := cross()
-	hole := swallows()
+	x := newTestNet()
+	hole := blackHoleAddr()
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	refused := make(chan error, 99)
-	var calls []*Database
-	x.own(func() {
+	var calls []*DatabaseConn
+	x.onOwner(func() {
 		for range 40 {
 			d := x.DialDatabase(hole, func(err error) { refused <- err })
-			d.OnEnd = func(string) {}
+			d.OnClose = func(string) {}
 			calls = append(calls, d)
 		}
 	})
 	began := time.Now()
-	x.own(func() {
+	x.onOwner(func() {
 		for _, d := range calls {
 			d.Close("call-given-up")
 		}
@@ -368,8 +368,8 @@
 			fmt.Println("stands")
 		}
 	}
-	x.own(func() {
-		x.DialDatabase(l.Addr().String(), func(err error) { refused <- err }).OnEnd = func(string) {}
+	x.onOwner(func() {
+		x.DialDatabase(l.Addr().String(), func(err error) { refused <- err }).OnClose = func(string) {}
 	})
 	fmt.Println(<-refused, time.Since(began) < 5*time.Second) // ten times two seconds otherwise
 	l.Close()
@@ -377,8 +377,8 @@
 	// <nil> true
 }
 
-// swallows gives an address whose queue is full: what knocks there hears nothing.
-func swallows() string {
+// blackHoleAddr gives an address whose queue is full: what knocks there hears nothing.
+func blackHoleAddr() string {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
 	if err != nil {
 		panic(err)
@@ -409,13 +409,13 @@
 		panic(err)
 	}
 	defer far.Close()
-	x := cross()
-	l := &Link{net: x.Net, party: "far", began: time.Now(), ended: func(string) {}, parse: func([]byte) (int, func(), string) { return 0, nil, "" }}
+	x := newTestNet()
+	l := &Conn{net: x.Net, peer: "far", openedAt: time.Now(), onClose: func(string) {}, parse: func([]byte) (int, func(), string) { return 0, nil, "" }}
 	const many = 150 << 10 // under the bound of what a peer may leave unread, over what the kernel takes
-	later := x.Hand
-	x.own(func() {
+	later := x.Post
+	x.onOwner(func() {
 		var first atomic.Bool
-		x.Hand = func(calls ...func()) { // the first is that of the open connection: who hands it in waits until the owner has taken it
+		x.Post = func(calls ...func()) { // the first is that of the open connection: who hands it in waits until the owner has taken it
 			if !first.CompareAndSwap(false, true) {
 				later(calls...)
 				return
@@ -428,11 +428,11 @@
 			if refused != nil {
 				panic(refused)
 			}
-			if err := unix.SetsockoptInt(l.nb.Hash(), unix.SOL_SOCKET, unix.SO_SNDBUF, 4096); err != nil {
+			if err := unix.SetsockoptInt(l.polled.Hash(), unix.SOL_SOCKET, unix.SO_SNDBUF, 4096); err != nil {
 				panic(err)
 			}
 			for range many >> 10 {
-				l.put(append(l.room(), make([]byte, 1024)...))
+				l.setOutput(append(l.outputBuffer(), make([]byte, 1024)...))
 				l.flush()
 			}
 			l.Close("done")
@@ -452,7 +452,7 @@
 // A dial that the library has no place for, and one at the limit of descriptors, are refused and leave nothing open.
 func Example_dialWithoutPlace() {
 	before := nbio.MaxOpenFiles
-	x := crossAt(64)
+	x := newTestNetWithLimit(64)
 	defer func() { nbio.MaxOpenFiles = before }()
 	far, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -470,13 +470,13 @@
 		}
 	}
 	refused := make(chan error)
-	x.own(func() {
-		l := &Link{net: x.Net, party: "far", began: time.Now(), ended: func(string) {}}
+	x.onOwner(func() {
+		l := &Conn{net: x.Net, peer: "far", openedAt: time.Now(), onClose: func(string) {}}
 		x.dial(l, far.Addr().String(), func(err error) { go func() { refused <- err }() })
 	})
 	select {
 	case err := <-refused:
-		fmt.Println(err != nil, x.Net.calls.Load())
+		fmt.Println(err != nil, x.Net.dialedConns.Load())
 	case <-time.After(10 * time.Second):
 		fmt.Println("no word")
 	}
--- a/internal/wire/database.go
+++ b/internal/wire/database.go
@@ -18,39 +18,39 @@
 	Body         []byte
 }
 
-// Database is one connection. OnReply and OnEnd are its callbacks, called on the owner loop.
-type Database struct {
-	*Link
+// DatabaseConn is one connection. OnReply and OnEnd are its callbacks, called on the owner loop.
+type DatabaseConn struct {
+	*Conn
 	OnReply func(Reply)
-	OnEnd   func(code string)
+	OnClose func(code string)
 }
 
 // DialDatabase opens a connection; ready is called once it stands or with what refused it.
-func (n *Net) DialDatabase(addr string, ready func(refused error)) *Database {
-	d := &Database{Link: &Link{net: n, party: "database", began: time.Now(), abrupt: true}}
-	d.parse = d.message
-	d.ended = func(code string) { d.OnEnd(code) }
-	n.dial(d.Link, addr, ready)
-	return d
+func (n *Net) DialDatabase(addr string, ready func(refused error)) *DatabaseConn {
+	database := &DatabaseConn{Conn: &Conn{net: n, peer: "database", openedAt: time.Now(), resetOnClose: true}}
+	database.parse = database.parseReply
+	database.onClose = func(code string) { database.OnClose(code) }
+	n.dial(database.Conn, addr, ready)
+	return database
 }
 
 // Call sends one call.
-func (d *Database) Call(host string, id choice.RequestID, limit time.Duration, body []byte) {
-	b := append(d.room(), "POST /v1/exec HTTP/1.1\r\nHost: "...)
+func (d *DatabaseConn) Call(host string, id choice.RequestID, timeout time.Duration, body []byte) {
+	b := append(d.outputBuffer(), "POST /v1/exec HTTP/1.1\r\nHost: "...)
 	b = append(append(b, host...), "\r\nRequest-Ref: "...)
 	b = append(append(b, id...), "\r\nStatement-Timeout-Ms: "...)
-	b = strconv.AppendInt(b, max(1, limit.Milliseconds()), 10)
+	b = strconv.AppendInt(b, max(1, timeout.Milliseconds()), 10)
 	b = append(b, "\r\nContent-Length: "...)
 	b = strconv.AppendInt(b, int64(len(body)), 10)
 	b = append(b, "\r\nConnection: close\r\n\r\n"...)
-	d.put(append(b, body...))
+	d.setOutput(append(b, body...))
 }
 
-// message reads the one reply. Its length is told, or it comes in chunks. Danger: a reply that can be read in more than
+// parseReply reads the one reply. Its length is told, or it comes in chunks. Danger: a reply that can be read in more than
 // one way. What is told twice or against itself, or has no length, is none.
-func (d *Database) message(b []byte) (int, func(), string) {
-	const starts = "HTTP/1."
-	if n := min(len(b), len(starts)); string(b[:n]) != starts[:n] { // noise, and no need to wait for its end
+func (d *DatabaseConn) parseReply(b []byte) (int, func(), string) {
+	const prefix = "HTTP/1."
+	if n := min(len(b), len(prefix)); string(b[:n]) != prefix[:n] { // noise, and no need to wait for its end
 		return 0, nil, "bad-reply"
 	}
 	end := bytes.Index(b, []byte("\r\n\r\n"))
@@ -66,9 +66,9 @@
 	reply := Reply{Status: status}
 	size, chunked := -1, false
 	for _, line := range lines[1:] {
-		name, value, whole := strings.Cut(line, ":")
+		name, value, found := strings.Cut(line, ":")
 		value = strings.Trim(value, " \t")
-		if !whole || name == "" || strings.ContainsFunc(name, func(c rune) bool { return c <= ' ' || c >= 0x7f }) ||
+		if !found || name == "" || strings.ContainsFunc(name, func(c rune) bool { return c <= ' ' || c >= 0x7f }) ||
 			strings.ContainsFunc(value, func(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f }) {
 			return 0, nil, "bad-reply"
 		}
@@ -88,66 +88,66 @@
 			reply.NeverStarted = value == "1" && (status == 503 || status == 409)
 		}
 	}
-	at := end + 4
+	offset := end + 4
 	switch {
 	case status < 200: // an interim reply: the real one follows
-		return at, nil, ""
+		return offset, nil, ""
 	case chunked && size >= 0, !chunked && size < 0 && status == 200:
 		return 0, nil, "bad-reply"
-	case size > BufferSize-at:
+	case size > BufferSize-offset:
 		return 0, nil, "too-long"
 	}
 	size = max(size, 0)
-	body := d.net.Take()
+	body := d.net.Get()
 	if chunked {
-		body, at = chunks(body, b, at)
-	} else if at+size <= len(b) {
-		body, at = append(body, b[at:at+size]...), at+size
+		body, offset = readChunks(body, b, offset)
+	} else if offset+size <= len(b) {
+		body, offset = append(body, b[offset:offset+size]...), offset+size
 	} else {
-		at = 0
+		offset = 0
 	}
-	if at <= 0 {
-		d.net.Give(body)
-		if at < 0 {
+	if offset <= 0 {
+		d.net.Put(body)
+		if offset < 0 {
 			return 0, nil, "bad-reply"
 		}
 		return 0, nil, ""
 	}
 	reply.Body = body
-	d.deaf = true // whatever comes behind it belongs to nothing
-	return at, func() {
+	d.ignoresInput = true // whatever comes behind it belongs to nothing
+	return offset, func() {
 		d.OnReply(reply)
-		d.net.Give(body)
+		d.net.Put(body)
 	}, ""
 }
 
-// chunks reads a chunked body to its end: 0 if it is not there yet, under 0 if it can't be read.
-func chunks(body, b []byte, at int) ([]byte, int) {
+// readChunks reads a chunked body to its end: 0 if it is not there yet, under 0 if it can't be read.
+func readChunks(body, input []byte, offset int) ([]byte, int) {
 	for {
-		end := bytes.Index(b[at:], []byte("\r\n"))
+		end := bytes.Index(input[offset:], []byte("\r\n"))
 		if end < 0 {
 			return body, 0
 		}
-		head, _, _ := strings.Cut(string(b[at:at+end]), ";")
+		head, _, _ := strings.Cut(string(input[offset:offset+end]), ";")
 		size, err := strconv.ParseUint(strings.TrimSpace(head), 16, 16)
 		if err != nil || int(size)+len(body) > BufferSize {
 			return body, -1
 		}
-		at += end + 2
+		offset += end + 2
 		if size == 0 { // fields may follow, and an empty line does
 			for {
-				end := bytes.Index(b[at:], []byte("\r\n"))
+				end := bytes.Index(input[offset:], []byte("\r\n"))
 				if end < 0 {
 					return body, 0
 				}
-				if at += end + 2; end == 0 {
-					return body, at
+				if offset += end + 2; end == 0 {
+					return body, offset
 				}
 			}
 		}
-		if at+int(size)+2 > len(b) {
+		if offset+int(size)+2 > len(input) {
 			return body, 0
 		}
-		body, at = append(body, b[at:at+int(size)]...), at+int(size)+2
+		body, offset = append(body, input[offset:offset+int(size)]...), offset+int(size)+2
 	}
 }
--- a/internal/wire/golden_database_test.go
+++ b/internal/wire/golden_database_test.go
@@ -12,9 +12,9 @@
 func TestGoldenToDatabase(t *testing.T) {
 	file := goldentest.Open(t, "testdata/database_calls.golden")
 	for name, limit := range map[string]time.Duration{"call": 1500 * time.Millisecond, "call-late": time.Microsecond} {
-		d := &Database{Link: hears()}
+		d := &DatabaseConn{Conn: newTestConn()}
 		d.Call("127.0.0.1:5432", "0123456789abcdef", limit, []byte("statement"))
-		file.Check(name, d.out)
+		file.Check(name, d.output)
 	}
 }
 
@@ -34,11 +34,11 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var got []Reply
-			d := &Database{Link: hears()}
-			d.parse = d.message
-			d.fault = func(code string) { t.Error(code) }
+			d := &DatabaseConn{Conn: newTestConn()}
+			d.parse = d.parseReply
+			d.onUnreadable = func(code string) { t.Error(code) }
 			d.OnReply = func(r Reply) { got = append(got, r) }
-			d.read(file.Bytes(tc.name))
+			d.received(file.Bytes(tc.name))
 			if !reflect.DeepEqual(got, []Reply{tc.want}) {
 				t.Errorf("read as %+v, want %+v", got, tc.want)
 			}
--- a/internal/wire/golden_registry_test.go
+++ b/internal/wire/golden_registry_test.go
@@ -16,7 +16,7 @@
 		t.Fatal(err)
 	}
 	defer registry.Close()
-	r, err := NewRoster(registry.LocalAddr().String(), "instance-1")
+	r, err := NewRegistry(registry.LocalAddr().String(), "instance-1")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wire/golden_runtime_test.go
+++ b/internal/wire/golden_runtime_test.go
@@ -14,20 +14,20 @@
 	const id = "0123456789abcdef"
 	for _, tc := range []struct {
 		name  string
-		write func(*Runtime)
+		write func(*RuntimeConn)
 	}{
-		{"sync", func(r *Runtime) { r.Sync(1<<64 - 1) }},
-		{"start", func(r *Runtime) { r.Start(id, "a\"b\\\x01\u00e9", []byte{0, 255}) }},
-		{"stop", func(r *Runtime) { r.Stop(id) }},
-		{"give", func(r *Runtime) { r.Give(id, []byte("rows")) }},
-		{"omit", func(r *Runtime) { r.Omit(id, 9) }},
-		{"gauges", func(r *Runtime) { r.Gauges("look-1") }},
-		{"selftest", func(r *Runtime) { r.Selftest("test-2") }},
+		{"sync", func(r *RuntimeConn) { r.Sync(1<<64 - 1) }},
+		{"start", func(r *RuntimeConn) { r.Start(id, "a\"b\\\x01\u00e9", []byte{0, 255}) }},
+		{"stop", func(r *RuntimeConn) { r.Stop(id) }},
+		{"give", func(r *RuntimeConn) { r.SendCallReply(id, []byte("rows")) }},
+		{"omit", func(r *RuntimeConn) { r.SkipCall(id, 9) }},
+		{"gauges", func(r *RuntimeConn) { r.RequestGauges("look-1") }},
+		{"selftest", func(r *RuntimeConn) { r.RequestSelfTest("test-2") }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r := &Runtime{Link: hears()}
+			r := &RuntimeConn{Conn: newTestConn()}
 			tc.write(r)
-			file.Check(tc.name, r.out)
+			file.Check(tc.name, r.output)
 		})
 	}
 }
@@ -39,33 +39,33 @@
 	const id = "0123456789abcdef"
 	for _, tc := range []struct {
 		name string
-		want Notice
+		want Event
 	}{
-		{"ready-booting", Notice{Kind: "ready", Status: "booting", Took: 12500 * time.Microsecond}},
-		{"ready-steady", Notice{Kind: "ready", Status: "steady", Took: 10 * time.Millisecond}},
-		{"load", Notice{Kind: "load", Mark: "look-1", Gauges: []float64{0.5, 3, 120}}},
-		{"verdict", Notice{Kind: "verdict", Mark: "test-2", Status: "success"}},
-		{"wants", Notice{Kind: "wants", No: 4, ID: id, Bytes: []byte("ask")}},
-		{"end-success", Notice{Kind: "end", No: 5, ID: id, Status: "success", Took: 41 * time.Millisecond,
-			Bytes: []byte{0, 255}}},
-		{"end-failure", Notice{Kind: "end", No: 6, ID: id, Status: "failure", Took: 20 * time.Millisecond, Bytes: []byte{}}},
-		{"end-interrupted", Notice{Kind: "end", No: 7, ID: id, Status: "interrupted", Took: 20 * time.Millisecond,
-			Bytes: []byte{}}},
-		{"end-nothing", Notice{Kind: "end", No: 8, ID: id, Status: "nothing"}},
-		{"nack", Notice{Kind: "nack", No: 9, ID: id, Status: "start"}},
-		{"info", Notice{Kind: "info", No: 10, Status: "any"}},
-		{"all", Notice{Kind: "k", ID: "r", Status: "s", Mark: "m\"A/", No: 11, Took: time.Millisecond, Bytes: []byte("b"),
+		{"ready-booting", Event{Kind: "ready", Status: "booting", Elapsed: 12500 * time.Microsecond}},
+		{"ready-steady", Event{Kind: "ready", Status: "steady", Elapsed: 10 * time.Millisecond}},
+		{"load", Event{Kind: "load", CorrelationID: "look-1", Gauges: []float64{0.5, 3, 120}}},
+		{"verdict", Event{Kind: "verdict", CorrelationID: "test-2", Status: "success"}},
+		{"wants", Event{Kind: "wants", Sequence: 4, RequestID: id, Body: []byte("ask")}},
+		{"end-success", Event{Kind: "end", Sequence: 5, RequestID: id, Status: "success", Elapsed: 41 * time.Millisecond,
+			Body: []byte{0, 255}}},
+		{"end-failure", Event{Kind: "end", Sequence: 6, RequestID: id, Status: "failure", Elapsed: 20 * time.Millisecond, Body: []byte{}}},
+		{"end-interrupted", Event{Kind: "end", Sequence: 7, RequestID: id, Status: "interrupted", Elapsed: 20 * time.Millisecond,
+			Body: []byte{}}},
+		{"end-nothing", Event{Kind: "end", Sequence: 8, RequestID: id, Status: "nothing"}},
+		{"nack", Event{Kind: "nack", Sequence: 9, RequestID: id, Status: "start"}},
+		{"info", Event{Kind: "info", Sequence: 10, Status: "any"}},
+		{"all", Event{Kind: "k", RequestID: "r", Status: "s", CorrelationID: "m\"A/", Sequence: 11, Elapsed: time.Millisecond, Body: []byte("b"),
 			Gauges: []float64{-1.5, 0.1}}},
-		{"escapes", Notice{Kind: "info", Mark: "\"\\/\b\f\n\r\t\u00e9\U0001f600"}},
+		{"escapes", Event{Kind: "info", CorrelationID: "\"\\/\b\f\n\r\t\u00e9\U0001f600"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			var got []Notice
-			r := &Runtime{Link: hears()}
-			r.parse = r.message
-			r.fault = func(code string) { t.Error(code) }
-			r.OnNotice = func(n Notice) { got = append(got, n) }
-			r.read(file.Bytes(tc.name))
-			if !reflect.DeepEqual(got, []Notice{tc.want}) {
+			var got []Event
+			r := &RuntimeConn{Conn: newTestConn()}
+			r.parse = r.parseLine
+			r.onUnreadable = func(code string) { t.Error(code) }
+			r.OnEvent = func(n Event) { got = append(got, n) }
+			r.received(file.Bytes(tc.name))
+			if !reflect.DeepEqual(got, []Event{tc.want}) {
 				t.Errorf("read as %+v, want %+v", got, tc.want)
 			}
 		})
--- a/internal/wire/roster.go
+++ b/internal/wire/roster.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Roster reports to the list of service instances: one datagram a report, and no answer comes.
-type Roster struct {
+// Registry reports to the list of service instances: one datagram a report, and no answer comes.
+type Registry struct {
 	conn net.Conn
 	name string
 }
 
-// NewRoster opens the socket that reports go out of.
-func NewRoster(addr, name string) (*Roster, error) {
+// NewRegistry opens the socket that reports go out of.
+func NewRegistry(addr, name string) (*Registry, error) {
 	conn, err := net.Dial("udp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return &Roster{conn, name}, nil
+	return &Registry{conn, name}, nil
 }
 
 // Report sends one. A roster that is down shows as an error here, and the next report is due soon.
-func (r *Roster) Report(on bool) {
+func (r *Registry) Report(available bool) {
 	state := "off"
-	if on {
+	if available {
 		state = "on"
 	}
 	_ = r.conn.SetWriteDeadline(time.Now().Add(time.Millisecond)) // a full socket must not hold up the loop
@@ -31,4 +31,4 @@
 }
 
 // Close gives its descriptor back.
-func (r *Roster) Close() { _ = r.conn.Close() }
+func (r *Registry) Close() { _ = r.conn.Close() }
--- a/internal/wire/runtime.go
+++ b/internal/wire/runtime.go
@@ -13,73 +13,83 @@
 
 // The runtime speaks JSON, one flat object a line. Bodies are in base64.
 
-// Notice is one line of the runtime. Bytes stay valid only during the callback that they are given to.
-type Notice struct {
-	Kind, ID, Status, Mark string
-	No                     uint64
-	Took                   time.Duration
-	Bytes                  []byte
-	Gauges                 []float64
+// Event is one line of the runtime. Bytes stay valid only during the callback that they are given to.
+type Event struct {
+	Kind, RequestID, Status, CorrelationID string
+	Sequence                               uint64
+	Elapsed                                time.Duration
+	Body                                   []byte
+	Gauges                                 []float64
 }
 
-// Runtime is the link to the runtime. The fields are its callbacks, called on the owner loop.
-type Runtime struct {
-	*Link
-	OnNotice func(Notice)
-	OnEnd    func(code string)
+// RuntimeConn is the link to the runtime. The fields are its callbacks, called on the owner loop.
+type RuntimeConn struct {
+	*Conn
+	OnEvent func(Event)
+	OnClose func(code string)
 }
 
 // DialRuntime opens a link; ready is called once it stands or with what refused it.
-func (n *Net) DialRuntime(addr string, ready func(refused error)) *Runtime {
-	r := &Runtime{Link: &Link{net: n, party: "runtime", began: time.Now()}}
-	r.parse = r.message
-	r.ended = func(code string) { r.OnEnd(code) }
-	n.dial(r.Link, addr, ready)
-	return r
+func (n *Net) DialRuntime(addr string, ready func(refused error)) *RuntimeConn {
+	runtime := &RuntimeConn{Conn: &Conn{net: n, peer: "runtime", openedAt: time.Now()}}
+	runtime.parse = runtime.parseLine
+	runtime.onClose = func(code string) { runtime.OnClose(code) }
+	n.dial(runtime.Conn, addr, ready)
+	return runtime
 }
 
 // The commands.
 
-func (r *Runtime) Sync(last uint64) { r.put(r.open("sync").no(last).close()) }
+func (r *RuntimeConn) Sync(lastSequence uint64) {
+	r.setOutput(r.newCommand("sync").sequence(lastSequence).end())
+}
 
-func (r *Runtime) Start(id choice.RequestID, route choice.Class, body []byte) {
-	r.put(r.open("start").rid(id).word("route", string(route)).b64(body).close())
+func (r *RuntimeConn) Start(id choice.RequestID, class choice.Class, body []byte) {
+	r.setOutput(r.newCommand("start").requestID(id).text("route", string(class)).bytes(body).end())
 }
 
-func (r *Runtime) Stop(id choice.RequestID) { r.put(r.open("stop").rid(id).close()) }
+func (r *RuntimeConn) Stop(id choice.RequestID) {
+	r.setOutput(r.newCommand("stop").requestID(id).end())
+}
 
-func (r *Runtime) Give(id choice.RequestID, reply []byte) {
-	r.put(r.open("give").rid(id).b64(reply).close())
+func (r *RuntimeConn) SendCallReply(id choice.RequestID, reply []byte) {
+	r.setOutput(r.newCommand("give").requestID(id).bytes(reply).end())
 }
 
-func (r *Runtime) Omit(id choice.RequestID, wants uint64) {
-	r.put(r.open("omit").rid(id).no(wants).close())
+func (r *RuntimeConn) SkipCall(id choice.RequestID, sequence uint64) {
+	r.setOutput(r.newCommand("omit").requestID(id).sequence(sequence).end())
+}
+func (r *RuntimeConn) RequestGauges(correlationID string) {
+	r.setOutput(r.newCommand("gauges").text("mark", correlationID).end())
+}
+func (r *RuntimeConn) RequestSelfTest(correlationID string) {
+	r.setOutput(r.newCommand("selftest").text("mark", correlationID).end())
 }
-func (r *Runtime) Gauges(mark string)   { r.put(r.open("gauges").word("mark", mark).close()) }
-func (r *Runtime) Selftest(mark string) { r.put(r.open("selftest").word("mark", mark).close()) }
 
-// jsonLine is a command that is being written.
-type jsonLine []byte
+// commandLine is a command that is being written.
+type commandLine []byte
 
-func (r *Runtime) open(kind string) jsonLine {
-	return append(append(append(jsonLine(r.room()), `{"t":"`...), kind...), '"')
+func (r *RuntimeConn) newCommand(kind string) commandLine {
+	return append(append(append(commandLine(r.outputBuffer()), `{"t":"`...), kind...), '"')
 }
 
-func (j jsonLine) no(n uint64) jsonLine { return strconv.AppendUint(append(j, `,"no":`...), n, 10) }
-func (j jsonLine) rid(id choice.RequestID) jsonLine {
-	return j.word("rid", string(id))
+func (j commandLine) sequence(n uint64) commandLine {
+	return strconv.AppendUint(append(j, `,"no":`...), n, 10)
+}
+func (j commandLine) requestID(id choice.RequestID) commandLine {
+	return j.text("rid", string(id))
 }
 
-func (j jsonLine) word(name, s string) jsonLine {
+func (j commandLine) text(name, s string) commandLine {
 	j = append(append(append(j, ',', '"'), name...), `":`...)
 	return appendQuoted(j, s)
 }
 
-func (j jsonLine) b64(body []byte) jsonLine {
+func (j commandLine) bytes(body []byte) commandLine {
 	return append(base64.StdEncoding.AppendEncode(append(j, `,"b64":"`...), body), '"')
 }
 
-func (j jsonLine) close() []byte { return append(j, '}', '\n') }
+func (j commandLine) end() []byte { return append(j, '}', '\n') }
 
 // appendQuoted writes a string as JSON has it.
 func appendQuoted(b []byte, s string) []byte {
@@ -98,8 +108,8 @@
 	return append(b, '"')
 }
 
-// message reads one line.
-func (r *Runtime) message(b []byte) (int, func(), string) {
+// parseLine reads one line.
+func (r *RuntimeConn) parseLine(b []byte) (int, func(), string) {
 	end := bytes.IndexByte(b, '\n')
 	if end < 0 {
 		return 0, nil, ""
@@ -108,129 +118,129 @@
 	if len(line) == 0 {
 		return end + 1, nil, ""
 	}
-	notice, buf, whole := r.notice(line)
-	if !whole {
+	event, body, ok := r.parseEvent(line)
+	if !ok {
 		return 0, nil, "bad-line"
 	}
 	return end + 1, func() {
-		r.OnNotice(notice)
-		if buf != nil {
-			r.net.Give(buf)
+		r.OnEvent(event)
+		if body != nil {
+			r.net.Put(body)
 		}
 	}, ""
 }
 
-// notice picks what we know out of the object; unknown names are passed over, whatever they hold.
-func (r *Runtime) notice(line []byte) (notice Notice, buf []byte, whole bool) {
-	j := reader{b: line}
+// parseEvent picks what we know out of the object; unknown names are passed over, whatever they hold.
+func (r *RuntimeConn) parseEvent(line []byte) (event Event, buf []byte, ok bool) {
+	j := jsonReader{input: line}
 	j.expect('{')
-	for first := true; !j.bad && !j.comes('}'); first = false {
+	for first := true; !j.malformed && !j.accept('}'); first = false {
 		if !first {
 			j.expect(',')
 		}
-		name := j.text()
+		name := j.readString()
 		j.expect(':')
 		switch string(name) {
 		case "t":
-			notice.Kind = string(j.text())
+			event.Kind = string(j.readString())
 		case "rid":
-			notice.ID = string(j.text())
+			event.RequestID = string(j.readString())
 		case "status":
-			notice.Status = string(j.text())
+			event.Status = string(j.readString())
 		case "mark":
-			notice.Mark = string(j.text())
+			event.CorrelationID = string(j.readString())
 		case "no":
-			notice.No = uint64(max(0, j.number()))
+			event.Sequence = uint64(max(0, j.readNumber()))
 		case "time_ms":
-			notice.Took = time.Duration(j.number() * float64(time.Millisecond))
+			event.Elapsed = time.Duration(j.readNumber() * float64(time.Millisecond))
 		case "v":
 			j.expect('[')
-			for !j.bad && !j.comes(']') {
-				if len(notice.Gauges) > 0 {
+			for !j.malformed && !j.accept(']') {
+				if len(event.Gauges) > 0 {
 					j.expect(',')
 				}
-				notice.Gauges = append(notice.Gauges, j.number())
+				event.Gauges = append(event.Gauges, j.readNumber())
 			}
 		case "b64":
-			text := j.text()
-			if j.bad || buf != nil || base64.StdEncoding.DecodedLen(len(text)) > BufferSize {
-				j.bad = true
+			text := j.readString()
+			if j.malformed || buf != nil || base64.StdEncoding.DecodedLen(len(text)) > BufferSize {
+				j.malformed = true
 				break
 			}
 			var err error
-			buf = r.net.Take()
-			notice.Bytes, err = base64.StdEncoding.AppendDecode(buf, text)
-			j.bad = err != nil
+			buf = r.net.Get()
+			event.Body, err = base64.StdEncoding.AppendDecode(buf, text)
+			j.malformed = err != nil
 		default:
 			j.skip(0)
 		}
 	}
-	if j.bad || j.at != len(j.b) {
+	if j.malformed || j.offset != len(j.input) {
 		if buf != nil {
-			r.net.Give(buf)
+			r.net.Put(buf)
 		}
-		return Notice{}, nil, false
+		return Event{}, nil, false
 	}
-	return notice, buf, true
+	return event, buf, true
 }
 
-// reader reads JSON values off the front of a whole line.
-type reader struct {
-	b   []byte
-	at  int
-	bad bool
+// jsonReader reads JSON values off the front of a whole line.
+type jsonReader struct {
+	input     []byte
+	offset    int
+	malformed bool
 }
 
-func (j *reader) next() byte {
-	for j.at < len(j.b) && (j.b[j.at] == ' ' || j.b[j.at] == '\t' || j.b[j.at] == '\r') {
-		j.at++
+func (j *jsonReader) peek() byte {
+	for j.offset < len(j.input) && (j.input[j.offset] == ' ' || j.input[j.offset] == '\t' || j.input[j.offset] == '\r') {
+		j.offset++
 	}
-	if j.bad || j.at >= len(j.b) {
-		j.bad = true
+	if j.malformed || j.offset >= len(j.input) {
+		j.malformed = true
 		return 0
 	}
-	return j.b[j.at]
+	return j.input[j.offset]
 }
 
-func (j *reader) expect(c byte) {
-	if j.next() == c && !j.bad {
-		j.at++
+func (j *jsonReader) expect(c byte) {
+	if j.peek() == c && !j.malformed {
+		j.offset++
 		return
 	}
-	j.bad = true
+	j.malformed = true
 }
 
-// comes passes over c if it comes next.
-func (j *reader) comes(c byte) bool {
-	if j.next() != c || j.bad {
+// accept passes over c if it comes next.
+func (j *jsonReader) accept(c byte) bool {
+	if j.peek() != c || j.malformed {
 		return false
 	}
-	j.at++
+	j.offset++
 	return true
 }
 
-func (j *reader) text() []byte {
+func (j *jsonReader) readString() []byte {
 	j.expect('"')
-	from, plain := j.at, true
-	for ; !j.bad; j.at++ {
+	from, plain := j.offset, true
+	for ; !j.malformed; j.offset++ {
 		switch {
-		case j.at >= len(j.b) || j.b[j.at] < 0x20:
-			j.bad = true
-		case j.b[j.at] == '\\':
+		case j.offset >= len(j.input) || j.input[j.offset] < 0x20:
+			j.malformed = true
+		case j.input[j.offset] == '\\':
 			plain = false
-			j.at++
-		case j.b[j.at] == '"':
-			j.at++
+			j.offset++
+		case j.input[j.offset] == '"':
+			j.offset++
 			if plain {
-				return j.b[from : j.at-1]
+				return j.input[from : j.offset-1]
 			}
-			return j.unescape(j.b[from : j.at-1])
+			return j.unescape(j.input[from : j.offset-1])
 		}
 	}
 	return nil
 }
 
-func (j *reader) unescape(s []byte) []byte {
+func (j *jsonReader) unescape(s []byte) []byte {
 	out := make([]byte, 0, len(s))
 	for i := 0; i < len(s); i++ {
 		if s[i] != '\\' {
@@ -239,78 +249,78 @@
 		}
 		i++
 		if i >= len(s) {
-			j.bad = true
+			j.malformed = true
 			return nil
 		}
 		switch at := bytes.IndexByte([]byte(`"\/bfnrt`), s[i]); {
 		case at >= 0:
 			out = append(out, "\"\\/\b\f\n\r\t"[at])
 		case s[i] == 'u':
-			c := j.hex(s, i+1)
+			c := j.readHex(s, i+1)
 			i += 4
 			if utf16.IsSurrogate(c) && i+6 < len(s) && s[i+1] == '\\' && s[i+2] == 'u' {
-				c = utf16.DecodeRune(c, j.hex(s, i+3))
+				c = utf16.DecodeRune(c, j.readHex(s, i+3))
 				i += 6
 			}
 			out = utf8.AppendRune(out, c)
 		default:
-			j.bad = true
+			j.malformed = true
 		}
 	}
 	return out
 }
 
-func (j *reader) hex(s []byte, at int) rune {
+func (j *jsonReader) readHex(s []byte, at int) rune {
 	if at+4 > len(s) {
-		j.bad = true
+		j.malformed = true
 		return 0
 	}
 	x, err := strconv.ParseUint(string(s[at:at+4]), 16, 16)
-	j.bad = j.bad || err != nil
+	j.malformed = j.malformed || err != nil
 	return rune(x)
 }
 
-func (j *reader) number() float64 {
-	j.next()
-	from := j.at
-	for j.at < len(j.b) && bytes.IndexByte([]byte("+-.0123456789eE"), j.b[j.at]) >= 0 {
-		j.at++
+func (j *jsonReader) readNumber() float64 {
+	j.peek()
+	from := j.offset
+	for j.offset < len(j.input) && bytes.IndexByte([]byte("+-.0123456789eE"), j.input[j.offset]) >= 0 {
+		j.offset++
 	}
-	if j.bad {
+	if j.malformed {
 		return 0
 	}
-	x, err := strconv.ParseFloat(string(j.b[from:j.at]), 64)
-	j.bad = err != nil
+	x, err := strconv.ParseFloat(string(j.input[from:j.offset]), 64)
+	j.malformed = err != nil
 	return x
 }
 
-func (j *reader) skip(depth int) {
-	switch c := j.next(); {
-	case j.bad || depth > 16: // Danger: a line nested so deep that reading it uses up the stack
-		j.bad = true
+func (j *jsonReader) skip(depth int) {
+	switch c := j.peek(); {
+	case j.malformed || depth > 16: // Danger: a line nested so deep that reading it uses up the stack
+		j.malformed = true
 	case c == '"':
-		j.text()
+		j.readString()
 	case c == '{' || c == '[':
-		j.at++
-		for first := true; !j.bad && !j.comes(c+2); first = false { // the closing one stands two after
+		j.offset++
+		for first := true; !j.malformed && !j.accept(c+2); first = false { // the closing one stands two after
 			if !first {
 				j.expect(',')
 			}
 			if c == '{' {
-				j.text()
+				j.readString()
 				j.expect(':')
 			}
 			j.skip(depth + 1)
 		}
 	case c == 't' || c == 'f' || c == 'n':
 		for _, word := range []string{"true", "false", "null"} {
-			if bytes.HasPrefix(j.b[j.at:], []byte(word)) {
-				j.at += len(word)
+			if bytes.HasPrefix(j.input[j.offset:], []byte(word)) {
+				j.offset += len(word)
 				return
 			}
 		}
-		j.bad = true
+		j.malformed = true
 	default:
-		j.number()
+		j.readNumber()
 	}
 }
--- a/internal/wire/secure.go
+++ b/internal/wire/secure.go
@@ -20,213 +20,217 @@
 // what it reads is fed to one goroutine a connection, which shakes hands and deciphers. What is written is enciphered where
 // it is written, and never waits. docs/identity.md says what else was weighed.
 
-// Secure is a further listener, with TLS.
-type Secure struct {
-	Listen string
+// TLSListener is a further listener, with TLS.
+type TLSListener struct {
+	Addr string
 	// Config gives what is in force for the next handshake; it is not changed once given.
 	Config func() *tls.Config
 	// Prove follows a client's chain and gives what it proves or a code for why it does not.
-	Prove func(chain []*x509.Certificate) (proof any, code string)
-	Most  int64   // handshakes at a time
-	Rate  float64 // handshakes a second
+	VerifyChain         func(chain []*x509.Certificate) (proof any, code string)
+	MaxHandshakes       int64   // handshakes at a time
+	HandshakesPerSecond float64 // handshakes a second
 }
 
-type secure struct {
-	Secure
-	base    *tls.Config  // holds the keys of session tickets, whatever Config gives
-	proving atomic.Int64 // handshakes under way
-	pace    *rate.Limiter
+type tlsListener struct {
+	TLSListener
+	base       *tls.Config  // holds the keys of session tickets, whatever Config gives
+	handshakes atomic.Int64 // handshakes under way
+	limiter    *rate.Limiter
 }
 
-// StartSecure listens for connections with TLS.
-func (n *Net) StartSecure(told Secure) error {
-	l, err := (&net.ListenConfig{KeepAlive: -1}).Listen(context.Background(), "tcp", told.Listen)
+// ListenTLS listens for connections with TLS.
+func (n *Net) ListenTLS(config TLSListener) error {
+	listener, err := (&net.ListenConfig{KeepAlive: -1}).Listen(context.Background(), "tcp", config.Addr)
 	if err != nil {
 		return err
 	}
-	s := &secure{Secure: told, pace: rate.NewLimiter(rate.Limit(told.Rate), int(max(1, told.Rate)))}
-	s.base = &tls.Config{GetConfigForClient: func(hello *tls.ClientHelloInfo) (*tls.Config, error) {
-		p, is := hello.Conn.(*tlsPipe)
-		if !is {
+	secure := &tlsListener{TLSListener: config, limiter: rate.NewLimiter(rate.Limit(config.HandshakesPerSecond), int(max(1, config.HandshakesPerSecond)))}
+	secure.base = &tls.Config{GetConfigForClient: func(hello *tls.ClientHelloInfo) (*tls.Config, error) {
+		stream, isStream := hello.Conn.(*tlsStream)
+		if !isStream {
 			return nil, errors.New("no connection of ours")
 		}
-		c := s.Config().Clone()
+		c := secure.Config().Clone()
 		// Called for a resumed session too. Danger: one that goes on after its certificate was taken back.
 		c.VerifyConnection = func(state tls.ConnectionState) error {
 			if len(state.PeerCertificates) == 0 { // where one is required, TLS has seen to it
 				return nil
 			}
 			var code string
-			if p.proof, code = s.Prove(state.PeerCertificates); code != "" {
-				return refusal(code)
+			if stream.identity, code = secure.VerifyChain(state.PeerCertificates); code != "" {
+				return verifyError(code)
 			}
 			return nil
 		}
 		return c, nil
 	}}
-	n.secure = s
+	n.tlsListener = secure
 	// Danger: a crowd of handshakes takes the core, or the memory, from those who are in.
-	g := &gate{TCPListener: l.(*net.TCPListener), net: n, idle: make(chan struct{}),
-		full: func() bool { return s.proving.Load() >= s.Most }}
-	n.gates = append(n.gates, g)
-	go n.acceptSecure(g)
+	bounded := &boundedListener{TCPListener: listener.(*net.TCPListener), net: n, forever: make(chan struct{}),
+		alsoFull: func() bool { return secure.handshakes.Load() >= secure.MaxHandshakes }}
+	n.listeners = append(n.listeners, bounded)
+	go n.acceptTLS(bounded)
 	return nil
 }
 
-func (n *Net) acceptSecure(g *gate) {
+func (n *Net) acceptTLS(listener *boundedListener) {
 	for {
-		_ = n.secure.pace.Wait(context.Background())
-		conn, err := g.Accept()
+		_ = n.tlsListener.limiter.Wait(context.Background())
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		c, err := nbio.NBConn(conn)
+		polled, err := nbio.NBConn(conn)
 		if err != nil {
 			conn.Close()
 			continue
 		}
-		p := &tlsPipe{nb: c}
-		p.more.L, p.room.L = &p.mu, &p.mu
-		p.conn = tls.Server(p, n.secure.base)
-		n.secure.proving.Add(1)
-		p.link = n.accepted(c, p)
-		p.link.opened = func(*nbio.Conn) {} // it stands already
-		go p.serve()
-		_, _ = n.engine.AddConn(c) // a failure closes it, which is told
+		stream := &tlsStream{polled: polled}
+		stream.readable.L, stream.consumed.L = &stream.mu, &stream.mu
+		stream.conn = tls.Server(stream, n.tlsListener.base)
+		n.tlsListener.handshakes.Add(1)
+		stream.owner = n.newAccepted(polled, stream)
+		stream.owner.onOpen = func(*nbio.Conn) {} // it stands already
+		go stream.serve()
+		_, _ = n.engine.AddConn(polled) // a failure closes it, which is told
 	}
 }
 
-// Proving tells how many handshakes are under way, and how many may be.
-func (n *Net) Proving() (now, most int64) {
-	if n.secure == nil {
+// Handshakes tells how many handshakes are under way, and how many may be.
+func (n *Net) Handshakes() (now, limit int64) {
+	if n.tlsListener == nil {
 		return 0, 1
 	}
-	return n.secure.proving.Load(), n.secure.Most
+	return n.tlsListener.handshakes.Load(), n.tlsListener.MaxHandshakes
 }
 
-// Proves tells whether the connection is still in its handshake.
-func (l *Link) Proves() bool { return l.tls != nil && !l.tls.stands.Load() }
+// Handshaking tells whether the connection is still in its handshake.
+func (l *Conn) Handshaking() bool { return l.tls != nil && !l.tls.established.Load() }
 
-// refusal is a code for why a certificate proves nothing.
-type refusal string
+// verifyError is a code for why a certificate proves nothing.
+type verifyError string
 
-func (r refusal) Error() string { return string(r) }
+func (r verifyError) Error() string { return string(r) }
 
-// tlsPipe is what lies between a connection's TLS and the poller: crypto/tls takes it for a net.Conn whose reads wait and
+// tlsStream is what lies between a connection's TLS and the poller: crypto/tls takes it for a net.Conn whose reads wait and
 // whose writes do not.
-type tlsPipe struct {
-	conn   *tls.Conn
-	nb     *nbio.Conn
-	link   *Link
-	proof  any             // what the handshake came to
-	proven func(proof any) // the owner's, called on its loop
-	stands atomic.Bool     // the handshake is over
-
-	mu   sync.Mutex
-	more sync.Cond // something came, or the end
-	room sync.Cond // something was taken
-	in   []byte
-	err  error
+type tlsStream struct {
+	conn            *tls.Conn
+	polled          *nbio.Conn
+	owner           *Conn
+	identity        any             // what the handshake came to
+	onAuthenticated func(proof any) // the owner's, called on its loop
+	established     atomic.Bool     // the handshake is over
+
+	mu       sync.Mutex
+	readable sync.Cond // something came, or the end
+	consumed sync.Cond // something was taken
+	input    []byte
+	err      error
 }
 
-// mostFed is what may lie undeciphered before the poller waits: some records. It waits only while the owner loop has so much to
+// maxUndeciphered is what may lie undeciphered before the poller waits: some records. It waits only while the owner loop has so much to
 // do that plain connections wait too.
-const mostFed = 64 << 10
+const maxUndeciphered = 64 << 10
 
 // serve shakes hands and reads until the connection ends.
-func (p *tlsPipe) serve() {
-	n := p.link.net
+func (p *tlsStream) serve() {
+	n := p.owner.net
 	err := p.conn.Handshake()
-	p.stands.Store(err == nil)
-	n.secure.proving.Add(-1)
+	p.established.Store(err == nil)
+	n.tlsListener.handshakes.Add(-1)
 	if err != nil {
-		p.cut(io.EOF)
+		p.endInput(io.EOF)
 		code := "handshake-failed"
-		var why refusal
-		if errors.As(err, &why) {
-			code = string(why)
+		var reason verifyError
+		if errors.As(err, &reason) {
+			code = string(reason)
 		}
-		n.Hand(func() {
-			p.link.Blame(code)
-			p.link.Close(code)
+		n.Post(func() {
+			p.owner.SetCloseReason(code)
+			p.owner.Close(code)
 		})
 		return
 	}
-	n.Hand(func() { p.proven(p.proof) })
-	buf := n.Take()
+	n.Post(func() { p.onAuthenticated(p.identity) })
+	buf := n.Get()
 	for err == nil {
 		var size int
 		if size, err = p.conn.Read(buf[:BufferSize]); size > 0 {
-			p.link.read(buf[:size])
+			p.owner.received(buf[:size])
 		}
 	}
-	n.Give(buf)
+	n.Put(buf)
 	// The client has ended its side, or sent what can't be deciphered: nothing more comes, and nobody reads on. Danger:
 	// the poller would wait for room here.
-	p.cut(io.EOF)
-	n.Hand(func() {
+	p.endInput(io.EOF)
+	n.Post(func() {
 		if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
-			p.link.Blame("bad-record")
+			p.owner.SetCloseReason("bad-record")
 		}
-		p.link.Cut()
+		p.owner.Abort()
 	})
 }
 
-// feed takes what the poller has read.
-func (p *tlsPipe) feed(b []byte) {
+// receive takes what the poller has read.
+func (p *tlsStream) receive(b []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for len(p.in) > mostFed && p.err == nil {
-		p.room.Wait()
+	for len(p.input) > maxUndeciphered && p.err == nil {
+		p.consumed.Wait()
 	}
 	if p.err != nil {
 		return
 	}
-	if p.in == nil {
-		p.in = p.link.net.Take()
+	if p.input == nil {
+		p.input = p.owner.net.Get()
 	}
-	p.in = append(p.in, b...)
-	p.more.Signal()
+	p.input = append(p.input, b...)
+	p.readable.Signal()
 }
 
-// cut ends what reads.
-func (p *tlsPipe) cut(err error) {
+// endInput ends what reads.
+func (p *tlsStream) endInput(err error) {
 	p.mu.Lock()
 	p.err = err
 	p.mu.Unlock()
-	p.more.Broadcast()
-	p.room.Broadcast()
+	p.readable.Broadcast()
+	p.consumed.Broadcast()
 }
 
-func (p *tlsPipe) Read(b []byte) (int, error) {
+func (p *tlsStream) Read(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for len(p.in) == 0 {
+	for len(p.input) == 0 {
 		if p.err != nil {
 			return 0, p.err
 		}
-		p.more.Wait()
+		p.readable.Wait()
 	}
-	n := copy(b, p.in)
-	p.in = p.in[:copy(p.in, p.in[n:])]
-	if len(p.in) == 0 {
-		p.link.net.Give(p.in)
-		p.in = nil
+	n := copy(b, p.input)
+	p.input = p.input[:copy(p.input, p.input[n:])]
+	if len(p.input) == 0 {
+		p.owner.net.Put(p.input)
+		p.input = nil
 	}
-	p.room.Signal()
+	p.consumed.Signal()
 	return n, nil
 }
 
 // Write counts and writes what TLS has made of the answers.
-func (p *tlsPipe) Write(b []byte) (int, error) {
-	p.link.net.unread.Add(int64(len(b)))
-	p.link.transmit(b)
+func (p *tlsStream) Write(b []byte) (int, error) {
+	p.owner.net.unreadBytes.Add(int64(len(b)))
+	p.owner.transmit(b)
 	return len(b), nil
 }
 
-func (p *tlsPipe) Close() error                     { p.cut(io.EOF); p.link.shut(syscall.SHUT_RDWR, nil); return nil }
-func (p *tlsPipe) LocalAddr() net.Addr              { return p.nb.LocalAddr() }
-func (p *tlsPipe) RemoteAddr() net.Addr             { return p.nb.RemoteAddr() }
-func (p *tlsPipe) SetDeadline(time.Time) error      { return nil }
-func (p *tlsPipe) SetReadDeadline(time.Time) error  { return nil }
-func (p *tlsPipe) SetWriteDeadline(time.Time) error { return nil }
+func (p *tlsStream) Close() error {
+	p.endInput(io.EOF)
+	p.owner.shutdown(syscall.SHUT_RDWR, nil)
+	return nil
+}
+func (p *tlsStream) LocalAddr() net.Addr              { return p.polled.LocalAddr() }
+func (p *tlsStream) RemoteAddr() net.Addr             { return p.polled.RemoteAddr() }
+func (p *tlsStream) SetDeadline(time.Time) error      { return nil }
+func (p *tlsStream) SetReadDeadline(time.Time) error  { return nil }
+func (p *tlsStream) SetWriteDeadline(time.Time) error { return nil }
