--- a/cmd/wirehost/golden_test.go
+++ b/cmd/wirehost/golden_test.go
@@ -55,5 +55,5 @@
 	in.SetIdleTimeout(30 * time.Second)
 	in.LogTransition("text")
 	in.WakeAt(6*time.Second, nil)
-	goldentest.CheckText(t, "testdata/actions.out", h.reply.Close())
+	goldentest.CheckText(t, "testdata/actions.out", h.reply.Finish())
 }
--- a/cmd/wirehost/host.go
+++ b/cmd/wirehost/host.go
@@ -12,7 +12,7 @@
 
 // host turns messages straight into calls on the instances, and their answers into messages.
 type host struct {
-	reader    simwire.Reader
+	reader    simwire.Parser
 	reply     simwire.Reply
 	now       time.Duration
 	inBatch   bool
@@ -63,13 +63,13 @@
 			in.met = false
 		}
 		h.touched, h.inBatch = h.touched[:0], false
-		return true, line.Flush()
+		return true, line.CheckFlush()
 	}
 	return false, h.event(line)
 }
 
-func (h *host) event(line simwire.Line) error {
-	who, err := line.Who()
+func (h *host) event(line simwire.Message) error {
+	who, err := line.Instance()
 	if err != nil {
 		return err
 	}
@@ -105,7 +105,7 @@
 	}
 }
 
-func (in *instance) hear(line simwire.Line) error {
+func (in *instance) hear(line simwire.Message) error {
 	switch line.Name {
 	case "order":
 		op, err := line.Order()
@@ -123,7 +123,7 @@
 			then(gauges)
 		}
 	case "blocked":
-		id, err := line.Op()
+		id, err := line.RequestID()
 		if err != nil {
 			return err
 		}
@@ -158,13 +158,13 @@
 		}
 		in.desk.Drain(at)
 	case "aborted":
-		id, err := line.Op()
+		id, err := line.RequestID()
 		if err != nil {
 			return err
 		}
 		in.desk.Cancel(id)
 	case "power-off":
-		if err := line.PowerOff(); err != nil {
+		if err := line.CheckPowerOff(); err != nil {
 			return err
 		}
 		delete(in.host.instances, in.who)
@@ -174,7 +174,7 @@
 	return nil
 }
 
-func (in *instance) say(name string, values ...any) { in.host.reply.Say(name, in.who, values...) }
+func (in *instance) say(name string, values ...any) { in.host.reply.Append(name, in.who, values...) }
 
 // The rest is choice.Port.
 
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -43,7 +43,7 @@
 			return fmt.Errorf("line %d: %w", n, err)
 		}
 		if done {
-			if _, err := out.Write(h.reply.Close()); err != nil {
+			if _, err := out.Write(h.reply.Finish()); err != nil {
 				return fmt.Errorf("writing a reply: %w", err)
 			}
 		}
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	ms      = time.Millisecond
-	id      = choice.RequestID("addf482b5d3a91c4")
-	another = choice.RequestID("bbbf482b5d3a91c4")
+	ms       = time.Millisecond
+	firstID  = choice.RequestID("addf482b5d3a91c4")
+	secondID = choice.RequestID("bbbf482b5d3a91c4")
 )
 
-// read gives all that a line tells, as one list, whatever its kind.
-func read(t *testing.T, text []byte) []any {
+// readAll gives all that a line tells, as one list, whatever its kind.
+func readAll(t *testing.T, text []byte) []any {
 	t.Helper()
-	var r Reader
+	var r Parser
 	l, err := r.Parse(text)
 	if err != nil {
 		t.Fatal(err)
@@ -33,7 +33,7 @@
 		told = append(told, values[:len(values)-1]...)
 	}
 	if l.Name != "tick" && l.Name != "flush" {
-		who, err := l.Who()
+		who, err := l.Instance()
 		add(who, err)
 	}
 	switch l.Name {
@@ -41,7 +41,7 @@
 		at, err := l.Tick()
 		add(at, err)
 	case "flush":
-		add(l.Flush())
+		add(l.CheckFlush())
 	case "boot":
 		seed, facts, err := l.Boot()
 		add(seed, facts, err)
@@ -52,7 +52,7 @@
 		token, gauges, err := l.TimeoutFired()
 		add(token, gauges, err)
 	case "blocked", "aborted":
-		id, err := l.Op()
+		id, err := l.RequestID()
 		add(id, err)
 	case "ended":
 		id, took, how, err := l.Ended()
@@ -64,7 +64,7 @@
 		at, err := l.TerminateSoon()
 		add(at, err)
 	case "power-off":
-		add(l.PowerOff())
+		add(l.CheckPowerOff())
 	default:
 		t.Fatalf("unknown line %s", l.Name)
 	}
@@ -83,23 +83,23 @@
 		{"boot", []any{"boot", 3, uint64(12345678901234567890), choice.Settings{"cores": 2.0, "op types": []choice.Settings{
 			{"name": "view", "importance": 1.5, "target latency": 300 * ms, "op timeout": 1250 * ms}}}}},
 		{"order", []any{"order", 3, choice.Request{
-			ID: id, Class: "view", Rank: 0.625, IsRetry: true, IsWrite: true, Resource: "k1", Caller: 17, HasDeadline: true,
-			Deadline: 8650 * ms, WorkHint: 12 * ms, MemoryKB: 24.5, QueueDelay: 1850 * time.Microsecond, Tenant: "acme", DuplicateOf: another}}},
+			ID: firstID, Class: "view", Rank: 0.625, IsRetry: true, IsWrite: true, Resource: "k1", Caller: 17, HasDeadline: true,
+			Deadline: 8650 * ms, WorkHint: 12 * ms, MemoryKB: 24.5, QueueDelay: 1850 * time.Microsecond, Tenant: "acme", DuplicateOf: secondID}}},
 		{"order-least", []any{"order", 3, choice.Request{
-			ID: id, Class: "view", Rank: 0.625, Caller: 17, MemoryKB: 24.5, QueueDelay: 2 * ms}}},
+			ID: firstID, Class: "view", Rank: 0.625, Caller: 17, MemoryKB: 24.5, QueueDelay: 2 * ms}}},
 		{"order-hint-not-marked", []any{"order", 3, choice.Request{
-			ID: id, Class: "view", Rank: 0.625, IsRetry: true, Caller: 17, MemoryKB: 24.5, QueueDelay: 2 * ms}}},
+			ID: firstID, Class: "view", Rank: 0.625, IsRetry: true, Caller: 17, MemoryKB: 24.5, QueueDelay: 2 * ms}}},
 		{"timeout-fired", []any{"timeout-fired", 3, "12", map[string]float64{
 			"cores busy": 0.5, "want a core": 3, "memory used": 100, "connections": 7, "other": 1.5}}},
-		{"blocked", []any{"blocked", 3, id}},
-		{"aborted", []any{"aborted", 3, id}},
-		{"ended", []any{"ended", 3, id, 300 * ms, choice.Succeeded}},
-		{"call-done", []any{"call-done", 3, id, 100 * ms, choice.Failed}},
+		{"blocked", []any{"blocked", 3, firstID}},
+		{"aborted", []any{"aborted", 3, firstID}},
+		{"ended", []any{"ended", 3, firstID, 300 * ms, choice.Succeeded}},
+		{"call-done", []any{"call-done", 3, firstID, 100 * ms, choice.Failed}},
 		{"terminate-soon", []any{"terminate-soon", 3, 9500 * ms}},
 		{"power-off", []any{"power-off", 3}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			if got := read(t, file.Bytes(tc.name)); !reflect.DeepEqual(got, tc.want) {
+			if got := readAll(t, file.Bytes(tc.name)); !reflect.DeepEqual(got, tc.want) {
 				t.Errorf("read as %+v, want %+v", got, tc.want)
 			}
 		})
@@ -110,17 +110,17 @@
 func TestGoldenOutcomes(t *testing.T) {
 	codes := map[int]choice.Outcome{0: choice.Succeeded, 1: choice.Stopped, 4: choice.TimedOut, 8: choice.Rejected,
 		9: choice.NotStarted, 10: choice.ConnectionLost, 13: choice.Failed, 14: choice.Unreachable}
-	var r Reader
+	var r Parser
 	for code := range 256 {
 		want, known := codes[code]
-		l, err := r.Parse(fmt.Appendf(nil, `["ended",3,%q,0.3,%d]`, id, code))
+		l, err := r.Parse(fmt.Appendf(nil, `["ended",3,%q,0.3,%d]`, firstID, code))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, _, got, err := l.Ended(); known != (err == nil) || known && got != want {
 			t.Errorf("a run's code %d is read as %v, %v", code, got, err)
 		}
-		if l, err = r.Parse(fmt.Appendf(nil, `["call-done",3,%q,%d,0.3]`, id, code)); err != nil {
+		if l, err = r.Parse(fmt.Appendf(nil, `["call-done",3,%q,%d,0.3]`, firstID, code)); err != nil {
 			t.Fatal(err)
 		}
 		if _, _, got, err := l.CallDone(); known != (err == nil) || known && got != want {
@@ -133,13 +133,13 @@
 func TestGoldenReply(t *testing.T) {
 	var r Reply
 	for range 2 { // one that was closed is begun anew
-		r.Say("name", 3, id, "a\"b\\<\u00e9\x01", true, false, 0.1234567, 12.0,
+		r.Append("name", 3, firstID, "a\"b\\<\u00e9\x01", true, false, 0.1234567, 12.0,
 			1850*time.Microsecond, -time.Second)
-		r.Say("none", 4)
+		r.Append("none", 4)
 		want := `["name",3,"addf482b5d3a91c4","a\"b\\\u003cé\u0001"` +
 			`,true,false,0.123457,12.000000,0.001850,0.000000]` + "\n" +
 			`["none",4]` + "\n" + `["eor"]` + "\n"
-		if got := string(r.Close()); got != want {
+		if got := string(r.Finish()); got != want {
 			t.Errorf("written %s, want %s", got, strings.TrimSpace(want))
 		}
 	}
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -15,111 +15,111 @@
 	"lanewheel/internal/facts"
 )
 
-// Line is one message. It stays valid until its Reader parses the next.
-type Line struct {
-	Name string
-	vals []*fastjson.Value
+// Message is one message. It stays valid until its Reader parses the next.
+type Message struct {
+	Name   string
+	values []*fastjson.Value
 }
 
-// Reader parses messages, one a call.
-type Reader struct{ parser fastjson.Parser }
+// Parser parses messages, one a call.
+type Parser struct{ json fastjson.Parser }
 
 // Parse reads one line.
-func (r *Reader) Parse(text []byte) (Line, error) {
+func (r *Parser) Parse(text []byte) (Message, error) {
 	if !utf8.Valid(text) {
-		return Line{}, errors.New("message is not UTF-8")
+		return Message{}, errors.New("message is not UTF-8")
 	}
 	if err := fastjson.ValidateBytes(text); err != nil {
-		return Line{}, fmt.Errorf("malformed JSON: %w", err)
+		return Message{}, fmt.Errorf("malformed JSON: %w", err)
 	}
-	v, err := r.parser.ParseBytes(text)
+	v, err := r.json.ParseBytes(text)
 	if err != nil {
-		return Line{}, fmt.Errorf("malformed JSON: %w", err)
+		return Message{}, fmt.Errorf("malformed JSON: %w", err)
 	}
-	vals, err := v.Array()
-	if err != nil || len(vals) == 0 || vals[0].Type() != fastjson.TypeString {
-		return Line{}, errors.New("message is not an array that starts with its name")
+	values, err := v.Array()
+	if err != nil || len(values) == 0 || values[0].Type() != fastjson.TypeString {
+		return Message{}, errors.New("message is not an array that starts with its name")
 	}
-	return Line{Name: string(vals[0].GetStringBytes()), vals: vals[1:]}, nil
+	return Message{Name: string(values[0].GetStringBytes()), values: values[1:]}, nil
 }
 
-// fields walks the values of a line and keeps the first fault.
-type fields struct {
-	line Line
-	next int
-	err  error
+// fieldReader walks the values of a line and keeps the first fault.
+type fieldReader struct {
+	message Message
+	next    int
+	err     error
 }
 
-// take checks how many values a line has, leaving out absent ones at its end.
-func take(l Line, least, most int) *fields {
-	f := &fields{line: l}
-	if n := len(l.vals); n < least || n > most {
-		f.err = fmt.Errorf("%s: has %d values, wants %d to %d", l.Name, n, least, most)
+// readFields checks how many values a line has, leaving out absent ones at its end.
+func readFields(message Message, minValues, maxValues int) *fieldReader {
+	f := &fieldReader{message: message}
+	if n := len(message.values); n < minValues || n > maxValues {
+		f.err = fmt.Errorf("%s: has %d values, wants %d to %d", message.Name, n, minValues, maxValues)
 	}
 	return f
 }
 
-func (f *fields) value(field string, want string, types ...fastjson.Type) *fastjson.Value {
+func (f *fieldReader) value(field string, want string, types ...fastjson.Type) *fastjson.Value {
 	i := f.next
 	f.next++
-	if f.err != nil || i >= len(f.line.vals) {
+	if f.err != nil || i >= len(f.message.values) {
 		return nil
 	}
-	v := f.line.vals[i]
+	v := f.message.values[i]
 	for _, t := range types {
 		if v.Type() == t {
 			return v
 		}
 	}
-	f.fault(field, want)
+	f.fail(field, want)
 	return nil
 }
 
-func (f *fields) fault(field, want string) {
+func (f *fieldReader) fail(field, want string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("%s: %s: wants %s", f.line.Name, field, want)
+		f.err = fmt.Errorf("%s: %s: wants %s", f.message.Name, field, want)
 	}
 }
 
-func (f *fields) number(field string) float64 {
+func (f *fieldReader) number(field string) float64 {
 	v := f.value(field, "a number", fastjson.TypeNumber)
 	if v == nil {
 		return 0
 	}
 	x, err := v.Float64()
 	if err != nil || math.IsInf(x, 0) || math.IsNaN(x) {
-		f.fault(field, "a number")
+		f.fail(field, "a number")
 	}
 	return x
 }
 
-// numberOr0 is for values that may be absent.
-func (f *fields) numberOr0(field string) float64 {
-	if f.absent() {
+// optionalNumber is for values that may be absent.
+func (f *fieldReader) optionalNumber(field string) float64 {
+	if f.skipNull() {
 		return 0
 	}
 	return f.number(field)
 }
 
-// absent passes over a null and tells so.
-func (f *fields) absent() bool {
-	if f.next < len(f.line.vals) && f.line.vals[f.next].Type() != fastjson.TypeNull {
+// skipNull passes over a null and tells so.
+func (f *fieldReader) skipNull() bool {
+	if f.next < len(f.message.values) && f.message.values[f.next].Type() != fastjson.TypeNull {
 		return false
 	}
 	f.next++
 	return true
 }
 
-func (f *fields) integer(field string) int64 {
+func (f *fieldReader) integer(field string) int64 {
 	x := f.number(field)
 	if x != math.Trunc(x) || math.Abs(x) > 1<<53 {
-		f.fault(field, "an integer")
+		f.fail(field, "an integer")
 	}
 	return int64(x)
 }
 
 // unsigned keeps all the bits of a seed, which a float would not.
-func (f *fields) unsigned(field string) uint64 {
+func (f *fieldReader) unsigned(field string) uint64 {
 	v := f.value(field, "an integer", fastjson.TypeNumber)
 	if v == nil {
 		return 0
@@ -129,12 +129,12 @@
 	}
 	i, err := v.Int64()
 	if err != nil {
-		f.fault(field, "an integer")
+		f.fail(field, "an integer")
 	}
 	return uint64(i)
 }
 
-func (f *fields) text(field string) string {
+func (f *fieldReader) text(field string) string {
 	v := f.value(field, "text", fastjson.TypeString)
 	if v == nil {
 		return ""
@@ -142,22 +142,22 @@
 	return string(v.GetStringBytes())
 }
 
-// textOr reads text that may be absent or 0.
-func (f *fields) textOr(field string) string {
-	if f.absent() {
+// optionalText reads text that may be absent or 0.
+func (f *fieldReader) optionalText(field string) string {
+	if f.skipNull() {
 		return ""
 	}
-	if v := f.line.vals[f.next]; v.Type() == fastjson.TypeNumber && v.GetFloat64() == 0 {
+	if v := f.message.values[f.next]; v.Type() == fastjson.TypeNumber && v.GetFloat64() == 0 {
 		f.next++
 		return ""
 	}
 	return f.text(field)
 }
 
-func (f *fields) op(field string) choice.RequestID {
+func (f *fieldReader) requestID(field string) choice.RequestID {
 	id := f.text(field)
 	if f.err == nil && !isHex16(id) {
-		f.fault(field, "16 hex digits")
+		f.fail(field, "16 hex digits")
 	}
 	return choice.RequestID(id)
 }
@@ -174,94 +174,94 @@
 	return true
 }
 
-func (f *fields) span(field string) time.Duration {
+func (f *fieldReader) duration(field string) time.Duration {
 	x := f.number(field)
 	if x < 0 {
-		f.fault(field, "a time of 0 or more")
+		f.fail(field, "a time of 0 or more")
 	}
 	return facts.SecondsToDuration(x)
 }
 
-var endings = map[int64]choice.Outcome{
+var outcomes = map[int64]choice.Outcome{
 	0: choice.Succeeded, 13: choice.Failed, 8: choice.Rejected, 4: choice.TimedOut, 14: choice.Unreachable,
 	10: choice.ConnectionLost, 1: choice.Stopped, 9: choice.NotStarted,
 }
 
-func (f *fields) ending(field string) choice.Outcome {
-	e, known := endings[f.integer(field)]
+func (f *fieldReader) outcome(field string) choice.Outcome {
+	outcome, known := outcomes[f.integer(field)]
 	if !known {
-		f.fault(field, "an outcome code")
+		f.fail(field, "an outcome code")
 	}
-	return e
+	return outcome
 }
 
 // Tick reads the clock that opens a batch.
-func (l Line) Tick() (time.Duration, error) {
-	f := take(l, 1, 1)
-	at := f.span("clock-s")
-	return at, f.err
+func (l Message) Tick() (time.Duration, error) {
+	f := readFields(l, 1, 1)
+	clock := f.duration("clock-s")
+	return clock, f.err
 }
 
-// Flush checks the line that closes a batch.
-func (l Line) Flush() error { return take(l, 0, 0).err }
+// CheckFlush checks the line that closes a batch.
+func (l Message) CheckFlush() error { return readFields(l, 0, 0).err }
 
-// Who reads which instance an event is for.
-func (l Line) Who() (int, error) {
-	f := &fields{line: l}
-	if len(l.vals) == 0 {
-		f.fault("who", "a value")
+// Instance reads which instance an event is for.
+func (l Message) Instance() (int, error) {
+	f := &fieldReader{message: l}
+	if len(l.values) == 0 {
+		f.fail("who", "a value")
 	}
-	who := f.integer("who")
-	if who < 0 {
-		f.fault("who", "a small number")
+	instance := f.integer("who")
+	if instance < 0 {
+		f.fail("who", "a small number")
 	}
-	return int(who), f.err
+	return int(instance), f.err
 }
 
 // Boot reads a start: the seed and what the instance is told.
-func (l Line) Boot() (uint64, choice.Settings, error) {
-	f := take(l, 3, 3)
+func (l Message) Boot() (uint64, choice.Settings, error) {
+	f := readFields(l, 3, 3)
 	f.integer("who")
 	seed := f.unsigned("random-seed")
 	info := f.value("boot-info", "an object", fastjson.TypeObject)
 	if f.err != nil {
 		return 0, nil, f.err
 	}
-	told, err := facts.Parse(info)
+	parsed, err := facts.Parse(info)
 	if err != nil {
 		return 0, nil, fmt.Errorf("%s: boot-info: %w", l.Name, err)
 	}
-	return seed, told, nil
+	return seed, parsed, nil
 }
 
 // Order reads an op.
-func (l Line) Order() (choice.Request, error) {
-	const hinted, again, writes = 1, 2, 4
-	f := take(l, 11, 13)
+func (l Message) Order() (choice.Request, error) {
+	const hasHint, isRetry, isWrite = 1, 2, 4
+	f := readFields(l, 11, 13)
 	f.integer("who")
-	a := choice.Request{ID: f.op("tid"), Class: choice.Class(f.text("priority")), Rank: f.number("place")}
+	request := choice.Request{ID: f.requestID("tid"), Class: choice.Class(f.text("priority")), Rank: f.number("place")}
 	bits := f.integer("bits")
-	a.IsRetry, a.IsWrite = bits&again != 0, bits&writes != 0
-	a.Resource = f.textOr("path-key")
-	a.Caller = choice.CallerID(f.integer("from"))
-	if until := f.numberOr0("valid-until-s"); until > 0 {
-		a.HasDeadline, a.Deadline = true, facts.SecondsToDuration(until)
-	}
-	if hint := f.numberOr0("expected-s"); bits&hinted != 0 && hint > 0 {
-		a.WorkHint = facts.SecondsToDuration(hint)
-	}
-	a.MemoryKB, a.QueueDelay = f.number("kb"), f.span("lay-s")
-	a.Tenant = choice.TenantID(f.textOr("billing"))
-	a.DuplicateOf = choice.RequestID(f.textOr("dup-of"))
-	if f.err == nil && a.DuplicateOf != "" && !isHex16(string(a.DuplicateOf)) {
-		f.fault("dup-of", "16 hex digits")
-	}
-	return a, f.err
+	request.IsRetry, request.IsWrite = bits&isRetry != 0, bits&isWrite != 0
+	request.Resource = f.optionalText("path-key")
+	request.Caller = choice.CallerID(f.integer("from"))
+	if until := f.optionalNumber("valid-until-s"); until > 0 {
+		request.HasDeadline, request.Deadline = true, facts.SecondsToDuration(until)
+	}
+	if hint := f.optionalNumber("expected-s"); bits&hasHint != 0 && hint > 0 {
+		request.WorkHint = facts.SecondsToDuration(hint)
+	}
+	request.MemoryKB, request.QueueDelay = f.number("kb"), f.duration("lay-s")
+	request.Tenant = choice.TenantID(f.optionalText("billing"))
+	request.DuplicateOf = choice.RequestID(f.optionalText("dup-of"))
+	if f.err == nil && request.DuplicateOf != "" && !isHex16(string(request.DuplicateOf)) {
+		f.fail("dup-of", "16 hex digits")
+	}
+	return request, f.err
 }
 
 // TimeoutFired reads a timer: its token and the gauges of the moment.
-func (l Line) TimeoutFired() (string, map[string]float64, error) {
-	f := take(l, 3, 3)
+func (l Message) TimeoutFired() (string, map[string]float64, error) {
+	f := readFields(l, 3, 3)
 	f.integer("who")
 	token := f.text("key-back")
 	pairs := f.value("health-info", "an object", fastjson.TypeObject)
@@ -270,7 +270,7 @@
 		pairs.GetObject().Visit(func(key []byte, v *fastjson.Value) {
 			x, err := v.Float64()
 			if err != nil {
-				f.fault("health-info."+string(key), "a number")
+				f.fail("health-info."+string(key), "a number")
 			}
 			gauges[facts.GaugeName(string(key))] = x
 		})
@@ -278,43 +278,43 @@
 	return token, gauges, f.err
 }
 
-// Op reads an event that only names an op: blocked and aborted.
-func (l Line) Op() (choice.RequestID, error) {
-	f := take(l, 2, 2)
+// RequestID reads an event that only names an op: blocked and aborted.
+func (l Message) RequestID() (choice.RequestID, error) {
+	f := readFields(l, 2, 2)
 	f.integer("who")
-	id := f.op("tid")
+	id := f.requestID("tid")
 	return id, f.err
 }
 
 // Ended reads the end of a run.
-func (l Line) Ended() (choice.RequestID, time.Duration, choice.Outcome, error) {
-	f := take(l, 4, 4)
+func (l Message) Ended() (choice.RequestID, time.Duration, choice.Outcome, error) {
+	f := readFields(l, 4, 4)
 	f.integer("who")
-	id, took := f.op("tid"), f.span("elapsed-s")
-	how := f.ending("how")
-	return id, took, how, f.err
+	id, elapsed := f.requestID("tid"), f.duration("elapsed-s")
+	outcome := f.outcome("how")
+	return id, elapsed, outcome, f.err
 }
 
 // CallDone reads the end of a call, whose outcome comes before its time.
-func (l Line) CallDone() (choice.RequestID, time.Duration, choice.Outcome, error) {
-	f := take(l, 4, 4)
+func (l Message) CallDone() (choice.RequestID, time.Duration, choice.Outcome, error) {
+	f := readFields(l, 4, 4)
 	f.integer("who")
-	id, how := f.op("tid"), f.ending("how")
-	took := f.span("elapsed-s")
-	return id, took, how, f.err
+	id, outcome := f.requestID("tid"), f.outcome("how")
+	elapsed := f.duration("elapsed-s")
+	return id, elapsed, outcome, f.err
 }
 
 // TerminateSoon reads when the instance will be killed.
-func (l Line) TerminateSoon() (time.Duration, error) {
-	f := take(l, 2, 2)
+func (l Message) TerminateSoon() (time.Duration, error) {
+	f := readFields(l, 2, 2)
 	f.integer("who")
-	at := f.span("valid-until-s")
-	return at, f.err
+	killAt := f.duration("valid-until-s")
+	return killAt, f.err
 }
 
-// PowerOff checks the word that an instance is dead.
-func (l Line) PowerOff() error {
-	f := take(l, 1, 1)
+// CheckPowerOff checks the word that an instance is dead.
+func (l Message) CheckPowerOff() error {
+	f := readFields(l, 1, 1)
 	f.integer("who")
 	return f.err
 }
--- a/internal/simwire/write.go
+++ b/internal/simwire/write.go
@@ -12,26 +12,26 @@
 // Reply gathers the lines of one reply.
 type Reply struct{ buf []byte }
 
-// Close ends the reply, gives its text and makes room for the next.
-func (r *Reply) Close() []byte {
+// Finish ends the reply, gives its text and makes room for the next.
+func (r *Reply) Finish() []byte {
 	out := append(r.buf, "[\"eor\"]\n"...)
 	r.buf = r.buf[:0]
 	return out
 }
 
-// Say adds one line: the name of an action, the instance and the action's values.
-func (r *Reply) Say(name string, who int, values ...any) {
+// Append adds one line: the name of an action, the instance and the action's values.
+func (r *Reply) Append(name string, instance int, values ...any) {
 	r.buf = append(r.buf, '[')
 	r.buf = strconv.AppendQuote(r.buf, name)
 	r.buf = append(r.buf, ',')
-	r.buf = strconv.AppendInt(r.buf, int64(who), 10)
+	r.buf = strconv.AppendInt(r.buf, int64(instance), 10)
 	for _, v := range values {
 		r.buf = append(r.buf, ',')
 		switch v := v.(type) {
 		case choice.RequestID:
-			r.text(string(v))
+			r.appendText(string(v))
 		case string:
-			r.text(v)
+			r.appendText(v)
 		case bool:
 			r.buf = strconv.AppendBool(r.buf, v)
 		case float64:
@@ -43,7 +43,7 @@
 	r.buf = append(r.buf, ']', '\n')
 }
 
-func (r *Reply) text(s string) {
+func (r *Reply) appendText(s string) {
 	quoted, _ := json.Marshal(s) // a string always has a JSON form
 	r.buf = append(r.buf, quoted...)
 }
