--- a/cmd/wirehost/golden_test.go
+++ b/cmd/wirehost/golden_test.go
@@ -34,10 +34,10 @@
 
 // Each action that the module may take, as it goes out.
 func TestGoldenActions(t *testing.T) {
-	h := newHost()
-	in := &instance{host: h, who: 3, atCall: map[choice.RequestID]func(){},
-		ended:  map[choice.RequestID]func(choice.Outcome, time.Duration){},
-		called: map[choice.RequestID]func(choice.Outcome, time.Duration){}, wakes: map[string]func(map[string]float64){}}
+	h := newSimulation()
+	in := &instance{simulation: h, number: 3, onCall: map[choice.RequestID]func(){},
+		onRunEnd:   map[choice.RequestID]func(choice.Outcome, time.Duration){},
+		onCallDone: map[choice.RequestID]func(choice.Outcome, time.Duration){}, onTimer: map[string]func(map[string]float64){}}
 	const id = choice.RequestID("addf482b5d3a91c4")
 	in.Start(id, nil, nil)
 	in.Coalesce(id, nil)
--- a/cmd/wirehost/host.go
+++ b/cmd/wirehost/host.go
@@ -10,9 +10,9 @@
 	"lanewheel/internal/simwire"
 )
 
-// host turns messages straight into calls on the instances, and their answers into messages.
-type host struct {
-	reader    simwire.Parser
+// simulation turns messages straight into calls on the instances, and their answers into messages.
+type simulation struct {
+	parser    simwire.Parser
 	reply     simwire.Reply
 	now       time.Duration
 	inBatch   bool
@@ -22,198 +22,202 @@
 
 // instance is one life of a service instance, with the closures its steps have left behind.
 type instance struct {
-	host   *host
-	who    int
-	desk   *choice.Controller
-	met    bool // has had an event in this batch
-	atCall map[choice.RequestID]func()
-	ended  map[choice.RequestID]func(choice.Outcome, time.Duration)
-	called map[choice.RequestID]func(choice.Outcome, time.Duration)
-	wakes  map[string]func(map[string]float64)
-	armed  uint64
+	simulation *simulation
+	number     int
+	controller *choice.Controller
+	touched    bool // has had an event in this batch
+	onCall     map[choice.RequestID]func()
+	onRunEnd   map[choice.RequestID]func(choice.Outcome, time.Duration)
+	onCallDone map[choice.RequestID]func(choice.Outcome, time.Duration)
+	onTimer    map[string]func(map[string]float64)
+	timers     uint64
 }
 
-func newHost() *host { return &host{instances: map[int]*instance{}} }
+func newSimulation() *simulation { return &simulation{instances: map[int]*instance{}} }
 
-// take handles one line and tells whether it closed the batch.
-func (h *host) take(text []byte) (bool, error) {
-	line, err := h.reader.Parse(text)
+// handleLine handles one line and tells whether it closed the batch.
+func (h *simulation) handleLine(text []byte) (bool, error) {
+	message, err := h.parser.Parse(text)
 	if err != nil {
 		return false, err
 	}
 	switch {
-	case line.Name == "tick":
+	case message.Name == "tick":
 		if h.inBatch {
 			return false, errors.New("tick: inside a batch")
 		}
 		h.inBatch = true
-		at, err := line.Tick()
-		if err == nil && at < h.now {
+		clock, err := message.Tick()
+		if err == nil && clock < h.now {
 			err = errors.New("tick: clock-s: the clock goes back")
 		}
-		h.now = at
+		h.now = clock
 		return false, err
 	case !h.inBatch:
-		return false, fmt.Errorf("%s: outside a batch", line.Name)
-	case line.Name == "flush":
-		for _, in := range h.touched {
-			if h.instances[in.who] == in {
-				in.desk.Decide()
+		return false, fmt.Errorf("%s: outside a batch", message.Name)
+	case message.Name == "flush":
+		for _, touched := range h.touched {
+			if h.instances[touched.number] == touched {
+				touched.controller.Decide()
 			}
-			in.met = false
+			touched.touched = false
 		}
 		h.touched, h.inBatch = h.touched[:0], false
-		return true, line.CheckFlush()
+		return true, message.CheckFlush()
 	}
-	return false, h.event(line)
+	return false, h.handleEvent(message)
 }
 
-func (h *host) event(line simwire.Message) error {
-	who, err := line.Instance()
+func (h *simulation) handleEvent(message simwire.Message) error {
+	number, err := message.Instance()
 	if err != nil {
 		return err
 	}
-	in := h.instances[who]
-	if line.Name == "boot" {
-		seed, facts, err := line.Boot()
+	target := h.instances[number]
+	if message.Name == "boot" {
+		seed, settings, err := message.Boot()
 		if err != nil {
 			return err
 		}
-		in = &instance{
-			host: h, who: who,
-			atCall: map[choice.RequestID]func(){},
-			ended:  map[choice.RequestID]func(choice.Outcome, time.Duration){},
-			called: map[choice.RequestID]func(choice.Outcome, time.Duration){},
-			wakes:  map[string]func(map[string]float64){},
+		target = &instance{
+			simulation: h, number: number,
+			onCall:     map[choice.RequestID]func(){},
+			onRunEnd:   map[choice.RequestID]func(choice.Outcome, time.Duration){},
+			onCallDone: map[choice.RequestID]func(choice.Outcome, time.Duration){},
+			onTimer:    map[string]func(map[string]float64){},
 		}
-		h.instances[who] = in
-		h.touch(in)
-		in.desk = choice.New(seed, facts, in)
+		h.instances[number] = target
+		h.markTouched(target)
+		target.controller = choice.New(seed, settings, target)
 		return nil
 	}
-	if in == nil {
-		return fmt.Errorf("%s: who: instance %d was never booted", line.Name, who)
+	if target == nil {
+		return fmt.Errorf("%s: who: instance %d was never booted", message.Name, number)
 	}
-	h.touch(in)
-	return in.hear(line)
+	h.markTouched(target)
+	return target.dispatch(message)
 }
 
-func (h *host) touch(in *instance) {
-	if !in.met {
-		in.met = true
+func (h *simulation) markTouched(in *instance) {
+	if !in.touched {
+		in.touched = true
 		h.touched = append(h.touched, in)
 	}
 }
 
-func (in *instance) hear(line simwire.Message) error {
-	switch line.Name {
+func (in *instance) dispatch(message simwire.Message) error {
+	switch message.Name {
 	case "order":
-		op, err := line.Order()
+		request, err := message.Order()
 		if err != nil {
 			return err
 		}
-		in.desk.Submit(op)
+		in.controller.Submit(request)
 	case "timeout-fired":
-		token, gauges, err := line.TimeoutFired()
+		token, gauges, err := message.TimeoutFired()
 		if err != nil {
 			return err
 		}
-		if then, known := in.wakes[token]; known {
-			delete(in.wakes, token)
+		if then, known := in.onTimer[token]; known {
+			delete(in.onTimer, token)
 			then(gauges)
 		}
 	case "blocked":
-		id, err := line.RequestID()
+		id, err := message.RequestID()
 		if err != nil {
 			return err
 		}
-		if then, known := in.atCall[id]; known {
+		if then, known := in.onCall[id]; known {
 			then()
 		}
 	case "ended":
-		id, took, how, err := line.Ended()
+		id, elapsed, outcome, err := message.Ended()
 		if err != nil {
 			return err
 		}
-		then, known := in.ended[id]
-		delete(in.ended, id)
-		delete(in.atCall, id)
-		delete(in.called, id)
+		then, known := in.onRunEnd[id]
+		delete(in.onRunEnd, id)
+		delete(in.onCall, id)
+		delete(in.onCallDone, id)
 		if known {
-			then(how, took)
+			then(outcome, elapsed)
 		}
 	case "call-done":
-		id, took, how, err := line.CallDone()
+		id, elapsed, outcome, err := message.CallDone()
 		if err != nil {
 			return err
 		}
-		if then, known := in.called[id]; known {
-			delete(in.called, id)
-			then(how, took)
+		if then, known := in.onCallDone[id]; known {
+			delete(in.onCallDone, id)
+			then(outcome, elapsed)
 		}
 	case "terminate-soon":
-		at, err := line.TerminateSoon()
+		killAt, err := message.TerminateSoon()
 		if err != nil {
 			return err
 		}
-		in.desk.Drain(at)
+		in.controller.Drain(killAt)
 	case "aborted":
-		id, err := line.RequestID()
+		id, err := message.RequestID()
 		if err != nil {
 			return err
 		}
-		in.desk.Cancel(id)
+		in.controller.Cancel(id)
 	case "power-off":
-		if err := line.CheckPowerOff(); err != nil {
+		if err := message.CheckPowerOff(); err != nil {
 			return err
 		}
-		delete(in.host.instances, in.who)
+		delete(in.simulation.instances, in.number)
 	default:
-		return fmt.Errorf("%s: unknown message", line.Name)
+		return fmt.Errorf("%s: unknown message", message.Name)
 	}
 	return nil
 }
 
-func (in *instance) say(name string, values ...any) { in.host.reply.Append(name, in.who, values...) }
+func (in *instance) writeAction(name string, values ...any) {
+	in.simulation.reply.Append(name, in.number, values...)
+}
 
 // The rest is choice.Port.
 
-func (in *instance) Now() time.Duration { return in.host.now }
+func (in *instance) Now() time.Duration { return in.simulation.now }
 
-func (in *instance) Start(id choice.RequestID, atCall func(), ended func(choice.Outcome, time.Duration)) {
-	in.atCall[id], in.ended[id] = atCall, ended
-	in.say("serve", id)
+func (in *instance) Start(id choice.RequestID, onCall func(), onEnd func(choice.Outcome, time.Duration)) {
+	in.onCall[id], in.onRunEnd[id] = onCall, onEnd
+	in.writeAction("serve", id)
 }
 
-func (in *instance) Coalesce(id choice.RequestID, ended func(choice.Outcome, time.Duration)) {
-	in.ended[id] = ended
-	in.say("attach", id)
+func (in *instance) Coalesce(id choice.RequestID, onEnd func(choice.Outcome, time.Duration)) {
+	in.onRunEnd[id] = onEnd
+	in.writeAction("attach", id)
 }
 
-func (in *instance) Stop(id choice.RequestID) { in.say("take-off", id) }
-func (in *instance) Fail(id choice.RequestID) { in.say("end-failed", id) }
+func (in *instance) Stop(id choice.RequestID) { in.writeAction("take-off", id) }
+func (in *instance) Fail(id choice.RequestID) { in.writeAction("end-failed", id) }
 
-func (in *instance) Reject(id choice.RequestID, stayAway time.Duration, nowhereElse bool) {
-	in.say("shed", id, stayAway, nowhereElse)
+func (in *instance) Reject(id choice.RequestID, retryAfter time.Duration, noFailover bool) {
+	in.writeAction("shed", id, retryAfter, noFailover)
 }
 
-func (in *instance) Call(id choice.RequestID, until time.Duration, done func(choice.Outcome, time.Duration)) {
-	in.called[id] = done
-	in.say("call", id, until)
+func (in *instance) Call(id choice.RequestID, deadline time.Duration, done func(choice.Outcome, time.Duration)) {
+	in.onCallDone[id] = done
+	in.writeAction("call", id, deadline)
 }
 
-func (in *instance) SkipCall(id choice.RequestID) { in.say("fall-back", id) }
-func (in *instance) KeepRecord(id choice.RequestID, span time.Duration) {
-	in.say("store-key", id, span)
+func (in *instance) SkipCall(id choice.RequestID) { in.writeAction("fall-back", id) }
+func (in *instance) KeepRecord(id choice.RequestID, window time.Duration) {
+	in.writeAction("store-key", id, window)
+}
+func (in *instance) DropRecord(id choice.RequestID) { in.writeAction("unpin", id) }
+func (in *instance) SetHealth(healthy, fromState bool) {
+	in.writeAction("mark-health", healthy, fromState)
 }
-func (in *instance) DropRecord(id choice.RequestID)    { in.say("unpin", id) }
-func (in *instance) SetHealth(good, fromState bool)    { in.say("mark-health", good, fromState) }
-func (in *instance) PublishLoad(level float64)         { in.say("hint-out", level) }
-func (in *instance) SetIdleTimeout(span time.Duration) { in.say("idle", span) }
-func (in *instance) LogTransition(text string)         { in.say("print", text) }
+func (in *instance) PublishLoad(level float64)            { in.writeAction("hint-out", level) }
+func (in *instance) SetIdleTimeout(timeout time.Duration) { in.writeAction("idle", timeout) }
+func (in *instance) LogTransition(text string)            { in.writeAction("print", text) }
 func (in *instance) WakeAt(at time.Duration, then func(map[string]float64)) {
-	in.armed++
-	token := strconv.FormatUint(in.armed, 10)
-	in.wakes[token] = then
-	in.say("arm", at, token)
+	in.timers++
+	token := strconv.FormatUint(in.timers, 10)
+	in.onTimer[token] = then
+	in.writeAction("arm", at, token)
 }
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -20,30 +20,30 @@
 // serve answers batches until the input ends. A reply is written whole or, on a fault, not at all.
 func serve(in io.Reader, out io.Writer) error {
 	lines := bufio.NewReaderSize(in, 1<<20)
-	h := newHost()
-	var long []byte
-	for n := 1; ; n++ {
-		text, err := lines.ReadSlice('\n')
+	sim := newSimulation()
+	var longLine []byte
+	for lineNumber := 1; ; lineNumber++ {
+		line, err := lines.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) { // a line longer than the buffer
-			long = append(long[:0], text...)
-			text, err = lines.ReadBytes('\n')
-			text = append(long, text...)
+			longLine = append(longLine[:0], line...)
+			line, err = lines.ReadBytes('\n')
+			line = append(longLine, line...)
 		}
-		if errors.Is(err, io.EOF) && len(text) == 0 {
-			if h.inBatch {
-				return fmt.Errorf("line %d: input ends inside a batch", n)
+		if errors.Is(err, io.EOF) && len(line) == 0 {
+			if sim.inBatch {
+				return fmt.Errorf("line %d: input ends inside a batch", lineNumber)
 			}
 			return nil
 		}
 		if err != nil && !errors.Is(err, io.EOF) {
-			return fmt.Errorf("line %d: %w", n, err)
+			return fmt.Errorf("line %d: %w", lineNumber, err)
 		}
-		done, err := h.take(text)
+		batchClosed, err := sim.handleLine(line)
 		if err != nil {
-			return fmt.Errorf("line %d: %w", n, err)
+			return fmt.Errorf("line %d: %w", lineNumber, err)
 		}
-		if done {
-			if _, err := out.Write(h.reply.Finish()); err != nil {
+		if batchClosed {
+			if _, err := out.Write(sim.reply.Finish()); err != nil {
 				return fmt.Errorf("writing a reply: %w", err)
 			}
 		}
