--- a/cmd/lanewheel/bench_test.go
+++ b/cmd/lanewheel/bench_test.go
@@ -15,35 +15,35 @@
 	"lanewheel/internal/standin"
 )
 
-// spent is the CPU that a process has used, in the kernel's ticks of 10 ms.
-func spent(pid int) time.Duration {
+// cpuTime is the CPU that a process has used, in the kernel's ticks of 10 ms.
+func cpuTime(pid int) time.Duration {
 	text := string(standin.Must(os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))))
 	f := strings.Fields(text[strings.LastIndexByte(text, ')')+2:])
 	return time.Duration(standin.Must(strconv.Atoi(f[11]))+standin.Must(strconv.Atoi(f[12]))) * 10 * time.Millisecond
 }
 
-// resident is what a process holds, in KB.
-func resident(pid int) int {
+// residentKB is what a process holds, in KB.
+func residentKB(pid int) int {
 	_, rest, _ := strings.Cut(string(standin.Must(os.ReadFile(fmt.Sprintf("/proc/%d/status", pid)))), "VmRSS:")
 	return standin.Must(strconv.Atoi(strings.Fields(rest)[0]))
 }
 
-// quick has the runtime end each run at once.
-func (t *town) quick() {
+// endRunsAtOnce has the runtime end each run at once.
+func (t *deployment) endRunsAtOnce() {
 	go func() {
-		for line := range t.rt.Lines {
+		for line := range t.runtime.Lines {
 			if line["t"] == "start" {
-				t.rt.Notice("end", line["rid"].(string), "success", "res")
+				t.runtime.Notice("end", line["rid"].(string), "success", "res")
 			}
 		}
 	}()
 }
 
-// roomy are changes of a town's configuration that have nothing nacked.
-var roomy = []string{`"cpus":2`, `"cpus":64`, `"memory-kb":1900`, `"memory-kb":1900000`, `"sockets":64`, `"sockets":1024`}
+// roomyConfig are changes of a town's configuration that have nothing nacked.
+var roomyConfig = []string{`"cpus":2`, `"cpus":64`, `"memory-kb":1900`, `"memory-kb":1900000`, `"sockets":64`, `"sockets":1024`}
 
-// flow sends ops on connections, eight open on each, until count are answered, and gives how many were not acked.
-func flow(dial func() *standin.Stub, conns, count int, token string) int64 {
+// sendRequests sends ops on connections, eight open on each, until count are answered, and gives how many were not acked.
+func sendRequests(dial func() *standin.Stub, conns, count int, token string) int64 {
 	var asked, other atomic.Int64
 	var all sync.WaitGroup
 	for k := range conns {
@@ -85,34 +85,34 @@
 func BenchmarkOp(b *testing.B) {
 	for _, how := range []string{"plain", "token", "tls", "tls and token"} {
 		b.Run(how, func(b *testing.B) {
-			var t *town
+			var t *deployment
 			token := ""
-			dial := func() *standin.Stub { return t.stub() }
+			dial := func() *standin.Stub { return t.client() }
 			if how == "plain" {
-				t = up(roomy...)
+				t = deployReady(roomyConfig...)
 			} else {
-				h := openHouse("open = 8", "open = 0", "clients = asked", "clients = asked\nhandshake-rate = 10000")
+				h := deployWithAuth("open = 8", "open = 0", "clients = asked", "clients = asked\nhandshake-rate = 10000")
 				h.close()
-				operated = h.path("op.ini")
-				h.town = up(append(roomy, `"tenants":[]`, `"tenants":[{"name":"water"},{"name":"roads"}]`)...)
-				operated = ""
-				t = h.town
+				operatorPath = h.path("op.ini")
+				h.deployment = deployReady(append(roomyConfig, `"tenants":[]`, `"tenants":[{"name":"water"},{"name":"roads"}]`)...)
+				operatorPath = ""
+				t = h.deployment
 				if how != "tls" {
 					token = h.token("k1", "water-1", "--for", "10h")
 				}
 				if how != "token" {
-					c := h.client("water-7")
-					dial = func() *standin.Stub { return standin.Must(h.secure(c)) }
+					c := h.clientTLS("water-7")
+					dial = func() *standin.Stub { return standin.Must(h.dialTLS(c)) }
 				}
 			}
 			defer t.close()
-			t.quick()
-			flow(dial, 16, 2000, token)
-			before := spent(t.cmd.Process.Pid)
+			t.endRunsAtOnce()
+			sendRequests(dial, 16, 2000, token)
+			before := cpuTime(t.cmd.Process.Pid)
 			b.ResetTimer()
-			turned := flow(dial, 16, b.N, token)
+			turned := sendRequests(dial, 16, b.N, token)
 			b.StopTimer()
-			b.ReportMetric(float64((spent(t.cmd.Process.Pid)-before).Microseconds())/float64(b.N), "cpu-µs/op")
+			b.ReportMetric(float64((cpuTime(t.cmd.Process.Pid)-before).Microseconds())/float64(b.N), "cpu-µs/op")
 			b.ReportMetric(float64(turned)/float64(b.N), "turned/op")
 		})
 	}
@@ -125,25 +125,25 @@
 	const many = 500
 	for _, how := range []string{"plain", "tls"} {
 		b.Run(how, func(b *testing.B) {
-			h := openHouse("clients = asked", "clients = asked\nhandshake-rate = 10000")
+			h := deployWithAuth("clients = asked", "clients = asked\nhandshake-rate = 10000")
 			h.close()
-			operated = h.path("op.ini")
-			h.town = up(roomy...)
-			operated = ""
+			operatorPath = h.path("op.ini")
+			h.deployment = deployReady(roomyConfig...)
+			operatorPath = ""
 			defer h.close()
-			before := resident(h.cmd.Process.Pid)
-			c := h.client("water-7")
+			before := residentKB(h.cmd.Process.Pid)
+			c := h.clientTLS("water-7")
 			for range many {
-				s := h.stub
+				s := h.client
 				if how == "tls" {
-					s = func() *standin.Stub { return standin.Must(h.secure(c)) }
+					s = func() *standin.Stub { return standin.Must(h.dialTLS(c)) }
 				}
 				one := s()
 				one.Check()
 				defer one.Close()
 			}
 			b.ReportMetric(float64(before)/1024, "MB-at-rest")
-			b.ReportMetric(float64(resident(h.cmd.Process.Pid)-before)/many, "KB/connection")
+			b.ReportMetric(float64(residentKB(h.cmd.Process.Pid)-before)/many, "KB/connection")
 		})
 	}
 }
@@ -154,9 +154,9 @@
 func BenchmarkForged(b *testing.B) {
 	for _, flooded := range []bool{false, true} {
 		b.Run(fmt.Sprint("flood ", flooded), func(b *testing.B) {
-			h := openHouse()
+			h := deployWithAuth()
 			defer h.close()
-			h.quick()
+			h.endRunsAtOnce()
 			good := h.token("k1", "water-1", "--for", "10h")
 			var stop atomic.Bool
 			var forged atomic.Int64
@@ -169,7 +169,7 @@
 				go func() {
 					defer all.Done()
 					for n := 0; !stop.Load(); {
-						s := h.town.stub()
+						s := h.deployment.client()
 						for range 8 { // as many as end a connection
 							n++
 							s.Send(standin.Op(n, "view", fmt.Sprintf("%08x%08x", k+9, n), nil, "kb", "1",
@@ -183,9 +183,9 @@
 					}
 				}()
 			}
-			s := h.stub()
+			s := h.client()
 			took := hdrhistogram.New(1, 60e6, 3)
-			before := spent(h.cmd.Process.Pid)
+			before := cpuTime(h.cmd.Process.Pid)
 			b.ResetTimer()
 			began := time.Now()
 			for n := range b.N {
@@ -201,7 +201,7 @@
 			b.ReportMetric(float64(took.ValueAtQuantile(50))/1e3, "median-ms")
 			b.ReportMetric(float64(took.ValueAtQuantile(99))/1e3, "99th-ms")
 			b.ReportMetric(float64(forged.Load())/time.Since(began).Seconds(), "forged/s")
-			b.ReportMetric((spent(h.cmd.Process.Pid)-before).Seconds()/time.Since(began).Seconds(), "cores")
+			b.ReportMetric((cpuTime(h.cmd.Process.Pid)-before).Seconds()/time.Since(began).Seconds(), "cores")
 			stop.Store(true)
 			all.Wait()
 		})
@@ -228,10 +228,10 @@
 				var all sync.WaitGroup
 				for range how.at {
 					began := time.Now()
-					t := open()
+					t := deploy()
 					if how.mute {
-						t.db.Listener.Close()
-						t.roster.Close()
+						t.database.Listener.Close()
+						t.registry.Close()
 					}
 					all.Add(1)
 					go func() {
@@ -239,10 +239,10 @@
 						defer t.close()
 						standin.Until("listening", func() bool { return strings.Contains(t.log.text(), "listening") })
 						listens := time.Now()
-						t.rt.Take()
+						t.runtime.Take()
 						linked := time.Now()
-						s := t.stub()
-						t.rt.Ready("steady")
+						s := t.client()
+						t.runtime.Ready("steady")
 						standin.Until("health", func() bool { return s.Check() })
 						ready := time.Now()
 						s.Close()
--- a/cmd/lanewheel/callers_test.go
+++ b/cmd/lanewheel/callers_test.go
@@ -14,15 +14,15 @@
 	"lanewheel/internal/standin"
 )
 
-// house is a deployment that knows its callers, set up from nothing by the program's own commands.
-type house struct {
-	*town
-	dir  string
-	addr string // of the listener with TLS
-	file string
+// authDeployment is a deployment that knows its callers, set up from nothing by the program's own commands.
+type authDeployment struct {
+	*deployment
+	dir          string
+	tlsAddr      string // of the listener with TLS
+	operatorFile string
 }
 
-const houseFile = `[callers]
+const authOperatorFile = `[callers]
 writes = set
 [role crew]
 types = view, pay, list
@@ -61,66 +61,66 @@
 clients = asked
 `
 
-var houses int
+var authDeploymentCount int
 
-// do carries out a command of the program, which has to go well, and gives what it prints.
-func (h *house) do(args ...string) string {
-	text := run(args...)
+// runCommand carries out a command of the program, which has to go well, and gives what it prints.
+func (h *authDeployment) runCommand(args ...string) string {
+	text := runCommand(args...)
 	if !strings.HasPrefix(text, "0 ") {
 		panic(fmt.Sprint(args, text))
 	}
 	return strings.TrimSpace(text[2:])
 }
 
-func (h *house) path(name string) string { return filepath.Join(h.dir, name) }
+func (h *authDeployment) path(name string) string { return filepath.Join(h.dir, name) }
 
-func (h *house) put(name, text string) {
+func (h *authDeployment) writeFile(name, text string) {
 	if err := os.WriteFile(h.path(name), []byte(text), 0o600); err != nil {
 		panic(err)
 	}
 }
 
-// openHouse sets one up and has it serve; changes are pairs of text to replace in the operator's file.
-func openHouse(changes ...string) *house {
-	h := &house{dir: standin.Must(os.MkdirTemp(folder, "house"))}
-	houses++
-	h.addr = fmt.Sprintf("127.73.%d.%d:%d", os.Getpid()%250, houses, 9000+houses)
-	h.do("keys", "new", "--private", h.path("private"), "--id", "k1")
-	h.do("keys", "publish", h.path("private/k1.private"), "--folder", h.path("keys"))
-	h.do("cert", "authority", h.path("ca"))
-	h.do("cert", "issue", h.path("server"), "--authority", h.path("ca"), "--server", "--host", "127.0.0.1")
-	h.do("cert", "issue", h.path("water-7"), "--authority", h.path("ca"), "--uri", "rota://water/7")
-	h.put("revoked.txt", "# none\n")
-	h.file = strings.NewReplacer(append(changes, "ADDR", h.addr)...).Replace(houseFile)
-	h.put("op.ini", h.file)
-	operated = h.path("op.ini")
-	h.town = up(`"tenants":[]`, `"tenants":[{"name":"water"},{"name":"roads"}]`, `"retry-after":false`, `"retry-after":true,"max-retry-after-s":0.2`)
-	operated = ""
+// deployWithAuth sets one up and has it serve; changes are pairs of text to replace in the operator's file.
+func deployWithAuth(changes ...string) *authDeployment {
+	h := &authDeployment{dir: standin.Must(os.MkdirTemp(tempDir, "house"))}
+	authDeploymentCount++
+	h.tlsAddr = fmt.Sprintf("127.73.%d.%d:%d", os.Getpid()%250, authDeploymentCount, 9000+authDeploymentCount)
+	h.runCommand("keys", "new", "--private", h.path("private"), "--id", "k1")
+	h.runCommand("keys", "publish", h.path("private/k1.private"), "--folder", h.path("keys"))
+	h.runCommand("cert", "authority", h.path("ca"))
+	h.runCommand("cert", "issue", h.path("server"), "--authority", h.path("ca"), "--server", "--host", "127.0.0.1")
+	h.runCommand("cert", "issue", h.path("water-7"), "--authority", h.path("ca"), "--uri", "rota://water/7")
+	h.writeFile("revoked.txt", "# none\n")
+	h.operatorFile = strings.NewReplacer(append(changes, "ADDR", h.tlsAddr)...).Replace(authOperatorFile)
+	h.writeFile("op.ini", h.operatorFile)
+	operatorPath = h.path("op.ini")
+	h.deployment = deployReady(`"tenants":[]`, `"tenants":[{"name":"water"},{"name":"roads"}]`, `"retry-after":false`, `"retry-after":true,"max-retry-after-s":0.2`)
+	operatorPath = ""
 	return h
 }
 
-// stub gives a connection on which something was said: commands that take long do not make it a silent one.
-func (h *house) stub() *standin.Stub {
-	s := h.town.stub()
+// client gives a connection on which something was said: commands that take long do not make it a silent one.
+func (h *authDeployment) client() *standin.Stub {
+	s := h.deployment.client()
 	s.Check()
 	return s
 }
 
-// reloaded asks for a reload and waits until it is in force.
-func (h *house) reloaded() {
+// reloadAndWait asks for a reload and waits until it is in force.
+func (h *authDeployment) reloadAndWait() {
 	before := strings.Count(h.log.text(), "msg=operated")
-	h.hangUp()
+	h.sendHangup()
 	standin.Until("the reload", func() bool { return strings.Count(h.log.text(), "msg=operated") > before })
-	h.stub().Check() // what was handed to the loop before is done
+	h.client().Check() // what was handed to the loop before is done
 }
 
-func (h *house) token(key, subject string, more ...string) string {
-	return h.do(append([]string{"token", "issue", "--key", h.path("private/" + key + ".private"), "--issuer", "us", "--audience", "rota",
+func (h *authDeployment) token(key, subject string, more ...string) string {
+	return h.runCommand(append([]string{"token", "issue", "--key", h.path("private/" + key + ".private"), "--issuer", "us", "--audience", "rota",
 		"--subject", subject}, more...)...)
 }
 
-// client is a handheld's configuration with the certificate of that name, none if empty.
-func (h *house) client(name string) *tls.Config {
+// clientTLS is a handheld's configuration with the certificate of that name, none if empty.
+func (h *authDeployment) clientTLS(name string) *tls.Config {
 	roots := x509.NewCertPool()
 	roots.AppendCertsFromPEM(standin.Must(os.ReadFile(h.path("ca/authority.pem"))))
 	c := &tls.Config{RootCAs: roots, ServerName: "127.0.0.1", ClientSessionCache: tls.NewLRUClientSessionCache(8)}
@@ -130,16 +130,16 @@
 	return c
 }
 
-func (h *house) secure(c *tls.Config) (*standin.Stub, error) {
-	conn, err := tls.Dial("tcp", h.addr, c)
+func (h *authDeployment) dialTLS(c *tls.Config) (*standin.Stub, error) {
+	conn, err := tls.Dial("tcp", h.tlsAddr, c)
 	if err != nil {
 		return nil, err
 	}
 	return standin.NewStub(conn), nil
 }
 
-// asks sends one op and gives its answer without what rides on it; the runtime ends it if it comes there.
-func (h *house) asks(s *standin.Stub, n int, more ...string) string {
+// requestAnswer sends one op and gives its answer without what rides on it; the runtime ends it if it comes there.
+func (h *authDeployment) requestAnswer(s *standin.Stub, n int, more ...string) string {
 	s.Send(standin.Op(n, "view", standin.ID(n), nil, append([]string{"kb", "1", "cost", "1"}, more...)...))
 	answers := make(chan string, 1)
 	go func() {
@@ -157,9 +157,9 @@
 		select {
 		case said := <-answers:
 			return said
-		case line := <-h.rt.Lines:
+		case line := <-h.runtime.Lines:
 			if line["t"] == "start" {
-				h.rt.Notice("end", line["rid"].(string), "success", "done")
+				h.runtime.Notice("end", line["rid"].(string), "success", "done")
 			}
 		case <-time.After(standin.Patience):
 			panic("no answer")
@@ -169,26 +169,26 @@
 
 // Who may what, by token and by certificate, and each denial said in one word; what is denied never runs.
 func Example_callers() {
-	h := openHouse()
+	h := deployWithAuth()
 	defer h.close()
-	s := h.stub()
+	s := h.client()
 	water, roads := h.token("k1", "water-1"), h.token("k1", "roads-1")
-	fmt.Println(h.asks(s, 1, "token", water, "tenant", "water"))
-	fmt.Println(h.asks(s, 2, "token", water))
-	fmt.Println(h.asks(s, 3, "token", roads, "tenant", "water"))
-	fmt.Println(h.asks(s, 4))
-	fmt.Println(h.asks(s, 5, "token", h.token("k1", "gas-1")))
-	fmt.Println(h.asks(s, 6, "token", h.token("k1", "water-1", "--for=-1m")))
-	fmt.Println(h.asks(s, 7, "token", water[:len(water)-8]+"AAAAAAAA"))
-	fmt.Println(h.asks(s, 8, "token", water, "key", "k")) // a read
-	t := standin.Must(h.secure(h.client("water-7")))
-	fmt.Println(h.asks(t, 9, "tenant", "water"), h.asks(t, 10, "tenant", "roads"))
-	t = standin.Must(h.secure(h.client("")))
-	fmt.Println(h.asks(t, 11, "token", water), h.asks(t, 12))
-	h.terminate()
+	fmt.Println(h.requestAnswer(s, 1, "token", water, "tenant", "water"))
+	fmt.Println(h.requestAnswer(s, 2, "token", water))
+	fmt.Println(h.requestAnswer(s, 3, "token", roads, "tenant", "water"))
+	fmt.Println(h.requestAnswer(s, 4))
+	fmt.Println(h.requestAnswer(s, 5, "token", h.token("k1", "gas-1")))
+	fmt.Println(h.requestAnswer(s, 6, "token", h.token("k1", "water-1", "--for=-1m")))
+	fmt.Println(h.requestAnswer(s, 7, "token", water[:len(water)-8]+"AAAAAAAA"))
+	fmt.Println(h.requestAnswer(s, 8, "token", water, "key", "k")) // a read
+	t := standin.Must(h.dialTLS(h.clientTLS("water-7")))
+	fmt.Println(h.requestAnswer(t, 9, "tenant", "water"), h.requestAnswer(t, 10, "tenant", "roads"))
+	t = standin.Must(h.dialTLS(h.clientTLS("")))
+	fmt.Println(h.requestAnswer(t, 11, "token", water), h.requestAnswer(t, 12))
+	h.sendTerminate()
 	s.Close()
 	t.Close()
-	code, log := h.ended()
+	code, log := h.waitExit()
 	fmt.Println(code, strings.Count(log, "msg=denied"), strings.Contains(log, water))
 	// Output:
 	// done
@@ -206,19 +206,19 @@
 
 // Reads of like key are shared within a tenant, never across: another tenant's read runs.
 func Example_sharedWithinTenant() {
-	h := openHouse()
+	h := deployWithAuth()
 	defer h.close()
 	h.close()
-	operated = h.path("op.ini")
-	h.town = up("FRESH", "5", `"tenants":[]`, `"tenants":[{"name":"water"},{"name":"roads"}]`)
-	operated = ""
+	operatorPath = h.path("op.ini")
+	h.deployment = deployReady("FRESH", "5", `"tenants":[]`, `"tenants":[{"name":"water"},{"name":"roads"}]`)
+	operatorPath = ""
 	defer h.close()
-	s := h.stub()
+	s := h.client()
 	for i, subject := range []string{"water-1", "water-2", "roads-1"} {
 		s.Send(standin.Op(i+1, "view", standin.ID(i+1), nil, "token", h.token("k1", subject), "key", "crew-9", "kb", "1"))
 		if i != 1 {
-			fmt.Println(h.rt.Hear())
-			h.rt.Notice("end", standin.ID(i+1), "success", "for "+subject)
+			fmt.Println(h.runtime.Hear())
+			h.runtime.Notice("end", standin.ID(i+1), "success", "for "+subject)
 		}
 		fmt.Println(s.Hear())
 	}
@@ -233,29 +233,29 @@
 // A key is published before it signs and kept after it stops: an op under the old one is admitted until the told moment, by
 // instances that read it whenever; one under a key that is not read yet leads to a look, without a reload.
 func Example_rotation() {
-	h := openHouse()
+	h := deployWithAuth()
 	defer h.close()
-	s := h.stub()
+	s := h.client()
 	old := h.token("k1", "water-1")
-	h.do("keys", "new", "--private", h.path("private"), "--id", "k2", "--algorithm", "ES256")
-	h.do("keys", "publish", h.path("private/k2.private"), "--folder", h.path("keys"))
-	fmt.Println(h.asks(s, 1, "token", h.token("k2", "water-1")), h.asks(s, 2, "token", old))
+	h.runCommand("keys", "new", "--private", h.path("private"), "--id", "k2", "--algorithm", "ES256")
+	h.runCommand("keys", "publish", h.path("private/k2.private"), "--folder", h.path("keys"))
+	fmt.Println(h.requestAnswer(s, 1, "token", h.token("k2", "water-1")), h.requestAnswer(s, 2, "token", old))
 	at := time.Now().Add(1200 * time.Millisecond).Truncate(time.Second).Add(time.Second) // files tell whole seconds
-	h.do("keys", "retire", "k1", "--folder", h.path("keys"), "--at", at.Format(time.RFC3339))
-	h.reloaded()
+	h.runCommand("keys", "retire", "k1", "--folder", h.path("keys"), "--at", at.Format(time.RFC3339))
+	h.reloadAndWait()
 	n, wrong := 3, 0
 	for ; time.Now().Before(at.Add(200 * time.Millisecond)); n++ {
 		before := time.Now()
-		said := h.asks(s, n, "token", old)
+		said := h.requestAnswer(s, n, "token", old)
 		after := time.Now()
 		if after.Before(at) && said != "done" || !before.Before(at) && said != "Denied retired-key" {
 			wrong++
 		}
 	}
 	fmt.Println("asked", n > 100, "wrong", wrong)
-	h.do("keys", "retire", "k2", "--folder", h.path("keys"), "--now")
-	h.reloaded()
-	fmt.Println(h.asks(s, n, "token", h.token("k2", "water-1")))
+	h.runCommand("keys", "retire", "k2", "--folder", h.path("keys"), "--now")
+	h.reloadAndWait()
+	fmt.Println(h.requestAnswer(s, n, "token", h.token("k2", "water-1")))
 	// Output:
 	// done done
 	// asked true wrong 0
@@ -265,29 +265,29 @@
 // A certificate is taken back while an op is open on its connection: the op gets its answer, the next is denied unrun, the
 // connection ends, and neither a new handshake nor a resumed session gets in. Others go on.
 func Example_takenBack() {
-	h := openHouse()
+	h := deployWithAuth()
 	defer h.close()
-	h.do("cert", "issue", h.path("water-8"), "--authority", h.path("ca"), "--uri", "rota://water/8")
-	c := h.client("water-7")
-	s := standin.Must(h.secure(c))
-	fmt.Println(h.asks(s, 1))
-	again := standin.Must(h.secure(c))
-	fmt.Println("resumed", again.Conn.(*tls.Conn).ConnectionState().DidResume, h.asks(again, 2))
-	other := standin.Must(h.secure(h.client("water-8")))
+	h.runCommand("cert", "issue", h.path("water-8"), "--authority", h.path("ca"), "--uri", "rota://water/8")
+	c := h.clientTLS("water-7")
+	s := standin.Must(h.dialTLS(c))
+	fmt.Println(h.requestAnswer(s, 1))
+	again := standin.Must(h.dialTLS(c))
+	fmt.Println("resumed", again.Conn.(*tls.Conn).ConnectionState().DidResume, h.requestAnswer(again, 2))
+	other := standin.Must(h.dialTLS(h.clientTLS("water-8")))
 	s.Send(standin.Op(3, "view", standin.ID(3), nil, "kb", "1"))
-	fmt.Println(h.rt.Hear())
-	h.do("cert", "revoke", h.path("water-7.pem"), "--authority", h.path("ca"))
-	h.reloaded()
+	fmt.Println(h.runtime.Hear())
+	h.runCommand("cert", "revoke", h.path("water-7.pem"), "--authority", h.path("ca"))
+	h.reloadAndWait()
 	s.Send(standin.Op(4, "view", standin.ID(4), nil, "kb", "1"))
 	heard := []string{s.Hear(), s.Hear()} // the asking may come before the op or behind it
 	slices.Sort(heard)
 	fmt.Println(heard)
-	h.rt.Notice("end", standin.ID(3), "success", "one")
+	h.runtime.Notice("end", standin.ID(3), "success", "one")
 	fmt.Println(s.Hear(), s.Hear())
 	standin.Until("the end of the idle one", func() bool { return again.Hear() == "closed" })
-	fmt.Println(h.asks(other, 5), len(h.rt.Lines))
+	fmt.Println(h.requestAnswer(other, 5), len(h.runtime.Lines))
 	for range 2 {
-		late, err := h.secure(c)
+		late, err := h.dialTLS(c)
 		if err == nil {
 			_, err = late.Answer()
 		}
@@ -307,39 +307,39 @@
 // Reloads that come twice at once, half written, cut off behind a whole line, while leaving and while a handshake stands:
 // never half a change, and nothing is dropped.
 func Example_reloads() {
-	h := openHouse()
+	h := deployWithAuth()
 	defer h.close()
-	s, water := h.stub(), h.token("k1", "water-1")
-	standing := standin.Must(net.Dial("tcp", h.addr)) // a handshake that stands
+	s, water := h.client(), h.token("k1", "water-1")
+	standing := standin.Must(net.Dial("tcp", h.tlsAddr)) // a handshake that stands
 	defer standing.Close()
 	kept := func() int { return strings.Count(h.log.text(), "msg=configuration-kept") }
 	for _, file := range []string{"op.ini", "keys/k1.json", "server.pem", "ca/revoked.pem", "ca/authority.pem"} {
 		whole := standin.Must(os.ReadFile(h.path(file)))
 		before := kept()
-		h.put(file, string(whole[:len(whole)*2/3]))
-		h.hangUp()
+		h.writeFile(file, string(whole[:len(whole)*2/3]))
+		h.sendHangup()
 		standin.Until("the refusal of "+file, func() bool { return kept() > before })
-		fmt.Println(h.asks(s, 1, "token", water))
+		fmt.Println(h.requestAnswer(s, 1, "token", water))
 		before = strings.Count(h.log.text(), "msg=operated")
-		h.put(file, string(whole))
-		h.hangUp()
-		h.hangUp()
+		h.writeFile(file, string(whole))
+		h.sendHangup()
+		h.sendHangup()
 		standin.Until("the reload", func() bool { return strings.Count(h.log.text(), "msg=operated") > before })
 	}
-	h.put("op.ini", strings.Replace(h.file, h.addr, "127.0.0.1:1", 1)) // holds from the next start
+	h.writeFile("op.ini", strings.Replace(h.operatorFile, h.tlsAddr, "127.0.0.1:1", 1)) // holds from the next start
 	before := kept()
-	h.hangUp()
+	h.sendHangup()
 	standin.Until("the refusal", func() bool { return kept() > before })
-	h.put("op.ini", strings.Replace(h.file, "roles = crew", "roles = slow", 1))
-	h.reloaded()
+	h.writeFile("op.ini", strings.Replace(h.operatorFile, "roles = crew", "roles = slow", 1))
+	h.reloadAndWait()
 	s.Send(standin.Op(2, "pay", standin.ID(2), nil, "token", water))
 	fmt.Println(s.Hear())
-	h.terminate()
-	h.put("op.ini", h.file)
-	h.hangUp()
-	fmt.Println(h.asks(s, 3, "token", h.token("k1", "water-2")) != "")
+	h.sendTerminate()
+	h.writeFile("op.ini", h.operatorFile)
+	h.sendHangup()
+	fmt.Println(h.requestAnswer(s, 3, "token", h.token("k1", "water-2")) != "")
 	s.Close()
-	code, _ := h.ended()
+	code, _ := h.waitExit()
 	fmt.Println(code)
 	// Output:
 	// done
@@ -355,16 +355,16 @@
 // One identity that sends ten times its rate is nacked with a time to come back; its neighbour feels nothing. An op whose
 // token expires while it is held is answered all the same.
 func Example_rates() {
-	h := openHouse()
+	h := deployWithAuth()
 	defer h.close()
 	slow, water := h.token("k1", "slow"), h.token("k1", "water-1")
-	s, other := h.stub(), h.stub()
+	s, other := h.client(), h.client()
 	said := map[string]int{}
 	began := time.Now()
 	n := 0
 	for ; time.Since(began) < 500*time.Millisecond; n += 2 {
-		said["slow "+h.asks(s, n+1, "token", slow)]++
-		said["water "+h.asks(other, n+2, "token", water)]++
+		said["slow "+h.requestAnswer(s, n+1, "token", slow)]++
+		said["water "+h.requestAnswer(other, n+2, "token", water)]++
 	}
 	fmt.Println(said["slow done"] <= 2+11, said["slow done"] >= 8, said["slow Busy <nil>"] > 10, said["water done"]*2 == n)
 	s.Send(standin.Op(9, "view", standin.ID(999999), nil, "token", slow), standin.Op(10, "view", standin.ID(999998), nil, "token", slow),
@@ -372,16 +372,16 @@
 	heard := ""
 	for range 2 { // at most two of the three are let in
 		heard += s.Hear()
-		h.rt.Notice("end", standin.ID(999999), "success", "x")
-		h.rt.Notice("end", standin.ID(999998), "success", "x")
+		h.runtime.Notice("end", standin.ID(999999), "success", "x")
+		h.runtime.Notice("end", standin.ID(999998), "success", "x")
 	}
 	fmt.Println(strings.Contains(heard, `["Busy" map["after":`))
 	short := h.token("k1", "water-1", "--for", "1s")
-	s = h.stub()
+	s = h.client()
 	s.Send(standin.Op(12, "view", standin.ID(12), nil, "token", short, "cost", "1500"))
-	standin.Until("its start", func() bool { return strings.HasPrefix(h.rt.Hear(), "start c ") })
-	standin.Until("its expiry", func() bool { return h.asks(other, 13, "token", short) == "Denied expired" })
-	h.rt.Notice("end", standin.ID(12), "success", "late")
+	standin.Until("its start", func() bool { return strings.HasPrefix(h.runtime.Hear(), "start c ") })
+	standin.Until("its expiry", func() bool { return h.requestAnswer(other, 13, "token", short) == "Denied expired" })
+	h.runtime.Notice("end", standin.ID(12), "success", "late")
 	fmt.Println(s.Hear())
 	// Output:
 	// true true true true
@@ -391,17 +391,17 @@
 
 // Hundreds of connections that stop in the handshake keep nobody out for long; half a handshake has an end.
 func Example_stalledHandshakes() {
-	h := openHouse("clients = asked", "clients = required\nhandshakes = 16\nhandshake-rate = 10000")
+	h := deployWithAuth("clients = asked", "clients = required\nhandshakes = 16\nhandshake-rate = 10000")
 	defer h.close()
 	var stalled []net.Conn
 	for range 200 {
-		c := standin.Must(net.Dial("tcp", h.addr))
+		c := standin.Must(net.Dial("tcp", h.tlsAddr))
 		stalled = append(stalled, c)
 		_, _ = c.Write([]byte{0x16, 3, 1, 0, 200, 1})
 	}
 	began := time.Now()
-	s := standin.Must(h.secure(h.client("water-7")))
-	fmt.Println(h.asks(s, 1), time.Since(began) < 4*time.Second)
+	s := standin.Must(h.dialTLS(h.clientTLS("water-7")))
+	fmt.Println(h.requestAnswer(s, 1), time.Since(began) < 4*time.Second)
 	for _, c := range stalled {
 		_ = c.SetReadDeadline(time.Now().Add(standin.Patience))
 		if _, err := c.Read(make([]byte, 64)); os.IsTimeout(err) {
@@ -409,15 +409,15 @@
 		}
 		c.Close()
 	}
-	noise := standin.Must(net.Dial("tcp", h.addr))
+	noise := standin.Must(net.Dial("tcp", h.tlsAddr))
 	_, _ = noise.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 	standin.Until("its end", func() bool { return strings.Contains(h.log.text(), "code=handshake-failed") })
-	none, err := h.secure(h.client(""))
+	none, err := h.dialTLS(h.clientTLS(""))
 	if err == nil { // the client hears of the refusal with its first read
 		_, err = none.Answer()
 	}
 	fmt.Println(strings.Contains(err.Error(), "certificate required"))
-	fmt.Println(h.asks(s, 2))
+	fmt.Println(h.requestAnswer(s, 2))
 	// Output:
 	// done true
 	// true
@@ -426,7 +426,7 @@
 
 // However many connections stop in the handshake, no more than told hold a descriptor and memory; the others wait outside.
 func Example_handshakesAtATime() {
-	h := openHouse("clients = asked", "clients = asked\nhandshakes = 4\nhandshake-rate = 10000")
+	h := deployWithAuth("clients = asked", "clients = asked\nhandshakes = 4\nhandshake-rate = 10000")
 	defer h.close()
 	held := func() (n int) {
 		for _, fd := range standin.Must(os.ReadDir(fmt.Sprintf("/proc/%d/fd", h.cmd.Process.Pid))) {
@@ -438,7 +438,7 @@
 	}
 	before, most := held(), 0
 	for range 25 {
-		defer standin.Must(net.Dial("tcp", h.addr)).Close()
+		defer standin.Must(net.Dial("tcp", h.tlsAddr)).Close()
 	}
 	for end := time.Now().Add(500 * time.Millisecond); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		most = max(most, held()-before)
@@ -450,22 +450,22 @@
 
 // Ops whose callers leave while a token is being checked, by interrupt and by closing: neither runs, and the ids are free again.
 func Example_goneAtTheDoor() {
-	h := openHouse()
+	h := deployWithAuth()
 	defer h.close()
 	fresh := func() string { return h.token("k1", "water-1") }
 	one, two, three := fresh(), fresh(), fresh()
-	s, closed := h.stub(), h.stub()
+	s, closed := h.client(), h.client()
 	s.Send(standin.Op(2, "view", standin.ID(1), nil, "token", one, "kb", "1"), []any{2, "interrupt", []any{2}})
 	closed.Send(standin.Op(2, "view", standin.ID(2), nil, "token", two, "kb", "1"))
 	closed.Close()
 	standin.Until("the end of it", func() bool { return strings.Contains(h.log.text(), "code=peer-closed") })
 	s.Send(standin.Op(3, "view", standin.ID(3), nil, "token", three, "kb", "1"))
-	heard := h.rt.Hear()
+	heard := h.runtime.Hear()
 	for strings.HasPrefix(heard, "start 2 ") || strings.HasPrefix(heard, "stop 2") { // its check was over before the close came
-		heard = h.rt.Hear()
+		heard = h.runtime.Hear()
 	}
 	fmt.Println(heard)
-	h.rt.Notice("end", standin.ID(3), "success", "three")
+	h.runtime.Notice("end", standin.ID(3), "success", "three")
 	fmt.Println(s.Hear())
 	// Output:
 	// start 3 route view body ""
@@ -474,15 +474,15 @@
 
 // Forged tokens end the connections that bring them, while known callers are served.
 func Example_forged() {
-	h := openHouse()
+	h := deployWithAuth()
 	defer h.close()
 	good := h.token("k1", "water-1")
-	s := h.stub()
-	fmt.Println(h.asks(s, 1, "token", good))
+	s := h.client()
+	fmt.Println(h.requestAnswer(s, 1, "token", good))
 	for k := range 5 {
-		bad := h.stub()
+		bad := h.client()
 		for i := range 40 {
-			if said := h.asks(bad, i+1, "token", fmt.Sprintf("%s%04d", good[:len(good)-4], 1000*k+i)); said == "closed" {
+			if said := h.requestAnswer(bad, i+1, "token", fmt.Sprintf("%s%04d", good[:len(good)-4], 1000*k+i)); said == "closed" {
 				fmt.Print(i, " ")
 				break
 			} else if said != "Denied signature" {
@@ -490,7 +490,7 @@
 			}
 		}
 	}
-	fmt.Println(h.asks(s, 2, "token", good))
+	fmt.Println(h.requestAnswer(s, 2, "token", good))
 	// Output:
 	// done
 	// 8 8 8 8 8 done
@@ -498,12 +498,12 @@
 
 // A token of single use is good for one op; the second is a replay.
 func Example_singleUse() {
-	h := openHouse("revoked = revoked.txt", "single-use = yes\nsingle-use-remembered = 2")
+	h := deployWithAuth("revoked = revoked.txt", "single-use = yes\nsingle-use-remembered = 2")
 	defer h.close()
-	s := h.stub()
+	s := h.client()
 	first := h.token("k1", "water-1", "--jti", "a", "--for", "2s")
-	fmt.Println(h.asks(s, 1, "token", first), h.asks(s, 2, "token", first))
-	fmt.Println(h.asks(s, 3, "token", h.token("k1", "water-1", "--jti", "b")), h.asks(s, 4, "token", h.token("k1", "water-1", "--jti", "c")))
+	fmt.Println(h.requestAnswer(s, 1, "token", first), h.requestAnswer(s, 2, "token", first))
+	fmt.Println(h.requestAnswer(s, 3, "token", h.token("k1", "water-1", "--jti", "b")), h.requestAnswer(s, 4, "token", h.token("k1", "water-1", "--jti", "c")))
 	// Output:
 	// done Denied replayed
 	// done Busy <nil>
@@ -511,12 +511,12 @@
 
 // With nothing told of callers a token changes nothing, whatever form it has.
 func Example_callersOff() {
-	t := up()
+	t := deployReady()
 	defer t.close()
-	s := t.stub()
+	s := t.client()
 	s.Send(standin.Op(1, "view", standin.ID(1), nil, "token", strings.Repeat("x", 3000)))
-	fmt.Println(t.rt.Hear())
-	t.rt.Notice("end", standin.ID(1), "success", "one")
+	fmt.Println(t.runtime.Hear())
+	t.runtime.Notice("end", standin.ID(1), "success", "one")
 	fmt.Println(s.Hear())
 	// Output:
 	// start 1 route view body ""
--- a/cmd/lanewheel/crossings_test.go
+++ b/cmd/lanewheel/crossings_test.go
@@ -17,33 +17,33 @@
 
 // Notices of both kinds while the configuration is still being read: none ends the program, and the one to leave is not lost among the others.
 func Example_noticesBeforeTheConfiguration() {
-	t := &town{log: &lines{}, exit: make(chan struct{}), rt: standin.NewRuntime(), db: standin.NewDatabase(), roster: standin.NewRoster()}
+	t := &deployment{log: &logBuffer{}, exited: make(chan struct{}), runtime: standin.NewRuntime(), database: standin.NewDatabase(), registry: standin.NewRoster()}
 	defer t.close()
-	other := up()
-	text := other.text
+	other := deployReady()
+	text := other.config
 	other.close()
-	t.path = filepath.Join(folder, "held.json")
-	if err := unix.Mkfifo(t.path, 0o600); err != nil {
+	t.configPath = filepath.Join(tempDir, "held.json")
+	if err := unix.Mkfifo(t.configPath, 0o600); err != nil {
 		panic(err)
 	}
 	t.run()
 	// Opened once the program has opened it too, which then waits for what stands in it.
-	pipe := standin.Must(os.OpenFile(t.path, os.O_WRONLY, 0))
+	pipe := standin.Must(os.OpenFile(t.configPath, os.O_WRONLY, 0))
 	for range 100 {
-		t.hangUp()
-		standin.Until("the notice is taken", func() bool { return !pending(t.cmd.Process.Pid) })
+		t.sendHangup()
+		standin.Until("the notice is taken", func() bool { return !signalPending(t.cmd.Process.Pid) })
 	}
-	t.terminate()
+	t.sendTerminate()
 	fmt.Fprint(pipe, text)
 	pipe.Close()
-	code, log := t.ended()
+	code, log := t.waitExit()
 	fmt.Println(code, strings.Contains(log, "msg=leaving"), strings.Contains(log, "msg=stopped"))
 	// Output:
 	// 0 true true
 }
 
-// pending tells whether a signal that was sent to the process has not been delivered.
-func pending(pid int) bool {
+// signalPending tells whether a signal that was sent to the process has not been delivered.
+func signalPending(pid int) bool {
 	for _, line := range strings.Split(string(standin.Must(os.ReadFile(fmt.Sprintf("/proc/%d/status", pid)))), "\n") {
 		if mask, is := strings.CutPrefix(line, "ShdPnd:"); is {
 			return strings.Trim(mask, "\t0") != ""
@@ -54,21 +54,21 @@
 
 // Connections that stand in the backlog, with an op written on each, when listening ends while the table is full: each op has its answer.
 func Example_backlogAtTheEnd() {
-	t := up()
+	t := deployReady()
 	defer t.close()
 	var busy, waiting []*standin.Stub
 	for i := range 32 { // of 64 descriptors, as many as may be connected; none can be let go, as an op is open on each
-		s := t.stub()
+		s := t.client()
 		s.Send(standin.Op(1, "pay", standin.ID(i), nil, "kb", "1"))
 		busy = append(busy, s)
 	}
-	standin.Until("all are in", func() bool { return t.rt.Hear() != "" && len(busy) == 32 })
+	standin.Until("all are in", func() bool { return t.runtime.Hear() != "" && len(busy) == 32 })
 	for i := range 8 {
-		s := t.stub()
+		s := t.client()
 		s.Send(standin.Op(1, "pay", standin.ID(100+i), nil, "kb", "1"))
 		waiting = append(waiting, s)
 	}
-	t.terminate()
+	t.sendTerminate()
 	answers := map[string]int{}
 	for _, s := range waiting {
 		for h := s.Hear(); ; h = s.Hear() {
@@ -82,7 +82,7 @@
 	for _, s := range append(busy, waiting...) {
 		s.Close()
 	}
-	code, _ := t.ended()
+	code, _ := t.waitExit()
 	fmt.Println(code)
 	// Output:
 	// map[['\x01' '\x01' ["Busy" map[]] <nil>]:8]
@@ -93,25 +93,25 @@
 // peer's patience, however short the time to the kill is, and an op that was open has its answer.
 func Example_restsUntilTheEnd() {
 	for _, stop := range []string{"1500", "240", "60", "0"} {
-		t := up(`"stop_ms":1500`, `"stop_ms":`+stop)
-		s, rests := t.stub(), t.stub()
+		t := deployReady(`"stop_ms":1500`, `"stop_ms":`+stop)
+		s, rests := t.client(), t.client()
 		fmt.Print(stop, " ", rests.Check())
 		s.Send(standin.Op(1, "pay", standin.ID(1), nil))
-		t.rt.Hear()
+		t.runtime.Hear()
 		half := standin.Pack(nil, standin.Op(2, "view", standin.ID(2), nil))
 		rests.Conn.Write(half[:len(half)/2])
-		later := t.stub()
+		later := t.client()
 		fmt.Print(" ", later.Check()) // what came before it is read too
 		later.Close()
 		began := time.Now()
-		t.terminate()
+		t.sendTerminate()
 		h := s.Hear()
 		for strings.Contains(h, "goaway") {
 			h = s.Hear()
 		}
 		fmt.Print(" ", h)
 		fmt.Print(" ", rests.Hear(), " ", rests.Hear())
-		code, log := t.ended()
+		code, log := t.waitExit()
 		fmt.Println("", code, time.Since(began) < 5*time.Second, strings.Contains(log, "msg=stopped"))
 		t.close()
 	}
@@ -125,41 +125,41 @@
 // The database's address swallows what knocks; SIGHUP names another. Calls that wait at the old one go to the new one at once, and dials for
 // calls that were given up hold up nobody.
 func Example_movedFromAHole() {
-	hole, fd := swallows()
+	hole, fd := blackHoleAddr()
 	defer unix.Close(fd)
-	t := up()
+	t := deployReady()
 	defer t.close()
-	t.write(strings.Replace(t.text, t.db.Addr(), hole, 1))
-	t.hangUp()
+	t.writeConfig(strings.Replace(t.config, t.database.Addr(), hole, 1))
+	t.sendHangup()
 	standin.Until("the move", func() bool { return strings.Contains(t.log.text(), "db="+hole) })
-	s := t.stub()
+	s := t.client()
 	for i := range 12 {
 		s.Send(standin.Op(i, "pay", standin.ID(i), nil, "kb", "1"))
-		t.rt.Hear()
-		t.rt.Notice("wants", standin.ID(i), "", "ask")
+		t.runtime.Hear()
+		t.runtime.Notice("wants", standin.ID(i), "", "ask")
 	}
 	for i := range 11 { // all but the last are over
 		s.Send([]any{2, "interrupt", []any{i}})
 	}
 	fmt.Println(s.Check())
 	for i := range 11 {
-		t.rt.Notice("end", standin.ID(i), "interrupted", "")
+		t.runtime.Notice("end", standin.ID(i), "interrupted", "")
 	}
 	s.Send(standin.Op(12, "view", standin.ID(12), nil, "kb", "1"))
 	for heard := ""; heard != `start c route view body ""`; {
-		heard = t.rt.Hear()
+		heard = t.runtime.Hear()
 	}
-	t.rt.Notice("end", standin.ID(12), "success", "all read")
+	t.runtime.Notice("end", standin.ID(12), "success", "all read")
 	fmt.Println(s.Hear())
-	t.write(strings.Replace(t.text, hole, t.db.Addr(), 1))
-	t.hangUp()
-	call := t.db.Next()
+	t.writeConfig(strings.Replace(t.config, hole, t.database.Addr(), 1))
+	t.sendHangup()
+	call := t.database.Next()
 	fmt.Println(call.Text)
 	call.Reply("200 OK", "", "rows")
 	for heard := ""; !strings.HasPrefix(heard, "give"); {
-		heard = t.rt.Hear()
+		heard = t.runtime.Hear()
 	}
-	t.rt.Notice("end", standin.ID(11), "success", "one")
+	t.runtime.Notice("end", standin.ID(11), "success", "one")
 	fmt.Println(s.Hear())
 	// Output:
 	// true
@@ -168,8 +168,8 @@
 	// ['\x01' '\v' <nil> ["one" map[]]]
 }
 
-// swallows gives an address whose queue is full: what knocks there hears nothing.
-func swallows() (addr string, fd int) {
+// blackHoleAddr gives an address whose queue is full: what knocks there hears nothing.
+func blackHoleAddr() (addr string, fd int) {
 	fd = standin.Must(unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0))
 	err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
 	if err == nil {
@@ -189,13 +189,13 @@
 
 // The list's machine is down at the start, is back later, goes silent, and moves: reports go on all the while, each with the state of its moment.
 func Example_listThatIsDown() {
-	t := open()
+	t := deploy()
 	defer t.close()
-	addr := t.roster.Addr()
-	t.roster.Close()
-	t.rt.Take()
-	t.rt.Ready("steady")
-	c := t.stub()
+	addr := t.registry.Addr()
+	t.registry.Close()
+	t.runtime.Take()
+	t.runtime.Ready("steady")
+	c := t.client()
 	standin.Until("health", func() bool { return c.Check() })
 	conn := standin.Must(net.ListenPacket("udp", addr)) // back
 	b := make([]byte, 100)
@@ -205,21 +205,21 @@
 		return string(b[:standin.Must(n, err)])
 	}
 	fmt.Println(hear(), "|", hear())
-	t.roster = standin.NewRoster()
-	t.write(strings.Replace(t.text, addr, t.roster.Addr(), 1))
-	t.hangUp()
-	fmt.Println(t.roster.Reported())
+	t.registry = standin.NewRoster()
+	t.writeConfig(strings.Replace(t.config, addr, t.registry.Addr(), 1))
+	t.sendHangup()
+	fmt.Println(t.registry.Reported())
 	conn.Close()
-	t.terminate()
+	t.sendTerminate()
 	off := 0
 	standin.Until("the list hears that it goes, more than once", func() bool {
-		if t.roster.Reported() == "HERE n1 off" {
+		if t.registry.Reported() == "HERE n1 off" {
 			off++
 		}
 		return off == 3
 	})
 	c.Close()
-	code, _ := t.ended()
+	code, _ := t.waitExit()
 	fmt.Println(code)
 	// Output:
 	// HERE n1 on | HERE n1 on
@@ -241,25 +241,25 @@
 	if _, err := unix.FcntlInt(uintptr(ends[1]), unix.F_SETFL, 0); err != nil { // the program's writes wait
 		panic(err)
 	}
-	logs = os.NewFile(uintptr(ends[1]), "log")
-	t := up()
-	logs.Close()
-	logs = nil
+	logFile = os.NewFile(uintptr(ends[1]), "log")
+	t := deployReady()
+	logFile.Close()
+	logFile = nil
 	defer t.close()
-	s := t.stub()
+	s := t.client()
 	ask := func(n int) {
 		s.Send(standin.Op(n, "view", standin.ID(n), nil))
-		t.rt.Hear()
-		t.rt.Notice("end", standin.ID(n), "success", "one")
+		t.runtime.Hear()
+		t.runtime.Notice("end", standin.ID(n), "success", "one")
 		fmt.Println(s.Hear())
 	}
 	ask(1)
 	unix.Close(ends[0]) // what is being written is refused
-	t.stub().Close()    // and leaves a line
+	t.client().Close()  // and leaves a line
 	ask(2)
-	t.terminate()
+	t.sendTerminate()
 	s.Close()
-	code, _ := t.ended()
+	code, _ := t.waitExit()
 	fmt.Println(code)
 	// Output:
 	// ['\x01' '\x01' <nil> ["one" map[]]]
@@ -270,20 +270,20 @@
 // A read whose caller has left runs on until its stop is heard. Who asked the same before that gets what it comes to; who asks the same now has a run
 // of its own.
 func Example_repeatOfOneGivenUp() {
-	t := up("FRESH", "5")
+	t := deployReady("FRESH", "5")
 	defer t.close()
-	s := t.stub()
+	s := t.client()
 	read := func(n int) []any { return standin.Op(n, "view", standin.ID(n), nil, "key", "k", "kb", "1") }
 	s.Send(read(1))
-	fmt.Println(t.rt.Hear())
+	fmt.Println(t.runtime.Hear())
 	s.Send(read(2))
 	s.Send([]any{2, "interrupt", []any{1}})
-	fmt.Println(t.rt.Hear())
+	fmt.Println(t.runtime.Hear())
 	s.Send(read(3))
-	fmt.Println(t.rt.Hear())
-	t.rt.Notice("end", standin.ID(1), "success", "one")
+	fmt.Println(t.runtime.Hear())
+	t.runtime.Notice("end", standin.ID(1), "success", "one")
 	fmt.Println(s.Hear())
-	t.rt.Notice("end", standin.ID(3), "success", "three")
+	t.runtime.Notice("end", standin.ID(3), "success", "three")
 	fmt.Println(s.Hear())
 	s.Send(read(4))
 	fmt.Println(s.Hear())
@@ -299,18 +299,18 @@
 // What comes to a further tier are calls, which carry the key of the op that makes them: each has a result of its own, and only one that says the
 // same is answered with another's.
 func Example_callsOfTheTierAbove() {
-	t := up("FRESH", "5", `{"classes"`, `{"tier":1,"classes"`)
+	t := deployReady("FRESH", "5", `{"classes"`, `{"tier":1,"classes"`)
 	defer t.close()
-	s := t.stub()
+	s := t.client()
 	call := func(n int, says string) []any {
 		return standin.Op(n, "view", standin.ID(n), []byte(says), "key", "k", "kb", "1")
 	}
 	s.Send(call(1, "lamps"), call(2, "poles"))
-	fmt.Println(t.rt.Hear())
-	fmt.Println(t.rt.Hear())
+	fmt.Println(t.runtime.Hear())
+	fmt.Println(t.runtime.Hear())
 	s.Send(call(3, "lamps"))
-	t.rt.Notice("end", standin.ID(1), "success", "of lamps")
-	t.rt.Notice("end", standin.ID(2), "success", "of poles")
+	t.runtime.Notice("end", standin.ID(1), "success", "of lamps")
+	t.runtime.Notice("end", standin.ID(2), "success", "of poles")
 	answers := []string{s.Hear(), s.Hear(), s.Hear()}
 	slices.Sort(answers)
 	fmt.Println(strings.Join(answers, "\n"))
@@ -325,18 +325,18 @@
 // A read's repeat while the first runs, in the moment in which the first's answer leaves, when its run has failed, and from another tenant, in
 // another class, after the told time: the first's result, or a run of its own, and one answer each.
 func Example_repeats() {
-	t := up("FRESH", "2", `"tenants":[]`, `"tenants":[{"name":"water"},{"name":"roads"}]`)
+	t := deployReady("FRESH", "2", `"tenants":[]`, `"tenants":[{"name":"water"},{"name":"roads"}]`)
 	defer t.close()
-	s := t.stub()
+	s := t.client()
 	read := func(n int, kind, tenant string) []any {
 		return standin.Op(n, kind, standin.ID(n), nil, "key", "k", "tenant", tenant, "kb", "1")
 	}
 	s.Send(read(1, "view", "water"), read(2, "view", "water"))
-	fmt.Println(t.rt.Hear())
+	fmt.Println(t.runtime.Hear())
 	for n := 3; n < 30; n++ { // the end and repeats cross, in any order
 		s.Send(read(n, "view", "water"))
 		if n == 15 {
-			t.rt.Notice("end", standin.ID(1), "success", "one")
+			t.runtime.Notice("end", standin.ID(1), "success", "one")
 		}
 	}
 	answers := map[string]int{}
@@ -346,18 +346,18 @@
 	}
 	fmt.Println(answers)
 	s.Send(read(60, "view", "roads"), read(61, "list", "water"))
-	fmt.Println(t.rt.Hear())
-	fmt.Println(t.rt.Hear())
+	fmt.Println(t.runtime.Hear())
+	fmt.Println(t.runtime.Hear())
 	s.Send(read(62, "view", "roads"), read(63, "pay", "roads"))
-	fmt.Println(t.rt.Hear())
-	t.rt.Notice("end", standin.ID(60), "failure", "")
+	fmt.Println(t.runtime.Hear())
+	t.runtime.Notice("end", standin.ID(60), "failure", "")
 	fmt.Println(s.Hear(), s.Hear())
-	t.rt.Notice("end", standin.ID(61), "success", "three")
-	t.rt.Notice("end", standin.ID(63), "success", "four")
+	t.runtime.Notice("end", standin.ID(61), "success", "three")
+	t.runtime.Notice("end", standin.ID(63), "success", "four")
 	fmt.Println(s.Hear(), s.Hear())
 	s.Send(read(64, "view", "roads"))
-	fmt.Println(t.rt.Hear())
-	t.rt.Notice("end", standin.ID(64), "success", "two")
+	fmt.Println(t.runtime.Hear())
+	t.runtime.Notice("end", standin.ID(64), "success", "two")
 	fmt.Println(s.Hear())
 	// Past the told time the result is nobody's: some repeat runs.
 	n := 65
@@ -365,8 +365,8 @@
 		s.Send(read(n, "view", "roads"))
 		n++
 		select {
-		case line := <-t.rt.Lines:
-			t.rt.Notice("end", line["rid"].(string), "success", "five")
+		case line := <-t.runtime.Lines:
+			t.runtime.Notice("end", line["rid"].(string), "success", "five")
 			fmt.Println(line["t"], strings.Contains(s.Hear(), "five"))
 			return true
 		case <-time.After(20 * time.Millisecond):
@@ -389,11 +389,11 @@
 // A class whose op timeout was not told, or is huge: what its callers say of their wait and its work still counts.
 func Example_timeouts() {
 	for _, told := range []string{``, `"give-up-s":0,`, `"give-up-s":3e9,`, `"give-up-s":1e300,`} {
-		t := up(`{"name":"view","credit":1,"promise-s":1,"give-up-s":3,`, `{"name":"view","credit":1,`+told)
-		s := t.stub()
+		t := deployReady(`{"name":"view","credit":1,"promise-s":1,"give-up-s":3,`, `{"name":"view","credit":1,`+told)
+		s := t.client()
 		s.Send(standin.Op(1, "view", standin.ID(1), nil))
-		fmt.Print(t.rt.Hear(), " ")
-		t.rt.Notice("end", standin.ID(1), "success", "one")
+		fmt.Print(t.runtime.Hear(), " ")
+		t.runtime.Notice("end", standin.ID(1), "success", "one")
 		fmt.Println(s.Hear())
 		t.close()
 	}
@@ -407,30 +407,30 @@
 // Tries of one keyed op, each under an id of its own and by whichever stub: one runs. The others get its result, while it runs and afterwards, or
 // its failure. What says something else, or is of another class, is another op.
 func Example_keyedTries() {
-	t := up(`"repeat":"at_most_once"}`, `"repeat":"deduplicated","dedup-window-s":60}`)
+	t := deployReady(`"repeat":"at_most_once"}`, `"repeat":"deduplicated","dedup-window-s":60}`)
 	defer t.close()
-	s, other := t.stub(), t.stub()
+	s, other := t.client(), t.client()
 	try := func(n int, kind, body string) []any {
 		return standin.Op(n, kind, standin.ID(n), []byte(body), "kb", "1")
 	}
 	s.Send(try(1, "pay", "x"))
-	fmt.Println(t.rt.Hear())
+	fmt.Println(t.runtime.Hear())
 	other.Send(try(2, "pay", "x"))
 	s.Send(try(3, "pay", "y"))
-	fmt.Println(t.rt.Hear())
+	fmt.Println(t.runtime.Hear())
 	s.Send(try(4, "view", "x"))
-	fmt.Println(t.rt.Hear())
+	fmt.Println(t.runtime.Hear())
 	fmt.Println(other.Check())
-	t.rt.Notice("end", standin.ID(1), "success", "one")
+	t.runtime.Notice("end", standin.ID(1), "success", "one")
 	fmt.Println(s.Hear(), other.Hear())
 	other.Send(try(5, "pay", "x"))
 	fmt.Println(other.Hear())
-	t.rt.Notice("end", standin.ID(3), "failure", "")
+	t.runtime.Notice("end", standin.ID(3), "failure", "")
 	fmt.Println(s.Hear())
 	other.Send(try(6, "pay", "y"))
 	fmt.Println(other.Hear())
 	s.Send([]any{2, "interrupt", []any{4}})
-	fmt.Println(t.rt.Hear(), len(t.rt.Lines))
+	fmt.Println(t.runtime.Hear(), len(t.runtime.Lines))
 	// Output:
 	// start 1 route pay body "x"
 	// start 3 route pay body "y"
@@ -446,36 +446,36 @@
 // A configuration is read anew while the instance drains: runtime, database and list move, the run that is under way ends by the new ones, and the
 // drain goes on by its own times; a wrong one changes nothing.
 func Example_movedWhileLeaving() {
-	t := up()
+	t := deployReady()
 	defer t.close()
-	s := t.stub()
+	s := t.client()
 	s.Send(standin.Op(1, "view", standin.ID(1), nil))
-	fmt.Println(t.rt.Hear())
-	t.terminate()
+	fmt.Println(t.runtime.Hear())
+	t.sendTerminate()
 	standin.Until("the notice", func() bool { return strings.Contains(t.log.text(), "msg=leaving") })
-	whole := t.text
-	t.write("{")
-	t.hangUp()
+	whole := t.config
+	t.writeConfig("{")
+	t.sendHangup()
 	standin.Until("the wrong file", func() bool { return strings.Contains(t.log.text(), "msg=configuration-kept") })
-	t.text = whole
-	t.write(t.moved())
-	t.hangUp()
-	fmt.Println("sync", t.rt.Take())
-	t.rt.Ready("steady")
-	fmt.Println(t.roster.Reported())
-	t.rt.No = 0
-	t.rt.Notice("wants", standin.ID(1), "", "ask")
-	t.db.Next().Reply("200 OK", "", "rows")
-	heard := t.rt.Hear()
+	t.config = whole
+	t.writeConfig(t.movedConfig())
+	t.sendHangup()
+	fmt.Println("sync", t.runtime.Take())
+	t.runtime.Ready("steady")
+	fmt.Println(t.registry.Reported())
+	t.runtime.No = 0
+	t.runtime.Notice("wants", standin.ID(1), "", "ask")
+	t.database.Next().Reply("200 OK", "", "rows")
+	heard := t.runtime.Hear()
 	if strings.HasPrefix(heard, "start 1 ") { // said again on the new link, as it may have been lost on the old one
-		heard = t.rt.Hear()
+		heard = t.runtime.Hear()
 	}
 	fmt.Println(heard)
-	t.rt.Notice("end", standin.ID(1), "success", "one")
+	t.runtime.Notice("end", standin.ID(1), "success", "one")
 	fmt.Println(s.Hear())
 	fmt.Println(s.Hear())
 	s.Close()
-	code, log := t.ended()
+	code, log := t.waitExit()
 	fmt.Println(code, strings.Count(log, "msg=moved"))
 	// Output:
 	// start 1 route view body ""
@@ -490,26 +490,26 @@
 // A process is killed right behind an accept: one connection stands in its queue with an op on it, another's op runs. Both end with their process,
 // at once and with no answer; the first never ran. The next life takes the address and serves.
 func Example_killedBehindAccept() {
-	t := up()
+	t := deployReady()
 	defer t.close()
-	runs, queued := t.stub(), (*standin.Stub)(nil)
+	runs, queued := t.client(), (*standin.Stub)(nil)
 	runs.Send(standin.Op(1, "view", standin.ID(1), nil))
-	fmt.Println(t.rt.Hear())
+	fmt.Println(t.runtime.Hear())
 	_ = t.cmd.Process.Signal(syscall.SIGSTOP) // the kernel accepts for it
-	queued = t.stub()
+	queued = t.client()
 	queued.Send(standin.Op(2, "view", standin.ID(2), nil))
 	_ = t.cmd.Process.Kill()
-	<-t.exit
+	<-t.exited
 	fmt.Println(runs.Hear(), strings.HasSuffix(queued.Hear(), "connection reset by peer")) // over the bytes that it never read
-	fmt.Println(t.rt.Hear())
-	t.exit = make(chan struct{})
+	fmt.Println(t.runtime.Hear())
+	t.exited = make(chan struct{})
 	t.run()
-	t.rt.Take()
-	t.rt.Ready("booting")
-	s := t.stub()
+	t.runtime.Take()
+	t.runtime.Ready("booting")
+	s := t.client()
 	standin.Until("health", func() bool { return s.Check() })
 	s.Send(standin.Op(1, "view", standin.ID(3), nil))
-	fmt.Println(t.rt.Hear())
+	fmt.Println(t.runtime.Hear())
 	// Output:
 	// start 1 route view body ""
 	// closed true
--- a/cmd/lanewheel/deployed_test.go
+++ b/cmd/lanewheel/deployed_test.go
@@ -18,8 +18,8 @@
 // The deployed line alone, as the platform starts it: what it opens is what it speaks with, and nothing that is off adds a socket, a
 // thread or a file. A socket of the runtime's link, one that listens, one that reports; the poller's.
 func Example_deployed() {
-	fmt.Println(deployed("run", "exec ", "\x00"))
-	t := up()
+	fmt.Println(deployWords("run", "exec ", "\x00"))
+	t := deployReady()
 	defer t.close()
 	pid := t.cmd.Process.Pid
 	// Danger: a file that whoever runs the tests left open goes through them to every program they start, under its number; that one is
@@ -85,7 +85,7 @@
 		}
 	}
 	var named []string
-	for _, word := range deployed("node", "[", "]") {
+	for _, word := range deployWords("node", "[", "]") {
 		named = append(named, strings.TrimSuffix(word, ","))
 	}
 	slices.Sort(linked)
--- a/cmd/lanewheel/helper_test.go
+++ b/cmd/lanewheel/helper_test.go
@@ -16,62 +16,62 @@
 	"lanewheel/internal/standin"
 )
 
-// town is one instance, as its own process, among stand-ins for all that it speaks to.
-type town struct {
-	cmd    *exec.Cmd
-	log    *lines
-	exit   chan struct{} // closed when the program has ended
-	listen string
-	path   string // of its configuration
-	text   string
-	rt     *standin.Runtime
-	db     *standin.Database
-	roster *standin.Roster
+// deployment is one instance, as its own process, among stand-ins for all that it speaks to.
+type deployment struct {
+	cmd        *exec.Cmd
+	log        *logBuffer
+	exited     chan struct{} // closed when the program has ended
+	listenAddr string
+	configPath string // of its configuration
+	config     string
+	runtime    *standin.Runtime
+	database   *standin.Database
+	registry   *standin.Roster
 }
 
-// lines gathers what the program logs.
-type lines struct {
+// logBuffer gathers what the program logs.
+type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(b)
 }
 
-func (l *lines) text() string {
+func (l *logBuffer) text() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.String()
 }
 
 var (
-	binary_, folder string
-	towns           int
-	operated        string   // the operator's file of the next town
-	logs            *os.File // where the next town logs to, in place of its own log
+	binaryPath, tempDir string
+	deploymentCount     int
+	operatorPath        string   // the operator's file of the next town
+	logFile             *os.File // where the next town logs to, in place of its own log
 )
 
-// build makes the program once for all tests.
-func build() {
-	folder = standin.Must(os.MkdirTemp("", "lanewheel"))
-	binary_ = filepath.Join(folder, "lanewheel")
-	how := append(append([]string{"build"}, deployed("build", "go build ", " -o ")...), "-o", binary_)
+// buildProgram makes the program once for all tests.
+func buildProgram() {
+	tempDir = standin.Must(os.MkdirTemp("", "lanewheel"))
+	binaryPath = filepath.Join(tempDir, "lanewheel")
+	args := append(append([]string{"build"}, deployWords("build", "go build ", " -o ")...), "-o", binaryPath)
 	info, _ := debug.ReadBuildInfo()
-	for _, set := range info.Settings {
-		if set.Key == "-race" && set.Value == "true" {
-			how = append(how, "-race")
+	for _, setting := range info.Settings {
+		if setting.Key == "-race" && setting.Value == "true" {
+			args = append(args, "-race")
 		}
 	}
-	if out, err := exec.Command("go", append(how, ".")...).CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", append(args, ".")...).CombinedOutput(); err != nil {
 		panic(string(out))
 	}
 }
 
-// deployed gives the words that stand between two others in a line of the deploy file, so that the tests run what is deployed.
-func deployed(line, after, before string) []string {
+// deployWords gives the words that stand between two others in a line of the deploy file, so that the tests run what is deployed.
+func deployWords(line, after, before string) []string {
 	for _, text := range strings.Split(string(standin.Must(os.ReadFile("../../deploy/balancer.toml"))), "\n") {
 		if rest, is := strings.CutPrefix(text, line+" = "); is {
 			_, rest, _ = strings.Cut(strings.Trim(rest, `"`), after)
@@ -82,99 +82,99 @@
 	panic("no line " + line)
 }
 
-// open starts a town whose runtime is not up yet; changes are pairs of text to replace in the configuration.
-func open(changes ...string) *town {
-	t := &town{log: &lines{}, exit: make(chan struct{}), rt: standin.NewRuntime(), db: standin.NewDatabase()}
-	t.roster = standin.NewRoster()
+// deploy starts a town whose runtime is not up yet; changes are pairs of text to replace in the configuration.
+func deploy(changes ...string) *deployment {
+	t := &deployment{log: &logBuffer{}, exited: make(chan struct{}), runtime: standin.NewRuntime(), database: standin.NewDatabase()}
+	t.registry = standin.NewRoster()
 	// Danger: a free port that is given back is taken by a connection of another test. Each town listens on a
 	// loopback address of its own, where nobody else binds.
-	towns++
-	free := standin.Must(net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 71+towns/250, os.Getpid()%250, 1+towns%250)))
-	t.listen = free.Addr().String()
+	deploymentCount++
+	free := standin.Must(net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 71+deploymentCount/250, os.Getpid()%250, 1+deploymentCount%250)))
+	t.listenAddr = free.Addr().String()
 	free.Close()
 	text := fmt.Sprintf(`{"name":"n1","listen":%q,"runtime":%q,"roster":%q,"db":%q,"seed":"8c1f30d27a5be964","stop_ms":1500,
  "limits":{"cores":1,"memory_mb":192,"sockets":64},"settings":%s}`,
-		t.listen, t.rt.Addr(), t.roster.Addr(), t.db.Addr(), standin.Settings)
+		t.listenAddr, t.runtime.Addr(), t.registry.Addr(), t.database.Addr(), standin.Settings)
 	text = strings.NewReplacer(append(changes, "IDLE", "30", "FRESH", "0")...).Replace(text)
 	t.start(text)
 	return t
 }
 
 // start runs the program with a configuration.
-func (t *town) start(text string) {
-	t.path = filepath.Join(folder, fmt.Sprintf("%d.json", time.Now().UnixNano()))
-	t.write(text)
+func (t *deployment) start(text string) {
+	t.configPath = filepath.Join(tempDir, fmt.Sprintf("%d.json", time.Now().UnixNano()))
+	t.writeConfig(text)
 	t.run()
 }
 
 // run runs the program on the configuration at t.path.
-func (t *town) run() {
-	t.cmd = exec.Command(binary_)
-	if operated != "" {
-		t.cmd.Args = append(t.cmd.Args, "serve", "--operator", operated)
+func (t *deployment) run() {
+	t.cmd = exec.Command(binaryPath)
+	if operatorPath != "" {
+		t.cmd.Args = append(t.cmd.Args, "serve", "--operator", operatorPath)
 	}
-	t.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+t.path)
+	t.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+t.configPath)
 	t.cmd.Stdout, t.cmd.Stderr = t.log, t.log
-	if logs != nil {
-		t.cmd.Stdout, t.cmd.Stderr = logs, logs
+	if logFile != nil {
+		t.cmd.Stdout, t.cmd.Stderr = logFile, logFile
 	}
 	if err := t.cmd.Start(); err != nil {
 		panic(err)
 	}
 	go func() {
 		_ = t.cmd.Wait()
-		close(t.exit)
+		close(t.exited)
 	}()
 }
 
-// write replaces the configuration.
-func (t *town) write(text string) {
-	t.text = text
-	if err := os.WriteFile(t.path, []byte(text), 0o600); err != nil {
+// writeConfig replaces the configuration.
+func (t *deployment) writeConfig(text string) {
+	t.config = text
+	if err := os.WriteFile(t.configPath, []byte(text), 0o600); err != nil {
 		panic(err)
 	}
 }
 
-// moved gives the configuration with new stand-ins for the runtime, the database and the roster.
-func (t *town) moved() string {
+// movedConfig gives the configuration with new stand-ins for the runtime, the database and the roster.
+func (t *deployment) movedConfig() string {
 	rt, db, roster := standin.NewRuntime(), standin.NewDatabase(), standin.NewRoster()
-	text := strings.NewReplacer(t.rt.Addr(), rt.Addr(), t.db.Addr(), db.Addr(),
-		t.roster.Addr(), roster.Addr()).Replace(t.text)
-	t.rt.Listener.Close()
-	t.db.Listener.Close()
-	t.roster.Close()
-	rt.No, t.rt, t.db, t.roster = t.rt.No, rt, db, roster
+	text := strings.NewReplacer(t.runtime.Addr(), rt.Addr(), t.database.Addr(), db.Addr(),
+		t.registry.Addr(), roster.Addr()).Replace(t.config)
+	t.runtime.Listener.Close()
+	t.database.Listener.Close()
+	t.registry.Close()
+	rt.No, t.runtime, t.database, t.registry = t.runtime.No, rt, db, roster
 	return text
 }
 
-func (t *town) hangUp() { _ = t.cmd.Process.Signal(syscall.SIGHUP) }
+func (t *deployment) sendHangup() { _ = t.cmd.Process.Signal(syscall.SIGHUP) }
 
 // town gives one whose runtime is up.
-func up(changes ...string) *town {
-	t := open(changes...)
-	t.rt.Take()
-	t.rt.Ready("steady")
-	c := t.stub()
+func deployReady(changes ...string) *deployment {
+	t := deploy(changes...)
+	t.runtime.Take()
+	t.runtime.Ready("steady")
+	c := t.client()
 	standin.Until("health", func() bool { return c.Check() })
 	c.Close()
 	return t
 }
 
-func (t *town) close() {
+func (t *deployment) close() {
 	_ = t.cmd.Process.Kill()
-	t.rt.Listener.Close()
-	t.db.Listener.Close()
-	t.roster.Close()
-	<-t.exit
+	t.runtime.Listener.Close()
+	t.database.Listener.Close()
+	t.registry.Close()
+	<-t.exited
 	if strings.Contains(t.log.text(), "DATA RACE") || strings.Contains(t.log.text(), "panic:") {
 		panic(t.log.text())
 	}
 }
 
-// ended waits for the program's end and gives its exit code and what it logged without the times.
-func (t *town) ended() (int, string) {
+// waitExit waits for the program's end and gives its exit code and what it logged without the times.
+func (t *deployment) waitExit() (int, string) {
 	select {
-	case <-t.exit:
+	case <-t.exited:
 	case <-time.After(standin.Patience):
 		panic("the program runs on")
 	}
@@ -187,6 +187,6 @@
 	return t.cmd.ProcessState.ExitCode(), strings.Join(lines, "\n")
 }
 
-func (t *town) terminate() { _ = t.cmd.Process.Signal(syscall.SIGTERM) }
+func (t *deployment) sendTerminate() { _ = t.cmd.Process.Signal(syscall.SIGTERM) }
 
-func (t *town) stub() *standin.Stub { return standin.Dial(t.listen) }
+func (t *deployment) client() *standin.Stub { return standin.Dial(t.listenAddr) }
--- a/cmd/lanewheel/main_test.go
+++ b/cmd/lanewheel/main_test.go
@@ -15,29 +15,29 @@
 )
 
 func TestMain(m *testing.M) {
-	build()
+	buildProgram()
 	code := m.Run()
-	os.RemoveAll(folder)
+	os.RemoveAll(tempDir)
 	os.Exit(code)
 }
 
 // An op's way: read, started, at a call, called, given the reply, ended, answered.
 func Example_served() {
-	t := up()
+	t := deployReady()
 	defer t.close()
-	s := t.stub()
+	s := t.client()
 	s.Send(standin.Op(7, "view", standin.ID(1), []byte("a\xff")))
-	fmt.Println(t.rt.Hear())
-	t.rt.Notice("wants", standin.ID(1), "", "ask")
-	call := t.db.Next()
+	fmt.Println(t.runtime.Hear())
+	t.runtime.Notice("wants", standin.ID(1), "", "ask")
+	call := t.database.Next()
 	fmt.Println(call.Text)
 	call.Reply("200 OK", "", "rows")
-	fmt.Println(t.rt.Hear())
-	t.rt.Notice("end", standin.ID(1), "success", "res\xff")
+	fmt.Println(t.runtime.Hear())
+	t.runtime.Notice("end", standin.ID(1), "success", "res\xff")
 	fmt.Println(s.Hear())
 	s.Send(standin.Op(8, "pay", standin.ID(2), nil))
-	fmt.Println(t.rt.Hear())
-	t.rt.Notice("end", standin.ID(2), "failure", "")
+	fmt.Println(t.runtime.Hear())
+	t.runtime.Notice("end", standin.ID(2), "failure", "")
 	fmt.Println(s.Hear())
 	// Output:
 	// start 1 route view body "a\xff"
@@ -51,23 +51,23 @@
 // An op larger than the memory is nacked unstarted; one that takes too long is given up and its run stopped, and
 // the end that comes then is no second answer. Gauges that never come hold up no answer.
 func Example_nackedAndGivenUp() {
-	t := up()
+	t := deployReady()
 	defer t.close()
-	t.rt.Conn.Close()
-	t.rt.Silent = true
-	t.rt.Take()
-	t.rt.Ready("steady")
-	fence(t)
-	s := t.stub()
+	t.runtime.Conn.Close()
+	t.runtime.Silent = true
+	t.runtime.Take()
+	t.runtime.Ready("steady")
+	answerFence(t)
+	s := t.client()
 	s.Send(standin.Op(3, "view", standin.ID(3), nil, "kb", "1999"))
 	fmt.Println(s.Hear())
 	s.Send(standin.Op(4, "pay", standin.ID(4), nil, "wait", "300"))
 	began := time.Now()
-	fmt.Println(t.rt.Hear())
+	fmt.Println(t.runtime.Hear())
 	fmt.Println(s.Hear())
 	fmt.Println("in time:", time.Since(began) < 350*time.Millisecond)
-	fmt.Println(t.rt.Hear())
-	t.rt.Notice("end", standin.ID(4), "interrupted", "")
+	fmt.Println(t.runtime.Hear())
+	t.runtime.Notice("end", standin.ID(4), "interrupted", "")
 	s.Send([]any{0, 9, "check", []any{map[string]string{}}})
 	fmt.Println(s.Hear()[:20]) // the check's answer, no second one of the op; unwell, as a run hung
 	// Output:
@@ -79,18 +79,18 @@
 	// ['\x01' '\t' <nil> [
 }
 
-// fence answers the mark behind the replayed notices of a link whose gauges are otherwise left unanswered.
-func fence(t *town) {
+// answerFence answers the mark behind the replayed notices of a link whose gauges are otherwise left unanswered.
+func answerFence(t *deployment) {
 	for i := range 9 {
-		fmt.Fprintf(t.rt.Conn, `{"t":"load","mark":"fence-%d","v":[0.1,0]}`+"\n", i)
+		fmt.Fprintf(t.runtime.Conn, `{"t":"load","mark":"fence-%d","v":[0.1,0]}`+"\n", i)
 	}
 }
 
 // What each end of a call proves: only a call that never ran is made again for an op that may not run twice.
 func Example_calls() {
-	t := up()
+	t := deployReady()
 	defer t.close()
-	s := t.stub()
+	s := t.client()
 	for i, how := range []func(c *standin.Call){
 		func(c *standin.Call) { c.Reply("500 Failed", "", "") },
 		func(c *standin.Call) { c.Reply("504 Late", "", "") },
@@ -101,25 +101,25 @@
 	} {
 		n := i + 1
 		s.Send(standin.Op(n, "pay", standin.ID(n), nil))
-		t.rt.Hear()
-		t.rt.Notice("wants", standin.ID(n), "", "ask")
-		how(t.db.Next())
+		t.runtime.Hear()
+		t.runtime.Notice("wants", standin.ID(n), "", "ask")
+		how(t.database.Next())
 		if i < 4 {
 			fmt.Println(s.Hear())
 		} else {
-			fmt.Println(t.db.Next().Text)
+			fmt.Println(t.database.Next().Text)
 			s.Send([]any{2, "interrupt", []any{n}})
 		}
-		t.rt.Notice("end", standin.ID(n), "interrupted", "")
+		t.runtime.Notice("end", standin.ID(n), "interrupted", "")
 	}
 	// each has its own connection, and the run's end gives its call up
-	standin.Until("the end of all connections", func() bool { return len(t.db.Ended) == 8 })
+	standin.Until("the end of all connections", func() bool { return len(t.database.Ended) == 8 })
 	// refused: it never ran, and this type can do without
-	t.db.Listener.Close()
+	t.database.Listener.Close()
 	s.Send(standin.Op(9, "list", standin.ID(9), nil))
-	t.rt.Hear()
-	t.rt.Notice("wants", standin.ID(9), "", "ask")
-	fmt.Println(t.rt.Hear())
+	t.runtime.Hear()
+	t.runtime.Notice("wants", standin.ID(9), "", "ask")
+	fmt.Println(t.runtime.Hear())
 	// Output:
 	// ['\x01' '\x01' ["Failed" map[]] <nil>]
 	// ['\x01' '\x02' ["Failed" map[]] <nil>]
@@ -133,37 +133,37 @@
 // A link lost with one run at a call whose reply is on its way, one whose end is missed, and one op read without
 // a link: on the new one nothing starts twice, and each is answered once.
 func Example_lostLink() {
-	t := up()
+	t := deployReady()
 	defer t.close()
-	s := t.stub()
+	s := t.client()
 	s.Send(standin.Op(1, "pay", standin.ID(1), nil), standin.Op(2, "pay", standin.ID(2), []byte("b")))
-	fmt.Println(t.rt.Hear())
-	fmt.Println(t.rt.Hear())
-	t.rt.Notice("wants", standin.ID(1), "", "ask")
-	call := t.db.Next()
-	t.rt.Conn.Close()
-	for s.Check() && t.rt.Hear() != "link closed" {
+	fmt.Println(t.runtime.Hear())
+	fmt.Println(t.runtime.Hear())
+	t.runtime.Notice("wants", standin.ID(1), "", "ask")
+	call := t.database.Next()
+	t.runtime.Conn.Close()
+	for s.Check() && t.runtime.Hear() != "link closed" {
 	}
 	call.Reply("200 OK", "", "rows")
-	fmt.Println("sync", t.rt.Take())
+	fmt.Println("sync", t.runtime.Take())
 	s.Send(standin.Op(3, "pay", standin.ID(3), []byte("c")))
 	fmt.Println("deaf link, well:", s.Check())
-	t.rt.Ready("steady")
-	t.rt.Notice("end", standin.ID(2), "success", "two")
+	t.runtime.Ready("steady")
+	t.runtime.Notice("end", standin.ID(2), "success", "two")
 	fmt.Println(s.Hear())
 	heard := map[string]int{}
 	for range 2 {
-		heard[t.rt.Hear()]++
+		heard[t.runtime.Hear()]++
 	}
 	fmt.Println(heard)
-	t.rt.Notice("end", standin.ID(3), "success", "three")
+	t.runtime.Notice("end", standin.ID(3), "success", "three")
 	fmt.Println(s.Hear())
-	t.rt.Notice("end", standin.ID(1), "success", "one")
+	t.runtime.Notice("end", standin.ID(1), "success", "one")
 	fmt.Println(s.Hear())
-	t.rt.Conn.Close()
-	fmt.Println("sync", t.rt.Take())
-	t.rt.Ready("steady")
-	fmt.Println(s.Check(), len(t.rt.Lines))
+	t.runtime.Conn.Close()
+	fmt.Println("sync", t.runtime.Take())
+	t.runtime.Ready("steady")
+	fmt.Println(s.Check(), len(t.runtime.Lines))
 	// Output:
 	// start 1 route pay body ""
 	// start 2 route pay body "b"
@@ -179,22 +179,22 @@
 
 // A stop that the lost link swallowed is sent again; a start that is not carried out ends its op.
 func Example_unsentStop() {
-	t := up()
+	t := deployReady()
 	defer t.close()
-	s := t.stub()
+	s := t.client()
 	s.Send(standin.Op(1, "view", standin.ID(1), nil))
-	fmt.Println(t.rt.Hear())
-	t.rt.Conn.Close()
-	standin.Until("the end of the link", func() bool { return t.rt.Hear() == "link closed" })
+	fmt.Println(t.runtime.Hear())
+	t.runtime.Conn.Close()
+	standin.Until("the end of the link", func() bool { return t.runtime.Hear() == "link closed" })
 	s.Send([]any{2, "interrupt", []any{1}})
-	fmt.Println(s.Check(), "sync", t.rt.Take())
-	t.rt.Ready("steady")
-	fmt.Println(t.rt.Hear())
-	fmt.Println(t.rt.Hear())
-	t.rt.Notice("end", standin.ID(1), "interrupted", "")
+	fmt.Println(s.Check(), "sync", t.runtime.Take())
+	t.runtime.Ready("steady")
+	fmt.Println(t.runtime.Hear())
+	fmt.Println(t.runtime.Hear())
+	t.runtime.Notice("end", standin.ID(1), "interrupted", "")
 	s.Send(standin.Op(2, "view", standin.ID(2), nil))
-	fmt.Println(t.rt.Hear())
-	fmt.Fprintf(t.rt.Conn, `{"t":"nack","status":"start","rid":%q}`+"\n", standin.ID(2))
+	fmt.Println(t.runtime.Hear())
+	fmt.Fprintf(t.runtime.Conn, `{"t":"nack","status":"start","rid":%q}`+"\n", standin.ID(2))
 	fmt.Println(s.Hear())
 	// Output:
 	// start 1 route view body ""
@@ -207,19 +207,19 @@
 
 // Crossings: an interrupt with the end, one for an id never seen, a connection that closes with ops open.
 func Example_crossings() {
-	t := up()
+	t := deployReady()
 	defer t.close()
-	s, other := t.stub(), t.stub()
+	s, other := t.client(), t.client()
 	s.Send(standin.Op(1, "pay", standin.ID(1), nil))
 	other.Send(standin.Op(1, "view", standin.ID(2), nil))
-	fmt.Println(t.rt.Hear())
-	fmt.Println(t.rt.Hear())
-	t.rt.Notice("end", standin.ID(1), "success", "one")
+	fmt.Println(t.runtime.Hear())
+	fmt.Println(t.runtime.Hear())
+	t.runtime.Notice("end", standin.ID(1), "success", "one")
 	s.Send([]any{2, "interrupt", []any{1}}, []any{2, "interrupt", []any{99}})
 	fmt.Println(s.Hear())
 	other.Close()
-	fmt.Println(t.rt.Hear())
-	t.rt.Notice("end", standin.ID(2), "success", "two")
+	fmt.Println(t.runtime.Hear())
+	t.runtime.Notice("end", standin.ID(2), "success", "two")
 	fmt.Println(s.Check())
 	// Output:
 	// start 1 route pay body ""
@@ -231,19 +231,19 @@
 
 // A connection that breaks the protocol fails what is open on it and ends at once; the others go on.
 func Example_faults() {
-	t := up()
+	t := deployReady()
 	defer t.close()
-	other := t.stub()
+	other := t.client()
 	for i, bad := range [][]byte{{0xc1}, standin.Pack(nil, standin.Op(1, "view", standin.ID(50), nil)), standin.Pack(nil, standin.Op(2, "view", standin.ID(3), nil)),
 		{0x94, 0, 2, 0xa4, 'v', 'i', 'e', 'w', 0x92, 0x81, 0xa2, 'i', 'd', 0xdb, 0x03, 0x90, 0, 0}} { // 60 MB to come
-		s := t.stub()
+		s := t.client()
 		s.Send(standin.Op(1, "view", standin.ID(i+1), nil))
-		fmt.Println(t.rt.Hear())
+		fmt.Println(t.runtime.Hear())
 		s.Conn.Write(bad)
-		fmt.Println(s.Hear(), s.Hear(), t.rt.Hear())
-		t.rt.Notice("end", standin.ID(i+1), "interrupted", "")
+		fmt.Println(s.Hear(), s.Hear(), t.runtime.Hear())
+		t.runtime.Notice("end", standin.ID(i+1), "interrupted", "")
 	}
-	s := t.stub()
+	s := t.client()
 	var many [][]any
 	for i := range 33 {
 		many = append(many, standin.Op(i, "view", standin.ID(100+i), nil, "kb", "0.1"))
@@ -251,8 +251,8 @@
 	s.Send(many...)
 	standin.Until("the end of a crowd", func() bool { return strings.Contains(t.log.text(), "too-many-open") })
 	fmt.Println(other.Check())
-	t.terminate()
-	_, log := t.ended()
+	t.sendTerminate()
+	_, log := t.waitExit()
 	for _, code := range []string{"bad-message", "id-twice", "op-twice", "too-many-open"} {
 		fmt.Println(code, strings.Count(log, code))
 	}
@@ -276,11 +276,11 @@
 // connection. An id in hand that comes from elsewhere is nacked, and its first bearer served. Ids that the runtime does
 // not know are no failed runs: dozens of them leave the instance well.
 func Example_unservable() {
-	t := up(`"tenants":[]`, `"tenants":[{"name":"acme"}]`)
+	t := deployReady(`"tenants":[]`, `"tenants":[{"name":"acme"}]`)
 	defer t.close()
-	s, bad := t.stub(), t.stub()
+	s, bad := t.client(), t.client()
 	s.Send(standin.Op(1, "view", standin.ID(1), nil, "tenant", "acme"))
-	fmt.Println(t.rt.Hear())
+	fmt.Println(t.runtime.Hear())
 	bad.Send(standin.Op(1, "view", standin.ID(1), []byte("other"), "tenant", "acme"))
 	fmt.Println(bad.Hear())
 	for i, fields := range [][]string{{"tenant", "none"}, {"kb", "0"}, {"kb", "2000"}, {"rank", "1"},
@@ -290,19 +290,19 @@
 	}
 	fmt.Println("", bad.Hear())
 	for i := range 30 {
-		bad = t.stub()
+		bad = t.client()
 		bad.Send(standin.Op(1, "view", standin.ID(100+i), nil, "tenant", "acme"))
-		t.rt.Hear()
-		fmt.Fprintf(t.rt.Conn, `{"t":"nack","status":"start","rid":%q}`+"\n", standin.ID(100+i))
+		t.runtime.Hear()
+		fmt.Fprintf(t.runtime.Conn, `{"t":"nack","status":"start","rid":%q}`+"\n", standin.ID(100+i))
 		if i == 0 {
 			fmt.Print(bad.Hear(), " ")
 		}
 		standin.Until("its end", func() bool { return bad.Hear() == "closed" })
 	}
-	bad = t.stub()
+	bad = t.client()
 	bad.Send(standin.Op(1, "what", standin.ID(1), nil))
-	fmt.Println(bad.Hear(), s.Check(), len(t.rt.Lines))
-	t.rt.Notice("end", standin.ID(1), "success", "one")
+	fmt.Println(bad.Hear(), s.Check(), len(t.runtime.Lines))
+	t.runtime.Notice("end", standin.ID(1), "success", "one")
 	fmt.Println(s.Hear(), strings.Contains(t.log.text(), "failing"))
 	// Output:
 	// start 1 route view body ""
@@ -314,14 +314,14 @@
 
 // Who says nothing, or half an op, is let go in time; whoever has asked once stays.
 func Example_silent() {
-	t := up()
+	t := deployReady()
 	defer t.close()
 	began := time.Now()
-	silent, half, asked := t.stub(), t.stub(), t.stub()
+	silent, half, asked := t.client(), t.client(), t.client()
 	asked.Send([]any{0, 1, "check", []any{map[string]string{}}})
 	asked.Hear()
 	half.Send(standin.Op(1, "view", standin.ID(1), nil, "cost", "900"))
-	fmt.Println(t.rt.Hear())
+	fmt.Println(t.runtime.Hear())
 	message := standin.Pack(nil, standin.Op(2, "view", standin.ID(2), nil))
 	half.Conn.Write(message[:len(message)/2])
 	fmt.Println(silent.Hear(), half.Hear(), half.Hear())
@@ -334,18 +334,18 @@
 
 // Health is not good, and nothing is taken, before the runtime is up. The roster hears of us each second.
 func Example_lateRuntime() {
-	t := open()
+	t := deploy()
 	defer t.close()
-	fmt.Println(t.roster.Reported())
-	s := t.stub()
+	fmt.Println(t.registry.Reported())
+	s := t.client()
 	fmt.Println(s.Check())
 	s.Send(standin.Op(7, "view", standin.ID(1), nil))
 	fmt.Println(s.Hear())
-	fmt.Println("sync", t.rt.Take())
-	t.rt.Ready("booting")
+	fmt.Println("sync", t.runtime.Take())
+	t.runtime.Ready("booting")
 	standin.Until("health", func() bool { return s.Check() })
 	began := time.Now()
-	fmt.Println(t.roster.Reported(), time.Since(began) < 1200*time.Millisecond)
+	fmt.Println(t.registry.Reported(), time.Since(began) < 1200*time.Millisecond)
 	// Output:
 	// HERE n1 on
 	// false
@@ -356,16 +356,16 @@
 
 // A clock that was set back or forth loses no op: one from far ahead is served, one from long ago nacked at once.
 func Example_clockSteps() {
-	t := up()
+	t := deployReady()
 	defer t.close()
-	s := t.stub()
+	s := t.client()
 	at := func(off time.Duration) string { return fmt.Sprint(time.Now().Add(off).UnixMilli()) }
 	s.Send(standin.Op(1, "view", standin.ID(1), nil, "at", at(time.Hour)), standin.Op(2, "view", standin.ID(2), nil, "at", at(-time.Hour)),
 		standin.Op(3, "view", standin.ID(3), nil, "at", "0"))
-	fmt.Println(t.rt.Hear())
+	fmt.Println(t.runtime.Hear())
 	heard := map[string]bool{s.Hear(): true, s.Hear(): true}
 	fmt.Println(heard)
-	t.rt.Notice("end", standin.ID(1), "success", "one")
+	t.runtime.Notice("end", standin.ID(1), "success", "one")
 	fmt.Println(s.Hear())
 	// Output:
 	// start 1 route view body ""
@@ -376,44 +376,44 @@
 // SIGHUP moves runtime, database and roster. While the file is half written the old ones stay; when it is whole, ops,
 // runs and notice numbers carry on at the new ones without another signal. A second move comes before the first is done.
 func Example_moved() {
-	t := up()
+	t := deployReady()
 	defer t.close()
-	s := t.stub()
-	old := t.rt
+	s := t.client()
+	old := t.runtime
 	s.Send(standin.Op(1, "view", standin.ID(1), nil))
 	fmt.Println(old.Hear())
-	text := t.moved()
-	t.write(text[:len(text)/2])
-	t.hangUp()
+	text := t.movedConfig()
+	t.writeConfig(text[:len(text)/2])
+	t.sendHangup()
 	standin.Until("the half file", func() bool { return strings.Contains(t.log.text(), "msg=configuration-kept") })
 	s.Send(standin.Op(2, "pay", standin.ID(2), nil))
 	fmt.Println(old.Hear())
 	old.Notice("end", standin.ID(2), "success", "two")
 	fmt.Println(s.Hear())
-	t.write(text)
-	fmt.Println("sync", t.rt.Take()) // no ready yet, and it moves again
+	t.writeConfig(text)
+	fmt.Println("sync", t.runtime.Take()) // no ready yet, and it moves again
 	fmt.Println(old.Hear())
-	first := t.rt
-	t.write(t.moved())
-	t.hangUp()
-	t.hangUp()
-	fmt.Println("sync", t.rt.Take())
+	first := t.runtime
+	t.writeConfig(t.movedConfig())
+	t.sendHangup()
+	t.sendHangup()
+	fmt.Println("sync", t.runtime.Take())
 	fmt.Println(first.Hear())
-	t.rt.Ready("steady")
-	fmt.Println(t.rt.Hear()) // it may have been swallowed; nothing happens if it was not
-	t.rt.No = 1
-	t.rt.Notice("wants", standin.ID(1), "", "ask")
-	t.db.Next().Reply("200 OK", "", "rows")
-	fmt.Println(t.rt.Hear())
-	t.rt.Notice("end", standin.ID(1), "success", "one")
+	t.runtime.Ready("steady")
+	fmt.Println(t.runtime.Hear()) // it may have been swallowed; nothing happens if it was not
+	t.runtime.No = 1
+	t.runtime.Notice("wants", standin.ID(1), "", "ask")
+	t.database.Next().Reply("200 OK", "", "rows")
+	fmt.Println(t.runtime.Hear())
+	t.runtime.Notice("end", standin.ID(1), "success", "one")
 	fmt.Println(s.Hear())
-	fmt.Println(t.roster.Reported())
-	t.terminate()
-	t.write(t.moved())
-	t.hangUp()
-	fmt.Println("sync", t.rt.Take())
+	fmt.Println(t.registry.Reported())
+	t.sendTerminate()
+	t.writeConfig(t.movedConfig())
+	t.sendHangup()
+	fmt.Println("sync", t.runtime.Take())
 	s.Close()
-	code, log := t.ended()
+	code, log := t.waitExit()
 	fmt.Println(code, strings.Count(log, "msg=configuration-kept"), strings.Count(log, "code=moved"))
 	// Output:
 	// start 1 route view body ""
@@ -433,24 +433,24 @@
 
 // Told to go, the instance says so, answers what it has, asks its stubs to go and ends by itself with 0.
 func Example_drain() {
-	t := up()
+	t := deployReady()
 	defer t.close()
-	s := t.stub()
+	s := t.client()
 	s.Send(standin.Op(1, "view", standin.ID(1), nil))
-	t.rt.Hear()
-	t.terminate()
-	standin.Until("the roster is told", func() bool { return t.roster.Reported() == "HERE n1 off" })
-	t.terminate()
-	t.rt.Notice("end", standin.ID(1), "success", "one")
+	t.runtime.Hear()
+	t.sendTerminate()
+	standin.Until("the roster is told", func() bool { return t.registry.Reported() == "HERE n1 off" })
+	t.sendTerminate()
+	t.runtime.Notice("end", standin.ID(1), "success", "one")
 	fmt.Println(s.Hear())
 	s.Send(standin.Op(2, "view", standin.ID(2), nil))
-	fmt.Println(t.rt.Hear())
+	fmt.Println(t.runtime.Hear())
 	fmt.Println(s.Hear())
 	fmt.Println(s.Hear())
 	s.Close()
-	code, log := t.ended()
+	code, log := t.waitExit()
 	fmt.Println(code, log[strings.LastIndex(log, "msg="):])
-	_, err := net.Dial("tcp", t.listen)
+	_, err := net.Dial("tcp", t.listenAddr)
 	fmt.Println("refused:", err != nil)
 	// Output:
 	// ['\x01' '\x01' <nil> ["one" map[]]]
@@ -464,13 +464,13 @@
 // A stub that connects while the listening socket is being closed is accepted and answered, or refused; SIGTERM
 // before the runtime is up ends at once.
 func Example_earlyStop() {
-	t := open()
+	t := deploy()
 	defer t.close()
-	s := t.stub()
+	s := t.client()
 	s.Check()
-	t.terminate()
+	t.sendTerminate()
 	fmt.Println(s.Hear(), s.Hear())
-	code, _ := t.ended()
+	code, _ := t.waitExit()
 	fmt.Println(code)
 	// Output:
 	// ['\x02' "goaway" []] closed
@@ -479,13 +479,13 @@
 
 // An unused connection is asked to go and closed; one more op that crosses the asking is served.
 func Example_unused() {
-	t := up("IDLE", "0.3")
+	t := deployReady("IDLE", "0.3")
 	defer t.close()
-	s := t.stub()
+	s := t.client()
 	fmt.Println(s.Hear())
 	s.Send(standin.Op(1, "view", standin.ID(1), nil))
-	fmt.Println(t.rt.Hear())
-	t.rt.Notice("end", standin.ID(1), "success", "one")
+	fmt.Println(t.runtime.Hear())
+	t.runtime.Notice("end", standin.ID(1), "success", "one")
 	fmt.Println(s.Hear())
 	fmt.Println(s.Hear())
 	// Output:
@@ -498,21 +498,21 @@
 // More connections than the bound wait in the backlog; those that are unused make room, the silent ones first, and
 // one with an open op never.
 func Example_descriptors() {
-	t := up()
+	t := deployReady()
 	defer t.close()
-	s := t.stub()
+	s := t.client()
 	s.Send(standin.Op(1, "view", standin.ID(1), nil, "cost", "900"))
-	fmt.Println(t.rt.Hear())
-	asked := t.stub()
+	fmt.Println(t.runtime.Hear())
+	asked := t.client()
 	asked.Check()
 	for range 60 { // of 64 descriptors 40 are for stubs
-		t.stub()
+		t.client()
 	}
-	late := t.stub()
+	late := t.client()
 	late.Send(standin.Op(1, "view", standin.ID(2), nil, "cost", "900"))
-	fmt.Println(t.rt.Hear(), asked.Check())
-	t.rt.Notice("end", standin.ID(2), "success", "late")
-	t.rt.Notice("end", standin.ID(1), "success", "one")
+	fmt.Println(t.runtime.Hear(), asked.Check())
+	t.runtime.Notice("end", standin.ID(2), "success", "late")
+	t.runtime.Notice("end", standin.ID(1), "success", "one")
 	fmt.Println(late.Hear(), s.Hear())
 	fmt.Println(strings.Count(t.log.text(), "\n") < 30)
 	// Output:
@@ -524,9 +524,9 @@
 
 // A stub that never reads loses its connection before its answers hold much memory; the others go on.
 func Example_neverReads() {
-	t := up()
+	t := deployReady()
 	defer t.close()
-	deaf, other := t.stub(), t.stub()
+	deaf, other := t.client(), t.client()
 	_ = deaf.Conn.(*net.TCPConn).SetReadBuffer(4096)
 	result := strings.Repeat("x", 4096)
 	ended := func() bool { return strings.Contains(t.log.text(), "never-reads") }
@@ -541,9 +541,9 @@
 		_, _ = deaf.Conn.Write(b) // fails once the connection is lost
 		for n := 0; n < 10 && !ended(); {
 			select {
-			case line := <-t.rt.Lines:
+			case line := <-t.runtime.Lines:
 				if line["t"] == "start" {
-					t.rt.Notice("end", line["rid"].(string), "success", result)
+					t.runtime.Notice("end", line["rid"].(string), "success", result)
 					n++
 				}
 			case <-time.After(50 * time.Millisecond): // the module nacked the rest of them
@@ -558,18 +558,18 @@
 
 // Hundreds of connections, each with an op, stay far within the memory.
 func Example_manyConnections() {
-	t := up(`"sockets":64`, `"sockets":1024`)
+	t := deployReady(`"sockets":64`, `"sockets":1024`)
 	defer t.close()
 	answered := 0
 	for i := range 500 {
-		s := t.stub()
+		s := t.client()
 		defer s.Close()
 		s.Send(standin.Op(1, "view", standin.ID(i), nil, "kb", "1999"))
 		if strings.Contains(s.Hear(), "Busy") {
 			answered++
 		}
 	}
-	fmt.Println(answered, t.stub().Check())
+	fmt.Println(answered, t.client().Check())
 	status := string(standin.Must(os.ReadFile(fmt.Sprintf("/proc/%d/status", t.cmd.Process.Pid))))
 	_, peak, _ := strings.Cut(status, "VmHWM:")
 	kb := standin.Must(strconv.Atoi(strings.Fields(peak)[0]))
@@ -581,15 +581,15 @@
 
 // The roster hears "off" from an instance that is unwell where the list follows health, and "on" when it is back.
 func Example_readiness() {
-	t := up(`"deep-checks":true`, `"deep-checks":true,"readiness":true`)
+	t := deployReady(`"deep-checks":true`, `"deep-checks":true,"readiness":true`)
 	defer t.close()
-	s := t.stub()
+	s := t.client()
 	s.Send(standin.Op(1, "pay", standin.ID(1), nil, "cost", "1")) // a run that hangs
-	fmt.Println(t.rt.Hear())
-	standin.Until("off", func() bool { return t.roster.Reported() == "HERE n1 off" })
-	t.rt.Notice("end", standin.ID(1), "success", "late")
+	fmt.Println(t.runtime.Hear())
+	standin.Until("off", func() bool { return t.registry.Reported() == "HERE n1 off" })
+	t.runtime.Notice("end", standin.ID(1), "success", "late")
 	fmt.Println(s.Hear())
-	standin.Until("on", func() bool { return t.roster.Reported() == "HERE n1 on" })
+	standin.Until("on", func() bool { return t.registry.Reported() == "HERE n1 on" })
 	// Output:
 	// start 1 route pay body ""
 	// ['\x01' '\x01' <nil> ["late" map[]]]
@@ -597,18 +597,18 @@
 
 // Reads of like type and key within the told time get the first one's result, without a run of their own.
 func Example_shared() {
-	t := up("FRESH", "5")
+	t := deployReady("FRESH", "5")
 	defer t.close()
-	s := t.stub()
+	s := t.client()
 	s.Send(standin.Op(1, "view", standin.ID(1), nil, "key", "k"), standin.Op(2, "view", standin.ID(2), nil, "key", "k"), standin.Op(3, "view", standin.ID(3), nil, "key", "l"))
-	fmt.Println(t.rt.Hear())
-	fmt.Println(t.rt.Hear())
-	t.rt.Notice("end", standin.ID(1), "success", "one")
+	fmt.Println(t.runtime.Hear())
+	fmt.Println(t.runtime.Hear())
+	t.runtime.Notice("end", standin.ID(1), "success", "one")
 	fmt.Println(s.Hear())
 	fmt.Println(s.Hear())
 	s.Send(standin.Op(4, "view", standin.ID(4), nil, "key", "k"))
 	fmt.Println(s.Hear())
-	fmt.Println(s.Check(), len(t.rt.Lines))
+	fmt.Println(s.Check(), len(t.runtime.Lines))
 	// Output:
 	// start 1 route view body ""
 	// start 3 route view body ""
@@ -626,9 +626,9 @@
 		`"limits":{"cores":1,"memory_mb":192,"sockets":64},"settings":%s}`, taken.Addr(), strings.NewReplacer("IDLE", "1", "FRESH", "0").Replace(standin.Settings))
 	for _, text := range []string{`{"name":`, `{}`, strings.Replace(good, `"cores":1`, `"cores":0`, 1),
 		strings.Replace(good, `"cpus":2`, `"cpus":"two"`, 1), strings.Replace(good, `"settings"`, `"other"`, 1), good} {
-		t := &town{log: &lines{}, exit: make(chan struct{})}
+		t := &deployment{log: &logBuffer{}, exited: make(chan struct{})}
 		t.start(text)
-		code, log := t.ended()
+		code, log := t.waitExit()
 		log = strings.ReplaceAll(log, taken.Addr().String(), "ADDR")
 		if _, after, found := strings.Cut(log, ".json:"); found {
 			log = after
@@ -644,31 +644,31 @@
 	// 1 0 msg=cannot-start err="listen tcp ADDR: bind: address already in use"
 }
 
-// run gives the exit code and all that the program prints for a command line.
-func run(args ...string) string {
-	cmd := exec.Command(binary_, args...)
-	cmd.Env = []string{"TMPDIR=" + folder}
+// runCommand gives the exit code and all that the program prints for a command line.
+func runCommand(args ...string) string {
+	cmd := exec.Command(binaryPath, args...)
+	cmd.Env = []string{"TMPDIR=" + tempDir}
 	out, _ := cmd.CombinedOutput()
-	return fmt.Sprintf("%d %s", cmd.ProcessState.ExitCode(), strings.ReplaceAll(string(out), folder+"/", ""))
+	return fmt.Sprintf("%d %s", cmd.ProcessState.ExitCode(), strings.ReplaceAll(string(out), tempDir+"/", ""))
 }
 
 // The command line: help on every level, files checked with each fault in its place, a wrong word told from a wrong file.
 func Example_commandLine() {
 	for _, args := range [][]string{{"--help"}, {"check", "--help"}, {"try", "--help"}} {
-		text := run(args...)
+		text := runCommand(args...)
 		fmt.Println(args, text[:2], strings.Contains(text, "Usage: lanewheel"))
 	}
-	fmt.Println(run("chekc")[:1])
+	fmt.Println(runCommand("chekc")[:1])
 	write := func(name, text string) string {
-		path := filepath.Join(folder, name)
+		path := filepath.Join(tempDir, name)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			panic(err)
 		}
 		return path
 	}
-	fmt.Print(run("check", write("good.ini", "; a comment\n[log]\nformat = json\n")))
-	fmt.Print(run("check", write("bad.ini", "[log]\nformat = xml\nformt = text\n\n[lgo]\n[log]\n")))
-	fmt.Print(run("check", write("bad.json", "{\"name\":\"n1\",\n\"listen\":\"127.0.0.1:1\",\"runtime\":\"r\",\"db\":\"d\",\"roster\":7,\n"+
+	fmt.Print(runCommand("check", write("good.ini", "; a comment\n[log]\nformat = json\n")))
+	fmt.Print(runCommand("check", write("bad.ini", "[log]\nformat = xml\nformt = text\n\n[lgo]\n[log]\n")))
+	fmt.Print(runCommand("check", write("bad.json", "{\"name\":\"n1\",\n\"listen\":\"127.0.0.1:1\",\"runtime\":\"r\",\"db\":\"d\",\"roster\":7,\n"+
 		"\"limits\":{\"cores\":-1,\n\"memory_mb\":3},\"settings\":{\"classes\":[{\"name\":\"view\"},\n{\"credit\":\"x\"}]}}")))
 	// Output:
 	// [--help] 0  true
@@ -689,7 +689,7 @@
 
 // A newcomer's first command: it starts, serves, ends with its table, and all that was asked is in it.
 func Example_try() {
-	text := run("try", "--for", "1s", "--rate", "100", "--mean", "1ms")
+	text := runCommand("try", "--for", "1s", "--rate", "100", "--mean", "1ms")
 	lines := strings.Split(strings.TrimSpace(text), "\n")
 	fmt.Println(text[:2], strings.Contains(text, "an instance serves at 127.0.0.1:"))
 	for _, line := range lines {
--- a/cmd/lanewheel/queue_test.go
+++ b/cmd/lanewheel/queue_test.go
@@ -17,14 +17,14 @@
 	"lanewheel/internal/standin/broker"
 )
 
-// depot is a town that also consumes from a broker.
-type depot struct {
-	*town
-	broker *broker.Broker
-	file   string
+// queueDeployment is a town that also consumes from a broker.
+type queueDeployment struct {
+	*deployment
+	broker       *broker.Broker
+	operatorPath string
 }
 
-const depotFile = `[amqp]
+const queueOperatorFile = `[amqp]
 brokers = URL
 heartbeat = 10s
 watch = WATCH
@@ -35,33 +35,33 @@
 floor = 4
 `
 
-// openDepot starts one; changes are pairs of text to replace in the town's configuration.
-func openDepot(file string, changes ...string) *depot {
-	d := &depot{broker: broker.New()}
+// deployWithQueue starts one; changes are pairs of text to replace in the town's configuration.
+func deployWithQueue(file string, changes ...string) *queueDeployment {
+	d := &queueDeployment{broker: broker.New()}
 	for _, name := range []string{"ops", "dead", "replies"} {
 		d.broker.Declare(name, nil)
 	}
-	path := filepath.Join(folder, fmt.Sprintf("depot%d.ini", time.Now().UnixNano()))
+	path := filepath.Join(tempDir, fmt.Sprintf("depot%d.ini", time.Now().UnixNano()))
 	if err := os.WriteFile(path, []byte(strings.NewReplacer("URL", d.broker.URL(), "WATCH", path+".sock").Replace(file)), 0o600); err != nil {
 		panic(err)
 	}
-	operated, d.file = path, path
-	d.town = up(changes...)
-	operated = ""
+	operatorPath, d.operatorPath = path, path
+	d.deployment = deployReady(changes...)
+	operatorPath = ""
 	return d
 }
 
-func (d *depot) close() {
-	d.town.close()
+func (d *queueDeployment) close() {
+	d.deployment.close()
 	d.broker.Close()
 }
 
-func dropped(id, kind string) client.Publishing {
+func queueMessage(id, kind string) client.Publishing {
 	return client.Publishing{MessageId: id, CorrelationId: id, ReplyTo: "replies", Type: kind, Timestamp: time.Now(), Expiration: "20000", Body: []byte(id)}
 }
 
 // answers waits for as many and gives them sorted; an answer sent twice counts once.
-func (d *depot) answers(n int) (all []string) {
+func (d *queueDeployment) answers(n int) (all []string) {
 	standin.Until("answers", func() bool { return d.broker.Counts("replies").Ready >= n })
 	for _, p := range d.broker.Take("replies") {
 		why, _ := p.Headers["why"].(string)
@@ -74,26 +74,26 @@
 // A message's op runs beside the stubs' ops; a connection that drops while it runs does not run it again, and its answer goes out
 // on the next one.
 func Example_queue() {
-	d := openDepot(depotFile)
+	d := deployWithQueue(queueOperatorFile)
 	defer d.close()
-	d.broker.Publish("ops", dropped("m1", "pay"))
-	start := d.rt.Next()
+	d.broker.Publish("ops", queueMessage("m1", "pay"))
+	start := d.runtime.Next()
 	fmt.Println(start["t"], start["route"])
 	d.broker.Cut()
 	standin.Until("the next connection", func() bool {
 		ever, _ := d.broker.Connections()
 		return ever == 2 && d.broker.Counts("ops").Unsettled == 1
 	})
-	d.rt.Notice("end", start["rid"].(string), "success", "one")
+	d.runtime.Notice("end", start["rid"].(string), "success", "one")
 	fmt.Println(d.answers(1))
-	d.broker.Publish("ops", dropped("m2", "what"))
-	s := d.stub()
+	d.broker.Publish("ops", queueMessage("m2", "what"))
+	s := d.client()
 	s.Send(standin.Op(1, "view", standin.ID(1), nil))
-	fmt.Println(d.rt.Hear())
-	d.rt.Notice("end", standin.ID(1), "success", "two")
+	fmt.Println(d.runtime.Hear())
+	d.runtime.Notice("end", standin.ID(1), "success", "two")
 	fmt.Println(s.Hear(), d.answers(1), d.broker.Counts("dead").Ready)
 	standin.Until("the acks", func() bool { return d.broker.Counts("ops").Acked == 2 })
-	fmt.Println(len(d.rt.Lines), d.broker.Wrong())
+	fmt.Println(len(d.runtime.Lines), d.broker.Wrong())
 	// Output:
 	// start pay
 	// [m1 acked one]
@@ -104,7 +104,7 @@
 
 // Who may is the identity's matter on queues too: a told one for all of a queue, or a token each.
 func Example_queueIdentity() {
-	h := openHouse()
+	h := deployWithAuth()
 	defer h.close()
 	h.close()
 	b := broker.New()
@@ -112,21 +112,21 @@
 	for _, name := range []string{"water", "any", "replies"} {
 		b.Declare(name, nil)
 	}
-	h.put("op.ini", h.file+fmt.Sprintf("[amqp]\nbrokers = %s\n[queue water]\nidentity = token:water-depot\n[queue any]\nidentity = message\n", b.URL()))
-	operated = h.path("op.ini")
-	h.town = up(`"tenants":[]`, `"tenants":[{"name":"water"},{"name":"roads"}]`)
-	operated = ""
-	d := &depot{town: h.town, broker: b}
+	h.writeFile("op.ini", h.operatorFile+fmt.Sprintf("[amqp]\nbrokers = %s\n[queue water]\nidentity = token:water-depot\n[queue any]\nidentity = message\n", b.URL()))
+	operatorPath = h.path("op.ini")
+	h.deployment = deployReady(`"tenants":[]`, `"tenants":[{"name":"water"},{"name":"roads"}]`)
+	operatorPath = ""
+	d := &queueDeployment{deployment: h.deployment, broker: b}
 	with := func(id, name, value string) client.Publishing {
-		p := dropped(id, "view")
+		p := queueMessage(id, "view")
 		p.Headers = client.Table{name: value}
 		return p
 	}
-	h.quick()
+	h.endRunsAtOnce()
 	b.Publish("water", with("a", "tenant", "water"))
 	b.Publish("water", with("b", "tenant", "roads"))
 	b.Publish("any", with("c", "token", h.token("k1", "roads-1")))
-	b.Publish("any", dropped("d", "view"))
+	b.Publish("any", queueMessage("d", "view"))
 	for _, a := range d.answers(4) {
 		fmt.Println(a)
 	}
@@ -139,16 +139,16 @@
 
 // The operators' commands: what is there at the broker and what is missing, ops sent and answered, the intake as it stands.
 func Example_queueCommands() {
-	d := openDepot(depotFile + "[queue none]\n")
+	d := deployWithQueue(queueOperatorFile + "[queue none]\n")
 	defer d.close()
-	d.quick()
-	for _, line := range strings.Split(run("queue", "check", d.file), "\n") {
+	d.endRunsAtOnce()
+	for _, line := range strings.Split(runCommand("queue", "check", d.operatorPath), "\n") {
 		if f := strings.Fields(line); len(f) > 4 {
 			fmt.Println(f[len(f)-1], strings.Contains(line, "NOT_FOUND"))
 		}
 	}
-	fmt.Println(strings.Fields(run("queue", "send", d.file, "--queue", "ops", "--type", "view", "--count", "5"))[:9])
-	text := run("queue", "watch", d.file, "--count", "1")
+	fmt.Println(strings.Fields(runCommand("queue", "send", d.operatorPath, "--queue", "ops", "--type", "view", "--count", "5"))[:9])
+	text := runCommand("queue", "watch", d.operatorPath, "--count", "1")
 	fmt.Println(text[:1], strings.Contains(text, "takes"), strings.Contains(text, "acked:5"))
 	// Output:
 	// found false
@@ -161,22 +161,22 @@
 
 // At SIGTERM consuming stops, what runs is answered and acked, what was not started goes back, and the program ends with 0.
 func Example_queueDrain() {
-	d := openDepot(strings.Replace(depotFile, "floor = 4", "floor = 30", 1))
+	d := deployWithQueue(strings.Replace(queueOperatorFile, "floor = 4", "floor = 30", 1))
 	defer d.close()
 	for i := range 60 {
-		d.broker.Publish("ops", dropped(fmt.Sprintf("m%02d", i), "view"))
+		d.broker.Publish("ops", queueMessage(fmt.Sprintf("m%02d", i), "view"))
 	}
 	standin.Until("as many in hand as told", func() bool { return d.broker.Counts("ops").Unsettled == 30 })
 	ran := 1
-	d.rt.Notice("end", d.rt.Next()["rid"].(string), "success", "done")
-	d.terminate()
-	for line := range d.rt.Lines {
+	d.runtime.Notice("end", d.runtime.Next()["rid"].(string), "success", "done")
+	d.sendTerminate()
+	for line := range d.runtime.Lines {
 		if line["t"] == "start" {
 			ran++
-			d.rt.Notice("end", line["rid"].(string), "success", "done")
+			d.runtime.Notice("end", line["rid"].(string), "success", "done")
 		}
 	}
-	code, log := d.ended()
+	code, log := d.waitExit()
 	counts := d.broker.Counts("ops")
 	all := d.answers(counts.Acked)
 	outcomes := map[string]int{}
@@ -196,16 +196,16 @@
 func TestQueueTotals(t *testing.T) {
 	const many = 200
 	play := func() string {
-		d := openDepot(depotFile, roomy...)
+		d := deployWithQueue(queueOperatorFile, roomyConfig...)
 		defer d.close()
 		var mu sync.Mutex
 		runs := map[string]int{}
-		d.rt.Work(8, 200*time.Microsecond, 7, func(id, kind, _ string) { mu.Lock(); runs[id]++; mu.Unlock() })
-		d.db.Work()
+		d.runtime.Work(8, 200*time.Microsecond, 7, func(id, kind, _ string) { mu.Lock(); runs[id]++; mu.Unlock() })
+		d.database.Work()
 		d.broker.Script(broker.Fault{Connection: 1, Frame: 90}, broker.Fault{Connection: 2, Frame: 333, How: broker.Half},
 			broker.Fault{Connection: 3, Frame: 200, How: broker.Stall, For: 50 * time.Millisecond}, broker.Fault{Connection: 3, Frame: 412, How: broker.Half})
 		for i := range many {
-			d.broker.Publish("ops", dropped(fmt.Sprintf("m%03d", i), []string{"view", "pay", "list"}[i%3]))
+			d.broker.Publish("ops", queueMessage(fmt.Sprintf("m%03d", i), []string{"view", "pay", "list"}[i%3]))
 		}
 		standin.Until("the last ack", func() bool { c := d.broker.Counts("ops"); return c.Acked == many && c.Unsettled+c.Ready == 0 })
 		all := d.answers(many) // each was confirmed before its ack
@@ -241,9 +241,9 @@
 func BenchmarkFlood(b *testing.B) {
 	for _, flooded := range []bool{false, true} {
 		b.Run(fmt.Sprint("flood ", flooded), func(b *testing.B) {
-			d := openDepot(depotFile, roomy...)
+			d := deployWithQueue(queueOperatorFile, roomyConfig...)
 			defer d.close()
-			d.quick()
+			d.endRunsAtOnce()
 			const flood = 5_000 // a tenth of what the queues' page speaks of: ten seconds of it
 			began := time.Now()
 			var drained time.Duration
@@ -254,7 +254,7 @@
 					return
 				}
 				for i := range flood {
-					p := dropped(fmt.Sprint(i), "view")
+					p := queueMessage(fmt.Sprint(i), "view")
 					p.Timestamp, p.Expiration = time.Now().Add(-time.Hour), ""
 					d.broker.Publish("ops", p)
 				}
@@ -263,7 +263,7 @@
 				}
 				drained = time.Since(began)
 			}()
-			s := d.stub()
+			s := d.client()
 			s.Check()
 			took := hdrhistogram.New(1, 60e6, 3)
 			b.ResetTimer()
@@ -290,15 +290,15 @@
 //	go test -run xxx -bench Waiting -benchtime 1x ./cmd/lanewheel
 func BenchmarkWaiting(b *testing.B) {
 	const many = 5000 // of 6,144 ops for which 192 MB have room
-	d := openDepot(strings.NewReplacer("floor = 4", "floor = 5000\nmost = 5000", "[queue", "in-hand = 5000\n[queue").Replace(strings.Replace(depotFile, "floor = 4", "floor = 1000\nmost = 5000", 1)), roomy...)
+	d := deployWithQueue(strings.NewReplacer("floor = 4", "floor = 5000\nmost = 5000", "[queue", "in-hand = 5000\n[queue").Replace(strings.Replace(queueOperatorFile, "floor = 4", "floor = 1000\nmost = 5000", 1)), roomyConfig...)
 	defer d.close()
-	before := resident(d.cmd.Process.Pid)
+	before := residentKB(d.cmd.Process.Pid)
 	go func() {
-		for range d.rt.Lines {
+		for range d.runtime.Lines {
 		}
 	}()
 	for i := range many {
-		p := dropped(fmt.Sprint(i), "pay")
+		p := queueMessage(fmt.Sprint(i), "pay")
 		p.Expiration = "2900000"
 		d.broker.Publish("ops", p)
 	}
@@ -307,27 +307,27 @@
 		most = max(most, d.broker.Counts("ops").Unsettled)
 	}
 	b.ReportMetric(float64(most), "in-hand")
-	b.ReportMetric(float64(resident(d.cmd.Process.Pid)-before)/1024, "MB-more")
+	b.ReportMetric(float64(residentKB(d.cmd.Process.Pid)-before)/1024, "MB-more")
 }
 
 // Messages a second, and what one costs an instance, beside the stubs' ops of BenchmarkOp.
 //
 //	go test -run xxx -bench Messages -benchtime 30000x ./cmd/lanewheel
 func BenchmarkMessages(b *testing.B) {
-	d := openDepot(strings.Replace(depotFile, "floor = 4", "floor = 64\nmost = 128", 1), roomy...)
+	d := deployWithQueue(strings.Replace(queueOperatorFile, "floor = 4", "floor = 64\nmost = 128", 1), roomyConfig...)
 	defer d.close()
-	d.quick()
-	before, held := spent(d.cmd.Process.Pid), resident(d.cmd.Process.Pid)
+	d.endRunsAtOnce()
+	before, held := cpuTime(d.cmd.Process.Pid), residentKB(d.cmd.Process.Pid)
 	b.ResetTimer()
 	for i := range b.N {
-		d.broker.Publish("ops", dropped(fmt.Sprint(i), "view"))
+		d.broker.Publish("ops", queueMessage(fmt.Sprint(i), "view"))
 	}
 	for c := d.broker.Counts("ops"); c.Acked < b.N; c = d.broker.Counts("ops") {
 		time.Sleep(time.Millisecond)
 	}
 	b.StopTimer()
-	b.ReportMetric(float64((spent(d.cmd.Process.Pid)-before).Microseconds())/float64(b.N), "cpu-µs/op")
-	b.ReportMetric(float64(resident(d.cmd.Process.Pid)-held)/1024, "MB-more")
+	b.ReportMetric(float64((cpuTime(d.cmd.Process.Pid)-before).Microseconds())/float64(b.N), "cpu-µs/op")
+	b.ReportMetric(float64(residentKB(d.cmd.Process.Pid)-held)/1024, "MB-more")
 	outcomes := map[string]int{}
 	for _, p := range d.broker.Take("replies") {
 		outcomes[p.Type]++
--- a/cmd/lanewheel/rotation_test.go
+++ b/cmd/lanewheel/rotation_test.go
@@ -25,40 +25,40 @@
 	rotateEvery = flag.Duration("rotate-every", time.Second, "how often its keys turn; whole seconds")
 )
 
-// signing is a key as the test knows it: published before it signs, kept after it stops.
-type signing struct {
+// signingKey is a key as the test knows it: published before it signs, kept after it stops.
+type signingKey struct {
 	key    *jose.JSONWebKey
 	retire time.Time
 }
 
 // issuer turns keys and takes tokens back; it is also the oracle, which knows for each op what was right.
 type issuer struct {
-	h      *house
-	mu     sync.Mutex
-	now    *signing
-	serial int
-	taken  map[string][2]time.Time // jti to when the list was being written, and when it was in force
-	last   held                    // of an honest handheld's, to be taken back
-	lines  strings.Builder
+	deployment *authDeployment
+	mu         sync.Mutex
+	current    *signingKey
+	serial     int
+	revoked    map[string][2]time.Time // jti to when the list was being written, and when it was in force
+	lastHonest issuedToken             // of an honest handheld's, to be taken back
+	lines      strings.Builder
 }
 
-// held is a token with all that makes it good or not.
-type held struct {
+// issuedToken is a token with all that makes it good or not.
+type issuedToken struct {
 	raw, id, subject string
 	expiry, retire   time.Time
 	forged           bool
 }
 
-func (i *issuer) sign(subject string, span time.Duration, forge string) held {
+func (i *issuer) sign(subject string, span time.Duration, forge string) issuedToken {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.serial++
-	h := held{id: fmt.Sprint("t", i.serial), subject: subject, retire: i.now.retire, expiry: time.Now().Add(span).Truncate(time.Second)}
-	key := *i.now.key
+	h := issuedToken{id: fmt.Sprint("t", i.serial), subject: subject, retire: i.current.retire, expiry: time.Now().Add(span).Truncate(time.Second)}
+	key := *i.current.key
 	switch forge {
 	case "key": // signed by a key of its own under the id of ours
 		key = *standin.Must(keyring.New("EdDSA"))
-		key.KeyID = i.now.key.KeyID
+		key.KeyID = i.current.key.KeyID
 	case "id":
 		key = *standin.Must(keyring.New("EdDSA"))
 	}
@@ -73,16 +73,16 @@
 		h.raw = strings.Join(parts, ".")
 	}
 	if forge == "" && subject == "water-0" {
-		i.last = h
+		i.lastHonest = h
 	}
 	return h
 }
 
-// right tells what is right for an op at a moment: why it is to be denied, empty if it is not. unsure: a reload was under way.
-func (i *issuer) right(t held, tenant, kind string, at time.Time) (why string, unsure bool) {
+// expected tells what is right for an op at a moment: why it is to be denied, empty if it is not. unsure: a reload was under way.
+func (i *issuer) expected(t issuedToken, tenant, kind string, at time.Time) (why string, unsure bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	taken, listed := i.taken[t.id]
+	taken, listed := i.revoked[t.id]
 	switch {
 	case t.forged:
 		return "forged", false
@@ -100,67 +100,67 @@
 	return "", false
 }
 
-// turn publishes the next key, signs with it once it is there, and retires the one before a while after that.
-func (i *issuer) turn(n int) {
+// rotate publishes the next key, signs with it once it is there, and retires the one before a while after that.
+func (i *issuer) rotate(n int) {
 	key := standin.Must(keyring.New("EdDSA"))
 	key.KeyID = fmt.Sprint("turn-", n)
 	retire := time.Now().Truncate(time.Second).Add(3*(*rotateEvery) + time.Second)
 	text := standin.Must(keyring.Publish(*key, time.Now().Add(-time.Second), retire, false))
-	if err := keyring.Write(filepath.Join(i.h.path("keys"), key.KeyID+".json"), text, 0o644); err != nil {
+	if err := keyring.Write(filepath.Join(i.deployment.path("keys"), key.KeyID+".json"), text, 0o644); err != nil {
 		panic(err)
 	}
 	if n%2 == 0 { // every other one is found by a look
-		i.h.reload()
+		i.deployment.reloadOnce()
 	}
 	i.mu.Lock()
-	i.now = &signing{key: key, retire: retire}
+	i.current = &signingKey{key: key, retire: retire}
 	i.mu.Unlock()
 }
 
-// takeBack revokes a token and waits until that is in force.
-func (i *issuer) takeBack(t held) {
+// revoke revokes a token and waits until that is in force.
+func (i *issuer) revoke(t issuedToken) {
 	i.mu.Lock()
-	i.taken[t.id] = [2]time.Time{time.Now(), {}}
+	i.revoked[t.id] = [2]time.Time{time.Now(), {}}
 	fmt.Fprintln(&i.lines, "jti", t.id)
 	text := i.lines.String()
 	i.mu.Unlock()
-	if err := keyring.Write(i.h.path("revoked.txt"), []byte(text), 0o644); err != nil {
+	if err := keyring.Write(i.deployment.path("revoked.txt"), []byte(text), 0o644); err != nil {
 		panic(err)
 	}
-	i.h.reload()
+	i.deployment.reloadOnce()
 	i.mu.Lock()
-	i.taken[t.id] = [2]time.Time{i.taken[t.id][0], time.Now()}
+	i.revoked[t.id] = [2]time.Time{i.revoked[t.id][0], time.Now()}
 	i.mu.Unlock()
 }
 
-// reload asks for a reload that reads what is there now, and waits for it.
-func (h *house) reload() {
+// reloadOnce asks for a reload that reads what is there now, and waits for it.
+func (h *authDeployment) reloadOnce() {
 	for range 2 { // one reading may have begun before the files were written
 		before := strings.Count(h.log.text(), "msg=operated")
-		h.hangUp()
+		h.sendHangup()
 		standin.Until("the reload", func() bool { return strings.Count(h.log.text(), "msg=operated") > before })
 	}
 }
 
-// score is what became of the ops, by how they came out and what was right.
-type score struct {
-	mu                                         sync.Mutex
-	asked, acked, denied, nacked, failed, lost int
-	wrong                                      []string
-	denials                                    map[string]int
-	deniedIDs                                  map[string]bool
+// loadResult is what became of the ops, by how they came out and what was right.
+type loadResult struct {
+	mu                                                    sync.Mutex
+	sent, succeeded, denied, rejected, failed, unanswered int
+	violations                                            []string
+	denials                                               map[string]int
+	deniedIDs                                             map[string]bool
 }
 
-// handheld asks one op after the other with tokens that it renews; an honest one has its own tenant and good tokens.
-func (s *score) handheld(i *issuer, k int, honest bool, end time.Time) {
+// runClient asks one op after the other with tokens that it renews; an honest one has its own tenant and good tokens.
+func (s *loadResult) runClient(i *issuer, k int, honest bool, end time.Time) {
 	chance := rand.New(rand.NewPCG(uint64(k), 7))
 	tenant, other := "water", "roads"
 	if k%2 == 1 {
 		tenant, other = other, tenant
 	}
-	conn := i.h.stub()
+	conn := i.deployment.client()
 	defer func() { conn.Close() }()
-	var t held
+	var t issuedToken
 	for n := 1; time.Now().Before(end); n++ {
 		claims, kind, forge := tenant, "view", ""
 		if !honest {
@@ -183,16 +183,16 @@
 		a, err := conn.Answer()
 		after := time.Now()
 		s.mu.Lock()
-		s.asked++
+		s.sent++
 		if err != nil || a.N != n {
-			s.lost++
-			conn = i.h.stub()
+			s.unanswered++
+			conn = i.deployment.client()
 			s.mu.Unlock()
-			t = held{}
+			t = issuedToken{}
 			continue
 		}
-		first, unsure := i.right(t, claims, kind, before)
-		last, alsoUnsure := i.right(t, claims, kind, after)
+		first, unsure := i.expected(t, claims, kind, before)
+		last, alsoUnsure := i.expected(t, claims, kind, after)
 		why, _ := a.Fields["why"].(string)
 		switch a.Error {
 		case "Denied":
@@ -200,24 +200,24 @@
 			s.denials[why]++
 			s.deniedIDs[id] = true
 			if first == "" && last == "" && !unsure && !alsoUnsure {
-				s.wrong = append(s.wrong, fmt.Sprintf("refused %s %s of %s: %s", kind, claims, t.subject, why))
+				s.violations = append(s.violations, fmt.Sprintf("refused %s %s of %s: %s", kind, claims, t.subject, why))
 			}
 		case "Busy":
-			s.nacked++
+			s.rejected++
 		default:
 			if a.Error == "" {
-				s.acked++
+				s.succeeded++
 			} else {
 				s.failed++
 			}
 			if first != "" && last != "" && !unsure && !alsoUnsure {
-				s.wrong = append(s.wrong, fmt.Sprintf("admitted %s %s of %s: should be %s", kind, claims, t.subject, first))
+				s.violations = append(s.violations, fmt.Sprintf("admitted %s %s of %s: should be %s", kind, claims, t.subject, first))
 			}
 		}
 		s.mu.Unlock()
 		if a.Error == "Denied" && strings.Contains(" signature unknown-key ", " "+why+" ") && honest {
 			conn.Close()
-			conn = i.h.stub()
+			conn = i.deployment.client()
 		}
 		time.Sleep(time.Duration(chance.IntN(20)) * time.Millisecond)
 	}
@@ -226,35 +226,35 @@
 // Keys turn, tokens are taken back and files read anew under a few hundred ops a second from roads and water handhelds,
 // honest and not: no wrongful refusal, no wrongful admission, one answer each, and nothing that was denied ever runs.
 func TestRotation(t *testing.T) {
-	h := openHouse()
+	h := deployWithAuth()
 	defer h.close()
 	var ran sync.Map
-	h.db.Work()
-	h.rt.Work(2, 500*time.Microsecond, 1, func(id, kind, _ string) { ran.Store(id, kind) })
-	i := &issuer{h: h, taken: map[string][2]time.Time{}}
-	i.turn(0)
-	s := &score{denials: map[string]int{}, deniedIDs: map[string]bool{}}
+	h.database.Work()
+	h.runtime.Work(2, 500*time.Microsecond, 1, func(id, kind, _ string) { ran.Store(id, kind) })
+	i := &issuer{deployment: h, revoked: map[string][2]time.Time{}}
+	i.rotate(0)
+	s := &loadResult{denials: map[string]int{}, deniedIDs: map[string]bool{}}
 	end := time.Now().Add(*rotateFor)
 	var all sync.WaitGroup
 	for k := range 10 {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			s.handheld(i, k, k < 6, end)
+			s.runClient(i, k, k < 6, end)
 		}()
 	}
 	for n := 1; time.Now().Before(end); n++ {
 		time.Sleep(*rotateEvery / 2)
 		i.mu.Lock()
-		last := i.last
+		last := i.lastHonest
 		i.mu.Unlock()
-		i.takeBack(last)
+		i.revoke(last)
 		time.Sleep(*rotateEvery / 2)
-		i.turn(n)
+		i.rotate(n)
 	}
 	all.Wait()
-	t.Logf("asked %d, acked %d, denied %d %v, nacked %d, failed %d, lost %d", s.asked, s.acked, s.denied, s.denials, s.nacked, s.failed, s.lost)
-	for _, w := range s.wrong[:min(len(s.wrong), 10)] {
+	t.Logf("asked %d, acked %d, denied %d %v, nacked %d, failed %d, lost %d", s.sent, s.succeeded, s.denied, s.denials, s.rejected, s.failed, s.unanswered)
+	for _, w := range s.violations[:min(len(s.violations), 10)] {
 		t.Error(w)
 	}
 	for id := range s.deniedIDs {
@@ -263,11 +263,11 @@
 		}
 	}
 	switch {
-	case s.acked < 100 || s.denied < 50:
+	case s.succeeded < 100 || s.denied < 50:
 		t.Error("too little was asked to tell")
-	case s.lost > 0:
+	case s.unanswered > 0:
 		t.Error("an op without an answer")
-	case s.failed > 0 || s.nacked*20 > s.asked:
+	case s.failed > 0 || s.rejected*20 > s.sent:
 		t.Error("ops that failed, or more than one in twenty nacked")
 	}
 	for _, why := range []string{"tenant", "type", "signature", "unknown-key", "expired", "revoked"} {
@@ -275,8 +275,8 @@
 			t.Errorf("nothing was denied for %s", why)
 		}
 	}
-	h.terminate()
-	if code, _ := h.ended(); code != 0 {
+	h.sendTerminate()
+	if code, _ := h.waitExit(); code != 0 {
 		t.Error("exit code", code)
 	}
 }
--- a/cmd/lanewheel/services_test.go
+++ b/cmd/lanewheel/services_test.go
@@ -13,25 +13,25 @@
 // goes to the other service, as nothing of it was sent; and a call that is given up counts until its time below is over.
 func Example_services() {
 	// The program that has this linked stands beside.
-	if out, err := exec.Command("go", "build", "-o", filepath.Join(folder, "lanewheel-fleet"), "../lanewheel-fleet").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", filepath.Join(tempDir, "lanewheel-fleet"), "../lanewheel-fleet").CombinedOutput(); err != nil {
 		panic(string(out))
 	}
 	a, b := standin.NewDatabase(), standin.NewDatabase()
 	defer a.Listener.Close()
 	defer b.Listener.Close()
-	operated = filepath.Join(folder, "services.ini")
-	defer func() { operated = "" }()
+	operatorPath = filepath.Join(tempDir, "services.ini")
+	defer func() { operatorPath = "" }()
 	text := fmt.Sprintf("[below]\nservices = %s, %s\ncalls = 1\nlongest = 700ms\n", a.Addr(), b.Addr())
-	if err := os.WriteFile(operated, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(operatorPath, []byte(text), 0o600); err != nil {
 		panic(err)
 	}
-	t := up(`"dep-share":8,`, `"dep-share":800,`)
+	t := deployReady(`"dep-share":8,`, `"dep-share":800,`)
 	defer t.close()
-	s := t.stub()
+	s := t.client()
 	ask := func(n int) {
 		s.Send(standin.Op(n, "pay", standin.ID(n), nil))
-		t.rt.Hear()
-		t.rt.Notice("wants", standin.ID(n), "", fmt.Sprint("ask", n))
+		t.runtime.Hear()
+		t.runtime.Notice("wants", standin.ID(n), "", fmt.Sprint("ask", n))
 	}
 	ask(1)
 	ask(2)
@@ -40,18 +40,18 @@
 	ask(3)
 	fmt.Println(len(a.Calls), len(b.Calls))
 	second.Reply("200 OK", "", "rows")
-	fmt.Println(t.rt.Hear()[:4])
+	fmt.Println(t.runtime.Hear()[:4])
 	third := b.Next()
 	fmt.Println(third.Text)
 	third.Reply("200 OK", "", "rows")
-	t.rt.Hear()
+	t.runtime.Hear()
 
 	// The first one's time below runs out; nothing more goes there before that, and then it does.
 	b.Listener.Close()
 	ask(4)
 	fmt.Println(len(a.Calls))
 	fmt.Println(a.Next().Text)
-	fmt.Println(len(t.db.Calls))
+	fmt.Println(len(t.database.Calls))
 	// Output:
 	// true
 	// 0 0
--- a/cmd/lanewheel/starts_test.go
+++ b/cmd/lanewheel/starts_test.go
@@ -18,31 +18,31 @@
 // configuration without the address is cut short.
 func Example_nothingBelow() {
 	absent := []string{`"db":`, `"was-db":`, `"roster":`, `"was-roster":`}
-	t := up(append(absent, `"below":"common"`, `"below":"silent"`)...)
+	t := deployReady(append(absent, `"below":"common"`, `"below":"silent"`)...)
 	defer t.close()
-	s := t.stub()
+	s := t.client()
 	s.Send(standin.Op(1, "view", standin.ID(1), []byte("a")))
-	fmt.Println(t.rt.Hear())
-	t.rt.Notice("end", standin.ID(1), "success", "one")
+	fmt.Println(t.runtime.Hear())
+	t.runtime.Notice("end", standin.ID(1), "success", "one")
 	fmt.Println(s.Hear())
 	s.Send(standin.Op(2, "list", standin.ID(2), nil))
-	fmt.Println(t.rt.Hear())
-	t.rt.Notice("wants", standin.ID(2), "", "ask")
-	fmt.Println(t.rt.Hear())
-	t.rt.Notice("end", standin.ID(2), "success", "two")
+	fmt.Println(t.runtime.Hear())
+	t.runtime.Notice("wants", standin.ID(2), "", "ask")
+	fmt.Println(t.runtime.Hear())
+	t.runtime.Notice("end", standin.ID(2), "success", "two")
 	fmt.Println(s.Hear())
-	t.write(strings.NewReplacer(`"was-db":`, `"db":`, `"was-roster":`, `"roster":`).Replace(t.text))
-	t.hangUp()
+	t.writeConfig(strings.NewReplacer(`"was-db":`, `"db":`, `"was-roster":`, `"roster":`).Replace(t.config))
+	t.sendHangup()
 	standin.Until("the move", func() bool { return strings.Contains(t.log.text(), "msg=moved") })
-	fmt.Println(t.roster.Reported())
+	fmt.Println(t.registry.Reported())
 	s.Send(standin.Op(3, "list", standin.ID(3), nil))
-	fmt.Println(t.rt.Hear())
-	t.rt.Notice("wants", standin.ID(3), "", "ask")
-	fmt.Println(t.db.Next().Text)
+	fmt.Println(t.runtime.Hear())
+	t.runtime.Notice("wants", standin.ID(3), "", "ask")
+	fmt.Println(t.database.Next().Text)
 
-	cut := open(absent...)
+	cut := deploy(absent...)
 	defer cut.close()
-	code, log := cut.ended()
+	code, log := cut.waitExit()
 	fmt.Println(code, log[strings.Index(log, ".json:")+6:])
 	// Output:
 	// start 1 route view body "a"
@@ -60,7 +60,7 @@
 // that, serves, calls below, reports, takes its new addresses and leaves; it never holds more than was told, and who rests longest goes first.
 func Example_descriptorsUsedUp() {
 	const most = 40
-	t := open("\"sockets\":64", "\"sockets\":40")
+	t := deploy("\"sockets\":64", "\"sockets\":40")
 	defer t.close()
 	limit := unix.Rlimit{Cur: most, Max: most}
 	if err := unix.Prlimit(t.cmd.Process.Pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil {
@@ -72,48 +72,48 @@
 	var idle []*standin.Stub
 	peak := 0
 	for range 60 {
-		idle = append(idle, t.stub())
+		idle = append(idle, t.client())
 		peak = max(peak, held())
 	}
-	t.rt.Take() // the link comes, or came before them
-	t.rt.Ready("steady")
-	s := t.stub()
+	t.runtime.Take() // the link comes, or came before them
+	t.runtime.Ready("steady")
+	s := t.client()
 	standin.Until("health", func() bool { return s.Check() })
 	asked := map[string]int{}
 	for n := 1; n <= 6; n++ { // as many calls at a time as their share lets through, more than there is room for connections
 		s.Send(standin.Op(n, "pay", standin.ID(n), nil, "kb", "1"))
-		t.rt.Hear()
-		t.rt.Notice("wants", standin.ID(n), "", "ask")
+		t.runtime.Hear()
+		t.runtime.Notice("wants", standin.ID(n), "", "ask")
 	}
 	for range 40 {
-		idle = append(idle, t.stub())
+		idle = append(idle, t.client())
 		peak = max(peak, held())
 	}
 	for range 6 {
-		call := t.db.Next()
+		call := t.database.Next()
 		asked[call.Text[:14]]++
 		call.Reply("200 OK", "", "rows")
-		fmt.Print(t.rt.Hear()[:4], " ")
+		fmt.Print(t.runtime.Hear()[:4], " ")
 	}
 	fmt.Println(asked)
 	for n := 1; n <= 6; n++ {
-		t.rt.Notice("end", standin.ID(n), "success", "done")
+		t.runtime.Notice("end", standin.ID(n), "success", "done")
 		s.Hear()
 	}
-	fmt.Println(t.roster.Reported())
-	t.write(t.moved())
-	t.hangUp()
-	fmt.Println("sync", t.rt.Take())
-	t.rt.Ready("steady")
-	fmt.Println(t.roster.Reported())
+	fmt.Println(t.registry.Reported())
+	t.writeConfig(t.movedConfig())
+	t.sendHangup()
+	fmt.Println("sync", t.runtime.Take())
+	t.runtime.Ready("steady")
+	fmt.Println(t.registry.Reported())
 	s.Send(standin.Op(7, "pay", standin.ID(7), nil))
-	fmt.Println(t.rt.Hear())
-	t.rt.Notice("end", standin.ID(7), "success", "seven")
+	fmt.Println(t.runtime.Hear())
+	t.runtime.Notice("end", standin.ID(7), "success", "seven")
 	fmt.Println(s.Hear())
 	peak = max(peak, held())
 	fmt.Println("first to rest, first to go:", idle[0].Hear())
-	t.terminate()
-	code, _ := t.ended()
+	t.sendTerminate()
+	code, _ := t.waitExit()
 	fmt.Println(code, "within the limit:", peak <= most)
 	// Output:
 	// give give give give give give map[POST /v1/exec :6]
@@ -130,27 +130,27 @@
 func Example_addressStillHeld() {
 	for _, leave := range []bool{false, true} {
 		before := standin.Must(net.Listen("tcp", fmt.Sprintf("127.70.%d.1:0", os.Getpid()%250)))
-		t := open()
+		t := deploy()
 		t.cmd.Process.Kill()
-		<-t.exit
-		text := strings.Replace(t.text, t.listen, before.Addr().String(), 1)
-		t.exit, t.log, t.listen = make(chan struct{}), &lines{}, before.Addr().String()
-		t.path = filepath.Join(folder, fmt.Sprint("held", leave))
-		if err := unix.Mkfifo(t.path, 0o600); err != nil {
+		<-t.exited
+		text := strings.Replace(t.config, t.listenAddr, before.Addr().String(), 1)
+		t.exited, t.log, t.listenAddr = make(chan struct{}), &logBuffer{}, before.Addr().String()
+		t.configPath = filepath.Join(tempDir, fmt.Sprint("held", leave))
+		if err := unix.Mkfifo(t.configPath, 0o600); err != nil {
 			panic(err)
 		}
 		t.run()
-		t.write(text) // it is read to its end by one who heeds notices already
+		t.writeConfig(text) // it is read to its end by one who heeds notices already
 		if leave {
-			t.terminate()
-			code, _ := t.ended()
+			t.sendTerminate()
+			code, _ := t.waitExit()
 			fmt.Println("left with", code, t.log.text() == "")
 		} else {
 			time.Sleep(100 * time.Millisecond) // some tries; without them the program is over by now
 			before.Close()
-			t.rt.Take()
-			t.rt.Ready("steady")
-			s := t.stub()
+			t.runtime.Take()
+			t.runtime.Ready("steady")
+			s := t.client()
 			standin.Until("health", func() bool { return s.Check() })
 			fmt.Println("up")
 		}
@@ -165,33 +165,33 @@
 // A start among parties that are late or silent: the runtime refuses at first, the database swallows what knocks, nobody listens at the list's
 // address. Once the runtime is there the instance is ready without waiting for anybody else; what can do without the others is served.
 func Example_everybodyLate() {
-	hole, fd := swallows()
+	hole, fd := blackHoleAddr()
 	defer unix.Close(fd)
 	free := standin.Must(net.Listen("tcp", "127.0.0.1:0"))
 	free.Close()
-	t := open()
+	t := deploy()
 	t.cmd.Process.Kill()
-	<-t.exit
-	t.rt.Listener.Close()
-	t.exit, t.log = make(chan struct{}), &lines{}
-	t.start(strings.NewReplacer(t.db.Addr(), hole, t.roster.Addr(), free.Addr().String(), t.rt.Addr(), free.Addr().String()).Replace(t.text))
+	<-t.exited
+	t.runtime.Listener.Close()
+	t.exited, t.log = make(chan struct{}), &logBuffer{}
+	t.start(strings.NewReplacer(t.database.Addr(), hole, t.registry.Addr(), free.Addr().String(), t.runtime.Addr(), free.Addr().String()).Replace(t.config))
 	defer t.close()
-	s := t.stub()
+	s := t.client()
 	fmt.Println("before:", s.Check())
-	t.rt = &standin.Runtime{Listener: standin.Must(net.Listen("tcp", free.Addr().String()))}
-	t.rt.Take()
-	t.rt.Ready("booting")
+	t.runtime = &standin.Runtime{Listener: standin.Must(net.Listen("tcp", free.Addr().String()))}
+	t.runtime.Take()
+	t.runtime.Ready("booting")
 	began := time.Now()
 	standin.Until("health", func() bool { return s.Check() })
 	fmt.Println("ready at once:", time.Since(began) < time.Second)
 	s.Send(standin.Op(1, "view", standin.ID(1), nil))
-	fmt.Println(t.rt.Hear())
-	t.rt.Notice("end", standin.ID(1), "success", "one")
+	fmt.Println(t.runtime.Hear())
+	t.runtime.Notice("end", standin.ID(1), "success", "one")
 	fmt.Println(s.Hear())
 	s.Send(standin.Op(2, "list", standin.ID(2), nil)) // it can leave the call out, and does before its time is over
-	fmt.Println(t.rt.Hear())
-	t.rt.Notice("wants", standin.ID(2), "", "ask")
-	fmt.Println(t.rt.Hear())
+	fmt.Println(t.runtime.Hear())
+	t.runtime.Notice("wants", standin.ID(2), "", "ask")
+	fmt.Println(t.runtime.Hear())
 	// Output:
 	// before: false
 	// ready at once: true
@@ -204,18 +204,18 @@
 // A stub that ends its side of the connection and waits for the answers: the protocol page knows no such end (a stub closes once everything is
 // answered), and it is taken for its leaving, at once: its run is stopped, nothing is answered, and its connection ends.
 func Example_halfClosed() {
-	t := up()
+	t := deployReady()
 	defer t.close()
-	s := t.stub()
+	s := t.client()
 	s.Send(standin.Op(1, "view", standin.ID(1), nil))
-	fmt.Println(t.rt.Hear())
+	fmt.Println(t.runtime.Hear())
 	if err := s.Conn.(*net.TCPConn).CloseWrite(); err != nil {
 		panic(err)
 	}
-	fmt.Println(t.rt.Hear())
-	t.rt.Notice("end", standin.ID(1), "success", "one")
+	fmt.Println(t.runtime.Hear())
+	t.runtime.Notice("end", standin.ID(1), "success", "one")
 	fmt.Println(s.Hear())
-	fmt.Println(t.stub().Check())
+	fmt.Println(t.client().Check())
 	// Output:
 	// start 1 route view body ""
 	// stop 1
@@ -231,14 +231,14 @@
 		tenants = append(tenants, fmt.Sprintf(`{"name":"t%d","quota-per-s":5}`, i))
 		types = append(types, fmt.Sprintf(`{"name":"k%d","credit":%d,"promise-s":1,"give-up-s":9,"repeat":"idempotent"}`, i, 1+i%5))
 	}
-	t := up(`"tenants":[]`, `"tenants":[`+strings.Join(tenants, ",")+"]", `"classes":[`, `"classes":[`+strings.Join(types, ",")+",",
+	t := deployReady(`"tenants":[]`, `"tenants":[`+strings.Join(tenants, ",")+"]", `"classes":[`, `"classes":[`+strings.Join(types, ",")+",",
 		`"sockets":64`, `"sockets":4096`, `"memory-kb":1900`, `"memory-kb":1900000`, `"cpus":2`, `"cpus":64`)
 	defer t.close()
-	t.quick()
+	t.endRunsAtOnce()
 	var all []*standin.Stub
 	answers := map[string]int{}
 	for i := range many {
-		s := t.stub()
+		s := t.client()
 		all = append(all, s)
 		s.Send(standin.Op(1, fmt.Sprint("k", i), standin.ID(i), nil, "tenant", fmt.Sprint("t", many-1-i), "kb", "1", "from", fmt.Sprint(i)))
 		answers[s.Hear()]++
