--- a/internal/amqp/amqp_test.go
+++ b/internal/amqp/amqp_test.go
@@ -50,7 +50,7 @@
 	return c
 }
 
-func (c *core) Submit(ask front.Request, _ *identity.Badge, owed front.Responder) front.Handle {
+func (c *core) Submit(ask front.Request, _ *identity.Credential, owed front.Responder) front.Handle {
 	body := string(ask.Body)
 	if c.behave != nil {
 		c.behave(ask, body, owed)
--- a/internal/amqp/part.go
+++ b/internal/amqp/part.go
@@ -44,9 +44,9 @@
 	budget  *intake.Budget
 	routes  *Routes
 	queues  map[intake.QueueName]*Queue
-	badges  map[intake.QueueName]*identity.Badge // belong to the core's loop
-	jobs    map[intake.MessageID]*job            // in hand
-	session *session                             // nil while there is none
+	badges  map[intake.QueueName]*identity.Credential // belong to the core's loop
+	jobs    map[intake.MessageID]*job                 // in hand
+	session *session                                  // nil while there is none
 	gen     uint64
 	asking  bool // for the core's load
 	leaving bool
@@ -71,13 +71,13 @@
 func New(told Told, core front.Server, hand func(...func()), seed uint64) *Part {
 	p := &Part{Loop: loop.New(1 << 16), told: told, core: core, hand: hand, seed: rand.New(rand.NewPCG(seed, 1)),
 		memory: intake.NewMemory(told.Remembered, told.RememberedIn), budget: intake.NewBudget(told.Share),
-		queues: map[intake.QueueName]*Queue{}, badges: map[intake.QueueName]*identity.Badge{},
+		queues: map[intake.QueueName]*Queue{}, badges: map[intake.QueueName]*identity.Credential{},
 		jobs: map[intake.MessageID]*job{}, closed: make(chan struct{}), counts: map[string]uint64{}}
 	var queues []intake.Queue
 	for i := range told.Queues {
 		q := &told.Queues[i]
 		p.queues[q.Name] = q
-		p.badges[q.Name] = &identity.Badge{Told: q.Identity}
+		p.badges[q.Name] = &identity.Credential{ConfiguredIdentity: q.Identity}
 		queues = append(queues, q.Queue)
 	}
 	p.desk = intake.NewDesk(queues, told.InHand)
--- a/internal/command/keys.go
+++ b/internal/command/keys.go
@@ -287,11 +287,11 @@
 	if err != nil {
 		return err
 	}
-	if with.Authn == nil || with.Authn.Keys == nil {
+	if with.Authn == nil || with.Authn.KeySet == nil {
 		return errors.New("the operator's file has no tokens")
 	}
 	p := with.Authn
-	why := judge(raw, p.Keys, p.Policy, p.Revoked)
+	why := judge(raw, p.KeySet, p.TokenPolicy, p.RevokedTokens)
 	if why != "" {
 		fmt.Fprintf(o.out, "denied: %s\n", why)
 		return errSaid
--- a/internal/identity/door.go
+++ b/internal/identity/door.go
@@ -18,352 +18,352 @@
 	"lanewheel/internal/tokens"
 )
 
-// Parts are what an operator's file says of callers, read and checked whole.
-type Parts struct {
-	Book    *rights.Book
-	Entries int            // of rates and counts, at a time
-	Trust   *certs.Trust   // nil: no certificates
-	Keys    *keyring.Set   // nil: no tokens
-	Folder  string         // where the keys are read again
-	Policy  *tokens.Policy // of tokens
-	Revoked *tokens.Revocations
-	Bounds  tokens.Bounds
+// Config are what an operator's file says of callers, read and checked whole.
+type Config struct {
+	Policy         *rights.Book
+	MaxRateEntries int            // of rates and counts, at a time
+	TrustStore     *certs.Trust   // nil: no certificates
+	KeySet         *keyring.Set   // nil: no tokens
+	KeyDir         string         // where the keys are read again
+	TokenPolicy    *tokens.Policy // of tokens
+	RevokedTokens  *tokens.Revocations
+	TokenLimits    tokens.Bounds
 }
 
-// Badge is what a connection has proved. It belongs to the owner loop.
-type Badge struct {
-	Proof   *certs.Proof // nil: no certificate
-	Told    rights.Name  // who it is by the operator's word, empty if nobody says so
-	looked  uint64       // the generation for which the proof was looked at last
-	barred  rights.Reason
-	suspect bool // it has brought tokens that prove nothing
-
-	token string // the last good one, and what it proves
-	entry *tokens.Entry
-	who   rights.Who // by the token, else by the proof
-	known uint64     // the generation for which who is right, 0 if it is not known
-	why   rights.Reason
+// Credential is what a connection has proved. It belongs to the owner loop.
+type Credential struct {
+	Proof              *certs.Proof // nil: no certificate
+	ConfiguredIdentity rights.Name  // who it is by the operator's word, empty if nobody says so
+	proofGeneration    uint64       // the generation for which the proof was looked at last
+	proofDenial        rights.Reason
+	suspect            bool // it has brought tokens that prove nothing
+
+	token               string // the last good one, and what it proves
+	entry               *tokens.Entry
+	principal           rights.Who // by the token, else by the proof
+	principalGeneration uint64     // the generation for which who is right, 0 if it is not known
+	principalDenial     rights.Reason
 }
 
-// Ask is an op that wants to come in.
-type Ask struct {
+// Request is an op that wants to come in.
+type Request struct {
 	rights.Ask
 	Token string
 }
 
-// Verdict is what the door says. With neither Why nor After the op may come in, under Tenant.
-type Verdict struct {
-	Tenant choice.TenantID
-	Pass   rights.Pass
-	Why    rights.Reason // denied
-	After  time.Duration // not now
+// Decision is what the door says. With neither Why nor After the op may come in, under Tenant.
+type Decision struct {
+	Tenant     choice.TenantID
+	Permission rights.Pass
+	Denial     rights.Reason // denied
+	RetryAfter time.Duration // not now
 }
 
-// Door belongs to the owner loop, but for Prove.
-type Door struct {
-	hand       func(...func())
-	clock      func() (now time.Duration, wall time.Time) // of the loop's batch
-	parts      Parts
-	generation uint64
-	trust      atomic.Pointer[certs.Trust] // for handshakes, which are made beside the loop
-	gate       *rights.Gate
-	office     *tokens.Office
-	jobs       chan job
-	tally      logline.Sampler[rights.Reason]
-	counts     map[rights.Reason]uint64
-	admitted   uint64
-	later      uint64
-	moved      uint64 // admitted, denied and later together when last said
-	said       time.Duration
-	stopping   bool
+// Authenticator belongs to the owner loop, but for Prove.
+type Authenticator struct {
+	post        func(...func())
+	clock       func() (now time.Duration, wall time.Time) // of the loop's batch
+	config      Config
+	generation  uint64
+	trust       atomic.Pointer[certs.Trust] // for handshakes, which are made beside the loop
+	limiter     *rights.Gate
+	verifier    *tokens.Office
+	checks      chan tokenCheck
+	denialLog   logline.Sampler[rights.Reason]
+	denials     map[rights.Reason]uint64
+	admitted    uint64
+	deferred    uint64
+	loggedTotal uint64 // admitted, denied and later together when last said
+	loggedAt    time.Duration
+	draining    bool
 }
 
-type job struct {
+type tokenCheck struct {
 	raw     string
 	suspect bool
-	set     *keyring.Set
+	keys    *keyring.Set
 	policy  *tokens.Policy
 }
 
 // New opens a door. hand gives calls to the owner loop, clock is its time.
-func New(p Parts, hand func(...func()), clock func() (time.Duration, time.Time)) *Door {
-	d := &Door{hand: hand, clock: clock, counts: map[rights.Reason]uint64{}}
-	d.Replace(p)
+func New(config Config, post func(...func()), clock func() (time.Duration, time.Time)) *Authenticator {
+	d := &Authenticator{post: post, clock: clock, denials: map[rights.Reason]uint64{}}
+	d.Reload(config)
 	return d
 }
 
-// Replace puts what was read anew in force, whole. Ops that were let in before stay in.
-func (d *Door) Replace(p Parts) {
+// Reload puts what was read anew in force, whole. Ops that were let in before stay in.
+func (d *Authenticator) Reload(config Config) {
 	d.generation++
-	if d.gate == nil || p.Entries != d.parts.Entries {
-		d.gate = d.gate.Resize(p.Entries)
+	if d.limiter == nil || config.MaxRateEntries != d.config.MaxRateEntries {
+		d.limiter = d.limiter.Resize(config.MaxRateEntries)
 	}
 	switch {
-	case p.Keys == nil:
-		if d.office != nil {
-			d.office.Expire(0, true)
+	case config.KeySet == nil:
+		if d.verifier != nil {
+			d.verifier.Expire(0, true)
 		}
-		d.office = nil
-	case d.office == nil:
-		d.office = tokens.NewOffice(p.Keys, p.Policy, p.Revoked, p.Bounds)
-		if d.jobs == nil {
+		d.verifier = nil
+	case d.verifier == nil:
+		d.verifier = tokens.NewOffice(config.KeySet, config.TokenPolicy, config.RevokedTokens, config.TokenLimits)
+		if d.checks == nil {
 			// Never full: the office asks for no more checks at a time than may wait, and once more for each after a look.
-			d.jobs = make(chan job, 4*mostWaiting)
-			go check(d.jobs, d.checked)
+			d.checks = make(chan tokenCheck, 4*maxPendingChecks)
+			go verifyTokens(d.checks, d.handleResult)
 		}
 	default:
-		d.office.Replace(p.Keys, p.Policy, p.Revoked, p.Bounds)
+		d.verifier.Replace(config.KeySet, config.TokenPolicy, config.RevokedTokens, config.TokenLimits)
 	}
-	d.parts = p
-	d.trust.Store(p.Trust)
+	d.config = config
+	d.trust.Store(config.TrustStore)
 }
 
-// mostWaiting bounds what an operator may allow to wait for a verdict.
-const mostWaiting = 4096
-
-// check verifies one token after the other, beside the loop.
-func check(jobs <-chan job, done func(tokens.Result)) {
-	for j := range jobs {
-		began := time.Now()
-		r := tokens.Result{Raw: j.raw, Suspect: j.suspect, Set: j.set}
-		r.Claims, r.Why = tokens.Verify(j.raw, func(id keyring.KeyID) (*keyring.Key, rights.Reason) {
-			k := j.set.Find(id)
-			if k == nil {
+// maxPendingChecks bounds what an operator may allow to wait for a verdict.
+const maxPendingChecks = 4096
+
+// verifyTokens verifies one token after the other, beside the loop.
+func verifyTokens(jobs <-chan tokenCheck, done func(tokens.Result)) {
+	for check := range jobs {
+		started := time.Now()
+		result := tokens.Result{Raw: check.raw, Suspect: check.suspect, Set: check.keys}
+		result.Claims, result.Why = tokens.Verify(check.raw, func(id keyring.KeyID) (*keyring.Key, rights.Reason) {
+			key := check.keys.Find(id)
+			if key == nil {
 				return nil, keyring.Unknown
 			}
-			return k, k.At(began)
-		}, j.policy)
-		r.Took = time.Since(began)
-		done(r)
+			return key, key.At(started)
+		}, check.policy)
+		result.Took = time.Since(started)
+		done(result)
 	}
 }
 
-func (d *Door) checked(r tokens.Result) {
-	d.hand(func() {
-		if d.office != nil {
+func (d *Authenticator) handleResult(result tokens.Result) {
+	d.post(func() {
+		if d.verifier != nil {
 			now, wall := d.clock()
-			act, raw := d.office.Checked(now, wall, r)
-			d.act(act, raw, r.Suspect)
+			action, raw := d.verifier.Checked(now, wall, result)
+			d.perform(action, raw, result.Suspect)
 		}
 	})
 }
 
-// act sees to what the office wants done.
-func (d *Door) act(act tokens.Act, raw string, suspect bool) {
-	switch act {
+// perform sees to what the office wants done.
+func (d *Authenticator) perform(action tokens.Act, raw string, suspect bool) {
+	switch action {
 	case tokens.Check:
-		d.jobs <- job{raw, suspect, d.office.Ring.Set(), d.office.Policy()}
+		d.checks <- tokenCheck{raw, suspect, d.verifier.Ring.Set(), d.verifier.Policy()}
 	case tokens.Look:
-		office, folder := d.office, d.parts.Folder
+		verifier, keyDir := d.verifier, d.config.KeyDir
 		go func() { // one at a time, a second apart at the least: the ring sees to that
-			set, err := keyring.Load(folder)
+			keys, err := keyring.Load(keyDir)
 			if err != nil {
 				slog.Warn("keys-kept", "err", err)
 			}
-			d.hand(func() {
-				if d.office == office {
-					d.looked(set)
+			d.post(func() {
+				if d.verifier == verifier {
+					d.handleKeys(keys)
 				}
 			})
 		}()
 	}
 }
 
-func (d *Door) looked(set *keyring.Set) {
-	before := d.office.Ring.Generation()
-	again := d.office.Looked(set)
-	if d.office.Ring.Generation() != before {
-		d.parts.Keys = set
-		slog.Info("keys", "keys", len(set.Keys()), "by", "look")
+func (d *Authenticator) handleKeys(keys *keyring.Set) {
+	generation := d.verifier.Ring.Generation()
+	recheck := d.verifier.Looked(keys)
+	if d.verifier.Ring.Generation() != generation {
+		d.config.KeySet = keys
+		slog.Info("keys", "keys", len(keys.Keys()), "by", "look")
 	}
-	for _, raw := range again {
-		d.act(tokens.Check, raw, false)
+	for _, raw := range recheck {
+		d.perform(tokens.Check, raw, false)
 	}
 }
 
-// Prove follows a client's chain during its handshake. It is called beside the loop.
-func (d *Door) Prove(chain []*x509.Certificate) (any, string) {
-	t := d.trust.Load()
-	if t == nil {
+// VerifyCertificate follows a client's chain during its handshake. It is called beside the loop.
+func (d *Authenticator) VerifyCertificate(chain []*x509.Certificate) (any, string) {
+	trust := d.trust.Load()
+	if trust == nil {
 		return nil, string(certs.Untrusted)
 	}
-	p, why := t.Prove(chain, time.Now())
-	if why != "" {
-		return nil, string(why)
+	proof, denial := trust.Prove(chain, time.Now())
+	if denial != "" {
+		return nil, string(denial)
 	}
-	return p, ""
+	return proof, ""
 }
 
 // RevocationReason tells whether what a connection's certificate proved still counts; a reason bars it for good. It costs a
 // comparison while nothing has changed.
-func (d *Door) RevocationReason(b *Badge) rights.Reason {
-	if b.Proof == nil || b.barred != "" {
-		return b.barred
+func (d *Authenticator) RevocationReason(credential *Credential) rights.Reason {
+	if credential.Proof == nil || credential.proofDenial != "" {
+		return credential.proofDenial
 	}
 	_, wall := d.clock()
-	if b.looked == d.generation && b.Proof.In(wall) {
+	if credential.proofGeneration == d.generation && credential.Proof.In(wall) {
 		return ""
 	}
-	if d.parts.Trust == nil {
-		b.barred = certs.Untrusted
-		return b.barred
+	if d.config.TrustStore == nil {
+		credential.proofDenial = certs.Untrusted
+		return credential.proofDenial
 	}
-	b.barred = d.parts.Trust.Still(b.Proof, wall)
-	b.looked, b.known = d.generation, 0
-	return b.barred
+	credential.proofDenial = d.config.TrustStore.Still(credential.Proof, wall)
+	credential.proofGeneration, credential.principalGeneration = d.generation, 0
+	return credential.proofDenial
 }
 
 // NeedsRecheck tells whether a connection's proof was not looked at since something has changed.
-func (d *Door) NeedsRecheck(b *Badge) bool {
-	return b.Proof != nil && b.barred == "" && b.looked != d.generation
+func (d *Authenticator) NeedsRecheck(credential *Credential) bool {
+	return credential.Proof != nil && credential.proofDenial == "" && credential.proofGeneration != d.generation
 }
 
-// Enter asks for an op. done is called once, at once if all is known.
-func (d *Door) Enter(b *Badge, ask Ask, done func(Verdict)) {
-	if why := d.RevocationReason(b); why != "" {
-		done(d.deny(b.name(), ask, why))
+// Authorize asks for an op. done is called once, at once if all is known.
+func (d *Authenticator) Authorize(credential *Credential, request Request, done func(Decision)) {
+	if denial := d.RevocationReason(credential); denial != "" {
+		done(d.deny(credential.principalName(), request, denial))
 		return
 	}
-	if ask.Token == "" {
-		d.proven(b)
-		done(d.decide(b, nil, &b.who, b.why, ask))
+	if request.Token == "" {
+		d.identifyByCertificate(credential)
+		done(d.decide(credential, nil, &credential.principal, credential.principalDenial, request))
 		return
 	}
-	if d.office == nil { // a token that nobody can check proves nothing, and takes nothing away
-		d.proven(b)
-		done(d.decide(b, nil, &b.who, b.why, ask))
+	if d.verifier == nil { // a token that nobody can check proves nothing, and takes nothing away
+		d.identifyByCertificate(credential)
+		done(d.decide(credential, nil, &credential.principal, credential.principalDenial, request))
 		return
 	}
 	now, wall := d.clock()
-	if b.entry != nil && b.token == ask.Token {
-		if why, sure := d.office.Still(now, wall, b.entry); sure {
-			d.carried(b, ask.Token, b.entry)
-			done(d.decide(b, b.entry, &b.who, first(why, b.why), ask))
+	if credential.entry != nil && credential.token == request.Token {
+		if denial, current := d.verifier.Still(now, wall, credential.entry); current {
+			d.identifyByToken(credential, request.Token, credential.entry)
+			done(d.decide(credential, credential.entry, &credential.principal, firstDenial(denial, credential.principalDenial), request))
 			return
 		}
 	}
-	if e, why, known := d.office.Know(now, wall, ask.Token); known {
-		done(d.told(b, ask, e, why, 0))
+	if entry, denial, known := d.verifier.Know(now, wall, request.Token); known {
+		done(d.resume(credential, request, entry, denial, 0))
 		return
 	}
-	if d.stopping {
-		d.later++
-		done(Verdict{After: rights.Soonest})
+	if d.draining {
+		d.deferred++
+		done(Decision{RetryAfter: rights.Soonest})
 		return
 	}
-	act, raw := d.office.Ask(now, ask.Token, b.suspect, func(e *tokens.Entry, why rights.Reason, after time.Duration) {
-		done(d.told(b, ask, e, why, after))
+	action, raw := d.verifier.Ask(now, request.Token, credential.suspect, func(entry *tokens.Entry, denial rights.Reason, retryAfter time.Duration) {
+		done(d.resume(credential, request, entry, denial, retryAfter))
 	})
-	d.act(act, raw, b.suspect)
+	d.perform(action, raw, credential.suspect)
 }
 
-func first(a, b rights.Reason) rights.Reason {
+func firstDenial(a, b rights.Reason) rights.Reason {
 	if a != "" {
 		return a
 	}
 	return b
 }
 
-// told goes on with what is known of a token.
-func (d *Door) told(b *Badge, ask Ask, e *tokens.Entry, why rights.Reason, after time.Duration) Verdict {
-	if e == nil && why == "" {
-		d.later++
-		return Verdict{After: max(after, rights.Soonest)}
+// resume goes on with what is known of a token.
+func (d *Authenticator) resume(credential *Credential, request Request, entry *tokens.Entry, denial rights.Reason, retryAfter time.Duration) Decision {
+	if entry == nil && denial == "" {
+		d.deferred++
+		return Decision{RetryAfter: max(retryAfter, rights.Soonest)}
 	}
-	if why != "" {
-		b.suspect = b.suspect || Forged(why)
-		return d.deny("", ask, why)
+	if denial != "" {
+		credential.suspect = credential.suspect || IsForgery(denial)
+		return d.deny("", request, denial)
 	}
-	if why := d.RevocationReason(b); why != "" { // the certificate may have been taken back while the token was checked
-		return d.deny(b.name(), ask, why)
+	if denial := d.RevocationReason(credential); denial != "" { // the certificate may have been taken back while the token was checked
+		return d.deny(credential.principalName(), request, denial)
 	}
-	d.carried(b, ask.Token, e)
-	return d.decide(b, e, &b.who, b.why, ask)
+	d.identifyByToken(credential, request.Token, entry)
+	return d.decide(credential, entry, &credential.principal, credential.principalDenial, request)
 }
 
-// proven has b.who be the caller by its certificate alone.
-func (d *Door) proven(b *Badge) {
-	if b.known == d.generation && b.entry == nil {
+// identifyByCertificate has b.who be the caller by its certificate alone.
+func (d *Authenticator) identifyByCertificate(credential *Credential) {
+	if credential.principalGeneration == d.generation && credential.entry == nil {
 		return
 	}
-	b.known, b.entry, b.token = d.generation, nil, ""
-	if b.Told != "" {
-		b.who, b.why = d.parts.Book.Who([]rights.Name{b.Told}, "", nil)
+	credential.principalGeneration, credential.entry, credential.token = d.generation, nil, ""
+	if credential.ConfiguredIdentity != "" {
+		credential.principal, credential.principalDenial = d.config.Policy.Who([]rights.Name{credential.ConfiguredIdentity}, "", nil)
 		return
 	}
-	if b.Proof == nil {
-		b.who, b.why = d.parts.Book.Anonymous()
+	if credential.Proof == nil {
+		credential.principal, credential.principalDenial = d.config.Policy.Anonymous()
 		return
 	}
-	b.who, b.why = d.parts.Book.Who(b.Proof.Names, "", nil)
+	credential.principal, credential.principalDenial = d.config.Policy.Who(credential.Proof.Names, "", nil)
 }
 
-// carried has b.who be the caller by a good token.
-func (d *Door) carried(b *Badge, token string, e *tokens.Entry) {
-	if b.known == d.generation && b.entry == e {
+// identifyByToken has b.who be the caller by a good token.
+func (d *Authenticator) identifyByToken(credential *Credential, token string, entry *tokens.Entry) {
+	if credential.principalGeneration == d.generation && credential.entry == entry {
 		return
 	}
-	b.known, b.entry, b.token = d.generation, e, token
-	b.who, b.why = d.parts.Book.Who(e.Names(), e.Tenant, e.Roles)
+	credential.principalGeneration, credential.entry, credential.token = d.generation, entry, token
+	credential.principal, credential.principalDenial = d.config.Policy.Who(entry.Names(), entry.Tenant, entry.Roles)
 }
 
 // decide tells whether a known caller may do what it asks, now.
-func (d *Door) decide(b *Badge, e *tokens.Entry, w *rights.Who, why rights.Reason, ask Ask) Verdict {
-	if why != "" {
-		return d.deny(w.Name, ask, why)
+func (d *Authenticator) decide(credential *Credential, entry *tokens.Entry, principal *rights.Who, denial rights.Reason, request Request) Decision {
+	if denial != "" {
+		return d.deny(principal.Name, request, denial)
 	}
-	roles, tenant, why := d.parts.Book.May(w, ask.Ask)
-	if why != "" {
-		return d.deny(w.Name, ask, why)
+	roles, tenant, denial := d.config.Policy.May(principal, request.Ask)
+	if denial != "" {
+		return d.deny(principal.Name, request, denial)
 	}
 	now, wall := d.clock()
-	if e != nil {
-		why, after := d.office.Single(wall, e)
+	if entry != nil {
+		denial, retryAfter := d.verifier.Single(wall, entry)
 		switch {
-		case why != "":
-			return d.deny(w.Name, ask, why)
-		case after > 0:
-			d.later++
-			return Verdict{After: after}
+		case denial != "":
+			return d.deny(principal.Name, request, denial)
+		case retryAfter > 0:
+			d.deferred++
+			return Decision{RetryAfter: retryAfter}
 		}
 	}
-	pass, after, in := d.gate.Take(now, w, roles)
-	if !in {
-		d.later++
-		return Verdict{After: after}
+	permission, retryAfter, admitted := d.limiter.Take(now, principal, roles)
+	if !admitted {
+		d.deferred++
+		return Decision{RetryAfter: retryAfter}
 	}
 	d.admitted++
-	return Verdict{Tenant: tenant, Pass: pass}
+	return Decision{Tenant: tenant, Permission: permission}
 }
 
-// Give takes a pass back whose op is over.
-func (d *Door) Give(p *rights.Pass) {
+// Release takes a pass back whose op is over.
+func (d *Authenticator) Release(permission *rights.Pass) {
 	now, _ := d.clock()
-	d.gate.Give(now, p)
+	d.limiter.Give(now, permission)
 }
 
 // deny counts a denial and leaves its line.
-func (d *Door) deny(name rights.Name, ask Ask, why rights.Reason) Verdict {
-	d.counts[why]++
-	if _, wall := d.clock(); d.tally.Allow(why, wall) {
-		slog.Warn("denied", "why", why, "caller", clip(string(name)), "type", clip(string(ask.Type)), "tenant", clip(string(ask.Tenant)))
+func (d *Authenticator) deny(name rights.Name, request Request, denial rights.Reason) Decision {
+	d.denials[denial]++
+	if _, wall := d.clock(); d.denialLog.Allow(denial, wall) {
+		slog.Warn("denied", "why", denial, "caller", truncate(string(name)), "type", truncate(string(request.Type)), "tenant", truncate(string(request.Tenant)))
 	}
-	return Verdict{Why: why}
+	return Decision{Denial: denial}
 }
 
-// clip bounds what a caller can write into the log.
-func clip(s string) string { return s[:min(len(s), 128)] }
+// truncate bounds what a caller can write into the log.
+func truncate(s string) string { return s[:min(len(s), 128)] }
 
-func (b *Badge) name() rights.Name {
+func (b *Credential) principalName() rights.Name {
 	if b.Proof != nil && len(b.Proof.Names) > 0 {
 		return b.Proof.Names[0]
 	}
-	return b.Told
+	return b.ConfiguredIdentity
 }
 
-// Forged tells whether a token that is denied so was never good anywhere: whoever brings several is no caller of ours.
-func Forged(why rights.Reason) bool {
-	switch why {
+// IsForgery tells whether a token that is denied so was never good anywhere: whoever brings several is no caller of ours.
+func IsForgery(denial rights.Reason) bool {
+	switch denial {
 	case tokens.TooLong, tokens.Malformed, tokens.Algorithm, tokens.Critical, tokens.Signature, tokens.Issuer,
 		tokens.Audience, tokens.Subject, keyring.Unknown:
 		return true
@@ -371,47 +371,47 @@
 	return false
 }
 
-// often is how often the counters are said while they move.
-const often = time.Minute
+// logInterval is how often the counters are said while they move.
+const logInterval = time.Minute
 
 // Sweep is called some times a second: it gives up what has waited too long, and says what there is to say.
-func (d *Door) Sweep() {
+func (d *Authenticator) Sweep() {
 	now, wall := d.clock()
-	if d.office != nil {
-		d.office.Expire(now, false)
+	if d.verifier != nil {
+		d.verifier.Expire(now, false)
 	}
-	d.tally.FlushSuppressed(wall, func(why rights.Reason, more int) { slog.Warn("denials", "why", why, "more", more) })
-	if now-d.said >= often {
-		d.said = now
-		d.Say()
+	d.denialLog.FlushSuppressed(wall, func(denial rights.Reason, more int) { slog.Warn("denials", "why", denial, "more", more) })
+	if now-d.loggedAt >= logInterval {
+		d.loggedAt = now
+		d.logCounters()
 	}
 }
 
-// Say leaves a line with the counters, if they have moved since the last one.
-func (d *Door) Say() {
-	sum := d.admitted + d.later
-	var reasons []any
-	for _, why := range slices.Sorted(maps.Keys(d.counts)) {
-		sum += d.counts[why]
-		reasons = append(reasons, string(why), d.counts[why])
+// logCounters leaves a line with the counters, if they have moved since the last one.
+func (d *Authenticator) logCounters() {
+	total := d.admitted + d.deferred
+	var attributes []any
+	for _, denial := range slices.Sorted(maps.Keys(d.denials)) {
+		total += d.denials[denial]
+		attributes = append(attributes, string(denial), d.denials[denial])
 	}
-	if sum == d.moved {
+	if total == d.loggedTotal {
 		return
 	}
-	d.moved = sum
-	good, bad := 0, 0
-	if d.office != nil {
-		good, bad = d.office.Remembered()
+	d.loggedTotal = total
+	cached, denied := 0, 0
+	if d.verifier != nil {
+		cached, denied = d.verifier.Remembered()
 	}
-	slog.Info("callers", append([]any{"admitted", d.admitted, "later", d.later, "tokens", good, "bad_tokens", bad, "rates", d.gate.Len()}, reasons...)...)
+	slog.Info("callers", append([]any{"admitted", d.admitted, "later", d.deferred, "tokens", cached, "bad_tokens", denied, "rates", d.limiter.Len()}, attributes...)...)
 }
 
 // Stop gives up all that wait, and lets nothing wait from here on: the instance is leaving, and answers everything now.
-func (d *Door) Stop() {
-	d.stopping = true
-	d.Say()
-	if d.office != nil {
+func (d *Authenticator) Stop() {
+	d.draining = true
+	d.logCounters()
+	if d.verifier != nil {
 		now, _ := d.clock()
-		d.office.Expire(now, true)
+		d.verifier.Expire(now, true)
 	}
 }
--- a/internal/keep/door.go
+++ b/internal/keep/door.go
@@ -9,14 +9,14 @@
 
 // authenticate asks the door for an op that was read. One whose caller is not known yet waits in the tables, unheard by the module:
 // it can be given up, and its id is taken, as that of any other.
-func (in *Server) authenticate(credential *identity.Badge, request front.Request, responder front.Responder) *activeRequest {
-	wanted := identity.Ask{Token: request.Token, Ask: rights.Ask{Type: choice.Class(request.Class),
+func (in *Server) authenticate(credential *identity.Credential, request front.Request, responder front.Responder) *activeRequest {
+	wanted := identity.Request{Token: request.Token, Ask: rights.Ask{Type: choice.Class(request.Class),
 		Tenant: choice.TenantID(request.Tenant), Write: request.Resource == ""}}
 	active := in.track(request, responder)
 	active.outsideController = true
-	in.authenticator.Enter(credential, wanted, func(verdict identity.Verdict) {
+	in.authenticator.Authorize(credential, wanted, func(verdict identity.Decision) {
 		if active.responder == nil || in.requests[active.id] != active { // gone meanwhile
-			in.authenticator.Give(&verdict.Pass)
+			in.authenticator.Release(&verdict.Permission)
 			return
 		}
 		in.applyVerdict(request, active, verdict)
@@ -26,25 +26,25 @@
 }
 
 // applyVerdict carries out what the door said of an op.
-func (in *Server) applyVerdict(request front.Request, active *activeRequest, verdict identity.Verdict) {
+func (in *Server) applyVerdict(request front.Request, active *activeRequest, verdict identity.Decision) {
 	switch {
-	case verdict.Why != "":
+	case verdict.Denial != "":
 		metadata := in.metadata()
-		metadata.Reason = string(verdict.Why)
+		metadata.Reason = string(verdict.Denial)
 		in.answerOutside(active, func(responder front.Responder) { responder.RejectPermanently("denied", metadata) })
-	case verdict.After > 0:
+	case verdict.RetryAfter > 0:
 		// When to come again is said where the settings allow it, and no more.
 		metadata := in.metadata()
 		if passed, _ := in.config.Settings["stay away is passed on"].(bool); passed {
-			metadata.RetryAfter = verdict.After
+			metadata.RetryAfter = verdict.RetryAfter
 			if maxRetryAfter := durationSetting(in.config.Settings, "longest stay away"); maxRetryAfter > 0 {
-				metadata.RetryAfter = min(verdict.After, maxRetryAfter)
+				metadata.RetryAfter = min(verdict.RetryAfter, maxRetryAfter)
 			}
 		}
 		in.answerOutside(active, func(responder front.Responder) { responder.Reject(metadata) })
 	default:
 		request.Tenant = string(verdict.Tenant)
-		active.permission, active.tenant = verdict.Pass, verdict.Tenant
+		active.permission, active.tenant = verdict.Permission, verdict.Tenant
 		in.submitToController(request, nil, active)
 	}
 }
@@ -57,10 +57,10 @@
 }
 
 // UpdateAuthn puts what an operator's file says of callers in force, as it was read anew.
-func (in *Server) UpdateAuthn(parts *identity.Parts) {
+func (in *Server) UpdateAuthn(parts *identity.Config) {
 	if in.authenticator == nil || parts == nil {
 		return
 	}
-	in.authenticator.Replace(*parts)
-	in.net.ReadTokens.Store(parts.Keys != nil)
+	in.authenticator.Reload(*parts)
+	in.net.ReadTokens.Store(parts.KeySet != nil)
 }
--- a/internal/keep/instance.go
+++ b/internal/keep/instance.go
@@ -30,7 +30,7 @@
 	GaugeNames       []string // our names, in the order told
 	ReportReadiness  bool     // the list follows health
 
-	Authn *identity.Parts   // who may do what; nil: everybody everything
+	Authn *identity.Config  // who may do what; nil: everybody everything
 	TLS   *wire.TLSListener // a further listener with TLS; nil: none
 }
 
@@ -57,8 +57,8 @@
 	database      databaseCalls
 	idempotency   idempotencyCache
 	health        health
-	authenticator *identity.Door // nil: all may enter
-	loadReport    float64        // rides on all answers; under 0 until it is said
+	authenticator *identity.Authenticator // nil: all may enter
+	loadReport    float64                 // rides on all answers; under 0 until it is said
 
 	maxRequests int // ops in hand
 	running     int // of them
@@ -104,7 +104,7 @@
 		MaxAccepted: int64(budget.clients), MaxConns: int64(budget.total) + 2, MaxDescriptors: config.MaxDescriptors, MaxUnread: int64(config.MemoryMB*(1<<20)) / 8}
 	if config.Authn != nil {
 		instance.authenticator = identity.New(*config.Authn, instance.Post, func() (time.Duration, time.Time) { return instance.Now(), instance.WallTime() })
-		instance.net.ReadTokens.Store(config.Authn.Keys != nil)
+		instance.net.ReadTokens.Store(config.Authn.KeySet != nil)
 	}
 	var authenticator stubs.Authenticator // nil, not a door that is nil
 	if instance.authenticator != nil {
@@ -116,7 +116,7 @@
 	}
 	if config.TLS != nil {
 		secure := *config.TLS
-		secure.VerifyChain = instance.authenticator.Prove
+		secure.VerifyChain = instance.authenticator.VerifyCertificate
 		if err := instance.net.ListenTLS(secure); err != nil {
 			return nil, err
 		}
@@ -192,7 +192,7 @@
 
 // Submit is front.Core: it takes an op from a front. What can't be taken is nacked at once: nothing is before the runtime has
 // come up, nor under the id of an op in hand that came elsewhere: whose it is can't be told, and it never ran.
-func (in *Server) Submit(request front.Request, credential *identity.Badge, responder front.Responder) front.Handle {
+func (in *Server) Submit(request front.Request, credential *identity.Credential, responder front.Responder) front.Handle {
 	// Danger: more bodies than there is memory for.
 	if in.controller == nil || len(in.requests) >= in.maxRequests || in.requests[choice.RequestID(request.ID)] != nil {
 		responder.Reject(in.metadata())
@@ -464,7 +464,7 @@
 	in.buffers.Put(active.body)
 	active.body = nil
 	if in.authenticator != nil {
-		in.authenticator.Give(&active.permission)
+		in.authenticator.Release(&active.permission)
 	}
 	if !active.outsideController {
 		in.idempotency.finish(in, active, nil)
--- a/internal/life/callers.go
+++ b/internal/life/callers.go
@@ -25,8 +25,8 @@
 // OperatorConfig is an operator's file with all that it names, read and checked whole.
 type OperatorConfig struct {
 	File      operator.Operator
-	Authn     *identity.Parts // nil: all may do everything
-	serverTLS *tls.Config     // nil: no listener with TLS
+	Authn     *identity.Config // nil: all may do everything
+	serverTLS *tls.Config      // nil: no listener with TLS
 
 	ClusterKeys []members.Key // the first is the one to write with
 	digest      [sha256.Size]byte
@@ -62,7 +62,7 @@
 	}
 	file := &operatorConfig.File
 	if file.Callers.Enabled {
-		operatorConfig.Authn = &identity.Parts{Book: file.Callers.Policy, Entries: file.Callers.MaxRateEntries}
+		operatorConfig.Authn = &identity.Config{Policy: file.Callers.Policy, MaxRateEntries: file.Callers.MaxRateEntries}
 	}
 	if file.Tokens.Enabled {
 		if err := digest.readTokens(&file.Tokens, operatorConfig.Authn); err != nil {
@@ -89,7 +89,7 @@
 }
 
 // readTokens reads the keys and the list of what was taken back.
-func (s fileDigest) readTokens(t *operator.Tokens, authnConfig *identity.Parts) error {
+func (s fileDigest) readTokens(t *operator.Tokens, authnConfig *identity.Config) error {
 	files, err := keyring.Folder(t.KeyDir)
 	if err != nil {
 		return err
@@ -98,10 +98,10 @@
 		fmt.Fprintf(s, "%q%d:", name, len(files[name]))
 		s.Write(files[name])
 	}
-	if authnConfig.Keys, err = keyring.Read(files); err != nil {
+	if authnConfig.KeySet, err = keyring.Read(files); err != nil {
 		return err
 	}
-	authnConfig.Folder, authnConfig.Policy, authnConfig.Bounds = t.KeyDir, &t.Policy, t.Limits
+	authnConfig.KeyDir, authnConfig.TokenPolicy, authnConfig.TokenLimits = t.KeyDir, &t.Policy, t.Limits
 	if t.RevocationFile == "" {
 		return nil
 	}
@@ -113,12 +113,12 @@
 	if line > 0 {
 		return fault.List{{File: t.RevocationFile, Line: line, Want: `wants "jti ID" or "sub SUBJECT"`}}
 	}
-	authnConfig.Revoked = list
+	authnConfig.RevokedTokens = list
 	return nil
 }
 
 // readServerTLS reads what the listener with TLS needs.
-func (s fileDigest) readServerTLS(t *operator.TLS, authnConfig *identity.Parts) (*tls.Config, error) {
+func (s fileDigest) readServerTLS(t *operator.TLS, authnConfig *identity.Config) (*tls.Config, error) {
 	cert, err := s.readFile(t.CertificateFile)
 	if err != nil {
 		return nil, err
@@ -136,7 +136,7 @@
 		serverConfig.MinVersion = tls.VersionTLS12
 	}
 	if t.AuthoritiesFile == "" {
-		authnConfig.Trust, err = nil, nil
+		authnConfig.TrustStore, err = nil, nil
 		return serverConfig, nil
 	}
 	authorities, err := s.readFile(t.AuthoritiesFile)
@@ -149,10 +149,10 @@
 			return nil, err
 		}
 	}
-	if authnConfig.Trust, err = certs.NewTrust(authorities, lists, t.RevocationGrace, t.AllowStaleRevocations, time.Now()); err != nil {
+	if authnConfig.TrustStore, err = certs.NewTrust(authorities, lists, t.RevocationGrace, t.AllowStaleRevocations, time.Now()); err != nil {
 		return nil, fault.List{{File: t.AuthoritiesFile, Want: err.Error()}}
 	}
-	serverConfig.ClientCAs = authnConfig.Trust.Pool()
+	serverConfig.ClientCAs = authnConfig.TrustStore.Pool()
 	serverConfig.ClientAuth = tls.RequestClientCert // the chain is followed by certs, as it is again and again later
 	if t.RequireClientCertificate {
 		serverConfig.ClientAuth = tls.RequireAnyClientCert
--- a/internal/life/life.go
+++ b/internal/life/life.go
@@ -189,5 +189,5 @@
 	if o.Authn == nil {
 		return 0
 	}
-	return len(o.Authn.Keys.Keys())
+	return len(o.Authn.KeySet.Keys())
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -129,7 +129,7 @@
 }
 
 // Submit is front.Core.
-func (r *Relay) Submit(ask front.Request, _ *identity.Badge, owed front.Responder) front.Handle {
+func (r *Relay) Submit(ask front.Request, _ *identity.Credential, owed front.Responder) front.Handle {
 	r.Counts.Asked++
 	k, known := r.kinds[ask.Class]
 	switch {
--- a/internal/stubs/stubs.go
+++ b/internal/stubs/stubs.go
@@ -28,8 +28,8 @@
 
 // Authenticator is who knows callers; nil where everybody may do everything.
 type Authenticator interface {
-	RevocationReason(*identity.Badge) rights.Reason
-	NeedsRecheck(*identity.Badge) bool
+	RevocationReason(*identity.Credential) rights.Reason
+	NeedsRecheck(*identity.Credential) bool
 	Sweep()
 }
 
@@ -159,7 +159,7 @@
 	closeReason   string        // it was closed, for this reason
 	received      bool          // a whole message has come on it
 	invalidInRow  int           // asks in a row that could never be served
-	credential    identity.Badge
+	credential    identity.Credential
 	barredReason  string // why nothing more is taken from it; it ends when its open ops are answered
 }
 
@@ -284,7 +284,7 @@
 				return
 			}
 		}
-		invalid = identity.Forged(rights.Reason(metadata.Reason))
+		invalid = identity.IsForgery(rights.Reason(metadata.Reason))
 	} else {
 		conn.conn.Fail(a.messageID, metadata)
 	}
