--- a/internal/amqp/mapping.go
+++ b/internal/amqp/mapping.go
@@ -183,6 +183,6 @@
 	intake.Queue
 	Told     intake.Told
 	Mapping  Mapping
-	Identity rights.Name // whose ops its messages are; empty: each brings a token
-	Dead     string      // name of the dead-letter queue, empty for none
+	Identity rights.Identity // whose ops its messages are; empty: each brings a token
+	Dead     string          // name of the dead-letter queue, empty for none
 }
--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -17,11 +17,11 @@
 
 // Why a certificate proves nothing.
 const (
-	NoCertificate rights.Reason = "no-certificate"
-	Untrusted     rights.Reason = "untrusted"  // no told authority stands behind it, or it is not for clients
-	Expired       rights.Reason = "expired"    // or not valid yet
-	Revoked       rights.Reason = "revoked"    // it, or what stands between it and its authority
-	StaleList     rights.Reason = "stale-list" // the list of what is taken back is too old to say
+	NoCertificate rights.Denial = "no-certificate"
+	Untrusted     rights.Denial = "untrusted"  // no told authority stands behind it, or it is not for clients
+	Expired       rights.Denial = "expired"    // or not valid yet
+	Revoked       rights.Denial = "revoked"    // it, or what stands between it and its authority
+	StaleList     rights.Denial = "stale-list" // the list of what is taken back is too old to say
 )
 
 // Trust is authorities and what they took back. It never changes.
@@ -127,7 +127,7 @@
 
 // Proof is a chain that was followed to its authority, and by what.
 type Proof struct {
-	Names []rights.Name // URI, then DNS names, then the subject
+	Names []rights.Identity // URI, then DNS names, then the subject
 	chain []*x509.Certificate
 	by    [sha256.Size]byte
 	from  time.Time
@@ -136,7 +136,7 @@
 }
 
 // Prove follows a chain, the client's own certificate first.
-func (t *Trust) Prove(peer []*x509.Certificate, wall time.Time) (*Proof, rights.Reason) {
+func (t *Trust) Prove(peer []*x509.Certificate, wall time.Time) (*Proof, rights.Denial) {
 	if len(peer) == 0 {
 		return nil, NoCertificate
 	}
@@ -164,13 +164,13 @@
 	}
 	leaf := peer[0]
 	for _, uri := range leaf.URIs {
-		p.Names = append(p.Names, rights.Name("uri:"+uri.String()))
+		p.Names = append(p.Names, rights.Identity("uri:"+uri.String()))
 	}
 	for _, name := range leaf.DNSNames {
-		p.Names = append(p.Names, rights.Name("dns:"+name))
+		p.Names = append(p.Names, rights.Identity("dns:"+name))
 	}
 	if subject := leaf.Subject.String(); subject != "" {
-		p.Names = append(p.Names, rights.Name("subject:"+subject))
+		p.Names = append(p.Names, rights.Identity("subject:"+subject))
 	}
 	return p, t.listed(p, wall)
 }
@@ -182,7 +182,7 @@
 }
 
 // Still tells whether a proof counts now. It costs little unless the authorities have changed since it was made.
-func (t *Trust) Still(p *Proof, wall time.Time) rights.Reason {
+func (t *Trust) Still(p *Proof, wall time.Time) rights.Denial {
 	if p.by != t.digest {
 		anew, why := t.Prove(p.chain, wall)
 		if why == "" {
@@ -197,7 +197,7 @@
 }
 
 // listed looks a chain up in the lists of those who issued it.
-func (t *Trust) listed(p *Proof, wall time.Time) rights.Reason {
+func (t *Trust) listed(p *Proof, wall time.Time) rights.Denial {
 	p.due = time.Time{}
 	for _, c := range p.chain {
 		for _, l := range t.lists {
--- a/internal/certs/golden_test.go
+++ b/internal/certs/golden_test.go
@@ -59,7 +59,7 @@
 	for _, of := range []struct {
 		trust *Trust
 		name  string
-		why   rights.Reason
+		why   rights.Denial
 		names string
 	}{{trust, "client", "", "[uri:rota://water/7 dns:h.example subject:CN=handheld]"}, {trust, "taken", "revoked", ""},
 		{without, "taken", "", "[uri:rota://water/8 subject:CN=taken]"}, {trust, "server", "untrusted", ""}} {
@@ -108,7 +108,7 @@
 
 // The reasons that are spoken, in answers, logs and listings.
 func TestGoldenReasons(t *testing.T) {
-	for reason, want := range map[rights.Reason]string{NoCertificate: "no-certificate", Untrusted: "untrusted",
+	for reason, want := range map[rights.Denial]string{NoCertificate: "no-certificate", Untrusted: "untrusted",
 		Expired: "expired", Revoked: "revoked",
 		StaleList: "stale-list"} {
 		if string(reason) != want {
--- a/internal/command/keys.go
+++ b/internal/command/keys.go
@@ -301,10 +301,10 @@
 }
 
 // judge tells whether a token counts now, as an instance would.
-func judge(raw string, keys *keyring.Set, p *tokens.Policy, revoked *tokens.Revocations) rights.Reason {
+func judge(raw string, keys *keyring.Set, p *tokens.Policy, revoked *tokens.Revocations) rights.Denial {
 	now := time.Now()
 	ring := keyring.NewRing(keys, time.Second)
-	c, why := tokens.Verify(raw, func(id keyring.KeyID) (*keyring.Key, rights.Reason) { return ring.Find(id, now) }, p)
+	c, why := tokens.Verify(raw, func(id keyring.KeyID) (*keyring.Key, rights.Denial) { return ring.Find(id, now) }, p)
 	if why == "" {
 		why = c.At(now, p)
 	}
--- a/internal/identity/door.go
+++ b/internal/identity/door.go
@@ -20,7 +20,7 @@
 
 // Config are what an operator's file says of callers, read and checked whole.
 type Config struct {
-	Policy         *rights.Book
+	Policy         *rights.Policy
 	MaxRateEntries int            // of rates and counts, at a time
 	TrustStore     *certs.Trust   // nil: no certificates
 	KeySet         *keyring.Set   // nil: no tokens
@@ -32,30 +32,30 @@
 
 // Credential is what a connection has proved. It belongs to the owner loop.
 type Credential struct {
-	Proof              *certs.Proof // nil: no certificate
-	ConfiguredIdentity rights.Name  // who it is by the operator's word, empty if nobody says so
-	proofGeneration    uint64       // the generation for which the proof was looked at last
-	proofDenial        rights.Reason
+	Proof              *certs.Proof    // nil: no certificate
+	ConfiguredIdentity rights.Identity // who it is by the operator's word, empty if nobody says so
+	proofGeneration    uint64          // the generation for which the proof was looked at last
+	proofDenial        rights.Denial
 	suspect            bool // it has brought tokens that prove nothing
 
 	token               string // the last good one, and what it proves
 	entry               *tokens.Entry
-	principal           rights.Who // by the token, else by the proof
-	principalGeneration uint64     // the generation for which who is right, 0 if it is not known
-	principalDenial     rights.Reason
+	principal           rights.Principal // by the token, else by the proof
+	principalGeneration uint64           // the generation for which who is right, 0 if it is not known
+	principalDenial     rights.Denial
 }
 
 // Request is an op that wants to come in.
 type Request struct {
-	rights.Ask
+	rights.Request
 	Token string
 }
 
 // Decision is what the door says. With neither Why nor After the op may come in, under Tenant.
 type Decision struct {
 	Tenant     choice.TenantID
-	Permission rights.Pass
-	Denial     rights.Reason // denied
+	Permission rights.Permission
+	Denial     rights.Denial // denied
 	RetryAfter time.Duration // not now
 }
 
@@ -66,11 +66,11 @@
 	config      Config
 	generation  uint64
 	trust       atomic.Pointer[certs.Trust] // for handshakes, which are made beside the loop
-	limiter     *rights.Gate
+	limiter     *rights.RateLimiter
 	verifier    *tokens.Office
 	checks      chan tokenCheck
-	denialLog   logline.Sampler[rights.Reason]
-	denials     map[rights.Reason]uint64
+	denialLog   logline.Sampler[rights.Denial]
+	denials     map[rights.Denial]uint64
 	admitted    uint64
 	deferred    uint64
 	loggedTotal uint64 // admitted, denied and later together when last said
@@ -87,7 +87,7 @@
 
 // New opens a door. hand gives calls to the owner loop, clock is its time.
 func New(config Config, post func(...func()), clock func() (time.Duration, time.Time)) *Authenticator {
-	d := &Authenticator{post: post, clock: clock, denials: map[rights.Reason]uint64{}}
+	d := &Authenticator{post: post, clock: clock, denials: map[rights.Denial]uint64{}}
 	d.Reload(config)
 	return d
 }
@@ -126,7 +126,7 @@
 	for check := range jobs {
 		started := time.Now()
 		result := tokens.Result{Raw: check.raw, Suspect: check.suspect, Set: check.keys}
-		result.Claims, result.Why = tokens.Verify(check.raw, func(id keyring.KeyID) (*keyring.Key, rights.Reason) {
+		result.Claims, result.Why = tokens.Verify(check.raw, func(id keyring.KeyID) (*keyring.Key, rights.Denial) {
 			key := check.keys.Find(id)
 			if key == nil {
 				return nil, keyring.Unknown
@@ -196,7 +196,7 @@
 
 // RevocationReason tells whether what a connection's certificate proved still counts; a reason bars it for good. It costs a
 // comparison while nothing has changed.
-func (d *Authenticator) RevocationReason(credential *Credential) rights.Reason {
+func (d *Authenticator) RevocationReason(credential *Credential) rights.Denial {
 	if credential.Proof == nil || credential.proofDenial != "" {
 		return credential.proofDenial
 	}
@@ -248,16 +248,16 @@
 	}
 	if d.draining {
 		d.deferred++
-		done(Decision{RetryAfter: rights.Soonest})
+		done(Decision{RetryAfter: rights.MinRetryAfter})
 		return
 	}
-	action, raw := d.verifier.Ask(now, request.Token, credential.suspect, func(entry *tokens.Entry, denial rights.Reason, retryAfter time.Duration) {
+	action, raw := d.verifier.Ask(now, request.Token, credential.suspect, func(entry *tokens.Entry, denial rights.Denial, retryAfter time.Duration) {
 		done(d.resume(credential, request, entry, denial, retryAfter))
 	})
 	d.perform(action, raw, credential.suspect)
 }
 
-func firstDenial(a, b rights.Reason) rights.Reason {
+func firstDenial(a, b rights.Denial) rights.Denial {
 	if a != "" {
 		return a
 	}
@@ -265,10 +265,10 @@
 }
 
 // resume goes on with what is known of a token.
-func (d *Authenticator) resume(credential *Credential, request Request, entry *tokens.Entry, denial rights.Reason, retryAfter time.Duration) Decision {
+func (d *Authenticator) resume(credential *Credential, request Request, entry *tokens.Entry, denial rights.Denial, retryAfter time.Duration) Decision {
 	if entry == nil && denial == "" {
 		d.deferred++
-		return Decision{RetryAfter: max(retryAfter, rights.Soonest)}
+		return Decision{RetryAfter: max(retryAfter, rights.MinRetryAfter)}
 	}
 	if denial != "" {
 		credential.suspect = credential.suspect || IsForgery(denial)
@@ -288,14 +288,14 @@
 	}
 	credential.principalGeneration, credential.entry, credential.token = d.generation, nil, ""
 	if credential.ConfiguredIdentity != "" {
-		credential.principal, credential.principalDenial = d.config.Policy.Who([]rights.Name{credential.ConfiguredIdentity}, "", nil)
+		credential.principal, credential.principalDenial = d.config.Policy.Resolve([]rights.Identity{credential.ConfiguredIdentity}, "", nil)
 		return
 	}
 	if credential.Proof == nil {
 		credential.principal, credential.principalDenial = d.config.Policy.Anonymous()
 		return
 	}
-	credential.principal, credential.principalDenial = d.config.Policy.Who(credential.Proof.Names, "", nil)
+	credential.principal, credential.principalDenial = d.config.Policy.Resolve(credential.Proof.Names, "", nil)
 }
 
 // identifyByToken has b.who be the caller by a good token.
@@ -304,30 +304,30 @@
 		return
 	}
 	credential.principalGeneration, credential.entry, credential.token = d.generation, entry, token
-	credential.principal, credential.principalDenial = d.config.Policy.Who(entry.Names(), entry.Tenant, entry.Roles)
+	credential.principal, credential.principalDenial = d.config.Policy.Resolve(entry.Names(), entry.Tenant, entry.Roles)
 }
 
 // decide tells whether a known caller may do what it asks, now.
-func (d *Authenticator) decide(credential *Credential, entry *tokens.Entry, principal *rights.Who, denial rights.Reason, request Request) Decision {
+func (d *Authenticator) decide(credential *Credential, entry *tokens.Entry, principal *rights.Principal, denial rights.Denial, request Request) Decision {
 	if denial != "" {
-		return d.deny(principal.Name, request, denial)
+		return d.deny(principal.Identity, request, denial)
 	}
-	roles, tenant, denial := d.config.Policy.May(principal, request.Ask)
+	roles, tenant, denial := d.config.Policy.Authorize(principal, request.Request)
 	if denial != "" {
-		return d.deny(principal.Name, request, denial)
+		return d.deny(principal.Identity, request, denial)
 	}
 	now, wall := d.clock()
 	if entry != nil {
 		denial, retryAfter := d.verifier.Single(wall, entry)
 		switch {
 		case denial != "":
-			return d.deny(principal.Name, request, denial)
+			return d.deny(principal.Identity, request, denial)
 		case retryAfter > 0:
 			d.deferred++
 			return Decision{RetryAfter: retryAfter}
 		}
 	}
-	permission, retryAfter, admitted := d.limiter.Take(now, principal, roles)
+	permission, retryAfter, admitted := d.limiter.Acquire(now, principal, roles)
 	if !admitted {
 		d.deferred++
 		return Decision{RetryAfter: retryAfter}
@@ -337,16 +337,16 @@
 }
 
 // Release takes a pass back whose op is over.
-func (d *Authenticator) Release(permission *rights.Pass) {
+func (d *Authenticator) Release(permission *rights.Permission) {
 	now, _ := d.clock()
-	d.limiter.Give(now, permission)
+	d.limiter.Release(now, permission)
 }
 
 // deny counts a denial and leaves its line.
-func (d *Authenticator) deny(name rights.Name, request Request, denial rights.Reason) Decision {
+func (d *Authenticator) deny(name rights.Identity, request Request, denial rights.Denial) Decision {
 	d.denials[denial]++
 	if _, wall := d.clock(); d.denialLog.Allow(denial, wall) {
-		slog.Warn("denied", "why", denial, "caller", truncate(string(name)), "type", truncate(string(request.Type)), "tenant", truncate(string(request.Tenant)))
+		slog.Warn("denied", "why", denial, "caller", truncate(string(name)), "type", truncate(string(request.Class)), "tenant", truncate(string(request.Tenant)))
 	}
 	return Decision{Denial: denial}
 }
@@ -354,7 +354,7 @@
 // truncate bounds what a caller can write into the log.
 func truncate(s string) string { return s[:min(len(s), 128)] }
 
-func (b *Credential) principalName() rights.Name {
+func (b *Credential) principalName() rights.Identity {
 	if b.Proof != nil && len(b.Proof.Names) > 0 {
 		return b.Proof.Names[0]
 	}
@@ -362,7 +362,7 @@
 }
 
 // IsForgery tells whether a token that is denied so was never good anywhere: whoever brings several is no caller of ours.
-func IsForgery(denial rights.Reason) bool {
+func IsForgery(denial rights.Denial) bool {
 	switch denial {
 	case tokens.TooLong, tokens.Malformed, tokens.Algorithm, tokens.Critical, tokens.Signature, tokens.Issuer,
 		tokens.Audience, tokens.Subject, keyring.Unknown:
@@ -380,7 +380,7 @@
 	if d.verifier != nil {
 		d.verifier.Expire(now, false)
 	}
-	d.denialLog.FlushSuppressed(wall, func(denial rights.Reason, more int) { slog.Warn("denials", "why", denial, "more", more) })
+	d.denialLog.FlushSuppressed(wall, func(denial rights.Denial, more int) { slog.Warn("denials", "why", denial, "more", more) })
 	if now-d.loggedAt >= logInterval {
 		d.loggedAt = now
 		d.logCounters()
--- a/internal/keep/instance.go
+++ b/internal/keep/instance.go
@@ -167,11 +167,11 @@
 	onCoalesced       func(choice.Outcome, time.Duration) // waits for another's result
 	coalescedAt       time.Duration                       // when it began to wait
 	arrivedAt         time.Duration
-	outsideController bool           // the module does not know of it: it waits at the door, or is elsewhere
-	original          *front.Request // as it came, less its body; nil where nothing is handed over
-	deadline          time.Duration  // with it
-	spilloverHandle   front.Handle   // it is elsewhere
-	permission        rights.Pass    // given back when the op is over
+	outsideController bool              // the module does not know of it: it waits at the door, or is elsewhere
+	original          *front.Request    // as it came, less its body; nil where nothing is handed over
+	deadline          time.Duration     // with it
+	spilloverHandle   front.Handle      // it is elsewhere
+	permission        rights.Permission // given back when the op is over
 }
 
 // Spillover is where an op may go that the module has turned away here. It belongs to the owner loop.
--- a/internal/keyring/keyring.go
+++ b/internal/keyring/keyring.go
@@ -27,10 +27,10 @@
 
 // The reasons for which a key does not count.
 const (
-	Unknown   rights.Reason = "unknown-key"   // no file has it
-	Early     rights.Reason = "early-key"     // published, but its time has not come
-	Retired   rights.Reason = "retired-key"   // its time is over
-	Withdrawn rights.Reason = "withdrawn-key" // taken back before its time, or its file is gone
+	Unknown   rights.Denial = "unknown-key"   // no file has it
+	Early     rights.Denial = "early-key"     // published, but its time has not come
+	Retired   rights.Denial = "retired-key"   // its time is over
+	Withdrawn rights.Denial = "withdrawn-key" // taken back before its time, or its file is gone
 )
 
 // Key is one public key.
@@ -45,7 +45,7 @@
 }
 
 // At tells whether a key counts at a moment. It is a told time, the same for all instances, whenever they read the file.
-func (k *Key) At(wall time.Time) rights.Reason {
+func (k *Key) At(wall time.Time) rights.Denial {
 	switch {
 	case k.Withdrawn:
 		return Withdrawn
@@ -272,7 +272,7 @@
 }
 
 // Find tells of a key at a moment: nil with the reason if it does not count then.
-func (r *Ring) Find(id KeyID, wall time.Time) (*Key, rights.Reason) {
+func (r *Ring) Find(id KeyID, wall time.Time) (*Key, rights.Denial) {
 	k := r.set.Find(id)
 	switch {
 	case k != nil:
--- a/internal/keyring/keyring_test.go
+++ b/internal/keyring/keyring_test.go
@@ -165,7 +165,7 @@
 			r.Replace(scenes.Must(Read(files)))
 			at := rapid.IntRange(0, 7).Draw(t, "at")
 			for _, id := range []string{"a", "b", "c", "d"} {
-				want := rights.Reason("")
+				want := rights.Denial("")
 				switch k, there := table[id]; {
 				case !there && ever[id]:
 					want = Withdrawn
--- a/internal/operator/amqp.go
+++ b/internal/operator/amqp.go
@@ -90,7 +90,7 @@
 		if kind, rest, _ := strings.Cut(identity, ":"); rest == "" || kind != "token" && kind != "uri" && kind != "dns" && kind != "subject" {
 			s.report("identity", identity, "wants message, or an identity as token:depot")
 		}
-		queue.Identity = rights.Name(identity)
+		queue.Identity = rights.Identity(identity)
 	}
 	s.intValue("attempts", &queue.Told.Attempts, 1, 1000)
 	s.boolValue("retry-queue", &queue.Told.Retry)
--- a/internal/operator/callers.go
+++ b/internal/operator/callers.go
@@ -42,17 +42,17 @@
 		callers.Enabled = true
 		binding := s.readBinding()
 		checkRoles(s, "roles", binding.Roles)
-		for _, pattern := range binding.Match {
+		for _, pattern := range binding.Patterns {
 			if otherBinding, duplicate := boundPatterns[pattern]; duplicate {
 				s.report("match", pattern, "is matched by caller "+otherBinding+" already")
 			}
-			boundPatterns[pattern] = binding.Title
+			boundPatterns[pattern] = binding.Name
 		}
 		callers.Bindings = append(callers.Bindings, binding)
 	}
 	if len(r.diagnostics) == 0 {
 		var err error
-		if callers.Policy, err = rights.NewBook(callers.Roles, callers.Bindings, callers.writeClasses, callers.anonymousRoles); err != nil {
+		if callers.Policy, err = rights.NewPolicy(callers.Roles, callers.Bindings, callers.writeClasses, callers.anonymousRoles); err != nil {
 			r.report("callers", "", "", err.Error())
 		}
 	}
@@ -65,38 +65,38 @@
 		role.Tenants = append(role.Tenants, choice.TenantID(name))
 	}
 	for _, name := range s.listValue("types") {
-		role.Types = append(role.Types, choice.Class(name))
+		role.Classes = append(role.Classes, choice.Class(name))
 	}
-	if len(role.Types) == 0 {
+	if len(role.Classes) == 0 {
 		s.report("types", "", "wants op types with commas between, or * for all")
 	}
 	for _, permission := range s.listValue("may") {
 		switch permission {
 		case "read":
-			role.Reads = true
+			role.CanRead = true
 		case "write":
-			role.Writes = true
+			role.CanWrite = true
 		default:
 			s.report("may", permission, "wants read, write or both")
 		}
 	}
-	if !role.Reads && !role.Writes {
+	if !role.CanRead && !role.CanWrite {
 		s.report("may", "", "wants read, write or both")
 	}
-	s.floatValue("rate", &role.Rate, 0, 1e6)
-	role.Burst = max(1, role.Rate) // a second's worth
+	s.floatValue("rate", &role.RatePerSecond, 0, 1e6)
+	role.Burst = max(1, role.RatePerSecond) // a second's worth
 	s.floatValue("burst", &role.Burst, 1, 1e6)
-	s.intValue("open", &role.Open, 0, 1_000_000)
+	s.intValue("open", &role.MaxInFlight, 0, 1_000_000)
 	s.reportUnknownNames()
 	return role
 }
 
-func (s *section) readBinding() rights.Caller {
-	binding := rights.Caller{Title: s.label(), Match: s.listValue("match")}
-	if len(binding.Match) == 0 {
+func (s *section) readBinding() rights.Binding {
+	binding := rights.Binding{Name: s.label(), Patterns: s.listValue("match")}
+	if len(binding.Patterns) == 0 {
 		s.report("match", "", "wants identities, as uri:rota://water/* or token:depot-7")
 	}
-	for _, pattern := range binding.Match {
+	for _, pattern := range binding.Patterns {
 		kind, rest, _ := strings.Cut(pattern, ":")
 		if rest == "" || kind != "uri" && kind != "dns" && kind != "subject" && kind != "token" {
 			s.report("match", pattern, "wants uri:, dns:, subject: or token: in front")
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -62,16 +62,16 @@
 	for _, r := range c.Roles {
 		name := "role " + string(r.Name)
 		l.add(name+".tenants", r.Tenants)
-		l.add(name+".types", r.Types)
-		l.add(name+".may (read)", r.Reads)
-		l.add(name+".may (write)", r.Writes)
-		l.add(name+".rate", r.Rate)
+		l.add(name+".types", r.Classes)
+		l.add(name+".may (read)", r.CanRead)
+		l.add(name+".may (write)", r.CanWrite)
+		l.add(name+".rate", r.RatePerSecond)
 		l.add(name+".burst", r.Burst)
-		l.add(name+".open", r.Open)
+		l.add(name+".open", r.MaxInFlight)
 	}
 	for _, c := range c.Bindings {
-		name := "caller " + c.Title
-		l.add(name+".match", c.Match)
+		name := "caller " + c.Name
+		l.add(name+".match", c.Patterns)
 		l.add(name+".tenant", c.Tenant)
 		l.add(name+".roles", c.Roles)
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -37,8 +37,8 @@
 	writeClasses   []choice.Class    // what changes something, whatever an op says of itself
 	MaxRateEntries int               // identities whose rates and counts are kept, by role
 	Roles          []rights.Role
-	Bindings       []rights.Caller
-	Policy         *rights.Book
+	Bindings       []rights.Binding
+	Policy         *rights.Policy
 }
 
 // Tokens is how signed tokens are checked.
--- a/internal/rights/rights_test.go
+++ b/internal/rights/rights_test.go
@@ -14,21 +14,21 @@
 	"lanewheel/internal/scenes"
 )
 
-var book = scenes.Must(NewBook([]Role{
-	{Name: "crew", Types: []choice.Class{"view", "set"}, Reads: true, Writes: true, Rate: 10, Burst: 2, Open: 3},
-	{Name: "viewer", Types: []choice.Class{"view"}, Reads: true},
-	{Name: "desk", Types: []choice.Class{Every}, Tenants: []choice.TenantID{Every}, Reads: true, Writes: true},
-}, []Caller{
-	{Title: "water", Match: []string{"uri:rota://water/*"}, Tenant: "water", Roles: []RoleName{"crew"}},
-	{Title: "foreman", Match: []string{"uri:rota://water/foreman", "token:desk-1"}, Tenant: "water", Roles: []RoleName{"desk"}},
-	{Title: "roads", Match: []string{"uri:rota://*"}, Tenant: "roads", Roles: []RoleName{"crew", "viewer"}},
+var policy = scenes.Must(NewPolicy([]Role{
+	{Name: "crew", Classes: []choice.Class{"view", "set"}, CanRead: true, CanWrite: true, RatePerSecond: 10, Burst: 2, MaxInFlight: 3},
+	{Name: "viewer", Classes: []choice.Class{"view"}, CanRead: true},
+	{Name: "desk", Classes: []choice.Class{wildcard}, Tenants: []choice.TenantID{wildcard}, CanRead: true, CanWrite: true},
+}, []Binding{
+	{Name: "water", Patterns: []string{"uri:rota://water/*"}, Tenant: "water", Roles: []RoleName{"crew"}},
+	{Name: "foreman", Patterns: []string{"uri:rota://water/foreman", "token:desk-1"}, Tenant: "water", Roles: []RoleName{"desk"}},
+	{Name: "roads", Patterns: []string{"uri:rota://*"}, Tenant: "roads", Roles: []RoleName{"crew", "viewer"}},
 }, []choice.Class{"set"}, nil))
 
 // Who a caller is, and what it may: a whole name goes before a start, a longer start before a shorter; a write that calls
 // itself a read stays a write; another tenant's op is denied.
 func Example() {
 	for _, c := range []struct {
-		name   Name
+		name   Identity
 		claim  choice.TenantID
 		roles  []RoleName
 		kind   choice.Class
@@ -46,18 +46,18 @@
 		{"token:x", "water", nil, "view", "water", false},
 		{"token:desk-1", "roads", []RoleName{"viewer"}, "any", "gas", true},
 	} {
-		w, why := book.Who([]Name{c.name}, c.claim, c.roles)
+		w, why := policy.Resolve([]Identity{c.name}, c.claim, c.roles)
 		if why == "" {
 			var tenant choice.TenantID
-			_, tenant, why = book.May(&w, Ask{c.kind, c.tenant, c.write})
+			_, tenant, why = policy.Authorize(&w, Request{c.kind, c.tenant, c.write})
 			fmt.Printf("%s %s for %s: %q\n", c.name, c.kind, tenant, why)
 			continue
 		}
 		fmt.Printf("%s: %q\n", c.name, why)
 	}
-	_, why := book.Anonymous()
+	_, why := policy.Anonymous()
 	fmt.Println(why)
-	_, err := NewBook(nil, []Caller{{Title: "a", Match: []string{"uri:x"}, Roles: []RoleName{"none"}}}, nil, nil)
+	_, err := NewPolicy(nil, []Binding{{Name: "a", Patterns: []string{"uri:x"}, Roles: []RoleName{"none"}}}, nil, nil)
 	fmt.Println(err)
 	// Output:
 	// uri:rota://water/7 set for water: ""
@@ -75,14 +75,14 @@
 }
 
 // An identity's rate, its ops in hand, and when it may come back; ten times its rate costs its neighbour nothing.
-func Example_gate() {
-	g := NewGate(10)
-	water, _ := book.Who([]Name{"uri:rota://water/7"}, "", nil)
-	other, _ := book.Who([]Name{"uri:rota://water/8"}, "", nil)
-	roles, _, _ := book.May(&water, Ask{"set", "water", true})
-	take := func(now time.Duration, w *Who) Pass {
-		p, after, in := g.Take(now, w, roles)
-		fmt.Println(now, w.Name, in, after)
+func Example_rateLimiter() {
+	g := newRateLimiter(10)
+	water, _ := policy.Resolve([]Identity{"uri:rota://water/7"}, "", nil)
+	other, _ := policy.Resolve([]Identity{"uri:rota://water/8"}, "", nil)
+	roles, _, _ := policy.Authorize(&water, Request{"set", "water", true})
+	take := func(now time.Duration, w *Principal) Permission {
+		p, after, in := g.Acquire(now, w, roles)
+		fmt.Println(now, w.Identity, in, after)
 		return p
 	}
 	take(0, &water)
@@ -92,10 +92,10 @@
 	take(50*time.Millisecond, &water)
 	take(100*time.Millisecond, &water)
 	take(time.Second, &water) // its rate would allow it, but three are in hand
-	g.Give(time.Second, &p)
-	g.Give(time.Second, &p) // a second time gives nothing back
+	g.Release(time.Second, &p)
+	g.Release(time.Second, &p) // a second time gives nothing back
 	take(time.Second, &water)
-	fmt.Println(g.Open(water.Name, "crew"), g.Len())
+	fmt.Println(g.inFlight(water.Identity, "crew"), g.Len())
 	// Output:
 	// 0s uri:rota://water/7 true 0s
 	// 0s uri:rota://water/7 true 0s
@@ -110,21 +110,21 @@
 
 // A hundred thousand identities leave no more entries than told; who is in use is not forgotten for a newcomer.
 func Example_bounded() {
-	g := NewGate(300) // a hundred are refilling at a time
-	r := &Role{Name: "r", Rate: 10, Burst: 1}
+	g := newRateLimiter(300) // a hundred are refilling at a time
+	r := &Role{Name: "r", RatePerSecond: 10, Burst: 1}
 	turned := 0
 	for i := range 100_000 {
-		w := &Who{Name: Name(fmt.Sprint("token:", i))}
-		p, _, in := g.Take(time.Duration(i)*time.Millisecond, w, []*Role{r})
+		w := &Principal{Identity: Identity(fmt.Sprint("token:", i))}
+		p, _, in := g.Acquire(time.Duration(i)*time.Millisecond, w, []*Role{r})
 		if !in {
 			turned++
 		}
-		g.Give(time.Duration(i)*time.Millisecond, &p)
+		g.Release(time.Duration(i)*time.Millisecond, &p)
 	}
 	fmt.Println(g.Len() <= 300, turned)
-	g = NewGate(2)
+	g = newRateLimiter(2)
 	for i := range 3 {
-		_, after, in := g.Take(0, &Who{Name: Name(fmt.Sprint(i))}, []*Role{r})
+		_, after, in := g.Acquire(0, &Principal{Identity: Identity(fmt.Sprint(i))}, []*Role{r})
 		fmt.Println(in, after)
 	}
 	// Output:
@@ -135,18 +135,18 @@
 }
 
 // The book against rules read one by one.
-func TestBook(t *testing.T) {
+func TestPolicy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tenants := []choice.TenantID{"", "a", "b", Every}
-		kinds := []choice.Class{"x", "y", Every}
+		tenants := []choice.TenantID{"", "a", "b", wildcard}
+		kinds := []choice.Class{"x", "y", wildcard}
 		var roles []Role
 		for i := range rapid.IntRange(1, 4).Draw(t, "roles") {
 			roles = append(roles, Role{Name: RoleName(fmt.Sprint("r", i)),
 				Tenants: rapid.SliceOfN(rapid.SampledFrom(tenants[1:]), 0, 2).Draw(t, "tenants"),
-				Types:   rapid.SliceOfN(rapid.SampledFrom(kinds), 1, 2).Draw(t, "types"),
-				Reads:   rapid.Bool().Draw(t, "reads"), Writes: rapid.Bool().Draw(t, "writes")})
+				Classes: rapid.SliceOfN(rapid.SampledFrom(kinds), 1, 2).Draw(t, "types"),
+				CanRead: rapid.Bool().Draw(t, "reads"), CanWrite: rapid.Bool().Draw(t, "writes")})
 		}
-		var callers []Caller
+		var callers []Binding
 		used := map[string]bool{}
 		for i := range rapid.IntRange(0, 4).Draw(t, "callers") {
 			match := rapid.SampledFrom([]string{"uri:a", "uri:a*", "uri:ab", "uri:ab*", "uri:*", "dns:a", "token:*"}).Draw(t, "match")
@@ -154,18 +154,18 @@
 				continue
 			}
 			used[match] = true
-			callers = append(callers, Caller{Title: fmt.Sprint("c", i), Match: []string{match},
+			callers = append(callers, Binding{Name: fmt.Sprint("c", i), Patterns: []string{match},
 				Tenant: rapid.SampledFrom(tenants[:3]).Draw(t, "tenant"),
 				Roles:  []RoleName{roles[rapid.IntRange(0, len(roles)-1).Draw(t, "role")].Name}})
 		}
 		writes := rapid.SliceOfN(rapid.SampledFrom(kinds[:2]), 0, 1).Draw(t, "writes")
-		b := scenes.Must(NewBook(roles, callers, writes, nil))
+		b := scenes.Must(NewPolicy(roles, callers, writes, nil))
 		name := rapid.SampledFrom([]string{"uri:a", "uri:ab", "uri:abc", "uri:c", "dns:a", "dns:b", "token:q"}).Draw(t, "name")
-		ask := Ask{rapid.SampledFrom(kinds[:2]).Draw(t, "kind"), rapid.SampledFrom(tenants[:3]).Draw(t, "asks"), rapid.Bool().Draw(t, "write")}
+		ask := Request{rapid.SampledFrom(kinds[:2]).Draw(t, "kind"), rapid.SampledFrom(tenants[:3]).Draw(t, "asks"), rapid.Bool().Draw(t, "write")}
 
 		best, length := -1, -1
 		for i, c := range callers {
-			m := c.Match[0]
+			m := c.Patterns[0]
 			if with, open := strings.CutSuffix(m, "*"); m == name {
 				best, length = i, math.MaxInt
 			} else if open && strings.HasPrefix(name, with) && len(with) > length {
@@ -180,13 +180,13 @@
 			if tenant == "" {
 				tenant = c.Tenant
 			}
-			write := ask.Write || slices.Contains(writes, ask.Type)
-			may = (tenant == c.Tenant || slices.Contains(r.Tenants, tenant) || slices.Contains(r.Tenants, Every)) &&
-				(slices.Contains(r.Types, ask.Type) || slices.Contains(r.Types, Every)) && (write && r.Writes || !write && r.Reads)
+			write := ask.Write || slices.Contains(writes, ask.Class)
+			may = (tenant == c.Tenant || slices.Contains(r.Tenants, tenant) || slices.Contains(r.Tenants, wildcard)) &&
+				(slices.Contains(r.Classes, ask.Class) || slices.Contains(r.Classes, wildcard)) && (write && r.CanWrite || !write && r.CanRead)
 		}
-		w, why := b.Who([]Name{Name(name)}, "", nil)
+		w, why := b.Resolve([]Identity{Identity(name)}, "", nil)
 		if why == "" {
-			_, _, why = b.May(&w, ask)
+			_, _, why = b.Authorize(&w, ask)
 		}
 		if may != (why == "") {
 			t.Fatalf("%s %+v: %q, want may %v", name, ask, why, may)
@@ -196,37 +196,37 @@
 
 // The gate against a count of all that was ever let in: never more than burst and rate allow in any span, never more in hand
 // than told, nobody turned away who keeps to both, and who comes back when told is let in.
-func TestGate(t *testing.T) {
+func TestRateLimiter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		role := &Role{Name: "r", Rate: rapid.Float64Range(1, 50).Draw(t, "rate"), Burst: rapid.Float64Range(1, 9).Draw(t, "burst"),
-			Open: rapid.IntRange(0, 4).Draw(t, "open")}
-		g := NewGate(4)
+		role := &Role{Name: "r", RatePerSecond: rapid.Float64Range(1, 50).Draw(t, "rate"), Burst: rapid.Float64Range(1, 9).Draw(t, "burst"),
+			MaxInFlight: rapid.IntRange(0, 4).Draw(t, "open")}
+		g := newRateLimiter(4)
 		now := time.Duration(0)
 		var in []time.Duration
-		var open []Pass
-		w := &Who{Name: "a"}
+		var open []Permission
+		w := &Principal{Identity: "a"}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond
 			if len(open) > 0 && rapid.Bool().Draw(t, "ends") {
-				g.Give(now, &open[0])
+				g.Release(now, &open[0])
 				open = open[1:]
 				continue
 			}
-			p, after, let := g.Take(now, w, []*Role{role})
+			p, after, let := g.Acquire(now, w, []*Role{role})
 			if let {
 				in, open = append(in, now), append(open, p)
 			}
-			if role.Open > 0 && len(open) > role.Open {
+			if role.MaxInFlight > 0 && len(open) > role.MaxInFlight {
 				t.Fatal("more in hand than told")
 			}
 			for i := range in { // in any span up to now
-				if most := role.Burst + (now-in[i]).Seconds()*role.Rate + 1e-6; float64(len(in)-i) > most {
+				if most := role.Burst + (now-in[i]).Seconds()*role.RatePerSecond + 1e-6; float64(len(in)-i) > most {
 					t.Fatalf("%d in %v, most %f", len(in)-i, now-in[i], most)
 				}
 			}
-			if !let && (role.Open == 0 || len(open) < role.Open) {
+			if !let && (role.MaxInFlight == 0 || len(open) < role.MaxInFlight) {
 				now += after + time.Microsecond
-				p, _, let := g.Take(now, w, []*Role{role})
+				p, _, let := g.Acquire(now, w, []*Role{role})
 				if !let {
 					t.Fatalf("came back after %v and was turned away", after)
 				}
@@ -236,17 +236,17 @@
 	})
 }
 
-func BenchmarkMayAndTake(b *testing.B) {
-	g := NewGate(10_000)
-	w, _ := book.Who([]Name{"uri:rota://water/7"}, "", nil)
+func BenchmarkAuthorizeAndAcquire(b *testing.B) {
+	g := newRateLimiter(10_000)
+	w, _ := policy.Resolve([]Identity{"uri:rota://water/7"}, "", nil)
 	b.ReportAllocs()
 	for i := range b.N {
-		roles, _, _ := book.May(&w, Ask{"set", "water", true})
+		roles, _, _ := policy.Authorize(&w, Request{"set", "water", true})
 		now := time.Duration(i) * time.Second
-		p, _, in := g.Take(now, &w, roles)
+		p, _, in := g.Acquire(now, &w, roles)
 		if !in {
 			b.Fatal("turned away")
 		}
-		g.Give(now, &p)
+		g.Release(now, &p)
 	}
 }
--- a/internal/stubs/stubs.go
+++ b/internal/stubs/stubs.go
@@ -28,7 +28,7 @@
 
 // Authenticator is who knows callers; nil where everybody may do everything.
 type Authenticator interface {
-	RevocationReason(*identity.Credential) rights.Reason
+	RevocationReason(*identity.Credential) rights.Denial
 	NeedsRecheck(*identity.Credential) bool
 	Sweep()
 }
@@ -284,7 +284,7 @@
 				return
 			}
 		}
-		invalid = identity.IsForgery(rights.Reason(metadata.Reason))
+		invalid = identity.IsForgery(rights.Denial(metadata.Reason))
 	} else {
 		conn.conn.Fail(a.messageID, metadata)
 	}
--- a/internal/tokens/bounds.go
+++ b/internal/tokens/bounds.go
@@ -99,7 +99,7 @@
 
 // use notes an id. Danger: forgetting one before it expires lets it be used again. When the bound is reached nothing is
 // forgotten; the newcomer is told to come again when the first one expires.
-func (o *once) use(wall time.Time, id string, expires time.Time) (rights.Reason, time.Duration) {
+func (o *once) use(wall time.Time, id string, expires time.Time) (rights.Denial, time.Duration) {
 	if _, used := o.at[id]; used {
 		return Replayed, 0
 	}
--- a/internal/tokens/golden_test.go
+++ b/internal/tokens/golden_test.go
@@ -33,7 +33,7 @@
 // Tokens of each algorithm verify, prove what they were issued for, and name their claims as ever.
 func TestGoldenTokens(t *testing.T) {
 	keys := scenes.Must(keyring.Load("../keyring/testdata/golden"))
-	find := func(id keyring.KeyID) (*keyring.Key, rights.Reason) {
+	find := func(id keyring.KeyID) (*keyring.Key, rights.Denial) {
 		if k := keys.Find(id); k != nil {
 			return k, "" // whether it counts is decided in keyring
 		}
@@ -117,7 +117,7 @@
 
 // The reasons that are spoken, in answers, logs and listings.
 func TestGoldenReasons(t *testing.T) {
-	for reason, want := range map[rights.Reason]string{TooLong: "too-long", Malformed: "malformed",
+	for reason, want := range map[rights.Denial]string{TooLong: "too-long", Malformed: "malformed",
 		Algorithm: "algorithm", Critical: "critical",
 		Signature: "signature", Expired: "expired", Early: "early", Issuer: "issuer", Audience: "audience",
 		Subject: "subject", Revoked: "revoked",
--- a/internal/tokens/office.go
+++ b/internal/tokens/office.go
@@ -33,7 +33,7 @@
 
 // bad is a token that proved nothing.
 type bad struct {
-	why        rights.Reason
+	why        rights.Denial
 	generation uint64
 	until      time.Duration
 }
@@ -77,7 +77,7 @@
 const patience = 250 * time.Millisecond
 
 // Waiter is handed the verdict: an entry, or a reason, or, with neither, the time after which to come again.
-type Waiter func(e *Entry, why rights.Reason, after time.Duration)
+type Waiter func(e *Entry, why rights.Denial, after time.Duration)
 
 // Act is what an Office wants done beside the loop.
 type Act int
@@ -114,7 +114,7 @@
 
 // Know gives a token's entry if it is remembered, or why it proves nothing if that is known. Otherwise known is false and the
 // caller is to Ask.
-func (o *Office) Know(now time.Duration, wall time.Time, raw string) (e *Entry, why rights.Reason, known bool) {
+func (o *Office) Know(now time.Duration, wall time.Time, raw string) (e *Entry, why rights.Denial, known bool) {
 	if len(raw) > o.policy.Longest {
 		return nil, TooLong, true
 	}
@@ -134,14 +134,14 @@
 
 // Still tells whether a remembered entry counts now; not sure means that it has to be checked again.
 // It is looked at with every op, and costs some comparisons while nothing has changed.
-func (o *Office) Still(now time.Duration, wall time.Time, e *Entry) (why rights.Reason, sure bool) {
+func (o *Office) Still(now time.Duration, wall time.Time, e *Entry) (why rights.Denial, sure bool) {
 	if o.good[e.digest] != e {
 		return "", false
 	}
 	return o.still(now, wall, e)
 }
 
-func (o *Office) still(now time.Duration, wall time.Time, e *Entry) (rights.Reason, bool) {
+func (o *Office) still(now time.Duration, wall time.Time, e *Entry) (rights.Denial, bool) {
 	e.used = true
 	if e.generation != o.generation {
 		key := o.Ring.Set().Find(e.Key)
@@ -205,7 +205,7 @@
 	Raw     string
 	Suspect bool // as it was asked for
 	Claims  Claims
-	Why     rights.Reason
+	Why     rights.Denial
 	Took    time.Duration
 	Set     *keyring.Set // by which it was checked
 }
@@ -308,7 +308,7 @@
 }
 
 // settle hands a verdict to all that wait for it.
-func (o *Office) settle(p *pending, e *Entry, why rights.Reason, after time.Duration) {
+func (o *Office) settle(p *pending, e *Entry, why rights.Denial, after time.Duration) {
 	if o.pending[p.digest] == p {
 		delete(o.pending, p.digest)
 		o.waiting -= len(p.waits)
@@ -321,7 +321,7 @@
 }
 
 // Single uses a token up that counts once, and tells whether it was used before, or that no more can be remembered.
-func (o *Office) Single(wall time.Time, e *Entry) (rights.Reason, time.Duration) {
+func (o *Office) Single(wall time.Time, e *Entry) (rights.Denial, time.Duration) {
 	if !o.policy.Single {
 		return "", 0
 	}
@@ -374,10 +374,10 @@
 
 // lasting are the reasons that stay true of a token whatever the time. Danger: one that was refused a moment too early
 // would stay refused when its time has come.
-var lasting = map[rights.Reason]bool{Malformed: true, Algorithm: true, Critical: true, Signature: true, Issuer: true,
+var lasting = map[rights.Denial]bool{Malformed: true, Algorithm: true, Critical: true, Signature: true, Issuer: true,
 	Audience: true, Subject: true, NoID: true}
 
-func (o *Office) noteBad(now time.Duration, d Digest, why rights.Reason) {
+func (o *Office) noteBad(now time.Duration, d Digest, why rights.Denial) {
 	if _, noted := o.bad[d]; !noted {
 		o.badOrder = append(o.badOrder, d)
 		if len(o.badOrder) > max(1, o.bounds.Remembered) {
--- a/internal/tokens/tokens_test.go
+++ b/internal/tokens/tokens_test.go
@@ -43,9 +43,9 @@
 	return scenes.Must(keyring.Read(files))
 }
 
-func finds(s *keyring.Set, wall time.Time) func(keyring.KeyID) (*keyring.Key, rights.Reason) {
+func finds(s *keyring.Set, wall time.Time) func(keyring.KeyID) (*keyring.Key, rights.Denial) {
 	r := keyring.NewRing(s, time.Second)
-	return func(id keyring.KeyID) (*keyring.Key, rights.Reason) { return r.Find(id, wall) }
+	return func(id keyring.KeyID) (*keyring.Key, rights.Denial) { return r.Find(id, wall) }
 }
 
 // claims are those of a good token for an hour; change may change them.
@@ -163,7 +163,7 @@
 func (d *desk) check(raw string) {
 	d.checks++
 	s := d.Ring.Set()
-	c, why := Verify(raw, func(id keyring.KeyID) (*keyring.Key, rights.Reason) {
+	c, why := Verify(raw, func(id keyring.KeyID) (*keyring.Key, rights.Denial) {
 		if k := s.Find(id); k != nil {
 			return k, k.At(d.wall)
 		}
@@ -176,7 +176,7 @@
 // ask gives the verdict on a token as text.
 func (d *desk) ask(raw string) string {
 	say := "waits"
-	tell := func(e *Entry, why rights.Reason, after time.Duration) {
+	tell := func(e *Entry, why rights.Denial, after time.Duration) {
 		switch {
 		case why != "":
 			say = string(why)
@@ -307,7 +307,7 @@
 	for i := range 100_000 {
 		d.pass(10 * time.Microsecond)
 		raw := fmt.Sprintf("%s.%s.%s", parts[0], parts[1], base64.RawURLEncoding.EncodeToString(fmt.Appendf(nil, "%064d", i)))
-		act, raw := d.Ask(d.now, raw, true, func(e *Entry, why rights.Reason, after time.Duration) {
+		act, raw := d.Ask(d.now, raw, true, func(e *Entry, why rights.Denial, after time.Duration) {
 			if why == "" {
 				turned++
 			}
--- a/internal/tokens/verify.go
+++ b/internal/tokens/verify.go
@@ -20,19 +20,19 @@
 
 // Why a token proves nothing.
 const (
-	TooLong   rights.Reason = "too-long"
-	Malformed rights.Reason = "malformed"
-	Algorithm rights.Reason = "algorithm" // none, one we don't take, or not the key's own
-	Critical  rights.Reason = "critical"  // it wants something understood that we don't
-	Signature rights.Reason = "signature"
-	Expired   rights.Reason = "expired"
-	Early     rights.Reason = "early"
-	Issuer    rights.Reason = "issuer"
-	Audience  rights.Reason = "audience"
-	Subject   rights.Reason = "subject" // it names nobody
-	Revoked   rights.Reason = "revoked"
-	Replayed  rights.Reason = "replayed"
-	NoID      rights.Reason = "no-id" // single use is told, and it has no jti
+	TooLong   rights.Denial = "too-long"
+	Malformed rights.Denial = "malformed"
+	Algorithm rights.Denial = "algorithm" // none, one we don't take, or not the key's own
+	Critical  rights.Denial = "critical"  // it wants something understood that we don't
+	Signature rights.Denial = "signature"
+	Expired   rights.Denial = "expired"
+	Early     rights.Denial = "early"
+	Issuer    rights.Denial = "issuer"
+	Audience  rights.Denial = "audience"
+	Subject   rights.Denial = "subject" // it names nobody
+	Revoked   rights.Denial = "revoked"
+	Replayed  rights.Denial = "replayed"
+	NoID      rights.Denial = "no-id" // single use is told, and it has no jti
 )
 
 // Policy is what a token has to say.
@@ -61,13 +61,15 @@
 func NewID() string { return rand.Text() }
 
 // Names are the identities that it proves.
-func (c *Claims) Names() []rights.Name { return []rights.Name{rights.Name("token:" + c.Subject)} }
+func (c *Claims) Names() []rights.Identity {
+	return []rights.Identity{rights.Identity("token:" + c.Subject)}
+}
 
 var algorithms = []jose.SignatureAlgorithm{jose.EdDSA, jose.ES256, jose.RS256}
 
 // Verify reads a token and checks all that does not change while it is remembered: its form, key, signature, issuer and
 // audience. find gives the key in force. If the key does not count, its id comes back with the reason.
-func Verify(raw string, find func(keyring.KeyID) (*keyring.Key, rights.Reason), p *Policy) (Claims, rights.Reason) {
+func Verify(raw string, find func(keyring.KeyID) (*keyring.Key, rights.Denial), p *Policy) (Claims, rights.Denial) {
 	var c Claims
 	// Danger: a token of any length costs time and memory before anything of it is known.
 	if len(raw) > p.Longest {
@@ -143,7 +145,7 @@
 }
 
 // At tells whether claims count at a moment, with the leeway.
-func (c *Claims) At(wall time.Time, p *Policy) rights.Reason {
+func (c *Claims) At(wall time.Time, p *Policy) rights.Denial {
 	switch {
 	case !wall.Before(c.Expiry.Add(p.Leeway)):
 		return Expired
