--- a/internal/command/keys.go
+++ b/internal/command/keys.go
@@ -306,9 +306,9 @@
 	ring := keyring.NewRing(keys, time.Second)
 	c, why := tokens.Verify(raw, func(id keyring.KeyID) (*keyring.Key, rights.Denial) { return ring.Find(id, now) }, p)
 	if why == "" {
-		why = c.At(now, p)
+		why = c.CheckTime(now, p)
 	}
-	if why == "" && revoked.Has(&c) {
+	if why == "" && revoked.Contains(&c) {
 		why = tokens.Revoked
 	}
 	return why
--- a/internal/identity/door.go
+++ b/internal/identity/door.go
@@ -27,7 +27,7 @@
 	KeyDir         string         // where the keys are read again
 	TokenPolicy    *tokens.Policy // of tokens
 	RevokedTokens  *tokens.Revocations
-	TokenLimits    tokens.Bounds
+	TokenLimits    tokens.Limits
 }
 
 // Credential is what a connection has proved. It belongs to the owner loop.
@@ -39,7 +39,7 @@
 	suspect            bool // it has brought tokens that prove nothing
 
 	token               string // the last good one, and what it proves
-	entry               *tokens.Entry
+	entry               *tokens.CachedToken
 	principal           rights.Principal // by the token, else by the proof
 	principalGeneration uint64           // the generation for which who is right, 0 if it is not known
 	principalDenial     rights.Denial
@@ -67,7 +67,7 @@
 	generation  uint64
 	trust       atomic.Pointer[certs.Trust] // for handshakes, which are made beside the loop
 	limiter     *rights.RateLimiter
-	verifier    *tokens.Office
+	verifier    *tokens.Verifier
 	checks      chan tokenCheck
 	denialLog   logline.Sampler[rights.Denial]
 	denials     map[rights.Denial]uint64
@@ -101,18 +101,18 @@
 	switch {
 	case config.KeySet == nil:
 		if d.verifier != nil {
-			d.verifier.Expire(0, true)
+			d.verifier.ExpireWaiting(0, true)
 		}
 		d.verifier = nil
 	case d.verifier == nil:
-		d.verifier = tokens.NewOffice(config.KeySet, config.TokenPolicy, config.RevokedTokens, config.TokenLimits)
+		d.verifier = tokens.NewVerifier(config.KeySet, config.TokenPolicy, config.RevokedTokens, config.TokenLimits)
 		if d.checks == nil {
 			// Never full: the office asks for no more checks at a time than may wait, and once more for each after a look.
 			d.checks = make(chan tokenCheck, 4*maxPendingChecks)
 			go verifyTokens(d.checks, d.handleResult)
 		}
 	default:
-		d.verifier.Replace(config.KeySet, config.TokenPolicy, config.RevokedTokens, config.TokenLimits)
+		d.verifier.Reload(config.KeySet, config.TokenPolicy, config.RevokedTokens, config.TokenLimits)
 	}
 	d.config = config
 	d.trust.Store(config.TrustStore)
@@ -122,38 +122,38 @@
 const maxPendingChecks = 4096
 
 // verifyTokens verifies one token after the other, beside the loop.
-func verifyTokens(jobs <-chan tokenCheck, done func(tokens.Result)) {
+func verifyTokens(jobs <-chan tokenCheck, done func(tokens.CheckResult)) {
 	for check := range jobs {
 		started := time.Now()
-		result := tokens.Result{Raw: check.raw, Suspect: check.suspect, Set: check.keys}
-		result.Claims, result.Why = tokens.Verify(check.raw, func(id keyring.KeyID) (*keyring.Key, rights.Denial) {
+		result := tokens.CheckResult{Raw: check.raw, Suspect: check.suspect, KeySet: check.keys}
+		result.Claims, result.Denial = tokens.Verify(check.raw, func(id keyring.KeyID) (*keyring.Key, rights.Denial) {
 			key := check.keys.Find(id)
 			if key == nil {
 				return nil, keyring.Unknown
 			}
 			return key, key.At(started)
 		}, check.policy)
-		result.Took = time.Since(started)
+		result.Duration = time.Since(started)
 		done(result)
 	}
 }
 
-func (d *Authenticator) handleResult(result tokens.Result) {
+func (d *Authenticator) handleResult(result tokens.CheckResult) {
 	d.post(func() {
 		if d.verifier != nil {
 			now, wall := d.clock()
-			action, raw := d.verifier.Checked(now, wall, result)
+			action, raw := d.verifier.HandleResult(now, wall, result)
 			d.perform(action, raw, result.Suspect)
 		}
 	})
 }
 
 // perform sees to what the office wants done.
-func (d *Authenticator) perform(action tokens.Act, raw string, suspect bool) {
+func (d *Authenticator) perform(action tokens.Action, raw string, suspect bool) {
 	switch action {
-	case tokens.Check:
-		d.checks <- tokenCheck{raw, suspect, d.verifier.Ring.Set(), d.verifier.Policy()}
-	case tokens.Look:
+	case tokens.CheckToken:
+		d.checks <- tokenCheck{raw, suspect, d.verifier.Keyring.Set(), d.verifier.Policy()}
+	case tokens.ReloadKeys:
 		verifier, keyDir := d.verifier, d.config.KeyDir
 		go func() { // one at a time, a second apart at the least: the ring sees to that
 			keys, err := keyring.Load(keyDir)
@@ -170,14 +170,14 @@
 }
 
 func (d *Authenticator) handleKeys(keys *keyring.Set) {
-	generation := d.verifier.Ring.Generation()
-	recheck := d.verifier.Looked(keys)
-	if d.verifier.Ring.Generation() != generation {
+	generation := d.verifier.Keyring.Generation()
+	recheck := d.verifier.HandleKeys(keys)
+	if d.verifier.Keyring.Generation() != generation {
 		d.config.KeySet = keys
 		slog.Info("keys", "keys", len(keys.Keys()), "by", "look")
 	}
 	for _, raw := range recheck {
-		d.perform(tokens.Check, raw, false)
+		d.perform(tokens.CheckToken, raw, false)
 	}
 }
 
@@ -236,13 +236,13 @@
 	}
 	now, wall := d.clock()
 	if credential.entry != nil && credential.token == request.Token {
-		if denial, current := d.verifier.Still(now, wall, credential.entry); current {
+		if denial, current := d.verifier.Revalidate(now, wall, credential.entry); current {
 			d.identifyByToken(credential, request.Token, credential.entry)
 			done(d.decide(credential, credential.entry, &credential.principal, firstDenial(denial, credential.principalDenial), request))
 			return
 		}
 	}
-	if entry, denial, known := d.verifier.Know(now, wall, request.Token); known {
+	if entry, denial, known := d.verifier.Lookup(now, wall, request.Token); known {
 		done(d.resume(credential, request, entry, denial, 0))
 		return
 	}
@@ -251,7 +251,7 @@
 		done(Decision{RetryAfter: rights.MinRetryAfter})
 		return
 	}
-	action, raw := d.verifier.Ask(now, request.Token, credential.suspect, func(entry *tokens.Entry, denial rights.Denial, retryAfter time.Duration) {
+	action, raw := d.verifier.RequestCheck(now, request.Token, credential.suspect, func(entry *tokens.CachedToken, denial rights.Denial, retryAfter time.Duration) {
 		done(d.resume(credential, request, entry, denial, retryAfter))
 	})
 	d.perform(action, raw, credential.suspect)
@@ -265,7 +265,7 @@
 }
 
 // resume goes on with what is known of a token.
-func (d *Authenticator) resume(credential *Credential, request Request, entry *tokens.Entry, denial rights.Denial, retryAfter time.Duration) Decision {
+func (d *Authenticator) resume(credential *Credential, request Request, entry *tokens.CachedToken, denial rights.Denial, retryAfter time.Duration) Decision {
 	if entry == nil && denial == "" {
 		d.deferred++
 		return Decision{RetryAfter: max(retryAfter, rights.MinRetryAfter)}
@@ -299,16 +299,16 @@
 }
 
 // identifyByToken has b.who be the caller by a good token.
-func (d *Authenticator) identifyByToken(credential *Credential, token string, entry *tokens.Entry) {
+func (d *Authenticator) identifyByToken(credential *Credential, token string, entry *tokens.CachedToken) {
 	if credential.principalGeneration == d.generation && credential.entry == entry {
 		return
 	}
 	credential.principalGeneration, credential.entry, credential.token = d.generation, entry, token
-	credential.principal, credential.principalDenial = d.config.Policy.Resolve(entry.Names(), entry.Tenant, entry.Roles)
+	credential.principal, credential.principalDenial = d.config.Policy.Resolve(entry.Identities(), entry.Tenant, entry.Roles)
 }
 
 // decide tells whether a known caller may do what it asks, now.
-func (d *Authenticator) decide(credential *Credential, entry *tokens.Entry, principal *rights.Principal, denial rights.Denial, request Request) Decision {
+func (d *Authenticator) decide(credential *Credential, entry *tokens.CachedToken, principal *rights.Principal, denial rights.Denial, request Request) Decision {
 	if denial != "" {
 		return d.deny(principal.Identity, request, denial)
 	}
@@ -318,7 +318,7 @@
 	}
 	now, wall := d.clock()
 	if entry != nil {
-		denial, retryAfter := d.verifier.Single(wall, entry)
+		denial, retryAfter := d.verifier.UseOnce(wall, entry)
 		switch {
 		case denial != "":
 			return d.deny(principal.Identity, request, denial)
@@ -364,8 +364,8 @@
 // IsForgery tells whether a token that is denied so was never good anywhere: whoever brings several is no caller of ours.
 func IsForgery(denial rights.Denial) bool {
 	switch denial {
-	case tokens.TooLong, tokens.Malformed, tokens.Algorithm, tokens.Critical, tokens.Signature, tokens.Issuer,
-		tokens.Audience, tokens.Subject, keyring.Unknown:
+	case tokens.TooLong, tokens.Malformed, tokens.WrongAlgorithm, tokens.CriticalHeader, tokens.BadSignature, tokens.WrongIssuer,
+		tokens.WrongAudience, tokens.NoSubject, keyring.Unknown:
 		return true
 	}
 	return false
@@ -378,7 +378,7 @@
 func (d *Authenticator) Sweep() {
 	now, wall := d.clock()
 	if d.verifier != nil {
-		d.verifier.Expire(now, false)
+		d.verifier.ExpireWaiting(now, false)
 	}
 	d.denialLog.FlushSuppressed(wall, func(denial rights.Denial, more int) { slog.Warn("denials", "why", denial, "more", more) })
 	if now-d.loggedAt >= logInterval {
@@ -401,7 +401,7 @@
 	d.loggedTotal = total
 	cached, denied := 0, 0
 	if d.verifier != nil {
-		cached, denied = d.verifier.Remembered()
+		cached, denied = d.verifier.CacheSizes()
 	}
 	slog.Info("callers", append([]any{"admitted", d.admitted, "later", d.deferred, "tokens", cached, "bad_tokens", denied, "rates", d.limiter.Len()}, attributes...)...)
 }
@@ -412,6 +412,6 @@
 	d.logCounters()
 	if d.verifier != nil {
 		now, _ := d.clock()
-		d.verifier.Expire(now, true)
+		d.verifier.ExpireWaiting(now, true)
 	}
 }
--- a/internal/life/callers.go
+++ b/internal/life/callers.go
@@ -109,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	list, line := tokens.ReadRevocations(string(text))
+	list, line := tokens.ParseRevocations(string(text))
 	if line > 0 {
 		return fault.List{{File: t.RevocationFile, Line: line, Want: `wants "jti ID" or "sub SUBJECT"`}}
 	}
--- a/internal/operator/callers.go
+++ b/internal/operator/callers.go
@@ -139,22 +139,22 @@
 	s.requiredString("audience", &parsed.Policy.Audience)
 	parsed.Policy.Leeway = 30 * time.Second // devices set their clocks by the network now and then
 	s.durationValue("leeway", &parsed.Policy.Leeway, 0, time.Hour)
-	parsed.Policy.Longest = 2048 // bytes: an RSA signature and a page of claims
-	s.intValue("longest", &parsed.Policy.Longest, 64, 4096)
-	s.stringValue("tenant-claim", &parsed.Policy.Tenant)
-	s.stringValue("roles-claim", &parsed.Policy.Roles)
+	parsed.Policy.MaxBytes = 2048 // bytes: an RSA signature and a page of claims
+	s.intValue("longest", &parsed.Policy.MaxBytes, 64, 4096)
+	s.stringValue("tenant-claim", &parsed.Policy.TenantClaim)
+	s.stringValue("roles-claim", &parsed.Policy.RolesClaim)
 	s.pathValue("revoked", &parsed.RevocationFile)
-	s.boolValue("single-use", &parsed.Policy.Single)
-	parsed.Limits.Once = 65_536 // ids: some minutes of a busy instance
-	s.intValue("single-use-remembered", &parsed.Limits.Once, 1, 10_000_000)
-	parsed.Limits.Remembered = 8_192 // half a kilobyte each
-	s.intValue("remembered", &parsed.Limits.Remembered, 16, 1_000_000)
-	parsed.Limits.Waiting = 256 // as many ops as are checked in some tens of milliseconds
-	s.intValue("waiting", &parsed.Limits.Waiting, 1, 4096)
-	parsed.Limits.Share = 0.1 // of a core: some hundred checks a second
-	s.floatValue("share", &parsed.Limits.Share, 0.001, 1)
-	parsed.Limits.Every = time.Second
-	s.durationValue("look-every", &parsed.Limits.Every, 10*time.Millisecond, time.Hour)
+	s.boolValue("single-use", &parsed.Policy.SingleUse)
+	parsed.Limits.MaxSingleUseIDs = 65_536 // ids: some minutes of a busy instance
+	s.intValue("single-use-remembered", &parsed.Limits.MaxSingleUseIDs, 1, 10_000_000)
+	parsed.Limits.MaxCached = 8_192 // half a kilobyte each
+	s.intValue("remembered", &parsed.Limits.MaxCached, 16, 1_000_000)
+	parsed.Limits.MaxWaiting = 256 // as many ops as are checked in some tens of milliseconds
+	s.intValue("waiting", &parsed.Limits.MaxWaiting, 1, 4096)
+	parsed.Limits.CPUFraction = 0.1 // of a core: some hundred checks a second
+	s.floatValue("share", &parsed.Limits.CPUFraction, 0.001, 1)
+	parsed.Limits.KeyReloadInterval = time.Second
+	s.durationValue("look-every", &parsed.Limits.KeyReloadInterval, 10*time.Millisecond, time.Hour)
 	s.reportUnknownNames()
 	return parsed
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -47,7 +47,7 @@
 	KeyDir         string // a folder
 	RevocationFile string // a file, empty for none
 	Policy         tokens.Policy
-	Limits         tokens.Bounds
+	Limits         tokens.Limits
 }
 
 // TLS is a further listener.
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -36,7 +36,7 @@
 	f := scenes.Must(Parse("etc/op.ini", []byte(validFile)))
 	r := f.Callers.Roles[0]
 	fmt.Println(f.Callers.Enabled, r.RatePerSecond, r.Burst, r.MaxInFlight, f.Callers.Bindings[0].Patterns, f.Callers.Policy != nil)
-	fmt.Println(f.Tokens.KeyDir, f.Tokens.Policy.Leeway, f.Tokens.Limits.Remembered, f.TLS.CertificateFile, f.TLS.MinVersion, f.TLS.RequireClientCertificate, f.TLS.AllowStaleRevocations)
+	fmt.Println(f.Tokens.KeyDir, f.Tokens.Policy.Leeway, f.Tokens.Limits.MaxCached, f.TLS.CertificateFile, f.TLS.MinVersion, f.TLS.RequireClientCertificate, f.TLS.AllowStaleRevocations)
 	f = scenes.Must(Load(""))
 	fmt.Println(f.Callers.Enabled, f.Tokens.Enabled, f.TLS.Enabled, f.Log.Format)
 	// Output:
--- a/internal/tokens/golden_test.go
+++ b/internal/tokens/golden_test.go
@@ -39,10 +39,10 @@
 		}
 		return nil, keyring.Unknown
 	}
-	p := &Policy{Issuer: "https://issuer.example", Audience: "rota", Leeway: 30 * time.Second, Longest: 2048,
-		Tenant: "tenant", Roles: "roles", Single: true}
+	p := &Policy{Issuer: "https://issuer.example", Audience: "rota", Leeway: 30 * time.Second, MaxBytes: 2048,
+		TenantClaim: "tenant", RolesClaim: "roles", SingleUse: true}
 	named := *p
-	named.Tenant, named.Roles = "org", "groups"
+	named.TenantClaim, named.RolesClaim = "org", "groups"
 	for name, of := range map[string]struct {
 		algorithm string
 		policy    *Policy
@@ -50,12 +50,12 @@
 		extra     []string
 	}{
 		"ed": {"EdDSA", p, Claims{Subject: "handheld-7", ID: "t-ed", Tenant: "water", Roles: []rights.RoleName{"crew",
-			"visitor"}, Key: "ed"},
+			"visitor"}, KeyID: "ed"},
 			[]string{"tenant", "roles"}},
 		"es": {"ES256", &named, Claims{Subject: "handheld-8", ID: "t-es", Tenant: "roads", Roles: []rights.RoleName{"crew"},
-			Key: "es"},
+			KeyID: "es"},
 			[]string{"org", "groups"}},
-		"rs": {"RS256", p, Claims{Subject: "handheld-9", ID: "t-rs", Key: "rs"}, nil},
+		"rs": {"RS256", p, Claims{Subject: "handheld-9", ID: "t-rs", KeyID: "rs"}, nil},
 	} {
 		raw := strings.TrimSpace(string(scenes.Must(os.ReadFile(filepath.Join("testdata/golden", name+".jwt")))))
 		got, why := Verify(raw, find, of.policy)
@@ -63,16 +63,16 @@
 			t.Errorf("%s: %s", name, why)
 			continue
 		}
-		issued, expiry := got.Before, got.Expiry
-		got.Before, got.Expiry = time.Time{}, time.Time{}
+		issued, expiry := got.NotBefore, got.Expiry
+		got.NotBefore, got.Expiry = time.Time{}, time.Time{}
 		if !reflect.DeepEqual(got, of.claims) {
 			t.Errorf("%s proves %+v, want %+v", name, got, of.claims)
 		}
 		if issued.Unix() == 0 || expiry.Sub(issued) != 800_000*time.Hour {
 			t.Errorf("%s counts from %v until %v", name, issued, expiry)
 		}
-		got.Before, got.Expiry = issued, expiry
-		if why := got.At(start, of.policy); why != "" {
+		got.NotBefore, got.Expiry = issued, expiry
+		if why := got.CheckTime(start, of.policy); why != "" {
 			t.Errorf("%s does not count: %s", name, why)
 		}
 		if header := goldenPart(t, raw, 0); !reflect.DeepEqual(header, map[string]any{"alg": of.algorithm, "kid": name,
@@ -91,7 +91,7 @@
 		if claims := goldenPart(t, raw, 1); !reflect.DeepEqual(claims, want) {
 			t.Errorf("%s says %v, want %v", name, claims, want)
 		}
-		if names := fmt.Sprint(of.claims.Names()); names != "[token:"+of.claims.Subject+"]" {
+		if names := fmt.Sprint(of.claims.Identities()); names != "[token:"+of.claims.Subject+"]" {
 			t.Errorf("%s names %s", name, names)
 		}
 	}
@@ -99,7 +99,7 @@
 
 // A list of what was taken back.
 func TestGoldenRevocations(t *testing.T) {
-	r, line := ReadRevocations(string(scenes.Must(os.ReadFile("testdata/golden/revoked.txt"))))
+	r, line := ParseRevocations(string(scenes.Must(os.ReadFile("testdata/golden/revoked.txt"))))
 	if line != 0 {
 		t.Fatalf("line %d is wrong", line)
 	}
@@ -109,7 +109,7 @@
 	}{{Claims{ID: "t-ed", Subject: "handheld-7"}, true}, {Claims{ID: "t-es", Subject: "handheld-8"}, false},
 		{Claims{ID: "x", Subject: "handheld-9"}, true},
 		{Claims{ID: "handheld-9", Subject: "t-ed"}, false}} {
-		if got := r.Has(&of.claims); got != of.revoked {
+		if got := r.Contains(&of.claims); got != of.revoked {
 			t.Errorf("%+v revoked %v", of.claims, got)
 		}
 	}
@@ -118,10 +118,10 @@
 // The reasons that are spoken, in answers, logs and listings.
 func TestGoldenReasons(t *testing.T) {
 	for reason, want := range map[rights.Denial]string{TooLong: "too-long", Malformed: "malformed",
-		Algorithm: "algorithm", Critical: "critical",
-		Signature: "signature", Expired: "expired", Early: "early", Issuer: "issuer", Audience: "audience",
-		Subject: "subject", Revoked: "revoked",
-		Replayed: "replayed", NoID: "no-id"} {
+		WrongAlgorithm: "algorithm", CriticalHeader: "critical",
+		BadSignature: "signature", expired: "expired", notYetValid: "early", WrongIssuer: "issuer", WrongAudience: "audience",
+		NoSubject: "subject", Revoked: "revoked",
+		replayed: "replayed", noTokenID: "no-id"} {
 		if string(reason) != want {
 			t.Errorf("%q, want %q", reason, want)
 		}
--- a/internal/tokens/office.go
+++ b/internal/tokens/office.go
@@ -9,381 +9,381 @@
 	"lanewheel/internal/rights"
 )
 
-// Bounds are what an Office may use. All come from the operator's file.
-type Bounds struct {
-	Remembered int           // good tokens, and as many bad ones
-	Waiting    int           // ops that wait for a verdict at a time
-	Share      float64       // of a core that checking may take
-	Once       int           // ids of single use that are remembered
-	Every      time.Duration // between two looks at the folder for unknown keys
+// Limits are what an Office may use. All come from the operator's file.
+type Limits struct {
+	MaxCached         int           // good tokens, and as many bad ones
+	MaxWaiting        int           // ops that wait for a verdict at a time
+	CPUFraction       float64       // of a core that checking may take
+	MaxSingleUseIDs   int           // ids of single use that are remembered
+	KeyReloadInterval time.Duration // between two looks at the folder for unknown keys
 }
 
-// Digest is by what a token is known again.
-type Digest [sha256.Size]byte
+// tokenDigest is by what a token is known again.
+type tokenDigest [sha256.Size]byte
 
-// Entry is a good token that is remembered.
-type Entry struct {
+// CachedToken is a good token that is remembered.
+type CachedToken struct {
 	Claims
-	digest     Digest
+	digest     tokenDigest
 	generation uint64        // of keys and revocations for which it was looked at last
 	key        *keyring.Key  // as it was in force then
-	until      time.Duration // by the program's own clock, whatever the wall clock does
-	used       bool          // since the hand last passed
+	expiresAt  time.Duration // by the program's own clock, whatever the wall clock does
+	referenced bool          // since the hand last passed
 }
 
-// bad is a token that proved nothing.
-type bad struct {
-	why        rights.Denial
+// cachedDenial is a token that proved nothing.
+type cachedDenial struct {
+	denial     rights.Denial
 	generation uint64
-	until      time.Duration
+	expiresAt  time.Duration
 }
 
-// Office is all that is known of tokens. It belongs to the owner loop, which asks it for each op; what it wants done it
+// Verifier is all that is known of tokens. It belongs to the owner loop, which asks it for each op; what it wants done it
 // tells, and the check itself is made beside the loop.
-type Office struct {
-	Ring    *keyring.Ring
-	policy  *Policy
-	revoked *Revocations
-	bounds  Bounds
-
-	generation uint64 // counts changes of keys, policy and revocations
-	good       map[Digest]*Entry
-	clock      []*Entry // of good, in the order of the hand
-	hand       int
-	bad        map[Digest]bad
-	badOrder   []Digest
-	budget     budget
-	once       once
-
-	pending map[Digest]*pending
-	waiting int
-	checks  int        // asked for and not back
-	seeking []*pending // for the look that is under way
+type Verifier struct {
+	Keyring     *keyring.Ring
+	policy      *Policy
+	revocations *Revocations
+	limits      Limits
+
+	generation    uint64 // counts changes of keys, policy and revocations
+	cached        map[tokenDigest]*CachedToken
+	evictionOrder []*CachedToken // of good, in the order of the hand
+	evictionHand  int
+	denied        map[tokenDigest]cachedDenial
+	deniedOrder   []tokenDigest
+	budget        cpuBudget
+	singleUse     singleUseIDs
+
+	pending        map[tokenDigest]*pendingCheck
+	waiting        int
+	checksInFlight int             // asked for and not back
+	awaitingKeys   []*pendingCheck // for the look that is under way
 	// overtaken tells that the keys were replaced since that look was begun.
-	overtaken bool
+	reloadOvertaken bool
 }
 
-// pending is a token whose check is asked for or under way, with all that wait for it.
-type pending struct {
-	raw    string
-	digest Digest
-	began  time.Duration
-	sought bool // a look at the folder was made for it
-	key    keyring.KeyID
-	waits  []Waiter
+// pendingCheck is a token whose check is asked for or under way, with all that wait for it.
+type pendingCheck struct {
+	raw          string
+	digest       tokenDigest
+	startedAt    time.Duration
+	keysReloaded bool // a look at the folder was made for it
+	keyID        keyring.KeyID
+	callbacks    []callback
 }
 
-// patience is for how long an op waits for the verdict on its token: some looks at a folder, and a part of any target latency.
-const patience = 250 * time.Millisecond
+// maxWait is for how long an op waits for the verdict on its token: some looks at a folder, and a part of any target latency.
+const maxWait = 250 * time.Millisecond
 
-// Waiter is handed the verdict: an entry, or a reason, or, with neither, the time after which to come again.
-type Waiter func(e *Entry, why rights.Denial, after time.Duration)
+// callback is handed the verdict: an entry, or a reason, or, with neither, the time after which to come again.
+type callback func(e *CachedToken, why rights.Denial, after time.Duration)
 
-// Act is what an Office wants done beside the loop.
-type Act int
+// Action is what an Office wants done beside the loop.
+type Action int
 
 const (
-	Nothing Act = iota
-	Check       // the token: hand the result to Checked
-	Look        // at the folder: hand the set to Looked
+	noAction   Action = iota
+	CheckToken        // the token: hand the result to Checked
+	ReloadKeys        // at the folder: hand the set to Looked
 )
 
-// NewOffice opens with keys, a policy and revocations that were checked before.
-func NewOffice(set *keyring.Set, p *Policy, r *Revocations, b Bounds) *Office {
-	return &Office{Ring: keyring.NewRing(set, b.Every), policy: p, revoked: r, bounds: b, generation: 1,
-		good: map[Digest]*Entry{}, bad: map[Digest]bad{}, pending: map[Digest]*pending{},
-		budget: newBudget(b.Share), once: newOnce(b.Once)}
+// NewVerifier opens with keys, a policy and revocations that were checked before.
+func NewVerifier(keys *keyring.Set, policy *Policy, revocations *Revocations, limits Limits) *Verifier {
+	return &Verifier{Keyring: keyring.NewRing(keys, limits.KeyReloadInterval), policy: policy, revocations: revocations, limits: limits, generation: 1,
+		cached: map[tokenDigest]*CachedToken{}, denied: map[tokenDigest]cachedDenial{}, pending: map[tokenDigest]*pendingCheck{},
+		budget: newCPUBudget(limits.CPUFraction), singleUse: newSingleUseIDs(limits.MaxSingleUseIDs)}
 }
 
-// Replace puts what was read anew in force. What is remembered is looked at again when it is next used.
-func (o *Office) Replace(set *keyring.Set, p *Policy, r *Revocations, b Bounds) {
-	o.overtaken = o.Ring.Looking()
-	o.Ring.Replace(set)
-	if *p != *o.policy { // what was checked by another policy is checked again
-		clear(o.good)
-		o.clock = nil
+// Reload puts what was read anew in force. What is remembered is looked at again when it is next used.
+func (o *Verifier) Reload(keys *keyring.Set, policy *Policy, revocations *Revocations, limits Limits) {
+	o.reloadOvertaken = o.Keyring.Looking()
+	o.Keyring.Replace(keys)
+	if *policy != *o.policy { // what was checked by another policy is checked again
+		clear(o.cached)
+		o.evictionOrder = nil
 	}
-	o.policy, o.revoked, o.bounds = p, r, b
-	o.budget.share = b.Share
-	o.once.most = b.Once
+	o.policy, o.revocations, o.limits = policy, revocations, limits
+	o.budget.fraction = limits.CPUFraction
+	o.singleUse.limit = limits.MaxSingleUseIDs
 	o.generation++
 }
 
 // Policy is the one in force.
-func (o *Office) Policy() *Policy { return o.policy }
+func (o *Verifier) Policy() *Policy { return o.policy }
 
-// Know gives a token's entry if it is remembered, or why it proves nothing if that is known. Otherwise known is false and the
+// Lookup gives a token's entry if it is remembered, or why it proves nothing if that is known. Otherwise known is false and the
 // caller is to Ask.
-func (o *Office) Know(now time.Duration, wall time.Time, raw string) (e *Entry, why rights.Denial, known bool) {
-	if len(raw) > o.policy.Longest {
+func (o *Verifier) Lookup(now time.Duration, wall time.Time, raw string) (entry *CachedToken, denial rights.Denial, known bool) {
+	if len(raw) > o.policy.MaxBytes {
 		return nil, TooLong, true
 	}
-	d := Digest(sha256.Sum256([]byte(raw)))
-	if e := o.good[d]; e != nil {
-		if why, sure := o.still(now, wall, e); sure {
-			return e, why, true
+	digest := tokenDigest(sha256.Sum256([]byte(raw)))
+	if entry := o.cached[digest]; entry != nil {
+		if denial, current := o.validate(now, wall, entry); current {
+			return entry, denial, true
 		}
-		o.forget(e)
+		o.evict(entry)
 		return nil, "", false
 	}
-	if b, is := o.bad[d]; is && b.generation == o.generation && now < b.until {
-		return nil, b.why, true
+	if earlier, denied := o.denied[digest]; denied && earlier.generation == o.generation && now < earlier.expiresAt {
+		return nil, earlier.denial, true
 	}
 	return nil, "", false
 }
 
-// Still tells whether a remembered entry counts now; not sure means that it has to be checked again.
+// Revalidate tells whether a remembered entry counts now; not sure means that it has to be checked again.
 // It is looked at with every op, and costs some comparisons while nothing has changed.
-func (o *Office) Still(now time.Duration, wall time.Time, e *Entry) (why rights.Denial, sure bool) {
-	if o.good[e.digest] != e {
+func (o *Verifier) Revalidate(now time.Duration, wall time.Time, entry *CachedToken) (denial rights.Denial, current bool) {
+	if o.cached[entry.digest] != entry {
 		return "", false
 	}
-	return o.still(now, wall, e)
+	return o.validate(now, wall, entry)
 }
 
-func (o *Office) still(now time.Duration, wall time.Time, e *Entry) (rights.Denial, bool) {
-	e.used = true
-	if e.generation != o.generation {
-		key := o.Ring.Set().Find(e.Key)
+func (o *Verifier) validate(now time.Duration, wall time.Time, entry *CachedToken) (rights.Denial, bool) {
+	entry.referenced = true
+	if entry.generation != o.generation {
+		key := o.Keyring.Set().Find(entry.KeyID)
 		if key == nil {
-			_, why := o.Ring.Find(e.Key, wall)
-			return why, why != keyring.Unknown
+			_, denial := o.Keyring.Find(entry.KeyID, wall)
+			return denial, denial != keyring.Unknown
 		}
-		if !same(key, e.key) { // another key under the old id proves nothing of this token
+		if !sameKey(key, entry.key) { // another key under the old id proves nothing of this token
 			return "", false
 		}
-		if why := key.At(wall); why != "" {
-			return why, true
+		if denial := key.At(wall); denial != "" {
+			return denial, true
 		}
-		if o.revoked.Has(&e.Claims) {
+		if o.revocations.Contains(&entry.Claims) {
 			return Revoked, true
 		}
-		e.key, e.generation = key, o.generation
+		entry.key, entry.generation = key, o.generation
 	}
-	if why := e.key.At(wall); why != "" {
-		return why, true
+	if denial := entry.key.At(wall); denial != "" {
+		return denial, true
 	}
 	// Danger: a wall clock that steps back would let an expired token live on.
-	if now >= e.until {
-		return Expired, true
+	if now >= entry.expiresAt {
+		return expired, true
 	}
-	return e.At(wall, o.policy), true
+	return entry.CheckTime(wall, o.policy), true
 }
 
-func same(a, b *keyring.Key) bool {
-	key, is := a.Public.(interface{ Equal(crypto.PublicKey) bool })
-	return is && a.Algorithm == b.Algorithm && key.Equal(b.Public)
+func sameKey(a, b *keyring.Key) bool {
+	key, comparable := a.Public.(interface{ Equal(crypto.PublicKey) bool })
+	return comparable && a.Algorithm == b.Algorithm && key.Equal(b.Public)
 }
 
-// Ask has a token checked that is not known. done is called once, now or when the verdict is there. suspect tells that the
+// RequestCheck has a token checked that is not known. done is called once, now or when the verdict is there. suspect tells that the
 // connection has brought tokens that prove nothing. The act, if any, is for the caller to see to.
 // Danger: forged tokens that take all the time there is. Checks have a share of a core, half of it for those who have
 // brought nothing bad yet, and what finds no time or room is told when to come again.
-func (o *Office) Ask(now time.Duration, raw string, suspect bool, done Waiter) (Act, string) {
-	d := Digest(sha256.Sum256([]byte(raw)))
-	if p := o.pending[d]; p != nil {
-		if o.waiting >= o.bounds.Waiting {
-			done(nil, "", o.budget.soonest(now, suspect))
-			return Nothing, ""
+func (o *Verifier) RequestCheck(now time.Duration, raw string, suspect bool, done callback) (Action, string) {
+	digest := tokenDigest(sha256.Sum256([]byte(raw)))
+	if pending := o.pending[digest]; pending != nil {
+		if o.waiting >= o.limits.MaxWaiting {
+			done(nil, "", o.budget.minRetryAfter(now, suspect))
+			return noAction, ""
 		}
-		p.waits = append(p.waits, done)
+		pending.callbacks = append(pending.callbacks, done)
 		o.waiting++
-		return Nothing, ""
+		return noAction, ""
 	}
-	if after := o.budget.wait(now, suspect); after > 0 || o.waiting >= o.bounds.Waiting || o.checks >= o.bounds.Waiting {
-		done(nil, "", max(after, o.budget.soonest(now, suspect)))
-		return Nothing, ""
+	if retryAfter := o.budget.waitTime(now, suspect); retryAfter > 0 || o.waiting >= o.limits.MaxWaiting || o.checksInFlight >= o.limits.MaxWaiting {
+		done(nil, "", max(retryAfter, o.budget.minRetryAfter(now, suspect)))
+		return noAction, ""
 	}
-	o.pending[d] = &pending{raw: raw, digest: d, began: now, waits: []Waiter{done}}
+	o.pending[digest] = &pendingCheck{raw: raw, digest: digest, startedAt: now, callbacks: []callback{done}}
 	o.waiting++
-	o.checks++
-	return Check, raw
+	o.checksInFlight++
+	return CheckToken, raw
 }
 
-// Result is what a check came to.
-type Result struct {
-	Raw     string
-	Suspect bool // as it was asked for
-	Claims  Claims
-	Why     rights.Denial
-	Took    time.Duration
-	Set     *keyring.Set // by which it was checked
+// CheckResult is what a check came to.
+type CheckResult struct {
+	Raw      string
+	Suspect  bool // as it was asked for
+	Claims   Claims
+	Denial   rights.Denial
+	Duration time.Duration
+	KeySet   *keyring.Set // by which it was checked
 }
 
-// Checked takes a check's result. It may lead to a look at the folder, or to another check if the keys have changed since.
-func (o *Office) Checked(now time.Duration, wall time.Time, r Result) (Act, string) {
-	d := Digest(sha256.Sum256([]byte(r.Raw)))
-	o.checks--
-	o.budget.spend(now, r.Took, r.Suspect)
-	p := o.pending[d]
-	if p == nil { // nobody waits any more
-		p = &pending{raw: r.Raw, digest: d, sought: true}
+// HandleResult takes a check's result. It may lead to a look at the folder, or to another check if the keys have changed since.
+func (o *Verifier) HandleResult(now time.Duration, wall time.Time, result CheckResult) (Action, string) {
+	digest := tokenDigest(sha256.Sum256([]byte(result.Raw)))
+	o.checksInFlight--
+	o.budget.spend(now, result.Duration, result.Suspect)
+	pending := o.pending[digest]
+	if pending == nil { // nobody waits any more
+		pending = &pendingCheck{raw: result.Raw, digest: digest, keysReloaded: true}
 	}
-	if r.Set != o.Ring.Set() {
-		if len(p.waits) == 0 {
-			return Nothing, ""
+	if result.KeySet != o.Keyring.Set() {
+		if len(pending.callbacks) == 0 {
+			return noAction, ""
 		}
-		o.checks++
-		return Check, p.raw
+		o.checksInFlight++
+		return CheckToken, pending.raw
 	}
-	if r.Why == keyring.Unknown {
-		if _, why := o.Ring.Find(r.Claims.Key, wall); why == keyring.Withdrawn || p.sought {
-			r.Why = why
-			o.settle(p, nil, r.Why, 0)
-			return Nothing, ""
+	if result.Denial == keyring.Unknown {
+		if _, denial := o.Keyring.Find(result.Claims.KeyID, wall); denial == keyring.Withdrawn || pending.keysReloaded {
+			result.Denial = denial
+			o.resolve(pending, nil, result.Denial, 0)
+			return noAction, ""
 		}
-		step, after := o.Ring.Seek(now, r.Claims.Key)
+		step, retryAfter := o.Keyring.Seek(now, result.Claims.KeyID)
 		switch step {
 		case keyring.Deny:
-			o.settle(p, nil, r.Why, 0)
+			o.resolve(pending, nil, result.Denial, 0)
 		case keyring.Later:
-			o.settle(p, nil, "", after)
+			o.resolve(pending, nil, "", retryAfter)
 		case keyring.Await:
-			o.seeking = append(o.seeking, p)
+			o.awaitingKeys = append(o.awaitingKeys, pending)
 		case keyring.Look:
-			p.sought, p.key = true, r.Claims.Key
-			o.seeking = append(o.seeking, p)
-			return Look, ""
+			pending.keysReloaded, pending.keyID = true, result.Claims.KeyID
+			o.awaitingKeys = append(o.awaitingKeys, pending)
+			return ReloadKeys, ""
 		}
-		return Nothing, ""
+		return noAction, ""
 	}
-	if r.Why != "" {
-		if lasting[r.Why] {
-			o.noteBad(now, d, r.Why)
+	if result.Denial != "" {
+		if permanentDenials[result.Denial] {
+			o.cacheDenial(now, digest, result.Denial)
 		}
-		o.settle(p, nil, r.Why, 0)
-		return Nothing, ""
+		o.resolve(pending, nil, result.Denial, 0)
+		return noAction, ""
 	}
-	e := &Entry{Claims: r.Claims, digest: d, generation: o.generation, key: o.Ring.Set().Find(r.Claims.Key)}
-	e.until = now + max(0, r.Claims.Expiry.Add(o.policy.Leeway).Sub(wall))
-	why := e.key.At(wall)
-	if why == "" {
-		why = e.At(wall, o.policy)
+	entry := &CachedToken{Claims: result.Claims, digest: digest, generation: o.generation, key: o.Keyring.Set().Find(result.Claims.KeyID)}
+	entry.expiresAt = now + max(0, result.Claims.Expiry.Add(o.policy.Leeway).Sub(wall))
+	denial := entry.key.At(wall)
+	if denial == "" {
+		denial = entry.CheckTime(wall, o.policy)
 	}
-	if why == "" && o.revoked.Has(&e.Claims) {
-		why = Revoked
+	if denial == "" && o.revocations.Contains(&entry.Claims) {
+		denial = Revoked
 	}
-	if why != "" {
-		o.settle(p, nil, why, 0)
-		return Nothing, ""
+	if denial != "" {
+		o.resolve(pending, nil, denial, 0)
+		return noAction, ""
 	}
-	o.remember(e)
-	o.settle(p, e, "", 0)
-	return Nothing, ""
+	o.cache(entry)
+	o.resolve(pending, entry, "", 0)
+	return noAction, ""
 }
 
-// Looked hears that the look at the folder is over. set is nil if it could not be read; the old one stays then. It gives
+// HandleKeys hears that the look at the folder is over. set is nil if it could not be read; the old one stays then. It gives
 // the tokens that are to be checked again.
-func (o *Office) Looked(set *keyring.Set) (again []string) {
-	if o.overtaken { // Danger: a look begun before the keys were replaced would bring older ones back
-		set, o.overtaken = nil, false
+func (o *Verifier) HandleKeys(keys *keyring.Set) (recheck []string) {
+	if o.reloadOvertaken { // Danger: a look begun before the keys were replaced would bring older ones back
+		keys, o.reloadOvertaken = nil, false
 	}
-	if set != nil && o.Ring.Replace(set) {
+	if keys != nil && o.Keyring.Replace(keys) {
 		o.generation++
 	}
-	waits := o.seeking
-	o.seeking = nil
-	var ids []keyring.KeyID
-	for _, p := range waits {
-		if p.sought {
-			ids = append(ids, p.key)
+	waiting := o.awaitingKeys
+	o.awaitingKeys = nil
+	var keyIDs []keyring.KeyID
+	for _, pending := range waiting {
+		if pending.keysReloaded {
+			keyIDs = append(keyIDs, pending.keyID)
 		}
-		if o.pending[p.digest] == p {
-			again = append(again, p.raw)
-			o.checks++
+		if o.pending[pending.digest] == pending {
+			recheck = append(recheck, pending.raw)
+			o.checksInFlight++
 		}
 	}
-	o.Ring.Looked(ids)
-	return again
+	o.Keyring.Looked(keyIDs)
+	return recheck
 }
 
-// Expire gives up what has waited too long, or, with all, everything that waits: told to come again. No answer's due time
+// ExpireWaiting gives up what has waited too long, or, with all, everything that waits: told to come again. No answer's due time
 // hangs on a disk or on a queue of checks.
-func (o *Office) Expire(now time.Duration, all bool) {
-	for _, p := range o.pending {
-		if all || now-p.began >= patience {
-			o.settle(p, nil, "", patience)
+func (o *Verifier) ExpireWaiting(now time.Duration, all bool) {
+	for _, pending := range o.pending {
+		if all || now-pending.startedAt >= maxWait {
+			o.resolve(pending, nil, "", maxWait)
 		}
 	}
 }
 
-// settle hands a verdict to all that wait for it.
-func (o *Office) settle(p *pending, e *Entry, why rights.Denial, after time.Duration) {
-	if o.pending[p.digest] == p {
-		delete(o.pending, p.digest)
-		o.waiting -= len(p.waits)
+// resolve hands a verdict to all that wait for it.
+func (o *Verifier) resolve(pending *pendingCheck, entry *CachedToken, denial rights.Denial, retryAfter time.Duration) {
+	if o.pending[pending.digest] == pending {
+		delete(o.pending, pending.digest)
+		o.waiting -= len(pending.callbacks)
 	}
-	waits := p.waits
-	p.waits = nil
-	for _, done := range waits {
-		done(e, why, after)
+	callbacks := pending.callbacks
+	pending.callbacks = nil
+	for _, done := range callbacks {
+		done(entry, denial, retryAfter)
 	}
 }
 
-// Single uses a token up that counts once, and tells whether it was used before, or that no more can be remembered.
-func (o *Office) Single(wall time.Time, e *Entry) (rights.Denial, time.Duration) {
-	if !o.policy.Single {
+// UseOnce uses a token up that counts once, and tells whether it was used before, or that no more can be remembered.
+func (o *Verifier) UseOnce(wall time.Time, entry *CachedToken) (rights.Denial, time.Duration) {
+	if !o.policy.SingleUse {
 		return "", 0
 	}
-	return o.once.use(wall, e.ID, e.Expiry.Add(o.policy.Leeway))
+	return o.singleUse.use(wall, entry.ID, entry.Expiry.Add(o.policy.Leeway))
 }
 
-// Waiting is how many ops wait for a verdict.
-func (o *Office) Waiting() int { return o.waiting }
+// waitingCount is how many ops wait for a verdict.
+func (o *Verifier) waitingCount() int { return o.waiting }
 
-// Remembered is how many good and bad tokens are remembered.
-func (o *Office) Remembered() (good, bad int) { return len(o.good), len(o.bad) }
+// CacheSizes is how many good and bad tokens are remembered.
+func (o *Verifier) CacheSizes() (cached, denied int) { return len(o.cached), len(o.denied) }
 
-// remember keeps an entry; the first that was not used since the hand passed makes room.
-func (o *Office) remember(e *Entry) {
-	if old := o.good[e.digest]; old != nil {
-		o.forget(old)
+// cache keeps an entry; the first that was not used since the hand passed makes room.
+func (o *Verifier) cache(entry *CachedToken) {
+	if old := o.cached[entry.digest]; old != nil {
+		o.evict(old)
 	}
-	for len(o.clock) >= max(1, o.bounds.Remembered) {
-		o.hand %= len(o.clock)
-		if old := o.clock[o.hand]; old.used && o.good[old.digest] == old {
-			old.used = false
-			o.hand++
+	for len(o.evictionOrder) >= max(1, o.limits.MaxCached) {
+		o.evictionHand %= len(o.evictionOrder)
+		if old := o.evictionOrder[o.evictionHand]; old.referenced && o.cached[old.digest] == old {
+			old.referenced = false
+			o.evictionHand++
 			continue
 		}
-		o.forgetAt(o.hand)
+		o.evictAt(o.evictionHand)
 	}
-	o.good[e.digest] = e
-	o.clock = append(o.clock, e)
+	o.cached[entry.digest] = entry
+	o.evictionOrder = append(o.evictionOrder, entry)
 }
 
-func (o *Office) forgetAt(i int) {
-	if old := o.clock[i]; o.good[old.digest] == old {
-		delete(o.good, old.digest)
+func (o *Verifier) evictAt(index int) {
+	if old := o.evictionOrder[index]; o.cached[old.digest] == old {
+		delete(o.cached, old.digest)
 	}
-	last := len(o.clock) - 1
-	o.clock[i], o.clock[last] = o.clock[last], nil
-	o.clock = o.clock[:last]
+	last := len(o.evictionOrder) - 1
+	o.evictionOrder[index], o.evictionOrder[last] = o.evictionOrder[last], nil
+	o.evictionOrder = o.evictionOrder[:last]
 }
 
-// forget leaves an entry to the hand; it is not found any more.
-func (o *Office) forget(e *Entry) {
-	if o.good[e.digest] == e {
-		delete(o.good, e.digest)
+// evict leaves an entry to the hand; it is not found any more.
+func (o *Verifier) evict(entry *CachedToken) {
+	if o.cached[entry.digest] == entry {
+		delete(o.cached, entry.digest)
 	}
 }
 
-// badFor is how long a bad token is known as such without another check: a client that brings it again and again does so
+// denialTTL is how long a bad token is known as such without another check: a client that brings it again and again does so
 // within seconds.
-const badFor = 10 * time.Second
+const denialTTL = 10 * time.Second
 
-// lasting are the reasons that stay true of a token whatever the time. Danger: one that was refused a moment too early
+// permanentDenials are the reasons that stay true of a token whatever the time. Danger: one that was refused a moment too early
 // would stay refused when its time has come.
-var lasting = map[rights.Denial]bool{Malformed: true, Algorithm: true, Critical: true, Signature: true, Issuer: true,
-	Audience: true, Subject: true, NoID: true}
-
-func (o *Office) noteBad(now time.Duration, d Digest, why rights.Denial) {
-	if _, noted := o.bad[d]; !noted {
-		o.badOrder = append(o.badOrder, d)
-		if len(o.badOrder) > max(1, o.bounds.Remembered) {
-			delete(o.bad, o.badOrder[0])
-			o.badOrder = o.badOrder[1:]
+var permanentDenials = map[rights.Denial]bool{Malformed: true, WrongAlgorithm: true, CriticalHeader: true, BadSignature: true, WrongIssuer: true,
+	WrongAudience: true, NoSubject: true, noTokenID: true}
+
+func (o *Verifier) cacheDenial(now time.Duration, digest tokenDigest, denial rights.Denial) {
+	if _, known := o.denied[digest]; !known {
+		o.deniedOrder = append(o.deniedOrder, digest)
+		if len(o.deniedOrder) > max(1, o.limits.MaxCached) {
+			delete(o.denied, o.deniedOrder[0])
+			o.deniedOrder = o.deniedOrder[1:]
 		}
 	}
-	o.bad[d] = bad{why, o.generation, now + badFor}
+	o.denied[digest] = cachedDenial{denial, o.generation, now + denialTTL}
 }
--- a/internal/tokens/tokens_test.go
+++ b/internal/tokens/tokens_test.go
@@ -20,30 +20,30 @@
 )
 
 var (
-	start  = time.Unix(1_800_000_000, 0)
-	policy = &Policy{Issuer: "us", Audience: "rota", Leeway: 30 * time.Second, Longest: 2048, Tenant: "tenant", Roles: "roles"}
-	pairs  = map[string]*jose.JSONWebKey{}
+	start    = time.Unix(1_800_000_000, 0)
+	policy   = &Policy{Issuer: "us", Audience: "rota", Leeway: 30 * time.Second, MaxBytes: 2048, TenantClaim: "tenant", RolesClaim: "roles"}
+	keyPairs = map[string]*jose.JSONWebKey{}
 )
 
-func pair(id, algorithm string) *jose.JSONWebKey {
-	if pairs[id] == nil {
-		pairs[id] = scenes.Must(keyring.New(algorithm))
-		pairs[id].KeyID = id
+func keyPair(id, algorithm string) *jose.JSONWebKey {
+	if keyPairs[id] == nil {
+		keyPairs[id] = scenes.Must(keyring.New(algorithm))
+		keyPairs[id].KeyID = id
 	}
-	return pairs[id]
+	return keyPairs[id]
 }
 
-// set publishes keys that count from start on; those with a ! are taken back.
-func set(ids ...string) *keyring.Set {
+// publishedSet publishes keys that count from start on; those with a ! are taken back.
+func publishedSet(ids ...string) *keyring.Set {
 	files := map[string][]byte{}
 	for _, id := range ids {
 		name, back := strings.CutSuffix(id, "!")
-		files[name+".json"] = scenes.Must(keyring.Publish(*pair(name, "EdDSA"), start.Add(-time.Hour), start.Add(time.Hour), back))
+		files[name+".json"] = scenes.Must(keyring.Publish(*keyPair(name, "EdDSA"), start.Add(-time.Hour), start.Add(time.Hour), back))
 	}
 	return scenes.Must(keyring.Read(files))
 }
 
-func finds(s *keyring.Set, wall time.Time) func(keyring.KeyID) (*keyring.Key, rights.Denial) {
+func keyFinder(s *keyring.Set, wall time.Time) func(keyring.KeyID) (*keyring.Key, rights.Denial) {
 	r := keyring.NewRing(s, time.Second)
 	return func(id keyring.KeyID) (*keyring.Key, rights.Denial) { return r.Find(id, wall) }
 }
@@ -58,7 +58,7 @@
 	return c
 }
 
-func signed(k *jose.JSONWebKey, c jwt.Claims, header map[jose.HeaderKey]any) string {
+func signToken(k *jose.JSONWebKey, c jwt.Claims, header map[jose.HeaderKey]any) string {
 	o := &jose.SignerOptions{ExtraHeaders: header}
 	s := scenes.Must(jose.NewSigner(jose.SigningKey{Algorithm: jose.SignatureAlgorithm(k.Algorithm), Key: k}, o))
 	return scenes.Must(jwt.Signed(s).Claims(c).Claims(map[string]any{"tenant": "water", "roles": []string{"crew"}}).Serialize())
@@ -66,7 +66,7 @@
 
 // Each way in which a token proves nothing; the algorithm is the key's, whatever the token says.
 func Example_verify() {
-	ed, es, rs := pair("ed", "EdDSA"), pair("es", "ES256"), pair("rs", "RS256")
+	ed, es, rs := keyPair("ed", "EdDSA"), keyPair("es", "ES256"), keyPair("rs", "RS256")
 	files := map[string][]byte{}
 	for _, k := range []*jose.JSONWebKey{ed, es, rs} {
 		files[k.KeyID] = scenes.Must(keyring.Publish(*k, start, time.Time{}, false))
@@ -78,28 +78,28 @@
 	hmac := scenes.Must(jose.NewSigner(jose.SigningKey{Algorithm: jose.HS256, Key: jose.JSONWebKey{Key: secret, KeyID: "rs"}}, nil))
 	posing := *ed
 	posing.KeyID = "rs"
-	good := signed(ed, claims(nil), nil)
+	good := signToken(ed, claims(nil), nil)
 	parts := strings.Split(good, ".")
 	b64 := func(s string) string { return base64.RawURLEncoding.EncodeToString([]byte(s)) }
 	show := func(name, raw string) {
-		c, why := Verify(raw, finds(keys, start), policy)
+		c, why := Verify(raw, keyFinder(keys, start), policy)
 		fmt.Printf("%s: %q %s %s %v\n", name, why, c.Subject, c.Tenant, c.Roles)
 	}
 	show("EdDSA", good)
-	show("ES256", signed(es, claims(nil), nil))
-	show("RS256", signed(rs, claims(nil), nil))
+	show("ES256", signToken(es, claims(nil), nil))
+	show("RS256", signToken(rs, claims(nil), nil))
 	show("none", b64(`{"alg":"none","kid":"ed"}`)+"."+parts[1]+".")
 	show("hmac", scenes.Must(jwt.Signed(hmac).Claims(claims(nil)).Serialize()))
-	show("posing", signed(&posing, claims(nil), nil))
-	show("crit", signed(ed, claims(nil), map[jose.HeaderKey]any{"crit": []string{"b64"}, "b64": true}))
+	show("posing", signToken(&posing, claims(nil), nil))
+	show("crit", signToken(ed, claims(nil), map[jose.HeaderKey]any{"crit": []string{"b64"}, "b64": true}))
 	show("forged", parts[0]+"."+parts[1]+"."+b64(strings.Repeat("x", 64)))
 	show("changed", parts[0]+"."+b64(`{"iss":"us","sub":"boss","aud":"rota","exp":1900000000}`)+"."+parts[2])
 	show("no key id", b64(`{"alg":"EdDSA"}`)+"."+parts[1]+"."+parts[2])
 	show("unknown", b64(`{"alg":"EdDSA","kid":"what"}`)+"."+parts[1]+"."+parts[2])
-	show("issuer", signed(ed, claims(func(c *jwt.Claims) { c.Issuer = "them" }), nil))
-	show("audience", signed(ed, claims(func(c *jwt.Claims) { c.Audience = nil }), nil))
-	show("subject", signed(ed, claims(func(c *jwt.Claims) { c.Subject = "" }), nil))
-	show("endless", signed(ed, claims(func(c *jwt.Claims) { c.Expiry = nil }), nil))
+	show("issuer", signToken(ed, claims(func(c *jwt.Claims) { c.Issuer = "them" }), nil))
+	show("audience", signToken(ed, claims(func(c *jwt.Claims) { c.Audience = nil }), nil))
+	show("subject", signToken(ed, claims(func(c *jwt.Claims) { c.Subject = "" }), nil))
+	show("endless", signToken(ed, claims(func(c *jwt.Claims) { c.Expiry = nil }), nil))
 	show("noise", "a.b.c")
 	show("long", good+strings.Repeat("A", 2048))
 	// Output:
@@ -122,61 +122,61 @@
 	// long: "too-long"   []
 }
 
-var bounds = Bounds{Remembered: 16, Waiting: 4, Share: 0.1, Once: 3, Every: time.Second}
+var limits = Limits{MaxCached: 16, MaxWaiting: 4, CPUFraction: 0.1, MaxSingleUseIDs: 3, KeyReloadInterval: time.Second}
 
-// desk drives an office as a door would: checks are made at once unless they are held.
-type desk struct {
-	*Office
-	now    time.Duration
-	wall   time.Time
-	folder *keyring.Set // what a look finds
-	cost   time.Duration
-	checks int
-	looks  int
-	held   bool
-	waits  []string
+// testVerifier drives an office as a door would: checks are made at once unless they are held.
+type testVerifier struct {
+	*Verifier
+	now        time.Duration
+	wall       time.Time
+	published  *keyring.Set // what a look finds
+	cost       time.Duration
+	checks     int
+	reloads    int
+	held       bool
+	heldChecks []string
 }
 
-func newDesk(ids ...string) *desk {
-	s := set(ids...)
-	return &desk{Office: NewOffice(s, policy, nil, bounds), wall: start, folder: s}
+func newTestVerifier(ids ...string) *testVerifier {
+	s := publishedSet(ids...)
+	return &testVerifier{Verifier: NewVerifier(s, policy, nil, limits), wall: start, published: s}
 }
 
-func (d *desk) pass(t time.Duration) { d.now, d.wall = d.now+t, d.wall.Add(t) }
+func (d *testVerifier) advance(t time.Duration) { d.now, d.wall = d.now+t, d.wall.Add(t) }
 
-func (d *desk) act(a Act, raw string) {
+func (d *testVerifier) perform(a Action, raw string) {
 	switch a {
-	case Check:
+	case CheckToken:
 		if d.held {
-			d.waits = append(d.waits, raw)
+			d.heldChecks = append(d.heldChecks, raw)
 			return
 		}
 		d.check(raw)
-	case Look:
-		d.looks++
-		for _, raw := range d.Looked(d.folder) {
-			d.act(Check, raw)
+	case ReloadKeys:
+		d.reloads++
+		for _, raw := range d.HandleKeys(d.published) {
+			d.perform(CheckToken, raw)
 		}
 	}
 }
 
-func (d *desk) check(raw string) {
+func (d *testVerifier) check(raw string) {
 	d.checks++
-	s := d.Ring.Set()
+	s := d.Keyring.Set()
 	c, why := Verify(raw, func(id keyring.KeyID) (*keyring.Key, rights.Denial) {
 		if k := s.Find(id); k != nil {
 			return k, k.At(d.wall)
 		}
 		return nil, keyring.Unknown
 	}, d.Policy())
-	a, raw := d.Checked(d.now, d.wall, Result{Raw: raw, Claims: c, Why: why, Took: d.cost, Set: s})
-	d.act(a, raw)
+	a, raw := d.HandleResult(d.now, d.wall, CheckResult{Raw: raw, Claims: c, Denial: why, Duration: d.cost, KeySet: s})
+	d.perform(a, raw)
 }
 
 // ask gives the verdict on a token as text.
-func (d *desk) ask(raw string) string {
+func (d *testVerifier) ask(raw string) string {
 	say := "waits"
-	tell := func(e *Entry, why rights.Denial, after time.Duration) {
+	tell := func(e *CachedToken, why rights.Denial, after time.Duration) {
 		switch {
 		case why != "":
 			say = string(why)
@@ -186,39 +186,39 @@
 			say = "later " + after.Round(time.Millisecond).String()
 		}
 	}
-	if e, why, known := d.Know(d.now, d.wall, raw); known {
+	if e, why, known := d.Lookup(d.now, d.wall, raw); known {
 		tell(e, why, 0)
 		return say
 	}
-	d.act(d.Ask(d.now, raw, false, tell))
+	d.perform(d.RequestCheck(d.now, raw, false, tell))
 	return say
 }
 
 // Under an old key until the told moment, and not after, whenever the folder was read; a token that is remembered is not
 // checked again until something changes, and then only what has changed.
-func Example_remembered() {
-	d := newDesk("a", "b")
+func Example_cached() {
+	d := newTestVerifier("a", "b")
 	long := func(id string) string {
-		return signed(pair(id, "EdDSA"), claims(func(c *jwt.Claims) { c.Expiry = jwt.NewNumericDate(start.Add(9 * time.Hour)) }), nil)
+		return signToken(keyPair(id, "EdDSA"), claims(func(c *jwt.Claims) { c.Expiry = jwt.NewNumericDate(start.Add(9 * time.Hour)) }), nil)
 	}
 	a, b := long("a"), long("b")
 	fmt.Println(d.ask(a), d.ask(a), d.ask(b), "checks", d.checks)
-	d.Replace(set("a", "b", "c"), policy, nil, bounds)
+	d.Reload(publishedSet("a", "b", "c"), policy, nil, limits)
 	fmt.Println(d.ask(a), d.ask(b), "checks", d.checks)
-	d.pass(time.Hour - time.Nanosecond)
+	d.advance(time.Hour - time.Nanosecond)
 	fmt.Println(d.ask(a))
-	d.pass(time.Nanosecond)
+	d.advance(time.Nanosecond)
 	fmt.Println(d.ask(a), "checks", d.checks)
-	d = newDesk("a", "b")
+	d = newTestVerifier("a", "b")
 	fmt.Println(d.ask(a), d.ask(b))
-	d.Replace(set("a!", "c"), policy, nil, bounds)
+	d.Reload(publishedSet("a!", "c"), policy, nil, limits)
 	fmt.Println(d.ask(a), d.ask(b))
-	d = newDesk("a")
+	d = newTestVerifier("a")
 	d.ask(a)
-	r, _ := ReadRevocations("# taken back\njti t1\n\nsub nobody")
-	d.Replace(set("a"), policy, r, bounds)
+	r, _ := ParseRevocations("# taken back\njti t1\n\nsub nobody")
+	d.Reload(publishedSet("a"), policy, r, limits)
 	fmt.Println(d.ask(a))
-	_, line := ReadRevocations("jti x\njti")
+	_, line := ParseRevocations("jti x\njti")
 	fmt.Println("wrong line", line)
 	// Output:
 	// good good good checks 2
@@ -233,16 +233,16 @@
 
 // Clocks that differ by the leeway and by more; a clock that steps back keeps no remembered token alive.
 func Example_clocks() {
-	raw := signed(pair("a", "EdDSA"), claims(nil), nil)
+	raw := signToken(keyPair("a", "EdDSA"), claims(nil), nil)
 	for _, off := range []time.Duration{-31 * time.Second, -30 * time.Second, 0, 90*time.Second - 1, 90 * time.Second} {
-		d := newDesk("a")
-		d.pass(off)
+		d := newTestVerifier("a")
+		d.advance(off)
 		d.now = 0
 		fmt.Println(off, d.ask(raw))
 	}
-	d := newDesk("a")
+	d := newTestVerifier("a")
 	fmt.Print(d.ask(raw), " ")
-	d.pass(2 * time.Minute)
+	d.advance(2 * time.Minute)
 	d.wall = start // an hour's step back would do the same
 	fmt.Println(d.ask(raw))
 	// Output:
@@ -257,21 +257,21 @@
 // A token under a key that is not read yet: one look at the folder finds it. Forged ids lead to a look a second, and a key
 // that is published right after one is told when to come again, not denied.
 func Example_unknownKey() {
-	d := newDesk("a")
-	d.folder = set("a", "b")
-	fmt.Println(d.ask(signed(pair("b", "EdDSA"), claims(nil), nil)), "looks", d.looks)
+	d := newTestVerifier("a")
+	d.published = publishedSet("a", "b")
+	fmt.Println(d.ask(signToken(keyPair("b", "EdDSA"), claims(nil), nil)), "looks", d.reloads)
 	for i := range 50 {
-		raw := signed(pair(fmt.Sprint("x", i), "EdDSA"), claims(nil), nil)
+		raw := signToken(keyPair(fmt.Sprint("x", i), "EdDSA"), claims(nil), nil)
 		if said := d.ask(raw); said != "later 1s" {
 			fmt.Println(said)
 		}
 	}
-	d.pass(time.Second)
-	raw := signed(pair("y", "EdDSA"), claims(nil), nil)
-	fmt.Println(d.ask(raw), d.ask(raw), "looks", d.looks)
-	d.folder = set("a", "b", "y")
-	d.pass(time.Second)
-	fmt.Println(d.ask(raw), "looks", d.looks)
+	d.advance(time.Second)
+	raw := signToken(keyPair("y", "EdDSA"), claims(nil), nil)
+	fmt.Println(d.ask(raw), d.ask(raw), "looks", d.reloads)
+	d.published = publishedSet("a", "b", "y")
+	d.advance(time.Second)
+	fmt.Println(d.ask(raw), "looks", d.reloads)
 	// Output:
 	// good looks 1
 	// unknown-key unknown-key looks 2
@@ -279,17 +279,17 @@
 }
 
 // A look that was begun before the keys were replaced does not bring the older ones back.
-func Example_overtakenLook() {
-	d := newDesk("a")
-	raw := signed(pair("n", "EdDSA"), claims(nil), nil)
+func Example_overtakenReload() {
+	d := newTestVerifier("a")
+	raw := signToken(keyPair("n", "EdDSA"), claims(nil), nil)
 	d.held = true
 	fmt.Println(d.ask(raw))
-	s := d.Ring.Set()
-	act, _ := d.Checked(0, start, Result{Raw: raw, Claims: Claims{Key: "n"}, Why: keyring.Unknown, Set: s})
-	old := set("a")
-	d.Replace(set("a", "n"), policy, nil, bounds)
-	again := d.Looked(old)
-	fmt.Println(act == Look, len(again), len(d.Ring.Set().Keys()))
+	s := d.Keyring.Set()
+	act, _ := d.HandleResult(0, start, CheckResult{Raw: raw, Claims: Claims{KeyID: "n"}, Denial: keyring.Unknown, KeySet: s})
+	old := publishedSet("a")
+	d.Reload(publishedSet("a", "n"), policy, nil, limits)
+	again := d.HandleKeys(old)
+	fmt.Println(act == ReloadKeys, len(again), len(d.Keyring.Set().Keys()))
 	// Output:
 	// waits
 	// true 1 2
@@ -298,39 +298,39 @@
 // A flood of forged tokens takes no more than its share of time; those who have brought nothing bad still get their checks, and
 // what is known costs none. What waits has a bound and an end.
 func Example_flood() {
-	d := newDesk("a")
+	d := newTestVerifier("a")
 	d.cost = time.Millisecond
-	good := signed(pair("a", "EdDSA"), claims(nil), nil)
+	good := signToken(keyPair("a", "EdDSA"), claims(nil), nil)
 	fmt.Println(d.ask(good))
 	parts := strings.Split(good, ".")
 	turned := 0
 	for i := range 100_000 {
-		d.pass(10 * time.Microsecond)
+		d.advance(10 * time.Microsecond)
 		raw := fmt.Sprintf("%s.%s.%s", parts[0], parts[1], base64.RawURLEncoding.EncodeToString(fmt.Appendf(nil, "%064d", i)))
-		act, raw := d.Ask(d.now, raw, true, func(e *Entry, why rights.Denial, after time.Duration) {
+		act, raw := d.RequestCheck(d.now, raw, true, func(e *CachedToken, why rights.Denial, after time.Duration) {
 			if why == "" {
 				turned++
 			}
 		})
-		if act == Check {
+		if act == CheckToken {
 			d.checks++
-			a, _ := d.Checked(d.now, d.wall, Result{Raw: raw, Suspect: true, Why: Signature, Took: d.cost, Set: d.Ring.Set()})
-			if a != Nothing {
+			a, _ := d.HandleResult(d.now, d.wall, CheckResult{Raw: raw, Suspect: true, Denial: BadSignature, Duration: d.cost, KeySet: d.Keyring.Set()})
+			if a != noAction {
 				panic(a)
 			}
 		}
 	}
-	_, bad := d.Remembered()
-	fmt.Println("checks", d.checks <= 102, turned > 99_000, "bad", bad <= bounds.Remembered, d.ask(good))
-	fresh := signed(pair("a", "EdDSA"), claims(func(c *jwt.Claims) { c.ID = "t2" }), nil)
+	_, bad := d.CacheSizes()
+	fmt.Println("checks", d.checks <= 102, turned > 99_000, "bad", bad <= limits.MaxCached, d.ask(good))
+	fresh := signToken(keyPair("a", "EdDSA"), claims(func(c *jwt.Claims) { c.ID = "t2" }), nil)
 	fmt.Println(d.ask(fresh))
 	d.held = true
 	for i := range 6 {
-		fmt.Print(d.ask(signed(pair("a", "EdDSA"), claims(func(c *jwt.Claims) { c.ID = fmt.Sprint(i) }), nil)), " ")
+		fmt.Print(d.ask(signToken(keyPair("a", "EdDSA"), claims(func(c *jwt.Claims) { c.ID = fmt.Sprint(i) }), nil)), " ")
 	}
-	fmt.Println(d.Waiting())
-	d.Expire(d.now+patience, false)
-	fmt.Println(d.Waiting())
+	fmt.Println(d.waitingCount())
+	d.ExpireWaiting(d.now+maxWait, false)
+	fmt.Println(d.waitingCount())
 	// Output:
 	// good
 	// checks true true bad true good
@@ -341,8 +341,8 @@
 
 // A token of single use counts once. At the bound nothing is forgotten before it expires: newcomers have to wait; and a clock
 // that steps back makes no id new that was forgotten.
-func Example_once() {
-	o := newOnce(2)
+func Example_singleUse() {
+	o := newSingleUseIDs(2)
 	say := func(wall time.Duration, id string, expires time.Duration) {
 		why, after := o.use(start.Add(wall), id, start.Add(expires))
 		fmt.Printf("%s at %v: %q %v\n", id, wall, why, after)
@@ -363,19 +363,19 @@
 }
 
 // The office against the rules read afresh for each ask: whatever is remembered, reloaded and taken back, the same verdict.
-func TestOffice(t *testing.T) {
+func TestVerifier(t *testing.T) {
 	ids := []string{"a", "b", "c"}
 	raws := map[string]string{}
 	for _, id := range ids {
 		for i := range 3 {
-			raws[fmt.Sprint(id, i)] = signed(pair(id, "EdDSA"), claims(func(c *jwt.Claims) {
+			raws[fmt.Sprint(id, i)] = signToken(keyPair(id, "EdDSA"), claims(func(c *jwt.Claims) {
 				c.ID = fmt.Sprint(id, i)
 				c.Expiry = jwt.NewNumericDate(start.Add(time.Duration(i+1) * 20 * time.Minute))
 			}), nil)
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		d := newDesk("a")
+		d := newTestVerifier("a")
 		folder, gone := []string{"a"}, map[string]bool{}
 		revoked := map[string]bool{}
 		for range 30 {
@@ -397,11 +397,11 @@
 				for _, mark := range before {
 					gone[strings.TrimSuffix(mark, "!")] = true
 				}
-				r, _ := ReadRevocations(text)
-				d.folder = set(folder...)
-				d.Replace(d.folder, policy, r, bounds)
+				r, _ := ParseRevocations(text)
+				d.published = publishedSet(folder...)
+				d.Reload(d.published, policy, r, limits)
 			case 1:
-				d.pass(time.Duration(rapid.IntRange(1, 9).Draw(t, "minutes")) * time.Minute)
+				d.advance(time.Duration(rapid.IntRange(1, 9).Draw(t, "minutes")) * time.Minute)
 			default:
 				id := rapid.SampledFrom(ids).Draw(t, "id")
 				i := rapid.IntRange(0, 2).Draw(t, "nth")
@@ -429,7 +429,7 @@
 					t.Fatalf("%s%d at %v: %s, want %s", id, i, at, said, want)
 				}
 			}
-			if good, bad := d.Remembered(); good > bounds.Remembered || bad > bounds.Remembered || d.Waiting() != 0 {
+			if good, bad := d.CacheSizes(); good > limits.MaxCached || bad > limits.MaxCached || d.waitingCount() != 0 {
 				t.Fatal("past its bounds")
 			}
 		}
@@ -437,10 +437,10 @@
 }
 
 func FuzzVerify(f *testing.F) {
-	good := signed(pair("a", "EdDSA"), claims(nil), nil)
+	good := signToken(keyPair("a", "EdDSA"), claims(nil), nil)
 	f.Add(good)
 	f.Add("eyJhbGciOiJub25lIiwia2lkIjoiYSJ9.e30.")
-	find := finds(set("a"), start)
+	find := keyFinder(publishedSet("a"), start)
 	f.Fuzz(func(t *testing.T, raw string) {
 		if c, why := Verify(raw, find, policy); why == "" && c.Subject != "depot" {
 			t.Fatalf("%q is good for %q", raw, c.Subject)
@@ -450,9 +450,9 @@
 
 func BenchmarkVerify(b *testing.B) {
 	for _, algorithm := range []string{"EdDSA", "ES256", "RS256"} {
-		k := pair("bench-"+algorithm, algorithm)
-		find := finds(scenes.Must(keyring.Read(map[string][]byte{"k": scenes.Must(keyring.Publish(*k, time.Time{}, time.Time{}, false))})), start)
-		raw := signed(k, claims(nil), nil)
+		k := keyPair("bench-"+algorithm, algorithm)
+		find := keyFinder(scenes.Must(keyring.Read(map[string][]byte{"k": scenes.Must(keyring.Publish(*k, time.Time{}, time.Time{}, false))})), start)
+		raw := signToken(k, claims(nil), nil)
 		b.Run(algorithm, func(b *testing.B) {
 			for range b.N {
 				if _, why := Verify(raw, find, policy); why != "" {
@@ -464,21 +464,21 @@
 }
 
 // What a remembered token costs an op: found by its digest, and on the connection that brought it last.
-func BenchmarkRemembered(b *testing.B) {
-	d := newDesk("a")
-	raw := signed(pair("a", "EdDSA"), claims(nil), nil)
+func BenchmarkLookup(b *testing.B) {
+	d := newTestVerifier("a")
+	raw := signToken(keyPair("a", "EdDSA"), claims(nil), nil)
 	d.ask(raw)
-	e, _, _ := d.Know(d.now, d.wall, raw)
+	e, _, _ := d.Lookup(d.now, d.wall, raw)
 	b.Run("by digest", func(b *testing.B) {
 		for range b.N {
-			if _, why, known := d.Know(d.now, d.wall, raw); why != "" || !known {
+			if _, why, known := d.Lookup(d.now, d.wall, raw); why != "" || !known {
 				b.Fatal(why)
 			}
 		}
 	})
 	b.Run("by connection", func(b *testing.B) {
 		for range b.N {
-			if why, sure := d.Still(d.now, d.wall, e); why != "" || !sure {
+			if why, sure := d.Revalidate(d.now, d.wall, e); why != "" || !sure {
 				b.Fatal(why)
 			}
 		}
