--- a/internal/amqp/amqp_test.go
+++ b/internal/amqp/amqp_test.go
@@ -446,25 +446,25 @@
 func Example_tls() {
 	now := time.Now()
 	ours, other := standin.Must(certs.NewAuthority("ours", now, time.Hour)), standin.Must(certs.NewAuthority("other", now, time.Hour))
-	pair := func(p certs.Pair, err error) tls.Certificate {
-		cert, key, _ := standin.Must(p, err).Texts()
+	pair := func(p certs.KeyPair, err error) tls.Certificate {
+		cert, key, _ := standin.Must(p, err).EncodePEM()
 		return standin.Must(tls.X509KeyPair(cert, key))
 	}
 	roots := x509.NewCertPool()
-	roots.AddCert(ours.Cert)
-	for _, a := range []certs.Pair{ours, other} {
+	roots.AddCert(ours.Certificate)
+	for _, a := range []certs.KeyPair{ours, other} {
 		l := standin.Must(tls.Listen("tcp", "127.0.0.1:0", &tls.Config{ClientCAs: roots, ClientAuth: tls.RequireAndVerifyClientCert,
-			Certificates: []tls.Certificate{pair(a.Issue(certs.Subject{Name: "broker", Hosts: []string{"127.0.0.1"}}, true, now, time.Hour))}}))
+			Certificates: []tls.Certificate{pair(a.Issue(certs.Subject{CommonName: "broker", Hosts: []string{"127.0.0.1"}}, true, now, time.Hour))}}))
 		b, c := broker.NewOn(l), newCore()
 		b.Declare("ops", nil)
 		b.Declare("replies", nil)
 		t := told(b)
 		t.Brokers = []string{"amqps://" + b.Addr() + "/"}
 		t.Login = "guest:guest"
-		t.TLS = &tls.Config{RootCAs: roots, Certificates: []tls.Certificate{pair(ours.Issue(certs.Subject{Name: "node"}, false, now, time.Hour))}}
+		t.TLS = &tls.Config{RootCAs: roots, Certificates: []tls.Certificate{pair(ours.Issue(certs.Subject{CommonName: "node"}, false, now, time.Hour))}}
 		s := open(b, c, t)
 		b.Publish("ops", message("a", "view"))
-		if a.Cert == ours.Cert {
+		if a.Certificate == ours.Certificate {
 			s.settled("ops")
 		} else {
 			standin.Until("some tries", func() bool { ever, _ := b.Connections(); return ever > 1 })
--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -17,54 +17,54 @@
 
 // Why a certificate proves nothing.
 const (
-	NoCertificate rights.Denial = "no-certificate"
-	Untrusted     rights.Denial = "untrusted"  // no told authority stands behind it, or it is not for clients
-	Expired       rights.Denial = "expired"    // or not valid yet
-	Revoked       rights.Denial = "revoked"    // it, or what stands between it and its authority
-	StaleList     rights.Denial = "stale-list" // the list of what is taken back is too old to say
+	noCertificate       rights.Denial = "no-certificate"
+	Untrusted           rights.Denial = "untrusted"  // no told authority stands behind it, or it is not for clients
+	expired             rights.Denial = "expired"    // or not valid yet
+	revoked             rights.Denial = "revoked"    // it, or what stands between it and its authority
+	staleRevocationList rights.Denial = "stale-list" // the list of what is taken back is too old to say
 )
 
-// Trust is authorities and what they took back. It never changes.
-type Trust struct {
-	roots     *x509.CertPool
-	digest    [sha256.Size]byte
-	lists     []*list
-	allowOld  bool
-	authority []*x509.Certificate
+// TrustStore is authorities and what they took back. It never changes.
+type TrustStore struct {
+	roots           *x509.CertPool
+	digest          [sha256.Size]byte
+	revocationLists []*revocationList
+	allowStale      bool
+	authorities     []*x509.Certificate
 }
 
-// list is what one authority took back.
-type list struct {
-	issuer  []byte // raw subject of the authority
-	serials map[string]bool
-	number  *big.Int
-	until   time.Time // when the next list was due, with the told grace
+// revocationList is what one authority took back.
+type revocationList struct {
+	issuer     []byte // raw subject of the authority
+	serials    map[string]bool
+	number     *big.Int
+	validUntil time.Time // when the next list was due, with the told grace
 }
 
 // Bounds of what is read: some authorities, and lists far longer than any fleet of devices.
 const (
-	mostAuthorities = 32
-	mostRevoked     = 200_000
+	maxAuthorities    = 32
+	maxRevokedEntries = 200_000
 )
 
-// NewTrust reads authorities and lists, both PEM; lists may be empty. A list has to be signed by one of the authorities and,
+// NewTrustStore reads authorities and lists, both PEM; lists may be empty. A list has to be signed by one of the authorities and,
 // at the moment given, no older than it says plus grace. With allowOld one that grows too old later goes on counting, and
 // else certificates of its authority no longer prove anything then.
-func NewTrust(authorities, lists []byte, grace time.Duration, allowOld bool, wall time.Time) (*Trust, error) {
-	t := &Trust{roots: x509.NewCertPool(), digest: sha256.Sum256(authorities), allowOld: allowOld}
-	all, err := Certificates(authorities)
+func NewTrustStore(authorities, lists []byte, grace time.Duration, allowStale bool, now time.Time) (*TrustStore, error) {
+	store := &TrustStore{roots: x509.NewCertPool(), digest: sha256.Sum256(authorities), allowStale: allowStale}
+	parsed, err := ParseCertificates(authorities)
 	if err != nil {
 		return nil, err
 	}
-	if len(all) > mostAuthorities {
-		return nil, fmt.Errorf("%d authorities, wants %d or fewer", len(all), mostAuthorities)
+	if len(parsed) > maxAuthorities {
+		return nil, fmt.Errorf("%d authorities, wants %d or fewer", len(parsed), maxAuthorities)
 	}
-	for _, a := range all {
-		if !a.IsCA {
-			return nil, fmt.Errorf("%s is no authority's certificate", a.Subject)
+	for _, authority := range parsed {
+		if !authority.IsCA {
+			return nil, fmt.Errorf("%s is no authority's certificate", authority.Subject)
 		}
-		t.roots.AddCert(a)
-		t.authority = append(t.authority, a)
+		store.roots.AddCert(authority)
+		store.authorities = append(store.authorities, authority)
 	}
 	for rest := lists; ; {
 		var block *pem.Block
@@ -72,148 +72,148 @@
 			if len(bytes.TrimSpace(rest)) > 0 {
 				return nil, errors.New("a list of what was taken back is cut off")
 			}
-			return t, nil
+			return store, nil
 		}
-		if err := t.list(block.Bytes, grace, wall); err != nil {
+		if err := store.addRevocationList(block.Bytes, grace, now); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// list takes one list in.
-func (t *Trust) list(der []byte, grace time.Duration, wall time.Time) error {
+// addRevocationList takes one list in.
+func (t *TrustStore) addRevocationList(der []byte, grace time.Duration, now time.Time) error {
 	crl, err := x509.ParseRevocationList(der)
 	if err != nil {
 		return err
 	}
 	// Danger: a list that anybody may have written lets revoked certificates back in, or locks everybody out.
 	signed := false
-	for _, a := range t.authority {
-		signed = signed || bytes.Equal(a.RawSubject, crl.RawIssuer) && crl.CheckSignatureFrom(a) == nil
+	for _, authority := range t.authorities {
+		signed = signed || bytes.Equal(authority.RawSubject, crl.RawIssuer) && crl.CheckSignatureFrom(authority) == nil
 	}
 	if !signed {
 		return fmt.Errorf("the list of %s is not signed by a told authority", crl.Issuer)
 	}
-	if len(crl.RevokedCertificateEntries) > mostRevoked {
-		return fmt.Errorf("the list of %s has %d entries, wants %d or fewer", crl.Issuer, len(crl.RevokedCertificateEntries), mostRevoked)
+	if len(crl.RevokedCertificateEntries) > maxRevokedEntries {
+		return fmt.Errorf("the list of %s has %d entries, wants %d or fewer", crl.Issuer, len(crl.RevokedCertificateEntries), maxRevokedEntries)
 	}
-	l := &list{issuer: crl.RawIssuer, serials: map[string]bool{}, number: crl.Number}
-	if l.number == nil {
-		l.number = new(big.Int)
+	parsed := &revocationList{issuer: crl.RawIssuer, serials: map[string]bool{}, number: crl.Number}
+	if parsed.number == nil {
+		parsed.number = new(big.Int)
 	}
 	if !crl.NextUpdate.IsZero() {
-		l.until = crl.NextUpdate.Add(grace)
-		if !wall.Before(l.until) && !t.allowOld {
+		parsed.validUntil = crl.NextUpdate.Add(grace)
+		if !now.Before(parsed.validUntil) && !t.allowStale {
 			return fmt.Errorf("the list of %s was due anew at %s", crl.Issuer, crl.NextUpdate.UTC().Format(time.RFC3339))
 		}
 	}
-	for _, e := range crl.RevokedCertificateEntries {
-		l.serials[string(e.SerialNumber.Bytes())] = true
+	for _, entry := range crl.RevokedCertificateEntries {
+		parsed.serials[string(entry.SerialNumber.Bytes())] = true
 	}
-	for i, old := range t.lists {
-		if bytes.Equal(old.issuer, l.issuer) { // the newer one counts
-			if l.number.Cmp(old.number) > 0 {
-				t.lists[i] = l
+	for i, earlier := range t.revocationLists {
+		if bytes.Equal(earlier.issuer, parsed.issuer) { // the newer one counts
+			if parsed.number.Cmp(earlier.number) > 0 {
+				t.revocationLists[i] = parsed
 			}
 			return nil
 		}
 	}
-	t.lists = append(t.lists, l)
+	t.revocationLists = append(t.revocationLists, parsed)
 	return nil
 }
 
-// Pool is the authorities, as a server tells them to its clients.
-func (t *Trust) Pool() *x509.CertPool { return t.roots }
+// Roots is the authorities, as a server tells them to its clients.
+func (t *TrustStore) Roots() *x509.CertPool { return t.roots }
 
-// Proof is a chain that was followed to its authority, and by what.
-type Proof struct {
-	Names []rights.Identity // URI, then DNS names, then the subject
-	chain []*x509.Certificate
-	by    [sha256.Size]byte
-	from  time.Time
-	until time.Time
-	due   time.Time // when the first list that speaks of the chain is too old; zero: never
+// VerifiedChain is a chain that was followed to its authority, and by what.
+type VerifiedChain struct {
+	Identities  []rights.Identity // URI, then DNS names, then the subject
+	chain       []*x509.Certificate
+	trustDigest [sha256.Size]byte
+	notBefore   time.Time
+	notAfter    time.Time
+	listExpiry  time.Time // when the first list that speaks of the chain is too old; zero: never
 }
 
-// Prove follows a chain, the client's own certificate first.
-func (t *Trust) Prove(peer []*x509.Certificate, wall time.Time) (*Proof, rights.Denial) {
-	if len(peer) == 0 {
-		return nil, NoCertificate
+// Verify follows a chain, the client's own certificate first.
+func (t *TrustStore) Verify(presented []*x509.Certificate, now time.Time) (*VerifiedChain, rights.Denial) {
+	if len(presented) == 0 {
+		return nil, noCertificate
 	}
-	between := x509.NewCertPool()
-	for _, c := range peer[1:] {
-		between.AddCert(c)
+	intermediates := x509.NewCertPool()
+	for _, certificate := range presented[1:] {
+		intermediates.AddCert(certificate)
 	}
-	chains, err := peer[0].Verify(x509.VerifyOptions{Roots: t.roots, Intermediates: between, CurrentTime: wall,
+	chains, err := presented[0].Verify(x509.VerifyOptions{Roots: t.roots, Intermediates: intermediates, CurrentTime: now,
 		KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}})
 	var invalid x509.CertificateInvalidError
 	switch {
 	case errors.As(err, &invalid) && invalid.Reason == x509.Expired:
-		return nil, Expired
+		return nil, expired
 	case err != nil:
 		return nil, Untrusted
 	}
-	p := &Proof{chain: chains[0], by: t.digest}
-	for _, c := range p.chain {
-		if p.until.IsZero() || c.NotAfter.Before(p.until) {
-			p.until = c.NotAfter
+	verified := &VerifiedChain{chain: chains[0], trustDigest: t.digest}
+	for _, certificate := range verified.chain {
+		if verified.notAfter.IsZero() || certificate.NotAfter.Before(verified.notAfter) {
+			verified.notAfter = certificate.NotAfter
 		}
-		if c.NotBefore.After(p.from) {
-			p.from = c.NotBefore
+		if certificate.NotBefore.After(verified.notBefore) {
+			verified.notBefore = certificate.NotBefore
 		}
 	}
-	leaf := peer[0]
+	leaf := presented[0]
 	for _, uri := range leaf.URIs {
-		p.Names = append(p.Names, rights.Identity("uri:"+uri.String()))
+		verified.Identities = append(verified.Identities, rights.Identity("uri:"+uri.String()))
 	}
 	for _, name := range leaf.DNSNames {
-		p.Names = append(p.Names, rights.Identity("dns:"+name))
+		verified.Identities = append(verified.Identities, rights.Identity("dns:"+name))
 	}
 	if subject := leaf.Subject.String(); subject != "" {
-		p.Names = append(p.Names, rights.Identity("subject:"+subject))
+		verified.Identities = append(verified.Identities, rights.Identity("subject:"+subject))
 	}
-	return p, t.listed(p, wall)
+	return verified, t.checkRevocation(verified, now)
 }
 
-// In tells whether a moment lies within the times of all certificates of the chain.
+// ValidAt tells whether a moment lies within the times of all certificates of the chain.
 // and no list that speaks of them is too old; else the proof has to be looked at again.
-func (p *Proof) In(wall time.Time) bool {
-	return !wall.Before(p.from) && wall.Before(p.until) && (p.due.IsZero() || wall.Before(p.due))
+func (p *VerifiedChain) ValidAt(now time.Time) bool {
+	return !now.Before(p.notBefore) && now.Before(p.notAfter) && (p.listExpiry.IsZero() || now.Before(p.listExpiry))
 }
 
-// Still tells whether a proof counts now. It costs little unless the authorities have changed since it was made.
-func (t *Trust) Still(p *Proof, wall time.Time) rights.Denial {
-	if p.by != t.digest {
-		anew, why := t.Prove(p.chain, wall)
-		if why == "" {
-			*p = *anew
+// Recheck tells whether a proof counts now. It costs little unless the authorities have changed since it was made.
+func (t *TrustStore) Recheck(verified *VerifiedChain, now time.Time) rights.Denial {
+	if verified.trustDigest != t.digest {
+		again, denial := t.Verify(verified.chain, now)
+		if denial == "" {
+			*verified = *again
 		}
-		return why
+		return denial
 	}
-	if wall.Before(p.from) || !wall.Before(p.until) {
-		return Expired
+	if now.Before(verified.notBefore) || !now.Before(verified.notAfter) {
+		return expired
 	}
-	return t.listed(p, wall)
+	return t.checkRevocation(verified, now)
 }
 
-// listed looks a chain up in the lists of those who issued it.
-func (t *Trust) listed(p *Proof, wall time.Time) rights.Denial {
-	p.due = time.Time{}
-	for _, c := range p.chain {
-		for _, l := range t.lists {
-			if !bytes.Equal(l.issuer, c.RawIssuer) {
+// checkRevocation looks a chain up in the lists of those who issued it.
+func (t *TrustStore) checkRevocation(verified *VerifiedChain, now time.Time) rights.Denial {
+	verified.listExpiry = time.Time{}
+	for _, certificate := range verified.chain {
+		for _, list := range t.revocationLists {
+			if !bytes.Equal(list.issuer, certificate.RawIssuer) {
 				continue
 			}
-			if l.serials[string(c.SerialNumber.Bytes())] {
-				return Revoked
+			if list.serials[string(certificate.SerialNumber.Bytes())] {
+				return revoked
 			}
 			// Danger: whoever can keep new lists from us could go on with what was taken back.
-			if !t.allowOld && !l.until.IsZero() {
-				if !wall.Before(l.until) {
-					return StaleList
+			if !t.allowStale && !list.validUntil.IsZero() {
+				if !now.Before(list.validUntil) {
+					return staleRevocationList
 				}
-				if p.due.IsZero() || l.until.Before(p.due) {
-					p.due = l.until
+				if verified.listExpiry.IsZero() || list.validUntil.Before(verified.listExpiry) {
+					verified.listExpiry = list.validUntil
 				}
 			}
 		}
@@ -221,18 +221,18 @@
 	return ""
 }
 
-// Oldest is when the first list is due anew, with its grace; zero if none ever is.
-func (t *Trust) Oldest() (due time.Time) {
-	for _, l := range t.lists {
-		if !l.until.IsZero() && (due.IsZero() || l.until.Before(due)) {
-			due = l.until
+// revocationListDue is when the first list is due anew, with its grace; zero if none ever is.
+func (t *TrustStore) revocationListDue() (due time.Time) {
+	for _, list := range t.revocationLists {
+		if !list.validUntil.IsZero() && (due.IsZero() || list.validUntil.Before(due)) {
+			due = list.validUntil
 		}
 	}
 	return due
 }
 
-// Certificates reads all certificates of a PEM text.
-func Certificates(text []byte) (all []*x509.Certificate, err error) {
+// ParseCertificates reads all certificates of a PEM text.
+func ParseCertificates(text []byte) (parsed []*x509.Certificate, err error) {
 	rest := text
 	for {
 		var block *pem.Block
@@ -242,17 +242,17 @@
 		if block.Type != "CERTIFICATE" {
 			continue
 		}
-		c, err := x509.ParseCertificate(block.Bytes)
+		certificate, err := x509.ParseCertificate(block.Bytes)
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, c)
+		parsed = append(parsed, certificate)
 	}
-	if len(all) == 0 {
+	if len(parsed) == 0 {
 		return nil, errors.New("wants a certificate in PEM")
 	}
 	if len(bytes.TrimSpace(rest)) > 0 { // Danger: a file that is still being written
 		return nil, errors.New("ends in the middle of a certificate")
 	}
-	return all, nil
+	return parsed, nil
 }
--- a/internal/certs/golden_test.go
+++ b/internal/certs/golden_test.go
@@ -21,7 +21,7 @@
 
 // Pairs read, and are written again to the byte; each is for what it was made for.
 func TestGoldenPairs(t *testing.T) {
-	authority := scenes.Must(ReadPair(golden("authority.pem"), golden("authority.key")))
+	authority := scenes.Must(ParseKeyPair(golden("authority.pem"), golden("authority.key")))
 	for _, of := range []struct {
 		name, subject string
 		usage         x509.KeyUsage
@@ -35,17 +35,17 @@
 			"false [] [node.example] [127.0.0.1]"},
 	} {
 		cert, key := golden(of.name+".pem"), golden(of.name+".key")
-		pair := scenes.Must(ReadPair(cert, key))
-		c := pair.Cert
+		pair := scenes.Must(ParseKeyPair(cert, key))
+		c := pair.Certificate
 		is := fmt.Sprint(c.IsCA, c.URIs, c.DNSNames, c.IPAddresses)
 		if c.Subject.String() != of.subject || c.KeyUsage != of.usage || fmt.Sprint(c.ExtKeyUsage) != fmt.Sprint(of.extra) ||
 			is != of.is {
 			t.Errorf("%s: %s, usage %b %v, %s", of.name, c.Subject, c.KeyUsage, c.ExtKeyUsage, is)
 		}
-		if err := c.CheckSignatureFrom(authority.Cert); err != nil {
+		if err := c.CheckSignatureFrom(authority.Certificate); err != nil {
 			t.Errorf("%s: %v", of.name, err)
 		}
-		againCert, againKey, err := pair.Texts()
+		againCert, againKey, err := pair.EncodePEM()
 		if err != nil || !bytes.Equal(againCert, cert) || !bytes.Equal(againKey, key) {
 			t.Errorf("%s is written as\n%s%swant\n%s%s %v", of.name, againCert, againKey, cert, key, err)
 		}
@@ -54,25 +54,25 @@
 
 // What the stored chains prove, with the stored list and without it.
 func TestGoldenProofs(t *testing.T) {
-	trust := scenes.Must(NewTrust(golden("authority.pem"), golden("revoked.pem"), time.Hour, false, start))
-	without := scenes.Must(NewTrust(golden("authority.pem"), nil, 0, false, start))
+	trust := scenes.Must(NewTrustStore(golden("authority.pem"), golden("revoked.pem"), time.Hour, false, start))
+	without := scenes.Must(NewTrustStore(golden("authority.pem"), nil, 0, false, start))
 	for _, of := range []struct {
-		trust *Trust
+		trust *TrustStore
 		name  string
 		why   rights.Denial
 		names string
 	}{{trust, "client", "", "[uri:rota://water/7 dns:h.example subject:CN=handheld]"}, {trust, "taken", "revoked", ""},
 		{without, "taken", "", "[uri:rota://water/8 subject:CN=taken]"}, {trust, "server", "untrusted", ""}} {
-		p, why := of.trust.Prove(scenes.Must(Certificates(golden(of.name+".pem"))), start)
+		p, why := of.trust.Verify(scenes.Must(ParseCertificates(golden(of.name+".pem"))), start)
 		if why != of.why {
 			t.Errorf("%s: %q, want %q", of.name, why, of.why)
 		}
-		if why == "" && fmt.Sprint(p.Names) != of.names {
-			t.Errorf("%s proves %v", of.name, p.Names)
+		if why == "" && fmt.Sprint(p.Identities) != of.names {
+			t.Errorf("%s proves %v", of.name, p.Identities)
 		}
 	}
 	list := scenes.Must(x509.ParseRevocationList(block(golden("revoked.pem"))))
-	if due := trust.Oldest(); !due.Equal(list.NextUpdate.Add(time.Hour)) {
+	if due := trust.revocationListDue(); !due.Equal(list.NextUpdate.Add(time.Hour)) {
 		t.Errorf("due anew at %v, says %v", due, list.NextUpdate)
 	}
 }
@@ -87,8 +87,8 @@
 
 // A list goes on from the stored one: what was taken back stays so, and its number rises.
 func TestGoldenList(t *testing.T) {
-	authority := scenes.Must(ReadPair(golden("authority.pem"), golden("authority.key")))
-	taken := scenes.Must(Certificates(golden("taken.pem")))[0]
+	authority := scenes.Must(ParseKeyPair(golden("authority.pem"), golden("authority.key")))
+	taken := scenes.Must(ParseCertificates(golden("taken.pem")))[0]
 	before := scenes.Must(x509.ParseRevocationList(block(golden("revoked.pem"))))
 	if before.Number.Int64() != 2 || len(before.RevokedCertificateEntries) != 1 ||
 		before.RevokedCertificateEntries[0].SerialNumber.Cmp(taken.SerialNumber) != 0 {
@@ -108,9 +108,9 @@
 
 // The reasons that are spoken, in answers, logs and listings.
 func TestGoldenReasons(t *testing.T) {
-	for reason, want := range map[rights.Denial]string{NoCertificate: "no-certificate", Untrusted: "untrusted",
-		Expired: "expired", Revoked: "revoked",
-		StaleList: "stale-list"} {
+	for reason, want := range map[rights.Denial]string{noCertificate: "no-certificate", Untrusted: "untrusted",
+		expired: "expired", revoked: "revoked",
+		staleRevocationList: "stale-list"} {
 		if string(reason) != want {
 			t.Errorf("%q, want %q", reason, want)
 		}
--- a/internal/command/cert.go
+++ b/internal/command/cert.go
@@ -44,13 +44,13 @@
 }
 
 // save writes a pair as PATH.pem and PATH.key; what is there already is never written over.
-func save(o output, pair certs.Pair, path string) error {
+func save(o output, pair certs.KeyPair, path string) error {
 	for _, end := range []string{".pem", ".key"} {
 		if _, err := os.Stat(path + end); err == nil {
 			return fmt.Errorf("%s is there already", path+end)
 		}
 	}
-	cert, key, err := pair.Texts()
+	cert, key, err := pair.EncodePEM()
 	if err != nil {
 		return err
 	}
@@ -60,21 +60,21 @@
 	if err := keyring.Write(path+".pem", cert, 0o644); err != nil {
 		return err
 	}
-	fmt.Fprintf(o.out, "%s.pem until %s, serial %x\n", path, when(pair.Cert.NotAfter), pair.Cert.SerialNumber)
+	fmt.Fprintf(o.out, "%s.pem until %s, serial %x\n", path, when(pair.Certificate.NotAfter), pair.Certificate.SerialNumber)
 	return nil
 }
 
 // load reads the authority of a folder.
-func load(folder string) (certs.Pair, error) {
+func load(folder string) (certs.KeyPair, error) {
 	cert, err := os.ReadFile(filepath.Join(folder, "authority.pem"))
 	if err != nil {
-		return certs.Pair{}, err
+		return certs.KeyPair{}, err
 	}
 	key, err := os.ReadFile(filepath.Join(folder, "authority.key"))
 	if err != nil {
-		return certs.Pair{}, err
+		return certs.KeyPair{}, err
 	}
-	return certs.ReadPair(cert, key)
+	return certs.ParseKeyPair(cert, key)
 }
 
 type certIssue struct {
@@ -96,7 +96,7 @@
 	if name == "" {
 		name = filepath.Base(c.Path)
 	}
-	pair, err := a.Issue(certs.Subject{Name: name, URIs: c.URI, Hosts: c.Host}, c.Server, time.Now(), c.For)
+	pair, err := a.Issue(certs.Subject{CommonName: name, URIs: c.URI, Hosts: c.Host}, c.Server, time.Now(), c.For)
 	if err != nil {
 		return err
 	}
@@ -125,11 +125,11 @@
 		if err != nil {
 			return err
 		}
-		all, err := certs.Certificates(text)
+		all, err := certs.ParseCertificates(text)
 		if err != nil {
 			return fmt.Errorf("%s: %w", file, err)
 		}
-		if err := all[0].CheckSignatureFrom(a.Cert); err != nil {
+		if err := all[0].CheckSignatureFrom(a.Certificate); err != nil {
 			return fmt.Errorf("%s is not this authority's: %w", file, err)
 		}
 		serials = append(serials, all[0].SerialNumber)
--- a/internal/command/golden_test.go
+++ b/internal/command/golden_test.go
@@ -191,9 +191,9 @@
 	path := filepath.Join(folder, "new")
 	run(t, "cert", "issue", path, "--authority", folder, "--name", "handheld", "--uri", "rota://water/7", "--host",
 		"h.example", "--host", "10.0.0.1", "--for", "1h")
-	pair := scenes.Must(certs.ReadPair(scenes.Must(os.ReadFile(path+".pem")), scenes.Must(os.ReadFile(path+".key"))))
-	if is := fmt.Sprint(pair.Cert.Subject, pair.Cert.URIs, pair.Cert.DNSNames,
-		pair.Cert.IPAddresses); is != "CN=handheld [rota://water/7] [h.example] [10.0.0.1]" {
+	pair := scenes.Must(certs.ParseKeyPair(scenes.Must(os.ReadFile(path+".pem")), scenes.Must(os.ReadFile(path+".key"))))
+	if is := fmt.Sprint(pair.Certificate.Subject, pair.Certificate.URIs, pair.Certificate.DNSNames,
+		pair.Certificate.IPAddresses); is != "CN=handheld [rota://water/7] [h.example] [10.0.0.1]" {
 		t.Error(is)
 	}
 	run(t, "cert", "revoke", path+".pem", "--authority", folder, "--for", "1h")
--- a/internal/identity/door.go
+++ b/internal/identity/door.go
@@ -21,20 +21,20 @@
 // Config are what an operator's file says of callers, read and checked whole.
 type Config struct {
 	Policy         *rights.Policy
-	MaxRateEntries int            // of rates and counts, at a time
-	TrustStore     *certs.Trust   // nil: no certificates
-	KeySet         *keyring.Set   // nil: no tokens
-	KeyDir         string         // where the keys are read again
-	TokenPolicy    *tokens.Policy // of tokens
+	MaxRateEntries int               // of rates and counts, at a time
+	TrustStore     *certs.TrustStore // nil: no certificates
+	KeySet         *keyring.Set      // nil: no tokens
+	KeyDir         string            // where the keys are read again
+	TokenPolicy    *tokens.Policy    // of tokens
 	RevokedTokens  *tokens.Revocations
 	TokenLimits    tokens.Limits
 }
 
 // Credential is what a connection has proved. It belongs to the owner loop.
 type Credential struct {
-	Proof              *certs.Proof    // nil: no certificate
-	ConfiguredIdentity rights.Identity // who it is by the operator's word, empty if nobody says so
-	proofGeneration    uint64          // the generation for which the proof was looked at last
+	Proof              *certs.VerifiedChain // nil: no certificate
+	ConfiguredIdentity rights.Identity      // who it is by the operator's word, empty if nobody says so
+	proofGeneration    uint64               // the generation for which the proof was looked at last
 	proofDenial        rights.Denial
 	suspect            bool // it has brought tokens that prove nothing
 
@@ -65,7 +65,7 @@
 	clock       func() (now time.Duration, wall time.Time) // of the loop's batch
 	config      Config
 	generation  uint64
-	trust       atomic.Pointer[certs.Trust] // for handshakes, which are made beside the loop
+	trust       atomic.Pointer[certs.TrustStore] // for handshakes, which are made beside the loop
 	limiter     *rights.RateLimiter
 	verifier    *tokens.Verifier
 	checks      chan tokenCheck
@@ -187,7 +187,7 @@
 	if trust == nil {
 		return nil, string(certs.Untrusted)
 	}
-	proof, denial := trust.Prove(chain, time.Now())
+	proof, denial := trust.Verify(chain, time.Now())
 	if denial != "" {
 		return nil, string(denial)
 	}
@@ -201,14 +201,14 @@
 		return credential.proofDenial
 	}
 	_, wall := d.clock()
-	if credential.proofGeneration == d.generation && credential.Proof.In(wall) {
+	if credential.proofGeneration == d.generation && credential.Proof.ValidAt(wall) {
 		return ""
 	}
 	if d.config.TrustStore == nil {
 		credential.proofDenial = certs.Untrusted
 		return credential.proofDenial
 	}
-	credential.proofDenial = d.config.TrustStore.Still(credential.Proof, wall)
+	credential.proofDenial = d.config.TrustStore.Recheck(credential.Proof, wall)
 	credential.proofGeneration, credential.principalGeneration = d.generation, 0
 	return credential.proofDenial
 }
@@ -295,7 +295,7 @@
 		credential.principal, credential.principalDenial = d.config.Policy.Anonymous()
 		return
 	}
-	credential.principal, credential.principalDenial = d.config.Policy.Resolve(credential.Proof.Names, "", nil)
+	credential.principal, credential.principalDenial = d.config.Policy.Resolve(credential.Proof.Identities, "", nil)
 }
 
 // identifyByToken has b.who be the caller by a good token.
@@ -355,8 +355,8 @@
 func truncate(s string) string { return s[:min(len(s), 128)] }
 
 func (b *Credential) principalName() rights.Identity {
-	if b.Proof != nil && len(b.Proof.Names) > 0 {
-		return b.Proof.Names[0]
+	if b.Proof != nil && len(b.Proof.Identities) > 0 {
+		return b.Proof.Identities[0]
 	}
 	return b.ConfiguredIdentity
 }
--- a/internal/life/callers.go
+++ b/internal/life/callers.go
@@ -149,10 +149,10 @@
 			return nil, err
 		}
 	}
-	if authnConfig.TrustStore, err = certs.NewTrust(authorities, lists, t.RevocationGrace, t.AllowStaleRevocations, time.Now()); err != nil {
+	if authnConfig.TrustStore, err = certs.NewTrustStore(authorities, lists, t.RevocationGrace, t.AllowStaleRevocations, time.Now()); err != nil {
 		return nil, fault.List{{File: t.AuthoritiesFile, Want: err.Error()}}
 	}
-	serverConfig.ClientCAs = authnConfig.TrustStore.Pool()
+	serverConfig.ClientCAs = authnConfig.TrustStore.Roots()
 	serverConfig.ClientAuth = tls.RequestClientCert // the chain is followed by certs, as it is again and again later
 	if t.RequireClientCertificate {
 		serverConfig.ClientAuth = tls.RequireAnyClientCert
--- a/internal/stubs/stubs.go
+++ b/internal/stubs/stubs.go
@@ -379,7 +379,7 @@
 // authenticated hears that a handshake is over.
 func (c *connection) authenticated(proof any) {
 	c.lastUsed = c.frontend.loop.Now()
-	c.credential.Proof, _ = proof.(*certs.Proof)
+	c.credential.Proof, _ = proof.(*certs.VerifiedChain)
 	if c.goAwayAt > 0 { // what it was told before could not be sent
 		c.conn.GoAway()
 	}
