--- a/cmd/lanewheel/rotation_test.go
+++ b/cmd/lanewheel/rotation_test.go
@@ -57,10 +57,10 @@
 	key := *i.current.key
 	switch forge {
 	case "key": // signed by a key of its own under the id of ours
-		key = *standin.Must(keyring.New("EdDSA"))
+		key = *standin.Must(keyring.GenerateKey("EdDSA"))
 		key.KeyID = i.current.key.KeyID
 	case "id":
-		key = *standin.Must(keyring.New("EdDSA"))
+		key = *standin.Must(keyring.GenerateKey("EdDSA"))
 	}
 	s := standin.Must(jose.NewSigner(jose.SigningKey{Algorithm: jose.EdDSA, Key: key}, nil))
 	h.raw = standin.Must(jwt.Signed(s).Claims(jwt.Claims{Issuer: "us", Audience: jwt.Audience{"rota"}, Subject: subject, ID: h.id,
@@ -102,11 +102,11 @@
 
 // rotate publishes the next key, signs with it once it is there, and retires the one before a while after that.
 func (i *issuer) rotate(n int) {
-	key := standin.Must(keyring.New("EdDSA"))
+	key := standin.Must(keyring.GenerateKey("EdDSA"))
 	key.KeyID = fmt.Sprint("turn-", n)
 	retire := time.Now().Truncate(time.Second).Add(3*(*rotateEvery) + time.Second)
-	text := standin.Must(keyring.Publish(*key, time.Now().Add(-time.Second), retire, false))
-	if err := keyring.Write(filepath.Join(i.deployment.path("keys"), key.KeyID+".json"), text, 0o644); err != nil {
+	text := standin.Must(keyring.EncodePublic(*key, time.Now().Add(-time.Second), retire, false))
+	if err := keyring.WriteFileAtomic(filepath.Join(i.deployment.path("keys"), key.KeyID+".json"), text, 0o644); err != nil {
 		panic(err)
 	}
 	if n%2 == 0 { // every other one is found by a look
@@ -124,7 +124,7 @@
 	fmt.Fprintln(&i.lines, "jti", t.id)
 	text := i.lines.String()
 	i.mu.Unlock()
-	if err := keyring.Write(i.deployment.path("revoked.txt"), []byte(text), 0o644); err != nil {
+	if err := keyring.WriteFileAtomic(i.deployment.path("revoked.txt"), []byte(text), 0o644); err != nil {
 		panic(err)
 	}
 	i.deployment.reloadOnce()
--- a/internal/command/cert.go
+++ b/internal/command/cert.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	return keyring.Write(filepath.Join(c.Folder, "revoked.pem"), list, 0o644)
+	return keyring.WriteFileAtomic(filepath.Join(c.Folder, "revoked.pem"), list, 0o644)
 }
 
 // save writes a pair as PATH.pem and PATH.key; what is there already is never written over.
@@ -54,10 +54,10 @@
 	if err != nil {
 		return err
 	}
-	if err := keyring.Write(path+".key", key, 0o600); err != nil {
+	if err := keyring.WriteFileAtomic(path+".key", key, 0o600); err != nil {
 		return err
 	}
-	if err := keyring.Write(path+".pem", cert, 0o644); err != nil {
+	if err := keyring.WriteFileAtomic(path+".pem", cert, 0o644); err != nil {
 		return err
 	}
 	fmt.Fprintf(o.out, "%s.pem until %s, serial %x\n", path, when(pair.Certificate.NotAfter), pair.Certificate.SerialNumber)
@@ -138,7 +138,7 @@
 	if err != nil {
 		return err
 	}
-	if err := keyring.Write(path, list, 0o644); err != nil {
+	if err := keyring.WriteFileAtomic(path, list, 0o644); err != nil {
 		return err
 	}
 	fmt.Fprintf(o.out, "%s: %d more taken back\n", path, len(serials))
--- a/internal/command/golden_test.go
+++ b/internal/command/golden_test.go
@@ -118,7 +118,7 @@
 		}
 	}
 	run(t, "keys", "new", "--private", folder, "--algorithm", "ES256", "--id", "a/b")
-	key := scenes.Must(keyring.Private(filepath.Join(folder, "a_b.private")))
+	key := scenes.Must(keyring.LoadPrivateKey(filepath.Join(folder, "a_b.private")))
 	if key.KeyID != "a/b" || key.Algorithm != "ES256" {
 		t.Errorf("new key: %q %q", key.KeyID, key.Algorithm)
 	}
--- a/internal/command/keys.go
+++ b/internal/command/keys.go
@@ -35,7 +35,7 @@
 }
 
 func (c *keysNew) Run(o output) error {
-	k, err := keyring.New(c.Algorithm)
+	k, err := keyring.GenerateKey(c.Algorithm)
 	if err != nil {
 		return err
 	}
@@ -53,7 +53,7 @@
 	if err := os.MkdirAll(c.Private, 0o700); err != nil {
 		return err
 	}
-	if err := keyring.Write(path, append(text, '\n'), 0o600); err != nil {
+	if err := keyring.WriteFileAtomic(path, append(text, '\n'), 0o600); err != nil {
 		return err
 	}
 	fmt.Fprintf(o.out, "%s\t%s\t%s\n", k.KeyID, c.Algorithm, path)
@@ -75,18 +75,18 @@
 }
 
 func (c *keysList) Run(o output) error {
-	set, err := keyring.Load(c.Folder)
+	set, err := keyring.LoadSet(c.Folder)
 	if err != nil {
 		return err
 	}
 	w := tabwriter.NewWriter(o.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "key\talgorithm\tnow\tfrom\tuntil\tfile")
 	for _, k := range set.Keys() {
-		now := k.At(time.Now())
+		now := k.CheckTime(time.Now())
 		if now == "" {
 			now = "counts"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", k.ID, k.Algorithm, now, when(k.NotBefore), when(k.Retire), filepath.Base(k.File))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", k.ID, k.Algorithm, now, when(k.NotBefore), when(k.RetireAt), filepath.Base(k.File))
 	}
 	return w.Flush()
 }
@@ -126,7 +126,7 @@
 }
 
 func (c *keysPublish) Run(o output) error {
-	k, err := keyring.Private(c.Key)
+	k, err := keyring.LoadPrivateKey(c.Key)
 	if err != nil {
 		return err
 	}
@@ -143,7 +143,7 @@
 
 // publish writes a key's file, and proves that the folder is good with it before instances see it.
 func publish(o output, folder string, k jose.JSONWebKey, from, until time.Time, withdrawn bool) error {
-	text, err := keyring.Publish(k, from, until, withdrawn)
+	text, err := keyring.EncodePublic(k, from, until, withdrawn)
 	if err != nil {
 		return err
 	}
@@ -151,15 +151,15 @@
 		return err
 	}
 	path := filepath.Join(folder, fileName(k.KeyID)+".json")
-	files, err := keyring.Folder(folder)
+	files, err := keyring.ReadFolder(folder)
 	if err != nil {
 		return err
 	}
 	files[path] = text
-	if _, err := keyring.Read(files); err != nil {
+	if _, err := keyring.ParseSet(files); err != nil {
 		return err
 	}
-	if err := keyring.Write(path, text, 0o644); err != nil {
+	if err := keyring.WriteFileAtomic(path, text, 0o644); err != nil {
 		return err
 	}
 	fmt.Fprintf(o.out, "%s\tfrom %s until %s\t%s\n", k.KeyID, when(from), when(until), path)
@@ -181,7 +181,7 @@
 	if err != nil {
 		return err
 	}
-	set, err := keyring.Load(c.Folder)
+	set, err := keyring.LoadSet(c.Folder)
 	if err != nil {
 		return err
 	}
@@ -190,12 +190,12 @@
 		return fmt.Errorf("%s has no key %q", c.Folder, c.ID)
 	}
 	if c.Now {
-		at = k.Retire
+		at = k.RetireAt
 	}
 	if filepath.Base(k.File) != fileName(c.ID)+".json" {
 		return fmt.Errorf("%s was not written by \"keys publish\": change it there", k.File)
 	}
-	return publish(o, c.Folder, jose.JSONWebKey{Key: k.Public, KeyID: c.ID, Algorithm: string(k.Algorithm), Use: "sig"},
+	return publish(o, c.Folder, jose.JSONWebKey{Key: k.PublicKey, KeyID: c.ID, Algorithm: string(k.Algorithm), Use: "sig"},
 		k.NotBefore, at, c.Now || k.Withdrawn)
 }
 
@@ -219,7 +219,7 @@
 }
 
 func (c *tokenIssue) Run(o output) error {
-	k, err := keyring.Private(c.Key)
+	k, err := keyring.LoadPrivateKey(c.Key)
 	if err != nil {
 		return err
 	}
@@ -301,9 +301,9 @@
 }
 
 // judge tells whether a token counts now, as an instance would.
-func judge(raw string, keys *keyring.Set, p *tokens.Policy, revoked *tokens.Revocations) rights.Denial {
+func judge(raw string, keys *keyring.KeySet, p *tokens.Policy, revoked *tokens.Revocations) rights.Denial {
 	now := time.Now()
-	ring := keyring.NewRing(keys, time.Second)
+	ring := keyring.NewKeyring(keys, time.Second)
 	c, why := tokens.Verify(raw, func(id keyring.KeyID) (*keyring.Key, rights.Denial) { return ring.Find(id, now) }, p)
 	if why == "" {
 		why = c.CheckTime(now, p)
--- a/internal/identity/door.go
+++ b/internal/identity/door.go
@@ -23,7 +23,7 @@
 	Policy         *rights.Policy
 	MaxRateEntries int               // of rates and counts, at a time
 	TrustStore     *certs.TrustStore // nil: no certificates
-	KeySet         *keyring.Set      // nil: no tokens
+	KeySet         *keyring.KeySet   // nil: no tokens
 	KeyDir         string            // where the keys are read again
 	TokenPolicy    *tokens.Policy    // of tokens
 	RevokedTokens  *tokens.Revocations
@@ -81,7 +81,7 @@
 type tokenCheck struct {
 	raw     string
 	suspect bool
-	keys    *keyring.Set
+	keys    *keyring.KeySet
 	policy  *tokens.Policy
 }
 
@@ -129,9 +129,9 @@
 		result.Claims, result.Denial = tokens.Verify(check.raw, func(id keyring.KeyID) (*keyring.Key, rights.Denial) {
 			key := check.keys.Find(id)
 			if key == nil {
-				return nil, keyring.Unknown
+				return nil, keyring.UnknownKey
 			}
-			return key, key.At(started)
+			return key, key.CheckTime(started)
 		}, check.policy)
 		result.Duration = time.Since(started)
 		done(result)
@@ -156,7 +156,7 @@
 	case tokens.ReloadKeys:
 		verifier, keyDir := d.verifier, d.config.KeyDir
 		go func() { // one at a time, a second apart at the least: the ring sees to that
-			keys, err := keyring.Load(keyDir)
+			keys, err := keyring.LoadSet(keyDir)
 			if err != nil {
 				slog.Warn("keys-kept", "err", err)
 			}
@@ -169,7 +169,7 @@
 	}
 }
 
-func (d *Authenticator) handleKeys(keys *keyring.Set) {
+func (d *Authenticator) handleKeys(keys *keyring.KeySet) {
 	generation := d.verifier.Keyring.Generation()
 	recheck := d.verifier.HandleKeys(keys)
 	if d.verifier.Keyring.Generation() != generation {
@@ -365,7 +365,7 @@
 func IsForgery(denial rights.Denial) bool {
 	switch denial {
 	case tokens.TooLong, tokens.Malformed, tokens.WrongAlgorithm, tokens.CriticalHeader, tokens.BadSignature, tokens.WrongIssuer,
-		tokens.WrongAudience, tokens.NoSubject, keyring.Unknown:
+		tokens.WrongAudience, tokens.NoSubject, keyring.UnknownKey:
 		return true
 	}
 	return false
--- a/internal/keyring/folder.go
+++ b/internal/keyring/folder.go
@@ -21,24 +21,24 @@
 	"lanewheel/internal/fault"
 )
 
-// Folder reads all files of a folder that end in .json, names with a dot in front left out: what is still being written
+// ReadFolder reads all files of a folder that end in .json, names with a dot in front left out: what is still being written
 // has such a name.
-func Folder(path string) (map[string][]byte, error) {
+func ReadFolder(path string) (map[string][]byte, error) {
 	entries, err := os.ReadDir(path)
 	if err != nil {
 		return nil, fault.List{{File: path, Want: "can't be read: " + err.Error()}}
 	}
 	files := map[string][]byte{}
-	for _, e := range entries {
-		if e.IsDir() || strings.HasPrefix(e.Name(), ".") || !strings.HasSuffix(e.Name(), ".json") {
+	for _, entry := range entries {
+		if entry.IsDir() || strings.HasPrefix(entry.Name(), ".") || !strings.HasSuffix(entry.Name(), ".json") {
 			continue
 		}
-		name := filepath.Join(path, e.Name())
-		if len(files) >= mostFiles {
-			return nil, fault.List{{File: path, Want: fmt.Sprintf("wants %d files or fewer", mostFiles)}}
+		name := filepath.Join(path, entry.Name())
+		if len(files) >= maxFiles {
+			return nil, fault.List{{File: path, Want: fmt.Sprintf("wants %d files or fewer", maxFiles)}}
 		}
-		if info, err := e.Info(); err == nil && info.Size() > mostBytes {
-			return nil, fault.List{{File: name, Want: fmt.Sprintf("wants %d bytes or fewer", mostBytes)}}
+		if info, err := entry.Info(); err == nil && info.Size() > maxFileBytes {
+			return nil, fault.List{{File: name, Want: fmt.Sprintf("wants %d bytes or fewer", maxFileBytes)}}
 		}
 		text, err := os.ReadFile(name)
 		if err != nil {
@@ -49,17 +49,17 @@
 	return files, nil
 }
 
-// Load reads the set of a folder.
-func Load(path string) (*Set, error) {
-	files, err := Folder(path)
+// LoadSet reads the set of a folder.
+func LoadSet(path string) (*KeySet, error) {
+	files, err := ReadFolder(path)
 	if err != nil {
 		return nil, err
 	}
-	return Read(files)
+	return ParseSet(files)
 }
 
-// New makes a key pair for an algorithm: EdDSA, ES256 or RS256. Its id is the key's thumbprint (RFC 7638).
-func New(algorithm string) (*jose.JSONWebKey, error) {
+// GenerateKey makes a key pair for an algorithm: EdDSA, ES256 or RS256. Its id is the key's thumbprint (RFC 7638).
+func GenerateKey(algorithm string) (*jose.JSONWebKey, error) {
 	var private crypto.Signer
 	var err error
 	switch jose.SignatureAlgorithm(algorithm) {
@@ -75,18 +75,18 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &jose.JSONWebKey{Key: private, Algorithm: algorithm, Use: "sig"}
-	print, err := k.Thumbprint(crypto.SHA256)
+	key := &jose.JSONWebKey{Key: private, Algorithm: algorithm, Use: "sig"}
+	thumbprint, err := key.Thumbprint(crypto.SHA256)
 	if err != nil {
 		return nil, err
 	}
-	k.KeyID = base64.RawURLEncoding.EncodeToString(print)
-	return k, nil
+	key.KeyID = base64.RawURLEncoding.EncodeToString(thumbprint)
+	return key, nil
 }
 
-// Publish gives the text of a set with the public half of a key and the times between which it counts; zero ones are none.
-func Publish(k jose.JSONWebKey, notBefore, retire time.Time, withdrawn bool) ([]byte, error) {
-	public := k.Public()
+// EncodePublic gives the text of a set with the public half of a key and the times between which it counts; zero ones are none.
+func EncodePublic(key jose.JSONWebKey, notBefore, retireAt time.Time, withdrawn bool) ([]byte, error) {
+	public := key.Public()
 	text, err := public.MarshalJSON()
 	if err != nil {
 		return nil, err
@@ -98,8 +98,8 @@
 	if !notBefore.IsZero() {
 		members["nbf"] = notBefore.Unix()
 	}
-	if !retire.IsZero() {
-		members["exp"] = retire.Unix()
+	if !retireAt.IsZero() {
+		members["exp"] = retireAt.Unix()
 	}
 	if withdrawn {
 		members["withdrawn"] = true
@@ -108,8 +108,8 @@
 	return append(set, '\n'), err
 }
 
-// Write replaces a file whole: no reader sees a part of it.
-func Write(path string, text []byte, mode os.FileMode) error {
+// WriteFileAtomic replaces a file whole: no reader sees a part of it.
+func WriteFileAtomic(path string, text []byte, mode os.FileMode) error {
 	temporary := filepath.Join(filepath.Dir(path), "."+filepath.Base(path)+".new")
 	f, err := os.OpenFile(temporary, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, mode)
 	if err != nil {
@@ -126,15 +126,15 @@
 	return err
 }
 
-// Private reads a private key's file.
-func Private(path string) (jose.JSONWebKey, error) {
-	var k jose.JSONWebKey
+// LoadPrivateKey reads a private key's file.
+func LoadPrivateKey(path string) (jose.JSONWebKey, error) {
+	var key jose.JSONWebKey
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return k, err
+		return key, err
 	}
-	if err := k.UnmarshalJSON(text); err != nil || k.IsPublic() || !k.Valid() {
-		return k, fmt.Errorf("%s: wants a private key as \"keys new\" writes it", path) // never what stands in it
+	if err := key.UnmarshalJSON(text); err != nil || key.IsPublic() || !key.Valid() {
+		return key, fmt.Errorf("%s: wants a private key as \"keys new\" writes it", path) // never what stands in it
 	}
-	return k, nil
+	return key, nil
 }
--- a/internal/keyring/golden_test.go
+++ b/internal/keyring/golden_test.go
@@ -20,7 +20,7 @@
 func TestGoldenPrivate(t *testing.T) {
 	for name, algorithm := range map[string]string{"ed": "EdDSA", "es": "ES256", "rs": "RS256"} {
 		path := filepath.Join("testdata/golden", name+".private")
-		key := scenes.Must(Private(path))
+		key := scenes.Must(LoadPrivateKey(path))
 		if key.KeyID != name || key.Algorithm != algorithm || key.Use != "sig" || !key.Valid() || key.IsPublic() {
 			t.Errorf("%s: kid %q, alg %q, use %q", path, key.KeyID, key.Algorithm, key.Use)
 		}
@@ -33,7 +33,7 @@
 
 // A folder of published keys reads with all that each says, and each file is written again to the byte.
 func TestGoldenPublished(t *testing.T) {
-	set := scenes.Must(Load("testdata/golden"))
+	set := scenes.Must(LoadSet("testdata/golden"))
 	from, until := time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC), time.Date(2066, 1, 1, 0, 0, 0, 0, time.UTC)
 	want := []struct {
 		id          KeyID
@@ -54,19 +54,19 @@
 	}
 	for i, w := range want {
 		k := all[i]
-		if k.ID != w.id || k.Algorithm != w.algorithm || !k.NotBefore.Equal(w.from) || !k.Retire.Equal(w.until) ||
+		if k.ID != w.id || k.Algorithm != w.algorithm || !k.NotBefore.Equal(w.from) || !k.RetireAt.Equal(w.until) ||
 			k.Withdrawn != w.withdrawn ||
 			filepath.Base(k.File) != string(w.id)+".json" {
 			t.Errorf("%s reads as %+v", w.id, k)
 		}
 		for at, why := range map[time.Time]rights.Denial{from.Add(-time.Second): w.early, start: w.between, until: w.late} {
-			if got := k.At(at); got != why {
+			if got := k.CheckTime(at); got != why {
 				t.Errorf("%s at %v: %q, want %q", w.id, at, got, why)
 			}
 		}
 		path := filepath.Join("testdata/golden", string(w.id))
-		private := scenes.Must(Private(path + ".private"))
-		text := scenes.Must(Publish(private, k.NotBefore, k.Retire, k.Withdrawn))
+		private := scenes.Must(LoadPrivateKey(path + ".private"))
+		text := scenes.Must(EncodePublic(private, k.NotBefore, k.RetireAt, k.Withdrawn))
 		if stored := scenes.Must(os.ReadFile(path + ".json")); !bytes.Equal(text, stored) {
 			t.Errorf("%s is published as\n%swant\n%s", w.id, text, stored)
 		}
@@ -75,8 +75,8 @@
 
 // The names and reasons that are spoken, in answers, logs and listings.
 func TestGoldenReasons(t *testing.T) {
-	for reason, want := range map[rights.Denial]string{Unknown: "unknown-key", Early: "early-key",
-		Retired: "retired-key", Withdrawn: "withdrawn-key"} {
+	for reason, want := range map[rights.Denial]string{UnknownKey: "unknown-key", notYetValid: "early-key",
+		retired: "retired-key", Withdrawn: "withdrawn-key"} {
 		if string(reason) != want {
 			t.Errorf("%q, want %q", reason, want)
 		}
--- a/internal/keyring/keyring_test.go
+++ b/internal/keyring/keyring_test.go
@@ -17,9 +17,9 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// published makes a key's file; from and until are seconds after start, 0 for none.
-func published(id, algorithm string, from, until int, withdrawn bool) []byte {
-	k := scenes.Must(New(algorithm))
+// encodeTestKey makes a key's file; from and until are seconds after start, 0 for none.
+func encodeTestKey(id, algorithm string, from, until int, withdrawn bool) []byte {
+	k := scenes.Must(GenerateKey(algorithm))
 	k.KeyID = id
 	at := func(s int) time.Time {
 		if s == 0 {
@@ -27,15 +27,15 @@
 		}
 		return start.Add(time.Duration(s) * time.Second)
 	}
-	return scenes.Must(Publish(*k, at(from), at(until), withdrawn))
+	return scenes.Must(EncodePublic(*k, at(from), at(until), withdrawn))
 }
 
 // A key counts from its not-before until its retire-at, to the moment; what was taken back, what is gone and what nobody
 // knows are told apart.
 func Example_times() {
-	set := scenes.Must(Read(map[string][]byte{"a.json": published("a", "EdDSA", 10, 20, false), "b.json": published("b", "ES256", 0, 0, false),
-		"c.json": published("c", "RS256", 0, 0, true)}))
-	r := NewRing(set, time.Second)
+	set := scenes.Must(ParseSet(map[string][]byte{"a.json": encodeTestKey("a", "EdDSA", 10, 20, false), "b.json": encodeTestKey("b", "ES256", 0, 0, false),
+		"c.json": encodeTestKey("c", "RS256", 0, 0, true)}))
+	r := NewKeyring(set, time.Second)
 	for _, s := range []int{9, 10, 19, 20} {
 		_, why := r.Find("a", start.Add(time.Duration(s)*time.Second))
 		fmt.Printf("%d %q ", s, why)
@@ -45,7 +45,7 @@
 		fmt.Printf("%s %q ", id, why)
 	}
 	fmt.Println(r.Replace(set), r.Generation())
-	fmt.Println(r.Replace(scenes.Must(Read(map[string][]byte{"c.json": published("d", "EdDSA", 0, 0, false)}))), r.Generation())
+	fmt.Println(r.Replace(scenes.Must(ParseSet(map[string][]byte{"c.json": encodeTestKey("d", "EdDSA", 0, 0, false)}))), r.Generation())
 	_, gone := r.Find("b", start)
 	fmt.Println(gone)
 	// Output:
@@ -56,16 +56,16 @@
 
 // What is wrong with a folder is told by file, line and name; with one thing wrong nothing of it counts.
 func Example_faults() {
-	good := string(published("a", "EdDSA", 0, 0, false))
-	private := string(scenes.Must(scenes.Must(New("EdDSA")).MarshalJSON()))
+	good := string(encodeTestKey("a", "EdDSA", 0, 0, false))
+	private := string(scenes.Must(scenes.Must(GenerateKey("EdDSA")).MarshalJSON()))
 	for _, text := range []string{`{"keys":[`, `{}`, `{"keys":[{"kty":"oct","kid":"s","k":"c2VjcmV0"}]}`, `{"keys":[` + private + `]}`,
 		strings.Replace(good, `"kid"`, `"nbf": 1800000000000, "kid"`, 1), strings.Replace(good, `"alg": "EdDSA"`, `"alg": "RS256"`, 1),
 		strings.Replace(good, `"kid"`, `"kid": "z", "kid"`, 1), strings.Replace(good, `"a"`, `""`, 1),
 		strings.Replace(good, `"kid"`, `"nbf": 20, "exp": 10, "kid"`, 1)} {
-		_, err := Read(map[string][]byte{"f.json": []byte(text)})
+		_, err := ParseSet(map[string][]byte{"f.json": []byte(text)})
 		fmt.Println(err)
 	}
-	_, err := Read(map[string][]byte{"f.json": []byte(good), "g.json": []byte(good)})
+	_, err := ParseSet(map[string][]byte{"f.json": []byte(good), "g.json": []byte(good)})
 	fmt.Println(err)
 	// Output:
 	// f.json:1: can't be read: unexpected end of JSON input
@@ -81,30 +81,30 @@
 }
 
 // Ever so many unknown ids lead to one look a second; a key that is published after a look is found by the next.
-func Example_looks() {
-	r := NewRing(scenes.Must(Read(nil)), time.Second)
+func Example_reloads() {
+	r := NewKeyring(scenes.Must(ParseSet(nil)), time.Second)
 	say := func(now time.Duration, id KeyID) {
-		step, after := r.Seek(now, id)
+		step, after := r.ResolveUnknown(now, id)
 		fmt.Print(now, " ", id, [...]string{" deny", " look", " await", " later "}[step], after, "; ")
 	}
 	say(0, "x")
 	say(0, "y")
-	r.Looked([]KeyID{"x"})
+	r.ReloadDone([]KeyID{"x"})
 	say(0, "x")
 	say(300*time.Millisecond, "y")
 	say(time.Second, "y")
-	r.Replace(scenes.Must(Read(map[string][]byte{"y.json": published("y", "EdDSA", 0, 0, false)})))
-	r.Looked([]KeyID{"y"})
+	r.Replace(scenes.Must(ParseSet(map[string][]byte{"y.json": encodeTestKey("y", "EdDSA", 0, 0, false)})))
+	r.ReloadDone([]KeyID{"y"})
 	_, why := r.Find("y", start)
 	fmt.Printf("%q\n", why)
 	looks := 0
 	for i := range 100_000 {
-		if step, _ := r.Seek(time.Duration(i)*100*time.Microsecond+2*time.Second, KeyID(fmt.Sprint(i))); step == Look {
+		if step, _ := r.ResolveUnknown(time.Duration(i)*100*time.Microsecond+2*time.Second, KeyID(fmt.Sprint(i))); step == Reload {
 			looks++
-			r.Looked([]KeyID{KeyID(fmt.Sprint(i))})
+			r.ReloadDone([]KeyID{KeyID(fmt.Sprint(i))})
 		}
 	}
-	fmt.Println(looks, len(r.missed) <= mostNoted)
+	fmt.Println(looks, len(r.notFound) <= maxRememberedIDs)
 	// Output:
 	// 0s x look0s; 0s y await0s; 0s x deny0s; 300ms y later 700ms; 1s y look0s; ""
 	// 10 true
@@ -112,10 +112,10 @@
 
 // A file that is cut after any of its bytes is no set, or the same one; never another.
 func TestCut(t *testing.T) {
-	whole := published("a", "ES256", 10, 20, false)
+	whole := encodeTestKey("a", "ES256", 10, 20, false)
 	for n := range len(whole) {
-		set, err := Read(map[string][]byte{"a.json": whole[:n]})
-		if err == nil && (len(set.Keys()) != 1 || !set.Find("a").Retire.Equal(start.Add(20*time.Second))) {
+		set, err := ParseSet(map[string][]byte{"a.json": whole[:n]})
+		if err == nil && (len(set.Keys()) != 1 || !set.Find("a").RetireAt.Equal(start.Add(20*time.Second))) {
 			t.Fatalf("cut after %d bytes it reads as %v", n, set.Keys())
 		}
 	}
@@ -126,11 +126,11 @@
 	dir := scenes.Must(os.MkdirTemp("", "keys"))
 	defer os.RemoveAll(dir)
 	path := filepath.Join(dir, "a.json")
-	fmt.Println(Write(path, published("a", "EdDSA", 0, 0, false), 0o600))
+	fmt.Println(WriteFileAtomic(path, encodeTestKey("a", "EdDSA", 0, 0, false), 0o600))
 	_ = os.WriteFile(filepath.Join(dir, ".b.json.new"), []byte("{"), 0o600)
-	fmt.Println(scenes.Must(os.Stat(path)).Mode(), len(scenes.Must(Load(dir)).Keys()))
-	_ = os.WriteFile(filepath.Join(dir, "b.json"), bytes.Repeat([]byte{' '}, mostBytes+1), 0o600)
-	_, err := Load(dir)
+	fmt.Println(scenes.Must(os.Stat(path)).Mode(), len(scenes.Must(LoadSet(dir)).Keys()))
+	_ = os.WriteFile(filepath.Join(dir, "b.json"), bytes.Repeat([]byte{' '}, maxFileBytes+1), 0o600)
+	_, err := LoadSet(dir)
 	fmt.Println(strings.ReplaceAll(err.Error(), dir, "DIR"))
 	// Output:
 	// <nil>
@@ -139,18 +139,18 @@
 }
 
 // The ring against a table of what was published when.
-func TestRing(t *testing.T) {
+func TestKeyring(t *testing.T) {
 	type key struct{ from, until int }
 	pool := map[string][]byte{}
 	file := func(id string, k key) []byte {
 		name := fmt.Sprint(id, k)
 		if pool[name] == nil {
-			pool[name] = published(id, "EdDSA", k.from, k.until, false)
+			pool[name] = encodeTestKey(id, "EdDSA", k.from, k.until, false)
 		}
 		return pool[name]
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		r := NewRing(scenes.Must(Read(nil)), time.Second)
+		r := NewKeyring(scenes.Must(ParseSet(nil)), time.Second)
 		ever := map[string]bool{}
 		for range rapid.IntRange(1, 6).Draw(t, "reloads") {
 			files := map[string][]byte{}
@@ -162,7 +162,7 @@
 					ever[id] = true
 				}
 			}
-			r.Replace(scenes.Must(Read(files)))
+			r.Replace(scenes.Must(ParseSet(files)))
 			at := rapid.IntRange(0, 7).Draw(t, "at")
 			for _, id := range []string{"a", "b", "c", "d"} {
 				want := rights.Denial("")
@@ -170,11 +170,11 @@
 				case !there && ever[id]:
 					want = Withdrawn
 				case !there:
-					want = Unknown
+					want = UnknownKey
 				case at < k.from:
-					want = Early
+					want = notYetValid
 				case at >= k.until:
-					want = Retired
+					want = retired
 				}
 				if _, why := r.Find(KeyID(id), start.Add(time.Duration(at)*time.Second)); why != want {
 					t.Fatalf("%s at %d: %q, want %q", id, at, why, want)
@@ -185,15 +185,15 @@
 }
 
 func FuzzRead(f *testing.F) {
-	f.Add(published("a", "EdDSA", 1, 2, false))
+	f.Add(encodeTestKey("a", "EdDSA", 1, 2, false))
 	f.Add([]byte(`{"keys":[{"kty":"oct","k":"AA","kid":"x"},{"kty":"RSA","n":"AQ","e":"AQAB","kid":"y","x5c":["AA"]}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		set, err := Read(map[string][]byte{"f.json": text})
+		set, err := ParseSet(map[string][]byte{"f.json": text})
 		if err != nil {
 			return
 		}
 		for _, k := range set.Keys() {
-			if k.ID == "" || k.Public == nil || k.Algorithm == "" {
+			if k.ID == "" || k.PublicKey == nil || k.Algorithm == "" {
 				t.Fatalf("a key without what it needs: %+v", k)
 			}
 		}
--- a/internal/life/callers.go
+++ b/internal/life/callers.go
@@ -90,7 +90,7 @@
 
 // readTokens reads the keys and the list of what was taken back.
 func (s fileDigest) readTokens(t *operator.Tokens, authnConfig *identity.Config) error {
-	files, err := keyring.Folder(t.KeyDir)
+	files, err := keyring.ReadFolder(t.KeyDir)
 	if err != nil {
 		return err
 	}
@@ -98,7 +98,7 @@
 		fmt.Fprintf(s, "%q%d:", name, len(files[name]))
 		s.Write(files[name])
 	}
-	if authnConfig.KeySet, err = keyring.Read(files); err != nil {
+	if authnConfig.KeySet, err = keyring.ParseSet(files); err != nil {
 		return err
 	}
 	authnConfig.KeyDir, authnConfig.TokenPolicy, authnConfig.TokenLimits = t.KeyDir, &t.Policy, t.Limits
--- a/internal/tokens/golden_test.go
+++ b/internal/tokens/golden_test.go
@@ -32,12 +32,12 @@
 
 // Tokens of each algorithm verify, prove what they were issued for, and name their claims as ever.
 func TestGoldenTokens(t *testing.T) {
-	keys := scenes.Must(keyring.Load("../keyring/testdata/golden"))
+	keys := scenes.Must(keyring.LoadSet("../keyring/testdata/golden"))
 	find := func(id keyring.KeyID) (*keyring.Key, rights.Denial) {
 		if k := keys.Find(id); k != nil {
 			return k, "" // whether it counts is decided in keyring
 		}
-		return nil, keyring.Unknown
+		return nil, keyring.UnknownKey
 	}
 	p := &Policy{Issuer: "https://issuer.example", Audience: "rota", Leeway: 30 * time.Second, MaxBytes: 2048,
 		TenantClaim: "tenant", RolesClaim: "roles", SingleUse: true}
--- a/internal/tokens/office.go
+++ b/internal/tokens/office.go
@@ -41,7 +41,7 @@
 // Verifier is all that is known of tokens. It belongs to the owner loop, which asks it for each op; what it wants done it
 // tells, and the check itself is made beside the loop.
 type Verifier struct {
-	Keyring     *keyring.Ring
+	Keyring     *keyring.Keyring
 	policy      *Policy
 	revocations *Revocations
 	limits      Limits
@@ -89,15 +89,15 @@
 )
 
 // NewVerifier opens with keys, a policy and revocations that were checked before.
-func NewVerifier(keys *keyring.Set, policy *Policy, revocations *Revocations, limits Limits) *Verifier {
-	return &Verifier{Keyring: keyring.NewRing(keys, limits.KeyReloadInterval), policy: policy, revocations: revocations, limits: limits, generation: 1,
+func NewVerifier(keys *keyring.KeySet, policy *Policy, revocations *Revocations, limits Limits) *Verifier {
+	return &Verifier{Keyring: keyring.NewKeyring(keys, limits.KeyReloadInterval), policy: policy, revocations: revocations, limits: limits, generation: 1,
 		cached: map[tokenDigest]*CachedToken{}, denied: map[tokenDigest]cachedDenial{}, pending: map[tokenDigest]*pendingCheck{},
 		budget: newCPUBudget(limits.CPUFraction), singleUse: newSingleUseIDs(limits.MaxSingleUseIDs)}
 }
 
 // Reload puts what was read anew in force. What is remembered is looked at again when it is next used.
-func (o *Verifier) Reload(keys *keyring.Set, policy *Policy, revocations *Revocations, limits Limits) {
-	o.reloadOvertaken = o.Keyring.Looking()
+func (o *Verifier) Reload(keys *keyring.KeySet, policy *Policy, revocations *Revocations, limits Limits) {
+	o.reloadOvertaken = o.Keyring.Reloading()
 	o.Keyring.Replace(keys)
 	if *policy != *o.policy { // what was checked by another policy is checked again
 		clear(o.cached)
@@ -147,12 +147,12 @@
 		key := o.Keyring.Set().Find(entry.KeyID)
 		if key == nil {
 			_, denial := o.Keyring.Find(entry.KeyID, wall)
-			return denial, denial != keyring.Unknown
+			return denial, denial != keyring.UnknownKey
 		}
 		if !sameKey(key, entry.key) { // another key under the old id proves nothing of this token
 			return "", false
 		}
-		if denial := key.At(wall); denial != "" {
+		if denial := key.CheckTime(wall); denial != "" {
 			return denial, true
 		}
 		if o.revocations.Contains(&entry.Claims) {
@@ -160,7 +160,7 @@
 		}
 		entry.key, entry.generation = key, o.generation
 	}
-	if denial := entry.key.At(wall); denial != "" {
+	if denial := entry.key.CheckTime(wall); denial != "" {
 		return denial, true
 	}
 	// Danger: a wall clock that steps back would let an expired token live on.
@@ -171,8 +171,8 @@
 }
 
 func sameKey(a, b *keyring.Key) bool {
-	key, comparable := a.Public.(interface{ Equal(crypto.PublicKey) bool })
-	return comparable && a.Algorithm == b.Algorithm && key.Equal(b.Public)
+	key, comparable := a.PublicKey.(interface{ Equal(crypto.PublicKey) bool })
+	return comparable && a.Algorithm == b.Algorithm && key.Equal(b.PublicKey)
 }
 
 // RequestCheck has a token checked that is not known. done is called once, now or when the verdict is there. suspect tells that the
@@ -207,7 +207,7 @@
 	Claims   Claims
 	Denial   rights.Denial
 	Duration time.Duration
-	KeySet   *keyring.Set // by which it was checked
+	KeySet   *keyring.KeySet // by which it was checked
 }
 
 // HandleResult takes a check's result. It may lead to a look at the folder, or to another check if the keys have changed since.
@@ -226,21 +226,21 @@
 		o.checksInFlight++
 		return CheckToken, pending.raw
 	}
-	if result.Denial == keyring.Unknown {
+	if result.Denial == keyring.UnknownKey {
 		if _, denial := o.Keyring.Find(result.Claims.KeyID, wall); denial == keyring.Withdrawn || pending.keysReloaded {
 			result.Denial = denial
 			o.resolve(pending, nil, result.Denial, 0)
 			return noAction, ""
 		}
-		step, retryAfter := o.Keyring.Seek(now, result.Claims.KeyID)
+		step, retryAfter := o.Keyring.ResolveUnknown(now, result.Claims.KeyID)
 		switch step {
 		case keyring.Deny:
 			o.resolve(pending, nil, result.Denial, 0)
-		case keyring.Later:
+		case keyring.RetryLater:
 			o.resolve(pending, nil, "", retryAfter)
 		case keyring.Await:
 			o.awaitingKeys = append(o.awaitingKeys, pending)
-		case keyring.Look:
+		case keyring.Reload:
 			pending.keysReloaded, pending.keyID = true, result.Claims.KeyID
 			o.awaitingKeys = append(o.awaitingKeys, pending)
 			return ReloadKeys, ""
@@ -256,7 +256,7 @@
 	}
 	entry := &CachedToken{Claims: result.Claims, digest: digest, generation: o.generation, key: o.Keyring.Set().Find(result.Claims.KeyID)}
 	entry.expiresAt = now + max(0, result.Claims.Expiry.Add(o.policy.Leeway).Sub(wall))
-	denial := entry.key.At(wall)
+	denial := entry.key.CheckTime(wall)
 	if denial == "" {
 		denial = entry.CheckTime(wall, o.policy)
 	}
@@ -274,7 +274,7 @@
 
 // HandleKeys hears that the look at the folder is over. set is nil if it could not be read; the old one stays then. It gives
 // the tokens that are to be checked again.
-func (o *Verifier) HandleKeys(keys *keyring.Set) (recheck []string) {
+func (o *Verifier) HandleKeys(keys *keyring.KeySet) (recheck []string) {
 	if o.reloadOvertaken { // Danger: a look begun before the keys were replaced would bring older ones back
 		keys, o.reloadOvertaken = nil, false
 	}
@@ -293,7 +293,7 @@
 			o.checksInFlight++
 		}
 	}
-	o.Keyring.Looked(keyIDs)
+	o.Keyring.ReloadDone(keyIDs)
 	return recheck
 }
 
--- a/internal/tokens/tokens_test.go
+++ b/internal/tokens/tokens_test.go
@@ -27,24 +27,24 @@
 
 func keyPair(id, algorithm string) *jose.JSONWebKey {
 	if keyPairs[id] == nil {
-		keyPairs[id] = scenes.Must(keyring.New(algorithm))
+		keyPairs[id] = scenes.Must(keyring.GenerateKey(algorithm))
 		keyPairs[id].KeyID = id
 	}
 	return keyPairs[id]
 }
 
 // publishedSet publishes keys that count from start on; those with a ! are taken back.
-func publishedSet(ids ...string) *keyring.Set {
+func publishedSet(ids ...string) *keyring.KeySet {
 	files := map[string][]byte{}
 	for _, id := range ids {
 		name, back := strings.CutSuffix(id, "!")
-		files[name+".json"] = scenes.Must(keyring.Publish(*keyPair(name, "EdDSA"), start.Add(-time.Hour), start.Add(time.Hour), back))
+		files[name+".json"] = scenes.Must(keyring.EncodePublic(*keyPair(name, "EdDSA"), start.Add(-time.Hour), start.Add(time.Hour), back))
 	}
-	return scenes.Must(keyring.Read(files))
+	return scenes.Must(keyring.ParseSet(files))
 }
 
-func keyFinder(s *keyring.Set, wall time.Time) func(keyring.KeyID) (*keyring.Key, rights.Denial) {
-	r := keyring.NewRing(s, time.Second)
+func keyFinder(s *keyring.KeySet, wall time.Time) func(keyring.KeyID) (*keyring.Key, rights.Denial) {
+	r := keyring.NewKeyring(s, time.Second)
 	return func(id keyring.KeyID) (*keyring.Key, rights.Denial) { return r.Find(id, wall) }
 }
 
@@ -69,9 +69,9 @@
 	ed, es, rs := keyPair("ed", "EdDSA"), keyPair("es", "ES256"), keyPair("rs", "RS256")
 	files := map[string][]byte{}
 	for _, k := range []*jose.JSONWebKey{ed, es, rs} {
-		files[k.KeyID] = scenes.Must(keyring.Publish(*k, start, time.Time{}, false))
+		files[k.KeyID] = scenes.Must(keyring.EncodePublic(*k, start, time.Time{}, false))
 	}
-	keys := scenes.Must(keyring.Read(files))
+	keys := scenes.Must(keyring.ParseSet(files))
 	// The public half of an RSA key as the secret of an HMAC; an Ed25519 signature under the id of another kind of key.
 	der := scenes.Must(x509.MarshalPKIXPublicKey(rs.Public().Key.(*rsa.PublicKey)))
 	secret := pem.EncodeToMemory(&pem.Block{Type: "PUBLIC KEY", Bytes: der})
@@ -129,7 +129,7 @@
 	*Verifier
 	now        time.Duration
 	wall       time.Time
-	published  *keyring.Set // what a look finds
+	published  *keyring.KeySet // what a look finds
 	cost       time.Duration
 	checks     int
 	reloads    int
@@ -165,9 +165,9 @@
 	s := d.Keyring.Set()
 	c, why := Verify(raw, func(id keyring.KeyID) (*keyring.Key, rights.Denial) {
 		if k := s.Find(id); k != nil {
-			return k, k.At(d.wall)
+			return k, k.CheckTime(d.wall)
 		}
-		return nil, keyring.Unknown
+		return nil, keyring.UnknownKey
 	}, d.Policy())
 	a, raw := d.HandleResult(d.now, d.wall, CheckResult{Raw: raw, Claims: c, Denial: why, Duration: d.cost, KeySet: s})
 	d.perform(a, raw)
@@ -285,7 +285,7 @@
 	d.held = true
 	fmt.Println(d.ask(raw))
 	s := d.Keyring.Set()
-	act, _ := d.HandleResult(0, start, CheckResult{Raw: raw, Claims: Claims{KeyID: "n"}, Denial: keyring.Unknown, KeySet: s})
+	act, _ := d.HandleResult(0, start, CheckResult{Raw: raw, Claims: Claims{KeyID: "n"}, Denial: keyring.UnknownKey, KeySet: s})
 	old := publishedSet("a")
 	d.Reload(publishedSet("a", "n"), policy, nil, limits)
 	again := d.HandleKeys(old)
@@ -451,7 +451,7 @@
 func BenchmarkVerify(b *testing.B) {
 	for _, algorithm := range []string{"EdDSA", "ES256", "RS256"} {
 		k := keyPair("bench-"+algorithm, algorithm)
-		find := keyFinder(scenes.Must(keyring.Read(map[string][]byte{"k": scenes.Must(keyring.Publish(*k, time.Time{}, time.Time{}, false))})), start)
+		find := keyFinder(scenes.Must(keyring.ParseSet(map[string][]byte{"k": scenes.Must(keyring.EncodePublic(*k, time.Time{}, time.Time{}, false))})), start)
 		raw := signToken(k, claims(nil), nil)
 		b.Run(algorithm, func(b *testing.B) {
 			for range b.N {
--- a/internal/tokens/verify.go
+++ b/internal/tokens/verify.go
@@ -103,7 +103,7 @@
 	}
 	var registered jwt.Claims
 	var private map[string]any
-	switch err := token.Claims(key.Public, &registered, &private); {
+	switch err := token.Claims(key.PublicKey, &registered, &private); {
 	case errors.Is(err, jose.ErrCryptoFailure):
 		return claims, BadSignature
 	case err != nil:
