--- a/internal/amqp/amqp_test.go
+++ b/internal/amqp/amqp_test.go
@@ -35,8 +35,8 @@
 	os.Exit(m.Run())
 }
 
-// core is a core that runs what it is handed, one run each, and counts.
-type core struct {
+// fakeServer is a core that runs what it is handed, one run each, and counts.
+type fakeServer struct {
 	*loop.Loop
 	mu     sync.Mutex
 	runs   map[string]int // by body
@@ -44,13 +44,13 @@
 	behave func(ask front.Request, body string, owed front.Responder) // on its loop; nil: acked after a millisecond
 }
 
-func newCore() *core {
-	c := &core{Loop: loop.New(4096), runs: map[string]int{}, load: front.Load{Ready: true, Healthy: true, Cores: 4, FreeCapacity: 1000}}
+func newFakeServer() *fakeServer {
+	c := &fakeServer{Loop: loop.New(4096), runs: map[string]int{}, load: front.Load{Ready: true, Healthy: true, Cores: 4, FreeCapacity: 1000}}
 	go c.Run(func() {})
 	return c
 }
 
-func (c *core) Submit(ask front.Request, _ *identity.Credential, owed front.Responder) front.Handle {
+func (c *fakeServer) Submit(ask front.Request, _ *identity.Credential, owed front.Responder) front.Handle {
 	body := string(ask.Body)
 	if c.behave != nil {
 		c.behave(ask, body, owed)
@@ -64,34 +64,34 @@
 	return nil
 }
 
-func (c *core) run(body string) {
+func (c *fakeServer) run(body string) {
 	c.mu.Lock()
 	c.runs[body]++
 	c.mu.Unlock()
 }
 
-func (c *core) Cancel(front.Handle) {}
-func (c *core) Load() front.Load    { return c.load }
+func (c *fakeServer) Cancel(front.Handle) {}
+func (c *fakeServer) Load() front.Load    { return c.load }
 
-func (c *core) set(load func(*front.Load)) { c.Post(func() { load(&c.load) }) }
+func (c *fakeServer) set(load func(*front.Load)) { c.Post(func() { load(&c.load) }) }
 
-// stage is a front between a broker and a core.
-type stage struct {
-	broker *broker.Broker
-	core   *core
-	part   *Part
+// testbed is a front between a broker and a core.
+type testbed struct {
+	broker   *broker.Broker
+	server   *fakeServer
+	consumer *Consumer
 }
 
-var usual = Queue{Queue: intake.Queue{Name: "ops", Weight: 1, Floor: 2, Most: 100},
-	Told: intake.Told{Attempts: 3, Delay: 20 * time.Millisecond, Dead: true}, Dead: "dead", Identity: "token:depot",
-	Mapping: Mapping{Type: Source{Name: "type"}, Wait: 30 * time.Second, Longest: 2048, Rank0: 0.5, KB0: 1}}
+var defaultQueue = Queue{Queue: intake.Queue{Name: "ops", Weight: 1, Floor: 2, Most: 100},
+	Settlement: intake.Told{Attempts: 3, Delay: 20 * time.Millisecond, Dead: true}, DeadLetterQueue: "dead", Identity: "token:depot",
+	Mapping: Mapping{Class: Source{Name: "type"}, DefaultWait: 30 * time.Second, MaxBodyBytes: 2048, DefaultRank: 0.5, DefaultKB: 1}}
 
-func told(b *broker.Broker, queues ...Queue) Told {
+func testConfig(b *broker.Broker, queues ...Queue) Config {
 	if len(queues) == 0 {
-		queues = []Queue{usual}
+		queues = []Queue{defaultQueue}
 	}
-	return Told{Brokers: []string{b.URL()}, Queues: queues, InHand: 100, Share: 1, Unstarted: 10_000, Remembered: 1000, RememberedIn: time.Minute,
-		Heartbeat: 10 * time.Second, Repeats: map[choice.Class]bool{"view": true, "key": true}}
+	return Config{BrokerURLs: []string{b.URL()}, Queues: queues, MaxInFlight: 100, RetryFraction: 1, UnstartedRate: 10_000, MaxRemembered: 1000, RememberedFor: time.Minute,
+		HeartbeatInterval: 10 * time.Second, IdempotentClasses: map[choice.Class]bool{"view": true, "key": true}}
 }
 
 func newBroker() *broker.Broker {
@@ -102,25 +102,25 @@
 	return b
 }
 
-func open(b *broker.Broker, c *core, t Told) *stage {
-	s := &stage{b, c, New(t, c, c.Post, 1)}
-	s.part.Start()
+func startTestbed(b *broker.Broker, c *fakeServer, t Config) *testbed {
+	s := &testbed{b, c, New(t, c, c.Post, 1)}
+	s.consumer.Start()
 	return s
 }
 
-func (s *stage) close() {
-	s.part.Drain(time.Second)
-	standin.Until("the end of the front", s.part.Drained)
+func (s *testbed) close() {
+	s.consumer.Drain(time.Second)
+	standin.Until("the end of the front", s.consumer.Drained)
 	s.broker.Close()
-	s.core.Post(s.core.Quit)
+	s.server.Post(s.server.Quit)
 }
 
-func message(id, kind string) client.Publishing {
+func newMessage(id, kind string) client.Publishing {
 	return client.Publishing{MessageId: id, Type: kind, ReplyTo: "replies", CorrelationId: "c-" + id, Body: []byte(id)}
 }
 
 // settled waits until nothing is left in a queue.
-func (s *stage) settled(name string) {
+func (s *testbed) settled(name string) {
 	standin.Until("the end of "+name, func() bool {
 		c := s.broker.Counts(name)
 		return c.Ready+c.Unsettled == 0
@@ -128,7 +128,7 @@
 }
 
 // replies gives what was answered, sorted; an answer sent twice, with the same id and words, counts once.
-func (s *stage) replies() (all []string) {
+func (s *testbed) replies() (all []string) {
 	for _, p := range s.broker.Take("replies") {
 		all = append(all, strings.TrimSpace(fmt.Sprint(p.CorrelationId, " ", p.Type, " ", string(p.Body))))
 	}
@@ -139,7 +139,7 @@
 // A message's way: taken, run, answered, acked. What can't be served, came too late or was denied is answered unrun, and copied
 // to the dead letters.
 func Example() {
-	b, c := newBroker(), newCore()
+	b, c := newBroker(), newFakeServer()
 	c.behave = func(ask front.Request, body string, owed front.Responder) {
 		switch ask.Class {
 		case "deny":
@@ -154,16 +154,16 @@
 		}
 		owed.Done()
 	}
-	s := open(b, c, told(b))
+	s := startTestbed(b, c, testConfig(b))
 	defer s.close()
 	for _, kind := range []string{"view", "pay", "deny", "what", "fail"} {
-		b.Publish("ops", message(kind, kind))
+		b.Publish("ops", newMessage(kind, kind))
 	}
-	late := message("late", "view")
+	late := newMessage("late", "view")
 	late.Timestamp, late.Expiration = time.Now().Add(-time.Hour), "1000"
-	long := message("long", "view")
+	long := newMessage("long", "view")
 	long.Body = bytes.Repeat([]byte("x"), 200_000)
-	nested, deeper := message("nested", "view"), message("deeper", "view")
+	nested, deeper := newMessage("nested", "view"), newMessage("deeper", "view")
 	deep := client.Table{}
 	for i := range 5000 {
 		if deep = (client.Table{"t": deep}); i == 500 {
@@ -171,7 +171,7 @@
 		}
 	}
 	deeper.Headers = deep
-	odd := message("odd", "view")
+	odd := newMessage("odd", "view")
 	odd.Expiration = "soon"
 	for _, p := range []client.Publishing{late, long, nested, deeper, odd} {
 		b.Publish("ops", p)
@@ -213,13 +213,13 @@
 // final answer, none of a type that must not run twice does, and nothing is left unsettled.
 func TestCutAfterEachFrame(t *testing.T) {
 	kinds := []string{"view", "pay", "key"}
-	play := func(faults ...broker.Fault) (s *stage, frames int, wrong string) {
-		b, c := newBroker(), newCore()
+	play := func(faults ...broker.Fault) (s *testbed, frames int, wrong string) {
+		b, c := newBroker(), newFakeServer()
 		b.Script(faults...)
-		s = open(b, c, told(b))
+		s = startTestbed(b, c, testConfig(b))
 		defer s.close()
 		for i := range 12 {
-			b.Publish("ops", message(fmt.Sprint(kinds[i%3], i), kinds[i%3]))
+			b.Publish("ops", newMessage(fmt.Sprint(kinds[i%3], i), kinds[i%3]))
 		}
 		s.settled("ops")
 		standin.Until("all answers", func() bool { return b.Counts("replies").Ready >= 12 })
@@ -271,11 +271,11 @@
 }
 
 // A message that the module turns away goes back, by the retry queue where there is one, counted; out of attempts it is answered.
-func Example_turnedAway() {
+func Example_rejected() {
 	for _, retry := range []bool{false, true} {
-		b, c := newBroker(), newCore()
-		q := usual
-		q.Told.Retry = retry
+		b, c := newBroker(), newFakeServer()
+		q := defaultQueue
+		q.Settlement.Retry = retry
 		if retry {
 			b = broker.New()
 			b.Declare("ops", client.Table{"x-dead-letter-exchange": "", "x-dead-letter-routing-key": "ops.retry"})
@@ -293,12 +293,12 @@
 			}
 			owed.Done()
 		}
-		s := open(b, c, told(b, q))
-		b.Publish("ops", message("once", "pay"))
+		s := startTestbed(b, c, testConfig(b, q))
+		b.Publish("ops", newMessage("once", "pay"))
 		standin.Until("an answer", func() bool { return b.Counts("replies").Ready == 1 })
 		fmt.Println(s.replies(), "put back", b.Counts("ops").Requeued, "rejected", b.Counts("ops").Rejected)
 		if retry {
-			b.Publish("ops", message("never", "pay"))
+			b.Publish("ops", newMessage("never", "pay"))
 			standin.Until("its end", func() bool { return b.Counts("dead").Ready == 1 })
 			fmt.Println(s.replies(), "rejected", b.Counts("ops").Rejected, "dead", b.Counts("dead").Ready)
 		}
@@ -314,7 +314,7 @@
 // closes in order; with a broker that has died, or answers nothing, the end comes all the same.
 func Example_drain() {
 	for _, how := range []string{"well", "dead", "silent"} {
-		b, c := newBroker(), newCore()
+		b, c := newBroker(), newFakeServer()
 		var held []func(bool)
 		var mu sync.Mutex
 		c.behave = func(ask front.Request, body string, owed front.Responder) {
@@ -329,16 +329,16 @@
 				owed.Done()
 			})
 		}
-		q := usual
+		q := defaultQueue
 		q.Floor = 6
-		s := open(b, c, told(b, q))
+		s := startTestbed(b, c, testConfig(b, q))
 		for i := range 20 {
-			b.Publish("ops", message(fmt.Sprintf("m%02d", i), "view"))
+			b.Publish("ops", newMessage(fmt.Sprintf("m%02d", i), "view"))
 		}
 		standin.Until("six in hand", func() bool { mu.Lock(); defer mu.Unlock(); return len(held) == 6 })
-		s.core.set(func(l *front.Load) { l.Draining = true })
-		s.part.Drain(800 * time.Millisecond)
-		s.part.Drain(time.Hour) // a second notice changes nothing
+		s.server.set(func(l *front.Load) { l.Draining = true })
+		s.consumer.Drain(800 * time.Millisecond)
+		s.consumer.Drain(time.Hour) // a second notice changes nothing
 		switch how {
 		case "dead":
 			b.Close()
@@ -353,7 +353,7 @@
 				end(i < 2)
 			}
 		})
-		standin.Until("the end", s.part.Drained)
+		standin.Until("the end", s.consumer.Drained)
 		fmt.Println(how, "in time", time.Since(began) < 1500*time.Millisecond)
 		if how == "well" {
 			counts := b.Counts("ops")
@@ -374,28 +374,28 @@
 
 // A broker that says it is blocked gets nothing new from us; a queue that is deleted and comes back is consumed again; a login
 // that is refused, and a broker that takes connections and drops them, are tried less and less often.
-func Example_brokerTrouble() {
-	b, c := newBroker(), newCore()
-	s := open(b, c, told(b))
-	b.Publish("ops", message("a", "view"))
+func Example_brokerFaults() {
+	b, c := newBroker(), newFakeServer()
+	s := startTestbed(b, c, testConfig(b))
+	b.Publish("ops", newMessage("a", "view"))
 	s.settled("ops")
 	b.Block(true)
 	standin.Until("the intake's end", func() bool { return b.Counts("ops").Consumers == 0 })
-	b.Publish("ops", message("b", "view"))
+	b.Publish("ops", newMessage("b", "view"))
 	fmt.Println(state(s), b.Counts("ops").Ready)
 	b.Block(false)
 	s.settled("ops")
 	b.Delete("ops")
 	time.Sleep(intake.Every)
 	b.Declare("ops", nil)
-	b.Publish("ops", message("c", "view"))
+	b.Publish("ops", newMessage("c", "view"))
 	s.settled("ops")
 	fmt.Println(len(s.replies()))
 	s.close()
 
 	b = newBroker()
 	b.Refuse(true)
-	s = open(b, newCore(), told(b))
+	s = startTestbed(b, newFakeServer(), testConfig(b))
 	time.Sleep(1500 * time.Millisecond)
 	ever, _ := b.Connections()
 	fmt.Println("tries", ever >= 2 && ever <= 6)
@@ -408,8 +408,8 @@
 
 // Two messages with one id: with the same content they are one op, and both are settled with it; with another content the second
 // is told so. A channel that the broker closes is opened anew, and what was in hand is not run again.
-func Example_twice() {
-	b, c := newBroker(), newCore()
+func Example_duplicates() {
+	b, c := newBroker(), newFakeServer()
 	var mu sync.Mutex
 	var end []func()
 	c.behave = func(ask front.Request, body string, owed front.Responder) {
@@ -418,12 +418,12 @@
 		defer mu.Unlock()
 		end = append(end, func() { owed.Succeed([]byte("done "+body), front.ResponseMetadata{}); owed.Done() })
 	}
-	s := open(b, c, told(b))
+	s := startTestbed(b, c, testConfig(b))
 	defer s.close()
-	other := message("a", "pay")
+	other := newMessage("a", "pay")
 	other.Body = []byte("b")
-	b.Publish("ops", message("a", "pay"))
-	b.Publish("ops", message("a", "pay"))
+	b.Publish("ops", newMessage("a", "pay"))
+	b.Publish("ops", newMessage("a", "pay"))
 	standin.Until("both in hand", func() bool { return b.Counts("ops").Unsettled == 2 })
 	b.Publish("ops", other)
 	standin.Until("the other's end", func() bool { return b.Counts("ops").Acked == 1 })
@@ -455,15 +455,15 @@
 	for _, a := range []certs.KeyPair{ours, other} {
 		l := standin.Must(tls.Listen("tcp", "127.0.0.1:0", &tls.Config{ClientCAs: roots, ClientAuth: tls.RequireAndVerifyClientCert,
 			Certificates: []tls.Certificate{pair(a.Issue(certs.Subject{CommonName: "broker", Hosts: []string{"127.0.0.1"}}, true, now, time.Hour))}}))
-		b, c := broker.NewOn(l), newCore()
+		b, c := broker.NewOn(l), newFakeServer()
 		b.Declare("ops", nil)
 		b.Declare("replies", nil)
-		t := told(b)
-		t.Brokers = []string{"amqps://" + b.Addr() + "/"}
+		t := testConfig(b)
+		t.BrokerURLs = []string{"amqps://" + b.Addr() + "/"}
 		t.Login = "guest:guest"
 		t.TLS = &tls.Config{RootCAs: roots, Certificates: []tls.Certificate{pair(ours.Issue(certs.Subject{CommonName: "node"}, false, now, time.Hour))}}
-		s := open(b, c, t)
-		b.Publish("ops", message("a", "view"))
+		s := startTestbed(b, c, t)
+		b.Publish("ops", newMessage("a", "view"))
 		if a.Certificate == ours.Certificate {
 			s.settled("ops")
 		} else {
@@ -477,35 +477,35 @@
 	// 0 []
 }
 
-func state(s *stage) string {
+func state(s *testbed) string {
 	say := make(chan string)
-	s.part.Post(func() { say <- s.part.desk.State("ops") })
+	s.consumer.Post(func() { say <- s.consumer.flow.State("ops") })
 	return <-say
 }
 
 // When the primary goes, the second broker is consumed from; a primary that flaps does not have the consumer flap.
-func Example_routes() {
+func Example_failover() {
 	now := time.Duration(0)
-	r := NewRoutes([]string{"one", "two"}, func() float64 { return 0.5 })
+	r := newBrokerSelector([]string{"one", "two"}, func() float64 { return 0.5 })
 	say := func() {
-		addr, wait := r.Pick(now)
-		fmt.Println(now, addr, wait, r.Return(now))
+		addr, wait := r.pick(now)
+		fmt.Println(now, addr, wait, r.shouldFailBack(now))
 	}
 	say()
-	r.Down(now, "one", "unreachable")
+	r.failed(now, "one", "unreachable")
 	say()
-	r.Up(now, "two")
+	r.connected(now, "two")
 	now = 29 * time.Second
 	say()
 	now = 30 * time.Second
 	say() // back to the preferred
 	tries := 0
 	for end := now + 10*time.Minute; now < end; now += 10 * time.Millisecond {
-		if addr, _ := r.Pick(now); addr == "one" {
+		if addr, _ := r.pick(now); addr == "one" {
 			tries++
-			r.Up(now, "one")
+			r.connected(now, "one")
 			now += 100 * time.Millisecond
-			r.Down(now, "one", "closed")
+			r.failed(now, "one", "closed")
 		}
 	}
 	fmt.Println("tries in ten minutes", tries)
@@ -520,28 +520,28 @@
 // Two instances on one queue, one of them slow: the fast one gets the work, and what the slow one left untouched goes back.
 func Example_twoInstances() {
 	b := newBroker()
-	slow, fast := newCore(), newCore()
+	slow, fast := newFakeServer(), newFakeServer()
 	slow.behave = func(_ front.Request, body string, owed front.Responder) {
 		slow.run(body)
 		slow.load.Queued = 40 // it holds more than it has cores
 		slow.ScheduleAt(slow.Now()+300*time.Millisecond, func() { owed.Succeed([]byte("slow"), front.ResponseMetadata{}); owed.Done() })
 	}
-	one, two := open(b, slow, told(b)), open(b, fast, told(b))
+	one, two := startTestbed(b, slow, testConfig(b)), startTestbed(b, fast, testConfig(b))
 	for i := range 300 {
-		b.Publish("ops", message(fmt.Sprint(i), "view"))
+		b.Publish("ops", newMessage(fmt.Sprint(i), "view"))
 	}
 	one.settled("ops")
 	standin.Until("all answers", func() bool { return b.Counts("replies").Ready == 300 })
 	fmt.Println(len(one.replies()), len(fast.runs)+len(slow.runs), len(slow.runs) < 30)
-	one.part.Drain(time.Second)
-	standin.Until("its end", one.part.Drained)
+	one.consumer.Drain(time.Second)
+	standin.Until("its end", one.consumer.Drained)
 	two.close()
 	// Output:
 	// 300 300 true
 }
 
 // Content of any size and tables of any depth do not reach the library; whatever way the bytes come cut, the same goes on.
-func TestSieve(t *testing.T) {
+func TestFrameFilter(t *testing.T) {
 	frame := func(kind byte, channel uint16, payload []byte) []byte {
 		b := binary.BigEndian.AppendUint16([]byte{kind}, channel)
 		b = binary.BigEndian.AppendUint32(b, uint32(len(payload)))
@@ -569,21 +569,21 @@
 	want = append(want, frame(1, 1, []byte("method"))...)
 	want = append(want, frame(2, 1, header(5, 0))...)
 	want = append(want, frame(3, 1, []byte("small"))...)
-	want = append(want, frame(2, 2, header(uint64(len(marks[tooLong])), 3))...)
-	want = append(want, frame(3, 2, []byte(marks[tooLong]))...)
+	want = append(want, frame(2, 2, header(uint64(len(placeholders[tooLong])), 3))...)
+	want = append(want, frame(3, 2, []byte(placeholders[tooLong]))...)
 	want = append(want, frame(8, 0, nil)...)
-	want = append(want, frame(2, 1, header(uint64(len(marks[badHeader])), 0))...)
-	want = append(want, frame(3, 1, []byte(marks[badHeader]))...)
+	want = append(want, frame(2, 1, header(uint64(len(placeholders[badHeader])), 0))...)
+	want = append(want, frame(3, 1, []byte(placeholders[badHeader]))...)
 	want = append(want, frame(1, 1, []byte("end"))...)
 	for size := 1; size <= len(stream); size++ {
-		s := newSieve(nil, 100, 100)
+		s := newFrameFilter(nil, 100, 100)
 		for rest := stream; len(rest) > 0; {
 			n := min(size, len(rest))
 			s.feed(rest[:n])
 			rest = rest[n:]
 		}
-		if !bytes.Equal(s.out, want) {
-			t.Fatalf("in pieces of %d: %q", size, s.out)
+		if !bytes.Equal(s.ready, want) {
+			t.Fatalf("in pieces of %d: %q", size, s.ready)
 		}
 	}
 }
@@ -591,17 +591,17 @@
 func FuzzMapping(f *testing.F) {
 	f.Add("id", "view", "1000", "water", "0.5", int64(3), []byte("body"))
 	f.Add("", "", "x", "", "NaN", int64(-1), []byte(nil))
-	m := usual.Mapping
+	m := defaultQueue.Mapping
 	m.Tenant, m.Rank = Source{Header: true, Name: "tenant"}, Source{Header: true, Name: "rank"}
 	f.Fuzz(func(t *testing.T, id, kind, expiration, tenant, rank string, count int64, body []byte) {
 		d := &client.Delivery{MessageId: id, Type: kind, Expiration: expiration, Body: body, Headers: client.Table{"tenant": tenant, "rank": rank,
 			"x-death": []any{client.Table{"queue": "ops", "reason": "rejected", "count": count}}}}
-		r := m.Read("ops", d, "", time.Unix(0, 0))
-		again := m.Read("ops", d, "", time.Unix(1, 0))
-		if r.ID == "" || len(r.Ask.ID) != 16 || r.ID != again.ID || r.Digest != again.Digest || r.Attempt < 0 || r.Ask.Timeout < 0 {
+		r := m.read("ops", d, "", time.Unix(0, 0))
+		again := m.read("ops", d, "", time.Unix(1, 0))
+		if r.id == "" || len(r.request.ID) != 16 || r.id != again.id || r.digest != again.digest || r.attempt < 0 || r.request.Timeout < 0 {
 			t.Fatalf("%+v", r)
 		}
 	})
 }
 
-var _ net.Conn = (*sieve)(nil)
+var _ net.Conn = (*frameFilter)(nil)
--- a/internal/amqp/golden_test.go
+++ b/internal/amqp/golden_test.go
@@ -53,15 +53,15 @@
 // Messages read as ever, from headers and from properties. Ids and digests are as good as stored: by them an
 // instance knows a message again that another version has read, or derived the id of.
 func TestGoldenMessages(t *testing.T) {
-	header := func(name string) Source { return standin.Must(ReadSource("header:" + name)) }
-	property := func(name string) Source { return standin.Must(ReadSource(name)) }
-	byHeaders := Mapping{Type: property("type"), Tenant: header("tenant"), Subject: header("subject"),
+	header := func(name string) Source { return standin.Must(ParseSource("header:" + name)) }
+	property := func(name string) Source { return standin.Must(ParseSource(name)) }
+	byHeaders := Mapping{Class: property("type"), Tenant: header("tenant"), Subject: header("subject"),
 		Rank: header("rank"), Cost: header("cost"),
-		KB: header("kb"), Token: header("token"), Wait: time.Minute, Longest: 16, Rank0: 0.5, KB0: 4}
-	byProperties := Mapping{Type: property("app-id"), Tenant: property("user-id"), Subject: property("content-type"),
+		KB: header("kb"), Token: header("token"), DefaultWait: time.Minute, MaxBodyBytes: 16, DefaultRank: 0.5, DefaultKB: 4}
+	byProperties := Mapping{Class: property("app-id"), Tenant: property("user-id"), Subject: property("content-type"),
 		Rank: property(""),
-		Cost: property(""), KB: property("correlation-id"), Token: property("routing-key"), Wait: time.Minute, Longest: 16,
-		Rank0: 0.5, KB0: 4}
+		Cost: property(""), KB: property("correlation-id"), Token: property("routing-key"), DefaultWait: time.Minute, MaxBodyBytes: 16,
+		DefaultRank: 0.5, DefaultKB: 4}
 	changed := func(change func(d *client.Delivery)) client.Delivery {
 		d := goldenDelivery()
 		change(&d)
@@ -84,15 +84,15 @@
 		{"too long", &byHeaders, changed(func(d *client.Delivery) { d.Body = []byte("a body of more bytes") }), ""},
 		{"bad header", &byHeaders, changed(func(d *client.Delivery) { d.Headers = nil }), badHeader},
 	} {
-		m := of.mapping.Read("ops", &of.delivery, of.marked, time.Unix(1_800_000_100, 0))
-		all = append(all, map[string]any{"message": of.name, "id": m.ID, "digest": fmt.Sprintf("%016x", m.Digest),
-			"attempt":  m.Attempt,
-			"reply to": m.ReplyTo, "correlation id": m.Reply, "due": m.Due.UnixMilli(), "not to be served": m.Bad,
-			"op": map[string]any{"id": m.Ask.ID, "type": m.Ask.Class, "tenant": m.Ask.Tenant, "subject": m.Ask.Resource,
-				"at":   m.Ask.SentUnixMilli,
-				"wait": m.Ask.Timeout.String(), "waits": m.Ask.HasTimeout, "cost": m.Ask.WorkHint.String(), "kb": m.Ask.MemoryKB,
-				"rank": m.Ask.Rank, "token": m.Ask.Token,
-				"body": string(m.Ask.Body)}})
+		m := of.mapping.read("ops", &of.delivery, of.marked, time.Unix(1_800_000_100, 0))
+		all = append(all, map[string]any{"message": of.name, "id": m.id, "digest": fmt.Sprintf("%016x", m.digest),
+			"attempt":  m.attempt,
+			"reply to": m.replyTo, "correlation id": m.correlationID, "due": m.deadline.UnixMilli(), "not to be served": m.defect,
+			"op": map[string]any{"id": m.request.ID, "type": m.request.Class, "tenant": m.request.Tenant, "subject": m.request.Resource,
+				"at":   m.request.SentUnixMilli,
+				"wait": m.request.Timeout.String(), "waits": m.request.HasTimeout, "cost": m.request.WorkHint.String(), "kb": m.request.MemoryKB,
+				"rank": m.request.Rank, "token": m.request.Token,
+				"body": string(m.request.Body)}})
 	}
 	compareGolden(t, "messages.json", all)
 }
@@ -119,7 +119,7 @@
 	for _, name := range []string{"ops.retry", "replies", "dead"} {
 		b.Declare(name, nil)
 	}
-	c := newCore()
+	c := newFakeServer()
 	var mu sync.Mutex
 	held := map[string]func(){}
 	c.behave = func(ask front.Request, body string, owed front.Responder) {
@@ -146,31 +146,31 @@
 		}
 		end()
 	}
-	q := usual
-	q.Told.Retry, q.Told.Delay = true, time.Millisecond
-	s := open(b, c, told(b, q))
+	q := defaultQueue
+	q.Settlement.Retry, q.Settlement.Delay = true, time.Millisecond
+	s := startTestbed(b, c, testConfig(b, q))
 	// One that a first front has in hand as it ends: it comes to the next one as redelivered.
-	lost := message("lost", "pay")
+	lost := newMessage("lost", "pay")
 	lost.Body = []byte("hold")
 	b.Publish("ops", lost)
 	standin.Until("one in hand", func() bool { mu.Lock(); defer mu.Unlock(); return held["pay"] != nil })
-	s.part.Drain(0)
-	standin.Until("the end of the first front", s.part.Drained)
-	s = open(b, c, told(b, q))
+	s.consumer.Drain(0)
+	standin.Until("the end of the first front", s.consumer.Drained)
+	s = startTestbed(b, c, testConfig(b, q))
 	defer s.close()
 	standin.Until("its answer", func() bool { return b.Counts("replies").Ready == 1 })
 	for _, kind := range []string{"view", "deny", "what", "fail"} {
-		b.Publish("ops", message(kind, kind))
+		b.Publish("ops", newMessage(kind, kind))
 	}
-	late := message("late", "view")
+	late := newMessage("late", "view")
 	late.Timestamp, late.Expiration = time.Now().Add(-time.Hour), "1000"
-	odd := message("odd", "view")
+	odd := newMessage("odd", "view")
 	odd.Expiration = "soon"
-	again := message("again", "refuse") // it was rejected twice before, of three attempts
+	again := newMessage("again", "refuse") // it was rejected twice before, of three attempts
 	again.Headers = client.Table{"x-death": []any{client.Table{"queue": "ops", "reason": "rejected", "count": int64(2)}}}
-	retried := message("retried", "refuse")
+	retried := newMessage("retried", "refuse")
 	retried.Headers = client.Table{"tenant": "water"}
-	once, twice := message("same", "view"), message("same", "view")
+	once, twice := newMessage("same", "view"), newMessage("same", "view")
 	once.Body, twice.Body = []byte("hold"), []byte("another")
 	for _, p := range []client.Publishing{late, odd, again, retried, once} {
 		b.Publish("ops", p)
@@ -198,10 +198,10 @@
 func TestGoldenSnapshot(t *testing.T) {
 	const stored = `{"broker":"127.0.0.1:5672","closed":"blocked","level":7,"in_hand":5,"known":99,` +
 		`"queues":[{"name":"ops","state":"probing","limit":3,"in_hand":2}],"counts":{"acked":11,"put-back":4}}`
-	want := Snapshot{Broker: "127.0.0.1:5672", Closed: "blocked", Level: 7, InHand: 5, Known: 99,
-		Queues: []QueueSnapshot{{Name: "ops", State: "probing", Limit: 3, InHand: 2}},
+	want := Status{Broker: "127.0.0.1:5672", PauseReason: "blocked", Window: 7, InHand: 5, Remembered: 99,
+		Queues: []QueueStatus{{Name: "ops", State: "probing", Limit: 3, InHand: 2}},
 		Counts: map[string]uint64{"acked": 11, "put-back": 4}}
-	var got Snapshot
+	var got Status
 	if err := json.Unmarshal([]byte(stored), &got); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("reads as %+v, %v", got, err)
 	}
@@ -212,17 +212,17 @@
 
 // The names of the counters, which the watch socket and the log say, as a front counts them.
 func TestGoldenCounters(t *testing.T) {
-	b, c := newBroker(), newCore()
-	s := open(b, c, told(b))
+	b, c := newBroker(), newFakeServer()
+	s := startTestbed(b, c, testConfig(b))
 	defer s.close()
-	b.Publish("ops", message("a", "view"))
-	b.Publish("ops", message("a", "view"))
-	late := message("late", "view")
+	b.Publish("ops", newMessage("a", "view"))
+	b.Publish("ops", newMessage("a", "view"))
+	late := newMessage("late", "view")
 	late.Timestamp, late.Expiration = time.Now().Add(-time.Hour), "1000"
 	b.Publish("ops", late)
 	s.settled("ops")
 	say := make(chan map[string]uint64, 1)
-	s.part.Post(func() { say <- s.part.snapshot().Counts })
+	s.consumer.Post(func() { say <- s.consumer.status().Counts })
 	counts := <-say
 	if counts["acked"] != 1 || counts["past-due"] != 1 ||
 		counts["joined"]+counts["repeated"]+counts["answered-again"] != 1 || len(counts) != 3 {
--- a/internal/amqp/mapping.go
+++ b/internal/amqp/mapping.go
@@ -35,9 +35,9 @@
 	"routing-key":    func(d *client.Delivery) string { return d.RoutingKey },
 }
 
-// ReadSource reads a source: the name of a property, or header: and a header's name. Empty is none.
-func ReadSource(text string) (Source, error) {
-	if name, is := strings.CutPrefix(text, "header:"); is && name != "" {
+// ParseSource reads a source: the name of a property, or header: and a header's name. Empty is none.
+func ParseSource(text string) (Source, error) {
+	if name, isHeader := strings.CutPrefix(text, "header:"); isHeader && name != "" {
 		return Source{Header: true, Name: name}, nil
 	}
 	if _, known := properties[text]; !known && text != "" {
@@ -46,8 +46,8 @@
 	return Source{Name: text}, nil
 }
 
-// text is what stands there; numbers come as text.
-func (s Source) text(d *client.Delivery) string {
+// value is what stands there; numbers come as text.
+func (s Source) value(d *client.Delivery) string {
 	if !s.Header {
 		if read := properties[s.Name]; read != nil {
 			return read(d)
@@ -71,104 +71,104 @@
 
 // Mapping is how the messages of a queue are read.
 type Mapping struct {
-	Type, Tenant, Subject, Rank, Cost, KB, Token Source
-	Wait                                         time.Duration // of a message without expiration
-	Longest                                      int           // bytes of a body
-	Rank0                                        float64       // where none is told
-	KB0                                          float64
+	Class, Tenant, Subject, Rank, Cost, KB, Token Source
+	DefaultWait                                   time.Duration // of a message without expiration
+	MaxBodyBytes                                  int           // bytes of a body
+	DefaultRank                                   float64       // where none is told
+	DefaultKB                                     float64
 }
 
-// Message is a message as it was read.
-type Message struct {
-	ID      intake.MessageID
-	Ask     front.Request
-	Digest  uint64 // of what it says
-	Attempt int
-	ReplyTo string
-	Reply   string // correlation id of its answer
-	Due     time.Time
-	Bad     string // why it can't be served, empty if it can be
+// parsedMessage is a message as it was read.
+type parsedMessage struct {
+	id            intake.MessageID
+	request       front.Request
+	digest        uint64 // of what it says
+	attempt       int
+	replyTo       string
+	correlationID string // correlation id of its answer
+	deadline      time.Time
+	defect        string // why it can't be served, empty if it can be
 }
 
-// Read reads a message; now is the wall clock, for one without a timestamp. A redelivery reads the same but for that.
-func (m *Mapping) Read(queue intake.QueueName, d *client.Delivery, marked string, now time.Time) Message {
-	r := Message{ReplyTo: d.ReplyTo, Reply: d.CorrelationId, Bad: marked}
-	h := sha256.New()
-	fmt.Fprintf(h, "%q%q%q%q%d:", d.Type, d.ReplyTo, d.CorrelationId, d.Expiration, d.Timestamp.Unix())
-	for _, s := range []Source{m.Type, m.Tenant, m.Subject, m.Rank, m.Cost, m.KB} {
-		fmt.Fprintf(h, "%q", s.text(d))
+// read reads a message; now is the wall clock, for one without a timestamp. A redelivery reads the same but for that.
+func (m *Mapping) read(queue intake.QueueName, incoming *client.Delivery, defect string, now time.Time) parsedMessage {
+	message := parsedMessage{replyTo: incoming.ReplyTo, correlationID: incoming.CorrelationId, defect: defect}
+	hash := sha256.New()
+	fmt.Fprintf(hash, "%q%q%q%q%d:", incoming.Type, incoming.ReplyTo, incoming.CorrelationId, incoming.Expiration, incoming.Timestamp.Unix())
+	for _, source := range []Source{m.Class, m.Tenant, m.Subject, m.Rank, m.Cost, m.KB} {
+		fmt.Fprintf(hash, "%q", source.value(incoming))
 	}
-	h.Write(d.Body)
-	sum := h.Sum(nil)
-	r.Digest = binary.BigEndian.Uint64(sum)
+	hash.Write(incoming.Body)
+	sum := hash.Sum(nil)
+	message.digest = binary.BigEndian.Uint64(sum)
 	// A missing id is derived from all that the message says, so that a redelivery gets the same.
-	if r.ID = intake.MessageID(d.MessageId); r.ID == "" {
-		r.ID = intake.MessageID("sha256:" + hex.EncodeToString(sum[:16]))
+	if message.id = intake.MessageID(incoming.MessageId); message.id == "" {
+		message.id = intake.MessageID("sha256:" + hex.EncodeToString(sum[:16]))
 	}
-	if r.Reply == "" {
-		r.Reply = d.MessageId
+	if message.correlationID == "" {
+		message.correlationID = incoming.MessageId
 	}
-	op := sha256.Sum256([]byte(string(queue) + "\x00" + string(r.ID)))
-	a := &r.Ask
-	a.ID = hex.EncodeToString(op[:8])
-	a.Class, a.Tenant, a.Resource, a.Token = m.Type.text(d), m.Tenant.text(d), m.Subject.text(d), m.Token.text(d)
-	a.Rank, a.MemoryKB, a.Body = m.Rank0, m.KB0, d.Body
-	number := func(s Source, to *float64) {
-		if text := s.text(d); text != "" {
+	requestID := sha256.Sum256([]byte(string(queue) + "\x00" + string(message.id)))
+	request := &message.request
+	request.ID = hex.EncodeToString(requestID[:8])
+	request.Class, request.Tenant, request.Resource, request.Token = m.Class.value(incoming), m.Tenant.value(incoming), m.Subject.value(incoming), m.Token.value(incoming)
+	request.Rank, request.MemoryKB, request.Body = m.DefaultRank, m.DefaultKB, incoming.Body
+	readNumber := func(source Source, to *float64) {
+		if text := source.value(incoming); text != "" {
 			x, err := strconv.ParseFloat(text, 64)
 			if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-				r.bad("bad-number")
+				message.markDefect("bad-number")
 				return
 			}
 			*to = x
 		}
 	}
 	cost := 0.0
-	number(m.Rank, &a.Rank)
-	number(m.KB, &a.MemoryKB)
-	number(m.Cost, &cost)
+	readNumber(m.Rank, &request.Rank)
+	readNumber(m.KB, &request.MemoryKB)
+	readNumber(m.Cost, &cost)
 	if cost < 0 || cost > 1e9 {
-		r.bad("bad-number")
+		message.markDefect("bad-number")
 		cost = 0
 	}
-	a.WorkHint = time.Duration(cost * float64(time.Millisecond))
-	came := now
-	if !d.Timestamp.IsZero() {
-		came = d.Timestamp
+	request.WorkHint = time.Duration(cost * float64(time.Millisecond))
+	sentAt := now
+	if !incoming.Timestamp.IsZero() {
+		sentAt = incoming.Timestamp
 	}
-	a.HasTimeout, a.Timeout = true, m.Wait
-	if d.Expiration != "" {
-		ms, err := strconv.ParseInt(d.Expiration, 10, 64)
-		if err != nil || ms < 0 || ms > 1e12 {
-			r.bad("bad-expiration")
-			ms = 0
+	request.HasTimeout, request.Timeout = true, m.DefaultWait
+	if incoming.Expiration != "" {
+		milliseconds, err := strconv.ParseInt(incoming.Expiration, 10, 64)
+		if err != nil || milliseconds < 0 || milliseconds > 1e12 {
+			message.markDefect("bad-expiration")
+			milliseconds = 0
 		}
-		a.Timeout = time.Duration(ms) * time.Millisecond
+		request.Timeout = time.Duration(milliseconds) * time.Millisecond
 	}
-	a.SentUnixMilli = came.UnixMilli()
-	r.Due = came.Add(a.Timeout)
-	if len(d.Body) > m.Longest {
-		r.bad(string(tooLong))
+	request.SentUnixMilli = sentAt.UnixMilli()
+	message.deadline = sentAt.Add(request.Timeout)
+	if len(incoming.Body) > m.MaxBodyBytes {
+		message.markDefect(string(tooLong))
 	}
-	r.Attempt = attempts(queue, d.Headers)
-	return r
+	message.attempt = rejections(queue, incoming.Headers)
+	return message
 }
 
-func (m *Message) bad(why string) {
-	if m.Bad == "" {
-		m.Bad = why
+func (m *parsedMessage) markDefect(reason string) {
+	if m.defect == "" {
+		m.defect = reason
 	}
 }
 
-// attempts is how often a message was rejected by its queue's consumers, as the broker counts it in x-death.
-func attempts(queue intake.QueueName, headers client.Table) int {
-	deaths, _ := headers["x-death"].([]any)
-	for _, x := range deaths {
-		d, _ := x.(client.Table)
-		if d["queue"] != string(queue) || d["reason"] != "rejected" {
+// rejections is how often a message was rejected by its queue's consumers, as the broker counts it in x-death.
+func rejections(queue intake.QueueName, headers client.Table) int {
+	entries, _ := headers["x-death"].([]any)
+	for _, x := range entries {
+		entry, _ := x.(client.Table)
+		if entry["queue"] != string(queue) || entry["reason"] != "rejected" {
 			continue
 		}
-		switch n := d["count"].(type) {
+		switch n := entry["count"].(type) {
 		case int64:
 			return int(min(max(n, 0), 1e6))
 		case int32:
@@ -181,8 +181,8 @@
 // Queue is one queue as the operator's file tells of it.
 type Queue struct {
 	intake.Queue
-	Told     intake.Told
-	Mapping  Mapping
-	Identity rights.Identity // whose ops its messages are; empty: each brings a token
-	Dead     string          // name of the dead-letter queue, empty for none
+	Settlement      intake.Told
+	Mapping         Mapping
+	Identity        rights.Identity // whose ops its messages are; empty: each brings a token
+	DeadLetterQueue string          // name of the dead-letter queue, empty for none
 }
--- a/internal/amqp/part.go
+++ b/internal/amqp/part.go
@@ -16,106 +16,106 @@
 	"lanewheel/internal/watch"
 )
 
-// Told is what the operator's file tells of this front.
-type Told struct {
-	Brokers      []string // URLs, the preferred first
-	Queues       []Queue
-	InHand       int // messages over all queues
-	Share        float64
-	Unstarted    int // messages a second that never become ops
-	Remembered   int
-	RememberedIn time.Duration
-	Heartbeat    time.Duration
-	TLS          *tls.Config           // for amqps addresses
-	Watch        string                // path of a local socket that tells how the intake stands, empty for none
-	Login        string                // user:password in place of the URLs', empty for theirs
-	Repeats      map[choice.Class]bool // the op types that may run twice
+// Config is what the operator's file tells of this front.
+type Config struct {
+	BrokerURLs        []string // URLs, the preferred first
+	Queues            []Queue
+	MaxInFlight       int // messages over all queues
+	RetryFraction     float64
+	UnstartedRate     int // messages a second that never become ops
+	MaxRemembered     int
+	RememberedFor     time.Duration
+	HeartbeatInterval time.Duration
+	TLS               *tls.Config           // for amqps addresses
+	StatusSocket      string                // path of a local socket that tells how the intake stands, empty for none
+	Login             string                // user:password in place of the URLs', empty for theirs
+	IdempotentClasses map[choice.Class]bool // the op types that may run twice
 }
 
-// Part is the front. All its tables belong to its own loop; the broker's client, which blocks, works beside it.
-type Part struct {
+// Consumer is the front. All its tables belong to its own loop; the broker's client, which blocks, works beside it.
+type Consumer struct {
 	*loop.Loop
-	told    Told
-	core    front.Server
-	hand    func(...func()) // to the core's loop
-	seed    *rand.Rand
-	desk    *intake.Desk
-	memory  *intake.Memory
-	budget  *intake.Budget
-	routes  *Routes
-	queues  map[intake.QueueName]*Queue
-	badges  map[intake.QueueName]*identity.Credential // belong to the core's loop
-	jobs    map[intake.MessageID]*job                 // in hand
-	session *session                                  // nil while there is none
-	gen     uint64
-	asking  bool // for the core's load
-	leaving bool
-	last    time.Duration // when all has to be over
-	closed  chan struct{}
-	tally   logline.Sampler[string]
-	counts  map[string]uint64 // by outcome, and what else happens
-	slow    []func()          // acks that are paced
-	said    time.Duration
-	moved   uint64
+	config        Config
+	server        front.Server
+	postToServer  func(...func()) // to the core's loop
+	random        *rand.Rand
+	flow          *intake.Desk
+	deduplicator  *intake.Memory
+	retryBudget   *intake.Budget
+	brokers       *brokerSelector
+	queues        map[intake.QueueName]*Queue
+	credentials   map[intake.QueueName]*identity.Credential // belong to the core's loop
+	inFlight      map[intake.MessageID]*pendingMessage      // in hand
+	session       *session                                  // nil while there is none
+	lastID        uint64
+	pollingLoad   bool // for the core's load
+	draining      bool
+	drainDeadline time.Duration // when all has to be over
+	closed        chan struct{}
+	outcomeLog    logline.Sampler[string]
+	counters      map[string]uint64 // by outcome, and what else happens
+	pacedAcks     []func()          // acks that are paced
+	loggedAt      time.Duration
+	loggedTotal   uint64
 }
 
-// job is one message in hand.
-type job struct {
-	part  *Part
-	queue *Queue
-	msg   Message
-	over  bool // its outcome has come
+// pendingMessage is one message in hand.
+type pendingMessage struct {
+	consumer *Consumer
+	queue    *Queue
+	message  parsedMessage
+	finished bool // its outcome has come
 }
 
 // New makes the front; it consumes once Start is called. hand gives calls to the core's loop.
-func New(told Told, core front.Server, hand func(...func()), seed uint64) *Part {
-	p := &Part{Loop: loop.New(1 << 16), told: told, core: core, hand: hand, seed: rand.New(rand.NewPCG(seed, 1)),
-		memory: intake.NewMemory(told.Remembered, told.RememberedIn), budget: intake.NewBudget(told.Share),
-		queues: map[intake.QueueName]*Queue{}, badges: map[intake.QueueName]*identity.Credential{},
-		jobs: map[intake.MessageID]*job{}, closed: make(chan struct{}), counts: map[string]uint64{}}
+func New(config Config, server front.Server, postToServer func(...func()), seed uint64) *Consumer {
+	consumer := &Consumer{Loop: loop.New(1 << 16), config: config, server: server, postToServer: postToServer, random: rand.New(rand.NewPCG(seed, 1)),
+		deduplicator: intake.NewMemory(config.MaxRemembered, config.RememberedFor), retryBudget: intake.NewBudget(config.RetryFraction),
+		queues: map[intake.QueueName]*Queue{}, credentials: map[intake.QueueName]*identity.Credential{},
+		inFlight: map[intake.MessageID]*pendingMessage{}, closed: make(chan struct{}), counters: map[string]uint64{}}
 	var queues []intake.Queue
-	for i := range told.Queues {
-		q := &told.Queues[i]
-		p.queues[q.Name] = q
-		p.badges[q.Name] = &identity.Credential{ConfiguredIdentity: q.Identity}
-		queues = append(queues, q.Queue)
-	}
-	p.desk = intake.NewDesk(queues, told.InHand)
-	p.routes = NewRoutes(told.Brokers, p.seed.Float64)
-	return p
+	for i := range config.Queues {
+		queue := &config.Queues[i]
+		consumer.queues[queue.Name] = queue
+		consumer.credentials[queue.Name] = &identity.Credential{ConfiguredIdentity: queue.Identity}
+		queues = append(queues, queue.Queue)
+	}
+	consumer.flow = intake.NewDesk(queues, config.MaxInFlight)
+	consumer.brokers = newBrokerSelector(config.BrokerURLs, consumer.random.Float64)
+	return consumer
 }
 
 // Start begins to consume.
-func (p *Part) Start() {
-	if p.told.Watch != "" {
-		watch.Serve(p.told.Watch, p.closed, p.show)
+func (p *Consumer) Start() {
+	if p.config.StatusSocket != "" {
+		watch.Serve(p.config.StatusSocket, p.closed, p.serveStatus)
 	}
 	p.Post(func() {
 		p.connect()
-		p.look()
+		p.pollLoad()
 	})
 	go p.Run(func() {
 		if p.session != nil {
-			p.session.flush()
+			p.session.flushAcks()
 		}
 	})
 }
 
 // Drain is the notice to drain: consuming stops at once; what was not started goes back, what runs is answered, and all is
 // closed by last, a time from now.
-func (p *Part) Drain(last time.Duration) {
+func (p *Consumer) Drain(deadline time.Duration) {
 	p.Post(func() {
-		if p.leaving {
+		if p.draining {
 			return
 		}
-		p.leaving, p.last = true, p.Now()+last
-		p.apply()
-		p.part()
+		p.draining, p.drainDeadline = true, p.Now()+deadline
+		p.applyLimits()
+		p.finishDrain()
 	})
 }
 
 // Drained tells whether all is over.
-func (p *Part) Drained() bool {
+func (p *Consumer) Drained() bool {
 	select {
 	case <-p.closed:
 		return true
@@ -124,364 +124,370 @@
 	}
 }
 
-// part ends once nothing is in hand, or at the last moment; what is left then goes back with the channels.
-func (p *Part) part() {
+// finishDrain ends once nothing is in hand, or at the last moment; what is left then goes back with the channels.
+func (p *Consumer) finishDrain() {
 	s := p.session
-	if (len(p.jobs)+len(p.slow) == 0 && (s == nil || s.idle())) || p.Now() >= p.last {
-		p.say()
+	if (len(p.inFlight)+len(p.pacedAcks) == 0 && (s == nil || s.idle())) || p.Now() >= p.drainDeadline {
+		p.logCounters()
 		if s != nil {
 			s.close("stopped")
 		}
-		for len(p.jobs) > 0 { // their ops are the core's to end; nobody here waits any more
-			for id := range p.jobs {
-				delete(p.jobs, id)
+		for len(p.inFlight) > 0 { // their ops are the core's to end; nobody here waits any more
+			for id := range p.inFlight {
+				delete(p.inFlight, id)
 			}
 		}
-		wait := func() {
+		finish := func() {
 			p.Quit()
 			close(p.closed)
 		}
 		if s == nil {
-			wait()
+			finish()
 			return
 		}
-		s.whenClosed(wait)
+		s.whenClosed(finish)
 		return
 	}
-	p.ScheduleAt(p.Now()+5*time.Millisecond, p.part)
+	p.ScheduleAt(p.Now()+5*time.Millisecond, p.finishDrain)
 }
 
-// look asks the core how it stands, and goes by it.
-func (p *Part) look() {
-	if p.asking {
+// pollLoad asks the core how it stands, and goes by it.
+func (p *Consumer) pollLoad() {
+	if p.pollingLoad {
 		return
 	}
-	p.asking = true
-	p.hand(func() {
-		load := p.core.Load()
+	p.pollingLoad = true
+	p.postToServer(func() {
+		load := p.server.Load()
 		p.Post(func() {
-			p.asking = false
-			load.Draining = load.Draining || p.leaving
-			was := p.desk.Closed()
-			p.desk.Look(p.Now(), load, p.session != nil && p.session.blocked)
-			if is := p.desk.Closed(); is != was {
-				slog.Info("intake", "was", was, "is", is, "in_hand", p.desk.Hand())
+			p.pollingLoad = false
+			load.Draining = load.Draining || p.draining
+			before := p.flow.Closed()
+			p.flow.Look(p.Now(), load, p.session != nil && p.session.blocked)
+			if after := p.flow.Closed(); after != before {
+				slog.Info("intake", "was", before, "is", after, "in_hand", p.flow.Hand())
 			}
-			p.apply()
-			p.sweep()
+			p.applyLimits()
+			p.housekeep()
 			if !p.HasQuit() {
-				p.ScheduleAt(p.Now()+intake.Every, p.look)
+				p.ScheduleAt(p.Now()+intake.Every, p.pollLoad)
 			}
 		})
 	})
 }
 
-// apply has the session take as much from each queue as the desk allows.
-func (p *Part) apply() {
+// applyLimits has the session take as much from each queue as the desk allows.
+func (p *Consumer) applyLimits() {
 	if p.session == nil {
 		return
 	}
-	for _, q := range p.queues {
-		limit := p.desk.Limit(q.Name)
-		if p.leaving {
+	for _, queue := range p.queues {
+		limit := p.flow.Limit(queue.Name)
+		if p.draining {
 			limit = 0
 		}
-		p.session.limit(q.Name, limit)
+		p.session.setPrefetch(queue.Name, limit)
 	}
 }
 
-// came takes one delivery, read beside the loop.
-func (p *Part) came(q *Queue, m Message, tag intake.Tag, redelivered bool) {
-	if p.session == nil || p.session.has(q.Name, tag) == nil {
+// handleDelivery takes one delivery, read beside the loop.
+func (p *Consumer) handleDelivery(queue *Queue, message parsedMessage, tag intake.Tag, redelivered bool) {
+	if p.session == nil || p.session.channelOf(queue.Name, tag) == nil {
 		return // lost meanwhile; it comes again
 	}
-	p.desk.Taken(q.Name)
-	p.session.took(q.Name, tag)
-	if p.leaving {
-		p.counts["returned"]++
-		p.session.requeue(q.Name, tag)
+	p.flow.Taken(queue.Name)
+	p.session.trackDelivery(queue.Name, tag)
+	if p.draining {
+		p.counters["returned"]++
+		p.session.requeue(queue.Name, tag)
 		return
 	}
-	twice := p.told.Repeats[choice.Class(m.Ask.Class)]
-	step, answer := p.memory.Came(p.Now(), m.ID, m.Digest, tag, redelivered, twice)
-	clash := step == intake.Clash
-	if clash { // it is known by what it says, too
-		m.ID = intake.MessageID(fmt.Sprintf("%s#%x", m.ID, m.Digest))
-		step, answer = p.memory.Came(p.Now(), m.ID, m.Digest, tag, false, true)
+	idempotent := p.config.IdempotentClasses[choice.Class(message.request.Class)]
+	decision, earlier := p.deduplicator.Came(p.Now(), message.id, message.digest, tag, redelivered, idempotent)
+	conflict := decision == intake.Clash
+	if conflict { // it is known by what it says, too
+		message.id = intake.MessageID(fmt.Sprintf("%s#%x", message.id, message.digest))
+		decision, earlier = p.deduplicator.Came(p.Now(), message.id, message.digest, tag, false, true)
 	}
-	j := &job{part: p, queue: q, msg: m}
-	switch step {
+	pending := &pendingMessage{consumer: p, queue: queue, message: message}
+	switch decision {
 	case intake.Join: // in hand already; the delivery is settled with it
-		p.counts["joined"]++
+		p.counters["joined"]++
 		return
 	case intake.Done:
-		p.counts["repeated"]++
-		p.session.ack(q.Name, tag)
+		p.counters["repeated"]++
+		p.session.ack(queue.Name, tag)
 		return
 	case intake.Again:
-		p.counts["answered-again"]++
-		if a, is := answer.(*answering); is {
+		p.counters["answered-again"]++
+		if repeated, ok := earlier.(*reply); ok {
 			s := p.session
-			s.answer(a, func() {
-				p.memory.Confirmed(m.ID)
-				s.ack(q.Name, tag)
+			s.publishReply(repeated, func() {
+				p.deduplicator.Confirmed(message.id)
+				s.ack(queue.Name, tag)
 			})
 			return
 		}
-		p.session.ack(q.Name, tag)
+		p.session.ack(queue.Name, tag)
 		return
 	case intake.Unknown:
-		p.settle(j, nil, p.fate(j, intake.MayHaveRun, 0), "")
+		p.settle(pending, nil, p.disposition(pending, intake.MayHaveRun, 0), "")
 		return
 	}
-	if clash {
-		p.settle(j, nil, p.fate(j, intake.Twice, 0), "")
+	if conflict {
+		p.settle(pending, nil, p.disposition(pending, intake.Twice, 0), "")
 		return
 	}
-	if m.Attempt == 0 && !redelivered {
-		p.budget.Fresh()
+	if message.attempt == 0 && !redelivered {
+		p.retryBudget.Fresh()
 	}
-	p.jobs[m.ID] = j
+	p.inFlight[message.id] = pending
 	switch {
-	case m.Bad != "":
-		p.outcome(j, intake.Unservable, nil, front.ResponseMetadata{Reason: m.Bad})
-	case !time.Now().Before(m.Due): // the core does not hear of it
-		p.outcome(j, intake.PastDue, nil, front.ResponseMetadata{})
+	case message.defect != "":
+		p.complete(pending, intake.Unservable, nil, front.ResponseMetadata{Reason: message.defect})
+	case !time.Now().Before(message.deadline): // the core does not hear of it
+		p.complete(pending, intake.PastDue, nil, front.ResponseMetadata{})
 	default:
-		p.hand(func() { p.core.Submit(m.Ask, p.badges[q.Name], j) })
+		p.postToServer(func() { p.server.Submit(message.request, p.credentials[queue.Name], pending) })
 	}
 }
 
-// fate decides what becomes of a message.
-func (p *Part) fate(j *job, how intake.Outcome, after time.Duration) intake.Fate {
-	return p.budget.Settle(intake.Message{Attempt: max(j.msg.Attempt, p.memory.Backs(j.msg.ID)), Left: time.Until(j.msg.Due),
-		Twice: p.told.Repeats[choice.Class(j.msg.Ask.Class)]}, j.queue.Told, how, after, p.seed.Float64())
+// disposition decides what becomes of a message.
+func (p *Consumer) disposition(pending *pendingMessage, outcome intake.Outcome, retryAfter time.Duration) intake.Fate {
+	return p.retryBudget.Settle(intake.Message{Attempt: max(pending.message.attempt, p.deduplicator.Backs(pending.message.id)), Left: time.Until(pending.message.deadline),
+		Twice: p.config.IdempotentClasses[choice.Class(pending.message.request.Class)]}, pending.queue.Settlement, outcome, retryAfter, p.random.Float64())
 }
 
-// outcome takes how the op of a message came out.
-func (p *Part) outcome(j *job, how intake.Outcome, result []byte, with front.ResponseMetadata) {
-	if j.over {
+// complete takes how the op of a message came out.
+func (p *Consumer) complete(pending *pendingMessage, outcome intake.Outcome, result []byte, metadata front.ResponseMetadata) {
+	if pending.finished {
 		return
 	}
-	j.over = true
-	if p.leaving && how == intake.Nacked {
-		how = intake.Drained
+	pending.finished = true
+	if p.draining && outcome == intake.Nacked {
+		outcome = intake.Drained
 	}
-	switch how {
+	switch outcome {
 	case intake.Nacked:
-		p.desk.Nacked()
+		p.flow.Nacked()
 	case intake.Acked, intake.Failed:
-		p.desk.Ended(p.Now(), j.queue.Name, how == intake.Failed)
+		p.flow.Ended(p.Now(), pending.queue.Name, outcome == intake.Failed)
 	}
-	fate := p.fate(j, how, with.RetryAfter)
-	if fate.Wait > 0 {
-		p.ScheduleAt(p.Now()+fate.Wait, func() { p.settle(j, result, fate, with.Reason) })
+	disposition := p.disposition(pending, outcome, metadata.RetryAfter)
+	if disposition.Wait > 0 {
+		p.ScheduleAt(p.Now()+disposition.Wait, func() { p.settle(pending, result, disposition, metadata.Reason) })
 		return
 	}
-	p.settle(j, result, fate, with.Reason)
+	p.settle(pending, result, disposition, metadata.Reason)
 }
 
-func (p *Part) settle(j *job, result []byte, fate intake.Fate, why string) {
-	delete(p.jobs, j.msg.ID)
-	if !fate.Answer {
-		tags := p.memory.PutBack(p.Now(), j.msg.ID)
-		p.counts["put-back"]++
+func (p *Consumer) settle(pending *pendingMessage, result []byte, disposition intake.Fate, reason string) {
+	delete(p.inFlight, pending.message.id)
+	if !disposition.Answer {
+		tags := p.deduplicator.PutBack(p.Now(), pending.message.id)
+		p.counters["put-back"]++
 		if p.session == nil {
 			return // the broker has it back already
 		}
 		for _, tag := range tags {
-			if fate.Then == intake.Reject {
-				p.session.reject(j.queue.Name, tag)
+			if disposition.Then == intake.Reject {
+				p.session.reject(pending.queue.Name, tag)
 			} else {
-				p.session.requeue(j.queue.Name, tag)
+				p.session.requeue(pending.queue.Name, tag)
 			}
 		}
 		return
 	}
-	a := j.answering(result, fate.Word, why)
-	tags := p.memory.Answered(p.Now(), j.msg.ID, a)
-	p.finish(j, a, fate, why, tags)
+	answer := pending.newReply(result, disposition.Word, reason)
+	tags := p.deduplicator.Answered(p.Now(), pending.message.id, answer)
+	p.publishOutcome(pending, answer, disposition, reason, tags)
 }
 
-// finish answers, copies to the dead-letter queue, and acks once both are confirmed.
-func (p *Part) finish(j *job, a *answering, fate intake.Fate, why string, tags []intake.Tag) {
-	p.counts[fate.Word]++
-	if fate.Word != intake.Acked.Word() && p.tally.Allow(fate.Word, time.Now()) {
-		slog.Info("message", "queue", j.queue.Name, "code", fate.Word, "why", why, "id", clip(string(j.msg.ID)), "attempt", j.msg.Attempt)
+// publishOutcome answers, copies to the dead-letter queue, and acks once both are confirmed.
+func (p *Consumer) publishOutcome(pending *pendingMessage, answer *reply, disposition intake.Fate, reason string, tags []intake.Tag) {
+	p.counters[disposition.Word]++
+	if disposition.Word != intake.Acked.Word() && p.outcomeLog.Allow(disposition.Word, time.Now()) {
+		slog.Info("message", "queue", pending.queue.Name, "code", disposition.Word, "why", reason, "id", truncate(string(pending.message.id)), "attempt", pending.message.attempt)
 	}
 	s := p.session
 	if s == nil {
 		return // it comes again, and finds its answer remembered
 	}
-	dead := fate.Dead && j.queue.Dead != ""
-	wait := 0 // for so many confirmations
+	deadLetter := disposition.Dead && pending.queue.DeadLetterQueue != ""
+	unconfirmed := 0 // for so many confirmations
 	confirmed := func() {
-		if wait--; wait > 0 {
+		if unconfirmed--; unconfirmed > 0 {
 			return
 		}
-		p.memory.Confirmed(j.msg.ID)
+		p.deduplicator.Confirmed(pending.message.id)
 		ack := func() {
 			for _, tag := range tags {
-				s.ack(j.queue.Name, tag)
+				s.ack(pending.queue.Name, tag)
 			}
 		}
-		if ran[fate.Word] {
+		if executedOutcomes[disposition.Word] {
 			ack()
 		} else {
-			p.paced(ack)
+			p.paceAck(ack)
 		}
 	}
-	if dead {
-		wait++
+	if deadLetter {
+		unconfirmed++
 	}
-	if a.to != "" {
-		wait++
-		s.answer(a, confirmed)
+	if answer.replyTo != "" {
+		unconfirmed++
+		s.publishReply(answer, confirmed)
 	}
-	if dead {
-		s.dead(j, fate.Word, why, confirmed)
+	if deadLetter {
+		s.publishDeadLetter(pending, disposition.Word, reason, confirmed)
 	}
-	if wait == 0 {
+	if unconfirmed == 0 {
 		confirmed()
 	}
 }
 
-// ran are the outcomes of messages that were runs; the others never were.
-var ran = map[string]bool{intake.Acked.Word(): true, intake.Failed.Word(): true}
+// executedOutcomes are the outcomes of messages that were runs; the others never were.
+var executedOutcomes = map[string]bool{intake.Acked.Word(): true, intake.Failed.Word(): true}
 
-// paceTick is how often paced acks go out: some at a time, as each waking costs as much as a message.
-const paceTick = 10 * time.Millisecond
+// ackPaceInterval is how often paced acks go out: some at a time, as each waking costs as much as a message.
+const ackPaceInterval = 10 * time.Millisecond
 
-// paced acks a message that never became an op. Danger: a flood of such, as fast as broker and core can go, leaves no time for the
+// paceAck acks a message that never became an op. Danger: a flood of such, as fast as broker and core can go, leaves no time for the
 // callers who wait on a connection. Each is answered at once; the broker sends more only as they are acked.
-func (p *Part) paced(step func()) {
-	p.slow = append(p.slow, step)
-	if len(p.slow) == 1 {
-		p.ScheduleAt(p.Now()+paceTick, p.release)
+func (p *Consumer) paceAck(step func()) {
+	p.pacedAcks = append(p.pacedAcks, step)
+	if len(p.pacedAcks) == 1 {
+		p.ScheduleAt(p.Now()+ackPaceInterval, p.releasePacedAcks)
 	}
 }
 
-func (p *Part) release() {
-	n := min(len(p.slow), max(1, int(paceTick.Seconds()*float64(p.told.Unstarted))))
-	if p.leaving {
-		n = len(p.slow)
+func (p *Consumer) releasePacedAcks() {
+	n := min(len(p.pacedAcks), max(1, int(ackPaceInterval.Seconds()*float64(p.config.UnstartedRate))))
+	if p.draining {
+		n = len(p.pacedAcks)
 	}
-	for _, step := range p.slow[:n] {
+	for _, step := range p.pacedAcks[:n] {
 		step()
 	}
-	p.slow = append(p.slow[:0], p.slow[n:]...)
-	if len(p.slow) > 0 {
-		p.ScheduleAt(p.Now()+paceTick, p.release)
+	p.pacedAcks = append(p.pacedAcks[:0], p.pacedAcks[n:]...)
+	if len(p.pacedAcks) > 0 {
+		p.ScheduleAt(p.Now()+ackPaceInterval, p.releasePacedAcks)
 	}
 }
 
-// clip bounds what a message can write into the log.
-func clip(s string) string { return s[:min(len(s), 64)] }
+// truncate bounds what a message can write into the log.
+func truncate(s string) string { return s[:min(len(s), 64)] }
 
-// answering is an answer as it is published.
-type answering struct {
-	to, id, word, why string
-	msg               string // the message's id
-	body              []byte
+// reply is an answer as it is published.
+type reply struct {
+	replyTo, correlationID, outcome, reason string
+	messageID                               string // the message's id
+	body                                    []byte
 }
 
-func (j *job) answering(result []byte, word, why string) *answering {
-	return &answering{to: j.msg.ReplyTo, id: j.msg.Reply, word: word, why: why, msg: string(j.msg.ID), body: result}
+func (j *pendingMessage) newReply(result []byte, outcome, reason string) *reply {
+	return &reply{replyTo: j.message.replyTo, correlationID: j.message.correlationID, outcome: outcome, reason: reason, messageID: string(j.message.id), body: result}
 }
 
-// lost hears that a session's connection is gone: its deliveries come again, here or at a peer, and what runs goes on.
-func (p *Part) lost(s *session, code string) {
+// handleDisconnect hears that a session's connection is gone: its deliveries come again, here or at a peer, and what runs goes on.
+func (p *Consumer) handleDisconnect(s *session, code string) {
 	if p.session != s {
 		return
 	}
 	p.session = nil
-	p.routes.Down(p.Now(), s.addr, code)
+	p.brokers.failed(p.Now(), s.url, code)
 	for name := range p.queues {
-		p.desk.Lost(name)
+		p.flow.Lost(name)
 	}
-	if !p.leaving {
+	if !p.draining {
 		p.connect()
 	}
 }
 
 // connect looks for a broker.
-func (p *Part) connect() {
-	if p.leaving || p.session != nil {
+func (p *Consumer) connect() {
+	if p.draining || p.session != nil {
 		return
 	}
-	addr, wait := p.routes.Pick(p.Now())
+	url, wait := p.brokers.pick(p.Now())
 	if wait > 0 {
 		p.ScheduleAt(p.Now()+wait, p.connect)
 		return
 	}
-	p.gen++
-	p.open(addr, p.gen, func(s *session, code string) {
+	p.lastID++
+	p.openSession(url, p.lastID, func(s *session, code string) {
 		if code != "" {
-			p.routes.Down(p.Now(), addr, code)
-			if p.tally.Allow("broker "+code, time.Now()) {
-				slog.Warn("broker", "addr", host(addr), "code", code)
+			p.brokers.failed(p.Now(), url, code)
+			if p.outcomeLog.Allow("broker "+code, time.Now()) {
+				slog.Warn("broker", "addr", hostPort(url), "code", code)
 			}
 			p.connect()
 			return
 		}
-		if p.leaving {
+		if p.draining {
 			s.close("stopped")
 			return
 		}
 		p.session = s
-		p.routes.Up(p.Now(), addr)
-		slog.Info("broker", "addr", host(addr), "code", "consuming", "connection", s.no)
-		p.apply()
+		p.brokers.connected(p.Now(), url)
+		slog.Info("broker", "addr", hostPort(url), "code", "consuming", "connection", s.id)
+		p.applyLimits()
 	})
 }
 
-// sweep does what is due now and then.
-func (p *Part) sweep() {
-	p.tally.FlushSuppressed(time.Now(), func(kind string, more int) { slog.Info("messages", "code", kind, "more", more) })
-	if p.session != nil && !p.leaving && p.routes.Return(p.Now()) && len(p.jobs) == 0 {
+// housekeep does what is due now and then.
+func (p *Consumer) housekeep() {
+	p.outcomeLog.FlushSuppressed(time.Now(), func(outcome string, more int) { slog.Info("messages", "code", outcome, "more", more) })
+	if p.session != nil && !p.draining && p.brokers.shouldFailBack(p.Now()) && len(p.inFlight) == 0 {
 		p.session.close("returning")
 	}
-	const often = time.Minute
-	if p.Now()-p.said >= often {
-		p.said = p.Now()
-		p.say()
+	const logInterval = time.Minute
+	if p.Now()-p.loggedAt >= logInterval {
+		p.loggedAt = p.Now()
+		p.logCounters()
 	}
 }
 
-// say leaves a line with the counters, if they have moved since the last one.
-func (p *Part) say() {
-	var all []any
-	sum := uint64(0)
-	for _, name := range sorted(p.counts) {
-		sum += p.counts[name]
-		all = append(all, name, p.counts[name])
+// logCounters leaves a line with the counters, if they have moved since the last one.
+func (p *Consumer) logCounters() {
+	var attributes []any
+	total := uint64(0)
+	for _, name := range sortedNames(p.counters) {
+		total += p.counters[name]
+		attributes = append(attributes, name, p.counters[name])
 	}
-	if sum == p.moved {
+	if total == p.loggedTotal {
 		return
 	}
-	p.moved = sum
-	slog.Info("queues", append([]any{"in_hand", len(p.jobs), "known", p.memory.Len()}, all...)...)
+	p.loggedTotal = total
+	slog.Info("queues", append([]any{"in_hand", len(p.inFlight), "known", p.deduplicator.Len()}, attributes...)...)
 }
 
 // The rest is front.Owed, called on the core's loop.
 
-func (j *job) tell(how intake.Outcome, result []byte, with front.ResponseMetadata) {
+func (j *pendingMessage) report(outcome intake.Outcome, result []byte, metadata front.ResponseMetadata) {
 	if result != nil {
 		result = append(make([]byte, 0, len(result)), result...)
 	}
-	j.part.Post(func() { j.part.outcome(j, how, result, with) })
+	j.consumer.Post(func() { j.consumer.complete(j, outcome, result, metadata) })
 }
 
-func (j *job) Succeed(result []byte, with front.ResponseMetadata) { j.tell(intake.Acked, result, with) }
-func (j *job) Reject(with front.ResponseMetadata)                 { j.tell(intake.Nacked, nil, with) }
-func (j *job) Fail(with front.ResponseMetadata)                   { j.tell(intake.Failed, nil, with) }
-func (j *job) Done()                                              {}
+func (j *pendingMessage) Succeed(result []byte, metadata front.ResponseMetadata) {
+	j.report(intake.Acked, result, metadata)
+}
+func (j *pendingMessage) Reject(metadata front.ResponseMetadata) {
+	j.report(intake.Nacked, nil, metadata)
+}
+func (j *pendingMessage) Fail(metadata front.ResponseMetadata) {
+	j.report(intake.Failed, nil, metadata)
+}
+func (j *pendingMessage) Done() {}
 
-func (j *job) RejectPermanently(code string, with front.ResponseMetadata) {
-	if with.Reason != "" {
-		j.tell(intake.Denied, nil, with)
+func (j *pendingMessage) RejectPermanently(code string, metadata front.ResponseMetadata) {
+	if metadata.Reason != "" {
+		j.report(intake.Denied, nil, metadata)
 		return
 	}
-	with.Reason = code
-	j.tell(intake.Unservable, nil, with)
+	metadata.Reason = code
+	j.report(intake.Unservable, nil, metadata)
 }
--- a/internal/amqp/session.go
+++ b/internal/amqp/session.go
@@ -21,82 +21,82 @@
 // session is one connection to a broker, with a channel a queue and one for answers. It belongs to the part's loop; its writer,
 // one goroutine, does what blocks, in order.
 type session struct {
-	p       *Part
-	no      uint64
-	addr    string
-	conn    *client.Connection
-	raw     net.Conn
-	out     *client.Channel
-	chans   map[intake.QueueName]*channel
-	blocked bool
-	closing bool
-	why     string // the code of our own close
-	ended   bool
-	then    func() // once it is closed
-
-	mu       sync.Mutex
-	work     []func() error
-	wake     *sync.Cond
-	stopped  bool
-	busy     bool
-	answers  int // published and not confirmed, or about to be
-	confirms map[uint64]func()
+	consumer     *Consumer
+	id           uint64
+	url          string
+	connection   *client.Connection
+	netConn      net.Conn
+	replyChannel *client.Channel
+	channels     map[intake.QueueName]*channel
+	blocked      bool
+	closing      bool
+	closeCode    string // the code of our own close
+	ended        bool
+	onClosed     func() // once it is closed
+
+	mu          sync.Mutex
+	steps       []func() error
+	wake        *sync.Cond
+	stopped     bool
+	busy        bool
+	unconfirmed int // published and not confirmed, or about to be
+	onConfirm   map[uint64]func()
 }
 
 // channel is a queue's. Its number is one of its own: what was delivered on one channel can't be settled on another.
 type channel struct {
-	no      uint64
-	queue   *Queue
-	ch      *client.Channel // nil while it is being opened
-	limit   int             // as last told the broker; 0: it does not consume
-	wanted  int
-	tag     string // of its consumer
-	acks    intake.Acks
-	backoff time.Duration
+	id             uint64
+	queue          *Queue
+	link           *client.Channel // nil while it is being opened
+	prefetch       int             // as last told the broker; 0: it does not consume
+	wantedPrefetch int
+	consumerTag    string // of its consumer
+	acks           intake.Acks
+	backoff        time.Duration
 }
 
-// dialFor bounds how long a broker is tried: some round trips of a poor line.
-const dialFor = 5 * time.Second
+// dialTimeout bounds how long a broker is tried: some round trips of a poor line.
+const dialTimeout = 5 * time.Second
 
-// host is an address without the login that it may hold.
-func host(addr string) string {
-	u, err := client.ParseURI(addr)
+// hostPort is an address without the login that it may hold.
+func hostPort(url string) string {
+	parsed, err := client.ParseURI(url)
 	if err != nil {
 		return "?"
 	}
-	return net.JoinHostPort(u.Host, strconv.Itoa(u.Port))
+	return net.JoinHostPort(parsed.Host, strconv.Itoa(parsed.Port))
 }
 
-func sorted(m map[string]uint64) []string { return slices.Sorted(maps.Keys(m)) }
+func sortedNames(m map[string]uint64) []string { return slices.Sorted(maps.Keys(m)) }
 
-// open dials beside the loop; done is called on it, with a code if it did not come about.
-func (p *Part) open(addr string, no uint64, done func(s *session, code string)) {
+// openSession dials beside the loop; done is called on it, with a code if it did not come about.
+func (p *Consumer) openSession(url string, id uint64, done func(s *session, code string)) {
 	go func() {
-		s := &session{p: p, no: no, addr: addr, chans: map[intake.QueueName]*channel{}, confirms: map[uint64]func(){}}
+		s := &session{consumer: p, id: id, url: url, channels: map[intake.QueueName]*channel{}, onConfirm: map[uint64]func(){}}
 		s.wake = sync.NewCond(&s.mu)
 		err := s.dial()
 		p.Post(func() {
 			if err != nil {
-				if s.raw != nil {
-					s.raw.Close()
+				if s.netConn != nil {
+					s.netConn.Close()
 				}
-				done(nil, codeOf(err))
+				done(nil, errorCode(err))
 				return
 			}
-			go s.write()
+			go s.writeLoop()
 			done(s, "")
 			if p.session != s {
 				return
 			}
-			for _, q := range p.told.Queues {
+			for _, q := range p.config.Queues {
 				s.openChannel(p.queues[q.Name], 0)
 			}
 		})
 	}()
 }
 
-// codeOf is one word for why a broker could not be used.
-func codeOf(err error) string {
+// errorCode is one word for why a broker could not be used.
+func errorCode(err error) string {
 	var refused *client.Error
 	var timeout net.Error
 	switch {
@@ -113,60 +113,60 @@
 }
 
 func (s *session) dial() error {
-	u, err := client.ParseURI(s.addr)
+	parsed, err := client.ParseURI(s.url)
 	if err != nil {
 		return err
 	}
-	if user, password, told := strings.Cut(s.p.told.Login, ":"); told {
-		u.Username, u.Password = user, password
+	if user, password, found := strings.Cut(s.consumer.config.Login, ":"); found {
+		parsed.Username, parsed.Password = user, password
 	}
-	conn, err := (&net.Dialer{Timeout: dialFor}).Dial("tcp", net.JoinHostPort(u.Host, strconv.Itoa(u.Port)))
+	conn, err := (&net.Dialer{Timeout: dialTimeout}).Dial("tcp", net.JoinHostPort(parsed.Host, strconv.Itoa(parsed.Port)))
 	if err != nil {
 		return err
 	}
-	s.raw = conn
-	_ = conn.SetDeadline(time.Now().Add(dialFor))
-	if u.Scheme == "amqps" {
-		c := &tls.Config{}
-		if s.p.told.TLS != nil {
-			c = s.p.told.TLS.Clone()
+	s.netConn = conn
+	_ = conn.SetDeadline(time.Now().Add(dialTimeout))
+	if parsed.Scheme == "amqps" {
+		config := &tls.Config{}
+		if s.consumer.config.TLS != nil {
+			config = s.consumer.config.TLS.Clone()
 		}
-		if c.ServerName == "" {
-			c.ServerName = u.Host
+		if config.ServerName == "" {
+			config.ServerName = parsed.Host
 		}
-		conn = tls.Client(conn, c)
+		conn = tls.Client(conn, config)
 	}
-	longest := 0
-	for _, q := range s.p.told.Queues {
-		longest = max(longest, q.Mapping.Longest)
+	maxBody := 0
+	for _, q := range s.consumer.config.Queues {
+		maxBody = max(maxBody, q.Mapping.MaxBodyBytes)
 	}
-	const mostHeader = 8 << 10 // properties and some dozen headers
-	s.conn, err = client.Open(newSieve(conn, mostHeader, longest), client.Config{SASL: []client.Authentication{u.PlainAuth()},
-		Vhost: u.Vhost, Heartbeat: s.p.told.Heartbeat, Locale: "en_US", Properties: client.Table{"product": "lanewheel"}})
+	const maxHeaderBytes = 8 << 10 // properties and some dozen headers
+	s.connection, err = client.Open(newFrameFilter(conn, maxHeaderBytes, maxBody), client.Config{SASL: []client.Authentication{parsed.PlainAuth()},
+		Vhost: parsed.Vhost, Heartbeat: s.consumer.config.HeartbeatInterval, Locale: "en_US", Properties: client.Table{"product": "lanewheel"}})
 	if err != nil {
 		return err
 	}
-	_ = s.raw.SetDeadline(time.Time{})
-	if s.out, err = s.conn.Channel(); err != nil {
+	_ = s.netConn.SetDeadline(time.Time{})
+	if s.replyChannel, err = s.connection.Channel(); err != nil {
 		return err
 	}
-	if err = s.out.Confirm(false); err != nil {
+	if err = s.replyChannel.Confirm(false); err != nil {
 		return err
 	}
-	closed := s.conn.NotifyClose(make(chan *client.Error, 1))
-	blocked := s.conn.NotifyBlocked(make(chan client.Blocking, 8))
-	confirmed := s.out.NotifyPublish(make(chan client.Confirmation, 1024))
-	outClosed := s.out.NotifyClose(make(chan *client.Error, 1))
+	closed := s.connection.NotifyClose(make(chan *client.Error, 1))
+	blocked := s.connection.NotifyBlocked(make(chan client.Blocking, 8))
+	confirmed := s.replyChannel.NotifyPublish(make(chan client.Confirmation, 1024))
+	outClosed := s.replyChannel.NotifyClose(make(chan *client.Error, 1))
 	go func() {
-		for c := range confirmed {
-			s.confirmed(c)
+		for config := range confirmed {
+			s.handleConfirmation(config)
 		}
 	}()
 	go func() {
 		for b := range blocked {
-			s.p.Post(func() {
+			s.consumer.Post(func() {
 				s.blocked = b.Active
-				slog.Warn("broker", "addr", host(s.addr), "code", map[bool]string{true: "blocked", false: "unblocked"}[b.Active])
+				slog.Warn("broker", "addr", hostPort(s.url), "code", map[bool]string{true: "blocked", false: "unblocked"}[b.Active])
 			})
 		}
 	}()
@@ -181,35 +181,35 @@
 			if e != nil {
 				code = "answers-amqp-" + strconv.Itoa(e.Code)
 			}
-			s.raw.Close()
+			s.netConn.Close()
 		}
-		s.p.Post(func() { s.end(code) })
+		s.consumer.Post(func() { s.handleClosed(code) })
 	}()
 	return nil
 }
 
-// do has the writer do something; an error of it means that channel or connection is gone, which is told elsewhere. What
+// enqueue has the writer do something; an error of it means that channel or connection is gone, which is told elsewhere. What
 // waits is bounded by what is in hand: some steps for each message.
-func (s *session) do(step func() error) {
+func (s *session) enqueue(step func() error) {
 	s.mu.Lock()
-	s.work = append(s.work, step)
+	s.steps = append(s.steps, step)
 	s.mu.Unlock()
 	s.wake.Signal()
 }
 
-func (s *session) write() {
+func (s *session) writeLoop() {
 	for {
 		s.mu.Lock()
 		s.busy = false
-		for len(s.work) == 0 && !s.stopped {
+		for len(s.steps) == 0 && !s.stopped {
 			s.wake.Wait()
 		}
 		if s.stopped {
 			s.mu.Unlock()
 			return
 		}
-		work := s.work
-		s.work, s.busy = nil, true
+		work := s.steps
+		s.steps, s.busy = nil, true
 		s.mu.Unlock()
 		for _, step := range work {
 			_ = step()
@@ -219,33 +219,33 @@
 
 // idle tells whether nothing is on its way out.
 func (s *session) idle() bool {
-	s.flush()
+	s.flushAcks()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.work) == 0 && !s.busy && s.answers == 0
+	return len(s.steps) == 0 && !s.busy && s.unconfirmed == 0
 }
 
-// end hears that the connection is gone.
-func (s *session) end(code string) {
+// handleClosed hears that the connection is gone.
+func (s *session) handleClosed(code string) {
 	if s.ended {
 		return
 	}
 	s.ended = true
-	if s.why != "" {
-		code = s.why
+	if s.closeCode != "" {
+		code = s.closeCode
 	}
-	s.raw.Close()
+	s.netConn.Close()
 	s.mu.Lock()
 	s.stopped = true
 	s.mu.Unlock()
 	s.wake.Broadcast()
-	for _, c := range s.chans {
-		s.p.memory.Dropped(c.no)
+	for _, c := range s.channels {
+		s.consumer.deduplicator.Dropped(c.id)
 	}
-	slog.Info("end", "party", "broker", "code", code, "addr", host(s.addr), "connection", s.no)
-	s.p.lost(s, code)
-	if s.then != nil {
-		s.then()
+	slog.Info("end", "party", "broker", "code", code, "addr", hostPort(s.url), "connection", s.id)
+	s.consumer.handleDisconnect(s, code)
+	if s.onClosed != nil {
+		s.onClosed()
 	}
 }
 
@@ -254,29 +254,29 @@
 	if s.closing || s.ended {
 		return
 	}
-	s.closing, s.why = true, code
-	for _, c := range s.chans {
-		c.wanted = 0
+	s.closing, s.closeCode = true, code
+	for _, c := range s.channels {
+		c.wantedPrefetch = 0
 	}
 	go func() {
 		gone := make(chan struct{})
 		go func() {
-			for _, c := range s.chans {
-				if c.ch != nil {
-					_ = c.ch.Close()
+			for _, c := range s.channels {
+				if c.link != nil {
+					_ = c.link.Close()
 				}
 			}
-			_ = s.out.Close()
-			_ = s.conn.Close()
+			_ = s.replyChannel.Close()
+			_ = s.connection.Close()
 			close(gone)
 		}()
-		const enough = 200 * time.Millisecond // some round trips
+		const closeTimeout = 200 * time.Millisecond // some round trips
 		select {
 		case <-gone:
-		case <-time.After(enough):
+		case <-time.After(closeTimeout):
 		}
-		s.raw.Close()
-		s.p.Post(func() { s.end(code) })
+		s.netConn.Close()
+		s.consumer.Post(func() { s.handleClosed(code) })
 	}()
 }
 
@@ -286,20 +286,20 @@
 		then()
 		return
 	}
-	s.then = then
+	s.onClosed = then
 }
 
 // openChannel opens a queue's channel after a while; it may fail again and again.
-func (s *session) openChannel(q *Queue, after time.Duration) {
-	s.p.gen++
-	c := &channel{no: s.p.gen, queue: q, wanted: s.p.desk.Limit(q.Name), backoff: after}
-	s.chans[q.Name] = c
-	s.p.ScheduleAt(s.p.Now()+after, func() {
+func (s *session) openChannel(queue *Queue, delay time.Duration) {
+	s.consumer.lastID++
+	c := &channel{id: s.consumer.lastID, queue: queue, wantedPrefetch: s.consumer.flow.Limit(queue.Name), backoff: delay}
+	s.channels[queue.Name] = c
+	s.consumer.ScheduleAt(s.consumer.Now()+delay, func() {
 		if s.ended || s.closing {
 			return
 		}
-		s.do(func() error {
-			ch, err := s.conn.Channel()
+		s.enqueue(func() error {
+			ch, err := s.connection.Channel()
 			if err != nil {
 				return err
 			}
@@ -307,188 +307,188 @@
 			cancelled := ch.NotifyCancel(make(chan string, 8))
 			go func() {
 				for range cancelled {
-					s.p.Post(func() {
-						slog.Warn("queue", "queue", q.Name, "code", "cancelled")
-						s.reopen(c)
+					s.consumer.Post(func() {
+						slog.Warn("queue", "queue", queue.Name, "code", "cancelled")
+						s.reopenChannel(c)
 					})
 				}
 			}()
 			go func() {
 				e := <-closed
-				s.p.Post(func() {
-					if e != nil && s.chans[q.Name] == c {
-						slog.Warn("queue", "queue", q.Name, "code", "amqp-"+strconv.Itoa(e.Code), "err", clip(e.Reason))
+				s.consumer.Post(func() {
+					if e != nil && s.channels[queue.Name] == c {
+						slog.Warn("queue", "queue", queue.Name, "code", "amqp-"+strconv.Itoa(e.Code), "err", truncate(e.Reason))
 					}
-					s.reopen(c)
+					s.reopenChannel(c)
 				})
 			}()
-			s.p.Post(func() {
-				c.ch = ch
-				s.limit(q.Name, c.wanted)
+			s.consumer.Post(func() {
+				c.link = ch
+				s.setPrefetch(queue.Name, c.wantedPrefetch)
 			})
 			return nil
 		})
 	})
 }
 
-// reopen replaces a channel that is gone, or whose consumer the broker took away; its deliveries come again.
-func (s *session) reopen(c *channel) {
+// reopenChannel replaces a channel that is gone, or whose consumer the broker took away; its deliveries come again.
+func (s *session) reopenChannel(c *channel) {
 	name := c.queue.Name
-	if s.ended || s.closing || s.chans[name] != c {
+	if s.ended || s.closing || s.channels[name] != c {
 		return
 	}
-	s.p.memory.Dropped(c.no)
-	s.p.desk.Lost(name)
-	if old := c.ch; old != nil {
-		s.do(old.Close)
+	s.consumer.deduplicator.Dropped(c.id)
+	s.consumer.flow.Lost(name)
+	if old := c.link; old != nil {
+		s.enqueue(old.Close)
 	}
 	// A queue that is gone is asked for again after a second, then less and less often.
 	s.openChannel(c.queue, min(max(2*c.backoff, time.Second), 30*time.Second))
 }
 
-// limit tells the broker how many messages of a queue may be unsettled; none, and the consumer is cancelled.
-func (s *session) limit(name intake.QueueName, limit int) {
-	c := s.chans[name]
+// setPrefetch tells the broker how many messages of a queue may be unsettled; none, and the consumer is cancelled.
+func (s *session) setPrefetch(name intake.QueueName, prefetch int) {
+	c := s.channels[name]
 	if c == nil {
 		return
 	}
-	c.wanted = limit
-	if c.ch == nil || s.closing || limit == c.limit {
+	c.wantedPrefetch = prefetch
+	if c.link == nil || s.closing || prefetch == c.prefetch {
 		return
 	}
 	// Small changes of a large limit are not worth a round trip.
-	if was := c.limit; was > 0 && limit > 0 && limit*10 > was*9 && limit*9 < was*10 {
+	if previous := c.prefetch; previous > 0 && prefetch > 0 && prefetch*10 > previous*9 && prefetch*9 < previous*10 {
 		return
 	}
-	was, ch := c.limit, c.ch
-	c.limit = limit
+	previous, ch := c.prefetch, c.link
+	c.prefetch = prefetch
 	switch {
-	case limit == 0:
-		tag := c.tag
-		s.do(func() error { return ch.Cancel(tag, false) })
-	case was > 0:
-		s.do(func() error { return ch.Qos(limit, 0, true) })
+	case prefetch == 0:
+		tag := c.consumerTag
+		s.enqueue(func() error { return ch.Cancel(tag, false) })
+	case previous > 0:
+		s.enqueue(func() error { return ch.Qos(prefetch, 0, true) })
 	default:
-		s.p.gen++
-		c.tag = "lanewheel-" + strconv.FormatUint(s.p.gen, 10)
-		tag := c.tag
-		s.do(func() error {
-			if err := ch.Qos(limit, 0, true); err != nil {
+		s.consumer.lastID++
+		c.consumerTag = "lanewheel-" + strconv.FormatUint(s.consumer.lastID, 10)
+		tag := c.consumerTag
+		s.enqueue(func() error {
+			if err := ch.Qos(prefetch, 0, true); err != nil {
 				return err
 			}
 			from, err := ch.Consume(string(name), tag, false, false, false, false, nil)
 			if err == nil {
-				go s.read(c, from)
+				go s.readDeliveries(c, from)
 			}
 			return err
 		})
 	}
 }
 
-// read reads one consumer's deliveries, beside the loop.
-func (s *session) read(c *channel, from <-chan client.Delivery) {
-	for d := range from {
-		m := c.queue.Mapping.Read(c.queue.Name, &d, marked(d.Body), time.Now())
-		tag := intake.Tag{Connection: c.no, Delivery: d.DeliveryTag}
-		if m.Bad == badHeader { // nothing of it was read, so nothing can tell it from another
-			m.ID = intake.MessageID(fmt.Sprintf("unread:%d:%d", tag.Connection, tag.Delivery))
+// readDeliveries reads one consumer's deliveries, beside the loop.
+func (s *session) readDeliveries(c *channel, deliveries <-chan client.Delivery) {
+	for incoming := range deliveries {
+		message := c.queue.Mapping.read(c.queue.Name, &incoming, placeholderReason(incoming.Body), time.Now())
+		tag := intake.Tag{Connection: c.id, Delivery: incoming.DeliveryTag}
+		if message.defect == badHeader { // nothing of it was read, so nothing can tell it from another
+			message.id = intake.MessageID(fmt.Sprintf("unread:%d:%d", tag.Connection, tag.Delivery))
 		}
-		redelivered := d.Redelivered
-		s.p.Post(func() { s.p.came(c.queue, m, tag, redelivered) })
+		redelivered := incoming.Redelivered
+		s.consumer.Post(func() { s.consumer.handleDelivery(c.queue, message, tag, redelivered) })
 	}
 }
 
-// has gives the channel on which a delivery came, nil if it is gone.
-func (s *session) has(name intake.QueueName, tag intake.Tag) *channel {
-	if c := s.chans[name]; c != nil && c.no == tag.Connection && !s.ended {
+// channelOf gives the channel on which a delivery came, nil if it is gone.
+func (s *session) channelOf(name intake.QueueName, tag intake.Tag) *channel {
+	if c := s.channels[name]; c != nil && c.id == tag.Connection && !s.ended {
 		return c
 	}
 	return nil
 }
 
-func (s *session) took(name intake.QueueName, tag intake.Tag) {
-	if c := s.has(name, tag); c != nil {
+func (s *session) trackDelivery(name intake.QueueName, tag intake.Tag) {
+	if c := s.channelOf(name, tag); c != nil {
 		c.acks.Took(tag.Delivery)
 	}
 }
 
 // ack marks a delivery; the batch's acks go together.
 func (s *session) ack(name intake.QueueName, tag intake.Tag) {
-	if c := s.has(name, tag); c != nil {
+	if c := s.channelOf(name, tag); c != nil {
 		c.acks.Done(tag.Delivery)
-		s.p.desk.Settled(name)
+		s.consumer.flow.Settled(name)
 	}
 }
 
-// flush sends the acks of a batch.
-func (s *session) flush() {
-	for _, c := range s.chans {
+// flushAcks sends the acks of a batch.
+func (s *session) flushAcks() {
+	for _, c := range s.channels {
 		for _, a := range c.acks.Flush() {
-			c.send(s, a)
+			c.sendAck(s, a)
 		}
 	}
 }
 
-func (c *channel) send(s *session, a intake.Covers) {
-	ch := c.ch
-	s.do(func() error { return ch.Ack(a.Tag, a.Multiple) })
+func (c *channel) sendAck(s *session, ack intake.Covers) {
+	ch := c.link
+	s.enqueue(func() error { return ch.Ack(ack.Tag, ack.Multiple) })
 }
 
 func (s *session) requeue(name intake.QueueName, tag intake.Tag) {
-	if c := s.has(name, tag); c != nil && c.acks.Drop(tag.Delivery) {
-		s.p.desk.Settled(name)
-		s.do(func() error { return c.ch.Nack(tag.Delivery, false, true) })
+	if c := s.channelOf(name, tag); c != nil && c.acks.Drop(tag.Delivery) {
+		s.consumer.flow.Settled(name)
+		s.enqueue(func() error { return c.link.Nack(tag.Delivery, false, true) })
 	}
 }
 
 func (s *session) reject(name intake.QueueName, tag intake.Tag) {
-	if c := s.has(name, tag); c != nil && c.acks.Drop(tag.Delivery) {
-		s.p.desk.Settled(name)
-		s.do(func() error { return c.ch.Reject(tag.Delivery, false) })
+	if c := s.channelOf(name, tag); c != nil && c.acks.Drop(tag.Delivery) {
+		s.consumer.flow.Settled(name)
+		s.enqueue(func() error { return c.link.Reject(tag.Delivery, false) })
 	}
 }
 
-// answer publishes an answer; then is called once it is confirmed.
-func (s *session) answer(a *answering, then func()) {
-	headers := client.Table{"outcome": a.word}
-	if a.why != "" {
-		headers["why"] = a.why
+// publishReply publishes an answer; then is called once it is confirmed.
+func (s *session) publishReply(answer *reply, onConfirmed func()) {
+	headers := client.Table{"outcome": answer.outcome}
+	if answer.reason != "" {
+		headers["why"] = answer.reason
 	}
 	// Its id is the message's: whoever gets an answer twice, since nobody could tell whether the first one arrived, knows it again.
-	s.publish(a.to, client.Publishing{MessageId: "answer:" + a.msg, CorrelationId: a.id, Type: a.word, Headers: headers, Body: a.body, Timestamp: time.Now()}, then)
+	s.publish(answer.replyTo, client.Publishing{MessageId: "answer:" + answer.messageID, CorrelationId: answer.correlationID, Type: answer.outcome, Headers: headers, Body: answer.body, Timestamp: time.Now()}, onConfirmed)
 }
 
-// dead copies a message to its queue's dead-letter queue, with the reason.
-func (s *session) dead(j *job, word, why string, then func()) {
-	headers := client.Table{"outcome": word, "queue": string(j.queue.Name), "attempt": int64(j.msg.Attempt)}
-	if why != "" {
-		headers["why"] = why
+// publishDeadLetter copies a message to its queue's dead-letter queue, with the reason.
+func (s *session) publishDeadLetter(pending *pendingMessage, outcome, reason string, onConfirmed func()) {
+	headers := client.Table{"outcome": outcome, "queue": string(pending.queue.Name), "attempt": int64(pending.message.attempt)}
+	if reason != "" {
+		headers["why"] = reason
 	}
-	s.publish(j.queue.Dead, client.Publishing{MessageId: string(j.msg.ID), CorrelationId: j.msg.Reply, ReplyTo: j.msg.ReplyTo,
-		Type: j.msg.Ask.Class, Headers: headers, Body: j.msg.Ask.Body, DeliveryMode: client.Persistent, Timestamp: time.Now()}, then)
+	s.publish(pending.queue.DeadLetterQueue, client.Publishing{MessageId: string(pending.message.id), CorrelationId: pending.message.correlationID, ReplyTo: pending.message.replyTo,
+		Type: pending.message.request.Class, Headers: headers, Body: pending.message.request.Body, DeliveryMode: client.Persistent, Timestamp: time.Now()}, onConfirmed)
 }
 
-func (s *session) publish(key string, p client.Publishing, then func()) {
+func (s *session) publish(key string, message client.Publishing, onConfirmed func()) {
 	s.mu.Lock()
-	s.answers++
+	s.unconfirmed++
 	s.mu.Unlock()
-	s.do(func() error {
+	s.enqueue(func() error {
 		s.mu.Lock()
-		s.confirms[s.out.GetNextPublishSeqNo()] = then
+		s.onConfirm[s.replyChannel.GetNextPublishSeqNo()] = onConfirmed
 		s.mu.Unlock()
-		return s.out.Publish("", key, false, false, p)
+		return s.replyChannel.Publish("", key, false, false, message)
 	})
 }
 
-// confirmed hears from the broker that it has what was published, or has not: then the message stays unsettled and comes again
+// handleConfirmation hears from the broker that it has what was published, or has not: then the message stays unsettled and comes again
 // with its channel.
-func (s *session) confirmed(c client.Confirmation) {
+func (s *session) handleConfirmation(confirmation client.Confirmation) {
 	s.mu.Lock()
-	then := s.confirms[c.DeliveryTag]
-	delete(s.confirms, c.DeliveryTag)
-	s.answers--
+	onConfirmed := s.onConfirm[confirmation.DeliveryTag]
+	delete(s.onConfirm, confirmation.DeliveryTag)
+	s.unconfirmed--
 	s.mu.Unlock()
-	if then != nil && c.Ack {
-		s.p.Post(then)
+	if onConfirmed != nil && confirmation.Ack {
+		s.consumer.Post(onConfirmed)
 	}
 }
--- a/internal/amqp/sieve.go
+++ b/internal/amqp/sieve.go
@@ -6,40 +6,40 @@
 	"net"
 )
 
-// sieve lies between a broker's bytes and the client library, which would gather a content of any size in memory before
+// frameFilter lies between a broker's bytes and the client library, which would gather a content of any size in memory before
 // anybody sees it, and read tables as deep as they come. Danger: one message of 100 MB, or one that is a table in a table ten
 // thousand times, ends the process. Of a content whose header or body is too large only an empty header, or the header alone, goes on; that it was
 // so is told by a body that stands for it.
-type sieve struct {
+type frameFilter struct {
 	net.Conn
-	mostHeader, mostBody int
+	maxHeaderBytes, maxBodyBytes int
 
-	in    []byte // read and not passed on, less than a frame's head or a header frame
-	out   []byte // to be passed on
-	pass  int    // bytes of the present frame that are passed on
-	skip  int    // bytes of the present frame that are not
-	after []byte // goes on behind the present frame
-	sized map[uint16]*content
+	buffered  []byte // read and not passed on, less than a frame's head or a header frame
+	ready     []byte // to be passed on
+	passBytes int    // bytes of the present frame that are passed on
+	skipBytes int    // bytes of the present frame that are not
+	appended  []byte // goes on behind the present frame
+	bodies    map[uint16]*bodyProgress
 }
 
-// content is a body that is coming on a channel.
-type content struct {
-	left int
-	drop bool
+// bodyProgress is a body that is coming on a channel.
+type bodyProgress struct {
+	remaining int
+	drop      bool
 }
 
-// marks are the bodies that stand for what was kept back: drawn anew by each process, so that no message can say of itself
+// placeholders are the bodies that stand for what was kept back: drawn anew by each process, so that no message can say of itself
 // what only the sieve says.
-var marks = map[string]string{tooLong: rand.Text(), badHeader: rand.Text()}
+var placeholders = map[string]string{tooLong: rand.Text(), badHeader: rand.Text()}
 
 const (
 	tooLong   = "too-long"
 	badHeader = "bad-header"
 )
 
-// marked tells why a body was kept back, empty if it was not.
-func marked(body []byte) string {
-	for why, text := range marks {
+// placeholderReason tells why a body was kept back, empty if it was not.
+func placeholderReason(body []byte) string {
+	for why, text := range placeholders {
 		if string(body) == text {
 			return why
 		}
@@ -50,144 +50,144 @@
 // Frame types of the specification that matter here, and the bytes round a payload.
 const (
 	methodFrame, headerFrame, bodyFrame = 1, 2, 3
-	frameHead, frameTail                = 7, 1
+	frameHeadBytes, frameTailBytes      = 7, 1
 	frameEnd                            = 0xce
 )
 
-func newSieve(c net.Conn, mostHeader, mostBody int) *sieve {
-	return &sieve{Conn: c, mostHeader: mostHeader, mostBody: mostBody, sized: map[uint16]*content{}}
+func newFrameFilter(c net.Conn, maxHeaderBytes, maxBodyBytes int) *frameFilter {
+	return &frameFilter{Conn: c, maxHeaderBytes: maxHeaderBytes, maxBodyBytes: maxBodyBytes, bodies: map[uint16]*bodyProgress{}}
 }
 
-func (s *sieve) Read(b []byte) (int, error) {
-	for len(s.out) == 0 {
+func (s *frameFilter) Read(b []byte) (int, error) {
+	for len(s.ready) == 0 {
 		n, err := s.Conn.Read(b)
 		if n > 0 {
 			s.feed(b[:n])
 		}
-		if err != nil && len(s.out) == 0 {
+		if err != nil && len(s.ready) == 0 {
 			return 0, err
 		}
 	}
-	n := copy(b, s.out)
-	s.out = s.out[:copy(s.out, s.out[n:])]
+	n := copy(b, s.ready)
+	s.ready = s.ready[:copy(s.ready, s.ready[n:])]
 	return n, nil
 }
 
 // feed takes bytes and appends to out what goes on.
-func (s *sieve) feed(b []byte) {
-	for len(b) > 0 || s.pass == 0 && s.skip == 0 && s.after != nil {
+func (s *frameFilter) feed(b []byte) {
+	for len(b) > 0 || s.passBytes == 0 && s.skipBytes == 0 && s.appended != nil {
 		switch {
-		case s.pass == 0 && s.skip == 0 && s.after != nil:
-			s.out, s.after = append(s.out, s.after...), nil
-		case s.pass > 0:
-			n := min(s.pass, len(b))
-			s.out = append(s.out, b[:n]...)
-			s.pass, b = s.pass-n, b[n:]
+		case s.passBytes == 0 && s.skipBytes == 0 && s.appended != nil:
+			s.ready, s.appended = append(s.ready, s.appended...), nil
+		case s.passBytes > 0:
+			n := min(s.passBytes, len(b))
+			s.ready = append(s.ready, b[:n]...)
+			s.passBytes, b = s.passBytes-n, b[n:]
 			continue
-		case s.skip > 0:
-			n := min(s.skip, len(b))
-			s.skip, b = s.skip-n, b[n:]
+		case s.skipBytes > 0:
+			n := min(s.skipBytes, len(b))
+			s.skipBytes, b = s.skipBytes-n, b[n:]
 			continue
 		}
-		want := frameHead
-		if len(s.in) >= frameHead {
-			want = s.frame()
-			if want == 0 {
+		wanted := frameHeadBytes
+		if len(s.buffered) >= frameHeadBytes {
+			wanted = s.handleFrame()
+			if wanted == 0 {
 				continue
 			}
 		}
-		n := min(want-len(s.in), len(b))
-		s.in, b = append(s.in, b[:n]...), b[n:]
-		if len(s.in) == want {
-			s.frame()
+		n := min(wanted-len(s.buffered), len(b))
+		s.buffered, b = append(s.buffered, b[:n]...), b[n:]
+		if len(s.buffered) == wanted {
+			s.handleFrame()
 		}
 	}
 }
 
-// frame looks at the frame whose head is in hand. It gives how many bytes it has to see first, 0 if it has decided.
-func (s *sieve) frame() int {
-	if len(s.in) < frameHead {
-		return frameHead
+// handleFrame looks at the frame whose head is in hand. It gives how many bytes it has to see first, 0 if it has decided.
+func (s *frameFilter) handleFrame() int {
+	if len(s.buffered) < frameHeadBytes {
+		return frameHeadBytes
 	}
-	kind, channel := s.in[0], binary.BigEndian.Uint16(s.in[1:])
-	size := int(binary.BigEndian.Uint32(s.in[3:]))
+	kind, channel := s.buffered[0], binary.BigEndian.Uint16(s.buffered[1:])
+	size := int(binary.BigEndian.Uint32(s.buffered[3:]))
 	switch kind {
 	case headerFrame:
-		const least = 14 // class, weight, body size, flags
-		if size < least {
+		const minHeaderBytes = 14 // class, weight, body size, flags
+		if size < minHeaderBytes {
 			break
 		}
 		// A header of a size that we take is looked at whole, of a larger one just the beginning.
-		want := frameHead + 12
-		if size <= s.mostHeader {
-			want = frameHead + size
+		wanted := frameHeadBytes + 12
+		if size <= s.maxHeaderBytes {
+			wanted = frameHeadBytes + size
 		}
-		if len(s.in) < want {
-			return want
+		if len(s.buffered) < wanted {
+			return wanted
 		}
-		body := binary.BigEndian.Uint64(s.in[frameHead+4:])
-		why := ""
+		body := binary.BigEndian.Uint64(s.buffered[frameHeadBytes+4:])
+		reason := ""
 		switch {
-		case size > s.mostHeader || !sound(s.in[frameHead+12:]):
-			why = badHeader
-		case body > uint64(s.mostBody):
-			why = tooLong
+		case size > s.maxHeaderBytes || !validProperties(s.buffered[frameHeadBytes+12:]):
+			reason = badHeader
+		case body > uint64(s.maxBodyBytes):
+			reason = tooLong
 		}
 		if body > 0 {
-			s.sized[channel] = &content{left: int(min(body, 1<<62)), drop: why != ""}
+			s.bodies[channel] = &bodyProgress{remaining: int(min(body, 1<<62)), drop: reason != ""}
 		} else {
-			delete(s.sized, channel)
+			delete(s.bodies, channel)
 		}
-		if why == "" {
+		if reason == "" {
 			break
 		}
-		if why == badHeader { // an empty one in its place: the class as it came, no weight, no properties
-			s.out = append(s.out, headerFrame, s.in[1], s.in[2], 0, 0, 0, least, s.in[frameHead], s.in[frameHead+1], 0, 0)
-			s.out = binary.BigEndian.AppendUint64(s.out, uint64(len(marks[why])))
-			s.out = append(s.out, 0, 0, frameEnd)
-			s.skip = frameHead + size + frameTail - len(s.in)
+		if reason == badHeader { // an empty one in its place: the class as it came, no weight, no properties
+			s.ready = append(s.ready, headerFrame, s.buffered[1], s.buffered[2], 0, 0, 0, minHeaderBytes, s.buffered[frameHeadBytes], s.buffered[frameHeadBytes+1], 0, 0)
+			s.ready = binary.BigEndian.AppendUint64(s.ready, uint64(len(placeholders[reason])))
+			s.ready = append(s.ready, 0, 0, frameEnd)
+			s.skipBytes = frameHeadBytes + size + frameTailBytes - len(s.buffered)
 		} else { // its properties stay, with the length of the mark
-			s.out = append(s.out, s.in[:frameHead+4]...)
-			s.out = binary.BigEndian.AppendUint64(s.out, uint64(len(marks[why])))
-			s.out = append(s.out, s.in[frameHead+12:]...)
-			s.pass = frameHead + size + frameTail - len(s.in)
+			s.ready = append(s.ready, s.buffered[:frameHeadBytes+4]...)
+			s.ready = binary.BigEndian.AppendUint64(s.ready, uint64(len(placeholders[reason])))
+			s.ready = append(s.ready, s.buffered[frameHeadBytes+12:]...)
+			s.passBytes = frameHeadBytes + size + frameTailBytes - len(s.buffered)
 		}
-		s.after = s.frames(channel, marks[why])
-		s.in = s.in[:0]
+		s.appended = s.placeholderFrame(channel, placeholders[reason])
+		s.buffered = s.buffered[:0]
 		return 0
 	case bodyFrame:
-		c := s.sized[channel]
+		c := s.bodies[channel]
 		if c == nil {
 			break
 		}
-		if c.left -= size; c.left <= 0 {
-			delete(s.sized, channel)
+		if c.remaining -= size; c.remaining <= 0 {
+			delete(s.bodies, channel)
 		}
 		if c.drop {
-			s.skip = size + frameTail
-			s.in = s.in[:0]
+			s.skipBytes = size + frameTailBytes
+			s.buffered = s.buffered[:0]
 			return 0
 		}
 	}
-	s.out = append(s.out, s.in...)
-	s.pass = frameHead + size + frameTail - len(s.in)
-	s.in = s.in[:0]
+	s.ready = append(s.ready, s.buffered...)
+	s.passBytes = frameHeadBytes + size + frameTailBytes - len(s.buffered)
+	s.buffered = s.buffered[:0]
 	return 0
 }
 
-// frames is the body frame of a mark.
-func (s *sieve) frames(channel uint16, body string) []byte {
+// placeholderFrame is the body frame of a mark.
+func (s *frameFilter) placeholderFrame(channel uint16, body string) []byte {
 	b := binary.BigEndian.AppendUint16([]byte{bodyFrame}, channel)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
 	return append(append(b, body...), frameEnd)
 }
 
-// sound tells whether properties, behind class, weight and size, can be read: text where text has to be, tables of known kinds and
+// validProperties tells whether properties, behind class, weight and size, can be read: text where text has to be, tables of known kinds and
 // of little depth. Danger: the library closes the connection over what it can't read, the broker sends it again, and a single
 // message keeps a queue from being consumed for ever.
-func sound(b []byte) bool {
-	w := walker{b: b}
-	flags := w.number(2)
+func validProperties(b []byte) bool {
+	walk := propertyWalker{rest: b}
+	flags := walk.readUint(2)
 	if flags&1 != 0 { // more flags than the specification has properties
 		return false
 	}
@@ -197,73 +197,73 @@
 		}
 		switch bit {
 		case 13:
-			w.table(0)
+			walk.table(0)
 		case 12, 11:
-			w.skip(1)
+			walk.skip(1)
 		case 6:
-			w.skip(8)
+			walk.skip(8)
 		default:
-			w.skip(w.number(1))
+			walk.skip(walk.readUint(1))
 		}
 	}
-	return !w.bad && len(w.b) == 0
+	return !walk.invalid && len(walk.rest) == 0
 }
 
-// walker passes over the parts of properties.
-type walker struct {
-	b   []byte
-	bad bool
+// propertyWalker passes over the parts of properties.
+type propertyWalker struct {
+	rest    []byte
+	invalid bool
 }
 
-func (w *walker) skip(n int) {
-	if n < 0 || n > len(w.b) {
-		w.bad, w.b = true, nil
+func (w *propertyWalker) skip(n int) {
+	if n < 0 || n > len(w.rest) {
+		w.invalid, w.rest = true, nil
 		return
 	}
-	w.b = w.b[n:]
+	w.rest = w.rest[n:]
 }
 
-func (w *walker) number(size int) (x int) {
-	if size > len(w.b) {
-		w.bad, w.b = true, nil
+func (w *propertyWalker) readUint(size int) (x int) {
+	if size > len(w.rest) {
+		w.invalid, w.rest = true, nil
 		return 0
 	}
-	for _, c := range w.b[:size] {
+	for _, c := range w.rest[:size] {
 		x = x<<8 | int(c)
 	}
-	w.b = w.b[size:]
+	w.rest = w.rest[size:]
 	return x
 }
 
-// deepest is how far tables may be nested; a person nests two or three.
-const deepest = 8
+// maxTableDepth is how far tables may be nested; a person nests two or three.
+const maxTableDepth = 8
 
-// part gives the next so many bytes to walk by themselves.
-func (w *walker) part(n int) walker {
-	if n < 0 || n > len(w.b) {
-		w.bad, w.b = true, nil
-		return walker{}
+// section gives the next so many bytes to walk by themselves.
+func (w *propertyWalker) section(n int) propertyWalker {
+	if n < 0 || n > len(w.rest) {
+		w.invalid, w.rest = true, nil
+		return propertyWalker{}
 	}
-	p := walker{b: w.b[:n]}
-	w.b = w.b[n:]
+	p := propertyWalker{rest: w.rest[:n]}
+	w.rest = w.rest[n:]
 	return p
 }
 
-func (w *walker) table(depth int) {
-	p := w.part(w.number(4))
-	for len(p.b) > 0 && !p.bad {
-		p.skip(p.number(1))
+func (w *propertyWalker) table(depth int) {
+	p := w.section(w.readUint(4))
+	for len(p.rest) > 0 && !p.invalid {
+		p.skip(p.readUint(1))
 		p.value(depth)
 	}
-	w.bad = w.bad || p.bad
+	w.invalid = w.invalid || p.invalid
 }
 
-func (w *walker) value(depth int) {
-	if depth > deepest {
-		w.bad = true
+func (w *propertyWalker) value(depth int) {
+	if depth > maxTableDepth {
+		w.invalid = true
 		return
 	}
-	switch kind := w.number(1); kind {
+	switch kind := w.readUint(1); kind {
 	case 't', 'b', 'B':
 		w.skip(1)
 	case 's':
@@ -275,17 +275,17 @@
 	case 'l', 'd', 'T':
 		w.skip(8)
 	case 'S', 'x':
-		w.skip(w.number(4))
+		w.skip(w.readUint(4))
 	case 'F':
 		w.table(depth + 1)
 	case 'A':
-		p := w.part(w.number(4))
-		for len(p.b) > 0 && !p.bad {
+		p := w.section(w.readUint(4))
+		for len(p.rest) > 0 && !p.invalid {
 			p.value(depth + 1)
 		}
-		w.bad = w.bad || p.bad
+		w.invalid = w.invalid || p.invalid
 	case 'V':
 	default:
-		w.bad = true
+		w.invalid = true
 	}
 }
--- a/internal/command/queue.go
+++ b/internal/command/queue.go
@@ -48,7 +48,7 @@
 	if user, password, told := strings.Cut(a.Config.Login, ":"); told {
 		u.Username, u.Password = user, password
 	}
-	return client.DialConfig(u.String(), client.Config{TLSClientConfig: a.Config.TLS, Heartbeat: a.Config.Heartbeat, Locale: "en_US",
+	return client.DialConfig(u.String(), client.Config{TLSClientConfig: a.Config.TLS, Heartbeat: a.Config.HeartbeatInterval, Locale: "en_US",
 		Dial: client.DefaultDial(5 * time.Second)})
 }
 
@@ -64,7 +64,7 @@
 	w := tabwriter.NewWriter(o.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "broker\tqueue\tready\tconsumers\tfound")
 	wrong := false
-	for _, addr := range a.Config.Brokers {
+	for _, addr := range a.Config.BrokerURLs {
 		u, _ := client.ParseURI(addr)
 		where := net.JoinHostPort(u.Host, strconv.Itoa(u.Port))
 		conn, err := dial(&a, addr)
@@ -89,9 +89,9 @@
 		dead := map[string]bool{}
 		for _, q := range a.Config.Queues {
 			look(string(q.Name), "good")
-			if q.Dead != "" && !dead[q.Dead] {
-				dead[q.Dead] = true
-				look(q.Dead, "good, for dead letters")
+			if q.DeadLetterQueue != "" && !dead[q.DeadLetterQueue] {
+				dead[q.DeadLetterQueue] = true
+				look(q.DeadLetterQueue, "good, for dead letters")
 			}
 		}
 		_ = conn.Close()
@@ -123,7 +123,7 @@
 	if c.Count < 1 || c.Rate <= 0 {
 		return errors.New("--count and --rate want more than 0")
 	}
-	conn, err := dial(&a, a.Config.Brokers[0])
+	conn, err := dial(&a, a.Config.BrokerURLs[0])
 	if err != nil {
 		return err
 	}
@@ -217,22 +217,22 @@
 	if err != nil {
 		return err
 	}
-	if a.Config.Watch == "" {
+	if a.Config.StatusSocket == "" {
 		return errors.New("the file's section amqp names no watch socket")
 	}
 	for n := 0; c.Count == 0 || n < c.Count; n++ {
 		if n > 0 {
 			time.Sleep(c.Every)
 		}
-		s, err := amqp.Watch(a.Config.Watch)
+		s, err := amqp.ReadStatus(a.Config.StatusSocket)
 		if err != nil {
 			return err
 		}
 		state := "takes"
-		if s.Closed != "" {
-			state = s.Closed
+		if s.PauseReason != "" {
+			state = s.PauseReason
 		}
-		fmt.Fprintf(o.out, "broker %q, %s, level %d, in hand %d, known %d, %v\n", s.Broker, state, s.Level, s.InHand, s.Known, s.Counts)
+		fmt.Fprintf(o.out, "broker %q, %s, level %d, in hand %d, known %d, %v\n", s.Broker, state, s.Window, s.InHand, s.Remembered, s.Counts)
 		w := tabwriter.NewWriter(o.out, 0, 0, 2, ' ', 0)
 		fmt.Fprintln(w, "queue\tstate\tlimit\tin hand")
 		for _, q := range s.Queues {
--- a/internal/life/fronts.go
+++ b/internal/life/fronts.go
@@ -60,11 +60,11 @@
 		return
 	}
 	queueConfig := operatorConfig.File.AMQP.Config
-	queueConfig.Repeats = map[choice.Class]bool{}
+	queueConfig.IdempotentClasses = map[choice.Class]bool{}
 	classes, _ := config.Settings["op types"].([]choice.Settings)
 	for _, class := range classes {
 		name, _ := class["name"].(string)
-		queueConfig.Repeats[choice.Class(name)] = class["repeats"] == "retryable"
+		queueConfig.IdempotentClasses[choice.Class(name)] = class["repeats"] == "retryable"
 	}
 	instance.AddFrontend(amqp.New(queueConfig, instance, instance.Post, config.Seed))
 }
--- a/internal/operator/amqp.go
+++ b/internal/operator/amqp.go
@@ -15,7 +15,7 @@
 // AMQP is the front for messages on queues.
 type AMQP struct {
 	Enabled         bool
-	Config          amqp.Told
+	Config          amqp.Config
 	LoginFile       string // a file with user:password
 	AuthoritiesFile string // for amqps brokers; empty: the system's
 	CertificateFile string // to log in with, empty for none
@@ -25,7 +25,7 @@
 // StartupFingerprint is all that this front goes by from its start on, as text to compare.
 func (a *AMQP) StartupFingerprint() string {
 	config := a.Config
-	config.TLS, config.Repeats, config.Login = nil, nil, ""
+	config.TLS, config.IdempotentClasses, config.Login = nil, nil, ""
 	return fmt.Sprintf("%v %+v %s %s %s %s", a.Enabled, config, a.LoginFile, a.AuthoritiesFile, a.CertificateFile, a.KeyFile)
 }
 
@@ -34,36 +34,36 @@
 	s := r.section("amqp")
 	a.Enabled = s.exists()
 	config := &a.Config
-	config.Brokers = s.listValue("brokers")
-	if a.Enabled && len(config.Brokers) == 0 {
+	config.BrokerURLs = s.listValue("brokers")
+	if a.Enabled && len(config.BrokerURLs) == 0 {
 		s.report("brokers", "", "wants addresses with commas between, as amqp://user@10.0.0.7:5672/, the preferred first")
 	}
-	for _, address := range config.Brokers {
+	for _, address := range config.BrokerURLs {
 		if _, err := client.ParseURI(address); err != nil {
 			s.report("brokers", address, "wants an address, as amqp://user@10.0.0.7:5672/")
 		}
 	}
 	s.pathValue("login", &a.LoginFile)
-	s.pathValue("watch", &config.Watch)
+	s.pathValue("watch", &config.StatusSocket)
 	s.pathValue("authorities", &a.AuthoritiesFile)
 	s.pathValue("certificate", &a.CertificateFile)
 	s.pathValue("key", &a.KeyFile)
 	if (a.CertificateFile == "") != (a.KeyFile == "") {
 		s.report("certificate", a.CertificateFile, "wants both, certificate and key, or neither")
 	}
-	config.InHand = 200 // messages: some times the cores of a large runtime
-	s.intValue("in-hand", &config.InHand, 1, 60_000)
-	config.Share = 0.2
-	s.floatValue("retry-share", &config.Share, 0, 1)
+	config.MaxInFlight = 200 // messages: some times the cores of a large runtime
+	s.intValue("in-hand", &config.MaxInFlight, 1, 60_000)
+	config.RetryFraction = 0.2
+	s.floatValue("retry-share", &config.RetryFraction, 0, 1)
 	// A message that never becomes an op costs some 60 µs: a thirtieth of a core.
-	config.Unstarted = 500
-	s.intValue("unstarted-rate", &config.Unstarted, 10, 1_000_000)
-	config.Remembered = 20_000 // some minutes of a busy queue
-	s.intValue("remembered", &config.Remembered, 100, 10_000_000)
-	config.RememberedIn = 10 * time.Minute
-	s.durationValue("remembered-for", &config.RememberedIn, time.Second, 30*24*time.Hour)
-	config.Heartbeat = 5 * time.Second // a broker that is gone is noticed within three
-	s.durationValue("heartbeat", &config.Heartbeat, time.Second, 10*time.Minute)
+	config.UnstartedRate = 500
+	s.intValue("unstarted-rate", &config.UnstartedRate, 10, 1_000_000)
+	config.MaxRemembered = 20_000 // some minutes of a busy queue
+	s.intValue("remembered", &config.MaxRemembered, 100, 10_000_000)
+	config.RememberedFor = 10 * time.Minute
+	s.durationValue("remembered-for", &config.RememberedFor, time.Second, 30*24*time.Hour)
+	config.HeartbeatInterval = 5 * time.Second // a broker that is gone is noticed within three
+	s.durationValue("heartbeat", &config.HeartbeatInterval, time.Second, 10*time.Minute)
 	s.reportUnknownNames()
 	for _, s := range r.sectionsOfKind("queue") {
 		if !a.Enabled {
@@ -79,7 +79,7 @@
 
 func (s *section) readQueue() amqp.Queue {
 	queue := amqp.Queue{Queue: intake.Queue{Name: intake.QueueName(s.label()), Weight: 1, Floor: 1, Most: 100},
-		Told: intake.Told{Attempts: 5, Delay: time.Second, Answers: true}}
+		Settlement: intake.Told{Attempts: 5, Delay: time.Second, Answers: true}}
 	s.floatValue("weight", &queue.Weight, 0.01, 1000)
 	s.intValue("priority", &queue.Priority, 0, 100)
 	s.intValue("floor", &queue.Floor, 0, 1000)
@@ -92,25 +92,25 @@
 		}
 		queue.Identity = rights.Identity(identity)
 	}
-	s.intValue("attempts", &queue.Told.Attempts, 1, 1000)
-	s.boolValue("retry-queue", &queue.Told.Retry)
-	s.durationValue("retry-delay", &queue.Told.Delay, 0, 24*time.Hour)
-	s.stringValue("dead-letters", &queue.Dead)
-	queue.Told.Dead = queue.Dead != ""
+	s.intValue("attempts", &queue.Settlement.Attempts, 1, 1000)
+	s.boolValue("retry-queue", &queue.Settlement.Retry)
+	s.durationValue("retry-delay", &queue.Settlement.Delay, 0, 24*time.Hour)
+	s.stringValue("dead-letters", &queue.DeadLetterQueue)
+	queue.Settlement.Dead = queue.DeadLetterQueue != ""
 	mapping := &queue.Mapping
-	mapping.Wait, mapping.Longest, mapping.Rank0, mapping.KB0 = time.Minute, 2<<10, 0.5, 4
-	s.durationValue("wait", &mapping.Wait, 0, 24*time.Hour)
-	s.intValue("longest", &mapping.Longest, 1, 2<<10) // the runtime's bound
-	s.floatValue("rank-default", &mapping.Rank0, 0, 0.999999)
-	s.floatValue("kb-default", &mapping.KB0, 0.001, 1999)
+	mapping.DefaultWait, mapping.MaxBodyBytes, mapping.DefaultRank, mapping.DefaultKB = time.Minute, 2<<10, 0.5, 4
+	s.durationValue("wait", &mapping.DefaultWait, 0, 24*time.Hour)
+	s.intValue("longest", &mapping.MaxBodyBytes, 1, 2<<10) // the runtime's bound
+	s.floatValue("rank-default", &mapping.DefaultRank, 0, 0.999999)
+	s.floatValue("kb-default", &mapping.DefaultKB, 0.001, 1999)
 	for _, source := range []struct {
 		name, usual string
 		to          *amqp.Source
-	}{{"type", "type", &mapping.Type}, {"tenant", "header:tenant", &mapping.Tenant}, {"subject", "header:subject", &mapping.Subject},
+	}{{"type", "type", &mapping.Class}, {"tenant", "header:tenant", &mapping.Tenant}, {"subject", "header:subject", &mapping.Subject},
 		{"rank", "header:rank", &mapping.Rank}, {"cost", "header:cost", &mapping.Cost}, {"kb", "header:kb", &mapping.KB}, {"token", "header:token", &mapping.Token}} {
 		text := source.usual
 		s.stringValue(source.name, &text)
-		parsed, err := amqp.ReadSource(text)
+		parsed, err := amqp.ParseSource(text)
 		if err != nil {
 			s.report(source.name, text, "wants header:NAME, or a property")
 		}
