--- a/internal/amqp/amqp_test.go
+++ b/internal/amqp/amqp_test.go
@@ -82,8 +82,8 @@
 	consumer *Consumer
 }
 
-var defaultQueue = Queue{Queue: intake.Queue{Name: "ops", Weight: 1, Floor: 2, Most: 100},
-	Settlement: intake.Told{Attempts: 3, Delay: 20 * time.Millisecond, Dead: true}, DeadLetterQueue: "dead", Identity: "token:depot",
+var defaultQueue = Queue{Queue: intake.Queue{Name: "ops", Weight: 1, MinInFlight: 2, MaxInFlight: 100},
+	Settlement: intake.SettlementConfig{MaxAttempts: 3, RetryQueueDelay: 20 * time.Millisecond, DeadLetter: true}, DeadLetterQueue: "dead", Identity: "token:depot",
 	Mapping: Mapping{Class: Source{Name: "type"}, DefaultWait: 30 * time.Second, MaxBodyBytes: 2048, DefaultRank: 0.5, DefaultKB: 1}}
 
 func testConfig(b *broker.Broker, queues ...Queue) Config {
@@ -275,7 +275,7 @@
 	for _, retry := range []bool{false, true} {
 		b, c := newBroker(), newFakeServer()
 		q := defaultQueue
-		q.Settlement.Retry = retry
+		q.Settlement.UseRetryQueue = retry
 		if retry {
 			b = broker.New()
 			b.Declare("ops", client.Table{"x-dead-letter-exchange": "", "x-dead-letter-routing-key": "ops.retry"})
@@ -330,7 +330,7 @@
 			})
 		}
 		q := defaultQueue
-		q.Floor = 6
+		q.MinInFlight = 6
 		s := startTestbed(b, c, testConfig(b, q))
 		for i := range 20 {
 			b.Publish("ops", newMessage(fmt.Sprintf("m%02d", i), "view"))
@@ -386,7 +386,7 @@
 	b.Block(false)
 	s.settled("ops")
 	b.Delete("ops")
-	time.Sleep(intake.Every)
+	time.Sleep(intake.UpdateInterval)
 	b.Declare("ops", nil)
 	b.Publish("ops", newMessage("c", "view"))
 	s.settled("ops")
--- a/internal/amqp/golden_test.go
+++ b/internal/amqp/golden_test.go
@@ -147,7 +147,7 @@
 		end()
 	}
 	q := defaultQueue
-	q.Settlement.Retry, q.Settlement.Delay = true, time.Millisecond
+	q.Settlement.UseRetryQueue, q.Settlement.RetryQueueDelay = true, time.Millisecond
 	s := startTestbed(b, c, testConfig(b, q))
 	// One that a first front has in hand as it ends: it comes to the next one as redelivered.
 	lost := newMessage("lost", "pay")
--- a/internal/amqp/mapping.go
+++ b/internal/amqp/mapping.go
@@ -181,7 +181,7 @@
 // Queue is one queue as the operator's file tells of it.
 type Queue struct {
 	intake.Queue
-	Settlement      intake.Told
+	Settlement      intake.SettlementConfig
 	Mapping         Mapping
 	Identity        rights.Identity // whose ops its messages are; empty: each brings a token
 	DeadLetterQueue string          // name of the dead-letter queue, empty for none
--- a/internal/amqp/part.go
+++ b/internal/amqp/part.go
@@ -39,9 +39,9 @@
 	server        front.Server
 	postToServer  func(...func()) // to the core's loop
 	random        *rand.Rand
-	flow          *intake.Desk
-	deduplicator  *intake.Memory
-	retryBudget   *intake.Budget
+	flow          *intake.FlowController
+	deduplicator  *intake.Deduplicator
+	retryBudget   *intake.RetryBudget
 	brokers       *brokerSelector
 	queues        map[intake.QueueName]*Queue
 	credentials   map[intake.QueueName]*identity.Credential // belong to the core's loop
@@ -70,7 +70,7 @@
 // New makes the front; it consumes once Start is called. hand gives calls to the core's loop.
 func New(config Config, server front.Server, postToServer func(...func()), seed uint64) *Consumer {
 	consumer := &Consumer{Loop: loop.New(1 << 16), config: config, server: server, postToServer: postToServer, random: rand.New(rand.NewPCG(seed, 1)),
-		deduplicator: intake.NewMemory(config.MaxRemembered, config.RememberedFor), retryBudget: intake.NewBudget(config.RetryFraction),
+		deduplicator: intake.NewDeduplicator(config.MaxRemembered, config.RememberedFor), retryBudget: intake.NewRetryBudget(config.RetryFraction),
 		queues: map[intake.QueueName]*Queue{}, credentials: map[intake.QueueName]*identity.Credential{},
 		inFlight: map[intake.MessageID]*pendingMessage{}, closed: make(chan struct{}), counters: map[string]uint64{}}
 	var queues []intake.Queue
@@ -80,7 +80,7 @@
 		consumer.credentials[queue.Name] = &identity.Credential{ConfiguredIdentity: queue.Identity}
 		queues = append(queues, queue.Queue)
 	}
-	consumer.flow = intake.NewDesk(queues, config.MaxInFlight)
+	consumer.flow = intake.NewFlowController(queues, config.MaxInFlight)
 	consumer.brokers = newBrokerSelector(config.BrokerURLs, consumer.random.Float64)
 	return consumer
 }
@@ -162,15 +162,15 @@
 		p.Post(func() {
 			p.pollingLoad = false
 			load.Draining = load.Draining || p.draining
-			before := p.flow.Closed()
-			p.flow.Look(p.Now(), load, p.session != nil && p.session.blocked)
-			if after := p.flow.Closed(); after != before {
-				slog.Info("intake", "was", before, "is", after, "in_hand", p.flow.Hand())
+			before := p.flow.PauseReason()
+			p.flow.Update(p.Now(), load, p.session != nil && p.session.blocked)
+			if after := p.flow.PauseReason(); after != before {
+				slog.Info("intake", "was", before, "is", after, "in_hand", p.flow.TotalInFlight())
 			}
 			p.applyLimits()
 			p.housekeep()
 			if !p.HasQuit() {
-				p.ScheduleAt(p.Now()+intake.Every, p.pollLoad)
+				p.ScheduleAt(p.Now()+intake.UpdateInterval, p.pollLoad)
 			}
 		})
 	})
@@ -191,11 +191,11 @@
 }
 
 // handleDelivery takes one delivery, read beside the loop.
-func (p *Consumer) handleDelivery(queue *Queue, message parsedMessage, tag intake.Tag, redelivered bool) {
+func (p *Consumer) handleDelivery(queue *Queue, message parsedMessage, tag intake.DeliveryTag, redelivered bool) {
 	if p.session == nil || p.session.channelOf(queue.Name, tag) == nil {
 		return // lost meanwhile; it comes again
 	}
-	p.flow.Taken(queue.Name)
+	p.flow.Received(queue.Name)
 	p.session.trackDelivery(queue.Name, tag)
 	if p.draining {
 		p.counters["returned"]++
@@ -203,59 +203,59 @@
 		return
 	}
 	idempotent := p.config.IdempotentClasses[choice.Class(message.request.Class)]
-	decision, earlier := p.deduplicator.Came(p.Now(), message.id, message.digest, tag, redelivered, idempotent)
-	conflict := decision == intake.Clash
+	decision, earlier := p.deduplicator.Receive(p.Now(), message.id, message.digest, tag, redelivered, idempotent)
+	conflict := decision == intake.IDConflict
 	if conflict { // it is known by what it says, too
 		message.id = intake.MessageID(fmt.Sprintf("%s#%x", message.id, message.digest))
-		decision, earlier = p.deduplicator.Came(p.Now(), message.id, message.digest, tag, false, true)
+		decision, earlier = p.deduplicator.Receive(p.Now(), message.id, message.digest, tag, false, true)
 	}
 	pending := &pendingMessage{consumer: p, queue: queue, message: message}
 	switch decision {
 	case intake.Join: // in hand already; the delivery is settled with it
 		p.counters["joined"]++
 		return
-	case intake.Done:
+	case intake.AlreadyReplied:
 		p.counters["repeated"]++
 		p.session.ack(queue.Name, tag)
 		return
-	case intake.Again:
+	case intake.ResendReply:
 		p.counters["answered-again"]++
 		if repeated, ok := earlier.(*reply); ok {
 			s := p.session
 			s.publishReply(repeated, func() {
-				p.deduplicator.Confirmed(message.id)
+				p.deduplicator.ReplyConfirmed(message.id)
 				s.ack(queue.Name, tag)
 			})
 			return
 		}
 		p.session.ack(queue.Name, tag)
 		return
-	case intake.Unknown:
-		p.settle(pending, nil, p.disposition(pending, intake.MayHaveRun, 0), "")
+	case intake.Uncertain:
+		p.settle(pending, nil, p.disposition(pending, intake.MayHaveExecuted, 0), "")
 		return
 	}
 	if conflict {
-		p.settle(pending, nil, p.disposition(pending, intake.Twice, 0), "")
+		p.settle(pending, nil, p.disposition(pending, intake.DuplicateID, 0), "")
 		return
 	}
 	if message.attempt == 0 && !redelivered {
-		p.retryBudget.Fresh()
+		p.retryBudget.CountFresh()
 	}
 	p.inFlight[message.id] = pending
 	switch {
 	case message.defect != "":
 		p.complete(pending, intake.Unservable, nil, front.ResponseMetadata{Reason: message.defect})
 	case !time.Now().Before(message.deadline): // the core does not hear of it
-		p.complete(pending, intake.PastDue, nil, front.ResponseMetadata{})
+		p.complete(pending, intake.Expired, nil, front.ResponseMetadata{})
 	default:
 		p.postToServer(func() { p.server.Submit(message.request, p.credentials[queue.Name], pending) })
 	}
 }
 
 // disposition decides what becomes of a message.
-func (p *Consumer) disposition(pending *pendingMessage, outcome intake.Outcome, retryAfter time.Duration) intake.Fate {
-	return p.retryBudget.Settle(intake.Message{Attempt: max(pending.message.attempt, p.deduplicator.Backs(pending.message.id)), Left: time.Until(pending.message.deadline),
-		Twice: p.config.IdempotentClasses[choice.Class(pending.message.request.Class)]}, pending.queue.Settlement, outcome, retryAfter, p.random.Float64())
+func (p *Consumer) disposition(pending *pendingMessage, outcome intake.Outcome, retryAfter time.Duration) intake.Disposition {
+	return p.retryBudget.Settle(intake.Message{Attempt: max(pending.message.attempt, p.deduplicator.Returns(pending.message.id)), Remaining: time.Until(pending.message.deadline),
+		Idempotent: p.config.IdempotentClasses[choice.Class(pending.message.request.Class)]}, pending.queue.Settlement, outcome, retryAfter, p.random.Float64())
 }
 
 // complete takes how the op of a message came out.
@@ -264,33 +264,33 @@
 		return
 	}
 	pending.finished = true
-	if p.draining && outcome == intake.Nacked {
+	if p.draining && outcome == intake.Rejected {
 		outcome = intake.Drained
 	}
 	switch outcome {
-	case intake.Nacked:
-		p.flow.Nacked()
-	case intake.Acked, intake.Failed:
-		p.flow.Ended(p.Now(), pending.queue.Name, outcome == intake.Failed)
+	case intake.Rejected:
+		p.flow.Rejected()
+	case intake.Succeeded, intake.Failed:
+		p.flow.Finished(p.Now(), pending.queue.Name, outcome == intake.Failed)
 	}
 	disposition := p.disposition(pending, outcome, metadata.RetryAfter)
-	if disposition.Wait > 0 {
-		p.ScheduleAt(p.Now()+disposition.Wait, func() { p.settle(pending, result, disposition, metadata.Reason) })
+	if disposition.Delay > 0 {
+		p.ScheduleAt(p.Now()+disposition.Delay, func() { p.settle(pending, result, disposition, metadata.Reason) })
 		return
 	}
 	p.settle(pending, result, disposition, metadata.Reason)
 }
 
-func (p *Consumer) settle(pending *pendingMessage, result []byte, disposition intake.Fate, reason string) {
+func (p *Consumer) settle(pending *pendingMessage, result []byte, disposition intake.Disposition, reason string) {
 	delete(p.inFlight, pending.message.id)
-	if !disposition.Answer {
-		tags := p.deduplicator.PutBack(p.Now(), pending.message.id)
+	if !disposition.Reply {
+		tags := p.deduplicator.Returned(p.Now(), pending.message.id)
 		p.counters["put-back"]++
 		if p.session == nil {
 			return // the broker has it back already
 		}
 		for _, tag := range tags {
-			if disposition.Then == intake.Reject {
+			if disposition.Action == intake.Reject {
 				p.session.reject(pending.queue.Name, tag)
 			} else {
 				p.session.requeue(pending.queue.Name, tag)
@@ -298,34 +298,34 @@
 		}
 		return
 	}
-	answer := pending.newReply(result, disposition.Word, reason)
-	tags := p.deduplicator.Answered(p.Now(), pending.message.id, answer)
+	answer := pending.newReply(result, disposition.Code, reason)
+	tags := p.deduplicator.Replied(p.Now(), pending.message.id, answer)
 	p.publishOutcome(pending, answer, disposition, reason, tags)
 }
 
 // publishOutcome answers, copies to the dead-letter queue, and acks once both are confirmed.
-func (p *Consumer) publishOutcome(pending *pendingMessage, answer *reply, disposition intake.Fate, reason string, tags []intake.Tag) {
-	p.counters[disposition.Word]++
-	if disposition.Word != intake.Acked.Word() && p.outcomeLog.Allow(disposition.Word, time.Now()) {
-		slog.Info("message", "queue", pending.queue.Name, "code", disposition.Word, "why", reason, "id", truncate(string(pending.message.id)), "attempt", pending.message.attempt)
+func (p *Consumer) publishOutcome(pending *pendingMessage, answer *reply, disposition intake.Disposition, reason string, tags []intake.DeliveryTag) {
+	p.counters[disposition.Code]++
+	if disposition.Code != intake.Succeeded.Code() && p.outcomeLog.Allow(disposition.Code, time.Now()) {
+		slog.Info("message", "queue", pending.queue.Name, "code", disposition.Code, "why", reason, "id", truncate(string(pending.message.id)), "attempt", pending.message.attempt)
 	}
 	s := p.session
 	if s == nil {
 		return // it comes again, and finds its answer remembered
 	}
-	deadLetter := disposition.Dead && pending.queue.DeadLetterQueue != ""
+	deadLetter := disposition.DeadLetter && pending.queue.DeadLetterQueue != ""
 	unconfirmed := 0 // for so many confirmations
 	confirmed := func() {
 		if unconfirmed--; unconfirmed > 0 {
 			return
 		}
-		p.deduplicator.Confirmed(pending.message.id)
+		p.deduplicator.ReplyConfirmed(pending.message.id)
 		ack := func() {
 			for _, tag := range tags {
 				s.ack(pending.queue.Name, tag)
 			}
 		}
-		if executedOutcomes[disposition.Word] {
+		if executedOutcomes[disposition.Code] {
 			ack()
 		} else {
 			p.paceAck(ack)
@@ -339,7 +339,7 @@
 		s.publishReply(answer, confirmed)
 	}
 	if deadLetter {
-		s.publishDeadLetter(pending, disposition.Word, reason, confirmed)
+		s.publishDeadLetter(pending, disposition.Code, reason, confirmed)
 	}
 	if unconfirmed == 0 {
 		confirmed()
@@ -347,7 +347,7 @@
 }
 
 // executedOutcomes are the outcomes of messages that were runs; the others never were.
-var executedOutcomes = map[string]bool{intake.Acked.Word(): true, intake.Failed.Word(): true}
+var executedOutcomes = map[string]bool{intake.Succeeded.Code(): true, intake.Failed.Code(): true}
 
 // ackPaceInterval is how often paced acks go out: some at a time, as each waking costs as much as a message.
 const ackPaceInterval = 10 * time.Millisecond
@@ -397,7 +397,7 @@
 	p.session = nil
 	p.brokers.failed(p.Now(), s.url, code)
 	for name := range p.queues {
-		p.flow.Lost(name)
+		p.flow.Disconnected(name)
 	}
 	if !p.draining {
 		p.connect()
@@ -473,10 +473,10 @@
 }
 
 func (j *pendingMessage) Succeed(result []byte, metadata front.ResponseMetadata) {
-	j.report(intake.Acked, result, metadata)
+	j.report(intake.Succeeded, result, metadata)
 }
 func (j *pendingMessage) Reject(metadata front.ResponseMetadata) {
-	j.report(intake.Nacked, nil, metadata)
+	j.report(intake.Rejected, nil, metadata)
 }
 func (j *pendingMessage) Fail(metadata front.ResponseMetadata) {
 	j.report(intake.Failed, nil, metadata)
--- a/internal/amqp/session.go
+++ b/internal/amqp/session.go
@@ -51,7 +51,7 @@
 	prefetch       int             // as last told the broker; 0: it does not consume
 	wantedPrefetch int
 	consumerTag    string // of its consumer
-	acks           intake.Acks
+	acks           intake.AckTracker
 	backoff        time.Duration
 }
 
@@ -240,7 +240,7 @@
 	s.mu.Unlock()
 	s.wake.Broadcast()
 	for _, c := range s.channels {
-		s.consumer.deduplicator.Dropped(c.id)
+		s.consumer.deduplicator.ChannelClosed(c.id)
 	}
 	slog.Info("end", "party", "broker", "code", code, "addr", hostPort(s.url), "connection", s.id)
 	s.consumer.handleDisconnect(s, code)
@@ -337,8 +337,8 @@
 	if s.ended || s.closing || s.channels[name] != c {
 		return
 	}
-	s.consumer.deduplicator.Dropped(c.id)
-	s.consumer.flow.Lost(name)
+	s.consumer.deduplicator.ChannelClosed(c.id)
+	s.consumer.flow.Disconnected(name)
 	if old := c.link; old != nil {
 		s.enqueue(old.Close)
 	}
@@ -389,9 +389,9 @@
 func (s *session) readDeliveries(c *channel, deliveries <-chan client.Delivery) {
 	for incoming := range deliveries {
 		message := c.queue.Mapping.read(c.queue.Name, &incoming, placeholderReason(incoming.Body), time.Now())
-		tag := intake.Tag{Connection: c.id, Delivery: incoming.DeliveryTag}
+		tag := intake.DeliveryTag{ChannelID: c.id, Number: incoming.DeliveryTag}
 		if message.defect == badHeader { // nothing of it was read, so nothing can tell it from another
-			message.id = intake.MessageID(fmt.Sprintf("unread:%d:%d", tag.Connection, tag.Delivery))
+			message.id = intake.MessageID(fmt.Sprintf("unread:%d:%d", tag.ChannelID, tag.Number))
 		}
 		redelivered := incoming.Redelivered
 		s.consumer.Post(func() { s.consumer.handleDelivery(c.queue, message, tag, redelivered) })
@@ -399,23 +399,23 @@
 }
 
 // channelOf gives the channel on which a delivery came, nil if it is gone.
-func (s *session) channelOf(name intake.QueueName, tag intake.Tag) *channel {
-	if c := s.channels[name]; c != nil && c.id == tag.Connection && !s.ended {
+func (s *session) channelOf(name intake.QueueName, tag intake.DeliveryTag) *channel {
+	if c := s.channels[name]; c != nil && c.id == tag.ChannelID && !s.ended {
 		return c
 	}
 	return nil
 }
 
-func (s *session) trackDelivery(name intake.QueueName, tag intake.Tag) {
+func (s *session) trackDelivery(name intake.QueueName, tag intake.DeliveryTag) {
 	if c := s.channelOf(name, tag); c != nil {
-		c.acks.Took(tag.Delivery)
+		c.acks.Received(tag.Number)
 	}
 }
 
 // ack marks a delivery; the batch's acks go together.
-func (s *session) ack(name intake.QueueName, tag intake.Tag) {
+func (s *session) ack(name intake.QueueName, tag intake.DeliveryTag) {
 	if c := s.channelOf(name, tag); c != nil {
-		c.acks.Done(tag.Delivery)
+		c.acks.Acked(tag.Number)
 		s.consumer.flow.Settled(name)
 	}
 }
@@ -429,22 +429,22 @@
 	}
 }
 
-func (c *channel) sendAck(s *session, ack intake.Covers) {
+func (c *channel) sendAck(s *session, ack intake.AckRange) {
 	ch := c.link
 	s.enqueue(func() error { return ch.Ack(ack.Tag, ack.Multiple) })
 }
 
-func (s *session) requeue(name intake.QueueName, tag intake.Tag) {
-	if c := s.channelOf(name, tag); c != nil && c.acks.Drop(tag.Delivery) {
+func (s *session) requeue(name intake.QueueName, tag intake.DeliveryTag) {
+	if c := s.channelOf(name, tag); c != nil && c.acks.Remove(tag.Number) {
 		s.consumer.flow.Settled(name)
-		s.enqueue(func() error { return c.link.Nack(tag.Delivery, false, true) })
+		s.enqueue(func() error { return c.link.Nack(tag.Number, false, true) })
 	}
 }
 
-func (s *session) reject(name intake.QueueName, tag intake.Tag) {
-	if c := s.channelOf(name, tag); c != nil && c.acks.Drop(tag.Delivery) {
+func (s *session) reject(name intake.QueueName, tag intake.DeliveryTag) {
+	if c := s.channelOf(name, tag); c != nil && c.acks.Remove(tag.Number) {
 		s.consumer.flow.Settled(name)
-		s.enqueue(func() error { return c.link.Reject(tag.Delivery, false) })
+		s.enqueue(func() error { return c.link.Reject(tag.Number, false) })
 	}
 }
 
--- a/internal/intake/acks.go
+++ b/internal/intake/acks.go
@@ -1,73 +1,75 @@
 package intake
 
-// Acks gathers the acks of one channel, so that many go as one. Danger: an ack of several covers everything before it, so it may
+// AckTracker gathers the acks of one channel, so that many go as one. Danger: an ack of several covers everything before it, so it may
 // only cover what is done.
-type Acks struct{ out []taken }
+type AckTracker struct{ unsettled []trackedDelivery }
 
-type taken struct {
-	tag  uint64
-	done bool
+type trackedDelivery struct {
+	tag   uint64
+	acked bool
 }
 
-// Covers is one ack to send; Multiple: for all before it too.
-type Covers struct {
+// AckRange is one ack to send; Multiple: for all before it too.
+type AckRange struct {
 	Tag      uint64
 	Multiple bool
 }
 
-// Took notes a delivery; tags rise.
-func (a *Acks) Took(tag uint64) { a.out = append(a.out, taken{tag: tag}) }
+// Received notes a delivery; tags rise.
+func (a *AckTracker) Received(tag uint64) {
+	a.unsettled = append(a.unsettled, trackedDelivery{tag: tag})
+}
 
-// Done marks a delivery to be acked. Drop takes one out that is settled otherwise; it tells whether it was in hand.
-func (a *Acks) Done(tag uint64) {
-	if i := a.find(tag); i >= 0 {
-		a.out[i].done = true
+// Acked marks a delivery to be acked. Drop takes one out that is settled otherwise; it tells whether it was in hand.
+func (a *AckTracker) Acked(tag uint64) {
+	if i := a.indexOf(tag); i >= 0 {
+		a.unsettled[i].acked = true
 	}
 }
 
-func (a *Acks) Drop(tag uint64) bool {
-	i := a.find(tag)
+func (a *AckTracker) Remove(tag uint64) bool {
+	i := a.indexOf(tag)
 	if i >= 0 {
-		a.out = append(a.out[:i], a.out[i+1:]...)
+		a.unsettled = append(a.unsettled[:i], a.unsettled[i+1:]...)
 	}
 	return i >= 0
 }
 
-func (a *Acks) find(tag uint64) int {
-	low, high := 0, len(a.out)
+func (a *AckTracker) indexOf(tag uint64) int {
+	low, high := 0, len(a.unsettled)
 	for low < high {
-		if mid := (low + high) / 2; a.out[mid].tag < tag {
+		if mid := (low + high) / 2; a.unsettled[mid].tag < tag {
 			low = mid + 1
 		} else {
 			high = mid
 		}
 	}
-	if low < len(a.out) && a.out[low].tag == tag {
+	if low < len(a.unsettled) && a.unsettled[low].tag == tag {
 		return low
 	}
 	return -1
 }
 
 // Len is how many deliveries are not settled.
-func (a *Acks) Len() int { return len(a.out) }
+func (a *AckTracker) Len() int { return len(a.unsettled) }
 
 // Flush gives the acks to send: one for all up to the first that is not done, and one for each other that is.
-func (a *Acks) Flush() (all []Covers) {
+func (a *AckTracker) Flush() (acks []AckRange) {
 	n := 0
-	for n < len(a.out) && a.out[n].done {
+	for n < len(a.unsettled) && a.unsettled[n].acked {
 		n++
 	}
 	if n > 0 {
-		all = append(all, Covers{a.out[n-1].tag, n > 1})
+		acks = append(acks, AckRange{a.unsettled[n-1].tag, n > 1})
 	}
-	kept := a.out[:0]
-	for _, t := range a.out[n:] {
-		if t.done {
-			all = append(all, Covers{Tag: t.tag})
+	kept := a.unsettled[:0]
+	for _, delivery := range a.unsettled[n:] {
+		if delivery.acked {
+			acks = append(acks, AckRange{Tag: delivery.tag})
 		} else {
-			kept = append(kept, t)
+			kept = append(kept, delivery)
 		}
 	}
-	a.out = kept
-	return all
+	a.unsettled = kept
+	return acks
 }
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -15,76 +15,76 @@
 
 // Queue is what is told of one.
 type Queue struct {
-	Name     QueueName
-	Weight   float64 // its share beside others of the same priority
-	Priority int     // the higher go first
-	Floor    int     // messages that it may have in hand however busy the instance is, while it takes any
-	Most     int     // messages that it may have in hand
+	Name        QueueName
+	Weight      float64 // its share beside others of the same priority
+	Priority    int     // the higher go first
+	MinInFlight int     // messages that it may have in hand however busy the instance is, while it takes any
+	MaxInFlight int     // messages that it may have in hand
 }
 
-// Desk decides the intake. It belongs to one goroutine.
-type Desk struct {
-	queues []*queue
-	most   int     // messages in hand over all queues
-	level  float64 // as many as it lets in now
-	looked time.Duration
-	began  bool
-	nacked int // since the last look, by the module, for want of room
-	load   front.Load
-	closed string // why nothing is taken, empty if something is
+// FlowController decides the intake. It belongs to one goroutine.
+type FlowController struct {
+	queues      []*queue
+	maxInFlight int     // messages in hand over all queues
+	window      float64 // as many as it lets in now
+	updatedAt   time.Duration
+	updated     bool
+	rejected    int // since the last look, by the module, for want of room
+	load        front.Load
+	pauseReason string // why nothing is taken, empty if something is
 }
 
 type queue struct {
 	Queue
-	hand    int // taken and not settled
-	limit   int
-	probe   time.Duration // when one is let through again, while it fails
-	backoff time.Duration
-	grows   int       // what a queue that comes back may have in hand
-	ends    [32]bool  // whether the last ops failed: some dozen show more than chance
-	count   int       // of ends, ever
-	state   queueMode // how it is treated
+	inFlight      int // taken and not settled
+	limit         int
+	nextProbe     time.Duration // when one is let through again, while it fails
+	probeBackoff  time.Duration
+	recoveryLimit int       // what a queue that comes back may have in hand
+	failures      [32]bool  // whether the last ops failed: some dozen show more than chance
+	finished      int       // of ends, ever
+	mode          queueMode // how it is treated
 }
 
 type queueMode int
 
 const (
-	open    queueMode = iota
-	probing           // its messages fail: one at a time, ever more seldom
-	coming            // a probe went well: a few, then more
+	modeOpen       queueMode = iota
+	modeProbing              // its messages fail: one at a time, ever more seldom
+	modeRecovering           // a probe went well: a few, then more
 )
 
 // Constants of the control.
 const (
-	// Every is how often Look is called: some times within any target latency.
-	Every = 100 * time.Millisecond
+	// UpdateInterval is how often Look is called: some times within any target latency.
+	UpdateInterval = 100 * time.Millisecond
 	// Down is what is left of the level after a look in which the module had no room: sharp enough to be out of the way
 	// within half a second.
-	down = 0.7
+	decreaseFactor = 0.7
 	// First and longest wait between two probes of a queue whose messages fail.
-	firstProbe, longestProbe = time.Second, 30 * time.Second
+	initialProbeBackoff, maxProbeBackoff = time.Second, 30 * time.Second
 	// A queue fails if half of its last ops did, and it had enough of them to tell.
-	fails, enough = 0.5, 8
+	failureThreshold, minOutcomes = 0.5, 8
 )
 
-// NewDesk opens with the queues told and a bound on messages in hand.
-func NewDesk(queues []Queue, most int) *Desk {
-	d := &Desk{most: max(1, most)}
-	for _, q := range queues {
-		d.queues = append(d.queues, &queue{Queue: q})
+// NewFlowController opens with the queues told and a bound on messages in hand.
+func NewFlowController(queues []Queue, maxInFlight int) *FlowController {
+	flow := &FlowController{maxInFlight: max(1, maxInFlight)}
+	for _, config := range queues {
+		flow.queues = append(flow.queues, &queue{Queue: config})
 	}
-	d.level = float64(d.floors())
-	return d
+	flow.window = float64(flow.minInFlight())
+	return flow
 }
 
-func (d *Desk) floors() (sum int) {
+func (d *FlowController) minInFlight() (sum int) {
 	for _, q := range d.queues {
-		sum += max(0, q.Floor)
+		sum += max(0, q.MinInFlight)
 	}
 	return max(1, sum)
 }
 
-func (d *Desk) of(name QueueName) *queue {
+func (d *FlowController) lookup(name QueueName) *queue {
 	for _, q := range d.queues {
 		if q.Name == name {
 			return q
@@ -93,212 +93,212 @@
 	return nil
 }
 
-// Taken counts a delivery; Settled one that is no longer in hand.
-func (d *Desk) Taken(name QueueName) {
-	if q := d.of(name); q != nil {
-		q.hand++
+// Received counts a delivery; Settled one that is no longer in hand.
+func (d *FlowController) Received(name QueueName) {
+	if q := d.lookup(name); q != nil {
+		q.inFlight++
 	}
 }
 
-func (d *Desk) Settled(name QueueName) {
-	if q := d.of(name); q != nil && q.hand > 0 {
-		q.hand--
+func (d *FlowController) Settled(name QueueName) {
+	if q := d.lookup(name); q != nil && q.inFlight > 0 {
+		q.inFlight--
 	}
 }
 
-// Lost tells that all deliveries of a queue went back with their connection.
-func (d *Desk) Lost(name QueueName) {
-	if q := d.of(name); q != nil {
-		q.hand = 0
+// Disconnected tells that all deliveries of a queue went back with their connection.
+func (d *FlowController) Disconnected(name QueueName) {
+	if q := d.lookup(name); q != nil {
+		q.inFlight = 0
 	}
 }
 
-// Nacked tells that the module had no room for a message. Ended tells how a run of one came out.
-func (d *Desk) Nacked() { d.nacked++ }
+// Rejected tells that the module had no room for a message. Ended tells how a run of one came out.
+func (d *FlowController) Rejected() { d.rejected++ }
 
-func (d *Desk) Ended(now time.Duration, name QueueName, failed bool) {
-	q := d.of(name)
+func (d *FlowController) Finished(now time.Duration, name QueueName, failed bool) {
+	q := d.lookup(name)
 	if q == nil {
 		return
 	}
-	q.ends[q.count%len(q.ends)] = failed
-	q.count++
+	q.failures[q.finished%len(q.failures)] = failed
+	q.finished++
 	switch {
-	case q.state == open && q.failing():
-		q.state, q.backoff = probing, firstProbe
-		q.probe = now + q.backoff
-	case q.state == probing && failed:
-		q.backoff = min(2*q.backoff, longestProbe)
-		q.probe = now + q.backoff
-	case q.state == probing:
-		q.state, q.grows = coming, 1
-		q.count = 0
-	case q.state == coming && failed:
-		q.state, q.backoff = probing, min(2*q.backoff, longestProbe)
-		q.probe = now + q.backoff
-	case q.state == coming:
-		if q.grows++; q.grows > max(q.Floor, enough) {
-			q.state, q.count, q.backoff = open, 0, 0
+	case q.mode == modeOpen && q.isFailing():
+		q.mode, q.probeBackoff = modeProbing, initialProbeBackoff
+		q.nextProbe = now + q.probeBackoff
+	case q.mode == modeProbing && failed:
+		q.probeBackoff = min(2*q.probeBackoff, maxProbeBackoff)
+		q.nextProbe = now + q.probeBackoff
+	case q.mode == modeProbing:
+		q.mode, q.recoveryLimit = modeRecovering, 1
+		q.finished = 0
+	case q.mode == modeRecovering && failed:
+		q.mode, q.probeBackoff = modeProbing, min(2*q.probeBackoff, maxProbeBackoff)
+		q.nextProbe = now + q.probeBackoff
+	case q.mode == modeRecovering:
+		if q.recoveryLimit++; q.recoveryLimit > max(q.MinInFlight, minOutcomes) {
+			q.mode, q.finished, q.probeBackoff = modeOpen, 0, 0
 		}
 	}
 }
 
-func (q *queue) failing() bool {
-	n := min(q.count, len(q.ends))
-	bad := 0
-	for _, failed := range q.ends[:n] {
-		if failed {
-			bad++
+func (q *queue) isFailing() bool {
+	n := min(q.finished, len(q.failures))
+	failed := 0
+	for _, isFailure := range q.failures[:n] {
+		if isFailure {
+			failed++
 		}
 	}
-	return n >= enough && float64(bad) >= fails*float64(n)
+	return n >= minOutcomes && float64(failed) >= failureThreshold*float64(n)
 }
 
-// Hand is how many messages are in hand over all queues.
-func (d *Desk) Hand() (sum int) {
+// TotalInFlight is how many messages are in hand over all queues.
+func (d *FlowController) TotalInFlight() (sum int) {
 	for _, q := range d.queues {
-		sum += q.hand
+		sum += q.inFlight
 	}
 	return sum
 }
 
-// InHand is how many messages of a queue are in hand; Level how many over all queues it lets in.
-func (d *Desk) InHand(name QueueName) int {
-	if q := d.of(name); q != nil {
-		return q.hand
+// InFlight is how many messages of a queue are in hand; Level how many over all queues it lets in.
+func (d *FlowController) InFlight(name QueueName) int {
+	if q := d.lookup(name); q != nil {
+		return q.inFlight
 	}
 	return 0
 }
 
-func (d *Desk) Level() int { return int(d.level) }
+func (d *FlowController) Window() int { return int(d.window) }
 
-// Closed is why nothing is taken, empty if something is.
-func (d *Desk) Closed() string { return d.closed }
+// PauseReason is why nothing is taken, empty if something is.
+func (d *FlowController) PauseReason() string { return d.pauseReason }
 
-// Look works out the limits anew. blocked tells that answers can't leave. Saturated, an instance leaves messages in the queue for
+// Update works out the limits anew. blocked tells that answers can't leave. Saturated, an instance leaves messages in the queue for
 // its peers and keeps its room for callers who wait on a connection: the level falls while the module turns messages away or
 // holds more ops than it has cores, and rises, by as many as there are cores, only while what it lets in is used.
-func (d *Desk) Look(now time.Duration, load front.Load, blocked bool) {
+func (d *FlowController) Update(now time.Duration, load front.Load, blocked bool) {
 	d.load = load
-	nacked := d.nacked
-	d.nacked = 0
-	if d.began && now-d.looked < Every/2 {
+	rejected := d.rejected
+	d.rejected = 0
+	if d.updated && now-d.updatedAt < UpdateInterval/2 {
 		return
 	}
-	d.looked, d.began = now, true
-	d.closed = ""
+	d.updatedAt, d.updated = now, true
+	d.pauseReason = ""
 	switch {
 	case load.Draining:
-		d.closed = "leaving"
+		d.pauseReason = "leaving"
 	case !load.Ready:
-		d.closed = "runtime-down"
+		d.pauseReason = "runtime-down"
 	case blocked:
-		d.closed = "blocked"
+		d.pauseReason = "blocked"
 	case load.FreeCapacity <= 0:
-		d.closed = "memory"
+		d.pauseReason = "memory"
 	}
-	if d.closed != "" {
+	if d.pauseReason != "" {
 		// Danger: coming back with all that was let in before, into an instance that starts cold.
-		d.level = float64(d.floors())
+		d.window = float64(d.minInFlight())
 		for _, q := range d.queues {
 			q.limit = 0
 		}
 		return
 	}
 	cores := max(1, load.Cores)
-	d.level = max(d.level, float64(d.floors())) // room that was short may be back
+	d.window = max(d.window, float64(d.minInFlight())) // room that was short may be back
 	switch {
-	case nacked > 0, !load.Healthy, float64(load.Queued) > 2*cores:
-		d.level = max(float64(d.floors()), d.level*down)
-	case float64(d.Hand()) >= 0.8*d.level && float64(load.Queued) <= cores:
-		d.level += cores
+	case rejected > 0, !load.Healthy, float64(load.Queued) > 2*cores:
+		d.window = max(float64(d.minInFlight()), d.window*decreaseFactor)
+	case float64(d.TotalInFlight()) >= 0.8*d.window && float64(load.Queued) <= cores:
+		d.window += cores
 	}
-	d.level = min(d.level, float64(min(d.most, d.Hand()+load.FreeCapacity)))
-	d.share(now)
+	d.window = min(d.window, float64(min(d.maxInFlight, d.TotalInFlight()+load.FreeCapacity)))
+	d.divide(now)
 }
 
-// share divides the level: floors first, then the higher priority before the lower, by weight within one, and never more than
+// divide divides the level: floors first, then the higher priority before the lower, by weight within one, and never more than
 // a queue can use.
-func (d *Desk) share(now time.Duration) {
-	left := int(d.level)
+func (d *FlowController) divide(now time.Duration) {
+	remaining := int(d.window)
 	byPriority := slices.Clone(d.queues)
 	slices.SortStableFunc(byPriority, func(a, b *queue) int { return cmp.Compare(b.Priority, a.Priority) })
 	for _, q := range byPriority {
-		q.limit = min(q.Floor, q.cap(now), max(left, 0))
-		left -= q.limit
+		q.limit = min(q.MinInFlight, q.ceiling(now), max(remaining, 0))
+		remaining -= q.limit
 	}
-	for i := 0; i < len(byPriority) && left > 0; {
+	for i := 0; i < len(byPriority) && remaining > 0; {
 		j := i
 		for j < len(byPriority) && byPriority[j].Priority == byPriority[i].Priority {
 			j++
 		}
-		left = fill(byPriority[i:j], left, now)
+		remaining = fillByWeight(byPriority[i:j], remaining, now)
 		i = j
 	}
 	for _, q := range d.queues {
-		if q.state == probing && now >= q.probe && q.hand == 0 {
+		if q.mode == modeProbing && now >= q.nextProbe && q.inFlight == 0 {
 			q.limit = 1
 		}
 	}
 }
 
-// cap is what a queue may have in hand by its own state: one that fails is probed, not drained into failure.
-func (q *queue) cap(now time.Duration) int {
-	switch q.state {
-	case probing:
-		if now >= q.probe {
+// ceiling is what a queue may have in hand by its own state: one that fails is probed, not drained into failure.
+func (q *queue) ceiling(now time.Duration) int {
+	switch q.mode {
+	case modeProbing:
+		if now >= q.nextProbe {
 			return 1
 		}
 		return 0
-	case coming:
-		return min(q.Most, q.grows)
+	case modeRecovering:
+		return min(q.MaxInFlight, q.recoveryLimit)
 	}
-	return q.Most
+	return q.MaxInFlight
 }
 
-// wants is what a queue can use: somewhat more than it has, so that it shows whether there is more.
-func (q *queue) wants(now time.Duration) int { return min(q.cap(now), 2*q.hand+4) }
+// demand is what a queue can use: somewhat more than it has, so that it shows whether there is more.
+func (q *queue) demand(now time.Duration) int { return min(q.ceiling(now), 2*q.inFlight+4) }
 
-// fill gives what is left to queues of one priority, by weight, until each has what it wants.
-func fill(queues []*queue, left int, now time.Duration) int {
-	for left > 0 {
-		sum := 0.0
+// fillByWeight gives what is left to queues of one priority, by weight, until each has what it wants.
+func fillByWeight(queues []*queue, remaining int, now time.Duration) int {
+	for remaining > 0 {
+		totalWeight := 0.0
 		for _, q := range queues {
-			if q.limit < q.wants(now) {
-				sum += max(q.Weight, 0.01)
+			if q.limit < q.demand(now) {
+				totalWeight += max(q.Weight, 0.01)
 			}
 		}
-		if sum == 0 {
-			return left
+		if totalWeight == 0 {
+			return remaining
 		}
-		before := left
+		before := remaining
 		for _, q := range queues {
-			if short := q.wants(now) - q.limit; short > 0 && left > 0 {
-				part := min(short, left, max(1, int(float64(before)*max(q.Weight, 0.01)/sum)))
+			if missing := q.demand(now) - q.limit; missing > 0 && remaining > 0 {
+				part := min(missing, remaining, max(1, int(float64(before)*max(q.Weight, 0.01)/totalWeight)))
 				q.limit += part
-				left -= part
+				remaining -= part
 			}
 		}
 	}
-	return left
+	return remaining
 }
 
 // Limit is how many messages of a queue may be in hand; none means that consuming stops.
-func (d *Desk) Limit(name QueueName) int {
-	if q := d.of(name); q != nil {
+func (d *FlowController) Limit(name QueueName) int {
+	if q := d.lookup(name); q != nil {
 		return q.limit
 	}
 	return 0
 }
 
 // State tells how a queue is treated, in one word.
-func (d *Desk) State(name QueueName) string {
-	q := d.of(name)
+func (d *FlowController) State(name QueueName) string {
+	q := d.lookup(name)
 	switch {
 	case q == nil:
 		return "unknown"
-	case d.closed != "":
-		return d.closed
+	case d.pauseReason != "":
+		return d.pauseReason
 	}
-	return [...]string{"open", "probing", "coming"}[q.state]
+	return [...]string{"open", "probing", "coming"}[q.mode]
 }
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -17,13 +17,13 @@
 // An instance with room takes more as long as what it takes is used; saturated it lets go of all but the floors, and when it
 // leaves, or what it needs is down, it takes nothing.
 func Example() {
-	d := NewDesk([]Queue{{Name: "ops", Weight: 1, Floor: 2, Most: 50}}, 30)
+	d := NewFlowController([]Queue{{Name: "ops", Weight: 1, MinInFlight: 2, MaxInFlight: 50}}, 30)
 	now := time.Duration(0)
 	look := func(load front.Load, blocked bool) {
-		now += Every
-		d.Look(now, load, blocked)
-		for range d.Limit("ops") - d.Hand() {
-			d.Taken("ops")
+		now += UpdateInterval
+		d.Update(now, load, blocked)
+		for range d.Limit("ops") - d.TotalInFlight() {
+			d.Received("ops")
 		}
 		fmt.Print(d.Limit("ops"), " ")
 	}
@@ -32,7 +32,7 @@
 	}
 	fmt.Println(d.State("ops"))
 	for range 9 {
-		d.Nacked()
+		d.Rejected()
 		look(calm, false)
 	}
 	fmt.Println(d.State("ops"))
@@ -57,23 +57,23 @@
 }
 
 // Floors first, then the higher priority, then weights; a queue that has nothing leaves its part to the others.
-func Example_queues() {
-	d := NewDesk([]Queue{{Name: "low", Weight: 1, Floor: 2, Most: 50}, {Name: "a", Weight: 3, Priority: 1, Floor: 1, Most: 50},
-		{Name: "b", Weight: 1, Priority: 1, Floor: 1, Most: 50}}, 24)
+func Example_priorities() {
+	d := NewFlowController([]Queue{{Name: "low", Weight: 1, MinInFlight: 2, MaxInFlight: 50}, {Name: "a", Weight: 3, Priority: 1, MinInFlight: 1, MaxInFlight: 50},
+		{Name: "b", Weight: 1, Priority: 1, MinInFlight: 1, MaxInFlight: 50}}, 24)
 	now := time.Duration(0)
 	show := func(busy ...QueueName) {
 		for range 20 {
-			now += Every
-			d.Look(now, calm, false)
+			now += UpdateInterval
+			d.Update(now, calm, false)
 			for _, q := range d.queues {
-				for slices.Contains(busy, q.Name) && q.hand < q.limit {
-					q.hand++
+				for slices.Contains(busy, q.Name) && q.inFlight < q.limit {
+					q.inFlight++
 				}
 			}
 		}
 		fmt.Println("low", d.Limit("low"), "a", d.Limit("a"), "b", d.Limit("b"))
 		for _, q := range d.queues {
-			q.hand = 0
+			q.inFlight = 0
 		}
 	}
 	show("low", "a", "b")
@@ -87,21 +87,21 @@
 
 // A queue whose messages fail is probed ever more seldom, and comes back a few at a time.
 func Example_failing() {
-	d := NewDesk([]Queue{{Name: "ops", Weight: 1, Floor: 4, Most: 50}}, 30)
+	d := NewFlowController([]Queue{{Name: "ops", Weight: 1, MinInFlight: 4, MaxInFlight: 50}}, 30)
 	now := time.Duration(0)
 	broken := true
 	took := 0
 	say := ""
 	for range 400 {
-		now += Every
-		d.Look(now, calm, false)
-		for d.Hand() < d.Limit("ops") {
-			d.Taken("ops")
+		now += UpdateInterval
+		d.Update(now, calm, false)
+		for d.TotalInFlight() < d.Limit("ops") {
+			d.Received("ops")
 			took++
 		}
-		for n := d.Hand(); n > 0; n-- {
+		for n := d.TotalInFlight(); n > 0; n-- {
 			d.Settled("ops")
-			d.Ended(now, "ops", broken)
+			d.Finished(now, "ops", broken)
 		}
 		if state := d.State("ops"); state != say {
 			fmt.Println(now, state, "taken", took)
@@ -118,34 +118,34 @@
 
 // What becomes of a message.
 func Example_settle() {
-	b := NewBudget(0.1)
-	plain, retry := Told{Attempts: 3, Dead: true}, Told{Attempts: 3, Retry: true, Delay: time.Second, Dead: true}
-	show := func(name string, m Message, t Told, how Outcome, after time.Duration) {
+	b := NewRetryBudget(0.1)
+	plain, retry := SettlementConfig{MaxAttempts: 3, DeadLetter: true}, SettlementConfig{MaxAttempts: 3, UseRetryQueue: true, RetryQueueDelay: time.Second, DeadLetter: true}
+	show := func(name string, m Message, t SettlementConfig, how Outcome, after time.Duration) {
 		f := b.Settle(m, t, how, after, 0.5)
-		fmt.Printf("%s: answer %v %s dead %v then %s in %v\n", name, f.Answer, f.Word, f.Dead, [...]string{"ack", "requeue", "reject"}[f.Then], f.Wait)
+		fmt.Printf("%s: answer %v %s dead %v then %s in %v\n", name, f.Reply, f.Code, f.DeadLetter, [...]string{"ack", "requeue", "reject"}[f.Action], f.Delay)
 	}
-	m := Message{Left: 10 * time.Second, Twice: true}
-	show("acked", m, plain, Acked, 0)
-	show("nacked", m, plain, Nacked, 0)
-	show("nacked, come later", m, plain, Nacked, 2*time.Second)
-	show("nacked, retry queue", m, retry, Nacked, 0)
-	show("nacked, no time", Message{Left: 20 * time.Millisecond}, plain, Nacked, 0)
-	show("nacked, no time for the retry queue", Message{Left: time.Second}, retry, Nacked, 0)
-	show("nacked, last attempt", Message{Left: time.Minute, Attempt: 2}, retry, Nacked, 0)
+	m := Message{Remaining: 10 * time.Second, Idempotent: true}
+	show("acked", m, plain, Succeeded, 0)
+	show("nacked", m, plain, Rejected, 0)
+	show("nacked, come later", m, plain, Rejected, 2*time.Second)
+	show("nacked, retry queue", m, retry, Rejected, 0)
+	show("nacked, no time", Message{Remaining: 20 * time.Millisecond}, plain, Rejected, 0)
+	show("nacked, no time for the retry queue", Message{Remaining: time.Second}, retry, Rejected, 0)
+	show("nacked, last attempt", Message{Remaining: time.Minute, Attempt: 2}, retry, Rejected, 0)
 	show("failed", m, retry, Failed, 0)
 	show("denied", m, plain, Denied, 0)
 	show("drained", m, retry, Drained, 0)
-	show("drained, must not run twice", Message{Left: time.Second}, retry, Drained, 0)
+	show("drained, must not run twice", Message{Remaining: time.Second}, retry, Drained, 0)
 	put := 0
 	for range 100 {
-		if !b.Settle(m, plain, Nacked, 0, 0).Answer {
+		if !b.Settle(m, plain, Rejected, 0, 0).Reply {
 			put++
 		}
 	}
 	for range 50 {
-		b.Fresh()
+		b.CountFresh()
 	}
-	fmt.Println("budget", put, b.Settle(m, plain, Nacked, 0, 0).Answer)
+	fmt.Println("budget", put, b.Settle(m, plain, Rejected, 0, 0).Reply)
 	// Output:
 	// acked: answer true acked dead false then ack in 0s
 	// nacked: answer false  dead false then requeue in 200ms
@@ -163,38 +163,38 @@
 
 // The intake against its bounds, whatever the queues, loads and ends: never more than told, floors kept while it is open, nothing
 // while it is closed.
-func TestDesk(t *testing.T) {
+func TestFlowController(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var queues []Queue
 		floors := 0
 		for i := range rapid.IntRange(1, 4).Draw(t, "queues") {
 			q := Queue{Name: QueueName(fmt.Sprint("q", i)), Weight: rapid.Float64Range(0.01, 10).Draw(t, "weight"),
-				Priority: rapid.IntRange(0, 2).Draw(t, "priority"), Floor: rapid.IntRange(0, 3).Draw(t, "floor"), Most: rapid.IntRange(3, 40).Draw(t, "most")}
+				Priority: rapid.IntRange(0, 2).Draw(t, "priority"), MinInFlight: rapid.IntRange(0, 3).Draw(t, "floor"), MaxInFlight: rapid.IntRange(3, 40).Draw(t, "most")}
 			queues = append(queues, q)
-			floors += q.Floor
+			floors += q.MinInFlight
 		}
 		most := rapid.IntRange(max(1, floors), 60).Draw(t, "in hand")
-		d := NewDesk(queues, most)
+		d := NewFlowController(queues, most)
 		now := time.Duration(0)
 		for range 40 {
 			now += time.Duration(rapid.IntRange(60, 400).Draw(t, "ms")) * time.Millisecond
 			load := front.Load{Ready: rapid.IntRange(0, 9).Draw(t, "up") > 0, Healthy: rapid.Bool().Draw(t, "well"), Cores: 2,
 				Queued: rapid.IntRange(0, 9).Draw(t, "held"), FreeCapacity: rapid.IntRange(0, 100).Draw(t, "room")}
 			if rapid.Bool().Draw(t, "nacked") {
-				d.Nacked()
+				d.Rejected()
 			}
-			d.Look(now, load, false)
+			d.Update(now, load, false)
 			sum := 0
 			for _, q := range queues {
 				limit := d.Limit(q.Name)
 				sum += limit
-				if limit < 0 || limit > q.Most {
-					t.Fatalf("%s may have %d of %d", q.Name, limit, q.Most)
+				if limit < 0 || limit > q.MaxInFlight {
+					t.Fatalf("%s may have %d of %d", q.Name, limit, q.MaxInFlight)
 				}
-				if d.Closed() != "" && limit > 0 {
+				if d.PauseReason() != "" && limit > 0 {
 					t.Fatal("closed, and takes")
 				}
-				if d.Closed() == "" && d.State(q.Name) == "open" && load.FreeCapacity >= floors && limit < q.Floor {
+				if d.PauseReason() == "" && d.State(q.Name) == "open" && load.FreeCapacity >= floors && limit < q.MinInFlight {
 					t.Fatalf("%s is below its floor: %d", q.Name, limit)
 				}
 			}
@@ -202,12 +202,12 @@
 				t.Fatalf("%d in hand, told %d", sum, most)
 			}
 			for _, q := range queues {
-				for d.of(q.Name).hand < d.Limit(q.Name) && rapid.Bool().Draw(t, "comes") {
-					d.Taken(q.Name)
+				for d.lookup(q.Name).inFlight < d.Limit(q.Name) && rapid.Bool().Draw(t, "comes") {
+					d.Received(q.Name)
 				}
-				for d.of(q.Name).hand > 0 && rapid.Bool().Draw(t, "ends") {
+				for d.lookup(q.Name).inFlight > 0 && rapid.Bool().Draw(t, "ends") {
 					d.Settled(q.Name)
-					d.Ended(now, q.Name, rapid.Bool().Draw(t, "failed"))
+					d.Finished(now, q.Name, rapid.Bool().Draw(t, "failed"))
 				}
 			}
 		}
@@ -216,12 +216,12 @@
 
 // The memory against a list of all that ever happened: nothing runs twice that must not, what runs is not run beside itself, what
 // was answered and confirmed is not answered again, and the tags in hand are those of connections that stand.
-func TestMemory(t *testing.T) {
+func TestDeduplicator(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := NewMemory(1000, time.Hour)
+		m := NewDeduplicator(1000, time.Hour)
 		type truth struct {
 			running, answered, sure, put, ever bool
-			tags                               map[Tag]bool
+			tags                               map[DeliveryTag]bool
 		}
 		all := map[MessageID]*truth{}
 		tag, conn := uint64(0), uint64(1)
@@ -229,52 +229,52 @@
 			id := MessageID(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id"))
 			x := all[id]
 			if x == nil {
-				x = &truth{tags: map[Tag]bool{}}
+				x = &truth{tags: map[DeliveryTag]bool{}}
 				all[id] = x
 			}
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
 				tag++
-				here := Tag{conn, tag}
+				here := DeliveryTag{conn, tag}
 				redelivered, twice := rapid.Bool().Draw(t, "redelivered"), rapid.Bool().Draw(t, "twice")
-				step, _ := m.Came(0, id, 7, here, redelivered, twice)
-				want := Run
+				step, _ := m.Receive(0, id, 7, here, redelivered, twice)
+				want := Process
 				switch {
 				case x.running:
 					want = Join
 				case x.sure:
-					want = Done
+					want = AlreadyReplied
 				case x.answered:
-					want = Again
+					want = ResendReply
 				case x.put:
 				case !x.ever && redelivered && !twice:
-					want = Unknown
+					want = Uncertain
 				}
 				if step != want {
 					t.Fatalf("%s: step %d, want %d of %+v", id, step, want, x)
 				}
-				if step == Run || step == Unknown || step == Join {
+				if step == Process || step == Uncertain || step == Join {
 					x.running, x.ever, x.put = true, true, false
 					x.tags[here] = true
 				}
 			case 2:
 				if x.running {
-					tags := m.Answered(0, id, "answer")
+					tags := m.Replied(0, id, "answer")
 					if len(tags) != len(x.tags) {
 						t.Fatalf("%s: %v in hand, want %v", id, tags, x.tags)
 					}
-					x.running, x.answered, x.tags = false, true, map[Tag]bool{}
+					x.running, x.answered, x.tags = false, true, map[DeliveryTag]bool{}
 				}
 			case 3:
 				if x.running && rapid.Bool().Draw(t, "put back") {
-					m.PutBack(0, id)
-					x.running, x.put, x.tags = false, true, map[Tag]bool{}
+					m.Returned(0, id)
+					x.running, x.put, x.tags = false, true, map[DeliveryTag]bool{}
 				} else if x.answered {
-					m.Confirmed(id)
+					m.ReplyConfirmed(id)
 					x.sure = true
 				}
 			case 4:
-				m.Dropped(conn)
+				m.ChannelClosed(conn)
 				conn++
 				for _, x := range all {
 					clear(x.tags)
@@ -289,29 +289,29 @@
 func TestSettle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0, 1).Draw(t, "share")
-		b := NewBudget(share)
-		told := Told{Attempts: rapid.IntRange(1, 5).Draw(t, "attempts"), Retry: rapid.Bool().Draw(t, "retry"),
-			Delay: time.Duration(rapid.IntRange(0, 3000).Draw(t, "delay")) * time.Millisecond, Dead: rapid.Bool().Draw(t, "dead")}
+		b := NewRetryBudget(share)
+		told := SettlementConfig{MaxAttempts: rapid.IntRange(1, 5).Draw(t, "attempts"), UseRetryQueue: rapid.Bool().Draw(t, "retry"),
+			RetryQueueDelay: time.Duration(rapid.IntRange(0, 3000).Draw(t, "delay")) * time.Millisecond, DeadLetter: rapid.Bool().Draw(t, "dead")}
 		fresh, back := 0, 0
 		for range 100 {
-			m := Message{Attempt: rapid.IntRange(0, 6).Draw(t, "attempt"), Twice: rapid.Bool().Draw(t, "twice"),
-				Left: time.Duration(rapid.IntRange(-1000, 10_000).Draw(t, "left")) * time.Millisecond}
+			m := Message{Attempt: rapid.IntRange(0, 6).Draw(t, "attempt"), Idempotent: rapid.Bool().Draw(t, "twice"),
+				Remaining: time.Duration(rapid.IntRange(-1000, 10_000).Draw(t, "left")) * time.Millisecond}
 			if m.Attempt == 0 {
-				b.Fresh()
+				b.CountFresh()
 				fresh++
 			}
-			how := Outcome(rapid.IntRange(int(Acked), int(Twice)).Draw(t, "how"))
+			how := Outcome(rapid.IntRange(int(Succeeded), int(DuplicateID)).Draw(t, "how"))
 			f := b.Settle(m, told, how, time.Duration(rapid.IntRange(0, 500).Draw(t, "after"))*time.Millisecond, rapid.Float64Range(0, 1).Draw(t, "chance"))
 			switch {
-			case f.Answer && (f.Then != Ack || f.Wait != 0 || f.Word == "" || (f.Word == "acked") != (how == Acked) || f.Dead != (told.Dead && how != Acked)):
-				t.Fatalf("%s: %+v", how.Word(), f)
-			case !f.Answer && how != Nacked && how != Drained, !f.Answer && (f.Then == Ack || f.Dead):
-				t.Fatalf("%s put back: %+v", how.Word(), f)
-			case how == Drained && (f.Answer || f.Wait != 0 || f.Then == Requeue && told.Retry && !m.Twice):
+			case f.Reply && (f.Action != Ack || f.Delay != 0 || f.Code == "" || (f.Code == "acked") != (how == Succeeded) || f.DeadLetter != (told.DeadLetter && how != Succeeded)):
+				t.Fatalf("%s: %+v", how.Code(), f)
+			case !f.Reply && how != Rejected && how != Drained, !f.Reply && (f.Action == Ack || f.DeadLetter):
+				t.Fatalf("%s put back: %+v", how.Code(), f)
+			case how == Drained && (f.Reply || f.Delay != 0 || f.Action == Requeue && told.UseRetryQueue && !m.Idempotent):
 				t.Fatalf("drained: %+v", f)
-			case how == Nacked && !f.Answer:
+			case how == Rejected && !f.Reply:
 				back++
-				if f.Wait >= m.Left || m.Attempt+1 >= told.Attempts || told.Retry != (f.Then == Reject) || told.Retry && f.Wait+told.Delay >= m.Left {
+				if f.Delay >= m.Remaining || m.Attempt+1 >= told.MaxAttempts || told.UseRetryQueue != (f.Action == Reject) || told.UseRetryQueue && f.Delay+told.RetryQueueDelay >= m.Remaining {
 					t.Fatalf("nacked %+v: %+v", m, f)
 				}
 			}
@@ -323,15 +323,15 @@
 }
 
 // What is remembered has a bound in count and in age.
-func Example_memoryBounds() {
-	m := NewMemory(100, time.Minute)
+func Example_deduplicatorBounds() {
+	m := NewDeduplicator(100, time.Minute)
 	for i := range 10_000 {
 		id := MessageID(fmt.Sprint(i))
-		m.Came(time.Duration(i), id, 0, Tag{1, uint64(i)}, false, true)
-		m.Answered(time.Duration(i), id, nil)
+		m.Receive(time.Duration(i), id, 0, DeliveryTag{1, uint64(i)}, false, true)
+		m.Replied(time.Duration(i), id, nil)
 	}
-	fmt.Println(m.Len() <= 101, m.InHand())
-	m.Came(time.Hour, "new", 0, Tag{}, false, true)
+	fmt.Println(m.Len() <= 101, m.inFlightCount())
+	m.Receive(time.Hour, "new", 0, DeliveryTag{}, false, true)
 	fmt.Println(m.Len())
 	// Output:
 	// true 0
@@ -339,24 +339,24 @@
 }
 
 // The acks of a channel against the deliveries themselves: one that covers several covers only what is done.
-func TestAcks(t *testing.T) {
+func TestAckTracker(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var a Acks
+		var a AckTracker
 		state := map[uint64]string{} // open, done, acked, dropped
 		tag := uint64(0)
 		for range 80 {
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
 				tag++
-				a.Took(tag)
+				a.Received(tag)
 				state[tag] = "open"
 			case 1, 2:
 				if x := uint64(rapid.IntRange(1, 80).Draw(t, "tag")); state[x] == "open" {
 					if rapid.IntRange(0, 4).Draw(t, "drop") == 0 {
-						a.Drop(x)
+						a.Remove(x)
 						state[x] = "dropped"
 					} else {
-						a.Done(x)
+						a.Acked(x)
 						state[x] = "done"
 					}
 				}
--- a/internal/intake/memory.go
+++ b/internal/intake/memory.go
@@ -7,160 +7,162 @@
 // MessageID is what a message is known again by: its message-id, or what was derived for it.
 type MessageID string
 
-// Tag is one delivery, on one channel of one connection.
-type Tag struct {
-	Connection uint64 // each channel counts as one of its own
-	Delivery   uint64
+// DeliveryTag is one delivery, on one channel of one connection.
+type DeliveryTag struct {
+	ChannelID uint64 // each channel counts as one of its own
+	Number    uint64
 }
 
-// Memory knows messages again that come twice. It is bounded by count and age; what it has forgotten comes as new, which
+// Deduplicator knows messages again that come twice. It is bounded by count and age; what it has forgotten comes as new, which
 // only what may run twice may do.
-type Memory struct {
-	most  int
-	age   time.Duration
-	known map[MessageID]*record
-	order []*record // as they were settled, the oldest first
+type Deduplicator struct {
+	maxSettled   int
+	maxAge       time.Duration
+	records      map[MessageID]*record
+	settledOrder []*record // as they were settled, the oldest first
 }
 
 type record struct {
-	id     MessageID
-	digest uint64 // of what it says
-	hand   bool
-	tags   []Tag // deliveries that wait for its outcome
-	at     time.Duration
-	sure   bool // its answer was confirmed
-	answer any  // to be sent again if it was not
-	put    bool // it was put back: it never ran here
-	backs  int  // how often that was
+	id         MessageID
+	digest     uint64 // of what it says
+	inFlight   bool
+	deliveries []DeliveryTag // deliveries that wait for its outcome
+	settledAt  time.Duration
+	confirmed  bool // its answer was confirmed
+	reply      any  // to be sent again if it was not
+	returned   bool // it was put back: it never ran here
+	returns    int  // how often that was
 }
 
-// NewMemory remembers at most so many settled messages, each for at most so long.
-func NewMemory(most int, age time.Duration) *Memory {
-	return &Memory{most: max(1, most), age: age, known: map[MessageID]*record{}}
+// NewDeduplicator remembers at most so many settled messages, each for at most so long.
+func NewDeduplicator(maxSettled int, maxAge time.Duration) *Deduplicator {
+	return &Deduplicator{maxSettled: max(1, maxSettled), maxAge: maxAge, records: map[MessageID]*record{}}
 }
 
-// Step is what to do with a delivery.
-type Step int
+// Decision is what to do with a delivery.
+type Decision int
 
 const (
-	Run     Step = iota // hand it in
-	Join                // it waits for the outcome of one in hand
-	Done                // answered and confirmed: only its ack was lost
-	Again               // answered, but nobody knows whether that arrived: the answer is sent again
-	Unknown             // it may have run, here or at a peer, and must not run again
-	Clash               // another message has its id
+	Process        Decision = iota // hand it in
+	Join                           // it waits for the outcome of one in hand
+	AlreadyReplied                 // answered and confirmed: only its ack was lost
+	ResendReply                    // answered, but nobody knows whether that arrived: the answer is sent again
+	Uncertain                      // it may have run, here or at a peer, and must not run again
+	IDConflict                     // another message has its id
 )
 
-// Came decides what to do with a delivery. Danger: a connection that drops brings all unsettled messages back; whatever of them
+// Receive decides what to do with a delivery. Danger: a connection that drops brings all unsettled messages back; whatever of them
 // runs, or has run, must not run twice where that does harm, and each is answered once.
-func (m *Memory) Came(now time.Duration, id MessageID, digest uint64, tag Tag, redelivered, twice bool) (Step, any) {
-	m.forget(now)
-	r := m.known[id]
+func (m *Deduplicator) Receive(now time.Duration, id MessageID, digest uint64, tag DeliveryTag, redelivered, idempotent bool) (Decision, any) {
+	m.evict(now)
+	r := m.records[id]
 	switch {
 	case r == nil:
-		m.known[id] = &record{id: id, digest: digest, hand: true, tags: []Tag{tag}}
-		if redelivered && !twice {
-			return Unknown, nil
+		m.records[id] = &record{id: id, digest: digest, inFlight: true, deliveries: []DeliveryTag{tag}}
+		if redelivered && !idempotent {
+			return Uncertain, nil
 		}
-		return Run, nil
+		return Process, nil
 	case r.digest != digest:
-		return Clash, nil
-	case r.hand:
-		r.tags = append(r.tags, tag)
+		return IDConflict, nil
+	case r.inFlight:
+		r.deliveries = append(r.deliveries, tag)
 		return Join, nil
-	case r.put:
-		r.put, r.hand, r.tags = false, true, []Tag{tag}
-		return Run, nil
-	case r.sure:
-		return Done, nil
+	case r.returned:
+		r.returned, r.inFlight, r.deliveries = false, true, []DeliveryTag{tag}
+		return Process, nil
+	case r.confirmed:
+		return AlreadyReplied, nil
 	}
-	return Again, r.answer
+	return ResendReply, r.reply
 }
 
-// Dropped forgets the deliveries of a connection that is lost; their messages come again, here or at a peer.
-func (m *Memory) Dropped(connection uint64) {
-	for _, r := range m.known {
-		if !r.hand {
+// ChannelClosed forgets the deliveries of a connection that is lost; their messages come again, here or at a peer.
+func (m *Deduplicator) ChannelClosed(channelID uint64) {
+	for _, r := range m.records {
+		if !r.inFlight {
 			continue
 		}
-		kept := r.tags[:0]
-		for _, t := range r.tags {
-			if t.Connection != connection {
+		kept := r.deliveries[:0]
+		for _, t := range r.deliveries {
+			if t.ChannelID != channelID {
 				kept = append(kept, t)
 			}
 		}
-		r.tags = kept
+		r.deliveries = kept
 	}
 }
 
-// Backs is how often a message was put back from here.
-func (m *Memory) Backs(id MessageID) int {
-	if r := m.known[id]; r != nil {
-		return r.backs
+// Returns is how often a message was put back from here.
+func (m *Deduplicator) Returns(id MessageID) int {
+	if r := m.records[id]; r != nil {
+		return r.returns
 	}
 	return 0
 }
 
-// Tags are the deliveries that wait for a message's outcome.
-func (m *Memory) Tags(id MessageID) []Tag {
-	if r := m.known[id]; r != nil && r.hand {
-		return r.tags
+// deliveriesOf are the deliveries that wait for a message's outcome.
+func (m *Deduplicator) deliveriesOf(id MessageID) []DeliveryTag {
+	if r := m.records[id]; r != nil && r.inFlight {
+		return r.deliveries
 	}
 	return nil
 }
 
-// Answered settles a message with its answer, until Confirmed to be sent again if it comes again.
-func (m *Memory) Answered(now time.Duration, id MessageID, answer any) []Tag {
-	return m.settle(now, id, answer, false)
+// Replied settles a message with its answer, until Confirmed to be sent again if it comes again.
+func (m *Deduplicator) Replied(now time.Duration, id MessageID, reply any) []DeliveryTag {
+	return m.settle(now, id, reply, false)
 }
 
-// PutBack settles a message that never ran here and is the broker's again.
-func (m *Memory) PutBack(now time.Duration, id MessageID) []Tag { return m.settle(now, id, nil, true) }
+// Returned settles a message that never ran here and is the broker's again.
+func (m *Deduplicator) Returned(now time.Duration, id MessageID) []DeliveryTag {
+	return m.settle(now, id, nil, true)
+}
 
-func (m *Memory) settle(now time.Duration, id MessageID, answer any, put bool) []Tag {
-	r := m.known[id]
-	if r == nil || !r.hand {
+func (m *Deduplicator) settle(now time.Duration, id MessageID, reply any, returned bool) []DeliveryTag {
+	r := m.records[id]
+	if r == nil || !r.inFlight {
 		return nil
 	}
-	tags := r.tags
-	if put {
-		r.backs++
+	deliveries := r.deliveries
+	if returned {
+		r.returns++
 	}
-	r.hand, r.tags, r.at, r.answer, r.put, r.sure = false, nil, now, answer, put, false
-	m.order = append(m.order, r)
-	return tags
+	r.inFlight, r.deliveries, r.settledAt, r.reply, r.returned, r.confirmed = false, nil, now, reply, returned, false
+	m.settledOrder = append(m.settledOrder, r)
+	return deliveries
 }
 
-// Confirmed tells that the answer arrived at the broker.
-func (m *Memory) Confirmed(id MessageID) {
-	if r := m.known[id]; r != nil && !r.hand {
-		r.sure, r.answer = true, nil
+// ReplyConfirmed tells that the answer arrived at the broker.
+func (m *Deduplicator) ReplyConfirmed(id MessageID) {
+	if r := m.records[id]; r != nil && !r.inFlight {
+		r.confirmed, r.reply = true, nil
 	}
 }
 
-// forget lets go of what is too old, or too much.
-func (m *Memory) forget(now time.Duration) {
-	for len(m.order) > 0 {
-		r := m.order[0]
-		current := m.known[r.id] == r && !r.hand
-		if current && len(m.order) <= m.most && now-r.at < m.age {
+// evict lets go of what is too old, or too much.
+func (m *Deduplicator) evict(now time.Duration) {
+	for len(m.settledOrder) > 0 {
+		r := m.settledOrder[0]
+		current := m.records[r.id] == r && !r.inFlight
+		if current && len(m.settledOrder) <= m.maxSettled && now-r.settledAt < m.maxAge {
 			return
 		}
-		if current && now-r.at >= 0 {
-			delete(m.known, r.id)
+		if current && now-r.settledAt >= 0 {
+			delete(m.records, r.id)
 		}
-		m.order[0] = nil
-		m.order = m.order[1:]
+		m.settledOrder[0] = nil
+		m.settledOrder = m.settledOrder[1:]
 	}
 }
 
 // Len is how many messages are known, in hand and settled.
-func (m *Memory) Len() int { return len(m.known) }
+func (m *Deduplicator) Len() int { return len(m.records) }
 
-// InHand are the messages in hand.
-func (m *Memory) InHand() (n int) {
-	for _, r := range m.known {
-		if r.hand {
+// inFlightCount are the messages in hand.
+func (m *Deduplicator) inFlightCount() (n int) {
+	for _, r := range m.records {
+		if r.inFlight {
 			n++
 		}
 	}
--- a/internal/operator/amqp.go
+++ b/internal/operator/amqp.go
@@ -78,12 +78,12 @@
 }
 
 func (s *section) readQueue() amqp.Queue {
-	queue := amqp.Queue{Queue: intake.Queue{Name: intake.QueueName(s.label()), Weight: 1, Floor: 1, Most: 100},
-		Settlement: intake.Told{Attempts: 5, Delay: time.Second, Answers: true}}
+	queue := amqp.Queue{Queue: intake.Queue{Name: intake.QueueName(s.label()), Weight: 1, MinInFlight: 1, MaxInFlight: 100},
+		Settlement: intake.SettlementConfig{MaxAttempts: 5, RetryQueueDelay: time.Second, Reply: true}}
 	s.floatValue("weight", &queue.Weight, 0.01, 1000)
 	s.intValue("priority", &queue.Priority, 0, 100)
-	s.intValue("floor", &queue.Floor, 0, 1000)
-	s.intValue("most", &queue.Most, 1, 60_000)
+	s.intValue("floor", &queue.MinInFlight, 0, 1000)
+	s.intValue("most", &queue.MaxInFlight, 1, 60_000)
 	identity := ""
 	s.stringValue("identity", &identity)
 	if identity != "" && identity != "message" {
@@ -92,11 +92,11 @@
 		}
 		queue.Identity = rights.Identity(identity)
 	}
-	s.intValue("attempts", &queue.Settlement.Attempts, 1, 1000)
-	s.boolValue("retry-queue", &queue.Settlement.Retry)
-	s.durationValue("retry-delay", &queue.Settlement.Delay, 0, 24*time.Hour)
+	s.intValue("attempts", &queue.Settlement.MaxAttempts, 1, 1000)
+	s.boolValue("retry-queue", &queue.Settlement.UseRetryQueue)
+	s.durationValue("retry-delay", &queue.Settlement.RetryQueueDelay, 0, 24*time.Hour)
 	s.stringValue("dead-letters", &queue.DeadLetterQueue)
-	queue.Settlement.Dead = queue.DeadLetterQueue != ""
+	queue.Settlement.DeadLetter = queue.DeadLetterQueue != ""
 	mapping := &queue.Mapping
 	mapping.DefaultWait, mapping.MaxBodyBytes, mapping.DefaultRank, mapping.DefaultKB = time.Minute, 2<<10, 0.5, 4
 	s.durationValue("wait", &mapping.DefaultWait, 0, 24*time.Hour)
