--- a/internal/accord/accord.go
+++ b/internal/accord/accord.go
@@ -372,7 +372,7 @@
 func (g Match) has(m Seen) bool {
 	is := func(want, have string) bool { return want == "" || want == have }
 	if g.Role != "" {
-		r, bad := members.ReadRoles([]string{g.Role})
+		r, bad := members.ParseRoles([]string{g.Role})
 		if bad != "" || m.Roles&r == 0 {
 			return false
 		}
--- a/internal/accord/accord_test.go
+++ b/internal/accord/accord_test.go
@@ -38,7 +38,7 @@
 }
 
 func (f *fleet) seen(i int, inc int, why Reason, release, zone string) {
-	f.do(Command{Do: DoSee, Seen: []Seen{{Name: name(i), Incarnation: members.Incarnation(inc), Zone: zone, Release: release, Roles: members.Instance, Capacity: 1, Why: why}}})
+	f.do(Command{Do: DoSee, Seen: []Seen{{Name: name(i), Incarnation: members.Incarnation(inc), Zone: zone, Release: release, Roles: members.RoleServer, Capacity: 1, Why: why}}})
 }
 
 // is changes how a member is, with all else as it was.
--- a/internal/accord/golden_test.go
+++ b/internal/accord/golden_test.go
@@ -89,7 +89,7 @@
 	fullMatch  = Match{Zone: "a", Release: "1", Role: "instance", Below: "db"}
 	fullBudget = Budget{Name: "zone-a", Of: fullMatch, Most: 2, Share: 0.25, Least: 12.5}
 	fullSeen   = Seen{Name: "n1", Incarnation: 1_700_000_000_001, Zone: "a", Release: "1",
-		Roles: members.Instance | members.Below, Below: "db", Capacity: 1.5, Why: Leaving}
+		Roles: members.RoleServer | members.RoleUpstream, Below: "db", Capacity: 1.5, Why: Leaving}
 	fullPlan = Plan{Name: "r2", To: "2", Of: fullMatch, Waves: []Wave{{Count: 3, Share: 0.1, Zone: "b"}},
 		Pause: 10 * time.Second, Judged: true, Faster: 2.5, Tries: 3}
 )
@@ -162,8 +162,8 @@
 		{[]Do{DoSee, DoBudgets, DoAsk, DoBegin, DoDrop, DoForget, DoHalt, DoResume, DoRelease, DoBack, DoVerdict,
 			DoTick, DoDrain, DoUndrain},
 			`["see","budgets","ask","begin","drop","forget","halt","resume","release","back","verdict","tick","drain","undrain"]`},
-		{map[string]members.Roles{"instance": members.Instance, "relay": members.Relay, "steward": members.Steward,
-			"below": members.Below},
+		{map[string]members.Roles{"instance": members.RoleServer, "relay": members.RoleProxy, "steward": members.RoleCoordinator,
+			"below": members.RoleUpstream},
 			`{"below":8,"instance":1,"relay":2,"steward":4}`},
 		{members.Incarnation(1_700_000_000_001), `1700000000001`},
 		{map[Number]Name{42: "n1"}, `{"42":"n1"}`},
--- a/internal/below/below.go
+++ b/internal/below/below.go
@@ -49,7 +49,7 @@
 	p      *Part
 	name   spread.Name
 	addr   string
-	life   members.Life
+	life   members.BootID
 	holder *grants.Holder // nil: no grants are given there, Calls holds
 	open   int            // calls that may be running there
 	limit  int            // as last logged
@@ -84,7 +84,7 @@
 	var list []spread.Member
 	here := map[spread.Name]bool{}
 	for m := range v.All() {
-		if m.Roles&members.Below == 0 || m.Serves == "" || !m.State.Here() && (m.State != members.Suspect || v.Standing.Judges()) {
+		if m.Roles&members.RoleUpstream == 0 || m.ServiceAddr == "" || !m.State.Available() && (m.State != members.StateSuspect || v.LocalHealth.CanDeclareGone()) {
 			continue
 		}
 		name := spread.Name(m.Name)
@@ -94,8 +94,8 @@
 			s = &service{p: p, name: name, holder: &grants.Holder{Who: p.self, Most: p.told.Calls, Longest: p.told.Longest}}
 			p.all[name] = s
 		}
-		s.addr, s.life = m.Serves, m.Life
-		list = append(list, spread.Member{Name: name, Zone: m.Zone, Capacity: m.Capacity, Warm: m.Warm, Cold: m.Cold(v.At), Doubted: m.State == members.Suspect})
+		s.addr, s.life = m.ServiceAddr, m.BootID
+		list = append(list, spread.Member{Name: name, Zone: m.Zone, Capacity: m.Capacity, Warm: m.WarmUp, Cold: m.WarmUpRemaining(v.PublishedAt), Doubted: m.State == members.StateSuspect})
 	}
 	for name, s := range p.all {
 		if !here[name] && s.open == 0 && s.holder.Limit(p.loop.Now()) <= s.holder.Alone {
--- a/internal/command/further/agreed/agreed.go
+++ b/internal/command/further/agreed/agreed.go
@@ -18,7 +18,7 @@
 		return stewards.Run(operated, format, begin, alone, func(process gossip.Process, o *life.OperatorConfig) (*gossip.Part, func(*life.OperatorConfig), error) {
 			as := func(o *life.OperatorConfig) gossip.Told {
 				f := o.File.Fleet
-				f.Roles = members.Steward
+				f.Roles = members.RoleCoordinator
 				return further.Told(&f, "", "", o.ClusterKeys)
 			}
 			part, err := gossip.New(as(o), process, uint64(os.Getpid()))
--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -99,8 +99,8 @@
 		if l.Healthy {
 			health = 1
 		}
-		then(gossip.Report{Ready: l.Ready, Leaving: l.Draining, Facts: []members.Fact{{Key: "health", Value: health}, {Key: "signal", Value: l.LoadReport},
-			{Key: "held", Value: float64(l.Queued)}, {Key: "running", Value: float64(l.Running)}, {Key: "cores", Value: l.Cores}}})
+		then(gossip.Report{Ready: l.Ready, Leaving: l.Draining, Facts: []members.Metric{{Name: "health", Value: health}, {Name: "signal", Value: l.LoadReport},
+			{Name: "held", Value: float64(l.Queued)}, {Name: "running", Value: float64(l.Running)}, {Name: "cores", Value: l.Cores}}})
 	})
 }
 
@@ -130,7 +130,7 @@
 	return desks.Run(operated, format, func(d *desk.Desk, o *life.OperatorConfig) (func(*life.OperatorConfig), error) {
 		as := func(o *life.OperatorConfig) gossip.Told {
 			f := o.File.Fleet
-			f.Roles = members.Below
+			f.Roles = members.RoleUpstream
 			return Told(&f, "", "", o.ClusterKeys)
 		}
 		part, err := gossip.New(as(o), d, uint64(os.Getpid()))
@@ -150,7 +150,7 @@
 func relayed(operated, format string) error {
 	return relays.Run(os.Getenv("RELAY_CONFIG"), operated, format, func(config keep.Config, o *life.OperatorConfig) (*relay.Relay, func(*life.OperatorConfig), error) {
 		fleet := o.File.Fleet
-		fleet.Roles = fleet.Roles&^members.Instance | members.Relay
+		fleet.Roles = fleet.Roles&^members.RoleServer | members.RoleProxy
 		speaks := &relaying{}
 		part, err := gossip.New(Told(&fleet, config.Name, config.ListenAddr, o.ClusterKeys), speaks, config.Seed)
 		if err != nil {
@@ -200,7 +200,7 @@
 func (p *relaying) Report(then func(gossip.Report)) {
 	p.r.Post(func() {
 		l := p.r.Load()
-		then(gossip.Report{Ready: l.Ready, Leaving: l.Draining, Facts: []members.Fact{{Key: "passing", Value: float64(l.Running)}}})
+		then(gossip.Report{Ready: l.Ready, Leaving: l.Draining, Facts: []members.Metric{{Name: "passing", Value: float64(l.Running)}}})
 	})
 }
 
--- a/internal/command/further/golden_test.go
+++ b/internal/command/further/golden_test.go
@@ -64,7 +64,7 @@
 	permit := accord.Permit{Number: 7, Member: "p001", Of: 12, By: "ann", Why: "drain", Stage: accord.Granted, Asked: time.Second, At: 2 * time.Second,
 		Span: 30 * time.Second, Passed: 4, Waits: "budget all", Outcome: "dropped"}
 	budget := accord.Budget{Name: "all", Of: accord.Match{Zone: "north", Release: "1", Role: "instance", Below: "db"}, Most: 3, Share: 0.5, Least: 6}
-	member := accord.Member{Seen: accord.Seen{Name: "p001", Incarnation: 12, Zone: "north", Release: "1", Roles: members.Instance, Below: "db", Capacity: 2, Why: accord.Gone},
+	member := accord.Member{Seen: accord.Seen{Name: "p001", Incarnation: 12, Zone: "north", Release: "1", Roles: members.RoleServer, Below: "db", Capacity: 2, Why: accord.Gone},
 		Since: 5 * time.Second, Permit: 7, Before: "0", Tries: 1}
 	s := ask.Status{Steward: "s1", Leader: "s2", Leads: true, Term: 3, Index: 44, Others: map[string]string{"s1": "127.0.0.1:7960"}, Now: "1m0s",
 		Halted: &accord.Halt{At: time.Second, By: "bob", Why: "noise"}, Uses: []accord.Use{{Budget: budget, Of: 12, Out: 1, Limit: 3, Up: 22}},
@@ -281,7 +281,7 @@
 		report := make(chan gossip.Report, 1)
 		p.Report(func(r gossip.Report) { report <- r })
 		for _, f := range (<-report).Facts {
-			fmt.Fprint(&text, f.Key, " ")
+			fmt.Fprint(&text, f.Name, " ")
 		}
 		load := make(chan float64, 1)
 		p.Load(func(l float64, _ gossip.Figures) { load <- l })
--- a/internal/drill/golden_test.go
+++ b/internal/drill/golden_test.go
@@ -154,7 +154,7 @@
 			}
 			line, _ := bufio.NewReader(c).ReadString('\n')
 			questions <- line
-			fmt.Fprintf(c, status, members.Mark(members.ID{Name: "p000", Life: 0x1f}))
+			fmt.Fprintf(c, status, members.Fingerprint(members.ID{Name: "p000", BootID: 0x1f}))
 			c.Close()
 		}
 	}()
@@ -167,7 +167,7 @@
 	if got := <-questions; got != "brief\n" {
 		t.Fatalf("asked %q", got)
 	}
-	id := members.ID{Name: "p000", Life: 0x1f}
+	id := members.ID{Name: "p000", BootID: 0x1f}
 	if !v.equal || v.seen[id] != [3]uint64{1200, 40, 7} || v.pollGave[id] != 3 || v.pollDoubts[id] != 5 {
 		t.Fatal(v.equal, v.last, v.seen, v.pollGave, v.pollDoubts)
 	}
--- a/internal/drill/judge.go
+++ b/internal/drill/judge.go
@@ -165,7 +165,7 @@
 	var want uint64
 	for _, p := range here {
 		p.mu.Lock()
-		want ^= members.Mark(p.id)
+		want ^= members.Fingerprint(p.id)
 		p.mu.Unlock()
 	}
 	v.mu.Lock()
--- a/internal/drill/world.go
+++ b/internal/drill/world.go
@@ -370,7 +370,7 @@
 	if err == nil {
 		life, _ := strconv.ParseUint(s.Life, 16, 64)
 		p.mu.Lock()
-		p.id = members.ID{Name: members.Name(s.Name), Life: members.Life(life)}
+		p.id = members.ID{Name: members.Name(s.Name), BootID: members.BootID(life)}
 		p.mu.Unlock()
 	}
 	return s, err
--- a/internal/fleet/desk/desk.go
+++ b/internal/fleet/desk/desk.go
@@ -33,7 +33,7 @@
 // Join gives it the part by which it speaks to the fleet, before that is started.
 func (d *Desk) Join(part *gossip.Part) {
 	d.part = part
-	d.desk = grants.NewDesk(d.told, part.View().Self.Life, d.Now())
+	d.desk = grants.NewDesk(d.told, part.View().Self.BootID, d.Now())
 	part.Desk = func(a grants.Ask, answer func(grants.Grant)) {
 		d.Post(func() {
 			if g, ok := d.desk.Asked(d.Now(), a); ok {
@@ -42,7 +42,7 @@
 		})
 	}
 	part.Subscribe(func(v *members.View) {
-		if v.Standing == members.Ousted { // Danger: two that grant the same calls
+		if v.LocalHealth == members.LocalFenced { // Danger: two that grant the same calls
 			d.Post(d.desk.Oust)
 		}
 	})
@@ -89,8 +89,8 @@
 func (d *Desk) Report(then func(gossip.Report)) {
 	d.Post(func() {
 		calls, holders := d.desk.Granted(d.Now())
-		then(gossip.Report{Ready: d.up, Leaving: d.leaving, Facts: []members.Fact{{Key: "cap", Value: float64(d.told.Cap)},
-			{Key: "granted", Value: float64(calls)}, {Key: "holders", Value: float64(holders)}}})
+		then(gossip.Report{Ready: d.up, Leaving: d.leaving, Facts: []members.Metric{{Name: "cap", Value: float64(d.told.Cap)},
+			{Name: "granted", Value: float64(calls)}, {Name: "holders", Value: float64(holders)}}})
 	})
 }
 
--- a/internal/fleet/desk/golden_test.go
+++ b/internal/fleet/desk/golden_test.go
@@ -23,12 +23,12 @@
 		close(done)
 	}()
 	d.Post(func() {
-		d.desk.Asked(d.Now(), grants.Ask{Who: members.ID{Name: "n1", Life: 1}, Seq: 1, Wants: 3})
+		d.desk.Asked(d.Now(), grants.Ask{Who: members.ID{Name: "n1", BootID: 1}, Seq: 1, Wants: 3})
 	})
 	got := make(chan gossip.Report, 1)
 	d.Report(func(r gossip.Report) { got <- r })
-	want := gossip.Report{Ready: true, Leaving: true, Facts: []members.Fact{{Key: "cap", Value: 16}, {Key: "granted",
-		Value: 3}, {Key: "holders", Value: 1}}}
+	want := gossip.Report{Ready: true, Leaving: true, Facts: []members.Metric{{Name: "cap", Value: 16}, {Name: "granted",
+		Value: 3}, {Name: "holders", Value: 1}}}
 	if r := <-got; !reflect.DeepEqual(r, want) {
 		t.Errorf("%+v, wanted %+v", r, want)
 	}
--- a/internal/fleet/gossip/codec.go
+++ b/internal/fleet/gossip/codec.go
@@ -137,11 +137,11 @@
 	if err = unpack(body, &w); err != nil {
 		return a, "", err
 	}
-	who, ok := members.ReadID(w.Who)
+	who, ok := members.ParseID(w.Who)
 	if !ok || w.Seq == 0 || w.Limit < 0 || w.Open < 0 || w.Wants < 0 || w.To != self.String() || len(w.Addr) > longestName {
 		return a, "", errTold
 	}
-	return grants.Ask{Who: who, Seq: w.Seq, Has: grants.Has{Desk: members.Life(w.Desk), Seq: w.Has, Limit: w.Limit}, Open: w.Open, Wants: w.Wants}, w.Addr, nil
+	return grants.Ask{Who: who, Seq: w.Seq, Has: grants.Has{Desk: members.BootID(w.Desk), Seq: w.Has, Limit: w.Limit}, Open: w.Open, Wants: w.Wants}, w.Addr, nil
 }
 
 func packAsk(a grants.Ask, to members.ID, addr string) []byte {
@@ -157,7 +157,7 @@
 	if err = unpack(body, &w); err == nil && (w.Limit < 0 || w.HoldsMS <= 0 || w.HoldsMS > math.MaxInt32 || w.Alone < 0 || w.LongestMS <= 0 || w.LongestMS > math.MaxInt32) {
 		err = errTold
 	}
-	return grants.Grant{Desk: members.Life(w.Desk), Seq: w.Seq, Limit: w.Limit, Holds: time.Duration(w.HoldsMS) * time.Millisecond, Alone: w.Alone,
+	return grants.Grant{Desk: members.BootID(w.Desk), Seq: w.Seq, Limit: w.Limit, Holds: time.Duration(w.HoldsMS) * time.Millisecond, Alone: w.Alone,
 		Longest: time.Duration(w.LongestMS) * time.Millisecond}, err
 }
 
@@ -199,13 +199,13 @@
 	return b[0], time.Duration(binary.BigEndian.Uint32(b[1:])) * time.Millisecond, b[headSize:], nil
 }
 
-func packClaim(c members.Claim) []byte {
-	return pack('c', claim{uint64(c.Incarnation), uint8(c.Roles), c.Zone, c.Release, c.Capacity, c.Warm.Milliseconds(), c.Serves})[headSize:]
+func packClaim(c members.Descriptor) []byte {
+	return pack('c', claim{uint64(c.Incarnation), uint8(c.Roles), c.Zone, c.Release, c.Capacity, c.WarmUp.Milliseconds(), c.ServiceAddr})[headSize:]
 }
 
 // readClaim reads what a member says of itself beside its name and address.
-func readClaim(name, addr string, meta []byte) (c members.Claim, err error) {
-	id, ok := members.ReadID(name)
+func readClaim(name, addr string, meta []byte) (c members.Descriptor, err error) {
+	id, ok := members.ParseID(name)
 	if !ok || len(id.Name) > longestName {
 		return c, errTold
 	}
@@ -216,19 +216,19 @@
 	if len(w.Serves) > longestName || len(w.Zone) > longestName || len(w.Release) > longestName || !(w.Capacity > 0 && w.Capacity <= 1e6) || w.WarmMS < 0 || w.WarmMS > 3_600_000 {
 		return c, errTold
 	}
-	return members.Claim{Name: id.Name, Life: id.Life, Incarnation: members.Incarnation(w.Incarnation), Addr: addr, Serves: w.Serves, Roles: members.Roles(w.Roles),
-		Zone: w.Zone, Release: w.Release, Capacity: w.Capacity, Warm: time.Duration(w.WarmMS) * time.Millisecond}, nil
+	return members.Descriptor{Name: id.Name, BootID: id.BootID, Incarnation: members.Incarnation(w.Incarnation), GossipAddr: addr, ServiceAddr: w.Serves, Roles: members.Roles(w.Roles),
+		Zone: w.Zone, Release: w.Release, Capacity: w.Capacity, WarmUp: time.Duration(w.WarmMS) * time.Millisecond}, nil
 }
 
-func packBulletin(b members.Bulletin) []byte {
-	w := bulletin{string(b.Name), uint64(b.Life), uint64(b.Incarnation), b.Seq, b.Ready, b.ReadyFor.Milliseconds(), b.Leaving, b.Digest, nil}
-	for _, f := range b.Facts {
-		w.Facts = append(w.Facts, fact_{f.Key, f.Value, f.Holds.Milliseconds()})
+func packBulletin(b members.Heartbeat) []byte {
+	w := bulletin{string(b.Name), uint64(b.BootID), uint64(b.Incarnation), b.Sequence, b.Ready, b.ReadyFor.Milliseconds(), b.Draining, b.ViewDigest, nil}
+	for _, f := range b.Metrics {
+		w.Facts = append(w.Facts, fact_{f.Name, f.Value, f.TTL.Milliseconds()})
 	}
 	return pack(kindBulletin, w)
 }
 
-func readBulletin(body []byte) (b members.Bulletin, err error) {
+func readBulletin(body []byte) (b members.Heartbeat, err error) {
 	var w bulletin
 	if err := unpack(body, &w); err != nil {
 		return b, err
@@ -236,13 +236,13 @@
 	if w.Name == "" || len(w.Name) > longestName || w.ReadyForMS < 0 || w.ReadyForMS > math.MaxInt32*1000 {
 		return b, errTold
 	}
-	b = members.Bulletin{ID: members.ID{Name: members.Name(w.Name), Life: members.Life(w.Life)}, Incarnation: members.Incarnation(w.Incarnation),
-		Seq: w.Seq, Ready: w.Ready, ReadyFor: time.Duration(w.ReadyForMS) * time.Millisecond, Leaving: w.Leaving, Digest: w.Digest}
+	b = members.Heartbeat{ID: members.ID{Name: members.Name(w.Name), BootID: members.BootID(w.Life)}, Incarnation: members.Incarnation(w.Incarnation),
+		Sequence: w.Seq, Ready: w.Ready, ReadyFor: time.Duration(w.ReadyForMS) * time.Millisecond, Draining: w.Leaving, ViewDigest: w.Digest}
 	for _, f := range w.Facts {
 		if f.Key == "" || len(f.Key) > longestKey || f.HoldsMS < 0 || f.HoldsMS > math.MaxInt32 {
-			return members.Bulletin{}, errTold
+			return members.Heartbeat{}, errTold
 		}
-		b.Facts = append(b.Facts, members.Fact{Key: f.Key, Value: f.Value, Holds: time.Duration(f.HoldsMS) * time.Millisecond})
+		b.Metrics = append(b.Metrics, members.Metric{Name: f.Key, Value: f.Value, TTL: time.Duration(f.HoldsMS) * time.Millisecond})
 	}
 	return b, nil
 }
--- a/internal/fleet/gossip/codec_test.go
+++ b/internal/fleet/gossip/codec_test.go
@@ -19,11 +19,11 @@
 		ms := func(label string) time.Duration {
 			return time.Duration(rapid.IntRange(0, 3_600_000).Draw(t, label)) * time.Millisecond
 		}
-		b := members.Bulletin{ID: members.ID{Name: members.Name(rapid.StringMatching(`[a-z]{1,64}`).Draw(t, "name")), Life: members.Life(rapid.Uint64().Draw(t, "life"))},
-			Incarnation: members.Incarnation(rapid.Uint64().Draw(t, "incarnation")), Seq: rapid.Uint64().Draw(t, "seq"), Ready: rapid.Bool().Draw(t, "ready"),
-			ReadyFor: ms("ready for"), Leaving: rapid.Bool().Draw(t, "leaving"), Digest: rapid.Uint64().Draw(t, "digest")}
+		b := members.Heartbeat{ID: members.ID{Name: members.Name(rapid.StringMatching(`[a-z]{1,64}`).Draw(t, "name")), BootID: members.BootID(rapid.Uint64().Draw(t, "life"))},
+			Incarnation: members.Incarnation(rapid.Uint64().Draw(t, "incarnation")), Sequence: rapid.Uint64().Draw(t, "seq"), Ready: rapid.Bool().Draw(t, "ready"),
+			ReadyFor: ms("ready for"), Draining: rapid.Bool().Draw(t, "leaving"), ViewDigest: rapid.Uint64().Draw(t, "digest")}
 		for range rapid.IntRange(0, 8).Draw(t, "facts") {
-			b.Facts = append(b.Facts, members.Fact{Key: rapid.StringMatching(`[a-z]{1,16}`).Draw(t, "key"), Value: rapid.Float64().Draw(t, "value"), Holds: ms("holds")})
+			b.Metrics = append(b.Metrics, members.Metric{Name: rapid.StringMatching(`[a-z]{1,16}`).Draw(t, "key"), Value: rapid.Float64().Draw(t, "value"), TTL: ms("holds")})
 		}
 		kind, age, body, err := kindOf(aged(packBulletin(b), 1500*time.Millisecond))
 		if err != nil || kind != kindBulletin || age != 1500*time.Millisecond {
@@ -32,20 +32,20 @@
 		if back, err := readBulletin(body); err != nil || !reflect.DeepEqual(back, b) {
 			t.Fatal(err, back, b)
 		}
-		c := members.Claim{Name: b.Name, Serves: "s:1", Life: b.Life, Incarnation: b.Incarnation, Addr: "a:1", Roles: members.Instance | members.Relay, Zone: "z", Release: "r", Capacity: 2.5, Warm: ms("warm")}
+		c := members.Descriptor{Name: b.Name, ServiceAddr: "s:1", BootID: b.BootID, Incarnation: b.Incarnation, GossipAddr: "a:1", Roles: members.RoleServer | members.RoleProxy, Zone: "z", Release: "r", Capacity: 2.5, WarmUp: ms("warm")}
 		if back, err := readClaim(c.ID().String(), "a:1", packClaim(c)); err != nil || back != c {
 			t.Fatal(err, back, c)
 		}
 		count := func(label string) int { return rapid.IntRange(0, 1<<40).Draw(t, label) }
-		a := grants.Ask{Who: b.ID, Seq: 1 + rapid.Uint64Max(1<<60).Draw(t, "ask"), Has: grants.Has{Desk: b.Life, Seq: b.Seq, Limit: count("limit")}, Open: count("open"), Wants: count("wants")}
+		a := grants.Ask{Who: b.ID, Seq: 1 + rapid.Uint64Max(1<<60).Draw(t, "ask"), Has: grants.Has{Desk: b.BootID, Seq: b.Sequence, Limit: count("limit")}, Open: count("open"), Wants: count("wants")}
 		_, _, body, _ = kindOf(packAsk(a, c.ID(), "a:1"))
 		if back, addr, err := readAsk(body, c.ID()); err != nil || back != a || addr != "a:1" || len(body) > longestMsg {
 			t.Fatal(err, back, a)
 		}
-		if _, _, err := readAsk(body, members.ID{Name: "another", Life: 1}); err == nil {
+		if _, _, err := readAsk(body, members.ID{Name: "another", BootID: 1}); err == nil {
 			t.Fatal("an ask of another")
 		}
-		g := grants.Grant{Desk: b.Life, Seq: b.Seq, Limit: count("granted"), Holds: ms("for") + time.Millisecond, Alone: 1, Longest: ms("longest") + time.Millisecond}
+		g := grants.Grant{Desk: b.BootID, Seq: b.Sequence, Limit: count("granted"), Holds: ms("for") + time.Millisecond, Alone: 1, Longest: ms("longest") + time.Millisecond}
 		_, _, body, _ = kindOf(packGrant(g))
 		if back, err := readGrant(body); err != nil || back != g {
 			t.Fatal(err, back, g)
@@ -58,7 +58,7 @@
 
 // What is cut, too long, out of range or foreign is an error and nothing else.
 func Example_bad() {
-	b := packBulletin(members.Bulletin{ID: members.ID{Name: "n", Life: 1}, Facts: []members.Fact{{Key: "load", Value: 1, Holds: time.Second}}})
+	b := packBulletin(members.Heartbeat{ID: members.ID{Name: "n", BootID: 1}, Metrics: []members.Metric{{Name: "load", Value: 1, TTL: time.Second}}})
 	read := func(b []byte) (err error) {
 		_, _, body, err := kindOf(b)
 		if err == nil {
@@ -73,12 +73,12 @@
 		}
 	}
 	fmt.Println(bad == len(b), read(append(b, make([]byte, 600)...)))
-	fmt.Println(read(packBulletin(members.Bulletin{ID: members.ID{Name: "n"}, Facts: []members.Fact{{Key: "a name that is far too long"}}})))
+	fmt.Println(read(packBulletin(members.Heartbeat{ID: members.ID{Name: "n"}, Metrics: []members.Metric{{Name: "a name that is far too long"}}})))
 	for _, name := range []string{"n", "n@1", "@0000000000000001", "n@000000000000000x"} {
-		_, err := readClaim(name, "a:1", packClaim(members.Claim{Capacity: 1}))
+		_, err := readClaim(name, "a:1", packClaim(members.Descriptor{Capacity: 1}))
 		fmt.Print(err, " ")
 	}
-	_, err := readClaim("n@0000000000000001", "a:1", packClaim(members.Claim{Capacity: -1}))
+	_, err := readClaim("n@0000000000000001", "a:1", packClaim(members.Descriptor{Capacity: -1}))
 	fmt.Println(err)
 	n := 0
 	err = readState(packState([][]byte{{1}, {2, 3}, {4}}), 2, func([]byte) { n++ })
@@ -91,10 +91,10 @@
 }
 
 func FuzzMessages(f *testing.F) {
-	f.Add(packBulletin(members.Bulletin{ID: members.ID{Name: "n", Life: 1}, Facts: []members.Fact{{Key: "load", Value: 1}}}))
-	f.Add(packClaim(members.Claim{Capacity: 1, Zone: "z"}))
+	f.Add(packBulletin(members.Heartbeat{ID: members.ID{Name: "n", BootID: 1}, Metrics: []members.Metric{{Name: "load", Value: 1}}}))
+	f.Add(packClaim(members.Descriptor{Capacity: 1, Zone: "z"}))
 	f.Add(pack(kindFenced, fenced{"n", 1, 2}))
-	f.Add(packAsk(grants.Ask{Who: members.ID{Name: "n", Life: 1}, Seq: 1, Wants: 3}, members.ID{Name: "n", Life: 1}, "a:1"))
+	f.Add(packAsk(grants.Ask{Who: members.ID{Name: "n", BootID: 1}, Seq: 1, Wants: 3}, members.ID{Name: "n", BootID: 1}, "a:1"))
 	f.Add(packGrant(grants.Grant{Desk: 1, Seq: 1, Limit: 2, Holds: time.Second, Longest: time.Second}))
 	f.Add(pack(kindPermit, permit{"a@1", "b@1", "c:1", 7, true}))
 	f.Add(pack(kindBegin, begin{"a@1", "b@1", "c:1", 9, 7}))
@@ -103,7 +103,7 @@
 	f.Add([]byte{'b', 0, 0, 0, 0, 0xdf, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if _, _, body, err := kindOf(b); err == nil {
-			if x, err := readBulletin(body); err == nil && (x.Name == "" || len(x.Facts) > 0 && x.Facts[0].Key == "") {
+			if x, err := readBulletin(body); err == nil && (x.Name == "" || len(x.Metrics) > 0 && x.Metrics[0].Name == "") {
 				t.Fatal(x)
 			}
 			var x fenced
@@ -116,7 +116,7 @@
 			_ = unpack(body, &p)
 			var b begin
 			_ = unpack(body, &b)
-			if a, _, err := readAsk(body, members.ID{Name: "n", Life: 1}); err == nil && (a.Seq == 0 || a.Open < 0 || a.Wants < 0) {
+			if a, _, err := readAsk(body, members.ID{Name: "n", BootID: 1}); err == nil && (a.Seq == 0 || a.Open < 0 || a.Wants < 0) {
 				t.Fatal(a)
 			}
 			if g, err := readGrant(body); err == nil && (g.Holds <= 0 || g.Limit < 0) {
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -40,17 +40,17 @@
 // goldenMessages lists every message with all fields set.
 func goldenMessages() []goldenMessage {
 	const age = 1500 * time.Millisecond
-	self := members.ID{Name: "blue", Life: 0x0123456789abcdef}
-	other := members.ID{Name: "green", Life: 0xfedcba9876543210}
-	claimed := members.Claim{Name: "blue", Incarnation: 1_700_000_000_123, Life: self.Life,
-		Addr: "10.0.0.7:7946", Serves: "10.0.0.7:8000",
-		Roles: members.Instance | members.Relay | members.Steward | members.Below, Zone: "north",
-		Release: "v7", Capacity: 2.5, Warm: 4500 * time.Millisecond}
-	told := members.Bulletin{ID: self, Incarnation: 1_700_000_000_123, Seq: 77, Ready: true,
-		ReadyFor: 61_001 * time.Millisecond, Leaving: true, Digest: 0xdeadbeef01234567,
-		Facts: []members.Fact{
-			{Key: "health", Value: 0.75, Holds: 3 * time.Second},
-			{Key: "held", Value: 12, Holds: 4 * time.Second},
+	self := members.ID{Name: "blue", BootID: 0x0123456789abcdef}
+	other := members.ID{Name: "green", BootID: 0xfedcba9876543210}
+	claimed := members.Descriptor{Name: "blue", Incarnation: 1_700_000_000_123, BootID: self.BootID,
+		GossipAddr: "10.0.0.7:7946", ServiceAddr: "10.0.0.7:8000",
+		Roles: members.RoleServer | members.RoleProxy | members.RoleCoordinator | members.RoleUpstream, Zone: "north",
+		Release: "v7", Capacity: 2.5, WarmUp: 4500 * time.Millisecond}
+	told := members.Heartbeat{ID: self, Incarnation: 1_700_000_000_123, Sequence: 77, Ready: true,
+		ReadyFor: 61_001 * time.Millisecond, Draining: true, ViewDigest: 0xdeadbeef01234567,
+		Metrics: []members.Metric{
+			{Name: "health", Value: 0.75, TTL: 3 * time.Second},
+			{Name: "held", Value: 12, TTL: 4 * time.Second},
 		}}
 	asked := grants.Ask{Who: other, Seq: 9, Has: grants.Has{Desk: 11, Seq: 8, Limit: 5}, Open: 4, Wants: 6}
 	granted := grants.Grant{Desk: 11, Seq: 9, Limit: 5, Holds: 2 * time.Second, Alone: 1,
@@ -62,7 +62,7 @@
 	grantWire := grant{Desk: 11, Seq: 9, Limit: 5, HoldsMS: 2000, Alone: 1, LongestMS: 5000}
 	return []goldenMessage{
 		{"claim", packClaim(claimed), func(t *testing.T, stored []byte) {
-			back, err := readClaim(self.String(), claimed.Addr, stored)
+			back, err := readClaim(self.String(), claimed.GossipAddr, stored)
 			same(t, err, back, claimed)
 			wire, err := decoded[claim](stored)
 			same(t, err, wire, claim{Incarnation: 1_700_000_000_123, Roles: 15, Zone: "north",
@@ -223,20 +223,20 @@
 
 // goldenPart is a part that was never started, with something in all that a snapshot shows.
 func goldenPart() *Part {
-	told := members.Usual()
-	table := members.New(members.Claim{Name: "blue", Incarnation: 7, Life: 0x0123456789abcdef,
-		Addr: "10.0.0.7:7946", Roles: members.Instance, Zone: "north", Release: "v7", Capacity: 4}, told, 0)
+	told := members.DefaultConfig()
+	table := members.NewTable(members.Descriptor{Name: "blue", Incarnation: 7, BootID: 0x0123456789abcdef,
+		GossipAddr: "10.0.0.7:7946", Roles: members.RoleServer, Zone: "north", Release: "v7", Capacity: 4}, told, 0)
 	p := &Part{Loop: loop.New(1), table: table, net: &transport{},
 		lines: &lines{count: map[string]uint64{}, former: func(string) {}}, steps: map[string]uint64{}}
 	p.view.Store(table.View())
-	green := members.ID{Name: "green", Life: 0xfedcba9876543210}
-	table.Claimed(members.Claim{Name: "green", Incarnation: 9, Life: green.Life, Addr: "10.0.0.8:7946",
-		Serves: "10.0.0.8:8000", Roles: members.Instance | members.Relay,
-		Zone: "south", Release: "v8", Capacity: 2.5, Warm: time.Minute}, time.Second)
-	table.Told(members.Bulletin{ID: green, Incarnation: 9, Seq: 3, Ready: true, ReadyFor: time.Second,
-		Digest: 5, Facts: []members.Fact{
-			{Key: "health", Value: 0.75, Holds: 4 * time.Second},
-			{Key: "held", Value: 12, Holds: time.Second},
+	green := members.ID{Name: "green", BootID: 0xfedcba9876543210}
+	table.HandleAlive(members.Descriptor{Name: "green", Incarnation: 9, BootID: green.BootID, GossipAddr: "10.0.0.8:7946",
+		ServiceAddr: "10.0.0.8:8000", Roles: members.RoleServer | members.RoleProxy,
+		Zone: "south", Release: "v8", Capacity: 2.5, WarmUp: time.Minute}, time.Second)
+	table.HandleHeartbeat(members.Heartbeat{ID: green, Incarnation: 9, Sequence: 3, Ready: true, ReadyFor: time.Second,
+		ViewDigest: 5, Metrics: []members.Metric{
+			{Name: "health", Value: 0.75, TTL: 4 * time.Second},
+			{Name: "held", Value: 12, TTL: time.Second},
 		}}, 0, 2*time.Second)
 	p.SetNow(3500 * time.Millisecond)
 	p.after()
@@ -245,8 +245,8 @@
 	for i, counter := range counters {
 		counter.Store(uint64(101 + i))
 	}
-	table.Counts = members.Counts{Changes: 201, Refused: 202, Stale: 203, Oversized: 204, Fenced: 205,
-		Refuted: 206, Stood: 207}
+	table.Stats = members.Stats{Transitions: 201, RejectedFull: 202, StaleHeartbeats: 203, InvalidHeartbeats: 204, OutdatedIncarnations: 205,
+		RefutedSuspicions: 206, Stalls: 207}
 	for _, line := range libraryLines {
 		_, _ = p.lines.Write([]byte(line))
 	}
--- a/internal/fleet/gossip/part.go
+++ b/internal/fleet/gossip/part.go
@@ -43,14 +43,14 @@
 	Watch     string        // a local socket, empty for none
 	Leaves    bool          // a fenced one leaves
 	Permits   bool          // it leaves by permits of the stewards
-	Members   members.Told
+	Members   members.Config
 }
 
 // Report is what the process behind the part says of itself for a bulletin.
 type Report struct {
 	Ready   bool
 	Leaving bool
-	Facts   []members.Fact
+	Facts   []members.Metric
 }
 
 // Process is whom the part speaks for. Its methods may be called on any goroutine.
@@ -103,7 +103,7 @@
 	listens  []func(*members.View)
 	tally    logline.Sampler[string]
 	steps    map[string]uint64
-	standing members.Standing
+	standing members.LocalHealth
 	began    time.Time
 	mu       sync.Mutex
 	heard    map[string]struct{} // who was heard since the last look
@@ -145,17 +145,17 @@
 	if _, err := rand.Read(life[:]); err != nil {
 		return nil, err
 	}
-	self := members.Claim{Name: told.Name, Life: members.Life(binary.BigEndian.Uint64(life[:])), Addr: told.Advertise, Serves: told.Serves, Roles: told.Roles,
+	self := members.Descriptor{Name: told.Name, BootID: members.BootID(binary.BigEndian.Uint64(life[:])), GossipAddr: told.Advertise, ServiceAddr: told.Serves, Roles: told.Roles,
 		// A start by the clock is mostly above the life before; where the clock went back, the number is learnt (members.Table).
 		Incarnation: members.Incarnation(max(1, time.Now().UnixMilli())),
-		Zone:        told.Zone, Release: told.Release, Capacity: told.Capacity, Warm: told.Warm}
+		Zone:        told.Zone, Release: told.Release, Capacity: told.Capacity, WarmUp: told.Warm}
 	p := &Part{Loop: loop.New(1 << 14), began: time.Now(), heard: map[string]struct{}{}, formers: make([]string, 0, 4), asked: map[uint64]*asking{}, told: told, process: process, lines: &lines{count: map[string]uint64{}},
-		chance: mathrand.New(mathrand.NewPCG(seed, uint64(self.Life))), calls: make(chan string, 1), closed: make(chan struct{}), readyAt: -1, steps: map[string]uint64{}}
+		chance: mathrand.New(mathrand.NewPCG(seed, uint64(self.BootID))), calls: make(chan string, 1), closed: make(chan struct{}), readyAt: -1, steps: map[string]uint64{}}
 	p.lines.former = p.former
-	p.table = members.New(self, told.Members, 0)
+	p.table = members.NewTable(self, told.Members, 0)
 	p.view.Store(p.table.View())
 	p.limit(told.Rate)
-	p.say(members.Bulletin{ID: self.ID(), Incarnation: self.Incarnation})
+	p.say(members.Heartbeat{ID: self.ID(), Incarnation: self.Incarnation})
 	logger := log.New(p.lines, "", 0)
 	if p.net, err = newTransport(ip, port, logger, p.ear); err != nil {
 		return nil, err
@@ -223,16 +223,16 @@
 func (p *Part) look() {
 	p.mu.Lock()
 	for sender := range p.heard {
-		p.table.Heard(sender)
+		p.table.ObserveSender(sender)
 	}
 	clear(p.heard)
 	for _, addr := range p.formers {
-		p.table.Called(addr)
+		p.table.AddPredecessorCaller(addr)
 	}
 	p.formers = p.formers[:0]
 	p.mu.Unlock()
-	p.table.Look(p.Now())
-	p.net.muted.Store(p.table.Deaf())
+	p.table.Tick(p.Now())
+	p.net.muted.Store(p.table.HearsNobody())
 	for nonce, a := range p.asked {
 		if p.Now()-a.at > time.Second {
 			delete(p.asked, nonce)
@@ -266,11 +266,11 @@
 
 // after carries out what the table has come to.
 func (p *Part) after() {
-	for _, c := range p.table.Changes() {
-		step := fmt.Sprintf("%v-%v", c.Was, c.Is)
+	for _, c := range p.table.TakeChanges() {
+		step := fmt.Sprintf("%v-%v", c.From, c.To)
 		p.steps[step]++
 		if p.tally.Allow(step, p.WallTime()) {
-			slog.Info("member", "name", string(c.Name), "incarnation", uint64(c.Incarnation), "was", c.Was, "is", c.Is, "why", string(c.Why), "view", c.Version)
+			slog.Info("member", "name", string(c.Name), "incarnation", uint64(c.Incarnation), "was", c.From, "is", c.To, "why", string(c.Reason), "view", c.ViewVersion)
 		}
 	}
 	v := p.table.View()
@@ -278,9 +278,9 @@
 		return
 	}
 	p.view.Store(v)
-	if v.Standing != p.standing {
-		slog.Info("standing", "was", p.standing, "is", v.Standing, "reach", fmt.Sprintf("%.2f", v.Reach), "members", v.Len(), "view", v.Version)
-		p.standing = v.Standing
+	if v.LocalHealth != p.standing {
+		slog.Info("standing", "was", p.standing, "is", v.LocalHealth, "reach", fmt.Sprintf("%.2f", v.HeardFraction), "members", v.Len(), "view", v.Version)
+		p.standing = v.LocalHealth
 	}
 	for _, then := range p.listens {
 		then(v)
@@ -296,7 +296,7 @@
 		p.Post(func() {
 			if p.Now() >= p.next || r.Ready != (p.readyAt >= 0) || r.Leaving && !p.leaving {
 				p.bulletin(r)
-			} else if p.digest != p.table.Digest() && !p.leaving {
+			} else if p.digest != p.table.ViewDigest() && !p.leaving {
 				// What we hold to be so goes to whoever calls next, but is no news for the whole fleet. Danger: views that differ are
 				// known to only as soon as each has spoken again, which is many seconds in a large fleet.
 				p.write(r)
@@ -315,29 +315,29 @@
 		p.readyAt = p.Now()
 	}
 	// Half to one and a half times the pace. Danger: hundreds that started at one moment all speak at the same moments.
-	p.next = p.Now() + time.Duration((0.5+p.chance.Float64())*float64(p.table.Pace()))
+	p.next = p.Now() + time.Duration((0.5+p.chance.Float64())*float64(p.table.HeartbeatInterval()))
 	p.queue.QueueBroadcast(&passing{of: p.table.Self().ID(), s: p.write(r)})
 }
 
 // write makes our next bulletin, and has it ride on answers to calls.
 func (p *Part) write(r Report) *said {
 	p.seq++
-	p.digest = p.table.Digest()
+	p.digest = p.table.ViewDigest()
 	self := p.table.Self()
-	b := members.Bulletin{ID: self.ID(), Incarnation: self.Incarnation, Seq: p.seq, Ready: r.Ready, Leaving: r.Leaving || p.leaving, Digest: p.table.Digest(), Facts: r.Facts}
+	b := members.Heartbeat{ID: self.ID(), Incarnation: self.Incarnation, Sequence: p.seq, Ready: r.Ready, Draining: r.Leaving || p.leaving, ViewDigest: p.table.ViewDigest(), Metrics: r.Facts}
 	if r.Ready {
 		b.ReadyFor = p.Now() - p.readyAt
 	}
-	for i := range b.Facts {
-		if b.Facts[i].Holds == 0 {
-			b.Facts[i].Holds = p.table.Holds()
+	for i := range b.Metrics {
+		if b.Metrics[i].TTL == 0 {
+			b.Metrics[i].TTL = p.table.MetricTTL()
 		}
 	}
 	p.say(b)
 	return p.own.Load()
 }
 
-func (p *Part) say(b members.Bulletin) { p.own.Store(&said{packBulletin(b), time.Now()}) }
+func (p *Part) say(b members.Heartbeat) { p.own.Store(&said{packBulletin(b), time.Now()}) }
 
 // passing is a bulletin on its way through the fleet; its age is written each time it goes out.
 type passing struct {
@@ -357,7 +357,7 @@
 	if p.HasQuit() {
 		return
 	}
-	if addr, any := p.table.Reach(p.Now(), p.chance.Float64); any && !p.calling && !p.leaving && !p.ousted {
+	if addr, any := p.table.NextJoinAddr(p.Now(), p.chance.Float64); any && !p.calling && !p.leaving && !p.ousted {
 		p.calling = true
 		p.calls <- addr // there is room: one alone is under way
 	}
@@ -378,10 +378,10 @@
 			n, err := p.list.Join([]string{addr})
 			p.Post(func() {
 				p.calling = false
-				p.table.Tried(addr, n > 0, p.Now(), p.chance.Float64)
+				p.table.RecordJoin(addr, n > 0, p.Now(), p.chance.Float64)
 				if n > 0 {
-					p.table.Answered(p.Now())
-					p.table.Heard(host(addr))
+					p.table.ObserveAck(p.Now())
+					p.table.ObserveSender(host(addr))
 				} else if p.tally.Allow("call-failed", p.WallTime()) {
 					slog.Info("call-failed", "addr", addr, "err", err)
 				}
@@ -394,7 +394,7 @@
 func (p *Part) AskDesk(name members.Name, a grants.Ask) {
 	p.Post(func() {
 		if m, known := p.table.View().Get(name); known {
-			_ = p.list.SendToAddress(memberlist.Address{Addr: m.Addr, Name: m.ID().String()}, packAsk(a, m.ID(), p.table.Self().Addr))
+			_ = p.list.SendToAddress(memberlist.Address{Addr: m.GossipAddr, Name: m.ID().String()}, packAsk(a, m.ID(), p.table.Self().GossipAddr))
 		}
 	})
 }
@@ -421,7 +421,7 @@
 	p.Post(func() {
 		if m, known := p.table.View().Get(name); known && m.Incarnation == of {
 			self := p.table.Self()
-			_ = p.list.SendToAddress(memberlist.Address{Addr: m.Addr, Name: m.ID().String()}, pack(kindPermit, permit{m.ID().String(), self.ID().String(), self.Addr, number, begun}))
+			_ = p.list.SendToAddress(memberlist.Address{Addr: m.GossipAddr, Name: m.ID().String()}, pack(kindPermit, permit{m.ID().String(), self.ID().String(), self.GossipAddr, number, begun}))
 		}
 	})
 }
@@ -434,31 +434,31 @@
 	}
 	p.nonce++
 	p.asked[p.nonce] = &asking{p.Now(), then}
-	b := pack(kindQuery, query{p.nonce, m.ID().String(), p.table.Self().ID().String(), p.table.Self().Addr})
-	_ = p.list.SendToAddress(memberlist.Address{Addr: m.Addr, Name: m.ID().String()}, b)
+	b := pack(kindQuery, query{p.nonce, m.ID().String(), p.table.Self().ID().String(), p.table.Self().GossipAddr})
+	_ = p.list.SendToAddress(memberlist.Address{Addr: m.GossipAddr, Name: m.ID().String()}, b)
 }
 
 // Put takes values that were told anew: keys, seeds and times. What it listens on and is called holds from the next start.
 func (p *Part) Put(told Told) {
 	p.Post(func() {
-		turn := members.Turned(p.told.Keys, told.Keys)
+		turn := members.PlanKeyRotation(p.told.Keys, told.Keys)
 		if ring := p.conf.Keyring; ring != nil {
 			var err error
 			for _, k := range turn.Add {
 				err = firstOf(err, ring.AddKey(k))
 			}
-			if turn.Use != nil {
-				err = firstOf(err, ring.UseKey(turn.Use))
+			if turn.Primary != nil {
+				err = firstOf(err, ring.UseKey(turn.Primary))
 			}
-			for _, k := range turn.Drop {
+			for _, k := range turn.Remove {
 				err = firstOf(err, ring.RemoveKey(k))
 			}
-			if len(turn.Add)+len(turn.Drop) > 0 || turn.Use != nil || err != nil {
-				slog.Info("fleet-keys", "added", len(turn.Add), "used", turn.Use != nil, "dropped", len(turn.Drop), "err", err)
+			if len(turn.Add)+len(turn.Remove) > 0 || turn.Primary != nil || err != nil {
+				slog.Info("fleet-keys", "added", len(turn.Add), "used", turn.Primary != nil, "dropped", len(turn.Remove), "err", err)
 			}
 		}
 		p.told.Keys, p.told.Members, p.told.Rate = told.Keys, told.Members, told.Rate
-		p.table.Retell(told.Members)
+		p.table.SetConfig(told.Members)
 		p.limit(told.Rate)
 	})
 }
@@ -530,31 +530,31 @@
 }
 
 // claimed hands a claim to the table and does what it says.
-func (p *Part) claimed(c members.Claim) {
-	switch p.table.Claimed(c, p.Now()) {
-	case members.Old:
+func (p *Part) claimed(c members.Descriptor) {
+	switch p.table.HandleAlive(c, p.Now()) {
+	case members.AliveOutdated:
 		p.tell(c)
-	case members.Raised:
+	case members.AliveIncarnationRaised:
 		slog.Info("incarnation-raised", "name", string(p.told.Name), "incarnation", uint64(p.table.Self().Incarnation))
 		go func() { _ = p.list.UpdateNode(time.Second) }()
-	case members.Lost:
+	case members.AliveFenced:
 		p.oust()
 	}
 	p.after()
 }
 
 // tell says to an old life that it is over, if that is on us.
-func (p *Part) tell(old members.Claim) {
-	if !p.table.Tells(old.ID(), p.Now()) {
+func (p *Part) tell(old members.Descriptor) {
+	if !p.table.ShouldNotifyFenced(old.ID(), p.Now()) {
 		return
 	}
 	word := fenced{Name: string(old.Name)}
 	if self := p.table.Self(); old.Name == self.Name {
-		word.Incarnation, word.Life = uint64(self.Incarnation), uint64(self.Life)
+		word.Incarnation, word.Life = uint64(self.Incarnation), uint64(self.BootID)
 	} else if m, known := p.table.View().Get(old.Name); known {
-		word.Incarnation, word.Life = uint64(m.Incarnation), uint64(m.Life)
+		word.Incarnation, word.Life = uint64(m.Incarnation), uint64(m.BootID)
 	}
-	addr, err := net.ResolveUDPAddr("udp", old.Addr) // an address in figures: nothing is looked up
+	addr, err := net.ResolveUDPAddr("udp", old.GossipAddr) // an address in figures: nothing is looked up
 	if err != nil {
 		return
 	}
@@ -573,7 +573,7 @@
 	c, err := readClaim(n.Name, n.Address(), n.Meta)
 	if err == nil {
 		v := p.view.Load()
-		if _, known := v.Get(c.Name); !known && c.Name != v.Self.Name && v.Len() >= p.told.Members.Most && v.Count(members.Gone) == 0 {
+		if _, known := v.Get(c.Name); !known && c.Name != v.Self.Name && v.Len() >= p.told.Members.MaxMembers && v.Count(members.StateGone) == 0 {
 			err = errSize
 		}
 	}
@@ -595,10 +595,10 @@
 
 // NotifyLeave is memberlist.EventDelegate.
 func (p *Part) NotifyLeave(n *memberlist.Node) {
-	if id, ok := members.ReadID(n.Name); ok {
+	if id, ok := members.ParseID(n.Name); ok {
 		left := n.State == memberlist.StateLeft
 		p.Post(func() {
-			p.table.Lost(id, left, p.Now())
+			p.table.HandleUnreachable(id, left, p.Now())
 			p.after()
 		})
 	}
@@ -616,7 +616,7 @@
 func (p *Part) NotifyPingComplete(other *memberlist.Node, rtt time.Duration, payload []byte) {
 	b := append([]byte(nil), payload...)
 	p.Post(func() {
-		p.table.Answered(p.Now())
+		p.table.ObserveAck(p.Now())
 		p.message(b, rtt/2)
 	})
 }
@@ -638,8 +638,8 @@
 	if err == nil {
 		switch kind {
 		case kindBulletin:
-			var x members.Bulletin
-			if x, err = readBulletin(body); err == nil && p.table.Told(x, age+under, p.Now()) {
+			var x members.Heartbeat
+			if x, err = readBulletin(body); err == nil && p.table.HandleHeartbeat(x, age+under, p.Now()) {
 				p.queue.QueueBroadcast(&passing{of: x.ID, s: &said{append([]byte(nil), b...), time.Now().Add(-age - under)}})
 				p.after()
 			}
@@ -677,13 +677,13 @@
 					p.process.Drain(x.Number)
 				} else {
 					self := p.table.Self()
-					_ = p.list.SendToAddress(memberlist.Address{Addr: x.Addr, Name: x.Who}, pack(kindBegin, begin{x.Who, self.ID().String(), self.Addr, uint64(self.Incarnation), x.Number}))
+					_ = p.list.SendToAddress(memberlist.Address{Addr: x.Addr, Name: x.Who}, pack(kindBegin, begin{x.Who, self.ID().String(), self.GossipAddr, uint64(self.Incarnation), x.Number}))
 				}
 			}
 		case kindBegin:
 			var x begin
 			if err = unpack(body, &x); err == nil && x.To == p.table.Self().ID().String() && p.Begins != nil {
-				if id, ok := members.ReadID(x.Who); ok {
+				if id, ok := members.ParseID(x.Who); ok {
 					p.Begins(id.Name, members.Incarnation(x.Incarnation), x.Number, func() { p.Nudge(id.Name, members.Incarnation(x.Incarnation), x.Number, true) })
 				}
 			}
@@ -695,10 +695,10 @@
 		case kindFenced:
 			var x fenced
 			if err = unpack(body, &x); err == nil && members.Name(x.Name) == p.told.Name {
-				switch p.table.Fence(members.Incarnation(x.Incarnation), members.Life(x.Life), p.Now()) {
-				case members.Lost:
+				switch p.table.HandleFenceNotice(members.Incarnation(x.Incarnation), members.BootID(x.Life), p.Now()) {
+				case members.AliveFenced:
 					p.oust()
-				case members.Raised:
+				case members.AliveIncarnationRaised:
 					go func() { _ = p.list.UpdateNode(time.Second) }()
 				}
 				p.after()
@@ -723,10 +723,10 @@
 	all := [][]byte{p.own.Load().now()}
 	now := time.Since(p.began)
 	for m := range v.All() {
-		if m.Seq == 0 || m.State == members.Gone || m.State == members.Fenced {
+		if m.Sequence == 0 || m.State == members.StateGone || m.State == members.StateFenced {
 			continue
 		}
-		b, age := m.Bulletin(now)
+		b, age := m.Heartbeat(now)
 		all = append(all, aged(packBulletin(b), age))
 	}
 	return packState(all)
@@ -734,7 +734,7 @@
 
 // MergeRemoteState is memberlist.Delegate.
 func (p *Part) MergeRemoteState(b []byte, join bool) {
-	if err := readState(b, p.told.Members.Most+1, func(m []byte) {
+	if err := readState(b, p.told.Members.MaxMembers+1, func(m []byte) {
 		m = append([]byte(nil), m...)
 		p.Post(func() { p.message(m, 0) })
 	}); err != nil {
@@ -744,10 +744,10 @@
 
 // counts is what came and what became of it.
 func (p *Part) counts() map[string]uint64 {
-	c := p.table.Counts
+	c := p.table.Stats
 	all := map[string]uint64{"packets-in": p.net.in.Load(), "packets-out": p.net.out.Load(), "bytes-in": p.net.inBytes.Load(), "bytes-out": p.net.outBytes.Load(),
-		"kept-back": p.net.kept.Load(), "dropped": p.dropped.Load(), "bad": p.bad.Load(), "refused": p.refused.Load() + c.Refused,
-		"changes": c.Changes, "stale": c.Stale, "oversized": c.Oversized, "fenced": c.Fenced, "refuted": c.Refuted, "stood-still": c.Stood}
+		"kept-back": p.net.kept.Load(), "dropped": p.dropped.Load(), "bad": p.bad.Load(), "refused": p.refused.Load() + c.RejectedFull,
+		"changes": c.Transitions, "stale": c.StaleHeartbeats, "oversized": c.InvalidHeartbeats, "fenced": c.OutdatedIncarnations, "refuted": c.RefutedSuspicions, "stood-still": c.Stalls}
 	for code, n := range p.lines.counts() {
 		all["gossip-"+code] = n
 	}
--- a/internal/fleet/gossip/watch.go
+++ b/internal/fleet/gossip/watch.go
@@ -54,22 +54,22 @@
 
 func (p *Part) snapshot(what string) Snapshot {
 	v, now := p.table.View(), p.Now()
-	s := Snapshot{Name: string(v.Self.Name), Life: fmt.Sprintf("%016x", uint64(v.Self.Life)), Incarnation: uint64(v.Self.Incarnation), Zone: v.Self.Zone,
-		Release: v.Self.Release, Standing: v.Standing.String(), Reach: v.Reach, Version: v.Version,
-		Digest: fmt.Sprintf("%016x", v.Digest()^members.Mark(v.Self.ID())), States: map[string]int{}, Counts: p.counts(), CPUms: spent().Milliseconds()}
+	s := Snapshot{Name: string(v.Self.Name), Life: fmt.Sprintf("%016x", uint64(v.Self.BootID)), Incarnation: uint64(v.Self.Incarnation), Zone: v.Self.Zone,
+		Release: v.Self.Release, Standing: v.LocalHealth.String(), Reach: v.HeardFraction, Version: v.Version,
+		Digest: fmt.Sprintf("%016x", v.Digest()^members.Fingerprint(v.Self.ID())), States: map[string]int{}, Counts: p.counts(), CPUms: spent().Milliseconds()}
 	for m := range v.All() {
 		s.States[m.State.String()]++
-		if what == Brief && m.State == members.Up {
+		if what == Brief && m.State == members.StateUp {
 			continue
 		}
-		one := SnapshotMember{Name: string(m.Name), Life: fmt.Sprintf("%016x", uint64(m.Life)), Incarnation: uint64(m.Incarnation), State: m.State.String(),
-			Why: string(m.Why), ForMS: (now - m.Since).Milliseconds(), SpokeMS: (now - m.Spoke).Milliseconds(), Addr: m.Addr, Roles: m.Roles.String(),
+		one := SnapshotMember{Name: string(m.Name), Life: fmt.Sprintf("%016x", uint64(m.BootID)), Incarnation: uint64(m.Incarnation), State: m.State.String(),
+			Why: string(m.Reason), ForMS: (now - m.StateSince).Milliseconds(), SpokeMS: (now - m.HeartbeatAt).Milliseconds(), Addr: m.GossipAddr, Roles: m.Roles.String(),
 			Zone: m.Zone, Release: m.Release, Capacity: m.Capacity, Facts: map[string]float64{}}
-		for _, f := range m.Facts {
-			if value, _, ok := m.Fact(f.Key, now); ok {
-				one.Facts[f.Key] = value
+		for _, f := range m.Metrics {
+			if value, _, ok := m.Metric(f.Name, now); ok {
+				one.Facts[f.Name] = value
 			} else {
-				one.Stale = append(one.Stale, f.Key)
+				one.Stale = append(one.Stale, f.Name)
 			}
 		}
 		slices.Sort(one.Stale)
--- a/internal/fleet/steward/ask/golden_test.go
+++ b/internal/fleet/steward/ask/golden_test.go
@@ -27,7 +27,7 @@
 var (
 	match  = accord.Match{Zone: "a", Release: "1", Role: "instance", Below: "db"}
 	budget = accord.Budget{Name: "zone-a", Of: match, Most: 2, Share: 0.25, Least: 12.5}
-	seen   = accord.Seen{Name: "n1", Incarnation: 1_700_000_000_001, Zone: "a", Release: "1", Roles: members.Instance,
+	seen   = accord.Seen{Name: "n1", Incarnation: 1_700_000_000_001, Zone: "a", Release: "1", Roles: members.RoleServer,
 		Below: "db", Capacity: 1.5, Why: accord.Leaving}
 	permit = accord.Permit{Number: 42, Member: "n1", Of: 1_700_000_000_001, By: "operator", Why: "drain",
 		Stage: accord.Begun, Asked: 50 * time.Second, At: 60 * time.Second,
--- a/internal/fleet/steward/golden_test.go
+++ b/internal/fleet/steward/golden_test.go
@@ -45,7 +45,7 @@
 func goldenCommands(term uint64, at time.Duration, from accord.Number, inc members.Incarnation, old,
 	next string) (all []accord.Command) {
 	seen := func(name accord.Name, zone, release string, plus members.Incarnation, why accord.Reason) accord.Seen {
-		return accord.Seen{Name: name, Incarnation: inc + plus, Zone: zone, Release: release, Roles: members.Instance,
+		return accord.Seen{Name: name, Incarnation: inc + plus, Zone: zone, Release: release, Roles: members.RoleServer,
 			Capacity: 1.5, Why: why}
 	}
 	group := accord.Match{Zone: "b", Role: "instance"}
@@ -53,9 +53,9 @@
 		{Do: accord.DoSee, Seen: []accord.Seen{seen("n0", "a", old, 0, accord.Up), seen("n1", "a", old, 0, accord.Up),
 			seen("n2", "b", old, 0, accord.Up), seen("n3", "b", old, 0, accord.Up),
 			seen("n4", "c", old, 0, accord.Up), seen("n5", "c", old, 0, accord.Up),
-			{Name: "d0", Incarnation: inc, Zone: "a", Release: old, Roles: members.Below, Below: "d0", Capacity: 1,
+			{Name: "d0", Incarnation: inc, Zone: "a", Release: old, Roles: members.RoleUpstream, Below: "d0", Capacity: 1,
 				Why: accord.Up},
-			{Name: "r0", Incarnation: inc, Zone: "a", Release: old, Roles: members.Relay | members.Steward,
+			{Name: "r0", Incarnation: inc, Zone: "a", Release: old, Roles: members.RoleProxy | members.RoleCoordinator,
 				Capacity: 2, Why: accord.Doubted}}},
 		{Do: accord.DoBudgets, Budgets: []accord.Budget{{Name: "all", Most: 3, Least: 4}, {Name: "share-b", Of: group,
 			Most: -1, Share: 0.5},
@@ -304,13 +304,13 @@
 		{Name: "below", Of: accord.Match{Below: "d0", Release: "1"}, Most: 1}})
 	is("members", len(a.Members), 7)
 	is("n0", *a.Members["n0"], accord.Member{Seen: accord.Seen{Name: "n0", Incarnation: 1_700_000_000_103, Zone: "a",
-		Release: "3", Roles: members.Instance, Capacity: 1.5},
+		Release: "3", Roles: members.RoleServer, Capacity: 1.5},
 		Since: 22500 * time.Millisecond, Permit: 17, Before: "1"})
 	is("d0", *a.Members["d0"], accord.Member{Seen: accord.Seen{Name: "d0", Incarnation: 1_700_000_000_101, Zone: "a",
-		Release: "1", Roles: members.Below, Below: "d0", Capacity: 1},
+		Release: "1", Roles: members.RoleUpstream, Below: "d0", Capacity: 1},
 		Since: 13 * time.Second, Before: "1"})
 	is("r0", *a.Members["r0"], accord.Member{Seen: accord.Seen{Name: "r0", Incarnation: 1_700_000_000_101, Zone: "a",
-		Release: "1", Roles: members.Relay | members.Steward, Capacity: 2,
+		Release: "1", Roles: members.RoleProxy | members.RoleCoordinator, Capacity: 2,
 		Why: accord.Doubted}, Since: 13 * time.Second, Before: "1"})
 	is("permits", len(a.Permits), 3)
 	is("17", *a.Permits[17], accord.Permit{Number: 17, Member: "n0", Of: 1_700_000_000_103, By: "r3", Why: "back",
--- a/internal/fleet/steward/steward.go
+++ b/internal/fleet/steward/steward.go
@@ -262,27 +262,27 @@
 }
 
 // reasons is why a member is out, by how it is seen.
-var reasons = map[members.State]accord.Reason{members.Up: accord.Up, members.Warming: accord.Cold, members.Joining: accord.Joining, members.Suspect: accord.Doubted,
-	members.Leaving: accord.Leaving, members.Gone: accord.Gone, members.Fenced: accord.Gone}
+var reasons = map[members.State]accord.Reason{members.StateUp: accord.Up, members.StateWarming: accord.Cold, members.StateJoining: accord.Joining, members.StateSuspect: accord.Doubted,
+	members.StateLeaving: accord.Leaving, members.StateGone: accord.Gone, members.StateFenced: accord.Gone}
 
 // see says what has changed among the members, and tells whether what it sees can be trusted. Danger: a leader that is cut off from the fleet and not from
 // the other stewards sees all as gone, or all as they were.
 func (s *Steward) see() bool {
 	v := s.fleet.View()
-	if !v.Standing.Judges() {
+	if !v.LocalHealth.CanDeclareGone() {
 		return false
 	}
 	l := s.lead
 	saw := map[accord.Name]accord.Seen{}
-	add := func(c members.Claim, why accord.Reason) {
+	add := func(c members.Descriptor, why accord.Reason) {
 		x := accord.Seen{Name: c.Name, Incarnation: c.Incarnation, Zone: c.Zone, Release: c.Release, Roles: c.Roles, Capacity: c.Capacity, Why: why}
-		if c.Roles&members.Below != 0 {
+		if c.Roles&members.RoleUpstream != 0 {
 			x.Below = string(c.Name)
 		}
 		saw[c.Name] = x
 	}
 	for m := range v.All() {
-		add(m.Claim, reasons[m.State])
+		add(m.Descriptor, reasons[m.State])
 	}
 	add(v.Self, accord.Up)
 	var news []accord.Seen
--- a/internal/fleet/steward/steward_test.go
+++ b/internal/fleet/steward/steward_test.go
@@ -41,7 +41,7 @@
 func found(n int, instances int) *town {
 	towns++
 	t := &town{folder: standin.Must(os.MkdirTemp("", "stewards")), nudges: map[uint64]string{}}
-	t.table = members.New(members.Claim{Name: "s0", Incarnation: 1, Life: 1, Roles: members.Steward}, members.Usual(), 0)
+	t.table = members.NewTable(members.Descriptor{Name: "s0", Incarnation: 1, BootID: 1, Roles: members.RoleCoordinator}, members.DefaultConfig(), 0)
 	for i := range instances {
 		t.up(i, 1, "1")
 	}
@@ -62,13 +62,13 @@
 }
 
 // up has the fleet hold an instance to be up, by a life.
-func (t *town) up(i int, life members.Life, release string) {
+func (t *town) up(i int, life members.BootID, release string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.now += time.Second
 	name := members.Name(fmt.Sprint("n", i))
-	t.table.Claimed(members.Claim{Name: name, Life: life, Incarnation: members.Incarnation(life), Roles: members.Instance, Release: release, Capacity: 1}, t.now)
-	t.table.Told(members.Bulletin{ID: members.ID{Name: name, Life: life}, Seq: 1, Ready: true, ReadyFor: time.Hour}, 0, t.now)
+	t.table.HandleAlive(members.Descriptor{Name: name, BootID: life, Incarnation: members.Incarnation(life), Roles: members.RoleServer, Release: release, Capacity: 1}, t.now)
+	t.table.HandleHeartbeat(members.Heartbeat{ID: members.ID{Name: name, BootID: life}, Sequence: 1, Ready: true, ReadyFor: time.Hour}, 0, t.now)
 }
 
 func (t *town) View() *members.View {
@@ -349,7 +349,7 @@
 	// The state that they begin with, as the stewards have it.
 	start := accord.New(accord.Usual())
 	for i := range 3 {
-		start.Apply(accord.Command{Do: accord.DoSee, Seen: []accord.Seen{{Name: accord.Name(fmt.Sprint("n", i)), Incarnation: 1, Release: "1", Roles: members.Instance, Capacity: 1}}})
+		start.Apply(accord.Command{Do: accord.DoSee, Seen: []accord.Seen{{Name: accord.Name(fmt.Sprint("n", i)), Incarnation: 1, Release: "1", Roles: members.RoleServer, Capacity: 1}}})
 	}
 	start.Apply(oneOut)
 	first := string(standin.Must(json.Marshal(start)))
--- a/internal/grants/desk.go
+++ b/internal/grants/desk.go
@@ -43,9 +43,9 @@
 
 // Has is the grant that a holder goes by.
 type Has struct {
-	Desk  members.Life // who granted it
-	Seq   uint64       // the ask that it answered
-	Limit int          // calls at a time beyond those that it may make alone; 0 once it is over
+	Desk  members.BootID // who granted it
+	Seq   uint64         // the ask that it answered
+	Limit int            // calls at a time beyond those that it may make alone; 0 once it is over
 }
 
 // Ask is what a holder says of itself, and wants. A later one counts.
@@ -59,7 +59,7 @@
 
 // Grant is the answer to an ask.
 type Grant struct {
-	Desk  members.Life
+	Desk  members.BootID
 	Seq   uint64 // of the ask
 	Limit int
 	Holds time.Duration
@@ -71,7 +71,7 @@
 // Desk grants. It belongs to one goroutine.
 type Desk struct {
 	told    Told
-	life    members.Life
+	life    members.BootID
 	quiet   time.Duration // until then what an earlier desk granted may be in force
 	all     map[members.ID]*holder
 	bound   int // sum of the holders' bounds
@@ -101,7 +101,7 @@
 
 // NewDesk begins at the desk. Danger: a desk that is started anew knows nothing of what the one before granted. Until all of that
 // is over it only renews what holders say they have, which together is no more than that one granted.
-func NewDesk(told Told, life members.Life, now time.Duration) *Desk {
+func NewDesk(told Told, life members.BootID, now time.Duration) *Desk {
 	return &Desk{told: told, life: life, quiet: told.over(now), all: map[members.ID]*holder{}, stale: true}
 }
 
--- a/internal/grants/grants_test.go
+++ b/internal/grants/grants_test.go
@@ -20,8 +20,8 @@
 	told := Usual()
 	told.Cap, told.Drift = 10, 0
 	d := NewDesk(told, 1, 0)
-	a := &Holder{Who: members.ID{Name: "a", Life: 1}, Longest: time.Minute}
-	b := &Holder{Who: members.ID{Name: "b", Life: 1}, Longest: time.Minute}
+	a := &Holder{Who: members.ID{Name: "a", BootID: 1}, Longest: time.Minute}
+	b := &Holder{Who: members.ID{Name: "b", BootID: 1}, Longest: time.Minute}
 	ask := func(now time.Duration, h *Holder, calls int) {
 		h.Wanted(now, calls)
 		g, ok := d.Asked(now, h.Ask(now, 1, 0))
@@ -56,7 +56,7 @@
 	told.Cap, told.Holders, told.Holds, told.Longest = 4, 2, time.Second, time.Second
 	d := NewDesk(told, 7, 0)
 	now := 10 * time.Second
-	h := &Holder{Who: members.ID{Name: "a", Life: 1}, Most: 9, Longest: time.Minute}
+	h := &Holder{Who: members.ID{Name: "a", BootID: 1}, Most: 9, Longest: time.Minute}
 	h.Wanted(now, 12)
 	first := h.Ask(now, 7, 0)
 	g, _ := d.Asked(now, first)
@@ -67,12 +67,12 @@
 	g2, _ := d.Asked(now, second)
 	fmt.Println(h.Granted(now, Grant{Desk: 8, Seq: second.Seq, Limit: 100, Holds: time.Hour}), h.Granted(now, Grant{Desk: 7, Seq: 99, Limit: 100, Holds: time.Hour}),
 		h.Granted(now, g2), h.Granted(now, g), h.Limit(now+999*time.Millisecond), h.Limit(now+time.Second))
-	g, ok := d.Asked(now, Ask{Who: members.ID{Name: "b", Life: 1}, Seq: 1, Open: -5, Wants: 1 << 60, Has: Has{Desk: 7, Seq: 9, Limit: 1 << 60}})
+	g, ok := d.Asked(now, Ask{Who: members.ID{Name: "b", BootID: 1}, Seq: 1, Open: -5, Wants: 1 << 60, Has: Has{Desk: 7, Seq: 9, Limit: 1 << 60}})
 	fmt.Println(g.Limit, ok)
-	_, ok = d.Asked(now, Ask{Who: members.ID{Name: "c", Life: 1}, Seq: 1, Wants: 1})
+	_, ok = d.Asked(now, Ask{Who: members.ID{Name: "c", BootID: 1}, Seq: 1, Wants: 1})
 	fmt.Println(ok, d.Refused)
 	d.Oust()
-	_, ok = d.Asked(now+time.Minute, Ask{Who: members.ID{Name: "c", Life: 1}, Seq: 2, Wants: 1})
+	_, ok = d.Asked(now+time.Minute, Ask{Who: members.ID{Name: "c", BootID: 1}, Seq: 2, Wants: 1})
 	fmt.Println(ok)
 	// Output:
 	// 0 true 4 0
@@ -95,7 +95,7 @@
 	d := NewDesk(told, 1, 0)
 	now := time.Minute
 	ask := func(seq uint64, wants int) {
-		d.Asked(now, Ask{Who: members.ID{Name: "a", Life: 1}, Seq: seq, Wants: wants})
+		d.Asked(now, Ask{Who: members.ID{Name: "a", BootID: 1}, Seq: seq, Wants: wants})
 	}
 	ask(1, 9)
 	for seq := uint64(2); seq < 30; seq++ {
@@ -125,7 +125,7 @@
 	had := map[int]bool{}
 	var all []*Holder
 	for i := range 20 {
-		all = append(all, &Holder{Who: members.ID{Name: members.Name(fmt.Sprint("h", i)), Life: 1}, Longest: time.Minute})
+		all = append(all, &Holder{Who: members.ID{Name: members.Name(fmt.Sprint("h", i)), BootID: 1}, Longest: time.Minute})
 	}
 	most := 0
 	for now := time.Second; now < time.Minute; now += 125 * time.Millisecond {
@@ -160,7 +160,7 @@
 	events  []event
 	nth     int
 	desk    *Desk
-	life    members.Life
+	life    members.BootID
 	deskIs  *clock
 	procs   []*process
 	running int // below, all together
@@ -240,7 +240,7 @@
 	p.lifeNo++
 	p.open = 0
 	p.clock = clock{off: w.span(time.Hour), rate: 1 + w.told.Drift*(2*w.chance.Float64()-1)}
-	p.h = &Holder{Who: members.ID{Name: members.Name(fmt.Sprintf("p%d", len(w.procs))), Life: members.Life(w.chance.Uint64())}, Most: w.told.Alone, Longest: time.Hour}
+	p.h = &Holder{Who: members.ID{Name: members.Name(fmt.Sprintf("p%d", len(w.procs))), BootID: members.BootID(w.chance.Uint64())}, Most: w.told.Alone, Longest: time.Hour}
 	w.ask(p, p.lifeNo)
 	w.work(p, p.lifeNo)
 }
@@ -313,7 +313,7 @@
 	w.lossy = 0.5 * w.chance.Float64()
 	anew := func() {
 		w.deskIs = &clock{off: w.span(time.Hour), rate: 1 + w.told.Drift*(2*w.chance.Float64()-1)}
-		w.life = members.Life(w.chance.Uint64() | 1)
+		w.life = members.BootID(w.chance.Uint64() | 1)
 		w.desk = NewDesk(w.told, w.life, w.deskIs.now(w))
 	}
 	anew()
@@ -375,7 +375,7 @@
 	d := NewDesk(told, 1, 0)
 	var all []*Holder
 	for i := range 50 {
-		all = append(all, &Holder{Who: members.ID{Name: members.Name(fmt.Sprint("h", i)), Life: 1}, Longest: time.Minute})
+		all = append(all, &Holder{Who: members.ID{Name: members.Name(fmt.Sprint("h", i)), BootID: 1}, Longest: time.Minute})
 	}
 	sum := func(now time.Duration, from int) (least, most, sum int) {
 		least = 1 << 30
@@ -419,7 +419,7 @@
 	d := NewDesk(told, 1, 0)
 	var all []*Holder
 	for i := range 300 {
-		all = append(all, &Holder{Who: members.ID{Name: members.Name(fmt.Sprint("h", i)), Life: 1}, Longest: time.Minute})
+		all = append(all, &Holder{Who: members.ID{Name: members.Name(fmt.Sprint("h", i)), BootID: 1}, Longest: time.Minute})
 	}
 	now := time.Minute
 	for i := range b.N {
--- a/internal/grants/holder.go
+++ b/internal/grants/holder.go
@@ -27,7 +27,7 @@
 
 type asked struct {
 	seq  uint64
-	desk members.Life
+	desk members.BootID
 	at   time.Duration
 }
 
@@ -78,7 +78,7 @@
 func (h *Holder) lastAsk() time.Duration { return h.asked[h.seq%uint64(len(h.asked))].at }
 
 // Ask makes the next ask of a desk; open is the calls that may be running below.
-func (h *Holder) Ask(now time.Duration, desk members.Life, open int) Ask {
+func (h *Holder) Ask(now time.Duration, desk members.BootID, open int) Ask {
 	h.seq++
 	h.asked[h.seq%uint64(len(h.asked))] = asked{h.seq, desk, now}
 	h.next = now + h.span()/4
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -49,7 +49,7 @@
 }
 
 // See takes a view of the fleet.
-func (p *Part) See(v *members.View) { p.passer.See(v, members.Instance) }
+func (p *Part) See(v *members.View) { p.passer.See(v, members.RoleServer) }
 
 // Put takes values that were told anew.
 func (p *Part) Put(told Told) { p.hander.Retell(told.Hand) }
--- a/internal/life/stewards/golden_test.go
+++ b/internal/life/stewards/golden_test.go
@@ -87,13 +87,13 @@
 	p := &fleetAdapter{coordinator: s}
 	done := make(chan struct{})
 	go func() {
-		s.Serve(alone{members.New(members.Claim{Name: "s0", Incarnation: 1, Life: 1, Roles: members.Steward},
-			members.Usual(), 0).View()})
+		s.Serve(alone{members.NewTable(members.Descriptor{Name: "s0", Incarnation: 1, BootID: 1, Roles: members.RoleCoordinator},
+			members.DefaultConfig(), 0).View()})
 		close(done)
 	}()
 	standin.Until("it leads", func() bool { return s.Leads() && s.Ready() })
 	p.Status(func(r gossip.Report) {
-		want := gossip.Report{Ready: true, Facts: []members.Fact{{Key: "leads", Value: 1}}}
+		want := gossip.Report{Ready: true, Facts: []members.Metric{{Name: "leads", Value: 1}}}
 		if !reflect.DeepEqual(r, want) {
 			t.Errorf("%+v, wanted %+v", r, want)
 		}
--- a/internal/life/stewards/stewards.go
+++ b/internal/life/stewards/stewards.go
@@ -63,7 +63,7 @@
 	if p.coordinator.Leads() {
 		isLeader = 1
 	}
-	then(gossip.Report{Ready: p.coordinator.Ready(), Facts: []members.Fact{{Key: "leads", Value: isLeader}}})
+	then(gossip.Report{Ready: p.coordinator.Ready(), Facts: []members.Metric{{Name: "leads", Value: isLeader}}})
 }
 
 func (p *fleetAdapter) Load(then func(float64, gossip.Figures)) { then(0, gossip.Figures{}) }
--- a/internal/members/golden_test.go
+++ b/internal/members/golden_test.go
@@ -14,10 +14,10 @@
 // sockets and written in operators' files. -update is for one that is added.
 var update = flag.Bool("update", false, "write the golden file anew")
 
-const sharedFile = "shared.json"
+const goldenFile = "shared.json"
 
-// shared is every enumeration by its value, and what an identity looks like in a message.
-type shared struct {
+// sharedValues is every enumeration by its value, and what an identity looks like in a message.
+type sharedValues struct {
 	Roles    map[string]uint8 `json:"roles"`
 	States   []string         `json:"states"`
 	Standing []string         `json:"standing"`
@@ -27,26 +27,26 @@
 	Digest   uint64           `json:"digest"` // of a view of two
 }
 
-func currentShared() shared {
-	s := shared{Roles: map[string]uint8{}}
-	for _, r := range []Roles{Instance, Relay, Steward, Below} {
+func currentShared() sharedValues {
+	s := sharedValues{Roles: map[string]uint8{}}
+	for _, r := range []Roles{RoleServer, RoleProxy, RoleCoordinator, RoleUpstream} {
 		s.Roles[r.String()] = uint8(r)
 	}
-	for _, x := range []State{Joining, Warming, Up, Suspect, Leaving, Gone, Fenced} {
+	for _, x := range []State{StateJoining, StateWarming, StateUp, StateSuspect, StateLeaving, StateGone, StateFenced} {
 		s.States = append(s.States, x.String())
 	}
-	for _, x := range []Standing{Young, Sound, Thin, CutOff, Unheard, Woken, Ousted} {
+	for _, x := range []LocalHealth{LocalLearning, LocalHealthy, LocalDegraded, LocalIsolated, LocalUnanswered, LocalResumed, LocalFenced} {
 		s.Standing = append(s.Standing, x.String())
 	}
-	for _, x := range []Reason{Claimed, Served, Warmed, Unreached, Mute, Flapping, Returned, Said, Left,
-		GivenUp, Superseded} {
+	for _, x := range []Reason{ReasonDiscovered, ReasonReady, ReasonWarmedUp, ReasonUnreachable, ReasonSilent, ReasonFlapping, ReasonRecovered, ReasonDraining, ReasonLeft,
+		ReasonTimedOut, ReasonSuperseded} {
 		s.Reasons = append(s.Reasons, string(x))
 	}
-	id := ID{Name: "blue", Life: 0x0123456789abcdef}
-	s.ID, s.Mark = id.String(), Mark(id)
-	table := New(Claim{Name: "self", Life: 1}, Usual(), 0)
-	table.Claimed(Claim{Name: "blue", Life: id.Life}, 0)
-	table.Claimed(Claim{Name: "green", Life: 2}, 0)
+	id := ID{Name: "blue", BootID: 0x0123456789abcdef}
+	s.ID, s.Mark = id.String(), Fingerprint(id)
+	table := NewTable(Descriptor{Name: "self", BootID: 1}, DefaultConfig(), 0)
+	table.HandleAlive(Descriptor{Name: "blue", BootID: id.BootID}, 0)
+	table.HandleAlive(Descriptor{Name: "green", BootID: 2}, 0)
 	s.Digest = table.View().Digest()
 	return s
 }
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	text = append(text, '\n')
-	path := filepath.Join("testdata", sharedFile)
+	path := filepath.Join("testdata", goldenFile)
 	if *update {
 		if err := os.MkdirAll("testdata", 0o755); err != nil {
 			t.Fatal(err)
@@ -75,11 +75,11 @@
 	if !bytes.Equal(text, stored) {
 		t.Errorf("now\n%s\nstored is\n%s", text, stored)
 	}
-	var back shared
+	var back sharedValues
 	if err := json.Unmarshal(stored, &back); err != nil {
 		t.Fatal(err)
 	}
-	want := shared{Roles: map[string]uint8{"instance": 1, "relay": 2, "steward": 4, "below": 8},
+	want := sharedValues{Roles: map[string]uint8{"instance": 1, "relay": 2, "steward": 4, "below": 8},
 		States:   []string{"joining", "warming", "up", "suspect", "leaving", "gone", "fenced"},
 		Standing: []string{"young", "sound", "thin", "cut-off", "unheard", "woken", "fenced"},
 		Reasons: []string{"claimed", "ready", "warmed", "unreached", "mute", "flapping", "returned",
@@ -88,10 +88,10 @@
 	if !reflect.DeepEqual(back, want) {
 		t.Errorf("stored is\n%+v\nwant\n%+v", back, want)
 	}
-	if id, ok := ReadID(back.ID); !ok || id != (ID{Name: "blue", Life: 0x0123456789abcdef}) {
+	if id, ok := ParseID(back.ID); !ok || id != (ID{Name: "blue", BootID: 0x0123456789abcdef}) {
 		t.Errorf("%q reads as %v, %v", back.ID, id, ok)
 	}
-	if r, bad := ReadRoles([]string{"instance", "relay", "steward",
+	if r, bad := ParseRoles([]string{"instance", "relay", "steward",
 		"below"}); bad != "" || r != 15 || r.String() != "instance+relay+steward+below" {
 		t.Errorf("the roles read as %v (%d), bad %q", r, r, bad)
 	}
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -32,11 +32,11 @@
 	StatusSocket     string
 	DrainWhenFenced  bool
 	RequirePermit    bool
-	Config           members.Told
+	Config           members.Config
 }
 
 func (r *reader) readFleet() Fleet {
-	f := Fleet{Cluster: "lanewheel", Capacity: 1, Roles: members.Instance, Config: members.Usual()}
+	f := Fleet{Cluster: "lanewheel", Capacity: 1, Roles: members.RoleServer, Config: members.DefaultConfig()}
 	s := r.section("fleet")
 	f.Enabled = s.exists()
 	s.stringValue("name", &f.Name)
@@ -51,7 +51,7 @@
 	}
 	if names := s.listValue("roles"); len(names) > 0 {
 		var unknownRole string
-		if f.Roles, unknownRole = members.ReadRoles(names); unknownRole != "" {
+		if f.Roles, unknownRole = members.ParseRoles(names); unknownRole != "" {
 			s.report("roles", unknownRole, "wants some of instance, relay, steward, below")
 		}
 	}
@@ -79,31 +79,31 @@
 	f.MaxMessageRate = 2000 // a second: a tenth of a core; 1,000 members say some hundred
 	s.floatValue("messages", &f.MaxMessageRate, 10, 1_000_000)
 	config := &f.Config
-	s.intValue("members", &config.Most, 2, 10_000)
-	s.durationValue("gone-kept", &config.GoneFor, time.Second, 24*time.Hour)
-	s.durationValue("doubt", &config.Doubt, 0, time.Minute)
+	s.intValue("members", &config.MaxMembers, 2, 10_000)
+	s.durationValue("gone-kept", &config.GoneRetention, time.Second, 24*time.Hour)
+	s.durationValue("doubt", &config.SuspectAfter, 0, time.Minute)
 	s.durationValue("gone-after", &config.GoneAfter, 0, time.Hour)
-	s.durationValue("mute-after", &config.MuteAfter, time.Second, time.Hour)
-	s.durationValue("stall", &config.Stall, 300*time.Millisecond, time.Minute)
-	s.durationValue("settle", &config.Settle, 100*time.Millisecond, time.Minute)
-	s.durationValue("facts-every", &config.FactsEvery, 100*time.Millisecond, time.Minute)
-	s.floatValue("facts-rate", &config.FactsRate, 1, 10_000)
-	s.intValue("facts", &config.Facts, 1, 64)
-	s.floatValue("flaps", &config.Damp.At, 1, 100)
-	s.floatValue("flaps-over", &config.Damp.Under, 0.01, 100)
-	config.Damp.Most = max(config.Damp.Most, 2*config.Damp.At)
-	if config.Damp.Under >= config.Damp.At {
-		s.report("flaps-over", strconv.FormatFloat(config.Damp.Under, 'g', -1, 64), "wants less than flaps")
+	s.durationValue("mute-after", &config.SilentAfter, time.Second, time.Hour)
+	s.durationValue("stall", &config.StallThreshold, 300*time.Millisecond, time.Minute)
+	s.durationValue("settle", &config.SettleTime, 100*time.Millisecond, time.Minute)
+	s.durationValue("facts-every", &config.HeartbeatInterval, 100*time.Millisecond, time.Minute)
+	s.floatValue("facts-rate", &config.FleetHeartbeatRate, 1, 10_000)
+	s.intValue("facts", &config.MaxMetrics, 1, 64)
+	s.floatValue("flaps", &config.FlapDamping.SuppressLimit, 1, 100)
+	s.floatValue("flaps-over", &config.FlapDamping.ReuseLimit, 0.01, 100)
+	config.FlapDamping.MaxPenalty = max(config.FlapDamping.MaxPenalty, 2*config.FlapDamping.SuppressLimit)
+	if config.FlapDamping.ReuseLimit >= config.FlapDamping.SuppressLimit {
+		s.report("flaps-over", strconv.FormatFloat(config.FlapDamping.ReuseLimit, 'g', -1, 64), "wants less than flaps")
 	}
-	s.durationValue("flaps-half", &config.Damp.Half, time.Second, time.Hour)
-	s.durationValue("hearing", &config.Ear.Window, 300*time.Millisecond, time.Minute)
-	s.floatValue("thin-at", &config.Ear.ThinAt, 0.01, 1)
-	s.floatValue("cut-off-at", &config.Ear.CutAt, 0.01, 1)
-	if config.Ear.CutAt > config.Ear.ThinAt {
-		s.report("cut-off-at", strconv.FormatFloat(config.Ear.CutAt, 'g', -1, 64), "wants thin-at or less")
+	s.durationValue("flaps-half", &config.FlapDamping.HalfLife, time.Second, time.Hour)
+	s.durationValue("hearing", &config.Connectivity.Window, 300*time.Millisecond, time.Minute)
+	s.floatValue("thin-at", &config.Connectivity.DegradedBelow, 0.01, 1)
+	s.floatValue("cut-off-at", &config.Connectivity.IsolatedBelow, 0.01, 1)
+	if config.Connectivity.IsolatedBelow > config.Connectivity.DegradedBelow {
+		s.report("cut-off-at", strconv.FormatFloat(config.Connectivity.IsolatedBelow, 'g', -1, 64), "wants thin-at or less")
 	}
-	s.durationValue("adapt", &config.Ear.Adapt, time.Second, time.Hour)
-	s.durationValue("unanswered", &config.Ear.Answers, 500*time.Millisecond, time.Hour)
+	s.durationValue("adapt", &config.Connectivity.AdaptAfter, time.Second, time.Hour)
+	s.durationValue("unanswered", &config.Connectivity.AckTimeout, 500*time.Millisecond, time.Hour)
 	s.reportUnknownNames()
 	return f
 }
--- a/internal/pass/pass.go
+++ b/internal/pass/pass.go
@@ -99,15 +99,15 @@
 	var names, deciders []spread.Name
 	deciders = append(deciders, spread.Name(v.Self.Name))
 	for m := range v.All() {
-		if m.Roles&role != 0 && m.State.Here() {
+		if m.Roles&role != 0 && m.State.Available() {
 			deciders = append(deciders, spread.Name(m.Name))
 		}
 		// Cut off, we know no better than before: who was there is still tried. Else a suspect gets nothing.
-		if m.Roles&members.Instance != 0 && m.Serves != "" && (m.State.Here() || m.State == members.Suspect && m.Why != members.Flapping && !v.Standing.Judges()) {
-			x := spread.Member{Name: spread.Name(m.Name), Zone: m.Zone, Capacity: m.Capacity, Warm: m.Warm, Cold: m.Cold(v.At), Doubted: m.State == members.Suspect}
+		if m.Roles&members.RoleServer != 0 && m.ServiceAddr != "" && (m.State.Available() || m.State == members.StateSuspect && m.Reason != members.ReasonFlapping && !v.LocalHealth.CanDeclareGone()) {
+			x := spread.Member{Name: spread.Name(m.Name), Zone: m.Zone, Capacity: m.Capacity, Warm: m.WarmUp, Cold: m.WarmUpRemaining(v.PublishedAt), Doubted: m.State == members.StateSuspect}
 			all = append(all, x)
 			names = append(names, x.Name)
-			addrs[x.Name] = m.Serves
+			addrs[x.Name] = m.ServiceAddr
 		}
 	}
 	if k := p.told.Subset; k > 0 && k < len(names) {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -102,7 +102,7 @@
 func (r *Relay) Serve() { r.Run(r.net.Flush) }
 
 // See takes a view of the fleet.
-func (r *Relay) See(v *members.View) { r.passer.See(v, members.Relay) }
+func (r *Relay) See(v *members.View) { r.passer.See(v, members.RoleProxy) }
 
 // known is how many members there are to pass to.
 func (r *Relay) known() int { return r.passer.Chooser.Len() }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -101,14 +101,14 @@
 // open starts a relay before so many scripted members.
 func open(n int, steps ...string) (*Relay, *script, string) {
 	s := &script{steps: steps, ids: map[string]bool{}}
-	table := members.New(members.Claim{Name: "relay", Incarnation: 1, Life: 1}, members.Usual(), 0)
+	table := members.NewTable(members.Descriptor{Name: "relay", Incarnation: 1, BootID: 1}, members.DefaultConfig(), 0)
 	for i := range n {
 		l := standin.Must(net.Listen("tcp", "127.0.0.1:0"))
 		s.all = append(s.all, &below{listener: l})
 		go s.serve(i, l)
-		id := members.ID{Name: members.Name(fmt.Sprint("m", i)), Life: 1}
-		table.Claimed(members.Claim{Name: id.Name, Life: 1, Incarnation: 1, Roles: members.Instance, Serves: l.Addr().String(), Capacity: 2}, 0)
-		table.Told(members.Bulletin{ID: id, Seq: 1, Ready: true, ReadyFor: time.Minute}, 0, 0)
+		id := members.ID{Name: members.Name(fmt.Sprint("m", i)), BootID: 1}
+		table.HandleAlive(members.Descriptor{Name: id.Name, BootID: 1, Incarnation: 1, Roles: members.RoleServer, ServiceAddr: l.Addr().String(), Capacity: 2}, 0)
+		table.HandleHeartbeat(members.Heartbeat{ID: id, Sequence: 1, Ready: true, ReadyFor: time.Minute}, 0, 0)
 	}
 	opened++
 	free := standin.Must(net.Listen("tcp", fmt.Sprintf("127.72.%d.%d:0", os.Getpid()%250, opened)))
