--- a/cmd/lanewheel-fleet/main_test.go
+++ b/cmd/lanewheel-fleet/main_test.go
@@ -100,7 +100,7 @@
 }
 
 func (n *node) view() gossip.Snapshot {
-	s, _ := gossip.Watch(filepath.Join(filepath.Dir(n.ini), "w"), gossip.Whole)
+	s, _ := gossip.ReadSnapshot(filepath.Join(filepath.Dir(n.ini), "w"), gossip.SnapshotFull)
 	return s
 }
 
@@ -134,12 +134,12 @@
 	b.sees("a", "up")
 	c := start("c", 3, "y", []int{1}, "")
 	defer c.stop(syscall.SIGKILL)
-	standin.Until("a to refuse what it can't read", func() bool { return a.view().Counts["gossip-not-our-key"] > 0 })
+	standin.Until("a to refuse what it can't read", func() bool { return a.view().Counters["gossip-not-our-key"] > 0 })
 	c.sees("", "unknown")
 	b.stop(syscall.SIGTERM)
 	a.sees("b", "gone")
 	for _, m := range a.view().Members {
-		fmt.Println(m.Name, m.State, m.Why, m.Zone, m.Roles)
+		fmt.Println(m.Name, m.State, m.Reason, m.Zone, m.Roles)
 	}
 	for _, n := range []*node{a, c} { // both keys to both, each still writing with its own
 		first := map[*node]string{a: "xy", c: "yx"}[n]
@@ -217,7 +217,7 @@
 		a.sees(m, "up")
 		b.sees(m, "up")
 	}
-	gaveUp := func(n *node) uint64 { return n.view().Counts["gossip-gives-up"] }
+	gaveUp := func(n *node) uint64 { return n.view().Counters["gossip-gives-up"] }
 	fmt.Println(gaveUp(c), gaveUp(d))
 	// Output:
 	// 0 0
--- a/internal/command/further/agreed/agreed.go
+++ b/internal/command/further/agreed/agreed.go
@@ -15,8 +15,8 @@
 // Parts adds to what lanewheel-fleet has.
 func Parts(p command.Parts) command.Parts {
 	p.Steward = func(operated, format string, begin, alone bool) error {
-		return stewards.Run(operated, format, begin, alone, func(process gossip.Process, o *life.OperatorConfig) (*gossip.Part, func(*life.OperatorConfig), error) {
-			as := func(o *life.OperatorConfig) gossip.Told {
+		return stewards.Run(operated, format, begin, alone, func(process gossip.Process, o *life.OperatorConfig) (*gossip.Agent, func(*life.OperatorConfig), error) {
+			as := func(o *life.OperatorConfig) gossip.Config {
 				f := o.File.Fleet
 				f.Roles = members.RoleCoordinator
 				return further.Told(&f, "", "", o.ClusterKeys)
@@ -25,7 +25,7 @@
 			if err != nil {
 				return nil, nil, err
 			}
-			return part, func(o *life.OperatorConfig) { part.Put(as(o)) }, nil
+			return part, func(o *life.OperatorConfig) { part.SetConfig(as(o)) }, nil
 		})
 	}
 	return p
--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -40,15 +40,15 @@
 }
 
 // Told puts together what the part goes by.
-func Told(f *operator.Fleet, name, serves string, keys []members.Key) gossip.Told {
+func Told(f *operator.Fleet, name, serves string, keys []members.Key) gossip.Config {
 	if f.Name != "" {
 		name = f.Name
 	}
 	if f.ServiceAddress != "" {
 		serves = f.ServiceAddress
 	}
-	return gossip.Told{Name: members.Name(name), Cluster: f.Cluster, Listen: f.ListenAddress, Advertise: f.AdvertiseAddress, Serves: serves, Roles: f.Roles, Zone: f.Zone, Release: f.Release,
-		Capacity: f.Capacity, Warm: f.WarmUp, Keys: keys, Probe: f.ProbeInterval, Rate: f.MaxMessageRate, Watch: f.StatusSocket, Leaves: f.DrainWhenFenced, Permits: f.RequirePermit, Members: f.Config}
+	return gossip.Config{Name: members.Name(name), Cluster: f.Cluster, ListenAddr: f.ListenAddress, AdvertiseAddr: f.AdvertiseAddress, ServiceAddr: serves, Roles: f.Roles, Zone: f.Zone, Release: f.Release,
+		Capacity: f.Capacity, WarmUp: f.WarmUp, Keys: keys, ProbeInterval: f.ProbeInterval, MaxMessageRate: f.MaxMessageRate, StatusSocket: f.StatusSocket, LeaveWhenFenced: f.DrainWhenFenced, DrainByPermit: f.RequirePermit, Membership: f.Config}
 }
 
 // join brings an instance into its fleet.
@@ -73,8 +73,8 @@
 		in.AddFrontend(over)
 	}
 	if o.File.Upstream.Enabled {
-		below := below.New(in.Loop, o.File.Upstream.Config, part.View().Self.ID(), config.Seed, part.AskDesk)
-		part.Grants = func(g grants.Grant) { in.Post(func() { below.Granted(g) }) }
+		below := below.New(in.Loop, o.File.Upstream.Config, part.View().Self.ID(), config.Seed, part.RequestLease)
+		part.OnLease = func(g grants.Grant) { in.Post(func() { below.Granted(g) }) }
 		seeing(part, in.Loop, below.See)
 		in.UseUpstreams(below)
 		in.Post(below.Start)
@@ -82,7 +82,7 @@
 	in.AddFrontend(part)
 	slog.Info("fleet", "name", string(part.View().Self.Name), "listen", o.File.Fleet.ListenAddress, "seeds", len(o.File.Fleet.Config.Seeds), "keys", len(o.ClusterKeys))
 	return func(o *life.OperatorConfig) {
-		part.Put(Told(&o.File.Fleet, config.Name, config.ListenAddr, o.ClusterKeys))
+		part.SetConfig(Told(&o.File.Fleet, config.Name, config.ListenAddr, o.ClusterKeys))
 		if over != nil {
 			in.Post(func() { over.Put(o.File.Spillover.Config) })
 		}
@@ -92,22 +92,22 @@
 // instance speaks for an instance: what it says of itself comes from its core's loop.
 type instance struct{ in *keep.Server }
 
-func (i *instance) Report(then func(gossip.Report)) {
+func (i *instance) Status(then func(gossip.ProcessStatus)) {
 	i.in.Post(func() {
 		l := i.in.Load()
 		health := 0.0
 		if l.Healthy {
 			health = 1
 		}
-		then(gossip.Report{Ready: l.Ready, Leaving: l.Draining, Facts: []members.Metric{{Name: "health", Value: health}, {Name: "signal", Value: l.LoadReport},
+		then(gossip.ProcessStatus{Ready: l.Ready, Draining: l.Draining, Metrics: []members.Metric{{Name: "health", Value: health}, {Name: "signal", Value: l.LoadReport},
 			{Name: "held", Value: float64(l.Queued)}, {Name: "running", Value: float64(l.Running)}, {Name: "cores", Value: l.Cores}}})
 	})
 }
 
-func (i *instance) Load(then func(float64, gossip.Figures)) {
+func (i *instance) Load(then func(float64, gossip.RequestStats)) {
 	i.in.Post(func() {
 		f := i.in.Stats()
-		figures := gossip.Figures{Done: float64(f.Answered), Well: float64(f.WithinObjective), Took: f.TotalLatency.Seconds()}
+		figures := gossip.RequestStats{Finished: float64(f.Answered), WithinObjective: float64(f.WithinObjective), TotalSeconds: f.TotalLatency.Seconds()}
 		if l := i.in.Load(); l.Queued+l.Running > 0 {
 			then(float64(l.Queued+l.Running), figures)
 		} else {
@@ -128,7 +128,7 @@
 // desked runs a desk.
 func desked(operated, format string) error {
 	return desks.Run(operated, format, func(d *desk.Desk, o *life.OperatorConfig) (func(*life.OperatorConfig), error) {
-		as := func(o *life.OperatorConfig) gossip.Told {
+		as := func(o *life.OperatorConfig) gossip.Config {
 			f := o.File.Fleet
 			f.Roles = members.RoleUpstream
 			return Told(&f, "", "", o.ClusterKeys)
@@ -140,7 +140,7 @@
 		d.Join(part)
 		part.Start()
 		return func(o *life.OperatorConfig) {
-			part.Put(as(o))
+			part.SetConfig(as(o))
 			d.Retell(o.File.Allocator.Config)
 		}, nil
 	})
@@ -167,13 +167,13 @@
 		return r, func(o *life.OperatorConfig) {
 			f := o.File.Fleet
 			f.Roles = fleet.Roles
-			part.Put(Told(&f, config.Name, config.ListenAddr, o.ClusterKeys))
+			part.SetConfig(Told(&f, config.Name, config.ListenAddr, o.ClusterKeys))
 		}, nil
 	})
 }
 
 // seeing has a part that belongs to a loop see each view. Views come by the dozen a second; a tenth of one late is far less than they are old.
-func seeing(part *gossip.Part, l *loop.Loop, see func(*members.View)) {
+func seeing(part *gossip.Agent, l *loop.Loop, see func(*members.View)) {
 	var waits atomic.Bool
 	part.Subscribe(func(*members.View) {
 		if waits.CompareAndSwap(false, true) {
@@ -188,31 +188,31 @@
 }
 
 // asks is how others are asked how they stand.
-func asks(part *gossip.Part) pass.Ask {
+func asks(part *gossip.Agent) pass.Ask {
 	return func(name members.Name, then func(float64, time.Duration)) {
-		part.Post(func() { part.Ask(name, then) })
+		part.Post(func() { part.QueryLoad(name, then) })
 	}
 }
 
 // relaying speaks for a relay.
 type relaying struct{ r *relay.Relay }
 
-func (p *relaying) Report(then func(gossip.Report)) {
+func (p *relaying) Status(then func(gossip.ProcessStatus)) {
 	p.r.Post(func() {
 		l := p.r.Load()
-		then(gossip.Report{Ready: l.Ready, Leaving: l.Draining, Facts: []members.Metric{{Name: "passing", Value: float64(l.Running)}}})
+		then(gossip.ProcessStatus{Ready: l.Ready, Draining: l.Draining, Metrics: []members.Metric{{Name: "passing", Value: float64(l.Running)}}})
 	})
 }
 
-func (p *relaying) Load(then func(float64, gossip.Figures)) {
-	p.r.Post(func() { then(float64(p.r.Load().Running), gossip.Figures{}) })
+func (p *relaying) Load(then func(float64, gossip.RequestStats)) {
+	p.r.Post(func() { then(float64(p.r.Load().Running), gossip.RequestStats{}) })
 }
 func (p *relaying) Fenced()      { p.r.Post(p.r.Leave) }
 func (p *relaying) Drain(uint64) { p.r.Post(p.r.Leave) }
 
 // show prints how a process sees its fleet, and how far others' views are from its.
 func show(f operator.Fleet, against []string, asJSON bool, out io.Writer) error {
-	s, err := gossip.Watch(f.StatusSocket, gossip.Whole)
+	s, err := gossip.ReadSnapshot(f.StatusSocket, gossip.SnapshotFull)
 	if err != nil {
 		return fmt.Errorf("nobody answers at %s: %w", f.StatusSocket, err)
 	}
@@ -221,29 +221,29 @@
 		e.SetIndent("", "  ")
 		return e.Encode(s)
 	}
-	fmt.Fprintf(out, "%s, incarnation %d, %s, reach %.2f, view %d\n", s.Name, s.Incarnation, s.Standing, s.Reach, s.Version)
+	fmt.Fprintf(out, "%s, incarnation %d, %s, reach %.2f, view %d\n", s.Name, s.Incarnation, s.LocalHealth, s.HeardFraction, s.ViewVersion)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "member\tincarnation\tstate\twhy\tfor\tspoke\troles\tzone\trelease\tcores\tfacts")
 	for _, m := range s.Members {
 		var facts []string
-		for _, key := range slices.Sorted(maps.Keys(m.Facts)) {
-			facts = append(facts, fmt.Sprintf("%s=%.3g", key, m.Facts[key]))
+		for _, key := range slices.Sorted(maps.Keys(m.Metrics)) {
+			facts = append(facts, fmt.Sprintf("%s=%.3g", key, m.Metrics[key]))
 		}
-		if len(m.Stale) > 0 {
-			facts = append(facts, "too old: "+strings.Join(m.Stale, " "))
+		if len(m.StaleMetrics) > 0 {
+			facts = append(facts, "too old: "+strings.Join(m.StaleMetrics, " "))
 		}
 		ago := func(ms int64) time.Duration {
 			return (time.Duration(ms) * time.Millisecond).Round(100 * time.Millisecond)
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%v\t%v\t%s\t%s\t%s\t%g\t%s\n", m.Name, m.Incarnation, m.State, m.Why, ago(m.ForMS), ago(m.SpokeMS), m.Roles, m.Zone, m.Release,
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%v\t%v\t%s\t%s\t%s\t%g\t%s\n", m.Name, m.Incarnation, m.State, m.Reason, ago(m.InStateMillis), ago(m.SinceHeartbeatMillis), m.Roles, m.Zone, m.Release,
 			m.Capacity, strings.Join(facts, " "))
 	}
 	w.Flush()
-	for _, name := range slices.Sorted(maps.Keys(s.Counts)) {
-		fmt.Fprintf(out, "%s %d\n", name, s.Counts[name])
+	for _, name := range slices.Sorted(maps.Keys(s.Counters)) {
+		fmt.Fprintf(out, "%s %d\n", name, s.Counters[name])
 	}
 	for _, socket := range against {
-		other, err := gossip.Watch(socket, gossip.Whole)
+		other, err := gossip.ReadSnapshot(socket, gossip.SnapshotFull)
 		if err != nil {
 			fmt.Fprintf(out, "nobody answers at %s: %v\n", socket, err)
 			continue
--- a/internal/command/further/golden_test.go
+++ b/internal/command/further/golden_test.go
@@ -214,10 +214,10 @@
 
 // A process's status is read from its socket as ever, and "members --json" prints it as ever.
 func TestGoldenMembers(t *testing.T) {
-	want := gossip.Snapshot{Name: "p000", Life: "000000000000001f", Incarnation: 12, Zone: "north", Release: "1", Standing: "whole", Reach: 0.75, Version: 5,
-		Digest: "00000000000000ff", States: map[string]int{"up": 1}, Counts: map[string]uint64{"packets-out": 7}, CPUms: 40,
-		Members: []gossip.SnapshotMember{{Name: "p001", Life: "0000000000000020", Incarnation: 13, State: "suspect", Why: "silent", ForMS: 1500, SpokeMS: 2500,
-			Addr: "127.0.0.1:7946", Roles: "instance", Zone: "south", Release: "2", Capacity: 2.5, Facts: map[string]float64{"held": 3}, Stale: []string{"signal"}}}}
+	want := gossip.Snapshot{Name: "p000", BootID: "000000000000001f", Incarnation: 12, Zone: "north", Release: "1", LocalHealth: "whole", HeardFraction: 0.75, ViewVersion: 5,
+		ViewDigest: "00000000000000ff", States: map[string]int{"up": 1}, Counters: map[string]uint64{"packets-out": 7}, CPUMillis: 40,
+		Members: []gossip.MemberSnapshot{{Name: "p001", BootID: "0000000000000020", Incarnation: 13, State: "suspect", Reason: "silent", InStateMillis: 1500, SinceHeartbeatMillis: 2500,
+			GossipAddr: "127.0.0.1:7946", Roles: "instance", Zone: "south", Release: "2", Capacity: 2.5, Metrics: map[string]float64{"held": 3}, StaleMetrics: []string{"signal"}}}}
 	b, err := json.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
@@ -243,7 +243,7 @@
 			c.Close()
 		}
 	}()
-	got, err := gossip.Watch(socket, gossip.Whole)
+	got, err := gossip.ReadSnapshot(socket, gossip.SnapshotFull)
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Fatalf("%v, read otherwise than before: %+v", err, got)
 	}
@@ -278,13 +278,13 @@
 	t.Cleanup(func() { in.Post(in.Quit); r.Post(r.Quit) })
 	var text strings.Builder
 	for _, p := range []gossip.Process{&instance{in}, &relaying{r}} {
-		report := make(chan gossip.Report, 1)
-		p.Report(func(r gossip.Report) { report <- r })
-		for _, f := range (<-report).Facts {
+		report := make(chan gossip.ProcessStatus, 1)
+		p.Status(func(r gossip.ProcessStatus) { report <- r })
+		for _, f := range (<-report).Metrics {
 			fmt.Fprint(&text, f.Name, " ")
 		}
 		load := make(chan float64, 1)
-		p.Load(func(l float64, _ gossip.Figures) { load <- l })
+		p.Load(func(l float64, _ gossip.RequestStats) { load <- l })
 		if got := <-load; got > 0 || got < -1 {
 			t.Fatal(got)
 		}
--- a/internal/drill/judge.go
+++ b/internal/drill/judge.go
@@ -142,19 +142,19 @@
 		go func() {
 			defer func() { <-few; all.Done() }()
 			s, err := p.brief()
-			a := answer{p: p, ok: err == nil, digest: s.Digest}
+			a := answer{p: p, ok: err == nil, digest: s.ViewDigest}
 			if err == nil {
 				var odd []string
 				for _, m := range s.Members {
 					if len(odd) < 4 {
-						odd = append(odd, m.Name+" "+m.State+" "+m.Why)
+						odd = append(odd, m.Name+" "+m.State+" "+m.Reason)
 					}
 				}
-				a.detail = fmt.Sprintf("%s: %s, reach %.2f, %v; %s", p.name, s.Standing, s.Reach, s.States, strings.Join(odd, ", "))
+				a.detail = fmt.Sprintf("%s: %s, reach %.2f, %v; %s", p.name, s.LocalHealth, s.HeardFraction, s.States, strings.Join(odd, ", "))
 				mu.Lock()
 				p.mu.Lock()
-				gave[p.id], doubts[p.id] = s.Counts["suspect-gone"], s.Counts["up-suspect"]
-				seen[p.id] = [3]uint64{s.Counts["bytes-in"] + s.Counts["bytes-out"], uint64(s.CPUms), s.Counts["packets-out"]}
+				gave[p.id], doubts[p.id] = s.Counters["suspect-gone"], s.Counters["up-suspect"]
+				seen[p.id] = [3]uint64{s.Counters["bytes-in"] + s.Counters["bytes-out"], uint64(s.CPUMillis), s.Counters["packets-out"]}
 				p.mu.Unlock()
 				mu.Unlock()
 			}
--- a/internal/drill/world.go
+++ b/internal/drill/world.go
@@ -366,9 +366,9 @@
 
 // brief asks a process for its view.
 func (p *proc) brief() (gossip.Snapshot, error) {
-	s, err := gossip.Watch(p.file("w"), gossip.Brief)
+	s, err := gossip.ReadSnapshot(p.file("w"), gossip.SnapshotBrief)
 	if err == nil {
-		life, _ := strconv.ParseUint(s.Life, 16, 64)
+		life, _ := strconv.ParseUint(s.BootID, 16, 64)
 		p.mu.Lock()
 		p.id = members.ID{Name: members.Name(s.Name), BootID: members.BootID(life)}
 		p.mu.Unlock()
--- a/internal/fleet/desk/desk.go
+++ b/internal/fleet/desk/desk.go
@@ -19,7 +19,7 @@
 	service string
 	told    grants.Told
 	desk    *grants.Desk
-	part    *gossip.Part
+	part    *gossip.Agent
 	up      bool // the service takes connections
 	leaving bool
 	calls   int // granted, as last logged
@@ -31,10 +31,10 @@
 }
 
 // Join gives it the part by which it speaks to the fleet, before that is started.
-func (d *Desk) Join(part *gossip.Part) {
+func (d *Desk) Join(part *gossip.Agent) {
 	d.part = part
 	d.desk = grants.NewDesk(d.told, part.View().Self.BootID, d.Now())
-	part.Desk = func(a grants.Ask, answer func(grants.Grant)) {
+	part.OnLeaseRequest = func(a grants.Ask, answer func(grants.Grant)) {
 		d.Post(func() {
 			if g, ok := d.desk.Asked(d.Now(), a); ok {
 				answer(g)
@@ -86,19 +86,19 @@
 }
 
 // Report is gossip.Process.
-func (d *Desk) Report(then func(gossip.Report)) {
+func (d *Desk) Report(then func(gossip.ProcessStatus)) {
 	d.Post(func() {
 		calls, holders := d.desk.Granted(d.Now())
-		then(gossip.Report{Ready: d.up, Leaving: d.leaving, Facts: []members.Metric{{Name: "cap", Value: float64(d.told.Cap)},
+		then(gossip.ProcessStatus{Ready: d.up, Draining: d.leaving, Metrics: []members.Metric{{Name: "cap", Value: float64(d.told.Cap)},
 			{Name: "granted", Value: float64(calls)}, {Name: "holders", Value: float64(holders)}}})
 	})
 }
 
 // Load is gossip.Process.
-func (d *Desk) Load(then func(float64, gossip.Figures)) {
+func (d *Desk) Load(then func(float64, gossip.RequestStats)) {
 	d.Post(func() {
 		calls, _ := d.desk.Granted(d.Now())
-		then(float64(calls), gossip.Figures{})
+		then(float64(calls), gossip.RequestStats{})
 	})
 }
 
--- a/internal/fleet/desk/golden_test.go
+++ b/internal/fleet/desk/golden_test.go
@@ -25,15 +25,15 @@
 	d.Post(func() {
 		d.desk.Asked(d.Now(), grants.Ask{Who: members.ID{Name: "n1", BootID: 1}, Seq: 1, Wants: 3})
 	})
-	got := make(chan gossip.Report, 1)
-	d.Report(func(r gossip.Report) { got <- r })
-	want := gossip.Report{Ready: true, Leaving: true, Facts: []members.Metric{{Name: "cap", Value: 16}, {Name: "granted",
+	got := make(chan gossip.ProcessStatus, 1)
+	d.Report(func(r gossip.ProcessStatus) { got <- r })
+	want := gossip.ProcessStatus{Ready: true, Draining: true, Metrics: []members.Metric{{Name: "cap", Value: 16}, {Name: "granted",
 		Value: 3}, {Name: "holders", Value: 1}}}
 	if r := <-got; !reflect.DeepEqual(r, want) {
 		t.Errorf("%+v, wanted %+v", r, want)
 	}
 	load := make(chan float64, 1)
-	d.Load(func(x float64, f gossip.Figures) { load <- x })
+	d.Load(func(x float64, f gossip.RequestStats) { load <- x })
 	if x := <-load; x != 3 {
 		t.Error(x)
 	}
--- a/internal/fleet/gossip/codec.go
+++ b/internal/fleet/gossip/codec.go
@@ -15,256 +15,256 @@
 // What members say to each other, MessagePack behind a head of one byte for the kind and four for the age in milliseconds. The age
 // stands apart, as it is written anew whenever the message goes out; nobody's wall clock is in any message.
 const (
-	kindBulletin byte = 'b'
-	kindFenced   byte = 'f'
-	kindQuery    byte = 'q'
-	kindWord     byte = 'w'
-	kindAsk      byte = 'a'
-	kindGrant    byte = 'g'
-	kindPermit   byte = 'p'
-	kindBegin    byte = 'i'
-	headSize          = 5
+	kindHeartbeat    byte = 'b'
+	kindFenceNotice  byte = 'f'
+	kindQuery        byte = 'q'
+	kindQueryReply   byte = 'w'
+	kindLeaseRequest byte = 'a'
+	kindLease        byte = 'g'
+	kindPermitNotice byte = 'p'
+	kindPermitBegin  byte = 'i'
+	headSize              = 5
 )
 
 // What a member may say. A bulletin has to go into a packet beside others, and a claim into the 512 bytes that the gossip gives.
 const (
-	longestName = 64
-	longestKey  = 16
-	longestMsg  = 512
+	maxNameBytes       = 64
+	maxMetricNameBytes = 16
+	maxMessageBytes    = 512
 )
 
 var (
-	errKind  = errors.New("no kind that we know")
-	errShort = errors.New("cut short")
-	errSize  = errors.New("too large")
-	errTold  = errors.New("out of range")
+	errUnknownKind = errors.New("no kind that we know")
+	errTruncated   = errors.New("cut short")
+	errTooLarge    = errors.New("too large")
+	errOutOfRange  = errors.New("out of range")
 )
 
-var how = func() *codec.MsgpackHandle {
+var msgpackHandle = func() *codec.MsgpackHandle {
 	h := &codec.MsgpackHandle{}
 	h.RawToString = true
 	h.MaxInitLen = 64 // Danger: a length of billions in a packet of ten bytes
 	return h
 }()
 
-// claim is a members.Claim on the wire, less what the gossip carries itself.
-type claim struct {
-	Incarnation uint64  `codec:"i"`
-	Roles       uint8   `codec:"r"`
-	Zone        string  `codec:"z"`
-	Release     string  `codec:"e"`
-	Capacity    float64 `codec:"c"`
-	WarmMS      int64   `codec:"w"`
-	Serves      string  `codec:"a"`
+// wireDescriptor is a members.Claim on the wire, less what the gossip carries itself.
+type wireDescriptor struct {
+	Incarnation  uint64  `codec:"i"`
+	Roles        uint8   `codec:"r"`
+	Zone         string  `codec:"z"`
+	Release      string  `codec:"e"`
+	Capacity     float64 `codec:"c"`
+	WarmUpMillis int64   `codec:"w"`
+	ServiceAddr  string  `codec:"a"`
 }
 
-type bulletin struct {
-	Name        string  `codec:"n"`
-	Life        uint64  `codec:"l"`
-	Incarnation uint64  `codec:"i"`
-	Seq         uint64  `codec:"s"`
-	Ready       bool    `codec:"r"`
-	ReadyForMS  int64   `codec:"d"`
-	Leaving     bool    `codec:"g"`
-	Digest      uint64  `codec:"v"`
-	Facts       []fact_ `codec:"t"`
+type wireHeartbeat struct {
+	Name           string       `codec:"n"`
+	BootID         uint64       `codec:"l"`
+	Incarnation    uint64       `codec:"i"`
+	Sequence       uint64       `codec:"s"`
+	Ready          bool         `codec:"r"`
+	ReadyForMillis int64        `codec:"d"`
+	Draining       bool         `codec:"g"`
+	ViewDigest     uint64       `codec:"v"`
+	Metrics        []wireMetric `codec:"t"`
 }
 
-type fact_ struct {
-	Key     string  `codec:"k"`
-	Value   float64 `codec:"v"`
-	HoldsMS int64   `codec:"h"`
+type wireMetric struct {
+	Name      string  `codec:"k"`
+	Value     float64 `codec:"v"`
+	TTLMillis int64   `codec:"h"`
 }
 
-// query asks a member how it stands; word is the answer.
-type query struct {
-	Nonce uint64 `codec:"n"`
-	To    string `codec:"t"` // the life that is asked
-	Who   string `codec:"w"` // the life that asks, and where it is reached
-	Addr  string `codec:"a"`
+// wireQuery asks a member how it stands; word is the answer.
+type wireQuery struct {
+	Nonce     uint64 `codec:"n"`
+	To        string `codec:"t"` // the life that is asked
+	From      string `codec:"w"` // the life that asks, and where it is reached
+	ReplyAddr string `codec:"a"`
 }
 
-type word struct {
-	Nonce uint64  `codec:"n"`
-	Load  float64 `codec:"l"`
-	Done  float64 `codec:"d,omitempty"` // ops that ended since its start, those in their target latency, and the s that all took
-	Well  float64 `codec:"w,omitempty"`
-	Took  float64 `codec:"t,omitempty"`
+type wireQueryReply struct {
+	Nonce           uint64  `codec:"n"`
+	Load            float64 `codec:"l"`
+	Finished        float64 `codec:"d,omitempty"` // ops that ended since its start, those in their target latency, and the s that all took
+	WithinObjective float64 `codec:"w,omitempty"`
+	TotalSeconds    float64 `codec:"t,omitempty"`
 }
 
-// permit tells a life of a permit that it has, or that it has begun; begin is its word that it would begin.
-type permit struct {
-	To     string `codec:"t"`
-	Who    string `codec:"w"` // the steward, and where it is reached
-	Addr   string `codec:"a"`
-	Number uint64 `codec:"n"`
-	Begun  bool   `codec:"b"`
+// wirePermitNotice tells a life of a permit that it has, or that it has begun; begin is its word that it would begin.
+type wirePermitNotice struct {
+	To        string `codec:"t"`
+	From      string `codec:"w"` // the steward, and where it is reached
+	ReplyAddr string `codec:"a"`
+	Number    uint64 `codec:"n"`
+	Begun     bool   `codec:"b"`
 }
 
-type begin struct {
+type wirePermitBegin struct {
 	To          string `codec:"t"`
-	Who         string `codec:"w"` // the holder, and where it is reached
-	Addr        string `codec:"a"`
+	From        string `codec:"w"` // the holder, and where it is reached
+	ReplyAddr   string `codec:"a"`
 	Incarnation uint64 `codec:"i"`
 	Number      uint64 `codec:"n"`
 }
 
-// ask is a grants.Ask, and grant its answer.
-type ask struct {
-	To    string `codec:"t"` // the life that is asked
-	Who   string `codec:"w"` // the life that asks, and where it is reached
-	Addr  string `codec:"a"`
-	Seq   uint64 `codec:"s"`
-	Desk  uint64 `codec:"d"` // who granted what it has, in answer to which ask
-	Has   uint64 `codec:"h"`
-	Limit int    `codec:"l"`
-	Open  int    `codec:"o"`
-	Wants int    `codec:"n"`
+// wireLeaseRequest is a grants.Ask, and grant its answer.
+type wireLeaseRequest struct {
+	To              string `codec:"t"` // the life that is asked
+	From            string `codec:"w"` // the life that asks, and where it is reached
+	ReplyAddr       string `codec:"a"`
+	Sequence        uint64 `codec:"s"`
+	AllocatorBootID uint64 `codec:"d"` // who granted what it has, in answer to which ask
+	HeldSequence    uint64 `codec:"h"`
+	HeldLimit       int    `codec:"l"`
+	OpenCalls       int    `codec:"o"`
+	WantedCalls     int    `codec:"n"`
 }
 
-type grant struct {
-	Desk      uint64 `codec:"d"`
-	Seq       uint64 `codec:"s"`
-	Limit     int    `codec:"l"`
-	HoldsMS   int64  `codec:"h"`
-	Alone     int    `codec:"a"`
-	LongestMS int64  `codec:"m"`
+type wireLease struct {
+	AllocatorBootID uint64 `codec:"d"`
+	Sequence        uint64 `codec:"s"`
+	Limit           int    `codec:"l"`
+	DurationMillis  int64  `codec:"h"`
+	UnleasedCalls   int    `codec:"a"`
+	MaxCallMillis   int64  `codec:"m"`
 }
 
-// readAsk reads what a holder wants; it counts for the life that it says it is, and for us only if it means this life of ours.
-func readAsk(body []byte, self members.ID) (a grants.Ask, addr string, err error) {
-	var w ask
-	if err = unpack(body, &w); err != nil {
-		return a, "", err
+// decodeLeaseRequest reads what a holder wants; it counts for the life that it says it is, and for us only if it means this life of ours.
+func decodeLeaseRequest(body []byte, self members.ID) (request grants.Ask, addr string, err error) {
+	var wire wireLeaseRequest
+	if err = decode(body, &wire); err != nil {
+		return request, "", err
 	}
-	who, ok := members.ParseID(w.Who)
-	if !ok || w.Seq == 0 || w.Limit < 0 || w.Open < 0 || w.Wants < 0 || w.To != self.String() || len(w.Addr) > longestName {
-		return a, "", errTold
+	from, ok := members.ParseID(wire.From)
+	if !ok || wire.Sequence == 0 || wire.HeldLimit < 0 || wire.OpenCalls < 0 || wire.WantedCalls < 0 || wire.To != self.String() || len(wire.ReplyAddr) > maxNameBytes {
+		return request, "", errOutOfRange
 	}
-	return grants.Ask{Who: who, Seq: w.Seq, Has: grants.Has{Desk: members.BootID(w.Desk), Seq: w.Has, Limit: w.Limit}, Open: w.Open, Wants: w.Wants}, w.Addr, nil
+	return grants.Ask{Who: from, Seq: wire.Sequence, Has: grants.Has{Desk: members.BootID(wire.AllocatorBootID), Seq: wire.HeldSequence, Limit: wire.HeldLimit}, Open: wire.OpenCalls, Wants: wire.WantedCalls}, wire.ReplyAddr, nil
 }
 
-func packAsk(a grants.Ask, to members.ID, addr string) []byte {
-	return pack(kindAsk, ask{to.String(), a.Who.String(), addr, a.Seq, uint64(a.Has.Desk), a.Has.Seq, a.Has.Limit, a.Open, a.Wants})
+func encodeLeaseRequest(request grants.Ask, to members.ID, replyAddr string) []byte {
+	return encode(kindLeaseRequest, wireLeaseRequest{to.String(), request.Who.String(), replyAddr, request.Seq, uint64(request.Has.Desk), request.Has.Seq, request.Has.Limit, request.Open, request.Wants})
 }
 
-func packGrant(g grants.Grant) []byte {
-	return pack(kindGrant, grant{uint64(g.Desk), g.Seq, g.Limit, g.Holds.Milliseconds(), g.Alone, g.Longest.Milliseconds()})
+func encodeLease(lease grants.Grant) []byte {
+	return encode(kindLease, wireLease{uint64(lease.Desk), lease.Seq, lease.Limit, lease.Holds.Milliseconds(), lease.Alone, lease.Longest.Milliseconds()})
 }
 
-func readGrant(body []byte) (g grants.Grant, err error) {
-	var w grant
-	if err = unpack(body, &w); err == nil && (w.Limit < 0 || w.HoldsMS <= 0 || w.HoldsMS > math.MaxInt32 || w.Alone < 0 || w.LongestMS <= 0 || w.LongestMS > math.MaxInt32) {
-		err = errTold
+func decodeLease(body []byte) (lease grants.Grant, err error) {
+	var wire wireLease
+	if err = decode(body, &wire); err == nil && (wire.Limit < 0 || wire.DurationMillis <= 0 || wire.DurationMillis > math.MaxInt32 || wire.UnleasedCalls < 0 || wire.MaxCallMillis <= 0 || wire.MaxCallMillis > math.MaxInt32) {
+		err = errOutOfRange
 	}
-	return grants.Grant{Desk: members.BootID(w.Desk), Seq: w.Seq, Limit: w.Limit, Holds: time.Duration(w.HoldsMS) * time.Millisecond, Alone: w.Alone,
-		Longest: time.Duration(w.LongestMS) * time.Millisecond}, err
+	return grants.Grant{Desk: members.BootID(wire.AllocatorBootID), Seq: wire.Sequence, Limit: wire.Limit, Holds: time.Duration(wire.DurationMillis) * time.Millisecond, Alone: wire.UnleasedCalls,
+		Longest: time.Duration(wire.MaxCallMillis) * time.Millisecond}, err
 }
 
-// fenced tells a life that a later one has its name.
-type fenced struct {
+// wireFenceNotice tells a life that a later one has its name.
+type wireFenceNotice struct {
 	Name        string `codec:"n"`
 	Incarnation uint64 `codec:"i"`
-	Life        uint64 `codec:"l"`
+	BootID      uint64 `codec:"l"`
 }
 
-func pack(kind byte, v any) []byte {
-	b := make([]byte, headSize, 128)
-	b[0] = kind
+func encode(kind byte, value any) []byte {
+	message := make([]byte, headSize, 128)
+	message[0] = kind
 	var body []byte
-	if err := codec.NewEncoderBytes(&body, how).Encode(v); err != nil {
+	if err := codec.NewEncoderBytes(&body, msgpackHandle).Encode(value); err != nil {
 		panic(err) // our own types, which every message shows
 	}
-	return append(b, body...)
+	return append(message, body...)
 }
 
-func unpack(b []byte, v any) error {
-	if len(b) > longestMsg {
-		return errSize
+func decode(body []byte, value any) error {
+	if len(body) > maxMessageBytes {
+		return errTooLarge
 	}
-	return codec.NewDecoderBytes(b, how).Decode(v)
+	return codec.NewDecoderBytes(body, msgpackHandle).Decode(value)
 }
 
-// aged writes an age into a message's head.
-func aged(b []byte, age time.Duration) []byte {
-	binary.BigEndian.PutUint32(b[1:], uint32(min(max(0, age.Milliseconds()), math.MaxUint32)))
-	return b
+// setAge writes an age into a message's head.
+func setAge(message []byte, age time.Duration) []byte {
+	binary.BigEndian.PutUint32(message[1:], uint32(min(max(0, age.Milliseconds()), math.MaxUint32)))
+	return message
 }
 
-// kindOf gives the kind and the age of a message, and what stands behind its head.
-func kindOf(b []byte) (kind byte, age time.Duration, body []byte, err error) {
-	if len(b) < headSize {
-		return 0, 0, nil, errShort
+// splitHead gives the kind and the age of a message, and what stands behind its head.
+func splitHead(message []byte) (kind byte, age time.Duration, body []byte, err error) {
+	if len(message) < headSize {
+		return 0, 0, nil, errTruncated
 	}
-	return b[0], time.Duration(binary.BigEndian.Uint32(b[1:])) * time.Millisecond, b[headSize:], nil
+	return message[0], time.Duration(binary.BigEndian.Uint32(message[1:])) * time.Millisecond, message[headSize:], nil
 }
 
-func packClaim(c members.Descriptor) []byte {
-	return pack('c', claim{uint64(c.Incarnation), uint8(c.Roles), c.Zone, c.Release, c.Capacity, c.WarmUp.Milliseconds(), c.ServiceAddr})[headSize:]
+func encodeDescriptor(descriptor members.Descriptor) []byte {
+	return encode('c', wireDescriptor{uint64(descriptor.Incarnation), uint8(descriptor.Roles), descriptor.Zone, descriptor.Release, descriptor.Capacity, descriptor.WarmUp.Milliseconds(), descriptor.ServiceAddr})[headSize:]
 }
 
-// readClaim reads what a member says of itself beside its name and address.
-func readClaim(name, addr string, meta []byte) (c members.Descriptor, err error) {
+// decodeDescriptor reads what a member says of itself beside its name and address.
+func decodeDescriptor(name, addr string, meta []byte) (descriptor members.Descriptor, err error) {
 	id, ok := members.ParseID(name)
-	if !ok || len(id.Name) > longestName {
-		return c, errTold
+	if !ok || len(id.Name) > maxNameBytes {
+		return descriptor, errOutOfRange
 	}
-	var w claim
-	if err := unpack(meta, &w); err != nil {
-		return c, err
+	var wire wireDescriptor
+	if err := decode(meta, &wire); err != nil {
+		return descriptor, err
 	}
-	if len(w.Serves) > longestName || len(w.Zone) > longestName || len(w.Release) > longestName || !(w.Capacity > 0 && w.Capacity <= 1e6) || w.WarmMS < 0 || w.WarmMS > 3_600_000 {
-		return c, errTold
+	if len(wire.ServiceAddr) > maxNameBytes || len(wire.Zone) > maxNameBytes || len(wire.Release) > maxNameBytes || !(wire.Capacity > 0 && wire.Capacity <= 1e6) || wire.WarmUpMillis < 0 || wire.WarmUpMillis > 3_600_000 {
+		return descriptor, errOutOfRange
 	}
-	return members.Descriptor{Name: id.Name, BootID: id.BootID, Incarnation: members.Incarnation(w.Incarnation), GossipAddr: addr, ServiceAddr: w.Serves, Roles: members.Roles(w.Roles),
-		Zone: w.Zone, Release: w.Release, Capacity: w.Capacity, WarmUp: time.Duration(w.WarmMS) * time.Millisecond}, nil
+	return members.Descriptor{Name: id.Name, BootID: id.BootID, Incarnation: members.Incarnation(wire.Incarnation), GossipAddr: addr, ServiceAddr: wire.ServiceAddr, Roles: members.Roles(wire.Roles),
+		Zone: wire.Zone, Release: wire.Release, Capacity: wire.Capacity, WarmUp: time.Duration(wire.WarmUpMillis) * time.Millisecond}, nil
 }
 
-func packBulletin(b members.Heartbeat) []byte {
-	w := bulletin{string(b.Name), uint64(b.BootID), uint64(b.Incarnation), b.Sequence, b.Ready, b.ReadyFor.Milliseconds(), b.Draining, b.ViewDigest, nil}
-	for _, f := range b.Metrics {
-		w.Facts = append(w.Facts, fact_{f.Name, f.Value, f.TTL.Milliseconds()})
+func encodeHeartbeat(heartbeat members.Heartbeat) []byte {
+	wire := wireHeartbeat{string(heartbeat.Name), uint64(heartbeat.BootID), uint64(heartbeat.Incarnation), heartbeat.Sequence, heartbeat.Ready, heartbeat.ReadyFor.Milliseconds(), heartbeat.Draining, heartbeat.ViewDigest, nil}
+	for _, metric := range heartbeat.Metrics {
+		wire.Metrics = append(wire.Metrics, wireMetric{metric.Name, metric.Value, metric.TTL.Milliseconds()})
 	}
-	return pack(kindBulletin, w)
+	return encode(kindHeartbeat, wire)
 }
 
-func readBulletin(body []byte) (b members.Heartbeat, err error) {
-	var w bulletin
-	if err := unpack(body, &w); err != nil {
-		return b, err
+func decodeHeartbeat(body []byte) (heartbeat members.Heartbeat, err error) {
+	var wire wireHeartbeat
+	if err := decode(body, &wire); err != nil {
+		return heartbeat, err
 	}
-	if w.Name == "" || len(w.Name) > longestName || w.ReadyForMS < 0 || w.ReadyForMS > math.MaxInt32*1000 {
-		return b, errTold
+	if wire.Name == "" || len(wire.Name) > maxNameBytes || wire.ReadyForMillis < 0 || wire.ReadyForMillis > math.MaxInt32*1000 {
+		return heartbeat, errOutOfRange
 	}
-	b = members.Heartbeat{ID: members.ID{Name: members.Name(w.Name), BootID: members.BootID(w.Life)}, Incarnation: members.Incarnation(w.Incarnation),
-		Sequence: w.Seq, Ready: w.Ready, ReadyFor: time.Duration(w.ReadyForMS) * time.Millisecond, Draining: w.Leaving, ViewDigest: w.Digest}
-	for _, f := range w.Facts {
-		if f.Key == "" || len(f.Key) > longestKey || f.HoldsMS < 0 || f.HoldsMS > math.MaxInt32 {
-			return members.Heartbeat{}, errTold
+	heartbeat = members.Heartbeat{ID: members.ID{Name: members.Name(wire.Name), BootID: members.BootID(wire.BootID)}, Incarnation: members.Incarnation(wire.Incarnation),
+		Sequence: wire.Sequence, Ready: wire.Ready, ReadyFor: time.Duration(wire.ReadyForMillis) * time.Millisecond, Draining: wire.Draining, ViewDigest: wire.ViewDigest}
+	for _, metric := range wire.Metrics {
+		if metric.Name == "" || len(metric.Name) > maxMetricNameBytes || metric.TTLMillis < 0 || metric.TTLMillis > math.MaxInt32 {
+			return members.Heartbeat{}, errOutOfRange
 		}
-		b.Metrics = append(b.Metrics, members.Metric{Name: f.Key, Value: f.Value, TTL: time.Duration(f.HoldsMS) * time.Millisecond})
+		heartbeat.Metrics = append(heartbeat.Metrics, members.Metric{Name: metric.Name, Value: metric.Value, TTL: time.Duration(metric.TTLMillis) * time.Millisecond})
 	}
-	return b, nil
+	return heartbeat, nil
 }
 
-// packState puts messages behind each other, each with its length before it.
-func packState(all [][]byte) []byte {
-	var b []byte
-	for _, m := range all {
-		b = append(binary.BigEndian.AppendUint16(b, uint16(len(m))), m...)
+// encodeState puts messages behind each other, each with its length before it.
+func encodeState(messages [][]byte) []byte {
+	var state []byte
+	for _, message := range messages {
+		state = append(binary.BigEndian.AppendUint16(state, uint16(len(message))), message...)
 	}
-	return b
+	return state
 }
 
-// readState takes them apart; most is how many are read, the rest is left.
-func readState(b []byte, most int, each func([]byte)) error {
-	for ; len(b) > 0 && most > 0; most-- {
-		if len(b) < 2 || len(b) < 2+int(binary.BigEndian.Uint16(b)) {
-			return errShort
+// decodeState takes them apart; most is how many are read, the rest is left.
+func decodeState(state []byte, limit int, handle func([]byte)) error {
+	for ; len(state) > 0 && limit > 0; limit-- {
+		if len(state) < 2 || len(state) < 2+int(binary.BigEndian.Uint16(state)) {
+			return errTruncated
 		}
-		end := 2 + int(binary.BigEndian.Uint16(b))
-		each(b[2:end])
-		b = b[end:]
+		end := 2 + int(binary.BigEndian.Uint16(state))
+		handle(state[2:end])
+		state = state[end:]
 	}
 	return nil
 }
--- a/internal/fleet/gossip/codec_test.go
+++ b/internal/fleet/gossip/codec_test.go
@@ -25,32 +25,32 @@
 		for range rapid.IntRange(0, 8).Draw(t, "facts") {
 			b.Metrics = append(b.Metrics, members.Metric{Name: rapid.StringMatching(`[a-z]{1,16}`).Draw(t, "key"), Value: rapid.Float64().Draw(t, "value"), TTL: ms("holds")})
 		}
-		kind, age, body, err := kindOf(aged(packBulletin(b), 1500*time.Millisecond))
-		if err != nil || kind != kindBulletin || age != 1500*time.Millisecond {
+		kind, age, body, err := splitHead(setAge(encodeHeartbeat(b), 1500*time.Millisecond))
+		if err != nil || kind != kindHeartbeat || age != 1500*time.Millisecond {
 			t.Fatal(kind, age, err)
 		}
-		if back, err := readBulletin(body); err != nil || !reflect.DeepEqual(back, b) {
+		if back, err := decodeHeartbeat(body); err != nil || !reflect.DeepEqual(back, b) {
 			t.Fatal(err, back, b)
 		}
 		c := members.Descriptor{Name: b.Name, ServiceAddr: "s:1", BootID: b.BootID, Incarnation: b.Incarnation, GossipAddr: "a:1", Roles: members.RoleServer | members.RoleProxy, Zone: "z", Release: "r", Capacity: 2.5, WarmUp: ms("warm")}
-		if back, err := readClaim(c.ID().String(), "a:1", packClaim(c)); err != nil || back != c {
+		if back, err := decodeDescriptor(c.ID().String(), "a:1", encodeDescriptor(c)); err != nil || back != c {
 			t.Fatal(err, back, c)
 		}
 		count := func(label string) int { return rapid.IntRange(0, 1<<40).Draw(t, label) }
 		a := grants.Ask{Who: b.ID, Seq: 1 + rapid.Uint64Max(1<<60).Draw(t, "ask"), Has: grants.Has{Desk: b.BootID, Seq: b.Sequence, Limit: count("limit")}, Open: count("open"), Wants: count("wants")}
-		_, _, body, _ = kindOf(packAsk(a, c.ID(), "a:1"))
-		if back, addr, err := readAsk(body, c.ID()); err != nil || back != a || addr != "a:1" || len(body) > longestMsg {
+		_, _, body, _ = splitHead(encodeLeaseRequest(a, c.ID(), "a:1"))
+		if back, addr, err := decodeLeaseRequest(body, c.ID()); err != nil || back != a || addr != "a:1" || len(body) > maxMessageBytes {
 			t.Fatal(err, back, a)
 		}
-		if _, _, err := readAsk(body, members.ID{Name: "another", BootID: 1}); err == nil {
+		if _, _, err := decodeLeaseRequest(body, members.ID{Name: "another", BootID: 1}); err == nil {
 			t.Fatal("an ask of another")
 		}
 		g := grants.Grant{Desk: b.BootID, Seq: b.Sequence, Limit: count("granted"), Holds: ms("for") + time.Millisecond, Alone: 1, Longest: ms("longest") + time.Millisecond}
-		_, _, body, _ = kindOf(packGrant(g))
-		if back, err := readGrant(body); err != nil || back != g {
+		_, _, body, _ = splitHead(encodeLease(g))
+		if back, err := decodeLease(body); err != nil || back != g {
 			t.Fatal(err, back, g)
 		}
-		if n := len(packClaim(c)); n > 512 {
+		if n := len(encodeDescriptor(c)); n > 512 {
 			t.Fatal("a claim of ", n)
 		}
 	})
@@ -58,11 +58,11 @@
 
 // What is cut, too long, out of range or foreign is an error and nothing else.
 func Example_bad() {
-	b := packBulletin(members.Heartbeat{ID: members.ID{Name: "n", BootID: 1}, Metrics: []members.Metric{{Name: "load", Value: 1, TTL: time.Second}}})
+	b := encodeHeartbeat(members.Heartbeat{ID: members.ID{Name: "n", BootID: 1}, Metrics: []members.Metric{{Name: "load", Value: 1, TTL: time.Second}}})
 	read := func(b []byte) (err error) {
-		_, _, body, err := kindOf(b)
+		_, _, body, err := splitHead(b)
 		if err == nil {
-			_, err = readBulletin(body)
+			_, err = decodeHeartbeat(body)
 		}
 		return err
 	}
@@ -73,16 +73,16 @@
 		}
 	}
 	fmt.Println(bad == len(b), read(append(b, make([]byte, 600)...)))
-	fmt.Println(read(packBulletin(members.Heartbeat{ID: members.ID{Name: "n"}, Metrics: []members.Metric{{Name: "a name that is far too long"}}})))
+	fmt.Println(read(encodeHeartbeat(members.Heartbeat{ID: members.ID{Name: "n"}, Metrics: []members.Metric{{Name: "a name that is far too long"}}})))
 	for _, name := range []string{"n", "n@1", "@0000000000000001", "n@000000000000000x"} {
-		_, err := readClaim(name, "a:1", packClaim(members.Descriptor{Capacity: 1}))
+		_, err := decodeDescriptor(name, "a:1", encodeDescriptor(members.Descriptor{Capacity: 1}))
 		fmt.Print(err, " ")
 	}
-	_, err := readClaim("n@0000000000000001", "a:1", packClaim(members.Descriptor{Capacity: -1}))
+	_, err := decodeDescriptor("n@0000000000000001", "a:1", encodeDescriptor(members.Descriptor{Capacity: -1}))
 	fmt.Println(err)
 	n := 0
-	err = readState(packState([][]byte{{1}, {2, 3}, {4}}), 2, func([]byte) { n++ })
-	fmt.Println(n, err, readState([]byte{0, 9, 1}, 5, func([]byte) {}))
+	err = decodeState(encodeState([][]byte{{1}, {2, 3}, {4}}), 2, func([]byte) { n++ })
+	fmt.Println(n, err, decodeState([]byte{0, 9, 1}, 5, func([]byte) {}))
 	// Output:
 	// true too large
 	// out of range
@@ -91,41 +91,41 @@
 }
 
 func FuzzMessages(f *testing.F) {
-	f.Add(packBulletin(members.Heartbeat{ID: members.ID{Name: "n", BootID: 1}, Metrics: []members.Metric{{Name: "load", Value: 1}}}))
-	f.Add(packClaim(members.Descriptor{Capacity: 1, Zone: "z"}))
-	f.Add(pack(kindFenced, fenced{"n", 1, 2}))
-	f.Add(packAsk(grants.Ask{Who: members.ID{Name: "n", BootID: 1}, Seq: 1, Wants: 3}, members.ID{Name: "n", BootID: 1}, "a:1"))
-	f.Add(packGrant(grants.Grant{Desk: 1, Seq: 1, Limit: 2, Holds: time.Second, Longest: time.Second}))
-	f.Add(pack(kindPermit, permit{"a@1", "b@1", "c:1", 7, true}))
-	f.Add(pack(kindBegin, begin{"a@1", "b@1", "c:1", 9, 7}))
-	f.Add(pack(kindQuery, query{1, "a@1", "b@1", "c:1"}))
-	f.Add(pack(kindWord, word{Nonce: 1, Load: -0.5, Done: 3}))
+	f.Add(encodeHeartbeat(members.Heartbeat{ID: members.ID{Name: "n", BootID: 1}, Metrics: []members.Metric{{Name: "load", Value: 1}}}))
+	f.Add(encodeDescriptor(members.Descriptor{Capacity: 1, Zone: "z"}))
+	f.Add(encode(kindFenceNotice, wireFenceNotice{"n", 1, 2}))
+	f.Add(encodeLeaseRequest(grants.Ask{Who: members.ID{Name: "n", BootID: 1}, Seq: 1, Wants: 3}, members.ID{Name: "n", BootID: 1}, "a:1"))
+	f.Add(encodeLease(grants.Grant{Desk: 1, Seq: 1, Limit: 2, Holds: time.Second, Longest: time.Second}))
+	f.Add(encode(kindPermitNotice, wirePermitNotice{"a@1", "b@1", "c:1", 7, true}))
+	f.Add(encode(kindPermitBegin, wirePermitBegin{"a@1", "b@1", "c:1", 9, 7}))
+	f.Add(encode(kindQuery, wireQuery{1, "a@1", "b@1", "c:1"}))
+	f.Add(encode(kindQueryReply, wireQueryReply{Nonce: 1, Load: -0.5, Finished: 3}))
 	f.Add([]byte{'b', 0, 0, 0, 0, 0xdf, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if _, _, body, err := kindOf(b); err == nil {
-			if x, err := readBulletin(body); err == nil && (x.Name == "" || len(x.Metrics) > 0 && x.Metrics[0].Name == "") {
+		if _, _, body, err := splitHead(b); err == nil {
+			if x, err := decodeHeartbeat(body); err == nil && (x.Name == "" || len(x.Metrics) > 0 && x.Metrics[0].Name == "") {
 				t.Fatal(x)
 			}
-			var x fenced
-			_ = unpack(body, &x)
-			var q query
-			_ = unpack(body, &q)
-			var w word
-			_ = unpack(body, &w)
-			var p permit
-			_ = unpack(body, &p)
-			var b begin
-			_ = unpack(body, &b)
-			if a, _, err := readAsk(body, members.ID{Name: "n", BootID: 1}); err == nil && (a.Seq == 0 || a.Open < 0 || a.Wants < 0) {
+			var x wireFenceNotice
+			_ = decode(body, &x)
+			var q wireQuery
+			_ = decode(body, &q)
+			var w wireQueryReply
+			_ = decode(body, &w)
+			var p wirePermitNotice
+			_ = decode(body, &p)
+			var b wirePermitBegin
+			_ = decode(body, &b)
+			if a, _, err := decodeLeaseRequest(body, members.ID{Name: "n", BootID: 1}); err == nil && (a.Seq == 0 || a.Open < 0 || a.Wants < 0) {
 				t.Fatal(a)
 			}
-			if g, err := readGrant(body); err == nil && (g.Holds <= 0 || g.Limit < 0) {
+			if g, err := decodeLease(body); err == nil && (g.Holds <= 0 || g.Limit < 0) {
 				t.Fatal(g)
 			}
 		}
-		_, _ = readClaim("n@0000000000000001", "a:1", b)
+		_, _ = decodeDescriptor("n@0000000000000001", "a:1", b)
 		total := 0
-		_ = readState(b, 100, func(m []byte) { total += len(m) })
+		_ = decodeState(b, 100, func(m []byte) { total += len(m) })
 		if total > len(b) {
 			t.Fatal("more than there was")
 		}
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -42,70 +42,70 @@
 	const age = 1500 * time.Millisecond
 	self := members.ID{Name: "blue", BootID: 0x0123456789abcdef}
 	other := members.ID{Name: "green", BootID: 0xfedcba9876543210}
-	claimed := members.Descriptor{Name: "blue", Incarnation: 1_700_000_000_123, BootID: self.BootID,
+	descriptor := members.Descriptor{Name: "blue", Incarnation: 1_700_000_000_123, BootID: self.BootID,
 		GossipAddr: "10.0.0.7:7946", ServiceAddr: "10.0.0.7:8000",
 		Roles: members.RoleServer | members.RoleProxy | members.RoleCoordinator | members.RoleUpstream, Zone: "north",
 		Release: "v7", Capacity: 2.5, WarmUp: 4500 * time.Millisecond}
-	told := members.Heartbeat{ID: self, Incarnation: 1_700_000_000_123, Sequence: 77, Ready: true,
+	heartbeat := members.Heartbeat{ID: self, Incarnation: 1_700_000_000_123, Sequence: 77, Ready: true,
 		ReadyFor: 61_001 * time.Millisecond, Draining: true, ViewDigest: 0xdeadbeef01234567,
 		Metrics: []members.Metric{
 			{Name: "health", Value: 0.75, TTL: 3 * time.Second},
 			{Name: "held", Value: 12, TTL: 4 * time.Second},
 		}}
-	asked := grants.Ask{Who: other, Seq: 9, Has: grants.Has{Desk: 11, Seq: 8, Limit: 5}, Open: 4, Wants: 6}
-	granted := grants.Grant{Desk: 11, Seq: 9, Limit: 5, Holds: 2 * time.Second, Alone: 1,
+	request := grants.Ask{Who: other, Seq: 9, Has: grants.Has{Desk: 11, Seq: 8, Limit: 5}, Open: 4, Wants: 6}
+	lease := grants.Grant{Desk: 11, Seq: 9, Limit: 5, Holds: 2 * time.Second, Alone: 1,
 		Longest: 5 * time.Second}
 
-	askWire := ask{To: self.String(), Who: other.String(), Addr: "10.0.0.8:7946", Seq: 9, Desk: 11,
-		Has: 8, Limit: 5, Open: 4, Wants: 6}
-	stateParts := [][]byte{aged(packBulletin(told), age), pack('f', fenced{Name: "green", Incarnation: 1, Life: 2})}
-	grantWire := grant{Desk: 11, Seq: 9, Limit: 5, HoldsMS: 2000, Alone: 1, LongestMS: 5000}
+	requestWire := wireLeaseRequest{To: self.String(), From: other.String(), ReplyAddr: "10.0.0.8:7946", Sequence: 9, AllocatorBootID: 11,
+		HeldSequence: 8, HeldLimit: 5, OpenCalls: 4, WantedCalls: 6}
+	stateParts := [][]byte{setAge(encodeHeartbeat(heartbeat), age), encode('f', wireFenceNotice{Name: "green", Incarnation: 1, BootID: 2})}
+	leaseWire := wireLease{AllocatorBootID: 11, Sequence: 9, Limit: 5, DurationMillis: 2000, UnleasedCalls: 1, MaxCallMillis: 5000}
 	return []goldenMessage{
-		{"claim", packClaim(claimed), func(t *testing.T, stored []byte) {
-			back, err := readClaim(self.String(), claimed.GossipAddr, stored)
-			same(t, err, back, claimed)
-			wire, err := decoded[claim](stored)
-			same(t, err, wire, claim{Incarnation: 1_700_000_000_123, Roles: 15, Zone: "north",
-				Release: "v7", Capacity: 2.5, WarmMS: 4500, Serves: "10.0.0.7:8000"})
+		{"claim", encodeDescriptor(descriptor), func(t *testing.T, stored []byte) {
+			back, err := decodeDescriptor(self.String(), descriptor.GossipAddr, stored)
+			same(t, err, back, descriptor)
+			wire, err := decoded[wireDescriptor](stored)
+			same(t, err, wire, wireDescriptor{Incarnation: 1_700_000_000_123, Roles: 15, Zone: "north",
+				Release: "v7", Capacity: 2.5, WarmUpMillis: 4500, ServiceAddr: "10.0.0.7:8000"})
 		}},
-		{"bulletin", aged(packBulletin(told), age), func(t *testing.T, stored []byte) {
+		{"bulletin", setAge(encodeHeartbeat(heartbeat), age), func(t *testing.T, stored []byte) {
 			body := head(t, stored, 'b', age)
-			back, err := readBulletin(body)
-			sameValues(t, err, back, told) // when a fact was taken is not sent: it is by the clock of who hears
-			wire, err := decoded[bulletin](body)
-			same(t, err, wire, bulletin{Name: "blue", Life: 0x0123456789abcdef,
-				Incarnation: 1_700_000_000_123, Seq: 77, Ready: true, ReadyForMS: 61_001, Leaving: true,
-				Digest: 0xdeadbeef01234567, Facts: []fact_{{Key: "health", Value: 0.75, HoldsMS: 3000},
-					{Key: "held", Value: 12, HoldsMS: 4000}}})
+			back, err := decodeHeartbeat(body)
+			sameValues(t, err, back, heartbeat) // when a fact was taken is not sent: it is by the clock of who hears
+			wire, err := decoded[wireHeartbeat](body)
+			same(t, err, wire, wireHeartbeat{Name: "blue", BootID: 0x0123456789abcdef,
+				Incarnation: 1_700_000_000_123, Sequence: 77, Ready: true, ReadyForMillis: 61_001, Draining: true,
+				ViewDigest: 0xdeadbeef01234567, Metrics: []wireMetric{{Name: "health", Value: 0.75, TTLMillis: 3000},
+					{Name: "held", Value: 12, TTLMillis: 4000}}})
 		}},
-		plain("fenced", 'f', age, fenced{Name: "blue", Incarnation: 3, Life: 5}),
-		plain("query", 'q', age, query{Nonce: 42, To: self.String(), Who: other.String(),
-			Addr: "10.0.0.8:7946"}),
-		plain("word", 'w', age, word{Nonce: 42, Load: -0.5, Done: 300, Well: 299, Took: 17.25}),
-		plain("permit", 'p', age, permit{To: self.String(), Who: other.String(), Addr: "10.0.0.8:7946",
+		plain("fenced", 'f', age, wireFenceNotice{Name: "blue", Incarnation: 3, BootID: 5}),
+		plain("query", 'q', age, wireQuery{Nonce: 42, To: self.String(), From: other.String(),
+			ReplyAddr: "10.0.0.8:7946"}),
+		plain("word", 'w', age, wireQueryReply{Nonce: 42, Load: -0.5, Finished: 300, WithinObjective: 299, TotalSeconds: 17.25}),
+		plain("permit", 'p', age, wirePermitNotice{To: self.String(), From: other.String(), ReplyAddr: "10.0.0.8:7946",
 			Number: 19, Begun: true}),
-		plain("begin", 'i', age, begin{To: self.String(), Who: other.String(), Addr: "10.0.0.8:7946",
+		plain("begin", 'i', age, wirePermitBegin{To: self.String(), From: other.String(), ReplyAddr: "10.0.0.8:7946",
 			Incarnation: 1_700_000_000_123, Number: 19}),
-		{"ask", packAsk(asked, self, "10.0.0.8:7946"), func(t *testing.T, stored []byte) {
+		{"ask", encodeLeaseRequest(request, self, "10.0.0.8:7946"), func(t *testing.T, stored []byte) {
 			body := head(t, stored, 'a', 0)
-			back, addr, err := readAsk(body, self)
-			same(t, err, back, asked)
+			back, addr, err := decodeLeaseRequest(body, self)
+			same(t, err, back, request)
 			same(t, nil, addr, "10.0.0.8:7946")
-			wire, err := decoded[ask](body)
-			same(t, err, wire, askWire)
-			same(t, nil, pack('a', askWire), stored)
+			wire, err := decoded[wireLeaseRequest](body)
+			same(t, err, wire, requestWire)
+			same(t, nil, encode('a', requestWire), stored)
 		}},
-		{"grant", packGrant(granted), func(t *testing.T, stored []byte) {
+		{"grant", encodeLease(lease), func(t *testing.T, stored []byte) {
 			body := head(t, stored, 'g', 0)
-			back, err := readGrant(body)
-			same(t, err, back, granted)
-			wire, err := decoded[grant](body)
-			same(t, err, wire, grantWire)
-			same(t, nil, pack('g', grantWire), stored)
+			back, err := decodeLease(body)
+			same(t, err, back, lease)
+			wire, err := decoded[wireLease](body)
+			same(t, err, wire, leaseWire)
+			same(t, nil, encode('g', leaseWire), stored)
 		}},
-		{"state", packState(stateParts), func(t *testing.T, stored []byte) {
+		{"state", encodeState(stateParts), func(t *testing.T, stored []byte) {
 			var parts [][]byte
-			err := readState(stored, 2, func(part []byte) { parts = append(parts, part) })
+			err := decodeState(stored, 2, func(part []byte) { parts = append(parts, part) })
 			same(t, err, parts, stateParts)
 		}},
 	}
@@ -113,7 +113,7 @@
 
 // plain is a message whose wire struct is what the program uses.
 func plain[T any](name string, kind byte, age time.Duration, value T) goldenMessage {
-	return goldenMessage{name, aged(pack(kind, value), age), func(t *testing.T, stored []byte) {
+	return goldenMessage{name, setAge(encode(kind, value), age), func(t *testing.T, stored []byte) {
 		t.Helper()
 		back, err := decoded[T](head(t, stored, kind, age))
 		same(t, err, back, value)
@@ -121,14 +121,14 @@
 }
 
 func decoded[T any](body []byte) (value T, err error) {
-	err = unpack(body, &value)
+	err = decode(body, &value)
 	return value, err
 }
 
 // head checks a stored message's head and gives what stands behind it.
 func head(t *testing.T, stored []byte, wantKind byte, wantAge time.Duration) []byte {
 	t.Helper()
-	kind, age, body, err := kindOf(stored)
+	kind, age, body, err := splitHead(stored)
 	if err != nil || kind != wantKind || age != wantAge {
 		t.Fatalf("head %q %v, error %v; want %q %v", kind, age, err, wantKind, wantAge)
 	}
@@ -221,14 +221,14 @@
 	"[INFO] memberlist: anything else",
 }
 
-// goldenPart is a part that was never started, with something in all that a snapshot shows.
-func goldenPart() *Part {
-	told := members.DefaultConfig()
+// goldenAgent is a part that was never started, with something in all that a snapshot shows.
+func goldenAgent() *Agent {
+	config := members.DefaultConfig()
 	table := members.NewTable(members.Descriptor{Name: "blue", Incarnation: 7, BootID: 0x0123456789abcdef,
-		GossipAddr: "10.0.0.7:7946", Roles: members.RoleServer, Zone: "north", Release: "v7", Capacity: 4}, told, 0)
-	p := &Part{Loop: loop.New(1), table: table, net: &transport{},
-		lines: &lines{count: map[string]uint64{}, former: func(string) {}}, steps: map[string]uint64{}}
-	p.view.Store(table.View())
+		GossipAddr: "10.0.0.7:7946", Roles: members.RoleServer, Zone: "north", Release: "v7", Capacity: 4}, config, 0)
+	agent := &Agent{Loop: loop.New(1), table: table, transport: &transport{},
+		libraryLog: &libraryLog{counts: map[string]uint64{}, onPredecessorCaller: func(string) {}}, transitions: map[string]uint64{}}
+	agent.view.Store(table.View())
 	green := members.ID{Name: "green", BootID: 0xfedcba9876543210}
 	table.HandleAlive(members.Descriptor{Name: "green", Incarnation: 9, BootID: green.BootID, GossipAddr: "10.0.0.8:7946",
 		ServiceAddr: "10.0.0.8:8000", Roles: members.RoleServer | members.RoleProxy,
@@ -238,31 +238,31 @@
 			{Name: "health", Value: 0.75, TTL: 4 * time.Second},
 			{Name: "held", Value: 12, TTL: time.Second},
 		}}, 0, 2*time.Second)
-	p.SetNow(3500 * time.Millisecond)
-	p.after()
-	counters := []*atomic.Uint64{&p.net.in, &p.net.out, &p.net.inBytes, &p.net.outBytes, &p.net.kept,
-		&p.dropped, &p.bad, &p.refused}
+	agent.SetNow(3500 * time.Millisecond)
+	agent.applyChanges()
+	counters := []*atomic.Uint64{&agent.transport.packetsIn, &agent.transport.packetsOut, &agent.transport.bytesIn, &agent.transport.bytesOut, &agent.transport.suppressed,
+		&agent.rateLimited, &agent.malformed, &agent.rejectedDescriptors}
 	for i, counter := range counters {
 		counter.Store(uint64(101 + i))
 	}
 	table.Stats = members.Stats{Transitions: 201, RejectedFull: 202, StaleHeartbeats: 203, InvalidHeartbeats: 204, OutdatedIncarnations: 205,
 		RefutedSuspicions: 206, Stalls: 207}
 	for _, line := range libraryLines {
-		_, _ = p.lines.Write([]byte(line))
+		_, _ = agent.libraryLog.Write([]byte(line))
 	}
-	return p
+	return agent
 }
 
 // goldenSnapshot is what the stored snapshot reads as.
 func goldenSnapshot() Snapshot {
-	return Snapshot{Name: "blue", Life: "0123456789abcdef", Incarnation: 7, Zone: "north",
-		Release: "v7", Standing: "young", Reach: 1, Version: 3, Digest: "3f221ae6bba73235",
-		States: map[string]int{"warming": 1}, CPUms: 1234,
-		Members: []SnapshotMember{{Name: "green", Life: "fedcba9876543210", Incarnation: 9,
-			State: "warming", Why: "ready", ForMS: 1500, SpokeMS: 1500, Addr: "10.0.0.8:7946",
+	return Snapshot{Name: "blue", BootID: "0123456789abcdef", Incarnation: 7, Zone: "north",
+		Release: "v7", LocalHealth: "young", HeardFraction: 1, ViewVersion: 3, ViewDigest: "3f221ae6bba73235",
+		States: map[string]int{"warming": 1}, CPUMillis: 1234,
+		Members: []MemberSnapshot{{Name: "green", BootID: "fedcba9876543210", Incarnation: 9,
+			State: "warming", Reason: "ready", InStateMillis: 1500, SinceHeartbeatMillis: 1500, GossipAddr: "10.0.0.8:7946",
 			Roles: "instance+relay", Zone: "south", Release: "v8", Capacity: 2.5,
-			Facts: map[string]float64{"health": 0.75}, Stale: []string{"held"}}},
-		Counts: map[string]uint64{"packets-in": 101, "packets-out": 102, "bytes-in": 103,
+			Metrics: map[string]float64{"health": 0.75}, StaleMetrics: []string{"held"}}},
+		Counters: map[string]uint64{"packets-in": 101, "packets-out": 102, "bytes-in": 103,
 			"bytes-out": 104, "kept-back": 105, "dropped": 106, "bad": 107, "refused": 108 + 202,
 			"changes": 201, "stale": 203, "oversized": 204, "fenced": 205, "refuted": 206,
 			"stood-still": 207, "joining-joining": 1, "joining-warming": 1,
@@ -274,8 +274,8 @@
 // The status socket shows the same names and values as the version before: `lanewheel members` and
 // operators' scripts read it.
 func TestGoldenSnapshot(t *testing.T) {
-	shown := goldenPart().snapshot(Whole)
-	shown.CPUms = 1234
+	shown := goldenAgent().snapshot(SnapshotFull)
+	shown.CPUMillis = 1234
 	text, err := json.MarshalIndent(shown, "", "  ")
 	if err != nil {
 		t.Fatal(err)
@@ -296,10 +296,10 @@
 
 // What may be asked for on the status socket.
 func TestGoldenSnapshotKinds(t *testing.T) {
-	same(t, nil, []string{Whole, Brief}, []string{"view", "brief"})
-	p := goldenPart()
-	same(t, nil, slices.Sorted(maps.Keys(p.snapshot(Brief).Counts)),
-		slices.Sorted(maps.Keys(p.snapshot(Whole).Counts)))
+	same(t, nil, []string{SnapshotFull, SnapshotBrief}, []string{"view", "brief"})
+	p := goldenAgent()
+	same(t, nil, slices.Sorted(maps.Keys(p.snapshot(SnapshotBrief).Counters)),
+		slices.Sorted(maps.Keys(p.snapshot(SnapshotFull).Counters)))
 }
 
 func readGolden(t *testing.T, name string) []byte {
--- a/internal/fleet/gossip/part.go
+++ b/internal/fleet/gossip/part.go
@@ -25,364 +25,370 @@
 	"lanewheel/internal/watch"
 )
 
-// Told is what the part goes by.
-type Told struct {
-	Name      members.Name
-	Cluster   string // which fleet; others are not heard
-	Listen    string // ip:port, UDP and TCP
-	Advertise string // where others reach it; empty: where it listens
-	Serves    string // where the process takes ops, empty if it takes none
-	Roles     members.Roles
-	Zone      string
-	Release   string
-	Capacity  float64
-	Warm      time.Duration
-	Keys      []members.Key
-	Probe     time.Duration // between two calls to another member
-	Rate      float64       // messages a second that are taken
-	Watch     string        // a local socket, empty for none
-	Leaves    bool          // a fenced one leaves
-	Permits   bool          // it leaves by permits of the stewards
-	Members   members.Config
-}
-
-// Report is what the process behind the part says of itself for a bulletin.
-type Report struct {
-	Ready   bool
-	Leaving bool
-	Facts   []members.Metric
+// Config is what the part goes by.
+type Config struct {
+	Name            members.Name
+	Cluster         string // which fleet; others are not heard
+	ListenAddr      string // ip:port, UDP and TCP
+	AdvertiseAddr   string // where others reach it; empty: where it listens
+	ServiceAddr     string // where the process takes ops, empty if it takes none
+	Roles           members.Roles
+	Zone            string
+	Release         string
+	Capacity        float64
+	WarmUp          time.Duration
+	Keys            []members.Key
+	ProbeInterval   time.Duration // between two calls to another member
+	MaxMessageRate  float64       // messages a second that are taken
+	StatusSocket    string        // a local socket, empty for none
+	LeaveWhenFenced bool          // a fenced one leaves
+	DrainByPermit   bool          // it leaves by permits of the stewards
+	Membership      members.Config
+}
+
+// ProcessStatus is what the process behind the part says of itself for a bulletin.
+type ProcessStatus struct {
+	Ready    bool
+	Draining bool
+	Metrics  []members.Metric
 }
 
 // Process is whom the part speaks for. Its methods may be called on any goroutine.
 type Process interface {
 	// Report has then called with how the process stands.
-	Report(then func(Report))
+	Status(then func(ProcessStatus))
 	// Load has then called with what it has in hand, or under 0 for how long it has had nothing (spread.Idle), and what it has done since its start.
-	Load(then func(load float64, done Figures))
+	Load(then func(load float64, done RequestStats))
 	// Drain has it leave, by a permit that the fleet has agreed on.
 	Drain(number uint64)
 	// Fenced tells that a later life has the name.
 	Fenced()
 }
 
-// Figures is what a process has done since its start.
-type Figures struct {
-	Done float64 // ops that ended
-	Well float64 // of them, in their target latency
-	Took float64 // s that all of them took, from reading to answer
+// RequestStats is what a process has done since its start.
+type RequestStats struct {
+	Finished        float64 // ops that ended
+	WithinObjective float64 // of them, in their target latency
+	TotalSeconds    float64 // s that all of them took, from reading to answer
 }
 
-// Part is one process's place in the fleet. All but what is atomic belongs to its loop.
-type Part struct {
+// Agent is one process's place in the fleet. All but what is atomic belongs to its loop.
+type Agent struct {
 	*loop.Loop
-	told    Told
-	process Process
-	table   *members.Table
-	list    *memberlist.Memberlist
-	conf    *memberlist.Config
-	net     *transport
-	lines   *lines
-	queue   *memberlist.TransmitLimitedQueue
-	chance  *mathrand.Rand
-
-	seq      uint64
-	next     time.Duration // when the next bulletin is due
-	digest   uint64        // that our last one told
-	readyAt  time.Duration // since when it is ready, under 0 if it is not
-	own      atomic.Pointer[said]
-	view     atomic.Pointer[members.View]
-	messages atomic.Pointer[rate.Limiter]
-	dropped  atomic.Uint64 // messages past the rate
-	bad      atomic.Uint64 // that can't be read
-	refused  atomic.Uint64 // claims
-	calls    chan string   // addresses for the one goroutine that calls
-	calling  bool
-	leaving  bool
-	ousted   bool
-	closed   chan struct{}
-	listens  []func(*members.View)
-	tally    logline.Sampler[string]
-	steps    map[string]uint64
-	standing members.LocalHealth
-	began    time.Time
-	mu       sync.Mutex
-	heard    map[string]struct{} // who was heard since the last look
-	formers  []string            // who called the life before ours since then
-	asked    map[uint64]*asking  // queries that no word has come to
-	nonce    uint64
-	left     sync.Once // the library can't be left twice
+	config           Config
+	process          Process
+	table            *members.Table
+	memberlist       *memberlist.Memberlist
+	memberlistConfig *memberlist.Config
+	transport        *transport
+	libraryLog       *libraryLog
+	broadcasts       *memberlist.TransmitLimitedQueue
+	random           *mathrand.Rand
+
+	sequence            uint64
+	nextHeartbeat       time.Duration // when the next bulletin is due
+	announcedDigest     uint64        // that our last one told
+	readySince          time.Duration // since when it is ready, under 0 if it is not
+	ownHeartbeat        atomic.Pointer[encodedHeartbeat]
+	view                atomic.Pointer[members.View]
+	messageLimiter      atomic.Pointer[rate.Limiter]
+	rateLimited         atomic.Uint64 // messages past the rate
+	malformed           atomic.Uint64 // that can't be read
+	rejectedDescriptors atomic.Uint64 // claims
+	joinAddrs           chan string   // addresses for the one goroutine that calls
+	joining             bool
+	draining            bool
+	fenced              bool
+	done                chan struct{}
+	subscribers         []func(*members.View)
+	logSampler          logline.Sampler[string]
+	transitions         map[string]uint64
+	localHealth         members.LocalHealth
+	start               time.Time
+	mu                  sync.Mutex
+	senders             map[string]struct{}      // who was heard since the last look
+	predecessorCallers  []string                 // who called the life before ours since then
+	pendingQueries      map[uint64]*pendingQuery // queries that no word has come to
+	lastNonce           uint64
+	leaveOnce           sync.Once // the library can't be left twice
 
 	// Desk hears who asks for calls to the service that we stand beside, Grants what was granted to us. Nil where there is none; on our loop,
 	// set before Start. answer may be called on any goroutine.
-	Desk   func(a grants.Ask, answer func(grants.Grant))
-	Grants func(g grants.Grant)
+	OnLeaseRequest func(a grants.Ask, answer func(grants.Grant))
+	OnLease        func(g grants.Grant)
 	// Begins hears that a member would begin its permit, where we are a steward; done is called once it has. The same holds of it.
-	Begins func(name members.Name, of members.Incarnation, number uint64, done func())
+	OnPermitBegin func(name members.Name, of members.Incarnation, number uint64, done func())
 }
 
-// said is our last bulletin as it goes out, with when it was written.
-type said struct {
-	b  []byte
-	at time.Time
+// encodedHeartbeat is our last bulletin as it goes out, with when it was written.
+type encodedHeartbeat struct {
+	message   []byte
+	encodedAt time.Time
 }
 
-func (s *said) now() []byte { return aged(append([]byte(nil), s.b...), time.Since(s.at)) }
+func (s *encodedHeartbeat) withAge() []byte {
+	return setAge(append([]byte(nil), s.message...), time.Since(s.encodedAt))
+}
 
 // New opens the sockets; nothing is said before Start.
-func New(told Told, process Process, seed uint64) (*Part, error) {
-	ip, port, err := split(told.Listen)
+func New(config Config, process Process, seed uint64) (*Agent, error) {
+	ip, port, err := parseAddr(config.ListenAddr)
 	if err != nil {
 		return nil, err
 	}
-	if told.Advertise == "" {
-		told.Advertise = told.Listen
+	if config.AdvertiseAddr == "" {
+		config.AdvertiseAddr = config.ListenAddr
 	}
-	aip, aport, err := split(told.Advertise)
+	advertiseIP, advertisePort, err := parseAddr(config.AdvertiseAddr)
 	if err != nil {
 		return nil, err
 	}
-	var life [8]byte
-	if _, err := rand.Read(life[:]); err != nil {
+	var bootID [8]byte
+	if _, err := rand.Read(bootID[:]); err != nil {
 		return nil, err
 	}
-	self := members.Descriptor{Name: told.Name, BootID: members.BootID(binary.BigEndian.Uint64(life[:])), GossipAddr: told.Advertise, ServiceAddr: told.Serves, Roles: told.Roles,
+	self := members.Descriptor{Name: config.Name, BootID: members.BootID(binary.BigEndian.Uint64(bootID[:])), GossipAddr: config.AdvertiseAddr, ServiceAddr: config.ServiceAddr, Roles: config.Roles,
 		// A start by the clock is mostly above the life before; where the clock went back, the number is learnt (members.Table).
 		Incarnation: members.Incarnation(max(1, time.Now().UnixMilli())),
-		Zone:        told.Zone, Release: told.Release, Capacity: told.Capacity, WarmUp: told.Warm}
-	p := &Part{Loop: loop.New(1 << 14), began: time.Now(), heard: map[string]struct{}{}, formers: make([]string, 0, 4), asked: map[uint64]*asking{}, told: told, process: process, lines: &lines{count: map[string]uint64{}},
-		chance: mathrand.New(mathrand.NewPCG(seed, uint64(self.BootID))), calls: make(chan string, 1), closed: make(chan struct{}), readyAt: -1, steps: map[string]uint64{}}
-	p.lines.former = p.former
-	p.table = members.NewTable(self, told.Members, 0)
-	p.view.Store(p.table.View())
-	p.limit(told.Rate)
-	p.say(members.Heartbeat{ID: self.ID(), Incarnation: self.Incarnation})
-	logger := log.New(p.lines, "", 0)
-	if p.net, err = newTransport(ip, port, logger, p.ear); err != nil {
+		Zone:        config.Zone, Release: config.Release, Capacity: config.Capacity, WarmUp: config.WarmUp}
+	agent := &Agent{Loop: loop.New(1 << 14), start: time.Now(), senders: map[string]struct{}{}, predecessorCallers: make([]string, 0, 4), pendingQueries: map[uint64]*pendingQuery{}, config: config, process: process, libraryLog: &libraryLog{counts: map[string]uint64{}},
+		random: mathrand.New(mathrand.NewPCG(seed, uint64(self.BootID))), joinAddrs: make(chan string, 1), done: make(chan struct{}), readySince: -1, transitions: map[string]uint64{}}
+	agent.libraryLog.onPredecessorCaller = agent.notePredecessorCaller
+	agent.table = members.NewTable(self, config.Membership, 0)
+	agent.view.Store(agent.table.View())
+	agent.setMessageLimit(config.MaxMessageRate)
+	agent.storeHeartbeat(members.Heartbeat{ID: self.ID(), Incarnation: self.Incarnation})
+	logger := log.New(agent.libraryLog, "", 0)
+	if agent.transport, err = newTransport(ip, port, logger, agent.noteSender); err != nil {
 		return nil, err
 	}
-	c := memberlist.DefaultLANConfig()
-	c.Name, c.Transport, c.Logger, c.Label = self.ID().String(), p.net, logger, told.Cluster
-	c.BindAddr, c.BindPort, c.AdvertiseAddr, c.AdvertisePort = ip.String(), port, aip.String(), aport
-	c.ProbeInterval, c.ProbeTimeout = told.Probe, told.Probe/2
+	listConfig := memberlist.DefaultLANConfig()
+	listConfig.Name, listConfig.Transport, listConfig.Logger, listConfig.Label = self.ID().String(), agent.transport, logger, config.Cluster
+	listConfig.BindAddr, listConfig.BindPort, listConfig.AdvertiseAddr, listConfig.AdvertisePort = ip.String(), port, advertiseIP.String(), advertisePort
+	listConfig.ProbeInterval, listConfig.ProbeTimeout = config.ProbeInterval, config.ProbeInterval/2
 	// Two others have to confirm before the shortest time holds; at 100 members that is 4 s with calls each 500 ms.
-	c.SuspicionMult, c.SuspicionMaxTimeoutMult = 4, 3
-	c.GossipInterval, c.GossipNodes = 100*time.Millisecond, 3
-	c.RetransmitMult = 3
-	c.GossipToTheDeadTime = 30 * time.Second
-	c.EnableCompression = false           // its writer takes 100 KB a message: half of a process's time at rest went to clearing up behind it
-	c.PushPullInterval = 10 * time.Second // the library makes that 20 s at 64 members, 40 at 256; who differs is called before
-	c.TCPTimeout = 2 * time.Second        // some round trips of a poor link; one goroutine alone calls
-	c.DeadNodeReclaimTime = time.Second
-	c.Delegate, c.Events, c.Alive, c.Ping, c.Conflict = p, p, p, p, p
-	if len(told.Keys) > 0 {
-		var all [][]byte
-		for _, k := range told.Keys {
-			all = append(all, k)
+	listConfig.SuspicionMult, listConfig.SuspicionMaxTimeoutMult = 4, 3
+	listConfig.GossipInterval, listConfig.GossipNodes = 100*time.Millisecond, 3
+	listConfig.RetransmitMult = 3
+	listConfig.GossipToTheDeadTime = 30 * time.Second
+	listConfig.EnableCompression = false           // its writer takes 100 KB a message: half of a process's time at rest went to clearing up behind it
+	listConfig.PushPullInterval = 10 * time.Second // the library makes that 20 s at 64 members, 40 at 256; who differs is called before
+	listConfig.TCPTimeout = 2 * time.Second        // some round trips of a poor link; one goroutine alone calls
+	listConfig.DeadNodeReclaimTime = time.Second
+	listConfig.Delegate, listConfig.Events, listConfig.Alive, listConfig.Ping, listConfig.Conflict = agent, agent, agent, agent, agent
+	if len(config.Keys) > 0 {
+		var keys [][]byte
+		for _, key := range config.Keys {
+			keys = append(keys, key)
 		}
-		if c.Keyring, err = memberlist.NewKeyring(all, told.Keys[0]); err != nil {
+		if listConfig.Keyring, err = memberlist.NewKeyring(keys, config.Keys[0]); err != nil {
 			return nil, err
 		}
 	}
-	p.conf = c
-	p.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: 2, NumNodes: func() int { return p.view.Load().Len() + 1 }}
-	if p.list, err = memberlist.Create(c); err != nil {
-		_ = p.net.Shutdown()
+	agent.memberlistConfig = listConfig
+	agent.broadcasts = &memberlist.TransmitLimitedQueue{RetransmitMult: 2, NumNodes: func() int { return agent.view.Load().Len() + 1 }}
+	if agent.memberlist, err = memberlist.Create(listConfig); err != nil {
+		_ = agent.transport.Shutdown()
 		return nil, err
 	}
-	return p, nil
+	return agent, nil
 }
 
-func (p *Part) limit(perSecond float64) {
-	p.messages.Store(rate.NewLimiter(rate.Limit(perSecond), int(max(1, perSecond))))
+func (p *Agent) setMessageLimit(perSecond float64) {
+	p.messageLimiter.Store(rate.NewLimiter(rate.Limit(perSecond), int(max(1, perSecond))))
 }
 
 // Subscribe has then called with each new view, on the part's loop: who has a loop of its own hands it on there. It belongs to
 // the time before Start.
-func (p *Part) Subscribe(then func(*members.View)) { p.listens = append(p.listens, then) }
+func (p *Agent) Subscribe(callback func(*members.View)) {
+	p.subscribers = append(p.subscribers, callback)
+}
 
 // View is what is believed now. Any goroutine may ask.
-func (p *Part) View() *members.View { return p.view.Load() }
+func (p *Agent) View() *members.View { return p.view.Load() }
 
 // Start begins to speak.
-func (p *Part) Start() {
-	if p.told.Watch != "" {
-		watch.Serve(p.told.Watch, p.closed, p.show)
+func (p *Agent) Start() {
+	if p.config.StatusSocket != "" {
+		watch.Serve(p.config.StatusSocket, p.done, p.serveStatus)
 	}
-	go p.call()
+	go p.runJoins()
 	p.Post(func() {
-		p.look()
-		p.reach()
-		p.publish()
+		p.tick()
+		p.joinPeriodically()
+		p.pollStatus()
 	})
 	go p.Run(func() {})
 }
 
-// look is how often the table looks at the time. Danger: it must be often against Stall, or we seem to stand still.
-const look = 100 * time.Millisecond
+// tickInterval is how often the table looks at the time. Danger: it must be often against Stall, or we seem to stand still.
+const tickInterval = 100 * time.Millisecond
 
-func (p *Part) look() {
+func (p *Agent) tick() {
 	p.mu.Lock()
-	for sender := range p.heard {
+	for sender := range p.senders {
 		p.table.ObserveSender(sender)
 	}
-	clear(p.heard)
-	for _, addr := range p.formers {
+	clear(p.senders)
+	for _, addr := range p.predecessorCallers {
 		p.table.AddPredecessorCaller(addr)
 	}
-	p.formers = p.formers[:0]
+	p.predecessorCallers = p.predecessorCallers[:0]
 	p.mu.Unlock()
 	p.table.Tick(p.Now())
-	p.net.muted.Store(p.table.HearsNobody())
-	for nonce, a := range p.asked {
-		if p.Now()-a.at > time.Second {
-			delete(p.asked, nonce)
+	p.transport.muted.Store(p.table.HearsNobody())
+	for nonce, pending := range p.pendingQueries {
+		if p.Now()-pending.sentAt > time.Second {
+			delete(p.pendingQueries, nonce)
 		}
 	}
-	p.after()
-	p.tally.FlushSuppressed(p.WallTime(), func(step string, more int) { slog.Info("members", "step", step, "more", more) })
+	p.applyChanges()
+	p.logSampler.FlushSuppressed(p.WallTime(), func(transition string, suppressed int) { slog.Info("members", "step", transition, "more", suppressed) })
 	if !p.HasQuit() {
-		p.ScheduleAt(p.Now()+look, p.look)
+		p.ScheduleAt(p.Now()+tickInterval, p.tick)
 	}
 }
 
-// ear notes a sender until the next look. Danger: a flood of packets that each hand the loop a call; and senders without end.
-func (p *Part) ear(sender string) {
-	const most = 4096 // many times the members that one process hears in a tenth of a second
+// noteSender notes a sender until the next look. Danger: a flood of packets that each hand the loop a call; and senders without end.
+func (p *Agent) noteSender(sender string) {
+	const maxSenders = 4096 // many times the members that one process hears in a tenth of a second
 	p.mu.Lock()
-	if len(p.heard) < most {
-		p.heard[sender] = struct{}{}
+	if len(p.senders) < maxSenders {
+		p.senders[sender] = struct{}{}
 	}
 	p.mu.Unlock()
 }
 
-// former notes who called the life before ours until the next look; there is no need for more than a few.
-func (p *Part) former(addr string) {
+// notePredecessorCaller notes who called the life before ours until the next look; there is no need for more than a few.
+func (p *Agent) notePredecessorCaller(addr string) {
 	p.mu.Lock()
-	if len(p.formers) < cap(p.formers) {
-		p.formers = append(p.formers, addr)
+	if len(p.predecessorCallers) < cap(p.predecessorCallers) {
+		p.predecessorCallers = append(p.predecessorCallers, addr)
 	}
 	p.mu.Unlock()
 }
 
-// after carries out what the table has come to.
-func (p *Part) after() {
-	for _, c := range p.table.TakeChanges() {
-		step := fmt.Sprintf("%v-%v", c.From, c.To)
-		p.steps[step]++
-		if p.tally.Allow(step, p.WallTime()) {
-			slog.Info("member", "name", string(c.Name), "incarnation", uint64(c.Incarnation), "was", c.From, "is", c.To, "why", string(c.Reason), "view", c.ViewVersion)
+// applyChanges carries out what the table has come to.
+func (p *Agent) applyChanges() {
+	for _, change := range p.table.TakeChanges() {
+		transition := fmt.Sprintf("%v-%v", change.From, change.To)
+		p.transitions[transition]++
+		if p.logSampler.Allow(transition, p.WallTime()) {
+			slog.Info("member", "name", string(change.Name), "incarnation", uint64(change.Incarnation), "was", change.From, "is", change.To, "why", string(change.Reason), "view", change.ViewVersion)
 		}
 	}
-	v := p.table.View()
-	if v == p.view.Load() {
+	view := p.table.View()
+	if view == p.view.Load() {
 		return
 	}
-	p.view.Store(v)
-	if v.LocalHealth != p.standing {
-		slog.Info("standing", "was", p.standing, "is", v.LocalHealth, "reach", fmt.Sprintf("%.2f", v.HeardFraction), "members", v.Len(), "view", v.Version)
-		p.standing = v.LocalHealth
+	p.view.Store(view)
+	if view.LocalHealth != p.localHealth {
+		slog.Info("standing", "was", p.localHealth, "is", view.LocalHealth, "reach", fmt.Sprintf("%.2f", view.HeardFraction), "members", view.Len(), "view", view.Version)
+		p.localHealth = view.LocalHealth
 	}
-	for _, then := range p.listens {
-		then(v)
+	for _, notify := range p.subscribers {
+		notify(view)
 	}
 }
 
-// publish looks how we stand, and says so at the table's pace; at once where others have to know.
-func (p *Part) publish() {
+// pollStatus looks how we stand, and says so at the table's pace; at once where others have to know.
+func (p *Agent) pollStatus() {
 	if p.HasQuit() {
 		return
 	}
-	p.process.Report(func(r Report) {
+	p.process.Status(func(status ProcessStatus) {
 		p.Post(func() {
-			if p.Now() >= p.next || r.Ready != (p.readyAt >= 0) || r.Leaving && !p.leaving {
-				p.bulletin(r)
-			} else if p.digest != p.table.ViewDigest() && !p.leaving {
+			if p.Now() >= p.nextHeartbeat || status.Ready != (p.readySince >= 0) || status.Draining && !p.draining {
+				p.broadcastHeartbeat(status)
+			} else if p.announcedDigest != p.table.ViewDigest() && !p.draining {
 				// What we hold to be so goes to whoever calls next, but is no news for the whole fleet. Danger: views that differ are
 				// known to only as soon as each has spoken again, which is many seconds in a large fleet.
-				p.write(r)
+				p.buildHeartbeat(status)
 			}
 		})
 	})
-	const often = 250 * time.Millisecond // how late a process that has come up is known to have
-	p.ScheduleAt(p.Now()+often, p.publish)
+	const statusInterval = 250 * time.Millisecond // how late a process that has come up is known to have
+	p.ScheduleAt(p.Now()+statusInterval, p.pollStatus)
 }
 
-func (p *Part) bulletin(r Report) {
+func (p *Agent) broadcastHeartbeat(status ProcessStatus) {
 	switch {
-	case !r.Ready:
-		p.readyAt = -1
-	case p.readyAt < 0:
-		p.readyAt = p.Now()
+	case !status.Ready:
+		p.readySince = -1
+	case p.readySince < 0:
+		p.readySince = p.Now()
 	}
 	// Half to one and a half times the pace. Danger: hundreds that started at one moment all speak at the same moments.
-	p.next = p.Now() + time.Duration((0.5+p.chance.Float64())*float64(p.table.HeartbeatInterval()))
-	p.queue.QueueBroadcast(&passing{of: p.table.Self().ID(), s: p.write(r)})
+	p.nextHeartbeat = p.Now() + time.Duration((0.5+p.random.Float64())*float64(p.table.HeartbeatInterval()))
+	p.broadcasts.QueueBroadcast(&heartbeatBroadcast{from: p.table.Self().ID(), heartbeat: p.buildHeartbeat(status)})
 }
 
-// write makes our next bulletin, and has it ride on answers to calls.
-func (p *Part) write(r Report) *said {
-	p.seq++
-	p.digest = p.table.ViewDigest()
+// buildHeartbeat makes our next bulletin, and has it ride on answers to calls.
+func (p *Agent) buildHeartbeat(status ProcessStatus) *encodedHeartbeat {
+	p.sequence++
+	p.announcedDigest = p.table.ViewDigest()
 	self := p.table.Self()
-	b := members.Heartbeat{ID: self.ID(), Incarnation: self.Incarnation, Sequence: p.seq, Ready: r.Ready, Draining: r.Leaving || p.leaving, ViewDigest: p.table.ViewDigest(), Metrics: r.Facts}
-	if r.Ready {
-		b.ReadyFor = p.Now() - p.readyAt
+	heartbeat := members.Heartbeat{ID: self.ID(), Incarnation: self.Incarnation, Sequence: p.sequence, Ready: status.Ready, Draining: status.Draining || p.draining, ViewDigest: p.table.ViewDigest(), Metrics: status.Metrics}
+	if status.Ready {
+		heartbeat.ReadyFor = p.Now() - p.readySince
 	}
-	for i := range b.Metrics {
-		if b.Metrics[i].TTL == 0 {
-			b.Metrics[i].TTL = p.table.MetricTTL()
+	for i := range heartbeat.Metrics {
+		if heartbeat.Metrics[i].TTL == 0 {
+			heartbeat.Metrics[i].TTL = p.table.MetricTTL()
 		}
 	}
-	p.say(b)
-	return p.own.Load()
+	p.storeHeartbeat(heartbeat)
+	return p.ownHeartbeat.Load()
 }
 
-func (p *Part) say(b members.Heartbeat) { p.own.Store(&said{packBulletin(b), time.Now()}) }
+func (p *Agent) storeHeartbeat(heartbeat members.Heartbeat) {
+	p.ownHeartbeat.Store(&encodedHeartbeat{encodeHeartbeat(heartbeat), time.Now()})
+}
 
-// passing is a bulletin on its way through the fleet; its age is written each time it goes out.
-type passing struct {
-	of members.ID
-	s  *said
+// heartbeatBroadcast is a bulletin on its way through the fleet; its age is written each time it goes out.
+type heartbeatBroadcast struct {
+	from      members.ID
+	heartbeat *encodedHeartbeat
 }
 
-func (b *passing) Invalidates(other memberlist.Broadcast) bool {
-	o, is := other.(*passing)
-	return is && o.of == b.of
+func (b *heartbeatBroadcast) Invalidates(other memberlist.Broadcast) bool {
+	otherHeartbeat, isHeartbeat := other.(*heartbeatBroadcast)
+	return isHeartbeat && otherHeartbeat.from == b.from
 }
-func (b *passing) Message() []byte { return b.s.now() }
-func (b *passing) Finished()       {}
+func (b *heartbeatBroadcast) Message() []byte { return b.heartbeat.withAge() }
+func (b *heartbeatBroadcast) Finished()       {}
 
-// reach calls, once a second, whoever may be a part of the fleet that does not know of us.
-func (p *Part) reach() {
+// joinPeriodically calls, once a second, whoever may be a part of the fleet that does not know of us.
+func (p *Agent) joinPeriodically() {
 	if p.HasQuit() {
 		return
 	}
-	if addr, any := p.table.NextJoinAddr(p.Now(), p.chance.Float64); any && !p.calling && !p.leaving && !p.ousted {
-		p.calling = true
-		p.calls <- addr // there is room: one alone is under way
+	if addr, due := p.table.NextJoinAddr(p.Now(), p.random.Float64); due && !p.joining && !p.draining && !p.fenced {
+		p.joining = true
+		p.joinAddrs <- addr // there is room: one alone is under way
 	}
 	pause := time.Second
 	if p.table.View().Len() == 0 { // alone: soon, and not all at the same moment
-		pause = time.Duration((0.1 + 0.4*p.chance.Float64()) * float64(time.Second))
+		pause = time.Duration((0.1 + 0.4*p.random.Float64()) * float64(time.Second))
 	}
-	p.ScheduleAt(p.Now()+pause, p.reach)
+	p.ScheduleAt(p.Now()+pause, p.joinPeriodically)
 }
 
-// call is the one goroutine that calls.
-func (p *Part) call() {
+// runJoins is the one goroutine that calls.
+func (p *Agent) runJoins() {
 	for {
 		select {
-		case <-p.closed:
+		case <-p.done:
 			return
-		case addr := <-p.calls:
-			n, err := p.list.Join([]string{addr})
+		case addr := <-p.joinAddrs:
+			joined, err := p.memberlist.Join([]string{addr})
 			p.Post(func() {
-				p.calling = false
-				p.table.RecordJoin(addr, n > 0, p.Now(), p.chance.Float64)
-				if n > 0 {
+				p.joining = false
+				p.table.RecordJoin(addr, joined > 0, p.Now(), p.random.Float64)
+				if joined > 0 {
 					p.table.ObserveAck(p.Now())
-					p.table.ObserveSender(host(addr))
-				} else if p.tally.Allow("call-failed", p.WallTime()) {
+					p.table.ObserveSender(hostOf(addr))
+				} else if p.logSampler.Allow("call-failed", p.WallTime()) {
 					slog.Info("call-failed", "addr", addr, "err", err)
 				}
 			})
@@ -390,80 +396,82 @@
 	}
 }
 
-// AskDesk asks the desk beside a service below for calls. Any goroutine may call it; the answer, if one comes, goes to Grants.
-func (p *Part) AskDesk(name members.Name, a grants.Ask) {
+// RequestLease asks the desk beside a service below for calls. Any goroutine may call it; the answer, if one comes, goes to Grants.
+func (p *Agent) RequestLease(name members.Name, request grants.Ask) {
 	p.Post(func() {
-		if m, known := p.table.View().Get(name); known {
-			_ = p.list.SendToAddress(memberlist.Address{Addr: m.GossipAddr, Name: m.ID().String()}, packAsk(a, m.ID(), p.table.Self().GossipAddr))
+		if member, known := p.table.View().Get(name); known {
+			_ = p.memberlist.SendToAddress(memberlist.Address{Addr: member.GossipAddr, Name: member.ID().String()}, encodeLeaseRequest(request, member.ID(), p.table.Self().GossipAddr))
 		}
 	})
 }
 
-// asking is a query under way.
-type asking struct {
-	at   time.Duration
-	then func(w word, age time.Duration)
+// pendingQuery is a query under way.
+type pendingQuery struct {
+	sentAt   time.Duration
+	callback func(w wireQueryReply, age time.Duration)
 }
 
-// Ask asks a member how it stands, by one datagram; then is called on the part's loop if a word comes. What does not come within a second
+// QueryLoad asks a member how it stands, by one datagram; then is called on the part's loop if a word comes. What does not come within a second
 // is not waited for.
-func (p *Part) Ask(name members.Name, then func(load float64, age time.Duration)) {
-	p.askFor(name, func(w word, age time.Duration) { then(w.Load, age) })
+func (p *Agent) QueryLoad(name members.Name, callback func(load float64, age time.Duration)) {
+	p.sendQuery(name, func(reply wireQueryReply, age time.Duration) { callback(reply.Load, age) })
 }
 
-// AskFigures asks a member what it has done, the same way.
-func (p *Part) AskFigures(name members.Name, then func(Figures)) {
-	p.askFor(name, func(w word, _ time.Duration) { then(Figures{w.Done, w.Well, w.Took}) })
+// QueryStats asks a member what it has done, the same way.
+func (p *Agent) QueryStats(name members.Name, callback func(RequestStats)) {
+	p.sendQuery(name, func(reply wireQueryReply, _ time.Duration) {
+		callback(RequestStats{reply.Finished, reply.WithinObjective, reply.TotalSeconds})
+	})
 }
 
-// Nudge tells one life of a member that it has a permit, or that it has begun it. Any goroutine may call it.
-func (p *Part) Nudge(name members.Name, of members.Incarnation, number uint64, begun bool) {
+// NotifyPermit tells one life of a member that it has a permit, or that it has begun it. Any goroutine may call it.
+func (p *Agent) NotifyPermit(name members.Name, incarnation members.Incarnation, number uint64, begun bool) {
 	p.Post(func() {
-		if m, known := p.table.View().Get(name); known && m.Incarnation == of {
+		if member, known := p.table.View().Get(name); known && member.Incarnation == incarnation {
 			self := p.table.Self()
-			_ = p.list.SendToAddress(memberlist.Address{Addr: m.GossipAddr, Name: m.ID().String()}, pack(kindPermit, permit{m.ID().String(), self.ID().String(), self.GossipAddr, number, begun}))
+			_ = p.memberlist.SendToAddress(memberlist.Address{Addr: member.GossipAddr, Name: member.ID().String()}, encode(kindPermitNotice, wirePermitNotice{member.ID().String(), self.ID().String(), self.GossipAddr, number, begun}))
 		}
 	})
 }
 
-func (p *Part) askFor(name members.Name, then func(w word, age time.Duration)) {
-	const most = 1024 // Danger: a fleet that answers nobody; so many are more than a relay asks in a second
-	m, known := p.table.View().Get(name)
-	if !known || len(p.asked) >= most {
+func (p *Agent) sendQuery(name members.Name, callback func(w wireQueryReply, age time.Duration)) {
+	const maxPendingQueries = 1024 // Danger: a fleet that answers nobody; so many are more than a relay asks in a second
+	member, known := p.table.View().Get(name)
+	if !known || len(p.pendingQueries) >= maxPendingQueries {
 		return
 	}
-	p.nonce++
-	p.asked[p.nonce] = &asking{p.Now(), then}
-	b := pack(kindQuery, query{p.nonce, m.ID().String(), p.table.Self().ID().String(), p.table.Self().GossipAddr})
-	_ = p.list.SendToAddress(memberlist.Address{Addr: m.GossipAddr, Name: m.ID().String()}, b)
+	p.lastNonce++
+	p.pendingQueries[p.lastNonce] = &pendingQuery{p.Now(), callback}
+	message := encode(kindQuery, wireQuery{p.lastNonce, member.ID().String(), p.table.Self().ID().String(), p.table.Self().GossipAddr})
+	_ = p.memberlist.SendToAddress(memberlist.Address{Addr: member.GossipAddr, Name: member.ID().String()}, message)
 }
 
-// Put takes values that were told anew: keys, seeds and times. What it listens on and is called holds from the next start.
-func (p *Part) Put(told Told) {
+// SetConfig takes values that were told anew: keys, seeds and times. What it listens on and is called holds from the next start.
+func (p *Agent) SetConfig(config Config) {
 	p.Post(func() {
-		turn := members.PlanKeyRotation(p.told.Keys, told.Keys)
-		if ring := p.conf.Keyring; ring != nil {
+		rotation := members.PlanKeyRotation(p.config.Keys, config.Keys)
+		if keyring := p.memberlistConfig.Keyring; keyring != nil {
 			var err error
-			for _, k := range turn.Add {
-				err = firstOf(err, ring.AddKey(k))
+			for _, key := range rotation.Add {
+				err = firstError(err, keyring.AddKey(key))
 			}
-			if turn.Primary != nil {
-				err = firstOf(err, ring.UseKey(turn.Primary))
+			if rotation.Primary != nil {
+				err = firstError(err, keyring.UseKey(rotation.Primary))
 			}
-			for _, k := range turn.Remove {
-				err = firstOf(err, ring.RemoveKey(k))
+			for _, key := range rotation.Remove {
+				err = firstError(err, keyring.RemoveKey(key))
 			}
-			if len(turn.Add)+len(turn.Remove) > 0 || turn.Primary != nil || err != nil {
-				slog.Info("fleet-keys", "added", len(turn.Add), "used", turn.Primary != nil, "dropped", len(turn.Remove), "err", err)
+			if len(rotation.Add)+len(rotation.Remove) > 0 || rotation.Primary != nil || err != nil {
+				slog.Info("fleet-keys", "added", len(rotation.Add), "used", rotation.Primary != nil, "dropped", len(rotation.Remove), "err", err)
 			}
 		}
-		p.told.Keys, p.told.Members, p.told.Rate = told.Keys, told.Members, told.Rate
-		p.table.SetConfig(told.Members)
-		p.limit(told.Rate)
+		p.config.Keys, p.config.Membership, p.config.MaxMessageRate = config.Keys, config.Membership, config.MaxMessageRate
+		p.table.SetConfig(config.Membership)
+		p.setMessageLimit(config.MaxMessageRate)
 	})
 }
 
-func firstOf(a, b error) error {
+func firstError(a, b error) error {
 	if a != nil {
 		return a
 	}
@@ -471,286 +479,290 @@
 }
 
 // Drain is the notice to drain: it is said at once, and the fleet is left shortly before last, a time from now.
-func (p *Part) Drain(last time.Duration) {
+func (p *Agent) Drain(timeout time.Duration) {
 	p.Post(func() {
-		if p.leaving {
+		if p.draining {
 			return
 		}
-		p.leaving = true
-		p.process.Report(func(r Report) { p.Post(func() { p.bulletin(r) }) })
+		p.draining = true
+		p.process.Status(func(status ProcessStatus) { p.Post(func() { p.broadcastHeartbeat(status) }) })
 		// The word that we left takes some rounds of gossip; half a second of the end is for it.
-		const word = 500 * time.Millisecond
-		p.ScheduleAt(p.Now()+max(0, last-word), func() { go p.leave(min(last, word) / 2) })
+		const leaveNotice = 500 * time.Millisecond
+		p.ScheduleAt(p.Now()+max(0, timeout-leaveNotice), func() { go p.leaveFleet(min(timeout, leaveNotice) / 2) })
 	})
 }
 
-func (p *Part) leave(within time.Duration) {
-	p.depart(within)
+func (p *Agent) leaveFleet(timeout time.Duration) {
+	p.leaveMemberlist(timeout)
 	p.Post(func() {
 		if p.HasQuit() {
 			return
 		}
 		p.Quit()
-		close(p.closed)
+		close(p.done)
 	})
 }
 
-// depart says that we leave, to all that hear it within that time, and ends the gossip.
-func (p *Part) depart(within time.Duration) {
-	p.left.Do(func() {
-		_ = p.list.Leave(within)
-		_ = p.list.Shutdown()
+// leaveMemberlist says that we leave, to all that hear it within that time, and ends the gossip.
+func (p *Agent) leaveMemberlist(timeout time.Duration) {
+	p.leaveOnce.Do(func() {
+		_ = p.memberlist.Leave(timeout)
+		_ = p.memberlist.Shutdown()
 	})
 }
 
 // Drained tells whether the fleet has been left.
-func (p *Part) Drained() bool {
+func (p *Agent) Drained() bool {
 	select {
-	case <-p.closed:
+	case <-p.done:
 		return true
 	default:
 		return false
 	}
 }
 
-// oust ends our part in the fleet: a later life has our name.
-func (p *Part) oust() {
-	if p.ousted {
+// fence ends our part in the fleet: a later life has our name.
+func (p *Agent) fence() {
+	if p.fenced {
 		return
 	}
-	p.ousted = true
-	slog.Warn("fenced", "name", string(p.told.Name), "incarnation", uint64(p.table.Self().Incarnation), "leaves", p.told.Leaves)
-	p.after()
+	p.fenced = true
+	slog.Warn("fenced", "name", string(p.config.Name), "incarnation", uint64(p.table.Self().Incarnation), "leaves", p.config.LeaveWhenFenced)
+	p.applyChanges()
 	// Danger: shutting down without a word would have the detector doubt a life that is over anyway; with one it says the old
 	// life has left, which nobody takes for the new one.
-	go p.depart(200 * time.Millisecond)
-	if p.told.Leaves {
+	go p.leaveMemberlist(200 * time.Millisecond)
+	if p.config.LeaveWhenFenced {
 		p.process.Fenced()
 	}
 }
 
-// claimed hands a claim to the table and does what it says.
-func (p *Part) claimed(c members.Descriptor) {
-	switch p.table.HandleAlive(c, p.Now()) {
+// handleAlive hands a claim to the table and does what it says.
+func (p *Agent) handleAlive(descriptor members.Descriptor) {
+	switch p.table.HandleAlive(descriptor, p.Now()) {
 	case members.AliveOutdated:
-		p.tell(c)
+		p.notifyFenced(descriptor)
 	case members.AliveIncarnationRaised:
-		slog.Info("incarnation-raised", "name", string(p.told.Name), "incarnation", uint64(p.table.Self().Incarnation))
-		go func() { _ = p.list.UpdateNode(time.Second) }()
+		slog.Info("incarnation-raised", "name", string(p.config.Name), "incarnation", uint64(p.table.Self().Incarnation))
+		go func() { _ = p.memberlist.UpdateNode(time.Second) }()
 	case members.AliveFenced:
-		p.oust()
+		p.fence()
 	}
-	p.after()
+	p.applyChanges()
 }
 
-// tell says to an old life that it is over, if that is on us.
-func (p *Part) tell(old members.Descriptor) {
-	if !p.table.ShouldNotifyFenced(old.ID(), p.Now()) {
+// notifyFenced says to an old life that it is over, if that is on us.
+func (p *Agent) notifyFenced(outdated members.Descriptor) {
+	if !p.table.ShouldNotifyFenced(outdated.ID(), p.Now()) {
 		return
 	}
-	word := fenced{Name: string(old.Name)}
-	if self := p.table.Self(); old.Name == self.Name {
-		word.Incarnation, word.Life = uint64(self.Incarnation), uint64(self.BootID)
-	} else if m, known := p.table.View().Get(old.Name); known {
-		word.Incarnation, word.Life = uint64(m.Incarnation), uint64(m.BootID)
+	notice := wireFenceNotice{Name: string(outdated.Name)}
+	if self := p.table.Self(); outdated.Name == self.Name {
+		notice.Incarnation, notice.BootID = uint64(self.Incarnation), uint64(self.BootID)
+	} else if successor, known := p.table.View().Get(outdated.Name); known {
+		notice.Incarnation, notice.BootID = uint64(successor.Incarnation), uint64(successor.BootID)
 	}
-	addr, err := net.ResolveUDPAddr("udp", old.GossipAddr) // an address in figures: nothing is looked up
+	addr, err := net.ResolveUDPAddr("udp", outdated.GossipAddr) // an address in figures: nothing is looked up
 	if err != nil {
 		return
 	}
-	b := pack(kindFenced, word)
-	to := memberlist.Address{Addr: addr.String(), Name: old.ID().String()}
-	go func() { _ = p.list.SendToAddress(to, b) }()
+	message := encode(kindFenceNotice, notice)
+	destination := memberlist.Address{Addr: addr.String(), Name: outdated.ID().String()}
+	go func() { _ = p.memberlist.SendToAddress(destination, message) }()
 }
 
 // The rest is what the library calls, on goroutines of its own.
 
 // NodeMeta is memberlist.Delegate.
-func (p *Part) NodeMeta(limit int) []byte { return packClaim(p.view.Load().Self) }
+func (p *Agent) NodeMeta(limit int) []byte { return encodeDescriptor(p.view.Load().Self) }
 
 // NotifyAlive is memberlist.AliveDelegate: it refuses what can't be a member before it is gossiped on. Danger: names without end.
-func (p *Part) NotifyAlive(n *memberlist.Node) error {
-	c, err := readClaim(n.Name, n.Address(), n.Meta)
+func (p *Agent) NotifyAlive(node *memberlist.Node) error {
+	descriptor, err := decodeDescriptor(node.Name, node.Address(), node.Meta)
 	if err == nil {
-		v := p.view.Load()
-		if _, known := v.Get(c.Name); !known && c.Name != v.Self.Name && v.Len() >= p.told.Members.MaxMembers && v.Count(members.StateGone) == 0 {
-			err = errSize
+		view := p.view.Load()
+		if _, known := view.Get(descriptor.Name); !known && descriptor.Name != view.Self.Name && view.Len() >= p.config.Membership.MaxMembers && view.Count(members.StateGone) == 0 {
+			err = errTooLarge
 		}
 	}
 	if err != nil {
-		p.refused.Add(1)
+		p.rejectedDescriptors.Add(1)
 	}
 	return err
 }
 
 // NotifyJoin is memberlist.EventDelegate.
-func (p *Part) NotifyJoin(n *memberlist.Node) {
-	if c, err := readClaim(n.Name, n.Address(), n.Meta); err == nil {
-		p.Post(func() { p.claimed(c) })
+func (p *Agent) NotifyJoin(node *memberlist.Node) {
+	if descriptor, err := decodeDescriptor(node.Name, node.Address(), node.Meta); err == nil {
+		p.Post(func() { p.handleAlive(descriptor) })
 	}
 }
 
 // NotifyUpdate is memberlist.EventDelegate.
-func (p *Part) NotifyUpdate(n *memberlist.Node) { p.NotifyJoin(n) }
+func (p *Agent) NotifyUpdate(node *memberlist.Node) { p.NotifyJoin(node) }
 
 // NotifyLeave is memberlist.EventDelegate.
-func (p *Part) NotifyLeave(n *memberlist.Node) {
-	if id, ok := members.ParseID(n.Name); ok {
-		left := n.State == memberlist.StateLeft
+func (p *Agent) NotifyLeave(node *memberlist.Node) {
+	if id, ok := members.ParseID(node.Name); ok {
+		left := node.State == memberlist.StateLeft
 		p.Post(func() {
 			p.table.HandleUnreachable(id, left, p.Now())
-			p.after()
+			p.applyChanges()
 		})
 	}
 }
 
 // NotifyConflict is memberlist.ConflictDelegate: one life at two addresses, which only a copied process could be.
-func (p *Part) NotifyConflict(existing, other *memberlist.Node) {
+func (p *Agent) NotifyConflict(existing, other *memberlist.Node) {
 	slog.Warn("conflict", "life", existing.Name, "here", existing.Address(), "there", other.Address())
 }
 
 // AckPayload is memberlist.PingDelegate: whoever calls hears how we stand, first hand.
-func (p *Part) AckPayload() []byte { return p.own.Load().now() }
+func (p *Agent) AckPayload() []byte { return p.ownHeartbeat.Load().withAge() }
 
 // NotifyPingComplete is memberlist.PingDelegate.
-func (p *Part) NotifyPingComplete(other *memberlist.Node, rtt time.Duration, payload []byte) {
-	b := append([]byte(nil), payload...)
+func (p *Agent) NotifyPingComplete(other *memberlist.Node, rtt time.Duration, payload []byte) {
+	message := append([]byte(nil), payload...)
 	p.Post(func() {
 		p.table.ObserveAck(p.Now())
-		p.message(b, rtt/2)
+		p.handleMessage(message, rtt/2)
 	})
 }
 
 // NotifyMsg is memberlist.Delegate. Danger: a member gone wild that floods the others; past the rate its messages are dropped, as
 // is what it can be made good by: the next bulletin.
-func (p *Part) NotifyMsg(b []byte) {
-	if !p.messages.Load().Allow() {
-		p.dropped.Add(1)
+func (p *Agent) NotifyMsg(message []byte) {
+	if !p.messageLimiter.Load().Allow() {
+		p.rateLimited.Add(1)
 		return
 	}
-	b = append([]byte(nil), b...)
-	p.Post(func() { p.message(b, 0) })
+	message = append([]byte(nil), message...)
+	p.Post(func() { p.handleMessage(message, 0) })
 }
 
-// message reads one and hands it to the table; what is new goes on to others.
-func (p *Part) message(b []byte, under time.Duration) {
-	kind, age, body, err := kindOf(b)
+// handleMessage reads one and hands it to the table; what is new goes on to others.
+func (p *Agent) handleMessage(message []byte, transit time.Duration) {
+	kind, age, body, err := splitHead(message)
 	if err == nil {
 		switch kind {
-		case kindBulletin:
-			var x members.Heartbeat
-			if x, err = readBulletin(body); err == nil && p.table.HandleHeartbeat(x, age+under, p.Now()) {
-				p.queue.QueueBroadcast(&passing{of: x.ID, s: &said{append([]byte(nil), b...), time.Now().Add(-age - under)}})
-				p.after()
+		case kindHeartbeat:
+			var decoded members.Heartbeat
+			if decoded, err = decodeHeartbeat(body); err == nil && p.table.HandleHeartbeat(decoded, age+transit, p.Now()) {
+				p.broadcasts.QueueBroadcast(&heartbeatBroadcast{from: decoded.ID, heartbeat: &encodedHeartbeat{append([]byte(nil), message...), time.Now().Add(-age - transit)}})
+				p.applyChanges()
 			}
 		case kindQuery:
-			var q query
-			if err = unpack(body, &q); err == nil && q.To == p.table.Self().ID().String() {
-				p.process.Load(func(load float64, f Figures) {
-					b := pack(kindWord, word{q.Nonce, load, f.Done, f.Well, f.Took})
-					p.Post(func() { _ = p.list.SendToAddress(memberlist.Address{Addr: q.Addr, Name: q.Who}, b) })
+			var received wireQuery
+			if err = decode(body, &received); err == nil && received.To == p.table.Self().ID().String() {
+				p.process.Load(func(load float64, stats RequestStats) {
+					message := encode(kindQueryReply, wireQueryReply{received.Nonce, load, stats.Finished, stats.WithinObjective, stats.TotalSeconds})
+					p.Post(func() {
+						_ = p.memberlist.SendToAddress(memberlist.Address{Addr: received.ReplyAddr, Name: received.From}, message)
+					})
 				})
 			}
-		case kindWord:
-			var w word
-			if err = unpack(body, &w); err == nil {
-				if a := p.asked[w.Nonce]; a != nil { // any other is late, or nobody's
-					delete(p.asked, w.Nonce)
-					a.then(w, (p.Now()-a.at)/2)
+		case kindQueryReply:
+			var reply wireQueryReply
+			if err = decode(body, &reply); err == nil {
+				if request := p.pendingQueries[reply.Nonce]; request != nil { // any other is late, or nobody's
+					delete(p.pendingQueries, reply.Nonce)
+					request.callback(reply, (p.Now()-request.sentAt)/2)
 				}
 			}
-		case kindAsk:
-			var a grants.Ask
+		case kindLeaseRequest:
+			var request grants.Ask
 			var addr string
-			if a, addr, err = readAsk(body, p.table.Self().ID()); err == nil && p.Desk != nil {
-				p.Desk(a, func(g grants.Grant) {
-					b := packGrant(g)
-					p.Post(func() { _ = p.list.SendToAddress(memberlist.Address{Addr: addr, Name: a.Who.String()}, b) })
+			if request, addr, err = decodeLeaseRequest(body, p.table.Self().ID()); err == nil && p.OnLeaseRequest != nil {
+				p.OnLeaseRequest(request, func(lease grants.Grant) {
+					message := encodeLease(lease)
+					p.Post(func() {
+						_ = p.memberlist.SendToAddress(memberlist.Address{Addr: addr, Name: request.Who.String()}, message)
+					})
 				})
 			}
-		case kindPermit:
-			var x permit
-			if err = unpack(body, &x); err == nil && x.To == p.table.Self().ID().String() && x.Number > 0 && p.told.Permits {
+		case kindPermitNotice:
+			var decoded wirePermitNotice
+			if err = decode(body, &decoded); err == nil && decoded.To == p.table.Self().ID().String() && decoded.Number > 0 && p.config.DrainByPermit {
 				// Danger: a permit that was withdrawn while its word was on the way. It begins by a word of ours that the stewards agree on, and only what
 				// they say has begun is gone by.
-				if x.Begun {
-					p.process.Drain(x.Number)
+				if decoded.Begun {
+					p.process.Drain(decoded.Number)
 				} else {
 					self := p.table.Self()
-					_ = p.list.SendToAddress(memberlist.Address{Addr: x.Addr, Name: x.Who}, pack(kindBegin, begin{x.Who, self.ID().String(), self.GossipAddr, uint64(self.Incarnation), x.Number}))
+					_ = p.memberlist.SendToAddress(memberlist.Address{Addr: decoded.ReplyAddr, Name: decoded.From}, encode(kindPermitBegin, wirePermitBegin{decoded.From, self.ID().String(), self.GossipAddr, uint64(self.Incarnation), decoded.Number}))
 				}
 			}
-		case kindBegin:
-			var x begin
-			if err = unpack(body, &x); err == nil && x.To == p.table.Self().ID().String() && p.Begins != nil {
-				if id, ok := members.ParseID(x.Who); ok {
-					p.Begins(id.Name, members.Incarnation(x.Incarnation), x.Number, func() { p.Nudge(id.Name, members.Incarnation(x.Incarnation), x.Number, true) })
+		case kindPermitBegin:
+			var decoded wirePermitBegin
+			if err = decode(body, &decoded); err == nil && decoded.To == p.table.Self().ID().String() && p.OnPermitBegin != nil {
+				if id, ok := members.ParseID(decoded.From); ok {
+					p.OnPermitBegin(id.Name, members.Incarnation(decoded.Incarnation), decoded.Number, func() { p.NotifyPermit(id.Name, members.Incarnation(decoded.Incarnation), decoded.Number, true) })
 				}
 			}
-		case kindGrant:
-			var g grants.Grant
-			if g, err = readGrant(body); err == nil && p.Grants != nil {
-				p.Grants(g)
+		case kindLease:
+			var lease grants.Grant
+			if lease, err = decodeLease(body); err == nil && p.OnLease != nil {
+				p.OnLease(lease)
 			}
-		case kindFenced:
-			var x fenced
-			if err = unpack(body, &x); err == nil && members.Name(x.Name) == p.told.Name {
-				switch p.table.HandleFenceNotice(members.Incarnation(x.Incarnation), members.BootID(x.Life), p.Now()) {
+		case kindFenceNotice:
+			var decoded wireFenceNotice
+			if err = decode(body, &decoded); err == nil && members.Name(decoded.Name) == p.config.Name {
+				switch p.table.HandleFenceNotice(members.Incarnation(decoded.Incarnation), members.BootID(decoded.BootID), p.Now()) {
 				case members.AliveFenced:
-					p.oust()
+					p.fence()
 				case members.AliveIncarnationRaised:
-					go func() { _ = p.list.UpdateNode(time.Second) }()
+					go func() { _ = p.memberlist.UpdateNode(time.Second) }()
 				}
-				p.after()
+				p.applyChanges()
 			}
 		default:
-			err = errKind
+			err = errUnknownKind
 		}
 	}
 	if err != nil {
-		p.bad.Add(1)
+		p.malformed.Add(1)
 	}
 }
 
 // GetBroadcasts is memberlist.Delegate.
-func (p *Part) GetBroadcasts(overhead, limit int) [][]byte {
-	return p.queue.GetBroadcasts(overhead, limit)
+func (p *Agent) GetBroadcasts(overhead, limit int) [][]byte {
+	return p.broadcasts.GetBroadcasts(overhead, limit)
 }
 
 // LocalState is memberlist.Delegate: all that we believe of the others' bulletins, for one that joins or was away.
-func (p *Part) LocalState(join bool) []byte {
-	v := p.view.Load()
-	all := [][]byte{p.own.Load().now()}
-	now := time.Since(p.began)
-	for m := range v.All() {
-		if m.Sequence == 0 || m.State == members.StateGone || m.State == members.StateFenced {
+func (p *Agent) LocalState(join bool) []byte {
+	view := p.view.Load()
+	messages := [][]byte{p.ownHeartbeat.Load().withAge()}
+	now := time.Since(p.start)
+	for member := range view.All() {
+		if member.Sequence == 0 || member.State == members.StateGone || member.State == members.StateFenced {
 			continue
 		}
-		b, age := m.Heartbeat(now)
-		all = append(all, aged(packBulletin(b), age))
+		heartbeat, age := member.Heartbeat(now)
+		messages = append(messages, setAge(encodeHeartbeat(heartbeat), age))
 	}
-	return packState(all)
+	return encodeState(messages)
 }
 
 // MergeRemoteState is memberlist.Delegate.
-func (p *Part) MergeRemoteState(b []byte, join bool) {
-	if err := readState(b, p.told.Members.MaxMembers+1, func(m []byte) {
-		m = append([]byte(nil), m...)
-		p.Post(func() { p.message(m, 0) })
+func (p *Agent) MergeRemoteState(state []byte, join bool) {
+	if err := decodeState(state, p.config.Membership.MaxMembers+1, func(message []byte) {
+		message = append([]byte(nil), message...)
+		p.Post(func() { p.handleMessage(message, 0) })
 	}); err != nil {
-		p.bad.Add(1)
+		p.malformed.Add(1)
 	}
 }
 
-// counts is what came and what became of it.
-func (p *Part) counts() map[string]uint64 {
-	c := p.table.Stats
-	all := map[string]uint64{"packets-in": p.net.in.Load(), "packets-out": p.net.out.Load(), "bytes-in": p.net.inBytes.Load(), "bytes-out": p.net.outBytes.Load(),
-		"kept-back": p.net.kept.Load(), "dropped": p.dropped.Load(), "bad": p.bad.Load(), "refused": p.refused.Load() + c.RejectedFull,
-		"changes": c.Transitions, "stale": c.StaleHeartbeats, "oversized": c.InvalidHeartbeats, "fenced": c.OutdatedIncarnations, "refuted": c.RefutedSuspicions, "stood-still": c.Stalls}
-	for code, n := range p.lines.counts() {
-		all["gossip-"+code] = n
+// counters is what came and what became of it.
+func (p *Agent) counters() map[string]uint64 {
+	stats := p.table.Stats
+	counters := map[string]uint64{"packets-in": p.transport.packetsIn.Load(), "packets-out": p.transport.packetsOut.Load(), "bytes-in": p.transport.bytesIn.Load(), "bytes-out": p.transport.bytesOut.Load(),
+		"kept-back": p.transport.suppressed.Load(), "dropped": p.rateLimited.Load(), "bad": p.malformed.Load(), "refused": p.rejectedDescriptors.Load() + stats.RejectedFull,
+		"changes": stats.Transitions, "stale": stats.StaleHeartbeats, "oversized": stats.InvalidHeartbeats, "fenced": stats.OutdatedIncarnations, "refuted": stats.RefutedSuspicions, "stood-still": stats.Stalls}
+	for code, n := range p.libraryLog.countsByCode() {
+		counters["gossip-"+code] = n
 	}
-	maps.Copy(all, p.steps)
-	return all
+	maps.Copy(counters, p.transitions)
+	return counters
 }
--- a/internal/fleet/gossip/spent.go
+++ b/internal/fleet/gossip/spent.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// spent is the processor time of this process.
-func spent() time.Duration {
-	var u syscall.Rusage
-	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
+// processCPUTime is the processor time of this process.
+func processCPUTime() time.Duration {
+	var usage syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
--- a/internal/fleet/gossip/transport.go
+++ b/internal/fleet/gossip/transport.go
@@ -20,44 +20,44 @@
 // counts what goes over it, and tells who was heard.
 type transport struct {
 	*memberlist.NetTransport
-	from    net.IP
-	heard   func(sender string)
-	packets chan *memberlist.Packet
-	streams chan net.Conn
-	muted   atomic.Bool // Danger: one that hears nobody tells all that all are gone; it keeps that to itself
-	over    chan struct{}
-	once    sync.Once
-
-	in, out, inBytes, outBytes, kept atomic.Uint64
+	localIP      net.IP
+	onSender     func(sender string)
+	packets      chan *memberlist.Packet
+	streams      chan net.Conn
+	muted        atomic.Bool // Danger: one that hears nobody tells all that all are gone; it keeps that to itself
+	done         chan struct{}
+	shutdownOnce sync.Once
+
+	packetsIn, packetsOut, bytesIn, bytesOut, suppressed atomic.Uint64
 }
 
-func newTransport(ip net.IP, port int, logger *log.Logger, heard func(string)) (*transport, error) {
+func newTransport(ip net.IP, port int, logger *log.Logger, onSender func(string)) (*transport, error) {
 	inner, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{ip.String()}, BindPort: port, Logger: logger})
 	if err != nil {
 		return nil, err
 	}
-	t := &transport{NetTransport: inner, from: ip, heard: heard, packets: make(chan *memberlist.Packet), streams: make(chan net.Conn), over: make(chan struct{})}
+	t := &transport{NetTransport: inner, localIP: ip, onSender: onSender, packets: make(chan *memberlist.Packet), streams: make(chan net.Conn), done: make(chan struct{})}
 	go func() {
 		for {
 			select {
-			case p := <-inner.PacketCh():
-				t.in.Add(1)
-				t.inBytes.Add(uint64(len(p.Buf)))
-				heard(host(p.From.String()))
+			case packet := <-inner.PacketCh():
+				t.packetsIn.Add(1)
+				t.bytesIn.Add(uint64(len(packet.Buf)))
+				onSender(hostOf(packet.From.String()))
 				select {
-				case t.packets <- p:
-				case <-t.over:
+				case t.packets <- packet:
+				case <-t.done:
 					return
 				}
-			case c := <-inner.StreamCh():
-				heard(host(c.RemoteAddr().String()))
+			case conn := <-inner.StreamCh():
+				onSender(hostOf(conn.RemoteAddr().String()))
 				select {
-				case t.streams <- c:
-				case <-t.over:
-					c.Close()
+				case t.streams <- conn:
+				case <-t.done:
+					conn.Close()
 					return
 				}
-			case <-t.over:
+			case <-t.done:
 				return
 			}
 		}
@@ -65,7 +65,7 @@
 	return t, nil
 }
 
-func host(addr string) string {
+func hostOf(addr string) string {
 	h, _, _ := net.SplitHostPort(addr)
 	return h
 }
@@ -73,61 +73,61 @@
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 func (t *transport) StreamCh() <-chan net.Conn           { return t.streams }
 
-func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
-	return t.WriteToAddress(b, memberlist.Address{Addr: addr})
+func (t *transport) WriteTo(packet []byte, addr string) (time.Time, error) {
+	return t.WriteToAddress(packet, memberlist.Address{Addr: addr})
 }
 
-func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
+func (t *transport) WriteToAddress(packet []byte, addr memberlist.Address) (time.Time, error) {
 	if t.muted.Load() {
-		t.kept.Add(1)
+		t.suppressed.Add(1)
 		return time.Now(), nil
 	}
-	t.out.Add(1)
-	t.outBytes.Add(uint64(len(b)))
-	return t.NetTransport.WriteToAddress(b, a)
+	t.packetsOut.Add(1)
+	t.bytesOut.Add(uint64(len(packet)))
+	return t.NetTransport.WriteToAddress(packet, addr)
 }
 
 func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: timeout, LocalAddr: &net.TCPAddr{IP: t.from}}
-	c, err := d.Dial("tcp", addr)
+	dialer := net.Dialer{Timeout: timeout, LocalAddr: &net.TCPAddr{IP: t.localIP}}
+	conn, err := dialer.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return c, nil
+	return conn, nil
 }
 
-func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	return t.DialTimeout(a.Addr, timeout)
+func (t *transport) DialAddressTimeout(addr memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	return t.DialTimeout(addr.Addr, timeout)
 }
 
 func (t *transport) Shutdown() error {
-	t.once.Do(func() { close(t.over) })
+	t.shutdownOnce.Do(func() { close(t.done) })
 	return t.NetTransport.Shutdown()
 }
 
-// lines has the library's own log come as lines of ours, few a second of each kind: what a stranger sends must not fill it.
-type lines struct {
-	mu    sync.Mutex
-	tally logline.Sampler[string]
-	count map[string]uint64
+// libraryLog has the library's own log come as lines of ours, few a second of each kind: what a stranger sends must not fill it.
+type libraryLog struct {
+	mu      sync.Mutex
+	sampler logline.Sampler[string]
+	counts  map[string]uint64
 	// former hears the address of a member that called the life before ours. Set before the library writes.
-	former func(addr string)
+	onPredecessorCaller func(addr string)
 }
 
-// from is how the library's lines end that name a sender.
-const from = " from="
+// fromMarker is how the library's lines end that name a sender.
+const fromMarker = " from="
 
-// codes names the library's words that an operator should know apart.
-var codes = []struct{ text, code string }{
+// libraryCodes names the library's words that an operator should know apart.
+var libraryCodes = []struct{ text, code string }{
 	{"ecrypt", "not-our-key"}, {"No installed keys", "not-our-key"}, {"not encrypted", "not-our-key"}, {"Label", "not-our-cluster"},
 	{"label", "not-our-cluster"}, {"Push/Pull", "state-not-exchanged"}, {"push/pull", "state-not-exchanged"}, {"msg type", "bad-message"}, {"compound", "bad-message"},
 	{"unexpected node", "old-life"}, {"ecode", "bad-message"}, {"Suspect", "suspects"}, {"Marking", "gives-up"}, {"Refuting", "refutes"}, {"Failed to send", "not-sent"},
 }
 
-func (l *lines) Write(b []byte) (int, error) {
-	text := string(bytes.TrimSpace(b))
+func (l *libraryLog) Write(line []byte) (int, error) {
+	text := string(bytes.TrimSpace(line))
 	code := "other"
-	for _, c := range codes {
+	for _, c := range libraryCodes {
 		if strings.Contains(text, c.text) {
 			code = c.code
 			break
@@ -135,55 +135,55 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.count[code]++
+	l.counts[code]++
 	if code == "old-life" { // by a packet from the caller's own address, or a connection from one of the moment, which nobody listens on
-		if _, addr, told := strings.Cut(text, from); told && strings.Contains(text, "node '") && Address(addr) == nil {
-			l.former(addr)
+		if _, addr, hasAddr := strings.Cut(text, fromMarker); hasAddr && strings.Contains(text, "node '") && checkAddr(addr) == nil {
+			l.onPredecessorCaller(addr)
 		}
-		return len(b), nil
+		return len(line), nil
 	}
 	if strings.Contains(text, "[DEBUG]") {
-		return len(b), nil
+		return len(line), nil
 	}
 	now := time.Now()
-	l.tally.FlushSuppressed(now, func(code string, more int) { slog.Info("gossip", "code", code, "more", more) })
-	if l.tally.Allow(code, now) {
-		const enough = 200 // bytes: the library's lines name an address and a cause
-		text = text[:min(len(text), enough)]
+	l.sampler.FlushSuppressed(now, func(code string, suppressed int) { slog.Info("gossip", "code", code, "more", suppressed) })
+	if l.sampler.Allow(code, now) {
+		const maxTextBytes = 200 // bytes: the library's lines name an address and a cause
+		text = text[:min(len(text), maxTextBytes)]
 		slog.Info("gossip", "code", code, "text", strings.ToValidUTF8(text, "?"))
 	}
-	return len(b), nil
+	return len(line), nil
 }
 
-func (l *lines) counts() map[string]uint64 {
+func (l *libraryLog) countsByCode() map[string]uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	all := map[string]uint64{}
-	for code, n := range l.count {
-		all[code] = n
+	counts := map[string]uint64{}
+	for code, n := range l.counts {
+		counts[code] = n
 	}
-	return all
+	return counts
 }
 
-// split reads an address that a file told.
-func split(addr string) (net.IP, int, error) {
-	h, p, err := net.SplitHostPort(addr)
+// parseAddr reads an address that a file told.
+func parseAddr(addr string) (net.IP, int, error) {
+	host, portText, err := net.SplitHostPort(addr)
 	if err != nil {
 		return nil, 0, err
 	}
-	port, err := strconv.Atoi(p)
+	port, err := strconv.Atoi(portText)
 	if err != nil || port < 1 || port > 65535 {
 		return nil, 0, &net.AddrError{Err: "wants a port from 1 to 65535", Addr: addr}
 	}
-	ip := net.ParseIP(h)
+	ip := net.ParseIP(host)
 	if ip == nil {
 		return nil, 0, &net.AddrError{Err: "wants an IP address", Addr: addr}
 	}
 	return ip, port, nil
 }
 
-// Address checks an address of the gossip.
-func Address(addr string) error {
-	_, _, err := split(addr)
+// checkAddr checks an address of the gossip.
+func checkAddr(addr string) error {
+	_, _, err := parseAddr(addr)
 	return err
 }
--- a/internal/fleet/gossip/watch.go
+++ b/internal/fleet/gossip/watch.go
@@ -13,97 +13,97 @@
 
 // Snapshot is a process's view of the fleet, for whoever watches it.
 type Snapshot struct {
-	Name        string            `json:"name"`
-	Life        string            `json:"life"`
-	Incarnation uint64            `json:"incarnation"`
-	Zone        string            `json:"zone"`
-	Release     string            `json:"release"`
-	Standing    string            `json:"standing"`
-	Reach       float64           `json:"reach"`
-	Version     uint64            `json:"version"`
-	Digest      string            `json:"digest"` // of the lives that it holds to be here, itself among them
-	States      map[string]int    `json:"states"`
-	Members     []SnapshotMember  `json:"members"` // brief: only those that are not up
-	Counts      map[string]uint64 `json:"counts"`
-	CPUms       int64             `json:"cpu_ms"` // of this process since its start
+	Name          string            `json:"name"`
+	BootID        string            `json:"life"`
+	Incarnation   uint64            `json:"incarnation"`
+	Zone          string            `json:"zone"`
+	Release       string            `json:"release"`
+	LocalHealth   string            `json:"standing"`
+	HeardFraction float64           `json:"reach"`
+	ViewVersion   uint64            `json:"version"`
+	ViewDigest    string            `json:"digest"` // of the lives that it holds to be here, itself among them
+	States        map[string]int    `json:"states"`
+	Members       []MemberSnapshot  `json:"members"` // brief: only those that are not up
+	Counters      map[string]uint64 `json:"counts"`
+	CPUMillis     int64             `json:"cpu_ms"` // of this process since its start
 }
 
-// SnapshotMember is one member as the process believes it to be.
-type SnapshotMember struct {
-	Name        string             `json:"name"`
-	Life        string             `json:"life"`
-	Incarnation uint64             `json:"incarnation"`
-	State       string             `json:"state"`
-	Why         string             `json:"why"`
-	ForMS       int64              `json:"for_ms"` // in this state
-	SpokeMS     int64              `json:"spoke_ms"`
-	Addr        string             `json:"addr"`
-	Roles       string             `json:"roles"`
-	Zone        string             `json:"zone"`
-	Release     string             `json:"release"`
-	Capacity    float64            `json:"capacity"`
-	Facts       map[string]float64 `json:"facts"` // those that are still believed
-	Stale       []string           `json:"stale,omitempty"`
+// MemberSnapshot is one member as the process believes it to be.
+type MemberSnapshot struct {
+	Name                 string             `json:"name"`
+	BootID               string             `json:"life"`
+	Incarnation          uint64             `json:"incarnation"`
+	State                string             `json:"state"`
+	Reason               string             `json:"why"`
+	InStateMillis        int64              `json:"for_ms"` // in this state
+	SinceHeartbeatMillis int64              `json:"spoke_ms"`
+	GossipAddr           string             `json:"addr"`
+	Roles                string             `json:"roles"`
+	Zone                 string             `json:"zone"`
+	Release              string             `json:"release"`
+	Capacity             float64            `json:"capacity"`
+	Metrics              map[string]float64 `json:"facts"` // those that are still believed
+	StaleMetrics         []string           `json:"stale,omitempty"`
 }
 
 // What may be asked for, a word on a line.
 const (
-	Whole = "view"
-	Brief = "brief"
+	SnapshotFull  = "view"
+	SnapshotBrief = "brief"
 )
 
-func (p *Part) snapshot(what string) Snapshot {
-	v, now := p.table.View(), p.Now()
-	s := Snapshot{Name: string(v.Self.Name), Life: fmt.Sprintf("%016x", uint64(v.Self.BootID)), Incarnation: uint64(v.Self.Incarnation), Zone: v.Self.Zone,
-		Release: v.Self.Release, Standing: v.LocalHealth.String(), Reach: v.HeardFraction, Version: v.Version,
-		Digest: fmt.Sprintf("%016x", v.Digest()^members.Fingerprint(v.Self.ID())), States: map[string]int{}, Counts: p.counts(), CPUms: spent().Milliseconds()}
-	for m := range v.All() {
-		s.States[m.State.String()]++
-		if what == Brief && m.State == members.StateUp {
+func (p *Agent) snapshot(kind string) Snapshot {
+	view, now := p.table.View(), p.Now()
+	snapshot := Snapshot{Name: string(view.Self.Name), BootID: fmt.Sprintf("%016x", uint64(view.Self.BootID)), Incarnation: uint64(view.Self.Incarnation), Zone: view.Self.Zone,
+		Release: view.Self.Release, LocalHealth: view.LocalHealth.String(), HeardFraction: view.HeardFraction, ViewVersion: view.Version,
+		ViewDigest: fmt.Sprintf("%016x", view.Digest()^members.Fingerprint(view.Self.ID())), States: map[string]int{}, Counters: p.counters(), CPUMillis: processCPUTime().Milliseconds()}
+	for member := range view.All() {
+		snapshot.States[member.State.String()]++
+		if kind == SnapshotBrief && member.State == members.StateUp {
 			continue
 		}
-		one := SnapshotMember{Name: string(m.Name), Life: fmt.Sprintf("%016x", uint64(m.BootID)), Incarnation: uint64(m.Incarnation), State: m.State.String(),
-			Why: string(m.Reason), ForMS: (now - m.StateSince).Milliseconds(), SpokeMS: (now - m.HeartbeatAt).Milliseconds(), Addr: m.GossipAddr, Roles: m.Roles.String(),
-			Zone: m.Zone, Release: m.Release, Capacity: m.Capacity, Facts: map[string]float64{}}
-		for _, f := range m.Metrics {
-			if value, _, ok := m.Metric(f.Name, now); ok {
-				one.Facts[f.Name] = value
+		shown := MemberSnapshot{Name: string(member.Name), BootID: fmt.Sprintf("%016x", uint64(member.BootID)), Incarnation: uint64(member.Incarnation), State: member.State.String(),
+			Reason: string(member.Reason), InStateMillis: (now - member.StateSince).Milliseconds(), SinceHeartbeatMillis: (now - member.HeartbeatAt).Milliseconds(), GossipAddr: member.GossipAddr, Roles: member.Roles.String(),
+			Zone: member.Zone, Release: member.Release, Capacity: member.Capacity, Metrics: map[string]float64{}}
+		for _, metric := range member.Metrics {
+			if value, _, ok := member.Metric(metric.Name, now); ok {
+				shown.Metrics[metric.Name] = value
 			} else {
-				one.Stale = append(one.Stale, f.Name)
+				shown.StaleMetrics = append(shown.StaleMetrics, metric.Name)
 			}
 		}
-		slices.Sort(one.Stale)
-		s.Members = append(s.Members, one)
+		slices.Sort(shown.StaleMetrics)
+		snapshot.Members = append(snapshot.Members, shown)
 	}
-	return s
+	return snapshot
 }
 
-// show answers one who asks.
-func (p *Part) show(c net.Conn) {
-	line, err := bufio.NewReaderSize(c, 16).ReadSlice('\n')
+// serveStatus answers one who asks.
+func (p *Agent) serveStatus(conn net.Conn) {
+	line, err := bufio.NewReaderSize(conn, 16).ReadSlice('\n')
 	if err != nil {
 		return
 	}
-	what := string(line[:len(line)-1])
-	came := make(chan Snapshot, 1)
-	p.Post(func() { came <- p.snapshot(what) })
+	kind := string(line[:len(line)-1])
+	result := make(chan Snapshot, 1)
+	p.Post(func() { result <- p.snapshot(kind) })
 	select {
-	case s := <-came:
-		_ = json.NewEncoder(c).Encode(s)
+	case snapshot := <-result:
+		_ = json.NewEncoder(conn).Encode(snapshot)
 	case <-time.After(time.Second):
 	}
 }
 
-// Watch reads a snapshot from the socket of a running process; what is Whole or Brief.
-func Watch(path, what string) (s Snapshot, err error) {
-	c, err := net.DialTimeout("unix", path, time.Second)
+// ReadSnapshot reads a snapshot from the socket of a running process; what is Whole or Brief.
+func ReadSnapshot(path, kind string) (snapshot Snapshot, err error) {
+	conn, err := net.DialTimeout("unix", path, time.Second)
 	if err != nil {
-		return s, err
+		return snapshot, err
 	}
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(3 * time.Second))
-	if _, err := fmt.Fprintln(c, what); err != nil {
-		return s, err
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(3 * time.Second))
+	if _, err := fmt.Fprintln(conn, kind); err != nil {
+		return snapshot, err
 	}
-	return s, json.NewDecoder(c).Decode(&s)
+	return snapshot, json.NewDecoder(conn).Decode(&snapshot)
 }
--- a/internal/fleet/steward/steward.go
+++ b/internal/fleet/steward/steward.go
@@ -31,7 +31,7 @@
 	// Nudge tells a member that it has a permit, and of the one that has begun that it has.
 	Nudge(name members.Name, of members.Incarnation, number uint64, begun bool)
 	// Figures asks a member what it has done since its start; then may never be called, or on any goroutine.
-	Figures(name members.Name, then func(gossip.Figures))
+	Figures(name members.Name, then func(gossip.RequestStats))
 }
 
 // Steward is one of those that hold what is agreed.
@@ -70,7 +70,7 @@
 
 type figures struct {
 	of members.Incarnation
-	gossip.Figures
+	gossip.RequestStats
 }
 
 // New opens a steward's folder and listener; Fleet joins it to the others.
@@ -419,12 +419,12 @@
 		took := 0.0
 		for _, x := range of {
 			a, b := last[x.Name], now[x.Name]
-			if a.of != b.of || a.of == 0 || b.Done < a.Done {
+			if a.of != b.of || a.of == 0 || b.Finished < a.Finished {
 				continue
 			}
-			g.Ops += b.Done - a.Done
-			g.Well += b.Well - a.Well
-			took += b.Took - a.Took
+			g.Ops += b.Finished - a.Finished
+			g.Well += b.WithinObjective - a.WithinObjective
+			took += b.TotalSeconds - a.TotalSeconds
 		}
 		if g.Ops > 0 {
 			g.Took = took / g.Ops
@@ -440,7 +440,7 @@
 				break
 			}
 			x := of[at]
-			s.fleet.Figures(x.Name, func(f gossip.Figures) {
+			s.fleet.Figures(x.Name, func(f gossip.RequestStats) {
 				l.mu.Lock()
 				l.now[x.Name] = figures{x.Incarnation, f}
 				l.mu.Unlock()
--- a/internal/fleet/steward/steward_test.go
+++ b/internal/fleet/steward/steward_test.go
@@ -83,7 +83,7 @@
 	t.nudges[number] = fmt.Sprint(name, " ", of, " ", begun)
 }
 
-func (t *town) Figures(members.Name, func(gossip.Figures)) {}
+func (t *town) Figures(members.Name, func(gossip.RequestStats)) {}
 
 func (t *town) start(i int) {
 	s, err := New(t.told[i])
--- a/internal/life/stewards/golden_test.go
+++ b/internal/life/stewards/golden_test.go
@@ -25,15 +25,15 @@
 // What a steward's status socket shows, a line of JSON, and what is read from it.
 func TestStatusGolden(t *testing.T) {
 	want := gossip.Snapshot{
-		Name: "s0", Life: "00000000000000ff", Incarnation: 1_700_000_000_001, Zone: "a", Release: "1",
-		Standing: "sound", Reach: 0.75, Version: 7, Digest: "0123456789abcdef",
+		Name: "s0", BootID: "00000000000000ff", Incarnation: 1_700_000_000_001, Zone: "a", Release: "1",
+		LocalHealth: "sound", HeardFraction: 0.75, ViewVersion: 7, ViewDigest: "0123456789abcdef",
 		States: map[string]int{"joining": 1, "warming": 2, "up": 3, "suspect": 4, "leaving": 5, "gone": 6,
 			"fenced": 7},
-		Members: []gossip.SnapshotMember{{Name: "s1", Life: "00000000000000fe", Incarnation: 1_700_000_000_002,
-			State: "suspect", Why: "unreached", ForMS: 1500, SpokeMS: 2500,
-			Addr: "127.0.0.1:7401", Roles: "steward", Zone: "b", Release: "2", Capacity: 1.5,
-			Facts: map[string]float64{"leads": 1}, Stale: []string{"load"}}},
-		Counts: map[string]uint64{"changes": 9}, CPUms: 12,
+		Members: []gossip.MemberSnapshot{{Name: "s1", BootID: "00000000000000fe", Incarnation: 1_700_000_000_002,
+			State: "suspect", Reason: "unreached", InStateMillis: 1500, SinceHeartbeatMillis: 2500,
+			GossipAddr: "127.0.0.1:7401", Roles: "steward", Zone: "b", Release: "2", Capacity: 1.5,
+			Metrics: map[string]float64{"leads": 1}, StaleMetrics: []string{"load"}}},
+		Counters: map[string]uint64{"changes": 9}, CPUMillis: 12,
 	}
 	text, err := json.Marshal(want)
 	if err != nil {
@@ -69,11 +69,11 @@
 		asked <- string(b[:n])
 		_, _ = c.Write(stored)
 	})
-	got, err := gossip.Watch(socket, gossip.Brief)
+	got, err := gossip.ReadSnapshot(socket, gossip.SnapshotBrief)
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("read as\n%+v\nwanted\n%+v (%v)", got, want, err)
 	}
-	if q := <-asked; q != "brief\n" || gossip.Whole != "view" {
+	if q := <-asked; q != "brief\n" || gossip.SnapshotFull != "view" {
 		t.Errorf("asked for %q", q)
 	}
 }
@@ -92,8 +92,8 @@
 		close(done)
 	}()
 	standin.Until("it leads", func() bool { return s.Leads() && s.Ready() })
-	p.Status(func(r gossip.Report) {
-		want := gossip.Report{Ready: true, Facts: []members.Metric{{Name: "leads", Value: 1}}}
+	p.Status(func(r gossip.ProcessStatus) {
+		want := gossip.ProcessStatus{Ready: true, Metrics: []members.Metric{{Name: "leads", Value: 1}}}
 		if !reflect.DeepEqual(r, want) {
 			t.Errorf("%+v, wanted %+v", r, want)
 		}
@@ -107,4 +107,4 @@
 
 func (a alone) View() *members.View                                   { return a.view }
 func (a alone) Nudge(members.Name, members.Incarnation, uint64, bool) {}
-func (a alone) Figures(members.Name, func(gossip.Figures))            {}
+func (a alone) Figures(members.Name, func(gossip.RequestStats))       {}
--- a/internal/life/stewards/stewards.go
+++ b/internal/life/stewards/stewards.go
@@ -14,7 +14,7 @@
 )
 
 // Attach makes the part of a steward that speaks to the fleet, and gives what takes an operator's file that was read anew.
-type Attach func(p gossip.Process, o *life.OperatorConfig) (part *gossip.Part, reload func(*life.OperatorConfig), err error)
+type Attach func(p gossip.Process, o *life.OperatorConfig) (part *gossip.Agent, reload func(*life.OperatorConfig), err error)
 
 // shutdownTimeout is how long a steward takes to leave.
 const shutdownTimeout = 2 * time.Second
@@ -38,7 +38,7 @@
 		return err
 	}
 	adapter.agent = agent
-	agent.Begins = node.Begins
+	agent.OnPermitBegin = node.Begins
 	agent.Start()
 	slog.Info("steward", "name", config.Name, "at", config.At, "others", len(config.Others))
 	go life.HandleSignals(signals, configPath, operatorConfig, func() { adapter.shutdown() }, func(o *life.OperatorConfig) {
@@ -55,18 +55,18 @@
 // fleetAdapter speaks for a steward in the fleet: a gossip.Process and a steward.Fleet.
 type fleetAdapter struct {
 	coordinator *steward.Steward
-	agent       *gossip.Part
+	agent       *gossip.Agent
 }
 
-func (p *fleetAdapter) Status(then func(gossip.Report)) {
+func (p *fleetAdapter) Status(then func(gossip.ProcessStatus)) {
 	isLeader := 0.0
 	if p.coordinator.Leads() {
 		isLeader = 1
 	}
-	then(gossip.Report{Ready: p.coordinator.Ready(), Facts: []members.Metric{{Name: "leads", Value: isLeader}}})
+	then(gossip.ProcessStatus{Ready: p.coordinator.Ready(), Metrics: []members.Metric{{Name: "leads", Value: isLeader}}})
 }
 
-func (p *fleetAdapter) Load(then func(float64, gossip.Figures)) { then(0, gossip.Figures{}) }
+func (p *fleetAdapter) Load(then func(float64, gossip.RequestStats)) { then(0, gossip.RequestStats{}) }
 
 // Drain has it leave: stewards go out by permits as all members do.
 func (p *fleetAdapter) Drain(uint64) { p.shutdown() }
@@ -81,9 +81,9 @@
 func (p *fleetAdapter) View() *members.View { return p.agent.View() }
 
 func (p *fleetAdapter) Nudge(name members.Name, of members.Incarnation, number uint64, begun bool) {
-	p.agent.Nudge(name, of, number, begun)
+	p.agent.NotifyPermit(name, of, number, begun)
 }
 
-func (p *fleetAdapter) Figures(name members.Name, then func(gossip.Figures)) {
-	p.agent.Post(func() { p.agent.AskFigures(name, then) })
+func (p *fleetAdapter) Figures(name members.Name, then func(gossip.RequestStats)) {
+	p.agent.Post(func() { p.agent.QueryStats(name, then) })
 }
