--- a/internal/below/below.go
+++ b/internal/below/below.go
@@ -18,7 +18,7 @@
 
 // Told is what it goes by.
 type Told struct {
-	Spread  spread.Told
+	Spread  spread.Config
 	Addrs   []string      // services; none: members with the role below
 	Calls   int           // at a time to one service, without a grant
 	Longest time.Duration // that a call may last
@@ -33,9 +33,9 @@
 	told    Told
 	self    members.ID
 	ask     AskDesk
-	chooser *spread.Chooser
+	chooser *spread.Balancer
 	chance  *rand.Rand
-	all     map[spread.Name]*service
+	all     map[spread.EndpointName]*service
 	freed   func()
 	waiting int
 	Counts  Counts
@@ -47,7 +47,7 @@
 // service is one below.
 type service struct {
 	p      *Part
-	name   spread.Name
+	name   spread.EndpointName
 	addr   string
 	life   members.BootID
 	holder *grants.Holder // nil: no grants are given there, Calls holds
@@ -57,14 +57,14 @@
 
 // New makes the part of an instance that is known to the fleet as self.
 func New(l *loop.Loop, told Told, self members.ID, seed uint64, ask AskDesk) *Part {
-	p := &Part{loop: l, told: told, self: self, ask: ask, chooser: spread.New(told.Spread), chance: rand.New(rand.NewPCG(seed, 11)), all: map[spread.Name]*service{}, freed: func() {}}
+	p := &Part{loop: l, told: told, self: self, ask: ask, chooser: spread.New(told.Spread), chance: rand.New(rand.NewPCG(seed, 11)), all: map[spread.EndpointName]*service{}, freed: func() {}}
 	if len(told.Addrs) > 0 {
-		var list []spread.Member
+		var list []spread.Endpoint
 		for _, addr := range told.Addrs {
-			p.all[spread.Name(addr)] = &service{p: p, name: spread.Name(addr), addr: addr}
-			list = append(list, spread.Member{Name: spread.Name(addr), Capacity: 1})
+			p.all[spread.EndpointName(addr)] = &service{p: p, name: spread.EndpointName(addr), addr: addr}
+			list = append(list, spread.Endpoint{Name: spread.EndpointName(addr), Capacity: 1})
 		}
-		p.chooser.Set(0, list)
+		p.chooser.SetEndpoints(0, list)
 	}
 	return p
 }
@@ -81,13 +81,13 @@
 	if len(p.told.Addrs) > 0 {
 		return
 	}
-	var list []spread.Member
-	here := map[spread.Name]bool{}
+	var list []spread.Endpoint
+	here := map[spread.EndpointName]bool{}
 	for m := range v.All() {
 		if m.Roles&members.RoleUpstream == 0 || m.ServiceAddr == "" || !m.State.Available() && (m.State != members.StateSuspect || v.LocalHealth.CanDeclareGone()) {
 			continue
 		}
-		name := spread.Name(m.Name)
+		name := spread.EndpointName(m.Name)
 		here[name] = true
 		s := p.all[name]
 		if s == nil {
@@ -95,14 +95,14 @@
 			p.all[name] = s
 		}
 		s.addr, s.life = m.ServiceAddr, m.BootID
-		list = append(list, spread.Member{Name: name, Zone: m.Zone, Capacity: m.Capacity, Warm: m.WarmUp, Cold: m.WarmUpRemaining(v.PublishedAt), Doubted: m.State == members.StateSuspect})
+		list = append(list, spread.Endpoint{Name: name, Zone: m.Zone, Capacity: m.Capacity, WarmUp: m.WarmUp, WarmUpRemaining: m.WarmUpRemaining(v.PublishedAt), Suspect: m.State == members.StateSuspect})
 	}
 	for name, s := range p.all {
 		if !here[name] && s.open == 0 && s.holder.Limit(p.loop.Now()) <= s.holder.Alone {
 			delete(p.all, name)
 		}
 	}
-	p.chooser.Set(p.loop.Now(), list)
+	p.chooser.SetEndpoints(p.loop.Now(), list)
 	p.freed()
 }
 
@@ -119,7 +119,7 @@
 	now := p.loop.Now()
 	p.waiting = waiting
 	i, any := p.chooser.Pick(now, p.chance.Float64, func(i int) bool {
-		s := p.all[p.chooser.At(i)]
+		s := p.all[p.chooser.NameAt(i)]
 		return s == nil || s.room(now) <= 0 || s.addr == not && p.chooser.Len() > 1
 	})
 	if !any {
@@ -127,8 +127,8 @@
 		p.want(now)
 		return nil
 	}
-	s := p.all[p.chooser.At(i)]
-	p.chooser.Sent(now, i)
+	s := p.all[p.chooser.NameAt(i)]
+	p.chooser.RecordStart(now, i)
 	p.Counts.Taken++
 	s.open++
 	if s.holder != nil {
@@ -205,7 +205,7 @@
 func (c *place) Addr() string               { return c.s.addr }
 func (c *place) MaxDuration() time.Duration { return c.longest }
 
-var outcomes = map[choice.Outcome]spread.Outcome{choice.Succeeded: spread.Served, choice.Rejected: spread.Refused, choice.Failed: spread.Failed}
+var outcomes = map[choice.Outcome]spread.Outcome{choice.Succeeded: spread.Succeeded, choice.Rejected: spread.Rejected, choice.Failed: spread.Failed}
 
 // Release is keep.Place. What may be running on counts until its time there is up. Danger: who gives a call up and makes another at once has two running
 // below.
@@ -213,9 +213,9 @@
 	p, now := c.s.p, c.s.p.loop.Now()
 	what, known := outcomes[how]
 	if !known {
-		what = spread.Lost
+		what = spread.NoResponse
 	}
-	p.chooser.Ended(now, c.s.name, what, now-c.began)
+	p.chooser.RecordOutcome(now, c.s.name, what, now-c.began)
 	if !running {
 		c.back()
 		return
--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -111,7 +111,7 @@
 		if l := i.in.Load(); l.Queued+l.Running > 0 {
 			then(float64(l.Queued+l.Running), figures)
 		} else {
-			then(spread.Idle(l.IdleFor), figures)
+			then(spread.IdleLoad(l.IdleFor), figures)
 		}
 	})
 }
--- a/internal/command/further/golden_test.go
+++ b/internal/command/further/golden_test.go
@@ -292,7 +292,7 @@
 	if got := text.String(); got != "health signal held running cores passing " {
 		t.Fatal(got)
 	}
-	if got := spread.Idle(time.Second); got != -0.5 {
+	if got := spread.IdleLoad(time.Second); got != -0.5 {
 		t.Fatal(got)
 	}
 }
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -19,7 +19,7 @@
 // Told is what it goes by.
 type Told struct {
 	pass.Told
-	Hand spread.HandTold
+	Hand spread.SpilloverConfig
 }
 
 // Part is the hand-over of one instance. It is a keep.Elsewhere and a front.Front.
@@ -28,7 +28,7 @@
 	in      *keep.Server
 	told    Told
 	passer  *pass.Passer
-	hander  *spread.Hander
+	hander  *spread.SpilloverPolicy
 	open    map[*op]bool
 	leaving bool
 	counts  map[string]uint64
@@ -45,14 +45,14 @@
 // New makes the part of an instance whose loop and sockets it shares.
 func New(in *keep.Server, net *wire.Net, told Told, seed uint64, ask pass.Ask) *Part {
 	passer := pass.New(in.Loop, net, told.Told, seed, ask)
-	return &Part{loop: in.Loop, in: in, told: told, passer: passer, hander: spread.NewHander(told.Hand, passer.Chooser), open: map[*op]bool{}, counts: map[string]uint64{}}
+	return &Part{loop: in.Loop, in: in, told: told, passer: passer, hander: spread.NewSpilloverPolicy(told.Hand, passer.Chooser), open: map[*op]bool{}, counts: map[string]uint64{}}
 }
 
 // See takes a view of the fleet.
 func (p *Part) See(v *members.View) { p.passer.See(v, members.RoleServer) }
 
 // Put takes values that were told anew.
-func (p *Part) Put(told Told) { p.hander.Retell(told.Hand) }
+func (p *Part) Put(told Told) { p.hander.SetConfig(told.Hand) }
 
 // Start is front.Front.
 func (p *Part) Start() {
@@ -88,21 +88,21 @@
 }
 
 // RequestArrived is keep.Elsewhere.
-func (p *Part) RequestArrived() { p.hander.Came() }
+func (p *Part) RequestArrived() { p.hander.RecordArrival() }
 
 // Forward is keep.Elsewhere.
 func (p *Part) Forward(ask front.Request, due time.Duration, repeats bool, owed front.Responder) front.Handle {
-	why := spread.Handed
+	why := spread.AlreadyForwarded
 	place := 0
 	switch {
 	case p.leaving:
-		why = spread.Leaving
+		why = spread.Draining
 	case ask.Hops == 0:
-		place, why = p.hander.Offer(p.loop.Now(), due-p.loop.Now(), p.own(), p.passer.Chance)
+		place, why = p.hander.Pick(p.loop.Now(), due-p.loop.Now(), p.own(), p.passer.Chance)
 	}
 	// Whoever has to say no asks others how they stand.
 	p.passer.Query()
-	if why != spread.Offered {
+	if why != spread.Allowed {
 		p.note(string(why))
 		return nil
 	}
@@ -122,9 +122,9 @@
 	delete(p.open, o)
 	owed := o.owed
 	o.owed = nil
-	p.hander.Ended(p.loop.Now(), e.What)
+	p.hander.RecordOutcome(p.loop.Now(), e.What)
 	switch {
-	case e.What == spread.Served:
+	case e.What == spread.Succeeded:
 		p.note("served")
 		owed.Succeed(e.Result, e.Metadata)
 	case e.Error == "Denied":
--- a/internal/operator/below.go
+++ b/internal/operator/below.go
@@ -18,10 +18,10 @@
 }
 
 func (r *reader) readUpstream(fleet *Fleet) Upstream {
-	parsed := Upstream{Config: below.Told{Spread: spread.Usual(), Calls: 8, Longest: 5 * time.Second}}
+	parsed := Upstream{Config: below.Told{Spread: spread.DefaultConfig(), Calls: 8, Longest: 5 * time.Second}}
 	s := r.section("below")
 	parsed.Enabled = s.exists()
-	parsed.Config.Spread.Zone = fleet.Zone
+	parsed.Config.Spread.LocalZone = fleet.Zone
 	parsed.Config.Addrs = s.listValue("services")
 	for _, address := range parsed.Config.Addrs {
 		s.checkAddress("services", address)
@@ -82,22 +82,22 @@
 }
 
 func (r *reader) readSpillover(fleet *Fleet) Spillover {
-	parsed := Spillover{Config: handover.Told{Told: pass.Told{Spread: spread.Usual(), Connections: 1, Unused: 10 * time.Second}, Hand: spread.UsualHand()}}
+	parsed := Spillover{Config: handover.Told{Told: pass.Told{Spread: spread.DefaultConfig(), Connections: 1, Unused: 10 * time.Second}, Hand: spread.DefaultSpilloverConfig()}}
 	s := r.section("handover")
 	parsed.Enabled = s.exists()
 	if parsed.Enabled && !fleet.Enabled {
 		s.report("", "", "wants a section [fleet], by which it knows the members")
 	}
-	parsed.Config.Spread.Zone = fleet.Zone
+	parsed.Config.Spread.LocalZone = fleet.Zone
 	if host, _, err := net.SplitHostPort(fleet.ListenAddress); err == nil {
 		parsed.Config.From = host
 	}
 	config := &parsed.Config.Hand
-	s.floatValue("share", &config.Share, 0, 1)
-	s.floatValue("saved", &config.Saved, 1, 1000)
-	s.floatValue("full", &config.Full, 0.1, 1000)
-	s.floatValue("most-full", &config.Most, 0, 1)
-	s.durationValue("fresh", &config.Fresh, 10*time.Millisecond, time.Minute)
+	s.floatValue("share", &config.BudgetRatio, 0, 1)
+	s.floatValue("saved", &config.BudgetBurst, 1, 1000)
+	s.floatValue("full", &config.SaturatedLoad, 0.1, 1000)
+	s.floatValue("most-full", &config.MaxSaturatedFraction, 0, 1)
+	s.durationValue("fresh", &config.ReportMaxAge, 10*time.Millisecond, time.Minute)
 	s.intValue("connections", &parsed.Config.Connections, 1, 16)
 	s.durationValue("unused", &parsed.Config.Unused, time.Second, time.Hour)
 	s.reportUnknownNames()
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -196,18 +196,18 @@
 
 // listBalancer lists what holds of every choice among members or services; the names that stand in [relay] alone are
 // the last ones.
-func listBalancer(l *listing, name string, t *spread.Told) {
-	l.add(name+" (zone)", t.Zone)
-	l.add(name+".near", t.Near)
-	l.add(name+".trickle", t.Trickle)
-	l.add(name+".bad-share", t.Out)
-	l.add(name+".memory", t.Memory)
-	l.add(name+".way", t.Way)
-	l.add(name+".choices", t.Choices)
-	l.add(name+".fades", t.Fades)
-	l.add(name+".believed", t.Believed)
-	l.add(name+".retry-share", t.Retry)
-	l.add(name+".retry-saved", t.Burst)
+func listBalancer(l *listing, name string, t *spread.Config) {
+	l.add(name+" (zone)", t.LocalZone)
+	l.add(name+".near", t.LocalZoneUtilization)
+	l.add(name+".trickle", t.OutlierWeight)
+	l.add(name+".bad-share", t.MaxOutlierFraction)
+	l.add(name+".memory", t.OutcomeHalfLife)
+	l.add(name+".way", t.Policy)
+	l.add(name+".choices", t.ChoiceCount)
+	l.add(name+".fades", t.LoadHalfLife)
+	l.add(name+".believed", t.LoadMaxAge)
+	l.add(name+".retry-share", t.RetryRatio)
+	l.add(name+".retry-saved", t.RetryBurst)
 }
 
 func listProxy(l *listing, r *Proxy) {
@@ -250,11 +250,11 @@
 	l.add("handover (dials from)", h.Config.From)
 	l.add("handover (asks)", h.Config.Asks)
 	l.add("handover (subset)", h.Config.Subset)
-	l.add("handover.share", h.Config.Hand.Share)
-	l.add("handover.saved", h.Config.Hand.Saved)
-	l.add("handover.full", h.Config.Hand.Full)
-	l.add("handover.most-full", h.Config.Hand.Most)
-	l.add("handover.fresh", h.Config.Hand.Fresh)
+	l.add("handover.share", h.Config.Hand.BudgetRatio)
+	l.add("handover.saved", h.Config.Hand.BudgetBurst)
+	l.add("handover.full", h.Config.Hand.SaturatedLoad)
+	l.add("handover.most-full", h.Config.Hand.MaxSaturatedFraction)
+	l.add("handover.fresh", h.Config.Hand.ReportMaxAge)
 	l.add("handover.connections", h.Config.Connections)
 	l.add("handover.unused", h.Config.Unused)
 }
--- a/internal/operator/relay.go
+++ b/internal/operator/relay.go
@@ -16,34 +16,34 @@
 }
 
 func (r *reader) readProxy(fleet *Fleet) Proxy {
-	parsed := Proxy{Config: relay.Told{Told: pass.Told{Spread: spread.Usual(), Asks: 2, Connections: 2, Unused: 30 * time.Second}, Most: 4096, Grace: 500 * time.Millisecond}}
+	parsed := Proxy{Config: relay.Told{Told: pass.Told{Spread: spread.DefaultConfig(), Asks: 2, Connections: 2, Unused: 30 * time.Second}, Most: 4096, Grace: 500 * time.Millisecond}}
 	s := r.section("relay")
 	parsed.Enabled = s.exists()
 	if parsed.Enabled && !fleet.Enabled {
 		s.report("", "", "wants a section [fleet], by which it knows the members")
 	}
-	parsed.Config.Spread.Zone = fleet.Zone
+	parsed.Config.Spread.LocalZone = fleet.Zone
 	if host, _, err := net.SplitHostPort(fleet.ListenAddress); err == nil {
 		parsed.Config.From = host // so that whoever stands between knows both ends
 	}
-	policy := spread.Informed.String()
+	policy := spread.LeastEstimatedLoad.String()
 	var policies []string
-	for candidate := spread.Informed; candidate <= spread.Greedy; candidate++ {
+	for candidate := spread.LeastEstimatedLoad; candidate <= spread.LeastReportedLoad; candidate++ {
 		policies = append(policies, candidate.String())
 	}
 	s.enumValue("way", &policy, policies...)
-	for candidate := spread.Informed; candidate <= spread.Greedy; candidate++ {
+	for candidate := spread.LeastEstimatedLoad; candidate <= spread.LeastReportedLoad; candidate++ {
 		if candidate.String() == policy {
-			parsed.Config.Spread.Way = candidate
+			parsed.Config.Spread.Policy = candidate
 		}
 	}
 	balancing := &parsed.Config.Spread
-	s.intValue("choices", &balancing.Choices, 1, 64)
-	s.durationValue("fades", &balancing.Fades, 0, time.Minute)
-	s.durationValue("believed", &balancing.Believed, 10*time.Millisecond, time.Hour)
+	s.intValue("choices", &balancing.ChoiceCount, 1, 64)
+	s.durationValue("fades", &balancing.LoadHalfLife, 0, time.Minute)
+	s.durationValue("believed", &balancing.LoadMaxAge, 10*time.Millisecond, time.Hour)
 	s.readBalancer(balancing)
-	s.floatValue("retry-share", &balancing.Retry, 0, 1)
-	s.floatValue("retry-saved", &balancing.Burst, 0, 1000)
+	s.floatValue("retry-share", &balancing.RetryRatio, 0, 1)
+	s.floatValue("retry-saved", &balancing.RetryBurst, 0, 1000)
 	s.floatValue("asks", &parsed.Config.Asks, 0, 16)
 	s.intValue("in-hand", &parsed.Config.Most, 1, 60_000)
 	s.intValue("connections", &parsed.Config.Connections, 1, 64)
@@ -56,9 +56,9 @@
 }
 
 // readBalancer reads what holds of whoever chooses among members or services.
-func (s *section) readBalancer(config *spread.Told) {
-	s.floatValue("near", &config.Near, 0, 1.6)
-	s.floatValue("trickle", &config.Trickle, 0.0001, 1)
-	s.floatValue("bad-share", &config.Out, 0, 1)
-	s.durationValue("memory", &config.Memory, 100*time.Millisecond, time.Hour)
+func (s *section) readBalancer(config *spread.Config) {
+	s.floatValue("near", &config.LocalZoneUtilization, 0, 1.6)
+	s.floatValue("trickle", &config.OutlierWeight, 0.0001, 1)
+	s.floatValue("bad-share", &config.MaxOutlierFraction, 0, 1)
+	s.durationValue("memory", &config.OutcomeHalfLife, 100*time.Millisecond, time.Hour)
 }
--- a/internal/pass/conn.go
+++ b/internal/pass/conn.go
@@ -79,7 +79,7 @@
 	c.waits = nil
 	for _, o := range waits {
 		if o.at == c {
-			c.p.ended(o, c.m.name, busy, spread.Lost, true)
+			c.p.ended(o, c.m.name, busy, spread.NoResponse, true)
 		}
 	}
 }
@@ -105,13 +105,13 @@
 	what := spread.Failed
 	switch a.Error {
 	case "":
-		what = spread.Served
+		what = spread.Succeeded
 	case "Busy":
-		what = spread.Refused
+		what = spread.Rejected
 	case "Denied": // it says nothing of the member
-		c.p.Chooser.Left(c.m.name)
+		c.p.Chooser.RecordCancel(c.m.name)
 		o.at = nil
-		o.end(Ended{What: spread.Refused, Response: a})
+		o.end(Ended{What: spread.Rejected, Response: a})
 		c.leaveIfDone()
 		return
 	}
@@ -138,7 +138,7 @@
 	open := c.open
 	c.open = map[uint32]*Op{}
 	for _, n := range slices.Sorted(maps.Keys(open)) {
-		c.p.ended(open[n], c.m.name, lost, spread.Lost, false)
+		c.p.ended(open[n], c.m.name, lost, spread.NoResponse, false)
 	}
 	c.elsewhere()
 }
--- a/internal/pass/pass.go
+++ b/internal/pass/pass.go
@@ -18,7 +18,7 @@
 
 // Told is what passing goes by.
 type Told struct {
-	Spread      spread.Told
+	Spread      spread.Config
 	Asks        float64       // members asked for their load, an op
 	Connections int           // to one member
 	Subset      int           // members that are kept to; 0 for all
@@ -37,20 +37,20 @@
 	loop    *loop.Loop
 	net     *wire.Net
 	told    Told
-	Chooser *spread.Chooser
+	Chooser *spread.Balancer
 	chance  *rand.Rand
 	ask     Ask
 	asks    float64
-	members map[spread.Name]*member
-	names   []spread.Name // members, deciders and our subset, as last worked out
-	among   []spread.Name
-	mine    []spread.Name
+	members map[spread.EndpointName]*member
+	names   []spread.EndpointName // members, deciders and our subset, as last worked out
+	among   []spread.EndpointName
+	mine    []spread.EndpointName
 	Again   uint64 // further tries, since the start
 }
 
 // member is one whom ops are given to, with the connections there.
 type member struct {
-	name  spread.Name
+	name  spread.EndpointName
 	addr  string
 	conns []*conn
 }
@@ -65,7 +65,7 @@
 }
 
 // Ran tells whether it may have run.
-func (e Ended) Ran() bool { return e.What != spread.Refused && !e.Unsent && !e.Nobody }
+func (e Ended) Ran() bool { return e.What != spread.Rejected && !e.Unsent && !e.Nobody }
 
 // Op is one op on its way.
 type Op struct {
@@ -75,7 +75,7 @@
 	repeats bool
 	most    int
 	tries   int
-	tried   [4]spread.Name
+	tried   [4]spread.EndpointName
 	at      *conn
 	n       uint32
 	sent    bool
@@ -86,7 +86,7 @@
 
 // New makes a passer that knows nobody. It dials by net and has l's time.
 func New(l *loop.Loop, net *wire.Net, told Told, seed uint64, ask Ask) *Passer {
-	return &Passer{loop: l, net: net, told: told, Chooser: spread.New(told.Spread), chance: rand.New(rand.NewPCG(seed, 3)), ask: ask, members: map[spread.Name]*member{}}
+	return &Passer{loop: l, net: net, told: told, Chooser: spread.New(told.Spread), chance: rand.New(rand.NewPCG(seed, 3)), ask: ask, members: map[spread.EndpointName]*member{}}
 }
 
 // Start begins to look after connections that carry nothing.
@@ -94,36 +94,36 @@
 
 // See takes a view of the fleet. Of its deciders, those in the same role as us share the members with us.
 func (p *Passer) See(v *members.View, role members.Roles) {
-	var all []spread.Member
-	addrs := map[spread.Name]string{}
-	var names, deciders []spread.Name
-	deciders = append(deciders, spread.Name(v.Self.Name))
+	var all []spread.Endpoint
+	addrs := map[spread.EndpointName]string{}
+	var names, deciders []spread.EndpointName
+	deciders = append(deciders, spread.EndpointName(v.Self.Name))
 	for m := range v.All() {
 		if m.Roles&role != 0 && m.State.Available() {
-			deciders = append(deciders, spread.Name(m.Name))
+			deciders = append(deciders, spread.EndpointName(m.Name))
 		}
 		// Cut off, we know no better than before: who was there is still tried. Else a suspect gets nothing.
 		if m.Roles&members.RoleServer != 0 && m.ServiceAddr != "" && (m.State.Available() || m.State == members.StateSuspect && m.Reason != members.ReasonFlapping && !v.LocalHealth.CanDeclareGone()) {
-			x := spread.Member{Name: spread.Name(m.Name), Zone: m.Zone, Capacity: m.Capacity, Warm: m.WarmUp, Cold: m.WarmUpRemaining(v.PublishedAt), Doubted: m.State == members.StateSuspect}
+			x := spread.Endpoint{Name: spread.EndpointName(m.Name), Zone: m.Zone, Capacity: m.Capacity, WarmUp: m.WarmUp, WarmUpRemaining: m.WarmUpRemaining(v.PublishedAt), Suspect: m.State == members.StateSuspect}
 			all = append(all, x)
 			names = append(names, x.Name)
 			addrs[x.Name] = m.ServiceAddr
 		}
 	}
 	if k := p.told.Subset; k > 0 && k < len(names) {
-		mine := map[spread.Name]bool{}
+		mine := map[spread.EndpointName]bool{}
 		// Danger: it is worked out for the whole fleet, so only when somebody came or went.
 		if !slices.Equal(names, p.names) || !slices.Equal(deciders, p.among) {
 			p.names, p.among = names, deciders
-			p.mine = spread.Subsets(deciders, names, k)[spread.Name(v.Self.Name)]
+			p.mine = spread.Subsets(deciders, names, k)[spread.EndpointName(v.Self.Name)]
 		}
 		for _, n := range p.mine {
 			mine[n] = true
 		}
-		all = slices.DeleteFunc(all, func(m spread.Member) bool { return !mine[m.Name] })
+		all = slices.DeleteFunc(all, func(m spread.Endpoint) bool { return !mine[m.Name] })
 	}
-	p.Chooser.Set(p.loop.Now(), all)
-	stay := map[spread.Name]bool{}
+	p.Chooser.SetEndpoints(p.loop.Now(), all)
+	stay := map[spread.EndpointName]bool{}
 	for _, x := range all {
 		stay[x.Name] = true
 		m := p.members[x.Name]
@@ -178,7 +178,7 @@
 // give gives an op to the next member.
 func (p *Passer) give(o *Op) {
 	i, any := p.Chooser.Pick(p.loop.Now(), p.chance.Float64, func(i int) bool {
-		n := p.Chooser.At(i)
+		n := p.Chooser.NameAt(i)
 		for k := range min(o.tries, len(o.tried)) {
 			if o.tried[k] == n {
 				return true
@@ -187,7 +187,7 @@
 		return false
 	})
 	if !any {
-		o.end(Ended{What: spread.Refused, Nobody: true, Response: wire.Response{Error: "Busy", Metadata: front.ResponseMetadata{LoadReport: -1}}}) // each try before proved that it never ran
+		o.end(Ended{What: spread.Rejected, Nobody: true, Response: wire.Response{Error: "Busy", Metadata: front.ResponseMetadata{LoadReport: -1}}}) // each try before proved that it never ran
 		return
 	}
 	p.to(o, i)
@@ -198,8 +198,8 @@
 
 // to gives an op to the member at a place.
 func (p *Passer) to(o *Op, i int) {
-	m := p.members[p.Chooser.At(i)]
-	p.Chooser.Sent(p.loop.Now(), i)
+	m := p.members[p.Chooser.NameAt(i)]
+	p.Chooser.RecordStart(p.loop.Now(), i)
 	if o.tries < len(o.tried) {
 		o.tried[o.tries] = m.name
 	}
@@ -208,7 +208,7 @@
 	o.sentAt = p.loop.Now()
 	c := m.conn(p)
 	if c == nil { // all its connections are full: it has more from us than it should
-		p.ended(o, m.name, busy, spread.Refused, true)
+		p.ended(o, m.name, busy, spread.Rejected, true)
 		return
 	}
 	o.at = c
@@ -227,29 +227,29 @@
 
 // Query asks one member how it stands.
 func (p *Passer) Query() {
-	i, any := p.Chooser.Ask(p.loop.Now(), p.chance.Float64)
+	i, any := p.Chooser.PickProbe(p.loop.Now(), p.chance.Float64)
 	if !any || p.ask == nil {
 		return
 	}
-	name := p.Chooser.At(i)
+	name := p.Chooser.NameAt(i)
 	p.ask(members.Name(name), func(load float64, age time.Duration) {
 		p.loop.Post(func() {
-			if i, still := p.Chooser.Place(name); still {
-				p.Chooser.Asked(p.loop.Now(), i, load, age)
+			if i, still := p.Chooser.IndexOf(name); still {
+				p.Chooser.RecordProbe(p.loop.Now(), i, load, age)
 			}
 		})
 	})
 }
 
 // ended hears how a try of an op ended, and tells it or has another member asked.
-func (p *Passer) ended(o *Op, n spread.Name, a wire.Response, what spread.Outcome, unsent bool) {
-	p.Chooser.Ended(p.loop.Now(), n, what, p.loop.Now()-o.sentAt)
+func (p *Passer) ended(o *Op, n spread.EndpointName, a wire.Response, what spread.Outcome, unsent bool) {
+	p.Chooser.RecordOutcome(p.loop.Now(), n, what, p.loop.Now()-o.sentAt)
 	o.at = nil
 	if o.done == nil {
 		o.over()
 		return
 	}
-	if p.Chooser.Next(p.loop.Now(), spread.Try{Due: o.due, Tries: o.tries, Most: o.most, Repeats: o.repeats, Passed: o.ask.Hops > 1}, what, unsent, a.Metadata.NoFailover) == spread.Again {
+	if p.Chooser.DecideRetry(p.loop.Now(), spread.Attempt{Deadline: o.due, Made: o.tries, Max: o.most, Idempotent: o.repeats, Forwarded: o.ask.Hops > 1}, what, unsent, a.Metadata.NoFailover) == spread.RetryElsewhere {
 		p.Again++
 		// Each try has an id of its own, as the protocol wants it: an instance can't tell two tries of one op in hand apart.
 		o.ask.ID = fmt.Sprintf("%016x", p.chance.Uint64())
@@ -265,8 +265,8 @@
 		return
 	}
 	unsent := o.at != nil && !o.sent
-	o.leave(spread.Lost)
-	o.end(Ended{What: spread.Lost, Unsent: unsent, Late: true, Response: lost})
+	o.leave(spread.NoResponse)
+	o.end(Ended{What: spread.NoResponse, Unsent: unsent, Late: true, Response: lost})
 }
 
 // Gone tells that nobody waits any more.
@@ -277,9 +277,9 @@
 	o.done = nil
 	// Danger: a member that takes ops and answers none looks idle. What is given up at its due time there counts against it; before that
 	// it says nothing.
-	what := spread.Served
+	what := spread.Succeeded
 	if o.p.loop.Now() >= o.due {
-		what = spread.Lost
+		what = spread.NoResponse
 	}
 	o.leave(what)
 	o.over()
@@ -308,10 +308,10 @@
 	} else if i := slices.Index(c.waits, o); i >= 0 {
 		c.waits = slices.Delete(c.waits, i, i+1)
 	}
-	if what == spread.Lost {
-		o.p.Chooser.Ended(o.p.loop.Now(), c.m.name, what, 0)
+	if what == spread.NoResponse {
+		o.p.Chooser.RecordOutcome(o.p.loop.Now(), c.m.name, what, 0)
 	} else {
-		o.p.Chooser.Left(c.m.name)
+		o.p.Chooser.RecordCancel(c.m.name)
 	}
 	c.leaveIfDone()
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -180,7 +180,7 @@
 		c.Nobody++
 		with.RetryAfter = o.r.told.After
 		o.answer(func(w front.Responder) { w.Reject(with) })
-	case e.What == spread.Served:
+	case e.What == spread.Succeeded:
 		c.Served++
 		o.answer(func(w front.Responder) { w.Succeed(e.Result, with) })
 	case e.Error == "Denied":
@@ -189,7 +189,7 @@
 		c.Refused++
 		o.answer(func(w front.Responder) { w.Reject(with) })
 	default:
-		if c.Failed++; e.What == spread.Lost {
+		if c.Failed++; e.What == spread.NoResponse {
 			c.Lost++
 		}
 		o.answer(func(w front.Responder) { w.Fail(with) })
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -115,8 +115,8 @@
 	listen := free.Addr().String()
 	free.Close()
 	roster := standin.NewRoster()
-	told := Told{Told: pass.Told{Spread: spread.Usual(), Connections: 2, Unused: time.Minute}, Most: 100, Grace: 500 * time.Millisecond, After: 90 * time.Millisecond}
-	told.Spread.Retry = 1
+	told := Told{Told: pass.Told{Spread: spread.DefaultConfig(), Connections: 2, Unused: time.Minute}, Most: 100, Grace: 500 * time.Millisecond, After: 90 * time.Millisecond}
+	told.Spread.RetryRatio = 1
 	kind := func(name, repeats string) choice.Settings {
 		return choice.Settings{"name": name, "repeats": repeats, "op timeout": 3 * time.Second, "target latency": time.Second}
 	}
@@ -266,27 +266,27 @@
 
 // What comes next of an op, by what its try came to.
 func Example_next() {
-	told := spread.Usual()
-	told.Retry, told.Burst = 0, 1
+	told := spread.DefaultConfig()
+	told.RetryRatio, told.RetryBurst = 0, 1
 	for _, x := range []struct {
-		t            spread.Try
+		t            spread.Attempt
 		what         spread.Outcome
 		unsent, last bool
 	}{
-		{spread.Try{Due: time.Second, Most: 3, Tries: 1}, spread.Served, false, false},
-		{spread.Try{Due: time.Second, Most: 3, Tries: 1}, spread.Refused, false, false},
-		{spread.Try{Due: time.Second, Most: 3, Tries: 1}, spread.Refused, false, true},
-		{spread.Try{Due: 0, Most: 3, Tries: 1}, spread.Refused, false, false},
-		{spread.Try{Due: time.Second, Most: 3, Tries: 3}, spread.Refused, false, false},
-		{spread.Try{Due: time.Second, Most: 3, Tries: 1}, spread.Lost, false, false},
-		{spread.Try{Due: time.Second, Most: 3, Tries: 1, Repeats: true}, spread.Lost, false, false},
-		{spread.Try{Due: time.Second, Most: 3, Tries: 1}, spread.Lost, true, false},
-		{spread.Try{Due: time.Second, Most: 3, Tries: 1, Repeats: true}, spread.Failed, false, false},
+		{spread.Attempt{Deadline: time.Second, Max: 3, Made: 1}, spread.Succeeded, false, false},
+		{spread.Attempt{Deadline: time.Second, Max: 3, Made: 1}, spread.Rejected, false, false},
+		{spread.Attempt{Deadline: time.Second, Max: 3, Made: 1}, spread.Rejected, false, true},
+		{spread.Attempt{Deadline: 0, Max: 3, Made: 1}, spread.Rejected, false, false},
+		{spread.Attempt{Deadline: time.Second, Max: 3, Made: 3}, spread.Rejected, false, false},
+		{spread.Attempt{Deadline: time.Second, Max: 3, Made: 1}, spread.NoResponse, false, false},
+		{spread.Attempt{Deadline: time.Second, Max: 3, Made: 1, Idempotent: true}, spread.NoResponse, false, false},
+		{spread.Attempt{Deadline: time.Second, Max: 3, Made: 1}, spread.NoResponse, true, false},
+		{spread.Attempt{Deadline: time.Second, Max: 3, Made: 1, Idempotent: true}, spread.Failed, false, false},
 	} {
 		c := spread.New(told)
-		fmt.Print(c.Next(time.Millisecond, x.t, x.what, x.unsent, x.last) == spread.Again, " ")
-		if x.what == spread.Refused && !x.last && x.t.Due > 0 && x.t.Tries == 1 { // the budget is used up
-			fmt.Print(c.Next(time.Millisecond, x.t, x.what, false, false) == spread.Again, " ")
+		fmt.Print(c.DecideRetry(time.Millisecond, x.t, x.what, x.unsent, x.last) == spread.RetryElsewhere, " ")
+		if x.what == spread.Rejected && !x.last && x.t.Deadline > 0 && x.t.Made == 1 { // the budget is used up
+			fmt.Print(c.DecideRetry(time.Millisecond, x.t, x.what, false, false) == spread.RetryElsewhere, " ")
 		}
 	}
 	// Output: false true false false false false false true true false
--- a/internal/spread/cold_test.go
+++ b/internal/spread/cold_test.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// coldDay is a member that starts among others, and many that send to it: each hears of the start late, by a time of its own, has a part of the
+// simulateSlowStart is a member that starts among others, and many that send to it: each hears of the start late, by a time of its own, has a part of the
 // ops of its own, and believes the newcomer to be idle all the while. It gives the most that came within any of the spans against what was allowed, N and what chance may add.
-func coldDay(senders int, seed uint64) (worst float64, came, allowed float64) {
+func simulateSlowStart(senders int, seed uint64) (worst float64, came, allowed float64) {
 	const warm, span, total, count = 12 * time.Second, 2 * time.Second, 1200.0, 20
 	rng := rand.New(rand.NewPCG(seed, uint64(senders)))
 	type sender struct {
-		c     *Chooser
+		c     *Balancer
 		part  float64
 		hears time.Duration
 		known bool
-		open  []Name
+		open  []EndpointName
 	}
 	all := make([]*sender, senders)
 	sum := 0.0
-	members := of(count)
+	members := makeEndpoints(count)
 	for i := range all {
-		all[i] = &sender{c: one(Usual(), members[1:]), part: 0.2 + rng.ExpFloat64(), hears: time.Duration(rng.Float64() * float64(1500*time.Millisecond))}
+		all[i] = &sender{c: newBalancer(DefaultConfig(), members[1:]), part: 0.2 + rng.ExpFloat64(), hears: time.Duration(rng.Float64() * float64(1500*time.Millisecond))}
 		sum += all[i].part
 	}
 	const tick = 10 * time.Millisecond
@@ -33,21 +33,21 @@
 		for _, s := range all {
 			if !s.known && now >= s.hears {
 				s.known = true
-				members[0].Cold, members[0].Warm = warm-now, warm
-				s.c.Set(now, members)
+				members[0].WarmUpRemaining, members[0].WarmUp = warm-now, warm
+				s.c.SetEndpoints(now, members)
 			}
-			if place, here := s.c.Place("m0"); here {
-				s.c.Asked(now, place, -0.9, 0)
+			if place, here := s.c.IndexOf("m0"); here {
+				s.c.RecordProbe(now, place, -0.9, 0)
 			}
 			for _, n := range s.open {
-				s.c.Ended(now, n, Served, tick)
+				s.c.RecordOutcome(now, n, Succeeded, tick)
 			}
 			s.open = s.open[:0]
 			want := total * tick.Seconds() * s.part / sum
 			for ; want > 0 && rng.Float64() < want; want-- {
 				i, _ := s.c.Pick(now, rng.Float64, nil)
-				s.c.Sent(now, i)
-				n := s.c.At(i)
+				s.c.RecordStart(now, i)
+				n := s.c.NameAt(i)
 				s.open = append(s.open, n)
 				if n == "m0" {
 					got[now/span]++
@@ -67,10 +67,10 @@
 
 // What all senders together give a cold member stays under what it is allowed and what is put down to chance, however many they are and however
 // late each hears of it; and it is warmed: it gets half of that at the least.
-func TestColdOverAllSenders(t *testing.T) {
+func TestSlowStartOverAllSenders(t *testing.T) {
 	for _, senders := range []int{1, 2, 3, 5, 10, 20, 30, 100, 300} {
 		for seed := range uint64(4) {
-			worst, came, allowed := coldDay(senders, seed)
+			worst, came, allowed := simulateSlowStart(senders, seed)
 			if worst > 1 || came < allowed/2 {
 				t.Errorf("%d senders, seed %d: %.2f of what may come in a span, %.0f of %.0f in all", senders, seed, worst, came, allowed)
 			}
@@ -79,17 +79,17 @@
 }
 
 // A newcomer that is the only one left is given what there is; where all are cold nobody is refused for it.
-func Example_allCold() {
-	members := of(3)
+func Example_allWarmingUp() {
+	members := makeEndpoints(3)
 	for i := range members {
-		members[i].Cold, members[i].Warm = 10*s, 10*s
+		members[i].WarmUpRemaining, members[i].WarmUp = 10*s, 10*s
 	}
-	c := one(Usual(), members)
-	chance := rand.New(rand.NewPCG(1, 1)).Float64
+	c := newBalancer(DefaultConfig(), members)
+	random := rand.New(rand.NewPCG(1, 1)).Float64
 	given := map[bool]int{}
 	for range 100 {
-		i, ok := c.Pick(0, chance, func(i int) bool { return i == 1 })
-		c.Sent(0, i)
+		i, ok := c.Pick(0, random, func(i int) bool { return i == 1 })
+		c.RecordStart(0, i)
 		given[ok && i != 1]++
 	}
 	fmt.Println(given)
@@ -98,30 +98,30 @@
 }
 
 // While every member rests nobody has a share; a cold one that serves again gets its part then.
-func Example_allAway() {
-	members := of(2)
-	members[0].Cold, members[0].Warm = 60*s, 60*s
-	told := Usual()
-	told.Out = 1
-	c := one(told, members)
-	chance := rand.New(rand.NewPCG(1, 1)).Float64
+func Example_allEjected() {
+	members := makeEndpoints(2)
+	members[0].WarmUpRemaining, members[0].WarmUp = 60*s, 60*s
+	config := DefaultConfig()
+	config.MaxOutlierFraction = 1
+	c := newBalancer(config, members)
+	random := rand.New(rand.NewPCG(1, 1)).Float64
 	for _, m := range members {
 		for range 2 {
-			c.Ended(s, m.Name, Failed, 0)
+			c.RecordOutcome(s, m.Name, Failed, 0)
 		}
 	}
 	pick := func(now time.Duration, n int) (cold int) {
 		for range n {
-			i, _ := c.Pick(now, chance, nil)
-			c.Sent(now, i)
-			c.Ended(now, c.At(i), Served, 10*ms)
+			i, _ := c.Pick(now, random, nil)
+			c.RecordStart(now, i)
+			c.RecordOutcome(now, c.NameAt(i), Succeeded, 10*ms)
 			cold += 1 - i
 		}
 		return cold
 	}
-	c.stale, c.weighed = true, 0
-	i, ok := c.Pick(s, chance, func(i int) bool { return i == 1 }) // the cold one alone may be given it
-	fmt.Println("shares:", c.sums[1], i, ok)
+	c.weightsStale, c.weightsAt = true, 0
+	i, ok := c.Pick(s, random, func(i int) bool { return i == 1 }) // the cold one alone may be given it
+	fmt.Println("shares:", c.cumulativeWeights[1], i, ok)
 	fmt.Println("later, of 1000:", pick(40*s, 1000) > 20) // a fiftieth of its share at the least, as it was bad
 	// Output:
 	// shares: 0 0 true
--- a/internal/spread/golden_test.go
+++ b/internal/spread/golden_test.go
@@ -36,12 +36,12 @@
 func TestGoldenSubsets(t *testing.T) {
 	var text bytes.Buffer
 	for _, at := range [][3]int{{3, 10, 4}, {12, 60, 15}, {7, 5, 2}, {2, 3, 3}} {
-		var deciders, members []Name
+		var deciders, members []EndpointName
 		for i := range at[0] {
-			deciders = append(deciders, Name(fmt.Sprint("relay-", i)))
+			deciders = append(deciders, EndpointName(fmt.Sprint("relay-", i)))
 		}
 		for i := range at[1] {
-			members = append(members, Name(fmt.Sprint("instance-", i)))
+			members = append(members, EndpointName(fmt.Sprint("instance-", i)))
 		}
 		subsets := Subsets(deciders, members, at[2])
 		for _, d := range deciders {
@@ -56,60 +56,60 @@
 }
 
 // decisions plays a drawn history to a balancer and writes down all that it decides, a letter and a number each.
-func decisions(told Told, hand HandTold, seed uint64, steps int) string {
-	words := map[Why]string{Spent: "b", Late: "l", Deaf: "u", Crowd: "f", NoRoom: "n", Backed: "t"}
+func decisions(config Config, hand SpilloverConfig, seed uint64, steps int) string {
+	words := map[SpilloverReason]string{BudgetExhausted: "b", DeadlineTooClose: "l", NoReports: "u", FleetSaturated: "f", NoCapacity: "n", BackingOff: "t"}
 	rng := rand.New(rand.NewPCG(seed, 5))
-	chance := rng.Float64
-	var all []Member
+	random := rng.Float64
+	var all []Endpoint
 	for i := range 12 {
-		all = append(all, Member{Name: Name(fmt.Sprint("m", i)), Zone: []string{"a", "b"}[i%2], Capacity: float64(1 + i%3)})
+		all = append(all, Endpoint{Name: EndpointName(fmt.Sprint("m", i)), Zone: []string{"a", "b"}[i%2], Capacity: float64(1 + i%3)})
 	}
-	c := New(told)
-	h := NewHander(hand, c)
+	c := New(config)
+	h := NewSpilloverPolicy(hand, c)
 	var text bytes.Buffer
 	now := time.Second
-	c.Set(now, all[:10])
+	c.SetEndpoints(now, all[:10])
 	for n := range steps {
 		now += time.Duration(rng.IntN(40)) * time.Millisecond
 		switch {
 		case n == steps/4: // two come, cold; one is doubted
-			all[10].Cold, all[10].Warm, all[11].Cold, all[11].Warm = 5*time.Second, 8*time.Second, 3*time.Second, 3*time.Second
-			all[1].Doubted = true
-			c.Set(now, all)
+			all[10].WarmUpRemaining, all[10].WarmUp, all[11].WarmUpRemaining, all[11].WarmUp = 5*time.Second, 8*time.Second, 3*time.Second, 3*time.Second
+			all[1].Suspect = true
+			c.SetEndpoints(now, all)
 		case n == steps/2: // one goes
-			all[1].Doubted = false
-			c.Set(now, all[1:])
+			all[1].Suspect = false
+			c.SetEndpoints(now, all[1:])
 		}
-		i, ok := c.Pick(now, chance, func(i int) bool { return i == n%7 })
+		i, ok := c.Pick(now, random, func(i int) bool { return i == n%7 })
 		fmt.Fprint(&text, "p", i)
 		if !ok {
 			fmt.Fprint(&text, "!")
 			continue
 		}
-		c.Sent(now, i)
-		name := c.At(i)
-		if q, any := c.Ask(now, chance); any {
+		c.RecordStart(now, i)
+		name := c.NameAt(i)
+		if q, any := c.PickProbe(now, random); any {
 			fmt.Fprint(&text, "q", q)
-			c.Asked(now, q, float64(rng.IntN(8))-1, time.Duration(rng.IntN(50))*time.Millisecond)
+			c.RecordProbe(now, q, float64(rng.IntN(8))-1, time.Duration(rng.IntN(50))*time.Millisecond)
 		}
 		if n%3 == 0 {
-			c.Told(now, rng.IntN(c.Len()), Idle(time.Duration(rng.IntN(2000))*time.Millisecond), time.Duration(rng.IntN(200))*time.Millisecond)
+			c.RecordReport(now, rng.IntN(c.Len()), IdleLoad(time.Duration(rng.IntN(2000))*time.Millisecond), time.Duration(rng.IntN(200))*time.Millisecond)
 		}
-		h.Came()
-		place, why := h.Offer(now, time.Duration(rng.IntN(2000))*time.Millisecond, float64(rng.IntN(9)), chance)
-		if why == Offered {
+		h.RecordArrival()
+		place, why := h.Pick(now, time.Duration(rng.IntN(2000))*time.Millisecond, float64(rng.IntN(9)), random)
+		if why == Allowed {
 			fmt.Fprint(&text, "o", place)
-			c.Sent(now, place)
-			what := Served
+			c.RecordStart(now, place)
+			what := Succeeded
 			if rng.IntN(5) == 0 || n%100 > 60 {
-				what = Refused
+				what = Rejected
 			}
-			c.Ended(now, c.At(place), what, 30*time.Millisecond)
-			h.Ended(now, what)
+			c.RecordOutcome(now, c.NameAt(place), what, 30*time.Millisecond)
+			h.RecordOutcome(now, what)
 		} else {
 			fmt.Fprint(&text, "o", words[why])
 		}
-		what := Served
+		what := Succeeded
 		switch {
 		case name == "m3" && n > steps/3 && n < 2*steps/3, name >= "m4" && n > 3*steps/4:
 			what = Failed
@@ -121,33 +121,33 @@
 			took *= 4
 		}
 		if rng.IntN(50) == 0 {
-			c.Left(name)
+			c.RecordCancel(name)
 		} else {
-			c.Ended(now, name, what, took)
+			c.RecordOutcome(now, name, what, took)
 		}
-		try := Try{Due: now + time.Duration(rng.IntN(400))*time.Millisecond, Tries: 1 + rng.IntN(3), Most: 3, Repeats: n%2 == 0, Passed: n%5 == 0}
-		fmt.Fprint(&text, "s", uint8(c.Next(now, try, what, rng.IntN(4) == 0, rng.IntN(20) == 0)))
+		try := Attempt{Deadline: now + time.Duration(rng.IntN(400))*time.Millisecond, Made: 1 + rng.IntN(3), Max: 3, Idempotent: n%2 == 0, Forwarded: n%5 == 0}
+		fmt.Fprint(&text, "s", uint8(c.DecideRetry(now, try, what, rng.IntN(4) == 0, rng.IntN(20) == 0)))
 		if n%10 == 9 {
 			fmt.Fprintln(&text)
 		}
 	}
-	fmt.Fprintln(&text, "most looked bad", c.Panics)
+	fmt.Fprintln(&text, "most looked bad", c.panicCount)
 	return text.String()
 }
 
 // Decisions by the same history, seed and settings stay what they are, for every way of picking.
 func TestGoldenDecisions(t *testing.T) {
 	var text bytes.Buffer
-	for way := Informed; way <= Greedy; way++ {
-		told, hand := Usual(), UsualHand()
-		told.Way, told.Zone = way, "a"
-		hand.Share, hand.Most = 0.5, 0.8
+	for way := LeastEstimatedLoad; way <= LeastReportedLoad; way++ {
+		config, hand := DefaultConfig(), DefaultSpilloverConfig()
+		config.Policy, config.LocalZone = way, "a"
+		hand.BudgetRatio, hand.MaxSaturatedFraction = 0.5, 0.8
 		steps := 90
-		if way == Informed {
+		if way == LeastEstimatedLoad {
 			steps = 600
 		}
 		fmt.Fprintln(&text, "#", way)
-		text.WriteString(decisions(told, hand, uint64(way)+1, steps))
+		text.WriteString(decisions(config, hand, uint64(way)+1, steps))
 	}
 	golden(t, "decisions.txt", text.Bytes())
 }
--- a/internal/spread/hand.go
+++ b/internal/spread/hand.go
@@ -5,151 +5,157 @@
 	"time"
 )
 
-// HandTold is what handing over goes by.
-type HandTold struct {
-	Share float64       // of the ops that come, so many may be handed over
-	Saved float64       // of them that may be saved up
-	Full  float64       // ops in hand a core from which on a member counts as full
-	Most  float64       // share of the members that may be full: past it handing over is itself the overload
-	Fresh time.Duration // how old a member's word on its load may be
+// SpilloverConfig is what handing over goes by.
+type SpilloverConfig struct {
+	BudgetRatio          float64       // of the ops that come, so many may be handed over
+	BudgetBurst          float64       // of them that may be saved up
+	SaturatedLoad        float64       // ops in hand a core from which on a member counts as full
+	MaxSaturatedFraction float64       // share of the members that may be full: past it handing over is itself the overload
+	ReportMaxAge         time.Duration // how old a member's word on its load may be
 }
 
-// UsualHand is what holds without being told; docs/spread.md has the measurements.
-func UsualHand() HandTold {
-	return HandTold{Share: 0.2, Saved: 20, Full: 2, Most: 0.5, Fresh: time.Second}
+// DefaultSpilloverConfig is what holds without being told; docs/spread.md has the measurements.
+func DefaultSpilloverConfig() SpilloverConfig {
+	return SpilloverConfig{BudgetRatio: 0.2, BudgetBurst: 20, SaturatedLoad: 2, MaxSaturatedFraction: 0.5, ReportMaxAge: time.Second}
 }
 
-// Why is what keeps an op here, in one word.
-type Why string
+// SpilloverReason is what keeps an op here, in one word.
+type SpilloverReason string
 
 const (
-	Offered Why = ""
-	Spent   Why = "budget"   // as many have been handed over as may be
-	Late    Why = "late"     // its time does not allow it
-	Deaf    Why = "unknown"  // nobody has said of late how it stands
-	Crowd   Why = "most"     // most of them are full
-	NoRoom  Why = "no-room"  // none of those drawn has room, or is much better off than we are
-	Backed  Why = "turned"   // those that were handed over were mostly turned away there too
-	Handed  Why = "handed"   // it was handed over to us: never by two hops, and so never in a circle
-	Leaving Why = "leaving"  // we leave: what we let go, its caller takes elsewhere
-	Unnamed Why = "no-proof" // who asks is known by his connection alone, which the other does not see
+	Allowed          SpilloverReason = ""
+	BudgetExhausted  SpilloverReason = "budget"   // as many have been handed over as may be
+	DeadlineTooClose SpilloverReason = "late"     // its time does not allow it
+	NoReports        SpilloverReason = "unknown"  // nobody has said of late how it stands
+	FleetSaturated   SpilloverReason = "most"     // most of them are full
+	NoCapacity       SpilloverReason = "no-room"  // none of those drawn has room, or is much better off than we are
+	BackingOff       SpilloverReason = "turned"   // those that were handed over were mostly turned away there too
+	AlreadyForwarded SpilloverReason = "handed"   // it was handed over to us: never by two hops, and so never in a circle
+	Draining         SpilloverReason = "leaving"  // we leave: what we let go, its caller takes elsewhere
+	NoCredentials    SpilloverReason = "no-proof" // who asks is known by his connection alone, which the other does not see
 )
 
-// Hander decides whether an op that is turned away here goes to another member, once. It goes by a chooser's words, and belongs to
+// SpilloverPolicy decides whether an op that is turned away here goes to another member, once. It goes by a chooser's words, and belongs to
 // its goroutine.
-type Hander struct {
-	told    HandTold
-	c       *Chooser
-	saved   float64
-	kept    float64 // of those handed over, fading: taken there
-	back    float64 // and turned away
-	touched time.Duration
-	rests   time.Duration
-	looked  time.Duration // when the full ones were counted
-	known   int
-	full    int
-	began   bool
+type SpilloverPolicy struct {
+	config          SpilloverConfig
+	balancer        *Balancer
+	budget          float64
+	succeeded       float64 // of those handed over, fading: taken there
+	rejected        float64 // and turned away
+	decayedAt       time.Duration
+	backoffUntil    time.Duration
+	saturationAt    time.Duration // when the full ones were counted
+	reportingCount  int
+	saturatedCount  int
+	saturationKnown bool
 }
 
-// NewHander makes one that goes by a chooser's words.
-func NewHander(told HandTold, c *Chooser) *Hander {
-	return &Hander{told: told, c: c, saved: told.Saved}
+// NewSpilloverPolicy makes one that goes by a chooser's words.
+func NewSpilloverPolicy(config SpilloverConfig, balancer *Balancer) *SpilloverPolicy {
+	return &SpilloverPolicy{config: config, balancer: balancer, budget: config.BudgetBurst}
 }
 
-// Retell takes values that were told anew.
-func (h *Hander) Retell(told HandTold) { h.told, h.saved = told, min(h.saved, told.Saved) }
+// SetConfig takes values that were told anew.
+func (h *SpilloverPolicy) SetConfig(config SpilloverConfig) {
+	h.config, h.budget = config, min(h.budget, config.BudgetBurst)
+}
 
-// Came notes that an op came here.
-func (h *Hander) Came() { h.saved = min(h.told.Saved, h.saved+h.told.Share) }
+// RecordArrival notes that an op came here.
+func (h *SpilloverPolicy) RecordArrival() {
+	h.budget = min(h.config.BudgetBurst, h.budget+h.config.BudgetRatio)
+}
 
-// firstTakes is what an op is taken to take elsewhere before one came back.
-const firstTakes = 100 * time.Millisecond
+// initialLatency is what an op is taken to take elsewhere before one came back.
+const initialLatency = 100 * time.Millisecond
 
-// Offer tells whom an op that is turned away here goes to: one of a few drawn by their shares who has room and is far better off. left is the
+// Pick tells whom an op that is turned away here goes to: one of a few drawn by their shares who has room and is far better off. left is the
 // time that it still has, own our load in ops a core.
-func (h *Hander) Offer(now, left time.Duration, own float64, chance func() float64) (place int, why Why) {
-	takes := firstTakes
-	if h.c.usual > 0 {
-		takes = time.Duration(h.c.usual * float64(time.Second))
+func (h *SpilloverPolicy) Pick(now, remaining time.Duration, ownLoad float64, random func() float64) (index int, reason SpilloverReason) {
+	latency := initialLatency
+	if h.balancer.meanLatency > 0 {
+		latency = time.Duration(h.balancer.meanLatency * float64(time.Second))
 	}
 	switch {
-	case h.saved < 1:
-		return 0, Spent
-	case now < h.rests:
-		return 0, Backed
-	case left < 2*takes: // twice: what takes as long as usual here comes too late there
-		return 0, Late
-	case h.c.Len() == 0:
-		return 0, Deaf
+	case h.budget < 1:
+		return 0, BudgetExhausted
+	case now < h.backoffUntil:
+		return 0, BackingOff
+	case remaining < 2*latency: // twice: what takes as long as usual here comes too late there
+		return 0, DeadlineTooClose
+	case h.balancer.Len() == 0:
+		return 0, NoReports
 	}
-	h.count(now)
+	h.refreshSaturation(now)
 	switch {
-	case h.known == 0:
-		return 0, Deaf
-	case float64(h.full) > h.told.Most*float64(h.known):
-		return 0, Crowd
+	case h.reportingCount == 0:
+		return 0, NoReports
+	case float64(h.saturatedCount) > h.config.MaxSaturatedFraction*float64(h.reportingCount):
+		return 0, FleetSaturated
 	}
-	if h.c.stale && now-h.c.weighed >= rests || h.c.weighed == 0 && h.c.stale {
-		h.c.weigh(now)
+	if h.balancer.weightsStale && now-h.balancer.weightsAt >= weightsMaxAge || h.balancer.weightsAt == 0 && h.balancer.weightsStale {
+		h.balancer.recomputeWeights(now)
 	}
-	h.c.picks++
-	best, least := -1, math.Inf(1)
-	consider := func(m *member) {
-		if m == nil || m.gone || m.ill || m.Doubted || !h.fresh(now, m) || !h.c.allowed(now, m, chance) {
+	h.balancer.pickCount++
+	best, leastLoad := -1, math.Inf(1)
+	consider := func(state *endpointState) {
+		if state == nil || state.removed || state.outlier || state.Suspect || !h.hasRecentReport(now, state) || !h.balancer.slowStartAllows(now, state, random) {
 			return
 		}
 		// Danger: what we know is old and others hand over too: what it would have with this op counts, and half of our own load is the
 		// least that a hop is worth. A word fades over its time and not, as a relay's, over an op's: few ops are handed over, so an idle
 		// member stays so for longer.
-		left := math.Exp2(-float64(now-m.at) / float64(h.told.Fresh))
-		if est := h.c.mean + (m.load-h.c.mean)*left + m.sent + 1/m.Capacity; est < least && est < h.told.Full && est <= own/2 {
-			best, least = m.place, est
+		remaining := math.Exp2(-float64(now-state.reportedAt) / float64(h.config.ReportMaxAge))
+		if load := h.balancer.meanLoad + (state.reportedLoad-h.balancer.meanLoad)*remaining + state.startedSinceReport + 1/state.Capacity; load < leastLoad && load < h.config.SaturatedLoad && load <= ownLoad/2 {
+			best, leastLoad = state.index, load
 		}
 	}
-	for _, m := range h.c.fresh {
-		consider(m)
+	for _, state := range h.balancer.probePool {
+		consider(state)
 	}
-	total := h.c.sums[len(h.c.sums)-1]
-	for range h.c.told.Choices {
-		consider(h.c.all[h.c.draw(chance()*total)])
+	total := h.balancer.cumulativeWeights[len(h.balancer.cumulativeWeights)-1]
+	for range h.balancer.config.ChoiceCount {
+		consider(h.balancer.endpoints[h.balancer.drawByWeight(random()*total)])
 	}
 	if best < 0 {
-		return 0, NoRoom
+		return 0, NoCapacity
 	}
-	h.saved--
-	return best, Offered
+	h.budget--
+	return best, Allowed
 }
 
-func (h *Hander) fresh(now time.Duration, m *member) bool { return m.known && now-m.at <= h.told.Fresh }
+func (h *SpilloverPolicy) hasRecentReport(now time.Duration, state *endpointState) bool {
+	return state.hasReport && now-state.reportedAt <= h.config.ReportMaxAge
+}
 
-// count counts the full ones among those whose words are fresh, a few times a second.
-func (h *Hander) count(now time.Duration) {
-	if h.began && now-h.looked < 50*time.Millisecond {
+// refreshSaturation counts the full ones among those whose words are fresh, a few times a second.
+func (h *SpilloverPolicy) refreshSaturation(now time.Duration) {
+	if h.saturationKnown && now-h.saturationAt < 50*time.Millisecond {
 		return
 	}
-	h.began, h.looked, h.known, h.full = true, now, 0, 0
-	for _, m := range h.c.all {
-		if h.fresh(now, m) {
-			h.known++
-			if m.load >= h.told.Full { // its word, not what we make of it: one that we send much to is not full by that
-				h.full++
+	h.saturationKnown, h.saturationAt, h.reportingCount, h.saturatedCount = true, now, 0, 0
+	for _, state := range h.balancer.endpoints {
+		if h.hasRecentReport(now, state) {
+			h.reportingCount++
+			if state.reportedLoad >= h.config.SaturatedLoad { // its word, not what we make of it: one that we send much to is not full by that
+				h.saturatedCount++
 			}
 		}
 	}
 }
 
-// Ended notes what became of one that was handed over. Where they are mostly turned away as well, none is handed over for a while.
-func (h *Hander) Ended(now time.Duration, what Outcome) {
-	left := math.Exp2(-float64(now-h.touched) / float64(h.c.told.Memory))
-	h.kept, h.back, h.touched = h.kept*left, h.back*left, now
-	if what == Served {
-		h.kept++
+// RecordOutcome notes what became of one that was handed over. Where they are mostly turned away as well, none is handed over for a while.
+func (h *SpilloverPolicy) RecordOutcome(now time.Duration, outcome Outcome) {
+	remaining := math.Exp2(-float64(now-h.decayedAt) / float64(h.balancer.config.OutcomeHalfLife))
+	h.succeeded, h.rejected, h.decayedAt = h.succeeded*remaining, h.rejected*remaining, now
+	if outcome == Succeeded {
+		h.succeeded++
 	} else {
-		h.back++
+		h.rejected++
 	}
-	const few = 3 // of a hand over's bad luck
-	if h.back >= few && h.back > h.kept {
-		h.rests = now + time.Second
-		h.back /= 2 // after the rest a few are tried before it rests again
+	const minRejections = 3 // of a hand over's bad luck
+	if h.rejected >= minRejections && h.rejected > h.succeeded {
+		h.backoffUntil = now + time.Second
+		h.rejected /= 2 // after the rest a few are tried before it rests again
 	}
 }
--- a/internal/spread/hand_test.go
+++ b/internal/spread/hand_test.go
@@ -9,61 +9,61 @@
 
 // What keeps an op here, one after the other: nobody's word, too little time, most are full, none has room or is much better off; the budget;
 // and where those that were handed over are turned away as well, a rest. A drawn member with room gets it.
-func Example_hand() {
-	told := UsualHand()
-	told.Saved = 3
-	c := one(Usual(), of(4))
-	h := NewHander(told, c)
-	chance := rand.New(rand.NewPCG(1, 1)).Float64
+func Example_spillover() {
+	config := DefaultSpilloverConfig()
+	config.BudgetBurst = 3
+	c := newBalancer(DefaultConfig(), makeEndpoints(4))
+	h := NewSpilloverPolicy(config, c)
+	random := rand.New(rand.NewPCG(1, 1)).Float64
 	now := 10 * s
 	offer := func(left time.Duration, own float64) {
-		i, why := h.Offer(now, left, own, chance)
-		if why == Offered {
-			c.Sent(now, i)
-			fmt.Println("to", c.At(i))
+		i, why := h.Pick(now, left, own, random)
+		if why == Allowed {
+			c.RecordStart(now, i)
+			fmt.Println("to", c.NameAt(i))
 		} else {
 			fmt.Println(why)
 		}
 	}
 	offer(s, 9)
 	for i, load := range []float64{8, 8, 8, 0} { // of two cores each
-		c.Told(now, i, load, 0)
+		c.RecordReport(now, i, load, 0)
 	}
-	h.looked = 0
+	h.saturationAt = 0
 	offer(50*time.Millisecond, 9)
 	offer(s, 9)
 	now += 100 * time.Millisecond
-	c.Told(now, 2, 1, 0)
+	c.RecordReport(now, 2, 1, 0)
 	offer(s, 0.5)
 	offer(s, 9)
-	h.saved = 0.3
+	h.budget = 0.3
 	offer(s, 9)
 	for range 4 {
-		h.Came()
+		h.RecordArrival()
 	}
 	offer(s, 9)
 	now += 5 * s
 	for i := range 4 {
-		c.Told(now, i, 0, 2*s)
+		c.RecordReport(now, i, 0, 2*s)
 	}
-	h.saved = 3
+	h.budget = 3
 	offer(s, 9)
 	for i := range 4 {
-		c.Told(now, i, 0, 0)
+		c.RecordReport(now, i, 0, 0)
 	}
 	now += 60 * time.Millisecond
 	for i := range 3 { // idle, as they said too long ago; the one of whom that is fresh has no room
-		c.all[i].at = now - 2*s
+		c.endpoints[i].reportedAt = now - 2*s
 	}
-	c.Told(now, 3, 3, 0)
+	c.RecordReport(now, 3, 3, 0)
 	offer(s, 9)
 	for range 3 {
-		h.Ended(now, Refused)
+		h.RecordOutcome(now, Rejected)
 	}
 	offer(s, 9)
 	now += s
 	for i := range 4 {
-		c.Told(now, i, 0, 0)
+		c.RecordReport(now, i, 0, 0)
 	}
 	offer(s, 9)
 	// Output:
@@ -82,21 +82,21 @@
 
 // In simulated time: 60 instances that hold six ops each, a fifth of which gets three times what the others get. Those hand over what they would turn away.
 // With all of them full nothing much is handed over, and no more is turned away than without.
-func TestHand(t *testing.T) {
-	play := func(use float64, hands bool, told HandTold) (refused, handed, back float64) {
-		f := &fleet{chance: rand.New(rand.NewPCG(3, 2)), mean: 0.05, began: 2}
+func TestSpillover(t *testing.T) {
+	play := func(use float64, hands bool, config SpilloverConfig) (refused, handed, back float64) {
+		f := &simulatedFleet{chance: rand.New(rand.NewPCG(3, 2)), mean: 0.05, countFrom: 2}
 		const n, bound = 60, 6
-		var list []Member
+		var list []Endpoint
 		for i := range n {
-			f.members = append(f.members, &server{cores: 2, speed: 1})
-			list = append(list, Member{Name: Name(fmt.Sprint("m", i)), Capacity: 2})
+			f.members = append(f.members, &simulatedServer{cores: 2, speed: 1})
+			list = append(list, Endpoint{Name: EndpointName(fmt.Sprint("m", i)), Capacity: 2})
 		}
 		came, no, over, again := 0.0, 0.0, 0.0, 0.0
 		for i := range n {
-			c := New(Usual())
-			c.Set(0, append(append([]Member{}, list[:i]...), list[i+1:]...))
-			h := NewHander(told, c)
-			chance := f.chance.Float64
+			c := New(DefaultConfig())
+			c.SetEndpoints(0, append(append([]Endpoint{}, list[:i]...), list[i+1:]...))
+			h := NewSpilloverPolicy(config, c)
+			random := f.chance.Float64
 			rate := use * 2 / f.mean * 5 / 7
 			if i%5 == 0 {
 				rate *= 3
@@ -108,11 +108,11 @@
 				return p
 			}
 			ask := func() {
-				if q, ok := c.Ask(dur(f.now), chance); ok {
-					name, load := c.At(q), f.members[place(q)].word(f.now)
-					f.after(0.002, func() {
-						if q, known := c.Place(name); known {
-							c.Asked(dur(f.now), q, load, time.Millisecond)
+				if q, ok := c.PickProbe(duration(f.now), random); ok {
+					name, load := c.NameAt(q), f.members[place(q)].reportedLoad(f.now)
+					f.schedule(0.002, func() {
+						if q, known := c.IndexOf(name); known {
+							c.RecordProbe(duration(f.now), q, load, time.Millisecond)
 						}
 					})
 				}
@@ -123,35 +123,35 @@
 					ask()
 					ask()
 				}
-				f.after(0.05, look)
+				f.schedule(0.05, look)
 			}
 			op = func() {
-				f.after(f.chance.ExpFloat64()/rate, op)
+				f.schedule(f.chance.ExpFloat64()/rate, op)
 				came++
-				h.Came()
+				h.RecordArrival()
 				own := f.members[i]
 				if own.load() < bound {
-					f.do(own, func(Outcome) {})
+					f.serve(own, func(Outcome) {})
 					return
 				}
 				if hands {
 					ask()
-					if p, why := h.Offer(dur(f.now), s, own.load()/2, chance); why == Offered {
+					if p, why := h.Pick(duration(f.now), s, own.load()/2, random); why == Allowed {
 						over++
 						began := f.now
-						name := c.At(p)
-						c.Sent(dur(f.now), p)
-						f.after(0.001, func() {
+						name := c.NameAt(p)
+						c.RecordStart(duration(f.now), p)
+						f.schedule(0.001, func() {
 							if f.members[place(p)].load() >= bound {
 								again++
 								no++
-								c.Ended(dur(f.now), name, Refused, 0)
-								h.Ended(dur(f.now), Refused)
+								c.RecordOutcome(duration(f.now), name, Rejected, 0)
+								h.RecordOutcome(duration(f.now), Rejected)
 								return
 							}
-							f.do(f.members[place(p)], func(Outcome) {
-								c.Ended(dur(f.now), name, Served, dur(f.now-began))
-								h.Ended(dur(f.now), Served)
+							f.serve(f.members[place(p)], func(Outcome) {
+								c.RecordOutcome(duration(f.now), name, Succeeded, duration(f.now-began))
+								h.RecordOutcome(duration(f.now), Succeeded)
 							})
 						})
 						return
@@ -159,33 +159,33 @@
 				}
 				no++
 			}
-			f.after(f.chance.Float64()*0.05, look)
-			f.after(f.chance.ExpFloat64()/rate, op)
+			f.schedule(f.chance.Float64()*0.05, look)
+			f.schedule(f.chance.ExpFloat64()/rate, op)
 		}
 		f.run(20)
 		return no / came, over / came, again / max(1, over)
 	}
-	told := UsualHand()
-	told.Share, told.Saved = 0.5, 50
-	alone, _, _ := play(0.7, false, told)
-	with, handed, back := play(0.7, true, told)
+	config := DefaultSpilloverConfig()
+	config.BudgetRatio, config.BudgetBurst = 0.5, 50
+	alone, _, _ := play(0.7, false, config)
+	with, handed, back := play(0.7, true, config)
 	t.Logf("uneven: refused %.4f alone, %.4f with hand-over of %.4f, of which %.3f were turned away", alone, with, handed, back)
 	if with > 0.2*alone || back > 0.05 {
 		t.Error("it does not help")
 	}
-	budget, much, _ := play(0.7, true, UsualHand())
+	budget, much, _ := play(0.7, true, DefaultSpilloverConfig())
 	t.Logf("  by the usual budget: refused %.4f, handed over %.4f", budget, much)
-	if budget > 0.9*alone || much > UsualHand().Share {
+	if budget > 0.9*alone || much > DefaultSpilloverConfig().BudgetRatio {
 		t.Error("the budget")
 	}
-	alone, _, _ = play(1.6, false, told)
-	with, handed, back = play(1.6, true, told)
+	alone, _, _ = play(1.6, false, config)
+	with, handed, back = play(1.6, true, config)
 	t.Logf("all full: refused %.4f alone, %.4f with hand-over of %.4f, of which %.3f were turned away", alone, with, handed, back)
 	if handed > 0.02 || with > 1.02*alone {
 		t.Error("handing over is the overload")
 	}
-	blind := told
-	blind.Most, blind.Full = 1, 1000
+	blind := config
+	blind.MaxSaturatedFraction, blind.SaturatedLoad = 1, 1000
 	_, handed, back = play(1.6, true, blind)
 	t.Logf("  without looking who is full: handed over %.4f, of which %.3f were turned away", handed, back)
 }
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -10,532 +10,537 @@
 	"time"
 )
 
-// Name is what a member is called.
-type Name string
-
-// Member is one that ops may be given to, as the fleet's view has it.
-type Member struct {
-	Name     Name
-	Zone     string
-	Capacity float64       // told, in cores
-	Cold     time.Duration // how long it still has to its full pace
-	Warm     time.Duration // how long that takes in all
-	Doubted  bool          // here by some, not by all: it gets what nobody else can take
+// EndpointName is what a member is called.
+type EndpointName string
+
+// Endpoint is one that ops may be given to, as the fleet's view has it.
+type Endpoint struct {
+	Name            EndpointName
+	Zone            string
+	Capacity        float64       // told, in cores
+	WarmUpRemaining time.Duration // how long it still has to its full pace
+	WarmUp          time.Duration // how long that takes in all
+	Suspect         bool          // here by some, not by all: it gets what nobody else can take
 }
 
 // Outcome is what became of an op that was given to a member.
 type Outcome uint8
 
 const (
-	Served  Outcome = iota
-	Refused         // nacked: it never ran
-	Failed          // it may have run
-	Lost            // no answer, or the connection ended
+	Succeeded  Outcome = iota
+	Rejected           // nacked: it never ran
+	Failed             // it may have run
+	NoResponse         // no answer, or the connection ended
 )
 
-// Told is what the decisions go by.
-type Told struct {
-	Way      Way           // how one is picked; Informed unless told
-	Zone     string        // our own; empty: zones don't matter
-	Choices  int           // how many members are weighed against each other for one op
-	Fades    time.Duration // in which what is known of a member's load is worth half: others go by the same word. 0: the time that an op takes
-	Believed time.Duration // how long it is worth anything
-	Near     float64       // share of a zone's capacity in use under which everything stays in it
-	Trickle  float64       // of its usual share that a bad member keeps, to find out when it is well
-	Out      float64       // most of the members that our own judgement may hold to be bad
-	Memory   time.Duration // in which what a member did counts for half
-	Retry    float64       // second tries for each first one
-	Burst    float64       // of them that may be saved up
+// Config is what the decisions go by.
+type Config struct {
+	Policy               Policy        // how one is picked; Informed unless told
+	LocalZone            string        // our own; empty: zones don't matter
+	ChoiceCount          int           // how many members are weighed against each other for one op
+	LoadHalfLife         time.Duration // in which what is known of a member's load is worth half: others go by the same word. 0: the time that an op takes
+	LoadMaxAge           time.Duration // how long it is worth anything
+	LocalZoneUtilization float64       // share of a zone's capacity in use under which everything stays in it
+	OutlierWeight        float64       // of its usual share that a bad member keeps, to find out when it is well
+	MaxOutlierFraction   float64       // most of the members that our own judgement may hold to be bad
+	OutcomeHalfLife      time.Duration // in which what a member did counts for half
+	RetryRatio           float64       // second tries for each first one
+	RetryBurst           float64       // of them that may be saved up
 }
 
-// Usual is what holds without being told; docs/spread.md has the measurements behind each.
-func Usual() Told {
-	return Told{Choices: 3, Believed: 5 * time.Second, Near: 0.7, Trickle: 0.02, Out: 0.3, Memory: 5 * time.Second,
-		Retry: 0.1, Burst: 10}
+// DefaultConfig is what holds without being told; docs/spread.md has the measurements behind each.
+func DefaultConfig() Config {
+	return Config{ChoiceCount: 3, LoadMaxAge: 5 * time.Second, LocalZoneUtilization: 0.7, OutlierWeight: 0.02, MaxOutlierFraction: 0.3, OutcomeHalfLife: 5 * time.Second,
+		RetryRatio: 0.1, RetryBurst: 10}
 }
 
-// member is what a chooser keeps of one.
-type member struct {
-	Member
-	set     time.Duration // when Cold was told
-	open    int           // of our own ops there
-	load    float64       // ops in hand a core, as it last said
-	at      time.Duration // when that was so
-	known   bool
-	sent    float64 // of ours since then, a core
-	good    float64 // what became of ours, fading with Memory: served, and not
-	bad     float64
-	row     int           // failures in a row
-	rests   time.Duration // until when a bad one gets nothing at all
-	well    time.Duration // since when one that was bad serves again, 0 if it never was
-	ill     bool          // held to be bad, as last weighed
-	took    float64       // s that its served ones took, on average
-	touched time.Duration
-	weight  float64 // its share, all told
-	place   int
-	gone    bool
-	credit  float64 // ops that a cold one may be given by us; see allowed
-	counted float64 // picks that are in it
-	phased  bool    // it has begun
+// endpointState is what a chooser keeps of one.
+type endpointState struct {
+	Endpoint
+	updatedAt           time.Duration // when Cold was told
+	outstanding         int           // of our own ops there
+	reportedLoad        float64       // ops in hand a core, as it last said
+	reportedAt          time.Duration // when that was so
+	hasReport           bool
+	startedSinceReport  float64 // of ours since then, a core
+	successes           float64 // what became of ours, fading with Memory: served, and not
+	failures            float64
+	consecutiveFailures int           // failures in a row
+	ejectedUntil        time.Duration // until when a bad one gets nothing at all
+	recoveredAt         time.Duration // since when one that was bad serves again, 0 if it never was
+	outlier             bool          // held to be bad, as last weighed
+	meanLatency         float64       // s that its served ones took, on average
+	lastOutcomeAt       time.Duration
+	weight              float64 // its share, all told
+	index               int
+	removed             bool
+	slowStartCredit     float64 // ops that a cold one may be given by us; see allowed
+	creditedPicks       float64 // picks that are in it
+	slowStartBegun      bool    // it has begun
 }
 
-// Chooser gives ops to members. It belongs to one goroutine.
-type Chooser struct {
-	told    Told
-	all     []*member
-	byName  map[Name]int
-	sums    []float64 // of the weights, running
-	weighed time.Duration
-	stale   bool
-	mean    float64 // load of those that are known, a core
-	zones   map[string]*zone
-	tries   float64 // second tries that are left
-	fades   time.Duration
-	usual   float64 // s that a served op takes, over all members
-	bad     int     // members that look bad
-	turn    int     // of RoundRobin
-	picks   float64 // ops that were to be given to somebody
-	Panics  uint64  // times that most looked bad, and nobody was held to be
-
-	fresh  [pool]*member // who was last asked and has answered, the next to be overwritten at nextIn
-	nextIn int
+// Balancer gives ops to members. It belongs to one goroutine.
+type Balancer struct {
+	config            Config
+	endpoints         []*endpointState
+	indexByName       map[EndpointName]int
+	cumulativeWeights []float64 // of the weights, running
+	weightsAt         time.Duration
+	weightsStale      bool
+	meanLoad          float64 // load of those that are known, a core
+	zones             map[string]*zoneLoad
+	retryTokens       float64 // second tries that are left
+	loadHalfLife      time.Duration
+	meanLatency       float64 // s that a served op takes, over all members
+	outlierCount      int     // members that look bad
+	roundRobin        int     // of RoundRobin
+	pickCount         float64 // ops that were to be given to somebody
+	panicCount        uint64  // times that most looked bad, and nobody was held to be
+
+	probePool     [probePoolSize]*endpointState // who was last asked and has answered, the next to be overwritten at nextIn
+	nextProbeSlot int
 }
 
-// pool is how many fresh words are weighed for one op. Sixteen is what the Prequal paper found to be enough; more would be older.
-const pool = 16
+// probePoolSize is how many fresh words are weighed for one op. Sixteen is what the Prequal paper found to be enough; more would be older.
+const probePoolSize = 16
 
-// zone is what is believed of one zone as a whole.
-type zone struct {
-	capacity, load, room float64
-	known                int
+// zoneLoad is what is believed of one zone as a whole.
+type zoneLoad struct {
+	capacity, load, spare float64
+	reports               int
 }
 
 // New makes a chooser that knows nobody.
-func New(told Told) *Chooser {
-	return &Chooser{told: told, byName: map[Name]int{}, zones: map[string]*zone{}, tries: told.Burst, stale: true,
-		fades: cmp.Or(told.Fades, firstFades)}
+func New(config Config) *Balancer {
+	return &Balancer{config: config, indexByName: map[EndpointName]int{}, zones: map[string]*zoneLoad{}, retryTokens: config.RetryBurst, weightsStale: true,
+		loadHalfLife: cmp.Or(config.LoadHalfLife, initialLoadHalfLife)}
 }
 
-// Set takes the members as they are now; what was known of those that stay is kept. Places are found by At and hold until the next Set.
-func (c *Chooser) Set(now time.Duration, members []Member) {
-	var all []*member
-	byName := make(map[Name]int, len(members))
-	for _, m := range members {
-		var x *member
-		if i, known := c.byName[m.Name]; known {
-			x = c.all[i]
+// SetEndpoints takes the members as they are now; what was known of those that stay is kept. Places are found by At and hold until the next Set.
+func (c *Balancer) SetEndpoints(now time.Duration, endpoints []Endpoint) {
+	var states []*endpointState
+	byName := make(map[EndpointName]int, len(endpoints))
+	for _, endpoint := range endpoints {
+		var state *endpointState
+		if index, known := c.indexByName[endpoint.Name]; known {
+			state = c.endpoints[index]
 		} else {
-			x = &member{touched: now, counted: c.picks}
+			state = &endpointState{lastOutcomeAt: now, creditedPicks: c.pickCount}
 		}
-		if m.Cold > x.Cold { // it has started anew
-			x.credit, x.phased = 0, false
+		if endpoint.WarmUpRemaining > state.WarmUpRemaining { // it has started anew
+			state.slowStartCredit, state.slowStartBegun = 0, false
 		}
-		x.Member, x.set = m, now
-		x.place = len(all)
-		byName[m.Name] = x.place
-		all = append(all, x)
+		state.Endpoint, state.updatedAt = endpoint, now
+		state.index = len(states)
+		byName[endpoint.Name] = state.index
+		states = append(states, state)
 	}
-	for name, i := range c.byName {
+	for name, index := range c.indexByName {
 		if _, stays := byName[name]; !stays {
-			c.all[i].gone = true
+			c.endpoints[index].removed = true
 		}
 	}
-	c.all, c.byName, c.stale = all, byName, true
-	c.sums = slices.Grow(c.sums[:0], len(all))[:len(all)]
-	c.weigh(now)
+	c.endpoints, c.indexByName, c.weightsStale = states, byName, true
+	c.cumulativeWeights = slices.Grow(c.cumulativeWeights[:0], len(states))[:len(states)]
+	c.recomputeWeights(now)
 }
 
 // Len is how many members there are; At gives the name at a place, Place the place of a name.
-func (c *Chooser) Len() int                 { return len(c.all) }
-func (c *Chooser) At(i int) Name            { return c.all[i].Name }
-func (c *Chooser) Place(n Name) (int, bool) { i, known := c.byName[n]; return i, known }
+func (c *Balancer) Len() int                      { return len(c.endpoints) }
+func (c *Balancer) NameAt(index int) EndpointName { return c.endpoints[index].Name }
+func (c *Balancer) IndexOf(name EndpointName) (int, bool) {
+	index, known := c.indexByName[name]
+	return index, known
+}
 
-// Idle is what a member says that has nothing in hand: under 0 by how long it has waited, so that of many idle ones the one that waits longest
+// IdleLoad is what a member says that has nothing in hand: under 0 by how long it has waited, so that of many idle ones the one that waits longest
 // goes first; -1 at the most, so that it is never worth more than an op.
-func Idle(waited time.Duration) float64 { return -float64(waited) / float64(waited+time.Second) }
+func IdleLoad(idleFor time.Duration) float64 { return -float64(idleFor) / float64(idleFor+time.Second) }
 
-// Told takes a member's own word on its load, ops in hand or Idle, that was so age ago. The effect on the next choices is bounded by how
+// RecordReport takes a member's own word on its load, ops in hand or Idle, that was so age ago. The effect on the next choices is bounded by how
 // old it is, and fades, as all that heard it go by it.
-func (c *Chooser) Told(now time.Duration, i int, load float64, age time.Duration) {
-	m := c.all[i]
-	at := now - age
+func (c *Balancer) RecordReport(now time.Duration, index int, load float64, age time.Duration) {
+	state := c.endpoints[index]
+	measuredAt := now - age
 	// Danger: a member that says nonsense, always idle or older than before. What is not a load says nothing; the newest counts.
-	if math.IsNaN(load) || load < -1 || load > 1e6 || age < 0 || age > c.told.Believed || m.known && at <= m.at {
+	if math.IsNaN(load) || load < -1 || load > 1e6 || age < 0 || age > c.config.LoadMaxAge || state.hasReport && measuredAt <= state.reportedAt {
 		return
 	}
-	m.load, m.at, m.known, m.sent = load/m.Capacity, at, true, 0
-	c.stale = true
+	state.reportedLoad, state.reportedAt, state.hasReport, state.startedSinceReport = load/state.Capacity, measuredAt, true, 0
+	c.weightsStale = true
 }
 
-// Asked takes what a member says that was asked: beside Told, it is weighed against the next ops while it is fresh.
-func (c *Chooser) Asked(now time.Duration, i int, load float64, age time.Duration) {
-	c.Told(now, i, load, age)
-	m := c.all[i]
-	for _, f := range c.fresh {
-		if f == m {
+// RecordProbe takes what a member says that was asked: beside Told, it is weighed against the next ops while it is fresh.
+func (c *Balancer) RecordProbe(now time.Duration, index int, load float64, age time.Duration) {
+	c.RecordReport(now, index, load, age)
+	state := c.endpoints[index]
+	for _, probed := range c.probePool {
+		if probed == state {
 			return
 		}
 	}
-	c.fresh[c.nextIn] = m
-	c.nextIn = (c.nextIn + 1) % pool
+	c.probePool[c.nextProbeSlot] = state
+	c.nextProbeSlot = (c.nextProbeSlot + 1) % probePoolSize
 }
 
-// Sent notes that an op was given to a member.
-func (c *Chooser) Sent(now time.Duration, i int) {
-	m := c.all[i]
-	m.open++
-	m.sent += 1 / m.Capacity
-	if m.cold(now) {
-		m.credit--
+// RecordStart notes that an op was given to a member.
+func (c *Balancer) RecordStart(now time.Duration, index int) {
+	state := c.endpoints[index]
+	state.outstanding++
+	state.startedSinceReport += 1 / state.Capacity
+	if state.warmingUp(now) {
+		state.slowStartCredit--
 	}
 	// A word is used up by one op. Danger: who has little to do asks little, and would give all of it to the one it heard last.
-	for k, f := range c.fresh {
-		if f == m {
-			c.fresh[k] = nil
+	for slot, probed := range c.probePool {
+		if probed == state {
+			c.probePool[slot] = nil
 		}
 	}
-	c.tries = min(c.told.Burst, c.tries+c.told.Retry)
+	c.retryTokens = min(c.config.RetryBurst, c.retryTokens+c.config.RetryRatio)
 }
 
-// Ended notes what became of it, by name, as places may have changed meanwhile.
-func (c *Chooser) Ended(now time.Duration, n Name, what Outcome, took time.Duration) {
-	i, known := c.byName[n]
+// RecordOutcome notes what became of it, by name, as places may have changed meanwhile.
+func (c *Balancer) RecordOutcome(now time.Duration, name EndpointName, outcome Outcome, latency time.Duration) {
+	index, known := c.indexByName[name]
 	if !known {
 		return
 	}
-	m := c.all[i]
-	m.open = max(0, m.open-1)
-	m.fade(now, c.told.Memory)
-	switch what {
-	case Served:
-		m.good++
-		if m.row >= inARow {
-			m.well, m.bad = now, 0
+	state := c.endpoints[index]
+	state.outstanding = max(0, state.outstanding-1)
+	state.decayOutcomes(now, c.config.OutcomeHalfLife)
+	switch outcome {
+	case Succeeded:
+		state.successes++
+		if state.consecutiveFailures >= consecutiveFailuresLimit {
+			state.recoveredAt, state.failures = now, 0
 		}
-		m.row = 0
+		state.consecutiveFailures = 0
 		// How slow it is goes by a mean over some ops, so that one long op does not turn the load away.
-		const share = 0.1
+		const smoothing = 0.1
 		// Danger: the first op of a process that has just started takes long, and all deciders that gave it one leave it idle for seconds. Whoever is new
 		// is taken to be as quick as the others, and one op counts for a few usual ones at the most.
-		s := took.Seconds()
-		if c.usual > 0 {
-			s = min(s, mostOnce*c.usual)
+		seconds := latency.Seconds()
+		if c.meanLatency > 0 {
+			seconds = min(seconds, maxLatencyFactor*c.meanLatency)
 		}
-		if m.took == 0 {
-			m.took = s
-			if c.usual > 0 {
-				m.took = c.usual
+		if state.meanLatency == 0 {
+			state.meanLatency = seconds
+			if c.meanLatency > 0 {
+				state.meanLatency = c.meanLatency
 			}
 		}
-		m.took += share * (s - m.took)
-	case Failed, Lost:
-		m.bad++
-		m.row++
+		state.meanLatency += smoothing * (seconds - state.meanLatency)
+	case Failed, NoResponse:
+		state.failures++
+		state.consecutiveFailures++
 		// Danger: one that fails at once is free at once, and would be tried again by everybody all the time. It rests twice as long
 		// each time, up to half a minute: hundreds of deciders that each try it once in that are a few tries a second.
-		if m.row >= inARow {
-			m.rests = now + min(time.Second<<min(m.row-inARow, 5), 30*time.Second)
+		if state.consecutiveFailures >= consecutiveFailuresLimit {
+			state.ejectedUntil = now + min(time.Second<<min(state.consecutiveFailures-consecutiveFailuresLimit, 5), 30*time.Second)
 		}
-	case Refused: // it said no as it has too much: that is load, not illness. What it makes of it is bounded.
-		m.load, m.at, m.known, m.sent = min(max(2*c.mean, c.estimate(now, m))+1, 4*c.mean+4), now, true, 0
+	case Rejected: // it said no as it has too much: that is load, not illness. What it makes of it is bounded.
+		state.reportedLoad, state.reportedAt, state.hasReport, state.startedSinceReport = min(max(2*c.meanLoad, c.estimatedLoad(now, state))+1, 4*c.meanLoad+4), now, true, 0
 	}
-	c.stale = true
+	c.weightsStale = true
 }
 
-// Left notes that nobody waits any more for an op that was given to a member; that says nothing of it.
-func (c *Chooser) Left(n Name) {
-	if i, known := c.byName[n]; known {
-		c.all[i].open = max(0, c.all[i].open-1)
+// RecordCancel notes that nobody waits any more for an op that was given to a member; that says nothing of it.
+func (c *Balancer) RecordCancel(name EndpointName) {
+	if index, known := c.indexByName[name]; known {
+		c.endpoints[index].outstanding = max(0, c.endpoints[index].outstanding-1)
 	}
 }
 
-func (m *member) fade(now time.Duration, half time.Duration) {
-	left := math.Exp2(-float64(now-m.touched) / float64(half))
-	m.good, m.bad, m.touched = m.good*left, m.bad*left, now
+func (m *endpointState) decayOutcomes(now time.Duration, halfLife time.Duration) {
+	remaining := math.Exp2(-float64(now-m.lastOutcomeAt) / float64(halfLife))
+	m.successes, m.failures, m.lastOutcomeAt = m.successes*remaining, m.failures*remaining, now
 }
 
-// Second asks whether a second try is within the budget, and takes it off. Danger: when all are full, each op that is tried twice
+// takeRetry asks whether a second try is within the budget, and takes it off. Danger: when all are full, each op that is tried twice
 // makes them fuller, and layers that each try again multiply each other; so an op that is a repeat already gets none.
-func (c *Chooser) Second(repeat bool) bool {
-	if repeat || c.tries < 1 {
+func (c *Balancer) takeRetry(forwarded bool) bool {
+	if forwarded || c.retryTokens < 1 {
 		return false
 	}
-	c.tries--
+	c.retryTokens--
 	return true
 }
 
-// estimate is the load of a member as it is likely to be by now: what it said, drawn towards the mean by the time that has gone, as
+// estimatedLoad is the load of a member as it is likely to be by now: what it said, drawn towards the mean by the time that has gone, as
 // all others choose by the like; and what we ourselves have sent since.
-func (c *Chooser) estimate(now time.Duration, m *member) float64 {
-	if !m.known || now-m.at > c.told.Believed {
-		return c.mean + float64(m.open)/m.Capacity
+func (c *Balancer) estimatedLoad(now time.Duration, state *endpointState) float64 {
+	if !state.hasReport || now-state.reportedAt > c.config.LoadMaxAge {
+		return c.meanLoad + float64(state.outstanding)/state.Capacity
 	}
-	left := math.Exp2(-float64(now-m.at) / float64(c.fades))
-	load := m.load
+	remaining := math.Exp2(-float64(now-state.reportedAt) / float64(c.loadHalfLife))
+	load := state.reportedLoad
 	// Danger: one that says nonsense, always idle. Own evidence goes before hearsay: where our ops take long, it is not idle.
-	if slow := c.slowness(now, m); load < c.mean && slow > slowAt {
-		load = c.mean + (slow-1)*max(c.mean, 1)
+	if slowdown := c.relativeLatency(now, state); load < c.meanLoad && slowdown > slowLatencyFactor {
+		load = c.meanLoad + (slowdown-1)*max(c.meanLoad, 1)
 	}
-	return c.mean + (load-c.mean)*left + m.sent
+	return c.meanLoad + (load-c.meanLoad)*remaining + state.startedSinceReport
 }
 
 // A load moves as fast as ops come and go: a word is worth half after the time that one takes. Before any is known, a tenth of a second; never less
 // than a round trip, nor longer than a second, in which hundreds that go by one word have long made it wrong.
-const firstFades, leastFades, mostFades = 100 * time.Millisecond, 10 * time.Millisecond, time.Second
+const initialLoadHalfLife, minLoadHalfLife, maxLoadHalfLife = 100 * time.Millisecond, 10 * time.Millisecond, time.Second
 
-// rests is how long weights hold, unless members change: what they go by moves slower.
-const rests = 100 * time.Millisecond
+// weightsMaxAge is how long weights hold, unless members change: what they go by moves slower.
+const weightsMaxAge = 100 * time.Millisecond
 
-// weigh works out the members' shares.
-func (c *Chooser) weigh(now time.Duration) {
-	c.weighed, c.stale = now, false
+// recomputeWeights works out the members' shares.
+func (c *Balancer) recomputeWeights(now time.Duration) {
+	c.weightsAt, c.weightsStale = now, false
 	// The mean load, and the zones', by those that are known.
 	clear(c.zones)
-	sum, n, took, tooks := 0.0, 0.0, 0.0, 0.0
-	for _, m := range c.all {
-		z := c.zones[m.Zone]
-		if z == nil {
-			z = &zone{}
-			c.zones[m.Zone] = z
+	loadSum, capacitySum, latencySum, latencyCount := 0.0, 0.0, 0.0, 0.0
+	for _, state := range c.endpoints {
+		zone := c.zones[state.Zone]
+		if zone == nil {
+			zone = &zoneLoad{}
+			c.zones[state.Zone] = zone
 		}
-		z.capacity += m.Capacity
-		if m.known && now-m.at <= c.told.Believed {
-			sum += m.load * m.Capacity
-			n += m.Capacity
-			z.load += m.load * m.Capacity
-			z.known++
+		zone.capacity += state.Capacity
+		if state.hasReport && now-state.reportedAt <= c.config.LoadMaxAge {
+			loadSum += state.reportedLoad * state.Capacity
+			capacitySum += state.Capacity
+			zone.load += state.reportedLoad * state.Capacity
+			zone.reports++
 		}
-		if m.took > 0 {
-			took += m.took
-			tooks++
+		if state.meanLatency > 0 {
+			latencySum += state.meanLatency
+			latencyCount++
 		}
 	}
-	c.mean = 0
-	if n > 0 {
-		c.mean = sum / n
+	c.meanLoad = 0
+	if capacitySum > 0 {
+		c.meanLoad = loadSum / capacitySum
 	}
-	usual := 0.0
-	if tooks > 0 {
-		usual = took / tooks
+	meanLatency := 0.0
+	if latencyCount > 0 {
+		meanLatency = latencySum / latencyCount
 	}
-	c.usual = usual
-	if c.told.Fades == 0 && usual > 0 {
+	c.meanLatency = meanLatency
+	if c.config.LoadHalfLife == 0 && meanLatency > 0 {
 		// Where cores stand idle a member's load changes less often than an op takes, by how seldom it gets one.
-		thin := min(25, max(1, 0.5/max(c.mean, 0.02)))
-		c.fades = min(max(time.Duration(thin*usual*float64(time.Second)), leastFades), mostFades)
+		sparseLoadFactor := min(25, max(1, 0.5/max(c.meanLoad, 0.02)))
+		c.loadHalfLife = min(max(time.Duration(sparseLoadFactor*meanLatency*float64(time.Second)), minLoadHalfLife), maxLoadHalfLife)
 	}
 	// How many look bad. When most do, it is our own judgement that is wrong, or what all of them depend on: then nobody is held to be.
-	c.bad = 0
-	for _, m := range c.all {
-		if c.looksBad(now, m) {
-			c.bad++
+	c.outlierCount = 0
+	for _, state := range c.endpoints {
+		if c.isOutlier(now, state) {
+			c.outlierCount++
 		}
 	}
-	held := true
-	if float64(c.bad) > c.told.Out*float64(len(c.all)) {
-		held = false
-		c.Panics++
+	ejecting := true
+	if float64(c.outlierCount) > c.config.MaxOutlierFraction*float64(len(c.endpoints)) {
+		ejecting = false
+		c.panicCount++
 	}
-	near := c.nearShare()
+	zoneWeight := c.zoneWeights()
 	total := 0.0
-	for i, m := range c.all {
-		w := m.Capacity
-		if m.cold(now) {
-			left := max(0, m.Cold-(now-m.set))
+	for index, state := range c.endpoints {
+		weight := state.Capacity
+		if state.warmingUp(now) {
+			remaining := max(0, state.WarmUpRemaining-(now-state.updatedAt))
 			// From a tenth on, straight up: a process that gets nothing is never warm.
-			w *= 0.1 + 0.9*(1-float64(left)/float64(m.Warm))
+			weight *= 0.1 + 0.9*(1-float64(remaining)/float64(state.WarmUp))
 		}
-		if m.well > 0 && now-m.well < c.told.Memory { // it is not flooded when it is well
-			w *= 0.1 + 0.9*float64(now-m.well)/float64(c.told.Memory)
+		if state.recoveredAt > 0 && now-state.recoveredAt < c.config.OutcomeHalfLife { // it is not flooded when it is well
+			weight *= 0.1 + 0.9*float64(now-state.recoveredAt)/float64(c.config.OutcomeHalfLife)
 		}
-		if m.ill = held && c.looksBad(now, m); held {
+		if state.outlier = ejecting && c.isOutlier(now, state); ejecting {
 			switch {
-			case m.ill && now < m.rests:
-				w = 0
-			case m.ill:
-				w *= c.told.Trickle
-			case c.slowness(now, m) > slowAt: // a slow one loses in proportion
-				w *= max(c.told.Trickle, 1/c.slowness(now, m))
+			case state.outlier && now < state.ejectedUntil:
+				weight = 0
+			case state.outlier:
+				weight *= c.config.OutlierWeight
+			case c.relativeLatency(now, state) > slowLatencyFactor: // a slow one loses in proportion
+				weight *= max(c.config.OutlierWeight, 1/c.relativeLatency(now, state))
 			}
 		}
-		if m.Doubted {
-			w *= c.told.Trickle
+		if state.Suspect {
+			weight *= c.config.OutlierWeight
 		}
-		w *= near(m.Zone)
-		m.weight = w
-		total += w
-		c.sums[i] = total
+		weight *= zoneWeight(state.Zone)
+		state.weight = weight
+		total += weight
+		c.cumulativeWeights[index] = total
 	}
 }
 
-// cold tells whether a member is not at its full pace yet.
-func (m *member) cold(now time.Duration) bool { return m.Warm > 0 && m.Cold > now-m.set }
+// warmingUp tells whether a member is not at its full pace yet.
+func (m *endpointState) warmingUp(now time.Duration) bool {
+	return m.WarmUp > 0 && m.WarmUpRemaining > now-m.updatedAt
+}
 
-// ramp is how much of its drawn share a cold member gets: the sum over all senders then stays under what it bears, where shares are uneven too.
-const ramp = 0.75
+// slowStartShare is how much of its drawn share a cold member gets: the sum over all senders then stays under what it bears, where shares are uneven too.
+const slowStartShare = 0.75
 
-// allowed tells whether a cold member may be given an op now. Danger: it has little to do, so of a few that are drawn it is the least loaded one each
+// slowStartAllows tells whether a cold member may be given an op now. Danger: it has little to do, so of a few that are drawn it is the least loaded one each
 // time, for every process that decides, and gets several times what it was drawn for from all of them together. Each gives it no more than its
 // part of its own ops; that is its part of the fleet's, however many others send and whether they are known or not. Each begins somewhere
 // between two ops: else hundreds would give it their first one together.
-func (c *Chooser) allowed(now time.Duration, m *member, chance func() float64) bool {
-	if !m.cold(now) {
+func (c *Balancer) slowStartAllows(now time.Duration, state *endpointState, random func() float64) bool {
+	if !state.warmingUp(now) {
 		return true
 	}
-	if !m.phased {
-		m.phased, m.credit, m.counted = true, -chance(), c.picks
+	if !state.slowStartBegun {
+		state.slowStartBegun, state.slowStartCredit, state.creditedPicks = true, -random(), c.pickCount
 	}
-	if total := c.sums[len(c.sums)-1]; total > 0 { // else all of them rest, and nobody has a share
-		m.credit = min(1, m.credit+(c.picks-m.counted)*ramp*m.weight/total)
+	if total := c.cumulativeWeights[len(c.cumulativeWeights)-1]; total > 0 { // else all of them rest, and nobody has a share
+		state.slowStartCredit = min(1, state.slowStartCredit+(c.pickCount-state.creditedPicks)*slowStartShare*state.weight/total)
 	}
-	m.counted = c.picks
-	return m.credit >= 0
+	state.creditedPicks = c.pickCount
+	return state.slowStartCredit >= 0
 }
 
-// mostOnce is how many usual ops one that took long counts for: with it alone a member is not slow, with two it is.
-const mostOnce = 5
+// maxLatencyFactor is how many usual ops one that took long counts for: with it alone a member is not slow, with two it is.
+const maxLatencyFactor = 5
 
-// slowAt is from where on a member is slow against the others: half as slow again may be chance.
-const slowAt = 1.5
+// slowLatencyFactor is from where on a member is slow against the others: half as slow again may be chance.
+const slowLatencyFactor = 1.5
 
-// slowness is how much longer our ops take at a member than usual. It fades while none comes back from there. Danger: one that is
+// relativeLatency is how much longer our ops take at a member than usual. It fades while none comes back from there. Danger: one that is
 // held to be slow gets nothing, and nothing shows that it is well.
-func (c *Chooser) slowness(now time.Duration, m *member) float64 {
-	if c.usual <= 0 || m.took <= 0 {
+func (c *Balancer) relativeLatency(now time.Duration, state *endpointState) float64 {
+	if c.meanLatency <= 0 || state.meanLatency <= 0 {
 		return 1
 	}
-	return 1 + (m.took/c.usual-1)*math.Exp2(-float64(now-m.touched)/float64(c.told.Memory/4))
+	return 1 + (state.meanLatency/c.meanLatency-1)*math.Exp2(-float64(now-state.lastOutcomeAt)/float64(c.config.OutcomeHalfLife/4))
 }
 
-// inARow is how many failures in a row make a member look bad, without one served between.
-const inARow = 2
+// consecutiveFailuresLimit is how many failures in a row make a member look bad, without one served between.
+const consecutiveFailuresLimit = 2
 
-// looksBad tells whether a member fails more than it serves, by more than a few ops, or in a row.
-func (c *Chooser) looksBad(now time.Duration, m *member) bool {
-	if m.row >= inARow {
+// isOutlier tells whether a member fails more than it serves, by more than a few ops, or in a row.
+func (c *Balancer) isOutlier(now time.Duration, state *endpointState) bool {
+	if state.consecutiveFailures >= consecutiveFailuresLimit {
 		return true
 	}
-	left := math.Exp2(-float64(now-m.touched) / float64(c.told.Memory))
-	const few = 1.5 // ops: two failures in a row of one that serves little
-	return m.bad*left >= few && m.bad > m.good
+	remaining := math.Exp2(-float64(now-state.lastOutcomeAt) / float64(c.config.OutcomeHalfLife))
+	const minFailures = 1.5 // ops: two failures in a row of one that serves little
+	return state.failures*remaining >= minFailures && state.failures > state.successes
 }
 
-// nearShare gives the weight of a zone against the others: all stays in our own while it has room, and what does not fit goes to the
+// zoneWeights gives the weight of a zone against the others: all stays in our own while it has room, and what does not fit goes to the
 // others by the room that they have, without a step between.
-func (c *Chooser) nearShare() func(string) float64 {
-	own := c.zones[c.told.Zone]
-	if c.told.Zone == "" || own == nil || len(c.zones) == 1 {
+func (c *Balancer) zoneWeights() func(string) float64 {
+	local := c.zones[c.config.LocalZone]
+	if c.config.LocalZone == "" || local == nil || len(c.zones) == 1 {
 		return func(string) float64 { return 1 }
 	}
-	use := func(z *zone) float64 { // ops in hand a core, 1 for all cores at work
-		if z.known == 0 {
-			return c.mean
+	utilization := func(zone *zoneLoad) float64 { // ops in hand a core, 1 for all cores at work
+		if zone.reports == 0 {
+			return c.meanLoad
 		}
-		return z.load / z.capacity
+		return zone.load / zone.capacity
 	}
-	room := 0.0
-	for name, z := range c.zones {
-		z.room = max(0.02, 1.2-use(z)) * z.capacity // a full zone still takes a little: loads move
-		if name != c.told.Zone {
-			room += z.room
+	spareElsewhere := 0.0
+	for name, zone := range c.zones {
+		zone.spare = max(0.02, 1.2-utilization(zone)) * zone.capacity // a full zone still takes a little: loads move
+		if name != c.config.LocalZone {
+			spareElsewhere += zone.spare
 		}
 	}
 	// Nothing leaves under Near; at 1.7, where as many wait as there are cores beside those at work, as much as the others have room for
 	// beside ours. A steeper way would swing: what leaves shows in the loads a while later.
-	leaves := min(1, max(0, (use(own)-c.told.Near)/(1.7-c.told.Near))) * room / (room + own.room)
+	outflow := min(1, max(0, (utilization(local)-c.config.LocalZoneUtilization)/(1.7-c.config.LocalZoneUtilization))) * spareElsewhere / (spareElsewhere + local.spare)
 	return func(name string) float64 {
-		if name == c.told.Zone {
-			return (1 - leaves) / own.capacity
+		if name == c.config.LocalZone {
+			return (1 - outflow) / local.capacity
 		}
-		z := c.zones[name]
-		return max(leaves, 0.001) * z.room / room / z.capacity // a thousandth keeps the others known
+		zone := c.zones[name]
+		return max(outflow, 0.001) * zone.spare / spareElsewhere / zone.capacity // a thousandth keeps the others known
 	}
 }
 
 // Pick chooses the member for one op: a few are drawn by their shares, and the least loaded of them gets it. not tells places that are
 // out of the question. It gives false where nobody is left. It does not allocate.
-func (c *Chooser) Pick(now time.Duration, chance func() float64, not func(int) bool) (place int, ok bool) {
-	if len(c.all) == 0 {
+func (c *Balancer) Pick(now time.Duration, random func() float64, excluded func(int) bool) (index int, ok bool) {
+	if len(c.endpoints) == 0 {
 		return 0, false
 	}
-	if c.stale && now-c.weighed >= rests || c.weighed == 0 && c.stale {
-		c.weigh(now)
+	if c.weightsStale && now-c.weightsAt >= weightsMaxAge || c.weightsAt == 0 && c.weightsStale {
+		c.recomputeWeights(now)
 	}
-	c.picks++
-	total := c.sums[len(c.sums)-1]
-	best, least := -1, math.Inf(1)
-	if c.told.Way != Informed {
-		if i, way := c.plain(chance); way && (not == nil || !not(i)) {
-			return i, true
+	c.pickCount++
+	total := c.cumulativeWeights[len(c.cumulativeWeights)-1]
+	best, leastLoad := -1, math.Inf(1)
+	if c.config.Policy != LeastEstimatedLoad {
+		if candidate, decided := c.pickBaseline(random); decided && (excluded == nil || !excluded(candidate)) {
+			return candidate, true
 		}
 	}
 	// Those that have just said how they stand. They were drawn by their shares, so the least loaded of them is a fair choice.
-	from := int(chance() * pool) // of equals the one drawn, not the first
-	for k := range pool {
-		m := c.fresh[(from+k)%pool]
-		if m == nil || m.gone || m.ill || now-m.at > 2*c.fades || not != nil && not(m.place) || !c.allowed(now, m, chance) {
+	start := int(random() * probePoolSize) // of equals the one drawn, not the first
+	for offset := range probePoolSize {
+		state := c.probePool[(start+offset)%probePoolSize]
+		if state == nil || state.removed || state.outlier || now-state.reportedAt > 2*c.loadHalfLife || excluded != nil && excluded(state.index) || !c.slowStartAllows(now, state, random) {
 			continue
 		}
-		if est := c.estimate(now, m); est < least {
-			best, least = m.place, est
+		if load := c.estimatedLoad(now, state); load < leastLoad {
+			best, leastLoad = state.index, load
 		}
 	}
-	for range c.told.Choices {
-		i := c.draw(chance() * total)
-		if i == best || not != nil && not(i) || !c.allowed(now, c.all[i], chance) {
+	for range c.config.ChoiceCount {
+		candidate := c.drawByWeight(random() * total)
+		if candidate == best || excluded != nil && excluded(candidate) || !c.slowStartAllows(now, c.endpoints[candidate], random) {
 			continue
 		}
-		if est := c.estimate(now, c.all[i]); est < least {
-			best, least = i, est
+		if load := c.estimatedLoad(now, c.endpoints[candidate]); load < leastLoad {
+			best, leastLoad = candidate, load
 		}
 	}
 	if best >= 0 {
 		return best, true
 	}
 	// All that were drawn are out of the question: the first from a drawn place on that is not, a cold one only if there is no other.
-	from = min(len(c.all)-1, int(chance()*float64(len(c.all))))
-	for k := range c.all {
-		i := (from + k) % len(c.all)
+	start = min(len(c.endpoints)-1, int(random()*float64(len(c.endpoints))))
+	for offset := range c.endpoints {
+		candidate := (start + offset) % len(c.endpoints)
 		switch {
-		case not != nil && not(i):
-		case c.allowed(now, c.all[i], chance):
-			return i, true
+		case excluded != nil && excluded(candidate):
+		case c.slowStartAllows(now, c.endpoints[candidate], random):
+			return candidate, true
 		case best < 0:
-			best = i
+			best = candidate
 		}
 	}
 	return max(best, 0), best >= 0
 }
 
-// draw finds the place whose share a number falls into.
-func (c *Chooser) draw(x float64) int {
-	low, high := 0, len(c.sums)-1
+// drawByWeight finds the place whose share a number falls into.
+func (c *Balancer) drawByWeight(point float64) int {
+	low, high := 0, len(c.cumulativeWeights)-1
 	for low < high {
-		mid := (low + high) / 2
-		if c.sums[mid] > x {
-			high = mid
+		middle := (low + high) / 2
+		if c.cumulativeWeights[middle] > point {
+			high = middle
 		} else {
-			low = mid + 1
+			low = middle + 1
 		}
 	}
 	return low
 }
 
-// Ask gives a member whose load is worth asking for: the one drawn of whom the oldest is known. It is called some times an op.
-func (c *Chooser) Ask(now time.Duration, chance func() float64) (place int, ok bool) {
-	if len(c.all) == 0 {
+// PickProbe gives a member whose load is worth asking for: the one drawn of whom the oldest is known. It is called some times an op.
+func (c *Balancer) PickProbe(now time.Duration, random func() float64) (index int, ok bool) {
+	if len(c.endpoints) == 0 {
 		return 0, false
 	}
-	total := c.sums[len(c.sums)-1]
+	total := c.cumulativeWeights[len(c.cumulativeWeights)-1]
 	best, oldest := -1, time.Duration(math.MaxInt64)
 	for range 2 {
-		i := c.draw(chance() * total)
-		at := c.all[i].at
-		if !c.all[i].known {
-			at = -1
+		candidate := c.drawByWeight(random() * total)
+		reportedAt := c.endpoints[candidate].reportedAt
+		if !c.endpoints[candidate].hasReport {
+			reportedAt = -1
 		}
-		if at < oldest {
-			best, oldest = i, at
+		if reportedAt < oldest {
+			best, oldest = candidate, reportedAt
 		}
 	}
 	return best, best >= 0
--- a/internal/spread/ways.go
+++ b/internal/spread/ways.go
@@ -2,76 +2,76 @@
 
 import "time"
 
-// Way is how one member is picked. All but Informed are there to be compared with.
-type Way uint8
+// Policy is how one member is picked. All but Informed are there to be compared with.
+type Policy uint8
 
 const (
-	Informed   Way = iota // a few drawn by share, the least loaded by what is likely by now
-	Random                // by told capacity
-	RoundRobin            // one after the other, from a drawn place
-	LeastOpen             // of all, by our own count of open ops
-	TwoOwn                // of two, by our own count
-	TwoTold               // of two, by what they last said, however old
-	Greedy                // of all, by what they last said: everybody's favourite
+	LeastEstimatedLoad    Policy = iota // a few drawn by share, the least loaded by what is likely by now
+	WeightedRandom                      // by told capacity
+	RoundRobin                          // one after the other, from a drawn place
+	LeastRequest                        // of all, by our own count of open ops
+	TwoChoicesOutstanding               // of two, by our own count
+	TwoChoicesReported                  // of two, by what they last said, however old
+	LeastReportedLoad                   // of all, by what they last said: everybody's favourite
 )
 
-var wayNames = []string{"informed", "random", "round-robin", "least-open", "two-own", "two-told", "greedy"}
+var policyNames = []string{"informed", "random", "round-robin", "least-open", "two-own", "two-told", "greedy"}
 
-func (w Way) String() string { return wayNames[w] }
+func (w Policy) String() string { return policyNames[w] }
 
-// plain picks by one of the simple ways.
-func (c *Chooser) plain(chance func() float64) (place int, ok bool) {
-	n := len(c.all)
-	any := func() int { return min(n-1, int(chance()*float64(n))) }
-	of := func(load func(*member) float64, places ...int) int {
-		best := places[0]
-		for _, i := range places[1:] {
-			if load(c.all[i]) < load(c.all[best]) {
-				best = i
+// pickBaseline picks by one of the simple ways.
+func (c *Balancer) pickBaseline(random func() float64) (index int, ok bool) {
+	count := len(c.endpoints)
+	randomIndex := func() int { return min(count-1, int(random()*float64(count))) }
+	leastOf := func(loadOf func(*endpointState) float64, candidates ...int) int {
+		best := candidates[0]
+		for _, candidate := range candidates[1:] {
+			if loadOf(c.endpoints[candidate]) < loadOf(c.endpoints[best]) {
+				best = candidate
 			}
 		}
 		return best
 	}
-	open := func(m *member) float64 { return float64(m.open) / m.Capacity }
-	told := func(m *member) float64 {
-		if !m.known {
-			return c.mean
+	outstandingLoad := func(state *endpointState) float64 { return float64(state.outstanding) / state.Capacity }
+	reportedLoad := func(state *endpointState) float64 {
+		if !state.hasReport {
+			return c.meanLoad
 		}
-		return m.load
+		return state.reportedLoad
 	}
-	switch c.told.Way {
-	case Random:
+	switch c.config.Policy {
+	case WeightedRandom:
 		total := 0.0
-		for _, m := range c.all {
-			total += m.Capacity
+		for _, state := range c.endpoints {
+			total += state.Capacity
 		}
-		x := chance() * total
-		for i, m := range c.all {
-			if x -= m.Capacity; x < 0 {
-				return i, true
+		point := random() * total
+		for candidate, state := range c.endpoints {
+			if point -= state.Capacity; point < 0 {
+				return candidate, true
 			}
 		}
-		return n - 1, true
+		return count - 1, true
 	case RoundRobin:
-		if c.turn == 0 {
-			c.turn = 1 + any()
+		if c.roundRobin == 0 {
+			c.roundRobin = 1 + randomIndex()
 		}
-		c.turn++
-		return c.turn % n, true
-	case TwoOwn:
-		return of(open, any(), any()), true
-	case TwoTold:
-		return of(told, any(), any()), true
-	case LeastOpen, Greedy:
-		by := open
-		if c.told.Way == Greedy {
-			by = told
+		c.roundRobin++
+		return c.roundRobin % count, true
+	case TwoChoicesOutstanding:
+		return leastOf(outstandingLoad, randomIndex(), randomIndex()), true
+	case TwoChoicesReported:
+		return leastOf(reportedLoad, randomIndex(), randomIndex()), true
+	case LeastRequest, LeastReportedLoad:
+		loadBy := outstandingLoad
+		if c.config.Policy == LeastReportedLoad {
+			loadBy = reportedLoad
 		}
-		from := any() // ties go to a drawn one
-		best := from
-		for k := range n {
-			if i := (from + k) % n; by(c.all[i]) < by(c.all[best]) {
-				best = i
+		start := randomIndex() // ties go to a drawn one
+		best := start
+		for offset := range count {
+			if candidate := (start + offset) % count; loadBy(c.endpoints[candidate]) < loadBy(c.endpoints[best]) {
+				best = candidate
 			}
 		}
 		return best, true
@@ -80,9 +80,9 @@
 }
 
 // Gap is the time that a member should wait for an op, by its capacity: what idle is held against.
-func (c *Chooser) Gap(i int, rate float64) time.Duration {
-	if rate <= 0 || len(c.sums) == 0 {
+func (c *Balancer) Gap(index int, rate float64) time.Duration {
+	if rate <= 0 || len(c.cumulativeWeights) == 0 {
 		return 0
 	}
-	return time.Duration(c.sums[len(c.sums)-1] / c.all[i].weight / rate * float64(time.Second))
+	return time.Duration(c.cumulativeWeights[len(c.cumulativeWeights)-1] / c.endpoints[index].weight / rate * float64(time.Second))
 }
