--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -188,7 +188,7 @@
 }
 
 // asks is how others are asked how they stand.
-func asks(part *gossip.Agent) pass.Ask {
+func asks(part *gossip.Agent) pass.ProbeFunc {
 	return func(name members.Name, then func(float64, time.Duration)) {
 		part.Post(func() { part.QueryLoad(name, then) })
 	}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -18,7 +18,7 @@
 
 // Told is what it goes by.
 type Told struct {
-	pass.Told
+	pass.Config
 	Hand spread.SpilloverConfig
 }
 
@@ -27,7 +27,7 @@
 	loop    *loop.Loop
 	in      *keep.Server
 	told    Told
-	passer  *pass.Passer
+	passer  *pass.Forwarder
 	hander  *spread.SpilloverPolicy
 	open    map[*op]bool
 	leaving bool
@@ -39,17 +39,17 @@
 type op struct {
 	p    *Part
 	owed front.Responder
-	way  *pass.Op
+	way  *pass.Request
 }
 
 // New makes the part of an instance whose loop and sockets it shares.
-func New(in *keep.Server, net *wire.Net, told Told, seed uint64, ask pass.Ask) *Part {
-	passer := pass.New(in.Loop, net, told.Told, seed, ask)
-	return &Part{loop: in.Loop, in: in, told: told, passer: passer, hander: spread.NewSpilloverPolicy(told.Hand, passer.Chooser), open: map[*op]bool{}, counts: map[string]uint64{}}
+func New(in *keep.Server, net *wire.Net, told Told, seed uint64, ask pass.ProbeFunc) *Part {
+	passer := pass.New(in.Loop, net, told.Config, seed, ask)
+	return &Part{loop: in.Loop, in: in, told: told, passer: passer, hander: spread.NewSpilloverPolicy(told.Hand, passer.Balancer), open: map[*op]bool{}, counts: map[string]uint64{}}
 }
 
 // See takes a view of the fleet.
-func (p *Part) See(v *members.View) { p.passer.See(v, members.RoleServer) }
+func (p *Part) See(v *members.View) { p.passer.UpdateView(v, members.RoleServer) }
 
 // Put takes values that were told anew.
 func (p *Part) Put(told Told) { p.hander.SetConfig(told.Hand) }
@@ -67,8 +67,8 @@
 func (p *Part) look() {
 	if l := p.in.Load(); l.Queued > 0 && !p.leaving {
 		// Two in a tenth of a second, as a relay asks for each op that it passes on: forty fresh words a second.
-		p.passer.Query()
-		p.passer.Query()
+		p.passer.Probe()
+		p.passer.Probe()
 	}
 	p.tally.FlushSuppressed(p.loop.WallTime(), func(what string, more int) { slog.Info("handover", "what", what, "more", more) })
 	p.loop.ScheduleAt(p.loop.Now()+50*time.Millisecond, p.look)
@@ -98,10 +98,10 @@
 	case p.leaving:
 		why = spread.Draining
 	case ask.Hops == 0:
-		place, why = p.hander.Pick(p.loop.Now(), due-p.loop.Now(), p.own(), p.passer.Chance)
+		place, why = p.hander.Pick(p.loop.Now(), due-p.loop.Now(), p.own(), p.passer.Random)
 	}
 	// Whoever has to say no asks others how they stand.
-	p.passer.Query()
+	p.passer.Probe()
 	if why != spread.Allowed {
 		p.note(string(why))
 		return nil
@@ -109,7 +109,7 @@
 	p.note("offered")
 	o := &op{p: p, owed: owed}
 	p.open[o] = true
-	o.way = p.passer.GiveTo(place, ask, due, repeats, o.ended)
+	o.way = p.passer.ForwardTo(place, ask, due, repeats, o.ended)
 	if o.owed == nil { // it ended at once: its answer is given
 		return nil
 	}
@@ -117,20 +117,20 @@
 }
 
 // ended answers by what became of it there. What proves that it ran nowhere is what we would have said ourselves.
-func (o *op) ended(e pass.Ended) {
+func (o *op) ended(e pass.Result) {
 	p := o.p
 	delete(p.open, o)
 	owed := o.owed
 	o.owed = nil
-	p.hander.RecordOutcome(p.loop.Now(), e.What)
+	p.hander.RecordOutcome(p.loop.Now(), e.LastOutcome)
 	switch {
-	case e.What == spread.Succeeded:
+	case e.LastOutcome == spread.Succeeded:
 		p.note("served")
 		owed.Succeed(e.Result, e.Metadata)
 	case e.Error == "Denied":
 		p.note("denied")
 		owed.RejectPermanently("denied", e.Metadata)
-	case !e.Ran():
+	case !e.MayHaveRun():
 		p.note("turned-away")
 		owed.Reject(e.Metadata)
 	default:
@@ -145,7 +145,7 @@
 	if o, is := x.(*op); is && o.owed != nil {
 		o.owed = nil
 		delete(p.open, o)
-		o.way.Gone()
+		o.way.Cancel()
 	}
 }
 
@@ -154,7 +154,7 @@
 	p.leaving = true
 	p.loop.ScheduleAt(p.loop.Now()+max(0, last-70*time.Millisecond), func() {
 		for o := range p.open {
-			o.way.Late()
+			o.way.Expire()
 		}
 	})
 }
--- a/internal/operator/below.go
+++ b/internal/operator/below.go
@@ -82,15 +82,15 @@
 }
 
 func (r *reader) readSpillover(fleet *Fleet) Spillover {
-	parsed := Spillover{Config: handover.Told{Told: pass.Told{Spread: spread.DefaultConfig(), Connections: 1, Unused: 10 * time.Second}, Hand: spread.DefaultSpilloverConfig()}}
+	parsed := Spillover{Config: handover.Told{Config: pass.Config{Balancer: spread.DefaultConfig(), ConnectionsPerEndpoint: 1, IdleTimeout: 10 * time.Second}, Hand: spread.DefaultSpilloverConfig()}}
 	s := r.section("handover")
 	parsed.Enabled = s.exists()
 	if parsed.Enabled && !fleet.Enabled {
 		s.report("", "", "wants a section [fleet], by which it knows the members")
 	}
-	parsed.Config.Spread.LocalZone = fleet.Zone
+	parsed.Config.Balancer.LocalZone = fleet.Zone
 	if host, _, err := net.SplitHostPort(fleet.ListenAddress); err == nil {
-		parsed.Config.From = host
+		parsed.Config.LocalAddress = host
 	}
 	config := &parsed.Config.Hand
 	s.floatValue("share", &config.BudgetRatio, 0, 1)
@@ -98,8 +98,8 @@
 	s.floatValue("full", &config.SaturatedLoad, 0.1, 1000)
 	s.floatValue("most-full", &config.MaxSaturatedFraction, 0, 1)
 	s.durationValue("fresh", &config.ReportMaxAge, 10*time.Millisecond, time.Minute)
-	s.intValue("connections", &parsed.Config.Connections, 1, 16)
-	s.durationValue("unused", &parsed.Config.Unused, time.Second, time.Hour)
+	s.intValue("connections", &parsed.Config.ConnectionsPerEndpoint, 1, 16)
+	s.durationValue("unused", &parsed.Config.IdleTimeout, time.Second, time.Hour)
 	s.reportUnknownNames()
 	return parsed
 }
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -213,13 +213,13 @@
 func listProxy(l *listing, r *Proxy) {
 	l.add("relay", r.Enabled)
 	t := &r.Config
-	listBalancer(l, "relay", &t.Spread)
-	l.add("relay (dials from)", t.From)
-	l.add("relay.asks", t.Asks)
+	listBalancer(l, "relay", &t.Balancer)
+	l.add("relay (dials from)", t.LocalAddress)
+	l.add("relay.asks", t.ProbesPerRequest)
 	l.add("relay.in-hand", t.Most)
-	l.add("relay.connections", t.Connections)
-	l.add("relay.subset", t.Subset)
-	l.add("relay.unused", t.Unused)
+	l.add("relay.connections", t.ConnectionsPerEndpoint)
+	l.add("relay.subset", t.SubsetSize)
+	l.add("relay.unused", t.IdleTimeout)
 	l.add("relay.grace", t.Grace)
 	l.add("relay.come-back", t.After)
 }
@@ -246,17 +246,17 @@
 
 func listSpillover(l *listing, h *Spillover) {
 	l.add("handover", h.Enabled)
-	listBalancer(l, "handover", &h.Config.Spread)
-	l.add("handover (dials from)", h.Config.From)
-	l.add("handover (asks)", h.Config.Asks)
-	l.add("handover (subset)", h.Config.Subset)
+	listBalancer(l, "handover", &h.Config.Balancer)
+	l.add("handover (dials from)", h.Config.LocalAddress)
+	l.add("handover (asks)", h.Config.ProbesPerRequest)
+	l.add("handover (subset)", h.Config.SubsetSize)
 	l.add("handover.share", h.Config.Hand.BudgetRatio)
 	l.add("handover.saved", h.Config.Hand.BudgetBurst)
 	l.add("handover.full", h.Config.Hand.SaturatedLoad)
 	l.add("handover.most-full", h.Config.Hand.MaxSaturatedFraction)
 	l.add("handover.fresh", h.Config.Hand.ReportMaxAge)
-	l.add("handover.connections", h.Config.Connections)
-	l.add("handover.unused", h.Config.Unused)
+	l.add("handover.connections", h.Config.ConnectionsPerEndpoint)
+	l.add("handover.unused", h.Config.IdleTimeout)
 }
 
 func listCoordinator(l *listing, s *Coordinator) {
--- a/internal/operator/relay.go
+++ b/internal/operator/relay.go
@@ -16,15 +16,15 @@
 }
 
 func (r *reader) readProxy(fleet *Fleet) Proxy {
-	parsed := Proxy{Config: relay.Told{Told: pass.Told{Spread: spread.DefaultConfig(), Asks: 2, Connections: 2, Unused: 30 * time.Second}, Most: 4096, Grace: 500 * time.Millisecond}}
+	parsed := Proxy{Config: relay.Told{Config: pass.Config{Balancer: spread.DefaultConfig(), ProbesPerRequest: 2, ConnectionsPerEndpoint: 2, IdleTimeout: 30 * time.Second}, Most: 4096, Grace: 500 * time.Millisecond}}
 	s := r.section("relay")
 	parsed.Enabled = s.exists()
 	if parsed.Enabled && !fleet.Enabled {
 		s.report("", "", "wants a section [fleet], by which it knows the members")
 	}
-	parsed.Config.Spread.LocalZone = fleet.Zone
+	parsed.Config.Balancer.LocalZone = fleet.Zone
 	if host, _, err := net.SplitHostPort(fleet.ListenAddress); err == nil {
-		parsed.Config.From = host // so that whoever stands between knows both ends
+		parsed.Config.LocalAddress = host // so that whoever stands between knows both ends
 	}
 	policy := spread.LeastEstimatedLoad.String()
 	var policies []string
@@ -34,21 +34,21 @@
 	s.enumValue("way", &policy, policies...)
 	for candidate := spread.LeastEstimatedLoad; candidate <= spread.LeastReportedLoad; candidate++ {
 		if candidate.String() == policy {
-			parsed.Config.Spread.Policy = candidate
+			parsed.Config.Balancer.Policy = candidate
 		}
 	}
-	balancing := &parsed.Config.Spread
+	balancing := &parsed.Config.Balancer
 	s.intValue("choices", &balancing.ChoiceCount, 1, 64)
 	s.durationValue("fades", &balancing.LoadHalfLife, 0, time.Minute)
 	s.durationValue("believed", &balancing.LoadMaxAge, 10*time.Millisecond, time.Hour)
 	s.readBalancer(balancing)
 	s.floatValue("retry-share", &balancing.RetryRatio, 0, 1)
 	s.floatValue("retry-saved", &balancing.RetryBurst, 0, 1000)
-	s.floatValue("asks", &parsed.Config.Asks, 0, 16)
+	s.floatValue("asks", &parsed.Config.ProbesPerRequest, 0, 16)
 	s.intValue("in-hand", &parsed.Config.Most, 1, 60_000)
-	s.intValue("connections", &parsed.Config.Connections, 1, 64)
-	s.intValue("subset", &parsed.Config.Subset, 0, 10_000)
-	s.durationValue("unused", &parsed.Config.Unused, time.Second, time.Hour)
+	s.intValue("connections", &parsed.Config.ConnectionsPerEndpoint, 1, 64)
+	s.intValue("subset", &parsed.Config.SubsetSize, 0, 10_000)
+	s.durationValue("unused", &parsed.Config.IdleTimeout, time.Second, time.Hour)
 	s.durationValue("grace", &parsed.Config.Grace, 0, time.Minute)
 	s.durationValue("come-back", &parsed.Config.After, 0, time.Minute)
 	s.reportUnknownNames()
--- a/internal/pass/conn.go
+++ b/internal/pass/conn.go
@@ -9,153 +9,153 @@
 	"lanewheel/internal/wire"
 )
 
-// conn is one connection to a member.
-type conn struct {
-	p      *Passer
-	m      *member
-	client *wire.ClientConn
-	stands bool
-	closes bool // nothing new goes on it
-	next   uint32
-	open   map[uint32]*Op
-	waits  []*Op // until it stands
-	used   time.Duration
+// connection is one connection to a member.
+type connection struct {
+	forwarder   *Forwarder
+	endpoint    *endpoint
+	client      *wire.ClientConn
+	established bool
+	draining    bool // nothing new goes on it
+	lastID      uint32
+	inFlight    map[uint32]*Request
+	waiting     []*Request // until it stands
+	lastUsed    time.Duration
 }
 
-// mostOpen is the protocol's bound on ops open on one connection.
-const mostOpen = 32
+// maxInFlight is the protocol's bound on ops open on one connection.
+const maxInFlight = 32
 
-// standsBy is how long ops wait for a connection to stand before they go elsewhere: some round trips of a poor link.
-const standsBy = 300 * time.Millisecond
+// connectTimeout is how long ops wait for a connection to stand before they go elsewhere: some round trips of a poor link.
+const connectTimeout = 300 * time.Millisecond
 
-// conn gives the connection to a member that an op goes on: the emptiest that stands, else one that is being opened, else a new
+// connection gives the connection to a member that an op goes on: the emptiest that stands, else one that is being opened, else a new
 // one. It gives nil where all are full. Danger: hundreds of deciders times hundreds of members: none is opened while another has room.
-func (m *member) conn(p *Passer) *conn {
-	var best, opening *conn
-	for _, c := range m.conns {
+func (m *endpoint) connection(forwarder *Forwarder) *connection {
+	var leastUsed, opening *connection
+	for _, c := range m.connections {
 		switch {
-		case c.closes:
-		case !c.stands:
-			if len(c.waits) < mostOpen {
+		case c.draining:
+		case !c.established:
+			if len(c.waiting) < maxInFlight {
 				opening = c
 			}
-		case len(c.open) < mostOpen && (best == nil || len(c.open) < len(best.open)):
-			best = c
+		case len(c.inFlight) < maxInFlight && (leastUsed == nil || len(c.inFlight) < len(leastUsed.inFlight)):
+			leastUsed = c
 		}
 	}
-	if best != nil {
-		return best
+	if leastUsed != nil {
+		return leastUsed
 	}
-	if opening != nil || len(m.conns) >= p.told.Connections {
+	if opening != nil || len(m.connections) >= forwarder.config.ConnectionsPerEndpoint {
 		return opening
 	}
-	c := &conn{p: p, m: m, open: map[uint32]*Op{}, used: p.loop.Now()}
-	m.conns = append(m.conns, c)
-	late := p.loop.ScheduleAt(p.loop.Now()+standsBy, func() { c.elsewhere() })
-	c.client = p.net.DialMember(m.addr, func(refused error) {
-		late.Stop()
-		if refused != nil {
+	c := &connection{forwarder: forwarder, endpoint: m, inFlight: map[uint32]*Request{}, lastUsed: forwarder.loop.Now()}
+	m.connections = append(m.connections, c)
+	connectTimer := forwarder.loop.ScheduleAt(forwarder.loop.Now()+connectTimeout, func() { c.failWaiting() })
+	c.client = forwarder.net.DialMember(m.address, func(err error) {
+		connectTimer.Stop()
+		if err != nil {
 			c.remove()
-			c.elsewhere()
+			c.failWaiting()
 			return
 		}
-		c.stands = true
-		waits := c.waits
-		c.waits = nil
-		for _, o := range waits {
-			c.send(o)
+		c.established = true
+		waiting := c.waiting
+		c.waiting = nil
+		for _, request := range waiting {
+			c.send(request)
 		}
-		c.leaveIfDone()
+		c.closeIfDrained()
 	})
-	c.client.OnResponse = c.answered
-	c.client.OnGoAway = c.part
-	c.client.OnClose = func(code string) { c.end() }
+	c.client.OnResponse = c.handleResponse
+	c.client.OnGoAway = c.drain
+	c.client.OnClose = func(code string) { c.handleClosed() }
 	return c
 }
 
-// elsewhere has the ops that wait for the connection to stand go to other members: nothing of them went out.
-func (c *conn) elsewhere() {
-	waits := c.waits
-	c.waits = nil
-	for _, o := range waits {
-		if o.at == c {
-			c.p.ended(o, c.m.name, busy, spread.NoResponse, true)
+// failWaiting has the ops that wait for the connection to stand go to other members: nothing of them went out.
+func (c *connection) failWaiting() {
+	waiting := c.waiting
+	c.waiting = nil
+	for _, request := range waiting {
+		if request.connection == c {
+			c.forwarder.finishAttempt(request, c.endpoint.name, busyResponse, spread.NoResponse, true)
 		}
 	}
 }
 
-func (c *conn) send(o *Op) {
-	if o.done == nil || o.at != c {
+func (c *connection) send(request *Request) {
+	if request.onDone == nil || request.connection != c {
 		return
 	}
-	c.next++
-	o.n, o.sent = c.next, true
-	c.open[o.n] = o
-	c.client.Send(o.n, o.ask)
+	c.lastID++
+	request.id, request.sent = c.lastID, true
+	c.inFlight[request.id] = request
+	c.client.Send(request.id, request.message)
 }
 
-// answered hears an answer. One to an op that was given up here meanwhile is nobody's.
-func (c *conn) answered(n uint32, a wire.Response) {
-	o := c.open[n]
-	if o == nil {
+// handleResponse hears an answer. One to an op that was given up here meanwhile is nobody's.
+func (c *connection) handleResponse(id uint32, response wire.Response) {
+	request := c.inFlight[id]
+	if request == nil {
 		return
 	}
-	delete(c.open, n)
-	c.used = c.p.loop.Now()
-	what := spread.Failed
-	switch a.Error {
+	delete(c.inFlight, id)
+	c.lastUsed = c.forwarder.loop.Now()
+	outcome := spread.Failed
+	switch response.Error {
 	case "":
-		what = spread.Succeeded
+		outcome = spread.Succeeded
 	case "Busy":
-		what = spread.Rejected
+		outcome = spread.Rejected
 	case "Denied": // it says nothing of the member
-		c.p.Chooser.RecordCancel(c.m.name)
-		o.at = nil
-		o.end(Ended{What: spread.Rejected, Response: a})
-		c.leaveIfDone()
+		c.forwarder.Balancer.RecordCancel(c.endpoint.name)
+		request.connection = nil
+		request.finish(Result{LastOutcome: spread.Rejected, Response: response})
+		c.closeIfDrained()
 		return
 	}
-	c.p.ended(o, c.m.name, a, what, false)
-	c.leaveIfDone()
+	c.forwarder.finishAttempt(request, c.endpoint.name, response, outcome, false)
+	c.closeIfDrained()
 }
 
-// part puts nothing new on the connection: its member asked for that, or is none any more.
-func (c *conn) part() {
-	c.closes = true
-	c.leaveIfDone()
+// drain puts nothing new on the connection: its member asked for that, or is none any more.
+func (c *connection) drain() {
+	c.draining = true
+	c.closeIfDrained()
 }
 
-func (c *conn) leaveIfDone() {
-	if c.closes && c.stands && len(c.open) == 0 {
+func (c *connection) closeIfDrained() {
+	if c.draining && c.established && len(c.inFlight) == 0 {
 		c.client.Close("unused")
 	}
 }
 
-// end hears that the connection is over. Whether what was open on it ran, nobody knows.
-func (c *conn) end() {
+// handleClosed hears that the connection is over. Whether what was open on it ran, nobody knows.
+func (c *connection) handleClosed() {
 	c.remove()
-	c.stands = false
-	open := c.open
-	c.open = map[uint32]*Op{}
-	for _, n := range slices.Sorted(maps.Keys(open)) {
-		c.p.ended(open[n], c.m.name, lost, spread.NoResponse, false)
+	c.established = false
+	inFlight := c.inFlight
+	c.inFlight = map[uint32]*Request{}
+	for _, id := range slices.Sorted(maps.Keys(inFlight)) {
+		c.forwarder.finishAttempt(inFlight[id], c.endpoint.name, failedResponse, spread.NoResponse, false)
 	}
-	c.elsewhere()
+	c.failWaiting()
 }
 
-func (c *conn) remove() {
-	c.closes = true
-	c.m.conns = slices.DeleteFunc(c.m.conns, func(x *conn) bool { return x == c })
+func (c *connection) remove() {
+	c.draining = true
+	c.endpoint.connections = slices.DeleteFunc(c.endpoint.connections, func(other *connection) bool { return other == c })
 }
 
-// sweep closes connections that have carried nothing for long. Danger: each change of mind leaves one open.
-func (p *Passer) sweep() {
-	for _, m := range p.members {
-		for _, c := range slices.Clone(m.conns) {
-			if c.stands && len(c.open) == 0 && p.loop.Now()-c.used > p.told.Unused {
-				c.part()
+// closeIdle closes connections that have carried nothing for long. Danger: each change of mind leaves one open.
+func (p *Forwarder) closeIdle() {
+	for _, endpoint := range p.endpoints {
+		for _, connection := range slices.Clone(endpoint.connections) {
+			if connection.established && len(connection.inFlight) == 0 && p.loop.Now()-connection.lastUsed > p.config.IdleTimeout {
+				connection.drain()
 			}
 		}
 	}
-	p.loop.ScheduleAt(p.loop.Now()+time.Second, p.sweep)
+	p.loop.ScheduleAt(p.loop.Now()+time.Second, p.closeIdle)
 }
--- a/internal/pass/pass.go
+++ b/internal/pass/pass.go
@@ -16,312 +16,314 @@
 	"lanewheel/internal/wire"
 )
 
-// Told is what passing goes by.
-type Told struct {
-	Spread      spread.Config
-	Asks        float64       // members asked for their load, an op
-	Connections int           // to one member
-	Subset      int           // members that are kept to; 0 for all
-	Unused      time.Duration // a connection to a member that carries nothing for so long is closed
-	From        string        // address to dial from, empty for any
+// Config is what passing goes by.
+type Config struct {
+	Balancer               spread.Config
+	ProbesPerRequest       float64       // members asked for their load, an op
+	ConnectionsPerEndpoint int           // to one member
+	SubsetSize             int           // members that are kept to; 0 for all
+	IdleTimeout            time.Duration // a connection to a member that carries nothing for so long is closed
+	LocalAddress           string        // address to dial from, empty for any
 }
 
-// Source is the address to dial from, nil for any.
-func (t Told) Source() net.IP { return net.ParseIP(t.From) }
+// LocalIP is the address to dial from, nil for any.
+func (t Config) LocalIP() net.IP { return net.ParseIP(t.LocalAddress) }
 
-// Ask asks a member how it stands; then may never be called, or on any goroutine.
-type Ask func(name members.Name, then func(load float64, age time.Duration))
+// ProbeFunc asks a member how it stands; then may never be called, or on any goroutine.
+type ProbeFunc func(name members.Name, then func(load float64, age time.Duration))
 
-// Passer is one process's way to the others. All of it belongs to its owner's loop.
-type Passer struct {
-	loop    *loop.Loop
-	net     *wire.Net
-	told    Told
-	Chooser *spread.Balancer
-	chance  *rand.Rand
-	ask     Ask
-	asks    float64
-	members map[spread.EndpointName]*member
-	names   []spread.EndpointName // members, deciders and our subset, as last worked out
-	among   []spread.EndpointName
-	mine    []spread.EndpointName
-	Again   uint64 // further tries, since the start
+// Forwarder is one process's way to the others. All of it belongs to its owner's loop.
+type Forwarder struct {
+	loop          *loop.Loop
+	net           *wire.Net
+	config        Config
+	Balancer      *spread.Balancer
+	random        *rand.Rand
+	probeFunc     ProbeFunc
+	probeCredit   float64
+	endpoints     map[spread.EndpointName]*endpoint
+	endpointNames []spread.EndpointName // members, deciders and our subset, as last worked out
+	peers         []spread.EndpointName
+	subset        []spread.EndpointName
+	Retries       uint64 // further tries, since the start
 }
 
-// member is one whom ops are given to, with the connections there.
-type member struct {
-	name  spread.EndpointName
-	addr  string
-	conns []*conn
+// endpoint is one whom ops are given to, with the connections there.
+type endpoint struct {
+	name        spread.EndpointName
+	address     string
+	connections []*connection
 }
 
-// Ended is what became of an op that was passed on.
-type Ended struct {
-	What   spread.Outcome
-	Unsent bool // nothing of it went out to who had it last, and each before proved that it never ran
-	Nobody bool // there was nobody to give it to
-	Late   bool // its time was up
+// Result is what became of an op that was passed on.
+type Result struct {
+	LastOutcome spread.Outcome
+	NotSent     bool // nothing of it went out to who had it last, and each before proved that it never ran
+	NoEndpoint  bool // there was nobody to give it to
+	TimedOut    bool // its time was up
 	wire.Response
 }
 
-// Ran tells whether it may have run.
-func (e Ended) Ran() bool { return e.What != spread.Rejected && !e.Unsent && !e.Nobody }
+// MayHaveRun tells whether it may have run.
+func (e Result) MayHaveRun() bool {
+	return e.LastOutcome != spread.Rejected && !e.NotSent && !e.NoEndpoint
+}
 
-// Op is one op on its way.
-type Op struct {
-	p       *Passer
-	ask     front.Request
-	due     time.Duration
-	repeats bool
-	most    int
-	tries   int
-	tried   [4]spread.EndpointName
-	at      *conn
-	n       uint32
-	sent    bool
-	sentAt  time.Duration
-	timer   *loop.Timer
-	done    func(Ended) // nil once it was called or nobody waits
+// Request is one op on its way.
+type Request struct {
+	forwarder        *Forwarder
+	message          front.Request
+	deadline         time.Duration
+	idempotent       bool
+	maxAttempts      int
+	attempts         int
+	tried            [4]spread.EndpointName
+	connection       *connection
+	id               uint32
+	sent             bool
+	attemptStartedAt time.Duration
+	deadlineTimer    *loop.Timer
+	onDone           func(Result) // nil once it was called or nobody waits
 }
 
 // New makes a passer that knows nobody. It dials by net and has l's time.
-func New(l *loop.Loop, net *wire.Net, told Told, seed uint64, ask Ask) *Passer {
-	return &Passer{loop: l, net: net, told: told, Chooser: spread.New(told.Spread), chance: rand.New(rand.NewPCG(seed, 3)), ask: ask, members: map[spread.EndpointName]*member{}}
+func New(eventLoop *loop.Loop, net *wire.Net, config Config, seed uint64, probeFunc ProbeFunc) *Forwarder {
+	return &Forwarder{loop: eventLoop, net: net, config: config, Balancer: spread.New(config.Balancer), random: rand.New(rand.NewPCG(seed, 3)), probeFunc: probeFunc, endpoints: map[spread.EndpointName]*endpoint{}}
 }
 
 // Start begins to look after connections that carry nothing.
-func (p *Passer) Start() { p.sweep() }
+func (p *Forwarder) Start() { p.closeIdle() }
 
-// See takes a view of the fleet. Of its deciders, those in the same role as us share the members with us.
-func (p *Passer) See(v *members.View, role members.Roles) {
-	var all []spread.Endpoint
-	addrs := map[spread.EndpointName]string{}
-	var names, deciders []spread.EndpointName
-	deciders = append(deciders, spread.EndpointName(v.Self.Name))
-	for m := range v.All() {
-		if m.Roles&role != 0 && m.State.Available() {
-			deciders = append(deciders, spread.EndpointName(m.Name))
+// UpdateView takes a view of the fleet. Of its deciders, those in the same role as us share the members with us.
+func (p *Forwarder) UpdateView(view *members.View, role members.Roles) {
+	var endpoints []spread.Endpoint
+	addresses := map[spread.EndpointName]string{}
+	var names, peers []spread.EndpointName
+	peers = append(peers, spread.EndpointName(view.Self.Name))
+	for member := range view.All() {
+		if member.Roles&role != 0 && member.State.Available() {
+			peers = append(peers, spread.EndpointName(member.Name))
 		}
 		// Cut off, we know no better than before: who was there is still tried. Else a suspect gets nothing.
-		if m.Roles&members.RoleServer != 0 && m.ServiceAddr != "" && (m.State.Available() || m.State == members.StateSuspect && m.Reason != members.ReasonFlapping && !v.LocalHealth.CanDeclareGone()) {
-			x := spread.Endpoint{Name: spread.EndpointName(m.Name), Zone: m.Zone, Capacity: m.Capacity, WarmUp: m.WarmUp, WarmUpRemaining: m.WarmUpRemaining(v.PublishedAt), Suspect: m.State == members.StateSuspect}
-			all = append(all, x)
-			names = append(names, x.Name)
-			addrs[x.Name] = m.ServiceAddr
+		if member.Roles&members.RoleServer != 0 && member.ServiceAddr != "" && (member.State.Available() || member.State == members.StateSuspect && member.Reason != members.ReasonFlapping && !view.LocalHealth.CanDeclareGone()) {
+			candidate := spread.Endpoint{Name: spread.EndpointName(member.Name), Zone: member.Zone, Capacity: member.Capacity, WarmUp: member.WarmUp, WarmUpRemaining: member.WarmUpRemaining(view.PublishedAt), Suspect: member.State == members.StateSuspect}
+			endpoints = append(endpoints, candidate)
+			names = append(names, candidate.Name)
+			addresses[candidate.Name] = member.ServiceAddr
 		}
 	}
-	if k := p.told.Subset; k > 0 && k < len(names) {
-		mine := map[spread.EndpointName]bool{}
+	if size := p.config.SubsetSize; size > 0 && size < len(names) {
+		inSubset := map[spread.EndpointName]bool{}
 		// Danger: it is worked out for the whole fleet, so only when somebody came or went.
-		if !slices.Equal(names, p.names) || !slices.Equal(deciders, p.among) {
-			p.names, p.among = names, deciders
-			p.mine = spread.Subsets(deciders, names, k)[spread.EndpointName(v.Self.Name)]
+		if !slices.Equal(names, p.endpointNames) || !slices.Equal(peers, p.peers) {
+			p.endpointNames, p.peers = names, peers
+			p.subset = spread.Subsets(peers, names, size)[spread.EndpointName(view.Self.Name)]
 		}
-		for _, n := range p.mine {
-			mine[n] = true
+		for _, name := range p.subset {
+			inSubset[name] = true
 		}
-		all = slices.DeleteFunc(all, func(m spread.Endpoint) bool { return !mine[m.Name] })
+		endpoints = slices.DeleteFunc(endpoints, func(member spread.Endpoint) bool { return !inSubset[member.Name] })
 	}
-	p.Chooser.SetEndpoints(p.loop.Now(), all)
-	stay := map[spread.EndpointName]bool{}
-	for _, x := range all {
-		stay[x.Name] = true
-		m := p.members[x.Name]
-		if m != nil && m.addr != addrs[x.Name] { // a later life elsewhere
-			p.drop(m)
-			m = nil
+	p.Balancer.SetEndpoints(p.loop.Now(), endpoints)
+	kept := map[spread.EndpointName]bool{}
+	for _, candidate := range endpoints {
+		kept[candidate.Name] = true
+		member := p.endpoints[candidate.Name]
+		if member != nil && member.address != addresses[candidate.Name] { // a later life elsewhere
+			p.removeEndpoint(member)
+			member = nil
 		}
-		if m == nil {
-			p.members[x.Name] = &member{name: x.Name, addr: addrs[x.Name]}
+		if member == nil {
+			p.endpoints[candidate.Name] = &endpoint{name: candidate.Name, address: addresses[candidate.Name]}
 		}
 	}
-	for name, m := range p.members {
-		if !stay[name] {
-			p.drop(m)
+	for name, member := range p.endpoints {
+		if !kept[name] {
+			p.removeEndpoint(member)
 		}
 	}
 }
 
-// drop gives nothing new to a member; what it has in hand it may still answer.
-func (p *Passer) drop(m *member) {
-	delete(p.members, m.name)
-	for _, c := range m.conns {
-		c.part()
+// removeEndpoint gives nothing new to a member; what it has in hand it may still answer.
+func (p *Forwarder) removeEndpoint(removed *endpoint) {
+	delete(p.endpoints, removed.name)
+	for _, connection := range removed.connections {
+		connection.drain()
 	}
 }
 
-// Give passes an op on, to the most members told one after the other, and calls done once, by its due time; done may be called before Give
+// Forward passes an op on, to the most members told one after the other, and calls done once, by its due time; done may be called before Give
 // returns. What ask.Body points to is copied.
-func (p *Passer) Give(ask front.Request, due time.Duration, repeats bool, most int, done func(Ended)) *Op {
-	o := p.op(ask, due, repeats, most, done)
-	p.give(o)
-	return o
+func (p *Forwarder) Forward(request front.Request, deadline time.Duration, idempotent bool, maxAttempts int, onDone func(Result)) *Request {
+	forwarded := p.newRequest(request, deadline, idempotent, maxAttempts, onDone)
+	p.tryNext(forwarded)
+	return forwarded
 }
 
-// GiveTo passes an op on to one member and no other.
-func (p *Passer) GiveTo(place int, ask front.Request, due time.Duration, repeats bool, done func(Ended)) *Op {
-	o := p.op(ask, due, repeats, 1, done)
-	p.to(o, place)
-	return o
+// ForwardTo passes an op on to one member and no other.
+func (p *Forwarder) ForwardTo(index int, request front.Request, deadline time.Duration, idempotent bool, onDone func(Result)) *Request {
+	forwarded := p.newRequest(request, deadline, idempotent, 1, onDone)
+	p.tryEndpoint(forwarded, index)
+	return forwarded
 }
 
-func (p *Passer) op(ask front.Request, due time.Duration, repeats bool, most int, done func(Ended)) *Op {
-	o := &Op{p: p, ask: ask, due: due, repeats: repeats, most: most, done: done}
-	o.ask.Body = append(p.net.Get(), ask.Body...)
+func (p *Forwarder) newRequest(request front.Request, deadline time.Duration, idempotent bool, maxAttempts int, onDone func(Result)) *Request {
+	forwarded := &Request{forwarder: p, message: request, deadline: deadline, idempotent: idempotent, maxAttempts: maxAttempts, onDone: onDone}
+	forwarded.message.Body = append(p.net.Get(), request.Body...)
 	// The sign that travels down: who gets an op that was passed on leaves second tries to those above it.
-	o.ask.Hops++
+	forwarded.message.Hops++
 	// Danger: a member that never answers. The op is answered when its time is up, whatever becomes of it below.
-	o.timer = p.loop.ScheduleAt(max(p.loop.Now(), due), o.Late)
-	return o
+	forwarded.deadlineTimer = p.loop.ScheduleAt(max(p.loop.Now(), deadline), forwarded.Expire)
+	return forwarded
 }
 
-// give gives an op to the next member.
-func (p *Passer) give(o *Op) {
-	i, any := p.Chooser.Pick(p.loop.Now(), p.chance.Float64, func(i int) bool {
-		n := p.Chooser.NameAt(i)
-		for k := range min(o.tries, len(o.tried)) {
-			if o.tried[k] == n {
+// tryNext gives an op to the next member.
+func (p *Forwarder) tryNext(request *Request) {
+	index, found := p.Balancer.Pick(p.loop.Now(), p.random.Float64, func(index int) bool {
+		name := p.Balancer.NameAt(index)
+		for attempt := range min(request.attempts, len(request.tried)) {
+			if request.tried[attempt] == name {
 				return true
 			}
 		}
 		return false
 	})
-	if !any {
-		o.end(Ended{What: spread.Rejected, Nobody: true, Response: wire.Response{Error: "Busy", Metadata: front.ResponseMetadata{LoadReport: -1}}}) // each try before proved that it never ran
+	if !found {
+		request.finish(Result{LastOutcome: spread.Rejected, NoEndpoint: true, Response: wire.Response{Error: "Busy", Metadata: front.ResponseMetadata{LoadReport: -1}}}) // each try before proved that it never ran
 		return
 	}
-	p.to(o, i)
-	for p.asks += p.told.Asks; p.asks >= 1; p.asks-- {
-		p.Query()
+	p.tryEndpoint(request, index)
+	for p.probeCredit += p.config.ProbesPerRequest; p.probeCredit >= 1; p.probeCredit-- {
+		p.Probe()
 	}
 }
 
-// to gives an op to the member at a place.
-func (p *Passer) to(o *Op, i int) {
-	m := p.members[p.Chooser.NameAt(i)]
-	p.Chooser.RecordStart(p.loop.Now(), i)
-	if o.tries < len(o.tried) {
-		o.tried[o.tries] = m.name
+// tryEndpoint gives an op to the member at a place.
+func (p *Forwarder) tryEndpoint(request *Request, index int) {
+	endpoint := p.endpoints[p.Balancer.NameAt(index)]
+	p.Balancer.RecordStart(p.loop.Now(), index)
+	if request.attempts < len(request.tried) {
+		request.tried[request.attempts] = endpoint.name
 	}
-	o.tries++
-	o.sent = false
-	o.sentAt = p.loop.Now()
-	c := m.conn(p)
-	if c == nil { // all its connections are full: it has more from us than it should
-		p.ended(o, m.name, busy, spread.Rejected, true)
+	request.attempts++
+	request.sent = false
+	request.attemptStartedAt = p.loop.Now()
+	connection := endpoint.connection(p)
+	if connection == nil { // all its connections are full: it has more from us than it should
+		p.finishAttempt(request, endpoint.name, busyResponse, spread.Rejected, true)
 		return
 	}
-	o.at = c
-	c.used = p.loop.Now()
-	if c.stands {
-		c.send(o)
+	request.connection = connection
+	connection.lastUsed = p.loop.Now()
+	if connection.established {
+		connection.send(request)
 	} else {
-		c.waits = append(c.waits, o)
+		connection.waiting = append(connection.waiting, request)
 	}
 }
 
-var busy, lost = wire.Response{Error: "Busy", Metadata: front.ResponseMetadata{LoadReport: -1}}, wire.Response{Error: "Failed", Metadata: front.ResponseMetadata{LoadReport: -1}}
+var busyResponse, failedResponse = wire.Response{Error: "Busy", Metadata: front.ResponseMetadata{LoadReport: -1}}, wire.Response{Error: "Failed", Metadata: front.ResponseMetadata{LoadReport: -1}}
 
-// Chance draws a number from 0 to 1.
-func (p *Passer) Chance() float64 { return p.chance.Float64() }
+// Random draws a number from 0 to 1.
+func (p *Forwarder) Random() float64 { return p.random.Float64() }
 
-// Query asks one member how it stands.
-func (p *Passer) Query() {
-	i, any := p.Chooser.PickProbe(p.loop.Now(), p.chance.Float64)
-	if !any || p.ask == nil {
+// Probe asks one member how it stands.
+func (p *Forwarder) Probe() {
+	index, found := p.Balancer.PickProbe(p.loop.Now(), p.random.Float64)
+	if !found || p.probeFunc == nil {
 		return
 	}
-	name := p.Chooser.NameAt(i)
-	p.ask(members.Name(name), func(load float64, age time.Duration) {
+	name := p.Balancer.NameAt(index)
+	p.probeFunc(members.Name(name), func(load float64, age time.Duration) {
 		p.loop.Post(func() {
-			if i, still := p.Chooser.IndexOf(name); still {
-				p.Chooser.RecordProbe(p.loop.Now(), i, load, age)
+			if index, present := p.Balancer.IndexOf(name); present {
+				p.Balancer.RecordProbe(p.loop.Now(), index, load, age)
 			}
 		})
 	})
 }
 
-// ended hears how a try of an op ended, and tells it or has another member asked.
-func (p *Passer) ended(o *Op, n spread.EndpointName, a wire.Response, what spread.Outcome, unsent bool) {
-	p.Chooser.RecordOutcome(p.loop.Now(), n, what, p.loop.Now()-o.sentAt)
-	o.at = nil
-	if o.done == nil {
-		o.over()
+// finishAttempt hears how a try of an op ended, and tells it or has another member asked.
+func (p *Forwarder) finishAttempt(request *Request, name spread.EndpointName, response wire.Response, outcome spread.Outcome, notSent bool) {
+	p.Balancer.RecordOutcome(p.loop.Now(), name, outcome, p.loop.Now()-request.attemptStartedAt)
+	request.connection = nil
+	if request.onDone == nil {
+		request.release()
 		return
 	}
-	if p.Chooser.DecideRetry(p.loop.Now(), spread.Attempt{Deadline: o.due, Made: o.tries, Max: o.most, Idempotent: o.repeats, Forwarded: o.ask.Hops > 1}, what, unsent, a.Metadata.NoFailover) == spread.RetryElsewhere {
-		p.Again++
+	if p.Balancer.DecideRetry(p.loop.Now(), spread.Attempt{Deadline: request.deadline, Made: request.attempts, Max: request.maxAttempts, Idempotent: request.idempotent, Forwarded: request.message.Hops > 1}, outcome, notSent, response.Metadata.NoFailover) == spread.RetryElsewhere {
+		p.Retries++
 		// Each try has an id of its own, as the protocol wants it: an instance can't tell two tries of one op in hand apart.
-		o.ask.ID = fmt.Sprintf("%016x", p.chance.Uint64())
-		p.give(o)
+		request.message.ID = fmt.Sprintf("%016x", p.random.Uint64())
+		p.tryNext(request)
 		return
 	}
-	o.end(Ended{What: what, Unsent: unsent, Response: a})
+	request.finish(Result{LastOutcome: outcome, NotSent: notSent, Response: response})
 }
 
-// Late ends an op whose time is up, or for which there is no more time.
-func (o *Op) Late() {
-	if o.done == nil {
+// Expire ends an op whose time is up, or for which there is no more time.
+func (o *Request) Expire() {
+	if o.onDone == nil {
 		return
 	}
-	unsent := o.at != nil && !o.sent
-	o.leave(spread.NoResponse)
-	o.end(Ended{What: spread.NoResponse, Unsent: unsent, Late: true, Response: lost})
+	notSent := o.connection != nil && !o.sent
+	o.detach(spread.NoResponse)
+	o.finish(Result{LastOutcome: spread.NoResponse, NotSent: notSent, TimedOut: true, Response: failedResponse})
 }
 
-// Gone tells that nobody waits any more.
-func (o *Op) Gone() {
-	if o.done == nil {
+// Cancel tells that nobody waits any more.
+func (o *Request) Cancel() {
+	if o.onDone == nil {
 		return
 	}
-	o.done = nil
+	o.onDone = nil
 	// Danger: a member that takes ops and answers none looks idle. What is given up at its due time there counts against it; before that
 	// it says nothing.
-	what := spread.Succeeded
-	if o.p.loop.Now() >= o.due {
-		what = spread.NoResponse
+	outcome := spread.Succeeded
+	if o.forwarder.loop.Now() >= o.deadline {
+		outcome = spread.NoResponse
 	}
-	o.leave(what)
-	o.over()
+	o.detach(outcome)
+	o.release()
 }
 
-// end tells what became of it, once.
-func (o *Op) end(e Ended) {
-	done := o.done
-	o.done = nil
-	if done != nil {
-		done(e)
+// finish tells what became of it, once.
+func (o *Request) finish(result Result) {
+	onDone := o.onDone
+	o.onDone = nil
+	if onDone != nil {
+		onDone(result)
 	}
-	o.over()
+	o.release()
 }
 
-// leave tells the member that nobody waits any more, and takes the op off the connection. What is not lost there counts as nothing.
-func (o *Op) leave(what spread.Outcome) {
-	c := o.at
-	if c == nil {
+// detach tells the member that nobody waits any more, and takes the op off the connection. What is not lost there counts as nothing.
+func (o *Request) detach(outcome spread.Outcome) {
+	connection := o.connection
+	if connection == nil {
 		return
 	}
-	o.at = nil
+	o.connection = nil
 	if o.sent {
-		delete(c.open, o.n)
-		c.client.Cancel(o.n)
-	} else if i := slices.Index(c.waits, o); i >= 0 {
-		c.waits = slices.Delete(c.waits, i, i+1)
+		delete(connection.inFlight, o.id)
+		connection.client.Cancel(o.id)
+	} else if index := slices.Index(connection.waiting, o); index >= 0 {
+		connection.waiting = slices.Delete(connection.waiting, index, index+1)
 	}
-	if what == spread.NoResponse {
-		o.p.Chooser.RecordOutcome(o.p.loop.Now(), c.m.name, what, 0)
+	if outcome == spread.NoResponse {
+		o.forwarder.Balancer.RecordOutcome(o.forwarder.loop.Now(), connection.endpoint.name, outcome, 0)
 	} else {
-		o.p.Chooser.RecordCancel(c.m.name)
+		o.forwarder.Balancer.RecordCancel(connection.endpoint.name)
 	}
-	c.leaveIfDone()
+	connection.closeIfDrained()
 }
 
-// over forgets an op that is told of and nowhere any more.
-func (o *Op) over() {
-	if o.done != nil || o.at != nil || o.ask.Body == nil {
+// release forgets an op that is told of and nowhere any more.
+func (o *Request) release() {
+	if o.onDone != nil || o.connection != nil || o.message.Body == nil {
 		return
 	}
-	o.timer.Stop()
-	o.p.net.Put(o.ask.Body)
-	o.ask.Body = nil
+	o.deadlineTimer.Stop()
+	o.forwarder.net.Put(o.message.Body)
+	o.message.Body = nil
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -22,7 +22,7 @@
 
 // Told is what a relay goes by beside the platform's configuration.
 type Told struct {
-	pass.Told
+	pass.Config
 	Most  int           // ops in hand
 	Grace time.Duration // after the notice to leave, until nothing new is passed on
 	After time.Duration // told to who is turned away because nobody is there, 0 for nothing
@@ -36,7 +36,7 @@
 	net     *wire.Net
 	pool    *keep.BufferPool
 	stubs   *stubs.Frontend
-	passer  *pass.Passer
+	passer  *pass.Forwarder
 	kinds   map[string]kind
 	ops     map[string]*op
 	fronts  []front.Frontend
@@ -59,11 +59,11 @@
 	r    *Relay
 	id   string          // its caller's
 	owed front.Responder // nil once it is answered or nobody waits
-	way  *pass.Op
+	way  *pass.Request
 }
 
 // Open makes a relay that listens. Of the platform's configuration it takes what an instance would, less the runtime and the database.
-func Open(config keep.Config, told Told, ask pass.Ask) (*Relay, error) {
+func Open(config keep.Config, told Told, ask pass.ProbeFunc) (*Relay, error) {
 	buffers := int(config.MemoryMB*(1<<20)) / wire.BufferSize
 	told.Most = min(told.Most, buffers/4) // a quarter of the memory is for bodies in hand, as in an instance
 	r := &Relay{Loop: loop.New(buffers / 8), told: told, config: config, pool: &keep.BufferPool{}, kinds: map[string]kind{}, ops: map[string]*op{}}
@@ -75,10 +75,10 @@
 		r.kinds[name] = kind{t["repeats"] == "retryable", max(timeout, target)}
 	}
 	r.net = &wire.Net{BufferPool: r.pool, Post: r.Post, PostRead: r.PostBlocking, OnAccept: func(l *wire.Conn) { r.stubs.Accept(l) }, OnFull: func() { r.stubs.EvictIdle() },
-		MaxAccepted: int64(config.MaxDescriptors) / 2, MaxDescriptors: config.MaxDescriptors, MaxUnread: int64(config.MemoryMB*(1<<20)) / 8, LocalIP: told.Source()}
+		MaxAccepted: int64(config.MaxDescriptors) / 2, MaxDescriptors: config.MaxDescriptors, MaxUnread: int64(config.MemoryMB*(1<<20)) / 8, LocalIP: told.LocalIP()}
 	r.net.ReadTokens.Store(true) // who calls is the instance's to judge; a relay passes on what is brought
 	r.net.ReadHops.Store(true)
-	r.passer = pass.New(r.Loop, r.net, told.Told, config.Seed, ask)
+	r.passer = pass.New(r.Loop, r.net, told.Config, config.Seed, ask)
 	idle, _ := config.Settings["connections idle"].(time.Duration)
 	r.stubs = stubs.New(r, r.Loop, r.net, nil, idle)
 	if err := r.net.Start(config.ListenAddr); err != nil {
@@ -102,10 +102,10 @@
 func (r *Relay) Serve() { r.Run(r.net.Flush) }
 
 // See takes a view of the fleet.
-func (r *Relay) See(v *members.View) { r.passer.See(v, members.RoleProxy) }
+func (r *Relay) See(v *members.View) { r.passer.UpdateView(v, members.RoleProxy) }
 
 // known is how many members there are to pass to.
-func (r *Relay) known() int { return r.passer.Chooser.Len() }
+func (r *Relay) known() int { return r.passer.Balancer.Len() }
 
 // ResponderOf is stubs.Core.
 func (r *Relay) ResponderOf(id string) front.Responder {
@@ -151,7 +151,7 @@
 	}
 	o := &op{r: r, id: ask.ID, owed: owed}
 	r.ops[ask.ID] = o
-	o.way = r.passer.Give(ask, due, k.repeats, mostTries, o.ended)
+	o.way = r.passer.Forward(ask, due, k.repeats, mostTries, o.ended)
 	if o.owed == nil {
 		return nil
 	}
@@ -165,31 +165,31 @@
 func (r *Relay) Cancel(x front.Handle) {
 	if o, is := x.(*op); is && o.owed != nil {
 		o.answer(func(front.Responder) {})
-		o.way.Gone()
+		o.way.Cancel()
 	}
 }
 
 // ended answers an op by what became of it.
-func (o *op) ended(e pass.Ended) {
+func (o *op) ended(e pass.Result) {
 	c, with := &o.r.Counts, e.Metadata
-	if e.Late {
+	if e.TimedOut {
 		c.Late++
 	}
 	switch {
-	case e.Nobody:
+	case e.NoEndpoint:
 		c.Nobody++
 		with.RetryAfter = o.r.told.After
 		o.answer(func(w front.Responder) { w.Reject(with) })
-	case e.What == spread.Succeeded:
+	case e.LastOutcome == spread.Succeeded:
 		c.Served++
 		o.answer(func(w front.Responder) { w.Succeed(e.Result, with) })
 	case e.Error == "Denied":
 		o.answer(func(w front.Responder) { w.RejectPermanently("denied", with) })
-	case !e.Ran():
+	case !e.MayHaveRun():
 		c.Refused++
 		o.answer(func(w front.Responder) { w.Reject(with) })
 	default:
-		if c.Failed++; e.What == spread.NoResponse {
+		if c.Failed++; e.LastOutcome == spread.NoResponse {
 			c.Lost++
 		}
 		o.answer(func(w front.Responder) { w.Fail(with) })
@@ -238,7 +238,7 @@
 	r.until = min(r.until, killAt-spans.LastAnswers)
 	r.ScheduleAt(max(r.Now(), killAt-spans.LastAnswers), func() {
 		for _, o := range slices.Collect(maps.Values(r.ops)) { // answering takes them out
-			o.way.Late()
+			o.way.Expire()
 		}
 	})
 	r.ScheduleAt(max(r.Now(), killAt-spans.GoAway), func() {
@@ -247,7 +247,7 @@
 		}, func(connections int) {
 			c := r.Counts
 			slog.Info("stopped", "connections", connections, "ops", len(r.ops), "asked", c.Asked, "served", c.Served, "refused", c.Refused, "failed", c.Failed,
-				"lost", c.Lost, "again", r.passer.Again, "late", c.Late, "nobody", c.Nobody)
+				"lost", c.Lost, "again", r.passer.Retries, "late", c.Late, "nobody", c.Nobody)
 			r.Quit()
 		})
 	})
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -115,8 +115,8 @@
 	listen := free.Addr().String()
 	free.Close()
 	roster := standin.NewRoster()
-	told := Told{Told: pass.Told{Spread: spread.DefaultConfig(), Connections: 2, Unused: time.Minute}, Most: 100, Grace: 500 * time.Millisecond, After: 90 * time.Millisecond}
-	told.Spread.RetryRatio = 1
+	told := Told{Config: pass.Config{Balancer: spread.DefaultConfig(), ConnectionsPerEndpoint: 2, IdleTimeout: time.Minute}, Most: 100, Grace: 500 * time.Millisecond, After: 90 * time.Millisecond}
+	told.Balancer.RetryRatio = 1
 	kind := func(name, repeats string) choice.Settings {
 		return choice.Settings{"name": name, "repeats": repeats, "op timeout": 3 * time.Second, "target latency": time.Second}
 	}
