--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -63,13 +63,13 @@
 	if err != nil {
 		return nil, err
 	}
-	var over *handover.Part
+	var over *handover.Spillover
 	if o.File.Spillover.Enabled {
 		in.EnableSpillover(func(net *wire.Net) keep.Spillover {
 			over = handover.New(in, net, o.File.Spillover.Config, config.Seed, asks(part))
 			return over
 		})
-		seeing(part, in.Loop, over.See)
+		seeing(part, in.Loop, over.UpdateView)
 		in.AddFrontend(over)
 	}
 	if o.File.Upstream.Enabled {
@@ -84,7 +84,7 @@
 	return func(o *life.OperatorConfig) {
 		part.SetConfig(Told(&o.File.Fleet, config.Name, config.ListenAddr, o.ClusterKeys))
 		if over != nil {
-			in.Post(func() { over.Put(o.File.Spillover.Config) })
+			in.Post(func() { over.SetConfig(o.File.Spillover.Config) })
 		}
 	}, nil
 }
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -16,148 +16,148 @@
 	"lanewheel/internal/wire"
 )
 
-// Told is what it goes by.
-type Told struct {
+// Config is what it goes by.
+type Config struct {
 	pass.Config
-	Hand spread.SpilloverConfig
+	Spillover spread.SpilloverConfig
 }
 
-// Part is the hand-over of one instance. It is a keep.Elsewhere and a front.Front.
-type Part struct {
-	loop    *loop.Loop
-	in      *keep.Server
-	told    Told
-	passer  *pass.Forwarder
-	hander  *spread.SpilloverPolicy
-	open    map[*op]bool
-	leaving bool
-	counts  map[string]uint64
-	tally   logline.Sampler[string]
+// Spillover is the hand-over of one instance. It is a keep.Elsewhere and a front.Front.
+type Spillover struct {
+	loop       *loop.Loop
+	server     *keep.Server
+	config     Config
+	forwarder  *pass.Forwarder
+	policy     *spread.SpilloverPolicy
+	inFlight   map[*spilledRequest]bool
+	draining   bool
+	counts     map[string]uint64
+	logLimiter logline.Sampler[string]
 }
 
-// op is one that is elsewhere.
-type op struct {
-	p    *Part
-	owed front.Responder
-	way  *pass.Request
+// spilledRequest is one that is elsewhere.
+type spilledRequest struct {
+	spillover  *Spillover
+	responder  front.Responder
+	forwarding *pass.Request
 }
 
 // New makes the part of an instance whose loop and sockets it shares.
-func New(in *keep.Server, net *wire.Net, told Told, seed uint64, ask pass.ProbeFunc) *Part {
-	passer := pass.New(in.Loop, net, told.Config, seed, ask)
-	return &Part{loop: in.Loop, in: in, told: told, passer: passer, hander: spread.NewSpilloverPolicy(told.Hand, passer.Balancer), open: map[*op]bool{}, counts: map[string]uint64{}}
+func New(srv *keep.Server, net *wire.Net, config Config, seed uint64, probe pass.ProbeFunc) *Spillover {
+	forwarder := pass.New(srv.Loop, net, config.Config, seed, probe)
+	return &Spillover{loop: srv.Loop, server: srv, config: config, forwarder: forwarder, policy: spread.NewSpilloverPolicy(config.Spillover, forwarder.Balancer), inFlight: map[*spilledRequest]bool{}, counts: map[string]uint64{}}
 }
 
-// See takes a view of the fleet.
-func (p *Part) See(v *members.View) { p.passer.UpdateView(v, members.RoleServer) }
+// UpdateView takes a view of the fleet.
+func (p *Spillover) UpdateView(view *members.View) { p.forwarder.UpdateView(view, members.RoleServer) }
 
-// Put takes values that were told anew.
-func (p *Part) Put(told Told) { p.hander.SetConfig(told.Hand) }
+// SetConfig takes values that were told anew.
+func (p *Spillover) SetConfig(config Config) { p.policy.SetConfig(config.Spillover) }
 
 // Start is front.Front.
-func (p *Part) Start() {
+func (p *Spillover) Start() {
 	p.loop.Post(func() {
-		p.passer.Start()
-		p.look()
+		p.forwarder.Start()
+		p.poll()
 	})
 }
 
-// look asks others how they stand while we have more than our cores can do, so that words are fresh when one is turned away; and
+// poll asks others how they stand while we have more than our cores can do, so that words are fresh when one is turned away; and
 // writes what came of it from time to time.
-func (p *Part) look() {
-	if l := p.in.Load(); l.Queued > 0 && !p.leaving {
+func (p *Spillover) poll() {
+	if load := p.server.Load(); load.Queued > 0 && !p.draining {
 		// Two in a tenth of a second, as a relay asks for each op that it passes on: forty fresh words a second.
-		p.passer.Probe()
-		p.passer.Probe()
+		p.forwarder.Probe()
+		p.forwarder.Probe()
 	}
-	p.tally.FlushSuppressed(p.loop.WallTime(), func(what string, more int) { slog.Info("handover", "what", what, "more", more) })
-	p.loop.ScheduleAt(p.loop.Now()+50*time.Millisecond, p.look)
+	p.logLimiter.FlushSuppressed(p.loop.WallTime(), func(what string, suppressed int) { slog.Info("handover", "what", what, "more", suppressed) })
+	p.loop.ScheduleAt(p.loop.Now()+50*time.Millisecond, p.poll)
 }
 
-// own is our load, as others say theirs.
-func (p *Part) own() float64 {
-	l := p.in.Load()
-	return float64(l.Queued+l.Running) / max(1, l.Cores)
+// ownLoad is our load, as others say theirs.
+func (p *Spillover) ownLoad() float64 {
+	load := p.server.Load()
+	return float64(load.Queued+load.Running) / max(1, load.Cores)
 }
 
-func (p *Part) note(what string) {
-	p.counts[what]++
-	if p.tally.Allow(what, p.loop.WallTime()) {
-		slog.Info("handover", "what", what, "so_far", p.counts[what])
+func (p *Spillover) count(event string) {
+	p.counts[event]++
+	if p.logLimiter.Allow(event, p.loop.WallTime()) {
+		slog.Info("handover", "what", event, "so_far", p.counts[event])
 	}
 }
 
 // RequestArrived is keep.Elsewhere.
-func (p *Part) RequestArrived() { p.hander.RecordArrival() }
+func (p *Spillover) RequestArrived() { p.policy.RecordArrival() }
 
 // Forward is keep.Elsewhere.
-func (p *Part) Forward(ask front.Request, due time.Duration, repeats bool, owed front.Responder) front.Handle {
-	why := spread.AlreadyForwarded
-	place := 0
+func (p *Spillover) Forward(received front.Request, deadline time.Duration, idempotent bool, responder front.Responder) front.Handle {
+	reason := spread.AlreadyForwarded
+	index := 0
 	switch {
-	case p.leaving:
-		why = spread.Draining
-	case ask.Hops == 0:
-		place, why = p.hander.Pick(p.loop.Now(), due-p.loop.Now(), p.own(), p.passer.Random)
+	case p.draining:
+		reason = spread.Draining
+	case received.Hops == 0:
+		index, reason = p.policy.Pick(p.loop.Now(), deadline-p.loop.Now(), p.ownLoad(), p.forwarder.Random)
 	}
 	// Whoever has to say no asks others how they stand.
-	p.passer.Probe()
-	if why != spread.Allowed {
-		p.note(string(why))
+	p.forwarder.Probe()
+	if reason != spread.Allowed {
+		p.count(string(reason))
 		return nil
 	}
-	p.note("offered")
-	o := &op{p: p, owed: owed}
-	p.open[o] = true
-	o.way = p.passer.ForwardTo(place, ask, due, repeats, o.ended)
-	if o.owed == nil { // it ended at once: its answer is given
+	p.count("offered")
+	forwarded := &spilledRequest{spillover: p, responder: responder}
+	p.inFlight[forwarded] = true
+	forwarded.forwarding = p.forwarder.ForwardTo(index, received, deadline, idempotent, forwarded.handleResult)
+	if forwarded.responder == nil { // it ended at once: its answer is given
 		return nil
 	}
-	return o
+	return forwarded
 }
 
-// ended answers by what became of it there. What proves that it ran nowhere is what we would have said ourselves.
-func (o *op) ended(e pass.Result) {
-	p := o.p
-	delete(p.open, o)
-	owed := o.owed
-	o.owed = nil
-	p.hander.RecordOutcome(p.loop.Now(), e.LastOutcome)
+// handleResult answers by what became of it there. What proves that it ran nowhere is what we would have said ourselves.
+func (o *spilledRequest) handleResult(result pass.Result) {
+	spillover := o.spillover
+	delete(spillover.inFlight, o)
+	responder := o.responder
+	o.responder = nil
+	spillover.policy.RecordOutcome(spillover.loop.Now(), result.LastOutcome)
 	switch {
-	case e.LastOutcome == spread.Succeeded:
-		p.note("served")
-		owed.Succeed(e.Result, e.Metadata)
-	case e.Error == "Denied":
-		p.note("denied")
-		owed.RejectPermanently("denied", e.Metadata)
-	case !e.MayHaveRun():
-		p.note("turned-away")
-		owed.Reject(e.Metadata)
+	case result.LastOutcome == spread.Succeeded:
+		spillover.count("served")
+		responder.Succeed(result.Result, result.Metadata)
+	case result.Error == "Denied":
+		spillover.count("denied")
+		responder.RejectPermanently("denied", result.Metadata)
+	case !result.MayHaveRun():
+		spillover.count("turned-away")
+		responder.Reject(result.Metadata)
 	default:
-		p.note("failed")
-		owed.Fail(e.Metadata)
+		spillover.count("failed")
+		responder.Fail(result.Metadata)
 	}
-	owed.Done()
+	responder.Done()
 }
 
 // Cancel is keep.Elsewhere: nobody waits any more.
-func (p *Part) Cancel(x front.Handle) {
-	if o, is := x.(*op); is && o.owed != nil {
-		o.owed = nil
-		delete(p.open, o)
-		o.way.Cancel()
+func (p *Spillover) Cancel(received front.Handle) {
+	if forwarded, is := received.(*spilledRequest); is && forwarded.responder != nil {
+		forwarded.responder = nil
+		delete(p.inFlight, forwarded)
+		forwarded.forwarding.Cancel()
 	}
 }
 
 // Drain is front.Front. What is elsewhere may still come back; shortly before the end it is answered as it stands.
-func (p *Part) Drain(last time.Duration) {
-	p.leaving = true
-	p.loop.ScheduleAt(p.loop.Now()+max(0, last-70*time.Millisecond), func() {
-		for o := range p.open {
-			o.way.Expire()
+func (p *Spillover) Drain(remaining time.Duration) {
+	p.draining = true
+	p.loop.ScheduleAt(p.loop.Now()+max(0, remaining-70*time.Millisecond), func() {
+		for forwarded := range p.inFlight {
+			forwarded.forwarding.Expire()
 		}
 	})
 }
 
 // Drained is front.Front.
-func (p *Part) Drained() bool { return len(p.open) == 0 }
+func (p *Spillover) Drained() bool { return len(p.inFlight) == 0 }
--- a/internal/operator/below.go
+++ b/internal/operator/below.go
@@ -78,11 +78,11 @@
 // Spillover is whether ops that are turned away go to another instance.
 type Spillover struct {
 	Enabled bool
-	Config  handover.Told
+	Config  handover.Config
 }
 
 func (r *reader) readSpillover(fleet *Fleet) Spillover {
-	parsed := Spillover{Config: handover.Told{Config: pass.Config{Balancer: spread.DefaultConfig(), ConnectionsPerEndpoint: 1, IdleTimeout: 10 * time.Second}, Hand: spread.DefaultSpilloverConfig()}}
+	parsed := Spillover{Config: handover.Config{Config: pass.Config{Balancer: spread.DefaultConfig(), ConnectionsPerEndpoint: 1, IdleTimeout: 10 * time.Second}, Spillover: spread.DefaultSpilloverConfig()}}
 	s := r.section("handover")
 	parsed.Enabled = s.exists()
 	if parsed.Enabled && !fleet.Enabled {
@@ -92,7 +92,7 @@
 	if host, _, err := net.SplitHostPort(fleet.ListenAddress); err == nil {
 		parsed.Config.LocalAddress = host
 	}
-	config := &parsed.Config.Hand
+	config := &parsed.Config.Spillover
 	s.floatValue("share", &config.BudgetRatio, 0, 1)
 	s.floatValue("saved", &config.BudgetBurst, 1, 1000)
 	s.floatValue("full", &config.SaturatedLoad, 0.1, 1000)
