--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -148,7 +148,7 @@
 
 // relayed runs a relay.
 func relayed(operated, format string) error {
-	return relays.Run(os.Getenv("RELAY_CONFIG"), operated, format, func(config keep.Config, o *life.OperatorConfig) (*relay.Relay, func(*life.OperatorConfig), error) {
+	return relays.Run(os.Getenv("RELAY_CONFIG"), operated, format, func(config keep.Config, o *life.OperatorConfig) (*relay.Proxy, func(*life.OperatorConfig), error) {
 		fleet := o.File.Fleet
 		fleet.Roles = fleet.Roles&^members.RoleServer | members.RoleProxy
 		speaks := &relaying{}
@@ -156,12 +156,12 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		r, err := relay.Open(config, o.File.Proxy.Config, asks(part))
+		r, err := relay.Listen(config, o.File.Proxy.Config, asks(part))
 		if err != nil {
 			return nil, nil, err
 		}
 		speaks.r = r
-		seeing(part, r.Loop, r.See)
+		seeing(part, r.Loop, r.UpdateView)
 		r.Attach(part)
 		slog.Info("fleet", "name", string(part.View().Self.Name), "listen", fleet.ListenAddress, "seeds", len(fleet.Config.Seeds), "keys", len(o.ClusterKeys))
 		return r, func(o *life.OperatorConfig) {
@@ -195,7 +195,7 @@
 }
 
 // relaying speaks for a relay.
-type relaying struct{ r *relay.Relay }
+type relaying struct{ r *relay.Proxy }
 
 func (p *relaying) Status(then func(gossip.ProcessStatus)) {
 	p.r.Post(func() {
@@ -207,8 +207,8 @@
 func (p *relaying) Load(then func(float64, gossip.RequestStats)) {
 	p.r.Post(func() { then(float64(p.r.Load().Running), gossip.RequestStats{}) })
 }
-func (p *relaying) Fenced()      { p.r.Post(p.r.Leave) }
-func (p *relaying) Drain(uint64) { p.r.Post(p.r.Leave) }
+func (p *relaying) Fenced()      { p.r.Post(p.r.Drain) }
+func (p *relaying) Drain(uint64) { p.r.Post(p.r.Drain) }
 
 // show prints how a process sees its fleet, and how far others' views are from its.
 func show(f operator.Fleet, against []string, asJSON bool, out io.Writer) error {
--- a/internal/command/further/golden_test.go
+++ b/internal/command/further/golden_test.go
@@ -269,7 +269,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := relay.Open(config, relay.Told{}, nil)
+	r, err := relay.Listen(config, relay.Config{}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/life/relays/relays.go
+++ b/internal/life/relays/relays.go
@@ -15,7 +15,7 @@
 )
 
 // Join brings a relay into its fleet: it gives the relay, which listens, and what takes an operator's file that was read anew.
-type Join func(config keep.Config, o *life.OperatorConfig) (r *relay.Relay, reload func(*life.OperatorConfig), err error)
+type Join func(config keep.Config, o *life.OperatorConfig) (r *relay.Proxy, reload func(*life.OperatorConfig), err error)
 
 // Run starts the relay that the configuration at path and the operator's file tell of, and passes ops on until it is told to go.
 func Run(platformPath, operatorPath, logFormat string, join Join) error {
@@ -35,7 +35,7 @@
 		return err
 	}
 	slog.Info("listening", "name", platform.Name, "addr", platform.ListenAddr, "relay", true)
-	go life.HandleSignals(signals, operatorPath, operatorConfig, func() { proxy.Post(proxy.Leave) }, reload)
+	go life.HandleSignals(signals, operatorPath, operatorConfig, func() { proxy.Post(proxy.Drain) }, reload)
 	proxy.Serve()
 	// The last answers lie in the kernel's hands by now; a moment for the gossip's last word.
 	time.Sleep(10 * time.Millisecond)
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -216,12 +216,12 @@
 	listBalancer(l, "relay", &t.Balancer)
 	l.add("relay (dials from)", t.LocalAddress)
 	l.add("relay.asks", t.ProbesPerRequest)
-	l.add("relay.in-hand", t.Most)
+	l.add("relay.in-hand", t.MaxInFlight)
 	l.add("relay.connections", t.ConnectionsPerEndpoint)
 	l.add("relay.subset", t.SubsetSize)
 	l.add("relay.unused", t.IdleTimeout)
-	l.add("relay.grace", t.Grace)
-	l.add("relay.come-back", t.After)
+	l.add("relay.grace", t.DrainGrace)
+	l.add("relay.come-back", t.RetryAfter)
 }
 
 func listUpstream(l *listing, b *Upstream) {
--- a/internal/operator/relay.go
+++ b/internal/operator/relay.go
@@ -12,11 +12,11 @@
 // Proxy is how a process passes ops on.
 type Proxy struct {
 	Enabled bool
-	Config  relay.Told
+	Config  relay.Config
 }
 
 func (r *reader) readProxy(fleet *Fleet) Proxy {
-	parsed := Proxy{Config: relay.Told{Config: pass.Config{Balancer: spread.DefaultConfig(), ProbesPerRequest: 2, ConnectionsPerEndpoint: 2, IdleTimeout: 30 * time.Second}, Most: 4096, Grace: 500 * time.Millisecond}}
+	parsed := Proxy{Config: relay.Config{Config: pass.Config{Balancer: spread.DefaultConfig(), ProbesPerRequest: 2, ConnectionsPerEndpoint: 2, IdleTimeout: 30 * time.Second}, MaxInFlight: 4096, DrainGrace: 500 * time.Millisecond}}
 	s := r.section("relay")
 	parsed.Enabled = s.exists()
 	if parsed.Enabled && !fleet.Enabled {
@@ -45,12 +45,12 @@
 	s.floatValue("retry-share", &balancing.RetryRatio, 0, 1)
 	s.floatValue("retry-saved", &balancing.RetryBurst, 0, 1000)
 	s.floatValue("asks", &parsed.Config.ProbesPerRequest, 0, 16)
-	s.intValue("in-hand", &parsed.Config.Most, 1, 60_000)
+	s.intValue("in-hand", &parsed.Config.MaxInFlight, 1, 60_000)
 	s.intValue("connections", &parsed.Config.ConnectionsPerEndpoint, 1, 64)
 	s.intValue("subset", &parsed.Config.SubsetSize, 0, 10_000)
 	s.durationValue("unused", &parsed.Config.IdleTimeout, time.Second, time.Hour)
-	s.durationValue("grace", &parsed.Config.Grace, 0, time.Minute)
-	s.durationValue("come-back", &parsed.Config.After, 0, time.Minute)
+	s.durationValue("grace", &parsed.Config.DrainGrace, 0, time.Minute)
+	s.durationValue("come-back", &parsed.Config.RetryAfter, 0, time.Minute)
 	s.reportUnknownNames()
 	return parsed
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -15,21 +15,21 @@
 	"lanewheel/internal/standin"
 )
 
-// below is a member by script: what it does with each op that comes is told by its type and how many came before.
-type below struct {
+// scriptedEndpoint is a member by script: what it does with each op that comes is told by its type and how many came before.
+type scriptedEndpoint struct {
 	listener net.Listener
 }
 
-// script says what becomes of the nth op that comes to any member: ack, busy, last, fail, close, silent.
-type script struct {
-	mu    sync.Mutex
-	steps []string
-	trace []string
-	ids   map[string]bool
-	all   []*below
+// endpointScript says what becomes of the nth op that comes to any member: ack, busy, last, fail, close, silent.
+type endpointScript struct {
+	mu        sync.Mutex
+	steps     []string
+	trace     []string
+	ids       map[string]bool
+	endpoints []*scriptedEndpoint
 }
 
-func (s *script) next(m int, what string) string {
+func (s *endpointScript) nextStep(m int, what string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	step := "ack"
@@ -40,14 +40,14 @@
 	return step
 }
 
-func (s *script) said() (all []string) {
+func (s *endpointScript) takeTrace() (all []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all, s.trace = s.trace, nil
 	return all
 }
 
-func (s *script) serve(m int, l net.Listener) {
+func (s *endpointScript) serve(m int, l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -63,7 +63,7 @@
 				}
 				parts := v.([]any)
 				if len(parts) == 3 {
-					s.next(m, fmt.Sprint(parts[1]))
+					s.nextStep(m, fmt.Sprint(parts[1]))
 					continue
 				}
 				n := parts[1].(int)
@@ -76,7 +76,7 @@
 				s.ids[id] = true
 				s.mu.Unlock()
 				none := map[string]string{}
-				switch s.next(m, fmt.Sprint(parts[2])) {
+				switch s.nextStep(m, fmt.Sprint(parts[2])) {
 				case "ack":
 					stub.Send([]any{1, n, nil, []any{params[1], map[string]string{"say": "0.5"}}})
 				case "busy":
@@ -96,38 +96,38 @@
 	}
 }
 
-var opened int
+var proxyCount int
 
-// open starts a relay before so many scripted members.
-func open(n int, steps ...string) (*Relay, *script, string) {
-	s := &script{steps: steps, ids: map[string]bool{}}
+// openProxy starts a relay before so many scripted members.
+func openProxy(count int, steps ...string) (*Proxy, *endpointScript, string) {
+	script := &endpointScript{steps: steps, ids: map[string]bool{}}
 	table := members.NewTable(members.Descriptor{Name: "relay", Incarnation: 1, BootID: 1}, members.DefaultConfig(), 0)
-	for i := range n {
-		l := standin.Must(net.Listen("tcp", "127.0.0.1:0"))
-		s.all = append(s.all, &below{listener: l})
-		go s.serve(i, l)
+	for i := range count {
+		listener := standin.Must(net.Listen("tcp", "127.0.0.1:0"))
+		script.endpoints = append(script.endpoints, &scriptedEndpoint{listener: listener})
+		go script.serve(i, listener)
 		id := members.ID{Name: members.Name(fmt.Sprint("m", i)), BootID: 1}
-		table.HandleAlive(members.Descriptor{Name: id.Name, BootID: 1, Incarnation: 1, Roles: members.RoleServer, ServiceAddr: l.Addr().String(), Capacity: 2}, 0)
+		table.HandleAlive(members.Descriptor{Name: id.Name, BootID: 1, Incarnation: 1, Roles: members.RoleServer, ServiceAddr: listener.Addr().String(), Capacity: 2}, 0)
 		table.HandleHeartbeat(members.Heartbeat{ID: id, Sequence: 1, Ready: true, ReadyFor: time.Minute}, 0, 0)
 	}
-	opened++
-	free := standin.Must(net.Listen("tcp", fmt.Sprintf("127.72.%d.%d:0", os.Getpid()%250, opened)))
+	proxyCount++
+	free := standin.Must(net.Listen("tcp", fmt.Sprintf("127.72.%d.%d:0", os.Getpid()%250, proxyCount)))
 	listen := free.Addr().String()
 	free.Close()
 	roster := standin.NewRoster()
-	told := Told{Config: pass.Config{Balancer: spread.DefaultConfig(), ConnectionsPerEndpoint: 2, IdleTimeout: time.Minute}, Most: 100, Grace: 500 * time.Millisecond, After: 90 * time.Millisecond}
-	told.Balancer.RetryRatio = 1
-	kind := func(name, repeats string) choice.Settings {
+	config := Config{Config: pass.Config{Balancer: spread.DefaultConfig(), ConnectionsPerEndpoint: 2, IdleTimeout: time.Minute}, MaxInFlight: 100, DrainGrace: 500 * time.Millisecond, RetryAfter: 90 * time.Millisecond}
+	config.Balancer.RetryRatio = 1
+	class := func(name, repeats string) choice.Settings {
 		return choice.Settings{"name": name, "repeats": repeats, "op timeout": 3 * time.Second, "target latency": time.Second}
 	}
-	r, err := Open(keep.Config{Name: "relay", ListenAddr: listen, RegistryAddr: roster.Addr(), Seed: 1, TerminationGrace: 1500 * time.Millisecond, MaxDescriptors: 256, MemoryMB: 64, Cores: 1,
-		Settings: choice.Settings{"op types": []choice.Settings{kind("view", "retryable"), kind("pay", "non-retryable")}}}, told, nil)
+	proxy, err := Listen(keep.Config{Name: "relay", ListenAddr: listen, RegistryAddr: roster.Addr(), Seed: 1, TerminationGrace: 1500 * time.Millisecond, MaxDescriptors: 256, MemoryMB: 64, Cores: 1,
+		Settings: choice.Settings{"op types": []choice.Settings{class("view", "retryable"), class("pay", "non-retryable")}}}, config, nil)
 	if err != nil {
 		panic(err)
 	}
-	go r.Serve()
-	r.Post(func() { r.See(table.View()) })
-	return r, s, listen
+	go proxy.Serve()
+	proxy.Post(func() { proxy.UpdateView(table.View()) })
+	return proxy, script, listen
 }
 
 // What becomes of one op by what members do with it: nacked, another is asked, under an id of its own; lost, one that may not run
@@ -145,11 +145,11 @@
 		{"view", []string{"close", "ack"}},
 		{"view", []string{"fail"}},
 	} {
-		r, s, listen := open(4, x.steps...)
+		r, s, listen := openProxy(4, x.steps...)
 		stub := standin.Dial(listen)
 		stub.Send(standin.Op(7, x.kind, standin.ID(1), []byte("body")))
 		a := standin.Must(stub.Answer())
-		fmt.Printf("%v: %q %q %v\n", s.said(), a.Error, a.Result, a.Fields)
+		fmt.Printf("%v: %q %q %v\n", s.takeTrace(), a.Error, a.Result, a.Fields)
 		stub.Close()
 		r.Post(r.Quit)
 	}
@@ -166,14 +166,14 @@
 // A member that swallows ops: answered at the due time all the same, the member is told, and its late answer is nobody's. A caller that
 // leaves: the member is told. A connection that is refused costs nothing: the next member has it.
 func Example_silent() {
-	r, s, listen := open(1, "late", "interrupt")
+	r, s, listen := openProxy(1, "late", "interrupt")
 	stub := standin.Dial(listen)
 	began := time.Now()
 	stub.Send(standin.Op(1, "pay", standin.ID(1), nil, "wait", "150"))
 	a := standin.Must(stub.Answer())
 	took := time.Since(began)
 	fmt.Println(a.N, a.Error, took > 140*time.Millisecond && took < 240*time.Millisecond)
-	standin.Until("the member to be told", func() bool { return len(s.said()) > 0 })
+	standin.Until("the member to be told", func() bool { return len(s.takeTrace()) > 0 })
 	time.Sleep(200 * time.Millisecond) // its answer comes meanwhile
 	stub.Send(standin.Op(2, "view", standin.ID(2), []byte("x")))
 	a = standin.Must(stub.Answer())
@@ -181,17 +181,17 @@
 	s.mu.Lock()
 	s.steps = []string{"silent"}
 	s.mu.Unlock()
-	s.said()
+	s.takeTrace()
 	stub.Send(standin.Op(3, "view", standin.ID(3), nil))
 	standin.Until("it to be there", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.trace) == 1 })
 	stub.Send([]any{2, "interrupt", []any{3}})
 	standin.Until("the member to be told", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.trace) == 2 })
-	fmt.Println(s.said())
+	fmt.Println(s.takeTrace())
 	stub.Close()
 	r.Post(r.Quit)
 
-	r, s, listen = open(3)
-	for _, b := range s.all[:2] {
+	r, s, listen = openProxy(3)
+	for _, b := range s.endpoints[:2] {
 		b.listener.Close()
 	}
 	stub = standin.Dial(listen)
@@ -215,14 +215,14 @@
 // Nobody is there: turned away at once, with a time to come back. One id twice, a type that is not known: as at an instance. A notice to
 // leave: within the grace ops are passed on, behind it turned away, and all is answered.
 func Example_leaving() {
-	r, _, listen := open(0)
+	r, _, listen := openProxy(0)
 	stub := standin.Dial(listen)
 	stub.Send(standin.Op(1, "pay", standin.ID(1), nil))
 	fmt.Println(stub.Hear())
 	stub.Close()
 	r.Post(r.Quit)
 
-	r, s, listen := open(2, "silent")
+	r, s, listen := openProxy(2, "silent")
 	stub = standin.Dial(listen)
 	stub.Send(standin.Op(1, "view", standin.ID(1), nil, "wait", "900"))
 	standin.Until("it to be there", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.trace) == 1 })
@@ -231,7 +231,7 @@
 	fmt.Println(other.Hear())
 	other.Send(standin.Op(2, "what", standin.ID(2), nil))
 	fmt.Println(other.Hear())
-	r.Post(r.Leave)
+	r.Post(r.Drain)
 	fmt.Println(other.Hear()) // goaway
 	other.Send(standin.Op(3, "view", standin.ID(3), nil))
 	fmt.Println(other.Hear())
@@ -266,8 +266,8 @@
 
 // What comes next of an op, by what its try came to.
 func Example_next() {
-	told := spread.DefaultConfig()
-	told.RetryRatio, told.RetryBurst = 0, 1
+	config := spread.DefaultConfig()
+	config.RetryRatio, config.RetryBurst = 0, 1
 	for _, x := range []struct {
 		t            spread.Attempt
 		what         spread.Outcome
@@ -283,7 +283,7 @@
 		{spread.Attempt{Deadline: time.Second, Max: 3, Made: 1}, spread.NoResponse, true, false},
 		{spread.Attempt{Deadline: time.Second, Max: 3, Made: 1, Idempotent: true}, spread.Failed, false, false},
 	} {
-		c := spread.New(told)
+		c := spread.New(config)
 		fmt.Print(c.DecideRetry(time.Millisecond, x.t, x.what, x.unsent, x.last) == spread.RetryElsewhere, " ")
 		if x.what == spread.Rejected && !x.last && x.t.Deadline > 0 && x.t.Made == 1 { // the budget is used up
 			fmt.Print(c.DecideRetry(time.Millisecond, x.t, x.what, false, false) == spread.RetryElsewhere, " ")
