--- a/internal/below/below.go
+++ b/internal/below/below.go
@@ -25,7 +25,7 @@
 }
 
 // AskDesk asks the desk of a service for calls; the answer comes by Granted.
-type AskDesk func(name members.Name, a grants.Ask)
+type AskDesk func(name members.Name, a grants.Request)
 
 // Part is the services of one instance. It is a keep.Below.
 type Part struct {
@@ -91,14 +91,14 @@
 		here[name] = true
 		s := p.all[name]
 		if s == nil {
-			s = &service{p: p, name: name, holder: &grants.Holder{Who: p.self, Most: p.told.Calls, Longest: p.told.Longest}}
+			s = &service{p: p, name: name, holder: &grants.Holder{ID: p.self, MaxUnleasedCalls: p.told.Calls, MaxCallDuration: p.told.Longest}}
 			p.all[name] = s
 		}
 		s.addr, s.life = m.ServiceAddr, m.BootID
 		list = append(list, spread.Endpoint{Name: name, Zone: m.Zone, Capacity: m.Capacity, WarmUp: m.WarmUp, WarmUpRemaining: m.WarmUpRemaining(v.PublishedAt), Suspect: m.State == members.StateSuspect})
 	}
 	for name, s := range p.all {
-		if !here[name] && s.open == 0 && s.holder.Limit(p.loop.Now()) <= s.holder.Alone {
+		if !here[name] && s.open == 0 && s.holder.Limit(p.loop.Now()) <= s.holder.UnleasedCalls {
 			delete(p.all, name)
 		}
 	}
@@ -132,7 +132,7 @@
 	p.Counts.Taken++
 	s.open++
 	if s.holder != nil {
-		s.holder.Wanted(now, s.open)
+		s.holder.RecordDemand(now, s.open)
 	}
 	p.waiting = waiting - 1
 	return &place{s: s, began: now, longest: s.longest()}
@@ -140,7 +140,7 @@
 
 func (s *service) longest() time.Duration {
 	if s.holder != nil {
-		return s.holder.Longest
+		return s.holder.MaxCallDuration
 	}
 	return s.p.told.Longest
 }
@@ -155,7 +155,7 @@
 	}
 	for _, s := range p.all {
 		if s.holder != nil {
-			s.holder.Wanted(now, s.open+(p.waiting+n-1)/n)
+			s.holder.RecordDemand(now, s.open+(p.waiting+n-1)/n)
 		}
 	}
 }
@@ -167,8 +167,8 @@
 		if s.holder == nil {
 			continue
 		}
-		if now >= s.holder.Due(now, p.waiting > 0) {
-			p.ask(members.Name(s.name), s.holder.Ask(now, s.life, s.open))
+		if now >= s.holder.NextRequestAt(now, p.waiting > 0) {
+			p.ask(members.Name(s.name), s.holder.NextRequest(now, s.life, s.open))
 		}
 		// A limit that ran out is told once, as one that was given.
 		s.note(now)
@@ -184,10 +184,10 @@
 }
 
 // Granted takes an answer of a desk.
-func (p *Part) Granted(g grants.Grant) {
+func (p *Part) Granted(g grants.Lease) {
 	now := p.loop.Now()
 	for _, s := range p.all {
-		if s.holder != nil && s.life == g.Desk && s.holder.Granted(now, g) {
+		if s.holder != nil && s.life == g.AllocatorBootID && s.holder.Accept(now, g) {
 			s.note(now)
 			p.freed()
 			return
--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -74,7 +74,7 @@
 	}
 	if o.File.Upstream.Enabled {
 		below := below.New(in.Loop, o.File.Upstream.Config, part.View().Self.ID(), config.Seed, part.RequestLease)
-		part.OnLease = func(g grants.Grant) { in.Post(func() { below.Granted(g) }) }
+		part.OnLease = func(g grants.Lease) { in.Post(func() { below.Granted(g) }) }
 		seeing(part, in.Loop, below.See)
 		in.UseUpstreams(below)
 		in.Post(below.Start)
--- a/internal/fleet/desk/desk.go
+++ b/internal/fleet/desk/desk.go
@@ -17,8 +17,8 @@
 type Desk struct {
 	*loop.Loop
 	service string
-	told    grants.Told
-	desk    *grants.Desk
+	told    grants.Config
+	desk    *grants.Allocator
 	part    *gossip.Agent
 	up      bool // the service takes connections
 	leaving bool
@@ -26,30 +26,30 @@
 }
 
 // New makes a desk that grants nothing yet.
-func New(told grants.Told, service string) *Desk {
+func New(told grants.Config, service string) *Desk {
 	return &Desk{Loop: loop.New(1 << 12), service: service, told: told}
 }
 
 // Join gives it the part by which it speaks to the fleet, before that is started.
 func (d *Desk) Join(part *gossip.Agent) {
 	d.part = part
-	d.desk = grants.NewDesk(d.told, part.View().Self.BootID, d.Now())
-	part.OnLeaseRequest = func(a grants.Ask, answer func(grants.Grant)) {
+	d.desk = grants.NewAllocator(d.told, part.View().Self.BootID, d.Now())
+	part.OnLeaseRequest = func(a grants.Request, answer func(grants.Lease)) {
 		d.Post(func() {
-			if g, ok := d.desk.Asked(d.Now(), a); ok {
+			if g, ok := d.desk.HandleRequest(d.Now(), a); ok {
 				answer(g)
 			}
 		})
 	}
 	part.Subscribe(func(v *members.View) {
 		if v.LocalHealth == members.LocalFenced { // Danger: two that grant the same calls
-			d.Post(d.desk.Oust)
+			d.Post(d.desk.Fence)
 		}
 	})
 }
 
 // Retell takes values that were told anew.
-func (d *Desk) Retell(told grants.Told) { d.Post(func() { d.desk.Retell(told, d.Now()) }) }
+func (d *Desk) Retell(told grants.Config) { d.Post(func() { d.desk.SetConfig(told, d.Now()) }) }
 
 // Serve runs the loop until the desk has left.
 func (d *Desk) Serve() {
@@ -77,10 +77,10 @@
 
 // note writes how much is granted where that has changed by much.
 func (d *Desk) note() {
-	calls, holders := d.desk.Granted(d.Now())
-	if step := max(4, d.told.Cap/4); calls-d.calls >= step || d.calls-calls >= step || calls == 0 && d.calls > 0 {
+	calls, holders := d.desk.Committed(d.Now())
+	if step := max(4, d.told.Capacity/4); calls-d.calls >= step || d.calls-calls >= step || calls == 0 && d.calls > 0 {
 		d.calls = calls
-		slog.Info("granted", "calls", calls, "of", d.told.Room(), "holders", holders, "quiet", d.desk.Quiet(d.Now()))
+		slog.Info("granted", "calls", calls, "of", d.told.LeasableCalls(), "holders", holders, "quiet", d.desk.RenewOnly(d.Now()))
 	}
 	d.ScheduleAt(d.Now()+time.Second, d.note)
 }
@@ -88,8 +88,8 @@
 // Report is gossip.Process.
 func (d *Desk) Report(then func(gossip.ProcessStatus)) {
 	d.Post(func() {
-		calls, holders := d.desk.Granted(d.Now())
-		then(gossip.ProcessStatus{Ready: d.up, Draining: d.leaving, Metrics: []members.Metric{{Name: "cap", Value: float64(d.told.Cap)},
+		calls, holders := d.desk.Committed(d.Now())
+		then(gossip.ProcessStatus{Ready: d.up, Draining: d.leaving, Metrics: []members.Metric{{Name: "cap", Value: float64(d.told.Capacity)},
 			{Name: "granted", Value: float64(calls)}, {Name: "holders", Value: float64(holders)}}})
 	})
 }
@@ -97,7 +97,7 @@
 // Load is gossip.Process.
 func (d *Desk) Load(then func(float64, gossip.RequestStats)) {
 	d.Post(func() {
-		calls, _ := d.desk.Granted(d.Now())
+		calls, _ := d.desk.Committed(d.Now())
 		then(float64(calls), gossip.RequestStats{})
 	})
 }
@@ -106,7 +106,7 @@
 func (d *Desk) Drain(number uint64) { d.Post(func() { d.Leave(time.Second) }) }
 
 // Fenced is gossip.Process.
-func (d *Desk) Fenced() { d.Post(d.desk.Oust) }
+func (d *Desk) Fenced() { d.Post(d.desk.Fence) }
 
 // Leave is the notice to go: what was granted runs out by itself.
 func (d *Desk) Leave(within time.Duration) {
--- a/internal/fleet/desk/golden_test.go
+++ b/internal/fleet/desk/golden_test.go
@@ -12,10 +12,10 @@
 
 // What a desk says of itself in the fleet, by the names that others read.
 func TestReportGolden(t *testing.T) {
-	told := grants.Usual()
-	told.Cap = 16
+	told := grants.DefaultConfig()
+	told.Capacity = 16
 	d := New(told, "127.0.0.1:1")
-	d.desk = grants.NewDesk(told, 1, -time.Hour)
+	d.desk = grants.NewAllocator(told, 1, -time.Hour)
 	d.up, d.leaving = true, true
 	done := make(chan struct{})
 	go func() {
@@ -23,7 +23,7 @@
 		close(done)
 	}()
 	d.Post(func() {
-		d.desk.Asked(d.Now(), grants.Ask{Who: members.ID{Name: "n1", BootID: 1}, Seq: 1, Wants: 3})
+		d.desk.HandleRequest(d.Now(), grants.Request{Holder: members.ID{Name: "n1", BootID: 1}, Sequence: 1, WantedCalls: 3})
 	})
 	got := make(chan gossip.ProcessStatus, 1)
 	d.Report(func(r gossip.ProcessStatus) { got <- r })
--- a/internal/fleet/gossip/codec.go
+++ b/internal/fleet/gossip/codec.go
@@ -132,7 +132,7 @@
 }
 
 // decodeLeaseRequest reads what a holder wants; it counts for the life that it says it is, and for us only if it means this life of ours.
-func decodeLeaseRequest(body []byte, self members.ID) (request grants.Ask, addr string, err error) {
+func decodeLeaseRequest(body []byte, self members.ID) (request grants.Request, addr string, err error) {
 	var wire wireLeaseRequest
 	if err = decode(body, &wire); err != nil {
 		return request, "", err
@@ -141,24 +141,24 @@
 	if !ok || wire.Sequence == 0 || wire.HeldLimit < 0 || wire.OpenCalls < 0 || wire.WantedCalls < 0 || wire.To != self.String() || len(wire.ReplyAddr) > maxNameBytes {
 		return request, "", errOutOfRange
 	}
-	return grants.Ask{Who: from, Seq: wire.Sequence, Has: grants.Has{Desk: members.BootID(wire.AllocatorBootID), Seq: wire.HeldSequence, Limit: wire.HeldLimit}, Open: wire.OpenCalls, Wants: wire.WantedCalls}, wire.ReplyAddr, nil
+	return grants.Request{Holder: from, Sequence: wire.Sequence, Held: grants.HeldLease{AllocatorBootID: members.BootID(wire.AllocatorBootID), Sequence: wire.HeldSequence, Limit: wire.HeldLimit}, OpenCalls: wire.OpenCalls, WantedCalls: wire.WantedCalls}, wire.ReplyAddr, nil
 }
 
-func encodeLeaseRequest(request grants.Ask, to members.ID, replyAddr string) []byte {
-	return encode(kindLeaseRequest, wireLeaseRequest{to.String(), request.Who.String(), replyAddr, request.Seq, uint64(request.Has.Desk), request.Has.Seq, request.Has.Limit, request.Open, request.Wants})
+func encodeLeaseRequest(request grants.Request, to members.ID, replyAddr string) []byte {
+	return encode(kindLeaseRequest, wireLeaseRequest{to.String(), request.Holder.String(), replyAddr, request.Sequence, uint64(request.Held.AllocatorBootID), request.Held.Sequence, request.Held.Limit, request.OpenCalls, request.WantedCalls})
 }
 
-func encodeLease(lease grants.Grant) []byte {
-	return encode(kindLease, wireLease{uint64(lease.Desk), lease.Seq, lease.Limit, lease.Holds.Milliseconds(), lease.Alone, lease.Longest.Milliseconds()})
+func encodeLease(lease grants.Lease) []byte {
+	return encode(kindLease, wireLease{uint64(lease.AllocatorBootID), lease.Sequence, lease.Limit, lease.Duration.Milliseconds(), lease.UnleasedCalls, lease.MaxCallDuration.Milliseconds()})
 }
 
-func decodeLease(body []byte) (lease grants.Grant, err error) {
+func decodeLease(body []byte) (lease grants.Lease, err error) {
 	var wire wireLease
 	if err = decode(body, &wire); err == nil && (wire.Limit < 0 || wire.DurationMillis <= 0 || wire.DurationMillis > math.MaxInt32 || wire.UnleasedCalls < 0 || wire.MaxCallMillis <= 0 || wire.MaxCallMillis > math.MaxInt32) {
 		err = errOutOfRange
 	}
-	return grants.Grant{Desk: members.BootID(wire.AllocatorBootID), Seq: wire.Sequence, Limit: wire.Limit, Holds: time.Duration(wire.DurationMillis) * time.Millisecond, Alone: wire.UnleasedCalls,
-		Longest: time.Duration(wire.MaxCallMillis) * time.Millisecond}, err
+	return grants.Lease{AllocatorBootID: members.BootID(wire.AllocatorBootID), Sequence: wire.Sequence, Limit: wire.Limit, Duration: time.Duration(wire.DurationMillis) * time.Millisecond, UnleasedCalls: wire.UnleasedCalls,
+		MaxCallDuration: time.Duration(wire.MaxCallMillis) * time.Millisecond}, err
 }
 
 // wireFenceNotice tells a life that a later one has its name.
--- a/internal/fleet/gossip/codec_test.go
+++ b/internal/fleet/gossip/codec_test.go
@@ -37,7 +37,7 @@
 			t.Fatal(err, back, c)
 		}
 		count := func(label string) int { return rapid.IntRange(0, 1<<40).Draw(t, label) }
-		a := grants.Ask{Who: b.ID, Seq: 1 + rapid.Uint64Max(1<<60).Draw(t, "ask"), Has: grants.Has{Desk: b.BootID, Seq: b.Sequence, Limit: count("limit")}, Open: count("open"), Wants: count("wants")}
+		a := grants.Request{Holder: b.ID, Sequence: 1 + rapid.Uint64Max(1<<60).Draw(t, "ask"), Held: grants.HeldLease{AllocatorBootID: b.BootID, Sequence: b.Sequence, Limit: count("limit")}, OpenCalls: count("open"), WantedCalls: count("wants")}
 		_, _, body, _ = splitHead(encodeLeaseRequest(a, c.ID(), "a:1"))
 		if back, addr, err := decodeLeaseRequest(body, c.ID()); err != nil || back != a || addr != "a:1" || len(body) > maxMessageBytes {
 			t.Fatal(err, back, a)
@@ -45,7 +45,7 @@
 		if _, _, err := decodeLeaseRequest(body, members.ID{Name: "another", BootID: 1}); err == nil {
 			t.Fatal("an ask of another")
 		}
-		g := grants.Grant{Desk: b.BootID, Seq: b.Sequence, Limit: count("granted"), Holds: ms("for") + time.Millisecond, Alone: 1, Longest: ms("longest") + time.Millisecond}
+		g := grants.Lease{AllocatorBootID: b.BootID, Sequence: b.Sequence, Limit: count("granted"), Duration: ms("for") + time.Millisecond, UnleasedCalls: 1, MaxCallDuration: ms("longest") + time.Millisecond}
 		_, _, body, _ = splitHead(encodeLease(g))
 		if back, err := decodeLease(body); err != nil || back != g {
 			t.Fatal(err, back, g)
@@ -94,8 +94,8 @@
 	f.Add(encodeHeartbeat(members.Heartbeat{ID: members.ID{Name: "n", BootID: 1}, Metrics: []members.Metric{{Name: "load", Value: 1}}}))
 	f.Add(encodeDescriptor(members.Descriptor{Capacity: 1, Zone: "z"}))
 	f.Add(encode(kindFenceNotice, wireFenceNotice{"n", 1, 2}))
-	f.Add(encodeLeaseRequest(grants.Ask{Who: members.ID{Name: "n", BootID: 1}, Seq: 1, Wants: 3}, members.ID{Name: "n", BootID: 1}, "a:1"))
-	f.Add(encodeLease(grants.Grant{Desk: 1, Seq: 1, Limit: 2, Holds: time.Second, Longest: time.Second}))
+	f.Add(encodeLeaseRequest(grants.Request{Holder: members.ID{Name: "n", BootID: 1}, Sequence: 1, WantedCalls: 3}, members.ID{Name: "n", BootID: 1}, "a:1"))
+	f.Add(encodeLease(grants.Lease{AllocatorBootID: 1, Sequence: 1, Limit: 2, Duration: time.Second, MaxCallDuration: time.Second}))
 	f.Add(encode(kindPermitNotice, wirePermitNotice{"a@1", "b@1", "c:1", 7, true}))
 	f.Add(encode(kindPermitBegin, wirePermitBegin{"a@1", "b@1", "c:1", 9, 7}))
 	f.Add(encode(kindQuery, wireQuery{1, "a@1", "b@1", "c:1"}))
@@ -116,10 +116,10 @@
 			_ = decode(body, &p)
 			var b wirePermitBegin
 			_ = decode(body, &b)
-			if a, _, err := decodeLeaseRequest(body, members.ID{Name: "n", BootID: 1}); err == nil && (a.Seq == 0 || a.Open < 0 || a.Wants < 0) {
+			if a, _, err := decodeLeaseRequest(body, members.ID{Name: "n", BootID: 1}); err == nil && (a.Sequence == 0 || a.OpenCalls < 0 || a.WantedCalls < 0) {
 				t.Fatal(a)
 			}
-			if g, err := decodeLease(body); err == nil && (g.Holds <= 0 || g.Limit < 0) {
+			if g, err := decodeLease(body); err == nil && (g.Duration <= 0 || g.Limit < 0) {
 				t.Fatal(g)
 			}
 		}
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -52,9 +52,9 @@
 			{Name: "health", Value: 0.75, TTL: 3 * time.Second},
 			{Name: "held", Value: 12, TTL: 4 * time.Second},
 		}}
-	request := grants.Ask{Who: other, Seq: 9, Has: grants.Has{Desk: 11, Seq: 8, Limit: 5}, Open: 4, Wants: 6}
-	lease := grants.Grant{Desk: 11, Seq: 9, Limit: 5, Holds: 2 * time.Second, Alone: 1,
-		Longest: 5 * time.Second}
+	request := grants.Request{Holder: other, Sequence: 9, Held: grants.HeldLease{AllocatorBootID: 11, Sequence: 8, Limit: 5}, OpenCalls: 4, WantedCalls: 6}
+	lease := grants.Lease{AllocatorBootID: 11, Sequence: 9, Limit: 5, Duration: 2 * time.Second, UnleasedCalls: 1,
+		MaxCallDuration: 5 * time.Second}
 
 	requestWire := wireLeaseRequest{To: self.String(), From: other.String(), ReplyAddr: "10.0.0.8:7946", Sequence: 9, AllocatorBootID: 11,
 		HeldSequence: 8, HeldLimit: 5, OpenCalls: 4, WantedCalls: 6}
--- a/internal/life/desks/desks.go
+++ b/internal/life/desks/desks.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return err
 	}
-	slog.Info("desk", "name", operatorConfig.File.Fleet.Name, "service", operatorConfig.File.Fleet.ServiceAddress, "cap", operatorConfig.File.Allocator.Config.Cap, "room", operatorConfig.File.Allocator.Config.Room())
+	slog.Info("desk", "name", operatorConfig.File.Fleet.Name, "service", operatorConfig.File.Fleet.ServiceAddress, "cap", operatorConfig.File.Allocator.Config.Capacity, "room", operatorConfig.File.Allocator.Config.LeasableCalls())
 	go life.HandleSignals(signals, configPath, operatorConfig, func() { server.Post(func() { server.Leave(shutdownTimeout) }) }, reload)
 	server.Serve()
 	return nil
--- a/internal/operator/below.go
+++ b/internal/operator/below.go
@@ -40,11 +40,11 @@
 type Allocator struct {
 	Enabled  bool
 	LockFile string // a file that one desk alone may hold; empty for none
-	Config   grants.Told
+	Config   grants.Config
 }
 
 func (r *reader) readAllocator(fleet *Fleet) Allocator {
-	parsed := Allocator{Config: grants.Usual()}
+	parsed := Allocator{Config: grants.DefaultConfig()}
 	s := r.section("grants")
 	parsed.Enabled = s.exists()
 	switch {
@@ -56,19 +56,19 @@
 	s.pathValue("lock", &parsed.LockFile)
 	config := &parsed.Config
 	if parsed.Enabled {
-		config.Cap = 0
-		s.intValue("cap", &config.Cap, 1, 1_000_000)
-		if config.Cap == 0 {
+		config.Capacity = 0
+		s.intValue("cap", &config.Capacity, 1, 1_000_000)
+		if config.Capacity == 0 {
 			s.report("cap", "", "wants the calls at a time that the service takes")
 		}
 	}
-	s.intValue("alone", &config.Alone, 0, 1000)
-	s.intValue("processes", &config.Processes, 1, 100_000)
-	s.durationValue("holds", &config.Holds, 200*time.Millisecond, time.Minute)
-	s.durationValue("longest", &config.Longest, 10*time.Millisecond, time.Hour)
-	s.floatValue("drift", &config.Drift, 0, 0.2)
-	s.intValue("holders", &config.Holders, 1, 10_000)
-	if parsed.Enabled && config.Cap > 0 && config.Room() == 0 {
+	s.intValue("alone", &config.UnleasedCalls, 0, 1000)
+	s.intValue("processes", &config.MaxProcesses, 1, 100_000)
+	s.durationValue("holds", &config.LeaseDuration, 200*time.Millisecond, time.Minute)
+	s.durationValue("longest", &config.MaxCallDuration, 10*time.Millisecond, time.Hour)
+	s.floatValue("drift", &config.MaxClockDrift, 0, 0.2)
+	s.intValue("holders", &config.MaxHolders, 1, 10_000)
+	if parsed.Enabled && config.Capacity > 0 && config.LeasableCalls() == 0 {
 		s.report("alone", "", "leaves nothing to be granted: cap is no more than alone times processes")
 	}
 	s.reportUnknownNames()
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -235,13 +235,13 @@
 func listAllocator(l *listing, g *Allocator) {
 	l.add("grants", g.Enabled)
 	l.add("grants.lock", g.LockFile)
-	l.add("grants.cap", g.Config.Cap)
-	l.add("grants.alone", g.Config.Alone)
-	l.add("grants.processes", g.Config.Processes)
-	l.add("grants.holds", g.Config.Holds)
-	l.add("grants.longest", g.Config.Longest)
-	l.add("grants.drift", g.Config.Drift)
-	l.add("grants.holders", g.Config.Holders)
+	l.add("grants.cap", g.Config.Capacity)
+	l.add("grants.alone", g.Config.UnleasedCalls)
+	l.add("grants.processes", g.Config.MaxProcesses)
+	l.add("grants.holds", g.Config.LeaseDuration)
+	l.add("grants.longest", g.Config.MaxCallDuration)
+	l.add("grants.drift", g.Config.MaxClockDrift)
+	l.add("grants.holders", g.Config.MaxHolders)
 }
 
 func listSpillover(l *listing, h *Spillover) {
