--- a/internal/below/below.go
+++ b/internal/below/below.go
@@ -16,216 +16,216 @@
 	"lanewheel/internal/spread"
 )
 
-// Told is what it goes by.
-type Told struct {
-	Spread  spread.Config
-	Addrs   []string      // services; none: members with the role below
-	Calls   int           // at a time to one service, without a grant
-	Longest time.Duration // that a call may last
+// Config is what it goes by.
+type Config struct {
+	Balancer        spread.Config
+	Addresses       []string      // services; none: members with the role below
+	MaxCalls        int           // at a time to one service, without a grant
+	MaxCallDuration time.Duration // that a call may last
 }
 
-// AskDesk asks the desk of a service for calls; the answer comes by Granted.
-type AskDesk func(name members.Name, a grants.Request)
-
-// Part is the services of one instance. It is a keep.Below.
-type Part struct {
-	loop    *loop.Loop
-	told    Told
-	self    members.ID
-	ask     AskDesk
-	chooser *spread.Balancer
-	chance  *rand.Rand
-	all     map[spread.EndpointName]*service
-	freed   func()
-	waiting int
-	Counts  Counts
+// RequestLease asks the desk of a service for calls; the answer comes by Granted.
+type RequestLease func(name members.Name, a grants.Request)
+
+// Client is the services of one instance. It is a keep.Below.
+type Client struct {
+	loop         *loop.Loop
+	config       Config
+	self         members.ID
+	requestLease RequestLease
+	balancer     *spread.Balancer
+	random       *rand.Rand
+	services     map[spread.EndpointName]*endpoint
+	onAvailable  func()
+	waitingCalls int
+	stats        callStats
 }
 
-// Counts is what became of calls.
-type Counts struct{ Taken, Short, Running uint64 }
-
-// service is one below.
-type service struct {
-	p      *Part
-	name   spread.EndpointName
-	addr   string
-	life   members.BootID
-	holder *grants.Holder // nil: no grants are given there, Calls holds
-	open   int            // calls that may be running there
-	limit  int            // as last logged
+// callStats is what became of calls.
+type callStats struct{ started, atCapacity, abandoned uint64 }
+
+// endpoint is one below.
+type endpoint struct {
+	client          *Client
+	name            spread.EndpointName
+	address         string
+	allocatorBootID members.BootID
+	holder          *grants.Holder // nil: no grants are given there, Calls holds
+	openCalls       int            // calls that may be running there
+	loggedLimit     int            // as last logged
 }
 
 // New makes the part of an instance that is known to the fleet as self.
-func New(l *loop.Loop, told Told, self members.ID, seed uint64, ask AskDesk) *Part {
-	p := &Part{loop: l, told: told, self: self, ask: ask, chooser: spread.New(told.Spread), chance: rand.New(rand.NewPCG(seed, 11)), all: map[spread.EndpointName]*service{}, freed: func() {}}
-	if len(told.Addrs) > 0 {
-		var list []spread.Endpoint
-		for _, addr := range told.Addrs {
-			p.all[spread.EndpointName(addr)] = &service{p: p, name: spread.EndpointName(addr), addr: addr}
-			list = append(list, spread.Endpoint{Name: spread.EndpointName(addr), Capacity: 1})
+func New(eventLoop *loop.Loop, config Config, self members.ID, seed uint64, requestLease RequestLease) *Client {
+	client := &Client{loop: eventLoop, config: config, self: self, requestLease: requestLease, balancer: spread.New(config.Balancer), random: rand.New(rand.NewPCG(seed, 11)), services: map[spread.EndpointName]*endpoint{}, onAvailable: func() {}}
+	if len(config.Addresses) > 0 {
+		var candidates []spread.Endpoint
+		for _, addr := range config.Addresses {
+			client.services[spread.EndpointName(addr)] = &endpoint{client: client, name: spread.EndpointName(addr), address: addr}
+			candidates = append(candidates, spread.Endpoint{Name: spread.EndpointName(addr), Capacity: 1})
 		}
-		p.chooser.SetEndpoints(0, list)
+		client.balancer.SetEndpoints(0, candidates)
 	}
-	return p
+	return client
 }
 
-// Freed is keep.Below.
-func (p *Part) Freed(then func()) { p.freed = then }
+// OnAvailable is keep.Below.
+func (p *Client) OnAvailable(then func()) { p.onAvailable = then }
 
 // Start begins to ask for calls.
-func (p *Part) Start() { p.look() }
+func (p *Client) Start() { p.requestLeases() }
 
-// See takes a view of the fleet: services that members stand beside. Danger: one that is gone from our view may only be cut off from us, and what is
+// SetView takes a view of the fleet: services that members stand beside. Danger: one that is gone from our view may only be cut off from us, and what is
 // open there goes on: what was granted is kept until its time is up.
-func (p *Part) See(v *members.View) {
-	if len(p.told.Addrs) > 0 {
+func (p *Client) SetView(view *members.View) {
+	if len(p.config.Addresses) > 0 {
 		return
 	}
-	var list []spread.Endpoint
-	here := map[spread.EndpointName]bool{}
-	for m := range v.All() {
-		if m.Roles&members.RoleUpstream == 0 || m.ServiceAddr == "" || !m.State.Available() && (m.State != members.StateSuspect || v.LocalHealth.CanDeclareGone()) {
+	var candidates []spread.Endpoint
+	present := map[spread.EndpointName]bool{}
+	for member := range view.All() {
+		if member.Roles&members.RoleUpstream == 0 || member.ServiceAddr == "" || !member.State.Available() && (member.State != members.StateSuspect || view.LocalHealth.CanDeclareGone()) {
 			continue
 		}
-		name := spread.EndpointName(m.Name)
-		here[name] = true
-		s := p.all[name]
-		if s == nil {
-			s = &service{p: p, name: name, holder: &grants.Holder{ID: p.self, MaxUnleasedCalls: p.told.Calls, MaxCallDuration: p.told.Longest}}
-			p.all[name] = s
+		name := spread.EndpointName(member.Name)
+		present[name] = true
+		known := p.services[name]
+		if known == nil {
+			known = &endpoint{client: p, name: name, holder: &grants.Holder{ID: p.self, MaxUnleasedCalls: p.config.MaxCalls, MaxCallDuration: p.config.MaxCallDuration}}
+			p.services[name] = known
 		}
-		s.addr, s.life = m.ServiceAddr, m.BootID
-		list = append(list, spread.Endpoint{Name: name, Zone: m.Zone, Capacity: m.Capacity, WarmUp: m.WarmUp, WarmUpRemaining: m.WarmUpRemaining(v.PublishedAt), Suspect: m.State == members.StateSuspect})
+		known.address, known.allocatorBootID = member.ServiceAddr, member.BootID
+		candidates = append(candidates, spread.Endpoint{Name: name, Zone: member.Zone, Capacity: member.Capacity, WarmUp: member.WarmUp, WarmUpRemaining: member.WarmUpRemaining(view.PublishedAt), Suspect: member.State == members.StateSuspect})
 	}
-	for name, s := range p.all {
-		if !here[name] && s.open == 0 && s.holder.Limit(p.loop.Now()) <= s.holder.UnleasedCalls {
-			delete(p.all, name)
+	for name, known := range p.services {
+		if !present[name] && known.openCalls == 0 && known.holder.Limit(p.loop.Now()) <= known.holder.UnleasedCalls {
+			delete(p.services, name)
 		}
 	}
-	p.chooser.SetEndpoints(p.loop.Now(), list)
-	p.freed()
+	p.balancer.SetEndpoints(p.loop.Now(), candidates)
+	p.onAvailable()
 }
 
-// room is how many more calls a service may be given.
-func (s *service) room(now time.Duration) int {
+// freeCapacity is how many more calls a service may be given.
+func (s *endpoint) freeCapacity(now time.Duration) int {
 	if s.holder == nil {
-		return s.p.told.Calls - s.open
+		return s.client.config.MaxCalls - s.openCalls
 	}
-	return s.holder.Limit(now) - s.open
+	return s.holder.Limit(now) - s.openCalls
 }
 
-// Take is keep.Below.
-func (p *Part) Take(not string, waiting int) keep.UpstreamSlot {
+// Acquire is keep.Below.
+func (p *Client) Acquire(excludedAddr string, waiting int) keep.UpstreamSlot {
 	now := p.loop.Now()
-	p.waiting = waiting
-	i, any := p.chooser.Pick(now, p.chance.Float64, func(i int) bool {
-		s := p.all[p.chooser.NameAt(i)]
-		return s == nil || s.room(now) <= 0 || s.addr == not && p.chooser.Len() > 1
+	p.waitingCalls = waiting
+	i, found := p.balancer.Pick(now, p.random.Float64, func(i int) bool {
+		endpoint := p.services[p.balancer.NameAt(i)]
+		return endpoint == nil || endpoint.freeCapacity(now) <= 0 || endpoint.address == excludedAddr && p.balancer.Len() > 1
 	})
-	if !any {
-		p.Counts.Short++
-		p.want(now)
+	if !found {
+		p.stats.atCapacity++
+		p.recordDemand(now)
 		return nil
 	}
-	s := p.all[p.chooser.NameAt(i)]
-	p.chooser.RecordStart(now, i)
-	p.Counts.Taken++
-	s.open++
-	if s.holder != nil {
-		s.holder.RecordDemand(now, s.open)
+	endpoint := p.services[p.balancer.NameAt(i)]
+	p.balancer.RecordStart(now, i)
+	p.stats.started++
+	endpoint.openCalls++
+	if endpoint.holder != nil {
+		endpoint.holder.RecordDemand(now, endpoint.openCalls)
 	}
-	p.waiting = waiting - 1
-	return &place{s: s, began: now, longest: s.longest()}
+	p.waitingCalls = waiting - 1
+	return &reservation{endpoint: endpoint, startedAt: now, maxDuration: endpoint.maxCallDuration()}
 }
 
-func (s *service) longest() time.Duration {
+func (s *endpoint) maxCallDuration() time.Duration {
 	if s.holder != nil {
 		return s.holder.MaxCallDuration
 	}
-	return s.p.told.Longest
+	return s.client.config.MaxCallDuration
 }
 
-// want tells the services' desks that calls wait: what waits is wanted of all alike.
-func (p *Part) want(now time.Duration) {
-	n := 0
-	for _, s := range p.all {
+// recordDemand tells the services' desks that calls wait: what waits is wanted of all alike.
+func (p *Client) recordDemand(now time.Duration) {
+	leased := 0
+	for _, s := range p.services {
 		if s.holder != nil {
-			n++
+			leased++
 		}
 	}
-	for _, s := range p.all {
+	for _, s := range p.services {
 		if s.holder != nil {
-			s.holder.RecordDemand(now, s.open+(p.waiting+n-1)/n)
+			s.holder.RecordDemand(now, s.openCalls+(p.waitingCalls+leased-1)/leased)
 		}
 	}
 }
 
-// look asks for calls whenever that is due.
-func (p *Part) look() {
+// requestLeases asks for calls whenever that is due.
+func (p *Client) requestLeases() {
 	now := p.loop.Now()
-	for _, s := range p.all {
+	for _, s := range p.services {
 		if s.holder == nil {
 			continue
 		}
-		if now >= s.holder.NextRequestAt(now, p.waiting > 0) {
-			p.ask(members.Name(s.name), s.holder.NextRequest(now, s.life, s.open))
+		if now >= s.holder.NextRequestAt(now, p.waitingCalls > 0) {
+			p.requestLease(members.Name(s.name), s.holder.NextRequest(now, s.allocatorBootID, s.openCalls))
 		}
 		// A limit that ran out is told once, as one that was given.
-		s.note(now)
+		s.logLimit(now)
 	}
-	p.loop.ScheduleAt(now+10*time.Millisecond, p.look) // a hundredth of what a grant holds at the least
+	p.loop.ScheduleAt(now+10*time.Millisecond, p.requestLeases) // a hundredth of what a grant holds at the least
 }
 
-func (s *service) note(now time.Duration) {
-	was, is := s.limit, s.holder.Limit(now)
-	if s.limit = is; was == 0 != (is == 0) {
-		slog.Info("calls-granted", "service", string(s.name), "limit", is, "open", s.open)
+func (s *endpoint) logLimit(now time.Duration) {
+	previous, current := s.loggedLimit, s.holder.Limit(now)
+	if s.loggedLimit = current; previous == 0 != (current == 0) {
+		slog.Info("calls-granted", "service", string(s.name), "limit", current, "open", s.openCalls)
 	}
 }
 
-// Granted takes an answer of a desk.
-func (p *Part) Granted(g grants.Lease) {
+// HandleLease takes an answer of a desk.
+func (p *Client) HandleLease(lease grants.Lease) {
 	now := p.loop.Now()
-	for _, s := range p.all {
-		if s.holder != nil && s.life == g.AllocatorBootID && s.holder.Accept(now, g) {
-			s.note(now)
-			p.freed()
+	for _, s := range p.services {
+		if s.holder != nil && s.allocatorBootID == lease.AllocatorBootID && s.holder.Accept(now, lease) {
+			s.logLimit(now)
+			p.onAvailable()
 			return
 		}
 	}
 }
 
-// place is a call's at one service: a keep.Place.
-type place struct {
-	s       *service
-	began   time.Duration
-	longest time.Duration
+// reservation is a call's at one service: a keep.Place.
+type reservation struct {
+	endpoint    *endpoint
+	startedAt   time.Duration
+	maxDuration time.Duration
 }
 
-func (c *place) Addr() string               { return c.s.addr }
-func (c *place) MaxDuration() time.Duration { return c.longest }
+func (c *reservation) Addr() string               { return c.endpoint.address }
+func (c *reservation) MaxDuration() time.Duration { return c.maxDuration }
 
-var outcomes = map[choice.Outcome]spread.Outcome{choice.Succeeded: spread.Succeeded, choice.Rejected: spread.Rejected, choice.Failed: spread.Failed}
+var balancerOutcomes = map[choice.Outcome]spread.Outcome{choice.Succeeded: spread.Succeeded, choice.Rejected: spread.Rejected, choice.Failed: spread.Failed}
 
 // Release is keep.Place. What may be running on counts until its time there is up. Danger: who gives a call up and makes another at once has two running
 // below.
-func (c *place) Release(how choice.Outcome, running bool) {
-	p, now := c.s.p, c.s.p.loop.Now()
-	what, known := outcomes[how]
+func (c *reservation) Release(outcome choice.Outcome, stillRunning bool) {
+	client, now := c.endpoint.client, c.endpoint.client.loop.Now()
+	result, known := balancerOutcomes[outcome]
 	if !known {
-		what = spread.NoResponse
+		result = spread.NoResponse
 	}
-	p.chooser.RecordOutcome(now, c.s.name, what, now-c.began)
-	if !running {
-		c.back()
+	client.balancer.RecordOutcome(now, c.endpoint.name, result, now-c.startedAt)
+	if !stillRunning {
+		c.finish()
 		return
 	}
-	p.Counts.Running++
-	p.loop.ScheduleAt(max(now, c.began+c.longest), c.back)
+	client.stats.abandoned++
+	client.loop.ScheduleAt(max(now, c.startedAt+c.maxDuration), c.finish)
 }
 
-func (c *place) back() {
-	c.s.open--
+func (c *reservation) finish() {
+	c.endpoint.openCalls--
 	// What waits is given the room in a turn of its own: whoever gives it back is in the middle of something.
-	c.s.p.loop.ScheduleAt(c.s.p.loop.Now(), c.s.p.freed)
+	c.endpoint.client.loop.ScheduleAt(c.endpoint.client.loop.Now(), c.endpoint.client.onAvailable)
 }
--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -74,8 +74,8 @@
 	}
 	if o.File.Upstream.Enabled {
 		below := below.New(in.Loop, o.File.Upstream.Config, part.View().Self.ID(), config.Seed, part.RequestLease)
-		part.OnLease = func(g grants.Lease) { in.Post(func() { below.Granted(g) }) }
-		seeing(part, in.Loop, below.See)
+		part.OnLease = func(g grants.Lease) { in.Post(func() { below.HandleLease(g) }) }
+		seeing(part, in.Loop, below.SetView)
 		in.UseUpstreams(below)
 		in.Post(below.Start)
 	}
--- a/internal/operator/below.go
+++ b/internal/operator/below.go
@@ -14,24 +14,24 @@
 // Upstream is the services that an instance's calls go to.
 type Upstream struct {
 	Enabled bool
-	Config  below.Told
+	Config  below.Config
 }
 
 func (r *reader) readUpstream(fleet *Fleet) Upstream {
-	parsed := Upstream{Config: below.Told{Spread: spread.DefaultConfig(), Calls: 8, Longest: 5 * time.Second}}
+	parsed := Upstream{Config: below.Config{Balancer: spread.DefaultConfig(), MaxCalls: 8, MaxCallDuration: 5 * time.Second}}
 	s := r.section("below")
 	parsed.Enabled = s.exists()
-	parsed.Config.Spread.LocalZone = fleet.Zone
-	parsed.Config.Addrs = s.listValue("services")
-	for _, address := range parsed.Config.Addrs {
+	parsed.Config.Balancer.LocalZone = fleet.Zone
+	parsed.Config.Addresses = s.listValue("services")
+	for _, address := range parsed.Config.Addresses {
 		s.checkAddress("services", address)
 	}
-	if parsed.Enabled && !fleet.Enabled && len(parsed.Config.Addrs) == 0 {
+	if parsed.Enabled && !fleet.Enabled && len(parsed.Config.Addresses) == 0 {
 		s.report("services", "", "wants addresses, or a section [fleet] by which members with the role below are known")
 	}
-	s.intValue("calls", &parsed.Config.Calls, 0, 100_000)
-	s.durationValue("longest", &parsed.Config.Longest, 10*time.Millisecond, time.Hour)
-	s.readBalancer(&parsed.Config.Spread)
+	s.intValue("calls", &parsed.Config.MaxCalls, 0, 100_000)
+	s.durationValue("longest", &parsed.Config.MaxCallDuration, 10*time.Millisecond, time.Hour)
+	s.readBalancer(&parsed.Config.Balancer)
 	s.reportUnknownNames()
 	return parsed
 }
--- a/internal/operator/fleet_test.go
+++ b/internal/operator/fleet_test.go
@@ -51,7 +51,7 @@
 	}
 	shipped, over := read("below.ini"), read("handover.ini")
 	bare, err := Parse("x", []byte("[below]\n[grants]\ncap = 200\n[handover]\n"+fleet))
-	shipped.Upstream.Config.Addrs, shipped.Allocator.LockFile = nil, ""
+	shipped.Upstream.Config.Addresses, shipped.Allocator.LockFile = nil, ""
 	bare.Spillover.Config.LocalAddress = over.Spillover.Config.LocalAddress
 	fmt.Println(err, fmt.Sprint(shipped.Upstream) == fmt.Sprint(bare.Upstream), shipped.Allocator == bare.Allocator, over.Spillover == bare.Spillover)
 	_, err = Parse("x", []byte("[below]\ncalls = some\n[grants]\ncap = 5\nalone = 1\n[handover]\nshare = 2\n"))
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -226,10 +226,10 @@
 
 func listUpstream(l *listing, b *Upstream) {
 	l.add("below", b.Enabled)
-	listBalancer(l, "below", &b.Config.Spread)
-	l.add("below.services", b.Config.Addrs)
-	l.add("below.calls", b.Config.Calls)
-	l.add("below.longest", b.Config.Longest)
+	listBalancer(l, "below", &b.Config.Balancer)
+	l.add("below.services", b.Config.Addresses)
+	l.add("below.calls", b.Config.MaxCalls)
+	l.add("below.longest", b.Config.MaxCallDuration)
 }
 
 func listAllocator(l *listing, g *Allocator) {
