--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -127,7 +127,7 @@
 
 // desked runs a desk.
 func desked(operated, format string) error {
-	return desks.Run(operated, format, func(d *desk.Desk, o *life.OperatorConfig) (func(*life.OperatorConfig), error) {
+	return desks.Run(operated, format, func(d *desk.Server, o *life.OperatorConfig) (func(*life.OperatorConfig), error) {
 		as := func(o *life.OperatorConfig) gossip.Config {
 			f := o.File.Fleet
 			f.Roles = members.RoleUpstream
@@ -137,11 +137,11 @@
 		if err != nil {
 			return nil, err
 		}
-		d.Join(part)
+		d.Attach(part)
 		part.Start()
 		return func(o *life.OperatorConfig) {
 			part.SetConfig(as(o))
-			d.Retell(o.File.Allocator.Config)
+			d.SetConfig(o.File.Allocator.Config)
 		}, nil
 	})
 }
--- a/internal/fleet/desk/desk.go
+++ b/internal/fleet/desk/desk.go
@@ -13,116 +13,118 @@
 	"lanewheel/internal/members"
 )
 
-// Desk is one such process: a gossip.Process. All of it belongs to its loop.
-type Desk struct {
+// Server is one such process: a gossip.Process. All of it belongs to its loop.
+type Server struct {
 	*loop.Loop
-	service string
-	told    grants.Config
-	desk    *grants.Allocator
-	part    *gossip.Agent
-	up      bool // the service takes connections
-	leaving bool
-	calls   int // granted, as last logged
+	serviceAddr string
+	config      grants.Config
+	allocator   *grants.Allocator
+	agent       *gossip.Agent
+	serviceUp   bool // the service takes connections
+	draining    bool
+	loggedCalls int // granted, as last logged
 }
 
 // New makes a desk that grants nothing yet.
-func New(told grants.Config, service string) *Desk {
-	return &Desk{Loop: loop.New(1 << 12), service: service, told: told}
+func New(config grants.Config, serviceAddr string) *Server {
+	return &Server{Loop: loop.New(1 << 12), serviceAddr: serviceAddr, config: config}
 }
 
-// Join gives it the part by which it speaks to the fleet, before that is started.
-func (d *Desk) Join(part *gossip.Agent) {
-	d.part = part
-	d.desk = grants.NewAllocator(d.told, part.View().Self.BootID, d.Now())
-	part.OnLeaseRequest = func(a grants.Request, answer func(grants.Lease)) {
+// Attach gives it the part by which it speaks to the fleet, before that is started.
+func (d *Server) Attach(agent *gossip.Agent) {
+	d.agent = agent
+	d.allocator = grants.NewAllocator(d.config, agent.View().Self.BootID, d.Now())
+	agent.OnLeaseRequest = func(request grants.Request, reply func(grants.Lease)) {
 		d.Post(func() {
-			if g, ok := d.desk.HandleRequest(d.Now(), a); ok {
-				answer(g)
+			if lease, ok := d.allocator.HandleRequest(d.Now(), request); ok {
+				reply(lease)
 			}
 		})
 	}
-	part.Subscribe(func(v *members.View) {
-		if v.LocalHealth == members.LocalFenced { // Danger: two that grant the same calls
-			d.Post(d.desk.Fence)
+	agent.Subscribe(func(view *members.View) {
+		if view.LocalHealth == members.LocalFenced { // Danger: two that grant the same calls
+			d.Post(d.allocator.Fence)
 		}
 	})
 }
 
-// Retell takes values that were told anew.
-func (d *Desk) Retell(told grants.Config) { d.Post(func() { d.desk.SetConfig(told, d.Now()) }) }
+// SetConfig takes values that were told anew.
+func (d *Server) SetConfig(config grants.Config) {
+	d.Post(func() { d.allocator.SetConfig(config, d.Now()) })
+}
 
 // Serve runs the loop until the desk has left.
-func (d *Desk) Serve() {
-	d.Post(func() { d.note() })
-	go d.look()
+func (d *Server) Serve() {
+	d.Post(func() { d.logCommitted() })
+	go d.probeService()
 	d.Run(func() {})
 }
 
-// look sees, once a second, whether the service takes connections. It works beside the loop, as a connection may take its time.
-func (d *Desk) look() {
+// probeService sees, once a second, whether the service takes connections. It works beside the loop, as a connection may take its time.
+func (d *Server) probeService() {
 	for {
-		c, err := net.DialTimeout("tcp", d.service, 500*time.Millisecond)
+		conn, err := net.DialTimeout("tcp", d.serviceAddr, 500*time.Millisecond)
 		if err == nil {
-			c.Close()
+			conn.Close()
 		}
 		d.Post(func() {
-			if up := err == nil; up != d.up {
-				d.up = up
-				slog.Info("service", "addr", d.service, "up", up)
+			if up := err == nil; up != d.serviceUp {
+				d.serviceUp = up
+				slog.Info("service", "addr", d.serviceAddr, "up", up)
 			}
 		})
 		time.Sleep(time.Second)
 	}
 }
 
-// note writes how much is granted where that has changed by much.
-func (d *Desk) note() {
-	calls, holders := d.desk.Committed(d.Now())
-	if step := max(4, d.told.Capacity/4); calls-d.calls >= step || d.calls-calls >= step || calls == 0 && d.calls > 0 {
-		d.calls = calls
-		slog.Info("granted", "calls", calls, "of", d.told.LeasableCalls(), "holders", holders, "quiet", d.desk.RenewOnly(d.Now()))
+// logCommitted writes how much is granted where that has changed by much.
+func (d *Server) logCommitted() {
+	calls, holders := d.allocator.Committed(d.Now())
+	if step := max(4, d.config.Capacity/4); calls-d.loggedCalls >= step || d.loggedCalls-calls >= step || calls == 0 && d.loggedCalls > 0 {
+		d.loggedCalls = calls
+		slog.Info("granted", "calls", calls, "of", d.config.LeasableCalls(), "holders", holders, "quiet", d.allocator.RenewOnly(d.Now()))
 	}
-	d.ScheduleAt(d.Now()+time.Second, d.note)
+	d.ScheduleAt(d.Now()+time.Second, d.logCommitted)
 }
 
-// Report is gossip.Process.
-func (d *Desk) Report(then func(gossip.ProcessStatus)) {
+// Status is gossip.Process.
+func (d *Server) Status(then func(gossip.ProcessStatus)) {
 	d.Post(func() {
-		calls, holders := d.desk.Committed(d.Now())
-		then(gossip.ProcessStatus{Ready: d.up, Draining: d.leaving, Metrics: []members.Metric{{Name: "cap", Value: float64(d.told.Capacity)},
+		calls, holders := d.allocator.Committed(d.Now())
+		then(gossip.ProcessStatus{Ready: d.serviceUp, Draining: d.draining, Metrics: []members.Metric{{Name: "cap", Value: float64(d.config.Capacity)},
 			{Name: "granted", Value: float64(calls)}, {Name: "holders", Value: float64(holders)}}})
 	})
 }
 
 // Load is gossip.Process.
-func (d *Desk) Load(then func(float64, gossip.RequestStats)) {
+func (d *Server) Load(then func(float64, gossip.RequestStats)) {
 	d.Post(func() {
-		calls, _ := d.desk.Committed(d.Now())
+		calls, _ := d.allocator.Committed(d.Now())
 		then(float64(calls), gossip.RequestStats{})
 	})
 }
 
 // Drain is gossip.Process: what was granted runs out, and the service is no member's any more.
-func (d *Desk) Drain(number uint64) { d.Post(func() { d.Leave(time.Second) }) }
+func (d *Server) Drain(number uint64) { d.Post(func() { d.Shutdown(time.Second) }) }
 
 // Fenced is gossip.Process.
-func (d *Desk) Fenced() { d.Post(d.desk.Fence) }
+func (d *Server) Fenced() { d.Post(d.allocator.Fence) }
 
-// Leave is the notice to go: what was granted runs out by itself.
-func (d *Desk) Leave(within time.Duration) {
-	if d.leaving {
+// Shutdown is the notice to go: what was granted runs out by itself.
+func (d *Server) Shutdown(timeout time.Duration) {
+	if d.draining {
 		return
 	}
-	d.leaving = true
-	slog.Info("leaving", "kill_ms", within.Milliseconds())
-	d.part.Drain(within)
-	d.left(d.Now() + within + 200*time.Millisecond)
+	d.draining = true
+	slog.Info("leaving", "kill_ms", timeout.Milliseconds())
+	d.agent.Drain(timeout)
+	d.awaitAgent(d.Now() + timeout + 200*time.Millisecond)
 }
 
-func (d *Desk) left(last time.Duration) {
-	if d.part.Drained() || d.Now() >= last {
+func (d *Server) awaitAgent(deadline time.Duration) {
+	if d.agent.Drained() || d.Now() >= deadline {
 		d.Quit()
 		return
 	}
-	d.ScheduleAt(d.Now()+10*time.Millisecond, func() { d.left(last) })
+	d.ScheduleAt(d.Now()+10*time.Millisecond, func() { d.awaitAgent(deadline) })
 }
--- a/internal/fleet/desk/golden_test.go
+++ b/internal/fleet/desk/golden_test.go
@@ -15,18 +15,18 @@
 	told := grants.DefaultConfig()
 	told.Capacity = 16
 	d := New(told, "127.0.0.1:1")
-	d.desk = grants.NewAllocator(told, 1, -time.Hour)
-	d.up, d.leaving = true, true
+	d.allocator = grants.NewAllocator(told, 1, -time.Hour)
+	d.serviceUp, d.draining = true, true
 	done := make(chan struct{})
 	go func() {
 		d.Run(func() {})
 		close(done)
 	}()
 	d.Post(func() {
-		d.desk.HandleRequest(d.Now(), grants.Request{Holder: members.ID{Name: "n1", BootID: 1}, Sequence: 1, WantedCalls: 3})
+		d.allocator.HandleRequest(d.Now(), grants.Request{Holder: members.ID{Name: "n1", BootID: 1}, Sequence: 1, WantedCalls: 3})
 	})
 	got := make(chan gossip.ProcessStatus, 1)
-	d.Report(func(r gossip.ProcessStatus) { got <- r })
+	d.Status(func(r gossip.ProcessStatus) { got <- r })
 	want := gossip.ProcessStatus{Ready: true, Draining: true, Metrics: []members.Metric{{Name: "cap", Value: 16}, {Name: "granted",
 		Value: 3}, {Name: "holders", Value: 1}}}
 	if r := <-got; !reflect.DeepEqual(r, want) {
--- a/internal/life/desks/desks.go
+++ b/internal/life/desks/desks.go
@@ -13,7 +13,7 @@
 )
 
 // Attach brings a desk into its fleet and gives what takes an operator's file that was read anew.
-type Attach func(d *desk.Desk, o *life.OperatorConfig) (reload func(*life.OperatorConfig), err error)
+type Attach func(d *desk.Server, o *life.OperatorConfig) (reload func(*life.OperatorConfig), err error)
 
 // shutdownTimeout is how long a desk takes to leave: its word has to get through.
 const shutdownTimeout = time.Second
@@ -45,7 +45,7 @@
 		return err
 	}
 	slog.Info("desk", "name", operatorConfig.File.Fleet.Name, "service", operatorConfig.File.Fleet.ServiceAddress, "cap", operatorConfig.File.Allocator.Config.Capacity, "room", operatorConfig.File.Allocator.Config.LeasableCalls())
-	go life.HandleSignals(signals, configPath, operatorConfig, func() { server.Post(func() { server.Leave(shutdownTimeout) }) }, reload)
+	go life.HandleSignals(signals, configPath, operatorConfig, func() { server.Post(func() { server.Shutdown(shutdownTimeout) }) }, reload)
 	server.Serve()
 	return nil
 }
