--- a/internal/accord/accord_test.go
+++ b/internal/accord/accord_test.go
@@ -21,73 +21,73 @@
 	at time.Duration
 }
 
-func open(n int, zones []string, budgets ...Budget) *fleet {
-	f := &fleet{State: New(Usual())}
+func newFleet(n int, zones []string, budgets ...DisruptionBudget) *fleet {
+	f := &fleet{State: NewState(DefaultConfig())}
 	for i := range n {
-		f.seen(i, 1, Up, "1", zones[i%len(zones)])
+		f.observeInstance(i, 1, MemberUp, "1", zones[i%len(zones)])
 	}
-	f.do(Command{Do: DoBudgets, Budgets: budgets})
+	f.apply(Command{Kind: KindSetBudgets, Budgets: budgets})
 	return f
 }
 
-func name(i int) Name { return Name(fmt.Sprint("n", i)) }
+func instanceName(i int) Name { return Name(fmt.Sprint("n", i)) }
 
-func (f *fleet) do(c Command) Reply {
-	c.Term, c.At = 1, f.at
+func (f *fleet) apply(c Command) Reply {
+	c.Term, c.LeaderTime = 1, f.at
 	return f.Apply(c)
 }
 
-func (f *fleet) seen(i int, inc int, why Reason, release, zone string) {
-	f.do(Command{Do: DoSee, Seen: []Seen{{Name: name(i), Incarnation: members.Incarnation(inc), Zone: zone, Release: release, Roles: members.RoleServer, Capacity: 1, Why: why}}})
+func (f *fleet) observeInstance(i int, incarnation int, state MemberState, release, zone string) {
+	f.apply(Command{Kind: KindObserve, Observations: []Observation{{Name: instanceName(i), Incarnation: members.Incarnation(incarnation), Zone: zone, Release: release, Roles: members.RoleServer, Capacity: 1, State: state}}})
 }
 
-// is changes how a member is, with all else as it was.
-func (f *fleet) is(i int, why Reason) {
-	m := f.Members[name(i)]
-	f.seen(i, int(m.Incarnation), why, m.Release, m.Zone)
+// setMemberState changes how a member is, with all else as it was.
+func (f *fleet) setMemberState(i int, state MemberState) {
+	member := f.Members[instanceName(i)]
+	f.observeInstance(i, int(member.Incarnation), state, member.Release, member.Zone)
 }
 
-func (f *fleet) pass(d time.Duration) {
+func (f *fleet) advanceTime(d time.Duration) {
 	f.at += d
-	f.do(Command{Do: DoTick})
+	f.apply(Command{Kind: KindTick})
 }
 
-func (f *fleet) stages() string {
+func (f *fleet) permitSummary() string {
 	var all []string
-	for _, p := range f.inOrder() {
-		text := fmt.Sprintf("%d %s %s", p.Number, p.Member, p.Stage)
-		if p.Waits != "" {
-			text += " (" + p.Waits + ")"
+	for _, p := range f.permitsByID() {
+		text := fmt.Sprintf("%d %s %s", p.ID, p.Member, p.Stage)
+		if p.WaitReason != "" {
+			text += " (" + p.WaitReason + ")"
 		}
 		all = append(all, text)
 	}
 	return strings.Join(all, "; ")
 }
 
-func (f *fleet) last() string {
-	if len(f.Over) == 0 {
+func (f *fleet) lastEnded() string {
+	if len(f.EndedPermits) == 0 {
 		return "none"
 	}
-	p := f.Over[len(f.Over)-1]
-	return fmt.Sprintf("%d %s: %s", p.Number, p.Member, p.Outcome)
+	p := f.EndedPermits[len(f.EndedPermits)-1]
+	return fmt.Sprintf("%d %s: %s", p.ID, p.Member, p.Outcome)
 }
 
-var one = Budget{Name: "one", Most: 1}
+var oneAtATime = DisruptionBudget{Name: "one", MaxUnavailable: 1}
 
 // A drain from its asking to its end. The second waits for its turn; one that is out counts until it is up again, whole; a key asked twice is one.
 func Example() {
-	f := open(3, []string{"a"}, one)
-	fmt.Println(f.do(Command{Do: DoAsk, Member: "n0", Key: "k"}), f.do(Command{Do: DoAsk, Member: "n0", Key: "k"}))
-	fmt.Println(f.do(Command{Do: DoAsk, Member: "n1"}).Number, f.stages())
-	fmt.Println(f.do(Command{Do: DoBegin, Member: "n0", Number: 1, Of: 1}).OK, f.do(Command{Do: DoBegin, Member: "n1", Number: 2, Of: 1}))
-	f.is(0, Leaving)
-	f.is(0, Gone)
-	f.pass(time.Hour)
-	fmt.Println(f.stages())
-	f.seen(0, 2, Cold, "1", "a")
-	fmt.Println(f.stages())
-	f.seen(0, 2, Up, "1", "a")
-	fmt.Println(f.last(), "|", f.stages())
+	f := newFleet(3, []string{"a"}, oneAtATime)
+	fmt.Println(f.apply(Command{Kind: KindRequestPermit, Member: "n0", IdempotencyKey: "k"}), f.apply(Command{Kind: KindRequestPermit, Member: "n0", IdempotencyKey: "k"}))
+	fmt.Println(f.apply(Command{Kind: KindRequestPermit, Member: "n1"}).PermitID, f.permitSummary())
+	fmt.Println(f.apply(Command{Kind: KindBeginPermit, Member: "n0", PermitID: 1, Incarnation: 1}).OK, f.apply(Command{Kind: KindBeginPermit, Member: "n1", PermitID: 2, Incarnation: 1}))
+	f.setMemberState(0, MemberLeaving)
+	f.setMemberState(0, MemberGone)
+	f.advanceTime(time.Hour)
+	fmt.Println(f.permitSummary())
+	f.observeInstance(0, 2, MemberWarmingUp, "1", "a")
+	fmt.Println(f.permitSummary())
+	f.observeInstance(0, 2, MemberUp, "1", "a")
+	fmt.Println(f.lastEnded(), "|", f.permitSummary())
 	// Output:
 	// {true  1 []} {true  1 []}
 	// 2 1 n0 granted; 2 n1 queued (budget one: 1 of 3 out, 1 may be)
@@ -99,29 +99,29 @@
 
 // What keeps a permit from beginning: its time, a crash elsewhere, a halt, another life, a drop. What has begun is never taken back.
 func Example_withdrawn() {
-	f := open(4, []string{"a"}, Budget{Name: "two", Most: 2})
-	f.do(Command{Do: DoAsk, Member: "n0", Span: time.Second})
-	f.pass(2 * time.Second)
-	fmt.Println(f.last(), f.do(Command{Do: DoBegin, Member: "n0", Number: 1, Of: 1}))
-	f.do(Command{Do: DoAsk, Member: "n0"})
-	f.do(Command{Do: DoBegin, Member: "n0", Number: 2, Of: 1})
-	f.do(Command{Do: DoAsk, Member: "n1"})
-	f.is(3, Doubted) // n0 begun, n1 granted, n3 in doubt: three of two
-	fmt.Println(f.last(), "|", f.stages())
-	f.is(3, Up)
-	f.do(Command{Do: DoAsk, Member: "n1"})
-	fmt.Println(f.do(Command{Do: DoBegin, Member: "n1", Number: 4, Of: 9}).Why)
-	f.seen(1, 2, Up, "1", "a") // its life is over before it began
-	fmt.Println(f.last())
-	f.do(Command{Do: DoAsk, Member: "n1"})
-	f.do(Command{Do: DoHalt, By: "op"})
-	fmt.Println(f.last(), f.do(Command{Do: DoBegin, Member: "n1", Number: 5, Of: 2}))
-	fmt.Println(f.do(Command{Do: DoAsk, Member: "n2"}), "|", f.stages())
-	f.do(Command{Do: DoResume})
-	fmt.Println(f.stages())
-	fmt.Println(f.do(Command{Do: DoDrop, Number: 6, By: "op"}).OK, f.last(), f.do(Command{Do: DoDrop, Number: 2}))
-	f.do(Command{Do: DoForget, Member: "n0", By: "op"})
-	fmt.Println(f.do(Command{Do: DoForget, Member: "n2"}), f.stages())
+	f := newFleet(4, []string{"a"}, DisruptionBudget{Name: "two", MaxUnavailable: 2})
+	f.apply(Command{Kind: KindRequestPermit, Member: "n0", BeginTimeout: time.Second})
+	f.advanceTime(2 * time.Second)
+	fmt.Println(f.lastEnded(), f.apply(Command{Kind: KindBeginPermit, Member: "n0", PermitID: 1, Incarnation: 1}))
+	f.apply(Command{Kind: KindRequestPermit, Member: "n0"})
+	f.apply(Command{Kind: KindBeginPermit, Member: "n0", PermitID: 2, Incarnation: 1})
+	f.apply(Command{Kind: KindRequestPermit, Member: "n1"})
+	f.setMemberState(3, MemberSuspect) // n0 begun, n1 granted, n3 in doubt: three of two
+	fmt.Println(f.lastEnded(), "|", f.permitSummary())
+	f.setMemberState(3, MemberUp)
+	f.apply(Command{Kind: KindRequestPermit, Member: "n1"})
+	fmt.Println(f.apply(Command{Kind: KindBeginPermit, Member: "n1", PermitID: 4, Incarnation: 9}).Reason)
+	f.observeInstance(1, 2, MemberUp, "1", "a") // its life is over before it began
+	fmt.Println(f.lastEnded())
+	f.apply(Command{Kind: KindRequestPermit, Member: "n1"})
+	f.apply(Command{Kind: KindHalt, RequestedBy: "op"})
+	fmt.Println(f.lastEnded(), f.apply(Command{Kind: KindBeginPermit, Member: "n1", PermitID: 5, Incarnation: 2}))
+	fmt.Println(f.apply(Command{Kind: KindRequestPermit, Member: "n2"}), "|", f.permitSummary())
+	f.apply(Command{Kind: KindResume})
+	fmt.Println(f.permitSummary())
+	fmt.Println(f.apply(Command{Kind: KindCancelPermit, PermitID: 6, RequestedBy: "op"}).OK, f.lastEnded(), f.apply(Command{Kind: KindCancelPermit, PermitID: 2}))
+	f.apply(Command{Kind: KindForgetMember, Member: "n0", RequestedBy: "op"})
+	fmt.Println(f.apply(Command{Kind: KindForgetMember, Member: "n2"}), f.permitSummary())
 	// Output:
 	// 1 n0: not begun in time {false permit 1 is over 0 []}
 	// 3 n1: withdrawn: budget two: 3 of 4 out, 2 may be | 2 n0 begun
@@ -137,27 +137,27 @@
 // Budgets: what no order of things would let go is said at once; one that changes under what waits, or is out; several that overlap; least capacity;
 // a waiting one lets others by, so often.
 func Example_budgets() {
-	f := open(6, []string{"a", "b"}, Budget{Name: "tenth", Share: 0.1, Most: -1})
-	fmt.Println(f.do(Command{Do: DoAsk, Member: "n0"}).Why)
-	f.do(Command{Do: DoBudgets, Budgets: []Budget{{Name: "all", Most: 3}, {Name: "a", Of: Match{Zone: "a"}, Most: 1}, {Name: "up", Least: 4, Most: 99}}})
-	fmt.Println(f.do(Command{Do: DoDrain, Group: Match{Zone: "a"}}).Numbers, f.stages())
+	f := newFleet(6, []string{"a", "b"}, DisruptionBudget{Name: "tenth", MaxUnavailableFraction: 0.1, MaxUnavailable: -1})
+	fmt.Println(f.apply(Command{Kind: KindRequestPermit, Member: "n0"}).Reason)
+	f.apply(Command{Kind: KindSetBudgets, Budgets: []DisruptionBudget{{Name: "all", MaxUnavailable: 3}, {Name: "a", Selector: Selector{Zone: "a"}, MaxUnavailable: 1}, {Name: "up", MinAvailableCapacity: 4, MaxUnavailable: 99}}})
+	fmt.Println(f.apply(Command{Kind: KindDrain, Selector: Selector{Zone: "a"}}).PermitIDs, f.permitSummary())
 	for _, i := range []int{1, 3} {
-		f.do(Command{Do: DoAsk, Member: name(i)})
+		f.apply(Command{Kind: KindRequestPermit, Member: instanceName(i)})
 	}
-	fmt.Println(f.stages())
-	f.do(Command{Do: DoBegin, Member: "n0", Number: 1, Of: 1})
-	f.do(Command{Do: DoBudgets, Budgets: []Budget{{Name: "none", Most: 0}}})
-	fmt.Println(f.stages(), "|", f.Use(f.Budgets[0]).Out)
-	fmt.Println(f.do(Command{Do: DoBudgets, Budgets: []Budget{{Name: "x", Most: -1, Share: 2}}}).Why)
-	f.do(Command{Do: DoBudgets})
-	fmt.Println(f.do(Command{Do: DoAsk, Member: "n4"}).Why)
+	fmt.Println(f.permitSummary())
+	f.apply(Command{Kind: KindBeginPermit, Member: "n0", PermitID: 1, Incarnation: 1})
+	f.apply(Command{Kind: KindSetBudgets, Budgets: []DisruptionBudget{{Name: "none", MaxUnavailable: 0}}})
+	fmt.Println(f.permitSummary(), "|", f.Usage(f.Budgets[0]).Unavailable)
+	fmt.Println(f.apply(Command{Kind: KindSetBudgets, Budgets: []DisruptionBudget{{Name: "x", MaxUnavailable: -1, MaxUnavailableFraction: 2}}}).Reason)
+	f.apply(Command{Kind: KindSetBudgets})
+	fmt.Println(f.apply(Command{Kind: KindRequestPermit, Member: "n4"}).Reason)
 
-	f = open(4, []string{"a", "b"}, Budget{Name: "a", Of: Match{Zone: "a"}, Most: 1}, Budget{Name: "b", Of: Match{Zone: "b"}, Most: 2}, Budget{Name: "all", Most: 3})
-	f.Told.Passed = 1
+	f = newFleet(4, []string{"a", "b"}, DisruptionBudget{Name: "a", Selector: Selector{Zone: "a"}, MaxUnavailable: 1}, DisruptionBudget{Name: "b", Selector: Selector{Zone: "b"}, MaxUnavailable: 2}, DisruptionBudget{Name: "all", MaxUnavailable: 3})
+	f.Config.MaxOvertakes = 1
 	for _, i := range []int{0, 2, 1, 3} {
-		f.do(Command{Do: DoAsk, Member: name(i)})
+		f.apply(Command{Kind: KindRequestPermit, Member: instanceName(i)})
 	}
-	fmt.Println(f.stages())
+	fmt.Println(f.permitSummary())
 	// Output:
 	// never: budget tenth lets none of 6 go out
 	// [1 2 3] 1 n0 granted; 2 n2 queued (budget a: 1 of 3 out, 1 may be); 3 n4 queued (budget a: 1 of 3 out, 1 may be)
@@ -168,26 +168,26 @@
 	// 1 n0 granted; 2 n2 queued (budget a: 1 of 2 out, 1 may be); 3 n1 granted; 4 n3 queued (others have waited longer)
 }
 
-// replace has whoever may go do so, and come back on a release, until nobody may.
-func (f *fleet) replace(release func(Name) string) (went []Name) {
+// restartGranted has whoever may go do so, and come back on a release, until nobody may.
+func (f *fleet) restartGranted(release func(Name) string) (restarted []Name) {
 	for {
 		any := false
-		for _, p := range f.inOrder() {
-			if p.Stage != Granted || !f.do(Command{Do: DoBegin, Member: p.Member, Number: p.Number, Of: p.Of}).OK {
+		for _, p := range f.permitsByID() {
+			if p.Stage != PermitGranted || !f.apply(Command{Kind: KindBeginPermit, Member: p.Member, PermitID: p.ID, Incarnation: p.Incarnation}).OK {
 				continue
 			}
 			any = true
-			went = append(went, p.Member)
+			restarted = append(restarted, p.Member)
 			m := f.Members[p.Member]
-			x := m.Seen
-			x.Why = Gone
-			f.do(Command{Do: DoSee, Seen: []Seen{x}})
+			x := m.Observation
+			x.State = MemberGone
+			f.apply(Command{Kind: KindObserve, Observations: []Observation{x}})
 			x.Incarnation++
-			x.Why, x.Release = Up, release(x.Name)
-			f.do(Command{Do: DoSee, Seen: []Seen{x}})
+			x.State, x.Release = MemberUp, release(x.Name)
+			f.apply(Command{Kind: KindObserve, Observations: []Observation{x}})
 		}
 		if !any {
-			return went
+			return restarted
 		}
 	}
 }
@@ -195,25 +195,25 @@
 // A release in waves: one, a zone, the rest; each is judged. A bad verdict halts it; nothing begins any more; the way back brings all that went, several
 // waves at a time, under the same budget.
 func Example_release() {
-	f := open(6, []string{"a", "b"}, one)
-	plan := &Plan{Name: "r2", To: "2", Waves: []Wave{{Count: 1}, {Zone: "b"}}, Pause: 10 * time.Second, Judged: true, Faster: 2, Tries: 1}
-	fmt.Println(f.do(Command{Do: DoRelease, Plan: plan, By: "a"}).OK, f.do(Command{Do: DoRelease, Plan: &Plan{Name: "r3", To: "3"}, By: "b"}).Why)
+	f := newFleet(6, []string{"a", "b"}, oneAtATime)
+	plan := &RolloutPlan{Name: "r2", TargetRelease: "2", Waves: []Wave{{Count: 1}, {Zone: "b"}}, Pause: 10 * time.Second, AnalysisRequired: true, RollbackWavesAtOnce: 2, MaxAttempts: 1}
+	fmt.Println(f.apply(Command{Kind: KindStartRollout, Plan: plan, RequestedBy: "a"}).OK, f.apply(Command{Kind: KindStartRollout, Plan: &RolloutPlan{Name: "r3", TargetRelease: "3"}, RequestedBy: "b"}).Reason)
 	two := func(Name) string { return "2" }
-	fmt.Println(f.Release.Of, f.replace(two), f.Release.Phase)
-	f.pass(11 * time.Second)
-	fmt.Println(f.Release.Waits, f.replace(two))
-	fmt.Println(f.do(Command{Do: DoVerdict, Release: "r2", Wave: 0, Good: true}).OK, f.replace(two), f.Release.Waits)
-	fmt.Println(f.do(Command{Do: DoVerdict, Release: "r2", Wave: 0, Good: false}).Why)
-	f.do(Command{Do: DoVerdict, Release: "r2", Wave: 1, Good: true})
-	f.pass(11 * time.Second)
-	f.do(Command{Do: DoBegin, Member: f.inOrder()[0].Member, Number: f.inOrder()[0].Number, Of: 1})
-	fmt.Println(f.Release.Wave, f.stages())
-	f.do(Command{Do: DoVerdict, Release: "r2", Wave: 2, Good: false, Why: "slower", By: "the judgement"})
-	fmt.Println(*f.Halted, f.Release.Waits)
-	fmt.Println(f.do(Command{Do: DoBack, By: "op"}).OK, f.do(Command{Do: DoBack}).Why)
+	fmt.Println(f.Rollout.WaveMembers, f.restartGranted(two), f.Rollout.Phase)
+	f.advanceTime(11 * time.Second)
+	fmt.Println(f.Rollout.WaitReason, f.restartGranted(two))
+	fmt.Println(f.apply(Command{Kind: KindCanaryVerdict, RolloutName: "r2", Wave: 0, Healthy: true}).OK, f.restartGranted(two), f.Rollout.WaitReason)
+	fmt.Println(f.apply(Command{Kind: KindCanaryVerdict, RolloutName: "r2", Wave: 0, Healthy: false}).Reason)
+	f.apply(Command{Kind: KindCanaryVerdict, RolloutName: "r2", Wave: 1, Healthy: true})
+	f.advanceTime(11 * time.Second)
+	f.apply(Command{Kind: KindBeginPermit, Member: f.permitsByID()[0].Member, PermitID: f.permitsByID()[0].ID, Incarnation: 1})
+	fmt.Println(f.Rollout.Wave, f.permitSummary())
+	f.apply(Command{Kind: KindCanaryVerdict, RolloutName: "r2", Wave: 2, Healthy: false, Reason: "slower", RequestedBy: "the judgement"})
+	fmt.Println(*f.Halt, f.Rollout.WaitReason)
+	fmt.Println(f.apply(Command{Kind: KindRollBack, RequestedBy: "op"}).OK, f.apply(Command{Kind: KindRollBack}).Reason)
 	m := f.Members["n2"]
-	f.seen(2, int(m.Incarnation)+1, Up, "2", "a")
-	fmt.Println(f.replace(func(Name) string { return "1" }), f.Release.Phase, f.Halted)
+	f.observeInstance(2, int(m.Incarnation)+1, MemberUp, "2", "a")
+	fmt.Println(f.restartGranted(func(Name) string { return "1" }), f.Rollout.Phase, f.Halt)
 	// Output:
 	// true release r2 is going
 	// [[n0] [n1 n3 n5] [n2 n4]] [n0] judging
@@ -228,18 +228,18 @@
 
 // A release that can't go on says what it waits for: one that comes back as it was, one that does not come back.
 func Example_stuck() {
-	f := open(2, []string{"a"}, one)
-	f.do(Command{Do: DoRelease, Plan: &Plan{Name: "r", To: "2", Tries: 2}})
-	fmt.Println(f.replace(func(Name) string { return "1" }), f.Release.Waits)
-	f = open(2, []string{"a"}, one)
-	f.do(Command{Do: DoRelease, Plan: &Plan{Name: "r", To: "2"}})
-	f.do(Command{Do: DoBegin, Member: "n0", Number: 1, Of: 1})
-	f.is(0, Gone)
-	f.pass(2 * time.Minute)
-	fmt.Println(f.Release.Waits)
-	f.seen(0, 2, Up, "2", "a")
-	f.seen(0, 1, Gone, "1", "a") // an old life's word, which came late
-	fmt.Println(f.Members["n0"].Why == Up, f.Members["n0"].Release)
+	f := newFleet(2, []string{"a"}, oneAtATime)
+	f.apply(Command{Kind: KindStartRollout, Plan: &RolloutPlan{Name: "r", TargetRelease: "2", MaxAttempts: 2}})
+	fmt.Println(f.restartGranted(func(Name) string { return "1" }), f.Rollout.WaitReason)
+	f = newFleet(2, []string{"a"}, oneAtATime)
+	f.apply(Command{Kind: KindStartRollout, Plan: &RolloutPlan{Name: "r", TargetRelease: "2"}})
+	f.apply(Command{Kind: KindBeginPermit, Member: "n0", PermitID: 1, Incarnation: 1})
+	f.setMemberState(0, MemberGone)
+	f.advanceTime(2 * time.Minute)
+	fmt.Println(f.Rollout.WaitReason)
+	f.observeInstance(0, 2, MemberUp, "2", "a")
+	f.observeInstance(0, 1, MemberGone, "1", "a") // an old life's word, which came late
+	fmt.Println(f.Members["n0"].State == MemberUp, f.Members["n0"].Release)
 	// Output:
 	// [n0 n1 n0 n1] n0 came back 2 times on 1
 	// n0 has been out for 2m0s and does not come back
@@ -248,23 +248,23 @@
 
 // Clocks of leaders that are an hour apart, or run back: spans get longer by it, never shorter.
 func Example_clocks() {
-	f := open(2, []string{"a"}, one)
-	f.do(Command{Do: DoAsk, Member: "n0", Span: 10 * time.Second})
-	for _, c := range []Command{{Term: 1, At: 9 * time.Second}, {Term: 2, At: time.Hour}, {Term: 2, At: time.Minute}, {Term: 2, At: time.Hour + 500*time.Millisecond}, {Term: 3, At: 0}, {Term: 3, At: time.Second}} {
-		c.Do = DoTick
+	f := newFleet(2, []string{"a"}, oneAtATime)
+	f.apply(Command{Kind: KindRequestPermit, Member: "n0", BeginTimeout: 10 * time.Second})
+	for _, c := range []Command{{Term: 1, LeaderTime: 9 * time.Second}, {Term: 2, LeaderTime: time.Hour}, {Term: 2, LeaderTime: time.Minute}, {Term: 2, LeaderTime: time.Hour + 500*time.Millisecond}, {Term: 3, LeaderTime: 0}, {Term: 3, LeaderTime: time.Second}} {
+		c.Kind = KindTick
 		f.Apply(c)
-		fmt.Print(f.Now, " ", f.stages(), "; ")
+		fmt.Print(f.Now, " ", f.permitSummary(), "; ")
 	}
-	fmt.Println(f.last())
+	fmt.Println(f.lastEnded())
 	// Output: 9s 1 n0 granted; 9s 1 n0 granted; 9s 1 n0 granted; 9.5s 1 n0 granted; 9.5s 1 n0 granted; 10.5s ; 1 n0: not begun in time
 }
 
 // What is written to a snapshot and read is the same state.
 func TestSnapshot(t *testing.T) {
-	f := open(5, []string{"a", "b"}, one)
-	f.do(Command{Do: DoRelease, Plan: &Plan{Name: "r", To: "2"}, Key: "k"})
-	f.replace(func(Name) string { return "2" })
-	f.do(Command{Do: DoHalt})
+	f := newFleet(5, []string{"a", "b"}, oneAtATime)
+	f.apply(Command{Kind: KindStartRollout, Plan: &RolloutPlan{Name: "r", TargetRelease: "2"}, IdempotencyKey: "k"})
+	f.restartGranted(func(Name) string { return "2" })
+	f.apply(Command{Kind: KindHalt})
 	b, err := json.Marshal(f.State)
 	if err != nil {
 		t.Fatal(err)
@@ -279,54 +279,54 @@
 	}
 }
 
-// copied is a state of its own.
-func copied(s *State) *State {
+// cloneState is a state of its own.
+func cloneState(s *State) *State {
 	c := *s
 	c.Members = make(map[Name]*Member, len(s.Members))
 	for n, m := range s.Members {
 		x := *m
 		c.Members[n] = &x
 	}
-	c.Permits = make(map[Number]*Permit, len(s.Permits))
+	c.Permits = make(map[PermitID]*Permit, len(s.Permits))
 	for n, p := range s.Permits {
 		x := *p
 		c.Permits[n] = &x
 	}
-	c.Waiting, c.Over, c.KeyRing, c.History = slices.Clone(s.Waiting), slices.Clone(s.Over), slices.Clone(s.KeyRing), nil
-	c.Keys = maps.Clone(s.Keys)
-	if s.Halted != nil {
-		h := *s.Halted
-		c.Halted = &h
+	c.PermitQueue, c.EndedPermits, c.ReplyOrder, c.History = slices.Clone(s.PermitQueue), slices.Clone(s.EndedPermits), slices.Clone(s.ReplyOrder), nil
+	c.Replies = maps.Clone(s.Replies)
+	if s.Halt != nil {
+		h := *s.Halt
+		c.Halt = &h
 	}
-	if s.Release != nil {
-		r := *s.Release
-		c.Release = &r
+	if s.Rollout != nil {
+		r := *s.Rollout
+		c.Rollout = &r
 	}
 	return &c
 }
 
-// key tells two states apart by all that later commands can find out, with permits by their order and times by how much is left of them.
-func key(s *State) string {
+// fingerprint tells two states apart by all that later commands can find out, with permits by their order and times by how much is left of them.
+func fingerprint(s *State) string {
 	var b strings.Builder
 	numbers := slices.Sorted(maps.Keys(s.Permits))
 	for i := range 3 {
-		m := s.Members[name(i)]
+		m := s.Members[instanceName(i)]
 		if m == nil {
 			b.WriteString("-;")
 			continue
 		}
-		fmt.Fprintf(&b, "%s,%d,%s,%d;", m.Why, m.Incarnation, m.Release, slices.Index(numbers, m.Permit))
+		fmt.Fprintf(&b, "%s,%d,%s,%d;", m.State, m.Incarnation, m.Release, slices.Index(numbers, m.PermitID))
 	}
 	for _, n := range numbers {
 		p := s.Permits[n]
-		fmt.Fprintf(&b, "%s,%s,%d,%s,%v;", p.Member, p.Stage, p.Of, p.Why, min(s.Now-p.At, 3*time.Second))
+		fmt.Fprintf(&b, "%s,%s,%d,%s,%v;", p.Member, p.Stage, p.Incarnation, p.Purpose, min(s.Now-p.StageSince, 3*time.Second))
 	}
-	fmt.Fprint(&b, s.Halted != nil, len(s.Over) > 0)
-	for _, n := range s.Waiting {
+	fmt.Fprint(&b, s.Halt != nil, len(s.EndedPermits) > 0)
+	for _, n := range s.PermitQueue {
 		fmt.Fprint(&b, slices.Index(numbers, n))
 	}
-	if r := s.Release; r != nil {
-		fmt.Fprint(&b, r.Phase, r.Wave, r.Judged, min(s.Now-r.Since, 2*time.Second))
+	if r := s.Rollout; r != nil {
+		fmt.Fprint(&b, r.Phase, r.Wave, r.Analyzed, min(s.Now-r.PhaseSince, 2*time.Second))
 	}
 	return b.String()
 }
@@ -335,64 +335,64 @@
 // back as a later life; permits asked for, begun by their holder, by an old life, late and twice, dropped; halts, a release and its way back;
 // time. Deeper: go test -timeout 30m -run Model ./internal/accord -depth 8.
 func TestModel(t *testing.T) {
-	start := open(3, []string{"a"}, one)
-	start.Told.Passed = 2
+	start := newFleet(3, []string{"a"}, oneAtATime)
+	start.Config.MaxOvertakes = 2
 	type node struct {
 		s    *State
 		path []string
 	}
 	commands := func(s *State) (all []Command) {
 		for i := range 3 {
-			m := s.Members[name(i)]
+			m := s.Members[instanceName(i)]
 			if m == nil {
 				continue
 			}
-			all = append(all, Command{Do: DoAsk, Member: m.Name, Span: 2 * time.Second})
-			for _, why := range []Reason{Up, Doubted, Gone} {
-				x := m.Seen
-				if x.Why != why {
-					x.Why = why
-					all = append(all, Command{Do: DoSee, Seen: []Seen{x}})
+			all = append(all, Command{Kind: KindRequestPermit, Member: m.Name, BeginTimeout: 2 * time.Second})
+			for _, why := range []MemberState{MemberUp, MemberSuspect, MemberGone} {
+				x := m.Observation
+				if x.State != why {
+					x.State = why
+					all = append(all, Command{Kind: KindObserve, Observations: []Observation{x}})
 				}
 			}
 			if m.Incarnation < 3 {
-				x := m.Seen
+				x := m.Observation
 				x.Incarnation++
-				x.Why, x.Release = Up, "2"
-				all = append(all, Command{Do: DoSee, Seen: []Seen{x}})
+				x.State, x.Release = MemberUp, "2"
+				all = append(all, Command{Kind: KindObserve, Observations: []Observation{x}})
 			}
-			all = append(all, Command{Do: DoForget, Member: m.Name})
+			all = append(all, Command{Kind: KindForgetMember, Member: m.Name})
 		}
-		for n := max(1, s.Last) - 1; n <= s.Last; n++ {
+		for n := max(1, s.LastPermitID) - 1; n <= s.LastPermitID; n++ {
 			for i := range 3 {
 				for of := members.Incarnation(1); of <= 2; of++ {
-					all = append(all, Command{Do: DoBegin, Member: name(i), Number: n, Of: of})
+					all = append(all, Command{Kind: KindBeginPermit, Member: instanceName(i), PermitID: n, Incarnation: of})
 				}
 			}
-			all = append(all, Command{Do: DoDrop, Number: n})
+			all = append(all, Command{Kind: KindCancelPermit, PermitID: n})
 		}
-		return append(all, Command{Do: DoHalt}, Command{Do: DoResume}, Command{Do: DoTick, At: time.Second}, Command{Do: DoRelease, Plan: &Plan{Name: "r", To: "2", Waves: []Wave{{Count: 1}}, Pause: time.Second}},
-			Command{Do: DoBack}, Command{Do: DoVerdict, Release: "r", Good: false})
+		return append(all, Command{Kind: KindHalt}, Command{Kind: KindResume}, Command{Kind: KindTick, LeaderTime: time.Second}, Command{Kind: KindStartRollout, Plan: &RolloutPlan{Name: "r", TargetRelease: "2", Waves: []Wave{{Count: 1}}, Pause: time.Second}},
+			Command{Kind: KindRollBack}, Command{Kind: KindCanaryVerdict, RolloutName: "r", Healthy: false})
 	}
-	seen := map[string]bool{}
+	visited := map[string]bool{}
 	layer := []node{{s: start.State}}
 	applied := 0
 	for d := range *depth {
 		var next []node
 		for _, n := range layer {
 			for _, c := range commands(n.s) {
-				s := copied(n.s)
-				c.Term, c.At = 1, s.LastAt+c.At
+				s := cloneState(n.s)
+				c.Term, c.LeaderTime = 1, s.LastLeaderTime+c.LeaderTime
 				reply := s.Apply(c)
 				applied++
-				if wrong := broken(n.s, s, c, reply); wrong != "" {
-					t.Fatalf("%s: after %v, then %v %v %v", wrong, n.path, c.Do, c.Member, c.Number)
+				if wrong := violatedInvariant(n.s, s, c, reply); wrong != "" {
+					t.Fatalf("%s: after %v, then %v %v %v", wrong, n.path, c.Kind, c.Member, c.PermitID)
 				}
-				if k := key(s); !seen[k] {
-					seen[k] = true
+				if k := fingerprint(s); !visited[k] {
+					visited[k] = true
 					path := n.path
 					if d+1 < *depth {
-						path = append(slices.Clone(path), fmt.Sprintf("%v %v %v", c.Do, c.Member, c.Number))
+						path = append(slices.Clone(path), fmt.Sprintf("%v %v %v", c.Kind, c.Member, c.PermitID))
 					}
 					next = append(next, node{s, path})
 				}
@@ -400,49 +400,49 @@
 		}
 		layer = next
 	}
-	t.Logf("%d states, %d commands, to a depth of %d", len(seen), applied, *depth)
+	t.Logf("%d states, %d commands, to a depth of %d", len(visited), applied, *depth)
 }
 
-// broken tells which invariant one step has broken.
-func broken(before, after *State, c Command, r Reply) string {
+// violatedInvariant tells which invariant one step has broken.
+func violatedInvariant(before, after *State, command Command, reply Reply) string {
 	begun := 0
 	for n, p := range after.Permits {
-		was := before.Permits[n]
+		previous := before.Permits[n]
 		m := after.Members[p.Member]
 		switch {
-		case m == nil || m.Permit != n:
+		case m == nil || m.PermitID != n:
 			return "a permit that its member does not have"
-		case was != nil && (was.Member != p.Member || was.Stage != Queued && was.Of != p.Of):
+		case previous != nil && (previous.Member != p.Member || previous.Stage != PermitQueued && previous.Incarnation != p.Incarnation):
 			return "two holders of one number"
-		case was == nil && n <= before.Last:
+		case previous == nil && n <= before.LastPermitID:
 			return "a number that was over came again"
-		case was != nil && was.Stage == Begun && p.Stage != Begun:
+		case previous != nil && previous.Stage == PermitBegun && p.Stage != PermitBegun:
 			return "one that had begun was taken back"
-		case p.Stage != Queued && (was == nil || was.Stage != p.Stage): // it goes on by this step
-			if after.Halted != nil {
+		case p.Stage != PermitQueued && (previous == nil || previous.Stage != p.Stage): // it goes on by this step
+			if after.Halt != nil {
 				return "it went on in a halt"
 			}
-			if p.Stage == Begun && (c.Do != DoBegin || c.Member != p.Member || c.Of != p.Of || !r.OK) {
+			if p.Stage == PermitBegun && (command.Kind != KindBeginPermit || command.Member != p.Member || command.Incarnation != p.Incarnation || !reply.OK) {
 				return "it began without its holder"
 			}
 			for _, b := range after.Budgets {
-				if u := after.Use(b); u.Out > u.Limit {
-					return fmt.Sprintf("budget %s: %d out, %d may be", b.Name, u.Out, u.Limit)
+				if usage := after.Usage(b); usage.Unavailable > usage.UnavailableLimit {
+					return fmt.Sprintf("budget %s: %d out, %d may be", b.Name, usage.Unavailable, usage.UnavailableLimit)
 				}
 			}
 		}
-		if p.Stage == Begun {
+		if p.Stage == PermitBegun {
 			begun++
 		}
 	}
-	if c.Do == DoBegin && r.OK && (after.Permits[c.Number] == nil || after.Permits[c.Number].Stage != Begun) {
+	if command.Kind == KindBeginPermit && reply.OK && (after.Permits[command.PermitID] == nil || after.Permits[command.PermitID].Stage != PermitBegun) {
 		return "told that it has begun, and it has not"
 	}
-	for n, was := range before.Permits {
-		if _, stays := after.Permits[n]; !stays && !slices.ContainsFunc(after.Over, func(p Permit) bool { return p.Number == n && p.Outcome != "" }) {
+	for n, previous := range before.Permits {
+		if _, stays := after.Permits[n]; !stays && !slices.ContainsFunc(after.EndedPermits, func(p Permit) bool { return p.ID == n && p.Outcome != "" }) {
 			return "a permit was lost"
 		}
-		if m := after.Members[was.Member]; was.Stage == Begun && after.Permits[n] == nil && m != nil && (m.Why != Up || m.Incarnation == was.Of) {
+		if m := after.Members[previous.Member]; previous.Stage == PermitBegun && after.Permits[n] == nil && m != nil && (m.State != MemberUp || m.Incarnation == previous.Incarnation) {
 			return "one that is out counts no more"
 		}
 	}
@@ -450,11 +450,11 @@
 		return "two have begun"
 	}
 	for n, m := range after.Members {
-		if p := after.Permits[m.Permit]; m.Permit > 0 && (p == nil || p.Member != n) {
+		if p := after.Permits[m.PermitID]; m.PermitID > 0 && (p == nil || p.Member != n) {
 			return "a member with a permit that is none"
 		}
 	}
-	if c.Do == DoHalt && after.Halted == nil || before.Halted != nil && after.Halted == nil && c.Do != DoResume && c.Do != DoBack {
+	if command.Kind == KindHalt && after.Halt == nil || before.Halt != nil && after.Halt == nil && command.Kind != KindResume && command.Kind != KindRollBack {
 		return "a halt that is over by itself"
 	}
 	return ""
--- a/internal/accord/golden_test.go
+++ b/internal/accord/golden_test.go
@@ -86,21 +86,21 @@
 }
 
 var (
-	fullMatch  = Match{Zone: "a", Release: "1", Role: "instance", Below: "db"}
-	fullBudget = Budget{Name: "zone-a", Of: fullMatch, Most: 2, Share: 0.25, Least: 12.5}
-	fullSeen   = Seen{Name: "n1", Incarnation: 1_700_000_000_001, Zone: "a", Release: "1",
-		Roles: members.RoleServer | members.RoleUpstream, Below: "db", Capacity: 1.5, Why: Leaving}
-	fullPlan = Plan{Name: "r2", To: "2", Of: fullMatch, Waves: []Wave{{Count: 3, Share: 0.1, Zone: "b"}},
-		Pause: 10 * time.Second, Judged: true, Faster: 2.5, Tries: 3}
+	fullMatch  = Selector{Zone: "a", Release: "1", Role: "instance", Upstream: "db"}
+	fullBudget = DisruptionBudget{Name: "zone-a", Selector: fullMatch, MaxUnavailable: 2, MaxUnavailableFraction: 0.25, MinAvailableCapacity: 12.5}
+	fullSeen   = Observation{Name: "n1", Incarnation: 1_700_000_000_001, Zone: "a", Release: "1",
+		Roles: members.RoleServer | members.RoleUpstream, Upstream: "db", Capacity: 1.5, State: MemberLeaving}
+	fullPlan = RolloutPlan{Name: "r2", TargetRelease: "2", Selector: fullMatch, Waves: []Wave{{Count: 3, Fraction: 0.1, Zone: "b"}},
+		Pause: 10 * time.Second, AnalysisRequired: true, RollbackWavesAtOnce: 2.5, MaxAttempts: 3}
 )
 
 // The log holds a command as JSON; a field whose stored name changes is lost to every log that was written before.
 func TestCommandGolden(t *testing.T) {
 	c := Command{
-		Term: 7, At: 1500 * time.Millisecond, Key: "0123456789abcdef", By: "operator", Do: DoRelease,
-		Seen: []Seen{fullSeen}, Budgets: []Budget{fullBudget}, Member: "n1", Of: 1_700_000_000_001, Group: fullMatch,
-		Number: 42,
-		Span:   30 * time.Second, Why: "a reason", Plan: &fullPlan, Release: "r2", Wave: 1, Good: true,
+		Term: 7, LeaderTime: 1500 * time.Millisecond, IdempotencyKey: "0123456789abcdef", RequestedBy: "operator", Kind: KindStartRollout,
+		Observations: []Observation{fullSeen}, Budgets: []DisruptionBudget{fullBudget}, Member: "n1", Incarnation: 1_700_000_000_001, Selector: fullMatch,
+		PermitID:     42,
+		BeginTimeout: 30 * time.Second, Reason: "a reason", Plan: &fullPlan, RolloutName: "r2", Wave: 1, Healthy: true,
 	}
 	nonZero(t, c)
 	golden(t, "command.json", c)
@@ -112,40 +112,40 @@
 	hidden := fullPlan
 	// Danger: Of and Judged of a Release hide those of its Plan, which are not stored with a state. Here that stays
 	// as it is.
-	hidden.Of, hidden.Judged = Match{}, false
+	hidden.Selector, hidden.AnalysisRequired = Selector{}, false
 	s := State{
-		Told: Told{History: 1000, Keys: 4096, Members: 10_000, Waiting: 9000, Passed: 50, Stuck: time.Minute},
-		Now:  90 * time.Second, Term: 7, LastAt: 80 * time.Second,
-		Members: map[Name]*Member{"n1": {Seen: fullSeen, Since: 70 * time.Second, Permit: 42, Before: "0", Tries: 1}},
-		Budgets: []Budget{fullBudget},
-		Permits: map[Number]*Permit{42: {Number: 42, Member: "n1", Of: 1_700_000_000_001, By: "operator",
-			Why: "drain", Stage: Begun, Asked: 50 * time.Second,
-			At: 60 * time.Second, Span: 30 * time.Second, Passed: 4, Waits: "budget zone-a: 2 of 8 out, 2 may be",
+		Config: Config{MaxHistory: 1000, MaxIdempotencyKeys: 4096, MaxMembers: 10_000, MaxQueuedPermits: 9000, MaxOvertakes: 50, StalledAfter: time.Minute},
+		Now:    90 * time.Second, Term: 7, LastLeaderTime: 80 * time.Second,
+		Members: map[Name]*Member{"n1": {Observation: fullSeen, StateSince: 70 * time.Second, PermitID: 42, PreviousRelease: "0", FailedAttempts: 1}},
+		Budgets: []DisruptionBudget{fullBudget},
+		Permits: map[PermitID]*Permit{42: {ID: 42, Member: "n1", Incarnation: 1_700_000_000_001, RequestedBy: "operator",
+			Purpose: "drain", Stage: PermitBegun, RequestedAt: 50 * time.Second,
+			StageSince: 60 * time.Second, BeginTimeout: 30 * time.Second, Overtakes: 4, WaitReason: "budget zone-a: 2 of 8 out, 2 may be",
 			Outcome: "back"}},
-		Waiting: []Number{43, 44}, Last: 44,
-		Halted: &Halt{At: 85 * time.Second, By: "operator", Why: "for the night"},
-		Release: &Release{Plan: hidden, By: "operator", Phase: Judging, Wave: 1, Since: 75 * time.Second,
-			Of:    [][]Name{{"n1"}, {"n2", "n3"}},
-			Waits: "the verdict on wave 2", Judged: true, Why: "slower"},
-		Keys: map[string]Reply{"0123456789abcdef": {OK: true, Why: "it has one: queued", Number: 42,
-			Numbers: []Number{42, 43}}}, KeyRing: []string{"0123456789abcdef"},
-		History: []Entry{{Nth: 3, Now: 50 * time.Second, By: "operator", Do: DoDrain, What: "zone=a",
-			Reply: Reply{OK: true, Why: "a reason", Number: 42, Numbers: []Number{42, 43}}}},
-		Nth: 3,
-		Over: []Permit{{Number: 41, Member: "n0", Of: 1_700_000_000_000, By: "r1", Why: "release", Stage: Ended,
-			Asked: 10 * time.Second, At: 40 * time.Second,
-			Span: 30 * time.Second, Passed: 1, Waits: "halted", Outcome: "back"}},
+		PermitQueue: []PermitID{43, 44}, LastPermitID: 44,
+		Halt: &Halt{At: 85 * time.Second, By: "operator", Reason: "for the night"},
+		Rollout: &Rollout{RolloutPlan: hidden, RequestedBy: "operator", Phase: RolloutAnalyzing, Wave: 1, PhaseSince: 75 * time.Second,
+			WaveMembers: [][]Name{{"n1"}, {"n2", "n3"}},
+			WaitReason:  "the verdict on wave 2", Analyzed: true, Reason: "slower"},
+		Replies: map[string]Reply{"0123456789abcdef": {OK: true, Reason: "it has one: queued", PermitID: 42,
+			PermitIDs: []PermitID{42, 43}}}, ReplyOrder: []string{"0123456789abcdef"},
+		History: []HistoryEntry{{Sequence: 3, At: 50 * time.Second, RequestedBy: "operator", Kind: KindDrain, Summary: "zone=a",
+			Reply: Reply{OK: true, Reason: "a reason", PermitID: 42, PermitIDs: []PermitID{42, 43}}}},
+		Sequence: 3,
+		EndedPermits: []Permit{{ID: 41, Member: "n0", Incarnation: 1_700_000_000_000, RequestedBy: "r1", Purpose: "release", Stage: PermitEnded,
+			RequestedAt: 10 * time.Second, StageSince: 40 * time.Second,
+			BeginTimeout: 30 * time.Second, Overtakes: 1, WaitReason: "halted", Outcome: "back"}},
 	}
-	filled, release := s, *s.Release
-	release.Plan, filled.Release = fullPlan, &release
+	filled, release := s, *s.Rollout
+	release.RolloutPlan, filled.Rollout = fullPlan, &release
 	nonZero(t, filled)
 	golden(t, "state.json", s)
-	golden(t, "state-empty.json", *New(Usual()))
+	golden(t, "state-empty.json", *NewState(DefaultConfig()))
 }
 
 // What is shown of a budget by a status.
 func TestUseGolden(t *testing.T) {
-	u := Use{Budget: fullBudget, Of: 8, Out: 1, Limit: 2, Up: 10.5}
+	u := BudgetUsage{Budget: fullBudget, Members: 8, Unavailable: 1, UnavailableLimit: 2, AvailableCapacity: 10.5}
 	nonZero(t, u)
 	golden(t, "use.json", u)
 }
@@ -156,17 +156,17 @@
 		got  any
 		want string
 	}{
-		{[]Reason{Up, Cold, Joining, Doubted, Leaving, Gone}, `["","cold","joining","suspect","leaving","gone"]`},
-		{[]Stage{Queued, Granted, Begun, Ended}, `["queued","granted","begun","ended"]`},
-		{[]Phase{Going, Judging, Backing, Done, Undone}, `["going","judging","going back","done","back"]`},
-		{[]Do{DoSee, DoBudgets, DoAsk, DoBegin, DoDrop, DoForget, DoHalt, DoResume, DoRelease, DoBack, DoVerdict,
-			DoTick, DoDrain, DoUndrain},
+		{[]MemberState{MemberUp, MemberWarmingUp, MemberJoining, MemberSuspect, MemberLeaving, MemberGone}, `["","cold","joining","suspect","leaving","gone"]`},
+		{[]PermitStage{PermitQueued, PermitGranted, PermitBegun, PermitEnded}, `["queued","granted","begun","ended"]`},
+		{[]RolloutPhase{RolloutUpdating, RolloutAnalyzing, RolloutRollingBack, RolloutCompleted, RolloutRolledBack}, `["going","judging","going back","done","back"]`},
+		{[]Kind{KindObserve, KindSetBudgets, KindRequestPermit, KindBeginPermit, KindCancelPermit, KindForgetMember, KindHalt, KindResume, KindStartRollout, KindRollBack, KindCanaryVerdict,
+			KindTick, KindDrain, KindCancelDrain},
 			`["see","budgets","ask","begin","drop","forget","halt","resume","release","back","verdict","tick","drain","undrain"]`},
 		{map[string]members.Roles{"instance": members.RoleServer, "relay": members.RoleProxy, "steward": members.RoleCoordinator,
 			"below": members.RoleUpstream},
 			`{"below":8,"instance":1,"relay":2,"steward":4}`},
 		{members.Incarnation(1_700_000_000_001), `1700000000001`},
-		{map[Number]Name{42: "n1"}, `{"42":"n1"}`},
+		{map[PermitID]Name{42: "n1"}, `{"42":"n1"}`},
 	} {
 		b, err := json.Marshal(x.got)
 		if err != nil || string(b) != x.want {
@@ -174,15 +174,15 @@
 		}
 	}
 	// Why a permit was asked for decides what becomes of it, and is stored as a word.
-	if r := (&Release{Phase: Going}); r.why() != "release" {
-		t.Error(r.why())
+	if r := (&Rollout{Phase: RolloutUpdating}); r.permitPurpose() != "release" {
+		t.Error(r.permitPurpose())
 	}
-	if r := (&Release{Phase: Backing}); r.why() != "back" {
-		t.Error(r.why())
+	if r := (&Rollout{Phase: RolloutRollingBack}); r.permitPurpose() != "back" {
+		t.Error(r.permitPurpose())
 	}
-	f := open(1, []string{"a"}, one)
-	f.do(Command{Do: DoAsk, Member: "n0"})
-	if got := fmt.Sprint(f.Permits[1].Why, " ", f.Permits[1].Span); got != "drain 30s" {
+	f := newFleet(1, []string{"a"}, oneAtATime)
+	f.apply(Command{Kind: KindRequestPermit, Member: "n0"})
+	if got := fmt.Sprint(f.Permits[1].Purpose, " ", f.Permits[1].BeginTimeout); got != "drain 30s" {
 		t.Error(got)
 	}
 }
--- a/internal/accord/release.go
+++ b/internal/accord/release.go
@@ -10,258 +10,260 @@
 // Wave is a part of the fleet that a release goes to at one time: so many, such a share of all that it is meant for, or a zone's; the last wave takes
 // the rest.
 type Wave struct {
-	Count int     `json:"Count"`
-	Share float64 `json:"Share"`
-	Zone  string  `json:"Zone"`
+	Count    int     `json:"Count"`
+	Fraction float64 `json:"Share"`
+	Zone     string  `json:"Zone"`
 }
 
-// Plan is a release as it is told.
-type Plan struct {
-	Name   string        `json:"Name"`
-	To     string        `json:"To"` // the release that it brings
-	Of     Match         `json:"Of"` // whom it is meant for
-	Waves  []Wave        `json:"Waves"`
-	Pause  time.Duration `json:"Pause"`  // after each wave, until it is judged at the earliest
-	Judged bool          `json:"Judged"` // whether a wave waits for a verdict; else the pause alone counts
-	Faster float64       `json:"Faster"` // how many waves go back at a time
-	Tries  int           `json:"Tries"`  // times that one may come back as it was before the release waits for an operator
+// RolloutPlan is a release as it is told.
+type RolloutPlan struct {
+	Name                string        `json:"Name"`
+	TargetRelease       string        `json:"To"` // the release that it brings
+	Selector            Selector      `json:"Of"` // whom it is meant for
+	Waves               []Wave        `json:"Waves"`
+	Pause               time.Duration `json:"Pause"`  // after each wave, until it is judged at the earliest
+	AnalysisRequired    bool          `json:"Judged"` // whether a wave waits for a verdict; else the pause alone counts
+	RollbackWavesAtOnce float64       `json:"Faster"` // how many waves go back at a time
+	MaxAttempts         int           `json:"Tries"`  // times that one may come back as it was before the release waits for an operator
 }
 
-// Phase is where a release stands.
-type Phase string
+// RolloutPhase is where a release stands.
+type RolloutPhase string
 
 const (
-	Going   Phase = "going"
-	Judging Phase = "judging"
-	Backing Phase = "going back"
-	Done    Phase = "done"
-	Undone  Phase = "back"
+	RolloutUpdating    RolloutPhase = "going"
+	RolloutAnalyzing   RolloutPhase = "judging"
+	RolloutRollingBack RolloutPhase = "going back"
+	RolloutCompleted   RolloutPhase = "done"
+	RolloutRolledBack  RolloutPhase = "back"
 )
 
-// Release is one on its way. There is one at a time.
-type Release struct {
-	Plan
-	By     string        `json:"By"`
-	Phase  Phase         `json:"Phase"`
-	Wave   int           `json:"Wave"` // from 0; of the way back the wave that it has come down to
-	Since  time.Duration `json:"Since"`
-	Of     [][]Name      `json:"Of"`     // by wave, worked out when it starts
-	Waits  string        `json:"Waits"`  // what it waits for
-	Judged bool          `json:"Judged"` // the wave has its verdict
-	Why    string        `json:"Why"`
+// Rollout is one on its way. There is one at a time.
+type Rollout struct {
+	RolloutPlan
+	RequestedBy string        `json:"By"`
+	Phase       RolloutPhase  `json:"Phase"`
+	Wave        int           `json:"Wave"` // from 0; of the way back the wave that it has come down to
+	PhaseSince  time.Duration `json:"Since"`
+	WaveMembers [][]Name      `json:"Of"`     // by wave, worked out when it starts
+	WaitReason  string        `json:"Waits"`  // what it waits for
+	Analyzed    bool          `json:"Judged"` // the wave has its verdict
+	Reason      string        `json:"Why"`
 }
 
-// For tells whether a release is meant for a member, whichever it has now.
-func (r *Release) For(m Seen) bool { return r.Plan.Of.has(m) }
+// AppliesTo tells whether a release is meant for a member, whichever it has now.
+func (r *Rollout) AppliesTo(observation Observation) bool {
+	return r.RolloutPlan.Selector.matches(observation)
+}
 
-// Running tells whether a release is on its way.
-func (r *Release) Running() bool {
-	return r != nil && (r.Phase == Going || r.Phase == Judging || r.Phase == Backing)
+// InProgress tells whether a release is on its way.
+func (r *Rollout) InProgress() bool {
+	return r != nil && (r.Phase == RolloutUpdating || r.Phase == RolloutAnalyzing || r.Phase == RolloutRollingBack)
 }
 
-// start begins a release. Danger: two operators that start two at once.
-func (s *State) start(c Command) Reply {
-	p := c.Plan
+// startRollout begins a release. Danger: two operators that start two at once.
+func (s *State) startRollout(command Command) Reply {
+	plan := command.Plan
 	switch {
-	case p == nil || p.Name == "" || p.To == "":
-		return no("wants a name, and the release that it brings")
-	case s.Release.Running():
-		return no("release %s is %s", s.Release.Name, s.Release.Phase)
-	case s.Halted != nil:
-		return no("halted: %s", s.Halted.Why)
+	case plan == nil || plan.Name == "" || plan.TargetRelease == "":
+		return refused("wants a name, and the release that it brings")
+	case s.Rollout.InProgress():
+		return refused("release %s is %s", s.Rollout.Name, s.Rollout.Phase)
+	case s.Halt != nil:
+		return refused("halted: %s", s.Halt.Reason)
 	}
-	var all []*Member
+	var pending []*Member
 	for _, name := range slices.Sorted(maps.Keys(s.Members)) {
-		if m := s.Members[name]; p.Of.has(m.Seen) && m.Release != p.To {
-			all = append(all, m)
+		if member := s.Members[name]; plan.Selector.matches(member.Observation) && member.Release != plan.TargetRelease {
+			pending = append(pending, member)
 		}
 	}
-	if len(all) == 0 {
-		return no("nobody in %v is on another release than %s", p.Of, p.To)
+	if len(pending) == 0 {
+		return refused("nobody in %v is on another release than %s", plan.Selector, plan.TargetRelease)
 	}
-	r := &Release{Plan: *p, By: c.By, Phase: Going, Since: s.Now}
-	whole := len(all)
-	waves := append(slices.Clone(p.Waves), Wave{Share: 1})
-	for _, w := range waves {
-		n := w.Count
-		if n == 0 {
-			n = max(1, int(w.Share*float64(whole)))
+	rollout := &Rollout{RolloutPlan: *plan, RequestedBy: command.RequestedBy, Phase: RolloutUpdating, PhaseSince: s.Now}
+	total := len(pending)
+	waves := append(slices.Clone(plan.Waves), Wave{Fraction: 1})
+	for _, wave := range waves {
+		count := wave.Count
+		if count == 0 {
+			count = max(1, int(wave.Fraction*float64(total)))
 		}
-		var now []Name
-		all = slices.DeleteFunc(all, func(m *Member) bool {
-			if len(now) >= n && w.Zone == "" || w.Zone != "" && m.Zone != w.Zone {
+		var waveMembers []Name
+		pending = slices.DeleteFunc(pending, func(member *Member) bool {
+			if len(waveMembers) >= count && wave.Zone == "" || wave.Zone != "" && member.Zone != wave.Zone {
 				return false
 			}
-			now = append(now, m.Name)
+			waveMembers = append(waveMembers, member.Name)
 			return true
 		})
-		if len(now) > 0 {
-			r.Of = append(r.Of, now)
+		if len(waveMembers) > 0 {
+			rollout.WaveMembers = append(rollout.WaveMembers, waveMembers)
 		}
 	}
-	for _, m := range s.Members {
-		m.Before, m.Tries = m.Release, 0
+	for _, member := range s.Members {
+		member.PreviousRelease, member.FailedAttempts = member.Release, 0
 	}
-	s.Release = r
+	s.Rollout = rollout
 	return Reply{OK: true}
 }
 
-// back turns a release round: waves in reverse, under the same budgets. Also from a half-done wave, from a halt, and of one that is done.
-func (s *State) back(c Command) Reply {
-	r := s.Release
+// rollBack turns a release round: waves in reverse, under the same budgets. Also from a half-done wave, from a halt, and of one that is done.
+func (s *State) rollBack(command Command) Reply {
+	rollout := s.Rollout
 	switch {
-	case r == nil:
-		return no("there was no release")
-	case r.Phase == Backing || r.Phase == Undone:
-		return no("release %s is %s", r.Name, r.Phase)
+	case rollout == nil:
+		return refused("there was no release")
+	case rollout.Phase == RolloutRollingBack || rollout.Phase == RolloutRolledBack:
+		return refused("release %s is %s", rollout.Name, rollout.Phase)
 	}
-	s.Halted = nil // the way back is what is to begin
-	for _, p := range s.inOrder() {
-		if p.Why == "release" && p.Stage != Begun {
-			s.end(p, "the release goes back")
+	s.Halt = nil // the way back is what is to begin
+	for _, permit := range s.permitsByID() {
+		if permit.Purpose == "release" && permit.Stage != PermitBegun {
+			s.endPermit(permit, "the release goes back")
 		}
 	}
-	r.Phase, r.Since, r.Why = Backing, s.Now, c.Why
-	r.Wave = min(r.Wave, len(r.Of)-1)
-	for _, m := range s.Members {
-		m.Tries = 0
+	rollout.Phase, rollout.PhaseSince, rollout.Reason = RolloutRollingBack, s.Now, command.Reason
+	rollout.Wave = min(rollout.Wave, len(rollout.WaveMembers)-1)
+	for _, member := range s.Members {
+		member.FailedAttempts = 0
 	}
 	return Reply{OK: true}
 }
 
-// verdict takes what was judged of a wave. One that came late is of an earlier wave, and counts for nothing.
-func (s *State) verdict(c Command) Reply {
-	r := s.Release
+// applyVerdict takes what was judged of a wave. One that came late is of an earlier wave, and counts for nothing.
+func (s *State) applyVerdict(command Command) Reply {
+	rollout := s.Rollout
 	switch {
-	case r == nil || r.Name != c.Release || r.Wave != c.Wave || r.Phase != Going && r.Phase != Judging:
-		return no("no wave %d of %s is judged", c.Wave+1, c.Release)
-	case !c.Good: // also before the wave is whole
-		r.Why = c.Why
-		s.halt(c.By, "release "+r.Name+": "+c.Why)
-	case r.Phase == Judging:
-		r.Judged = true
+	case rollout == nil || rollout.Name != command.RolloutName || rollout.Wave != command.Wave || rollout.Phase != RolloutUpdating && rollout.Phase != RolloutAnalyzing:
+		return refused("no wave %d of %s is judged", command.Wave+1, command.RolloutName)
+	case !command.Healthy: // also before the wave is whole
+		rollout.Reason = command.Reason
+		s.halt(command.RequestedBy, "release "+rollout.Name+": "+command.Reason)
+	case rollout.Phase == RolloutAnalyzing:
+		rollout.Analyzed = true
 	default:
-		return no("wave %d of %s is not whole yet", c.Wave+1, c.Release)
+		return refused("wave %d of %s is not whole yet", command.Wave+1, command.RolloutName)
 	}
 	return Reply{OK: true}
 }
 
-// resumed has a wave judged anew: what was seen before the halt is over.
-func (r *Release) resumed(now time.Duration) {
-	if r.Phase == Judging {
-		r.Since, r.Judged = now, false
+// restartAnalysis has a wave judged anew: what was seen before the halt is over.
+func (r *Rollout) restartAnalysis(now time.Duration) {
+	if r.Phase == RolloutAnalyzing {
+		r.PhaseSince, r.Analyzed = now, false
 	}
 }
 
-// returned takes a member that came back from a permit.
-func (s *State) returned(m *Member, p *Permit) {
+// recordReturn takes a member that came back from a permit.
+func (s *State) recordReturn(member *Member, permit *Permit) {
 	// One that went out for the release before it turned round did what it was to do.
-	if r := s.Release; r.Running() && p.Why == r.why() && m.Release != s.wanted(m) {
-		m.Tries++
+	if rollout := s.Rollout; rollout.InProgress() && permit.Purpose == rollout.permitPurpose() && member.Release != s.desiredRelease(member) {
+		member.FailedAttempts++
 	}
 }
 
-// why is what its permits are for.
-func (r *Release) why() string {
-	if r.Phase == Backing {
+// permitPurpose is what its permits are for.
+func (r *Rollout) permitPurpose() string {
+	if r.Phase == RolloutRollingBack {
 		return "back"
 	}
 	return "release"
 }
 
-// wanted is the release that a member is to have by the one on its way.
-func (s *State) wanted(m *Member) string {
-	if s.Release.Phase == Backing {
-		return m.Before
+// desiredRelease is the release that a member is to have by the one on its way.
+func (s *State) desiredRelease(member *Member) string {
+	if s.Rollout.Phase == RolloutRollingBack {
+		return member.PreviousRelease
 	}
-	return s.Release.To
+	return s.Rollout.TargetRelease
 }
 
-// advance takes a release on by what has come to be, as far as that goes.
-func (s *State) advance() {
-	for r := s.Release; r.Running(); {
-		phase, wave := r.Phase, r.Wave
-		if s.step(r); r.Phase == phase && r.Wave == wave {
+// advanceRollout takes a release on by what has come to be, as far as that goes.
+func (s *State) advanceRollout() {
+	for rollout := s.Rollout; rollout.InProgress(); {
+		phase, wave := rollout.Phase, rollout.Wave
+		if s.stepRollout(rollout); rollout.Phase == phase && rollout.Wave == wave {
 			return
 		}
 	}
 }
 
-func (s *State) step(r *Release) {
-	if s.Halted != nil {
-		r.Waits = "halted: " + s.Halted.Why
+func (s *State) stepRollout(rollout *Rollout) {
+	if s.Halt != nil {
+		rollout.WaitReason = "halted: " + s.Halt.Reason
 		return
 	}
-	switch r.Phase {
-	case Going:
-		if s.bring(r.Of[r.Wave]) {
-			r.Phase, r.Since, r.Judged = Judging, s.Now, false
+	switch rollout.Phase {
+	case RolloutUpdating:
+		if s.convergeMembers(rollout.WaveMembers[rollout.Wave]) {
+			rollout.Phase, rollout.PhaseSince, rollout.Analyzed = RolloutAnalyzing, s.Now, false
 		}
-	case Judging:
+	case RolloutAnalyzing:
 		switch {
-		case s.Now-r.Since < r.Pause:
-			r.Waits = fmt.Sprintf("wave %d is looked at", r.Wave+1)
-		case r.Plan.Judged && !r.Judged:
-			r.Waits = fmt.Sprintf("the verdict on wave %d", r.Wave+1)
-		case r.Wave+1 < len(r.Of):
-			r.Phase, r.Wave, r.Since = Going, r.Wave+1, s.Now
+		case s.Now-rollout.PhaseSince < rollout.Pause:
+			rollout.WaitReason = fmt.Sprintf("wave %d is looked at", rollout.Wave+1)
+		case rollout.RolloutPlan.AnalysisRequired && !rollout.Analyzed:
+			rollout.WaitReason = fmt.Sprintf("the verdict on wave %d", rollout.Wave+1)
+		case rollout.Wave+1 < len(rollout.WaveMembers):
+			rollout.Phase, rollout.Wave, rollout.PhaseSince = RolloutUpdating, rollout.Wave+1, s.Now
 		default:
-			r.Phase, r.Since, r.Waits = Done, s.Now, ""
+			rollout.Phase, rollout.PhaseSince, rollout.WaitReason = RolloutCompleted, s.Now, ""
 		}
-	case Backing:
+	case RolloutRollingBack:
 		// Several waves at a time: faster than it came, and never by more than the budgets let out.
-		down := max(0, r.Wave+1-max(1, int(r.Faster)))
-		var all []Name
-		for w := r.Wave; w >= down; w-- {
-			all = append(all, r.Of[w]...)
+		firstWave := max(0, rollout.Wave+1-max(1, int(rollout.RollbackWavesAtOnce)))
+		var names []Name
+		for wave := rollout.Wave; wave >= firstWave; wave-- {
+			names = append(names, rollout.WaveMembers[wave]...)
 		}
-		if !s.bring(all) {
+		if !s.convergeMembers(names) {
 			return
 		}
-		if down == 0 {
-			r.Phase, r.Since, r.Waits = Undone, s.Now, ""
+		if firstWave == 0 {
+			rollout.Phase, rollout.PhaseSince, rollout.WaitReason = RolloutRolledBack, s.Now, ""
 			return
 		}
-		r.Wave, r.Since = down-1, s.Now
+		rollout.Wave, rollout.PhaseSince = firstWave-1, s.Now
 	}
 }
 
-// bring has all of some members go over to the release that they are to have, and tells whether they all have, and are up.
-func (s *State) bring(names []Name) bool {
-	r := s.Release
-	whole := true
-	r.Waits = ""
-	wait := func(text string, args ...any) {
-		whole = false
-		if r.Waits == "" {
-			r.Waits = fmt.Sprintf(text, args...)
+// convergeMembers has all of some members go over to the release that they are to have, and tells whether they all have, and are up.
+func (s *State) convergeMembers(names []Name) bool {
+	rollout := s.Rollout
+	converged := true
+	rollout.WaitReason = ""
+	blockedBy := func(format string, args ...any) {
+		converged = false
+		if rollout.WaitReason == "" {
+			rollout.WaitReason = fmt.Sprintf(format, args...)
 		}
 	}
 	for _, name := range names {
-		m := s.Members[name]
-		if m == nil { // forgotten meanwhile
+		member := s.Members[name]
+		if member == nil { // forgotten meanwhile
 			continue
 		}
-		p := s.Permits[m.Permit]
+		permit := s.Permits[member.PermitID]
 		switch {
-		case m.Why == Up && m.Release == s.wanted(m) && p == nil:
-		case p != nil && p.Stage == Begun && s.Now-p.At > s.Told.Stuck:
-			wait("%s has been out for %v and does not come back", name, (s.Now - p.At).Round(time.Second))
-		case p != nil && p.Stage == Queued && p.Waits != "":
-			wait("%s: %s", name, p.Waits)
-		case p != nil:
-			wait("%s: permit %d is %s", name, p.Number, p.Stage)
-		case m.Why != Up:
-			wait("%s is out: %s", name, m.Why)
-		case m.Tries >= max(1, r.Tries):
-			wait("%s came back %d times on %s", name, m.Tries, m.Release)
+		case member.State == MemberUp && member.Release == s.desiredRelease(member) && permit == nil:
+		case permit != nil && permit.Stage == PermitBegun && s.Now-permit.StageSince > s.Config.StalledAfter:
+			blockedBy("%s has been out for %v and does not come back", name, (s.Now - permit.StageSince).Round(time.Second))
+		case permit != nil && permit.Stage == PermitQueued && permit.WaitReason != "":
+			blockedBy("%s: %s", name, permit.WaitReason)
+		case permit != nil:
+			blockedBy("%s: permit %d is %s", name, permit.ID, permit.Stage)
+		case member.State != MemberUp:
+			blockedBy("%s is out: %s", name, member.State)
+		case member.FailedAttempts >= max(1, rollout.MaxAttempts):
+			blockedBy("%s came back %d times on %s", name, member.FailedAttempts, member.Release)
 		default:
-			if reply := s.ask(name, r.Name, r.why(), 0); !reply.OK {
-				wait("%s: %s", name, reply.Why)
+			if reply := s.requestPermit(name, rollout.Name, rollout.permitPurpose(), 0); !reply.OK {
+				blockedBy("%s: %s", name, reply.Reason)
 			} else {
-				wait("%s: permit %d is queued", name, reply.Number)
+				blockedBy("%s: permit %d is queued", name, reply.PermitID)
 			}
 		}
 	}
-	return whole
+	return converged
 }
--- a/internal/command/further/agree.go
+++ b/internal/command/further/agree.go
@@ -75,7 +75,7 @@
 	if _, err := rand.Read(b[:]); err != nil {
 		return err
 	}
-	c.Key = hex.EncodeToString(b[:])
+	c.IdempotencyKey = hex.EncodeToString(b[:])
 	got, err := k.Ask(ask.Question{Command: &c})
 	switch {
 	case err != nil:
@@ -83,11 +83,11 @@
 	case got.Error != "":
 		return errors.New(got.Error)
 	case !got.Reply.OK:
-		return errors.New(got.Reply.Why)
+		return errors.New(got.Reply.Reason)
 	}
-	numbers := got.Reply.Numbers
-	if got.Reply.Number > 0 {
-		numbers = append(numbers, got.Reply.Number)
+	numbers := got.Reply.PermitIDs
+	if got.Reply.PermitID > 0 {
+		numbers = append(numbers, got.Reply.PermitID)
 	}
 	fmt.Fprintln(out, "agreed", a.Do, numbers)
 	if a.Do == "drain" && a.Wait {
@@ -98,7 +98,7 @@
 
 // ordered is the command that an operator means.
 func ordered(a command.Agree) (c accord.Command, err error) {
-	c = accord.Command{By: a.By, Why: a.Why}
+	c = accord.Command{RequestedBy: a.By, Reason: a.Why}
 	text := func() []byte {
 		b, bad := os.ReadFile(a.Path)
 		err = errors.Join(err, bad)
@@ -106,38 +106,38 @@
 	}
 	switch a.Do {
 	case "drain", "undrain":
-		c.Do, c.Group, c.Why = accord.DoDrain, accord.Match{Zone: a.Zone, Below: a.Below}, "drain"
+		c.Kind, c.Selector, c.Reason = accord.KindDrain, accord.Selector{Zone: a.Zone, Upstream: a.Below}, "drain"
 		if a.Do == "undrain" {
-			c.Do = accord.DoUndrain
+			c.Kind = accord.KindCancelDrain
 		}
 		if a.Name != "" {
 			c.Member = accord.Name(a.Name)
 			if a.Do == "drain" {
-				c.Do = accord.DoAsk
+				c.Kind = accord.KindRequestPermit
 			}
 		}
 		if a.Name == "" && a.Zone == "" && a.Below == "" {
 			err = errors.New("wants a member, --zone or --below")
 		}
 	case "forget":
-		c.Do, c.Member = accord.DoForget, accord.Name(a.Name)
+		c.Kind, c.Member = accord.KindForgetMember, accord.Name(a.Name)
 	case "halt":
-		c.Do = accord.DoHalt
+		c.Kind = accord.KindHalt
 	case "resume":
-		c.Do = accord.DoResume
+		c.Kind = accord.KindResume
 	case "back":
-		c.Do = accord.DoBack
+		c.Kind = accord.KindRollBack
 	case "budgets":
-		c.Do = accord.DoBudgets
+		c.Kind = accord.KindSetBudgets
 		b := text()
 		if err == nil {
 			c.Budgets, err = operator.ParseBudgets(a.Path, b)
 		}
 	case "release":
-		c.Do = accord.DoRelease
+		c.Kind = accord.KindStartRollout
 		b := text()
 		if err == nil {
-			var p accord.Plan
+			var p accord.RolloutPlan
 			p, err = operator.ParseRollout(a.Path, b)
 			c.Plan = &p
 		}
@@ -146,8 +146,8 @@
 }
 
 // wait says how permits go until all have begun and their members are out, or are over.
-func wait(k ask.Client, numbers []accord.Number, out io.Writer) error {
-	said := map[accord.Number]string{}
+func wait(k ask.Client, numbers []accord.PermitID, out io.Writer) error {
+	said := map[accord.PermitID]string{}
 	for {
 		got, err := k.Ask(ask.Question{Status: true})
 		if err != nil {
@@ -155,25 +155,25 @@
 		}
 		open := 0
 		for _, p := range got.Status.Permits {
-			if !slices.Contains(numbers, p.Number) {
+			if !slices.Contains(numbers, p.ID) {
 				continue
 			}
 			text := string(p.Stage)
-			if p.Waits != "" && p.Stage == accord.Queued {
-				text += ": " + p.Waits
+			if p.WaitReason != "" && p.Stage == accord.PermitQueued {
+				text += ": " + p.WaitReason
 			}
 			gone := false
 			for _, m := range got.Status.Out {
-				if m.Name == p.Member && m.Why == accord.Gone {
-					text, gone = "out", p.Stage == accord.Begun
+				if m.Name == p.Member && m.State == accord.MemberGone {
+					text, gone = "out", p.Stage == accord.PermitBegun
 				}
 			}
 			if !gone {
 				open++
 			}
-			if said[p.Number] != text {
-				said[p.Number] = text
-				fmt.Fprintf(out, "%s permit %d of %s: %s\n", time.Now().Format(time.TimeOnly), p.Number, p.Member, text)
+			if said[p.ID] != text {
+				said[p.ID] = text
+				fmt.Fprintf(out, "%s permit %d of %s: %s\n", time.Now().Format(time.TimeOnly), p.ID, p.Member, text)
 			}
 		}
 		if open == 0 {
@@ -186,37 +186,37 @@
 func status(s *ask.Status, out io.Writer) error {
 	fmt.Fprintf(out, "%s, term %d, entry %d of the log, led by %s, %d stewards, %d members, fleet's time %s\n", s.Steward, s.Term, s.Index, s.Leader, len(s.Others), s.Members, s.Now)
 	if s.Halted != nil {
-		fmt.Fprintf(out, "HALTED by %s: %s\n", s.Halted.By, s.Halted.Why)
+		fmt.Fprintf(out, "HALTED by %s: %s\n", s.Halted.By, s.Halted.Reason)
 	}
 	if r := s.Release; r != nil {
-		fmt.Fprintf(out, "release %s to %s by %s: %s, wave %d of %d", r.Name, r.To, r.By, r.Phase, r.Wave+1, len(r.Of))
-		if r.Waits != "" {
-			fmt.Fprintf(out, ", waits: %s", r.Waits)
+		fmt.Fprintf(out, "release %s to %s by %s: %s, wave %d of %d", r.Name, r.TargetRelease, r.RequestedBy, r.Phase, r.Wave+1, len(r.WaveMembers))
+		if r.WaitReason != "" {
+			fmt.Fprintf(out, ", waits: %s", r.WaitReason)
 		}
-		if r.Why != "" {
-			fmt.Fprintf(out, ", why: %s", r.Why)
+		if r.Reason != "" {
+			fmt.Fprintf(out, ", why: %s", r.Reason)
 		}
 		fmt.Fprintln(out)
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "budget\tof\tmembers\tout\tmay be\tup")
 	for _, u := range s.Uses {
-		fmt.Fprintf(w, "%s\t%v\t%d\t%d\t%d\t%g\n", u.Budget.Name, u.Budget.Of, u.Of, u.Out, u.Limit, u.Up)
+		fmt.Fprintf(w, "%s\t%v\t%d\t%d\t%d\t%g\n", u.Budget.Name, u.Budget.Selector, u.Members, u.Unavailable, u.UnavailableLimit, u.AvailableCapacity)
 	}
 	fmt.Fprintln(w, "permit\tmember\tfor\tby\tstage\twaits for")
 	for _, p := range s.Permits {
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\n", p.Number, p.Member, p.Why, p.By, p.Stage, p.Waits)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\n", p.ID, p.Member, p.Purpose, p.RequestedBy, p.Stage, p.WaitReason)
 	}
 	fmt.Fprintln(w, "out\twhy\tsince\trelease\tzone")
 	for _, m := range s.Out {
-		if m.Why != accord.Up {
-			fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%s\n", m.Name, m.Why, m.Since.Round(time.Second), m.Release, m.Zone)
+		if m.State != accord.MemberUp {
+			fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%s\n", m.Name, m.State, m.StateSince.Round(time.Second), m.Release, m.Zone)
 		}
 	}
 	return w.Flush()
 }
 
-func history(all []accord.Entry, out io.Writer) {
+func history(all []accord.HistoryEntry, out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "nth\tat\tby\tdid\twhat\tcame to")
 	for _, e := range all {
@@ -224,10 +224,10 @@
 		if !e.OK {
 			came = "refused"
 		}
-		if e.Why != "" {
-			came += ": " + e.Why
+		if e.Reason != "" {
+			came += ": " + e.Reason
 		}
-		fmt.Fprintf(w, "%d\t%v\t%s\t%s\t%s\t%s\n", e.Nth, e.Now.Round(time.Millisecond), e.By, e.Do, e.What, came)
+		fmt.Fprintf(w, "%d\t%v\t%s\t%s\t%s\t%s\n", e.Sequence, e.At.Round(time.Millisecond), e.RequestedBy, e.Kind, e.Summary, came)
 	}
 	w.Flush()
 }
@@ -247,10 +247,10 @@
 // schema names the root of the exported history's Parquet schema, which would follow the name of the Go type.
 var schema = parquet.NewSchema("line", parquet.SchemaOf(line{}))
 
-func export(all []accord.Entry, path string) error {
+func export(all []accord.HistoryEntry, path string) error {
 	var rows []line
 	for _, e := range all {
-		rows = append(rows, line{int64(e.Nth), e.Now.Milliseconds(), e.By, string(e.Do), e.What, e.OK, e.Why, int64(e.Number)})
+		rows = append(rows, line{int64(e.Sequence), e.At.Milliseconds(), e.RequestedBy, string(e.Kind), e.Summary, e.OK, e.Reason, int64(e.PermitID)})
 	}
 	return parquet.WriteFile(path, rows, schema)
 }
--- a/internal/command/further/golden_test.go
+++ b/internal/command/further/golden_test.go
@@ -58,21 +58,21 @@
 }
 
 // agreed is what a coordinator answers, with every field set.
-func agreed() (ask.Status, []accord.Entry) {
+func agreed() (ask.Status, []accord.HistoryEntry) {
 	// Of and Judged of a plan are not in a release's JSON: the release's own fields of these names stand there.
-	plan := accord.Plan{Name: "r2", To: "2", Waves: []accord.Wave{{Count: 2, Share: 0.1, Zone: "north"}}, Pause: 3 * time.Second, Faster: 2, Tries: 3}
-	permit := accord.Permit{Number: 7, Member: "p001", Of: 12, By: "ann", Why: "drain", Stage: accord.Granted, Asked: time.Second, At: 2 * time.Second,
-		Span: 30 * time.Second, Passed: 4, Waits: "budget all", Outcome: "dropped"}
-	budget := accord.Budget{Name: "all", Of: accord.Match{Zone: "north", Release: "1", Role: "instance", Below: "db"}, Most: 3, Share: 0.5, Least: 6}
-	member := accord.Member{Seen: accord.Seen{Name: "p001", Incarnation: 12, Zone: "north", Release: "1", Roles: members.RoleServer, Below: "db", Capacity: 2, Why: accord.Gone},
-		Since: 5 * time.Second, Permit: 7, Before: "0", Tries: 1}
+	plan := accord.RolloutPlan{Name: "r2", TargetRelease: "2", Waves: []accord.Wave{{Count: 2, Fraction: 0.1, Zone: "north"}}, Pause: 3 * time.Second, RollbackWavesAtOnce: 2, MaxAttempts: 3}
+	permit := accord.Permit{ID: 7, Member: "p001", Incarnation: 12, RequestedBy: "ann", Purpose: "drain", Stage: accord.PermitGranted, RequestedAt: time.Second, StageSince: 2 * time.Second,
+		BeginTimeout: 30 * time.Second, Overtakes: 4, WaitReason: "budget all", Outcome: "dropped"}
+	budget := accord.DisruptionBudget{Name: "all", Selector: accord.Selector{Zone: "north", Release: "1", Role: "instance", Upstream: "db"}, MaxUnavailable: 3, MaxUnavailableFraction: 0.5, MinAvailableCapacity: 6}
+	member := accord.Member{Observation: accord.Observation{Name: "p001", Incarnation: 12, Zone: "north", Release: "1", Roles: members.RoleServer, Upstream: "db", Capacity: 2, State: accord.MemberGone},
+		StateSince: 5 * time.Second, PermitID: 7, PreviousRelease: "0", FailedAttempts: 1}
 	s := ask.Status{Steward: "s1", Leader: "s2", Leads: true, Term: 3, Index: 44, Others: map[string]string{"s1": "127.0.0.1:7960"}, Now: "1m0s",
-		Halted: &accord.Halt{At: time.Second, By: "bob", Why: "noise"}, Uses: []accord.Use{{Budget: budget, Of: 12, Out: 1, Limit: 3, Up: 22}},
-		Release: &accord.Release{Plan: plan, By: "ann", Phase: accord.Going, Wave: 1, Since: 9 * time.Second, Judged: true,
-			Of: [][]accord.Name{{"p001", "p002"}}, Waits: "a permit", Why: "slower"},
+		Halted: &accord.Halt{At: time.Second, By: "bob", Reason: "noise"}, Uses: []accord.BudgetUsage{{Budget: budget, Members: 12, Unavailable: 1, UnavailableLimit: 3, AvailableCapacity: 22}},
+		Release: &accord.Rollout{RolloutPlan: plan, RequestedBy: "ann", Phase: accord.RolloutUpdating, Wave: 1, PhaseSince: 9 * time.Second, Analyzed: true,
+			WaveMembers: [][]accord.Name{{"p001", "p002"}}, WaitReason: "a permit", Reason: "slower"},
 		Permits: []accord.Permit{permit}, Out: []accord.Member{member}, Members: 15}
-	return s, []accord.Entry{{Nth: 9, Now: 61500 * time.Millisecond, By: "ann", Do: accord.DoRelease, What: "r2 to 2",
-		Reply: accord.Reply{OK: true, Why: "begun", Number: 8, Numbers: []accord.Number{8, 9}}}}
+	return s, []accord.HistoryEntry{{Sequence: 9, At: 61500 * time.Millisecond, RequestedBy: "ann", Kind: accord.KindStartRollout, Summary: "r2 to 2",
+		Reply: accord.Reply{OK: true, Reason: "begun", PermitID: 8, PermitIDs: []accord.PermitID{8, 9}}}}
 }
 
 // coordinator is one that answers each question by answer; what it was asked comes on the channel.
@@ -179,7 +179,7 @@
 // The history as Parquet: columns, and every value of a row.
 func TestGoldenHistory(t *testing.T) {
 	_, history := agreed()
-	history = append(history, accord.Entry{Nth: 10, Now: time.Second, By: "bob", Do: accord.DoHalt, What: "all", Reply: accord.Reply{Why: "halted already"}})
+	history = append(history, accord.HistoryEntry{Sequence: 10, At: time.Second, RequestedBy: "bob", Kind: accord.KindHalt, Summary: "all", Reply: accord.Reply{Reason: "halted already"}})
 	path := filepath.Join(t.TempDir(), "history.parquet")
 	if err := export(history, path); err != nil {
 		t.Fatal(err)
--- a/internal/drill/stewards.go
+++ b/internal/drill/stewards.go
@@ -164,17 +164,17 @@
 }
 
 // budgets notes what may be out, as far as the rehearsal can see it: counts over all and by zone.
-func (o *outs) budgets(all []accord.Budget) {
+func (o *outs) budgets(all []accord.DisruptionBudget) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.max = map[string]int{}
 	for _, b := range all {
 		switch {
-		case b.Most < 0 || b.Of.Release != "" || b.Of.Below != "" || b.Of.Role != "" && b.Of.Role != "instance":
-		case b.Of.Zone != "":
-			o.max["zone "+b.Of.Zone] = b.Most
+		case b.MaxUnavailable < 0 || b.Selector.Release != "" || b.Selector.Upstream != "" || b.Selector.Role != "" && b.Selector.Role != "instance":
+		case b.Selector.Zone != "":
+			o.max["zone "+b.Selector.Zone] = b.MaxUnavailable
 		default:
-			o.max["all"] = b.Most
+			o.max["all"] = b.MaxUnavailable
 		}
 	}
 }
@@ -195,7 +195,7 @@
 
 // agree gives a command to the stewards, as an operator would: budgets FILE, release FILE, halt, resume, back, drain NAME, drain zone NAME.
 func (w *world) agree(text, key string) (string, error) {
-	c := accord.Command{By: "rehearsal", Key: key}
+	c := accord.Command{RequestedBy: "rehearsal", IdempotencyKey: key}
 	do, rest, _ := strings.Cut(text, " ")
 	rest = strings.TrimSpace(rest)
 	file := func() ([]byte, error) { return os.ReadFile(filepath.Join(filepath.Dir(w.d.Path), rest)) }
@@ -205,7 +205,7 @@
 		if err != nil {
 			return "", err
 		}
-		c.Do = accord.DoBudgets
+		c.Kind = accord.KindSetBudgets
 		if c.Budgets, err = operator.ParseBudgets(rest, b); err != nil {
 			return "", err
 		}
@@ -219,14 +219,14 @@
 		if err != nil {
 			return "", err
 		}
-		c.Do, c.Plan = accord.DoRelease, &p
+		c.Kind, c.Plan = accord.KindStartRollout, &p
 	case "halt", "resume", "back":
-		c.Do = accord.Do(do)
+		c.Kind = accord.Kind(do)
 	case "drain":
 		if z, is := strings.CutPrefix(rest, "zone "); is {
-			c.Do, c.Group = accord.DoDrain, accord.Match{Zone: z, Role: "instance"}
+			c.Kind, c.Selector = accord.KindDrain, accord.Selector{Zone: z, Role: "instance"}
 		} else {
-			c.Do, c.Member = accord.DoAsk, members.Name(rest)
+			c.Kind, c.Member = accord.KindRequestPermit, members.Name(rest)
 		}
 	default:
 		return "", fmt.Errorf("no command %q", text)
@@ -238,7 +238,7 @@
 	case a.Error != "":
 		return "", fmt.Errorf("%s", a.Error)
 	case !a.Reply.OK:
-		return "refused: " + a.Reply.Why, nil
+		return "refused: " + a.Reply.Reason, nil
 	}
 	return "agreed", nil
 }
--- a/internal/fleet/steward/ask/ask.go
+++ b/internal/fleet/steward/ask/ask.go
@@ -138,29 +138,29 @@
 
 // Answer is what comes back. Leader, where it is set, is whom to ask instead.
 type Answer struct {
-	Error   string          `json:"Error,omitempty"`
-	Leader  string          `json:"Leader,omitempty"`
-	Reply   *accord.Reply   `json:"Reply,omitempty"`
-	Status  *Status         `json:"Status,omitempty"`
-	History []accord.Entry  `json:"History,omitempty"`
-	Over    []accord.Permit `json:"Over,omitempty"`
+	Error   string                `json:"Error,omitempty"`
+	Leader  string                `json:"Leader,omitempty"`
+	Reply   *accord.Reply         `json:"Reply,omitempty"`
+	Status  *Status               `json:"Status,omitempty"`
+	History []accord.HistoryEntry `json:"History,omitempty"`
+	Over    []accord.Permit       `json:"Over,omitempty"`
 }
 
 // Status is what is agreed, for whoever looks.
 type Status struct {
-	Steward string            `json:"steward"`
-	Leader  string            `json:"leader"`
-	Leads   bool              `json:"leads"`
-	Term    uint64            `json:"term"`
-	Index   uint64            `json:"index"` // of the log
-	Others  map[string]string `json:"stewards"`
-	Now     string            `json:"now"`
-	Halted  *accord.Halt      `json:"halted,omitempty"`
-	Release *accord.Release   `json:"release,omitempty"`
-	Uses    []accord.Use      `json:"budgets"`
-	Permits []accord.Permit   `json:"permits"`
-	Out     []accord.Member   `json:"out"`
-	Members int               `json:"members"`
+	Steward string               `json:"steward"`
+	Leader  string               `json:"leader"`
+	Leads   bool                 `json:"leads"`
+	Term    uint64               `json:"term"`
+	Index   uint64               `json:"index"` // of the log
+	Others  map[string]string    `json:"stewards"`
+	Now     string               `json:"now"`
+	Halted  *accord.Halt         `json:"halted,omitempty"`
+	Release *accord.Rollout      `json:"release,omitempty"`
+	Uses    []accord.BudgetUsage `json:"budgets"`
+	Permits []accord.Permit      `json:"permits"`
+	Out     []accord.Member      `json:"out"`
+	Members int                  `json:"members"`
 }
 
 // Client asks stewards, whichever leads.
--- a/internal/fleet/steward/ask/golden_test.go
+++ b/internal/fleet/steward/ask/golden_test.go
@@ -25,23 +25,23 @@
 var update = flag.Bool("update", false, "write the golden files anew; only where the spoken form is meant to change")
 
 var (
-	match  = accord.Match{Zone: "a", Release: "1", Role: "instance", Below: "db"}
-	budget = accord.Budget{Name: "zone-a", Of: match, Most: 2, Share: 0.25, Least: 12.5}
-	seen   = accord.Seen{Name: "n1", Incarnation: 1_700_000_000_001, Zone: "a", Release: "1", Roles: members.RoleServer,
-		Below: "db", Capacity: 1.5, Why: accord.Leaving}
-	permit = accord.Permit{Number: 42, Member: "n1", Of: 1_700_000_000_001, By: "operator", Why: "drain",
-		Stage: accord.Begun, Asked: 50 * time.Second, At: 60 * time.Second,
-		Span: 30 * time.Second, Passed: 4, Waits: "halted", Outcome: "back"}
-	reply = accord.Reply{OK: true, Why: "a reason", Number: 42, Numbers: []accord.Number{42, 43}}
-	plan  = accord.Plan{Name: "r2", To: "2", Of: match, Waves: []accord.Wave{{Count: 3, Share: 0.1, Zone: "b"}},
-		Pause: 10 * time.Second, Judged: true, Faster: 2.5, Tries: 3}
+	match  = accord.Selector{Zone: "a", Release: "1", Role: "instance", Upstream: "db"}
+	budget = accord.DisruptionBudget{Name: "zone-a", Selector: match, MaxUnavailable: 2, MaxUnavailableFraction: 0.25, MinAvailableCapacity: 12.5}
+	seen   = accord.Observation{Name: "n1", Incarnation: 1_700_000_000_001, Zone: "a", Release: "1", Roles: members.RoleServer,
+		Upstream: "db", Capacity: 1.5, State: accord.MemberLeaving}
+	permit = accord.Permit{ID: 42, Member: "n1", Incarnation: 1_700_000_000_001, RequestedBy: "operator", Purpose: "drain",
+		Stage: accord.PermitBegun, RequestedAt: 50 * time.Second, StageSince: 60 * time.Second,
+		BeginTimeout: 30 * time.Second, Overtakes: 4, WaitReason: "halted", Outcome: "back"}
+	reply = accord.Reply{OK: true, Reason: "a reason", PermitID: 42, PermitIDs: []accord.PermitID{42, 43}}
+	plan  = accord.RolloutPlan{Name: "r2", TargetRelease: "2", Selector: match, Waves: []accord.Wave{{Count: 3, Fraction: 0.1, Zone: "b"}},
+		Pause: 10 * time.Second, AnalysisRequired: true, RollbackWavesAtOnce: 2.5, MaxAttempts: 3}
 
 	questions = []Question{
-		{Command: &accord.Command{Term: 7, At: 1500 * time.Millisecond, Key: "0123456789abcdef", By: "operator",
-			Do: accord.DoRelease, Seen: []accord.Seen{seen},
-			Budgets: []accord.Budget{budget}, Member: "n1", Of: 1_700_000_000_001, Group: match, Number: 42,
-			Span: 30 * time.Second, Why: "a reason", Plan: &plan,
-			Release: "r2", Wave: 1, Good: true}},
+		{Command: &accord.Command{Term: 7, LeaderTime: 1500 * time.Millisecond, IdempotencyKey: "0123456789abcdef", RequestedBy: "operator",
+			Kind: accord.KindStartRollout, Observations: []accord.Observation{seen},
+			Budgets: []accord.DisruptionBudget{budget}, Member: "n1", Incarnation: 1_700_000_000_001, Selector: match, PermitID: 42,
+			BeginTimeout: 30 * time.Second, Reason: "a reason", Plan: &plan,
+			RolloutName: "r2", Wave: 1, Healthy: true}},
 		{Status: true},
 		{History: true},
 		{Join: &Joining{ID: "s1.0a1b2c3d", At: "127.0.0.1:7400"}},
@@ -54,18 +54,18 @@
 		{Status: &Status{
 			Steward: "s0.0a1b2c3d", Leader: "127.0.0.1:7400", Leads: true, Term: 7, Index: 99,
 			Others: map[string]string{"s0.0a1b2c3d": "127.0.0.1:7400"}, Now: "1m30s",
-			Halted: &accord.Halt{At: 85 * time.Second, By: "operator", Why: "for the night"},
+			Halted: &accord.Halt{At: 85 * time.Second, By: "operator", Reason: "for the night"},
 			// Of and Judged of a Release hide those of its Plan, which are not spoken.
-			Release: &accord.Release{Plan: accord.Plan{Name: "r2", To: "2", Waves: plan.Waves, Pause: plan.Pause,
-				Faster: 2.5, Tries: 3}, By: "operator", Phase: accord.Judging,
-				Wave: 1, Since: 75 * time.Second, Of: [][]accord.Name{{"n1"}, {"n2"}}, Waits: "the verdict on wave 2",
-				Judged: true, Why: "slower"},
-			Uses:    []accord.Use{{Budget: budget, Of: 8, Out: 1, Limit: 2, Up: 10.5}},
+			Release: &accord.Rollout{RolloutPlan: accord.RolloutPlan{Name: "r2", TargetRelease: "2", Waves: plan.Waves, Pause: plan.Pause,
+				RollbackWavesAtOnce: 2.5, MaxAttempts: 3}, RequestedBy: "operator", Phase: accord.RolloutAnalyzing,
+				Wave: 1, PhaseSince: 75 * time.Second, WaveMembers: [][]accord.Name{{"n1"}, {"n2"}}, WaitReason: "the verdict on wave 2",
+				Analyzed: true, Reason: "slower"},
+			Uses:    []accord.BudgetUsage{{Budget: budget, Members: 8, Unavailable: 1, UnavailableLimit: 2, AvailableCapacity: 10.5}},
 			Permits: []accord.Permit{permit},
-			Out:     []accord.Member{{Seen: seen, Since: 70 * time.Second, Permit: 42, Before: "0", Tries: 1}},
+			Out:     []accord.Member{{Observation: seen, StateSince: 70 * time.Second, PermitID: 42, PreviousRelease: "0", FailedAttempts: 1}},
 			Members: 9,
 		}},
-		{History: []accord.Entry{{Nth: 3, Now: 50 * time.Second, By: "operator", Do: accord.DoDrain, What: "zone=a",
+		{History: []accord.HistoryEntry{{Sequence: 3, At: 50 * time.Second, RequestedBy: "operator", Kind: accord.KindDrain, Summary: "zone=a",
 			Reply: reply}}, Over: []accord.Permit{permit}},
 	}
 )
--- a/internal/fleet/steward/golden_test.go
+++ b/internal/fleet/steward/golden_test.go
@@ -36,65 +36,65 @@
 
 func goldenTold(folder string) Told {
 	return Told{Name: "s0", Listen: "127.0.0.1:0", At: goldenAt, Folder: folder, Begin: true,
-		Beat: 300 * time.Millisecond, Keys: []members.Key{key}, Accord: accord.Usual(),
+		Beat: 300 * time.Millisecond, Keys: []members.Key{key}, Accord: accord.DefaultConfig(),
 		Judge: judge.Usual(), Window: time.Second, Asked: 8, Patience: time.Second, Output: 64, Snapshot: 1000}
 }
 
 // goldenCommands are of every kind, and come out well unless said; at is when the first is given, from is the number of
 // its first permit. They leave n0 out by a permit, n3 with one that has been granted, and a release on its way back.
-func goldenCommands(term uint64, at time.Duration, from accord.Number, inc members.Incarnation, old,
+func goldenCommands(term uint64, at time.Duration, from accord.PermitID, inc members.Incarnation, old,
 	next string) (all []accord.Command) {
-	seen := func(name accord.Name, zone, release string, plus members.Incarnation, why accord.Reason) accord.Seen {
-		return accord.Seen{Name: name, Incarnation: inc + plus, Zone: zone, Release: release, Roles: members.RoleServer,
-			Capacity: 1.5, Why: why}
+	seen := func(name accord.Name, zone, release string, plus members.Incarnation, why accord.MemberState) accord.Observation {
+		return accord.Observation{Name: name, Incarnation: inc + plus, Zone: zone, Release: release, Roles: members.RoleServer,
+			Capacity: 1.5, State: why}
 	}
-	group := accord.Match{Zone: "b", Role: "instance"}
+	group := accord.Selector{Zone: "b", Role: "instance"}
 	all = []accord.Command{
-		{Do: accord.DoSee, Seen: []accord.Seen{seen("n0", "a", old, 0, accord.Up), seen("n1", "a", old, 0, accord.Up),
-			seen("n2", "b", old, 0, accord.Up), seen("n3", "b", old, 0, accord.Up),
-			seen("n4", "c", old, 0, accord.Up), seen("n5", "c", old, 0, accord.Up),
-			{Name: "d0", Incarnation: inc, Zone: "a", Release: old, Roles: members.RoleUpstream, Below: "d0", Capacity: 1,
-				Why: accord.Up},
+		{Kind: accord.KindObserve, Observations: []accord.Observation{seen("n0", "a", old, 0, accord.MemberUp), seen("n1", "a", old, 0, accord.MemberUp),
+			seen("n2", "b", old, 0, accord.MemberUp), seen("n3", "b", old, 0, accord.MemberUp),
+			seen("n4", "c", old, 0, accord.MemberUp), seen("n5", "c", old, 0, accord.MemberUp),
+			{Name: "d0", Incarnation: inc, Zone: "a", Release: old, Roles: members.RoleUpstream, Upstream: "d0", Capacity: 1,
+				State: accord.MemberUp},
 			{Name: "r0", Incarnation: inc, Zone: "a", Release: old, Roles: members.RoleProxy | members.RoleCoordinator,
-				Capacity: 2, Why: accord.Doubted}}},
-		{Do: accord.DoBudgets, Budgets: []accord.Budget{{Name: "all", Most: 3, Least: 4}, {Name: "share-b", Of: group,
-			Most: -1, Share: 0.5},
-			{Name: "below", Of: accord.Match{Below: "d0", Release: old}, Most: 1}}},
+				Capacity: 2, State: accord.MemberSuspect}}},
+		{Kind: accord.KindSetBudgets, Budgets: []accord.DisruptionBudget{{Name: "all", MaxUnavailable: 3, MinAvailableCapacity: 4}, {Name: "share-b", Selector: group,
+			MaxUnavailable: -1, MaxUnavailableFraction: 0.5},
+			{Name: "below", Selector: accord.Selector{Upstream: "d0", Release: old}, MaxUnavailable: 1}}},
 		// The permit from; then the same command once more.
-		{Do: accord.DoAsk, Member: "n0", Key: fmt.Sprint("key-", term), Span: 20 * time.Second, Why: "by hand"},
-		{Do: accord.DoAsk, Member: "n0", Key: fmt.Sprint("key-", term), Span: 20 * time.Second, Why: "by hand"},
-		{Do: accord.DoBegin, Member: "n0", Of: inc, Number: from},
-		{Do: accord.DoDrain, Group: group, Span: 25 * time.Second}, // from+1 granted, from+2 waits
-		{Do: accord.DoUndrain, Group: accord.Match{Zone: "b"}},
-		{Do: accord.DoAsk, Member: "n4"}, // from+3
-		{Do: accord.DoDrop, Number: from + 3},
-		{Do: accord.DoDrop, Number: 999}, // refused
-		{Do: accord.DoSee, Seen: []accord.Seen{seen("n5", "c", old, 0, accord.Gone)}},
-		{Do: accord.DoForget, Member: "n5", Why: "it burnt"},
-		{Do: accord.DoHalt, Why: "for the night"},
-		{Do: accord.DoResume},
-		{Do: accord.DoSee, Seen: []accord.Seen{seen("n0", "a", old, 0, accord.Leaving)}},
-		{Do: accord.DoSee, Seen: []accord.Seen{seen("n0", "a", old, 1, accord.Up)}}, // from is over
+		{Kind: accord.KindRequestPermit, Member: "n0", IdempotencyKey: fmt.Sprint("key-", term), BeginTimeout: 20 * time.Second, Reason: "by hand"},
+		{Kind: accord.KindRequestPermit, Member: "n0", IdempotencyKey: fmt.Sprint("key-", term), BeginTimeout: 20 * time.Second, Reason: "by hand"},
+		{Kind: accord.KindBeginPermit, Member: "n0", Incarnation: inc, PermitID: from},
+		{Kind: accord.KindDrain, Selector: group, BeginTimeout: 25 * time.Second}, // from+1 granted, from+2 waits
+		{Kind: accord.KindCancelDrain, Selector: accord.Selector{Zone: "b"}},
+		{Kind: accord.KindRequestPermit, Member: "n4"}, // from+3
+		{Kind: accord.KindCancelPermit, PermitID: from + 3},
+		{Kind: accord.KindCancelPermit, PermitID: 999}, // refused
+		{Kind: accord.KindObserve, Observations: []accord.Observation{seen("n5", "c", old, 0, accord.MemberGone)}},
+		{Kind: accord.KindForgetMember, Member: "n5", Reason: "it burnt"},
+		{Kind: accord.KindHalt, Reason: "for the night"},
+		{Kind: accord.KindResume},
+		{Kind: accord.KindObserve, Observations: []accord.Observation{seen("n0", "a", old, 0, accord.MemberLeaving)}},
+		{Kind: accord.KindObserve, Observations: []accord.Observation{seen("n0", "a", old, 1, accord.MemberUp)}}, // from is over
 		// A release, a wave of it judged, and its way back.
-		{Do: accord.DoRelease, Plan: &accord.Plan{Name: "r" + next, To: next, Of: accord.Match{Role: "instance"},
-			Waves: []accord.Wave{{Count: 1}, {Share: 0.5}, {Zone: "c"}}, Pause: time.Second, Judged: true, Faster: 2,
-			Tries: 3}}, // from+4: n0
-		{Do: accord.DoBegin, Member: "n0", Of: inc + 1, Number: from + 4},
-		{Do: accord.DoSee, Seen: []accord.Seen{seen("n0", "a", next, 2, accord.Cold)}},
-		{Do: accord.DoSee, Seen: []accord.Seen{seen("n0", "a", next, 2, accord.Up)}},
-		{Do: accord.DoVerdict, Release: "r" + next, Wave: 0, Good: true, Why: "+0.1%"},
-		{Do: accord.DoTick},
-		{Do: accord.DoTick},
-		{Do: accord.DoBack, Why: "second thoughts"}, // from+5: n0 goes back
-		{Do: accord.DoAsk, Member: "n3", Span: 40 * time.Second},
-		{Do: accord.DoBegin, Member: "n0", Of: inc + 2, Number: from + 7},
-		{Do: accord.DoTick},
+		{Kind: accord.KindStartRollout, Plan: &accord.RolloutPlan{Name: "r" + next, TargetRelease: next, Selector: accord.Selector{Role: "instance"},
+			Waves: []accord.Wave{{Count: 1}, {Fraction: 0.5}, {Zone: "c"}}, Pause: time.Second, AnalysisRequired: true, RollbackWavesAtOnce: 2,
+			MaxAttempts: 3}}, // from+4: n0
+		{Kind: accord.KindBeginPermit, Member: "n0", Incarnation: inc + 1, PermitID: from + 4},
+		{Kind: accord.KindObserve, Observations: []accord.Observation{seen("n0", "a", next, 2, accord.MemberWarmingUp)}},
+		{Kind: accord.KindObserve, Observations: []accord.Observation{seen("n0", "a", next, 2, accord.MemberUp)}},
+		{Kind: accord.KindCanaryVerdict, RolloutName: "r" + next, Wave: 0, Healthy: true, Reason: "+0.1%"},
+		{Kind: accord.KindTick},
+		{Kind: accord.KindTick},
+		{Kind: accord.KindRollBack, Reason: "second thoughts"}, // from+5: n0 goes back
+		{Kind: accord.KindRequestPermit, Member: "n3", BeginTimeout: 40 * time.Second},
+		{Kind: accord.KindBeginPermit, Member: "n0", Incarnation: inc + 2, PermitID: from + 7},
+		{Kind: accord.KindTick},
 	}
 	for i := range all {
 		c := &all[i]
-		c.Term, c.At = term, at+time.Duration(i)*500*time.Millisecond
-		if c.Do != accord.DoSee && c.Do != accord.DoTick {
-			c.By = fmt.Sprint("operator-", term)
+		c.Term, c.LeaderTime = term, at+time.Duration(i)*500*time.Millisecond
+		if c.Kind != accord.KindObserve && c.Kind != accord.KindTick {
+			c.RequestedBy = fmt.Sprint("operator-", term)
 		}
 	}
 	return all
@@ -105,8 +105,8 @@
 	before = goldenCommands(2, 3*time.Second, 1, 1_700_000_000_001, "1", "2")
 	behind = goldenCommands(3, time.Second, 10, 1_700_000_000_101, "1", "3")
 	last := behind[len(behind)-1]
-	behind = append(behind, accord.Command{Term: last.Term, At: last.At + time.Second, By: "operator-3",
-		Do: accord.DoAsk, Member: "n1"}) // 19 waits
+	behind = append(behind, accord.Command{Term: last.Term, LeaderTime: last.LeaderTime + time.Second, RequestedBy: "operator-3",
+		Kind: accord.KindRequestPermit, Member: "n1"}) // 19 waits
 	return before, behind
 }
 
@@ -171,13 +171,13 @@
 		s := standin.Must(New(goldenTold(folder)))
 		standin.Until("it leads", func() bool { return s.Leads() && s.node.settled() })
 		for _, c := range before {
-			t.Log(c.Do, c.Member, c.Number, standin.Must(s.node.apply(c)))
+			t.Log(c.Kind, c.Member, c.PermitID, standin.Must(s.node.apply(c)))
 		}
 		if err := s.node.raft.Snapshot().Error(); err != nil {
 			t.Fatal(err)
 		}
 		for _, c := range behind {
-			t.Log(c.Do, c.Member, c.Number, standin.Must(s.node.apply(c)))
+			t.Log(c.Kind, c.Member, c.PermitID, standin.Must(s.node.apply(c)))
 		}
 		s.streams.Close()
 		s.node.close()
@@ -209,7 +209,7 @@
 	life := string(standin.Must(os.ReadFile(filepath.Join(folder, "life"))))
 
 	// The snapshot is what the commands before it come to, as the code has it now.
-	model := accord.New(accord.Usual())
+	model := accord.NewState(accord.DefaultConfig())
 	for _, c := range before {
 		model.Apply(c)
 	}
@@ -231,7 +231,7 @@
 	// The log holds the commands byte for byte as they are written now.
 	commands := append(slices.Clone(before), behind...)
 	first, last := standin.Must(s.node.log.FirstIndex()), standin.Must(s.node.log.LastIndex())
-	kinds := map[accord.Do]int{}
+	kinds := map[accord.Kind]int{}
 	for i, next := first, 0; i <= last; i++ {
 		var entry raft.Log
 		if err := s.node.log.GetLog(i, &entry); err != nil {
@@ -250,10 +250,10 @@
 		if now := standin.Must(json.Marshal(commands[next])); !bytes.Equal(entry.Data, now) {
 			t.Errorf("entry %d is\n%s\nnow written as\n%s", i, entry.Data, now)
 		}
-		kinds[c.Do]++
+		kinds[c.Kind]++
 		next++
 	}
-	for _, do := range []accord.Do{"see", "budgets", "ask", "begin", "drop", "forget", "halt", "resume", "release",
+	for _, do := range []accord.Kind{"see", "budgets", "ask", "begin", "drop", "forget", "halt", "resume", "release",
 		"back", "verdict", "tick", "drain", "undrain"} {
 		if kinds[do] < 2 {
 			t.Errorf("%d entries of %q, wanted some on either side of the snapshot", kinds[do], do)
@@ -278,9 +278,9 @@
 	})
 
 	// It goes on where it was.
-	r := standin.Must(s.node.apply(accord.Command{Term: 9, At: time.Second, Do: accord.DoDrop, Number: 18,
-		By: "operator"}))
-	if want := (accord.Reply{OK: true, Number: 18}); !reflect.DeepEqual(r, want) {
+	r := standin.Must(s.node.apply(accord.Command{Term: 9, LeaderTime: time.Second, Kind: accord.KindCancelPermit, PermitID: 18,
+		RequestedBy: "operator"}))
+	if want := (accord.Reply{OK: true, PermitID: 18}); !reflect.DeepEqual(r, want) {
 		t.Errorf("%+v, wanted %+v", r, want)
 	}
 }
@@ -293,53 +293,53 @@
 			wrong = append(wrong, fmt.Sprintf("%s: %+v, wanted %+v", what, got, want))
 		}
 	}
-	is("told", a.Told, accord.Told{History: 1000, Keys: 4096, Members: 10_000, Waiting: 10_000, Passed: 50,
-		Stuck: time.Minute})
-	is("times", []time.Duration{a.Now, a.LastAt}, []time.Duration{27 * time.Second, 15 * time.Second})
+	is("told", a.Config, accord.Config{MaxHistory: 1000, MaxIdempotencyKeys: 4096, MaxMembers: 10_000, MaxQueuedPermits: 10_000, MaxOvertakes: 50,
+		StalledAfter: time.Minute})
+	is("times", []time.Duration{a.Now, a.LastLeaderTime}, []time.Duration{27 * time.Second, 15 * time.Second})
 	is("term", a.Term, uint64(3))
-	is("numbers", []uint64{uint64(a.Last), a.Nth, uint64(len(a.History)), uint64(len(a.Over))}, []uint64{19, 35, 35,
+	is("numbers", []uint64{uint64(a.LastPermitID), a.Sequence, uint64(len(a.History)), uint64(len(a.EndedPermits))}, []uint64{19, 35, 35,
 		16})
-	is("budgets", a.Budgets, []accord.Budget{{Name: "all", Most: 3, Least: 4}, {Name: "share-b",
-		Of: accord.Match{Zone: "b", Role: "instance"}, Most: -1, Share: 0.5},
-		{Name: "below", Of: accord.Match{Below: "d0", Release: "1"}, Most: 1}})
+	is("budgets", a.Budgets, []accord.DisruptionBudget{{Name: "all", MaxUnavailable: 3, MinAvailableCapacity: 4}, {Name: "share-b",
+		Selector: accord.Selector{Zone: "b", Role: "instance"}, MaxUnavailable: -1, MaxUnavailableFraction: 0.5},
+		{Name: "below", Selector: accord.Selector{Upstream: "d0", Release: "1"}, MaxUnavailable: 1}})
 	is("members", len(a.Members), 7)
-	is("n0", *a.Members["n0"], accord.Member{Seen: accord.Seen{Name: "n0", Incarnation: 1_700_000_000_103, Zone: "a",
+	is("n0", *a.Members["n0"], accord.Member{Observation: accord.Observation{Name: "n0", Incarnation: 1_700_000_000_103, Zone: "a",
 		Release: "3", Roles: members.RoleServer, Capacity: 1.5},
-		Since: 22500 * time.Millisecond, Permit: 17, Before: "1"})
-	is("d0", *a.Members["d0"], accord.Member{Seen: accord.Seen{Name: "d0", Incarnation: 1_700_000_000_101, Zone: "a",
-		Release: "1", Roles: members.RoleUpstream, Below: "d0", Capacity: 1},
-		Since: 13 * time.Second, Before: "1"})
-	is("r0", *a.Members["r0"], accord.Member{Seen: accord.Seen{Name: "r0", Incarnation: 1_700_000_000_101, Zone: "a",
+		StateSince: 22500 * time.Millisecond, PermitID: 17, PreviousRelease: "1"})
+	is("d0", *a.Members["d0"], accord.Member{Observation: accord.Observation{Name: "d0", Incarnation: 1_700_000_000_101, Zone: "a",
+		Release: "1", Roles: members.RoleUpstream, Upstream: "d0", Capacity: 1},
+		StateSince: 13 * time.Second, PreviousRelease: "1"})
+	is("r0", *a.Members["r0"], accord.Member{Observation: accord.Observation{Name: "r0", Incarnation: 1_700_000_000_101, Zone: "a",
 		Release: "1", Roles: members.RoleProxy | members.RoleCoordinator, Capacity: 2,
-		Why: accord.Doubted}, Since: 13 * time.Second, Before: "1"})
+		State: accord.MemberSuspect}, StateSince: 13 * time.Second, PreviousRelease: "1"})
 	is("permits", len(a.Permits), 3)
-	is("17", *a.Permits[17], accord.Permit{Number: 17, Member: "n0", Of: 1_700_000_000_103, By: "r3", Why: "back",
-		Stage: accord.Begun, Asked: 24500 * time.Millisecond,
-		At: 25500 * time.Millisecond, Span: 30 * time.Second})
-	is("18", *a.Permits[18], accord.Permit{Number: 18, Member: "n3", Of: 1_700_000_000_101, By: "operator-3",
-		Why: "drain", Stage: accord.Granted, Asked: 25 * time.Second,
-		At: 25 * time.Second, Span: 40 * time.Second})
-	is("19", *a.Permits[19], accord.Permit{Number: 19, Member: "n1", By: "operator-3", Why: "drain",
-		Stage: accord.Queued, Asked: 27 * time.Second, At: 27 * time.Second,
-		Span: 30 * time.Second, Waits: "budget all: 3 of 7 out, 3 may be"})
-	is("waiting", a.Waiting, []accord.Number{19})
-	is("keys", a.Keys, map[string]accord.Reply{"key-2": {OK: true, Number: 1}, "key-3": {OK: true, Number: 10}})
-	is("key ring", a.KeyRing, []string{"key-2", "key-3"})
-	is("halted", a.Halted, (*accord.Halt)(nil))
+	is("17", *a.Permits[17], accord.Permit{ID: 17, Member: "n0", Incarnation: 1_700_000_000_103, RequestedBy: "r3", Purpose: "back",
+		Stage: accord.PermitBegun, RequestedAt: 24500 * time.Millisecond,
+		StageSince: 25500 * time.Millisecond, BeginTimeout: 30 * time.Second})
+	is("18", *a.Permits[18], accord.Permit{ID: 18, Member: "n3", Incarnation: 1_700_000_000_101, RequestedBy: "operator-3",
+		Purpose: "drain", Stage: accord.PermitGranted, RequestedAt: 25 * time.Second,
+		StageSince: 25 * time.Second, BeginTimeout: 40 * time.Second})
+	is("19", *a.Permits[19], accord.Permit{ID: 19, Member: "n1", RequestedBy: "operator-3", Purpose: "drain",
+		Stage: accord.PermitQueued, RequestedAt: 27 * time.Second, StageSince: 27 * time.Second,
+		BeginTimeout: 30 * time.Second, WaitReason: "budget all: 3 of 7 out, 3 may be"})
+	is("waiting", a.PermitQueue, []accord.PermitID{19})
+	is("keys", a.Replies, map[string]accord.Reply{"key-2": {OK: true, PermitID: 1}, "key-3": {OK: true, PermitID: 10}})
+	is("key ring", a.ReplyOrder, []string{"key-2", "key-3"})
+	is("halted", a.Halt, (*accord.Halt)(nil))
 	// It was started behind the snapshot, so Plan's Of and Judged are known; a snapshot does not hold them.
-	is("release", *a.Release, accord.Release{Plan: accord.Plan{Name: "r3", To: "3",
-		Of: accord.Match{Role: "instance"}, Waves: []accord.Wave{{Count: 1}, {Share: 0.5}, {Zone: "c"}},
-		Pause: time.Second, Judged: true, Faster: 2, Tries: 3}, By: "operator-3", Phase: accord.Backing, Wave: 1,
-		Since: 24500 * time.Millisecond,
-		Of:    [][]accord.Name{{"n0"}, {"n1", "n2"}, {"n4"}, {"n3"}}, Waits: "n1: permit 19 is queued", Judged: true,
-		Why: "second thoughts"})
-	is("first entry", a.History[0], accord.Entry{Nth: 1, Now: 500 * time.Millisecond, By: "operator-2",
-		Do: accord.DoBudgets, What: "3 budgets", Reply: accord.Reply{OK: true}})
-	is("an entry", a.History[7], accord.Entry{Nth: 8, Now: 4500 * time.Millisecond, By: "operator-2",
-		Do: accord.DoDrop, What: "permit 999 ", Reply: accord.Reply{Why: "permit 999 is over"}})
-	is("last permit that is over", a.Over[15], accord.Permit{Number: 16, Member: "n2", Of: 1_700_000_000_101,
-		By: "r3", Why: "release", Stage: accord.Ended, Asked: 23500 * time.Millisecond,
-		At: 24500 * time.Millisecond, Span: 30 * time.Second, Outcome: "the release goes back"})
+	is("release", *a.Rollout, accord.Rollout{RolloutPlan: accord.RolloutPlan{Name: "r3", TargetRelease: "3",
+		Selector: accord.Selector{Role: "instance"}, Waves: []accord.Wave{{Count: 1}, {Fraction: 0.5}, {Zone: "c"}},
+		Pause: time.Second, AnalysisRequired: true, RollbackWavesAtOnce: 2, MaxAttempts: 3}, RequestedBy: "operator-3", Phase: accord.RolloutRollingBack, Wave: 1,
+		PhaseSince:  24500 * time.Millisecond,
+		WaveMembers: [][]accord.Name{{"n0"}, {"n1", "n2"}, {"n4"}, {"n3"}}, WaitReason: "n1: permit 19 is queued", Analyzed: true,
+		Reason: "second thoughts"})
+	is("first entry", a.History[0], accord.HistoryEntry{Sequence: 1, At: 500 * time.Millisecond, RequestedBy: "operator-2",
+		Kind: accord.KindSetBudgets, Summary: "3 budgets", Reply: accord.Reply{OK: true}})
+	is("an entry", a.History[7], accord.HistoryEntry{Sequence: 8, At: 4500 * time.Millisecond, RequestedBy: "operator-2",
+		Kind: accord.KindCancelPermit, Summary: "permit 999 ", Reply: accord.Reply{Reason: "permit 999 is over"}})
+	is("last permit that is over", a.EndedPermits[15], accord.Permit{ID: 16, Member: "n2", Incarnation: 1_700_000_000_101,
+		RequestedBy: "r3", Purpose: "release", Stage: accord.PermitEnded, RequestedAt: 23500 * time.Millisecond,
+		StageSince: 24500 * time.Millisecond, BeginTimeout: 30 * time.Second, Outcome: "the release goes back"})
 	if len(wrong) > 0 {
 		return errors.New(strings.Join(wrong, "\n"))
 	}
@@ -355,7 +355,7 @@
 		t.Fatal(err)
 	}
 	s := &Steward{told: Told{Restart: script + " at={name} to={release}", Patience: 10 * time.Second, Output: 64}}
-	if !s.restart(accord.Permit{Member: "n1", Number: 42}, "2") {
+	if !s.restart(accord.Permit{Member: "n1", ID: 42}, "2") {
 		t.Fatal("the command failed")
 	}
 	if got := string(standin.Must(os.ReadFile(said))); got != "at=n1 to=2 n1 2\n" {
--- a/internal/fleet/steward/node.go
+++ b/internal/fleet/steward/node.go
@@ -51,7 +51,7 @@
 	if err := os.MkdirAll(told.Folder, 0o700); err != nil {
 		return nil, err
 	}
-	n := &Node{told: told, state: accord.New(told.Accord), meta: &metadb.BoltMetaDB{}}
+	n := &Node{told: told, state: accord.NewState(told.Accord), meta: &metadb.BoltMetaDB{}}
 	var err error
 	if n.held, err = lock.Hold(filepath.Join(told.Folder, "lock"), func() bool { return false }); err != nil {
 		return nil, fmt.Errorf("%s: %w", told.Folder, err)
@@ -96,7 +96,7 @@
 		if err := raft.RecoverCluster(c, (*machine)(n), n.log, n.log, snaps, n.trans, raft.Configuration{Servers: []raft.Server{{ID: n.id, Address: raft.ServerAddress(told.At)}}}); err != nil {
 			return nil, fmt.Errorf("the state in %s: %w", told.Folder, err)
 		}
-		n.state = accord.New(told.Accord) // it is read again
+		n.state = accord.NewState(told.Accord) // it is read again
 	}
 	if n.raft, err = raft.NewRaft(c, (*machine)(n), n.log, n.log, snaps, n.trans); err != nil {
 		return nil, fmt.Errorf("the state in %s can't be read: move the folder away, and the steward is taken in anew by the others: %w", told.Folder, err)
@@ -244,18 +244,18 @@
 	var c accord.Command
 	if err := json.Unmarshal(l.Data, &c); err != nil {
 		slog.Error("bad-command", "index", l.Index, "err", err)
-		return accord.Reply{Why: "can't be read: " + err.Error()}
+		return accord.Reply{Reason: "can't be read: " + err.Error()}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	before := len(m.state.Over)
-	halted := m.state.Halted != nil
+	before := len(m.state.EndedPermits)
+	halted := m.state.Halt != nil
 	r := m.state.Apply(c)
-	for _, p := range m.state.Over[min(before, len(m.state.Over)):] {
-		slog.Info("permit", "number", uint64(p.Number), "member", string(p.Member), "why", p.Why, "ended", p.Outcome)
+	for _, p := range m.state.EndedPermits[min(before, len(m.state.EndedPermits)):] {
+		slog.Info("permit", "number", uint64(p.ID), "member", string(p.Member), "why", p.Purpose, "ended", p.Outcome)
 	}
-	if h := m.state.Halted; (h != nil) != halted {
-		slog.Info("halt", "on", h != nil, "by", c.By)
+	if h := m.state.Halt; (h != nil) != halted {
+		slog.Info("halt", "on", h != nil, "by", c.RequestedBy)
 	}
 	return r
 }
@@ -271,7 +271,7 @@
 // Restore is raft.FSM. A snapshot that can't be read is an error, and the one before it is taken.
 func (m *machine) Restore(r io.ReadCloser) error {
 	defer r.Close()
-	s := accord.New(m.told.Accord)
+	s := accord.NewState(m.told.Accord)
 	if err := json.NewDecoder(r).Decode(s); err != nil {
 		return err
 	}
--- a/internal/fleet/steward/steward.go
+++ b/internal/fleet/steward/steward.go
@@ -55,10 +55,10 @@
 type leading struct {
 	term   uint64
 	since  time.Time
-	saw    map[accord.Name]accord.Seen
+	saw    map[accord.Name]accord.Observation
 	ticked time.Time
-	nudged map[accord.Number]time.Time
-	hooks  map[accord.Number]*hooking
+	nudged map[accord.PermitID]time.Time
+	hooks  map[accord.PermitID]*hooking
 	judged string // the wave whose windows are gathered
 	judge  *judge.Judge
 	window time.Time
@@ -185,7 +185,7 @@
 				continue
 			}
 			slog.Info("steward", "leads", true, "term", term)
-			s.lead = &leading{term: term, since: time.Now(), nudged: map[accord.Number]time.Time{}, hooks: map[accord.Number]*hooking{}, ended: map[accord.Name]members.Incarnation{}}
+			s.lead = &leading{term: term, since: time.Now(), nudged: map[accord.PermitID]time.Time{}, hooks: map[accord.PermitID]*hooking{}, ended: map[accord.Name]members.Incarnation{}}
 		}
 		s.round()
 	}
@@ -197,7 +197,7 @@
 	if !yes {
 		return accord.Reply{}, ask.ErrNobody
 	}
-	c.Term, c.At = term, time.Since(s.began) // by the clock that does not jump
+	c.Term, c.LeaderTime = term, time.Since(s.began) // by the clock that does not jump
 	return s.node.apply(c)
 }
 
@@ -214,41 +214,41 @@
 		before     string
 	}
 	var nudges []nudge
-	var release *accord.Release
+	var release *accord.Rollout
 	s.node.read(func(a *accord.State) {
-		busy, halted = len(a.Permits) > 0 || a.Release.Running(), a.Halted != nil
+		busy, halted = len(a.Permits) > 0 || a.Rollout.InProgress(), a.Halt != nil
 		for _, p := range a.Permits {
-			if m := a.Members[p.Member]; m != nil && p.Stage != accord.Queued {
-				nudges = append(nudges, nudge{*p, m.Why == accord.Up && m.Incarnation == p.Of, m.Why == accord.Gone, m.Before})
+			if m := a.Members[p.Member]; m != nil && p.Stage != accord.PermitQueued {
+				nudges = append(nudges, nudge{*p, m.State == accord.MemberUp && m.Incarnation == p.Incarnation, m.State == accord.MemberGone, m.PreviousRelease})
 			}
 		}
-		if a.Release != nil {
-			r := *a.Release
+		if a.Rollout != nil {
+			r := *a.Rollout
 			release = &r
 		}
 	})
 	// At rest time need not pass often.
 	if pause := time.Second; time.Since(l.ticked) > pause/4 && busy || time.Since(l.ticked) > 5*pause {
 		l.ticked = time.Now()
-		if _, err := s.command(accord.Command{Do: accord.DoTick}); err != nil {
+		if _, err := s.command(accord.Command{Kind: accord.KindTick}); err != nil {
 			return
 		}
 	}
 	for _, n := range nudges {
 		switch {
-		case n.here && time.Since(l.nudged[n.Number]) > 500*time.Millisecond: // until it has gone: a word may be lost
-			l.nudged[n.Number] = time.Now()
-			s.fleet.Nudge(n.Member, n.Of, uint64(n.Number), n.Stage == accord.Begun)
+		case n.here && time.Since(l.nudged[n.ID]) > 500*time.Millisecond: // until it has gone: a word may be lost
+			l.nudged[n.ID] = time.Now()
+			s.fleet.Nudge(n.Member, n.Incarnation, uint64(n.ID), n.Stage == accord.PermitBegun)
 		// Who was drained stays out until his operator starts him. Danger: one that is still serving is started a second time.
-		case n.gone && n.Stage == accord.Begun && n.Why != "drain" && release != nil && s.told.Restart != "":
-			to := release.To
-			if n.Why == "back" {
+		case n.gone && n.Stage == accord.PermitBegun && n.Purpose != "drain" && release != nil && s.told.Restart != "":
+			to := release.TargetRelease
+			if n.Purpose == "back" {
 				to = n.before
 			}
-			h := l.hooks[n.Number]
+			h := l.hooks[n.ID]
 			if h == nil {
 				h = &hooking{}
-				l.hooks[n.Number] = h
+				l.hooks[n.ID] = h
 			}
 			s.hook(h, n.Permit, to)
 		}
@@ -256,14 +256,14 @@
 	switch {
 	case halted: // what is seen meanwhile is of a wave that is judged anew once that is over
 		l.judged = ""
-	case release.Running() && release.Plan.Judged && release.Phase != accord.Backing:
+	case release.InProgress() && release.RolloutPlan.AnalysisRequired && release.Phase != accord.RolloutRollingBack:
 		s.watch(release)
 	}
 }
 
 // reasons is why a member is out, by how it is seen.
-var reasons = map[members.State]accord.Reason{members.StateUp: accord.Up, members.StateWarming: accord.Cold, members.StateJoining: accord.Joining, members.StateSuspect: accord.Doubted,
-	members.StateLeaving: accord.Leaving, members.StateGone: accord.Gone, members.StateFenced: accord.Gone}
+var reasons = map[members.State]accord.MemberState{members.StateUp: accord.MemberUp, members.StateWarming: accord.MemberWarmingUp, members.StateJoining: accord.MemberJoining, members.StateSuspect: accord.MemberSuspect,
+	members.StateLeaving: accord.MemberLeaving, members.StateGone: accord.MemberGone, members.StateFenced: accord.MemberGone}
 
 // see says what has changed among the members, and tells whether what it sees can be trusted. Danger: a leader that is cut off from the fleet and not from
 // the other stewards sees all as gone, or all as they were.
@@ -273,27 +273,27 @@
 		return false
 	}
 	l := s.lead
-	saw := map[accord.Name]accord.Seen{}
-	add := func(c members.Descriptor, why accord.Reason) {
-		x := accord.Seen{Name: c.Name, Incarnation: c.Incarnation, Zone: c.Zone, Release: c.Release, Roles: c.Roles, Capacity: c.Capacity, Why: why}
+	saw := map[accord.Name]accord.Observation{}
+	add := func(c members.Descriptor, why accord.MemberState) {
+		x := accord.Observation{Name: c.Name, Incarnation: c.Incarnation, Zone: c.Zone, Release: c.Release, Roles: c.Roles, Capacity: c.Capacity, State: why}
 		if c.Roles&members.RoleUpstream != 0 {
-			x.Below = string(c.Name)
+			x.Upstream = string(c.Name)
 		}
 		saw[c.Name] = x
 	}
 	for m := range v.All() {
 		add(m.Descriptor, reasons[m.State])
 	}
-	add(v.Self, accord.Up)
-	var news []accord.Seen
+	add(v.Self, accord.MemberUp)
+	var news []accord.Observation
 	for _, name := range slices.Sorted(maps.Keys(saw)) {
 		if was, known := l.saw[name]; !known || was != saw[name] {
 			news = append(news, saw[name])
 		}
 	}
 	for name, was := range l.saw { // forgotten by the membership: it was gone for long
-		if _, known := saw[name]; !known && was.Why != accord.Gone {
-			was.Why = accord.Gone
+		if _, known := saw[name]; !known && was.State != accord.MemberGone {
+			was.State = accord.MemberGone
 			news = append(news, was)
 			saw[name] = was
 		}
@@ -301,7 +301,7 @@
 	if len(news) == 0 {
 		return true
 	}
-	if _, err := s.command(accord.Command{Do: accord.DoSee, Seen: news}); err != nil {
+	if _, err := s.command(accord.Command{Kind: accord.KindObserve, Observations: news}); err != nil {
 		return false
 	}
 	l.saw = saw
@@ -314,11 +314,11 @@
 		if _, yes := s.node.leads(); !yes || s.leaving.Load() {
 			return
 		}
-		r, err := s.command(accord.Command{Do: accord.DoBegin, By: string(name), Member: name, Of: of, Number: accord.Number(number)})
+		r, err := s.command(accord.Command{Kind: accord.KindBeginPermit, RequestedBy: string(name), Member: name, Incarnation: of, PermitID: accord.PermitID(number)})
 		if err == nil && r.OK {
 			done()
 		} else if err == nil {
-			slog.Info("permit-refused", "number", number, "member", string(name), "why", r.Why)
+			slog.Info("permit-refused", "number", number, "member", string(name), "why", r.Reason)
 		}
 	}()
 }
@@ -361,7 +361,7 @@
 	cmd.WaitDelay = time.Second // Danger: a child of its own that keeps the output open
 	began := time.Now()
 	err := cmd.Run()
-	slog.Info("restart", "member", string(p.Member), "release", release, "permit", uint64(p.Number), "took_ms", time.Since(began).Milliseconds(), "err", err, "said", string(out.b), "more", out.more)
+	slog.Info("restart", "member", string(p.Member), "release", release, "permit", uint64(p.ID), "took_ms", time.Since(began).Milliseconds(), "err", err, "said", string(out.b), "more", out.more)
 	return err == nil
 }
 
@@ -383,9 +383,9 @@
 }
 
 // watch gathers what the new release and the old one do at the same time, window by window, and gives the verdict once there is one.
-func (s *Steward) watch(r *accord.Release) {
+func (s *Steward) watch(r *accord.Rollout) {
 	l := s.lead
-	wave := fmt.Sprint(r.Name, " ", r.Wave, " ", r.By)
+	wave := fmt.Sprint(r.Name, " ", r.Wave, " ", r.RequestedBy)
 	if l.judged != wave {
 		l.judged, l.judge, l.window, l.last, l.now = wave, judge.New(s.told.Judge), time.Now(), nil, map[accord.Name]figures{}
 	}
@@ -397,14 +397,14 @@
 	last, now := l.last, l.now
 	l.last, l.now = now, map[accord.Name]figures{}
 	l.mu.Unlock()
-	var fresh, old []accord.Seen
+	var fresh, old []accord.Observation
 	ended := 0
 	for _, name := range slices.Sorted(maps.Keys(l.saw)) {
 		x := l.saw[name]
-		if !r.For(x) {
+		if !r.AppliesTo(x) {
 			continue
 		}
-		if x.Release == r.To {
+		if x.Release == r.TargetRelease {
 			// One that is there under a later life without a permit has ended by itself.
 			if was := l.ended[name]; was != 0 && x.Incarnation != was && !s.permitted(name) {
 				ended++
@@ -415,7 +415,7 @@
 			old = append(old, x)
 		}
 	}
-	sum := func(of []accord.Seen) (g judge.Group) {
+	sum := func(of []accord.Observation) (g judge.Group) {
 		took := 0.0
 		for _, x := range of {
 			a, b := last[x.Name], now[x.Name]
@@ -434,7 +434,7 @@
 	g := sum(fresh)
 	g.Ended = ended
 	l.judge.Add(g, sum(old))
-	for _, of := range [][]accord.Seen{fresh, old} {
+	for _, of := range [][]accord.Observation{fresh, old} {
 		for i, at := range rand.Perm(len(of)) {
 			if i >= s.told.Asked {
 				break
@@ -448,10 +448,10 @@
 		}
 	}
 	v, why := l.judge.Verdict()
-	if v == judge.Open || v == judge.Good && r.Phase != accord.Judging {
+	if v == judge.Open || v == judge.Good && r.Phase != accord.RolloutAnalyzing {
 		return
 	}
-	reply, err := s.command(accord.Command{Do: accord.DoVerdict, By: "the judgement", Release: r.Name, Wave: r.Wave, Good: v == judge.Good, Why: why})
+	reply, err := s.command(accord.Command{Kind: accord.KindCanaryVerdict, RequestedBy: "the judgement", RolloutName: r.Name, Wave: r.Wave, Healthy: v == judge.Good, Reason: why})
 	if err == nil && reply.OK {
 		slog.Info("verdict", "release", r.Name, "wave", r.Wave+1, "is", v.String(), "why", why)
 		l.judged = ""
@@ -461,9 +461,9 @@
 func (s *Steward) permitted(name accord.Name) (yes bool) {
 	s.node.read(func(a *accord.State) {
 		m := a.Members[name]
-		yes = m != nil && m.Permit > 0
-		for _, p := range a.Over {
-			yes = yes || p.Member == name && a.Now-p.At < 10*time.Second
+		yes = m != nil && m.PermitID > 0
+		for _, p := range a.EndedPermits {
+			yes = yes || p.Member == name && a.Now-p.StageSince < 10*time.Second
 		}
 	})
 	return yes
@@ -479,22 +479,22 @@
 	}
 	s.node.read(func(a *accord.State) {
 		t.Now, t.Members = a.Now.Round(time.Millisecond).String(), len(a.Members)
-		if a.Halted != nil {
-			h := *a.Halted
+		if a.Halt != nil {
+			h := *a.Halt
 			t.Halted = &h
 		}
-		if a.Release != nil {
-			r := *a.Release
+		if a.Rollout != nil {
+			r := *a.Rollout
 			t.Release = &r
 		}
 		for _, b := range a.Budgets {
-			t.Uses = append(t.Uses, a.Use(b))
+			t.Uses = append(t.Uses, a.Usage(b))
 		}
 		for _, n := range slices.Sorted(maps.Keys(a.Permits)) {
 			t.Permits = append(t.Permits, *a.Permits[n])
 		}
 		for _, name := range slices.Sorted(maps.Keys(a.Members)) {
-			if m := a.Members[name]; m.Why != accord.Up || m.Permit > 0 {
+			if m := a.Members[name]; m.State != accord.MemberUp || m.PermitID > 0 {
 				t.Out = append(t.Out, *m)
 			}
 		}
@@ -509,7 +509,7 @@
 		a.Status = s.status()
 		return a
 	case q.History:
-		s.node.read(func(x *accord.State) { a.History, a.Over = slices.Clone(x.History), slices.Clone(x.Over) })
+		s.node.read(func(x *accord.State) { a.History, a.Over = slices.Clone(x.History), slices.Clone(x.EndedPermits) })
 		return a
 	}
 	if _, yes := s.node.leads(); !yes || s.leaving.Load() {
--- a/internal/fleet/steward/steward_test.go
+++ b/internal/fleet/steward/steward_test.go
@@ -51,7 +51,7 @@
 		all = append(all, l.Addr().String())
 		l.Close()
 		t.told = append(t.told, Told{Name: fmt.Sprint("s", i), Listen: all[i], Folder: filepath.Join(t.folder, fmt.Sprint(i)), Begin: i == 0, Beat: 300 * time.Millisecond,
-			Keys: []members.Key{key}, Accord: accord.Usual(), Judge: judge.Usual(), Window: time.Second, Asked: 8, Patience: time.Second, Output: 64, Snapshot: 64})
+			Keys: []members.Key{key}, Accord: accord.DefaultConfig(), Judge: judge.Usual(), Window: time.Second, Asked: 8, Patience: time.Second, Output: 64, Snapshot: 64})
 	}
 	t.all, t.done = make([]*Steward, n), make([]chan struct{}, n)
 	for i := range n {
@@ -146,7 +146,7 @@
 	return i
 }
 
-var oneOut = accord.Command{Do: accord.DoBudgets, Budgets: []accord.Budget{{Name: "one", Most: 1, Of: accord.Match{Role: "instance"}}}}
+var oneOut = accord.Command{Kind: accord.KindSetBudgets, Budgets: []accord.DisruptionBudget{{Name: "one", MaxUnavailable: 1, Selector: accord.Selector{Role: "instance"}}}}
 
 // The leading steward ends between agreeing and the answer, as far as the client can tell: it asks again with its key, and there is one permit. Whoever leads
 // next goes on with it. A stranger without the key is not even asked what it wants.
@@ -155,10 +155,10 @@
 	defer t.close()
 	first := t.leader(3, 3)
 	t.do(oneOut)
-	c := accord.Command{Do: accord.DoAsk, Member: "n0", Key: "k"}
+	c := accord.Command{Kind: accord.KindRequestPermit, Member: "n0", IdempotencyKey: "k"}
 	fmt.Println(t.do(c))
 	t.kill(first)
-	fmt.Println(t.do(c), t.do(accord.Command{Do: accord.DoAsk, Member: "n1"}).Number)
+	fmt.Println(t.do(c), t.do(accord.Command{Kind: accord.KindRequestPermit, Member: "n1"}).PermitID)
 	next := t.leader(3, 3)
 	standin.Until("the holder to be nudged", func() bool { t.mu.Lock(); defer t.mu.Unlock(); return t.nudges[1] != "" })
 	fmt.Println(t.nudges[1])
@@ -166,8 +166,8 @@
 	t.all[next].Begins("n0", 1, 1, func() { begun <- true })
 	fmt.Println(<-begun)
 	t.all[next].Begins("n1", 1, 2, func() { panic("two out") })
-	c.Member, c.Key = "n2", ""
-	fmt.Println(t.do(accord.Command{Do: accord.DoBegin, Member: "n1", Of: 1, Number: 2}))
+	c.Member, c.IdempotencyKey = "n2", ""
+	fmt.Println(t.do(accord.Command{Kind: accord.KindBeginPermit, Member: "n1", Incarnation: 1, PermitID: 2}))
 	k := t.client()
 	k.Keys = []members.Key{members.Key("another key of as many bytes....")}
 	_, err := k.Ask(ask.Question{Status: true})
@@ -177,7 +177,7 @@
 	standin.Until("n0's permit to be over, and n1's granted, at all three", func() bool {
 		for _, s := range t.all {
 			st := s.status()
-			if len(st.Permits) != 1 || st.Permits[0].Stage != accord.Granted {
+			if len(st.Permits) != 1 || st.Permits[0].Stage != accord.PermitGranted {
 				return false
 			}
 		}
@@ -200,19 +200,19 @@
 	defer t.close()
 	t.leader(3, 3)
 	t.do(oneOut)
-	t.do(accord.Command{Do: accord.DoAsk, Member: "n0"})
+	t.do(accord.Command{Kind: accord.KindRequestPermit, Member: "n0"})
 	for range 200 { // past two snapshots
-		t.do(accord.Command{Do: accord.DoDrop, Number: 99})
+		t.do(accord.Command{Kind: accord.KindCancelPermit, PermitID: 99})
 	}
 	for _, s := range t.all {
 		_ = s.node.raft.Snapshot().Error()
 	}
-	t.do(accord.Command{Do: accord.DoHalt, Why: "for the night"})
+	t.do(accord.Command{Kind: accord.KindHalt, Reason: "for the night"})
 	t.kill(1)
 	t.kill(2)
 	k := t.client()
 	k.Limit = 2 * time.Second
-	_, err := k.Ask(ask.Question{Command: &accord.Command{Do: accord.DoAsk, Member: "n1"}})
+	_, err := k.Ask(ask.Question{Command: &accord.Command{Kind: accord.KindRequestPermit, Member: "n1"}})
 	fmt.Println("without a majority:", err != nil)
 	t.kill(0)
 	tear := func(pattern string, cut int64) {
@@ -240,7 +240,7 @@
 	_, err = New(t.told[0])
 	fmt.Println(err != nil) // two on one folder, or one address
 	st := standin.Must(t.client().Ask(ask.Question{Status: true})).Status
-	fmt.Println(st.Halted != nil && st.Halted.Why == "for the night", len(st.Others), st.Uses[0].Budget.Name)
+	fmt.Println(st.Halted != nil && st.Halted.Reason == "for the night", len(st.Others), st.Uses[0].Budget.Name)
 	h := standin.Must(t.client().Ask(ask.Question{History: true}))
 	fmt.Println(h.Over[0].Outcome, len(h.History) > 200)
 	// Output:
@@ -258,7 +258,7 @@
 	w.leader(1, 1)
 	w.do(oneOut)
 	for n := range 5 {
-		w.do(accord.Command{Do: accord.DoDrop, Number: accord.Number(n)})
+		w.do(accord.Command{Kind: accord.KindCancelPermit, PermitID: accord.PermitID(n)})
 	}
 	w.kill(0)
 	whole := w.told[0].Folder
@@ -320,16 +320,16 @@
 			defer all.Done()
 			chance := rand.New(rand.NewPCG(7, uint64(client)))
 			for n := range 12 {
-				c := accord.Command{Key: fmt.Sprint(client, "-", n), Span: time.Hour}
-				c.Number = accord.Number(1 + chance.IntN(8))
-				c.Member, c.Of = accord.Name(fmt.Sprint("n", chance.IntN(3))), 1
+				c := accord.Command{IdempotencyKey: fmt.Sprint(client, "-", n), BeginTimeout: time.Hour}
+				c.PermitID = accord.PermitID(1 + chance.IntN(8))
+				c.Member, c.Incarnation = accord.Name(fmt.Sprint("n", chance.IntN(3))), 1
 				switch chance.IntN(4) {
 				case 0, 1:
-					c.Do = accord.DoAsk
+					c.Kind = accord.KindRequestPermit
 				case 2:
-					c.Do = accord.DoDrop
+					c.Kind = accord.KindCancelPermit
 				case 3:
-					c.Do, c.Member = accord.DoUndrain, ""
+					c.Kind, c.Member = accord.KindCancelDrain, ""
 				}
 				from := time.Since(began).Nanoseconds()
 				r := w.do(c)
@@ -347,9 +347,9 @@
 	}
 	all.Wait()
 	// The state that they begin with, as the stewards have it.
-	start := accord.New(accord.Usual())
+	start := accord.NewState(accord.DefaultConfig())
 	for i := range 3 {
-		start.Apply(accord.Command{Do: accord.DoSee, Seen: []accord.Seen{{Name: accord.Name(fmt.Sprint("n", i)), Incarnation: 1, Release: "1", Roles: members.RoleServer, Capacity: 1}}})
+		start.Apply(accord.Command{Kind: accord.KindObserve, Observations: []accord.Observation{{Name: accord.Name(fmt.Sprint("n", i)), Incarnation: 1, Release: "1", Roles: members.RoleServer, Capacity: 1}}})
 	}
 	start.Apply(oneOut)
 	first := string(standin.Must(json.Marshal(start)))
--- a/internal/fleet/steward/told/told.go
+++ b/internal/fleet/steward/told/told.go
@@ -20,7 +20,7 @@
 	Alone    bool     // the others are lost for good: it goes on from its own state
 	Beat     time.Duration
 	Keys     []members.Key
-	Accord   accord.Told
+	Accord   accord.Config
 	Judge    judge.Told
 	Window   time.Duration // of the judgement
 	Asked    int           // members of each release that a window asks
--- a/internal/operator/fleet_test.go
+++ b/internal/operator/fleet_test.go
@@ -96,7 +96,7 @@
 	for _, name := range []string{"plan.ini", "plan-judged.ini"} {
 		text, _ := os.ReadFile("../../drills/agreed/" + name)
 		p, err := ParseRollout(name, text)
-		fmt.Println(p.Name, p.To, p.Waves, p.Pause, p.Judged, err)
+		fmt.Println(p.Name, p.TargetRelease, p.Waves, p.Pause, p.AnalysisRequired, err)
 	}
 	_, err = ParseBudgets("b", []byte("[budget x]\nmost = 1\nshare = 0.5\n[budget y]\n[other]\n"))
 	for _, f := range err.(fault.List) {
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -273,10 +273,10 @@
 	l.add("steward.restart-within", t.Patience)
 	l.add("steward.restart-output", t.Output)
 	l.add("steward.snapshot-every", t.Snapshot)
-	l.add("steward.history", t.Accord.History)
-	l.add("steward.waiting", t.Accord.Waiting)
-	l.add("steward.passed-over", t.Accord.Passed)
-	l.add("steward.stuck-after", t.Accord.Stuck)
+	l.add("steward.history", t.Accord.MaxHistory)
+	l.add("steward.waiting", t.Accord.MaxQueuedPermits)
+	l.add("steward.passed-over", t.Accord.MaxOvertakes)
+	l.add("steward.stuck-after", t.Accord.StalledAfter)
 	l.add("steward.wrong", t.Judge.Alpha)
 	l.add("steward.late", t.Judge.Late)
 	l.add("steward.slow", t.Judge.Slow)
@@ -351,34 +351,34 @@
 	}
 }
 
-func listSelector(l *listing, before string, g accord.Match) {
+func listSelector(l *listing, before string, g accord.Selector) {
 	l.add(before+"zone", g.Zone)
 	l.add(before+"release", g.Release)
 	l.add(before+"role", g.Role)
-	l.add(before+"below", g.Below)
+	l.add(before+"below", g.Upstream)
 }
 
-func listBudgets(l *listing, all []accord.Budget) {
+func listBudgets(l *listing, all []accord.DisruptionBudget) {
 	for _, b := range all {
 		name := "budget " + b.Name + "."
-		listSelector(l, name, b.Of)
-		l.add(name+"most", b.Most)
-		l.add(name+"share", b.Share)
-		l.add(name+"least-capacity", b.Least)
+		listSelector(l, name, b.Selector)
+		l.add(name+"most", b.MaxUnavailable)
+		l.add(name+"share", b.MaxUnavailableFraction)
+		l.add(name+"least-capacity", b.MinAvailableCapacity)
 	}
 }
 
-func listRollout(l *listing, p *accord.Plan) {
+func listRollout(l *listing, p *accord.RolloutPlan) {
 	l.add("release.name", p.Name)
-	l.add("release.to", p.To)
-	listSelector(l, "release.of-", p.Of)
+	l.add("release.to", p.TargetRelease)
+	listSelector(l, "release.of-", p.Selector)
 	for i, w := range p.Waves {
-		l.add(fmt.Sprint("release.waves ", i), fmt.Sprintf("count %d share %v zone %q", w.Count, w.Share, w.Zone))
+		l.add(fmt.Sprint("release.waves ", i), fmt.Sprintf("count %d share %v zone %q", w.Count, w.Fraction, w.Zone))
 	}
 	l.add("release.pause", p.Pause)
-	l.add("release.judged", p.Judged)
-	l.add("release.back-faster", p.Faster)
-	l.add("release.tries", p.Tries)
+	l.add("release.judged", p.AnalysisRequired)
+	l.add("release.back-faster", p.RollbackWavesAtOnce)
+	l.add("release.tries", p.MaxAttempts)
 }
 
 // listGolden lists one of the golden files as its kind, which its name tells.
--- a/internal/operator/steward.go
+++ b/internal/operator/steward.go
@@ -18,7 +18,7 @@
 }
 
 func (r *reader) readCoordinator(fleet *Fleet) Coordinator {
-	parsed := Coordinator{Config: told.Told{Beat: time.Second, Accord: accord.Usual(), Judge: judge.Usual(), Window: time.Second, Asked: 32, Patience: 30 * time.Second, Output: 4096, Snapshot: 8192}}
+	parsed := Coordinator{Config: told.Told{Beat: time.Second, Accord: accord.DefaultConfig(), Judge: judge.Usual(), Window: time.Second, Asked: 32, Patience: 30 * time.Second, Output: 4096, Snapshot: 8192}}
 	s := r.section("steward")
 	parsed.Enabled = s.exists()
 	config := &parsed.Config
@@ -48,10 +48,10 @@
 	snapshot := int(config.Snapshot)
 	s.intValue("snapshot-every", &snapshot, 64, 1<<30)
 	config.Snapshot = uint64(snapshot)
-	s.intValue("history", &config.Accord.History, 10, 1_000_000)
-	s.intValue("waiting", &config.Accord.Waiting, 1, 100_000)
-	s.intValue("passed-over", &config.Accord.Passed, 0, 100_000)
-	s.durationValue("stuck-after", &config.Accord.Stuck, time.Second, 24*time.Hour)
+	s.intValue("history", &config.Accord.MaxHistory, 10, 1_000_000)
+	s.intValue("waiting", &config.Accord.MaxQueuedPermits, 1, 100_000)
+	s.intValue("passed-over", &config.Accord.MaxOvertakes, 0, 100_000)
+	s.durationValue("stuck-after", &config.Accord.StalledAfter, time.Second, 24*time.Hour)
 	s.floatValue("wrong", &config.Judge.Alpha, 0.0001, 0.2)
 	s.floatValue("late", &config.Judge.Late, 0.001, 1)
 	s.floatValue("slow", &config.Judge.Slow, 0.001, 10)
@@ -79,20 +79,20 @@
 // Budgets and Release are what an operator hands to the stewards as a file.
 
 // ParseBudgets reads a file of sections [budget NAME].
-func ParseBudgets(path string, text []byte) ([]accord.Budget, error) {
+func ParseBudgets(path string, text []byte) ([]accord.DisruptionBudget, error) {
 	r := newReader(path, text)
-	var budgets []accord.Budget
+	var budgets []accord.DisruptionBudget
 	for _, s := range r.sectionsOfKind("budget") {
-		budget := accord.Budget{Name: s.label(), Most: -1, Of: s.readMemberSelector()}
+		budget := accord.DisruptionBudget{Name: s.label(), MaxUnavailable: -1, Selector: s.readMemberSelector()}
 		maxUnavailable := -1
 		s.intValue("most", &maxUnavailable, 0, 100_000)
-		budget.Most = maxUnavailable
+		budget.MaxUnavailable = maxUnavailable
 		fraction := -1.0
 		s.floatValue("share", &fraction, 0, 1)
-		if budget.Share = fraction; (fraction < 0) == (maxUnavailable < 0) {
+		if budget.MaxUnavailableFraction = fraction; (fraction < 0) == (maxUnavailable < 0) {
 			s.report("most", "", "wants one of most and share")
 		}
-		s.floatValue("least-capacity", &budget.Least, 0, 1e9)
+		s.floatValue("least-capacity", &budget.MinAvailableCapacity, 0, 1e9)
 		s.reportUnknownNames()
 		budgets = append(budgets, budget)
 	}
@@ -103,28 +103,28 @@
 	return budgets, r.diagnostics.Err()
 }
 
-func (s *section) readMemberSelector() (selector accord.Match) {
+func (s *section) readMemberSelector() (selector accord.Selector) {
 	s.stringValue("zone", &selector.Zone)
 	s.stringValue("release", &selector.Release)
 	s.enumValue("role", &selector.Role, "instance", "relay", "steward", "below")
-	s.stringValue("below", &selector.Below)
+	s.stringValue("below", &selector.Upstream)
 	return selector
 }
 
 // ParseRollout reads a file with a section [release].
-func ParseRollout(path string, text []byte) (accord.Plan, error) {
+func ParseRollout(path string, text []byte) (accord.RolloutPlan, error) {
 	r := newReader(path, text)
-	plan := accord.Plan{Pause: time.Minute, Judged: true, Faster: 2, Tries: 3}
+	plan := accord.RolloutPlan{Pause: time.Minute, AnalysisRequired: true, RollbackWavesAtOnce: 2, MaxAttempts: 3}
 	s := r.section("release")
 	if !s.exists() {
 		s.report("", "", "is missing")
 	}
 	s.requiredString("name", &plan.Name)
-	s.requiredString("to", &plan.To)
-	s.stringValue("of-zone", &plan.Of.Zone)
-	s.stringValue("of-release", &plan.Of.Release)
-	plan.Of.Role = "instance"
-	s.enumValue("of-role", &plan.Of.Role, "instance", "relay", "steward", "below")
+	s.requiredString("to", &plan.TargetRelease)
+	s.stringValue("of-zone", &plan.Selector.Zone)
+	s.stringValue("of-release", &plan.Selector.Release)
+	plan.Selector.Role = "instance"
+	s.enumValue("of-role", &plan.Selector.Role, "instance", "relay", "steward", "below")
 	for _, spec := range s.listValue("waves") {
 		wave := accord.Wave{}
 		zone, isZone := strings.CutPrefix(spec, "zone ")
@@ -136,16 +136,16 @@
 		case err != nil || n < 1 || isShare && n > 100:
 			s.report("waves", spec, "wants a number, a share as 10%, or zone NAME")
 		case isShare:
-			wave.Share = float64(n) / 100
+			wave.Fraction = float64(n) / 100
 		default:
 			wave.Count = n
 		}
 		plan.Waves = append(plan.Waves, wave)
 	}
 	s.durationValue("pause", &plan.Pause, 0, 24*time.Hour)
-	s.boolValue("judged", &plan.Judged)
-	s.floatValue("back-faster", &plan.Faster, 1, 1000)
-	s.intValue("tries", &plan.Tries, 1, 100)
+	s.boolValue("judged", &plan.AnalysisRequired)
+	s.floatValue("back-faster", &plan.RollbackWavesAtOnce, 1, 1000)
+	s.intValue("tries", &plan.MaxAttempts, 1, 100)
 	s.reportUnknownNames()
 	r.reportUnknownSections()
 	return plan, r.diagnostics.Err()
