--- a/internal/accord/judge/judge_test.go
+++ b/internal/accord/judge/judge_test.go
@@ -19,32 +19,32 @@
 	picture  = flag.String("picture", "", "where TestChances draws")
 )
 
-// release plays one: a window is a second, both releases see the same load, which wanders; each op's time is drawn, the new release's is longer by
+// simulateRollout plays one: a window is a second, both releases see the same load, which wanders; each op's time is drawn, the new release's is longer by
 // slow. It gives the verdict and after how many windows.
-func release(seed uint64, ops, slow, late float64, most int) (Verdict, int) {
-	chance := rand.New(rand.NewPCG(seed, 9))
-	j := New(Usual())
+func simulateRollout(seed uint64, ops, slow, late float64, maxWindows int) (Verdict, int) {
+	random := rand.New(rand.NewPCG(seed, 9))
+	j := New(DefaultConfig())
 	load := 1.0
-	for n := 1; n <= most; n++ {
-		load = min(3, max(0.5, load*math.Exp(0.1*chance.NormFloat64())))
-		group := func(slow, late float64) (g Group) {
-			for range int(ops * (0.8 + 0.4*chance.Float64())) {
-				took := 0.05 * load * (1 + slow) * (0.5 + 0.5*chance.ExpFloat64())
-				g.Ops++
-				g.Took += took
-				if took < 0.35 && chance.Float64() >= late {
-					g.Well++
+	for n := 1; n <= maxWindows; n++ {
+		load = min(3, max(0.5, load*math.Exp(0.1*random.NormFloat64())))
+		group := func(slow, late float64) (g Sample) {
+			for range int(ops * (0.8 + 0.4*random.Float64())) {
+				took := 0.05 * load * (1 + slow) * (0.5 + 0.5*random.ExpFloat64())
+				g.Requests++
+				g.MeanSeconds += took
+				if took < 0.35 && random.Float64() >= late {
+					g.OnTime++
 				}
 			}
-			g.Took /= g.Ops
+			g.MeanSeconds /= g.Requests
 			return g
 		}
 		j.Add(group(slow, late), group(0, 0))
-		if v, _ := j.Verdict(); v != Open {
+		if v, _ := j.Verdict(); v != Inconclusive {
 			return v, n
 		}
 	}
-	return Open, most
+	return Inconclusive, maxWindows
 }
 
 // What a release comes to, by how much worse it is: wrongly halted, and let pass though it is worse by what has to be found, no more often than told.
@@ -57,22 +57,22 @@
 		for _, slow := range []float64{0, 0.02, 0.05, 0.08, 0.1, 0.15, 0.2, 0.3} {
 			bad, good, windows := 0, 0, 0
 			for seed := range uint64(*releases) {
-				v, n := release(seed, ops, slow, 0, 600)
+				v, n := simulateRollout(seed, ops, slow, 0, 600)
 				windows += n
 				switch v {
-				case Bad:
+				case Failed:
 					bad++
-				case Good:
+				case Passed:
 					good++
 				}
 			}
 			share := func(n int) float64 { return float64(n) / float64(*releases) }
 			t.Logf("%3.0f ops a window, slower by %.2f: halted %.3f, passed %.3f, open after 600 windows %.3f, %.0f windows on average", ops, slow, share(bad), share(good), 1-share(bad)-share(good), float64(windows)/float64(*releases))
 			line = append(line, plotter.XY{X: slow, Y: share(bad)})
-			if slow == 0 && share(bad) > 2*Usual().Alpha {
+			if slow == 0 && share(bad) > 2*DefaultConfig().ErrorRate {
 				t.Error("halted wrongly")
 			}
-			if slow >= 0.1 && share(good) > 2*Usual().Alpha {
+			if slow >= 0.1 && share(good) > 2*DefaultConfig().ErrorRate {
 				t.Error("missed")
 			}
 		}
@@ -87,10 +87,10 @@
 	for _, late := range []float64{0, 0.02, 0.05} {
 		bad, good := 0, 0
 		for seed := range uint64(*releases) {
-			switch v, _ := release(seed, 100, 0, late, 600); v {
-			case Bad:
+			switch v, _ := simulateRollout(seed, 100, 0, late, 600); v {
+			case Failed:
 				bad++
-			case Good:
+			case Passed:
 				good++
 			}
 		}
@@ -108,23 +108,23 @@
 
 // No verdict on little, one at once on crashes, and figures of too few ops are none.
 func Example() {
-	j := New(Usual())
+	j := New(DefaultConfig())
 	fmt.Println(j.Verdict())
 	for range 20 {
-		j.Add(Group{Ops: 3, Well: 0, Took: 9}, Group{Ops: 300, Well: 300, Took: 0.1})
+		j.Add(Sample{Requests: 3, OnTime: 0, MeanSeconds: 9}, Sample{Requests: 300, OnTime: 300, MeanSeconds: 0.1})
 	}
 	fmt.Println(j.Verdict())
 	for n := range 20 {
-		j.Add(Group{Ops: 100, Well: 90 - float64(n%3), Took: 0.1}, Group{Ops: 100, Well: 99 - float64(n%2), Took: 0.1 + 0.001*float64(n%2)})
-		if v, why := j.Verdict(); v != Open {
+		j.Add(Sample{Requests: 100, OnTime: 90 - float64(n%3), MeanSeconds: 0.1}, Sample{Requests: 100, OnTime: 99 - float64(n%2), MeanSeconds: 0.1 + 0.001*float64(n%2)})
+		if v, why := j.Verdict(); v != Inconclusive {
 			fmt.Println(v, why)
 			break
 		}
 	}
-	j = New(Usual())
-	j.Add(Group{Ended: 1}, Group{})
+	j = New(DefaultConfig())
+	j.Add(Sample{Crashes: 1}, Sample{})
 	fmt.Println(j.Verdict())
-	j.Add(Group{Ended: 1}, Group{Ended: 9})
+	j.Add(Sample{Crashes: 1}, Sample{Crashes: 9})
 	fmt.Println(j.Verdict())
 	// Output:
 	// open 0 windows of 8, 0 more with too few ops
--- a/internal/fleet/steward/golden_test.go
+++ b/internal/fleet/steward/golden_test.go
@@ -37,7 +37,7 @@
 func goldenTold(folder string) Told {
 	return Told{Name: "s0", Listen: "127.0.0.1:0", At: goldenAt, Folder: folder, Begin: true,
 		Beat: 300 * time.Millisecond, Keys: []members.Key{key}, Accord: accord.DefaultConfig(),
-		Judge: judge.Usual(), Window: time.Second, Asked: 8, Patience: time.Second, Output: 64, Snapshot: 1000}
+		Judge: judge.DefaultConfig(), Window: time.Second, Asked: 8, Patience: time.Second, Output: 64, Snapshot: 1000}
 }
 
 // goldenCommands are of every kind, and come out well unless said; at is when the first is given, from is the number of
--- a/internal/fleet/steward/steward.go
+++ b/internal/fleet/steward/steward.go
@@ -60,7 +60,7 @@
 	nudged map[accord.PermitID]time.Time
 	hooks  map[accord.PermitID]*hooking
 	judged string // the wave whose windows are gathered
-	judge  *judge.Judge
+	judge  *judge.Analysis
 	window time.Time
 	mu     sync.Mutex // guards figures
 	last   map[accord.Name]figures
@@ -415,24 +415,24 @@
 			old = append(old, x)
 		}
 	}
-	sum := func(of []accord.Observation) (g judge.Group) {
+	sum := func(of []accord.Observation) (g judge.Sample) {
 		took := 0.0
 		for _, x := range of {
 			a, b := last[x.Name], now[x.Name]
 			if a.of != b.of || a.of == 0 || b.Finished < a.Finished {
 				continue
 			}
-			g.Ops += b.Finished - a.Finished
-			g.Well += b.WithinObjective - a.WithinObjective
+			g.Requests += b.Finished - a.Finished
+			g.OnTime += b.WithinObjective - a.WithinObjective
 			took += b.TotalSeconds - a.TotalSeconds
 		}
-		if g.Ops > 0 {
-			g.Took = took / g.Ops
+		if g.Requests > 0 {
+			g.MeanSeconds = took / g.Requests
 		}
 		return g
 	}
 	g := sum(fresh)
-	g.Ended = ended
+	g.Crashes = ended
 	l.judge.Add(g, sum(old))
 	for _, of := range [][]accord.Observation{fresh, old} {
 		for i, at := range rand.Perm(len(of)) {
@@ -448,10 +448,10 @@
 		}
 	}
 	v, why := l.judge.Verdict()
-	if v == judge.Open || v == judge.Good && r.Phase != accord.RolloutAnalyzing {
+	if v == judge.Inconclusive || v == judge.Passed && r.Phase != accord.RolloutAnalyzing {
 		return
 	}
-	reply, err := s.command(accord.Command{Kind: accord.KindCanaryVerdict, RequestedBy: "the judgement", RolloutName: r.Name, Wave: r.Wave, Healthy: v == judge.Good, Reason: why})
+	reply, err := s.command(accord.Command{Kind: accord.KindCanaryVerdict, RequestedBy: "the judgement", RolloutName: r.Name, Wave: r.Wave, Healthy: v == judge.Passed, Reason: why})
 	if err == nil && reply.OK {
 		slog.Info("verdict", "release", r.Name, "wave", r.Wave+1, "is", v.String(), "why", why)
 		l.judged = ""
--- a/internal/fleet/steward/steward_test.go
+++ b/internal/fleet/steward/steward_test.go
@@ -51,7 +51,7 @@
 		all = append(all, l.Addr().String())
 		l.Close()
 		t.told = append(t.told, Told{Name: fmt.Sprint("s", i), Listen: all[i], Folder: filepath.Join(t.folder, fmt.Sprint(i)), Begin: i == 0, Beat: 300 * time.Millisecond,
-			Keys: []members.Key{key}, Accord: accord.DefaultConfig(), Judge: judge.Usual(), Window: time.Second, Asked: 8, Patience: time.Second, Output: 64, Snapshot: 64})
+			Keys: []members.Key{key}, Accord: accord.DefaultConfig(), Judge: judge.DefaultConfig(), Window: time.Second, Asked: 8, Patience: time.Second, Output: 64, Snapshot: 64})
 	}
 	t.all, t.done = make([]*Steward, n), make([]chan struct{}, n)
 	for i := range n {
--- a/internal/fleet/steward/told/told.go
+++ b/internal/fleet/steward/told/told.go
@@ -21,7 +21,7 @@
 	Beat     time.Duration
 	Keys     []members.Key
 	Accord   accord.Config
-	Judge    judge.Told
+	Judge    judge.Config
 	Window   time.Duration // of the judgement
 	Asked    int           // members of each release that a window asks
 	Restart  string        // an operator's command that starts a member anew; empty: whoever else does it
--- a/internal/life/stewards/golden_test.go
+++ b/internal/life/stewards/golden_test.go
@@ -83,7 +83,7 @@
 	s := standin.Must(steward.New(steward.Told{Name: "s0", Listen: "127.0.0.1:0", At: "127.0.0.1:7373",
 		Folder: t.TempDir(), Begin: true, Beat: 300 * time.Millisecond,
 		Keys: []members.Key{members.Key("0123456789abcdef0123456789abcdef")}, Accord: accord.DefaultConfig(),
-		Judge: judge.Usual(), Window: time.Second, Snapshot: 64}))
+		Judge: judge.DefaultConfig(), Window: time.Second, Snapshot: 64}))
 	p := &fleetAdapter{coordinator: s}
 	done := make(chan struct{})
 	go func() {
--- a/internal/operator/steward.go
+++ b/internal/operator/steward.go
@@ -18,7 +18,7 @@
 }
 
 func (r *reader) readCoordinator(fleet *Fleet) Coordinator {
-	parsed := Coordinator{Config: told.Told{Beat: time.Second, Accord: accord.DefaultConfig(), Judge: judge.Usual(), Window: time.Second, Asked: 32, Patience: 30 * time.Second, Output: 4096, Snapshot: 8192}}
+	parsed := Coordinator{Config: told.Told{Beat: time.Second, Accord: accord.DefaultConfig(), Judge: judge.DefaultConfig(), Window: time.Second, Asked: 32, Patience: 30 * time.Second, Output: 4096, Snapshot: 8192}}
 	s := r.section("steward")
 	parsed.Enabled = s.exists()
 	config := &parsed.Config
@@ -52,12 +52,12 @@
 	s.intValue("waiting", &config.Accord.MaxQueuedPermits, 1, 100_000)
 	s.intValue("passed-over", &config.Accord.MaxOvertakes, 0, 100_000)
 	s.durationValue("stuck-after", &config.Accord.StalledAfter, time.Second, 24*time.Hour)
-	s.floatValue("wrong", &config.Judge.Alpha, 0.0001, 0.2)
-	s.floatValue("late", &config.Judge.Late, 0.001, 1)
-	s.floatValue("slow", &config.Judge.Slow, 0.001, 10)
-	s.intValue("windows", &config.Judge.Least, 2, 10_000)
-	s.floatValue("window-ops", &config.Judge.Ops, 1, 1_000_000)
-	s.intValue("crashes", &config.Judge.Crashes, 0, 1000)
+	s.floatValue("wrong", &config.Judge.ErrorRate, 0.0001, 0.2)
+	s.floatValue("late", &config.Judge.DetectableLateIncrease, 0.001, 1)
+	s.floatValue("slow", &config.Judge.DetectableSlowdown, 0.001, 10)
+	s.intValue("windows", &config.Judge.MinWindows, 2, 10_000)
+	s.floatValue("window-ops", &config.Judge.MinRequests, 1, 1_000_000)
+	s.intValue("crashes", &config.Judge.CrashLimit, 0, 1000)
 	s.durationValue("window", &config.Window, 200*time.Millisecond, time.Hour)
 	s.intValue("asked", &config.Asked, 1, 1000)
 	s.reportUnknownNames()
