--- a/internal/fleet/steward/golden_test.go
+++ b/internal/fleet/steward/golden_test.go
@@ -34,9 +34,9 @@
 	goldenAt     = "127.0.0.1:7373" // where the others would dial it: it stands in the folder
 )
 
-func goldenTold(folder string) Told {
-	return Told{Name: "s0", Listen: "127.0.0.1:0", At: goldenAt, Folder: folder, Begin: true,
-		Beat: 300 * time.Millisecond, Keys: []members.Key{key}, Accord: accord.DefaultConfig(),
+func goldenTold(folder string) Config {
+	return Config{Name: "s0", Listen: "127.0.0.1:0", At: goldenAt, Folder: folder, Begin: true,
+		Beat: 300 * time.Millisecond, Keys: []members.Key{clusterKey}, Accord: accord.DefaultConfig(),
 		Judge: judge.DefaultConfig(), Window: time.Second, Asked: 8, Patience: time.Second, Output: 64, Snapshot: 1000}
 }
 
@@ -160,7 +160,7 @@
 	}
 }
 
-func (n *Node) settled() bool { return n.raft.Barrier(time.Second).Error() == nil }
+func (n *replica) settled() bool { return n.raft.Barrier(time.Second).Error() == nil }
 
 // A folder that an earlier program wrote: its identity, its log with every kind of command, a snapshot amid them. It
 // opens, holds what was agreed, and goes on.
@@ -169,18 +169,18 @@
 	if *update {
 		folder := t.TempDir()
 		s := standin.Must(New(goldenTold(folder)))
-		standin.Until("it leads", func() bool { return s.Leads() && s.node.settled() })
+		standin.Until("it leads", func() bool { return s.IsLeader() && s.replica.settled() })
 		for _, c := range before {
-			t.Log(c.Kind, c.Member, c.PermitID, standin.Must(s.node.apply(c)))
+			t.Log(c.Kind, c.Member, c.PermitID, standin.Must(s.replica.apply(c)))
 		}
-		if err := s.node.raft.Snapshot().Error(); err != nil {
+		if err := s.replica.raft.Snapshot().Error(); err != nil {
 			t.Fatal(err)
 		}
 		for _, c := range behind {
-			t.Log(c.Kind, c.Member, c.PermitID, standin.Must(s.node.apply(c)))
+			t.Log(c.Kind, c.Member, c.PermitID, standin.Must(s.replica.apply(c)))
 		}
-		s.streams.Close()
-		s.node.close()
+		s.streamLayer.Close()
+		s.replica.close()
 		if err := pack(folder, goldenFolder); err != nil {
 			t.Fatal(err)
 		}
@@ -220,21 +220,21 @@
 
 	s := standin.Must(New(goldenTold(folder)))
 	defer func() {
-		s.streams.Close()
-		s.node.close()
+		s.streamLayer.Close()
+		s.replica.close()
 	}()
-	if s.node.id != raft.ServerID("s0."+life) {
-		t.Errorf("it is %s, wanted s0.%s", s.node.id, life)
+	if s.replica.id != raft.ServerID("s0."+life) {
+		t.Errorf("it is %s, wanted s0.%s", s.replica.id, life)
 	}
-	standin.Until("it leads", func() bool { return s.Leads() && s.node.settled() })
+	standin.Until("it leads", func() bool { return s.IsLeader() && s.replica.settled() })
 
 	// The log holds the commands byte for byte as they are written now.
 	commands := append(slices.Clone(before), behind...)
-	first, last := standin.Must(s.node.log.FirstIndex()), standin.Must(s.node.log.LastIndex())
+	first, last := standin.Must(s.replica.wal.FirstIndex()), standin.Must(s.replica.wal.LastIndex())
 	kinds := map[accord.Kind]int{}
 	for i, next := first, 0; i <= last; i++ {
 		var entry raft.Log
-		if err := s.node.log.GetLog(i, &entry); err != nil {
+		if err := s.replica.wal.GetLog(i, &entry); err != nil {
 			t.Fatal(err)
 		}
 		if entry.Type != raft.LogCommand {
@@ -262,7 +262,7 @@
 
 	// What it holds, read from the snapshot and the log behind it.
 	var state []byte
-	s.node.read(func(a *accord.State) { state = append(standin.Must(json.MarshalIndent(a, "", "  ")), '\n') })
+	s.replica.inspect(func(a *accord.State) { state = append(standin.Must(json.MarshalIndent(a, "", "  ")), '\n') })
 	if *update {
 		if err := os.WriteFile(goldenState, state, 0o644); err != nil {
 			t.Fatal(err)
@@ -271,14 +271,14 @@
 	if want := standin.Must(os.ReadFile(goldenState)); !bytes.Equal(state, want) {
 		t.Errorf("it holds\n%s\nwanted\n%s", state, want)
 	}
-	s.node.read(func(a *accord.State) {
+	s.replica.inspect(func(a *accord.State) {
 		if err := expected(a); err != nil {
 			t.Error(err)
 		}
 	})
 
 	// It goes on where it was.
-	r := standin.Must(s.node.apply(accord.Command{Term: 9, LeaderTime: time.Second, Kind: accord.KindCancelPermit, PermitID: 18,
+	r := standin.Must(s.replica.apply(accord.Command{Term: 9, LeaderTime: time.Second, Kind: accord.KindCancelPermit, PermitID: 18,
 		RequestedBy: "operator"}))
 	if want := (accord.Reply{OK: true, PermitID: 18}); !reflect.DeepEqual(r, want) {
 		t.Errorf("%+v, wanted %+v", r, want)
@@ -354,8 +354,8 @@
 		0o700); err != nil {
 		t.Fatal(err)
 	}
-	s := &Steward{told: Told{Restart: script + " at={name} to={release}", Patience: 10 * time.Second, Output: 64}}
-	if !s.restart(accord.Permit{Member: "n1", ID: 42}, "2") {
+	s := &Coordinator{config: Config{Restart: script + " at={name} to={release}", Patience: 10 * time.Second, Output: 64}}
+	if !s.runRestartCommand(accord.Permit{Member: "n1", ID: 42}, "2") {
 		t.Fatal("the command failed")
 	}
 	if got := string(standin.Must(os.ReadFile(said))); got != "at=n1 to=2 n1 2\n" {
--- a/internal/fleet/steward/speak.go
+++ b/internal/fleet/steward/speak.go
@@ -13,97 +13,97 @@
 	"lanewheel/internal/fleet/steward/ask"
 )
 
-// streams is raft.StreamLayer over the shared listener.
-type streams struct {
-	s     *Steward
-	l     net.Listener
-	came  chan net.Conn
-	over  chan struct{}
-	open  chan struct{} // closed once there is a state to answer from
-	close sync.Once
-	busy  chan struct{} // one for each connection that is being greeted or asked
+// streamLayer is raft.StreamLayer over the shared listener.
+type streamLayer struct {
+	coordinator *Coordinator
+	listener    net.Listener
+	peers       chan net.Conn
+	closed      chan struct{}
+	ready       chan struct{} // closed once there is a state to answer from
+	closeOnce   sync.Once
+	slots       chan struct{} // one for each connection that is being greeted or asked
 }
 
-func newStreams(s *Steward, l net.Listener) *streams {
-	const atOnce = 64 // operators, and strangers that say nothing
-	x := &streams{s: s, l: l, came: make(chan net.Conn), over: make(chan struct{}), open: make(chan struct{}), busy: make(chan struct{}, atOnce)}
-	go x.accept()
-	return x
+func newStreamLayer(coordinator *Coordinator, listener net.Listener) *streamLayer {
+	const maxConnections = 64 // operators, and strangers that say nothing
+	layer := &streamLayer{coordinator: coordinator, listener: listener, peers: make(chan net.Conn), closed: make(chan struct{}), ready: make(chan struct{}), slots: make(chan struct{}, maxConnections)}
+	go layer.acceptLoop()
+	return layer
 }
 
-func (x *streams) accept() {
+func (x *streamLayer) acceptLoop() {
 	for {
-		c, err := x.l.Accept()
+		conn, err := x.listener.Accept()
 		if err != nil {
 			return
 		}
 		select {
-		case x.busy <- struct{}{}:
+		case x.slots <- struct{}{}:
 		default: // Danger: connections by the hundred on which nobody proves anything
-			c.Close()
+			conn.Close()
 			continue
 		}
 		go func() {
-			defer func() { <-x.busy }()
-			kind, err := ask.Greeted(c, x.s.keys())
+			defer func() { <-x.slots }()
+			kind, err := ask.Greeted(conn, x.coordinator.loadClusterKeys())
 			switch {
 			case err != nil:
-				x.s.strangers.Add(1)
+				x.coordinator.rejectedConnections.Add(1)
 			case kind == ask.AsSteward:
 				select {
-				case x.came <- c:
+				case x.peers <- conn:
 					return
-				case <-x.over:
+				case <-x.closed:
 				}
 			case kind == ask.AsOperator:
 				// Danger: who asks while the folder is still being read.
 				select {
-				case <-x.open:
-					x.s.answer(c)
-				case <-x.over:
+				case <-x.ready:
+					x.coordinator.serveRequest(conn)
+				case <-x.closed:
 				}
 			}
-			c.Close()
+			conn.Close()
 		}()
 	}
 }
 
 // Accept is net.Listener.
-func (x *streams) Accept() (net.Conn, error) {
+func (x *streamLayer) Accept() (net.Conn, error) {
 	select {
-	case c := <-x.came:
-		return c, nil
-	case <-x.over:
+	case conn := <-x.peers:
+		return conn, nil
+	case <-x.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close is net.Listener.
-func (x *streams) Close() error {
-	x.close.Do(func() { close(x.over) })
-	return x.l.Close()
+func (x *streamLayer) Close() error {
+	x.closeOnce.Do(func() { close(x.closed) })
+	return x.listener.Close()
 }
 
 // Addr is net.Listener: where the others dial us.
-func (x *streams) Addr() net.Addr {
-	a, _ := net.ResolveTCPAddr("tcp", x.s.told.At)
-	return a
+func (x *streamLayer) Addr() net.Addr {
+	addr, _ := net.ResolveTCPAddr("tcp", x.coordinator.config.At)
+	return addr
 }
 
 // Dial is raft.StreamLayer.
-func (x *streams) Dial(at raft.ServerAddress, limit time.Duration) (net.Conn, error) {
-	return ask.Dial(string(at), x.s.told.From, x.s.keys(), ask.AsSteward, limit)
+func (x *streamLayer) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	return ask.Dial(string(addr), x.coordinator.config.From, x.coordinator.loadClusterKeys(), ask.AsSteward, timeout)
 }
 
-// answer answers one question.
-func (s *Steward) answer(c net.Conn) {
-	_ = c.SetDeadline(time.Now().Add(ask.For))
-	var q ask.Question
-	a := ask.Answer{}
-	if err := json.NewDecoder(bufio.NewReader(io.LimitReader(c, ask.Longest))).Decode(&q); err != nil {
-		a.Error = "can't be read: " + err.Error()
+// serveRequest answers one question.
+func (s *Coordinator) serveRequest(conn net.Conn) {
+	_ = conn.SetDeadline(time.Now().Add(ask.For))
+	var request ask.Question
+	response := ask.Answer{}
+	if err := json.NewDecoder(bufio.NewReader(io.LimitReader(conn, ask.Longest))).Decode(&request); err != nil {
+		response.Error = "can't be read: " + err.Error()
 	} else {
-		a = s.asked(q)
+		response = s.handle(request)
 	}
-	_ = json.NewEncoder(c).Encode(a)
+	_ = json.NewEncoder(conn).Encode(response)
 }
--- a/internal/fleet/steward/speak_test.go
+++ b/internal/fleet/steward/speak_test.go
@@ -14,16 +14,16 @@
 func Example_askedBeforeItIsOpen() {
 	l := standin.Must(net.Listen("tcp", "127.0.0.1:0"))
 	key := members.Key(make([]byte, 32))
-	s := &Steward{told: Told{At: l.Addr().String()}, over: make(chan struct{})}
+	s := &Coordinator{config: Config{At: l.Addr().String()}, closed: make(chan struct{})}
 	keys := []members.Key{key}
-	s.keyring.Store(&keys)
-	x := newStreams(s, l)
+	s.clusterKeys.Store(&keys)
+	x := newStreamLayer(s, l)
 	said := make(chan error)
 	go func() {
 		_, err := ask.Client{Stewards: []string{l.Addr().String()}, Keys: keys, Limit: time.Second}.Ask(ask.Question{History: false})
 		said <- err
 	}()
-	standin.Until("it is being asked", func() bool { return len(x.busy) == 1 })
+	standin.Until("it is being asked", func() bool { return len(x.slots) == 1 })
 	x.Close()
 	fmt.Println(<-said != nil)
 	// Output:
--- a/internal/fleet/steward/steward.go
+++ b/internal/fleet/steward/steward.go
@@ -29,512 +29,514 @@
 type Fleet interface {
 	View() *members.View
 	// Nudge tells a member that it has a permit, and of the one that has begun that it has.
-	Nudge(name members.Name, of members.Incarnation, number uint64, begun bool)
+	NotifyPermit(name members.Name, of members.Incarnation, number uint64, begun bool)
 	// Figures asks a member what it has done since its start; then may never be called, or on any goroutine.
-	Figures(name members.Name, then func(gossip.RequestStats))
+	QueryStats(name members.Name, then func(gossip.RequestStats))
 }
 
-// Steward is one of those that hold what is agreed.
-type Steward struct {
-	told      Told
-	node      *Node
-	fleet     Fleet
-	streams   *streams
-	strangers atomic.Uint64
-	keyring   atomic.Pointer[[]members.Key]
-	over      chan struct{}
-	done      sync.WaitGroup
-	stop      sync.Once
-	began     time.Time
-	leaving   atomic.Bool
+// Coordinator is one of those that hold what is agreed.
+type Coordinator struct {
+	config              Config
+	replica             *replica
+	fleet               Fleet
+	streamLayer         *streamLayer
+	rejectedConnections atomic.Uint64
+	clusterKeys         atomic.Pointer[[]members.Key]
+	closed              chan struct{}
+	loops               sync.WaitGroup
+	shutdownOnce        sync.Once
+	startedAt           time.Time
+	shuttingDown        atomic.Bool
 
-	lead *leading // nil while another leads; the leading goroutine's
+	leadership *leadership // nil while another leads; the leading goroutine's
 }
 
-// leading is what the one that leads keeps beside the state: nothing of it is needed by the next one.
-type leading struct {
-	term   uint64
-	since  time.Time
-	saw    map[accord.Name]accord.Observation
-	ticked time.Time
-	nudged map[accord.PermitID]time.Time
-	hooks  map[accord.PermitID]*hooking
-	judged string // the wave whose windows are gathered
-	judge  *judge.Analysis
-	window time.Time
-	mu     sync.Mutex // guards figures
-	last   map[accord.Name]figures
-	now    map[accord.Name]figures
-	ended  map[accord.Name]members.Incarnation // of the new release, at the window before
+// leadership is what the one that leads keeps beside the state: nothing of it is needed by the next one.
+type leadership struct {
+	term               uint64
+	startedAt          time.Time
+	reported           map[accord.Name]accord.Observation
+	lastTick           time.Time
+	notifiedAt         map[accord.PermitID]time.Time
+	restarts           map[accord.PermitID]*restartState
+	analyzedWave       string // the wave whose windows are gathered
+	analysis           *judge.Analysis
+	windowStart        time.Time
+	mu                 sync.Mutex // guards figures
+	previousStats      map[accord.Name]memberStats
+	currentStats       map[accord.Name]memberStats
+	canaryIncarnations map[accord.Name]members.Incarnation // of the new release, at the window before
 }
 
-type figures struct {
-	of members.Incarnation
+type memberStats struct {
+	incarnation members.Incarnation
 	gossip.RequestStats
 }
 
 // New opens a steward's folder and listener; Fleet joins it to the others.
-func New(told Told) (*Steward, error) {
-	if told.At == "" {
-		told.At = told.Listen
+func New(config Config) (*Coordinator, error) {
+	if config.At == "" {
+		config.At = config.Listen
 	}
-	s := &Steward{told: told, over: make(chan struct{}), began: time.Now()}
-	s.keyring.Store(&told.Keys)
-	l, err := net.Listen("tcp", told.Listen)
+	s := &Coordinator{config: config, closed: make(chan struct{}), startedAt: time.Now()}
+	s.clusterKeys.Store(&config.Keys)
+	listener, err := net.Listen("tcp", config.Listen)
 	if err != nil {
 		return nil, err
 	}
-	s.streams = newStreams(s, l)
-	if s.node, err = open(told, s.streams); err != nil {
-		s.streams.Close()
+	s.streamLayer = newStreamLayer(s, listener)
+	if s.replica, err = openReplica(config, s.streamLayer); err != nil {
+		s.streamLayer.Close()
 		return nil, err
 	}
-	close(s.streams.open)
+	close(s.streamLayer.ready)
 	return s, nil
 }
 
-func (s *Steward) keys() []members.Key { return *s.keyring.Load() }
+func (s *Coordinator) loadClusterKeys() []members.Key { return *s.clusterKeys.Load() }
 
-// Put takes keys that were told anew.
-func (s *Steward) Put(keys []members.Key) { s.keyring.Store(&keys) }
+// SetClusterKeys takes keys that were told anew.
+func (s *Coordinator) SetClusterKeys(keys []members.Key) { s.clusterKeys.Store(&keys) }
 
 // Serve goes on until Leave.
-func (s *Steward) Serve(fleet Fleet) {
+func (s *Coordinator) Serve(fleet Fleet) {
 	s.fleet = fleet
-	s.done.Add(2)
-	go s.joining()
-	go s.leads()
-	<-s.over
-	s.done.Wait()
-	s.streams.Close()
-	s.node.close()
+	s.loops.Add(2)
+	go s.joinLoop()
+	go s.leadLoop()
+	<-s.closed
+	s.loops.Wait()
+	s.streamLayer.Close()
+	s.replica.close()
 }
 
-// Leave ends it. One that leads hands that over first, so that nothing waits for an election.
-func (s *Steward) Leave() {
-	s.stop.Do(func() {
-		s.leaving.Store(true)
+// Shutdown ends it. One that leads hands that over first, so that nothing waits for an election.
+func (s *Coordinator) Shutdown() {
+	s.shutdownOnce.Do(func() {
+		s.shuttingDown.Store(true)
 		go func() {
-			if _, yes := s.node.leads(); yes {
-				_ = s.node.raft.LeadershipTransfer().Error()
+			if _, isLeader := s.replica.leaderTerm(); isLeader {
+				_ = s.replica.raft.LeadershipTransfer().Error()
 			}
-			close(s.over)
+			close(s.closed)
 		}()
 	})
 }
 
 // Ready tells whether there is a leader that this one knows.
-func (s *Steward) Ready() bool { return s.node.leader() != "" }
+func (s *Coordinator) Ready() bool { return s.replica.leaderAddr() != "" }
 
-// Leads tells whether it is this one.
-func (s *Steward) Leads() bool { _, yes := s.node.leads(); return yes }
+// IsLeader tells whether it is this one.
+func (s *Coordinator) IsLeader() bool { _, isLeader := s.replica.leaderTerm(); return isLeader }
 
-// joining asks to be one of those that agree for as long as it is not.
-func (s *Steward) joining() {
-	defer s.done.Done()
-	wait := 200 * time.Millisecond
+// joinLoop asks to be one of those that agree for as long as it is not.
+func (s *Coordinator) joinLoop() {
+	defer s.loops.Done()
+	pause := 200 * time.Millisecond
 	for {
 		select {
-		case <-s.over:
+		case <-s.closed:
 			return
-		case <-time.After(wait + time.Duration(rand.Int64N(int64(wait)))):
+		case <-time.After(pause + time.Duration(rand.Int64N(int64(pause)))):
 		}
-		if s.node.member() || s.told.Begin && s.node.raft.LastIndex() == 0 {
-			wait = 2 * time.Second
+		if s.replica.isVoter() || s.config.Begin && s.replica.raft.LastIndex() == 0 {
+			pause = 2 * time.Second
 			continue
 		}
 		var others []string
-		for _, at := range s.told.Others {
-			if at != s.told.At {
-				others = append(others, at)
+		for _, addr := range s.config.Others {
+			if addr != s.config.At {
+				others = append(others, addr)
 			}
 		}
-		a, err := ask.Client{Stewards: others, Keys: s.keys(), From: s.told.From, Limit: 5 * time.Second}.Ask(ask.Question{Join: &ask.Joining{ID: string(s.node.id), At: s.told.At}})
-		if err == nil && a.Error != "" {
-			err = errors.New(a.Error)
+		response, err := ask.Client{Stewards: others, Keys: s.loadClusterKeys(), From: s.config.From, Limit: 5 * time.Second}.Ask(ask.Question{Join: &ask.Joining{ID: string(s.replica.id), At: s.config.At}})
+		if err == nil && response.Error != "" {
+			err = errors.New(response.Error)
 		}
 		if err != nil {
 			slog.Info("steward-waits", "for", "one that takes it in", "err", err)
-			wait = min(2*wait, 2*time.Second)
+			pause = min(2*pause, 2*time.Second)
 		}
 	}
 }
 
-// leads does, for as long as this one leads, what the leader does.
-func (s *Steward) leads() {
-	defer s.done.Done()
-	const often = 100 * time.Millisecond
-	for tick := time.NewTicker(often); ; {
+// leadLoop does, for as long as this one leads, what the leader does.
+func (s *Coordinator) leadLoop() {
+	defer s.loops.Done()
+	const tickInterval = 100 * time.Millisecond
+	for ticker := time.NewTicker(tickInterval); ; {
 		select {
-		case <-s.over:
-			tick.Stop()
+		case <-s.closed:
+			ticker.Stop()
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		term, yes := s.node.leads()
-		if !yes {
-			if s.lead != nil {
-				slog.Info("steward", "leads", false, "term", s.lead.term)
+		term, isLeader := s.replica.leaderTerm()
+		if !isLeader {
+			if s.leadership != nil {
+				slog.Info("steward", "leads", false, "term", s.leadership.term)
 			}
-			s.lead = nil
+			s.leadership = nil
 			continue
 		}
-		if s.lead == nil || s.lead.term != term {
+		if s.leadership == nil || s.leadership.term != term {
 			// Danger: what was agreed before is in the log and not yet in the state. Nothing is decided before it is.
-			if s.node.raft.Barrier(5*time.Second).Error() != nil {
+			if s.replica.raft.Barrier(5*time.Second).Error() != nil {
 				continue
 			}
 			slog.Info("steward", "leads", true, "term", term)
-			s.lead = &leading{term: term, since: time.Now(), nudged: map[accord.PermitID]time.Time{}, hooks: map[accord.PermitID]*hooking{}, ended: map[accord.Name]members.Incarnation{}}
+			s.leadership = &leadership{term: term, startedAt: time.Now(), notifiedAt: map[accord.PermitID]time.Time{}, restarts: map[accord.PermitID]*restartState{}, canaryIncarnations: map[accord.Name]members.Incarnation{}}
 		}
-		s.round()
+		s.leaderRound()
 	}
 }
 
-// command fills in when a command is given, and has it agreed on.
-func (s *Steward) command(c accord.Command) (accord.Reply, error) {
-	term, yes := s.node.leads()
-	if !yes {
+// propose fills in when a command is given, and has it agreed on.
+func (s *Coordinator) propose(command accord.Command) (accord.Reply, error) {
+	term, isLeader := s.replica.leaderTerm()
+	if !isLeader {
 		return accord.Reply{}, ask.ErrNobody
 	}
-	c.Term, c.LeaderTime = term, time.Since(s.began) // by the clock that does not jump
-	return s.node.apply(c)
+	command.Term, command.LeaderTime = term, time.Since(s.startedAt) // by the clock that does not jump
+	return s.replica.apply(command)
 }
 
-// round is one round of the leader's: what it sees, what time it is, whom it nudges, what is judged and started.
-func (s *Steward) round() {
-	l := s.lead
-	if !s.see() {
+// leaderRound is one round of the leader's: what it sees, what time it is, whom it nudges, what is judged and started.
+func (s *Coordinator) leaderRound() {
+	lead := s.leadership
+	if !s.reportMembers() {
 		return
 	}
-	busy, halted := false, false
+	active, halted := false, false
 	type nudge struct {
 		accord.Permit
 		here, gone bool
 		before     string
 	}
-	var nudges []nudge
-	var release *accord.Rollout
-	s.node.read(func(a *accord.State) {
-		busy, halted = len(a.Permits) > 0 || a.Rollout.InProgress(), a.Halt != nil
-		for _, p := range a.Permits {
-			if m := a.Members[p.Member]; m != nil && p.Stage != accord.PermitQueued {
-				nudges = append(nudges, nudge{*p, m.State == accord.MemberUp && m.Incarnation == p.Incarnation, m.State == accord.MemberGone, m.PreviousRelease})
+	var notices []nudge
+	var rollout *accord.Rollout
+	s.replica.inspect(func(state *accord.State) {
+		active, halted = len(state.Permits) > 0 || state.Rollout.InProgress(), state.Halt != nil
+		for _, permit := range state.Permits {
+			if member := state.Members[permit.Member]; member != nil && permit.Stage != accord.PermitQueued {
+				notices = append(notices, nudge{*permit, member.State == accord.MemberUp && member.Incarnation == permit.Incarnation, member.State == accord.MemberGone, member.PreviousRelease})
 			}
 		}
-		if a.Rollout != nil {
-			r := *a.Rollout
-			release = &r
+		if state.Rollout != nil {
+			copied := *state.Rollout
+			rollout = &copied
 		}
 	})
 	// At rest time need not pass often.
-	if pause := time.Second; time.Since(l.ticked) > pause/4 && busy || time.Since(l.ticked) > 5*pause {
-		l.ticked = time.Now()
-		if _, err := s.command(accord.Command{Kind: accord.KindTick}); err != nil {
+	if pause := time.Second; time.Since(lead.lastTick) > pause/4 && active || time.Since(lead.lastTick) > 5*pause {
+		lead.lastTick = time.Now()
+		if _, err := s.propose(accord.Command{Kind: accord.KindTick}); err != nil {
 			return
 		}
 	}
-	for _, n := range nudges {
+	for _, notice := range notices {
 		switch {
-		case n.here && time.Since(l.nudged[n.ID]) > 500*time.Millisecond: // until it has gone: a word may be lost
-			l.nudged[n.ID] = time.Now()
-			s.fleet.Nudge(n.Member, n.Incarnation, uint64(n.ID), n.Stage == accord.PermitBegun)
+		case notice.here && time.Since(lead.notifiedAt[notice.ID]) > 500*time.Millisecond: // until it has gone: a word may be lost
+			lead.notifiedAt[notice.ID] = time.Now()
+			s.fleet.NotifyPermit(notice.Member, notice.Incarnation, uint64(notice.ID), notice.Stage == accord.PermitBegun)
 		// Who was drained stays out until his operator starts him. Danger: one that is still serving is started a second time.
-		case n.gone && n.Stage == accord.PermitBegun && n.Purpose != "drain" && release != nil && s.told.Restart != "":
-			to := release.TargetRelease
-			if n.Purpose == "back" {
-				to = n.before
+		case notice.gone && notice.Stage == accord.PermitBegun && notice.Purpose != "drain" && rollout != nil && s.config.Restart != "":
+			targetRelease := rollout.TargetRelease
+			if notice.Purpose == "back" {
+				targetRelease = notice.before
 			}
-			h := l.hooks[n.ID]
-			if h == nil {
-				h = &hooking{}
-				l.hooks[n.ID] = h
+			restart := lead.restarts[notice.ID]
+			if restart == nil {
+				restart = &restartState{}
+				lead.restarts[notice.ID] = restart
 			}
-			s.hook(h, n.Permit, to)
+			s.scheduleRestart(restart, notice.Permit, targetRelease)
 		}
 	}
 	switch {
 	case halted: // what is seen meanwhile is of a wave that is judged anew once that is over
-		l.judged = ""
-	case release.InProgress() && release.RolloutPlan.AnalysisRequired && release.Phase != accord.RolloutRollingBack:
-		s.watch(release)
+		lead.analyzedWave = ""
+	case rollout.InProgress() && rollout.RolloutPlan.AnalysisRequired && rollout.Phase != accord.RolloutRollingBack:
+		s.analyzeWave(rollout)
 	}
 }
 
-// reasons is why a member is out, by how it is seen.
-var reasons = map[members.State]accord.MemberState{members.StateUp: accord.MemberUp, members.StateWarming: accord.MemberWarmingUp, members.StateJoining: accord.MemberJoining, members.StateSuspect: accord.MemberSuspect,
+// memberStates is why a member is out, by how it is seen.
+var memberStates = map[members.State]accord.MemberState{members.StateUp: accord.MemberUp, members.StateWarming: accord.MemberWarmingUp, members.StateJoining: accord.MemberJoining, members.StateSuspect: accord.MemberSuspect,
 	members.StateLeaving: accord.MemberLeaving, members.StateGone: accord.MemberGone, members.StateFenced: accord.MemberGone}
 
-// see says what has changed among the members, and tells whether what it sees can be trusted. Danger: a leader that is cut off from the fleet and not from
+// reportMembers says what has changed among the members, and tells whether what it sees can be trusted. Danger: a leader that is cut off from the fleet and not from
 // the other stewards sees all as gone, or all as they were.
-func (s *Steward) see() bool {
-	v := s.fleet.View()
-	if !v.LocalHealth.CanDeclareGone() {
+func (s *Coordinator) reportMembers() bool {
+	view := s.fleet.View()
+	if !view.LocalHealth.CanDeclareGone() {
 		return false
 	}
-	l := s.lead
-	saw := map[accord.Name]accord.Observation{}
-	add := func(c members.Descriptor, why accord.MemberState) {
-		x := accord.Observation{Name: c.Name, Incarnation: c.Incarnation, Zone: c.Zone, Release: c.Release, Roles: c.Roles, Capacity: c.Capacity, State: why}
-		if c.Roles&members.RoleUpstream != 0 {
-			x.Upstream = string(c.Name)
+	lead := s.leadership
+	current := map[accord.Name]accord.Observation{}
+	add := func(claim members.Descriptor, state accord.MemberState) {
+		observation := accord.Observation{Name: claim.Name, Incarnation: claim.Incarnation, Zone: claim.Zone, Release: claim.Release, Roles: claim.Roles, Capacity: claim.Capacity, State: state}
+		if claim.Roles&members.RoleUpstream != 0 {
+			observation.Upstream = string(claim.Name)
 		}
-		saw[c.Name] = x
+		current[claim.Name] = observation
 	}
-	for m := range v.All() {
-		add(m.Descriptor, reasons[m.State])
+	for member := range view.All() {
+		add(member.Descriptor, memberStates[member.State])
 	}
-	add(v.Self, accord.MemberUp)
-	var news []accord.Observation
-	for _, name := range slices.Sorted(maps.Keys(saw)) {
-		if was, known := l.saw[name]; !known || was != saw[name] {
-			news = append(news, saw[name])
+	add(view.Self, accord.MemberUp)
+	var changed []accord.Observation
+	for _, name := range slices.Sorted(maps.Keys(current)) {
+		if previous, known := lead.reported[name]; !known || previous != current[name] {
+			changed = append(changed, current[name])
 		}
 	}
-	for name, was := range l.saw { // forgotten by the membership: it was gone for long
-		if _, known := saw[name]; !known && was.State != accord.MemberGone {
-			was.State = accord.MemberGone
-			news = append(news, was)
-			saw[name] = was
+	for name, previous := range lead.reported { // forgotten by the membership: it was gone for long
+		if _, known := current[name]; !known && previous.State != accord.MemberGone {
+			previous.State = accord.MemberGone
+			changed = append(changed, previous)
+			current[name] = previous
 		}
 	}
-	if len(news) == 0 {
+	if len(changed) == 0 {
 		return true
 	}
-	if _, err := s.command(accord.Command{Kind: accord.KindObserve, Observations: news}); err != nil {
+	if _, err := s.propose(accord.Command{Kind: accord.KindObserve, Observations: changed}); err != nil {
 		return false
 	}
-	l.saw = saw
+	lead.reported = current
 	return true
 }
 
-// Begins hears that a member would begin its permit; done is called once it is agreed that it has.
-func (s *Steward) Begins(name members.Name, of members.Incarnation, number uint64, done func()) {
+// BeginPermit hears that a member would begin its permit; done is called once it is agreed that it has.
+func (s *Coordinator) BeginPermit(name members.Name, incarnation members.Incarnation, permitID uint64, begun func()) {
 	go func() {
-		if _, yes := s.node.leads(); !yes || s.leaving.Load() {
+		if _, isLeader := s.replica.leaderTerm(); !isLeader || s.shuttingDown.Load() {
 			return
 		}
-		r, err := s.command(accord.Command{Kind: accord.KindBeginPermit, RequestedBy: string(name), Member: name, Incarnation: of, PermitID: accord.PermitID(number)})
-		if err == nil && r.OK {
-			done()
+		reply, err := s.propose(accord.Command{Kind: accord.KindBeginPermit, RequestedBy: string(name), Member: name, Incarnation: incarnation, PermitID: accord.PermitID(permitID)})
+		if err == nil && reply.OK {
+			begun()
 		} else if err == nil {
-			slog.Info("permit-refused", "number", number, "member", string(name), "why", r.Reason)
+			slog.Info("permit-refused", "number", permitID, "member", string(name), "why", reply.Reason)
 		}
 	}()
 }
 
-// hooking is how far the operator's command is for one permit.
-type hooking struct {
-	runs   atomic.Bool
-	done   atomic.Bool
-	failed int
-	next   time.Time
+// restartState is how far the operator's command is for one permit.
+type restartState struct {
+	running     atomic.Bool
+	done        atomic.Bool
+	attempts    int
+	nextAttempt time.Time
 }
 
-// hook has the operator's command run for a member that is out, again and later each time while it fails. Danger: a member that has left the fleet
+// scheduleRestart has the operator's command run for a member that is out, again and later each time while it fails. Danger: a member that has left the fleet
 // and not ended yet can't be started, and would stay out for ever.
-func (s *Steward) hook(h *hooking, p accord.Permit, release string) {
-	if h.runs.Load() || h.done.Load() || time.Now().Before(h.next) {
+func (s *Coordinator) scheduleRestart(restart *restartState, permit accord.Permit, release string) {
+	if restart.running.Load() || restart.done.Load() || time.Now().Before(restart.nextAttempt) {
 		return
 	}
-	h.failed++
-	h.next = time.Now().Add(min(500*time.Millisecond<<min(h.failed, 6), 15*time.Second))
-	h.runs.Store(true)
+	restart.attempts++
+	restart.nextAttempt = time.Now().Add(min(500*time.Millisecond<<min(restart.attempts, 6), 15*time.Second))
+	restart.running.Store(true)
 	go func() {
-		h.done.Store(s.restart(p, release))
-		h.runs.Store(false)
+		restart.done.Store(s.runRestartCommand(permit, release))
+		restart.running.Store(false)
 	}()
 }
 
-// restart runs the operator's command, with a bound on its time and on what it prints, and tells whether it went well.
-func (s *Steward) restart(p accord.Permit, release string) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), s.told.Patience)
+// runRestartCommand runs the operator's command, with a bound on its time and on what it prints, and tells whether it went well.
+func (s *Coordinator) runRestartCommand(permit accord.Permit, release string) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), s.config.Patience)
 	defer cancel()
-	words := strings.Fields(s.told.Restart)
-	for i := range words {
-		words[i] = strings.NewReplacer("{name}", string(p.Member), "{release}", release).Replace(words[i])
-	}
-	cmd := exec.CommandContext(ctx, words[0], words[1:]...)
-	cmd.Env = append(os.Environ(), "LANEWHEEL_NAME="+string(p.Member), "LANEWHEEL_RELEASE="+release)
-	out := &capped{most: s.told.Output}
-	cmd.Stdout, cmd.Stderr = out, out
+	args := strings.Fields(s.config.Restart)
+	for i := range args {
+		args[i] = strings.NewReplacer("{name}", string(permit.Member), "{release}", release).Replace(args[i])
+	}
+	cmd := exec.CommandContext(ctx, args[0], args[1:]...)
+	cmd.Env = append(os.Environ(), "LANEWHEEL_NAME="+string(permit.Member), "LANEWHEEL_RELEASE="+release)
+	output := &limitedBuffer{limit: s.config.Output}
+	cmd.Stdout, cmd.Stderr = output, output
 	cmd.WaitDelay = time.Second // Danger: a child of its own that keeps the output open
-	began := time.Now()
+	startedAt := time.Now()
 	err := cmd.Run()
-	slog.Info("restart", "member", string(p.Member), "release", release, "permit", uint64(p.ID), "took_ms", time.Since(began).Milliseconds(), "err", err, "said", string(out.b), "more", out.more)
+	slog.Info("restart", "member", string(permit.Member), "release", release, "permit", uint64(permit.ID), "took_ms", time.Since(startedAt).Milliseconds(), "err", err, "said", string(output.data), "more", output.discarded)
 	return err == nil
 }
 
-// capped keeps the first bytes of what is written.
-type capped struct {
-	mu   sync.Mutex
-	b    []byte
-	most int
-	more int
+// limitedBuffer keeps the first bytes of what is written.
+type limitedBuffer struct {
+	mu        sync.Mutex
+	data      []byte
+	limit     int
+	discarded int
 }
 
-func (c *capped) Write(b []byte) (int, error) {
+func (c *limitedBuffer) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n := min(len(b), c.most-len(c.b))
-	c.b = append(c.b, b[:n]...)
-	c.more += len(b) - n
+	n := min(len(b), c.limit-len(c.data))
+	c.data = append(c.data, b[:n]...)
+	c.discarded += len(b) - n
 	return len(b), nil
 }
 
-// watch gathers what the new release and the old one do at the same time, window by window, and gives the verdict once there is one.
-func (s *Steward) watch(r *accord.Rollout) {
-	l := s.lead
-	wave := fmt.Sprint(r.Name, " ", r.Wave, " ", r.RequestedBy)
-	if l.judged != wave {
-		l.judged, l.judge, l.window, l.last, l.now = wave, judge.New(s.told.Judge), time.Now(), nil, map[accord.Name]figures{}
-	}
-	if time.Since(l.window) < s.told.Window {
+// analyzeWave gathers what the new release and the old one do at the same time, window by window, and gives the verdict once there is one.
+func (s *Coordinator) analyzeWave(rollout *accord.Rollout) {
+	lead := s.leadership
+	wave := fmt.Sprint(rollout.Name, " ", rollout.Wave, " ", rollout.RequestedBy)
+	if lead.analyzedWave != wave {
+		lead.analyzedWave, lead.analysis, lead.windowStart, lead.previousStats, lead.currentStats = wave, judge.New(s.config.Judge), time.Now(), nil, map[accord.Name]memberStats{}
+	}
+	if time.Since(lead.windowStart) < s.config.Window {
 		return
 	}
-	l.window = time.Now()
-	l.mu.Lock()
-	last, now := l.last, l.now
-	l.last, l.now = now, map[accord.Name]figures{}
-	l.mu.Unlock()
-	var fresh, old []accord.Observation
-	ended := 0
-	for _, name := range slices.Sorted(maps.Keys(l.saw)) {
-		x := l.saw[name]
-		if !r.AppliesTo(x) {
+	lead.windowStart = time.Now()
+	lead.mu.Lock()
+	previous, current := lead.previousStats, lead.currentStats
+	lead.previousStats, lead.currentStats = current, map[accord.Name]memberStats{}
+	lead.mu.Unlock()
+	var canaryMembers, baselineMembers []accord.Observation
+	crashes := 0
+	for _, name := range slices.Sorted(maps.Keys(lead.reported)) {
+		observation := lead.reported[name]
+		if !rollout.AppliesTo(observation) {
 			continue
 		}
-		if x.Release == r.TargetRelease {
+		if observation.Release == rollout.TargetRelease {
 			// One that is there under a later life without a permit has ended by itself.
-			if was := l.ended[name]; was != 0 && x.Incarnation != was && !s.permitted(name) {
-				ended++
+			if previousIncarnation := lead.canaryIncarnations[name]; previousIncarnation != 0 && observation.Incarnation != previousIncarnation && !s.hadPermit(name) {
+				crashes++
 			}
-			l.ended[name] = x.Incarnation
-			fresh = append(fresh, x)
+			lead.canaryIncarnations[name] = observation.Incarnation
+			canaryMembers = append(canaryMembers, observation)
 		} else {
-			old = append(old, x)
+			baselineMembers = append(baselineMembers, observation)
 		}
 	}
-	sum := func(of []accord.Observation) (g judge.Sample) {
-		took := 0.0
-		for _, x := range of {
-			a, b := last[x.Name], now[x.Name]
-			if a.of != b.of || a.of == 0 || b.Finished < a.Finished {
+	sumStats := func(group []accord.Observation) (sample judge.Sample) {
+		totalSeconds := 0.0
+		for _, observation := range group {
+			earlier, later := previous[observation.Name], current[observation.Name]
+			if earlier.incarnation != later.incarnation || earlier.incarnation == 0 || later.Finished < earlier.Finished {
 				continue
 			}
-			g.Requests += b.Finished - a.Finished
-			g.OnTime += b.WithinObjective - a.WithinObjective
-			took += b.TotalSeconds - a.TotalSeconds
+			sample.Requests += later.Finished - earlier.Finished
+			sample.OnTime += later.WithinObjective - earlier.WithinObjective
+			totalSeconds += later.TotalSeconds - earlier.TotalSeconds
 		}
-		if g.Requests > 0 {
-			g.MeanSeconds = took / g.Requests
+		if sample.Requests > 0 {
+			sample.MeanSeconds = totalSeconds / sample.Requests
 		}
-		return g
+		return sample
 	}
-	g := sum(fresh)
-	g.Crashes = ended
-	l.judge.Add(g, sum(old))
-	for _, of := range [][]accord.Observation{fresh, old} {
-		for i, at := range rand.Perm(len(of)) {
-			if i >= s.told.Asked {
+	sample := sumStats(canaryMembers)
+	sample.Crashes = crashes
+	lead.analysis.Add(sample, sumStats(baselineMembers))
+	for _, group := range [][]accord.Observation{canaryMembers, baselineMembers} {
+		for i, at := range rand.Perm(len(group)) {
+			if i >= s.config.Asked {
 				break
 			}
-			x := of[at]
-			s.fleet.Figures(x.Name, func(f gossip.RequestStats) {
-				l.mu.Lock()
-				l.now[x.Name] = figures{x.Incarnation, f}
-				l.mu.Unlock()
+			observation := group[at]
+			s.fleet.QueryStats(observation.Name, func(stats gossip.RequestStats) {
+				lead.mu.Lock()
+				lead.currentStats[observation.Name] = memberStats{observation.Incarnation, stats}
+				lead.mu.Unlock()
 			})
 		}
 	}
-	v, why := l.judge.Verdict()
-	if v == judge.Inconclusive || v == judge.Passed && r.Phase != accord.RolloutAnalyzing {
+	verdict, reason := lead.analysis.Verdict()
+	if verdict == judge.Inconclusive || verdict == judge.Passed && rollout.Phase != accord.RolloutAnalyzing {
 		return
 	}
-	reply, err := s.command(accord.Command{Kind: accord.KindCanaryVerdict, RequestedBy: "the judgement", RolloutName: r.Name, Wave: r.Wave, Healthy: v == judge.Passed, Reason: why})
+	reply, err := s.propose(accord.Command{Kind: accord.KindCanaryVerdict, RequestedBy: "the judgement", RolloutName: rollout.Name, Wave: rollout.Wave, Healthy: verdict == judge.Passed, Reason: reason})
 	if err == nil && reply.OK {
-		slog.Info("verdict", "release", r.Name, "wave", r.Wave+1, "is", v.String(), "why", why)
-		l.judged = ""
+		slog.Info("verdict", "release", rollout.Name, "wave", rollout.Wave+1, "is", verdict.String(), "why", reason)
+		lead.analyzedWave = ""
 	}
 }
 
-func (s *Steward) permitted(name accord.Name) (yes bool) {
-	s.node.read(func(a *accord.State) {
-		m := a.Members[name]
-		yes = m != nil && m.PermitID > 0
-		for _, p := range a.EndedPermits {
-			yes = yes || p.Member == name && a.Now-p.StageSince < 10*time.Second
+func (s *Coordinator) hadPermit(name accord.Name) (yes bool) {
+	s.replica.inspect(func(state *accord.State) {
+		member := state.Members[name]
+		yes = member != nil && member.PermitID > 0
+		for _, permit := range state.EndedPermits {
+			yes = yes || permit.Member == name && state.Now-permit.StageSince < 10*time.Second
 		}
 	})
 	return yes
 }
 
-func (s *Steward) status() *ask.Status {
-	t := &ask.Status{Steward: string(s.node.id), Leader: s.node.leader(), Term: s.node.raft.CurrentTerm(), Index: s.node.raft.AppliedIndex(), Others: map[string]string{}}
-	_, t.Leads = s.node.leads()
-	if config := s.node.raft.GetConfiguration(); config.Error() == nil {
+func (s *Coordinator) status() *ask.Status {
+	status := &ask.Status{Steward: string(s.replica.id), Leader: s.replica.leaderAddr(), Term: s.replica.raft.CurrentTerm(), Index: s.replica.raft.AppliedIndex(), Others: map[string]string{}}
+	_, status.Leads = s.replica.leaderTerm()
+	if config := s.replica.raft.GetConfiguration(); config.Error() == nil {
 		for _, x := range config.Configuration().Servers {
-			t.Others[string(x.ID)] = string(x.Address)
+			status.Others[string(x.ID)] = string(x.Address)
 		}
 	}
-	s.node.read(func(a *accord.State) {
-		t.Now, t.Members = a.Now.Round(time.Millisecond).String(), len(a.Members)
-		if a.Halt != nil {
-			h := *a.Halt
-			t.Halted = &h
+	s.replica.inspect(func(state *accord.State) {
+		status.Now, status.Members = state.Now.Round(time.Millisecond).String(), len(state.Members)
+		if state.Halt != nil {
+			h := *state.Halt
+			status.Halted = &h
 		}
-		if a.Rollout != nil {
-			r := *a.Rollout
-			t.Release = &r
+		if state.Rollout != nil {
+			r := *state.Rollout
+			status.Release = &r
 		}
-		for _, b := range a.Budgets {
-			t.Uses = append(t.Uses, a.Usage(b))
+		for _, b := range state.Budgets {
+			status.Uses = append(status.Uses, state.Usage(b))
 		}
-		for _, n := range slices.Sorted(maps.Keys(a.Permits)) {
-			t.Permits = append(t.Permits, *a.Permits[n])
+		for _, id := range slices.Sorted(maps.Keys(state.Permits)) {
+			status.Permits = append(status.Permits, *state.Permits[id])
 		}
-		for _, name := range slices.Sorted(maps.Keys(a.Members)) {
-			if m := a.Members[name]; m.State != accord.MemberUp || m.PermitID > 0 {
-				t.Out = append(t.Out, *m)
+		for _, name := range slices.Sorted(maps.Keys(state.Members)) {
+			if m := state.Members[name]; m.State != accord.MemberUp || m.PermitID > 0 {
+				status.Out = append(status.Out, *m)
 			}
 		}
 	})
-	return t
+	return status
 }
 
-// asked answers a question. Any steward shows what it knows; only the one that leads takes commands, others say who that is.
-func (s *Steward) asked(q ask.Question) (a ask.Answer) {
+// handle answers a question. Any steward shows what it knows; only the one that leads takes commands, others say who that is.
+func (s *Coordinator) handle(request ask.Question) (response ask.Answer) {
 	switch {
-	case q.Status:
-		a.Status = s.status()
-		return a
-	case q.History:
-		s.node.read(func(x *accord.State) { a.History, a.Over = slices.Clone(x.History), slices.Clone(x.EndedPermits) })
-		return a
+	case request.Status:
+		response.Status = s.status()
+		return response
+	case request.History:
+		s.replica.inspect(func(state *accord.State) {
+			response.History, response.Over = slices.Clone(state.History), slices.Clone(state.EndedPermits)
+		})
+		return response
 	}
-	if _, yes := s.node.leads(); !yes || s.leaving.Load() {
-		if a.Leader = s.node.leader(); a.Leader == "" || a.Leader == s.told.At {
-			a.Leader, a.Error = "", ask.ErrNobody.Error()
+	if _, isLeader := s.replica.leaderTerm(); !isLeader || s.shuttingDown.Load() {
+		if response.Leader = s.replica.leaderAddr(); response.Leader == "" || response.Leader == s.config.At {
+			response.Leader, response.Error = "", ask.ErrNobody.Error()
 		}
-		return a
+		return response
 	}
 	var err error
 	switch {
-	case q.Command != nil:
-		var r accord.Reply
-		if r, err = s.command(*q.Command); err == nil {
-			a.Reply = &r
+	case request.Command != nil:
+		var reply accord.Reply
+		if reply, err = s.propose(*request.Command); err == nil {
+			response.Reply = &reply
 		}
-	case q.Join != nil:
-		err = s.node.join(raft.ServerID(q.Join.ID), q.Join.At)
-	case q.Leave != "":
-		err = s.node.leave(q.Leave)
+	case request.Join != nil:
+		err = s.replica.addVoter(raft.ServerID(request.Join.ID), request.Join.At)
+	case request.Leave != "":
+		err = s.replica.removeVoter(request.Leave)
 	}
 	if err != nil {
-		a.Error = err.Error()
+		response.Error = err.Error()
 		if errors.Is(err, ask.ErrNobody) {
-			a.Error = ask.ErrNobody.Error()
+			response.Error = ask.ErrNobody.Error()
 		}
 	}
-	return a
+	return response
 }
--- a/internal/fleet/steward/steward_test.go
+++ b/internal/fleet/steward/steward_test.go
@@ -22,47 +22,47 @@
 	"lanewheel/internal/standin"
 )
 
-// town is so many stewards among a fleet that is as it is said to be.
-type town struct {
-	folder string
-	told   []Told
-	all    []*Steward
-	done   []chan struct{}
-	mu     sync.Mutex
-	table  *members.Table
-	now    time.Duration
-	nudges map[uint64]string
+// testFleet is so many stewards among a fleet that is as it is said to be.
+type testFleet struct {
+	dir          string
+	configs      []Config
+	coordinators []*Coordinator
+	done         []chan struct{}
+	mu           sync.Mutex
+	table        *members.Table
+	now          time.Duration
+	notices      map[uint64]string
 }
 
-var key = members.Key("0123456789abcdef0123456789abcdef")
+var clusterKey = members.Key("0123456789abcdef0123456789abcdef")
 
-var towns int
+var fleetCount int
 
-func found(n int, instances int) *town {
-	towns++
-	t := &town{folder: standin.Must(os.MkdirTemp("", "stewards")), nudges: map[uint64]string{}}
+func newTestFleet(n int, instances int) *testFleet {
+	fleetCount++
+	t := &testFleet{dir: standin.Must(os.MkdirTemp("", "stewards")), notices: map[uint64]string{}}
 	t.table = members.NewTable(members.Descriptor{Name: "s0", Incarnation: 1, BootID: 1, Roles: members.RoleCoordinator}, members.DefaultConfig(), 0)
 	for i := range instances {
-		t.up(i, 1, "1")
+		t.markUp(i, 1, "1")
 	}
 	var all []string
 	for i := range n {
-		l := standin.Must(net.Listen("tcp", fmt.Sprintf("127.73.%d.%d:0", os.Getpid()%250, towns)))
+		l := standin.Must(net.Listen("tcp", fmt.Sprintf("127.73.%d.%d:0", os.Getpid()%250, fleetCount)))
 		all = append(all, l.Addr().String())
 		l.Close()
-		t.told = append(t.told, Told{Name: fmt.Sprint("s", i), Listen: all[i], Folder: filepath.Join(t.folder, fmt.Sprint(i)), Begin: i == 0, Beat: 300 * time.Millisecond,
-			Keys: []members.Key{key}, Accord: accord.DefaultConfig(), Judge: judge.DefaultConfig(), Window: time.Second, Asked: 8, Patience: time.Second, Output: 64, Snapshot: 64})
+		t.configs = append(t.configs, Config{Name: fmt.Sprint("s", i), Listen: all[i], Folder: filepath.Join(t.dir, fmt.Sprint(i)), Begin: i == 0, Beat: 300 * time.Millisecond,
+			Keys: []members.Key{clusterKey}, Accord: accord.DefaultConfig(), Judge: judge.DefaultConfig(), Window: time.Second, Asked: 8, Patience: time.Second, Output: 64, Snapshot: 64})
 	}
-	t.all, t.done = make([]*Steward, n), make([]chan struct{}, n)
+	t.coordinators, t.done = make([]*Coordinator, n), make([]chan struct{}, n)
 	for i := range n {
-		t.told[i].Others = all
-		t.start(i)
+		t.configs[i].Others = all
+		t.startCoordinator(i)
 	}
 	return t
 }
 
-// up has the fleet hold an instance to be up, by a life.
-func (t *town) up(i int, life members.BootID, release string) {
+// markUp has the fleet hold an instance to be up, by a life.
+func (t *testFleet) markUp(i int, life members.BootID, release string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.now += time.Second
@@ -71,26 +71,26 @@
 	t.table.HandleHeartbeat(members.Heartbeat{ID: members.ID{Name: name, BootID: life}, Sequence: 1, Ready: true, ReadyFor: time.Hour}, 0, t.now)
 }
 
-func (t *town) View() *members.View {
+func (t *testFleet) View() *members.View {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.table.View()
 }
 
-func (t *town) Nudge(name members.Name, of members.Incarnation, number uint64, begun bool) {
+func (t *testFleet) NotifyPermit(name members.Name, of members.Incarnation, number uint64, begun bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.nudges[number] = fmt.Sprint(name, " ", of, " ", begun)
+	t.notices[number] = fmt.Sprint(name, " ", of, " ", begun)
 }
 
-func (t *town) Figures(members.Name, func(gossip.RequestStats)) {}
+func (t *testFleet) QueryStats(members.Name, func(gossip.RequestStats)) {}
 
-func (t *town) start(i int) {
-	s, err := New(t.told[i])
+func (t *testFleet) startCoordinator(i int) {
+	s, err := New(t.configs[i])
 	if err != nil {
 		panic(err)
 	}
-	t.all[i], t.done[i] = s, make(chan struct{})
+	t.coordinators[i], t.done[i] = s, make(chan struct{})
 	go func() {
 		s.Serve(t)
 		close(t.done[i])
@@ -98,31 +98,31 @@
 }
 
 // kill ends a steward without a word.
-func (t *town) kill(i int) {
-	s := t.all[i]
-	s.stop.Do(func() { close(s.over) })
+func (t *testFleet) kill(i int) {
+	s := t.coordinators[i]
+	s.shutdownOnce.Do(func() { close(s.closed) })
 	<-t.done[i]
-	t.all[i] = nil
+	t.coordinators[i] = nil
 }
 
-func (t *town) close() {
-	for i, s := range t.all {
+func (t *testFleet) close() {
+	for i, s := range t.coordinators {
 		if s != nil {
 			t.kill(i)
 		}
 	}
-	os.RemoveAll(t.folder)
+	os.RemoveAll(t.dir)
 }
 
-func (t *town) client() ask.Client {
-	k := ask.Client{Keys: []members.Key{key}, Limit: standin.Patience}
-	for _, told := range t.told {
+func (t *testFleet) client() ask.Client {
+	k := ask.Client{Keys: []members.Key{clusterKey}, Limit: standin.Patience}
+	for _, told := range t.configs {
 		k.Stewards = append(k.Stewards, told.Listen)
 	}
 	return k
 }
 
-func (t *town) do(c accord.Command) accord.Reply {
+func (t *testFleet) propose(c accord.Command) accord.Reply {
 	a := standin.Must(t.client().Ask(ask.Question{Command: &c}))
 	if a.Reply == nil {
 		panic(a.Error)
@@ -131,10 +131,10 @@
 }
 
 // leader waits for one that leads and knows so many to agree, and as many instances.
-func (t *town) leader(voters, instances int) (i int) {
+func (t *testFleet) leader(voters, instances int) (i int) {
 	standin.Until("a leader", func() bool {
-		for k, s := range t.all {
-			if s != nil && s.Leads() {
+		for k, s := range t.coordinators {
+			if s != nil && s.IsLeader() {
 				if st := s.status(); len(st.Others) == voters && st.Members >= instances {
 					i = k
 					return true
@@ -146,36 +146,36 @@
 	return i
 }
 
-var oneOut = accord.Command{Kind: accord.KindSetBudgets, Budgets: []accord.DisruptionBudget{{Name: "one", MaxUnavailable: 1, Selector: accord.Selector{Role: "instance"}}}}
+var oneAtATime = accord.Command{Kind: accord.KindSetBudgets, Budgets: []accord.DisruptionBudget{{Name: "one", MaxUnavailable: 1, Selector: accord.Selector{Role: "instance"}}}}
 
 // The leading steward ends between agreeing and the answer, as far as the client can tell: it asks again with its key, and there is one permit. Whoever leads
 // next goes on with it. A stranger without the key is not even asked what it wants.
 func Example_failover() {
-	t := found(3, 3)
+	t := newTestFleet(3, 3)
 	defer t.close()
 	first := t.leader(3, 3)
-	t.do(oneOut)
+	t.propose(oneAtATime)
 	c := accord.Command{Kind: accord.KindRequestPermit, Member: "n0", IdempotencyKey: "k"}
-	fmt.Println(t.do(c))
+	fmt.Println(t.propose(c))
 	t.kill(first)
-	fmt.Println(t.do(c), t.do(accord.Command{Kind: accord.KindRequestPermit, Member: "n1"}).PermitID)
+	fmt.Println(t.propose(c), t.propose(accord.Command{Kind: accord.KindRequestPermit, Member: "n1"}).PermitID)
 	next := t.leader(3, 3)
-	standin.Until("the holder to be nudged", func() bool { t.mu.Lock(); defer t.mu.Unlock(); return t.nudges[1] != "" })
-	fmt.Println(t.nudges[1])
+	standin.Until("the holder to be nudged", func() bool { t.mu.Lock(); defer t.mu.Unlock(); return t.notices[1] != "" })
+	fmt.Println(t.notices[1])
 	begun := make(chan bool, 1)
-	t.all[next].Begins("n0", 1, 1, func() { begun <- true })
+	t.coordinators[next].BeginPermit("n0", 1, 1, func() { begun <- true })
 	fmt.Println(<-begun)
-	t.all[next].Begins("n1", 1, 2, func() { panic("two out") })
+	t.coordinators[next].BeginPermit("n1", 1, 2, func() { panic("two out") })
 	c.Member, c.IdempotencyKey = "n2", ""
-	fmt.Println(t.do(accord.Command{Kind: accord.KindBeginPermit, Member: "n1", Incarnation: 1, PermitID: 2}))
+	fmt.Println(t.propose(accord.Command{Kind: accord.KindBeginPermit, Member: "n1", Incarnation: 1, PermitID: 2}))
 	k := t.client()
 	k.Keys = []members.Key{members.Key("another key of as many bytes....")}
 	_, err := k.Ask(ask.Question{Status: true})
 	fmt.Println(strings.Contains(fmt.Sprint(err), ask.ErrProof.Error()))
-	t.start(first)
-	t.up(0, 2, "1")
+	t.startCoordinator(first)
+	t.markUp(0, 2, "1")
 	standin.Until("n0's permit to be over, and n1's granted, at all three", func() bool {
-		for _, s := range t.all {
+		for _, s := range t.coordinators {
 			st := s.status()
 			if len(st.Permits) != 1 || st.Permits[0].Stage != accord.PermitGranted {
 				return false
@@ -196,18 +196,18 @@
 // folder was wiped is taken in as another. A snapshot cut short is said, and nothing is gone by; where that leaves no majority, the one that has the state
 // goes on alone when it is told to, and the others are taken in anew.
 func Example_disks() {
-	t := found(3, 3)
+	t := newTestFleet(3, 3)
 	defer t.close()
 	t.leader(3, 3)
-	t.do(oneOut)
-	t.do(accord.Command{Kind: accord.KindRequestPermit, Member: "n0"})
+	t.propose(oneAtATime)
+	t.propose(accord.Command{Kind: accord.KindRequestPermit, Member: "n0"})
 	for range 200 { // past two snapshots
-		t.do(accord.Command{Kind: accord.KindCancelPermit, PermitID: 99})
+		t.propose(accord.Command{Kind: accord.KindCancelPermit, PermitID: 99})
 	}
-	for _, s := range t.all {
-		_ = s.node.raft.Snapshot().Error()
+	for _, s := range t.coordinators {
+		_ = s.replica.raft.Snapshot().Error()
 	}
-	t.do(accord.Command{Kind: accord.KindHalt, Reason: "for the night"})
+	t.propose(accord.Command{Kind: accord.KindHalt, Reason: "for the night"})
 	t.kill(1)
 	t.kill(2)
 	k := t.client()
@@ -223,21 +223,21 @@
 			panic(err)
 		}
 	}
-	tear(filepath.Join(t.told[2].Folder, "snapshots", "*", "state.bin"), 100)
-	if err := os.RemoveAll(t.told[1].Folder); err != nil {
+	tear(filepath.Join(t.configs[2].Folder, "snapshots", "*", "state.bin"), 100)
+	if err := os.RemoveAll(t.configs[1].Folder); err != nil {
 		panic(err)
 	}
-	_, err = New(t.told[2])
+	_, err = New(t.configs[2])
 	fmt.Println(strings.Contains(fmt.Sprint(err), "move the folder away"))
-	if err := os.RemoveAll(t.told[2].Folder); err != nil {
+	if err := os.RemoveAll(t.configs[2].Folder); err != nil {
 		panic(err)
 	}
-	t.told[0].Alone = true
-	for i := range t.told { // the first by the same line as at its first start
-		t.start(i)
+	t.configs[0].Alone = true
+	for i := range t.configs { // the first by the same line as at its first start
+		t.startCoordinator(i)
 	}
 	t.leader(3, 3)
-	_, err = New(t.told[0])
+	_, err = New(t.configs[0])
 	fmt.Println(err != nil) // two on one folder, or one address
 	st := standin.Must(t.client().Ask(ask.Question{Status: true})).Status
 	fmt.Println(st.Halted != nil && st.Halted.Reason == "for the night", len(st.Others), st.Uses[0].Budget.Name)
@@ -253,15 +253,15 @@
 
 // A log whose last write was cut at any byte opens, with all that was whole; what is not ours is said, and nothing is overwritten.
 func TestTorn(t *testing.T) {
-	w := found(1, 1)
+	w := newTestFleet(1, 1)
 	defer w.close()
 	w.leader(1, 1)
-	w.do(oneOut)
+	w.propose(oneAtATime)
 	for n := range 5 {
-		w.do(accord.Command{Kind: accord.KindCancelPermit, PermitID: accord.PermitID(n)})
+		w.propose(accord.Command{Kind: accord.KindCancelPermit, PermitID: accord.PermitID(n)})
 	}
 	w.kill(0)
-	whole := w.told[0].Folder
+	whole := w.configs[0].Folder
 	log := standin.Must(filepath.Glob(filepath.Join(whole, "*.wal")))[0]
 	text := standin.Must(os.ReadFile(log))
 	end := len(text)
@@ -275,11 +275,11 @@
 		if err := os.WriteFile(log, torn, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		w.start(0)
+		w.startCoordinator(0)
 		w.leader(1, 1)
 		// One that leads still has its log to take in: what was told before shows a moment later, and has to.
 		standin.Until(fmt.Sprintf("the budget, cut at %d of %d", cut, end), func() bool {
-			st := w.all[0].status()
+			st := w.coordinators[0].status()
 			return len(st.Uses) == 1 && st.Uses[0].Budget.Name == "one"
 		})
 		w.kill(0)
@@ -290,25 +290,25 @@
 	if err := os.WriteFile(filepath.Join(whole, "life"), []byte("?"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := New(w.told[0]); err == nil || !strings.Contains(err.Error(), "is damaged") {
+	if _, err := New(w.configs[0]); err == nil || !strings.Contains(err.Error(), "is damaged") {
 		t.Fatal(err)
 	}
 	if err := os.Remove(filepath.Join(whole, "life")); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := New(w.told[0]); err == nil || !strings.Contains(err.Error(), "is missing beside a log") {
+	if _, err := New(w.configs[0]); err == nil || !strings.Contains(err.Error(), "is missing beside a log") {
 		t.Fatal(err)
 	}
-	w.all[0] = nil
+	w.coordinators[0] = nil
 }
 
 // What clients that ask at the same time are told, while leaders end, is what one state would have told them one after the other (porcupine).
 func TestLinearizable(t *testing.T) {
-	w := found(3, 3)
+	w := newTestFleet(3, 3)
 	defer w.close()
 	w.leader(3, 3)
-	w.do(oneOut)
-	standin.Until("all to be known", func() bool { return w.all[w.leader(3, 3)].status().Members == 4 })
+	w.propose(oneAtATime)
+	standin.Until("all to be known", func() bool { return w.coordinators[w.leader(3, 3)].status().Members == 4 })
 	type input struct{ c accord.Command }
 	var mu sync.Mutex
 	var history []porcupine.Operation
@@ -332,7 +332,7 @@
 					c.Kind, c.Member = accord.KindCancelDrain, ""
 				}
 				from := time.Since(began).Nanoseconds()
-				r := w.do(c)
+				r := w.propose(c)
 				mu.Lock()
 				history = append(history, porcupine.Operation{ClientId: client, Input: input{c}, Call: from, Output: r, Return: time.Since(began).Nanoseconds()})
 				mu.Unlock()
@@ -343,7 +343,7 @@
 		time.Sleep(300 * time.Millisecond)
 		i := w.leader(3, 3)
 		w.kill(i)
-		w.start(i)
+		w.startCoordinator(i)
 	}
 	all.Wait()
 	// The state that they begin with, as the stewards have it.
@@ -351,7 +351,7 @@
 	for i := range 3 {
 		start.Apply(accord.Command{Kind: accord.KindObserve, Observations: []accord.Observation{{Name: accord.Name(fmt.Sprint("n", i)), Incarnation: 1, Release: "1", Roles: members.RoleServer, Capacity: 1}}})
 	}
-	start.Apply(oneOut)
+	start.Apply(oneAtATime)
 	first := string(standin.Must(json.Marshal(start)))
 	model := porcupine.Model{
 		Init: func() any { return first },
--- a/internal/life/stewards/golden_test.go
+++ b/internal/life/stewards/golden_test.go
@@ -80,7 +80,7 @@
 
 // What a steward says of itself in the fleet, by the name that others read.
 func TestReportGolden(t *testing.T) {
-	s := standin.Must(steward.New(steward.Told{Name: "s0", Listen: "127.0.0.1:0", At: "127.0.0.1:7373",
+	s := standin.Must(steward.New(steward.Config{Name: "s0", Listen: "127.0.0.1:0", At: "127.0.0.1:7373",
 		Folder: t.TempDir(), Begin: true, Beat: 300 * time.Millisecond,
 		Keys: []members.Key{members.Key("0123456789abcdef0123456789abcdef")}, Accord: accord.DefaultConfig(),
 		Judge: judge.DefaultConfig(), Window: time.Second, Snapshot: 64}))
@@ -91,20 +91,20 @@
 			members.DefaultConfig(), 0).View()})
 		close(done)
 	}()
-	standin.Until("it leads", func() bool { return s.Leads() && s.Ready() })
+	standin.Until("it leads", func() bool { return s.IsLeader() && s.Ready() })
 	p.Status(func(r gossip.ProcessStatus) {
 		want := gossip.ProcessStatus{Ready: true, Metrics: []members.Metric{{Name: "leads", Value: 1}}}
 		if !reflect.DeepEqual(r, want) {
 			t.Errorf("%+v, wanted %+v", r, want)
 		}
 	})
-	s.Leave()
+	s.Shutdown()
 	<-done
 }
 
 // alone is a fleet of nobody else.
 type alone struct{ view *members.View }
 
-func (a alone) View() *members.View                                   { return a.view }
-func (a alone) Nudge(members.Name, members.Incarnation, uint64, bool) {}
-func (a alone) Figures(members.Name, func(gossip.RequestStats))       {}
+func (a alone) View() *members.View                                          { return a.view }
+func (a alone) NotifyPermit(members.Name, members.Incarnation, uint64, bool) {}
+func (a alone) QueryStats(members.Name, func(gossip.RequestStats))           {}
--- a/internal/life/stewards/stewards.go
+++ b/internal/life/stewards/stewards.go
@@ -38,12 +38,12 @@
 		return err
 	}
 	adapter.agent = agent
-	agent.OnPermitBegin = node.Begins
+	agent.OnPermitBegin = node.BeginPermit
 	agent.Start()
 	slog.Info("steward", "name", config.Name, "at", config.At, "others", len(config.Others))
 	go life.HandleSignals(signals, configPath, operatorConfig, func() { adapter.shutdown() }, func(o *life.OperatorConfig) {
 		reload(o)
-		node.Put(o.ClusterKeys)
+		node.SetClusterKeys(o.ClusterKeys)
 	})
 	node.Serve(adapter)
 	for end := time.Now().Add(shutdownTimeout); !agent.Drained() && time.Now().Before(end); {
@@ -54,13 +54,13 @@
 
 // fleetAdapter speaks for a steward in the fleet: a gossip.Process and a steward.Fleet.
 type fleetAdapter struct {
-	coordinator *steward.Steward
+	coordinator *steward.Coordinator
 	agent       *gossip.Agent
 }
 
 func (p *fleetAdapter) Status(then func(gossip.ProcessStatus)) {
 	isLeader := 0.0
-	if p.coordinator.Leads() {
+	if p.coordinator.IsLeader() {
 		isLeader = 1
 	}
 	then(gossip.ProcessStatus{Ready: p.coordinator.Ready(), Metrics: []members.Metric{{Name: "leads", Value: isLeader}}})
@@ -75,15 +75,15 @@
 func (p *fleetAdapter) shutdown() {
 	slog.Info("leaving", "kill_ms", shutdownTimeout.Milliseconds())
 	p.agent.Drain(shutdownTimeout)
-	p.coordinator.Leave()
+	p.coordinator.Shutdown()
 }
 
 func (p *fleetAdapter) View() *members.View { return p.agent.View() }
 
-func (p *fleetAdapter) Nudge(name members.Name, of members.Incarnation, number uint64, begun bool) {
+func (p *fleetAdapter) NotifyPermit(name members.Name, of members.Incarnation, number uint64, begun bool) {
 	p.agent.NotifyPermit(name, of, number, begun)
 }
 
-func (p *fleetAdapter) Figures(name members.Name, then func(gossip.RequestStats)) {
+func (p *fleetAdapter) QueryStats(name members.Name, then func(gossip.RequestStats)) {
 	p.agent.Post(func() { p.agent.QueryStats(name, then) })
 }
