--- a/internal/command/further/agree.go
+++ b/internal/command/further/agree.go
@@ -30,7 +30,7 @@
 	if !o.File.Coordinator.Enabled || len(o.ClusterKeys) == 0 {
 		return fmt.Errorf("%s: wants the sections [fleet], with keys, and [steward]", a.File)
 	}
-	k := ask.Client{Stewards: o.File.Coordinator.Config.Others, Keys: o.ClusterKeys, Limit: 20 * time.Second}
+	k := ask.Client{Coordinators: o.File.Coordinator.Config.Others, Keys: o.ClusterKeys, Timeout: 20 * time.Second}
 	show := func(v any) error {
 		e := json.NewEncoder(out)
 		e.SetIndent("", "  ")
@@ -38,7 +38,7 @@
 	}
 	switch a.Do {
 	case "status":
-		got, err := k.Ask(ask.Question{Status: true})
+		got, err := k.Do(ask.Request{Status: true})
 		if err != nil {
 			return err
 		}
@@ -47,7 +47,7 @@
 		}
 		return status(got.Status, out)
 	case "history":
-		got, err := k.Ask(ask.Question{History: true})
+		got, err := k.Do(ask.Request{History: true})
 		if err != nil {
 			return err
 		}
@@ -60,7 +60,7 @@
 		history(got.History, out)
 		return nil
 	case "leave":
-		got, err := k.Ask(ask.Question{Leave: a.Name})
+		got, err := k.Do(ask.Request{RemoveCoordinator: a.Name})
 		if err == nil && got.Error != "" {
 			err = errors.New(got.Error)
 		}
@@ -76,7 +76,7 @@
 		return err
 	}
 	c.IdempotencyKey = hex.EncodeToString(b[:])
-	got, err := k.Ask(ask.Question{Command: &c})
+	got, err := k.Do(ask.Request{Command: &c})
 	switch {
 	case err != nil:
 		return err
@@ -149,7 +149,7 @@
 func wait(k ask.Client, numbers []accord.PermitID, out io.Writer) error {
 	said := map[accord.PermitID]string{}
 	for {
-		got, err := k.Ask(ask.Question{Status: true})
+		got, err := k.Do(ask.Request{Status: true})
 		if err != nil {
 			return err
 		}
@@ -163,7 +163,7 @@
 				text += ": " + p.WaitReason
 			}
 			gone := false
-			for _, m := range got.Status.Out {
+			for _, m := range got.Status.Unavailable {
 				if m.Name == p.Member && m.State == accord.MemberGone {
 					text, gone = "out", p.Stage == accord.PermitBegun
 				}
@@ -184,11 +184,11 @@
 }
 
 func status(s *ask.Status, out io.Writer) error {
-	fmt.Fprintf(out, "%s, term %d, entry %d of the log, led by %s, %d stewards, %d members, fleet's time %s\n", s.Steward, s.Term, s.Index, s.Leader, len(s.Others), s.Members, s.Now)
-	if s.Halted != nil {
-		fmt.Fprintf(out, "HALTED by %s: %s\n", s.Halted.By, s.Halted.Reason)
+	fmt.Fprintf(out, "%s, term %d, entry %d of the log, led by %s, %d stewards, %d members, fleet's time %s\n", s.ID, s.Term, s.AppliedIndex, s.Leader, len(s.Coordinators), s.MemberCount, s.FleetTime)
+	if s.Halt != nil {
+		fmt.Fprintf(out, "HALTED by %s: %s\n", s.Halt.By, s.Halt.Reason)
 	}
-	if r := s.Release; r != nil {
+	if r := s.Rollout; r != nil {
 		fmt.Fprintf(out, "release %s to %s by %s: %s, wave %d of %d", r.Name, r.TargetRelease, r.RequestedBy, r.Phase, r.Wave+1, len(r.WaveMembers))
 		if r.WaitReason != "" {
 			fmt.Fprintf(out, ", waits: %s", r.WaitReason)
@@ -200,7 +200,7 @@
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "budget\tof\tmembers\tout\tmay be\tup")
-	for _, u := range s.Uses {
+	for _, u := range s.Budgets {
 		fmt.Fprintf(w, "%s\t%v\t%d\t%d\t%d\t%g\n", u.Budget.Name, u.Budget.Selector, u.Members, u.Unavailable, u.UnavailableLimit, u.AvailableCapacity)
 	}
 	fmt.Fprintln(w, "permit\tmember\tfor\tby\tstage\twaits for")
@@ -208,7 +208,7 @@
 		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\n", p.ID, p.Member, p.Purpose, p.RequestedBy, p.Stage, p.WaitReason)
 	}
 	fmt.Fprintln(w, "out\twhy\tsince\trelease\tzone")
-	for _, m := range s.Out {
+	for _, m := range s.Unavailable {
 		if m.State != accord.MemberUp {
 			fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%s\n", m.Name, m.State, m.StateSince.Round(time.Second), m.Release, m.Zone)
 		}
--- a/internal/command/further/golden_test.go
+++ b/internal/command/further/golden_test.go
@@ -66,11 +66,11 @@
 	budget := accord.DisruptionBudget{Name: "all", Selector: accord.Selector{Zone: "north", Release: "1", Role: "instance", Upstream: "db"}, MaxUnavailable: 3, MaxUnavailableFraction: 0.5, MinAvailableCapacity: 6}
 	member := accord.Member{Observation: accord.Observation{Name: "p001", Incarnation: 12, Zone: "north", Release: "1", Roles: members.RoleServer, Upstream: "db", Capacity: 2, State: accord.MemberGone},
 		StateSince: 5 * time.Second, PermitID: 7, PreviousRelease: "0", FailedAttempts: 1}
-	s := ask.Status{Steward: "s1", Leader: "s2", Leads: true, Term: 3, Index: 44, Others: map[string]string{"s1": "127.0.0.1:7960"}, Now: "1m0s",
-		Halted: &accord.Halt{At: time.Second, By: "bob", Reason: "noise"}, Uses: []accord.BudgetUsage{{Budget: budget, Members: 12, Unavailable: 1, UnavailableLimit: 3, AvailableCapacity: 22}},
-		Release: &accord.Rollout{RolloutPlan: plan, RequestedBy: "ann", Phase: accord.RolloutUpdating, Wave: 1, PhaseSince: 9 * time.Second, Analyzed: true,
+	s := ask.Status{ID: "s1", Leader: "s2", IsLeader: true, Term: 3, AppliedIndex: 44, Coordinators: map[string]string{"s1": "127.0.0.1:7960"}, FleetTime: "1m0s",
+		Halt: &accord.Halt{At: time.Second, By: "bob", Reason: "noise"}, Budgets: []accord.BudgetUsage{{Budget: budget, Members: 12, Unavailable: 1, UnavailableLimit: 3, AvailableCapacity: 22}},
+		Rollout: &accord.Rollout{RolloutPlan: plan, RequestedBy: "ann", Phase: accord.RolloutUpdating, Wave: 1, PhaseSince: 9 * time.Second, Analyzed: true,
 			WaveMembers: [][]accord.Name{{"p001", "p002"}}, WaitReason: "a permit", Reason: "slower"},
-		Permits: []accord.Permit{permit}, Out: []accord.Member{member}, Members: 15}
+		Permits: []accord.Permit{permit}, Unavailable: []accord.Member{member}, MemberCount: 15}
 	return s, []accord.HistoryEntry{{Sequence: 9, At: 61500 * time.Millisecond, RequestedBy: "ann", Kind: accord.KindStartRollout, Summary: "r2 to 2",
 		Reply: accord.Reply{OK: true, Reason: "begun", PermitID: 8, PermitIDs: []accord.PermitID{8, 9}}}}
 }
@@ -92,7 +92,7 @@
 			if err != nil {
 				return
 			}
-			if kind, err := ask.Greeted(c, keys); err == nil && kind == ask.AsOperator {
+			if kind, err := ask.ServerHandshake(c, keys); err == nil && kind == ask.ClientConnection {
 				line, _ := bufio.NewReader(c).ReadString('\n')
 				questions <- line
 				_, _ = c.Write(answer)
@@ -113,14 +113,14 @@
 // What a coordinator answers is read as ever, and "--json" prints it as ever.
 func TestGoldenAnswers(t *testing.T) {
 	status, history := agreed()
-	for name, want := range map[string]ask.Answer{"status": {Status: &status}, "history": {History: history}} {
+	for name, want := range map[string]ask.Response{"status": {Status: &status}, "history": {History: history}} {
 		t.Run(name, func(t *testing.T) {
 			b, err := json.Marshal(want)
 			if err != nil {
 				t.Fatal(err)
 			}
 			golden(t, name+"-answer.json", append(b, '\n'))
-			var got ask.Answer
+			var got ask.Response
 			if err := json.Unmarshal(stored(t, name+"-answer.json"), &got); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/drill/stewards.go
+++ b/internal/drill/stewards.go
@@ -180,10 +180,10 @@
 }
 
 func (w *world) client() ask.Client {
-	k := ask.Client{Limit: 30 * time.Second}
+	k := ask.Client{Timeout: 30 * time.Second}
 	for _, p := range w.procs {
 		if p.steward {
-			k.Stewards = append(k.Stewards, fmt.Sprintf("%s:%d", p.host, stewardPort))
+			k.Coordinators = append(k.Coordinators, fmt.Sprintf("%s:%d", p.host, stewardPort))
 		}
 	}
 	for _, key := range w.keys[:1] {
@@ -231,7 +231,7 @@
 	default:
 		return "", fmt.Errorf("no command %q", text)
 	}
-	a, err := w.client().Ask(ask.Question{Command: &c})
+	a, err := w.client().Do(ask.Request{Command: &c})
 	switch {
 	case err != nil:
 		return "", err
@@ -246,17 +246,17 @@
 // phase is where the release is now, by whichever steward answers.
 func (w *world) phase() string {
 	k := w.client()
-	k.Limit = time.Second
-	a, err := k.Ask(ask.Question{Status: true})
+	k.Timeout = time.Second
+	a, err := k.Do(ask.Request{Status: true})
 	switch {
 	case err != nil:
 		return "unknown"
-	case a.Status.Halted != nil:
+	case a.Status.Halt != nil:
 		return "halted"
-	case a.Status.Release == nil:
+	case a.Status.Rollout == nil:
 		return "none"
 	}
-	return string(a.Status.Release.Phase)
+	return string(a.Status.Rollout.Phase)
 }
 
 // agreed judges what the script says of the end: on which release all instances are, and how many were ever on one.
--- a/internal/fleet/steward/ask/ask.go
+++ b/internal/fleet/steward/ask/ask.go
@@ -22,194 +22,194 @@
 
 // Kinds of connection, the first byte of the proof.
 const (
-	AsSteward  byte = 'r'
-	AsOperator byte = 'o'
+	PeerConnection   byte = 'r'
+	ClientConnection byte = 'o'
 )
 
-// ErrNobody is that there is nobody to agree with.
-var ErrNobody = errors.New("no majority of stewards")
+// ErrNoQuorum is that there is nobody to agree with.
+var ErrNoQuorum = errors.New("no majority of stewards")
 
 const (
-	proofFor = 2 * time.Second  // some round trips of a poor link
-	For      = 15 * time.Second // a question takes
-	Longest  = 1 << 20          // bytes of a question: budgets and plans of thousands of lines
+	handshakeTimeout = 2 * time.Second  // some round trips of a poor link
+	RequestTimeout   = 15 * time.Second // a question takes
+	MaxRequestBytes  = 1 << 20          // bytes of a question: budgets and plans of thousands of lines
 )
 
-// ErrProof is that the other side is none of ours.
-var ErrProof = errors.New("who connects does not have the cluster's key")
+// ErrUnauthenticated is that the other side is none of ours.
+var ErrUnauthenticated = errors.New("who connects does not have the cluster's key")
 
-// prove is the proof of one side over both sides' numbers. An empty key proves nothing, and there are none without.
-func prove(key members.Key, side byte, nonces []byte) []byte {
-	h := hmac.New(sha256.New, key)
-	h.Write([]byte{side})
-	h.Write(nonces)
-	return h.Sum(nil)
+// handshakeMAC is the proof of one side over both sides' numbers. An empty key proves nothing, and there are none without.
+func handshakeMAC(key members.Key, side byte, nonces []byte) []byte {
+	mac := hmac.New(sha256.New, key)
+	mac.Write([]byte{side})
+	mac.Write(nonces)
+	return mac.Sum(nil)
 }
 
-// greet is the proof of who dials: both draw a number, both prove that they know the key. Danger: a stranger that listens where a steward was.
-func greet(c net.Conn, keys []members.Key, kind byte) error {
-	_ = c.SetDeadline(time.Now().Add(proofFor))
-	var own, theirs [16]byte
-	if _, err := rand.Read(own[:]); err != nil {
+// clientHandshake is the proof of who dials: both draw a number, both prove that they know the key. Danger: a stranger that listens where a steward was.
+func clientHandshake(conn net.Conn, keys []members.Key, connectionKind byte) error {
+	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout))
+	var ownNonce, peerNonce [16]byte
+	if _, err := rand.Read(ownNonce[:]); err != nil {
 		return err
 	}
-	if _, err := c.Write(own[:]); err != nil {
+	if _, err := conn.Write(ownNonce[:]); err != nil {
 		return err
 	}
-	if _, err := io.ReadFull(c, theirs[:]); err != nil {
+	if _, err := io.ReadFull(conn, peerNonce[:]); err != nil {
 		return err
 	}
-	both := append(append(theirs[:], own[:]...), kind)
-	if _, err := c.Write(append([]byte{kind}, prove(keys[0], 'd', both)...)); err != nil {
+	transcript := append(append(peerNonce[:], ownNonce[:]...), connectionKind)
+	if _, err := conn.Write(append([]byte{connectionKind}, handshakeMAC(keys[0], 'd', transcript)...)); err != nil {
 		return err
 	}
-	back := make([]byte, sha256.Size)
-	if _, err := io.ReadFull(c, back); err != nil {
-		return ErrProof
+	peerMAC := make([]byte, sha256.Size)
+	if _, err := io.ReadFull(conn, peerMAC); err != nil {
+		return ErrUnauthenticated
 	}
-	for _, k := range keys {
-		if hmac.Equal(back, prove(k, 'l', both)) {
-			return c.SetDeadline(time.Time{})
+	for _, key := range keys {
+		if hmac.Equal(peerMAC, handshakeMAC(key, 'l', transcript)) {
+			return conn.SetDeadline(time.Time{})
 		}
 	}
-	return ErrProof
+	return ErrUnauthenticated
 }
 
-// Greeted is the other side: it gives what the one who connected wants.
-func Greeted(c net.Conn, keys []members.Key) (kind byte, err error) {
-	_ = c.SetDeadline(time.Now().Add(proofFor))
-	var own, theirs [16]byte
-	if _, err := rand.Read(own[:]); err != nil {
+// ServerHandshake is the other side: it gives what the one who connected wants.
+func ServerHandshake(conn net.Conn, keys []members.Key) (kind byte, err error) {
+	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout))
+	var ownNonce, peerNonce [16]byte
+	if _, err := rand.Read(ownNonce[:]); err != nil {
 		return 0, err
 	}
-	if _, err := io.ReadFull(c, theirs[:]); err != nil {
+	if _, err := io.ReadFull(conn, peerNonce[:]); err != nil {
 		return 0, err
 	}
-	if _, err := c.Write(own[:]); err != nil {
+	if _, err := conn.Write(ownNonce[:]); err != nil {
 		return 0, err
 	}
-	said := make([]byte, 1+sha256.Size)
-	if _, err := io.ReadFull(c, said); err != nil {
+	proof := make([]byte, 1+sha256.Size)
+	if _, err := io.ReadFull(conn, proof); err != nil {
 		return 0, err
 	}
-	both := append(append(own[:], theirs[:]...), said[0])
-	for _, k := range keys {
-		if hmac.Equal(said[1:], prove(k, 'd', both)) {
-			if _, err := c.Write(prove(k, 'l', both)); err != nil {
+	transcript := append(append(ownNonce[:], peerNonce[:]...), proof[0])
+	for _, key := range keys {
+		if hmac.Equal(proof[1:], handshakeMAC(key, 'd', transcript)) {
+			if _, err := conn.Write(handshakeMAC(key, 'l', transcript)); err != nil {
 				return 0, err
 			}
-			return said[0], c.SetDeadline(time.Time{})
+			return proof[0], conn.SetDeadline(time.Time{})
 		}
 	}
-	return 0, ErrProof
+	return 0, ErrUnauthenticated
 }
 
 // Dial connects, proves the key and has it proven.
-func Dial(at, from string, keys []members.Key, kind byte, limit time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: limit}
-	if from != "" {
-		d.LocalAddr = &net.TCPAddr{IP: net.ParseIP(from)}
+func Dial(addr, localIP string, keys []members.Key, kind byte, timeout time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout}
+	if localIP != "" {
+		dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(localIP)}
 	}
-	c, err := d.Dial("tcp", at)
+	conn, err := dialer.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	if err := greet(c, keys, kind); err != nil {
-		c.Close()
+	if err := clientHandshake(conn, keys, kind); err != nil {
+		conn.Close()
 		return nil, err
 	}
-	return c, nil
+	return conn, nil
 }
 
-// Question is what an operator, or a steward that wants to join, asks. One of its fields is set.
-type Question struct {
-	Command *accord.Command `json:"Command,omitempty"`
-	Status  bool            `json:"Status,omitempty"`
-	History bool            `json:"History,omitempty"`
-	Join    *Joining        `json:"Join,omitempty"`
-	Leave   string          `json:"Leave,omitempty"`
+// Request is what an operator, or a steward that wants to join, asks. One of its fields is set.
+type Request struct {
+	Command           *accord.Command `json:"Command,omitempty"`
+	Status            bool            `json:"Status,omitempty"`
+	History           bool            `json:"History,omitempty"`
+	Join              *JoinRequest    `json:"Join,omitempty"`
+	RemoveCoordinator string          `json:"Leave,omitempty"`
 }
 
-// Joining is a steward that wants to be one of those that agree.
-type Joining struct {
-	ID string `json:"ID"`
-	At string `json:"At"`
+// JoinRequest is a steward that wants to be one of those that agree.
+type JoinRequest struct {
+	ID   string `json:"ID"`
+	Addr string `json:"At"`
 }
 
-// Answer is what comes back. Leader, where it is set, is whom to ask instead.
-type Answer struct {
-	Error   string                `json:"Error,omitempty"`
-	Leader  string                `json:"Leader,omitempty"`
-	Reply   *accord.Reply         `json:"Reply,omitempty"`
-	Status  *Status               `json:"Status,omitempty"`
-	History []accord.HistoryEntry `json:"History,omitempty"`
-	Over    []accord.Permit       `json:"Over,omitempty"`
+// Response is what comes back. Leader, where it is set, is whom to ask instead.
+type Response struct {
+	Error        string                `json:"Error,omitempty"`
+	Leader       string                `json:"Leader,omitempty"`
+	Reply        *accord.Reply         `json:"Reply,omitempty"`
+	Status       *Status               `json:"Status,omitempty"`
+	History      []accord.HistoryEntry `json:"History,omitempty"`
+	EndedPermits []accord.Permit       `json:"Over,omitempty"`
 }
 
 // Status is what is agreed, for whoever looks.
 type Status struct {
-	Steward string               `json:"steward"`
-	Leader  string               `json:"leader"`
-	Leads   bool                 `json:"leads"`
-	Term    uint64               `json:"term"`
-	Index   uint64               `json:"index"` // of the log
-	Others  map[string]string    `json:"stewards"`
-	Now     string               `json:"now"`
-	Halted  *accord.Halt         `json:"halted,omitempty"`
-	Release *accord.Rollout      `json:"release,omitempty"`
-	Uses    []accord.BudgetUsage `json:"budgets"`
-	Permits []accord.Permit      `json:"permits"`
-	Out     []accord.Member      `json:"out"`
-	Members int                  `json:"members"`
+	ID           string               `json:"steward"`
+	Leader       string               `json:"leader"`
+	IsLeader     bool                 `json:"leads"`
+	Term         uint64               `json:"term"`
+	AppliedIndex uint64               `json:"index"` // of the log
+	Coordinators map[string]string    `json:"stewards"`
+	FleetTime    string               `json:"now"`
+	Halt         *accord.Halt         `json:"halted,omitempty"`
+	Rollout      *accord.Rollout      `json:"release,omitempty"`
+	Budgets      []accord.BudgetUsage `json:"budgets"`
+	Permits      []accord.Permit      `json:"permits"`
+	Unavailable  []accord.Member      `json:"out"`
+	MemberCount  int                  `json:"members"`
 }
 
 // Client asks stewards, whichever leads.
 type Client struct {
-	Stewards []string
-	Keys     []members.Key
-	From     string
-	Limit    time.Duration // until it gives up
+	Coordinators []string
+	Keys         []members.Key
+	LocalIP      string
+	Timeout      time.Duration // until it gives up
 }
 
-// Ask asks until one that may answer does. A question that changes something has a key, so that it may be asked twice.
-func (k Client) Ask(q Question) (Answer, error) {
-	until := time.Now().Add(k.Limit)
-	last := errors.New("no steward is told")
-	next := ""
-	for n := 0; time.Now().Before(until) && len(k.Stewards) > 0; n++ {
-		at := k.Stewards[n%len(k.Stewards)]
-		if next != "" {
-			at, next = next, ""
+// Do asks until one that may answer does. A question that changes something has a key, so that it may be asked twice.
+func (k Client) Do(request Request) (Response, error) {
+	deadline := time.Now().Add(k.Timeout)
+	lastErr := errors.New("no steward is told")
+	redirect := ""
+	for attempt := 0; time.Now().Before(deadline) && len(k.Coordinators) > 0; attempt++ {
+		addr := k.Coordinators[attempt%len(k.Coordinators)]
+		if redirect != "" {
+			addr, redirect = redirect, ""
 		}
-		a, err := k.once(at, q)
+		response, err := k.roundTrip(addr, request)
 		switch {
 		case err != nil:
-			last = fmt.Errorf("%s: %w", at, err)
-			if errors.Is(err, ErrProof) {
-				return a, last
+			lastErr = fmt.Errorf("%s: %w", addr, err)
+			if errors.Is(err, ErrUnauthenticated) {
+				return response, lastErr
 			}
-		case a.Leader != "" && a.Leader != at:
-			next = a.Leader
-			last = fmt.Errorf("%s says that %s leads", at, a.Leader)
-		case a.Error != "" && a.Error == ErrNobody.Error():
-			last = fmt.Errorf("%s: %w", at, ErrNobody)
+		case response.Leader != "" && response.Leader != addr:
+			redirect = response.Leader
+			lastErr = fmt.Errorf("%s says that %s leads", addr, response.Leader)
+		case response.Error != "" && response.Error == ErrNoQuorum.Error():
+			lastErr = fmt.Errorf("%s: %w", addr, ErrNoQuorum)
 		default:
-			return a, nil
+			return response, nil
 		}
-		time.Sleep(min(200*time.Millisecond, time.Duration(n)*50*time.Millisecond))
+		time.Sleep(min(200*time.Millisecond, time.Duration(attempt)*50*time.Millisecond))
 	}
-	return Answer{}, last
+	return Response{}, lastErr
 }
 
-func (k Client) once(at string, q Question) (a Answer, err error) {
-	c, err := Dial(at, k.From, k.Keys, AsOperator, time.Second)
+func (k Client) roundTrip(addr string, request Request) (response Response, err error) {
+	conn, err := Dial(addr, k.LocalIP, k.Keys, ClientConnection, time.Second)
 	if err != nil {
-		return a, err
+		return response, err
 	}
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(For))
-	if err := json.NewEncoder(c).Encode(q); err != nil {
-		return a, err
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(RequestTimeout))
+	if err := json.NewEncoder(conn).Encode(request); err != nil {
+		return response, err
 	}
-	return a, json.NewDecoder(c).Decode(&a)
+	return response, json.NewDecoder(conn).Decode(&response)
 }
--- a/internal/fleet/steward/ask/golden_test.go
+++ b/internal/fleet/steward/ask/golden_test.go
@@ -36,7 +36,7 @@
 	plan  = accord.RolloutPlan{Name: "r2", TargetRelease: "2", Selector: match, Waves: []accord.Wave{{Count: 3, Fraction: 0.1, Zone: "b"}},
 		Pause: 10 * time.Second, AnalysisRequired: true, RollbackWavesAtOnce: 2.5, MaxAttempts: 3}
 
-	questions = []Question{
+	questions = []Request{
 		{Command: &accord.Command{Term: 7, LeaderTime: 1500 * time.Millisecond, IdempotencyKey: "0123456789abcdef", RequestedBy: "operator",
 			Kind: accord.KindStartRollout, Observations: []accord.Observation{seen},
 			Budgets: []accord.DisruptionBudget{budget}, Member: "n1", Incarnation: 1_700_000_000_001, Selector: match, PermitID: 42,
@@ -44,29 +44,29 @@
 			RolloutName: "r2", Wave: 1, Healthy: true}},
 		{Status: true},
 		{History: true},
-		{Join: &Joining{ID: "s1.0a1b2c3d", At: "127.0.0.1:7400"}},
-		{Leave: "s1"},
+		{Join: &JoinRequest{ID: "s1.0a1b2c3d", Addr: "127.0.0.1:7400"}},
+		{RemoveCoordinator: "s1"},
 	}
-	answers = []Answer{
+	answers = []Response{
 		{Error: "no majority of stewards"},
 		{Leader: "127.0.0.1:7401"},
 		{Reply: &reply},
 		{Status: &Status{
-			Steward: "s0.0a1b2c3d", Leader: "127.0.0.1:7400", Leads: true, Term: 7, Index: 99,
-			Others: map[string]string{"s0.0a1b2c3d": "127.0.0.1:7400"}, Now: "1m30s",
-			Halted: &accord.Halt{At: 85 * time.Second, By: "operator", Reason: "for the night"},
+			ID: "s0.0a1b2c3d", Leader: "127.0.0.1:7400", IsLeader: true, Term: 7, AppliedIndex: 99,
+			Coordinators: map[string]string{"s0.0a1b2c3d": "127.0.0.1:7400"}, FleetTime: "1m30s",
+			Halt: &accord.Halt{At: 85 * time.Second, By: "operator", Reason: "for the night"},
 			// Of and Judged of a Release hide those of its Plan, which are not spoken.
-			Release: &accord.Rollout{RolloutPlan: accord.RolloutPlan{Name: "r2", TargetRelease: "2", Waves: plan.Waves, Pause: plan.Pause,
+			Rollout: &accord.Rollout{RolloutPlan: accord.RolloutPlan{Name: "r2", TargetRelease: "2", Waves: plan.Waves, Pause: plan.Pause,
 				RollbackWavesAtOnce: 2.5, MaxAttempts: 3}, RequestedBy: "operator", Phase: accord.RolloutAnalyzing,
 				Wave: 1, PhaseSince: 75 * time.Second, WaveMembers: [][]accord.Name{{"n1"}, {"n2"}}, WaitReason: "the verdict on wave 2",
 				Analyzed: true, Reason: "slower"},
-			Uses:    []accord.BudgetUsage{{Budget: budget, Members: 8, Unavailable: 1, UnavailableLimit: 2, AvailableCapacity: 10.5}},
-			Permits: []accord.Permit{permit},
-			Out:     []accord.Member{{Observation: seen, StateSince: 70 * time.Second, PermitID: 42, PreviousRelease: "0", FailedAttempts: 1}},
-			Members: 9,
+			Budgets:     []accord.BudgetUsage{{Budget: budget, Members: 8, Unavailable: 1, UnavailableLimit: 2, AvailableCapacity: 10.5}},
+			Permits:     []accord.Permit{permit},
+			Unavailable: []accord.Member{{Observation: seen, StateSince: 70 * time.Second, PermitID: 42, PreviousRelease: "0", FailedAttempts: 1}},
+			MemberCount: 9,
 		}},
 		{History: []accord.HistoryEntry{{Sequence: 3, At: 50 * time.Second, RequestedBy: "operator", Kind: accord.KindDrain, Summary: "zone=a",
-			Reply: reply}}, Over: []accord.Permit{permit}},
+			Reply: reply}}, EndedPermits: []accord.Permit{permit}},
 	}
 )
 
@@ -135,7 +135,7 @@
 			covered[name] = true
 		}
 	}
-	if n := reflect.TypeFor[Question]().NumField(); len(covered) != n {
+	if n := reflect.TypeFor[Request]().NumField(); len(covered) != n {
 		t.Errorf("questions cover %v of %d fields", covered, n)
 	}
 	clear(covered)
@@ -144,11 +144,11 @@
 			covered[name] = true
 		}
 	}
-	if n := reflect.TypeFor[Answer]().NumField(); len(covered) != n {
+	if n := reflect.TypeFor[Response]().NumField(); len(covered) != n {
 		t.Errorf("answers cover %v of %d fields", covered, n)
 	}
-	for _, x := range []any{*answers[3].Status, *questions[0].Command, *questions[3].Join, *answers[3].Status.Halted,
-		answers[3].Status.Out[0], permit, reply} {
+	for _, x := range []any{*answers[3].Status, *questions[0].Command, *questions[3].Join, *answers[3].Status.Halt,
+		answers[3].Status.Unavailable[0], permit, reply} {
 		if n := reflect.TypeOf(x).NumField(); len(set(x)) != n {
 			t.Errorf("%T has %d fields, shown are %v", x, n, set(x))
 		}
@@ -178,8 +178,8 @@
 			heard <- line
 			_, _ = io.WriteString(c, said[2+i%3]+"\n") // the first two answers would have it ask elsewhere
 		}()
-		got, err := Client{Stewards: []string{l.Addr().String()}, Keys: []members.Key{key},
-			Limit: 5 * time.Second}.Ask(q)
+		got, err := Client{Coordinators: []string{l.Addr().String()}, Keys: []members.Key{key},
+			Timeout: 5 * time.Second}.Do(q)
 		if err != nil || !reflect.DeepEqual(got, answers[2+i%3]) {
 			t.Errorf("question %d: answered %+v %v", i, got, err)
 		}
@@ -223,17 +223,17 @@
 func TestProofGolden(t *testing.T) {
 	key := members.Key("0123456789abcdef0123456789abcdef")
 	const want = "d2b5fc6ec5591b99529923fc42469d4f235c0081d186a6f9249ec08b2bbd9c2f"
-	if got := hex.EncodeToString(prove(key, 'd', []byte("listener's bytesdialer's bytes..o"))); got != want {
+	if got := hex.EncodeToString(handshakeMAC(key, 'd', []byte("listener's bytesdialer's bytes..o"))); got != want {
 		t.Errorf("%s, wanted %s", got, want)
 	}
-	if AsSteward != 'r' || AsOperator != 'o' {
-		t.Error(AsSteward, AsOperator)
+	if PeerConnection != 'r' || ClientConnection != 'o' {
+		t.Error(PeerConnection, ClientConnection)
 	}
-	for _, kind := range []byte{AsSteward, AsOperator} {
+	for _, kind := range []byte{PeerConnection, ClientConnection} {
 		here, there := net.Pipe()
 		done := make(chan error, 1)
 		go func() {
-			got, err := Greeted(here, []members.Key{members.Key("another key of as many bytes...."), key})
+			got, err := ServerHandshake(here, []members.Key{members.Key("another key of as many bytes...."), key})
 			if err == nil && got != kind {
 				err = fmt.Errorf("taken for %q", got)
 			}
@@ -260,7 +260,7 @@
 		there.Close()
 		here.Close()
 	}
-	if ErrNobody.Error() != "no majority of stewards" { // a client decides by it
-		t.Error(ErrNobody)
+	if ErrNoQuorum.Error() != "no majority of stewards" { // a client decides by it
+		t.Error(ErrNoQuorum)
 	}
 }
--- a/internal/fleet/steward/node.go
+++ b/internal/fleet/steward/node.go
@@ -161,7 +161,7 @@
 	}
 	future := n.raft.Apply(data, 2*n.config.Beat)
 	if err := future.Error(); err != nil {
-		return accord.Reply{}, fmt.Errorf("%w: %w", ask.ErrNobody, err)
+		return accord.Reply{}, fmt.Errorf("%w: %w", ask.ErrNoQuorum, err)
 	}
 	return future.Response().(accord.Reply), nil
 }
--- a/internal/fleet/steward/speak_test.go
+++ b/internal/fleet/steward/speak_test.go
@@ -20,7 +20,7 @@
 	x := newStreamLayer(s, l)
 	said := make(chan error)
 	go func() {
-		_, err := ask.Client{Stewards: []string{l.Addr().String()}, Keys: keys, Limit: time.Second}.Ask(ask.Question{History: false})
+		_, err := ask.Client{Coordinators: []string{l.Addr().String()}, Keys: keys, Timeout: time.Second}.Do(ask.Request{History: false})
 		said <- err
 	}()
 	standin.Until("it is being asked", func() bool { return len(x.slots) == 1 })
--- a/internal/fleet/steward/steward.go
+++ b/internal/fleet/steward/steward.go
@@ -149,7 +149,7 @@
 				others = append(others, addr)
 			}
 		}
-		response, err := ask.Client{Stewards: others, Keys: s.loadClusterKeys(), From: s.config.From, Limit: 5 * time.Second}.Ask(ask.Question{Join: &ask.Joining{ID: string(s.replica.id), At: s.config.At}})
+		response, err := ask.Client{Coordinators: others, Keys: s.loadClusterKeys(), LocalIP: s.config.From, Timeout: 5 * time.Second}.Do(ask.Request{Join: &ask.JoinRequest{ID: string(s.replica.id), Addr: s.config.At}})
 		if err == nil && response.Error != "" {
 			err = errors.New(response.Error)
 		}
@@ -195,7 +195,7 @@
 func (s *Coordinator) propose(command accord.Command) (accord.Reply, error) {
 	term, isLeader := s.replica.leaderTerm()
 	if !isLeader {
-		return accord.Reply{}, ask.ErrNobody
+		return accord.Reply{}, ask.ErrNoQuorum
 	}
 	command.Term, command.LeaderTime = term, time.Since(s.startedAt) // by the clock that does not jump
 	return s.replica.apply(command)
@@ -470,32 +470,32 @@
 }
 
 func (s *Coordinator) status() *ask.Status {
-	status := &ask.Status{Steward: string(s.replica.id), Leader: s.replica.leaderAddr(), Term: s.replica.raft.CurrentTerm(), Index: s.replica.raft.AppliedIndex(), Others: map[string]string{}}
-	_, status.Leads = s.replica.leaderTerm()
+	status := &ask.Status{ID: string(s.replica.id), Leader: s.replica.leaderAddr(), Term: s.replica.raft.CurrentTerm(), AppliedIndex: s.replica.raft.AppliedIndex(), Coordinators: map[string]string{}}
+	_, status.IsLeader = s.replica.leaderTerm()
 	if config := s.replica.raft.GetConfiguration(); config.Error() == nil {
 		for _, x := range config.Configuration().Servers {
-			status.Others[string(x.ID)] = string(x.Address)
+			status.Coordinators[string(x.ID)] = string(x.Address)
 		}
 	}
 	s.replica.inspect(func(state *accord.State) {
-		status.Now, status.Members = state.Now.Round(time.Millisecond).String(), len(state.Members)
+		status.FleetTime, status.MemberCount = state.Now.Round(time.Millisecond).String(), len(state.Members)
 		if state.Halt != nil {
 			h := *state.Halt
-			status.Halted = &h
+			status.Halt = &h
 		}
 		if state.Rollout != nil {
 			r := *state.Rollout
-			status.Release = &r
+			status.Rollout = &r
 		}
 		for _, b := range state.Budgets {
-			status.Uses = append(status.Uses, state.Usage(b))
+			status.Budgets = append(status.Budgets, state.Usage(b))
 		}
 		for _, id := range slices.Sorted(maps.Keys(state.Permits)) {
 			status.Permits = append(status.Permits, *state.Permits[id])
 		}
 		for _, name := range slices.Sorted(maps.Keys(state.Members)) {
 			if m := state.Members[name]; m.State != accord.MemberUp || m.PermitID > 0 {
-				status.Out = append(status.Out, *m)
+				status.Unavailable = append(status.Unavailable, *m)
 			}
 		}
 	})
@@ -503,20 +503,20 @@
 }
 
 // handle answers a question. Any steward shows what it knows; only the one that leads takes commands, others say who that is.
-func (s *Coordinator) handle(request ask.Question) (response ask.Answer) {
+func (s *Coordinator) handle(request ask.Request) (response ask.Response) {
 	switch {
 	case request.Status:
 		response.Status = s.status()
 		return response
 	case request.History:
 		s.replica.inspect(func(state *accord.State) {
-			response.History, response.Over = slices.Clone(state.History), slices.Clone(state.EndedPermits)
+			response.History, response.EndedPermits = slices.Clone(state.History), slices.Clone(state.EndedPermits)
 		})
 		return response
 	}
 	if _, isLeader := s.replica.leaderTerm(); !isLeader || s.shuttingDown.Load() {
 		if response.Leader = s.replica.leaderAddr(); response.Leader == "" || response.Leader == s.config.At {
-			response.Leader, response.Error = "", ask.ErrNobody.Error()
+			response.Leader, response.Error = "", ask.ErrNoQuorum.Error()
 		}
 		return response
 	}
@@ -528,14 +528,14 @@
 			response.Reply = &reply
 		}
 	case request.Join != nil:
-		err = s.replica.addVoter(raft.ServerID(request.Join.ID), request.Join.At)
-	case request.Leave != "":
-		err = s.replica.removeVoter(request.Leave)
+		err = s.replica.addVoter(raft.ServerID(request.Join.ID), request.Join.Addr)
+	case request.RemoveCoordinator != "":
+		err = s.replica.removeVoter(request.RemoveCoordinator)
 	}
 	if err != nil {
 		response.Error = err.Error()
-		if errors.Is(err, ask.ErrNobody) {
-			response.Error = ask.ErrNobody.Error()
+		if errors.Is(err, ask.ErrNoQuorum) {
+			response.Error = ask.ErrNoQuorum.Error()
 		}
 	}
 	return response
--- a/internal/fleet/steward/steward_test.go
+++ b/internal/fleet/steward/steward_test.go
@@ -115,15 +115,15 @@
 }
 
 func (t *testFleet) client() ask.Client {
-	k := ask.Client{Keys: []members.Key{clusterKey}, Limit: standin.Patience}
+	k := ask.Client{Keys: []members.Key{clusterKey}, Timeout: standin.Patience}
 	for _, told := range t.configs {
-		k.Stewards = append(k.Stewards, told.Listen)
+		k.Coordinators = append(k.Coordinators, told.Listen)
 	}
 	return k
 }
 
 func (t *testFleet) propose(c accord.Command) accord.Reply {
-	a := standin.Must(t.client().Ask(ask.Question{Command: &c}))
+	a := standin.Must(t.client().Do(ask.Request{Command: &c}))
 	if a.Reply == nil {
 		panic(a.Error)
 	}
@@ -135,7 +135,7 @@
 	standin.Until("a leader", func() bool {
 		for k, s := range t.coordinators {
 			if s != nil && s.IsLeader() {
-				if st := s.status(); len(st.Others) == voters && st.Members >= instances {
+				if st := s.status(); len(st.Coordinators) == voters && st.MemberCount >= instances {
 					i = k
 					return true
 				}
@@ -170,8 +170,8 @@
 	fmt.Println(t.propose(accord.Command{Kind: accord.KindBeginPermit, Member: "n1", Incarnation: 1, PermitID: 2}))
 	k := t.client()
 	k.Keys = []members.Key{members.Key("another key of as many bytes....")}
-	_, err := k.Ask(ask.Question{Status: true})
-	fmt.Println(strings.Contains(fmt.Sprint(err), ask.ErrProof.Error()))
+	_, err := k.Do(ask.Request{Status: true})
+	fmt.Println(strings.Contains(fmt.Sprint(err), ask.ErrUnauthenticated.Error()))
 	t.startCoordinator(first)
 	t.markUp(0, 2, "1")
 	standin.Until("n0's permit to be over, and n1's granted, at all three", func() bool {
@@ -211,8 +211,8 @@
 	t.kill(1)
 	t.kill(2)
 	k := t.client()
-	k.Limit = 2 * time.Second
-	_, err := k.Ask(ask.Question{Command: &accord.Command{Kind: accord.KindRequestPermit, Member: "n1"}})
+	k.Timeout = 2 * time.Second
+	_, err := k.Do(ask.Request{Command: &accord.Command{Kind: accord.KindRequestPermit, Member: "n1"}})
 	fmt.Println("without a majority:", err != nil)
 	t.kill(0)
 	tear := func(pattern string, cut int64) {
@@ -239,10 +239,10 @@
 	t.leader(3, 3)
 	_, err = New(t.configs[0])
 	fmt.Println(err != nil) // two on one folder, or one address
-	st := standin.Must(t.client().Ask(ask.Question{Status: true})).Status
-	fmt.Println(st.Halted != nil && st.Halted.Reason == "for the night", len(st.Others), st.Uses[0].Budget.Name)
-	h := standin.Must(t.client().Ask(ask.Question{History: true}))
-	fmt.Println(h.Over[0].Outcome, len(h.History) > 200)
+	st := standin.Must(t.client().Do(ask.Request{Status: true})).Status
+	fmt.Println(st.Halt != nil && st.Halt.Reason == "for the night", len(st.Coordinators), st.Budgets[0].Budget.Name)
+	h := standin.Must(t.client().Do(ask.Request{History: true}))
+	fmt.Println(h.EndedPermits[0].Outcome, len(h.History) > 200)
 	// Output:
 	// without a majority: true
 	// true
@@ -280,7 +280,7 @@
 		// One that leads still has its log to take in: what was told before shows a moment later, and has to.
 		standin.Until(fmt.Sprintf("the budget, cut at %d of %d", cut, end), func() bool {
 			st := w.coordinators[0].status()
-			return len(st.Uses) == 1 && st.Uses[0].Budget.Name == "one"
+			return len(st.Budgets) == 1 && st.Budgets[0].Budget.Name == "one"
 		})
 		w.kill(0)
 		if err := os.WriteFile(log, text, 0o600); err != nil {
@@ -308,7 +308,7 @@
 	defer w.close()
 	w.leader(3, 3)
 	w.propose(oneAtATime)
-	standin.Until("all to be known", func() bool { return w.coordinators[w.leader(3, 3)].status().Members == 4 })
+	standin.Until("all to be known", func() bool { return w.coordinators[w.leader(3, 3)].status().MemberCount == 4 })
 	type input struct{ c accord.Command }
 	var mu sync.Mutex
 	var history []porcupine.Operation
