--- a/internal/command/further/agree.go
+++ b/internal/command/further/agree.go
@@ -30,7 +30,7 @@
 	if !o.File.Coordinator.Enabled || len(o.ClusterKeys) == 0 {
 		return fmt.Errorf("%s: wants the sections [fleet], with keys, and [steward]", a.File)
 	}
-	k := ask.Client{Coordinators: o.File.Coordinator.Config.Others, Keys: o.ClusterKeys, Timeout: 20 * time.Second}
+	k := ask.Client{Coordinators: o.File.Coordinator.Config.Coordinators, Keys: o.ClusterKeys, Timeout: 20 * time.Second}
 	show := func(v any) error {
 		e := json.NewEncoder(out)
 		e.SetIndent("", "  ")
--- a/internal/fleet/steward/golden_test.go
+++ b/internal/fleet/steward/golden_test.go
@@ -35,9 +35,9 @@
 )
 
 func goldenTold(folder string) Config {
-	return Config{Name: "s0", Listen: "127.0.0.1:0", At: goldenAt, Folder: folder, Begin: true,
-		Beat: 300 * time.Millisecond, Keys: []members.Key{clusterKey}, Accord: accord.DefaultConfig(),
-		Judge: judge.DefaultConfig(), Window: time.Second, Asked: 8, Patience: time.Second, Output: 64, Snapshot: 1000}
+	return Config{Name: "s0", ListenAddr: "127.0.0.1:0", AdvertiseAddr: goldenAt, DataDir: folder, Bootstrap: true,
+		HeartbeatTimeout: 300 * time.Millisecond, ClusterKeys: []members.Key{clusterKey}, Coordination: accord.DefaultConfig(),
+		Canary: judge.DefaultConfig(), AnalysisWindow: time.Second, SampleSize: 8, RestartTimeout: time.Second, RestartOutputLimit: 64, SnapshotThreshold: 1000}
 }
 
 // goldenCommands are of every kind, and come out well unless said; at is when the first is given, from is the number of
@@ -354,7 +354,7 @@
 		0o700); err != nil {
 		t.Fatal(err)
 	}
-	s := &Coordinator{config: Config{Restart: script + " at={name} to={release}", Patience: 10 * time.Second, Output: 64}}
+	s := &Coordinator{config: Config{RestartCommand: script + " at={name} to={release}", RestartTimeout: 10 * time.Second, RestartOutputLimit: 64}}
 	if !s.runRestartCommand(accord.Permit{Member: "n1", ID: 42}, "2") {
 		t.Fatal("the command failed")
 	}
--- a/internal/fleet/steward/node.go
+++ b/internal/fleet/steward/node.go
@@ -30,7 +30,7 @@
 )
 
 // Config is what a steward goes by.
-type Config = told.Told
+type Config = told.Config
 
 // replica is one steward's copy of the agreed state.
 type replica struct {
@@ -48,13 +48,13 @@
 
 // openReplica starts the copy in its folder. Connections of the other stewards come by stream.
 func openReplica(config Config, streamLayer raft.StreamLayer) (*replica, error) {
-	if err := os.MkdirAll(config.Folder, 0o700); err != nil {
+	if err := os.MkdirAll(config.DataDir, 0o700); err != nil {
 		return nil, err
 	}
-	r := &replica{config: config, state: accord.NewState(config.Accord), metaStore: &metadb.BoltMetaDB{}}
+	r := &replica{config: config, state: accord.NewState(config.Coordination), metaStore: &metadb.BoltMetaDB{}}
 	var err error
-	if r.dirLock, err = lock.Hold(filepath.Join(config.Folder, "lock"), func() bool { return false }); err != nil {
-		return nil, fmt.Errorf("%s: %w", config.Folder, err)
+	if r.dirLock, err = lock.Hold(filepath.Join(config.DataDir, "lock"), func() bool { return false }); err != nil {
+		return nil, fmt.Errorf("%s: %w", config.DataDir, err)
 	}
 	opened := false
 	defer func() {
@@ -65,11 +65,11 @@
 	if r.id, err = loadServerID(config); err != nil {
 		return nil, err
 	}
-	if r.wal, err = wal.Open(config.Folder, wal.WithMetaStore(r.metaStore)); err != nil {
-		return nil, fmt.Errorf("the log in %s: %w", config.Folder, err)
+	if r.wal, err = wal.Open(config.DataDir, wal.WithMetaStore(r.metaStore)); err != nil {
+		return nil, fmt.Errorf("the log in %s: %w", config.DataDir, err)
 	}
 	logger := hclog.New(&hclog.LoggerOptions{Output: &raftLogWriter{}, Level: hclog.Warn, DisableTime: true})
-	snapshots, err := raft.NewFileSnapshotStoreWithLogger(config.Folder, 2, logger)
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(config.DataDir, 2, logger)
 	if err != nil {
 		return nil, err
 	}
@@ -77,29 +77,29 @@
 	raftConfig := raft.DefaultConfig()
 	raftConfig.LocalID, raftConfig.Logger = r.id, logger
 	// A leader that is cut off knows it after one beat, the others after one more.
-	raftConfig.HeartbeatTimeout, raftConfig.ElectionTimeout, raftConfig.LeaderLeaseTimeout, raftConfig.CommitTimeout = config.Beat, config.Beat, config.Beat/2, config.Beat/20
-	raftConfig.SnapshotThreshold, raftConfig.TrailingLogs, raftConfig.SnapshotInterval = config.Snapshot, config.Snapshot/4, 10*time.Second
+	raftConfig.HeartbeatTimeout, raftConfig.ElectionTimeout, raftConfig.LeaderLeaseTimeout, raftConfig.CommitTimeout = config.HeartbeatTimeout, config.HeartbeatTimeout, config.HeartbeatTimeout/2, config.HeartbeatTimeout/20
+	raftConfig.SnapshotThreshold, raftConfig.TrailingLogs, raftConfig.SnapshotInterval = config.SnapshotThreshold, config.SnapshotThreshold/4, 10*time.Second
 	raftConfig.LogLevel = "WARN"
-	if config.Begin {
+	if config.Bootstrap {
 		exists, err := raft.HasExistingState(r.wal, r.wal, snapshots)
 		if err != nil {
 			return nil, err
 		}
 		if exists { // Danger: a start by the same line as the first one would be a second fleet
 			slog.Info("steward", "begin", "there is a state already")
-		} else if err := raft.BootstrapCluster(raftConfig, r.wal, r.wal, snapshots, r.transport, raft.Configuration{Servers: []raft.Server{{ID: r.id, Address: raft.ServerAddress(config.At)}}}); err != nil {
+		} else if err := raft.BootstrapCluster(raftConfig, r.wal, r.wal, snapshots, r.transport, raft.Configuration{Servers: []raft.Server{{ID: r.id, Address: raft.ServerAddress(config.AdvertiseAddr)}}}); err != nil {
 			return nil, err
 		}
 	}
-	if config.Alone {
+	if config.ForceNewCluster {
 		slog.Warn("steward", "alone", string(r.id))
-		if err := raft.RecoverCluster(raftConfig, (*stateMachine)(r), r.wal, r.wal, snapshots, r.transport, raft.Configuration{Servers: []raft.Server{{ID: r.id, Address: raft.ServerAddress(config.At)}}}); err != nil {
-			return nil, fmt.Errorf("the state in %s: %w", config.Folder, err)
+		if err := raft.RecoverCluster(raftConfig, (*stateMachine)(r), r.wal, r.wal, snapshots, r.transport, raft.Configuration{Servers: []raft.Server{{ID: r.id, Address: raft.ServerAddress(config.AdvertiseAddr)}}}); err != nil {
+			return nil, fmt.Errorf("the state in %s: %w", config.DataDir, err)
 		}
-		r.state = accord.NewState(config.Accord) // it is read again
+		r.state = accord.NewState(config.Coordination) // it is read again
 	}
 	if r.raft, err = raft.NewRaft(raftConfig, (*stateMachine)(r), r.wal, r.wal, snapshots, r.transport); err != nil {
-		return nil, fmt.Errorf("the state in %s can't be read: move the folder away, and the steward is taken in anew by the others: %w", config.Folder, err)
+		return nil, fmt.Errorf("the state in %s can't be read: move the folder away, and the steward is taken in anew by the others: %w", config.DataDir, err)
 	}
 	opened = true
 	return r, nil
@@ -108,7 +108,7 @@
 // loadServerID is the name with a part that is drawn once for a folder. Danger: a steward whose disk was wiped votes a second time in one election; its new
 // folder is another server, which the leader takes in place of the lost one.
 func loadServerID(config Config) (raft.ServerID, error) {
-	path := filepath.Join(config.Folder, "life")
+	path := filepath.Join(config.DataDir, "life")
 	suffix, err := os.ReadFile(path)
 	if err == nil && len(bytes.TrimSpace(suffix)) == 8 {
 		return raft.ServerID(config.Name + "." + string(bytes.TrimSpace(suffix))), nil
@@ -119,7 +119,7 @@
 	if !errors.Is(err, os.ErrNotExist) {
 		return "", err
 	}
-	if segments, _ := filepath.Glob(filepath.Join(config.Folder, "*.wal")); len(segments) > 0 {
+	if segments, _ := filepath.Glob(filepath.Join(config.DataDir, "*.wal")); len(segments) > 0 {
 		return "", fmt.Errorf("%s is missing beside a log: move the folder away, and the steward is taken in anew", path)
 	}
 	var random [4]byte
@@ -159,7 +159,7 @@
 	if err != nil {
 		return accord.Reply{}, err
 	}
-	future := n.raft.Apply(data, 2*n.config.Beat)
+	future := n.raft.Apply(data, 2*n.config.HeartbeatTimeout)
 	if err := future.Error(); err != nil {
 		return accord.Reply{}, fmt.Errorf("%w: %w", ask.ErrNoQuorum, err)
 	}
@@ -185,13 +185,13 @@
 		}
 		if server.ID != id && coordinatorName(server.ID) == coordinatorName(id) {
 			slog.Info("steward-replaced", "old", string(server.ID), "new", string(id))
-			if err := n.raft.RemoveServer(server.ID, 0, 2*n.config.Beat).Error(); err != nil {
+			if err := n.raft.RemoveServer(server.ID, 0, 2*n.config.HeartbeatTimeout).Error(); err != nil {
 				return err
 			}
 		}
 	}
 	slog.Info("steward-joins", "id", string(id), "at", addr)
-	return n.raft.AddVoter(id, raft.ServerAddress(addr), 0, 5*n.config.Beat).Error()
+	return n.raft.AddVoter(id, raft.ServerAddress(addr), 0, 5*n.config.HeartbeatTimeout).Error()
 }
 
 // removeVoter takes a steward out for good.
@@ -202,7 +202,7 @@
 	}
 	for _, server := range config.Configuration().Servers {
 		if coordinatorName(server.ID) == name {
-			return n.raft.RemoveServer(server.ID, 0, 2*n.config.Beat).Error()
+			return n.raft.RemoveServer(server.ID, 0, 2*n.config.HeartbeatTimeout).Error()
 		}
 	}
 	return fmt.Errorf("no steward %q", name)
@@ -271,7 +271,7 @@
 // Restore is raft.FSM. A snapshot that can't be read is an error, and the one before it is taken.
 func (m *stateMachine) Restore(r io.ReadCloser) error {
 	defer r.Close()
-	state := accord.NewState(m.config.Accord)
+	state := accord.NewState(m.config.Coordination)
 	if err := json.NewDecoder(r).Decode(state); err != nil {
 		return err
 	}
--- a/internal/fleet/steward/speak.go
+++ b/internal/fleet/steward/speak.go
@@ -86,13 +86,13 @@
 
 // Addr is net.Listener: where the others dial us.
 func (x *streamLayer) Addr() net.Addr {
-	addr, _ := net.ResolveTCPAddr("tcp", x.coordinator.config.At)
+	addr, _ := net.ResolveTCPAddr("tcp", x.coordinator.config.AdvertiseAddr)
 	return addr
 }
 
 // Dial is raft.StreamLayer.
 func (x *streamLayer) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	return ask.Dial(string(addr), x.coordinator.config.From, x.coordinator.loadClusterKeys(), ask.PeerConnection, timeout)
+	return ask.Dial(string(addr), x.coordinator.config.LocalIP, x.coordinator.loadClusterKeys(), ask.PeerConnection, timeout)
 }
 
 // serveRequest answers one question.
--- a/internal/fleet/steward/speak_test.go
+++ b/internal/fleet/steward/speak_test.go
@@ -14,7 +14,7 @@
 func Example_askedBeforeItIsOpen() {
 	l := standin.Must(net.Listen("tcp", "127.0.0.1:0"))
 	key := members.Key(make([]byte, 32))
-	s := &Coordinator{config: Config{At: l.Addr().String()}, closed: make(chan struct{})}
+	s := &Coordinator{config: Config{AdvertiseAddr: l.Addr().String()}, closed: make(chan struct{})}
 	keys := []members.Key{key}
 	s.clusterKeys.Store(&keys)
 	x := newStreamLayer(s, l)
--- a/internal/fleet/steward/steward.go
+++ b/internal/fleet/steward/steward.go
@@ -75,12 +75,12 @@
 
 // New opens a steward's folder and listener; Fleet joins it to the others.
 func New(config Config) (*Coordinator, error) {
-	if config.At == "" {
-		config.At = config.Listen
+	if config.AdvertiseAddr == "" {
+		config.AdvertiseAddr = config.ListenAddr
 	}
 	s := &Coordinator{config: config, closed: make(chan struct{}), startedAt: time.Now()}
-	s.clusterKeys.Store(&config.Keys)
-	listener, err := net.Listen("tcp", config.Listen)
+	s.clusterKeys.Store(&config.ClusterKeys)
+	listener, err := net.Listen("tcp", config.ListenAddr)
 	if err != nil {
 		return nil, err
 	}
@@ -139,17 +139,17 @@
 			return
 		case <-time.After(pause + time.Duration(rand.Int64N(int64(pause)))):
 		}
-		if s.replica.isVoter() || s.config.Begin && s.replica.raft.LastIndex() == 0 {
+		if s.replica.isVoter() || s.config.Bootstrap && s.replica.raft.LastIndex() == 0 {
 			pause = 2 * time.Second
 			continue
 		}
 		var others []string
-		for _, addr := range s.config.Others {
-			if addr != s.config.At {
+		for _, addr := range s.config.Coordinators {
+			if addr != s.config.AdvertiseAddr {
 				others = append(others, addr)
 			}
 		}
-		response, err := ask.Client{Coordinators: others, Keys: s.loadClusterKeys(), LocalIP: s.config.From, Timeout: 5 * time.Second}.Do(ask.Request{Join: &ask.JoinRequest{ID: string(s.replica.id), Addr: s.config.At}})
+		response, err := ask.Client{Coordinators: others, Keys: s.loadClusterKeys(), LocalIP: s.config.LocalIP, Timeout: 5 * time.Second}.Do(ask.Request{Join: &ask.JoinRequest{ID: string(s.replica.id), Addr: s.config.AdvertiseAddr}})
 		if err == nil && response.Error != "" {
 			err = errors.New(response.Error)
 		}
@@ -240,7 +240,7 @@
 			lead.notifiedAt[notice.ID] = time.Now()
 			s.fleet.NotifyPermit(notice.Member, notice.Incarnation, uint64(notice.ID), notice.Stage == accord.PermitBegun)
 		// Who was drained stays out until his operator starts him. Danger: one that is still serving is started a second time.
-		case notice.gone && notice.Stage == accord.PermitBegun && notice.Purpose != "drain" && rollout != nil && s.config.Restart != "":
+		case notice.gone && notice.Stage == accord.PermitBegun && notice.Purpose != "drain" && rollout != nil && s.config.RestartCommand != "":
 			targetRelease := rollout.TargetRelease
 			if notice.Purpose == "back" {
 				targetRelease = notice.before
@@ -348,15 +348,15 @@
 
 // runRestartCommand runs the operator's command, with a bound on its time and on what it prints, and tells whether it went well.
 func (s *Coordinator) runRestartCommand(permit accord.Permit, release string) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), s.config.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), s.config.RestartTimeout)
 	defer cancel()
-	args := strings.Fields(s.config.Restart)
+	args := strings.Fields(s.config.RestartCommand)
 	for i := range args {
 		args[i] = strings.NewReplacer("{name}", string(permit.Member), "{release}", release).Replace(args[i])
 	}
 	cmd := exec.CommandContext(ctx, args[0], args[1:]...)
 	cmd.Env = append(os.Environ(), "LANEWHEEL_NAME="+string(permit.Member), "LANEWHEEL_RELEASE="+release)
-	output := &limitedBuffer{limit: s.config.Output}
+	output := &limitedBuffer{limit: s.config.RestartOutputLimit}
 	cmd.Stdout, cmd.Stderr = output, output
 	cmd.WaitDelay = time.Second // Danger: a child of its own that keeps the output open
 	startedAt := time.Now()
@@ -387,9 +387,9 @@
 	lead := s.leadership
 	wave := fmt.Sprint(rollout.Name, " ", rollout.Wave, " ", rollout.RequestedBy)
 	if lead.analyzedWave != wave {
-		lead.analyzedWave, lead.analysis, lead.windowStart, lead.previousStats, lead.currentStats = wave, judge.New(s.config.Judge), time.Now(), nil, map[accord.Name]memberStats{}
+		lead.analyzedWave, lead.analysis, lead.windowStart, lead.previousStats, lead.currentStats = wave, judge.New(s.config.Canary), time.Now(), nil, map[accord.Name]memberStats{}
 	}
-	if time.Since(lead.windowStart) < s.config.Window {
+	if time.Since(lead.windowStart) < s.config.AnalysisWindow {
 		return
 	}
 	lead.windowStart = time.Now()
@@ -436,7 +436,7 @@
 	lead.analysis.Add(sample, sumStats(baselineMembers))
 	for _, group := range [][]accord.Observation{canaryMembers, baselineMembers} {
 		for i, at := range rand.Perm(len(group)) {
-			if i >= s.config.Asked {
+			if i >= s.config.SampleSize {
 				break
 			}
 			observation := group[at]
@@ -515,7 +515,7 @@
 		return response
 	}
 	if _, isLeader := s.replica.leaderTerm(); !isLeader || s.shuttingDown.Load() {
-		if response.Leader = s.replica.leaderAddr(); response.Leader == "" || response.Leader == s.config.At {
+		if response.Leader = s.replica.leaderAddr(); response.Leader == "" || response.Leader == s.config.AdvertiseAddr {
 			response.Leader, response.Error = "", ask.ErrNoQuorum.Error()
 		}
 		return response
--- a/internal/fleet/steward/steward_test.go
+++ b/internal/fleet/steward/steward_test.go
@@ -50,12 +50,12 @@
 		l := standin.Must(net.Listen("tcp", fmt.Sprintf("127.73.%d.%d:0", os.Getpid()%250, fleetCount)))
 		all = append(all, l.Addr().String())
 		l.Close()
-		t.configs = append(t.configs, Config{Name: fmt.Sprint("s", i), Listen: all[i], Folder: filepath.Join(t.dir, fmt.Sprint(i)), Begin: i == 0, Beat: 300 * time.Millisecond,
-			Keys: []members.Key{clusterKey}, Accord: accord.DefaultConfig(), Judge: judge.DefaultConfig(), Window: time.Second, Asked: 8, Patience: time.Second, Output: 64, Snapshot: 64})
+		t.configs = append(t.configs, Config{Name: fmt.Sprint("s", i), ListenAddr: all[i], DataDir: filepath.Join(t.dir, fmt.Sprint(i)), Bootstrap: i == 0, HeartbeatTimeout: 300 * time.Millisecond,
+			ClusterKeys: []members.Key{clusterKey}, Coordination: accord.DefaultConfig(), Canary: judge.DefaultConfig(), AnalysisWindow: time.Second, SampleSize: 8, RestartTimeout: time.Second, RestartOutputLimit: 64, SnapshotThreshold: 64})
 	}
 	t.coordinators, t.done = make([]*Coordinator, n), make([]chan struct{}, n)
 	for i := range n {
-		t.configs[i].Others = all
+		t.configs[i].Coordinators = all
 		t.startCoordinator(i)
 	}
 	return t
@@ -117,7 +117,7 @@
 func (t *testFleet) client() ask.Client {
 	k := ask.Client{Keys: []members.Key{clusterKey}, Timeout: standin.Patience}
 	for _, told := range t.configs {
-		k.Coordinators = append(k.Coordinators, told.Listen)
+		k.Coordinators = append(k.Coordinators, told.ListenAddr)
 	}
 	return k
 }
@@ -223,16 +223,16 @@
 			panic(err)
 		}
 	}
-	tear(filepath.Join(t.configs[2].Folder, "snapshots", "*", "state.bin"), 100)
-	if err := os.RemoveAll(t.configs[1].Folder); err != nil {
+	tear(filepath.Join(t.configs[2].DataDir, "snapshots", "*", "state.bin"), 100)
+	if err := os.RemoveAll(t.configs[1].DataDir); err != nil {
 		panic(err)
 	}
 	_, err = New(t.configs[2])
 	fmt.Println(strings.Contains(fmt.Sprint(err), "move the folder away"))
-	if err := os.RemoveAll(t.configs[2].Folder); err != nil {
+	if err := os.RemoveAll(t.configs[2].DataDir); err != nil {
 		panic(err)
 	}
-	t.configs[0].Alone = true
+	t.configs[0].ForceNewCluster = true
 	for i := range t.configs { // the first by the same line as at its first start
 		t.startCoordinator(i)
 	}
@@ -261,7 +261,7 @@
 		w.propose(accord.Command{Kind: accord.KindCancelPermit, PermitID: accord.PermitID(n)})
 	}
 	w.kill(0)
-	whole := w.configs[0].Folder
+	whole := w.configs[0].DataDir
 	log := standin.Must(filepath.Glob(filepath.Join(whole, "*.wal")))[0]
 	text := standin.Must(os.ReadFile(log))
 	end := len(text)
--- a/internal/fleet/steward/told/told.go
+++ b/internal/fleet/steward/told/told.go
@@ -9,24 +9,24 @@
 	"lanewheel/internal/members"
 )
 
-// Told is what a steward goes by.
-type Told struct {
-	Name     string
-	Listen   string   // where the other stewards and operators reach it
-	At       string   // where they dial it; empty: where it listens
-	Others   []string // addresses of the stewards, its own may be among them
-	Folder   string   // of its log and snapshots
-	Begin    bool     // it is the first of a new fleet
-	Alone    bool     // the others are lost for good: it goes on from its own state
-	Beat     time.Duration
-	Keys     []members.Key
-	Accord   accord.Config
-	Judge    judge.Config
-	Window   time.Duration // of the judgement
-	Asked    int           // members of each release that a window asks
-	Restart  string        // an operator's command that starts a member anew; empty: whoever else does it
-	Patience time.Duration // that the command may take
-	Output   int           // bytes of what it prints that are kept
-	From     string        // address to dial from, empty for any
-	Snapshot uint64        // log entries between two snapshots
+// Config is what a steward goes by.
+type Config struct {
+	Name               string
+	ListenAddr         string   // where the other stewards and operators reach it
+	AdvertiseAddr      string   // where they dial it; empty: where it listens
+	Coordinators       []string // addresses of the stewards, its own may be among them
+	DataDir            string   // of its log and snapshots
+	Bootstrap          bool     // it is the first of a new fleet
+	ForceNewCluster    bool     // the others are lost for good: it goes on from its own state
+	HeartbeatTimeout   time.Duration
+	ClusterKeys        []members.Key
+	Coordination       accord.Config
+	Canary             judge.Config
+	AnalysisWindow     time.Duration // of the judgement
+	SampleSize         int           // members of each release that a window asks
+	RestartCommand     string        // an operator's command that starts a member anew; empty: whoever else does it
+	RestartTimeout     time.Duration // that the command may take
+	RestartOutputLimit int           // bytes of what it prints that are kept
+	LocalIP            string        // address to dial from, empty for any
+	SnapshotThreshold  uint64        // log entries between two snapshots
 }
--- a/internal/life/stewards/golden_test.go
+++ b/internal/life/stewards/golden_test.go
@@ -80,10 +80,10 @@
 
 // What a steward says of itself in the fleet, by the name that others read.
 func TestReportGolden(t *testing.T) {
-	s := standin.Must(steward.New(steward.Config{Name: "s0", Listen: "127.0.0.1:0", At: "127.0.0.1:7373",
-		Folder: t.TempDir(), Begin: true, Beat: 300 * time.Millisecond,
-		Keys: []members.Key{members.Key("0123456789abcdef0123456789abcdef")}, Accord: accord.DefaultConfig(),
-		Judge: judge.DefaultConfig(), Window: time.Second, Snapshot: 64}))
+	s := standin.Must(steward.New(steward.Config{Name: "s0", ListenAddr: "127.0.0.1:0", AdvertiseAddr: "127.0.0.1:7373",
+		DataDir: t.TempDir(), Bootstrap: true, HeartbeatTimeout: 300 * time.Millisecond,
+		ClusterKeys: []members.Key{members.Key("0123456789abcdef0123456789abcdef")}, Coordination: accord.DefaultConfig(),
+		Canary: judge.DefaultConfig(), AnalysisWindow: time.Second, SnapshotThreshold: 64}))
 	p := &fleetAdapter{coordinator: s}
 	done := make(chan struct{})
 	go func() {
--- a/internal/life/stewards/stewards.go
+++ b/internal/life/stewards/stewards.go
@@ -27,7 +27,7 @@
 	}
 	runtime.GOMAXPROCS(2)
 	config := operatorConfig.File.Coordinator.Config
-	config.Begin, config.Alone, config.Keys = bootstrap, forceNewCluster, operatorConfig.ClusterKeys
+	config.Bootstrap, config.ForceNewCluster, config.ClusterKeys = bootstrap, forceNewCluster, operatorConfig.ClusterKeys
 	node, err := steward.New(config)
 	if err != nil {
 		return err
@@ -40,7 +40,7 @@
 	adapter.agent = agent
 	agent.OnPermitBegin = node.BeginPermit
 	agent.Start()
-	slog.Info("steward", "name", config.Name, "at", config.At, "others", len(config.Others))
+	slog.Info("steward", "name", config.Name, "at", config.AdvertiseAddr, "others", len(config.Coordinators))
 	go life.HandleSignals(signals, configPath, operatorConfig, func() { adapter.shutdown() }, func(o *life.OperatorConfig) {
 		reload(o)
 		node.SetClusterKeys(o.ClusterKeys)
--- a/internal/operator/fleet_test.go
+++ b/internal/operator/fleet_test.go
@@ -82,7 +82,7 @@
 	}
 	shipped, err := Parse("steward.ini", text)
 	bare, _ := Parse("x", []byte("[steward]\nlisten = 127.0.0.1:7960\nfolder = steward.d\nstewards = 127.0.0.1:7960\n[fleet]\nname = steward-1\nlisten = 127.0.0.1:7949\nkeys = k\n"))
-	shipped.Coordinator.Config.Restart, shipped.Coordinator.Config.Others = "", bare.Coordinator.Config.Others
+	shipped.Coordinator.Config.RestartCommand, shipped.Coordinator.Config.Coordinators = "", bare.Coordinator.Config.Coordinators
 	fmt.Println(err, fmt.Sprint(shipped.Coordinator) == fmt.Sprint(bare.Coordinator))
 	_, err = Parse("x", []byte("[steward]\nlisten = here\nbeat = 1ms\n"))
 	for _, f := range err.(fault.List) {
--- a/internal/operator/steward.go
+++ b/internal/operator/steward.go
@@ -14,11 +14,11 @@
 // Coordinator is a process that holds what the fleet has agreed.
 type Coordinator struct {
 	Enabled bool
-	Config  told.Told
+	Config  told.Config
 }
 
 func (r *reader) readCoordinator(fleet *Fleet) Coordinator {
-	parsed := Coordinator{Config: told.Told{Beat: time.Second, Accord: accord.DefaultConfig(), Judge: judge.DefaultConfig(), Window: time.Second, Asked: 32, Patience: 30 * time.Second, Output: 4096, Snapshot: 8192}}
+	parsed := Coordinator{Config: told.Config{HeartbeatTimeout: time.Second, Coordination: accord.DefaultConfig(), Canary: judge.DefaultConfig(), AnalysisWindow: time.Second, SampleSize: 32, RestartTimeout: 30 * time.Second, RestartOutputLimit: 4096, SnapshotThreshold: 8192}}
 	s := r.section("steward")
 	parsed.Enabled = s.exists()
 	config := &parsed.Config
@@ -29,37 +29,37 @@
 		s.report("", "", "wants fleet.name: a steward keeps its name over restarts")
 	}
 	config.Name = fleet.Name
-	s.requiredString("listen", &config.Listen)
-	s.checkAddress("listen", config.Listen)
-	s.stringValue("at", &config.At)
-	s.checkAddress("at", config.At)
-	if config.At == "" {
-		config.At = config.Listen
+	s.requiredString("listen", &config.ListenAddr)
+	s.checkAddress("listen", config.ListenAddr)
+	s.stringValue("at", &config.AdvertiseAddr)
+	s.checkAddress("at", config.AdvertiseAddr)
+	if config.AdvertiseAddr == "" {
+		config.AdvertiseAddr = config.ListenAddr
 	}
-	if host, _, err := net.SplitHostPort(config.Listen); err == nil {
-		config.From = host
+	if host, _, err := net.SplitHostPort(config.ListenAddr); err == nil {
+		config.LocalIP = host
 	}
-	config.Others = r.readCoordinatorAddresses(s)
-	s.requiredPath("folder", &config.Folder)
-	s.durationValue("beat", &config.Beat, 100*time.Millisecond, time.Minute)
-	s.stringValue("restart", &config.Restart)
-	s.durationValue("restart-within", &config.Patience, 100*time.Millisecond, time.Hour)
-	s.intValue("restart-output", &config.Output, 0, 1<<20)
-	snapshot := int(config.Snapshot)
+	config.Coordinators = r.readCoordinatorAddresses(s)
+	s.requiredPath("folder", &config.DataDir)
+	s.durationValue("beat", &config.HeartbeatTimeout, 100*time.Millisecond, time.Minute)
+	s.stringValue("restart", &config.RestartCommand)
+	s.durationValue("restart-within", &config.RestartTimeout, 100*time.Millisecond, time.Hour)
+	s.intValue("restart-output", &config.RestartOutputLimit, 0, 1<<20)
+	snapshot := int(config.SnapshotThreshold)
 	s.intValue("snapshot-every", &snapshot, 64, 1<<30)
-	config.Snapshot = uint64(snapshot)
-	s.intValue("history", &config.Accord.MaxHistory, 10, 1_000_000)
-	s.intValue("waiting", &config.Accord.MaxQueuedPermits, 1, 100_000)
-	s.intValue("passed-over", &config.Accord.MaxOvertakes, 0, 100_000)
-	s.durationValue("stuck-after", &config.Accord.StalledAfter, time.Second, 24*time.Hour)
-	s.floatValue("wrong", &config.Judge.ErrorRate, 0.0001, 0.2)
-	s.floatValue("late", &config.Judge.DetectableLateIncrease, 0.001, 1)
-	s.floatValue("slow", &config.Judge.DetectableSlowdown, 0.001, 10)
-	s.intValue("windows", &config.Judge.MinWindows, 2, 10_000)
-	s.floatValue("window-ops", &config.Judge.MinRequests, 1, 1_000_000)
-	s.intValue("crashes", &config.Judge.CrashLimit, 0, 1000)
-	s.durationValue("window", &config.Window, 200*time.Millisecond, time.Hour)
-	s.intValue("asked", &config.Asked, 1, 1000)
+	config.SnapshotThreshold = uint64(snapshot)
+	s.intValue("history", &config.Coordination.MaxHistory, 10, 1_000_000)
+	s.intValue("waiting", &config.Coordination.MaxQueuedPermits, 1, 100_000)
+	s.intValue("passed-over", &config.Coordination.MaxOvertakes, 0, 100_000)
+	s.durationValue("stuck-after", &config.Coordination.StalledAfter, time.Second, 24*time.Hour)
+	s.floatValue("wrong", &config.Canary.ErrorRate, 0.0001, 0.2)
+	s.floatValue("late", &config.Canary.DetectableLateIncrease, 0.001, 1)
+	s.floatValue("slow", &config.Canary.DetectableSlowdown, 0.001, 10)
+	s.intValue("windows", &config.Canary.MinWindows, 2, 10_000)
+	s.floatValue("window-ops", &config.Canary.MinRequests, 1, 1_000_000)
+	s.intValue("crashes", &config.Canary.CrashLimit, 0, 1000)
+	s.durationValue("window", &config.AnalysisWindow, 200*time.Millisecond, time.Hour)
+	s.intValue("asked", &config.SampleSize, 1, 1000)
 	s.reportUnknownNames()
 	return parsed
 }
