--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -10,27 +10,27 @@
 
 // Serve answers each connection to the socket at path by show, one after the other, until closed is. Danger: who connects and does not
 // read would hold up the next, so each has a second.
-func Serve(path string, closed <-chan struct{}, show func(net.Conn)) {
+func Serve(path string, done <-chan struct{}, handle func(net.Conn)) {
 	_ = os.Remove(path) // one that an earlier life has left
-	l, err := net.Listen("unix", path)
+	listener, err := net.Listen("unix", path)
 	if err != nil {
 		slog.Warn("no-watch", "err", err)
 		return
 	}
 	_ = os.Chmod(path, 0o600)
 	go func() {
-		<-closed
-		l.Close()
+		<-done
+		listener.Close()
 	}()
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			_ = c.SetDeadline(time.Now().Add(time.Second))
-			show(c)
-			c.Close()
+			_ = conn.SetDeadline(time.Now().Add(time.Second))
+			handle(conn)
+			conn.Close()
 		}
 	}()
 }
