--- a/internal/fleet/steward/node.go
+++ b/internal/fleet/steward/node.go
@@ -53,7 +53,7 @@
 	}
 	r := &replica{config: config, state: accord.NewState(config.Coordination), metaStore: &metadb.BoltMetaDB{}}
 	var err error
-	if r.dirLock, err = lock.Hold(filepath.Join(config.DataDir, "lock"), func() bool { return false }); err != nil {
+	if r.dirLock, err = lock.Acquire(filepath.Join(config.DataDir, "lock"), func() bool { return false }); err != nil {
 		return nil, fmt.Errorf("%s: %w", config.DataDir, err)
 	}
 	opened := false
--- a/internal/life/desks/desks.go
+++ b/internal/life/desks/desks.go
@@ -26,7 +26,7 @@
 	}
 	runtime.GOMAXPROCS(2) // one for the gossip's sockets
 	if path := operatorConfig.File.Allocator.LockFile; path != "" {
-		fileLock, err := lock.Hold(path, func() bool {
+		fileLock, err := lock.Acquire(path, func() bool {
 			select {
 			case <-signals.Terminate:
 				return false
