--- a/internal/command/cert.go
+++ b/internal/command/cert.go
@@ -19,35 +19,35 @@
 }
 
 type certAuthority struct {
-	Folder string        `arg:"" name:"folder" help:"Folder to make it in." type:"path"`
-	Name   string        `name:"name" default:"lanewheel authority" help:"Its name."`
-	For    time.Duration `name:"for" default:"43800h" help:"How long it counts."`
+	Folder   string        `arg:"" name:"folder" help:"Folder to make it in." type:"path"`
+	Name     string        `name:"name" default:"lanewheel authority" help:"Its name."`
+	Validity time.Duration `name:"for" default:"43800h" help:"How long it counts."`
 }
 
 func (c *certAuthority) Run(o output) error {
 	if err := os.MkdirAll(c.Folder, 0o700); err != nil {
 		return err
 	}
-	pair, err := certs.NewAuthority(c.Name, time.Now(), c.For)
+	pair, err := certs.NewAuthority(c.Name, time.Now(), c.Validity)
 	if err != nil {
 		return err
 	}
-	if err := save(o, pair, filepath.Join(c.Folder, "authority")); err != nil {
+	if err := savePair(o, pair, filepath.Join(c.Folder, "authority")); err != nil {
 		return err
 	}
 	// An empty list from the start: an instance that is told of a list does not start without one.
-	list, err := pair.Revoke(nil, nil, time.Now(), c.For)
+	list, err := pair.Revoke(nil, nil, time.Now(), c.Validity)
 	if err != nil {
 		return err
 	}
 	return keyring.WriteFileAtomic(filepath.Join(c.Folder, "revoked.pem"), list, 0o644)
 }
 
-// save writes a pair as PATH.pem and PATH.key; what is there already is never written over.
-func save(o output, pair certs.KeyPair, path string) error {
-	for _, end := range []string{".pem", ".key"} {
-		if _, err := os.Stat(path + end); err == nil {
-			return fmt.Errorf("%s is there already", path+end)
+// savePair writes a pair as PATH.pem and PATH.key; what is there already is never written over.
+func savePair(o output, pair certs.KeyPair, path string) error {
+	for _, extension := range []string{".pem", ".key"} {
+		if _, err := os.Stat(path + extension); err == nil {
+			return fmt.Errorf("%s is there already", path+extension)
 		}
 	}
 	cert, key, err := pair.EncodePEM()
@@ -60,12 +60,12 @@
 	if err := keyring.WriteFileAtomic(path+".pem", cert, 0o644); err != nil {
 		return err
 	}
-	fmt.Fprintf(o.out, "%s.pem until %s, serial %x\n", path, when(pair.Certificate.NotAfter), pair.Certificate.SerialNumber)
+	fmt.Fprintf(o.out, "%s.pem until %s, serial %x\n", path, formatTime(pair.Certificate.NotAfter), pair.Certificate.SerialNumber)
 	return nil
 }
 
-// load reads the authority of a folder.
-func load(folder string) (certs.KeyPair, error) {
+// loadAuthority reads the authority of a folder.
+func loadAuthority(folder string) (certs.KeyPair, error) {
 	cert, err := os.ReadFile(filepath.Join(folder, "authority.pem"))
 	if err != nil {
 		return certs.KeyPair{}, err
@@ -84,11 +84,11 @@
 	URI       []string      `name:"uri" help:"Identities, as rota://water/handheld-7."`
 	Host      []string      `name:"host" help:"DNS names and addresses."`
 	Server    bool          `name:"server" help:"For an instance instead of a client."`
-	For       time.Duration `name:"for" default:"8760h" help:"How long it counts."`
+	Validity  time.Duration `name:"for" default:"8760h" help:"How long it counts."`
 }
 
 func (c *certIssue) Run(o output) error {
-	a, err := load(c.Authority)
+	authority, err := loadAuthority(c.Authority)
 	if err != nil {
 		return err
 	}
@@ -96,26 +96,26 @@
 	if name == "" {
 		name = filepath.Base(c.Path)
 	}
-	pair, err := a.Issue(certs.Subject{CommonName: name, URIs: c.URI, Hosts: c.Host}, c.Server, time.Now(), c.For)
+	pair, err := authority.Issue(certs.Subject{CommonName: name, URIs: c.URI, Hosts: c.Host}, c.Server, time.Now(), c.Validity)
 	if err != nil {
 		return err
 	}
-	return save(o, pair, c.Path)
+	return savePair(o, pair, c.Path)
 }
 
 type certRevoke struct {
 	Certs     []string      `arg:"" name:"certs" optional:"" help:"Files of the certificates; without any, the list is only written anew." type:"path"`
 	Authority string        `name:"authority" required:"" help:"Folder of the authority." type:"path"`
-	For       time.Duration `name:"for" default:"720h" help:"When the next list is due."`
+	Validity  time.Duration `name:"for" default:"720h" help:"When the next list is due."`
 }
 
 func (c *certRevoke) Run(o output) error {
-	a, err := load(c.Authority)
+	authority, err := loadAuthority(c.Authority)
 	if err != nil {
 		return err
 	}
 	path := filepath.Join(c.Authority, "revoked.pem")
-	old, err := os.ReadFile(path)
+	previous, err := os.ReadFile(path)
 	if err != nil && !os.IsNotExist(err) {
 		return err
 	}
@@ -125,16 +125,16 @@
 		if err != nil {
 			return err
 		}
-		all, err := certs.ParseCertificates(text)
+		certificates, err := certs.ParseCertificates(text)
 		if err != nil {
 			return fmt.Errorf("%s: %w", file, err)
 		}
-		if err := all[0].CheckSignatureFrom(a.Certificate); err != nil {
+		if err := certificates[0].CheckSignatureFrom(authority.Certificate); err != nil {
 			return fmt.Errorf("%s is not this authority's: %w", file, err)
 		}
-		serials = append(serials, all[0].SerialNumber)
+		serials = append(serials, certificates[0].SerialNumber)
 	}
-	list, err := a.Revoke(old, serials, time.Now(), c.For)
+	list, err := authority.Revoke(previous, serials, time.Now(), c.Validity)
 	if err != nil {
 		return err
 	}
--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -13,21 +13,21 @@
 
 // checkCommand reads a file as an instance would, and says all that is wrong with it.
 type checkCommand struct {
-	Named bool     `name:"named" help:"Also read the keys, certificates and lists that an operator's file names."`
-	Files []string `arg:"" name:"file" help:"Configurations, which begin with a brace, or operator's files."`
+	IncludeNamedFiles bool     `name:"named" help:"Also read the keys, certificates and lists that an operator's file names."`
+	Files             []string `arg:"" name:"file" help:"Configurations, which begin with a brace, or operator's files."`
 }
 
 func (c *checkCommand) Run(o output) error {
 	failed := false
 	for _, path := range c.Files {
-		err := c.check(path)
-		var all fault.List
+		err := c.checkFile(path)
+		var diagnostics fault.List
 		switch {
 		case err == nil:
 			fmt.Fprintf(o.out, "%s: good\n", path)
 			continue
-		case errors.As(err, &all):
-			for _, f := range all {
+		case errors.As(err, &diagnostics):
+			for _, f := range diagnostics {
 				fmt.Fprintln(o.out, f)
 			}
 		default:
@@ -36,12 +36,12 @@
 		failed = true
 	}
 	if failed {
-		return errSaid
+		return errReported
 	}
 	return nil
 }
 
-func (c *checkCommand) check(path string) error {
+func (c *checkCommand) checkFile(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return fault.List{{File: path, Want: "can't be read: " + err.Error()}}
@@ -50,7 +50,7 @@
 		_, err = life.LoadConfig(path)
 		return err
 	}
-	if c.Named {
+	if c.IncludeNamedFiles {
 		_, err = life.LoadOperatorConfig(path)
 		return err
 	}
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -15,8 +15,8 @@
 	"lanewheel/internal/logline"
 )
 
-// line is the whole command line.
-type line struct {
+// commandLine is the whole command line.
+type commandLine struct {
 	Serve serveCommand `cmd:"" name:"serve" default:"withargs" help:"Serve as one instance: the same as with no arguments."`
 	Check checkCommand `cmd:"" name:"check" help:"Read a configuration (JSON) or an operator's file (INI) and say all that is wrong."`
 	Try   tryCommand   `cmd:"" name:"try" help:"Run an instance among stand-ins for all it speaks to, under a load of client stubs."`
@@ -25,22 +25,22 @@
 	Queue queueCommand `cmd:"" name:"queue" help:"Check, feed and watch the queues that an operator's file tells of."`
 	Cert  certCommand  `cmd:"" name:"cert" help:"Make an authority, issue certificates and take them back."`
 
-	Relay   relayCommand   `cmd:"" name:"relay" help:"Pass ops on to the instances of a fleet."`
-	Desk    deskCommand    `cmd:"" name:"desk" help:"Stand beside a service below, and grant the fleet its calls."`
-	Steward stewardCommand `cmd:"" name:"steward" help:"Hold what the fleet has agreed, with the other stewards."`
-	Drain   drainCommand   `cmd:"" name:"drain" help:"Ask for leave to take a member out, and wait for its turn."`
-	Release releaseCommand `cmd:"" name:"release" help:"Bring a release out in waves, halt it, bring it back."`
-	Fleet   fleetCommand   `cmd:"" name:"fleet" help:"Show and change what the fleet has agreed."`
-	Hook    hookCommand    `cmd:"" name:"hook" hidden:""`
-	Members membersCommand `cmd:"" name:"members" help:"Show how a running process sees its fleet, and how far views differ."`
-	Drill   drillCommand   `cmd:"" name:"drill" help:"Start many processes, break what lies between them by a script, and judge."`
+	Proxy       proxyCommand       `cmd:"" name:"relay" help:"Pass ops on to the instances of a fleet."`
+	Allocator   allocatorCommand   `cmd:"" name:"desk" help:"Stand beside a service below, and grant the fleet its calls."`
+	Coordinator coordinatorCommand `cmd:"" name:"steward" help:"Hold what the fleet has agreed, with the other stewards."`
+	Drain       drainCommand       `cmd:"" name:"drain" help:"Ask for leave to take a member out, and wait for its turn."`
+	Release     releaseCommand     `cmd:"" name:"release" help:"Bring a release out in waves, halt it, bring it back."`
+	Fleet       fleetCommand       `cmd:"" name:"fleet" help:"Show and change what the fleet has agreed."`
+	DrillHook   drillHookCommand   `cmd:"" name:"hook" hidden:""`
+	Members     membersCommand     `cmd:"" name:"members" help:"Show how a running process sees its fleet, and how far views differ."`
+	Drill       drillCommand       `cmd:"" name:"drill" help:"Start many processes, break what lies between them by a script, and judge."`
 }
 
 // output is what a sub-command prints to.
-type output struct{ out, err io.Writer }
+type output struct{ out, errs io.Writer }
 
-// errSaid ends a command with 1 whose faults are printed already.
-var errSaid = errors.New("said")
+// errReported ends a command with 1 whose faults are printed already.
+var errReported = errors.New("said")
 
 // Main carries a command line out and gives the exit code: 0 done, 1 failed or something is wrong, 2 a command line
 // that can't be read. With no arguments it serves; the platform starts it so, and the parser is not even built then.
@@ -49,16 +49,16 @@
 	if len(args) == 0 {
 		return serve("", "")
 	}
-	var l line
+	var commands commandLine
 	code := -1
-	parser, err := kong.New(&l, kong.Name("lanewheel"), kong.Writers(out, errs), kong.Exit(func(c int) { code = c }),
+	parser, err := kong.New(&commands, kong.Name("lanewheel"), kong.Writers(out, errs), kong.Exit(func(c int) { code = c }),
 		kong.Description("Admission and scheduling decisions for servers behind other people's balancers."),
-		kong.Vars{"user": user()},
+		kong.Vars{"user": currentUser()},
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}), kong.UsageOnError())
 	if err != nil {
 		panic(err) // the tags above are wrong, which every run would show
 	}
-	at, err := parser.Parse(args)
+	parsed, err := parser.Parse(args)
 	if code >= 0 { // it has shown its help
 		return code
 	}
@@ -66,10 +66,10 @@
 		fmt.Fprintf(errs, "lanewheel: %v; see lanewheel --help\n", err)
 		return 2
 	}
-	switch err := at.Run(output{out, errs}); {
+	switch err := parsed.Run(output{out, errs}); {
 	case err == nil:
 		return 0
-	case errors.Is(err, errSaid):
+	case errors.Is(err, errReported):
 		return 1
 	default:
 		fmt.Fprintf(errs, "lanewheel: %v\n", err)
@@ -77,8 +77,8 @@
 	}
 }
 
-// user is who gives a command, as far as that shows.
-func user() string {
+// currentUser is who gives a command, as far as that shows.
+func currentUser() string {
 	for _, name := range []string{"SUDO_USER", "USER", "LOGNAME"} {
 		if v := os.Getenv(name); v != "" {
 			return v
@@ -95,33 +95,33 @@
 
 func (c *serveCommand) Run() error {
 	if serve(c.Operator, c.Log) != 0 {
-		return errSaid
+		return errReported
 	}
 	return nil
 }
 
-func serve(operated, format string) int {
-	err := life.Run(os.Getenv("RELAY_CONFIG"), operated, format)
+func serve(operatorFile, logFormat string) int {
+	err := life.Run(os.Getenv("RELAY_CONFIG"), operatorFile, logFormat)
 	if errors.Is(err, life.ErrFleetNotLinked) {
 		logline.Flush()
-		err = over(sibling)
+		err = execProgram(fleetProgram)
 	}
-	if started(err) != nil {
+	if logStartFailure(err) != nil {
 		return 1
 	}
 	return 0
 }
 
-// started says in one line why something did not start.
-func started(err error) error {
+// logStartFailure says in one line why something did not start.
+func logStartFailure(err error) error {
 	if err == nil {
 		return nil
 	}
-	var all fault.List
-	if errors.As(err, &all) && len(all) > 1 {
-		slog.Error("cannot-start", "err", all[0], "more", len(all)-1)
+	var diagnostics fault.List
+	if errors.As(err, &diagnostics) && len(diagnostics) > 1 {
+		slog.Error("cannot-start", "err", diagnostics[0], "more", len(diagnostics)-1)
 	} else {
 		slog.Error("cannot-start", "err", err)
 	}
-	return errSaid
+	return errReported
 }
--- a/internal/command/further/agree.go
+++ b/internal/command/further/agree.go
@@ -22,7 +22,7 @@
 )
 
 // agree asks the stewards, and prints what they say.
-func agree(a command.Agree, out io.Writer) error {
+func agree(a command.CoordinatorCommand, out io.Writer) error {
 	o, err := life.LoadOperatorConfig(a.File)
 	if err != nil {
 		return err
@@ -36,7 +36,7 @@
 		e.SetIndent("", "  ")
 		return e.Encode(v)
 	}
-	switch a.Do {
+	switch a.Action {
 	case "status":
 		got, err := k.Do(ask.Request{Status: true})
 		if err != nil {
@@ -89,34 +89,34 @@
 	if got.Reply.PermitID > 0 {
 		numbers = append(numbers, got.Reply.PermitID)
 	}
-	fmt.Fprintln(out, "agreed", a.Do, numbers)
-	if a.Do == "drain" && a.Wait {
+	fmt.Fprintln(out, "agreed", a.Action, numbers)
+	if a.Action == "drain" && a.Wait {
 		return wait(k, numbers, out)
 	}
 	return nil
 }
 
 // ordered is the command that an operator means.
-func ordered(a command.Agree) (c accord.Command, err error) {
-	c = accord.Command{RequestedBy: a.By, Reason: a.Why}
+func ordered(a command.CoordinatorCommand) (c accord.Command, err error) {
+	c = accord.Command{RequestedBy: a.RequestedBy, Reason: a.Reason}
 	text := func() []byte {
 		b, bad := os.ReadFile(a.Path)
 		err = errors.Join(err, bad)
 		return b
 	}
-	switch a.Do {
+	switch a.Action {
 	case "drain", "undrain":
-		c.Kind, c.Selector, c.Reason = accord.KindDrain, accord.Selector{Zone: a.Zone, Upstream: a.Below}, "drain"
-		if a.Do == "undrain" {
+		c.Kind, c.Selector, c.Reason = accord.KindDrain, accord.Selector{Zone: a.Zone, Upstream: a.Upstream}, "drain"
+		if a.Action == "undrain" {
 			c.Kind = accord.KindCancelDrain
 		}
 		if a.Name != "" {
 			c.Member = accord.Name(a.Name)
-			if a.Do == "drain" {
+			if a.Action == "drain" {
 				c.Kind = accord.KindRequestPermit
 			}
 		}
-		if a.Name == "" && a.Zone == "" && a.Below == "" {
+		if a.Name == "" && a.Zone == "" && a.Upstream == "" {
 			err = errors.New("wants a member, --zone or --below")
 		}
 	case "forget":
--- a/internal/command/further/agreed/agreed.go
+++ b/internal/command/further/agreed/agreed.go
@@ -13,8 +13,8 @@
 )
 
 // Parts adds to what lanewheel-fleet has.
-func Parts(p command.Parts) command.Parts {
-	p.Steward = func(operated, format string, begin, alone bool) error {
+func Parts(p command.Components) command.Components {
+	p.RunCoordinator = func(operated, format string, begin, alone bool) error {
 		return stewards.Run(operated, format, begin, alone, func(process gossip.Process, o *life.OperatorConfig) (*gossip.Agent, func(*life.OperatorConfig), error) {
 			as := func(o *life.OperatorConfig) gossip.Config {
 				f := o.File.Fleet
--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -35,8 +35,8 @@
 )
 
 // Parts is all that lanewheel-fleet has beside lanewheel.
-func Parts() command.Parts {
-	return command.Parts{Joins: join, Relay: relayed, Desk: desked, Members: show, Drill: rehearse, Show: shown, Differ: differ, Agreeing: command.Agreeing{Agree: agree, Hook: drill.Hooked}}
+func Parts() command.Components {
+	return command.Components{FleetHooks: join, RunProxy: relayed, RunAllocator: desked, ShowMembers: show, RunDrill: rehearse, ShowRecord: shown, CompareRecords: differ, CoordinatorFuncs: command.CoordinatorFuncs{Request: agree, RunDrillHook: drill.Hooked}}
 }
 
 // Told puts together what the part goes by.
--- a/internal/command/further/golden_test.go
+++ b/internal/command/further/golden_test.go
@@ -129,7 +129,7 @@
 			}
 			file, questions := coordinator(t, stored(t, name+"-answer.json"))
 			var out bytes.Buffer
-			if err := agree(command.Agree{File: file, Do: name, JSON: true}, &out); err != nil {
+			if err := agree(command.CoordinatorCommand{File: file, Action: name, JSON: true}, &out); err != nil {
 				t.Fatal(err)
 			}
 			<-questions
@@ -138,7 +138,7 @@
 				return
 			}
 			out.Reset()
-			if err := agree(command.Agree{File: file, Do: name}, &out); err != nil {
+			if err := agree(command.CoordinatorCommand{File: file, Action: name}, &out); err != nil {
 				t.Fatal(err)
 			}
 			golden(t, name+"-printed.txt", out.Bytes())
@@ -160,18 +160,18 @@
 	}
 	file, questions := coordinator(t, []byte(`{"Reply":{"OK":true,"Why":"","Number":7}}`+"\n"))
 	var text strings.Builder
-	for _, a := range []command.Agree{
-		{Do: "drain", Name: "p001"}, {Do: "drain", Zone: "north"}, {Do: "drain", Below: "db"}, {Do: "undrain", Name: "p001"}, {Do: "undrain", Zone: "north"},
-		{Do: "forget", Name: "p001"}, {Do: "halt", Why: "noise"}, {Do: "resume"}, {Do: "back", Why: "slower"}, {Do: "budgets", Path: budgets},
-		{Do: "release", Path: plan}, {Do: "leave", Name: "s2"},
+	for _, a := range []command.CoordinatorCommand{
+		{Action: "drain", Name: "p001"}, {Action: "drain", Zone: "north"}, {Action: "drain", Upstream: "db"}, {Action: "undrain", Name: "p001"}, {Action: "undrain", Zone: "north"},
+		{Action: "forget", Name: "p001"}, {Action: "halt", Reason: "noise"}, {Action: "resume"}, {Action: "back", Reason: "slower"}, {Action: "budgets", Path: budgets},
+		{Action: "release", Path: plan}, {Action: "leave", Name: "s2"},
 	} {
-		a.File, a.By = file, "ann"
+		a.File, a.RequestedBy = file, "ann"
 		var out bytes.Buffer
 		if err := agree(a, &out); err != nil {
 			t.Fatal(err)
 		}
 		q := regexp.MustCompile(`"Key":"[0-9a-f]{16}"`).ReplaceAllString(<-questions, `"Key":"16 hex digits"`)
-		fmt.Fprintf(&text, "%s: %s%s", a.Do, q, out.String())
+		fmt.Fprintf(&text, "%s: %s%s", a.Action, q, out.String())
 	}
 	golden(t, "questions.txt", []byte(text.String()))
 }
--- a/internal/command/golden_test.go
+++ b/internal/command/golden_test.go
@@ -74,7 +74,7 @@
 
 // Every command, flag and argument that there was is there, under its name, with what holds without it.
 func TestGoldenCommandLine(t *testing.T) {
-	var l line
+	var l commandLine
 	parser := scenes.Must(kong.New(&l, kong.Name("lanewheel"), kong.Writers(io.Discard, io.Discard),
 		kong.Vars{"user": "somebody"}))
 	var b strings.Builder
--- a/internal/command/keys.go
+++ b/internal/command/keys.go
@@ -29,39 +29,39 @@
 }
 
 type keysNew struct {
-	Private   string `name:"private" help:"Folder for the private key." required:"" type:"path"`
-	Algorithm string `name:"algorithm" help:"EdDSA, ES256 or RS256." enum:"EdDSA,ES256,RS256" default:"EdDSA"`
-	ID        string `name:"id" help:"The key's id; without it, its thumbprint." placeholder:"KID"`
+	PrivateDir string `name:"private" help:"Folder for the private key." required:"" type:"path"`
+	Algorithm  string `name:"algorithm" help:"EdDSA, ES256 or RS256." enum:"EdDSA,ES256,RS256" default:"EdDSA"`
+	KeyID      string `name:"id" help:"The key's id; without it, its thumbprint." placeholder:"KID"`
 }
 
 func (c *keysNew) Run(o output) error {
-	k, err := keyring.GenerateKey(c.Algorithm)
+	key, err := keyring.GenerateKey(c.Algorithm)
 	if err != nil {
 		return err
 	}
-	if c.ID != "" {
-		k.KeyID = c.ID
+	if c.KeyID != "" {
+		key.KeyID = c.KeyID
 	}
-	text, err := k.MarshalJSON()
+	text, err := key.MarshalJSON()
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(c.Private, fileName(k.KeyID)+".private")
+	path := filepath.Join(c.PrivateDir, keyFileName(key.KeyID)+".private")
 	if _, err := os.Stat(path); err == nil {
 		return fmt.Errorf("%s is there already", path)
 	}
-	if err := os.MkdirAll(c.Private, 0o700); err != nil {
+	if err := os.MkdirAll(c.PrivateDir, 0o700); err != nil {
 		return err
 	}
 	if err := keyring.WriteFileAtomic(path, append(text, '\n'), 0o600); err != nil {
 		return err
 	}
-	fmt.Fprintf(o.out, "%s\t%s\t%s\n", k.KeyID, c.Algorithm, path)
+	fmt.Fprintf(o.out, "%s\t%s\t%s\n", key.KeyID, c.Algorithm, path)
 	return nil
 }
 
-// fileName makes a file's name of a key's id, which may hold anything.
-func fileName(id string) string {
+// keyFileName makes a file's name of a key's id, which may hold anything.
+func keyFileName(id string) string {
 	return strings.Map(func(r rune) rune {
 		if r == '-' || r == '_' || r >= '0' && r <= '9' || r >= 'A' && r <= 'Z' || r >= 'a' && r <= 'z' {
 			return r
@@ -79,38 +79,38 @@
 	if err != nil {
 		return err
 	}
-	w := tabwriter.NewWriter(o.out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "key\talgorithm\tnow\tfrom\tuntil\tfile")
-	for _, k := range set.Keys() {
-		now := k.CheckTime(time.Now())
-		if now == "" {
-			now = "counts"
+	table := tabwriter.NewWriter(o.out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "key\talgorithm\tnow\tfrom\tuntil\tfile")
+	for _, key := range set.Keys() {
+		status := key.CheckTime(time.Now())
+		if status == "" {
+			status = "counts"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", k.ID, k.Algorithm, now, when(k.NotBefore), when(k.RetireAt), filepath.Base(k.File))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\n", key.ID, key.Algorithm, status, formatTime(key.NotBefore), formatTime(key.RetireAt), filepath.Base(key.File))
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
-func when(t time.Time) string {
+func formatTime(t time.Time) string {
 	if t.IsZero() {
 		return "-"
 	}
 	return t.UTC().Format(time.RFC3339)
 }
 
-// moments are two ends of a time, each told as a moment or from now.
-type moments struct {
+// validityFlags are two ends of a time, each told as a moment or from now.
+type validityFlags struct {
 	From  string `name:"from" help:"When it begins to count: RFC 3339, or a time from now as 10m. Without it, always." placeholder:"WHEN"`
 	Until string `name:"until" help:"When it stops to count: RFC 3339, or a time from now as 720h. Without it, never." placeholder:"WHEN"`
 }
 
-// moment reads a moment, or a time from now.
-func moment(text string) (time.Time, error) {
+// parseTime reads a moment, or a time from now.
+func parseTime(text string) (time.Time, error) {
 	if text == "" {
 		return time.Time{}, nil
 	}
-	if d, err := time.ParseDuration(text); err == nil {
-		return time.Now().Add(d), nil
+	if fromNow, err := time.ParseDuration(text); err == nil {
+		return time.Now().Add(fromNow), nil
 	}
 	t, err := time.Parse(time.RFC3339, text)
 	if err != nil {
@@ -122,35 +122,35 @@
 type keysPublish struct {
 	Key    string `arg:"" name:"key" help:"File of the private key." type:"path"`
 	Folder string `name:"folder" help:"Folder of the published keys, which instances read." required:"" type:"path"`
-	moments
+	validityFlags
 }
 
 func (c *keysPublish) Run(o output) error {
-	k, err := keyring.LoadPrivateKey(c.Key)
+	key, err := keyring.LoadPrivateKey(c.Key)
 	if err != nil {
 		return err
 	}
-	from, err := moment(c.From)
+	from, err := parseTime(c.From)
 	if err != nil {
 		return err
 	}
-	until, err := moment(c.Until)
+	until, err := parseTime(c.Until)
 	if err != nil {
 		return err
 	}
-	return publish(o, c.Folder, k, from, until, false)
+	return publishKey(o, c.Folder, key, from, until, false)
 }
 
-// publish writes a key's file, and proves that the folder is good with it before instances see it.
-func publish(o output, folder string, k jose.JSONWebKey, from, until time.Time, withdrawn bool) error {
-	text, err := keyring.EncodePublic(k, from, until, withdrawn)
+// publishKey writes a key's file, and proves that the folder is good with it before instances see it.
+func publishKey(o output, folder string, key jose.JSONWebKey, from, until time.Time, withdrawn bool) error {
+	text, err := keyring.EncodePublic(key, from, until, withdrawn)
 	if err != nil {
 		return err
 	}
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
 	}
-	path := filepath.Join(folder, fileName(k.KeyID)+".json")
+	path := filepath.Join(folder, keyFileName(key.KeyID)+".json")
 	files, err := keyring.ReadFolder(folder)
 	if err != nil {
 		return err
@@ -162,22 +162,22 @@
 	if err := keyring.WriteFileAtomic(path, text, 0o644); err != nil {
 		return err
 	}
-	fmt.Fprintf(o.out, "%s\tfrom %s until %s\t%s\n", k.KeyID, when(from), when(until), path)
+	fmt.Fprintf(o.out, "%s\tfrom %s until %s\t%s\n", key.KeyID, formatTime(from), formatTime(until), path)
 	return nil
 }
 
 type keysRetire struct {
-	ID     string `arg:"" name:"kid" help:"The key's id."`
-	Folder string `name:"folder" help:"Folder of the published keys." required:"" type:"path"`
-	At     string `name:"at" help:"When it stops to count: RFC 3339, or a time from now." placeholder:"WHEN"`
-	Now    bool   `name:"now" help:"Take it back now: whatever it signed counts no more."`
+	KeyID    string `arg:"" name:"kid" help:"The key's id."`
+	Folder   string `name:"folder" help:"Folder of the published keys." required:"" type:"path"`
+	RetireAt string `name:"at" help:"When it stops to count: RFC 3339, or a time from now." placeholder:"WHEN"`
+	Withdraw bool   `name:"now" help:"Take it back now: whatever it signed counts no more."`
 }
 
 func (c *keysRetire) Run(o output) error {
-	if c.Now == (c.At != "") {
+	if c.Withdraw == (c.RetireAt != "") {
 		return errors.New("wants one of --at and --now")
 	}
-	at, err := moment(c.At)
+	at, err := parseTime(c.RetireAt)
 	if err != nil {
 		return err
 	}
@@ -185,18 +185,18 @@
 	if err != nil {
 		return err
 	}
-	k := set.Find(keyring.KeyID(c.ID))
-	if k == nil {
-		return fmt.Errorf("%s has no key %q", c.Folder, c.ID)
+	key := set.Find(keyring.KeyID(c.KeyID))
+	if key == nil {
+		return fmt.Errorf("%s has no key %q", c.Folder, c.KeyID)
 	}
-	if c.Now {
-		at = k.RetireAt
+	if c.Withdraw {
+		at = key.RetireAt
 	}
-	if filepath.Base(k.File) != fileName(c.ID)+".json" {
-		return fmt.Errorf("%s was not written by \"keys publish\": change it there", k.File)
+	if filepath.Base(key.File) != keyFileName(c.KeyID)+".json" {
+		return fmt.Errorf("%s was not written by \"keys publish\": change it there", key.File)
 	}
-	return publish(o, c.Folder, jose.JSONWebKey{Key: k.PublicKey, KeyID: c.ID, Algorithm: string(k.Algorithm), Use: "sig"},
-		k.NotBefore, at, c.Now || k.Withdrawn)
+	return publishKey(o, c.Folder, jose.JSONWebKey{Key: key.PublicKey, KeyID: c.KeyID, Algorithm: string(key.Algorithm), Use: "sig"},
+		key.NotBefore, at, c.Withdraw || key.Withdrawn)
 }
 
 // tokenCommand issues and shows tokens.
@@ -206,43 +206,43 @@
 }
 
 type tokenIssue struct {
-	Key      string        `name:"key" help:"File of the private key." required:"" type:"path"`
-	Issuer   string        `name:"issuer" required:"" help:"Who issues it, as the instances are told."`
-	Audience string        `name:"audience" required:"" help:"For whom it is, as the instances are told."`
-	Subject  string        `name:"subject" required:"" help:"Whom it is for, as handheld-7."`
-	Tenant   string        `name:"tenant" help:"Tenant, in the claim that --tenant-claim names."`
-	Roles    []string      `name:"roles" help:"Roles, in the claim that --roles-claim names." placeholder:"ROLE,..."`
-	TenantIn string        `name:"tenant-claim" default:"tenant" help:"Name of the claim with the tenant."`
-	RolesIn  string        `name:"roles-claim" default:"roles" help:"Name of the claim with the roles."`
-	For      time.Duration `name:"for" default:"1h" help:"How long it counts."`
-	ID       string        `name:"jti" help:"Its id; without one, it has one drawn at random."`
+	Key         string        `name:"key" help:"File of the private key." required:"" type:"path"`
+	Issuer      string        `name:"issuer" required:"" help:"Who issues it, as the instances are told."`
+	Audience    string        `name:"audience" required:"" help:"For whom it is, as the instances are told."`
+	Subject     string        `name:"subject" required:"" help:"Whom it is for, as handheld-7."`
+	Tenant      string        `name:"tenant" help:"Tenant, in the claim that --tenant-claim names."`
+	Roles       []string      `name:"roles" help:"Roles, in the claim that --roles-claim names." placeholder:"ROLE,..."`
+	TenantClaim string        `name:"tenant-claim" default:"tenant" help:"Name of the claim with the tenant."`
+	RolesClaim  string        `name:"roles-claim" default:"roles" help:"Name of the claim with the roles."`
+	Validity    time.Duration `name:"for" default:"1h" help:"How long it counts."`
+	TokenID     string        `name:"jti" help:"Its id; without one, it has one drawn at random."`
 }
 
 func (c *tokenIssue) Run(o output) error {
-	k, err := keyring.LoadPrivateKey(c.Key)
+	key, err := keyring.LoadPrivateKey(c.Key)
 	if err != nil {
 		return err
 	}
-	signer, err := jose.NewSigner(jose.SigningKey{Algorithm: jose.SignatureAlgorithm(k.Algorithm), Key: k},
+	signer, err := jose.NewSigner(jose.SigningKey{Algorithm: jose.SignatureAlgorithm(key.Algorithm), Key: key},
 		(&jose.SignerOptions{}).WithType("JWT"))
 	if err != nil {
 		return err
 	}
-	id := c.ID
+	id := c.TokenID
 	if id == "" {
 		id = tokens.NewID()
 	}
 	now := time.Now()
 	claims := jwt.Claims{Issuer: c.Issuer, Subject: c.Subject, Audience: jwt.Audience{c.Audience}, ID: id,
-		IssuedAt: jwt.NewNumericDate(now), NotBefore: jwt.NewNumericDate(now), Expiry: jwt.NewNumericDate(now.Add(c.For))}
-	more := map[string]any{}
+		IssuedAt: jwt.NewNumericDate(now), NotBefore: jwt.NewNumericDate(now), Expiry: jwt.NewNumericDate(now.Add(c.Validity))}
+	private := map[string]any{}
 	if c.Tenant != "" {
-		more[c.TenantIn] = c.Tenant
+		private[c.TenantClaim] = c.Tenant
 	}
 	if len(c.Roles) > 0 {
-		more[c.RolesIn] = c.Roles
+		private[c.RolesClaim] = c.Roles
 	}
-	text, err := jwt.Signed(signer).Claims(claims).Claims(more).Serialize()
+	text, err := jwt.Signed(signer).Claims(claims).Claims(private).Serialize()
 	if err != nil {
 		return err
 	}
@@ -283,33 +283,33 @@
 	if c.Operator == "" {
 		return nil
 	}
-	with, err := life.LoadOperatorConfig(c.Operator)
+	operatorConfig, err := life.LoadOperatorConfig(c.Operator)
 	if err != nil {
 		return err
 	}
-	if with.Authn == nil || with.Authn.KeySet == nil {
+	if operatorConfig.Authn == nil || operatorConfig.Authn.KeySet == nil {
 		return errors.New("the operator's file has no tokens")
 	}
-	p := with.Authn
-	why := judge(raw, p.KeySet, p.TokenPolicy, p.RevokedTokens)
-	if why != "" {
-		fmt.Fprintf(o.out, "denied: %s\n", why)
-		return errSaid
+	callers := operatorConfig.Authn
+	denial := verifyNow(raw, callers.KeySet, callers.TokenPolicy, callers.RevokedTokens)
+	if denial != "" {
+		fmt.Fprintf(o.out, "denied: %s\n", denial)
+		return errReported
 	}
 	fmt.Fprintln(o.out, "good")
 	return nil
 }
 
-// judge tells whether a token counts now, as an instance would.
-func judge(raw string, keys *keyring.KeySet, p *tokens.Policy, revoked *tokens.Revocations) rights.Denial {
+// verifyNow tells whether a token counts now, as an instance would.
+func verifyNow(raw string, keys *keyring.KeySet, policy *tokens.Policy, revoked *tokens.Revocations) rights.Denial {
 	now := time.Now()
 	ring := keyring.NewKeyring(keys, time.Second)
-	c, why := tokens.Verify(raw, func(id keyring.KeyID) (*keyring.Key, rights.Denial) { return ring.Find(id, now) }, p)
-	if why == "" {
-		why = c.CheckTime(now, p)
+	claims, denial := tokens.Verify(raw, func(id keyring.KeyID) (*keyring.Key, rights.Denial) { return ring.Find(id, now) }, policy)
+	if denial == "" {
+		denial = claims.CheckTime(now, policy)
 	}
-	if why == "" && revoked.Contains(&c) {
-		why = tokens.Revoked
+	if denial == "" && revoked.Contains(&claims) {
+		denial = tokens.Revoked
 	}
-	return why
+	return denial
 }
--- a/internal/command/try.go
+++ b/internal/command/try.go
@@ -26,34 +26,34 @@
 
 // tryCommand runs an instance with nothing else running.
 type tryCommand struct {
-	For      time.Duration `name:"for" help:"How long the load goes on." default:"10s"`
-	Rate     float64       `name:"rate" help:"Ops a second, of all types together." default:"200"`
-	Stubs    int           `name:"stubs" help:"Client stubs, a connection each." default:"8"`
-	Mean     time.Duration `name:"mean" help:"What a run takes on average on one of the runtime's two cores." default:"5ms"`
-	Seed     uint64        `name:"seed" help:"For chance: the same seed gives the same load." default:"1"`
-	Operator string        `name:"operator" help:"Operator's file for the instance." placeholder:"FILE" type:"path"`
-	AMQP     bool          `name:"amqp" help:"Send a third of the ops by a queue, with a stand-in for the broker."`
-	Token    string        `name:"token" help:"File with a token that the stubs bring." placeholder:"FILE" type:"path"`
-	Log      string        `name:"log" help:"File for the instance's log; without it, a file that is removed if all went well." placeholder:"FILE" type:"path"`
+	Duration    time.Duration `name:"for" help:"How long the load goes on." default:"10s"`
+	Rate        float64       `name:"rate" help:"Ops a second, of all types together." default:"200"`
+	Clients     int           `name:"stubs" help:"Client stubs, a connection each." default:"8"`
+	MeanRunTime time.Duration `name:"mean" help:"What a run takes on average on one of the runtime's two cores." default:"5ms"`
+	Seed        uint64        `name:"seed" help:"For chance: the same seed gives the same load." default:"1"`
+	Operator    string        `name:"operator" help:"Operator's file for the instance." placeholder:"FILE" type:"path"`
+	AMQP        bool          `name:"amqp" help:"Send a third of the ops by a queue, with a stand-in for the broker."`
+	Token       string        `name:"token" help:"File with a token that the stubs bring." placeholder:"FILE" type:"path"`
+	Log         string        `name:"log" help:"File for the instance's log; without it, a file that is removed if all went well." placeholder:"FILE" type:"path"`
 }
 
-// tried is what became of the ops of one type.
-type tried struct {
-	asked, acked, nacked, failed, denied, lost int
-	took                                       *hdrhistogram.Histogram // µs of the acked
+// classResult is what became of the ops of one type.
+type classResult struct {
+	sent, succeeded, rejected, failed, denied, unanswered int
+	latency                                               *hdrhistogram.Histogram // µs of the acked
 }
 
-// trial is the load as it goes.
-type trial struct {
-	mu    sync.Mutex
-	kinds map[string]*tried
-	whys  map[string]int // denials by their word
+// loadTest is the load as it goes.
+type loadTest struct {
+	mu      sync.Mutex
+	classes map[string]*classResult
+	denials map[string]int // denials by their word
 }
 
-var triedTypes = []string{"view", "pay", "list"}
+var classNames = []string{"view", "pay", "list"}
 
 func (c *tryCommand) Run(o output) (failed error) {
-	if c.Rate <= 0 || c.For <= 0 || c.Stubs <= 0 {
+	if c.Rate <= 0 || c.Duration <= 0 || c.Clients <= 0 {
 		return errors.New("--rate, --for and --stubs want more than 0")
 	}
 	folder, err := os.MkdirTemp("", "lanewheel-try")
@@ -79,21 +79,21 @@
 		}
 		token = strings.TrimSpace(string(text))
 	}
-	rt, db, roster := standin.NewRuntime(), standin.NewDatabase(), standin.NewRoster()
-	defer rt.Listener.Close()
-	defer db.Listener.Close()
-	defer roster.Close()
-	db.Work()
-	free, err := net.Listen("tcp", "127.0.0.1:0")
+	runtime, database, registry := standin.NewRuntime(), standin.NewDatabase(), standin.NewRoster()
+	defer runtime.Listener.Close()
+	defer database.Listener.Close()
+	defer registry.Close()
+	database.Work()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	listen := free.Addr().String()
-	free.Close()
+	listen := listener.Addr().String()
+	listener.Close()
 	config := filepath.Join(folder, "config.json")
 	settings := strings.NewReplacer("IDLE", "30", "FRESH", "0", `"memory-kb":1900`, `"memory-kb":190000`).Replace(standin.Settings)
 	text := fmt.Sprintf(`{"name":"try","listen":%q,"runtime":%q,"roster":%q,"db":%q,"seed":"%x","stop_ms":1500,`+
-		`"limits":{"cores":1,"memory_mb":192,"sockets":512},"settings":%s}`, listen, rt.Addr(), roster.Addr(), db.Addr(), c.Seed, settings)
+		`"limits":{"cores":1,"memory_mb":192,"sockets":512},"settings":%s}`, listen, runtime.Addr(), registry.Addr(), database.Addr(), c.Seed, settings)
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 		return err
 	}
@@ -106,25 +106,25 @@
 	if err != nil {
 		return err
 	}
-	operated := c.Operator
-	var queues *broker.Broker
+	operatorFile := c.Operator
+	var fakeBroker *broker.Broker
 	if c.AMQP {
-		if operated != "" {
+		if operatorFile != "" {
 			return errors.New("--amqp brings an operator's file of its own")
 		}
-		queues = broker.New()
-		defer queues.Close()
-		operated = filepath.Join(folder, "amqp.ini")
-		text := fmt.Sprintf("[amqp]\nbrokers = %s\n[queue try]\nrank-default = 0.5\nkb-default = 1\nwait = 10s\n", queues.URL())
-		if err := os.WriteFile(operated, []byte(text), 0o600); err != nil {
+		fakeBroker = broker.New()
+		defer fakeBroker.Close()
+		operatorFile = filepath.Join(folder, "amqp.ini")
+		text := fmt.Sprintf("[amqp]\nbrokers = %s\n[queue try]\nrank-default = 0.5\nkb-default = 1\nwait = 10s\n", fakeBroker.URL())
+		if err := os.WriteFile(operatorFile, []byte(text), 0o600); err != nil {
 			return err
 		}
-		queues.Declare("try", nil)
-		queues.Declare("try.answers", nil)
+		fakeBroker.Declare("try", nil)
+		fakeBroker.Declare("try.answers", nil)
 	}
 	args := []string{"serve"}
-	if operated != "" {
-		args = append(args, "--operator", operated)
+	if operatorFile != "" {
+		args = append(args, "--operator", operatorFile)
 	}
 	child := exec.Command(self, args...)
 	child.Env = append(os.Environ(), "RELAY_CONFIG="+config)
@@ -137,47 +137,47 @@
 	up := make(chan struct{})
 	go func() {
 		defer func() { _ = recover() }() // it never came: the child's end tells why
-		rt.Take()
-		rt.Ready("steady")
-		rt.Work(2, c.Mean, c.Seed, nil)
+		runtime.Take()
+		runtime.Ready("steady")
+		runtime.Work(2, c.MeanRunTime, c.Seed, nil)
 		close(up)
 	}()
 	select {
 	case <-up:
 	case <-ended:
-		said, _ := os.ReadFile(logged)
-		return fmt.Errorf("the instance did not start:\n%s", said)
+		logText, _ := os.ReadFile(logged)
+		return fmt.Errorf("the instance did not start:\n%s", logText)
 	case <-time.After(2 * standin.Patience):
 		_ = child.Process.Kill()
 		return errors.New("the instance does not come up")
 	}
-	fmt.Fprintf(o.out, "an instance serves at %s, %g ops a second for %v\n", listen, c.Rate, c.For)
-	t := &trial{kinds: map[string]*tried{}, whys: map[string]int{}}
-	for _, kind := range triedTypes {
-		t.kinds[kind] = &tried{took: hdrhistogram.New(1, 60e6, 3)} // 1 µs to a minute
+	fmt.Fprintf(o.out, "an instance serves at %s, %g ops a second for %v\n", listen, c.Rate, c.Duration)
+	test := &loadTest{classes: map[string]*classResult{}, denials: map[string]int{}}
+	for _, class := range classNames {
+		test.classes[class] = &classResult{latency: hdrhistogram.New(1, 60e6, 3)} // 1 µs to a minute
 	}
-	if queues != nil {
-		t.kinds[byQueue] = &tried{took: hdrhistogram.New(1, 60e6, 3)}
+	if fakeBroker != nil {
+		test.classes[queueRow] = &classResult{latency: hdrhistogram.New(1, 60e6, 3)}
 	}
-	began, spent := time.Now(), childCPU(child.Process.Pid)
+	started, cpuTime := time.Now(), cpuTimeOf(child.Process.Pid)
 	done := make(chan struct{})
-	go t.progress(o.out, began, done)
+	go test.printProgress(o.out, started, done)
 	var sent chan struct{}
-	if queues != nil {
+	if fakeBroker != nil {
 		sent = make(chan struct{})
 		go func() {
 			defer close(sent)
-			t.queue(c, queues)
+			test.runQueue(c, fakeBroker)
 		}()
-		stubs := *c
-		stubs.Rate *= 2.0 / 3
-		c = &stubs
+		perClients := *c
+		perClients.Rate *= 2.0 / 3
+		c = &perClients
 	}
-	t.load(c, listen, token)
+	test.load(c, listen, token)
 	if sent != nil {
 		<-sent
 	}
-	spent = childCPU(child.Process.Pid) - spent
+	cpuTime = cpuTimeOf(child.Process.Pid) - cpuTime
 	close(done)
 	_ = child.Process.Signal(syscall.SIGTERM)
 	select {
@@ -186,7 +186,7 @@
 		_ = child.Process.Kill()
 		err = errors.New("it does not end after SIGTERM")
 	}
-	t.table(o.out, spent)
+	test.printTable(o.out, cpuTime)
 	if err != nil {
 		return fmt.Errorf("the instance: %w", err)
 	}
@@ -194,156 +194,156 @@
 }
 
 // load asks at the told rate, each stub its part, whatever comes back: an open loop.
-func (t *trial) load(c *tryCommand, listen, token string) {
-	var all sync.WaitGroup
-	for k := range c.Stubs {
-		all.Add(1)
+func (t *loadTest) load(c *tryCommand, listen, token string) {
+	var clients sync.WaitGroup
+	for number := range c.Clients {
+		clients.Add(1)
 		go func() {
-			defer all.Done()
-			t.stub(c, k, listen, token)
+			defer clients.Done()
+			t.runClient(c, number, listen, token)
 		}()
 	}
-	all.Wait()
+	clients.Wait()
 }
 
-func (t *trial) stub(c *tryCommand, k int, listen, token string) {
+func (t *loadTest) runClient(c *tryCommand, number int, listen, token string) {
 	defer func() { _ = recover() }() // a connection that is closed on it is in the table, as lost
-	chance := rand.New(rand.NewPCG(c.Seed, uint64(k)))
-	s := standin.Dial(listen)
-	defer s.Close()
+	random := rand.New(rand.NewPCG(c.Seed, uint64(number)))
+	connection := standin.Dial(listen)
+	defer connection.Close()
 	type asked struct {
 		kind string
 		at   time.Time
 	}
 	var mu sync.Mutex
-	open := map[int]asked{}
-	over := make(chan struct{})
+	pending := map[int]asked{}
+	done := make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(done)
 		for {
-			a, err := s.Answer()
+			response, err := connection.Answer()
 			if err != nil {
 				return
 			}
 			mu.Lock()
-			ask, known := open[a.N]
-			delete(open, a.N)
+			request, known := pending[response.N]
+			delete(pending, response.N)
 			mu.Unlock()
 			if known {
-				t.answered(ask.kind, time.Since(ask.at), a)
+				t.record(request.kind, time.Since(request.at), response)
 			}
 		}
 	}()
-	gap := float64(c.Stubs) / c.Rate * float64(time.Second)
+	gap := float64(c.Clients) / c.Rate * float64(time.Second)
 	began := time.Now()
 	at := time.Duration(0)
 	for n := 1; ; n++ {
-		at += time.Duration(chance.ExpFloat64() * gap)
-		if at >= c.For {
+		at += time.Duration(random.ExpFloat64() * gap)
+		if at >= c.Duration {
 			break
 		}
 		time.Sleep(time.Until(began.Add(at)))
-		kind := triedTypes[chance.IntN(len(triedTypes))]
-		more := []string{"from", fmt.Sprint(k), "kb", "1", "rank", fmt.Sprintf("%.3f", 0.999*chance.Float64()), // under 1, rounded too
-			"cost", fmt.Sprint(c.Mean.Milliseconds())}
+		class := classNames[random.IntN(len(classNames))]
+		fields := []string{"from", fmt.Sprint(number), "kb", "1", "rank", fmt.Sprintf("%.3f", 0.999*random.Float64()), // under 1, rounded too
+			"cost", fmt.Sprint(c.MeanRunTime.Milliseconds())}
 		if token != "" {
-			more = append(more, "token", token)
+			fields = append(fields, "token", token)
 		}
 		mu.Lock()
-		full := len(open) >= 32 // the protocol's bound
+		full := len(pending) >= 32 // the protocol's bound
 		if !full {
-			open[n] = asked{kind, time.Now()}
+			pending[n] = asked{class, time.Now()}
 		}
 		mu.Unlock()
 		t.mu.Lock()
-		t.kinds[kind].asked++
+		t.classes[class].sent++
 		if full {
-			t.kinds[kind].lost++
+			t.classes[class].unanswered++
 		}
 		t.mu.Unlock()
 		if !full {
-			s.Send(standin.Op(n, kind, fmt.Sprintf("%08x%08x", k, n), []byte("body"), more...))
+			connection.Send(standin.Op(n, class, fmt.Sprintf("%08x%08x", number, n), []byte("body"), fields...))
 		}
 	}
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) { // the op timeout
 		mu.Lock()
-		left := len(open)
+		left := len(pending)
 		mu.Unlock()
 		if left == 0 {
 			break
 		}
 	}
-	s.Close()
-	<-over
+	connection.Close()
+	<-done
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, ask := range open {
-		t.kinds[ask.kind].lost++
+	for _, request := range pending {
+		t.classes[request.kind].unanswered++
 	}
 }
 
-// byQueue is the line of the table for messages.
-const byQueue = "by queue"
+// queueRow is the line of the table for messages.
+const queueRow = "by queue"
 
-// queue sends a third of the rate as messages, and takes their answers.
-func (t *trial) queue(c *tryCommand, b *broker.Broker) {
-	at := map[string]time.Time{}
+// runQueue sends a third of the rate as messages, and takes their answers.
+func (t *loadTest) runQueue(c *tryCommand, fakeBroker *broker.Broker) {
+	sentAt := map[string]time.Time{}
 	began := time.Now()
-	take := func() {
-		for _, p := range b.Take("try.answers") {
-			if sent, waits := at[p.CorrelationId]; waits {
-				delete(at, p.CorrelationId)
-				a := standin.Answer{Error: p.Type}
+	takeReplies := func() {
+		for _, p := range fakeBroker.Take("try.answers") {
+			if sent, pending := sentAt[p.CorrelationId]; pending {
+				delete(sentAt, p.CorrelationId)
+				response := standin.Answer{Error: p.Type}
 				switch p.Type {
 				case "acked":
-					a.Error = ""
+					response.Error = ""
 				case "denied":
-					a.Error, a.Fields = "Denied", map[string]any{"why": p.Headers["why"]}
+					response.Error, response.Fields = "Denied", map[string]any{"why": p.Headers["why"]}
 				}
-				t.answered(byQueue, time.Since(sent), a)
+				t.record(queueRow, time.Since(sent), response)
 			}
 		}
 	}
 	gap := time.Duration(3 / c.Rate * float64(time.Second))
-	for n := 0; time.Since(began) < c.For; n++ {
+	for n := 0; time.Since(began) < c.Duration; n++ {
 		for next := began.Add(time.Duration(n) * gap); time.Now().Before(next); time.Sleep(time.Millisecond) {
-			take()
+			takeReplies()
 		}
 		id := fmt.Sprint("m", n)
-		at[id] = time.Now()
+		sentAt[id] = time.Now()
 		t.mu.Lock()
-		t.kinds[byQueue].asked++
+		t.classes[queueRow].sent++
 		t.mu.Unlock()
-		b.Publish("try", client.Publishing{MessageId: id, CorrelationId: id, ReplyTo: "try.answers", Type: triedTypes[n%3], Timestamp: time.Now(), Body: []byte("body")})
+		fakeBroker.Publish("try", client.Publishing{MessageId: id, CorrelationId: id, ReplyTo: "try.answers", Type: classNames[n%3], Timestamp: time.Now(), Body: []byte("body")})
 	}
-	for end := time.Now().Add(5 * time.Second); len(at) > 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
-		take()
+	for end := time.Now().Add(5 * time.Second); len(sentAt) > 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+		takeReplies()
 	}
 	t.mu.Lock()
-	t.kinds[byQueue].lost = len(at)
+	t.classes[queueRow].unanswered = len(sentAt)
 	t.mu.Unlock()
 }
 
-func (t *trial) answered(kind string, took time.Duration, a standin.Answer) {
+func (t *loadTest) record(class string, latency time.Duration, response standin.Answer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k := t.kinds[kind]
-	switch a.Error {
+	result := t.classes[class]
+	switch response.Error {
 	case "":
-		k.acked++
-		_ = k.took.RecordValue(max(1, took.Microseconds()))
+		result.succeeded++
+		_ = result.latency.RecordValue(max(1, latency.Microseconds()))
 	case "Busy":
-		k.nacked++
+		result.rejected++
 	case "Denied":
-		k.denied++
-		t.whys[fmt.Sprint(a.Fields["why"])]++
+		result.denied++
+		t.denials[fmt.Sprint(response.Fields["why"])]++
 	default:
-		k.failed++
+		result.failed++
 	}
 }
 
-// progress leaves a line a second.
-func (t *trial) progress(out io.Writer, began time.Time, done chan struct{}) {
+// printProgress leaves a line a second.
+func (t *loadTest) printProgress(out io.Writer, began time.Time, done chan struct{}) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -353,46 +353,46 @@
 		case <-tick.C:
 		}
 		t.mu.Lock()
-		var sum tried
-		for _, k := range t.kinds {
-			sum.asked += k.asked
-			sum.acked += k.acked
-			sum.nacked += k.nacked
+		var sum classResult
+		for _, k := range t.classes {
+			sum.sent += k.sent
+			sum.succeeded += k.succeeded
+			sum.rejected += k.rejected
 			sum.failed += k.failed
 			sum.denied += k.denied
 		}
 		t.mu.Unlock()
 		fmt.Fprintf(out, "%3.0fs asked %d acked %d nacked %d failed %d denied %d\n", time.Since(began).Seconds(),
-			sum.asked, sum.acked, sum.nacked, sum.failed, sum.denied)
+			sum.sent, sum.succeeded, sum.rejected, sum.failed, sum.denied)
 	}
 }
 
-func (t *trial) table(out io.Writer, spent time.Duration) {
+func (t *loadTest) printTable(out io.Writer, cpuTime time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "op type\tasked\tacked\tnacked\tfailed\tdenied\tunanswered\tmedian ms\t99th ms\t")
-	asked := 0
-	for _, kind := range append(slices.Clone(triedTypes), byQueue) {
-		k := t.kinds[kind]
-		if k == nil {
+	sent := 0
+	for _, class := range append(slices.Clone(classNames), queueRow) {
+		result := t.classes[class]
+		if result == nil {
 			continue
 		}
-		asked += k.asked
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t\n", kind, k.asked, k.acked, k.nacked, k.failed, k.denied, k.lost,
-			float64(k.took.ValueAtQuantile(50))/1e3, float64(k.took.ValueAtQuantile(99))/1e3)
+		sent += result.sent
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t\n", class, result.sent, result.succeeded, result.rejected, result.failed, result.denied, result.unanswered,
+			float64(result.latency.ValueAtQuantile(50))/1e3, float64(result.latency.ValueAtQuantile(99))/1e3)
 	}
 	w.Flush()
-	for _, why := range slices.Sorted(maps.Keys(t.whys)) {
-		fmt.Fprintf(out, "denied %s: %d\n", why, t.whys[why])
+	for _, denial := range slices.Sorted(maps.Keys(t.denials)) {
+		fmt.Fprintf(out, "denied %s: %d\n", denial, t.denials[denial])
 	}
-	if asked > 0 {
-		fmt.Fprintf(out, "CPU of the instance: %.0f µs an op\n", float64(spent.Microseconds())/float64(asked))
+	if sent > 0 {
+		fmt.Fprintf(out, "CPU of the instance: %.0f µs an op\n", float64(cpuTime.Microseconds())/float64(sent))
 	}
 }
 
-// childCPU is what a process has used so far, in the kernel's ticks of 10 ms; 0 where /proc does not tell.
-func childCPU(pid int) time.Duration {
+// cpuTimeOf is what a process has used so far, in the kernel's ticks of 10 ms; 0 where /proc does not tell.
+func cpuTimeOf(pid int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
