--- a/cmd/lanewheel-fleet/main.go
+++ b/cmd/lanewheel-fleet/main.go
@@ -10,6 +10,6 @@
 )
 
 func main() {
-	command.Link(further.Parts())
+	command.Link(further.Commands())
 	os.Exit(command.Main(os.Args[1:], os.Stdout, os.Stderr))
 }
--- a/internal/command/further/agree.go
+++ b/internal/command/further/agree.go
@@ -21,219 +21,219 @@
 	"lanewheel/internal/operator"
 )
 
-// agree asks the stewards, and prints what they say.
-func agree(a command.CoordinatorCommand, out io.Writer) error {
-	o, err := life.LoadOperatorConfig(a.File)
+// runCoordinatorCommand asks the stewards, and prints what they say.
+func runCoordinatorCommand(arguments command.CoordinatorCommand, out io.Writer) error {
+	operatorConfig, err := life.LoadOperatorConfig(arguments.File)
 	if err != nil {
 		return err
 	}
-	if !o.File.Coordinator.Enabled || len(o.ClusterKeys) == 0 {
-		return fmt.Errorf("%s: wants the sections [fleet], with keys, and [steward]", a.File)
+	if !operatorConfig.File.Coordinator.Enabled || len(operatorConfig.ClusterKeys) == 0 {
+		return fmt.Errorf("%s: wants the sections [fleet], with keys, and [steward]", arguments.File)
 	}
-	k := ask.Client{Coordinators: o.File.Coordinator.Config.Coordinators, Keys: o.ClusterKeys, Timeout: 20 * time.Second}
-	show := func(v any) error {
-		e := json.NewEncoder(out)
-		e.SetIndent("", "  ")
-		return e.Encode(v)
+	coordinators := ask.Client{Coordinators: operatorConfig.File.Coordinator.Config.Coordinators, Keys: operatorConfig.ClusterKeys, Timeout: 20 * time.Second}
+	printJSON := func(value any) error {
+		encoder := json.NewEncoder(out)
+		encoder.SetIndent("", "  ")
+		return encoder.Encode(value)
 	}
-	switch a.Action {
+	switch arguments.Action {
 	case "status":
-		got, err := k.Do(ask.Request{Status: true})
+		answer, err := coordinators.Do(ask.Request{Status: true})
 		if err != nil {
 			return err
 		}
-		if a.JSON {
-			return show(got.Status)
+		if arguments.JSON {
+			return printJSON(answer.Status)
 		}
-		return status(got.Status, out)
+		return printStatus(answer.Status, out)
 	case "history":
-		got, err := k.Do(ask.Request{History: true})
+		answer, err := coordinators.Do(ask.Request{History: true})
 		if err != nil {
 			return err
 		}
 		switch {
-		case a.Path != "":
-			return export(got.History, a.Path)
-		case a.JSON:
-			return show(got.History)
+		case arguments.Path != "":
+			return exportHistory(answer.History, arguments.Path)
+		case arguments.JSON:
+			return printJSON(answer.History)
 		}
-		history(got.History, out)
+		printHistory(answer.History, out)
 		return nil
 	case "leave":
-		got, err := k.Do(ask.Request{RemoveCoordinator: a.Name})
-		if err == nil && got.Error != "" {
-			err = errors.New(got.Error)
+		answer, err := coordinators.Do(ask.Request{RemoveCoordinator: arguments.Name})
+		if err == nil && answer.Error != "" {
+			err = errors.New(answer.Error)
 		}
 		return err
 	}
-	c, err := ordered(a)
+	command, err := buildCommand(arguments)
 	if err != nil {
 		return err
 	}
 	// The same key however often it is asked: a steward that fails between agreeing and answering leaves no second permit behind.
-	var b [8]byte
-	if _, err := rand.Read(b[:]); err != nil {
+	var key [8]byte
+	if _, err := rand.Read(key[:]); err != nil {
 		return err
 	}
-	c.IdempotencyKey = hex.EncodeToString(b[:])
-	got, err := k.Do(ask.Request{Command: &c})
+	command.IdempotencyKey = hex.EncodeToString(key[:])
+	answer, err := coordinators.Do(ask.Request{Command: &command})
 	switch {
 	case err != nil:
 		return err
-	case got.Error != "":
-		return errors.New(got.Error)
-	case !got.Reply.OK:
-		return errors.New(got.Reply.Reason)
+	case answer.Error != "":
+		return errors.New(answer.Error)
+	case !answer.Reply.OK:
+		return errors.New(answer.Reply.Reason)
 	}
-	numbers := got.Reply.PermitIDs
-	if got.Reply.PermitID > 0 {
-		numbers = append(numbers, got.Reply.PermitID)
+	permits := answer.Reply.PermitIDs
+	if answer.Reply.PermitID > 0 {
+		permits = append(permits, answer.Reply.PermitID)
 	}
-	fmt.Fprintln(out, "agreed", a.Action, numbers)
-	if a.Action == "drain" && a.Wait {
-		return wait(k, numbers, out)
+	fmt.Fprintln(out, "agreed", arguments.Action, permits)
+	if arguments.Action == "drain" && arguments.Wait {
+		return waitForPermits(coordinators, permits, out)
 	}
 	return nil
 }
 
-// ordered is the command that an operator means.
-func ordered(a command.CoordinatorCommand) (c accord.Command, err error) {
-	c = accord.Command{RequestedBy: a.RequestedBy, Reason: a.Reason}
-	text := func() []byte {
-		b, bad := os.ReadFile(a.Path)
-		err = errors.Join(err, bad)
-		return b
+// buildCommand is the command that an operator means.
+func buildCommand(arguments command.CoordinatorCommand) (command accord.Command, err error) {
+	command = accord.Command{RequestedBy: arguments.RequestedBy, Reason: arguments.Reason}
+	readFile := func() []byte {
+		content, readErr := os.ReadFile(arguments.Path)
+		err = errors.Join(err, readErr)
+		return content
 	}
-	switch a.Action {
+	switch arguments.Action {
 	case "drain", "undrain":
-		c.Kind, c.Selector, c.Reason = accord.KindDrain, accord.Selector{Zone: a.Zone, Upstream: a.Upstream}, "drain"
-		if a.Action == "undrain" {
-			c.Kind = accord.KindCancelDrain
+		command.Kind, command.Selector, command.Reason = accord.KindDrain, accord.Selector{Zone: arguments.Zone, Upstream: arguments.Upstream}, "drain"
+		if arguments.Action == "undrain" {
+			command.Kind = accord.KindCancelDrain
 		}
-		if a.Name != "" {
-			c.Member = accord.Name(a.Name)
-			if a.Action == "drain" {
-				c.Kind = accord.KindRequestPermit
+		if arguments.Name != "" {
+			command.Member = accord.Name(arguments.Name)
+			if arguments.Action == "drain" {
+				command.Kind = accord.KindRequestPermit
 			}
 		}
-		if a.Name == "" && a.Zone == "" && a.Upstream == "" {
+		if arguments.Name == "" && arguments.Zone == "" && arguments.Upstream == "" {
 			err = errors.New("wants a member, --zone or --below")
 		}
 	case "forget":
-		c.Kind, c.Member = accord.KindForgetMember, accord.Name(a.Name)
+		command.Kind, command.Member = accord.KindForgetMember, accord.Name(arguments.Name)
 	case "halt":
-		c.Kind = accord.KindHalt
+		command.Kind = accord.KindHalt
 	case "resume":
-		c.Kind = accord.KindResume
+		command.Kind = accord.KindResume
 	case "back":
-		c.Kind = accord.KindRollBack
+		command.Kind = accord.KindRollBack
 	case "budgets":
-		c.Kind = accord.KindSetBudgets
-		b := text()
+		command.Kind = accord.KindSetBudgets
+		content := readFile()
 		if err == nil {
-			c.Budgets, err = operator.ParseBudgets(a.Path, b)
+			command.Budgets, err = operator.ParseBudgets(arguments.Path, content)
 		}
 	case "release":
-		c.Kind = accord.KindStartRollout
-		b := text()
+		command.Kind = accord.KindStartRollout
+		content := readFile()
 		if err == nil {
-			var p accord.RolloutPlan
-			p, err = operator.ParseRollout(a.Path, b)
-			c.Plan = &p
+			var plan accord.RolloutPlan
+			plan, err = operator.ParseRollout(arguments.Path, content)
+			command.Plan = &plan
 		}
 	}
-	return c, err
+	return command, err
 }
 
-// wait says how permits go until all have begun and their members are out, or are over.
-func wait(k ask.Client, numbers []accord.PermitID, out io.Writer) error {
-	said := map[accord.PermitID]string{}
+// waitForPermits says how permits go until all have begun and their members are out, or are over.
+func waitForPermits(coordinators ask.Client, permits []accord.PermitID, out io.Writer) error {
+	reported := map[accord.PermitID]string{}
 	for {
-		got, err := k.Do(ask.Request{Status: true})
+		answer, err := coordinators.Do(ask.Request{Status: true})
 		if err != nil {
 			return err
 		}
-		open := 0
-		for _, p := range got.Status.Permits {
-			if !slices.Contains(numbers, p.ID) {
+		pending := 0
+		for _, permit := range answer.Status.Permits {
+			if !slices.Contains(permits, permit.ID) {
 				continue
 			}
-			text := string(p.Stage)
-			if p.WaitReason != "" && p.Stage == accord.PermitQueued {
-				text += ": " + p.WaitReason
+			text := string(permit.Stage)
+			if permit.WaitReason != "" && permit.Stage == accord.PermitQueued {
+				text += ": " + permit.WaitReason
 			}
-			gone := false
-			for _, m := range got.Status.Unavailable {
-				if m.Name == p.Member && m.State == accord.MemberGone {
-					text, gone = "out", p.Stage == accord.PermitBegun
+			isOut := false
+			for _, member := range answer.Status.Unavailable {
+				if member.Name == permit.Member && member.State == accord.MemberGone {
+					text, isOut = "out", permit.Stage == accord.PermitBegun
 				}
 			}
-			if !gone {
-				open++
+			if !isOut {
+				pending++
 			}
-			if said[p.ID] != text {
-				said[p.ID] = text
-				fmt.Fprintf(out, "%s permit %d of %s: %s\n", time.Now().Format(time.TimeOnly), p.ID, p.Member, text)
+			if reported[permit.ID] != text {
+				reported[permit.ID] = text
+				fmt.Fprintf(out, "%s permit %d of %s: %s\n", time.Now().Format(time.TimeOnly), permit.ID, permit.Member, text)
 			}
 		}
-		if open == 0 {
+		if pending == 0 {
 			return nil
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
 }
 
-func status(s *ask.Status, out io.Writer) error {
-	fmt.Fprintf(out, "%s, term %d, entry %d of the log, led by %s, %d stewards, %d members, fleet's time %s\n", s.ID, s.Term, s.AppliedIndex, s.Leader, len(s.Coordinators), s.MemberCount, s.FleetTime)
-	if s.Halt != nil {
-		fmt.Fprintf(out, "HALTED by %s: %s\n", s.Halt.By, s.Halt.Reason)
+func printStatus(status *ask.Status, out io.Writer) error {
+	fmt.Fprintf(out, "%s, term %d, entry %d of the log, led by %s, %d stewards, %d members, fleet's time %s\n", status.ID, status.Term, status.AppliedIndex, status.Leader, len(status.Coordinators), status.MemberCount, status.FleetTime)
+	if status.Halt != nil {
+		fmt.Fprintf(out, "HALTED by %s: %s\n", status.Halt.By, status.Halt.Reason)
 	}
-	if r := s.Rollout; r != nil {
-		fmt.Fprintf(out, "release %s to %s by %s: %s, wave %d of %d", r.Name, r.TargetRelease, r.RequestedBy, r.Phase, r.Wave+1, len(r.WaveMembers))
-		if r.WaitReason != "" {
-			fmt.Fprintf(out, ", waits: %s", r.WaitReason)
+	if rollout := status.Rollout; rollout != nil {
+		fmt.Fprintf(out, "release %s to %s by %s: %s, wave %d of %d", rollout.Name, rollout.TargetRelease, rollout.RequestedBy, rollout.Phase, rollout.Wave+1, len(rollout.WaveMembers))
+		if rollout.WaitReason != "" {
+			fmt.Fprintf(out, ", waits: %s", rollout.WaitReason)
 		}
-		if r.Reason != "" {
-			fmt.Fprintf(out, ", why: %s", r.Reason)
+		if rollout.Reason != "" {
+			fmt.Fprintf(out, ", why: %s", rollout.Reason)
 		}
 		fmt.Fprintln(out)
 	}
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "budget\tof\tmembers\tout\tmay be\tup")
-	for _, u := range s.Budgets {
-		fmt.Fprintf(w, "%s\t%v\t%d\t%d\t%d\t%g\n", u.Budget.Name, u.Budget.Selector, u.Members, u.Unavailable, u.UnavailableLimit, u.AvailableCapacity)
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "budget\tof\tmembers\tout\tmay be\tup")
+	for _, use := range status.Budgets {
+		fmt.Fprintf(table, "%s\t%v\t%d\t%d\t%d\t%g\n", use.Budget.Name, use.Budget.Selector, use.Members, use.Unavailable, use.UnavailableLimit, use.AvailableCapacity)
 	}
-	fmt.Fprintln(w, "permit\tmember\tfor\tby\tstage\twaits for")
-	for _, p := range s.Permits {
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\n", p.ID, p.Member, p.Purpose, p.RequestedBy, p.Stage, p.WaitReason)
+	fmt.Fprintln(table, "permit\tmember\tfor\tby\tstage\twaits for")
+	for _, permit := range status.Permits {
+		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\t%s\n", permit.ID, permit.Member, permit.Purpose, permit.RequestedBy, permit.Stage, permit.WaitReason)
 	}
-	fmt.Fprintln(w, "out\twhy\tsince\trelease\tzone")
-	for _, m := range s.Unavailable {
-		if m.State != accord.MemberUp {
-			fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%s\n", m.Name, m.State, m.StateSince.Round(time.Second), m.Release, m.Zone)
+	fmt.Fprintln(table, "out\twhy\tsince\trelease\tzone")
+	for _, member := range status.Unavailable {
+		if member.State != accord.MemberUp {
+			fmt.Fprintf(table, "%s\t%s\t%v\t%s\t%s\n", member.Name, member.State, member.StateSince.Round(time.Second), member.Release, member.Zone)
 		}
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
-func history(all []accord.HistoryEntry, out io.Writer) {
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "nth\tat\tby\tdid\twhat\tcame to")
-	for _, e := range all {
-		came := "agreed"
-		if !e.OK {
-			came = "refused"
+func printHistory(entries []accord.HistoryEntry, out io.Writer) {
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "nth\tat\tby\tdid\twhat\tcame to")
+	for _, entry := range entries {
+		outcome := "agreed"
+		if !entry.OK {
+			outcome = "refused"
 		}
-		if e.Reason != "" {
-			came += ": " + e.Reason
+		if entry.Reason != "" {
+			outcome += ": " + entry.Reason
 		}
-		fmt.Fprintf(w, "%d\t%v\t%s\t%s\t%s\t%s\n", e.Sequence, e.At.Round(time.Millisecond), e.RequestedBy, e.Kind, e.Summary, came)
+		fmt.Fprintf(table, "%d\t%v\t%s\t%s\t%s\t%s\n", entry.Sequence, entry.At.Round(time.Millisecond), entry.RequestedBy, entry.Kind, entry.Summary, outcome)
 	}
-	w.Flush()
+	table.Flush()
 }
 
-// line is one command of the history, as it is exported.
-type line struct {
+// historyRow is one command of the history, as it is exported.
+type historyRow struct {
 	Nth    int64  `parquet:"nth"`
 	AtMS   int64  `parquet:"at_ms"`
 	By     string `parquet:"by,dict"`
@@ -245,12 +245,12 @@
 }
 
 // schema names the root of the exported history's Parquet schema, which would follow the name of the Go type.
-var schema = parquet.NewSchema("line", parquet.SchemaOf(line{}))
+var schema = parquet.NewSchema("line", parquet.SchemaOf(historyRow{}))
 
-func export(all []accord.HistoryEntry, path string) error {
-	var rows []line
-	for _, e := range all {
-		rows = append(rows, line{int64(e.Sequence), e.At.Milliseconds(), e.RequestedBy, string(e.Kind), e.Summary, e.OK, e.Reason, int64(e.PermitID)})
+func exportHistory(entries []accord.HistoryEntry, path string) error {
+	var rows []historyRow
+	for _, entry := range entries {
+		rows = append(rows, historyRow{int64(entry.Sequence), entry.At.Milliseconds(), entry.RequestedBy, string(entry.Kind), entry.Summary, entry.OK, entry.Reason, int64(entry.PermitID)})
 	}
 	return parquet.WriteFile(path, rows, schema)
 }
--- a/internal/command/further/agreed/agreed.go
+++ b/internal/command/further/agreed/agreed.go
@@ -19,7 +19,7 @@
 			as := func(o *life.OperatorConfig) gossip.Config {
 				f := o.File.Fleet
 				f.Roles = members.RoleCoordinator
-				return further.Told(&f, "", "", o.ClusterKeys)
+				return further.GossipConfig(&f, "", "", o.ClusterKeys)
 			}
 			part, err := gossip.New(as(o), process, uint64(os.Getpid()))
 			if err != nil {
--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -34,252 +34,252 @@
 	"lanewheel/internal/wire"
 )
 
-// Parts is all that lanewheel-fleet has beside lanewheel.
-func Parts() command.Components {
-	return command.Components{FleetHooks: join, RunProxy: relayed, RunAllocator: desked, ShowMembers: show, RunDrill: rehearse, ShowRecord: shown, CompareRecords: differ, CoordinatorFuncs: command.CoordinatorFuncs{Request: agree, RunDrillHook: drill.Hooked}}
+// Commands is all that lanewheel-fleet has beside lanewheel.
+func Commands() command.Components {
+	return command.Components{FleetHooks: joinFleet, RunProxy: runProxy, RunAllocator: runAllocator, ShowMembers: showMembers, RunDrill: runDrill, ShowRecord: showRecord, CompareRecords: compareRecords, CoordinatorFuncs: command.CoordinatorFuncs{Request: runCoordinatorCommand, RunDrillHook: drill.Hooked}}
 }
 
-// Told puts together what the part goes by.
-func Told(f *operator.Fleet, name, serves string, keys []members.Key) gossip.Config {
-	if f.Name != "" {
-		name = f.Name
+// GossipConfig puts together what the part goes by.
+func GossipConfig(fleet *operator.Fleet, name, address string, keys []members.Key) gossip.Config {
+	if fleet.Name != "" {
+		name = fleet.Name
 	}
-	if f.ServiceAddress != "" {
-		serves = f.ServiceAddress
+	if fleet.ServiceAddress != "" {
+		address = fleet.ServiceAddress
 	}
-	return gossip.Config{Name: members.Name(name), Cluster: f.Cluster, ListenAddr: f.ListenAddress, AdvertiseAddr: f.AdvertiseAddress, ServiceAddr: serves, Roles: f.Roles, Zone: f.Zone, Release: f.Release,
-		Capacity: f.Capacity, WarmUp: f.WarmUp, Keys: keys, ProbeInterval: f.ProbeInterval, MaxMessageRate: f.MaxMessageRate, StatusSocket: f.StatusSocket, LeaveWhenFenced: f.DrainWhenFenced, DrainByPermit: f.RequirePermit, Membership: f.Config}
+	return gossip.Config{Name: members.Name(name), Cluster: fleet.Cluster, ListenAddr: fleet.ListenAddress, AdvertiseAddr: fleet.AdvertiseAddress, ServiceAddr: address, Roles: fleet.Roles, Zone: fleet.Zone, Release: fleet.Release,
+		Capacity: fleet.Capacity, WarmUp: fleet.WarmUp, Keys: keys, ProbeInterval: fleet.ProbeInterval, MaxMessageRate: fleet.MaxMessageRate, StatusSocket: fleet.StatusSocket, LeaveWhenFenced: fleet.DrainWhenFenced, DrainByPermit: fleet.RequirePermit, Membership: fleet.Config}
 }
 
-// join brings an instance into its fleet.
-func join(in *keep.Server, config keep.Config, o *life.OperatorConfig) (func(*life.OperatorConfig), error) {
-	if !o.File.Fleet.Enabled { // services at told addresses need nobody else
-		services := below.New(in.Loop, o.File.Upstream.Config, members.ID{}, config.Seed, nil)
-		in.UseUpstreams(services)
-		in.Post(services.Start)
+// joinFleet brings an instance into its fleet.
+func joinFleet(srv *keep.Server, platform keep.Config, operatorConfig *life.OperatorConfig) (func(*life.OperatorConfig), error) {
+	if !operatorConfig.File.Fleet.Enabled { // services at told addresses need nobody else
+		upstreamClient := below.New(srv.Loop, operatorConfig.File.Upstream.Config, members.ID{}, platform.Seed, nil)
+		srv.UseUpstreams(upstreamClient)
+		srv.Post(upstreamClient.Start)
 		return func(*life.OperatorConfig) {}, nil
 	}
-	part, err := gossip.New(Told(&o.File.Fleet, config.Name, config.ListenAddr, o.ClusterKeys), &instance{in}, config.Seed)
+	agent, err := gossip.New(GossipConfig(&operatorConfig.File.Fleet, platform.Name, platform.ListenAddr, operatorConfig.ClusterKeys), &serverProcess{srv}, platform.Seed)
 	if err != nil {
 		return nil, err
 	}
-	var over *handover.Spillover
-	if o.File.Spillover.Enabled {
-		in.EnableSpillover(func(net *wire.Net) keep.Spillover {
-			over = handover.New(in, net, o.File.Spillover.Config, config.Seed, asks(part))
-			return over
+	var spill *handover.Spillover
+	if operatorConfig.File.Spillover.Enabled {
+		srv.EnableSpillover(func(net *wire.Net) keep.Spillover {
+			spill = handover.New(srv, net, operatorConfig.File.Spillover.Config, platform.Seed, prober(agent))
+			return spill
 		})
-		seeing(part, in.Loop, over.UpdateView)
-		in.AddFrontend(over)
+		subscribe(agent, srv.Loop, spill.UpdateView)
+		srv.AddFrontend(spill)
 	}
-	if o.File.Upstream.Enabled {
-		below := below.New(in.Loop, o.File.Upstream.Config, part.View().Self.ID(), config.Seed, part.RequestLease)
-		part.OnLease = func(g grants.Lease) { in.Post(func() { below.HandleLease(g) }) }
-		seeing(part, in.Loop, below.SetView)
-		in.UseUpstreams(below)
-		in.Post(below.Start)
+	if operatorConfig.File.Upstream.Enabled {
+		upstreamClient := below.New(srv.Loop, operatorConfig.File.Upstream.Config, agent.View().Self.ID(), platform.Seed, agent.RequestLease)
+		agent.OnLease = func(lease grants.Lease) { srv.Post(func() { upstreamClient.HandleLease(lease) }) }
+		subscribe(agent, srv.Loop, upstreamClient.SetView)
+		srv.UseUpstreams(upstreamClient)
+		srv.Post(upstreamClient.Start)
 	}
-	in.AddFrontend(part)
-	slog.Info("fleet", "name", string(part.View().Self.Name), "listen", o.File.Fleet.ListenAddress, "seeds", len(o.File.Fleet.Config.Seeds), "keys", len(o.ClusterKeys))
-	return func(o *life.OperatorConfig) {
-		part.SetConfig(Told(&o.File.Fleet, config.Name, config.ListenAddr, o.ClusterKeys))
-		if over != nil {
-			in.Post(func() { over.SetConfig(o.File.Spillover.Config) })
+	srv.AddFrontend(agent)
+	slog.Info("fleet", "name", string(agent.View().Self.Name), "listen", operatorConfig.File.Fleet.ListenAddress, "seeds", len(operatorConfig.File.Fleet.Config.Seeds), "keys", len(operatorConfig.ClusterKeys))
+	return func(operatorConfig *life.OperatorConfig) {
+		agent.SetConfig(GossipConfig(&operatorConfig.File.Fleet, platform.Name, platform.ListenAddr, operatorConfig.ClusterKeys))
+		if spill != nil {
+			srv.Post(func() { spill.SetConfig(operatorConfig.File.Spillover.Config) })
 		}
 	}, nil
 }
 
-// instance speaks for an instance: what it says of itself comes from its core's loop.
-type instance struct{ in *keep.Server }
+// serverProcess speaks for an instance: what it says of itself comes from its core's loop.
+type serverProcess struct{ server *keep.Server }
 
-func (i *instance) Status(then func(gossip.ProcessStatus)) {
-	i.in.Post(func() {
-		l := i.in.Load()
+func (i *serverProcess) Status(report func(gossip.ProcessStatus)) {
+	i.server.Post(func() {
+		load := i.server.Load()
 		health := 0.0
-		if l.Healthy {
+		if load.Healthy {
 			health = 1
 		}
-		then(gossip.ProcessStatus{Ready: l.Ready, Draining: l.Draining, Metrics: []members.Metric{{Name: "health", Value: health}, {Name: "signal", Value: l.LoadReport},
-			{Name: "held", Value: float64(l.Queued)}, {Name: "running", Value: float64(l.Running)}, {Name: "cores", Value: l.Cores}}})
+		report(gossip.ProcessStatus{Ready: load.Ready, Draining: load.Draining, Metrics: []members.Metric{{Name: "health", Value: health}, {Name: "signal", Value: load.LoadReport},
+			{Name: "held", Value: float64(load.Queued)}, {Name: "running", Value: float64(load.Running)}, {Name: "cores", Value: load.Cores}}})
 	})
 }
 
-func (i *instance) Load(then func(float64, gossip.RequestStats)) {
-	i.in.Post(func() {
-		f := i.in.Stats()
-		figures := gossip.RequestStats{Finished: float64(f.Answered), WithinObjective: float64(f.WithinObjective), TotalSeconds: f.TotalLatency.Seconds()}
-		if l := i.in.Load(); l.Queued+l.Running > 0 {
-			then(float64(l.Queued+l.Running), figures)
+func (i *serverProcess) Load(report func(float64, gossip.RequestStats)) {
+	i.server.Post(func() {
+		totals := i.server.Stats()
+		figures := gossip.RequestStats{Finished: float64(totals.Answered), WithinObjective: float64(totals.WithinObjective), TotalSeconds: totals.TotalLatency.Seconds()}
+		if load := i.server.Load(); load.Queued+load.Running > 0 {
+			report(float64(load.Queued+load.Running), figures)
 		} else {
-			then(spread.IdleLoad(l.IdleFor), figures)
+			report(spread.IdleLoad(load.IdleFor), figures)
 		}
 	})
 }
 
-func (i *instance) Drain(number uint64) {
-	i.in.Post(func() {
+func (i *serverProcess) Drain(number uint64) {
+	i.server.Post(func() {
 		slog.Info("permitted", "permit", number)
-		i.in.Drain()
+		i.server.Drain()
 	})
 }
 
-func (i *instance) Fenced() { i.in.Post(i.in.Drain) }
+func (i *serverProcess) Fenced() { i.server.Post(i.server.Drain) }
 
-// desked runs a desk.
-func desked(operated, format string) error {
-	return desks.Run(operated, format, func(d *desk.Server, o *life.OperatorConfig) (func(*life.OperatorConfig), error) {
-		as := func(o *life.OperatorConfig) gossip.Config {
-			f := o.File.Fleet
-			f.Roles = members.RoleUpstream
-			return Told(&f, "", "", o.ClusterKeys)
+// runAllocator runs a desk.
+func runAllocator(operatorPath, logFormat string) error {
+	return desks.Run(operatorPath, logFormat, func(process *desk.Server, operatorConfig *life.OperatorConfig) (func(*life.OperatorConfig), error) {
+		gossipConfig := func(operatorConfig *life.OperatorConfig) gossip.Config {
+			fleet := operatorConfig.File.Fleet
+			fleet.Roles = members.RoleUpstream
+			return GossipConfig(&fleet, "", "", operatorConfig.ClusterKeys)
 		}
-		part, err := gossip.New(as(o), d, uint64(os.Getpid()))
+		agent, err := gossip.New(gossipConfig(operatorConfig), process, uint64(os.Getpid()))
 		if err != nil {
 			return nil, err
 		}
-		d.Attach(part)
-		part.Start()
-		return func(o *life.OperatorConfig) {
-			part.SetConfig(as(o))
-			d.SetConfig(o.File.Allocator.Config)
+		process.Attach(agent)
+		agent.Start()
+		return func(operatorConfig *life.OperatorConfig) {
+			agent.SetConfig(gossipConfig(operatorConfig))
+			process.SetConfig(operatorConfig.File.Allocator.Config)
 		}, nil
 	})
 }
 
-// relayed runs a relay.
-func relayed(operated, format string) error {
-	return relays.Run(os.Getenv("RELAY_CONFIG"), operated, format, func(config keep.Config, o *life.OperatorConfig) (*relay.Proxy, func(*life.OperatorConfig), error) {
-		fleet := o.File.Fleet
+// runProxy runs a relay.
+func runProxy(operatorPath, logFormat string) error {
+	return relays.Run(os.Getenv("RELAY_CONFIG"), operatorPath, logFormat, func(platform keep.Config, operatorConfig *life.OperatorConfig) (*relay.Proxy, func(*life.OperatorConfig), error) {
+		fleet := operatorConfig.File.Fleet
 		fleet.Roles = fleet.Roles&^members.RoleServer | members.RoleProxy
-		speaks := &relaying{}
-		part, err := gossip.New(Told(&fleet, config.Name, config.ListenAddr, o.ClusterKeys), speaks, config.Seed)
+		process := &proxyProcess{}
+		agent, err := gossip.New(GossipConfig(&fleet, platform.Name, platform.ListenAddr, operatorConfig.ClusterKeys), process, platform.Seed)
 		if err != nil {
 			return nil, nil, err
 		}
-		r, err := relay.Listen(config, o.File.Proxy.Config, asks(part))
+		running, err := relay.Listen(platform, operatorConfig.File.Proxy.Config, prober(agent))
 		if err != nil {
 			return nil, nil, err
 		}
-		speaks.r = r
-		seeing(part, r.Loop, r.UpdateView)
-		r.Attach(part)
-		slog.Info("fleet", "name", string(part.View().Self.Name), "listen", fleet.ListenAddress, "seeds", len(fleet.Config.Seeds), "keys", len(o.ClusterKeys))
-		return r, func(o *life.OperatorConfig) {
-			f := o.File.Fleet
-			f.Roles = fleet.Roles
-			part.SetConfig(Told(&f, config.Name, config.ListenAddr, o.ClusterKeys))
+		process.proxy = running
+		subscribe(agent, running.Loop, running.UpdateView)
+		running.Attach(agent)
+		slog.Info("fleet", "name", string(agent.View().Self.Name), "listen", fleet.ListenAddress, "seeds", len(fleet.Config.Seeds), "keys", len(operatorConfig.ClusterKeys))
+		return running, func(operatorConfig *life.OperatorConfig) {
+			reloaded := operatorConfig.File.Fleet
+			reloaded.Roles = fleet.Roles
+			agent.SetConfig(GossipConfig(&reloaded, platform.Name, platform.ListenAddr, operatorConfig.ClusterKeys))
 		}, nil
 	})
 }
 
-// seeing has a part that belongs to a loop see each view. Views come by the dozen a second; a tenth of one late is far less than they are old.
-func seeing(part *gossip.Agent, l *loop.Loop, see func(*members.View)) {
-	var waits atomic.Bool
-	part.Subscribe(func(*members.View) {
-		if waits.CompareAndSwap(false, true) {
-			l.Post(func() {
-				l.ScheduleAt(l.Now()+100*time.Millisecond, func() {
-					waits.Store(false)
-					see(part.View())
+// subscribe has a part that belongs to a loop see each view. Views come by the dozen a second; a tenth of one late is far less than they are old.
+func subscribe(agent *gossip.Agent, eventLoop *loop.Loop, update func(*members.View)) {
+	var scheduled atomic.Bool
+	agent.Subscribe(func(*members.View) {
+		if scheduled.CompareAndSwap(false, true) {
+			eventLoop.Post(func() {
+				eventLoop.ScheduleAt(eventLoop.Now()+100*time.Millisecond, func() {
+					scheduled.Store(false)
+					update(agent.View())
 				})
 			})
 		}
 	})
 }
 
-// asks is how others are asked how they stand.
-func asks(part *gossip.Agent) pass.ProbeFunc {
-	return func(name members.Name, then func(float64, time.Duration)) {
-		part.Post(func() { part.QueryLoad(name, then) })
+// prober is how others are asked how they stand.
+func prober(agent *gossip.Agent) pass.ProbeFunc {
+	return func(name members.Name, report func(float64, time.Duration)) {
+		agent.Post(func() { agent.QueryLoad(name, report) })
 	}
 }
 
-// relaying speaks for a relay.
-type relaying struct{ r *relay.Proxy }
+// proxyProcess speaks for a relay.
+type proxyProcess struct{ proxy *relay.Proxy }
 
-func (p *relaying) Status(then func(gossip.ProcessStatus)) {
-	p.r.Post(func() {
-		l := p.r.Load()
-		then(gossip.ProcessStatus{Ready: l.Ready, Draining: l.Draining, Metrics: []members.Metric{{Name: "passing", Value: float64(l.Running)}}})
+func (p *proxyProcess) Status(report func(gossip.ProcessStatus)) {
+	p.proxy.Post(func() {
+		load := p.proxy.Load()
+		report(gossip.ProcessStatus{Ready: load.Ready, Draining: load.Draining, Metrics: []members.Metric{{Name: "passing", Value: float64(load.Running)}}})
 	})
 }
 
-func (p *relaying) Load(then func(float64, gossip.RequestStats)) {
-	p.r.Post(func() { then(float64(p.r.Load().Running), gossip.RequestStats{}) })
+func (p *proxyProcess) Load(report func(float64, gossip.RequestStats)) {
+	p.proxy.Post(func() { report(float64(p.proxy.Load().Running), gossip.RequestStats{}) })
 }
-func (p *relaying) Fenced()      { p.r.Post(p.r.Drain) }
-func (p *relaying) Drain(uint64) { p.r.Post(p.r.Drain) }
+func (p *proxyProcess) Fenced()      { p.proxy.Post(p.proxy.Drain) }
+func (p *proxyProcess) Drain(uint64) { p.proxy.Post(p.proxy.Drain) }
 
-// show prints how a process sees its fleet, and how far others' views are from its.
-func show(f operator.Fleet, against []string, asJSON bool, out io.Writer) error {
-	s, err := gossip.ReadSnapshot(f.StatusSocket, gossip.SnapshotFull)
+// showMembers prints how a process sees its fleet, and how far others' views are from its.
+func showMembers(fleet operator.Fleet, sockets []string, asJSON bool, out io.Writer) error {
+	snapshot, err := gossip.ReadSnapshot(fleet.StatusSocket, gossip.SnapshotFull)
 	if err != nil {
-		return fmt.Errorf("nobody answers at %s: %w", f.StatusSocket, err)
+		return fmt.Errorf("nobody answers at %s: %w", fleet.StatusSocket, err)
 	}
 	if asJSON {
-		e := json.NewEncoder(out)
-		e.SetIndent("", "  ")
-		return e.Encode(s)
+		encoder := json.NewEncoder(out)
+		encoder.SetIndent("", "  ")
+		return encoder.Encode(snapshot)
 	}
-	fmt.Fprintf(out, "%s, incarnation %d, %s, reach %.2f, view %d\n", s.Name, s.Incarnation, s.LocalHealth, s.HeardFraction, s.ViewVersion)
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "member\tincarnation\tstate\twhy\tfor\tspoke\troles\tzone\trelease\tcores\tfacts")
-	for _, m := range s.Members {
+	fmt.Fprintf(out, "%s, incarnation %d, %s, reach %.2f, view %d\n", snapshot.Name, snapshot.Incarnation, snapshot.LocalHealth, snapshot.HeardFraction, snapshot.ViewVersion)
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "member\tincarnation\tstate\twhy\tfor\tspoke\troles\tzone\trelease\tcores\tfacts")
+	for _, member := range snapshot.Members {
 		var facts []string
-		for _, key := range slices.Sorted(maps.Keys(m.Metrics)) {
-			facts = append(facts, fmt.Sprintf("%s=%.3g", key, m.Metrics[key]))
+		for _, key := range slices.Sorted(maps.Keys(member.Metrics)) {
+			facts = append(facts, fmt.Sprintf("%s=%.3g", key, member.Metrics[key]))
 		}
-		if len(m.StaleMetrics) > 0 {
-			facts = append(facts, "too old: "+strings.Join(m.StaleMetrics, " "))
+		if len(member.StaleMetrics) > 0 {
+			facts = append(facts, "too old: "+strings.Join(member.StaleMetrics, " "))
 		}
-		ago := func(ms int64) time.Duration {
+		age := func(ms int64) time.Duration {
 			return (time.Duration(ms) * time.Millisecond).Round(100 * time.Millisecond)
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%v\t%v\t%s\t%s\t%s\t%g\t%s\n", m.Name, m.Incarnation, m.State, m.Reason, ago(m.InStateMillis), ago(m.SinceHeartbeatMillis), m.Roles, m.Zone, m.Release,
-			m.Capacity, strings.Join(facts, " "))
+		fmt.Fprintf(table, "%s\t%d\t%s\t%s\t%v\t%v\t%s\t%s\t%s\t%g\t%s\n", member.Name, member.Incarnation, member.State, member.Reason, age(member.InStateMillis), age(member.SinceHeartbeatMillis), member.Roles, member.Zone, member.Release,
+			member.Capacity, strings.Join(facts, " "))
 	}
-	w.Flush()
-	for _, name := range slices.Sorted(maps.Keys(s.Counters)) {
-		fmt.Fprintf(out, "%s %d\n", name, s.Counters[name])
+	table.Flush()
+	for _, name := range slices.Sorted(maps.Keys(snapshot.Counters)) {
+		fmt.Fprintf(out, "%s %d\n", name, snapshot.Counters[name])
 	}
-	for _, socket := range against {
+	for _, socket := range sockets {
 		other, err := gossip.ReadSnapshot(socket, gossip.SnapshotFull)
 		if err != nil {
 			fmt.Fprintf(out, "nobody answers at %s: %v\n", socket, err)
 			continue
 		}
-		compare(s, other, out)
+		compareViews(snapshot, other, out)
 	}
 	return nil
 }
 
-// compare prints on whom two views differ. Each holds itself to be here, which no view says.
-func compare(a, b gossip.Snapshot, out io.Writer) {
-	of := func(s gossip.Snapshot) map[string]string {
-		all := map[string]string{s.Name: fmt.Sprint("up ", s.Incarnation)}
-		for _, m := range s.Members {
-			all[m.Name] = fmt.Sprint(m.State, " ", m.Incarnation)
+// compareViews prints on whom two views differ. Each holds itself to be here, which no view says.
+func compareViews(first, second gossip.Snapshot, out io.Writer) {
+	states := func(snapshot gossip.Snapshot) map[string]string {
+		byName := map[string]string{snapshot.Name: fmt.Sprint("up ", snapshot.Incarnation)}
+		for _, member := range snapshot.Members {
+			byName[member.Name] = fmt.Sprint(member.State, " ", member.Incarnation)
 		}
-		return all
+		return byName
 	}
-	x, y := of(a), of(b)
-	n := 0
-	both := maps.Clone(x)
-	maps.Copy(both, y)
-	for _, name := range slices.Sorted(maps.Keys(both)) {
-		if x[name] != y[name] {
-			n++
-			fmt.Fprintf(out, "%s: %s holds %q, %s holds %q\n", name, a.Name, x[name], b.Name, y[name])
+	firstStates, secondStates := states(first), states(second)
+	differences := 0
+	names := maps.Clone(firstStates)
+	maps.Copy(names, secondStates)
+	for _, name := range slices.Sorted(maps.Keys(names)) {
+		if firstStates[name] != secondStates[name] {
+			differences++
+			fmt.Fprintf(out, "%s: %s holds %q, %s holds %q\n", name, first.Name, firstStates[name], second.Name, secondStates[name])
 		}
 	}
-	fmt.Fprintf(out, "%s and %s differ on %d of %d\n", a.Name, b.Name, n, len(both))
+	fmt.Fprintf(out, "%s and %s differ on %d of %d\n", first.Name, second.Name, differences, len(names))
 }
 
-// rehearse carries a script out; with "check" in place of a record it only says what it would do.
-func rehearse(d *operator.Drill, record, picture string, out io.Writer) (bad int, err error) {
+// runDrill carries a script out; with "check" in place of a record it only says what it would do.
+func runDrill(script *operator.Drill, record, picture string, out io.Writer) (violations int, err error) {
 	if record == "check" {
-		for _, e := range drill.Timeline(d) {
-			fmt.Fprintln(out, e)
+		for _, event := range drill.Timeline(script) {
+			fmt.Fprintln(out, event)
 		}
 		return 0, nil
 	}
@@ -287,53 +287,53 @@
 	if err != nil {
 		return 0, err
 	}
-	r, err := drill.Run(d, self, out)
+	result, err := drill.Run(script, self, out)
 	if err != nil {
 		return 0, err
 	}
 	if record != "" {
-		if err := r.Save(record); err != nil {
+		if err := result.Save(record); err != nil {
 			return 0, err
 		}
 	}
-	r.Table(out)
-	for _, row := range r {
+	result.Table(out)
+	for _, row := range result {
 		if row.Kind == "violation" {
-			bad++
+			violations++
 		}
 	}
-	if bad == 0 {
+	if violations == 0 {
 		fmt.Fprintln(out, "all held")
 	} else {
-		fmt.Fprintf(out, "%d did not hold, seed %d\n", bad, d.RandomSeed)
+		fmt.Fprintf(out, "%d did not hold, seed %d\n", violations, script.RandomSeed)
 	}
 	if picture != "" {
-		err = r.Draw(picture)
+		err = result.Draw(picture)
 	}
-	return bad, err
+	return violations, err
 }
 
-func shown(record, picture string, out io.Writer) error {
-	r, err := drill.Open(record)
+func showRecord(record, picture string, out io.Writer) error {
+	loaded, err := drill.Open(record)
 	if err != nil {
 		return err
 	}
-	r.Table(out)
+	loaded.Table(out)
 	if picture != "" {
-		return r.Draw(picture)
+		return loaded.Draw(picture)
 	}
 	return nil
 }
 
-func differ(a, b string, out io.Writer) error {
-	x, err := drill.Open(a)
+func compareRecords(first, second string, out io.Writer) error {
+	firstRecord, err := drill.Open(first)
 	if err != nil {
 		return err
 	}
-	y, err := drill.Open(b)
+	secondRecord, err := drill.Open(second)
 	if err != nil {
 		return err
 	}
-	drill.Differ(out, x, y)
+	drill.Differ(out, firstRecord, secondRecord)
 	return nil
 }
--- a/internal/command/further/golden_test.go
+++ b/internal/command/further/golden_test.go
@@ -129,7 +129,7 @@
 			}
 			file, questions := coordinator(t, stored(t, name+"-answer.json"))
 			var out bytes.Buffer
-			if err := agree(command.CoordinatorCommand{File: file, Action: name, JSON: true}, &out); err != nil {
+			if err := runCoordinatorCommand(command.CoordinatorCommand{File: file, Action: name, JSON: true}, &out); err != nil {
 				t.Fatal(err)
 			}
 			<-questions
@@ -138,7 +138,7 @@
 				return
 			}
 			out.Reset()
-			if err := agree(command.CoordinatorCommand{File: file, Action: name}, &out); err != nil {
+			if err := runCoordinatorCommand(command.CoordinatorCommand{File: file, Action: name}, &out); err != nil {
 				t.Fatal(err)
 			}
 			golden(t, name+"-printed.txt", out.Bytes())
@@ -167,7 +167,7 @@
 	} {
 		a.File, a.RequestedBy = file, "ann"
 		var out bytes.Buffer
-		if err := agree(a, &out); err != nil {
+		if err := runCoordinatorCommand(a, &out); err != nil {
 			t.Fatal(err)
 		}
 		q := regexp.MustCompile(`"Key":"[0-9a-f]{16}"`).ReplaceAllString(<-questions, `"Key":"16 hex digits"`)
@@ -181,7 +181,7 @@
 	_, history := agreed()
 	history = append(history, accord.HistoryEntry{Sequence: 10, At: time.Second, RequestedBy: "bob", Kind: accord.KindHalt, Summary: "all", Reply: accord.Reply{Reason: "halted already"}})
 	path := filepath.Join(t.TempDir(), "history.parquet")
-	if err := export(history, path); err != nil {
+	if err := exportHistory(history, path); err != nil {
 		t.Fatal(err)
 	}
 	b, err := os.ReadFile(path)
@@ -189,11 +189,11 @@
 		t.Fatal(err)
 	}
 	golden(t, "history.parquet", b)
-	rows, err := parquet.ReadFile[line]("testdata/history.parquet")
+	rows, err := parquet.ReadFile[historyRow]("testdata/history.parquet")
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []line{{9, 61500, "ann", "release", "r2 to 2", true, "begun", 8}, {10, 1000, "bob", "halt", "all", false, "halted already", 0}}
+	want := []historyRow{{9, 61500, "ann", "release", "r2 to 2", true, "begun", 8}, {10, 1000, "bob", "halt", "all", false, "halted already", 0}}
 	if !reflect.DeepEqual(rows, want) {
 		t.Fatalf("%+v", rows)
 	}
@@ -251,12 +251,12 @@
 		t.Fatalf("asked %q", line)
 	}
 	var out bytes.Buffer
-	if err := show(operator.Fleet{StatusSocket: socket}, nil, true, &out); err != nil {
+	if err := showMembers(operator.Fleet{StatusSocket: socket}, nil, true, &out); err != nil {
 		t.Fatal(err)
 	}
 	golden(t, "members-printed.json", out.Bytes())
 	out.Reset()
-	if err := show(operator.Fleet{StatusSocket: socket}, []string{socket}, false, &out); err != nil {
+	if err := showMembers(operator.Fleet{StatusSocket: socket}, []string{socket}, false, &out); err != nil {
 		t.Fatal(err)
 	}
 	golden(t, "members-printed.txt", out.Bytes())
@@ -277,7 +277,7 @@
 	go r.Serve()
 	t.Cleanup(func() { in.Post(in.Quit); r.Post(r.Quit) })
 	var text strings.Builder
-	for _, p := range []gossip.Process{&instance{in}, &relaying{r}} {
+	for _, p := range []gossip.Process{&serverProcess{in}, &proxyProcess{r}} {
 		report := make(chan gossip.ProcessStatus, 1)
 		p.Status(func(r gossip.ProcessStatus) { report <- r })
 		for _, f := range (<-report).Metrics {
