--- a/cmd/lanewheel-steward/main.go
+++ b/cmd/lanewheel-steward/main.go
@@ -11,6 +11,6 @@
 )
 
 func main() {
-	command.Link(agreed.Parts(further.Commands()))
+	command.Link(agreed.WithCoordinator(further.Commands()))
 	os.Exit(command.Main(os.Args[1:], os.Stdout, os.Stderr))
 }
--- a/internal/command/further/agreed/agreed.go
+++ b/internal/command/further/agreed/agreed.go
@@ -12,21 +12,21 @@
 	"lanewheel/internal/members"
 )
 
-// Parts adds to what lanewheel-fleet has.
-func Parts(p command.Components) command.Components {
-	p.RunCoordinator = func(operated, format string, begin, alone bool) error {
-		return stewards.Run(operated, format, begin, alone, func(process gossip.Process, o *life.OperatorConfig) (*gossip.Agent, func(*life.OperatorConfig), error) {
-			as := func(o *life.OperatorConfig) gossip.Config {
-				f := o.File.Fleet
-				f.Roles = members.RoleCoordinator
-				return further.GossipConfig(&f, "", "", o.ClusterKeys)
+// WithCoordinator adds to what lanewheel-fleet has.
+func WithCoordinator(commands command.Components) command.Components {
+	commands.RunCoordinator = func(operatorPath, logFormat string, bootstrap, recoverAlone bool) error {
+		return stewards.Run(operatorPath, logFormat, bootstrap, recoverAlone, func(process gossip.Process, operatorConfig *life.OperatorConfig) (*gossip.Agent, func(*life.OperatorConfig), error) {
+			gossipConfig := func(operatorConfig *life.OperatorConfig) gossip.Config {
+				fleet := operatorConfig.File.Fleet
+				fleet.Roles = members.RoleCoordinator
+				return further.GossipConfig(&fleet, "", "", operatorConfig.ClusterKeys)
 			}
-			part, err := gossip.New(as(o), process, uint64(os.Getpid()))
+			agent, err := gossip.New(gossipConfig(operatorConfig), process, uint64(os.Getpid()))
 			if err != nil {
 				return nil, nil, err
 			}
-			return part, func(o *life.OperatorConfig) { part.SetConfig(as(o)) }, nil
+			return agent, func(operatorConfig *life.OperatorConfig) { agent.SetConfig(gossipConfig(operatorConfig)) }, nil
 		})
 	}
-	return p
+	return commands
 }
