--- a/cmd/lanewheel-fleet/bench_test.go
+++ b/cmd/lanewheel-fleet/bench_test.go
@@ -15,68 +15,68 @@
 	"lanewheel/internal/standin"
 )
 
-// BenchmarkRelay asks one op after the other, straight at an instance and by a relay before two: what the relay adds to each, and the CPU that an
+// BenchmarkProxy asks one op after the other, straight at an instance and by a relay before two: what the relay adds to each, and the CPU that an
 // op takes of the relay. go test -run xxx -bench Relay -benchtime 5000x ./cmd/lanewheel-fleet
-func BenchmarkRelay(b *testing.B) {
-	x := start("x", 31, "x", []int{31}, "zone = a\n")
+func BenchmarkProxy(b *testing.B) {
+	x := startNode("x", 31, "x", []int{31}, "zone = a\n")
 	defer x.stop(syscall.SIGKILL)
-	y := start("y", 32, "x", []int{31}, "zone = a\n")
+	y := startNode("y", 32, "x", []int{31}, "zone = a\n")
 	defer y.stop(syscall.SIGKILL)
-	x.sees("y", "up")
-	y.sees("x", "up")
-	dir := filepath.Join(folder, "relay")
+	x.waitFor("y", "up")
+	y.waitFor("x", "up")
+	dir := filepath.Join(binDir, "relay")
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		b.Fatal(err)
 	}
-	config, _ := os.ReadFile(filepath.Join(filepath.Dir(x.ini), "config.json"))
-	text := strings.NewReplacer(`"name":"x"`, `"name":"r"`, at(31)+":8443", at(33)+":8443").Replace(string(config))
-	for file, text := range map[string]string{"config.json": text, "keys": key("x"), "relay.ini": "[relay]\n[fleet]\nlisten = " + at(33) + ":7946\nseeds = " + at(31) + ":7946\nkeys = keys\n"} {
+	config, _ := os.ReadFile(filepath.Join(filepath.Dir(x.operatorPath), "config.json"))
+	text := strings.NewReplacer(`"name":"x"`, `"name":"r"`, loopback(31)+":8443", loopback(33)+":8443").Replace(string(config))
+	for file, text := range map[string]string{"config.json": text, "keys": clusterKeys("x"), "relay.ini": "[relay]\n[fleet]\nlisten = " + loopback(33) + ":7946\nseeds = " + loopback(31) + ":7946\nkeys = keys\n"} {
 		if err := os.WriteFile(filepath.Join(dir, file), []byte(text), 0o600); err != nil {
 			b.Fatal(err)
 		}
 	}
-	r := exec.Command(filepath.Join(folder, "lanewheel"), "relay", "--operator", filepath.Join(dir, "relay.ini"))
+	r := exec.Command(filepath.Join(binDir, "lanewheel"), "relay", "--operator", filepath.Join(dir, "relay.ini"))
 	r.Env = append(os.Environ(), "RELAY_CONFIG="+filepath.Join(dir, "config.json"))
 	r.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := r.Start(); err != nil {
 		b.Fatal(err)
 	}
 	defer func() { _ = r.Process.Kill(); _ = r.Wait() }()
-	x.sees("r", "up")
-	y.sees("r", "up")
-	spent := func() time.Duration {
+	x.waitFor("r", "up")
+	y.waitFor("r", "up")
+	cpuTime := func() time.Duration {
 		text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", r.Process.Pid))
 		f := strings.Fields(string(text[strings.LastIndexByte(string(text), ')'):]))
 		user, _ := strconv.Atoi(f[12])
 		system, _ := strconv.Atoi(f[13])
 		return time.Duration(user+system) * 10 * time.Millisecond
 	}
-	nth := 0
-	ask := func(addr string, n int) (took []time.Duration) {
+	requests := 0
+	sendRequests := func(addr string, n int) (latencies []time.Duration) {
 		s := standin.Dial(addr)
 		defer s.Close()
 		for i := range n {
-			nth++
+			requests++
 			began := time.Now()
-			s.Send(standin.Op(i+1, "view", standin.ID(nth), []byte("x"), "kb", "1", "rank", "0.5"))
+			s.Send(standin.Op(i+1, "view", standin.ID(requests), []byte("x"), "kb", "1", "rank", "0.5"))
 			if a, err := s.Answer(); err == nil && a.Error == "" {
-				took = append(took, time.Since(began))
+				latencies = append(latencies, time.Since(began))
 			}
 		}
-		slices.Sort(took)
-		return took
+		slices.Sort(latencies)
+		return latencies
 	}
-	for _, way := range []struct{ name, addr string }{{"straight", at(31) + ":8443"}, {"relay", at(33) + ":8443"}} {
-		b.Run(way.name, func(b *testing.B) {
-			ask(way.addr, 200) // connections, and what is learnt
-			before, began := spent(), time.Now()
-			took := ask(way.addr, b.N)
-			after := spent()
-			if len(took) < b.N*9/10 {
-				b.Fatalf("%d of %d acked", len(took), b.N)
+	for _, path := range []struct{ name, addr string }{{"straight", loopback(31) + ":8443"}, {"relay", loopback(33) + ":8443"}} {
+		b.Run(path.name, func(b *testing.B) {
+			sendRequests(path.addr, 200) // connections, and what is learnt
+			before, began := cpuTime(), time.Now()
+			latencies := sendRequests(path.addr, b.N)
+			after := cpuTime()
+			if len(latencies) < b.N*9/10 {
+				b.Fatalf("%d of %d acked", len(latencies), b.N)
 			}
-			b.ReportMetric(float64(took[len(took)/2].Microseconds()), "median-us")
-			b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "99th-us")
+			b.ReportMetric(float64(latencies[len(latencies)/2].Microseconds()), "median-us")
+			b.ReportMetric(float64(latencies[len(latencies)*99/100].Microseconds()), "99th-us")
 			b.ReportMetric(float64((after-before).Microseconds())/float64(b.N), "relay-cpu-us/op")
 			b.ReportMetric(float64(b.N)/time.Since(began).Seconds(), "ops/s")
 		})
