--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -36,7 +36,7 @@
 
 // Commands is all that lanewheel-fleet has beside lanewheel.
 func Commands() command.Components {
-	return command.Components{FleetHooks: joinFleet, RunProxy: runProxy, RunAllocator: runAllocator, ShowMembers: showMembers, RunDrill: runDrill, ShowRecord: showRecord, CompareRecords: compareRecords, CoordinatorFuncs: command.CoordinatorFuncs{Request: runCoordinatorCommand, RunDrillHook: drill.Hooked}}
+	return command.Components{FleetHooks: joinFleet, RunProxy: runProxy, RunAllocator: runAllocator, ShowMembers: showMembers, RunDrill: runDrill, ShowRecord: showRecord, CompareRecords: compareRecords, CoordinatorFuncs: command.CoordinatorFuncs{Request: runCoordinatorCommand, RunDrillHook: drill.RunHook}}
 }
 
 // GossipConfig puts together what the part goes by.
@@ -296,7 +296,7 @@
 			return 0, err
 		}
 	}
-	result.Table(out)
+	result.WriteTable(out)
 	for _, row := range result {
 		if row.Kind == "violation" {
 			violations++
@@ -314,11 +314,11 @@
 }
 
 func showRecord(record, picture string, out io.Writer) error {
-	loaded, err := drill.Open(record)
+	loaded, err := drill.LoadRecord(record)
 	if err != nil {
 		return err
 	}
-	loaded.Table(out)
+	loaded.WriteTable(out)
 	if picture != "" {
 		return loaded.Draw(picture)
 	}
@@ -326,14 +326,14 @@
 }
 
 func compareRecords(first, second string, out io.Writer) error {
-	firstRecord, err := drill.Open(first)
+	firstRecord, err := drill.LoadRecord(first)
 	if err != nil {
 		return err
 	}
-	secondRecord, err := drill.Open(second)
+	secondRecord, err := drill.LoadRecord(second)
 	if err != nil {
 		return err
 	}
-	drill.Differ(out, firstRecord, secondRecord)
+	drill.Compare(out, firstRecord, secondRecord)
 	return nil
 }
--- a/internal/drill/drill_test.go
+++ b/internal/drill/drill_test.go
@@ -82,29 +82,29 @@
 	began := time.Now()
 	at := func(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
 	d := operator.Drill{Instances: 2}
-	w := &world{d: &d, procs: []*proc{{name: "p0"}, {name: "p1", told: [][2]time.Time{{at(9000), at(10500)}}}, {name: "p2", stops: [][2]time.Time{{at(0), at(5000)}}}}}
-	good := []*asked{
-		{id: "1", kind: "view", sent: at(0), answered: at(10), outcome: "acked", answers: 1, runs: []run{{0, at(5)}}},
-		{id: "2", kind: "pay", sent: at(0), answered: at(10), outcome: "Busy", answers: 1},
-		{id: "3", kind: "view", proc: 2, sent: at(1000)},
-		{id: "4", kind: "view", proc: 1, sent: at(9400), answered: at(9500), outcome: "acked", answers: 1, runs: []run{{1, at(9450)}}},
+	w := &cluster{script: &d, processes: []*process{{name: "p0"}, {name: "p1", drains: [][2]time.Time{{at(9000), at(10500)}}}, {name: "p2", outages: [][2]time.Time{{at(0), at(5000)}}}}}
+	good := []*issuedRequest{
+		{id: "1", class: "view", sentAt: at(0), answeredAt: at(10), outcome: "acked", responses: 1, executions: []execution{{0, at(5)}}},
+		{id: "2", class: "pay", sentAt: at(0), answeredAt: at(10), outcome: "Busy", responses: 1},
+		{id: "3", class: "view", process: 2, sentAt: at(1000)},
+		{id: "4", class: "view", process: 1, sentAt: at(9400), answeredAt: at(9500), outcome: "acked", responses: 1, executions: []execution{{1, at(9450)}}},
 	}
-	good = append(good, &asked{id: "5", kind: "view", proc: 1, sent: at(10600), answered: at(10700), outcome: "acked", answers: 1, runs: []run{{1, at(10650)}}}) // the next life's
-	bad := []*asked{
-		{id: "a", kind: "view", sent: at(0)},
-		{id: "b", kind: "view", sent: at(0), answered: at(10), outcome: "acked", answers: 2, runs: []run{{0, at(5)}}},
-		{id: "c", kind: "view", sent: at(0), answered: at(4000), outcome: "Failed", answers: 1},
-		{id: "d", kind: "pay", sent: at(0), answered: at(10), outcome: "acked", answers: 1, runs: []run{{0, at(5)}, {2, at(7)}}},
-		{id: "e", kind: "pay", sent: at(0), answered: at(10), outcome: "Busy", answers: 1, runs: []run{{0, at(5)}}},
-		{id: "f", kind: "view", sent: at(0), answered: at(10), outcome: "acked", answers: 1},
-		{id: "g", kind: "view", sent: at(0), answered: at(10), outcome: "broken"},
-		{id: "h", kind: "view", proc: 1, sent: at(9800), answered: at(9900), outcome: "acked", answers: 1, runs: []run{{1, at(9850)}}},
+	good = append(good, &issuedRequest{id: "5", class: "view", process: 1, sentAt: at(10600), answeredAt: at(10700), outcome: "acked", responses: 1, executions: []execution{{1, at(10650)}}}) // the next life's
+	bad := []*issuedRequest{
+		{id: "a", class: "view", sentAt: at(0)},
+		{id: "b", class: "view", sentAt: at(0), answeredAt: at(10), outcome: "acked", responses: 2, executions: []execution{{0, at(5)}}},
+		{id: "c", class: "view", sentAt: at(0), answeredAt: at(4000), outcome: "Failed", responses: 1},
+		{id: "d", class: "pay", sentAt: at(0), answeredAt: at(10), outcome: "acked", responses: 1, executions: []execution{{0, at(5)}, {2, at(7)}}},
+		{id: "e", class: "pay", sentAt: at(0), answeredAt: at(10), outcome: "Busy", responses: 1, executions: []execution{{0, at(5)}}},
+		{id: "f", class: "view", sentAt: at(0), answeredAt: at(10), outcome: "acked", responses: 1},
+		{id: "g", class: "view", sentAt: at(0), answeredAt: at(10), outcome: "broken"},
+		{id: "h", class: "view", process: 1, sentAt: at(9800), answeredAt: at(9900), outcome: "acked", responses: 1, executions: []execution{{1, at(9850)}}},
 	}
-	if all := fourRules(w, &history{all: good}, began, at(20000)); len(all) > 0 {
+	if all := checkRequestRules(w, &requestLog{requests: good}, began, at(20000)); len(all) > 0 {
 		t.Fatal(all)
 	}
 	for _, o := range bad {
-		if all := fourRules(w, &history{all: []*asked{o}}, began, at(20000)); len(all) != 1 {
+		if all := checkRequestRules(w, &requestLog{requests: []*issuedRequest{o}}, began, at(20000)); len(all) != 1 {
 			t.Fatal(o.id, all)
 		}
 	}
@@ -117,7 +117,7 @@
 	if err := r.Save(path); err != nil {
 		t.Fatal(err)
 	}
-	back, err := Open(path)
+	back, err := LoadRecord(path)
 	if err != nil || fmt.Sprint(back) != fmt.Sprint(r) {
 		t.Fatal(err, back)
 	}
@@ -128,7 +128,7 @@
 		t.Fatal("no picture")
 	}
 	var out bytes.Buffer
-	Differ(&out, r, append(Record{{200, "op", "p0", "2", "Busy", 1}}, r...))
+	Compare(&out, r, append(Record{{200, "op", "p0", "2", "Busy", 1}}, r...))
 	if !bytes.Contains(out.Bytes(), []byte("+1")) {
 		t.Fatal(out.String())
 	}
--- a/internal/drill/even.go
+++ b/internal/drill/even.go
@@ -13,185 +13,185 @@
 	"lanewheel/internal/operator"
 )
 
-// evenness measures how load was spread over the instances in the seconds in which nothing was done, and judges it where the script says so.
-func evenness(w *world, h *history, events []Event, began, ended time.Time) (figures []Figure, all []Violation) {
-	d := w.d
-	span := int(min(ended.Sub(began), d.LoadDuration).Seconds())
-	calm := make([]bool, max(0, span))
-	const warm = 8 // s: instances start cold
-	for s := range calm {
-		calm[s] = s >= warm
+// checkBalance measures how load was spread over the instances in the seconds in which nothing was done, and judges it where the script says so.
+func checkBalance(w *cluster, log *requestLog, events []Event, startedAt, endedAt time.Time) (metrics []metric, violations []violation) {
+	script := w.script
+	loadSeconds := int(min(endedAt.Sub(startedAt), script.LoadDuration).Seconds())
+	calmSeconds := make([]bool, max(0, loadSeconds))
+	const warmUpSeconds = 8 // s: instances start cold
+	for second := range calmSeconds {
+		calmSeconds[second] = second >= warmUpSeconds
 	}
 	// Whose runs fail or are lost rests, up to half a minute by each relay's own judgement, and that is no load badly spread: it is not held to be idle.
-	ill := map[int]bool{}
-	for _, e := range events {
-		if e.Fault.Action == "fail-runs" || e.Fault.Action == "lose-runs" {
-			for _, i := range e.On {
-				ill[i] = true
+	faulty := map[int]bool{}
+	for _, event := range events {
+		if event.Fault.Action == "fail-runs" || event.Fault.Action == "lose-runs" {
+			for _, index := range event.Targets {
+				faulty[index] = true
 			}
 		}
-		from, to := e.At, e.At+d.Balance.RecoveryTime
-		if e.Fault.Duration > 0 && !e.Undo {
-			to = e.At + e.Fault.Duration + d.Balance.RecoveryTime
+		start, to := event.At, event.At+script.Balance.RecoveryTime
+		if event.Fault.Duration > 0 && !event.Undo {
+			to = event.At + event.Fault.Duration + script.Balance.RecoveryTime
 		}
-		if len(e.On) > 0 { // who was started anew is cold
-			to += warm * time.Second
+		if len(event.Targets) > 0 { // who was started anew is cold
+			to += warmUpSeconds * time.Second
 		}
-		for s := range calm {
-			if time.Duration(s+1)*time.Second > from && time.Duration(s)*time.Second < to {
-				calm[s] = false
+		for second := range calmSeconds {
+			if time.Duration(second+1)*time.Second > start && time.Duration(second)*time.Second < to {
+				calmSeconds[second] = false
 			}
 		}
 	}
-	counts := make([][]int, len(calm))
-	for s := range counts {
-		counts[s] = make([]int, d.Instances)
+	counts := make([][]int, len(calmSeconds))
+	for second := range counts {
+		counts[second] = make([]int, script.Instances)
 	}
-	last := make([]time.Duration, d.Instances)
-	gaps := make([]float64, d.Instances) // the longest, s
-	h.mu.Lock()
-	elsewhere := 0
+	lastRun := make([]time.Duration, script.Instances)
+	longestGap := make([]float64, script.Instances) // the longest, s
+	log.mu.Lock()
+	forwarded := 0
 	type ran struct {
 		at   time.Duration
 		proc int
 	}
-	var runs []ran
-	for _, o := range h.all {
-		for _, r := range o.runs {
-			runs = append(runs, ran{r.at.Sub(began), r.proc})
-			if r.proc != o.proc {
-				elsewhere++
+	var executions []ran
+	for _, request := range log.requests {
+		for _, execution := range request.executions {
+			executions = append(executions, ran{execution.at.Sub(startedAt), execution.process})
+			if execution.process != request.process {
+				forwarded++
 			}
 		}
 	}
-	h.mu.Unlock()
-	slices.SortFunc(runs, func(a, b ran) int { return int(a.at - b.at) })
-	total, waited := 0, ""
-	for _, r := range runs {
-		s := int(r.at / time.Second)
-		if r.proc >= d.Instances || s < 0 || s >= len(calm) || !calm[s] {
+	log.mu.Unlock()
+	slices.SortFunc(executions, func(a, b ran) int { return int(a.at - b.at) })
+	total, longestIdle := 0, ""
+	for _, execution := range executions {
+		second := int(execution.at / time.Second)
+		if execution.proc >= script.Instances || second < 0 || second >= len(calmSeconds) || !calmSeconds[second] {
 			continue
 		}
-		counts[s][r.proc]++
+		counts[second][execution.proc]++
 		total++
 		// A gap counts where all of it is calm.
-		if from := int(last[r.proc] / time.Second); last[r.proc] > 0 && !ill[r.proc] && !slices.Contains(calm[from:s], false) {
-			if g := (r.at - last[r.proc]).Seconds(); g > gaps[r.proc] {
-				if gaps[r.proc] = g; g == slices.Max(gaps) {
-					waited = fmt.Sprintf("%s until %.1f s", w.procs[r.proc].name, r.at.Seconds())
+		if start := int(lastRun[execution.proc] / time.Second); lastRun[execution.proc] > 0 && !faulty[execution.proc] && !slices.Contains(calmSeconds[start:second], false) {
+			if idleSeconds := (execution.at - lastRun[execution.proc]).Seconds(); idleSeconds > longestGap[execution.proc] {
+				if longestGap[execution.proc] = idleSeconds; idleSeconds == slices.Max(longestGap) {
+					longestIdle = fmt.Sprintf("%s until %.1f s", w.processes[execution.proc].name, execution.at.Seconds())
 				}
 			}
 		}
-		last[r.proc] = r.at
+		lastRun[execution.proc] = execution.at
 	}
 	var ratios []float64
-	most, chance, seconds := 0.0, 0.0, 0
-	for s, row := range counts {
-		if !calm[s] {
+	peak, expected, seconds := 0.0, 0.0, 0
+	for second, row := range counts {
+		if !calmSeconds[second] {
 			continue
 		}
 		seconds++
-		n := 0
-		for _, c := range row {
-			n += c
+		count := 0
+		for _, runsOfOne := range row {
+			count += runsOfOne
 		}
-		x, by := float64(slices.Max(row)), mostByChance(n, d.Instances)
-		most += x
-		chance += by
-		if by > 0 {
-			ratios = append(ratios, x/by)
+		busiest, byChance := float64(slices.Max(row)), expectedMaximum(count, script.Instances)
+		peak += busiest
+		expected += byChance
+		if byChance > 0 {
+			ratios = append(ratios, busiest/byChance)
 		}
 	}
-	if d.SpilloverEnabled && d.Proxies == 0 {
-		figures = append(figures, Figure{"ops handed over and run", float64(elsewhere)})
+	if script.SpilloverEnabled && script.Proxies == 0 {
+		metrics = append(metrics, metric{"ops handed over and run", float64(forwarded)})
 	}
-	if seconds < 3 || total == 0 || d.Coordinators > 0 { // by permits somebody is out all the time
-		return figures, nil
+	if seconds < 3 || total == 0 || script.Coordinators > 0 { // by permits somebody is out all the time
+		return metrics, nil
 	}
 	slices.Sort(ratios)
-	gap := float64(seconds) * float64(d.Instances) / float64(total)
-	ratio, idle := most/chance, slices.Max(gaps)/gap
-	figures = append(figures, []Figure{{"calm seconds", float64(seconds)}, {"ops a second of an instance, calm", float64(total) / float64(seconds) / float64(d.Instances)},
-		{"most loaded of a second, of what chance gives", ratio}, {"... in the worst second", ratios[len(ratios)-1]}, {"longest idle, expected gaps", idle}}...)
-	w.say("longest idle: " + waited)
-	if d.Balance.Enabled && ratio > d.Balance.MaxImbalance {
-		all = append(all, Violation{d.LoadDuration, "load even", fmt.Sprintf("the most loaded of a second had %.2f of what chance gives, %.2f is told", ratio, d.Balance.MaxImbalance)})
+	meanGap := float64(seconds) * float64(script.Instances) / float64(total)
+	imbalance, longestIdleGaps := peak/expected, slices.Max(longestGap)/meanGap
+	metrics = append(metrics, []metric{{"calm seconds", float64(seconds)}, {"ops a second of an instance, calm", float64(total) / float64(seconds) / float64(script.Instances)},
+		{"most loaded of a second, of what chance gives", imbalance}, {"... in the worst second", ratios[len(ratios)-1]}, {"longest idle, expected gaps", longestIdleGaps}}...)
+	w.print("longest idle: " + longestIdle)
+	if script.Balance.Enabled && imbalance > script.Balance.MaxImbalance {
+		violations = append(violations, violation{script.LoadDuration, "load even", fmt.Sprintf("the most loaded of a second had %.2f of what chance gives, %.2f is told", imbalance, script.Balance.MaxImbalance)})
 	}
-	if d.Balance.Enabled && idle > d.Balance.MaxIdleGaps {
-		all = append(all, Violation{d.LoadDuration, "none idle", fmt.Sprintf("one waited for %.1f expected gaps, %.1f is told", idle, d.Balance.MaxIdleGaps)})
+	if script.Balance.Enabled && longestIdleGaps > script.Balance.MaxIdleGaps {
+		violations = append(violations, violation{script.LoadDuration, "none idle", fmt.Sprintf("one waited for %.1f expected gaps, %.1f is told", longestIdleGaps, script.Balance.MaxIdleGaps)})
 	}
-	return figures, all
+	return metrics, violations
 }
 
-// mostByChance is how many of n ops the most loaded of m gets on average, if each goes to any with the same chance.
-func mostByChance(n, m int) float64 {
-	mean := float64(n) / float64(m)
-	sum, below, p := 0.0, 0.0, math.Exp(-mean)
-	for k := 0; k <= n; k++ {
-		below += p // Poisson: at most k
-		sum += 1 - math.Pow(min(1, below), float64(m))
-		p *= mean / float64(k+1)
-		if float64(k) > mean && p < 1e-12 {
+// expectedMaximum is how many of n ops the most loaded of m gets on average, if each goes to any with the same chance.
+func expectedMaximum(requests, processes int) float64 {
+	mean := float64(requests) / float64(processes)
+	sum, atMost, probability := 0.0, 0.0, math.Exp(-mean)
+	for k := 0; k <= requests; k++ {
+		atMost += probability // Poisson: at most k
+		sum += 1 - math.Pow(min(1, atMost), float64(processes))
+		probability *= mean / float64(k+1)
+		if float64(k) > mean && probability < 1e-12 {
 			break
 		}
 	}
 	return sum
 }
 
-// service is what a desk stands beside: it works at every call for as long as that takes, whoever still waits for it, and counts.
-type service struct {
-	name  string
-	cap   int
-	l     net.Listener
-	takes time.Duration
-	mu    sync.Mutex
-	open  int
-	most  int
-	calls int
+// fakeService is what a desk stands beside: it works at every call for as long as that takes, whoever still waits for it, and counts.
+type fakeService struct {
+	name        string
+	cap         int
+	listener    net.Listener
+	workTime    time.Duration
+	mu          sync.Mutex
+	inFlight    int
+	maxInFlight int
+	calls       int
 }
 
-func newService(name string, d *operator.Drill) *service {
-	s := &service{name: name, takes: d.UpstreamCallDuration}
-	for _, pair := range d.AllocatorSettings {
-		if pair[0] == "cap" {
-			s.cap, _ = strconv.Atoi(pair[1])
+func newFakeService(name string, script *operator.Drill) *fakeService {
+	service := &fakeService{name: name, workTime: script.UpstreamCallDuration}
+	for _, setting := range script.AllocatorSettings {
+		if setting[0] == "cap" {
+			service.cap, _ = strconv.Atoi(setting[1])
 		}
 	}
 	var err error
-	if s.l, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+	if service.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		panic(err)
 	}
-	go func() { _ = http.Serve(s.l, s) }()
-	return s
+	go func() { _ = http.Serve(service.listener, service) }()
+	return service
 }
 
-func (s *service) Addr() string { return s.l.Addr().String() }
+func (s *fakeService) address() string { return s.listener.Addr().String() }
 
 // ServeHTTP answers a call when its work is done, or its time is up.
-func (s *service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *fakeService) ServeHTTP(response http.ResponseWriter, request *http.Request) {
 	s.mu.Lock()
-	s.open++
+	s.inFlight++
 	s.calls++
-	s.most = max(s.most, s.open)
-	n := s.calls
+	s.maxInFlight = max(s.maxInFlight, s.inFlight)
+	number := s.calls
 	s.mu.Unlock()
-	limit, _ := strconv.Atoi(r.Header.Get("Statement-Timeout-Ms"))
+	timeoutMS, _ := strconv.Atoi(request.Header.Get("Statement-Timeout-Ms"))
 	// Drawn by number, about the mean: the same for the same order.
-	takes := time.Duration(-math.Log(1-math.Mod(float64(n)*0.6180339887, 1)) * float64(s.takes))
-	time.Sleep(min(takes, time.Duration(limit)*time.Millisecond))
+	workTime := time.Duration(-math.Log(1-math.Mod(float64(number)*0.6180339887, 1)) * float64(s.workTime))
+	time.Sleep(min(workTime, time.Duration(timeoutMS)*time.Millisecond))
 	s.mu.Lock()
-	s.open--
+	s.inFlight--
 	s.mu.Unlock()
-	if takes > time.Duration(limit)*time.Millisecond {
-		w.WriteHeader(http.StatusGatewayTimeout)
+	if workTime > time.Duration(timeoutMS)*time.Millisecond {
+		response.WriteHeader(http.StatusGatewayTimeout)
 		return
 	}
-	_, _ = w.Write([]byte("rows"))
+	_, _ = response.Write([]byte("rows"))
 }
 
-// Most is how many calls were running at a time at the most, and how many came.
-func (s *service) Most() (most, calls int) {
+// peak is how many calls were running at a time at the most, and how many came.
+func (s *fakeService) peak() (most, calls int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.most, s.calls
+	return s.maxInFlight, s.calls
 }
--- a/internal/drill/golden_test.go
+++ b/internal/drill/golden_test.go
@@ -48,23 +48,23 @@
 func recorded() Record {
 	began := time.Unix(1_700_000_000, 0)
 	at := func(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
-	w := &world{procs: []*proc{{name: "p000"}, {name: "p001"}}}
-	h := &history{all: []*asked{
-		{id: "0000000000000001", kind: "view", sent: at(100), answered: at(105), outcome: "acked", answers: 1, runs: []run{{1, at(103)}}},
-		{id: "0000000000000002", kind: "pay", proc: 1, sent: at(200), answered: at(202), outcome: "Busy", answers: 1},
-		{id: "0000000000000003", kind: "list", sent: at(300), answered: at(340), outcome: "Failed", answers: 1, runs: []run{{0, at(310)}}},
-		{id: "0000000000000004", kind: "view", sent: at(400), answered: at(450), outcome: "broken"},
-		{id: "0000000000000005", kind: "view", sent: at(500), answered: at(500)},
+	w := &cluster{processes: []*process{{name: "p000"}, {name: "p001"}}}
+	h := &requestLog{requests: []*issuedRequest{
+		{id: "0000000000000001", class: "view", sentAt: at(100), answeredAt: at(105), outcome: "acked", responses: 1, executions: []execution{{1, at(103)}}},
+		{id: "0000000000000002", class: "pay", process: 1, sentAt: at(200), answeredAt: at(202), outcome: "Busy", responses: 1},
+		{id: "0000000000000003", class: "list", sentAt: at(300), answeredAt: at(340), outcome: "Failed", responses: 1, executions: []execution{{0, at(310)}}},
+		{id: "0000000000000004", class: "view", sentAt: at(400), answeredAt: at(450), outcome: "broken"},
+		{id: "0000000000000005", class: "view", sentAt: at(500), answeredAt: at(500)},
 	}}
 	halves := &operator.DrillFault{Name: "halves", Action: "swallow", Command: "halt"}
 	agree := &operator.DrillFault{Name: "stop", Action: "agree", Command: "halt"}
-	events := []Event{{At: 1500 * time.Millisecond, Fault: halves, From: []int{0}, To: []int{1}}, {At: 2 * time.Second, Fault: agree, On: []int{}},
+	events := []Event{{At: 1500 * time.Millisecond, Fault: halves, From: []int{0}, To: []int{1}}, {At: 2 * time.Second, Fault: agree, Targets: []int{}},
 		{At: 3500 * time.Millisecond, Fault: halves, Undo: true, From: []int{0}, To: []int{1}}}
-	l := newLinks(1)
-	l.tally[[2]int{0, 1}] = &counts{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12}
-	links := l.rows(func(i int) string { return w.procs[i].name })
-	return record(w, h, events, []Row{{1600, "differs", "", "", "", 2}}, links, []Violation{{2500 * time.Millisecond, "no op lost", "no answer"}},
-		[]Figure{{"calm seconds", 3}}, began)
+	l := newNetwork(1)
+	l.counters[[2]int{0, 1}] = &linkCounters{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12}
+	links := l.rows(func(i int) string { return w.processes[i].name })
+	return buildRecord(w, h, events, []Row{{1600, "differs", "", "", "", 2}}, links, []violation{{2500 * time.Millisecond, "no op lost", "no answer"}},
+		[]metric{{"calm seconds", 3}}, began)
 }
 
 // A record keeps its columns, and the words in them: kinds, outcomes, rules and the names of figures.
@@ -97,7 +97,7 @@
 		t.Fatal(err)
 	}
 	golden(t, "record.parquet", written)
-	read, err := Open("testdata/record.parquet")
+	read, err := LoadRecord("testdata/record.parquet")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,9 +105,9 @@
 		t.Fatalf("read otherwise than before:\n%v", read)
 	}
 	var table, difference bytes.Buffer
-	read.Table(&table)
+	read.WriteTable(&table)
 	golden(t, "table.txt", table.Bytes())
-	Differ(&difference, read, read[:3])
+	Compare(&difference, read, read[:3])
 	golden(t, "difference.txt", difference.Bytes())
 }
 
@@ -160,65 +160,65 @@
 	}()
 	d := &operator.Drill{Instances: 2, LoadDuration: 20 * time.Second, SpilloverEnabled: true, Balance: operator.DrillBalance{Enabled: true, MaxImbalance: 0.01, MaxIdleGaps: 0.01, RecoveryTime: time.Second},
 		FinalRelease: "2", LimitedRelease: "3", MaxLimitedFraction: 0.1, Releases: []string{"1"}, Zones: []string{"a"}}
-	p := &proc{name: "p000", folder: folder, cmd: &exec.Cmd{}, release: "1"}
-	w := &world{d: d, procs: []*proc{p, {name: "p001", i: 1, release: "2"}}, say: func(string) {}}
-	v := &views{w: w, took: map[string]time.Duration{}}
+	p := &process{name: "p000", dir: folder, cmd: &exec.Cmd{}, release: "1"}
+	w := &cluster{script: d, processes: []*process{p, {name: "p001", index: 1, release: "2"}}, print: func(string) {}}
+	v := &membershipCheck{cluster: w, convergence: map[string]time.Duration{}}
 	v.poll(0)
 	if got := <-questions; got != "brief\n" {
 		t.Fatalf("asked %q", got)
 	}
 	id := members.ID{Name: "p000", BootID: 0x1f}
-	if !v.equal || v.seen[id] != [3]uint64{1200, 40, 7} || v.pollGave[id] != 3 || v.pollDoubts[id] != 5 {
-		t.Fatal(v.equal, v.last, v.seen, v.pollGave, v.pollDoubts)
+	if !v.converged || v.usage[id] != [3]uint64{1200, 40, 7} || v.evictions[id] != 3 || v.suspicions[id] != 5 {
+		t.Fatal(v.converged, v.divergentDetail, v.usage, v.evictions, v.suspicions)
 	}
-	figures, all := []Figure{}, []Violation{}
-	r := newRest(v)
-	r.from[id.String()] = [3]uint64{0, 0, 0}
-	r.at = time.Now().Add(-time.Second)
-	r.close(v, 3*time.Second)
-	for _, f := range r.figures {
-		figures = append(figures, Figure{f.Name, 0}) // measured by the clock
+	figures, all := []metric{}, []violation{}
+	r := newIdleUsage(v)
+	r.before[id.String()] = [3]uint64{0, 0, 0}
+	r.startedAt = time.Now().Add(-time.Second)
+	r.finish(v, 3*time.Second)
+	for _, f := range r.metrics {
+		figures = append(figures, metric{f.Name, 0}) // measured by the clock
 	}
 	halves := &operator.DrillFault{Name: "halves", Action: "kill", Duration: 2 * time.Second, ForbidEviction: true}
-	events := []Event{{At: 9 * time.Second, Fault: halves, On: []int{0}}, {At: 11 * time.Second, Fault: halves, Undo: true, On: []int{0}}}
-	v.Begin(&events[0], 9*time.Second)
+	events := []Event{{At: 9 * time.Second, Fault: halves, Targets: []int{0}}, {At: 11 * time.Second, Fault: halves, Undo: true, Targets: []int{0}}}
+	v.beforeEvent(&events[0], 9*time.Second)
 	v.poll(10 * time.Second)
-	v.given[id], v.doubts[id] = 1, 1
-	all = append(all, v.Over(&events[0], 10*time.Second)...)
-	v.Begin(&events[1], 11*time.Second)
+	v.evictionsBefore[id], v.suspicionsBefore[id] = 1, 1
+	all = append(all, v.afterFault(&events[0], 10*time.Second)...)
+	v.beforeEvent(&events[1], 11*time.Second)
 	v.poll(13 * time.Second)
-	v.equal = false
-	all = append(all, v.Over(nil, 13*time.Second)...)
-	figures = append(figures, v.figures...)
-	w.outs = &outs{most: map[string]int{"all": 2}, ever: map[string]map[string]bool{"3": {"p000": true}}}
-	f, x := w.agreed()
+	v.converged = false
+	all = append(all, v.afterFault(nil, 13*time.Second)...)
+	figures = append(figures, v.metrics...)
+	w.disruptions = &disruptionLog{maxOut: map[string]int{"all": 2}, everOn: map[string]map[string]bool{"3": {"p000": true}}}
+	f, x := w.checkRollout()
 	figures, all = append(figures, f...), append(all, x...)
 	began := time.Unix(1_700_000_000, 0)
-	h := &history{}
+	h := &requestLog{}
 	for i := range 200 {
 		at := began.Add(time.Duration(i) * 100 * time.Millisecond)
-		h.all = append(h.all, &asked{id: fmt.Sprint(i), kind: "view", sent: at, answered: at, outcome: "acked", answers: 1, runs: []run{{i % 3 % 2, at}}})
+		h.requests = append(h.requests, &issuedRequest{id: fmt.Sprint(i), class: "view", sentAt: at, answeredAt: at, outcome: "acked", responses: 1, executions: []execution{{i % 3 % 2, at}}})
 	}
-	f, x = evenness(w, h, nil, began, began.Add(20*time.Second))
+	f, x = checkBalance(w, h, nil, began, began.Add(20*time.Second))
 	figures, all = append(figures, f...), append(all, x...)
 	var text bytes.Buffer
 	for _, f := range figures {
 		fmt.Fprintf(&text, "%s = %.4g\n", f.Name, f.Value)
 	}
 	for _, v := range all {
-		fmt.Fprintf(&text, "%v %s: %s\n", v.At, v.Rule, v.What)
+		fmt.Fprintf(&text, "%v %s: %s\n", v.At, v.Rule, v.Detail)
 	}
 	golden(t, "figures.txt", text.Bytes())
 }
 
 // The lines by which a coordinator's hook has a member started.
 func TestGoldenHook(t *testing.T) {
-	w := &world{folder: t.TempDir(), d: &operator.Drill{}}
-	if err := w.stewarding(); err != nil {
+	w := &cluster{dir: t.TempDir(), script: &operator.Drill{}}
+	if err := w.listenForHooks(); err != nil {
 		t.Fatal(err)
 	}
-	defer w.hooks.Close()
-	if err := Hooked(w.hook(), "p009", "2", &bytes.Buffer{}); err == nil || err.Error() != `no process "p009"` {
+	defer w.hookListener.Close()
+	if err := RunHook(w.hookPath(), "p009", "2", &bytes.Buffer{}); err == nil || err.Error() != `no process "p009"` {
 		t.Fatal(err)
 	}
 	l, err := net.Listen("unix", filepath.Join(t.TempDir(), "hook"))
@@ -238,7 +238,7 @@
 		fmt.Fprintln(c, "started")
 	}()
 	var out bytes.Buffer
-	if err := Hooked(l.Addr().String(), "p001", "2", &out); err != nil {
+	if err := RunHook(l.Addr().String(), "p001", "2", &out); err != nil {
 		t.Fatal(err)
 	}
 	if got := <-heard; got != "p001 2\n" || out.String() != "started\n" {
@@ -296,7 +296,7 @@
 		fmt.Fprintf(&text, "# %s\n%s", filepath.Base(path), parsed(&d))
 		for _, e := range Timeline(&d) {
 			who := fnv.New32a()
-			fmt.Fprint(who, e.On, e.From, e.To)
+			fmt.Fprint(who, e.Targets, e.From, e.To)
 			fmt.Fprintf(&text, "%v %s #%08x\n", e.At, e, who.Sum32())
 		}
 	}
--- a/internal/drill/judge.go
+++ b/internal/drill/judge.go
@@ -10,64 +10,64 @@
 	"lanewheel/internal/members"
 )
 
-// Violation is a rule or an invariant that did not hold.
-type Violation struct {
-	At   time.Duration
-	Rule string
-	What string
+// violation is a rule or an invariant that did not hold.
+type violation struct {
+	At     time.Duration
+	Rule   string
+	Detail string
 }
 
-// Invariant is what a part of the program adds to the four rules. Look is called some times a second, Over when a fault with its
+// invariant is what a part of the program adds to the four rules. Look is called some times a second, Over when a fault with its
 // time to settle is behind, or with a nil fault at the end.
-type Invariant interface {
-	Look(now time.Duration) []Violation
-	Over(e *Event, now time.Duration) []Violation
+type invariant interface {
+	check(now time.Duration) []violation
+	afterFault(e *Event, now time.Duration) []violation
 	// Begin is called just before something is done or undone.
-	Begin(e *Event, now time.Duration)
+	beforeEvent(e *Event, now time.Duration)
 }
 
-// Figure is one measured value of a rehearsal.
-type Figure struct {
+// metric is one measured value of a rehearsal.
+type metric struct {
 	Name  string
 	Value float64
 }
 
-// fourRules judges the history of ops over the whole fleet.
-func fourRules(w *world, h *history, began time.Time, ended time.Time) (all []Violation) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	wrong := func(o *asked, rule, what string) {
-		all = append(all, Violation{o.sent.Sub(began), rule, fmt.Sprintf("op %s (%s) at %s: %s; ran %s", o.id, o.kind, w.procs[o.proc].name, what, ranAt(w, o))})
-	}
-	for _, o := range h.all {
-		p := w.procs[o.proc]
-		excused := p.stoppedIn(o.sent.Add(-100*time.Millisecond), o.sent.Add(opTimeout+time.Second))
+// checkRequestRules judges the history of ops over the whole fleet.
+func checkRequestRules(w *cluster, log *requestLog, startedAt time.Time, endedAt time.Time) (all []violation) {
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	violate := func(request *issuedRequest, rule, what string) {
+		all = append(all, violation{request.sentAt.Sub(startedAt), rule, fmt.Sprintf("op %s (%s) at %s: %s; ran %s", request.id, request.class, w.processes[request.process].name, what, describeRuns(w, request))})
+	}
+	for _, request := range log.requests {
+		p := w.processes[request.process]
+		excused := p.stoppedBetween(request.sentAt.Add(-100*time.Millisecond), request.sentAt.Add(requestTimeout+time.Second))
 		switch {
-		case o.answers > 1:
-			wrong(o, "no op lost", fmt.Sprint(o.answers, " final answers"))
-		case o.outcome == "" && ended.Sub(o.sent) > opTimeout && !excused:
-			wrong(o, "no op lost", "no answer")
-		case o.outcome == "broken" && !excused && !p.stoppedIn(o.sent.Add(-time.Second), o.answered.Add(time.Second)):
-			wrong(o, "no op lost", "its connection ended")
-		case o.answers == 1 && o.answered.Sub(o.sent) > opTimeout && !excused:
-			wrong(o, "no op lost", "answered after "+o.answered.Sub(o.sent).String())
-		case o.outcome == "acked" && len(o.runs) == 0:
-			wrong(o, "no op lost", "acked and never run")
-		case o.outcome == "Busy" && len(o.runs) > 0 && o.kind == "pay": // a retryable run may be nacked, and asked for again
-			wrong(o, "no effect twice", "nacked as never run, and run")
+		case request.responses > 1:
+			violate(request, "no op lost", fmt.Sprint(request.responses, " final answers"))
+		case request.outcome == "" && endedAt.Sub(request.sentAt) > requestTimeout && !excused:
+			violate(request, "no op lost", "no answer")
+		case request.outcome == "broken" && !excused && !p.stoppedBetween(request.sentAt.Add(-time.Second), request.answeredAt.Add(time.Second)):
+			violate(request, "no op lost", "its connection ended")
+		case request.responses == 1 && request.answeredAt.Sub(request.sentAt) > requestTimeout && !excused:
+			violate(request, "no op lost", "answered after "+request.answeredAt.Sub(request.sentAt).String())
+		case request.outcome == "acked" && len(request.executions) == 0:
+			violate(request, "no op lost", "acked and never run")
+		case request.outcome == "Busy" && len(request.executions) > 0 && request.class == "pay": // a retryable run may be nacked, and asked for again
+			violate(request, "no effect twice", "nacked as never run, and run")
 		}
-		if len(o.runs) > 1 && o.kind == "pay" { // the others may run again
-			wrong(o, "no effect twice", "run more than once")
+		if len(request.executions) > 1 && request.class == "pay" { // the others may run again
+			violate(request, "no effect twice", "run more than once")
 		}
 		const grace, slack = 500 * time.Millisecond, 150 * time.Millisecond // told in the settings; a busy machine's
-		for _, r := range o.runs {
-			told := w.procs[r.proc].notices()
-			if r.proc != o.proc { // it came by a relay, whose notice counts as well
-				told = append(told, p.notices()...)
+		for _, execution := range request.executions {
+			told := w.processes[execution.process].drainNotices()
+			if execution.process != request.process { // it came by a relay, whose notice counts as well
+				told = append(told, p.drainNotices()...)
 			}
 			for _, told := range told {
-				if o.sent.Sub(told[0]) > grace+slack && r.at.Before(told[1]) {
-					wrong(o, "safe drains", "run although it came later than the grace after the notice")
+				if request.sentAt.Sub(told[0]) > grace+slack && execution.at.Before(told[1]) {
+					violate(request, "safe drains", "run although it came later than the grace after the notice")
 				}
 			}
 		}
@@ -75,178 +75,180 @@
 	return all
 }
 
-func ranAt(w *world, o *asked) string {
-	if len(o.runs) == 0 {
+func describeRuns(w *cluster, request *issuedRequest) string {
+	if len(request.executions) == 0 {
 		return "nowhere"
 	}
-	var at []string
-	for _, r := range o.runs {
-		at = append(at, fmt.Sprintf("%s after %v", w.procs[r.proc].name, r.at.Sub(o.sent).Round(time.Millisecond)))
+	var places []string
+	for _, execution := range request.executions {
+		places = append(places, fmt.Sprintf("%s after %v", w.processes[execution.process].name, execution.at.Sub(request.sentAt).Round(time.Millisecond)))
 	}
-	return strings.Join(at, ", ")
+	return strings.Join(places, ", ")
 }
 
-// stoppedIn tells whether we stood a process still or ended it between two moments.
-func (p *proc) stoppedIn(from, to time.Time) bool {
+// stoppedBetween tells whether we stood a process still or ended it between two moments.
+func (p *process) stoppedBetween(from, to time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.ContainsFunc(p.stops, func(s [2]time.Time) bool { return s[0].Before(to) && (s[1].IsZero() || s[1].After(from)) })
+	return slices.ContainsFunc(p.outages, func(outage [2]time.Time) bool {
+		return outage[0].Before(to) && (outage[1].IsZero() || outage[1].After(from))
+	})
 }
 
-func (p *proc) notices() [][2]time.Time {
+func (p *process) drainNotices() [][2]time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.Clone(p.told)
+	return slices.Clone(p.drains)
 }
 
-// views is the invariant of membership: once a fault is behind, all that are there hold the same lives to be there, and these are
+// membershipCheck is the invariant of membership: once a fault is behind, all that are there hold the same lives to be there, and these are
 // those that are; and where the script says so, nobody was given up over it.
-type views struct {
-	w       *world
-	mu      sync.Mutex
-	equal   bool
-	differs int           // processes whose view is not as it should be
-	since   time.Duration // when something was last done
-	took    map[string]time.Duration
-	given   map[members.ID]uint64 // how often each life had given somebody up, when the fault began
-	doubts  map[members.ID]uint64
-	figures []Figure
-	last    string // what a differing process believed
-	seen    map[members.ID][3]uint64
+type membershipCheck struct {
+	cluster          *cluster
+	mu               sync.Mutex
+	converged        bool
+	divergent        int           // processes whose view is not as it should be
+	changedAt        time.Duration // when something was last done
+	convergence      map[string]time.Duration
+	evictionsBefore  map[members.ID]uint64 // how often each life had given somebody up, when the fault began
+	suspicionsBefore map[members.ID]uint64
+	metrics          []metric
+	divergentDetail  string // what a differing process believed
+	usage            map[members.ID][3]uint64
 
-	pollGave, pollDoubts map[members.ID]uint64
+	evictions, suspicions map[members.ID]uint64
 }
 
 // poll asks all that are there for their views, a few at a time, and compares them with what is so.
-func (v *views) poll(now time.Duration) {
+func (v *membershipCheck) poll(now time.Duration) {
 	type answer struct {
-		p      *proc
+		p      *process
 		digest string
 		detail string
 		ok     bool
 	}
-	var here []*proc
-	for _, p := range v.w.procs {
-		if p.here() {
-			here = append(here, p)
+	var up []*process
+	for _, p := range v.cluster.processes {
+		if p.isUp() {
+			up = append(up, p)
 		}
 	}
-	answers := make([]answer, len(here))
+	answers := make([]answer, len(up))
 	var all sync.WaitGroup
-	few := make(chan struct{}, 16)
-	gave, doubts, seen := map[members.ID]uint64{}, map[members.ID]uint64{}, map[members.ID][3]uint64{}
+	slots := make(chan struct{}, 16)
+	evictions, suspicions, usage := map[members.ID]uint64{}, map[members.ID]uint64{}, map[members.ID][3]uint64{}
 	var mu sync.Mutex
-	for i, p := range here {
+	for i, p := range up {
 		all.Add(1)
-		few <- struct{}{}
+		slots <- struct{}{}
 		go func() {
-			defer func() { <-few; all.Done() }()
-			s, err := p.brief()
-			a := answer{p: p, ok: err == nil, digest: s.ViewDigest}
+			defer func() { <-slots; all.Done() }()
+			snapshot, err := p.status()
+			probe := answer{p: p, ok: err == nil, digest: snapshot.ViewDigest}
 			if err == nil {
-				var odd []string
-				for _, m := range s.Members {
-					if len(odd) < 4 {
-						odd = append(odd, m.Name+" "+m.State+" "+m.Reason)
+				var memberStates []string
+				for _, m := range snapshot.Members {
+					if len(memberStates) < 4 {
+						memberStates = append(memberStates, m.Name+" "+m.State+" "+m.Reason)
 					}
 				}
-				a.detail = fmt.Sprintf("%s: %s, reach %.2f, %v; %s", p.name, s.LocalHealth, s.HeardFraction, s.States, strings.Join(odd, ", "))
+				probe.detail = fmt.Sprintf("%s: %s, reach %.2f, %v; %s", p.name, snapshot.LocalHealth, snapshot.HeardFraction, snapshot.States, strings.Join(memberStates, ", "))
 				mu.Lock()
 				p.mu.Lock()
-				gave[p.id], doubts[p.id] = s.Counters["suspect-gone"], s.Counters["up-suspect"]
-				seen[p.id] = [3]uint64{s.Counters["bytes-in"] + s.Counters["bytes-out"], uint64(s.CPUMillis), s.Counters["packets-out"]}
+				evictions[p.id], suspicions[p.id] = snapshot.Counters["suspect-gone"], snapshot.Counters["up-suspect"]
+				usage[p.id] = [3]uint64{snapshot.Counters["bytes-in"] + snapshot.Counters["bytes-out"], uint64(snapshot.CPUMillis), snapshot.Counters["packets-out"]}
 				p.mu.Unlock()
 				mu.Unlock()
 			}
-			answers[i] = a
+			answers[i] = probe
 		}()
 	}
 	all.Wait()
-	var want uint64
-	for _, p := range here {
+	var expected uint64
+	for _, p := range up {
 		p.mu.Lock()
-		want ^= members.Fingerprint(p.id)
+		expected ^= members.Fingerprint(p.id)
 		p.mu.Unlock()
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.differs, v.last = 0, ""
-	for _, a := range answers {
-		if !a.p.here() {
+	v.divergent, v.divergentDetail = 0, ""
+	for _, probe := range answers {
+		if !probe.p.isUp() {
 			continue
 		}
-		if !a.ok || a.digest != fmt.Sprintf("%016x", want) {
-			if v.differs++; v.last == "" {
-				v.last = a.detail
+		if !probe.ok || probe.digest != fmt.Sprintf("%016x", expected) {
+			if v.divergent++; v.divergentDetail == "" {
+				v.divergentDetail = probe.detail
 			}
 		}
 	}
-	v.equal = v.differs == 0
-	v.seen = seen
-	if v.given == nil {
-		v.given, v.doubts = gave, doubts
+	v.converged = v.divergent == 0
+	v.usage = usage
+	if v.evictionsBefore == nil {
+		v.evictionsBefore, v.suspicionsBefore = evictions, suspicions
 	}
-	if v.equal {
-		for name, took := range v.took {
-			if took < 0 {
-				v.took[name] = now - v.since
-				v.figures = append(v.figures, Figure{"s until all know, " + name, (now - v.since).Seconds()})
+	if v.converged {
+		for name, elapsed := range v.convergence {
+			if elapsed < 0 {
+				v.convergence[name] = now - v.changedAt
+				v.metrics = append(v.metrics, metric{"s until all know, " + name, (now - v.changedAt).Seconds()})
 			}
 		}
 	}
-	v.pollGave, v.pollDoubts = gave, doubts
+	v.evictions, v.suspicions = evictions, suspicions
 }
 
-// Begin is Invariant.
-func (v *views) Begin(e *Event, now time.Duration) {
+// beforeEvent is Invariant.
+func (v *membershipCheck) beforeEvent(event *Event, now time.Duration) {
 	v.poll(now)
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	name := e.Fault.Name
-	if e.Undo {
+	name := event.Fault.Name
+	if event.Undo {
 		name += ", over"
 	} else {
-		v.given, v.doubts = v.pollGave, v.pollDoubts
+		v.evictionsBefore, v.suspicionsBefore = v.evictions, v.suspicions
 	}
-	for earlier, took := range v.took {
+	for earlier, took := range v.convergence {
 		if took < 0 { // overtaken
-			delete(v.took, earlier)
+			delete(v.convergence, earlier)
 		}
 	}
-	v.since = now
-	if e.On != nil || e.Undo { // behind a cut all are where they were
-		v.took[name] = -1
+	v.changedAt = now
+	if event.Targets != nil || event.Undo { // behind a cut all are where they were
+		v.convergence[name] = -1
 	}
 }
 
-// Look is Invariant.
-func (v *views) Look(now time.Duration) []Violation {
+// check is Invariant.
+func (v *membershipCheck) check(now time.Duration) []violation {
 	v.poll(now)
 	return nil
 }
 
-// Over is Invariant.
-func (v *views) Over(e *Event, now time.Duration) (all []Violation) {
+// afterFault is Invariant.
+func (v *membershipCheck) afterFault(event *Event, now time.Duration) (violations []violation) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	name := "the end"
-	if e != nil {
-		name = e.Fault.Name
+	if event != nil {
+		name = event.Fault.Name
 	}
 	// Where a release goes on members come and go all the time, and views with them: they are judged once that rests.
-	if !v.equal && !v.w.outs.moving() && v.w.d.BadRelease.CrashAfter == 0 {
-		all = append(all, Violation{now, "views equal", fmt.Sprintf("%d processes hold others to be there than are, %v after %s; %s", v.differs, now-v.since, name, v.last)})
-	}
-	gave, doubts := uint64(0), uint64(0)
-	for id, n := range v.pollGave {
-		gave += n - min(n, v.given[id])
-		doubts += v.pollDoubts[id] - min(v.pollDoubts[id], v.doubts[id])
-	}
-	if e != nil {
-		v.figures = append(v.figures, Figure{"suspicions, " + name, float64(doubts)}, Figure{"given up, " + name, float64(gave)})
-		if e.Fault.ForbidEviction && gave > 0 {
-			all = append(all, Violation{now, "none given up", fmt.Sprintf("%d times somebody that was there, over %s", gave, name)})
+	if !v.converged && !v.cluster.disruptions.inProgress() && v.cluster.script.BadRelease.CrashAfter == 0 {
+		violations = append(violations, violation{now, "views equal", fmt.Sprintf("%d processes hold others to be there than are, %v after %s; %s", v.divergent, now-v.changedAt, name, v.divergentDetail)})
+	}
+	evictions, suspicions := uint64(0), uint64(0)
+	for id, count := range v.evictions {
+		evictions += count - min(count, v.evictionsBefore[id])
+		suspicions += v.suspicions[id] - min(v.suspicions[id], v.suspicionsBefore[id])
+	}
+	if event != nil {
+		v.metrics = append(v.metrics, metric{"suspicions, " + name, float64(suspicions)}, metric{"given up, " + name, float64(evictions)})
+		if event.Fault.ForbidEviction && evictions > 0 {
+			violations = append(violations, violation{now, "none given up", fmt.Sprintf("%d times somebody that was there, over %s", evictions, name)})
 		}
 	}
-	return all
+	return violations
 }
--- a/internal/drill/links.go
+++ b/internal/drill/links.go
@@ -11,209 +11,209 @@
 	"lanewheel/internal/operator"
 )
 
-// links stands between the processes. Each process is reached at a front address, where we listen; whoever sends there does so
+// network stands between the processes. Each process is reached at a front address, where we listen; whoever sends there does so
 // from its own address, and what we pass on comes from the sender's front: so both ends of every datagram and stream are known,
 // and the processes know nothing of us.
-type links struct {
-	mu     sync.Mutex
-	ends   map[string]int // process by the host it sends from
-	fronts []*front
-	rules  map[[2]int][]*operator.DrillFault
-	tally  map[[2]int]*counts
-	chance *rand.Rand
-	ports  []int // the gossip's first; where streams are taken
-	closed bool
-	open   map[net.Conn][2]int
+type network struct {
+	mu            sync.Mutex
+	processByHost map[string]int // process by the host it sends from
+	fronts        []*processFront
+	faults        map[[2]int][]*operator.DrillFault
+	counters      map[[2]int]*linkCounters
+	random        *rand.Rand
+	ports         []int // the gossip's first; where streams are taken
+	closed        bool
+	streams       map[net.Conn][2]int
 }
 
-// front is where one process is reached.
-type front struct {
-	i    int
-	to   *net.UDPAddr // the process itself
-	udp  *net.UDPConn
-	tcp  []*net.TCPListener
-	from net.IP // of the front
+// processFront is where one process is reached.
+type processFront struct {
+	process int
+	target  *net.UDPAddr // the process itself
+	udp     *net.UDPConn
+	tcp     []*net.TCPListener
+	ip      net.IP // of the front
 }
 
-// counts is what became of one directed link's traffic.
-type counts struct {
-	Datagrams, Bytes, Streams, StreamBytes                              int64
-	Lost, Delayed, Duplicated, Reordered, Garbled, Refused, Cut, Halved int64
+// linkCounters is what became of one directed link's traffic.
+type linkCounters struct {
+	datagrams, bytes, streams, streamBytes                                         int64
+	dropped, delayed, duplicated, reordered, corrupted, refused, reset, halfClosed int64
 }
 
-func newLinks(seed uint64, ports ...int) *links {
-	return &links{ends: map[string]int{}, rules: map[[2]int][]*operator.DrillFault{}, tally: map[[2]int]*counts{}, ports: ports,
-		chance: rand.New(rand.NewPCG(seed, 99)), open: map[net.Conn][2]int{}}
+func newNetwork(seed uint64, ports ...int) *network {
+	return &network{processByHost: map[string]int{}, faults: map[[2]int][]*operator.DrillFault{}, counters: map[[2]int]*linkCounters{}, ports: ports,
+		random: rand.New(rand.NewPCG(seed, 99)), streams: map[net.Conn][2]int{}}
 }
 
-// add makes the front of a process that sends from and listens on host.
-func (l *links) add(i int, host, at string) error {
-	f := &front{i: i, to: &net.UDPAddr{IP: net.ParseIP(host), Port: l.ports[0]}, from: net.ParseIP(at)}
+// addProcess makes the front of a process that sends from and listens on host.
+func (l *network) addProcess(index int, host, address string) error {
+	front := &processFront{process: index, target: &net.UDPAddr{IP: net.ParseIP(host), Port: l.ports[0]}, ip: net.ParseIP(address)}
 	var err error
-	if f.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: f.from, Port: l.ports[0]}); err != nil {
+	if front.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: front.ip, Port: l.ports[0]}); err != nil {
 		return err
 	}
-	_ = f.udp.SetReadBuffer(1 << 20)
+	_ = front.udp.SetReadBuffer(1 << 20)
 	for _, port := range l.ports {
-		t, err := net.ListenTCP("tcp", &net.TCPAddr{IP: f.from, Port: port})
+		listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: front.ip, Port: port})
 		if err != nil {
 			return err
 		}
-		f.tcp = append(f.tcp, t)
+		front.tcp = append(front.tcp, listener)
 	}
 	l.mu.Lock()
-	l.ends[host] = i
-	for len(l.fronts) <= i {
+	l.processByHost[host] = index
+	for len(l.fronts) <= index {
 		l.fronts = append(l.fronts, nil)
 	}
-	l.fronts[i] = f
+	l.fronts[index] = front
 	l.mu.Unlock()
-	go l.datagrams(f)
-	for k, t := range f.tcp {
-		go l.streams(f, t, l.ports[k])
+	go l.forwardDatagrams(front)
+	for index, listener := range front.tcp {
+		go l.acceptStreams(front, listener, l.ports[index])
 	}
 	return nil
 }
 
-// between gives what holds from one process to another now, and the link's counts. A host that is no process's is -1: a stranger.
-func (l *links) between(host string, to int) (from int, c *counts, rules []*operator.DrillFault, back *front) {
+// lookup gives what holds from one process to another now, and the link's counts. A host that is no process's is -1: a stranger.
+func (l *network) lookup(host string, target int) (from int, counters *linkCounters, faults []*operator.DrillFault, senderFront *processFront) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	from, known := l.ends[host]
+	from, known := l.processByHost[host]
 	if !known {
 		from = -1
 	} else {
-		back = l.fronts[from]
+		senderFront = l.fronts[from]
 	}
-	link := [2]int{from, to}
-	if c = l.tally[link]; c == nil {
-		c = &counts{}
-		l.tally[link] = c
+	link := [2]int{from, target}
+	if counters = l.counters[link]; counters == nil {
+		counters = &linkCounters{}
+		l.counters[link] = counters
 	}
-	return from, c, l.rules[link], back
+	return from, counters, l.faults[link], senderFront
 }
 
-// put brings a fault on links, or takes it off.
-func (l *links) put(e Event) {
+// apply brings a fault on links, or takes it off.
+func (l *network) apply(event Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	one := func(from, to int) {
+	update := func(from, to int) {
 		if from == to {
 			return
 		}
 		link := [2]int{from, to}
-		if !e.Undo {
-			l.rules[link] = append(l.rules[link], e.Fault)
+		if !event.Undo {
+			l.faults[link] = append(l.faults[link], event.Fault)
 		} else {
-			var rest []*operator.DrillFault
-			for _, f := range l.rules[link] {
-				if f != e.Fault {
-					rest = append(rest, f)
+			var remaining []*operator.DrillFault
+			for _, fault := range l.faults[link] {
+				if fault != event.Fault {
+					remaining = append(remaining, fault)
 				}
 			}
-			l.rules[link] = rest
+			l.faults[link] = remaining
 		}
 		// What is cut ends the streams that stand, too; a half-close ends one way of them.
-		for c, at := range l.open {
-			if at != link || e.Undo {
+		for connection, streamLink := range l.streams {
+			if streamLink != link || event.Undo {
 				continue
 			}
-			switch e.Fault.Action {
+			switch event.Fault.Action {
 			case "refuse":
-				l.tally[link].Cut++
-				_ = c.(*net.TCPConn).SetLinger(0)
-				c.Close()
+				l.counters[link].reset++
+				_ = connection.(*net.TCPConn).SetLinger(0)
+				connection.Close()
 			case "half-close":
-				l.tally[link].Halved++
-				_ = c.(*net.TCPConn).CloseWrite()
+				l.counters[link].halfClosed++
+				_ = connection.(*net.TCPConn).CloseWrite()
 			}
 		}
 	}
-	for _, a := range e.From {
-		for _, b := range e.To {
-			one(a, b)
-			if e.Fault.Bidirectional {
-				one(b, a)
+	for _, source := range event.From {
+		for _, target := range event.To {
+			update(source, target)
+			if event.Fault.Bidirectional {
+				update(target, source)
 			}
 		}
 	}
 }
 
-func (l *links) draw(share float64) bool {
+func (l *network) chance(probability float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.chance.Float64() < share
+	return l.random.Float64() < probability
 }
 
-func (l *links) count(n *int64, by int) {
+func (l *network) increment(counter *int64, amount int) {
 	l.mu.Lock()
-	*n += int64(by)
+	*counter += int64(amount)
 	l.mu.Unlock()
 }
 
-func (l *links) datagrams(f *front) {
-	b := make([]byte, 64<<10)
+func (l *network) forwardDatagrams(front *processFront) {
+	buffer := make([]byte, 64<<10)
 	for {
-		n, from, err := f.udp.ReadFromUDP(b)
+		size, sender, err := front.udp.ReadFromUDP(buffer)
 		if err != nil {
 			return
 		}
-		_, c, rules, back := l.between(from.IP.String(), f.i)
-		l.count(&c.Datagrams, 1)
-		l.count(&c.Bytes, n)
-		out, wait, copies := f.udp, time.Duration(0), 1
-		if back != nil { // it comes from the sender's front
-			out = back.udp
+		_, counters, faults, senderFront := l.lookup(sender.IP.String(), front.process)
+		l.increment(&counters.datagrams, 1)
+		l.increment(&counters.bytes, size)
+		out, delay, copies := front.udp, time.Duration(0), 1
+		if senderFront != nil { // it comes from the sender's front
+			out = senderFront.udp
 		}
-		m := append([]byte(nil), b[:n]...)
-		for _, r := range rules {
-			if !l.draw(r.Fraction) {
+		message := append([]byte(nil), buffer[:size]...)
+		for _, fault := range faults {
+			if !l.chance(fault.Fraction) {
 				continue
 			}
-			switch r.Action {
+			switch fault.Action {
 			case "refuse", "swallow", "lose", "stall", "half-close":
 				copies = 0
-				l.count(&c.Lost, 1)
+				l.increment(&counters.dropped, 1)
 			case "delay":
-				wait += r.Delay + time.Duration(rand.Float64()*float64(r.Jitter))
-				l.count(&c.Delayed, 1)
+				delay += fault.Delay + time.Duration(rand.Float64()*float64(fault.Jitter))
+				l.increment(&counters.delayed, 1)
 			case "duplicate":
 				copies++
-				l.count(&c.Duplicated, 1)
+				l.increment(&counters.duplicated, 1)
 			case "reorder":
-				wait += 20 * time.Millisecond // behind what comes in the next rounds of gossip's messages
-				l.count(&c.Reordered, 1)
+				delay += 20 * time.Millisecond // behind what comes in the next rounds of gossip's messages
+				l.increment(&counters.reordered, 1)
 			case "garble":
-				m[rand.IntN(len(m))] ^= 0x55
-				l.count(&c.Garbled, 1)
+				message[rand.IntN(len(message))] ^= 0x55
+				l.increment(&counters.corrupted, 1)
 			case "narrow":
-				wait += time.Duration(float64(n) / float64(max(1, r.BytesPerSecond)) * float64(time.Second))
+				delay += time.Duration(float64(size) / float64(max(1, fault.BytesPerSecond)) * float64(time.Second))
 			}
 		}
 		for range copies {
-			if wait > 0 {
-				time.AfterFunc(wait, func() { _, _ = out.WriteToUDP(m, f.to) })
+			if delay > 0 {
+				time.AfterFunc(delay, func() { _, _ = out.WriteToUDP(message, front.target) })
 			} else {
-				_, _ = out.WriteToUDP(m, f.to)
+				_, _ = out.WriteToUDP(message, front.target)
 			}
 		}
 	}
 }
 
-func (l *links) streams(f *front, t *net.TCPListener, port int) {
+func (l *network) acceptStreams(front *processFront, listener *net.TCPListener, port int) {
 	for {
-		c, err := t.AcceptTCP()
+		connection, err := listener.AcceptTCP()
 		if err != nil {
 			return
 		}
-		go l.stream(f, c, port)
+		go l.forwardStream(front, connection, port)
 	}
 }
 
-func has(rules []*operator.DrillFault, do ...string) bool {
-	for _, r := range rules {
-		for _, d := range do {
-			if r.Action == d {
+func hasFault(faults []*operator.DrillFault, kinds ...string) bool {
+	for _, fault := range faults {
+		for _, kind := range kinds {
+			if fault.Action == kind {
 				return true
 			}
 		}
@@ -221,74 +221,74 @@
 	return false
 }
 
-func (l *links) stream(f *front, in *net.TCPConn, port int) {
-	defer in.Close()
-	host, _, _ := net.SplitHostPort(in.RemoteAddr().String())
-	from, c, rules, back := l.between(host, f.i)
-	l.count(&c.Streams, 1)
-	local := f.from
-	if back != nil {
-		local = back.from
+func (l *network) forwardStream(front *processFront, incoming *net.TCPConn, port int) {
+	defer incoming.Close()
+	host, _, _ := net.SplitHostPort(incoming.RemoteAddr().String())
+	source, counters, faults, senderFront := l.lookup(host, front.process)
+	l.increment(&counters.streams, 1)
+	local := front.ip
+	if senderFront != nil {
+		local = senderFront.ip
 	}
-	if has(rules, "refuse") {
-		l.count(&c.Refused, 1)
-		_ = in.SetLinger(0)
+	if hasFault(faults, "refuse") {
+		l.increment(&counters.refused, 1)
+		_ = incoming.SetLinger(0)
 		return
 	}
-	for has(rules, "swallow") { // it is taken, and nothing comes of it
+	for hasFault(faults, "swallow") { // it is taken, and nothing comes of it
 		time.Sleep(50 * time.Millisecond)
-		if _, _, rules, _ = l.between(host, f.i); l.over() {
+		if _, _, faults, _ = l.lookup(host, front.process); l.isClosed() {
 			return
 		}
 	}
-	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: local}, Timeout: time.Second}
-	conn, err := d.Dial("tcp", (&net.TCPAddr{IP: f.to.IP, Port: port}).String())
+	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: local}, Timeout: time.Second}
+	connection, err := dialer.Dial("tcp", (&net.TCPAddr{IP: front.target.IP, Port: port}).String())
 	if err != nil {
-		_ = in.SetLinger(0)
+		_ = incoming.SetLinger(0)
 		return
 	}
-	out := conn.(*net.TCPConn)
-	defer out.Close()
+	outgoing := connection.(*net.TCPConn)
+	defer outgoing.Close()
 	l.mu.Lock()
-	l.open[out], l.open[in] = [2]int{from, f.i}, [2]int{f.i, from}
+	l.streams[outgoing], l.streams[incoming] = [2]int{source, front.process}, [2]int{front.process, source}
 	l.mu.Unlock()
-	var both sync.WaitGroup
-	both.Add(2)
-	go func() { defer both.Done(); l.pump(out, in, host, f.i) }()
-	go func() { defer both.Done(); l.pump(in, out, f.to.IP.String(), from) }()
-	both.Wait()
+	var pumps sync.WaitGroup
+	pumps.Add(2)
+	go func() { defer pumps.Done(); l.copyStream(outgoing, incoming, host, front.process) }()
+	go func() { defer pumps.Done(); l.copyStream(incoming, outgoing, front.target.IP.String(), source) }()
+	pumps.Wait()
 	l.mu.Lock()
-	delete(l.open, out)
-	delete(l.open, in)
+	delete(l.streams, outgoing)
+	delete(l.streams, incoming)
 	l.mu.Unlock()
 }
 
-// pump carries one way of a stream under what holds on its link.
-func (l *links) pump(to, from *net.TCPConn, host string, end int) {
-	b := make([]byte, 8<<10)
+// copyStream carries one way of a stream under what holds on its link.
+func (l *network) copyStream(to, from *net.TCPConn, host string, target int) {
+	buffer := make([]byte, 8<<10)
 	for {
-		n, err := from.Read(b)
-		if n > 0 {
-			_, c, rules, _ := l.between(host, end)
-			l.count(&c.StreamBytes, n)
-			for has(rules, "stall", "swallow") && !l.over() { // in the middle of whatever it carries
+		size, err := from.Read(buffer)
+		if size > 0 {
+			_, counters, faults, _ := l.lookup(host, target)
+			l.increment(&counters.streamBytes, size)
+			for hasFault(faults, "stall", "swallow") && !l.isClosed() { // in the middle of whatever it carries
 				time.Sleep(20 * time.Millisecond)
-				_, _, rules, _ = l.between(host, end)
+				_, _, faults, _ = l.lookup(host, target)
 			}
-			for _, r := range rules {
-				switch r.Action {
+			for _, fault := range faults {
+				switch fault.Action {
 				case "delay":
-					time.Sleep(r.Delay + time.Duration(rand.Float64()*float64(r.Jitter)))
+					time.Sleep(fault.Delay + time.Duration(rand.Float64()*float64(fault.Jitter)))
 				case "narrow":
-					time.Sleep(time.Duration(float64(n) / float64(max(1, r.BytesPerSecond)) * float64(time.Second)))
+					time.Sleep(time.Duration(float64(size) / float64(max(1, fault.BytesPerSecond)) * float64(time.Second)))
 				case "garble":
-					if l.draw(r.Fraction) {
-						b[rand.IntN(n)] ^= 0x55
-						l.count(&c.Garbled, 1)
+					if l.chance(fault.Fraction) {
+						buffer[rand.IntN(size)] ^= 0x55
+						l.increment(&counters.corrupted, 1)
 					}
 				}
 			}
-			if _, err := to.Write(b[:n]); err != nil {
+			if _, err := to.Write(buffer[:size]); err != nil {
 				_ = from.SetLinger(0)
 				from.Close()
 				return
@@ -305,61 +305,61 @@
 	}
 }
 
-func (l *links) over() bool {
+func (l *network) isClosed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.closed
 }
 
 // rows tells of each directed link what became of its traffic.
-func (l *links) rows(name func(int) string) (all []Row) {
+func (l *network) rows(name func(int) string) (rows []Row) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for link, c := range l.tally {
-		all = append(all, Row{Kind: "link", Process: name(link[0]), Name: name(link[1]), Outcome: c.String(), Value: float64(c.Bytes + c.StreamBytes)})
+	for link, counters := range l.counters {
+		rows = append(rows, Row{Kind: "link", Process: name(link[0]), Name: name(link[1]), Outcome: counters.String(), Value: float64(counters.bytes + counters.streamBytes)})
 	}
-	return all
+	return rows
 }
 
-// sum adds up what became of all that went over the links.
-func (l *links) sum() (s counts) {
+// total adds up what became of all that went over the links.
+func (l *network) total() (total linkCounters) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, c := range l.tally {
-		s.Datagrams += c.Datagrams
-		s.Bytes += c.Bytes
-		s.Streams += c.Streams
-		s.StreamBytes += c.StreamBytes
-		s.Lost += c.Lost
-		s.Delayed += c.Delayed
-		s.Duplicated += c.Duplicated
-		s.Reordered += c.Reordered
-		s.Garbled += c.Garbled
-		s.Refused += c.Refused
-		s.Cut += c.Cut
-		s.Halved += c.Halved
+	for _, counters := range l.counters {
+		total.datagrams += counters.datagrams
+		total.bytes += counters.bytes
+		total.streams += counters.streams
+		total.streamBytes += counters.streamBytes
+		total.dropped += counters.dropped
+		total.delayed += counters.delayed
+		total.duplicated += counters.duplicated
+		total.reordered += counters.reordered
+		total.corrupted += counters.corrupted
+		total.refused += counters.refused
+		total.reset += counters.reset
+		total.halfClosed += counters.halfClosed
 	}
-	return s
+	return total
 }
 
-func (s counts) String() string {
+func (s linkCounters) String() string {
 	return fmt.Sprintf("%d datagrams of %d bytes, %d streams of %d; lost %d, delayed %d, twice %d, late %d, garbled %d, refused %d, cut %d, halved %d",
-		s.Datagrams, s.Bytes, s.Streams, s.StreamBytes, s.Lost, s.Delayed, s.Duplicated, s.Reordered, s.Garbled, s.Refused, s.Cut, s.Halved)
+		s.datagrams, s.bytes, s.streams, s.streamBytes, s.dropped, s.delayed, s.duplicated, s.reordered, s.corrupted, s.refused, s.reset, s.halfClosed)
 }
 
-func (l *links) close() {
+func (l *network) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
-	for _, f := range l.fronts {
-		if f != nil {
-			f.udp.Close()
-			for _, t := range f.tcp {
-				t.Close()
+	for _, front := range l.fronts {
+		if front != nil {
+			front.udp.Close()
+			for _, listener := range front.tcp {
+				listener.Close()
 			}
 		}
 	}
-	for c := range l.open {
-		c.Close()
+	for connection := range l.streams {
+		connection.Close()
 	}
 }
--- a/internal/drill/links_test.go
+++ b/internal/drill/links_test.go
@@ -16,7 +16,7 @@
 
 // pair is two ends with links between them, that count what comes.
 type pair struct {
-	l     *links
+	l     *network
 	hosts [2]string
 	udp   [2]*net.UDPConn
 	tcp   [2]net.Listener
@@ -27,13 +27,13 @@
 const port = 7999
 
 func newPair() *pair {
-	p := &pair{l: newLinks(1, port)}
+	p := &pair{l: newNetwork(1, port)}
 	for i := range 2 {
 		p.hosts[i] = fmt.Sprintf("127.%d.9.%d", 64+os.Getpid()%64, i+1)
 		ip := net.ParseIP(p.hosts[i])
 		p.udp[i] = standin.Must(net.ListenUDP("udp", &net.UDPAddr{IP: ip, Port: port}))
 		p.tcp[i] = standin.Must(net.Listen("tcp", fmt.Sprintf("%s:%d", p.hosts[i], port)))
-		if err := p.l.add(i, p.hosts[i], p.front(i)); err != nil {
+		if err := p.l.addProcess(i, p.hosts[i], p.front(i)); err != nil {
 			panic(err)
 		}
 		go func() {
@@ -84,7 +84,7 @@
 
 func (p *pair) put(do string, share float64, undo bool) *operator.DrillFault {
 	f := &operator.DrillFault{Action: do, Fraction: share, BytesPerSecond: 1000, Delay: 30 * time.Millisecond}
-	p.l.put(Event{Fault: f, From: []int{0}, To: []int{1}})
+	p.l.apply(Event{Fault: f, From: []int{0}, To: []int{1}})
 	return f
 }
 
@@ -106,7 +106,7 @@
 		doubling bool
 	}{{"swallow", 0, 10, 0, false, false}, {"refuse", 0, 10, 0, false, false}, {"lose", 0, 10, 0, false, false}, {"delay", 10, 0, 30 * time.Millisecond, false, false},
 		{"duplicate", 20, 0, 0, false, true}, {"reorder", 10, 0, 15 * time.Millisecond, false, false}, {"garble", 10, 0, 0, true, false}} {
-		before, back, sum := p.came[1].Load(), p.came[0].Load(), p.l.sum()
+		before, back, sum := p.came[1].Load(), p.came[0].Load(), p.l.total()
 		f := p.put(x.do, 1, false)
 		began := time.Now()
 		p.send(0, 10)
@@ -120,11 +120,11 @@
 		if took := time.Since(began); took < x.slower {
 			t.Fatal(x.do, took)
 		}
-		now := p.l.sum()
-		if p.came[1].Load() != before+x.came || now.Lost-sum.Lost != x.lost || now.Garbled > sum.Garbled != x.garbled || now.Duplicated > sum.Duplicated != x.doubling {
+		now := p.l.total()
+		if p.came[1].Load() != before+x.came || now.dropped-sum.dropped != x.lost || now.corrupted > sum.corrupted != x.garbled || now.duplicated > sum.duplicated != x.doubling {
 			t.Fatal(x.do, p.came[1].Load()-before, now)
 		}
-		p.l.put(Event{Fault: f, Undo: true, From: []int{0}, To: []int{1}})
+		p.l.apply(Event{Fault: f, Undo: true, From: []int{0}, To: []int{1}})
 	}
 }
 
@@ -139,7 +139,7 @@
 		n, _ := io.ReadFull(c, b)
 		return string(b[:n])
 	}
-	over := func(f *operator.DrillFault) { p.l.put(Event{Fault: f, Undo: true, From: []int{0}, To: []int{1}}) }
+	over := func(f *operator.DrillFault) { p.l.apply(Event{Fault: f, Undo: true, From: []int{0}, To: []int{1}}) }
 	c := standin.Must(p.dial(0))
 	if got := echo(c, "hello", time.Second); got != "hello" {
 		t.Fatal(got)
@@ -181,7 +181,7 @@
 		t.Fatal(got)
 	}
 	over(f)
-	if sum := p.l.sum(); sum.Refused != 1 || sum.Halved != 2 || sum.Cut != 2 || sum.Streams != 4 {
+	if sum := p.l.total(); sum.refused != 1 || sum.halfClosed != 2 || sum.reset != 2 || sum.streams != 4 {
 		t.Fatal(sum)
 	}
 }
--- a/internal/drill/load.go
+++ b/internal/drill/load.go
@@ -12,155 +12,155 @@
 	"lanewheel/internal/standin"
 )
 
-// asked is one op as its issuer saw it, and as the runtimes did.
-type asked struct {
-	id       string
-	kind     string
-	proc     int
-	sent     time.Time
-	answered time.Time
-	outcome  string // acked, Busy, Failed; broken: its connection ended
-	answers  int
-	runs     []run
+// issuedRequest is one op as its issuer saw it, and as the runtimes did.
+type issuedRequest struct {
+	id         string
+	class      string
+	process    int
+	sentAt     time.Time
+	answeredAt time.Time
+	outcome    string // acked, Busy, Failed; broken: its connection ended
+	responses  int
+	executions []execution
 }
 
-type run struct {
-	proc int
-	at   time.Time
+type execution struct {
+	process int
+	at      time.Time
 }
 
-// history is every op of the rehearsal. All of it is under mu.
-type history struct {
-	mu  sync.Mutex
-	ops map[string]*asked
-	all []*asked
+// requestLog is every op of the rehearsal. All of it is under mu.
+type requestLog struct {
+	mu       sync.Mutex
+	byID     map[string]*issuedRequest
+	requests []*issuedRequest
 }
 
-func (h *history) ran(p *proc, op string) {
+func (h *requestLog) recordExecution(p *process, id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if a := h.ops[op]; a != nil {
-		a.runs = append(a.runs, run{p.i, time.Now()})
+	if request := h.byID[id]; request != nil {
+		request.executions = append(request.executions, execution{p.index, time.Now()})
 	}
 }
 
-// issue asks at the told rate, whatever comes back, by connections to processes that are drawn anew whenever one ends.
-func (h *history) issue(w *world, until time.Time) {
-	var all sync.WaitGroup
-	for k := range w.d.Clients {
-		all.Add(1)
+// generateLoad asks at the told rate, whatever comes back, by connections to processes that are drawn anew whenever one ends.
+func (h *requestLog) generateLoad(w *cluster, until time.Time) {
+	var clients sync.WaitGroup
+	for client := range w.script.Clients {
+		clients.Add(1)
 		go func() {
-			defer all.Done()
-			h.stub(w, k, until)
+			defer clients.Done()
+			h.runClient(w, client, until)
 		}()
 	}
-	all.Wait()
+	clients.Wait()
 }
 
-var kinds = []string{"view", "pay", "list"}
+var classes = []string{"view", "pay", "list"}
 
-// opTimeout is the told op timeout of the stand-in's settings; an op waits 2 s, and half a second is left for a busy machine.
-const opTimeout = 3*time.Second + 500*time.Millisecond
+// requestTimeout is the told op timeout of the stand-in's settings; an op waits 2 s, and half a second is left for a busy machine.
+const requestTimeout = 3*time.Second + 500*time.Millisecond
 
-func (h *history) stub(w *world, k int, until time.Time) {
-	chance := rand.New(rand.NewPCG(w.d.RandomSeed, 1000+uint64(k)))
-	gap := float64(w.d.Clients) / w.d.RequestRate * float64(time.Second)
-	next := time.Now()
-	for n := 1; next.Before(until); {
-		to := w.procs
-		if w.d.Proxies > 0 { // then only they are known to the stubs
-			to = to[w.d.Instances:]
+func (h *requestLog) runClient(w *cluster, client int, until time.Time) {
+	random := rand.New(rand.NewPCG(w.script.RandomSeed, 1000+uint64(client)))
+	interval := float64(w.script.Clients) / w.script.RequestRate * float64(time.Second)
+	nextAt := time.Now()
+	for number := 1; nextAt.Before(until); {
+		targets := w.processes
+		if w.script.Proxies > 0 { // then only they are known to the stubs
+			targets = targets[w.script.Instances:]
 		}
-		to = to[:len(to)-w.d.Allocators-w.d.Coordinators]
-		p := to[chance.IntN(len(to))]
-		conn, err := net.DialTimeout("tcp", net.JoinHostPort(p.host, strconv.Itoa(stubPort)), 200*time.Millisecond)
+		targets = targets[:len(targets)-w.script.Allocators-w.script.Coordinators]
+		target := targets[random.IntN(len(targets))]
+		conn, err := net.DialTimeout("tcp", net.JoinHostPort(target.host, strconv.Itoa(clientPort)), 200*time.Millisecond)
 		if err != nil {
 			time.Sleep(20 * time.Millisecond)
 			continue
 		}
-		s := standin.NewStub(conn)
-		open := map[int]*asked{}
-		over := make(chan struct{})
+		stub := standin.NewStub(conn)
+		inFlight := map[int]*issuedRequest{}
+		ended := make(chan struct{})
 		go func() {
-			defer close(over)
+			defer close(ended)
 			for {
-				a, err := s.Answer()
+				response, err := stub.Answer()
 				if err != nil {
 					h.mu.Lock()
-					for _, o := range open {
-						if o.answers == 0 {
-							o.outcome, o.answered = "broken", time.Now()
+					for _, request := range inFlight {
+						if request.responses == 0 {
+							request.outcome, request.answeredAt = "broken", time.Now()
 						}
 					}
 					h.mu.Unlock()
 					return
 				}
 				h.mu.Lock()
-				if o := open[a.N]; o != nil {
-					o.answers++
-					o.answered, o.outcome = time.Now(), a.Error
-					if a.Error == "" {
-						o.outcome = "acked"
+				if request := inFlight[response.N]; request != nil {
+					request.responses++
+					request.answeredAt, request.outcome = time.Now(), response.Error
+					if response.Error == "" {
+						request.outcome = "acked"
 					}
 				}
 				h.mu.Unlock()
 			}
 		}()
-		stands := true
-		for turn := next.Add(time.Duration((5 + 10*chance.Float64()) * float64(time.Second))); stands && next.Before(until) && next.Before(turn); n++ {
-			next = next.Add(time.Duration(chance.ExpFloat64() * gap / math.Float64frombits(w.burst.Load())))
+		connected := true
+		for reconnectAt := nextAt.Add(time.Duration((5 + 10*random.Float64()) * float64(time.Second))); connected && nextAt.Before(until) && nextAt.Before(reconnectAt); number++ {
+			nextAt = nextAt.Add(time.Duration(random.ExpFloat64() * interval / math.Float64frombits(w.loadFactor.Load())))
 			select {
-			case <-over:
-				stands = false
+			case <-ended:
+				connected = false
 				continue
-			case <-time.After(time.Until(next)):
+			case <-time.After(time.Until(nextAt)):
 			}
-			o := &asked{id: fmt.Sprintf("%08x%08x", k, n), kind: kinds[chance.IntN(len(kinds))], proc: p.i, sent: time.Now()}
+			request := &issuedRequest{id: fmt.Sprintf("%08x%08x", client, number), class: classes[random.IntN(len(classes))], process: target.index, sentAt: time.Now()}
 			h.mu.Lock()
-			waiting := 0
-			for _, x := range open {
-				if x.answers == 0 {
-					waiting++
+			outstanding := 0
+			for _, other := range inFlight {
+				if other.responses == 0 {
+					outstanding++
 				}
 			}
-			if waiting < 32 { // the protocol's bound; past it a stub asks nothing
-				open[n], h.ops[o.id] = o, o
-				h.all = append(h.all, o)
+			if outstanding < 32 { // the protocol's bound; past it a stub asks nothing
+				inFlight[number], h.byID[request.id] = request, request
+				h.requests = append(h.requests, request)
 			}
 			h.mu.Unlock()
-			if waiting >= 32 {
+			if outstanding >= 32 {
 				continue
 			}
-			if !send(s, standin.Op(n, o.kind, o.id, []byte(o.id), "from", fmt.Sprint(k), "kb", "1", "rank", "0.5", "cost", "5")) {
-				stands = false
+			if !trySend(stub, standin.Op(number, request.class, request.id, []byte(request.id), "from", fmt.Sprint(client), "kb", "1", "rank", "0.5", "cost", "5")) {
+				connected = false
 			}
 		}
-		waitOver(over, opTimeout, func() bool {
+		awaitResponses(ended, requestTimeout, func() bool {
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			for _, o := range open {
-				if o.answers == 0 && o.outcome == "" {
+			for _, request := range inFlight {
+				if request.responses == 0 && request.outcome == "" {
 					return false
 				}
 			}
 			return true
 		})
-		s.Close()
-		<-over
+		stub.Close()
+		<-ended
 	}
 }
 
-func send(s *standin.Stub, m []any) (sent bool) {
+func trySend(s *standin.Stub, message []any) (sent bool) {
 	defer func() { sent = recover() == nil }() // the connection ended: the reader tells
-	s.Send(m)
+	s.Send(message)
 	return true
 }
 
-// waitOver waits until all is answered, the connection is over, or the time is up.
-func waitOver(over chan struct{}, within time.Duration, all func() bool) {
-	for end := time.Now().Add(within); time.Now().Before(end) && !all(); {
+// awaitResponses waits until all is answered, the connection is over, or the time is up.
+func awaitResponses(ended chan struct{}, timeout time.Duration, done func() bool) {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline) && !done(); {
 		select {
-		case <-over:
+		case <-ended:
 			return
 		case <-time.After(5 * time.Millisecond):
 		}
--- a/internal/drill/report.go
+++ b/internal/drill/report.go
@@ -36,91 +36,91 @@
 // Save writes it as Parquet.
 func (r Record) Save(path string) error { return parquet.WriteFile(path, []Row(r), schema) }
 
-// Open reads one that was saved.
-func Open(path string) (Record, error) {
+// LoadRecord reads one that was saved.
+func LoadRecord(path string) (Record, error) {
 	rows, err := parquet.ReadFile[Row](path)
 	return Record(rows), err
 }
 
-func (r Record) of(kind string) (some []Row) {
+func (r Record) rowsOf(kind string) (rows []Row) {
 	for _, row := range r {
 		if row.Kind == kind {
-			some = append(some, row)
+			rows = append(rows, row)
 		}
 	}
-	return some
+	return rows
 }
 
-// figures gives the measured values, those of the ops among them.
-func (r Record) figures() (all []Figure) {
-	n, took := map[string]int{}, []float64{}
-	ops := r.of("op")
-	for _, o := range ops {
-		n[o.Outcome]++
-		if o.Outcome == "acked" {
-			took = append(took, o.Value)
+// metrics gives the measured values, those of the ops among them.
+func (r Record) metrics() (metrics []metric) {
+	byOutcome, latencies := map[string]int{}, []float64{}
+	requests := r.rowsOf("op")
+	for _, request := range requests {
+		byOutcome[request.Outcome]++
+		if request.Outcome == "acked" {
+			latencies = append(latencies, request.Value)
 		}
 	}
-	slices.Sort(took)
-	at := func(share float64) float64 {
-		if len(took) == 0 {
+	slices.Sort(latencies)
+	quantile := func(fraction float64) float64 {
+		if len(latencies) == 0 {
 			return 0
 		}
-		return took[min(len(took)-1, int(share*float64(len(took))))]
+		return latencies[min(len(latencies)-1, int(fraction*float64(len(latencies))))]
 	}
-	all = append(all, Figure{"ops", float64(len(ops))})
-	for _, what := range []string{"acked", "Busy", "Failed", "broken", ""} {
-		name := what
-		if what == "" {
+	metrics = append(metrics, metric{"ops", float64(len(requests))})
+	for _, outcome := range []string{"acked", "Busy", "Failed", "broken", ""} {
+		name := outcome
+		if outcome == "" {
 			name = "unanswered"
 		}
-		all = append(all, Figure{name, float64(n[what])})
+		metrics = append(metrics, metric{name, float64(byOutcome[outcome])})
 	}
-	all = append(all, Figure{"ms to acked, median", at(0.5)}, Figure{"ms to acked, 99th percentile", at(0.99)})
-	for _, f := range r.of("figure") {
-		all = append(all, Figure{f.Name, f.Value})
+	metrics = append(metrics, metric{"ms to acked, median", quantile(0.5)}, metric{"ms to acked, 99th percentile", quantile(0.99)})
+	for _, m := range r.rowsOf("figure") {
+		metrics = append(metrics, metric{m.Name, m.Value})
 	}
-	return append(all, Figure{"violations", float64(len(r.of("violation")))})
+	return append(metrics, metric{"violations", float64(len(r.rowsOf("violation")))})
 }
 
-// Table prints what a rehearsal came to.
-func (r Record) Table(out io.Writer) {
-	for _, e := range r {
-		if e.Kind == "done" || e.Kind == "violation" {
-			fmt.Fprintf(out, "%s\n", e.Name)
+// WriteTable prints what a rehearsal came to.
+func (r Record) WriteTable(out io.Writer) {
+	for _, row := range r {
+		if row.Kind == "done" || row.Kind == "violation" {
+			fmt.Fprintf(out, "%s\n", row.Name)
 		}
 	}
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	for _, f := range r.figures() {
-		fmt.Fprintf(w, "%s\t%.4g\n", f.Name, f.Value)
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	for _, m := range r.metrics() {
+		fmt.Fprintf(table, "%s\t%.4g\n", m.Name, m.Value)
 	}
-	w.Flush()
+	table.Flush()
 }
 
-// Differ prints the figures of two side by side.
-func Differ(out io.Writer, a, b Record) {
-	of := map[string]float64{}
-	fb := b.figures()
-	for _, f := range fb {
-		of[f.Name] = f.Value
+// Compare prints the figures of two side by side.
+func Compare(out io.Writer, first, second Record) {
+	secondByName := map[string]float64{}
+	secondMetrics := second.metrics()
+	for _, m := range secondMetrics {
+		secondByName[m.Name] = m.Value
 	}
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "\tfirst\tsecond\tchange")
-	known := map[string]bool{}
-	for _, f := range a.figures() {
-		known[f.Name] = true
-		if x, both := of[f.Name]; both {
-			fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%+.4g\n", f.Name, f.Value, x, x-f.Value)
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "\tfirst\tsecond\tchange")
+	inFirst := map[string]bool{}
+	for _, m := range first.metrics() {
+		inFirst[m.Name] = true
+		if value, inBoth := secondByName[m.Name]; inBoth {
+			fmt.Fprintf(table, "%s\t%.4g\t%.4g\t%+.4g\n", m.Name, m.Value, value, value-m.Value)
 		} else {
-			fmt.Fprintf(w, "%s\t%.4g\t-\t\n", f.Name, f.Value)
+			fmt.Fprintf(table, "%s\t%.4g\t-\t\n", m.Name, m.Value)
 		}
 	}
-	for _, f := range fb {
-		if !known[f.Name] {
-			fmt.Fprintf(w, "%s\t-\t%.4g\t\n", f.Name, f.Value)
+	for _, m := range secondMetrics {
+		if !inFirst[m.Name] {
+			fmt.Fprintf(table, "%s\t-\t%.4g\t\n", m.Name, m.Value)
 		}
 	}
-	w.Flush()
+	table.Flush()
 }
 
 // Draw makes one picture: service, load by process, views that differ; faults stand in all as lines.
@@ -130,43 +130,43 @@
 		end = max(end, row.AtMS/1000+1)
 	}
 	seconds := func() []float64 { return make([]float64, end) }
-	asked, acked, differs := seconds(), seconds(), seconds()
-	load := map[string][]float64{}
+	issued, succeeded, divergent := seconds(), seconds(), seconds()
+	loadByProcess := map[string][]float64{}
 	for _, row := range r {
-		at := max(0, row.AtMS/1000)
+		second := max(0, row.AtMS/1000)
 		switch row.Kind {
 		case "op":
-			asked[at]++
+			issued[second]++
 			if row.Outcome == "acked" {
-				acked[at]++
+				succeeded[second]++
 			}
 		case "run":
-			if load[row.Process] == nil {
-				load[row.Process] = seconds()
+			if loadByProcess[row.Process] == nil {
+				loadByProcess[row.Process] = seconds()
 			}
-			load[row.Process][at]++
+			loadByProcess[row.Process][second]++
 		case "differs":
-			differs[at] = max(differs[at], row.Value)
+			divergent[second] = max(divergent[second], row.Value)
 		}
 	}
-	band := [][]float64{seconds(), seconds(), seconds(), seconds(), seconds()}
-	for at := range end {
-		var now []float64
-		for _, l := range load {
-			now = append(now, l[at])
+	quantiles := [][]float64{seconds(), seconds(), seconds(), seconds(), seconds()}
+	for second := range end {
+		var loads []float64
+		for _, load := range loadByProcess {
+			loads = append(loads, load[second])
 		}
-		slices.Sort(now)
-		for q := range band {
-			if len(now) > 0 {
-				band[q][at] = now[q*(len(now)-1)/4]
+		slices.Sort(loads)
+		for quantile := range quantiles {
+			if len(loads) > 0 {
+				quantiles[quantile][second] = loads[quantile*(len(loads)-1)/4]
 			}
 		}
 	}
 	blue, orange, grey := color.RGBA{31, 119, 180, 255}, color.RGBA{255, 127, 14, 255}, color.RGBA{150, 150, 150, 255}
 	panel := func(title string, series map[string][]float64, colors map[string]color.Color) (*plot.Plot, error) {
-		p := plot.New()
-		p.Title.Text, p.X.Label.Text = title, "s"
-		p.Legend.Top = true
+		chart := plot.New()
+		chart.Title.Text, chart.X.Label.Text = title, "s"
+		chart.Legend.Top = true
 		for _, name := range slices.Sorted(func(yield func(string) bool) {
 			for n := range series {
 				if !yield(n) {
@@ -175,83 +175,83 @@
 			}
 		}) {
 			xys := make(plotter.XYs, end)
-			for at := range end {
-				xys[at] = plotter.XY{X: float64(at), Y: series[name][at]}
+			for second := range end {
+				xys[second] = plotter.XY{X: float64(second), Y: series[name][second]}
 			}
 			line, err := plotter.NewLine(xys)
 			if err != nil {
 				return nil, err
 			}
 			line.Color = colors[name]
-			p.Add(line)
-			p.Legend.Add(name, line)
+			chart.Add(line)
+			chart.Legend.Add(name, line)
 		}
-		top := p.Y.Max
-		for _, e := range r.of("done") {
-			mark, err := plotter.NewLine(plotter.XYs{{X: e.Value, Y: 0}, {X: e.Value, Y: max(1, top)}})
+		top := chart.Y.Max
+		for _, row := range r.rowsOf("done") {
+			mark, err := plotter.NewLine(plotter.XYs{{X: row.Value, Y: 0}, {X: row.Value, Y: max(1, top)}})
 			if err != nil {
 				return nil, err
 			}
 			mark.Color, mark.Dashes = color.RGBA{200, 0, 0, 255}, []vg.Length{vg.Points(2), vg.Points(2)}
-			p.Add(mark)
+			chart.Add(mark)
 		}
-		return p, nil
+		return chart, nil
 	}
 	var panels []*plot.Plot
-	for _, x := range []struct {
+	for _, panelSpec := range []struct {
 		title  string
 		series map[string][]float64
 		colors map[string]color.Color
 	}{
-		{"ops a second", map[string][]float64{"asked": asked, "acked": acked}, map[string]color.Color{"asked": grey, "acked": blue}},
-		{"runs a second by process: least, quartiles, most", map[string][]float64{"least": band[0], "lower": band[1], "median": band[2], "upper": band[3], "most": band[4]},
+		{"ops a second", map[string][]float64{"asked": issued, "acked": succeeded}, map[string]color.Color{"asked": grey, "acked": blue}},
+		{"runs a second by process: least, quartiles, most", map[string][]float64{"least": quantiles[0], "lower": quantiles[1], "median": quantiles[2], "upper": quantiles[3], "most": quantiles[4]},
 			map[string]color.Color{"least": grey, "lower": orange, "median": blue, "upper": orange, "most": grey}},
-		{"processes whose view is not what is so", map[string][]float64{"differ": differs}, map[string]color.Color{"differ": blue}},
+		{"processes whose view is not what is so", map[string][]float64{"differ": divergent}, map[string]color.Color{"differ": blue}},
 	} {
-		p, err := panel(x.title, x.series, x.colors)
+		chart, err := panel(panelSpec.title, panelSpec.series, panelSpec.colors)
 		if err != nil {
 			return err
 		}
-		panels = append(panels, p)
+		panels = append(panels, chart)
 	}
-	c := vgsvg.New(24*vg.Centimeter, 27*vg.Centimeter)
+	canvas := vgsvg.New(24*vg.Centimeter, 27*vg.Centimeter)
 	tiles := draw.Tiles{Rows: len(panels), Cols: 1, PadY: vg.Points(8)}
-	for i, p := range panels {
-		p.Draw(tiles.At(draw.New(c), 0, i))
+	for i, chart := range panels {
+		chart.Draw(tiles.At(draw.New(canvas), 0, i))
 	}
-	f, err := os.Create(path)
+	file, err := os.Create(path)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	_, err = c.WriteTo(f)
+	defer file.Close()
+	_, err = canvas.WriteTo(file)
 	return err
 }
 
-// record puts together all that was seen.
-func record(w *world, h *history, events []Event, differs, links []Row, all []Violation, figures []Figure, began time.Time) (r Record) {
-	ms := func(at time.Time) int64 { return at.Sub(began).Milliseconds() }
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, o := range h.all {
-		r = append(r, Row{ms(o.sent), "op", w.procs[o.proc].name, o.id, o.outcome, float64(o.answered.Sub(o.sent).Microseconds()) / 1000})
-		for _, x := range o.runs {
-			r = append(r, Row{ms(x.at), "run", w.procs[x.proc].name, o.id, "", 0})
+// buildRecord puts together all that was seen.
+func buildRecord(w *cluster, log *requestLog, events []Event, differs, links []Row, violations []violation, metrics []metric, startedAt time.Time) (result Record) {
+	ms := func(moment time.Time) int64 { return moment.Sub(startedAt).Milliseconds() }
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	for _, request := range log.requests {
+		result = append(result, Row{ms(request.sentAt), "op", w.processes[request.process].name, request.id, request.outcome, float64(request.answeredAt.Sub(request.sentAt).Microseconds()) / 1000})
+		for _, execution := range request.executions {
+			result = append(result, Row{ms(execution.at), "run", w.processes[execution.process].name, request.id, "", 0})
 		}
 	}
-	for _, e := range events {
+	for _, event := range events {
 		kind := "done"
-		if e.Undo {
+		if event.Undo {
 			kind = "undone"
 		}
-		r = append(r, Row{e.At.Milliseconds(), kind, "", e.String(), e.Fault.Action, e.At.Seconds()})
+		result = append(result, Row{event.At.Milliseconds(), kind, "", event.String(), event.Fault.Action, event.At.Seconds()})
 	}
-	r = append(r, differs...)
-	for _, v := range all {
-		r = append(r, Row{v.At.Milliseconds(), "violation", "", fmt.Sprintf("%6.2fs %s: %s", v.At.Seconds(), v.Rule, v.What), v.Rule, 0})
+	result = append(result, differs...)
+	for _, violation := range violations {
+		result = append(result, Row{violation.At.Milliseconds(), "violation", "", fmt.Sprintf("%6.2fs %s: %s", violation.At.Seconds(), violation.Rule, violation.Detail), violation.Rule, 0})
 	}
-	for _, f := range figures {
-		r = append(r, Row{0, "figure", "", f.Name, "", f.Value})
+	for _, m := range metrics {
+		result = append(result, Row{0, "figure", "", m.Name, "", m.Value})
 	}
-	return append(r, links...)
+	return append(result, links...)
 }
--- a/internal/drill/script.go
+++ b/internal/drill/script.go
@@ -18,99 +18,101 @@
 	At       time.Duration
 	Fault    *operator.DrillFault
 	Undo     bool
-	On       []int // processes, by number
+	Targets  []int // processes, by number
 	From, To []int
-	over     bool // it was judged
+	checked  bool // it was judged
 }
 
 func (e Event) String() string {
-	what := e.Fault.Action
+	action := e.Fault.Action
 	if e.Undo {
-		what = "over: " + what
+		action = "over: " + action
 	}
-	who := fmt.Sprint("on ", short(e.On))
+	targets := fmt.Sprint("on ", abbreviate(e.Targets))
 	if e.Fault.Action == "agree" {
 		return fmt.Sprintf("%6.2fs %s: %s", e.At.Seconds(), e.Fault.Name, e.Fault.Command)
 	}
-	if e.On == nil {
-		who = fmt.Sprint(short(e.From), " -> ", short(e.To))
+	if e.Targets == nil {
+		targets = fmt.Sprint(abbreviate(e.From), " -> ", abbreviate(e.To))
 	}
-	return fmt.Sprintf("%6.2fs %s: %s %s", e.At.Seconds(), e.Fault.Name, what, who)
+	return fmt.Sprintf("%6.2fs %s: %s %s", e.At.Seconds(), e.Fault.Name, action, targets)
 }
 
-// short writes many numbers as how many and the first few.
-func short(all []int) string {
-	if len(all) <= 6 {
-		return strings.Trim(fmt.Sprint(all), "[]")
+// abbreviate writes many numbers as how many and the first few.
+func abbreviate(numbers []int) string {
+	if len(numbers) <= 6 {
+		return strings.Trim(fmt.Sprint(numbers), "[]")
 	}
-	return fmt.Sprintf("%s ... (%d)", strings.Trim(fmt.Sprint(all[:4]), "[]"), len(all))
+	return fmt.Sprintf("%s ... (%d)", strings.Trim(fmt.Sprint(numbers[:4]), "[]"), len(numbers))
 }
 
 // Timeline draws what is done when and to whom: the same seed draws the same.
-func Timeline(d *operator.Drill) []Event {
-	var all []Event
-	for i := range d.Faults {
-		f := &d.Faults[i]
+func Timeline(script *operator.Drill) []Event {
+	var events []Event
+	for i := range script.Faults {
+		fault := &script.Faults[i]
 		// Each has chance of its own, so that a fault more or less in the script leaves the others as they were.
-		chance := rand.New(rand.NewPCG(d.RandomSeed, uint64(i)+1))
-		at := f.Earliest + time.Duration(chance.Float64()*float64(f.Latest-f.Earliest))
-		e := Event{At: at, Fault: f}
-		if f.Action == "agree" {
-			e.On = []int{}
-		} else if f.Targets.Kind != "" {
-			e.On = pick(f.Targets, d, nil, chance)
+		random := rand.New(rand.NewPCG(script.RandomSeed, uint64(i)+1))
+		start := fault.Earliest + time.Duration(random.Float64()*float64(fault.Latest-fault.Earliest))
+		event := Event{At: start, Fault: fault}
+		if fault.Action == "agree" {
+			event.Targets = []int{}
+		} else if fault.Targets.Kind != "" {
+			event.Targets = selectProcesses(fault.Targets, script, nil, random)
 		} else {
-			e.From = pick(f.From, d, nil, chance)
-			e.To = pick(f.To, d, e.From, chance)
+			event.From = selectProcesses(fault.From, script, nil, random)
+			event.To = selectProcesses(fault.To, script, event.From, random)
 		}
-		all = append(all, e)
-		if f.Duration > 0 {
-			e.At, e.Undo = at+f.Duration, true
-			all = append(all, e)
+		events = append(events, event)
+		if fault.Duration > 0 {
+			event.At, event.Undo = start+fault.Duration, true
+			events = append(events, event)
 		}
 	}
-	slices.SortStableFunc(all, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
-	return all
+	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
+	return events
 }
 
-func pick(g operator.DrillSelector, d *operator.Drill, but []int, chance *rand.Rand) (all []int) {
-	everybody := make([]int, d.Instances+d.Proxies+d.Allocators+d.Coordinators)
+func selectProcesses(group operator.DrillSelector, script *operator.Drill, except []int, random *rand.Rand) (selected []int) {
+	everybody := make([]int, script.Instances+script.Proxies+script.Allocators+script.Coordinators)
 	for i := range everybody {
 		everybody[i] = i
 	}
-	switch g.Kind {
+	switch group.Kind {
 	case "all":
 		return everybody
 	case "instances":
-		return everybody[:d.Instances]
+		return everybody[:script.Instances]
 	case "relays":
-		return everybody[d.Instances : d.Instances+d.Proxies]
+		return everybody[script.Instances : script.Instances+script.Proxies]
 	case "desks":
-		return everybody[d.Instances+d.Proxies : d.Instances+d.Proxies+d.Allocators]
+		return everybody[script.Instances+script.Proxies : script.Instances+script.Proxies+script.Allocators]
 	case "stewards":
-		return everybody[d.Instances+d.Proxies+d.Allocators:]
+		return everybody[script.Instances+script.Proxies+script.Allocators:]
 	case "rest":
-		return slices.DeleteFunc(everybody, func(i int) bool { return slices.Contains(but, i) })
+		return slices.DeleteFunc(everybody, func(i int) bool { return slices.Contains(except, i) })
 	case "zone", "release":
 		for i := range everybody {
-			if zone(d, i) == g.Name && g.Kind == "zone" || release(d, i) == g.Name && g.Kind == "release" {
-				all = append(all, i)
+			if zoneOf(script, i) == group.Name && group.Kind == "zone" || releaseOf(script, i) == group.Name && group.Kind == "release" {
+				selected = append(selected, i)
 			}
 		}
 	case "process":
-		all = []int{min(g.Count, len(everybody)-1)}
+		selected = []int{min(group.Count, len(everybody)-1)}
 	case "first":
-		all = everybody[:g.Count]
+		selected = everybody[:group.Count]
 	case "draw":
-		n := g.Count
-		if g.Fraction > 0 {
-			n = int(g.Fraction*float64(d.Instances) + 0.5)
+		count := group.Count
+		if group.Fraction > 0 {
+			count = int(group.Fraction*float64(script.Instances) + 0.5)
 		}
-		all = chance.Perm(d.Instances)[:n]
-		slices.Sort(all)
+		selected = random.Perm(script.Instances)[:count]
+		slices.Sort(selected)
 	}
-	return all
+	return selected
 }
 
-func zone(d *operator.Drill, i int) string    { return d.Zones[i%len(d.Zones)] }
-func release(d *operator.Drill, i int) string { return d.Releases[i/len(d.Zones)%len(d.Releases)] }
+func zoneOf(script *operator.Drill, index int) string { return script.Zones[index%len(script.Zones)] }
+func releaseOf(script *operator.Drill, index int) string {
+	return script.Releases[index/len(script.Zones)%len(script.Releases)]
+}
--- a/internal/drill/stewards.go
+++ b/internal/drill/stewards.go
@@ -18,283 +18,285 @@
 	"lanewheel/internal/standin"
 )
 
-// Hooked asks the rehearsal at a socket to start a member anew on a release: it is what the stewards of a rehearsal are told to run.
-func Hooked(socket, name, release string, out io.Writer) error {
-	c, err := net.DialTimeout("unix", socket, time.Second)
+// RunHook asks the rehearsal at a socket to start a member anew on a release: it is what the stewards of a rehearsal are told to run.
+func RunHook(socket, name, release string, out io.Writer) error {
+	connection, err := net.DialTimeout("unix", socket, time.Second)
 	if err != nil {
 		return err
 	}
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
-	if _, err := fmt.Fprintf(c, "%s %s\n", name, release); err != nil {
+	defer connection.Close()
+	_ = connection.SetDeadline(time.Now().Add(20 * time.Second))
+	if _, err := fmt.Fprintf(connection, "%s %s\n", name, release); err != nil {
 		return err
 	}
-	said, err := bufio.NewReader(c).ReadString('\n')
+	reply, err := bufio.NewReader(connection).ReadString('\n')
 	if err == nil {
-		fmt.Fprint(out, said)
+		fmt.Fprint(out, reply)
 	}
-	if err == nil && said != "started\n" {
-		err = fmt.Errorf("%s", strings.TrimSpace(said))
+	if err == nil && reply != "started\n" {
+		err = fmt.Errorf("%s", strings.TrimSpace(reply))
 	}
 	return err
 }
 
-// outs is who was out by a permit, by the rehearsal's own clock and eyes: from its end to when its next life has come up.
-type outs struct {
-	mu    sync.Mutex
-	now   map[*proc]bool
-	moved time.Time      // when one was last back
-	most  map[string]int // by group: the most at a time
-	max   map[string]int // and the most that may be
-	ever  map[string]map[string]bool
+// disruptionLog is who was out by a permit, by the rehearsal's own clock and eyes: from its end to when its next life has come up.
+type disruptionLog struct {
+	mu         sync.Mutex
+	out        map[*process]bool
+	lastReturn time.Time      // when one was last back
+	maxOut     map[string]int // by group: the most at a time
+	limits     map[string]int // and the most that may be
+	everOn     map[string]map[string]bool
 }
 
 // stewards makes the stewards of a rehearsal listen to it: the socket by which their command has members started.
-func (w *world) stewarding() error {
-	w.outs = &outs{now: map[*proc]bool{}, most: map[string]int{}, max: map[string]int{}, ever: map[string]map[string]bool{}}
-	for _, p := range w.procs {
-		w.outs.on(p)
+func (w *cluster) listenForHooks() error {
+	w.disruptions = &disruptionLog{out: map[*process]bool{}, maxOut: map[string]int{}, limits: map[string]int{}, everOn: map[string]map[string]bool{}}
+	for _, p := range w.processes {
+		w.disruptions.noteRelease(p)
 	}
-	l, err := net.Listen("unix", w.hook())
+	listener, err := net.Listen("unix", w.hookPath())
 	if err != nil {
 		return err
 	}
-	w.hooks = l
+	w.hookListener = listener
 	go func() {
 		for {
-			c, err := l.Accept()
+			connection, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				defer c.Close()
-				line, err := bufio.NewReader(c).ReadString('\n')
+				defer connection.Close()
+				line, err := bufio.NewReader(connection).ReadString('\n')
 				name, release, _ := strings.Cut(strings.TrimSpace(line), " ")
 				if err == nil {
-					err = w.anew(name, strings.TrimSpace(release))
+					err = w.restart(name, strings.TrimSpace(release))
 				}
 				if err != nil {
-					fmt.Fprintln(c, err)
+					fmt.Fprintln(connection, err)
 					return
 				}
-				fmt.Fprintln(c, "started")
+				fmt.Fprintln(connection, "started")
 			}()
 		}
 	}()
 	return nil
 }
 
-func (w *world) hook() string { return filepath.Join(w.folder, "hook") }
+func (w *cluster) hookPath() string { return filepath.Join(w.dir, "hook") }
 
-// anew starts a process that has left by a permit.
-func (w *world) anew(name, release string) error {
-	for _, p := range w.procs {
+// restart starts a process that has left by a permit.
+func (w *cluster) restart(name, release string) error {
+	for _, p := range w.processes {
 		if p.name != name {
 			continue
 		}
 		p.mu.Lock()
-		there := p.cmd != nil && !p.gone
+		running := p.cmd != nil && !p.exited
 		p.mu.Unlock()
-		if there {
+		if running {
 			return fmt.Errorf("%s is there", name)
 		}
 		if release != "" {
 			p.mu.Lock()
 			p.release = release
 			p.mu.Unlock()
-			w.outs.on(p)
+			w.disruptions.noteRelease(p)
 		}
-		if err := w.write(p); err != nil {
+		if err := w.writeFiles(p); err != nil {
 			return err
 		}
-		return w.start(p)
+		return w.startProcess(p)
 	}
 	return fmt.Errorf("no process %q", name)
 }
 
-// on notes on which release a process is.
-func (o *outs) on(p *proc) {
+// noteRelease notes on which release a process is.
+func (o *disruptionLog) noteRelease(p *process) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.ever[p.release] == nil {
-		o.ever[p.release] = map[string]bool{}
+	if o.everOn[p.release] == nil {
+		o.everOn[p.release] = map[string]bool{}
 	}
-	o.ever[p.release][p.name] = true
+	o.everOn[p.release][p.name] = true
 }
 
 // groups are those that a process counts in.
-func (o *outs) groups(p *proc, z string) []string { return []string{"all", "zone " + z} }
+func (o *disruptionLog) groups(p *process, zone string) []string {
+	return []string{"all", "zone " + zone}
+}
 
-// left notes that a process ended by a permit; it gives what is over its budget then.
-func (o *outs) left(w *world, p *proc) {
+// noteOut notes that a process ended by a permit; it gives what is over its budget then.
+func (o *disruptionLog) noteOut(w *cluster, p *process) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.now[p] = true
-	for _, g := range o.groups(p, zone(w.d, p.i)) {
-		n := 0
-		for q := range o.now {
-			if g == "all" || g == "zone "+zone(w.d, q.i) {
-				n++
+	o.out[p] = true
+	for _, group := range o.groups(p, zoneOf(w.script, p.index)) {
+		count := 0
+		for other := range o.out {
+			if group == "all" || group == "zone "+zoneOf(w.script, other.index) {
+				count++
 			}
 		}
-		o.most[g] = max(o.most[g], n)
-		if most, told := o.max[g]; told && n > most {
-			go w.failed(fmt.Sprintf("%s left by a permit and %d of %s are out by one, %d may be", p.name, n, g, most))
+		o.maxOut[group] = max(o.maxOut[group], count)
+		if limit, limited := o.limits[group]; limited && count > limit {
+			go w.fail(fmt.Sprintf("%s left by a permit and %d of %s are out by one, %d may be", p.name, count, group, limit))
 		}
 	}
 }
 
-func (o *outs) back(p *proc) {
+func (o *disruptionLog) noteBack(p *process) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.now[p] {
-		o.moved = time.Now()
+	if o.out[p] {
+		o.lastReturn = time.Now()
 	}
-	delete(o.now, p)
+	delete(o.out, p)
 }
 
-// moving tells whether somebody is out by a permit, or was a moment ago.
-func (o *outs) moving() bool {
+// inProgress tells whether somebody is out by a permit, or was a moment ago.
+func (o *disruptionLog) inProgress() bool {
 	if o == nil {
 		return false
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return len(o.now) > 0 || time.Since(o.moved) < 10*time.Second
+	return len(o.out) > 0 || time.Since(o.lastReturn) < 10*time.Second
 }
 
-// budgets notes what may be out, as far as the rehearsal can see it: counts over all and by zone.
-func (o *outs) budgets(all []accord.DisruptionBudget) {
+// setLimits notes what may be out, as far as the rehearsal can see it: counts over all and by zone.
+func (o *disruptionLog) setLimits(budgets []accord.DisruptionBudget) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.max = map[string]int{}
-	for _, b := range all {
+	o.limits = map[string]int{}
+	for _, budget := range budgets {
 		switch {
-		case b.MaxUnavailable < 0 || b.Selector.Release != "" || b.Selector.Upstream != "" || b.Selector.Role != "" && b.Selector.Role != "instance":
-		case b.Selector.Zone != "":
-			o.max["zone "+b.Selector.Zone] = b.MaxUnavailable
+		case budget.MaxUnavailable < 0 || budget.Selector.Release != "" || budget.Selector.Upstream != "" || budget.Selector.Role != "" && budget.Selector.Role != "instance":
+		case budget.Selector.Zone != "":
+			o.limits["zone "+budget.Selector.Zone] = budget.MaxUnavailable
 		default:
-			o.max["all"] = b.MaxUnavailable
+			o.limits["all"] = budget.MaxUnavailable
 		}
 	}
 }
 
-func (w *world) client() ask.Client {
-	k := ask.Client{Timeout: 30 * time.Second}
-	for _, p := range w.procs {
-		if p.steward {
-			k.Coordinators = append(k.Coordinators, fmt.Sprintf("%s:%d", p.host, stewardPort))
+func (w *cluster) coordinatorClient() ask.Client {
+	coordinators := ask.Client{Timeout: 30 * time.Second}
+	for _, p := range w.processes {
+		if p.isCoordinator {
+			coordinators.Coordinators = append(coordinators.Coordinators, fmt.Sprintf("%s:%d", p.host, coordinatorPort))
 		}
 	}
 	for _, key := range w.keys[:1] {
 		parsed, _ := operator.ParseClusterKeys("keys", []byte(key))
-		k.Keys = append(k.Keys, parsed...)
+		coordinators.Keys = append(coordinators.Keys, parsed...)
 	}
-	return k
+	return coordinators
 }
 
-// agree gives a command to the stewards, as an operator would: budgets FILE, release FILE, halt, resume, back, drain NAME, drain zone NAME.
-func (w *world) agree(text, key string) (string, error) {
-	c := accord.Command{RequestedBy: "rehearsal", IdempotencyKey: key}
-	do, rest, _ := strings.Cut(text, " ")
-	rest = strings.TrimSpace(rest)
-	file := func() ([]byte, error) { return os.ReadFile(filepath.Join(filepath.Dir(w.d.Path), rest)) }
-	switch do {
+// runCommand gives a command to the stewards, as an operator would: budgets FILE, release FILE, halt, resume, back, drain NAME, drain zone NAME.
+func (w *cluster) runCommand(text, key string) (string, error) {
+	command := accord.Command{RequestedBy: "rehearsal", IdempotencyKey: key}
+	action, argument, _ := strings.Cut(text, " ")
+	argument = strings.TrimSpace(argument)
+	readFile := func() ([]byte, error) { return os.ReadFile(filepath.Join(filepath.Dir(w.script.Path), argument)) }
+	switch action {
 	case "budgets":
-		b, err := file()
+		text, err := readFile()
 		if err != nil {
 			return "", err
 		}
-		c.Kind = accord.KindSetBudgets
-		if c.Budgets, err = operator.ParseBudgets(rest, b); err != nil {
+		command.Kind = accord.KindSetBudgets
+		if command.Budgets, err = operator.ParseBudgets(argument, text); err != nil {
 			return "", err
 		}
-		w.outs.budgets(c.Budgets)
+		w.disruptions.setLimits(command.Budgets)
 	case "release":
-		b, err := file()
+		text, err := readFile()
 		if err != nil {
 			return "", err
 		}
-		p, err := operator.ParseRollout(rest, b)
+		plan, err := operator.ParseRollout(argument, text)
 		if err != nil {
 			return "", err
 		}
-		c.Kind, c.Plan = accord.KindStartRollout, &p
+		command.Kind, command.Plan = accord.KindStartRollout, &plan
 	case "halt", "resume", "back":
-		c.Kind = accord.Kind(do)
+		command.Kind = accord.Kind(action)
 	case "drain":
-		if z, is := strings.CutPrefix(rest, "zone "); is {
-			c.Kind, c.Selector = accord.KindDrain, accord.Selector{Zone: z, Role: "instance"}
+		if zone, isZone := strings.CutPrefix(argument, "zone "); isZone {
+			command.Kind, command.Selector = accord.KindDrain, accord.Selector{Zone: zone, Role: "instance"}
 		} else {
-			c.Kind, c.Member = accord.KindRequestPermit, members.Name(rest)
+			command.Kind, command.Member = accord.KindRequestPermit, members.Name(argument)
 		}
 	default:
 		return "", fmt.Errorf("no command %q", text)
 	}
-	a, err := w.client().Do(ask.Request{Command: &c})
+	answer, err := w.coordinatorClient().Do(ask.Request{Command: &command})
 	switch {
 	case err != nil:
 		return "", err
-	case a.Error != "":
-		return "", fmt.Errorf("%s", a.Error)
-	case !a.Reply.OK:
-		return "refused: " + a.Reply.Reason, nil
+	case answer.Error != "":
+		return "", fmt.Errorf("%s", answer.Error)
+	case !answer.Reply.OK:
+		return "refused: " + answer.Reply.Reason, nil
 	}
 	return "agreed", nil
 }
 
-// phase is where the release is now, by whichever steward answers.
-func (w *world) phase() string {
-	k := w.client()
-	k.Timeout = time.Second
-	a, err := k.Do(ask.Request{Status: true})
+// rolloutPhase is where the release is now, by whichever steward answers.
+func (w *cluster) rolloutPhase() string {
+	coordinators := w.coordinatorClient()
+	coordinators.Timeout = time.Second
+	answer, err := coordinators.Do(ask.Request{Status: true})
 	switch {
 	case err != nil:
 		return "unknown"
-	case a.Status.Halt != nil:
+	case answer.Status.Halt != nil:
 		return "halted"
-	case a.Status.Rollout == nil:
+	case answer.Status.Rollout == nil:
 		return "none"
 	}
-	return string(a.Status.Rollout.Phase)
+	return string(answer.Status.Rollout.Phase)
 }
 
-// agreed judges what the script says of the end: on which release all instances are, and how many were ever on one.
-func (w *world) agreed() (figures []Figure, all []Violation) {
-	d := w.d
-	w.outs.mu.Lock()
-	defer w.outs.mu.Unlock()
-	for _, g := range []string{"all"} {
-		figures = append(figures, Figure{"out by permits at a time, the most of " + g, float64(w.outs.most[g])})
+// checkRollout judges what the script says of the end: on which release all instances are, and how many were ever on one.
+func (w *cluster) checkRollout() (metrics []metric, violations []violation) {
+	script := w.script
+	w.disruptions.mu.Lock()
+	defer w.disruptions.mu.Unlock()
+	for _, group := range []string{"all"} {
+		metrics = append(metrics, metric{"out by permits at a time, the most of " + group, float64(w.disruptions.maxOut[group])})
 	}
-	if d.FinalRelease != "" {
-		off := 0
-		for _, p := range w.procs[:d.Instances] {
+	if script.FinalRelease != "" {
+		others := 0
+		for _, p := range w.processes[:script.Instances] {
 			p.mu.Lock()
-			if p.release != d.FinalRelease || p.gone {
-				off++
+			if p.release != script.FinalRelease || p.exited {
+				others++
 			}
 			p.mu.Unlock()
 		}
-		figures = append(figures, Figure{"instances that are not on release " + d.FinalRelease + " at the end", float64(off)})
-		if off > 0 {
-			all = append(all, Violation{d.LoadDuration, "release", fmt.Sprintf("%d instances are not on release %s at the end", off, d.FinalRelease)})
+		metrics = append(metrics, metric{"instances that are not on release " + script.FinalRelease + " at the end", float64(others)})
+		if others > 0 {
+			violations = append(violations, violation{script.LoadDuration, "release", fmt.Sprintf("%d instances are not on release %s at the end", others, script.FinalRelease)})
 		}
 	}
-	if d.LimitedRelease != "" {
-		n := len(w.outs.ever[d.LimitedRelease])
-		figures = append(figures, Figure{"instances that were ever on release " + d.LimitedRelease, float64(n)})
-		if float64(n) > d.MaxLimitedFraction*float64(d.Instances) {
-			all = append(all, Violation{d.LoadDuration, "release", fmt.Sprintf("%d instances were on release %s, %.0f%% is told", n, d.LimitedRelease, 100*d.MaxLimitedFraction)})
+	if script.LimitedRelease != "" {
+		count := len(w.disruptions.everOn[script.LimitedRelease])
+		metrics = append(metrics, metric{"instances that were ever on release " + script.LimitedRelease, float64(count)})
+		if float64(count) > script.MaxLimitedFraction*float64(script.Instances) {
+			violations = append(violations, violation{script.LoadDuration, "release", fmt.Sprintf("%d instances were on release %s, %.0f%% is told", count, script.LimitedRelease, 100*script.MaxLimitedFraction)})
 		}
 	}
-	return figures, all
+	return metrics, violations
 }
 
-// bad is what is wrong with a release, as the script has it.
-func (w *world) bad(release string) (standin.Spoils, bool) {
-	if w.d.BadRelease.Release == "" || w.d.BadRelease.Release != release {
+// releaseFaults is what is wrong with a release, as the script has it.
+func (w *cluster) releaseFaults(release string) (standin.Spoils, bool) {
+	if w.script.BadRelease.Release == "" || w.script.BadRelease.Release != release {
 		return standin.Spoils{}, false
 	}
-	return standin.Spoils{Slow: w.d.BadRelease.RunTimeFactor, Fail: w.d.BadRelease.FailRuns}, true
+	return standin.Spoils{Slow: w.script.BadRelease.RunTimeFactor, Fail: w.script.BadRelease.FailRuns}, true
 }
