--- a/cmd/lanewheel-fleet/bench_test.go
+++ b/cmd/lanewheel-fleet/bench_test.go
@@ -58,8 +58,8 @@
 		for i := range n {
 			requests++
 			began := time.Now()
-			s.Send(standin.Op(i+1, "view", standin.ID(requests), []byte("x"), "kb", "1", "rank", "0.5"))
-			if a, err := s.Answer(); err == nil && a.Error == "" {
+			s.Send(standin.NewRequest(i+1, "view", standin.RequestID(requests), []byte("x"), "kb", "1", "rank", "0.5"))
+			if a, err := s.NextResponse(); err == nil && a.Error == "" {
 				latencies = append(latencies, time.Since(began))
 			}
 		}
--- a/cmd/lanewheel-fleet/main_test.go
+++ b/cmd/lanewheel-fleet/main_test.go
@@ -51,16 +51,16 @@
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		panic(err)
 	}
-	runtime, database, roster := standin.NewRuntime(), standin.NewDatabase(), standin.NewRoster()
-	database.Work()
+	runtime, database, roster := standin.NewRuntime(), standin.NewDatabase(), standin.NewRegistry()
+	database.AutoReply()
 	go func() {
 		for {
 			link := &standin.Runtime{Listener: runtime.Listener}
-			if !link.Try() {
+			if !link.TryAccept() {
 				return
 			}
-			link.Ready("steady")
-			link.Work(1, time.Millisecond, 1, nil)
+			link.SendReady("steady")
+			link.AutoRun(1, time.Millisecond, 1, nil)
 		}
 	}()
 	var seedAddresses []string
@@ -114,7 +114,7 @@
 
 // waitFor waits until a process holds another to be in a state.
 func (n *node) waitFor(other, state string) {
-	standin.Until(n.name+" to hold "+other+" to be "+state, func() bool {
+	standin.WaitFor(n.name+" to hold "+other+" to be "+state, func() bool {
 		for _, member := range n.snapshot().Members {
 			if member.Name == other && member.State == state {
 				return true
@@ -134,7 +134,7 @@
 	b.waitFor("a", "up")
 	c := startNode("c", 3, "y", []int{1}, "")
 	defer c.stop(syscall.SIGKILL)
-	standin.Until("a to refuse what it can't read", func() bool { return a.snapshot().Counters["gossip-not-our-key"] > 0 })
+	standin.WaitFor("a to refuse what it can't read", func() bool { return a.snapshot().Counters["gossip-not-our-key"] > 0 })
 	c.waitFor("", "unknown")
 	b.stop(syscall.SIGTERM)
 	a.waitFor("b", "gone")
@@ -171,7 +171,7 @@
 	_ = old.cmd.Process.Signal(syscall.SIGSTOP)
 	next := startNode("b", 13, "x", []int{11}, quick)
 	defer next.stop(syscall.SIGKILL)
-	standin.Until("a to hold the later life to be up", func() bool {
+	standin.WaitFor("a to hold the later life to be up", func() bool {
 		for _, m := range a.snapshot().Members {
 			return m.State == "up" && m.Incarnation > began
 		}
@@ -180,7 +180,7 @@
 	_ = old.cmd.Process.Signal(syscall.SIGCONT)
 	select {
 	case <-old.exited:
-	case <-time.After(standin.Patience):
+	case <-time.After(standin.WaitTimeout):
 		panic("it stays: " + old.log.String())
 	}
 	fmt.Println(strings.Contains(old.log.String(), "msg=fenced name=b"), strings.Contains(old.log.String(), "msg=leaving"), old.cmd.ProcessState.ExitCode())
--- a/cmd/lanewheel/bench_test.go
+++ b/cmd/lanewheel/bench_test.go
@@ -31,9 +31,9 @@
 // endRunsAtOnce has the runtime end each run at once.
 func (t *deployment) endRunsAtOnce() {
 	go func() {
-		for line := range t.runtime.Lines {
+		for line := range t.runtime.Messages {
 			if line["t"] == "start" {
-				t.runtime.Notice("end", line["rid"].(string), "success", "res")
+				t.runtime.SendNotice("end", line["rid"].(string), "success", "res")
 			}
 		}
 	}()
@@ -43,7 +43,7 @@
 var roomyConfig = []string{`"cpus":2`, `"cpus":64`, `"memory-kb":1900`, `"memory-kb":1900000`, `"sockets":64`, `"sockets":1024`}
 
 // sendRequests sends ops on connections, eight open on each, until count are answered, and gives how many were not acked.
-func sendRequests(dial func() *standin.Stub, conns, count int, token string) int64 {
+func sendRequests(dial func() *standin.Client, conns, count int, token string) int64 {
 	var asked, other atomic.Int64
 	var all sync.WaitGroup
 	for k := range conns {
@@ -61,12 +61,12 @@
 					if token != "" {
 						more = append(more, "token", token)
 					}
-					s.Send(standin.Op(n, "view", fmt.Sprintf("%08x%08x", k, n), []byte("body of some length"), more...))
+					s.Send(standin.NewRequest(n, "view", fmt.Sprintf("%08x%08x", k, n), []byte("body of some length"), more...))
 				}
 				if open == 0 {
 					return
 				}
-				if a, err := s.Answer(); err != nil {
+				if a, err := s.NextResponse(); err != nil {
 					panic(err)
 				} else if a.Error != "" {
 					other.Add(1)
@@ -87,7 +87,7 @@
 		b.Run(how, func(b *testing.B) {
 			var t *deployment
 			token := ""
-			dial := func() *standin.Stub { return t.client() }
+			dial := func() *standin.Client { return t.client() }
 			if how == "plain" {
 				t = deployReady(roomyConfig...)
 			} else {
@@ -102,7 +102,7 @@
 				}
 				if how != "token" {
 					c := h.clientTLS("water-7")
-					dial = func() *standin.Stub { return standin.Must(h.dialTLS(c)) }
+					dial = func() *standin.Client { return standin.Must(h.dialTLS(c)) }
 				}
 			}
 			defer t.close()
@@ -136,10 +136,10 @@
 			for range many {
 				s := h.client
 				if how == "tls" {
-					s = func() *standin.Stub { return standin.Must(h.dialTLS(c)) }
+					s = func() *standin.Client { return standin.Must(h.dialTLS(c)) }
 				}
 				one := s()
-				one.Check()
+				one.CheckHealth()
 				defer one.Close()
 			}
 			b.ReportMetric(float64(before)/1024, "MB-at-rest")
@@ -172,9 +172,9 @@
 						s := h.deployment.client()
 						for range 8 { // as many as end a connection
 							n++
-							s.Send(standin.Op(n, "view", fmt.Sprintf("%08x%08x", k+9, n), nil, "kb", "1",
+							s.Send(standin.NewRequest(n, "view", fmt.Sprintf("%08x%08x", k+9, n), nil, "kb", "1",
 								"token", fmt.Sprintf("%s%d%07d", good[:len(good)-8], k, n%10_000_000)))
-							if _, err := s.Answer(); err != nil {
+							if _, err := s.NextResponse(); err != nil {
 								break
 							}
 							forged.Add(1)
@@ -191,8 +191,8 @@
 			for n := range b.N {
 				time.Sleep(time.Until(began.Add(time.Duration(n) * 5 * time.Millisecond)))
 				at := time.Now()
-				s.Send(standin.Op(n+2, "view", fmt.Sprintf("%08x%08x", 1, n), nil, "kb", "1", "token", good))
-				if a, err := s.Answer(); err != nil || a.Error != "" {
+				s.Send(standin.NewRequest(n+2, "view", fmt.Sprintf("%08x%08x", 1, n), nil, "kb", "1", "token", good))
+				if a, err := s.NextResponse(); err != nil || a.Error != "" {
 					b.Fatal(a, err)
 				}
 				_ = took.RecordValue(time.Since(at).Microseconds())
@@ -237,13 +237,13 @@
 					go func() {
 						defer all.Done()
 						defer t.close()
-						standin.Until("listening", func() bool { return strings.Contains(t.log.text(), "listening") })
+						standin.WaitFor("listening", func() bool { return strings.Contains(t.log.text(), "listening") })
 						listens := time.Now()
-						t.runtime.Take()
+						t.runtime.Accept()
 						linked := time.Now()
 						s := t.client()
-						t.runtime.Ready("steady")
-						standin.Until("health", func() bool { return s.Check() })
+						t.runtime.SendReady("steady")
+						standin.WaitFor("health", func() bool { return s.CheckHealth() })
 						ready := time.Now()
 						s.Close()
 						mu.Lock()
--- a/cmd/lanewheel/callers_test.go
+++ b/cmd/lanewheel/callers_test.go
@@ -100,9 +100,9 @@
 }
 
 // client gives a connection on which something was said: commands that take long do not make it a silent one.
-func (h *authDeployment) client() *standin.Stub {
+func (h *authDeployment) client() *standin.Client {
 	s := h.deployment.client()
-	s.Check()
+	s.CheckHealth()
 	return s
 }
 
@@ -110,8 +110,8 @@
 func (h *authDeployment) reloadAndWait() {
 	before := strings.Count(h.log.text(), "msg=operated")
 	h.sendHangup()
-	standin.Until("the reload", func() bool { return strings.Count(h.log.text(), "msg=operated") > before })
-	h.client().Check() // what was handed to the loop before is done
+	standin.WaitFor("the reload", func() bool { return strings.Count(h.log.text(), "msg=operated") > before })
+	h.client().CheckHealth() // what was handed to the loop before is done
 }
 
 func (h *authDeployment) token(key, subject string, more ...string) string {
@@ -130,20 +130,20 @@
 	return c
 }
 
-func (h *authDeployment) dialTLS(c *tls.Config) (*standin.Stub, error) {
+func (h *authDeployment) dialTLS(c *tls.Config) (*standin.Client, error) {
 	conn, err := tls.Dial("tcp", h.tlsAddr, c)
 	if err != nil {
 		return nil, err
 	}
-	return standin.NewStub(conn), nil
+	return standin.NewClient(conn), nil
 }
 
 // requestAnswer sends one op and gives its answer without what rides on it; the runtime ends it if it comes there.
-func (h *authDeployment) requestAnswer(s *standin.Stub, n int, more ...string) string {
-	s.Send(standin.Op(n, "view", standin.ID(n), nil, append([]string{"kb", "1", "cost", "1"}, more...)...))
+func (h *authDeployment) requestAnswer(s *standin.Client, n int, more ...string) string {
+	s.Send(standin.NewRequest(n, "view", standin.RequestID(n), nil, append([]string{"kb", "1", "cost", "1"}, more...)...))
 	answers := make(chan string, 1)
 	go func() {
-		a, err := s.Answer()
+		a, err := s.NextResponse()
 		switch {
 		case err != nil:
 			answers <- "closed"
@@ -157,11 +157,11 @@
 		select {
 		case said := <-answers:
 			return said
-		case line := <-h.runtime.Lines:
+		case line := <-h.runtime.Messages:
 			if line["t"] == "start" {
-				h.runtime.Notice("end", line["rid"].(string), "success", "done")
+				h.runtime.SendNotice("end", line["rid"].(string), "success", "done")
 			}
-		case <-time.After(standin.Patience):
+		case <-time.After(standin.WaitTimeout):
 			panic("no answer")
 		}
 	}
@@ -215,12 +215,12 @@
 	defer h.close()
 	s := h.client()
 	for i, subject := range []string{"water-1", "water-2", "roads-1"} {
-		s.Send(standin.Op(i+1, "view", standin.ID(i+1), nil, "token", h.token("k1", subject), "key", "crew-9", "kb", "1"))
+		s.Send(standin.NewRequest(i+1, "view", standin.RequestID(i+1), nil, "token", h.token("k1", subject), "key", "crew-9", "kb", "1"))
 		if i != 1 {
-			fmt.Println(h.runtime.Hear())
-			h.runtime.Notice("end", standin.ID(i+1), "success", "for "+subject)
+			fmt.Println(h.runtime.NextCommand())
+			h.runtime.SendNotice("end", standin.RequestID(i+1), "success", "for "+subject)
 		}
-		fmt.Println(s.Hear())
+		fmt.Println(s.NextText())
 	}
 	// Output:
 	// start 1 route view body ""
@@ -274,22 +274,22 @@
 	again := standin.Must(h.dialTLS(c))
 	fmt.Println("resumed", again.Conn.(*tls.Conn).ConnectionState().DidResume, h.requestAnswer(again, 2))
 	other := standin.Must(h.dialTLS(h.clientTLS("water-8")))
-	s.Send(standin.Op(3, "view", standin.ID(3), nil, "kb", "1"))
-	fmt.Println(h.runtime.Hear())
+	s.Send(standin.NewRequest(3, "view", standin.RequestID(3), nil, "kb", "1"))
+	fmt.Println(h.runtime.NextCommand())
 	h.runCommand("cert", "revoke", h.path("water-7.pem"), "--authority", h.path("ca"))
 	h.reloadAndWait()
-	s.Send(standin.Op(4, "view", standin.ID(4), nil, "kb", "1"))
-	heard := []string{s.Hear(), s.Hear()} // the asking may come before the op or behind it
+	s.Send(standin.NewRequest(4, "view", standin.RequestID(4), nil, "kb", "1"))
+	heard := []string{s.NextText(), s.NextText()} // the asking may come before the op or behind it
 	slices.Sort(heard)
 	fmt.Println(heard)
-	h.runtime.Notice("end", standin.ID(3), "success", "one")
-	fmt.Println(s.Hear(), s.Hear())
-	standin.Until("the end of the idle one", func() bool { return again.Hear() == "closed" })
-	fmt.Println(h.requestAnswer(other, 5), len(h.runtime.Lines))
+	h.runtime.SendNotice("end", standin.RequestID(3), "success", "one")
+	fmt.Println(s.NextText(), s.NextText())
+	standin.WaitFor("the end of the idle one", func() bool { return again.NextText() == "closed" })
+	fmt.Println(h.requestAnswer(other, 5), len(h.runtime.Messages))
 	for range 2 {
 		late, err := h.dialTLS(c)
 		if err == nil {
-			_, err = late.Answer()
+			_, err = late.NextResponse()
 		}
 		fmt.Println(err != nil, strings.Contains(err.Error(), "bad certificate"))
 	}
@@ -318,22 +318,22 @@
 		before := kept()
 		h.writeFile(file, string(whole[:len(whole)*2/3]))
 		h.sendHangup()
-		standin.Until("the refusal of "+file, func() bool { return kept() > before })
+		standin.WaitFor("the refusal of "+file, func() bool { return kept() > before })
 		fmt.Println(h.requestAnswer(s, 1, "token", water))
 		before = strings.Count(h.log.text(), "msg=operated")
 		h.writeFile(file, string(whole))
 		h.sendHangup()
 		h.sendHangup()
-		standin.Until("the reload", func() bool { return strings.Count(h.log.text(), "msg=operated") > before })
+		standin.WaitFor("the reload", func() bool { return strings.Count(h.log.text(), "msg=operated") > before })
 	}
 	h.writeFile("op.ini", strings.Replace(h.operatorFile, h.tlsAddr, "127.0.0.1:1", 1)) // holds from the next start
 	before := kept()
 	h.sendHangup()
-	standin.Until("the refusal", func() bool { return kept() > before })
+	standin.WaitFor("the refusal", func() bool { return kept() > before })
 	h.writeFile("op.ini", strings.Replace(h.operatorFile, "roles = crew", "roles = slow", 1))
 	h.reloadAndWait()
-	s.Send(standin.Op(2, "pay", standin.ID(2), nil, "token", water))
-	fmt.Println(s.Hear())
+	s.Send(standin.NewRequest(2, "pay", standin.RequestID(2), nil, "token", water))
+	fmt.Println(s.NextText())
 	h.sendTerminate()
 	h.writeFile("op.ini", h.operatorFile)
 	h.sendHangup()
@@ -367,22 +367,22 @@
 		said["water "+h.requestAnswer(other, n+2, "token", water)]++
 	}
 	fmt.Println(said["slow done"] <= 2+11, said["slow done"] >= 8, said["slow Busy <nil>"] > 10, said["water done"]*2 == n)
-	s.Send(standin.Op(9, "view", standin.ID(999999), nil, "token", slow), standin.Op(10, "view", standin.ID(999998), nil, "token", slow),
-		standin.Op(11, "view", standin.ID(999997), nil, "token", slow))
+	s.Send(standin.NewRequest(9, "view", standin.RequestID(999999), nil, "token", slow), standin.NewRequest(10, "view", standin.RequestID(999998), nil, "token", slow),
+		standin.NewRequest(11, "view", standin.RequestID(999997), nil, "token", slow))
 	heard := ""
 	for range 2 { // at most two of the three are let in
-		heard += s.Hear()
-		h.runtime.Notice("end", standin.ID(999999), "success", "x")
-		h.runtime.Notice("end", standin.ID(999998), "success", "x")
+		heard += s.NextText()
+		h.runtime.SendNotice("end", standin.RequestID(999999), "success", "x")
+		h.runtime.SendNotice("end", standin.RequestID(999998), "success", "x")
 	}
 	fmt.Println(strings.Contains(heard, `["Busy" map["after":`))
 	short := h.token("k1", "water-1", "--for", "1s")
 	s = h.client()
-	s.Send(standin.Op(12, "view", standin.ID(12), nil, "token", short, "cost", "1500"))
-	standin.Until("its start", func() bool { return strings.HasPrefix(h.runtime.Hear(), "start c ") })
-	standin.Until("its expiry", func() bool { return h.requestAnswer(other, 13, "token", short) == "Denied expired" })
-	h.runtime.Notice("end", standin.ID(12), "success", "late")
-	fmt.Println(s.Hear())
+	s.Send(standin.NewRequest(12, "view", standin.RequestID(12), nil, "token", short, "cost", "1500"))
+	standin.WaitFor("its start", func() bool { return strings.HasPrefix(h.runtime.NextCommand(), "start c ") })
+	standin.WaitFor("its expiry", func() bool { return h.requestAnswer(other, 13, "token", short) == "Denied expired" })
+	h.runtime.SendNotice("end", standin.RequestID(12), "success", "late")
+	fmt.Println(s.NextText())
 	// Output:
 	// true true true true
 	// true
@@ -403,7 +403,7 @@
 	s := standin.Must(h.dialTLS(h.clientTLS("water-7")))
 	fmt.Println(h.requestAnswer(s, 1), time.Since(began) < 4*time.Second)
 	for _, c := range stalled {
-		_ = c.SetReadDeadline(time.Now().Add(standin.Patience))
+		_ = c.SetReadDeadline(time.Now().Add(standin.WaitTimeout))
 		if _, err := c.Read(make([]byte, 64)); os.IsTimeout(err) {
 			panic("a handshake without end")
 		}
@@ -411,10 +411,10 @@
 	}
 	noise := standin.Must(net.Dial("tcp", h.tlsAddr))
 	_, _ = noise.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
-	standin.Until("its end", func() bool { return strings.Contains(h.log.text(), "code=handshake-failed") })
+	standin.WaitFor("its end", func() bool { return strings.Contains(h.log.text(), "code=handshake-failed") })
 	none, err := h.dialTLS(h.clientTLS(""))
 	if err == nil { // the client hears of the refusal with its first read
-		_, err = none.Answer()
+		_, err = none.NextResponse()
 	}
 	fmt.Println(strings.Contains(err.Error(), "certificate required"))
 	fmt.Println(h.requestAnswer(s, 2))
@@ -455,18 +455,18 @@
 	fresh := func() string { return h.token("k1", "water-1") }
 	one, two, three := fresh(), fresh(), fresh()
 	s, closed := h.client(), h.client()
-	s.Send(standin.Op(2, "view", standin.ID(1), nil, "token", one, "kb", "1"), []any{2, "interrupt", []any{2}})
-	closed.Send(standin.Op(2, "view", standin.ID(2), nil, "token", two, "kb", "1"))
+	s.Send(standin.NewRequest(2, "view", standin.RequestID(1), nil, "token", one, "kb", "1"), []any{2, "interrupt", []any{2}})
+	closed.Send(standin.NewRequest(2, "view", standin.RequestID(2), nil, "token", two, "kb", "1"))
 	closed.Close()
-	standin.Until("the end of it", func() bool { return strings.Contains(h.log.text(), "code=peer-closed") })
-	s.Send(standin.Op(3, "view", standin.ID(3), nil, "token", three, "kb", "1"))
-	heard := h.runtime.Hear()
+	standin.WaitFor("the end of it", func() bool { return strings.Contains(h.log.text(), "code=peer-closed") })
+	s.Send(standin.NewRequest(3, "view", standin.RequestID(3), nil, "token", three, "kb", "1"))
+	heard := h.runtime.NextCommand()
 	for strings.HasPrefix(heard, "start 2 ") || strings.HasPrefix(heard, "stop 2") { // its check was over before the close came
-		heard = h.runtime.Hear()
+		heard = h.runtime.NextCommand()
 	}
 	fmt.Println(heard)
-	h.runtime.Notice("end", standin.ID(3), "success", "three")
-	fmt.Println(s.Hear())
+	h.runtime.SendNotice("end", standin.RequestID(3), "success", "three")
+	fmt.Println(s.NextText())
 	// Output:
 	// start 3 route view body ""
 	// ['\x01' '\x03' <nil> ["three" map[]]]
@@ -514,10 +514,10 @@
 	t := deployReady()
 	defer t.close()
 	s := t.client()
-	s.Send(standin.Op(1, "view", standin.ID(1), nil, "token", strings.Repeat("x", 3000)))
-	fmt.Println(t.runtime.Hear())
-	t.runtime.Notice("end", standin.ID(1), "success", "one")
-	fmt.Println(s.Hear())
+	s.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil, "token", strings.Repeat("x", 3000)))
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	fmt.Println(s.NextText())
 	// Output:
 	// start 1 route view body ""
 	// ['\x01' '\x01' <nil> ["one" map[]]]
--- a/cmd/lanewheel/crossings_test.go
+++ b/cmd/lanewheel/crossings_test.go
@@ -17,7 +17,7 @@
 
 // Notices of both kinds while the configuration is still being read: none ends the program, and the one to leave is not lost among the others.
 func Example_noticesBeforeTheConfiguration() {
-	t := &deployment{log: &logBuffer{}, exited: make(chan struct{}), runtime: standin.NewRuntime(), database: standin.NewDatabase(), registry: standin.NewRoster()}
+	t := &deployment{log: &logBuffer{}, exited: make(chan struct{}), runtime: standin.NewRuntime(), database: standin.NewDatabase(), registry: standin.NewRegistry()}
 	defer t.close()
 	other := deployReady()
 	text := other.config
@@ -31,7 +31,7 @@
 	pipe := standin.Must(os.OpenFile(t.configPath, os.O_WRONLY, 0))
 	for range 100 {
 		t.sendHangup()
-		standin.Until("the notice is taken", func() bool { return !signalPending(t.cmd.Process.Pid) })
+		standin.WaitFor("the notice is taken", func() bool { return !signalPending(t.cmd.Process.Pid) })
 	}
 	t.sendTerminate()
 	fmt.Fprint(pipe, text)
@@ -56,22 +56,22 @@
 func Example_backlogAtTheEnd() {
 	t := deployReady()
 	defer t.close()
-	var busy, waiting []*standin.Stub
+	var busy, waiting []*standin.Client
 	for i := range 32 { // of 64 descriptors, as many as may be connected; none can be let go, as an op is open on each
 		s := t.client()
-		s.Send(standin.Op(1, "pay", standin.ID(i), nil, "kb", "1"))
+		s.Send(standin.NewRequest(1, "pay", standin.RequestID(i), nil, "kb", "1"))
 		busy = append(busy, s)
 	}
-	standin.Until("all are in", func() bool { return t.runtime.Hear() != "" && len(busy) == 32 })
+	standin.WaitFor("all are in", func() bool { return t.runtime.NextCommand() != "" && len(busy) == 32 })
 	for i := range 8 {
 		s := t.client()
-		s.Send(standin.Op(1, "pay", standin.ID(100+i), nil, "kb", "1"))
+		s.Send(standin.NewRequest(1, "pay", standin.RequestID(100+i), nil, "kb", "1"))
 		waiting = append(waiting, s)
 	}
 	t.sendTerminate()
 	answers := map[string]int{}
 	for _, s := range waiting {
-		for h := s.Hear(); ; h = s.Hear() {
+		for h := s.NextText(); ; h = s.NextText() {
 			if !strings.Contains(h, "goaway") {
 				answers[h]++
 				break
@@ -95,22 +95,22 @@
 	for _, stop := range []string{"1500", "240", "60", "0"} {
 		t := deployReady(`"stop_ms":1500`, `"stop_ms":`+stop)
 		s, rests := t.client(), t.client()
-		fmt.Print(stop, " ", rests.Check())
-		s.Send(standin.Op(1, "pay", standin.ID(1), nil))
-		t.runtime.Hear()
-		half := standin.Pack(nil, standin.Op(2, "view", standin.ID(2), nil))
+		fmt.Print(stop, " ", rests.CheckHealth())
+		s.Send(standin.NewRequest(1, "pay", standin.RequestID(1), nil))
+		t.runtime.NextCommand()
+		half := standin.Encode(nil, standin.NewRequest(2, "view", standin.RequestID(2), nil))
 		rests.Conn.Write(half[:len(half)/2])
 		later := t.client()
-		fmt.Print(" ", later.Check()) // what came before it is read too
+		fmt.Print(" ", later.CheckHealth()) // what came before it is read too
 		later.Close()
 		began := time.Now()
 		t.sendTerminate()
-		h := s.Hear()
+		h := s.NextText()
 		for strings.Contains(h, "goaway") {
-			h = s.Hear()
+			h = s.NextText()
 		}
 		fmt.Print(" ", h)
-		fmt.Print(" ", rests.Hear(), " ", rests.Hear())
+		fmt.Print(" ", rests.NextText(), " ", rests.NextText())
 		code, log := t.waitExit()
 		fmt.Println("", code, time.Since(began) < 5*time.Second, strings.Contains(log, "msg=stopped"))
 		t.close()
@@ -131,36 +131,36 @@
 	defer t.close()
 	t.writeConfig(strings.Replace(t.config, t.database.Addr(), hole, 1))
 	t.sendHangup()
-	standin.Until("the move", func() bool { return strings.Contains(t.log.text(), "db="+hole) })
+	standin.WaitFor("the move", func() bool { return strings.Contains(t.log.text(), "db="+hole) })
 	s := t.client()
 	for i := range 12 {
-		s.Send(standin.Op(i, "pay", standin.ID(i), nil, "kb", "1"))
-		t.runtime.Hear()
-		t.runtime.Notice("wants", standin.ID(i), "", "ask")
+		s.Send(standin.NewRequest(i, "pay", standin.RequestID(i), nil, "kb", "1"))
+		t.runtime.NextCommand()
+		t.runtime.SendNotice("wants", standin.RequestID(i), "", "ask")
 	}
 	for i := range 11 { // all but the last are over
 		s.Send([]any{2, "interrupt", []any{i}})
 	}
-	fmt.Println(s.Check())
+	fmt.Println(s.CheckHealth())
 	for i := range 11 {
-		t.runtime.Notice("end", standin.ID(i), "interrupted", "")
+		t.runtime.SendNotice("end", standin.RequestID(i), "interrupted", "")
 	}
-	s.Send(standin.Op(12, "view", standin.ID(12), nil, "kb", "1"))
+	s.Send(standin.NewRequest(12, "view", standin.RequestID(12), nil, "kb", "1"))
 	for heard := ""; heard != `start c route view body ""`; {
-		heard = t.runtime.Hear()
+		heard = t.runtime.NextCommand()
 	}
-	t.runtime.Notice("end", standin.ID(12), "success", "all read")
-	fmt.Println(s.Hear())
+	t.runtime.SendNotice("end", standin.RequestID(12), "success", "all read")
+	fmt.Println(s.NextText())
 	t.writeConfig(strings.Replace(t.config, hole, t.database.Addr(), 1))
 	t.sendHangup()
-	call := t.database.Next()
+	call := t.database.NextCall()
 	fmt.Println(call.Text)
 	call.Reply("200 OK", "", "rows")
 	for heard := ""; !strings.HasPrefix(heard, "give"); {
-		heard = t.runtime.Hear()
+		heard = t.runtime.NextCommand()
 	}
-	t.runtime.Notice("end", standin.ID(11), "success", "one")
-	fmt.Println(s.Hear())
+	t.runtime.SendNotice("end", standin.RequestID(11), "success", "one")
+	fmt.Println(s.NextText())
 	// Output:
 	// true
 	// ['\x01' '\f' <nil> ["all read" map[]]]
@@ -193,27 +193,27 @@
 	defer t.close()
 	addr := t.registry.Addr()
 	t.registry.Close()
-	t.runtime.Take()
-	t.runtime.Ready("steady")
+	t.runtime.Accept()
+	t.runtime.SendReady("steady")
 	c := t.client()
-	standin.Until("health", func() bool { return c.Check() })
+	standin.WaitFor("health", func() bool { return c.CheckHealth() })
 	conn := standin.Must(net.ListenPacket("udp", addr)) // back
 	b := make([]byte, 100)
 	hear := func() string {
-		_ = conn.SetReadDeadline(time.Now().Add(standin.Patience))
+		_ = conn.SetReadDeadline(time.Now().Add(standin.WaitTimeout))
 		n, _, err := conn.ReadFrom(b)
 		return string(b[:standin.Must(n, err)])
 	}
 	fmt.Println(hear(), "|", hear())
-	t.registry = standin.NewRoster()
+	t.registry = standin.NewRegistry()
 	t.writeConfig(strings.Replace(t.config, addr, t.registry.Addr(), 1))
 	t.sendHangup()
-	fmt.Println(t.registry.Reported())
+	fmt.Println(t.registry.NextReport())
 	conn.Close()
 	t.sendTerminate()
 	off := 0
-	standin.Until("the list hears that it goes, more than once", func() bool {
-		if t.registry.Reported() == "HERE n1 off" {
+	standin.WaitFor("the list hears that it goes, more than once", func() bool {
+		if t.registry.NextReport() == "HERE n1 off" {
 			off++
 		}
 		return off == 3
@@ -248,10 +248,10 @@
 	defer t.close()
 	s := t.client()
 	ask := func(n int) {
-		s.Send(standin.Op(n, "view", standin.ID(n), nil))
-		t.runtime.Hear()
-		t.runtime.Notice("end", standin.ID(n), "success", "one")
-		fmt.Println(s.Hear())
+		s.Send(standin.NewRequest(n, "view", standin.RequestID(n), nil))
+		t.runtime.NextCommand()
+		t.runtime.SendNotice("end", standin.RequestID(n), "success", "one")
+		fmt.Println(s.NextText())
 	}
 	ask(1)
 	unix.Close(ends[0]) // what is being written is refused
@@ -273,20 +273,22 @@
 	t := deployReady("FRESH", "5")
 	defer t.close()
 	s := t.client()
-	read := func(n int) []any { return standin.Op(n, "view", standin.ID(n), nil, "key", "k", "kb", "1") }
+	read := func(n int) []any {
+		return standin.NewRequest(n, "view", standin.RequestID(n), nil, "key", "k", "kb", "1")
+	}
 	s.Send(read(1))
-	fmt.Println(t.runtime.Hear())
+	fmt.Println(t.runtime.NextCommand())
 	s.Send(read(2))
 	s.Send([]any{2, "interrupt", []any{1}})
-	fmt.Println(t.runtime.Hear())
+	fmt.Println(t.runtime.NextCommand())
 	s.Send(read(3))
-	fmt.Println(t.runtime.Hear())
-	t.runtime.Notice("end", standin.ID(1), "success", "one")
-	fmt.Println(s.Hear())
-	t.runtime.Notice("end", standin.ID(3), "success", "three")
-	fmt.Println(s.Hear())
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	fmt.Println(s.NextText())
+	t.runtime.SendNotice("end", standin.RequestID(3), "success", "three")
+	fmt.Println(s.NextText())
 	s.Send(read(4))
-	fmt.Println(s.Hear())
+	fmt.Println(s.NextText())
 	// Output:
 	// start 1 route view body ""
 	// stop 1
@@ -303,15 +305,15 @@
 	defer t.close()
 	s := t.client()
 	call := func(n int, says string) []any {
-		return standin.Op(n, "view", standin.ID(n), []byte(says), "key", "k", "kb", "1")
+		return standin.NewRequest(n, "view", standin.RequestID(n), []byte(says), "key", "k", "kb", "1")
 	}
 	s.Send(call(1, "lamps"), call(2, "poles"))
-	fmt.Println(t.runtime.Hear())
-	fmt.Println(t.runtime.Hear())
+	fmt.Println(t.runtime.NextCommand())
+	fmt.Println(t.runtime.NextCommand())
 	s.Send(call(3, "lamps"))
-	t.runtime.Notice("end", standin.ID(1), "success", "of lamps")
-	t.runtime.Notice("end", standin.ID(2), "success", "of poles")
-	answers := []string{s.Hear(), s.Hear(), s.Hear()}
+	t.runtime.SendNotice("end", standin.RequestID(1), "success", "of lamps")
+	t.runtime.SendNotice("end", standin.RequestID(2), "success", "of poles")
+	answers := []string{s.NextText(), s.NextText(), s.NextText()}
 	slices.Sort(answers)
 	fmt.Println(strings.Join(answers, "\n"))
 	// Output:
@@ -329,48 +331,48 @@
 	defer t.close()
 	s := t.client()
 	read := func(n int, kind, tenant string) []any {
-		return standin.Op(n, kind, standin.ID(n), nil, "key", "k", "tenant", tenant, "kb", "1")
+		return standin.NewRequest(n, kind, standin.RequestID(n), nil, "key", "k", "tenant", tenant, "kb", "1")
 	}
 	s.Send(read(1, "view", "water"), read(2, "view", "water"))
-	fmt.Println(t.runtime.Hear())
+	fmt.Println(t.runtime.NextCommand())
 	for n := 3; n < 30; n++ { // the end and repeats cross, in any order
 		s.Send(read(n, "view", "water"))
 		if n == 15 {
-			t.runtime.Notice("end", standin.ID(1), "success", "one")
+			t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
 		}
 	}
 	answers := map[string]int{}
 	for range 29 {
-		h := s.Hear()
+		h := s.NextText()
 		answers[h[strings.Index(h, "<nil>"):]]++
 	}
 	fmt.Println(answers)
 	s.Send(read(60, "view", "roads"), read(61, "list", "water"))
-	fmt.Println(t.runtime.Hear())
-	fmt.Println(t.runtime.Hear())
+	fmt.Println(t.runtime.NextCommand())
+	fmt.Println(t.runtime.NextCommand())
 	s.Send(read(62, "view", "roads"), read(63, "pay", "roads"))
-	fmt.Println(t.runtime.Hear())
-	t.runtime.Notice("end", standin.ID(60), "failure", "")
-	fmt.Println(s.Hear(), s.Hear())
-	t.runtime.Notice("end", standin.ID(61), "success", "three")
-	t.runtime.Notice("end", standin.ID(63), "success", "four")
-	fmt.Println(s.Hear(), s.Hear())
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("end", standin.RequestID(60), "failure", "")
+	fmt.Println(s.NextText(), s.NextText())
+	t.runtime.SendNotice("end", standin.RequestID(61), "success", "three")
+	t.runtime.SendNotice("end", standin.RequestID(63), "success", "four")
+	fmt.Println(s.NextText(), s.NextText())
 	s.Send(read(64, "view", "roads"))
-	fmt.Println(t.runtime.Hear())
-	t.runtime.Notice("end", standin.ID(64), "success", "two")
-	fmt.Println(s.Hear())
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("end", standin.RequestID(64), "success", "two")
+	fmt.Println(s.NextText())
 	// Past the told time the result is nobody's: some repeat runs.
 	n := 65
-	standin.Until("the end of its time", func() bool {
+	standin.WaitFor("the end of its time", func() bool {
 		s.Send(read(n, "view", "roads"))
 		n++
 		select {
-		case line := <-t.runtime.Lines:
-			t.runtime.Notice("end", line["rid"].(string), "success", "five")
-			fmt.Println(line["t"], strings.Contains(s.Hear(), "five"))
+		case line := <-t.runtime.Messages:
+			t.runtime.SendNotice("end", line["rid"].(string), "success", "five")
+			fmt.Println(line["t"], strings.Contains(s.NextText(), "five"))
 			return true
 		case <-time.After(20 * time.Millisecond):
-			return s.Hear() == ""
+			return s.NextText() == ""
 		}
 	})
 	// Output:
@@ -391,10 +393,10 @@
 	for _, told := range []string{``, `"give-up-s":0,`, `"give-up-s":3e9,`, `"give-up-s":1e300,`} {
 		t := deployReady(`{"name":"view","credit":1,"promise-s":1,"give-up-s":3,`, `{"name":"view","credit":1,`+told)
 		s := t.client()
-		s.Send(standin.Op(1, "view", standin.ID(1), nil))
-		fmt.Print(t.runtime.Hear(), " ")
-		t.runtime.Notice("end", standin.ID(1), "success", "one")
-		fmt.Println(s.Hear())
+		s.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil))
+		fmt.Print(t.runtime.NextCommand(), " ")
+		t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+		fmt.Println(s.NextText())
 		t.close()
 	}
 	// Output:
@@ -411,26 +413,26 @@
 	defer t.close()
 	s, other := t.client(), t.client()
 	try := func(n int, kind, body string) []any {
-		return standin.Op(n, kind, standin.ID(n), []byte(body), "kb", "1")
+		return standin.NewRequest(n, kind, standin.RequestID(n), []byte(body), "kb", "1")
 	}
 	s.Send(try(1, "pay", "x"))
-	fmt.Println(t.runtime.Hear())
+	fmt.Println(t.runtime.NextCommand())
 	other.Send(try(2, "pay", "x"))
 	s.Send(try(3, "pay", "y"))
-	fmt.Println(t.runtime.Hear())
+	fmt.Println(t.runtime.NextCommand())
 	s.Send(try(4, "view", "x"))
-	fmt.Println(t.runtime.Hear())
-	fmt.Println(other.Check())
-	t.runtime.Notice("end", standin.ID(1), "success", "one")
-	fmt.Println(s.Hear(), other.Hear())
+	fmt.Println(t.runtime.NextCommand())
+	fmt.Println(other.CheckHealth())
+	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	fmt.Println(s.NextText(), other.NextText())
 	other.Send(try(5, "pay", "x"))
-	fmt.Println(other.Hear())
-	t.runtime.Notice("end", standin.ID(3), "failure", "")
-	fmt.Println(s.Hear())
+	fmt.Println(other.NextText())
+	t.runtime.SendNotice("end", standin.RequestID(3), "failure", "")
+	fmt.Println(s.NextText())
 	other.Send(try(6, "pay", "y"))
-	fmt.Println(other.Hear())
+	fmt.Println(other.NextText())
 	s.Send([]any{2, "interrupt", []any{4}})
-	fmt.Println(t.runtime.Hear(), len(t.runtime.Lines))
+	fmt.Println(t.runtime.NextCommand(), len(t.runtime.Messages))
 	// Output:
 	// start 1 route pay body "x"
 	// start 3 route pay body "y"
@@ -449,31 +451,31 @@
 	t := deployReady()
 	defer t.close()
 	s := t.client()
-	s.Send(standin.Op(1, "view", standin.ID(1), nil))
-	fmt.Println(t.runtime.Hear())
+	s.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil))
+	fmt.Println(t.runtime.NextCommand())
 	t.sendTerminate()
-	standin.Until("the notice", func() bool { return strings.Contains(t.log.text(), "msg=leaving") })
+	standin.WaitFor("the notice", func() bool { return strings.Contains(t.log.text(), "msg=leaving") })
 	whole := t.config
 	t.writeConfig("{")
 	t.sendHangup()
-	standin.Until("the wrong file", func() bool { return strings.Contains(t.log.text(), "msg=configuration-kept") })
+	standin.WaitFor("the wrong file", func() bool { return strings.Contains(t.log.text(), "msg=configuration-kept") })
 	t.config = whole
 	t.writeConfig(t.movedConfig())
 	t.sendHangup()
-	fmt.Println("sync", t.runtime.Take())
-	t.runtime.Ready("steady")
-	fmt.Println(t.registry.Reported())
-	t.runtime.No = 0
-	t.runtime.Notice("wants", standin.ID(1), "", "ask")
-	t.database.Next().Reply("200 OK", "", "rows")
-	heard := t.runtime.Hear()
+	fmt.Println("sync", t.runtime.Accept())
+	t.runtime.SendReady("steady")
+	fmt.Println(t.registry.NextReport())
+	t.runtime.LastNotice = 0
+	t.runtime.SendNotice("wants", standin.RequestID(1), "", "ask")
+	t.database.NextCall().Reply("200 OK", "", "rows")
+	heard := t.runtime.NextCommand()
 	if strings.HasPrefix(heard, "start 1 ") { // said again on the new link, as it may have been lost on the old one
-		heard = t.runtime.Hear()
+		heard = t.runtime.NextCommand()
 	}
 	fmt.Println(heard)
-	t.runtime.Notice("end", standin.ID(1), "success", "one")
-	fmt.Println(s.Hear())
-	fmt.Println(s.Hear())
+	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	fmt.Println(s.NextText())
+	fmt.Println(s.NextText())
 	s.Close()
 	code, log := t.waitExit()
 	fmt.Println(code, strings.Count(log, "msg=moved"))
@@ -492,24 +494,24 @@
 func Example_killedBehindAccept() {
 	t := deployReady()
 	defer t.close()
-	runs, queued := t.client(), (*standin.Stub)(nil)
-	runs.Send(standin.Op(1, "view", standin.ID(1), nil))
-	fmt.Println(t.runtime.Hear())
+	runs, queued := t.client(), (*standin.Client)(nil)
+	runs.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil))
+	fmt.Println(t.runtime.NextCommand())
 	_ = t.cmd.Process.Signal(syscall.SIGSTOP) // the kernel accepts for it
 	queued = t.client()
-	queued.Send(standin.Op(2, "view", standin.ID(2), nil))
+	queued.Send(standin.NewRequest(2, "view", standin.RequestID(2), nil))
 	_ = t.cmd.Process.Kill()
 	<-t.exited
-	fmt.Println(runs.Hear(), strings.HasSuffix(queued.Hear(), "connection reset by peer")) // over the bytes that it never read
-	fmt.Println(t.runtime.Hear())
+	fmt.Println(runs.NextText(), strings.HasSuffix(queued.NextText(), "connection reset by peer")) // over the bytes that it never read
+	fmt.Println(t.runtime.NextCommand())
 	t.exited = make(chan struct{})
 	t.run()
-	t.runtime.Take()
-	t.runtime.Ready("booting")
+	t.runtime.Accept()
+	t.runtime.SendReady("booting")
 	s := t.client()
-	standin.Until("health", func() bool { return s.Check() })
-	s.Send(standin.Op(1, "view", standin.ID(3), nil))
-	fmt.Println(t.runtime.Hear())
+	standin.WaitFor("health", func() bool { return s.CheckHealth() })
+	s.Send(standin.NewRequest(1, "view", standin.RequestID(3), nil))
+	fmt.Println(t.runtime.NextCommand())
 	// Output:
 	// start 1 route view body ""
 	// closed true
--- a/cmd/lanewheel/deployed_test.go
+++ b/cmd/lanewheel/deployed_test.go
@@ -53,7 +53,7 @@
 	}
 	want := []string{"anon_inode 4", "pipe 2", "socket 3"}
 	last := open()
-	for end := time.Now().Add(standin.Patience); !slices.Equal(last, want) && time.Now().Before(end); last = open() {
+	for end := time.Now().Add(standin.WaitTimeout); !slices.Equal(last, want) && time.Now().Before(end); last = open() {
 		time.Sleep(time.Millisecond)
 	}
 	fmt.Println(last)
--- a/cmd/lanewheel/helper_test.go
+++ b/cmd/lanewheel/helper_test.go
@@ -26,7 +26,7 @@
 	config     string
 	runtime    *standin.Runtime
 	database   *standin.Database
-	registry   *standin.Roster
+	registry   *standin.Registry
 }
 
 // logBuffer gathers what the program logs.
@@ -85,7 +85,7 @@
 // deploy starts a town whose runtime is not up yet; changes are pairs of text to replace in the configuration.
 func deploy(changes ...string) *deployment {
 	t := &deployment{log: &logBuffer{}, exited: make(chan struct{}), runtime: standin.NewRuntime(), database: standin.NewDatabase()}
-	t.registry = standin.NewRoster()
+	t.registry = standin.NewRegistry()
 	// Danger: a free port that is given back is taken by a connection of another test. Each town listens on a
 	// loopback address of its own, where nobody else binds.
 	deploymentCount++
@@ -137,13 +137,13 @@
 
 // movedConfig gives the configuration with new stand-ins for the runtime, the database and the roster.
 func (t *deployment) movedConfig() string {
-	rt, db, roster := standin.NewRuntime(), standin.NewDatabase(), standin.NewRoster()
+	rt, db, roster := standin.NewRuntime(), standin.NewDatabase(), standin.NewRegistry()
 	text := strings.NewReplacer(t.runtime.Addr(), rt.Addr(), t.database.Addr(), db.Addr(),
 		t.registry.Addr(), roster.Addr()).Replace(t.config)
 	t.runtime.Listener.Close()
 	t.database.Listener.Close()
 	t.registry.Close()
-	rt.No, t.runtime, t.database, t.registry = t.runtime.No, rt, db, roster
+	rt.LastNotice, t.runtime, t.database, t.registry = t.runtime.LastNotice, rt, db, roster
 	return text
 }
 
@@ -152,10 +152,10 @@
 // town gives one whose runtime is up.
 func deployReady(changes ...string) *deployment {
 	t := deploy(changes...)
-	t.runtime.Take()
-	t.runtime.Ready("steady")
+	t.runtime.Accept()
+	t.runtime.SendReady("steady")
 	c := t.client()
-	standin.Until("health", func() bool { return c.Check() })
+	standin.WaitFor("health", func() bool { return c.CheckHealth() })
 	c.Close()
 	return t
 }
@@ -175,7 +175,7 @@
 func (t *deployment) waitExit() (int, string) {
 	select {
 	case <-t.exited:
-	case <-time.After(standin.Patience):
+	case <-time.After(standin.WaitTimeout):
 		panic("the program runs on")
 	}
 	var lines []string
@@ -189,4 +189,4 @@
 
 func (t *deployment) sendTerminate() { _ = t.cmd.Process.Signal(syscall.SIGTERM) }
 
-func (t *deployment) client() *standin.Stub { return standin.Dial(t.listenAddr) }
+func (t *deployment) client() *standin.Client { return standin.Dial(t.listenAddr) }
--- a/cmd/lanewheel/main_test.go
+++ b/cmd/lanewheel/main_test.go
@@ -26,19 +26,19 @@
 	t := deployReady()
 	defer t.close()
 	s := t.client()
-	s.Send(standin.Op(7, "view", standin.ID(1), []byte("a\xff")))
-	fmt.Println(t.runtime.Hear())
-	t.runtime.Notice("wants", standin.ID(1), "", "ask")
-	call := t.database.Next()
+	s.Send(standin.NewRequest(7, "view", standin.RequestID(1), []byte("a\xff")))
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("wants", standin.RequestID(1), "", "ask")
+	call := t.database.NextCall()
 	fmt.Println(call.Text)
 	call.Reply("200 OK", "", "rows")
-	fmt.Println(t.runtime.Hear())
-	t.runtime.Notice("end", standin.ID(1), "success", "res\xff")
-	fmt.Println(s.Hear())
-	s.Send(standin.Op(8, "pay", standin.ID(2), nil))
-	fmt.Println(t.runtime.Hear())
-	t.runtime.Notice("end", standin.ID(2), "failure", "")
-	fmt.Println(s.Hear())
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("end", standin.RequestID(1), "success", "res\xff")
+	fmt.Println(s.NextText())
+	s.Send(standin.NewRequest(8, "pay", standin.RequestID(2), nil))
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("end", standin.RequestID(2), "failure", "")
+	fmt.Println(s.NextText())
 	// Output:
 	// start 1 route view body "a\xff"
 	// POST /v1/exec for 1 timed true body "ask"
@@ -55,21 +55,21 @@
 	defer t.close()
 	t.runtime.Conn.Close()
 	t.runtime.Silent = true
-	t.runtime.Take()
-	t.runtime.Ready("steady")
+	t.runtime.Accept()
+	t.runtime.SendReady("steady")
 	answerFence(t)
 	s := t.client()
-	s.Send(standin.Op(3, "view", standin.ID(3), nil, "kb", "1999"))
-	fmt.Println(s.Hear())
-	s.Send(standin.Op(4, "pay", standin.ID(4), nil, "wait", "300"))
+	s.Send(standin.NewRequest(3, "view", standin.RequestID(3), nil, "kb", "1999"))
+	fmt.Println(s.NextText())
+	s.Send(standin.NewRequest(4, "pay", standin.RequestID(4), nil, "wait", "300"))
 	began := time.Now()
-	fmt.Println(t.runtime.Hear())
-	fmt.Println(s.Hear())
+	fmt.Println(t.runtime.NextCommand())
+	fmt.Println(s.NextText())
 	fmt.Println("in time:", time.Since(began) < 350*time.Millisecond)
-	fmt.Println(t.runtime.Hear())
-	t.runtime.Notice("end", standin.ID(4), "interrupted", "")
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("end", standin.RequestID(4), "interrupted", "")
 	s.Send([]any{0, 9, "check", []any{map[string]string{}}})
-	fmt.Println(s.Hear()[:20]) // the check's answer, no second one of the op; unwell, as a run hung
+	fmt.Println(s.NextText()[:20]) // the check's answer, no second one of the op; unwell, as a run hung
 	// Output:
 	// ['\x01' '\x03' ["Busy" map[]] <nil>]
 	// start 4 route pay body ""
@@ -100,26 +100,26 @@
 		func(c *standin.Call) { c.Reply("409 None", "Never-Started: 1\r\n", "") },
 	} {
 		n := i + 1
-		s.Send(standin.Op(n, "pay", standin.ID(n), nil))
-		t.runtime.Hear()
-		t.runtime.Notice("wants", standin.ID(n), "", "ask")
-		how(t.database.Next())
+		s.Send(standin.NewRequest(n, "pay", standin.RequestID(n), nil))
+		t.runtime.NextCommand()
+		t.runtime.SendNotice("wants", standin.RequestID(n), "", "ask")
+		how(t.database.NextCall())
 		if i < 4 {
-			fmt.Println(s.Hear())
+			fmt.Println(s.NextText())
 		} else {
-			fmt.Println(t.database.Next().Text)
+			fmt.Println(t.database.NextCall().Text)
 			s.Send([]any{2, "interrupt", []any{n}})
 		}
-		t.runtime.Notice("end", standin.ID(n), "interrupted", "")
+		t.runtime.SendNotice("end", standin.RequestID(n), "interrupted", "")
 	}
 	// each has its own connection, and the run's end gives its call up
-	standin.Until("the end of all connections", func() bool { return len(t.database.Ended) == 8 })
+	standin.WaitFor("the end of all connections", func() bool { return len(t.database.ConnectionsEnded) == 8 })
 	// refused: it never ran, and this type can do without
 	t.database.Listener.Close()
-	s.Send(standin.Op(9, "list", standin.ID(9), nil))
-	t.runtime.Hear()
-	t.runtime.Notice("wants", standin.ID(9), "", "ask")
-	fmt.Println(t.runtime.Hear())
+	s.Send(standin.NewRequest(9, "list", standin.RequestID(9), nil))
+	t.runtime.NextCommand()
+	t.runtime.SendNotice("wants", standin.RequestID(9), "", "ask")
+	fmt.Println(t.runtime.NextCommand())
 	// Output:
 	// ['\x01' '\x01' ["Failed" map[]] <nil>]
 	// ['\x01' '\x02' ["Failed" map[]] <nil>]
@@ -136,34 +136,34 @@
 	t := deployReady()
 	defer t.close()
 	s := t.client()
-	s.Send(standin.Op(1, "pay", standin.ID(1), nil), standin.Op(2, "pay", standin.ID(2), []byte("b")))
-	fmt.Println(t.runtime.Hear())
-	fmt.Println(t.runtime.Hear())
-	t.runtime.Notice("wants", standin.ID(1), "", "ask")
-	call := t.database.Next()
+	s.Send(standin.NewRequest(1, "pay", standin.RequestID(1), nil), standin.NewRequest(2, "pay", standin.RequestID(2), []byte("b")))
+	fmt.Println(t.runtime.NextCommand())
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("wants", standin.RequestID(1), "", "ask")
+	call := t.database.NextCall()
 	t.runtime.Conn.Close()
-	for s.Check() && t.runtime.Hear() != "link closed" {
+	for s.CheckHealth() && t.runtime.NextCommand() != "link closed" {
 	}
 	call.Reply("200 OK", "", "rows")
-	fmt.Println("sync", t.runtime.Take())
-	s.Send(standin.Op(3, "pay", standin.ID(3), []byte("c")))
-	fmt.Println("deaf link, well:", s.Check())
-	t.runtime.Ready("steady")
-	t.runtime.Notice("end", standin.ID(2), "success", "two")
-	fmt.Println(s.Hear())
+	fmt.Println("sync", t.runtime.Accept())
+	s.Send(standin.NewRequest(3, "pay", standin.RequestID(3), []byte("c")))
+	fmt.Println("deaf link, well:", s.CheckHealth())
+	t.runtime.SendReady("steady")
+	t.runtime.SendNotice("end", standin.RequestID(2), "success", "two")
+	fmt.Println(s.NextText())
 	heard := map[string]int{}
 	for range 2 {
-		heard[t.runtime.Hear()]++
+		heard[t.runtime.NextCommand()]++
 	}
 	fmt.Println(heard)
-	t.runtime.Notice("end", standin.ID(3), "success", "three")
-	fmt.Println(s.Hear())
-	t.runtime.Notice("end", standin.ID(1), "success", "one")
-	fmt.Println(s.Hear())
+	t.runtime.SendNotice("end", standin.RequestID(3), "success", "three")
+	fmt.Println(s.NextText())
+	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	fmt.Println(s.NextText())
 	t.runtime.Conn.Close()
-	fmt.Println("sync", t.runtime.Take())
-	t.runtime.Ready("steady")
-	fmt.Println(s.Check(), len(t.runtime.Lines))
+	fmt.Println("sync", t.runtime.Accept())
+	t.runtime.SendReady("steady")
+	fmt.Println(s.CheckHealth(), len(t.runtime.Messages))
 	// Output:
 	// start 1 route pay body ""
 	// start 2 route pay body "b"
@@ -182,20 +182,20 @@
 	t := deployReady()
 	defer t.close()
 	s := t.client()
-	s.Send(standin.Op(1, "view", standin.ID(1), nil))
-	fmt.Println(t.runtime.Hear())
+	s.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil))
+	fmt.Println(t.runtime.NextCommand())
 	t.runtime.Conn.Close()
-	standin.Until("the end of the link", func() bool { return t.runtime.Hear() == "link closed" })
+	standin.WaitFor("the end of the link", func() bool { return t.runtime.NextCommand() == "link closed" })
 	s.Send([]any{2, "interrupt", []any{1}})
-	fmt.Println(s.Check(), "sync", t.runtime.Take())
-	t.runtime.Ready("steady")
-	fmt.Println(t.runtime.Hear())
-	fmt.Println(t.runtime.Hear())
-	t.runtime.Notice("end", standin.ID(1), "interrupted", "")
-	s.Send(standin.Op(2, "view", standin.ID(2), nil))
-	fmt.Println(t.runtime.Hear())
-	fmt.Fprintf(t.runtime.Conn, `{"t":"nack","status":"start","rid":%q}`+"\n", standin.ID(2))
-	fmt.Println(s.Hear())
+	fmt.Println(s.CheckHealth(), "sync", t.runtime.Accept())
+	t.runtime.SendReady("steady")
+	fmt.Println(t.runtime.NextCommand())
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("end", standin.RequestID(1), "interrupted", "")
+	s.Send(standin.NewRequest(2, "view", standin.RequestID(2), nil))
+	fmt.Println(t.runtime.NextCommand())
+	fmt.Fprintf(t.runtime.Conn, `{"t":"nack","status":"start","rid":%q}`+"\n", standin.RequestID(2))
+	fmt.Println(s.NextText())
 	// Output:
 	// start 1 route view body ""
 	// true sync 0
@@ -210,17 +210,17 @@
 	t := deployReady()
 	defer t.close()
 	s, other := t.client(), t.client()
-	s.Send(standin.Op(1, "pay", standin.ID(1), nil))
-	other.Send(standin.Op(1, "view", standin.ID(2), nil))
-	fmt.Println(t.runtime.Hear())
-	fmt.Println(t.runtime.Hear())
-	t.runtime.Notice("end", standin.ID(1), "success", "one")
+	s.Send(standin.NewRequest(1, "pay", standin.RequestID(1), nil))
+	other.Send(standin.NewRequest(1, "view", standin.RequestID(2), nil))
+	fmt.Println(t.runtime.NextCommand())
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
 	s.Send([]any{2, "interrupt", []any{1}}, []any{2, "interrupt", []any{99}})
-	fmt.Println(s.Hear())
+	fmt.Println(s.NextText())
 	other.Close()
-	fmt.Println(t.runtime.Hear())
-	t.runtime.Notice("end", standin.ID(2), "success", "two")
-	fmt.Println(s.Check())
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("end", standin.RequestID(2), "success", "two")
+	fmt.Println(s.CheckHealth())
 	// Output:
 	// start 1 route pay body ""
 	// start 2 route view body ""
@@ -234,23 +234,23 @@
 	t := deployReady()
 	defer t.close()
 	other := t.client()
-	for i, bad := range [][]byte{{0xc1}, standin.Pack(nil, standin.Op(1, "view", standin.ID(50), nil)), standin.Pack(nil, standin.Op(2, "view", standin.ID(3), nil)),
+	for i, bad := range [][]byte{{0xc1}, standin.Encode(nil, standin.NewRequest(1, "view", standin.RequestID(50), nil)), standin.Encode(nil, standin.NewRequest(2, "view", standin.RequestID(3), nil)),
 		{0x94, 0, 2, 0xa4, 'v', 'i', 'e', 'w', 0x92, 0x81, 0xa2, 'i', 'd', 0xdb, 0x03, 0x90, 0, 0}} { // 60 MB to come
 		s := t.client()
-		s.Send(standin.Op(1, "view", standin.ID(i+1), nil))
-		fmt.Println(t.runtime.Hear())
+		s.Send(standin.NewRequest(1, "view", standin.RequestID(i+1), nil))
+		fmt.Println(t.runtime.NextCommand())
 		s.Conn.Write(bad)
-		fmt.Println(s.Hear(), s.Hear(), t.runtime.Hear())
-		t.runtime.Notice("end", standin.ID(i+1), "interrupted", "")
+		fmt.Println(s.NextText(), s.NextText(), t.runtime.NextCommand())
+		t.runtime.SendNotice("end", standin.RequestID(i+1), "interrupted", "")
 	}
 	s := t.client()
 	var many [][]any
 	for i := range 33 {
-		many = append(many, standin.Op(i, "view", standin.ID(100+i), nil, "kb", "0.1"))
+		many = append(many, standin.NewRequest(i, "view", standin.RequestID(100+i), nil, "kb", "0.1"))
 	}
 	s.Send(many...)
-	standin.Until("the end of a crowd", func() bool { return strings.Contains(t.log.text(), "too-many-open") })
-	fmt.Println(other.Check())
+	standin.WaitFor("the end of a crowd", func() bool { return strings.Contains(t.log.text(), "too-many-open") })
+	fmt.Println(other.CheckHealth())
 	t.sendTerminate()
 	_, log := t.waitExit()
 	for _, code := range []string{"bad-message", "id-twice", "op-twice", "too-many-open"} {
@@ -279,31 +279,31 @@
 	t := deployReady(`"tenants":[]`, `"tenants":[{"name":"acme"}]`)
 	defer t.close()
 	s, bad := t.client(), t.client()
-	s.Send(standin.Op(1, "view", standin.ID(1), nil, "tenant", "acme"))
-	fmt.Println(t.runtime.Hear())
-	bad.Send(standin.Op(1, "view", standin.ID(1), []byte("other"), "tenant", "acme"))
-	fmt.Println(bad.Hear())
+	s.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil, "tenant", "acme"))
+	fmt.Println(t.runtime.NextCommand())
+	bad.Send(standin.NewRequest(1, "view", standin.RequestID(1), []byte("other"), "tenant", "acme"))
+	fmt.Println(bad.NextText())
 	for i, fields := range [][]string{{"tenant", "none"}, {"kb", "0"}, {"kb", "2000"}, {"rank", "1"},
 		{"from", "-1"}, {"from", "9007199254740992"}, {"cost", "99999999"}, {"wait", "999999999999"}} {
-		bad.Send(standin.Op(i+2, "view", standin.ID(i+2), nil, append([]string{"tenant", "acme"}, fields...)...))
-		fmt.Print(" ", i, bad.Hear())
+		bad.Send(standin.NewRequest(i+2, "view", standin.RequestID(i+2), nil, append([]string{"tenant", "acme"}, fields...)...))
+		fmt.Print(" ", i, bad.NextText())
 	}
-	fmt.Println("", bad.Hear())
+	fmt.Println("", bad.NextText())
 	for i := range 30 {
 		bad = t.client()
-		bad.Send(standin.Op(1, "view", standin.ID(100+i), nil, "tenant", "acme"))
-		t.runtime.Hear()
-		fmt.Fprintf(t.runtime.Conn, `{"t":"nack","status":"start","rid":%q}`+"\n", standin.ID(100+i))
+		bad.Send(standin.NewRequest(1, "view", standin.RequestID(100+i), nil, "tenant", "acme"))
+		t.runtime.NextCommand()
+		fmt.Fprintf(t.runtime.Conn, `{"t":"nack","status":"start","rid":%q}`+"\n", standin.RequestID(100+i))
 		if i == 0 {
-			fmt.Print(bad.Hear(), " ")
+			fmt.Print(bad.NextText(), " ")
 		}
-		standin.Until("its end", func() bool { return bad.Hear() == "closed" })
+		standin.WaitFor("its end", func() bool { return bad.NextText() == "closed" })
 	}
 	bad = t.client()
-	bad.Send(standin.Op(1, "what", standin.ID(1), nil))
-	fmt.Println(bad.Hear(), s.Check(), len(t.runtime.Lines))
-	t.runtime.Notice("end", standin.ID(1), "success", "one")
-	fmt.Println(s.Hear(), strings.Contains(t.log.text(), "failing"))
+	bad.Send(standin.NewRequest(1, "what", standin.RequestID(1), nil))
+	fmt.Println(bad.NextText(), s.CheckHealth(), len(t.runtime.Messages))
+	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	fmt.Println(s.NextText(), strings.Contains(t.log.text(), "failing"))
 	// Output:
 	// start 1 route view body ""
 	// ['\x01' '\x01' ["Busy" map[]] <nil>]
@@ -319,13 +319,13 @@
 	began := time.Now()
 	silent, half, asked := t.client(), t.client(), t.client()
 	asked.Send([]any{0, 1, "check", []any{map[string]string{}}})
-	asked.Hear()
-	half.Send(standin.Op(1, "view", standin.ID(1), nil, "cost", "900"))
-	fmt.Println(t.runtime.Hear())
-	message := standin.Pack(nil, standin.Op(2, "view", standin.ID(2), nil))
+	asked.NextText()
+	half.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil, "cost", "900"))
+	fmt.Println(t.runtime.NextCommand())
+	message := standin.Encode(nil, standin.NewRequest(2, "view", standin.RequestID(2), nil))
 	half.Conn.Write(message[:len(message)/2])
-	fmt.Println(silent.Hear(), half.Hear(), half.Hear())
-	fmt.Println(time.Since(began) < 2500*time.Millisecond, asked.Check())
+	fmt.Println(silent.NextText(), half.NextText(), half.NextText())
+	fmt.Println(time.Since(began) < 2500*time.Millisecond, asked.CheckHealth())
 	// Output:
 	// start 1 route view body ""
 	// closed ['\x01' '\x01' ["Failed" map[]] <nil>] closed
@@ -336,16 +336,16 @@
 func Example_lateRuntime() {
 	t := deploy()
 	defer t.close()
-	fmt.Println(t.registry.Reported())
+	fmt.Println(t.registry.NextReport())
 	s := t.client()
-	fmt.Println(s.Check())
-	s.Send(standin.Op(7, "view", standin.ID(1), nil))
-	fmt.Println(s.Hear())
-	fmt.Println("sync", t.runtime.Take())
-	t.runtime.Ready("booting")
-	standin.Until("health", func() bool { return s.Check() })
+	fmt.Println(s.CheckHealth())
+	s.Send(standin.NewRequest(7, "view", standin.RequestID(1), nil))
+	fmt.Println(s.NextText())
+	fmt.Println("sync", t.runtime.Accept())
+	t.runtime.SendReady("booting")
+	standin.WaitFor("health", func() bool { return s.CheckHealth() })
 	began := time.Now()
-	fmt.Println(t.registry.Reported(), time.Since(began) < 1200*time.Millisecond)
+	fmt.Println(t.registry.NextReport(), time.Since(began) < 1200*time.Millisecond)
 	// Output:
 	// HERE n1 on
 	// false
@@ -360,13 +360,13 @@
 	defer t.close()
 	s := t.client()
 	at := func(off time.Duration) string { return fmt.Sprint(time.Now().Add(off).UnixMilli()) }
-	s.Send(standin.Op(1, "view", standin.ID(1), nil, "at", at(time.Hour)), standin.Op(2, "view", standin.ID(2), nil, "at", at(-time.Hour)),
-		standin.Op(3, "view", standin.ID(3), nil, "at", "0"))
-	fmt.Println(t.runtime.Hear())
-	heard := map[string]bool{s.Hear(): true, s.Hear(): true}
+	s.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil, "at", at(time.Hour)), standin.NewRequest(2, "view", standin.RequestID(2), nil, "at", at(-time.Hour)),
+		standin.NewRequest(3, "view", standin.RequestID(3), nil, "at", "0"))
+	fmt.Println(t.runtime.NextCommand())
+	heard := map[string]bool{s.NextText(): true, s.NextText(): true}
 	fmt.Println(heard)
-	t.runtime.Notice("end", standin.ID(1), "success", "one")
-	fmt.Println(s.Hear())
+	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	fmt.Println(s.NextText())
 	// Output:
 	// start 1 route view body ""
 	// map[['\x01' '\x02' ["Busy" map[]] <nil>]:true ['\x01' '\x03' ["Busy" map[]] <nil>]:true]
@@ -380,38 +380,38 @@
 	defer t.close()
 	s := t.client()
 	old := t.runtime
-	s.Send(standin.Op(1, "view", standin.ID(1), nil))
-	fmt.Println(old.Hear())
+	s.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil))
+	fmt.Println(old.NextCommand())
 	text := t.movedConfig()
 	t.writeConfig(text[:len(text)/2])
 	t.sendHangup()
-	standin.Until("the half file", func() bool { return strings.Contains(t.log.text(), "msg=configuration-kept") })
-	s.Send(standin.Op(2, "pay", standin.ID(2), nil))
-	fmt.Println(old.Hear())
-	old.Notice("end", standin.ID(2), "success", "two")
-	fmt.Println(s.Hear())
+	standin.WaitFor("the half file", func() bool { return strings.Contains(t.log.text(), "msg=configuration-kept") })
+	s.Send(standin.NewRequest(2, "pay", standin.RequestID(2), nil))
+	fmt.Println(old.NextCommand())
+	old.SendNotice("end", standin.RequestID(2), "success", "two")
+	fmt.Println(s.NextText())
 	t.writeConfig(text)
-	fmt.Println("sync", t.runtime.Take()) // no ready yet, and it moves again
-	fmt.Println(old.Hear())
+	fmt.Println("sync", t.runtime.Accept()) // no ready yet, and it moves again
+	fmt.Println(old.NextCommand())
 	first := t.runtime
 	t.writeConfig(t.movedConfig())
 	t.sendHangup()
 	t.sendHangup()
-	fmt.Println("sync", t.runtime.Take())
-	fmt.Println(first.Hear())
-	t.runtime.Ready("steady")
-	fmt.Println(t.runtime.Hear()) // it may have been swallowed; nothing happens if it was not
-	t.runtime.No = 1
-	t.runtime.Notice("wants", standin.ID(1), "", "ask")
-	t.database.Next().Reply("200 OK", "", "rows")
-	fmt.Println(t.runtime.Hear())
-	t.runtime.Notice("end", standin.ID(1), "success", "one")
-	fmt.Println(s.Hear())
-	fmt.Println(t.registry.Reported())
+	fmt.Println("sync", t.runtime.Accept())
+	fmt.Println(first.NextCommand())
+	t.runtime.SendReady("steady")
+	fmt.Println(t.runtime.NextCommand()) // it may have been swallowed; nothing happens if it was not
+	t.runtime.LastNotice = 1
+	t.runtime.SendNotice("wants", standin.RequestID(1), "", "ask")
+	t.database.NextCall().Reply("200 OK", "", "rows")
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	fmt.Println(s.NextText())
+	fmt.Println(t.registry.NextReport())
 	t.sendTerminate()
 	t.writeConfig(t.movedConfig())
 	t.sendHangup()
-	fmt.Println("sync", t.runtime.Take())
+	fmt.Println("sync", t.runtime.Accept())
 	s.Close()
 	code, log := t.waitExit()
 	fmt.Println(code, strings.Count(log, "msg=configuration-kept"), strings.Count(log, "code=moved"))
@@ -436,17 +436,17 @@
 	t := deployReady()
 	defer t.close()
 	s := t.client()
-	s.Send(standin.Op(1, "view", standin.ID(1), nil))
-	t.runtime.Hear()
+	s.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil))
+	t.runtime.NextCommand()
 	t.sendTerminate()
-	standin.Until("the roster is told", func() bool { return t.registry.Reported() == "HERE n1 off" })
+	standin.WaitFor("the roster is told", func() bool { return t.registry.NextReport() == "HERE n1 off" })
 	t.sendTerminate()
-	t.runtime.Notice("end", standin.ID(1), "success", "one")
-	fmt.Println(s.Hear())
-	s.Send(standin.Op(2, "view", standin.ID(2), nil))
-	fmt.Println(t.runtime.Hear())
-	fmt.Println(s.Hear())
-	fmt.Println(s.Hear())
+	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	fmt.Println(s.NextText())
+	s.Send(standin.NewRequest(2, "view", standin.RequestID(2), nil))
+	fmt.Println(t.runtime.NextCommand())
+	fmt.Println(s.NextText())
+	fmt.Println(s.NextText())
 	s.Close()
 	code, log := t.waitExit()
 	fmt.Println(code, log[strings.LastIndex(log, "msg="):])
@@ -467,9 +467,9 @@
 	t := deploy()
 	defer t.close()
 	s := t.client()
-	s.Check()
+	s.CheckHealth()
 	t.sendTerminate()
-	fmt.Println(s.Hear(), s.Hear())
+	fmt.Println(s.NextText(), s.NextText())
 	code, _ := t.waitExit()
 	fmt.Println(code)
 	// Output:
@@ -482,12 +482,12 @@
 	t := deployReady("IDLE", "0.3")
 	defer t.close()
 	s := t.client()
-	fmt.Println(s.Hear())
-	s.Send(standin.Op(1, "view", standin.ID(1), nil))
-	fmt.Println(t.runtime.Hear())
-	t.runtime.Notice("end", standin.ID(1), "success", "one")
-	fmt.Println(s.Hear())
-	fmt.Println(s.Hear())
+	fmt.Println(s.NextText())
+	s.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil))
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	fmt.Println(s.NextText())
+	fmt.Println(s.NextText())
 	// Output:
 	// ['\x02' "goaway" []]
 	// start 1 route view body ""
@@ -501,19 +501,19 @@
 	t := deployReady()
 	defer t.close()
 	s := t.client()
-	s.Send(standin.Op(1, "view", standin.ID(1), nil, "cost", "900"))
-	fmt.Println(t.runtime.Hear())
+	s.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil, "cost", "900"))
+	fmt.Println(t.runtime.NextCommand())
 	asked := t.client()
-	asked.Check()
+	asked.CheckHealth()
 	for range 60 { // of 64 descriptors 40 are for stubs
 		t.client()
 	}
 	late := t.client()
-	late.Send(standin.Op(1, "view", standin.ID(2), nil, "cost", "900"))
-	fmt.Println(t.runtime.Hear(), asked.Check())
-	t.runtime.Notice("end", standin.ID(2), "success", "late")
-	t.runtime.Notice("end", standin.ID(1), "success", "one")
-	fmt.Println(late.Hear(), s.Hear())
+	late.Send(standin.NewRequest(1, "view", standin.RequestID(2), nil, "cost", "900"))
+	fmt.Println(t.runtime.NextCommand(), asked.CheckHealth())
+	t.runtime.SendNotice("end", standin.RequestID(2), "success", "late")
+	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	fmt.Println(late.NextText(), s.NextText())
 	fmt.Println(strings.Count(t.log.text(), "\n") < 30)
 	// Output:
 	// start 1 route view body ""
@@ -536,14 +536,14 @@
 		}
 		var b []byte
 		for n := range 10 {
-			b = standin.Pack(b, standin.Op(10*i+n, "view", standin.ID(10*i+n), nil, "kb", "1", "cost", "900"))
+			b = standin.Encode(b, standin.NewRequest(10*i+n, "view", standin.RequestID(10*i+n), nil, "kb", "1", "cost", "900"))
 		}
 		_, _ = deaf.Conn.Write(b) // fails once the connection is lost
 		for n := 0; n < 10 && !ended(); {
 			select {
-			case line := <-t.runtime.Lines:
+			case line := <-t.runtime.Messages:
 				if line["t"] == "start" {
-					t.runtime.Notice("end", line["rid"].(string), "success", result)
+					t.runtime.SendNotice("end", line["rid"].(string), "success", result)
 					n++
 				}
 			case <-time.After(50 * time.Millisecond): // the module nacked the rest of them
@@ -551,7 +551,7 @@
 			}
 		}
 	}
-	fmt.Println(other.Check())
+	fmt.Println(other.CheckHealth())
 	// Output:
 	// true
 }
@@ -564,12 +564,12 @@
 	for i := range 500 {
 		s := t.client()
 		defer s.Close()
-		s.Send(standin.Op(1, "view", standin.ID(i), nil, "kb", "1999"))
-		if strings.Contains(s.Hear(), "Busy") {
+		s.Send(standin.NewRequest(1, "view", standin.RequestID(i), nil, "kb", "1999"))
+		if strings.Contains(s.NextText(), "Busy") {
 			answered++
 		}
 	}
-	fmt.Println(answered, t.client().Check())
+	fmt.Println(answered, t.client().CheckHealth())
 	status := string(standin.Must(os.ReadFile(fmt.Sprintf("/proc/%d/status", t.cmd.Process.Pid))))
 	_, peak, _ := strings.Cut(status, "VmHWM:")
 	kb := standin.Must(strconv.Atoi(strings.Fields(peak)[0]))
@@ -584,12 +584,12 @@
 	t := deployReady(`"deep-checks":true`, `"deep-checks":true,"readiness":true`)
 	defer t.close()
 	s := t.client()
-	s.Send(standin.Op(1, "pay", standin.ID(1), nil, "cost", "1")) // a run that hangs
-	fmt.Println(t.runtime.Hear())
-	standin.Until("off", func() bool { return t.registry.Reported() == "HERE n1 off" })
-	t.runtime.Notice("end", standin.ID(1), "success", "late")
-	fmt.Println(s.Hear())
-	standin.Until("on", func() bool { return t.registry.Reported() == "HERE n1 on" })
+	s.Send(standin.NewRequest(1, "pay", standin.RequestID(1), nil, "cost", "1")) // a run that hangs
+	fmt.Println(t.runtime.NextCommand())
+	standin.WaitFor("off", func() bool { return t.registry.NextReport() == "HERE n1 off" })
+	t.runtime.SendNotice("end", standin.RequestID(1), "success", "late")
+	fmt.Println(s.NextText())
+	standin.WaitFor("on", func() bool { return t.registry.NextReport() == "HERE n1 on" })
 	// Output:
 	// start 1 route pay body ""
 	// ['\x01' '\x01' <nil> ["late" map[]]]
@@ -600,15 +600,15 @@
 	t := deployReady("FRESH", "5")
 	defer t.close()
 	s := t.client()
-	s.Send(standin.Op(1, "view", standin.ID(1), nil, "key", "k"), standin.Op(2, "view", standin.ID(2), nil, "key", "k"), standin.Op(3, "view", standin.ID(3), nil, "key", "l"))
-	fmt.Println(t.runtime.Hear())
-	fmt.Println(t.runtime.Hear())
-	t.runtime.Notice("end", standin.ID(1), "success", "one")
-	fmt.Println(s.Hear())
-	fmt.Println(s.Hear())
-	s.Send(standin.Op(4, "view", standin.ID(4), nil, "key", "k"))
-	fmt.Println(s.Hear())
-	fmt.Println(s.Check(), len(t.runtime.Lines))
+	s.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil, "key", "k"), standin.NewRequest(2, "view", standin.RequestID(2), nil, "key", "k"), standin.NewRequest(3, "view", standin.RequestID(3), nil, "key", "l"))
+	fmt.Println(t.runtime.NextCommand())
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	fmt.Println(s.NextText())
+	fmt.Println(s.NextText())
+	s.Send(standin.NewRequest(4, "view", standin.RequestID(4), nil, "key", "k"))
+	fmt.Println(s.NextText())
+	fmt.Println(s.CheckHealth(), len(t.runtime.Messages))
 	// Output:
 	// start 1 route view body ""
 	// start 3 route view body ""
--- a/cmd/lanewheel/queue_test.go
+++ b/cmd/lanewheel/queue_test.go
@@ -62,7 +62,7 @@
 
 // answers waits for as many and gives them sorted; an answer sent twice counts once.
 func (d *queueDeployment) answers(n int) (all []string) {
-	standin.Until("answers", func() bool { return d.broker.Counts("replies").Ready >= n })
+	standin.WaitFor("answers", func() bool { return d.broker.Counts("replies").Ready >= n })
 	for _, p := range d.broker.Take("replies") {
 		why, _ := p.Headers["why"].(string)
 		all = append(all, strings.TrimSpace(fmt.Sprint(p.CorrelationId, " ", p.Type, " ", string(p.Body), why)))
@@ -77,23 +77,23 @@
 	d := deployWithQueue(queueOperatorFile)
 	defer d.close()
 	d.broker.Publish("ops", queueMessage("m1", "pay"))
-	start := d.runtime.Next()
+	start := d.runtime.NextMessage()
 	fmt.Println(start["t"], start["route"])
 	d.broker.Cut()
-	standin.Until("the next connection", func() bool {
+	standin.WaitFor("the next connection", func() bool {
 		ever, _ := d.broker.Connections()
 		return ever == 2 && d.broker.Counts("ops").Unsettled == 1
 	})
-	d.runtime.Notice("end", start["rid"].(string), "success", "one")
+	d.runtime.SendNotice("end", start["rid"].(string), "success", "one")
 	fmt.Println(d.answers(1))
 	d.broker.Publish("ops", queueMessage("m2", "what"))
 	s := d.client()
-	s.Send(standin.Op(1, "view", standin.ID(1), nil))
-	fmt.Println(d.runtime.Hear())
-	d.runtime.Notice("end", standin.ID(1), "success", "two")
-	fmt.Println(s.Hear(), d.answers(1), d.broker.Counts("dead").Ready)
-	standin.Until("the acks", func() bool { return d.broker.Counts("ops").Acked == 2 })
-	fmt.Println(len(d.runtime.Lines), d.broker.Wrong())
+	s.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil))
+	fmt.Println(d.runtime.NextCommand())
+	d.runtime.SendNotice("end", standin.RequestID(1), "success", "two")
+	fmt.Println(s.NextText(), d.answers(1), d.broker.Counts("dead").Ready)
+	standin.WaitFor("the acks", func() bool { return d.broker.Counts("ops").Acked == 2 })
+	fmt.Println(len(d.runtime.Messages), d.broker.Wrong())
 	// Output:
 	// start pay
 	// [m1 acked one]
@@ -166,14 +166,14 @@
 	for i := range 60 {
 		d.broker.Publish("ops", queueMessage(fmt.Sprintf("m%02d", i), "view"))
 	}
-	standin.Until("as many in hand as told", func() bool { return d.broker.Counts("ops").Unsettled == 30 })
+	standin.WaitFor("as many in hand as told", func() bool { return d.broker.Counts("ops").Unsettled == 30 })
 	ran := 1
-	d.runtime.Notice("end", d.runtime.Next()["rid"].(string), "success", "done")
+	d.runtime.SendNotice("end", d.runtime.NextMessage()["rid"].(string), "success", "done")
 	d.sendTerminate()
-	for line := range d.runtime.Lines {
+	for line := range d.runtime.Messages {
 		if line["t"] == "start" {
 			ran++
-			d.runtime.Notice("end", line["rid"].(string), "success", "done")
+			d.runtime.SendNotice("end", line["rid"].(string), "success", "done")
 		}
 	}
 	code, log := d.waitExit()
@@ -200,14 +200,14 @@
 		defer d.close()
 		var mu sync.Mutex
 		runs := map[string]int{}
-		d.runtime.Work(8, 200*time.Microsecond, 7, func(id, kind, _ string) { mu.Lock(); runs[id]++; mu.Unlock() })
-		d.database.Work()
+		d.runtime.AutoRun(8, 200*time.Microsecond, 7, func(id, kind, _ string) { mu.Lock(); runs[id]++; mu.Unlock() })
+		d.database.AutoReply()
 		d.broker.Script(broker.Fault{Connection: 1, Frame: 90}, broker.Fault{Connection: 2, Frame: 333, How: broker.Half},
 			broker.Fault{Connection: 3, Frame: 200, How: broker.Stall, For: 50 * time.Millisecond}, broker.Fault{Connection: 3, Frame: 412, How: broker.Half})
 		for i := range many {
 			d.broker.Publish("ops", queueMessage(fmt.Sprintf("m%03d", i), []string{"view", "pay", "list"}[i%3]))
 		}
-		standin.Until("the last ack", func() bool { c := d.broker.Counts("ops"); return c.Acked == many && c.Unsettled+c.Ready == 0 })
+		standin.WaitFor("the last ack", func() bool { c := d.broker.Counts("ops"); return c.Acked == many && c.Unsettled+c.Ready == 0 })
 		all := d.answers(many) // each was confirmed before its ack
 		outcomes := map[string]int{}
 		for _, a := range all {
@@ -264,14 +264,14 @@
 				drained = time.Since(began)
 			}()
 			s := d.client()
-			s.Check()
+			s.CheckHealth()
 			took := hdrhistogram.New(1, 60e6, 3)
 			b.ResetTimer()
 			for n := range b.N {
 				time.Sleep(time.Until(began.Add(time.Duration(n) * 5 * time.Millisecond)))
 				at := time.Now()
-				s.Send(standin.Op(n+2, "view", fmt.Sprintf("%08x%08x", 1, n), nil, "kb", "1"))
-				if a, err := s.Answer(); err != nil || a.Error != "" {
+				s.Send(standin.NewRequest(n+2, "view", fmt.Sprintf("%08x%08x", 1, n), nil, "kb", "1"))
+				if a, err := s.NextResponse(); err != nil || a.Error != "" {
 					b.Fatal(a, err)
 				}
 				_ = took.RecordValue(time.Since(at).Microseconds())
@@ -294,7 +294,7 @@
 	defer d.close()
 	before := residentKB(d.cmd.Process.Pid)
 	go func() {
-		for range d.runtime.Lines {
+		for range d.runtime.Messages {
 		}
 	}()
 	for i := range many {
--- a/cmd/lanewheel/rotation_test.go
+++ b/cmd/lanewheel/rotation_test.go
@@ -138,7 +138,7 @@
 	for range 2 { // one reading may have begun before the files were written
 		before := strings.Count(h.log.text(), "msg=operated")
 		h.sendHangup()
-		standin.Until("the reload", func() bool { return strings.Count(h.log.text(), "msg=operated") > before })
+		standin.WaitFor("the reload", func() bool { return strings.Count(h.log.text(), "msg=operated") > before })
 	}
 }
 
@@ -179,12 +179,12 @@
 		}
 		id := fmt.Sprintf("%08x%08x", k, n)
 		before := time.Now()
-		conn.Send(standin.Op(n, kind, id, nil, "kb", "1", "cost", "1", "token", t.raw, "tenant", claims))
-		a, err := conn.Answer()
+		conn.Send(standin.NewRequest(n, kind, id, nil, "kb", "1", "cost", "1", "token", t.raw, "tenant", claims))
+		a, err := conn.NextResponse()
 		after := time.Now()
 		s.mu.Lock()
 		s.sent++
-		if err != nil || a.N != n {
+		if err != nil || a.Number != n {
 			s.unanswered++
 			conn = i.deployment.client()
 			s.mu.Unlock()
@@ -229,8 +229,8 @@
 	h := deployWithAuth()
 	defer h.close()
 	var ran sync.Map
-	h.database.Work()
-	h.runtime.Work(2, 500*time.Microsecond, 1, func(id, kind, _ string) { ran.Store(id, kind) })
+	h.database.AutoReply()
+	h.runtime.AutoRun(2, 500*time.Microsecond, 1, func(id, kind, _ string) { ran.Store(id, kind) })
 	i := &issuer{deployment: h, revoked: map[string][2]time.Time{}}
 	i.rotate(0)
 	s := &loadResult{denials: map[string]int{}, deniedIDs: map[string]bool{}}
--- a/cmd/lanewheel/services_test.go
+++ b/cmd/lanewheel/services_test.go
@@ -29,28 +29,28 @@
 	defer t.close()
 	s := t.client()
 	ask := func(n int) {
-		s.Send(standin.Op(n, "pay", standin.ID(n), nil))
-		t.runtime.Hear()
-		t.runtime.Notice("wants", standin.ID(n), "", fmt.Sprint("ask", n))
+		s.Send(standin.NewRequest(n, "pay", standin.RequestID(n), nil))
+		t.runtime.NextCommand()
+		t.runtime.SendNotice("wants", standin.RequestID(n), "", fmt.Sprint("ask", n))
 	}
 	ask(1)
 	ask(2)
-	first, second := a.Next(), b.Next()
+	first, second := a.NextCall(), b.NextCall()
 	fmt.Println(first.Text != second.Text)
 	ask(3)
 	fmt.Println(len(a.Calls), len(b.Calls))
 	second.Reply("200 OK", "", "rows")
-	fmt.Println(t.runtime.Hear()[:4])
-	third := b.Next()
+	fmt.Println(t.runtime.NextCommand()[:4])
+	third := b.NextCall()
 	fmt.Println(third.Text)
 	third.Reply("200 OK", "", "rows")
-	t.runtime.Hear()
+	t.runtime.NextCommand()
 
 	// The first one's time below runs out; nothing more goes there before that, and then it does.
 	b.Listener.Close()
 	ask(4)
 	fmt.Println(len(a.Calls))
-	fmt.Println(a.Next().Text)
+	fmt.Println(a.NextCall().Text)
 	fmt.Println(len(t.database.Calls))
 	// Output:
 	// true
--- a/cmd/lanewheel/starts_test.go
+++ b/cmd/lanewheel/starts_test.go
@@ -21,24 +21,24 @@
 	t := deployReady(append(absent, `"below":"common"`, `"below":"silent"`)...)
 	defer t.close()
 	s := t.client()
-	s.Send(standin.Op(1, "view", standin.ID(1), []byte("a")))
-	fmt.Println(t.runtime.Hear())
-	t.runtime.Notice("end", standin.ID(1), "success", "one")
-	fmt.Println(s.Hear())
-	s.Send(standin.Op(2, "list", standin.ID(2), nil))
-	fmt.Println(t.runtime.Hear())
-	t.runtime.Notice("wants", standin.ID(2), "", "ask")
-	fmt.Println(t.runtime.Hear())
-	t.runtime.Notice("end", standin.ID(2), "success", "two")
-	fmt.Println(s.Hear())
+	s.Send(standin.NewRequest(1, "view", standin.RequestID(1), []byte("a")))
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	fmt.Println(s.NextText())
+	s.Send(standin.NewRequest(2, "list", standin.RequestID(2), nil))
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("wants", standin.RequestID(2), "", "ask")
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("end", standin.RequestID(2), "success", "two")
+	fmt.Println(s.NextText())
 	t.writeConfig(strings.NewReplacer(`"was-db":`, `"db":`, `"was-roster":`, `"roster":`).Replace(t.config))
 	t.sendHangup()
-	standin.Until("the move", func() bool { return strings.Contains(t.log.text(), "msg=moved") })
-	fmt.Println(t.registry.Reported())
-	s.Send(standin.Op(3, "list", standin.ID(3), nil))
-	fmt.Println(t.runtime.Hear())
-	t.runtime.Notice("wants", standin.ID(3), "", "ask")
-	fmt.Println(t.database.Next().Text)
+	standin.WaitFor("the move", func() bool { return strings.Contains(t.log.text(), "msg=moved") })
+	fmt.Println(t.registry.NextReport())
+	s.Send(standin.NewRequest(3, "list", standin.RequestID(3), nil))
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("wants", standin.RequestID(3), "", "ask")
+	fmt.Println(t.database.NextCall().Text)
 
 	cut := deploy(absent...)
 	defer cut.close()
@@ -69,49 +69,49 @@
 	held := func() int {
 		return len(standin.Must(os.ReadDir(fmt.Sprintf("/proc/%d/fd", t.cmd.Process.Pid))))
 	}
-	var idle []*standin.Stub
+	var idle []*standin.Client
 	peak := 0
 	for range 60 {
 		idle = append(idle, t.client())
 		peak = max(peak, held())
 	}
-	t.runtime.Take() // the link comes, or came before them
-	t.runtime.Ready("steady")
+	t.runtime.Accept() // the link comes, or came before them
+	t.runtime.SendReady("steady")
 	s := t.client()
-	standin.Until("health", func() bool { return s.Check() })
+	standin.WaitFor("health", func() bool { return s.CheckHealth() })
 	asked := map[string]int{}
 	for n := 1; n <= 6; n++ { // as many calls at a time as their share lets through, more than there is room for connections
-		s.Send(standin.Op(n, "pay", standin.ID(n), nil, "kb", "1"))
-		t.runtime.Hear()
-		t.runtime.Notice("wants", standin.ID(n), "", "ask")
+		s.Send(standin.NewRequest(n, "pay", standin.RequestID(n), nil, "kb", "1"))
+		t.runtime.NextCommand()
+		t.runtime.SendNotice("wants", standin.RequestID(n), "", "ask")
 	}
 	for range 40 {
 		idle = append(idle, t.client())
 		peak = max(peak, held())
 	}
 	for range 6 {
-		call := t.database.Next()
+		call := t.database.NextCall()
 		asked[call.Text[:14]]++
 		call.Reply("200 OK", "", "rows")
-		fmt.Print(t.runtime.Hear()[:4], " ")
+		fmt.Print(t.runtime.NextCommand()[:4], " ")
 	}
 	fmt.Println(asked)
 	for n := 1; n <= 6; n++ {
-		t.runtime.Notice("end", standin.ID(n), "success", "done")
-		s.Hear()
+		t.runtime.SendNotice("end", standin.RequestID(n), "success", "done")
+		s.NextText()
 	}
-	fmt.Println(t.registry.Reported())
+	fmt.Println(t.registry.NextReport())
 	t.writeConfig(t.movedConfig())
 	t.sendHangup()
-	fmt.Println("sync", t.runtime.Take())
-	t.runtime.Ready("steady")
-	fmt.Println(t.registry.Reported())
-	s.Send(standin.Op(7, "pay", standin.ID(7), nil))
-	fmt.Println(t.runtime.Hear())
-	t.runtime.Notice("end", standin.ID(7), "success", "seven")
-	fmt.Println(s.Hear())
+	fmt.Println("sync", t.runtime.Accept())
+	t.runtime.SendReady("steady")
+	fmt.Println(t.registry.NextReport())
+	s.Send(standin.NewRequest(7, "pay", standin.RequestID(7), nil))
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("end", standin.RequestID(7), "success", "seven")
+	fmt.Println(s.NextText())
 	peak = max(peak, held())
-	fmt.Println("first to rest, first to go:", idle[0].Hear())
+	fmt.Println("first to rest, first to go:", idle[0].NextText())
 	t.sendTerminate()
 	code, _ := t.waitExit()
 	fmt.Println(code, "within the limit:", peak <= most)
@@ -148,10 +148,10 @@
 		} else {
 			time.Sleep(100 * time.Millisecond) // some tries; without them the program is over by now
 			before.Close()
-			t.runtime.Take()
-			t.runtime.Ready("steady")
+			t.runtime.Accept()
+			t.runtime.SendReady("steady")
 			s := t.client()
-			standin.Until("health", func() bool { return s.Check() })
+			standin.WaitFor("health", func() bool { return s.CheckHealth() })
 			fmt.Println("up")
 		}
 		t.close()
@@ -177,21 +177,21 @@
 	t.start(strings.NewReplacer(t.database.Addr(), hole, t.registry.Addr(), free.Addr().String(), t.runtime.Addr(), free.Addr().String()).Replace(t.config))
 	defer t.close()
 	s := t.client()
-	fmt.Println("before:", s.Check())
+	fmt.Println("before:", s.CheckHealth())
 	t.runtime = &standin.Runtime{Listener: standin.Must(net.Listen("tcp", free.Addr().String()))}
-	t.runtime.Take()
-	t.runtime.Ready("booting")
+	t.runtime.Accept()
+	t.runtime.SendReady("booting")
 	began := time.Now()
-	standin.Until("health", func() bool { return s.Check() })
+	standin.WaitFor("health", func() bool { return s.CheckHealth() })
 	fmt.Println("ready at once:", time.Since(began) < time.Second)
-	s.Send(standin.Op(1, "view", standin.ID(1), nil))
-	fmt.Println(t.runtime.Hear())
-	t.runtime.Notice("end", standin.ID(1), "success", "one")
-	fmt.Println(s.Hear())
-	s.Send(standin.Op(2, "list", standin.ID(2), nil)) // it can leave the call out, and does before its time is over
-	fmt.Println(t.runtime.Hear())
-	t.runtime.Notice("wants", standin.ID(2), "", "ask")
-	fmt.Println(t.runtime.Hear())
+	s.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil))
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	fmt.Println(s.NextText())
+	s.Send(standin.NewRequest(2, "list", standin.RequestID(2), nil)) // it can leave the call out, and does before its time is over
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("wants", standin.RequestID(2), "", "ask")
+	fmt.Println(t.runtime.NextCommand())
 	// Output:
 	// before: false
 	// ready at once: true
@@ -207,15 +207,15 @@
 	t := deployReady()
 	defer t.close()
 	s := t.client()
-	s.Send(standin.Op(1, "view", standin.ID(1), nil))
-	fmt.Println(t.runtime.Hear())
+	s.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil))
+	fmt.Println(t.runtime.NextCommand())
 	if err := s.Conn.(*net.TCPConn).CloseWrite(); err != nil {
 		panic(err)
 	}
-	fmt.Println(t.runtime.Hear())
-	t.runtime.Notice("end", standin.ID(1), "success", "one")
-	fmt.Println(s.Hear())
-	fmt.Println(t.client().Check())
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	fmt.Println(s.NextText())
+	fmt.Println(t.client().CheckHealth())
 	// Output:
 	// start 1 route view body ""
 	// stop 1
@@ -235,13 +235,13 @@
 		`"sockets":64`, `"sockets":4096`, `"memory-kb":1900`, `"memory-kb":1900000`, `"cpus":2`, `"cpus":64`)
 	defer t.close()
 	t.endRunsAtOnce()
-	var all []*standin.Stub
+	var all []*standin.Client
 	answers := map[string]int{}
 	for i := range many {
 		s := t.client()
 		all = append(all, s)
-		s.Send(standin.Op(1, fmt.Sprint("k", i), standin.ID(i), nil, "tenant", fmt.Sprint("t", many-1-i), "kb", "1", "from", fmt.Sprint(i)))
-		answers[s.Hear()]++
+		s.Send(standin.NewRequest(1, fmt.Sprint("k", i), standin.RequestID(i), nil, "tenant", fmt.Sprint("t", many-1-i), "kb", "1", "from", fmt.Sprint(i)))
+		answers[s.NextText()]++
 	}
 	fmt.Println(len(all), answers, strings.Contains(t.log.text(), "crowded"))
 	for _, s := range all {
--- a/internal/amqp/amqp_test.go
+++ b/internal/amqp/amqp_test.go
@@ -110,7 +110,7 @@
 
 func (s *testbed) close() {
 	s.consumer.Drain(time.Second)
-	standin.Until("the end of the front", s.consumer.Drained)
+	standin.WaitFor("the end of the front", s.consumer.Drained)
 	s.broker.Close()
 	s.server.Post(s.server.Quit)
 }
@@ -121,7 +121,7 @@
 
 // settled waits until nothing is left in a queue.
 func (s *testbed) settled(name string) {
-	standin.Until("the end of "+name, func() bool {
+	standin.WaitFor("the end of "+name, func() bool {
 		c := s.broker.Counts(name)
 		return c.Ready+c.Unsettled == 0
 	})
@@ -177,7 +177,7 @@
 		b.Publish("ops", p)
 	}
 	s.settled("ops")
-	standin.Until("all answers", func() bool { return b.Counts("replies").Ready == 8 }) // nobody can tell where nested's goes
+	standin.WaitFor("all answers", func() bool { return b.Counts("replies").Ready == 8 }) // nobody can tell where nested's goes
 	for _, r := range s.replies() {
 		fmt.Println(r)
 	}
@@ -222,7 +222,7 @@
 			b.Publish("ops", newMessage(fmt.Sprint(kinds[i%3], i), kinds[i%3]))
 		}
 		s.settled("ops")
-		standin.Until("all answers", func() bool { return b.Counts("replies").Ready >= 12 })
+		standin.WaitFor("all answers", func() bool { return b.Counts("replies").Ready >= 12 })
 		replies := s.replies()
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -295,11 +295,11 @@
 		}
 		s := startTestbed(b, c, testConfig(b, q))
 		b.Publish("ops", newMessage("once", "pay"))
-		standin.Until("an answer", func() bool { return b.Counts("replies").Ready == 1 })
+		standin.WaitFor("an answer", func() bool { return b.Counts("replies").Ready == 1 })
 		fmt.Println(s.replies(), "put back", b.Counts("ops").Requeued, "rejected", b.Counts("ops").Rejected)
 		if retry {
 			b.Publish("ops", newMessage("never", "pay"))
-			standin.Until("its end", func() bool { return b.Counts("dead").Ready == 1 })
+			standin.WaitFor("its end", func() bool { return b.Counts("dead").Ready == 1 })
 			fmt.Println(s.replies(), "rejected", b.Counts("ops").Rejected, "dead", b.Counts("dead").Ready)
 		}
 		s.close()
@@ -335,7 +335,7 @@
 		for i := range 20 {
 			b.Publish("ops", newMessage(fmt.Sprintf("m%02d", i), "view"))
 		}
-		standin.Until("six in hand", func() bool { mu.Lock(); defer mu.Unlock(); return len(held) == 6 })
+		standin.WaitFor("six in hand", func() bool { mu.Lock(); defer mu.Unlock(); return len(held) == 6 })
 		s.server.set(func(l *front.Load) { l.Draining = true })
 		s.consumer.Drain(800 * time.Millisecond)
 		s.consumer.Drain(time.Hour) // a second notice changes nothing
@@ -353,7 +353,7 @@
 				end(i < 2)
 			}
 		})
-		standin.Until("the end", s.consumer.Drained)
+		standin.WaitFor("the end", s.consumer.Drained)
 		fmt.Println(how, "in time", time.Since(began) < 1500*time.Millisecond)
 		if how == "well" {
 			counts := b.Counts("ops")
@@ -380,7 +380,7 @@
 	b.Publish("ops", newMessage("a", "view"))
 	s.settled("ops")
 	b.Block(true)
-	standin.Until("the intake's end", func() bool { return b.Counts("ops").Consumers == 0 })
+	standin.WaitFor("the intake's end", func() bool { return b.Counts("ops").Consumers == 0 })
 	b.Publish("ops", newMessage("b", "view"))
 	fmt.Println(state(s), b.Counts("ops").Ready)
 	b.Block(false)
@@ -424,11 +424,11 @@
 	other.Body = []byte("b")
 	b.Publish("ops", newMessage("a", "pay"))
 	b.Publish("ops", newMessage("a", "pay"))
-	standin.Until("both in hand", func() bool { return b.Counts("ops").Unsettled == 2 })
+	standin.WaitFor("both in hand", func() bool { return b.Counts("ops").Unsettled == 2 })
 	b.Publish("ops", other)
-	standin.Until("the other's end", func() bool { return b.Counts("ops").Acked == 1 })
+	standin.WaitFor("the other's end", func() bool { return b.Counts("ops").Acked == 1 })
 	b.Break()
-	standin.Until("both again", func() bool { x := b.Counts("ops"); return x.Redelivered == 2 && x.Unsettled == 2 })
+	standin.WaitFor("both again", func() bool { x := b.Counts("ops"); return x.Redelivered == 2 && x.Unsettled == 2 })
 	c.Post(func() {
 		mu.Lock()
 		defer mu.Unlock()
@@ -467,7 +467,7 @@
 		if a.Certificate == ours.Certificate {
 			s.settled("ops")
 		} else {
-			standin.Until("some tries", func() bool { ever, _ := b.Connections(); return ever > 1 })
+			standin.WaitFor("some tries", func() bool { ever, _ := b.Connections(); return ever > 1 })
 		}
 		fmt.Println(b.Counts("ops").Acked, s.replies())
 		s.close()
@@ -531,10 +531,10 @@
 		b.Publish("ops", newMessage(fmt.Sprint(i), "view"))
 	}
 	one.settled("ops")
-	standin.Until("all answers", func() bool { return b.Counts("replies").Ready == 300 })
+	standin.WaitFor("all answers", func() bool { return b.Counts("replies").Ready == 300 })
 	fmt.Println(len(one.replies()), len(fast.runs)+len(slow.runs), len(slow.runs) < 30)
 	one.consumer.Drain(time.Second)
-	standin.Until("its end", one.consumer.Drained)
+	standin.WaitFor("its end", one.consumer.Drained)
 	two.close()
 	// Output:
 	// 300 300 true
--- a/internal/amqp/golden_test.go
+++ b/internal/amqp/golden_test.go
@@ -153,12 +153,12 @@
 	lost := newMessage("lost", "pay")
 	lost.Body = []byte("hold")
 	b.Publish("ops", lost)
-	standin.Until("one in hand", func() bool { mu.Lock(); defer mu.Unlock(); return held["pay"] != nil })
+	standin.WaitFor("one in hand", func() bool { mu.Lock(); defer mu.Unlock(); return held["pay"] != nil })
 	s.consumer.Drain(0)
-	standin.Until("the end of the first front", s.consumer.Drained)
+	standin.WaitFor("the end of the first front", s.consumer.Drained)
 	s = startTestbed(b, c, testConfig(b, q))
 	defer s.close()
-	standin.Until("its answer", func() bool { return b.Counts("replies").Ready == 1 })
+	standin.WaitFor("its answer", func() bool { return b.Counts("replies").Ready == 1 })
 	for _, kind := range []string{"view", "deny", "what", "fail"} {
 		b.Publish("ops", newMessage(kind, kind))
 	}
@@ -175,12 +175,12 @@
 	for _, p := range []client.Publishing{late, odd, again, retried, once} {
 		b.Publish("ops", p)
 	}
-	standin.Until("one in hand", func() bool { mu.Lock(); defer mu.Unlock(); return held["view"] != nil })
+	standin.WaitFor("one in hand", func() bool { mu.Lock(); defer mu.Unlock(); return held["view"] != nil })
 	b.Publish("ops", twice)
-	standin.Until("all but one answer", func() bool { return b.Counts("replies").Ready == 9 })
+	standin.WaitFor("all but one answer", func() bool { return b.Counts("replies").Ready == 9 })
 	c.Post(held["view"])
 	s.settled("ops")
-	standin.Until("all answers", func() bool {
+	standin.WaitFor("all answers", func() bool {
 		return b.Counts("replies").Ready == 10 &&
 			b.Counts("ops.retry").Ready == 1
 	})
--- a/internal/command/try.go
+++ b/internal/command/try.go
@@ -79,11 +79,11 @@
 		}
 		token = strings.TrimSpace(string(text))
 	}
-	runtime, database, registry := standin.NewRuntime(), standin.NewDatabase(), standin.NewRoster()
+	runtime, database, registry := standin.NewRuntime(), standin.NewDatabase(), standin.NewRegistry()
 	defer runtime.Listener.Close()
 	defer database.Listener.Close()
 	defer registry.Close()
-	database.Work()
+	database.AutoReply()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -137,9 +137,9 @@
 	up := make(chan struct{})
 	go func() {
 		defer func() { _ = recover() }() // it never came: the child's end tells why
-		runtime.Take()
-		runtime.Ready("steady")
-		runtime.Work(2, c.MeanRunTime, c.Seed, nil)
+		runtime.Accept()
+		runtime.SendReady("steady")
+		runtime.AutoRun(2, c.MeanRunTime, c.Seed, nil)
 		close(up)
 	}()
 	select {
@@ -147,7 +147,7 @@
 	case <-ended:
 		logText, _ := os.ReadFile(logged)
 		return fmt.Errorf("the instance did not start:\n%s", logText)
-	case <-time.After(2 * standin.Patience):
+	case <-time.After(2 * standin.WaitTimeout):
 		_ = child.Process.Kill()
 		return errors.New("the instance does not come up")
 	}
@@ -182,7 +182,7 @@
 	_ = child.Process.Signal(syscall.SIGTERM)
 	select {
 	case err = <-ended:
-	case <-time.After(standin.Patience):
+	case <-time.After(standin.WaitTimeout):
 		_ = child.Process.Kill()
 		err = errors.New("it does not end after SIGTERM")
 	}
@@ -221,13 +221,13 @@
 	go func() {
 		defer close(done)
 		for {
-			response, err := connection.Answer()
+			response, err := connection.NextResponse()
 			if err != nil {
 				return
 			}
 			mu.Lock()
-			request, known := pending[response.N]
-			delete(pending, response.N)
+			request, known := pending[response.Number]
+			delete(pending, response.Number)
 			mu.Unlock()
 			if known {
 				t.record(request.kind, time.Since(request.at), response)
@@ -262,7 +262,7 @@
 		}
 		t.mu.Unlock()
 		if !full {
-			connection.Send(standin.Op(n, class, fmt.Sprintf("%08x%08x", number, n), []byte("body"), fields...))
+			connection.Send(standin.NewRequest(n, class, fmt.Sprintf("%08x%08x", number, n), []byte("body"), fields...))
 		}
 	}
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) { // the op timeout
@@ -293,7 +293,7 @@
 		for _, p := range fakeBroker.Take("try.answers") {
 			if sent, pending := sentAt[p.CorrelationId]; pending {
 				delete(sentAt, p.CorrelationId)
-				response := standin.Answer{Error: p.Type}
+				response := standin.Response{Error: p.Type}
 				switch p.Type {
 				case "acked":
 					response.Error = ""
@@ -324,7 +324,7 @@
 	t.mu.Unlock()
 }
 
-func (t *loadTest) record(class string, latency time.Duration, response standin.Answer) {
+func (t *loadTest) record(class string, latency time.Duration, response standin.Response) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	result := t.classes[class]
--- a/internal/drill/links_test.go
+++ b/internal/drill/links_test.go
@@ -93,7 +93,7 @@
 	p := newPair()
 	defer p.close()
 	p.send(0, 1)
-	standin.Until("the first", func() bool { return p.came[1].Load() == 1 })
+	standin.WaitFor("the first", func() bool { return p.came[1].Load() == 1 })
 	if got := p.last[1].Load(); got != `"ax" from the other's front: true` {
 		t.Fatal(got)
 	}
@@ -111,9 +111,9 @@
 		began := time.Now()
 		p.send(0, 10)
 		p.send(1, 3) // the way back is as it was
-		standin.Until("the way back", func() bool { return p.came[0].Load() == back+3 })
+		standin.WaitFor("the way back", func() bool { return p.came[0].Load() == back+3 })
 		if x.came > 0 {
-			standin.Until(x.do, func() bool { return p.came[1].Load() == before+x.came })
+			standin.WaitFor(x.do, func() bool { return p.came[1].Load() == before+x.came })
 		} else {
 			time.Sleep(20 * time.Millisecond)
 		}
--- a/internal/drill/load.go
+++ b/internal/drill/load.go
@@ -78,13 +78,13 @@
 			time.Sleep(20 * time.Millisecond)
 			continue
 		}
-		stub := standin.NewStub(conn)
+		stub := standin.NewClient(conn)
 		inFlight := map[int]*issuedRequest{}
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
 			for {
-				response, err := stub.Answer()
+				response, err := stub.NextResponse()
 				if err != nil {
 					h.mu.Lock()
 					for _, request := range inFlight {
@@ -96,7 +96,7 @@
 					return
 				}
 				h.mu.Lock()
-				if request := inFlight[response.N]; request != nil {
+				if request := inFlight[response.Number]; request != nil {
 					request.responses++
 					request.answeredAt, request.outcome = time.Now(), response.Error
 					if response.Error == "" {
@@ -131,7 +131,7 @@
 			if outstanding >= 32 {
 				continue
 			}
-			if !trySend(stub, standin.Op(number, request.class, request.id, []byte(request.id), "from", fmt.Sprint(client), "kb", "1", "rank", "0.5", "cost", "5")) {
+			if !trySend(stub, standin.NewRequest(number, request.class, request.id, []byte(request.id), "from", fmt.Sprint(client), "kb", "1", "rank", "0.5", "cost", "5")) {
 				connected = false
 			}
 		}
@@ -150,7 +150,7 @@
 	}
 }
 
-func trySend(s *standin.Stub, message []any) (sent bool) {
+func trySend(s *standin.Client, message []any) (sent bool) {
 	defer func() { sent = recover() == nil }() // the connection ended: the reader tells
 	s.Send(message)
 	return true
--- a/internal/drill/stewards.go
+++ b/internal/drill/stewards.go
@@ -294,9 +294,9 @@
 }
 
 // releaseFaults is what is wrong with a release, as the script has it.
-func (w *cluster) releaseFaults(release string) (standin.Spoils, bool) {
+func (w *cluster) releaseFaults(release string) (standin.RuntimeFaults, bool) {
 	if w.script.BadRelease.Release == "" || w.script.BadRelease.Release != release {
-		return standin.Spoils{}, false
+		return standin.RuntimeFaults{}, false
 	}
-	return standin.Spoils{Slow: w.script.BadRelease.RunTimeFactor, Fail: w.script.BadRelease.FailRuns}, true
+	return standin.RuntimeFaults{SlowFactor: w.script.BadRelease.RunTimeFactor, FailRuns: w.script.BadRelease.FailRuns}, true
 }
--- a/internal/drill/world.go
+++ b/internal/drill/world.go
@@ -37,7 +37,7 @@
 	dir             string
 	runtime         *standin.Runtime
 	runtimeDelayed  bool // its runtime does not take links
-	runtimeFaults   standin.Spoils
+	runtimeFaults   standin.RuntimeFaults
 	mu              sync.Mutex
 	cmd             *exec.Cmd
 	exit            chan struct{}
@@ -58,7 +58,7 @@
 	dir       string
 	links     *network
 	database  *standin.Database
-	registry  *standin.Roster
+	registry  *standin.Registry
 	processes []*process
 
 	services     []*fakeService
@@ -80,8 +80,8 @@
 )
 
 func newCluster(script *operator.Drill, binary, dir string) (*cluster, error) {
-	w := &cluster{script: script, binary: binary, dir: dir, links: newNetwork(script.RandomSeed, streamPorts(script)...), database: standin.NewDatabase(), registry: standin.NewRoster(), starts: make(chan func())}
-	w.database.Work()
+	w := &cluster{script: script, binary: binary, dir: dir, links: newNetwork(script.RandomSeed, streamPorts(script)...), database: standin.NewDatabase(), registry: standin.NewRegistry(), starts: make(chan func())}
+	w.database.AutoReply()
 	w.loadFactor.Store(math.Float64bits(1))
 	go func() { // the kernel ends a child with the thread that started it: this one stays, whatever becomes of the others
 		runtime.LockOSThread()
@@ -125,25 +125,25 @@
 func (w *cluster) serveRuntime(p *process) {
 	for life := uint64(0); ; life++ {
 		runtime := &standin.Runtime{Listener: p.runtime.Listener}
-		if !runtime.Try() {
+		if !runtime.TryAccept() {
 			return
 		}
 		for p.isRuntimeDelayed() {
 			time.Sleep(20 * time.Millisecond)
 		}
-		runtime.Spoils = p.currentRuntimeFaults
-		runtime.Ready("steady")
+		runtime.Faults = p.currentRuntimeFaults
+		runtime.SendReady("steady")
 		if w.disruptions != nil {
 			w.disruptions.noteBack(p)
 		}
-		runtime.Work(2, w.script.MeanRunTime, w.script.RandomSeed+life<<32+uint64(p.index), func(_, _, body string) { w.onExecution(p, body) })
+		runtime.AutoRun(2, w.script.MeanRunTime, w.script.RandomSeed+life<<32+uint64(p.index), func(_, _, body string) { w.onExecution(p, body) })
 	}
 }
 
-func (p *process) currentRuntimeFaults() standin.Spoils {
+func (p *process) currentRuntimeFaults() standin.RuntimeFaults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if bad, is := p.cluster.releaseFaults(p.release); is && p.runtimeFaults == (standin.Spoils{}) {
+	if bad, is := p.cluster.releaseFaults(p.release); is && p.runtimeFaults == (standin.RuntimeFaults{}) {
 		return bad
 	}
 	return p.runtimeFaults
@@ -488,9 +488,9 @@
 		}
 	case fault.Action == "slow-runs" || fault.Action == "fail-runs" || fault.Action == "lose-runs":
 		p.mu.Lock()
-		p.runtimeFaults = standin.Spoils{}
+		p.runtimeFaults = standin.RuntimeFaults{}
 		if !event.Undo {
-			p.runtimeFaults = standin.Spoils{Slow: fault.Factor, Fail: fault.Action == "fail-runs", Lose: fault.Action == "lose-runs"}
+			p.runtimeFaults = standin.RuntimeFaults{SlowFactor: fault.Factor, FailRuns: fault.Action == "fail-runs", LoseRuns: fault.Action == "lose-runs"}
 		}
 		p.mu.Unlock()
 	case fault.Action == "keys" && !event.Undo || fault.Action == "seeds" && !event.Undo:
--- a/internal/fleet/steward/golden_test.go
+++ b/internal/fleet/steward/golden_test.go
@@ -169,7 +169,7 @@
 	if *update {
 		folder := t.TempDir()
 		s := standin.Must(New(goldenTold(folder)))
-		standin.Until("it leads", func() bool { return s.IsLeader() && s.replica.settled() })
+		standin.WaitFor("it leads", func() bool { return s.IsLeader() && s.replica.settled() })
 		for _, c := range before {
 			t.Log(c.Kind, c.Member, c.PermitID, standin.Must(s.replica.apply(c)))
 		}
@@ -226,7 +226,7 @@
 	if s.replica.id != raft.ServerID("s0."+life) {
 		t.Errorf("it is %s, wanted s0.%s", s.replica.id, life)
 	}
-	standin.Until("it leads", func() bool { return s.IsLeader() && s.replica.settled() })
+	standin.WaitFor("it leads", func() bool { return s.IsLeader() && s.replica.settled() })
 
 	// The log holds the commands byte for byte as they are written now.
 	commands := append(slices.Clone(before), behind...)
--- a/internal/fleet/steward/speak_test.go
+++ b/internal/fleet/steward/speak_test.go
@@ -23,7 +23,7 @@
 		_, err := ask.Client{Coordinators: []string{l.Addr().String()}, Keys: keys, Timeout: time.Second}.Do(ask.Request{History: false})
 		said <- err
 	}()
-	standin.Until("it is being asked", func() bool { return len(x.slots) == 1 })
+	standin.WaitFor("it is being asked", func() bool { return len(x.slots) == 1 })
 	x.Close()
 	fmt.Println(<-said != nil)
 	// Output:
--- a/internal/fleet/steward/steward_test.go
+++ b/internal/fleet/steward/steward_test.go
@@ -115,7 +115,7 @@
 }
 
 func (t *testFleet) client() ask.Client {
-	k := ask.Client{Keys: []members.Key{clusterKey}, Timeout: standin.Patience}
+	k := ask.Client{Keys: []members.Key{clusterKey}, Timeout: standin.WaitTimeout}
 	for _, told := range t.configs {
 		k.Coordinators = append(k.Coordinators, told.ListenAddr)
 	}
@@ -132,7 +132,7 @@
 
 // leader waits for one that leads and knows so many to agree, and as many instances.
 func (t *testFleet) leader(voters, instances int) (i int) {
-	standin.Until("a leader", func() bool {
+	standin.WaitFor("a leader", func() bool {
 		for k, s := range t.coordinators {
 			if s != nil && s.IsLeader() {
 				if st := s.status(); len(st.Coordinators) == voters && st.MemberCount >= instances {
@@ -160,7 +160,7 @@
 	t.kill(first)
 	fmt.Println(t.propose(c), t.propose(accord.Command{Kind: accord.KindRequestPermit, Member: "n1"}).PermitID)
 	next := t.leader(3, 3)
-	standin.Until("the holder to be nudged", func() bool { t.mu.Lock(); defer t.mu.Unlock(); return t.notices[1] != "" })
+	standin.WaitFor("the holder to be nudged", func() bool { t.mu.Lock(); defer t.mu.Unlock(); return t.notices[1] != "" })
 	fmt.Println(t.notices[1])
 	begun := make(chan bool, 1)
 	t.coordinators[next].BeginPermit("n0", 1, 1, func() { begun <- true })
@@ -174,7 +174,7 @@
 	fmt.Println(strings.Contains(fmt.Sprint(err), ask.ErrUnauthenticated.Error()))
 	t.startCoordinator(first)
 	t.markUp(0, 2, "1")
-	standin.Until("n0's permit to be over, and n1's granted, at all three", func() bool {
+	standin.WaitFor("n0's permit to be over, and n1's granted, at all three", func() bool {
 		for _, s := range t.coordinators {
 			st := s.status()
 			if len(st.Permits) != 1 || st.Permits[0].Stage != accord.PermitGranted {
@@ -278,7 +278,7 @@
 		w.startCoordinator(0)
 		w.leader(1, 1)
 		// One that leads still has its log to take in: what was told before shows a moment later, and has to.
-		standin.Until(fmt.Sprintf("the budget, cut at %d of %d", cut, end), func() bool {
+		standin.WaitFor(fmt.Sprintf("the budget, cut at %d of %d", cut, end), func() bool {
 			st := w.coordinators[0].status()
 			return len(st.Budgets) == 1 && st.Budgets[0].Budget.Name == "one"
 		})
@@ -308,7 +308,7 @@
 	defer w.close()
 	w.leader(3, 3)
 	w.propose(oneAtATime)
-	standin.Until("all to be known", func() bool { return w.coordinators[w.leader(3, 3)].status().MemberCount == 4 })
+	standin.WaitFor("all to be known", func() bool { return w.coordinators[w.leader(3, 3)].status().MemberCount == 4 })
 	type input struct{ c accord.Command }
 	var mu sync.Mutex
 	var history []porcupine.Operation
--- a/internal/life/stewards/golden_test.go
+++ b/internal/life/stewards/golden_test.go
@@ -91,7 +91,7 @@
 			members.DefaultConfig(), 0).View()})
 		close(done)
 	}()
-	standin.Until("it leads", func() bool { return s.IsLeader() && s.Ready() })
+	standin.WaitFor("it leads", func() bool { return s.IsLeader() && s.Ready() })
 	p.Status(func(r gossip.ProcessStatus) {
 		want := gossip.ProcessStatus{Ready: true, Metrics: []members.Metric{{Name: "leads", Value: 1}}}
 		if !reflect.DeepEqual(r, want) {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -55,7 +55,7 @@
 		}
 		go func() {
 			defer c.Close()
-			stub := standin.NewStub(c)
+			stub := standin.NewClient(c)
 			for {
 				v, err := stub.Next()
 				if err != nil {
@@ -114,7 +114,7 @@
 	free := standin.Must(net.Listen("tcp", fmt.Sprintf("127.72.%d.%d:0", os.Getpid()%250, proxyCount)))
 	listen := free.Addr().String()
 	free.Close()
-	roster := standin.NewRoster()
+	roster := standin.NewRegistry()
 	config := Config{Config: pass.Config{Balancer: spread.DefaultConfig(), ConnectionsPerEndpoint: 2, IdleTimeout: time.Minute}, MaxInFlight: 100, DrainGrace: 500 * time.Millisecond, RetryAfter: 90 * time.Millisecond}
 	config.Balancer.RetryRatio = 1
 	class := func(name, repeats string) choice.Settings {
@@ -147,8 +147,8 @@
 	} {
 		r, s, listen := openProxy(4, x.steps...)
 		stub := standin.Dial(listen)
-		stub.Send(standin.Op(7, x.kind, standin.ID(1), []byte("body")))
-		a := standin.Must(stub.Answer())
+		stub.Send(standin.NewRequest(7, x.kind, standin.RequestID(1), []byte("body")))
+		a := standin.Must(stub.NextResponse())
 		fmt.Printf("%v: %q %q %v\n", s.takeTrace(), a.Error, a.Result, a.Fields)
 		stub.Close()
 		r.Post(r.Quit)
@@ -169,23 +169,23 @@
 	r, s, listen := openProxy(1, "late", "interrupt")
 	stub := standin.Dial(listen)
 	began := time.Now()
-	stub.Send(standin.Op(1, "pay", standin.ID(1), nil, "wait", "150"))
-	a := standin.Must(stub.Answer())
+	stub.Send(standin.NewRequest(1, "pay", standin.RequestID(1), nil, "wait", "150"))
+	a := standin.Must(stub.NextResponse())
 	took := time.Since(began)
-	fmt.Println(a.N, a.Error, took > 140*time.Millisecond && took < 240*time.Millisecond)
-	standin.Until("the member to be told", func() bool { return len(s.takeTrace()) > 0 })
+	fmt.Println(a.Number, a.Error, took > 140*time.Millisecond && took < 240*time.Millisecond)
+	standin.WaitFor("the member to be told", func() bool { return len(s.takeTrace()) > 0 })
 	time.Sleep(200 * time.Millisecond) // its answer comes meanwhile
-	stub.Send(standin.Op(2, "view", standin.ID(2), []byte("x")))
-	a = standin.Must(stub.Answer())
-	fmt.Println(a.N, a.Error == "")
+	stub.Send(standin.NewRequest(2, "view", standin.RequestID(2), []byte("x")))
+	a = standin.Must(stub.NextResponse())
+	fmt.Println(a.Number, a.Error == "")
 	s.mu.Lock()
 	s.steps = []string{"silent"}
 	s.mu.Unlock()
 	s.takeTrace()
-	stub.Send(standin.Op(3, "view", standin.ID(3), nil))
-	standin.Until("it to be there", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.trace) == 1 })
+	stub.Send(standin.NewRequest(3, "view", standin.RequestID(3), nil))
+	standin.WaitFor("it to be there", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.trace) == 1 })
 	stub.Send([]any{2, "interrupt", []any{3}})
-	standin.Until("the member to be told", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.trace) == 2 })
+	standin.WaitFor("the member to be told", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.trace) == 2 })
 	fmt.Println(s.takeTrace())
 	stub.Close()
 	r.Post(r.Quit)
@@ -197,8 +197,8 @@
 	stub = standin.Dial(listen)
 	acked := 0
 	for n := range 20 {
-		stub.Send(standin.Op(n+1, "pay", standin.ID(n+1), nil))
-		if a := standin.Must(stub.Answer()); a.Error == "" {
+		stub.Send(standin.NewRequest(n+1, "pay", standin.RequestID(n+1), nil))
+		if a := standin.Must(stub.NextResponse()); a.Error == "" {
 			acked++
 		}
 	}
@@ -217,33 +217,33 @@
 func Example_leaving() {
 	r, _, listen := openProxy(0)
 	stub := standin.Dial(listen)
-	stub.Send(standin.Op(1, "pay", standin.ID(1), nil))
-	fmt.Println(stub.Hear())
+	stub.Send(standin.NewRequest(1, "pay", standin.RequestID(1), nil))
+	fmt.Println(stub.NextText())
 	stub.Close()
 	r.Post(r.Quit)
 
 	r, s, listen := openProxy(2, "silent")
 	stub = standin.Dial(listen)
-	stub.Send(standin.Op(1, "view", standin.ID(1), nil, "wait", "900"))
-	standin.Until("it to be there", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.trace) == 1 })
+	stub.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil, "wait", "900"))
+	standin.WaitFor("it to be there", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.trace) == 1 })
 	other := standin.Dial(listen)
-	other.Send(standin.Op(1, "view", standin.ID(1), nil))
-	fmt.Println(other.Hear())
-	other.Send(standin.Op(2, "what", standin.ID(2), nil))
-	fmt.Println(other.Hear())
+	other.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil))
+	fmt.Println(other.NextText())
+	other.Send(standin.NewRequest(2, "what", standin.RequestID(2), nil))
+	fmt.Println(other.NextText())
 	r.Post(r.Drain)
-	fmt.Println(other.Hear()) // goaway
-	other.Send(standin.Op(3, "view", standin.ID(3), nil))
-	fmt.Println(other.Hear())
+	fmt.Println(other.NextText()) // goaway
+	other.Send(standin.NewRequest(3, "view", standin.RequestID(3), nil))
+	fmt.Println(other.NextText())
 	other.Close()
 	time.Sleep(600 * time.Millisecond) // past the grace
 	other = standin.Dial(listen)
-	fmt.Println(other.Hear())
-	other.Send(standin.Op(4, "view", standin.ID(4), nil))
-	fmt.Println(other.Hear())
+	fmt.Println(other.NextText())
+	other.Send(standin.NewRequest(4, "view", standin.RequestID(4), nil))
+	fmt.Println(other.NextText())
 	other.Close()
-	fmt.Println(stub.Hear(), stub.Hear())
-	standin.Until("its end", func() bool {
+	fmt.Println(stub.NextText(), stub.NextText())
+	standin.WaitFor("its end", func() bool {
 		over := make(chan bool, 1)
 		r.Post(func() { over <- false })
 		select {
--- a/internal/standin/database.go
+++ b/internal/standin/database.go
@@ -12,9 +12,9 @@
 
 // Database takes the calls, each on a connection of its own.
 type Database struct {
-	Listener net.Listener
-	Calls    chan *Call
-	Ended    chan struct{} // one for each connection that ended
+	Listener         net.Listener
+	Calls            chan *Call
+	ConnectionsEnded chan struct{} // one for each connection that ended
 }
 
 // Call is one call that waits for its reply.
@@ -41,24 +41,24 @@
 
 func (d *Database) serve(conn net.Conn) {
 	for in := bufio.NewReader(conn); ; {
-		req, err := http.ReadRequest(in)
+		request, err := http.ReadRequest(in)
 		if err != nil {
-			d.Ended <- struct{}{}
+			d.ConnectionsEnded <- struct{}{}
 			return
 		}
-		body := Must(io.ReadAll(req.Body))
-		timed := req.Header.Get("Statement-Timeout-Ms") != ""
-		d.Calls <- &Call{conn, fmt.Sprintf("%s %s for %s timed %v body %q", req.Method, req.URL,
-			strings.TrimLeft(req.Header.Get("Request-Ref"), "0"), timed, body)}
+		body := Must(io.ReadAll(request.Body))
+		timed := request.Header.Get("Statement-Timeout-Ms") != ""
+		d.Calls <- &Call{conn, fmt.Sprintf("%s %s for %s timed %v body %q", request.Method, request.URL,
+			strings.TrimLeft(request.Header.Get("Request-Ref"), "0"), timed, body)}
 	}
 }
 
-// Next gives the next call.
-func (d *Database) Next() *Call {
+// NextCall gives the next call.
+func (d *Database) NextCall() *Call {
 	select {
 	case call := <-d.Calls:
 		return call
-	case <-time.After(Patience):
+	case <-time.After(WaitTimeout):
 		panic("no call at the database")
 	}
 }
@@ -68,10 +68,10 @@
 	fmt.Fprintf(c.Conn, "HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, fields, len(body), body)
 }
 
-// Work has the database answer every call by itself.
-func (d *Database) Work() {
+// AutoReply has the database answer every call by itself.
+func (d *Database) AutoReply() {
 	go func() {
-		for range d.Ended {
+		for range d.ConnectionsEnded {
 		}
 	}()
 	go func() {
--- a/internal/standin/runtime.go
+++ b/internal/standin/runtime.go
@@ -14,19 +14,19 @@
 
 // Runtime carries out runs, by script or, once Work is called, by itself.
 type Runtime struct {
-	Listener net.Listener
-	Conn     net.Conn
-	Lines    chan map[string]any // all but the gauges, which are answered
-	Silent   bool                // leaves the gauges unanswered
-	No       int                 // the last notice's number
-	Spoils   func() Spoils       // what is wrong with it now, where Work is called; nil: nothing
+	Listener   net.Listener
+	Conn       net.Conn
+	Messages   chan map[string]any  // all but the gauges, which are answered
+	Silent     bool                 // leaves the gauges unanswered
+	LastNotice int                  // the last notice's number
+	Faults     func() RuntimeFaults // what is wrong with it now, where Work is called; nil: nothing
 }
 
-// Spoils is what is wrong with a runtime that works by itself.
-type Spoils struct {
-	Slow float64 // runs take so many times as long; 0: as long as usual
-	Fail bool    // runs fail at once
-	Lose bool    // runs never end, whatever is asked
+// RuntimeFaults is what is wrong with a runtime that works by itself.
+type RuntimeFaults struct {
+	SlowFactor float64 // runs take so many times as long; 0: as long as usual
+	FailRuns   bool    // runs fail at once
+	LoseRuns   bool    // runs never end, whatever is asked
 }
 
 func NewRuntime() *Runtime {
@@ -35,92 +35,92 @@
 
 func (r *Runtime) Addr() string { return r.Listener.Addr().String() }
 
-// Take accepts the next link and gives the number that it is synced with.
-func (r *Runtime) Take() any {
-	_ = r.Listener.(*net.TCPListener).SetDeadline(time.Now().Add(Patience))
-	r.read(Must(r.Listener.Accept()))
-	return r.Next()["no"]
+// Accept accepts the next link and gives the number that it is synced with.
+func (r *Runtime) Accept() any {
+	_ = r.Listener.(*net.TCPListener).SetDeadline(time.Now().Add(WaitTimeout))
+	r.readMessages(Must(r.Listener.Accept()))
+	return r.NextMessage()["no"]
 }
 
-// Try takes the next link, whenever it comes; it gives false once nothing listens any more.
-func (r *Runtime) Try() bool {
+// TryAccept takes the next link, whenever it comes; it gives false once nothing listens any more.
+func (r *Runtime) TryAccept() bool {
 	conn, err := r.Listener.Accept()
 	if err != nil {
 		return false
 	}
-	r.read(conn)
-	<-r.Lines // what it is synced with
+	r.readMessages(conn)
+	<-r.Messages // what it is synced with
 	return true
 }
 
-// read has the lines of a link come. One that is cut off in its middle is none: its program was killed.
-func (r *Runtime) read(conn net.Conn) {
-	lines := make(chan map[string]any, 100)
-	r.Conn, r.Lines = conn, lines
+// readMessages has the lines of a link come. One that is cut off in its middle is none: its program was killed.
+func (r *Runtime) readMessages(conn net.Conn) {
+	messages := make(chan map[string]any, 100)
+	r.Conn, r.Messages = conn, messages
 	silent := r.Silent
 	go func() {
-		defer close(lines)
+		defer close(messages)
 		for in := bufio.NewReader(conn); ; {
 			text, err := in.ReadBytes('\n')
 			if err != nil {
 				return
 			}
-			var line map[string]any
-			if err := json.Unmarshal(text, &line); err != nil {
+			var message map[string]any
+			if err := json.Unmarshal(text, &message); err != nil {
 				panic(err)
 			}
-			if line["t"] != "gauges" {
-				lines <- line
+			if message["t"] != "gauges" {
+				messages <- message
 			} else if !silent {
-				fmt.Fprintf(conn, `{"t":"load","mark":%q,"v":[0.1,0]}`+"\n", line["mark"])
+				fmt.Fprintf(conn, `{"t":"load","mark":%q,"v":[0.1,0]}`+"\n", message["mark"])
 			}
 		}
 	}()
 }
 
-func (r *Runtime) Ready(state string) {
+func (r *Runtime) SendReady(state string) {
 	fmt.Fprintf(r.Conn, `{"t":"ready","status":%q,"time_ms":10}`+"\n", state)
 }
 
-func (r *Runtime) Next() map[string]any {
+func (r *Runtime) NextMessage() map[string]any {
 	select {
-	case line := <-r.Lines:
+	case line := <-r.Messages:
 		return line
-	case <-time.After(Patience):
+	case <-time.After(WaitTimeout):
 		panic("no line from the instance")
 	}
 }
 
-// Hear gives the next command as text.
-func (r *Runtime) Hear() string {
-	line := r.Next()
-	if line == nil {
+// NextCommand gives the next command as text.
+func (r *Runtime) NextCommand() string {
+	message := r.NextMessage()
+	if message == nil {
 		return "link closed"
 	}
-	text := fmt.Sprint(line["t"], " ", strings.TrimLeft(fmt.Sprint(line["rid"]), "0"))
-	if line["route"] != nil {
-		text += fmt.Sprint(" route ", line["route"])
+	text := fmt.Sprint(message["t"], " ", strings.TrimLeft(fmt.Sprint(message["rid"]), "0"))
+	if message["route"] != nil {
+		text += fmt.Sprint(" route ", message["route"])
 	}
-	if line["no"] != nil {
-		text += fmt.Sprint(" no ", line["no"])
+	if message["no"] != nil {
+		text += fmt.Sprint(" no ", message["no"])
 	}
-	if b64, is := line["b64"].(string); is {
+	if b64, ok := message["b64"].(string); ok {
 		text += fmt.Sprintf(" body %q", Must(base64.StdEncoding.DecodeString(b64)))
 	}
 	return text
 }
 
-// Notice sends a numbered notice of a run.
-func (r *Runtime) Notice(kind, rid, status, body string) {
-	r.No++
+// SendNotice sends a numbered notice of a run.
+func (r *Runtime) SendNotice(kind, runID, status, body string) {
+	r.LastNotice++
 	fmt.Fprintf(r.Conn, `{"t":%q,"no":%d,"rid":%q,"status":%q,"time_ms":20,"b64":%q}`+"\n",
-		kind, r.No, rid, status, base64.StdEncoding.EncodeToString([]byte(body)))
+		kind, r.LastNotice, runID, status, base64.StdEncoding.EncodeToString([]byte(body)))
 }
 
-// Work has the runtime carry out what it is told by itself, until its link closes: as many runs at a time as cores, the
+// AutoRun has the runtime carry out what it is told by itself, until its link closes: as many runs at a time as cores, the
 // others wait. What a run costs is drawn about mean; every third stands once at a call. heard, if not nil, hears of each
 // start, on another goroutine.
-func (r *Runtime) Work(cores int, mean time.Duration, seed uint64, heard func(id, kind, body string)) {
+func (r *Runtime) AutoRun(cores int, mean time.Duration, seed uint64, onStart func(id, kind, body string)) {
 	type run struct {
 		id      string
 		left    time.Duration
@@ -129,46 +129,46 @@
 		lost    bool
 	}
 	var mu sync.Mutex // guards all below, and the writing of notices
-	chance := rand.New(rand.NewPCG(seed, 0))
+	random := rand.New(rand.NewPCG(seed, 0))
 	runs := map[string]*run{}
-	var wait []*run
-	busy, count := 0, 0
-	var next func()
-	end := func(o *run, status, body string) {
+	var waiting []*run
+	busy, started := 0, 0
+	var startWaiting func()
+	finish := func(o *run, status, body string) {
 		delete(runs, o.id)
-		r.Notice("end", o.id, status, body)
+		r.SendNotice("end", o.id, status, body)
 	}
 	step := func(o *run) { // o has a core, and gives it back
-		took := o.left
+		slice := o.left
 		if o.calls {
-			took /= 2
+			slice /= 2
 		}
-		time.AfterFunc(took, func() {
+		time.AfterFunc(slice, func() {
 			mu.Lock()
 			defer mu.Unlock()
 			busy--
-			o.left -= took
+			o.left -= slice
 			switch {
 			case o.stopped:
-				end(o, "interrupted", "")
+				finish(o, "interrupted", "")
 			case o.calls:
 				o.calls = false
-				r.Notice("wants", o.id, "", "ask "+o.id)
+				r.SendNotice("wants", o.id, "", "ask "+o.id)
 			default:
-				end(o, "success", "done "+o.id)
+				finish(o, "success", "done "+o.id)
 			}
-			next()
+			startWaiting()
 		})
 	}
-	next = func() {
-		for busy < cores && len(wait) > 0 {
+	startWaiting = func() {
+		for busy < cores && len(waiting) > 0 {
 			busy++
-			step(wait[0])
-			wait = wait[1:]
+			step(waiting[0])
+			waiting = waiting[1:]
 		}
 	}
 	go func() {
-		for line := range r.Lines {
+		for line := range r.Messages {
 			id, _ := line["rid"].(string)
 			mu.Lock()
 			switch o := runs[id]; line["t"] {
@@ -176,42 +176,42 @@
 				if o != nil {
 					break
 				}
-				count++
-				o = &run{id: id, left: time.Duration(chance.ExpFloat64() * float64(mean)), calls: count%3 == 0}
+				started++
+				o = &run{id: id, left: time.Duration(random.ExpFloat64() * float64(mean)), calls: started%3 == 0}
 				runs[id] = o
-				var wrong Spoils
-				if r.Spoils != nil {
-					wrong = r.Spoils()
+				var faults RuntimeFaults
+				if r.Faults != nil {
+					faults = r.Faults()
 				}
-				if wrong.Slow > 0 {
-					o.left = time.Duration(wrong.Slow * float64(o.left))
+				if faults.SlowFactor > 0 {
+					o.left = time.Duration(faults.SlowFactor * float64(o.left))
 				}
 				switch {
-				case wrong.Lose:
+				case faults.LoseRuns:
 					o.lost = true
-				case wrong.Fail:
-					end(o, "failure", "")
+				case faults.FailRuns:
+					finish(o, "failure", "")
 				default:
-					wait = append(wait, o)
+					waiting = append(waiting, o)
 				}
-				if heard != nil {
+				if onStart != nil {
 					b64, _ := line["b64"].(string)
 					body, _ := base64.StdEncoding.DecodeString(b64)
-					heard(id, fmt.Sprint(line["route"]), string(body))
+					onStart(id, fmt.Sprint(line["route"]), string(body))
 				}
 			case "give", "omit":
 				if o != nil {
-					wait = append(wait, o)
+					waiting = append(waiting, o)
 				}
 			case "stop":
 				if o != nil && !o.lost {
 					o.stopped, o.left = true, 0
-					wait = append(wait, o)
+					waiting = append(waiting, o)
 				}
 			case "selftest":
 				fmt.Fprintf(r.Conn, `{"t":"verdict","mark":%q,"status":"success"}`+"\n", line["mark"])
 			}
-			next()
+			startWaiting()
 			mu.Unlock()
 		}
 	}()
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -15,13 +15,13 @@
 	return x
 }
 
-// Patience is how long a condition is waited for before it counts as not to come: far longer than any of them takes on a
+// WaitTimeout is how long a condition is waited for before it counts as not to come: far longer than any of them takes on a
 // busy machine.
-const Patience = 10 * time.Second
+const WaitTimeout = 10 * time.Second
 
-// Until waits for a condition.
-func Until(what string, met func() bool) {
-	for end := time.Now().Add(Patience); !met(); time.Sleep(time.Millisecond) {
+// WaitFor waits for a condition.
+func WaitFor(what string, condition func() bool) {
+	for end := time.Now().Add(WaitTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			panic("waited in vain for " + what)
 		}
@@ -40,18 +40,18 @@
  "fleet-size":1,"rules":{"drain-grace-s":0.5,"fall-multiple":8,"grace-to-answer-s":0.1,"start-capacity":0.3,
  "tip-after-s":2,"warm-within-s":5},"policy-limits":{"retry-after":false},"tenants":[],"tick-s":0.002}`
 
-// Roster takes the reports.
-type Roster struct{ conn net.PacketConn }
+// Registry takes the reports.
+type Registry struct{ conn net.PacketConn }
 
-func NewRoster() *Roster { return &Roster{Must(net.ListenPacket("udp", "127.0.0.1:0"))} }
+func NewRegistry() *Registry { return &Registry{Must(net.ListenPacket("udp", "127.0.0.1:0"))} }
 
-func (r *Roster) Addr() string { return r.conn.LocalAddr().String() }
-func (r *Roster) Close()       { r.conn.Close() }
+func (r *Registry) Addr() string { return r.conn.LocalAddr().String() }
+func (r *Registry) Close()       { r.conn.Close() }
 
-// Reported waits for the next datagram.
-func (r *Roster) Reported() string {
-	b := make([]byte, 100)
-	_ = r.conn.SetReadDeadline(time.Now().Add(Patience))
-	n, _, err := r.conn.ReadFrom(b)
-	return string(b[:Must(n, err)])
+// NextReport waits for the next datagram.
+func (r *Registry) NextReport() string {
+	buffer := make([]byte, 100)
+	_ = r.conn.SetReadDeadline(time.Now().Add(WaitTimeout))
+	n, _, err := r.conn.ReadFrom(buffer)
+	return string(buffer[:Must(n, err)])
 }
--- a/internal/standin/stub.go
+++ b/internal/standin/stub.go
@@ -10,30 +10,30 @@
 	"time"
 )
 
-// Stub is a client stub's connection.
-type Stub struct {
-	Conn net.Conn
-	in   *bufio.Reader
+// Client is a client stub's connection.
+type Client struct {
+	Conn   net.Conn
+	reader *bufio.Reader
 }
 
-// NewStub speaks on a connection that stands.
-func NewStub(conn net.Conn) *Stub { return &Stub{conn, bufio.NewReader(conn)} }
+// NewClient speaks on a connection that stands.
+func NewClient(conn net.Conn) *Client { return &Client{conn, bufio.NewReader(conn)} }
 
 // Dial connects to an instance, which may have to come up first.
-func Dial(addr string) *Stub {
+func Dial(addr string) *Client {
 	var conn net.Conn
-	Until("a listening socket", func() (stands bool) {
+	WaitFor("a listening socket", func() (connected bool) {
 		var err error
 		conn, err = net.Dial("tcp", addr)
 		return err == nil
 	})
-	return NewStub(conn)
+	return NewClient(conn)
 }
 
-func (s *Stub) Close() { s.Conn.Close() }
+func (s *Client) Close() { s.Conn.Close() }
 
-// Pack writes the few kinds of value that a stub sends.
-func Pack(b []byte, v any) []byte {
+// Encode writes the few kinds of value that a stub sends.
+func Encode(b []byte, v any) []byte {
 	switch v := v.(type) {
 	case nil:
 		return append(b, 0xc0)
@@ -49,24 +49,24 @@
 	case []any:
 		b = append(b, 0x90|byte(len(v)))
 		for _, x := range v {
-			b = Pack(b, x)
+			b = Encode(b, x)
 		}
 	case map[string]string:
 		b = append(b, 0x80|byte(len(v)))
 		for name, x := range v {
-			b = Pack(Pack(b, name), x)
+			b = Encode(Encode(b, name), x)
 		}
 	}
 	return b
 }
 
-// unpack reads one value of those that an instance writes.
-func unpack(r *bufio.Reader) (any, error) {
+// decode reads one value of those that an instance writes.
+func decode(r *bufio.Reader) (any, error) {
 	tag, err := r.ReadByte()
 	if err != nil {
 		return nil, err
 	}
-	bytesOf := func(size int) (b []byte) {
+	readBytes := func(size int) (b []byte) {
 		if b = make([]byte, size); err == nil {
 			_, err = io.ReadFull(r, b)
 		}
@@ -78,7 +78,7 @@
 	case tag&0xf0 == 0x90:
 		list := []any{}
 		for range tag & 15 {
-			x, err := unpack(r)
+			x, err := decode(r)
 			if err != nil {
 				return nil, err
 			}
@@ -88,61 +88,61 @@
 	case tag&0xf0 == 0x80:
 		fields := map[string]any{}
 		for range tag & 15 {
-			name, err := unpack(r)
+			name, err := decode(r)
 			if err != nil {
 				return nil, err
 			}
-			if fields[fmt.Sprint(name)], err = unpack(r); err != nil {
+			if fields[fmt.Sprint(name)], err = decode(r); err != nil {
 				return nil, err
 			}
 		}
 		return fields, nil
 	case tag&0xe0 == 0xa0:
-		return string(bytesOf(int(tag & 31))), err
+		return string(readBytes(int(tag & 31))), err
 	case tag == 0xc0:
 		return nil, nil
 	case tag == 0xc2, tag == 0xc3:
 		return tag == 0xc3, nil
 	case tag == 0xce:
-		return int(binary.BigEndian.Uint32(bytesOf(4))), err
+		return int(binary.BigEndian.Uint32(readBytes(4))), err
 	case tag == 0xc4:
-		return bytesOf(int(bytesOf(1)[0])), err
+		return readBytes(int(readBytes(1)[0])), err
 	case tag == 0xc5:
-		return bytesOf(int(binary.BigEndian.Uint16(bytesOf(2)))), err
+		return readBytes(int(binary.BigEndian.Uint16(readBytes(2)))), err
 	}
 	return nil, fmt.Errorf("tag %x", tag)
 }
 
 // Send writes messages together.
-func (s *Stub) Send(messages ...[]any) {
+func (s *Client) Send(messages ...[]any) {
 	var b []byte
 	for _, m := range messages {
-		b = Pack(b, m)
+		b = Encode(b, m)
 	}
 	Must(s.Conn.Write(b))
 }
 
-// Op is the message of an op that came now and waits 2 s; more are fields that replace these.
-func Op(n int, kind, id string, body []byte, more ...string) []any {
+// NewRequest is the message of an op that came now and waits 2 s; more are fields that replace these.
+func NewRequest(number int, class, id string, body []byte, extra ...string) []any {
 	fields := map[string]string{"id": id, "at": fmt.Sprint(time.Now().UnixMilli()), "from": "4", "wait": "2000",
 		"cost": "20", "kb": "10", "rank": "0.5"}
-	for i := 0; i+1 < len(more); i += 2 {
-		fields[more[i]] = more[i+1]
+	for i := 0; i+1 < len(extra); i += 2 {
+		fields[extra[i]] = extra[i+1]
 	}
-	return []any{0, n, kind, []any{fields, body}}
+	return []any{0, number, class, []any{fields, body}}
 }
 
-// ID makes an op's id of a number.
-func ID(n int) string { return fmt.Sprintf("%016x", n) }
+// RequestID makes an op's id of a number.
+func RequestID(n int) string { return fmt.Sprintf("%016x", n) }
 
 // Next gives the next message; an error is the connection's end.
-func (s *Stub) Next() (any, error) {
-	_ = s.Conn.SetReadDeadline(time.Now().Add(Patience))
-	return unpack(s.in)
+func (s *Client) Next() (any, error) {
+	_ = s.Conn.SetReadDeadline(time.Now().Add(WaitTimeout))
+	return decode(s.reader)
 }
 
-// Hear gives the next message as text, or how the connection ended.
-func (s *Stub) Hear() string {
+// NextText gives the next message as text, or how the connection ended.
+func (s *Client) NextText() string {
 	v, err := s.Next()
 	if err == io.EOF {
 		return "closed"
@@ -152,37 +152,37 @@
 	return fmt.Sprintf("%q", v)
 }
 
-// Answer is what an op was answered with: Error is empty for one that was acked. N is 0 for what is no answer.
-type Answer struct {
-	N      int
+// Response is what an op was answered with: Error is empty for one that was acked. N is 0 for what is no answer.
+type Response struct {
+	Number int
 	Error  string
 	Fields map[string]any
 	Result []byte
 }
 
-// Answer gives the next answer.
-func (s *Stub) Answer() (a Answer, err error) {
+// NextResponse gives the next answer.
+func (s *Client) NextResponse() (response Response, err error) {
 	v, err := s.Next()
 	if err != nil {
-		return a, err
+		return response, err
 	}
 	parts, _ := v.([]any)
 	if len(parts) != 4 {
-		return a, nil
+		return response, nil
 	}
-	a.N, _ = parts[1].(int)
-	if what, failed := parts[2].([]any); failed && len(what) == 2 {
-		a.Error = fmt.Sprint(what[0])
-		a.Fields, _ = what[1].(map[string]any)
-	} else if what, acked := parts[3].([]any); acked && len(what) == 2 {
-		a.Result, _ = what[0].([]byte)
-		a.Fields, _ = what[1].(map[string]any)
+	response.Number, _ = parts[1].(int)
+	if outcome, failed := parts[2].([]any); failed && len(outcome) == 2 {
+		response.Error = fmt.Sprint(outcome[0])
+		response.Fields, _ = outcome[1].(map[string]any)
+	} else if outcome, succeeded := parts[3].([]any); succeeded && len(outcome) == 2 {
+		response.Result, _ = outcome[0].([]byte)
+		response.Fields, _ = outcome[1].(map[string]any)
 	}
-	return a, nil
+	return response, nil
 }
 
-// Check asks for health.
-func (s *Stub) Check() bool {
+// CheckHealth asks for health.
+func (s *Client) CheckHealth() bool {
 	s.Send([]any{0, 1, "check", []any{map[string]string{"deep": "1"}}})
-	return strings.Contains(s.Hear(), "true")
+	return strings.Contains(s.NextText(), "true")
 }
