--- a/cmd/lanewheel/queue_test.go
+++ b/cmd/lanewheel/queue_test.go
@@ -39,7 +39,7 @@
 func deployWithQueue(file string, changes ...string) *queueDeployment {
 	d := &queueDeployment{broker: broker.New()}
 	for _, name := range []string{"ops", "dead", "replies"} {
-		d.broker.Declare(name, nil)
+		d.broker.DeclareQueue(name, nil)
 	}
 	path := filepath.Join(tempDir, fmt.Sprintf("depot%d.ini", time.Now().UnixNano()))
 	if err := os.WriteFile(path, []byte(strings.NewReplacer("URL", d.broker.URL(), "WATCH", path+".sock").Replace(file)), 0o600); err != nil {
@@ -63,7 +63,7 @@
 // answers waits for as many and gives them sorted; an answer sent twice counts once.
 func (d *queueDeployment) answers(n int) (all []string) {
 	standin.WaitFor("answers", func() bool { return d.broker.Counts("replies").Ready >= n })
-	for _, p := range d.broker.Take("replies") {
+	for _, p := range d.broker.DrainQueue("replies") {
 		why, _ := p.Headers["why"].(string)
 		all = append(all, strings.TrimSpace(fmt.Sprint(p.CorrelationId, " ", p.Type, " ", string(p.Body), why)))
 	}
@@ -79,7 +79,7 @@
 	d.broker.Publish("ops", queueMessage("m1", "pay"))
 	start := d.runtime.NextMessage()
 	fmt.Println(start["t"], start["route"])
-	d.broker.Cut()
+	d.broker.DropConnections()
 	standin.WaitFor("the next connection", func() bool {
 		ever, _ := d.broker.Connections()
 		return ever == 2 && d.broker.Counts("ops").Unsettled == 1
@@ -93,7 +93,7 @@
 	d.runtime.SendNotice("end", standin.RequestID(1), "success", "two")
 	fmt.Println(s.NextText(), d.answers(1), d.broker.Counts("dead").Ready)
 	standin.WaitFor("the acks", func() bool { return d.broker.Counts("ops").Acked == 2 })
-	fmt.Println(len(d.runtime.Messages), d.broker.Wrong())
+	fmt.Println(len(d.runtime.Messages), d.broker.Violations())
 	// Output:
 	// start pay
 	// [m1 acked one]
@@ -110,7 +110,7 @@
 	b := broker.New()
 	defer b.Close()
 	for _, name := range []string{"water", "any", "replies"} {
-		b.Declare(name, nil)
+		b.DeclareQueue(name, nil)
 	}
 	h.writeFile("op.ini", h.operatorFile+fmt.Sprintf("[amqp]\nbrokers = %s\n[queue water]\nidentity = token:water-depot\n[queue any]\nidentity = message\n", b.URL()))
 	operatorPath = h.path("op.ini")
@@ -202,8 +202,8 @@
 		runs := map[string]int{}
 		d.runtime.AutoRun(8, 200*time.Microsecond, 7, func(id, kind, _ string) { mu.Lock(); runs[id]++; mu.Unlock() })
 		d.database.AutoReply()
-		d.broker.Script(broker.Fault{Connection: 1, Frame: 90}, broker.Fault{Connection: 2, Frame: 333, How: broker.Half},
-			broker.Fault{Connection: 3, Frame: 200, How: broker.Stall, For: 50 * time.Millisecond}, broker.Fault{Connection: 3, Frame: 412, How: broker.Half})
+		d.broker.SetFaults(broker.Fault{Connection: 1, Frame: 90}, broker.Fault{Connection: 2, Frame: 333, Mode: broker.TruncateFrame},
+			broker.Fault{Connection: 3, Frame: 200, Mode: broker.Stall, Duration: 50 * time.Millisecond}, broker.Fault{Connection: 3, Frame: 412, Mode: broker.TruncateFrame})
 		for i := range many {
 			d.broker.Publish("ops", queueMessage(fmt.Sprintf("m%03d", i), []string{"view", "pay", "list"}[i%3]))
 		}
@@ -224,7 +224,7 @@
 		if got := outcomes["acked"] + outcomes["may-have-run"]; got != many || len(runs) != outcomes["acked"] {
 			t.Errorf("%v, %d ran", outcomes, len(runs))
 		}
-		return fmt.Sprint("answers ", len(all), " acks ", d.broker.Counts("ops").Acked, " ran twice ", twice, " wrong ", d.broker.Wrong())
+		return fmt.Sprint("answers ", len(all), " acks ", d.broker.Counts("ops").Acked, " ran twice ", twice, " wrong ", d.broker.Violations())
 	}
 	first := play()
 	t.Log(first)
@@ -329,12 +329,12 @@
 	b.ReportMetric(float64((cpuTime(d.cmd.Process.Pid)-before).Microseconds())/float64(b.N), "cpu-µs/op")
 	b.ReportMetric(float64(residentKB(d.cmd.Process.Pid)-held)/1024, "MB-more")
 	outcomes := map[string]int{}
-	for _, p := range d.broker.Take("replies") {
+	for _, p := range d.broker.DrainQueue("replies") {
 		outcomes[p.Type]++
 	}
 	b.ReportMetric(float64(b.N-outcomes["acked"])/float64(b.N), "turned/op")
 	began := time.Now()
-	d.broker.Cut()
+	d.broker.DropConnections()
 	for ever, _ := d.broker.Connections(); ever < 2 || d.broker.Counts("ops").Consumers == 0; ever, _ = d.broker.Connections() {
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/amqp/amqp_test.go
+++ b/internal/amqp/amqp_test.go
@@ -97,7 +97,7 @@
 func newBroker() *broker.Broker {
 	b := broker.New()
 	for _, name := range []string{"ops", "replies", "dead"} {
-		b.Declare(name, nil)
+		b.DeclareQueue(name, nil)
 	}
 	return b
 }
@@ -129,7 +129,7 @@
 
 // replies gives what was answered, sorted; an answer sent twice, with the same id and words, counts once.
 func (s *testbed) replies() (all []string) {
-	for _, p := range s.broker.Take("replies") {
+	for _, p := range s.broker.DrainQueue("replies") {
 		all = append(all, strings.TrimSpace(fmt.Sprint(p.CorrelationId, " ", p.Type, " ", string(p.Body))))
 	}
 	slices.Sort(all)
@@ -182,13 +182,13 @@
 		fmt.Println(r)
 	}
 	var dead []string
-	for _, p := range b.Take("dead") {
+	for _, p := range b.DrainQueue("dead") {
 		id, _, _ := strings.Cut(p.MessageId, ":")
 		dead = append(dead, fmt.Sprint(id, " ", p.Headers["outcome"], " ", p.Headers["why"]))
 	}
 	slices.Sort(dead)
 	fmt.Println(strings.Join(dead, "\n"))
-	fmt.Println(c.runs, b.Wrong())
+	fmt.Println(c.runs, b.Violations())
 	// Output:
 	// c-deny denied
 	// c-fail failed
@@ -215,7 +215,7 @@
 	kinds := []string{"view", "pay", "key"}
 	play := func(faults ...broker.Fault) (s *testbed, frames int, wrong string) {
 		b, c := newBroker(), newFakeServer()
-		b.Script(faults...)
+		b.SetFaults(faults...)
 		s = startTestbed(b, c, testConfig(b))
 		defer s.close()
 		for i := range 12 {
@@ -241,10 +241,10 @@
 				wrong += fmt.Sprintf("%s: %d answers, %d runs; ", id, n, ran)
 			}
 		}
-		if len(b.Wrong()) > 0 {
-			wrong += fmt.Sprint(b.Wrong())
+		if len(b.Violations()) > 0 {
+			wrong += fmt.Sprint(b.Violations())
 		}
-		return s, b.Frames(1), wrong
+		return s, b.FrameCount(1), wrong
 	}
 	_, frames, wrong := play()
 	if wrong != "" || frames < 60 {
@@ -252,14 +252,14 @@
 	}
 	var all sync.WaitGroup
 	room := make(chan bool, 24)
-	for _, how := range []broker.How{broker.Cut, broker.Half} {
+	for _, how := range []broker.FaultMode{broker.Disconnect, broker.TruncateFrame} {
 		for k := 1; k <= frames; k++ {
 			all.Add(1)
 			room <- true
 			go func() {
 				defer all.Done()
 				// The second connection is cut as well, a little further on.
-				if _, _, wrong := play(broker.Fault{Connection: 1, Frame: k, How: how}, broker.Fault{Connection: 2, Frame: k/2 + 9, How: how}); wrong != "" {
+				if _, _, wrong := play(broker.Fault{Connection: 1, Frame: k, Mode: how}, broker.Fault{Connection: 2, Frame: k/2 + 9, Mode: how}); wrong != "" {
 					t.Errorf("cut %d at frame %d: %s", how, k, wrong)
 				}
 				<-room
@@ -278,10 +278,10 @@
 		q.Settlement.UseRetryQueue = retry
 		if retry {
 			b = broker.New()
-			b.Declare("ops", client.Table{"x-dead-letter-exchange": "", "x-dead-letter-routing-key": "ops.retry"})
-			b.Declare("ops.retry", client.Table{"x-message-ttl": int64(20), "x-dead-letter-exchange": "", "x-dead-letter-routing-key": "ops"})
-			b.Declare("replies", nil)
-			b.Declare("dead", nil)
+			b.DeclareQueue("ops", client.Table{"x-dead-letter-exchange": "", "x-dead-letter-routing-key": "ops.retry"})
+			b.DeclareQueue("ops.retry", client.Table{"x-message-ttl": int64(20), "x-dead-letter-exchange": "", "x-dead-letter-routing-key": "ops"})
+			b.DeclareQueue("replies", nil)
+			b.DeclareQueue("dead", nil)
 		}
 		turned := 0
 		c.behave = func(ask front.Request, body string, owed front.Responder) {
@@ -343,7 +343,7 @@
 		case "dead":
 			b.Close()
 		case "silent":
-			b.Silence(true)
+			b.SetSilent(true)
 		}
 		began := time.Now()
 		c.Post(func() {
@@ -359,7 +359,7 @@
 			counts := b.Counts("ops")
 			fmt.Println("acked", counts.Acked, "back", counts.Ready, "answers", s.replies())
 			_, standing := b.Connections()
-			fmt.Println("connections", standing, b.Wrong())
+			fmt.Println("connections", standing, b.Violations())
 		}
 		b.Close()
 		c.Post(c.Quit)
@@ -379,22 +379,22 @@
 	s := startTestbed(b, c, testConfig(b))
 	b.Publish("ops", newMessage("a", "view"))
 	s.settled("ops")
-	b.Block(true)
+	b.SetBlocked(true)
 	standin.WaitFor("the intake's end", func() bool { return b.Counts("ops").Consumers == 0 })
 	b.Publish("ops", newMessage("b", "view"))
 	fmt.Println(state(s), b.Counts("ops").Ready)
-	b.Block(false)
+	b.SetBlocked(false)
 	s.settled("ops")
-	b.Delete("ops")
+	b.DeleteQueue("ops")
 	time.Sleep(intake.UpdateInterval)
-	b.Declare("ops", nil)
+	b.DeclareQueue("ops", nil)
 	b.Publish("ops", newMessage("c", "view"))
 	s.settled("ops")
 	fmt.Println(len(s.replies()))
 	s.close()
 
 	b = newBroker()
-	b.Refuse(true)
+	b.RefuseLogins(true)
 	s = startTestbed(b, newFakeServer(), testConfig(b))
 	time.Sleep(1500 * time.Millisecond)
 	ever, _ := b.Connections()
@@ -427,7 +427,7 @@
 	standin.WaitFor("both in hand", func() bool { return b.Counts("ops").Unsettled == 2 })
 	b.Publish("ops", other)
 	standin.WaitFor("the other's end", func() bool { return b.Counts("ops").Acked == 1 })
-	b.Break()
+	b.CloseConsumerChannels()
 	standin.WaitFor("both again", func() bool { x := b.Counts("ops"); return x.Redelivered == 2 && x.Unsettled == 2 })
 	c.Post(func() {
 		mu.Lock()
@@ -455,9 +455,9 @@
 	for _, a := range []certs.KeyPair{ours, other} {
 		l := standin.Must(tls.Listen("tcp", "127.0.0.1:0", &tls.Config{ClientCAs: roots, ClientAuth: tls.RequireAndVerifyClientCert,
 			Certificates: []tls.Certificate{pair(a.Issue(certs.Subject{CommonName: "broker", Hosts: []string{"127.0.0.1"}}, true, now, time.Hour))}}))
-		b, c := broker.NewOn(l), newFakeServer()
-		b.Declare("ops", nil)
-		b.Declare("replies", nil)
+		b, c := broker.NewOnListener(l), newFakeServer()
+		b.DeclareQueue("ops", nil)
+		b.DeclareQueue("replies", nil)
 		t := testConfig(b)
 		t.BrokerURLs = []string{"amqps://" + b.Addr() + "/"}
 		t.Login = "guest:guest"
--- a/internal/amqp/golden_test.go
+++ b/internal/amqp/golden_test.go
@@ -115,9 +115,9 @@
 // whatever the outcome.
 func TestGoldenPublished(t *testing.T) {
 	b := broker.New()
-	b.Declare("ops", client.Table{"x-dead-letter-exchange": "", "x-dead-letter-routing-key": "ops.retry"})
+	b.DeclareQueue("ops", client.Table{"x-dead-letter-exchange": "", "x-dead-letter-routing-key": "ops.retry"})
 	for _, name := range []string{"ops.retry", "replies", "dead"} {
-		b.Declare(name, nil)
+		b.DeclareQueue(name, nil)
 	}
 	c := newFakeServer()
 	var mu sync.Mutex
@@ -186,7 +186,7 @@
 	})
 	queues := map[string][]map[string]any{}
 	for _, name := range []string{"replies", "dead", "ops.retry"} {
-		for _, p := range b.Take(name) {
+		for _, p := range b.DrainQueue(name) {
 			queues[name] = append(queues[name], published(p))
 		}
 		slices.SortFunc(queues[name], func(x, y map[string]any) int { return strings.Compare(fmt.Sprint(x), fmt.Sprint(y)) })
--- a/internal/command/try.go
+++ b/internal/command/try.go
@@ -119,8 +119,8 @@
 		if err := os.WriteFile(operatorFile, []byte(text), 0o600); err != nil {
 			return err
 		}
-		fakeBroker.Declare("try", nil)
-		fakeBroker.Declare("try.answers", nil)
+		fakeBroker.DeclareQueue("try", nil)
+		fakeBroker.DeclareQueue("try.answers", nil)
 	}
 	args := []string{"serve"}
 	if operatorFile != "" {
@@ -290,7 +290,7 @@
 	sentAt := map[string]time.Time{}
 	began := time.Now()
 	takeReplies := func() {
-		for _, p := range fakeBroker.Take("try.answers") {
+		for _, p := range fakeBroker.DrainQueue("try.answers") {
 			if sent, pending := sentAt[p.CorrelationId]; pending {
 				delete(sentAt, p.CorrelationId)
 				response := standin.Response{Error: p.Type}
--- a/internal/standin/broker/broker.go
+++ b/internal/standin/broker/broker.go
@@ -19,83 +19,83 @@
 // directions together, numbered from 1 behind the handshake.
 type Fault struct {
 	Connection, Frame int
-	How               How
-	For               time.Duration // of a stall
+	Mode              FaultMode
+	Duration          time.Duration // of a stall
 }
 
-// How a fault shows.
-type How int
+// FaultMode a fault shows.
+type FaultMode int
 
 const (
-	Cut   How = iota // behind the frame
-	Half             // in the middle of the frame, which does not arrive
-	Stall            // nothing moves for a while
+	Disconnect    FaultMode = iota // behind the frame
+	TruncateFrame                  // in the middle of the frame, which does not arrive
+	Stall                          // nothing moves for a while
 )
 
 // Broker is the stand-in.
 type Broker struct {
 	listener net.Listener
 
-	mu       sync.Mutex
-	queues   map[string]*queue
-	bindings map[string]map[string][]string // exchange, key, queues
-	conns    map[*conn]bool
-	accepted int
-	seq      uint64
-	faults   []Fault
-	refuse   bool
-	blocked  bool
-	silent   bool // sends no heartbeats and answers nothing
-	frames   map[int]int
-	wrong    []string // what clients did that the specification forbids
+	mu           sync.Mutex
+	queues       map[string]*queue
+	bindings     map[string]map[string][]string // exchange, key, queues
+	connections  map[*connection]bool
+	accepted     int
+	lastSequence uint64
+	faults       []Fault
+	refuseLogins bool
+	blocked      bool
+	silent       bool // sends no heartbeats and answers nothing
+	frameCounts  map[int]int
+	violations   []string // what clients did that the specification forbids
 }
 
 type queue struct {
-	name      string
-	args      amqp.Table
-	ready     []*message
-	consumers []*consumer
-	next      int // whose turn it is
-	counts    Counts
+	name         string
+	args         amqp.Table
+	ready        []*message
+	consumers    []*consumer
+	nextConsumer int // whose turn it is
+	counts       Counts
 }
 
 type message struct {
 	amqp.Publishing
-	seq         uint64
-	key         string
+	sequence    uint64
+	routingKey  string
 	redelivered bool
 }
 
 type consumer struct {
-	tag   string
-	ch    *channel
-	queue *queue
-	noAck bool
+	tag     string
+	channel *channel
+	queue   *queue
+	noAck   bool
 }
 
-type held struct {
-	tag   uint64
-	msg   *message
-	queue *queue
+type unsettled struct {
+	tag     uint64
+	message *message
+	queue   *queue
 }
 
 // New starts one on a loopback port.
-func New() *Broker { return NewAt("127.0.0.1:0") }
+func New() *Broker { return newOnAddress("127.0.0.1:0") }
 
-// NewAt starts one at an address.
-func NewAt(addr string) *Broker {
-	l, err := net.Listen("tcp", addr)
+// newOnAddress starts one at an address.
+func newOnAddress(address string) *Broker {
+	l, err := net.Listen("tcp", address)
 	if err != nil {
 		panic(err)
 	}
-	return NewOn(l)
+	return NewOnListener(l)
 }
 
-// NewOn starts one on a listener, as one with TLS.
-func NewOn(l net.Listener) *Broker {
-	b := &Broker{listener: l, queues: map[string]*queue{}, bindings: map[string]map[string][]string{}, conns: map[*conn]bool{},
-		frames: map[int]int{}}
-	go b.accept()
+// NewOnListener starts one on a listener, as one with TLS.
+func NewOnListener(l net.Listener) *Broker {
+	b := &Broker{listener: l, queues: map[string]*queue{}, bindings: map[string]map[string][]string{}, connections: map[*connection]bool{},
+		frameCounts: map[int]int{}}
+	go b.acceptLoop()
 	return b
 }
 
@@ -105,42 +105,42 @@
 // Close ends it with all its connections; Cut ends the connections alone.
 func (b *Broker) Close() {
 	b.listener.Close()
-	b.Cut()
+	b.DropConnections()
 }
 
-func (b *Broker) Cut() {
+func (b *Broker) DropConnections() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for c := range b.conns {
-		c.net.Close()
+	for c := range b.connections {
+		c.netConn.Close()
 	}
 }
 
-// Script sets the faults to come.
-func (b *Broker) Script(faults ...Fault) {
+// SetFaults sets the faults to come.
+func (b *Broker) SetFaults(faults ...Fault) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.faults = faults
 }
 
-// Refuse has logins refused; Block tells all clients that nothing is taken for now; Silence has it answer nothing at all.
-func (b *Broker) Refuse(on bool)  { b.mu.Lock(); b.refuse = on; b.mu.Unlock() }
-func (b *Broker) Silence(on bool) { b.mu.Lock(); b.silent = on; b.mu.Unlock() }
-func (b *Broker) Block(on bool) {
+// RefuseLogins has logins refused; Block tells all clients that nothing is taken for now; Silence has it answer nothing at all.
+func (b *Broker) RefuseLogins(on bool) { b.mu.Lock(); b.refuseLogins = on; b.mu.Unlock() }
+func (b *Broker) SetSilent(on bool)    { b.mu.Lock(); b.silent = on; b.mu.Unlock() }
+func (b *Broker) SetBlocked(on bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.blocked = on
-	for c := range b.conns {
+	for c := range b.connections {
 		if on {
-			c.send(0, method(10, 60).short("memory"))
+			c.sendMethod(0, newMethod(10, 60).shortString("memory"))
 		} else {
-			c.send(0, method(10, 61))
+			c.sendMethod(0, newMethod(10, 61))
 		}
 	}
 }
 
-// Declare makes a queue.
-func (b *Broker) Declare(name string, args amqp.Table) {
+// DeclareQueue makes a queue.
+func (b *Broker) DeclareQueue(name string, args amqp.Table) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.declare(name, args)
@@ -155,27 +155,27 @@
 	return q
 }
 
-// Delete takes a queue away, and tells its consumers.
-func (b *Broker) Delete(name string) {
+// DeleteQueue takes a queue away, and tells its consumers.
+func (b *Broker) DeleteQueue(name string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if q := b.queues[name]; q != nil {
 		delete(b.queues, name)
 		for _, c := range q.consumers {
-			delete(c.ch.consumers, c.tag)
-			c.ch.conn.send(c.ch.id, method(60, 30).short(c.tag).flag(true))
+			delete(c.channel.consumers, c.tag)
+			c.channel.connection.sendMethod(c.channel.id, newMethod(60, 30).shortString(c.tag).boolean(true))
 		}
 	}
 }
 
-// Break closes all channels that consume, as over a wrong settlement.
-func (b *Broker) Break() {
+// CloseConsumerChannels closes all channels that consume, as over a wrong settlement.
+func (b *Broker) CloseConsumerChannels() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for c := range b.conns {
+	for c := range b.connections {
 		for _, ch := range c.channels {
 			if len(ch.consumers) > 0 {
-				ch.close(406, "PRECONDITION_FAILED")
+				ch.closeWithError(406, "PRECONDITION_FAILED")
 			}
 		}
 	}
@@ -185,20 +185,20 @@
 func (b *Broker) Publish(name string, p amqp.Publishing) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.put(b.declare(name, nil), &message{Publishing: p, key: name})
+	b.enqueue(b.declare(name, nil), &message{Publishing: p, routingKey: name})
 }
 
-// Take gives and removes all that is ready in a queue.
-func (b *Broker) Take(name string) (all []amqp.Publishing) {
+// DrainQueue gives and removes all that is ready in a queue.
+func (b *Broker) DrainQueue(name string) (messages []amqp.Publishing) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if q := b.queues[name]; q != nil {
 		for _, m := range q.ready {
-			all = append(all, m.Publishing)
+			messages = append(messages, m.Publishing)
 		}
 		q.ready = nil
 	}
-	return all
+	return messages
 }
 
 // Counts tells what happened to a queue's messages.
@@ -211,9 +211,9 @@
 	}
 	c := q.counts
 	c.Ready, c.Consumers = len(q.ready), len(q.consumers)
-	for conn := range b.conns {
+	for conn := range b.connections {
 		for _, ch := range conn.channels {
-			for _, h := range ch.held {
+			for _, h := range ch.unsettled {
 				if h.queue == q {
 					c.Unsettled++
 				}
@@ -228,49 +228,49 @@
 func (b *Broker) Connections() (ever, now int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.accepted, len(b.conns)
+	return b.accepted, len(b.connections)
 }
 
-func (b *Broker) Frames(connection int) int {
+func (b *Broker) FrameCount(connection int) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.frames[connection]
+	return b.frameCounts[connection]
 }
 
-func (b *Broker) Wrong() []string {
+func (b *Broker) Violations() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return slices.Clone(b.wrong)
+	return slices.Clone(b.violations)
 }
 
-// put appends a message, or puts it back where it was by its number.
-func (b *Broker) put(q *queue, m *message) {
-	if m.seq == 0 {
-		b.seq++
-		m.seq = b.seq
+// enqueue appends a message, or puts it back where it was by its number.
+func (b *Broker) enqueue(q *queue, added *message) {
+	if added.sequence == 0 {
+		b.lastSequence++
+		added.sequence = b.lastSequence
 		q.counts.Published++
 	}
-	at, _ := slices.BinarySearchFunc(q.ready, m, func(x, y *message) int {
+	at, _ := slices.BinarySearchFunc(q.ready, added, func(x, y *message) int {
 		if _, ranked := q.args["x-max-priority"]; ranked && x.Priority != y.Priority {
 			return int(y.Priority) - int(x.Priority)
 		}
-		return int(x.seq) - int(y.seq)
+		return int(x.sequence) - int(y.sequence)
 	})
-	q.ready = slices.Insert(q.ready, at, m)
+	q.ready = slices.Insert(q.ready, at, added)
 	ttl := time.Duration(-1)
-	if d, err := time.ParseDuration(m.Expiration + "ms"); err == nil {
+	if d, err := time.ParseDuration(added.Expiration + "ms"); err == nil {
 		ttl = d
 	}
-	if ms, is := number(q.args["x-message-ttl"]); is && (ttl < 0 || time.Duration(ms)*time.Millisecond < ttl) {
+	if ms, ok := toInt64(q.args["x-message-ttl"]); ok && (ttl < 0 || time.Duration(ms)*time.Millisecond < ttl) {
 		ttl = time.Duration(ms) * time.Millisecond
 	}
 	if ttl >= 0 {
-		time.AfterFunc(ttl, func() { b.expire(q, m) })
+		time.AfterFunc(ttl, func() { b.expire(q, added) })
 	}
-	b.pump(q)
+	b.deliver(q)
 }
 
-func number(x any) (int64, bool) {
+func toInt64(x any) (int64, bool) {
 	switch x := x.(type) {
 	case int:
 		return int64(x), true
@@ -293,14 +293,14 @@
 }
 
 // deadLetter moves a message to where its queue tells, with a count in x-death, as the extension has it.
-func (b *Broker) deadLetter(q *queue, m *message, why string) {
-	exchange, told := q.args["x-dead-letter-exchange"].(string)
-	if !told {
+func (b *Broker) deadLetter(q *queue, m *message, reason string) {
+	exchange, found := q.args["x-dead-letter-exchange"].(string)
+	if !found {
 		return
 	}
-	key, told := q.args["x-dead-letter-routing-key"].(string)
-	if !told {
-		key = m.key
+	key, found := q.args["x-dead-letter-routing-key"].(string)
+	if !found {
+		key = m.routingKey
 	}
 	p := m.Publishing
 	p.Expiration = ""
@@ -310,17 +310,17 @@
 	}
 	var deaths []any
 	count := int64(1)
-	if before, is := p.Headers["x-death"].([]any); is {
-		for _, x := range before {
-			if d, is := x.(amqp.Table); is && d["queue"] == q.name && d["reason"] == why {
-				n, _ := number(d["count"])
+	if earlier, ok := p.Headers["x-death"].([]any); ok {
+		for _, x := range earlier {
+			if d, ok := x.(amqp.Table); ok && d["queue"] == q.name && d["reason"] == reason {
+				n, _ := toInt64(d["count"])
 				count += n
 			} else {
 				deaths = append(deaths, x)
 			}
 		}
 	}
-	p.Headers["x-death"] = append([]any{amqp.Table{"queue": q.name, "reason": why, "count": count, "exchange": exchange}}, deaths...)
+	p.Headers["x-death"] = append([]any{amqp.Table{"queue": q.name, "reason": reason, "count": count, "exchange": exchange}}, deaths...)
 	b.route(exchange, key, p)
 }
 
@@ -332,21 +332,21 @@
 	found := false
 	for _, name := range names {
 		if q := b.queues[name]; q != nil {
-			b.put(q, &message{Publishing: p, key: key})
+			b.enqueue(q, &message{Publishing: p, routingKey: key})
 			found = true
 		}
 	}
 	return found
 }
 
-// pump delivers what is ready to consumers with room, in turn.
-func (b *Broker) pump(q *queue) {
+// deliver delivers what is ready to consumers with room, in turn.
+func (b *Broker) deliver(q *queue) {
 	for len(q.ready) > 0 {
 		var to *consumer
 		for i := range q.consumers {
-			c := q.consumers[(q.next+i)%len(q.consumers)]
-			if c.ch.prefetch == 0 || len(c.ch.held) < c.ch.prefetch {
-				to, q.next = c, (q.next+i+1)%len(q.consumers)
+			c := q.consumers[(q.nextConsumer+i)%len(q.consumers)]
+			if c.channel.prefetch == 0 || len(c.channel.unsettled) < c.channel.prefetch {
+				to, q.nextConsumer = c, (q.nextConsumer+i+1)%len(q.consumers)
 				break
 			}
 		}
@@ -359,28 +359,28 @@
 		if m.redelivered {
 			q.counts.Redelivered++
 		}
-		ch := to.ch
-		ch.tag++
+		ch := to.channel
+		ch.lastTag++
 		if !to.noAck {
-			ch.held = append(ch.held, held{ch.tag, m, q})
+			ch.unsettled = append(ch.unsettled, unsettled{ch.lastTag, m, q})
 		}
-		ch.conn.send(ch.id, method(60, 60).short(to.tag).u64(ch.tag).flag(m.redelivered).short("").short(m.key))
-		head := (&out{}).u16(60).u16(0).u64(uint64(len(m.Body))).properties(&m.Publishing)
-		ch.conn.write(frame{frameHeader, ch.id, head.b})
+		ch.connection.sendMethod(ch.id, newMethod(60, 60).shortString(to.tag).u64(ch.lastTag).boolean(m.redelivered).shortString("").shortString(m.routingKey))
+		head := (&payloadWriter{}).u16(60).u16(0).u64(uint64(len(m.Body))).properties(&m.Publishing)
+		ch.connection.writeFrame(frame{frameHeader, ch.id, head.buffer})
 		for rest := m.Body; len(rest) > 0; {
-			n := min(len(rest), mostFrame-8)
-			ch.conn.write(frame{frameBody, ch.id, rest[:n]})
+			n := min(len(rest), maxFrameBytes-8)
+			ch.connection.writeFrame(frame{frameBody, ch.id, rest[:n]})
 			rest = rest[n:]
 		}
 	}
 }
 
 // settle takes deliveries off a channel's hands; a tag that is none closes the channel.
-func (ch *channel) settle(tag uint64, multiple bool, done func(held)) {
+func (ch *channel) settle(tag uint64, multiple bool, apply func(unsettled)) {
 	found := false
-	kept := ch.held[:0:0]
-	var settled []held
-	for _, h := range ch.held {
+	kept := ch.unsettled[:0:0]
+	var settled []unsettled
+	for _, h := range ch.unsettled {
 		if h.tag == tag || multiple && (tag == 0 || h.tag <= tag) {
 			found = true
 			settled = append(settled, h)
@@ -388,31 +388,31 @@
 			kept = append(kept, h)
 		}
 	}
-	ch.held = kept
+	ch.unsettled = kept
 	if !found {
-		b := ch.conn.b
-		b.wrong = append(b.wrong, "settled what is not in hand")
-		ch.close(406, "PRECONDITION_FAILED - unknown delivery tag")
+		b := ch.connection.broker
+		b.violations = append(b.violations, "settled what is not in hand")
+		ch.closeWithError(406, "PRECONDITION_FAILED - unknown delivery tag")
 		return
 	}
 	queues := map[*queue]bool{}
 	for _, h := range settled {
-		done(h)
+		apply(h)
 		queues[h.queue] = true
 	}
 	for q := range queues {
-		ch.conn.b.pump(q)
+		ch.connection.broker.deliver(q)
 	}
 }
 
-// back puts a delivery in its queue again, where it was, with the flag set.
-func (b *Broker) back(h held) {
-	h.msg.redelivered = true
+// requeue puts a delivery in its queue again, where it was, with the flag set.
+func (b *Broker) requeue(h unsettled) {
+	h.message.redelivered = true
 	h.queue.counts.Requeued++
-	b.put(h.queue, h.msg)
+	b.enqueue(h.queue, h.message)
 }
 
-func (b *Broker) accept() {
+func (b *Broker) acceptLoop() {
 	for {
 		n, err := b.listener.Accept()
 		if err != nil {
@@ -420,10 +420,10 @@
 		}
 		b.mu.Lock()
 		b.accepted++
-		c := &conn{b: b, net: n, no: b.accepted, channels: map[uint16]*channel{}, out: make(chan []byte, 1<<16)}
-		b.conns[c] = true
+		c := &connection{broker: b, netConn: n, number: b.accepted, channels: map[uint16]*channel{}, outgoing: make(chan []byte, 1<<16)}
+		b.connections[c] = true
 		b.mu.Unlock()
-		go c.writes()
+		go c.writeLoop()
 		go c.serve()
 	}
 }
--- a/internal/standin/broker/codec.go
+++ b/internal/standin/broker/codec.go
@@ -22,8 +22,8 @@
 	frameEnd       = 0xce
 )
 
-// mostFrame is how large a frame may be; it is told to the client.
-const mostFrame = 128 << 10
+// maxFrameBytes is how large a frame may be; it is told to the client.
+const maxFrameBytes = 128 << 10
 
 type frame struct {
 	kind    byte
@@ -38,7 +38,7 @@
 	}
 	f.kind, f.channel = head[0], binary.BigEndian.Uint16(head[1:])
 	size := binary.BigEndian.Uint32(head[3:])
-	if size > mostFrame {
+	if size > maxFrameBytes {
 		return f, fmt.Errorf("a frame of %d bytes", size)
 	}
 	f.payload = make([]byte, size+1)
@@ -59,35 +59,35 @@
 	return append(append(b, f.payload...), frameEnd)
 }
 
-// in reads the parts of a payload; what is too short panics, and ends the connection.
-type in struct{ b []byte }
+// payloadReader reads the parts of a payload; what is too short panics, and ends the connection.
+type payloadReader struct{ rest []byte }
 
-func (r *in) take(n int) []byte {
-	if n < 0 || n > len(r.b) {
+func (r *payloadReader) take(n int) []byte {
+	if n < 0 || n > len(r.rest) {
 		panic(errors.New("a payload that is too short"))
 	}
-	b := r.b[:n]
-	r.b = r.b[n:]
+	b := r.rest[:n]
+	r.rest = r.rest[n:]
 	return b
 }
 
-func (r *in) u8() byte      { return r.take(1)[0] }
-func (r *in) u16() uint16   { return binary.BigEndian.Uint16(r.take(2)) }
-func (r *in) u32() uint32   { return binary.BigEndian.Uint32(r.take(4)) }
-func (r *in) u64() uint64   { return binary.BigEndian.Uint64(r.take(8)) }
-func (r *in) short() string { return string(r.take(int(r.u8()))) }
-func (r *in) long() string  { return string(r.take(int(r.u32()))) }
+func (r *payloadReader) u8() byte            { return r.take(1)[0] }
+func (r *payloadReader) u16() uint16         { return binary.BigEndian.Uint16(r.take(2)) }
+func (r *payloadReader) u32() uint32         { return binary.BigEndian.Uint32(r.take(4)) }
+func (r *payloadReader) u64() uint64         { return binary.BigEndian.Uint64(r.take(8)) }
+func (r *payloadReader) shortString() string { return string(r.take(int(r.u8()))) }
+func (r *payloadReader) longString() string  { return string(r.take(int(r.u32()))) }
 
-func (r *in) table() amqp.Table {
+func (r *payloadReader) table() amqp.Table {
 	t := amqp.Table{}
-	for part := (in{r.take(int(r.u32()))}); len(part.b) > 0; {
-		name := part.short()
+	for part := (payloadReader{r.take(int(r.u32()))}); len(part.rest) > 0; {
+		name := part.shortString()
 		t[name] = part.value()
 	}
 	return t
 }
 
-func (r *in) value() any {
+func (r *payloadReader) value() any {
 	switch kind := r.u8(); kind {
 	case 't':
 		return r.u8() != 0
@@ -110,16 +110,16 @@
 	case 'd':
 		return math.Float64frombits(r.u64())
 	case 'S':
-		return r.long()
+		return r.longString()
 	case 'x':
-		return []byte(r.long())
+		return []byte(r.longString())
 	case 'T':
 		return time.Unix(int64(r.u64()), 0)
 	case 'F':
 		return r.table()
 	case 'A':
 		var list []any
-		for part := (in{r.take(int(r.u32()))}); len(part.b) > 0; {
+		for part := (payloadReader{r.take(int(r.u32()))}); len(part.rest) > 0; {
 			list = append(list, part.value())
 		}
 		return list
@@ -130,39 +130,55 @@
 	}
 }
 
-// out writes the parts of a payload.
-type out struct{ b []byte }
+// payloadWriter writes the parts of a payload.
+type payloadWriter struct{ buffer []byte }
 
-func method(class, id uint16) *out {
-	return &out{binary.BigEndian.AppendUint16(binary.BigEndian.AppendUint16(nil, class), id)}
+func newMethod(class, id uint16) *payloadWriter {
+	return &payloadWriter{binary.BigEndian.AppendUint16(binary.BigEndian.AppendUint16(nil, class), id)}
 }
 
-func (w *out) u8(x byte) *out    { w.b = append(w.b, x); return w }
-func (w *out) u16(x uint16) *out { w.b = binary.BigEndian.AppendUint16(w.b, x); return w }
-func (w *out) u32(x uint32) *out { w.b = binary.BigEndian.AppendUint32(w.b, x); return w }
-func (w *out) u64(x uint64) *out { w.b = binary.BigEndian.AppendUint64(w.b, x); return w }
-func (w *out) flag(x bool) *out {
+func (w *payloadWriter) u8(x byte) *payloadWriter { w.buffer = append(w.buffer, x); return w }
+func (w *payloadWriter) u16(x uint16) *payloadWriter {
+	w.buffer = binary.BigEndian.AppendUint16(w.buffer, x)
+	return w
+}
+func (w *payloadWriter) u32(x uint32) *payloadWriter {
+	w.buffer = binary.BigEndian.AppendUint32(w.buffer, x)
+	return w
+}
+func (w *payloadWriter) u64(x uint64) *payloadWriter {
+	w.buffer = binary.BigEndian.AppendUint64(w.buffer, x)
+	return w
+}
+func (w *payloadWriter) boolean(x bool) *payloadWriter {
 	if x {
 		return w.u8(1)
 	}
 	return w.u8(0)
 }
-func (w *out) short(s string) *out { w.b = append(append(w.b, byte(len(s))), s...); return w }
-func (w *out) long(s string) *out  { w.u32(uint32(len(s))); w.b = append(w.b, s...); return w }
+func (w *payloadWriter) shortString(s string) *payloadWriter {
+	w.buffer = append(append(w.buffer, byte(len(s))), s...)
+	return w
+}
+func (w *payloadWriter) longString(s string) *payloadWriter {
+	w.u32(uint32(len(s)))
+	w.buffer = append(w.buffer, s...)
+	return w
+}
 
-func (w *out) table(t amqp.Table) *out {
-	var part out
+func (w *payloadWriter) table(t amqp.Table) *payloadWriter {
+	var part payloadWriter
 	for name, x := range t {
-		part.short(name)
+		part.shortString(name)
 		part.value(x)
 	}
-	return w.long(string(part.b))
+	return w.longString(string(part.buffer))
 }
 
-func (w *out) value(x any) {
+func (w *payloadWriter) value(x any) {
 	switch x := x.(type) {
 	case bool:
-		w.u8('t').flag(x)
+		w.u8('t').boolean(x)
 	case int:
 		w.u8('l').u64(uint64(x))
 	case int32:
@@ -172,31 +188,31 @@
 	case float64:
 		w.u8('d').u64(math.Float64bits(x))
 	case string:
-		w.u8('S').long(x)
+		w.u8('S').longString(x)
 	case []byte:
-		w.u8('x').long(string(x))
+		w.u8('x').longString(string(x))
 	case time.Time:
 		w.u8('T').u64(uint64(x.Unix()))
 	case amqp.Table:
 		w.u8('F').table(x)
 	case []any:
-		var part out
+		var part payloadWriter
 		for _, one := range x {
 			part.value(one)
 		}
-		w.u8('A').long(string(part.b))
+		w.u8('A').longString(string(part.buffer))
 	default:
 		w.u8('V')
 	}
 }
 
 // properties reads a content header behind its sizes.
-func (r *in) properties() (p amqp.Publishing) {
+func (r *payloadReader) properties() (p amqp.Publishing) {
 	flags := r.u16()
 	has := func(bit int) bool { return flags&(1<<bit) != 0 }
 	texts := func(bit int, to *string) {
 		if has(bit) {
-			*to = r.short()
+			*to = r.shortString()
 		}
 	}
 	texts(15, &p.ContentType)
@@ -223,13 +239,13 @@
 	return p
 }
 
-func (w *out) properties(p *amqp.Publishing) *out {
+func (w *payloadWriter) properties(p *amqp.Publishing) *payloadWriter {
 	var flags uint16
-	var part out
+	var part payloadWriter
 	text := func(bit int, s string) {
 		if s != "" {
 			flags |= 1 << bit
-			part.short(s)
+			part.shortString(s)
 		}
 	}
 	text(15, p.ContentType)
@@ -258,6 +274,6 @@
 	text(4, p.UserId)
 	text(3, p.AppId)
 	w.u16(flags)
-	w.b = append(w.b, part.b...)
+	w.buffer = append(w.buffer, part.buffer...)
 	return w
 }
