--- a/internal/scenes/scenes.go
+++ b/internal/scenes/scenes.go
@@ -13,9 +13,9 @@
 }
 
 // Must ends a test that can't go on.
-func Must[T any](x T, err error) T {
+func Must[T any](value T, err error) T {
 	if err != nil {
 		panic(err)
 	}
-	return x
+	return value
 }
