--- a/internal/wire/link.go
+++ b/internal/wire/link.go
@@ -16,7 +16,7 @@
 	"unsafe"
 
 	"github.com/lesismal/nbio"
-	"github.com/lesismal/nbio/logging"
+	nbiolog "github.com/lesismal/nbio/logging"
 	"golang.org/x/sys/unix"
 
 	"lanewheel/internal/logline"
@@ -68,7 +68,7 @@
 
 // Start starts the poller and listens.
 func (n *Net) Start(listen string) error {
-	logging.SetLevel(logging.LevelError)
+	nbiolog.SetLevel(nbiolog.LevelError)
 	n.dialQueues = map[string]chan func(){}
 	n.limitDescriptorTable()
 	n.engine = nbio.NewEngine(nbio.Config{Network: "tcp", Addrs: []string{listen}, NPoller: 1,
