--- a/choice/choice.go
+++ b/admission/choice.go
@@ -1,10 +1,10 @@
-// Package choice decides, for one service instance, which ops it holds, starts, nacks and gives up.
+// Package admission decides, for one service instance, which ops it holds, starts, nacks and gives up.
 //
 // How to invoke it: Open a Desk at the start of the process with its seed, its start facts and a Port; call
 // Read for each op read, Gone when a caller has left, Leave when the instance is told to go, and Settle once
 // after each batch of these. What an op does next is handed to the Port as closures. The interface is in
 // port.go, the state in state.go; the reasons are in docs/design.md, which cites the paper by its symbols.
-package choice
+package admission
 
 import (
 	"cmp"
--- a/choice/state.go
+++ b/admission/state.go
@@ -1,4 +1,4 @@
-package choice
+package admission
 
 // State and helpers of the module: no decisions and no tuned values stand here.
 
--- a/cmd/wirehost/golden_test.go
+++ b/cmd/wirehost/golden_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"lanewheel/choice"
+	"lanewheel/admission"
 	"lanewheel/internal/goldentest"
 )
 
@@ -35,10 +35,10 @@
 // Each action that the module may take, as it goes out.
 func TestGoldenActions(t *testing.T) {
 	h := newSimulation()
-	in := &instance{simulation: h, number: 3, onCall: map[choice.RequestID]func(){},
-		onRunEnd:   map[choice.RequestID]func(choice.Outcome, time.Duration){},
-		onCallDone: map[choice.RequestID]func(choice.Outcome, time.Duration){}, onTimer: map[string]func(map[string]float64){}}
-	const id = choice.RequestID("addf482b5d3a91c4")
+	in := &instance{simulation: h, number: 3, onCall: map[admission.RequestID]func(){},
+		onRunEnd:   map[admission.RequestID]func(admission.Outcome, time.Duration){},
+		onCallDone: map[admission.RequestID]func(admission.Outcome, time.Duration){}, onTimer: map[string]func(map[string]float64){}}
+	const id = admission.RequestID("addf482b5d3a91c4")
 	in.Start(id, nil, nil)
 	in.Coalesce(id, nil)
 	in.Stop(id)
--- a/cmd/wirehost/host.go
+++ b/cmd/wirehost/host.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"lanewheel/choice"
+	"lanewheel/admission"
 	"lanewheel/internal/simwire"
 )
 
@@ -24,11 +24,11 @@
 type instance struct {
 	simulation *simulation
 	number     int
-	controller *choice.Controller
+	controller *admission.Controller
 	touched    bool // has had an event in this batch
-	onCall     map[choice.RequestID]func()
-	onRunEnd   map[choice.RequestID]func(choice.Outcome, time.Duration)
-	onCallDone map[choice.RequestID]func(choice.Outcome, time.Duration)
+	onCall     map[admission.RequestID]func()
+	onRunEnd   map[admission.RequestID]func(admission.Outcome, time.Duration)
+	onCallDone map[admission.RequestID]func(admission.Outcome, time.Duration)
 	onTimer    map[string]func(map[string]float64)
 	timers     uint64
 }
@@ -81,14 +81,14 @@
 		}
 		target = &instance{
 			simulation: h, number: number,
-			onCall:     map[choice.RequestID]func(){},
-			onRunEnd:   map[choice.RequestID]func(choice.Outcome, time.Duration){},
-			onCallDone: map[choice.RequestID]func(choice.Outcome, time.Duration){},
+			onCall:     map[admission.RequestID]func(){},
+			onRunEnd:   map[admission.RequestID]func(admission.Outcome, time.Duration){},
+			onCallDone: map[admission.RequestID]func(admission.Outcome, time.Duration){},
 			onTimer:    map[string]func(map[string]float64){},
 		}
 		h.instances[number] = target
 		h.markTouched(target)
-		target.controller = choice.New(seed, settings, target)
+		target.controller = admission.New(seed, settings, target)
 		return nil
 	}
 	if target == nil {
@@ -182,33 +182,33 @@
 
 func (in *instance) Now() time.Duration { return in.simulation.now }
 
-func (in *instance) Start(id choice.RequestID, onCall func(), onEnd func(choice.Outcome, time.Duration)) {
+func (in *instance) Start(id admission.RequestID, onCall func(), onEnd func(admission.Outcome, time.Duration)) {
 	in.onCall[id], in.onRunEnd[id] = onCall, onEnd
 	in.writeAction("serve", id)
 }
 
-func (in *instance) Coalesce(id choice.RequestID, onEnd func(choice.Outcome, time.Duration)) {
+func (in *instance) Coalesce(id admission.RequestID, onEnd func(admission.Outcome, time.Duration)) {
 	in.onRunEnd[id] = onEnd
 	in.writeAction("attach", id)
 }
 
-func (in *instance) Stop(id choice.RequestID) { in.writeAction("take-off", id) }
-func (in *instance) Fail(id choice.RequestID) { in.writeAction("end-failed", id) }
+func (in *instance) Stop(id admission.RequestID) { in.writeAction("take-off", id) }
+func (in *instance) Fail(id admission.RequestID) { in.writeAction("end-failed", id) }
 
-func (in *instance) Reject(id choice.RequestID, retryAfter time.Duration, noFailover bool) {
+func (in *instance) Reject(id admission.RequestID, retryAfter time.Duration, noFailover bool) {
 	in.writeAction("shed", id, retryAfter, noFailover)
 }
 
-func (in *instance) Call(id choice.RequestID, deadline time.Duration, done func(choice.Outcome, time.Duration)) {
+func (in *instance) Call(id admission.RequestID, deadline time.Duration, done func(admission.Outcome, time.Duration)) {
 	in.onCallDone[id] = done
 	in.writeAction("call", id, deadline)
 }
 
-func (in *instance) SkipCall(id choice.RequestID) { in.writeAction("fall-back", id) }
-func (in *instance) KeepRecord(id choice.RequestID, window time.Duration) {
+func (in *instance) SkipCall(id admission.RequestID) { in.writeAction("fall-back", id) }
+func (in *instance) KeepRecord(id admission.RequestID, window time.Duration) {
 	in.writeAction("store-key", id, window)
 }
-func (in *instance) DropRecord(id choice.RequestID) { in.writeAction("unpin", id) }
+func (in *instance) DropRecord(id admission.RequestID) { in.writeAction("unpin", id) }
 func (in *instance) SetHealth(healthy, fromState bool) {
 	in.writeAction("mark-health", healthy, fromState)
 }
--- a/internal/amqp/amqp_test.go
+++ b/internal/amqp/amqp_test.go
@@ -18,7 +18,7 @@
 
 	client "github.com/rabbitmq/amqp091-go"
 
-	"lanewheel/choice"
+	"lanewheel/admission"
 	"lanewheel/internal/certs"
 	"lanewheel/internal/front"
 	"lanewheel/internal/identity"
@@ -91,7 +91,7 @@
 		queues = []Queue{defaultQueue}
 	}
 	return Config{BrokerURLs: []string{b.URL()}, Queues: queues, MaxInFlight: 100, RetryFraction: 1, UnstartedRate: 10_000, MaxRemembered: 1000, RememberedFor: time.Minute,
-		HeartbeatInterval: 10 * time.Second, IdempotentClasses: map[choice.Class]bool{"view": true, "key": true}}
+		HeartbeatInterval: 10 * time.Second, IdempotentClasses: map[admission.Class]bool{"view": true, "key": true}}
 }
 
 func newBroker() *broker.Broker {
--- a/internal/amqp/part.go
+++ b/internal/amqp/part.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 	"time"
 
-	"lanewheel/choice"
+	"lanewheel/admission"
 	"lanewheel/internal/front"
 	"lanewheel/internal/identity"
 	"lanewheel/internal/intake"
@@ -26,10 +26,10 @@
 	MaxRemembered     int
 	RememberedFor     time.Duration
 	HeartbeatInterval time.Duration
-	TLS               *tls.Config           // for amqps addresses
-	StatusSocket      string                // path of a local socket that tells how the intake stands, empty for none
-	Login             string                // user:password in place of the URLs', empty for theirs
-	IdempotentClasses map[choice.Class]bool // the op types that may run twice
+	TLS               *tls.Config              // for amqps addresses
+	StatusSocket      string                   // path of a local socket that tells how the intake stands, empty for none
+	Login             string                   // user:password in place of the URLs', empty for theirs
+	IdempotentClasses map[admission.Class]bool // the op types that may run twice
 }
 
 // Consumer is the front. All its tables belong to its own loop; the broker's client, which blocks, works beside it.
@@ -202,7 +202,7 @@
 		p.session.requeue(queue.Name, tag)
 		return
 	}
-	idempotent := p.config.IdempotentClasses[choice.Class(message.request.Class)]
+	idempotent := p.config.IdempotentClasses[admission.Class(message.request.Class)]
 	decision, earlier := p.deduplicator.Receive(p.Now(), message.id, message.digest, tag, redelivered, idempotent)
 	conflict := decision == intake.IDConflict
 	if conflict { // it is known by what it says, too
@@ -255,7 +255,7 @@
 // disposition decides what becomes of a message.
 func (p *Consumer) disposition(pending *pendingMessage, outcome intake.Outcome, retryAfter time.Duration) intake.Disposition {
 	return p.retryBudget.Settle(intake.Message{Attempt: max(pending.message.attempt, p.deduplicator.Returns(pending.message.id)), Remaining: time.Until(pending.message.deadline),
-		Idempotent: p.config.IdempotentClasses[choice.Class(pending.message.request.Class)]}, pending.queue.Settlement, outcome, retryAfter, p.random.Float64())
+		Idempotent: p.config.IdempotentClasses[admission.Class(pending.message.request.Class)]}, pending.queue.Settlement, outcome, retryAfter, p.random.Float64())
 }
 
 // complete takes how the op of a message came out.
--- a/internal/below/below.go
+++ b/internal/below/below.go
@@ -8,7 +8,7 @@
 	"math/rand/v2"
 	"time"
 
-	"lanewheel/choice"
+	"lanewheel/admission"
 	"lanewheel/internal/grants"
 	"lanewheel/internal/keep"
 	"lanewheel/internal/loop"
@@ -205,11 +205,11 @@
 func (c *reservation) Addr() string               { return c.endpoint.address }
 func (c *reservation) MaxDuration() time.Duration { return c.maxDuration }
 
-var balancerOutcomes = map[choice.Outcome]spread.Outcome{choice.Succeeded: spread.Succeeded, choice.Rejected: spread.Rejected, choice.Failed: spread.Failed}
+var balancerOutcomes = map[admission.Outcome]spread.Outcome{admission.Succeeded: spread.Succeeded, admission.Rejected: spread.Rejected, admission.Failed: spread.Failed}
 
 // Release is keep.Place. What may be running on counts until its time there is up. Danger: who gives a call up and makes another at once has two running
 // below.
-func (c *reservation) Release(outcome choice.Outcome, stillRunning bool) {
+func (c *reservation) Release(outcome admission.Outcome, stillRunning bool) {
 	client, now := c.endpoint.client, c.endpoint.client.loop.Now()
 	result, known := balancerOutcomes[outcome]
 	if !known {
--- a/internal/command/further/golden_test.go
+++ b/internal/command/further/golden_test.go
@@ -17,7 +17,7 @@
 
 	"github.com/parquet-go/parquet-go"
 
-	"lanewheel/choice"
+	"lanewheel/admission"
 	"lanewheel/internal/accord"
 	"lanewheel/internal/command"
 	"lanewheel/internal/fleet/gossip"
@@ -264,7 +264,7 @@
 
 // The keys of the facts that an instance and a proxy have gossiped of themselves.
 func TestGoldenFacts(t *testing.T) {
-	config := keep.Config{Name: "n", ListenAddr: "127.0.0.1:0", RuntimeAddr: "127.0.0.1:1", TerminationGrace: time.Second, MaxDescriptors: 128, MemoryMB: 32, Cores: 1, Settings: choice.Settings{}}
+	config := keep.Config{Name: "n", ListenAddr: "127.0.0.1:0", RuntimeAddr: "127.0.0.1:1", TerminationGrace: time.Second, MaxDescriptors: 128, MemoryMB: 32, Cores: 1, Settings: admission.Settings{}}
 	in, err := keep.New(config)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/facts/facts.go
+++ b/internal/facts/facts.go
@@ -12,7 +12,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"lanewheel/choice"
+	"lanewheel/admission"
 )
 
 // valueReader turns one value of the start message into ours, nil if it is of the wrong type; a list tells what is Wrong in it.
@@ -107,7 +107,7 @@
 }
 
 // Parse translates the settings; without cores or op types there is nothing to decide on. The error is the first Wrong.
-func Parse(stored *fastjson.Value) (choice.Settings, error) {
+func Parse(stored *fastjson.Value) (admission.Settings, error) {
 	parsed, problems := ParseAll(stored)
 	if len(problems) > 0 {
 		return nil, problems[0]
@@ -130,7 +130,7 @@
 }
 
 // ParseAll translates the settings and tells all that is wrong with them.
-func ParseAll(told *fastjson.Value) (choice.Settings, []FieldError) {
+func ParseAll(told *fastjson.Value) (admission.Settings, []FieldError) {
 	parsed, problems := readObject(told, instanceSettings)
 	applyDefaults(parsed)
 	requirePresent := func(name, want string, path ...string) {
@@ -142,7 +142,7 @@
 	if cores, told := parsed["cores"].(float64); !told || cores < 1 {
 		requirePresent("cores", "wants a number of 1 or more", "domain", "cpus")
 	}
-	if classes, told := parsed["op types"].([]choice.Settings); !told || len(classes) == 0 {
+	if classes, told := parsed["op types"].([]admission.Settings); !told || len(classes) == 0 {
 		requirePresent("op types", "wants a list that is not empty", "classes")
 	}
 	return parsed, problems
@@ -150,8 +150,8 @@
 
 // applyDefaults gives what was told of times and shares without a meaning the nearest that has one. Danger: the module divides by a target
 // latency, and works out spans from the others.
-func applyDefaults(parsed choice.Settings) {
-	classes, _ := parsed["op types"].([]choice.Settings)
+func applyDefaults(parsed admission.Settings) {
+	classes, _ := parsed["op types"].([]admission.Settings)
 	for _, class := range classes {
 		target, _ := class["target latency"].(time.Duration)
 		timeout, _ := class["op timeout"].(time.Duration)
@@ -175,8 +175,8 @@
 }
 
 // readObject picks the named values out of an object. Absent and unknown ones are passed over.
-func readObject(object *fastjson.Value, known []setting) (choice.Settings, []FieldError) {
-	parsed := choice.Settings{}
+func readObject(object *fastjson.Value, known []setting) (admission.Settings, []FieldError) {
+	parsed := admission.Settings{}
 	var problems []FieldError
 	for _, field := range known {
 		v := object.Get(field.storedPath...)
@@ -206,7 +206,7 @@
 		if err != nil {
 			return nil
 		}
-		out := []choice.Settings{}
+		out := []admission.Settings{}
 		var problems []FieldError
 		for i, item := range items {
 			if item.Type() != fastjson.TypeObject {
--- a/internal/facts/facts_test.go
+++ b/internal/facts/facts_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"lanewheel/choice"
+	"lanewheel/admission"
 )
 
 const sampleSettings = `{"classes":[
@@ -30,11 +30,11 @@
 type fakeExecutor struct {
 	now       time.Duration
 	scheduled map[time.Duration][]func()
-	answers   map[choice.RequestID]int
+	answers   map[admission.RequestID]int
 	problems  []string
 	started   int
-	onEnd     map[choice.RequestID]func(choice.Outcome, time.Duration)
-	finished  map[choice.RequestID]bool
+	onEnd     map[admission.RequestID]func(admission.Outcome, time.Duration)
+	finished  map[admission.RequestID]bool
 }
 
 func (w *fakeExecutor) schedule(at time.Duration, call func()) {
@@ -43,26 +43,26 @@
 }
 
 // answer gives the one answer; what is said of an op that has it changes nothing, as in an instance.
-func (w *fakeExecutor) answer(id choice.RequestID)                 { w.answers[id] = 1 }
-func (w *fakeExecutor) Now() time.Duration                         { return w.now }
-func (w *fakeExecutor) Fail(id choice.RequestID)                   { w.answer(id) }
-func (w *fakeExecutor) SkipCall(id choice.RequestID)               { w.endAfter(id, 30*time.Millisecond) }
-func (w *fakeExecutor) KeepRecord(choice.RequestID, time.Duration) {}
-func (w *fakeExecutor) DropRecord(choice.RequestID)                {}
-func (w *fakeExecutor) SetHealth(bool, bool)                       {}
-func (w *fakeExecutor) PublishLoad(float64)                        {}
-func (w *fakeExecutor) SetIdleTimeout(time.Duration)               {}
-func (w *fakeExecutor) LogTransition(string)                       {}
-func (w *fakeExecutor) Coalesce(choice.RequestID, func(choice.Outcome, time.Duration)) {
+func (w *fakeExecutor) answer(id admission.RequestID)                 { w.answers[id] = 1 }
+func (w *fakeExecutor) Now() time.Duration                            { return w.now }
+func (w *fakeExecutor) Fail(id admission.RequestID)                   { w.answer(id) }
+func (w *fakeExecutor) SkipCall(id admission.RequestID)               { w.endAfter(id, 30*time.Millisecond) }
+func (w *fakeExecutor) KeepRecord(admission.RequestID, time.Duration) {}
+func (w *fakeExecutor) DropRecord(admission.RequestID)                {}
+func (w *fakeExecutor) SetHealth(bool, bool)                          {}
+func (w *fakeExecutor) PublishLoad(float64)                           {}
+func (w *fakeExecutor) SetIdleTimeout(time.Duration)                  {}
+func (w *fakeExecutor) LogTransition(string)                          {}
+func (w *fakeExecutor) Coalesce(admission.RequestID, func(admission.Outcome, time.Duration)) {
 	w.problems = append(w.problems, "shares, and nothing repeats")
 }
-func (w *fakeExecutor) Reject(id choice.RequestID, away time.Duration, _ bool) {
+func (w *fakeExecutor) Reject(id admission.RequestID, away time.Duration, _ bool) {
 	w.answer(id)
 	if away < 0 {
 		w.problems = append(w.problems, "away for "+away.String())
 	}
 }
-func (w *fakeExecutor) Start(id choice.RequestID, atCall func(), ended func(choice.Outcome, time.Duration)) {
+func (w *fakeExecutor) Start(id admission.RequestID, atCall func(), ended func(admission.Outcome, time.Duration)) {
 	w.started++
 	w.onEnd[id] = ended
 	if w.started%2 == 0 {
@@ -71,28 +71,28 @@
 	}
 	w.endAfter(id, 30*time.Millisecond)
 }
-func (w *fakeExecutor) endAfter(id choice.RequestID, after time.Duration) {
+func (w *fakeExecutor) endAfter(id admission.RequestID, after time.Duration) {
 	w.schedule(w.now+after, func() {
 		if !w.finished[id] {
 			w.finished[id] = true
 			if w.answers[id] == 0 {
 				w.answer(id)
 			}
-			w.onEnd[id](choice.Succeeded, after)
+			w.onEnd[id](admission.Succeeded, after)
 		}
 	})
 }
-func (w *fakeExecutor) Stop(id choice.RequestID) {
+func (w *fakeExecutor) Stop(id admission.RequestID) {
 	w.schedule(w.now+time.Millisecond, func() {
 		if !w.finished[id] {
 			w.finished[id] = true
-			w.onEnd[id](choice.Stopped, time.Millisecond)
+			w.onEnd[id](admission.Stopped, time.Millisecond)
 		}
 	})
 }
-func (w *fakeExecutor) Call(id choice.RequestID, until time.Duration, done func(choice.Outcome, time.Duration)) {
+func (w *fakeExecutor) Call(id admission.RequestID, until time.Duration, done func(admission.Outcome, time.Duration)) {
 	w.schedule(w.now+5*time.Millisecond, func() {
-		done(choice.Succeeded, 5*time.Millisecond)
+		done(admission.Succeeded, 5*time.Millisecond)
 		w.endAfter(id, 20*time.Millisecond)
 	})
 }
@@ -101,15 +101,15 @@
 }
 
 // simulate plays two seconds with settings and tells what was wrong: an op without exactly one answer in its time.
-func simulate(settings choice.Settings) (problems []string) {
-	executor := &fakeExecutor{scheduled: map[time.Duration][]func(){}, answers: map[choice.RequestID]int{}, onEnd: map[choice.RequestID]func(choice.Outcome, time.Duration){}, finished: map[choice.RequestID]bool{}}
-	controller := choice.New(1, settings, executor)
+func simulate(settings admission.Settings) (problems []string) {
+	executor := &fakeExecutor{scheduled: map[time.Duration][]func(){}, answers: map[admission.RequestID]int{}, onEnd: map[admission.RequestID]func(admission.Outcome, time.Duration){}, finished: map[admission.RequestID]bool{}}
+	controller := admission.New(1, settings, executor)
 	n := 0
 	for ; executor.now < 2*time.Second; executor.now += 2 * time.Millisecond {
 		if executor.now < time.Second && executor.now%(8*time.Millisecond) == 0 {
 			n++
-			controller.Submit(choice.Request{ID: choice.RequestID(strconv.Itoa(n)), Class: choice.Class("abc"[n%3 : n%3+1]), Rank: float64(n%10) / 10, IsWrite: n%3 > 0, Caller: choice.CallerID(n % 5),
-				HasDeadline: true, Deadline: executor.now + 500*time.Millisecond, WorkHint: 30 * time.Millisecond, MemoryKB: 20, Tenant: choice.TenantID("xy"[n%2 : n%2+1])})
+			controller.Submit(admission.Request{ID: admission.RequestID(strconv.Itoa(n)), Class: admission.Class("abc"[n%3 : n%3+1]), Rank: float64(n%10) / 10, IsWrite: n%3 > 0, Caller: admission.CallerID(n % 5),
+				HasDeadline: true, Deadline: executor.now + 500*time.Millisecond, WorkHint: 30 * time.Millisecond, MemoryKB: 20, Tenant: admission.TenantID("xy"[n%2 : n%2+1])})
 		}
 		if executor.now == 1500*time.Millisecond {
 			controller.Drain(executor.now + 400*time.Millisecond)
@@ -121,7 +121,7 @@
 		controller.Decide()
 		if executor.now%(50*time.Millisecond) == 0 { // what came over half a second ago has its answer
 			for k := 1; time.Duration(k)*8*time.Millisecond < executor.now-530*time.Millisecond && k <= n; k++ {
-				if answers := executor.answers[choice.RequestID(strconv.Itoa(k))]; answers != 1 {
+				if answers := executor.answers[admission.RequestID(strconv.Itoa(k))]; answers != 1 {
 					return append(executor.problems, fmt.Sprintf("op %d has %d answers at %v", k, answers, executor.now))
 				}
 			}
--- a/internal/facts/golden_test.go
+++ b/internal/facts/golden_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"lanewheel/choice"
+	"lanewheel/admission"
 )
 
 // Each setting that is known, by its stored name, and what it is read as.
@@ -24,8 +24,8 @@
 		t.Fatal(problems)
 	}
 	const ms = time.Millisecond
-	want := choice.Settings{
-		"op types": []choice.Settings{
+	want := admission.Settings{
+		"op types": []admission.Settings{
 			{"name": "view", "importance": 1.5, "target latency": 300 * ms, "target stretch": 2.5, "op timeout": 1250 * ms,
 				"late share": 0.2, "repeat window": 5 * time.Second, "repeats": "retryable"},
 			{"name": "pay", "importance": 2.0, "target latency": 400 * ms, "target stretch": 3.0, "op timeout": 2 * time.Second,
@@ -33,7 +33,7 @@
 			{"name": "list", "importance": 3.0, "target latency": 500 * ms, "target stretch": 4.0, "op timeout": 3 * time.Second,
 				"late share": 0.3, "repeat window": 250 * ms, "repeats": "non-retryable"},
 		},
-		"tenants": []choice.Settings{
+		"tenants": []admission.Settings{
 			{"name": "acme", "quota a second": 9.0, "share": 0.7},
 			{"name": "beta", "quota a second": 5.0, "share": 0.3},
 		},
@@ -76,12 +76,12 @@
 	if len(got) != len(want) || len(got) != len(instanceSettings) {
 		t.Errorf("%d settings are read, %d are known, want %d", len(got), len(instanceSettings), len(want))
 	}
-	for i, item := range want["op types"].([]choice.Settings) {
+	for i, item := range want["op types"].([]admission.Settings) {
 		if len(item) != len(classSettings) {
 			t.Errorf("class %d has %d settings, %d are known", i, len(item), len(classSettings))
 		}
 	}
-	for i, item := range want["tenants"].([]choice.Settings) {
+	for i, item := range want["tenants"].([]admission.Settings) {
 		if len(item) != len(tenantSettings) {
 			t.Errorf("tenant %d has %d settings, %d are known", i, len(item), len(tenantSettings))
 		}
@@ -112,7 +112,7 @@
 		"idempotent": "retryable", "deduplicated": "keyed", "at_most_once": "non-retryable",
 	} {
 		got, _ := ParseAll(fastjson.MustParse(`{"classes":[{"name":"view","repeat":"` + word + `"}]}`))
-		if types, _ := got["op types"].([]choice.Settings); len(types) != 1 || types[0]["repeats"] != want {
+		if types, _ := got["op types"].([]admission.Settings); len(types) != 1 || types[0]["repeats"] != want {
 			t.Errorf("repeat %q is read as %v, want %q", word, got["op types"], want)
 		}
 	}
@@ -127,7 +127,7 @@
 		t.Fatal(wrong)
 	}
 	const ms = time.Millisecond
-	want := choice.Settings{"cores": 1.0, "cold speed share": 1.0, "op types": []choice.Settings{
+	want := admission.Settings{"cores": 1.0, "cold speed share": 1.0, "op types": []admission.Settings{
 		{"name": "none", "target latency": 1000 * ms, "op timeout": 1000 * ms},
 		{"name": "target", "target latency": 400 * ms, "op timeout": 400 * ms},
 		{"name": "timeout", "target latency": 2000 * ms, "op timeout": 2000 * ms},
--- a/internal/identity/door.go
+++ b/internal/identity/door.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"lanewheel/choice"
+	"lanewheel/admission"
 	"lanewheel/internal/certs"
 	"lanewheel/internal/keyring"
 	"lanewheel/internal/logline"
@@ -53,7 +53,7 @@
 
 // Decision is what the door says. With neither Why nor After the op may come in, under Tenant.
 type Decision struct {
-	Tenant     choice.TenantID
+	Tenant     admission.TenantID
 	Permission rights.Permission
 	Denial     rights.Denial // denied
 	RetryAfter time.Duration // not now
--- a/internal/keep/calls.go
+++ b/internal/keep/calls.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"lanewheel/choice"
+	"lanewheel/admission"
 	"lanewheel/internal/loop"
 	"lanewheel/internal/wire"
 )
@@ -26,7 +26,7 @@
 	conn        *wire.DatabaseConn // nil while it waits for room
 	sent        bool
 	timer       *loop.Timer
-	done        func(choice.Outcome, time.Duration)
+	done        func(admission.Outcome, time.Duration)
 	slot        UpstreamSlot // where it goes, where there are several
 	refusedAddr string       // where it was refused before
 	attempts    int
@@ -46,7 +46,7 @@
 	Addr() string
 	MaxDuration() time.Duration // that the call may last there
 	// Over gives the place back, once. running tells that the call may go on there for as long as it was told.
-	Release(how choice.Outcome, running bool)
+	Release(how admission.Outcome, running bool)
 }
 
 // UseUpstreams has calls go to services that are told elsewhere. It belongs to the time before Serve.
@@ -55,11 +55,11 @@
 	upstreams.OnAvailable(func() { in.database.startWaiting(in) })
 }
 
-func (d *databaseCalls) start(server *Server, active *activeRequest, deadline time.Duration, done func(choice.Outcome, time.Duration)) {
+func (d *databaseCalls) start(server *Server, active *activeRequest, deadline time.Duration, done func(admission.Outcome, time.Duration)) {
 	d.cancel(active.run.call) // a second call gives up the first
 	call := &databaseCall{request: active, startedAt: server.Now(), deadline: deadline, done: done}
 	active.run.call = call
-	call.timer = server.ScheduleAt(deadline, func() { d.finish(server, call, call.interruptedOutcome(choice.TimedOut)) })
+	call.timer = server.ScheduleAt(deadline, func() { d.finish(server, call, call.interruptedOutcome(admission.TimedOut)) })
 	if d.open >= d.maxConns || !d.acquireSlot(server, call) {
 		d.waiting = append(d.waiting, call)
 		return
@@ -80,13 +80,13 @@
 	if deadline := server.Now() + call.slot.MaxDuration(); deadline < call.deadline {
 		call.deadline = deadline
 		call.timer.Stop()
-		call.timer = server.ScheduleAt(deadline, func() { d.finish(server, call, call.interruptedOutcome(choice.TimedOut)) })
+		call.timer = server.ScheduleAt(deadline, func() { d.finish(server, call, call.interruptedOutcome(admission.TimedOut)) })
 	}
 	return true
 }
 
 // releaseSlot gives a call's place back. running tells that it may go on below.
-func (c *databaseCall) releaseSlot(outcome choice.Outcome, running bool) {
+func (c *databaseCall) releaseSlot(outcome admission.Outcome, running bool) {
 	if slot := c.slot; slot != nil {
 		c.slot = nil
 		slot.Release(outcome, running)
@@ -111,8 +111,8 @@
 			if call.request.run != nil && call.request.run.call == call && d.retry(server, call, addr) {
 				return
 			}
-			call.releaseSlot(choice.Unreachable, false)
-			d.finish(server, call, choice.Unreachable) // nothing was sent
+			call.releaseSlot(admission.Unreachable, false)
+			d.finish(server, call, admission.Unreachable) // nothing was sent
 			d.startWaiting(server)
 		}
 	})
@@ -120,8 +120,8 @@
 	conn.OnReply = func(reply wire.Reply) { d.handleReply(server, call, reply) }
 	conn.OnClose = func(string) {
 		d.open--
-		call.releaseSlot(choice.ConnectionLost, call.sent)
-		d.finish(server, call, call.interruptedOutcome(choice.ConnectionLost))
+		call.releaseSlot(admission.ConnectionLost, call.sent)
+		d.finish(server, call, call.interruptedOutcome(admission.ConnectionLost))
 		d.startWaiting(server)
 	}
 }
@@ -135,7 +135,7 @@
 		d.dial(server, call)
 		return true
 	}
-	call.releaseSlot(choice.Unreachable, false)
+	call.releaseSlot(admission.Unreachable, false)
 	call.refusedAddr = addr
 	const maxAttempts = 2 // two that are refused one after the other are a network that is gone
 	switch {
@@ -175,10 +175,10 @@
 	if call.request.run == nil || call.request.run.call != call {
 		return
 	}
-	outcome := choice.Failed
+	outcome := admission.Failed
 	switch {
 	case reply.Status == 200:
-		outcome = choice.Succeeded
+		outcome = admission.Succeeded
 		active := call.request
 		active.run.callReply = append(make([]byte, 0, len(reply.Body)), reply.Body...)
 		active.run.callSequence = 0
@@ -186,9 +186,9 @@
 			server.runtime.conn.SendCallReply(active.id, active.run.callReply)
 		}
 	case reply.NeverStarted:
-		outcome = choice.Rejected
+		outcome = admission.Rejected
 	case reply.Status == 504:
-		outcome = choice.TimedOut
+		outcome = admission.TimedOut
 	}
 	call.conn.SetCloseReason("answered")
 	call.releaseSlot(outcome, false)
@@ -196,7 +196,7 @@
 }
 
 // finish tells the outcome of a call, once, and ends its connection.
-func (d *databaseCalls) finish(server *Server, call *databaseCall, outcome choice.Outcome) {
+func (d *databaseCalls) finish(server *Server, call *databaseCall, outcome admission.Outcome) {
 	if call.request.run == nil || call.request.run.call != call {
 		return
 	}
@@ -207,11 +207,11 @@
 }
 
 // interruptedOutcome is how a call comes out that was cut short. One that was never sent can't have run.
-func (c *databaseCall) interruptedOutcome(outcome choice.Outcome) choice.Outcome {
+func (c *databaseCall) interruptedOutcome(outcome admission.Outcome) admission.Outcome {
 	if c.sent {
 		return outcome
 	}
-	return choice.Unreachable
+	return admission.Unreachable
 }
 
 // cancel gives a call up: one that is on its way ends with its connection, as nothing else would end it there.
@@ -220,7 +220,7 @@
 		return
 	}
 	call.timer.Stop()
-	call.releaseSlot(choice.TimedOut, call.sent)
+	call.releaseSlot(admission.TimedOut, call.sent)
 	if call.conn != nil {
 		call.conn.Close("call-given-up")
 	}
--- a/internal/keep/door.go
+++ b/internal/keep/door.go
@@ -1,7 +1,7 @@
 package keep
 
 import (
-	"lanewheel/choice"
+	"lanewheel/admission"
 	"lanewheel/internal/front"
 	"lanewheel/internal/identity"
 	"lanewheel/internal/rights"
@@ -10,8 +10,8 @@
 // authenticate asks the door for an op that was read. One whose caller is not known yet waits in the tables, unheard by the module:
 // it can be given up, and its id is taken, as that of any other.
 func (in *Server) authenticate(credential *identity.Credential, request front.Request, responder front.Responder) *activeRequest {
-	wanted := identity.Request{Token: request.Token, Request: rights.Request{Class: choice.Class(request.Class),
-		Tenant: choice.TenantID(request.Tenant), Write: request.Resource == ""}}
+	wanted := identity.Request{Token: request.Token, Request: rights.Request{Class: admission.Class(request.Class),
+		Tenant: admission.TenantID(request.Tenant), Write: request.Resource == ""}}
 	active := in.track(request, responder)
 	active.outsideController = true
 	in.authenticator.Authorize(credential, wanted, func(verdict identity.Decision) {
--- a/internal/keep/instance.go
+++ b/internal/keep/instance.go
@@ -8,7 +8,7 @@
 	"math"
 	"time"
 
-	"lanewheel/choice"
+	"lanewheel/admission"
 	"lanewheel/internal/front"
 	"lanewheel/internal/identity"
 	"lanewheel/internal/loop"
@@ -26,7 +26,7 @@
 	MaxDescriptors   int
 	MemoryMB         float64
 	Cores            float64
-	Settings         choice.Settings
+	Settings         admission.Settings
 	GaugeNames       []string // our names, in the order told
 	ReportReadiness  bool     // the list follows health
 
@@ -40,16 +40,16 @@
 	config          Config
 	net             *wire.Net
 	buffers         *BufferPool
-	controller      *choice.Controller // nil until the runtime has come up
-	decisionPending bool               // the module has heard something in this batch
+	controller      *admission.Controller // nil until the runtime has come up
+	decisionPending bool                  // the module has heard something in this batch
 
-	timeouts          map[choice.Class]time.Duration // the op timeouts of those that were told
-	idempotent        map[choice.Class]bool          // those of them that may run twice
-	idempotentByKey   map[choice.Class]bool          // those of whose tries only one may run
-	latencyObjectives map[choice.Class]time.Duration // their target latencies
-	tenants           map[choice.TenantID]bool       // those that were told
+	timeouts          map[admission.Class]time.Duration // the op timeouts of those that were told
+	idempotent        map[admission.Class]bool          // those of them that may run twice
+	idempotentByKey   map[admission.Class]bool          // those of whose tries only one may run
+	latencyObjectives map[admission.Class]time.Duration // their target latencies
+	tenants           map[admission.TenantID]bool       // those that were told
 
-	requests map[choice.RequestID]*activeRequest
+	requests map[admission.RequestID]*activeRequest
 	clients  *stubs.Frontend
 
 	runtime       runtimeLink
@@ -76,23 +76,23 @@
 // New makes an instance that listens and looks for its runtime.
 func New(config Config) (*Server, error) {
 	buffers := int(config.MemoryMB*(1<<20)) / wire.BufferSize
-	instance := &Server{Loop: loop.New(buffers / 8), config: config, buffers: &BufferPool{}, loadReport: -1, requests: map[choice.RequestID]*activeRequest{}}
+	instance := &Server{Loop: loop.New(buffers / 8), config: config, buffers: &BufferPool{}, loadReport: -1, requests: map[admission.RequestID]*activeRequest{}}
 	instance.health.healthy = true
-	instance.timeouts, instance.tenants, instance.idempotent = map[choice.Class]time.Duration{}, map[choice.TenantID]bool{}, map[choice.Class]bool{}
-	instance.latencyObjectives, instance.idempotentByKey = map[choice.Class]time.Duration{}, map[choice.Class]bool{}
+	instance.timeouts, instance.tenants, instance.idempotent = map[admission.Class]time.Duration{}, map[admission.TenantID]bool{}, map[admission.Class]bool{}
+	instance.latencyObjectives, instance.idempotentByKey = map[admission.Class]time.Duration{}, map[admission.Class]bool{}
 	for _, class := range listSetting(config.Settings, "op types") {
 		name, _ := class["name"].(string)
-		instance.timeouts[choice.Class(name)] = max(durationSetting(class, "op timeout"), durationSetting(class, "target latency"))
-		instance.latencyObjectives[choice.Class(name)] = durationSetting(class, "target latency")
-		instance.idempotent[choice.Class(name)] = class["repeats"] == "retryable"
-		instance.idempotentByKey[choice.Class(name)] = class["repeats"] == "keyed"
+		instance.timeouts[admission.Class(name)] = max(durationSetting(class, "op timeout"), durationSetting(class, "target latency"))
+		instance.latencyObjectives[admission.Class(name)] = durationSetting(class, "target latency")
+		instance.idempotent[admission.Class(name)] = class["repeats"] == "retryable"
+		instance.idempotentByKey[admission.Class(name)] = class["repeats"] == "keyed"
 	}
 	if tier, _ := config.Settings["tier"].(float64); tier > 0 {
 		instance.idempotency.requestsAreCalls = true
 	}
 	for _, tenant := range listSetting(config.Settings, "tenants") {
 		name, _ := tenant["name"].(string)
-		instance.tenants[choice.TenantID(name)] = true
+		instance.tenants[admission.TenantID(name)] = true
 	}
 	// A quarter of the memory is for bodies in hand; the module's own bound is far below it where ops are large. An
 	// eighth is for what was read and is not taken yet.
@@ -130,14 +130,14 @@
 }
 
 // durationSetting is a told time, 0 if none was told.
-func durationSetting(settings choice.Settings, name string) time.Duration {
+func durationSetting(settings admission.Settings, name string) time.Duration {
 	value, _ := settings[name].(time.Duration)
 	return value
 }
 
 // listSetting is a told list, empty if none was told.
-func listSetting(settings choice.Settings, name string) []choice.Settings {
-	values, _ := settings[name].([]choice.Settings)
+func listSetting(settings admission.Settings, name string) []admission.Settings {
+	values, _ := settings[name].([]admission.Settings)
 	return values
 }
 
@@ -154,18 +154,18 @@
 
 // activeRequest is one op in hand: from its reading until it is answered and its run is over.
 type activeRequest struct {
-	id                choice.RequestID
-	class             choice.Class
+	id                admission.RequestID
+	class             admission.Class
 	resource          string
-	tenant            choice.TenantID // whose it is, by its caller's rights where these are known; empty where there are no tenants
+	tenant            admission.TenantID // whose it is, by its caller's rights where these are known; empty where there are no tenants
 	identity          requestIdentity
 	record            *idempotencyRecord // its key, once that is stored
 	body              []byte
 	responder         front.Responder // its one answer; nil once it is given or the caller has left
 	run               *run
-	started           bool                                // it was started, whatever became of that
-	onCoalesced       func(choice.Outcome, time.Duration) // waits for another's result
-	coalescedAt       time.Duration                       // when it began to wait
+	started           bool                                   // it was started, whatever became of that
+	onCoalesced       func(admission.Outcome, time.Duration) // waits for another's result
+	coalescedAt       time.Duration                          // when it began to wait
 	arrivedAt         time.Duration
 	outsideController bool              // the module does not know of it: it waits at the door, or is elsewhere
 	original          *front.Request    // as it came, less its body; nil where nothing is handed over
@@ -194,7 +194,7 @@
 // come up, nor under the id of an op in hand that came elsewhere: whose it is can't be told, and it never ran.
 func (in *Server) Submit(request front.Request, credential *identity.Credential, responder front.Responder) front.Handle {
 	// Danger: more bodies than there is memory for.
-	if in.controller == nil || len(in.requests) >= in.maxRequests || in.requests[choice.RequestID(request.ID)] != nil {
+	if in.controller == nil || len(in.requests) >= in.maxRequests || in.requests[admission.RequestID(request.ID)] != nil {
 		responder.Reject(in.metadata())
 		responder.Done()
 		return nil
@@ -226,7 +226,7 @@
 
 // ResponderOf is stubs.Core: who is owed the answer of an op in hand.
 func (in *Server) ResponderOf(id string) front.Responder {
-	if active := in.requests[choice.RequestID(id)]; active != nil {
+	if active := in.requests[admission.RequestID(id)]; active != nil {
 		return active.responder
 	}
 	return nil
@@ -277,7 +277,7 @@
 func (in *Server) submitToController(request front.Request, responder front.Responder, waiting *activeRequest) *activeRequest {
 	queueDelay := max(0, in.WallTime().Sub(time.UnixMilli(request.SentUnixMilli)))
 	code := in.invalidReason(request)
-	if code != "" || queueDelay > maxWait(in.timeouts[choice.Class(request.Class)]) { // the second: long over, by a clock that is not ours
+	if code != "" || queueDelay > maxWait(in.timeouts[admission.Class(request.Class)]) { // the second: long over, by a clock that is not ours
 		if waiting == nil {
 			waiting = in.track(request, responder)
 		}
@@ -295,16 +295,16 @@
 		active = in.track(request, responder)
 	}
 	active.outsideController = false
-	active.tenant = choice.TenantID(request.Tenant)
+	active.tenant = admission.TenantID(request.Tenant)
 	if in.spillover != nil {
 		in.keepOriginal(active, request, queueDelay)
 	}
 	active.identity = in.idempotency.identify(active, request, in.idempotentByKey[active.class])
 	in.decisionPending = true
-	in.controller.Submit(choice.Request{ID: active.id, Class: active.class, Rank: request.Rank, IsWrite: request.Resource == "",
-		Resource: request.Resource, Caller: choice.CallerID(request.Caller), HasDeadline: request.HasTimeout,
+	in.controller.Submit(admission.Request{ID: active.id, Class: active.class, Rank: request.Rank, IsWrite: request.Resource == "",
+		Resource: request.Resource, Caller: admission.CallerID(request.Caller), HasDeadline: request.HasTimeout,
 		Deadline: in.Now() - queueDelay + request.Timeout, WorkHint: request.WorkHint, MemoryKB: request.MemoryKB, QueueDelay: queueDelay,
-		Tenant: choice.TenantID(request.Tenant), DuplicateOf: in.idempotency.duplicateOf(active, in.Now()-queueDelay)})
+		Tenant: admission.TenantID(request.Tenant), DuplicateOf: in.idempotency.duplicateOf(active, in.Now()-queueDelay)})
 	return active
 }
 
@@ -377,7 +377,7 @@
 
 // track puts an op in the tables.
 func (in *Server) track(request front.Request, responder front.Responder) *activeRequest {
-	active := &activeRequest{id: choice.RequestID(request.ID), class: choice.Class(request.Class), resource: request.Resource, responder: responder, arrivedAt: in.Loop.Now(),
+	active := &activeRequest{id: admission.RequestID(request.ID), class: admission.Class(request.Class), resource: request.Resource, responder: responder, arrivedAt: in.Loop.Now(),
 		body: append(in.buffers.Get(), request.Body...)}
 	in.requests[active.id] = active
 	return active
@@ -399,11 +399,11 @@
 // invalidReason tells what makes an ask one that could never be served, whatever else is here. Danger: the module would
 // learn from figures that nobody meant, or reckon with such as overflow.
 func (in *Server) invalidReason(request front.Request) string {
-	timeout, known := in.timeouts[choice.Class(request.Class)]
+	timeout, known := in.timeouts[admission.Class(request.Class)]
 	switch {
 	case !known:
 		return "unknown-type"
-	case len(in.tenants) > 0 && !in.tenants[choice.TenantID(request.Tenant)]:
+	case len(in.tenants) > 0 && !in.tenants[admission.TenantID(request.Tenant)]:
 		return "unknown-tenant"
 	case request.MemoryKB <= 0 || request.MemoryKB >= 2000 || request.Rank < 0 || request.Rank >= 1 || request.Caller < 0 || request.Caller > math.MaxInt32:
 		return "out-of-range"
@@ -476,7 +476,7 @@
 // Now is the module's time. While the module opens, it is as much earlier as the runtime is older than we are.
 func (in *Server) Now() time.Duration { return in.Loop.Now() - in.clockOffset }
 
-func (in *Server) Start(id choice.RequestID, onCall func(), onEnd func(choice.Outcome, time.Duration)) {
+func (in *Server) Start(id admission.RequestID, onCall func(), onEnd func(admission.Outcome, time.Duration)) {
 	if active := in.requests[id]; active != nil {
 		active.run, active.started = &run{onCall: onCall, onEnd: onEnd}, true
 		in.running++
@@ -486,7 +486,7 @@
 	}
 }
 
-func (in *Server) Stop(id choice.RequestID) {
+func (in *Server) Stop(id admission.RequestID) {
 	if active := in.requests[id]; active != nil && active.run != nil {
 		active.run.stopRequested = true
 		if in.runtime.synced {
@@ -495,7 +495,7 @@
 	}
 }
 
-func (in *Server) Reject(id choice.RequestID, retryAfter time.Duration, noFailover bool) {
+func (in *Server) Reject(id admission.RequestID, retryAfter time.Duration, noFailover bool) {
 	if active := in.requests[id]; active != nil {
 		if in.spillover != nil && !noFailover && in.spill(active) {
 			return
@@ -508,7 +508,7 @@
 	}
 }
 
-func (in *Server) Fail(id choice.RequestID) {
+func (in *Server) Fail(id admission.RequestID) {
 	if active := in.requests[id]; active != nil {
 		in.recordOutcome(active, false)
 		in.respond(active, func(responder front.Responder) { responder.Fail(in.metadata()) })
@@ -516,13 +516,13 @@
 	}
 }
 
-func (in *Server) Call(id choice.RequestID, deadline time.Duration, done func(choice.Outcome, time.Duration)) {
+func (in *Server) Call(id admission.RequestID, deadline time.Duration, done func(admission.Outcome, time.Duration)) {
 	if active := in.requests[id]; active != nil && active.run != nil && active.run.callSequence != 0 {
 		in.database.start(in, active, deadline, done)
 	}
 }
 
-func (in *Server) SkipCall(id choice.RequestID) {
+func (in *Server) SkipCall(id admission.RequestID) {
 	if active := in.requests[id]; active != nil && active.run != nil && active.run.callSequence != 0 {
 		active.run.skippedCall = active.run.callSequence
 		if in.runtime.synced {
@@ -531,20 +531,20 @@
 	}
 }
 
-func (in *Server) Coalesce(id choice.RequestID, onEnd func(choice.Outcome, time.Duration)) {
+func (in *Server) Coalesce(id admission.RequestID, onEnd func(admission.Outcome, time.Duration)) {
 	if active := in.requests[id]; active != nil {
 		active.onCoalesced, active.coalescedAt = onEnd, in.Now()
 		in.idempotency.coalesce(in, active)
 	}
 }
 
-func (in *Server) KeepRecord(id choice.RequestID, window time.Duration) {
+func (in *Server) KeepRecord(id admission.RequestID, window time.Duration) {
 	if active := in.requests[id]; active != nil {
 		in.idempotency.store(in, active, window)
 	}
 }
 
-func (in *Server) DropRecord(id choice.RequestID) {
+func (in *Server) DropRecord(id admission.RequestID) {
 	if active := in.requests[id]; active != nil {
 		in.idempotency.forget(active.record)
 	}
--- a/internal/keep/keep_test.go
+++ b/internal/keep/keep_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"lanewheel/choice"
+	"lanewheel/admission"
 	"lanewheel/internal/front"
 	"lanewheel/internal/loop"
 	"lanewheel/internal/wire"
@@ -48,7 +48,7 @@
 	free.Close()
 	instance, err := New(Config{Name: "n1", ListenAddr: free.Addr().String(), RuntimeAddr: runtime.Addr().String(),
 		DatabaseAddr: "127.0.0.1:9", RegistryAddr: "127.0.0.1:9", MaxDescriptors: 64, MemoryMB: 64, Cores: 1,
-		Settings: choice.Settings{"cores": 2.0, "op types": []choice.Settings{{"name": "view", "target latency": time.Second}}}})
+		Settings: admission.Settings{"cores": 2.0, "op types": []admission.Settings{{"name": "view", "target latency": time.Second}}}})
 	if err != nil {
 		fmt.Println(err)
 		return
@@ -115,12 +115,12 @@
 // A keyed op's key: in hand it does not age, however short the window; once over it holds for tries that came within it, however late they are
 // read. One that never ran leaves none. A read's key is over with its time.
 func Example_keysAge() {
-	instance := &Server{Loop: loop.New(9), config: Config{Settings: choice.Settings{"shared reads for": 100 * time.Millisecond}}}
+	instance := &Server{Loop: loop.New(9), config: Config{Settings: admission.Settings{"shared reads for": 100 * time.Millisecond}}}
 	k := &instance.idempotency
 	n := 0
 	op := func(keyed bool) *activeRequest {
 		n++
-		active := &activeRequest{id: choice.RequestID(fmt.Sprint(n)), class: "pay", resource: "s", body: []byte("x")}
+		active := &activeRequest{id: admission.RequestID(fmt.Sprint(n)), class: "pay", resource: "s", body: []byte("x")}
 		active.identity = k.identify(active, front.Request{NewIDPerAttempt: true}, keyed)
 		return active
 	}
@@ -170,7 +170,7 @@
 
 // The id of an op that is over is sent once more, with something else to say: the key of the first is neither prolonged nor dropped with it.
 func Example_idOnceMore() {
-	instance := &Server{Loop: loop.New(9), config: Config{Settings: choice.Settings{"shared reads for": 100 * time.Millisecond}}}
+	instance := &Server{Loop: loop.New(9), config: Config{Settings: admission.Settings{"shared reads for": 100 * time.Millisecond}}}
 	k := &instance.idempotency
 	op := func(body string, keyed bool) *activeRequest {
 		active := &activeRequest{id: "1", class: "pay", resource: body, body: []byte(body)}
@@ -199,7 +199,7 @@
 	free.Close()
 	instance, err := New(Config{Name: "n1", ListenAddr: free.Addr().String(), RuntimeAddr: runtime.Addr().String(), TerminationGrace: time.Second,
 		DatabaseAddr: "127.0.0.1:9", RegistryAddr: "127.0.0.1:9", MaxDescriptors: 64, MemoryMB: 64, Cores: 1,
-		Settings: choice.Settings{"cores": 2.0, "op types": []choice.Settings{{"name": "view", "target latency": time.Second, "op timeout": time.Second}}}})
+		Settings: admission.Settings{"cores": 2.0, "op types": []admission.Settings{{"name": "view", "target latency": time.Second, "op timeout": time.Second}}}})
 	if err != nil {
 		fmt.Println(err)
 		return
--- a/internal/keep/keys.go
+++ b/internal/keep/keys.go
@@ -4,7 +4,7 @@
 	"crypto/sha256"
 	"time"
 
-	"lanewheel/choice"
+	"lanewheel/admission"
 	"lanewheel/internal/front"
 )
 
@@ -16,17 +16,17 @@
 }
 
 type requestIdentity struct {
-	class    choice.Class
+	class    admission.Class
 	resource string
-	tenant   choice.TenantID   // empty where there are none
-	bodyHash [sha256.Size]byte // of a keyed op, or of a read that is a call; zero of any other
+	tenant   admission.TenantID // empty where there are none
+	bodyHash [sha256.Size]byte  // of a keyed op, or of a read that is a call; zero of any other
 	byKey    bool
 }
 
 // idempotencyRecord is one key and, once its run has gone well, the result. It is its op's, not that of an id. Danger: a client that sends the id of an op that
 // is over once more has the key of that one prolonged, or dropped when it is turned away, and a try of a keyed op runs a second time.
 type idempotencyRecord struct {
-	requestID choice.RequestID
+	requestID admission.RequestID
 	forgotten bool // forgotten
 	identity  requestIdentity
 	expiresAt time.Duration
@@ -53,7 +53,7 @@
 }
 
 // duplicateOf is the kept op that this one, which came at a time, repeats, or none.
-func (k *idempotencyCache) duplicateOf(active *activeRequest, arrivedAt time.Duration) choice.RequestID {
+func (k *idempotencyCache) duplicateOf(active *activeRequest, arrivedAt time.Duration) admission.RequestID {
 	record := k.records[active.identity]
 	if active.identity == (requestIdentity{}) || record == nil {
 		return ""
@@ -170,15 +170,15 @@
 	if active.responder == nil || in.requests[active.id] != active {
 		return
 	}
-	outcome := choice.Succeeded
+	outcome := admission.Succeeded
 	switch {
 	case result != nil:
 		in.respond(active, func(responder front.Responder) { responder.Succeed(result, in.metadata()) })
 	case started:
-		outcome = choice.Failed
+		outcome = admission.Failed
 		in.respond(active, func(responder front.Responder) { responder.Fail(in.metadata()) })
 	default:
-		outcome = choice.Failed
+		outcome = admission.Failed
 		in.respond(active, func(responder front.Responder) { responder.Reject(in.metadata()) })
 	}
 	in.decisionPending = true
--- a/internal/keep/runs.go
+++ b/internal/keep/runs.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"lanewheel/choice"
+	"lanewheel/admission"
 	"lanewheel/internal/front"
 	"lanewheel/internal/wire"
 )
@@ -15,7 +15,7 @@
 // run is an op's run, from its start until its end is read. It says what is to be sent anew on a new link.
 type run struct {
 	onCall        func()
-	onEnd         func(choice.Outcome, time.Duration)
+	onEnd         func(admission.Outcome, time.Duration)
 	confirmed     bool          // the runtime is known to have got the start
 	stopRequested bool          // it was asked to stop
 	callSequence  uint64        // the notice by which it stands at a call, 0 when it does not
@@ -116,7 +116,7 @@
 	case "end":
 		in.handleEnd(event)
 	case "wants":
-		if active := in.requests[choice.RequestID(event.RequestID)]; active != nil && active.run != nil {
+		if active := in.requests[admission.RequestID(event.RequestID)]; active != nil && active.run != nil {
 			run := active.run
 			in.database.cancel(run.call)
 			run.confirmed, run.callSequence, run.callReply, run.skippedCall, run.call = true, event.Sequence, nil, 0, nil
@@ -139,7 +139,7 @@
 	if in.controller == nil && !in.draining {
 		in.config.Settings["just started"] = event.Status == "booting"
 		in.clockOffset = event.Elapsed // the age that a cold instance has counts from its runtime's start
-		in.controller = choice.New(in.config.Seed, in.config.Settings, in)
+		in.controller = admission.New(in.config.Seed, in.config.Settings, in)
 		in.clockOffset = 0
 		in.decisionPending = true
 	}
@@ -228,37 +228,37 @@
 	}
 }
 
-var runOutcomes = map[string]choice.Outcome{
-	"success": choice.Succeeded, "failure": choice.Failed, "interrupted": choice.Stopped, "nothing": choice.NotStarted,
+var runOutcomes = map[string]admission.Outcome{
+	"success": admission.Succeeded, "failure": admission.Failed, "interrupted": admission.Stopped, "nothing": admission.NotStarted,
 }
 
 // handleEnd takes the end of a run. One that went well or failed answers its op.
 func (in *Server) handleEnd(event wire.Event) {
-	active := in.requests[choice.RequestID(event.RequestID)]
+	active := in.requests[admission.RequestID(event.RequestID)]
 	if active == nil || active.run == nil {
 		return
 	}
 	outcome, known := runOutcomes[event.Status]
 	if !known {
 		slog.Warn("unknown-end", "status", event.Status)
-		outcome = choice.Failed
+		outcome = admission.Failed
 	}
 	run := active.run
 	in.database.cancel(run.call)
 	active.run = nil
 	in.running--
 	switch outcome {
-	case choice.Succeeded:
+	case admission.Succeeded:
 		in.idempotency.finish(in, active, event.Body)
 		in.recordOutcome(active, true)
 		in.respond(active, func(responder front.Responder) { responder.Succeed(event.Body, in.metadata()) })
-	case choice.Failed:
+	case admission.Failed:
 		in.recordOutcome(active, false)
 		in.respond(active, func(responder front.Responder) { responder.Fail(in.metadata()) })
 	}
 	in.decisionPending = true
 	run.onEnd(outcome, event.Elapsed)
-	if outcome == choice.NotStarted { // nothing ran here, so an answer that is owed all the same can only be this
+	if outcome == admission.NotStarted { // nothing ran here, so an answer that is owed all the same can only be this
 		in.respond(active, func(responder front.Responder) { responder.Fail(in.metadata()) })
 	}
 	in.forget(active)
@@ -267,7 +267,7 @@
 // handleRefused hears that a command was not carried out. A start that was not ends its op, and its front hears that the id, type
 // or body is that of no op. Danger: the module would take it for a run that failed.
 func (in *Server) handleRefused(event wire.Event) {
-	active := in.requests[choice.RequestID(event.RequestID)]
+	active := in.requests[admission.RequestID(event.RequestID)]
 	if active == nil || active.run == nil || active.run.confirmed || event.Status != "start" {
 		slog.Warn("command-refused", "command", event.Status, "op", event.RequestID)
 		return
--- a/internal/life/fronts.go
+++ b/internal/life/fronts.go
@@ -5,7 +5,7 @@
 	"crypto/x509"
 	"strings"
 
-	"lanewheel/choice"
+	"lanewheel/admission"
 	"lanewheel/internal/amqp"
 	"lanewheel/internal/fault"
 	"lanewheel/internal/keep"
@@ -60,11 +60,11 @@
 		return
 	}
 	queueConfig := operatorConfig.File.AMQP.Config
-	queueConfig.IdempotentClasses = map[choice.Class]bool{}
-	classes, _ := config.Settings["op types"].([]choice.Settings)
+	queueConfig.IdempotentClasses = map[admission.Class]bool{}
+	classes, _ := config.Settings["op types"].([]admission.Settings)
 	for _, class := range classes {
 		name, _ := class["name"].(string)
-		queueConfig.IdempotentClasses[choice.Class(name)] = class["repeats"] == "retryable"
+		queueConfig.IdempotentClasses[admission.Class(name)] = class["repeats"] == "retryable"
 	}
 	instance.AddFrontend(amqp.New(queueConfig, instance, instance.Post, config.Seed))
 }
--- a/internal/life/golden_test.go
+++ b/internal/life/golden_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"lanewheel/choice"
+	"lanewheel/admission"
 	"lanewheel/internal/fault"
 	"lanewheel/internal/keep"
 )
@@ -32,11 +32,11 @@
 		MaxDescriptors:   64,
 		MemoryMB:         192.25,
 		Cores:            1.5,
-		Settings: choice.Settings{
-			"op types": []choice.Settings{
+		Settings: admission.Settings{
+			"op types": []admission.Settings{
 				{"name": "view", "importance": 1.5, "target latency": 300 * ms, "op timeout": 1250 * ms, "repeats": "retryable"},
 			},
-			"tenants":           []choice.Settings{{"name": "acme", "quota a second": 9.0, "share": 0.7}},
+			"tenants":           []admission.Settings{{"name": "acme", "quota a second": 9.0, "share": 0.7}},
 			"below":             "next tier",
 			"cores":             2.0,
 			"longest stay away": 1750 * ms,
--- a/internal/operator/callers.go
+++ b/internal/operator/callers.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"lanewheel/choice"
+	"lanewheel/admission"
 	"lanewheel/internal/rights"
 )
 
@@ -19,7 +19,7 @@
 		callers.anonymousRoles = append(callers.anonymousRoles, rights.RoleName(name))
 	}
 	for _, name := range s.listValue("writes") {
-		callers.writeClasses = append(callers.writeClasses, choice.Class(name))
+		callers.writeClasses = append(callers.writeClasses, admission.Class(name))
 	}
 	s.intValue("entries", &callers.MaxRateEntries, 16, 1_000_000)
 	s.reportUnknownNames()
@@ -62,10 +62,10 @@
 func (s *section) readRole() rights.Role {
 	role := rights.Role{Name: rights.RoleName(s.label())}
 	for _, name := range s.listValue("tenants") {
-		role.Tenants = append(role.Tenants, choice.TenantID(name))
+		role.Tenants = append(role.Tenants, admission.TenantID(name))
 	}
 	for _, name := range s.listValue("types") {
-		role.Classes = append(role.Classes, choice.Class(name))
+		role.Classes = append(role.Classes, admission.Class(name))
 	}
 	if len(role.Classes) == 0 {
 		s.report("types", "", "wants op types with commas between, or * for all")
@@ -104,7 +104,7 @@
 	}
 	var tenant string
 	s.stringValue("tenant", &tenant)
-	binding.Tenant = choice.TenantID(tenant)
+	binding.Tenant = admission.TenantID(tenant)
 	for _, name := range s.listValue("roles") {
 		binding.Roles = append(binding.Roles, rights.RoleName(name))
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"lanewheel/choice"
+	"lanewheel/admission"
 	"lanewheel/internal/fault"
 	"lanewheel/internal/rights"
 	"lanewheel/internal/tokens"
@@ -34,7 +34,7 @@
 type Callers struct {
 	Enabled        bool
 	anonymousRoles []rights.RoleName // of callers that prove nothing
-	writeClasses   []choice.Class    // what changes something, whatever an op says of itself
+	writeClasses   []admission.Class // what changes something, whatever an op says of itself
 	MaxRateEntries int               // identities whose rates and counts are kept, by role
 	Roles          []rights.Role
 	Bindings       []rights.Binding
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"lanewheel/choice"
+	"lanewheel/admission"
 	"lanewheel/internal/front"
 	"lanewheel/internal/identity"
 	"lanewheel/internal/keep"
@@ -67,7 +67,7 @@
 	bufferCount := int(platform.MemoryMB*(1<<20)) / wire.BufferSize
 	config.MaxInFlight = min(config.MaxInFlight, bufferCount/4) // a quarter of the memory is for bodies in hand, as in an instance
 	proxy := &Proxy{Loop: loop.New(bufferCount / 8), config: config, platform: platform, buffers: &keep.BufferPool{}, classes: map[string]classConfig{}, inFlight: map[string]*proxiedRequest{}}
-	classes, _ := platform.Settings["op types"].([]choice.Settings)
+	classes, _ := platform.Settings["op types"].([]admission.Settings)
 	for _, class := range classes {
 		name, _ := class["name"].(string)
 		timeout, _ := class["op timeout"].(time.Duration)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"lanewheel/choice"
+	"lanewheel/admission"
 	"lanewheel/internal/keep"
 	"lanewheel/internal/members"
 	"lanewheel/internal/pass"
@@ -117,11 +117,11 @@
 	roster := standin.NewRegistry()
 	config := Config{Config: pass.Config{Balancer: spread.DefaultConfig(), ConnectionsPerEndpoint: 2, IdleTimeout: time.Minute}, MaxInFlight: 100, DrainGrace: 500 * time.Millisecond, RetryAfter: 90 * time.Millisecond}
 	config.Balancer.RetryRatio = 1
-	class := func(name, repeats string) choice.Settings {
-		return choice.Settings{"name": name, "repeats": repeats, "op timeout": 3 * time.Second, "target latency": time.Second}
+	class := func(name, repeats string) admission.Settings {
+		return admission.Settings{"name": name, "repeats": repeats, "op timeout": 3 * time.Second, "target latency": time.Second}
 	}
 	proxy, err := Listen(keep.Config{Name: "relay", ListenAddr: listen, RegistryAddr: roster.Addr(), Seed: 1, TerminationGrace: 1500 * time.Millisecond, MaxDescriptors: 256, MemoryMB: 64, Cores: 1,
-		Settings: choice.Settings{"op types": []choice.Settings{class("view", "retryable"), class("pay", "non-retryable")}}}, config, nil)
+		Settings: admission.Settings{"op types": []admission.Settings{class("view", "retryable"), class("pay", "non-retryable")}}}, config, nil)
 	if err != nil {
 		panic(err)
 	}
--- a/internal/rights/rights.go
+++ b/internal/rights/rights.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"lanewheel/choice"
+	"lanewheel/admission"
 )
 
 // Identity is an identity: what a caller proved to be. It begins with its kind and a colon: uri:, dns: and subject: come from a
@@ -37,8 +37,8 @@
 // Role is a set of rights. Several roles add up.
 type Role struct {
 	Name          RoleName
-	Tenants       []choice.TenantID // beside the identity's own
-	Classes       []choice.Class
+	Tenants       []admission.TenantID // beside the identity's own
+	Classes       []admission.Class
 	CanRead       bool
 	CanWrite      bool
 	RatePerSecond float64 // ops a second of one identity; 0 is no bound
@@ -46,11 +46,11 @@
 	MaxInFlight   int     // ops of one identity in hand at a time; 0 is no bound
 }
 
-func (r *Role) allowsTenant(tenant choice.TenantID) bool {
+func (r *Role) allowsTenant(tenant admission.TenantID) bool {
 	return slices.Contains(r.Tenants, tenant) || slices.Contains(r.Tenants, wildcard)
 }
 
-func (r *Role) allowsClass(class choice.Class) bool {
+func (r *Role) allowsClass(class admission.Class) bool {
 	return slices.Contains(r.Classes, class) || slices.Contains(r.Classes, wildcard)
 }
 
@@ -58,22 +58,22 @@
 type Binding struct {
 	Name     string
 	Patterns []string // names of identities; a * at the end stands for any rest
-	Tenant   choice.TenantID
+	Tenant   admission.TenantID
 	Roles    []RoleName
 }
 
 // Principal is a caller whose identity is known, with the rights of the Book that made it.
 type Principal struct {
 	Identity Identity
-	tenant   choice.TenantID
+	tenant   admission.TenantID
 	roles    []*Role
 }
 
 // Request is what an op wants to do.
 type Request struct {
-	Class  choice.Class
-	Tenant choice.TenantID // empty where it claims none
-	Write  bool            // by the op's own account
+	Class  admission.Class
+	Tenant admission.TenantID // empty where it claims none
+	Write  bool               // by the op's own account
 }
 
 // Policy is who may do what.
@@ -82,7 +82,7 @@
 	bindings     []Binding
 	exact        map[Identity]int // the caller that names it whole
 	prefixes     []prefix         // the longest first
-	writeClasses map[choice.Class]bool
+	writeClasses map[admission.Class]bool
 	anonymous    []*Role
 }
 
@@ -93,8 +93,8 @@
 
 // NewPolicy makes a book, or tells what is wrong with it. writes are the op types that change something whatever an op says of
 // itself; anonymous are the roles of callers without an identity.
-func NewPolicy(roles []Role, bindings []Binding, writeClasses []choice.Class, anonymous []RoleName) (*Policy, error) {
-	policy := &Policy{roles: map[RoleName]*Role{}, bindings: bindings, exact: map[Identity]int{}, writeClasses: map[choice.Class]bool{}}
+func NewPolicy(roles []Role, bindings []Binding, writeClasses []admission.Class, anonymous []RoleName) (*Policy, error) {
+	policy := &Policy{roles: map[RoleName]*Role{}, bindings: bindings, exact: map[Identity]int{}, writeClasses: map[admission.Class]bool{}}
 	for i := range roles {
 		if policy.roles[roles[i].Name] != nil {
 			return nil, fmt.Errorf("role %q stands twice", roles[i].Name)
@@ -150,7 +150,7 @@
 // Resolve maps an identity. names are all that the caller proved to be, the first that the book knows counts, and a whole name
 // before a start. tenant and roles are what a token says beside that, if it says so; then no caller has to be in the book,
 // and what the book says of one goes before. Roles that the book does not know give no rights.
-func (b *Policy) Resolve(identities []Identity, tenant choice.TenantID, roles []RoleName) (Principal, Denial) {
+func (b *Policy) Resolve(identities []Identity, tenant admission.TenantID, roles []RoleName) (Principal, Denial) {
 	if len(identities) == 0 {
 		return Principal{}, noIdentity
 	}
@@ -192,7 +192,7 @@
 
 // Authorize tells whether a caller may do what it asks, by which of its roles, and for which tenant.
 // Danger: a write that says of itself that it is a read. What the file lists as writes is one whatever the op says.
-func (b *Policy) Authorize(principal *Principal, request Request) (roles []*Role, tenant choice.TenantID, denial Denial) {
+func (b *Policy) Authorize(principal *Principal, request Request) (roles []*Role, tenant admission.TenantID, denial Denial) {
 	write := request.Write || b.writeClasses[request.Class]
 	tenant = request.Tenant
 	if tenant == "" {
--- a/internal/rights/rights_test.go
+++ b/internal/rights/rights_test.go
@@ -10,29 +10,29 @@
 
 	"pgregory.net/rapid"
 
-	"lanewheel/choice"
+	"lanewheel/admission"
 	"lanewheel/internal/scenes"
 )
 
 var policy = scenes.Must(NewPolicy([]Role{
-	{Name: "crew", Classes: []choice.Class{"view", "set"}, CanRead: true, CanWrite: true, RatePerSecond: 10, Burst: 2, MaxInFlight: 3},
-	{Name: "viewer", Classes: []choice.Class{"view"}, CanRead: true},
-	{Name: "desk", Classes: []choice.Class{wildcard}, Tenants: []choice.TenantID{wildcard}, CanRead: true, CanWrite: true},
+	{Name: "crew", Classes: []admission.Class{"view", "set"}, CanRead: true, CanWrite: true, RatePerSecond: 10, Burst: 2, MaxInFlight: 3},
+	{Name: "viewer", Classes: []admission.Class{"view"}, CanRead: true},
+	{Name: "desk", Classes: []admission.Class{wildcard}, Tenants: []admission.TenantID{wildcard}, CanRead: true, CanWrite: true},
 }, []Binding{
 	{Name: "water", Patterns: []string{"uri:rota://water/*"}, Tenant: "water", Roles: []RoleName{"crew"}},
 	{Name: "foreman", Patterns: []string{"uri:rota://water/foreman", "token:desk-1"}, Tenant: "water", Roles: []RoleName{"desk"}},
 	{Name: "roads", Patterns: []string{"uri:rota://*"}, Tenant: "roads", Roles: []RoleName{"crew", "viewer"}},
-}, []choice.Class{"set"}, nil))
+}, []admission.Class{"set"}, nil))
 
 // Who a caller is, and what it may: a whole name goes before a start, a longer start before a shorter; a write that calls
 // itself a read stays a write; another tenant's op is denied.
 func Example() {
 	for _, c := range []struct {
 		name   Identity
-		claim  choice.TenantID
+		claim  admission.TenantID
 		roles  []RoleName
-		kind   choice.Class
-		tenant choice.TenantID
+		kind   admission.Class
+		tenant admission.TenantID
 		write  bool
 	}{
 		{"uri:rota://water/7", "", nil, "set", "water", true},
@@ -48,7 +48,7 @@
 	} {
 		w, why := policy.Resolve([]Identity{c.name}, c.claim, c.roles)
 		if why == "" {
-			var tenant choice.TenantID
+			var tenant admission.TenantID
 			_, tenant, why = policy.Authorize(&w, Request{c.kind, c.tenant, c.write})
 			fmt.Printf("%s %s for %s: %q\n", c.name, c.kind, tenant, why)
 			continue
@@ -137,8 +137,8 @@
 // The book against rules read one by one.
 func TestPolicy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tenants := []choice.TenantID{"", "a", "b", wildcard}
-		kinds := []choice.Class{"x", "y", wildcard}
+		tenants := []admission.TenantID{"", "a", "b", wildcard}
+		kinds := []admission.Class{"x", "y", wildcard}
 		var roles []Role
 		for i := range rapid.IntRange(1, 4).Draw(t, "roles") {
 			roles = append(roles, Role{Name: RoleName(fmt.Sprint("r", i)),
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -7,14 +7,14 @@
 	"testing"
 	"time"
 
-	"lanewheel/choice"
+	"lanewheel/admission"
 	"lanewheel/internal/goldentest"
 )
 
 const (
 	ms       = time.Millisecond
-	firstID  = choice.RequestID("addf482b5d3a91c4")
-	secondID = choice.RequestID("bbbf482b5d3a91c4")
+	firstID  = admission.RequestID("addf482b5d3a91c4")
+	secondID = admission.RequestID("bbbf482b5d3a91c4")
 )
 
 // readAll gives all that a line tells, as one list, whatever its kind.
@@ -80,21 +80,21 @@
 	}{
 		{"tick", []any{"tick", 5500 * ms}},
 		{"flush", []any{"flush"}},
-		{"boot", []any{"boot", 3, uint64(12345678901234567890), choice.Settings{"cores": 2.0, "op types": []choice.Settings{
+		{"boot", []any{"boot", 3, uint64(12345678901234567890), admission.Settings{"cores": 2.0, "op types": []admission.Settings{
 			{"name": "view", "importance": 1.5, "target latency": 300 * ms, "op timeout": 1250 * ms}}}}},
-		{"order", []any{"order", 3, choice.Request{
+		{"order", []any{"order", 3, admission.Request{
 			ID: firstID, Class: "view", Rank: 0.625, IsRetry: true, IsWrite: true, Resource: "k1", Caller: 17, HasDeadline: true,
 			Deadline: 8650 * ms, WorkHint: 12 * ms, MemoryKB: 24.5, QueueDelay: 1850 * time.Microsecond, Tenant: "acme", DuplicateOf: secondID}}},
-		{"order-least", []any{"order", 3, choice.Request{
+		{"order-least", []any{"order", 3, admission.Request{
 			ID: firstID, Class: "view", Rank: 0.625, Caller: 17, MemoryKB: 24.5, QueueDelay: 2 * ms}}},
-		{"order-hint-not-marked", []any{"order", 3, choice.Request{
+		{"order-hint-not-marked", []any{"order", 3, admission.Request{
 			ID: firstID, Class: "view", Rank: 0.625, IsRetry: true, Caller: 17, MemoryKB: 24.5, QueueDelay: 2 * ms}}},
 		{"timeout-fired", []any{"timeout-fired", 3, "12", map[string]float64{
 			"cores busy": 0.5, "want a core": 3, "memory used": 100, "connections": 7, "other": 1.5}}},
 		{"blocked", []any{"blocked", 3, firstID}},
 		{"aborted", []any{"aborted", 3, firstID}},
-		{"ended", []any{"ended", 3, firstID, 300 * ms, choice.Succeeded}},
-		{"call-done", []any{"call-done", 3, firstID, 100 * ms, choice.Failed}},
+		{"ended", []any{"ended", 3, firstID, 300 * ms, admission.Succeeded}},
+		{"call-done", []any{"call-done", 3, firstID, 100 * ms, admission.Failed}},
 		{"terminate-soon", []any{"terminate-soon", 3, 9500 * ms}},
 		{"power-off", []any{"power-off", 3}},
 	} {
@@ -108,8 +108,8 @@
 
 // Each code of an outcome, of a run and of a call.
 func TestGoldenOutcomes(t *testing.T) {
-	codes := map[int]choice.Outcome{0: choice.Succeeded, 1: choice.Stopped, 4: choice.TimedOut, 8: choice.Rejected,
-		9: choice.NotStarted, 10: choice.ConnectionLost, 13: choice.Failed, 14: choice.Unreachable}
+	codes := map[int]admission.Outcome{0: admission.Succeeded, 1: admission.Stopped, 4: admission.TimedOut, 8: admission.Rejected,
+		9: admission.NotStarted, 10: admission.ConnectionLost, 13: admission.Failed, 14: admission.Unreachable}
 	var r Parser
 	for code := range 256 {
 		want, known := codes[code]
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -11,7 +11,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"lanewheel/choice"
+	"lanewheel/admission"
 	"lanewheel/internal/facts"
 )
 
@@ -154,12 +154,12 @@
 	return f.text(field)
 }
 
-func (f *fieldReader) requestID(field string) choice.RequestID {
+func (f *fieldReader) requestID(field string) admission.RequestID {
 	id := f.text(field)
 	if f.err == nil && !isHex16(id) {
 		f.fail(field, "16 hex digits")
 	}
-	return choice.RequestID(id)
+	return admission.RequestID(id)
 }
 
 func isHex16(s string) bool {
@@ -182,12 +182,12 @@
 	return facts.SecondsToDuration(x)
 }
 
-var outcomes = map[int64]choice.Outcome{
-	0: choice.Succeeded, 13: choice.Failed, 8: choice.Rejected, 4: choice.TimedOut, 14: choice.Unreachable,
-	10: choice.ConnectionLost, 1: choice.Stopped, 9: choice.NotStarted,
+var outcomes = map[int64]admission.Outcome{
+	0: admission.Succeeded, 13: admission.Failed, 8: admission.Rejected, 4: admission.TimedOut, 14: admission.Unreachable,
+	10: admission.ConnectionLost, 1: admission.Stopped, 9: admission.NotStarted,
 }
 
-func (f *fieldReader) outcome(field string) choice.Outcome {
+func (f *fieldReader) outcome(field string) admission.Outcome {
 	outcome, known := outcomes[f.integer(field)]
 	if !known {
 		f.fail(field, "an outcome code")
@@ -219,7 +219,7 @@
 }
 
 // Boot reads a start: the seed and what the instance is told.
-func (l Message) Boot() (uint64, choice.Settings, error) {
+func (l Message) Boot() (uint64, admission.Settings, error) {
 	f := readFields(l, 3, 3)
 	f.integer("who")
 	seed := f.unsigned("random-seed")
@@ -235,15 +235,15 @@
 }
 
 // Order reads an op.
-func (l Message) Order() (choice.Request, error) {
+func (l Message) Order() (admission.Request, error) {
 	const hasHint, isRetry, isWrite = 1, 2, 4
 	f := readFields(l, 11, 13)
 	f.integer("who")
-	request := choice.Request{ID: f.requestID("tid"), Class: choice.Class(f.text("priority")), Rank: f.number("place")}
+	request := admission.Request{ID: f.requestID("tid"), Class: admission.Class(f.text("priority")), Rank: f.number("place")}
 	bits := f.integer("bits")
 	request.IsRetry, request.IsWrite = bits&isRetry != 0, bits&isWrite != 0
 	request.Resource = f.optionalText("path-key")
-	request.Caller = choice.CallerID(f.integer("from"))
+	request.Caller = admission.CallerID(f.integer("from"))
 	if until := f.optionalNumber("valid-until-s"); until > 0 {
 		request.HasDeadline, request.Deadline = true, facts.SecondsToDuration(until)
 	}
@@ -251,8 +251,8 @@
 		request.WorkHint = facts.SecondsToDuration(hint)
 	}
 	request.MemoryKB, request.QueueDelay = f.number("kb"), f.duration("lay-s")
-	request.Tenant = choice.TenantID(f.optionalText("billing"))
-	request.DuplicateOf = choice.RequestID(f.optionalText("dup-of"))
+	request.Tenant = admission.TenantID(f.optionalText("billing"))
+	request.DuplicateOf = admission.RequestID(f.optionalText("dup-of"))
 	if f.err == nil && request.DuplicateOf != "" && !isHex16(string(request.DuplicateOf)) {
 		f.fail("dup-of", "16 hex digits")
 	}
@@ -279,7 +279,7 @@
 }
 
 // RequestID reads an event that only names an op: blocked and aborted.
-func (l Message) RequestID() (choice.RequestID, error) {
+func (l Message) RequestID() (admission.RequestID, error) {
 	f := readFields(l, 2, 2)
 	f.integer("who")
 	id := f.requestID("tid")
@@ -287,7 +287,7 @@
 }
 
 // Ended reads the end of a run.
-func (l Message) Ended() (choice.RequestID, time.Duration, choice.Outcome, error) {
+func (l Message) Ended() (admission.RequestID, time.Duration, admission.Outcome, error) {
 	f := readFields(l, 4, 4)
 	f.integer("who")
 	id, elapsed := f.requestID("tid"), f.duration("elapsed-s")
@@ -296,7 +296,7 @@
 }
 
 // CallDone reads the end of a call, whose outcome comes before its time.
-func (l Message) CallDone() (choice.RequestID, time.Duration, choice.Outcome, error) {
+func (l Message) CallDone() (admission.RequestID, time.Duration, admission.Outcome, error) {
 	f := readFields(l, 4, 4)
 	f.integer("who")
 	id, outcome := f.requestID("tid"), f.outcome("how")
--- a/internal/simwire/write.go
+++ b/internal/simwire/write.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"lanewheel/choice"
+	"lanewheel/admission"
 )
 
 // Reply gathers the lines of one reply.
@@ -28,7 +28,7 @@
 	for _, v := range values {
 		r.buf = append(r.buf, ',')
 		switch v := v.(type) {
-		case choice.RequestID:
+		case admission.RequestID:
 			r.appendText(string(v))
 		case string:
 			r.appendText(v)
--- a/internal/tokens/verify.go
+++ b/internal/tokens/verify.go
@@ -13,7 +13,7 @@
 	"github.com/go-jose/go-jose/v4"
 	"github.com/go-jose/go-jose/v4/jwt"
 
-	"lanewheel/choice"
+	"lanewheel/admission"
 	"lanewheel/internal/keyring"
 	"lanewheel/internal/rights"
 )
@@ -50,7 +50,7 @@
 type Claims struct {
 	Subject   string
 	ID        string
-	Tenant    choice.TenantID
+	Tenant    admission.TenantID
 	Roles     []rights.RoleName
 	KeyID     keyring.KeyID
 	NotBefore time.Time // not-before, without the leeway; zero if it has none
@@ -125,7 +125,7 @@
 	}
 	if policy.TenantClaim != "" {
 		tenant, _ := private[policy.TenantClaim].(string)
-		claims.Tenant = choice.TenantID(tenant)
+		claims.Tenant = admission.TenantID(tenant)
 	}
 	if policy.RolesClaim != "" {
 		switch roles := private[policy.RolesClaim].(type) {
--- a/internal/wire/database.go
+++ b/internal/wire/database.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"lanewheel/choice"
+	"lanewheel/admission"
 )
 
 // The database speaks HTTP/1.1. Each connection carries one call and is closed with its reply.
@@ -35,7 +35,7 @@
 }
 
 // Call sends one call.
-func (d *DatabaseConn) Call(host string, id choice.RequestID, timeout time.Duration, body []byte) {
+func (d *DatabaseConn) Call(host string, id admission.RequestID, timeout time.Duration, body []byte) {
 	b := append(d.outputBuffer(), "POST /v1/exec HTTP/1.1\r\nHost: "...)
 	b = append(append(b, host...), "\r\nRequest-Ref: "...)
 	b = append(append(b, id...), "\r\nStatement-Timeout-Ms: "...)
--- a/internal/wire/runtime.go
+++ b/internal/wire/runtime.go
@@ -8,7 +8,7 @@
 	"unicode/utf16"
 	"unicode/utf8"
 
-	"lanewheel/choice"
+	"lanewheel/admission"
 )
 
 // The runtime speaks JSON, one flat object a line. Bodies are in base64.
@@ -44,19 +44,19 @@
 	r.setOutput(r.newCommand("sync").sequence(lastSequence).end())
 }
 
-func (r *RuntimeConn) Start(id choice.RequestID, class choice.Class, body []byte) {
+func (r *RuntimeConn) Start(id admission.RequestID, class admission.Class, body []byte) {
 	r.setOutput(r.newCommand("start").requestID(id).text("route", string(class)).bytes(body).end())
 }
 
-func (r *RuntimeConn) Stop(id choice.RequestID) {
+func (r *RuntimeConn) Stop(id admission.RequestID) {
 	r.setOutput(r.newCommand("stop").requestID(id).end())
 }
 
-func (r *RuntimeConn) SendCallReply(id choice.RequestID, reply []byte) {
+func (r *RuntimeConn) SendCallReply(id admission.RequestID, reply []byte) {
 	r.setOutput(r.newCommand("give").requestID(id).bytes(reply).end())
 }
 
-func (r *RuntimeConn) SkipCall(id choice.RequestID, sequence uint64) {
+func (r *RuntimeConn) SkipCall(id admission.RequestID, sequence uint64) {
 	r.setOutput(r.newCommand("omit").requestID(id).sequence(sequence).end())
 }
 func (r *RuntimeConn) RequestGauges(correlationID string) {
@@ -76,7 +76,7 @@
 func (j commandLine) sequence(n uint64) commandLine {
 	return strconv.AppendUint(append(j, `,"no":`...), n, 10)
 }
-func (j commandLine) requestID(id choice.RequestID) commandLine {
+func (j commandLine) requestID(id admission.RequestID) commandLine {
 	return j.text("rid", string(id))
 }
 
