--- a/internal/below/below.go
+++ b/internal/below/below.go
@@ -10,9 +10,9 @@
 
 	"lanewheel/admission"
 	"lanewheel/internal/grants"
-	"lanewheel/internal/keep"
 	"lanewheel/internal/loop"
 	"lanewheel/internal/members"
+	"lanewheel/internal/server"
 	"lanewheel/internal/spread"
 )
 
@@ -115,7 +115,7 @@
 }
 
 // Acquire is keep.Below.
-func (p *Client) Acquire(excludedAddr string, waiting int) keep.UpstreamSlot {
+func (p *Client) Acquire(excludedAddr string, waiting int) server.UpstreamSlot {
 	now := p.loop.Now()
 	p.waitingCalls = waiting
 	i, found := p.balancer.Pick(now, p.random.Float64, func(i int) bool {
--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -21,7 +21,6 @@
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/grants"
 	"lanewheel/internal/handover"
-	"lanewheel/internal/keep"
 	"lanewheel/internal/life"
 	"lanewheel/internal/life/desks"
 	"lanewheel/internal/life/relays"
@@ -30,6 +29,7 @@
 	"lanewheel/internal/operator"
 	"lanewheel/internal/pass"
 	"lanewheel/internal/relay"
+	"lanewheel/internal/server"
 	"lanewheel/internal/spread"
 	"lanewheel/internal/wire"
 )
@@ -52,7 +52,7 @@
 }
 
 // joinFleet brings an instance into its fleet.
-func joinFleet(srv *keep.Server, platform keep.Config, operatorConfig *life.OperatorConfig) (func(*life.OperatorConfig), error) {
+func joinFleet(srv *server.Server, platform server.Config, operatorConfig *life.OperatorConfig) (func(*life.OperatorConfig), error) {
 	if !operatorConfig.File.Fleet.Enabled { // services at told addresses need nobody else
 		upstreamClient := below.New(srv.Loop, operatorConfig.File.Upstream.Config, members.ID{}, platform.Seed, nil)
 		srv.UseUpstreams(upstreamClient)
@@ -65,7 +65,7 @@
 	}
 	var spill *handover.Spillover
 	if operatorConfig.File.Spillover.Enabled {
-		srv.EnableSpillover(func(net *wire.Net) keep.Spillover {
+		srv.EnableSpillover(func(net *wire.Net) server.Spillover {
 			spill = handover.New(srv, net, operatorConfig.File.Spillover.Config, platform.Seed, prober(agent))
 			return spill
 		})
@@ -90,7 +90,7 @@
 }
 
 // serverProcess speaks for an instance: what it says of itself comes from its core's loop.
-type serverProcess struct{ server *keep.Server }
+type serverProcess struct{ server *server.Server }
 
 func (i *serverProcess) Status(report func(gossip.ProcessStatus)) {
 	i.server.Post(func() {
@@ -148,7 +148,7 @@
 
 // runProxy runs a relay.
 func runProxy(operatorPath, logFormat string) error {
-	return relays.Run(os.Getenv("RELAY_CONFIG"), operatorPath, logFormat, func(platform keep.Config, operatorConfig *life.OperatorConfig) (*relay.Proxy, func(*life.OperatorConfig), error) {
+	return relays.Run(os.Getenv("RELAY_CONFIG"), operatorPath, logFormat, func(platform server.Config, operatorConfig *life.OperatorConfig) (*relay.Proxy, func(*life.OperatorConfig), error) {
 		fleet := operatorConfig.File.Fleet
 		fleet.Roles = fleet.Roles&^members.RoleServer | members.RoleProxy
 		process := &proxyProcess{}
--- a/internal/command/further/golden_test.go
+++ b/internal/command/further/golden_test.go
@@ -22,10 +22,10 @@
 	"lanewheel/internal/command"
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/fleet/steward/ask"
-	"lanewheel/internal/keep"
 	"lanewheel/internal/members"
 	"lanewheel/internal/operator"
 	"lanewheel/internal/relay"
+	"lanewheel/internal/server"
 	"lanewheel/internal/spread"
 )
 
@@ -264,8 +264,8 @@
 
 // The keys of the facts that an instance and a proxy have gossiped of themselves.
 func TestGoldenFacts(t *testing.T) {
-	config := keep.Config{Name: "n", ListenAddr: "127.0.0.1:0", RuntimeAddr: "127.0.0.1:1", TerminationGrace: time.Second, MaxDescriptors: 128, MemoryMB: 32, Cores: 1, Settings: admission.Settings{}}
-	in, err := keep.New(config)
+	config := server.Config{Name: "n", ListenAddr: "127.0.0.1:0", RuntimeAddr: "127.0.0.1:1", TerminationGrace: time.Second, MaxDescriptors: 128, MemoryMB: 32, Cores: 1, Settings: admission.Settings{}}
+	in, err := server.New(config)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -7,11 +7,11 @@
 	"time"
 
 	"lanewheel/internal/front"
-	"lanewheel/internal/keep"
 	"lanewheel/internal/logline"
 	"lanewheel/internal/loop"
 	"lanewheel/internal/members"
 	"lanewheel/internal/pass"
+	"lanewheel/internal/server"
 	"lanewheel/internal/spread"
 	"lanewheel/internal/wire"
 )
@@ -25,7 +25,7 @@
 // Spillover is the hand-over of one instance. It is a keep.Elsewhere and a front.Front.
 type Spillover struct {
 	loop       *loop.Loop
-	server     *keep.Server
+	server     *server.Server
 	config     Config
 	forwarder  *pass.Forwarder
 	policy     *spread.SpilloverPolicy
@@ -43,7 +43,7 @@
 }
 
 // New makes the part of an instance whose loop and sockets it shares.
-func New(srv *keep.Server, net *wire.Net, config Config, seed uint64, probe pass.ProbeFunc) *Spillover {
+func New(srv *server.Server, net *wire.Net, config Config, seed uint64, probe pass.ProbeFunc) *Spillover {
 	forwarder := pass.New(srv.Loop, net, config.Config, seed, probe)
 	return &Spillover{loop: srv.Loop, server: srv, config: config, forwarder: forwarder, policy: spread.NewSpilloverPolicy(config.Spillover, forwarder.Balancer), inFlight: map[*spilledRequest]bool{}, counts: map[string]uint64{}}
 }
--- a/internal/life/fronts.go
+++ b/internal/life/fronts.go
@@ -8,7 +8,7 @@
 	"lanewheel/admission"
 	"lanewheel/internal/amqp"
 	"lanewheel/internal/fault"
-	"lanewheel/internal/keep"
+	"lanewheel/internal/server"
 )
 
 // readAMQP reads what the front for messages needs beside the operator's file.
@@ -55,7 +55,7 @@
 }
 
 // attachFrontends starts the further fronts that the operator's file turns on.
-func attachFrontends(instance *keep.Server, config keep.Config, operatorConfig *OperatorConfig) {
+func attachFrontends(instance *server.Server, config server.Config, operatorConfig *OperatorConfig) {
 	if !operatorConfig.File.AMQP.Enabled {
 		return
 	}
--- a/internal/life/golden_test.go
+++ b/internal/life/golden_test.go
@@ -10,7 +10,7 @@
 
 	"lanewheel/admission"
 	"lanewheel/internal/fault"
-	"lanewheel/internal/keep"
+	"lanewheel/internal/server"
 )
 
 // Each field of an instance's configuration, by its stored name, and what it is read as. The settings have a file of
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	const ms = time.Millisecond
-	want := keep.Config{
+	want := server.Config{
 		Name:             "instance-1",
 		ListenAddr:       "127.0.0.1:1",
 		RuntimeAddr:      "127.0.0.1:2",
--- a/internal/life/life.go
+++ b/internal/life/life.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"lanewheel/internal/fault"
-	"lanewheel/internal/keep"
 	"lanewheel/internal/logline"
+	"lanewheel/internal/server"
 )
 
 // Run starts the instance that the configuration at path and the operator's file, if one is named, tell of, and serves
@@ -71,10 +71,10 @@
 // openServer makes the instance. Danger: one that is started anew, while the last moments of the life before it still hold the address, ends at once, and
 // its platform counts that as a crash. The address is tried for again for some seconds, longer than a drain's last steps; the notice to leave
 // ends that, and there is no instance then and no error.
-func openServer(config keep.Config, terminate <-chan os.Signal) (*keep.Server, error) {
+func openServer(config server.Config, terminate <-chan os.Signal) (*server.Server, error) {
 	const addressTimeout, retryInterval = 3 * time.Second, 20 * time.Millisecond
 	for began := time.Now(); ; {
-		instance, err := keep.New(config)
+		instance, err := server.New(config)
 		if !errors.Is(err, syscall.EADDRINUSE) || time.Since(began) > addressTimeout {
 			return instance, err
 		}
@@ -88,7 +88,7 @@
 
 // reloader keeps a running instance on what its files say.
 type reloader struct {
-	server         *keep.Server
+	server         *server.Server
 	configPath     string         // of the configuration
 	operatorPath   string         // of the operator's file, empty if there is none
 	operatorConfig OperatorConfig // what is in force of it
@@ -139,7 +139,7 @@
 
 // reloadResult is what the files say now.
 type reloadResult struct {
-	config         keep.Config
+	config         server.Config
 	operatorConfig OperatorConfig
 	err            error
 }
--- a/internal/life/relays/relays.go
+++ b/internal/life/relays/relays.go
@@ -8,14 +8,14 @@
 	"runtime/debug"
 	"time"
 
-	"lanewheel/internal/keep"
 	"lanewheel/internal/life"
 	"lanewheel/internal/operator"
 	"lanewheel/internal/relay"
+	"lanewheel/internal/server"
 )
 
 // Join brings a relay into its fleet: it gives the relay, which listens, and what takes an operator's file that was read anew.
-type Join func(config keep.Config, o *life.OperatorConfig) (r *relay.Proxy, reload func(*life.OperatorConfig), err error)
+type Join func(config server.Config, o *life.OperatorConfig) (r *relay.Proxy, reload func(*life.OperatorConfig), err error)
 
 // Run starts the relay that the configuration at path and the operator's file tell of, and passes ops on until it is told to go.
 func Run(platformPath, operatorPath, logFormat string, join Join) error {
--- a/internal/life/told.go
+++ b/internal/life/told.go
@@ -12,23 +12,23 @@
 
 	"lanewheel/internal/facts"
 	"lanewheel/internal/fault"
-	"lanewheel/internal/keep"
+	"lanewheel/internal/server"
 )
 
 // LoadConfig reads the platform's configuration. The error is a fault.List with all that is wrong.
-func LoadConfig(path string) (keep.Config, error) {
+func LoadConfig(path string) (server.Config, error) {
 	if path == "" {
-		return keep.Config{}, fault.List{{File: "RELAY_CONFIG", Want: "is not set; wants the path of a configuration"}}
+		return server.Config{}, fault.List{{File: "RELAY_CONFIG", Want: "is not set; wants the path of a configuration"}}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return keep.Config{}, fault.List{{File: path, Want: "can't be read: " + err.Error()}}
+		return server.Config{}, fault.List{{File: path, Want: "can't be read: " + err.Error()}}
 	}
 	config, diagnostics := parseConfig(path, text)
 	return config, diagnostics.Err()
 }
 
-func parseConfig(path string, text []byte) (config keep.Config, diagnostics fault.List) {
+func parseConfig(path string, text []byte) (config server.Config, diagnostics fault.List) {
 	root, err := fastjson.ParseBytes(text)
 	if err != nil {
 		return config, fault.List{{File: path, Want: err.Error()}}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -11,10 +11,10 @@
 	"lanewheel/admission"
 	"lanewheel/internal/front"
 	"lanewheel/internal/identity"
-	"lanewheel/internal/keep"
 	"lanewheel/internal/loop"
 	"lanewheel/internal/members"
 	"lanewheel/internal/pass"
+	"lanewheel/internal/server"
 	"lanewheel/internal/spread"
 	"lanewheel/internal/stubs"
 	"lanewheel/internal/wire"
@@ -32,9 +32,9 @@
 type Proxy struct {
 	*loop.Loop
 	config      Config
-	platform    keep.Config
+	platform    server.Config
 	net         *wire.Net
-	buffers     *keep.BufferPool
+	buffers     *server.BufferPool
 	clients     *stubs.Frontend
 	forwarder   *pass.Forwarder
 	classes     map[string]classConfig
@@ -63,10 +63,10 @@
 }
 
 // Listen makes a relay that listens. Of the platform's configuration it takes what an instance would, less the runtime and the database.
-func Listen(platform keep.Config, config Config, probe pass.ProbeFunc) (*Proxy, error) {
+func Listen(platform server.Config, config Config, probe pass.ProbeFunc) (*Proxy, error) {
 	bufferCount := int(platform.MemoryMB*(1<<20)) / wire.BufferSize
 	config.MaxInFlight = min(config.MaxInFlight, bufferCount/4) // a quarter of the memory is for bodies in hand, as in an instance
-	proxy := &Proxy{Loop: loop.New(bufferCount / 8), config: config, platform: platform, buffers: &keep.BufferPool{}, classes: map[string]classConfig{}, inFlight: map[string]*proxiedRequest{}}
+	proxy := &Proxy{Loop: loop.New(bufferCount / 8), config: config, platform: platform, buffers: &server.BufferPool{}, classes: map[string]classConfig{}, inFlight: map[string]*proxiedRequest{}}
 	classes, _ := platform.Settings["op types"].([]admission.Settings)
 	for _, class := range classes {
 		name, _ := class["name"].(string)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"lanewheel/admission"
-	"lanewheel/internal/keep"
 	"lanewheel/internal/members"
 	"lanewheel/internal/pass"
+	"lanewheel/internal/server"
 	"lanewheel/internal/spread"
 	"lanewheel/internal/standin"
 )
@@ -120,7 +120,7 @@
 	class := func(name, repeats string) admission.Settings {
 		return admission.Settings{"name": name, "repeats": repeats, "op timeout": 3 * time.Second, "target latency": time.Second}
 	}
-	proxy, err := Listen(keep.Config{Name: "relay", ListenAddr: listen, RegistryAddr: roster.Addr(), Seed: 1, TerminationGrace: 1500 * time.Millisecond, MaxDescriptors: 256, MemoryMB: 64, Cores: 1,
+	proxy, err := Listen(server.Config{Name: "relay", ListenAddr: listen, RegistryAddr: roster.Addr(), Seed: 1, TerminationGrace: 1500 * time.Millisecond, MaxDescriptors: 256, MemoryMB: 64, Cores: 1,
 		Settings: admission.Settings{"op types": []admission.Settings{class("view", "retryable"), class("pay", "non-retryable")}}}, config, nil)
 	if err != nil {
 		panic(err)
--- a/internal/keep/door.go
+++ b/internal/server/door.go
@@ -1,4 +1,4 @@
-package keep
+package server
 
 import (
 	"lanewheel/admission"
--- a/internal/keep/instance.go
+++ b/internal/server/instance.go
@@ -1,7 +1,7 @@
-// Package keep is the instance's memory: the ops in hand, the runs and calls under way, the keys and results
+// Package server is the instance's memory: the ops in hand, the runs and calls under way, the keys and results
 // that are kept, one timer heap and the buffer pool. The Instance is the module's port: it carries out what
 // the module decides and decides nothing itself.
-package keep
+package server
 
 import (
 	"log/slog"
