--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -7,7 +7,7 @@
 	"os"
 
 	"lanewheel/internal/fault"
-	"lanewheel/internal/life"
+	"lanewheel/internal/lifecycle"
 	"lanewheel/internal/operator"
 )
 
@@ -47,11 +47,11 @@
 		return fault.List{{File: path, Want: "can't be read: " + err.Error()}}
 	}
 	if bytes.HasPrefix(bytes.TrimSpace(text), []byte("{")) {
-		_, err = life.LoadConfig(path)
+		_, err = lifecycle.LoadConfig(path)
 		return err
 	}
 	if c.IncludeNamedFiles {
-		_, err = life.LoadOperatorConfig(path)
+		_, err = lifecycle.LoadOperatorConfig(path)
 		return err
 	}
 	_, err = operator.Load(path)
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -11,7 +11,7 @@
 	"github.com/alecthomas/kong"
 
 	"lanewheel/internal/fault"
-	"lanewheel/internal/life"
+	"lanewheel/internal/lifecycle"
 	"lanewheel/internal/logline"
 )
 
@@ -101,8 +101,8 @@
 }
 
 func serve(operatorFile, logFormat string) int {
-	err := life.Run(os.Getenv("RELAY_CONFIG"), operatorFile, logFormat)
-	if errors.Is(err, life.ErrFleetNotLinked) {
+	err := lifecycle.Run(os.Getenv("RELAY_CONFIG"), operatorFile, logFormat)
+	if errors.Is(err, lifecycle.ErrFleetNotLinked) {
 		logline.Flush()
 		err = execProgram(fleetProgram)
 	}
--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -8,13 +8,13 @@
 	"path/filepath"
 	"syscall"
 
-	"lanewheel/internal/life"
+	"lanewheel/internal/lifecycle"
 	"lanewheel/internal/operator"
 )
 
 // Components is what only a program brings that has the fleet's parts linked.
 type Components struct {
-	FleetHooks     life.FleetJoiner
+	FleetHooks     lifecycle.FleetJoiner
 	RunProxy       func(operated, format string) error
 	RunAllocator   func(operated, format string) error
 	ShowMembers    func(f operator.Fleet, against []string, asJSON bool, out io.Writer) error
@@ -29,7 +29,7 @@
 // Link says what is linked, before Main.
 func Link(parts Components) {
 	components = &parts
-	life.JoinFleet = parts.FleetHooks
+	lifecycle.JoinFleet = parts.FleetHooks
 }
 
 // fleetProgram is the program that has most of it, beside ours, and withStewards the one that has all.
--- a/internal/command/further/agree.go
+++ b/internal/command/further/agree.go
@@ -17,13 +17,13 @@
 	"lanewheel/internal/accord"
 	"lanewheel/internal/command"
 	"lanewheel/internal/fleet/steward/ask"
-	"lanewheel/internal/life"
+	"lanewheel/internal/lifecycle"
 	"lanewheel/internal/operator"
 )
 
 // runCoordinatorCommand asks the stewards, and prints what they say.
 func runCoordinatorCommand(arguments command.CoordinatorCommand, out io.Writer) error {
-	operatorConfig, err := life.LoadOperatorConfig(arguments.File)
+	operatorConfig, err := lifecycle.LoadOperatorConfig(arguments.File)
 	if err != nil {
 		return err
 	}
--- a/internal/command/further/agreed/agreed.go
+++ b/internal/command/further/agreed/agreed.go
@@ -7,16 +7,16 @@
 	"lanewheel/internal/command"
 	"lanewheel/internal/command/further"
 	"lanewheel/internal/fleet/gossip"
-	"lanewheel/internal/life"
-	"lanewheel/internal/life/stewards"
+	"lanewheel/internal/lifecycle"
+	"lanewheel/internal/lifecycle/coordinators"
 	"lanewheel/internal/members"
 )
 
 // WithCoordinator adds to what lanewheel-fleet has.
 func WithCoordinator(commands command.Components) command.Components {
 	commands.RunCoordinator = func(operatorPath, logFormat string, bootstrap, recoverAlone bool) error {
-		return stewards.Run(operatorPath, logFormat, bootstrap, recoverAlone, func(process gossip.Process, operatorConfig *life.OperatorConfig) (*gossip.Agent, func(*life.OperatorConfig), error) {
-			gossipConfig := func(operatorConfig *life.OperatorConfig) gossip.Config {
+		return coordinators.Run(operatorPath, logFormat, bootstrap, recoverAlone, func(process gossip.Process, operatorConfig *lifecycle.OperatorConfig) (*gossip.Agent, func(*lifecycle.OperatorConfig), error) {
+			gossipConfig := func(operatorConfig *lifecycle.OperatorConfig) gossip.Config {
 				fleet := operatorConfig.File.Fleet
 				fleet.Roles = members.RoleCoordinator
 				return further.GossipConfig(&fleet, "", "", operatorConfig.ClusterKeys)
@@ -25,7 +25,7 @@
 			if err != nil {
 				return nil, nil, err
 			}
-			return agent, func(operatorConfig *life.OperatorConfig) { agent.SetConfig(gossipConfig(operatorConfig)) }, nil
+			return agent, func(operatorConfig *lifecycle.OperatorConfig) { agent.SetConfig(gossipConfig(operatorConfig)) }, nil
 		})
 	}
 	return commands
--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -21,9 +21,9 @@
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/grants"
 	"lanewheel/internal/handover"
-	"lanewheel/internal/life"
-	"lanewheel/internal/life/desks"
-	"lanewheel/internal/life/relays"
+	"lanewheel/internal/lifecycle"
+	"lanewheel/internal/lifecycle/allocators"
+	"lanewheel/internal/lifecycle/proxies"
 	"lanewheel/internal/loop"
 	"lanewheel/internal/members"
 	"lanewheel/internal/operator"
@@ -52,12 +52,12 @@
 }
 
 // joinFleet brings an instance into its fleet.
-func joinFleet(srv *server.Server, platform server.Config, operatorConfig *life.OperatorConfig) (func(*life.OperatorConfig), error) {
+func joinFleet(srv *server.Server, platform server.Config, operatorConfig *lifecycle.OperatorConfig) (func(*lifecycle.OperatorConfig), error) {
 	if !operatorConfig.File.Fleet.Enabled { // services at told addresses need nobody else
 		upstreamClient := below.New(srv.Loop, operatorConfig.File.Upstream.Config, members.ID{}, platform.Seed, nil)
 		srv.UseUpstreams(upstreamClient)
 		srv.Post(upstreamClient.Start)
-		return func(*life.OperatorConfig) {}, nil
+		return func(*lifecycle.OperatorConfig) {}, nil
 	}
 	agent, err := gossip.New(GossipConfig(&operatorConfig.File.Fleet, platform.Name, platform.ListenAddr, operatorConfig.ClusterKeys), &serverProcess{srv}, platform.Seed)
 	if err != nil {
@@ -81,7 +81,7 @@
 	}
 	srv.AddFrontend(agent)
 	slog.Info("fleet", "name", string(agent.View().Self.Name), "listen", operatorConfig.File.Fleet.ListenAddress, "seeds", len(operatorConfig.File.Fleet.Config.Seeds), "keys", len(operatorConfig.ClusterKeys))
-	return func(operatorConfig *life.OperatorConfig) {
+	return func(operatorConfig *lifecycle.OperatorConfig) {
 		agent.SetConfig(GossipConfig(&operatorConfig.File.Fleet, platform.Name, platform.ListenAddr, operatorConfig.ClusterKeys))
 		if spill != nil {
 			srv.Post(func() { spill.SetConfig(operatorConfig.File.Spillover.Config) })
@@ -127,8 +127,8 @@
 
 // runAllocator runs a desk.
 func runAllocator(operatorPath, logFormat string) error {
-	return desks.Run(operatorPath, logFormat, func(process *desk.Server, operatorConfig *life.OperatorConfig) (func(*life.OperatorConfig), error) {
-		gossipConfig := func(operatorConfig *life.OperatorConfig) gossip.Config {
+	return allocators.Run(operatorPath, logFormat, func(process *desk.Server, operatorConfig *lifecycle.OperatorConfig) (func(*lifecycle.OperatorConfig), error) {
+		gossipConfig := func(operatorConfig *lifecycle.OperatorConfig) gossip.Config {
 			fleet := operatorConfig.File.Fleet
 			fleet.Roles = members.RoleUpstream
 			return GossipConfig(&fleet, "", "", operatorConfig.ClusterKeys)
@@ -139,7 +139,7 @@
 		}
 		process.Attach(agent)
 		agent.Start()
-		return func(operatorConfig *life.OperatorConfig) {
+		return func(operatorConfig *lifecycle.OperatorConfig) {
 			agent.SetConfig(gossipConfig(operatorConfig))
 			process.SetConfig(operatorConfig.File.Allocator.Config)
 		}, nil
@@ -148,7 +148,7 @@
 
 // runProxy runs a relay.
 func runProxy(operatorPath, logFormat string) error {
-	return relays.Run(os.Getenv("RELAY_CONFIG"), operatorPath, logFormat, func(platform server.Config, operatorConfig *life.OperatorConfig) (*relay.Proxy, func(*life.OperatorConfig), error) {
+	return proxies.Run(os.Getenv("RELAY_CONFIG"), operatorPath, logFormat, func(platform server.Config, operatorConfig *lifecycle.OperatorConfig) (*relay.Proxy, func(*lifecycle.OperatorConfig), error) {
 		fleet := operatorConfig.File.Fleet
 		fleet.Roles = fleet.Roles&^members.RoleServer | members.RoleProxy
 		process := &proxyProcess{}
@@ -164,7 +164,7 @@
 		subscribe(agent, running.Loop, running.UpdateView)
 		running.Attach(agent)
 		slog.Info("fleet", "name", string(agent.View().Self.Name), "listen", fleet.ListenAddress, "seeds", len(fleet.Config.Seeds), "keys", len(operatorConfig.ClusterKeys))
-		return running, func(operatorConfig *life.OperatorConfig) {
+		return running, func(operatorConfig *lifecycle.OperatorConfig) {
 			reloaded := operatorConfig.File.Fleet
 			reloaded.Roles = fleet.Roles
 			agent.SetConfig(GossipConfig(&reloaded, platform.Name, platform.ListenAddr, operatorConfig.ClusterKeys))
--- a/internal/command/keys.go
+++ b/internal/command/keys.go
@@ -15,7 +15,7 @@
 	"github.com/go-jose/go-jose/v4/jwt"
 
 	"lanewheel/internal/keyring"
-	"lanewheel/internal/life"
+	"lanewheel/internal/lifecycle"
 	"lanewheel/internal/rights"
 	"lanewheel/internal/tokens"
 )
@@ -283,7 +283,7 @@
 	if c.Operator == "" {
 		return nil
 	}
-	operatorConfig, err := life.LoadOperatorConfig(c.Operator)
+	operatorConfig, err := lifecycle.LoadOperatorConfig(c.Operator)
 	if err != nil {
 		return err
 	}
--- a/internal/command/queue.go
+++ b/internal/command/queue.go
@@ -16,7 +16,7 @@
 	client "github.com/rabbitmq/amqp091-go"
 
 	"lanewheel/internal/amqp"
-	"lanewheel/internal/life"
+	"lanewheel/internal/lifecycle"
 	"lanewheel/internal/operator"
 )
 
@@ -29,7 +29,7 @@
 
 // told reads the operator's file with all that it names for queues.
 func loadQueues(path string) (operator.AMQP, error) {
-	operatorConfig, err := life.LoadOperatorConfig(path)
+	operatorConfig, err := lifecycle.LoadOperatorConfig(path)
 	if err != nil {
 		return operator.AMQP{}, err
 	}
--- a/internal/life/desks/desks.go
+++ b/internal/lifecycle/allocators/desks.go
@@ -1,5 +1,5 @@
-// Package desks is the start and the stop of a desk beside a service below.
-package desks
+// Package allocators is the start and the stop of a desk beside a service below.
+package allocators
 
 import (
 	"log/slog"
@@ -7,20 +7,20 @@
 	"time"
 
 	"lanewheel/internal/fleet/desk"
-	"lanewheel/internal/life"
+	"lanewheel/internal/lifecycle"
 	"lanewheel/internal/lock"
 	"lanewheel/internal/operator"
 )
 
 // Attach brings a desk into its fleet and gives what takes an operator's file that was read anew.
-type Attach func(d *desk.Server, o *life.OperatorConfig) (reload func(*life.OperatorConfig), err error)
+type Attach func(d *desk.Server, o *lifecycle.OperatorConfig) (reload func(*lifecycle.OperatorConfig), err error)
 
 // shutdownTimeout is how long a desk takes to leave: its word has to get through.
 const shutdownTimeout = time.Second
 
 // Run starts the desk that the operator's file tells of, and grants until it is told to go.
 func Run(configPath, logFormat string, attach Attach) error {
-	signals, operatorConfig, err := life.StartStandalone(configPath, logFormat, "wants the sections [fleet] and [grants]", func(f *operator.Operator) bool { return f.Allocator.Enabled })
+	signals, operatorConfig, err := lifecycle.StartStandalone(configPath, logFormat, "wants the sections [fleet] and [grants]", func(f *operator.Operator) bool { return f.Allocator.Enabled })
 	if err != nil {
 		return err
 	}
@@ -45,7 +45,7 @@
 		return err
 	}
 	slog.Info("desk", "name", operatorConfig.File.Fleet.Name, "service", operatorConfig.File.Fleet.ServiceAddress, "cap", operatorConfig.File.Allocator.Config.Capacity, "room", operatorConfig.File.Allocator.Config.LeasableCalls())
-	go life.HandleSignals(signals, configPath, operatorConfig, func() { server.Post(func() { server.Shutdown(shutdownTimeout) }) }, reload)
+	go lifecycle.HandleSignals(signals, configPath, operatorConfig, func() { server.Post(func() { server.Shutdown(shutdownTimeout) }) }, reload)
 	server.Serve()
 	return nil
 }
--- a/internal/life/stewards/golden_test.go
+++ b/internal/lifecycle/coordinators/golden_test.go
@@ -1,4 +1,4 @@
-package stewards
+package coordinators
 
 import (
 	"bytes"
--- a/internal/life/stewards/stewards.go
+++ b/internal/lifecycle/coordinators/stewards.go
@@ -1,5 +1,5 @@
-// Package stewards is the start and the stop of a steward.
-package stewards
+// Package coordinators is the start and the stop of a steward.
+package coordinators
 
 import (
 	"log/slog"
@@ -8,20 +8,20 @@
 
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/fleet/steward"
-	"lanewheel/internal/life"
+	"lanewheel/internal/lifecycle"
 	"lanewheel/internal/members"
 	"lanewheel/internal/operator"
 )
 
 // Attach makes the part of a steward that speaks to the fleet, and gives what takes an operator's file that was read anew.
-type Attach func(p gossip.Process, o *life.OperatorConfig) (part *gossip.Agent, reload func(*life.OperatorConfig), err error)
+type Attach func(p gossip.Process, o *lifecycle.OperatorConfig) (part *gossip.Agent, reload func(*lifecycle.OperatorConfig), err error)
 
 // shutdownTimeout is how long a steward takes to leave.
 const shutdownTimeout = 2 * time.Second
 
 // Run starts the steward that the operator's file tells of.
 func Run(configPath, logFormat string, bootstrap, forceNewCluster bool, attach Attach) error {
-	signals, operatorConfig, err := life.StartStandalone(configPath, logFormat, "wants the sections [fleet] and [steward]", func(f *operator.Operator) bool { return f.Coordinator.Enabled })
+	signals, operatorConfig, err := lifecycle.StartStandalone(configPath, logFormat, "wants the sections [fleet] and [steward]", func(f *operator.Operator) bool { return f.Coordinator.Enabled })
 	if err != nil {
 		return err
 	}
@@ -41,7 +41,7 @@
 	agent.OnPermitBegin = node.BeginPermit
 	agent.Start()
 	slog.Info("steward", "name", config.Name, "at", config.AdvertiseAddr, "others", len(config.Coordinators))
-	go life.HandleSignals(signals, configPath, operatorConfig, func() { adapter.shutdown() }, func(o *life.OperatorConfig) {
+	go lifecycle.HandleSignals(signals, configPath, operatorConfig, func() { adapter.shutdown() }, func(o *lifecycle.OperatorConfig) {
 		reload(o)
 		node.SetClusterKeys(o.ClusterKeys)
 	})
--- a/internal/life/fronts.go
+++ b/internal/lifecycle/fronts.go
@@ -1,4 +1,4 @@
-package life
+package lifecycle
 
 import (
 	"crypto/tls"
--- a/internal/life/life.go
+++ b/internal/lifecycle/life.go
@@ -1,5 +1,5 @@
-// Package life is the start and the stop of a service instance.
-package life
+// Package lifecycle is the start and the stop of a service instance.
+package lifecycle
 
 import (
 	"crypto/tls"
--- a/internal/life/relays/relays.go
+++ b/internal/lifecycle/proxies/relays.go
@@ -1,5 +1,5 @@
-// Package relays is the start and the stop of a relay.
-package relays
+// Package proxies is the start and the stop of a relay.
+package proxies
 
 import (
 	"log/slog"
@@ -8,22 +8,22 @@
 	"runtime/debug"
 	"time"
 
-	"lanewheel/internal/life"
+	"lanewheel/internal/lifecycle"
 	"lanewheel/internal/operator"
 	"lanewheel/internal/relay"
 	"lanewheel/internal/server"
 )
 
 // Join brings a relay into its fleet: it gives the relay, which listens, and what takes an operator's file that was read anew.
-type Join func(config server.Config, o *life.OperatorConfig) (r *relay.Proxy, reload func(*life.OperatorConfig), err error)
+type Join func(config server.Config, o *lifecycle.OperatorConfig) (r *relay.Proxy, reload func(*lifecycle.OperatorConfig), err error)
 
 // Run starts the relay that the configuration at path and the operator's file tell of, and passes ops on until it is told to go.
 func Run(platformPath, operatorPath, logFormat string, join Join) error {
-	signals, operatorConfig, err := life.StartStandalone(operatorPath, logFormat, "wants the sections [fleet] and [relay]", func(file *operator.Operator) bool { return file.Fleet.Enabled && file.Proxy.Enabled })
+	signals, operatorConfig, err := lifecycle.StartStandalone(operatorPath, logFormat, "wants the sections [fleet] and [relay]", func(file *operator.Operator) bool { return file.Fleet.Enabled && file.Proxy.Enabled })
 	if err != nil {
 		return err
 	}
-	platform, err := life.LoadConfig(platformPath)
+	platform, err := lifecycle.LoadConfig(platformPath)
 	if err != nil {
 		return err
 	}
@@ -35,7 +35,7 @@
 		return err
 	}
 	slog.Info("listening", "name", platform.Name, "addr", platform.ListenAddr, "relay", true)
-	go life.HandleSignals(signals, operatorPath, operatorConfig, func() { proxy.Post(proxy.Drain) }, reload)
+	go lifecycle.HandleSignals(signals, operatorPath, operatorConfig, func() { proxy.Post(proxy.Drain) }, reload)
 	proxy.Serve()
 	// The last answers lie in the kernel's hands by now; a moment for the gossip's last word.
 	time.Sleep(10 * time.Millisecond)
