--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -6,9 +6,9 @@
 	"fmt"
 	"os"
 
+	"lanewheel/internal/config"
 	"lanewheel/internal/fault"
 	"lanewheel/internal/lifecycle"
-	"lanewheel/internal/operator"
 )
 
 // checkCommand reads a file as an instance would, and says all that is wrong with it.
@@ -54,6 +54,6 @@
 		_, err = lifecycle.LoadOperatorConfig(path)
 		return err
 	}
-	_, err = operator.Load(path)
+	_, err = config.Load(path)
 	return err
 }
--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -8,8 +8,8 @@
 	"path/filepath"
 	"syscall"
 
+	"lanewheel/internal/config"
 	"lanewheel/internal/lifecycle"
-	"lanewheel/internal/operator"
 )
 
 // Components is what only a program brings that has the fleet's parts linked.
@@ -17,8 +17,8 @@
 	FleetHooks     lifecycle.FleetJoiner
 	RunProxy       func(operated, format string) error
 	RunAllocator   func(operated, format string) error
-	ShowMembers    func(f operator.Fleet, against []string, asJSON bool, out io.Writer) error
-	RunDrill       func(d *operator.Drill, record, picture string, out io.Writer) (bad int, err error)
+	ShowMembers    func(f config.Fleet, against []string, asJSON bool, out io.Writer) error
+	RunDrill       func(d *config.Drill, record, picture string, out io.Writer) (bad int, err error)
 	ShowRecord     func(record, picture string, out io.Writer) error
 	CompareRecords func(a, b string, out io.Writer) error
 	CoordinatorFuncs
@@ -84,9 +84,9 @@
 		return execProgram(fleetProgram)
 	}
 	var sockets []string
-	var shown operator.Fleet
+	var shown config.Fleet
 	for i, path := range append([]string{c.File}, c.Against...) {
-		operatorConfig, err := operator.Load(path)
+		operatorConfig, err := config.Load(path)
 		if err != nil {
 			return err
 		}
@@ -124,7 +124,7 @@
 	if components == nil {
 		return execProgram(fleetProgram)
 	}
-	drill, err := operator.LoadDrill(c.Script, c.Set...)
+	drill, err := config.LoadDrill(c.Script, c.Set...)
 	if err != nil {
 		return err
 	}
--- a/internal/command/further/agree.go
+++ b/internal/command/further/agree.go
@@ -16,9 +16,9 @@
 
 	"lanewheel/internal/accord"
 	"lanewheel/internal/command"
+	"lanewheel/internal/config"
 	"lanewheel/internal/fleet/steward/ask"
 	"lanewheel/internal/lifecycle"
-	"lanewheel/internal/operator"
 )
 
 // runCoordinatorCommand asks the stewards, and prints what they say.
@@ -131,14 +131,14 @@
 		command.Kind = accord.KindSetBudgets
 		content := readFile()
 		if err == nil {
-			command.Budgets, err = operator.ParseBudgets(arguments.Path, content)
+			command.Budgets, err = config.ParseBudgets(arguments.Path, content)
 		}
 	case "release":
 		command.Kind = accord.KindStartRollout
 		content := readFile()
 		if err == nil {
 			var plan accord.RolloutPlan
-			plan, err = operator.ParseRollout(arguments.Path, content)
+			plan, err = config.ParseRollout(arguments.Path, content)
 			command.Plan = &plan
 		}
 	}
--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -16,6 +16,7 @@
 
 	"lanewheel/internal/below"
 	"lanewheel/internal/command"
+	"lanewheel/internal/config"
 	"lanewheel/internal/drill"
 	"lanewheel/internal/fleet/desk"
 	"lanewheel/internal/fleet/gossip"
@@ -26,7 +27,6 @@
 	"lanewheel/internal/lifecycle/proxies"
 	"lanewheel/internal/loop"
 	"lanewheel/internal/members"
-	"lanewheel/internal/operator"
 	"lanewheel/internal/pass"
 	"lanewheel/internal/relay"
 	"lanewheel/internal/server"
@@ -40,7 +40,7 @@
 }
 
 // GossipConfig puts together what the part goes by.
-func GossipConfig(fleet *operator.Fleet, name, address string, keys []members.Key) gossip.Config {
+func GossipConfig(fleet *config.Fleet, name, address string, keys []members.Key) gossip.Config {
 	if fleet.Name != "" {
 		name = fleet.Name
 	}
@@ -211,7 +211,7 @@
 func (p *proxyProcess) Drain(uint64) { p.proxy.Post(p.proxy.Drain) }
 
 // showMembers prints how a process sees its fleet, and how far others' views are from its.
-func showMembers(fleet operator.Fleet, sockets []string, asJSON bool, out io.Writer) error {
+func showMembers(fleet config.Fleet, sockets []string, asJSON bool, out io.Writer) error {
 	snapshot, err := gossip.ReadSnapshot(fleet.StatusSocket, gossip.SnapshotFull)
 	if err != nil {
 		return fmt.Errorf("nobody answers at %s: %w", fleet.StatusSocket, err)
@@ -276,7 +276,7 @@
 }
 
 // runDrill carries a script out; with "check" in place of a record it only says what it would do.
-func runDrill(script *operator.Drill, record, picture string, out io.Writer) (violations int, err error) {
+func runDrill(script *config.Drill, record, picture string, out io.Writer) (violations int, err error) {
 	if record == "check" {
 		for _, event := range drill.Timeline(script) {
 			fmt.Fprintln(out, event)
--- a/internal/command/further/golden_test.go
+++ b/internal/command/further/golden_test.go
@@ -20,10 +20,10 @@
 	"lanewheel/admission"
 	"lanewheel/internal/accord"
 	"lanewheel/internal/command"
+	"lanewheel/internal/config"
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/fleet/steward/ask"
 	"lanewheel/internal/members"
-	"lanewheel/internal/operator"
 	"lanewheel/internal/relay"
 	"lanewheel/internal/server"
 	"lanewheel/internal/spread"
@@ -251,12 +251,12 @@
 		t.Fatalf("asked %q", line)
 	}
 	var out bytes.Buffer
-	if err := showMembers(operator.Fleet{StatusSocket: socket}, nil, true, &out); err != nil {
+	if err := showMembers(config.Fleet{StatusSocket: socket}, nil, true, &out); err != nil {
 		t.Fatal(err)
 	}
 	golden(t, "members-printed.json", out.Bytes())
 	out.Reset()
-	if err := showMembers(operator.Fleet{StatusSocket: socket}, []string{socket}, false, &out); err != nil {
+	if err := showMembers(config.Fleet{StatusSocket: socket}, []string{socket}, false, &out); err != nil {
 		t.Fatal(err)
 	}
 	golden(t, "members-printed.txt", out.Bytes())
--- a/internal/command/queue.go
+++ b/internal/command/queue.go
@@ -16,8 +16,8 @@
 	client "github.com/rabbitmq/amqp091-go"
 
 	"lanewheel/internal/amqp"
+	"lanewheel/internal/config"
 	"lanewheel/internal/lifecycle"
-	"lanewheel/internal/operator"
 )
 
 // queueCommand looks at the queues that an operator's file tells of, and sends to them.
@@ -28,19 +28,19 @@
 }
 
 // told reads the operator's file with all that it names for queues.
-func loadQueues(path string) (operator.AMQP, error) {
+func loadQueues(path string) (config.AMQP, error) {
 	operatorConfig, err := lifecycle.LoadOperatorConfig(path)
 	if err != nil {
-		return operator.AMQP{}, err
+		return config.AMQP{}, err
 	}
 	if !operatorConfig.File.AMQP.Enabled {
-		return operator.AMQP{}, fmt.Errorf("%s has no section amqp", path)
+		return config.AMQP{}, fmt.Errorf("%s has no section amqp", path)
 	}
 	return operatorConfig.File.AMQP, nil
 }
 
 // dialBroker connects to a broker as an instance would.
-func dialBroker(queues *operator.AMQP, address string) (*client.Connection, error) {
+func dialBroker(queues *config.AMQP, address string) (*client.Connection, error) {
 	uri, err := client.ParseURI(address)
 	if err != nil {
 		return nil, err
--- a/internal/operator/ini.go
+++ b/internal/config/ini.go
@@ -1,6 +1,6 @@
-// Package operator reads the operator's file, an INI that says what an instance does beyond what the platform tells it.
+// Package config reads the operator's file, an INI that says what an instance does beyond what the platform tells it.
 // Every value is checked, with its file, line and name; a name or section that is not known is wrong, not passed over.
-package operator
+package config
 
 import (
 	"fmt"
--- a/internal/operator/relay.go
+++ b/internal/config/relay.go
@@ -1,4 +1,4 @@
-package operator
+package config
 
 import (
 	"net"
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -11,12 +11,12 @@
 	"sync"
 	"time"
 
-	"lanewheel/internal/operator"
+	"lanewheel/internal/config"
 )
 
 // Run carries a script out with processes of the program at binary, prints how it goes, and gives the record. An error is what
 // kept it from being carried out; whatever did not hold is in the record.
-func Run(script *operator.Drill, binary string, out io.Writer) (Record, error) {
+func Run(script *config.Drill, binary string, out io.Writer) (Record, error) {
 	if err := checkMemory(script, out); err != nil {
 		return nil, err
 	}
@@ -153,12 +153,12 @@
 
 // pollInterval is how often views are compared: what is told in seconds is told to a quarter of one, or, with hundreds of processes
 // that each have to answer, to some more.
-func pollInterval(script *operator.Drill) time.Duration {
+func pollInterval(script *config.Drill) time.Duration {
 	return max(250*time.Millisecond, time.Duration(script.Instances)*3*time.Millisecond)
 }
 
 // skipCheck tells whether an event is not to be judged now: it was, its time to settle is not over, or it is not the fault's last.
-func (e *Event) skipCheck(now time.Duration, script *operator.Drill) bool {
+func (e *Event) skipCheck(now time.Duration, script *config.Drill) bool {
 	return e.checked || now < e.At+script.SettleTimeout || e.Fault.Duration > 0 && !e.Undo
 }
 
@@ -227,7 +227,7 @@
 }
 
 // checkMemory says what a rehearsal takes and whether the machine has it.
-func checkMemory(script *operator.Drill, out io.Writer) error {
+func checkMemory(script *config.Drill, out io.Writer) error {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
 		return err
--- a/internal/drill/drill_test.go
+++ b/internal/drill/drill_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
+	"lanewheel/internal/config"
 	"lanewheel/internal/fault"
-	"lanewheel/internal/operator"
 )
 
 const script = `[drill]
@@ -35,7 +35,7 @@
 `
 
 func timeline(text string, seed uint64) (lines string) {
-	d, err := operator.ParseDrill("x.ini", []byte(text))
+	d, err := config.ParseDrill("x.ini", []byte(text))
 	if err != nil {
 		panic(err)
 	}
@@ -62,7 +62,7 @@
 
 // What is wrong with a script is said whole, with its lines.
 func Example_wrong() {
-	_, err := operator.ParseDrill("x.ini", []byte("[drill]\nprocesses = 1\nspeed = 3\n[fault a]\ndo = explode\nat = 3s..1s\n[fault b]\ndo = lose\non = zone q\n"))
+	_, err := config.ParseDrill("x.ini", []byte("[drill]\nprocesses = 1\nspeed = 3\n[fault a]\ndo = explode\nat = 3s..1s\n[fault b]\ndo = lose\non = zone q\n"))
 	for _, f := range err.(fault.List) {
 		fmt.Println(f)
 	}
@@ -81,7 +81,7 @@
 func TestFourRules(t *testing.T) {
 	began := time.Now()
 	at := func(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
-	d := operator.Drill{Instances: 2}
+	d := config.Drill{Instances: 2}
 	w := &cluster{script: &d, processes: []*process{{name: "p0"}, {name: "p1", drains: [][2]time.Time{{at(9000), at(10500)}}}, {name: "p2", outages: [][2]time.Time{{at(0), at(5000)}}}}}
 	good := []*issuedRequest{
 		{id: "1", class: "view", sentAt: at(0), answeredAt: at(10), outcome: "acked", responses: 1, executions: []execution{{0, at(5)}}},
--- a/internal/drill/even.go
+++ b/internal/drill/even.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"lanewheel/internal/operator"
+	"lanewheel/internal/config"
 )
 
 // checkBalance measures how load was spread over the instances in the seconds in which nothing was done, and judges it where the script says so.
@@ -150,7 +150,7 @@
 	calls       int
 }
 
-func newFakeService(name string, script *operator.Drill) *fakeService {
+func newFakeService(name string, script *config.Drill) *fakeService {
 	service := &fakeService{name: name, workTime: script.UpstreamCallDuration}
 	for _, setting := range script.AllocatorSettings {
 		if setting[0] == "cap" {
--- a/internal/drill/golden_test.go
+++ b/internal/drill/golden_test.go
@@ -17,8 +17,8 @@
 
 	"github.com/parquet-go/parquet-go"
 
+	"lanewheel/internal/config"
 	"lanewheel/internal/members"
-	"lanewheel/internal/operator"
 )
 
 var update = flag.Bool("update", false, "write the golden files of testdata anew")
@@ -56,8 +56,8 @@
 		{id: "0000000000000004", class: "view", sentAt: at(400), answeredAt: at(450), outcome: "broken"},
 		{id: "0000000000000005", class: "view", sentAt: at(500), answeredAt: at(500)},
 	}}
-	halves := &operator.DrillFault{Name: "halves", Action: "swallow", Command: "halt"}
-	agree := &operator.DrillFault{Name: "stop", Action: "agree", Command: "halt"}
+	halves := &config.DrillFault{Name: "halves", Action: "swallow", Command: "halt"}
+	agree := &config.DrillFault{Name: "stop", Action: "agree", Command: "halt"}
 	events := []Event{{At: 1500 * time.Millisecond, Fault: halves, From: []int{0}, To: []int{1}}, {At: 2 * time.Second, Fault: agree, Targets: []int{}},
 		{At: 3500 * time.Millisecond, Fault: halves, Undo: true, From: []int{0}, To: []int{1}}}
 	l := newNetwork(1)
@@ -158,7 +158,7 @@
 			c.Close()
 		}
 	}()
-	d := &operator.Drill{Instances: 2, LoadDuration: 20 * time.Second, SpilloverEnabled: true, Balance: operator.DrillBalance{Enabled: true, MaxImbalance: 0.01, MaxIdleGaps: 0.01, RecoveryTime: time.Second},
+	d := &config.Drill{Instances: 2, LoadDuration: 20 * time.Second, SpilloverEnabled: true, Balance: config.DrillBalance{Enabled: true, MaxImbalance: 0.01, MaxIdleGaps: 0.01, RecoveryTime: time.Second},
 		FinalRelease: "2", LimitedRelease: "3", MaxLimitedFraction: 0.1, Releases: []string{"1"}, Zones: []string{"a"}}
 	p := &process{name: "p000", dir: folder, cmd: &exec.Cmd{}, release: "1"}
 	w := &cluster{script: d, processes: []*process{p, {name: "p001", index: 1, release: "2"}}, print: func(string) {}}
@@ -179,7 +179,7 @@
 	for _, f := range r.metrics {
 		figures = append(figures, metric{f.Name, 0}) // measured by the clock
 	}
-	halves := &operator.DrillFault{Name: "halves", Action: "kill", Duration: 2 * time.Second, ForbidEviction: true}
+	halves := &config.DrillFault{Name: "halves", Action: "kill", Duration: 2 * time.Second, ForbidEviction: true}
 	events := []Event{{At: 9 * time.Second, Fault: halves, Targets: []int{0}}, {At: 11 * time.Second, Fault: halves, Undo: true, Targets: []int{0}}}
 	v.beforeEvent(&events[0], 9*time.Second)
 	v.poll(10 * time.Second)
@@ -213,7 +213,7 @@
 
 // The lines by which a coordinator's hook has a member started.
 func TestGoldenHook(t *testing.T) {
-	w := &cluster{dir: t.TempDir(), script: &operator.Drill{}}
+	w := &cluster{dir: t.TempDir(), script: &config.Drill{}}
 	if err := w.listenForHooks(); err != nil {
 		t.Fatal(err)
 	}
@@ -247,7 +247,7 @@
 }
 
 // parsed writes out all of a script that is not zero, by the names of its keys.
-func parsed(d *operator.Drill) string {
+func parsed(d *config.Drill) string {
 	var b strings.Builder
 	put := func(section string, values ...any) {
 		fmt.Fprintf(&b, "[%s]", section)
@@ -270,7 +270,7 @@
 	put("even", "given", d.Balance.Enabled, "most", d.Balance.MaxImbalance, "idle", d.Balance.MaxIdleGaps, "back", d.Balance.RecoveryTime)
 	put("bad-release", "release", d.BadRelease.Release, "slow", d.BadRelease.RunTimeFactor, "fails", d.BadRelease.FailRuns, "crashes-after", d.BadRelease.CrashAfter, "never-up", d.BadRelease.NeverReady)
 	put("agreed", "ends-on", d.FinalRelease, "ever-on", d.LimitedRelease, "ever-on-most", d.MaxLimitedFraction)
-	group := func(g operator.DrillSelector) string {
+	group := func(g config.DrillSelector) string {
 		return fmt.Sprintf("{%s %s %d %g}", g.Kind, g.Name, g.Count, g.Fraction)
 	}
 	for _, f := range d.Faults {
@@ -289,7 +289,7 @@
 	}
 	var text bytes.Buffer
 	for _, path := range append(paths, "testdata/everything.ini") {
-		d, err := operator.LoadDrill(path)
+		d, err := config.LoadDrill(path)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/drill/links.go
+++ b/internal/drill/links.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"lanewheel/internal/operator"
+	"lanewheel/internal/config"
 )
 
 // network stands between the processes. Each process is reached at a front address, where we listen; whoever sends there does so
@@ -18,7 +18,7 @@
 	mu            sync.Mutex
 	processByHost map[string]int // process by the host it sends from
 	fronts        []*processFront
-	faults        map[[2]int][]*operator.DrillFault
+	faults        map[[2]int][]*config.DrillFault
 	counters      map[[2]int]*linkCounters
 	random        *rand.Rand
 	ports         []int // the gossip's first; where streams are taken
@@ -42,7 +42,7 @@
 }
 
 func newNetwork(seed uint64, ports ...int) *network {
-	return &network{processByHost: map[string]int{}, faults: map[[2]int][]*operator.DrillFault{}, counters: map[[2]int]*linkCounters{}, ports: ports,
+	return &network{processByHost: map[string]int{}, faults: map[[2]int][]*config.DrillFault{}, counters: map[[2]int]*linkCounters{}, ports: ports,
 		random: rand.New(rand.NewPCG(seed, 99)), streams: map[net.Conn][2]int{}}
 }
 
@@ -76,7 +76,7 @@
 }
 
 // lookup gives what holds from one process to another now, and the link's counts. A host that is no process's is -1: a stranger.
-func (l *network) lookup(host string, target int) (from int, counters *linkCounters, faults []*operator.DrillFault, senderFront *processFront) {
+func (l *network) lookup(host string, target int) (from int, counters *linkCounters, faults []*config.DrillFault, senderFront *processFront) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	from, known := l.processByHost[host]
@@ -105,7 +105,7 @@
 		if !event.Undo {
 			l.faults[link] = append(l.faults[link], event.Fault)
 		} else {
-			var remaining []*operator.DrillFault
+			var remaining []*config.DrillFault
 			for _, fault := range l.faults[link] {
 				if fault != event.Fault {
 					remaining = append(remaining, fault)
@@ -210,7 +210,7 @@
 	}
 }
 
-func hasFault(faults []*operator.DrillFault, kinds ...string) bool {
+func hasFault(faults []*config.DrillFault, kinds ...string) bool {
 	for _, fault := range faults {
 		for _, kind := range kinds {
 			if fault.Action == kind {
--- a/internal/drill/links_test.go
+++ b/internal/drill/links_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"lanewheel/internal/operator"
+	"lanewheel/internal/config"
 	"lanewheel/internal/standin"
 )
 
@@ -82,8 +82,8 @@
 	}
 }
 
-func (p *pair) put(do string, share float64, undo bool) *operator.DrillFault {
-	f := &operator.DrillFault{Action: do, Fraction: share, BytesPerSecond: 1000, Delay: 30 * time.Millisecond}
+func (p *pair) put(do string, share float64, undo bool) *config.DrillFault {
+	f := &config.DrillFault{Action: do, Fraction: share, BytesPerSecond: 1000, Delay: 30 * time.Millisecond}
 	p.l.apply(Event{Fault: f, From: []int{0}, To: []int{1}})
 	return f
 }
@@ -139,7 +139,7 @@
 		n, _ := io.ReadFull(c, b)
 		return string(b[:n])
 	}
-	over := func(f *operator.DrillFault) { p.l.apply(Event{Fault: f, Undo: true, From: []int{0}, To: []int{1}}) }
+	over := func(f *config.DrillFault) { p.l.apply(Event{Fault: f, Undo: true, From: []int{0}, To: []int{1}}) }
 	c := standin.Must(p.dial(0))
 	if got := echo(c, "hello", time.Second); got != "hello" {
 		t.Fatal(got)
--- a/internal/drill/script.go
+++ b/internal/drill/script.go
@@ -10,13 +10,13 @@
 	"strings"
 	"time"
 
-	"lanewheel/internal/operator"
+	"lanewheel/internal/config"
 )
 
 // Event is one moment of the timeline: something is done, or undone.
 type Event struct {
 	At       time.Duration
-	Fault    *operator.DrillFault
+	Fault    *config.DrillFault
 	Undo     bool
 	Targets  []int // processes, by number
 	From, To []int
@@ -47,7 +47,7 @@
 }
 
 // Timeline draws what is done when and to whom: the same seed draws the same.
-func Timeline(script *operator.Drill) []Event {
+func Timeline(script *config.Drill) []Event {
 	var events []Event
 	for i := range script.Faults {
 		fault := &script.Faults[i]
@@ -73,7 +73,7 @@
 	return events
 }
 
-func selectProcesses(group operator.DrillSelector, script *operator.Drill, except []int, random *rand.Rand) (selected []int) {
+func selectProcesses(group config.DrillSelector, script *config.Drill, except []int, random *rand.Rand) (selected []int) {
 	everybody := make([]int, script.Instances+script.Proxies+script.Allocators+script.Coordinators)
 	for i := range everybody {
 		everybody[i] = i
@@ -112,7 +112,7 @@
 	return selected
 }
 
-func zoneOf(script *operator.Drill, index int) string { return script.Zones[index%len(script.Zones)] }
-func releaseOf(script *operator.Drill, index int) string {
+func zoneOf(script *config.Drill, index int) string { return script.Zones[index%len(script.Zones)] }
+func releaseOf(script *config.Drill, index int) string {
 	return script.Releases[index/len(script.Zones)%len(script.Releases)]
 }
--- a/internal/drill/stewards.go
+++ b/internal/drill/stewards.go
@@ -12,9 +12,9 @@
 	"time"
 
 	"lanewheel/internal/accord"
+	"lanewheel/internal/config"
 	"lanewheel/internal/fleet/steward/ask"
 	"lanewheel/internal/members"
-	"lanewheel/internal/operator"
 	"lanewheel/internal/standin"
 )
 
@@ -189,7 +189,7 @@
 		}
 	}
 	for _, key := range w.keys[:1] {
-		parsed, _ := operator.ParseClusterKeys("keys", []byte(key))
+		parsed, _ := config.ParseClusterKeys("keys", []byte(key))
 		coordinators.Keys = append(coordinators.Keys, parsed...)
 	}
 	return coordinators
@@ -208,7 +208,7 @@
 			return "", err
 		}
 		command.Kind = accord.KindSetBudgets
-		if command.Budgets, err = operator.ParseBudgets(argument, text); err != nil {
+		if command.Budgets, err = config.ParseBudgets(argument, text); err != nil {
 			return "", err
 		}
 		w.disruptions.setLimits(command.Budgets)
@@ -217,7 +217,7 @@
 		if err != nil {
 			return "", err
 		}
-		plan, err := operator.ParseRollout(argument, text)
+		plan, err := config.ParseRollout(argument, text)
 		if err != nil {
 			return "", err
 		}
--- a/internal/drill/world.go
+++ b/internal/drill/world.go
@@ -17,9 +17,9 @@
 	"syscall"
 	"time"
 
+	"lanewheel/internal/config"
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/members"
-	"lanewheel/internal/operator"
 	"lanewheel/internal/standin"
 )
 
@@ -53,7 +53,7 @@
 
 // cluster is all that runs.
 type cluster struct {
-	script    *operator.Drill
+	script    *config.Drill
 	binary    string
 	dir       string
 	links     *network
@@ -79,7 +79,7 @@
 	coordinatorPort = 7960
 )
 
-func newCluster(script *operator.Drill, binary, dir string) (*cluster, error) {
+func newCluster(script *config.Drill, binary, dir string) (*cluster, error) {
 	w := &cluster{script: script, binary: binary, dir: dir, links: newNetwork(script.RandomSeed, streamPorts(script)...), database: standin.NewDatabase(), registry: standin.NewRegistry(), starts: make(chan func())}
 	w.database.AutoReply()
 	w.loadFactor.Store(math.Float64bits(1))
@@ -114,7 +114,7 @@
 }
 
 // streamPorts are where streams are taken between processes.
-func streamPorts(script *operator.Drill) []int {
+func streamPorts(script *config.Drill) []int {
 	if script.Coordinators > 0 {
 		return []int{gossipPort, clientPort, coordinatorPort}
 	}
@@ -509,7 +509,7 @@
 }
 
 // floodGossip is a stranger without the key: what it sends is noise, too large, and a fleet's of another key, by datagram and stream.
-func (w *cluster) floodGossip(p *process, fault *operator.DrillFault) {
+func (w *cluster) floodGossip(p *process, fault *config.DrillFault) {
 	addr := net.JoinHostPort(p.frontHost, strconv.Itoa(gossipPort))
 	connection, err := net.Dial("udp", addr)
 	if err != nil {
--- a/internal/lifecycle/allocators/desks.go
+++ b/internal/lifecycle/allocators/desks.go
@@ -6,10 +6,10 @@
 	"runtime"
 	"time"
 
+	"lanewheel/internal/config"
 	"lanewheel/internal/fleet/desk"
 	"lanewheel/internal/lifecycle"
 	"lanewheel/internal/lock"
-	"lanewheel/internal/operator"
 )
 
 // Attach brings a desk into its fleet and gives what takes an operator's file that was read anew.
@@ -20,7 +20,7 @@
 
 // Run starts the desk that the operator's file tells of, and grants until it is told to go.
 func Run(configPath, logFormat string, attach Attach) error {
-	signals, operatorConfig, err := lifecycle.StartStandalone(configPath, logFormat, "wants the sections [fleet] and [grants]", func(f *operator.Operator) bool { return f.Allocator.Enabled })
+	signals, operatorConfig, err := lifecycle.StartStandalone(configPath, logFormat, "wants the sections [fleet] and [grants]", func(f *config.Operator) bool { return f.Allocator.Enabled })
 	if err != nil {
 		return err
 	}
--- a/internal/lifecycle/beside.go
+++ b/internal/lifecycle/beside.go
@@ -6,9 +6,9 @@
 	"os/signal"
 	"syscall"
 
+	"lanewheel/internal/config"
 	"lanewheel/internal/fault"
 	"lanewheel/internal/logline"
-	"lanewheel/internal/operator"
 )
 
 // SignalChannels are what signals ask for. One of each that waits stands for all that come meanwhile.
@@ -26,7 +26,7 @@
 
 // StartStandalone begins the start of a process beside the instances: the log, the signals, and the operator's file, which has to have what on tells of. want names
 // that for whoever reads why it did not start.
-func StartStandalone(operatorPath, logFormat, want string, enabled func(*operator.Operator) bool) (signals SignalChannels, operatorConfig OperatorConfig, err error) {
+func StartStandalone(operatorPath, logFormat, want string, enabled func(*config.Operator) bool) (signals SignalChannels, operatorConfig OperatorConfig, err error) {
 	signals = notifySignals()
 	logline.Setup(os.Stderr, logFormat)
 	if operatorConfig, err = LoadOperatorConfig(operatorPath); err != nil {
--- a/internal/lifecycle/callers.go
+++ b/internal/lifecycle/callers.go
@@ -13,18 +13,18 @@
 	"time"
 
 	"lanewheel/internal/certs"
+	"lanewheel/internal/config"
 	"lanewheel/internal/fault"
 	"lanewheel/internal/identity"
 	"lanewheel/internal/keyring"
 	"lanewheel/internal/members"
-	"lanewheel/internal/operator"
 	"lanewheel/internal/tokens"
 	"lanewheel/internal/wire"
 )
 
 // OperatorConfig is an operator's file with all that it names, read and checked whole.
 type OperatorConfig struct {
-	File      operator.Operator
+	File      config.Operator
 	Authn     *identity.Config // nil: all may do everything
 	serverTLS *tls.Config      // nil: no listener with TLS
 
@@ -50,14 +50,14 @@
 func LoadOperatorConfig(path string) (operatorConfig OperatorConfig, err error) {
 	digest := fileDigest{sha256.New()}
 	if path == "" {
-		operatorConfig.File, err = operator.Load(path)
+		operatorConfig.File, err = config.Load(path)
 		return operatorConfig, err
 	}
 	text, err := digest.readFile(path)
 	if err != nil {
 		return operatorConfig, err
 	}
-	if operatorConfig.File, err = operator.Parse(path, text); err != nil {
+	if operatorConfig.File, err = config.Parse(path, text); err != nil {
 		return operatorConfig, err
 	}
 	file := &operatorConfig.File
@@ -89,7 +89,7 @@
 }
 
 // readTokens reads the keys and the list of what was taken back.
-func (s fileDigest) readTokens(t *operator.Tokens, authnConfig *identity.Config) error {
+func (s fileDigest) readTokens(t *config.Tokens, authnConfig *identity.Config) error {
 	files, err := keyring.ReadFolder(t.KeyDir)
 	if err != nil {
 		return err
@@ -118,7 +118,7 @@
 }
 
 // readServerTLS reads what the listener with TLS needs.
-func (s fileDigest) readServerTLS(t *operator.TLS, authnConfig *identity.Config) (*tls.Config, error) {
+func (s fileDigest) readServerTLS(t *config.TLS, authnConfig *identity.Config) (*tls.Config, error) {
 	cert, err := s.readFile(t.CertificateFile)
 	if err != nil {
 		return nil, err
--- a/internal/lifecycle/coordinators/stewards.go
+++ b/internal/lifecycle/coordinators/stewards.go
@@ -6,11 +6,11 @@
 	"runtime"
 	"time"
 
+	"lanewheel/internal/config"
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/fleet/steward"
 	"lanewheel/internal/lifecycle"
 	"lanewheel/internal/members"
-	"lanewheel/internal/operator"
 )
 
 // Attach makes the part of a steward that speaks to the fleet, and gives what takes an operator's file that was read anew.
@@ -21,7 +21,7 @@
 
 // Run starts the steward that the operator's file tells of.
 func Run(configPath, logFormat string, bootstrap, forceNewCluster bool, attach Attach) error {
-	signals, operatorConfig, err := lifecycle.StartStandalone(configPath, logFormat, "wants the sections [fleet] and [steward]", func(f *operator.Operator) bool { return f.Coordinator.Enabled })
+	signals, operatorConfig, err := lifecycle.StartStandalone(configPath, logFormat, "wants the sections [fleet] and [steward]", func(f *config.Operator) bool { return f.Coordinator.Enabled })
 	if err != nil {
 		return err
 	}
--- a/internal/lifecycle/fleet.go
+++ b/internal/lifecycle/fleet.go
@@ -4,7 +4,7 @@
 	"errors"
 	"fmt"
 
-	"lanewheel/internal/operator"
+	"lanewheel/internal/config"
 	"lanewheel/internal/server"
 )
 
@@ -24,11 +24,11 @@
 	if err != nil {
 		return err
 	}
-	operatorConfig.ClusterKeys, err = operator.ParseClusterKeys(path, text)
+	operatorConfig.ClusterKeys, err = config.ParseClusterKeys(path, text)
 	return err
 }
 
 // fixedFleetSettings is all of the section that holds from the start on, as text to compare.
-func fixedFleetSettings(f *operator.Fleet) string {
+func fixedFleetSettings(f *config.Fleet) string {
 	return fmt.Sprint(f.Enabled, f.Name, f.Cluster, f.ListenAddress, f.AdvertiseAddress, f.ServiceAddress, f.Roles, f.Zone, f.Release, f.Capacity, f.WarmUp, f.ProbeInterval, f.StatusSocket, f.DrainWhenFenced, f.RequirePermit)
 }
