--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -7,7 +7,7 @@
 	"os"
 
 	"lanewheel/internal/config"
-	"lanewheel/internal/fault"
+	"lanewheel/internal/diagnostic"
 	"lanewheel/internal/lifecycle"
 )
 
@@ -21,7 +21,7 @@
 	failed := false
 	for _, path := range c.Files {
 		err := c.checkFile(path)
-		var diagnostics fault.List
+		var diagnostics diagnostic.List
 		switch {
 		case err == nil:
 			fmt.Fprintf(o.out, "%s: good\n", path)
@@ -44,7 +44,7 @@
 func (c *checkCommand) checkFile(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return fault.List{{File: path, Want: "can't be read: " + err.Error()}}
+		return diagnostic.List{{File: path, Want: "can't be read: " + err.Error()}}
 	}
 	if bytes.HasPrefix(bytes.TrimSpace(text), []byte("{")) {
 		_, err = lifecycle.LoadConfig(path)
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -10,7 +10,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"lanewheel/internal/fault"
+	"lanewheel/internal/diagnostic"
 	"lanewheel/internal/lifecycle"
 	"lanewheel/internal/logline"
 )
@@ -117,7 +117,7 @@
 	if err == nil {
 		return nil
 	}
-	var diagnostics fault.List
+	var diagnostics diagnostic.List
 	if errors.As(err, &diagnostics) && len(diagnostics) > 1 {
 		slog.Error("cannot-start", "err", diagnostics[0], "more", len(diagnostics)-1)
 	} else {
--- a/internal/config/drill.go
+++ b/internal/config/drill.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"lanewheel/internal/fault"
+	"lanewheel/internal/diagnostic"
 )
 
 // Drill is a script for a rehearsal: so many processes, a load, and what is done to them.
@@ -98,7 +98,7 @@
 func LoadDrill(path string, overrides ...string) (Drill, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return Drill{}, fault.List{{File: path, Want: "can't be read: " + err.Error()}}
+		return Drill{}, diagnostic.List{{File: path, Want: "can't be read: " + err.Error()}}
 	}
 	return ParseDrill(path, text, overrides...)
 }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"lanewheel/internal/fault"
+	"lanewheel/internal/diagnostic"
 	"lanewheel/internal/members"
 )
 
@@ -123,7 +123,7 @@
 // ParseClusterKeys reads the text of a file of keys: one a line, 16, 24 or 32 bytes in base64, the one to write with first.
 func ParseClusterKeys(path string, text []byte) ([]members.Key, error) {
 	var keys []members.Key
-	var diagnostics fault.List
+	var diagnostics diagnostic.List
 	for i, line := range strings.Split(string(text), "\n") {
 		if line = strings.TrimSpace(line); line == "" || line[0] == '#' || line[0] == ';' {
 			continue
@@ -132,17 +132,17 @@
 		// never what stands there
 		switch n := len(key); {
 		case err != nil || n != 16 && n != 24 && n != 32:
-			diagnostics = append(diagnostics, fault.Diagnostic{File: path, Line: i + 1, Want: "wants 16, 24 or 32 bytes in base64"})
+			diagnostics = append(diagnostics, diagnostic.Diagnostic{File: path, Line: i + 1, Want: "wants 16, 24 or 32 bytes in base64"})
 		case slices.ContainsFunc(keys, func(x members.Key) bool { return string(x) == string(key) }):
-			diagnostics = append(diagnostics, fault.Diagnostic{File: path, Line: i + 1, Want: "stands there already"})
+			diagnostics = append(diagnostics, diagnostic.Diagnostic{File: path, Line: i + 1, Want: "stands there already"})
 		default:
 			keys = append(keys, key)
 		}
 	}
 	const maxKeys = 8 // each message that is not ours is tried with all of them
 	if len(keys) == 0 && len(diagnostics) == 0 || len(keys) > maxKeys {
-		diagnostics = append(diagnostics, fault.Diagnostic{File: path, Want: "wants from 1 to 8 keys"})
+		diagnostics = append(diagnostics, diagnostic.Diagnostic{File: path, Want: "wants from 1 to 8 keys"})
 	}
-	slices.SortFunc(diagnostics, func(a, b fault.Diagnostic) int { return cmp.Compare(a.Line, b.Line) })
+	slices.SortFunc(diagnostics, func(a, b diagnostic.Diagnostic) int { return cmp.Compare(a.Line, b.Line) })
 	return keys, diagnostics.Err()
 }
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"os"
 
-	"lanewheel/internal/fault"
+	"lanewheel/internal/diagnostic"
 )
 
 // The shipped file says what holds without it, but for its examples, and can be read; what is wrong is said whole.
@@ -19,7 +19,7 @@
 	shipped.Fleet.Config.Seeds = nil
 	fmt.Println(fmt.Sprint(shipped.Fleet.Config) == fmt.Sprint(bare.Fleet.Config))
 	_, err = Parse("op.ini", []byte("[fleet]\nlisten = here:7946\nseeds = 10.0.0.1:7946, 10.0.0.2\nroles = instance, king\nzone = a b\nflaps = 2\nflaps-over = 2\ncut-off-at = 0.9\n"))
-	for _, f := range err.(fault.List) {
+	for _, f := range err.(diagnostic.List) {
 		fmt.Println(f)
 	}
 	_, err = ParseClusterKeys("keys", []byte("# two\nAAAAAAAAAAAAAAAAAAAAAA==\nAAAAAAAAAAAAAAAAAAAAAA==\nsecret\n"))
@@ -55,11 +55,11 @@
 	bare.Spillover.Config.LocalAddress = over.Spillover.Config.LocalAddress
 	fmt.Println(err, fmt.Sprint(shipped.Upstream) == fmt.Sprint(bare.Upstream), shipped.Allocator == bare.Allocator, over.Spillover == bare.Spillover)
 	_, err = Parse("x", []byte("[below]\ncalls = some\n[grants]\ncap = 5\nalone = 1\n[handover]\nshare = 2\n"))
-	for _, f := range err.(fault.List) {
+	for _, f := range err.(diagnostic.List) {
 		fmt.Println(f)
 	}
 	_, err = Parse("x", []byte("[grants]\nholds = 1ms\n"+fleet))
-	for _, f := range err.(fault.List) {
+	for _, f := range err.(diagnostic.List) {
 		fmt.Println(f)
 	}
 	// Output:
@@ -85,7 +85,7 @@
 	shipped.Coordinator.Config.RestartCommand, shipped.Coordinator.Config.Coordinators = "", bare.Coordinator.Config.Coordinators
 	fmt.Println(err, fmt.Sprint(shipped.Coordinator) == fmt.Sprint(bare.Coordinator))
 	_, err = Parse("x", []byte("[steward]\nlisten = here\nbeat = 1ms\n"))
-	for _, f := range err.(fault.List) {
+	for _, f := range err.(diagnostic.List) {
 		fmt.Println(f)
 	}
 	for _, name := range []string{"budgets.ini", "budgets-100.ini"} {
@@ -99,11 +99,11 @@
 		fmt.Println(p.Name, p.TargetRelease, p.Waves, p.Pause, p.AnalysisRequired, err)
 	}
 	_, err = ParseBudgets("b", []byte("[budget x]\nmost = 1\nshare = 0.5\n[budget y]\n[other]\n"))
-	for _, f := range err.(fault.List) {
+	for _, f := range err.(diagnostic.List) {
 		fmt.Println(f)
 	}
 	_, err = ParseRollout("p", []byte("[release]\nto = 2\nwaves = 1, ten, 120%\n"))
-	for _, f := range err.(fault.List) {
+	for _, f := range err.(diagnostic.List) {
 		fmt.Println(f)
 	}
 	// Output:
@@ -135,7 +135,7 @@
 	bare, _ := Parse("x", []byte("[relay]\n[fleet]\nlisten = 127.0.0.1:7947\nkeys = k\n"))
 	fmt.Println(err, shipped.Proxy == bare.Proxy)
 	_, err = Parse("x", []byte("[relay]\nway = best\nasks = many\n"))
-	for _, f := range err.(fault.List) {
+	for _, f := range err.(diagnostic.List) {
 		fmt.Println(f)
 	}
 	// Output:
--- a/internal/config/ini.go
+++ b/internal/config/ini.go
@@ -12,7 +12,7 @@
 
 	"gopkg.in/ini.v1"
 
-	"lanewheel/internal/fault"
+	"lanewheel/internal/diagnostic"
 )
 
 // reader reads the sections of one file and gathers what is wrong with them.
@@ -21,7 +21,7 @@
 	ini           *ini.File
 	lines         map[string]int // by section, or section and name with a dot between
 	knownSections map[string]bool
-	diagnostics   fault.List
+	diagnostics   diagnostic.List
 }
 
 // maxFileBytes is how many bytes an operator's file may have: some thousands of callers, and far from what hurts.
@@ -49,7 +49,7 @@
 			key = section + "." + strings.TrimSpace(name)
 		}
 		if firstLine, duplicate := r.lines[key]; duplicate {
-			r.diagnostics = append(r.diagnostics, fault.Diagnostic{File: file, Line: i + 1, Name: key,
+			r.diagnostics = append(r.diagnostics, diagnostic.Diagnostic{File: file, Line: i + 1, Name: key,
 				Want: fmt.Sprintf("stands in line %d already", firstLine)})
 			continue
 		}
@@ -79,7 +79,7 @@
 	if line == 0 {
 		line = r.lines[section]
 	}
-	r.diagnostics = append(r.diagnostics, fault.Diagnostic{File: r.file, Line: line, Name: strings.TrimPrefix(key, "."),
+	r.diagnostics = append(r.diagnostics, diagnostic.Diagnostic{File: r.file, Line: line, Name: strings.TrimPrefix(key, "."),
 		Value: value, Want: want})
 }
 
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"lanewheel/admission"
-	"lanewheel/internal/fault"
+	"lanewheel/internal/diagnostic"
 	"lanewheel/internal/rights"
 	"lanewheel/internal/tokens"
 )
@@ -78,7 +78,7 @@
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return Operator{}, fault.List{{File: path, Want: "can't be read: " + err.Error()}}
+		return Operator{}, diagnostic.List{{File: path, Want: "can't be read: " + err.Error()}}
 	}
 	return Parse(path, text)
 }
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"lanewheel/internal/fault"
+	"lanewheel/internal/diagnostic"
 	"lanewheel/internal/scenes"
 )
 
@@ -52,7 +52,7 @@
 		{"authorities = ca.pem", "revoked = list.pem"}, {"issuer = us", "issuer = us\nissuer = them"}, {"audience = rota", "audience = %(keys)s"},
 		{"[callers]", "stray = 1\n[callers]"}, {"[role crew]", "[role]\n[role crew]"}} {
 		_, err := Parse("op.ini", []byte(strings.Replace(validFile, change[0], change[1], 1)))
-		all, _ := err.(fault.List)
+		all, _ := err.(diagnostic.List)
 		for _, f := range all {
 			fmt.Println(f)
 		}
--- a/internal/fault/fault.go
+++ b/internal/diagnostic/fault.go
@@ -1,5 +1,5 @@
-// Package fault is what is wrong with a file that a person wrote: the place, what stands there and what is wanted.
-package fault
+// Package diagnostic is what is wrong with a file that a person wrote: the place, what stands there and what is wanted.
+package diagnostic
 
 import (
 	"bytes"
--- a/internal/fault/fault_test.go
+++ b/internal/diagnostic/fault_test.go
@@ -1,4 +1,4 @@
-package fault
+package diagnostic
 
 import (
 	"fmt"
--- a/internal/drill/drill_test.go
+++ b/internal/drill/drill_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"lanewheel/internal/config"
-	"lanewheel/internal/fault"
+	"lanewheel/internal/diagnostic"
 )
 
 const script = `[drill]
@@ -63,7 +63,7 @@
 // What is wrong with a script is said whole, with its lines.
 func Example_wrong() {
 	_, err := config.ParseDrill("x.ini", []byte("[drill]\nprocesses = 1\nspeed = 3\n[fault a]\ndo = explode\nat = 3s..1s\n[fault b]\ndo = lose\non = zone q\n"))
-	for _, f := range err.(fault.List) {
+	for _, f := range err.(diagnostic.List) {
 		fmt.Println(f)
 	}
 	// Output:
--- a/internal/keyring/folder.go
+++ b/internal/keyring/folder.go
@@ -18,7 +18,7 @@
 
 	"github.com/go-jose/go-jose/v4"
 
-	"lanewheel/internal/fault"
+	"lanewheel/internal/diagnostic"
 )
 
 // ReadFolder reads all files of a folder that end in .json, names with a dot in front left out: what is still being written
@@ -26,7 +26,7 @@
 func ReadFolder(path string) (map[string][]byte, error) {
 	entries, err := os.ReadDir(path)
 	if err != nil {
-		return nil, fault.List{{File: path, Want: "can't be read: " + err.Error()}}
+		return nil, diagnostic.List{{File: path, Want: "can't be read: " + err.Error()}}
 	}
 	files := map[string][]byte{}
 	for _, entry := range entries {
@@ -35,14 +35,14 @@
 		}
 		name := filepath.Join(path, entry.Name())
 		if len(files) >= maxFiles {
-			return nil, fault.List{{File: path, Want: fmt.Sprintf("wants %d files or fewer", maxFiles)}}
+			return nil, diagnostic.List{{File: path, Want: fmt.Sprintf("wants %d files or fewer", maxFiles)}}
 		}
 		if info, err := entry.Info(); err == nil && info.Size() > maxFileBytes {
-			return nil, fault.List{{File: name, Want: fmt.Sprintf("wants %d bytes or fewer", maxFileBytes)}}
+			return nil, diagnostic.List{{File: name, Want: fmt.Sprintf("wants %d bytes or fewer", maxFileBytes)}}
 		}
 		text, err := os.ReadFile(name)
 		if err != nil {
-			return nil, fault.List{{File: name, Want: "can't be read: " + err.Error()}}
+			return nil, diagnostic.List{{File: name, Want: "can't be read: " + err.Error()}}
 		}
 		files[name] = text
 	}
--- a/internal/keyring/keyring.go
+++ b/internal/keyring/keyring.go
@@ -18,7 +18,7 @@
 
 	"github.com/go-jose/go-jose/v4"
 
-	"lanewheel/internal/fault"
+	"lanewheel/internal/diagnostic"
 	"lanewheel/internal/rights"
 )
 
@@ -101,7 +101,7 @@
 // ParseSet makes a set of files, by their names. All of them have to be right. The error is a fault.List.
 func ParseSet(files map[string][]byte) (*KeySet, error) {
 	set := &KeySet{keys: map[KeyID]*Key{}}
-	var diagnostics fault.List
+	var diagnostics diagnostic.List
 	digest := sha256.New()
 	for _, name := range slices.Sorted(maps.Keys(files)) {
 		text := files[name]
@@ -110,7 +110,7 @@
 		diagnostics = append(diagnostics, set.addFile(name, text)...)
 	}
 	if len(set.keys) > maxKeys {
-		diagnostics = append(diagnostics, fault.Diagnostic{File: "keys", Value: strconv.Itoa(len(set.keys)), Want: fmt.Sprintf("wants %d keys or fewer", maxKeys)})
+		diagnostics = append(diagnostics, diagnostic.Diagnostic{File: "keys", Value: strconv.Itoa(len(set.keys)), Want: fmt.Sprintf("wants %d keys or fewer", maxKeys)})
 	}
 	if err := diagnostics.Err(); err != nil {
 		return nil, err
@@ -120,10 +120,10 @@
 }
 
 // addFile takes the keys of one file in.
-func (s *KeySet) addFile(name string, text []byte) (diagnostics fault.List) {
-	lines, duplicates := fault.JSONLines(text)
+func (s *KeySet) addFile(name string, text []byte) (diagnostics diagnostic.List) {
+	lines, duplicates := diagnostic.JSONLines(text)
 	report := func(path, value, want string) {
-		diagnostics = append(diagnostics, fault.Diagnostic{File: name, Line: lines[path], Name: path, Value: value, Want: want})
+		diagnostics = append(diagnostics, diagnostic.Diagnostic{File: name, Line: lines[path], Name: path, Value: value, Want: want})
 	}
 	if len(text) > maxFileBytes {
 		report("", strconv.Itoa(len(text)), fmt.Sprintf("wants %d bytes or fewer", maxFileBytes))
--- a/internal/lifecycle/beside.go
+++ b/internal/lifecycle/beside.go
@@ -7,7 +7,7 @@
 	"syscall"
 
 	"lanewheel/internal/config"
-	"lanewheel/internal/fault"
+	"lanewheel/internal/diagnostic"
 	"lanewheel/internal/logline"
 )
 
@@ -33,7 +33,7 @@
 		return signals, operatorConfig, err
 	}
 	if !enabled(&operatorConfig.File) {
-		return signals, operatorConfig, fault.List{{File: operatorPath, Want: want}}
+		return signals, operatorConfig, diagnostic.List{{File: operatorPath, Want: want}}
 	}
 	if logFormat == "" {
 		logline.Setup(os.Stderr, operatorConfig.File.Log.Format)
--- a/internal/lifecycle/callers.go
+++ b/internal/lifecycle/callers.go
@@ -14,7 +14,7 @@
 
 	"lanewheel/internal/certs"
 	"lanewheel/internal/config"
-	"lanewheel/internal/fault"
+	"lanewheel/internal/diagnostic"
 	"lanewheel/internal/identity"
 	"lanewheel/internal/keyring"
 	"lanewheel/internal/members"
@@ -38,7 +38,7 @@
 func (s fileDigest) readFile(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fault.List{{File: path, Want: "can't be read: " + err.Error()}}
+		return nil, diagnostic.List{{File: path, Want: "can't be read: " + err.Error()}}
 	}
 	fmt.Fprintf(s, "%q%d:", path, len(text))
 	s.Write(text)
@@ -111,7 +111,7 @@
 	}
 	list, line := tokens.ParseRevocations(string(text))
 	if line > 0 {
-		return fault.List{{File: t.RevocationFile, Line: line, Want: `wants "jti ID" or "sub SUBJECT"`}}
+		return diagnostic.List{{File: t.RevocationFile, Line: line, Want: `wants "jti ID" or "sub SUBJECT"`}}
 	}
 	authnConfig.RevokedTokens = list
 	return nil
@@ -129,7 +129,7 @@
 	}
 	certificate, err := tls.X509KeyPair(cert, key)
 	if err != nil { // never what stands in the key's file
-		return nil, fault.List{{File: t.CertificateFile, Want: "can't be used with " + t.KeyFile + ": " + err.Error()}}
+		return nil, diagnostic.List{{File: t.CertificateFile, Want: "can't be used with " + t.KeyFile + ": " + err.Error()}}
 	}
 	serverConfig := &tls.Config{Certificates: []tls.Certificate{certificate}, MinVersion: tls.VersionTLS13}
 	if t.MinVersion == "1.2" {
@@ -150,7 +150,7 @@
 		}
 	}
 	if authnConfig.TrustStore, err = certs.NewTrustStore(authorities, lists, t.RevocationGrace, t.AllowStaleRevocations, time.Now()); err != nil {
-		return nil, fault.List{{File: t.AuthoritiesFile, Want: err.Error()}}
+		return nil, diagnostic.List{{File: t.AuthoritiesFile, Want: err.Error()}}
 	}
 	serverConfig.ClientCAs = authnConfig.TrustStore.Roots()
 	serverConfig.ClientAuth = tls.RequestClientCert // the chain is followed by certs, as it is again and again later
@@ -185,7 +185,7 @@
 	now, then := fixedSettings(o), fixedSettings(before)
 	for _, name := range slices.Sorted(maps.Keys(now)) {
 		if now[name] != then[name] {
-			return fault.List{{File: o.File.Path, Name: name, Value: now[name], Want: "was " + strconv.Quote(then[name]) + " at the start, and changes with the next one only"}}
+			return diagnostic.List{{File: o.File.Path, Name: name, Value: now[name], Want: "was " + strconv.Quote(then[name]) + " at the start, and changes with the next one only"}}
 		}
 	}
 	return nil
--- a/internal/lifecycle/fronts.go
+++ b/internal/lifecycle/fronts.go
@@ -7,7 +7,7 @@
 
 	"lanewheel/admission"
 	"lanewheel/internal/amqp"
-	"lanewheel/internal/fault"
+	"lanewheel/internal/diagnostic"
 	"lanewheel/internal/server"
 )
 
@@ -21,7 +21,7 @@
 		}
 		a.Config.Login = strings.TrimSpace(string(text))
 		if !strings.Contains(a.Config.Login, ":") {
-			return fault.List{{File: a.LoginFile, Want: "wants user:password"}} // never what stands in it
+			return diagnostic.List{{File: a.LoginFile, Want: "wants user:password"}} // never what stands in it
 		}
 	}
 	tlsConfig := &tls.Config{MinVersion: tls.VersionTLS12}
@@ -32,7 +32,7 @@
 		}
 		tlsConfig.RootCAs = x509.NewCertPool()
 		if !tlsConfig.RootCAs.AppendCertsFromPEM(text) {
-			return fault.List{{File: a.AuthoritiesFile, Want: "wants certificates in PEM"}}
+			return diagnostic.List{{File: a.AuthoritiesFile, Want: "wants certificates in PEM"}}
 		}
 	}
 	if a.CertificateFile != "" {
@@ -46,7 +46,7 @@
 		}
 		certificate, err := tls.X509KeyPair(cert, key)
 		if err != nil {
-			return fault.List{{File: a.CertificateFile, Want: "can't be used with " + a.KeyFile + ": " + err.Error()}}
+			return diagnostic.List{{File: a.CertificateFile, Want: "can't be used with " + a.KeyFile + ": " + err.Error()}}
 		}
 		tlsConfig.Certificates = []tls.Certificate{certificate}
 	}
--- a/internal/lifecycle/golden_test.go
+++ b/internal/lifecycle/golden_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"lanewheel/admission"
-	"lanewheel/internal/fault"
+	"lanewheel/internal/diagnostic"
 	"lanewheel/internal/server"
 )
 
@@ -95,7 +95,7 @@
 	if len(faults) != 1 || faults[0].Name != "settings.domain.cpus" || faults[0].Line != 6 {
 		t.Errorf("a wrong setting: %v, want settings.domain.cpus in line 6", faults)
 	}
-	var list fault.List
+	var list diagnostic.List
 	if _, err = LoadConfig(""); !errors.As(err, &list) || len(list) != 1 || list[0].File != "RELAY_CONFIG" {
 		t.Errorf("no path: %v, want RELAY_CONFIG", err)
 	}
--- a/internal/lifecycle/life.go
+++ b/internal/lifecycle/life.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"lanewheel/internal/fault"
+	"lanewheel/internal/diagnostic"
 	"lanewheel/internal/logline"
 	"lanewheel/internal/server"
 )
@@ -159,7 +159,7 @@
 	k.pause()
 	second, err := LoadOperatorConfig(k.operatorPath)
 	if result.err = err; err == nil && second.digest != result.operatorConfig.digest {
-		result.err = fault.List{{File: k.operatorPath, Want: "or a file it names, is being written"}}
+		result.err = diagnostic.List{{File: k.operatorPath, Want: "or a file it names, is being written"}}
 	}
 	return result
 }
--- a/internal/lifecycle/told.go
+++ b/internal/lifecycle/told.go
@@ -10,33 +10,33 @@
 
 	"github.com/valyala/fastjson"
 
+	"lanewheel/internal/diagnostic"
 	"lanewheel/internal/facts"
-	"lanewheel/internal/fault"
 	"lanewheel/internal/server"
 )
 
 // LoadConfig reads the platform's configuration. The error is a fault.List with all that is wrong.
 func LoadConfig(path string) (server.Config, error) {
 	if path == "" {
-		return server.Config{}, fault.List{{File: "RELAY_CONFIG", Want: "is not set; wants the path of a configuration"}}
+		return server.Config{}, diagnostic.List{{File: "RELAY_CONFIG", Want: "is not set; wants the path of a configuration"}}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return server.Config{}, fault.List{{File: path, Want: "can't be read: " + err.Error()}}
+		return server.Config{}, diagnostic.List{{File: path, Want: "can't be read: " + err.Error()}}
 	}
 	config, diagnostics := parseConfig(path, text)
 	return config, diagnostics.Err()
 }
 
-func parseConfig(path string, text []byte) (config server.Config, diagnostics fault.List) {
+func parseConfig(path string, text []byte) (config server.Config, diagnostics diagnostic.List) {
 	root, err := fastjson.ParseBytes(text)
 	if err != nil {
-		return config, fault.List{{File: path, Want: err.Error()}}
+		return config, diagnostic.List{{File: path, Want: err.Error()}}
 	}
 	var lines map[string]int // worked out once something is wrong
 	report := func(name, want string) {
 		if lines == nil {
-			lines, _ = fault.JSONLines(text)
+			lines, _ = diagnostic.JSONLines(text)
 		}
 		value := ""
 		if found := root.Get(strings.Split(name, ".")...); found != nil && found.Type() != fastjson.TypeObject {
@@ -47,7 +47,7 @@
 			ancestor = ancestor[:strings.LastIndexByte(ancestor, '.')]
 			line = lines[ancestor]
 		}
-		diagnostics = append(diagnostics, fault.Diagnostic{File: path, Line: line, Name: name, Value: value, Want: want})
+		diagnostics = append(diagnostics, diagnostic.Diagnostic{File: path, Line: line, Name: name, Value: value, Want: want})
 	}
 	for _, text := range []struct {
 		name string
