--- a/internal/lifecycle/told.go
+++ b/internal/lifecycle/told.go
@@ -11,8 +11,8 @@
 	"github.com/valyala/fastjson"
 
 	"lanewheel/internal/diagnostic"
-	"lanewheel/internal/facts"
 	"lanewheel/internal/server"
+	"lanewheel/internal/settings"
 )
 
 // LoadConfig reads the platform's configuration. The error is a fault.List with all that is wrong.
@@ -84,8 +84,8 @@
 		report("settings", "wants an object")
 		return config, diagnostics
 	}
-	var problems []facts.FieldError
-	if config.Settings, problems = facts.ParseAll(settingsObject); len(problems) > 0 {
+	var problems []settings.FieldError
+	if config.Settings, problems = settings.ParseAll(settingsObject); len(problems) > 0 {
 		for _, problem := range problems {
 			report("settings."+strings.Join(problem.Path, "."), problem.Want)
 		}
@@ -95,7 +95,7 @@
 	if upstream, _ := config.Settings["below"].(string); config.DatabaseAddr == "" && upstream != "" && upstream != "none" && len(diagnostics) == 0 {
 		report("db", fmt.Sprintf("wants text, as calls go to what settings.domain.below tells of (%s)", upstream))
 	}
-	config.GaugeNames = facts.GaugeNames(settingsObject)
+	config.GaugeNames = settings.GaugeNames(settingsObject)
 	config.ReportReadiness = settingsObject.GetBool("domain", "readiness")
 	return config, diagnostics
 }
--- a/internal/facts/facts.go
+++ b/internal/settings/facts.go
@@ -1,6 +1,6 @@
-// Package facts translates the settings that an instance is told at its start into the names of package
+// Package settings translates the settings that an instance is told at its start into the names of package
 // choice. The simulator's host and the real instance read them alike.
-package facts
+package settings
 
 import (
 	"fmt"
--- a/internal/facts/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -1,4 +1,4 @@
-package facts
+package settings
 
 import (
 	"os"
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -12,7 +12,7 @@
 	"github.com/valyala/fastjson"
 
 	"lanewheel/admission"
-	"lanewheel/internal/facts"
+	"lanewheel/internal/settings"
 )
 
 // Message is one message. It stays valid until its Reader parses the next.
@@ -179,7 +179,7 @@
 	if x < 0 {
 		f.fail(field, "a time of 0 or more")
 	}
-	return facts.SecondsToDuration(x)
+	return settings.SecondsToDuration(x)
 }
 
 var outcomes = map[int64]admission.Outcome{
@@ -227,7 +227,7 @@
 	if f.err != nil {
 		return 0, nil, f.err
 	}
-	parsed, err := facts.Parse(info)
+	parsed, err := settings.Parse(info)
 	if err != nil {
 		return 0, nil, fmt.Errorf("%s: boot-info: %w", l.Name, err)
 	}
@@ -245,10 +245,10 @@
 	request.Resource = f.optionalText("path-key")
 	request.Caller = admission.CallerID(f.integer("from"))
 	if until := f.optionalNumber("valid-until-s"); until > 0 {
-		request.HasDeadline, request.Deadline = true, facts.SecondsToDuration(until)
+		request.HasDeadline, request.Deadline = true, settings.SecondsToDuration(until)
 	}
 	if hint := f.optionalNumber("expected-s"); bits&hasHint != 0 && hint > 0 {
-		request.WorkHint = facts.SecondsToDuration(hint)
+		request.WorkHint = settings.SecondsToDuration(hint)
 	}
 	request.MemoryKB, request.QueueDelay = f.number("kb"), f.duration("lay-s")
 	request.Tenant = admission.TenantID(f.optionalText("billing"))
@@ -272,7 +272,7 @@
 			if err != nil {
 				f.fail("health-info."+string(key), "a number")
 			}
-			gauges[facts.GaugeName(string(key))] = x
+			gauges[settings.GaugeName(string(key))] = x
 		})
 	}
 	return token, gauges, f.err
