--- a/internal/amqp/part.go
+++ b/internal/amqp/part.go
@@ -11,7 +11,7 @@
 	"lanewheel/internal/front"
 	"lanewheel/internal/identity"
 	"lanewheel/internal/intake"
-	"lanewheel/internal/logline"
+	"lanewheel/internal/logging"
 	"lanewheel/internal/loop"
 	"lanewheel/internal/watch"
 )
@@ -52,7 +52,7 @@
 	draining      bool
 	drainDeadline time.Duration // when all has to be over
 	closed        chan struct{}
-	outcomeLog    logline.Sampler[string]
+	outcomeLog    logging.Sampler[string]
 	counters      map[string]uint64 // by outcome, and what else happens
 	pacedAcks     []func()          // acks that are paced
 	loggedAt      time.Duration
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -12,7 +12,7 @@
 
 	"lanewheel/internal/diagnostic"
 	"lanewheel/internal/lifecycle"
-	"lanewheel/internal/logline"
+	"lanewheel/internal/logging"
 )
 
 // commandLine is the whole command line.
@@ -45,7 +45,7 @@
 // Main carries a command line out and gives the exit code: 0 done, 1 failed or something is wrong, 2 a command line
 // that can't be read. With no arguments it serves; the platform starts it so, and the parser is not even built then.
 func Main(args []string, out, errs io.Writer) int {
-	defer logline.Flush()
+	defer logging.Flush()
 	if len(args) == 0 {
 		return serve("", "")
 	}
@@ -103,7 +103,7 @@
 func serve(operatorFile, logFormat string) int {
 	err := lifecycle.Run(os.Getenv("RELAY_CONFIG"), operatorFile, logFormat)
 	if errors.Is(err, lifecycle.ErrFleetNotLinked) {
-		logline.Flush()
+		logging.Flush()
 		err = execProgram(fleetProgram)
 	}
 	if logStartFailure(err) != nil {
--- a/internal/fleet/gossip/part.go
+++ b/internal/fleet/gossip/part.go
@@ -19,7 +19,7 @@
 	"golang.org/x/time/rate"
 
 	"lanewheel/internal/grants"
-	"lanewheel/internal/logline"
+	"lanewheel/internal/logging"
 	"lanewheel/internal/loop"
 	"lanewheel/internal/members"
 	"lanewheel/internal/watch"
@@ -101,7 +101,7 @@
 	fenced              bool
 	done                chan struct{}
 	subscribers         []func(*members.View)
-	logSampler          logline.Sampler[string]
+	logSampler          logging.Sampler[string]
 	transitions         map[string]uint64
 	localHealth         members.LocalHealth
 	start               time.Time
--- a/internal/fleet/gossip/transport.go
+++ b/internal/fleet/gossip/transport.go
@@ -13,7 +13,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"lanewheel/internal/logline"
+	"lanewheel/internal/logging"
 )
 
 // transport is the library's own, which dials from the address that it listens on, so that whoever stands between knows both ends,
@@ -108,7 +108,7 @@
 // libraryLog has the library's own log come as lines of ours, few a second of each kind: what a stranger sends must not fill it.
 type libraryLog struct {
 	mu      sync.Mutex
-	sampler logline.Sampler[string]
+	sampler logging.Sampler[string]
 	counts  map[string]uint64
 	// former hears the address of a member that called the life before ours. Set before the library writes.
 	onPredecessorCaller func(addr string)
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"lanewheel/internal/front"
-	"lanewheel/internal/logline"
+	"lanewheel/internal/logging"
 	"lanewheel/internal/loop"
 	"lanewheel/internal/members"
 	"lanewheel/internal/pass"
@@ -32,7 +32,7 @@
 	inFlight   map[*spilledRequest]bool
 	draining   bool
 	counts     map[string]uint64
-	logLimiter logline.Sampler[string]
+	logLimiter logging.Sampler[string]
 }
 
 // spilledRequest is one that is elsewhere.
--- a/internal/identity/door.go
+++ b/internal/identity/door.go
@@ -13,7 +13,7 @@
 	"lanewheel/admission"
 	"lanewheel/internal/certs"
 	"lanewheel/internal/keyring"
-	"lanewheel/internal/logline"
+	"lanewheel/internal/logging"
 	"lanewheel/internal/rights"
 	"lanewheel/internal/tokens"
 )
@@ -69,7 +69,7 @@
 	limiter     *rights.RateLimiter
 	verifier    *tokens.Verifier
 	checks      chan tokenCheck
-	denialLog   logline.Sampler[rights.Denial]
+	denialLog   logging.Sampler[rights.Denial]
 	denials     map[rights.Denial]uint64
 	admitted    uint64
 	deferred    uint64
--- a/internal/lifecycle/beside.go
+++ b/internal/lifecycle/beside.go
@@ -8,7 +8,7 @@
 
 	"lanewheel/internal/config"
 	"lanewheel/internal/diagnostic"
-	"lanewheel/internal/logline"
+	"lanewheel/internal/logging"
 )
 
 // SignalChannels are what signals ask for. One of each that waits stands for all that come meanwhile.
@@ -28,7 +28,7 @@
 // that for whoever reads why it did not start.
 func StartStandalone(operatorPath, logFormat, want string, enabled func(*config.Operator) bool) (signals SignalChannels, operatorConfig OperatorConfig, err error) {
 	signals = notifySignals()
-	logline.Setup(os.Stderr, logFormat)
+	logging.Setup(os.Stderr, logFormat)
 	if operatorConfig, err = LoadOperatorConfig(operatorPath); err != nil {
 		return signals, operatorConfig, err
 	}
@@ -36,7 +36,7 @@
 		return signals, operatorConfig, diagnostic.List{{File: operatorPath, Want: want}}
 	}
 	if logFormat == "" {
-		logline.Setup(os.Stderr, operatorConfig.File.Log.Format)
+		logging.Setup(os.Stderr, operatorConfig.File.Log.Format)
 	}
 	return signals, operatorConfig, nil
 }
--- a/internal/logline/behind.go
+++ b/internal/logging/behind.go
@@ -1,4 +1,4 @@
-package logline
+package logging
 
 import (
 	"fmt"
--- a/internal/logline/logline.go
+++ b/internal/logging/logline.go
@@ -1,6 +1,6 @@
-// Package logline sets up the program's one log, key=value or JSON lines on standard error, and bounds the lines that
+// Package logging sets up the program's one log, key=value or JSON lines on standard error, and bounds the lines that
 // could come by the hundred.
-package logline
+package logging
 
 import (
 	"io"
--- a/internal/wire/link.go
+++ b/internal/wire/link.go
@@ -19,7 +19,7 @@
 	nbiolog "github.com/lesismal/nbio/logging"
 	"golang.org/x/sys/unix"
 
-	"lanewheel/internal/logline"
+	"lanewheel/internal/logging"
 )
 
 // BufferSize is the one size of all buffers: the longest line of the runtime, a result of 4 KiB in base64
@@ -56,7 +56,7 @@
 	tlsListener   *tlsListener // nil: no listener with TLS
 	unflushed     []*Conn
 	dialQueues    map[string]chan func()     // those that wait, by party; the owner's
-	closeTally    logline.Sampler[closeKind] // connections that ended in this second
+	closeTally    logging.Sampler[closeKind] // connections that ended in this second
 	acceptedConns atomic.Int64               // connections that were accepted and are not closed
 	dialedConns   atomic.Int64               // those that stand or are being opened by us
 	unreadBytes   atomic.Int64               // bytes of all connections that their peers have not taken yet
