--- a/internal/amqp/amqp_test.go
+++ b/internal/amqp/amqp_test.go
@@ -20,10 +20,10 @@
 
 	"lanewheel/admission"
 	"lanewheel/internal/certs"
+	"lanewheel/internal/eventloop"
 	"lanewheel/internal/front"
 	"lanewheel/internal/identity"
 	"lanewheel/internal/intake"
-	"lanewheel/internal/loop"
 	"lanewheel/internal/standin"
 	"lanewheel/internal/standin/broker"
 )
@@ -37,7 +37,7 @@
 
 // fakeServer is a core that runs what it is handed, one run each, and counts.
 type fakeServer struct {
-	*loop.Loop
+	*eventloop.Loop
 	mu     sync.Mutex
 	runs   map[string]int // by body
 	load   front.Load
@@ -45,7 +45,7 @@
 }
 
 func newFakeServer() *fakeServer {
-	c := &fakeServer{Loop: loop.New(4096), runs: map[string]int{}, load: front.Load{Ready: true, Healthy: true, Cores: 4, FreeCapacity: 1000}}
+	c := &fakeServer{Loop: eventloop.New(4096), runs: map[string]int{}, load: front.Load{Ready: true, Healthy: true, Cores: 4, FreeCapacity: 1000}}
 	go c.Run(func() {})
 	return c
 }
--- a/internal/amqp/part.go
+++ b/internal/amqp/part.go
@@ -8,11 +8,11 @@
 	"time"
 
 	"lanewheel/admission"
+	"lanewheel/internal/eventloop"
 	"lanewheel/internal/front"
 	"lanewheel/internal/identity"
 	"lanewheel/internal/intake"
 	"lanewheel/internal/logging"
-	"lanewheel/internal/loop"
 	"lanewheel/internal/watch"
 )
 
@@ -34,7 +34,7 @@
 
 // Consumer is the front. All its tables belong to its own loop; the broker's client, which blocks, works beside it.
 type Consumer struct {
-	*loop.Loop
+	*eventloop.Loop
 	config        Config
 	server        front.Server
 	postToServer  func(...func()) // to the core's loop
@@ -69,7 +69,7 @@
 
 // New makes the front; it consumes once Start is called. hand gives calls to the core's loop.
 func New(config Config, server front.Server, postToServer func(...func()), seed uint64) *Consumer {
-	consumer := &Consumer{Loop: loop.New(1 << 16), config: config, server: server, postToServer: postToServer, random: rand.New(rand.NewPCG(seed, 1)),
+	consumer := &Consumer{Loop: eventloop.New(1 << 16), config: config, server: server, postToServer: postToServer, random: rand.New(rand.NewPCG(seed, 1)),
 		deduplicator: intake.NewDeduplicator(config.MaxRemembered, config.RememberedFor), retryBudget: intake.NewRetryBudget(config.RetryFraction),
 		queues: map[intake.QueueName]*Queue{}, credentials: map[intake.QueueName]*identity.Credential{},
 		inFlight: map[intake.MessageID]*pendingMessage{}, closed: make(chan struct{}), counters: map[string]uint64{}}
--- a/internal/below/below.go
+++ b/internal/below/below.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"lanewheel/admission"
+	"lanewheel/internal/eventloop"
 	"lanewheel/internal/grants"
-	"lanewheel/internal/loop"
 	"lanewheel/internal/members"
 	"lanewheel/internal/server"
 	"lanewheel/internal/spread"
@@ -29,7 +29,7 @@
 
 // Client is the services of one instance. It is a keep.Below.
 type Client struct {
-	loop         *loop.Loop
+	loop         *eventloop.Loop
 	config       Config
 	self         members.ID
 	requestLease RequestLease
@@ -56,7 +56,7 @@
 }
 
 // New makes the part of an instance that is known to the fleet as self.
-func New(eventLoop *loop.Loop, config Config, self members.ID, seed uint64, requestLease RequestLease) *Client {
+func New(eventLoop *eventloop.Loop, config Config, self members.ID, seed uint64, requestLease RequestLease) *Client {
 	client := &Client{loop: eventLoop, config: config, self: self, requestLease: requestLease, balancer: spread.New(config.Balancer), random: rand.New(rand.NewPCG(seed, 11)), services: map[spread.EndpointName]*endpoint{}, onAvailable: func() {}}
 	if len(config.Addresses) > 0 {
 		var candidates []spread.Endpoint
--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -18,6 +18,7 @@
 	"lanewheel/internal/command"
 	"lanewheel/internal/config"
 	"lanewheel/internal/drill"
+	"lanewheel/internal/eventloop"
 	"lanewheel/internal/fleet/desk"
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/grants"
@@ -25,7 +26,6 @@
 	"lanewheel/internal/lifecycle"
 	"lanewheel/internal/lifecycle/allocators"
 	"lanewheel/internal/lifecycle/proxies"
-	"lanewheel/internal/loop"
 	"lanewheel/internal/members"
 	"lanewheel/internal/pass"
 	"lanewheel/internal/relay"
@@ -173,7 +173,7 @@
 }
 
 // subscribe has a part that belongs to a loop see each view. Views come by the dozen a second; a tenth of one late is far less than they are old.
-func subscribe(agent *gossip.Agent, eventLoop *loop.Loop, update func(*members.View)) {
+func subscribe(agent *gossip.Agent, eventLoop *eventloop.Loop, update func(*members.View)) {
 	var scheduled atomic.Bool
 	agent.Subscribe(func(*members.View) {
 		if scheduled.CompareAndSwap(false, true) {
--- a/internal/loop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,6 +1,6 @@
-// Package loop is an owner: one goroutine that alone touches some tables, takes what others hand it as batches, and fires the
+// Package eventloop is an owner: one goroutine that alone touches some tables, takes what others hand it as batches, and fires the
 // timers. The core has one, and each front that blocks elsewhere may have its own.
-package loop
+package eventloop
 
 import (
 	"container/heap"
--- a/internal/loop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"fmt"
--- a/internal/fleet/desk/desk.go
+++ b/internal/fleet/desk/desk.go
@@ -7,15 +7,15 @@
 	"net"
 	"time"
 
+	"lanewheel/internal/eventloop"
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/grants"
-	"lanewheel/internal/loop"
 	"lanewheel/internal/members"
 )
 
 // Server is one such process: a gossip.Process. All of it belongs to its loop.
 type Server struct {
-	*loop.Loop
+	*eventloop.Loop
 	serviceAddr string
 	config      grants.Config
 	allocator   *grants.Allocator
@@ -27,7 +27,7 @@
 
 // New makes a desk that grants nothing yet.
 func New(config grants.Config, serviceAddr string) *Server {
-	return &Server{Loop: loop.New(1 << 12), serviceAddr: serviceAddr, config: config}
+	return &Server{Loop: eventloop.New(1 << 12), serviceAddr: serviceAddr, config: config}
 }
 
 // Attach gives it the part by which it speaks to the fleet, before that is started.
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
+	"lanewheel/internal/eventloop"
 	"lanewheel/internal/grants"
-	"lanewheel/internal/loop"
 	"lanewheel/internal/members"
 )
 
@@ -226,7 +226,7 @@
 	config := members.DefaultConfig()
 	table := members.NewTable(members.Descriptor{Name: "blue", Incarnation: 7, BootID: 0x0123456789abcdef,
 		GossipAddr: "10.0.0.7:7946", Roles: members.RoleServer, Zone: "north", Release: "v7", Capacity: 4}, config, 0)
-	agent := &Agent{Loop: loop.New(1), table: table, transport: &transport{},
+	agent := &Agent{Loop: eventloop.New(1), table: table, transport: &transport{},
 		libraryLog: &libraryLog{counts: map[string]uint64{}, onPredecessorCaller: func(string) {}}, transitions: map[string]uint64{}}
 	agent.view.Store(table.View())
 	green := members.ID{Name: "green", BootID: 0xfedcba9876543210}
--- a/internal/fleet/gossip/part.go
+++ b/internal/fleet/gossip/part.go
@@ -18,9 +18,9 @@
 	"github.com/hashicorp/memberlist"
 	"golang.org/x/time/rate"
 
+	"lanewheel/internal/eventloop"
 	"lanewheel/internal/grants"
 	"lanewheel/internal/logging"
-	"lanewheel/internal/loop"
 	"lanewheel/internal/members"
 	"lanewheel/internal/watch"
 )
@@ -74,7 +74,7 @@
 
 // Agent is one process's place in the fleet. All but what is atomic belongs to its loop.
 type Agent struct {
-	*loop.Loop
+	*eventloop.Loop
 	config           Config
 	process          Process
 	table            *members.Table
@@ -151,7 +151,7 @@
 		// A start by the clock is mostly above the life before; where the clock went back, the number is learnt (members.Table).
 		Incarnation: members.Incarnation(max(1, time.Now().UnixMilli())),
 		Zone:        config.Zone, Release: config.Release, Capacity: config.Capacity, WarmUp: config.WarmUp}
-	agent := &Agent{Loop: loop.New(1 << 14), start: time.Now(), senders: map[string]struct{}{}, predecessorCallers: make([]string, 0, 4), pendingQueries: map[uint64]*pendingQuery{}, config: config, process: process, libraryLog: &libraryLog{counts: map[string]uint64{}},
+	agent := &Agent{Loop: eventloop.New(1 << 14), start: time.Now(), senders: map[string]struct{}{}, predecessorCallers: make([]string, 0, 4), pendingQueries: map[uint64]*pendingQuery{}, config: config, process: process, libraryLog: &libraryLog{counts: map[string]uint64{}},
 		random: mathrand.New(mathrand.NewPCG(seed, uint64(self.BootID))), joinAddrs: make(chan string, 1), done: make(chan struct{}), readySince: -1, transitions: map[string]uint64{}}
 	agent.libraryLog.onPredecessorCaller = agent.notePredecessorCaller
 	agent.table = members.NewTable(self, config.Membership, 0)
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -6,9 +6,9 @@
 	"log/slog"
 	"time"
 
+	"lanewheel/internal/eventloop"
 	"lanewheel/internal/front"
 	"lanewheel/internal/logging"
-	"lanewheel/internal/loop"
 	"lanewheel/internal/members"
 	"lanewheel/internal/pass"
 	"lanewheel/internal/server"
@@ -24,7 +24,7 @@
 
 // Spillover is the hand-over of one instance. It is a keep.Elsewhere and a front.Front.
 type Spillover struct {
-	loop       *loop.Loop
+	loop       *eventloop.Loop
 	server     *server.Server
 	config     Config
 	forwarder  *pass.Forwarder
--- a/internal/pass/pass.go
+++ b/internal/pass/pass.go
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
+	"lanewheel/internal/eventloop"
 	"lanewheel/internal/front"
-	"lanewheel/internal/loop"
 	"lanewheel/internal/members"
 	"lanewheel/internal/spread"
 	"lanewheel/internal/wire"
@@ -34,7 +34,7 @@
 
 // Forwarder is one process's way to the others. All of it belongs to its owner's loop.
 type Forwarder struct {
-	loop          *loop.Loop
+	loop          *eventloop.Loop
 	net           *wire.Net
 	config        Config
 	Balancer      *spread.Balancer
@@ -82,12 +82,12 @@
 	id               uint32
 	sent             bool
 	attemptStartedAt time.Duration
-	deadlineTimer    *loop.Timer
+	deadlineTimer    *eventloop.Timer
 	onDone           func(Result) // nil once it was called or nobody waits
 }
 
 // New makes a passer that knows nobody. It dials by net and has l's time.
-func New(eventLoop *loop.Loop, net *wire.Net, config Config, seed uint64, probeFunc ProbeFunc) *Forwarder {
+func New(eventLoop *eventloop.Loop, net *wire.Net, config Config, seed uint64, probeFunc ProbeFunc) *Forwarder {
 	return &Forwarder{loop: eventLoop, net: net, config: config, Balancer: spread.New(config.Balancer), random: rand.New(rand.NewPCG(seed, 3)), probeFunc: probeFunc, endpoints: map[spread.EndpointName]*endpoint{}}
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"lanewheel/admission"
+	"lanewheel/internal/eventloop"
 	"lanewheel/internal/front"
 	"lanewheel/internal/identity"
-	"lanewheel/internal/loop"
 	"lanewheel/internal/members"
 	"lanewheel/internal/pass"
 	"lanewheel/internal/server"
@@ -30,7 +30,7 @@
 
 // Proxy is one process that passes ops on. All of it belongs to its loop.
 type Proxy struct {
-	*loop.Loop
+	*eventloop.Loop
 	config      Config
 	platform    server.Config
 	net         *wire.Net
@@ -66,7 +66,7 @@
 func Listen(platform server.Config, config Config, probe pass.ProbeFunc) (*Proxy, error) {
 	bufferCount := int(platform.MemoryMB*(1<<20)) / wire.BufferSize
 	config.MaxInFlight = min(config.MaxInFlight, bufferCount/4) // a quarter of the memory is for bodies in hand, as in an instance
-	proxy := &Proxy{Loop: loop.New(bufferCount / 8), config: config, platform: platform, buffers: &server.BufferPool{}, classes: map[string]classConfig{}, inFlight: map[string]*proxiedRequest{}}
+	proxy := &Proxy{Loop: eventloop.New(bufferCount / 8), config: config, platform: platform, buffers: &server.BufferPool{}, classes: map[string]classConfig{}, inFlight: map[string]*proxiedRequest{}}
 	classes, _ := platform.Settings["op types"].([]admission.Settings)
 	for _, class := range classes {
 		name, _ := class["name"].(string)
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"lanewheel/admission"
-	"lanewheel/internal/loop"
+	"lanewheel/internal/eventloop"
 	"lanewheel/internal/wire"
 )
 
@@ -25,7 +25,7 @@
 	deadline    time.Duration
 	conn        *wire.DatabaseConn // nil while it waits for room
 	sent        bool
-	timer       *loop.Timer
+	timer       *eventloop.Timer
 	done        func(admission.Outcome, time.Duration)
 	slot        UpstreamSlot // where it goes, where there are several
 	refusedAddr string       // where it was refused before
--- a/internal/server/instance.go
+++ b/internal/server/instance.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"lanewheel/admission"
+	"lanewheel/internal/eventloop"
 	"lanewheel/internal/front"
 	"lanewheel/internal/identity"
-	"lanewheel/internal/loop"
 	"lanewheel/internal/rights"
 	"lanewheel/internal/stubs"
 	"lanewheel/internal/wire"
@@ -36,7 +36,7 @@
 
 // Server is one life of a service instance. All of it belongs to the owner loop.
 type Server struct {
-	*loop.Loop
+	*eventloop.Loop
 	config          Config
 	net             *wire.Net
 	buffers         *BufferPool
@@ -76,7 +76,7 @@
 // New makes an instance that listens and looks for its runtime.
 func New(config Config) (*Server, error) {
 	buffers := int(config.MemoryMB*(1<<20)) / wire.BufferSize
-	instance := &Server{Loop: loop.New(buffers / 8), config: config, buffers: &BufferPool{}, loadReport: -1, requests: map[admission.RequestID]*activeRequest{}}
+	instance := &Server{Loop: eventloop.New(buffers / 8), config: config, buffers: &BufferPool{}, loadReport: -1, requests: map[admission.RequestID]*activeRequest{}}
 	instance.health.healthy = true
 	instance.timeouts, instance.tenants, instance.idempotent = map[admission.Class]time.Duration{}, map[admission.TenantID]bool{}, map[admission.Class]bool{}
 	instance.latencyObjectives, instance.idempotentByKey = map[admission.Class]time.Duration{}, map[admission.Class]bool{}
--- a/internal/server/keep_test.go
+++ b/internal/server/keep_test.go
@@ -8,14 +8,14 @@
 	"time"
 
 	"lanewheel/admission"
+	"lanewheel/internal/eventloop"
 	"lanewheel/internal/front"
-	"lanewheel/internal/loop"
 	"lanewheel/internal/wire"
 )
 
 // Without a link the gauges last heard count for some looks, and then nothing is known.
 func Example_oldGauges() {
-	instance := &Server{Loop: loop.New(9)}
+	instance := &Server{Loop: eventloop.New(9)}
 	instance.handleGauges(wire.Event{CorrelationID: "look"})
 	instance.gauges["want a core"] = 3
 	for _, at := range []time.Duration{0, 200 * time.Millisecond, 400 * time.Millisecond} {
@@ -115,7 +115,7 @@
 // A keyed op's key: in hand it does not age, however short the window; once over it holds for tries that came within it, however late they are
 // read. One that never ran leaves none. A read's key is over with its time.
 func Example_keysAge() {
-	instance := &Server{Loop: loop.New(9), config: Config{Settings: admission.Settings{"shared reads for": 100 * time.Millisecond}}}
+	instance := &Server{Loop: eventloop.New(9), config: Config{Settings: admission.Settings{"shared reads for": 100 * time.Millisecond}}}
 	k := &instance.idempotency
 	n := 0
 	op := func(keyed bool) *activeRequest {
@@ -170,7 +170,7 @@
 
 // The id of an op that is over is sent once more, with something else to say: the key of the first is neither prolonged nor dropped with it.
 func Example_idOnceMore() {
-	instance := &Server{Loop: loop.New(9), config: Config{Settings: admission.Settings{"shared reads for": 100 * time.Millisecond}}}
+	instance := &Server{Loop: eventloop.New(9), config: Config{Settings: admission.Settings{"shared reads for": 100 * time.Millisecond}}}
 	k := &instance.idempotency
 	op := func(body string, keyed bool) *activeRequest {
 		active := &activeRequest{id: "1", class: "pay", resource: body, body: []byte(body)}
--- a/internal/stubs/stubs.go
+++ b/internal/stubs/stubs.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"lanewheel/internal/certs"
+	"lanewheel/internal/eventloop"
 	"lanewheel/internal/front"
 	"lanewheel/internal/identity"
-	"lanewheel/internal/loop"
 	"lanewheel/internal/rights"
 	"lanewheel/internal/wire"
 )
@@ -36,7 +36,7 @@
 // Frontend is all connections of client stubs.
 type Frontend struct {
 	server        Server
-	loop          *loop.Loop
+	loop          *eventloop.Loop
 	net           *wire.Net
 	authenticator Authenticator
 	connections   map[*wire.ServerConn]*connection
@@ -46,7 +46,7 @@
 }
 
 // New makes the front of a core whose loop and connections it shares. A nil door lets all in.
-func New(server Server, l *loop.Loop, net *wire.Net, authenticator Authenticator, idleTimeout time.Duration) *Frontend {
+func New(server Server, l *eventloop.Loop, net *wire.Net, authenticator Authenticator, idleTimeout time.Duration) *Frontend {
 	return &Frontend{server: server, loop: l, net: net, authenticator: authenticator, connections: map[*wire.ServerConn]*connection{}, idleTimeout: idleTimeout}
 }
 
