--- a/internal/amqp/amqp_test.go
+++ b/internal/amqp/amqp_test.go
@@ -21,7 +21,7 @@
 	"lanewheel/admission"
 	"lanewheel/internal/certs"
 	"lanewheel/internal/eventloop"
-	"lanewheel/internal/front"
+	"lanewheel/internal/frontend"
 	"lanewheel/internal/identity"
 	"lanewheel/internal/intake"
 	"lanewheel/internal/standin"
@@ -40,17 +40,17 @@
 	*eventloop.Loop
 	mu     sync.Mutex
 	runs   map[string]int // by body
-	load   front.Load
-	behave func(ask front.Request, body string, owed front.Responder) // on its loop; nil: acked after a millisecond
+	load   frontend.Load
+	behave func(ask frontend.Request, body string, owed frontend.Responder) // on its loop; nil: acked after a millisecond
 }
 
 func newFakeServer() *fakeServer {
-	c := &fakeServer{Loop: eventloop.New(4096), runs: map[string]int{}, load: front.Load{Ready: true, Healthy: true, Cores: 4, FreeCapacity: 1000}}
+	c := &fakeServer{Loop: eventloop.New(4096), runs: map[string]int{}, load: frontend.Load{Ready: true, Healthy: true, Cores: 4, FreeCapacity: 1000}}
 	go c.Run(func() {})
 	return c
 }
 
-func (c *fakeServer) Submit(ask front.Request, _ *identity.Credential, owed front.Responder) front.Handle {
+func (c *fakeServer) Submit(ask frontend.Request, _ *identity.Credential, owed frontend.Responder) frontend.Handle {
 	body := string(ask.Body)
 	if c.behave != nil {
 		c.behave(ask, body, owed)
@@ -58,7 +58,7 @@
 	}
 	c.run(body)
 	c.ScheduleAt(c.Now()+time.Millisecond, func() {
-		owed.Succeed([]byte("done "+body), front.ResponseMetadata{})
+		owed.Succeed([]byte("done "+body), frontend.ResponseMetadata{})
 		owed.Done()
 	})
 	return nil
@@ -70,10 +70,10 @@
 	c.mu.Unlock()
 }
 
-func (c *fakeServer) Cancel(front.Handle) {}
-func (c *fakeServer) Load() front.Load    { return c.load }
+func (c *fakeServer) Cancel(frontend.Handle) {}
+func (c *fakeServer) Load() frontend.Load    { return c.load }
 
-func (c *fakeServer) set(load func(*front.Load)) { c.Post(func() { load(&c.load) }) }
+func (c *fakeServer) set(load func(*frontend.Load)) { c.Post(func() { load(&c.load) }) }
 
 // testbed is a front between a broker and a core.
 type testbed struct {
@@ -140,17 +140,17 @@
 // to the dead letters.
 func Example() {
 	b, c := newBroker(), newFakeServer()
-	c.behave = func(ask front.Request, body string, owed front.Responder) {
+	c.behave = func(ask frontend.Request, body string, owed frontend.Responder) {
 		switch ask.Class {
 		case "deny":
-			owed.RejectPermanently("denied", front.ResponseMetadata{Reason: "tenant"})
+			owed.RejectPermanently("denied", frontend.ResponseMetadata{Reason: "tenant"})
 		case "what":
-			owed.RejectPermanently("unknown-type", front.ResponseMetadata{})
+			owed.RejectPermanently("unknown-type", frontend.ResponseMetadata{})
 		case "fail":
-			owed.Fail(front.ResponseMetadata{})
+			owed.Fail(frontend.ResponseMetadata{})
 		default:
 			c.run(body)
-			owed.Succeed([]byte("done "+body), front.ResponseMetadata{})
+			owed.Succeed([]byte("done "+body), frontend.ResponseMetadata{})
 		}
 		owed.Done()
 	}
@@ -284,12 +284,12 @@
 			b.DeclareQueue("dead", nil)
 		}
 		turned := 0
-		c.behave = func(ask front.Request, body string, owed front.Responder) {
+		c.behave = func(ask frontend.Request, body string, owed frontend.Responder) {
 			if body == "never" || turned < 2 {
 				turned++
-				owed.Reject(front.ResponseMetadata{})
+				owed.Reject(frontend.ResponseMetadata{})
 			} else {
-				owed.Succeed([]byte("at last"), front.ResponseMetadata{})
+				owed.Succeed([]byte("at last"), frontend.ResponseMetadata{})
 			}
 			owed.Done()
 		}
@@ -317,14 +317,14 @@
 		b, c := newBroker(), newFakeServer()
 		var held []func(bool)
 		var mu sync.Mutex
-		c.behave = func(ask front.Request, body string, owed front.Responder) {
+		c.behave = func(ask frontend.Request, body string, owed frontend.Responder) {
 			mu.Lock()
 			defer mu.Unlock()
 			held = append(held, func(runs bool) {
 				if runs {
-					owed.Succeed([]byte("done"), front.ResponseMetadata{})
+					owed.Succeed([]byte("done"), frontend.ResponseMetadata{})
 				} else {
-					owed.Reject(front.ResponseMetadata{})
+					owed.Reject(frontend.ResponseMetadata{})
 				}
 				owed.Done()
 			})
@@ -336,7 +336,7 @@
 			b.Publish("ops", newMessage(fmt.Sprintf("m%02d", i), "view"))
 		}
 		standin.WaitFor("six in hand", func() bool { mu.Lock(); defer mu.Unlock(); return len(held) == 6 })
-		s.server.set(func(l *front.Load) { l.Draining = true })
+		s.server.set(func(l *frontend.Load) { l.Draining = true })
 		s.consumer.Drain(800 * time.Millisecond)
 		s.consumer.Drain(time.Hour) // a second notice changes nothing
 		switch how {
@@ -412,11 +412,11 @@
 	b, c := newBroker(), newFakeServer()
 	var mu sync.Mutex
 	var end []func()
-	c.behave = func(ask front.Request, body string, owed front.Responder) {
+	c.behave = func(ask frontend.Request, body string, owed frontend.Responder) {
 		c.run(body)
 		mu.Lock()
 		defer mu.Unlock()
-		end = append(end, func() { owed.Succeed([]byte("done "+body), front.ResponseMetadata{}); owed.Done() })
+		end = append(end, func() { owed.Succeed([]byte("done "+body), frontend.ResponseMetadata{}); owed.Done() })
 	}
 	s := startTestbed(b, c, testConfig(b))
 	defer s.close()
@@ -521,10 +521,10 @@
 func Example_twoInstances() {
 	b := newBroker()
 	slow, fast := newFakeServer(), newFakeServer()
-	slow.behave = func(_ front.Request, body string, owed front.Responder) {
+	slow.behave = func(_ frontend.Request, body string, owed frontend.Responder) {
 		slow.run(body)
 		slow.load.Queued = 40 // it holds more than it has cores
-		slow.ScheduleAt(slow.Now()+300*time.Millisecond, func() { owed.Succeed([]byte("slow"), front.ResponseMetadata{}); owed.Done() })
+		slow.ScheduleAt(slow.Now()+300*time.Millisecond, func() { owed.Succeed([]byte("slow"), frontend.ResponseMetadata{}); owed.Done() })
 	}
 	one, two := startTestbed(b, slow, testConfig(b)), startTestbed(b, fast, testConfig(b))
 	for i := range 300 {
--- a/internal/amqp/golden_test.go
+++ b/internal/amqp/golden_test.go
@@ -14,7 +14,7 @@
 
 	client "github.com/rabbitmq/amqp091-go"
 
-	"lanewheel/internal/front"
+	"lanewheel/internal/frontend"
 	"lanewheel/internal/standin"
 	"lanewheel/internal/standin/broker"
 )
@@ -122,19 +122,19 @@
 	c := newFakeServer()
 	var mu sync.Mutex
 	held := map[string]func(){}
-	c.behave = func(ask front.Request, body string, owed front.Responder) {
+	c.behave = func(ask frontend.Request, body string, owed frontend.Responder) {
 		end := func() {
 			switch ask.Class {
 			case "deny":
-				owed.RejectPermanently("denied", front.ResponseMetadata{Reason: "tenant"})
+				owed.RejectPermanently("denied", frontend.ResponseMetadata{Reason: "tenant"})
 			case "what":
-				owed.RejectPermanently("unknown-type", front.ResponseMetadata{})
+				owed.RejectPermanently("unknown-type", frontend.ResponseMetadata{})
 			case "fail":
-				owed.Fail(front.ResponseMetadata{})
+				owed.Fail(frontend.ResponseMetadata{})
 			case "refuse":
-				owed.Reject(front.ResponseMetadata{})
+				owed.Reject(frontend.ResponseMetadata{})
 			default:
-				owed.Succeed([]byte("done "+body), front.ResponseMetadata{})
+				owed.Succeed([]byte("done "+body), frontend.ResponseMetadata{})
 			}
 			owed.Done()
 		}
--- a/internal/amqp/mapping.go
+++ b/internal/amqp/mapping.go
@@ -14,7 +14,7 @@
 
 	client "github.com/rabbitmq/amqp091-go"
 
-	"lanewheel/internal/front"
+	"lanewheel/internal/frontend"
 	"lanewheel/internal/intake"
 	"lanewheel/internal/rights"
 )
@@ -81,7 +81,7 @@
 // parsedMessage is a message as it was read.
 type parsedMessage struct {
 	id            intake.MessageID
-	request       front.Request
+	request       frontend.Request
 	digest        uint64 // of what it says
 	attempt       int
 	replyTo       string
--- a/internal/amqp/part.go
+++ b/internal/amqp/part.go
@@ -9,7 +9,7 @@
 
 	"lanewheel/admission"
 	"lanewheel/internal/eventloop"
-	"lanewheel/internal/front"
+	"lanewheel/internal/frontend"
 	"lanewheel/internal/identity"
 	"lanewheel/internal/intake"
 	"lanewheel/internal/logging"
@@ -36,7 +36,7 @@
 type Consumer struct {
 	*eventloop.Loop
 	config        Config
-	server        front.Server
+	server        frontend.Server
 	postToServer  func(...func()) // to the core's loop
 	random        *rand.Rand
 	flow          *intake.FlowController
@@ -68,7 +68,7 @@
 }
 
 // New makes the front; it consumes once Start is called. hand gives calls to the core's loop.
-func New(config Config, server front.Server, postToServer func(...func()), seed uint64) *Consumer {
+func New(config Config, server frontend.Server, postToServer func(...func()), seed uint64) *Consumer {
 	consumer := &Consumer{Loop: eventloop.New(1 << 16), config: config, server: server, postToServer: postToServer, random: rand.New(rand.NewPCG(seed, 1)),
 		deduplicator: intake.NewDeduplicator(config.MaxRemembered, config.RememberedFor), retryBudget: intake.NewRetryBudget(config.RetryFraction),
 		queues: map[intake.QueueName]*Queue{}, credentials: map[intake.QueueName]*identity.Credential{},
@@ -244,9 +244,9 @@
 	p.inFlight[message.id] = pending
 	switch {
 	case message.defect != "":
-		p.complete(pending, intake.Unservable, nil, front.ResponseMetadata{Reason: message.defect})
+		p.complete(pending, intake.Unservable, nil, frontend.ResponseMetadata{Reason: message.defect})
 	case !time.Now().Before(message.deadline): // the core does not hear of it
-		p.complete(pending, intake.Expired, nil, front.ResponseMetadata{})
+		p.complete(pending, intake.Expired, nil, frontend.ResponseMetadata{})
 	default:
 		p.postToServer(func() { p.server.Submit(message.request, p.credentials[queue.Name], pending) })
 	}
@@ -259,7 +259,7 @@
 }
 
 // complete takes how the op of a message came out.
-func (p *Consumer) complete(pending *pendingMessage, outcome intake.Outcome, result []byte, metadata front.ResponseMetadata) {
+func (p *Consumer) complete(pending *pendingMessage, outcome intake.Outcome, result []byte, metadata frontend.ResponseMetadata) {
 	if pending.finished {
 		return
 	}
@@ -465,25 +465,25 @@
 
 // The rest is front.Owed, called on the core's loop.
 
-func (j *pendingMessage) report(outcome intake.Outcome, result []byte, metadata front.ResponseMetadata) {
+func (j *pendingMessage) report(outcome intake.Outcome, result []byte, metadata frontend.ResponseMetadata) {
 	if result != nil {
 		result = append(make([]byte, 0, len(result)), result...)
 	}
 	j.consumer.Post(func() { j.consumer.complete(j, outcome, result, metadata) })
 }
 
-func (j *pendingMessage) Succeed(result []byte, metadata front.ResponseMetadata) {
+func (j *pendingMessage) Succeed(result []byte, metadata frontend.ResponseMetadata) {
 	j.report(intake.Succeeded, result, metadata)
 }
-func (j *pendingMessage) Reject(metadata front.ResponseMetadata) {
+func (j *pendingMessage) Reject(metadata frontend.ResponseMetadata) {
 	j.report(intake.Rejected, nil, metadata)
 }
-func (j *pendingMessage) Fail(metadata front.ResponseMetadata) {
+func (j *pendingMessage) Fail(metadata frontend.ResponseMetadata) {
 	j.report(intake.Failed, nil, metadata)
 }
 func (j *pendingMessage) Done() {}
 
-func (j *pendingMessage) RejectPermanently(code string, metadata front.ResponseMetadata) {
+func (j *pendingMessage) RejectPermanently(code string, metadata frontend.ResponseMetadata) {
 	if metadata.Reason != "" {
 		j.report(intake.Denied, nil, metadata)
 		return
--- a/internal/front/front.go
+++ b/internal/frontend/front.go
@@ -1,6 +1,6 @@
-// Package front is the seam between the core and whoever hands it ops: client stubs on connections, messages on queues. A
+// Package frontend is the seam between the core and whoever hands it ops: client stubs on connections, messages on queues. A
 // front translates, and owes one answer an op; the core does not ask by which front an op came.
-package front
+package frontend
 
 import (
 	"time"
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"lanewheel/internal/eventloop"
-	"lanewheel/internal/front"
+	"lanewheel/internal/frontend"
 	"lanewheel/internal/logging"
 	"lanewheel/internal/members"
 	"lanewheel/internal/pass"
@@ -38,7 +38,7 @@
 // spilledRequest is one that is elsewhere.
 type spilledRequest struct {
 	spillover  *Spillover
-	responder  front.Responder
+	responder  frontend.Responder
 	forwarding *pass.Request
 }
 
@@ -91,7 +91,7 @@
 func (p *Spillover) RequestArrived() { p.policy.RecordArrival() }
 
 // Forward is keep.Elsewhere.
-func (p *Spillover) Forward(received front.Request, deadline time.Duration, idempotent bool, responder front.Responder) front.Handle {
+func (p *Spillover) Forward(received frontend.Request, deadline time.Duration, idempotent bool, responder frontend.Responder) frontend.Handle {
 	reason := spread.AlreadyForwarded
 	index := 0
 	switch {
@@ -141,7 +141,7 @@
 }
 
 // Cancel is keep.Elsewhere: nobody waits any more.
-func (p *Spillover) Cancel(received front.Handle) {
+func (p *Spillover) Cancel(received frontend.Handle) {
 	if forwarded, is := received.(*spilledRequest); is && forwarded.responder != nil {
 		forwarded.responder = nil
 		delete(p.inFlight, forwarded)
--- a/internal/intake/golden_test.go
+++ b/internal/intake/golden_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"lanewheel/internal/front"
+	"lanewheel/internal/frontend"
 )
 
 // The words that answers, dead letters and counters say of an outcome.
@@ -24,21 +24,21 @@
 
 // The words that a watch socket says of a queue.
 func TestGoldenStates(t *testing.T) {
-	calm := front.Load{Ready: true, Healthy: true, Cores: 4, FreeCapacity: 1000}
+	calm := frontend.Load{Ready: true, Healthy: true, Cores: 4, FreeCapacity: 1000}
 	open := Queue{Name: "q", Weight: 1, MinInFlight: 1, MaxInFlight: 10}
-	for want, change := range map[string]func(d *FlowController, load *front.Load) (blocked bool){
-		"open":         func(*FlowController, *front.Load) bool { return false },
-		"leaving":      func(_ *FlowController, l *front.Load) bool { l.Draining = true; return false },
-		"runtime-down": func(_ *FlowController, l *front.Load) bool { l.Ready = false; return false },
-		"blocked":      func(*FlowController, *front.Load) bool { return true },
-		"memory":       func(_ *FlowController, l *front.Load) bool { l.FreeCapacity = 0; return false },
-		"probing": func(d *FlowController, _ *front.Load) bool {
+	for want, change := range map[string]func(d *FlowController, load *frontend.Load) (blocked bool){
+		"open":         func(*FlowController, *frontend.Load) bool { return false },
+		"leaving":      func(_ *FlowController, l *frontend.Load) bool { l.Draining = true; return false },
+		"runtime-down": func(_ *FlowController, l *frontend.Load) bool { l.Ready = false; return false },
+		"blocked":      func(*FlowController, *frontend.Load) bool { return true },
+		"memory":       func(_ *FlowController, l *frontend.Load) bool { l.FreeCapacity = 0; return false },
+		"probing": func(d *FlowController, _ *frontend.Load) bool {
 			for range 8 {
 				d.Finished(0, "q", true)
 			}
 			return false
 		},
-		"coming": func(d *FlowController, _ *front.Load) bool {
+		"coming": func(d *FlowController, _ *frontend.Load) bool {
 			for range 8 {
 				d.Finished(0, "q", true)
 			}
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"lanewheel/internal/front"
+	"lanewheel/internal/frontend"
 )
 
 // QueueName is a queue's name at the broker.
@@ -30,7 +30,7 @@
 	updatedAt   time.Duration
 	updated     bool
 	rejected    int // since the last look, by the module, for want of room
-	load        front.Load
+	load        frontend.Load
 	pauseReason string // why nothing is taken, empty if something is
 }
 
@@ -178,7 +178,7 @@
 // Update works out the limits anew. blocked tells that answers can't leave. Saturated, an instance leaves messages in the queue for
 // its peers and keeps its room for callers who wait on a connection: the level falls while the module turns messages away or
 // holds more ops than it has cores, and rises, by as many as there are cores, only while what it lets in is used.
-func (d *FlowController) Update(now time.Duration, load front.Load, blocked bool) {
+func (d *FlowController) Update(now time.Duration, load frontend.Load, blocked bool) {
 	d.load = load
 	rejected := d.rejected
 	d.rejected = 0
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -8,18 +8,18 @@
 
 	"pgregory.net/rapid"
 
-	"lanewheel/internal/front"
+	"lanewheel/internal/frontend"
 	_ "lanewheel/internal/scenes"
 )
 
-var calm = front.Load{Ready: true, Healthy: true, Cores: 4, FreeCapacity: 1000}
+var calm = frontend.Load{Ready: true, Healthy: true, Cores: 4, FreeCapacity: 1000}
 
 // An instance with room takes more as long as what it takes is used; saturated it lets go of all but the floors, and when it
 // leaves, or what it needs is down, it takes nothing.
 func Example() {
 	d := NewFlowController([]Queue{{Name: "ops", Weight: 1, MinInFlight: 2, MaxInFlight: 50}}, 30)
 	now := time.Duration(0)
-	look := func(load front.Load, blocked bool) {
+	look := func(load frontend.Load, blocked bool) {
 		now += UpdateInterval
 		d.Update(now, load, blocked)
 		for range d.Limit("ops") - d.TotalInFlight() {
@@ -41,7 +41,7 @@
 	look(busy, false)
 	look(calm, true)
 	fmt.Println(d.State("ops"))
-	for _, change := range []func(*front.Load){func(l *front.Load) { l.Ready = false }, func(l *front.Load) { l.Draining = true }, func(l *front.Load) { l.FreeCapacity = 0 }} {
+	for _, change := range []func(*frontend.Load){func(l *frontend.Load) { l.Ready = false }, func(l *frontend.Load) { l.Draining = true }, func(l *frontend.Load) { l.FreeCapacity = 0 }} {
 		load := calm
 		change(&load)
 		look(load, false)
@@ -178,7 +178,7 @@
 		now := time.Duration(0)
 		for range 40 {
 			now += time.Duration(rapid.IntRange(60, 400).Draw(t, "ms")) * time.Millisecond
-			load := front.Load{Ready: rapid.IntRange(0, 9).Draw(t, "up") > 0, Healthy: rapid.Bool().Draw(t, "well"), Cores: 2,
+			load := frontend.Load{Ready: rapid.IntRange(0, 9).Draw(t, "up") > 0, Healthy: rapid.Bool().Draw(t, "well"), Cores: 2,
 				Queued: rapid.IntRange(0, 9).Draw(t, "held"), FreeCapacity: rapid.IntRange(0, 100).Draw(t, "room")}
 			if rapid.Bool().Draw(t, "nacked") {
 				d.Rejected()
--- a/internal/pass/pass.go
+++ b/internal/pass/pass.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"lanewheel/internal/eventloop"
-	"lanewheel/internal/front"
+	"lanewheel/internal/frontend"
 	"lanewheel/internal/members"
 	"lanewheel/internal/spread"
 	"lanewheel/internal/wire"
@@ -72,7 +72,7 @@
 // Request is one op on its way.
 type Request struct {
 	forwarder        *Forwarder
-	message          front.Request
+	message          frontend.Request
 	deadline         time.Duration
 	idempotent       bool
 	maxAttempts      int
@@ -154,20 +154,20 @@
 
 // Forward passes an op on, to the most members told one after the other, and calls done once, by its due time; done may be called before Give
 // returns. What ask.Body points to is copied.
-func (p *Forwarder) Forward(request front.Request, deadline time.Duration, idempotent bool, maxAttempts int, onDone func(Result)) *Request {
+func (p *Forwarder) Forward(request frontend.Request, deadline time.Duration, idempotent bool, maxAttempts int, onDone func(Result)) *Request {
 	forwarded := p.newRequest(request, deadline, idempotent, maxAttempts, onDone)
 	p.tryNext(forwarded)
 	return forwarded
 }
 
 // ForwardTo passes an op on to one member and no other.
-func (p *Forwarder) ForwardTo(index int, request front.Request, deadline time.Duration, idempotent bool, onDone func(Result)) *Request {
+func (p *Forwarder) ForwardTo(index int, request frontend.Request, deadline time.Duration, idempotent bool, onDone func(Result)) *Request {
 	forwarded := p.newRequest(request, deadline, idempotent, 1, onDone)
 	p.tryEndpoint(forwarded, index)
 	return forwarded
 }
 
-func (p *Forwarder) newRequest(request front.Request, deadline time.Duration, idempotent bool, maxAttempts int, onDone func(Result)) *Request {
+func (p *Forwarder) newRequest(request frontend.Request, deadline time.Duration, idempotent bool, maxAttempts int, onDone func(Result)) *Request {
 	forwarded := &Request{forwarder: p, message: request, deadline: deadline, idempotent: idempotent, maxAttempts: maxAttempts, onDone: onDone}
 	forwarded.message.Body = append(p.net.Get(), request.Body...)
 	// The sign that travels down: who gets an op that was passed on leaves second tries to those above it.
@@ -189,7 +189,7 @@
 		return false
 	})
 	if !found {
-		request.finish(Result{LastOutcome: spread.Rejected, NoEndpoint: true, Response: wire.Response{Error: "Busy", Metadata: front.ResponseMetadata{LoadReport: -1}}}) // each try before proved that it never ran
+		request.finish(Result{LastOutcome: spread.Rejected, NoEndpoint: true, Response: wire.Response{Error: "Busy", Metadata: frontend.ResponseMetadata{LoadReport: -1}}}) // each try before proved that it never ran
 		return
 	}
 	p.tryEndpoint(request, index)
@@ -222,7 +222,7 @@
 	}
 }
 
-var busyResponse, failedResponse = wire.Response{Error: "Busy", Metadata: front.ResponseMetadata{LoadReport: -1}}, wire.Response{Error: "Failed", Metadata: front.ResponseMetadata{LoadReport: -1}}
+var busyResponse, failedResponse = wire.Response{Error: "Busy", Metadata: frontend.ResponseMetadata{LoadReport: -1}}, wire.Response{Error: "Failed", Metadata: frontend.ResponseMetadata{LoadReport: -1}}
 
 // Random draws a number from 0 to 1.
 func (p *Forwarder) Random() float64 { return p.random.Float64() }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -10,7 +10,7 @@
 
 	"lanewheel/admission"
 	"lanewheel/internal/eventloop"
-	"lanewheel/internal/front"
+	"lanewheel/internal/frontend"
 	"lanewheel/internal/identity"
 	"lanewheel/internal/members"
 	"lanewheel/internal/pass"
@@ -39,7 +39,7 @@
 	forwarder   *pass.Forwarder
 	classes     map[string]classConfig
 	inFlight    map[string]*proxiedRequest
-	frontends   []front.Frontend
+	frontends   []frontend.Frontend
 	registry    *wire.Registry
 	draining    bool
 	acceptUntil time.Duration // when it leaves: from then on nothing new is passed on
@@ -57,8 +57,8 @@
 // proxiedRequest is one op in hand.
 type proxiedRequest struct {
 	proxy      *Proxy
-	id         string          // its caller's
-	responder  front.Responder // nil once it is answered or nobody waits
+	id         string             // its caller's
+	responder  frontend.Responder // nil once it is answered or nobody waits
 	forwarding *pass.Request
 }
 
@@ -93,7 +93,7 @@
 }
 
 // Attach starts what works beside the loop. It belongs to the time before Serve.
-func (r *Proxy) Attach(attached front.Frontend) {
+func (r *Proxy) Attach(attached frontend.Frontend) {
 	r.frontends = append(r.frontends, attached)
 	attached.Start()
 }
@@ -108,7 +108,7 @@
 func (r *Proxy) endpointCount() int { return r.forwarder.Balancer.Len() }
 
 // ResponderOf is stubs.Core.
-func (r *Proxy) ResponderOf(id string) front.Responder {
+func (r *Proxy) ResponderOf(id string) frontend.Responder {
 	if request := r.inFlight[id]; request != nil {
 		return request.responder
 	}
@@ -116,8 +116,8 @@
 }
 
 // ResponseMetadata is stubs.Core: a relay has no signal of its own.
-func (r *Proxy) ResponseMetadata() front.ResponseMetadata {
-	return front.ResponseMetadata{LoadReport: -1}
+func (r *Proxy) ResponseMetadata() frontend.ResponseMetadata {
+	return frontend.ResponseMetadata{LoadReport: -1}
 }
 
 // CheckHealth is stubs.Core: all is well while somebody is there to pass to.
@@ -126,12 +126,12 @@
 }
 
 // Load is front.Core.
-func (r *Proxy) Load() front.Load {
-	return front.Load{Ready: r.endpointCount() > 0, Draining: r.draining, Healthy: r.endpointCount() > 0, Running: len(r.inFlight), FreeCapacity: r.config.MaxInFlight - len(r.inFlight), LoadReport: -1}
+func (r *Proxy) Load() frontend.Load {
+	return frontend.Load{Ready: r.endpointCount() > 0, Draining: r.draining, Healthy: r.endpointCount() > 0, Running: len(r.inFlight), FreeCapacity: r.config.MaxInFlight - len(r.inFlight), LoadReport: -1}
 }
 
 // Submit is front.Core.
-func (r *Proxy) Submit(received front.Request, _ *identity.Credential, responder front.Responder) front.Handle {
+func (r *Proxy) Submit(received frontend.Request, _ *identity.Credential, responder frontend.Responder) frontend.Handle {
 	r.counters.received++
 	class, known := r.classes[received.Class]
 	switch {
@@ -164,9 +164,9 @@
 const maxAttempts = 3
 
 // Cancel is front.Core: nobody waits any more.
-func (r *Proxy) Cancel(received front.Handle) {
+func (r *Proxy) Cancel(received frontend.Handle) {
 	if request, is := received.(*proxiedRequest); is && request.responder != nil {
-		request.respond(func(front.Responder) {})
+		request.respond(func(frontend.Responder) {})
 		request.forwarding.Cancel()
 	}
 }
@@ -181,25 +181,25 @@
 	case result.NoEndpoint:
 		counters.noEndpoint++
 		fields.RetryAfter = o.proxy.config.RetryAfter
-		o.respond(func(responder front.Responder) { responder.Reject(fields) })
+		o.respond(func(responder frontend.Responder) { responder.Reject(fields) })
 	case result.LastOutcome == spread.Succeeded:
 		counters.succeeded++
-		o.respond(func(responder front.Responder) { responder.Succeed(result.Result, fields) })
+		o.respond(func(responder frontend.Responder) { responder.Succeed(result.Result, fields) })
 	case result.Error == "Denied":
-		o.respond(func(responder front.Responder) { responder.RejectPermanently("denied", fields) })
+		o.respond(func(responder frontend.Responder) { responder.RejectPermanently("denied", fields) })
 	case !result.MayHaveRun():
 		counters.rejected++
-		o.respond(func(responder front.Responder) { responder.Reject(fields) })
+		o.respond(func(responder frontend.Responder) { responder.Reject(fields) })
 	default:
 		if counters.failed++; result.LastOutcome == spread.NoResponse {
 			counters.noResponse++
 		}
-		o.respond(func(responder front.Responder) { responder.Fail(fields) })
+		o.respond(func(responder frontend.Responder) { responder.Fail(fields) })
 	}
 }
 
 // respond gives the one answer, and forgets the op.
-func (o *proxiedRequest) respond(send func(front.Responder)) {
+func (o *proxiedRequest) respond(send func(frontend.Responder)) {
 	responder := o.responder
 	o.responder = nil
 	delete(o.proxy.inFlight, o.id)
@@ -245,7 +245,7 @@
 	})
 	r.ScheduleAt(max(r.Now(), killAt-timeouts.GoAway), func() {
 		r.clients.Drain(timeouts, killAt, func() bool {
-			return len(r.inFlight) == 0 && !slices.ContainsFunc(r.frontends, func(attached front.Frontend) bool { return !attached.Drained() })
+			return len(r.inFlight) == 0 && !slices.ContainsFunc(r.frontends, func(attached frontend.Frontend) bool { return !attached.Drained() })
 		}, func(connections int) {
 			counters := r.counters
 			slog.Info("stopped", "connections", connections, "ops", len(r.inFlight), "asked", counters.received, "served", counters.succeeded, "refused", counters.rejected, "failed", counters.failed,
--- a/internal/server/door.go
+++ b/internal/server/door.go
@@ -2,14 +2,14 @@
 
 import (
 	"lanewheel/admission"
-	"lanewheel/internal/front"
+	"lanewheel/internal/frontend"
 	"lanewheel/internal/identity"
 	"lanewheel/internal/rights"
 )
 
 // authenticate asks the door for an op that was read. One whose caller is not known yet waits in the tables, unheard by the module:
 // it can be given up, and its id is taken, as that of any other.
-func (in *Server) authenticate(credential *identity.Credential, request front.Request, responder front.Responder) *activeRequest {
+func (in *Server) authenticate(credential *identity.Credential, request frontend.Request, responder frontend.Responder) *activeRequest {
 	wanted := identity.Request{Token: request.Token, Request: rights.Request{Class: admission.Class(request.Class),
 		Tenant: admission.TenantID(request.Tenant), Write: request.Resource == ""}}
 	active := in.track(request, responder)
@@ -26,12 +26,12 @@
 }
 
 // applyVerdict carries out what the door said of an op.
-func (in *Server) applyVerdict(request front.Request, active *activeRequest, verdict identity.Decision) {
+func (in *Server) applyVerdict(request frontend.Request, active *activeRequest, verdict identity.Decision) {
 	switch {
 	case verdict.Denial != "":
 		metadata := in.metadata()
 		metadata.Reason = string(verdict.Denial)
-		in.answerOutside(active, func(responder front.Responder) { responder.RejectPermanently("denied", metadata) })
+		in.answerOutside(active, func(responder frontend.Responder) { responder.RejectPermanently("denied", metadata) })
 	case verdict.RetryAfter > 0:
 		// When to come again is said where the settings allow it, and no more.
 		metadata := in.metadata()
@@ -41,7 +41,7 @@
 				metadata.RetryAfter = min(verdict.RetryAfter, maxRetryAfter)
 			}
 		}
-		in.answerOutside(active, func(responder front.Responder) { responder.Reject(metadata) })
+		in.answerOutside(active, func(responder frontend.Responder) { responder.Reject(metadata) })
 	default:
 		request.Tenant = string(verdict.Tenant)
 		active.permission, active.tenant = verdict.Permission, verdict.Tenant
@@ -50,7 +50,7 @@
 }
 
 // answerOutside answers an op that the module has not heard of, and takes it out of the tables.
-func (in *Server) answerOutside(active *activeRequest, send func(front.Responder)) {
+func (in *Server) answerOutside(active *activeRequest, send func(frontend.Responder)) {
 	active.outsideController = true
 	in.respond(active, send)
 	in.forget(active)
--- a/internal/server/instance.go
+++ b/internal/server/instance.go
@@ -10,7 +10,7 @@
 
 	"lanewheel/admission"
 	"lanewheel/internal/eventloop"
-	"lanewheel/internal/front"
+	"lanewheel/internal/frontend"
 	"lanewheel/internal/identity"
 	"lanewheel/internal/rights"
 	"lanewheel/internal/stubs"
@@ -66,7 +66,7 @@
 	spillover   Spillover // where ops may go that are turned away here; nil: nowhere
 	spilledOver int       // ops in hand that are there
 
-	frontends   []front.Frontend
+	frontends   []frontend.Frontend
 	stats       Stats
 	emptySince  time.Duration // when the last op in hand was over
 	clockOffset time.Duration // see Now
@@ -161,16 +161,16 @@
 	identity          requestIdentity
 	record            *idempotencyRecord // its key, once that is stored
 	body              []byte
-	responder         front.Responder // its one answer; nil once it is given or the caller has left
+	responder         frontend.Responder // its one answer; nil once it is given or the caller has left
 	run               *run
 	started           bool                                   // it was started, whatever became of that
 	onCoalesced       func(admission.Outcome, time.Duration) // waits for another's result
 	coalescedAt       time.Duration                          // when it began to wait
 	arrivedAt         time.Duration
 	outsideController bool              // the module does not know of it: it waits at the door, or is elsewhere
-	original          *front.Request    // as it came, less its body; nil where nothing is handed over
+	original          *frontend.Request // as it came, less its body; nil where nothing is handed over
 	deadline          time.Duration     // with it
-	spilloverHandle   front.Handle      // it is elsewhere
+	spilloverHandle   frontend.Handle   // it is elsewhere
 	permission        rights.Permission // given back when the op is over
 }
 
@@ -179,9 +179,9 @@
 	// Came tells that an op has come here.
 	RequestArrived()
 	// Take takes what is owed of an op, or gives nil if it does not, or has answered it at once. What is taken is answered by due.
-	Forward(ask front.Request, due time.Duration, repeats bool, owed front.Responder) front.Handle
+	Forward(ask frontend.Request, due time.Duration, repeats bool, owed frontend.Responder) frontend.Handle
 	// Gone tells that nobody waits any more for one that was taken.
-	Cancel(front.Handle)
+	Cancel(frontend.Handle)
 }
 
 // EnableSpillover has ops that are turned away here go elsewhere where that takes them. It belongs to the time before Serve.
@@ -192,7 +192,7 @@
 
 // Submit is front.Core: it takes an op from a front. What can't be taken is nacked at once: nothing is before the runtime has
 // come up, nor under the id of an op in hand that came elsewhere: whose it is can't be told, and it never ran.
-func (in *Server) Submit(request front.Request, credential *identity.Credential, responder front.Responder) front.Handle {
+func (in *Server) Submit(request frontend.Request, credential *identity.Credential, responder frontend.Responder) frontend.Handle {
 	// Danger: more bodies than there is memory for.
 	if in.controller == nil || len(in.requests) >= in.maxRequests || in.requests[admission.RequestID(request.ID)] != nil {
 		responder.Reject(in.metadata())
@@ -212,20 +212,20 @@
 }
 
 // AddFrontend starts a further front. It belongs to the time before Serve.
-func (in *Server) AddFrontend(f front.Frontend) {
+func (in *Server) AddFrontend(f frontend.Frontend) {
 	in.frontends = append(in.frontends, f)
 	f.Start()
 }
 
 // Cancel is front.Core: nobody waits for an op any more.
-func (in *Server) Cancel(handle front.Handle) {
+func (in *Server) Cancel(handle frontend.Handle) {
 	if active, known := handle.(*activeRequest); known && active.responder != nil {
 		in.cancelRequest(active)
 	}
 }
 
 // ResponderOf is stubs.Core: who is owed the answer of an op in hand.
-func (in *Server) ResponderOf(id string) front.Responder {
+func (in *Server) ResponderOf(id string) frontend.Responder {
 	if active := in.requests[admission.RequestID(id)]; active != nil {
 		return active.responder
 	}
@@ -233,12 +233,12 @@
 }
 
 // ResponseMetadata is stubs.Core.
-func (in *Server) ResponseMetadata() front.ResponseMetadata { return in.metadata() }
+func (in *Server) ResponseMetadata() frontend.ResponseMetadata { return in.metadata() }
 
 // Load is front.Core: how the instance stands.
-func (in *Server) Load() front.Load {
+func (in *Server) Load() frontend.Load {
 	cores, _ := in.config.Settings["cores"].(float64)
-	return front.Load{Ready: in.controller != nil && in.runtime.synced, Draining: in.draining, Healthy: in.healthy(), Cores: cores,
+	return frontend.Load{Ready: in.controller != nil && in.runtime.synced, Draining: in.draining, Healthy: in.healthy(), Cores: cores,
 		Queued: len(in.requests) - in.running - in.spilledOver, Running: in.running, FreeCapacity: in.maxRequests - len(in.requests), LoadReport: in.loadReport, IdleFor: in.idleFor()}
 }
 
@@ -274,14 +274,14 @@
 }
 
 // submitToController hands an op to the module. before is the op as it waited at the door, nil if it did not.
-func (in *Server) submitToController(request front.Request, responder front.Responder, waiting *activeRequest) *activeRequest {
+func (in *Server) submitToController(request frontend.Request, responder frontend.Responder, waiting *activeRequest) *activeRequest {
 	queueDelay := max(0, in.WallTime().Sub(time.UnixMilli(request.SentUnixMilli)))
 	code := in.invalidReason(request)
 	if code != "" || queueDelay > maxWait(in.timeouts[admission.Class(request.Class)]) { // the second: long over, by a clock that is not ours
 		if waiting == nil {
 			waiting = in.track(request, responder)
 		}
-		in.answerOutside(waiting, func(responder front.Responder) {
+		in.answerOutside(waiting, func(responder frontend.Responder) {
 			if code != "" {
 				responder.RejectPermanently(code, in.metadata())
 			} else {
@@ -309,7 +309,7 @@
 }
 
 // keepOriginal keeps what it takes to ask for an op elsewhere.
-func (in *Server) keepOriginal(active *activeRequest, request front.Request, queueDelay time.Duration) {
+func (in *Server) keepOriginal(active *activeRequest, request frontend.Request, queueDelay time.Duration) {
 	in.spillover.RequestArrived()
 	request.Body = nil
 	active.original = &request
@@ -350,19 +350,19 @@
 	request *activeRequest
 }
 
-func (h *spilledResponder) Succeed(result []byte, metadata front.ResponseMetadata) {
-	h.server.respond(h.request, func(responder front.Responder) { responder.Succeed(result, h.server.metadata()) })
+func (h *spilledResponder) Succeed(result []byte, metadata frontend.ResponseMetadata) {
+	h.server.respond(h.request, func(responder frontend.Responder) { responder.Succeed(result, h.server.metadata()) })
 }
-func (h *spilledResponder) Reject(metadata front.ResponseMetadata) {
+func (h *spilledResponder) Reject(metadata frontend.ResponseMetadata) {
 	metadata.LoadReport = h.server.loadReport
-	h.server.respond(h.request, func(responder front.Responder) { responder.Reject(metadata) })
+	h.server.respond(h.request, func(responder frontend.Responder) { responder.Reject(metadata) })
 }
-func (h *spilledResponder) Fail(front.ResponseMetadata) {
-	h.server.respond(h.request, func(responder front.Responder) { responder.Fail(h.server.metadata()) })
+func (h *spilledResponder) Fail(frontend.ResponseMetadata) {
+	h.server.respond(h.request, func(responder frontend.Responder) { responder.Fail(h.server.metadata()) })
 }
-func (h *spilledResponder) RejectPermanently(code string, metadata front.ResponseMetadata) {
+func (h *spilledResponder) RejectPermanently(code string, metadata frontend.ResponseMetadata) {
 	metadata.LoadReport = h.server.loadReport
-	h.server.respond(h.request, func(responder front.Responder) { responder.RejectPermanently(code, metadata) })
+	h.server.respond(h.request, func(responder frontend.Responder) { responder.RejectPermanently(code, metadata) })
 }
 func (h *spilledResponder) Done() { h.server.returnFromSpillover(h.request) }
 
@@ -376,7 +376,7 @@
 }
 
 // track puts an op in the tables.
-func (in *Server) track(request front.Request, responder front.Responder) *activeRequest {
+func (in *Server) track(request frontend.Request, responder frontend.Responder) *activeRequest {
 	active := &activeRequest{id: admission.RequestID(request.ID), class: admission.Class(request.Class), resource: request.Resource, responder: responder, arrivedAt: in.Loop.Now(),
 		body: append(in.buffers.Get(), request.Body...)}
 	in.requests[active.id] = active
@@ -398,7 +398,7 @@
 
 // invalidReason tells what makes an ask one that could never be served, whatever else is here. Danger: the module would
 // learn from figures that nobody meant, or reckon with such as overflow.
-func (in *Server) invalidReason(request front.Request) string {
+func (in *Server) invalidReason(request frontend.Request) string {
 	timeout, known := in.timeouts[admission.Class(request.Class)]
 	switch {
 	case !known:
@@ -441,15 +441,15 @@
 }
 
 // respond sends the one answer, if it is still owed.
-func (in *Server) respond(active *activeRequest, send func(front.Responder)) {
+func (in *Server) respond(active *activeRequest, send func(frontend.Responder)) {
 	if responder := active.responder; responder != nil {
 		send(responder)
 		in.releaseResponder(active)
 	}
 }
 
-func (in *Server) metadata() front.ResponseMetadata {
-	return front.ResponseMetadata{LoadReport: in.loadReport}
+func (in *Server) metadata() frontend.ResponseMetadata {
+	return frontend.ResponseMetadata{LoadReport: in.loadReport}
 }
 
 // forget forgets an op that nothing is owed to any more and that does not run.
@@ -503,7 +503,7 @@
 		in.recordOutcome(active, false)
 		metadata := in.metadata()
 		metadata.RetryAfter, metadata.NoFailover = retryAfter, noFailover
-		in.respond(active, func(responder front.Responder) { responder.Reject(metadata) })
+		in.respond(active, func(responder frontend.Responder) { responder.Reject(metadata) })
 		in.forget(active)
 	}
 }
@@ -511,7 +511,7 @@
 func (in *Server) Fail(id admission.RequestID) {
 	if active := in.requests[id]; active != nil {
 		in.recordOutcome(active, false)
-		in.respond(active, func(responder front.Responder) { responder.Fail(in.metadata()) })
+		in.respond(active, func(responder frontend.Responder) { responder.Fail(in.metadata()) })
 		in.forget(active)
 	}
 }
--- a/internal/server/keep_test.go
+++ b/internal/server/keep_test.go
@@ -9,7 +9,7 @@
 
 	"lanewheel/admission"
 	"lanewheel/internal/eventloop"
-	"lanewheel/internal/front"
+	"lanewheel/internal/frontend"
 	"lanewheel/internal/wire"
 )
 
@@ -121,7 +121,7 @@
 	op := func(keyed bool) *activeRequest {
 		n++
 		active := &activeRequest{id: admission.RequestID(fmt.Sprint(n)), class: "pay", resource: "s", body: []byte("x")}
-		active.identity = k.identify(active, front.Request{NewIDPerAttempt: true}, keyed)
+		active.identity = k.identify(active, frontend.Request{NewIDPerAttempt: true}, keyed)
 		return active
 	}
 	printDuplicate := func(what string, keyed bool, came time.Duration) {
@@ -162,11 +162,13 @@
 // printingResponder is owed an answer and prints it.
 type printingResponder struct{}
 
-func (printingResponder) Succeed([]byte, front.ResponseMetadata)           { fmt.Println("answered") }
-func (printingResponder) Reject(front.ResponseMetadata)                    { fmt.Println("turned away") }
-func (printingResponder) Fail(front.ResponseMetadata)                      { fmt.Println("failed") }
-func (printingResponder) RejectPermanently(string, front.ResponseMetadata) { fmt.Println("rejected") }
-func (printingResponder) Done()                                            {}
+func (printingResponder) Succeed([]byte, frontend.ResponseMetadata) { fmt.Println("answered") }
+func (printingResponder) Reject(frontend.ResponseMetadata)          { fmt.Println("turned away") }
+func (printingResponder) Fail(frontend.ResponseMetadata)            { fmt.Println("failed") }
+func (printingResponder) RejectPermanently(string, frontend.ResponseMetadata) {
+	fmt.Println("rejected")
+}
+func (printingResponder) Done() {}
 
 // The id of an op that is over is sent once more, with something else to say: the key of the first is neither prolonged nor dropped with it.
 func Example_idOnceMore() {
@@ -174,7 +176,7 @@
 	k := &instance.idempotency
 	op := func(body string, keyed bool) *activeRequest {
 		active := &activeRequest{id: "1", class: "pay", resource: body, body: []byte(body)}
-		active.identity = k.identify(active, front.Request{NewIDPerAttempt: true}, keyed)
+		active.identity = k.identify(active, frontend.Request{NewIDPerAttempt: true}, keyed)
 		return active
 	}
 	for _, keyed := range []bool{true, false} {
@@ -219,7 +221,7 @@
 	instance.Post(func() {
 		instance.Drain()
 		instance.handleEvent(wire.Event{Kind: "ready", Status: "steady"})
-		instance.Submit(front.Request{ID: "0123456789abcdef", Class: "view", SentUnixMilli: time.Now().UnixMilli(), MemoryKB: 1}, nil, printingResponder{})
+		instance.Submit(frontend.Request{ID: "0123456789abcdef", Class: "view", SentUnixMilli: time.Now().UnixMilli(), MemoryKB: 1}, nil, printingResponder{})
 	})
 	<-served
 	_ = link.SetReadDeadline(time.Now().Add(50 * time.Millisecond)) // all that was sent lies there by now
--- a/internal/server/keys.go
+++ b/internal/server/keys.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"lanewheel/admission"
-	"lanewheel/internal/front"
+	"lanewheel/internal/frontend"
 )
 
 // idempotencyCache are the ops that repeats are known by. Reads of like type and subject are repeats of each other; so are tries of a keyed op, which no
@@ -37,7 +37,7 @@
 
 // identify is what repeats of an op have in common, zero where it has none. Danger: one tenant's read answered with what another's came to, of a
 // key that both use.
-func (k *idempotencyCache) identify(active *activeRequest, request front.Request, byKey bool) (identity requestIdentity) {
+func (k *idempotencyCache) identify(active *activeRequest, request frontend.Request, byKey bool) (identity requestIdentity) {
 	switch {
 	case byKey && request.NewIDPerAttempt:
 		// Not who sends it: a further try may come by another stub.
@@ -173,13 +173,13 @@
 	outcome := admission.Succeeded
 	switch {
 	case result != nil:
-		in.respond(active, func(responder front.Responder) { responder.Succeed(result, in.metadata()) })
+		in.respond(active, func(responder frontend.Responder) { responder.Succeed(result, in.metadata()) })
 	case started:
 		outcome = admission.Failed
-		in.respond(active, func(responder front.Responder) { responder.Fail(in.metadata()) })
+		in.respond(active, func(responder frontend.Responder) { responder.Fail(in.metadata()) })
 	default:
 		outcome = admission.Failed
-		in.respond(active, func(responder front.Responder) { responder.Reject(in.metadata()) })
+		in.respond(active, func(responder frontend.Responder) { responder.Reject(in.metadata()) })
 	}
 	in.decisionPending = true
 	active.onCoalesced(outcome, in.Now()-active.coalescedAt)
--- a/internal/server/leave.go
+++ b/internal/server/leave.go
@@ -4,7 +4,7 @@
 	"log/slog"
 	"slices"
 
-	"lanewheel/internal/front"
+	"lanewheel/internal/frontend"
 	"lanewheel/internal/stubs"
 )
 
@@ -59,5 +59,5 @@
 
 // frontendsDrained tells whether the fronts beside the stubs' are done.
 func (in *Server) frontendsDrained() bool {
-	return !slices.ContainsFunc(in.frontends, func(f front.Frontend) bool { return !f.Drained() })
+	return !slices.ContainsFunc(in.frontends, func(f frontend.Frontend) bool { return !f.Drained() })
 }
--- a/internal/server/runs.go
+++ b/internal/server/runs.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"lanewheel/admission"
-	"lanewheel/internal/front"
+	"lanewheel/internal/frontend"
 	"lanewheel/internal/wire"
 )
 
@@ -251,15 +251,15 @@
 	case admission.Succeeded:
 		in.idempotency.finish(in, active, event.Body)
 		in.recordOutcome(active, true)
-		in.respond(active, func(responder front.Responder) { responder.Succeed(event.Body, in.metadata()) })
+		in.respond(active, func(responder frontend.Responder) { responder.Succeed(event.Body, in.metadata()) })
 	case admission.Failed:
 		in.recordOutcome(active, false)
-		in.respond(active, func(responder front.Responder) { responder.Fail(in.metadata()) })
+		in.respond(active, func(responder frontend.Responder) { responder.Fail(in.metadata()) })
 	}
 	in.decisionPending = true
 	run.onEnd(outcome, event.Elapsed)
 	if outcome == admission.NotStarted { // nothing ran here, so an answer that is owed all the same can only be this
-		in.respond(active, func(responder front.Responder) { responder.Fail(in.metadata()) })
+		in.respond(active, func(responder frontend.Responder) { responder.Fail(in.metadata()) })
 	}
 	in.forget(active)
 }
@@ -272,6 +272,6 @@
 		slog.Warn("command-refused", "command", event.Status, "op", event.RequestID)
 		return
 	}
-	in.respond(active, func(responder front.Responder) { responder.RejectPermanently("unknown-op", in.metadata()) })
+	in.respond(active, func(responder frontend.Responder) { responder.RejectPermanently("unknown-op", in.metadata()) })
 	in.handleEnd(wire.Event{Kind: "end", RequestID: event.RequestID, Status: "nothing"})
 }
--- a/internal/stubs/stubs.go
+++ b/internal/stubs/stubs.go
@@ -9,7 +9,7 @@
 
 	"lanewheel/internal/certs"
 	"lanewheel/internal/eventloop"
-	"lanewheel/internal/front"
+	"lanewheel/internal/frontend"
 	"lanewheel/internal/identity"
 	"lanewheel/internal/rights"
 	"lanewheel/internal/wire"
@@ -17,13 +17,13 @@
 
 // Server is what this front needs beside what any front does.
 type Server interface {
-	front.Server
+	frontend.Server
 	// Owes gives who is owed the answer of an op in hand, nil if none is.
-	ResponderOf(id string) front.Responder
+	ResponderOf(id string) frontend.Responder
 	// Check has then called with whether all is well; deep asks whether work gets done.
 	CheckHealth(deep bool, then func(good bool))
 	// With is what rides on every answer.
-	ResponseMetadata() front.ResponseMetadata
+	ResponseMetadata() frontend.ResponseMetadata
 }
 
 // Authenticator is who knows callers; nil where everybody may do everything.
@@ -247,18 +247,18 @@
 type responder struct {
 	conn      *connection
 	messageID uint32
-	handle    front.Handle
+	handle    frontend.Handle
 }
 
-func (a *responder) Succeed(result []byte, metadata front.ResponseMetadata) {
+func (a *responder) Succeed(result []byte, metadata frontend.ResponseMetadata) {
 	a.conn.invalidInRow = 0
 	a.conn.conn.Succeed(a.messageID, result, metadata)
 }
-func (a *responder) Reject(metadata front.ResponseMetadata) {
+func (a *responder) Reject(metadata frontend.ResponseMetadata) {
 	a.conn.invalidInRow = 0
 	a.conn.conn.Reject(a.messageID, metadata)
 }
-func (a *responder) Fail(metadata front.ResponseMetadata) {
+func (a *responder) Fail(metadata frontend.ResponseMetadata) {
 	a.conn.invalidInRow = 0
 	a.conn.conn.Fail(a.messageID, metadata)
 }
@@ -273,7 +273,7 @@
 
 // RejectPermanently answers what could never be served. What the runtime does not know ends the connection, as do several such asks in a
 // row; a certificate that no longer counts bars it.
-func (a *responder) RejectPermanently(code string, metadata front.ResponseMetadata) {
+func (a *responder) RejectPermanently(code string, metadata frontend.ResponseMetadata) {
 	conn := a.conn
 	invalid := true
 	if metadata.Reason != "" {
--- a/internal/wire/rpc.go
+++ b/internal/wire/rpc.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"lanewheel/internal/front"
+	"lanewheel/internal/frontend"
 )
 
 // Client stubs speak MessagePack-RPC: an op is a call whose method is the op's type. Nothing outside this
@@ -14,8 +14,8 @@
 
 // Request and With are the seam's; here they are written and read.
 type (
-	Request          = front.Request
-	ResponseMetadata = front.ResponseMetadata
+	Request          = frontend.Request
+	ResponseMetadata = frontend.ResponseMetadata
 )
 
 // ServerConn is a client stub's connection. The fields are its callbacks, called on the owner loop.
