--- a/internal/stubs/stubs.go
+++ b/internal/clients/stubs.go
@@ -1,6 +1,6 @@
-// Package stubs is the front of client stubs on connections: it takes their ops to a core and their answers back, and ends the connections of
+// Package clients is the front of client stubs on connections: it takes their ops to a core and their answers back, and ends the connections of
 // those that break the protocol, stay silent or are not used. It belongs to the core's loop, and asks nothing of an op.
-package stubs
+package clients
 
 import (
 	"maps"
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"lanewheel/admission"
+	"lanewheel/internal/clients"
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/frontend"
 	"lanewheel/internal/identity"
@@ -16,7 +17,6 @@
 	"lanewheel/internal/pass"
 	"lanewheel/internal/server"
 	"lanewheel/internal/spread"
-	"lanewheel/internal/stubs"
 	"lanewheel/internal/wire"
 )
 
@@ -35,7 +35,7 @@
 	platform    server.Config
 	net         *wire.Net
 	buffers     *server.BufferPool
-	clients     *stubs.Frontend
+	clients     *clients.Frontend
 	forwarder   *pass.Forwarder
 	classes     map[string]classConfig
 	inFlight    map[string]*proxiedRequest
@@ -80,7 +80,7 @@
 	proxy.net.ReadHops.Store(true)
 	proxy.forwarder = pass.New(proxy.Loop, proxy.net, config.Config, platform.Seed, probe)
 	idle, _ := platform.Settings["connections idle"].(time.Duration)
-	proxy.clients = stubs.New(proxy, proxy.Loop, proxy.net, nil, idle)
+	proxy.clients = clients.New(proxy, proxy.Loop, proxy.net, nil, idle)
 	if err := proxy.net.Start(platform.ListenAddr); err != nil {
 		return nil, err
 	}
@@ -231,7 +231,7 @@
 	slog.Info("leaving", "kill_ms", r.platform.TerminationGrace.Milliseconds(), "held", len(r.inFlight))
 	killAt := r.Now() + r.platform.TerminationGrace
 	r.reportToRegistry()
-	timeouts := stubs.DrainScheduleFor(r.platform.TerminationGrace)
+	timeouts := clients.DrainScheduleFor(r.platform.TerminationGrace)
 	for _, attached := range r.frontends {
 		attached.Drain(max(0, r.platform.TerminationGrace-timeouts.FrontendsDrained))
 	}
--- a/internal/server/instance.go
+++ b/internal/server/instance.go
@@ -9,11 +9,11 @@
 	"time"
 
 	"lanewheel/admission"
+	"lanewheel/internal/clients"
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/frontend"
 	"lanewheel/internal/identity"
 	"lanewheel/internal/rights"
-	"lanewheel/internal/stubs"
 	"lanewheel/internal/wire"
 )
 
@@ -50,7 +50,7 @@
 	tenants           map[admission.TenantID]bool       // those that were told
 
 	requests map[admission.RequestID]*activeRequest
-	clients  *stubs.Frontend
+	clients  *clients.Frontend
 
 	runtime       runtimeLink
 	gauges        map[string]float64 // the last known
@@ -106,11 +106,11 @@
 		instance.authenticator = identity.New(*config.Authn, instance.Post, func() (time.Duration, time.Time) { return instance.Now(), instance.WallTime() })
 		instance.net.ReadTokens.Store(config.Authn.KeySet != nil)
 	}
-	var authenticator stubs.Authenticator // nil, not a door that is nil
+	var authenticator clients.Authenticator // nil, not a door that is nil
 	if instance.authenticator != nil {
 		authenticator = instance.authenticator
 	}
-	instance.clients = stubs.New(instance, instance.Loop, instance.net, authenticator, durationSetting(config.Settings, "connections idle"))
+	instance.clients = clients.New(instance, instance.Loop, instance.net, authenticator, durationSetting(config.Settings, "connections idle"))
 	if err := instance.net.Start(config.ListenAddr); err != nil {
 		return nil, err
 	}
--- a/internal/server/leave.go
+++ b/internal/server/leave.go
@@ -4,8 +4,8 @@
 	"log/slog"
 	"slices"
 
+	"lanewheel/internal/clients"
 	"lanewheel/internal/frontend"
-	"lanewheel/internal/stubs"
 )
 
 // UpdateAddresses takes the addresses of a configuration that was read anew. What is under way at the old ones may end there.
@@ -36,7 +36,7 @@
 	killAt := in.Now() + in.config.TerminationGrace
 	slog.Info("leaving", "kill_ms", in.config.TerminationGrace.Milliseconds(), "held", len(in.requests))
 	in.report()
-	schedule := stubs.DrainScheduleFor(in.config.TerminationGrace)
+	schedule := clients.DrainScheduleFor(in.config.TerminationGrace)
 	for _, f := range in.frontends { // they close while connections still may be answered
 		f.Drain(max(0, in.config.TerminationGrace-schedule.FrontendsDrained))
 	}
