--- a/internal/clients/stubs.go
+++ b/internal/clients/stubs.go
@@ -12,7 +12,7 @@
 	"lanewheel/internal/frontend"
 	"lanewheel/internal/identity"
 	"lanewheel/internal/rights"
-	"lanewheel/internal/wire"
+	"lanewheel/internal/transport"
 )
 
 // Server is what this front needs beside what any front does.
@@ -37,17 +37,17 @@
 type Frontend struct {
 	server        Server
 	loop          *eventloop.Loop
-	net           *wire.Net
+	net           *transport.Net
 	authenticator Authenticator
-	connections   map[*wire.ServerConn]*connection
+	connections   map[*transport.ServerConn]*connection
 	idleTimeout   time.Duration // how long an unused connection may stay, as last said
 	draining      bool          // it asks all connections to go
 	lastSweep     time.Duration // when the connections were last looked through
 }
 
 // New makes the front of a core whose loop and connections it shares. A nil door lets all in.
-func New(server Server, l *eventloop.Loop, net *wire.Net, authenticator Authenticator, idleTimeout time.Duration) *Frontend {
-	return &Frontend{server: server, loop: l, net: net, authenticator: authenticator, connections: map[*wire.ServerConn]*connection{}, idleTimeout: idleTimeout}
+func New(server Server, l *eventloop.Loop, net *transport.Net, authenticator Authenticator, idleTimeout time.Duration) *Frontend {
+	return &Frontend{server: server, loop: l, net: net, authenticator: authenticator, connections: map[*transport.ServerConn]*connection{}, idleTimeout: idleTimeout}
 }
 
 // SetIdleTimeout says how long an unused connection may stay.
@@ -151,7 +151,7 @@
 // connection is a client stub's connection with the ops that are open on it.
 type connection struct {
 	frontend      *Frontend
-	conn          *wire.ServerConn
+	conn          *transport.ServerConn
 	pending       map[uint32]*responder
 	lastUsed      time.Duration // when something last came or went on it
 	goAwayAt      time.Duration // when it was asked to go away, 0 if it was not
@@ -164,10 +164,10 @@
 }
 
 // Accept makes a new connection one of a client stub. It runs beside the owner loop.
-func (in *Frontend) Accept(accepted *wire.Conn) {
+func (in *Frontend) Accept(accepted *transport.Conn) {
 	conn := accepted.ServerConn()
 	c := &connection{frontend: in, conn: conn, pending: map[uint32]*responder{}}
-	conn.OnRequest = func(messageID uint32, request wire.Request) {
+	conn.OnRequest = func(messageID uint32, request transport.Request) {
 		c.received = true
 		c.submit(messageID, request)
 	}
@@ -223,7 +223,7 @@
 const maxInvalidInRow = 8
 
 // submit takes an op off the connection.
-func (c *connection) submit(messageID uint32, request wire.Request) {
+func (c *connection) submit(messageID uint32, request transport.Request) {
 	switch {
 	case c.closeReason != "":
 		return
--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -31,7 +31,7 @@
 	"lanewheel/internal/relay"
 	"lanewheel/internal/server"
 	"lanewheel/internal/spread"
-	"lanewheel/internal/wire"
+	"lanewheel/internal/transport"
 )
 
 // Commands is all that lanewheel-fleet has beside lanewheel.
@@ -65,7 +65,7 @@
 	}
 	var spill *handover.Spillover
 	if operatorConfig.File.Spillover.Enabled {
-		srv.EnableSpillover(func(net *wire.Net) server.Spillover {
+		srv.EnableSpillover(func(net *transport.Net) server.Spillover {
 			spill = handover.New(srv, net, operatorConfig.File.Spillover.Config, platform.Seed, prober(agent))
 			return spill
 		})
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -13,7 +13,7 @@
 	"lanewheel/internal/pass"
 	"lanewheel/internal/server"
 	"lanewheel/internal/spread"
-	"lanewheel/internal/wire"
+	"lanewheel/internal/transport"
 )
 
 // Config is what it goes by.
@@ -43,7 +43,7 @@
 }
 
 // New makes the part of an instance whose loop and sockets it shares.
-func New(srv *server.Server, net *wire.Net, config Config, seed uint64, probe pass.ProbeFunc) *Spillover {
+func New(srv *server.Server, net *transport.Net, config Config, seed uint64, probe pass.ProbeFunc) *Spillover {
 	forwarder := pass.New(srv.Loop, net, config.Config, seed, probe)
 	return &Spillover{loop: srv.Loop, server: srv, config: config, forwarder: forwarder, policy: spread.NewSpilloverPolicy(config.Spillover, forwarder.Balancer), inFlight: map[*spilledRequest]bool{}, counts: map[string]uint64{}}
 }
--- a/internal/lifecycle/callers.go
+++ b/internal/lifecycle/callers.go
@@ -19,7 +19,7 @@
 	"lanewheel/internal/keyring"
 	"lanewheel/internal/members"
 	"lanewheel/internal/tokens"
-	"lanewheel/internal/wire"
+	"lanewheel/internal/transport"
 )
 
 // OperatorConfig is an operator's file with all that it names, read and checked whole.
@@ -161,13 +161,13 @@
 }
 
 // tlsListener is the further listener that a file turns on, with what is in force for its handshakes.
-func (o *OperatorConfig) tlsListener(serverTLS *atomic.Pointer[tls.Config]) *wire.TLSListener {
+func (o *OperatorConfig) tlsListener(serverTLS *atomic.Pointer[tls.Config]) *transport.TLSListener {
 	if o.serverTLS == nil {
 		return nil
 	}
 	serverTLS.Store(o.serverTLS)
 	t := &o.File.TLS
-	return &wire.TLSListener{Addr: t.ListenAddress, Config: serverTLS.Load, MaxHandshakes: int64(t.MaxHandshakes), HandshakesPerSecond: t.HandshakeRate}
+	return &transport.TLSListener{Addr: t.ListenAddress, Config: serverTLS.Load, MaxHandshakes: int64(t.MaxHandshakes), HandshakesPerSecond: t.HandshakeRate}
 }
 
 // checkUnchanged tells what differs between two files that holds from the next start.
--- a/internal/pass/conn.go
+++ b/internal/pass/conn.go
@@ -6,14 +6,14 @@
 	"time"
 
 	"lanewheel/internal/spread"
-	"lanewheel/internal/wire"
+	"lanewheel/internal/transport"
 )
 
 // connection is one connection to a member.
 type connection struct {
 	forwarder   *Forwarder
 	endpoint    *endpoint
-	client      *wire.ClientConn
+	client      *transport.ClientConn
 	established bool
 	draining    bool // nothing new goes on it
 	lastID      uint32
@@ -95,7 +95,7 @@
 }
 
 // handleResponse hears an answer. One to an op that was given up here meanwhile is nobody's.
-func (c *connection) handleResponse(id uint32, response wire.Response) {
+func (c *connection) handleResponse(id uint32, response transport.Response) {
 	request := c.inFlight[id]
 	if request == nil {
 		return
--- a/internal/pass/pass.go
+++ b/internal/pass/pass.go
@@ -13,7 +13,7 @@
 	"lanewheel/internal/frontend"
 	"lanewheel/internal/members"
 	"lanewheel/internal/spread"
-	"lanewheel/internal/wire"
+	"lanewheel/internal/transport"
 )
 
 // Config is what passing goes by.
@@ -35,7 +35,7 @@
 // Forwarder is one process's way to the others. All of it belongs to its owner's loop.
 type Forwarder struct {
 	loop          *eventloop.Loop
-	net           *wire.Net
+	net           *transport.Net
 	config        Config
 	Balancer      *spread.Balancer
 	random        *rand.Rand
@@ -61,7 +61,7 @@
 	NotSent     bool // nothing of it went out to who had it last, and each before proved that it never ran
 	NoEndpoint  bool // there was nobody to give it to
 	TimedOut    bool // its time was up
-	wire.Response
+	transport.Response
 }
 
 // MayHaveRun tells whether it may have run.
@@ -87,7 +87,7 @@
 }
 
 // New makes a passer that knows nobody. It dials by net and has l's time.
-func New(eventLoop *eventloop.Loop, net *wire.Net, config Config, seed uint64, probeFunc ProbeFunc) *Forwarder {
+func New(eventLoop *eventloop.Loop, net *transport.Net, config Config, seed uint64, probeFunc ProbeFunc) *Forwarder {
 	return &Forwarder{loop: eventLoop, net: net, config: config, Balancer: spread.New(config.Balancer), random: rand.New(rand.NewPCG(seed, 3)), probeFunc: probeFunc, endpoints: map[spread.EndpointName]*endpoint{}}
 }
 
@@ -189,7 +189,7 @@
 		return false
 	})
 	if !found {
-		request.finish(Result{LastOutcome: spread.Rejected, NoEndpoint: true, Response: wire.Response{Error: "Busy", Metadata: frontend.ResponseMetadata{LoadReport: -1}}}) // each try before proved that it never ran
+		request.finish(Result{LastOutcome: spread.Rejected, NoEndpoint: true, Response: transport.Response{Error: "Busy", Metadata: frontend.ResponseMetadata{LoadReport: -1}}}) // each try before proved that it never ran
 		return
 	}
 	p.tryEndpoint(request, index)
@@ -222,7 +222,7 @@
 	}
 }
 
-var busyResponse, failedResponse = wire.Response{Error: "Busy", Metadata: frontend.ResponseMetadata{LoadReport: -1}}, wire.Response{Error: "Failed", Metadata: frontend.ResponseMetadata{LoadReport: -1}}
+var busyResponse, failedResponse = transport.Response{Error: "Busy", Metadata: frontend.ResponseMetadata{LoadReport: -1}}, transport.Response{Error: "Failed", Metadata: frontend.ResponseMetadata{LoadReport: -1}}
 
 // Random draws a number from 0 to 1.
 func (p *Forwarder) Random() float64 { return p.random.Float64() }
@@ -244,7 +244,7 @@
 }
 
 // finishAttempt hears how a try of an op ended, and tells it or has another member asked.
-func (p *Forwarder) finishAttempt(request *Request, name spread.EndpointName, response wire.Response, outcome spread.Outcome, notSent bool) {
+func (p *Forwarder) finishAttempt(request *Request, name spread.EndpointName, response transport.Response, outcome spread.Outcome, notSent bool) {
 	p.Balancer.RecordOutcome(p.loop.Now(), name, outcome, p.loop.Now()-request.attemptStartedAt)
 	request.connection = nil
 	if request.onDone == nil {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -17,7 +17,7 @@
 	"lanewheel/internal/pass"
 	"lanewheel/internal/server"
 	"lanewheel/internal/spread"
-	"lanewheel/internal/wire"
+	"lanewheel/internal/transport"
 )
 
 // Config is what a relay goes by beside the platform's configuration.
@@ -33,14 +33,14 @@
 	*eventloop.Loop
 	config      Config
 	platform    server.Config
-	net         *wire.Net
+	net         *transport.Net
 	buffers     *server.BufferPool
 	clients     *clients.Frontend
 	forwarder   *pass.Forwarder
 	classes     map[string]classConfig
 	inFlight    map[string]*proxiedRequest
 	frontends   []frontend.Frontend
-	registry    *wire.Registry
+	registry    *transport.Registry
 	draining    bool
 	acceptUntil time.Duration // when it leaves: from then on nothing new is passed on
 	counters    counters
@@ -64,7 +64,7 @@
 
 // Listen makes a relay that listens. Of the platform's configuration it takes what an instance would, less the runtime and the database.
 func Listen(platform server.Config, config Config, probe pass.ProbeFunc) (*Proxy, error) {
-	bufferCount := int(platform.MemoryMB*(1<<20)) / wire.BufferSize
+	bufferCount := int(platform.MemoryMB*(1<<20)) / transport.BufferSize
 	config.MaxInFlight = min(config.MaxInFlight, bufferCount/4) // a quarter of the memory is for bodies in hand, as in an instance
 	proxy := &Proxy{Loop: eventloop.New(bufferCount / 8), config: config, platform: platform, buffers: &server.BufferPool{}, classes: map[string]classConfig{}, inFlight: map[string]*proxiedRequest{}}
 	classes, _ := platform.Settings["op types"].([]admission.Settings)
@@ -74,7 +74,7 @@
 		objective, _ := class["target latency"].(time.Duration)
 		proxy.classes[name] = classConfig{class["repeats"] == "retryable", max(timeout, objective)}
 	}
-	proxy.net = &wire.Net{BufferPool: proxy.buffers, Post: proxy.Post, PostRead: proxy.PostBlocking, OnAccept: func(connection *wire.Conn) { proxy.clients.Accept(connection) }, OnFull: func() { proxy.clients.EvictIdle() },
+	proxy.net = &transport.Net{BufferPool: proxy.buffers, Post: proxy.Post, PostRead: proxy.PostBlocking, OnAccept: func(connection *transport.Conn) { proxy.clients.Accept(connection) }, OnFull: func() { proxy.clients.EvictIdle() },
 		MaxAccepted: int64(platform.MaxDescriptors) / 2, MaxDescriptors: platform.MaxDescriptors, MaxUnread: int64(platform.MemoryMB*(1<<20)) / 8, LocalIP: config.LocalIP()}
 	proxy.net.ReadTokens.Store(true) // who calls is the instance's to judge; a relay passes on what is brought
 	proxy.net.ReadHops.Store(true)
@@ -211,7 +211,7 @@
 func (r *Proxy) reportToRegistry() {
 	if r.registry == nil && r.platform.RegistryAddr != "" {
 		var err error
-		if r.registry, err = wire.NewRegistry(r.platform.RegistryAddr, r.platform.Name); err != nil {
+		if r.registry, err = transport.NewRegistry(r.platform.RegistryAddr, r.platform.Name); err != nil {
 			slog.Warn("no-roster", "err", err)
 		}
 	}
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -5,7 +5,7 @@
 
 	"lanewheel/admission"
 	"lanewheel/internal/eventloop"
-	"lanewheel/internal/wire"
+	"lanewheel/internal/transport"
 )
 
 // databaseCalls is the calls to the database that all instances share. Each has a connection of its own. Danger: a reply may
@@ -23,7 +23,7 @@
 	request     *activeRequest
 	startedAt   time.Duration
 	deadline    time.Duration
-	conn        *wire.DatabaseConn // nil while it waits for room
+	conn        *transport.DatabaseConn // nil while it waits for room
 	sent        bool
 	timer       *eventloop.Timer
 	done        func(admission.Outcome, time.Duration)
@@ -100,7 +100,7 @@
 	if call.slot != nil {
 		addr = call.slot.Addr()
 	}
-	var conn *wire.DatabaseConn
+	var conn *transport.DatabaseConn
 	conn = server.net.DialDatabase(addr, func(refused error) {
 		switch {
 		case refused == nil && call.request.run != nil && call.request.run.call == call:
@@ -117,7 +117,7 @@
 		}
 	})
 	call.conn = conn
-	conn.OnReply = func(reply wire.Reply) { d.handleReply(server, call, reply) }
+	conn.OnReply = func(reply transport.Reply) { d.handleReply(server, call, reply) }
 	conn.OnClose = func(string) {
 		d.open--
 		call.releaseSlot(admission.ConnectionLost, call.sent)
@@ -171,7 +171,7 @@
 }
 
 // handleReply tells what a reply proves, and no more.
-func (d *databaseCalls) handleReply(server *Server, call *databaseCall, reply wire.Reply) {
+func (d *databaseCalls) handleReply(server *Server, call *databaseCall, reply transport.Reply) {
 	if call.request.run == nil || call.request.run.call != call {
 		return
 	}
--- a/internal/server/health.go
+++ b/internal/server/health.go
@@ -4,13 +4,13 @@
 	"log/slog"
 	"time"
 
-	"lanewheel/internal/wire"
+	"lanewheel/internal/transport"
 )
 
 // health is how checks are answered, and the reports to the roster.
 type health struct {
 	healthy, fromState bool
-	registry           *wire.Registry
+	registry           *transport.Registry
 }
 
 // healthy tells whether a check is answered good: never before the runtime has come up.
@@ -53,7 +53,7 @@
 		return
 	}
 	if in.health.registry == nil {
-		registry, err := wire.NewRegistry(in.config.RegistryAddr, in.config.Name)
+		registry, err := transport.NewRegistry(in.config.RegistryAddr, in.config.Name)
 		if err != nil {
 			slog.Warn("no-roster", "err", err)
 			return
--- a/internal/server/instance.go
+++ b/internal/server/instance.go
@@ -14,7 +14,7 @@
 	"lanewheel/internal/frontend"
 	"lanewheel/internal/identity"
 	"lanewheel/internal/rights"
-	"lanewheel/internal/wire"
+	"lanewheel/internal/transport"
 )
 
 // Config is what an instance is told at its start.
@@ -30,15 +30,15 @@
 	GaugeNames       []string // our names, in the order told
 	ReportReadiness  bool     // the list follows health
 
-	Authn *identity.Config  // who may do what; nil: everybody everything
-	TLS   *wire.TLSListener // a further listener with TLS; nil: none
+	Authn *identity.Config       // who may do what; nil: everybody everything
+	TLS   *transport.TLSListener // a further listener with TLS; nil: none
 }
 
 // Server is one life of a service instance. All of it belongs to the owner loop.
 type Server struct {
 	*eventloop.Loop
 	config          Config
-	net             *wire.Net
+	net             *transport.Net
 	buffers         *BufferPool
 	controller      *admission.Controller // nil until the runtime has come up
 	decisionPending bool                  // the module has heard something in this batch
@@ -75,7 +75,7 @@
 
 // New makes an instance that listens and looks for its runtime.
 func New(config Config) (*Server, error) {
-	buffers := int(config.MemoryMB*(1<<20)) / wire.BufferSize
+	buffers := int(config.MemoryMB*(1<<20)) / transport.BufferSize
 	instance := &Server{Loop: eventloop.New(buffers / 8), config: config, buffers: &BufferPool{}, loadReport: -1, requests: map[admission.RequestID]*activeRequest{}}
 	instance.health.healthy = true
 	instance.timeouts, instance.tenants, instance.idempotent = map[admission.Class]time.Duration{}, map[admission.TenantID]bool{}, map[admission.Class]bool{}
@@ -100,7 +100,7 @@
 	budget := divideDescriptors(config.MaxDescriptors, openDescriptors()) // the runtime's two links are dialled too, and stand beside it
 	instance.database.maxConns = budget.calls
 	// An eighth of the memory is for answers that nobody reads.
-	instance.net = &wire.Net{BufferPool: instance.buffers, Post: instance.Post, PostRead: instance.PostBlocking, OnAccept: func(accepted *wire.Conn) { instance.clients.Accept(accepted) }, OnFull: func() { instance.clients.EvictIdle() },
+	instance.net = &transport.Net{BufferPool: instance.buffers, Post: instance.Post, PostRead: instance.PostBlocking, OnAccept: func(accepted *transport.Conn) { instance.clients.Accept(accepted) }, OnFull: func() { instance.clients.EvictIdle() },
 		MaxAccepted: int64(budget.clients), MaxConns: int64(budget.total) + 2, MaxDescriptors: config.MaxDescriptors, MaxUnread: int64(config.MemoryMB*(1<<20)) / 8}
 	if config.Authn != nil {
 		instance.authenticator = identity.New(*config.Authn, instance.Post, func() (time.Duration, time.Time) { return instance.Now(), instance.WallTime() })
@@ -185,7 +185,7 @@
 }
 
 // EnableSpillover has ops that are turned away here go elsewhere where that takes them. It belongs to the time before Serve.
-func (in *Server) EnableSpillover(newSpillover func(net *wire.Net) Spillover) {
+func (in *Server) EnableSpillover(newSpillover func(net *transport.Net) Spillover) {
 	in.spillover = newSpillover(in.net)
 	in.net.ReadHops.Store(true)
 }
--- a/internal/server/keep_test.go
+++ b/internal/server/keep_test.go
@@ -10,13 +10,13 @@
 	"lanewheel/admission"
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/frontend"
-	"lanewheel/internal/wire"
+	"lanewheel/internal/transport"
 )
 
 // Without a link the gauges last heard count for some looks, and then nothing is known.
 func Example_oldGauges() {
 	instance := &Server{Loop: eventloop.New(9)}
-	instance.handleGauges(wire.Event{CorrelationID: "look"})
+	instance.handleGauges(transport.Event{CorrelationID: "look"})
 	instance.gauges["want a core"] = 3
 	for _, at := range []time.Duration{0, 200 * time.Millisecond, 400 * time.Millisecond} {
 		instance.SetNow(at)
@@ -33,7 +33,7 @@
 	p := &BufferPool{}
 	p.Put(make([]byte, 10))
 	b := p.Get()
-	fmt.Println(len(b), cap(b) == wire.BufferSize)
+	fmt.Println(len(b), cap(b) == transport.BufferSize)
 	p.Put(append(b, "old"...))
 	fmt.Println(len(p.Get()))
 	// Output:
@@ -220,7 +220,7 @@
 	}
 	instance.Post(func() {
 		instance.Drain()
-		instance.handleEvent(wire.Event{Kind: "ready", Status: "steady"})
+		instance.handleEvent(transport.Event{Kind: "ready", Status: "steady"})
 		instance.Submit(frontend.Request{ID: "0123456789abcdef", Class: "view", SentUnixMilli: time.Now().UnixMilli(), MemoryKB: 1}, nil, printingResponder{})
 	})
 	<-served
--- a/internal/server/runs.go
+++ b/internal/server/runs.go
@@ -9,7 +9,7 @@
 
 	"lanewheel/admission"
 	"lanewheel/internal/frontend"
-	"lanewheel/internal/wire"
+	"lanewheel/internal/transport"
 )
 
 // run is an op's run, from its start until its end is read. It says what is to be sent anew on a new link.
@@ -27,12 +27,12 @@
 
 // runtimeLink is what is known of the link to the runtime.
 type runtimeLink struct {
-	conn          *wire.RuntimeConn // in use; nil while there is none
-	attempt       uint64            // the last one to open a link
-	dialing       *wire.RuntimeConn // by that one
-	synced        bool              // all notices of the time without a link have been read
-	lastSequence  uint64            // the number of the last notice read
-	fenceID       string            // the mark behind the replayed notices
+	conn          *transport.RuntimeConn // in use; nil while there is none
+	attempt       uint64                 // the last one to open a link
+	dialing       *transport.RuntimeConn // by that one
+	synced        bool                   // all notices of the time without a link have been read
+	lastSequence  uint64                 // the number of the last notice read
+	fenceID       string                 // the mark behind the replayed notices
 	correlations  uint64
 	backoff       time.Duration
 	pendingGauges string // the mark of the gauges that are awaited
@@ -65,7 +65,7 @@
 	if link.dialing != nil { // the address that it goes to may swallow it
 		link.dialing.CancelDial()
 	}
-	var conn *wire.RuntimeConn
+	var conn *transport.RuntimeConn
 	conn = in.net.DialRuntime(in.config.RuntimeAddr, func(refused error) {
 		if refused != nil {
 			retry()
@@ -82,7 +82,7 @@
 		conn.Sync(link.lastSequence)
 	})
 	link.dialing = conn
-	conn.OnEvent = func(event wire.Event) {
+	conn.OnEvent = func(event transport.Event) {
 		if link.conn == conn { // what an old link still brings comes again on the new one
 			in.handleEvent(event)
 		}
@@ -96,7 +96,7 @@
 }
 
 // handleEvent takes one line of the runtime.
-func (in *Server) handleEvent(event wire.Event) {
+func (in *Server) handleEvent(event transport.Event) {
 	link := &in.runtime
 	if event.Sequence > 0 {
 		if event.Sequence <= link.lastSequence {
@@ -133,7 +133,7 @@
 }
 
 // handleReady opens the module when the runtime comes up, and sets the fence on each link.
-func (in *Server) handleReady(event wire.Event) {
+func (in *Server) handleReady(event transport.Event) {
 	slog.Info("ready", "state", event.Status, "runtime_up_ms", event.Elapsed.Milliseconds())
 	// Danger: a module that opens behind the notice to leave knows nothing of it, and lets in what is cut off a moment later.
 	if in.controller == nil && !in.draining {
@@ -150,7 +150,7 @@
 
 // handleGauges takes the gauges. Danger: starting anew what has ended in the time without a link. The fence comes
 // behind all replayed notices, and only then what is still open is sent again.
-func (in *Server) handleGauges(event wire.Event) {
+func (in *Server) handleGauges(event transport.Event) {
 	link := &in.runtime
 	in.gauges, link.gaugesAt = map[string]float64{}, in.Now()
 	for i, name := range in.config.GaugeNames {
@@ -233,7 +233,7 @@
 }
 
 // handleEnd takes the end of a run. One that went well or failed answers its op.
-func (in *Server) handleEnd(event wire.Event) {
+func (in *Server) handleEnd(event transport.Event) {
 	active := in.requests[admission.RequestID(event.RequestID)]
 	if active == nil || active.run == nil {
 		return
@@ -266,12 +266,12 @@
 
 // handleRefused hears that a command was not carried out. A start that was not ends its op, and its front hears that the id, type
 // or body is that of no op. Danger: the module would take it for a run that failed.
-func (in *Server) handleRefused(event wire.Event) {
+func (in *Server) handleRefused(event transport.Event) {
 	active := in.requests[admission.RequestID(event.RequestID)]
 	if active == nil || active.run == nil || active.run.confirmed || event.Status != "start" {
 		slog.Warn("command-refused", "command", event.Status, "op", event.RequestID)
 		return
 	}
 	in.respond(active, func(responder frontend.Responder) { responder.RejectPermanently("unknown-op", in.metadata()) })
-	in.handleEnd(wire.Event{Kind: "end", RequestID: event.RequestID, Status: "nothing"})
+	in.handleEnd(transport.Event{Kind: "end", RequestID: event.RequestID, Status: "nothing"})
 }
--- a/internal/wire/golden_registry_test.go
+++ b/internal/transport/golden_registry_test.go
@@ -1,4 +1,4 @@
-package wire
+package transport
 
 import (
 	"net"
--- a/internal/wire/link.go
+++ b/internal/transport/link.go
@@ -1,6 +1,6 @@
-// Package wire is what a service instance speaks: one file a party, with its own incremental parsers and the
+// Package transport is what a service instance speaks: one file a party, with its own incremental parsers and the
 // connection objects whose callbacks the instance gives. It decides nothing and keeps nothing of an op.
-package wire
+package transport
 
 import (
 	"context"
