--- a/cmd/wirehost/host.go
+++ b/cmd/lanewheel-sim/host.go
@@ -7,13 +7,13 @@
 	"time"
 
 	"lanewheel/admission"
-	"lanewheel/internal/simwire"
+	"lanewheel/internal/simulator"
 )
 
 // simulation turns messages straight into calls on the instances, and their answers into messages.
 type simulation struct {
-	parser    simwire.Parser
-	reply     simwire.Reply
+	parser    simulator.Parser
+	reply     simulator.Reply
 	now       time.Duration
 	inBatch   bool
 	instances map[int]*instance
@@ -68,7 +68,7 @@
 	return false, h.handleEvent(message)
 }
 
-func (h *simulation) handleEvent(message simwire.Message) error {
+func (h *simulation) handleEvent(message simulator.Message) error {
 	number, err := message.Instance()
 	if err != nil {
 		return err
@@ -105,7 +105,7 @@
 	}
 }
 
-func (in *instance) dispatch(message simwire.Message) error {
+func (in *instance) dispatch(message simulator.Message) error {
 	switch message.Name {
 	case "order":
 		request, err := message.Order()
--- a/internal/simwire/golden_test.go
+++ b/internal/simulator/golden_test.go
@@ -1,4 +1,4 @@
-package simwire
+package simulator
 
 import (
 	"fmt"
--- a/internal/simwire/wire.go
+++ b/internal/simulator/wire.go
@@ -1,6 +1,6 @@
-// Package simwire reads and writes the simulator's wire, JSON one array a line, and translates its names
+// Package simulator reads and writes the simulator's wire, JSON one array a line, and translates its names
 // into those of package choice. It decides nothing.
-package simwire
+package simulator
 
 import (
 	"errors"
