--- a/internal/amqp/amqp_test.go
+++ b/internal/amqp/amqp_test.go
@@ -19,10 +19,10 @@
 	client "github.com/rabbitmq/amqp091-go"
 
 	"lanewheel/admission"
+	"lanewheel/internal/authn"
 	"lanewheel/internal/certs"
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/frontend"
-	"lanewheel/internal/identity"
 	"lanewheel/internal/intake"
 	"lanewheel/internal/standin"
 	"lanewheel/internal/standin/broker"
@@ -50,7 +50,7 @@
 	return c
 }
 
-func (c *fakeServer) Submit(ask frontend.Request, _ *identity.Credential, owed frontend.Responder) frontend.Handle {
+func (c *fakeServer) Submit(ask frontend.Request, _ *authn.Credential, owed frontend.Responder) frontend.Handle {
 	body := string(ask.Body)
 	if c.behave != nil {
 		c.behave(ask, body, owed)
--- a/internal/amqp/part.go
+++ b/internal/amqp/part.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"lanewheel/admission"
+	"lanewheel/internal/authn"
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/frontend"
-	"lanewheel/internal/identity"
 	"lanewheel/internal/intake"
 	"lanewheel/internal/logging"
 	"lanewheel/internal/watch"
@@ -44,9 +44,9 @@
 	retryBudget   *intake.RetryBudget
 	brokers       *brokerSelector
 	queues        map[intake.QueueName]*Queue
-	credentials   map[intake.QueueName]*identity.Credential // belong to the core's loop
-	inFlight      map[intake.MessageID]*pendingMessage      // in hand
-	session       *session                                  // nil while there is none
+	credentials   map[intake.QueueName]*authn.Credential // belong to the core's loop
+	inFlight      map[intake.MessageID]*pendingMessage   // in hand
+	session       *session                               // nil while there is none
 	lastID        uint64
 	pollingLoad   bool // for the core's load
 	draining      bool
@@ -71,13 +71,13 @@
 func New(config Config, server frontend.Server, postToServer func(...func()), seed uint64) *Consumer {
 	consumer := &Consumer{Loop: eventloop.New(1 << 16), config: config, server: server, postToServer: postToServer, random: rand.New(rand.NewPCG(seed, 1)),
 		deduplicator: intake.NewDeduplicator(config.MaxRemembered, config.RememberedFor), retryBudget: intake.NewRetryBudget(config.RetryFraction),
-		queues: map[intake.QueueName]*Queue{}, credentials: map[intake.QueueName]*identity.Credential{},
+		queues: map[intake.QueueName]*Queue{}, credentials: map[intake.QueueName]*authn.Credential{},
 		inFlight: map[intake.MessageID]*pendingMessage{}, closed: make(chan struct{}), counters: map[string]uint64{}}
 	var queues []intake.Queue
 	for i := range config.Queues {
 		queue := &config.Queues[i]
 		consumer.queues[queue.Name] = queue
-		consumer.credentials[queue.Name] = &identity.Credential{ConfiguredIdentity: queue.Identity}
+		consumer.credentials[queue.Name] = &authn.Credential{ConfiguredIdentity: queue.Identity}
 		queues = append(queues, queue.Queue)
 	}
 	consumer.flow = intake.NewFlowController(queues, config.MaxInFlight)
--- a/internal/identity/door.go
+++ b/internal/authn/door.go
@@ -1,6 +1,6 @@
-// Package identity is the door: it tells who an op's caller is and whether the op may come in. What it decides stands in
+// Package authn is the door: it tells who an op's caller is and whether the op may come in. What it decides stands in
 // rights, keyring, tokens and certs; here it is put together, and what takes time is done beside the owner loop.
-package identity
+package authn
 
 import (
 	"crypto/x509"
--- a/internal/clients/stubs.go
+++ b/internal/clients/stubs.go
@@ -7,10 +7,10 @@
 	"slices"
 	"time"
 
+	"lanewheel/internal/authn"
 	"lanewheel/internal/certs"
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/frontend"
-	"lanewheel/internal/identity"
 	"lanewheel/internal/rights"
 	"lanewheel/internal/transport"
 )
@@ -28,8 +28,8 @@
 
 // Authenticator is who knows callers; nil where everybody may do everything.
 type Authenticator interface {
-	RevocationReason(*identity.Credential) rights.Denial
-	NeedsRecheck(*identity.Credential) bool
+	RevocationReason(*authn.Credential) rights.Denial
+	NeedsRecheck(*authn.Credential) bool
 	Sweep()
 }
 
@@ -159,7 +159,7 @@
 	closeReason   string        // it was closed, for this reason
 	received      bool          // a whole message has come on it
 	invalidInRow  int           // asks in a row that could never be served
-	credential    identity.Credential
+	credential    authn.Credential
 	barredReason  string // why nothing more is taken from it; it ends when its open ops are answered
 }
 
@@ -284,7 +284,7 @@
 				return
 			}
 		}
-		invalid = identity.IsForgery(rights.Denial(metadata.Reason))
+		invalid = authn.IsForgery(rights.Denial(metadata.Reason))
 	} else {
 		conn.conn.Fail(a.messageID, metadata)
 	}
--- a/internal/frontend/front.go
+++ b/internal/frontend/front.go
@@ -5,7 +5,7 @@
 import (
 	"time"
 
-	"lanewheel/internal/identity"
+	"lanewheel/internal/authn"
 )
 
 // Request is an op as a front has read it. Body stays valid only during the call that it is given to.
@@ -75,7 +75,7 @@
 type Server interface {
 	// Enter hands an op in; it gives nil if the op was answered at once. badge is what its caller proved, of one connection
 	// or queue; it is never nil.
-	Submit(ask Request, badge *identity.Credential, owed Responder) Handle
+	Submit(ask Request, badge *authn.Credential, owed Responder) Handle
 	// Gone tells that nobody waits for the op any more.
 	Cancel(Handle)
 	Load() Load
--- a/internal/lifecycle/callers.go
+++ b/internal/lifecycle/callers.go
@@ -12,10 +12,10 @@
 	"sync/atomic"
 	"time"
 
+	"lanewheel/internal/authn"
 	"lanewheel/internal/certs"
 	"lanewheel/internal/config"
 	"lanewheel/internal/diagnostic"
-	"lanewheel/internal/identity"
 	"lanewheel/internal/keyring"
 	"lanewheel/internal/members"
 	"lanewheel/internal/tokens"
@@ -25,8 +25,8 @@
 // OperatorConfig is an operator's file with all that it names, read and checked whole.
 type OperatorConfig struct {
 	File      config.Operator
-	Authn     *identity.Config // nil: all may do everything
-	serverTLS *tls.Config      // nil: no listener with TLS
+	Authn     *authn.Config // nil: all may do everything
+	serverTLS *tls.Config   // nil: no listener with TLS
 
 	ClusterKeys []members.Key // the first is the one to write with
 	digest      [sha256.Size]byte
@@ -62,7 +62,7 @@
 	}
 	file := &operatorConfig.File
 	if file.Callers.Enabled {
-		operatorConfig.Authn = &identity.Config{Policy: file.Callers.Policy, MaxRateEntries: file.Callers.MaxRateEntries}
+		operatorConfig.Authn = &authn.Config{Policy: file.Callers.Policy, MaxRateEntries: file.Callers.MaxRateEntries}
 	}
 	if file.Tokens.Enabled {
 		if err := digest.readTokens(&file.Tokens, operatorConfig.Authn); err != nil {
@@ -89,7 +89,7 @@
 }
 
 // readTokens reads the keys and the list of what was taken back.
-func (s fileDigest) readTokens(t *config.Tokens, authnConfig *identity.Config) error {
+func (s fileDigest) readTokens(t *config.Tokens, authnConfig *authn.Config) error {
 	files, err := keyring.ReadFolder(t.KeyDir)
 	if err != nil {
 		return err
@@ -118,7 +118,7 @@
 }
 
 // readServerTLS reads what the listener with TLS needs.
-func (s fileDigest) readServerTLS(t *config.TLS, authnConfig *identity.Config) (*tls.Config, error) {
+func (s fileDigest) readServerTLS(t *config.TLS, authnConfig *authn.Config) (*tls.Config, error) {
 	cert, err := s.readFile(t.CertificateFile)
 	if err != nil {
 		return nil, err
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -9,10 +9,10 @@
 	"time"
 
 	"lanewheel/admission"
+	"lanewheel/internal/authn"
 	"lanewheel/internal/clients"
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/frontend"
-	"lanewheel/internal/identity"
 	"lanewheel/internal/members"
 	"lanewheel/internal/pass"
 	"lanewheel/internal/server"
@@ -131,7 +131,7 @@
 }
 
 // Submit is front.Core.
-func (r *Proxy) Submit(received frontend.Request, _ *identity.Credential, responder frontend.Responder) frontend.Handle {
+func (r *Proxy) Submit(received frontend.Request, _ *authn.Credential, responder frontend.Responder) frontend.Handle {
 	r.counters.received++
 	class, known := r.classes[received.Class]
 	switch {
--- a/internal/server/door.go
+++ b/internal/server/door.go
@@ -2,19 +2,19 @@
 
 import (
 	"lanewheel/admission"
+	"lanewheel/internal/authn"
 	"lanewheel/internal/frontend"
-	"lanewheel/internal/identity"
 	"lanewheel/internal/rights"
 )
 
 // authenticate asks the door for an op that was read. One whose caller is not known yet waits in the tables, unheard by the module:
 // it can be given up, and its id is taken, as that of any other.
-func (in *Server) authenticate(credential *identity.Credential, request frontend.Request, responder frontend.Responder) *activeRequest {
-	wanted := identity.Request{Token: request.Token, Request: rights.Request{Class: admission.Class(request.Class),
+func (in *Server) authenticate(credential *authn.Credential, request frontend.Request, responder frontend.Responder) *activeRequest {
+	wanted := authn.Request{Token: request.Token, Request: rights.Request{Class: admission.Class(request.Class),
 		Tenant: admission.TenantID(request.Tenant), Write: request.Resource == ""}}
 	active := in.track(request, responder)
 	active.outsideController = true
-	in.authenticator.Authorize(credential, wanted, func(verdict identity.Decision) {
+	in.authenticator.Authorize(credential, wanted, func(verdict authn.Decision) {
 		if active.responder == nil || in.requests[active.id] != active { // gone meanwhile
 			in.authenticator.Release(&verdict.Permission)
 			return
@@ -26,7 +26,7 @@
 }
 
 // applyVerdict carries out what the door said of an op.
-func (in *Server) applyVerdict(request frontend.Request, active *activeRequest, verdict identity.Decision) {
+func (in *Server) applyVerdict(request frontend.Request, active *activeRequest, verdict authn.Decision) {
 	switch {
 	case verdict.Denial != "":
 		metadata := in.metadata()
@@ -57,7 +57,7 @@
 }
 
 // UpdateAuthn puts what an operator's file says of callers in force, as it was read anew.
-func (in *Server) UpdateAuthn(parts *identity.Config) {
+func (in *Server) UpdateAuthn(parts *authn.Config) {
 	if in.authenticator == nil || parts == nil {
 		return
 	}
--- a/internal/server/instance.go
+++ b/internal/server/instance.go
@@ -9,10 +9,10 @@
 	"time"
 
 	"lanewheel/admission"
+	"lanewheel/internal/authn"
 	"lanewheel/internal/clients"
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/frontend"
-	"lanewheel/internal/identity"
 	"lanewheel/internal/rights"
 	"lanewheel/internal/transport"
 )
@@ -30,7 +30,7 @@
 	GaugeNames       []string // our names, in the order told
 	ReportReadiness  bool     // the list follows health
 
-	Authn *identity.Config       // who may do what; nil: everybody everything
+	Authn *authn.Config          // who may do what; nil: everybody everything
 	TLS   *transport.TLSListener // a further listener with TLS; nil: none
 }
 
@@ -57,8 +57,8 @@
 	database      databaseCalls
 	idempotency   idempotencyCache
 	health        health
-	authenticator *identity.Authenticator // nil: all may enter
-	loadReport    float64                 // rides on all answers; under 0 until it is said
+	authenticator *authn.Authenticator // nil: all may enter
+	loadReport    float64              // rides on all answers; under 0 until it is said
 
 	maxRequests int // ops in hand
 	running     int // of them
@@ -103,7 +103,7 @@
 	instance.net = &transport.Net{BufferPool: instance.buffers, Post: instance.Post, PostRead: instance.PostBlocking, OnAccept: func(accepted *transport.Conn) { instance.clients.Accept(accepted) }, OnFull: func() { instance.clients.EvictIdle() },
 		MaxAccepted: int64(budget.clients), MaxConns: int64(budget.total) + 2, MaxDescriptors: config.MaxDescriptors, MaxUnread: int64(config.MemoryMB*(1<<20)) / 8}
 	if config.Authn != nil {
-		instance.authenticator = identity.New(*config.Authn, instance.Post, func() (time.Duration, time.Time) { return instance.Now(), instance.WallTime() })
+		instance.authenticator = authn.New(*config.Authn, instance.Post, func() (time.Duration, time.Time) { return instance.Now(), instance.WallTime() })
 		instance.net.ReadTokens.Store(config.Authn.KeySet != nil)
 	}
 	var authenticator clients.Authenticator // nil, not a door that is nil
@@ -192,7 +192,7 @@
 
 // Submit is front.Core: it takes an op from a front. What can't be taken is nacked at once: nothing is before the runtime has
 // come up, nor under the id of an op in hand that came elsewhere: whose it is can't be told, and it never ran.
-func (in *Server) Submit(request frontend.Request, credential *identity.Credential, responder frontend.Responder) frontend.Handle {
+func (in *Server) Submit(request frontend.Request, credential *authn.Credential, responder frontend.Responder) frontend.Handle {
 	// Danger: more bodies than there is memory for.
 	if in.controller == nil || len(in.requests) >= in.maxRequests || in.requests[admission.RequestID(request.ID)] != nil {
 		responder.Reject(in.metadata())
