--- a/internal/amqp/mapping.go
+++ b/internal/amqp/mapping.go
@@ -14,9 +14,9 @@
 
 	client "github.com/rabbitmq/amqp091-go"
 
+	"lanewheel/internal/authz"
 	"lanewheel/internal/frontend"
 	"lanewheel/internal/intake"
-	"lanewheel/internal/rights"
 )
 
 // Source is where a value is read in a message: a property, or a header.
@@ -183,6 +183,6 @@
 	intake.Queue
 	Settlement      intake.SettlementConfig
 	Mapping         Mapping
-	Identity        rights.Identity // whose ops its messages are; empty: each brings a token
-	DeadLetterQueue string          // name of the dead-letter queue, empty for none
+	Identity        authz.Identity // whose ops its messages are; empty: each brings a token
+	DeadLetterQueue string         // name of the dead-letter queue, empty for none
 }
--- a/internal/authn/door.go
+++ b/internal/authn/door.go
@@ -11,16 +11,16 @@
 	"time"
 
 	"lanewheel/admission"
+	"lanewheel/internal/authz"
 	"lanewheel/internal/certs"
 	"lanewheel/internal/keyring"
 	"lanewheel/internal/logging"
-	"lanewheel/internal/rights"
 	"lanewheel/internal/tokens"
 )
 
 // Config are what an operator's file says of callers, read and checked whole.
 type Config struct {
-	Policy         *rights.Policy
+	Policy         *authz.Policy
 	MaxRateEntries int               // of rates and counts, at a time
 	TrustStore     *certs.TrustStore // nil: no certificates
 	KeySet         *keyring.KeySet   // nil: no tokens
@@ -33,29 +33,29 @@
 // Credential is what a connection has proved. It belongs to the owner loop.
 type Credential struct {
 	Proof              *certs.VerifiedChain // nil: no certificate
-	ConfiguredIdentity rights.Identity      // who it is by the operator's word, empty if nobody says so
+	ConfiguredIdentity authz.Identity       // who it is by the operator's word, empty if nobody says so
 	proofGeneration    uint64               // the generation for which the proof was looked at last
-	proofDenial        rights.Denial
+	proofDenial        authz.Denial
 	suspect            bool // it has brought tokens that prove nothing
 
 	token               string // the last good one, and what it proves
 	entry               *tokens.CachedToken
-	principal           rights.Principal // by the token, else by the proof
-	principalGeneration uint64           // the generation for which who is right, 0 if it is not known
-	principalDenial     rights.Denial
+	principal           authz.Principal // by the token, else by the proof
+	principalGeneration uint64          // the generation for which who is right, 0 if it is not known
+	principalDenial     authz.Denial
 }
 
 // Request is an op that wants to come in.
 type Request struct {
-	rights.Request
+	authz.Request
 	Token string
 }
 
 // Decision is what the door says. With neither Why nor After the op may come in, under Tenant.
 type Decision struct {
 	Tenant     admission.TenantID
-	Permission rights.Permission
-	Denial     rights.Denial // denied
+	Permission authz.Permission
+	Denial     authz.Denial  // denied
 	RetryAfter time.Duration // not now
 }
 
@@ -66,11 +66,11 @@
 	config      Config
 	generation  uint64
 	trust       atomic.Pointer[certs.TrustStore] // for handshakes, which are made beside the loop
-	limiter     *rights.RateLimiter
+	limiter     *authz.RateLimiter
 	verifier    *tokens.Verifier
 	checks      chan tokenCheck
-	denialLog   logging.Sampler[rights.Denial]
-	denials     map[rights.Denial]uint64
+	denialLog   logging.Sampler[authz.Denial]
+	denials     map[authz.Denial]uint64
 	admitted    uint64
 	deferred    uint64
 	loggedTotal uint64 // admitted, denied and later together when last said
@@ -87,7 +87,7 @@
 
 // New opens a door. hand gives calls to the owner loop, clock is its time.
 func New(config Config, post func(...func()), clock func() (time.Duration, time.Time)) *Authenticator {
-	d := &Authenticator{post: post, clock: clock, denials: map[rights.Denial]uint64{}}
+	d := &Authenticator{post: post, clock: clock, denials: map[authz.Denial]uint64{}}
 	d.Reload(config)
 	return d
 }
@@ -126,7 +126,7 @@
 	for check := range jobs {
 		started := time.Now()
 		result := tokens.CheckResult{Raw: check.raw, Suspect: check.suspect, KeySet: check.keys}
-		result.Claims, result.Denial = tokens.Verify(check.raw, func(id keyring.KeyID) (*keyring.Key, rights.Denial) {
+		result.Claims, result.Denial = tokens.Verify(check.raw, func(id keyring.KeyID) (*keyring.Key, authz.Denial) {
 			key := check.keys.Find(id)
 			if key == nil {
 				return nil, keyring.UnknownKey
@@ -196,7 +196,7 @@
 
 // RevocationReason tells whether what a connection's certificate proved still counts; a reason bars it for good. It costs a
 // comparison while nothing has changed.
-func (d *Authenticator) RevocationReason(credential *Credential) rights.Denial {
+func (d *Authenticator) RevocationReason(credential *Credential) authz.Denial {
 	if credential.Proof == nil || credential.proofDenial != "" {
 		return credential.proofDenial
 	}
@@ -248,16 +248,16 @@
 	}
 	if d.draining {
 		d.deferred++
-		done(Decision{RetryAfter: rights.MinRetryAfter})
+		done(Decision{RetryAfter: authz.MinRetryAfter})
 		return
 	}
-	action, raw := d.verifier.RequestCheck(now, request.Token, credential.suspect, func(entry *tokens.CachedToken, denial rights.Denial, retryAfter time.Duration) {
+	action, raw := d.verifier.RequestCheck(now, request.Token, credential.suspect, func(entry *tokens.CachedToken, denial authz.Denial, retryAfter time.Duration) {
 		done(d.resume(credential, request, entry, denial, retryAfter))
 	})
 	d.perform(action, raw, credential.suspect)
 }
 
-func firstDenial(a, b rights.Denial) rights.Denial {
+func firstDenial(a, b authz.Denial) authz.Denial {
 	if a != "" {
 		return a
 	}
@@ -265,10 +265,10 @@
 }
 
 // resume goes on with what is known of a token.
-func (d *Authenticator) resume(credential *Credential, request Request, entry *tokens.CachedToken, denial rights.Denial, retryAfter time.Duration) Decision {
+func (d *Authenticator) resume(credential *Credential, request Request, entry *tokens.CachedToken, denial authz.Denial, retryAfter time.Duration) Decision {
 	if entry == nil && denial == "" {
 		d.deferred++
-		return Decision{RetryAfter: max(retryAfter, rights.MinRetryAfter)}
+		return Decision{RetryAfter: max(retryAfter, authz.MinRetryAfter)}
 	}
 	if denial != "" {
 		credential.suspect = credential.suspect || IsForgery(denial)
@@ -288,7 +288,7 @@
 	}
 	credential.principalGeneration, credential.entry, credential.token = d.generation, nil, ""
 	if credential.ConfiguredIdentity != "" {
-		credential.principal, credential.principalDenial = d.config.Policy.Resolve([]rights.Identity{credential.ConfiguredIdentity}, "", nil)
+		credential.principal, credential.principalDenial = d.config.Policy.Resolve([]authz.Identity{credential.ConfiguredIdentity}, "", nil)
 		return
 	}
 	if credential.Proof == nil {
@@ -308,7 +308,7 @@
 }
 
 // decide tells whether a known caller may do what it asks, now.
-func (d *Authenticator) decide(credential *Credential, entry *tokens.CachedToken, principal *rights.Principal, denial rights.Denial, request Request) Decision {
+func (d *Authenticator) decide(credential *Credential, entry *tokens.CachedToken, principal *authz.Principal, denial authz.Denial, request Request) Decision {
 	if denial != "" {
 		return d.deny(principal.Identity, request, denial)
 	}
@@ -337,13 +337,13 @@
 }
 
 // Release takes a pass back whose op is over.
-func (d *Authenticator) Release(permission *rights.Permission) {
+func (d *Authenticator) Release(permission *authz.Permission) {
 	now, _ := d.clock()
 	d.limiter.Release(now, permission)
 }
 
 // deny counts a denial and leaves its line.
-func (d *Authenticator) deny(name rights.Identity, request Request, denial rights.Denial) Decision {
+func (d *Authenticator) deny(name authz.Identity, request Request, denial authz.Denial) Decision {
 	d.denials[denial]++
 	if _, wall := d.clock(); d.denialLog.Allow(denial, wall) {
 		slog.Warn("denied", "why", denial, "caller", truncate(string(name)), "type", truncate(string(request.Class)), "tenant", truncate(string(request.Tenant)))
@@ -354,7 +354,7 @@
 // truncate bounds what a caller can write into the log.
 func truncate(s string) string { return s[:min(len(s), 128)] }
 
-func (b *Credential) principalName() rights.Identity {
+func (b *Credential) principalName() authz.Identity {
 	if b.Proof != nil && len(b.Proof.Identities) > 0 {
 		return b.Proof.Identities[0]
 	}
@@ -362,7 +362,7 @@
 }
 
 // IsForgery tells whether a token that is denied so was never good anywhere: whoever brings several is no caller of ours.
-func IsForgery(denial rights.Denial) bool {
+func IsForgery(denial authz.Denial) bool {
 	switch denial {
 	case tokens.TooLong, tokens.Malformed, tokens.WrongAlgorithm, tokens.CriticalHeader, tokens.BadSignature, tokens.WrongIssuer,
 		tokens.WrongAudience, tokens.NoSubject, keyring.UnknownKey:
@@ -380,7 +380,7 @@
 	if d.verifier != nil {
 		d.verifier.ExpireWaiting(now, false)
 	}
-	d.denialLog.FlushSuppressed(wall, func(denial rights.Denial, more int) { slog.Warn("denials", "why", denial, "more", more) })
+	d.denialLog.FlushSuppressed(wall, func(denial authz.Denial, more int) { slog.Warn("denials", "why", denial, "more", more) })
 	if now-d.loggedAt >= logInterval {
 		d.loggedAt = now
 		d.logCounters()
--- a/internal/rights/rights.go
+++ b/internal/authz/rights.go
@@ -1,6 +1,6 @@
-// Package rights decides who may do what, how often and how much at once. It is pure: values in, values out; the time is
+// Package authz decides who may do what, how often and how much at once. It is pure: values in, values out; the time is
 // an argument. A Book says who may; it never changes once it is made. A Gate keeps the rates and counts.
-package rights
+package authz
 
 import (
 	"fmt"
--- a/internal/rights/rights_test.go
+++ b/internal/authz/rights_test.go
@@ -1,4 +1,4 @@
-package rights
+package authz
 
 import (
 	"fmt"
--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -12,16 +12,16 @@
 	"math/big"
 	"time"
 
-	"lanewheel/internal/rights"
+	"lanewheel/internal/authz"
 )
 
 // Why a certificate proves nothing.
 const (
-	noCertificate       rights.Denial = "no-certificate"
-	Untrusted           rights.Denial = "untrusted"  // no told authority stands behind it, or it is not for clients
-	expired             rights.Denial = "expired"    // or not valid yet
-	revoked             rights.Denial = "revoked"    // it, or what stands between it and its authority
-	staleRevocationList rights.Denial = "stale-list" // the list of what is taken back is too old to say
+	noCertificate       authz.Denial = "no-certificate"
+	Untrusted           authz.Denial = "untrusted"  // no told authority stands behind it, or it is not for clients
+	expired             authz.Denial = "expired"    // or not valid yet
+	revoked             authz.Denial = "revoked"    // it, or what stands between it and its authority
+	staleRevocationList authz.Denial = "stale-list" // the list of what is taken back is too old to say
 )
 
 // TrustStore is authorities and what they took back. It never changes.
@@ -127,7 +127,7 @@
 
 // VerifiedChain is a chain that was followed to its authority, and by what.
 type VerifiedChain struct {
-	Identities  []rights.Identity // URI, then DNS names, then the subject
+	Identities  []authz.Identity // URI, then DNS names, then the subject
 	chain       []*x509.Certificate
 	trustDigest [sha256.Size]byte
 	notBefore   time.Time
@@ -136,7 +136,7 @@
 }
 
 // Verify follows a chain, the client's own certificate first.
-func (t *TrustStore) Verify(presented []*x509.Certificate, now time.Time) (*VerifiedChain, rights.Denial) {
+func (t *TrustStore) Verify(presented []*x509.Certificate, now time.Time) (*VerifiedChain, authz.Denial) {
 	if len(presented) == 0 {
 		return nil, noCertificate
 	}
@@ -164,13 +164,13 @@
 	}
 	leaf := presented[0]
 	for _, uri := range leaf.URIs {
-		verified.Identities = append(verified.Identities, rights.Identity("uri:"+uri.String()))
+		verified.Identities = append(verified.Identities, authz.Identity("uri:"+uri.String()))
 	}
 	for _, name := range leaf.DNSNames {
-		verified.Identities = append(verified.Identities, rights.Identity("dns:"+name))
+		verified.Identities = append(verified.Identities, authz.Identity("dns:"+name))
 	}
 	if subject := leaf.Subject.String(); subject != "" {
-		verified.Identities = append(verified.Identities, rights.Identity("subject:"+subject))
+		verified.Identities = append(verified.Identities, authz.Identity("subject:"+subject))
 	}
 	return verified, t.checkRevocation(verified, now)
 }
@@ -182,7 +182,7 @@
 }
 
 // Recheck tells whether a proof counts now. It costs little unless the authorities have changed since it was made.
-func (t *TrustStore) Recheck(verified *VerifiedChain, now time.Time) rights.Denial {
+func (t *TrustStore) Recheck(verified *VerifiedChain, now time.Time) authz.Denial {
 	if verified.trustDigest != t.digest {
 		again, denial := t.Verify(verified.chain, now)
 		if denial == "" {
@@ -197,7 +197,7 @@
 }
 
 // checkRevocation looks a chain up in the lists of those who issued it.
-func (t *TrustStore) checkRevocation(verified *VerifiedChain, now time.Time) rights.Denial {
+func (t *TrustStore) checkRevocation(verified *VerifiedChain, now time.Time) authz.Denial {
 	verified.listExpiry = time.Time{}
 	for _, certificate := range verified.chain {
 		for _, list := range t.revocationLists {
--- a/internal/certs/golden_test.go
+++ b/internal/certs/golden_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"lanewheel/internal/rights"
+	"lanewheel/internal/authz"
 	"lanewheel/internal/scenes"
 )
 
@@ -59,7 +59,7 @@
 	for _, of := range []struct {
 		trust *TrustStore
 		name  string
-		why   rights.Denial
+		why   authz.Denial
 		names string
 	}{{trust, "client", "", "[uri:rota://water/7 dns:h.example subject:CN=handheld]"}, {trust, "taken", "revoked", ""},
 		{without, "taken", "", "[uri:rota://water/8 subject:CN=taken]"}, {trust, "server", "untrusted", ""}} {
@@ -108,7 +108,7 @@
 
 // The reasons that are spoken, in answers, logs and listings.
 func TestGoldenReasons(t *testing.T) {
-	for reason, want := range map[rights.Denial]string{noCertificate: "no-certificate", Untrusted: "untrusted",
+	for reason, want := range map[authz.Denial]string{noCertificate: "no-certificate", Untrusted: "untrusted",
 		expired: "expired", revoked: "revoked",
 		staleRevocationList: "stale-list"} {
 		if string(reason) != want {
--- a/internal/clients/stubs.go
+++ b/internal/clients/stubs.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"lanewheel/internal/authn"
+	"lanewheel/internal/authz"
 	"lanewheel/internal/certs"
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/frontend"
-	"lanewheel/internal/rights"
 	"lanewheel/internal/transport"
 )
 
@@ -28,7 +28,7 @@
 
 // Authenticator is who knows callers; nil where everybody may do everything.
 type Authenticator interface {
-	RevocationReason(*authn.Credential) rights.Denial
+	RevocationReason(*authn.Credential) authz.Denial
 	NeedsRecheck(*authn.Credential) bool
 	Sweep()
 }
@@ -284,7 +284,7 @@
 				return
 			}
 		}
-		invalid = authn.IsForgery(rights.Denial(metadata.Reason))
+		invalid = authn.IsForgery(authz.Denial(metadata.Reason))
 	} else {
 		conn.conn.Fail(a.messageID, metadata)
 	}
--- a/internal/command/keys.go
+++ b/internal/command/keys.go
@@ -14,9 +14,9 @@
 	"github.com/go-jose/go-jose/v4"
 	"github.com/go-jose/go-jose/v4/jwt"
 
+	"lanewheel/internal/authz"
 	"lanewheel/internal/keyring"
 	"lanewheel/internal/lifecycle"
-	"lanewheel/internal/rights"
 	"lanewheel/internal/tokens"
 )
 
@@ -301,10 +301,10 @@
 }
 
 // verifyNow tells whether a token counts now, as an instance would.
-func verifyNow(raw string, keys *keyring.KeySet, policy *tokens.Policy, revoked *tokens.Revocations) rights.Denial {
+func verifyNow(raw string, keys *keyring.KeySet, policy *tokens.Policy, revoked *tokens.Revocations) authz.Denial {
 	now := time.Now()
 	ring := keyring.NewKeyring(keys, time.Second)
-	claims, denial := tokens.Verify(raw, func(id keyring.KeyID) (*keyring.Key, rights.Denial) { return ring.Find(id, now) }, policy)
+	claims, denial := tokens.Verify(raw, func(id keyring.KeyID) (*keyring.Key, authz.Denial) { return ring.Find(id, now) }, policy)
 	if denial == "" {
 		denial = claims.CheckTime(now, policy)
 	}
--- a/internal/config/amqp.go
+++ b/internal/config/amqp.go
@@ -8,8 +8,8 @@
 	client "github.com/rabbitmq/amqp091-go"
 
 	"lanewheel/internal/amqp"
+	"lanewheel/internal/authz"
 	"lanewheel/internal/intake"
-	"lanewheel/internal/rights"
 )
 
 // AMQP is the front for messages on queues.
@@ -90,7 +90,7 @@
 		if kind, rest, _ := strings.Cut(identity, ":"); rest == "" || kind != "token" && kind != "uri" && kind != "dns" && kind != "subject" {
 			s.report("identity", identity, "wants message, or an identity as token:depot")
 		}
-		queue.Identity = rights.Identity(identity)
+		queue.Identity = authz.Identity(identity)
 	}
 	s.intValue("attempts", &queue.Settlement.MaxAttempts, 1, 1000)
 	s.boolValue("retry-queue", &queue.Settlement.UseRetryQueue)
--- a/internal/config/callers.go
+++ b/internal/config/callers.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"lanewheel/admission"
-	"lanewheel/internal/rights"
+	"lanewheel/internal/authz"
 )
 
 // readCallers reads [callers], and each [role NAME] and [caller NAME].
@@ -16,7 +16,7 @@
 	s := r.section("callers")
 	callers.Enabled = s.exists()
 	for _, name := range s.listValue("anonymous") {
-		callers.anonymousRoles = append(callers.anonymousRoles, rights.RoleName(name))
+		callers.anonymousRoles = append(callers.anonymousRoles, authz.RoleName(name))
 	}
 	for _, name := range s.listValue("writes") {
 		callers.writeClasses = append(callers.writeClasses, admission.Class(name))
@@ -29,7 +29,7 @@
 		callers.Roles = append(callers.Roles, s.readRole())
 		knownRoles[s.label()] = true
 	}
-	checkRoles := func(s *section, name string, roles []rights.RoleName) {
+	checkRoles := func(s *section, name string, roles []authz.RoleName) {
 		for _, role := range roles {
 			if !knownRoles[string(role)] {
 				s.report(name, string(role), "is no role of this file; wants one of "+joinSorted(knownRoles))
@@ -52,15 +52,15 @@
 	}
 	if len(r.diagnostics) == 0 {
 		var err error
-		if callers.Policy, err = rights.NewPolicy(callers.Roles, callers.Bindings, callers.writeClasses, callers.anonymousRoles); err != nil {
+		if callers.Policy, err = authz.NewPolicy(callers.Roles, callers.Bindings, callers.writeClasses, callers.anonymousRoles); err != nil {
 			r.report("callers", "", "", err.Error())
 		}
 	}
 	return callers
 }
 
-func (s *section) readRole() rights.Role {
-	role := rights.Role{Name: rights.RoleName(s.label())}
+func (s *section) readRole() authz.Role {
+	role := authz.Role{Name: authz.RoleName(s.label())}
 	for _, name := range s.listValue("tenants") {
 		role.Tenants = append(role.Tenants, admission.TenantID(name))
 	}
@@ -91,8 +91,8 @@
 	return role
 }
 
-func (s *section) readBinding() rights.Binding {
-	binding := rights.Binding{Name: s.label(), Patterns: s.listValue("match")}
+func (s *section) readBinding() authz.Binding {
+	binding := authz.Binding{Name: s.label(), Patterns: s.listValue("match")}
 	if len(binding.Patterns) == 0 {
 		s.report("match", "", "wants identities, as uri:rota://water/* or token:depot-7")
 	}
@@ -106,7 +106,7 @@
 	s.stringValue("tenant", &tenant)
 	binding.Tenant = admission.TenantID(tenant)
 	for _, name := range s.listValue("roles") {
-		binding.Roles = append(binding.Roles, rights.RoleName(name))
+		binding.Roles = append(binding.Roles, authz.RoleName(name))
 	}
 	if len(binding.Roles) == 0 {
 		s.report("roles", "", "wants roles with commas between")
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"lanewheel/admission"
+	"lanewheel/internal/authz"
 	"lanewheel/internal/diagnostic"
-	"lanewheel/internal/rights"
 	"lanewheel/internal/tokens"
 )
 
@@ -33,12 +33,12 @@
 // Callers is who may do what. It is on if the file has any section that speaks of callers.
 type Callers struct {
 	Enabled        bool
-	anonymousRoles []rights.RoleName // of callers that prove nothing
+	anonymousRoles []authz.RoleName  // of callers that prove nothing
 	writeClasses   []admission.Class // what changes something, whatever an op says of itself
 	MaxRateEntries int               // identities whose rates and counts are kept, by role
-	Roles          []rights.Role
-	Bindings       []rights.Binding
-	Policy         *rights.Policy
+	Roles          []authz.Role
+	Bindings       []authz.Binding
+	Policy         *authz.Policy
 }
 
 // Tokens is how signed tokens are checked.
--- a/internal/keyring/golden_test.go
+++ b/internal/keyring/golden_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/go-jose/go-jose/v4"
 
-	"lanewheel/internal/rights"
+	"lanewheel/internal/authz"
 	"lanewheel/internal/scenes"
 )
 
@@ -40,8 +40,8 @@
 		algorithm   jose.SignatureAlgorithm
 		from, until time.Time
 		withdrawn   bool
-		early, late rights.Denial // a second before the first moment, and at the last
-		between     rights.Denial
+		early, late authz.Denial // a second before the first moment, and at the last
+		between     authz.Denial
 	}{
 		{id: "ed", algorithm: jose.EdDSA, from: from, until: until, early: "early-key", late: "retired-key"},
 		{id: "es", algorithm: jose.ES256},
@@ -59,7 +59,7 @@
 			filepath.Base(k.File) != string(w.id)+".json" {
 			t.Errorf("%s reads as %+v", w.id, k)
 		}
-		for at, why := range map[time.Time]rights.Denial{from.Add(-time.Second): w.early, start: w.between, until: w.late} {
+		for at, why := range map[time.Time]authz.Denial{from.Add(-time.Second): w.early, start: w.between, until: w.late} {
 			if got := k.CheckTime(at); got != why {
 				t.Errorf("%s at %v: %q, want %q", w.id, at, got, why)
 			}
@@ -75,7 +75,7 @@
 
 // The names and reasons that are spoken, in answers, logs and listings.
 func TestGoldenReasons(t *testing.T) {
-	for reason, want := range map[rights.Denial]string{UnknownKey: "unknown-key", notYetValid: "early-key",
+	for reason, want := range map[authz.Denial]string{UnknownKey: "unknown-key", notYetValid: "early-key",
 		retired: "retired-key", Withdrawn: "withdrawn-key"} {
 		if string(reason) != want {
 			t.Errorf("%q, want %q", reason, want)
--- a/internal/keyring/keyring.go
+++ b/internal/keyring/keyring.go
@@ -18,8 +18,8 @@
 
 	"github.com/go-jose/go-jose/v4"
 
+	"lanewheel/internal/authz"
 	"lanewheel/internal/diagnostic"
-	"lanewheel/internal/rights"
 )
 
 // KeyID is a key's kid.
@@ -27,10 +27,10 @@
 
 // The reasons for which a key does not count.
 const (
-	UnknownKey  rights.Denial = "unknown-key"   // no file has it
-	notYetValid rights.Denial = "early-key"     // published, but its time has not come
-	retired     rights.Denial = "retired-key"   // its time is over
-	Withdrawn   rights.Denial = "withdrawn-key" // taken back before its time, or its file is gone
+	UnknownKey  authz.Denial = "unknown-key"   // no file has it
+	notYetValid authz.Denial = "early-key"     // published, but its time has not come
+	retired     authz.Denial = "retired-key"   // its time is over
+	Withdrawn   authz.Denial = "withdrawn-key" // taken back before its time, or its file is gone
 )
 
 // Key is one public key.
@@ -45,7 +45,7 @@
 }
 
 // CheckTime tells whether a key counts at a moment. It is a told time, the same for all instances, whenever they read the file.
-func (k *Key) CheckTime(wall time.Time) rights.Denial {
+func (k *Key) CheckTime(wall time.Time) authz.Denial {
 	switch {
 	case k.Withdrawn:
 		return Withdrawn
@@ -272,7 +272,7 @@
 }
 
 // Find tells of a key at a moment: nil with the reason if it does not count then.
-func (r *Keyring) Find(id KeyID, wall time.Time) (*Key, rights.Denial) {
+func (r *Keyring) Find(id KeyID, wall time.Time) (*Key, authz.Denial) {
 	key := r.set.Find(id)
 	switch {
 	case key != nil:
--- a/internal/keyring/keyring_test.go
+++ b/internal/keyring/keyring_test.go
@@ -11,7 +11,7 @@
 
 	"pgregory.net/rapid"
 
-	"lanewheel/internal/rights"
+	"lanewheel/internal/authz"
 	"lanewheel/internal/scenes"
 )
 
@@ -165,7 +165,7 @@
 			r.Replace(scenes.Must(ParseSet(files)))
 			at := rapid.IntRange(0, 7).Draw(t, "at")
 			for _, id := range []string{"a", "b", "c", "d"} {
-				want := rights.Denial("")
+				want := authz.Denial("")
 				switch k, there := table[id]; {
 				case !there && ever[id]:
 					want = Withdrawn
--- a/internal/server/door.go
+++ b/internal/server/door.go
@@ -3,14 +3,14 @@
 import (
 	"lanewheel/admission"
 	"lanewheel/internal/authn"
+	"lanewheel/internal/authz"
 	"lanewheel/internal/frontend"
-	"lanewheel/internal/rights"
 )
 
 // authenticate asks the door for an op that was read. One whose caller is not known yet waits in the tables, unheard by the module:
 // it can be given up, and its id is taken, as that of any other.
 func (in *Server) authenticate(credential *authn.Credential, request frontend.Request, responder frontend.Responder) *activeRequest {
-	wanted := authn.Request{Token: request.Token, Request: rights.Request{Class: admission.Class(request.Class),
+	wanted := authn.Request{Token: request.Token, Request: authz.Request{Class: admission.Class(request.Class),
 		Tenant: admission.TenantID(request.Tenant), Write: request.Resource == ""}}
 	active := in.track(request, responder)
 	active.outsideController = true
--- a/internal/server/instance.go
+++ b/internal/server/instance.go
@@ -10,10 +10,10 @@
 
 	"lanewheel/admission"
 	"lanewheel/internal/authn"
+	"lanewheel/internal/authz"
 	"lanewheel/internal/clients"
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/frontend"
-	"lanewheel/internal/rights"
 	"lanewheel/internal/transport"
 )
 
@@ -171,7 +171,7 @@
 	original          *frontend.Request // as it came, less its body; nil where nothing is handed over
 	deadline          time.Duration     // with it
 	spilloverHandle   frontend.Handle   // it is elsewhere
-	permission        rights.Permission // given back when the op is over
+	permission        authz.Permission  // given back when the op is over
 }
 
 // Spillover is where an op may go that the module has turned away here. It belongs to the owner loop.
--- a/internal/tokens/bounds.go
+++ b/internal/tokens/bounds.go
@@ -4,7 +4,7 @@
 	"container/heap"
 	"time"
 
-	"lanewheel/internal/rights"
+	"lanewheel/internal/authz"
 )
 
 // cpuBudget is the time that checks may take: a bucket that fills with a share of the time that passes. It has two parts, one
@@ -103,7 +103,7 @@
 
 // use notes an id. Danger: forgetting one before it expires lets it be used again. When the bound is reached nothing is
 // forgotten; the newcomer is told to come again when the first one expires.
-func (o *singleUseIDs) use(wall time.Time, id string, expiresAt time.Time) (rights.Denial, time.Duration) {
+func (o *singleUseIDs) use(wall time.Time, id string, expiresAt time.Time) (authz.Denial, time.Duration) {
 	if _, used := o.expiresAt[id]; used {
 		return replayed, 0
 	}
--- a/internal/tokens/golden_test.go
+++ b/internal/tokens/golden_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
+	"lanewheel/internal/authz"
 	"lanewheel/internal/keyring"
-	"lanewheel/internal/rights"
 	"lanewheel/internal/scenes"
 )
 
@@ -33,7 +33,7 @@
 // Tokens of each algorithm verify, prove what they were issued for, and name their claims as ever.
 func TestGoldenTokens(t *testing.T) {
 	keys := scenes.Must(keyring.LoadSet("../keyring/testdata/golden"))
-	find := func(id keyring.KeyID) (*keyring.Key, rights.Denial) {
+	find := func(id keyring.KeyID) (*keyring.Key, authz.Denial) {
 		if k := keys.Find(id); k != nil {
 			return k, "" // whether it counts is decided in keyring
 		}
@@ -49,10 +49,10 @@
 		claims    Claims
 		extra     []string
 	}{
-		"ed": {"EdDSA", p, Claims{Subject: "handheld-7", ID: "t-ed", Tenant: "water", Roles: []rights.RoleName{"crew",
+		"ed": {"EdDSA", p, Claims{Subject: "handheld-7", ID: "t-ed", Tenant: "water", Roles: []authz.RoleName{"crew",
 			"visitor"}, KeyID: "ed"},
 			[]string{"tenant", "roles"}},
-		"es": {"ES256", &named, Claims{Subject: "handheld-8", ID: "t-es", Tenant: "roads", Roles: []rights.RoleName{"crew"},
+		"es": {"ES256", &named, Claims{Subject: "handheld-8", ID: "t-es", Tenant: "roads", Roles: []authz.RoleName{"crew"},
 			KeyID: "es"},
 			[]string{"org", "groups"}},
 		"rs": {"RS256", p, Claims{Subject: "handheld-9", ID: "t-rs", KeyID: "rs"}, nil},
@@ -117,7 +117,7 @@
 
 // The reasons that are spoken, in answers, logs and listings.
 func TestGoldenReasons(t *testing.T) {
-	for reason, want := range map[rights.Denial]string{TooLong: "too-long", Malformed: "malformed",
+	for reason, want := range map[authz.Denial]string{TooLong: "too-long", Malformed: "malformed",
 		WrongAlgorithm: "algorithm", CriticalHeader: "critical",
 		BadSignature: "signature", expired: "expired", notYetValid: "early", WrongIssuer: "issuer", WrongAudience: "audience",
 		NoSubject: "subject", Revoked: "revoked",
--- a/internal/tokens/office.go
+++ b/internal/tokens/office.go
@@ -5,8 +5,8 @@
 	"crypto/sha256"
 	"time"
 
+	"lanewheel/internal/authz"
 	"lanewheel/internal/keyring"
-	"lanewheel/internal/rights"
 )
 
 // Limits are what an Office may use. All come from the operator's file.
@@ -33,7 +33,7 @@
 
 // cachedDenial is a token that proved nothing.
 type cachedDenial struct {
-	denial     rights.Denial
+	denial     authz.Denial
 	generation uint64
 	expiresAt  time.Duration
 }
@@ -77,7 +77,7 @@
 const maxWait = 250 * time.Millisecond
 
 // callback is handed the verdict: an entry, or a reason, or, with neither, the time after which to come again.
-type callback func(e *CachedToken, why rights.Denial, after time.Duration)
+type callback func(e *CachedToken, why authz.Denial, after time.Duration)
 
 // Action is what an Office wants done beside the loop.
 type Action int
@@ -114,7 +114,7 @@
 
 // Lookup gives a token's entry if it is remembered, or why it proves nothing if that is known. Otherwise known is false and the
 // caller is to Ask.
-func (o *Verifier) Lookup(now time.Duration, wall time.Time, raw string) (entry *CachedToken, denial rights.Denial, known bool) {
+func (o *Verifier) Lookup(now time.Duration, wall time.Time, raw string) (entry *CachedToken, denial authz.Denial, known bool) {
 	if len(raw) > o.policy.MaxBytes {
 		return nil, TooLong, true
 	}
@@ -134,14 +134,14 @@
 
 // Revalidate tells whether a remembered entry counts now; not sure means that it has to be checked again.
 // It is looked at with every op, and costs some comparisons while nothing has changed.
-func (o *Verifier) Revalidate(now time.Duration, wall time.Time, entry *CachedToken) (denial rights.Denial, current bool) {
+func (o *Verifier) Revalidate(now time.Duration, wall time.Time, entry *CachedToken) (denial authz.Denial, current bool) {
 	if o.cached[entry.digest] != entry {
 		return "", false
 	}
 	return o.validate(now, wall, entry)
 }
 
-func (o *Verifier) validate(now time.Duration, wall time.Time, entry *CachedToken) (rights.Denial, bool) {
+func (o *Verifier) validate(now time.Duration, wall time.Time, entry *CachedToken) (authz.Denial, bool) {
 	entry.referenced = true
 	if entry.generation != o.generation {
 		key := o.Keyring.Set().Find(entry.KeyID)
@@ -205,7 +205,7 @@
 	Raw      string
 	Suspect  bool // as it was asked for
 	Claims   Claims
-	Denial   rights.Denial
+	Denial   authz.Denial
 	Duration time.Duration
 	KeySet   *keyring.KeySet // by which it was checked
 }
@@ -308,7 +308,7 @@
 }
 
 // resolve hands a verdict to all that wait for it.
-func (o *Verifier) resolve(pending *pendingCheck, entry *CachedToken, denial rights.Denial, retryAfter time.Duration) {
+func (o *Verifier) resolve(pending *pendingCheck, entry *CachedToken, denial authz.Denial, retryAfter time.Duration) {
 	if o.pending[pending.digest] == pending {
 		delete(o.pending, pending.digest)
 		o.waiting -= len(pending.callbacks)
@@ -321,7 +321,7 @@
 }
 
 // UseOnce uses a token up that counts once, and tells whether it was used before, or that no more can be remembered.
-func (o *Verifier) UseOnce(wall time.Time, entry *CachedToken) (rights.Denial, time.Duration) {
+func (o *Verifier) UseOnce(wall time.Time, entry *CachedToken) (authz.Denial, time.Duration) {
 	if !o.policy.SingleUse {
 		return "", 0
 	}
@@ -374,10 +374,10 @@
 
 // permanentDenials are the reasons that stay true of a token whatever the time. Danger: one that was refused a moment too early
 // would stay refused when its time has come.
-var permanentDenials = map[rights.Denial]bool{Malformed: true, WrongAlgorithm: true, CriticalHeader: true, BadSignature: true, WrongIssuer: true,
+var permanentDenials = map[authz.Denial]bool{Malformed: true, WrongAlgorithm: true, CriticalHeader: true, BadSignature: true, WrongIssuer: true,
 	WrongAudience: true, NoSubject: true, noTokenID: true}
 
-func (o *Verifier) cacheDenial(now time.Duration, digest tokenDigest, denial rights.Denial) {
+func (o *Verifier) cacheDenial(now time.Duration, digest tokenDigest, denial authz.Denial) {
 	if _, known := o.denied[digest]; !known {
 		o.deniedOrder = append(o.deniedOrder, digest)
 		if len(o.deniedOrder) > max(1, o.limits.MaxCached) {
--- a/internal/tokens/tokens_test.go
+++ b/internal/tokens/tokens_test.go
@@ -14,8 +14,8 @@
 	"github.com/go-jose/go-jose/v4/jwt"
 	"pgregory.net/rapid"
 
+	"lanewheel/internal/authz"
 	"lanewheel/internal/keyring"
-	"lanewheel/internal/rights"
 	"lanewheel/internal/scenes"
 )
 
@@ -43,9 +43,9 @@
 	return scenes.Must(keyring.ParseSet(files))
 }
 
-func keyFinder(s *keyring.KeySet, wall time.Time) func(keyring.KeyID) (*keyring.Key, rights.Denial) {
+func keyFinder(s *keyring.KeySet, wall time.Time) func(keyring.KeyID) (*keyring.Key, authz.Denial) {
 	r := keyring.NewKeyring(s, time.Second)
-	return func(id keyring.KeyID) (*keyring.Key, rights.Denial) { return r.Find(id, wall) }
+	return func(id keyring.KeyID) (*keyring.Key, authz.Denial) { return r.Find(id, wall) }
 }
 
 // claims are those of a good token for an hour; change may change them.
@@ -163,7 +163,7 @@
 func (d *testVerifier) check(raw string) {
 	d.checks++
 	s := d.Keyring.Set()
-	c, why := Verify(raw, func(id keyring.KeyID) (*keyring.Key, rights.Denial) {
+	c, why := Verify(raw, func(id keyring.KeyID) (*keyring.Key, authz.Denial) {
 		if k := s.Find(id); k != nil {
 			return k, k.CheckTime(d.wall)
 		}
@@ -176,7 +176,7 @@
 // ask gives the verdict on a token as text.
 func (d *testVerifier) ask(raw string) string {
 	say := "waits"
-	tell := func(e *CachedToken, why rights.Denial, after time.Duration) {
+	tell := func(e *CachedToken, why authz.Denial, after time.Duration) {
 		switch {
 		case why != "":
 			say = string(why)
@@ -307,7 +307,7 @@
 	for i := range 100_000 {
 		d.advance(10 * time.Microsecond)
 		raw := fmt.Sprintf("%s.%s.%s", parts[0], parts[1], base64.RawURLEncoding.EncodeToString(fmt.Appendf(nil, "%064d", i)))
-		act, raw := d.RequestCheck(d.now, raw, true, func(e *CachedToken, why rights.Denial, after time.Duration) {
+		act, raw := d.RequestCheck(d.now, raw, true, func(e *CachedToken, why authz.Denial, after time.Duration) {
 			if why == "" {
 				turned++
 			}
--- a/internal/tokens/verify.go
+++ b/internal/tokens/verify.go
@@ -14,25 +14,25 @@
 	"github.com/go-jose/go-jose/v4/jwt"
 
 	"lanewheel/admission"
+	"lanewheel/internal/authz"
 	"lanewheel/internal/keyring"
-	"lanewheel/internal/rights"
 )
 
 // Why a token proves nothing.
 const (
-	TooLong        rights.Denial = "too-long"
-	Malformed      rights.Denial = "malformed"
-	WrongAlgorithm rights.Denial = "algorithm" // none, one we don't take, or not the key's own
-	CriticalHeader rights.Denial = "critical"  // it wants something understood that we don't
-	BadSignature   rights.Denial = "signature"
-	expired        rights.Denial = "expired"
-	notYetValid    rights.Denial = "early"
-	WrongIssuer    rights.Denial = "issuer"
-	WrongAudience  rights.Denial = "audience"
-	NoSubject      rights.Denial = "subject" // it names nobody
-	Revoked        rights.Denial = "revoked"
-	replayed       rights.Denial = "replayed"
-	noTokenID      rights.Denial = "no-id" // single use is told, and it has no jti
+	TooLong        authz.Denial = "too-long"
+	Malformed      authz.Denial = "malformed"
+	WrongAlgorithm authz.Denial = "algorithm" // none, one we don't take, or not the key's own
+	CriticalHeader authz.Denial = "critical"  // it wants something understood that we don't
+	BadSignature   authz.Denial = "signature"
+	expired        authz.Denial = "expired"
+	notYetValid    authz.Denial = "early"
+	WrongIssuer    authz.Denial = "issuer"
+	WrongAudience  authz.Denial = "audience"
+	NoSubject      authz.Denial = "subject" // it names nobody
+	Revoked        authz.Denial = "revoked"
+	replayed       authz.Denial = "replayed"
+	noTokenID      authz.Denial = "no-id" // single use is told, and it has no jti
 )
 
 // Policy is what a token has to say.
@@ -51,7 +51,7 @@
 	Subject   string
 	ID        string
 	Tenant    admission.TenantID
-	Roles     []rights.RoleName
+	Roles     []authz.RoleName
 	KeyID     keyring.KeyID
 	NotBefore time.Time // not-before, without the leeway; zero if it has none
 	Expiry    time.Time // without the leeway
@@ -61,15 +61,15 @@
 func NewID() string { return rand.Text() }
 
 // Identities are the identities that it proves.
-func (c *Claims) Identities() []rights.Identity {
-	return []rights.Identity{rights.Identity("token:" + c.Subject)}
+func (c *Claims) Identities() []authz.Identity {
+	return []authz.Identity{authz.Identity("token:" + c.Subject)}
 }
 
 var algorithms = []jose.SignatureAlgorithm{jose.EdDSA, jose.ES256, jose.RS256}
 
 // Verify reads a token and checks all that does not change while it is remembered: its form, key, signature, issuer and
 // audience. find gives the key in force. If the key does not count, its id comes back with the reason.
-func Verify(raw string, findKey func(keyring.KeyID) (*keyring.Key, rights.Denial), policy *Policy) (Claims, rights.Denial) {
+func Verify(raw string, findKey func(keyring.KeyID) (*keyring.Key, authz.Denial), policy *Policy) (Claims, authz.Denial) {
 	var claims Claims
 	// Danger: a token of any length costs time and memory before anything of it is known.
 	if len(raw) > policy.MaxBytes {
@@ -131,12 +131,12 @@
 		switch roles := private[policy.RolesClaim].(type) {
 		case string:
 			for _, role := range strings.Fields(roles) {
-				claims.Roles = append(claims.Roles, rights.RoleName(role))
+				claims.Roles = append(claims.Roles, authz.RoleName(role))
 			}
 		case []any:
 			for _, role := range roles {
 				if name, ok := role.(string); ok {
-					claims.Roles = append(claims.Roles, rights.RoleName(name))
+					claims.Roles = append(claims.Roles, authz.RoleName(name))
 				}
 			}
 		}
@@ -145,7 +145,7 @@
 }
 
 // CheckTime tells whether claims count at a moment, with the leeway.
-func (c *Claims) CheckTime(wall time.Time, policy *Policy) rights.Denial {
+func (c *Claims) CheckTime(wall time.Time, policy *Policy) authz.Denial {
 	switch {
 	case !wall.Before(c.Expiry.Add(policy.Leeway)):
 		return expired
