--- a/internal/amqp/amqp_test.go
+++ b/internal/amqp/amqp_test.go
@@ -19,11 +19,11 @@
 	client "github.com/rabbitmq/amqp091-go"
 
 	"lanewheel/admission"
+	"lanewheel/internal/amqp/delivery"
 	"lanewheel/internal/authn"
 	"lanewheel/internal/certs"
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/frontend"
-	"lanewheel/internal/intake"
 	"lanewheel/internal/standin"
 	"lanewheel/internal/standin/broker"
 )
@@ -82,8 +82,8 @@
 	consumer *Consumer
 }
 
-var defaultQueue = Queue{Queue: intake.Queue{Name: "ops", Weight: 1, MinInFlight: 2, MaxInFlight: 100},
-	Settlement: intake.SettlementConfig{MaxAttempts: 3, RetryQueueDelay: 20 * time.Millisecond, DeadLetter: true}, DeadLetterQueue: "dead", Identity: "token:depot",
+var defaultQueue = Queue{Queue: delivery.Queue{Name: "ops", Weight: 1, MinInFlight: 2, MaxInFlight: 100},
+	Settlement: delivery.SettlementConfig{MaxAttempts: 3, RetryQueueDelay: 20 * time.Millisecond, DeadLetter: true}, DeadLetterQueue: "dead", Identity: "token:depot",
 	Mapping: Mapping{Class: Source{Name: "type"}, DefaultWait: 30 * time.Second, MaxBodyBytes: 2048, DefaultRank: 0.5, DefaultKB: 1}}
 
 func testConfig(b *broker.Broker, queues ...Queue) Config {
@@ -386,7 +386,7 @@
 	b.SetBlocked(false)
 	s.settled("ops")
 	b.DeleteQueue("ops")
-	time.Sleep(intake.UpdateInterval)
+	time.Sleep(delivery.UpdateInterval)
 	b.DeclareQueue("ops", nil)
 	b.Publish("ops", newMessage("c", "view"))
 	s.settled("ops")
--- a/internal/intake/acks.go
+++ b/internal/amqp/delivery/acks.go
@@ -1,4 +1,4 @@
-package intake
+package delivery
 
 // AckTracker gathers the acks of one channel, so that many go as one. Danger: an ack of several covers everything before it, so it may
 // only cover what is done.
--- a/internal/intake/golden_test.go
+++ b/internal/amqp/delivery/golden_test.go
@@ -1,4 +1,4 @@
-package intake
+package delivery
 
 import (
 	"testing"
--- a/internal/intake/intake.go
+++ b/internal/amqp/delivery/intake.go
@@ -1,6 +1,6 @@
-// Package intake decides how many messages are taken from which queue, and what becomes of one. It is pure: values in,
+// Package delivery decides how many messages are taken from which queue, and what becomes of one. It is pure: values in,
 // values out; the time and chance are arguments.
-package intake
+package delivery
 
 import (
 	"cmp"
--- a/internal/amqp/mapping.go
+++ b/internal/amqp/mapping.go
@@ -14,9 +14,9 @@
 
 	client "github.com/rabbitmq/amqp091-go"
 
+	"lanewheel/internal/amqp/delivery"
 	"lanewheel/internal/authz"
 	"lanewheel/internal/frontend"
-	"lanewheel/internal/intake"
 )
 
 // Source is where a value is read in a message: a property, or a header.
@@ -80,7 +80,7 @@
 
 // parsedMessage is a message as it was read.
 type parsedMessage struct {
-	id            intake.MessageID
+	id            delivery.MessageID
 	request       frontend.Request
 	digest        uint64 // of what it says
 	attempt       int
@@ -91,7 +91,7 @@
 }
 
 // read reads a message; now is the wall clock, for one without a timestamp. A redelivery reads the same but for that.
-func (m *Mapping) read(queue intake.QueueName, incoming *client.Delivery, defect string, now time.Time) parsedMessage {
+func (m *Mapping) read(queue delivery.QueueName, incoming *client.Delivery, defect string, now time.Time) parsedMessage {
 	message := parsedMessage{replyTo: incoming.ReplyTo, correlationID: incoming.CorrelationId, defect: defect}
 	hash := sha256.New()
 	fmt.Fprintf(hash, "%q%q%q%q%d:", incoming.Type, incoming.ReplyTo, incoming.CorrelationId, incoming.Expiration, incoming.Timestamp.Unix())
@@ -102,8 +102,8 @@
 	sum := hash.Sum(nil)
 	message.digest = binary.BigEndian.Uint64(sum)
 	// A missing id is derived from all that the message says, so that a redelivery gets the same.
-	if message.id = intake.MessageID(incoming.MessageId); message.id == "" {
-		message.id = intake.MessageID("sha256:" + hex.EncodeToString(sum[:16]))
+	if message.id = delivery.MessageID(incoming.MessageId); message.id == "" {
+		message.id = delivery.MessageID("sha256:" + hex.EncodeToString(sum[:16]))
 	}
 	if message.correlationID == "" {
 		message.correlationID = incoming.MessageId
@@ -161,7 +161,7 @@
 }
 
 // rejections is how often a message was rejected by its queue's consumers, as the broker counts it in x-death.
-func rejections(queue intake.QueueName, headers client.Table) int {
+func rejections(queue delivery.QueueName, headers client.Table) int {
 	entries, _ := headers["x-death"].([]any)
 	for _, x := range entries {
 		entry, _ := x.(client.Table)
@@ -180,8 +180,8 @@
 
 // Queue is one queue as the operator's file tells of it.
 type Queue struct {
-	intake.Queue
-	Settlement      intake.SettlementConfig
+	delivery.Queue
+	Settlement      delivery.SettlementConfig
 	Mapping         Mapping
 	Identity        authz.Identity // whose ops its messages are; empty: each brings a token
 	DeadLetterQueue string         // name of the dead-letter queue, empty for none
--- a/internal/amqp/part.go
+++ b/internal/amqp/part.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"lanewheel/admission"
+	"lanewheel/internal/amqp/delivery"
 	"lanewheel/internal/authn"
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/frontend"
-	"lanewheel/internal/intake"
 	"lanewheel/internal/logging"
 	"lanewheel/internal/watch"
 )
@@ -39,14 +39,14 @@
 	server        frontend.Server
 	postToServer  func(...func()) // to the core's loop
 	random        *rand.Rand
-	flow          *intake.FlowController
-	deduplicator  *intake.Deduplicator
-	retryBudget   *intake.RetryBudget
+	flow          *delivery.FlowController
+	deduplicator  *delivery.Deduplicator
+	retryBudget   *delivery.RetryBudget
 	brokers       *brokerSelector
-	queues        map[intake.QueueName]*Queue
-	credentials   map[intake.QueueName]*authn.Credential // belong to the core's loop
-	inFlight      map[intake.MessageID]*pendingMessage   // in hand
-	session       *session                               // nil while there is none
+	queues        map[delivery.QueueName]*Queue
+	credentials   map[delivery.QueueName]*authn.Credential // belong to the core's loop
+	inFlight      map[delivery.MessageID]*pendingMessage   // in hand
+	session       *session                                 // nil while there is none
 	lastID        uint64
 	pollingLoad   bool // for the core's load
 	draining      bool
@@ -70,17 +70,17 @@
 // New makes the front; it consumes once Start is called. hand gives calls to the core's loop.
 func New(config Config, server frontend.Server, postToServer func(...func()), seed uint64) *Consumer {
 	consumer := &Consumer{Loop: eventloop.New(1 << 16), config: config, server: server, postToServer: postToServer, random: rand.New(rand.NewPCG(seed, 1)),
-		deduplicator: intake.NewDeduplicator(config.MaxRemembered, config.RememberedFor), retryBudget: intake.NewRetryBudget(config.RetryFraction),
-		queues: map[intake.QueueName]*Queue{}, credentials: map[intake.QueueName]*authn.Credential{},
-		inFlight: map[intake.MessageID]*pendingMessage{}, closed: make(chan struct{}), counters: map[string]uint64{}}
-	var queues []intake.Queue
+		deduplicator: delivery.NewDeduplicator(config.MaxRemembered, config.RememberedFor), retryBudget: delivery.NewRetryBudget(config.RetryFraction),
+		queues: map[delivery.QueueName]*Queue{}, credentials: map[delivery.QueueName]*authn.Credential{},
+		inFlight: map[delivery.MessageID]*pendingMessage{}, closed: make(chan struct{}), counters: map[string]uint64{}}
+	var queues []delivery.Queue
 	for i := range config.Queues {
 		queue := &config.Queues[i]
 		consumer.queues[queue.Name] = queue
 		consumer.credentials[queue.Name] = &authn.Credential{ConfiguredIdentity: queue.Identity}
 		queues = append(queues, queue.Queue)
 	}
-	consumer.flow = intake.NewFlowController(queues, config.MaxInFlight)
+	consumer.flow = delivery.NewFlowController(queues, config.MaxInFlight)
 	consumer.brokers = newBrokerSelector(config.BrokerURLs, consumer.random.Float64)
 	return consumer
 }
@@ -170,7 +170,7 @@
 			p.applyLimits()
 			p.housekeep()
 			if !p.HasQuit() {
-				p.ScheduleAt(p.Now()+intake.UpdateInterval, p.pollLoad)
+				p.ScheduleAt(p.Now()+delivery.UpdateInterval, p.pollLoad)
 			}
 		})
 	})
@@ -191,7 +191,7 @@
 }
 
 // handleDelivery takes one delivery, read beside the loop.
-func (p *Consumer) handleDelivery(queue *Queue, message parsedMessage, tag intake.DeliveryTag, redelivered bool) {
+func (p *Consumer) handleDelivery(queue *Queue, message parsedMessage, tag delivery.DeliveryTag, redelivered bool) {
 	if p.session == nil || p.session.channelOf(queue.Name, tag) == nil {
 		return // lost meanwhile; it comes again
 	}
@@ -204,21 +204,21 @@
 	}
 	idempotent := p.config.IdempotentClasses[admission.Class(message.request.Class)]
 	decision, earlier := p.deduplicator.Receive(p.Now(), message.id, message.digest, tag, redelivered, idempotent)
-	conflict := decision == intake.IDConflict
+	conflict := decision == delivery.IDConflict
 	if conflict { // it is known by what it says, too
-		message.id = intake.MessageID(fmt.Sprintf("%s#%x", message.id, message.digest))
+		message.id = delivery.MessageID(fmt.Sprintf("%s#%x", message.id, message.digest))
 		decision, earlier = p.deduplicator.Receive(p.Now(), message.id, message.digest, tag, false, true)
 	}
 	pending := &pendingMessage{consumer: p, queue: queue, message: message}
 	switch decision {
-	case intake.Join: // in hand already; the delivery is settled with it
+	case delivery.Join: // in hand already; the delivery is settled with it
 		p.counters["joined"]++
 		return
-	case intake.AlreadyReplied:
+	case delivery.AlreadyReplied:
 		p.counters["repeated"]++
 		p.session.ack(queue.Name, tag)
 		return
-	case intake.ResendReply:
+	case delivery.ResendReply:
 		p.counters["answered-again"]++
 		if repeated, ok := earlier.(*reply); ok {
 			s := p.session
@@ -230,12 +230,12 @@
 		}
 		p.session.ack(queue.Name, tag)
 		return
-	case intake.Uncertain:
-		p.settle(pending, nil, p.disposition(pending, intake.MayHaveExecuted, 0), "")
+	case delivery.Uncertain:
+		p.settle(pending, nil, p.disposition(pending, delivery.MayHaveExecuted, 0), "")
 		return
 	}
 	if conflict {
-		p.settle(pending, nil, p.disposition(pending, intake.DuplicateID, 0), "")
+		p.settle(pending, nil, p.disposition(pending, delivery.DuplicateID, 0), "")
 		return
 	}
 	if message.attempt == 0 && !redelivered {
@@ -244,34 +244,34 @@
 	p.inFlight[message.id] = pending
 	switch {
 	case message.defect != "":
-		p.complete(pending, intake.Unservable, nil, frontend.ResponseMetadata{Reason: message.defect})
+		p.complete(pending, delivery.Unservable, nil, frontend.ResponseMetadata{Reason: message.defect})
 	case !time.Now().Before(message.deadline): // the core does not hear of it
-		p.complete(pending, intake.Expired, nil, frontend.ResponseMetadata{})
+		p.complete(pending, delivery.Expired, nil, frontend.ResponseMetadata{})
 	default:
 		p.postToServer(func() { p.server.Submit(message.request, p.credentials[queue.Name], pending) })
 	}
 }
 
 // disposition decides what becomes of a message.
-func (p *Consumer) disposition(pending *pendingMessage, outcome intake.Outcome, retryAfter time.Duration) intake.Disposition {
-	return p.retryBudget.Settle(intake.Message{Attempt: max(pending.message.attempt, p.deduplicator.Returns(pending.message.id)), Remaining: time.Until(pending.message.deadline),
+func (p *Consumer) disposition(pending *pendingMessage, outcome delivery.Outcome, retryAfter time.Duration) delivery.Disposition {
+	return p.retryBudget.Settle(delivery.Message{Attempt: max(pending.message.attempt, p.deduplicator.Returns(pending.message.id)), Remaining: time.Until(pending.message.deadline),
 		Idempotent: p.config.IdempotentClasses[admission.Class(pending.message.request.Class)]}, pending.queue.Settlement, outcome, retryAfter, p.random.Float64())
 }
 
 // complete takes how the op of a message came out.
-func (p *Consumer) complete(pending *pendingMessage, outcome intake.Outcome, result []byte, metadata frontend.ResponseMetadata) {
+func (p *Consumer) complete(pending *pendingMessage, outcome delivery.Outcome, result []byte, metadata frontend.ResponseMetadata) {
 	if pending.finished {
 		return
 	}
 	pending.finished = true
-	if p.draining && outcome == intake.Rejected {
-		outcome = intake.Drained
+	if p.draining && outcome == delivery.Rejected {
+		outcome = delivery.Drained
 	}
 	switch outcome {
-	case intake.Rejected:
+	case delivery.Rejected:
 		p.flow.Rejected()
-	case intake.Succeeded, intake.Failed:
-		p.flow.Finished(p.Now(), pending.queue.Name, outcome == intake.Failed)
+	case delivery.Succeeded, delivery.Failed:
+		p.flow.Finished(p.Now(), pending.queue.Name, outcome == delivery.Failed)
 	}
 	disposition := p.disposition(pending, outcome, metadata.RetryAfter)
 	if disposition.Delay > 0 {
@@ -281,7 +281,7 @@
 	p.settle(pending, result, disposition, metadata.Reason)
 }
 
-func (p *Consumer) settle(pending *pendingMessage, result []byte, disposition intake.Disposition, reason string) {
+func (p *Consumer) settle(pending *pendingMessage, result []byte, disposition delivery.Disposition, reason string) {
 	delete(p.inFlight, pending.message.id)
 	if !disposition.Reply {
 		tags := p.deduplicator.Returned(p.Now(), pending.message.id)
@@ -290,7 +290,7 @@
 			return // the broker has it back already
 		}
 		for _, tag := range tags {
-			if disposition.Action == intake.Reject {
+			if disposition.Action == delivery.Reject {
 				p.session.reject(pending.queue.Name, tag)
 			} else {
 				p.session.requeue(pending.queue.Name, tag)
@@ -304,9 +304,9 @@
 }
 
 // publishOutcome answers, copies to the dead-letter queue, and acks once both are confirmed.
-func (p *Consumer) publishOutcome(pending *pendingMessage, answer *reply, disposition intake.Disposition, reason string, tags []intake.DeliveryTag) {
+func (p *Consumer) publishOutcome(pending *pendingMessage, answer *reply, disposition delivery.Disposition, reason string, tags []delivery.DeliveryTag) {
 	p.counters[disposition.Code]++
-	if disposition.Code != intake.Succeeded.Code() && p.outcomeLog.Allow(disposition.Code, time.Now()) {
+	if disposition.Code != delivery.Succeeded.Code() && p.outcomeLog.Allow(disposition.Code, time.Now()) {
 		slog.Info("message", "queue", pending.queue.Name, "code", disposition.Code, "why", reason, "id", truncate(string(pending.message.id)), "attempt", pending.message.attempt)
 	}
 	s := p.session
@@ -347,7 +347,7 @@
 }
 
 // executedOutcomes are the outcomes of messages that were runs; the others never were.
-var executedOutcomes = map[string]bool{intake.Succeeded.Code(): true, intake.Failed.Code(): true}
+var executedOutcomes = map[string]bool{delivery.Succeeded.Code(): true, delivery.Failed.Code(): true}
 
 // ackPaceInterval is how often paced acks go out: some at a time, as each waking costs as much as a message.
 const ackPaceInterval = 10 * time.Millisecond
@@ -465,7 +465,7 @@
 
 // The rest is front.Owed, called on the core's loop.
 
-func (j *pendingMessage) report(outcome intake.Outcome, result []byte, metadata frontend.ResponseMetadata) {
+func (j *pendingMessage) report(outcome delivery.Outcome, result []byte, metadata frontend.ResponseMetadata) {
 	if result != nil {
 		result = append(make([]byte, 0, len(result)), result...)
 	}
@@ -473,21 +473,21 @@
 }
 
 func (j *pendingMessage) Succeed(result []byte, metadata frontend.ResponseMetadata) {
-	j.report(intake.Succeeded, result, metadata)
+	j.report(delivery.Succeeded, result, metadata)
 }
 func (j *pendingMessage) Reject(metadata frontend.ResponseMetadata) {
-	j.report(intake.Rejected, nil, metadata)
+	j.report(delivery.Rejected, nil, metadata)
 }
 func (j *pendingMessage) Fail(metadata frontend.ResponseMetadata) {
-	j.report(intake.Failed, nil, metadata)
+	j.report(delivery.Failed, nil, metadata)
 }
 func (j *pendingMessage) Done() {}
 
 func (j *pendingMessage) RejectPermanently(code string, metadata frontend.ResponseMetadata) {
 	if metadata.Reason != "" {
-		j.report(intake.Denied, nil, metadata)
+		j.report(delivery.Denied, nil, metadata)
 		return
 	}
 	metadata.Reason = code
-	j.report(intake.Unservable, nil, metadata)
+	j.report(delivery.Unservable, nil, metadata)
 }
--- a/internal/amqp/session.go
+++ b/internal/amqp/session.go
@@ -15,7 +15,7 @@
 
 	client "github.com/rabbitmq/amqp091-go"
 
-	"lanewheel/internal/intake"
+	"lanewheel/internal/amqp/delivery"
 )
 
 // session is one connection to a broker, with a channel a queue and one for answers. It belongs to the part's loop; its writer,
@@ -27,7 +27,7 @@
 	connection   *client.Connection
 	netConn      net.Conn
 	replyChannel *client.Channel
-	channels     map[intake.QueueName]*channel
+	channels     map[delivery.QueueName]*channel
 	blocked      bool
 	closing      bool
 	closeCode    string // the code of our own close
@@ -51,7 +51,7 @@
 	prefetch       int             // as last told the broker; 0: it does not consume
 	wantedPrefetch int
 	consumerTag    string // of its consumer
-	acks           intake.AckTracker
+	acks           delivery.AckTracker
 	backoff        time.Duration
 }
 
@@ -72,7 +72,7 @@
 // openSession dials beside the loop; done is called on it, with a code if it did not come about.
 func (p *Consumer) openSession(url string, id uint64, done func(s *session, code string)) {
 	go func() {
-		s := &session{consumer: p, id: id, url: url, channels: map[intake.QueueName]*channel{}, onConfirm: map[uint64]func(){}}
+		s := &session{consumer: p, id: id, url: url, channels: map[delivery.QueueName]*channel{}, onConfirm: map[uint64]func(){}}
 		s.wake = sync.NewCond(&s.mu)
 		err := s.dial()
 		p.Post(func() {
@@ -347,7 +347,7 @@
 }
 
 // setPrefetch tells the broker how many messages of a queue may be unsettled; none, and the consumer is cancelled.
-func (s *session) setPrefetch(name intake.QueueName, prefetch int) {
+func (s *session) setPrefetch(name delivery.QueueName, prefetch int) {
 	c := s.channels[name]
 	if c == nil {
 		return
@@ -389,9 +389,9 @@
 func (s *session) readDeliveries(c *channel, deliveries <-chan client.Delivery) {
 	for incoming := range deliveries {
 		message := c.queue.Mapping.read(c.queue.Name, &incoming, placeholderReason(incoming.Body), time.Now())
-		tag := intake.DeliveryTag{ChannelID: c.id, Number: incoming.DeliveryTag}
+		tag := delivery.DeliveryTag{ChannelID: c.id, Number: incoming.DeliveryTag}
 		if message.defect == badHeader { // nothing of it was read, so nothing can tell it from another
-			message.id = intake.MessageID(fmt.Sprintf("unread:%d:%d", tag.ChannelID, tag.Number))
+			message.id = delivery.MessageID(fmt.Sprintf("unread:%d:%d", tag.ChannelID, tag.Number))
 		}
 		redelivered := incoming.Redelivered
 		s.consumer.Post(func() { s.consumer.handleDelivery(c.queue, message, tag, redelivered) })
@@ -399,21 +399,21 @@
 }
 
 // channelOf gives the channel on which a delivery came, nil if it is gone.
-func (s *session) channelOf(name intake.QueueName, tag intake.DeliveryTag) *channel {
+func (s *session) channelOf(name delivery.QueueName, tag delivery.DeliveryTag) *channel {
 	if c := s.channels[name]; c != nil && c.id == tag.ChannelID && !s.ended {
 		return c
 	}
 	return nil
 }
 
-func (s *session) trackDelivery(name intake.QueueName, tag intake.DeliveryTag) {
+func (s *session) trackDelivery(name delivery.QueueName, tag delivery.DeliveryTag) {
 	if c := s.channelOf(name, tag); c != nil {
 		c.acks.Received(tag.Number)
 	}
 }
 
 // ack marks a delivery; the batch's acks go together.
-func (s *session) ack(name intake.QueueName, tag intake.DeliveryTag) {
+func (s *session) ack(name delivery.QueueName, tag delivery.DeliveryTag) {
 	if c := s.channelOf(name, tag); c != nil {
 		c.acks.Acked(tag.Number)
 		s.consumer.flow.Settled(name)
@@ -429,19 +429,19 @@
 	}
 }
 
-func (c *channel) sendAck(s *session, ack intake.AckRange) {
+func (c *channel) sendAck(s *session, ack delivery.AckRange) {
 	ch := c.link
 	s.enqueue(func() error { return ch.Ack(ack.Tag, ack.Multiple) })
 }
 
-func (s *session) requeue(name intake.QueueName, tag intake.DeliveryTag) {
+func (s *session) requeue(name delivery.QueueName, tag delivery.DeliveryTag) {
 	if c := s.channelOf(name, tag); c != nil && c.acks.Remove(tag.Number) {
 		s.consumer.flow.Settled(name)
 		s.enqueue(func() error { return c.link.Nack(tag.Number, false, true) })
 	}
 }
 
-func (s *session) reject(name intake.QueueName, tag intake.DeliveryTag) {
+func (s *session) reject(name delivery.QueueName, tag delivery.DeliveryTag) {
 	if c := s.channelOf(name, tag); c != nil && c.acks.Remove(tag.Number) {
 		s.consumer.flow.Settled(name)
 		s.enqueue(func() error { return c.link.Reject(tag.Number, false) })
--- a/internal/amqp/watch.go
+++ b/internal/amqp/watch.go
@@ -5,7 +5,7 @@
 	"net"
 	"time"
 
-	"lanewheel/internal/intake"
+	"lanewheel/internal/amqp/delivery"
 )
 
 // Status is how the intake stands, for whoever watches it.
@@ -36,7 +36,7 @@
 		s.Counts[name] = n
 	}
 	for _, q := range p.config.Queues {
-		s.Queues = append(s.Queues, QueueStatus{string(q.Name), p.flow.State(q.Name), p.flow.Limit(q.Name), p.flow.InFlight(intake.QueueName(q.Name))})
+		s.Queues = append(s.Queues, QueueStatus{string(q.Name), p.flow.State(q.Name), p.flow.Limit(q.Name), p.flow.InFlight(delivery.QueueName(q.Name))})
 	}
 	return s
 }
--- a/internal/config/amqp.go
+++ b/internal/config/amqp.go
@@ -8,8 +8,8 @@
 	client "github.com/rabbitmq/amqp091-go"
 
 	"lanewheel/internal/amqp"
+	"lanewheel/internal/amqp/delivery"
 	"lanewheel/internal/authz"
-	"lanewheel/internal/intake"
 )
 
 // AMQP is the front for messages on queues.
@@ -78,8 +78,8 @@
 }
 
 func (s *section) readQueue() amqp.Queue {
-	queue := amqp.Queue{Queue: intake.Queue{Name: intake.QueueName(s.label()), Weight: 1, MinInFlight: 1, MaxInFlight: 100},
-		Settlement: intake.SettlementConfig{MaxAttempts: 5, RetryQueueDelay: time.Second, Reply: true}}
+	queue := amqp.Queue{Queue: delivery.Queue{Name: delivery.QueueName(s.label()), Weight: 1, MinInFlight: 1, MaxInFlight: 100},
+		Settlement: delivery.SettlementConfig{MaxAttempts: 5, RetryQueueDelay: time.Second, Reply: true}}
 	s.floatValue("weight", &queue.Weight, 0.01, 1000)
 	s.intValue("priority", &queue.Priority, 0, 100)
 	s.intValue("floor", &queue.MinInFlight, 0, 1000)
