--- a/internal/accord/accord.go
+++ b/internal/accord/accord.go
@@ -11,12 +11,12 @@
 	"slices"
 	"time"
 
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 )
 
 // Name is a member's; Number is a permit's, and fences: a later permit has a higher one.
 type (
-	Name     = members.Name
+	Name     = membership.Name
 	PermitID uint64
 )
 
@@ -79,14 +79,14 @@
 
 // Observation is a member as a steward's membership has it.
 type Observation struct {
-	Name        Name                `json:"Name"`
-	Incarnation members.Incarnation `json:"Incarnation"`
-	Zone        string              `json:"Zone"`
-	Release     string              `json:"Release"`
-	Roles       members.Roles       `json:"Roles"`
-	Upstream    string              `json:"Below"` // the service that it is, or stands beside
-	Capacity    float64             `json:"Capacity"`
-	State       MemberState         `json:"Why"` // why it is out
+	Name        Name                   `json:"Name"`
+	Incarnation membership.Incarnation `json:"Incarnation"`
+	Zone        string                 `json:"Zone"`
+	Release     string                 `json:"Release"`
+	Roles       membership.Roles       `json:"Roles"`
+	Upstream    string                 `json:"Below"` // the service that it is, or stands beside
+	Capacity    float64                `json:"Capacity"`
+	State       MemberState            `json:"Why"` // why it is out
 }
 
 // Member is one that the fleet knows.
@@ -110,18 +110,18 @@
 
 // Permit is leave for one member to go out.
 type Permit struct {
-	ID           PermitID            `json:"Number"`
-	Member       Name                `json:"Member"`
-	Incarnation  members.Incarnation `json:"Of"` // the life that has it; 0 while it waits
-	RequestedBy  string              `json:"By"`
-	Purpose      string              `json:"Why"` // drain, release, back
-	Stage        PermitStage         `json:"Stage"`
-	RequestedAt  time.Duration       `json:"Asked"`
-	StageSince   time.Duration       `json:"At"`      // when it came into its stage
-	BeginTimeout time.Duration       `json:"Span"`    // from granted until it has to begin
-	Overtakes    int                 `json:"Passed"`  // later ones that were granted before it
-	WaitReason   string              `json:"Waits"`   // for what, as last looked
-	Outcome      string              `json:"Outcome"` // how it ended
+	ID           PermitID               `json:"Number"`
+	Member       Name                   `json:"Member"`
+	Incarnation  membership.Incarnation `json:"Of"` // the life that has it; 0 while it waits
+	RequestedBy  string                 `json:"By"`
+	Purpose      string                 `json:"Why"` // drain, release, back
+	Stage        PermitStage            `json:"Stage"`
+	RequestedAt  time.Duration          `json:"Asked"`
+	StageSince   time.Duration          `json:"At"`      // when it came into its stage
+	BeginTimeout time.Duration          `json:"Span"`    // from granted until it has to begin
+	Overtakes    int                    `json:"Passed"`  // later ones that were granted before it
+	WaitReason   string                 `json:"Waits"`   // for what, as last looked
+	Outcome      string                 `json:"Outcome"` // how it ended
 }
 
 // Halt is that nothing further begins.
@@ -153,23 +153,23 @@
 
 // Command is one line of the log.
 type Command struct {
-	Term           uint64              `json:"Term"` // of the leader who wrote it
-	LeaderTime     time.Duration       `json:"At"`   // since that began to lead, by a clock that does not jump
-	IdempotencyKey string              `json:"Key"`  // the same key is the same command, however often it comes; empty: each counts
-	RequestedBy    string              `json:"By"`
-	Kind           Kind                `json:"Do"`
-	Observations   []Observation       `json:"Seen"`
-	Budgets        []DisruptionBudget  `json:"Budgets"`
-	Member         Name                `json:"Member"`
-	Incarnation    members.Incarnation `json:"Of"`
-	Selector       Selector            `json:"Group"`
-	PermitID       PermitID            `json:"Number"`
-	BeginTimeout   time.Duration       `json:"Span"`
-	Reason         string              `json:"Why"`
-	Plan           *RolloutPlan        `json:"Plan"`
-	RolloutName    string              `json:"Release"` // whose verdict
-	Wave           int                 `json:"Wave"`
-	Healthy        bool                `json:"Good"`
+	Term           uint64                 `json:"Term"` // of the leader who wrote it
+	LeaderTime     time.Duration          `json:"At"`   // since that began to lead, by a clock that does not jump
+	IdempotencyKey string                 `json:"Key"`  // the same key is the same command, however often it comes; empty: each counts
+	RequestedBy    string                 `json:"By"`
+	Kind           Kind                   `json:"Do"`
+	Observations   []Observation          `json:"Seen"`
+	Budgets        []DisruptionBudget     `json:"Budgets"`
+	Member         Name                   `json:"Member"`
+	Incarnation    membership.Incarnation `json:"Of"`
+	Selector       Selector               `json:"Group"`
+	PermitID       PermitID               `json:"Number"`
+	BeginTimeout   time.Duration          `json:"Span"`
+	Reason         string                 `json:"Why"`
+	Plan           *RolloutPlan           `json:"Plan"`
+	RolloutName    string                 `json:"Release"` // whose verdict
+	Wave           int                    `json:"Wave"`
+	Healthy        bool                   `json:"Good"`
 }
 
 // Reply is what became of a command.
@@ -372,7 +372,7 @@
 func (g Selector) matches(observation Observation) bool {
 	matchesField := func(want, have string) bool { return want == "" || want == have }
 	if g.Role != "" {
-		roles, unknown := members.ParseRoles([]string{g.Role})
+		roles, unknown := membership.ParseRoles([]string{g.Role})
 		if unknown != "" || observation.Roles&roles == 0 {
 			return false
 		}
--- a/internal/accord/accord_test.go
+++ b/internal/accord/accord_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 )
 
 var depth = flag.Int("depth", 6, "how deep TestModel looks")
@@ -38,7 +38,7 @@
 }
 
 func (f *fleet) observeInstance(i int, incarnation int, state MemberState, release, zone string) {
-	f.apply(Command{Kind: KindObserve, Observations: []Observation{{Name: instanceName(i), Incarnation: members.Incarnation(incarnation), Zone: zone, Release: release, Roles: members.RoleServer, Capacity: 1, State: state}}})
+	f.apply(Command{Kind: KindObserve, Observations: []Observation{{Name: instanceName(i), Incarnation: membership.Incarnation(incarnation), Zone: zone, Release: release, Roles: membership.RoleServer, Capacity: 1, State: state}}})
 }
 
 // setMemberState changes how a member is, with all else as it was.
@@ -365,7 +365,7 @@
 		}
 		for n := max(1, s.LastPermitID) - 1; n <= s.LastPermitID; n++ {
 			for i := range 3 {
-				for of := members.Incarnation(1); of <= 2; of++ {
+				for of := membership.Incarnation(1); of <= 2; of++ {
 					all = append(all, Command{Kind: KindBeginPermit, Member: instanceName(i), PermitID: n, Incarnation: of})
 				}
 			}
--- a/internal/accord/golden_test.go
+++ b/internal/accord/golden_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew; only where the stored form is meant to change")
@@ -89,7 +89,7 @@
 	fullMatch  = Selector{Zone: "a", Release: "1", Role: "instance", Upstream: "db"}
 	fullBudget = DisruptionBudget{Name: "zone-a", Selector: fullMatch, MaxUnavailable: 2, MaxUnavailableFraction: 0.25, MinAvailableCapacity: 12.5}
 	fullSeen   = Observation{Name: "n1", Incarnation: 1_700_000_000_001, Zone: "a", Release: "1",
-		Roles: members.RoleServer | members.RoleUpstream, Upstream: "db", Capacity: 1.5, State: MemberLeaving}
+		Roles: membership.RoleServer | membership.RoleUpstream, Upstream: "db", Capacity: 1.5, State: MemberLeaving}
 	fullPlan = RolloutPlan{Name: "r2", TargetRelease: "2", Selector: fullMatch, Waves: []Wave{{Count: 3, Fraction: 0.1, Zone: "b"}},
 		Pause: 10 * time.Second, AnalysisRequired: true, RollbackWavesAtOnce: 2.5, MaxAttempts: 3}
 )
@@ -162,10 +162,10 @@
 		{[]Kind{KindObserve, KindSetBudgets, KindRequestPermit, KindBeginPermit, KindCancelPermit, KindForgetMember, KindHalt, KindResume, KindStartRollout, KindRollBack, KindCanaryVerdict,
 			KindTick, KindDrain, KindCancelDrain},
 			`["see","budgets","ask","begin","drop","forget","halt","resume","release","back","verdict","tick","drain","undrain"]`},
-		{map[string]members.Roles{"instance": members.RoleServer, "relay": members.RoleProxy, "steward": members.RoleCoordinator,
-			"below": members.RoleUpstream},
+		{map[string]membership.Roles{"instance": membership.RoleServer, "relay": membership.RoleProxy, "steward": membership.RoleCoordinator,
+			"below": membership.RoleUpstream},
 			`{"below":8,"instance":1,"relay":2,"steward":4}`},
-		{members.Incarnation(1_700_000_000_001), `1700000000001`},
+		{membership.Incarnation(1_700_000_000_001), `1700000000001`},
 		{map[PermitID]Name{42: "n1"}, `{"42":"n1"}`},
 	} {
 		b, err := json.Marshal(x.got)
--- a/internal/below/below.go
+++ b/internal/below/below.go
@@ -11,7 +11,7 @@
 	"lanewheel/admission"
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/grants"
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 	"lanewheel/internal/server"
 	"lanewheel/internal/spread"
 )
@@ -25,13 +25,13 @@
 }
 
 // RequestLease asks the desk of a service for calls; the answer comes by Granted.
-type RequestLease func(name members.Name, a grants.Request)
+type RequestLease func(name membership.Name, a grants.Request)
 
 // Client is the services of one instance. It is a keep.Below.
 type Client struct {
 	loop         *eventloop.Loop
 	config       Config
-	self         members.ID
+	self         membership.ID
 	requestLease RequestLease
 	balancer     *spread.Balancer
 	random       *rand.Rand
@@ -49,14 +49,14 @@
 	client          *Client
 	name            spread.EndpointName
 	address         string
-	allocatorBootID members.BootID
+	allocatorBootID membership.BootID
 	holder          *grants.Holder // nil: no grants are given there, Calls holds
 	openCalls       int            // calls that may be running there
 	loggedLimit     int            // as last logged
 }
 
 // New makes the part of an instance that is known to the fleet as self.
-func New(eventLoop *eventloop.Loop, config Config, self members.ID, seed uint64, requestLease RequestLease) *Client {
+func New(eventLoop *eventloop.Loop, config Config, self membership.ID, seed uint64, requestLease RequestLease) *Client {
 	client := &Client{loop: eventLoop, config: config, self: self, requestLease: requestLease, balancer: spread.New(config.Balancer), random: rand.New(rand.NewPCG(seed, 11)), services: map[spread.EndpointName]*endpoint{}, onAvailable: func() {}}
 	if len(config.Addresses) > 0 {
 		var candidates []spread.Endpoint
@@ -77,14 +77,14 @@
 
 // SetView takes a view of the fleet: services that members stand beside. Danger: one that is gone from our view may only be cut off from us, and what is
 // open there goes on: what was granted is kept until its time is up.
-func (p *Client) SetView(view *members.View) {
+func (p *Client) SetView(view *membership.View) {
 	if len(p.config.Addresses) > 0 {
 		return
 	}
 	var candidates []spread.Endpoint
 	present := map[spread.EndpointName]bool{}
 	for member := range view.All() {
-		if member.Roles&members.RoleUpstream == 0 || member.ServiceAddr == "" || !member.State.Available() && (member.State != members.StateSuspect || view.LocalHealth.CanDeclareGone()) {
+		if member.Roles&membership.RoleUpstream == 0 || member.ServiceAddr == "" || !member.State.Available() && (member.State != membership.StateSuspect || view.LocalHealth.CanDeclareGone()) {
 			continue
 		}
 		name := spread.EndpointName(member.Name)
@@ -95,7 +95,7 @@
 			p.services[name] = known
 		}
 		known.address, known.allocatorBootID = member.ServiceAddr, member.BootID
-		candidates = append(candidates, spread.Endpoint{Name: name, Zone: member.Zone, Capacity: member.Capacity, WarmUp: member.WarmUp, WarmUpRemaining: member.WarmUpRemaining(view.PublishedAt), Suspect: member.State == members.StateSuspect})
+		candidates = append(candidates, spread.Endpoint{Name: name, Zone: member.Zone, Capacity: member.Capacity, WarmUp: member.WarmUp, WarmUpRemaining: member.WarmUpRemaining(view.PublishedAt), Suspect: member.State == membership.StateSuspect})
 	}
 	for name, known := range p.services {
 		if !present[name] && known.openCalls == 0 && known.holder.Limit(p.loop.Now()) <= known.holder.UnleasedCalls {
@@ -168,7 +168,7 @@
 			continue
 		}
 		if now >= s.holder.NextRequestAt(now, p.waitingCalls > 0) {
-			p.requestLease(members.Name(s.name), s.holder.NextRequest(now, s.allocatorBootID, s.openCalls))
+			p.requestLease(membership.Name(s.name), s.holder.NextRequest(now, s.allocatorBootID, s.openCalls))
 		}
 		// A limit that ran out is told once, as one that was given.
 		s.logLimit(now)
--- a/internal/command/further/agreed/agreed.go
+++ b/internal/command/further/agreed/agreed.go
@@ -9,7 +9,7 @@
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/lifecycle"
 	"lanewheel/internal/lifecycle/coordinators"
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 )
 
 // WithCoordinator adds to what lanewheel-fleet has.
@@ -18,7 +18,7 @@
 		return coordinators.Run(operatorPath, logFormat, bootstrap, recoverAlone, func(process gossip.Process, operatorConfig *lifecycle.OperatorConfig) (*gossip.Agent, func(*lifecycle.OperatorConfig), error) {
 			gossipConfig := func(operatorConfig *lifecycle.OperatorConfig) gossip.Config {
 				fleet := operatorConfig.File.Fleet
-				fleet.Roles = members.RoleCoordinator
+				fleet.Roles = membership.RoleCoordinator
 				return further.GossipConfig(&fleet, "", "", operatorConfig.ClusterKeys)
 			}
 			agent, err := gossip.New(gossipConfig(operatorConfig), process, uint64(os.Getpid()))
--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -26,7 +26,7 @@
 	"lanewheel/internal/lifecycle"
 	"lanewheel/internal/lifecycle/allocators"
 	"lanewheel/internal/lifecycle/proxies"
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 	"lanewheel/internal/pass"
 	"lanewheel/internal/relay"
 	"lanewheel/internal/server"
@@ -40,21 +40,21 @@
 }
 
 // GossipConfig puts together what the part goes by.
-func GossipConfig(fleet *config.Fleet, name, address string, keys []members.Key) gossip.Config {
+func GossipConfig(fleet *config.Fleet, name, address string, keys []membership.Key) gossip.Config {
 	if fleet.Name != "" {
 		name = fleet.Name
 	}
 	if fleet.ServiceAddress != "" {
 		address = fleet.ServiceAddress
 	}
-	return gossip.Config{Name: members.Name(name), Cluster: fleet.Cluster, ListenAddr: fleet.ListenAddress, AdvertiseAddr: fleet.AdvertiseAddress, ServiceAddr: address, Roles: fleet.Roles, Zone: fleet.Zone, Release: fleet.Release,
+	return gossip.Config{Name: membership.Name(name), Cluster: fleet.Cluster, ListenAddr: fleet.ListenAddress, AdvertiseAddr: fleet.AdvertiseAddress, ServiceAddr: address, Roles: fleet.Roles, Zone: fleet.Zone, Release: fleet.Release,
 		Capacity: fleet.Capacity, WarmUp: fleet.WarmUp, Keys: keys, ProbeInterval: fleet.ProbeInterval, MaxMessageRate: fleet.MaxMessageRate, StatusSocket: fleet.StatusSocket, LeaveWhenFenced: fleet.DrainWhenFenced, DrainByPermit: fleet.RequirePermit, Membership: fleet.Config}
 }
 
 // joinFleet brings an instance into its fleet.
 func joinFleet(srv *server.Server, platform server.Config, operatorConfig *lifecycle.OperatorConfig) (func(*lifecycle.OperatorConfig), error) {
 	if !operatorConfig.File.Fleet.Enabled { // services at told addresses need nobody else
-		upstreamClient := below.New(srv.Loop, operatorConfig.File.Upstream.Config, members.ID{}, platform.Seed, nil)
+		upstreamClient := below.New(srv.Loop, operatorConfig.File.Upstream.Config, membership.ID{}, platform.Seed, nil)
 		srv.UseUpstreams(upstreamClient)
 		srv.Post(upstreamClient.Start)
 		return func(*lifecycle.OperatorConfig) {}, nil
@@ -99,7 +99,7 @@
 		if load.Healthy {
 			health = 1
 		}
-		report(gossip.ProcessStatus{Ready: load.Ready, Draining: load.Draining, Metrics: []members.Metric{{Name: "health", Value: health}, {Name: "signal", Value: load.LoadReport},
+		report(gossip.ProcessStatus{Ready: load.Ready, Draining: load.Draining, Metrics: []membership.Metric{{Name: "health", Value: health}, {Name: "signal", Value: load.LoadReport},
 			{Name: "held", Value: float64(load.Queued)}, {Name: "running", Value: float64(load.Running)}, {Name: "cores", Value: load.Cores}}})
 	})
 }
@@ -130,7 +130,7 @@
 	return allocators.Run(operatorPath, logFormat, func(process *desk.Server, operatorConfig *lifecycle.OperatorConfig) (func(*lifecycle.OperatorConfig), error) {
 		gossipConfig := func(operatorConfig *lifecycle.OperatorConfig) gossip.Config {
 			fleet := operatorConfig.File.Fleet
-			fleet.Roles = members.RoleUpstream
+			fleet.Roles = membership.RoleUpstream
 			return GossipConfig(&fleet, "", "", operatorConfig.ClusterKeys)
 		}
 		agent, err := gossip.New(gossipConfig(operatorConfig), process, uint64(os.Getpid()))
@@ -150,7 +150,7 @@
 func runProxy(operatorPath, logFormat string) error {
 	return proxies.Run(os.Getenv("RELAY_CONFIG"), operatorPath, logFormat, func(platform server.Config, operatorConfig *lifecycle.OperatorConfig) (*relay.Proxy, func(*lifecycle.OperatorConfig), error) {
 		fleet := operatorConfig.File.Fleet
-		fleet.Roles = fleet.Roles&^members.RoleServer | members.RoleProxy
+		fleet.Roles = fleet.Roles&^membership.RoleServer | membership.RoleProxy
 		process := &proxyProcess{}
 		agent, err := gossip.New(GossipConfig(&fleet, platform.Name, platform.ListenAddr, operatorConfig.ClusterKeys), process, platform.Seed)
 		if err != nil {
@@ -173,9 +173,9 @@
 }
 
 // subscribe has a part that belongs to a loop see each view. Views come by the dozen a second; a tenth of one late is far less than they are old.
-func subscribe(agent *gossip.Agent, eventLoop *eventloop.Loop, update func(*members.View)) {
+func subscribe(agent *gossip.Agent, eventLoop *eventloop.Loop, update func(*membership.View)) {
 	var scheduled atomic.Bool
-	agent.Subscribe(func(*members.View) {
+	agent.Subscribe(func(*membership.View) {
 		if scheduled.CompareAndSwap(false, true) {
 			eventLoop.Post(func() {
 				eventLoop.ScheduleAt(eventLoop.Now()+100*time.Millisecond, func() {
@@ -189,7 +189,7 @@
 
 // prober is how others are asked how they stand.
 func prober(agent *gossip.Agent) pass.ProbeFunc {
-	return func(name members.Name, report func(float64, time.Duration)) {
+	return func(name membership.Name, report func(float64, time.Duration)) {
 		agent.Post(func() { agent.QueryLoad(name, report) })
 	}
 }
@@ -200,7 +200,7 @@
 func (p *proxyProcess) Status(report func(gossip.ProcessStatus)) {
 	p.proxy.Post(func() {
 		load := p.proxy.Load()
-		report(gossip.ProcessStatus{Ready: load.Ready, Draining: load.Draining, Metrics: []members.Metric{{Name: "passing", Value: float64(load.Running)}}})
+		report(gossip.ProcessStatus{Ready: load.Ready, Draining: load.Draining, Metrics: []membership.Metric{{Name: "passing", Value: float64(load.Running)}}})
 	})
 }
 
--- a/internal/command/further/golden_test.go
+++ b/internal/command/further/golden_test.go
@@ -23,7 +23,7 @@
 	"lanewheel/internal/config"
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/fleet/steward/ask"
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 	"lanewheel/internal/relay"
 	"lanewheel/internal/server"
 	"lanewheel/internal/spread"
@@ -64,7 +64,7 @@
 	permit := accord.Permit{ID: 7, Member: "p001", Incarnation: 12, RequestedBy: "ann", Purpose: "drain", Stage: accord.PermitGranted, RequestedAt: time.Second, StageSince: 2 * time.Second,
 		BeginTimeout: 30 * time.Second, Overtakes: 4, WaitReason: "budget all", Outcome: "dropped"}
 	budget := accord.DisruptionBudget{Name: "all", Selector: accord.Selector{Zone: "north", Release: "1", Role: "instance", Upstream: "db"}, MaxUnavailable: 3, MaxUnavailableFraction: 0.5, MinAvailableCapacity: 6}
-	member := accord.Member{Observation: accord.Observation{Name: "p001", Incarnation: 12, Zone: "north", Release: "1", Roles: members.RoleServer, Upstream: "db", Capacity: 2, State: accord.MemberGone},
+	member := accord.Member{Observation: accord.Observation{Name: "p001", Incarnation: 12, Zone: "north", Release: "1", Roles: membership.RoleServer, Upstream: "db", Capacity: 2, State: accord.MemberGone},
 		StateSince: 5 * time.Second, PermitID: 7, PreviousRelease: "0", FailedAttempts: 1}
 	s := ask.Status{ID: "s1", Leader: "s2", IsLeader: true, Term: 3, AppliedIndex: 44, Coordinators: map[string]string{"s1": "127.0.0.1:7960"}, FleetTime: "1m0s",
 		Halt: &accord.Halt{At: time.Second, By: "bob", Reason: "noise"}, Budgets: []accord.BudgetUsage{{Budget: budget, Members: 12, Unavailable: 1, UnavailableLimit: 3, AvailableCapacity: 22}},
@@ -84,7 +84,7 @@
 	}
 	t.Cleanup(func() { l.Close() })
 	folder := t.TempDir()
-	keys := []members.Key{members.Key(bytes.Repeat([]byte("k"), 32))}
+	keys := []membership.Key{membership.Key(bytes.Repeat([]byte("k"), 32))}
 	questions = make(chan string, 16)
 	go func() {
 		for {
--- a/internal/config/cluster_keys_test.go
+++ b/internal/config/cluster_keys_test.go
@@ -6,7 +6,7 @@
 	"reflect"
 	"testing"
 
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 )
 
 // The file of cluster keys is an operator's: comments, blanks and the three sizes of keys read as
@@ -21,7 +21,7 @@
 	for i := range all {
 		all[i] = byte(1 + i)
 	}
-	want := []members.Key{all[:16], all[16:40], all[40:]}
+	want := []membership.Key{all[:16], all[16:40], all[40:]}
 	for _, text := range [][]byte{text, bytes.ReplaceAll(text, []byte("\n"), []byte("\r\n"))} {
 		if keys, err := ParseClusterKeys(path, text); err != nil || !reflect.DeepEqual(keys, want) {
 			t.Errorf("keys %x, error %v; want %x", keys, err, want)
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"lanewheel/internal/diagnostic"
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 )
 
 // Fleet is the process's place among the others.
@@ -21,7 +21,7 @@
 	ListenAddress    string
 	AdvertiseAddress string
 	ServiceAddress   string // where others reach what it serves; empty: where it listens for stubs
-	Roles            members.Roles
+	Roles            membership.Roles
 	Zone             string
 	Release          string
 	Capacity         float64
@@ -32,11 +32,11 @@
 	StatusSocket     string
 	DrainWhenFenced  bool
 	RequirePermit    bool
-	Config           members.Config
+	Config           membership.Config
 }
 
 func (r *reader) readFleet() Fleet {
-	f := Fleet{Cluster: "lanewheel", Capacity: 1, Roles: members.RoleServer, Config: members.DefaultConfig()}
+	f := Fleet{Cluster: "lanewheel", Capacity: 1, Roles: membership.RoleServer, Config: membership.DefaultConfig()}
 	s := r.section("fleet")
 	f.Enabled = s.exists()
 	s.stringValue("name", &f.Name)
@@ -51,7 +51,7 @@
 	}
 	if names := s.listValue("roles"); len(names) > 0 {
 		var unknownRole string
-		if f.Roles, unknownRole = members.ParseRoles(names); unknownRole != "" {
+		if f.Roles, unknownRole = membership.ParseRoles(names); unknownRole != "" {
 			s.report("roles", unknownRole, "wants some of instance, relay, steward, below")
 		}
 	}
@@ -121,8 +121,8 @@
 }
 
 // ParseClusterKeys reads the text of a file of keys: one a line, 16, 24 or 32 bytes in base64, the one to write with first.
-func ParseClusterKeys(path string, text []byte) ([]members.Key, error) {
-	var keys []members.Key
+func ParseClusterKeys(path string, text []byte) ([]membership.Key, error) {
+	var keys []membership.Key
 	var diagnostics diagnostic.List
 	for i, line := range strings.Split(string(text), "\n") {
 		if line = strings.TrimSpace(line); line == "" || line[0] == '#' || line[0] == ';' {
@@ -133,7 +133,7 @@
 		switch n := len(key); {
 		case err != nil || n != 16 && n != 24 && n != 32:
 			diagnostics = append(diagnostics, diagnostic.Diagnostic{File: path, Line: i + 1, Want: "wants 16, 24 or 32 bytes in base64"})
-		case slices.ContainsFunc(keys, func(x members.Key) bool { return string(x) == string(key) }):
+		case slices.ContainsFunc(keys, func(x membership.Key) bool { return string(x) == string(key) }):
 			diagnostics = append(diagnostics, diagnostic.Diagnostic{File: path, Line: i + 1, Want: "stands there already"})
 		default:
 			keys = append(keys, key)
--- a/internal/drill/golden_test.go
+++ b/internal/drill/golden_test.go
@@ -18,7 +18,7 @@
 	"github.com/parquet-go/parquet-go"
 
 	"lanewheel/internal/config"
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 )
 
 var update = flag.Bool("update", false, "write the golden files of testdata anew")
@@ -154,7 +154,7 @@
 			}
 			line, _ := bufio.NewReader(c).ReadString('\n')
 			questions <- line
-			fmt.Fprintf(c, status, members.Fingerprint(members.ID{Name: "p000", BootID: 0x1f}))
+			fmt.Fprintf(c, status, membership.Fingerprint(membership.ID{Name: "p000", BootID: 0x1f}))
 			c.Close()
 		}
 	}()
@@ -167,7 +167,7 @@
 	if got := <-questions; got != "brief\n" {
 		t.Fatalf("asked %q", got)
 	}
-	id := members.ID{Name: "p000", BootID: 0x1f}
+	id := membership.ID{Name: "p000", BootID: 0x1f}
 	if !v.converged || v.usage[id] != [3]uint64{1200, 40, 7} || v.evictions[id] != 3 || v.suspicions[id] != 5 {
 		t.Fatal(v.converged, v.divergentDetail, v.usage, v.evictions, v.suspicions)
 	}
--- a/internal/drill/judge.go
+++ b/internal/drill/judge.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 )
 
 // violation is a rule or an invariant that did not hold.
@@ -110,13 +110,13 @@
 	divergent        int           // processes whose view is not as it should be
 	changedAt        time.Duration // when something was last done
 	convergence      map[string]time.Duration
-	evictionsBefore  map[members.ID]uint64 // how often each life had given somebody up, when the fault began
-	suspicionsBefore map[members.ID]uint64
+	evictionsBefore  map[membership.ID]uint64 // how often each life had given somebody up, when the fault began
+	suspicionsBefore map[membership.ID]uint64
 	metrics          []metric
 	divergentDetail  string // what a differing process believed
-	usage            map[members.ID][3]uint64
+	usage            map[membership.ID][3]uint64
 
-	evictions, suspicions map[members.ID]uint64
+	evictions, suspicions map[membership.ID]uint64
 }
 
 // poll asks all that are there for their views, a few at a time, and compares them with what is so.
@@ -136,7 +136,7 @@
 	answers := make([]answer, len(up))
 	var all sync.WaitGroup
 	slots := make(chan struct{}, 16)
-	evictions, suspicions, usage := map[members.ID]uint64{}, map[members.ID]uint64{}, map[members.ID][3]uint64{}
+	evictions, suspicions, usage := map[membership.ID]uint64{}, map[membership.ID]uint64{}, map[membership.ID][3]uint64{}
 	var mu sync.Mutex
 	for i, p := range up {
 		all.Add(1)
@@ -167,7 +167,7 @@
 	var expected uint64
 	for _, p := range up {
 		p.mu.Lock()
-		expected ^= members.Fingerprint(p.id)
+		expected ^= membership.Fingerprint(p.id)
 		p.mu.Unlock()
 	}
 	v.mu.Lock()
--- a/internal/drill/stewards.go
+++ b/internal/drill/stewards.go
@@ -14,7 +14,7 @@
 	"lanewheel/internal/accord"
 	"lanewheel/internal/config"
 	"lanewheel/internal/fleet/steward/ask"
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 	"lanewheel/internal/standin"
 )
 
@@ -228,7 +228,7 @@
 		if zone, isZone := strings.CutPrefix(argument, "zone "); isZone {
 			command.Kind, command.Selector = accord.KindDrain, accord.Selector{Zone: zone, Role: "instance"}
 		} else {
-			command.Kind, command.Member = accord.KindRequestPermit, members.Name(argument)
+			command.Kind, command.Member = accord.KindRequestPermit, membership.Name(argument)
 		}
 	default:
 		return "", fmt.Errorf("no command %q", text)
--- a/internal/drill/world.go
+++ b/internal/drill/world.go
@@ -19,7 +19,7 @@
 
 	"lanewheel/internal/config"
 	"lanewheel/internal/fleet/gossip"
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 	"lanewheel/internal/standin"
 )
 
@@ -44,7 +44,7 @@
 	stopExpected    bool // its end is our doing
 	paused, exited  bool
 	startedAt       time.Time
-	id              members.ID     // of this life, once it has said so
+	id              membership.ID  // of this life, once it has said so
 	outages         [][2]time.Time // from when to when it was out by our doing
 	drains          [][2]time.Time // when it was told to leave, and when that life was over
 	keyNumbers      []int
@@ -263,7 +263,7 @@
 		time.AfterFunc(w.script.BadRelease.CrashAfter, func() { _ = cmd.Process.Kill() })
 	}
 	p.mu.Lock()
-	p.cmd, p.exit, p.stopExpected, p.exited, p.paused, p.startedAt, p.id = cmd, exit, false, false, false, time.Now(), members.ID{}
+	p.cmd, p.exit, p.stopExpected, p.exited, p.paused, p.startedAt, p.id = cmd, exit, false, false, false, time.Now(), membership.ID{}
 	p.markBack()
 	p.mu.Unlock()
 	go func() {
@@ -370,7 +370,7 @@
 	if err == nil {
 		incarnation, _ := strconv.ParseUint(snapshot.BootID, 16, 64)
 		p.mu.Lock()
-		p.id = members.ID{Name: members.Name(snapshot.Name), BootID: members.BootID(incarnation)}
+		p.id = membership.ID{Name: membership.Name(snapshot.Name), BootID: membership.BootID(incarnation)}
 		p.mu.Unlock()
 	}
 	return snapshot, err
--- a/internal/fleet/desk/desk.go
+++ b/internal/fleet/desk/desk.go
@@ -10,7 +10,7 @@
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/grants"
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 )
 
 // Server is one such process: a gossip.Process. All of it belongs to its loop.
@@ -41,8 +41,8 @@
 			}
 		})
 	}
-	agent.Subscribe(func(view *members.View) {
-		if view.LocalHealth == members.LocalFenced { // Danger: two that grant the same calls
+	agent.Subscribe(func(view *membership.View) {
+		if view.LocalHealth == membership.LocalFenced { // Danger: two that grant the same calls
 			d.Post(d.allocator.Fence)
 		}
 	})
@@ -91,7 +91,7 @@
 func (d *Server) Status(then func(gossip.ProcessStatus)) {
 	d.Post(func() {
 		calls, holders := d.allocator.Committed(d.Now())
-		then(gossip.ProcessStatus{Ready: d.serviceUp, Draining: d.draining, Metrics: []members.Metric{{Name: "cap", Value: float64(d.config.Capacity)},
+		then(gossip.ProcessStatus{Ready: d.serviceUp, Draining: d.draining, Metrics: []membership.Metric{{Name: "cap", Value: float64(d.config.Capacity)},
 			{Name: "granted", Value: float64(calls)}, {Name: "holders", Value: float64(holders)}}})
 	})
 }
--- a/internal/fleet/desk/golden_test.go
+++ b/internal/fleet/desk/golden_test.go
@@ -7,7 +7,7 @@
 
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/grants"
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 )
 
 // What a desk says of itself in the fleet, by the names that others read.
@@ -23,11 +23,11 @@
 		close(done)
 	}()
 	d.Post(func() {
-		d.allocator.HandleRequest(d.Now(), grants.Request{Holder: members.ID{Name: "n1", BootID: 1}, Sequence: 1, WantedCalls: 3})
+		d.allocator.HandleRequest(d.Now(), grants.Request{Holder: membership.ID{Name: "n1", BootID: 1}, Sequence: 1, WantedCalls: 3})
 	})
 	got := make(chan gossip.ProcessStatus, 1)
 	d.Status(func(r gossip.ProcessStatus) { got <- r })
-	want := gossip.ProcessStatus{Ready: true, Draining: true, Metrics: []members.Metric{{Name: "cap", Value: 16}, {Name: "granted",
+	want := gossip.ProcessStatus{Ready: true, Draining: true, Metrics: []membership.Metric{{Name: "cap", Value: 16}, {Name: "granted",
 		Value: 3}, {Name: "holders", Value: 1}}}
 	if r := <-got; !reflect.DeepEqual(r, want) {
 		t.Errorf("%+v, wanted %+v", r, want)
--- a/internal/fleet/gossip/codec.go
+++ b/internal/fleet/gossip/codec.go
@@ -9,7 +9,7 @@
 	"github.com/hashicorp/go-msgpack/v2/codec"
 
 	"lanewheel/internal/grants"
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 )
 
 // What members say to each other, MessagePack behind a head of one byte for the kind and four for the age in milliseconds. The age
@@ -132,19 +132,19 @@
 }
 
 // decodeLeaseRequest reads what a holder wants; it counts for the life that it says it is, and for us only if it means this life of ours.
-func decodeLeaseRequest(body []byte, self members.ID) (request grants.Request, addr string, err error) {
+func decodeLeaseRequest(body []byte, self membership.ID) (request grants.Request, addr string, err error) {
 	var wire wireLeaseRequest
 	if err = decode(body, &wire); err != nil {
 		return request, "", err
 	}
-	from, ok := members.ParseID(wire.From)
+	from, ok := membership.ParseID(wire.From)
 	if !ok || wire.Sequence == 0 || wire.HeldLimit < 0 || wire.OpenCalls < 0 || wire.WantedCalls < 0 || wire.To != self.String() || len(wire.ReplyAddr) > maxNameBytes {
 		return request, "", errOutOfRange
 	}
-	return grants.Request{Holder: from, Sequence: wire.Sequence, Held: grants.HeldLease{AllocatorBootID: members.BootID(wire.AllocatorBootID), Sequence: wire.HeldSequence, Limit: wire.HeldLimit}, OpenCalls: wire.OpenCalls, WantedCalls: wire.WantedCalls}, wire.ReplyAddr, nil
+	return grants.Request{Holder: from, Sequence: wire.Sequence, Held: grants.HeldLease{AllocatorBootID: membership.BootID(wire.AllocatorBootID), Sequence: wire.HeldSequence, Limit: wire.HeldLimit}, OpenCalls: wire.OpenCalls, WantedCalls: wire.WantedCalls}, wire.ReplyAddr, nil
 }
 
-func encodeLeaseRequest(request grants.Request, to members.ID, replyAddr string) []byte {
+func encodeLeaseRequest(request grants.Request, to membership.ID, replyAddr string) []byte {
 	return encode(kindLeaseRequest, wireLeaseRequest{to.String(), request.Holder.String(), replyAddr, request.Sequence, uint64(request.Held.AllocatorBootID), request.Held.Sequence, request.Held.Limit, request.OpenCalls, request.WantedCalls})
 }
 
@@ -157,7 +157,7 @@
 	if err = decode(body, &wire); err == nil && (wire.Limit < 0 || wire.DurationMillis <= 0 || wire.DurationMillis > math.MaxInt32 || wire.UnleasedCalls < 0 || wire.MaxCallMillis <= 0 || wire.MaxCallMillis > math.MaxInt32) {
 		err = errOutOfRange
 	}
-	return grants.Lease{AllocatorBootID: members.BootID(wire.AllocatorBootID), Sequence: wire.Sequence, Limit: wire.Limit, Duration: time.Duration(wire.DurationMillis) * time.Millisecond, UnleasedCalls: wire.UnleasedCalls,
+	return grants.Lease{AllocatorBootID: membership.BootID(wire.AllocatorBootID), Sequence: wire.Sequence, Limit: wire.Limit, Duration: time.Duration(wire.DurationMillis) * time.Millisecond, UnleasedCalls: wire.UnleasedCalls,
 		MaxCallDuration: time.Duration(wire.MaxCallMillis) * time.Millisecond}, err
 }
 
@@ -199,13 +199,13 @@
 	return message[0], time.Duration(binary.BigEndian.Uint32(message[1:])) * time.Millisecond, message[headSize:], nil
 }
 
-func encodeDescriptor(descriptor members.Descriptor) []byte {
+func encodeDescriptor(descriptor membership.Descriptor) []byte {
 	return encode('c', wireDescriptor{uint64(descriptor.Incarnation), uint8(descriptor.Roles), descriptor.Zone, descriptor.Release, descriptor.Capacity, descriptor.WarmUp.Milliseconds(), descriptor.ServiceAddr})[headSize:]
 }
 
 // decodeDescriptor reads what a member says of itself beside its name and address.
-func decodeDescriptor(name, addr string, meta []byte) (descriptor members.Descriptor, err error) {
-	id, ok := members.ParseID(name)
+func decodeDescriptor(name, addr string, meta []byte) (descriptor membership.Descriptor, err error) {
+	id, ok := membership.ParseID(name)
 	if !ok || len(id.Name) > maxNameBytes {
 		return descriptor, errOutOfRange
 	}
@@ -216,11 +216,11 @@
 	if len(wire.ServiceAddr) > maxNameBytes || len(wire.Zone) > maxNameBytes || len(wire.Release) > maxNameBytes || !(wire.Capacity > 0 && wire.Capacity <= 1e6) || wire.WarmUpMillis < 0 || wire.WarmUpMillis > 3_600_000 {
 		return descriptor, errOutOfRange
 	}
-	return members.Descriptor{Name: id.Name, BootID: id.BootID, Incarnation: members.Incarnation(wire.Incarnation), GossipAddr: addr, ServiceAddr: wire.ServiceAddr, Roles: members.Roles(wire.Roles),
+	return membership.Descriptor{Name: id.Name, BootID: id.BootID, Incarnation: membership.Incarnation(wire.Incarnation), GossipAddr: addr, ServiceAddr: wire.ServiceAddr, Roles: membership.Roles(wire.Roles),
 		Zone: wire.Zone, Release: wire.Release, Capacity: wire.Capacity, WarmUp: time.Duration(wire.WarmUpMillis) * time.Millisecond}, nil
 }
 
-func encodeHeartbeat(heartbeat members.Heartbeat) []byte {
+func encodeHeartbeat(heartbeat membership.Heartbeat) []byte {
 	wire := wireHeartbeat{string(heartbeat.Name), uint64(heartbeat.BootID), uint64(heartbeat.Incarnation), heartbeat.Sequence, heartbeat.Ready, heartbeat.ReadyFor.Milliseconds(), heartbeat.Draining, heartbeat.ViewDigest, nil}
 	for _, metric := range heartbeat.Metrics {
 		wire.Metrics = append(wire.Metrics, wireMetric{metric.Name, metric.Value, metric.TTL.Milliseconds()})
@@ -228,7 +228,7 @@
 	return encode(kindHeartbeat, wire)
 }
 
-func decodeHeartbeat(body []byte) (heartbeat members.Heartbeat, err error) {
+func decodeHeartbeat(body []byte) (heartbeat membership.Heartbeat, err error) {
 	var wire wireHeartbeat
 	if err := decode(body, &wire); err != nil {
 		return heartbeat, err
@@ -236,13 +236,13 @@
 	if wire.Name == "" || len(wire.Name) > maxNameBytes || wire.ReadyForMillis < 0 || wire.ReadyForMillis > math.MaxInt32*1000 {
 		return heartbeat, errOutOfRange
 	}
-	heartbeat = members.Heartbeat{ID: members.ID{Name: members.Name(wire.Name), BootID: members.BootID(wire.BootID)}, Incarnation: members.Incarnation(wire.Incarnation),
+	heartbeat = membership.Heartbeat{ID: membership.ID{Name: membership.Name(wire.Name), BootID: membership.BootID(wire.BootID)}, Incarnation: membership.Incarnation(wire.Incarnation),
 		Sequence: wire.Sequence, Ready: wire.Ready, ReadyFor: time.Duration(wire.ReadyForMillis) * time.Millisecond, Draining: wire.Draining, ViewDigest: wire.ViewDigest}
 	for _, metric := range wire.Metrics {
 		if metric.Name == "" || len(metric.Name) > maxMetricNameBytes || metric.TTLMillis < 0 || metric.TTLMillis > math.MaxInt32 {
-			return members.Heartbeat{}, errOutOfRange
+			return membership.Heartbeat{}, errOutOfRange
 		}
-		heartbeat.Metrics = append(heartbeat.Metrics, members.Metric{Name: metric.Name, Value: metric.Value, TTL: time.Duration(metric.TTLMillis) * time.Millisecond})
+		heartbeat.Metrics = append(heartbeat.Metrics, membership.Metric{Name: metric.Name, Value: metric.Value, TTL: time.Duration(metric.TTLMillis) * time.Millisecond})
 	}
 	return heartbeat, nil
 }
--- a/internal/fleet/gossip/codec_test.go
+++ b/internal/fleet/gossip/codec_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 
 	"lanewheel/internal/grants"
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 	_ "lanewheel/internal/scenes"
 )
 
@@ -19,11 +19,11 @@
 		ms := func(label string) time.Duration {
 			return time.Duration(rapid.IntRange(0, 3_600_000).Draw(t, label)) * time.Millisecond
 		}
-		b := members.Heartbeat{ID: members.ID{Name: members.Name(rapid.StringMatching(`[a-z]{1,64}`).Draw(t, "name")), BootID: members.BootID(rapid.Uint64().Draw(t, "life"))},
-			Incarnation: members.Incarnation(rapid.Uint64().Draw(t, "incarnation")), Sequence: rapid.Uint64().Draw(t, "seq"), Ready: rapid.Bool().Draw(t, "ready"),
+		b := membership.Heartbeat{ID: membership.ID{Name: membership.Name(rapid.StringMatching(`[a-z]{1,64}`).Draw(t, "name")), BootID: membership.BootID(rapid.Uint64().Draw(t, "life"))},
+			Incarnation: membership.Incarnation(rapid.Uint64().Draw(t, "incarnation")), Sequence: rapid.Uint64().Draw(t, "seq"), Ready: rapid.Bool().Draw(t, "ready"),
 			ReadyFor: ms("ready for"), Draining: rapid.Bool().Draw(t, "leaving"), ViewDigest: rapid.Uint64().Draw(t, "digest")}
 		for range rapid.IntRange(0, 8).Draw(t, "facts") {
-			b.Metrics = append(b.Metrics, members.Metric{Name: rapid.StringMatching(`[a-z]{1,16}`).Draw(t, "key"), Value: rapid.Float64().Draw(t, "value"), TTL: ms("holds")})
+			b.Metrics = append(b.Metrics, membership.Metric{Name: rapid.StringMatching(`[a-z]{1,16}`).Draw(t, "key"), Value: rapid.Float64().Draw(t, "value"), TTL: ms("holds")})
 		}
 		kind, age, body, err := splitHead(setAge(encodeHeartbeat(b), 1500*time.Millisecond))
 		if err != nil || kind != kindHeartbeat || age != 1500*time.Millisecond {
@@ -32,7 +32,7 @@
 		if back, err := decodeHeartbeat(body); err != nil || !reflect.DeepEqual(back, b) {
 			t.Fatal(err, back, b)
 		}
-		c := members.Descriptor{Name: b.Name, ServiceAddr: "s:1", BootID: b.BootID, Incarnation: b.Incarnation, GossipAddr: "a:1", Roles: members.RoleServer | members.RoleProxy, Zone: "z", Release: "r", Capacity: 2.5, WarmUp: ms("warm")}
+		c := membership.Descriptor{Name: b.Name, ServiceAddr: "s:1", BootID: b.BootID, Incarnation: b.Incarnation, GossipAddr: "a:1", Roles: membership.RoleServer | membership.RoleProxy, Zone: "z", Release: "r", Capacity: 2.5, WarmUp: ms("warm")}
 		if back, err := decodeDescriptor(c.ID().String(), "a:1", encodeDescriptor(c)); err != nil || back != c {
 			t.Fatal(err, back, c)
 		}
@@ -42,7 +42,7 @@
 		if back, addr, err := decodeLeaseRequest(body, c.ID()); err != nil || back != a || addr != "a:1" || len(body) > maxMessageBytes {
 			t.Fatal(err, back, a)
 		}
-		if _, _, err := decodeLeaseRequest(body, members.ID{Name: "another", BootID: 1}); err == nil {
+		if _, _, err := decodeLeaseRequest(body, membership.ID{Name: "another", BootID: 1}); err == nil {
 			t.Fatal("an ask of another")
 		}
 		g := grants.Lease{AllocatorBootID: b.BootID, Sequence: b.Sequence, Limit: count("granted"), Duration: ms("for") + time.Millisecond, UnleasedCalls: 1, MaxCallDuration: ms("longest") + time.Millisecond}
@@ -58,7 +58,7 @@
 
 // What is cut, too long, out of range or foreign is an error and nothing else.
 func Example_bad() {
-	b := encodeHeartbeat(members.Heartbeat{ID: members.ID{Name: "n", BootID: 1}, Metrics: []members.Metric{{Name: "load", Value: 1, TTL: time.Second}}})
+	b := encodeHeartbeat(membership.Heartbeat{ID: membership.ID{Name: "n", BootID: 1}, Metrics: []membership.Metric{{Name: "load", Value: 1, TTL: time.Second}}})
 	read := func(b []byte) (err error) {
 		_, _, body, err := splitHead(b)
 		if err == nil {
@@ -73,12 +73,12 @@
 		}
 	}
 	fmt.Println(bad == len(b), read(append(b, make([]byte, 600)...)))
-	fmt.Println(read(encodeHeartbeat(members.Heartbeat{ID: members.ID{Name: "n"}, Metrics: []members.Metric{{Name: "a name that is far too long"}}})))
+	fmt.Println(read(encodeHeartbeat(membership.Heartbeat{ID: membership.ID{Name: "n"}, Metrics: []membership.Metric{{Name: "a name that is far too long"}}})))
 	for _, name := range []string{"n", "n@1", "@0000000000000001", "n@000000000000000x"} {
-		_, err := decodeDescriptor(name, "a:1", encodeDescriptor(members.Descriptor{Capacity: 1}))
+		_, err := decodeDescriptor(name, "a:1", encodeDescriptor(membership.Descriptor{Capacity: 1}))
 		fmt.Print(err, " ")
 	}
-	_, err := decodeDescriptor("n@0000000000000001", "a:1", encodeDescriptor(members.Descriptor{Capacity: -1}))
+	_, err := decodeDescriptor("n@0000000000000001", "a:1", encodeDescriptor(membership.Descriptor{Capacity: -1}))
 	fmt.Println(err)
 	n := 0
 	err = decodeState(encodeState([][]byte{{1}, {2, 3}, {4}}), 2, func([]byte) { n++ })
@@ -91,10 +91,10 @@
 }
 
 func FuzzMessages(f *testing.F) {
-	f.Add(encodeHeartbeat(members.Heartbeat{ID: members.ID{Name: "n", BootID: 1}, Metrics: []members.Metric{{Name: "load", Value: 1}}}))
-	f.Add(encodeDescriptor(members.Descriptor{Capacity: 1, Zone: "z"}))
+	f.Add(encodeHeartbeat(membership.Heartbeat{ID: membership.ID{Name: "n", BootID: 1}, Metrics: []membership.Metric{{Name: "load", Value: 1}}}))
+	f.Add(encodeDescriptor(membership.Descriptor{Capacity: 1, Zone: "z"}))
 	f.Add(encode(kindFenceNotice, wireFenceNotice{"n", 1, 2}))
-	f.Add(encodeLeaseRequest(grants.Request{Holder: members.ID{Name: "n", BootID: 1}, Sequence: 1, WantedCalls: 3}, members.ID{Name: "n", BootID: 1}, "a:1"))
+	f.Add(encodeLeaseRequest(grants.Request{Holder: membership.ID{Name: "n", BootID: 1}, Sequence: 1, WantedCalls: 3}, membership.ID{Name: "n", BootID: 1}, "a:1"))
 	f.Add(encodeLease(grants.Lease{AllocatorBootID: 1, Sequence: 1, Limit: 2, Duration: time.Second, MaxCallDuration: time.Second}))
 	f.Add(encode(kindPermitNotice, wirePermitNotice{"a@1", "b@1", "c:1", 7, true}))
 	f.Add(encode(kindPermitBegin, wirePermitBegin{"a@1", "b@1", "c:1", 9, 7}))
@@ -116,7 +116,7 @@
 			_ = decode(body, &p)
 			var b wirePermitBegin
 			_ = decode(body, &b)
-			if a, _, err := decodeLeaseRequest(body, members.ID{Name: "n", BootID: 1}); err == nil && (a.Sequence == 0 || a.OpenCalls < 0 || a.WantedCalls < 0) {
+			if a, _, err := decodeLeaseRequest(body, membership.ID{Name: "n", BootID: 1}); err == nil && (a.Sequence == 0 || a.OpenCalls < 0 || a.WantedCalls < 0) {
 				t.Fatal(a)
 			}
 			if g, err := decodeLease(body); err == nil && (g.Duration <= 0 || g.Limit < 0) {
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -18,7 +18,7 @@
 
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/grants"
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 )
 
 // The golden files hold what a released process sends and shows. Processes of two versions speak to each other
@@ -40,15 +40,15 @@
 // goldenMessages lists every message with all fields set.
 func goldenMessages() []goldenMessage {
 	const age = 1500 * time.Millisecond
-	self := members.ID{Name: "blue", BootID: 0x0123456789abcdef}
-	other := members.ID{Name: "green", BootID: 0xfedcba9876543210}
-	descriptor := members.Descriptor{Name: "blue", Incarnation: 1_700_000_000_123, BootID: self.BootID,
+	self := membership.ID{Name: "blue", BootID: 0x0123456789abcdef}
+	other := membership.ID{Name: "green", BootID: 0xfedcba9876543210}
+	descriptor := membership.Descriptor{Name: "blue", Incarnation: 1_700_000_000_123, BootID: self.BootID,
 		GossipAddr: "10.0.0.7:7946", ServiceAddr: "10.0.0.7:8000",
-		Roles: members.RoleServer | members.RoleProxy | members.RoleCoordinator | members.RoleUpstream, Zone: "north",
+		Roles: membership.RoleServer | membership.RoleProxy | membership.RoleCoordinator | membership.RoleUpstream, Zone: "north",
 		Release: "v7", Capacity: 2.5, WarmUp: 4500 * time.Millisecond}
-	heartbeat := members.Heartbeat{ID: self, Incarnation: 1_700_000_000_123, Sequence: 77, Ready: true,
+	heartbeat := membership.Heartbeat{ID: self, Incarnation: 1_700_000_000_123, Sequence: 77, Ready: true,
 		ReadyFor: 61_001 * time.Millisecond, Draining: true, ViewDigest: 0xdeadbeef01234567,
-		Metrics: []members.Metric{
+		Metrics: []membership.Metric{
 			{Name: "health", Value: 0.75, TTL: 3 * time.Second},
 			{Name: "held", Value: 12, TTL: 4 * time.Second},
 		}}
@@ -223,18 +223,18 @@
 
 // goldenAgent is a part that was never started, with something in all that a snapshot shows.
 func goldenAgent() *Agent {
-	config := members.DefaultConfig()
-	table := members.NewTable(members.Descriptor{Name: "blue", Incarnation: 7, BootID: 0x0123456789abcdef,
-		GossipAddr: "10.0.0.7:7946", Roles: members.RoleServer, Zone: "north", Release: "v7", Capacity: 4}, config, 0)
+	config := membership.DefaultConfig()
+	table := membership.NewTable(membership.Descriptor{Name: "blue", Incarnation: 7, BootID: 0x0123456789abcdef,
+		GossipAddr: "10.0.0.7:7946", Roles: membership.RoleServer, Zone: "north", Release: "v7", Capacity: 4}, config, 0)
 	agent := &Agent{Loop: eventloop.New(1), table: table, transport: &transport{},
 		libraryLog: &libraryLog{counts: map[string]uint64{}, onPredecessorCaller: func(string) {}}, transitions: map[string]uint64{}}
 	agent.view.Store(table.View())
-	green := members.ID{Name: "green", BootID: 0xfedcba9876543210}
-	table.HandleAlive(members.Descriptor{Name: "green", Incarnation: 9, BootID: green.BootID, GossipAddr: "10.0.0.8:7946",
-		ServiceAddr: "10.0.0.8:8000", Roles: members.RoleServer | members.RoleProxy,
+	green := membership.ID{Name: "green", BootID: 0xfedcba9876543210}
+	table.HandleAlive(membership.Descriptor{Name: "green", Incarnation: 9, BootID: green.BootID, GossipAddr: "10.0.0.8:7946",
+		ServiceAddr: "10.0.0.8:8000", Roles: membership.RoleServer | membership.RoleProxy,
 		Zone: "south", Release: "v8", Capacity: 2.5, WarmUp: time.Minute}, time.Second)
-	table.HandleHeartbeat(members.Heartbeat{ID: green, Incarnation: 9, Sequence: 3, Ready: true, ReadyFor: time.Second,
-		ViewDigest: 5, Metrics: []members.Metric{
+	table.HandleHeartbeat(membership.Heartbeat{ID: green, Incarnation: 9, Sequence: 3, Ready: true, ReadyFor: time.Second,
+		ViewDigest: 5, Metrics: []membership.Metric{
 			{Name: "health", Value: 0.75, TTL: 4 * time.Second},
 			{Name: "held", Value: 12, TTL: time.Second},
 		}}, 0, 2*time.Second)
@@ -245,7 +245,7 @@
 	for i, counter := range counters {
 		counter.Store(uint64(101 + i))
 	}
-	table.Stats = members.Stats{Transitions: 201, RejectedFull: 202, StaleHeartbeats: 203, InvalidHeartbeats: 204, OutdatedIncarnations: 205,
+	table.Stats = membership.Stats{Transitions: 201, RejectedFull: 202, StaleHeartbeats: 203, InvalidHeartbeats: 204, OutdatedIncarnations: 205,
 		RefutedSuspicions: 206, Stalls: 207}
 	for _, line := range libraryLines {
 		_, _ = agent.libraryLog.Write([]byte(line))
--- a/internal/fleet/gossip/part.go
+++ b/internal/fleet/gossip/part.go
@@ -21,36 +21,36 @@
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/grants"
 	"lanewheel/internal/logging"
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 	"lanewheel/internal/watch"
 )
 
 // Config is what the part goes by.
 type Config struct {
-	Name            members.Name
+	Name            membership.Name
 	Cluster         string // which fleet; others are not heard
 	ListenAddr      string // ip:port, UDP and TCP
 	AdvertiseAddr   string // where others reach it; empty: where it listens
 	ServiceAddr     string // where the process takes ops, empty if it takes none
-	Roles           members.Roles
+	Roles           membership.Roles
 	Zone            string
 	Release         string
 	Capacity        float64
 	WarmUp          time.Duration
-	Keys            []members.Key
+	Keys            []membership.Key
 	ProbeInterval   time.Duration // between two calls to another member
 	MaxMessageRate  float64       // messages a second that are taken
 	StatusSocket    string        // a local socket, empty for none
 	LeaveWhenFenced bool          // a fenced one leaves
 	DrainByPermit   bool          // it leaves by permits of the stewards
-	Membership      members.Config
+	Membership      membership.Config
 }
 
 // ProcessStatus is what the process behind the part says of itself for a bulletin.
 type ProcessStatus struct {
 	Ready    bool
 	Draining bool
-	Metrics  []members.Metric
+	Metrics  []membership.Metric
 }
 
 // Process is whom the part speaks for. Its methods may be called on any goroutine.
@@ -77,7 +77,7 @@
 	*eventloop.Loop
 	config           Config
 	process          Process
-	table            *members.Table
+	table            *membership.Table
 	memberlist       *memberlist.Memberlist
 	memberlistConfig *memberlist.Config
 	transport        *transport
@@ -90,7 +90,7 @@
 	announcedDigest     uint64        // that our last one told
 	readySince          time.Duration // since when it is ready, under 0 if it is not
 	ownHeartbeat        atomic.Pointer[encodedHeartbeat]
-	view                atomic.Pointer[members.View]
+	view                atomic.Pointer[membership.View]
 	messageLimiter      atomic.Pointer[rate.Limiter]
 	rateLimited         atomic.Uint64 // messages past the rate
 	malformed           atomic.Uint64 // that can't be read
@@ -100,10 +100,10 @@
 	draining            bool
 	fenced              bool
 	done                chan struct{}
-	subscribers         []func(*members.View)
+	subscribers         []func(*membership.View)
 	logSampler          logging.Sampler[string]
 	transitions         map[string]uint64
-	localHealth         members.LocalHealth
+	localHealth         membership.LocalHealth
 	start               time.Time
 	mu                  sync.Mutex
 	senders             map[string]struct{}      // who was heard since the last look
@@ -117,7 +117,7 @@
 	OnLeaseRequest func(a grants.Request, answer func(grants.Lease))
 	OnLease        func(g grants.Lease)
 	// Begins hears that a member would begin its permit, where we are a steward; done is called once it has. The same holds of it.
-	OnPermitBegin func(name members.Name, of members.Incarnation, number uint64, done func())
+	OnPermitBegin func(name membership.Name, of membership.Incarnation, number uint64, done func())
 }
 
 // encodedHeartbeat is our last bulletin as it goes out, with when it was written.
@@ -147,17 +147,17 @@
 	if _, err := rand.Read(bootID[:]); err != nil {
 		return nil, err
 	}
-	self := members.Descriptor{Name: config.Name, BootID: members.BootID(binary.BigEndian.Uint64(bootID[:])), GossipAddr: config.AdvertiseAddr, ServiceAddr: config.ServiceAddr, Roles: config.Roles,
+	self := membership.Descriptor{Name: config.Name, BootID: membership.BootID(binary.BigEndian.Uint64(bootID[:])), GossipAddr: config.AdvertiseAddr, ServiceAddr: config.ServiceAddr, Roles: config.Roles,
 		// A start by the clock is mostly above the life before; where the clock went back, the number is learnt (members.Table).
-		Incarnation: members.Incarnation(max(1, time.Now().UnixMilli())),
+		Incarnation: membership.Incarnation(max(1, time.Now().UnixMilli())),
 		Zone:        config.Zone, Release: config.Release, Capacity: config.Capacity, WarmUp: config.WarmUp}
 	agent := &Agent{Loop: eventloop.New(1 << 14), start: time.Now(), senders: map[string]struct{}{}, predecessorCallers: make([]string, 0, 4), pendingQueries: map[uint64]*pendingQuery{}, config: config, process: process, libraryLog: &libraryLog{counts: map[string]uint64{}},
 		random: mathrand.New(mathrand.NewPCG(seed, uint64(self.BootID))), joinAddrs: make(chan string, 1), done: make(chan struct{}), readySince: -1, transitions: map[string]uint64{}}
 	agent.libraryLog.onPredecessorCaller = agent.notePredecessorCaller
-	agent.table = members.NewTable(self, config.Membership, 0)
+	agent.table = membership.NewTable(self, config.Membership, 0)
 	agent.view.Store(agent.table.View())
 	agent.setMessageLimit(config.MaxMessageRate)
-	agent.storeHeartbeat(members.Heartbeat{ID: self.ID(), Incarnation: self.Incarnation})
+	agent.storeHeartbeat(membership.Heartbeat{ID: self.ID(), Incarnation: self.Incarnation})
 	logger := log.New(agent.libraryLog, "", 0)
 	if agent.transport, err = newTransport(ip, port, logger, agent.noteSender); err != nil {
 		return nil, err
@@ -200,12 +200,12 @@
 
 // Subscribe has then called with each new view, on the part's loop: who has a loop of its own hands it on there. It belongs to
 // the time before Start.
-func (p *Agent) Subscribe(callback func(*members.View)) {
+func (p *Agent) Subscribe(callback func(*membership.View)) {
 	p.subscribers = append(p.subscribers, callback)
 }
 
 // View is what is believed now. Any goroutine may ask.
-func (p *Agent) View() *members.View { return p.view.Load() }
+func (p *Agent) View() *membership.View { return p.view.Load() }
 
 // Start begins to speak.
 func (p *Agent) Start() {
@@ -328,7 +328,7 @@
 	p.sequence++
 	p.announcedDigest = p.table.ViewDigest()
 	self := p.table.Self()
-	heartbeat := members.Heartbeat{ID: self.ID(), Incarnation: self.Incarnation, Sequence: p.sequence, Ready: status.Ready, Draining: status.Draining || p.draining, ViewDigest: p.table.ViewDigest(), Metrics: status.Metrics}
+	heartbeat := membership.Heartbeat{ID: self.ID(), Incarnation: self.Incarnation, Sequence: p.sequence, Ready: status.Ready, Draining: status.Draining || p.draining, ViewDigest: p.table.ViewDigest(), Metrics: status.Metrics}
 	if status.Ready {
 		heartbeat.ReadyFor = p.Now() - p.readySince
 	}
@@ -341,13 +341,13 @@
 	return p.ownHeartbeat.Load()
 }
 
-func (p *Agent) storeHeartbeat(heartbeat members.Heartbeat) {
+func (p *Agent) storeHeartbeat(heartbeat membership.Heartbeat) {
 	p.ownHeartbeat.Store(&encodedHeartbeat{encodeHeartbeat(heartbeat), time.Now()})
 }
 
 // heartbeatBroadcast is a bulletin on its way through the fleet; its age is written each time it goes out.
 type heartbeatBroadcast struct {
-	from      members.ID
+	from      membership.ID
 	heartbeat *encodedHeartbeat
 }
 
@@ -397,7 +397,7 @@
 }
 
 // RequestLease asks the desk beside a service below for calls. Any goroutine may call it; the answer, if one comes, goes to Grants.
-func (p *Agent) RequestLease(name members.Name, request grants.Request) {
+func (p *Agent) RequestLease(name membership.Name, request grants.Request) {
 	p.Post(func() {
 		if member, known := p.table.View().Get(name); known {
 			_ = p.memberlist.SendToAddress(memberlist.Address{Addr: member.GossipAddr, Name: member.ID().String()}, encodeLeaseRequest(request, member.ID(), p.table.Self().GossipAddr))
@@ -413,19 +413,19 @@
 
 // QueryLoad asks a member how it stands, by one datagram; then is called on the part's loop if a word comes. What does not come within a second
 // is not waited for.
-func (p *Agent) QueryLoad(name members.Name, callback func(load float64, age time.Duration)) {
+func (p *Agent) QueryLoad(name membership.Name, callback func(load float64, age time.Duration)) {
 	p.sendQuery(name, func(reply wireQueryReply, age time.Duration) { callback(reply.Load, age) })
 }
 
 // QueryStats asks a member what it has done, the same way.
-func (p *Agent) QueryStats(name members.Name, callback func(RequestStats)) {
+func (p *Agent) QueryStats(name membership.Name, callback func(RequestStats)) {
 	p.sendQuery(name, func(reply wireQueryReply, _ time.Duration) {
 		callback(RequestStats{reply.Finished, reply.WithinObjective, reply.TotalSeconds})
 	})
 }
 
 // NotifyPermit tells one life of a member that it has a permit, or that it has begun it. Any goroutine may call it.
-func (p *Agent) NotifyPermit(name members.Name, incarnation members.Incarnation, number uint64, begun bool) {
+func (p *Agent) NotifyPermit(name membership.Name, incarnation membership.Incarnation, number uint64, begun bool) {
 	p.Post(func() {
 		if member, known := p.table.View().Get(name); known && member.Incarnation == incarnation {
 			self := p.table.Self()
@@ -434,7 +434,7 @@
 	})
 }
 
-func (p *Agent) sendQuery(name members.Name, callback func(w wireQueryReply, age time.Duration)) {
+func (p *Agent) sendQuery(name membership.Name, callback func(w wireQueryReply, age time.Duration)) {
 	const maxPendingQueries = 1024 // Danger: a fleet that answers nobody; so many are more than a relay asks in a second
 	member, known := p.table.View().Get(name)
 	if !known || len(p.pendingQueries) >= maxPendingQueries {
@@ -449,7 +449,7 @@
 // SetConfig takes values that were told anew: keys, seeds and times. What it listens on and is called holds from the next start.
 func (p *Agent) SetConfig(config Config) {
 	p.Post(func() {
-		rotation := members.PlanKeyRotation(p.config.Keys, config.Keys)
+		rotation := membership.PlanKeyRotation(p.config.Keys, config.Keys)
 		if keyring := p.memberlistConfig.Keyring; keyring != nil {
 			var err error
 			for _, key := range rotation.Add {
@@ -538,21 +538,21 @@
 }
 
 // handleAlive hands a claim to the table and does what it says.
-func (p *Agent) handleAlive(descriptor members.Descriptor) {
+func (p *Agent) handleAlive(descriptor membership.Descriptor) {
 	switch p.table.HandleAlive(descriptor, p.Now()) {
-	case members.AliveOutdated:
+	case membership.AliveOutdated:
 		p.notifyFenced(descriptor)
-	case members.AliveIncarnationRaised:
+	case membership.AliveIncarnationRaised:
 		slog.Info("incarnation-raised", "name", string(p.config.Name), "incarnation", uint64(p.table.Self().Incarnation))
 		go func() { _ = p.memberlist.UpdateNode(time.Second) }()
-	case members.AliveFenced:
+	case membership.AliveFenced:
 		p.fence()
 	}
 	p.applyChanges()
 }
 
 // notifyFenced says to an old life that it is over, if that is on us.
-func (p *Agent) notifyFenced(outdated members.Descriptor) {
+func (p *Agent) notifyFenced(outdated membership.Descriptor) {
 	if !p.table.ShouldNotifyFenced(outdated.ID(), p.Now()) {
 		return
 	}
@@ -581,7 +581,7 @@
 	descriptor, err := decodeDescriptor(node.Name, node.Address(), node.Meta)
 	if err == nil {
 		view := p.view.Load()
-		if _, known := view.Get(descriptor.Name); !known && descriptor.Name != view.Self.Name && view.Len() >= p.config.Membership.MaxMembers && view.Count(members.StateGone) == 0 {
+		if _, known := view.Get(descriptor.Name); !known && descriptor.Name != view.Self.Name && view.Len() >= p.config.Membership.MaxMembers && view.Count(membership.StateGone) == 0 {
 			err = errTooLarge
 		}
 	}
@@ -603,7 +603,7 @@
 
 // NotifyLeave is memberlist.EventDelegate.
 func (p *Agent) NotifyLeave(node *memberlist.Node) {
-	if id, ok := members.ParseID(node.Name); ok {
+	if id, ok := membership.ParseID(node.Name); ok {
 		left := node.State == memberlist.StateLeft
 		p.Post(func() {
 			p.table.HandleUnreachable(id, left, p.Now())
@@ -646,7 +646,7 @@
 	if err == nil {
 		switch kind {
 		case kindHeartbeat:
-			var decoded members.Heartbeat
+			var decoded membership.Heartbeat
 			if decoded, err = decodeHeartbeat(body); err == nil && p.table.HandleHeartbeat(decoded, age+transit, p.Now()) {
 				p.broadcasts.QueueBroadcast(&heartbeatBroadcast{from: decoded.ID, heartbeat: &encodedHeartbeat{append([]byte(nil), message...), time.Now().Add(-age - transit)}})
 				p.applyChanges()
@@ -695,8 +695,8 @@
 		case kindPermitBegin:
 			var decoded wirePermitBegin
 			if err = decode(body, &decoded); err == nil && decoded.To == p.table.Self().ID().String() && p.OnPermitBegin != nil {
-				if id, ok := members.ParseID(decoded.From); ok {
-					p.OnPermitBegin(id.Name, members.Incarnation(decoded.Incarnation), decoded.Number, func() { p.NotifyPermit(id.Name, members.Incarnation(decoded.Incarnation), decoded.Number, true) })
+				if id, ok := membership.ParseID(decoded.From); ok {
+					p.OnPermitBegin(id.Name, membership.Incarnation(decoded.Incarnation), decoded.Number, func() { p.NotifyPermit(id.Name, membership.Incarnation(decoded.Incarnation), decoded.Number, true) })
 				}
 			}
 		case kindLease:
@@ -706,11 +706,11 @@
 			}
 		case kindFenceNotice:
 			var decoded wireFenceNotice
-			if err = decode(body, &decoded); err == nil && members.Name(decoded.Name) == p.config.Name {
-				switch p.table.HandleFenceNotice(members.Incarnation(decoded.Incarnation), members.BootID(decoded.BootID), p.Now()) {
-				case members.AliveFenced:
+			if err = decode(body, &decoded); err == nil && membership.Name(decoded.Name) == p.config.Name {
+				switch p.table.HandleFenceNotice(membership.Incarnation(decoded.Incarnation), membership.BootID(decoded.BootID), p.Now()) {
+				case membership.AliveFenced:
 					p.fence()
-				case members.AliveIncarnationRaised:
+				case membership.AliveIncarnationRaised:
 					go func() { _ = p.memberlist.UpdateNode(time.Second) }()
 				}
 				p.applyChanges()
@@ -735,7 +735,7 @@
 	messages := [][]byte{p.ownHeartbeat.Load().withAge()}
 	now := time.Since(p.start)
 	for member := range view.All() {
-		if member.Sequence == 0 || member.State == members.StateGone || member.State == members.StateFenced {
+		if member.Sequence == 0 || member.State == membership.StateGone || member.State == membership.StateFenced {
 			continue
 		}
 		heartbeat, age := member.Heartbeat(now)
--- a/internal/fleet/gossip/watch.go
+++ b/internal/fleet/gossip/watch.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 )
 
 // Snapshot is a process's view of the fleet, for whoever watches it.
@@ -56,10 +56,10 @@
 	view, now := p.table.View(), p.Now()
 	snapshot := Snapshot{Name: string(view.Self.Name), BootID: fmt.Sprintf("%016x", uint64(view.Self.BootID)), Incarnation: uint64(view.Self.Incarnation), Zone: view.Self.Zone,
 		Release: view.Self.Release, LocalHealth: view.LocalHealth.String(), HeardFraction: view.HeardFraction, ViewVersion: view.Version,
-		ViewDigest: fmt.Sprintf("%016x", view.Digest()^members.Fingerprint(view.Self.ID())), States: map[string]int{}, Counters: p.counters(), CPUMillis: processCPUTime().Milliseconds()}
+		ViewDigest: fmt.Sprintf("%016x", view.Digest()^membership.Fingerprint(view.Self.ID())), States: map[string]int{}, Counters: p.counters(), CPUMillis: processCPUTime().Milliseconds()}
 	for member := range view.All() {
 		snapshot.States[member.State.String()]++
-		if kind == SnapshotBrief && member.State == members.StateUp {
+		if kind == SnapshotBrief && member.State == membership.StateUp {
 			continue
 		}
 		shown := MemberSnapshot{Name: string(member.Name), BootID: fmt.Sprintf("%016x", uint64(member.BootID)), Incarnation: uint64(member.Incarnation), State: member.State.String(),
--- a/internal/fleet/steward/ask/ask.go
+++ b/internal/fleet/steward/ask/ask.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"lanewheel/internal/accord"
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 )
 
 // Stewards and operators speak on one listener. Whoever connects proves that he has the cluster's key before anything else is read, and says what he
@@ -39,7 +39,7 @@
 var ErrUnauthenticated = errors.New("who connects does not have the cluster's key")
 
 // handshakeMAC is the proof of one side over both sides' numbers. An empty key proves nothing, and there are none without.
-func handshakeMAC(key members.Key, side byte, nonces []byte) []byte {
+func handshakeMAC(key membership.Key, side byte, nonces []byte) []byte {
 	mac := hmac.New(sha256.New, key)
 	mac.Write([]byte{side})
 	mac.Write(nonces)
@@ -47,7 +47,7 @@
 }
 
 // clientHandshake is the proof of who dials: both draw a number, both prove that they know the key. Danger: a stranger that listens where a steward was.
-func clientHandshake(conn net.Conn, keys []members.Key, connectionKind byte) error {
+func clientHandshake(conn net.Conn, keys []membership.Key, connectionKind byte) error {
 	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	var ownNonce, peerNonce [16]byte
 	if _, err := rand.Read(ownNonce[:]); err != nil {
@@ -76,7 +76,7 @@
 }
 
 // ServerHandshake is the other side: it gives what the one who connected wants.
-func ServerHandshake(conn net.Conn, keys []members.Key) (kind byte, err error) {
+func ServerHandshake(conn net.Conn, keys []membership.Key) (kind byte, err error) {
 	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	var ownNonce, peerNonce [16]byte
 	if _, err := rand.Read(ownNonce[:]); err != nil {
@@ -105,7 +105,7 @@
 }
 
 // Dial connects, proves the key and has it proven.
-func Dial(addr, localIP string, keys []members.Key, kind byte, timeout time.Duration) (net.Conn, error) {
+func Dial(addr, localIP string, keys []membership.Key, kind byte, timeout time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout}
 	if localIP != "" {
 		dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(localIP)}
@@ -166,7 +166,7 @@
 // Client asks stewards, whichever leads.
 type Client struct {
 	Coordinators []string
-	Keys         []members.Key
+	Keys         []membership.Key
 	LocalIP      string
 	Timeout      time.Duration // until it gives up
 }
--- a/internal/fleet/steward/ask/golden_test.go
+++ b/internal/fleet/steward/ask/golden_test.go
@@ -19,7 +19,7 @@
 	"time"
 
 	"lanewheel/internal/accord"
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew; only where the spoken form is meant to change")
@@ -27,7 +27,7 @@
 var (
 	match  = accord.Selector{Zone: "a", Release: "1", Role: "instance", Upstream: "db"}
 	budget = accord.DisruptionBudget{Name: "zone-a", Selector: match, MaxUnavailable: 2, MaxUnavailableFraction: 0.25, MinAvailableCapacity: 12.5}
-	seen   = accord.Observation{Name: "n1", Incarnation: 1_700_000_000_001, Zone: "a", Release: "1", Roles: members.RoleServer,
+	seen   = accord.Observation{Name: "n1", Incarnation: 1_700_000_000_001, Zone: "a", Release: "1", Roles: membership.RoleServer,
 		Upstream: "db", Capacity: 1.5, State: accord.MemberLeaving}
 	permit = accord.Permit{ID: 42, Member: "n1", Incarnation: 1_700_000_000_001, RequestedBy: "operator", Purpose: "drain",
 		Stage: accord.PermitBegun, RequestedAt: 50 * time.Second, StageSince: 60 * time.Second,
@@ -155,7 +155,7 @@
 	}
 
 	// A client's own words, behind a proof by the documented steps, and what it takes from an answer.
-	key := members.Key("0123456789abcdef0123456789abcdef")
+	key := membership.Key("0123456789abcdef0123456789abcdef")
 	for i, q := range questions {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -178,7 +178,7 @@
 			heard <- line
 			_, _ = io.WriteString(c, said[2+i%3]+"\n") // the first two answers would have it ask elsewhere
 		}()
-		got, err := Client{Coordinators: []string{l.Addr().String()}, Keys: []members.Key{key},
+		got, err := Client{Coordinators: []string{l.Addr().String()}, Keys: []membership.Key{key},
 			Timeout: 5 * time.Second}.Do(q)
 		if err != nil || !reflect.DeepEqual(got, answers[2+i%3]) {
 			t.Errorf("question %d: answered %+v %v", i, got, err)
@@ -221,7 +221,7 @@
 
 // The proof of both sides, and the letters that it begins with.
 func TestProofGolden(t *testing.T) {
-	key := members.Key("0123456789abcdef0123456789abcdef")
+	key := membership.Key("0123456789abcdef0123456789abcdef")
 	const want = "d2b5fc6ec5591b99529923fc42469d4f235c0081d186a6f9249ec08b2bbd9c2f"
 	if got := hex.EncodeToString(handshakeMAC(key, 'd', []byte("listener's bytesdialer's bytes..o"))); got != want {
 		t.Errorf("%s, wanted %s", got, want)
@@ -233,7 +233,7 @@
 		here, there := net.Pipe()
 		done := make(chan error, 1)
 		go func() {
-			got, err := ServerHandshake(here, []members.Key{members.Key("another key of as many bytes...."), key})
+			got, err := ServerHandshake(here, []membership.Key{membership.Key("another key of as many bytes...."), key})
 			if err == nil && got != kind {
 				err = fmt.Errorf("taken for %q", got)
 			}
--- a/internal/fleet/steward/golden_test.go
+++ b/internal/fleet/steward/golden_test.go
@@ -22,7 +22,7 @@
 
 	"lanewheel/internal/accord"
 	"lanewheel/internal/accord/judge"
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 	"lanewheel/internal/standin"
 )
 
@@ -36,16 +36,16 @@
 
 func goldenTold(folder string) Config {
 	return Config{Name: "s0", ListenAddr: "127.0.0.1:0", AdvertiseAddr: goldenAt, DataDir: folder, Bootstrap: true,
-		HeartbeatTimeout: 300 * time.Millisecond, ClusterKeys: []members.Key{clusterKey}, Coordination: accord.DefaultConfig(),
+		HeartbeatTimeout: 300 * time.Millisecond, ClusterKeys: []membership.Key{clusterKey}, Coordination: accord.DefaultConfig(),
 		Canary: judge.DefaultConfig(), AnalysisWindow: time.Second, SampleSize: 8, RestartTimeout: time.Second, RestartOutputLimit: 64, SnapshotThreshold: 1000}
 }
 
 // goldenCommands are of every kind, and come out well unless said; at is when the first is given, from is the number of
 // its first permit. They leave n0 out by a permit, n3 with one that has been granted, and a release on its way back.
-func goldenCommands(term uint64, at time.Duration, from accord.PermitID, inc members.Incarnation, old,
+func goldenCommands(term uint64, at time.Duration, from accord.PermitID, inc membership.Incarnation, old,
 	next string) (all []accord.Command) {
-	seen := func(name accord.Name, zone, release string, plus members.Incarnation, why accord.MemberState) accord.Observation {
-		return accord.Observation{Name: name, Incarnation: inc + plus, Zone: zone, Release: release, Roles: members.RoleServer,
+	seen := func(name accord.Name, zone, release string, plus membership.Incarnation, why accord.MemberState) accord.Observation {
+		return accord.Observation{Name: name, Incarnation: inc + plus, Zone: zone, Release: release, Roles: membership.RoleServer,
 			Capacity: 1.5, State: why}
 	}
 	group := accord.Selector{Zone: "b", Role: "instance"}
@@ -53,9 +53,9 @@
 		{Kind: accord.KindObserve, Observations: []accord.Observation{seen("n0", "a", old, 0, accord.MemberUp), seen("n1", "a", old, 0, accord.MemberUp),
 			seen("n2", "b", old, 0, accord.MemberUp), seen("n3", "b", old, 0, accord.MemberUp),
 			seen("n4", "c", old, 0, accord.MemberUp), seen("n5", "c", old, 0, accord.MemberUp),
-			{Name: "d0", Incarnation: inc, Zone: "a", Release: old, Roles: members.RoleUpstream, Upstream: "d0", Capacity: 1,
+			{Name: "d0", Incarnation: inc, Zone: "a", Release: old, Roles: membership.RoleUpstream, Upstream: "d0", Capacity: 1,
 				State: accord.MemberUp},
-			{Name: "r0", Incarnation: inc, Zone: "a", Release: old, Roles: members.RoleProxy | members.RoleCoordinator,
+			{Name: "r0", Incarnation: inc, Zone: "a", Release: old, Roles: membership.RoleProxy | membership.RoleCoordinator,
 				Capacity: 2, State: accord.MemberSuspect}}},
 		{Kind: accord.KindSetBudgets, Budgets: []accord.DisruptionBudget{{Name: "all", MaxUnavailable: 3, MinAvailableCapacity: 4}, {Name: "share-b", Selector: group,
 			MaxUnavailable: -1, MaxUnavailableFraction: 0.5},
@@ -304,13 +304,13 @@
 		{Name: "below", Selector: accord.Selector{Upstream: "d0", Release: "1"}, MaxUnavailable: 1}})
 	is("members", len(a.Members), 7)
 	is("n0", *a.Members["n0"], accord.Member{Observation: accord.Observation{Name: "n0", Incarnation: 1_700_000_000_103, Zone: "a",
-		Release: "3", Roles: members.RoleServer, Capacity: 1.5},
+		Release: "3", Roles: membership.RoleServer, Capacity: 1.5},
 		StateSince: 22500 * time.Millisecond, PermitID: 17, PreviousRelease: "1"})
 	is("d0", *a.Members["d0"], accord.Member{Observation: accord.Observation{Name: "d0", Incarnation: 1_700_000_000_101, Zone: "a",
-		Release: "1", Roles: members.RoleUpstream, Upstream: "d0", Capacity: 1},
+		Release: "1", Roles: membership.RoleUpstream, Upstream: "d0", Capacity: 1},
 		StateSince: 13 * time.Second, PreviousRelease: "1"})
 	is("r0", *a.Members["r0"], accord.Member{Observation: accord.Observation{Name: "r0", Incarnation: 1_700_000_000_101, Zone: "a",
-		Release: "1", Roles: members.RoleProxy | members.RoleCoordinator, Capacity: 2,
+		Release: "1", Roles: membership.RoleProxy | membership.RoleCoordinator, Capacity: 2,
 		State: accord.MemberSuspect}, StateSince: 13 * time.Second, PreviousRelease: "1"})
 	is("permits", len(a.Permits), 3)
 	is("17", *a.Permits[17], accord.Permit{ID: 17, Member: "n0", Incarnation: 1_700_000_000_103, RequestedBy: "r3", Purpose: "back",
--- a/internal/fleet/steward/speak_test.go
+++ b/internal/fleet/steward/speak_test.go
@@ -6,16 +6,16 @@
 	"time"
 
 	"lanewheel/internal/fleet/steward/ask"
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 	"lanewheel/internal/standin"
 )
 
 // A question that comes while the steward's folder is still being read waits, and one whose steward ends before that is not answered.
 func Example_askedBeforeItIsOpen() {
 	l := standin.Must(net.Listen("tcp", "127.0.0.1:0"))
-	key := members.Key(make([]byte, 32))
+	key := membership.Key(make([]byte, 32))
 	s := &Coordinator{config: Config{AdvertiseAddr: l.Addr().String()}, closed: make(chan struct{})}
-	keys := []members.Key{key}
+	keys := []membership.Key{key}
 	s.clusterKeys.Store(&keys)
 	x := newStreamLayer(s, l)
 	said := make(chan error)
--- a/internal/fleet/steward/steward.go
+++ b/internal/fleet/steward/steward.go
@@ -22,16 +22,16 @@
 	"lanewheel/internal/accord/judge"
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/fleet/steward/ask"
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 )
 
 // Fleet is how a steward sees and reaches the others.
 type Fleet interface {
-	View() *members.View
+	View() *membership.View
 	// Nudge tells a member that it has a permit, and of the one that has begun that it has.
-	NotifyPermit(name members.Name, of members.Incarnation, number uint64, begun bool)
+	NotifyPermit(name membership.Name, of membership.Incarnation, number uint64, begun bool)
 	// Figures asks a member what it has done since its start; then may never be called, or on any goroutine.
-	QueryStats(name members.Name, then func(gossip.RequestStats))
+	QueryStats(name membership.Name, then func(gossip.RequestStats))
 }
 
 // Coordinator is one of those that hold what is agreed.
@@ -41,7 +41,7 @@
 	fleet               Fleet
 	streamLayer         *streamLayer
 	rejectedConnections atomic.Uint64
-	clusterKeys         atomic.Pointer[[]members.Key]
+	clusterKeys         atomic.Pointer[[]membership.Key]
 	closed              chan struct{}
 	loops               sync.WaitGroup
 	shutdownOnce        sync.Once
@@ -65,11 +65,11 @@
 	mu                 sync.Mutex // guards figures
 	previousStats      map[accord.Name]memberStats
 	currentStats       map[accord.Name]memberStats
-	canaryIncarnations map[accord.Name]members.Incarnation // of the new release, at the window before
+	canaryIncarnations map[accord.Name]membership.Incarnation // of the new release, at the window before
 }
 
 type memberStats struct {
-	incarnation members.Incarnation
+	incarnation membership.Incarnation
 	gossip.RequestStats
 }
 
@@ -93,10 +93,10 @@
 	return s, nil
 }
 
-func (s *Coordinator) loadClusterKeys() []members.Key { return *s.clusterKeys.Load() }
+func (s *Coordinator) loadClusterKeys() []membership.Key { return *s.clusterKeys.Load() }
 
 // SetClusterKeys takes keys that were told anew.
-func (s *Coordinator) SetClusterKeys(keys []members.Key) { s.clusterKeys.Store(&keys) }
+func (s *Coordinator) SetClusterKeys(keys []membership.Key) { s.clusterKeys.Store(&keys) }
 
 // Serve goes on until Leave.
 func (s *Coordinator) Serve(fleet Fleet) {
@@ -185,7 +185,7 @@
 				continue
 			}
 			slog.Info("steward", "leads", true, "term", term)
-			s.leadership = &leadership{term: term, startedAt: time.Now(), notifiedAt: map[accord.PermitID]time.Time{}, restarts: map[accord.PermitID]*restartState{}, canaryIncarnations: map[accord.Name]members.Incarnation{}}
+			s.leadership = &leadership{term: term, startedAt: time.Now(), notifiedAt: map[accord.PermitID]time.Time{}, restarts: map[accord.PermitID]*restartState{}, canaryIncarnations: map[accord.Name]membership.Incarnation{}}
 		}
 		s.leaderRound()
 	}
@@ -262,8 +262,8 @@
 }
 
 // memberStates is why a member is out, by how it is seen.
-var memberStates = map[members.State]accord.MemberState{members.StateUp: accord.MemberUp, members.StateWarming: accord.MemberWarmingUp, members.StateJoining: accord.MemberJoining, members.StateSuspect: accord.MemberSuspect,
-	members.StateLeaving: accord.MemberLeaving, members.StateGone: accord.MemberGone, members.StateFenced: accord.MemberGone}
+var memberStates = map[membership.State]accord.MemberState{membership.StateUp: accord.MemberUp, membership.StateWarming: accord.MemberWarmingUp, membership.StateJoining: accord.MemberJoining, membership.StateSuspect: accord.MemberSuspect,
+	membership.StateLeaving: accord.MemberLeaving, membership.StateGone: accord.MemberGone, membership.StateFenced: accord.MemberGone}
 
 // reportMembers says what has changed among the members, and tells whether what it sees can be trusted. Danger: a leader that is cut off from the fleet and not from
 // the other stewards sees all as gone, or all as they were.
@@ -274,9 +274,9 @@
 	}
 	lead := s.leadership
 	current := map[accord.Name]accord.Observation{}
-	add := func(claim members.Descriptor, state accord.MemberState) {
+	add := func(claim membership.Descriptor, state accord.MemberState) {
 		observation := accord.Observation{Name: claim.Name, Incarnation: claim.Incarnation, Zone: claim.Zone, Release: claim.Release, Roles: claim.Roles, Capacity: claim.Capacity, State: state}
-		if claim.Roles&members.RoleUpstream != 0 {
+		if claim.Roles&membership.RoleUpstream != 0 {
 			observation.Upstream = string(claim.Name)
 		}
 		current[claim.Name] = observation
@@ -309,7 +309,7 @@
 }
 
 // BeginPermit hears that a member would begin its permit; done is called once it is agreed that it has.
-func (s *Coordinator) BeginPermit(name members.Name, incarnation members.Incarnation, permitID uint64, begun func()) {
+func (s *Coordinator) BeginPermit(name membership.Name, incarnation membership.Incarnation, permitID uint64, begun func()) {
 	go func() {
 		if _, isLeader := s.replica.leaderTerm(); !isLeader || s.shuttingDown.Load() {
 			return
--- a/internal/fleet/steward/steward_test.go
+++ b/internal/fleet/steward/steward_test.go
@@ -18,7 +18,7 @@
 	"lanewheel/internal/accord/judge"
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/fleet/steward/ask"
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 	"lanewheel/internal/standin"
 )
 
@@ -29,19 +29,19 @@
 	coordinators []*Coordinator
 	done         []chan struct{}
 	mu           sync.Mutex
-	table        *members.Table
+	table        *membership.Table
 	now          time.Duration
 	notices      map[uint64]string
 }
 
-var clusterKey = members.Key("0123456789abcdef0123456789abcdef")
+var clusterKey = membership.Key("0123456789abcdef0123456789abcdef")
 
 var fleetCount int
 
 func newTestFleet(n int, instances int) *testFleet {
 	fleetCount++
 	t := &testFleet{dir: standin.Must(os.MkdirTemp("", "stewards")), notices: map[uint64]string{}}
-	t.table = members.NewTable(members.Descriptor{Name: "s0", Incarnation: 1, BootID: 1, Roles: members.RoleCoordinator}, members.DefaultConfig(), 0)
+	t.table = membership.NewTable(membership.Descriptor{Name: "s0", Incarnation: 1, BootID: 1, Roles: membership.RoleCoordinator}, membership.DefaultConfig(), 0)
 	for i := range instances {
 		t.markUp(i, 1, "1")
 	}
@@ -51,7 +51,7 @@
 		all = append(all, l.Addr().String())
 		l.Close()
 		t.configs = append(t.configs, Config{Name: fmt.Sprint("s", i), ListenAddr: all[i], DataDir: filepath.Join(t.dir, fmt.Sprint(i)), Bootstrap: i == 0, HeartbeatTimeout: 300 * time.Millisecond,
-			ClusterKeys: []members.Key{clusterKey}, Coordination: accord.DefaultConfig(), Canary: judge.DefaultConfig(), AnalysisWindow: time.Second, SampleSize: 8, RestartTimeout: time.Second, RestartOutputLimit: 64, SnapshotThreshold: 64})
+			ClusterKeys: []membership.Key{clusterKey}, Coordination: accord.DefaultConfig(), Canary: judge.DefaultConfig(), AnalysisWindow: time.Second, SampleSize: 8, RestartTimeout: time.Second, RestartOutputLimit: 64, SnapshotThreshold: 64})
 	}
 	t.coordinators, t.done = make([]*Coordinator, n), make([]chan struct{}, n)
 	for i := range n {
@@ -62,28 +62,28 @@
 }
 
 // markUp has the fleet hold an instance to be up, by a life.
-func (t *testFleet) markUp(i int, life members.BootID, release string) {
+func (t *testFleet) markUp(i int, life membership.BootID, release string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.now += time.Second
-	name := members.Name(fmt.Sprint("n", i))
-	t.table.HandleAlive(members.Descriptor{Name: name, BootID: life, Incarnation: members.Incarnation(life), Roles: members.RoleServer, Release: release, Capacity: 1}, t.now)
-	t.table.HandleHeartbeat(members.Heartbeat{ID: members.ID{Name: name, BootID: life}, Sequence: 1, Ready: true, ReadyFor: time.Hour}, 0, t.now)
+	name := membership.Name(fmt.Sprint("n", i))
+	t.table.HandleAlive(membership.Descriptor{Name: name, BootID: life, Incarnation: membership.Incarnation(life), Roles: membership.RoleServer, Release: release, Capacity: 1}, t.now)
+	t.table.HandleHeartbeat(membership.Heartbeat{ID: membership.ID{Name: name, BootID: life}, Sequence: 1, Ready: true, ReadyFor: time.Hour}, 0, t.now)
 }
 
-func (t *testFleet) View() *members.View {
+func (t *testFleet) View() *membership.View {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.table.View()
 }
 
-func (t *testFleet) NotifyPermit(name members.Name, of members.Incarnation, number uint64, begun bool) {
+func (t *testFleet) NotifyPermit(name membership.Name, of membership.Incarnation, number uint64, begun bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.notices[number] = fmt.Sprint(name, " ", of, " ", begun)
 }
 
-func (t *testFleet) QueryStats(members.Name, func(gossip.RequestStats)) {}
+func (t *testFleet) QueryStats(membership.Name, func(gossip.RequestStats)) {}
 
 func (t *testFleet) startCoordinator(i int) {
 	s, err := New(t.configs[i])
@@ -115,7 +115,7 @@
 }
 
 func (t *testFleet) client() ask.Client {
-	k := ask.Client{Keys: []members.Key{clusterKey}, Timeout: standin.WaitTimeout}
+	k := ask.Client{Keys: []membership.Key{clusterKey}, Timeout: standin.WaitTimeout}
 	for _, told := range t.configs {
 		k.Coordinators = append(k.Coordinators, told.ListenAddr)
 	}
@@ -169,7 +169,7 @@
 	c.Member, c.IdempotencyKey = "n2", ""
 	fmt.Println(t.propose(accord.Command{Kind: accord.KindBeginPermit, Member: "n1", Incarnation: 1, PermitID: 2}))
 	k := t.client()
-	k.Keys = []members.Key{members.Key("another key of as many bytes....")}
+	k.Keys = []membership.Key{membership.Key("another key of as many bytes....")}
 	_, err := k.Do(ask.Request{Status: true})
 	fmt.Println(strings.Contains(fmt.Sprint(err), ask.ErrUnauthenticated.Error()))
 	t.startCoordinator(first)
@@ -349,7 +349,7 @@
 	// The state that they begin with, as the stewards have it.
 	start := accord.NewState(accord.DefaultConfig())
 	for i := range 3 {
-		start.Apply(accord.Command{Kind: accord.KindObserve, Observations: []accord.Observation{{Name: accord.Name(fmt.Sprint("n", i)), Incarnation: 1, Release: "1", Roles: members.RoleServer, Capacity: 1}}})
+		start.Apply(accord.Command{Kind: accord.KindObserve, Observations: []accord.Observation{{Name: accord.Name(fmt.Sprint("n", i)), Incarnation: 1, Release: "1", Roles: membership.RoleServer, Capacity: 1}}})
 	}
 	start.Apply(oneAtATime)
 	first := string(standin.Must(json.Marshal(start)))
--- a/internal/fleet/steward/told/told.go
+++ b/internal/fleet/steward/told/told.go
@@ -6,7 +6,7 @@
 
 	"lanewheel/internal/accord"
 	"lanewheel/internal/accord/judge"
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 )
 
 // Config is what a steward goes by.
@@ -19,7 +19,7 @@
 	Bootstrap          bool     // it is the first of a new fleet
 	ForceNewCluster    bool     // the others are lost for good: it goes on from its own state
 	HeartbeatTimeout   time.Duration
-	ClusterKeys        []members.Key
+	ClusterKeys        []membership.Key
 	Coordination       accord.Config
 	Canary             judge.Config
 	AnalysisWindow     time.Duration // of the judgement
--- a/internal/grants/desk.go
+++ b/internal/grants/desk.go
@@ -11,7 +11,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 )
 
 // Config is what a desk goes by.
@@ -45,14 +45,14 @@
 
 // HeldLease is the grant that a holder goes by.
 type HeldLease struct {
-	AllocatorBootID members.BootID // who granted it
-	Sequence        uint64         // the ask that it answered
-	Limit           int            // calls at a time beyond those that it may make alone; 0 once it is over
+	AllocatorBootID membership.BootID // who granted it
+	Sequence        uint64            // the ask that it answered
+	Limit           int               // calls at a time beyond those that it may make alone; 0 once it is over
 }
 
 // Request is what a holder says of itself, and wants. A later one counts.
 type Request struct {
-	Holder      members.ID
+	Holder      membership.ID
 	Sequence    uint64
 	Held        HeldLease
 	OpenCalls   int // calls that may be running below, beyond those that it may make alone
@@ -61,7 +61,7 @@
 
 // Lease is the answer to an ask.
 type Lease struct {
-	AllocatorBootID members.BootID
+	AllocatorBootID membership.BootID
 	Sequence        uint64 // of the ask
 	Limit           int
 	Duration        time.Duration
@@ -73,9 +73,9 @@
 // Allocator grants. It belongs to one goroutine.
 type Allocator struct {
 	config           Config
-	bootID           members.BootID
+	bootID           membership.BootID
 	renewOnlyUntil   time.Duration // until then what an earlier desk granted may be in force
-	holders          map[members.ID]*holderState
+	holders          map[membership.ID]*holderState
 	committed        int // sum of the holders' bounds
 	fenced           bool
 	levelAt          time.Duration // when the level was worked out
@@ -103,8 +103,8 @@
 
 // NewAllocator begins at the desk. Danger: a desk that is started anew knows nothing of what the one before granted. Until all of that
 // is over it only renews what holders say they have, which together is no more than that one granted.
-func NewAllocator(config Config, bootID members.BootID, now time.Duration) *Allocator {
-	return &Allocator{config: config, bootID: bootID, renewOnlyUntil: config.expiredBy(now), holders: map[members.ID]*holderState{}, levelStale: true}
+func NewAllocator(config Config, bootID membership.BootID, now time.Duration) *Allocator {
+	return &Allocator{config: config, bootID: bootID, renewOnlyUntil: config.expiredBy(now), holders: map[membership.ID]*holderState{}, levelStale: true}
 }
 
 // Fence ends it: a later life has the desk, and grants.
--- a/internal/grants/grants_test.go
+++ b/internal/grants/grants_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 )
 
 var simulations = flag.Int("scenes", 300, "scenes that TestCap plays")
@@ -20,8 +20,8 @@
 	told := DefaultConfig()
 	told.Capacity, told.MaxClockDrift = 10, 0
 	d := NewAllocator(told, 1, 0)
-	a := &Holder{ID: members.ID{Name: "a", BootID: 1}, MaxCallDuration: time.Minute}
-	b := &Holder{ID: members.ID{Name: "b", BootID: 1}, MaxCallDuration: time.Minute}
+	a := &Holder{ID: membership.ID{Name: "a", BootID: 1}, MaxCallDuration: time.Minute}
+	b := &Holder{ID: membership.ID{Name: "b", BootID: 1}, MaxCallDuration: time.Minute}
 	ask := func(now time.Duration, h *Holder, calls int) {
 		h.RecordDemand(now, calls)
 		g, ok := d.HandleRequest(now, h.NextRequest(now, 1, 0))
@@ -56,7 +56,7 @@
 	told.Capacity, told.MaxHolders, told.LeaseDuration, told.MaxCallDuration = 4, 2, time.Second, time.Second
 	d := NewAllocator(told, 7, 0)
 	now := 10 * time.Second
-	h := &Holder{ID: members.ID{Name: "a", BootID: 1}, MaxUnleasedCalls: 9, MaxCallDuration: time.Minute}
+	h := &Holder{ID: membership.ID{Name: "a", BootID: 1}, MaxUnleasedCalls: 9, MaxCallDuration: time.Minute}
 	h.RecordDemand(now, 12)
 	first := h.NextRequest(now, 7, 0)
 	g, _ := d.HandleRequest(now, first)
@@ -67,12 +67,12 @@
 	g2, _ := d.HandleRequest(now, second)
 	fmt.Println(h.Accept(now, Lease{AllocatorBootID: 8, Sequence: second.Sequence, Limit: 100, Duration: time.Hour}), h.Accept(now, Lease{AllocatorBootID: 7, Sequence: 99, Limit: 100, Duration: time.Hour}),
 		h.Accept(now, g2), h.Accept(now, g), h.Limit(now+999*time.Millisecond), h.Limit(now+time.Second))
-	g, ok := d.HandleRequest(now, Request{Holder: members.ID{Name: "b", BootID: 1}, Sequence: 1, OpenCalls: -5, WantedCalls: 1 << 60, Held: HeldLease{AllocatorBootID: 7, Sequence: 9, Limit: 1 << 60}})
+	g, ok := d.HandleRequest(now, Request{Holder: membership.ID{Name: "b", BootID: 1}, Sequence: 1, OpenCalls: -5, WantedCalls: 1 << 60, Held: HeldLease{AllocatorBootID: 7, Sequence: 9, Limit: 1 << 60}})
 	fmt.Println(g.Limit, ok)
-	_, ok = d.HandleRequest(now, Request{Holder: members.ID{Name: "c", BootID: 1}, Sequence: 1, WantedCalls: 1})
+	_, ok = d.HandleRequest(now, Request{Holder: membership.ID{Name: "c", BootID: 1}, Sequence: 1, WantedCalls: 1})
 	fmt.Println(ok, d.rejectedRequests)
 	d.Fence()
-	_, ok = d.HandleRequest(now+time.Minute, Request{Holder: members.ID{Name: "c", BootID: 1}, Sequence: 2, WantedCalls: 1})
+	_, ok = d.HandleRequest(now+time.Minute, Request{Holder: membership.ID{Name: "c", BootID: 1}, Sequence: 2, WantedCalls: 1})
 	fmt.Println(ok)
 	// Output:
 	// 0 true 4 0
@@ -95,7 +95,7 @@
 	d := NewAllocator(told, 1, 0)
 	now := time.Minute
 	ask := func(seq uint64, wants int) {
-		d.HandleRequest(now, Request{Holder: members.ID{Name: "a", BootID: 1}, Sequence: seq, WantedCalls: wants})
+		d.HandleRequest(now, Request{Holder: membership.ID{Name: "a", BootID: 1}, Sequence: seq, WantedCalls: wants})
 	}
 	ask(1, 9)
 	for seq := uint64(2); seq < 30; seq++ {
@@ -125,7 +125,7 @@
 	had := map[int]bool{}
 	var all []*Holder
 	for i := range 20 {
-		all = append(all, &Holder{ID: members.ID{Name: members.Name(fmt.Sprint("h", i)), BootID: 1}, MaxCallDuration: time.Minute})
+		all = append(all, &Holder{ID: membership.ID{Name: membership.Name(fmt.Sprint("h", i)), BootID: 1}, MaxCallDuration: time.Minute})
 	}
 	most := 0
 	for now := time.Second; now < time.Minute; now += 125 * time.Millisecond {
@@ -160,7 +160,7 @@
 	events          []event
 	eventCount      int
 	allocator       *Allocator
-	allocatorBootID members.BootID
+	allocatorBootID membership.BootID
 	allocatorClock  *clock
 	procs           []*process
 	running         int // below, all together
@@ -240,7 +240,7 @@
 	p.generation++
 	p.openCalls = 0
 	p.clock = clock{offset: w.span(time.Hour), rate: 1 + w.config.MaxClockDrift*(2*w.random.Float64()-1)}
-	p.holder = &Holder{ID: members.ID{Name: members.Name(fmt.Sprintf("p%d", len(w.procs))), BootID: members.BootID(w.random.Uint64())}, MaxUnleasedCalls: w.config.UnleasedCalls, MaxCallDuration: time.Hour}
+	p.holder = &Holder{ID: membership.ID{Name: membership.Name(fmt.Sprintf("p%d", len(w.procs))), BootID: membership.BootID(w.random.Uint64())}, MaxUnleasedCalls: w.config.UnleasedCalls, MaxCallDuration: time.Hour}
 	w.ask(p, p.generation)
 	w.work(p, p.generation)
 }
@@ -313,7 +313,7 @@
 	w.lossRate = 0.5 * w.random.Float64()
 	anew := func() {
 		w.allocatorClock = &clock{offset: w.span(time.Hour), rate: 1 + w.config.MaxClockDrift*(2*w.random.Float64()-1)}
-		w.allocatorBootID = members.BootID(w.random.Uint64() | 1)
+		w.allocatorBootID = membership.BootID(w.random.Uint64() | 1)
 		w.allocator = NewAllocator(w.config, w.allocatorBootID, w.allocatorClock.now(w))
 	}
 	anew()
@@ -375,7 +375,7 @@
 	d := NewAllocator(told, 1, 0)
 	var all []*Holder
 	for i := range 50 {
-		all = append(all, &Holder{ID: members.ID{Name: members.Name(fmt.Sprint("h", i)), BootID: 1}, MaxCallDuration: time.Minute})
+		all = append(all, &Holder{ID: membership.ID{Name: membership.Name(fmt.Sprint("h", i)), BootID: 1}, MaxCallDuration: time.Minute})
 	}
 	sum := func(now time.Duration, from int) (least, most, sum int) {
 		least = 1 << 30
@@ -419,7 +419,7 @@
 	d := NewAllocator(told, 1, 0)
 	var all []*Holder
 	for i := range 300 {
-		all = append(all, &Holder{ID: members.ID{Name: members.Name(fmt.Sprint("h", i)), BootID: 1}, MaxCallDuration: time.Minute})
+		all = append(all, &Holder{ID: membership.ID{Name: membership.Name(fmt.Sprint("h", i)), BootID: 1}, MaxCallDuration: time.Minute})
 	}
 	now := time.Minute
 	for i := range b.N {
--- a/internal/grants/holder.go
+++ b/internal/grants/holder.go
@@ -4,12 +4,12 @@
 	"math"
 	"time"
 
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 )
 
 // Holder is one process's side of a desk. It belongs to one goroutine.
 type Holder struct {
-	ID               members.ID
+	ID               membership.ID
 	MaxUnleasedCalls int           // calls at a time that may be made without a grant, as told here
 	MaxCallDuration  time.Duration // that one may last, as told here or by the desk, whichever is less
 	// Alone is how many may be made without a grant, once the desk has said so. Danger: who has not heard yet what is set aside makes none.
@@ -27,7 +27,7 @@
 
 type sentRequest struct {
 	sequence        uint64
-	allocatorBootID members.BootID
+	allocatorBootID membership.BootID
 	sentAt          time.Duration
 }
 
@@ -78,7 +78,7 @@
 func (h *Holder) lastRequestAt() time.Duration { return h.sent[h.sequence%uint64(len(h.sent))].sentAt }
 
 // NextRequest makes the next ask of a desk; open is the calls that may be running below.
-func (h *Holder) NextRequest(now time.Duration, allocatorBootID members.BootID, openCalls int) Request {
+func (h *Holder) NextRequest(now time.Duration, allocatorBootID membership.BootID, openCalls int) Request {
 	h.sequence++
 	h.sent[h.sequence%uint64(len(h.sent))] = sentRequest{h.sequence, allocatorBootID, now}
 	h.nextRequest = now + h.currentLeaseDuration()/4
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -9,7 +9,7 @@
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/frontend"
 	"lanewheel/internal/logging"
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 	"lanewheel/internal/pass"
 	"lanewheel/internal/server"
 	"lanewheel/internal/spread"
@@ -49,7 +49,9 @@
 }
 
 // UpdateView takes a view of the fleet.
-func (p *Spillover) UpdateView(view *members.View) { p.forwarder.UpdateView(view, members.RoleServer) }
+func (p *Spillover) UpdateView(view *membership.View) {
+	p.forwarder.UpdateView(view, membership.RoleServer)
+}
 
 // SetConfig takes values that were told anew.
 func (p *Spillover) SetConfig(config Config) { p.policy.SetConfig(config.Spillover) }
--- a/internal/lifecycle/callers.go
+++ b/internal/lifecycle/callers.go
@@ -17,7 +17,7 @@
 	"lanewheel/internal/config"
 	"lanewheel/internal/diagnostic"
 	"lanewheel/internal/keyring"
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 	"lanewheel/internal/tokens"
 	"lanewheel/internal/transport"
 )
@@ -28,7 +28,7 @@
 	Authn     *authn.Config // nil: all may do everything
 	serverTLS *tls.Config   // nil: no listener with TLS
 
-	ClusterKeys []members.Key // the first is the one to write with
+	ClusterKeys []membership.Key // the first is the one to write with
 	digest      [sha256.Size]byte
 }
 
--- a/internal/lifecycle/coordinators/golden_test.go
+++ b/internal/lifecycle/coordinators/golden_test.go
@@ -15,7 +15,7 @@
 	"lanewheel/internal/accord/judge"
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/fleet/steward"
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 	"lanewheel/internal/standin"
 	"lanewheel/internal/watch"
 )
@@ -82,18 +82,18 @@
 func TestReportGolden(t *testing.T) {
 	s := standin.Must(steward.New(steward.Config{Name: "s0", ListenAddr: "127.0.0.1:0", AdvertiseAddr: "127.0.0.1:7373",
 		DataDir: t.TempDir(), Bootstrap: true, HeartbeatTimeout: 300 * time.Millisecond,
-		ClusterKeys: []members.Key{members.Key("0123456789abcdef0123456789abcdef")}, Coordination: accord.DefaultConfig(),
+		ClusterKeys: []membership.Key{membership.Key("0123456789abcdef0123456789abcdef")}, Coordination: accord.DefaultConfig(),
 		Canary: judge.DefaultConfig(), AnalysisWindow: time.Second, SnapshotThreshold: 64}))
 	p := &fleetAdapter{coordinator: s}
 	done := make(chan struct{})
 	go func() {
-		s.Serve(alone{members.NewTable(members.Descriptor{Name: "s0", Incarnation: 1, BootID: 1, Roles: members.RoleCoordinator},
-			members.DefaultConfig(), 0).View()})
+		s.Serve(alone{membership.NewTable(membership.Descriptor{Name: "s0", Incarnation: 1, BootID: 1, Roles: membership.RoleCoordinator},
+			membership.DefaultConfig(), 0).View()})
 		close(done)
 	}()
 	standin.WaitFor("it leads", func() bool { return s.IsLeader() && s.Ready() })
 	p.Status(func(r gossip.ProcessStatus) {
-		want := gossip.ProcessStatus{Ready: true, Metrics: []members.Metric{{Name: "leads", Value: 1}}}
+		want := gossip.ProcessStatus{Ready: true, Metrics: []membership.Metric{{Name: "leads", Value: 1}}}
 		if !reflect.DeepEqual(r, want) {
 			t.Errorf("%+v, wanted %+v", r, want)
 		}
@@ -103,8 +103,8 @@
 }
 
 // alone is a fleet of nobody else.
-type alone struct{ view *members.View }
+type alone struct{ view *membership.View }
 
-func (a alone) View() *members.View                                          { return a.view }
-func (a alone) NotifyPermit(members.Name, members.Incarnation, uint64, bool) {}
-func (a alone) QueryStats(members.Name, func(gossip.RequestStats))           {}
+func (a alone) View() *membership.View                                             { return a.view }
+func (a alone) NotifyPermit(membership.Name, membership.Incarnation, uint64, bool) {}
+func (a alone) QueryStats(membership.Name, func(gossip.RequestStats))              {}
--- a/internal/lifecycle/coordinators/stewards.go
+++ b/internal/lifecycle/coordinators/stewards.go
@@ -10,7 +10,7 @@
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/fleet/steward"
 	"lanewheel/internal/lifecycle"
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 )
 
 // Attach makes the part of a steward that speaks to the fleet, and gives what takes an operator's file that was read anew.
@@ -63,7 +63,7 @@
 	if p.coordinator.IsLeader() {
 		isLeader = 1
 	}
-	then(gossip.ProcessStatus{Ready: p.coordinator.Ready(), Metrics: []members.Metric{{Name: "leads", Value: isLeader}}})
+	then(gossip.ProcessStatus{Ready: p.coordinator.Ready(), Metrics: []membership.Metric{{Name: "leads", Value: isLeader}}})
 }
 
 func (p *fleetAdapter) Load(then func(float64, gossip.RequestStats)) { then(0, gossip.RequestStats{}) }
@@ -78,12 +78,12 @@
 	p.coordinator.Shutdown()
 }
 
-func (p *fleetAdapter) View() *members.View { return p.agent.View() }
+func (p *fleetAdapter) View() *membership.View { return p.agent.View() }
 
-func (p *fleetAdapter) NotifyPermit(name members.Name, of members.Incarnation, number uint64, begun bool) {
+func (p *fleetAdapter) NotifyPermit(name membership.Name, of membership.Incarnation, number uint64, begun bool) {
 	p.agent.NotifyPermit(name, of, number, begun)
 }
 
-func (p *fleetAdapter) QueryStats(name members.Name, then func(gossip.RequestStats)) {
+func (p *fleetAdapter) QueryStats(name membership.Name, then func(gossip.RequestStats)) {
 	p.agent.Post(func() { p.agent.QueryStats(name, then) })
 }
--- a/internal/members/members.go
+++ b/internal/membership/members.go
@@ -1,7 +1,7 @@
-// Package members decides who is there: which processes make up the fleet, in which state each is, what is believed of it, and
+// Package membership decides who is there: which processes make up the fleet, in which state each is, what is believed of it, and
 // how far this process may trust its own eyes. It is pure: what came is handed in with its time, and chance is an argument; the
 // part that speaks is internal/fleet/gossip. docs/fleet.md has the table of states.
-package members
+package membership
 
 import (
 	"cmp"
--- a/internal/members/reach.go
+++ b/internal/membership/reach.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"slices"
--- a/internal/pass/pass.go
+++ b/internal/pass/pass.go
@@ -11,7 +11,7 @@
 
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/frontend"
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 	"lanewheel/internal/spread"
 	"lanewheel/internal/transport"
 )
@@ -30,7 +30,7 @@
 func (t Config) LocalIP() net.IP { return net.ParseIP(t.LocalAddress) }
 
 // ProbeFunc asks a member how it stands; then may never be called, or on any goroutine.
-type ProbeFunc func(name members.Name, then func(load float64, age time.Duration))
+type ProbeFunc func(name membership.Name, then func(load float64, age time.Duration))
 
 // Forwarder is one process's way to the others. All of it belongs to its owner's loop.
 type Forwarder struct {
@@ -95,7 +95,7 @@
 func (p *Forwarder) Start() { p.closeIdle() }
 
 // UpdateView takes a view of the fleet. Of its deciders, those in the same role as us share the members with us.
-func (p *Forwarder) UpdateView(view *members.View, role members.Roles) {
+func (p *Forwarder) UpdateView(view *membership.View, role membership.Roles) {
 	var endpoints []spread.Endpoint
 	addresses := map[spread.EndpointName]string{}
 	var names, peers []spread.EndpointName
@@ -105,8 +105,8 @@
 			peers = append(peers, spread.EndpointName(member.Name))
 		}
 		// Cut off, we know no better than before: who was there is still tried. Else a suspect gets nothing.
-		if member.Roles&members.RoleServer != 0 && member.ServiceAddr != "" && (member.State.Available() || member.State == members.StateSuspect && member.Reason != members.ReasonFlapping && !view.LocalHealth.CanDeclareGone()) {
-			candidate := spread.Endpoint{Name: spread.EndpointName(member.Name), Zone: member.Zone, Capacity: member.Capacity, WarmUp: member.WarmUp, WarmUpRemaining: member.WarmUpRemaining(view.PublishedAt), Suspect: member.State == members.StateSuspect}
+		if member.Roles&membership.RoleServer != 0 && member.ServiceAddr != "" && (member.State.Available() || member.State == membership.StateSuspect && member.Reason != membership.ReasonFlapping && !view.LocalHealth.CanDeclareGone()) {
+			candidate := spread.Endpoint{Name: spread.EndpointName(member.Name), Zone: member.Zone, Capacity: member.Capacity, WarmUp: member.WarmUp, WarmUpRemaining: member.WarmUpRemaining(view.PublishedAt), Suspect: member.State == membership.StateSuspect}
 			endpoints = append(endpoints, candidate)
 			names = append(names, candidate.Name)
 			addresses[candidate.Name] = member.ServiceAddr
@@ -234,7 +234,7 @@
 		return
 	}
 	name := p.Balancer.NameAt(index)
-	p.probeFunc(members.Name(name), func(load float64, age time.Duration) {
+	p.probeFunc(membership.Name(name), func(load float64, age time.Duration) {
 		p.loop.Post(func() {
 			if index, present := p.Balancer.IndexOf(name); present {
 				p.Balancer.RecordProbe(p.loop.Now(), index, load, age)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -13,7 +13,7 @@
 	"lanewheel/internal/clients"
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/frontend"
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 	"lanewheel/internal/pass"
 	"lanewheel/internal/server"
 	"lanewheel/internal/spread"
@@ -102,7 +102,7 @@
 func (r *Proxy) Serve() { r.Run(r.net.Flush) }
 
 // UpdateView takes a view of the fleet.
-func (r *Proxy) UpdateView(view *members.View) { r.forwarder.UpdateView(view, members.RoleProxy) }
+func (r *Proxy) UpdateView(view *membership.View) { r.forwarder.UpdateView(view, membership.RoleProxy) }
 
 // endpointCount is how many members there are to pass to.
 func (r *Proxy) endpointCount() int { return r.forwarder.Balancer.Len() }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"lanewheel/admission"
-	"lanewheel/internal/members"
+	"lanewheel/internal/membership"
 	"lanewheel/internal/pass"
 	"lanewheel/internal/server"
 	"lanewheel/internal/spread"
@@ -101,14 +101,14 @@
 // openProxy starts a relay before so many scripted members.
 func openProxy(count int, steps ...string) (*Proxy, *endpointScript, string) {
 	script := &endpointScript{steps: steps, ids: map[string]bool{}}
-	table := members.NewTable(members.Descriptor{Name: "relay", Incarnation: 1, BootID: 1}, members.DefaultConfig(), 0)
+	table := membership.NewTable(membership.Descriptor{Name: "relay", Incarnation: 1, BootID: 1}, membership.DefaultConfig(), 0)
 	for i := range count {
 		listener := standin.Must(net.Listen("tcp", "127.0.0.1:0"))
 		script.endpoints = append(script.endpoints, &scriptedEndpoint{listener: listener})
 		go script.serve(i, listener)
-		id := members.ID{Name: members.Name(fmt.Sprint("m", i)), BootID: 1}
-		table.HandleAlive(members.Descriptor{Name: id.Name, BootID: 1, Incarnation: 1, Roles: members.RoleServer, ServiceAddr: listener.Addr().String(), Capacity: 2}, 0)
-		table.HandleHeartbeat(members.Heartbeat{ID: id, Sequence: 1, Ready: true, ReadyFor: time.Minute}, 0, 0)
+		id := membership.ID{Name: membership.Name(fmt.Sprint("m", i)), BootID: 1}
+		table.HandleAlive(membership.Descriptor{Name: id.Name, BootID: 1, Incarnation: 1, Roles: membership.RoleServer, ServiceAddr: listener.Addr().String(), Capacity: 2}, 0)
+		table.HandleHeartbeat(membership.Heartbeat{ID: id, Sequence: 1, Ready: true, ReadyFor: time.Minute}, 0, 0)
 	}
 	proxyCount++
 	free := standin.Must(net.Listen("tcp", fmt.Sprintf("127.72.%d.%d:0", os.Getpid()%250, proxyCount)))
