--- a/internal/spread/sim_test.go
+++ b/internal/balancer/sim_test.go
@@ -1,4 +1,4 @@
-package spread
+package balancer
 
 import (
 	"container/heap"
--- a/internal/spread/spread.go
+++ b/internal/balancer/spread.go
@@ -1,7 +1,7 @@
-// Package spread decides which of many members gets the next op, where each process that decides sees a small share of the ops, and
+// Package balancer decides which of many members gets the next op, where each process that decides sees a small share of the ops, and
 // what it knows is thin and late. It is pure: time, chance and what is believed of the members are arguments. docs/spread.md says
 // which ways were weighed and by which measurement.
-package spread
+package balancer
 
 import (
 	"cmp"
--- a/internal/below/below.go
+++ b/internal/below/below.go
@@ -9,16 +9,16 @@
 	"time"
 
 	"lanewheel/admission"
+	"lanewheel/internal/balancer"
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/grants"
 	"lanewheel/internal/membership"
 	"lanewheel/internal/server"
-	"lanewheel/internal/spread"
 )
 
 // Config is what it goes by.
 type Config struct {
-	Balancer        spread.Config
+	Balancer        balancer.Config
 	Addresses       []string      // services; none: members with the role below
 	MaxCalls        int           // at a time to one service, without a grant
 	MaxCallDuration time.Duration // that a call may last
@@ -33,9 +33,9 @@
 	config       Config
 	self         membership.ID
 	requestLease RequestLease
-	balancer     *spread.Balancer
+	balancer     *balancer.Balancer
 	random       *rand.Rand
-	services     map[spread.EndpointName]*endpoint
+	services     map[balancer.EndpointName]*endpoint
 	onAvailable  func()
 	waitingCalls int
 	stats        callStats
@@ -47,7 +47,7 @@
 // endpoint is one below.
 type endpoint struct {
 	client          *Client
-	name            spread.EndpointName
+	name            balancer.EndpointName
 	address         string
 	allocatorBootID membership.BootID
 	holder          *grants.Holder // nil: no grants are given there, Calls holds
@@ -57,12 +57,12 @@
 
 // New makes the part of an instance that is known to the fleet as self.
 func New(eventLoop *eventloop.Loop, config Config, self membership.ID, seed uint64, requestLease RequestLease) *Client {
-	client := &Client{loop: eventLoop, config: config, self: self, requestLease: requestLease, balancer: spread.New(config.Balancer), random: rand.New(rand.NewPCG(seed, 11)), services: map[spread.EndpointName]*endpoint{}, onAvailable: func() {}}
+	client := &Client{loop: eventLoop, config: config, self: self, requestLease: requestLease, balancer: balancer.New(config.Balancer), random: rand.New(rand.NewPCG(seed, 11)), services: map[balancer.EndpointName]*endpoint{}, onAvailable: func() {}}
 	if len(config.Addresses) > 0 {
-		var candidates []spread.Endpoint
+		var candidates []balancer.Endpoint
 		for _, addr := range config.Addresses {
-			client.services[spread.EndpointName(addr)] = &endpoint{client: client, name: spread.EndpointName(addr), address: addr}
-			candidates = append(candidates, spread.Endpoint{Name: spread.EndpointName(addr), Capacity: 1})
+			client.services[balancer.EndpointName(addr)] = &endpoint{client: client, name: balancer.EndpointName(addr), address: addr}
+			candidates = append(candidates, balancer.Endpoint{Name: balancer.EndpointName(addr), Capacity: 1})
 		}
 		client.balancer.SetEndpoints(0, candidates)
 	}
@@ -81,13 +81,13 @@
 	if len(p.config.Addresses) > 0 {
 		return
 	}
-	var candidates []spread.Endpoint
-	present := map[spread.EndpointName]bool{}
+	var candidates []balancer.Endpoint
+	present := map[balancer.EndpointName]bool{}
 	for member := range view.All() {
 		if member.Roles&membership.RoleUpstream == 0 || member.ServiceAddr == "" || !member.State.Available() && (member.State != membership.StateSuspect || view.LocalHealth.CanDeclareGone()) {
 			continue
 		}
-		name := spread.EndpointName(member.Name)
+		name := balancer.EndpointName(member.Name)
 		present[name] = true
 		known := p.services[name]
 		if known == nil {
@@ -95,7 +95,7 @@
 			p.services[name] = known
 		}
 		known.address, known.allocatorBootID = member.ServiceAddr, member.BootID
-		candidates = append(candidates, spread.Endpoint{Name: name, Zone: member.Zone, Capacity: member.Capacity, WarmUp: member.WarmUp, WarmUpRemaining: member.WarmUpRemaining(view.PublishedAt), Suspect: member.State == membership.StateSuspect})
+		candidates = append(candidates, balancer.Endpoint{Name: name, Zone: member.Zone, Capacity: member.Capacity, WarmUp: member.WarmUp, WarmUpRemaining: member.WarmUpRemaining(view.PublishedAt), Suspect: member.State == membership.StateSuspect})
 	}
 	for name, known := range p.services {
 		if !present[name] && known.openCalls == 0 && known.holder.Limit(p.loop.Now()) <= known.holder.UnleasedCalls {
@@ -205,7 +205,7 @@
 func (c *reservation) Addr() string               { return c.endpoint.address }
 func (c *reservation) MaxDuration() time.Duration { return c.maxDuration }
 
-var balancerOutcomes = map[admission.Outcome]spread.Outcome{admission.Succeeded: spread.Succeeded, admission.Rejected: spread.Rejected, admission.Failed: spread.Failed}
+var balancerOutcomes = map[admission.Outcome]balancer.Outcome{admission.Succeeded: balancer.Succeeded, admission.Rejected: balancer.Rejected, admission.Failed: balancer.Failed}
 
 // Release is keep.Place. What may be running on counts until its time there is up. Danger: who gives a call up and makes another at once has two running
 // below.
@@ -213,7 +213,7 @@
 	client, now := c.endpoint.client, c.endpoint.client.loop.Now()
 	result, known := balancerOutcomes[outcome]
 	if !known {
-		result = spread.NoResponse
+		result = balancer.NoResponse
 	}
 	client.balancer.RecordOutcome(now, c.endpoint.name, result, now-c.startedAt)
 	if !stillRunning {
--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -14,6 +14,7 @@
 	"text/tabwriter"
 	"time"
 
+	"lanewheel/internal/balancer"
 	"lanewheel/internal/below"
 	"lanewheel/internal/command"
 	"lanewheel/internal/config"
@@ -30,7 +31,6 @@
 	"lanewheel/internal/pass"
 	"lanewheel/internal/relay"
 	"lanewheel/internal/server"
-	"lanewheel/internal/spread"
 	"lanewheel/internal/transport"
 )
 
@@ -111,7 +111,7 @@
 		if load := i.server.Load(); load.Queued+load.Running > 0 {
 			report(float64(load.Queued+load.Running), figures)
 		} else {
-			report(spread.IdleLoad(load.IdleFor), figures)
+			report(balancer.IdleLoad(load.IdleFor), figures)
 		}
 	})
 }
--- a/internal/command/further/golden_test.go
+++ b/internal/command/further/golden_test.go
@@ -19,6 +19,7 @@
 
 	"lanewheel/admission"
 	"lanewheel/internal/accord"
+	"lanewheel/internal/balancer"
 	"lanewheel/internal/command"
 	"lanewheel/internal/config"
 	"lanewheel/internal/fleet/gossip"
@@ -26,7 +27,6 @@
 	"lanewheel/internal/membership"
 	"lanewheel/internal/relay"
 	"lanewheel/internal/server"
-	"lanewheel/internal/spread"
 )
 
 var update = flag.Bool("update", false, "write the golden files of testdata anew")
@@ -292,7 +292,7 @@
 	if got := text.String(); got != "health signal held running cores passing " {
 		t.Fatal(got)
 	}
-	if got := spread.IdleLoad(time.Second); got != -0.5 {
+	if got := balancer.IdleLoad(time.Second); got != -0.5 {
 		t.Fatal(got)
 	}
 }
--- a/internal/config/below.go
+++ b/internal/config/below.go
@@ -4,11 +4,11 @@
 	"net"
 	"time"
 
+	"lanewheel/internal/balancer"
 	"lanewheel/internal/below"
 	"lanewheel/internal/grants"
 	"lanewheel/internal/handover"
 	"lanewheel/internal/pass"
-	"lanewheel/internal/spread"
 )
 
 // Upstream is the services that an instance's calls go to.
@@ -18,7 +18,7 @@
 }
 
 func (r *reader) readUpstream(fleet *Fleet) Upstream {
-	parsed := Upstream{Config: below.Config{Balancer: spread.DefaultConfig(), MaxCalls: 8, MaxCallDuration: 5 * time.Second}}
+	parsed := Upstream{Config: below.Config{Balancer: balancer.DefaultConfig(), MaxCalls: 8, MaxCallDuration: 5 * time.Second}}
 	s := r.section("below")
 	parsed.Enabled = s.exists()
 	parsed.Config.Balancer.LocalZone = fleet.Zone
@@ -82,7 +82,7 @@
 }
 
 func (r *reader) readSpillover(fleet *Fleet) Spillover {
-	parsed := Spillover{Config: handover.Config{Config: pass.Config{Balancer: spread.DefaultConfig(), ConnectionsPerEndpoint: 1, IdleTimeout: 10 * time.Second}, Spillover: spread.DefaultSpilloverConfig()}}
+	parsed := Spillover{Config: handover.Config{Config: pass.Config{Balancer: balancer.DefaultConfig(), ConnectionsPerEndpoint: 1, IdleTimeout: 10 * time.Second}, Spillover: balancer.DefaultSpilloverConfig()}}
 	s := r.section("handover")
 	parsed.Enabled = s.exists()
 	if parsed.Enabled && !fleet.Enabled {
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -12,8 +12,8 @@
 
 	"lanewheel/internal/accord"
 	"lanewheel/internal/amqp"
+	"lanewheel/internal/balancer"
 	"lanewheel/internal/scenes"
-	"lanewheel/internal/spread"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew from what the code reads")
@@ -196,7 +196,7 @@
 
 // listBalancer lists what holds of every choice among members or services; the names that stand in [relay] alone are
 // the last ones.
-func listBalancer(l *listing, name string, t *spread.Config) {
+func listBalancer(l *listing, name string, t *balancer.Config) {
 	l.add(name+" (zone)", t.LocalZone)
 	l.add(name+".near", t.LocalZoneUtilization)
 	l.add(name+".trickle", t.OutlierWeight)
--- a/internal/config/relay.go
+++ b/internal/config/relay.go
@@ -4,9 +4,9 @@
 	"net"
 	"time"
 
+	"lanewheel/internal/balancer"
 	"lanewheel/internal/pass"
 	"lanewheel/internal/relay"
-	"lanewheel/internal/spread"
 )
 
 // Proxy is how a process passes ops on.
@@ -16,7 +16,7 @@
 }
 
 func (r *reader) readProxy(fleet *Fleet) Proxy {
-	parsed := Proxy{Config: relay.Config{Config: pass.Config{Balancer: spread.DefaultConfig(), ProbesPerRequest: 2, ConnectionsPerEndpoint: 2, IdleTimeout: 30 * time.Second}, MaxInFlight: 4096, DrainGrace: 500 * time.Millisecond}}
+	parsed := Proxy{Config: relay.Config{Config: pass.Config{Balancer: balancer.DefaultConfig(), ProbesPerRequest: 2, ConnectionsPerEndpoint: 2, IdleTimeout: 30 * time.Second}, MaxInFlight: 4096, DrainGrace: 500 * time.Millisecond}}
 	s := r.section("relay")
 	parsed.Enabled = s.exists()
 	if parsed.Enabled && !fleet.Enabled {
@@ -26,13 +26,13 @@
 	if host, _, err := net.SplitHostPort(fleet.ListenAddress); err == nil {
 		parsed.Config.LocalAddress = host // so that whoever stands between knows both ends
 	}
-	policy := spread.LeastEstimatedLoad.String()
+	policy := balancer.LeastEstimatedLoad.String()
 	var policies []string
-	for candidate := spread.LeastEstimatedLoad; candidate <= spread.LeastReportedLoad; candidate++ {
+	for candidate := balancer.LeastEstimatedLoad; candidate <= balancer.LeastReportedLoad; candidate++ {
 		policies = append(policies, candidate.String())
 	}
 	s.enumValue("way", &policy, policies...)
-	for candidate := spread.LeastEstimatedLoad; candidate <= spread.LeastReportedLoad; candidate++ {
+	for candidate := balancer.LeastEstimatedLoad; candidate <= balancer.LeastReportedLoad; candidate++ {
 		if candidate.String() == policy {
 			parsed.Config.Balancer.Policy = candidate
 		}
@@ -56,7 +56,7 @@
 }
 
 // readBalancer reads what holds of whoever chooses among members or services.
-func (s *section) readBalancer(config *spread.Config) {
+func (s *section) readBalancer(config *balancer.Config) {
 	s.floatValue("near", &config.LocalZoneUtilization, 0, 1.6)
 	s.floatValue("trickle", &config.OutlierWeight, 0.0001, 1)
 	s.floatValue("bad-share", &config.MaxOutlierFraction, 0, 1)
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -6,20 +6,20 @@
 	"log/slog"
 	"time"
 
+	"lanewheel/internal/balancer"
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/frontend"
 	"lanewheel/internal/logging"
 	"lanewheel/internal/membership"
 	"lanewheel/internal/pass"
 	"lanewheel/internal/server"
-	"lanewheel/internal/spread"
 	"lanewheel/internal/transport"
 )
 
 // Config is what it goes by.
 type Config struct {
 	pass.Config
-	Spillover spread.SpilloverConfig
+	Spillover balancer.SpilloverConfig
 }
 
 // Spillover is the hand-over of one instance. It is a keep.Elsewhere and a front.Front.
@@ -28,7 +28,7 @@
 	server     *server.Server
 	config     Config
 	forwarder  *pass.Forwarder
-	policy     *spread.SpilloverPolicy
+	policy     *balancer.SpilloverPolicy
 	inFlight   map[*spilledRequest]bool
 	draining   bool
 	counts     map[string]uint64
@@ -45,7 +45,7 @@
 // New makes the part of an instance whose loop and sockets it shares.
 func New(srv *server.Server, net *transport.Net, config Config, seed uint64, probe pass.ProbeFunc) *Spillover {
 	forwarder := pass.New(srv.Loop, net, config.Config, seed, probe)
-	return &Spillover{loop: srv.Loop, server: srv, config: config, forwarder: forwarder, policy: spread.NewSpilloverPolicy(config.Spillover, forwarder.Balancer), inFlight: map[*spilledRequest]bool{}, counts: map[string]uint64{}}
+	return &Spillover{loop: srv.Loop, server: srv, config: config, forwarder: forwarder, policy: balancer.NewSpilloverPolicy(config.Spillover, forwarder.Balancer), inFlight: map[*spilledRequest]bool{}, counts: map[string]uint64{}}
 }
 
 // UpdateView takes a view of the fleet.
@@ -94,17 +94,17 @@
 
 // Forward is keep.Elsewhere.
 func (p *Spillover) Forward(received frontend.Request, deadline time.Duration, idempotent bool, responder frontend.Responder) frontend.Handle {
-	reason := spread.AlreadyForwarded
+	reason := balancer.AlreadyForwarded
 	index := 0
 	switch {
 	case p.draining:
-		reason = spread.Draining
+		reason = balancer.Draining
 	case received.Hops == 0:
 		index, reason = p.policy.Pick(p.loop.Now(), deadline-p.loop.Now(), p.ownLoad(), p.forwarder.Random)
 	}
 	// Whoever has to say no asks others how they stand.
 	p.forwarder.Probe()
-	if reason != spread.Allowed {
+	if reason != balancer.Allowed {
 		p.count(string(reason))
 		return nil
 	}
@@ -126,7 +126,7 @@
 	o.responder = nil
 	spillover.policy.RecordOutcome(spillover.loop.Now(), result.LastOutcome)
 	switch {
-	case result.LastOutcome == spread.Succeeded:
+	case result.LastOutcome == balancer.Succeeded:
 		spillover.count("served")
 		responder.Succeed(result.Result, result.Metadata)
 	case result.Error == "Denied":
--- a/internal/pass/conn.go
+++ b/internal/pass/conn.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"lanewheel/internal/spread"
+	"lanewheel/internal/balancer"
 	"lanewheel/internal/transport"
 )
 
@@ -79,7 +79,7 @@
 	c.waiting = nil
 	for _, request := range waiting {
 		if request.connection == c {
-			c.forwarder.finishAttempt(request, c.endpoint.name, busyResponse, spread.NoResponse, true)
+			c.forwarder.finishAttempt(request, c.endpoint.name, busyResponse, balancer.NoResponse, true)
 		}
 	}
 }
@@ -102,16 +102,16 @@
 	}
 	delete(c.inFlight, id)
 	c.lastUsed = c.forwarder.loop.Now()
-	outcome := spread.Failed
+	outcome := balancer.Failed
 	switch response.Error {
 	case "":
-		outcome = spread.Succeeded
+		outcome = balancer.Succeeded
 	case "Busy":
-		outcome = spread.Rejected
+		outcome = balancer.Rejected
 	case "Denied": // it says nothing of the member
 		c.forwarder.Balancer.RecordCancel(c.endpoint.name)
 		request.connection = nil
-		request.finish(Result{LastOutcome: spread.Rejected, Response: response})
+		request.finish(Result{LastOutcome: balancer.Rejected, Response: response})
 		c.closeIfDrained()
 		return
 	}
@@ -138,7 +138,7 @@
 	inFlight := c.inFlight
 	c.inFlight = map[uint32]*Request{}
 	for _, id := range slices.Sorted(maps.Keys(inFlight)) {
-		c.forwarder.finishAttempt(inFlight[id], c.endpoint.name, failedResponse, spread.NoResponse, false)
+		c.forwarder.finishAttempt(inFlight[id], c.endpoint.name, failedResponse, balancer.NoResponse, false)
 	}
 	c.failWaiting()
 }
--- a/internal/pass/pass.go
+++ b/internal/pass/pass.go
@@ -9,16 +9,16 @@
 	"slices"
 	"time"
 
+	"lanewheel/internal/balancer"
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/frontend"
 	"lanewheel/internal/membership"
-	"lanewheel/internal/spread"
 	"lanewheel/internal/transport"
 )
 
 // Config is what passing goes by.
 type Config struct {
-	Balancer               spread.Config
+	Balancer               balancer.Config
 	ProbesPerRequest       float64       // members asked for their load, an op
 	ConnectionsPerEndpoint int           // to one member
 	SubsetSize             int           // members that are kept to; 0 for all
@@ -37,27 +37,27 @@
 	loop          *eventloop.Loop
 	net           *transport.Net
 	config        Config
-	Balancer      *spread.Balancer
+	Balancer      *balancer.Balancer
 	random        *rand.Rand
 	probeFunc     ProbeFunc
 	probeCredit   float64
-	endpoints     map[spread.EndpointName]*endpoint
-	endpointNames []spread.EndpointName // members, deciders and our subset, as last worked out
-	peers         []spread.EndpointName
-	subset        []spread.EndpointName
+	endpoints     map[balancer.EndpointName]*endpoint
+	endpointNames []balancer.EndpointName // members, deciders and our subset, as last worked out
+	peers         []balancer.EndpointName
+	subset        []balancer.EndpointName
 	Retries       uint64 // further tries, since the start
 }
 
 // endpoint is one whom ops are given to, with the connections there.
 type endpoint struct {
-	name        spread.EndpointName
+	name        balancer.EndpointName
 	address     string
 	connections []*connection
 }
 
 // Result is what became of an op that was passed on.
 type Result struct {
-	LastOutcome spread.Outcome
+	LastOutcome balancer.Outcome
 	NotSent     bool // nothing of it went out to who had it last, and each before proved that it never ran
 	NoEndpoint  bool // there was nobody to give it to
 	TimedOut    bool // its time was up
@@ -66,7 +66,7 @@
 
 // MayHaveRun tells whether it may have run.
 func (e Result) MayHaveRun() bool {
-	return e.LastOutcome != spread.Rejected && !e.NotSent && !e.NoEndpoint
+	return e.LastOutcome != balancer.Rejected && !e.NotSent && !e.NoEndpoint
 }
 
 // Request is one op on its way.
@@ -77,7 +77,7 @@
 	idempotent       bool
 	maxAttempts      int
 	attempts         int
-	tried            [4]spread.EndpointName
+	tried            [4]balancer.EndpointName
 	connection       *connection
 	id               uint32
 	sent             bool
@@ -88,7 +88,7 @@
 
 // New makes a passer that knows nobody. It dials by net and has l's time.
 func New(eventLoop *eventloop.Loop, net *transport.Net, config Config, seed uint64, probeFunc ProbeFunc) *Forwarder {
-	return &Forwarder{loop: eventLoop, net: net, config: config, Balancer: spread.New(config.Balancer), random: rand.New(rand.NewPCG(seed, 3)), probeFunc: probeFunc, endpoints: map[spread.EndpointName]*endpoint{}}
+	return &Forwarder{loop: eventLoop, net: net, config: config, Balancer: balancer.New(config.Balancer), random: rand.New(rand.NewPCG(seed, 3)), probeFunc: probeFunc, endpoints: map[balancer.EndpointName]*endpoint{}}
 }
 
 // Start begins to look after connections that carry nothing.
@@ -96,36 +96,36 @@
 
 // UpdateView takes a view of the fleet. Of its deciders, those in the same role as us share the members with us.
 func (p *Forwarder) UpdateView(view *membership.View, role membership.Roles) {
-	var endpoints []spread.Endpoint
-	addresses := map[spread.EndpointName]string{}
-	var names, peers []spread.EndpointName
-	peers = append(peers, spread.EndpointName(view.Self.Name))
+	var endpoints []balancer.Endpoint
+	addresses := map[balancer.EndpointName]string{}
+	var names, peers []balancer.EndpointName
+	peers = append(peers, balancer.EndpointName(view.Self.Name))
 	for member := range view.All() {
 		if member.Roles&role != 0 && member.State.Available() {
-			peers = append(peers, spread.EndpointName(member.Name))
+			peers = append(peers, balancer.EndpointName(member.Name))
 		}
 		// Cut off, we know no better than before: who was there is still tried. Else a suspect gets nothing.
 		if member.Roles&membership.RoleServer != 0 && member.ServiceAddr != "" && (member.State.Available() || member.State == membership.StateSuspect && member.Reason != membership.ReasonFlapping && !view.LocalHealth.CanDeclareGone()) {
-			candidate := spread.Endpoint{Name: spread.EndpointName(member.Name), Zone: member.Zone, Capacity: member.Capacity, WarmUp: member.WarmUp, WarmUpRemaining: member.WarmUpRemaining(view.PublishedAt), Suspect: member.State == membership.StateSuspect}
+			candidate := balancer.Endpoint{Name: balancer.EndpointName(member.Name), Zone: member.Zone, Capacity: member.Capacity, WarmUp: member.WarmUp, WarmUpRemaining: member.WarmUpRemaining(view.PublishedAt), Suspect: member.State == membership.StateSuspect}
 			endpoints = append(endpoints, candidate)
 			names = append(names, candidate.Name)
 			addresses[candidate.Name] = member.ServiceAddr
 		}
 	}
 	if size := p.config.SubsetSize; size > 0 && size < len(names) {
-		inSubset := map[spread.EndpointName]bool{}
+		inSubset := map[balancer.EndpointName]bool{}
 		// Danger: it is worked out for the whole fleet, so only when somebody came or went.
 		if !slices.Equal(names, p.endpointNames) || !slices.Equal(peers, p.peers) {
 			p.endpointNames, p.peers = names, peers
-			p.subset = spread.Subsets(peers, names, size)[spread.EndpointName(view.Self.Name)]
+			p.subset = balancer.Subsets(peers, names, size)[balancer.EndpointName(view.Self.Name)]
 		}
 		for _, name := range p.subset {
 			inSubset[name] = true
 		}
-		endpoints = slices.DeleteFunc(endpoints, func(member spread.Endpoint) bool { return !inSubset[member.Name] })
+		endpoints = slices.DeleteFunc(endpoints, func(member balancer.Endpoint) bool { return !inSubset[member.Name] })
 	}
 	p.Balancer.SetEndpoints(p.loop.Now(), endpoints)
-	kept := map[spread.EndpointName]bool{}
+	kept := map[balancer.EndpointName]bool{}
 	for _, candidate := range endpoints {
 		kept[candidate.Name] = true
 		member := p.endpoints[candidate.Name]
@@ -189,7 +189,7 @@
 		return false
 	})
 	if !found {
-		request.finish(Result{LastOutcome: spread.Rejected, NoEndpoint: true, Response: transport.Response{Error: "Busy", Metadata: frontend.ResponseMetadata{LoadReport: -1}}}) // each try before proved that it never ran
+		request.finish(Result{LastOutcome: balancer.Rejected, NoEndpoint: true, Response: transport.Response{Error: "Busy", Metadata: frontend.ResponseMetadata{LoadReport: -1}}}) // each try before proved that it never ran
 		return
 	}
 	p.tryEndpoint(request, index)
@@ -210,7 +210,7 @@
 	request.attemptStartedAt = p.loop.Now()
 	connection := endpoint.connection(p)
 	if connection == nil { // all its connections are full: it has more from us than it should
-		p.finishAttempt(request, endpoint.name, busyResponse, spread.Rejected, true)
+		p.finishAttempt(request, endpoint.name, busyResponse, balancer.Rejected, true)
 		return
 	}
 	request.connection = connection
@@ -244,14 +244,14 @@
 }
 
 // finishAttempt hears how a try of an op ended, and tells it or has another member asked.
-func (p *Forwarder) finishAttempt(request *Request, name spread.EndpointName, response transport.Response, outcome spread.Outcome, notSent bool) {
+func (p *Forwarder) finishAttempt(request *Request, name balancer.EndpointName, response transport.Response, outcome balancer.Outcome, notSent bool) {
 	p.Balancer.RecordOutcome(p.loop.Now(), name, outcome, p.loop.Now()-request.attemptStartedAt)
 	request.connection = nil
 	if request.onDone == nil {
 		request.release()
 		return
 	}
-	if p.Balancer.DecideRetry(p.loop.Now(), spread.Attempt{Deadline: request.deadline, Made: request.attempts, Max: request.maxAttempts, Idempotent: request.idempotent, Forwarded: request.message.Hops > 1}, outcome, notSent, response.Metadata.NoFailover) == spread.RetryElsewhere {
+	if p.Balancer.DecideRetry(p.loop.Now(), balancer.Attempt{Deadline: request.deadline, Made: request.attempts, Max: request.maxAttempts, Idempotent: request.idempotent, Forwarded: request.message.Hops > 1}, outcome, notSent, response.Metadata.NoFailover) == balancer.RetryElsewhere {
 		p.Retries++
 		// Each try has an id of its own, as the protocol wants it: an instance can't tell two tries of one op in hand apart.
 		request.message.ID = fmt.Sprintf("%016x", p.random.Uint64())
@@ -267,8 +267,8 @@
 		return
 	}
 	notSent := o.connection != nil && !o.sent
-	o.detach(spread.NoResponse)
-	o.finish(Result{LastOutcome: spread.NoResponse, NotSent: notSent, TimedOut: true, Response: failedResponse})
+	o.detach(balancer.NoResponse)
+	o.finish(Result{LastOutcome: balancer.NoResponse, NotSent: notSent, TimedOut: true, Response: failedResponse})
 }
 
 // Cancel tells that nobody waits any more.
@@ -279,9 +279,9 @@
 	o.onDone = nil
 	// Danger: a member that takes ops and answers none looks idle. What is given up at its due time there counts against it; before that
 	// it says nothing.
-	outcome := spread.Succeeded
+	outcome := balancer.Succeeded
 	if o.forwarder.loop.Now() >= o.deadline {
-		outcome = spread.NoResponse
+		outcome = balancer.NoResponse
 	}
 	o.detach(outcome)
 	o.release()
@@ -298,7 +298,7 @@
 }
 
 // detach tells the member that nobody waits any more, and takes the op off the connection. What is not lost there counts as nothing.
-func (o *Request) detach(outcome spread.Outcome) {
+func (o *Request) detach(outcome balancer.Outcome) {
 	connection := o.connection
 	if connection == nil {
 		return
@@ -310,7 +310,7 @@
 	} else if index := slices.Index(connection.waiting, o); index >= 0 {
 		connection.waiting = slices.Delete(connection.waiting, index, index+1)
 	}
-	if outcome == spread.NoResponse {
+	if outcome == balancer.NoResponse {
 		o.forwarder.Balancer.RecordOutcome(o.forwarder.loop.Now(), connection.endpoint.name, outcome, 0)
 	} else {
 		o.forwarder.Balancer.RecordCancel(connection.endpoint.name)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -10,13 +10,13 @@
 
 	"lanewheel/admission"
 	"lanewheel/internal/authn"
+	"lanewheel/internal/balancer"
 	"lanewheel/internal/clients"
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/frontend"
 	"lanewheel/internal/membership"
 	"lanewheel/internal/pass"
 	"lanewheel/internal/server"
-	"lanewheel/internal/spread"
 	"lanewheel/internal/transport"
 )
 
@@ -182,7 +182,7 @@
 		counters.noEndpoint++
 		fields.RetryAfter = o.proxy.config.RetryAfter
 		o.respond(func(responder frontend.Responder) { responder.Reject(fields) })
-	case result.LastOutcome == spread.Succeeded:
+	case result.LastOutcome == balancer.Succeeded:
 		counters.succeeded++
 		o.respond(func(responder frontend.Responder) { responder.Succeed(result.Result, fields) })
 	case result.Error == "Denied":
@@ -191,7 +191,7 @@
 		counters.rejected++
 		o.respond(func(responder frontend.Responder) { responder.Reject(fields) })
 	default:
-		if counters.failed++; result.LastOutcome == spread.NoResponse {
+		if counters.failed++; result.LastOutcome == balancer.NoResponse {
 			counters.noResponse++
 		}
 		o.respond(func(responder frontend.Responder) { responder.Fail(fields) })
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"lanewheel/admission"
+	"lanewheel/internal/balancer"
 	"lanewheel/internal/membership"
 	"lanewheel/internal/pass"
 	"lanewheel/internal/server"
-	"lanewheel/internal/spread"
 	"lanewheel/internal/standin"
 )
 
@@ -115,7 +115,7 @@
 	listen := free.Addr().String()
 	free.Close()
 	roster := standin.NewRegistry()
-	config := Config{Config: pass.Config{Balancer: spread.DefaultConfig(), ConnectionsPerEndpoint: 2, IdleTimeout: time.Minute}, MaxInFlight: 100, DrainGrace: 500 * time.Millisecond, RetryAfter: 90 * time.Millisecond}
+	config := Config{Config: pass.Config{Balancer: balancer.DefaultConfig(), ConnectionsPerEndpoint: 2, IdleTimeout: time.Minute}, MaxInFlight: 100, DrainGrace: 500 * time.Millisecond, RetryAfter: 90 * time.Millisecond}
 	config.Balancer.RetryRatio = 1
 	class := func(name, repeats string) admission.Settings {
 		return admission.Settings{"name": name, "repeats": repeats, "op timeout": 3 * time.Second, "target latency": time.Second}
@@ -266,27 +266,27 @@
 
 // What comes next of an op, by what its try came to.
 func Example_next() {
-	config := spread.DefaultConfig()
+	config := balancer.DefaultConfig()
 	config.RetryRatio, config.RetryBurst = 0, 1
 	for _, x := range []struct {
-		t            spread.Attempt
-		what         spread.Outcome
+		t            balancer.Attempt
+		what         balancer.Outcome
 		unsent, last bool
 	}{
-		{spread.Attempt{Deadline: time.Second, Max: 3, Made: 1}, spread.Succeeded, false, false},
-		{spread.Attempt{Deadline: time.Second, Max: 3, Made: 1}, spread.Rejected, false, false},
-		{spread.Attempt{Deadline: time.Second, Max: 3, Made: 1}, spread.Rejected, false, true},
-		{spread.Attempt{Deadline: 0, Max: 3, Made: 1}, spread.Rejected, false, false},
-		{spread.Attempt{Deadline: time.Second, Max: 3, Made: 3}, spread.Rejected, false, false},
-		{spread.Attempt{Deadline: time.Second, Max: 3, Made: 1}, spread.NoResponse, false, false},
-		{spread.Attempt{Deadline: time.Second, Max: 3, Made: 1, Idempotent: true}, spread.NoResponse, false, false},
-		{spread.Attempt{Deadline: time.Second, Max: 3, Made: 1}, spread.NoResponse, true, false},
-		{spread.Attempt{Deadline: time.Second, Max: 3, Made: 1, Idempotent: true}, spread.Failed, false, false},
+		{balancer.Attempt{Deadline: time.Second, Max: 3, Made: 1}, balancer.Succeeded, false, false},
+		{balancer.Attempt{Deadline: time.Second, Max: 3, Made: 1}, balancer.Rejected, false, false},
+		{balancer.Attempt{Deadline: time.Second, Max: 3, Made: 1}, balancer.Rejected, false, true},
+		{balancer.Attempt{Deadline: 0, Max: 3, Made: 1}, balancer.Rejected, false, false},
+		{balancer.Attempt{Deadline: time.Second, Max: 3, Made: 3}, balancer.Rejected, false, false},
+		{balancer.Attempt{Deadline: time.Second, Max: 3, Made: 1}, balancer.NoResponse, false, false},
+		{balancer.Attempt{Deadline: time.Second, Max: 3, Made: 1, Idempotent: true}, balancer.NoResponse, false, false},
+		{balancer.Attempt{Deadline: time.Second, Max: 3, Made: 1}, balancer.NoResponse, true, false},
+		{balancer.Attempt{Deadline: time.Second, Max: 3, Made: 1, Idempotent: true}, balancer.Failed, false, false},
 	} {
-		c := spread.New(config)
-		fmt.Print(c.DecideRetry(time.Millisecond, x.t, x.what, x.unsent, x.last) == spread.RetryElsewhere, " ")
-		if x.what == spread.Rejected && !x.last && x.t.Deadline > 0 && x.t.Made == 1 { // the budget is used up
-			fmt.Print(c.DecideRetry(time.Millisecond, x.t, x.what, false, false) == spread.RetryElsewhere, " ")
+		c := balancer.New(config)
+		fmt.Print(c.DecideRetry(time.Millisecond, x.t, x.what, x.unsent, x.last) == balancer.RetryElsewhere, " ")
+		if x.what == balancer.Rejected && !x.last && x.t.Deadline > 0 && x.t.Made == 1 { // the budget is used up
+			fmt.Print(c.DecideRetry(time.Millisecond, x.t, x.what, false, false) == balancer.RetryElsewhere, " ")
 		}
 	}
 	// Output: false true false false false false false true true false
