--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -22,13 +22,13 @@
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/fleet/desk"
 	"lanewheel/internal/fleet/gossip"
+	"lanewheel/internal/forward"
 	"lanewheel/internal/grants"
 	"lanewheel/internal/handover"
 	"lanewheel/internal/lifecycle"
 	"lanewheel/internal/lifecycle/allocators"
 	"lanewheel/internal/lifecycle/proxies"
 	"lanewheel/internal/membership"
-	"lanewheel/internal/pass"
 	"lanewheel/internal/relay"
 	"lanewheel/internal/server"
 	"lanewheel/internal/transport"
@@ -188,7 +188,7 @@
 }
 
 // prober is how others are asked how they stand.
-func prober(agent *gossip.Agent) pass.ProbeFunc {
+func prober(agent *gossip.Agent) forward.ProbeFunc {
 	return func(name membership.Name, report func(float64, time.Duration)) {
 		agent.Post(func() { agent.QueryLoad(name, report) })
 	}
--- a/internal/config/below.go
+++ b/internal/config/below.go
@@ -6,9 +6,9 @@
 
 	"lanewheel/internal/balancer"
 	"lanewheel/internal/below"
+	"lanewheel/internal/forward"
 	"lanewheel/internal/grants"
 	"lanewheel/internal/handover"
-	"lanewheel/internal/pass"
 )
 
 // Upstream is the services that an instance's calls go to.
@@ -82,7 +82,7 @@
 }
 
 func (r *reader) readSpillover(fleet *Fleet) Spillover {
-	parsed := Spillover{Config: handover.Config{Config: pass.Config{Balancer: balancer.DefaultConfig(), ConnectionsPerEndpoint: 1, IdleTimeout: 10 * time.Second}, Spillover: balancer.DefaultSpilloverConfig()}}
+	parsed := Spillover{Config: handover.Config{Config: forward.Config{Balancer: balancer.DefaultConfig(), ConnectionsPerEndpoint: 1, IdleTimeout: 10 * time.Second}, Spillover: balancer.DefaultSpilloverConfig()}}
 	s := r.section("handover")
 	parsed.Enabled = s.exists()
 	if parsed.Enabled && !fleet.Enabled {
--- a/internal/config/relay.go
+++ b/internal/config/relay.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"lanewheel/internal/balancer"
-	"lanewheel/internal/pass"
+	"lanewheel/internal/forward"
 	"lanewheel/internal/relay"
 )
 
@@ -16,7 +16,7 @@
 }
 
 func (r *reader) readProxy(fleet *Fleet) Proxy {
-	parsed := Proxy{Config: relay.Config{Config: pass.Config{Balancer: balancer.DefaultConfig(), ProbesPerRequest: 2, ConnectionsPerEndpoint: 2, IdleTimeout: 30 * time.Second}, MaxInFlight: 4096, DrainGrace: 500 * time.Millisecond}}
+	parsed := Proxy{Config: relay.Config{Config: forward.Config{Balancer: balancer.DefaultConfig(), ProbesPerRequest: 2, ConnectionsPerEndpoint: 2, IdleTimeout: 30 * time.Second}, MaxInFlight: 4096, DrainGrace: 500 * time.Millisecond}}
 	s := r.section("relay")
 	parsed.Enabled = s.exists()
 	if parsed.Enabled && !fleet.Enabled {
--- a/internal/pass/conn.go
+++ b/internal/forward/conn.go
@@ -1,4 +1,4 @@
-package pass
+package forward
 
 import (
 	"maps"
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -8,17 +8,17 @@
 
 	"lanewheel/internal/balancer"
 	"lanewheel/internal/eventloop"
+	"lanewheel/internal/forward"
 	"lanewheel/internal/frontend"
 	"lanewheel/internal/logging"
 	"lanewheel/internal/membership"
-	"lanewheel/internal/pass"
 	"lanewheel/internal/server"
 	"lanewheel/internal/transport"
 )
 
 // Config is what it goes by.
 type Config struct {
-	pass.Config
+	forward.Config
 	Spillover balancer.SpilloverConfig
 }
 
@@ -27,7 +27,7 @@
 	loop       *eventloop.Loop
 	server     *server.Server
 	config     Config
-	forwarder  *pass.Forwarder
+	forwarder  *forward.Forwarder
 	policy     *balancer.SpilloverPolicy
 	inFlight   map[*spilledRequest]bool
 	draining   bool
@@ -39,12 +39,12 @@
 type spilledRequest struct {
 	spillover  *Spillover
 	responder  frontend.Responder
-	forwarding *pass.Request
+	forwarding *forward.Request
 }
 
 // New makes the part of an instance whose loop and sockets it shares.
-func New(srv *server.Server, net *transport.Net, config Config, seed uint64, probe pass.ProbeFunc) *Spillover {
-	forwarder := pass.New(srv.Loop, net, config.Config, seed, probe)
+func New(srv *server.Server, net *transport.Net, config Config, seed uint64, probe forward.ProbeFunc) *Spillover {
+	forwarder := forward.New(srv.Loop, net, config.Config, seed, probe)
 	return &Spillover{loop: srv.Loop, server: srv, config: config, forwarder: forwarder, policy: balancer.NewSpilloverPolicy(config.Spillover, forwarder.Balancer), inFlight: map[*spilledRequest]bool{}, counts: map[string]uint64{}}
 }
 
@@ -119,7 +119,7 @@
 }
 
 // handleResult answers by what became of it there. What proves that it ran nowhere is what we would have said ourselves.
-func (o *spilledRequest) handleResult(result pass.Result) {
+func (o *spilledRequest) handleResult(result forward.Result) {
 	spillover := o.spillover
 	delete(spillover.inFlight, o)
 	responder := o.responder
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -13,16 +13,16 @@
 	"lanewheel/internal/balancer"
 	"lanewheel/internal/clients"
 	"lanewheel/internal/eventloop"
+	"lanewheel/internal/forward"
 	"lanewheel/internal/frontend"
 	"lanewheel/internal/membership"
-	"lanewheel/internal/pass"
 	"lanewheel/internal/server"
 	"lanewheel/internal/transport"
 )
 
 // Config is what a relay goes by beside the platform's configuration.
 type Config struct {
-	pass.Config
+	forward.Config
 	MaxInFlight int           // ops in hand
 	DrainGrace  time.Duration // after the notice to leave, until nothing new is passed on
 	RetryAfter  time.Duration // told to who is turned away because nobody is there, 0 for nothing
@@ -36,7 +36,7 @@
 	net         *transport.Net
 	buffers     *server.BufferPool
 	clients     *clients.Frontend
-	forwarder   *pass.Forwarder
+	forwarder   *forward.Forwarder
 	classes     map[string]classConfig
 	inFlight    map[string]*proxiedRequest
 	frontends   []frontend.Frontend
@@ -59,11 +59,11 @@
 	proxy      *Proxy
 	id         string             // its caller's
 	responder  frontend.Responder // nil once it is answered or nobody waits
-	forwarding *pass.Request
+	forwarding *forward.Request
 }
 
 // Listen makes a relay that listens. Of the platform's configuration it takes what an instance would, less the runtime and the database.
-func Listen(platform server.Config, config Config, probe pass.ProbeFunc) (*Proxy, error) {
+func Listen(platform server.Config, config Config, probe forward.ProbeFunc) (*Proxy, error) {
 	bufferCount := int(platform.MemoryMB*(1<<20)) / transport.BufferSize
 	config.MaxInFlight = min(config.MaxInFlight, bufferCount/4) // a quarter of the memory is for bodies in hand, as in an instance
 	proxy := &Proxy{Loop: eventloop.New(bufferCount / 8), config: config, platform: platform, buffers: &server.BufferPool{}, classes: map[string]classConfig{}, inFlight: map[string]*proxiedRequest{}}
@@ -78,7 +78,7 @@
 		MaxAccepted: int64(platform.MaxDescriptors) / 2, MaxDescriptors: platform.MaxDescriptors, MaxUnread: int64(platform.MemoryMB*(1<<20)) / 8, LocalIP: config.LocalIP()}
 	proxy.net.ReadTokens.Store(true) // who calls is the instance's to judge; a relay passes on what is brought
 	proxy.net.ReadHops.Store(true)
-	proxy.forwarder = pass.New(proxy.Loop, proxy.net, config.Config, platform.Seed, probe)
+	proxy.forwarder = forward.New(proxy.Loop, proxy.net, config.Config, platform.Seed, probe)
 	idle, _ := platform.Settings["connections idle"].(time.Duration)
 	proxy.clients = clients.New(proxy, proxy.Loop, proxy.net, nil, idle)
 	if err := proxy.net.Start(platform.ListenAddr); err != nil {
@@ -172,7 +172,7 @@
 }
 
 // handleResult answers an op by what became of it.
-func (o *proxiedRequest) handleResult(result pass.Result) {
+func (o *proxiedRequest) handleResult(result forward.Result) {
 	counters, fields := &o.proxy.counters, result.Metadata
 	if result.TimedOut {
 		counters.timedOut++
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -9,8 +9,8 @@
 
 	"lanewheel/admission"
 	"lanewheel/internal/balancer"
+	"lanewheel/internal/forward"
 	"lanewheel/internal/membership"
-	"lanewheel/internal/pass"
 	"lanewheel/internal/server"
 	"lanewheel/internal/standin"
 )
@@ -115,7 +115,7 @@
 	listen := free.Addr().String()
 	free.Close()
 	roster := standin.NewRegistry()
-	config := Config{Config: pass.Config{Balancer: balancer.DefaultConfig(), ConnectionsPerEndpoint: 2, IdleTimeout: time.Minute}, MaxInFlight: 100, DrainGrace: 500 * time.Millisecond, RetryAfter: 90 * time.Millisecond}
+	config := Config{Config: forward.Config{Balancer: balancer.DefaultConfig(), ConnectionsPerEndpoint: 2, IdleTimeout: time.Minute}, MaxInFlight: 100, DrainGrace: 500 * time.Millisecond, RetryAfter: 90 * time.Millisecond}
 	config.Balancer.RetryRatio = 1
 	class := func(name, repeats string) admission.Settings {
 		return admission.Settings{"name": name, "repeats": repeats, "op timeout": 3 * time.Second, "target latency": time.Second}
