--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -24,13 +24,13 @@
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/forward"
 	"lanewheel/internal/grants"
-	"lanewheel/internal/handover"
 	"lanewheel/internal/lifecycle"
 	"lanewheel/internal/lifecycle/allocators"
 	"lanewheel/internal/lifecycle/proxies"
 	"lanewheel/internal/membership"
 	"lanewheel/internal/relay"
 	"lanewheel/internal/server"
+	"lanewheel/internal/spillover"
 	"lanewheel/internal/transport"
 )
 
@@ -63,10 +63,10 @@
 	if err != nil {
 		return nil, err
 	}
-	var spill *handover.Spillover
+	var spill *spillover.Spillover
 	if operatorConfig.File.Spillover.Enabled {
 		srv.EnableSpillover(func(net *transport.Net) server.Spillover {
-			spill = handover.New(srv, net, operatorConfig.File.Spillover.Config, platform.Seed, prober(agent))
+			spill = spillover.New(srv, net, operatorConfig.File.Spillover.Config, platform.Seed, prober(agent))
 			return spill
 		})
 		subscribe(agent, srv.Loop, spill.UpdateView)
--- a/internal/config/below.go
+++ b/internal/config/below.go
@@ -8,7 +8,7 @@
 	"lanewheel/internal/below"
 	"lanewheel/internal/forward"
 	"lanewheel/internal/grants"
-	"lanewheel/internal/handover"
+	"lanewheel/internal/spillover"
 )
 
 // Upstream is the services that an instance's calls go to.
@@ -78,11 +78,11 @@
 // Spillover is whether ops that are turned away go to another instance.
 type Spillover struct {
 	Enabled bool
-	Config  handover.Config
+	Config  spillover.Config
 }
 
 func (r *reader) readSpillover(fleet *Fleet) Spillover {
-	parsed := Spillover{Config: handover.Config{Config: forward.Config{Balancer: balancer.DefaultConfig(), ConnectionsPerEndpoint: 1, IdleTimeout: 10 * time.Second}, Spillover: balancer.DefaultSpilloverConfig()}}
+	parsed := Spillover{Config: spillover.Config{Config: forward.Config{Balancer: balancer.DefaultConfig(), ConnectionsPerEndpoint: 1, IdleTimeout: 10 * time.Second}, Spillover: balancer.DefaultSpilloverConfig()}}
 	s := r.section("handover")
 	parsed.Enabled = s.exists()
 	if parsed.Enabled && !fleet.Enabled {
--- a/internal/handover/handover.go
+++ b/internal/spillover/handover.go
@@ -1,6 +1,6 @@
-// Package handover gives an op that an instance turns away to another instance with room, once. It decides nothing: internal/spread says
+// Package spillover gives an op that an instance turns away to another instance with room, once. It decides nothing: internal/spread says
 // whether and to whom, internal/pass carries it there. It belongs to the instance's loop.
-package handover
+package spillover
 
 import (
 	"log/slog"
