--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -28,7 +28,7 @@
 	"lanewheel/internal/lifecycle/allocators"
 	"lanewheel/internal/lifecycle/proxies"
 	"lanewheel/internal/membership"
-	"lanewheel/internal/relay"
+	"lanewheel/internal/proxy"
 	"lanewheel/internal/server"
 	"lanewheel/internal/spillover"
 	"lanewheel/internal/transport"
@@ -148,7 +148,7 @@
 
 // runProxy runs a relay.
 func runProxy(operatorPath, logFormat string) error {
-	return proxies.Run(os.Getenv("RELAY_CONFIG"), operatorPath, logFormat, func(platform server.Config, operatorConfig *lifecycle.OperatorConfig) (*relay.Proxy, func(*lifecycle.OperatorConfig), error) {
+	return proxies.Run(os.Getenv("RELAY_CONFIG"), operatorPath, logFormat, func(platform server.Config, operatorConfig *lifecycle.OperatorConfig) (*proxy.Proxy, func(*lifecycle.OperatorConfig), error) {
 		fleet := operatorConfig.File.Fleet
 		fleet.Roles = fleet.Roles&^membership.RoleServer | membership.RoleProxy
 		process := &proxyProcess{}
@@ -156,7 +156,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		running, err := relay.Listen(platform, operatorConfig.File.Proxy.Config, prober(agent))
+		running, err := proxy.Listen(platform, operatorConfig.File.Proxy.Config, prober(agent))
 		if err != nil {
 			return nil, nil, err
 		}
@@ -195,7 +195,7 @@
 }
 
 // proxyProcess speaks for a relay.
-type proxyProcess struct{ proxy *relay.Proxy }
+type proxyProcess struct{ proxy *proxy.Proxy }
 
 func (p *proxyProcess) Status(report func(gossip.ProcessStatus)) {
 	p.proxy.Post(func() {
--- a/internal/command/further/golden_test.go
+++ b/internal/command/further/golden_test.go
@@ -25,7 +25,7 @@
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/fleet/steward/ask"
 	"lanewheel/internal/membership"
-	"lanewheel/internal/relay"
+	"lanewheel/internal/proxy"
 	"lanewheel/internal/server"
 )
 
@@ -269,7 +269,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := relay.Listen(config, relay.Config{}, nil)
+	r, err := proxy.Listen(config, proxy.Config{}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/relay.go
+++ b/internal/config/relay.go
@@ -6,17 +6,17 @@
 
 	"lanewheel/internal/balancer"
 	"lanewheel/internal/forward"
-	"lanewheel/internal/relay"
+	"lanewheel/internal/proxy"
 )
 
 // Proxy is how a process passes ops on.
 type Proxy struct {
 	Enabled bool
-	Config  relay.Config
+	Config  proxy.Config
 }
 
 func (r *reader) readProxy(fleet *Fleet) Proxy {
-	parsed := Proxy{Config: relay.Config{Config: forward.Config{Balancer: balancer.DefaultConfig(), ProbesPerRequest: 2, ConnectionsPerEndpoint: 2, IdleTimeout: 30 * time.Second}, MaxInFlight: 4096, DrainGrace: 500 * time.Millisecond}}
+	parsed := Proxy{Config: proxy.Config{Config: forward.Config{Balancer: balancer.DefaultConfig(), ProbesPerRequest: 2, ConnectionsPerEndpoint: 2, IdleTimeout: 30 * time.Second}, MaxInFlight: 4096, DrainGrace: 500 * time.Millisecond}}
 	s := r.section("relay")
 	parsed.Enabled = s.exists()
 	if parsed.Enabled && !fleet.Enabled {
--- a/internal/lifecycle/proxies/relays.go
+++ b/internal/lifecycle/proxies/relays.go
@@ -10,12 +10,12 @@
 
 	"lanewheel/internal/config"
 	"lanewheel/internal/lifecycle"
-	"lanewheel/internal/relay"
+	"lanewheel/internal/proxy"
 	"lanewheel/internal/server"
 )
 
 // Join brings a relay into its fleet: it gives the relay, which listens, and what takes an operator's file that was read anew.
-type Join func(config server.Config, o *lifecycle.OperatorConfig) (r *relay.Proxy, reload func(*lifecycle.OperatorConfig), err error)
+type Join func(config server.Config, o *lifecycle.OperatorConfig) (r *proxy.Proxy, reload func(*lifecycle.OperatorConfig), err error)
 
 // Run starts the relay that the configuration at path and the operator's file tell of, and passes ops on until it is told to go.
 func Run(platformPath, operatorPath, logFormat string, join Join) error {
--- a/internal/relay/relay_test.go
+++ b/internal/proxy/relay_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"fmt"
