--- a/internal/below/below.go
+++ b/internal/below/below.go
@@ -10,8 +10,8 @@
 
 	"lanewheel/admission"
 	"lanewheel/internal/balancer"
+	"lanewheel/internal/concurrencylease"
 	"lanewheel/internal/eventloop"
-	"lanewheel/internal/grants"
 	"lanewheel/internal/membership"
 	"lanewheel/internal/server"
 )
@@ -25,7 +25,7 @@
 }
 
 // RequestLease asks the desk of a service for calls; the answer comes by Granted.
-type RequestLease func(name membership.Name, a grants.Request)
+type RequestLease func(name membership.Name, a concurrencylease.Request)
 
 // Client is the services of one instance. It is a keep.Below.
 type Client struct {
@@ -50,9 +50,9 @@
 	name            balancer.EndpointName
 	address         string
 	allocatorBootID membership.BootID
-	holder          *grants.Holder // nil: no grants are given there, Calls holds
-	openCalls       int            // calls that may be running there
-	loggedLimit     int            // as last logged
+	holder          *concurrencylease.Holder // nil: no grants are given there, Calls holds
+	openCalls       int                      // calls that may be running there
+	loggedLimit     int                      // as last logged
 }
 
 // New makes the part of an instance that is known to the fleet as self.
@@ -91,7 +91,7 @@
 		present[name] = true
 		known := p.services[name]
 		if known == nil {
-			known = &endpoint{client: p, name: name, holder: &grants.Holder{ID: p.self, MaxUnleasedCalls: p.config.MaxCalls, MaxCallDuration: p.config.MaxCallDuration}}
+			known = &endpoint{client: p, name: name, holder: &concurrencylease.Holder{ID: p.self, MaxUnleasedCalls: p.config.MaxCalls, MaxCallDuration: p.config.MaxCallDuration}}
 			p.services[name] = known
 		}
 		known.address, known.allocatorBootID = member.ServiceAddr, member.BootID
@@ -184,7 +184,7 @@
 }
 
 // HandleLease takes an answer of a desk.
-func (p *Client) HandleLease(lease grants.Lease) {
+func (p *Client) HandleLease(lease concurrencylease.Lease) {
 	now := p.loop.Now()
 	for _, s := range p.services {
 		if s.holder != nil && s.allocatorBootID == lease.AllocatorBootID && s.holder.Accept(now, lease) {
--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -17,13 +17,13 @@
 	"lanewheel/internal/balancer"
 	"lanewheel/internal/below"
 	"lanewheel/internal/command"
+	"lanewheel/internal/concurrencylease"
 	"lanewheel/internal/config"
 	"lanewheel/internal/drill"
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/fleet/desk"
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/forward"
-	"lanewheel/internal/grants"
 	"lanewheel/internal/lifecycle"
 	"lanewheel/internal/lifecycle/allocators"
 	"lanewheel/internal/lifecycle/proxies"
@@ -74,7 +74,7 @@
 	}
 	if operatorConfig.File.Upstream.Enabled {
 		upstreamClient := below.New(srv.Loop, operatorConfig.File.Upstream.Config, agent.View().Self.ID(), platform.Seed, agent.RequestLease)
-		agent.OnLease = func(lease grants.Lease) { srv.Post(func() { upstreamClient.HandleLease(lease) }) }
+		agent.OnLease = func(lease concurrencylease.Lease) { srv.Post(func() { upstreamClient.HandleLease(lease) }) }
 		subscribe(agent, srv.Loop, upstreamClient.SetView)
 		srv.UseUpstreams(upstreamClient)
 		srv.Post(upstreamClient.Start)
--- a/internal/grants/desk.go
+++ b/internal/concurrencylease/desk.go
@@ -1,8 +1,8 @@
-// Package grants shares a hard cap on calls to one service below among all processes of a fleet. A desk beside the service grants each holder so
+// Package concurrencylease shares a hard cap on calls to one service below among all processes of a fleet. A desk beside the service grants each holder so
 // many calls at a time, for a while; whatever views the processes have of each other, and whatever is lost, late, twice or out of order
 // between them, the calls of all together never pass the cap. It is pure: what came is handed in with its time. docs/below.md says
 // which ways were weighed, and why it holds.
-package grants
+package concurrencylease
 
 import (
 	"cmp"
--- a/internal/grants/holder.go
+++ b/internal/concurrencylease/holder.go
@@ -1,4 +1,4 @@
-package grants
+package concurrencylease
 
 import (
 	"math"
--- a/internal/config/below.go
+++ b/internal/config/below.go
@@ -6,8 +6,8 @@
 
 	"lanewheel/internal/balancer"
 	"lanewheel/internal/below"
+	"lanewheel/internal/concurrencylease"
 	"lanewheel/internal/forward"
-	"lanewheel/internal/grants"
 	"lanewheel/internal/spillover"
 )
 
@@ -40,11 +40,11 @@
 type Allocator struct {
 	Enabled  bool
 	LockFile string // a file that one desk alone may hold; empty for none
-	Config   grants.Config
+	Config   concurrencylease.Config
 }
 
 func (r *reader) readAllocator(fleet *Fleet) Allocator {
-	parsed := Allocator{Config: grants.DefaultConfig()}
+	parsed := Allocator{Config: concurrencylease.DefaultConfig()}
 	s := r.section("grants")
 	parsed.Enabled = s.exists()
 	switch {
--- a/internal/fleet/desk/desk.go
+++ b/internal/fleet/desk/desk.go
@@ -7,9 +7,9 @@
 	"net"
 	"time"
 
+	"lanewheel/internal/concurrencylease"
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/fleet/gossip"
-	"lanewheel/internal/grants"
 	"lanewheel/internal/membership"
 )
 
@@ -17,8 +17,8 @@
 type Server struct {
 	*eventloop.Loop
 	serviceAddr string
-	config      grants.Config
-	allocator   *grants.Allocator
+	config      concurrencylease.Config
+	allocator   *concurrencylease.Allocator
 	agent       *gossip.Agent
 	serviceUp   bool // the service takes connections
 	draining    bool
@@ -26,15 +26,15 @@
 }
 
 // New makes a desk that grants nothing yet.
-func New(config grants.Config, serviceAddr string) *Server {
+func New(config concurrencylease.Config, serviceAddr string) *Server {
 	return &Server{Loop: eventloop.New(1 << 12), serviceAddr: serviceAddr, config: config}
 }
 
 // Attach gives it the part by which it speaks to the fleet, before that is started.
 func (d *Server) Attach(agent *gossip.Agent) {
 	d.agent = agent
-	d.allocator = grants.NewAllocator(d.config, agent.View().Self.BootID, d.Now())
-	agent.OnLeaseRequest = func(request grants.Request, reply func(grants.Lease)) {
+	d.allocator = concurrencylease.NewAllocator(d.config, agent.View().Self.BootID, d.Now())
+	agent.OnLeaseRequest = func(request concurrencylease.Request, reply func(concurrencylease.Lease)) {
 		d.Post(func() {
 			if lease, ok := d.allocator.HandleRequest(d.Now(), request); ok {
 				reply(lease)
@@ -49,7 +49,7 @@
 }
 
 // SetConfig takes values that were told anew.
-func (d *Server) SetConfig(config grants.Config) {
+func (d *Server) SetConfig(config concurrencylease.Config) {
 	d.Post(func() { d.allocator.SetConfig(config, d.Now()) })
 }
 
--- a/internal/fleet/desk/golden_test.go
+++ b/internal/fleet/desk/golden_test.go
@@ -5,17 +5,17 @@
 	"testing"
 	"time"
 
+	"lanewheel/internal/concurrencylease"
 	"lanewheel/internal/fleet/gossip"
-	"lanewheel/internal/grants"
 	"lanewheel/internal/membership"
 )
 
 // What a desk says of itself in the fleet, by the names that others read.
 func TestReportGolden(t *testing.T) {
-	told := grants.DefaultConfig()
+	told := concurrencylease.DefaultConfig()
 	told.Capacity = 16
 	d := New(told, "127.0.0.1:1")
-	d.allocator = grants.NewAllocator(told, 1, -time.Hour)
+	d.allocator = concurrencylease.NewAllocator(told, 1, -time.Hour)
 	d.serviceUp, d.draining = true, true
 	done := make(chan struct{})
 	go func() {
@@ -23,7 +23,7 @@
 		close(done)
 	}()
 	d.Post(func() {
-		d.allocator.HandleRequest(d.Now(), grants.Request{Holder: membership.ID{Name: "n1", BootID: 1}, Sequence: 1, WantedCalls: 3})
+		d.allocator.HandleRequest(d.Now(), concurrencylease.Request{Holder: membership.ID{Name: "n1", BootID: 1}, Sequence: 1, WantedCalls: 3})
 	})
 	got := make(chan gossip.ProcessStatus, 1)
 	d.Status(func(r gossip.ProcessStatus) { got <- r })
--- a/internal/fleet/gossip/codec_test.go
+++ b/internal/fleet/gossip/codec_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"lanewheel/internal/grants"
+	"lanewheel/internal/concurrencylease"
 	"lanewheel/internal/membership"
 	_ "lanewheel/internal/scenes"
 )
@@ -37,7 +37,7 @@
 			t.Fatal(err, back, c)
 		}
 		count := func(label string) int { return rapid.IntRange(0, 1<<40).Draw(t, label) }
-		a := grants.Request{Holder: b.ID, Sequence: 1 + rapid.Uint64Max(1<<60).Draw(t, "ask"), Held: grants.HeldLease{AllocatorBootID: b.BootID, Sequence: b.Sequence, Limit: count("limit")}, OpenCalls: count("open"), WantedCalls: count("wants")}
+		a := concurrencylease.Request{Holder: b.ID, Sequence: 1 + rapid.Uint64Max(1<<60).Draw(t, "ask"), Held: concurrencylease.HeldLease{AllocatorBootID: b.BootID, Sequence: b.Sequence, Limit: count("limit")}, OpenCalls: count("open"), WantedCalls: count("wants")}
 		_, _, body, _ = splitHead(encodeLeaseRequest(a, c.ID(), "a:1"))
 		if back, addr, err := decodeLeaseRequest(body, c.ID()); err != nil || back != a || addr != "a:1" || len(body) > maxMessageBytes {
 			t.Fatal(err, back, a)
@@ -45,7 +45,7 @@
 		if _, _, err := decodeLeaseRequest(body, membership.ID{Name: "another", BootID: 1}); err == nil {
 			t.Fatal("an ask of another")
 		}
-		g := grants.Lease{AllocatorBootID: b.BootID, Sequence: b.Sequence, Limit: count("granted"), Duration: ms("for") + time.Millisecond, UnleasedCalls: 1, MaxCallDuration: ms("longest") + time.Millisecond}
+		g := concurrencylease.Lease{AllocatorBootID: b.BootID, Sequence: b.Sequence, Limit: count("granted"), Duration: ms("for") + time.Millisecond, UnleasedCalls: 1, MaxCallDuration: ms("longest") + time.Millisecond}
 		_, _, body, _ = splitHead(encodeLease(g))
 		if back, err := decodeLease(body); err != nil || back != g {
 			t.Fatal(err, back, g)
@@ -94,8 +94,8 @@
 	f.Add(encodeHeartbeat(membership.Heartbeat{ID: membership.ID{Name: "n", BootID: 1}, Metrics: []membership.Metric{{Name: "load", Value: 1}}}))
 	f.Add(encodeDescriptor(membership.Descriptor{Capacity: 1, Zone: "z"}))
 	f.Add(encode(kindFenceNotice, wireFenceNotice{"n", 1, 2}))
-	f.Add(encodeLeaseRequest(grants.Request{Holder: membership.ID{Name: "n", BootID: 1}, Sequence: 1, WantedCalls: 3}, membership.ID{Name: "n", BootID: 1}, "a:1"))
-	f.Add(encodeLease(grants.Lease{AllocatorBootID: 1, Sequence: 1, Limit: 2, Duration: time.Second, MaxCallDuration: time.Second}))
+	f.Add(encodeLeaseRequest(concurrencylease.Request{Holder: membership.ID{Name: "n", BootID: 1}, Sequence: 1, WantedCalls: 3}, membership.ID{Name: "n", BootID: 1}, "a:1"))
+	f.Add(encodeLease(concurrencylease.Lease{AllocatorBootID: 1, Sequence: 1, Limit: 2, Duration: time.Second, MaxCallDuration: time.Second}))
 	f.Add(encode(kindPermitNotice, wirePermitNotice{"a@1", "b@1", "c:1", 7, true}))
 	f.Add(encode(kindPermitBegin, wirePermitBegin{"a@1", "b@1", "c:1", 9, 7}))
 	f.Add(encode(kindQuery, wireQuery{1, "a@1", "b@1", "c:1"}))
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
+	"lanewheel/internal/concurrencylease"
 	"lanewheel/internal/eventloop"
-	"lanewheel/internal/grants"
 	"lanewheel/internal/membership"
 )
 
@@ -52,8 +52,8 @@
 			{Name: "health", Value: 0.75, TTL: 3 * time.Second},
 			{Name: "held", Value: 12, TTL: 4 * time.Second},
 		}}
-	request := grants.Request{Holder: other, Sequence: 9, Held: grants.HeldLease{AllocatorBootID: 11, Sequence: 8, Limit: 5}, OpenCalls: 4, WantedCalls: 6}
-	lease := grants.Lease{AllocatorBootID: 11, Sequence: 9, Limit: 5, Duration: 2 * time.Second, UnleasedCalls: 1,
+	request := concurrencylease.Request{Holder: other, Sequence: 9, Held: concurrencylease.HeldLease{AllocatorBootID: 11, Sequence: 8, Limit: 5}, OpenCalls: 4, WantedCalls: 6}
+	lease := concurrencylease.Lease{AllocatorBootID: 11, Sequence: 9, Limit: 5, Duration: 2 * time.Second, UnleasedCalls: 1,
 		MaxCallDuration: 5 * time.Second}
 
 	requestWire := wireLeaseRequest{To: self.String(), From: other.String(), ReplyAddr: "10.0.0.8:7946", Sequence: 9, AllocatorBootID: 11,
--- a/internal/fleet/gossip/part.go
+++ b/internal/fleet/gossip/part.go
@@ -18,8 +18,8 @@
 	"github.com/hashicorp/memberlist"
 	"golang.org/x/time/rate"
 
+	"lanewheel/internal/concurrencylease"
 	"lanewheel/internal/eventloop"
-	"lanewheel/internal/grants"
 	"lanewheel/internal/logging"
 	"lanewheel/internal/membership"
 	"lanewheel/internal/watch"
@@ -114,8 +114,8 @@
 
 	// Desk hears who asks for calls to the service that we stand beside, Grants what was granted to us. Nil where there is none; on our loop,
 	// set before Start. answer may be called on any goroutine.
-	OnLeaseRequest func(a grants.Request, answer func(grants.Lease))
-	OnLease        func(g grants.Lease)
+	OnLeaseRequest func(a concurrencylease.Request, answer func(concurrencylease.Lease))
+	OnLease        func(g concurrencylease.Lease)
 	// Begins hears that a member would begin its permit, where we are a steward; done is called once it has. The same holds of it.
 	OnPermitBegin func(name membership.Name, of membership.Incarnation, number uint64, done func())
 }
@@ -397,7 +397,7 @@
 }
 
 // RequestLease asks the desk beside a service below for calls. Any goroutine may call it; the answer, if one comes, goes to Grants.
-func (p *Agent) RequestLease(name membership.Name, request grants.Request) {
+func (p *Agent) RequestLease(name membership.Name, request concurrencylease.Request) {
 	p.Post(func() {
 		if member, known := p.table.View().Get(name); known {
 			_ = p.memberlist.SendToAddress(memberlist.Address{Addr: member.GossipAddr, Name: member.ID().String()}, encodeLeaseRequest(request, member.ID(), p.table.Self().GossipAddr))
@@ -670,10 +670,10 @@
 				}
 			}
 		case kindLeaseRequest:
-			var request grants.Request
+			var request concurrencylease.Request
 			var addr string
 			if request, addr, err = decodeLeaseRequest(body, p.table.Self().ID()); err == nil && p.OnLeaseRequest != nil {
-				p.OnLeaseRequest(request, func(lease grants.Lease) {
+				p.OnLeaseRequest(request, func(lease concurrencylease.Lease) {
 					message := encodeLease(lease)
 					p.Post(func() {
 						_ = p.memberlist.SendToAddress(memberlist.Address{Addr: addr, Name: request.Holder.String()}, message)
@@ -700,7 +700,7 @@
 				}
 			}
 		case kindLease:
-			var lease grants.Lease
+			var lease concurrencylease.Lease
 			if lease, err = decodeLease(body); err == nil && p.OnLease != nil {
 				p.OnLease(lease)
 			}
