--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -15,7 +15,6 @@
 	"time"
 
 	"lanewheel/internal/balancer"
-	"lanewheel/internal/below"
 	"lanewheel/internal/command"
 	"lanewheel/internal/concurrencylease"
 	"lanewheel/internal/config"
@@ -32,6 +31,7 @@
 	"lanewheel/internal/server"
 	"lanewheel/internal/spillover"
 	"lanewheel/internal/transport"
+	"lanewheel/internal/upstream"
 )
 
 // Commands is all that lanewheel-fleet has beside lanewheel.
@@ -54,7 +54,7 @@
 // joinFleet brings an instance into its fleet.
 func joinFleet(srv *server.Server, platform server.Config, operatorConfig *lifecycle.OperatorConfig) (func(*lifecycle.OperatorConfig), error) {
 	if !operatorConfig.File.Fleet.Enabled { // services at told addresses need nobody else
-		upstreamClient := below.New(srv.Loop, operatorConfig.File.Upstream.Config, membership.ID{}, platform.Seed, nil)
+		upstreamClient := upstream.New(srv.Loop, operatorConfig.File.Upstream.Config, membership.ID{}, platform.Seed, nil)
 		srv.UseUpstreams(upstreamClient)
 		srv.Post(upstreamClient.Start)
 		return func(*lifecycle.OperatorConfig) {}, nil
@@ -73,7 +73,7 @@
 		srv.AddFrontend(spill)
 	}
 	if operatorConfig.File.Upstream.Enabled {
-		upstreamClient := below.New(srv.Loop, operatorConfig.File.Upstream.Config, agent.View().Self.ID(), platform.Seed, agent.RequestLease)
+		upstreamClient := upstream.New(srv.Loop, operatorConfig.File.Upstream.Config, agent.View().Self.ID(), platform.Seed, agent.RequestLease)
 		agent.OnLease = func(lease concurrencylease.Lease) { srv.Post(func() { upstreamClient.HandleLease(lease) }) }
 		subscribe(agent, srv.Loop, upstreamClient.SetView)
 		srv.UseUpstreams(upstreamClient)
--- a/internal/config/below.go
+++ b/internal/config/below.go
@@ -5,20 +5,20 @@
 	"time"
 
 	"lanewheel/internal/balancer"
-	"lanewheel/internal/below"
 	"lanewheel/internal/concurrencylease"
 	"lanewheel/internal/forward"
 	"lanewheel/internal/spillover"
+	"lanewheel/internal/upstream"
 )
 
 // Upstream is the services that an instance's calls go to.
 type Upstream struct {
 	Enabled bool
-	Config  below.Config
+	Config  upstream.Config
 }
 
 func (r *reader) readUpstream(fleet *Fleet) Upstream {
-	parsed := Upstream{Config: below.Config{Balancer: balancer.DefaultConfig(), MaxCalls: 8, MaxCallDuration: 5 * time.Second}}
+	parsed := Upstream{Config: upstream.Config{Balancer: balancer.DefaultConfig(), MaxCalls: 8, MaxCallDuration: 5 * time.Second}}
 	s := r.section("below")
 	parsed.Enabled = s.exists()
 	parsed.Config.Balancer.LocalZone = fleet.Zone
--- a/internal/below/below.go
+++ b/internal/upstream/below.go
@@ -1,7 +1,7 @@
-// Package below is the services that an instance's calls go to, where an operator's file tells of several, or of a hard cap that holds for
+// Package upstream is the services that an instance's calls go to, where an operator's file tells of several, or of a hard cap that holds for
 // the whole fleet. Which one a call goes to is decided by internal/spread, how many calls there may be at a time by internal/grants; here is
 // who is there, and what is open. It belongs to the instance's loop.
-package below
+package upstream
 
 import (
 	"log/slog"
