--- a/internal/command/further/further.go
+++ b/internal/command/further/further.go
@@ -20,7 +20,7 @@
 	"lanewheel/internal/config"
 	"lanewheel/internal/drill"
 	"lanewheel/internal/eventloop"
-	"lanewheel/internal/fleet/desk"
+	"lanewheel/internal/fleet/allocator"
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/forward"
 	"lanewheel/internal/lifecycle"
@@ -127,7 +127,7 @@
 
 // runAllocator runs a desk.
 func runAllocator(operatorPath, logFormat string) error {
-	return allocators.Run(operatorPath, logFormat, func(process *desk.Server, operatorConfig *lifecycle.OperatorConfig) (func(*lifecycle.OperatorConfig), error) {
+	return allocators.Run(operatorPath, logFormat, func(process *allocator.Server, operatorConfig *lifecycle.OperatorConfig) (func(*lifecycle.OperatorConfig), error) {
 		gossipConfig := func(operatorConfig *lifecycle.OperatorConfig) gossip.Config {
 			fleet := operatorConfig.File.Fleet
 			fleet.Roles = membership.RoleUpstream
--- a/internal/fleet/desk/desk.go
+++ b/internal/fleet/allocator/desk.go
@@ -1,6 +1,6 @@
-// Package desk is the process beside a service below: it says in the fleet where the service is and whether it takes connections, and grants
+// Package allocator is the process beside a service below: it says in the fleet where the service is and whether it takes connections, and grants
 // instances their calls. internal/grants decides.
-package desk
+package allocator
 
 import (
 	"log/slog"
--- a/internal/fleet/desk/golden_test.go
+++ b/internal/fleet/allocator/golden_test.go
@@ -1,4 +1,4 @@
-package desk
+package allocator
 
 import (
 	"reflect"
--- a/internal/lifecycle/allocators/desks.go
+++ b/internal/lifecycle/allocators/desks.go
@@ -7,13 +7,13 @@
 	"time"
 
 	"lanewheel/internal/config"
-	"lanewheel/internal/fleet/desk"
+	"lanewheel/internal/fleet/allocator"
 	"lanewheel/internal/lifecycle"
 	"lanewheel/internal/lock"
 )
 
 // Attach brings a desk into its fleet and gives what takes an operator's file that was read anew.
-type Attach func(d *desk.Server, o *lifecycle.OperatorConfig) (reload func(*lifecycle.OperatorConfig), err error)
+type Attach func(d *allocator.Server, o *lifecycle.OperatorConfig) (reload func(*lifecycle.OperatorConfig), err error)
 
 // shutdownTimeout is how long a desk takes to leave: its word has to get through.
 const shutdownTimeout = time.Second
@@ -39,7 +39,7 @@
 		}
 		defer fileLock.Close()
 	}
-	server := desk.New(operatorConfig.File.Allocator.Config, operatorConfig.File.Fleet.ServiceAddress)
+	server := allocator.New(operatorConfig.File.Allocator.Config, operatorConfig.File.Fleet.ServiceAddress)
 	reload, err := attach(server, &operatorConfig)
 	if err != nil {
 		return err
