--- a/internal/command/further/agree.go
+++ b/internal/command/further/agree.go
@@ -14,9 +14,9 @@
 
 	"github.com/parquet-go/parquet-go"
 
-	"lanewheel/internal/accord"
 	"lanewheel/internal/command"
 	"lanewheel/internal/config"
+	"lanewheel/internal/coordination"
 	"lanewheel/internal/fleet/steward/ask"
 	"lanewheel/internal/lifecycle"
 )
@@ -97,8 +97,8 @@
 }
 
 // buildCommand is the command that an operator means.
-func buildCommand(arguments command.CoordinatorCommand) (command accord.Command, err error) {
-	command = accord.Command{RequestedBy: arguments.RequestedBy, Reason: arguments.Reason}
+func buildCommand(arguments command.CoordinatorCommand) (command coordination.Command, err error) {
+	command = coordination.Command{RequestedBy: arguments.RequestedBy, Reason: arguments.Reason}
 	readFile := func() []byte {
 		content, readErr := os.ReadFile(arguments.Path)
 		err = errors.Join(err, readErr)
@@ -106,38 +106,38 @@
 	}
 	switch arguments.Action {
 	case "drain", "undrain":
-		command.Kind, command.Selector, command.Reason = accord.KindDrain, accord.Selector{Zone: arguments.Zone, Upstream: arguments.Upstream}, "drain"
+		command.Kind, command.Selector, command.Reason = coordination.KindDrain, coordination.Selector{Zone: arguments.Zone, Upstream: arguments.Upstream}, "drain"
 		if arguments.Action == "undrain" {
-			command.Kind = accord.KindCancelDrain
+			command.Kind = coordination.KindCancelDrain
 		}
 		if arguments.Name != "" {
-			command.Member = accord.Name(arguments.Name)
+			command.Member = coordination.Name(arguments.Name)
 			if arguments.Action == "drain" {
-				command.Kind = accord.KindRequestPermit
+				command.Kind = coordination.KindRequestPermit
 			}
 		}
 		if arguments.Name == "" && arguments.Zone == "" && arguments.Upstream == "" {
 			err = errors.New("wants a member, --zone or --below")
 		}
 	case "forget":
-		command.Kind, command.Member = accord.KindForgetMember, accord.Name(arguments.Name)
+		command.Kind, command.Member = coordination.KindForgetMember, coordination.Name(arguments.Name)
 	case "halt":
-		command.Kind = accord.KindHalt
+		command.Kind = coordination.KindHalt
 	case "resume":
-		command.Kind = accord.KindResume
+		command.Kind = coordination.KindResume
 	case "back":
-		command.Kind = accord.KindRollBack
+		command.Kind = coordination.KindRollBack
 	case "budgets":
-		command.Kind = accord.KindSetBudgets
+		command.Kind = coordination.KindSetBudgets
 		content := readFile()
 		if err == nil {
 			command.Budgets, err = config.ParseBudgets(arguments.Path, content)
 		}
 	case "release":
-		command.Kind = accord.KindStartRollout
+		command.Kind = coordination.KindStartRollout
 		content := readFile()
 		if err == nil {
-			var plan accord.RolloutPlan
+			var plan coordination.RolloutPlan
 			plan, err = config.ParseRollout(arguments.Path, content)
 			command.Plan = &plan
 		}
@@ -146,8 +146,8 @@
 }
 
 // waitForPermits says how permits go until all have begun and their members are out, or are over.
-func waitForPermits(coordinators ask.Client, permits []accord.PermitID, out io.Writer) error {
-	reported := map[accord.PermitID]string{}
+func waitForPermits(coordinators ask.Client, permits []coordination.PermitID, out io.Writer) error {
+	reported := map[coordination.PermitID]string{}
 	for {
 		answer, err := coordinators.Do(ask.Request{Status: true})
 		if err != nil {
@@ -159,13 +159,13 @@
 				continue
 			}
 			text := string(permit.Stage)
-			if permit.WaitReason != "" && permit.Stage == accord.PermitQueued {
+			if permit.WaitReason != "" && permit.Stage == coordination.PermitQueued {
 				text += ": " + permit.WaitReason
 			}
 			isOut := false
 			for _, member := range answer.Status.Unavailable {
-				if member.Name == permit.Member && member.State == accord.MemberGone {
-					text, isOut = "out", permit.Stage == accord.PermitBegun
+				if member.Name == permit.Member && member.State == coordination.MemberGone {
+					text, isOut = "out", permit.Stage == coordination.PermitBegun
 				}
 			}
 			if !isOut {
@@ -209,14 +209,14 @@
 	}
 	fmt.Fprintln(table, "out\twhy\tsince\trelease\tzone")
 	for _, member := range status.Unavailable {
-		if member.State != accord.MemberUp {
+		if member.State != coordination.MemberUp {
 			fmt.Fprintf(table, "%s\t%s\t%v\t%s\t%s\n", member.Name, member.State, member.StateSince.Round(time.Second), member.Release, member.Zone)
 		}
 	}
 	return table.Flush()
 }
 
-func printHistory(entries []accord.HistoryEntry, out io.Writer) {
+func printHistory(entries []coordination.HistoryEntry, out io.Writer) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "nth\tat\tby\tdid\twhat\tcame to")
 	for _, entry := range entries {
@@ -247,7 +247,7 @@
 // schema names the root of the exported history's Parquet schema, which would follow the name of the Go type.
 var schema = parquet.NewSchema("line", parquet.SchemaOf(historyRow{}))
 
-func exportHistory(entries []accord.HistoryEntry, path string) error {
+func exportHistory(entries []coordination.HistoryEntry, path string) error {
 	var rows []historyRow
 	for _, entry := range entries {
 		rows = append(rows, historyRow{int64(entry.Sequence), entry.At.Milliseconds(), entry.RequestedBy, string(entry.Kind), entry.Summary, entry.OK, entry.Reason, int64(entry.PermitID)})
--- a/internal/command/further/golden_test.go
+++ b/internal/command/further/golden_test.go
@@ -18,10 +18,10 @@
 	"github.com/parquet-go/parquet-go"
 
 	"lanewheel/admission"
-	"lanewheel/internal/accord"
 	"lanewheel/internal/balancer"
 	"lanewheel/internal/command"
 	"lanewheel/internal/config"
+	"lanewheel/internal/coordination"
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/fleet/steward/ask"
 	"lanewheel/internal/membership"
@@ -58,21 +58,21 @@
 }
 
 // agreed is what a coordinator answers, with every field set.
-func agreed() (ask.Status, []accord.HistoryEntry) {
+func agreed() (ask.Status, []coordination.HistoryEntry) {
 	// Of and Judged of a plan are not in a release's JSON: the release's own fields of these names stand there.
-	plan := accord.RolloutPlan{Name: "r2", TargetRelease: "2", Waves: []accord.Wave{{Count: 2, Fraction: 0.1, Zone: "north"}}, Pause: 3 * time.Second, RollbackWavesAtOnce: 2, MaxAttempts: 3}
-	permit := accord.Permit{ID: 7, Member: "p001", Incarnation: 12, RequestedBy: "ann", Purpose: "drain", Stage: accord.PermitGranted, RequestedAt: time.Second, StageSince: 2 * time.Second,
+	plan := coordination.RolloutPlan{Name: "r2", TargetRelease: "2", Waves: []coordination.Wave{{Count: 2, Fraction: 0.1, Zone: "north"}}, Pause: 3 * time.Second, RollbackWavesAtOnce: 2, MaxAttempts: 3}
+	permit := coordination.Permit{ID: 7, Member: "p001", Incarnation: 12, RequestedBy: "ann", Purpose: "drain", Stage: coordination.PermitGranted, RequestedAt: time.Second, StageSince: 2 * time.Second,
 		BeginTimeout: 30 * time.Second, Overtakes: 4, WaitReason: "budget all", Outcome: "dropped"}
-	budget := accord.DisruptionBudget{Name: "all", Selector: accord.Selector{Zone: "north", Release: "1", Role: "instance", Upstream: "db"}, MaxUnavailable: 3, MaxUnavailableFraction: 0.5, MinAvailableCapacity: 6}
-	member := accord.Member{Observation: accord.Observation{Name: "p001", Incarnation: 12, Zone: "north", Release: "1", Roles: membership.RoleServer, Upstream: "db", Capacity: 2, State: accord.MemberGone},
+	budget := coordination.DisruptionBudget{Name: "all", Selector: coordination.Selector{Zone: "north", Release: "1", Role: "instance", Upstream: "db"}, MaxUnavailable: 3, MaxUnavailableFraction: 0.5, MinAvailableCapacity: 6}
+	member := coordination.Member{Observation: coordination.Observation{Name: "p001", Incarnation: 12, Zone: "north", Release: "1", Roles: membership.RoleServer, Upstream: "db", Capacity: 2, State: coordination.MemberGone},
 		StateSince: 5 * time.Second, PermitID: 7, PreviousRelease: "0", FailedAttempts: 1}
 	s := ask.Status{ID: "s1", Leader: "s2", IsLeader: true, Term: 3, AppliedIndex: 44, Coordinators: map[string]string{"s1": "127.0.0.1:7960"}, FleetTime: "1m0s",
-		Halt: &accord.Halt{At: time.Second, By: "bob", Reason: "noise"}, Budgets: []accord.BudgetUsage{{Budget: budget, Members: 12, Unavailable: 1, UnavailableLimit: 3, AvailableCapacity: 22}},
-		Rollout: &accord.Rollout{RolloutPlan: plan, RequestedBy: "ann", Phase: accord.RolloutUpdating, Wave: 1, PhaseSince: 9 * time.Second, Analyzed: true,
-			WaveMembers: [][]accord.Name{{"p001", "p002"}}, WaitReason: "a permit", Reason: "slower"},
-		Permits: []accord.Permit{permit}, Unavailable: []accord.Member{member}, MemberCount: 15}
-	return s, []accord.HistoryEntry{{Sequence: 9, At: 61500 * time.Millisecond, RequestedBy: "ann", Kind: accord.KindStartRollout, Summary: "r2 to 2",
-		Reply: accord.Reply{OK: true, Reason: "begun", PermitID: 8, PermitIDs: []accord.PermitID{8, 9}}}}
+		Halt: &coordination.Halt{At: time.Second, By: "bob", Reason: "noise"}, Budgets: []coordination.BudgetUsage{{Budget: budget, Members: 12, Unavailable: 1, UnavailableLimit: 3, AvailableCapacity: 22}},
+		Rollout: &coordination.Rollout{RolloutPlan: plan, RequestedBy: "ann", Phase: coordination.RolloutUpdating, Wave: 1, PhaseSince: 9 * time.Second, Analyzed: true,
+			WaveMembers: [][]coordination.Name{{"p001", "p002"}}, WaitReason: "a permit", Reason: "slower"},
+		Permits: []coordination.Permit{permit}, Unavailable: []coordination.Member{member}, MemberCount: 15}
+	return s, []coordination.HistoryEntry{{Sequence: 9, At: 61500 * time.Millisecond, RequestedBy: "ann", Kind: coordination.KindStartRollout, Summary: "r2 to 2",
+		Reply: coordination.Reply{OK: true, Reason: "begun", PermitID: 8, PermitIDs: []coordination.PermitID{8, 9}}}}
 }
 
 // coordinator is one that answers each question by answer; what it was asked comes on the channel.
@@ -179,7 +179,7 @@
 // The history as Parquet: columns, and every value of a row.
 func TestGoldenHistory(t *testing.T) {
 	_, history := agreed()
-	history = append(history, accord.HistoryEntry{Sequence: 10, At: time.Second, RequestedBy: "bob", Kind: accord.KindHalt, Summary: "all", Reply: accord.Reply{Reason: "halted already"}})
+	history = append(history, coordination.HistoryEntry{Sequence: 10, At: time.Second, RequestedBy: "bob", Kind: coordination.KindHalt, Summary: "all", Reply: coordination.Reply{Reason: "halted already"}})
 	path := filepath.Join(t.TempDir(), "history.parquet")
 	if err := exportHistory(history, path); err != nil {
 		t.Fatal(err)
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"lanewheel/internal/accord"
 	"lanewheel/internal/amqp"
 	"lanewheel/internal/balancer"
+	"lanewheel/internal/coordination"
 	"lanewheel/internal/scenes"
 )
 
@@ -351,14 +351,14 @@
 	}
 }
 
-func listSelector(l *listing, before string, g accord.Selector) {
+func listSelector(l *listing, before string, g coordination.Selector) {
 	l.add(before+"zone", g.Zone)
 	l.add(before+"release", g.Release)
 	l.add(before+"role", g.Role)
 	l.add(before+"below", g.Upstream)
 }
 
-func listBudgets(l *listing, all []accord.DisruptionBudget) {
+func listBudgets(l *listing, all []coordination.DisruptionBudget) {
 	for _, b := range all {
 		name := "budget " + b.Name + "."
 		listSelector(l, name, b.Selector)
@@ -368,7 +368,7 @@
 	}
 }
 
-func listRollout(l *listing, p *accord.RolloutPlan) {
+func listRollout(l *listing, p *coordination.RolloutPlan) {
 	l.add("release.name", p.Name)
 	l.add("release.to", p.TargetRelease)
 	listSelector(l, "release.of-", p.Selector)
--- a/internal/config/steward.go
+++ b/internal/config/steward.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"lanewheel/internal/accord"
-	"lanewheel/internal/accord/judge"
+	"lanewheel/internal/coordination"
+	"lanewheel/internal/coordination/canary"
 	"lanewheel/internal/fleet/steward/told"
 )
 
@@ -18,7 +18,7 @@
 }
 
 func (r *reader) readCoordinator(fleet *Fleet) Coordinator {
-	parsed := Coordinator{Config: told.Config{HeartbeatTimeout: time.Second, Coordination: accord.DefaultConfig(), Canary: judge.DefaultConfig(), AnalysisWindow: time.Second, SampleSize: 32, RestartTimeout: 30 * time.Second, RestartOutputLimit: 4096, SnapshotThreshold: 8192}}
+	parsed := Coordinator{Config: told.Config{HeartbeatTimeout: time.Second, Coordination: coordination.DefaultConfig(), Canary: canary.DefaultConfig(), AnalysisWindow: time.Second, SampleSize: 32, RestartTimeout: 30 * time.Second, RestartOutputLimit: 4096, SnapshotThreshold: 8192}}
 	s := r.section("steward")
 	parsed.Enabled = s.exists()
 	config := &parsed.Config
@@ -79,11 +79,11 @@
 // Budgets and Release are what an operator hands to the stewards as a file.
 
 // ParseBudgets reads a file of sections [budget NAME].
-func ParseBudgets(path string, text []byte) ([]accord.DisruptionBudget, error) {
+func ParseBudgets(path string, text []byte) ([]coordination.DisruptionBudget, error) {
 	r := newReader(path, text)
-	var budgets []accord.DisruptionBudget
+	var budgets []coordination.DisruptionBudget
 	for _, s := range r.sectionsOfKind("budget") {
-		budget := accord.DisruptionBudget{Name: s.label(), MaxUnavailable: -1, Selector: s.readMemberSelector()}
+		budget := coordination.DisruptionBudget{Name: s.label(), MaxUnavailable: -1, Selector: s.readMemberSelector()}
 		maxUnavailable := -1
 		s.intValue("most", &maxUnavailable, 0, 100_000)
 		budget.MaxUnavailable = maxUnavailable
@@ -103,7 +103,7 @@
 	return budgets, r.diagnostics.Err()
 }
 
-func (s *section) readMemberSelector() (selector accord.Selector) {
+func (s *section) readMemberSelector() (selector coordination.Selector) {
 	s.stringValue("zone", &selector.Zone)
 	s.stringValue("release", &selector.Release)
 	s.enumValue("role", &selector.Role, "instance", "relay", "steward", "below")
@@ -112,9 +112,9 @@
 }
 
 // ParseRollout reads a file with a section [release].
-func ParseRollout(path string, text []byte) (accord.RolloutPlan, error) {
+func ParseRollout(path string, text []byte) (coordination.RolloutPlan, error) {
 	r := newReader(path, text)
-	plan := accord.RolloutPlan{Pause: time.Minute, AnalysisRequired: true, RollbackWavesAtOnce: 2, MaxAttempts: 3}
+	plan := coordination.RolloutPlan{Pause: time.Minute, AnalysisRequired: true, RollbackWavesAtOnce: 2, MaxAttempts: 3}
 	s := r.section("release")
 	if !s.exists() {
 		s.report("", "", "is missing")
@@ -126,7 +126,7 @@
 	plan.Selector.Role = "instance"
 	s.enumValue("of-role", &plan.Selector.Role, "instance", "relay", "steward", "below")
 	for _, spec := range s.listValue("waves") {
-		wave := accord.Wave{}
+		wave := coordination.Wave{}
 		zone, isZone := strings.CutPrefix(spec, "zone ")
 		share, isShare := strings.CutSuffix(spec, "%")
 		n, err := strconv.Atoi(share)
--- a/internal/accord/accord.go
+++ b/internal/coordination/accord.go
@@ -1,7 +1,7 @@
-// Package accord is what a fleet has agreed on: who is there, how many may be out at once, who has leave to go, which release goes where, and
+// Package coordination is what a fleet has agreed on: who is there, how many may be out at once, who has leave to go, which release goes where, and
 // whether all of it is halted. It is pure and deterministic: commands in, state out, the same on every steward; time comes in with
 // the command, as a span since its leader began, so that no two clocks have to agree. docs/releases.md has the states and why they hold.
-package accord
+package coordination
 
 import (
 	"cmp"
--- a/internal/accord/judge/judge.go
+++ b/internal/coordination/canary/judge.go
@@ -1,7 +1,7 @@
-// Package judge holds a new release against the old one, at the same time on the same work, and says as soon as it can whether it is worse. It is
+// Package canary holds a new release against the old one, at the same time on the same work, and says as soon as it can whether it is worse. It is
 // pure: windows of figures in, a verdict out. The test is sequential: it may be looked at after each window, and the chance of ever
 // being wrong stays under what is told. docs/releases.md says which and why.
-package judge
+package canary
 
 import (
 	"fmt"
--- a/internal/accord/judge/judge_test.go
+++ b/internal/coordination/canary/judge_test.go
@@ -1,4 +1,4 @@
-package judge
+package canary
 
 import (
 	"flag"
--- a/internal/accord/release.go
+++ b/internal/coordination/release.go
@@ -1,4 +1,4 @@
-package accord
+package coordination
 
 import (
 	"fmt"
--- a/internal/drill/stewards.go
+++ b/internal/drill/stewards.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"lanewheel/internal/accord"
 	"lanewheel/internal/config"
+	"lanewheel/internal/coordination"
 	"lanewheel/internal/fleet/steward/ask"
 	"lanewheel/internal/membership"
 	"lanewheel/internal/standin"
@@ -166,7 +166,7 @@
 }
 
 // setLimits notes what may be out, as far as the rehearsal can see it: counts over all and by zone.
-func (o *disruptionLog) setLimits(budgets []accord.DisruptionBudget) {
+func (o *disruptionLog) setLimits(budgets []coordination.DisruptionBudget) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.limits = map[string]int{}
@@ -197,7 +197,7 @@
 
 // runCommand gives a command to the stewards, as an operator would: budgets FILE, release FILE, halt, resume, back, drain NAME, drain zone NAME.
 func (w *cluster) runCommand(text, key string) (string, error) {
-	command := accord.Command{RequestedBy: "rehearsal", IdempotencyKey: key}
+	command := coordination.Command{RequestedBy: "rehearsal", IdempotencyKey: key}
 	action, argument, _ := strings.Cut(text, " ")
 	argument = strings.TrimSpace(argument)
 	readFile := func() ([]byte, error) { return os.ReadFile(filepath.Join(filepath.Dir(w.script.Path), argument)) }
@@ -207,7 +207,7 @@
 		if err != nil {
 			return "", err
 		}
-		command.Kind = accord.KindSetBudgets
+		command.Kind = coordination.KindSetBudgets
 		if command.Budgets, err = config.ParseBudgets(argument, text); err != nil {
 			return "", err
 		}
@@ -221,14 +221,14 @@
 		if err != nil {
 			return "", err
 		}
-		command.Kind, command.Plan = accord.KindStartRollout, &plan
+		command.Kind, command.Plan = coordination.KindStartRollout, &plan
 	case "halt", "resume", "back":
-		command.Kind = accord.Kind(action)
+		command.Kind = coordination.Kind(action)
 	case "drain":
 		if zone, isZone := strings.CutPrefix(argument, "zone "); isZone {
-			command.Kind, command.Selector = accord.KindDrain, accord.Selector{Zone: zone, Role: "instance"}
+			command.Kind, command.Selector = coordination.KindDrain, coordination.Selector{Zone: zone, Role: "instance"}
 		} else {
-			command.Kind, command.Member = accord.KindRequestPermit, membership.Name(argument)
+			command.Kind, command.Member = coordination.KindRequestPermit, membership.Name(argument)
 		}
 	default:
 		return "", fmt.Errorf("no command %q", text)
--- a/internal/fleet/steward/ask/ask.go
+++ b/internal/fleet/steward/ask/ask.go
@@ -13,7 +13,7 @@
 	"net"
 	"time"
 
-	"lanewheel/internal/accord"
+	"lanewheel/internal/coordination"
 	"lanewheel/internal/membership"
 )
 
@@ -123,11 +123,11 @@
 
 // Request is what an operator, or a steward that wants to join, asks. One of its fields is set.
 type Request struct {
-	Command           *accord.Command `json:"Command,omitempty"`
-	Status            bool            `json:"Status,omitempty"`
-	History           bool            `json:"History,omitempty"`
-	Join              *JoinRequest    `json:"Join,omitempty"`
-	RemoveCoordinator string          `json:"Leave,omitempty"`
+	Command           *coordination.Command `json:"Command,omitempty"`
+	Status            bool                  `json:"Status,omitempty"`
+	History           bool                  `json:"History,omitempty"`
+	Join              *JoinRequest          `json:"Join,omitempty"`
+	RemoveCoordinator string                `json:"Leave,omitempty"`
 }
 
 // JoinRequest is a steward that wants to be one of those that agree.
@@ -138,29 +138,29 @@
 
 // Response is what comes back. Leader, where it is set, is whom to ask instead.
 type Response struct {
-	Error        string                `json:"Error,omitempty"`
-	Leader       string                `json:"Leader,omitempty"`
-	Reply        *accord.Reply         `json:"Reply,omitempty"`
-	Status       *Status               `json:"Status,omitempty"`
-	History      []accord.HistoryEntry `json:"History,omitempty"`
-	EndedPermits []accord.Permit       `json:"Over,omitempty"`
+	Error        string                      `json:"Error,omitempty"`
+	Leader       string                      `json:"Leader,omitempty"`
+	Reply        *coordination.Reply         `json:"Reply,omitempty"`
+	Status       *Status                     `json:"Status,omitempty"`
+	History      []coordination.HistoryEntry `json:"History,omitempty"`
+	EndedPermits []coordination.Permit       `json:"Over,omitempty"`
 }
 
 // Status is what is agreed, for whoever looks.
 type Status struct {
-	ID           string               `json:"steward"`
-	Leader       string               `json:"leader"`
-	IsLeader     bool                 `json:"leads"`
-	Term         uint64               `json:"term"`
-	AppliedIndex uint64               `json:"index"` // of the log
-	Coordinators map[string]string    `json:"stewards"`
-	FleetTime    string               `json:"now"`
-	Halt         *accord.Halt         `json:"halted,omitempty"`
-	Rollout      *accord.Rollout      `json:"release,omitempty"`
-	Budgets      []accord.BudgetUsage `json:"budgets"`
-	Permits      []accord.Permit      `json:"permits"`
-	Unavailable  []accord.Member      `json:"out"`
-	MemberCount  int                  `json:"members"`
+	ID           string                     `json:"steward"`
+	Leader       string                     `json:"leader"`
+	IsLeader     bool                       `json:"leads"`
+	Term         uint64                     `json:"term"`
+	AppliedIndex uint64                     `json:"index"` // of the log
+	Coordinators map[string]string          `json:"stewards"`
+	FleetTime    string                     `json:"now"`
+	Halt         *coordination.Halt         `json:"halted,omitempty"`
+	Rollout      *coordination.Rollout      `json:"release,omitempty"`
+	Budgets      []coordination.BudgetUsage `json:"budgets"`
+	Permits      []coordination.Permit      `json:"permits"`
+	Unavailable  []coordination.Member      `json:"out"`
+	MemberCount  int                        `json:"members"`
 }
 
 // Client asks stewards, whichever leads.
--- a/internal/fleet/steward/ask/golden_test.go
+++ b/internal/fleet/steward/ask/golden_test.go
@@ -18,28 +18,28 @@
 	"testing"
 	"time"
 
-	"lanewheel/internal/accord"
+	"lanewheel/internal/coordination"
 	"lanewheel/internal/membership"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew; only where the spoken form is meant to change")
 
 var (
-	match  = accord.Selector{Zone: "a", Release: "1", Role: "instance", Upstream: "db"}
-	budget = accord.DisruptionBudget{Name: "zone-a", Selector: match, MaxUnavailable: 2, MaxUnavailableFraction: 0.25, MinAvailableCapacity: 12.5}
-	seen   = accord.Observation{Name: "n1", Incarnation: 1_700_000_000_001, Zone: "a", Release: "1", Roles: membership.RoleServer,
-		Upstream: "db", Capacity: 1.5, State: accord.MemberLeaving}
-	permit = accord.Permit{ID: 42, Member: "n1", Incarnation: 1_700_000_000_001, RequestedBy: "operator", Purpose: "drain",
-		Stage: accord.PermitBegun, RequestedAt: 50 * time.Second, StageSince: 60 * time.Second,
+	match  = coordination.Selector{Zone: "a", Release: "1", Role: "instance", Upstream: "db"}
+	budget = coordination.DisruptionBudget{Name: "zone-a", Selector: match, MaxUnavailable: 2, MaxUnavailableFraction: 0.25, MinAvailableCapacity: 12.5}
+	seen   = coordination.Observation{Name: "n1", Incarnation: 1_700_000_000_001, Zone: "a", Release: "1", Roles: membership.RoleServer,
+		Upstream: "db", Capacity: 1.5, State: coordination.MemberLeaving}
+	permit = coordination.Permit{ID: 42, Member: "n1", Incarnation: 1_700_000_000_001, RequestedBy: "operator", Purpose: "drain",
+		Stage: coordination.PermitBegun, RequestedAt: 50 * time.Second, StageSince: 60 * time.Second,
 		BeginTimeout: 30 * time.Second, Overtakes: 4, WaitReason: "halted", Outcome: "back"}
-	reply = accord.Reply{OK: true, Reason: "a reason", PermitID: 42, PermitIDs: []accord.PermitID{42, 43}}
-	plan  = accord.RolloutPlan{Name: "r2", TargetRelease: "2", Selector: match, Waves: []accord.Wave{{Count: 3, Fraction: 0.1, Zone: "b"}},
+	reply = coordination.Reply{OK: true, Reason: "a reason", PermitID: 42, PermitIDs: []coordination.PermitID{42, 43}}
+	plan  = coordination.RolloutPlan{Name: "r2", TargetRelease: "2", Selector: match, Waves: []coordination.Wave{{Count: 3, Fraction: 0.1, Zone: "b"}},
 		Pause: 10 * time.Second, AnalysisRequired: true, RollbackWavesAtOnce: 2.5, MaxAttempts: 3}
 
 	questions = []Request{
-		{Command: &accord.Command{Term: 7, LeaderTime: 1500 * time.Millisecond, IdempotencyKey: "0123456789abcdef", RequestedBy: "operator",
-			Kind: accord.KindStartRollout, Observations: []accord.Observation{seen},
-			Budgets: []accord.DisruptionBudget{budget}, Member: "n1", Incarnation: 1_700_000_000_001, Selector: match, PermitID: 42,
+		{Command: &coordination.Command{Term: 7, LeaderTime: 1500 * time.Millisecond, IdempotencyKey: "0123456789abcdef", RequestedBy: "operator",
+			Kind: coordination.KindStartRollout, Observations: []coordination.Observation{seen},
+			Budgets: []coordination.DisruptionBudget{budget}, Member: "n1", Incarnation: 1_700_000_000_001, Selector: match, PermitID: 42,
 			BeginTimeout: 30 * time.Second, Reason: "a reason", Plan: &plan,
 			RolloutName: "r2", Wave: 1, Healthy: true}},
 		{Status: true},
@@ -54,19 +54,19 @@
 		{Status: &Status{
 			ID: "s0.0a1b2c3d", Leader: "127.0.0.1:7400", IsLeader: true, Term: 7, AppliedIndex: 99,
 			Coordinators: map[string]string{"s0.0a1b2c3d": "127.0.0.1:7400"}, FleetTime: "1m30s",
-			Halt: &accord.Halt{At: 85 * time.Second, By: "operator", Reason: "for the night"},
+			Halt: &coordination.Halt{At: 85 * time.Second, By: "operator", Reason: "for the night"},
 			// Of and Judged of a Release hide those of its Plan, which are not spoken.
-			Rollout: &accord.Rollout{RolloutPlan: accord.RolloutPlan{Name: "r2", TargetRelease: "2", Waves: plan.Waves, Pause: plan.Pause,
-				RollbackWavesAtOnce: 2.5, MaxAttempts: 3}, RequestedBy: "operator", Phase: accord.RolloutAnalyzing,
-				Wave: 1, PhaseSince: 75 * time.Second, WaveMembers: [][]accord.Name{{"n1"}, {"n2"}}, WaitReason: "the verdict on wave 2",
+			Rollout: &coordination.Rollout{RolloutPlan: coordination.RolloutPlan{Name: "r2", TargetRelease: "2", Waves: plan.Waves, Pause: plan.Pause,
+				RollbackWavesAtOnce: 2.5, MaxAttempts: 3}, RequestedBy: "operator", Phase: coordination.RolloutAnalyzing,
+				Wave: 1, PhaseSince: 75 * time.Second, WaveMembers: [][]coordination.Name{{"n1"}, {"n2"}}, WaitReason: "the verdict on wave 2",
 				Analyzed: true, Reason: "slower"},
-			Budgets:     []accord.BudgetUsage{{Budget: budget, Members: 8, Unavailable: 1, UnavailableLimit: 2, AvailableCapacity: 10.5}},
-			Permits:     []accord.Permit{permit},
-			Unavailable: []accord.Member{{Observation: seen, StateSince: 70 * time.Second, PermitID: 42, PreviousRelease: "0", FailedAttempts: 1}},
+			Budgets:     []coordination.BudgetUsage{{Budget: budget, Members: 8, Unavailable: 1, UnavailableLimit: 2, AvailableCapacity: 10.5}},
+			Permits:     []coordination.Permit{permit},
+			Unavailable: []coordination.Member{{Observation: seen, StateSince: 70 * time.Second, PermitID: 42, PreviousRelease: "0", FailedAttempts: 1}},
 			MemberCount: 9,
 		}},
-		{History: []accord.HistoryEntry{{Sequence: 3, At: 50 * time.Second, RequestedBy: "operator", Kind: accord.KindDrain, Summary: "zone=a",
-			Reply: reply}}, EndedPermits: []accord.Permit{permit}},
+		{History: []coordination.HistoryEntry{{Sequence: 3, At: 50 * time.Second, RequestedBy: "operator", Kind: coordination.KindDrain, Summary: "zone=a",
+			Reply: reply}}, EndedPermits: []coordination.Permit{permit}},
 	}
 )
 
--- a/internal/fleet/steward/golden_test.go
+++ b/internal/fleet/steward/golden_test.go
@@ -20,8 +20,8 @@
 
 	"github.com/hashicorp/raft"
 
-	"lanewheel/internal/accord"
-	"lanewheel/internal/accord/judge"
+	"lanewheel/internal/coordination"
+	"lanewheel/internal/coordination/canary"
 	"lanewheel/internal/membership"
 	"lanewheel/internal/standin"
 )
@@ -36,64 +36,64 @@
 
 func goldenTold(folder string) Config {
 	return Config{Name: "s0", ListenAddr: "127.0.0.1:0", AdvertiseAddr: goldenAt, DataDir: folder, Bootstrap: true,
-		HeartbeatTimeout: 300 * time.Millisecond, ClusterKeys: []membership.Key{clusterKey}, Coordination: accord.DefaultConfig(),
-		Canary: judge.DefaultConfig(), AnalysisWindow: time.Second, SampleSize: 8, RestartTimeout: time.Second, RestartOutputLimit: 64, SnapshotThreshold: 1000}
+		HeartbeatTimeout: 300 * time.Millisecond, ClusterKeys: []membership.Key{clusterKey}, Coordination: coordination.DefaultConfig(),
+		Canary: canary.DefaultConfig(), AnalysisWindow: time.Second, SampleSize: 8, RestartTimeout: time.Second, RestartOutputLimit: 64, SnapshotThreshold: 1000}
 }
 
 // goldenCommands are of every kind, and come out well unless said; at is when the first is given, from is the number of
 // its first permit. They leave n0 out by a permit, n3 with one that has been granted, and a release on its way back.
-func goldenCommands(term uint64, at time.Duration, from accord.PermitID, inc membership.Incarnation, old,
-	next string) (all []accord.Command) {
-	seen := func(name accord.Name, zone, release string, plus membership.Incarnation, why accord.MemberState) accord.Observation {
-		return accord.Observation{Name: name, Incarnation: inc + plus, Zone: zone, Release: release, Roles: membership.RoleServer,
+func goldenCommands(term uint64, at time.Duration, from coordination.PermitID, inc membership.Incarnation, old,
+	next string) (all []coordination.Command) {
+	seen := func(name coordination.Name, zone, release string, plus membership.Incarnation, why coordination.MemberState) coordination.Observation {
+		return coordination.Observation{Name: name, Incarnation: inc + plus, Zone: zone, Release: release, Roles: membership.RoleServer,
 			Capacity: 1.5, State: why}
 	}
-	group := accord.Selector{Zone: "b", Role: "instance"}
-	all = []accord.Command{
-		{Kind: accord.KindObserve, Observations: []accord.Observation{seen("n0", "a", old, 0, accord.MemberUp), seen("n1", "a", old, 0, accord.MemberUp),
-			seen("n2", "b", old, 0, accord.MemberUp), seen("n3", "b", old, 0, accord.MemberUp),
-			seen("n4", "c", old, 0, accord.MemberUp), seen("n5", "c", old, 0, accord.MemberUp),
+	group := coordination.Selector{Zone: "b", Role: "instance"}
+	all = []coordination.Command{
+		{Kind: coordination.KindObserve, Observations: []coordination.Observation{seen("n0", "a", old, 0, coordination.MemberUp), seen("n1", "a", old, 0, coordination.MemberUp),
+			seen("n2", "b", old, 0, coordination.MemberUp), seen("n3", "b", old, 0, coordination.MemberUp),
+			seen("n4", "c", old, 0, coordination.MemberUp), seen("n5", "c", old, 0, coordination.MemberUp),
 			{Name: "d0", Incarnation: inc, Zone: "a", Release: old, Roles: membership.RoleUpstream, Upstream: "d0", Capacity: 1,
-				State: accord.MemberUp},
+				State: coordination.MemberUp},
 			{Name: "r0", Incarnation: inc, Zone: "a", Release: old, Roles: membership.RoleProxy | membership.RoleCoordinator,
-				Capacity: 2, State: accord.MemberSuspect}}},
-		{Kind: accord.KindSetBudgets, Budgets: []accord.DisruptionBudget{{Name: "all", MaxUnavailable: 3, MinAvailableCapacity: 4}, {Name: "share-b", Selector: group,
+				Capacity: 2, State: coordination.MemberSuspect}}},
+		{Kind: coordination.KindSetBudgets, Budgets: []coordination.DisruptionBudget{{Name: "all", MaxUnavailable: 3, MinAvailableCapacity: 4}, {Name: "share-b", Selector: group,
 			MaxUnavailable: -1, MaxUnavailableFraction: 0.5},
-			{Name: "below", Selector: accord.Selector{Upstream: "d0", Release: old}, MaxUnavailable: 1}}},
+			{Name: "below", Selector: coordination.Selector{Upstream: "d0", Release: old}, MaxUnavailable: 1}}},
 		// The permit from; then the same command once more.
-		{Kind: accord.KindRequestPermit, Member: "n0", IdempotencyKey: fmt.Sprint("key-", term), BeginTimeout: 20 * time.Second, Reason: "by hand"},
-		{Kind: accord.KindRequestPermit, Member: "n0", IdempotencyKey: fmt.Sprint("key-", term), BeginTimeout: 20 * time.Second, Reason: "by hand"},
-		{Kind: accord.KindBeginPermit, Member: "n0", Incarnation: inc, PermitID: from},
-		{Kind: accord.KindDrain, Selector: group, BeginTimeout: 25 * time.Second}, // from+1 granted, from+2 waits
-		{Kind: accord.KindCancelDrain, Selector: accord.Selector{Zone: "b"}},
-		{Kind: accord.KindRequestPermit, Member: "n4"}, // from+3
-		{Kind: accord.KindCancelPermit, PermitID: from + 3},
-		{Kind: accord.KindCancelPermit, PermitID: 999}, // refused
-		{Kind: accord.KindObserve, Observations: []accord.Observation{seen("n5", "c", old, 0, accord.MemberGone)}},
-		{Kind: accord.KindForgetMember, Member: "n5", Reason: "it burnt"},
-		{Kind: accord.KindHalt, Reason: "for the night"},
-		{Kind: accord.KindResume},
-		{Kind: accord.KindObserve, Observations: []accord.Observation{seen("n0", "a", old, 0, accord.MemberLeaving)}},
-		{Kind: accord.KindObserve, Observations: []accord.Observation{seen("n0", "a", old, 1, accord.MemberUp)}}, // from is over
+		{Kind: coordination.KindRequestPermit, Member: "n0", IdempotencyKey: fmt.Sprint("key-", term), BeginTimeout: 20 * time.Second, Reason: "by hand"},
+		{Kind: coordination.KindRequestPermit, Member: "n0", IdempotencyKey: fmt.Sprint("key-", term), BeginTimeout: 20 * time.Second, Reason: "by hand"},
+		{Kind: coordination.KindBeginPermit, Member: "n0", Incarnation: inc, PermitID: from},
+		{Kind: coordination.KindDrain, Selector: group, BeginTimeout: 25 * time.Second}, // from+1 granted, from+2 waits
+		{Kind: coordination.KindCancelDrain, Selector: coordination.Selector{Zone: "b"}},
+		{Kind: coordination.KindRequestPermit, Member: "n4"}, // from+3
+		{Kind: coordination.KindCancelPermit, PermitID: from + 3},
+		{Kind: coordination.KindCancelPermit, PermitID: 999}, // refused
+		{Kind: coordination.KindObserve, Observations: []coordination.Observation{seen("n5", "c", old, 0, coordination.MemberGone)}},
+		{Kind: coordination.KindForgetMember, Member: "n5", Reason: "it burnt"},
+		{Kind: coordination.KindHalt, Reason: "for the night"},
+		{Kind: coordination.KindResume},
+		{Kind: coordination.KindObserve, Observations: []coordination.Observation{seen("n0", "a", old, 0, coordination.MemberLeaving)}},
+		{Kind: coordination.KindObserve, Observations: []coordination.Observation{seen("n0", "a", old, 1, coordination.MemberUp)}}, // from is over
 		// A release, a wave of it judged, and its way back.
-		{Kind: accord.KindStartRollout, Plan: &accord.RolloutPlan{Name: "r" + next, TargetRelease: next, Selector: accord.Selector{Role: "instance"},
-			Waves: []accord.Wave{{Count: 1}, {Fraction: 0.5}, {Zone: "c"}}, Pause: time.Second, AnalysisRequired: true, RollbackWavesAtOnce: 2,
+		{Kind: coordination.KindStartRollout, Plan: &coordination.RolloutPlan{Name: "r" + next, TargetRelease: next, Selector: coordination.Selector{Role: "instance"},
+			Waves: []coordination.Wave{{Count: 1}, {Fraction: 0.5}, {Zone: "c"}}, Pause: time.Second, AnalysisRequired: true, RollbackWavesAtOnce: 2,
 			MaxAttempts: 3}}, // from+4: n0
-		{Kind: accord.KindBeginPermit, Member: "n0", Incarnation: inc + 1, PermitID: from + 4},
-		{Kind: accord.KindObserve, Observations: []accord.Observation{seen("n0", "a", next, 2, accord.MemberWarmingUp)}},
-		{Kind: accord.KindObserve, Observations: []accord.Observation{seen("n0", "a", next, 2, accord.MemberUp)}},
-		{Kind: accord.KindCanaryVerdict, RolloutName: "r" + next, Wave: 0, Healthy: true, Reason: "+0.1%"},
-		{Kind: accord.KindTick},
-		{Kind: accord.KindTick},
-		{Kind: accord.KindRollBack, Reason: "second thoughts"}, // from+5: n0 goes back
-		{Kind: accord.KindRequestPermit, Member: "n3", BeginTimeout: 40 * time.Second},
-		{Kind: accord.KindBeginPermit, Member: "n0", Incarnation: inc + 2, PermitID: from + 7},
-		{Kind: accord.KindTick},
+		{Kind: coordination.KindBeginPermit, Member: "n0", Incarnation: inc + 1, PermitID: from + 4},
+		{Kind: coordination.KindObserve, Observations: []coordination.Observation{seen("n0", "a", next, 2, coordination.MemberWarmingUp)}},
+		{Kind: coordination.KindObserve, Observations: []coordination.Observation{seen("n0", "a", next, 2, coordination.MemberUp)}},
+		{Kind: coordination.KindCanaryVerdict, RolloutName: "r" + next, Wave: 0, Healthy: true, Reason: "+0.1%"},
+		{Kind: coordination.KindTick},
+		{Kind: coordination.KindTick},
+		{Kind: coordination.KindRollBack, Reason: "second thoughts"}, // from+5: n0 goes back
+		{Kind: coordination.KindRequestPermit, Member: "n3", BeginTimeout: 40 * time.Second},
+		{Kind: coordination.KindBeginPermit, Member: "n0", Incarnation: inc + 2, PermitID: from + 7},
+		{Kind: coordination.KindTick},
 	}
 	for i := range all {
 		c := &all[i]
 		c.Term, c.LeaderTime = term, at+time.Duration(i)*500*time.Millisecond
-		if c.Kind != accord.KindObserve && c.Kind != accord.KindTick {
+		if c.Kind != coordination.KindObserve && c.Kind != coordination.KindTick {
 			c.RequestedBy = fmt.Sprint("operator-", term)
 		}
 	}
@@ -101,12 +101,12 @@
 }
 
 // goldenLog is the two halves: before the snapshot and behind it.
-func goldenLog() (before, behind []accord.Command) {
+func goldenLog() (before, behind []coordination.Command) {
 	before = goldenCommands(2, 3*time.Second, 1, 1_700_000_000_001, "1", "2")
 	behind = goldenCommands(3, time.Second, 10, 1_700_000_000_101, "1", "3")
 	last := behind[len(behind)-1]
-	behind = append(behind, accord.Command{Term: last.Term, LeaderTime: last.LeaderTime + time.Second, RequestedBy: "operator-3",
-		Kind: accord.KindRequestPermit, Member: "n1"}) // 19 waits
+	behind = append(behind, coordination.Command{Term: last.Term, LeaderTime: last.LeaderTime + time.Second, RequestedBy: "operator-3",
+		Kind: coordination.KindRequestPermit, Member: "n1"}) // 19 waits
 	return before, behind
 }
 
@@ -209,7 +209,7 @@
 	life := string(standin.Must(os.ReadFile(filepath.Join(folder, "life"))))
 
 	// The snapshot is what the commands before it come to, as the code has it now.
-	model := accord.NewState(accord.DefaultConfig())
+	model := coordination.NewState(coordination.DefaultConfig())
 	for _, c := range before {
 		model.Apply(c)
 	}
@@ -231,7 +231,7 @@
 	// The log holds the commands byte for byte as they are written now.
 	commands := append(slices.Clone(before), behind...)
 	first, last := standin.Must(s.replica.wal.FirstIndex()), standin.Must(s.replica.wal.LastIndex())
-	kinds := map[accord.Kind]int{}
+	kinds := map[coordination.Kind]int{}
 	for i, next := first, 0; i <= last; i++ {
 		var entry raft.Log
 		if err := s.replica.wal.GetLog(i, &entry); err != nil {
@@ -243,7 +243,7 @@
 		if next >= len(commands) {
 			t.Fatalf("the log has more than %d commands", next)
 		}
-		var c accord.Command
+		var c coordination.Command
 		if err := json.Unmarshal(entry.Data, &c); err != nil || !reflect.DeepEqual(c, commands[next]) {
 			t.Errorf("entry %d reads as\n%+v\nwanted\n%+v (%v)", i, c, commands[next], err)
 		}
@@ -253,7 +253,7 @@
 		kinds[c.Kind]++
 		next++
 	}
-	for _, do := range []accord.Kind{"see", "budgets", "ask", "begin", "drop", "forget", "halt", "resume", "release",
+	for _, do := range []coordination.Kind{"see", "budgets", "ask", "begin", "drop", "forget", "halt", "resume", "release",
 		"back", "verdict", "tick", "drain", "undrain"} {
 		if kinds[do] < 2 {
 			t.Errorf("%d entries of %q, wanted some on either side of the snapshot", kinds[do], do)
@@ -262,7 +262,7 @@
 
 	// What it holds, read from the snapshot and the log behind it.
 	var state []byte
-	s.replica.inspect(func(a *accord.State) { state = append(standin.Must(json.MarshalIndent(a, "", "  ")), '\n') })
+	s.replica.inspect(func(a *coordination.State) { state = append(standin.Must(json.MarshalIndent(a, "", "  ")), '\n') })
 	if *update {
 		if err := os.WriteFile(goldenState, state, 0o644); err != nil {
 			t.Fatal(err)
@@ -271,74 +271,74 @@
 	if want := standin.Must(os.ReadFile(goldenState)); !bytes.Equal(state, want) {
 		t.Errorf("it holds\n%s\nwanted\n%s", state, want)
 	}
-	s.replica.inspect(func(a *accord.State) {
+	s.replica.inspect(func(a *coordination.State) {
 		if err := expected(a); err != nil {
 			t.Error(err)
 		}
 	})
 
 	// It goes on where it was.
-	r := standin.Must(s.replica.apply(accord.Command{Term: 9, LeaderTime: time.Second, Kind: accord.KindCancelPermit, PermitID: 18,
+	r := standin.Must(s.replica.apply(coordination.Command{Term: 9, LeaderTime: time.Second, Kind: coordination.KindCancelPermit, PermitID: 18,
 		RequestedBy: "operator"}))
-	if want := (accord.Reply{OK: true, PermitID: 18}); !reflect.DeepEqual(r, want) {
+	if want := (coordination.Reply{OK: true, PermitID: 18}); !reflect.DeepEqual(r, want) {
 		t.Errorf("%+v, wanted %+v", r, want)
 	}
 }
 
 // expected tells what of the golden folder's state is not as it has to be.
-func expected(a *accord.State) error {
+func expected(a *coordination.State) error {
 	var wrong []string
 	is := func(what string, got, want any) {
 		if !reflect.DeepEqual(got, want) {
 			wrong = append(wrong, fmt.Sprintf("%s: %+v, wanted %+v", what, got, want))
 		}
 	}
-	is("told", a.Config, accord.Config{MaxHistory: 1000, MaxIdempotencyKeys: 4096, MaxMembers: 10_000, MaxQueuedPermits: 10_000, MaxOvertakes: 50,
+	is("told", a.Config, coordination.Config{MaxHistory: 1000, MaxIdempotencyKeys: 4096, MaxMembers: 10_000, MaxQueuedPermits: 10_000, MaxOvertakes: 50,
 		StalledAfter: time.Minute})
 	is("times", []time.Duration{a.Now, a.LastLeaderTime}, []time.Duration{27 * time.Second, 15 * time.Second})
 	is("term", a.Term, uint64(3))
 	is("numbers", []uint64{uint64(a.LastPermitID), a.Sequence, uint64(len(a.History)), uint64(len(a.EndedPermits))}, []uint64{19, 35, 35,
 		16})
-	is("budgets", a.Budgets, []accord.DisruptionBudget{{Name: "all", MaxUnavailable: 3, MinAvailableCapacity: 4}, {Name: "share-b",
-		Selector: accord.Selector{Zone: "b", Role: "instance"}, MaxUnavailable: -1, MaxUnavailableFraction: 0.5},
-		{Name: "below", Selector: accord.Selector{Upstream: "d0", Release: "1"}, MaxUnavailable: 1}})
+	is("budgets", a.Budgets, []coordination.DisruptionBudget{{Name: "all", MaxUnavailable: 3, MinAvailableCapacity: 4}, {Name: "share-b",
+		Selector: coordination.Selector{Zone: "b", Role: "instance"}, MaxUnavailable: -1, MaxUnavailableFraction: 0.5},
+		{Name: "below", Selector: coordination.Selector{Upstream: "d0", Release: "1"}, MaxUnavailable: 1}})
 	is("members", len(a.Members), 7)
-	is("n0", *a.Members["n0"], accord.Member{Observation: accord.Observation{Name: "n0", Incarnation: 1_700_000_000_103, Zone: "a",
+	is("n0", *a.Members["n0"], coordination.Member{Observation: coordination.Observation{Name: "n0", Incarnation: 1_700_000_000_103, Zone: "a",
 		Release: "3", Roles: membership.RoleServer, Capacity: 1.5},
 		StateSince: 22500 * time.Millisecond, PermitID: 17, PreviousRelease: "1"})
-	is("d0", *a.Members["d0"], accord.Member{Observation: accord.Observation{Name: "d0", Incarnation: 1_700_000_000_101, Zone: "a",
+	is("d0", *a.Members["d0"], coordination.Member{Observation: coordination.Observation{Name: "d0", Incarnation: 1_700_000_000_101, Zone: "a",
 		Release: "1", Roles: membership.RoleUpstream, Upstream: "d0", Capacity: 1},
 		StateSince: 13 * time.Second, PreviousRelease: "1"})
-	is("r0", *a.Members["r0"], accord.Member{Observation: accord.Observation{Name: "r0", Incarnation: 1_700_000_000_101, Zone: "a",
+	is("r0", *a.Members["r0"], coordination.Member{Observation: coordination.Observation{Name: "r0", Incarnation: 1_700_000_000_101, Zone: "a",
 		Release: "1", Roles: membership.RoleProxy | membership.RoleCoordinator, Capacity: 2,
-		State: accord.MemberSuspect}, StateSince: 13 * time.Second, PreviousRelease: "1"})
+		State: coordination.MemberSuspect}, StateSince: 13 * time.Second, PreviousRelease: "1"})
 	is("permits", len(a.Permits), 3)
-	is("17", *a.Permits[17], accord.Permit{ID: 17, Member: "n0", Incarnation: 1_700_000_000_103, RequestedBy: "r3", Purpose: "back",
-		Stage: accord.PermitBegun, RequestedAt: 24500 * time.Millisecond,
+	is("17", *a.Permits[17], coordination.Permit{ID: 17, Member: "n0", Incarnation: 1_700_000_000_103, RequestedBy: "r3", Purpose: "back",
+		Stage: coordination.PermitBegun, RequestedAt: 24500 * time.Millisecond,
 		StageSince: 25500 * time.Millisecond, BeginTimeout: 30 * time.Second})
-	is("18", *a.Permits[18], accord.Permit{ID: 18, Member: "n3", Incarnation: 1_700_000_000_101, RequestedBy: "operator-3",
-		Purpose: "drain", Stage: accord.PermitGranted, RequestedAt: 25 * time.Second,
+	is("18", *a.Permits[18], coordination.Permit{ID: 18, Member: "n3", Incarnation: 1_700_000_000_101, RequestedBy: "operator-3",
+		Purpose: "drain", Stage: coordination.PermitGranted, RequestedAt: 25 * time.Second,
 		StageSince: 25 * time.Second, BeginTimeout: 40 * time.Second})
-	is("19", *a.Permits[19], accord.Permit{ID: 19, Member: "n1", RequestedBy: "operator-3", Purpose: "drain",
-		Stage: accord.PermitQueued, RequestedAt: 27 * time.Second, StageSince: 27 * time.Second,
+	is("19", *a.Permits[19], coordination.Permit{ID: 19, Member: "n1", RequestedBy: "operator-3", Purpose: "drain",
+		Stage: coordination.PermitQueued, RequestedAt: 27 * time.Second, StageSince: 27 * time.Second,
 		BeginTimeout: 30 * time.Second, WaitReason: "budget all: 3 of 7 out, 3 may be"})
-	is("waiting", a.PermitQueue, []accord.PermitID{19})
-	is("keys", a.Replies, map[string]accord.Reply{"key-2": {OK: true, PermitID: 1}, "key-3": {OK: true, PermitID: 10}})
+	is("waiting", a.PermitQueue, []coordination.PermitID{19})
+	is("keys", a.Replies, map[string]coordination.Reply{"key-2": {OK: true, PermitID: 1}, "key-3": {OK: true, PermitID: 10}})
 	is("key ring", a.ReplyOrder, []string{"key-2", "key-3"})
-	is("halted", a.Halt, (*accord.Halt)(nil))
+	is("halted", a.Halt, (*coordination.Halt)(nil))
 	// It was started behind the snapshot, so Plan's Of and Judged are known; a snapshot does not hold them.
-	is("release", *a.Rollout, accord.Rollout{RolloutPlan: accord.RolloutPlan{Name: "r3", TargetRelease: "3",
-		Selector: accord.Selector{Role: "instance"}, Waves: []accord.Wave{{Count: 1}, {Fraction: 0.5}, {Zone: "c"}},
-		Pause: time.Second, AnalysisRequired: true, RollbackWavesAtOnce: 2, MaxAttempts: 3}, RequestedBy: "operator-3", Phase: accord.RolloutRollingBack, Wave: 1,
+	is("release", *a.Rollout, coordination.Rollout{RolloutPlan: coordination.RolloutPlan{Name: "r3", TargetRelease: "3",
+		Selector: coordination.Selector{Role: "instance"}, Waves: []coordination.Wave{{Count: 1}, {Fraction: 0.5}, {Zone: "c"}},
+		Pause: time.Second, AnalysisRequired: true, RollbackWavesAtOnce: 2, MaxAttempts: 3}, RequestedBy: "operator-3", Phase: coordination.RolloutRollingBack, Wave: 1,
 		PhaseSince:  24500 * time.Millisecond,
-		WaveMembers: [][]accord.Name{{"n0"}, {"n1", "n2"}, {"n4"}, {"n3"}}, WaitReason: "n1: permit 19 is queued", Analyzed: true,
+		WaveMembers: [][]coordination.Name{{"n0"}, {"n1", "n2"}, {"n4"}, {"n3"}}, WaitReason: "n1: permit 19 is queued", Analyzed: true,
 		Reason: "second thoughts"})
-	is("first entry", a.History[0], accord.HistoryEntry{Sequence: 1, At: 500 * time.Millisecond, RequestedBy: "operator-2",
-		Kind: accord.KindSetBudgets, Summary: "3 budgets", Reply: accord.Reply{OK: true}})
-	is("an entry", a.History[7], accord.HistoryEntry{Sequence: 8, At: 4500 * time.Millisecond, RequestedBy: "operator-2",
-		Kind: accord.KindCancelPermit, Summary: "permit 999 ", Reply: accord.Reply{Reason: "permit 999 is over"}})
-	is("last permit that is over", a.EndedPermits[15], accord.Permit{ID: 16, Member: "n2", Incarnation: 1_700_000_000_101,
-		RequestedBy: "r3", Purpose: "release", Stage: accord.PermitEnded, RequestedAt: 23500 * time.Millisecond,
+	is("first entry", a.History[0], coordination.HistoryEntry{Sequence: 1, At: 500 * time.Millisecond, RequestedBy: "operator-2",
+		Kind: coordination.KindSetBudgets, Summary: "3 budgets", Reply: coordination.Reply{OK: true}})
+	is("an entry", a.History[7], coordination.HistoryEntry{Sequence: 8, At: 4500 * time.Millisecond, RequestedBy: "operator-2",
+		Kind: coordination.KindCancelPermit, Summary: "permit 999 ", Reply: coordination.Reply{Reason: "permit 999 is over"}})
+	is("last permit that is over", a.EndedPermits[15], coordination.Permit{ID: 16, Member: "n2", Incarnation: 1_700_000_000_101,
+		RequestedBy: "r3", Purpose: "release", Stage: coordination.PermitEnded, RequestedAt: 23500 * time.Millisecond,
 		StageSince: 24500 * time.Millisecond, BeginTimeout: 30 * time.Second, Outcome: "the release goes back"})
 	if len(wrong) > 0 {
 		return errors.New(strings.Join(wrong, "\n"))
@@ -355,7 +355,7 @@
 		t.Fatal(err)
 	}
 	s := &Coordinator{config: Config{RestartCommand: script + " at={name} to={release}", RestartTimeout: 10 * time.Second, RestartOutputLimit: 64}}
-	if !s.runRestartCommand(accord.Permit{Member: "n1", ID: 42}, "2") {
+	if !s.runRestartCommand(coordination.Permit{Member: "n1", ID: 42}, "2") {
 		t.Fatal("the command failed")
 	}
 	if got := string(standin.Must(os.ReadFile(said))); got != "at=n1 to=2 n1 2\n" {
--- a/internal/fleet/steward/node.go
+++ b/internal/fleet/steward/node.go
@@ -23,7 +23,7 @@
 	wal "github.com/hashicorp/raft-wal"
 	"github.com/hashicorp/raft-wal/metadb"
 
-	"lanewheel/internal/accord"
+	"lanewheel/internal/coordination"
 	"lanewheel/internal/fleet/steward/ask"
 	"lanewheel/internal/fleet/steward/told"
 	"lanewheel/internal/lock"
@@ -43,7 +43,7 @@
 	transport *raft.NetworkTransport
 
 	mu    sync.Mutex // guards what follows
-	state *accord.State
+	state *coordination.State
 }
 
 // openReplica starts the copy in its folder. Connections of the other stewards come by stream.
@@ -51,7 +51,7 @@
 	if err := os.MkdirAll(config.DataDir, 0o700); err != nil {
 		return nil, err
 	}
-	r := &replica{config: config, state: accord.NewState(config.Coordination), metaStore: &metadb.BoltMetaDB{}}
+	r := &replica{config: config, state: coordination.NewState(config.Coordination), metaStore: &metadb.BoltMetaDB{}}
 	var err error
 	if r.dirLock, err = lock.Acquire(filepath.Join(config.DataDir, "lock"), func() bool { return false }); err != nil {
 		return nil, fmt.Errorf("%s: %w", config.DataDir, err)
@@ -96,7 +96,7 @@
 		if err := raft.RecoverCluster(raftConfig, (*stateMachine)(r), r.wal, r.wal, snapshots, r.transport, raft.Configuration{Servers: []raft.Server{{ID: r.id, Address: raft.ServerAddress(config.AdvertiseAddr)}}}); err != nil {
 			return nil, fmt.Errorf("the state in %s: %w", config.DataDir, err)
 		}
-		r.state = accord.NewState(config.Coordination) // it is read again
+		r.state = coordination.NewState(config.Coordination) // it is read again
 	}
 	if r.raft, err = raft.NewRaft(raftConfig, (*stateMachine)(r), r.wal, r.wal, snapshots, r.transport); err != nil {
 		return nil, fmt.Errorf("the state in %s can't be read: move the folder away, and the steward is taken in anew by the others: %w", config.DataDir, err)
@@ -154,20 +154,20 @@
 }
 
 // apply has the fleet agree on a command. It waits: it belongs beside every loop.
-func (n *replica) apply(command accord.Command) (accord.Reply, error) {
+func (n *replica) apply(command coordination.Command) (coordination.Reply, error) {
 	data, err := json.Marshal(command)
 	if err != nil {
-		return accord.Reply{}, err
+		return coordination.Reply{}, err
 	}
 	future := n.raft.Apply(data, 2*n.config.HeartbeatTimeout)
 	if err := future.Error(); err != nil {
-		return accord.Reply{}, fmt.Errorf("%w: %w", ask.ErrNoQuorum, err)
+		return coordination.Reply{}, fmt.Errorf("%w: %w", ask.ErrNoQuorum, err)
 	}
-	return future.Response().(accord.Reply), nil
+	return future.Response().(coordination.Reply), nil
 }
 
 // inspect has look see the state, which it must not keep.
-func (n *replica) inspect(visit func(*accord.State)) {
+func (n *replica) inspect(visit func(*coordination.State)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	visit(n.state)
@@ -241,10 +241,10 @@
 
 // Apply is raft.FSM.
 func (m *stateMachine) Apply(entry *raft.Log) any {
-	var command accord.Command
+	var command coordination.Command
 	if err := json.Unmarshal(entry.Data, &command); err != nil {
 		slog.Error("bad-command", "index", entry.Index, "err", err)
-		return accord.Reply{Reason: "can't be read: " + err.Error()}
+		return coordination.Reply{Reason: "can't be read: " + err.Error()}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -271,7 +271,7 @@
 // Restore is raft.FSM. A snapshot that can't be read is an error, and the one before it is taken.
 func (m *stateMachine) Restore(r io.ReadCloser) error {
 	defer r.Close()
-	state := accord.NewState(m.config.Coordination)
+	state := coordination.NewState(m.config.Coordination)
 	if err := json.NewDecoder(r).Decode(state); err != nil {
 		return err
 	}
--- a/internal/fleet/steward/steward.go
+++ b/internal/fleet/steward/steward.go
@@ -18,8 +18,8 @@
 
 	"github.com/hashicorp/raft"
 
-	"lanewheel/internal/accord"
-	"lanewheel/internal/accord/judge"
+	"lanewheel/internal/coordination"
+	"lanewheel/internal/coordination/canary"
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/fleet/steward/ask"
 	"lanewheel/internal/membership"
@@ -55,17 +55,17 @@
 type leadership struct {
 	term               uint64
 	startedAt          time.Time
-	reported           map[accord.Name]accord.Observation
+	reported           map[coordination.Name]coordination.Observation
 	lastTick           time.Time
-	notifiedAt         map[accord.PermitID]time.Time
-	restarts           map[accord.PermitID]*restartState
+	notifiedAt         map[coordination.PermitID]time.Time
+	restarts           map[coordination.PermitID]*restartState
 	analyzedWave       string // the wave whose windows are gathered
-	analysis           *judge.Analysis
+	analysis           *canary.Analysis
 	windowStart        time.Time
 	mu                 sync.Mutex // guards figures
-	previousStats      map[accord.Name]memberStats
-	currentStats       map[accord.Name]memberStats
-	canaryIncarnations map[accord.Name]membership.Incarnation // of the new release, at the window before
+	previousStats      map[coordination.Name]memberStats
+	currentStats       map[coordination.Name]memberStats
+	canaryIncarnations map[coordination.Name]membership.Incarnation // of the new release, at the window before
 }
 
 type memberStats struct {
@@ -185,17 +185,17 @@
 				continue
 			}
 			slog.Info("steward", "leads", true, "term", term)
-			s.leadership = &leadership{term: term, startedAt: time.Now(), notifiedAt: map[accord.PermitID]time.Time{}, restarts: map[accord.PermitID]*restartState{}, canaryIncarnations: map[accord.Name]membership.Incarnation{}}
+			s.leadership = &leadership{term: term, startedAt: time.Now(), notifiedAt: map[coordination.PermitID]time.Time{}, restarts: map[coordination.PermitID]*restartState{}, canaryIncarnations: map[coordination.Name]membership.Incarnation{}}
 		}
 		s.leaderRound()
 	}
 }
 
 // propose fills in when a command is given, and has it agreed on.
-func (s *Coordinator) propose(command accord.Command) (accord.Reply, error) {
+func (s *Coordinator) propose(command coordination.Command) (coordination.Reply, error) {
 	term, isLeader := s.replica.leaderTerm()
 	if !isLeader {
-		return accord.Reply{}, ask.ErrNoQuorum
+		return coordination.Reply{}, ask.ErrNoQuorum
 	}
 	command.Term, command.LeaderTime = term, time.Since(s.startedAt) // by the clock that does not jump
 	return s.replica.apply(command)
@@ -209,17 +209,17 @@
 	}
 	active, halted := false, false
 	type nudge struct {
-		accord.Permit
+		coordination.Permit
 		here, gone bool
 		before     string
 	}
 	var notices []nudge
-	var rollout *accord.Rollout
-	s.replica.inspect(func(state *accord.State) {
+	var rollout *coordination.Rollout
+	s.replica.inspect(func(state *coordination.State) {
 		active, halted = len(state.Permits) > 0 || state.Rollout.InProgress(), state.Halt != nil
 		for _, permit := range state.Permits {
-			if member := state.Members[permit.Member]; member != nil && permit.Stage != accord.PermitQueued {
-				notices = append(notices, nudge{*permit, member.State == accord.MemberUp && member.Incarnation == permit.Incarnation, member.State == accord.MemberGone, member.PreviousRelease})
+			if member := state.Members[permit.Member]; member != nil && permit.Stage != coordination.PermitQueued {
+				notices = append(notices, nudge{*permit, member.State == coordination.MemberUp && member.Incarnation == permit.Incarnation, member.State == coordination.MemberGone, member.PreviousRelease})
 			}
 		}
 		if state.Rollout != nil {
@@ -230,7 +230,7 @@
 	// At rest time need not pass often.
 	if pause := time.Second; time.Since(lead.lastTick) > pause/4 && active || time.Since(lead.lastTick) > 5*pause {
 		lead.lastTick = time.Now()
-		if _, err := s.propose(accord.Command{Kind: accord.KindTick}); err != nil {
+		if _, err := s.propose(coordination.Command{Kind: coordination.KindTick}); err != nil {
 			return
 		}
 	}
@@ -238,9 +238,9 @@
 		switch {
 		case notice.here && time.Since(lead.notifiedAt[notice.ID]) > 500*time.Millisecond: // until it has gone: a word may be lost
 			lead.notifiedAt[notice.ID] = time.Now()
-			s.fleet.NotifyPermit(notice.Member, notice.Incarnation, uint64(notice.ID), notice.Stage == accord.PermitBegun)
+			s.fleet.NotifyPermit(notice.Member, notice.Incarnation, uint64(notice.ID), notice.Stage == coordination.PermitBegun)
 		// Who was drained stays out until his operator starts him. Danger: one that is still serving is started a second time.
-		case notice.gone && notice.Stage == accord.PermitBegun && notice.Purpose != "drain" && rollout != nil && s.config.RestartCommand != "":
+		case notice.gone && notice.Stage == coordination.PermitBegun && notice.Purpose != "drain" && rollout != nil && s.config.RestartCommand != "":
 			targetRelease := rollout.TargetRelease
 			if notice.Purpose == "back" {
 				targetRelease = notice.before
@@ -256,14 +256,14 @@
 	switch {
 	case halted: // what is seen meanwhile is of a wave that is judged anew once that is over
 		lead.analyzedWave = ""
-	case rollout.InProgress() && rollout.RolloutPlan.AnalysisRequired && rollout.Phase != accord.RolloutRollingBack:
+	case rollout.InProgress() && rollout.RolloutPlan.AnalysisRequired && rollout.Phase != coordination.RolloutRollingBack:
 		s.analyzeWave(rollout)
 	}
 }
 
 // memberStates is why a member is out, by how it is seen.
-var memberStates = map[membership.State]accord.MemberState{membership.StateUp: accord.MemberUp, membership.StateWarming: accord.MemberWarmingUp, membership.StateJoining: accord.MemberJoining, membership.StateSuspect: accord.MemberSuspect,
-	membership.StateLeaving: accord.MemberLeaving, membership.StateGone: accord.MemberGone, membership.StateFenced: accord.MemberGone}
+var memberStates = map[membership.State]coordination.MemberState{membership.StateUp: coordination.MemberUp, membership.StateWarming: coordination.MemberWarmingUp, membership.StateJoining: coordination.MemberJoining, membership.StateSuspect: coordination.MemberSuspect,
+	membership.StateLeaving: coordination.MemberLeaving, membership.StateGone: coordination.MemberGone, membership.StateFenced: coordination.MemberGone}
 
 // reportMembers says what has changed among the members, and tells whether what it sees can be trusted. Danger: a leader that is cut off from the fleet and not from
 // the other stewards sees all as gone, or all as they were.
@@ -273,9 +273,9 @@
 		return false
 	}
 	lead := s.leadership
-	current := map[accord.Name]accord.Observation{}
-	add := func(claim membership.Descriptor, state accord.MemberState) {
-		observation := accord.Observation{Name: claim.Name, Incarnation: claim.Incarnation, Zone: claim.Zone, Release: claim.Release, Roles: claim.Roles, Capacity: claim.Capacity, State: state}
+	current := map[coordination.Name]coordination.Observation{}
+	add := func(claim membership.Descriptor, state coordination.MemberState) {
+		observation := coordination.Observation{Name: claim.Name, Incarnation: claim.Incarnation, Zone: claim.Zone, Release: claim.Release, Roles: claim.Roles, Capacity: claim.Capacity, State: state}
 		if claim.Roles&membership.RoleUpstream != 0 {
 			observation.Upstream = string(claim.Name)
 		}
@@ -284,16 +284,16 @@
 	for member := range view.All() {
 		add(member.Descriptor, memberStates[member.State])
 	}
-	add(view.Self, accord.MemberUp)
-	var changed []accord.Observation
+	add(view.Self, coordination.MemberUp)
+	var changed []coordination.Observation
 	for _, name := range slices.Sorted(maps.Keys(current)) {
 		if previous, known := lead.reported[name]; !known || previous != current[name] {
 			changed = append(changed, current[name])
 		}
 	}
 	for name, previous := range lead.reported { // forgotten by the membership: it was gone for long
-		if _, known := current[name]; !known && previous.State != accord.MemberGone {
-			previous.State = accord.MemberGone
+		if _, known := current[name]; !known && previous.State != coordination.MemberGone {
+			previous.State = coordination.MemberGone
 			changed = append(changed, previous)
 			current[name] = previous
 		}
@@ -301,7 +301,7 @@
 	if len(changed) == 0 {
 		return true
 	}
-	if _, err := s.propose(accord.Command{Kind: accord.KindObserve, Observations: changed}); err != nil {
+	if _, err := s.propose(coordination.Command{Kind: coordination.KindObserve, Observations: changed}); err != nil {
 		return false
 	}
 	lead.reported = current
@@ -314,7 +314,7 @@
 		if _, isLeader := s.replica.leaderTerm(); !isLeader || s.shuttingDown.Load() {
 			return
 		}
-		reply, err := s.propose(accord.Command{Kind: accord.KindBeginPermit, RequestedBy: string(name), Member: name, Incarnation: incarnation, PermitID: accord.PermitID(permitID)})
+		reply, err := s.propose(coordination.Command{Kind: coordination.KindBeginPermit, RequestedBy: string(name), Member: name, Incarnation: incarnation, PermitID: coordination.PermitID(permitID)})
 		if err == nil && reply.OK {
 			begun()
 		} else if err == nil {
@@ -333,7 +333,7 @@
 
 // scheduleRestart has the operator's command run for a member that is out, again and later each time while it fails. Danger: a member that has left the fleet
 // and not ended yet can't be started, and would stay out for ever.
-func (s *Coordinator) scheduleRestart(restart *restartState, permit accord.Permit, release string) {
+func (s *Coordinator) scheduleRestart(restart *restartState, permit coordination.Permit, release string) {
 	if restart.running.Load() || restart.done.Load() || time.Now().Before(restart.nextAttempt) {
 		return
 	}
@@ -347,7 +347,7 @@
 }
 
 // runRestartCommand runs the operator's command, with a bound on its time and on what it prints, and tells whether it went well.
-func (s *Coordinator) runRestartCommand(permit accord.Permit, release string) bool {
+func (s *Coordinator) runRestartCommand(permit coordination.Permit, release string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), s.config.RestartTimeout)
 	defer cancel()
 	args := strings.Fields(s.config.RestartCommand)
@@ -383,11 +383,11 @@
 }
 
 // analyzeWave gathers what the new release and the old one do at the same time, window by window, and gives the verdict once there is one.
-func (s *Coordinator) analyzeWave(rollout *accord.Rollout) {
+func (s *Coordinator) analyzeWave(rollout *coordination.Rollout) {
 	lead := s.leadership
 	wave := fmt.Sprint(rollout.Name, " ", rollout.Wave, " ", rollout.RequestedBy)
 	if lead.analyzedWave != wave {
-		lead.analyzedWave, lead.analysis, lead.windowStart, lead.previousStats, lead.currentStats = wave, judge.New(s.config.Canary), time.Now(), nil, map[accord.Name]memberStats{}
+		lead.analyzedWave, lead.analysis, lead.windowStart, lead.previousStats, lead.currentStats = wave, canary.New(s.config.Canary), time.Now(), nil, map[coordination.Name]memberStats{}
 	}
 	if time.Since(lead.windowStart) < s.config.AnalysisWindow {
 		return
@@ -395,9 +395,9 @@
 	lead.windowStart = time.Now()
 	lead.mu.Lock()
 	previous, current := lead.previousStats, lead.currentStats
-	lead.previousStats, lead.currentStats = current, map[accord.Name]memberStats{}
+	lead.previousStats, lead.currentStats = current, map[coordination.Name]memberStats{}
 	lead.mu.Unlock()
-	var canaryMembers, baselineMembers []accord.Observation
+	var canaryMembers, baselineMembers []coordination.Observation
 	crashes := 0
 	for _, name := range slices.Sorted(maps.Keys(lead.reported)) {
 		observation := lead.reported[name]
@@ -415,7 +415,7 @@
 			baselineMembers = append(baselineMembers, observation)
 		}
 	}
-	sumStats := func(group []accord.Observation) (sample judge.Sample) {
+	sumStats := func(group []coordination.Observation) (sample canary.Sample) {
 		totalSeconds := 0.0
 		for _, observation := range group {
 			earlier, later := previous[observation.Name], current[observation.Name]
@@ -434,7 +434,7 @@
 	sample := sumStats(canaryMembers)
 	sample.Crashes = crashes
 	lead.analysis.Add(sample, sumStats(baselineMembers))
-	for _, group := range [][]accord.Observation{canaryMembers, baselineMembers} {
+	for _, group := range [][]coordination.Observation{canaryMembers, baselineMembers} {
 		for i, at := range rand.Perm(len(group)) {
 			if i >= s.config.SampleSize {
 				break
@@ -448,18 +448,18 @@
 		}
 	}
 	verdict, reason := lead.analysis.Verdict()
-	if verdict == judge.Inconclusive || verdict == judge.Passed && rollout.Phase != accord.RolloutAnalyzing {
+	if verdict == canary.Inconclusive || verdict == canary.Passed && rollout.Phase != coordination.RolloutAnalyzing {
 		return
 	}
-	reply, err := s.propose(accord.Command{Kind: accord.KindCanaryVerdict, RequestedBy: "the judgement", RolloutName: rollout.Name, Wave: rollout.Wave, Healthy: verdict == judge.Passed, Reason: reason})
+	reply, err := s.propose(coordination.Command{Kind: coordination.KindCanaryVerdict, RequestedBy: "the judgement", RolloutName: rollout.Name, Wave: rollout.Wave, Healthy: verdict == canary.Passed, Reason: reason})
 	if err == nil && reply.OK {
 		slog.Info("verdict", "release", rollout.Name, "wave", rollout.Wave+1, "is", verdict.String(), "why", reason)
 		lead.analyzedWave = ""
 	}
 }
 
-func (s *Coordinator) hadPermit(name accord.Name) (yes bool) {
-	s.replica.inspect(func(state *accord.State) {
+func (s *Coordinator) hadPermit(name coordination.Name) (yes bool) {
+	s.replica.inspect(func(state *coordination.State) {
 		member := state.Members[name]
 		yes = member != nil && member.PermitID > 0
 		for _, permit := range state.EndedPermits {
@@ -477,7 +477,7 @@
 			status.Coordinators[string(x.ID)] = string(x.Address)
 		}
 	}
-	s.replica.inspect(func(state *accord.State) {
+	s.replica.inspect(func(state *coordination.State) {
 		status.FleetTime, status.MemberCount = state.Now.Round(time.Millisecond).String(), len(state.Members)
 		if state.Halt != nil {
 			h := *state.Halt
@@ -494,7 +494,7 @@
 			status.Permits = append(status.Permits, *state.Permits[id])
 		}
 		for _, name := range slices.Sorted(maps.Keys(state.Members)) {
-			if m := state.Members[name]; m.State != accord.MemberUp || m.PermitID > 0 {
+			if m := state.Members[name]; m.State != coordination.MemberUp || m.PermitID > 0 {
 				status.Unavailable = append(status.Unavailable, *m)
 			}
 		}
@@ -509,7 +509,7 @@
 		response.Status = s.status()
 		return response
 	case request.History:
-		s.replica.inspect(func(state *accord.State) {
+		s.replica.inspect(func(state *coordination.State) {
 			response.History, response.EndedPermits = slices.Clone(state.History), slices.Clone(state.EndedPermits)
 		})
 		return response
@@ -523,7 +523,7 @@
 	var err error
 	switch {
 	case request.Command != nil:
-		var reply accord.Reply
+		var reply coordination.Reply
 		if reply, err = s.propose(*request.Command); err == nil {
 			response.Reply = &reply
 		}
--- a/internal/fleet/steward/steward_test.go
+++ b/internal/fleet/steward/steward_test.go
@@ -14,8 +14,8 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"lanewheel/internal/accord"
-	"lanewheel/internal/accord/judge"
+	"lanewheel/internal/coordination"
+	"lanewheel/internal/coordination/canary"
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/fleet/steward/ask"
 	"lanewheel/internal/membership"
@@ -51,7 +51,7 @@
 		all = append(all, l.Addr().String())
 		l.Close()
 		t.configs = append(t.configs, Config{Name: fmt.Sprint("s", i), ListenAddr: all[i], DataDir: filepath.Join(t.dir, fmt.Sprint(i)), Bootstrap: i == 0, HeartbeatTimeout: 300 * time.Millisecond,
-			ClusterKeys: []membership.Key{clusterKey}, Coordination: accord.DefaultConfig(), Canary: judge.DefaultConfig(), AnalysisWindow: time.Second, SampleSize: 8, RestartTimeout: time.Second, RestartOutputLimit: 64, SnapshotThreshold: 64})
+			ClusterKeys: []membership.Key{clusterKey}, Coordination: coordination.DefaultConfig(), Canary: canary.DefaultConfig(), AnalysisWindow: time.Second, SampleSize: 8, RestartTimeout: time.Second, RestartOutputLimit: 64, SnapshotThreshold: 64})
 	}
 	t.coordinators, t.done = make([]*Coordinator, n), make([]chan struct{}, n)
 	for i := range n {
@@ -122,7 +122,7 @@
 	return k
 }
 
-func (t *testFleet) propose(c accord.Command) accord.Reply {
+func (t *testFleet) propose(c coordination.Command) coordination.Reply {
 	a := standin.Must(t.client().Do(ask.Request{Command: &c}))
 	if a.Reply == nil {
 		panic(a.Error)
@@ -146,7 +146,7 @@
 	return i
 }
 
-var oneAtATime = accord.Command{Kind: accord.KindSetBudgets, Budgets: []accord.DisruptionBudget{{Name: "one", MaxUnavailable: 1, Selector: accord.Selector{Role: "instance"}}}}
+var oneAtATime = coordination.Command{Kind: coordination.KindSetBudgets, Budgets: []coordination.DisruptionBudget{{Name: "one", MaxUnavailable: 1, Selector: coordination.Selector{Role: "instance"}}}}
 
 // The leading steward ends between agreeing and the answer, as far as the client can tell: it asks again with its key, and there is one permit. Whoever leads
 // next goes on with it. A stranger without the key is not even asked what it wants.
@@ -155,10 +155,10 @@
 	defer t.close()
 	first := t.leader(3, 3)
 	t.propose(oneAtATime)
-	c := accord.Command{Kind: accord.KindRequestPermit, Member: "n0", IdempotencyKey: "k"}
+	c := coordination.Command{Kind: coordination.KindRequestPermit, Member: "n0", IdempotencyKey: "k"}
 	fmt.Println(t.propose(c))
 	t.kill(first)
-	fmt.Println(t.propose(c), t.propose(accord.Command{Kind: accord.KindRequestPermit, Member: "n1"}).PermitID)
+	fmt.Println(t.propose(c), t.propose(coordination.Command{Kind: coordination.KindRequestPermit, Member: "n1"}).PermitID)
 	next := t.leader(3, 3)
 	standin.WaitFor("the holder to be nudged", func() bool { t.mu.Lock(); defer t.mu.Unlock(); return t.notices[1] != "" })
 	fmt.Println(t.notices[1])
@@ -167,7 +167,7 @@
 	fmt.Println(<-begun)
 	t.coordinators[next].BeginPermit("n1", 1, 2, func() { panic("two out") })
 	c.Member, c.IdempotencyKey = "n2", ""
-	fmt.Println(t.propose(accord.Command{Kind: accord.KindBeginPermit, Member: "n1", Incarnation: 1, PermitID: 2}))
+	fmt.Println(t.propose(coordination.Command{Kind: coordination.KindBeginPermit, Member: "n1", Incarnation: 1, PermitID: 2}))
 	k := t.client()
 	k.Keys = []membership.Key{membership.Key("another key of as many bytes....")}
 	_, err := k.Do(ask.Request{Status: true})
@@ -177,7 +177,7 @@
 	standin.WaitFor("n0's permit to be over, and n1's granted, at all three", func() bool {
 		for _, s := range t.coordinators {
 			st := s.status()
-			if len(st.Permits) != 1 || st.Permits[0].Stage != accord.PermitGranted {
+			if len(st.Permits) != 1 || st.Permits[0].Stage != coordination.PermitGranted {
 				return false
 			}
 		}
@@ -200,19 +200,19 @@
 	defer t.close()
 	t.leader(3, 3)
 	t.propose(oneAtATime)
-	t.propose(accord.Command{Kind: accord.KindRequestPermit, Member: "n0"})
+	t.propose(coordination.Command{Kind: coordination.KindRequestPermit, Member: "n0"})
 	for range 200 { // past two snapshots
-		t.propose(accord.Command{Kind: accord.KindCancelPermit, PermitID: 99})
+		t.propose(coordination.Command{Kind: coordination.KindCancelPermit, PermitID: 99})
 	}
 	for _, s := range t.coordinators {
 		_ = s.replica.raft.Snapshot().Error()
 	}
-	t.propose(accord.Command{Kind: accord.KindHalt, Reason: "for the night"})
+	t.propose(coordination.Command{Kind: coordination.KindHalt, Reason: "for the night"})
 	t.kill(1)
 	t.kill(2)
 	k := t.client()
 	k.Timeout = 2 * time.Second
-	_, err := k.Do(ask.Request{Command: &accord.Command{Kind: accord.KindRequestPermit, Member: "n1"}})
+	_, err := k.Do(ask.Request{Command: &coordination.Command{Kind: coordination.KindRequestPermit, Member: "n1"}})
 	fmt.Println("without a majority:", err != nil)
 	t.kill(0)
 	tear := func(pattern string, cut int64) {
@@ -258,7 +258,7 @@
 	w.leader(1, 1)
 	w.propose(oneAtATime)
 	for n := range 5 {
-		w.propose(accord.Command{Kind: accord.KindCancelPermit, PermitID: accord.PermitID(n)})
+		w.propose(coordination.Command{Kind: coordination.KindCancelPermit, PermitID: coordination.PermitID(n)})
 	}
 	w.kill(0)
 	whole := w.configs[0].DataDir
@@ -309,7 +309,7 @@
 	w.leader(3, 3)
 	w.propose(oneAtATime)
 	standin.WaitFor("all to be known", func() bool { return w.coordinators[w.leader(3, 3)].status().MemberCount == 4 })
-	type input struct{ c accord.Command }
+	type input struct{ c coordination.Command }
 	var mu sync.Mutex
 	var history []porcupine.Operation
 	began := time.Now()
@@ -320,16 +320,16 @@
 			defer all.Done()
 			chance := rand.New(rand.NewPCG(7, uint64(client)))
 			for n := range 12 {
-				c := accord.Command{IdempotencyKey: fmt.Sprint(client, "-", n), BeginTimeout: time.Hour}
-				c.PermitID = accord.PermitID(1 + chance.IntN(8))
-				c.Member, c.Incarnation = accord.Name(fmt.Sprint("n", chance.IntN(3))), 1
+				c := coordination.Command{IdempotencyKey: fmt.Sprint(client, "-", n), BeginTimeout: time.Hour}
+				c.PermitID = coordination.PermitID(1 + chance.IntN(8))
+				c.Member, c.Incarnation = coordination.Name(fmt.Sprint("n", chance.IntN(3))), 1
 				switch chance.IntN(4) {
 				case 0, 1:
-					c.Kind = accord.KindRequestPermit
+					c.Kind = coordination.KindRequestPermit
 				case 2:
-					c.Kind = accord.KindCancelPermit
+					c.Kind = coordination.KindCancelPermit
 				case 3:
-					c.Kind, c.Member = accord.KindCancelDrain, ""
+					c.Kind, c.Member = coordination.KindCancelDrain, ""
 				}
 				from := time.Since(began).Nanoseconds()
 				r := w.propose(c)
@@ -347,16 +347,16 @@
 	}
 	all.Wait()
 	// The state that they begin with, as the stewards have it.
-	start := accord.NewState(accord.DefaultConfig())
+	start := coordination.NewState(coordination.DefaultConfig())
 	for i := range 3 {
-		start.Apply(accord.Command{Kind: accord.KindObserve, Observations: []accord.Observation{{Name: accord.Name(fmt.Sprint("n", i)), Incarnation: 1, Release: "1", Roles: membership.RoleServer, Capacity: 1}}})
+		start.Apply(coordination.Command{Kind: coordination.KindObserve, Observations: []coordination.Observation{{Name: coordination.Name(fmt.Sprint("n", i)), Incarnation: 1, Release: "1", Roles: membership.RoleServer, Capacity: 1}}})
 	}
 	start.Apply(oneAtATime)
 	first := string(standin.Must(json.Marshal(start)))
 	model := porcupine.Model{
 		Init: func() any { return first },
 		Step: func(state, in, out any) (bool, any) {
-			s := &accord.State{}
+			s := &coordination.State{}
 			if err := json.Unmarshal([]byte(state.(string)), s); err != nil {
 				panic(err)
 			}
--- a/internal/fleet/steward/told/told.go
+++ b/internal/fleet/steward/told/told.go
@@ -4,8 +4,8 @@
 import (
 	"time"
 
-	"lanewheel/internal/accord"
-	"lanewheel/internal/accord/judge"
+	"lanewheel/internal/coordination"
+	"lanewheel/internal/coordination/canary"
 	"lanewheel/internal/membership"
 )
 
@@ -20,8 +20,8 @@
 	ForceNewCluster    bool     // the others are lost for good: it goes on from its own state
 	HeartbeatTimeout   time.Duration
 	ClusterKeys        []membership.Key
-	Coordination       accord.Config
-	Canary             judge.Config
+	Coordination       coordination.Config
+	Canary             canary.Config
 	AnalysisWindow     time.Duration // of the judgement
 	SampleSize         int           // members of each release that a window asks
 	RestartCommand     string        // an operator's command that starts a member anew; empty: whoever else does it
--- a/internal/lifecycle/coordinators/golden_test.go
+++ b/internal/lifecycle/coordinators/golden_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"lanewheel/internal/accord"
-	"lanewheel/internal/accord/judge"
+	"lanewheel/internal/coordination"
+	"lanewheel/internal/coordination/canary"
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/fleet/steward"
 	"lanewheel/internal/membership"
@@ -82,8 +82,8 @@
 func TestReportGolden(t *testing.T) {
 	s := standin.Must(steward.New(steward.Config{Name: "s0", ListenAddr: "127.0.0.1:0", AdvertiseAddr: "127.0.0.1:7373",
 		DataDir: t.TempDir(), Bootstrap: true, HeartbeatTimeout: 300 * time.Millisecond,
-		ClusterKeys: []membership.Key{membership.Key("0123456789abcdef0123456789abcdef")}, Coordination: accord.DefaultConfig(),
-		Canary: judge.DefaultConfig(), AnalysisWindow: time.Second, SnapshotThreshold: 64}))
+		ClusterKeys: []membership.Key{membership.Key("0123456789abcdef0123456789abcdef")}, Coordination: coordination.DefaultConfig(),
+		Canary: canary.DefaultConfig(), AnalysisWindow: time.Second, SnapshotThreshold: 64}))
 	p := &fleetAdapter{coordinator: s}
 	done := make(chan struct{})
 	go func() {
