--- a/internal/command/further/agree.go
+++ b/internal/command/further/agree.go
@@ -17,7 +17,7 @@
 	"lanewheel/internal/command"
 	"lanewheel/internal/config"
 	"lanewheel/internal/coordination"
-	"lanewheel/internal/fleet/steward/ask"
+	"lanewheel/internal/fleet/coordinator/client"
 	"lanewheel/internal/lifecycle"
 )
 
@@ -30,7 +30,7 @@
 	if !operatorConfig.File.Coordinator.Enabled || len(operatorConfig.ClusterKeys) == 0 {
 		return fmt.Errorf("%s: wants the sections [fleet], with keys, and [steward]", arguments.File)
 	}
-	coordinators := ask.Client{Coordinators: operatorConfig.File.Coordinator.Config.Coordinators, Keys: operatorConfig.ClusterKeys, Timeout: 20 * time.Second}
+	coordinators := client.Client{Coordinators: operatorConfig.File.Coordinator.Config.Coordinators, Keys: operatorConfig.ClusterKeys, Timeout: 20 * time.Second}
 	printJSON := func(value any) error {
 		encoder := json.NewEncoder(out)
 		encoder.SetIndent("", "  ")
@@ -38,7 +38,7 @@
 	}
 	switch arguments.Action {
 	case "status":
-		answer, err := coordinators.Do(ask.Request{Status: true})
+		answer, err := coordinators.Do(client.Request{Status: true})
 		if err != nil {
 			return err
 		}
@@ -47,7 +47,7 @@
 		}
 		return printStatus(answer.Status, out)
 	case "history":
-		answer, err := coordinators.Do(ask.Request{History: true})
+		answer, err := coordinators.Do(client.Request{History: true})
 		if err != nil {
 			return err
 		}
@@ -60,7 +60,7 @@
 		printHistory(answer.History, out)
 		return nil
 	case "leave":
-		answer, err := coordinators.Do(ask.Request{RemoveCoordinator: arguments.Name})
+		answer, err := coordinators.Do(client.Request{RemoveCoordinator: arguments.Name})
 		if err == nil && answer.Error != "" {
 			err = errors.New(answer.Error)
 		}
@@ -76,7 +76,7 @@
 		return err
 	}
 	command.IdempotencyKey = hex.EncodeToString(key[:])
-	answer, err := coordinators.Do(ask.Request{Command: &command})
+	answer, err := coordinators.Do(client.Request{Command: &command})
 	switch {
 	case err != nil:
 		return err
@@ -146,10 +146,10 @@
 }
 
 // waitForPermits says how permits go until all have begun and their members are out, or are over.
-func waitForPermits(coordinators ask.Client, permits []coordination.PermitID, out io.Writer) error {
+func waitForPermits(coordinators client.Client, permits []coordination.PermitID, out io.Writer) error {
 	reported := map[coordination.PermitID]string{}
 	for {
-		answer, err := coordinators.Do(ask.Request{Status: true})
+		answer, err := coordinators.Do(client.Request{Status: true})
 		if err != nil {
 			return err
 		}
@@ -183,7 +183,7 @@
 	}
 }
 
-func printStatus(status *ask.Status, out io.Writer) error {
+func printStatus(status *client.Status, out io.Writer) error {
 	fmt.Fprintf(out, "%s, term %d, entry %d of the log, led by %s, %d stewards, %d members, fleet's time %s\n", status.ID, status.Term, status.AppliedIndex, status.Leader, len(status.Coordinators), status.MemberCount, status.FleetTime)
 	if status.Halt != nil {
 		fmt.Fprintf(out, "HALTED by %s: %s\n", status.Halt.By, status.Halt.Reason)
--- a/internal/command/further/golden_test.go
+++ b/internal/command/further/golden_test.go
@@ -22,8 +22,8 @@
 	"lanewheel/internal/command"
 	"lanewheel/internal/config"
 	"lanewheel/internal/coordination"
+	"lanewheel/internal/fleet/coordinator/client"
 	"lanewheel/internal/fleet/gossip"
-	"lanewheel/internal/fleet/steward/ask"
 	"lanewheel/internal/membership"
 	"lanewheel/internal/proxy"
 	"lanewheel/internal/server"
@@ -58,7 +58,7 @@
 }
 
 // agreed is what a coordinator answers, with every field set.
-func agreed() (ask.Status, []coordination.HistoryEntry) {
+func agreed() (client.Status, []coordination.HistoryEntry) {
 	// Of and Judged of a plan are not in a release's JSON: the release's own fields of these names stand there.
 	plan := coordination.RolloutPlan{Name: "r2", TargetRelease: "2", Waves: []coordination.Wave{{Count: 2, Fraction: 0.1, Zone: "north"}}, Pause: 3 * time.Second, RollbackWavesAtOnce: 2, MaxAttempts: 3}
 	permit := coordination.Permit{ID: 7, Member: "p001", Incarnation: 12, RequestedBy: "ann", Purpose: "drain", Stage: coordination.PermitGranted, RequestedAt: time.Second, StageSince: 2 * time.Second,
@@ -66,7 +66,7 @@
 	budget := coordination.DisruptionBudget{Name: "all", Selector: coordination.Selector{Zone: "north", Release: "1", Role: "instance", Upstream: "db"}, MaxUnavailable: 3, MaxUnavailableFraction: 0.5, MinAvailableCapacity: 6}
 	member := coordination.Member{Observation: coordination.Observation{Name: "p001", Incarnation: 12, Zone: "north", Release: "1", Roles: membership.RoleServer, Upstream: "db", Capacity: 2, State: coordination.MemberGone},
 		StateSince: 5 * time.Second, PermitID: 7, PreviousRelease: "0", FailedAttempts: 1}
-	s := ask.Status{ID: "s1", Leader: "s2", IsLeader: true, Term: 3, AppliedIndex: 44, Coordinators: map[string]string{"s1": "127.0.0.1:7960"}, FleetTime: "1m0s",
+	s := client.Status{ID: "s1", Leader: "s2", IsLeader: true, Term: 3, AppliedIndex: 44, Coordinators: map[string]string{"s1": "127.0.0.1:7960"}, FleetTime: "1m0s",
 		Halt: &coordination.Halt{At: time.Second, By: "bob", Reason: "noise"}, Budgets: []coordination.BudgetUsage{{Budget: budget, Members: 12, Unavailable: 1, UnavailableLimit: 3, AvailableCapacity: 22}},
 		Rollout: &coordination.Rollout{RolloutPlan: plan, RequestedBy: "ann", Phase: coordination.RolloutUpdating, Wave: 1, PhaseSince: 9 * time.Second, Analyzed: true,
 			WaveMembers: [][]coordination.Name{{"p001", "p002"}}, WaitReason: "a permit", Reason: "slower"},
@@ -92,7 +92,7 @@
 			if err != nil {
 				return
 			}
-			if kind, err := ask.ServerHandshake(c, keys); err == nil && kind == ask.ClientConnection {
+			if kind, err := client.ServerHandshake(c, keys); err == nil && kind == client.ClientConnection {
 				line, _ := bufio.NewReader(c).ReadString('\n')
 				questions <- line
 				_, _ = c.Write(answer)
@@ -113,14 +113,14 @@
 // What a coordinator answers is read as ever, and "--json" prints it as ever.
 func TestGoldenAnswers(t *testing.T) {
 	status, history := agreed()
-	for name, want := range map[string]ask.Response{"status": {Status: &status}, "history": {History: history}} {
+	for name, want := range map[string]client.Response{"status": {Status: &status}, "history": {History: history}} {
 		t.Run(name, func(t *testing.T) {
 			b, err := json.Marshal(want)
 			if err != nil {
 				t.Fatal(err)
 			}
 			golden(t, name+"-answer.json", append(b, '\n'))
-			var got ask.Response
+			var got client.Response
 			if err := json.Unmarshal(stored(t, name+"-answer.json"), &got); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/config/steward.go
+++ b/internal/config/steward.go
@@ -8,17 +8,17 @@
 
 	"lanewheel/internal/coordination"
 	"lanewheel/internal/coordination/canary"
-	"lanewheel/internal/fleet/steward/told"
+	"lanewheel/internal/fleet/coordinator/config"
 )
 
 // Coordinator is a process that holds what the fleet has agreed.
 type Coordinator struct {
 	Enabled bool
-	Config  told.Config
+	Config  coordinatorconfig.Config
 }
 
 func (r *reader) readCoordinator(fleet *Fleet) Coordinator {
-	parsed := Coordinator{Config: told.Config{HeartbeatTimeout: time.Second, Coordination: coordination.DefaultConfig(), Canary: canary.DefaultConfig(), AnalysisWindow: time.Second, SampleSize: 32, RestartTimeout: 30 * time.Second, RestartOutputLimit: 4096, SnapshotThreshold: 8192}}
+	parsed := Coordinator{Config: coordinatorconfig.Config{HeartbeatTimeout: time.Second, Coordination: coordination.DefaultConfig(), Canary: canary.DefaultConfig(), AnalysisWindow: time.Second, SampleSize: 32, RestartTimeout: 30 * time.Second, RestartOutputLimit: 4096, SnapshotThreshold: 8192}}
 	s := r.section("steward")
 	parsed.Enabled = s.exists()
 	config := &parsed.Config
--- a/internal/drill/stewards.go
+++ b/internal/drill/stewards.go
@@ -13,7 +13,7 @@
 
 	"lanewheel/internal/config"
 	"lanewheel/internal/coordination"
-	"lanewheel/internal/fleet/steward/ask"
+	"lanewheel/internal/fleet/coordinator/client"
 	"lanewheel/internal/membership"
 	"lanewheel/internal/standin"
 )
@@ -181,8 +181,8 @@
 	}
 }
 
-func (w *cluster) coordinatorClient() ask.Client {
-	coordinators := ask.Client{Timeout: 30 * time.Second}
+func (w *cluster) coordinatorClient() client.Client {
+	coordinators := client.Client{Timeout: 30 * time.Second}
 	for _, p := range w.processes {
 		if p.isCoordinator {
 			coordinators.Coordinators = append(coordinators.Coordinators, fmt.Sprintf("%s:%d", p.host, coordinatorPort))
@@ -233,7 +233,7 @@
 	default:
 		return "", fmt.Errorf("no command %q", text)
 	}
-	answer, err := w.coordinatorClient().Do(ask.Request{Command: &command})
+	answer, err := w.coordinatorClient().Do(client.Request{Command: &command})
 	switch {
 	case err != nil:
 		return "", err
@@ -249,7 +249,7 @@
 func (w *cluster) rolloutPhase() string {
 	coordinators := w.coordinatorClient()
 	coordinators.Timeout = time.Second
-	answer, err := coordinators.Do(ask.Request{Status: true})
+	answer, err := coordinators.Do(client.Request{Status: true})
 	switch {
 	case err != nil:
 		return "unknown"
--- a/internal/fleet/steward/ask/ask.go
+++ b/internal/fleet/coordinator/client/ask.go
@@ -1,6 +1,6 @@
-// Package ask is how stewards are spoken to: the proof that both sides have the cluster's key, questions and answers as lines of JSON, and a client that
+// Package client is how stewards are spoken to: the proof that both sides have the cluster's key, questions and answers as lines of JSON, and a client that
 // finds the one that leads.
-package ask
+package client
 
 import (
 	"crypto/hmac"
--- a/internal/fleet/steward/ask/golden_test.go
+++ b/internal/fleet/coordinator/client/golden_test.go
@@ -1,4 +1,4 @@
-package ask
+package client
 
 import (
 	"bufio"
--- a/internal/fleet/steward/told/told.go
+++ b/internal/fleet/coordinator/config/told.go
@@ -1,5 +1,5 @@
-// Package told is what a steward is told, apart from the steward itself, so that whoever reads files does not link it.
-package told
+// Package coordinatorconfig is what a steward is told, apart from the steward itself, so that whoever reads files does not link it.
+package coordinatorconfig
 
 import (
 	"time"
--- a/internal/fleet/steward/golden_test.go
+++ b/internal/fleet/coordinator/golden_test.go
@@ -1,4 +1,4 @@
-package steward
+package coordinator
 
 import (
 	"archive/tar"
--- a/internal/fleet/steward/node.go
+++ b/internal/fleet/coordinator/node.go
@@ -1,6 +1,6 @@
-// Package steward is one of the few processes that hold what the fleet has agreed: internal/accord's state, kept alike by hashicorp/raft with a log and
+// Package coordinator is one of the few processes that hold what the fleet has agreed: internal/accord's state, kept alike by hashicorp/raft with a log and
 // snapshots on disk. The one that leads has the fleet's members, the permits and the releases go on; any of them answers operators.
-package steward
+package coordinator
 
 import (
 	"bytes"
@@ -24,13 +24,13 @@
 	"github.com/hashicorp/raft-wal/metadb"
 
 	"lanewheel/internal/coordination"
-	"lanewheel/internal/fleet/steward/ask"
-	"lanewheel/internal/fleet/steward/told"
+	"lanewheel/internal/fleet/coordinator/client"
+	"lanewheel/internal/fleet/coordinator/config"
 	"lanewheel/internal/lock"
 )
 
 // Config is what a steward goes by.
-type Config = told.Config
+type Config = coordinatorconfig.Config
 
 // replica is one steward's copy of the agreed state.
 type replica struct {
@@ -161,7 +161,7 @@
 	}
 	future := n.raft.Apply(data, 2*n.config.HeartbeatTimeout)
 	if err := future.Error(); err != nil {
-		return coordination.Reply{}, fmt.Errorf("%w: %w", ask.ErrNoQuorum, err)
+		return coordination.Reply{}, fmt.Errorf("%w: %w", client.ErrNoQuorum, err)
 	}
 	return future.Response().(coordination.Reply), nil
 }
--- a/internal/fleet/steward/speak.go
+++ b/internal/fleet/coordinator/speak.go
@@ -1,4 +1,4 @@
-package steward
+package coordinator
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"lanewheel/internal/fleet/steward/ask"
+	"lanewheel/internal/fleet/coordinator/client"
 )
 
 // streamLayer is raft.StreamLayer over the shared listener.
@@ -45,17 +45,17 @@
 		}
 		go func() {
 			defer func() { <-x.slots }()
-			kind, err := ask.ServerHandshake(conn, x.coordinator.loadClusterKeys())
+			kind, err := client.ServerHandshake(conn, x.coordinator.loadClusterKeys())
 			switch {
 			case err != nil:
 				x.coordinator.rejectedConnections.Add(1)
-			case kind == ask.PeerConnection:
+			case kind == client.PeerConnection:
 				select {
 				case x.peers <- conn:
 					return
 				case <-x.closed:
 				}
-			case kind == ask.ClientConnection:
+			case kind == client.ClientConnection:
 				// Danger: who asks while the folder is still being read.
 				select {
 				case <-x.ready:
@@ -92,15 +92,15 @@
 
 // Dial is raft.StreamLayer.
 func (x *streamLayer) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	return ask.Dial(string(addr), x.coordinator.config.LocalIP, x.coordinator.loadClusterKeys(), ask.PeerConnection, timeout)
+	return client.Dial(string(addr), x.coordinator.config.LocalIP, x.coordinator.loadClusterKeys(), client.PeerConnection, timeout)
 }
 
 // serveRequest answers one question.
 func (s *Coordinator) serveRequest(conn net.Conn) {
-	_ = conn.SetDeadline(time.Now().Add(ask.RequestTimeout))
-	var request ask.Request
-	response := ask.Response{}
-	if err := json.NewDecoder(bufio.NewReader(io.LimitReader(conn, ask.MaxRequestBytes))).Decode(&request); err != nil {
+	_ = conn.SetDeadline(time.Now().Add(client.RequestTimeout))
+	var request client.Request
+	response := client.Response{}
+	if err := json.NewDecoder(bufio.NewReader(io.LimitReader(conn, client.MaxRequestBytes))).Decode(&request); err != nil {
 		response.Error = "can't be read: " + err.Error()
 	} else {
 		response = s.handle(request)
--- a/internal/fleet/steward/speak_test.go
+++ b/internal/fleet/coordinator/speak_test.go
@@ -1,11 +1,11 @@
-package steward
+package coordinator
 
 import (
 	"fmt"
 	"net"
 	"time"
 
-	"lanewheel/internal/fleet/steward/ask"
+	"lanewheel/internal/fleet/coordinator/client"
 	"lanewheel/internal/membership"
 	"lanewheel/internal/standin"
 )
@@ -20,7 +20,7 @@
 	x := newStreamLayer(s, l)
 	said := make(chan error)
 	go func() {
-		_, err := ask.Client{Coordinators: []string{l.Addr().String()}, Keys: keys, Timeout: time.Second}.Do(ask.Request{History: false})
+		_, err := client.Client{Coordinators: []string{l.Addr().String()}, Keys: keys, Timeout: time.Second}.Do(client.Request{History: false})
 		said <- err
 	}()
 	standin.WaitFor("it is being asked", func() bool { return len(x.slots) == 1 })
--- a/internal/fleet/steward/steward.go
+++ b/internal/fleet/coordinator/steward.go
@@ -1,4 +1,4 @@
-package steward
+package coordinator
 
 import (
 	"context"
@@ -20,8 +20,8 @@
 
 	"lanewheel/internal/coordination"
 	"lanewheel/internal/coordination/canary"
+	"lanewheel/internal/fleet/coordinator/client"
 	"lanewheel/internal/fleet/gossip"
-	"lanewheel/internal/fleet/steward/ask"
 	"lanewheel/internal/membership"
 )
 
@@ -149,7 +149,7 @@
 				others = append(others, addr)
 			}
 		}
-		response, err := ask.Client{Coordinators: others, Keys: s.loadClusterKeys(), LocalIP: s.config.LocalIP, Timeout: 5 * time.Second}.Do(ask.Request{Join: &ask.JoinRequest{ID: string(s.replica.id), Addr: s.config.AdvertiseAddr}})
+		response, err := client.Client{Coordinators: others, Keys: s.loadClusterKeys(), LocalIP: s.config.LocalIP, Timeout: 5 * time.Second}.Do(client.Request{Join: &client.JoinRequest{ID: string(s.replica.id), Addr: s.config.AdvertiseAddr}})
 		if err == nil && response.Error != "" {
 			err = errors.New(response.Error)
 		}
@@ -195,7 +195,7 @@
 func (s *Coordinator) propose(command coordination.Command) (coordination.Reply, error) {
 	term, isLeader := s.replica.leaderTerm()
 	if !isLeader {
-		return coordination.Reply{}, ask.ErrNoQuorum
+		return coordination.Reply{}, client.ErrNoQuorum
 	}
 	command.Term, command.LeaderTime = term, time.Since(s.startedAt) // by the clock that does not jump
 	return s.replica.apply(command)
@@ -469,8 +469,8 @@
 	return yes
 }
 
-func (s *Coordinator) status() *ask.Status {
-	status := &ask.Status{ID: string(s.replica.id), Leader: s.replica.leaderAddr(), Term: s.replica.raft.CurrentTerm(), AppliedIndex: s.replica.raft.AppliedIndex(), Coordinators: map[string]string{}}
+func (s *Coordinator) status() *client.Status {
+	status := &client.Status{ID: string(s.replica.id), Leader: s.replica.leaderAddr(), Term: s.replica.raft.CurrentTerm(), AppliedIndex: s.replica.raft.AppliedIndex(), Coordinators: map[string]string{}}
 	_, status.IsLeader = s.replica.leaderTerm()
 	if config := s.replica.raft.GetConfiguration(); config.Error() == nil {
 		for _, x := range config.Configuration().Servers {
@@ -503,7 +503,7 @@
 }
 
 // handle answers a question. Any steward shows what it knows; only the one that leads takes commands, others say who that is.
-func (s *Coordinator) handle(request ask.Request) (response ask.Response) {
+func (s *Coordinator) handle(request client.Request) (response client.Response) {
 	switch {
 	case request.Status:
 		response.Status = s.status()
@@ -516,7 +516,7 @@
 	}
 	if _, isLeader := s.replica.leaderTerm(); !isLeader || s.shuttingDown.Load() {
 		if response.Leader = s.replica.leaderAddr(); response.Leader == "" || response.Leader == s.config.AdvertiseAddr {
-			response.Leader, response.Error = "", ask.ErrNoQuorum.Error()
+			response.Leader, response.Error = "", client.ErrNoQuorum.Error()
 		}
 		return response
 	}
@@ -534,8 +534,8 @@
 	}
 	if err != nil {
 		response.Error = err.Error()
-		if errors.Is(err, ask.ErrNoQuorum) {
-			response.Error = ask.ErrNoQuorum.Error()
+		if errors.Is(err, client.ErrNoQuorum) {
+			response.Error = client.ErrNoQuorum.Error()
 		}
 	}
 	return response
--- a/internal/fleet/steward/steward_test.go
+++ b/internal/fleet/coordinator/steward_test.go
@@ -1,4 +1,4 @@
-package steward
+package coordinator
 
 import (
 	"encoding/json"
@@ -16,8 +16,8 @@
 
 	"lanewheel/internal/coordination"
 	"lanewheel/internal/coordination/canary"
+	"lanewheel/internal/fleet/coordinator/client"
 	"lanewheel/internal/fleet/gossip"
-	"lanewheel/internal/fleet/steward/ask"
 	"lanewheel/internal/membership"
 	"lanewheel/internal/standin"
 )
@@ -114,8 +114,8 @@
 	os.RemoveAll(t.dir)
 }
 
-func (t *testFleet) client() ask.Client {
-	k := ask.Client{Keys: []membership.Key{clusterKey}, Timeout: standin.WaitTimeout}
+func (t *testFleet) client() client.Client {
+	k := client.Client{Keys: []membership.Key{clusterKey}, Timeout: standin.WaitTimeout}
 	for _, told := range t.configs {
 		k.Coordinators = append(k.Coordinators, told.ListenAddr)
 	}
@@ -123,7 +123,7 @@
 }
 
 func (t *testFleet) propose(c coordination.Command) coordination.Reply {
-	a := standin.Must(t.client().Do(ask.Request{Command: &c}))
+	a := standin.Must(t.client().Do(client.Request{Command: &c}))
 	if a.Reply == nil {
 		panic(a.Error)
 	}
@@ -170,8 +170,8 @@
 	fmt.Println(t.propose(coordination.Command{Kind: coordination.KindBeginPermit, Member: "n1", Incarnation: 1, PermitID: 2}))
 	k := t.client()
 	k.Keys = []membership.Key{membership.Key("another key of as many bytes....")}
-	_, err := k.Do(ask.Request{Status: true})
-	fmt.Println(strings.Contains(fmt.Sprint(err), ask.ErrUnauthenticated.Error()))
+	_, err := k.Do(client.Request{Status: true})
+	fmt.Println(strings.Contains(fmt.Sprint(err), client.ErrUnauthenticated.Error()))
 	t.startCoordinator(first)
 	t.markUp(0, 2, "1")
 	standin.WaitFor("n0's permit to be over, and n1's granted, at all three", func() bool {
@@ -212,7 +212,7 @@
 	t.kill(2)
 	k := t.client()
 	k.Timeout = 2 * time.Second
-	_, err := k.Do(ask.Request{Command: &coordination.Command{Kind: coordination.KindRequestPermit, Member: "n1"}})
+	_, err := k.Do(client.Request{Command: &coordination.Command{Kind: coordination.KindRequestPermit, Member: "n1"}})
 	fmt.Println("without a majority:", err != nil)
 	t.kill(0)
 	tear := func(pattern string, cut int64) {
@@ -239,9 +239,9 @@
 	t.leader(3, 3)
 	_, err = New(t.configs[0])
 	fmt.Println(err != nil) // two on one folder, or one address
-	st := standin.Must(t.client().Do(ask.Request{Status: true})).Status
+	st := standin.Must(t.client().Do(client.Request{Status: true})).Status
 	fmt.Println(st.Halt != nil && st.Halt.Reason == "for the night", len(st.Coordinators), st.Budgets[0].Budget.Name)
-	h := standin.Must(t.client().Do(ask.Request{History: true}))
+	h := standin.Must(t.client().Do(client.Request{History: true}))
 	fmt.Println(h.EndedPermits[0].Outcome, len(h.History) > 200)
 	// Output:
 	// without a majority: true
--- a/internal/lifecycle/coordinators/golden_test.go
+++ b/internal/lifecycle/coordinators/golden_test.go
@@ -13,8 +13,8 @@
 
 	"lanewheel/internal/coordination"
 	"lanewheel/internal/coordination/canary"
+	"lanewheel/internal/fleet/coordinator"
 	"lanewheel/internal/fleet/gossip"
-	"lanewheel/internal/fleet/steward"
 	"lanewheel/internal/membership"
 	"lanewheel/internal/standin"
 	"lanewheel/internal/watch"
@@ -80,7 +80,7 @@
 
 // What a steward says of itself in the fleet, by the name that others read.
 func TestReportGolden(t *testing.T) {
-	s := standin.Must(steward.New(steward.Config{Name: "s0", ListenAddr: "127.0.0.1:0", AdvertiseAddr: "127.0.0.1:7373",
+	s := standin.Must(coordinator.New(coordinator.Config{Name: "s0", ListenAddr: "127.0.0.1:0", AdvertiseAddr: "127.0.0.1:7373",
 		DataDir: t.TempDir(), Bootstrap: true, HeartbeatTimeout: 300 * time.Millisecond,
 		ClusterKeys: []membership.Key{membership.Key("0123456789abcdef0123456789abcdef")}, Coordination: coordination.DefaultConfig(),
 		Canary: canary.DefaultConfig(), AnalysisWindow: time.Second, SnapshotThreshold: 64}))
--- a/internal/lifecycle/coordinators/stewards.go
+++ b/internal/lifecycle/coordinators/stewards.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"lanewheel/internal/config"
+	"lanewheel/internal/fleet/coordinator"
 	"lanewheel/internal/fleet/gossip"
-	"lanewheel/internal/fleet/steward"
 	"lanewheel/internal/lifecycle"
 	"lanewheel/internal/membership"
 )
@@ -28,7 +28,7 @@
 	runtime.GOMAXPROCS(2)
 	config := operatorConfig.File.Coordinator.Config
 	config.Bootstrap, config.ForceNewCluster, config.ClusterKeys = bootstrap, forceNewCluster, operatorConfig.ClusterKeys
-	node, err := steward.New(config)
+	node, err := coordinator.New(config)
 	if err != nil {
 		return err
 	}
@@ -54,7 +54,7 @@
 
 // fleetAdapter speaks for a steward in the fleet: a gossip.Process and a steward.Fleet.
 type fleetAdapter struct {
-	coordinator *steward.Coordinator
+	coordinator *coordinator.Coordinator
 	agent       *gossip.Agent
 }
 
