--- a/internal/amqp/part.go
+++ b/internal/amqp/part.go
@@ -13,7 +13,7 @@
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/frontend"
 	"lanewheel/internal/logging"
-	"lanewheel/internal/watch"
+	"lanewheel/internal/statussocket"
 )
 
 // Config is what the operator's file tells of this front.
@@ -88,7 +88,7 @@
 // Start begins to consume.
 func (p *Consumer) Start() {
 	if p.config.StatusSocket != "" {
-		watch.Serve(p.config.StatusSocket, p.closed, p.serveStatus)
+		statussocket.Serve(p.config.StatusSocket, p.closed, p.serveStatus)
 	}
 	p.Post(func() {
 		p.connect()
--- a/internal/fleet/gossip/part.go
+++ b/internal/fleet/gossip/part.go
@@ -22,7 +22,7 @@
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/logging"
 	"lanewheel/internal/membership"
-	"lanewheel/internal/watch"
+	"lanewheel/internal/statussocket"
 )
 
 // Config is what the part goes by.
@@ -210,7 +210,7 @@
 // Start begins to speak.
 func (p *Agent) Start() {
 	if p.config.StatusSocket != "" {
-		watch.Serve(p.config.StatusSocket, p.done, p.serveStatus)
+		statussocket.Serve(p.config.StatusSocket, p.done, p.serveStatus)
 	}
 	go p.runJoins()
 	p.Post(func() {
--- a/internal/lifecycle/coordinators/golden_test.go
+++ b/internal/lifecycle/coordinators/golden_test.go
@@ -17,7 +17,7 @@
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/membership"
 	"lanewheel/internal/standin"
-	"lanewheel/internal/watch"
+	"lanewheel/internal/statussocket"
 )
 
 var update = flag.Bool("update", false, "write the golden file anew; only where what is shown is meant to change")
@@ -63,7 +63,7 @@
 	closed := make(chan struct{})
 	defer close(closed)
 	asked := make(chan string, 1)
-	watch.Serve(socket, closed, func(c net.Conn) {
+	statussocket.Serve(socket, closed, func(c net.Conn) {
 		b := make([]byte, 16)
 		n, _ := c.Read(b)
 		asked <- string(b[:n])
--- a/internal/watch/watch.go
+++ b/internal/statussocket/watch.go
@@ -1,5 +1,5 @@
-// Package watch is a local socket on which a process shows how it stands to whoever asks on the same machine.
-package watch
+// Package statussocket is a local socket on which a process shows how it stands to whoever asks on the same machine.
+package statussocket
 
 import (
 	"log/slog"
