--- a/internal/lock/lock.go
+++ b/internal/filelock/lock.go
@@ -1,5 +1,5 @@
-// Package lock is a file that one process alone on a machine can hold.
-package lock
+// Package filelock is a file that one process alone on a machine can hold.
+package filelock
 
 import (
 	"errors"
--- a/internal/fleet/coordinator/node.go
+++ b/internal/fleet/coordinator/node.go
@@ -24,9 +24,9 @@
 	"github.com/hashicorp/raft-wal/metadb"
 
 	"lanewheel/internal/coordination"
+	"lanewheel/internal/filelock"
 	"lanewheel/internal/fleet/coordinator/client"
 	"lanewheel/internal/fleet/coordinator/config"
-	"lanewheel/internal/lock"
 )
 
 // Config is what a steward goes by.
@@ -53,7 +53,7 @@
 	}
 	r := &replica{config: config, state: coordination.NewState(config.Coordination), metaStore: &metadb.BoltMetaDB{}}
 	var err error
-	if r.dirLock, err = lock.Acquire(filepath.Join(config.DataDir, "lock"), func() bool { return false }); err != nil {
+	if r.dirLock, err = filelock.Acquire(filepath.Join(config.DataDir, "lock"), func() bool { return false }); err != nil {
 		return nil, fmt.Errorf("%s: %w", config.DataDir, err)
 	}
 	opened := false
--- a/internal/lifecycle/allocators/desks.go
+++ b/internal/lifecycle/allocators/desks.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"lanewheel/internal/config"
+	"lanewheel/internal/filelock"
 	"lanewheel/internal/fleet/allocator"
 	"lanewheel/internal/lifecycle"
-	"lanewheel/internal/lock"
 )
 
 // Attach brings a desk into its fleet and gives what takes an operator's file that was read anew.
@@ -26,7 +26,7 @@
 	}
 	runtime.GOMAXPROCS(2) // one for the gossip's sockets
 	if path := operatorConfig.File.Allocator.LockFile; path != "" {
-		fileLock, err := lock.Acquire(path, func() bool {
+		fileLock, err := filelock.Acquire(path, func() bool {
 			select {
 			case <-signals.Terminate:
 				return false
