--- a/cmd/lanewheel-coordinator/main.go
+++ b/cmd/lanewheel-coordinator/main.go
@@ -5,12 +5,12 @@
 import (
 	"os"
 
-	"lanewheel/internal/command"
-	"lanewheel/internal/command/further"
-	"lanewheel/internal/command/further/agreed"
+	"lanewheel/internal/cli"
+	"lanewheel/internal/cli/coordinatorcommands"
+	"lanewheel/internal/cli/fleetcommands"
 )
 
 func main() {
-	command.Link(agreed.WithCoordinator(further.Commands()))
-	os.Exit(command.Main(os.Args[1:], os.Stdout, os.Stderr))
+	cli.Link(coordinatorcommands.WithCoordinator(fleetcommands.Commands()))
+	os.Exit(cli.Main(os.Args[1:], os.Stdout, os.Stderr))
 }
--- a/cmd/lanewheel-fleet/main.go
+++ b/cmd/lanewheel-fleet/main.go
@@ -5,11 +5,11 @@
 import (
 	"os"
 
-	"lanewheel/internal/command"
-	"lanewheel/internal/command/further"
+	"lanewheel/internal/cli"
+	"lanewheel/internal/cli/fleetcommands"
 )
 
 func main() {
-	command.Link(further.Commands())
-	os.Exit(command.Main(os.Args[1:], os.Stdout, os.Stderr))
+	cli.Link(fleetcommands.Commands())
+	os.Exit(cli.Main(os.Args[1:], os.Stdout, os.Stderr))
 }
--- a/cmd/lanewheel/main.go
+++ b/cmd/lanewheel/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"lanewheel/internal/command"
+	"lanewheel/internal/cli"
 )
 
-func main() { os.Exit(command.Main(os.Args[1:], os.Stdout, os.Stderr)) }
+func main() { os.Exit(cli.Main(os.Args[1:], os.Stdout, os.Stderr)) }
--- a/internal/command/cert.go
+++ b/internal/cli/cert.go
@@ -1,4 +1,4 @@
-package command
+package cli
 
 import (
 	"fmt"
--- a/internal/command/command.go
+++ b/internal/cli/command.go
@@ -1,5 +1,5 @@
-// Package command is the command line: one file a sub-command. It parses, prints and gives an exit code.
-package command
+// Package cli is the command line: one file a sub-command. It parses, prints and gives an exit code.
+package cli
 
 import (
 	"errors"
--- a/internal/command/further/agreed/agreed.go
+++ b/internal/cli/coordinatorcommands/agreed.go
@@ -1,11 +1,11 @@
-// Package agreed adds the steward to the commands of the program that has its log linked.
-package agreed
+// Package coordinatorcommands adds the steward to the commands of the program that has its log linked.
+package coordinatorcommands
 
 import (
 	"os"
 
-	"lanewheel/internal/command"
-	"lanewheel/internal/command/further"
+	"lanewheel/internal/cli"
+	"lanewheel/internal/cli/fleetcommands"
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/lifecycle"
 	"lanewheel/internal/lifecycle/coordinators"
@@ -13,13 +13,13 @@
 )
 
 // WithCoordinator adds to what lanewheel-fleet has.
-func WithCoordinator(commands command.Components) command.Components {
+func WithCoordinator(commands cli.Components) cli.Components {
 	commands.RunCoordinator = func(operatorPath, logFormat string, bootstrap, recoverAlone bool) error {
 		return coordinators.Run(operatorPath, logFormat, bootstrap, recoverAlone, func(process gossip.Process, operatorConfig *lifecycle.OperatorConfig) (*gossip.Agent, func(*lifecycle.OperatorConfig), error) {
 			gossipConfig := func(operatorConfig *lifecycle.OperatorConfig) gossip.Config {
 				fleet := operatorConfig.File.Fleet
 				fleet.Roles = membership.RoleCoordinator
-				return further.GossipConfig(&fleet, "", "", operatorConfig.ClusterKeys)
+				return fleetcommands.GossipConfig(&fleet, "", "", operatorConfig.ClusterKeys)
 			}
 			agent, err := gossip.New(gossipConfig(operatorConfig), process, uint64(os.Getpid()))
 			if err != nil {
--- a/internal/command/further/agree.go
+++ b/internal/cli/fleetcommands/agree.go
@@ -1,4 +1,4 @@
-package further
+package fleetcommands
 
 import (
 	"crypto/rand"
@@ -14,7 +14,7 @@
 
 	"github.com/parquet-go/parquet-go"
 
-	"lanewheel/internal/command"
+	"lanewheel/internal/cli"
 	"lanewheel/internal/config"
 	"lanewheel/internal/coordination"
 	"lanewheel/internal/fleet/coordinator/client"
@@ -22,7 +22,7 @@
 )
 
 // runCoordinatorCommand asks the stewards, and prints what they say.
-func runCoordinatorCommand(arguments command.CoordinatorCommand, out io.Writer) error {
+func runCoordinatorCommand(arguments cli.CoordinatorCommand, out io.Writer) error {
 	operatorConfig, err := lifecycle.LoadOperatorConfig(arguments.File)
 	if err != nil {
 		return err
@@ -97,7 +97,7 @@
 }
 
 // buildCommand is the command that an operator means.
-func buildCommand(arguments command.CoordinatorCommand) (command coordination.Command, err error) {
+func buildCommand(arguments cli.CoordinatorCommand) (command coordination.Command, err error) {
 	command = coordination.Command{RequestedBy: arguments.RequestedBy, Reason: arguments.Reason}
 	readFile := func() []byte {
 		content, readErr := os.ReadFile(arguments.Path)
--- a/internal/command/further/further.go
+++ b/internal/cli/fleetcommands/further.go
@@ -1,5 +1,5 @@
-// Package further is the commands of the program that has the fleet's parts linked.
-package further
+// Package fleetcommands is the commands of the program that has the fleet's parts linked.
+package fleetcommands
 
 import (
 	"encoding/json"
@@ -15,7 +15,7 @@
 	"time"
 
 	"lanewheel/internal/balancer"
-	"lanewheel/internal/command"
+	"lanewheel/internal/cli"
 	"lanewheel/internal/concurrencylease"
 	"lanewheel/internal/config"
 	"lanewheel/internal/drill"
@@ -35,8 +35,8 @@
 )
 
 // Commands is all that lanewheel-fleet has beside lanewheel.
-func Commands() command.Components {
-	return command.Components{FleetHooks: joinFleet, RunProxy: runProxy, RunAllocator: runAllocator, ShowMembers: showMembers, RunDrill: runDrill, ShowRecord: showRecord, CompareRecords: compareRecords, CoordinatorFuncs: command.CoordinatorFuncs{Request: runCoordinatorCommand, RunDrillHook: drill.RunHook}}
+func Commands() cli.Components {
+	return cli.Components{FleetHooks: joinFleet, RunProxy: runProxy, RunAllocator: runAllocator, ShowMembers: showMembers, RunDrill: runDrill, ShowRecord: showRecord, CompareRecords: compareRecords, CoordinatorFuncs: cli.CoordinatorFuncs{Request: runCoordinatorCommand, RunDrillHook: drill.RunHook}}
 }
 
 // GossipConfig puts together what the part goes by.
--- a/internal/command/further/golden_test.go
+++ b/internal/cli/fleetcommands/golden_test.go
@@ -1,4 +1,4 @@
-package further
+package fleetcommands
 
 import (
 	"bufio"
@@ -19,7 +19,7 @@
 
 	"lanewheel/admission"
 	"lanewheel/internal/balancer"
-	"lanewheel/internal/command"
+	"lanewheel/internal/cli"
 	"lanewheel/internal/config"
 	"lanewheel/internal/coordination"
 	"lanewheel/internal/fleet/coordinator/client"
@@ -129,7 +129,7 @@
 			}
 			file, questions := coordinator(t, stored(t, name+"-answer.json"))
 			var out bytes.Buffer
-			if err := runCoordinatorCommand(command.CoordinatorCommand{File: file, Action: name, JSON: true}, &out); err != nil {
+			if err := runCoordinatorCommand(cli.CoordinatorCommand{File: file, Action: name, JSON: true}, &out); err != nil {
 				t.Fatal(err)
 			}
 			<-questions
@@ -138,7 +138,7 @@
 				return
 			}
 			out.Reset()
-			if err := runCoordinatorCommand(command.CoordinatorCommand{File: file, Action: name}, &out); err != nil {
+			if err := runCoordinatorCommand(cli.CoordinatorCommand{File: file, Action: name}, &out); err != nil {
 				t.Fatal(err)
 			}
 			golden(t, name+"-printed.txt", out.Bytes())
@@ -160,7 +160,7 @@
 	}
 	file, questions := coordinator(t, []byte(`{"Reply":{"OK":true,"Why":"","Number":7}}`+"\n"))
 	var text strings.Builder
-	for _, a := range []command.CoordinatorCommand{
+	for _, a := range []cli.CoordinatorCommand{
 		{Action: "drain", Name: "p001"}, {Action: "drain", Zone: "north"}, {Action: "drain", Upstream: "db"}, {Action: "undrain", Name: "p001"}, {Action: "undrain", Zone: "north"},
 		{Action: "forget", Name: "p001"}, {Action: "halt", Reason: "noise"}, {Action: "resume"}, {Action: "back", Reason: "slower"}, {Action: "budgets", Path: budgets},
 		{Action: "release", Path: plan}, {Action: "leave", Name: "s2"},
