--- a/cmd/lanewheel-fleet/bench_test.go
+++ b/cmd/lanewheel-fleet/bench_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"lanewheel/internal/standin"
+	"lanewheel/internal/fake"
 )
 
 // BenchmarkProxy asks one op after the other, straight at an instance and by a relay before two: what the relay adds to each, and the CPU that an
@@ -53,12 +53,12 @@
 	}
 	requests := 0
 	sendRequests := func(addr string, n int) (latencies []time.Duration) {
-		s := standin.Dial(addr)
+		s := fake.Dial(addr)
 		defer s.Close()
 		for i := range n {
 			requests++
 			began := time.Now()
-			s.Send(standin.NewRequest(i+1, "view", standin.RequestID(requests), []byte("x"), "kb", "1", "rank", "0.5"))
+			s.Send(fake.NewRequest(i+1, "view", fake.RequestID(requests), []byte("x"), "kb", "1", "rank", "0.5"))
 			if a, err := s.NextResponse(); err == nil && a.Error == "" {
 				latencies = append(latencies, time.Since(began))
 			}
--- a/cmd/lanewheel-fleet/main_test.go
+++ b/cmd/lanewheel-fleet/main_test.go
@@ -14,15 +14,15 @@
 	"testing"
 	"time"
 
+	"lanewheel/internal/fake"
 	"lanewheel/internal/fleet/gossip"
-	"lanewheel/internal/standin"
 )
 
 var binDir string
 
 // TestMain builds both programs, side by side, as they are deployed.
 func TestMain(m *testing.M) {
-	binDir = standin.Must(os.MkdirTemp("", "lanewheel-fleet"))
+	binDir = fake.Must(os.MkdirTemp("", "lanewheel-fleet"))
 	for _, name := range []string{"lanewheel", "lanewheel-fleet", "lanewheel-steward"} {
 		if out, err := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", filepath.Join(binDir, name), "../"+name).CombinedOutput(); err != nil {
 			panic(string(out))
@@ -51,11 +51,11 @@
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		panic(err)
 	}
-	runtime, database, roster := standin.NewRuntime(), standin.NewDatabase(), standin.NewRegistry()
+	runtime, database, roster := fake.NewRuntime(), fake.NewDatabase(), fake.NewRegistry()
 	database.AutoReply()
 	go func() {
 		for {
-			link := &standin.Runtime{Listener: runtime.Listener}
+			link := &fake.Runtime{Listener: runtime.Listener}
 			if !link.TryAccept() {
 				return
 			}
@@ -67,7 +67,7 @@
 	for _, seed := range seeds {
 		seedAddresses = append(seedAddresses, loopback(seed)+":7946")
 	}
-	settings := strings.NewReplacer("IDLE", "30", "FRESH", "0", `"dep-share":8,`, `"dep-share":8000,`).Replace(standin.Settings)
+	settings := strings.NewReplacer("IDLE", "30", "FRESH", "0", `"dep-share":8,`, `"dep-share":8000,`).Replace(fake.Settings)
 	config := fmt.Sprintf(`{"name":%q,"listen":"%s:8443","runtime":%q,"roster":%q,"db":%q,"seed":"1","stop_ms":1500,"limits":{"cores":1,"memory_mb":64,"sockets":128},"settings":%s}`,
 		name, loopback(host), runtime.Addr(), roster.Addr(), database.Addr(), settings)
 	n.operatorPath = filepath.Join(dir, "fleet.ini")
@@ -114,7 +114,7 @@
 
 // waitFor waits until a process holds another to be in a state.
 func (n *node) waitFor(other, state string) {
-	standin.WaitFor(n.name+" to hold "+other+" to be "+state, func() bool {
+	fake.WaitFor(n.name+" to hold "+other+" to be "+state, func() bool {
 		for _, member := range n.snapshot().Members {
 			if member.Name == other && member.State == state {
 				return true
@@ -134,7 +134,7 @@
 	b.waitFor("a", "up")
 	c := startNode("c", 3, "y", []int{1}, "")
 	defer c.stop(syscall.SIGKILL)
-	standin.WaitFor("a to refuse what it can't read", func() bool { return a.snapshot().Counters["gossip-not-our-key"] > 0 })
+	fake.WaitFor("a to refuse what it can't read", func() bool { return a.snapshot().Counters["gossip-not-our-key"] > 0 })
 	c.waitFor("", "unknown")
 	b.stop(syscall.SIGTERM)
 	a.waitFor("b", "gone")
@@ -171,7 +171,7 @@
 	_ = old.cmd.Process.Signal(syscall.SIGSTOP)
 	next := startNode("b", 13, "x", []int{11}, quick)
 	defer next.stop(syscall.SIGKILL)
-	standin.WaitFor("a to hold the later life to be up", func() bool {
+	fake.WaitFor("a to hold the later life to be up", func() bool {
 		for _, m := range a.snapshot().Members {
 			return m.State == "up" && m.Incarnation > began
 		}
@@ -180,7 +180,7 @@
 	_ = old.cmd.Process.Signal(syscall.SIGCONT)
 	select {
 	case <-old.exited:
-	case <-time.After(standin.WaitTimeout):
+	case <-time.After(fake.WaitTimeout):
 		panic("it stays: " + old.log.String())
 	}
 	fmt.Println(strings.Contains(old.log.String(), "msg=fenced name=b"), strings.Contains(old.log.String(), "msg=leaving"), old.cmd.ProcessState.ExitCode())
@@ -225,7 +225,7 @@
 
 // The address is taken, or the keys are missing: it does not start, and says why.
 func Example_refused() {
-	free := standin.Must(net.Listen("tcp", loopback(21)+":7946"))
+	free := fake.Must(net.Listen("tcp", loopback(21)+":7946"))
 	defer free.Close()
 	a := startNode("a", 21, "x", nil, "")
 	<-a.exited
--- a/cmd/lanewheel/bench_test.go
+++ b/cmd/lanewheel/bench_test.go
@@ -12,20 +12,20 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"lanewheel/internal/standin"
+	"lanewheel/internal/fake"
 )
 
 // cpuTime is the CPU that a process has used, in the kernel's ticks of 10 ms.
 func cpuTime(pid int) time.Duration {
-	text := string(standin.Must(os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))))
+	text := string(fake.Must(os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))))
 	f := strings.Fields(text[strings.LastIndexByte(text, ')')+2:])
-	return time.Duration(standin.Must(strconv.Atoi(f[11]))+standin.Must(strconv.Atoi(f[12]))) * 10 * time.Millisecond
+	return time.Duration(fake.Must(strconv.Atoi(f[11]))+fake.Must(strconv.Atoi(f[12]))) * 10 * time.Millisecond
 }
 
 // residentKB is what a process holds, in KB.
 func residentKB(pid int) int {
-	_, rest, _ := strings.Cut(string(standin.Must(os.ReadFile(fmt.Sprintf("/proc/%d/status", pid)))), "VmRSS:")
-	return standin.Must(strconv.Atoi(strings.Fields(rest)[0]))
+	_, rest, _ := strings.Cut(string(fake.Must(os.ReadFile(fmt.Sprintf("/proc/%d/status", pid)))), "VmRSS:")
+	return fake.Must(strconv.Atoi(strings.Fields(rest)[0]))
 }
 
 // endRunsAtOnce has the runtime end each run at once.
@@ -43,7 +43,7 @@
 var roomyConfig = []string{`"cpus":2`, `"cpus":64`, `"memory-kb":1900`, `"memory-kb":1900000`, `"sockets":64`, `"sockets":1024`}
 
 // sendRequests sends ops on connections, eight open on each, until count are answered, and gives how many were not acked.
-func sendRequests(dial func() *standin.Client, conns, count int, token string) int64 {
+func sendRequests(dial func() *fake.Client, conns, count int, token string) int64 {
 	var asked, other atomic.Int64
 	var all sync.WaitGroup
 	for k := range conns {
@@ -61,7 +61,7 @@
 					if token != "" {
 						more = append(more, "token", token)
 					}
-					s.Send(standin.NewRequest(n, "view", fmt.Sprintf("%08x%08x", k, n), []byte("body of some length"), more...))
+					s.Send(fake.NewRequest(n, "view", fmt.Sprintf("%08x%08x", k, n), []byte("body of some length"), more...))
 				}
 				if open == 0 {
 					return
@@ -87,7 +87,7 @@
 		b.Run(how, func(b *testing.B) {
 			var t *deployment
 			token := ""
-			dial := func() *standin.Client { return t.client() }
+			dial := func() *fake.Client { return t.client() }
 			if how == "plain" {
 				t = deployReady(roomyConfig...)
 			} else {
@@ -102,7 +102,7 @@
 				}
 				if how != "token" {
 					c := h.clientTLS("water-7")
-					dial = func() *standin.Client { return standin.Must(h.dialTLS(c)) }
+					dial = func() *fake.Client { return fake.Must(h.dialTLS(c)) }
 				}
 			}
 			defer t.close()
@@ -136,7 +136,7 @@
 			for range many {
 				s := h.client
 				if how == "tls" {
-					s = func() *standin.Client { return standin.Must(h.dialTLS(c)) }
+					s = func() *fake.Client { return fake.Must(h.dialTLS(c)) }
 				}
 				one := s()
 				one.CheckHealth()
@@ -172,7 +172,7 @@
 						s := h.deployment.client()
 						for range 8 { // as many as end a connection
 							n++
-							s.Send(standin.NewRequest(n, "view", fmt.Sprintf("%08x%08x", k+9, n), nil, "kb", "1",
+							s.Send(fake.NewRequest(n, "view", fmt.Sprintf("%08x%08x", k+9, n), nil, "kb", "1",
 								"token", fmt.Sprintf("%s%d%07d", good[:len(good)-8], k, n%10_000_000)))
 							if _, err := s.NextResponse(); err != nil {
 								break
@@ -191,7 +191,7 @@
 			for n := range b.N {
 				time.Sleep(time.Until(began.Add(time.Duration(n) * 5 * time.Millisecond)))
 				at := time.Now()
-				s.Send(standin.NewRequest(n+2, "view", fmt.Sprintf("%08x%08x", 1, n), nil, "kb", "1", "token", good))
+				s.Send(fake.NewRequest(n+2, "view", fmt.Sprintf("%08x%08x", 1, n), nil, "kb", "1", "token", good))
 				if a, err := s.NextResponse(); err != nil || a.Error != "" {
 					b.Fatal(a, err)
 				}
@@ -237,13 +237,13 @@
 					go func() {
 						defer all.Done()
 						defer t.close()
-						standin.WaitFor("listening", func() bool { return strings.Contains(t.log.text(), "listening") })
+						fake.WaitFor("listening", func() bool { return strings.Contains(t.log.text(), "listening") })
 						listens := time.Now()
 						t.runtime.Accept()
 						linked := time.Now()
 						s := t.client()
 						t.runtime.SendReady("steady")
-						standin.WaitFor("health", func() bool { return s.CheckHealth() })
+						fake.WaitFor("health", func() bool { return s.CheckHealth() })
 						ready := time.Now()
 						s.Close()
 						mu.Lock()
--- a/cmd/lanewheel/callers_test.go
+++ b/cmd/lanewheel/callers_test.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"lanewheel/internal/standin"
+	"lanewheel/internal/fake"
 )
 
 // authDeployment is a deployment that knows its callers, set up from nothing by the program's own commands.
@@ -82,7 +82,7 @@
 
 // deployWithAuth sets one up and has it serve; changes are pairs of text to replace in the operator's file.
 func deployWithAuth(changes ...string) *authDeployment {
-	h := &authDeployment{dir: standin.Must(os.MkdirTemp(tempDir, "house"))}
+	h := &authDeployment{dir: fake.Must(os.MkdirTemp(tempDir, "house"))}
 	authDeploymentCount++
 	h.tlsAddr = fmt.Sprintf("127.73.%d.%d:%d", os.Getpid()%250, authDeploymentCount, 9000+authDeploymentCount)
 	h.runCommand("keys", "new", "--private", h.path("private"), "--id", "k1")
@@ -100,7 +100,7 @@
 }
 
 // client gives a connection on which something was said: commands that take long do not make it a silent one.
-func (h *authDeployment) client() *standin.Client {
+func (h *authDeployment) client() *fake.Client {
 	s := h.deployment.client()
 	s.CheckHealth()
 	return s
@@ -110,7 +110,7 @@
 func (h *authDeployment) reloadAndWait() {
 	before := strings.Count(h.log.text(), "msg=operated")
 	h.sendHangup()
-	standin.WaitFor("the reload", func() bool { return strings.Count(h.log.text(), "msg=operated") > before })
+	fake.WaitFor("the reload", func() bool { return strings.Count(h.log.text(), "msg=operated") > before })
 	h.client().CheckHealth() // what was handed to the loop before is done
 }
 
@@ -122,25 +122,25 @@
 // clientTLS is a handheld's configuration with the certificate of that name, none if empty.
 func (h *authDeployment) clientTLS(name string) *tls.Config {
 	roots := x509.NewCertPool()
-	roots.AppendCertsFromPEM(standin.Must(os.ReadFile(h.path("ca/authority.pem"))))
+	roots.AppendCertsFromPEM(fake.Must(os.ReadFile(h.path("ca/authority.pem"))))
 	c := &tls.Config{RootCAs: roots, ServerName: "127.0.0.1", ClientSessionCache: tls.NewLRUClientSessionCache(8)}
 	if name != "" {
-		c.Certificates = []tls.Certificate{standin.Must(tls.LoadX509KeyPair(h.path(name+".pem"), h.path(name+".key")))}
+		c.Certificates = []tls.Certificate{fake.Must(tls.LoadX509KeyPair(h.path(name+".pem"), h.path(name+".key")))}
 	}
 	return c
 }
 
-func (h *authDeployment) dialTLS(c *tls.Config) (*standin.Client, error) {
+func (h *authDeployment) dialTLS(c *tls.Config) (*fake.Client, error) {
 	conn, err := tls.Dial("tcp", h.tlsAddr, c)
 	if err != nil {
 		return nil, err
 	}
-	return standin.NewClient(conn), nil
+	return fake.NewClient(conn), nil
 }
 
 // requestAnswer sends one op and gives its answer without what rides on it; the runtime ends it if it comes there.
-func (h *authDeployment) requestAnswer(s *standin.Client, n int, more ...string) string {
-	s.Send(standin.NewRequest(n, "view", standin.RequestID(n), nil, append([]string{"kb", "1", "cost", "1"}, more...)...))
+func (h *authDeployment) requestAnswer(s *fake.Client, n int, more ...string) string {
+	s.Send(fake.NewRequest(n, "view", fake.RequestID(n), nil, append([]string{"kb", "1", "cost", "1"}, more...)...))
 	answers := make(chan string, 1)
 	go func() {
 		a, err := s.NextResponse()
@@ -161,7 +161,7 @@
 			if line["t"] == "start" {
 				h.runtime.SendNotice("end", line["rid"].(string), "success", "done")
 			}
-		case <-time.After(standin.WaitTimeout):
+		case <-time.After(fake.WaitTimeout):
 			panic("no answer")
 		}
 	}
@@ -181,9 +181,9 @@
 	fmt.Println(h.requestAnswer(s, 6, "token", h.token("k1", "water-1", "--for=-1m")))
 	fmt.Println(h.requestAnswer(s, 7, "token", water[:len(water)-8]+"AAAAAAAA"))
 	fmt.Println(h.requestAnswer(s, 8, "token", water, "key", "k")) // a read
-	t := standin.Must(h.dialTLS(h.clientTLS("water-7")))
+	t := fake.Must(h.dialTLS(h.clientTLS("water-7")))
 	fmt.Println(h.requestAnswer(t, 9, "tenant", "water"), h.requestAnswer(t, 10, "tenant", "roads"))
-	t = standin.Must(h.dialTLS(h.clientTLS("")))
+	t = fake.Must(h.dialTLS(h.clientTLS("")))
 	fmt.Println(h.requestAnswer(t, 11, "token", water), h.requestAnswer(t, 12))
 	h.sendTerminate()
 	s.Close()
@@ -215,10 +215,10 @@
 	defer h.close()
 	s := h.client()
 	for i, subject := range []string{"water-1", "water-2", "roads-1"} {
-		s.Send(standin.NewRequest(i+1, "view", standin.RequestID(i+1), nil, "token", h.token("k1", subject), "key", "crew-9", "kb", "1"))
+		s.Send(fake.NewRequest(i+1, "view", fake.RequestID(i+1), nil, "token", h.token("k1", subject), "key", "crew-9", "kb", "1"))
 		if i != 1 {
 			fmt.Println(h.runtime.NextCommand())
-			h.runtime.SendNotice("end", standin.RequestID(i+1), "success", "for "+subject)
+			h.runtime.SendNotice("end", fake.RequestID(i+1), "success", "for "+subject)
 		}
 		fmt.Println(s.NextText())
 	}
@@ -269,22 +269,22 @@
 	defer h.close()
 	h.runCommand("cert", "issue", h.path("water-8"), "--authority", h.path("ca"), "--uri", "rota://water/8")
 	c := h.clientTLS("water-7")
-	s := standin.Must(h.dialTLS(c))
+	s := fake.Must(h.dialTLS(c))
 	fmt.Println(h.requestAnswer(s, 1))
-	again := standin.Must(h.dialTLS(c))
+	again := fake.Must(h.dialTLS(c))
 	fmt.Println("resumed", again.Conn.(*tls.Conn).ConnectionState().DidResume, h.requestAnswer(again, 2))
-	other := standin.Must(h.dialTLS(h.clientTLS("water-8")))
-	s.Send(standin.NewRequest(3, "view", standin.RequestID(3), nil, "kb", "1"))
+	other := fake.Must(h.dialTLS(h.clientTLS("water-8")))
+	s.Send(fake.NewRequest(3, "view", fake.RequestID(3), nil, "kb", "1"))
 	fmt.Println(h.runtime.NextCommand())
 	h.runCommand("cert", "revoke", h.path("water-7.pem"), "--authority", h.path("ca"))
 	h.reloadAndWait()
-	s.Send(standin.NewRequest(4, "view", standin.RequestID(4), nil, "kb", "1"))
+	s.Send(fake.NewRequest(4, "view", fake.RequestID(4), nil, "kb", "1"))
 	heard := []string{s.NextText(), s.NextText()} // the asking may come before the op or behind it
 	slices.Sort(heard)
 	fmt.Println(heard)
-	h.runtime.SendNotice("end", standin.RequestID(3), "success", "one")
+	h.runtime.SendNotice("end", fake.RequestID(3), "success", "one")
 	fmt.Println(s.NextText(), s.NextText())
-	standin.WaitFor("the end of the idle one", func() bool { return again.NextText() == "closed" })
+	fake.WaitFor("the end of the idle one", func() bool { return again.NextText() == "closed" })
 	fmt.Println(h.requestAnswer(other, 5), len(h.runtime.Messages))
 	for range 2 {
 		late, err := h.dialTLS(c)
@@ -310,29 +310,29 @@
 	h := deployWithAuth()
 	defer h.close()
 	s, water := h.client(), h.token("k1", "water-1")
-	standing := standin.Must(net.Dial("tcp", h.tlsAddr)) // a handshake that stands
+	standing := fake.Must(net.Dial("tcp", h.tlsAddr)) // a handshake that stands
 	defer standing.Close()
 	kept := func() int { return strings.Count(h.log.text(), "msg=configuration-kept") }
 	for _, file := range []string{"op.ini", "keys/k1.json", "server.pem", "ca/revoked.pem", "ca/authority.pem"} {
-		whole := standin.Must(os.ReadFile(h.path(file)))
+		whole := fake.Must(os.ReadFile(h.path(file)))
 		before := kept()
 		h.writeFile(file, string(whole[:len(whole)*2/3]))
 		h.sendHangup()
-		standin.WaitFor("the refusal of "+file, func() bool { return kept() > before })
+		fake.WaitFor("the refusal of "+file, func() bool { return kept() > before })
 		fmt.Println(h.requestAnswer(s, 1, "token", water))
 		before = strings.Count(h.log.text(), "msg=operated")
 		h.writeFile(file, string(whole))
 		h.sendHangup()
 		h.sendHangup()
-		standin.WaitFor("the reload", func() bool { return strings.Count(h.log.text(), "msg=operated") > before })
+		fake.WaitFor("the reload", func() bool { return strings.Count(h.log.text(), "msg=operated") > before })
 	}
 	h.writeFile("op.ini", strings.Replace(h.operatorFile, h.tlsAddr, "127.0.0.1:1", 1)) // holds from the next start
 	before := kept()
 	h.sendHangup()
-	standin.WaitFor("the refusal", func() bool { return kept() > before })
+	fake.WaitFor("the refusal", func() bool { return kept() > before })
 	h.writeFile("op.ini", strings.Replace(h.operatorFile, "roles = crew", "roles = slow", 1))
 	h.reloadAndWait()
-	s.Send(standin.NewRequest(2, "pay", standin.RequestID(2), nil, "token", water))
+	s.Send(fake.NewRequest(2, "pay", fake.RequestID(2), nil, "token", water))
 	fmt.Println(s.NextText())
 	h.sendTerminate()
 	h.writeFile("op.ini", h.operatorFile)
@@ -367,21 +367,21 @@
 		said["water "+h.requestAnswer(other, n+2, "token", water)]++
 	}
 	fmt.Println(said["slow done"] <= 2+11, said["slow done"] >= 8, said["slow Busy <nil>"] > 10, said["water done"]*2 == n)
-	s.Send(standin.NewRequest(9, "view", standin.RequestID(999999), nil, "token", slow), standin.NewRequest(10, "view", standin.RequestID(999998), nil, "token", slow),
-		standin.NewRequest(11, "view", standin.RequestID(999997), nil, "token", slow))
+	s.Send(fake.NewRequest(9, "view", fake.RequestID(999999), nil, "token", slow), fake.NewRequest(10, "view", fake.RequestID(999998), nil, "token", slow),
+		fake.NewRequest(11, "view", fake.RequestID(999997), nil, "token", slow))
 	heard := ""
 	for range 2 { // at most two of the three are let in
 		heard += s.NextText()
-		h.runtime.SendNotice("end", standin.RequestID(999999), "success", "x")
-		h.runtime.SendNotice("end", standin.RequestID(999998), "success", "x")
+		h.runtime.SendNotice("end", fake.RequestID(999999), "success", "x")
+		h.runtime.SendNotice("end", fake.RequestID(999998), "success", "x")
 	}
 	fmt.Println(strings.Contains(heard, `["Busy" map["after":`))
 	short := h.token("k1", "water-1", "--for", "1s")
 	s = h.client()
-	s.Send(standin.NewRequest(12, "view", standin.RequestID(12), nil, "token", short, "cost", "1500"))
-	standin.WaitFor("its start", func() bool { return strings.HasPrefix(h.runtime.NextCommand(), "start c ") })
-	standin.WaitFor("its expiry", func() bool { return h.requestAnswer(other, 13, "token", short) == "Denied expired" })
-	h.runtime.SendNotice("end", standin.RequestID(12), "success", "late")
+	s.Send(fake.NewRequest(12, "view", fake.RequestID(12), nil, "token", short, "cost", "1500"))
+	fake.WaitFor("its start", func() bool { return strings.HasPrefix(h.runtime.NextCommand(), "start c ") })
+	fake.WaitFor("its expiry", func() bool { return h.requestAnswer(other, 13, "token", short) == "Denied expired" })
+	h.runtime.SendNotice("end", fake.RequestID(12), "success", "late")
 	fmt.Println(s.NextText())
 	// Output:
 	// true true true true
@@ -395,23 +395,23 @@
 	defer h.close()
 	var stalled []net.Conn
 	for range 200 {
-		c := standin.Must(net.Dial("tcp", h.tlsAddr))
+		c := fake.Must(net.Dial("tcp", h.tlsAddr))
 		stalled = append(stalled, c)
 		_, _ = c.Write([]byte{0x16, 3, 1, 0, 200, 1})
 	}
 	began := time.Now()
-	s := standin.Must(h.dialTLS(h.clientTLS("water-7")))
+	s := fake.Must(h.dialTLS(h.clientTLS("water-7")))
 	fmt.Println(h.requestAnswer(s, 1), time.Since(began) < 4*time.Second)
 	for _, c := range stalled {
-		_ = c.SetReadDeadline(time.Now().Add(standin.WaitTimeout))
+		_ = c.SetReadDeadline(time.Now().Add(fake.WaitTimeout))
 		if _, err := c.Read(make([]byte, 64)); os.IsTimeout(err) {
 			panic("a handshake without end")
 		}
 		c.Close()
 	}
-	noise := standin.Must(net.Dial("tcp", h.tlsAddr))
+	noise := fake.Must(net.Dial("tcp", h.tlsAddr))
 	_, _ = noise.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
-	standin.WaitFor("its end", func() bool { return strings.Contains(h.log.text(), "code=handshake-failed") })
+	fake.WaitFor("its end", func() bool { return strings.Contains(h.log.text(), "code=handshake-failed") })
 	none, err := h.dialTLS(h.clientTLS(""))
 	if err == nil { // the client hears of the refusal with its first read
 		_, err = none.NextResponse()
@@ -429,7 +429,7 @@
 	h := deployWithAuth("clients = asked", "clients = asked\nhandshakes = 4\nhandshake-rate = 10000")
 	defer h.close()
 	held := func() (n int) {
-		for _, fd := range standin.Must(os.ReadDir(fmt.Sprintf("/proc/%d/fd", h.cmd.Process.Pid))) {
+		for _, fd := range fake.Must(os.ReadDir(fmt.Sprintf("/proc/%d/fd", h.cmd.Process.Pid))) {
 			if to, _ := os.Readlink(fmt.Sprintf("/proc/%d/fd/%s", h.cmd.Process.Pid, fd.Name())); strings.HasPrefix(to, "socket:") {
 				n++
 			}
@@ -438,7 +438,7 @@
 	}
 	before, most := held(), 0
 	for range 25 {
-		defer standin.Must(net.Dial("tcp", h.tlsAddr)).Close()
+		defer fake.Must(net.Dial("tcp", h.tlsAddr)).Close()
 	}
 	for end := time.Now().Add(500 * time.Millisecond); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		most = max(most, held()-before)
@@ -455,17 +455,17 @@
 	fresh := func() string { return h.token("k1", "water-1") }
 	one, two, three := fresh(), fresh(), fresh()
 	s, closed := h.client(), h.client()
-	s.Send(standin.NewRequest(2, "view", standin.RequestID(1), nil, "token", one, "kb", "1"), []any{2, "interrupt", []any{2}})
-	closed.Send(standin.NewRequest(2, "view", standin.RequestID(2), nil, "token", two, "kb", "1"))
+	s.Send(fake.NewRequest(2, "view", fake.RequestID(1), nil, "token", one, "kb", "1"), []any{2, "interrupt", []any{2}})
+	closed.Send(fake.NewRequest(2, "view", fake.RequestID(2), nil, "token", two, "kb", "1"))
 	closed.Close()
-	standin.WaitFor("the end of it", func() bool { return strings.Contains(h.log.text(), "code=peer-closed") })
-	s.Send(standin.NewRequest(3, "view", standin.RequestID(3), nil, "token", three, "kb", "1"))
+	fake.WaitFor("the end of it", func() bool { return strings.Contains(h.log.text(), "code=peer-closed") })
+	s.Send(fake.NewRequest(3, "view", fake.RequestID(3), nil, "token", three, "kb", "1"))
 	heard := h.runtime.NextCommand()
 	for strings.HasPrefix(heard, "start 2 ") || strings.HasPrefix(heard, "stop 2") { // its check was over before the close came
 		heard = h.runtime.NextCommand()
 	}
 	fmt.Println(heard)
-	h.runtime.SendNotice("end", standin.RequestID(3), "success", "three")
+	h.runtime.SendNotice("end", fake.RequestID(3), "success", "three")
 	fmt.Println(s.NextText())
 	// Output:
 	// start 3 route view body ""
@@ -514,9 +514,9 @@
 	t := deployReady()
 	defer t.close()
 	s := t.client()
-	s.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil, "token", strings.Repeat("x", 3000)))
+	s.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil, "token", strings.Repeat("x", 3000)))
 	fmt.Println(t.runtime.NextCommand())
-	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
 	fmt.Println(s.NextText())
 	// Output:
 	// start 1 route view body ""
--- a/cmd/lanewheel/crossings_test.go
+++ b/cmd/lanewheel/crossings_test.go
@@ -12,12 +12,12 @@
 
 	"golang.org/x/sys/unix"
 
-	"lanewheel/internal/standin"
+	"lanewheel/internal/fake"
 )
 
 // Notices of both kinds while the configuration is still being read: none ends the program, and the one to leave is not lost among the others.
 func Example_noticesBeforeTheConfiguration() {
-	t := &deployment{log: &logBuffer{}, exited: make(chan struct{}), runtime: standin.NewRuntime(), database: standin.NewDatabase(), registry: standin.NewRegistry()}
+	t := &deployment{log: &logBuffer{}, exited: make(chan struct{}), runtime: fake.NewRuntime(), database: fake.NewDatabase(), registry: fake.NewRegistry()}
 	defer t.close()
 	other := deployReady()
 	text := other.config
@@ -28,10 +28,10 @@
 	}
 	t.run()
 	// Opened once the program has opened it too, which then waits for what stands in it.
-	pipe := standin.Must(os.OpenFile(t.configPath, os.O_WRONLY, 0))
+	pipe := fake.Must(os.OpenFile(t.configPath, os.O_WRONLY, 0))
 	for range 100 {
 		t.sendHangup()
-		standin.WaitFor("the notice is taken", func() bool { return !signalPending(t.cmd.Process.Pid) })
+		fake.WaitFor("the notice is taken", func() bool { return !signalPending(t.cmd.Process.Pid) })
 	}
 	t.sendTerminate()
 	fmt.Fprint(pipe, text)
@@ -44,7 +44,7 @@
 
 // signalPending tells whether a signal that was sent to the process has not been delivered.
 func signalPending(pid int) bool {
-	for _, line := range strings.Split(string(standin.Must(os.ReadFile(fmt.Sprintf("/proc/%d/status", pid)))), "\n") {
+	for _, line := range strings.Split(string(fake.Must(os.ReadFile(fmt.Sprintf("/proc/%d/status", pid)))), "\n") {
 		if mask, is := strings.CutPrefix(line, "ShdPnd:"); is {
 			return strings.Trim(mask, "\t0") != ""
 		}
@@ -56,16 +56,16 @@
 func Example_backlogAtTheEnd() {
 	t := deployReady()
 	defer t.close()
-	var busy, waiting []*standin.Client
+	var busy, waiting []*fake.Client
 	for i := range 32 { // of 64 descriptors, as many as may be connected; none can be let go, as an op is open on each
 		s := t.client()
-		s.Send(standin.NewRequest(1, "pay", standin.RequestID(i), nil, "kb", "1"))
+		s.Send(fake.NewRequest(1, "pay", fake.RequestID(i), nil, "kb", "1"))
 		busy = append(busy, s)
 	}
-	standin.WaitFor("all are in", func() bool { return t.runtime.NextCommand() != "" && len(busy) == 32 })
+	fake.WaitFor("all are in", func() bool { return t.runtime.NextCommand() != "" && len(busy) == 32 })
 	for i := range 8 {
 		s := t.client()
-		s.Send(standin.NewRequest(1, "pay", standin.RequestID(100+i), nil, "kb", "1"))
+		s.Send(fake.NewRequest(1, "pay", fake.RequestID(100+i), nil, "kb", "1"))
 		waiting = append(waiting, s)
 	}
 	t.sendTerminate()
@@ -96,9 +96,9 @@
 		t := deployReady(`"stop_ms":1500`, `"stop_ms":`+stop)
 		s, rests := t.client(), t.client()
 		fmt.Print(stop, " ", rests.CheckHealth())
-		s.Send(standin.NewRequest(1, "pay", standin.RequestID(1), nil))
+		s.Send(fake.NewRequest(1, "pay", fake.RequestID(1), nil))
 		t.runtime.NextCommand()
-		half := standin.Encode(nil, standin.NewRequest(2, "view", standin.RequestID(2), nil))
+		half := fake.Encode(nil, fake.NewRequest(2, "view", fake.RequestID(2), nil))
 		rests.Conn.Write(half[:len(half)/2])
 		later := t.client()
 		fmt.Print(" ", later.CheckHealth()) // what came before it is read too
@@ -131,25 +131,25 @@
 	defer t.close()
 	t.writeConfig(strings.Replace(t.config, t.database.Addr(), hole, 1))
 	t.sendHangup()
-	standin.WaitFor("the move", func() bool { return strings.Contains(t.log.text(), "db="+hole) })
+	fake.WaitFor("the move", func() bool { return strings.Contains(t.log.text(), "db="+hole) })
 	s := t.client()
 	for i := range 12 {
-		s.Send(standin.NewRequest(i, "pay", standin.RequestID(i), nil, "kb", "1"))
+		s.Send(fake.NewRequest(i, "pay", fake.RequestID(i), nil, "kb", "1"))
 		t.runtime.NextCommand()
-		t.runtime.SendNotice("wants", standin.RequestID(i), "", "ask")
+		t.runtime.SendNotice("wants", fake.RequestID(i), "", "ask")
 	}
 	for i := range 11 { // all but the last are over
 		s.Send([]any{2, "interrupt", []any{i}})
 	}
 	fmt.Println(s.CheckHealth())
 	for i := range 11 {
-		t.runtime.SendNotice("end", standin.RequestID(i), "interrupted", "")
+		t.runtime.SendNotice("end", fake.RequestID(i), "interrupted", "")
 	}
-	s.Send(standin.NewRequest(12, "view", standin.RequestID(12), nil, "kb", "1"))
+	s.Send(fake.NewRequest(12, "view", fake.RequestID(12), nil, "kb", "1"))
 	for heard := ""; heard != `start c route view body ""`; {
 		heard = t.runtime.NextCommand()
 	}
-	t.runtime.SendNotice("end", standin.RequestID(12), "success", "all read")
+	t.runtime.SendNotice("end", fake.RequestID(12), "success", "all read")
 	fmt.Println(s.NextText())
 	t.writeConfig(strings.Replace(t.config, hole, t.database.Addr(), 1))
 	t.sendHangup()
@@ -159,7 +159,7 @@
 	for heard := ""; !strings.HasPrefix(heard, "give"); {
 		heard = t.runtime.NextCommand()
 	}
-	t.runtime.SendNotice("end", standin.RequestID(11), "success", "one")
+	t.runtime.SendNotice("end", fake.RequestID(11), "success", "one")
 	fmt.Println(s.NextText())
 	// Output:
 	// true
@@ -170,12 +170,12 @@
 
 // blackHoleAddr gives an address whose queue is full: what knocks there hears nothing.
 func blackHoleAddr() (addr string, fd int) {
-	fd = standin.Must(unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0))
+	fd = fake.Must(unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0))
 	err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
 	if err == nil {
 		err = unix.Listen(fd, 0)
 	}
-	at := standin.Must(unix.Getsockname(fd))
+	at := fake.Must(unix.Getsockname(fd))
 	if err != nil {
 		panic(err)
 	}
@@ -196,23 +196,23 @@
 	t.runtime.Accept()
 	t.runtime.SendReady("steady")
 	c := t.client()
-	standin.WaitFor("health", func() bool { return c.CheckHealth() })
-	conn := standin.Must(net.ListenPacket("udp", addr)) // back
+	fake.WaitFor("health", func() bool { return c.CheckHealth() })
+	conn := fake.Must(net.ListenPacket("udp", addr)) // back
 	b := make([]byte, 100)
 	hear := func() string {
-		_ = conn.SetReadDeadline(time.Now().Add(standin.WaitTimeout))
+		_ = conn.SetReadDeadline(time.Now().Add(fake.WaitTimeout))
 		n, _, err := conn.ReadFrom(b)
-		return string(b[:standin.Must(n, err)])
+		return string(b[:fake.Must(n, err)])
 	}
 	fmt.Println(hear(), "|", hear())
-	t.registry = standin.NewRegistry()
+	t.registry = fake.NewRegistry()
 	t.writeConfig(strings.Replace(t.config, addr, t.registry.Addr(), 1))
 	t.sendHangup()
 	fmt.Println(t.registry.NextReport())
 	conn.Close()
 	t.sendTerminate()
 	off := 0
-	standin.WaitFor("the list hears that it goes, more than once", func() bool {
+	fake.WaitFor("the list hears that it goes, more than once", func() bool {
 		if t.registry.NextReport() == "HERE n1 off" {
 			off++
 		}
@@ -248,9 +248,9 @@
 	defer t.close()
 	s := t.client()
 	ask := func(n int) {
-		s.Send(standin.NewRequest(n, "view", standin.RequestID(n), nil))
+		s.Send(fake.NewRequest(n, "view", fake.RequestID(n), nil))
 		t.runtime.NextCommand()
-		t.runtime.SendNotice("end", standin.RequestID(n), "success", "one")
+		t.runtime.SendNotice("end", fake.RequestID(n), "success", "one")
 		fmt.Println(s.NextText())
 	}
 	ask(1)
@@ -274,7 +274,7 @@
 	defer t.close()
 	s := t.client()
 	read := func(n int) []any {
-		return standin.NewRequest(n, "view", standin.RequestID(n), nil, "key", "k", "kb", "1")
+		return fake.NewRequest(n, "view", fake.RequestID(n), nil, "key", "k", "kb", "1")
 	}
 	s.Send(read(1))
 	fmt.Println(t.runtime.NextCommand())
@@ -283,9 +283,9 @@
 	fmt.Println(t.runtime.NextCommand())
 	s.Send(read(3))
 	fmt.Println(t.runtime.NextCommand())
-	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
 	fmt.Println(s.NextText())
-	t.runtime.SendNotice("end", standin.RequestID(3), "success", "three")
+	t.runtime.SendNotice("end", fake.RequestID(3), "success", "three")
 	fmt.Println(s.NextText())
 	s.Send(read(4))
 	fmt.Println(s.NextText())
@@ -305,14 +305,14 @@
 	defer t.close()
 	s := t.client()
 	call := func(n int, says string) []any {
-		return standin.NewRequest(n, "view", standin.RequestID(n), []byte(says), "key", "k", "kb", "1")
+		return fake.NewRequest(n, "view", fake.RequestID(n), []byte(says), "key", "k", "kb", "1")
 	}
 	s.Send(call(1, "lamps"), call(2, "poles"))
 	fmt.Println(t.runtime.NextCommand())
 	fmt.Println(t.runtime.NextCommand())
 	s.Send(call(3, "lamps"))
-	t.runtime.SendNotice("end", standin.RequestID(1), "success", "of lamps")
-	t.runtime.SendNotice("end", standin.RequestID(2), "success", "of poles")
+	t.runtime.SendNotice("end", fake.RequestID(1), "success", "of lamps")
+	t.runtime.SendNotice("end", fake.RequestID(2), "success", "of poles")
 	answers := []string{s.NextText(), s.NextText(), s.NextText()}
 	slices.Sort(answers)
 	fmt.Println(strings.Join(answers, "\n"))
@@ -331,14 +331,14 @@
 	defer t.close()
 	s := t.client()
 	read := func(n int, kind, tenant string) []any {
-		return standin.NewRequest(n, kind, standin.RequestID(n), nil, "key", "k", "tenant", tenant, "kb", "1")
+		return fake.NewRequest(n, kind, fake.RequestID(n), nil, "key", "k", "tenant", tenant, "kb", "1")
 	}
 	s.Send(read(1, "view", "water"), read(2, "view", "water"))
 	fmt.Println(t.runtime.NextCommand())
 	for n := 3; n < 30; n++ { // the end and repeats cross, in any order
 		s.Send(read(n, "view", "water"))
 		if n == 15 {
-			t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+			t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
 		}
 	}
 	answers := map[string]int{}
@@ -352,18 +352,18 @@
 	fmt.Println(t.runtime.NextCommand())
 	s.Send(read(62, "view", "roads"), read(63, "pay", "roads"))
 	fmt.Println(t.runtime.NextCommand())
-	t.runtime.SendNotice("end", standin.RequestID(60), "failure", "")
+	t.runtime.SendNotice("end", fake.RequestID(60), "failure", "")
 	fmt.Println(s.NextText(), s.NextText())
-	t.runtime.SendNotice("end", standin.RequestID(61), "success", "three")
-	t.runtime.SendNotice("end", standin.RequestID(63), "success", "four")
+	t.runtime.SendNotice("end", fake.RequestID(61), "success", "three")
+	t.runtime.SendNotice("end", fake.RequestID(63), "success", "four")
 	fmt.Println(s.NextText(), s.NextText())
 	s.Send(read(64, "view", "roads"))
 	fmt.Println(t.runtime.NextCommand())
-	t.runtime.SendNotice("end", standin.RequestID(64), "success", "two")
+	t.runtime.SendNotice("end", fake.RequestID(64), "success", "two")
 	fmt.Println(s.NextText())
 	// Past the told time the result is nobody's: some repeat runs.
 	n := 65
-	standin.WaitFor("the end of its time", func() bool {
+	fake.WaitFor("the end of its time", func() bool {
 		s.Send(read(n, "view", "roads"))
 		n++
 		select {
@@ -393,9 +393,9 @@
 	for _, told := range []string{``, `"give-up-s":0,`, `"give-up-s":3e9,`, `"give-up-s":1e300,`} {
 		t := deployReady(`{"name":"view","credit":1,"promise-s":1,"give-up-s":3,`, `{"name":"view","credit":1,`+told)
 		s := t.client()
-		s.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil))
+		s.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil))
 		fmt.Print(t.runtime.NextCommand(), " ")
-		t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+		t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
 		fmt.Println(s.NextText())
 		t.close()
 	}
@@ -413,7 +413,7 @@
 	defer t.close()
 	s, other := t.client(), t.client()
 	try := func(n int, kind, body string) []any {
-		return standin.NewRequest(n, kind, standin.RequestID(n), []byte(body), "kb", "1")
+		return fake.NewRequest(n, kind, fake.RequestID(n), []byte(body), "kb", "1")
 	}
 	s.Send(try(1, "pay", "x"))
 	fmt.Println(t.runtime.NextCommand())
@@ -423,11 +423,11 @@
 	s.Send(try(4, "view", "x"))
 	fmt.Println(t.runtime.NextCommand())
 	fmt.Println(other.CheckHealth())
-	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
 	fmt.Println(s.NextText(), other.NextText())
 	other.Send(try(5, "pay", "x"))
 	fmt.Println(other.NextText())
-	t.runtime.SendNotice("end", standin.RequestID(3), "failure", "")
+	t.runtime.SendNotice("end", fake.RequestID(3), "failure", "")
 	fmt.Println(s.NextText())
 	other.Send(try(6, "pay", "y"))
 	fmt.Println(other.NextText())
@@ -451,14 +451,14 @@
 	t := deployReady()
 	defer t.close()
 	s := t.client()
-	s.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil))
+	s.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil))
 	fmt.Println(t.runtime.NextCommand())
 	t.sendTerminate()
-	standin.WaitFor("the notice", func() bool { return strings.Contains(t.log.text(), "msg=leaving") })
+	fake.WaitFor("the notice", func() bool { return strings.Contains(t.log.text(), "msg=leaving") })
 	whole := t.config
 	t.writeConfig("{")
 	t.sendHangup()
-	standin.WaitFor("the wrong file", func() bool { return strings.Contains(t.log.text(), "msg=configuration-kept") })
+	fake.WaitFor("the wrong file", func() bool { return strings.Contains(t.log.text(), "msg=configuration-kept") })
 	t.config = whole
 	t.writeConfig(t.movedConfig())
 	t.sendHangup()
@@ -466,14 +466,14 @@
 	t.runtime.SendReady("steady")
 	fmt.Println(t.registry.NextReport())
 	t.runtime.LastNotice = 0
-	t.runtime.SendNotice("wants", standin.RequestID(1), "", "ask")
+	t.runtime.SendNotice("wants", fake.RequestID(1), "", "ask")
 	t.database.NextCall().Reply("200 OK", "", "rows")
 	heard := t.runtime.NextCommand()
 	if strings.HasPrefix(heard, "start 1 ") { // said again on the new link, as it may have been lost on the old one
 		heard = t.runtime.NextCommand()
 	}
 	fmt.Println(heard)
-	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
 	fmt.Println(s.NextText())
 	fmt.Println(s.NextText())
 	s.Close()
@@ -494,12 +494,12 @@
 func Example_killedBehindAccept() {
 	t := deployReady()
 	defer t.close()
-	runs, queued := t.client(), (*standin.Client)(nil)
-	runs.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil))
+	runs, queued := t.client(), (*fake.Client)(nil)
+	runs.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil))
 	fmt.Println(t.runtime.NextCommand())
 	_ = t.cmd.Process.Signal(syscall.SIGSTOP) // the kernel accepts for it
 	queued = t.client()
-	queued.Send(standin.NewRequest(2, "view", standin.RequestID(2), nil))
+	queued.Send(fake.NewRequest(2, "view", fake.RequestID(2), nil))
 	_ = t.cmd.Process.Kill()
 	<-t.exited
 	fmt.Println(runs.NextText(), strings.HasSuffix(queued.NextText(), "connection reset by peer")) // over the bytes that it never read
@@ -509,8 +509,8 @@
 	t.runtime.Accept()
 	t.runtime.SendReady("booting")
 	s := t.client()
-	standin.WaitFor("health", func() bool { return s.CheckHealth() })
-	s.Send(standin.NewRequest(1, "view", standin.RequestID(3), nil))
+	fake.WaitFor("health", func() bool { return s.CheckHealth() })
+	s.Send(fake.NewRequest(1, "view", fake.RequestID(3), nil))
 	fmt.Println(t.runtime.NextCommand())
 	// Output:
 	// start 1 route view body ""
--- a/cmd/lanewheel/deployed_test.go
+++ b/cmd/lanewheel/deployed_test.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"lanewheel/internal/standin"
+	"lanewheel/internal/fake"
 )
 
 // The deployed line alone, as the platform starts it: what it opens is what it speaks with, and nothing that is off adds a socket, a
@@ -25,7 +25,7 @@
 	// Danger: a file that whoever runs the tests left open goes through them to every program they start, under its number; that one is
 	// not the program's.
 	given := map[string]string{}
-	for _, fd := range standin.Must(os.ReadDir("/proc/self/fd")) {
+	for _, fd := range fake.Must(os.ReadDir("/proc/self/fd")) {
 		n, _ := strconv.Atoi(fd.Name())
 		flags, _, errno := syscall.Syscall(syscall.SYS_FCNTL, uintptr(n), syscall.F_GETFD, 0)
 		if to, err := os.Readlink("/proc/self/fd/" + fd.Name()); n > 2 && err == nil && errno == 0 && flags&syscall.FD_CLOEXEC == 0 {
@@ -34,7 +34,7 @@
 	}
 	open := func() []string {
 		kinds := map[string]int{}
-		for _, fd := range standin.Must(os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))) {
+		for _, fd := range fake.Must(os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))) {
 			to, err := os.Readlink(fmt.Sprintf("/proc/%d/fd/%s", pid, fd.Name()))
 			if err != nil || given[fd.Name()] == to {
 				continue
@@ -53,13 +53,13 @@
 	}
 	want := []string{"anon_inode 4", "pipe 2", "socket 3"}
 	last := open()
-	for end := time.Now().Add(standin.WaitTimeout); !slices.Equal(last, want) && time.Now().Before(end); last = open() {
+	for end := time.Now().Add(fake.WaitTimeout); !slices.Equal(last, want) && time.Now().Before(end); last = open() {
 		time.Sleep(time.Millisecond)
 	}
 	fmt.Println(last)
-	threads := standin.Must(os.ReadDir(fmt.Sprintf("/proc/%d/task", pid)))
+	threads := fake.Must(os.ReadDir(fmt.Sprintf("/proc/%d/task", pid)))
 	fmt.Println("threads:", len(threads) <= 9)
-	maps := string(standin.Must(os.ReadFile(fmt.Sprintf("/proc/%d/maps", pid))))
+	maps := string(fake.Must(os.ReadFile(fmt.Sprintf("/proc/%d/maps", pid))))
 	mapped := map[string]bool{}
 	for _, line := range strings.Split(maps, "\n") {
 		if f := strings.Fields(line); len(f) > 5 && strings.HasPrefix(f[5], "/") {
@@ -79,7 +79,7 @@
 // The deploy file's list of what the instance is made of names all that it links, less the decisions, and nothing else.
 func Example_nodeList() {
 	var linked []string
-	for _, path := range strings.Fields(string(standin.Must(exec.Command("go", "list", "-deps", ".").Output()))) {
+	for _, path := range strings.Fields(string(fake.Must(exec.Command("go", "list", "-deps", ".").Output()))) {
 		if folder, ours := strings.CutPrefix(path, "lanewheel/"); ours && folder != "choice" {
 			linked = append(linked, strconv.Quote(folder))
 		}
--- a/cmd/lanewheel/helper_test.go
+++ b/cmd/lanewheel/helper_test.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"lanewheel/internal/standin"
+	"lanewheel/internal/fake"
 )
 
 // deployment is one instance, as its own process, among stand-ins for all that it speaks to.
@@ -24,9 +24,9 @@
 	listenAddr string
 	configPath string // of its configuration
 	config     string
-	runtime    *standin.Runtime
-	database   *standin.Database
-	registry   *standin.Registry
+	runtime    *fake.Runtime
+	database   *fake.Database
+	registry   *fake.Registry
 }
 
 // logBuffer gathers what the program logs.
@@ -56,7 +56,7 @@
 
 // buildProgram makes the program once for all tests.
 func buildProgram() {
-	tempDir = standin.Must(os.MkdirTemp("", "lanewheel"))
+	tempDir = fake.Must(os.MkdirTemp("", "lanewheel"))
 	binaryPath = filepath.Join(tempDir, "lanewheel")
 	args := append(append([]string{"build"}, deployWords("build", "go build ", " -o ")...), "-o", binaryPath)
 	info, _ := debug.ReadBuildInfo()
@@ -72,7 +72,7 @@
 
 // deployWords gives the words that stand between two others in a line of the deploy file, so that the tests run what is deployed.
 func deployWords(line, after, before string) []string {
-	for _, text := range strings.Split(string(standin.Must(os.ReadFile("../../deploy/balancer.toml"))), "\n") {
+	for _, text := range strings.Split(string(fake.Must(os.ReadFile("../../deploy/balancer.toml"))), "\n") {
 		if rest, is := strings.CutPrefix(text, line+" = "); is {
 			_, rest, _ = strings.Cut(strings.Trim(rest, `"`), after)
 			rest, _, _ = strings.Cut(rest, before)
@@ -84,17 +84,17 @@
 
 // deploy starts a town whose runtime is not up yet; changes are pairs of text to replace in the configuration.
 func deploy(changes ...string) *deployment {
-	t := &deployment{log: &logBuffer{}, exited: make(chan struct{}), runtime: standin.NewRuntime(), database: standin.NewDatabase()}
-	t.registry = standin.NewRegistry()
+	t := &deployment{log: &logBuffer{}, exited: make(chan struct{}), runtime: fake.NewRuntime(), database: fake.NewDatabase()}
+	t.registry = fake.NewRegistry()
 	// Danger: a free port that is given back is taken by a connection of another test. Each town listens on a
 	// loopback address of its own, where nobody else binds.
 	deploymentCount++
-	free := standin.Must(net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 71+deploymentCount/250, os.Getpid()%250, 1+deploymentCount%250)))
+	free := fake.Must(net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 71+deploymentCount/250, os.Getpid()%250, 1+deploymentCount%250)))
 	t.listenAddr = free.Addr().String()
 	free.Close()
 	text := fmt.Sprintf(`{"name":"n1","listen":%q,"runtime":%q,"roster":%q,"db":%q,"seed":"8c1f30d27a5be964","stop_ms":1500,
  "limits":{"cores":1,"memory_mb":192,"sockets":64},"settings":%s}`,
-		t.listenAddr, t.runtime.Addr(), t.registry.Addr(), t.database.Addr(), standin.Settings)
+		t.listenAddr, t.runtime.Addr(), t.registry.Addr(), t.database.Addr(), fake.Settings)
 	text = strings.NewReplacer(append(changes, "IDLE", "30", "FRESH", "0")...).Replace(text)
 	t.start(text)
 	return t
@@ -137,7 +137,7 @@
 
 // movedConfig gives the configuration with new stand-ins for the runtime, the database and the roster.
 func (t *deployment) movedConfig() string {
-	rt, db, roster := standin.NewRuntime(), standin.NewDatabase(), standin.NewRegistry()
+	rt, db, roster := fake.NewRuntime(), fake.NewDatabase(), fake.NewRegistry()
 	text := strings.NewReplacer(t.runtime.Addr(), rt.Addr(), t.database.Addr(), db.Addr(),
 		t.registry.Addr(), roster.Addr()).Replace(t.config)
 	t.runtime.Listener.Close()
@@ -155,7 +155,7 @@
 	t.runtime.Accept()
 	t.runtime.SendReady("steady")
 	c := t.client()
-	standin.WaitFor("health", func() bool { return c.CheckHealth() })
+	fake.WaitFor("health", func() bool { return c.CheckHealth() })
 	c.Close()
 	return t
 }
@@ -175,7 +175,7 @@
 func (t *deployment) waitExit() (int, string) {
 	select {
 	case <-t.exited:
-	case <-time.After(standin.WaitTimeout):
+	case <-time.After(fake.WaitTimeout):
 		panic("the program runs on")
 	}
 	var lines []string
@@ -189,4 +189,4 @@
 
 func (t *deployment) sendTerminate() { _ = t.cmd.Process.Signal(syscall.SIGTERM) }
 
-func (t *deployment) client() *standin.Client { return standin.Dial(t.listenAddr) }
+func (t *deployment) client() *fake.Client { return fake.Dial(t.listenAddr) }
--- a/cmd/lanewheel/main_test.go
+++ b/cmd/lanewheel/main_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"lanewheel/internal/standin"
+	"lanewheel/internal/fake"
 )
 
 func TestMain(m *testing.M) {
@@ -26,18 +26,18 @@
 	t := deployReady()
 	defer t.close()
 	s := t.client()
-	s.Send(standin.NewRequest(7, "view", standin.RequestID(1), []byte("a\xff")))
+	s.Send(fake.NewRequest(7, "view", fake.RequestID(1), []byte("a\xff")))
 	fmt.Println(t.runtime.NextCommand())
-	t.runtime.SendNotice("wants", standin.RequestID(1), "", "ask")
+	t.runtime.SendNotice("wants", fake.RequestID(1), "", "ask")
 	call := t.database.NextCall()
 	fmt.Println(call.Text)
 	call.Reply("200 OK", "", "rows")
 	fmt.Println(t.runtime.NextCommand())
-	t.runtime.SendNotice("end", standin.RequestID(1), "success", "res\xff")
+	t.runtime.SendNotice("end", fake.RequestID(1), "success", "res\xff")
 	fmt.Println(s.NextText())
-	s.Send(standin.NewRequest(8, "pay", standin.RequestID(2), nil))
+	s.Send(fake.NewRequest(8, "pay", fake.RequestID(2), nil))
 	fmt.Println(t.runtime.NextCommand())
-	t.runtime.SendNotice("end", standin.RequestID(2), "failure", "")
+	t.runtime.SendNotice("end", fake.RequestID(2), "failure", "")
 	fmt.Println(s.NextText())
 	// Output:
 	// start 1 route view body "a\xff"
@@ -59,15 +59,15 @@
 	t.runtime.SendReady("steady")
 	answerFence(t)
 	s := t.client()
-	s.Send(standin.NewRequest(3, "view", standin.RequestID(3), nil, "kb", "1999"))
+	s.Send(fake.NewRequest(3, "view", fake.RequestID(3), nil, "kb", "1999"))
 	fmt.Println(s.NextText())
-	s.Send(standin.NewRequest(4, "pay", standin.RequestID(4), nil, "wait", "300"))
+	s.Send(fake.NewRequest(4, "pay", fake.RequestID(4), nil, "wait", "300"))
 	began := time.Now()
 	fmt.Println(t.runtime.NextCommand())
 	fmt.Println(s.NextText())
 	fmt.Println("in time:", time.Since(began) < 350*time.Millisecond)
 	fmt.Println(t.runtime.NextCommand())
-	t.runtime.SendNotice("end", standin.RequestID(4), "interrupted", "")
+	t.runtime.SendNotice("end", fake.RequestID(4), "interrupted", "")
 	s.Send([]any{0, 9, "check", []any{map[string]string{}}})
 	fmt.Println(s.NextText()[:20]) // the check's answer, no second one of the op; unwell, as a run hung
 	// Output:
@@ -91,18 +91,18 @@
 	t := deployReady()
 	defer t.close()
 	s := t.client()
-	for i, how := range []func(c *standin.Call){
-		func(c *standin.Call) { c.Reply("500 Failed", "", "") },
-		func(c *standin.Call) { c.Reply("504 Late", "", "") },
-		func(c *standin.Call) { c.Conn.Close() },
-		func(c *standin.Call) { fmt.Fprint(c.Conn, "what?") },
-		func(c *standin.Call) { c.Reply("503 Full", "Never-Started: 1\r\n", "") },
-		func(c *standin.Call) { c.Reply("409 None", "Never-Started: 1\r\n", "") },
+	for i, how := range []func(c *fake.Call){
+		func(c *fake.Call) { c.Reply("500 Failed", "", "") },
+		func(c *fake.Call) { c.Reply("504 Late", "", "") },
+		func(c *fake.Call) { c.Conn.Close() },
+		func(c *fake.Call) { fmt.Fprint(c.Conn, "what?") },
+		func(c *fake.Call) { c.Reply("503 Full", "Never-Started: 1\r\n", "") },
+		func(c *fake.Call) { c.Reply("409 None", "Never-Started: 1\r\n", "") },
 	} {
 		n := i + 1
-		s.Send(standin.NewRequest(n, "pay", standin.RequestID(n), nil))
+		s.Send(fake.NewRequest(n, "pay", fake.RequestID(n), nil))
 		t.runtime.NextCommand()
-		t.runtime.SendNotice("wants", standin.RequestID(n), "", "ask")
+		t.runtime.SendNotice("wants", fake.RequestID(n), "", "ask")
 		how(t.database.NextCall())
 		if i < 4 {
 			fmt.Println(s.NextText())
@@ -110,15 +110,15 @@
 			fmt.Println(t.database.NextCall().Text)
 			s.Send([]any{2, "interrupt", []any{n}})
 		}
-		t.runtime.SendNotice("end", standin.RequestID(n), "interrupted", "")
+		t.runtime.SendNotice("end", fake.RequestID(n), "interrupted", "")
 	}
 	// each has its own connection, and the run's end gives its call up
-	standin.WaitFor("the end of all connections", func() bool { return len(t.database.ConnectionsEnded) == 8 })
+	fake.WaitFor("the end of all connections", func() bool { return len(t.database.ConnectionsEnded) == 8 })
 	// refused: it never ran, and this type can do without
 	t.database.Listener.Close()
-	s.Send(standin.NewRequest(9, "list", standin.RequestID(9), nil))
+	s.Send(fake.NewRequest(9, "list", fake.RequestID(9), nil))
 	t.runtime.NextCommand()
-	t.runtime.SendNotice("wants", standin.RequestID(9), "", "ask")
+	t.runtime.SendNotice("wants", fake.RequestID(9), "", "ask")
 	fmt.Println(t.runtime.NextCommand())
 	// Output:
 	// ['\x01' '\x01' ["Failed" map[]] <nil>]
@@ -136,29 +136,29 @@
 	t := deployReady()
 	defer t.close()
 	s := t.client()
-	s.Send(standin.NewRequest(1, "pay", standin.RequestID(1), nil), standin.NewRequest(2, "pay", standin.RequestID(2), []byte("b")))
+	s.Send(fake.NewRequest(1, "pay", fake.RequestID(1), nil), fake.NewRequest(2, "pay", fake.RequestID(2), []byte("b")))
 	fmt.Println(t.runtime.NextCommand())
 	fmt.Println(t.runtime.NextCommand())
-	t.runtime.SendNotice("wants", standin.RequestID(1), "", "ask")
+	t.runtime.SendNotice("wants", fake.RequestID(1), "", "ask")
 	call := t.database.NextCall()
 	t.runtime.Conn.Close()
 	for s.CheckHealth() && t.runtime.NextCommand() != "link closed" {
 	}
 	call.Reply("200 OK", "", "rows")
 	fmt.Println("sync", t.runtime.Accept())
-	s.Send(standin.NewRequest(3, "pay", standin.RequestID(3), []byte("c")))
+	s.Send(fake.NewRequest(3, "pay", fake.RequestID(3), []byte("c")))
 	fmt.Println("deaf link, well:", s.CheckHealth())
 	t.runtime.SendReady("steady")
-	t.runtime.SendNotice("end", standin.RequestID(2), "success", "two")
+	t.runtime.SendNotice("end", fake.RequestID(2), "success", "two")
 	fmt.Println(s.NextText())
 	heard := map[string]int{}
 	for range 2 {
 		heard[t.runtime.NextCommand()]++
 	}
 	fmt.Println(heard)
-	t.runtime.SendNotice("end", standin.RequestID(3), "success", "three")
+	t.runtime.SendNotice("end", fake.RequestID(3), "success", "three")
 	fmt.Println(s.NextText())
-	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
 	fmt.Println(s.NextText())
 	t.runtime.Conn.Close()
 	fmt.Println("sync", t.runtime.Accept())
@@ -182,19 +182,19 @@
 	t := deployReady()
 	defer t.close()
 	s := t.client()
-	s.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil))
+	s.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil))
 	fmt.Println(t.runtime.NextCommand())
 	t.runtime.Conn.Close()
-	standin.WaitFor("the end of the link", func() bool { return t.runtime.NextCommand() == "link closed" })
+	fake.WaitFor("the end of the link", func() bool { return t.runtime.NextCommand() == "link closed" })
 	s.Send([]any{2, "interrupt", []any{1}})
 	fmt.Println(s.CheckHealth(), "sync", t.runtime.Accept())
 	t.runtime.SendReady("steady")
 	fmt.Println(t.runtime.NextCommand())
 	fmt.Println(t.runtime.NextCommand())
-	t.runtime.SendNotice("end", standin.RequestID(1), "interrupted", "")
-	s.Send(standin.NewRequest(2, "view", standin.RequestID(2), nil))
+	t.runtime.SendNotice("end", fake.RequestID(1), "interrupted", "")
+	s.Send(fake.NewRequest(2, "view", fake.RequestID(2), nil))
 	fmt.Println(t.runtime.NextCommand())
-	fmt.Fprintf(t.runtime.Conn, `{"t":"nack","status":"start","rid":%q}`+"\n", standin.RequestID(2))
+	fmt.Fprintf(t.runtime.Conn, `{"t":"nack","status":"start","rid":%q}`+"\n", fake.RequestID(2))
 	fmt.Println(s.NextText())
 	// Output:
 	// start 1 route view body ""
@@ -210,16 +210,16 @@
 	t := deployReady()
 	defer t.close()
 	s, other := t.client(), t.client()
-	s.Send(standin.NewRequest(1, "pay", standin.RequestID(1), nil))
-	other.Send(standin.NewRequest(1, "view", standin.RequestID(2), nil))
+	s.Send(fake.NewRequest(1, "pay", fake.RequestID(1), nil))
+	other.Send(fake.NewRequest(1, "view", fake.RequestID(2), nil))
 	fmt.Println(t.runtime.NextCommand())
 	fmt.Println(t.runtime.NextCommand())
-	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
 	s.Send([]any{2, "interrupt", []any{1}}, []any{2, "interrupt", []any{99}})
 	fmt.Println(s.NextText())
 	other.Close()
 	fmt.Println(t.runtime.NextCommand())
-	t.runtime.SendNotice("end", standin.RequestID(2), "success", "two")
+	t.runtime.SendNotice("end", fake.RequestID(2), "success", "two")
 	fmt.Println(s.CheckHealth())
 	// Output:
 	// start 1 route pay body ""
@@ -234,22 +234,22 @@
 	t := deployReady()
 	defer t.close()
 	other := t.client()
-	for i, bad := range [][]byte{{0xc1}, standin.Encode(nil, standin.NewRequest(1, "view", standin.RequestID(50), nil)), standin.Encode(nil, standin.NewRequest(2, "view", standin.RequestID(3), nil)),
+	for i, bad := range [][]byte{{0xc1}, fake.Encode(nil, fake.NewRequest(1, "view", fake.RequestID(50), nil)), fake.Encode(nil, fake.NewRequest(2, "view", fake.RequestID(3), nil)),
 		{0x94, 0, 2, 0xa4, 'v', 'i', 'e', 'w', 0x92, 0x81, 0xa2, 'i', 'd', 0xdb, 0x03, 0x90, 0, 0}} { // 60 MB to come
 		s := t.client()
-		s.Send(standin.NewRequest(1, "view", standin.RequestID(i+1), nil))
+		s.Send(fake.NewRequest(1, "view", fake.RequestID(i+1), nil))
 		fmt.Println(t.runtime.NextCommand())
 		s.Conn.Write(bad)
 		fmt.Println(s.NextText(), s.NextText(), t.runtime.NextCommand())
-		t.runtime.SendNotice("end", standin.RequestID(i+1), "interrupted", "")
+		t.runtime.SendNotice("end", fake.RequestID(i+1), "interrupted", "")
 	}
 	s := t.client()
 	var many [][]any
 	for i := range 33 {
-		many = append(many, standin.NewRequest(i, "view", standin.RequestID(100+i), nil, "kb", "0.1"))
+		many = append(many, fake.NewRequest(i, "view", fake.RequestID(100+i), nil, "kb", "0.1"))
 	}
 	s.Send(many...)
-	standin.WaitFor("the end of a crowd", func() bool { return strings.Contains(t.log.text(), "too-many-open") })
+	fake.WaitFor("the end of a crowd", func() bool { return strings.Contains(t.log.text(), "too-many-open") })
 	fmt.Println(other.CheckHealth())
 	t.sendTerminate()
 	_, log := t.waitExit()
@@ -279,30 +279,30 @@
 	t := deployReady(`"tenants":[]`, `"tenants":[{"name":"acme"}]`)
 	defer t.close()
 	s, bad := t.client(), t.client()
-	s.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil, "tenant", "acme"))
+	s.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil, "tenant", "acme"))
 	fmt.Println(t.runtime.NextCommand())
-	bad.Send(standin.NewRequest(1, "view", standin.RequestID(1), []byte("other"), "tenant", "acme"))
+	bad.Send(fake.NewRequest(1, "view", fake.RequestID(1), []byte("other"), "tenant", "acme"))
 	fmt.Println(bad.NextText())
 	for i, fields := range [][]string{{"tenant", "none"}, {"kb", "0"}, {"kb", "2000"}, {"rank", "1"},
 		{"from", "-1"}, {"from", "9007199254740992"}, {"cost", "99999999"}, {"wait", "999999999999"}} {
-		bad.Send(standin.NewRequest(i+2, "view", standin.RequestID(i+2), nil, append([]string{"tenant", "acme"}, fields...)...))
+		bad.Send(fake.NewRequest(i+2, "view", fake.RequestID(i+2), nil, append([]string{"tenant", "acme"}, fields...)...))
 		fmt.Print(" ", i, bad.NextText())
 	}
 	fmt.Println("", bad.NextText())
 	for i := range 30 {
 		bad = t.client()
-		bad.Send(standin.NewRequest(1, "view", standin.RequestID(100+i), nil, "tenant", "acme"))
+		bad.Send(fake.NewRequest(1, "view", fake.RequestID(100+i), nil, "tenant", "acme"))
 		t.runtime.NextCommand()
-		fmt.Fprintf(t.runtime.Conn, `{"t":"nack","status":"start","rid":%q}`+"\n", standin.RequestID(100+i))
+		fmt.Fprintf(t.runtime.Conn, `{"t":"nack","status":"start","rid":%q}`+"\n", fake.RequestID(100+i))
 		if i == 0 {
 			fmt.Print(bad.NextText(), " ")
 		}
-		standin.WaitFor("its end", func() bool { return bad.NextText() == "closed" })
+		fake.WaitFor("its end", func() bool { return bad.NextText() == "closed" })
 	}
 	bad = t.client()
-	bad.Send(standin.NewRequest(1, "what", standin.RequestID(1), nil))
+	bad.Send(fake.NewRequest(1, "what", fake.RequestID(1), nil))
 	fmt.Println(bad.NextText(), s.CheckHealth(), len(t.runtime.Messages))
-	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
 	fmt.Println(s.NextText(), strings.Contains(t.log.text(), "failing"))
 	// Output:
 	// start 1 route view body ""
@@ -320,9 +320,9 @@
 	silent, half, asked := t.client(), t.client(), t.client()
 	asked.Send([]any{0, 1, "check", []any{map[string]string{}}})
 	asked.NextText()
-	half.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil, "cost", "900"))
+	half.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil, "cost", "900"))
 	fmt.Println(t.runtime.NextCommand())
-	message := standin.Encode(nil, standin.NewRequest(2, "view", standin.RequestID(2), nil))
+	message := fake.Encode(nil, fake.NewRequest(2, "view", fake.RequestID(2), nil))
 	half.Conn.Write(message[:len(message)/2])
 	fmt.Println(silent.NextText(), half.NextText(), half.NextText())
 	fmt.Println(time.Since(began) < 2500*time.Millisecond, asked.CheckHealth())
@@ -339,11 +339,11 @@
 	fmt.Println(t.registry.NextReport())
 	s := t.client()
 	fmt.Println(s.CheckHealth())
-	s.Send(standin.NewRequest(7, "view", standin.RequestID(1), nil))
+	s.Send(fake.NewRequest(7, "view", fake.RequestID(1), nil))
 	fmt.Println(s.NextText())
 	fmt.Println("sync", t.runtime.Accept())
 	t.runtime.SendReady("booting")
-	standin.WaitFor("health", func() bool { return s.CheckHealth() })
+	fake.WaitFor("health", func() bool { return s.CheckHealth() })
 	began := time.Now()
 	fmt.Println(t.registry.NextReport(), time.Since(began) < 1200*time.Millisecond)
 	// Output:
@@ -360,12 +360,12 @@
 	defer t.close()
 	s := t.client()
 	at := func(off time.Duration) string { return fmt.Sprint(time.Now().Add(off).UnixMilli()) }
-	s.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil, "at", at(time.Hour)), standin.NewRequest(2, "view", standin.RequestID(2), nil, "at", at(-time.Hour)),
-		standin.NewRequest(3, "view", standin.RequestID(3), nil, "at", "0"))
+	s.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil, "at", at(time.Hour)), fake.NewRequest(2, "view", fake.RequestID(2), nil, "at", at(-time.Hour)),
+		fake.NewRequest(3, "view", fake.RequestID(3), nil, "at", "0"))
 	fmt.Println(t.runtime.NextCommand())
 	heard := map[string]bool{s.NextText(): true, s.NextText(): true}
 	fmt.Println(heard)
-	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
 	fmt.Println(s.NextText())
 	// Output:
 	// start 1 route view body ""
@@ -380,15 +380,15 @@
 	defer t.close()
 	s := t.client()
 	old := t.runtime
-	s.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil))
+	s.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil))
 	fmt.Println(old.NextCommand())
 	text := t.movedConfig()
 	t.writeConfig(text[:len(text)/2])
 	t.sendHangup()
-	standin.WaitFor("the half file", func() bool { return strings.Contains(t.log.text(), "msg=configuration-kept") })
-	s.Send(standin.NewRequest(2, "pay", standin.RequestID(2), nil))
+	fake.WaitFor("the half file", func() bool { return strings.Contains(t.log.text(), "msg=configuration-kept") })
+	s.Send(fake.NewRequest(2, "pay", fake.RequestID(2), nil))
 	fmt.Println(old.NextCommand())
-	old.SendNotice("end", standin.RequestID(2), "success", "two")
+	old.SendNotice("end", fake.RequestID(2), "success", "two")
 	fmt.Println(s.NextText())
 	t.writeConfig(text)
 	fmt.Println("sync", t.runtime.Accept()) // no ready yet, and it moves again
@@ -402,10 +402,10 @@
 	t.runtime.SendReady("steady")
 	fmt.Println(t.runtime.NextCommand()) // it may have been swallowed; nothing happens if it was not
 	t.runtime.LastNotice = 1
-	t.runtime.SendNotice("wants", standin.RequestID(1), "", "ask")
+	t.runtime.SendNotice("wants", fake.RequestID(1), "", "ask")
 	t.database.NextCall().Reply("200 OK", "", "rows")
 	fmt.Println(t.runtime.NextCommand())
-	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
 	fmt.Println(s.NextText())
 	fmt.Println(t.registry.NextReport())
 	t.sendTerminate()
@@ -436,14 +436,14 @@
 	t := deployReady()
 	defer t.close()
 	s := t.client()
-	s.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil))
+	s.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil))
 	t.runtime.NextCommand()
 	t.sendTerminate()
-	standin.WaitFor("the roster is told", func() bool { return t.registry.NextReport() == "HERE n1 off" })
+	fake.WaitFor("the roster is told", func() bool { return t.registry.NextReport() == "HERE n1 off" })
 	t.sendTerminate()
-	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
 	fmt.Println(s.NextText())
-	s.Send(standin.NewRequest(2, "view", standin.RequestID(2), nil))
+	s.Send(fake.NewRequest(2, "view", fake.RequestID(2), nil))
 	fmt.Println(t.runtime.NextCommand())
 	fmt.Println(s.NextText())
 	fmt.Println(s.NextText())
@@ -483,9 +483,9 @@
 	defer t.close()
 	s := t.client()
 	fmt.Println(s.NextText())
-	s.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil))
+	s.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil))
 	fmt.Println(t.runtime.NextCommand())
-	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
 	fmt.Println(s.NextText())
 	fmt.Println(s.NextText())
 	// Output:
@@ -501,7 +501,7 @@
 	t := deployReady()
 	defer t.close()
 	s := t.client()
-	s.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil, "cost", "900"))
+	s.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil, "cost", "900"))
 	fmt.Println(t.runtime.NextCommand())
 	asked := t.client()
 	asked.CheckHealth()
@@ -509,10 +509,10 @@
 		t.client()
 	}
 	late := t.client()
-	late.Send(standin.NewRequest(1, "view", standin.RequestID(2), nil, "cost", "900"))
+	late.Send(fake.NewRequest(1, "view", fake.RequestID(2), nil, "cost", "900"))
 	fmt.Println(t.runtime.NextCommand(), asked.CheckHealth())
-	t.runtime.SendNotice("end", standin.RequestID(2), "success", "late")
-	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	t.runtime.SendNotice("end", fake.RequestID(2), "success", "late")
+	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
 	fmt.Println(late.NextText(), s.NextText())
 	fmt.Println(strings.Count(t.log.text(), "\n") < 30)
 	// Output:
@@ -536,7 +536,7 @@
 		}
 		var b []byte
 		for n := range 10 {
-			b = standin.Encode(b, standin.NewRequest(10*i+n, "view", standin.RequestID(10*i+n), nil, "kb", "1", "cost", "900"))
+			b = fake.Encode(b, fake.NewRequest(10*i+n, "view", fake.RequestID(10*i+n), nil, "kb", "1", "cost", "900"))
 		}
 		_, _ = deaf.Conn.Write(b) // fails once the connection is lost
 		for n := 0; n < 10 && !ended(); {
@@ -564,15 +564,15 @@
 	for i := range 500 {
 		s := t.client()
 		defer s.Close()
-		s.Send(standin.NewRequest(1, "view", standin.RequestID(i), nil, "kb", "1999"))
+		s.Send(fake.NewRequest(1, "view", fake.RequestID(i), nil, "kb", "1999"))
 		if strings.Contains(s.NextText(), "Busy") {
 			answered++
 		}
 	}
 	fmt.Println(answered, t.client().CheckHealth())
-	status := string(standin.Must(os.ReadFile(fmt.Sprintf("/proc/%d/status", t.cmd.Process.Pid))))
+	status := string(fake.Must(os.ReadFile(fmt.Sprintf("/proc/%d/status", t.cmd.Process.Pid))))
 	_, peak, _ := strings.Cut(status, "VmHWM:")
-	kb := standin.Must(strconv.Atoi(strings.Fields(peak)[0]))
+	kb := fake.Must(strconv.Atoi(strings.Fields(peak)[0]))
 	fmt.Println("under 96 MB:", kb < 96<<10)
 	// Output:
 	// 500 true
@@ -584,12 +584,12 @@
 	t := deployReady(`"deep-checks":true`, `"deep-checks":true,"readiness":true`)
 	defer t.close()
 	s := t.client()
-	s.Send(standin.NewRequest(1, "pay", standin.RequestID(1), nil, "cost", "1")) // a run that hangs
+	s.Send(fake.NewRequest(1, "pay", fake.RequestID(1), nil, "cost", "1")) // a run that hangs
 	fmt.Println(t.runtime.NextCommand())
-	standin.WaitFor("off", func() bool { return t.registry.NextReport() == "HERE n1 off" })
-	t.runtime.SendNotice("end", standin.RequestID(1), "success", "late")
+	fake.WaitFor("off", func() bool { return t.registry.NextReport() == "HERE n1 off" })
+	t.runtime.SendNotice("end", fake.RequestID(1), "success", "late")
 	fmt.Println(s.NextText())
-	standin.WaitFor("on", func() bool { return t.registry.NextReport() == "HERE n1 on" })
+	fake.WaitFor("on", func() bool { return t.registry.NextReport() == "HERE n1 on" })
 	// Output:
 	// start 1 route pay body ""
 	// ['\x01' '\x01' <nil> ["late" map[]]]
@@ -600,13 +600,13 @@
 	t := deployReady("FRESH", "5")
 	defer t.close()
 	s := t.client()
-	s.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil, "key", "k"), standin.NewRequest(2, "view", standin.RequestID(2), nil, "key", "k"), standin.NewRequest(3, "view", standin.RequestID(3), nil, "key", "l"))
+	s.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil, "key", "k"), fake.NewRequest(2, "view", fake.RequestID(2), nil, "key", "k"), fake.NewRequest(3, "view", fake.RequestID(3), nil, "key", "l"))
 	fmt.Println(t.runtime.NextCommand())
 	fmt.Println(t.runtime.NextCommand())
-	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
 	fmt.Println(s.NextText())
 	fmt.Println(s.NextText())
-	s.Send(standin.NewRequest(4, "view", standin.RequestID(4), nil, "key", "k"))
+	s.Send(fake.NewRequest(4, "view", fake.RequestID(4), nil, "key", "k"))
 	fmt.Println(s.NextText())
 	fmt.Println(s.CheckHealth(), len(t.runtime.Messages))
 	// Output:
@@ -620,10 +620,10 @@
 
 // A start that can't be: one line that says why, and a code that is not 0.
 func Example_badStart() {
-	taken := standin.Must(net.Listen("tcp", "127.0.0.1:0"))
+	taken := fake.Must(net.Listen("tcp", "127.0.0.1:0"))
 	defer taken.Close()
 	good := fmt.Sprintf(`{"name":"n1","listen":%q,"runtime":"127.0.0.1:1","roster":"127.0.0.1:1","db":"127.0.0.1:1",`+
-		`"limits":{"cores":1,"memory_mb":192,"sockets":64},"settings":%s}`, taken.Addr(), strings.NewReplacer("IDLE", "1", "FRESH", "0").Replace(standin.Settings))
+		`"limits":{"cores":1,"memory_mb":192,"sockets":64},"settings":%s}`, taken.Addr(), strings.NewReplacer("IDLE", "1", "FRESH", "0").Replace(fake.Settings))
 	for _, text := range []string{`{"name":`, `{}`, strings.Replace(good, `"cores":1`, `"cores":0`, 1),
 		strings.Replace(good, `"cpus":2`, `"cpus":"two"`, 1), strings.Replace(good, `"settings"`, `"other"`, 1), good} {
 		t := &deployment{log: &logBuffer{}, exited: make(chan struct{})}
@@ -696,7 +696,7 @@
 		if f := strings.Fields(line); len(f) == 9 && f[0] != "op" {
 			n := map[string]int{}
 			for i, name := range []string{"asked", "acked", "nacked", "failed", "denied", "unanswered"} {
-				n[name] = standin.Must(strconv.Atoi(f[i+1]))
+				n[name] = fake.Must(strconv.Atoi(f[i+1]))
 			}
 			fmt.Println(f[0], n["asked"] > 10, n["unanswered"], n["asked"] == n["acked"]+n["nacked"]+n["failed"]+n["denied"])
 		}
--- a/cmd/lanewheel/queue_test.go
+++ b/cmd/lanewheel/queue_test.go
@@ -13,8 +13,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	client "github.com/rabbitmq/amqp091-go"
 
-	"lanewheel/internal/standin"
-	"lanewheel/internal/standin/broker"
+	"lanewheel/internal/fake"
+	"lanewheel/internal/fake/broker"
 )
 
 // queueDeployment is a town that also consumes from a broker.
@@ -62,7 +62,7 @@
 
 // answers waits for as many and gives them sorted; an answer sent twice counts once.
 func (d *queueDeployment) answers(n int) (all []string) {
-	standin.WaitFor("answers", func() bool { return d.broker.Counts("replies").Ready >= n })
+	fake.WaitFor("answers", func() bool { return d.broker.Counts("replies").Ready >= n })
 	for _, p := range d.broker.DrainQueue("replies") {
 		why, _ := p.Headers["why"].(string)
 		all = append(all, strings.TrimSpace(fmt.Sprint(p.CorrelationId, " ", p.Type, " ", string(p.Body), why)))
@@ -80,7 +80,7 @@
 	start := d.runtime.NextMessage()
 	fmt.Println(start["t"], start["route"])
 	d.broker.DropConnections()
-	standin.WaitFor("the next connection", func() bool {
+	fake.WaitFor("the next connection", func() bool {
 		ever, _ := d.broker.Connections()
 		return ever == 2 && d.broker.Counts("ops").Unsettled == 1
 	})
@@ -88,11 +88,11 @@
 	fmt.Println(d.answers(1))
 	d.broker.Publish("ops", queueMessage("m2", "what"))
 	s := d.client()
-	s.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil))
+	s.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil))
 	fmt.Println(d.runtime.NextCommand())
-	d.runtime.SendNotice("end", standin.RequestID(1), "success", "two")
+	d.runtime.SendNotice("end", fake.RequestID(1), "success", "two")
 	fmt.Println(s.NextText(), d.answers(1), d.broker.Counts("dead").Ready)
-	standin.WaitFor("the acks", func() bool { return d.broker.Counts("ops").Acked == 2 })
+	fake.WaitFor("the acks", func() bool { return d.broker.Counts("ops").Acked == 2 })
 	fmt.Println(len(d.runtime.Messages), d.broker.Violations())
 	// Output:
 	// start pay
@@ -166,7 +166,7 @@
 	for i := range 60 {
 		d.broker.Publish("ops", queueMessage(fmt.Sprintf("m%02d", i), "view"))
 	}
-	standin.WaitFor("as many in hand as told", func() bool { return d.broker.Counts("ops").Unsettled == 30 })
+	fake.WaitFor("as many in hand as told", func() bool { return d.broker.Counts("ops").Unsettled == 30 })
 	ran := 1
 	d.runtime.SendNotice("end", d.runtime.NextMessage()["rid"].(string), "success", "done")
 	d.sendTerminate()
@@ -207,7 +207,7 @@
 		for i := range many {
 			d.broker.Publish("ops", queueMessage(fmt.Sprintf("m%03d", i), []string{"view", "pay", "list"}[i%3]))
 		}
-		standin.WaitFor("the last ack", func() bool { c := d.broker.Counts("ops"); return c.Acked == many && c.Unsettled+c.Ready == 0 })
+		fake.WaitFor("the last ack", func() bool { c := d.broker.Counts("ops"); return c.Acked == many && c.Unsettled+c.Ready == 0 })
 		all := d.answers(many) // each was confirmed before its ack
 		outcomes := map[string]int{}
 		for _, a := range all {
@@ -270,7 +270,7 @@
 			for n := range b.N {
 				time.Sleep(time.Until(began.Add(time.Duration(n) * 5 * time.Millisecond)))
 				at := time.Now()
-				s.Send(standin.NewRequest(n+2, "view", fmt.Sprintf("%08x%08x", 1, n), nil, "kb", "1"))
+				s.Send(fake.NewRequest(n+2, "view", fmt.Sprintf("%08x%08x", 1, n), nil, "kb", "1"))
 				if a, err := s.NextResponse(); err != nil || a.Error != "" {
 					b.Fatal(a, err)
 				}
--- a/cmd/lanewheel/rotation_test.go
+++ b/cmd/lanewheel/rotation_test.go
@@ -15,8 +15,8 @@
 	"github.com/go-jose/go-jose/v4"
 	"github.com/go-jose/go-jose/v4/jwt"
 
+	"lanewheel/internal/fake"
 	"lanewheel/internal/keyring"
-	"lanewheel/internal/standin"
 )
 
 // A long form turns the keys every minute:  go test -run Rotation ./cmd/lanewheel -rotate-for 10m -rotate-every 1m -timeout 20m
@@ -57,18 +57,18 @@
 	key := *i.current.key
 	switch forge {
 	case "key": // signed by a key of its own under the id of ours
-		key = *standin.Must(keyring.GenerateKey("EdDSA"))
+		key = *fake.Must(keyring.GenerateKey("EdDSA"))
 		key.KeyID = i.current.key.KeyID
 	case "id":
-		key = *standin.Must(keyring.GenerateKey("EdDSA"))
+		key = *fake.Must(keyring.GenerateKey("EdDSA"))
 	}
-	s := standin.Must(jose.NewSigner(jose.SigningKey{Algorithm: jose.EdDSA, Key: key}, nil))
-	h.raw = standin.Must(jwt.Signed(s).Claims(jwt.Claims{Issuer: "us", Audience: jwt.Audience{"rota"}, Subject: subject, ID: h.id,
+	s := fake.Must(jose.NewSigner(jose.SigningKey{Algorithm: jose.EdDSA, Key: key}, nil))
+	h.raw = fake.Must(jwt.Signed(s).Claims(jwt.Claims{Issuer: "us", Audience: jwt.Audience{"rota"}, Subject: subject, ID: h.id,
 		Expiry: jwt.NewNumericDate(h.expiry)}).Serialize())
 	h.forged = forge != ""
 	if forge == "body" {
 		parts := strings.Split(h.raw, ".")
-		body := standin.Must(base64.RawURLEncoding.DecodeString(parts[1]))
+		body := fake.Must(base64.RawURLEncoding.DecodeString(parts[1]))
 		parts[1] = base64.RawURLEncoding.EncodeToString(bytes.Replace(body, []byte(subject), []byte("water-99"), 1))
 		h.raw = strings.Join(parts, ".")
 	}
@@ -102,10 +102,10 @@
 
 // rotate publishes the next key, signs with it once it is there, and retires the one before a while after that.
 func (i *issuer) rotate(n int) {
-	key := standin.Must(keyring.GenerateKey("EdDSA"))
+	key := fake.Must(keyring.GenerateKey("EdDSA"))
 	key.KeyID = fmt.Sprint("turn-", n)
 	retire := time.Now().Truncate(time.Second).Add(3*(*rotateEvery) + time.Second)
-	text := standin.Must(keyring.EncodePublic(*key, time.Now().Add(-time.Second), retire, false))
+	text := fake.Must(keyring.EncodePublic(*key, time.Now().Add(-time.Second), retire, false))
 	if err := keyring.WriteFileAtomic(filepath.Join(i.deployment.path("keys"), key.KeyID+".json"), text, 0o644); err != nil {
 		panic(err)
 	}
@@ -138,7 +138,7 @@
 	for range 2 { // one reading may have begun before the files were written
 		before := strings.Count(h.log.text(), "msg=operated")
 		h.sendHangup()
-		standin.WaitFor("the reload", func() bool { return strings.Count(h.log.text(), "msg=operated") > before })
+		fake.WaitFor("the reload", func() bool { return strings.Count(h.log.text(), "msg=operated") > before })
 	}
 }
 
@@ -179,7 +179,7 @@
 		}
 		id := fmt.Sprintf("%08x%08x", k, n)
 		before := time.Now()
-		conn.Send(standin.NewRequest(n, kind, id, nil, "kb", "1", "cost", "1", "token", t.raw, "tenant", claims))
+		conn.Send(fake.NewRequest(n, kind, id, nil, "kb", "1", "cost", "1", "token", t.raw, "tenant", claims))
 		a, err := conn.NextResponse()
 		after := time.Now()
 		s.mu.Lock()
--- a/cmd/lanewheel/services_test.go
+++ b/cmd/lanewheel/services_test.go
@@ -6,7 +6,7 @@
 	"os/exec"
 	"path/filepath"
 
-	"lanewheel/internal/standin"
+	"lanewheel/internal/fake"
 )
 
 // Several services below by told addresses, one call at a time each: calls go to both; the third waits until one is over; one that is refused
@@ -16,7 +16,7 @@
 	if out, err := exec.Command("go", "build", "-o", filepath.Join(tempDir, "lanewheel-fleet"), "../lanewheel-fleet").CombinedOutput(); err != nil {
 		panic(string(out))
 	}
-	a, b := standin.NewDatabase(), standin.NewDatabase()
+	a, b := fake.NewDatabase(), fake.NewDatabase()
 	defer a.Listener.Close()
 	defer b.Listener.Close()
 	operatorPath = filepath.Join(tempDir, "services.ini")
@@ -29,9 +29,9 @@
 	defer t.close()
 	s := t.client()
 	ask := func(n int) {
-		s.Send(standin.NewRequest(n, "pay", standin.RequestID(n), nil))
+		s.Send(fake.NewRequest(n, "pay", fake.RequestID(n), nil))
 		t.runtime.NextCommand()
-		t.runtime.SendNotice("wants", standin.RequestID(n), "", fmt.Sprint("ask", n))
+		t.runtime.SendNotice("wants", fake.RequestID(n), "", fmt.Sprint("ask", n))
 	}
 	ask(1)
 	ask(2)
--- a/cmd/lanewheel/starts_test.go
+++ b/cmd/lanewheel/starts_test.go
@@ -10,7 +10,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"lanewheel/internal/standin"
+	"lanewheel/internal/fake"
 )
 
 // A customer with nothing below and no list is told of neither: the instance starts and serves, and a call that a run wants all the same
@@ -21,23 +21,23 @@
 	t := deployReady(append(absent, `"below":"common"`, `"below":"silent"`)...)
 	defer t.close()
 	s := t.client()
-	s.Send(standin.NewRequest(1, "view", standin.RequestID(1), []byte("a")))
+	s.Send(fake.NewRequest(1, "view", fake.RequestID(1), []byte("a")))
 	fmt.Println(t.runtime.NextCommand())
-	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
 	fmt.Println(s.NextText())
-	s.Send(standin.NewRequest(2, "list", standin.RequestID(2), nil))
+	s.Send(fake.NewRequest(2, "list", fake.RequestID(2), nil))
 	fmt.Println(t.runtime.NextCommand())
-	t.runtime.SendNotice("wants", standin.RequestID(2), "", "ask")
+	t.runtime.SendNotice("wants", fake.RequestID(2), "", "ask")
 	fmt.Println(t.runtime.NextCommand())
-	t.runtime.SendNotice("end", standin.RequestID(2), "success", "two")
+	t.runtime.SendNotice("end", fake.RequestID(2), "success", "two")
 	fmt.Println(s.NextText())
 	t.writeConfig(strings.NewReplacer(`"was-db":`, `"db":`, `"was-roster":`, `"roster":`).Replace(t.config))
 	t.sendHangup()
-	standin.WaitFor("the move", func() bool { return strings.Contains(t.log.text(), "msg=moved") })
+	fake.WaitFor("the move", func() bool { return strings.Contains(t.log.text(), "msg=moved") })
 	fmt.Println(t.registry.NextReport())
-	s.Send(standin.NewRequest(3, "list", standin.RequestID(3), nil))
+	s.Send(fake.NewRequest(3, "list", fake.RequestID(3), nil))
 	fmt.Println(t.runtime.NextCommand())
-	t.runtime.SendNotice("wants", standin.RequestID(3), "", "ask")
+	t.runtime.SendNotice("wants", fake.RequestID(3), "", "ask")
 	fmt.Println(t.database.NextCall().Text)
 
 	cut := deploy(absent...)
@@ -67,9 +67,9 @@
 		panic(err)
 	}
 	held := func() int {
-		return len(standin.Must(os.ReadDir(fmt.Sprintf("/proc/%d/fd", t.cmd.Process.Pid))))
+		return len(fake.Must(os.ReadDir(fmt.Sprintf("/proc/%d/fd", t.cmd.Process.Pid))))
 	}
-	var idle []*standin.Client
+	var idle []*fake.Client
 	peak := 0
 	for range 60 {
 		idle = append(idle, t.client())
@@ -78,12 +78,12 @@
 	t.runtime.Accept() // the link comes, or came before them
 	t.runtime.SendReady("steady")
 	s := t.client()
-	standin.WaitFor("health", func() bool { return s.CheckHealth() })
+	fake.WaitFor("health", func() bool { return s.CheckHealth() })
 	asked := map[string]int{}
 	for n := 1; n <= 6; n++ { // as many calls at a time as their share lets through, more than there is room for connections
-		s.Send(standin.NewRequest(n, "pay", standin.RequestID(n), nil, "kb", "1"))
+		s.Send(fake.NewRequest(n, "pay", fake.RequestID(n), nil, "kb", "1"))
 		t.runtime.NextCommand()
-		t.runtime.SendNotice("wants", standin.RequestID(n), "", "ask")
+		t.runtime.SendNotice("wants", fake.RequestID(n), "", "ask")
 	}
 	for range 40 {
 		idle = append(idle, t.client())
@@ -97,7 +97,7 @@
 	}
 	fmt.Println(asked)
 	for n := 1; n <= 6; n++ {
-		t.runtime.SendNotice("end", standin.RequestID(n), "success", "done")
+		t.runtime.SendNotice("end", fake.RequestID(n), "success", "done")
 		s.NextText()
 	}
 	fmt.Println(t.registry.NextReport())
@@ -106,9 +106,9 @@
 	fmt.Println("sync", t.runtime.Accept())
 	t.runtime.SendReady("steady")
 	fmt.Println(t.registry.NextReport())
-	s.Send(standin.NewRequest(7, "pay", standin.RequestID(7), nil))
+	s.Send(fake.NewRequest(7, "pay", fake.RequestID(7), nil))
 	fmt.Println(t.runtime.NextCommand())
-	t.runtime.SendNotice("end", standin.RequestID(7), "success", "seven")
+	t.runtime.SendNotice("end", fake.RequestID(7), "success", "seven")
 	fmt.Println(s.NextText())
 	peak = max(peak, held())
 	fmt.Println("first to rest, first to go:", idle[0].NextText())
@@ -129,7 +129,7 @@
 // An address that the life before it still holds: the start waits for it, and does not end; the notice to leave ends that.
 func Example_addressStillHeld() {
 	for _, leave := range []bool{false, true} {
-		before := standin.Must(net.Listen("tcp", fmt.Sprintf("127.70.%d.1:0", os.Getpid()%250)))
+		before := fake.Must(net.Listen("tcp", fmt.Sprintf("127.70.%d.1:0", os.Getpid()%250)))
 		t := deploy()
 		t.cmd.Process.Kill()
 		<-t.exited
@@ -151,7 +151,7 @@
 			t.runtime.Accept()
 			t.runtime.SendReady("steady")
 			s := t.client()
-			standin.WaitFor("health", func() bool { return s.CheckHealth() })
+			fake.WaitFor("health", func() bool { return s.CheckHealth() })
 			fmt.Println("up")
 		}
 		t.close()
@@ -167,7 +167,7 @@
 func Example_everybodyLate() {
 	hole, fd := blackHoleAddr()
 	defer unix.Close(fd)
-	free := standin.Must(net.Listen("tcp", "127.0.0.1:0"))
+	free := fake.Must(net.Listen("tcp", "127.0.0.1:0"))
 	free.Close()
 	t := deploy()
 	t.cmd.Process.Kill()
@@ -178,19 +178,19 @@
 	defer t.close()
 	s := t.client()
 	fmt.Println("before:", s.CheckHealth())
-	t.runtime = &standin.Runtime{Listener: standin.Must(net.Listen("tcp", free.Addr().String()))}
+	t.runtime = &fake.Runtime{Listener: fake.Must(net.Listen("tcp", free.Addr().String()))}
 	t.runtime.Accept()
 	t.runtime.SendReady("booting")
 	began := time.Now()
-	standin.WaitFor("health", func() bool { return s.CheckHealth() })
+	fake.WaitFor("health", func() bool { return s.CheckHealth() })
 	fmt.Println("ready at once:", time.Since(began) < time.Second)
-	s.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil))
+	s.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil))
 	fmt.Println(t.runtime.NextCommand())
-	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
 	fmt.Println(s.NextText())
-	s.Send(standin.NewRequest(2, "list", standin.RequestID(2), nil)) // it can leave the call out, and does before its time is over
+	s.Send(fake.NewRequest(2, "list", fake.RequestID(2), nil)) // it can leave the call out, and does before its time is over
 	fmt.Println(t.runtime.NextCommand())
-	t.runtime.SendNotice("wants", standin.RequestID(2), "", "ask")
+	t.runtime.SendNotice("wants", fake.RequestID(2), "", "ask")
 	fmt.Println(t.runtime.NextCommand())
 	// Output:
 	// before: false
@@ -207,13 +207,13 @@
 	t := deployReady()
 	defer t.close()
 	s := t.client()
-	s.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil))
+	s.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil))
 	fmt.Println(t.runtime.NextCommand())
 	if err := s.Conn.(*net.TCPConn).CloseWrite(); err != nil {
 		panic(err)
 	}
 	fmt.Println(t.runtime.NextCommand())
-	t.runtime.SendNotice("end", standin.RequestID(1), "success", "one")
+	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
 	fmt.Println(s.NextText())
 	fmt.Println(t.client().CheckHealth())
 	// Output:
@@ -235,12 +235,12 @@
 		`"sockets":64`, `"sockets":4096`, `"memory-kb":1900`, `"memory-kb":1900000`, `"cpus":2`, `"cpus":64`)
 	defer t.close()
 	t.endRunsAtOnce()
-	var all []*standin.Client
+	var all []*fake.Client
 	answers := map[string]int{}
 	for i := range many {
 		s := t.client()
 		all = append(all, s)
-		s.Send(standin.NewRequest(1, fmt.Sprint("k", i), standin.RequestID(i), nil, "tenant", fmt.Sprint("t", many-1-i), "kb", "1", "from", fmt.Sprint(i)))
+		s.Send(fake.NewRequest(1, fmt.Sprint("k", i), fake.RequestID(i), nil, "tenant", fmt.Sprint("t", many-1-i), "kb", "1", "from", fmt.Sprint(i)))
 		answers[s.NextText()]++
 	}
 	fmt.Println(len(all), answers, strings.Contains(t.log.text(), "crowded"))
--- a/internal/amqp/amqp_test.go
+++ b/internal/amqp/amqp_test.go
@@ -23,9 +23,9 @@
 	"lanewheel/internal/authn"
 	"lanewheel/internal/certs"
 	"lanewheel/internal/eventloop"
+	"lanewheel/internal/fake"
+	"lanewheel/internal/fake/broker"
 	"lanewheel/internal/frontend"
-	"lanewheel/internal/standin"
-	"lanewheel/internal/standin/broker"
 )
 
 func TestMain(m *testing.M) {
@@ -110,7 +110,7 @@
 
 func (s *testbed) close() {
 	s.consumer.Drain(time.Second)
-	standin.WaitFor("the end of the front", s.consumer.Drained)
+	fake.WaitFor("the end of the front", s.consumer.Drained)
 	s.broker.Close()
 	s.server.Post(s.server.Quit)
 }
@@ -121,7 +121,7 @@
 
 // settled waits until nothing is left in a queue.
 func (s *testbed) settled(name string) {
-	standin.WaitFor("the end of "+name, func() bool {
+	fake.WaitFor("the end of "+name, func() bool {
 		c := s.broker.Counts(name)
 		return c.Ready+c.Unsettled == 0
 	})
@@ -177,7 +177,7 @@
 		b.Publish("ops", p)
 	}
 	s.settled("ops")
-	standin.WaitFor("all answers", func() bool { return b.Counts("replies").Ready == 8 }) // nobody can tell where nested's goes
+	fake.WaitFor("all answers", func() bool { return b.Counts("replies").Ready == 8 }) // nobody can tell where nested's goes
 	for _, r := range s.replies() {
 		fmt.Println(r)
 	}
@@ -222,7 +222,7 @@
 			b.Publish("ops", newMessage(fmt.Sprint(kinds[i%3], i), kinds[i%3]))
 		}
 		s.settled("ops")
-		standin.WaitFor("all answers", func() bool { return b.Counts("replies").Ready >= 12 })
+		fake.WaitFor("all answers", func() bool { return b.Counts("replies").Ready >= 12 })
 		replies := s.replies()
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -295,11 +295,11 @@
 		}
 		s := startTestbed(b, c, testConfig(b, q))
 		b.Publish("ops", newMessage("once", "pay"))
-		standin.WaitFor("an answer", func() bool { return b.Counts("replies").Ready == 1 })
+		fake.WaitFor("an answer", func() bool { return b.Counts("replies").Ready == 1 })
 		fmt.Println(s.replies(), "put back", b.Counts("ops").Requeued, "rejected", b.Counts("ops").Rejected)
 		if retry {
 			b.Publish("ops", newMessage("never", "pay"))
-			standin.WaitFor("its end", func() bool { return b.Counts("dead").Ready == 1 })
+			fake.WaitFor("its end", func() bool { return b.Counts("dead").Ready == 1 })
 			fmt.Println(s.replies(), "rejected", b.Counts("ops").Rejected, "dead", b.Counts("dead").Ready)
 		}
 		s.close()
@@ -335,7 +335,7 @@
 		for i := range 20 {
 			b.Publish("ops", newMessage(fmt.Sprintf("m%02d", i), "view"))
 		}
-		standin.WaitFor("six in hand", func() bool { mu.Lock(); defer mu.Unlock(); return len(held) == 6 })
+		fake.WaitFor("six in hand", func() bool { mu.Lock(); defer mu.Unlock(); return len(held) == 6 })
 		s.server.set(func(l *frontend.Load) { l.Draining = true })
 		s.consumer.Drain(800 * time.Millisecond)
 		s.consumer.Drain(time.Hour) // a second notice changes nothing
@@ -353,7 +353,7 @@
 				end(i < 2)
 			}
 		})
-		standin.WaitFor("the end", s.consumer.Drained)
+		fake.WaitFor("the end", s.consumer.Drained)
 		fmt.Println(how, "in time", time.Since(began) < 1500*time.Millisecond)
 		if how == "well" {
 			counts := b.Counts("ops")
@@ -380,7 +380,7 @@
 	b.Publish("ops", newMessage("a", "view"))
 	s.settled("ops")
 	b.SetBlocked(true)
-	standin.WaitFor("the intake's end", func() bool { return b.Counts("ops").Consumers == 0 })
+	fake.WaitFor("the intake's end", func() bool { return b.Counts("ops").Consumers == 0 })
 	b.Publish("ops", newMessage("b", "view"))
 	fmt.Println(state(s), b.Counts("ops").Ready)
 	b.SetBlocked(false)
@@ -424,11 +424,11 @@
 	other.Body = []byte("b")
 	b.Publish("ops", newMessage("a", "pay"))
 	b.Publish("ops", newMessage("a", "pay"))
-	standin.WaitFor("both in hand", func() bool { return b.Counts("ops").Unsettled == 2 })
+	fake.WaitFor("both in hand", func() bool { return b.Counts("ops").Unsettled == 2 })
 	b.Publish("ops", other)
-	standin.WaitFor("the other's end", func() bool { return b.Counts("ops").Acked == 1 })
+	fake.WaitFor("the other's end", func() bool { return b.Counts("ops").Acked == 1 })
 	b.CloseConsumerChannels()
-	standin.WaitFor("both again", func() bool { x := b.Counts("ops"); return x.Redelivered == 2 && x.Unsettled == 2 })
+	fake.WaitFor("both again", func() bool { x := b.Counts("ops"); return x.Redelivered == 2 && x.Unsettled == 2 })
 	c.Post(func() {
 		mu.Lock()
 		defer mu.Unlock()
@@ -445,15 +445,15 @@
 // Brokers under TLS: one whose certificate the told authority signed is consumed from, and told who we are; another is not.
 func Example_tls() {
 	now := time.Now()
-	ours, other := standin.Must(certs.NewAuthority("ours", now, time.Hour)), standin.Must(certs.NewAuthority("other", now, time.Hour))
+	ours, other := fake.Must(certs.NewAuthority("ours", now, time.Hour)), fake.Must(certs.NewAuthority("other", now, time.Hour))
 	pair := func(p certs.KeyPair, err error) tls.Certificate {
-		cert, key, _ := standin.Must(p, err).EncodePEM()
-		return standin.Must(tls.X509KeyPair(cert, key))
+		cert, key, _ := fake.Must(p, err).EncodePEM()
+		return fake.Must(tls.X509KeyPair(cert, key))
 	}
 	roots := x509.NewCertPool()
 	roots.AddCert(ours.Certificate)
 	for _, a := range []certs.KeyPair{ours, other} {
-		l := standin.Must(tls.Listen("tcp", "127.0.0.1:0", &tls.Config{ClientCAs: roots, ClientAuth: tls.RequireAndVerifyClientCert,
+		l := fake.Must(tls.Listen("tcp", "127.0.0.1:0", &tls.Config{ClientCAs: roots, ClientAuth: tls.RequireAndVerifyClientCert,
 			Certificates: []tls.Certificate{pair(a.Issue(certs.Subject{CommonName: "broker", Hosts: []string{"127.0.0.1"}}, true, now, time.Hour))}}))
 		b, c := broker.NewOnListener(l), newFakeServer()
 		b.DeclareQueue("ops", nil)
@@ -467,7 +467,7 @@
 		if a.Certificate == ours.Certificate {
 			s.settled("ops")
 		} else {
-			standin.WaitFor("some tries", func() bool { ever, _ := b.Connections(); return ever > 1 })
+			fake.WaitFor("some tries", func() bool { ever, _ := b.Connections(); return ever > 1 })
 		}
 		fmt.Println(b.Counts("ops").Acked, s.replies())
 		s.close()
@@ -531,10 +531,10 @@
 		b.Publish("ops", newMessage(fmt.Sprint(i), "view"))
 	}
 	one.settled("ops")
-	standin.WaitFor("all answers", func() bool { return b.Counts("replies").Ready == 300 })
+	fake.WaitFor("all answers", func() bool { return b.Counts("replies").Ready == 300 })
 	fmt.Println(len(one.replies()), len(fast.runs)+len(slow.runs), len(slow.runs) < 30)
 	one.consumer.Drain(time.Second)
-	standin.WaitFor("its end", one.consumer.Drained)
+	fake.WaitFor("its end", one.consumer.Drained)
 	two.close()
 	// Output:
 	// 300 300 true
--- a/internal/amqp/golden_test.go
+++ b/internal/amqp/golden_test.go
@@ -14,9 +14,9 @@
 
 	client "github.com/rabbitmq/amqp091-go"
 
+	"lanewheel/internal/fake"
+	"lanewheel/internal/fake/broker"
 	"lanewheel/internal/frontend"
-	"lanewheel/internal/standin"
-	"lanewheel/internal/standin/broker"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew from what the code says")
@@ -25,14 +25,14 @@
 func compareGolden(t *testing.T, name string, got any) {
 	t.Helper()
 	path := "testdata/golden/" + name
-	text := append(standin.Must(json.MarshalIndent(got, "", " ")), '\n')
+	text := append(fake.Must(json.MarshalIndent(got, "", " ")), '\n')
 	if *update {
 		if err := os.WriteFile(path, text, 0o644); err != nil {
 			t.Fatal(err)
 		}
 		return
 	}
-	if want := standin.Must(os.ReadFile(path)); string(text) != string(want) {
+	if want := fake.Must(os.ReadFile(path)); string(text) != string(want) {
 		t.Errorf("%s is\n%swant\n%s", path, text, want)
 	}
 }
@@ -53,8 +53,8 @@
 // Messages read as ever, from headers and from properties. Ids and digests are as good as stored: by them an
 // instance knows a message again that another version has read, or derived the id of.
 func TestGoldenMessages(t *testing.T) {
-	header := func(name string) Source { return standin.Must(ParseSource("header:" + name)) }
-	property := func(name string) Source { return standin.Must(ParseSource(name)) }
+	header := func(name string) Source { return fake.Must(ParseSource("header:" + name)) }
+	property := func(name string) Source { return fake.Must(ParseSource(name)) }
 	byHeaders := Mapping{Class: property("type"), Tenant: header("tenant"), Subject: header("subject"),
 		Rank: header("rank"), Cost: header("cost"),
 		KB: header("kb"), Token: header("token"), DefaultWait: time.Minute, MaxBodyBytes: 16, DefaultRank: 0.5, DefaultKB: 4}
@@ -153,12 +153,12 @@
 	lost := newMessage("lost", "pay")
 	lost.Body = []byte("hold")
 	b.Publish("ops", lost)
-	standin.WaitFor("one in hand", func() bool { mu.Lock(); defer mu.Unlock(); return held["pay"] != nil })
+	fake.WaitFor("one in hand", func() bool { mu.Lock(); defer mu.Unlock(); return held["pay"] != nil })
 	s.consumer.Drain(0)
-	standin.WaitFor("the end of the first front", s.consumer.Drained)
+	fake.WaitFor("the end of the first front", s.consumer.Drained)
 	s = startTestbed(b, c, testConfig(b, q))
 	defer s.close()
-	standin.WaitFor("its answer", func() bool { return b.Counts("replies").Ready == 1 })
+	fake.WaitFor("its answer", func() bool { return b.Counts("replies").Ready == 1 })
 	for _, kind := range []string{"view", "deny", "what", "fail"} {
 		b.Publish("ops", newMessage(kind, kind))
 	}
@@ -175,12 +175,12 @@
 	for _, p := range []client.Publishing{late, odd, again, retried, once} {
 		b.Publish("ops", p)
 	}
-	standin.WaitFor("one in hand", func() bool { mu.Lock(); defer mu.Unlock(); return held["view"] != nil })
+	fake.WaitFor("one in hand", func() bool { mu.Lock(); defer mu.Unlock(); return held["view"] != nil })
 	b.Publish("ops", twice)
-	standin.WaitFor("all but one answer", func() bool { return b.Counts("replies").Ready == 9 })
+	fake.WaitFor("all but one answer", func() bool { return b.Counts("replies").Ready == 9 })
 	c.Post(held["view"])
 	s.settled("ops")
-	standin.WaitFor("all answers", func() bool {
+	fake.WaitFor("all answers", func() bool {
 		return b.Counts("replies").Ready == 10 &&
 			b.Counts("ops.retry").Ready == 1
 	})
@@ -205,7 +205,7 @@
 	if err := json.Unmarshal([]byte(stored), &got); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("reads as %+v, %v", got, err)
 	}
-	if text := standin.Must(json.Marshal(want)); string(text) != stored {
+	if text := fake.Must(json.Marshal(want)); string(text) != stored {
 		t.Errorf("is written as\n%s\nwant\n%s", text, stored)
 	}
 }
--- a/internal/cli/try.go
+++ b/internal/cli/try.go
@@ -20,8 +20,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	client "github.com/rabbitmq/amqp091-go"
 
-	"lanewheel/internal/standin"
-	"lanewheel/internal/standin/broker"
+	"lanewheel/internal/fake"
+	"lanewheel/internal/fake/broker"
 )
 
 // tryCommand runs an instance with nothing else running.
@@ -79,7 +79,7 @@
 		}
 		token = strings.TrimSpace(string(text))
 	}
-	runtime, database, registry := standin.NewRuntime(), standin.NewDatabase(), standin.NewRegistry()
+	runtime, database, registry := fake.NewRuntime(), fake.NewDatabase(), fake.NewRegistry()
 	defer runtime.Listener.Close()
 	defer database.Listener.Close()
 	defer registry.Close()
@@ -91,7 +91,7 @@
 	listen := listener.Addr().String()
 	listener.Close()
 	config := filepath.Join(folder, "config.json")
-	settings := strings.NewReplacer("IDLE", "30", "FRESH", "0", `"memory-kb":1900`, `"memory-kb":190000`).Replace(standin.Settings)
+	settings := strings.NewReplacer("IDLE", "30", "FRESH", "0", `"memory-kb":1900`, `"memory-kb":190000`).Replace(fake.Settings)
 	text := fmt.Sprintf(`{"name":"try","listen":%q,"runtime":%q,"roster":%q,"db":%q,"seed":"%x","stop_ms":1500,`+
 		`"limits":{"cores":1,"memory_mb":192,"sockets":512},"settings":%s}`, listen, runtime.Addr(), registry.Addr(), database.Addr(), c.Seed, settings)
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
@@ -147,7 +147,7 @@
 	case <-ended:
 		logText, _ := os.ReadFile(logged)
 		return fmt.Errorf("the instance did not start:\n%s", logText)
-	case <-time.After(2 * standin.WaitTimeout):
+	case <-time.After(2 * fake.WaitTimeout):
 		_ = child.Process.Kill()
 		return errors.New("the instance does not come up")
 	}
@@ -182,7 +182,7 @@
 	_ = child.Process.Signal(syscall.SIGTERM)
 	select {
 	case err = <-ended:
-	case <-time.After(standin.WaitTimeout):
+	case <-time.After(fake.WaitTimeout):
 		_ = child.Process.Kill()
 		err = errors.New("it does not end after SIGTERM")
 	}
@@ -209,7 +209,7 @@
 func (t *loadTest) runClient(c *tryCommand, number int, listen, token string) {
 	defer func() { _ = recover() }() // a connection that is closed on it is in the table, as lost
 	random := rand.New(rand.NewPCG(c.Seed, uint64(number)))
-	connection := standin.Dial(listen)
+	connection := fake.Dial(listen)
 	defer connection.Close()
 	type asked struct {
 		kind string
@@ -262,7 +262,7 @@
 		}
 		t.mu.Unlock()
 		if !full {
-			connection.Send(standin.NewRequest(n, class, fmt.Sprintf("%08x%08x", number, n), []byte("body"), fields...))
+			connection.Send(fake.NewRequest(n, class, fmt.Sprintf("%08x%08x", number, n), []byte("body"), fields...))
 		}
 	}
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) { // the op timeout
@@ -293,7 +293,7 @@
 		for _, p := range fakeBroker.DrainQueue("try.answers") {
 			if sent, pending := sentAt[p.CorrelationId]; pending {
 				delete(sentAt, p.CorrelationId)
-				response := standin.Response{Error: p.Type}
+				response := fake.Response{Error: p.Type}
 				switch p.Type {
 				case "acked":
 					response.Error = ""
@@ -324,7 +324,7 @@
 	t.mu.Unlock()
 }
 
-func (t *loadTest) record(class string, latency time.Duration, response standin.Response) {
+func (t *loadTest) record(class string, latency time.Duration, response fake.Response) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	result := t.classes[class]
--- a/internal/drill/links_test.go
+++ b/internal/drill/links_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"lanewheel/internal/config"
-	"lanewheel/internal/standin"
+	"lanewheel/internal/fake"
 )
 
 // pair is two ends with links between them, that count what comes.
@@ -31,8 +31,8 @@
 	for i := range 2 {
 		p.hosts[i] = fmt.Sprintf("127.%d.9.%d", 64+os.Getpid()%64, i+1)
 		ip := net.ParseIP(p.hosts[i])
-		p.udp[i] = standin.Must(net.ListenUDP("udp", &net.UDPAddr{IP: ip, Port: port}))
-		p.tcp[i] = standin.Must(net.Listen("tcp", fmt.Sprintf("%s:%d", p.hosts[i], port)))
+		p.udp[i] = fake.Must(net.ListenUDP("udp", &net.UDPAddr{IP: ip, Port: port}))
+		p.tcp[i] = fake.Must(net.Listen("tcp", fmt.Sprintf("%s:%d", p.hosts[i], port)))
 		if err := p.l.addProcess(i, p.hosts[i], p.front(i)); err != nil {
 			panic(err)
 		}
@@ -93,7 +93,7 @@
 	p := newPair()
 	defer p.close()
 	p.send(0, 1)
-	standin.WaitFor("the first", func() bool { return p.came[1].Load() == 1 })
+	fake.WaitFor("the first", func() bool { return p.came[1].Load() == 1 })
 	if got := p.last[1].Load(); got != `"ax" from the other's front: true` {
 		t.Fatal(got)
 	}
@@ -111,9 +111,9 @@
 		began := time.Now()
 		p.send(0, 10)
 		p.send(1, 3) // the way back is as it was
-		standin.WaitFor("the way back", func() bool { return p.came[0].Load() == back+3 })
+		fake.WaitFor("the way back", func() bool { return p.came[0].Load() == back+3 })
 		if x.came > 0 {
-			standin.WaitFor(x.do, func() bool { return p.came[1].Load() == before+x.came })
+			fake.WaitFor(x.do, func() bool { return p.came[1].Load() == before+x.came })
 		} else {
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -140,7 +140,7 @@
 		return string(b[:n])
 	}
 	over := func(f *config.DrillFault) { p.l.apply(Event{Fault: f, Undo: true, From: []int{0}, To: []int{1}}) }
-	c := standin.Must(p.dial(0))
+	c := fake.Must(p.dial(0))
 	if got := echo(c, "hello", time.Second); got != "hello" {
 		t.Fatal(got)
 	}
@@ -155,7 +155,7 @@
 		t.Fatal(string(b[:n]))
 	}
 	f = p.put("swallow", 1, false)
-	s := standin.Must(p.dial(0))
+	s := fake.Must(p.dial(0))
 	if got := echo(s, "late", 100*time.Millisecond); got != "" {
 		t.Fatal("swallowed, and came: ", got)
 	}
@@ -176,7 +176,7 @@
 			t.Fatal("refused, and stands")
 		}
 	}
-	r := standin.Must(p.dial(1)) // the other way is as it was
+	r := fake.Must(p.dial(1)) // the other way is as it was
 	if got := echo(r, "back", time.Second); got != "back" {
 		t.Fatal(got)
 	}
--- a/internal/drill/load.go
+++ b/internal/drill/load.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"lanewheel/internal/standin"
+	"lanewheel/internal/fake"
 )
 
 // issuedRequest is one op as its issuer saw it, and as the runtimes did.
@@ -78,7 +78,7 @@
 			time.Sleep(20 * time.Millisecond)
 			continue
 		}
-		stub := standin.NewClient(conn)
+		stub := fake.NewClient(conn)
 		inFlight := map[int]*issuedRequest{}
 		ended := make(chan struct{})
 		go func() {
@@ -131,7 +131,7 @@
 			if outstanding >= 32 {
 				continue
 			}
-			if !trySend(stub, standin.NewRequest(number, request.class, request.id, []byte(request.id), "from", fmt.Sprint(client), "kb", "1", "rank", "0.5", "cost", "5")) {
+			if !trySend(stub, fake.NewRequest(number, request.class, request.id, []byte(request.id), "from", fmt.Sprint(client), "kb", "1", "rank", "0.5", "cost", "5")) {
 				connected = false
 			}
 		}
@@ -150,7 +150,7 @@
 	}
 }
 
-func trySend(s *standin.Client, message []any) (sent bool) {
+func trySend(s *fake.Client, message []any) (sent bool) {
 	defer func() { sent = recover() == nil }() // the connection ended: the reader tells
 	s.Send(message)
 	return true
--- a/internal/drill/stewards.go
+++ b/internal/drill/stewards.go
@@ -13,9 +13,9 @@
 
 	"lanewheel/internal/config"
 	"lanewheel/internal/coordination"
+	"lanewheel/internal/fake"
 	"lanewheel/internal/fleet/coordinator/client"
 	"lanewheel/internal/membership"
-	"lanewheel/internal/standin"
 )
 
 // RunHook asks the rehearsal at a socket to start a member anew on a release: it is what the stewards of a rehearsal are told to run.
@@ -294,9 +294,9 @@
 }
 
 // releaseFaults is what is wrong with a release, as the script has it.
-func (w *cluster) releaseFaults(release string) (standin.RuntimeFaults, bool) {
+func (w *cluster) releaseFaults(release string) (fake.RuntimeFaults, bool) {
 	if w.script.BadRelease.Release == "" || w.script.BadRelease.Release != release {
-		return standin.RuntimeFaults{}, false
+		return fake.RuntimeFaults{}, false
 	}
-	return standin.RuntimeFaults{SlowFactor: w.script.BadRelease.RunTimeFactor, FailRuns: w.script.BadRelease.FailRuns}, true
+	return fake.RuntimeFaults{SlowFactor: w.script.BadRelease.RunTimeFactor, FailRuns: w.script.BadRelease.FailRuns}, true
 }
--- a/internal/drill/world.go
+++ b/internal/drill/world.go
@@ -18,9 +18,9 @@
 	"time"
 
 	"lanewheel/internal/config"
+	"lanewheel/internal/fake"
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/membership"
-	"lanewheel/internal/standin"
 )
 
 // process is one process of the rehearsal. What is under mu changes as it is killed and started.
@@ -35,9 +35,9 @@
 	name            string
 	host, frontHost string // where it is, and where the others reach it
 	dir             string
-	runtime         *standin.Runtime
+	runtime         *fake.Runtime
 	runtimeDelayed  bool // its runtime does not take links
-	runtimeFaults   standin.RuntimeFaults
+	runtimeFaults   fake.RuntimeFaults
 	mu              sync.Mutex
 	cmd             *exec.Cmd
 	exit            chan struct{}
@@ -57,8 +57,8 @@
 	binary    string
 	dir       string
 	links     *network
-	database  *standin.Database
-	registry  *standin.Registry
+	database  *fake.Database
+	registry  *fake.Registry
 	processes []*process
 
 	services     []*fakeService
@@ -80,7 +80,7 @@
 )
 
 func newCluster(script *config.Drill, binary, dir string) (*cluster, error) {
-	w := &cluster{script: script, binary: binary, dir: dir, links: newNetwork(script.RandomSeed, streamPorts(script)...), database: standin.NewDatabase(), registry: standin.NewRegistry(), starts: make(chan func())}
+	w := &cluster{script: script, binary: binary, dir: dir, links: newNetwork(script.RandomSeed, streamPorts(script)...), database: fake.NewDatabase(), registry: fake.NewRegistry(), starts: make(chan func())}
 	w.database.AutoReply()
 	w.loadFactor.Store(math.Float64bits(1))
 	go func() { // the kernel ends a child with the thread that started it: this one stays, whatever becomes of the others
@@ -96,7 +96,7 @@
 	octet := 64 + os.Getpid()%64
 	for index := range script.Instances + script.Proxies + script.Allocators + script.Coordinators {
 		p := &process{cluster: w, index: index, isProxy: index >= script.Instances && index < script.Instances+script.Proxies, name: fmt.Sprintf("p%03d", index), host: fmt.Sprintf("127.%d.%d.%d", octet, index/250, index%250+1), frontHost: fmt.Sprintf("127.%d.%d.%d", octet+64, index/250, index%250+1),
-			runtime: standin.NewRuntime(), keyNumbers: []int{1}, seedCount: script.SeedMembers}
+			runtime: fake.NewRuntime(), keyNumbers: []int{1}, seedCount: script.SeedMembers}
 		p.dir = filepath.Join(dir, p.name)
 		if err := w.links.addProcess(index, p.host, p.frontHost); err != nil {
 			return nil, err
@@ -124,7 +124,7 @@
 // serveRuntime is a process's runtime: whichever link comes, it is up and works, as often as the process is started.
 func (w *cluster) serveRuntime(p *process) {
 	for life := uint64(0); ; life++ {
-		runtime := &standin.Runtime{Listener: p.runtime.Listener}
+		runtime := &fake.Runtime{Listener: p.runtime.Listener}
 		if !runtime.TryAccept() {
 			return
 		}
@@ -140,10 +140,10 @@
 	}
 }
 
-func (p *process) currentRuntimeFaults() standin.RuntimeFaults {
+func (p *process) currentRuntimeFaults() fake.RuntimeFaults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if bad, is := p.cluster.releaseFaults(p.release); is && p.runtimeFaults == (standin.RuntimeFaults{}) {
+	if bad, is := p.cluster.releaseFaults(p.release); is && p.runtimeFaults == (fake.RuntimeFaults{}) {
 		return bad
 	}
 	return p.runtimeFaults
@@ -162,7 +162,7 @@
 	if err := os.MkdirAll(p.dir, 0o700); err != nil {
 		return err
 	}
-	settings := strings.NewReplacer("IDLE", "30", "FRESH", "0", `"memory-kb":1900`, `"memory-kb":190000`, `"dep-share":8,`, `"dep-share":800,`).Replace(standin.Settings)
+	settings := strings.NewReplacer("IDLE", "30", "FRESH", "0", `"memory-kb":1900`, `"memory-kb":190000`, `"dep-share":8,`, `"dep-share":800,`).Replace(fake.Settings)
 	platform := fmt.Sprintf(`{"name":%q,"listen":"%s:%d","runtime":%q,"roster":%q,"db":%q,"seed":"%x","stop_ms":1500,`+
 		`"limits":{"cores":1,"memory_mb":%g,"sockets":512},"settings":%s}`, p.name, p.host, clientPort, p.runtime.Addr(), w.registry.Addr(), w.database.Addr(),
 		w.script.RandomSeed+uint64(p.index), w.script.MaxMemoryMB, settings)
@@ -488,9 +488,9 @@
 		}
 	case fault.Action == "slow-runs" || fault.Action == "fail-runs" || fault.Action == "lose-runs":
 		p.mu.Lock()
-		p.runtimeFaults = standin.RuntimeFaults{}
+		p.runtimeFaults = fake.RuntimeFaults{}
 		if !event.Undo {
-			p.runtimeFaults = standin.RuntimeFaults{SlowFactor: fault.Factor, FailRuns: fault.Action == "fail-runs", LoseRuns: fault.Action == "lose-runs"}
+			p.runtimeFaults = fake.RuntimeFaults{SlowFactor: fault.Factor, FailRuns: fault.Action == "fail-runs", LoseRuns: fault.Action == "lose-runs"}
 		}
 		p.mu.Unlock()
 	case fault.Action == "keys" && !event.Undo || fault.Action == "seeds" && !event.Undo:
--- a/internal/standin/database.go
+++ b/internal/fake/database.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"bufio"
--- a/internal/standin/standin.go
+++ b/internal/fake/standin.go
@@ -1,6 +1,6 @@
-// Package standin is the parties that an instance speaks to, as tests and "lanewheel try" need them: client stubs, the
+// Package fake is the parties that an instance speaks to, as tests and "lanewheel try" need them: client stubs, the
 // runtime, the database and the roster. They are scripted or work by themselves; what can't be ends them with a panic.
-package standin
+package fake
 
 import (
 	"net"
--- a/internal/fleet/coordinator/golden_test.go
+++ b/internal/fleet/coordinator/golden_test.go
@@ -22,8 +22,8 @@
 
 	"lanewheel/internal/coordination"
 	"lanewheel/internal/coordination/canary"
+	"lanewheel/internal/fake"
 	"lanewheel/internal/membership"
-	"lanewheel/internal/standin"
 )
 
 var update = flag.Bool("update", false, "write the golden folder anew; only where the stored form is meant to change")
@@ -168,16 +168,16 @@
 	before, behind := goldenLog()
 	if *update {
 		folder := t.TempDir()
-		s := standin.Must(New(goldenTold(folder)))
-		standin.WaitFor("it leads", func() bool { return s.IsLeader() && s.replica.settled() })
+		s := fake.Must(New(goldenTold(folder)))
+		fake.WaitFor("it leads", func() bool { return s.IsLeader() && s.replica.settled() })
 		for _, c := range before {
-			t.Log(c.Kind, c.Member, c.PermitID, standin.Must(s.replica.apply(c)))
+			t.Log(c.Kind, c.Member, c.PermitID, fake.Must(s.replica.apply(c)))
 		}
 		if err := s.replica.raft.Snapshot().Error(); err != nil {
 			t.Fatal(err)
 		}
 		for _, c := range behind {
-			t.Log(c.Kind, c.Member, c.PermitID, standin.Must(s.replica.apply(c)))
+			t.Log(c.Kind, c.Member, c.PermitID, fake.Must(s.replica.apply(c)))
 		}
 		s.streamLayer.Close()
 		s.replica.close()
@@ -206,19 +206,19 @@
 		snap + "/state.bin", "wal-meta.db"}; !slices.Equal(names, want) {
 		t.Errorf("the folder holds %q, wanted %q", names, want)
 	}
-	life := string(standin.Must(os.ReadFile(filepath.Join(folder, "life"))))
+	life := string(fake.Must(os.ReadFile(filepath.Join(folder, "life"))))
 
 	// The snapshot is what the commands before it come to, as the code has it now.
 	model := coordination.NewState(coordination.DefaultConfig())
 	for _, c := range before {
 		model.Apply(c)
 	}
-	stored := standin.Must(os.ReadFile(filepath.Join(folder, snap, "state.bin")))
-	if now := standin.Must(json.Marshal(model)); !bytes.Equal(stored, now) {
+	stored := fake.Must(os.ReadFile(filepath.Join(folder, snap, "state.bin")))
+	if now := fake.Must(json.Marshal(model)); !bytes.Equal(stored, now) {
 		t.Errorf("the snapshot is\n%s\nnow written as\n%s", stored, now)
 	}
 
-	s := standin.Must(New(goldenTold(folder)))
+	s := fake.Must(New(goldenTold(folder)))
 	defer func() {
 		s.streamLayer.Close()
 		s.replica.close()
@@ -226,11 +226,11 @@
 	if s.replica.id != raft.ServerID("s0."+life) {
 		t.Errorf("it is %s, wanted s0.%s", s.replica.id, life)
 	}
-	standin.WaitFor("it leads", func() bool { return s.IsLeader() && s.replica.settled() })
+	fake.WaitFor("it leads", func() bool { return s.IsLeader() && s.replica.settled() })
 
 	// The log holds the commands byte for byte as they are written now.
 	commands := append(slices.Clone(before), behind...)
-	first, last := standin.Must(s.replica.wal.FirstIndex()), standin.Must(s.replica.wal.LastIndex())
+	first, last := fake.Must(s.replica.wal.FirstIndex()), fake.Must(s.replica.wal.LastIndex())
 	kinds := map[coordination.Kind]int{}
 	for i, next := first, 0; i <= last; i++ {
 		var entry raft.Log
@@ -247,7 +247,7 @@
 		if err := json.Unmarshal(entry.Data, &c); err != nil || !reflect.DeepEqual(c, commands[next]) {
 			t.Errorf("entry %d reads as\n%+v\nwanted\n%+v (%v)", i, c, commands[next], err)
 		}
-		if now := standin.Must(json.Marshal(commands[next])); !bytes.Equal(entry.Data, now) {
+		if now := fake.Must(json.Marshal(commands[next])); !bytes.Equal(entry.Data, now) {
 			t.Errorf("entry %d is\n%s\nnow written as\n%s", i, entry.Data, now)
 		}
 		kinds[c.Kind]++
@@ -262,13 +262,13 @@
 
 	// What it holds, read from the snapshot and the log behind it.
 	var state []byte
-	s.replica.inspect(func(a *coordination.State) { state = append(standin.Must(json.MarshalIndent(a, "", "  ")), '\n') })
+	s.replica.inspect(func(a *coordination.State) { state = append(fake.Must(json.MarshalIndent(a, "", "  ")), '\n') })
 	if *update {
 		if err := os.WriteFile(goldenState, state, 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if want := standin.Must(os.ReadFile(goldenState)); !bytes.Equal(state, want) {
+	if want := fake.Must(os.ReadFile(goldenState)); !bytes.Equal(state, want) {
 		t.Errorf("it holds\n%s\nwanted\n%s", state, want)
 	}
 	s.replica.inspect(func(a *coordination.State) {
@@ -278,7 +278,7 @@
 	})
 
 	// It goes on where it was.
-	r := standin.Must(s.replica.apply(coordination.Command{Term: 9, LeaderTime: time.Second, Kind: coordination.KindCancelPermit, PermitID: 18,
+	r := fake.Must(s.replica.apply(coordination.Command{Term: 9, LeaderTime: time.Second, Kind: coordination.KindCancelPermit, PermitID: 18,
 		RequestedBy: "operator"}))
 	if want := (coordination.Reply{OK: true, PermitID: 18}); !reflect.DeepEqual(r, want) {
 		t.Errorf("%+v, wanted %+v", r, want)
@@ -358,7 +358,7 @@
 	if !s.runRestartCommand(coordination.Permit{Member: "n1", ID: 42}, "2") {
 		t.Fatal("the command failed")
 	}
-	if got := string(standin.Must(os.ReadFile(said))); got != "at=n1 to=2 n1 2\n" {
+	if got := string(fake.Must(os.ReadFile(said))); got != "at=n1 to=2 n1 2\n" {
 		t.Errorf("%q", got)
 	}
 }
--- a/internal/fleet/coordinator/steward_test.go
+++ b/internal/fleet/coordinator/steward_test.go
@@ -16,10 +16,10 @@
 
 	"lanewheel/internal/coordination"
 	"lanewheel/internal/coordination/canary"
+	"lanewheel/internal/fake"
 	"lanewheel/internal/fleet/coordinator/client"
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/membership"
-	"lanewheel/internal/standin"
 )
 
 // testFleet is so many stewards among a fleet that is as it is said to be.
@@ -40,14 +40,14 @@
 
 func newTestFleet(n int, instances int) *testFleet {
 	fleetCount++
-	t := &testFleet{dir: standin.Must(os.MkdirTemp("", "stewards")), notices: map[uint64]string{}}
+	t := &testFleet{dir: fake.Must(os.MkdirTemp("", "stewards")), notices: map[uint64]string{}}
 	t.table = membership.NewTable(membership.Descriptor{Name: "s0", Incarnation: 1, BootID: 1, Roles: membership.RoleCoordinator}, membership.DefaultConfig(), 0)
 	for i := range instances {
 		t.markUp(i, 1, "1")
 	}
 	var all []string
 	for i := range n {
-		l := standin.Must(net.Listen("tcp", fmt.Sprintf("127.73.%d.%d:0", os.Getpid()%250, fleetCount)))
+		l := fake.Must(net.Listen("tcp", fmt.Sprintf("127.73.%d.%d:0", os.Getpid()%250, fleetCount)))
 		all = append(all, l.Addr().String())
 		l.Close()
 		t.configs = append(t.configs, Config{Name: fmt.Sprint("s", i), ListenAddr: all[i], DataDir: filepath.Join(t.dir, fmt.Sprint(i)), Bootstrap: i == 0, HeartbeatTimeout: 300 * time.Millisecond,
@@ -115,7 +115,7 @@
 }
 
 func (t *testFleet) client() client.Client {
-	k := client.Client{Keys: []membership.Key{clusterKey}, Timeout: standin.WaitTimeout}
+	k := client.Client{Keys: []membership.Key{clusterKey}, Timeout: fake.WaitTimeout}
 	for _, told := range t.configs {
 		k.Coordinators = append(k.Coordinators, told.ListenAddr)
 	}
@@ -123,7 +123,7 @@
 }
 
 func (t *testFleet) propose(c coordination.Command) coordination.Reply {
-	a := standin.Must(t.client().Do(client.Request{Command: &c}))
+	a := fake.Must(t.client().Do(client.Request{Command: &c}))
 	if a.Reply == nil {
 		panic(a.Error)
 	}
@@ -132,7 +132,7 @@
 
 // leader waits for one that leads and knows so many to agree, and as many instances.
 func (t *testFleet) leader(voters, instances int) (i int) {
-	standin.WaitFor("a leader", func() bool {
+	fake.WaitFor("a leader", func() bool {
 		for k, s := range t.coordinators {
 			if s != nil && s.IsLeader() {
 				if st := s.status(); len(st.Coordinators) == voters && st.MemberCount >= instances {
@@ -160,7 +160,7 @@
 	t.kill(first)
 	fmt.Println(t.propose(c), t.propose(coordination.Command{Kind: coordination.KindRequestPermit, Member: "n1"}).PermitID)
 	next := t.leader(3, 3)
-	standin.WaitFor("the holder to be nudged", func() bool { t.mu.Lock(); defer t.mu.Unlock(); return t.notices[1] != "" })
+	fake.WaitFor("the holder to be nudged", func() bool { t.mu.Lock(); defer t.mu.Unlock(); return t.notices[1] != "" })
 	fmt.Println(t.notices[1])
 	begun := make(chan bool, 1)
 	t.coordinators[next].BeginPermit("n0", 1, 1, func() { begun <- true })
@@ -174,7 +174,7 @@
 	fmt.Println(strings.Contains(fmt.Sprint(err), client.ErrUnauthenticated.Error()))
 	t.startCoordinator(first)
 	t.markUp(0, 2, "1")
-	standin.WaitFor("n0's permit to be over, and n1's granted, at all three", func() bool {
+	fake.WaitFor("n0's permit to be over, and n1's granted, at all three", func() bool {
 		for _, s := range t.coordinators {
 			st := s.status()
 			if len(st.Permits) != 1 || st.Permits[0].Stage != coordination.PermitGranted {
@@ -216,9 +216,9 @@
 	fmt.Println("without a majority:", err != nil)
 	t.kill(0)
 	tear := func(pattern string, cut int64) {
-		all := standin.Must(filepath.Glob(pattern))
+		all := fake.Must(filepath.Glob(pattern))
 		path := all[len(all)-1]
-		info := standin.Must(os.Stat(path))
+		info := fake.Must(os.Stat(path))
 		if err := os.Truncate(path, max(0, info.Size()-cut)); err != nil {
 			panic(err)
 		}
@@ -239,9 +239,9 @@
 	t.leader(3, 3)
 	_, err = New(t.configs[0])
 	fmt.Println(err != nil) // two on one folder, or one address
-	st := standin.Must(t.client().Do(client.Request{Status: true})).Status
+	st := fake.Must(t.client().Do(client.Request{Status: true})).Status
 	fmt.Println(st.Halt != nil && st.Halt.Reason == "for the night", len(st.Coordinators), st.Budgets[0].Budget.Name)
-	h := standin.Must(t.client().Do(client.Request{History: true}))
+	h := fake.Must(t.client().Do(client.Request{History: true}))
 	fmt.Println(h.EndedPermits[0].Outcome, len(h.History) > 200)
 	// Output:
 	// without a majority: true
@@ -262,8 +262,8 @@
 	}
 	w.kill(0)
 	whole := w.configs[0].DataDir
-	log := standin.Must(filepath.Glob(filepath.Join(whole, "*.wal")))[0]
-	text := standin.Must(os.ReadFile(log))
+	log := fake.Must(filepath.Glob(filepath.Join(whole, "*.wal")))[0]
+	text := fake.Must(os.ReadFile(log))
 	end := len(text)
 	for end > 0 && text[end-1] == 0 { // the file is longer than what is written
 		end--
@@ -278,7 +278,7 @@
 		w.startCoordinator(0)
 		w.leader(1, 1)
 		// One that leads still has its log to take in: what was told before shows a moment later, and has to.
-		standin.WaitFor(fmt.Sprintf("the budget, cut at %d of %d", cut, end), func() bool {
+		fake.WaitFor(fmt.Sprintf("the budget, cut at %d of %d", cut, end), func() bool {
 			st := w.coordinators[0].status()
 			return len(st.Budgets) == 1 && st.Budgets[0].Budget.Name == "one"
 		})
@@ -308,7 +308,7 @@
 	defer w.close()
 	w.leader(3, 3)
 	w.propose(oneAtATime)
-	standin.WaitFor("all to be known", func() bool { return w.coordinators[w.leader(3, 3)].status().MemberCount == 4 })
+	fake.WaitFor("all to be known", func() bool { return w.coordinators[w.leader(3, 3)].status().MemberCount == 4 })
 	type input struct{ c coordination.Command }
 	var mu sync.Mutex
 	var history []porcupine.Operation
@@ -352,7 +352,7 @@
 		start.Apply(coordination.Command{Kind: coordination.KindObserve, Observations: []coordination.Observation{{Name: coordination.Name(fmt.Sprint("n", i)), Incarnation: 1, Release: "1", Roles: membership.RoleServer, Capacity: 1}}})
 	}
 	start.Apply(oneAtATime)
-	first := string(standin.Must(json.Marshal(start)))
+	first := string(fake.Must(json.Marshal(start)))
 	model := porcupine.Model{
 		Init: func() any { return first },
 		Step: func(state, in, out any) (bool, any) {
@@ -365,7 +365,7 @@
 				return false, state
 			}
 			s.History = nil
-			return true, string(standin.Must(json.Marshal(s)))
+			return true, string(fake.Must(json.Marshal(s)))
 		},
 	}
 	if !porcupine.CheckOperations(model, history) {
--- a/internal/lifecycle/coordinators/golden_test.go
+++ b/internal/lifecycle/coordinators/golden_test.go
@@ -13,10 +13,10 @@
 
 	"lanewheel/internal/coordination"
 	"lanewheel/internal/coordination/canary"
+	"lanewheel/internal/fake"
 	"lanewheel/internal/fleet/coordinator"
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/membership"
-	"lanewheel/internal/standin"
 	"lanewheel/internal/statussocket"
 )
 
@@ -46,7 +46,7 @@
 			t.Fatal(err)
 		}
 	}
-	stored := standin.Must(os.ReadFile(path))
+	stored := fake.Must(os.ReadFile(path))
 	if !bytes.Equal(text, stored) {
 		t.Errorf("shown as\n%s\nnow written as\n%s", stored, text)
 	}
@@ -80,7 +80,7 @@
 
 // What a steward says of itself in the fleet, by the name that others read.
 func TestReportGolden(t *testing.T) {
-	s := standin.Must(coordinator.New(coordinator.Config{Name: "s0", ListenAddr: "127.0.0.1:0", AdvertiseAddr: "127.0.0.1:7373",
+	s := fake.Must(coordinator.New(coordinator.Config{Name: "s0", ListenAddr: "127.0.0.1:0", AdvertiseAddr: "127.0.0.1:7373",
 		DataDir: t.TempDir(), Bootstrap: true, HeartbeatTimeout: 300 * time.Millisecond,
 		ClusterKeys: []membership.Key{membership.Key("0123456789abcdef0123456789abcdef")}, Coordination: coordination.DefaultConfig(),
 		Canary: canary.DefaultConfig(), AnalysisWindow: time.Second, SnapshotThreshold: 64}))
@@ -91,7 +91,7 @@
 			membership.DefaultConfig(), 0).View()})
 		close(done)
 	}()
-	standin.WaitFor("it leads", func() bool { return s.IsLeader() && s.Ready() })
+	fake.WaitFor("it leads", func() bool { return s.IsLeader() && s.Ready() })
 	p.Status(func(r gossip.ProcessStatus) {
 		want := gossip.ProcessStatus{Ready: true, Metrics: []membership.Metric{{Name: "leads", Value: 1}}}
 		if !reflect.DeepEqual(r, want) {
--- a/internal/proxy/relay_test.go
+++ b/internal/proxy/relay_test.go
@@ -9,10 +9,10 @@
 
 	"lanewheel/admission"
 	"lanewheel/internal/balancer"
+	"lanewheel/internal/fake"
 	"lanewheel/internal/forward"
 	"lanewheel/internal/membership"
 	"lanewheel/internal/server"
-	"lanewheel/internal/standin"
 )
 
 // scriptedEndpoint is a member by script: what it does with each op that comes is told by its type and how many came before.
@@ -55,7 +55,7 @@
 		}
 		go func() {
 			defer c.Close()
-			stub := standin.NewClient(c)
+			stub := fake.NewClient(c)
 			for {
 				v, err := stub.Next()
 				if err != nil {
@@ -103,7 +103,7 @@
 	script := &endpointScript{steps: steps, ids: map[string]bool{}}
 	table := membership.NewTable(membership.Descriptor{Name: "relay", Incarnation: 1, BootID: 1}, membership.DefaultConfig(), 0)
 	for i := range count {
-		listener := standin.Must(net.Listen("tcp", "127.0.0.1:0"))
+		listener := fake.Must(net.Listen("tcp", "127.0.0.1:0"))
 		script.endpoints = append(script.endpoints, &scriptedEndpoint{listener: listener})
 		go script.serve(i, listener)
 		id := membership.ID{Name: membership.Name(fmt.Sprint("m", i)), BootID: 1}
@@ -111,10 +111,10 @@
 		table.HandleHeartbeat(membership.Heartbeat{ID: id, Sequence: 1, Ready: true, ReadyFor: time.Minute}, 0, 0)
 	}
 	proxyCount++
-	free := standin.Must(net.Listen("tcp", fmt.Sprintf("127.72.%d.%d:0", os.Getpid()%250, proxyCount)))
+	free := fake.Must(net.Listen("tcp", fmt.Sprintf("127.72.%d.%d:0", os.Getpid()%250, proxyCount)))
 	listen := free.Addr().String()
 	free.Close()
-	roster := standin.NewRegistry()
+	roster := fake.NewRegistry()
 	config := Config{Config: forward.Config{Balancer: balancer.DefaultConfig(), ConnectionsPerEndpoint: 2, IdleTimeout: time.Minute}, MaxInFlight: 100, DrainGrace: 500 * time.Millisecond, RetryAfter: 90 * time.Millisecond}
 	config.Balancer.RetryRatio = 1
 	class := func(name, repeats string) admission.Settings {
@@ -146,9 +146,9 @@
 		{"view", []string{"fail"}},
 	} {
 		r, s, listen := openProxy(4, x.steps...)
-		stub := standin.Dial(listen)
-		stub.Send(standin.NewRequest(7, x.kind, standin.RequestID(1), []byte("body")))
-		a := standin.Must(stub.NextResponse())
+		stub := fake.Dial(listen)
+		stub.Send(fake.NewRequest(7, x.kind, fake.RequestID(1), []byte("body")))
+		a := fake.Must(stub.NextResponse())
 		fmt.Printf("%v: %q %q %v\n", s.takeTrace(), a.Error, a.Result, a.Fields)
 		stub.Close()
 		r.Post(r.Quit)
@@ -167,25 +167,25 @@
 // leaves: the member is told. A connection that is refused costs nothing: the next member has it.
 func Example_silent() {
 	r, s, listen := openProxy(1, "late", "interrupt")
-	stub := standin.Dial(listen)
+	stub := fake.Dial(listen)
 	began := time.Now()
-	stub.Send(standin.NewRequest(1, "pay", standin.RequestID(1), nil, "wait", "150"))
-	a := standin.Must(stub.NextResponse())
+	stub.Send(fake.NewRequest(1, "pay", fake.RequestID(1), nil, "wait", "150"))
+	a := fake.Must(stub.NextResponse())
 	took := time.Since(began)
 	fmt.Println(a.Number, a.Error, took > 140*time.Millisecond && took < 240*time.Millisecond)
-	standin.WaitFor("the member to be told", func() bool { return len(s.takeTrace()) > 0 })
+	fake.WaitFor("the member to be told", func() bool { return len(s.takeTrace()) > 0 })
 	time.Sleep(200 * time.Millisecond) // its answer comes meanwhile
-	stub.Send(standin.NewRequest(2, "view", standin.RequestID(2), []byte("x")))
-	a = standin.Must(stub.NextResponse())
+	stub.Send(fake.NewRequest(2, "view", fake.RequestID(2), []byte("x")))
+	a = fake.Must(stub.NextResponse())
 	fmt.Println(a.Number, a.Error == "")
 	s.mu.Lock()
 	s.steps = []string{"silent"}
 	s.mu.Unlock()
 	s.takeTrace()
-	stub.Send(standin.NewRequest(3, "view", standin.RequestID(3), nil))
-	standin.WaitFor("it to be there", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.trace) == 1 })
+	stub.Send(fake.NewRequest(3, "view", fake.RequestID(3), nil))
+	fake.WaitFor("it to be there", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.trace) == 1 })
 	stub.Send([]any{2, "interrupt", []any{3}})
-	standin.WaitFor("the member to be told", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.trace) == 2 })
+	fake.WaitFor("the member to be told", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.trace) == 2 })
 	fmt.Println(s.takeTrace())
 	stub.Close()
 	r.Post(r.Quit)
@@ -194,11 +194,11 @@
 	for _, b := range s.endpoints[:2] {
 		b.listener.Close()
 	}
-	stub = standin.Dial(listen)
+	stub = fake.Dial(listen)
 	acked := 0
 	for n := range 20 {
-		stub.Send(standin.NewRequest(n+1, "pay", standin.RequestID(n+1), nil))
-		if a := standin.Must(stub.NextResponse()); a.Error == "" {
+		stub.Send(fake.NewRequest(n+1, "pay", fake.RequestID(n+1), nil))
+		if a := fake.Must(stub.NextResponse()); a.Error == "" {
 			acked++
 		}
 	}
@@ -216,34 +216,34 @@
 // leave: within the grace ops are passed on, behind it turned away, and all is answered.
 func Example_leaving() {
 	r, _, listen := openProxy(0)
-	stub := standin.Dial(listen)
-	stub.Send(standin.NewRequest(1, "pay", standin.RequestID(1), nil))
+	stub := fake.Dial(listen)
+	stub.Send(fake.NewRequest(1, "pay", fake.RequestID(1), nil))
 	fmt.Println(stub.NextText())
 	stub.Close()
 	r.Post(r.Quit)
 
 	r, s, listen := openProxy(2, "silent")
-	stub = standin.Dial(listen)
-	stub.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil, "wait", "900"))
-	standin.WaitFor("it to be there", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.trace) == 1 })
-	other := standin.Dial(listen)
-	other.Send(standin.NewRequest(1, "view", standin.RequestID(1), nil))
+	stub = fake.Dial(listen)
+	stub.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil, "wait", "900"))
+	fake.WaitFor("it to be there", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.trace) == 1 })
+	other := fake.Dial(listen)
+	other.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil))
 	fmt.Println(other.NextText())
-	other.Send(standin.NewRequest(2, "what", standin.RequestID(2), nil))
+	other.Send(fake.NewRequest(2, "what", fake.RequestID(2), nil))
 	fmt.Println(other.NextText())
 	r.Post(r.Drain)
 	fmt.Println(other.NextText()) // goaway
-	other.Send(standin.NewRequest(3, "view", standin.RequestID(3), nil))
+	other.Send(fake.NewRequest(3, "view", fake.RequestID(3), nil))
 	fmt.Println(other.NextText())
 	other.Close()
 	time.Sleep(600 * time.Millisecond) // past the grace
-	other = standin.Dial(listen)
+	other = fake.Dial(listen)
 	fmt.Println(other.NextText())
-	other.Send(standin.NewRequest(4, "view", standin.RequestID(4), nil))
+	other.Send(fake.NewRequest(4, "view", fake.RequestID(4), nil))
 	fmt.Println(other.NextText())
 	other.Close()
 	fmt.Println(stub.NextText(), stub.NextText())
-	standin.WaitFor("its end", func() bool {
+	fake.WaitFor("its end", func() bool {
 		over := make(chan bool, 1)
 		r.Post(func() { over <- false })
 		select {
