--- a/internal/amqp/delivery/intake_test.go
+++ b/internal/amqp/delivery/intake_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 
 	"lanewheel/internal/frontend"
-	_ "lanewheel/internal/scenes"
+	_ "lanewheel/internal/rapidtest"
 )
 
 var calm = frontend.Load{Ready: true, Healthy: true, Cores: 4, FreeCapacity: 1000}
--- a/internal/balancer/spread_test.go
+++ b/internal/balancer/spread_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "lanewheel/internal/scenes"
+	_ "lanewheel/internal/rapidtest"
 )
 
 const s = time.Second
--- a/internal/fleet/gossip/codec_test.go
+++ b/internal/fleet/gossip/codec_test.go
@@ -10,7 +10,7 @@
 
 	"lanewheel/internal/concurrencylease"
 	"lanewheel/internal/membership"
-	_ "lanewheel/internal/scenes"
+	_ "lanewheel/internal/rapidtest"
 )
 
 // What is written is read as it was, less what is under a millisecond.
--- a/internal/scenes/scenes.go
+++ b/internal/rapidtest/scenes.go
@@ -1,5 +1,5 @@
-// Package scenes is for tests alone: whoever imports it has its property tests draw the same scenes each time.
-package scenes
+// Package rapidtest is for tests alone: whoever imports it has its property tests draw the same scenes each time.
+package rapidtest
 
 import (
 	"flag"
