--- a/admission/decisions_test.go
+++ b/admission/decisions_test.go
@@ -17,8 +17,8 @@
 )
 
 // The decisions of some thousands of random scenes, as digests: a change that is to decide the same has to give the same. Each
-// digest is that of a block of scenes. All blocks:  go test -run SameDecisions ./choice -blocks 60
-// Recorded anew, when decisions are meant to change:  go test -run SameDecisions ./choice -blocks 60 -record
+// digest is that of a block of scenes. All blocks:  go test -run SameDecisions ./admission -blocks 60
+// Recorded anew, when decisions are meant to change:  go test -run SameDecisions ./admission -blocks 60 -record
 var (
 	blocks = flag.Int("blocks", 6, "how many blocks of scenes TestSameDecisions plays")
 	record = flag.Bool("record", false, "write the digests of TestSameDecisions instead of comparing them")
--- a/admission/held_test.go
+++ b/admission/held_test.go
@@ -9,7 +9,7 @@
 // What one op costs the module while so many are held and the cores are busy: one comes, one ends, one starts. Targets are long,
 // so nothing is weeded out.
 //
-//	go test -run xxx -bench Held ./choice
+//	go test -run xxx -bench Held ./admission
 func BenchmarkHeld(b *testing.B) {
 	for _, held := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(held), func(b *testing.B) {
--- a/internal/balancer/sim_test.go
+++ b/internal/balancer/sim_test.go
@@ -336,7 +336,7 @@
 	return fmt.Sprintf("99th %6.0f ms, late %.4f, most %.2f of the mean (chance %.2f), longest idle %.1f gaps of arrivals, failed %.4f, connections %d", 1000*r.p99, r.late, r.most, r.fair, r.idle, r.failed, r.connections)
 }
 
-// The ways on one machine and one seed: go test -run xxx -bench Ways -benchtime 1x ./internal/spread
+// The ways on one machine and one seed: go test -run xxx -bench Ways -benchtime 1x ./internal/balancer
 func BenchmarkPolicies(b *testing.B) {
 	for _, at := range []struct {
 		name string
@@ -362,7 +362,7 @@
 	}
 }
 
-// 3,000 members and 1,000 deciders, with subsets of 30: go test -run xxx -bench Large -benchtime 1x -timeout 20m ./internal/spread
+// 3,000 members and 1,000 deciders, with subsets of 30: go test -run xxx -bench Large -benchtime 1x -timeout 20m ./internal/balancer
 func BenchmarkLarge(b *testing.B) {
 	k := simulation{members: 3000, deciders: 1000, utilization: 0.75, seconds: 5, probesPerRequest: 2, reportAge: 2 * time.Millisecond, config: DefaultConfig(), subsetSize: 30}
 	b.Log("informed", k.run())
@@ -374,7 +374,7 @@
 
 var picture = flag.String("picture", "", "where BenchmarkAge draws")
 
-// How even it stays by the age of what is known: go test -run xxx -bench Age -benchtime 1x ./internal/spread -picture $PWD/FILE.svg
+// How even it stays by the age of what is known: go test -run xxx -bench Age -benchtime 1x ./internal/balancer -picture $PWD/FILE.svg
 func BenchmarkReportAge(b *testing.B) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "200 members, 40 deciders, 75% in use, ops of 100 ms", "age of each word on a member's load, s", "99th percentile, ms"
--- a/internal/concurrencylease/grants_test.go
+++ b/internal/concurrencylease/grants_test.go
@@ -354,7 +354,7 @@
 }
 
 // Whatever is lost, late, twice or out of order, whoever dies, stands still or has a clock that is wrong by what is told: never more calls than
-// the cap, and the room is used. Longer: go test -run Cap ./internal/grants -scenes 20000.
+// the cap, and the room is used. Longer: go test -run Cap ./internal/concurrencylease -scenes 20000.
 func TestCap(t *testing.T) {
 	served := 0
 	for seed := range uint64(*simulations) {
--- a/internal/coordination/accord_test.go
+++ b/internal/coordination/accord_test.go
@@ -333,7 +333,7 @@
 
 // A small world explored whole, to a depth: three instances, a budget of one, all that may come in any order: members that crash, are in doubt, come
 // back as a later life; permits asked for, begun by their holder, by an old life, late and twice, dropped; halts, a release and its way back;
-// time. Deeper: go test -timeout 30m -run Model ./internal/accord -depth 8.
+// time. Deeper: go test -timeout 30m -run Model ./internal/coordination -depth 8.
 func TestModel(t *testing.T) {
 	start := newFleet(3, []string{"a"}, oneAtATime)
 	start.Config.MaxOvertakes = 2
--- a/internal/fleet/allocator/desk.go
+++ b/internal/fleet/allocator/desk.go
@@ -1,5 +1,5 @@
 // Package allocator is the process beside a service below: it says in the fleet where the service is and whether it takes connections, and grants
-// instances their calls. internal/grants decides.
+// instances their calls. internal/concurrencylease decides.
 package allocator
 
 import (
--- a/internal/fleet/coordinator/node.go
+++ b/internal/fleet/coordinator/node.go
@@ -1,4 +1,4 @@
-// Package coordinator is one of the few processes that hold what the fleet has agreed: internal/accord's state, kept alike by hashicorp/raft with a log and
+// Package coordinator is one of the few processes that hold what the fleet has agreed: internal/coordination's state, kept alike by hashicorp/raft with a log and
 // snapshots on disk. The one that leads has the fleet's members, the permits and the releases go on; any of them answers operators.
 package coordinator
 
--- a/internal/forward/pass.go
+++ b/internal/forward/pass.go
@@ -1,5 +1,5 @@
 // Package forward gives ops to other processes of the fleet and tells what became of each, once and by its due time. A relay passes on all that
-// it takes, an instance what it turns away. Who gets an op, and whether another is asked, is decided by internal/spread.
+// it takes, an instance what it turns away. Who gets an op, and whether another is asked, is decided by internal/balancer.
 package forward
 
 import (
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -1,5 +1,5 @@
 // Package proxy passes ops on: it takes them by the client stubs' protocol, gives each to one of many members, and owes the one final
-// answer. It holds nothing beside what is in hand. Who gets an op, and whether another is asked, is decided by internal/spread.
+// answer. It holds nothing beside what is in hand. Who gets an op, and whether another is asked, is decided by internal/balancer.
 package proxy
 
 import (
--- a/internal/spillover/handover.go
+++ b/internal/spillover/handover.go
@@ -1,5 +1,5 @@
-// Package spillover gives an op that an instance turns away to another instance with room, once. It decides nothing: internal/spread says
-// whether and to whom, internal/pass carries it there. It belongs to the instance's loop.
+// Package spillover gives an op that an instance turns away to another instance with room, once. It decides nothing: internal/balancer says
+// whether and to whom, internal/forward carries it there. It belongs to the instance's loop.
 package spillover
 
 import (
--- a/internal/upstream/below.go
+++ b/internal/upstream/below.go
@@ -1,5 +1,5 @@
 // Package upstream is the services that an instance's calls go to, where an operator's file tells of several, or of a hard cap that holds for
-// the whole fleet. Which one a call goes to is decided by internal/spread, how many calls there may be at a time by internal/grants; here is
+// the whole fleet. Which one a call goes to is decided by internal/balancer, how many calls there may be at a time by internal/concurrencylease; here is
 // who is there, and what is open. It belongs to the instance's loop.
 package upstream
 
