--- a/cmd/lanewheel-coordinator/main.go
+++ b/cmd/lanewheel-coordinator/main.go
@@ -1,4 +1,4 @@
-// Command lanewheel-steward is lanewheel-fleet with the stewards' log linked. It is a program of its own because that takes memory at rest;
+// Command lanewheel-coordinator is lanewheel-fleet with the stewards' log linked. It is a program of its own because that takes memory at rest;
 // lanewheel hands over to it for "lanewheel steward".
 package main
 
--- a/cmd/lanewheel-fleet/main_test.go
+++ b/cmd/lanewheel-fleet/main_test.go
@@ -23,7 +23,7 @@
 // TestMain builds both programs, side by side, as they are deployed.
 func TestMain(m *testing.M) {
 	binDir = fake.Must(os.MkdirTemp("", "lanewheel-fleet"))
-	for _, name := range []string{"lanewheel", "lanewheel-fleet", "lanewheel-steward"} {
+	for _, name := range []string{"lanewheel", "lanewheel-fleet", "lanewheel-coordinator"} {
 		if out, err := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", filepath.Join(binDir, name), "../"+name).CombinedOutput(); err != nil {
 			panic(string(out))
 		}
--- a/cmd/lanewheel-sim/main.go
+++ b/cmd/lanewheel-sim/main.go
@@ -1,4 +1,4 @@
-// Command wirehost hosts many instances of the decision module on the simulator's wire: events on
+// Command lanewheel-sim hosts many instances of the decision module on the simulator's wire: events on
 // standard input, actions on standard output. It decides nothing.
 package main
 
@@ -12,7 +12,7 @@
 
 func main() {
 	if err := serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "wirehost:", err)
+		fmt.Fprintln(os.Stderr, "lanewheel-sim:", err)
 		os.Exit(1)
 	}
 }
--- a/internal/amqp/delivery/memory.go
+++ b/internal/amqp/delivery/memory.go
@@ -101,14 +101,6 @@
 	return 0
 }
 
-// deliveriesOf are the deliveries that wait for a message's outcome.
-func (m *Deduplicator) deliveriesOf(id MessageID) []DeliveryTag {
-	if r := m.records[id]; r != nil && r.inFlight {
-		return r.deliveries
-	}
-	return nil
-}
-
 // Replied settles a message with its answer, until Confirmed to be sent again if it comes again.
 func (m *Deduplicator) Replied(now time.Duration, id MessageID, reply any) []DeliveryTag {
 	return m.settle(now, id, reply, false)
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -71,12 +71,12 @@
 	c.SetEndpoints(now, all[:10])
 	for n := range steps {
 		now += time.Duration(rng.IntN(40)) * time.Millisecond
-		switch {
-		case n == steps/4: // two come, cold; one is doubted
+		switch n {
+		case steps / 4: // two come, cold; one is doubted
 			all[10].WarmUpRemaining, all[10].WarmUp, all[11].WarmUpRemaining, all[11].WarmUp = 5*time.Second, 8*time.Second, 3*time.Second, 3*time.Second
 			all[1].Suspect = true
 			c.SetEndpoints(now, all)
-		case n == steps/2: // one goes
+		case steps / 2: // one goes
 			all[1].Suspect = false
 			c.SetEndpoints(now, all[1:])
 		}
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -33,7 +33,7 @@
 }
 
 // fleetProgram is the program that has most of it, beside ours, and withStewards the one that has all.
-const fleetProgram, coordinatorProgram = "lanewheel-fleet", "lanewheel-steward"
+const fleetProgram, coordinatorProgram = "lanewheel-fleet", "lanewheel-coordinator"
 
 // execProgram hands this process over to the sibling, with the same arguments: its number, files and signals stay as they are.
 func execProgram(name string) error {
--- a/internal/coordination/release.go
+++ b/internal/coordination/release.go
@@ -53,7 +53,7 @@
 
 // AppliesTo tells whether a release is meant for a member, whichever it has now.
 func (r *Rollout) AppliesTo(observation Observation) bool {
-	return r.RolloutPlan.Selector.matches(observation)
+	return r.Selector.matches(observation)
 }
 
 // InProgress tells whether a release is on its way.
@@ -203,7 +203,7 @@
 		switch {
 		case s.Now-rollout.PhaseSince < rollout.Pause:
 			rollout.WaitReason = fmt.Sprintf("wave %d is looked at", rollout.Wave+1)
-		case rollout.RolloutPlan.AnalysisRequired && !rollout.Analyzed:
+		case rollout.AnalysisRequired && !rollout.Analyzed:
 			rollout.WaitReason = fmt.Sprintf("the verdict on wave %d", rollout.Wave+1)
 		case rollout.Wave+1 < len(rollout.WaveMembers):
 			rollout.Phase, rollout.Wave, rollout.PhaseSince = RolloutUpdating, rollout.Wave+1, s.Now
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -38,7 +38,7 @@
 	}
 	defer w.close()
 	if script.Coordinators > 0 {
-		w.binary = filepath.Join(filepath.Dir(binary), "lanewheel-steward") // it has all that the others have
+		w.binary = filepath.Join(filepath.Dir(binary), "lanewheel-coordinator") // it has all that the others have
 	}
 	var mu sync.Mutex
 	var violations, processViolations []violation
--- a/internal/drill/judge.go
+++ b/internal/drill/judge.go
@@ -17,15 +17,6 @@
 	Detail string
 }
 
-// invariant is what a part of the program adds to the four rules. Look is called some times a second, Over when a fault with its
-// time to settle is behind, or with a nil fault at the end.
-type invariant interface {
-	check(now time.Duration) []violation
-	afterFault(e *Event, now time.Duration) []violation
-	// Begin is called just before something is done or undone.
-	beforeEvent(e *Event, now time.Duration)
-}
-
 // metric is one measured value of a rehearsal.
 type metric struct {
 	Name  string
--- a/internal/fleet/coordinator/steward.go
+++ b/internal/fleet/coordinator/steward.go
@@ -256,7 +256,7 @@
 	switch {
 	case halted: // what is seen meanwhile is of a wave that is judged anew once that is over
 		lead.analyzedWave = ""
-	case rollout.InProgress() && rollout.RolloutPlan.AnalysisRequired && rollout.Phase != coordination.RolloutRollingBack:
+	case rollout.InProgress() && rollout.AnalysisRequired && rollout.Phase != coordination.RolloutRollingBack:
 		s.analyzeWave(rollout)
 	}
 }
--- a/internal/membership/keys.go
+++ b/internal/membership/keys.go
@@ -31,11 +31,6 @@
 	return rotation
 }
 
-// keysOverlap tells whether two that go by these lists understand each other: each reads what the other writes.
-func keysOverlap(a, b []Key) bool {
-	return len(a) > 0 && len(b) > 0 && containsKey(a, b[0]) && containsKey(b, a[0])
-}
-
 func containsKey(keys []Key, key Key) bool {
 	for _, candidate := range keys {
 		if bytes.Equal(candidate, key) {
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -259,28 +259,3 @@
 
 // Fingerprint is what one life adds to a digest, by exclusive or.
 func Fingerprint(id ID) uint64 { return xxhash.Sum64String(id.String()) }
-
-// diffViews gives the names on which two views differ, with what each believes.
-func diffViews(a, b *View) iter.Seq2[Name, [2]string] {
-	describe := func(v *View, name Name) string {
-		m, known := v.Get(name)
-		if !known {
-			return "unknown"
-		}
-		return fmt.Sprintf("%v %d", m.State, m.Incarnation)
-	}
-	return func(yield func(Name, [2]string) bool) {
-		compared := map[Name]bool{}
-		for _, v := range []*View{a, b} {
-			for m := range v.All() {
-				if compared[m.Name] {
-					continue
-				}
-				compared[m.Name] = true
-				if inA, inB := describe(a, m.Name), describe(b, m.Name); inA != inB && !yield(m.Name, [2]string{inA, inB}) {
-					return
-				}
-			}
-		}
-	}
-}
--- a/internal/server/instance.go
+++ b/internal/server/instance.go
@@ -143,7 +143,7 @@
 
 // Serve runs the owner loop until the instance has stopped.
 func (in *Server) Serve() {
-	in.Loop.Run(func() {
+	in.Run(func() {
 		if in.decisionPending && in.controller != nil {
 			in.decisionPending = false
 			in.controller.Decide()
--- a/internal/transport/crossings_test.go
+++ b/internal/transport/crossings_test.go
@@ -476,7 +476,7 @@
 	})
 	select {
 	case err := <-refused:
-		fmt.Println(err != nil, x.Net.dialedConns.Load())
+		fmt.Println(err != nil, x.dialedConns.Load())
 	case <-time.After(10 * time.Second):
 		fmt.Println("no word")
 	}
