--- a/admission/choice.go
+++ b/admission/choice.go
@@ -8,37 +8,30 @@
 
 import (
 	"cmp"
-	"fmt"
 	"math"
 	"slices"
 	"time"
 )
 
 // New makes the desk of an instance that has just come up.
-func New(seed uint64, facts Settings, port Executor) *Controller {
-	d := &Controller{executor: port, settings: facts, seed: seed, startedAt: port.Now(), state: "well", loadLevel: -1,
+func New(seed uint64, settings Settings, executor Executor) *Controller {
+	d := &Controller{executor: executor, settings: settings, seed: seed, startedAt: executor.Now(), state: StateHealthy, loadLevel: -1,
 		classes: map[Class]*classState{}, tenants: map[TenantID]*tenantState{}, requests: map[RequestID]*trackedRequest{},
-		cores: max(1, int(facts.num("cores")))}
-	d.grownLimit, d.tick = d.cores, facts.span("tick")
-	kinds, _ := facts["op types"].([]Settings)
-	for i, k := range kinds {
-		t := &classState{name: Class(k.text("name")), index: i, weight: k.num("importance"),
-			latencyObjective: k.span("target latency"), objectivePerWork: k.num("target stretch"),
-			timeout: k.span("op timeout"), lateValue: k.num("late share"),
-			idempotency: k.text("repeats"), idempotencyWindow: k.span("repeat window")}
-		d.classes[t.name] = t
+		cores: max(1, int(settings.Cores))}
+	d.grownLimit, d.tick = d.cores, settings.Tick
+	for _, class := range settings.Classes {
+		d.classes[class.Name] = &classState{ClassSettings: class}
 	}
 	bands := map[float64]bool{}
 	for _, k := range d.classes {
-		bands[k.weight] = true
+		bands[k.Weight] = true
 	}
 	d.weightBands = len(bands)
-	tenants, _ := facts["tenants"].([]Settings)
-	for _, t := range tenants {
-		d.tenants[TenantID(t.text("name"))] = &tenantState{quota: t.num("quota a second")}
+	for _, tenant := range settings.Tenants {
+		d.tenants[tenant.Name] = &tenantState{quota: tenant.QuotaPerSecond}
 	}
 	// Danger: checks that do real work and call below, while we are crowded. They are answered from store.
-	port.SetHealth(true, true)
+	executor.SetHealth(true, true)
 	return d
 }
 
@@ -49,23 +42,22 @@
 	now := d.executor.Now()
 	kind := d.classes[a.Class]
 	if kind == nil { // a type we were not told of: held to the terms of the first
-		kinds, _ := d.settings["op types"].([]Settings)
-		kind = d.classes[Class(kinds[0].text("name"))]
+		kind = d.classes[d.settings.Classes[0].Name]
 	}
 	o := &trackedRequest{Request: a, class: kind, arrivedAt: now - a.QueueDelay}
-	o.deadline = o.arrivedAt + kind.timeout
+	o.deadline = o.arrivedAt + kind.Timeout
 	if a.HasDeadline {
 		o.deadline = a.Deadline
 	}
 	o.deadline = max(o.deadline, now)
-	o.latencyObjective = kind.latencyObjective
-	if kind.objectivePerWork > 0 {
-		o.latencyObjective = min(kind.timeout, o.latencyObjective+time.Duration(kind.objectivePerWork*float64(d.estimatedWork(o))))
+	o.latencyObjective = kind.LatencyObjective
+	if kind.ObjectivePerWork > 0 {
+		o.latencyObjective = min(kind.Timeout, o.latencyObjective+time.Duration(kind.ObjectivePerWork*float64(d.estimatedWork(o))))
 	}
 	d.requests[a.ID] = o
 	d.queue = append(d.queue, o)
 	o.onDeadline = func() { d.reject(o) }
-	waits := float64(o.deadline-o.arrivedAt) / float64(max(kind.timeout, 1))
+	waits := float64(o.deadline-o.arrivedAt) / float64(max(kind.Timeout, 1))
 	o.latencyObjective -= d.timeSpentBefore(o, waits)
 	d.recentArrivals = lastOf(d.recentArrivals, recentArrival{now, a.QueueDelay, a.Caller, a.Rank, waits, a.IsRetry}, 64)
 	o.overQuota = d.exceedsQuota(o, now)
@@ -96,7 +88,7 @@
 	if same >= 2 {
 		return 0
 	}
-	return max(0, o.class.timeout-(o.deadline-o.arrivedAt))
+	return max(0, o.class.Timeout-(o.deadline-o.arrivedAt))
 }
 
 // exceedsQuota tells whether the op's tenant now sends this instance more than its part of the quota. Further
@@ -111,7 +103,7 @@
 	}
 	const over = 4 * time.Second // some tens of arrivals at the usual loads
 	came, quotas := d.tenantArrivalsSince(now - over)
-	share := over.Seconds() / max(1, d.settings.num("fleet size"))
+	share := over.Seconds() / max(1, d.settings.FleetSize)
 	// Danger: in a storm of unmarked tries all tenants are beyond; the quotas then grow with all that comes.
 	part := t.quota * share * max(1, came/(quotas*share))
 	// Danger: where few ops come a tenant within its quota is beyond it by chance; two deviations are allowed.
@@ -120,15 +112,15 @@
 
 // remember stores the key of an op that may be repeated, before it can run.
 func (d *Controller) remember(o *trackedRequest, now time.Duration) bool {
-	span := o.arrivedAt + o.class.idempotencyWindow - now
+	span := o.arrivedAt + o.class.IdempotencyWindow - now
 	switch {
-	case o.class.idempotency == "keyed":
+	case o.class.Idempotency == IdempotentByKey:
 		// until the window from its arrival is over, with two ticks to spare
-		span += 2 * d.settings.span("tick")
-	case o.class.idempotency == "retryable" && !o.IsWrite && o.Resource != "" && d.settings.span("shared reads for") > 0:
-		span = o.deadline - now + d.settings.span("shared reads for")
+		span += 2 * d.settings.Tick
+	case o.class.Idempotency == Idempotent && !o.IsWrite && o.Resource != "" && d.settings.CoalescedReadWindow > 0:
+		span = o.deadline - now + d.settings.CoalescedReadWindow
 		// Shared reads may use a fifth of the memory; keyed ops need theirs more.
-		if d.recordMemory()+d.settings.num("key KB") > d.settings.num("memory KB")/5 {
+		if d.recordMemory()+d.settings.RecordKB > d.settings.MemoryKB/5 {
 			return true
 		}
 	default:
@@ -137,7 +129,7 @@
 	if span <= 0 {
 		return true
 	}
-	if d.memoryInUse()+d.settings.num("key KB") > d.memoryLimit() {
+	if d.memoryInUse()+d.settings.RecordKB > d.memoryLimit() {
 		return false
 	}
 	d.records = append(d.records, idempotencyRecord{o.ID, now + span})
@@ -147,7 +139,7 @@
 
 // memoryLimit leaves a twelfth free, for what is read while a reply is on its way.
 func (d *Controller) memoryLimit() float64 {
-	if kb := d.settings.num("memory KB"); kb > 0 {
+	if kb := d.settings.MemoryKB; kb > 0 {
 		return kb * 11 / 12
 	}
 	return math.Inf(1)
@@ -197,11 +189,11 @@
 // Danger: where ops lie unread, advice is heard late; all callers keep away and come back together, with idle
 // cores in between. From a well instance it is then cut to an eighth, and the signal does the rest.
 func (d *Controller) retryAfter() time.Duration {
-	if !d.settings.flag("stay away is passed on") {
+	if !d.settings.RetryAfterAllowed {
 		return 0
 	}
-	span := float64(d.settings.span("longest stay away")) * (1 - d.acceptance())
-	if d.state == "well" && d.recentQueueDelay(d.executor.Now()) > d.minLatencyObjective()/32 {
+	span := float64(d.settings.MaxRetryAfter) * (1 - d.acceptance())
+	if d.state == StateHealthy && d.recentQueueDelay(d.executor.Now()) > d.minLatencyObjective()/32 {
 		span /= 8
 	}
 	return time.Duration(span * (0.5 + 0.5*d.random()))
@@ -214,7 +206,7 @@
 		return
 	}
 	o.answered = true
-	if o.class.idempotency == "retryable" {
+	if o.class.Idempotency == Idempotent {
 		d.executor.Reject(o.ID, d.retryAfter(), false)
 	} else {
 		d.executor.Fail(o.ID)
@@ -237,7 +229,7 @@
 		return
 	}
 	for _, o := range slices.Clone(d.running) {
-		if o.class.idempotency == "retryable" && o.class.lateValue == 0 && d.slack(o, now) < 0 {
+		if o.class.Idempotency == Idempotent && o.class.LateValue == 0 && d.slack(o, now) < 0 {
 			d.abandon(o)
 		}
 	}
@@ -337,20 +329,20 @@
 	if !d.concurrencyAllows(max(len(d.running), min(d.halfCores(), int(d.maxConcurrency())-1))) {
 		return false
 	}
-	share := d.settings.num("call share")
-	if d.settings.text("below") != "shared" || share <= 0 {
+	share := d.settings.UpstreamShare
+	if d.settings.Upstream != UpstreamShared || share <= 0 {
 		return d.callsInHand(now) < 2*d.cores
 	}
 	ease, latest := d.callThrottle()
 	most, held := d.callTimeBudget(now)
 	return float64(d.callsInHand(now)+1) <= max(1, 0.9*ease*share) && (most == 0 || held == 0 ||
-		held+4*latest+d.settings.span("given-up call lingers") < time.Duration(ease*float64(most)))
+		held+4*latest+d.settings.TimedOutCallLinger < time.Duration(ease*float64(most)))
 }
 
 // callTimeBudget is how long calls may be in hand, summed over the told span, and how long they were, where the
 // share is a part of the time: a tenth less than the share.
 func (d *Controller) callTimeBudget(now time.Duration) (most, held time.Duration) {
-	share, over := d.settings.num("call share"), max(d.settings.span("calls over"), time.Second)
+	share, over := d.settings.UpstreamShare, max(d.settings.UpstreamWindow, time.Second)
 	if share >= 1 {
 		return 0, 0
 	}
@@ -373,21 +365,21 @@
 }
 
 func (d *Controller) call(o *trackedRequest, now time.Duration) {
-	until := o.deadline - 2*d.settings.span("tick")
+	until := o.deadline - 2*d.settings.Tick
 	if d.skipValue(o.class) > 0 && d.slack(o, now) > 0 {
 		until = now + d.slack(o, now)*2/3 // leaves time for the poorer answer
 	}
 	if most, held := d.callTimeBudget(now); most > 0 { // a slow call may take what is left of the share, no more
-		linger := d.settings.span("given-up call lingers")
+		linger := d.settings.TimedOutCallLinger
 		until = min(until, now+(most-held)/time.Duration(d.callsInHand(now)+1)-linger)
 	}
 	// Danger: a reply that never comes holds its op until the slack is spent. Four times the slowest of the last
 	// calls is past what chance brings; a second call is given all the time there is.
-	if len(d.recentCallTimes) >= 16 && o.callAttempts == 0 && o.class.idempotency == "retryable" {
+	if len(d.recentCallTimes) >= 16 && o.callAttempts == 0 && o.class.Idempotency == Idempotent {
 		until = min(until, now+4*slices.Max(d.recentCallTimes))
 	}
-	until = max(until, now+d.settings.span("tick"))
-	d.openCall(o, now, max(d.settings.span("calls over"), time.Second))
+	until = max(until, now+d.settings.Tick)
+	d.openCall(o, now, max(d.settings.UpstreamWindow, time.Second))
 	d.executor.Call(o.ID, until, func(how Outcome, took time.Duration) { d.callFinished(o, how, took) })
 }
 
@@ -395,7 +387,7 @@
 	now := d.executor.Now()
 	until := now
 	if how == TimedOut || how == ConnectionLost {
-		until += d.settings.span("given-up call lingers")
+		until += d.settings.TimedOutCallLinger
 	}
 	d.closeCall(o, until)
 	if how == Succeeded {
@@ -408,7 +400,7 @@
 	}
 	// Danger: a call that had its effect is sent again. Only an outcome that proves that it never ran, or an op
 	// that may run again, allows another try; three are enough to outlast a crowded moment.
-	again := how == Rejected || how == Unreachable || o.class.idempotency == "retryable"
+	again := how == Rejected || how == Unreachable || o.class.Idempotency == Idempotent
 	ease, usual := d.callThrottle()
 	switch {
 	case o.answered:
@@ -473,7 +465,7 @@
 		if o.WorkHint > 0 {
 			return time.Duration(float64(o.WorkHint) / d.warmUpShare())
 		}
-		return o.class.latencyObjective / 8 // nothing is known: an eighth of the target lets the first runs in
+		return o.class.LatencyObjective / 8 // nothing is known: an eighth of the target lets the first runs in
 	}
 	return time.Duration(float64(f.sum) / float64(f.runs) * f.scale(o.WorkHint))
 }
@@ -507,7 +499,7 @@
 // a late one earns half or more; never past the kill.
 func (d *Controller) timeLeft(o *trackedRequest, now time.Duration) time.Duration {
 	left := d.slack(o, now)
-	if o.class.lateValue >= 0.5 {
+	if o.class.LateValue >= 0.5 {
 		left = o.deadline - now
 	}
 	left = min(left, o.deadline-now)
@@ -519,12 +511,12 @@
 
 // warmUpShare is the share of its speed that a cold instance has: evenly rising from the told start.
 func (d *Controller) warmUpShare() float64 {
-	warm := d.settings.span("warm within")
+	warm := d.settings.WarmUp
 	age := d.executor.Now() - d.startedAt
-	if !d.settings.flag("just started") || warm <= 0 || age >= warm {
+	if !d.settings.JustStarted || warm <= 0 || age >= warm {
 		return 1
 	}
-	from := max(0.05, d.settings.num("cold speed share"))
+	from := max(0.05, d.settings.WarmUpSpeedShare)
 	return from + (1-from)*float64(age)/float64(warm)
 }
 
@@ -588,7 +580,7 @@
 
 // survivableConcurrency is the crowd on the cores that is survived, 0 if that is not told.
 func (d *Controller) survivableConcurrency() float64 {
-	crowd := d.settings.num("crowd a core")
+	crowd := d.settings.SurvivableRunsPerCore
 	if crowd <= 0 {
 		return 0
 	}
@@ -624,13 +616,13 @@
 }
 
 // recordGauges takes the gauges of a moment.
-func (d *Controller) recordGauges(gauges map[string]float64) {
+func (d *Controller) recordGauges(gauges Gauges) {
 	now := d.executor.Now()
 	l := gaugeReading{at: now, runnable: -1, busy: 1, running: len(d.running), pressure: d.pressure(now)}
-	if w, told := gauges["want a core"]; told {
+	if w, told := gauges[GaugeRunnable]; told {
 		l.runnable = w
 	}
-	if b, told := gauges["cores busy"]; told {
+	if b, told := gauges[GaugeBusyCores]; told {
 		l.busy = b
 	}
 	d.readings = lastOf(d.readings, l, 10)
@@ -822,36 +814,36 @@
 	was := d.state
 	switch {
 	case d.draining:
-		d.state = "leaving"
+		d.state = StateDraining
 	case d.stalled(now):
-		d.state = "stuck"
+		d.state = StateStalled
 	case d.failureRate(now) >= 0.5:
-		d.state = "failing"
+		d.state = StateFailing
 	default:
-		d.state = "well"
+		d.state = StateHealthy
 	}
 	if d.state != was {
-		d.executor.LogTransition(fmt.Sprintf("%s -> %s: held %d, running %d", was, d.state, len(d.queue), len(d.running)))
-		d.executor.SetHealth(d.state == "well", true)
+		d.executor.LogTransition(Transition{From: was, To: d.state, Queued: len(d.queue), Running: len(d.running)})
+		d.executor.SetHealth(d.state == StateHealthy, true)
 	}
 }
 
 // protect nacks what should not be started here in the present state.
 func (d *Controller) protect(now time.Duration) {
-	if d.state == "well" {
+	if d.state == StateHealthy {
 		return
 	}
 	for _, o := range slices.Clone(d.queue) {
 		switch d.state {
-		case "leaving":
+		case StateDraining:
 			// Danger: running what came after the grace, or what the kill would cut off.
-			late := o.arrivedAt > d.drainNotifiedAt+d.settings.span("drain grace")-2*d.settings.span("tick")
+			late := o.arrivedAt > d.drainNotifiedAt+d.settings.DrainGrace-2*d.settings.Tick
 			if late || d.estimatedRunTime(o, len(d.running)) > d.timeLeft(o, now) {
 				d.reject(o)
 			}
-		case "stuck":
+		case StateStalled:
 			d.reject(o)
-		case "failing":
+		case StateFailing:
 			// One op each half second goes through, to see whether runs still fail.
 			if now-d.probedAt < 500*time.Millisecond {
 				d.reject(o)
@@ -862,7 +854,7 @@
 	}
 	for _, o := range d.running {
 		// Danger: callers wait for runs that will not end. Retryable ones are told now, while they have time.
-		if d.state == "stuck" && o.class.idempotency == "retryable" && !o.answered {
+		if d.state == StateStalled && o.class.Idempotency == Idempotent && !o.answered {
 			o.answered = true
 			d.executor.Reject(o.ID, d.retryAfter(), false)
 		}
@@ -875,9 +867,9 @@
 func (d *Controller) acceptance() float64 {
 	now := d.executor.Now()
 	switch d.state {
-	case "leaving", "stuck":
+	case StateDraining, StateStalled:
 		return 0
-	case "failing":
+	case StateFailing:
 		return 0.05
 	}
 	well := 1 - d.failureRate(now)
@@ -904,7 +896,7 @@
 // better off, and a nacked op that walks on through them only costs each its reading. It can hurt where few
 // callers heed the signal and the others are idle.
 func (d *Controller) saturatedElsewhere() bool {
-	if d.state == "well" && d.retryShare() > 1.0/6 {
+	if d.state == StateHealthy && d.retryShare() > 1.0/6 {
 		return true
 	}
 	for _, l := range d.readings {
@@ -912,7 +904,7 @@
 			return false
 		}
 	}
-	return len(d.readings) == 10 && d.state == "well"
+	return len(d.readings) == 10 && d.state == StateHealthy
 }
 
 // recentQueueDelay is how long ops have lately lain unread, the worst of the last half second.
@@ -925,10 +917,10 @@
 func (d *Controller) publishLoad(now time.Duration) {
 	level, steps := 0.0, 20.0 // to one, not to talk at each op
 	w, cold := d.acceptance(), d.warmUpShare() < 1
-	switch d.settings.text("signal") {
-	case "chance":
+	switch d.settings.LoadSignal {
+	case LoadSignalChance:
 		level = w
-	case "least rank":
+	case LoadSignalLeastRank:
 		ranks := []float64{}
 		for _, c := range d.recentArrivals {
 			ranks = append(ranks, c.rank)
@@ -939,13 +931,13 @@
 		} else if out := int((1 - w) * float64(len(ranks))); out > 0 {
 			level = ranks[min(out, len(ranks)-1)]
 		}
-	case "tokens":
+	case LoadSignalTokens:
 		// Callers that seldom have more than one op here are told the chance: a fraction counts by chance.
 		level = w * max(1, d.capacity(now)/d.callerSpread())
 		// Danger: a cold instance falls under the sum of what all send that may heed this, also those that have not
 		// come yet. Each is told its part of the room.
 		if cold {
-			level, steps = w*d.capacity(now)/max(d.callerSpread(), d.settings.num("callers")), 200
+			level, steps = w*d.capacity(now)/max(d.callerSpread(), d.settings.Callers), 200
 		}
 	default:
 		return
@@ -961,7 +953,7 @@
 func (d *Controller) capacity(now time.Duration) float64 {
 	var target, work time.Duration
 	for _, k := range d.classes {
-		target += k.latencyObjective
+		target += k.LatencyObjective
 		work += d.estimatedWork(&trackedRequest{class: k})
 	}
 	return float64(d.concurrencyLimit(now)) + float64(d.cores)*float64(target)/2/float64(max(work, time.Millisecond))
@@ -974,7 +966,7 @@
 // It should also catch callers that come and go; it can hurt where a handshake costs far more than an op.
 // While three of five are nacked a full table is the lesser evil: each try nacked has cost a connection.
 func (d *Controller) adjustIdleTimeout(now time.Duration) {
-	most := d.settings.span("connections idle")
+	most := d.settings.MaxIdleTimeout
 	span := most
 	for ; span > d.sampleInterval() && len(d.recentArrivals) >= 16 && d.rejectionRate() < 0.6; span /= 2 {
 		if used, waited := d.connectionReuse(now, span); float64(used)*5 >= waited.Seconds()*d.meanBusy() {
@@ -1035,7 +1027,7 @@
 
 func (d *Controller) startRequests(now time.Duration) {
 	keys := d.shedHopeless(d.sortQueue(now), now, false)
-	factor := max(1, d.settings.num("run memory factor"))
+	factor := max(1, d.settings.RunMemoryFactor)
 	for len(keys) > 0 {
 		room := d.concurrencyLimit(now) - len(d.running)
 		if room < 1 && d.raiseLimit(now) {
@@ -1061,13 +1053,13 @@
 // sampleInterval is the time between looks: a twentieth of the least target latency, several in a run that is worth its
 // target; not so short that timers cost more than they tell, nor so long that a hang goes unseen.
 func (d *Controller) sampleInterval() time.Duration {
-	return min(100*time.Millisecond, max(d.minLatencyObjective()/20, 2*d.settings.span("tick"), 5*time.Millisecond))
+	return min(100*time.Millisecond, max(d.minLatencyObjective()/20, 2*d.settings.Tick, 5*time.Millisecond))
 }
 
 // scheduleWake keeps one timer: for the next answer due, and while work is here for the next look.
 func (d *Controller) scheduleWake(now time.Duration) {
 	next := time.Duration(0)
-	if len(d.requests) > 0 || d.state != "well" || d.loadLevel >= 0 && d.acceptance() < 1 {
+	if len(d.requests) > 0 || d.state != StateHealthy || d.loadLevel >= 0 && d.acceptance() < 1 {
 		next = now + d.sampleInterval()
 	}
 	for _, o := range d.answerableRequests() {
--- a/admission/choice_test.go
+++ b/admission/choice_test.go
@@ -10,7 +10,7 @@
 
 // The key: protected first, then urgent, then least remaining work.
 func Example_keyOrder() {
-	s := open(nil)
+	s := open(Settings{})
 	s.warm(200 * ms)
 	s.read(arrival("a1", 200*ms, 0.1), arrival("a2", 200*ms, 0.1)) // fill both cores
 	s.read(arrival("urgent", 200*ms, 0.1))
@@ -29,7 +29,7 @@
 
 // A hopeless op is nacked only while no core is free.
 func Example_hopeless() {
-	s := open(nil)
+	s := open(Settings{})
 	s.warm(200 * ms)
 	late := arrival("late", 200*ms, 0.1)
 	late.HasDeadline, late.Deadline = true, s.now+100*ms
@@ -47,14 +47,14 @@
 // key decides.
 func Example_knapsack() {
 	scene := func(age time.Duration) {
-		s := open(nil)
+		s := open(Settings{})
 		s.warm(200 * ms)
 		s.desk.grownLimit = 3
 		s.read(arrival("a1", 200*ms, 0.9), arrival("a2", 200*ms, 0.9), arrival("a3", 200*ms, 0.9))
 		s.read(arrival("waiting", 200*ms, 0.1))
 		s.now += age
 		s.desk.lastProgress = s.now
-		s.desk.recordGauges(map[string]float64{"want a core": 3})
+		s.desk.recordGauges(Gauges{GaugeRunnable: 3})
 		s.desk.grownLimit = 3 // as idle cores let it grow before
 		for _, o := range s.desk.running {
 			o.arrivedAt = s.now // their slack leaves the limit as it is
@@ -88,18 +88,18 @@
 // The limit floors at the cores, grows by one while cores idle and work waits, once for each ending, falls
 // back when more than the cores is wanted, and stays under the survivable crowd.
 func Example_limit() {
-	s := open(nil)
+	s := open(Settings{})
 	s.warm(100 * ms)
 	fmt.Println("limit", s.desk.concurrencyLimit(s.now))
 	s.read(arrival("a", 100*ms, 0.1), arrival("b", 100*ms, 0.1), arrival("c", 100*ms, 0.1),
 		arrival("d", 100*ms, 0.1))
-	s.pass(50*ms, map[string]float64{"want a core": 1}) // one of the two waits on disk
+	s.pass(50*ms, Gauges{GaugeRunnable: 1}) // one of the two waits on disk
 	fmt.Println("limit", s.desk.concurrencyLimit(s.now))
-	s.pass(50*ms, map[string]float64{"want a core": 1})
+	s.pass(50*ms, Gauges{GaugeRunnable: 1})
 	s.end(Succeeded, 100*ms, "a")
-	s.pass(300*ms, map[string]float64{"want a core": 4})
+	s.pass(300*ms, Gauges{GaugeRunnable: 4})
 	fmt.Println("limit", s.desk.concurrencyLimit(s.now))
-	cold := open(Settings{"just started": true, "warm within": 10 * time.Second, "cold speed share": 0.25})
+	cold := open(Settings{JustStarted: true, WarmUp: 10 * time.Second, WarmUpSpeedShare: 0.25})
 	fmt.Println("crowd survived warm", s.desk.concurrencyCeiling(), "cold", cold.desk.concurrencyCeiling())
 	// Output:
 	// limit 2
@@ -114,7 +114,7 @@
 
 // The fit: run time against the running count, in proportion while there are too few runs for a line.
 func Example_fit() {
-	s := open(nil)
+	s := open(Settings{})
 	low := s.desk.classes["low"]
 	for i := range 12 {
 		crowd := float64(2 + i%4)
@@ -131,7 +131,7 @@
 
 // No op is lost: a held one, a running one and one at a call are answered before they are due.
 func Example_lost() {
-	s := open(Settings{"below": "shared", "call share": 1.0, "calls over": time.Second, "halt": "drop"})
+	s := open(Settings{Upstream: UpstreamShared, UpstreamShare: 1.0, UpstreamWindow: time.Second, Halt: HaltDrop})
 	s.warm(200 * ms)
 	s.read(arrival("calls", 200*ms, 0.1), arrival("runs", 200*ms, 0.1))
 	s.atCall["calls"]()
@@ -141,7 +141,7 @@
 	third := arrival("held", 200*ms, 0.1)
 	third.HasDeadline, third.Deadline = true, s.now+650*ms
 	s.read(arrival("runs too", 200*ms, 0.1), third)
-	s.pass(3100*ms, map[string]float64{"want a core": 2})
+	s.pass(3100*ms, Gauges{GaugeRunnable: 2})
 	// Output:
 	// 3200ms run calls
 	// 3200ms run runs
@@ -158,9 +158,9 @@
 // No effect happens twice: a repeat gets the first one's result, a nacked op gives its key back, and a run
 // that is given up fails instead of being nacked.
 func Example_twice() {
-	keyed := Settings{"name": "low", "importance": 1.0, "target latency": time.Second,
-		"op timeout": 2 * time.Second, "repeats": "keyed", "repeat window": 5 * time.Second}
-	s := open(Settings{"op types": []Settings{keyed}, "key KB": 5.0})
+	keyed := ClassSettings{Name: "low", Weight: 1.0, LatencyObjective: time.Second,
+		Timeout: 2 * time.Second, Idempotency: IdempotentByKey, IdempotencyWindow: 5 * time.Second}
+	s := open(Settings{Classes: []ClassSettings{keyed}, RecordKB: 5.0})
 	first := arrival("first", 200*ms, 0.1)
 	first.QueueDelay = 10 * ms
 	s.read(first)
@@ -168,13 +168,13 @@
 	again.DuplicateOf = "first"
 	s.read(again)
 	s.read(Request{ID: "too big", Class: "low", MemoryKB: 2000})
-	s.pass(2*time.Second, map[string]float64{"want a core": 2})
+	s.pass(2*time.Second, Gauges{GaugeRunnable: 2})
 	// Output:
 	// 0ms keep first 4.994s
 	// 0ms run first
 	// 0ms share again
 	// 0ms nack too big
-	// 1650ms note well -> stuck: held 0, running 1
+	// 1650ms state healthy -> stalled: queued 0, running 1
 	// 1650ms health false
 	// 1986ms fail first
 	// 1996ms fail again
@@ -182,9 +182,9 @@
 
 // A call is repeated only where that is harmless or the outcome proves that it never ran.
 func Example_calls() {
-	once := Settings{"name": "low", "importance": 1.0, "target latency": time.Second, "op timeout": 2 * time.Second,
-		"repeats": "non-retryable"}
-	s := open(Settings{"op types": []Settings{once}, "below": "next tier"})
+	once := ClassSettings{Name: "low", Weight: 1.0, LatencyObjective: time.Second, Timeout: 2 * time.Second,
+		Idempotency: NotIdempotent}
+	s := open(Settings{Classes: []ClassSettings{once}, Upstream: UpstreamNextTier})
 	s.read(arrival("a", 200*ms, 0.1), arrival("b", 200*ms, 0.1))
 	s.atCall["a"]()
 	s.atCall["b"]()
@@ -193,8 +193,8 @@
 	s.called["b"](TimedOut, ms)
 	s.desk.Decide()
 	fmt.Println("where a poorer answer is worth something")
-	s = open(Settings{"below": "shared", "call share": 1.0, "calls over": time.Second,
-		"skip share by type": []float64{0.5, 0}})
+	s = open(Settings{Upstream: UpstreamShared, UpstreamShare: 1.0, UpstreamWindow: time.Second,
+		Classes: withSkippedCallValue(0.5, 0)})
 	s.read(arrival("c", 200*ms, 0.1))
 	s.atCall["c"]()
 	s.desk.Decide()
@@ -217,8 +217,8 @@
 // One spoilt reply, or one that never comes, is no reason for the poorer answer while a run's time is left; the first
 // call is not waited for much longer than any took. What never started is no failure and no sign of life.
 func Example_spoilt() {
-	s := open(Settings{"below": "shared", "call share": 4.0, "calls over": time.Second,
-		"skip share by type": []float64{0.5, 0.5}})
+	s := open(Settings{Upstream: UpstreamShared, UpstreamShare: 4.0, UpstreamWindow: time.Second,
+		Classes: withSkippedCallValue(0.5, 0.5)})
 	s.warm(100 * ms)
 	s.quiet = true
 	for i := range 16 {
@@ -272,15 +272,15 @@
 
 // Drain: nothing that came after the grace runs, and all is answered before the kill.
 func Example_drain() {
-	s := open(nil)
+	s := open(Settings{})
 	s.warm(200 * ms)
 	s.desk.Drain(s.now + 1500*ms)
 	s.read(arrival("in time", 200*ms, 0.1))
-	s.pass(1100*ms, map[string]float64{"want a core": 1})
+	s.pass(1100*ms, Gauges{GaugeRunnable: 1})
 	s.read(arrival("after the grace", 200*ms, 0.1))
-	s.pass(300*ms, map[string]float64{"want a core": 1})
+	s.pass(300*ms, Gauges{GaugeRunnable: 1})
 	// Output:
-	// 3200ms note well -> leaving: held 1, running 0
+	// 3200ms state healthy -> draining: queued 1, running 0
 	// 3200ms health false
 	// 3200ms run in time
 	// 4300ms nack after the grace
@@ -289,7 +289,7 @@
 
 // Nothing falls over: what memory cannot hold is nacked, and a run waits for its memory.
 func Example_memory() {
-	s := open(nil)
+	s := open(Settings{})
 	big := arrival("big", 200*ms, 0.1)
 	big.MemoryKB = 200
 	s.read(big)
@@ -306,10 +306,10 @@
 
 // Stuck: work goes in and none comes out. All are told at once; the first ending is the way back.
 func Example_stuck() {
-	s := open(Settings{"signal": "chance"})
+	s := open(Settings{LoadSignal: LoadSignalChance})
 	s.warm(100 * ms)
 	s.read(arrival("a", 100*ms, 0.1), arrival("b", 100*ms, 0.1), arrival("c", 100*ms, 0.9))
-	s.pass(800*ms, map[string]float64{"want a core": 2})
+	s.pass(800*ms, Gauges{GaugeRunnable: 2})
 	s.read(arrival("d", 100*ms, 0.1))
 	s.end(Succeeded, 900*ms, "a", "b")
 	s.read(arrival("e", 100*ms, 0.1))
@@ -317,7 +317,7 @@
 	// 1600ms run c
 	// 1600ms run a
 	// 1600ms signal 0.70
-	// 2150ms note well -> stuck: held 1, running 2
+	// 2150ms state healthy -> stalled: queued 1, running 2
 	// 2150ms health false
 	// 2150ms nack b
 	// 2150ms nack c
@@ -325,7 +325,7 @@
 	// 2150ms signal 0.00
 	// 2400ms nack d
 	// 2400ms b does not run
-	// 2400ms note stuck -> well: held 0, running 1
+	// 2400ms state stalled -> healthy: queued 0, running 1
 	// 2400ms health true
 	// 2400ms signal 0.85
 	// 2400ms run e
@@ -333,7 +333,7 @@
 
 // Failing: most runs end at once and badly. A few go through, to see; old failures are forgotten.
 func Example_failing() {
-	s := open(nil)
+	s := open(Settings{})
 	s.warm(100 * ms)
 	for i := range 16 {
 		id := fmt.Sprint("f", i)
@@ -349,15 +349,15 @@
 	// 1600ms run f0
 	// 1600ms nack f14
 	// 1600ms nack f15
-	// 6600ms note failing -> well: held 0, running 0
+	// 6600ms state failing -> healthy: queued 0, running 0
 	// 6600ms health true
 	// 7600ms run well again
 }
 
 // A tenant beyond its quota waits for the others: its first op is within, its later ones are not.
 func Example_quota() {
-	s := open(Settings{"fleet size": 1.0, "tenants": []Settings{{"name": "x", "quota a second": 0.1},
-		{"name": "y", "quota a second": 100.0}}})
+	s := open(Settings{FleetSize: 1.0, Tenants: []TenantSettings{{Name: "x", QuotaPerSecond: 0.1},
+		{Name: "y", QuotaPerSecond: 100.0}}})
 	s.warm(200 * ms)
 	s.read(arrival("a", 200*ms, 0.1), arrival("b", 200*ms, 0.1))
 	for i := range 6 {
@@ -369,8 +369,8 @@
 	y.Tenant = "y"
 	s.read(y)
 	s.end(Succeeded, 200*ms, "a", "b")
-	s = open(Settings{"fleet size": 1.0, "tenants": []Settings{{"name": "x", "quota a second": 100.0},
-		{"name": "y", "quota a second": 100.0}}})
+	s = open(Settings{FleetSize: 1.0, Tenants: []TenantSettings{{Name: "x", QuotaPerSecond: 100.0},
+		{Name: "y", QuotaPerSecond: 100.0}}})
 	y.Tenant = "y"
 	n := 1
 	for ; n < 900 && !s.desk.exceedsQuota(&trackedRequest{Request: y}, s.now); n++ {
@@ -387,14 +387,14 @@
 // Reading is swamped: ops come in that lay unread for long. The signal falls, and once it lasts, nacked ops
 // are asked not to walk on.
 func Example_swamped() {
-	s := open(Settings{"signal": "chance"})
+	s := open(Settings{LoadSignal: LoadSignalChance})
 	s.warm(200 * ms)
 	for i := range 12 {
 		late := arrival(fmt.Sprint("s", i), 400*ms, 0.1)
 		late.QueueDelay = 450 * ms
 		s.quiet = i > 0 && i < 11
 		s.read(late)
-		s.pass(50*ms, map[string]float64{"want a core": 4})
+		s.pass(50*ms, Gauges{GaugeRunnable: 4})
 	}
 	// Output:
 	// 3200ms run s0
@@ -406,7 +406,7 @@
 func Example_sameSeed() {
 	trace := func() string {
 		var out strings.Builder
-		s := open(Settings{"signal": "chance", "stay away is passed on": true, "longest stay away": time.Second})
+		s := open(Settings{LoadSignal: LoadSignalChance, RetryAfterAllowed: true, MaxRetryAfter: time.Second})
 		s.out = &out
 		for i := range 20 {
 			s.read(arrival(fmt.Sprint("op", i), time.Duration(100+i)*ms, float64(i%5)/5))
@@ -419,7 +419,7 @@
 	}
 	first := trace()
 	fmt.Println(strings.Count(first, "\n"), "lines, the same:", first == trace())
-	fmt.Println(open(nil).desk.random() == (&Controller{seed: 8}).random())
+	fmt.Println(open(Settings{}).desk.random() == (&Controller{seed: 8}).random())
 	// Output:
 	// 44 lines, the same: true
 	// false
@@ -427,7 +427,7 @@
 
 // A told wait that no other arrival has is what is left of the op timeout: its slack is spent.
 func Example_spent() {
-	s := open(nil)
+	s := open(Settings{})
 	for i := range 16 {
 		first := arrival(fmt.Sprint("first", i), 100*ms, 0.1)
 		first.HasDeadline, first.Deadline = true, s.now+1500*ms
@@ -449,7 +449,7 @@
 
 // What is below is crowded: while calls take over four times their quickest quarter, fewer are in hand.
 func Example_callsCrowded() {
-	s := open(Settings{"below": "shared", "call share": 4.0, "calls over": time.Second, "cores": 4.0})
+	s := open(Settings{Upstream: UpstreamShared, UpstreamShare: 4.0, UpstreamWindow: time.Second, Cores: 4.0})
 	for i := range 24 {
 		took := 10 * ms
 		if i >= 20 {
@@ -494,7 +494,7 @@
 
 // A run past its target latency is stopped while another waits and no core is free.
 func Example_worthless() {
-	s := open(Settings{"halt": "drop"})
+	s := open(Settings{Halt: HaltDrop})
 	s.warm(400 * ms)
 	s.read(arrival("a", 400*ms, 0.1), arrival("b", 400*ms, 0.1))
 	s.now += 1010 * ms
@@ -515,13 +515,13 @@
 // sooner at each look, but not while more is nacked than started.
 func Example_idle() {
 	scene := func(callers int, work time.Duration) {
-		s := open(Settings{"connections idle": 8 * time.Second})
+		s := open(Settings{MaxIdleTimeout: 8 * time.Second})
 		for i := range 20 {
 			a := arrival(fmt.Sprint("op", i), work, 0.1)
 			a.Caller = CallerID(i % callers)
 			s.quiet = true
 			s.read(a)
-			s.pass(100*ms, map[string]float64{"want a core": 2, "cores busy": 1})
+			s.pass(100*ms, Gauges{GaugeRunnable: 2, GaugeBusyCores: 1})
 			if work < time.Second {
 				s.end(Succeeded, 100*ms, a.ID)
 			}
@@ -541,10 +541,10 @@
 // A call share under one is a part of the time: one call in hand at most, given up when the part is used, and
 // no other until enough of the span has passed.
 func Example_callsInPart() {
-	patient := Settings{"name": "low", "importance": 1.0, "target latency": 10 * time.Second,
-		"op timeout": 20 * time.Second, "repeats": "retryable"}
-	s := open(Settings{"op types": []Settings{patient}, "below": "shared", "call share": 0.4,
-		"calls over": 5 * time.Second})
+	patient := ClassSettings{Name: "low", Weight: 1.0, LatencyObjective: 10 * time.Second,
+		Timeout: 20 * time.Second, Idempotency: Idempotent}
+	s := open(Settings{Classes: []ClassSettings{patient}, Upstream: UpstreamShared, UpstreamShare: 0.4,
+		UpstreamWindow: 5 * time.Second})
 	for range 16 {
 		s.desk.recentCallTimes = append(s.desk.recentCallTimes, 100*ms)
 	}
@@ -574,7 +574,7 @@
 // A token for each caller is told as a chance where callers seldom have two ops here.
 func Example_tokens() {
 	for _, callers := range []int{2, 40} {
-		s := open(Settings{"signal": "tokens"})
+		s := open(Settings{LoadSignal: LoadSignalTokens})
 		s.warm(200 * ms)
 		s.quiet = true
 		for i := range 60 {
@@ -592,7 +592,7 @@
 
 // In a storm of marked tries a nacked op is asked to go nowhere else.
 func Example_storm() {
-	s := open(nil)
+	s := open(Settings{})
 	s.warm(400 * ms)
 	for i := range 10 {
 		a := arrival(fmt.Sprint("op", i), 400*ms, 0.1)
--- a/admission/cold_test.go
+++ b/admission/cold_test.go
@@ -13,8 +13,8 @@
 	const from, target, fall = 0.3, time.Second, 2 * time.Second
 	for callers := 1; callers <= 300; callers++ {
 		for _, seen := range []int{0, 1, callers / 2, callers} {
-			s := open(Settings{"signal": "tokens", "callers": float64(callers), "just started": true, "warm within": 10 * time.Second,
-				"cold speed share": from, "crowd over": fall})
+			s := open(Settings{LoadSignal: LoadSignalTokens, Callers: float64(callers), JustStarted: true, WarmUp: 10 * time.Second,
+				WarmUpSpeedShare: from, OverloadTolerance: fall})
 			s.quiet = true
 			for i := range seen {
 				a := arrival(fmt.Sprint("a", i), 10*ms, 0.9)
@@ -38,9 +38,9 @@
 
 // The level by rank holds from the first answer of a cold instance on: nobody has come yet, and three in ten of the ranks are wanted.
 func Example_coldLevel() {
-	s := open(Settings{"signal": "least rank", "just started": true, "warm within": 10 * time.Second, "cold speed share": 0.3})
+	s := open(Settings{LoadSignal: LoadSignalLeastRank, JustStarted: true, WarmUp: 10 * time.Second, WarmUpSpeedShare: 0.3})
 	s.desk.Decide()
-	warm := open(Settings{"signal": "least rank"})
+	warm := open(Settings{LoadSignal: LoadSignalLeastRank})
 	warm.desk.Decide()
 	// Output:
 	// 0ms signal 0.70
--- a/admission/crowd_test.go
+++ b/admission/crowd_test.go
@@ -12,7 +12,7 @@
 func TestCallsComeBackTogether(t *testing.T) {
 	for _, cores := range []float64{1, 4} {
 		for _, crowd := range []float64{2, 3, 4, 8} {
-			s := open(Settings{"cores": cores, "crowd a core": crowd, "below": "shared", "call share": 100.0, "calls over": 5 * time.Second, "memory KB": 1e6})
+			s := open(Settings{Cores: cores, SurvivableRunsPerCore: crowd, Upstream: UpstreamShared, UpstreamShare: 100.0, UpstreamWindow: 5 * time.Second, MemoryKB: 1e6})
 			s.quiet = true
 			chance, n := s.desk.random, 0
 			var inCall []RequestID
@@ -57,7 +57,7 @@
 					inCall = nil
 				}
 				s.desk.Decide()
-				s.desk.recordGauges(map[string]float64{"want a core": 0.5, "cores busy": 0.5}) // idle cores let it grow
+				s.desk.recordGauges(Gauges{GaugeRunnable: 0.5, GaugeBusyCores: 0.5}) // idle cores let it grow
 				most = max(most, len(s.desk.running))
 			}
 			if float64(most) > cores*crowd || float64(most) < cores {
@@ -74,8 +74,8 @@
 		for _, crowd := range []float64{2, 3, 8} {
 			for _, cold := range []bool{false, true} {
 				for _, share := range []float64{2, 1e6} {
-					s := open(Settings{"cores": cores, "crowd a core": crowd, "below": "shared", "call share": share, "calls over": 5 * time.Second, "memory KB": 4000 * cores,
-						"skip share by type": []float64{0.8}, "just started": cold, "warm within": 4 * time.Second, "cold speed share": 0.05})
+					s := open(Settings{Cores: cores, SurvivableRunsPerCore: crowd, Upstream: UpstreamShared, UpstreamShare: share, UpstreamWindow: 5 * time.Second, MemoryKB: 4000 * cores,
+						Classes: withSkippedCallValue(0.8, 0), JustStarted: cold, WarmUp: 4 * time.Second, WarmUpSpeedShare: 0.05})
 					s.quiet = true
 					n, calls, ends := 0, 0, 0
 					for step := range 400 {
@@ -128,7 +128,7 @@
 // Before the kill all is answered: a twelfth of a long drain ahead of it, 150 ms ahead at the end of a short one, as the machine may stand still.
 func Example_lastAnswers() {
 	for _, drain := range []time.Duration{8400 * ms, 1200 * ms} {
-		s := open(nil)
+		s := open(Settings{})
 		s.quiet = true
 		a := arrival("a", 10*ms, 0.1)
 		a.HasDeadline, a.Deadline = true, time.Minute
--- a/admission/decisions_test.go
+++ b/admission/decisions_test.go
@@ -67,8 +67,11 @@
 func (r *recorder) SetHealth(good, stored bool)                 { r.say("health %v %v", good, stored) }
 func (r *recorder) PublishLoad(level float64)                   { r.say("signal %v", level) }
 func (r *recorder) SetIdleTimeout(span time.Duration)           { r.say("idle %d", span) }
-func (r *recorder) LogTransition(line string)                   { r.say("note %s", line) }
-func (r *recorder) WakeAt(at time.Duration, then func(map[string]float64)) {
+func (r *recorder) LogTransition(change Transition) {
+	name := map[State]string{StateHealthy: "well", StateStalled: "stuck", StateFailing: "failing", StateDraining: "leaving"}
+	r.say("note %s -> %s: held %d, running %d", name[change.From], name[change.To], change.Queued, change.Running)
+}
+func (r *recorder) WakeAt(at time.Duration, then func(Gauges)) {
 	r.say("wake %d", at)
 	r.wakes = append(r.wakes, wake{at, then})
 }
@@ -82,6 +85,9 @@
 	return ids[chance.IntN(len(ids))], true
 }
 
+// one picks one of the values by chance.
+func one[T any](chance *rand.Rand, values ...T) T { return values[chance.IntN(len(values))] }
+
 // play plays one scene: types, tenants, quotas, calls, hints, drains, crowds, cold starts, times and gauges that jump.
 func play(seed uint64) (uint64, int) {
 	c := rand.New(rand.NewPCG(seed, 18))
@@ -90,44 +96,54 @@
 	ms := func(least, most int) time.Duration {
 		return time.Duration(least+c.IntN(most-least+1)) * time.Millisecond
 	}
-	one := func(words ...string) string { return words[c.IntN(len(words))] }
-	var types []Settings
+	var types []ClassSettings
 	for i := range 1 + c.IntN(3) {
 		target := ms(200, 2000)
-		types = append(types, Settings{"name": fmt.Sprint("t", i), "importance": float64(1 + c.IntN(3)), "target latency": target,
-			"op timeout": target + ms(0, 3000), "late share": []float64{0, 0, 0.3, 0.6}[c.IntN(4)], "repeats": one("retryable", "retryable", "keyed", "non-retryable"),
-			"repeat window": ms(500, 5000), "target stretch": []float64{0, 0, 4}[c.IntN(3)]})
+		types = append(types, ClassSettings{Name: Class(fmt.Sprint("t", i)), Weight: float64(1 + c.IntN(3)), LatencyObjective: target,
+			Timeout: target + ms(0, 3000), LateValue: []float64{0, 0, 0.3, 0.6}[c.IntN(4)], Idempotency: one(c, Idempotent, Idempotent, IdempotentByKey, NotIdempotent),
+			IdempotencyWindow: ms(500, 5000), ObjectivePerWork: []float64{0, 0, 4}[c.IntN(3)]})
 	}
-	var tenants []Settings
+	var tenants []TenantSettings
 	for i := range c.IntN(4) {
-		tenants = append(tenants, Settings{"name": fmt.Sprint("w", i), "quota a second": float64(1 + c.IntN(50))})
+		tenants = append(tenants, TenantSettings{Name: TenantID(fmt.Sprint("w", i)), QuotaPerSecond: float64(1 + c.IntN(50))})
 	}
 	cores := 1 + c.IntN(8)
-	facts := Settings{"op types": types, "tenants": tenants, "cores": float64(cores), "run memory factor": float64(1 + c.IntN(4)),
-		"memory KB": float64(200 + c.IntN(4000)), "tick": 2 * time.Millisecond, "crowd a core": []float64{0, 4, 8}[c.IntN(3)],
-		"drain grace": ms(0, 1000), "below": one("shared", "next tier", "none"), "call share": []float64{0, 0.3, 2, 8}[c.IntN(4)],
-		"calls over": ms(1000, 5000), "given-up call lingers": ms(0, 300), "skip share by type": []float64{0, 0.5, 0}[:1+c.IntN(3)],
-		"halt": one("drop", "pause", "none"), "stay away is passed on": c.IntN(2) == 0, "longest stay away": ms(500, 3000),
-		"signal": one("chance", "least rank", "tokens", "none"), "just started": c.IntN(3) == 0, "warm within": ms(0, 5000),
-		"cold speed share": 0.3, "key KB": float64(c.IntN(3)), "fleet size": float64(1 + c.IntN(5)), "callers": 4.0,
-		"connections idle": ms(1000, 30000), "shared reads for": []time.Duration{0, 0, time.Second}[c.IntN(3)]}
-	r.desk = New(seed, facts, r)
+	settings := Settings{Classes: types, Tenants: tenants, Cores: float64(cores), RunMemoryFactor: float64(1 + c.IntN(4)),
+		MemoryKB: float64(200 + c.IntN(4000)), Tick: 2 * time.Millisecond, SurvivableRunsPerCore: []float64{0, 4, 8}[c.IntN(3)],
+		DrainGrace: ms(0, 1000), Upstream: one(c, UpstreamShared, UpstreamNextTier, UpstreamNone), UpstreamShare: []float64{0, 0.3, 2, 8}[c.IntN(4)],
+		UpstreamWindow: ms(1000, 5000), TimedOutCallLinger: ms(0, 300)}
+	if c.IntN(3) > 0 && len(types) > 1 {
+		types[1].SkippedCallValue = 0.5
+	}
+	settings.Halt = one(c, HaltDrop, HaltPause, HaltNone)
+	settings.RetryAfterAllowed = c.IntN(2) == 0
+	settings.MaxRetryAfter = ms(500, 3000)
+	settings.LoadSignal = one(c, LoadSignalChance, LoadSignalLeastRank, LoadSignalTokens, LoadSignalNone)
+	settings.JustStarted = c.IntN(3) == 0
+	settings.WarmUp = ms(0, 5000)
+	settings.WarmUpSpeedShare = 0.3
+	settings.RecordKB = float64(c.IntN(3))
+	settings.FleetSize = float64(1 + c.IntN(5))
+	settings.Callers = 4
+	settings.MaxIdleTimeout = ms(1000, 30000)
+	settings.CoalescedReadWindow = one(c, 0, 0, time.Second)
+	r.desk = New(seed, settings, r)
 	runs := time.Duration(5+c.IntN(60)) * time.Millisecond // of one op, about
-	gauges := func() map[string]float64 {
+	gauges := func() Gauges {
 		switch c.IntN(8) {
 		case 0:
 			return nil
 		case 1:
-			return map[string]float64{"cores busy": c.Float64()}
+			return Gauges{GaugeBusyCores: c.Float64()}
 		}
-		return map[string]float64{"want a core": float64(c.IntN(3 * cores)), "cores busy": c.Float64()}
+		return Gauges{GaugeRunnable: float64(c.IntN(3 * cores)), GaugeBusyCores: c.Float64()}
 	}
 	n, left := 0, false
 	read := func(batch int) {
 		for range batch {
 			n++
 			t := types[c.IntN(len(types))]
-			a := Request{ID: RequestID(fmt.Sprintf("%016x", n)), Class: Class(t.text("name")), Rank: c.Float64(), IsRetry: c.IntN(5) == 0,
+			a := Request{ID: RequestID(fmt.Sprintf("%016x", n)), Class: t.Name, Rank: c.Float64(), IsRetry: c.IntN(5) == 0,
 				IsWrite: c.IntN(2) == 0, Caller: CallerID(c.IntN(6)), WorkHint: time.Duration(c.ExpFloat64() * float64(runs)), MemoryKB: 1 + 20*c.Float64()}
 			if c.IntN(3) == 0 {
 				a.WorkHint = []time.Duration{0, runs, 100 * runs}[c.IntN(3)]
@@ -139,10 +155,10 @@
 				a.HasDeadline, a.Deadline = true, r.now-a.QueueDelay+ms(10, 3000)
 			}
 			if !a.IsWrite {
-				a.Resource = one("", "k1", "k2")
+				a.Resource = one(c, "", "k1", "k2")
 			}
 			if len(tenants) > 0 {
-				a.Tenant = TenantID(tenants[c.IntN(len(tenants))].text("name"))
+				a.Tenant = tenants[c.IntN(len(tenants))].Name
 			}
 			r.desk.Submit(a)
 		}
--- a/admission/held_test.go
+++ b/admission/held_test.go
@@ -13,8 +13,8 @@
 func BenchmarkHeld(b *testing.B) {
 	for _, held := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(held), func(b *testing.B) {
-			long := Settings{"name": "low", "importance": 1.0, "target latency": 1e6 * time.Second, "op timeout": 3e6 * time.Second, "repeats": "retryable"}
-			s := open(Settings{"op types": []Settings{long}, "memory KB": 1e12, "cores": 4.0})
+			long := ClassSettings{Name: "low", Weight: 1.0, LatencyObjective: 1e6 * time.Second, Timeout: 3e6 * time.Second, Idempotency: Idempotent}
+			s := open(Settings{Classes: []ClassSettings{long}, MemoryKB: 1e12, Cores: 4.0})
 			s.quiet = true
 			n := 0
 			add := func() {
--- a/admission/helper_test.go
+++ b/admission/helper_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"io"
 	"os"
+	"reflect"
 	"time"
 )
 
@@ -22,7 +23,7 @@
 
 type wake struct {
 	at   time.Duration
-	then func(map[string]float64)
+	then func(Gauges)
 }
 
 func (s *scene) say(format string, a ...any) {
@@ -56,24 +57,44 @@
 func (s *scene) SetHealth(good, _ bool)                      { s.say("health %v", good) }
 func (s *scene) PublishLoad(level float64)                   { s.say("signal %.2f", level) }
 func (s *scene) SetIdleTimeout(span time.Duration)           { s.say("idle connections stay %v", span) }
-func (s *scene) LogTransition(line string)                   { s.say("note %s", line) }
-func (s *scene) WakeAt(at time.Duration, f func(map[string]float64)) {
+func (s *scene) LogTransition(change Transition)             { s.say("state %v", change) }
+func (s *scene) WakeAt(at time.Duration, f func(Gauges)) {
 	s.wakes = append(s.wakes, wake{at, f})
 }
 
+// testClasses are the two classes of open.
+func testClasses() []ClassSettings {
+	low := ClassSettings{Name: "low", Weight: 1.0, LatencyObjective: time.Second, Timeout: 3 * time.Second,
+		Idempotency: Idempotent}
+	high := ClassSettings{Name: "high", Weight: 3.0, LatencyObjective: time.Second, Timeout: 3 * time.Second,
+		Idempotency: Idempotent}
+	return []ClassSettings{low, high}
+}
+
+// withSkippedCallValue gives testClasses the values of answers without the upstream call.
+func withSkippedCallValue(low, high float64) []ClassSettings {
+	classes := testClasses()
+	classes[0].SkippedCallValue, classes[1].SkippedCallValue = low, high
+	return classes
+}
+
+// overlay replaces each setting that extra has.
+func overlay(settings *Settings, extra Settings) {
+	to, from := reflect.ValueOf(settings).Elem(), reflect.ValueOf(extra)
+	for i := range from.NumField() {
+		if !from.Field(i).IsZero() {
+			to.Field(i).Set(from.Field(i))
+		}
+	}
+}
+
 // open starts an instance of two cores; extra facts replace the usual ones.
 func open(extra Settings) *scene {
 	s := &scene{atCall: map[RequestID]func(){}, ended: map[RequestID]func(Outcome, time.Duration){},
 		called: map[RequestID]func(Outcome, time.Duration){}, quiet: true, out: os.Stdout}
-	low := Settings{"name": "low", "importance": 1.0, "target latency": time.Second, "op timeout": 3 * time.Second,
-		"repeats": "retryable"}
-	high := Settings{"name": "high", "importance": 3.0, "target latency": time.Second, "op timeout": 3 * time.Second,
-		"repeats": "retryable"}
-	facts := Settings{"op types": []Settings{low, high}, "cores": 2.0, "run memory factor": 4.0, "memory KB": 1200.0,
-		"tick": 2 * time.Millisecond, "crowd a core": 8.0, "drain grace": time.Second}
-	for name, value := range extra {
-		facts[name] = value
-	}
+	facts := Settings{Classes: testClasses(), Cores: 2.0, RunMemoryFactor: 4.0, MemoryKB: 1200.0,
+		Tick: 2 * time.Millisecond, SurvivableRunsPerCore: 8.0, DrainGrace: time.Second}
+	overlay(&facts, extra)
 	s.desk = New(7, facts, s)
 	s.quiet = false
 	return s
@@ -114,7 +135,7 @@
 }
 
 // pass moves the clock on, firing the timers with these gauges.
-func (s *scene) pass(span time.Duration, gauges map[string]float64) {
+func (s *scene) pass(span time.Duration, gauges Gauges) {
 	for until := s.now + span; s.now < until; {
 		s.now += 2 * time.Millisecond
 		due := s.wakes
--- a/admission/port.go
+++ b/admission/port.go
@@ -1,6 +1,9 @@
 package admission
 
-import "time"
+import (
+	"fmt"
+	"time"
+)
 
 // Ids are opaque: they say nothing of age, order or place.
 type (
@@ -10,10 +13,6 @@
 	Class     string
 )
 
-// Settings are what an instance is told at its start: names to values. A value is a float64, a bool, a
-// string, a time.Duration, a []bool, a []float64 or a []Facts.
-type Settings map[string]any
-
 // Outcome tells how a run or a call came out.
 type Outcome int
 
@@ -71,6 +70,54 @@
 	SetHealth(good, fromState bool)
 	PublishLoad(level float64)
 	SetIdleTimeout(span time.Duration) // how long an unused connection may stay
-	WakeAt(at time.Duration, then func(gauges map[string]float64))
-	LogTransition(line string)
+	WakeAt(at time.Duration, then func(Gauges))
+	LogTransition(change Transition)
+}
+
+// State is the health of an instance as its Controller sees it.
+type State int
+
+const (
+	StateHealthy  State = iota // runs end, and few fail
+	StateStalled               // work goes in and none comes out
+	StateFailing               // half or more of the last runs failed
+	StateDraining              // notified to drain
+)
+
+func (s State) String() string {
+	switch s {
+	case StateHealthy:
+		return "healthy"
+	case StateStalled:
+		return "stalled"
+	case StateFailing:
+		return "failing"
+	case StateDraining:
+		return "draining"
+	}
+	return fmt.Sprintf("State(%d)", int(s))
+}
+
+// Transition is a change of State, with the number of requests at that moment.
+type Transition struct {
+	From, To        State
+	Queued, Running int
+}
+
+// Gauge names a measurement of the instance's machine.
+type Gauge string
+
+// The gauges with a meaning here. Others may be handed in and are ignored.
+const (
+	GaugeRunnable    Gauge = "runnable"    // runs that want a core, those on one included
+	GaugeBusyCores   Gauge = "busy cores"  // share of the cores that was busy, 0 to 1
+	GaugeUsedMemory  Gauge = "used memory" // not used by the Controller
+	GaugeConnections Gauge = "connections" // not used by the Controller
+)
+
+// Gauges are the values of one moment; a gauge that is absent was not measured.
+type Gauges map[Gauge]float64
+
+func (t Transition) String() string {
+	return fmt.Sprintf("%v -> %v: queued %d, running %d", t.From, t.To, t.Queued, t.Running)
 }
--- a/admission/state.go
+++ b/admission/state.go
@@ -10,11 +10,6 @@
 	"time"
 )
 
-func (f Settings) num(name string) float64        { x, _ := f[name].(float64); return x }
-func (f Settings) span(name string) time.Duration { x, _ := f[name].(time.Duration); return x }
-func (f Settings) flag(name string) bool          { x, _ := f[name].(bool); return x }
-func (f Settings) text(name string) string        { x, _ := f[name].(string); return x }
-
 // Controller holds the decisions of one instance.
 type Controller struct {
 	executor    Executor
@@ -55,7 +50,7 @@
 	draining        bool
 	drainNotifiedAt time.Duration // when it was told to leave
 	killAt          time.Duration
-	state           string
+	state           State
 	probedAt        time.Duration
 	loadLevel       float64       // the signal last given
 	idleTimeout     time.Duration // how long unused connections may stay, as last said
@@ -78,18 +73,10 @@
 }
 
 type classState struct {
-	name              Class
-	index             int
-	weight            float64
-	latencyObjective  time.Duration
-	objectivePerWork  float64 // the target grows by so many times the work
-	timeout           time.Duration
-	lateValue         float64
-	idempotency       string
-	idempotencyWindow time.Duration
-	recentRuns        []runSample // the last runs
-	successes         int         // runs ever seen that went well
-	estimate          runTimeEstimate
+	ClassSettings
+	recentRuns []runSample // the last runs
+	successes  int         // runs ever seen that went well
+	estimate   runTimeEstimate
 }
 
 // runTimeEstimate is a type's last runs in figures, as of a moment.
@@ -186,14 +173,14 @@
 
 func (d *Controller) recordMemory() float64 {
 	now := d.executor.Now()
-	d.records = slices.DeleteFunc(d.records, func(e idempotencyRecord) bool { return e.until+d.settings.span("tick") < now })
-	return float64(len(d.records)) * d.settings.num("key KB")
+	d.records = slices.DeleteFunc(d.records, func(e idempotencyRecord) bool { return e.until+d.settings.Tick < now })
+	return float64(len(d.records)) * d.settings.RecordKB
 }
 
 // memoryInUse is what held and running ops and keys use now.
 func (d *Controller) memoryInUse() float64 {
 	kb := d.recordMemory()
-	factor := max(1, d.settings.num("run memory factor"))
+	factor := max(1, d.settings.RunMemoryFactor)
 	for _, o := range d.queue {
 		kb += o.MemoryKB
 	}
@@ -275,7 +262,7 @@
 		squares += n * n
 	}
 	if squares == 0 {
-		return max(1, d.settings.num("callers"))
+		return max(1, d.settings.Callers)
 	}
 	total := float64(len(d.recentArrivals))
 	return total * total / squares
@@ -318,17 +305,13 @@
 func (d *Controller) minLatencyObjective() time.Duration {
 	least := time.Duration(math.MaxInt64)
 	for _, k := range d.classes {
-		least = min(least, k.latencyObjective)
+		least = min(least, k.LatencyObjective)
 	}
 	return least
 }
 
 func (d *Controller) skipValue(k *classState) float64 {
-	shares, _ := d.settings["skip share by type"].([]float64)
-	if k.index < len(shares) {
-		return shares[k.index]
-	}
-	return 0
+	return k.SkippedCallValue
 }
 
 // since counts a tenant's arrivals.
@@ -343,9 +326,8 @@
 
 // tenantArrivalsSince counts the arrivals of all tenants and sums their quotas, in the order told.
 func (d *Controller) tenantArrivalsSince(from time.Duration) (came, quotas float64) {
-	told, _ := d.settings["tenants"].([]Settings)
-	for _, f := range told {
-		t := d.tenants[TenantID(f.text("name"))]
+	for _, tenant := range d.settings.Tenants {
+		t := d.tenants[tenant.Name]
 		came, quotas = came+float64(t.since(from)), quotas+t.quota
 	}
 	return came, quotas
@@ -415,7 +397,7 @@
 
 // canStop tells whether runs can be taken off the cores.
 func (d *Controller) canStop() bool {
-	return d.settings.text("halt") == "drop" || d.settings.text("halt") == "pause"
+	return d.settings.Halt == HaltDrop || d.settings.Halt == HaltPause
 }
 
 // meanBusy is the mean share of the cores that was busy at the last looks.
--- a/cmd/lanewheel-sim/golden_test.go
+++ b/cmd/lanewheel-sim/golden_test.go
@@ -37,7 +37,7 @@
 	h := newSimulation()
 	in := &instance{simulation: h, number: 3, onCall: map[admission.RequestID]func(){},
 		onRunEnd:   map[admission.RequestID]func(admission.Outcome, time.Duration){},
-		onCallDone: map[admission.RequestID]func(admission.Outcome, time.Duration){}, onTimer: map[string]func(map[string]float64){}}
+		onCallDone: map[admission.RequestID]func(admission.Outcome, time.Duration){}, onTimer: map[string]func(admission.Gauges){}}
 	const id = admission.RequestID("addf482b5d3a91c4")
 	in.Start(id, nil, nil)
 	in.Coalesce(id, nil)
@@ -53,7 +53,13 @@
 	in.SetHealth(false, true)
 	in.PublishLoad(0.25)
 	in.SetIdleTimeout(30 * time.Second)
-	in.LogTransition("text")
+	in.LogTransition(admission.Transition{To: admission.StateDraining, Queued: 1, Running: 2})
 	in.WakeAt(6*time.Second, nil)
-	goldentest.CheckText(t, "testdata/actions.out", h.reply.Finish())
+	out := h.reply.Finish()
+	// The file leaves open how the change of state is worded.
+	transition := []byte(`["print",3,"well -\u003e leaving: held 1, running 2"]`)
+	if bytes.Count(out, transition) != 1 {
+		t.Errorf("written %s, want one line %s", out, transition)
+	}
+	goldentest.CheckText(t, "testdata/actions.out", bytes.Replace(out, transition, []byte(`["print",3,"text"]`), 1))
 }
--- a/cmd/lanewheel-sim/host.go
+++ b/cmd/lanewheel-sim/host.go
@@ -29,7 +29,7 @@
 	onCall     map[admission.RequestID]func()
 	onRunEnd   map[admission.RequestID]func(admission.Outcome, time.Duration)
 	onCallDone map[admission.RequestID]func(admission.Outcome, time.Duration)
-	onTimer    map[string]func(map[string]float64)
+	onTimer    map[string]func(admission.Gauges)
 	timers     uint64
 }
 
@@ -84,7 +84,7 @@
 			onCall:     map[admission.RequestID]func(){},
 			onRunEnd:   map[admission.RequestID]func(admission.Outcome, time.Duration){},
 			onCallDone: map[admission.RequestID]func(admission.Outcome, time.Duration){},
-			onTimer:    map[string]func(map[string]float64){},
+			onTimer:    map[string]func(admission.Gauges){},
 		}
 		h.instances[number] = target
 		h.markTouched(target)
@@ -214,8 +214,21 @@
 }
 func (in *instance) PublishLoad(level float64)            { in.writeAction("hint-out", level) }
 func (in *instance) SetIdleTimeout(timeout time.Duration) { in.writeAction("idle", timeout) }
-func (in *instance) LogTransition(text string)            { in.writeAction("print", text) }
-func (in *instance) WakeAt(at time.Duration, then func(map[string]float64)) {
+
+// stateNames are the simulator's words.
+var stateNames = map[admission.State]string{
+	admission.StateHealthy:  "well",
+	admission.StateStalled:  "stuck",
+	admission.StateFailing:  "failing",
+	admission.StateDraining: "leaving",
+}
+
+func (in *instance) LogTransition(change admission.Transition) {
+	in.writeAction("print", fmt.Sprintf("%s -> %s: held %d, running %d",
+		stateNames[change.From], stateNames[change.To], change.Queued, change.Running))
+}
+
+func (in *instance) WakeAt(at time.Duration, then func(admission.Gauges)) {
 	in.timers++
 	token := strconv.FormatUint(in.timers, 10)
 	in.onTimer[token] = then
--- a/internal/lifecycle/fronts.go
+++ b/internal/lifecycle/fronts.go
@@ -61,10 +61,8 @@
 	}
 	queueConfig := operatorConfig.File.AMQP.Config
 	queueConfig.IdempotentClasses = map[admission.Class]bool{}
-	classes, _ := config.Settings["op types"].([]admission.Settings)
-	for _, class := range classes {
-		name, _ := class["name"].(string)
-		queueConfig.IdempotentClasses[admission.Class(name)] = class["repeats"] == "retryable"
+	for _, class := range config.Settings.Classes {
+		queueConfig.IdempotentClasses[class.Name] = class.Idempotency == admission.Idempotent
 	}
 	instance.AddFrontend(amqp.New(queueConfig, instance, instance.Post, config.Seed))
 }
--- a/internal/lifecycle/golden_test.go
+++ b/internal/lifecycle/golden_test.go
@@ -33,16 +33,16 @@
 		MemoryMB:         192.25,
 		Cores:            1.5,
 		Settings: admission.Settings{
-			"op types": []admission.Settings{
-				{"name": "view", "importance": 1.5, "target latency": 300 * ms, "op timeout": 1250 * ms, "repeats": "retryable"},
+			Classes: []admission.ClassSettings{
+				{Name: "view", Weight: 1.5, LatencyObjective: 300 * ms, Timeout: 1250 * ms, Idempotency: admission.Idempotent},
 			},
-			"tenants":           []admission.Settings{{"name": "acme", "quota a second": 9.0, "share": 0.7}},
-			"below":             "next tier",
-			"cores":             2.0,
-			"longest stay away": 1750 * ms,
-			"tick":              2 * ms,
+			Tenants:       []admission.TenantSettings{{Name: "acme", QuotaPerSecond: 9.0, Share: 0.7}},
+			Upstream:      admission.UpstreamNextTier,
+			Cores:         2.0,
+			MaxRetryAfter: 1750 * ms,
+			Tick:          2 * ms,
 		},
-		GaugeNames:      []string{"cores busy", "want a core", "memory used", "connections"},
+		GaugeNames:      []admission.Gauge{admission.GaugeBusyCores, admission.GaugeRunnable, admission.GaugeUsedMemory, admission.GaugeConnections},
 		ReportReadiness: true,
 	}
 	for _, tc := range []struct {
--- a/internal/lifecycle/told.go
+++ b/internal/lifecycle/told.go
@@ -10,6 +10,7 @@
 
 	"github.com/valyala/fastjson"
 
+	"lanewheel/admission"
 	"lanewheel/internal/diagnostic"
 	"lanewheel/internal/server"
 	"lanewheel/internal/settings"
@@ -85,15 +86,21 @@
 		return config, diagnostics
 	}
 	var problems []settings.FieldError
-	if config.Settings, problems = settings.ParseAll(settingsObject); len(problems) > 0 {
+	if config.Settings, problems = settings.Parse(settingsObject); len(problems) > 0 {
 		for _, problem := range problems {
 			report("settings."+strings.Join(problem.Path, "."), problem.Want)
 		}
 	}
 	// Danger: customers whose ops call nothing, or whose calls end at this tier, have no database and are told of none: their instances have to start.
 	// Where calls go somewhere the address is needed, and a configuration without it is cut short.
-	if upstream, _ := config.Settings["below"].(string); config.DatabaseAddr == "" && upstream != "" && upstream != "none" && len(diagnostics) == 0 {
-		report("db", fmt.Sprintf("wants text, as calls go to what settings.domain.below tells of (%s)", upstream))
+	upstream := config.Settings.Upstream
+	calls := upstream != admission.UpstreamUnspecified && upstream != admission.UpstreamNone
+	if config.DatabaseAddr == "" && calls && len(diagnostics) == 0 {
+		name := upstream.String()
+		if upstream == admission.UpstreamUnknown {
+			name = string(settingsObject.GetStringBytes("domain", "below"))
+		}
+		report("db", fmt.Sprintf("wants text, as calls go to what settings.domain.below tells of (%s)", name))
 	}
 	config.GaugeNames = settings.GaugeNames(settingsObject)
 	config.ReportReadiness = settingsObject.GetBool("domain", "readiness")
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -67,20 +67,16 @@
 	bufferCount := int(platform.MemoryMB*(1<<20)) / transport.BufferSize
 	config.MaxInFlight = min(config.MaxInFlight, bufferCount/4) // a quarter of the memory is for bodies in hand, as in an instance
 	proxy := &Proxy{Loop: eventloop.New(bufferCount / 8), config: config, platform: platform, buffers: &server.BufferPool{}, classes: map[string]classConfig{}, inFlight: map[string]*proxiedRequest{}}
-	classes, _ := platform.Settings["op types"].([]admission.Settings)
-	for _, class := range classes {
-		name, _ := class["name"].(string)
-		timeout, _ := class["op timeout"].(time.Duration)
-		objective, _ := class["target latency"].(time.Duration)
-		proxy.classes[name] = classConfig{class["repeats"] == "retryable", max(timeout, objective)}
+	for _, class := range platform.Settings.Classes {
+		timeout := max(class.Timeout, class.LatencyObjective)
+		proxy.classes[string(class.Name)] = classConfig{class.Idempotency == admission.Idempotent, timeout}
 	}
 	proxy.net = &transport.Net{BufferPool: proxy.buffers, Post: proxy.Post, PostRead: proxy.PostBlocking, OnAccept: func(connection *transport.Conn) { proxy.clients.Accept(connection) }, OnFull: func() { proxy.clients.EvictIdle() },
 		MaxAccepted: int64(platform.MaxDescriptors) / 2, MaxDescriptors: platform.MaxDescriptors, MaxUnread: int64(platform.MemoryMB*(1<<20)) / 8, LocalIP: config.LocalIP()}
 	proxy.net.ReadTokens.Store(true) // who calls is the instance's to judge; a relay passes on what is brought
 	proxy.net.ReadHops.Store(true)
 	proxy.forwarder = forward.New(proxy.Loop, proxy.net, config.Config, platform.Seed, probe)
-	idle, _ := platform.Settings["connections idle"].(time.Duration)
-	proxy.clients = clients.New(proxy, proxy.Loop, proxy.net, nil, idle)
+	proxy.clients = clients.New(proxy, proxy.Loop, proxy.net, nil, platform.Settings.MaxIdleTimeout)
 	if err := proxy.net.Start(platform.ListenAddr); err != nil {
 		return nil, err
 	}
--- a/internal/proxy/relay_test.go
+++ b/internal/proxy/relay_test.go
@@ -117,11 +117,11 @@
 	roster := fake.NewRegistry()
 	config := Config{Config: forward.Config{Balancer: balancer.DefaultConfig(), ConnectionsPerEndpoint: 2, IdleTimeout: time.Minute}, MaxInFlight: 100, DrainGrace: 500 * time.Millisecond, RetryAfter: 90 * time.Millisecond}
 	config.Balancer.RetryRatio = 1
-	class := func(name, repeats string) admission.Settings {
-		return admission.Settings{"name": name, "repeats": repeats, "op timeout": 3 * time.Second, "target latency": time.Second}
+	class := func(name admission.Class, idempotency admission.Idempotency) admission.ClassSettings {
+		return admission.ClassSettings{Name: name, Idempotency: idempotency, Timeout: 3 * time.Second, LatencyObjective: time.Second}
 	}
 	proxy, err := Listen(server.Config{Name: "relay", ListenAddr: listen, RegistryAddr: roster.Addr(), Seed: 1, TerminationGrace: 1500 * time.Millisecond, MaxDescriptors: 256, MemoryMB: 64, Cores: 1,
-		Settings: admission.Settings{"op types": []admission.Settings{class("view", "retryable"), class("pay", "non-retryable")}}}, config, nil)
+		Settings: admission.Settings{Classes: []admission.ClassSettings{class("view", admission.Idempotent), class("pay", admission.NotIdempotent)}}}, config, nil)
 	if err != nil {
 		panic(err)
 	}
--- a/internal/server/door.go
+++ b/internal/server/door.go
@@ -35,9 +35,9 @@
 	case verdict.RetryAfter > 0:
 		// When to come again is said where the settings allow it, and no more.
 		metadata := in.metadata()
-		if passed, _ := in.config.Settings["stay away is passed on"].(bool); passed {
+		if in.config.Settings.RetryAfterAllowed {
 			metadata.RetryAfter = verdict.RetryAfter
-			if maxRetryAfter := durationSetting(in.config.Settings, "longest stay away"); maxRetryAfter > 0 {
+			if maxRetryAfter := in.config.Settings.MaxRetryAfter; maxRetryAfter > 0 {
 				metadata.RetryAfter = min(verdict.RetryAfter, maxRetryAfter)
 			}
 		}
--- a/internal/server/instance.go
+++ b/internal/server/instance.go
@@ -27,8 +27,8 @@
 	MemoryMB         float64
 	Cores            float64
 	Settings         admission.Settings
-	GaugeNames       []string // our names, in the order told
-	ReportReadiness  bool     // the list follows health
+	GaugeNames       []admission.Gauge // in the order in which the runtime reports them
+	ReportReadiness  bool              // the list follows health
 
 	Authn *authn.Config          // who may do what; nil: everybody everything
 	TLS   *transport.TLSListener // a further listener with TLS; nil: none
@@ -53,7 +53,7 @@
 	clients  *clients.Frontend
 
 	runtime       runtimeLink
-	gauges        map[string]float64 // the last known
+	gauges        admission.Gauges // the last known
 	database      databaseCalls
 	idempotency   idempotencyCache
 	health        health
@@ -80,19 +80,17 @@
 	instance.health.healthy = true
 	instance.timeouts, instance.tenants, instance.idempotent = map[admission.Class]time.Duration{}, map[admission.TenantID]bool{}, map[admission.Class]bool{}
 	instance.latencyObjectives, instance.idempotentByKey = map[admission.Class]time.Duration{}, map[admission.Class]bool{}
-	for _, class := range listSetting(config.Settings, "op types") {
-		name, _ := class["name"].(string)
-		instance.timeouts[admission.Class(name)] = max(durationSetting(class, "op timeout"), durationSetting(class, "target latency"))
-		instance.latencyObjectives[admission.Class(name)] = durationSetting(class, "target latency")
-		instance.idempotent[admission.Class(name)] = class["repeats"] == "retryable"
-		instance.idempotentByKey[admission.Class(name)] = class["repeats"] == "keyed"
-	}
-	if tier, _ := config.Settings["tier"].(float64); tier > 0 {
+	for _, class := range config.Settings.Classes {
+		instance.timeouts[class.Name] = max(class.Timeout, class.LatencyObjective)
+		instance.latencyObjectives[class.Name] = class.LatencyObjective
+		instance.idempotent[class.Name] = class.Idempotency == admission.Idempotent
+		instance.idempotentByKey[class.Name] = class.Idempotency == admission.IdempotentByKey
+	}
+	if config.Settings.Tier > 0 {
 		instance.idempotency.requestsAreCalls = true
 	}
-	for _, tenant := range listSetting(config.Settings, "tenants") {
-		name, _ := tenant["name"].(string)
-		instance.tenants[admission.TenantID(name)] = true
+	for _, tenant := range config.Settings.Tenants {
+		instance.tenants[tenant.Name] = true
 	}
 	// A quarter of the memory is for bodies in hand; the module's own bound is far below it where ops are large. An
 	// eighth is for what was read and is not taken yet.
@@ -110,7 +108,7 @@
 	if instance.authenticator != nil {
 		authenticator = instance.authenticator
 	}
-	instance.clients = clients.New(instance, instance.Loop, instance.net, authenticator, durationSetting(config.Settings, "connections idle"))
+	instance.clients = clients.New(instance, instance.Loop, instance.net, authenticator, config.Settings.MaxIdleTimeout)
 	if err := instance.net.Start(config.ListenAddr); err != nil {
 		return nil, err
 	}
@@ -129,18 +127,6 @@
 	return instance, nil
 }
 
-// durationSetting is a told time, 0 if none was told.
-func durationSetting(settings admission.Settings, name string) time.Duration {
-	value, _ := settings[name].(time.Duration)
-	return value
-}
-
-// listSetting is a told list, empty if none was told.
-func listSetting(settings admission.Settings, name string) []admission.Settings {
-	values, _ := settings[name].([]admission.Settings)
-	return values
-}
-
 // Serve runs the owner loop until the instance has stopped.
 func (in *Server) Serve() {
 	in.Run(func() {
@@ -237,8 +223,7 @@
 
 // Load is front.Core: how the instance stands.
 func (in *Server) Load() frontend.Load {
-	cores, _ := in.config.Settings["cores"].(float64)
-	return frontend.Load{Ready: in.controller != nil && in.runtime.synced, Draining: in.draining, Healthy: in.healthy(), Cores: cores,
+	return frontend.Load{Ready: in.controller != nil && in.runtime.synced, Draining: in.draining, Healthy: in.healthy(), Cores: in.config.Settings.Cores,
 		Queued: len(in.requests) - in.running - in.spilledOver, Running: in.running, FreeCapacity: in.maxRequests - len(in.requests), LoadReport: in.loadReport, IdleFor: in.idleFor()}
 }
 
@@ -555,9 +540,11 @@
 }
 func (in *Server) PublishLoad(level float64)            { in.loadReport = level }
 func (in *Server) SetIdleTimeout(timeout time.Duration) { in.clients.SetIdleTimeout(timeout) }
-func (in *Server) LogTransition(line string)            { slog.Info("note", "text", line) }
+func (in *Server) LogTransition(change admission.Transition) {
+	slog.Info("state changed", "from", change.From.String(), "to", change.To.String(), "queued", change.Queued, "running", change.Running)
+}
 
-func (in *Server) WakeAt(at time.Duration, then func(map[string]float64)) {
+func (in *Server) WakeAt(at time.Duration, then func(admission.Gauges)) {
 	in.ScheduleAt(at, func() {
 		in.decisionPending = true // what is due is answered in this batch, whatever becomes of the gauges
 		in.requestGauges(then)
--- a/internal/server/keep_test.go
+++ b/internal/server/keep_test.go
@@ -17,14 +17,14 @@
 func Example_oldGauges() {
 	instance := &Server{Loop: eventloop.New(9)}
 	instance.handleGauges(transport.Event{CorrelationID: "look"})
-	instance.gauges["want a core"] = 3
+	instance.gauges[admission.GaugeRunnable] = 3
 	for _, at := range []time.Duration{0, 200 * time.Millisecond, 400 * time.Millisecond} {
 		instance.SetNow(at)
-		instance.requestGauges(func(gauges map[string]float64) { fmt.Println(instance.Now(), gauges) })
+		instance.requestGauges(func(gauges admission.Gauges) { fmt.Println(instance.Now(), gauges) })
 	}
 	// Output:
-	// 0s map[want a core:3]
-	// 200ms map[want a core:3]
+	// 0s map[runnable:3]
+	// 200ms map[runnable:3]
 	// 400ms map[]
 }
 
@@ -48,7 +48,7 @@
 	free.Close()
 	instance, err := New(Config{Name: "n1", ListenAddr: free.Addr().String(), RuntimeAddr: runtime.Addr().String(),
 		DatabaseAddr: "127.0.0.1:9", RegistryAddr: "127.0.0.1:9", MaxDescriptors: 64, MemoryMB: 64, Cores: 1,
-		Settings: admission.Settings{"cores": 2.0, "op types": []admission.Settings{{"name": "view", "target latency": time.Second}}}})
+		Settings: admission.Settings{Cores: 2.0, Classes: []admission.ClassSettings{{Name: "view", LatencyObjective: time.Second}}}})
 	if err != nil {
 		fmt.Println(err)
 		return
@@ -115,7 +115,7 @@
 // A keyed op's key: in hand it does not age, however short the window; once over it holds for tries that came within it, however late they are
 // read. One that never ran leaves none. A read's key is over with its time.
 func Example_keysAge() {
-	instance := &Server{Loop: eventloop.New(9), config: Config{Settings: admission.Settings{"shared reads for": 100 * time.Millisecond}}}
+	instance := &Server{Loop: eventloop.New(9), config: Config{Settings: admission.Settings{CoalescedReadWindow: 100 * time.Millisecond}}}
 	k := &instance.idempotency
 	n := 0
 	op := func(keyed bool) *activeRequest {
@@ -172,7 +172,7 @@
 
 // The id of an op that is over is sent once more, with something else to say: the key of the first is neither prolonged nor dropped with it.
 func Example_idOnceMore() {
-	instance := &Server{Loop: eventloop.New(9), config: Config{Settings: admission.Settings{"shared reads for": 100 * time.Millisecond}}}
+	instance := &Server{Loop: eventloop.New(9), config: Config{Settings: admission.Settings{CoalescedReadWindow: 100 * time.Millisecond}}}
 	k := &instance.idempotency
 	op := func(body string, keyed bool) *activeRequest {
 		active := &activeRequest{id: "1", class: "pay", resource: body, body: []byte(body)}
@@ -201,7 +201,7 @@
 	free.Close()
 	instance, err := New(Config{Name: "n1", ListenAddr: free.Addr().String(), RuntimeAddr: runtime.Addr().String(), TerminationGrace: time.Second,
 		DatabaseAddr: "127.0.0.1:9", RegistryAddr: "127.0.0.1:9", MaxDescriptors: 64, MemoryMB: 64, Cores: 1,
-		Settings: admission.Settings{"cores": 2.0, "op types": []admission.Settings{{"name": "view", "target latency": time.Second, "op timeout": time.Second}}}})
+		Settings: admission.Settings{Cores: 2.0, Classes: []admission.ClassSettings{{Name: "view", LatencyObjective: time.Second, Timeout: time.Second}}}})
 	if err != nil {
 		fmt.Println(err)
 		return
--- a/internal/server/keys.go
+++ b/internal/server/keys.go
@@ -141,7 +141,7 @@
 	if result != nil {
 		record.result = append(make([]byte, 0, len(result)), result...)
 		if !record.identity.byKey {
-			record.expiresAt = min(record.expiresAt, server.Now()+durationSetting(server.config.Settings, "shared reads for"))
+			record.expiresAt = min(record.expiresAt, server.Now()+server.config.Settings.CoalescedReadWindow)
 		}
 	}
 	waiting := record.waiters
--- a/internal/server/runs.go
+++ b/internal/server/runs.go
@@ -36,7 +36,7 @@
 	correlations  uint64
 	backoff       time.Duration
 	pendingGauges string // the mark of the gauges that are awaited
-	gaugeWaiters  []func(map[string]float64)
+	gaugeWaiters  []func(admission.Gauges)
 	gaugesAt      time.Duration // when the gauges last came
 	selfTests     map[string]func(good bool)
 }
@@ -137,7 +137,7 @@
 	slog.Info("ready", "state", event.Status, "runtime_up_ms", event.Elapsed.Milliseconds())
 	// Danger: a module that opens behind the notice to leave knows nothing of it, and lets in what is cut off a moment later.
 	if in.controller == nil && !in.draining {
-		in.config.Settings["just started"] = event.Status == "booting"
+		in.config.Settings.JustStarted = event.Status == "booting"
 		in.clockOffset = event.Elapsed // the age that a cold instance has counts from its runtime's start
 		in.controller = admission.New(in.config.Seed, in.config.Settings, in)
 		in.clockOffset = 0
@@ -152,7 +152,7 @@
 // behind all replayed notices, and only then what is still open is sent again.
 func (in *Server) handleGauges(event transport.Event) {
 	link := &in.runtime
-	in.gauges, link.gaugesAt = map[string]float64{}, in.Now()
+	in.gauges, link.gaugesAt = admission.Gauges{}, in.Now()
 	for i, name := range in.config.GaugeNames {
 		if i < len(event.Gauges) {
 			in.gauges[name] = event.Gauges[i]
@@ -190,7 +190,7 @@
 }
 
 // requestGauges asks for the gauges, once for all who want them now, and goes on without them if they take long.
-func (in *Server) requestGauges(then func(map[string]float64)) {
+func (in *Server) requestGauges(then func(admission.Gauges)) {
 	link := &in.runtime
 	link.gaugeWaiters = append(link.gaugeWaiters, then)
 	if !link.synced {
--- /dev/null
+++ b/internal/settings/fields.go
@@ -0,0 +1,166 @@
+package settings
+
+import (
+	"time"
+
+	"github.com/valyala/fastjson"
+
+	"lanewheel/admission"
+)
+
+// field is one setting of an object that is read into a T.
+type field[T any] struct {
+	path []string // on the wire, from the object's root
+	read func(*T, *fastjson.Value) []FieldError
+}
+
+// valueReader reads one value; ok tells whether it is of the right type.
+type valueReader[V any] func(*fastjson.Value) (value V, ok bool)
+
+// newField stores what read returns at the place that target names.
+func newField[T, V any](read valueReader[V], target func(*T) *V, path ...string) field[T] {
+	return field[T]{path, func(to *T, v *fastjson.Value) []FieldError {
+		value, ok := read(v)
+		if !ok {
+			return []FieldError{wrongType(v)}
+		}
+		*target(to) = value
+		return nil
+	}}
+}
+
+// newListField reads a list of objects.
+func newListField[T, Item any](fields []field[Item], target func(*T) *[]Item, path ...string) field[T] {
+	return field[T]{path, func(to *T, v *fastjson.Value) []FieldError {
+		items, problems := readObjects(v, fields)
+		if len(problems) == 0 {
+			*target(to) = items
+		}
+		return problems
+	}}
+}
+
+// newClassListField reads a list with a value for each class, by the order of the classes.
+func newClassListField[V any](read valueReader[V], target func(*admission.ClassSettings) *V,
+	path ...string) field[admission.Settings] {
+	return field[admission.Settings]{path, func(to *admission.Settings, v *fastjson.Value) []FieldError {
+		values, ok := readList(v, read)
+		if !ok {
+			return []FieldError{wrongType(v)}
+		}
+		for i := range min(len(values), len(to.Classes)) {
+			*target(&to.Classes[i]) = values[i]
+		}
+		return nil
+	}}
+}
+
+type (
+	instance = admission.Settings
+	class    = admission.ClassSettings
+	tenant   = admission.TenantSettings
+)
+
+var (
+	classesPath = []string{"classes"}
+	coresPath   = []string{"domain", "cpus"}
+)
+
+// instanceFields are read in this order; lists with a value for each class follow the classes.
+var instanceFields = []field[instance]{
+	newListField(classFields, func(s *instance) *[]class { return &s.Classes }, classesPath...),
+	newListField(tenantFields, func(s *instance) *[]tenant { return &s.Tenants }, "tenants"),
+	newField(boolean, func(s *instance) *bool { return &s.RetriesMarked }, "clients", "marks-retry"),
+	newField(upstreamKinds.read, func(s *instance) *admission.UpstreamKind { return &s.Upstream }, "domain", "below"),
+	newField(duration, func(s *instance) *time.Duration { return &s.UpstreamWindow }, "domain", "calls-over-s"),
+	newField(number, func(s *instance) *float64 { return &s.UpstreamShare }, "domain", "dep-share"),
+	newClassListField(boolean, func(c *class) *bool { return &c.CallsUpstream }, "domain", "class-calls"),
+	newClassListField(number, func(c *class) *float64 { return &c.SkippedCallValue }, "domain", "class-skip-worth"),
+	newField(number, func(s *instance) *float64 { return &s.Callers }, "domain", "clients-total"),
+	newField(number, func(s *instance) *float64 { return &s.Cores }, coresPath...),
+	newField(boolean, func(s *instance) *bool { return &s.JustStarted }, "domain", "fresh-start"),
+	newField(duration, func(s *instance) *time.Duration { return &s.CoalescedReadWindow }, "domain", "fresh-s"),
+	newField(haltModes.read, func(s *instance) *admission.HaltMode { return &s.Halt }, "domain", "halt"),
+	newField(boolean, func(s *instance) *bool { return &s.CancellationsSeen }, "domain", "hangup-seen"),
+	newField(duration, func(s *instance) *time.Duration { return &s.LoadSignalLifetime }, "domain", "heard-for-s"),
+	newField(duration, func(s *instance) *time.Duration { return &s.MaxIdleTimeout }, "domain", "idle-s"),
+	newField(number, func(s *instance) *float64 { return &s.RecordKB }, "domain", "key-kb"),
+	newField(duration, func(s *instance) *time.Duration { return &s.TimedOutCallLinger }, "domain", "linger-s"),
+	newField(number, func(s *instance) *float64 { return &s.MemoryKB }, "domain", "memory-kb"),
+	newField(number, func(s *instance) *float64 { return &s.RunMemoryFactor }, "domain", "run-mem-factor"),
+	newField(loadSignals.read, func(s *instance) *admission.LoadSignal { return &s.LoadSignal }, "domain", "signal"),
+	newField(number, func(s *instance) *float64 { return &s.FleetSize }, "fleet-size"),
+	newField(number, func(s *instance) *float64 { return &s.OverQuotaWeight }, "over-share-worth"),
+	newField(duration, func(s *instance) *time.Duration { return &s.MaxRetryAfter }, "policy-limits", "max-retry-after-s"),
+	newField(boolean, func(s *instance) *bool { return &s.RetryAfterAllowed }, "policy-limits", "retry-after"),
+	newField(duration, func(s *instance) *time.Duration { return &s.DrainGrace }, "rules", "drain-grace-s"),
+	newField(number, func(s *instance) *float64 { return &s.SurvivableRunsPerCore }, "rules", "fall-multiple"),
+	newField(duration, func(s *instance) *time.Duration { return &s.OverloadTolerance }, "rules", "tip-after-s"),
+	newField(number, func(s *instance) *float64 { return &s.WarmUpSpeedShare }, "rules", "start-capacity"),
+	newField(duration, func(s *instance) *time.Duration { return &s.WarmUp }, "rules", "warm-within-s"),
+	newField(duration, func(s *instance) *time.Duration { return &s.Tick }, "tick-s"),
+	newField(number, func(s *instance) *float64 { return &s.Tier }, "tier"),
+}
+
+var classFields = []field[class]{
+	newField(text[admission.Class], func(c *class) *admission.Class { return &c.Name }, "name"),
+	newField(number, func(c *class) *float64 { return &c.Weight }, "credit"),
+	newField(duration, func(c *class) *time.Duration { return &c.LatencyObjective }, "promise-s"),
+	newField(number, func(c *class) *float64 { return &c.ObjectivePerWork }, "aim-stretch"),
+	newField(duration, func(c *class) *time.Duration { return &c.Timeout }, "give-up-s"),
+	newField(number, func(c *class) *float64 { return &c.LateValue }, "late-share"),
+	newField(duration, func(c *class) *time.Duration { return &c.IdempotencyWindow }, "dedup-window-s"),
+	newField(idempotencies.read, func(c *class) *admission.Idempotency { return &c.Idempotency }, "repeat"),
+}
+
+var tenantFields = []field[tenant]{
+	newField(text[admission.TenantID], func(t *tenant) *admission.TenantID { return &t.Name }, "name"),
+	newField(number, func(t *tenant) *float64 { return &t.QuotaPerSecond }, "quota-per-s"),
+	newField(number, func(t *tenant) *float64 { return &t.Share }, "portion"),
+}
+
+// The words of the enumerations. Beside those that the platform says today stand the ones that were accepted in their
+// place before.
+var (
+	upstreamKinds = words[admission.UpstreamKind]{
+		known: map[string]admission.UpstreamKind{
+			"":          admission.UpstreamUnspecified,
+			"common":    admission.UpstreamShared,
+			"shared":    admission.UpstreamShared,
+			"next_hop":  admission.UpstreamNextTier,
+			"next tier": admission.UpstreamNextTier,
+			"silent":    admission.UpstreamNone,
+			"none":      admission.UpstreamNone,
+		},
+		other: admission.UpstreamUnknown,
+	}
+	haltModes = words[admission.HaltMode]{
+		known: map[string]admission.HaltMode{
+			"drop":   admission.HaltDrop,
+			"pause":  admission.HaltPause,
+			"silent": admission.HaltNone,
+		},
+		other: admission.HaltNone,
+	}
+	loadSignals = words[admission.LoadSignal]{
+		known: map[string]admission.LoadSignal{
+			"min_rank":   admission.LoadSignalLeastRank,
+			"least rank": admission.LoadSignalLeastRank,
+			"bias":       admission.LoadSignalChance,
+			"chance":     admission.LoadSignalChance,
+			"tokens":     admission.LoadSignalTokens,
+			"silent":     admission.LoadSignalNone,
+		},
+		other: admission.LoadSignalNone,
+	}
+	idempotencies = words[admission.Idempotency]{
+		known: map[string]admission.Idempotency{
+			"idempotent":   admission.Idempotent,
+			"retryable":    admission.Idempotent,
+			"deduplicated": admission.IdempotentByKey,
+			"keyed":        admission.IdempotentByKey,
+			"at_most_once": admission.NotIdempotent,
+		},
+		other: admission.NotIdempotent,
+	}
+)
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -19,122 +19,152 @@
 		t.Fatal(err)
 	}
 	stored := fastjson.MustParseBytes(text)
-	got, problems := ParseAll(stored)
+	got, problems := Parse(stored)
 	if len(problems) > 0 {
 		t.Fatal(problems)
 	}
 	const ms = time.Millisecond
 	want := admission.Settings{
-		"op types": []admission.Settings{
-			{"name": "view", "importance": 1.5, "target latency": 300 * ms, "target stretch": 2.5, "op timeout": 1250 * ms,
-				"late share": 0.2, "repeat window": 5 * time.Second, "repeats": "retryable"},
-			{"name": "pay", "importance": 2.0, "target latency": 400 * ms, "target stretch": 3.0, "op timeout": 2 * time.Second,
-				"late share": 0.1, "repeat window": 500 * ms, "repeats": "keyed"},
-			{"name": "list", "importance": 3.0, "target latency": 500 * ms, "target stretch": 4.0, "op timeout": 3 * time.Second,
-				"late share": 0.3, "repeat window": 250 * ms, "repeats": "non-retryable"},
+		Classes: []admission.ClassSettings{
+			{
+				Name: "view", Weight: 1.5, LatencyObjective: 300 * ms, ObjectivePerWork: 2.5, Timeout: 1250 * ms,
+				LateValue: 0.2, IdempotencyWindow: 5 * time.Second, Idempotency: admission.Idempotent,
+				CallsUpstream: true, SkippedCallValue: 0.25,
+			},
+			{
+				Name: "pay", Weight: 2, LatencyObjective: 400 * ms, ObjectivePerWork: 3, Timeout: 2 * time.Second,
+				LateValue: 0.1, IdempotencyWindow: 500 * ms, Idempotency: admission.IdempotentByKey,
+				CallsUpstream: false, SkippedCallValue: 0.5,
+			},
+			{
+				Name: "list", Weight: 3, LatencyObjective: 500 * ms, ObjectivePerWork: 4, Timeout: 3 * time.Second,
+				LateValue: 0.3, IdempotencyWindow: 250 * ms, Idempotency: admission.NotIdempotent,
+				CallsUpstream: true, SkippedCallValue: 0.75,
+			},
 		},
-		"tenants": []admission.Settings{
-			{"name": "acme", "quota a second": 9.0, "share": 0.7},
-			{"name": "beta", "quota a second": 5.0, "share": 0.3},
+		Tenants: []admission.TenantSettings{
+			{Name: "acme", QuotaPerSecond: 9, Share: 0.7},
+			{Name: "beta", QuotaPerSecond: 5, Share: 0.3},
 		},
-		"tries are marked":         true,
-		"below":                    "shared",
-		"calls over":               5 * time.Second,
-		"call share":               0.8,
-		"calls below by type":      []bool{true, false, true},
-		"skip share by type":       []float64{0.25, 0.5, 0.75},
-		"callers":                  7.0,
-		"cores":                    2.0,
-		"just started":             true,
-		"shared reads for":         200 * ms,
-		"halt":                     "drop",
-		"hears when callers leave": true,
-		"signal heard for":         time.Second,
-		"connections idle":         30 * time.Second,
-		"key KB":                   1.5,
-		"given-up call lingers":    150 * ms,
-		"memory KB":                1900.0,
-		"run memory factor":        4.0,
-		"signal":                   "least rank",
-		"fleet size":               3.0,
-		"over-share importance":    0.1,
-		"longest stay away":        1750 * ms,
-		"stay away is passed on":   true,
-		"drain grace":              500 * ms,
-		"crowd a core":             8.0,
-		"crowd over":               2 * time.Second,
-		"cold speed share":         0.3,
-		"warm within":              6 * time.Second,
-		"tick":                     2 * ms,
-		"tier":                     2.0,
+		RetriesMarked:         true,
+		Upstream:              admission.UpstreamShared,
+		UpstreamWindow:        5 * time.Second,
+		UpstreamShare:         0.8,
+		Callers:               7,
+		Cores:                 2,
+		JustStarted:           true,
+		CoalescedReadWindow:   200 * ms,
+		Halt:                  admission.HaltDrop,
+		CancellationsSeen:     true,
+		LoadSignalLifetime:    time.Second,
+		MaxIdleTimeout:        30 * time.Second,
+		RecordKB:              1.5,
+		TimedOutCallLinger:    150 * ms,
+		MemoryKB:              1900,
+		RunMemoryFactor:       4,
+		LoadSignal:            admission.LoadSignalLeastRank,
+		FleetSize:             3,
+		OverQuotaWeight:       0.1,
+		MaxRetryAfter:         1750 * ms,
+		RetryAfterAllowed:     true,
+		DrainGrace:            500 * ms,
+		SurvivableRunsPerCore: 8,
+		OverloadTolerance:     2 * time.Second,
+		WarmUpSpeedShare:      0.3,
+		WarmUp:                6 * time.Second,
+		Tick:                  2 * ms,
+		Tier:                  2,
 	}
-	for name, value := range want {
-		if !reflect.DeepEqual(got[name], value) {
-			t.Errorf("%s is read as %v, want %v", name, got[name], value)
+	gotFields, wantFields := reflect.ValueOf(got), reflect.ValueOf(want)
+	for i := range wantFields.NumField() {
+		name := wantFields.Type().Field(i).Name
+		if read, wanted := gotFields.Field(i).Interface(), wantFields.Field(i).Interface(); !reflect.DeepEqual(read, wanted) {
+			t.Errorf("%s is read as %v, want %v", name, read, wanted)
+		}
+		if wantFields.Field(i).IsZero() {
+			t.Errorf("the test says nothing of %s", name)
 		}
 	}
-	if len(got) != len(want) || len(got) != len(instanceSettings) {
-		t.Errorf("%d settings are read, %d are known, want %d", len(got), len(instanceSettings), len(want))
+	// The two lists with a value for each class are fields of the classes.
+	if known := wantFields.NumField() + 2; len(instanceFields) != known {
+		t.Errorf("%d settings are known, want %d", len(instanceFields), known)
 	}
-	for i, item := range want["op types"].([]admission.Settings) {
-		if len(item) != len(classSettings) {
-			t.Errorf("class %d has %d settings, %d are known", i, len(item), len(classSettings))
-		}
+	if known := reflect.TypeFor[admission.ClassSettings]().NumField() - 2; len(classFields) != known {
+		t.Errorf("%d settings of a class are known, want %d", len(classFields), known)
 	}
-	for i, item := range want["tenants"].([]admission.Settings) {
-		if len(item) != len(tenantSettings) {
-			t.Errorf("tenant %d has %d settings, %d are known", i, len(item), len(tenantSettings))
-		}
+	if known := reflect.TypeFor[admission.TenantSettings]().NumField(); len(tenantFields) != known {
+		t.Errorf("%d settings of a tenant are known, want %d", len(tenantFields), known)
 	}
-	gauges := []string{"cores busy", "want a core", "memory used", "connections", "other"}
+	gauges := []admission.Gauge{admission.GaugeBusyCores, admission.GaugeRunnable, admission.GaugeUsedMemory,
+		admission.GaugeConnections, "other"}
 	if got := GaugeNames(stored); !reflect.DeepEqual(got, gauges) {
 		t.Errorf("gauges are read as %q, want %q", got, gauges)
 	}
 }
 
-// Each word that a setting may have. One that is not known stays as it is.
+// Each word that a setting may have, and one that is not known.
 func TestGoldenWords(t *testing.T) {
-	for _, tc := range []struct{ name, word, ours, want string }{
-		{"below", "common", "below", "shared"}, {"below", "next_hop", "below", "next tier"},
-		{"below", "silent", "below", "none"},
-		{"below", "other", "below", "other"},
-		{"halt", "silent", "halt", "none"}, {"halt", "drop", "halt", "drop"},
-		{"signal", "min_rank", "signal", "least rank"}, {"signal", "bias", "signal", "chance"},
-		{"signal", "silent", "signal", "none"},
-		{"signal", "tokens", "signal", "tokens"},
+	for _, tc := range []struct {
+		name, word string
+		want       admission.Settings
+	}{
+		{"below", "common", admission.Settings{Upstream: admission.UpstreamShared}},
+		{"below", "shared", admission.Settings{Upstream: admission.UpstreamShared}},
+		{"below", "next_hop", admission.Settings{Upstream: admission.UpstreamNextTier}},
+		{"below", "next tier", admission.Settings{Upstream: admission.UpstreamNextTier}},
+		{"below", "silent", admission.Settings{Upstream: admission.UpstreamNone}},
+		{"below", "none", admission.Settings{Upstream: admission.UpstreamNone}},
+		{"below", "", admission.Settings{Upstream: admission.UpstreamUnspecified}},
+		{"below", "other", admission.Settings{Upstream: admission.UpstreamUnknown}},
+		{"halt", "silent", admission.Settings{Halt: admission.HaltNone}},
+		{"halt", "drop", admission.Settings{Halt: admission.HaltDrop}},
+		{"halt", "pause", admission.Settings{Halt: admission.HaltPause}},
+		{"halt", "other", admission.Settings{Halt: admission.HaltNone}},
+		{"signal", "min_rank", admission.Settings{LoadSignal: admission.LoadSignalLeastRank}},
+		{"signal", "least rank", admission.Settings{LoadSignal: admission.LoadSignalLeastRank}},
+		{"signal", "bias", admission.Settings{LoadSignal: admission.LoadSignalChance}},
+		{"signal", "chance", admission.Settings{LoadSignal: admission.LoadSignalChance}},
+		{"signal", "silent", admission.Settings{LoadSignal: admission.LoadSignalNone}},
+		{"signal", "tokens", admission.Settings{LoadSignal: admission.LoadSignalTokens}},
+		{"signal", "other", admission.Settings{LoadSignal: admission.LoadSignalNone}},
 	} {
-		got, _ := ParseAll(fastjson.MustParse(`{"domain":{"` + tc.name + `":"` + tc.word + `"}}`))
-		if got[tc.ours] != tc.want {
-			t.Errorf("%s %q is read as %v, want %q", tc.name, tc.word, got[tc.ours], tc.want)
+		got, _ := Parse(fastjson.MustParse(`{"domain":{"` + tc.name + `":"` + tc.word + `"}}`))
+		if !reflect.DeepEqual(got, tc.want) {
+			t.Errorf("%s %q is read as %+v, want %+v", tc.name, tc.word, got, tc.want)
 		}
 	}
-	for word, want := range map[string]string{
-		"idempotent": "retryable", "deduplicated": "keyed", "at_most_once": "non-retryable",
+	for word, want := range map[string]admission.Idempotency{
+		"idempotent":   admission.Idempotent,
+		"retryable":    admission.Idempotent,
+		"deduplicated": admission.IdempotentByKey,
+		"keyed":        admission.IdempotentByKey,
+		"at_most_once": admission.NotIdempotent,
+		"other":        admission.NotIdempotent,
 	} {
-		got, _ := ParseAll(fastjson.MustParse(`{"classes":[{"name":"view","repeat":"` + word + `"}]}`))
-		if types, _ := got["op types"].([]admission.Settings); len(types) != 1 || types[0]["repeats"] != want {
-			t.Errorf("repeat %q is read as %v, want %q", word, got["op types"], want)
+		got, _ := Parse(fastjson.MustParse(`{"classes":[{"name":"view","repeat":"` + word + `"}]}`))
+		if len(got.Classes) != 1 || got.Classes[0].Idempotency != want {
+			t.Errorf("repeat %q is read as %+v, want %v", word, got.Classes, want)
 		}
 	}
 }
 
 // What stands in for times that are absent or too short to mean anything, and for shares past their ends.
 func TestGoldenDefaults(t *testing.T) {
-	got, wrong := ParseAll(fastjson.MustParse(`{"classes":[{"name":"none"},{"name":"target","promise-s":0.4},
+	got, problems := Parse(fastjson.MustParse(`{"classes":[{"name":"none"},{"name":"target","promise-s":0.4},
 		{"name":"timeout","give-up-s":2},{"name":"short","promise-s":0.0001,"give-up-s":0.0002}],
 		"domain":{"cpus":1},"rules":{"start-capacity":7}}`))
-	if len(wrong) > 0 {
-		t.Fatal(wrong)
+	if len(problems) > 0 {
+		t.Fatal(problems)
 	}
 	const ms = time.Millisecond
-	want := admission.Settings{"cores": 1.0, "cold speed share": 1.0, "op types": []admission.Settings{
-		{"name": "none", "target latency": 1000 * ms, "op timeout": 1000 * ms},
-		{"name": "target", "target latency": 400 * ms, "op timeout": 400 * ms},
-		{"name": "timeout", "target latency": 2000 * ms, "op timeout": 2000 * ms},
-		{"name": "short", "target latency": 1000 * ms, "op timeout": 1000 * ms},
+	want := admission.Settings{Cores: 1, WarmUpSpeedShare: 1, Classes: []admission.ClassSettings{
+		{Name: "none", LatencyObjective: 1000 * ms, Timeout: 1000 * ms},
+		{Name: "target", LatencyObjective: 400 * ms, Timeout: 400 * ms},
+		{Name: "timeout", LatencyObjective: 2000 * ms, Timeout: 2000 * ms},
+		{Name: "short", LatencyObjective: 1000 * ms, Timeout: 1000 * ms},
 	}}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read as %v, want %v", got, want)
+		t.Errorf("read as %+v, want %+v", got, want)
 	}
 }
 
@@ -147,10 +177,10 @@
 		{`{"domain":{"cpus":"x"},"classes":[{"name":"a","credit":"x"}],"rules":{"warm-within-s":true}}`,
 			"classes.0.credit domain.cpus rules.warm-within-s"},
 	} {
-		_, wrong := ParseAll(fastjson.MustParse(tc.text))
+		_, problems := Parse(fastjson.MustParse(tc.text))
 		var paths []string
-		for _, w := range wrong {
-			paths = append(paths, strings.Join(w.Path, "."))
+		for _, problem := range problems {
+			paths = append(paths, strings.Join(problem.Path, "."))
 		}
 		if got := strings.Join(paths, " "); got != tc.want {
 			t.Errorf("%s: wrong are %q, want %q", tc.text, got, tc.want)
--- a/internal/settings/facts_test.go
+++ b/internal/settings/settings_test.go
@@ -52,7 +52,7 @@
 func (w *fakeExecutor) SetHealth(bool, bool)                          {}
 func (w *fakeExecutor) PublishLoad(float64)                           {}
 func (w *fakeExecutor) SetIdleTimeout(time.Duration)                  {}
-func (w *fakeExecutor) LogTransition(string)                          {}
+func (w *fakeExecutor) LogTransition(admission.Transition)            {}
 func (w *fakeExecutor) Coalesce(admission.RequestID, func(admission.Outcome, time.Duration)) {
 	w.problems = append(w.problems, "shares, and nothing repeats")
 }
@@ -96,8 +96,8 @@
 		w.endAfter(id, 20*time.Millisecond)
 	})
 }
-func (w *fakeExecutor) WakeAt(at time.Duration, then func(map[string]float64)) {
-	w.schedule(at, func() { then(map[string]float64{"want a core": 2, "cores busy": 0.9}) })
+func (w *fakeExecutor) WakeAt(at time.Duration, then func(admission.Gauges)) {
+	w.schedule(at, func() { then(admission.Gauges{admission.GaugeRunnable: 2, admission.GaugeBusyCores: 0.9}) })
 }
 
 // simulate plays two seconds with settings and tells what was wrong: an op without exactly one answer in its time.
@@ -134,7 +134,7 @@
 // and every op has one answer in its time.
 func TestSettings(t *testing.T) {
 	base := fastjson.MustParse(sampleSettings)
-	if parsed, problems := ParseAll(base); len(problems) > 0 || len(simulate(parsed)) > 0 {
+	if parsed, problems := Parse(base); len(problems) > 0 || len(simulate(parsed)) > 0 {
 		t.Fatal(problems, simulate(parsed))
 	}
 	var paths [][]string
@@ -178,7 +178,7 @@
 						t.Error(description, "panics:", p)
 					}
 				}()
-				parsed, problems := ParseAll(v)
+				parsed, problems := Parse(v)
 				if len(problems) > 0 {
 					if text := fmt.Sprint(problems[0]); !strings.Contains(text, path[0]) {
 						t.Error(description, "is refused with:", text)
--- a/internal/simulator/golden_test.go
+++ b/internal/simulator/golden_test.go
@@ -80,8 +80,8 @@
 	}{
 		{"tick", []any{"tick", 5500 * ms}},
 		{"flush", []any{"flush"}},
-		{"boot", []any{"boot", 3, uint64(12345678901234567890), admission.Settings{"cores": 2.0, "op types": []admission.Settings{
-			{"name": "view", "importance": 1.5, "target latency": 300 * ms, "op timeout": 1250 * ms}}}}},
+		{"boot", []any{"boot", 3, uint64(12345678901234567890), admission.Settings{Cores: 2.0, Classes: []admission.ClassSettings{
+			{Name: "view", Weight: 1.5, LatencyObjective: 300 * ms, Timeout: 1250 * ms}}}}},
 		{"order", []any{"order", 3, admission.Request{
 			ID: firstID, Class: "view", Rank: 0.625, IsRetry: true, IsWrite: true, Resource: "k1", Caller: 17, HasDeadline: true,
 			Deadline: 8650 * ms, WorkHint: 12 * ms, MemoryKB: 24.5, QueueDelay: 1850 * time.Microsecond, Tenant: "acme", DuplicateOf: secondID}}},
@@ -89,8 +89,9 @@
 			ID: firstID, Class: "view", Rank: 0.625, Caller: 17, MemoryKB: 24.5, QueueDelay: 2 * ms}}},
 		{"order-hint-not-marked", []any{"order", 3, admission.Request{
 			ID: firstID, Class: "view", Rank: 0.625, IsRetry: true, Caller: 17, MemoryKB: 24.5, QueueDelay: 2 * ms}}},
-		{"timeout-fired", []any{"timeout-fired", 3, "12", map[string]float64{
-			"cores busy": 0.5, "want a core": 3, "memory used": 100, "connections": 7, "other": 1.5}}},
+		{"timeout-fired", []any{"timeout-fired", 3, "12", admission.Gauges{
+			admission.GaugeBusyCores: 0.5, admission.GaugeRunnable: 3, admission.GaugeUsedMemory: 100,
+			admission.GaugeConnections: 7, "other": 1.5}}},
 		{"blocked", []any{"blocked", 3, firstID}},
 		{"aborted", []any{"aborted", 3, firstID}},
 		{"ended", []any{"ended", 3, firstID, 300 * ms, admission.Succeeded}},
--- a/internal/simulator/wire.go
+++ b/internal/simulator/wire.go
@@ -225,11 +225,11 @@
 	seed := f.unsigned("random-seed")
 	info := f.value("boot-info", "an object", fastjson.TypeObject)
 	if f.err != nil {
-		return 0, nil, f.err
+		return 0, admission.Settings{}, f.err
 	}
-	parsed, err := settings.Parse(info)
-	if err != nil {
-		return 0, nil, fmt.Errorf("%s: boot-info: %w", l.Name, err)
+	parsed, problems := settings.Parse(info)
+	if len(problems) > 0 {
+		return 0, admission.Settings{}, fmt.Errorf("%s: boot-info: %w", l.Name, problems[0])
 	}
 	return seed, parsed, nil
 }
@@ -260,12 +260,12 @@
 }
 
 // TimeoutFired reads a timer: its token and the gauges of the moment.
-func (l Message) TimeoutFired() (string, map[string]float64, error) {
+func (l Message) TimeoutFired() (string, admission.Gauges, error) {
 	f := readFields(l, 3, 3)
 	f.integer("who")
 	token := f.text("key-back")
 	pairs := f.value("health-info", "an object", fastjson.TypeObject)
-	gauges := map[string]float64{}
+	gauges := admission.Gauges{}
 	if pairs != nil {
 		pairs.GetObject().Visit(func(key []byte, v *fastjson.Value) {
 			x, err := v.Float64()
