--- a/admission/choice_test.go
+++ b/admission/choice_test.go
@@ -12,10 +12,10 @@
 func Example_keyOrder() {
 	s := open(Settings{})
 	s.warm(200 * ms)
-	s.read(arrival("a1", 200*ms, 0.1), arrival("a2", 200*ms, 0.1)) // fill both cores
-	s.read(arrival("urgent", 200*ms, 0.1))
+	s.read(newRequest("a1", 200*ms, 0.1), newRequest("a2", 200*ms, 0.1)) // fill both cores
+	s.read(newRequest("urgent", 200*ms, 0.1))
 	s.now += 620 * ms // its slack runs out
-	s.read(arrival("long", 220*ms, 0.1), arrival("short", 100*ms, 0.1), arrival("protected", 210*ms, 0.9))
+	s.read(newRequest("long", 220*ms, 0.1), newRequest("short", 100*ms, 0.1), newRequest("protected", 210*ms, 0.9))
 	s.end(Succeeded, 620*ms, "a1", "a2")
 	s.end(Succeeded, 200*ms, "protected", "urgent")
 	// Output:
@@ -31,11 +31,11 @@
 func Example_hopeless() {
 	s := open(Settings{})
 	s.warm(200 * ms)
-	late := arrival("late", 200*ms, 0.1)
+	late := newRequest("late", 200*ms, 0.1)
 	late.HasDeadline, late.Deadline = true, s.now+100*ms
 	s.read(late) // a core is free: it runs
 	late.ID = "late again"
-	s.read(arrival("b", 100*ms, 0.9))
+	s.read(newRequest("b", 100*ms, 0.9))
 	s.read(late)
 	// Output:
 	// 3200ms run late
@@ -49,18 +49,18 @@
 	scene := func(age time.Duration) {
 		s := open(Settings{})
 		s.warm(200 * ms)
-		s.desk.grownLimit = 3
-		s.read(arrival("a1", 200*ms, 0.9), arrival("a2", 200*ms, 0.9), arrival("a3", 200*ms, 0.9))
-		s.read(arrival("waiting", 200*ms, 0.1))
+		s.desk.limit.grown = 3
+		s.read(newRequest("a1", 200*ms, 0.9), newRequest("a2", 200*ms, 0.9), newRequest("a3", 200*ms, 0.9))
+		s.read(newRequest("waiting", 200*ms, 0.1))
 		s.now += age
-		s.desk.lastProgress = s.now
+		s.desk.health.lastProgress = s.now
 		s.desk.recordGauges(Gauges{GaugeRunnable: 3})
-		s.desk.grownLimit = 3 // as idle cores let it grow before
-		for _, o := range s.desk.running {
+		s.desk.limit.grown = 3 // as idle cores let it grow before
+		for _, o := range s.desk.requests.running {
 			o.arrivedAt = s.now // their slack leaves the limit as it is
 		}
 		s.ended["a1"](Succeeded, 200*ms)
-		s.read(arrival("head", 150*ms, 0.9))
+		s.read(newRequest("head", 150*ms, 0.9))
 	}
 	scene(660 * ms)
 	fmt.Println("no feasible anchor")
@@ -91,8 +91,8 @@
 	s := open(Settings{})
 	s.warm(100 * ms)
 	fmt.Println("limit", s.desk.concurrencyLimit(s.now))
-	s.read(arrival("a", 100*ms, 0.1), arrival("b", 100*ms, 0.1), arrival("c", 100*ms, 0.1),
-		arrival("d", 100*ms, 0.1))
+	s.read(newRequest("a", 100*ms, 0.1), newRequest("b", 100*ms, 0.1), newRequest("c", 100*ms, 0.1),
+		newRequest("d", 100*ms, 0.1))
 	s.pass(50*ms, Gauges{GaugeRunnable: 1}) // one of the two waits on disk
 	fmt.Println("limit", s.desk.concurrencyLimit(s.now))
 	s.pass(50*ms, Gauges{GaugeRunnable: 1})
@@ -118,12 +118,12 @@
 	low := s.desk.classes["low"]
 	for i := range 12 {
 		crowd := float64(2 + i%4)
-		low.recentRuns = append(low.recentRuns, runSample{took: time.Duration(100+50*crowd) * ms, hint: 100 * ms, concurrency: crowd})
+		low.runs.recent = append(low.runs.recent, runSample{elapsed: time.Duration(100+50*crowd) * ms, hint: 100 * ms, concurrency: crowd})
 	}
-	fmt.Println("line", s.desk.fittedRunTime(low, 2).Round(ms), s.desk.fittedRunTime(low, 6).Round(ms))
-	low.recentRuns = low.recentRuns[:1]
-	low.successes++ // runs come by ended alone, which counts them
-	fmt.Println("proportion", s.desk.fittedRunTime(low, 2).Round(ms), s.desk.fittedRunTime(low, 4).Round(ms))
+	fmt.Println("line", s.desk.fittedRunTime(low, 2, s.now).Round(ms), s.desk.fittedRunTime(low, 6, s.now).Round(ms))
+	low.runs.recent = low.runs.recent[:1]
+	low.runs.successes++ // runs come by ended alone, which counts them
+	fmt.Println("proportion", s.desk.fittedRunTime(low, 2, s.now).Round(ms), s.desk.fittedRunTime(low, 4, s.now).Round(ms))
 	// Output:
 	// line 200ms 400ms
 	// proportion 200ms 400ms
@@ -133,14 +133,14 @@
 func Example_lost() {
 	s := open(Settings{Upstream: UpstreamShared, UpstreamShare: 1.0, UpstreamWindow: time.Second, Halt: HaltDrop})
 	s.warm(200 * ms)
-	s.read(arrival("calls", 200*ms, 0.1), arrival("runs", 200*ms, 0.1))
+	s.read(newRequest("calls", 200*ms, 0.1), newRequest("runs", 200*ms, 0.1))
 	s.atCall["calls"]()
 	s.desk.Decide()
-	s.desk.completions = s.desk.grownAtCompletions // no growth: the third is held
-	s.desk.lastProgress += time.Hour               // and no stuck state
-	third := arrival("held", 200*ms, 0.1)
+	s.desk.limit.completions = s.desk.limit.grownAtCompletions // no growth: the third is held
+	s.desk.health.lastProgress += time.Hour               // and no stuck state
+	third := newRequest("held", 200*ms, 0.1)
 	third.HasDeadline, third.Deadline = true, s.now+650*ms
-	s.read(arrival("runs too", 200*ms, 0.1), third)
+	s.read(newRequest("runs too", 200*ms, 0.1), third)
 	s.pass(3100*ms, Gauges{GaugeRunnable: 2})
 	// Output:
 	// 3200ms run calls
@@ -161,10 +161,10 @@
 	keyed := ClassSettings{Name: "low", Weight: 1.0, LatencyObjective: time.Second,
 		Timeout: 2 * time.Second, Idempotency: IdempotentByKey, IdempotencyWindow: 5 * time.Second}
 	s := open(Settings{Classes: []ClassSettings{keyed}, RecordKB: 5.0})
-	first := arrival("first", 200*ms, 0.1)
+	first := newRequest("first", 200*ms, 0.1)
 	first.QueueDelay = 10 * ms
 	s.read(first)
-	again := arrival("again", 200*ms, 0.1)
+	again := newRequest("again", 200*ms, 0.1)
 	again.DuplicateOf = "first"
 	s.read(again)
 	s.read(Request{ID: "too big", Class: "low", MemoryKB: 2000})
@@ -185,7 +185,7 @@
 	once := ClassSettings{Name: "low", Weight: 1.0, LatencyObjective: time.Second, Timeout: 2 * time.Second,
 		Idempotency: NotIdempotent}
 	s := open(Settings{Classes: []ClassSettings{once}, Upstream: UpstreamNextTier})
-	s.read(arrival("a", 200*ms, 0.1), arrival("b", 200*ms, 0.1))
+	s.read(newRequest("a", 200*ms, 0.1), newRequest("b", 200*ms, 0.1))
 	s.atCall["a"]()
 	s.atCall["b"]()
 	s.desk.Decide()
@@ -195,7 +195,7 @@
 	fmt.Println("where a poorer answer is worth something")
 	s = open(Settings{Upstream: UpstreamShared, UpstreamShare: 1.0, UpstreamWindow: time.Second,
 		Classes: withSkippedCallValue(0.5, 0)})
-	s.read(arrival("c", 200*ms, 0.1))
+	s.read(newRequest("c", 200*ms, 0.1))
 	s.atCall["c"]()
 	s.desk.Decide()
 	s.called["c"](TimedOut, ms)
@@ -223,7 +223,7 @@
 	s.quiet = true
 	for i := range 16 {
 		id := RequestID(fmt.Sprint("called", i))
-		s.read(arrival(string(id), 100*ms, 0.1))
+		s.read(newRequest(string(id), 100*ms, 0.1))
 		s.atCall[id]()
 		s.desk.Decide()
 		s.now += 20 * ms
@@ -231,7 +231,7 @@
 		s.end(Succeeded, 100*ms, id)
 	}
 	s.quiet = false
-	s.read(arrival("a", 100*ms, 0.1))
+	s.read(newRequest("a", 100*ms, 0.1))
 	s.atCall["a"]()
 	s.desk.Decide()
 	for _, how := range []Outcome{TimedOut, ConnectionLost, ConnectionLost} {
@@ -242,17 +242,17 @@
 	}
 	s.end(Succeeded, 100*ms, "a")
 	fmt.Println("with little time left")
-	s.read(arrival("b", 100*ms, 0.1))
+	s.read(newRequest("b", 100*ms, 0.1))
 	s.atCall["b"]()
 	s.desk.Decide()
 	s.now += 920 * ms
 	s.called["b"](ConnectionLost, 920*ms)
 	s.end(Succeeded, 100*ms, "b")
-	s.read(arrival("c", 100*ms, 0.1))
-	life := s.desk.lastProgress
+	s.read(newRequest("c", 100*ms, 0.1))
+	life := s.desk.health.lastProgress
 	s.now += ms
 	s.end(NotStarted, 0, "c")
-	fmt.Println(s.desk.lastProgress == life, s.desk.failureRate(s.now))
+	fmt.Println(s.desk.health.lastProgress == life, s.desk.health.failureRate(s.now))
 	// Output:
 	// 1920ms run a
 	// 1920ms call a
@@ -275,9 +275,9 @@
 	s := open(Settings{})
 	s.warm(200 * ms)
 	s.desk.Drain(s.now + 1500*ms)
-	s.read(arrival("in time", 200*ms, 0.1))
+	s.read(newRequest("in time", 200*ms, 0.1))
 	s.pass(1100*ms, Gauges{GaugeRunnable: 1})
-	s.read(arrival("after the grace", 200*ms, 0.1))
+	s.read(newRequest("after the grace", 200*ms, 0.1))
 	s.pass(300*ms, Gauges{GaugeRunnable: 1})
 	// Output:
 	// 3200ms state healthy -> draining: queued 1, running 0
@@ -290,7 +290,7 @@
 // Nothing falls over: what memory cannot hold is nacked, and a run waits for its memory.
 func Example_memory() {
 	s := open(Settings{})
-	big := arrival("big", 200*ms, 0.1)
+	big := newRequest("big", 200*ms, 0.1)
 	big.MemoryKB = 200
 	s.read(big)
 	big.ID = "second"
@@ -308,11 +308,11 @@
 func Example_stuck() {
 	s := open(Settings{LoadSignal: LoadSignalChance})
 	s.warm(100 * ms)
-	s.read(arrival("a", 100*ms, 0.1), arrival("b", 100*ms, 0.1), arrival("c", 100*ms, 0.9))
+	s.read(newRequest("a", 100*ms, 0.1), newRequest("b", 100*ms, 0.1), newRequest("c", 100*ms, 0.9))
 	s.pass(800*ms, Gauges{GaugeRunnable: 2})
-	s.read(arrival("d", 100*ms, 0.1))
+	s.read(newRequest("d", 100*ms, 0.1))
 	s.end(Succeeded, 900*ms, "a", "b")
-	s.read(arrival("e", 100*ms, 0.1))
+	s.read(newRequest("e", 100*ms, 0.1))
 	// Output:
 	// 1600ms run c
 	// 1600ms run a
@@ -338,13 +338,13 @@
 	for i := range 16 {
 		id := fmt.Sprint("f", i)
 		s.quiet = i > 0 && i < 14
-		s.read(arrival(id, 100*ms, 0.1))
+		s.read(newRequest(id, 100*ms, 0.1))
 		if end := s.ended[RequestID(id)]; end != nil {
 			s.end(Failed, ms, RequestID(id))
 		}
 	}
 	s.pass(6*time.Second, nil)
-	s.read(arrival("well again", 100*ms, 0.1))
+	s.read(newRequest("well again", 100*ms, 0.1))
 	// Output:
 	// 1600ms run f0
 	// 1600ms nack f14
@@ -359,13 +359,13 @@
 	s := open(Settings{FleetSize: 1.0, Tenants: []TenantSettings{{Name: "x", QuotaPerSecond: 0.1},
 		{Name: "y", QuotaPerSecond: 100.0}}})
 	s.warm(200 * ms)
-	s.read(arrival("a", 200*ms, 0.1), arrival("b", 200*ms, 0.1))
+	s.read(newRequest("a", 200*ms, 0.1), newRequest("b", 200*ms, 0.1))
 	for i := range 6 {
-		x := arrival(fmt.Sprint("x", i), 100*ms, 0.1)
+		x := newRequest(fmt.Sprint("x", i), 100*ms, 0.1)
 		x.Tenant = "x"
 		s.desk.Submit(x)
 	}
-	y := arrival("y", 150*ms, 0.1)
+	y := newRequest("y", 150*ms, 0.1)
 	y.Tenant = "y"
 	s.read(y)
 	s.end(Succeeded, 200*ms, "a", "b")
@@ -373,7 +373,7 @@
 		{Name: "y", QuotaPerSecond: 100.0}}})
 	y.Tenant = "y"
 	n := 1
-	for ; n < 900 && !s.desk.exceedsQuota(&trackedRequest{Request: y}, s.now); n++ {
+	for ; n < 900 && !s.desk.quotas.exceeded(&trackedRequest{Request: y}, s.now); n++ {
 	}
 	fmt.Println("of hundreds within a moment, the first one beyond is", n)
 	// Output:
@@ -390,7 +390,7 @@
 	s := open(Settings{LoadSignal: LoadSignalChance})
 	s.warm(200 * ms)
 	for i := range 12 {
-		late := arrival(fmt.Sprint("s", i), 400*ms, 0.1)
+		late := newRequest(fmt.Sprint("s", i), 400*ms, 0.1)
 		late.QueueDelay = 450 * ms
 		s.quiet = i > 0 && i < 11
 		s.read(late)
@@ -409,7 +409,7 @@
 		s := open(Settings{LoadSignal: LoadSignalChance, RetryAfterAllowed: true, MaxRetryAfter: time.Second})
 		s.out = &out
 		for i := range 20 {
-			s.read(arrival(fmt.Sprint("op", i), time.Duration(100+i)*ms, float64(i%5)/5))
+			s.read(newRequest(fmt.Sprint("op", i), time.Duration(100+i)*ms, float64(i%5)/5))
 			s.now += 40 * ms
 			if i%4 == 3 {
 				s.end(Succeeded, 150*ms, "op0", "op1")
@@ -419,7 +419,7 @@
 	}
 	first := trace()
 	fmt.Println(strings.Count(first, "\n"), "lines, the same:", first == trace())
-	fmt.Println(open(Settings{}).desk.random() == (&Controller{seed: 8}).random())
+	fmt.Println(open(Settings{}).desk.random.float64() == (&randomSource{seed: 8}).float64())
 	// Output:
 	// 44 lines, the same: true
 	// false
@@ -429,7 +429,7 @@
 func Example_spent() {
 	s := open(Settings{})
 	for i := range 16 {
-		first := arrival(fmt.Sprint("first", i), 100*ms, 0.1)
+		first := newRequest(fmt.Sprint("first", i), 100*ms, 0.1)
 		first.HasDeadline, first.Deadline = true, s.now+1500*ms
 		s.quiet = true
 		s.read(first)
@@ -437,10 +437,10 @@
 		s.now += 100 * ms
 	}
 	for _, left := range []time.Duration{1500, 2300} {
-		a := arrival(fmt.Sprint("left ", int(left)), 100*ms, 0.1)
+		a := newRequest(fmt.Sprint("left ", int(left)), 100*ms, 0.1)
 		a.HasDeadline, a.Deadline = true, s.now+left*ms
 		s.read(a)
-		fmt.Println(a.ID, "slack", s.desk.slack(s.desk.requests[a.ID], s.now))
+		fmt.Println(a.ID, "slack", s.desk.requests.byID[a.ID].slack(s.now))
 	}
 	// Output:
 	// left 1500 slack 1s
@@ -455,13 +455,13 @@
 		if i >= 20 {
 			took = 100 * ms
 		}
-		s.desk.recentCallTimes = append(s.desk.recentCallTimes, took)
+		s.desk.upstream.times = append(s.desk.upstream.times, took)
 		if i == 19 || i == 23 {
-			ease, _ := s.desk.callThrottle()
+			ease := s.desk.upstream.throttle().share
 			fmt.Printf("calls of %v: %.2f of the share\n", took, ease)
 		}
 	}
-	s.read(arrival("a", 100*ms, 0.1), arrival("b", 100*ms, 0.1))
+	s.read(newRequest("a", 100*ms, 0.1), newRequest("b", 100*ms, 0.1))
 	s.atCall["a"]()
 	s.atCall["b"]()
 	s.desk.Decide()
@@ -472,10 +472,10 @@
 	s.called["b"](Succeeded, 100*ms)
 	s.end(Succeeded, 200*ms, "a", "b")
 	for range 5 {
-		s.desk.calls = append(s.desk.calls, upstreamCall{from: s.now - 900*ms, until: s.now})
+		s.desk.upstream.calls = append(s.desk.upstream.calls, upstreamCall{from: s.now - 900*ms, until: s.now})
 	}
 	s.now += ms
-	s.read(arrival("c", 100*ms, 0.1))
+	s.read(newRequest("c", 100*ms, 0.1))
 	s.atCall["c"]()
 	s.desk.Decide()
 	fmt.Println("c may take", s.until-s.now)
@@ -496,10 +496,10 @@
 func Example_worthless() {
 	s := open(Settings{Halt: HaltDrop})
 	s.warm(400 * ms)
-	s.read(arrival("a", 400*ms, 0.1), arrival("b", 400*ms, 0.1))
+	s.read(newRequest("a", 400*ms, 0.1), newRequest("b", 400*ms, 0.1))
 	s.now += 1010 * ms
-	s.desk.lastProgress = s.now
-	s.read(arrival("c", 100*ms, 0.1))
+	s.desk.health.lastProgress = s.now
+	s.read(newRequest("c", 100*ms, 0.1))
 	s.end(Stopped, 1010*ms, "a", "b")
 	// Output:
 	// 6400ms run a
@@ -517,7 +517,7 @@
 	scene := func(callers int, work time.Duration) {
 		s := open(Settings{MaxIdleTimeout: 8 * time.Second})
 		for i := range 20 {
-			a := arrival(fmt.Sprint("op", i), work, 0.1)
+			a := newRequest(fmt.Sprint("op", i), work, 0.1)
 			a.Caller = CallerID(i % callers)
 			s.quiet = true
 			s.read(a)
@@ -526,8 +526,8 @@
 				s.end(Succeeded, 100*ms, a.ID)
 			}
 		}
-		nacked := s.desk.rejectionRate() > 0.5
-		fmt.Println(callers, "callers, ops of", work, "nacked", nacked, "idle for", s.desk.idleTimeout)
+		nacked := s.desk.idle.rejectionRate() > 0.5
+		fmt.Println(callers, "callers, ops of", work, "nacked", nacked, "idle for", s.desk.idle.current)
 	}
 	scene(2, 100*ms)
 	scene(20, 100*ms)
@@ -546,21 +546,21 @@
 	s := open(Settings{Classes: []ClassSettings{patient}, Upstream: UpstreamShared, UpstreamShare: 0.4,
 		UpstreamWindow: 5 * time.Second})
 	for range 16 {
-		s.desk.recentCallTimes = append(s.desk.recentCallTimes, 100*ms)
+		s.desk.upstream.times = append(s.desk.upstream.times, 100*ms)
 	}
 	ops := []RequestID{"a", "b", "c"}
 	for _, id := range ops {
-		s.read(arrival(string(id), 100*ms, 0.1))
+		s.read(newRequest(string(id), 100*ms, 0.1))
 		s.atCall[id]()
 	}
 	s.desk.Decide()
-	most, held := s.desk.callTimeBudget(s.now)
-	fmt.Println("in hand for", most, "at most, so far", held)
+	budget := s.desk.callTimeBudget(s.now)
+	fmt.Println("in hand for", budget.limit, "at most, so far", budget.used)
 	s.now += 1750 * ms
 	s.called["a"](Succeeded, 1750*ms)
 	s.desk.Decide() // too little is left for another
 	s.now += 4 * time.Second
-	s.desk.lastProgress = s.now // and no stuck state
+	s.desk.health.lastProgress = s.now // and no stuck state
 	s.desk.Decide()
 	// Output:
 	// 0ms run a
@@ -578,12 +578,12 @@
 		s.warm(200 * ms)
 		s.quiet = true
 		for i := range 60 {
-			a := arrival(fmt.Sprint("op", i), 300*ms, 0.1)
+			a := newRequest(fmt.Sprint("op", i), 300*ms, 0.1)
 			a.Caller = CallerID(i % callers)
 			s.read(a)
 			s.now += 20 * ms
 		}
-		fmt.Printf("%d callers: welcome %.2f, token %.2f\n", callers, s.desk.acceptance(), s.desk.loadLevel)
+		fmt.Printf("%d callers: welcome %.2f, token %.2f\n", callers, s.desk.acceptance(), s.desk.publishedLoad)
 	}
 	// Output:
 	// 2 callers: welcome 0.14, token 0.50
@@ -595,7 +595,7 @@
 	s := open(Settings{})
 	s.warm(400 * ms)
 	for i := range 10 {
-		a := arrival(fmt.Sprint("op", i), 400*ms, 0.1)
+		a := newRequest(fmt.Sprint("op", i), 400*ms, 0.1)
 		a.IsRetry = i%2 == 1
 		s.quiet = i < 7
 		s.read(a)
--- a/admission/cold_test.go
+++ b/admission/cold_test.go
@@ -17,7 +17,7 @@
 				WarmUpSpeedShare: from, OverloadTolerance: fall})
 			s.quiet = true
 			for i := range seen {
-				a := arrival(fmt.Sprint("a", i), 10*ms, 0.9)
+				a := newRequest(fmt.Sprint("a", i), 10*ms, 0.9)
 				a.Caller = CallerID(i)
 				s.read(a)
 				s.now += ms
@@ -25,11 +25,11 @@
 			}
 			s.desk.Decide()
 			// What is allowed in the told span while nothing is known of the work: an eighth of a target each, on two cores.
-			n := 2 * s.desk.warmUpShare() * float64(fall) / float64(target/8)
+			n := 2 * s.desk.slowStart.speedShare(s.now) * float64(fall) / float64(target/8)
 			if seen > 0 {
-				n = 2 * s.desk.warmUpShare() * float64(fall) / float64(10*ms)
+				n = 2 * s.desk.slowStart.speedShare(s.now) * float64(fall) / float64(10*ms)
 			}
-			if sum := float64(callers) * s.desk.loadLevel; sum > n+2*math.Sqrt(n+2) || sum <= 0 {
+			if sum := float64(callers) * s.desk.publishedLoad; sum > n+2*math.Sqrt(n+2) || sum <= 0 {
 				t.Fatalf("%d callers, %d seen: %.1f invited, %.1f allowed", callers, seen, sum, n)
 			}
 		}
--- a/admission/crowd_test.go
+++ b/admission/crowd_test.go
@@ -14,19 +14,19 @@
 		for _, crowd := range []float64{2, 3, 4, 8} {
 			s := open(Settings{Cores: cores, SurvivableRunsPerCore: crowd, Upstream: UpstreamShared, UpstreamShare: 100.0, UpstreamWindow: 5 * time.Second, MemoryKB: 1e6})
 			s.quiet = true
-			chance, n := s.desk.random, 0
+			chance, n := s.desk.random.float64, 0
 			var inCall []RequestID
 			most := 0
 			for step := range 400 {
 				s.now += 2 * ms
 				var in []Request
-				for len(s.desk.queue) < 12 && len(in) < 4 {
+				for len(s.desk.requests.queue) < 12 && len(in) < 4 {
 					n++
-					in = append(in, arrival(fmt.Sprint("o", n), 10*ms, 0.9))
+					in = append(in, newRequest(fmt.Sprint("o", n), 10*ms, 0.9))
 				}
 				s.read(in...)
 				var on []RequestID
-				for _, o := range s.desk.running {
+				for _, o := range s.desk.requests.running {
 					on = append(on, o.ID)
 				}
 				for i, id := range on { // as many as there are cores move on: half of them to a call, the others to their end
@@ -58,7 +58,7 @@
 				}
 				s.desk.Decide()
 				s.desk.recordGauges(Gauges{GaugeRunnable: 0.5, GaugeBusyCores: 0.5}) // idle cores let it grow
-				most = max(most, len(s.desk.running))
+				most = max(most, len(s.desk.requests.running))
 			}
 			if float64(most) > cores*crowd || float64(most) < cores {
 				t.Errorf("%v cores, %v survived: %d ran", cores, cores*crowd, most)
@@ -81,13 +81,13 @@
 					for step := range 400 {
 						s.now += 10 * ms
 						var in []Request
-						for len(s.desk.queue)+len(in) < 12 {
+						for len(s.desk.requests.queue)+len(in) < 12 {
 							n++
-							in = append(in, arrival(fmt.Sprint("o", n), 10*ms, 0.9))
+							in = append(in, newRequest(fmt.Sprint("o", n), 10*ms, 0.9))
 						}
 						s.read(in...)
 						var on []RequestID
-						for _, o := range s.desk.running {
+						for _, o := range s.desk.requests.running {
 							on = append(on, o.ID)
 						}
 						for i, id := range on { // as many as there are cores move on: to a call, and behind it, or what is left out, to their end
@@ -104,7 +104,7 @@
 						}
 						s.desk.Decide()
 						for id, done := range s.called { // each call takes a while, and with little below comes back alone
-							if o := s.desk.requests[id]; o != nil && (share <= 2 || step%7 == 0) {
+							if o := s.desk.requests.byID[id]; o != nil && (share <= 2 || step%7 == 0) {
 								delete(s.called, id)
 								done(Succeeded, 100*ms)
 								calls++
@@ -112,8 +112,8 @@
 						}
 						s.desk.Decide()
 						survived := s.desk.survivableConcurrency()
-						if most := float64(len(s.desk.running) + s.desk.openCalls); most > survived && most > 1 {
-							t.Fatalf("%v cores, %v a core, cold %v, share %v: %d run and %d are in a call, %.1f are survived", cores, crowd, cold, share, len(s.desk.running), s.desk.openCalls, survived)
+						if most := float64(len(s.desk.requests.running) + s.desk.upstream.open); most > survived && most > 1 {
+							t.Fatalf("%v cores, %v a core, cold %v, share %v: %d run and %d are in a call, %.1f are survived", cores, crowd, cold, share, len(s.desk.requests.running), s.desk.upstream.open, survived)
 						}
 					}
 					if calls < 50 || ends < 50 { // one call at a time comes back 57 times
@@ -130,13 +130,13 @@
 	for _, drain := range []time.Duration{8400 * ms, 1200 * ms} {
 		s := open(Settings{})
 		s.quiet = true
-		a := arrival("a", 10*ms, 0.1)
+		a := newRequest("a", 10*ms, 0.1)
 		a.HasDeadline, a.Deadline = true, time.Minute
 		s.read(a)
 		killAt := s.now + drain
 		s.desk.Drain(killAt)
 		s.desk.Decide()
-		for !s.desk.requests["a"].answered && s.now < killAt {
+		for !s.desk.requests.byID["a"].answered && s.now < killAt {
 			s.pass(2*ms, nil)
 		}
 		fmt.Println(drain, "answered before the kill by", killAt-s.now)
--- a/admission/helper_test.go
+++ b/admission/helper_test.go
@@ -112,7 +112,7 @@
 }
 
 // op is an arrival of the low type, or of the high one by its rank.
-func arrival(id string, hint time.Duration, rank float64) Request {
+func newRequest(id string, hint time.Duration, rank float64) Request {
 	a := Request{ID: RequestID(id), Class: "low", WorkHint: hint, Rank: rank}
 	if rank >= 0.5 {
 		a.Class = "high"
@@ -160,7 +160,7 @@
 	s.quiet = true
 	for i := range 16 {
 		id := fmt.Sprint("warm", i)
-		s.read(arrival(id, took, float64(i%2)*0.6))
+		s.read(newRequest(id, took, float64(i%2)*0.6))
 		s.now += took
 		s.end(Succeeded, took, RequestID(id))
 	}
--- /dev/null
+++ b/admission/history.go
@@ -0,0 +1,17 @@
+package admission
+
+import "slices"
+
+// appendRecent appends to a list that keeps the last limit elements.
+func appendRecent[T any](list []T, element T, limit int) []T {
+	list = append(list, element)
+	if len(list) > limit {
+		list = slices.Delete(list, 0, len(list)-limit)
+	}
+	return list
+}
+
+// without removes a request from a list, in place.
+func without(list []*trackedRequest, r *trackedRequest) []*trackedRequest {
+	return slices.DeleteFunc(list, func(other *trackedRequest) bool { return other == r })
+}
--- /dev/null
+++ b/admission/run.go
@@ -0,0 +1,76 @@
+package admission
+
+import "time"
+
+// startRequests starts queued requests as far as the limit and the memory allow, and sheds those that are hopeless.
+func (c *Controller) startRequests(now time.Duration) {
+	candidates := c.shedHopeless(c.sortQueue(now), now, false)
+	for len(candidates) > 0 {
+		capacity := c.concurrencyLimit(now) - len(c.requests.running)
+		if capacity < 1 && c.raiseLimit(now) {
+			capacity = 1
+		}
+		if capacity < 1 {
+			if left := c.shedHopeless(candidates, now, true); len(left) > 0 {
+				c.stopHopelessRuns(now)
+			}
+			return
+		}
+		for _, k := range c.selectBatch(candidates, capacity, now) {
+			if c.runExceedsMemory(k.request, now) {
+				return
+			}
+			c.start(k.request)
+			candidates = removeCandidate(candidates, k.request)
+		}
+	}
+}
+
+// start runs a queued request.
+func (c *Controller) start(r *trackedRequest) {
+	c.requests.queue = without(c.requests.queue, r)
+	c.requests.running = append(c.requests.running, r)
+	c.idle.addDecision(false)
+	r.startedAt = c.executor.Now()
+	r.concurrencyAtStart = len(c.requests.running)
+	r.onDeadline = func() { c.abandon(r) }
+	c.executor.Start(
+		r.ID,
+		func() { c.reachedCall(r) },
+		func(outcome Outcome, elapsed time.Duration) { c.finished(r, outcome, elapsed) },
+	)
+}
+
+// finished hears that a run has ended.
+func (c *Controller) finished(r *trackedRequest, outcome Outcome, elapsed time.Duration) {
+	now := c.executor.Now()
+	concurrency := float64(r.concurrencyAtStart+len(c.requests.running)) / 2
+	c.upstream.end(r, now, now)
+	c.requests.forget(r)
+	if outcome != NotStarted { // one that never started tells nothing of those that run
+		c.health.lastProgress = now
+	}
+	if outcome == Succeeded || outcome == Failed {
+		c.limit.completions++
+		c.health.addResult(runResult{now, outcome == Failed})
+	}
+	if outcome == Succeeded {
+		r.class.runs.add(runSample{at: now, elapsed: elapsed, hint: r.WorkHint, concurrency: concurrency})
+	}
+	if outcome == Stopped && !r.answered { // stopped by the runtime: the answer is still owed
+		r.answered = true
+		c.executor.Fail(r.ID)
+	}
+}
+
+// stopRun takes a run that nobody waits for off the cores, where that is possible.
+func (c *Controller) stopRun(r *trackedRequest) {
+	if c.canStop() {
+		c.executor.Stop(r.ID)
+	}
+}
+
+// canStop tells whether runs can be taken off the cores.
+func (c *Controller) canStop() bool {
+	return c.settings.Halt == HaltDrop || c.settings.Halt == HaltPause
+}
--- /dev/null
+++ b/admission/shedding.go
@@ -0,0 +1,67 @@
+package admission
+
+import (
+	"slices"
+	"time"
+)
+
+// lateAnswerValue is the value of a late answer from which the deadline counts, not the objective.
+const lateAnswerValue = 0.5
+
+// timeLeft is the time in which an answer still has its value: until the latency objective, or until the deadline where
+// a late answer has half of it or more; never past the kill.
+func (c *Controller) timeLeft(r *trackedRequest, now time.Duration) time.Duration {
+	left := r.slack(now)
+	if r.class.LateValue >= lateAnswerValue {
+		left = r.deadline - now
+	}
+	left = min(left, r.deadline-now)
+	if c.drain.notified {
+		left = min(left, c.drain.lastAnswerAt()-now)
+	}
+	return left
+}
+
+// shedHopeless rejects, while no core is free, queued requests that can't be done in the time left, and returns the
+// others. Rejected late they would come back as retries with their slack spent. countWait also counts the wait for the
+// work before each in the order, which the paper's T leaves out.
+func (c *Controller) shedHopeless(candidates []candidate, now time.Duration, countWait bool) []candidate {
+	if c.coreFree(now) {
+		return candidates
+	}
+	ahead := c.remainingWork(now)
+	return slices.DeleteFunc(candidates, func(k candidate) bool {
+		wait := time.Duration(0)
+		if countWait {
+			wait = ahead / time.Duration(c.cores)
+		}
+		if wait+k.runTime > c.timeLeft(k.request, now) {
+			c.reject(k.request)
+			return true
+		}
+		ahead += k.work
+		return false
+	})
+}
+
+// remainingWork is the work that is left of the runs on the cores.
+func (c *Controller) remainingWork(now time.Duration) time.Duration {
+	var left time.Duration
+	for _, r := range c.requests.running {
+		done := float64(now-r.startedAt) / runsPerCore(float64(len(c.requests.running)), c.cores)
+		left += max(0, c.estimatedWork(r, now)-time.Duration(done))
+	}
+	return left
+}
+
+// stopHopelessRuns stops idempotent runs whose answer has lost its value, while requests wait and no core is free.
+func (c *Controller) stopHopelessRuns(now time.Duration) {
+	if !c.canStop() || c.coreFree(now) {
+		return
+	}
+	for _, r := range slices.Clone(c.requests.running) {
+		if r.class.Idempotency == Idempotent && r.class.LateValue == 0 && r.slack(now) < 0 {
+			c.abandon(r)
+		}
+	}
+}
