--- a/admission/helper_test.go
+++ b/admission/fixture_test.go
@@ -8,6 +8,8 @@
 	"time"
 )
 
+const ms = time.Millisecond
+
 // bench-free stand-in for the port: it prints what the module does and keeps the closures it leaves.
 type scene struct {
 	now    time.Duration
--- a/admission/cold_test.go
+++ b/admission/loadreport_test.go
@@ -7,9 +7,57 @@
 	"time"
 )
 
+// Reading is swamped: ops come in that lay unread for long. The signal falls, and once it lasts, nacked ops
+// are asked not to walk on.
+func Example_queueDelay() {
+	s := open(Settings{LoadSignal: LoadSignalChance})
+	s.warm(200 * ms)
+	for i := range 12 {
+		late := newRequest(fmt.Sprint("s", i), 400*ms, 0.1)
+		late.QueueDelay = 450 * ms
+		s.quiet = i > 0 && i < 11
+		s.read(late)
+		s.pass(50*ms, Gauges{GaugeRunnable: 4})
+	}
+	// Output:
+	// 3200ms run s0
+	// 3200ms signal 0.20
+	// 3750ms nack s11, nowhere else
+}
+
+// A token for each caller is told as a chance where callers seldom have two ops here.
+func Example_tokens() {
+	for _, callers := range []int{2, 40} {
+		s := open(Settings{LoadSignal: LoadSignalTokens})
+		s.warm(200 * ms)
+		s.quiet = true
+		for i := range 60 {
+			a := newRequest(fmt.Sprint("op", i), 300*ms, 0.1)
+			a.Caller = CallerID(i % callers)
+			s.read(a)
+			s.now += 20 * ms
+		}
+		fmt.Printf("%d callers: welcome %.2f, token %.2f\n", callers, s.desk.acceptance(), s.desk.publishedLoad)
+	}
+	// Output:
+	// 2 callers: welcome 0.14, token 0.50
+	// 40 callers: welcome 0.14, token 0.15
+}
+
+// The level by rank holds from the first answer of a cold instance on: nobody has come yet, and three in ten of the ranks are wanted.
+func Example_warmUpRank() {
+	s := open(Settings{LoadSignal: LoadSignalLeastRank, JustStarted: true, WarmUp: 10 * time.Second, WarmUpSpeedShare: 0.3})
+	s.desk.Decide()
+	warm := open(Settings{LoadSignal: LoadSignalLeastRank})
+	warm.desk.Decide()
+	// Output:
+	// 0ms signal 0.70
+	// 0ms signal 0.00
+}
+
 // What a cold instance invites by its own signal, summed over all callers that may heed it, stays within what it bears and what chance adds, from
 // its first answer on, with 1 to 300 callers of which it has seen none, some or all.
-func TestColdInvitation(t *testing.T) {
+func TestWarmUpTokens(t *testing.T) {
 	const from, target, fall = 0.3, time.Second, 2 * time.Second
 	for callers := 1; callers <= 300; callers++ {
 		for _, seen := range []int{0, 1, callers / 2, callers} {
@@ -35,14 +83,3 @@
 		}
 	}
 }
-
-// The level by rank holds from the first answer of a cold instance on: nobody has come yet, and three in ten of the ranks are wanted.
-func Example_coldLevel() {
-	s := open(Settings{LoadSignal: LoadSignalLeastRank, JustStarted: true, WarmUp: 10 * time.Second, WarmUpSpeedShare: 0.3})
-	s.desk.Decide()
-	warm := open(Settings{LoadSignal: LoadSignalLeastRank})
-	warm.desk.Decide()
-	// Output:
-	// 0ms signal 0.70
-	// 0ms signal 0.00
-}
