--- a/admission/arrivals_test.go
+++ b/admission/arrivals_test.go
@@ -7,20 +7,20 @@
 
 // A told wait that no other arrival has is what is left of the op timeout: its slack is spent.
 func Example_timeSpentBefore() {
-	s := open(Settings{})
+	s := newFixture(Settings{})
 	for i := range 16 {
 		first := newRequest(fmt.Sprint("first", i), 100*ms, 0.1)
 		first.HasDeadline, first.Deadline = true, s.now+1500*ms
 		s.quiet = true
-		s.read(first)
-		s.end(Succeeded, 100*ms, first.ID)
+		s.submit(first)
+		s.finish(Succeeded, 100*ms, first.ID)
 		s.now += 100 * ms
 	}
 	for _, left := range []time.Duration{1500, 2300} {
 		a := newRequest(fmt.Sprint("left ", int(left)), 100*ms, 0.1)
 		a.HasDeadline, a.Deadline = true, s.now+left*ms
-		s.read(a)
-		fmt.Println(a.ID, "slack", s.desk.requests.byID[a.ID].slack(s.now))
+		s.submit(a)
+		fmt.Println(a.ID, "slack", s.controller.requests.byID[a.ID].slack(s.now))
 	}
 	// Output:
 	// left 1500 slack 1s
--- a/admission/batch_test.go
+++ b/admission/batch_test.go
@@ -9,20 +9,20 @@
 // key decides.
 func Example_batchSelection() {
 	scene := func(age time.Duration) {
-		s := open(Settings{})
-		s.warm(200 * ms)
-		s.desk.limit.grown = 3
-		s.read(newRequest("a1", 200*ms, 0.9), newRequest("a2", 200*ms, 0.9), newRequest("a3", 200*ms, 0.9))
-		s.read(newRequest("waiting", 200*ms, 0.1))
+		s := newFixture(Settings{})
+		s.warmUp(200 * ms)
+		s.controller.limit.grown = 3
+		s.submit(newRequest("a1", 200*ms, 0.9), newRequest("a2", 200*ms, 0.9), newRequest("a3", 200*ms, 0.9))
+		s.submit(newRequest("waiting", 200*ms, 0.1))
 		s.now += age
-		s.desk.health.lastProgress = s.now
-		s.desk.recordGauges(Gauges{GaugeRunnable: 3})
-		s.desk.limit.grown = 3 // as idle cores let it grow before
-		for _, o := range s.desk.requests.running {
+		s.controller.health.lastProgress = s.now
+		s.controller.recordGauges(Gauges{GaugeRunnable: 3})
+		s.controller.limit.grown = 3 // as idle cores let it grow before
+		for _, o := range s.controller.requests.running {
 			o.arrivedAt = s.now // their slack leaves the limit as it is
 		}
-		s.ended["a1"](Succeeded, 200*ms)
-		s.read(newRequest("head", 150*ms, 0.9))
+		s.onEnd["a1"](Succeeded, 200*ms)
+		s.submit(newRequest("head", 150*ms, 0.9))
 	}
 	scene(660 * ms)
 	fmt.Println("no feasible anchor")
@@ -30,19 +30,19 @@
 	fmt.Println("nobody at risk")
 	scene(100 * ms)
 	// Output:
-	// 3200ms run a1
-	// 3200ms run a2
-	// 3200ms run a3
-	// 3860ms run waiting
+	// 3200ms start a1
+	// 3200ms start a2
+	// 3200ms start a3
+	// 3860ms start waiting
 	// no feasible anchor
-	// 3200ms run a1
-	// 3200ms run a2
-	// 3200ms run a3
-	// 3940ms run head
-	// 3940ms nack waiting
+	// 3200ms start a1
+	// 3200ms start a2
+	// 3200ms start a3
+	// 3940ms start head
+	// 3940ms reject waiting
 	// nobody at risk
-	// 3200ms run a1
-	// 3200ms run a2
-	// 3200ms run a3
-	// 3300ms run head
+	// 3200ms start a1
+	// 3200ms start a2
+	// 3200ms start a3
+	// 3300ms start head
 }
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -14,16 +14,16 @@
 	for _, held := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(held), func(b *testing.B) {
 			long := ClassSettings{Name: "low", Weight: 1.0, LatencyObjective: 1e6 * time.Second, Timeout: 3e6 * time.Second, Idempotency: Idempotent}
-			s := open(Settings{Classes: []ClassSettings{long}, MemoryKB: 1e12, Cores: 4.0})
+			s := newFixture(Settings{Classes: []ClassSettings{long}, MemoryKB: 1e12, Cores: 4.0})
 			s.quiet = true
 			n := 0
 			add := func() {
 				n++
-				s.desk.Submit(Request{ID: RequestID(fmt.Sprint(n)), Class: "low", WorkHint: 10 * time.Millisecond, Rank: 0.1, MemoryKB: 1})
+				s.controller.Submit(Request{ID: RequestID(fmt.Sprint(n)), Class: "low", WorkHint: 10 * time.Millisecond, Rank: 0.1, MemoryKB: 1})
 			}
 			end := func(most int) {
-				for id, done := range s.ended {
-					delete(s.ended, id)
+				for id, done := range s.onEnd {
+					delete(s.onEnd, id)
 					done(Succeeded, 10*time.Millisecond)
 					if most--; most == 0 {
 						break
@@ -32,23 +32,23 @@
 			}
 			for range 64 {
 				add()
-				s.desk.Decide()
+				s.controller.Decide()
 				s.now += 10 * time.Millisecond
 				end(-1)
-				s.desk.Decide()
+				s.controller.Decide()
 			}
 			for range held {
 				add()
 			}
-			s.desk.Decide()
+			s.controller.Decide()
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
 				s.now += time.Millisecond
 				add()
 				end(1)
-				s.wakes = s.wakes[:0]
-				s.desk.Decide()
+				s.timers = s.timers[:0]
+				s.controller.Decide()
 			}
 		})
 	}
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -63,7 +63,7 @@
 	}
 	c.order = newStartOrder(c.classes)
 	// Health checks that do real work and call the upstream would add to an overload, so they are answered from here.
-	executor.SetHealth(true, true)
+	executor.SetHealth(Health{Healthy: true, FromState: true})
 	return c
 }
 
--- a/admission/executor.go
+++ b/admission/executor.go
@@ -35,8 +35,8 @@
 	KeepRecord(id RequestID, window time.Duration)
 	DropRecord(id RequestID)
 
-	// SetHealth says how health checks are answered; with fromState they are answered by this value, without a run.
-	SetHealth(healthy, fromState bool)
+	// SetHealth sets how health checks are answered.
+	SetHealth(health Health)
 	// PublishLoad sets the value of the load report, of the kind that Settings.LoadSignal names.
 	PublishLoad(level float64)
 	// SetIdleTimeout sets how long an unused connection may stay open.
@@ -47,6 +47,12 @@
 	LogTransition(change Transition)
 }
 
+// Health is how health checks are answered.
+type Health struct {
+	Healthy   bool
+	FromState bool // by Healthy at once; otherwise by a run that tries the real work
+}
+
 // Gauge names a measurement of the instance's machine.
 type Gauge string
 
--- a/admission/fixture_test.go
+++ b/admission/fixture_test.go
@@ -5,71 +5,70 @@
 	"io"
 	"os"
 	"reflect"
+	"slices"
 	"time"
 )
 
 const ms = time.Millisecond
 
-// bench-free stand-in for the port: it prints what the module does and keeps the closures it leaves.
-type scene struct {
-	now    time.Duration
-	desk   *Controller
-	quiet  bool
-	out    io.Writer
-	atCall map[RequestID]func()
-	ended  map[RequestID]func(Outcome, time.Duration)
-	called map[RequestID]func(Outcome, time.Duration)
-	wakes  []wake
-	until  time.Duration // when the last call is given up
+// fixture is an Executor that prints what its Controller decides, and keeps the functions that it is handed.
+type fixture struct {
+	controller   *Controller
+	now          time.Duration
+	quiet        bool
+	out          io.Writer
+	onCall       map[RequestID]func()
+	onEnd        map[RequestID]func(Outcome, time.Duration)
+	onCallDone   map[RequestID]func(Outcome, time.Duration)
+	timers       []timer
+	callDeadline time.Duration // of the last call
 }
 
-type wake struct {
+type timer struct {
 	at   time.Duration
 	then func(Gauges)
 }
 
-func (s *scene) say(format string, a ...any) {
-	if !s.quiet {
-		fmt.Fprintf(s.out, "%dms "+format+"\n", append([]any{s.now.Milliseconds()}, a...)...)
+// newFixture starts an instance of two cores; each setting that extra has replaces the default one.
+func newFixture(extra Settings) *fixture {
+	s := &fixture{
+		onCall:     map[RequestID]func(){},
+		onEnd:      map[RequestID]func(Outcome, time.Duration){},
+		onCallDone: map[RequestID]func(Outcome, time.Duration){},
+		quiet:      true,
+		out:        os.Stdout,
 	}
+	settings := Settings{
+		Classes:               testClasses(),
+		Cores:                 2,
+		RunMemoryFactor:       4,
+		MemoryKB:              1200,
+		Tick:                  2 * ms,
+		SurvivableRunsPerCore: 8,
+		DrainGrace:            time.Second,
+	}
+	to, from := reflect.ValueOf(&settings).Elem(), reflect.ValueOf(extra)
+	for i := range from.NumField() {
+		if !from.Field(i).IsZero() {
+			to.Field(i).Set(from.Field(i))
+		}
+	}
+	s.controller = New(7, settings, s)
+	s.quiet = false
+	return s
 }
 
-func (s *scene) Now() time.Duration { return s.now }
-func (s *scene) Start(id RequestID, atCall func(), ended func(Outcome, time.Duration)) {
-	s.say("run %s", id)
-	s.atCall[id], s.ended[id] = atCall, ended
-}
-func (s *scene) Stop(id RequestID) { s.say("stop %s", id) }
-func (s *scene) Fail(id RequestID) { s.say("fail %s", id) }
-func (s *scene) Reject(id RequestID, stayAway time.Duration, nowhereElse bool) {
-	s.say("nack %s%s%s", id, map[bool]string{true: fmt.Sprint(", away ", stayAway)}[stayAway > 0], map[bool]string{true: ", nowhere else"}[nowhereElse])
-}
-func (s *scene) Coalesce(id RequestID, ended func(Outcome, time.Duration)) {
-	s.say("share %s", id)
-	s.ended[id] = ended
-}
-func (s *scene) Call(id RequestID, until time.Duration, done func(Outcome, time.Duration)) {
-	s.say("call %s", id)
-	s.until = until
-	s.called[id] = done
-}
-func (s *scene) SkipCall(id RequestID)                       { s.say("skip call %s", id) }
-func (s *scene) KeepRecord(id RequestID, span time.Duration) { s.say("keep %s %v", id, span) }
-func (s *scene) DropRecord(id RequestID)                     { s.say("drop key %s", id) }
-func (s *scene) SetHealth(good, _ bool)                      { s.say("health %v", good) }
-func (s *scene) PublishLoad(level float64)                   { s.say("signal %.2f", level) }
-func (s *scene) SetIdleTimeout(span time.Duration)           { s.say("idle connections stay %v", span) }
-func (s *scene) LogTransition(change Transition)             { s.say("state %v", change) }
-func (s *scene) WakeAt(at time.Duration, f func(Gauges)) {
-	s.wakes = append(s.wakes, wake{at, f})
-}
-
-// testClasses are the two classes of open.
+// testClasses are the classes of a fixture: the low and the high one.
 func testClasses() []ClassSettings {
-	low := ClassSettings{Name: "low", Weight: 1.0, LatencyObjective: time.Second, Timeout: 3 * time.Second,
-		Idempotency: Idempotent}
-	high := ClassSettings{Name: "high", Weight: 3.0, LatencyObjective: time.Second, Timeout: 3 * time.Second,
-		Idempotency: Idempotent}
+	low := ClassSettings{
+		Name:             "low",
+		Weight:           1,
+		LatencyObjective: time.Second,
+		Timeout:          3 * time.Second,
+		Idempotency:      Idempotent,
+	}
+	high := low
+	high.Name, high.Weight = "high", 3
 	return []ClassSettings{low, high}
 }
 
@@ -80,91 +79,152 @@
 	return classes
 }
 
-// overlay replaces each setting that extra has.
-func overlay(settings *Settings, extra Settings) {
-	to, from := reflect.ValueOf(settings).Elem(), reflect.ValueOf(extra)
-	for i := range from.NumField() {
-		if !from.Field(i).IsZero() {
-			to.Field(i).Set(from.Field(i))
-		}
+func (s *fixture) printf(format string, args ...any) {
+	if !s.quiet {
+		fmt.Fprintf(s.out, "%dms "+format+"\n", append([]any{s.now.Milliseconds()}, args...)...)
 	}
 }
 
-// open starts an instance of two cores; extra facts replace the usual ones.
-func open(extra Settings) *scene {
-	s := &scene{atCall: map[RequestID]func(){}, ended: map[RequestID]func(Outcome, time.Duration){},
-		called: map[RequestID]func(Outcome, time.Duration){}, quiet: true, out: os.Stdout}
-	facts := Settings{Classes: testClasses(), Cores: 2.0, RunMemoryFactor: 4.0, MemoryKB: 1200.0,
-		Tick: 2 * time.Millisecond, SurvivableRunsPerCore: 8.0, DrainGrace: time.Second}
-	overlay(&facts, extra)
-	s.desk = New(7, facts, s)
-	s.quiet = false
-	return s
+func (s *fixture) Now() time.Duration { return s.now }
+
+func (s *fixture) Start(id RequestID, onCall func(), onEnd func(Outcome, time.Duration)) {
+	s.printf("start %s", id)
+	s.onCall[id], s.onEnd[id] = onCall, onEnd
 }
 
-// read takes ops of 10 kB with a hint, and settles the batch.
-func (s *scene) read(arrivals ...Request) {
-	for _, a := range arrivals {
-		if a.MemoryKB == 0 {
-			a.MemoryKB = 10
-		}
-		s.desk.Submit(a)
+func (s *fixture) Stop(id RequestID) { s.printf("stop %s", id) }
+func (s *fixture) Fail(id RequestID) { s.printf("fail %s", id) }
+
+func (s *fixture) Reject(id RequestID, retryAfter time.Duration, noFailover bool) {
+	advice := ""
+	if retryAfter > 0 {
+		advice = fmt.Sprint(", retry after ", retryAfter)
+	}
+	if noFailover {
+		advice += ", no failover"
 	}
-	s.desk.Decide()
+	s.printf("reject %s%s", id, advice)
 }
 
-// op is an arrival of the low type, or of the high one by its rank.
+func (s *fixture) Coalesce(id RequestID, onEnd func(Outcome, time.Duration)) {
+	s.printf("coalesce %s", id)
+	s.onEnd[id] = onEnd
+}
+
+func (s *fixture) Call(id RequestID, deadline time.Duration, done func(Outcome, time.Duration)) {
+	s.printf("call %s", id)
+	s.callDeadline = deadline
+	s.onCallDone[id] = done
+}
+
+func (s *fixture) SkipCall(id RequestID) { s.printf("skip call %s", id) }
+
+func (s *fixture) KeepRecord(id RequestID, window time.Duration) {
+	s.printf("keep record %s %v", id, window)
+}
+
+func (s *fixture) DropRecord(id RequestID)              { s.printf("drop record %s", id) }
+func (s *fixture) SetHealth(health Health)              { s.printf("health %v", health.Healthy) }
+func (s *fixture) PublishLoad(level float64)            { s.printf("load %.2f", level) }
+func (s *fixture) SetIdleTimeout(timeout time.Duration) { s.printf("idle timeout %v", timeout) }
+func (s *fixture) LogTransition(change Transition)      { s.printf("state %v", change) }
+
+func (s *fixture) WakeAt(at time.Duration, then func(Gauges)) {
+	s.timers = append(s.timers, timer{at, then})
+}
+
+// newRequest is of the low class, or of the high one by its rank.
 func newRequest(id string, hint time.Duration, rank float64) Request {
-	a := Request{ID: RequestID(id), Class: "low", WorkHint: hint, Rank: rank}
+	r := Request{ID: RequestID(id), Class: "low", WorkHint: hint, Rank: rank}
 	if rank >= 0.5 {
-		a.Class = "high"
+		r.Class = "high"
+	}
+	return r
+}
+
+// submit takes requests, of 10 KB unless they say otherwise, as one batch.
+func (s *fixture) submit(requests ...Request) {
+	for _, r := range requests {
+		if r.MemoryKB == 0 {
+			r.MemoryKB = 10
+		}
+		s.controller.Submit(r)
 	}
-	return a
+	s.controller.Decide()
 }
 
-// end ends runs after the time they took, in one batch.
-func (s *scene) end(how Outcome, took time.Duration, ids ...RequestID) {
+// finish ends runs after the time they took, as one batch.
+func (s *fixture) finish(outcome Outcome, elapsed time.Duration, ids ...RequestID) {
 	for _, id := range ids {
-		if s.ended[id] == nil {
-			s.say("%s does not run", id)
+		if s.onEnd[id] == nil {
+			s.printf("%s does not run", id)
 			continue
 		}
-		done := s.ended[id]
-		delete(s.ended, id)
-		done(how, took)
+		onEnd := s.onEnd[id]
+		delete(s.onEnd, id)
+		onEnd(outcome, elapsed)
 	}
-	s.desk.Decide()
-}
-
-// pass moves the clock on, firing the timers with these gauges.
-func (s *scene) pass(span time.Duration, gauges Gauges) {
-	for until := s.now + span; s.now < until; {
-		s.now += 2 * time.Millisecond
-		due := s.wakes
-		s.wakes = nil
-		fired := false
-		for _, w := range due {
-			if w.at <= s.now {
-				w.then(gauges)
-				fired = true
-			} else {
-				s.wakes = append(s.wakes, w)
-			}
+	s.controller.Decide()
+}
+
+// finishCall ends a call and takes its function.
+func (s *fixture) finishCall(id RequestID, outcome Outcome, elapsed time.Duration) {
+	done := s.onCallDone[id]
+	delete(s.onCallDone, id)
+	done(outcome, elapsed)
+}
+
+// advance moves the clock on, firing the timers with these gauges.
+func (s *fixture) advance(duration time.Duration, gauges Gauges) {
+	for until := s.now + duration; s.now < until; {
+		s.now += 2 * ms
+		if s.fireTimers(gauges) {
+			s.controller.Decide()
 		}
-		if fired {
-			s.desk.Decide()
+	}
+}
+
+// fireTimers fires those that are due and tells whether there were any.
+func (s *fixture) fireTimers(gauges Gauges) bool {
+	timers := s.timers
+	s.timers = nil
+	for _, t := range timers {
+		if t.at <= s.now {
+			t.then(gauges)
+		} else {
+			s.timers = append(s.timers, t)
 		}
 	}
+	return len(s.timers) < len(timers)
 }
 
-// warm gives each type the runs it needs for a fit, all of one length, unprinted.
-func (s *scene) warm(took time.Duration) {
+// warmUp gives each class the runs that it needs for a fit, all of one length, unprinted.
+func (s *fixture) warmUp(elapsed time.Duration) {
 	s.quiet = true
 	for i := range 16 {
 		id := fmt.Sprint("warm", i)
-		s.read(newRequest(id, took, float64(i%2)*0.6))
-		s.now += took
-		s.end(Succeeded, took, RequestID(id))
+		s.submit(newRequest(id, elapsed, float64(i%2)*0.6))
+		s.now += elapsed
+		s.finish(Succeeded, elapsed, RequestID(id))
 	}
 	s.quiet = false
 }
+
+// runningIDs are the requests on the cores.
+func (s *fixture) runningIDs() []RequestID {
+	var ids []RequestID
+	for _, r := range s.controller.requests.running {
+		ids = append(ids, r.ID)
+	}
+	return ids
+}
+
+// awaitedCalls are the requests whose call is not done, in the order of their names.
+func (s *fixture) awaitedCalls() []RequestID {
+	var ids []RequestID
+	for id := range s.onCallDone {
+		ids = append(ids, id)
+	}
+	slices.Sort(ids)
+	return ids
+}
--- a/admission/health.go
+++ b/admission/health.go
@@ -122,7 +122,7 @@
 		Queued:  len(c.requests.queue),
 		Running: len(c.requests.running),
 	})
-	c.executor.SetHealth(c.health.state == StateHealthy, true)
+	c.executor.SetHealth(Health{Healthy: c.health.state == StateHealthy, FromState: true})
 }
 
 func (c *Controller) currentState(now time.Duration) State {
--- a/admission/idletimeout_test.go
+++ b/admission/idletimeout_test.go
@@ -9,19 +9,19 @@
 // sooner at each look, but not while more is nacked than started.
 func Example_idleTimeout() {
 	scene := func(callers int, work time.Duration) {
-		s := open(Settings{MaxIdleTimeout: 8 * time.Second})
+		s := newFixture(Settings{MaxIdleTimeout: 8 * time.Second})
 		for i := range 20 {
 			a := newRequest(fmt.Sprint("op", i), work, 0.1)
 			a.Caller = CallerID(i % callers)
 			s.quiet = true
-			s.read(a)
-			s.pass(100*ms, Gauges{GaugeRunnable: 2, GaugeBusyCores: 1})
+			s.submit(a)
+			s.advance(100*ms, Gauges{GaugeRunnable: 2, GaugeBusyCores: 1})
 			if work < time.Second {
-				s.end(Succeeded, 100*ms, a.ID)
+				s.finish(Succeeded, 100*ms, a.ID)
 			}
 		}
-		nacked := s.desk.idle.rejectionRate() > 0.5
-		fmt.Println(callers, "callers, ops of", work, "nacked", nacked, "idle for", s.desk.idle.current)
+		nacked := s.controller.idle.rejectionRate() > 0.5
+		fmt.Println(callers, "callers, ops of", work, "nacked", nacked, "idle for", s.controller.idle.current)
 	}
 	scene(2, 100*ms)
 	scene(20, 100*ms)
--- a/admission/quota_test.go
+++ b/admission/quota_test.go
@@ -4,30 +4,30 @@
 
 // A tenant beyond its quota waits for the others: its first op is within, its later ones are not.
 func Example_quota() {
-	s := open(Settings{FleetSize: 1.0, Tenants: []TenantSettings{{Name: "x", QuotaPerSecond: 0.1},
+	s := newFixture(Settings{FleetSize: 1.0, Tenants: []TenantSettings{{Name: "x", QuotaPerSecond: 0.1},
 		{Name: "y", QuotaPerSecond: 100.0}}})
-	s.warm(200 * ms)
-	s.read(newRequest("a", 200*ms, 0.1), newRequest("b", 200*ms, 0.1))
+	s.warmUp(200 * ms)
+	s.submit(newRequest("a", 200*ms, 0.1), newRequest("b", 200*ms, 0.1))
 	for i := range 6 {
 		x := newRequest(fmt.Sprint("x", i), 100*ms, 0.1)
 		x.Tenant = "x"
-		s.desk.Submit(x)
+		s.controller.Submit(x)
 	}
 	y := newRequest("y", 150*ms, 0.1)
 	y.Tenant = "y"
-	s.read(y)
-	s.end(Succeeded, 200*ms, "a", "b")
-	s = open(Settings{FleetSize: 1.0, Tenants: []TenantSettings{{Name: "x", QuotaPerSecond: 100.0},
+	s.submit(y)
+	s.finish(Succeeded, 200*ms, "a", "b")
+	s = newFixture(Settings{FleetSize: 1.0, Tenants: []TenantSettings{{Name: "x", QuotaPerSecond: 100.0},
 		{Name: "y", QuotaPerSecond: 100.0}}})
 	y.Tenant = "y"
 	n := 1
-	for ; n < 900 && !s.desk.quotas.exceeded(&trackedRequest{Request: y}, s.now); n++ {
+	for ; n < 900 && !s.controller.quotas.exceeded(&trackedRequest{Request: y}, s.now); n++ {
 	}
 	fmt.Println("of hundreds within a moment, the first one beyond is", n)
 	// Output:
-	// 3200ms run a
-	// 3200ms run b
-	// 3200ms run x0
-	// 3200ms run y
+	// 3200ms start a
+	// 3200ms start b
+	// 3200ms start x0
+	// 3200ms start y
 	// of hundreds within a moment, the first one beyond is 441
 }
--- a/admission/random_test.go
+++ b/admission/random_test.go
@@ -10,20 +10,20 @@
 func Example_sameSeed() {
 	trace := func() string {
 		var out strings.Builder
-		s := open(Settings{LoadSignal: LoadSignalChance, RetryAfterAllowed: true, MaxRetryAfter: time.Second})
+		s := newFixture(Settings{LoadSignal: LoadSignalChance, RetryAfterAllowed: true, MaxRetryAfter: time.Second})
 		s.out = &out
 		for i := range 20 {
-			s.read(newRequest(fmt.Sprint("op", i), time.Duration(100+i)*ms, float64(i%5)/5))
+			s.submit(newRequest(fmt.Sprint("op", i), time.Duration(100+i)*ms, float64(i%5)/5))
 			s.now += 40 * ms
 			if i%4 == 3 {
-				s.end(Succeeded, 150*ms, "op0", "op1")
+				s.finish(Succeeded, 150*ms, "op0", "op1")
 			}
 		}
 		return out.String()
 	}
 	first := trace()
 	fmt.Println(strings.Count(first, "\n"), "lines, the same:", first == trace())
-	fmt.Println(open(Settings{}).desk.random.float64() == (&randomSource{seed: 8}).float64())
+	fmt.Println(newFixture(Settings{}).controller.random.float64() == (&randomSource{seed: 8}).float64())
 	// Output:
 	// 44 lines, the same: true
 	// false
--- /dev/null
+++ b/admission/scenario_test.go
@@ -0,0 +1,225 @@
+package admission
+
+import (
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"time"
+)
+
+// one picks one of the values by chance.
+func one[T any](chance *rand.Rand, values ...T) T { return values[chance.IntN(len(values))] }
+
+// pick gives one of a map's keys, by chance but not by the map's order.
+func pick[T any](chance *rand.Rand, m map[RequestID]T) (RequestID, bool) {
+	if len(m) == 0 {
+		return "", false
+	}
+	return one(chance, slices.Sorted(maps.Keys(m))...), true
+}
+
+// scenario is a random sequence of events: classes, tenants, quotas, calls, hints, drains, overloads, cold starts, times
+// and gauges that jump. The order in which it draws belongs to the digests in testdata.
+type scenario struct {
+	chance   *rand.Rand
+	recorder *recorder
+	settings Settings
+	cores    int
+	runTime  time.Duration // of one request, about
+	arrived  int
+	drained  bool
+}
+
+// play plays the scenario of a seed, and returns the digest and the number of what was decided.
+func play(seed uint64) (digest uint64, lines int) {
+	s := &scenario{chance: rand.New(rand.NewPCG(seed, 18)), recorder: newRecorder()}
+	s.drawSettings()
+	s.recorder.controller = New(seed, s.settings, s.recorder)
+	s.runTime = time.Duration(5+s.chance.IntN(60)) * time.Millisecond
+	for range 150 {
+		s.step()
+	}
+	return s.recorder.hash.Sum64(), s.recorder.lines
+}
+
+// duration draws between two numbers of milliseconds.
+func (s *scenario) duration(least, most int) time.Duration {
+	return time.Duration(least+s.chance.IntN(most-least+1)) * time.Millisecond
+}
+
+func (s *scenario) drawSettings() {
+	c := s.chance
+	for i := range 1 + c.IntN(3) {
+		s.settings.Classes = append(s.settings.Classes, s.drawClass(i))
+	}
+	for i := range c.IntN(4) {
+		tenant := TenantSettings{Name: TenantID(fmt.Sprint("w", i)), QuotaPerSecond: float64(1 + c.IntN(50))}
+		s.settings.Tenants = append(s.settings.Tenants, tenant)
+	}
+	s.cores = 1 + c.IntN(8)
+	s.settings.Cores = float64(s.cores)
+	s.settings.RunMemoryFactor = float64(1 + c.IntN(4))
+	s.settings.MemoryKB = float64(200 + c.IntN(4000))
+	s.settings.Tick = 2 * time.Millisecond
+	s.settings.SurvivableRunsPerCore = one(c, 0.0, 4, 8)
+	s.settings.DrainGrace = s.duration(0, 1000)
+	s.settings.Upstream = one(c, UpstreamShared, UpstreamNextTier, UpstreamNone)
+	s.settings.UpstreamShare = one(c, 0, 0.3, 2, 8)
+	s.settings.UpstreamWindow = s.duration(1000, 5000)
+	s.settings.TimedOutCallLinger = s.duration(0, 300)
+	if c.IntN(3) > 0 && len(s.settings.Classes) > 1 {
+		s.settings.Classes[1].SkippedCallValue = 0.5
+	}
+	s.settings.Halt = one(c, HaltDrop, HaltPause, HaltNone)
+	s.settings.RetryAfterAllowed = c.IntN(2) == 0
+	s.settings.MaxRetryAfter = s.duration(500, 3000)
+	s.settings.LoadSignal = one(c, LoadSignalChance, LoadSignalLeastRank, LoadSignalTokens, LoadSignalNone)
+	s.settings.JustStarted = c.IntN(3) == 0
+	s.settings.WarmUp = s.duration(0, 5000)
+	s.settings.WarmUpSpeedShare = 0.3
+	s.settings.RecordKB = float64(c.IntN(3))
+	s.settings.FleetSize = float64(1 + c.IntN(5))
+	s.settings.Callers = 4
+	s.settings.MaxIdleTimeout = s.duration(1000, 30000)
+	s.settings.CoalescedReadWindow = one(c, 0, 0, time.Second)
+}
+
+func (s *scenario) drawClass(i int) ClassSettings {
+	c := s.chance
+	objective := s.duration(200, 2000)
+	return ClassSettings{
+		Name:              Class(fmt.Sprint("t", i)),
+		Weight:            float64(1 + c.IntN(3)),
+		LatencyObjective:  objective,
+		Timeout:           objective + s.duration(0, 3000),
+		LateValue:         one(c, 0, 0, 0.3, 0.6),
+		Idempotency:       one(c, Idempotent, Idempotent, IdempotentByKey, NotIdempotent),
+		IdempotencyWindow: s.duration(500, 5000),
+		ObjectivePerWork:  one(c, 0.0, 0, 4),
+	}
+}
+
+// step plays one batch of events and, after the decisions, the timers that are due.
+func (s *scenario) step() {
+	r, c := s.recorder, s.chance
+	s.stepArrivals()
+	r.now += s.duration(0, 20)
+	for range c.IntN(s.cores + 2) {
+		s.stepRun()
+	}
+	for range c.IntN(3) {
+		s.stepCall()
+	}
+	if s.arrived > 0 && c.IntN(10) == 0 {
+		r.controller.Cancel(RequestID(fmt.Sprintf("%016x", 1+c.IntN(s.arrived))))
+	}
+	r.controller.Decide()
+	r.fireTimers(s.drawGauges)
+	r.controller.Decide()
+}
+
+// stepArrivals has some requests come, many at once, the clock jump, or the notice to drain.
+func (s *scenario) stepArrivals() {
+	r, c := s.recorder, s.chance
+	switch c.IntN(40) {
+	case 0:
+		s.submit(20 + c.IntN(150))
+	case 1:
+		r.now += s.duration(100, 2000)
+	case 2:
+		if c.IntN(20) == 0 {
+			r.now += time.Minute
+		}
+	case 3:
+		if !s.drained && c.IntN(25) == 0 {
+			s.drained = true
+			r.controller.Drain(r.now + s.duration(500, 3000))
+		}
+	default:
+		s.submit(c.IntN(6))
+	}
+}
+
+func (s *scenario) submit(batch int) {
+	for range batch {
+		s.arrived++
+		s.recorder.controller.Submit(s.drawRequest())
+	}
+}
+
+func (s *scenario) drawRequest() Request {
+	c, now := s.chance, s.recorder.now
+	request := Request{
+		ID:       RequestID(fmt.Sprintf("%016x", s.arrived)),
+		Class:    one(c, s.settings.Classes...).Name,
+		Rank:     c.Float64(),
+		IsRetry:  c.IntN(5) == 0,
+		IsWrite:  c.IntN(2) == 0,
+		Caller:   CallerID(c.IntN(6)),
+		WorkHint: time.Duration(c.ExpFloat64() * float64(s.runTime)),
+		MemoryKB: 1 + 20*c.Float64(),
+	}
+	if c.IntN(3) == 0 {
+		request.WorkHint = one(c, 0, s.runTime, 100*s.runTime)
+	}
+	if c.IntN(3) == 0 {
+		request.QueueDelay = s.duration(0, 400)
+	}
+	if c.IntN(2) == 0 {
+		request.HasDeadline = true
+		request.Deadline = now - request.QueueDelay + s.duration(10, 3000)
+	}
+	if !request.IsWrite {
+		request.Resource = one(c, "", "k1", "k2")
+	}
+	if len(s.settings.Tenants) > 0 {
+		request.Tenant = one(c, s.settings.Tenants...).Name
+	}
+	return request
+}
+
+// stepRun has a run reach a call or end, unless it is in a call.
+func (s *scenario) stepRun() {
+	r, c := s.recorder, s.chance
+	id, exists := pick(c, r.onEnd)
+	if !exists {
+		return
+	}
+	onEnd, onCall := r.onEnd[id], r.onCall[id]
+	switch {
+	case onCall != nil && c.IntN(4) == 0 && r.onCallDone[id] == nil:
+		onCall()
+	case r.onCallDone[id] == nil:
+		delete(r.onEnd, id)
+		outcome := Succeeded
+		if c.IntN(10) == 0 {
+			outcome = one(c, Failed, Stopped, NotStarted)
+		}
+		onEnd(outcome, time.Duration((0.2+c.ExpFloat64())*float64(s.runTime)))
+	}
+}
+
+// stepCall ends a call.
+func (s *scenario) stepCall() {
+	r, c := s.recorder, s.chance
+	id, exists := pick(c, r.onCallDone)
+	if !exists {
+		return
+	}
+	done := r.onCallDone[id]
+	delete(r.onCallDone, id)
+	done(one(c, Succeeded, Succeeded, Succeeded, Failed, Rejected, TimedOut, Unreachable, ConnectionLost),
+		s.duration(1, 100))
+}
+
+func (s *scenario) drawGauges() Gauges {
+	c := s.chance
+	switch c.IntN(8) {
+	case 0:
+		return nil
+	case 1:
+		return Gauges{GaugeBusyCores: c.Float64()}
+	}
+	return Gauges{GaugeRunnable: float64(c.IntN(3 * s.cores)), GaugeBusyCores: c.Float64()}
+}
--- a/admission/upstream_test.go
+++ b/admission/upstream_test.go
@@ -9,32 +9,32 @@
 func Example_callRepeated() {
 	once := ClassSettings{Name: "low", Weight: 1.0, LatencyObjective: time.Second, Timeout: 2 * time.Second,
 		Idempotency: NotIdempotent}
-	s := open(Settings{Classes: []ClassSettings{once}, Upstream: UpstreamNextTier})
-	s.read(newRequest("a", 200*ms, 0.1), newRequest("b", 200*ms, 0.1))
-	s.atCall["a"]()
-	s.atCall["b"]()
-	s.desk.Decide()
-	s.called["a"](Rejected, ms)
-	s.called["b"](TimedOut, ms)
-	s.desk.Decide()
+	s := newFixture(Settings{Classes: []ClassSettings{once}, Upstream: UpstreamNextTier})
+	s.submit(newRequest("a", 200*ms, 0.1), newRequest("b", 200*ms, 0.1))
+	s.onCall["a"]()
+	s.onCall["b"]()
+	s.controller.Decide()
+	s.onCallDone["a"](Rejected, ms)
+	s.onCallDone["b"](TimedOut, ms)
+	s.controller.Decide()
 	fmt.Println("where a poorer answer is worth something")
-	s = open(Settings{Upstream: UpstreamShared, UpstreamShare: 1.0, UpstreamWindow: time.Second,
+	s = newFixture(Settings{Upstream: UpstreamShared, UpstreamShare: 1.0, UpstreamWindow: time.Second,
 		Classes: withSkippedCallValue(0.5, 0)})
-	s.read(newRequest("c", 200*ms, 0.1))
-	s.atCall["c"]()
-	s.desk.Decide()
-	s.called["c"](TimedOut, ms)
-	s.desk.Decide()
+	s.submit(newRequest("c", 200*ms, 0.1))
+	s.onCall["c"]()
+	s.controller.Decide()
+	s.onCallDone["c"](TimedOut, ms)
+	s.controller.Decide()
 	// Output:
-	// 0ms run a
-	// 0ms run b
+	// 0ms start a
+	// 0ms start b
 	// 0ms call a
 	// 0ms call b
 	// 0ms fail b
 	// 0ms call a
 	// 0ms fail b
 	// where a poorer answer is worth something
-	// 0ms run c
+	// 0ms start c
 	// 0ms call c
 	// 0ms skip call c
 }
@@ -42,44 +42,44 @@
 // One spoilt reply, or one that never comes, is no reason for the poorer answer while a run's time is left; the first
 // call is not waited for much longer than any took. What never started is no failure and no sign of life.
 func Example_spoiltReply() {
-	s := open(Settings{Upstream: UpstreamShared, UpstreamShare: 4.0, UpstreamWindow: time.Second,
+	s := newFixture(Settings{Upstream: UpstreamShared, UpstreamShare: 4.0, UpstreamWindow: time.Second,
 		Classes: withSkippedCallValue(0.5, 0.5)})
-	s.warm(100 * ms)
+	s.warmUp(100 * ms)
 	s.quiet = true
 	for i := range 16 {
 		id := RequestID(fmt.Sprint("called", i))
-		s.read(newRequest(string(id), 100*ms, 0.1))
-		s.atCall[id]()
-		s.desk.Decide()
+		s.submit(newRequest(string(id), 100*ms, 0.1))
+		s.onCall[id]()
+		s.controller.Decide()
 		s.now += 20 * ms
-		s.called[id](Succeeded, 20*ms)
-		s.end(Succeeded, 100*ms, id)
+		s.onCallDone[id](Succeeded, 20*ms)
+		s.finish(Succeeded, 100*ms, id)
 	}
 	s.quiet = false
-	s.read(newRequest("a", 100*ms, 0.1))
-	s.atCall["a"]()
-	s.desk.Decide()
+	s.submit(newRequest("a", 100*ms, 0.1))
+	s.onCall["a"]()
+	s.controller.Decide()
 	for _, how := range []Outcome{TimedOut, ConnectionLost, ConnectionLost} {
-		fmt.Println("waits for", s.until-s.now)
+		fmt.Println("waits for", s.callDeadline-s.now)
 		s.now += 20 * ms
-		s.called["a"](how, 20*ms)
-		s.desk.Decide()
+		s.onCallDone["a"](how, 20*ms)
+		s.controller.Decide()
 	}
-	s.end(Succeeded, 100*ms, "a")
+	s.finish(Succeeded, 100*ms, "a")
 	fmt.Println("with little time left")
-	s.read(newRequest("b", 100*ms, 0.1))
-	s.atCall["b"]()
-	s.desk.Decide()
+	s.submit(newRequest("b", 100*ms, 0.1))
+	s.onCall["b"]()
+	s.controller.Decide()
 	s.now += 920 * ms
-	s.called["b"](ConnectionLost, 920*ms)
-	s.end(Succeeded, 100*ms, "b")
-	s.read(newRequest("c", 100*ms, 0.1))
-	life := s.desk.health.lastProgress
+	s.onCallDone["b"](ConnectionLost, 920*ms)
+	s.finish(Succeeded, 100*ms, "b")
+	s.submit(newRequest("c", 100*ms, 0.1))
+	life := s.controller.health.lastProgress
 	s.now += ms
-	s.end(NotStarted, 0, "c")
-	fmt.Println(s.desk.health.lastProgress == life, s.desk.health.failureRate(s.now))
+	s.finish(NotStarted, 0, "c")
+	fmt.Println(s.controller.health.lastProgress == life, s.controller.health.failureRate(s.now))
 	// Output:
-	// 1920ms run a
+	// 1920ms start a
 	// 1920ms call a
 	// waits for 80ms
 	// 1940ms call a
@@ -88,54 +88,54 @@
 	// waits for 640ms
 	// 1980ms skip call a
 	// with little time left
-	// 1980ms run b
+	// 1980ms start b
 	// 1980ms call b
 	// 2900ms skip call b
-	// 2900ms run c
+	// 2900ms start c
 	// true 0
 }
 
 // What is below is crowded: while calls take over four times their quickest quarter, fewer are in hand.
 func Example_upstreamOverloaded() {
-	s := open(Settings{Upstream: UpstreamShared, UpstreamShare: 4.0, UpstreamWindow: time.Second, Cores: 4.0})
+	s := newFixture(Settings{Upstream: UpstreamShared, UpstreamShare: 4.0, UpstreamWindow: time.Second, Cores: 4.0})
 	for i := range 24 {
 		took := 10 * ms
 		if i >= 20 {
 			took = 100 * ms
 		}
-		s.desk.upstream.times = append(s.desk.upstream.times, took)
+		s.controller.upstream.times = append(s.controller.upstream.times, took)
 		if i == 19 || i == 23 {
-			ease := s.desk.upstream.throttle().share
+			ease := s.controller.upstream.throttle().share
 			fmt.Printf("calls of %v: %.2f of the share\n", took, ease)
 		}
 	}
-	s.read(newRequest("a", 100*ms, 0.1), newRequest("b", 100*ms, 0.1))
-	s.atCall["a"]()
-	s.atCall["b"]()
-	s.desk.Decide()
+	s.submit(newRequest("a", 100*ms, 0.1), newRequest("b", 100*ms, 0.1))
+	s.onCall["a"]()
+	s.onCall["b"]()
+	s.controller.Decide()
 	s.now += 100 * ms
-	s.called["a"](Succeeded, 100*ms)
-	s.desk.Decide()
+	s.onCallDone["a"](Succeeded, 100*ms)
+	s.controller.Decide()
 	fmt.Println("much was held before it was crowded")
-	s.called["b"](Succeeded, 100*ms)
-	s.end(Succeeded, 200*ms, "a", "b")
+	s.onCallDone["b"](Succeeded, 100*ms)
+	s.finish(Succeeded, 200*ms, "a", "b")
 	for range 5 {
-		s.desk.upstream.calls = append(s.desk.upstream.calls, upstreamCall{from: s.now - 900*ms, until: s.now})
+		s.controller.upstream.calls = append(s.controller.upstream.calls, upstreamCall{from: s.now - 900*ms, until: s.now})
 	}
 	s.now += ms
-	s.read(newRequest("c", 100*ms, 0.1))
-	s.atCall["c"]()
-	s.desk.Decide()
-	fmt.Println("c may take", s.until-s.now)
+	s.submit(newRequest("c", 100*ms, 0.1))
+	s.onCall["c"]()
+	s.controller.Decide()
+	fmt.Println("c may take", s.callDeadline-s.now)
 	// Output:
 	// calls of 10ms: 1.00 of the share
 	// calls of 100ms: 0.40 of the share
-	// 0ms run a
-	// 0ms run b
+	// 0ms start a
+	// 0ms start b
 	// 0ms call a
 	// 100ms call b
 	// much was held before it was crowded
-	// 101ms run c
+	// 101ms start c
 	// 101ms call c
 	// c may take 400ms
 }
@@ -145,30 +145,30 @@
 func Example_callTimeBudget() {
 	patient := ClassSettings{Name: "low", Weight: 1.0, LatencyObjective: 10 * time.Second,
 		Timeout: 20 * time.Second, Idempotency: Idempotent}
-	s := open(Settings{Classes: []ClassSettings{patient}, Upstream: UpstreamShared, UpstreamShare: 0.4,
+	s := newFixture(Settings{Classes: []ClassSettings{patient}, Upstream: UpstreamShared, UpstreamShare: 0.4,
 		UpstreamWindow: 5 * time.Second})
 	for range 16 {
-		s.desk.upstream.times = append(s.desk.upstream.times, 100*ms)
+		s.controller.upstream.times = append(s.controller.upstream.times, 100*ms)
 	}
 	ops := []RequestID{"a", "b", "c"}
 	for _, id := range ops {
-		s.read(newRequest(string(id), 100*ms, 0.1))
-		s.atCall[id]()
+		s.submit(newRequest(string(id), 100*ms, 0.1))
+		s.onCall[id]()
 	}
-	s.desk.Decide()
-	budget := s.desk.callTimeBudget(s.now)
+	s.controller.Decide()
+	budget := s.controller.callTimeBudget(s.now)
 	fmt.Println("in hand for", budget.limit, "at most, so far", budget.used)
 	s.now += 1750 * ms
-	s.called["a"](Succeeded, 1750*ms)
-	s.desk.Decide() // too little is left for another
+	s.onCallDone["a"](Succeeded, 1750*ms)
+	s.controller.Decide() // too little is left for another
 	s.now += 4 * time.Second
-	s.desk.health.lastProgress = s.now // and no stuck state
-	s.desk.Decide()
+	s.controller.health.lastProgress = s.now // and no stuck state
+	s.controller.Decide()
 	// Output:
-	// 0ms run a
-	// 0ms run b
+	// 0ms start a
+	// 0ms start b
 	// 0ms call a
-	// 0ms run c
+	// 0ms start c
 	// in hand for 1.8s at most, so far 0s
 	// 5750ms call b
 }
--- a/cmd/lanewheel-sim/host.go
+++ b/cmd/lanewheel-sim/host.go
@@ -209,8 +209,8 @@
 	in.writeAction("store-key", id, window)
 }
 func (in *instance) DropRecord(id admission.RequestID) { in.writeAction("unpin", id) }
-func (in *instance) SetHealth(healthy, fromState bool) {
-	in.writeAction("mark-health", healthy, fromState)
+func (in *instance) SetHealth(health admission.Health) {
+	in.writeAction("mark-health", health.Healthy, health.FromState)
 }
 func (in *instance) PublishLoad(level float64)            { in.writeAction("hint-out", level) }
 func (in *instance) SetIdleTimeout(timeout time.Duration) { in.writeAction("idle", timeout) }
--- a/internal/server/instance.go
+++ b/internal/server/instance.go
@@ -535,8 +535,8 @@
 	}
 }
 
-func (in *Server) SetHealth(healthy, fromState bool) {
-	in.health.healthy, in.health.fromState = healthy, fromState
+func (in *Server) SetHealth(health admission.Health) {
+	in.health.healthy, in.health.fromState = health.Healthy, health.FromState
 }
 func (in *Server) PublishLoad(level float64)            { in.loadReport = level }
 func (in *Server) SetIdleTimeout(timeout time.Duration) { in.clients.SetIdleTimeout(timeout) }
--- a/internal/server/keep_test.go
+++ b/internal/server/keep_test.go
@@ -84,7 +84,7 @@
 	// health from the state is good before the link is synced; a deep check asks the runtime only after
 	for turned := make(chan bool); ; {
 		instance.Post(func() {
-			instance.SetHealth(true, false)
+			instance.SetHealth(admission.Health{Healthy: true})
 			turned <- instance.runtime.synced
 		})
 		if <-turned {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -49,7 +49,7 @@
 func (w *fakeExecutor) SkipCall(id admission.RequestID)               { w.endAfter(id, 30*time.Millisecond) }
 func (w *fakeExecutor) KeepRecord(admission.RequestID, time.Duration) {}
 func (w *fakeExecutor) DropRecord(admission.RequestID)                {}
-func (w *fakeExecutor) SetHealth(bool, bool)                          {}
+func (w *fakeExecutor) SetHealth(admission.Health)                          {}
 func (w *fakeExecutor) PublishLoad(float64)                           {}
 func (w *fakeExecutor) SetIdleTimeout(time.Duration)                  {}
 func (w *fakeExecutor) LogTransition(admission.Transition)            {}
