--- a/admission/answer_test.go
+++ b/admission/answer_test.go
@@ -2,16 +2,21 @@
 
 import "time"
 
-// No op is lost: a held one, a running one and one at a call are answered before they are due.
+// No request is lost: a queued one, a running one and one at a call are answered before they are due.
 func Example_answeredInTime() {
-	s := newFixture(Settings{Upstream: UpstreamShared, UpstreamShare: 1.0, UpstreamWindow: time.Second, Halt: HaltDrop})
+	s := newFixture(Settings{
+		Upstream:       UpstreamShared,
+		UpstreamShare:  1,
+		UpstreamWindow: time.Second,
+		Halt:           HaltDrop,
+	})
 	s.warmUp(200 * ms)
 	s.submit(newRequest("calls", 200*ms, 0.1), newRequest("runs", 200*ms, 0.1))
 	s.onCall["calls"]()
 	s.controller.Decide()
-	s.controller.limit.completions = s.controller.limit.grownAtCompletions // no growth: the third is held
-	s.controller.health.lastProgress += time.Hour                          // and no stuck state
-	third := newRequest("held", 200*ms, 0.1)
+	s.controller.limit.completions = s.controller.limit.grownAtCompletions // no growth: the third is queued
+	s.controller.health.lastProgress += time.Hour                          // and not stalled
+	third := newRequest("queued", 200*ms, 0.1)
 	third.HasDeadline, third.Deadline = true, s.now+650*ms
 	s.submit(newRequest("runs too", 200*ms, 0.1), third)
 	s.advance(3100*ms, Gauges{GaugeRunnable: 2})
@@ -19,21 +24,27 @@
 	// 3200ms start calls
 	// 3200ms start runs
 	// 3200ms call calls
-	// 3200ms start held
-	// 3200ms reject held
-	// 3200ms stop held
+	// 3200ms start queued
+	// 3200ms reject queued
+	// 3200ms stop queued
 	// 4050ms reject runs too
 	// 6196ms reject runs
 	// 6196ms stop runs
 	// 6196ms reject calls
 }
 
-// No effect happens twice: a repeat gets the first one's result, a nacked op gives its key back, and a run
-// that is given up fails instead of being nacked.
+// No effect happens twice: a duplicate gets the first one's result, a rejected request leaves no record, and a run that
+// is abandoned fails instead of being rejected.
 func Example_noEffectTwice() {
-	keyed := ClassSettings{Name: "low", Weight: 1.0, LatencyObjective: time.Second,
-		Timeout: 2 * time.Second, Idempotency: IdempotentByKey, IdempotencyWindow: 5 * time.Second}
-	s := newFixture(Settings{Classes: []ClassSettings{keyed}, RecordKB: 5.0})
+	keyed := ClassSettings{
+		Name:              "low",
+		Weight:            1,
+		LatencyObjective:  time.Second,
+		Timeout:           2 * time.Second,
+		Idempotency:       IdempotentByKey,
+		IdempotencyWindow: 5 * time.Second,
+	}
+	s := newFixture(Settings{Classes: []ClassSettings{keyed}, RecordKB: 5})
 	first := newRequest("first", 200*ms, 0.1)
 	first.QueueDelay = 10 * ms
 	s.submit(first)
--- a/admission/batch_test.go
+++ b/admission/batch_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// The knapsack starts an at-risk anchor against the key, while no core is free; without a feasible one the
-// key decides.
+// Batch selection starts a request at risk against the start order while no core is free; without a feasible one the
+// order decides.
 func Example_batchSelection() {
-	scene := func(age time.Duration) {
+	play := func(age time.Duration) {
 		s := newFixture(Settings{})
 		s.warmUp(200 * ms)
 		s.controller.limit.grown = 3
@@ -18,29 +18,29 @@
 		s.controller.health.lastProgress = s.now
 		s.controller.recordGauges(Gauges{GaugeRunnable: 3})
 		s.controller.limit.grown = 3 // as idle cores let it grow before
-		for _, o := range s.controller.requests.running {
-			o.arrivedAt = s.now // their slack leaves the limit as it is
+		for _, r := range s.controller.requests.running {
+			r.arrivedAt = s.now // their slack leaves the limit as it is
 		}
 		s.onEnd["a1"](Succeeded, 200*ms)
 		s.submit(newRequest("head", 150*ms, 0.9))
 	}
-	scene(660 * ms)
-	fmt.Println("no feasible anchor")
-	scene(740 * ms)
-	fmt.Println("nobody at risk")
-	scene(100 * ms)
+	play(660 * ms)
+	fmt.Println("no feasible batch")
+	play(740 * ms)
+	fmt.Println("none at risk")
+	play(100 * ms)
 	// Output:
 	// 3200ms start a1
 	// 3200ms start a2
 	// 3200ms start a3
 	// 3860ms start waiting
-	// no feasible anchor
+	// no feasible batch
 	// 3200ms start a1
 	// 3200ms start a2
 	// 3200ms start a3
 	// 3940ms start head
 	// 3940ms reject waiting
-	// nobody at risk
+	// none at risk
 	// 3200ms start a1
 	// 3200ms start a2
 	// 3200ms start a3
--- a/admission/decisions_test.go
+++ b/admission/decisions_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"bytes"
 	"flag"
 	"fmt"
 	"hash/fnv"
@@ -11,8 +12,8 @@
 	"testing"
 )
 
-// The decisions of random scenarios, as digests of a block of scenarios each: a change that is to decide the same has to
-// give the same digests. To compare more blocks than are in the file, record them with the version before:
+// The decisions of random scenarios, as digests of a block of scenarios each: a change that is to decide the same has
+// to give the same digests. To compare more blocks than are in the file, record them with the version before:
 //
 //	go test -run SameDecisions ./admission -blocks 60 -record
 var (
@@ -34,12 +35,11 @@
 		}
 		return
 	}
-	file, err := os.Open(decisionsFile)
+	text, err := os.ReadFile(decisionsFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close()
-	recorded := bufio.NewScanner(file)
+	recorded := bufio.NewScanner(bytes.NewReader(text))
 	for b, line := range lines {
 		if !recorded.Scan() {
 			t.Fatalf("%s has %d blocks, wants %d", decisionsFile, b, len(lines))
@@ -59,7 +59,7 @@
 			hash, decided := fnv.New64a(), 0
 			for i := range scenariosPerBlock {
 				digest, n := play(uint64(b*scenariosPerBlock + i))
-				fmt.Fprintln(hash, digest)
+				_, _ = fmt.Fprintln(hash, digest) // a hash takes all
 				decided += n
 			}
 			lines[b] = fmt.Sprintf("%d %016x %d", b, hash.Sum64(), decided)
--- a/admission/executor.go
+++ b/admission/executor.go
@@ -21,7 +21,7 @@
 	// Reject turns a request away. The caller is asked to send nothing here for retryAfter (0: no such advice), and,
 	// with noFailover, not to try another instance either.
 	Reject(id RequestID, retryAfter time.Duration, noFailover bool)
-	// Fail answers a request with an error; where its run stands at a call, it ends the run.
+	// Fail answers a request with an error, unless it has been answered. Where its run stands at a call, it ends the run.
 	Fail(id RequestID)
 
 	// Call lets a run that stands at an upstream call make it, and abandons the call at the deadline. done is called
--- a/admission/fixture_test.go
+++ b/admission/fixture_test.go
@@ -81,7 +81,8 @@
 
 func (s *fixture) printf(format string, args ...any) {
 	if !s.quiet {
-		fmt.Fprintf(s.out, "%dms "+format+"\n", append([]any{s.now.Milliseconds()}, args...)...)
+		line := fmt.Sprintf("%dms "+format+"\n", append([]any{s.now.Milliseconds()}, args...)...)
+		_, _ = io.WriteString(s.out, line) // a lost line fails the example
 	}
 }
 
--- a/admission/health_test.go
+++ b/admission/health_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Stuck: work goes in and none comes out. All are told at once; the first ending is the way back.
+// Stalled: work goes in and none comes out. All are answered at once; the first run that ends is the way back.
 func Example_stalled() {
 	s := newFixture(Settings{LoadSignal: LoadSignalChance})
 	s.warmUp(100 * ms)
@@ -32,7 +32,7 @@
 	// 2400ms start e
 }
 
-// Failing: most runs end at once and badly. A few go through, to see; old failures are forgotten.
+// Failing: most runs fail at once. A few requests go through as a probe; old failures are forgotten.
 func Example_failing() {
 	s := newFixture(Settings{})
 	s.warmUp(100 * ms)
@@ -40,17 +40,17 @@
 		id := fmt.Sprint("f", i)
 		s.quiet = i > 0 && i < 14
 		s.submit(newRequest(id, 100*ms, 0.1))
-		if end := s.onEnd[RequestID(id)]; end != nil {
+		if s.onEnd[RequestID(id)] != nil {
 			s.finish(Failed, ms, RequestID(id))
 		}
 	}
 	s.advance(6*time.Second, nil)
-	s.submit(newRequest("well again", 100*ms, 0.1))
+	s.submit(newRequest("healthy again", 100*ms, 0.1))
 	// Output:
 	// 1600ms start f0
 	// 1600ms reject f14
 	// 1600ms reject f15
 	// 6600ms state failing -> healthy: queued 0, running 0
 	// 6600ms health true
-	// 7600ms start well again
+	// 7600ms start healthy again
 }
--- a/admission/idletimeout_test.go
+++ b/admission/idletimeout_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Connections: callers that come back are kept; where each comes once, unused connections are closed a step
-// sooner at each look, but not while more is nacked than started.
+// Connections of callers that come back are kept; where each comes once, unused ones are closed a step sooner at each
+// sample, but not while more is rejected than started.
 func Example_idleTimeout() {
-	scene := func(callers int, work time.Duration) {
+	play := func(callers int, work time.Duration) {
 		s := newFixture(Settings{MaxIdleTimeout: 8 * time.Second})
 		for i := range 20 {
 			a := newRequest(fmt.Sprint("op", i), work, 0.1)
@@ -20,14 +20,14 @@
 				s.finish(Succeeded, 100*ms, a.ID)
 			}
 		}
-		nacked := s.controller.idle.rejectionRate() > 0.5
-		fmt.Println(callers, "callers, ops of", work, "nacked", nacked, "idle for", s.controller.idle.current)
+		rejected := s.controller.idle.rejectionRate() > 0.5
+		fmt.Println(callers, "callers, runs of", work, "rejected", rejected, "idle timeout", s.controller.idle.current)
 	}
-	scene(2, 100*ms)
-	scene(20, 100*ms)
-	scene(20, 2*time.Second)
+	play(2, 100*ms)
+	play(20, 100*ms)
+	play(20, 2*time.Second)
 	// Output:
-	// 2 callers, ops of 100ms nacked false idle for 8s
-	// 20 callers, ops of 100ms nacked false idle for 31.25ms
-	// 20 callers, ops of 2s nacked true idle for 8s
+	// 2 callers, runs of 100ms rejected false idle timeout 8s
+	// 20 callers, runs of 100ms rejected false idle timeout 31.25ms
+	// 20 callers, runs of 2s rejected true idle timeout 8s
 }
--- a/admission/loadreport_test.go
+++ b/admission/loadreport_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Reading is swamped: ops come in that lay unread for long. The signal falls, and once it lasts, nacked ops
-// are asked not to walk on.
+// Requests come that lay unread for long. The load report falls and, once that lasts, callers of rejected requests are
+// asked not to try another instance.
 func Example_queueDelay() {
 	s := newFixture(Settings{LoadSignal: LoadSignalChance})
 	s.warmUp(200 * ms)
@@ -25,7 +25,7 @@
 	// 3750ms reject s11, no failover
 }
 
-// A token for each caller is told as a chance where callers seldom have two ops here.
+// The tokens of a caller are a probability where callers seldom have two requests here.
 func Example_tokens() {
 	for _, callers := range []int{2, 40} {
 		s := newFixture(Settings{LoadSignal: LoadSignalTokens})
@@ -37,16 +37,23 @@
 			s.submit(a)
 			s.now += 20 * ms
 		}
-		fmt.Printf("%d callers: welcome %.2f, token %.2f\n", callers, s.controller.acceptance(), s.controller.publishedLoad)
+		fmt.Printf("%d callers: acceptance %.2f, tokens %.2f\n",
+			callers, s.controller.acceptance(), s.controller.publishedLoad)
 	}
 	// Output:
-	// 2 callers: welcome 0.14, token 0.50
-	// 40 callers: welcome 0.14, token 0.15
+	// 2 callers: acceptance 0.14, tokens 0.50
+	// 40 callers: acceptance 0.14, tokens 0.15
 }
 
-// The level by rank holds from the first answer of a cold instance on: nobody has come yet, and three in ten of the ranks are wanted.
+// The least rank holds from the first answer of an instance that warms up: no request has come yet, and three in ten of
+// the ranks are welcome.
 func Example_warmUpRank() {
-	s := newFixture(Settings{LoadSignal: LoadSignalLeastRank, JustStarted: true, WarmUp: 10 * time.Second, WarmUpSpeedShare: 0.3})
+	s := newFixture(Settings{
+		LoadSignal:       LoadSignalLeastRank,
+		JustStarted:      true,
+		WarmUp:           10 * time.Second,
+		WarmUpSpeedShare: 0.3,
+	})
 	s.controller.Decide()
 	warm := newFixture(Settings{LoadSignal: LoadSignalLeastRank})
 	warm.controller.Decide()
@@ -55,31 +62,48 @@
 	// 0ms load 0.00
 }
 
-// What a cold instance invites by its own signal, summed over all callers that may heed it, stays within what it bears and what chance adds, from
-// its first answer on, with 1 to 300 callers of which it has seen none, some or all.
+// What an instance that warms up invites by its tokens, summed over all callers that may go by them, stays within what
+// it bears and what chance adds, from its first answer on, with 1 to 300 callers of which it has seen none, some or
+// all.
 func TestWarmUpTokens(t *testing.T) {
-	const from, target, fall = 0.3, time.Second, 2 * time.Second
 	for callers := 1; callers <= 300; callers++ {
 		for _, seen := range []int{0, 1, callers / 2, callers} {
-			s := newFixture(Settings{LoadSignal: LoadSignalTokens, Callers: float64(callers), JustStarted: true, WarmUp: 10 * time.Second,
-				WarmUpSpeedShare: from, OverloadTolerance: fall})
-			s.quiet = true
-			for i := range seen {
-				a := newRequest(fmt.Sprint("a", i), 10*ms, 0.9)
-				a.Caller = CallerID(i)
-				s.submit(a)
-				s.now += ms
-				s.finish(Succeeded, 10*ms, a.ID)
-			}
-			s.controller.Decide()
-			// What is allowed in the told span while nothing is known of the work: an eighth of a target each, on two cores.
-			n := 2 * s.controller.slowStart.speedShare(s.now) * float64(fall) / float64(target/8)
-			if seen > 0 {
-				n = 2 * s.controller.slowStart.speedShare(s.now) * float64(fall) / float64(10*ms)
-			}
-			if sum := float64(callers) * s.controller.publishedLoad; sum > n+2*math.Sqrt(n+2) || sum <= 0 {
-				t.Fatalf("%d callers, %d seen: %.1f invited, %.1f allowed", callers, seen, sum, n)
-			}
+			checkWarmUpTokens(t, callers, seen)
 		}
 	}
 }
+
+func checkWarmUpTokens(t *testing.T, callers, seen int) {
+	t.Helper()
+	const (
+		objective = time.Second
+		tolerance = 2 * time.Second
+	)
+	s := newFixture(Settings{
+		LoadSignal:        LoadSignalTokens,
+		Callers:           float64(callers),
+		JustStarted:       true,
+		WarmUp:            10 * time.Second,
+		WarmUpSpeedShare:  0.3,
+		OverloadTolerance: tolerance,
+	})
+	s.quiet = true
+	for i := range seen {
+		r := newRequest(fmt.Sprint("a", i), 10*ms, 0.9)
+		r.Caller = CallerID(i)
+		s.submit(r)
+		s.now += ms
+		s.finish(Succeeded, 10*ms, r.ID)
+	}
+	s.controller.Decide()
+	// What two cores do in the time, while nothing is known of the work: an eighth of an objective each.
+	work := objective / 8
+	if seen > 0 {
+		work = 10 * ms
+	}
+	allowed := 2 * s.controller.slowStart.speedShare(s.now) * float64(tolerance) / float64(work)
+	invited := float64(callers) * s.controller.publishedLoad
+	if invited > allowed+2*math.Sqrt(allowed+2) || invited <= 0 {
+		t.Fatalf("%d callers, %d seen: %.1f invited, %.1f allowed", callers, seen, invited, allowed)
+	}
+}
--- a/admission/memory_test.go
+++ b/admission/memory_test.go
@@ -1,6 +1,6 @@
 package admission
 
-// Nothing falls over: what memory cannot hold is nacked, and a run waits for its memory.
+// What memory cannot hold is rejected, and a run waits for its memory.
 func Example_memory() {
 	s := newFixture(Settings{})
 	big := newRequest("big", 200*ms, 0.1)
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -1,13 +1,17 @@
 package admission
 
-// The key: protected first, then urgent, then least remaining work.
+// The start order: protected first, then urgent, then least work left.
 func Example_startOrder() {
 	s := newFixture(Settings{})
 	s.warmUp(200 * ms)
 	s.submit(newRequest("a1", 200*ms, 0.1), newRequest("a2", 200*ms, 0.1)) // fill both cores
 	s.submit(newRequest("urgent", 200*ms, 0.1))
 	s.now += 620 * ms // its slack runs out
-	s.submit(newRequest("long", 220*ms, 0.1), newRequest("short", 100*ms, 0.1), newRequest("protected", 210*ms, 0.9))
+	s.submit(
+		newRequest("long", 220*ms, 0.1),
+		newRequest("short", 100*ms, 0.1),
+		newRequest("protected", 210*ms, 0.9),
+	)
 	s.finish(Succeeded, 620*ms, "a1", "a2")
 	s.finish(Succeeded, 200*ms, "protected", "urgent")
 	// Output:
--- a/admission/quota_test.go
+++ b/admission/quota_test.go
@@ -2,10 +2,12 @@
 
 import "fmt"
 
-// A tenant beyond its quota waits for the others: its first op is within, its later ones are not.
+// A tenant beyond its quota waits for the others: its first request is within, its later ones are not.
 func Example_quota() {
-	s := newFixture(Settings{FleetSize: 1.0, Tenants: []TenantSettings{{Name: "x", QuotaPerSecond: 0.1},
-		{Name: "y", QuotaPerSecond: 100.0}}})
+	s := newFixture(Settings{FleetSize: 1, Tenants: []TenantSettings{
+		{Name: "x", QuotaPerSecond: 0.1},
+		{Name: "y", QuotaPerSecond: 100},
+	}})
 	s.warmUp(200 * ms)
 	s.submit(newRequest("a", 200*ms, 0.1), newRequest("b", 200*ms, 0.1))
 	for i := range 6 {
@@ -17,11 +19,13 @@
 	y.Tenant = "y"
 	s.submit(y)
 	s.finish(Succeeded, 200*ms, "a", "b")
-	s = newFixture(Settings{FleetSize: 1.0, Tenants: []TenantSettings{{Name: "x", QuotaPerSecond: 100.0},
-		{Name: "y", QuotaPerSecond: 100.0}}})
-	y.Tenant = "y"
+	s = newFixture(Settings{FleetSize: 1, Tenants: []TenantSettings{
+		{Name: "x", QuotaPerSecond: 100},
+		{Name: "y", QuotaPerSecond: 100},
+	}})
 	n := 1
-	for ; n < 900 && !s.controller.quotas.exceeded(&trackedRequest{Request: y}, s.now); n++ {
+	for n < 900 && !s.controller.quotas.exceeded(&trackedRequest{Request: y}, s.now) {
+		n++
 	}
 	fmt.Println("of hundreds within a moment, the first one beyond is", n)
 	// Output:
--- a/admission/recorder_test.go
+++ b/admission/recorder_test.go
@@ -31,7 +31,8 @@
 
 func (r *recorder) record(format string, args ...any) {
 	r.lines++
-	fmt.Fprintf(r.hash, "%d "+format+"\n", append([]any{r.now}, args...)...)
+	line := fmt.Sprintf("%d "+format+"\n", append([]any{r.now}, args...)...)
+	_, _ = r.hash.Write([]byte(line)) // a hash takes all
 }
 
 func (r *recorder) Now() time.Duration { return r.now }
--- a/admission/retryafter_test.go
+++ b/admission/retryafter_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// In a storm of marked tries a nacked op is asked to go nowhere else.
+// In a storm of marked retries the callers of rejected requests are asked not to try another instance.
 func Example_retryStorm() {
 	s := newFixture(Settings{})
 	s.warmUp(400 * ms)
--- a/admission/scenario_test.go
+++ b/admission/scenario_test.go
@@ -19,8 +19,8 @@
 	return one(chance, slices.Sorted(maps.Keys(m))...), true
 }
 
-// scenario is a random sequence of events: classes, tenants, quotas, calls, hints, drains, overloads, cold starts, times
-// and gauges that jump. The order in which it draws belongs to the digests in testdata.
+// scenario is a random sequence of events: classes, tenants, quotas, calls, hints, drains, overloads, cold starts,
+// times and gauges that jump. The order in which it draws belongs to the digests in testdata.
 type scenario struct {
 	chance   *rand.Rand
 	recorder *recorder
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -116,6 +116,7 @@
 // Idempotency tells whether a request may run more than once.
 type Idempotency int
 
+// The repeatability of a class's requests.
 const (
 	NotIdempotent   Idempotency = iota // it must not run twice
 	Idempotent                         // it may run any number of times
@@ -137,6 +138,7 @@
 // HaltMode tells what the runtime does with a run that is stopped.
 type HaltMode int
 
+// What a runtime may do.
 const (
 	HaltNone  HaltMode = iota // runs can't be stopped
 	HaltDrop                  // the run ends
@@ -158,6 +160,7 @@
 // UpstreamKind tells what requests call while they run.
 type UpstreamKind int
 
+// The kinds differ in who keeps the upstream from being overloaded.
 const (
 	UpstreamUnspecified UpstreamKind = iota // nothing was configured
 	UpstreamNone                            // calls end at this tier
@@ -185,6 +188,7 @@
 // LoadSignal is the kind of value that a load report carries, by which callers decide what they send.
 type LoadSignal int
 
+// What callers compare, or count.
 const (
 	LoadSignalNone      LoadSignal = iota // there are no load reports
 	LoadSignalChance                      // the probability, 0 to 1, with which a caller should send a request here
--- a/admission/shedding_test.go
+++ b/admission/shedding_test.go
@@ -1,6 +1,6 @@
 package admission
 
-// A hopeless op is nacked only while no core is free.
+// A hopeless request is rejected only while no core is free.
 func Example_hopeless() {
 	s := newFixture(Settings{})
 	s.warmUp(200 * ms)
@@ -16,7 +16,7 @@
 	// 3200ms reject late again
 }
 
-// A run past its target latency is stopped while another waits and no core is free.
+// A run past its latency objective is stopped while another waits and no core is free.
 func Example_stopHopelessRuns() {
 	s := newFixture(Settings{Halt: HaltDrop})
 	s.warmUp(400 * ms)
--- a/admission/skippedcalls_test.go
+++ b/admission/skippedcalls_test.go
@@ -6,60 +6,84 @@
 	"time"
 )
 
-// Calls are scarce and may be left out: many ops wait for one, and go on without it when their slack is spent. On few cores and many, warm and cold,
-// what runs stays under what is survived, also if all that is in a call comes back at once; and calls and runs go on.
+// scarceCalls is a scenario in which calls are scarce and may be skipped.
+type scarceCalls struct {
+	cores     float64
+	perCore   float64 // survivable runs
+	share     float64 // of the upstream
+	warmingUp bool
+}
+
+// Calls are scarce and may be skipped: many requests wait for one, and go on without it when their slack is spent. On
+// few cores and many, warm and warming up, what runs stays under what is survived, also if all calls end at once; and
+// calls and runs go on.
 func TestScarceCallsSkipped(t *testing.T) {
 	for _, cores := range []float64{1, 2, 4, 32} {
-		for _, crowd := range []float64{2, 3, 8} {
-			for _, cold := range []bool{false, true} {
+		for _, perCore := range []float64{2, 3, 8} {
+			for _, warmingUp := range []bool{false, true} {
 				for _, share := range []float64{2, 1e6} {
-					s := newFixture(Settings{Cores: cores, SurvivableRunsPerCore: crowd, Upstream: UpstreamShared, UpstreamShare: share, UpstreamWindow: 5 * time.Second, MemoryKB: 4000 * cores,
-						Classes: withSkippedCallValue(0.8, 0), JustStarted: cold, WarmUp: 4 * time.Second, WarmUpSpeedShare: 0.05})
-					s.quiet = true
-					n, calls, ends := 0, 0, 0
-					for step := range 400 {
-						s.now += 10 * ms
-						var in []Request
-						for len(s.controller.requests.queue)+len(in) < 12 {
-							n++
-							in = append(in, newRequest(fmt.Sprint("o", n), 10*ms, 0.9))
-						}
-						s.submit(in...)
-						var on []RequestID
-						for _, o := range s.controller.requests.running {
-							on = append(on, o.ID)
-						}
-						for i, id := range on { // as many as there are cores move on: to a call, and behind it, or what is left out, to their end
-							if i >= int(cores) {
-								break
-							}
-							if at := s.onCall[id]; at != nil {
-								delete(s.onCall, id)
-								at()
-							} else {
-								s.onEnd[id](Succeeded, 10*ms)
-								ends++
-							}
-						}
-						s.controller.Decide()
-						for id, done := range s.onCallDone { // each call takes a while, and with little below comes back alone
-							if o := s.controller.requests.byID[id]; o != nil && (share <= 2 || step%7 == 0) {
-								delete(s.onCallDone, id)
-								done(Succeeded, 100*ms)
-								calls++
-							}
-						}
-						s.controller.Decide()
-						survived := s.controller.survivableConcurrency()
-						if most := float64(len(s.controller.requests.running) + s.controller.upstream.open); most > survived && most > 1 {
-							t.Fatalf("%v cores, %v a core, cold %v, share %v: %d run and %d are in a call, %.1f are survived", cores, crowd, cold, share, len(s.controller.requests.running), s.controller.upstream.open, survived)
-						}
-					}
-					if calls < 50 || ends < 50 { // one call at a time comes back 57 times
-						t.Errorf("%v cores, %v a core, cold %v, share %v: it stands: %d calls, %d ends", cores, crowd, cold, share, calls, ends)
-					}
+					scenario := scarceCalls{cores, perCore, share, warmingUp}
+					t.Run(fmt.Sprintf("%+v", scenario), scenario.play)
 				}
 			}
 		}
 	}
 }
+
+func (c scarceCalls) play(t *testing.T) {
+	s := newFixture(Settings{
+		Cores:                 c.cores,
+		SurvivableRunsPerCore: c.perCore,
+		Upstream:              UpstreamShared,
+		UpstreamShare:         c.share,
+		UpstreamWindow:        5 * time.Second,
+		MemoryKB:              4000 * c.cores,
+		Classes:               withSkippedCallValue(0.8, 0),
+		JustStarted:           c.warmingUp,
+		WarmUp:                4 * time.Second,
+		WarmUpSpeedShare:      0.05,
+	})
+	s.quiet = true
+	arrived, calls, ends := 0, 0, 0
+	for step := range 400 {
+		s.now += 10 * ms
+		var requests []Request
+		for len(s.controller.requests.queue)+len(requests) < 12 {
+			arrived++
+			requests = append(requests, newRequest(fmt.Sprint("o", arrived), 10*ms, 0.9))
+		}
+		s.submit(requests...)
+		ends += s.moveRunsThroughCalls(int(c.cores))
+		for _, id := range s.awaitedCalls() { // each takes a while, and with a scarce upstream ends alone
+			if s.controller.requests.byID[id] != nil && (c.share <= 2 || step%7 == 0) {
+				s.finishCall(id, Succeeded, 100*ms)
+				calls++
+			}
+		}
+		s.controller.Decide()
+		running, open := len(s.controller.requests.running), s.controller.upstream.open
+		if survivable := s.controller.survivableConcurrency(); float64(running+open) > survivable && running+open > 1 {
+			t.Fatalf("%d run and %d are in a call, %.1f are survived", running, open, survivable)
+		}
+	}
+	if calls < 50 || ends < 50 { // one call at a time ends 57 times
+		t.Errorf("it stands: %d calls, %d ends", calls, ends)
+	}
+}
+
+// moveRunsThroughCalls moves on as many runs as there are cores: to a call and, behind it, to their end. It returns how
+// many ended.
+func (s *fixture) moveRunsThroughCalls(cores int) int {
+	ids, ends := s.runningIDs(), 0
+	for _, id := range ids[:min(cores, len(ids))] {
+		if onCall := s.onCall[id]; onCall != nil {
+			delete(s.onCall, id)
+			onCall()
+		} else {
+			s.onEnd[id](Succeeded, 10*ms)
+			ends++
+		}
+	}
+	s.controller.Decide()
+	return ends
+}
--- a/admission/upstream.go
+++ b/admission/upstream.go
@@ -92,7 +92,8 @@
 	return budget.used+next < time.Duration(throttle.share*float64(budget.limit))
 }
 
-// callTimeBudget is how long calls may be in hand, summed over the window, and how long they were. A limit of 0 is none.
+// callTimeBudget is how long calls may be in hand, summed over the window, and how long they were. A limit of 0 means
+// that there is none.
 type callTimeBudget struct{ limit, used time.Duration }
 
 // callTimeBudget applies where the share is under one call, and so a part of the time. Where several calls are allowed
--- a/admission/upstream_test.go
+++ b/admission/upstream_test.go
@@ -7,8 +7,13 @@
 
 // A call is repeated only where that is harmless or the outcome proves that it never ran.
 func Example_callRepeated() {
-	once := ClassSettings{Name: "low", Weight: 1.0, LatencyObjective: time.Second, Timeout: 2 * time.Second,
-		Idempotency: NotIdempotent}
+	once := ClassSettings{
+		Name:             "low",
+		Weight:           1,
+		LatencyObjective: time.Second,
+		Timeout:          2 * time.Second,
+		Idempotency:      NotIdempotent,
+	}
 	s := newFixture(Settings{Classes: []ClassSettings{once}, Upstream: UpstreamNextTier})
 	s.submit(newRequest("a", 200*ms, 0.1), newRequest("b", 200*ms, 0.1))
 	s.onCall["a"]()
@@ -17,9 +22,13 @@
 	s.onCallDone["a"](Rejected, ms)
 	s.onCallDone["b"](TimedOut, ms)
 	s.controller.Decide()
-	fmt.Println("where a poorer answer is worth something")
-	s = newFixture(Settings{Upstream: UpstreamShared, UpstreamShare: 1.0, UpstreamWindow: time.Second,
-		Classes: withSkippedCallValue(0.5, 0)})
+	fmt.Println("where an answer without the call has a value")
+	s = newFixture(Settings{
+		Classes:        withSkippedCallValue(0.5, 0),
+		Upstream:       UpstreamShared,
+		UpstreamShare:  1,
+		UpstreamWindow: time.Second,
+	})
 	s.submit(newRequest("c", 200*ms, 0.1))
 	s.onCall["c"]()
 	s.controller.Decide()
@@ -33,17 +42,21 @@
 	// 0ms fail b
 	// 0ms call a
 	// 0ms fail b
-	// where a poorer answer is worth something
+	// where an answer without the call has a value
 	// 0ms start c
 	// 0ms call c
 	// 0ms skip call c
 }
 
-// One spoilt reply, or one that never comes, is no reason for the poorer answer while a run's time is left; the first
-// call is not waited for much longer than any took. What never started is no failure and no sign of life.
+// One spoilt reply, or one that never comes, is no reason to skip the call while the time of a run is left; the first
+// call is not waited for much longer than any took. What never started is neither a failure nor progress.
 func Example_spoiltReply() {
-	s := newFixture(Settings{Upstream: UpstreamShared, UpstreamShare: 4.0, UpstreamWindow: time.Second,
-		Classes: withSkippedCallValue(0.5, 0.5)})
+	s := newFixture(Settings{
+		Classes:        withSkippedCallValue(0.5, 0.5),
+		Upstream:       UpstreamShared,
+		UpstreamShare:  4,
+		UpstreamWindow: time.Second,
+	})
 	s.warmUp(100 * ms)
 	s.quiet = true
 	for i := range 16 {
@@ -59,10 +72,10 @@
 	s.submit(newRequest("a", 100*ms, 0.1))
 	s.onCall["a"]()
 	s.controller.Decide()
-	for _, how := range []Outcome{TimedOut, ConnectionLost, ConnectionLost} {
+	for _, outcome := range []Outcome{TimedOut, ConnectionLost, ConnectionLost} {
 		fmt.Println("waits for", s.callDeadline-s.now)
 		s.now += 20 * ms
-		s.onCallDone["a"](how, 20*ms)
+		s.onCallDone["a"](outcome, 20*ms)
 		s.controller.Decide()
 	}
 	s.finish(Succeeded, 100*ms, "a")
@@ -74,10 +87,10 @@
 	s.onCallDone["b"](ConnectionLost, 920*ms)
 	s.finish(Succeeded, 100*ms, "b")
 	s.submit(newRequest("c", 100*ms, 0.1))
-	life := s.controller.health.lastProgress
+	progress := s.controller.health.lastProgress
 	s.now += ms
 	s.finish(NotStarted, 0, "c")
-	fmt.Println(s.controller.health.lastProgress == life, s.controller.health.failureRate(s.now))
+	fmt.Println(s.controller.health.lastProgress == progress, s.controller.health.failureRate(s.now))
 	// Output:
 	// 1920ms start a
 	// 1920ms call a
@@ -95,18 +108,23 @@
 	// true 0
 }
 
-// What is below is crowded: while calls take over four times their quickest quarter, fewer are in hand.
+// The upstream is overloaded: while calls take over four times their quickest quarter, fewer are in hand.
 func Example_upstreamOverloaded() {
-	s := newFixture(Settings{Upstream: UpstreamShared, UpstreamShare: 4.0, UpstreamWindow: time.Second, Cores: 4.0})
+	s := newFixture(Settings{
+		Cores:          4,
+		Upstream:       UpstreamShared,
+		UpstreamShare:  4,
+		UpstreamWindow: time.Second,
+	})
+	upstream := &s.controller.upstream
 	for i := range 24 {
-		took := 10 * ms
+		elapsed := 10 * ms
 		if i >= 20 {
-			took = 100 * ms
+			elapsed = 100 * ms
 		}
-		s.controller.upstream.times = append(s.controller.upstream.times, took)
+		upstream.succeeded(elapsed)
 		if i == 19 || i == 23 {
-			ease := s.controller.upstream.throttle().share
-			fmt.Printf("calls of %v: %.2f of the share\n", took, ease)
+			fmt.Printf("calls of %v: %.2f of the share\n", elapsed, upstream.throttle().share)
 		}
 	}
 	s.submit(newRequest("a", 100*ms, 0.1), newRequest("b", 100*ms, 0.1))
@@ -116,11 +134,11 @@
 	s.now += 100 * ms
 	s.onCallDone["a"](Succeeded, 100*ms)
 	s.controller.Decide()
-	fmt.Println("much was held before it was crowded")
+	fmt.Println("calls were long in hand before")
 	s.onCallDone["b"](Succeeded, 100*ms)
 	s.finish(Succeeded, 200*ms, "a", "b")
 	for range 5 {
-		s.controller.upstream.calls = append(s.controller.upstream.calls, upstreamCall{from: s.now - 900*ms, until: s.now})
+		upstream.calls = append(upstream.calls, upstreamCall{from: s.now - 900*ms, until: s.now})
 	}
 	s.now += ms
 	s.submit(newRequest("c", 100*ms, 0.1))
@@ -134,24 +152,32 @@
 	// 0ms start b
 	// 0ms call a
 	// 100ms call b
-	// much was held before it was crowded
+	// calls were long in hand before
 	// 101ms start c
 	// 101ms call c
 	// c may take 400ms
 }
 
-// A call share under one is a part of the time: one call in hand at most, given up when the part is used, and
-// no other until enough of the span has passed.
+// An upstream share under one is a part of the time: one call in hand at most, abandoned when the part is used, and no
+// other until enough of the window has passed.
 func Example_callTimeBudget() {
-	patient := ClassSettings{Name: "low", Weight: 1.0, LatencyObjective: 10 * time.Second,
-		Timeout: 20 * time.Second, Idempotency: Idempotent}
-	s := newFixture(Settings{Classes: []ClassSettings{patient}, Upstream: UpstreamShared, UpstreamShare: 0.4,
-		UpstreamWindow: 5 * time.Second})
+	patient := ClassSettings{
+		Name:             "low",
+		Weight:           1,
+		LatencyObjective: 10 * time.Second,
+		Timeout:          20 * time.Second,
+		Idempotency:      Idempotent,
+	}
+	s := newFixture(Settings{
+		Classes:        []ClassSettings{patient},
+		Upstream:       UpstreamShared,
+		UpstreamShare:  0.4,
+		UpstreamWindow: 5 * time.Second,
+	})
 	for range 16 {
-		s.controller.upstream.times = append(s.controller.upstream.times, 100*ms)
+		s.controller.upstream.succeeded(100 * ms)
 	}
-	ops := []RequestID{"a", "b", "c"}
-	for _, id := range ops {
+	for _, id := range []RequestID{"a", "b", "c"} {
 		s.submit(newRequest(string(id), 100*ms, 0.1))
 		s.onCall[id]()
 	}
@@ -162,7 +188,7 @@
 	s.onCallDone["a"](Succeeded, 1750*ms)
 	s.controller.Decide() // too little is left for another
 	s.now += 4 * time.Second
-	s.controller.health.lastProgress = s.now // and no stuck state
+	s.controller.health.lastProgress = s.now // and not stalled
 	s.controller.Decide()
 	// Output:
 	// 0ms start a
