--- a/admission/concurrency_test.go
+++ b/admission/concurrency_test.go
@@ -21,8 +21,8 @@
 	s.advance(300*ms, Gauges{GaugeRunnable: 4})
 	fmt.Println("limit", s.controller.concurrencyLimit(s.now))
 	warm := s.controller.concurrencyCeiling()
-	cold := newFixture(Settings{JustStarted: true, WarmUp: 10 * time.Second, WarmUpSpeedShare: 0.25})
-	fmt.Println("ceiling", warm, "warming up", cold.controller.concurrencyCeiling())
+	warmingUp := newFixture(Settings{JustStarted: true, WarmUp: 10 * time.Second, WarmUpSpeedShare: 0.25})
+	fmt.Println("ceiling", warm, "warming up", warmingUp.controller.concurrencyCeiling())
 	// Output:
 	// limit 2
 	// 1600ms start a
--- a/admission/idletimeout_test.go
+++ b/admission/idletimeout_test.go
@@ -11,7 +11,7 @@
 	play := func(callers int, work time.Duration) {
 		s := newFixture(Settings{MaxIdleTimeout: 8 * time.Second})
 		for i := range 20 {
-			a := newRequest(fmt.Sprint("op", i), work, 0.1)
+			a := newRequest(fmt.Sprint("r", i), work, 0.1)
 			a.Caller = CallerID(i % callers)
 			s.quiet = true
 			s.submit(a)
--- a/admission/loadreport_test.go
+++ b/admission/loadreport_test.go
@@ -32,7 +32,7 @@
 		s.warmUp(200 * ms)
 		s.quiet = true
 		for i := range 60 {
-			a := newRequest(fmt.Sprint("op", i), 300*ms, 0.1)
+			a := newRequest(fmt.Sprint("r", i), 300*ms, 0.1)
 			a.Caller = CallerID(i % callers)
 			s.submit(a)
 			s.now += 20 * ms
--- a/admission/random_test.go
+++ b/admission/random_test.go
@@ -13,10 +13,10 @@
 		s := newFixture(Settings{LoadSignal: LoadSignalChance, RetryAfterAllowed: true, MaxRetryAfter: time.Second})
 		s.out = &out
 		for i := range 20 {
-			s.submit(newRequest(fmt.Sprint("op", i), time.Duration(100+i)*ms, float64(i%5)/5))
+			s.submit(newRequest(fmt.Sprint("r", i), time.Duration(100+i)*ms, float64(i%5)/5))
 			s.now += 40 * ms
 			if i%4 == 3 {
-				s.finish(Succeeded, 150*ms, "op0", "op1")
+				s.finish(Succeeded, 150*ms, "r0", "r1")
 			}
 		}
 		return out.String()
--- a/admission/retryafter_test.go
+++ b/admission/retryafter_test.go
@@ -7,13 +7,13 @@
 	s := newFixture(Settings{})
 	s.warmUp(400 * ms)
 	for i := range 10 {
-		a := newRequest(fmt.Sprint("op", i), 400*ms, 0.1)
+		a := newRequest(fmt.Sprint("r", i), 400*ms, 0.1)
 		a.IsRetry = i%2 == 1
 		s.quiet = i < 7
 		s.submit(a)
 	}
 	// Output:
-	// 6400ms reject op7
-	// 6400ms reject op8
-	// 6400ms reject op9, no failover
+	// 6400ms reject r7
+	// 6400ms reject r8
+	// 6400ms reject r9, no failover
 }
--- /dev/null
+++ b/internal/settings/executor_test.go
@@ -0,0 +1,165 @@
+package settings
+
+import (
+	"fmt"
+	"strconv"
+	"time"
+
+	"lanewheel/admission"
+)
+
+// fakeExecutor carries out what a Controller decides: a run takes 30 ms, and every second one stands at a call of 5 ms
+// first.
+type fakeExecutor struct {
+	now       time.Duration
+	scheduled map[time.Duration][]func()
+	answered  map[admission.RequestID]bool
+	finished  map[admission.RequestID]bool
+	onEnd     map[admission.RequestID]func(admission.Outcome, time.Duration)
+	started   int
+	problems  []string
+}
+
+const (
+	step        = 2 * time.Millisecond
+	runTime     = 30 * time.Millisecond
+	callTime    = 5 * time.Millisecond
+	afterCall   = 20 * time.Millisecond
+	arrivalGap  = 8 * time.Millisecond
+	callerWaits = 500 * time.Millisecond
+)
+
+func newFakeExecutor() *fakeExecutor {
+	return &fakeExecutor{
+		scheduled: map[time.Duration][]func(){},
+		answered:  map[admission.RequestID]bool{},
+		finished:  map[admission.RequestID]bool{},
+		onEnd:     map[admission.RequestID]func(admission.Outcome, time.Duration){},
+	}
+}
+
+func (e *fakeExecutor) schedule(at time.Duration, call func()) {
+	at = max(at, e.now+step).Truncate(step)
+	e.scheduled[at] = append(e.scheduled[at], call)
+}
+
+func (e *fakeExecutor) finish(id admission.RequestID, outcome admission.Outcome, elapsed time.Duration) {
+	if !e.finished[id] {
+		e.finished[id] = true
+		e.onEnd[id](outcome, elapsed)
+	}
+}
+
+func (e *fakeExecutor) finishAfter(id admission.RequestID, elapsed time.Duration) {
+	e.schedule(e.now+elapsed, func() {
+		if !e.finished[id] {
+			e.answered[id] = true
+			e.finish(id, admission.Succeeded, elapsed)
+		}
+	})
+}
+
+func (e *fakeExecutor) Now() time.Duration { return e.now }
+
+func (e *fakeExecutor) Start(id admission.RequestID, onCall func(), onEnd func(admission.Outcome, time.Duration)) {
+	e.started++
+	e.onEnd[id] = onEnd
+	if e.started%2 == 0 {
+		e.schedule(e.now+step, onCall)
+		return
+	}
+	e.finishAfter(id, runTime)
+}
+
+func (e *fakeExecutor) Stop(id admission.RequestID) {
+	e.schedule(e.now+time.Millisecond, func() { e.finish(id, admission.Stopped, time.Millisecond) })
+}
+
+func (e *fakeExecutor) Call(id admission.RequestID, _ time.Duration, done func(admission.Outcome, time.Duration)) {
+	e.schedule(e.now+callTime, func() {
+		done(admission.Succeeded, callTime)
+		e.finishAfter(id, afterCall)
+	})
+}
+
+func (e *fakeExecutor) SkipCall(id admission.RequestID) { e.finishAfter(id, runTime) }
+func (e *fakeExecutor) Fail(id admission.RequestID)     { e.answered[id] = true }
+
+func (e *fakeExecutor) Reject(id admission.RequestID, retryAfter time.Duration, _ bool) {
+	e.answered[id] = true
+	if retryAfter < 0 {
+		e.problems = append(e.problems, "retry after "+retryAfter.String())
+	}
+}
+
+func (e *fakeExecutor) Coalesce(admission.RequestID, func(admission.Outcome, time.Duration)) {
+	e.problems = append(e.problems, "coalesced, and nothing is a duplicate")
+}
+
+func (e *fakeExecutor) WakeAt(at time.Duration, then func(admission.Gauges)) {
+	e.schedule(at, func() { then(admission.Gauges{admission.GaugeRunnable: 2, admission.GaugeBusyCores: 0.9}) })
+}
+
+func (e *fakeExecutor) KeepRecord(admission.RequestID, time.Duration) {}
+func (e *fakeExecutor) DropRecord(admission.RequestID)                {}
+func (e *fakeExecutor) SetHealth(admission.Health)                    {}
+func (e *fakeExecutor) PublishLoad(float64)                           {}
+func (e *fakeExecutor) SetIdleTimeout(time.Duration)                  {}
+func (e *fakeExecutor) LogTransition(admission.Transition)            {}
+
+// simulate plays two seconds with the settings and returns what was wrong: a request without an answer in its time. Of
+// further answers an instance takes no notice.
+func simulate(settings admission.Settings) []string {
+	e := newFakeExecutor()
+	controller := admission.New(1, settings, e)
+	arrived := 0
+	for ; e.now < 2*time.Second; e.now += step {
+		if e.now < time.Second && e.now%arrivalGap == 0 {
+			arrived++
+			controller.Submit(simulatedRequest(arrived, e.now))
+		}
+		if e.now == 1500*time.Millisecond {
+			controller.Drain(e.now + 400*time.Millisecond)
+		}
+		for _, call := range e.scheduled[e.now] {
+			call()
+		}
+		delete(e.scheduled, e.now)
+		controller.Decide()
+		if e.now%(50*time.Millisecond) == 0 {
+			e.checkAnswered(arrived)
+		}
+		if len(e.problems) > 0 {
+			break
+		}
+	}
+	return e.problems
+}
+
+func simulatedRequest(n int, now time.Duration) admission.Request {
+	return admission.Request{
+		ID:          simulatedID(n),
+		Class:       admission.Class("abc"[n%3 : n%3+1]),
+		Rank:        float64(n%10) / 10,
+		IsWrite:     n%3 > 0,
+		Caller:      admission.CallerID(n % 5),
+		HasDeadline: true,
+		Deadline:    now + callerWaits,
+		WorkHint:    30 * time.Millisecond,
+		MemoryKB:    20,
+		Tenant:      admission.TenantID("xy"[n%2 : n%2+1]),
+	}
+}
+
+func simulatedID(n int) admission.RequestID { return admission.RequestID(strconv.Itoa(n)) }
+
+// checkAnswered notes a request that came longer ago than its caller waits, with some spare time, and has no answer.
+func (e *fakeExecutor) checkAnswered(arrived int) {
+	const spare = 30 * time.Millisecond
+	for n := 1; time.Duration(n)*arrivalGap < e.now-callerWaits-spare && n <= arrived; n++ {
+		if id := simulatedID(n); !e.answered[id] {
+			e.problems = append(e.problems, fmt.Sprintf("request %s has no answer at %v", id, e.now))
+			return
+		}
+	}
+}
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -12,19 +12,48 @@
 	"lanewheel/admission"
 )
 
-// Each setting that is known, by its stored name, and what it is read as.
-func TestGoldenSettings(t *testing.T) {
+func readGolden(t *testing.T) *fastjson.Value {
+	t.Helper()
 	text, err := os.ReadFile("testdata/settings.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	stored := fastjson.MustParseBytes(text)
-	got, problems := Parse(stored)
+	return fastjson.MustParseBytes(text)
+}
+
+// Each setting that is known, by its stored name, and what it is read as.
+func TestGoldenSettings(t *testing.T) {
+	want := goldenSettings()
+	got, problems := Parse(readGolden(t))
 	if len(problems) > 0 {
 		t.Fatal(problems)
 	}
+	gotFields, wantFields := reflect.ValueOf(got), reflect.ValueOf(want)
+	for i := range wantFields.NumField() {
+		name := wantFields.Type().Field(i).Name
+		if read, wanted := gotFields.Field(i).Interface(), wantFields.Field(i).Interface(); !reflect.DeepEqual(read, wanted) {
+			t.Errorf("%s is read as %v, want %v", name, read, wanted)
+		}
+		if wantFields.Field(i).IsZero() {
+			t.Errorf("the test says nothing of %s", name)
+		}
+	}
+	// The two lists with a value for each class are fields of the classes.
+	if known := wantFields.NumField() + 2; len(instanceFields) != known {
+		t.Errorf("%d settings are known, want %d", len(instanceFields), known)
+	}
+	if known := reflect.TypeFor[admission.ClassSettings]().NumField() - 2; len(classFields) != known {
+		t.Errorf("%d settings of a class are known, want %d", len(classFields), known)
+	}
+	if known := reflect.TypeFor[admission.TenantSettings]().NumField(); len(tenantFields) != known {
+		t.Errorf("%d settings of a tenant are known, want %d", len(tenantFields), known)
+	}
+}
+
+// goldenSettings are those of testdata/settings.json.
+func goldenSettings() admission.Settings {
 	const ms = time.Millisecond
-	want := admission.Settings{
+	return admission.Settings{
 		Classes: []admission.ClassSettings{
 			{
 				Name: "view", Weight: 1.5, LatencyObjective: 300 * ms, ObjectivePerWork: 2.5, Timeout: 1250 * ms,
@@ -75,30 +104,15 @@
 		Tick:                  2 * ms,
 		Tier:                  2,
 	}
-	gotFields, wantFields := reflect.ValueOf(got), reflect.ValueOf(want)
-	for i := range wantFields.NumField() {
-		name := wantFields.Type().Field(i).Name
-		if read, wanted := gotFields.Field(i).Interface(), wantFields.Field(i).Interface(); !reflect.DeepEqual(read, wanted) {
-			t.Errorf("%s is read as %v, want %v", name, read, wanted)
-		}
-		if wantFields.Field(i).IsZero() {
-			t.Errorf("the test says nothing of %s", name)
-		}
-	}
-	// The two lists with a value for each class are fields of the classes.
-	if known := wantFields.NumField() + 2; len(instanceFields) != known {
-		t.Errorf("%d settings are known, want %d", len(instanceFields), known)
-	}
-	if known := reflect.TypeFor[admission.ClassSettings]().NumField() - 2; len(classFields) != known {
-		t.Errorf("%d settings of a class are known, want %d", len(classFields), known)
-	}
-	if known := reflect.TypeFor[admission.TenantSettings]().NumField(); len(tenantFields) != known {
-		t.Errorf("%d settings of a tenant are known, want %d", len(tenantFields), known)
+}
+
+func TestGoldenGauges(t *testing.T) {
+	want := []admission.Gauge{
+		admission.GaugeBusyCores, admission.GaugeRunnable, admission.GaugeUsedMemory, admission.GaugeConnections,
+		"other",
 	}
-	gauges := []admission.Gauge{admission.GaugeBusyCores, admission.GaugeRunnable, admission.GaugeUsedMemory,
-		admission.GaugeConnections, "other"}
-	if got := GaugeNames(stored); !reflect.DeepEqual(got, gauges) {
-		t.Errorf("gauges are read as %q, want %q", got, gauges)
+	if got := GaugeNames(readGolden(t)); !reflect.DeepEqual(got, want) {
+		t.Errorf("gauges are read as %q, want %q", got, want)
 	}
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -4,6 +4,7 @@
 package settings
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 
@@ -42,10 +43,11 @@
 	var parsed admission.Settings
 	problems := readObject(stored, instanceFields, &parsed)
 	parsed.ApplyDefaults()
-	if parsed.Cores < 1 {
+	err := parsed.Validate()
+	if errors.Is(err, admission.ErrNoCores) {
 		problems = addOnce(problems, FieldError{Path: coresPath, Want: "wants a number of 1 or more"})
 	}
-	if len(parsed.Classes) == 0 {
+	if errors.Is(err, admission.ErrNoClasses) {
 		problems = addOnce(problems, FieldError{Path: classesPath, Want: "wants a list that is not empty"})
 	}
 	return parsed, problems
