--- a/internal/simulator/golden_test.go
+++ b/internal/simulator/golden_test.go
@@ -17,58 +17,62 @@
 	secondID = admission.RequestID("bbbf482b5d3a91c4")
 )
 
-// readAll gives all that a line tells, as one list, whatever its kind.
-func readAll(t *testing.T, text []byte) []any {
+func parseLine(t *testing.T, text []byte) line {
 	t.Helper()
-	var r Parser
-	l, err := r.Parse(text)
+	var p lineParser
+	l, err := p.parse(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := []any{l.Name}
-	add := func(values ...any) {
-		if err := values[len(values)-1]; err != nil {
+	return l
+}
+
+// decoded is what a line says, whatever its kind.
+type decoded struct {
+	name     string
+	instance int
+	event    any
+}
+
+// decode reads a line as the simulation would.
+func decode(t *testing.T, text []byte) decoded {
+	t.Helper()
+	l := parseLine(t, text)
+	result := decoded{name: l.name}
+	var err error
+	if l.name != lineTick && l.name != lineFlush {
+		if result.instance, err = decodeInstance(l); err != nil {
 			t.Fatal(err)
 		}
-		told = append(told, values[:len(values)-1]...)
-	}
-	if l.Name != "tick" && l.Name != "flush" {
-		who, err := l.Instance()
-		add(who, err)
 	}
-	switch l.Name {
-	case "tick":
-		at, err := l.Tick()
-		add(at, err)
-	case "flush":
-		add(l.CheckFlush())
-	case "boot":
-		seed, facts, err := l.Boot()
-		add(seed, facts, err)
-	case "order":
-		op, err := l.Order()
-		add(op, err)
-	case "timeout-fired":
-		token, gauges, err := l.TimeoutFired()
-		add(token, gauges, err)
-	case "blocked", "aborted":
-		id, err := l.RequestID()
-		add(id, err)
-	case "ended":
-		id, took, how, err := l.Ended()
-		add(id, took, how, err)
-	case "call-done":
-		id, took, how, err := l.CallDone()
-		add(id, took, how, err)
-	case "terminate-soon":
-		at, err := l.TerminateSoon()
-		add(at, err)
-	case "power-off":
-		add(l.CheckPowerOff())
+	switch l.name {
+	case lineTick:
+		result.event, err = decodeTick(l)
+	case lineFlush:
+		err = checkFlush(l)
+	case lineBoot:
+		result.event, err = decodeBoot(l)
+	case lineOrder:
+		result.event, err = decodeOrder(l)
+	case lineTimer:
+		result.event, err = decodeTimer(l)
+	case lineBlocked, lineAborted:
+		result.event, err = decodeRequestID(l)
+	case lineRunEnded:
+		result.event, err = decodeRunEnded(l)
+	case lineCallDone:
+		result.event, err = decodeCallDone(l)
+	case lineTerminateSoon:
+		result.event, err = decodeTerminateSoon(l)
+	case linePowerOff:
+		err = checkPowerOff(l)
 	default:
-		t.Fatalf("unknown line %s", l.Name)
+		t.Fatalf("unknown line %s", l.name)
+	}
+	if err != nil {
+		t.Fatal(err)
 	}
-	return told
+	return result
 }
 
 // Each line that the simulator writes, and what it is read as.
@@ -76,31 +80,54 @@
 	file := goldentest.Open(t, "testdata/lines.golden")
 	for _, tc := range []struct {
 		name string
-		want []any
+		want decoded
 	}{
-		{"tick", []any{"tick", 5500 * ms}},
-		{"flush", []any{"flush"}},
-		{"boot", []any{"boot", 3, uint64(12345678901234567890), admission.Settings{Cores: 2.0, Classes: []admission.ClassSettings{
-			{Name: "view", Weight: 1.5, LatencyObjective: 300 * ms, Timeout: 1250 * ms}}}}},
-		{"order", []any{"order", 3, admission.Request{
-			ID: firstID, Class: "view", Rank: 0.625, IsRetry: true, IsWrite: true, Resource: "k1", Caller: 17, HasDeadline: true,
-			Deadline: 8650 * ms, WorkHint: 12 * ms, MemoryKB: 24.5, QueueDelay: 1850 * time.Microsecond, Tenant: "acme", DuplicateOf: secondID}}},
-		{"order-least", []any{"order", 3, admission.Request{
-			ID: firstID, Class: "view", Rank: 0.625, Caller: 17, MemoryKB: 24.5, QueueDelay: 2 * ms}}},
-		{"order-hint-not-marked", []any{"order", 3, admission.Request{
-			ID: firstID, Class: "view", Rank: 0.625, IsRetry: true, Caller: 17, MemoryKB: 24.5, QueueDelay: 2 * ms}}},
-		{"timeout-fired", []any{"timeout-fired", 3, "12", admission.Gauges{
-			admission.GaugeBusyCores: 0.5, admission.GaugeRunnable: 3, admission.GaugeUsedMemory: 100,
-			admission.GaugeConnections: 7, "other": 1.5}}},
-		{"blocked", []any{"blocked", 3, firstID}},
-		{"aborted", []any{"aborted", 3, firstID}},
-		{"ended", []any{"ended", 3, firstID, 300 * ms, admission.Succeeded}},
-		{"call-done", []any{"call-done", 3, firstID, 100 * ms, admission.Failed}},
-		{"terminate-soon", []any{"terminate-soon", 3, 9500 * ms}},
-		{"power-off", []any{"power-off", 3}},
+		{"tick", decoded{"tick", 0, 5500 * ms}},
+		{"flush", decoded{"flush", 0, nil}},
+		{"boot", decoded{"boot", 3, bootEvent{seed: 12345678901234567890, settings: admission.Settings{
+			Cores: 2,
+			Classes: []admission.ClassSettings{
+				{Name: "view", Weight: 1.5, LatencyObjective: 300 * ms, Timeout: 1250 * ms},
+			},
+		}}}},
+		{"order", decoded{"order", 3, admission.Request{
+			ID:          firstID,
+			Class:       "view",
+			Rank:        0.625,
+			IsRetry:     true,
+			IsWrite:     true,
+			Resource:    "k1",
+			Caller:      17,
+			HasDeadline: true,
+			Deadline:    8650 * ms,
+			WorkHint:    12 * ms,
+			MemoryKB:    24.5,
+			QueueDelay:  1850 * time.Microsecond,
+			Tenant:      "acme",
+			DuplicateOf: secondID,
+		}}},
+		{"order-least", decoded{"order", 3, admission.Request{
+			ID: firstID, Class: "view", Rank: 0.625, Caller: 17, MemoryKB: 24.5, QueueDelay: 2 * ms,
+		}}},
+		{"order-hint-not-marked", decoded{"order", 3, admission.Request{
+			ID: firstID, Class: "view", Rank: 0.625, IsRetry: true, Caller: 17, MemoryKB: 24.5, QueueDelay: 2 * ms,
+		}}},
+		{"timeout-fired", decoded{"timeout-fired", 3, timerEvent{token: "12", gauges: admission.Gauges{
+			admission.GaugeBusyCores:   0.5,
+			admission.GaugeRunnable:    3,
+			admission.GaugeUsedMemory:  100,
+			admission.GaugeConnections: 7,
+			"other":                    1.5,
+		}}}},
+		{"blocked", decoded{"blocked", 3, firstID}},
+		{"aborted", decoded{"aborted", 3, firstID}},
+		{"ended", decoded{"ended", 3, endEvent{firstID, 300 * ms, admission.Succeeded}}},
+		{"call-done", decoded{"call-done", 3, endEvent{firstID, 100 * ms, admission.Failed}}},
+		{"terminate-soon", decoded{"terminate-soon", 3, 9500 * ms}},
+		{"power-off", decoded{"power-off", 3, nil}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			if got := readAll(t, file.Bytes(tc.name)); !reflect.DeepEqual(got, tc.want) {
+			if got := decode(t, file.Bytes(tc.name)); !reflect.DeepEqual(got, tc.want) {
 				t.Errorf("read as %+v, want %+v", got, tc.want)
 			}
 		})
@@ -109,38 +136,40 @@
 
 // Each code of an outcome, of a run and of a call.
 func TestGoldenOutcomes(t *testing.T) {
-	codes := map[int]admission.Outcome{0: admission.Succeeded, 1: admission.Stopped, 4: admission.TimedOut, 8: admission.Rejected,
-		9: admission.NotStarted, 10: admission.ConnectionLost, 13: admission.Failed, 14: admission.Unreachable}
-	var r Parser
+	codes := map[int]admission.Outcome{
+		0:  admission.Succeeded,
+		1:  admission.Stopped,
+		4:  admission.TimedOut,
+		8:  admission.Rejected,
+		9:  admission.NotStarted,
+		10: admission.ConnectionLost,
+		13: admission.Failed,
+		14: admission.Unreachable,
+	}
 	for code := range 256 {
 		want, known := codes[code]
-		l, err := r.Parse(fmt.Appendf(nil, `["ended",3,%q,0.3,%d]`, firstID, code))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if _, _, got, err := l.Ended(); known != (err == nil) || known && got != want {
-			t.Errorf("a run's code %d is read as %v, %v", code, got, err)
-		}
-		if l, err = r.Parse(fmt.Appendf(nil, `["call-done",3,%q,%d,0.3]`, firstID, code)); err != nil {
-			t.Fatal(err)
+		run, err := decodeRunEnded(parseLine(t, fmt.Appendf(nil, `["ended",3,%q,0.3,%d]`, firstID, code)))
+		if known != (err == nil) || known && run.outcome != want {
+			t.Errorf("a run's code %d is read as %v, %v", code, run.outcome, err)
 		}
-		if _, _, got, err := l.CallDone(); known != (err == nil) || known && got != want {
-			t.Errorf("a call's code %d is read as %v, %v", code, got, err)
+		call, err := decodeCallDone(parseLine(t, fmt.Appendf(nil, `["call-done",3,%q,%d,0.3]`, firstID, code)))
+		if known != (err == nil) || known && call.outcome != want {
+			t.Errorf("a call's code %d is read as %v, %v", code, call.outcome, err)
 		}
 	}
 }
 
 // Each kind of value that a reply may hold.
 func TestGoldenReply(t *testing.T) {
-	var r Reply
-	for range 2 { // one that was closed is begun anew
-		r.Append("name", 3, firstID, "a\"b\\<\u00e9\x01", true, false, 0.1234567, 12.0,
-			1850*time.Microsecond, -time.Second)
-		r.Append("none", 4)
+	var r reply
+	for range 2 { // one that was finished is begun anew
+		r.action("name", 3).id(firstID).text("a\"b\\<\u00e9\x01").flag(true).flag(false).number(0.1234567).number(12).
+			seconds(1850 * time.Microsecond).seconds(-time.Second).end()
+		r.action("none", 4).end()
 		want := `["name",3,"addf482b5d3a91c4","a\"b\\\u003cé\u0001"` +
 			`,true,false,0.123457,12.000000,0.001850,0.000000]` + "\n" +
 			`["none",4]` + "\n" + `["eor"]` + "\n"
-		if got := string(r.Finish()); got != want {
+		if got := string(r.finish()); got != want {
 			t.Errorf("written %s, want %s", got, strings.TrimSpace(want))
 		}
 	}
--- a/cmd/lanewheel-sim/golden_test.go
+++ b/internal/simulator/session_test.go
@@ -1,4 +1,4 @@
-package main
+package simulator
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"lanewheel/internal/goldentest"
 )
 
-// A whole session in which each message kind comes in, and all that goes out. What is printed is for people and may be
+// A whole session in which each kind of line comes in, and all that goes out. What is printed is for people and may be
 // worded otherwise.
 func TestGoldenSession(t *testing.T) {
 	in, err := os.ReadFile("testdata/session.in")
@@ -25,19 +25,17 @@
 		}
 	}
 	var out bytes.Buffer
-	if err := serve(bytes.NewReader(in), &out); err != nil {
+	if err := Serve(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
 	printed := regexp.MustCompile(`(?m)^(\["print",\d+,)".*"\]$`)
 	goldentest.CheckText(t, "testdata/session.out", printed.ReplaceAll(out.Bytes(), []byte(`$1"TEXT"]`)))
 }
 
-// Each action that the module may take, as it goes out.
+// Each action that an instance may take, as it goes out.
 func TestGoldenActions(t *testing.T) {
-	h := newSimulation()
-	in := &instance{simulation: h, number: 3, onCall: map[admission.RequestID]func(){},
-		onRunEnd:   map[admission.RequestID]func(admission.Outcome, time.Duration){},
-		onCallDone: map[admission.RequestID]func(admission.Outcome, time.Duration){}, onTimer: map[string]func(admission.Gauges){}}
+	s := newSimulation()
+	in := newInstance(s, 3)
 	const id = admission.RequestID("addf482b5d3a91c4")
 	in.Start(id, nil, nil)
 	in.Coalesce(id, nil)
@@ -55,7 +53,7 @@
 	in.SetIdleTimeout(30 * time.Second)
 	in.LogTransition(admission.Transition{To: admission.StateDraining, Queued: 1, Running: 2})
 	in.WakeAt(6*time.Second, nil)
-	out := h.reply.Finish()
+	out := s.reply.finish()
 	// The file leaves open how the change of state is worded.
 	transition := []byte(`["print",3,"well -\u003e leaving: held 1, running 2"]`)
 	if bytes.Count(out, transition) != 1 {
--- a/cmd/lanewheel-sim/main_test.go
+++ b/internal/simulator/simulation_test.go
@@ -1,4 +1,4 @@
-package main
+package simulator
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 
 const order = `["order",3,"addf482b5d3a91c4","view",0.625,1,null,17,8.65,0.012,24.5,0.00185,"x",null]`
 
-// A short stream: a start, an op that calls below and is given a repeat, the end of the run, a clean end.
+// A short stream: a start, a request that calls the upstream and is duplicated, the end of the run, a clean end.
 func Example_stream() {
 	in := strings.Join([]string{
 		`["tick",5.5]`, boot, `["flush"]`,
@@ -24,7 +24,7 @@
 		`["timeout-fired",3,"1",{"runnable":1}]`, `["flush"]`,
 		`["tick",6.4]`, `["terminate-soon",3,9.5]`, `["flush"]`,
 		`["tick",6.5]`, `["power-off",3]`, `["flush"]`, ""}, "\n")
-	fmt.Println(serve(strings.NewReader(in), os.Stdout))
+	fmt.Println(Serve(strings.NewReader(in), os.Stdout))
 	// Output:
 	// ["mark-health",3,true,true]
 	// ["hint-out",3,10.000000]
@@ -52,7 +52,7 @@
 	// <nil>
 }
 
-// Each fault is named, and nothing is written of the batch that has it.
+// Each error is named, and nothing is written of the batch that has it.
 func Example_faults() {
 	for _, batch := range []string{
 		`{"tick":1}`,
@@ -73,7 +73,7 @@
 		`["tick",1]` + "\n" + boot,
 		`["tick",2]` + "\n" + `["flush"]` + "\n" + `["tick",1]`,
 	} {
-		fmt.Println(serve(strings.NewReader(batch+"\n"), os.Stdout))
+		fmt.Println(Serve(strings.NewReader(batch+"\n"), os.Stdout))
 	}
 	// Output:
 	// line 1: message is not an array that starts with its name
