--- a/admission/helper_test.go
+++ b/admission/fixture_test.go
@@ -4,9 +4,12 @@
 	"fmt"
 	"io"
 	"os"
+	"reflect"
 	"time"
 )
 
+const ms = time.Millisecond
+
 // bench-free stand-in for the port: it prints what the module does and keeps the closures it leaves.
 type scene struct {
 	now    time.Duration
@@ -22,7 +25,7 @@
 
 type wake struct {
 	at   time.Duration
-	then func(map[string]float64)
+	then func(Gauges)
 }
 
 func (s *scene) say(format string, a ...any) {
@@ -56,24 +59,44 @@
 func (s *scene) SetHealth(good, _ bool)                      { s.say("health %v", good) }
 func (s *scene) PublishLoad(level float64)                   { s.say("signal %.2f", level) }
 func (s *scene) SetIdleTimeout(span time.Duration)           { s.say("idle connections stay %v", span) }
-func (s *scene) LogTransition(line string)                   { s.say("note %s", line) }
-func (s *scene) WakeAt(at time.Duration, f func(map[string]float64)) {
+func (s *scene) LogTransition(change Transition)             { s.say("state %v", change) }
+func (s *scene) WakeAt(at time.Duration, f func(Gauges)) {
 	s.wakes = append(s.wakes, wake{at, f})
 }
 
+// testClasses are the two classes of open.
+func testClasses() []ClassSettings {
+	low := ClassSettings{Name: "low", Weight: 1.0, LatencyObjective: time.Second, Timeout: 3 * time.Second,
+		Idempotency: Idempotent}
+	high := ClassSettings{Name: "high", Weight: 3.0, LatencyObjective: time.Second, Timeout: 3 * time.Second,
+		Idempotency: Idempotent}
+	return []ClassSettings{low, high}
+}
+
+// withSkippedCallValue gives testClasses the values of answers without the upstream call.
+func withSkippedCallValue(low, high float64) []ClassSettings {
+	classes := testClasses()
+	classes[0].SkippedCallValue, classes[1].SkippedCallValue = low, high
+	return classes
+}
+
+// overlay replaces each setting that extra has.
+func overlay(settings *Settings, extra Settings) {
+	to, from := reflect.ValueOf(settings).Elem(), reflect.ValueOf(extra)
+	for i := range from.NumField() {
+		if !from.Field(i).IsZero() {
+			to.Field(i).Set(from.Field(i))
+		}
+	}
+}
+
 // open starts an instance of two cores; extra facts replace the usual ones.
 func open(extra Settings) *scene {
 	s := &scene{atCall: map[RequestID]func(){}, ended: map[RequestID]func(Outcome, time.Duration){},
 		called: map[RequestID]func(Outcome, time.Duration){}, quiet: true, out: os.Stdout}
-	low := Settings{"name": "low", "importance": 1.0, "target latency": time.Second, "op timeout": 3 * time.Second,
-		"repeats": "retryable"}
-	high := Settings{"name": "high", "importance": 3.0, "target latency": time.Second, "op timeout": 3 * time.Second,
-		"repeats": "retryable"}
-	facts := Settings{"op types": []Settings{low, high}, "cores": 2.0, "run memory factor": 4.0, "memory KB": 1200.0,
-		"tick": 2 * time.Millisecond, "crowd a core": 8.0, "drain grace": time.Second}
-	for name, value := range extra {
-		facts[name] = value
-	}
+	facts := Settings{Classes: testClasses(), Cores: 2.0, RunMemoryFactor: 4.0, MemoryKB: 1200.0,
+		Tick: 2 * time.Millisecond, SurvivableRunsPerCore: 8.0, DrainGrace: time.Second}
+	overlay(&facts, extra)
 	s.desk = New(7, facts, s)
 	s.quiet = false
 	return s
@@ -91,7 +114,7 @@
 }
 
 // op is an arrival of the low type, or of the high one by its rank.
-func arrival(id string, hint time.Duration, rank float64) Request {
+func newRequest(id string, hint time.Duration, rank float64) Request {
 	a := Request{ID: RequestID(id), Class: "low", WorkHint: hint, Rank: rank}
 	if rank >= 0.5 {
 		a.Class = "high"
@@ -114,7 +137,7 @@
 }
 
 // pass moves the clock on, firing the timers with these gauges.
-func (s *scene) pass(span time.Duration, gauges map[string]float64) {
+func (s *scene) pass(span time.Duration, gauges Gauges) {
 	for until := s.now + span; s.now < until; {
 		s.now += 2 * time.Millisecond
 		due := s.wakes
@@ -139,7 +162,7 @@
 	s.quiet = true
 	for i := range 16 {
 		id := fmt.Sprint("warm", i)
-		s.read(arrival(id, took, float64(i%2)*0.6))
+		s.read(newRequest(id, took, float64(i%2)*0.6))
 		s.now += took
 		s.end(Succeeded, took, RequestID(id))
 	}
