--- a/internal/membership/self.go
+++ b/internal/membership/connectivity.go
@@ -42,15 +42,6 @@
 	lowSince      time.Duration // since when it has been low without the usual going by it
 }
 
-// ConnectivityConfig is what is told of hearing.
-type ConnectivityConfig struct {
-	Window        time.Duration // in which senders are counted, in slots
-	DegradedBelow float64       // of the usual
-	IsolatedBelow float64
-	AdaptAfter    time.Duration // after so long what is heard becomes the usual, whatever it is
-	AckTimeout    time.Duration // without an answer for so long, nobody hears us
-}
-
 // windowSlots is in how many parts a window moves on: a third of it late is soon enough.
 const windowSlots = 3
 
@@ -170,3 +161,36 @@
 	}
 	return LocalHealthy
 }
+
+// ObserveSender takes the sender of any message; Answered an answer to a call of ours.
+func (t *Table) ObserveSender(sender string) { t.connectivity.observeSender(sender) }
+
+func (t *Table) ObserveAck(now time.Duration) { t.connectivity.observeAck(now) }
+
+// HearsNobody tells whether our word about others is worth nothing, and is to stay with us.
+func (t *Table) HearsNobody() bool { return t.connectivity.hearsNobody() }
+
+func (t *Table) localHealth(now time.Duration) LocalHealth {
+	switch {
+	case t.fenced:
+		return LocalFenced
+	case now < t.settlingUntil:
+		return LocalResumed
+	}
+	return t.connectivity.localHealth(now, t.presentMembers())
+}
+
+// presentMembers is how many there should be to hear.
+func (t *Table) presentMembers() (count int) {
+	for it := t.members.Iterator(); !it.Done(); {
+		if _, m, _ := it.Next(); m.State != StateGone && m.State != StateFenced {
+			count++
+		}
+	}
+	return count
+}
+
+func (t *Table) healthy(now time.Duration) bool {
+	health := t.localHealth(now)
+	return health == LocalHealthy || health == LocalLearning
+}
