--- a/internal/fleet/gossip/part.go
+++ b/internal/fleet/gossip/part.go
@@ -274,7 +274,7 @@
 		transition := fmt.Sprintf("%v-%v", change.From, change.To)
 		p.transitions[transition]++
 		if p.logSampler.Allow(transition, p.WallTime()) {
-			slog.Info("member", "name", string(change.Name), "incarnation", uint64(change.Incarnation), "was", change.From, "is", change.To, "why", string(change.Reason), "view", change.ViewVersion)
+			slog.Info("member", "name", string(change.Name), "incarnation", uint64(change.Incarnation), "was", change.From, "is", change.To, "why", change.Reason, "view", change.ViewVersion)
 		}
 	}
 	view := p.table.View()
@@ -319,7 +319,7 @@
 		p.readySince = p.Now()
 	}
 	// Half to one and a half times the pace. Danger: hundreds that started at one moment all speak at the same moments.
-	p.nextHeartbeat = p.Now() + time.Duration((0.5+p.random.Float64())*float64(p.table.HeartbeatInterval()))
+	p.nextHeartbeat = p.Now() + membership.Jitter(p.table.HeartbeatInterval(), p.random.Float64())
 	p.broadcasts.QueueBroadcast(&heartbeatBroadcast{from: p.table.Self().ID(), heartbeat: p.buildHeartbeat(status)})
 }
 
@@ -606,7 +606,11 @@
 	if id, ok := membership.ParseID(node.Name); ok {
 		left := node.State == memberlist.StateLeft
 		p.Post(func() {
-			p.table.HandleUnreachable(id, left, p.Now())
+			if left {
+				p.table.HandleLeft(id, p.Now())
+			} else {
+				p.table.HandleUnreachable(id, p.Now())
+			}
 			p.applyChanges()
 		})
 	}
--- a/internal/fleet/gossip/watch.go
+++ b/internal/fleet/gossip/watch.go
@@ -54,7 +54,7 @@
 
 func (p *Agent) snapshot(kind string) Snapshot {
 	view, now := p.table.View(), p.Now()
-	snapshot := Snapshot{Name: string(view.Self.Name), BootID: fmt.Sprintf("%016x", uint64(view.Self.BootID)), Incarnation: uint64(view.Self.Incarnation), Zone: view.Self.Zone,
+	snapshot := Snapshot{Name: string(view.Self.Name), BootID: view.Self.BootID.String(), Incarnation: uint64(view.Self.Incarnation), Zone: view.Self.Zone,
 		Release: view.Self.Release, LocalHealth: view.LocalHealth.String(), HeardFraction: view.HeardFraction, ViewVersion: view.Version,
 		ViewDigest: fmt.Sprintf("%016x", view.Digest()^membership.Fingerprint(view.Self.ID())), States: map[string]int{}, Counters: p.counters(), CPUMillis: processCPUTime().Milliseconds()}
 	for member := range view.All() {
@@ -62,8 +62,8 @@
 		if kind == SnapshotBrief && member.State == membership.StateUp {
 			continue
 		}
-		shown := MemberSnapshot{Name: string(member.Name), BootID: fmt.Sprintf("%016x", uint64(member.BootID)), Incarnation: uint64(member.Incarnation), State: member.State.String(),
-			Reason: string(member.Reason), InStateMillis: (now - member.StateSince).Milliseconds(), SinceHeartbeatMillis: (now - member.HeartbeatAt).Milliseconds(), GossipAddr: member.GossipAddr, Roles: member.Roles.String(),
+		shown := MemberSnapshot{Name: string(member.Name), BootID: member.BootID.String(), Incarnation: uint64(member.Incarnation), State: member.State.String(),
+			Reason: member.Reason.String(), InStateMillis: (now - member.StateSince).Milliseconds(), SinceHeartbeatMillis: (now - member.HeartbeatAt).Milliseconds(), GossipAddr: member.GossipAddr, Roles: member.Roles.String(),
 			Zone: member.Zone, Release: member.Release, Capacity: member.Capacity, Metrics: map[string]float64{}}
 		for _, metric := range member.Metrics {
 			if value, _, ok := member.Metric(metric.Name, now); ok {
--- a/internal/membership/alive.go
+++ b/internal/membership/alive.go
@@ -1,22 +1,25 @@
 package membership
 
-import (
-	"time"
-)
+import "time"
 
-// AliveResult is what became of a claim.
+// AliveResult is what became of a descriptor that was received.
 type AliveResult uint8
 
+// The results.
 const (
-	AliveAccepted          AliveResult = iota
-	AliveOutdated                      // of an earlier life: its owner is to be told
-	AliveTableFull                     // there is no room
-	AliveIncarnationRaised             // our own name, claimed by another: we have taken a higher incarnation and have to say so
-	AliveFenced                        // our own name, claimed by a later life: we are fenced
-	AliveOwn                           // our own claim
+	AliveAccepted          AliveResult = iota // it is in the table
+	AliveOutdated                             // of an earlier process of the name, which has to be notified
+	AliveTableFull                            // there is no room
+	AliveIncarnationRaised                    // another has our name: we took a higher incarnation and have to announce it
+	AliveFenced                               // a later process has our name: we are fenced
+	AliveOwn                                  // our own descriptor
 )
 
-// HandleAlive takes a claim that the gossip brought, of a member that the detector reaches.
+var aliveResultNames = [...]string{"accepted", "outdated", "table full", "incarnation raised", "fenced", "own"}
+
+func (r AliveResult) String() string { return aliveResultNames[r] }
+
+// HandleAlive takes a descriptor that gossip brought, of a member that the failure detector reaches.
 func (t *Table) HandleAlive(descriptor Descriptor, now time.Duration) AliveResult {
 	if descriptor.Name == t.self.Name {
 		return t.resolveNameConflict(descriptor, now)
@@ -24,24 +27,17 @@
 	member, known := t.members.Get(descriptor.Name)
 	switch {
 	case !known && t.members.Len() >= t.config.MaxMembers && !t.evictGone(now, true):
-		// Danger: names made up by the thousand fill the memory. Who is here stays, newcomers wait outside.
+		// Members that are here stay, so that made-up names by the thousand cannot fill the memory or push them out.
 		t.Stats.RejectedFull++
 		return AliveTableFull
 	case known && descriptor.olderThan(member.Descriptor):
 		t.Stats.OutdatedIncarnations++
 		return AliveOutdated
-	case !known || descriptor.BootID != member.BootID:
-		if known && member.State != StateGone && member.State != StateFenced { // the old life is over, whatever it still says
-			t.Stats.Transitions++
-			t.changes = append(t.changes, Change{member.ID(), member.Incarnation, member.State, StateFenced, ReasonSuperseded, t.version + 1})
-		}
-		// What it was held back for stays with the name. Danger: one that crashes as soon as it serves is a new life each time.
-		successor := Member{Descriptor: descriptor, fingerprint: Fingerprint(descriptor.ID()), flapPenalty: member.flapPenalty, flapPenaltyAt: member.flapPenaltyAt, flapSuppressed: member.flapSuppressed}
-		if known && member.State != StateGone && member.State != StateLeaving {
-			t.addFlapPenalty(&successor, now)
-		}
-		t.transition(successor, StateJoining, ReasonDiscovered, now)
-	default: // the same life, perhaps with a raised incarnation, perhaps back
+	case !known:
+		t.transition(newMember(descriptor), StateJoining, ReasonDiscovered, now)
+	case descriptor.BootID != member.BootID:
+		t.supersede(member, descriptor, now)
+	default: // the same process, perhaps with a raised incarnation, perhaps back
 		member.Descriptor = descriptor
 		t.markReachable(member, now)
 	}
@@ -49,11 +45,32 @@
 	return AliveAccepted
 }
 
-// resolveNameConflict decides about another that claims our name. While we are young it is most likely our predecessor, of whom some still
-// speak: we go above it. Once we have been here for a while it is our successor, and we are the one that is over.
-// Danger: a clock that went back between two lives would have the new one taken for the old; so the number is learnt, not timed.
+func newMember(descriptor Descriptor) Member {
+	return Member{Descriptor: descriptor, fingerprint: Fingerprint(descriptor.ID())}
+}
+
+// supersede puts a new process in the place of the one that had its name, whatever that one still publishes.
+func (t *Table) supersede(previous Member, descriptor Descriptor, now time.Duration) {
+	if previous.State.Present() {
+		t.recordChange(previous, previous.State, StateFenced, ReasonSuperseded)
+	}
+	successor := newMember(descriptor)
+	successor.flapping = previous.flapping
+	if previous.State != StateGone && previous.State != StateLeaving {
+		successor.flapping.add(t.config.FlapDamping, now)
+	}
+	t.transition(successor, StateJoining, ReasonDiscovered, now)
+}
+
+// maxIncarnationRaises is how often our own incarnation is raised: two that start at one moment raise in turn, and are
+// told apart by their boot IDs before that is used up.
+const maxIncarnationRaises = 3
+
+// resolveNameConflict decides about another process with our name. Shortly after our start it is most likely our
+// predecessor, of whom some still speak: we take a higher incarnation. Later it is our successor, and we are fenced.
+// The incarnation is raised above what was seen and not read from the clock, which may have gone back between two
+// starts.
 func (t *Table) resolveNameConflict(rival Descriptor, now time.Duration) AliveResult {
-	const maxRaises = 3 // two that start at one moment raise in turn; the lives decide before that is used up
 	if rival.BootID == t.self.BootID {
 		return AliveOwn
 	}
@@ -64,7 +81,7 @@
 	if t.fenced {
 		return AliveFenced
 	}
-	if now-t.start <= t.config.SettleTime+t.config.GoneAfter && t.incarnationRaises < maxRaises {
+	if now-t.start <= t.config.SettleTime+t.config.GoneAfter && t.incarnationRaises < maxIncarnationRaises {
 		t.incarnationRaises++
 		t.self.Incarnation = rival.Incarnation + 1
 		t.publishView(now)
@@ -75,9 +92,10 @@
 	return AliveFenced
 }
 
-// HandleFenceNotice takes another's word that a later life has our name.
+// HandleFenceNotice takes another member's notice that a later process has our name.
 func (t *Table) HandleFenceNotice(incarnation Incarnation, bootID BootID, now time.Duration) AliveResult {
 	rival := t.self
-	rival.Incarnation, rival.BootID = incarnation, bootID
+	rival.Incarnation = incarnation
+	rival.BootID = bootID
 	return t.resolveNameConflict(rival, now)
 }
--- a/internal/membership/alive_test.go
+++ b/internal/membership/alive_test.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// Restarted within a second under its name and address, while its old messages still travel: the new life is never the old one.
+// Restarted within a second under its name and address, while its old messages still travel: the new process is never
+// taken for the old one.
 func Example_restart() {
 	x := newHarness()
 	x.bringUp("a")
 	x.alive("a", 8, 2)
-	fmt.Println(x.alive("a", 7, 1) == AliveOutdated, x.heartbeat("a", 7, 50, 0))
-	x.HandleUnreachable(ID{"a", 7}, false, x.now) // the old life's end is not the new one's
-	x.heartbeat("a", 8, 1, 0)
+	fmt.Println(x.alive("a", 7, 1) == AliveOutdated, x.heartbeat("a", 7, 50))
+	x.HandleUnreachable(ID{"a", 7}, x.now) // the end of the old process is not the new one's
+	x.heartbeat("a", 8, 1)
 	x.advanceWithHeartbeats(3*s, "a")
-	// two of one number: all who hear both decide alike, in whatever order
+	// two of one incarnation: all who see both decide alike, in whatever order
 	fmt.Println(x.alive("a", 5, 2) == AliveOutdated)
 	x.alive("a", 9, 2)
 	// Output:
@@ -29,9 +30,9 @@
 	// 3s a 2: joining -> joining, claimed
 }
 
-// Our own name: a predecessor whose number is higher, as the clock went back between, is overtaken while we are young; a
-// successor that shows up later is not fought, and neither is one that others tell of.
-func Example_rival() {
+// Our own name: a predecessor whose incarnation is higher, as the clock went back between, is overtaken shortly after
+// our start; a successor that shows up later fences us, and so does one that another member notifies us of.
+func Example_nameConflict() {
 	x := newHarness()
 	fmt.Println(x.alive("me", 9, 5000) == AliveIncarnationRaised, x.Self().Incarnation)
 	fmt.Println(x.alive("me", 9, 5000) == AliveOutdated, x.alive("me", 1, 5001) == AliveOwn)
@@ -57,38 +58,40 @@
 		a.Tick(now)
 		b.Tick(now)
 	}
-	fmt.Println(a.Self().Incarnation != b.Self().Incarnation, (a.View().LocalHealth == LocalFenced) != (b.View().LocalHealth == LocalFenced), a.incarnationRaises+b.incarnationRaises <= 2*3)
+	aFenced, bFenced := a.View().LocalHealth == LocalFenced, b.View().LocalHealth == LocalFenced
+	fmt.Println(a.Self().Incarnation != b.Self().Incarnation, aFenced != bFenced,
+		a.incarnationRaises+b.incarnationRaises <= 2*3)
 	// Output: true true true
 }
 
-// A crash loop under one name is held back as well, though each start is a life of its own.
+// A crash loop under one name is held back as well, though each start is a process of its own.
 func Example_crashLoop() {
 	x := newHarness()
 	x.quiet = true
 	x.bringUp("a", "b")
-	for life := BootID(20); life < 24; life++ {
-		x.alive("a", life, Incarnation(life))
-		x.heartbeat("a", life, 1, 0)
+	for bootID := BootID(20); bootID < 24; bootID++ {
+		x.alive("a", bootID, Incarnation(bootID))
+		x.heartbeat("a", bootID, 1)
 	}
 	m, _ := x.View().Get("a")
-	fmt.Println(m.State, m.Reason, m.BootID)
+	fmt.Println(m.State, m.Reason, uint64(m.BootID))
 	// Output: suspect flapping 23
 }
 
-// Names without end: who is here stays, the gone make room, the others wait outside.
+// Names without end: members that are here stay, those that are gone make room, the others are refused.
 func Example_bounds() {
-	x := newHarness(func(t *Config) { t.MaxMembers = 3; t.MaxMetrics = 1 })
+	x := newHarness(func(config *Config) { config.MaxMembers, config.MaxMetrics = 3, 1 })
 	x.quiet = true
 	x.bringUp("a", "b", "c")
-	fmt.Println(x.alive("d", 7, 1) == AliveTableFull, x.heartbeat("a", 7, 2, 0, Metric{Name: "x"}, Metric{Name: "y"}))
-	x.HandleUnreachable(ID{"b", 7}, true, x.now)
+	fmt.Println(x.alive("d", 7, 1) == AliveTableFull, x.heartbeat("a", 7, 2, Metric{Name: "x"}, Metric{Name: "y"}))
+	x.HandleLeft(ID{"b", 7}, x.now)
 	fmt.Println(x.alive("d", 7, 1) == AliveAccepted, x.View().Len(), x.Stats.RejectedFull, x.Stats.InvalidHeartbeats)
 	// Output:
 	// true false
 	// true 3 1 1
 }
 
-// No list has a cap under 1,024: a fleet of so many others, each with a life before it, is held as it stands.
+// No list has a cap under 1,024: a fleet of so many others, each with a predecessor, is held as it stands.
 func Example_many() {
 	x := newHarness()
 	x.quiet = true
--- a/internal/membership/clock.go
+++ b/internal/membership/clock.go
@@ -1,14 +1,41 @@
 package membership
 
-import (
-	"time"
-)
+import "time"
 
-// judgementClock is the time by which others are judged: it stands still while we can't judge, so no deadline of theirs runs out by our
-// own fault. Danger: one that was paused, starved or cut off declares the whole fleet gone on waking.
-func (t *Table) judgementClock(now time.Duration) time.Duration {
-	if t.pausedSince >= 0 {
-		now = t.pausedSince
+// judgementClock is the time by which other members are judged. It stands still while this process may not judge, so
+// that no deadline of theirs runs out by our own fault: without it, a process that was paused, starved or cut off
+// would declare the whole fleet gone as soon as it runs again.
+type judgementClock struct {
+	paused      bool
+	pausedSince time.Duration // while paused, by our clock
+	pausedTotal time.Duration // how long it stood still before
+}
+
+// at translates a time of ours, which must not be earlier than the last pause.
+func (c *judgementClock) at(now time.Duration) time.Duration {
+	if c.paused {
+		now = c.pausedSince
+	}
+	return now - c.pausedTotal
+}
+
+// skip takes time out during which this process stood still.
+func (c *judgementClock) skip(stall time.Duration) {
+	if !c.paused {
+		c.pausedTotal += stall
+	}
+}
+
+func (c *judgementClock) pause(now time.Duration) {
+	if !c.paused {
+		c.paused = true
+		c.pausedSince = now
+	}
+}
+
+func (c *judgementClock) resume(now time.Duration) {
+	if c.paused {
+		c.paused = false
+		c.pausedTotal += now - c.pausedSince
 	}
-	return now - t.pausedTotal
 }
--- a/internal/membership/connectivity_test.go
+++ b/internal/membership/connectivity_test.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Standing still for 8 s in the middle of a doubt gives nobody up; the doubt goes on where it stood, and what came meanwhile
-// counts as old.
-func Example_stoodStill() {
+// Standing still for 8 s while a member is in doubt declares nobody gone; the doubt goes on where it stood, and what
+// arrived meanwhile counts as old.
+func Example_stall() {
 	x := newHarness()
 	x.bringUp("a", "b")
-	x.HandleUnreachable(ID{"a", 7}, false, x.now)
+	x.HandleUnreachable(ID{"a", 7}, x.now)
 	x.advance(s / 2)
 	x.stall(8 * s)
 	fmt.Println(x.View().LocalHealth)
-	x.heartbeat("b", 7, 2, 0, Metric{Name: "load", Value: 1, TTL: 5 * s})
+	x.heartbeat("b", 7, 2, Metric{Name: "load", Value: 1, TTL: 5 * s})
 	m, _ := x.View().Get("b")
 	_, age, ok := m.Metric("load", x.now)
 	fmt.Println(age, ok)
 	x.advance(s)
-	x.alive("a", 7, 1) // it was well all the time
+	x.alive("a", 7, 1) // it was alive all the time
 	x.advanceWithHeartbeats(5*s, "a", "b")
 	fmt.Println(x.Stats.Stalls, x.View().Count(StateUp))
 	// Output:
@@ -33,8 +33,8 @@
 	// 1 2
 }
 
-// Who hears nobody any more is cut off itself: it gives nobody up, keeps its doubts to itself, and says how far it reaches. When
-// it hears again, all is as it was. If that lasts, it becomes the usual.
+// A process that hears nobody any more is cut off itself: it declares nobody gone, keeps its doubts to itself, and
+// reports the fraction that it hears. When it hears again, all is as it was. If that lasts, it becomes the baseline.
 func Example_cutOff() {
 	x := newHarness()
 	x.bringUp("a", "b", "c")
@@ -44,7 +44,7 @@
 	x.reachableSenders = nil
 	x.advance(3 * s)
 	for _, n := range []Name{"a", "b", "c"} {
-		x.HandleUnreachable(ID{n, 7}, false, x.now)
+		x.HandleUnreachable(ID{n, 7}, x.now)
 	}
 	x.advance(30 * s)
 	fmt.Println(x.View().LocalHealth, x.HearsNobody(), x.View().HeardFraction)
@@ -71,16 +71,16 @@
 	// sound
 }
 
-// They are gone and we are well: a third of the fleet dies, we still hear most, and judge.
-func Example_theyAreGone() {
+// Others are gone and we are healthy: a third of the fleet dies, we still hear most, and declare them gone.
+func Example_othersGone() {
 	x := newHarness()
 	x.quiet = true
 	x.bringUp("a", "b", "c", "d", "e", "f")
 	x.reachableSenders = []string{"a", "b", "c", "d", "e", "f"}
 	x.advanceWithHeartbeats(20*s, "a", "b", "c", "d", "e", "f")
 	x.reachableSenders = x.reachableSenders[:4]
-	x.HandleUnreachable(ID{"e", 7}, false, x.now)
-	x.HandleUnreachable(ID{"f", 7}, false, x.now)
+	x.HandleUnreachable(ID{"e", 7}, x.now)
+	x.HandleUnreachable(ID{"f", 7}, x.now)
 	x.advanceWithHeartbeats(8*s, "a", "b", "c", "d")
 	fmt.Println(x.View().LocalHealth, x.View().Count(StateGone))
 	// heard, but answered by nobody
@@ -97,19 +97,20 @@
 	// unheard
 }
 
-// Facts that stop while the gossip goes on are not believed any more, and their owner is mute.
-func Example_mute() {
+// Metrics that stop while the gossip goes on are not believed any more, and the member is silent.
+func Example_silent() {
 	x := newHarness()
 	x.alive("a", 7, 1)
-	x.heartbeat("a", 7, 1, 0, Metric{Name: "load", Value: 0.5, TTL: time.Hour}, Metric{Name: "odd", Value: math.NaN(), TTL: s})
+	x.heartbeat("a", 7, 1,
+		Metric{Name: "load", Value: 0.5, TTL: time.Hour}, Metric{Name: "odd", Value: math.NaN(), TTL: s})
 	for range 4 {
 		m, _ := x.View().Get("a")
 		v, age, ok := m.Metric("load", x.now)
 		fmt.Println(x.now, v, age, ok, len(m.Metrics))
 		x.advance(3 * s)
 	}
-	x.heartbeat("a", 7, 2, 0)
-	fmt.Println(x.heartbeat("a", 7, 1, 0)) // an earlier one, by a longer way
+	x.heartbeat("a", 7, 2)
+	fmt.Println(x.heartbeat("a", 7, 1)) // an earlier one, by a longer way
 	// Output:
 	// 0s a 1: joining -> joining, claimed
 	// 0s a 1: joining -> up, ready
--- a/internal/membership/descriptor.go
+++ b/internal/membership/descriptor.go
@@ -5,18 +5,21 @@
 	"time"
 )
 
-// Roles is a set of what a member does for the fleet.
+// Roles is a set of what a member does for the fleet. Its bits are part of the gossip messages.
 type Roles uint8
 
+// The roles, by the bit that stands for each.
 const (
-	RoleServer      Roles = 1 << iota // serves ops
-	RoleProxy                         // passes ops on
-	RoleCoordinator                   // holds what the fleet has agreed
-	RoleUpstream                      // is a service that instances call
+	RoleServer      Roles = 1 << iota // serves requests
+	RoleProxy                         // forwards requests
+	RoleCoordinator                   // holds the replicated state
+	RoleUpstream                      // stands beside a service that servers call
 )
 
+// roleNames are the roles' names in operators' files and on status sockets, in the order of the bits.
 var roleNames = []string{"instance", "relay", "steward", "below"}
 
+// String is the names of the roles, joined by "+".
 func (r Roles) String() string {
 	var names []string
 	for i, name := range roleNames {
@@ -27,40 +30,49 @@
 	return strings.Join(names, "+")
 }
 
-// ParseRoles reads names of roles; bad is the first that is none.
+// ParseRoles reads names of roles; unknown is the first that is not one, empty if there is none.
 func ParseRoles(names []string) (roles Roles, unknown string) {
-next:
 	for _, name := range names {
-		for i, known := range roleNames {
-			if name == known {
-				roles |= 1 << i
-				continue next
-			}
+		role, known := parseRole(name)
+		if !known {
+			return roles, name
 		}
-		return roles, name
+		roles |= role
 	}
 	return roles, ""
 }
 
-// Descriptor is what a member says it is, for the whole of its life.
+func parseRole(name string) (role Roles, known bool) {
+	for i, candidate := range roleNames {
+		if name == candidate {
+			return 1 << i, true
+		}
+	}
+	return 0, false
+}
+
+// Descriptor is what a member says it is, from its start to its end.
 type Descriptor struct {
 	Name        Name
 	Incarnation Incarnation
 	BootID      BootID
 	GossipAddr  string // where its gossip is reached
-	ServiceAddr string // where it takes ops; empty for one that takes none
+	ServiceAddr string // where it takes requests; empty for one that takes none
 	Roles       Roles
 	Zone        string
 	Release     string
-	Capacity    float64       // told: what it does beside the others, in cores
-	WarmUp      time.Duration // how long it takes from ready to its full pace
+	Capacity    float64       // as configured: its share of work beside the others, in cores
+	WarmUp      time.Duration // from ready to its full rate
 }
 
-// ID is the life that claims.
-func (c Descriptor) ID() ID { return ID{c.Name, c.BootID} }
+// ID is the identity of the process that the descriptor describes.
+func (d Descriptor) ID() ID { return ID{Name: d.Name, BootID: d.BootID} }
 
-// olderThan tells whether a claim is of an earlier life of the name than another. Two of one number are told apart by their
-// lives, so that all who hear both decide alike.
-func (c Descriptor) olderThan(other Descriptor) bool {
-	return c.Incarnation < other.Incarnation || c.Incarnation == other.Incarnation && c.BootID < other.BootID
+// olderThan reports whether d is of an earlier process of the name than other. Two of the same incarnation are
+// ordered by their boot IDs, so that all who see both decide alike.
+func (d Descriptor) olderThan(other Descriptor) bool {
+	if d.Incarnation != other.Incarnation {
+		return d.Incarnation < other.Incarnation
+	}
+	return d.BootID < other.BootID
 }
--- a/internal/membership/fence.go
+++ b/internal/membership/fence.go
@@ -6,22 +6,42 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// fenceNotifiers is how many tell an old life that it is over; the word may be lost on the way.
+// fenceNotifiers is how many members notify an outdated process: a notice may be lost on the way.
 const fenceNotifiers = 2
 
-// ShouldNotifyFenced tells whether it is on us to say so to an old life: few do, the same ones by every view, and not all the time.
+// fenceNotices is when which outdated process was last notified that it is fenced.
+type fenceNotices map[ID]time.Duration
+
+// expire drops those that are older than retention.
+func (n fenceNotices) expire(now, retention time.Duration) {
+	for id, notifiedAt := range n {
+		if now-notifiedAt > retention {
+			delete(n, id)
+		}
+	}
+}
+
+// ShouldNotifyFenced reports whether this process is to notify an outdated one: few are, the same ones by every view,
+// and not again within the settle time. A call that reports true counts as a notice.
 func (t *Table) ShouldNotifyFenced(id ID, now time.Duration) bool {
 	if notifiedAt, notified := t.fenceNotices[id]; notified && now-notifiedAt < t.config.SettleTime {
 		return false
 	}
-	ownHash, lowerHashes := xxhash.Sum64String(string(t.self.Name)+"\x00"+id.String()), 0
-	for m := range t.view.All() {
-		if m.State.Available() && xxhash.Sum64String(string(m.Name)+"\x00"+id.String()) < ownHash {
-			if lowerHashes++; lowerHashes >= fenceNotifiers {
-				return false
-			}
+	ownRank := notifierRank(t.self.Name, id)
+	ahead := 0
+	for member := range t.view.All() {
+		if member.State.Available() && notifierRank(member.Name, id) < ownRank {
+			ahead++
+		}
+		if ahead >= fenceNotifiers {
+			return false
 		}
 	}
 	t.fenceNotices[id] = now
 	return true
 }
+
+// notifierRank orders members by who is to notify an outdated process, the least first.
+func notifierRank(notifier Name, outdated ID) uint64 {
+	return xxhash.Sum64String(string(notifier) + "\x00" + outdated.String())
+}
--- a/internal/membership/fence_test.go
+++ b/internal/membership/fence_test.go
@@ -1,32 +1,37 @@
 package membership
 
-import (
-	"testing"
-)
+import "testing"
 
-// An old life is told by two of those that are here, by whoever's view.
+// An outdated process is notified by two of the members, the same ones by whichever view, and not again at once.
 func TestFenceNotifiers(t *testing.T) {
 	names := []Name{"a", "b", "c", "d", "e", "f", "g"}
-	for life := range BootID(50) {
-		tell := 0
-		for _, me := range names {
-			told := NewTable(Descriptor{Name: me, BootID: 7, Incarnation: 1}, DefaultConfig(), 0)
-			for _, n := range names {
-				if n != me {
-					told.HandleAlive(Descriptor{Name: n, BootID: 7, Incarnation: 1}, 0)
-					told.HandleHeartbeat(Heartbeat{ID: ID{n, 7}, Sequence: 1, Ready: true, ReadyFor: s}, 0, 0)
-				}
+	for bootID := range BootID(50) {
+		outdated := ID{"x", bootID}
+		notifiers := 0
+		for _, self := range names {
+			table := tableOf(self, names)
+			if !table.ShouldNotifyFenced(outdated, 0) {
+				continue
 			}
-			old := ID{"x", life}
-			if told.ShouldNotifyFenced(old, 0) {
-				tell++
-				if told.ShouldNotifyFenced(old, s) {
-					t.Fatal("told again at once")
-				}
+			notifiers++
+			if table.ShouldNotifyFenced(outdated, s) {
+				t.Fatal("notified again at once")
 			}
 		}
-		if tell != fenceNotifiers {
-			t.Fatal(life, tell)
+		if notifiers != fenceNotifiers {
+			t.Fatalf("%v is notified by %d members, want %d", outdated, notifiers, fenceNotifiers)
 		}
 	}
 }
+
+// tableOf is the table of one of several members that know each other.
+func tableOf(self Name, names []Name) *Table {
+	table := NewTable(Descriptor{Name: self, BootID: 7, Incarnation: 1}, DefaultConfig(), 0)
+	for _, name := range names {
+		if name != self {
+			table.HandleAlive(Descriptor{Name: name, BootID: 7, Incarnation: 1}, 0)
+			table.HandleHeartbeat(Heartbeat{ID: ID{name, 7}, Sequence: 1, Ready: true, ReadyFor: s}, 0, 0)
+		}
+	}
+	return table
+}
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -1,19 +1,17 @@
 package membership
 
 import (
-	"bytes"
 	"encoding/json"
-	"flag"
 	"os"
 	"path/filepath"
 	"reflect"
 	"testing"
-)
 
-// The golden file holds the words and numbers that processes of two versions share: what is sent, shown on status
-// sockets and written in operators' files. -update is for one that is added.
-var update = flag.Bool("update", false, "write the golden file anew")
+	"lanewheel/internal/goldentest"
+)
 
+// goldenFile holds the names and numbers that processes of two versions share: what is sent, shown on status sockets
+// and written in operators' files.
 const goldenFile = "shared.json"
 
 // sharedValues is every enumeration by its value, and what an identity looks like in a message.
@@ -35,12 +33,13 @@
 	for _, x := range []State{StateJoining, StateWarming, StateUp, StateSuspect, StateLeaving, StateGone, StateFenced} {
 		s.States = append(s.States, x.String())
 	}
-	for _, x := range []LocalHealth{LocalLearning, LocalHealthy, LocalDegraded, LocalIsolated, LocalUnanswered, LocalResumed, LocalFenced} {
+	for _, x := range []LocalHealth{LocalLearning, LocalHealthy, LocalDegraded, LocalIsolated, LocalUnanswered,
+		LocalResumed, LocalFenced} {
 		s.Standing = append(s.Standing, x.String())
 	}
-	for _, x := range []Reason{ReasonDiscovered, ReasonReady, ReasonWarmedUp, ReasonUnreachable, ReasonSilent, ReasonFlapping, ReasonRecovered, ReasonDraining, ReasonLeft,
-		ReasonTimedOut, ReasonSuperseded} {
-		s.Reasons = append(s.Reasons, string(x))
+	for _, x := range []Reason{ReasonDiscovered, ReasonReady, ReasonWarmedUp, ReasonUnreachable, ReasonSilent,
+		ReasonFlapping, ReasonRecovered, ReasonDraining, ReasonLeft, ReasonTimedOut, ReasonSuperseded} {
+		s.Reasons = append(s.Reasons, x.String())
 	}
 	id := ID{Name: "blue", BootID: 0x0123456789abcdef}
 	s.ID, s.Mark = id.String(), Fingerprint(id)
@@ -60,21 +59,11 @@
 	}
 	text = append(text, '\n')
 	path := filepath.Join("testdata", goldenFile)
-	if *update {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, text, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
+	goldentest.CheckText(t, path, text)
 	stored, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(text, stored) {
-		t.Errorf("now\n%s\nstored is\n%s", text, stored)
-	}
 	var back sharedValues
 	if err := json.Unmarshal(stored, &back); err != nil {
 		t.Fatal(err)
--- a/internal/membership/harness_test.go
+++ b/internal/membership/harness_test.go
@@ -13,15 +13,16 @@
 	*Table
 	now              time.Duration
 	quiet            bool
-	reachableSenders []string // who is heard, and answers, all the time
+	reachableSenders []string // members that are heard, and answer, all the time
 }
 
-func newHarness(change ...func(*Config)) *tableHarness {
+func newHarness(changes ...func(*Config)) *tableHarness {
 	config := DefaultConfig()
-	for _, c := range change {
-		c(&config)
+	for _, change := range changes {
+		change(&config)
 	}
-	return &tableHarness{Table: NewTable(Descriptor{Name: "me", Incarnation: 100, BootID: 1, GossipAddr: "me:1"}, config, 0)}
+	self := Descriptor{Name: "me", Incarnation: 100, BootID: 1, GossipAddr: "me:1"}
+	return &tableHarness{Table: NewTable(self, config, 0)}
 }
 
 func (x *tableHarness) advance(d time.Duration) {
@@ -36,7 +37,7 @@
 	}
 }
 
-// stall is to stand still.
+// stall has the process stand still.
 func (x *tableHarness) stall(d time.Duration) {
 	x.now += d
 	x.Tick(x.now)
@@ -51,23 +52,42 @@
 	}
 }
 
-func (x *tableHarness) alive(name Name, life BootID, inc Incarnation) AliveResult {
-	v := x.HandleAlive(Descriptor{Name: name, BootID: life, Incarnation: inc, GossipAddr: string(name) + ":1", WarmUp: 5 * s}, x.now)
+// alive hands in a member's descriptor.
+func (x *tableHarness) alive(name Name, bootID BootID, incarnation Incarnation) AliveResult {
+	result := x.HandleAlive(Descriptor{
+		Name:        name,
+		BootID:      bootID,
+		Incarnation: incarnation,
+		GossipAddr:  string(name) + ":1",
+		WarmUp:      5 * s,
+	}, x.now)
 	x.printChanges()
-	return v
+	return result
 }
 
-func (x *tableHarness) heartbeat(name Name, life BootID, sequence uint64, age time.Duration, metrics ...Metric) bool {
-	accepted := x.HandleHeartbeat(Heartbeat{ID: ID{name, life}, Sequence: sequence, Ready: true, ReadyFor: 10 * s, Metrics: metrics}, age, x.now)
+// heartbeat hands in a heartbeat of a member that has been ready for long, written just now.
+func (x *tableHarness) heartbeat(name Name, bootID BootID, sequence uint64, metrics ...Metric) bool {
+	return x.publish(Heartbeat{
+		ID:       ID{name, bootID},
+		Sequence: sequence,
+		Ready:    true,
+		ReadyFor: 10 * s,
+		Metrics:  metrics,
+	}, 0)
+}
+
+// publish hands in any heartbeat.
+func (x *tableHarness) publish(heartbeat Heartbeat, age time.Duration) bool {
+	accepted := x.HandleHeartbeat(heartbeat, age, x.now)
 	x.printChanges()
 	return accepted
 }
 
-// bringUp brings members in, ready long since.
+// bringUp adds members that have been ready for long.
 func (x *tableHarness) bringUp(names ...Name) {
 	for _, n := range names {
 		x.alive(n, 7, 1)
-		x.heartbeat(n, 7, 1, 0)
+		x.heartbeat(n, 7, 1)
 	}
 }
 
@@ -77,7 +97,7 @@
 		x.advance(s)
 		for _, n := range names {
 			m, _ := x.View().Get(n)
-			x.heartbeat(n, m.BootID, m.Sequence+1, 0)
+			x.heartbeat(n, m.BootID, m.Sequence+1)
 		}
 	}
 }
@@ -90,7 +110,7 @@
 	}
 	b.ReportAllocs()
 	for i := range b.N {
-		x.heartbeat(Name(fmt.Sprint("n", i%300)), 7, uint64(i+2), 0, Metric{Name: "load", Value: 1, TTL: s})
+		x.heartbeat(Name(fmt.Sprint("n", i%300)), 7, uint64(i+2), Metric{Name: "load", Value: 1, TTL: s})
 	}
 }
 
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -5,118 +5,160 @@
 	"time"
 )
 
-// joinAttempt is how an address was last tried.
-type joinAttempt struct {
-	retryAt time.Duration // when it may be tried again
-	backoff time.Duration
-}
-
-// What is tried again waits twice as long each time. The first pause is some round trips of a poor link, the last one lets a seed
-// that came back be found while an operator looks on.
+// The pause before an address is called again doubles each time, within these bounds.
 const (
 	minJoinBackoff = 500 * time.Millisecond
 	maxJoinBackoff = 10 * time.Second
 )
 
-// fleetJoinRate is how many in the whole fleet try an address each second, where many miss the same. Danger: hundreds that miss one
-// seed, and all knock at the moment it is back.
+// fleetJoinRate is how many members of the whole fleet call an address each second where many miss the same one. It
+// keeps hundreds that miss one seed from calling it at the moment that it is back.
 const fleetJoinRate = 3
 
-// NextJoinAddr gives an address to call, if there is one to call now. It is asked once a second. A seed that nobody here has, and
-// whoever was lost without having left, may be a part of the fleet that does not know of us: two halves that have given each
-// other up find together by nothing else. chance is from 0 to 1.
+// maxPredecessorCallers bounds the list of those that called our predecessor: one that answers tells us of all others.
+const maxPredecessorCallers = 4
+
+const (
+	// divergenceDelay is how long a view has to stand before it is held to differ: news takes some rounds of gossip.
+	divergenceDelay = 2 * time.Second
+	// divergentJoinChance is the chance each second that the member whose view differs from most calls another.
+	divergentJoinChance = 0.2
+)
+
+// joinSchedule is which gossip addresses were called, and which are to be called first.
+type joinSchedule struct {
+	attempts           map[string]joinAttempt // of addresses that did not answer
+	predecessorCallers []string               // addresses of members that called the process that had our name before
+}
+
+// joinAttempt is how an address was last called.
+type joinAttempt struct {
+	retryAt time.Duration // when it may be called again
+	backoff time.Duration
+}
+
+// due reports whether an address may be called again.
+func (j *joinSchedule) due(addr string, now time.Duration) bool {
+	return now >= j.attempts[addr].retryAt
+}
+
+func (j *joinSchedule) dropPredecessorCaller(addr string) {
+	j.predecessorCallers = slices.DeleteFunc(j.predecessorCallers, func(a string) bool { return a == addr })
+}
+
+// NextJoinAddr gives a gossip address to call now, if there is one. It is to be called once a second. A seed where
+// nobody is known, and a member that was lost without having left, may be in a part of the fleet that does not know
+// of us: two halves that have declared each other gone find together by nothing else. random gives numbers from 0 to
+// 1.
 func (t *Table) NextJoinAddr(now time.Duration, random func() float64) (addr string, ok bool) {
 	knownAddrs := map[string]bool{t.self.GossipAddr: true}
-	var missing []string
 	present := 0
-	for m := range t.view.All() {
-		if m.State != StateGone && m.State != StateFenced && !m.unreachable {
-			knownAddrs[m.GossipAddr] = true
+	for member := range t.view.All() {
+		if member.State.Present() && !member.reachability.lost {
+			knownAddrs[member.GossipAddr] = true
 			present++
 		}
 	}
-	missing = append(missing, t.config.Seeds...)
-	for m := range t.view.All() {
-		if m.unreachable && m.Reason != ReasonLeft && m.State != StateFenced {
-			missing = append(missing, m.GossipAddr)
-		}
+	for known := range knownAddrs {
+		delete(t.joins.attempts, known)
 	}
-	excluded := func(a string) bool { return knownAddrs[a] || now < t.joinAttempts[a].retryAt }
-	missing = slices.DeleteFunc(missing, excluded)
-	for a := range t.joinAttempts {
-		if knownAddrs[a] {
-			delete(t.joinAttempts, a)
-		}
-	}
-	t.predecessorCallers = slices.DeleteFunc(t.predecessorCallers, excluded)
-	if len(t.predecessorCallers) > 0 { // no herd: each is called by those alone whose former lives it called
-		return t.predecessorCallers[0], true
+	excluded := func(addr string) bool { return knownAddrs[addr] || !t.joins.due(addr, now) }
+	t.joins.predecessorCallers = slices.DeleteFunc(t.joins.predecessorCallers, excluded)
+	if len(t.joins.predecessorCallers) > 0 { // called at once: each of them is called by us alone
+		return t.joins.predecessorCallers[0], true
 	}
+	missing := slices.DeleteFunc(t.missingAddrs(), excluded)
 	if len(missing) == 0 {
 		return t.nextDivergentMember(now, present, random)
 	}
-	if present > 0 && random() >= float64(fleetJoinRate)/float64(present+1) {
+	if present > 0 && random() >= joinChance(present) {
 		return "", false
 	}
-	return missing[min(len(missing)-1, int(random()*float64(len(missing))))], true
+	return pick(missing, random), true
 }
 
-// AddPredecessorCaller takes the address of a member that called the life before ours, under our address: it is a part of the fleet that does not know of us yet.
-// Danger: a seed that is started again together with others is found by these alone; the rest of the fleet, which still holds the former lives
-// to be there, comes to know of it only once the detector has given them up, some seconds later in a small fleet and many in a large one.
-func (t *Table) AddPredecessorCaller(addr string) {
-	const maxCallers = 4 // one that answers tells us of all others
-	if len(t.predecessorCallers) < maxCallers && !slices.Contains(t.predecessorCallers, addr) {
-		t.predecessorCallers = append(t.predecessorCallers, addr)
-	}
+// joinChance is the chance at which each member of a fleet calls, so that the whole fleet calls at its rate.
+func joinChance(present int) float64 { return float64(fleetJoinRate) / float64(present+1) }
+
+// pick chooses one of addrs, of which there has to be one.
+func pick(addrs []string, random func() float64) string {
+	return addrs[min(len(addrs)-1, int(random()*float64(len(addrs))))]
 }
 
-// divergenceDelay is how long views have to stand before they are held to differ: news takes some rounds of gossip.
-const divergenceDelay = 2 * time.Second
+// missingAddrs gives the seeds, and the addresses of members that were lost without having left.
+func (t *Table) missingAddrs() []string {
+	missing := slices.Clone(t.config.Seeds)
+	for member := range t.view.All() {
+		if member.reachability.lost && member.Reason != ReasonLeft && member.State != StateFenced {
+			missing = append(missing, member.GossipAddr)
+		}
+	}
+	return missing
+}
 
-// divergentJoinChance is the chance a second that one calls who differs from most.
-const divergentJoinChance = 0.2
+// AddPredecessorCaller takes the address of a member that called the process that had our name and address before: a
+// part of the fleet that does not know of us yet. A seed that is started again together with others is found by these
+// alone; the rest of the fleet would learn of it only once the detector has reported the predecessors, many seconds
+// later.
+func (t *Table) AddPredecessorCaller(addr string) {
+	joins := &t.joins
+	if len(joins.predecessorCallers) < maxPredecessorCallers && !slices.Contains(joins.predecessorCallers, addr) {
+		joins.predecessorCallers = append(joins.predecessorCallers, addr)
+	}
+}
 
-// nextDivergentMember gives the address of a member that holds others to be here than we do, though both have had time to hear the same.
-// Danger: who joins by one that doubts somebody just then misses him, and the gossip that he is well went out before.
+// nextDivergentMember gives the address of a member whose view differs from ours, though both have had time to
+// receive the same. Without it a process that joined through one that was in doubt of a third at that moment would
+// miss the third, as the news that it is well went out before.
 func (t *Table) nextDivergentMember(now time.Duration, present int, random func() float64) (addr string, ok bool) {
 	if now-t.viewDigestSince < divergenceDelay || present == 0 {
 		return "", false
 	}
 	var divergent []string
 	agreeing := 0
-	for m := range t.view.All() {
+	for member := range t.view.All() {
 		switch {
-		case !m.State.Available() || m.unreachable || m.viewDigest == 0 || m.HeartbeatAt <= t.viewDigestSince+divergenceDelay/2:
-		case m.viewDigest == t.viewDigest:
+		case !t.hasSettledView(member):
+		case member.viewDigest == t.viewDigest:
 			agreeing++
-		case now >= t.joinAttempts[m.GossipAddr].retryAt:
-			divergent = append(divergent, m.GossipAddr)
+		case t.joins.due(member.GossipAddr, now):
+			divergent = append(divergent, member.GossipAddr)
 		}
 	}
-	// Who differs from most is most likely the odd one, and need not wait for somebody to find him. Not all at once all the same: while
-	// the whole fleet changes everybody seems odd to himself.
-	probability := float64(fleetJoinRate) / float64(present+1)
+	// A member that differs from most is most likely the one that misses something, and need not wait to be called. It
+	// does so by chance all the same, as each differs from most while the whole fleet changes.
+	chance := joinChance(present)
 	if len(divergent) > agreeing {
-		probability = max(probability, divergentJoinChance)
+		chance = max(chance, divergentJoinChance)
 	}
-	if len(divergent) == 0 || random() >= probability {
+	if len(divergent) == 0 || random() >= chance {
 		return "", false
 	}
-	return divergent[min(len(divergent)-1, int(random()*float64(len(divergent))))], true
+	return pick(divergent, random), true
 }
 
-// RecordJoin takes what became of a call. The pause before the next is half to one and a half times what it would be, by chance.
+// hasSettledView reports whether a member's last view digest is late enough to be compared with ours.
+func (t *Table) hasSettledView(member Member) bool {
+	return member.State.Available() && !member.reachability.lost && member.viewDigest != 0 &&
+		member.HeartbeatAt > t.viewDigestSince+divergenceDelay/2
+}
+
+// RecordJoin takes the result of a call. The pause before the next one is jittered by half.
 func (t *Table) RecordJoin(addr string, succeeded bool, now time.Duration, random func() float64) {
-	t.predecessorCallers = slices.DeleteFunc(t.predecessorCallers, func(a string) bool { return a == addr })
+	t.joins.dropPredecessorCaller(addr)
 	if succeeded {
-		delete(t.joinAttempts, addr)
+		delete(t.joins.attempts, addr)
 		return
 	}
-	attempt := t.joinAttempts[addr]
+	attempt := t.joins.attempts[addr]
 	attempt.backoff = min(max(2*attempt.backoff, minJoinBackoff), maxJoinBackoff)
-	attempt.retryAt = now + time.Duration((0.5+random())*float64(attempt.backoff))
-	if len(t.joinAttempts) < 2*t.config.MaxMembers {
-		t.joinAttempts[addr] = attempt
+	attempt.retryAt = now + Jitter(attempt.backoff, random())
+	if len(t.joins.attempts) < 2*t.config.MaxMembers {
+		t.joins.attempts[addr] = attempt
 	}
 }
+
+// Jitter gives half to one and a half times an interval, by a random number from 0 to 1.
+func Jitter(interval time.Duration, random float64) time.Duration {
+	return time.Duration((0.5 + random) * float64(interval))
+}
--- a/internal/membership/join_test.go
+++ b/internal/membership/join_test.go
@@ -1,13 +1,11 @@
 package membership
 
-import (
-	"fmt"
-)
+import "fmt"
 
-// Whom to call: a seed that nobody here has, and whoever was lost without having left; seldom where many miss the same, later each
-// time, never who is here or has left.
-func Example_reach() {
-	x := newHarness(func(t *Config) { t.Seeds = []string{"a:1", "me:1", "z:1"} })
+// Which address to call: a seed where nobody is known, and a member that was lost without having left; seldom where
+// many miss the same, later each time, never a member that is here or has left.
+func Example_nextJoinAddr() {
+	x := newHarness(func(config *Config) { config.Seeds = []string{"a:1", "me:1", "z:1"} })
 	x.quiet = true
 	half := func() float64 { return 0.4 }
 	fmt.Println(x.NextJoinAddr(x.now, half))
@@ -16,14 +14,14 @@
 	for range 3 {
 		x.RecordJoin("z:1", false, x.now, half)
 		from := x.now
-		for _, any := x.NextJoinAddr(x.now, half); !any; _, any = x.NextJoinAddr(x.now, half) {
+		for _, due := x.NextJoinAddr(x.now, half); !due; _, due = x.NextJoinAddr(x.now, half) {
 			x.advance(s / 2)
 		}
 		fmt.Println("again after", x.now-from)
 	}
 	x.RecordJoin("z:1", false, x.now, half)
-	x.HandleUnreachable(ID{"b", 7}, true, x.now)
-	x.HandleUnreachable(ID{"c", 7}, false, x.now)
+	x.HandleLeft(ID{"b", 7}, x.now)
+	x.HandleUnreachable(ID{"c", 7}, x.now)
 	fmt.Println(x.NextJoinAddr(x.now, half))
 	fmt.Println(x.NextJoinAddr(x.now, func() float64 { return 0.99 }))
 	// Output:
@@ -36,9 +34,10 @@
 	//  false
 }
 
-// Who called the life before ours is called at once and without a throw of chance, once; not who is known already, and a few of them at the most.
-func Example_called() {
-	x := newHarness(func(t *Config) { t.Seeds = []string{"me:1"} })
+// A member that called our predecessor is called at once and not by chance, once; not one that is known already, and
+// a few of them at the most.
+func Example_predecessorCallers() {
+	x := newHarness(func(config *Config) { config.Seeds = []string{"me:1"} })
 	x.quiet = true
 	never := func() float64 { return 0.99 }
 	x.bringUp("a", "b")
@@ -48,8 +47,8 @@
 		x.AddPredecessorCaller(addr)
 	}
 	for range 5 {
-		addr, any := x.NextJoinAddr(x.now, never)
-		fmt.Println(addr, any)
+		addr, due := x.NextJoinAddr(x.now, never)
+		fmt.Println(addr, due)
 		x.RecordJoin(addr, addr != "d:1", x.now, never)
 	}
 	// Output:
@@ -61,22 +60,33 @@
 	//  false
 }
 
-// Two views that differ though both stand are laid beside each other; while either still changes, they are not.
-func Example_differing() {
+// A member whose view differs from ours is called once both have settled, not while either still changes.
+func Example_divergentViews() {
 	x := newHarness()
 	x.quiet = true
 	x.bringUp("a", "b")
 	always := func() float64 { return 0 }
 	x.advance(4 * s)
 	fmt.Println(x.NextJoinAddr(x.now, always))
-	x.HandleHeartbeat(Heartbeat{ID: ID{"b", 7}, Sequence: 2, Ready: true, ReadyFor: s, ViewDigest: x.ViewDigest()}, 0, x.now)
+	publish := func(name Name, sequence, viewDigest uint64) {
+		x.publish(Heartbeat{
+			ID:         ID{name, 7},
+			Sequence:   sequence,
+			Ready:      true,
+			ReadyFor:   s,
+			ViewDigest: viewDigest,
+		}, 0)
+	}
+	publish("b", 2, x.ViewDigest())
 	fmt.Println(x.NextJoinAddr(x.now, always))
-	x.HandleHeartbeat(Heartbeat{ID: ID{"a", 7}, Sequence: 2, Ready: true, ReadyFor: s, ViewDigest: x.ViewDigest() ^ Fingerprint(ID{"c", 7})}, 0, x.now)
+	publish("a", 2, x.ViewDigest()^Fingerprint(ID{"c", 7}))
 	fmt.Println(x.NextJoinAddr(x.now, always))
 	x.alive("d", 7, 1)
-	x.HandleHeartbeat(Heartbeat{ID: ID{"a", 7}, Sequence: 3, Ready: true, ReadyFor: s, ViewDigest: 1}, -0, x.now+divergenceDelay)
-	fmt.Println(x.NextJoinAddr(x.now+divergenceDelay/2, always))
-	fmt.Println(x.NextJoinAddr(x.now+2*divergenceDelay, always))
+	changedAt := x.now
+	x.now += divergenceDelay
+	publish("a", 3, 1)
+	fmt.Println(x.NextJoinAddr(changedAt+divergenceDelay/2, always))
+	fmt.Println(x.NextJoinAddr(changedAt+2*divergenceDelay, always))
 	// Output:
 	//  false
 	//  false
--- a/internal/membership/keys.go
+++ b/internal/membership/keys.go
@@ -1,19 +1,23 @@
 package membership
 
-import "bytes"
+import (
+	"bytes"
+	"slices"
+)
 
-// Key is one of the cluster's: who has none of them is heard by nobody.
+// Key is one of the cluster's gossip keys: a process that has none of them is heard by nobody.
 type Key []byte
 
-// KeyRotation is what has to be done, in this order, to go by a new list of keys; the first of a list is the one that is written with.
+// KeyRotation is what has to be done, in this order, to replace a list of keys; the first of a list is the primary one,
+// which messages are encrypted with.
 type KeyRotation struct {
 	Add     []Key
 	Primary Key // nil: the same as before
 	Remove  []Key
 }
 
-// PlanKeyRotation says how to get from one list to another. What is added comes first and what is dropped last, so that at no moment a
-// message can't be read that the list before or the one after could read.
+// PlanKeyRotation gives the way from one list of keys to another. Keys are added first and removed last, so that at no
+// moment a message cannot be read that the earlier or the later list could read.
 func PlanKeyRotation(from, to []Key) (rotation KeyRotation) {
 	for _, key := range to {
 		if !containsKey(from, key) {
@@ -32,10 +36,5 @@
 }
 
 func containsKey(keys []Key, key Key) bool {
-	for _, candidate := range keys {
-		if bytes.Equal(candidate, key) {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(keys, func(candidate Key) bool { return bytes.Equal(candidate, key) })
 }
--- a/internal/membership/keys_test.go
+++ b/internal/membership/keys_test.go
@@ -9,36 +9,42 @@
 	_ "lanewheel/internal/rapidtest"
 )
 
-// Keys: at no moment of a turn is there a message that neither list can read.
+// At no moment of a rotation the primary key is one that the keyring lacks, and in the end the keyring is the new list.
 func TestPlanKeyRotation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		draw := func(label string) (list []Key) {
-			for _, k := range rapid.Permutation([]byte("abcde")).Draw(t, label)[:rapid.IntRange(1, 5).Draw(t, label+"s")] {
-				list = append(list, Key{k})
-			}
-			return list
-		}
-		from, to := draw("from"), draw("to")
-		turn, ring, use := PlanKeyRotation(from, to), slices.Clone(from), from[0]
+		from := drawKeys(t, "from")
+		to := drawKeys(t, "to")
+		rotation := PlanKeyRotation(from, to)
+		keyring := slices.Clone(from)
+		primary := from[0]
 		check := func() {
-			if !containsKey(ring, use) {
-				t.Fatal("writes with a key that it does not have")
+			if !containsKey(keyring, primary) {
+				t.Fatal("encrypts with a key that it does not have")
 			}
 		}
-		for _, k := range turn.Add {
-			ring = append(ring, k)
+		for _, key := range rotation.Add {
+			keyring = append(keyring, key)
 			check()
 		}
-		if turn.Primary != nil {
-			use = turn.Primary
+		if rotation.Primary != nil {
+			primary = rotation.Primary
 			check()
 		}
-		for _, k := range turn.Remove {
-			ring = slices.DeleteFunc(ring, func(x Key) bool { return x[0] == k[0] })
+		for _, key := range rotation.Remove {
+			keyring = slices.DeleteFunc(keyring, func(candidate Key) bool { return candidate[0] == key[0] })
 			check()
 		}
-		if len(ring) != len(to) || use[0] != to[0][0] {
-			t.Fatal(ring, use, to)
+		if len(keyring) != len(to) || primary[0] != to[0][0] {
+			t.Fatal(keyring, primary, to)
 		}
 	})
 }
+
+// drawKeys draws a list of distinct keys.
+func drawKeys(t *rapid.T, label string) (keys []Key) {
+	order := rapid.Permutation([]byte("abcde")).Draw(t, label)
+	for _, key := range order[:rapid.IntRange(1, 5).Draw(t, label+" count")] {
+		keys = append(keys, Key{key})
+	}
+	return keys
+}
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -1,72 +1,83 @@
 package membership
 
-import (
-	"time"
-)
+import "time"
 
-// State is where a member stands.
+// State is where a member stands. Its names are shown on status sockets.
 type State uint8
 
+// The states, in the order of a member's life.
 const (
-	StateJoining State = iota // its claim was heard, not yet that it can serve
-	StateWarming              // it serves, below its full pace
-	StateUp
-	StateSuspect // in doubt, see Reason
-	StateLeaving // it said so
-	StateGone    // left, or given up
-	StateFenced  // a later life has its name
+	StateJoining State = iota // its descriptor is known, not yet that it can serve
+	StateWarming              // it serves, at less than its full rate
+	StateUp                   // it serves
+	StateSuspect              // in doubt, see Reason
+	StateLeaving              // it drains, by its own word
+	StateGone                 // it left, or was declared gone
+	StateFenced               // a later process has its name
 )
 
 var stateNames = [...]string{"joining", "warming", "up", "suspect", "leaving", "gone", "fenced"}
 
 func (s State) String() string { return stateNames[s] }
 
-// Available tells whether work may be meant for a member in this state.
+// Available reports whether work may be sent to a member in this state.
 func (s State) Available() bool { return s == StateWarming || s == StateUp }
 
-// Reason is why a member is in its state.
-type Reason string
+// Present reports whether a member in this state is part of the fleet still.
+func (s State) Present() bool { return s != StateGone && s != StateFenced }
+
+// Reason is why a member is in its state. Its names are shown on status sockets.
+type Reason uint8
 
+// The reasons.
 const (
-	ReasonDiscovered  Reason = "claimed"
-	ReasonReady       Reason = "ready"
-	ReasonWarmedUp    Reason = "warmed"
-	ReasonUnreachable Reason = "unreached" // the detector has given it up
-	ReasonSilent      Reason = "mute"      // its gossip lives, its program says nothing
-	ReasonFlapping    Reason = "flapping"  // it came back too often of late
-	ReasonRecovered   Reason = "returned"
-	ReasonDraining    Reason = "said" // that it leaves
-	ReasonLeft        Reason = "left"
-	ReasonTimedOut    Reason = "given-up" // in doubt for too long
-	ReasonSuperseded  Reason = "superseded"
+	ReasonDiscovered  Reason = iota // its descriptor was received
+	ReasonReady                     // it reported that it can serve
+	ReasonWarmedUp                  // its warm-up is over
+	ReasonUnreachable               // the failure detector does not reach it
+	ReasonSilent                    // its gossip lives, but it publishes no heartbeat
+	ReasonFlapping                  // it came back too often of late
+	ReasonRecovered                 // it was unreachable or silent, and is no more
+	ReasonDraining                  // it reported that it drains
+	ReasonLeft                      // it left by its own word
+	ReasonTimedOut                  // it was in doubt for too long
+	ReasonSuperseded                // a later process has its name
 )
 
-// Member is one member as it is believed to be. It is a value: nobody changes it.
+var reasonNames = [...]string{"claimed", "ready", "warmed", "unreached", "mute", "flapping", "returned", "said", "left",
+	"given-up", "superseded"}
+
+func (r Reason) String() string { return reasonNames[r] }
+
+// Member is one member as it is known here. It is a value: nobody changes it in place.
 type Member struct {
 	Descriptor
 	State       State
 	Reason      Reason
-	StateSince  time.Duration // when it came into the state, by our own time
-	Sequence    uint64
-	HeartbeatAt time.Duration // when its last bulletin was written, by our own time
-	Metrics     []Metric      // the last that it published, never changed in place
-
-	fingerprint           uint64 // Mark of its life
-	viewDigest            uint64 // of its view, as of Spoke
-	ready                 bool
-	readyFor              time.Duration // how long it had been ready at its last bulletin
-	warmUpUntil           time.Duration // when it is warm
-	unreachable           bool          // the detector does not reach it
-	unreachableSince      time.Duration // since when, by the judgement's clock
-	unreachableReportedAt time.Duration // when that was said, by our own time
-	flapExempt            bool          // it was lost while we were not sound ourselves, or with many others
-	lastHeardAt           time.Duration // when it last spoke or came back, by the judgement's clock
-	flapPenalty           float64       // for coming back, as of penaltyAt
-	flapPenaltyAt         time.Duration
-	flapSuppressed        bool
+	StateSince  time.Duration // when it came into the state, by our clock
+	Sequence    uint64        // of its last heartbeat
+	HeartbeatAt time.Duration // when its last heartbeat was written, by our clock
+	Metrics     []Metric      // of its last heartbeat, never changed in place
+
+	fingerprint  uint64 // Fingerprint of its identity
+	viewDigest   uint64 // of its view, as of its last heartbeat
+	ready        bool
+	readyFor     time.Duration // how long it had been ready at its last heartbeat
+	warmUpUntil  time.Duration // when its warm-up is over
+	reachability reachability
+	lastHeardAt  time.Duration // when it last published or came back, by the judgement clock
+	flapping     flapPenalty
+}
+
+// reachability is what the failure detector reported of a member.
+type reachability struct {
+	lost       bool          // the detector does not reach it
+	lostSince  time.Duration // since when, by the judgement clock
+	reportedAt time.Duration // when the detector said so, by our clock
+	flapExempt bool          // it was lost while we were not healthy ourselves, or with many others
 }
 
-// Metric gives a fact that is still believed, and how old it is.
+// Metric gives the value of a metric and its age; ok is false if the member has no such metric or it is past its TTL.
 func (m Member) Metric(name string, now time.Duration) (value float64, age time.Duration, ok bool) {
 	for _, metric := range m.Metrics {
 		if metric.Name == name {
@@ -77,10 +88,20 @@
 	return 0, 0, false
 }
 
-// WarmUpRemaining is how long a member still has to its full pace.
+// WarmUpRemaining is how long a member still has to its full rate.
 func (m Member) WarmUpRemaining(now time.Duration) time.Duration { return max(0, m.warmUpUntil-now) }
 
-// Heartbeat gives the last one that a member published, less what it said to stand for, and how old it is.
+// Heartbeat gives the last heartbeat that a member published, and its age.
 func (m Member) Heartbeat(now time.Duration) (heartbeat Heartbeat, age time.Duration) {
-	return Heartbeat{ID: m.ID(), Incarnation: m.Incarnation, Sequence: m.Sequence, Ready: m.ready, ReadyFor: m.readyFor, Draining: m.Reason == ReasonDraining, ViewDigest: m.viewDigest, Metrics: m.Metrics}, now - m.HeartbeatAt
+	heartbeat = Heartbeat{
+		ID:          m.ID(),
+		Incarnation: m.Incarnation,
+		Sequence:    m.Sequence,
+		Ready:       m.ready,
+		ReadyFor:    m.readyFor,
+		Draining:    m.Reason == ReasonDraining,
+		ViewDigest:  m.viewDigest,
+		Metrics:     m.Metrics,
+	}
+	return heartbeat, now - m.HeartbeatAt
 }
--- a/internal/membership/reachability.go
+++ b/internal/membership/reachability.go
@@ -1,55 +1,76 @@
 package membership
 
-import (
-	"time"
-)
+import "time"
 
-// markReachable takes a member that the detector reaches again.
-func (t *Table) markReachable(member Member, now time.Duration) {
-	if !member.unreachable && member.State != StateGone {
-		t.transition(member, member.State, member.Reason, now)
+// HandleUnreachable takes the failure detector's report that it does not reach a process any more.
+func (t *Table) HandleUnreachable(id ID, now time.Duration) {
+	member, present := t.presentMember(id)
+	switch {
+	case !present:
 		return
-	}
-	if member.unreachable && member.State != StateSuspect && member.State != StateGone { // within the doubt: the word was wrong, nothing happened
-		t.Stats.RefutedSuspicions++
-		member.unreachable = false
-		t.transition(member, member.State, member.Reason, now)
+	case member.State == StateLeaving:
+		t.markLeft(member, now)
+	case !member.reachability.lost:
+		member.reachability = reachability{
+			lost:       true,
+			lostSince:  t.clock.at(now),
+			reportedAt: now,
+			flapExempt: !t.healthy(now),
+		}
+		t.members = t.members.Set(member.Name, member)
+	default:
 		return
 	}
-	// Who comes back with many others, or while we ourselves were out, has not flapped: what lay between was cut.
-	if !member.flapExempt {
-		t.addFlapPenalty(&member, now)
+	t.publishView(now)
+}
+
+// HandleLeft takes a process's own word that it has left.
+func (t *Table) HandleLeft(id ID, now time.Duration) {
+	if member, present := t.presentMember(id); present {
+		t.markLeft(member, now)
+		t.publishView(now)
 	}
-	member.unreachable, member.flapExempt, member.lastHeardAt = false, false, t.judgementClock(now)
-	t.reclassify(member, ReasonRecovered, now)
 }
 
-// exemptMassLoss marks those that are lost at one time with more than a few others: that is a cut or a zone, not one that flaps.
-func (t *Table) exemptMassLoss() {
-	threshold := max(1, t.members.Len()/8)
-	var unreachable []Member
-	for it := t.members.Iterator(); !it.Done(); {
-		if _, m, _ := it.Next(); m.unreachable && m.State != StateGone && m.State != StateLeaving {
-			unreachable = append(unreachable, m)
-		}
+// presentMember gives the member that is this very process, if it is part of the fleet.
+func (t *Table) presentMember(id ID) (member Member, present bool) {
+	member, known := t.members.Get(id.Name)
+	return member, known && member.BootID == id.BootID && member.State.Present()
+}
+
+func (t *Table) markLeft(member Member, now time.Duration) {
+	member.reachability.lost = true
+	t.transition(member, StateGone, ReasonLeft, now)
+}
+
+// markReachable takes a member that the detector reaches, or reaches again.
+func (t *Table) markReachable(member Member, now time.Duration) {
+	if !member.reachability.lost && member.State != StateGone {
+		t.transition(member, member.State, member.Reason, now)
+		return
 	}
-	if len(unreachable) <= threshold {
+	if member.State != StateSuspect && member.State != StateGone { // the report was false, and is refuted in time
+		t.Stats.RefutedSuspicions++
+		member.reachability.lost = false
+		t.transition(member, member.State, member.Reason, now)
 		return
 	}
-	for _, m := range unreachable {
-		if !m.flapExempt {
-			m.flapExempt = true
-			t.members = t.members.Set(m.Name, m)
-		}
+	// A member that comes back with many others, or while we ourselves were cut off, has not flapped.
+	if !member.reachability.flapExempt {
+		member.flapping.add(t.config.FlapDamping, now)
 	}
+	member.reachability.lost = false
+	member.reachability.flapExempt = false
+	member.lastHeardAt = t.clock.at(now)
+	t.reclassify(member, ReasonRecovered, now)
 }
 
-// reclassify puts a member that is reached where it belongs by what it has said.
+// reclassify gives a member that is reached the state that its last heartbeat asks for.
 func (t *Table) reclassify(member Member, reason Reason, now time.Duration) {
 	switch {
 	case member.State == StateLeaving || member.Reason == ReasonDraining:
 		t.transition(member, StateLeaving, ReasonDraining, now)
-	case member.flapSuppressed:
+	case member.flapping.suppressed:
 		t.transition(member, StateSuspect, ReasonFlapping, now)
 	case !member.ready:
 		t.transition(member, StateJoining, reason, now)
@@ -59,22 +80,3 @@
 		t.transition(member, StateUp, reason, now)
 	}
 }
-
-// HandleUnreachable takes the detector's word that it does not reach a life any more, or that this one has left.
-func (t *Table) HandleUnreachable(id ID, left bool, now time.Duration) {
-	member, known := t.members.Get(id.Name)
-	if !known || member.BootID != id.BootID || member.State == StateGone || member.State == StateFenced {
-		return
-	}
-	switch {
-	case left || member.State == StateLeaving:
-		member.unreachable = true
-		t.transition(member, StateGone, ReasonLeft, now)
-	case !member.unreachable:
-		member.unreachable, member.unreachableSince, member.unreachableReportedAt, member.flapExempt = true, t.judgementClock(now), now, !t.healthy(now)
-		t.members = t.members.Set(member.Name, member)
-	default:
-		return
-	}
-	t.publishView(now)
-}
--- a/internal/membership/reachability_test.go
+++ b/internal/membership/reachability_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A member's way: its claim, ready, warm by how long it has been ready and not by when we heard, leaving, left.
+// A member's life: its descriptor, ready, warmed up by how long it has been ready and not by when we heard, draining,
+// left.
 func Example() {
 	x := newHarness()
 	x.alive("a", 7, 1)
@@ -14,7 +15,7 @@
 	x.advanceWithHeartbeats(2*s, "a")
 	x.HandleHeartbeat(Heartbeat{ID: ID{"a", 7}, Sequence: 9, Ready: true, Draining: true}, 0, x.now)
 	x.printChanges()
-	x.HandleUnreachable(ID{"a", 7}, true, x.now)
+	x.HandleLeft(ID{"a", 7}, x.now)
 	x.printChanges()
 	// Output:
 	// 0s a 1: joining -> joining, claimed
@@ -24,12 +25,12 @@
 	// 2s a 1: leaving -> gone, left
 }
 
-// A death is doubted, suspected, held for certain. A detector's wrongful word that is taken back within the doubt changes nothing.
+// A death is reported, suspected, declared. A false report of the detector that is refuted in time changes nothing.
 func Example_death() {
 	x := newHarness()
 	x.bringUp("a", "b")
-	x.HandleUnreachable(ID{"a", 7}, false, x.now)
-	x.HandleUnreachable(ID{"b", 7}, false, x.now)
+	x.HandleUnreachable(ID{"a", 7}, x.now)
+	x.HandleUnreachable(ID{"b", 7}, x.now)
 	x.advance(s / 2)
 	x.alive("b", 7, 1)
 	x.advanceWithHeartbeats(8*s, "b")
@@ -44,16 +45,16 @@
 	// 1
 }
 
-// One that spoke a moment ago is not in doubt before its next words are due; what it writes well after the detector's word takes that back,
-// also where all others have heard long ago that it is there.
+// A member that published a moment ago is not in doubt before its next heartbeat is due; a heartbeat that it wrote well
+// after the detector's report refutes that, also where all others have heard long ago that it is there.
 func Example_missedRefutation() {
 	x := newHarness()
 	x.bringUp("a", "b")
 	x.advanceWithHeartbeats(4*s, "a", "b")
-	x.HandleUnreachable(ID{"a", 7}, false, x.now)
+	x.HandleUnreachable(ID{"a", 7}, x.now)
 	x.advanceWithHeartbeats(4*s, "a", "b")
 	fmt.Println(x.Stats.RefutedSuspicions)
-	x.HandleUnreachable(ID{"a", 7}, false, x.now)
+	x.HandleUnreachable(ID{"a", 7}, x.now)
 	x.advanceWithHeartbeats(4*s, "b") // in doubt before it speaks again
 	x.advanceWithHeartbeats(2*s, "a", "b")
 	// Output:
@@ -66,15 +67,15 @@
 	// 13s a 1: suspect -> up, returned
 }
 
-// Who flaps is taken back later each time, and in the end like anybody.
+// A member that flaps is taken back later each time, and in the end like any other.
 func Example_flapping() {
-	x := newHarness(func(t *Config) { t.GoneAfter = time.Minute })
+	x := newHarness(func(config *Config) { config.GoneAfter = time.Minute })
 	x.quiet = true
 	x.bringUp("a", "b", "c")
 	for _, flaps := range []int{3, 4, 6, 8, 20} {
 		for range flaps {
 			x.advanceWithHeartbeats(2*s, "b", "c")
-			x.HandleUnreachable(ID{"a", 7}, false, x.now)
+			x.HandleUnreachable(ID{"a", 7}, x.now)
 			x.advanceWithHeartbeats(2*s, "b", "c")
 			x.alive("a", 7, 1)
 		}
@@ -85,10 +86,10 @@
 		fmt.Println(flaps, x.now-began)
 		x.advanceWithHeartbeats(10*time.Minute, "a", "b", "c")
 	}
-	// a crowd that comes back together has not flapped: what lay between was cut
+	// many that come back together have not flapped: the network between was cut
 	for range 5 {
 		for _, n := range []Name{"a", "b", "c"} {
-			x.HandleUnreachable(ID{n, 7}, false, x.now)
+			x.HandleUnreachable(ID{n, 7}, x.now)
 		}
 		x.advance(2 * s)
 		for _, n := range []Name{"a", "b", "c"} {
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -7,16 +7,29 @@
 	"github.com/benbjohnson/immutable"
 )
 
-// Change is one step of a member, or of ourselves.
+// Change is one change of a member's state.
 type Change struct {
 	ID
 	Incarnation Incarnation
-	From, To    State
+	From        State
+	To          State
 	Reason      Reason
-	ViewVersion uint64
+	ViewVersion uint64 // the first that shows it
 }
 
-// Table is what a process believes, and how it comes to. It belongs to one goroutine.
+// Stats counts what came and what became of it, since the start.
+type Stats struct {
+	Transitions          uint64 // changes of a member's state
+	RejectedFull         uint64 // descriptors for which there was no room
+	StaleHeartbeats      uint64 // of an unknown process, or not newer than the last
+	InvalidHeartbeats    uint64 // past a limit
+	OutdatedIncarnations uint64 // descriptors of an earlier process of a name
+	RefutedSuspicions    uint64 // reports of the failure detector that were false
+	Stalls               uint64 // times that this process stood still
+}
+
+// Table holds the members and decides their states. It belongs to one goroutine; the views that it publishes may be
+// read on any.
 type Table struct {
 	config       Config
 	self         Descriptor
@@ -26,159 +39,190 @@
 	view         *View
 	changes      []Change
 
-	start              time.Duration
-	lastTick           time.Duration // the last look, to tell whether we stood still
-	lastStall          time.Duration // how long the last stand was
-	settlingUntil      time.Duration // until when what we believe is not worth much
-	pausedTotal        time.Duration // how long all judging has rested, in all
-	pausedSince        time.Duration // since when it rests, under 0 if it does not
-	incarnationRaises  int           // how often our own incarnation was raised
-	fenced             bool
-	viewDigest         uint64                 // of our view, ourselves in it
-	viewDigestSince    time.Duration          // when that last changed
-	fenceNotices       map[ID]time.Duration   // whom we have told that it is fenced, and when
-	joinAttempts       map[string]joinAttempt // addresses that were tried, see Reach
-	predecessorCallers []string               // who called our former life, see Called
+	start             time.Duration
+	lastTick          time.Duration
+	lastStall         time.Duration // how long this process last stood still
+	settlingUntil     time.Duration // until when what is known here may be out of date after a stall
+	clock             judgementClock
+	incarnationRaises int // how often our own incarnation was raised
+	fenced            bool
+	viewDigest        uint64        // of our view with ourselves in it
+	viewDigestSince   time.Duration // when it last changed
+	fenceNotices      fenceNotices
+	joins             joinSchedule
 
 	Stats Stats
 }
 
-// Stats is what came and what became of it, since the start.
-type Stats struct {
-	Transitions, RejectedFull, StaleHeartbeats, InvalidHeartbeats, OutdatedIncarnations, RefutedSuspicions, Stalls uint64
-}
-
-// NewTable makes a table with nobody but ourselves in it.
+// NewTable makes a table in which only this process is.
 func NewTable(self Descriptor, config Config, now time.Duration) *Table {
-	table := &Table{config: config, self: self, members: immutable.NewSortedMap[Name, Member](nameComparer{}), connectivity: newConnectivityMonitor(config.Connectivity, now),
-		start: now, lastTick: now, pausedSince: -1, fenceNotices: map[ID]time.Duration{}, joinAttempts: map[string]joinAttempt{}}
+	table := &Table{
+		config:       config,
+		self:         self,
+		members:      immutable.NewSortedMap[Name, Member](nameComparer{}),
+		connectivity: newConnectivityMonitor(config.Connectivity, now),
+		start:        now,
+		lastTick:     now,
+		fenceNotices: fenceNotices{},
+		joins:        joinSchedule{attempts: map[string]joinAttempt{}},
+	}
 	table.publishView(now)
 	return table
 }
 
-// SetConfig takes values that were told anew; what runs by the old ones goes on to its end.
+// SetConfig replaces the configuration. What runs by the earlier one goes on to its end.
 func (t *Table) SetConfig(config Config) {
 	t.config = config
 	t.connectivity.config = config.Connectivity
 }
 
-// Self is our own claim as it stands now.
+// Self is our own descriptor with its present incarnation.
 func (t *Table) Self() Descriptor { return t.self }
 
-// View is what is believed as of now.
+// View is the last view that was published.
 func (t *Table) View() *View { return t.view }
 
-// TakeChanges gives what has changed since it was last asked.
+// ViewDigest is the digest of our view that our heartbeats carry.
+func (t *Table) ViewDigest() uint64 { return t.viewDigest }
+
+// TakeChanges gives the changes since it was last called.
 func (t *Table) TakeChanges() []Change {
 	changes := t.changes
 	t.changes = nil
 	return changes
 }
 
-// publishView makes the next version.
 func (t *Table) publishView(now time.Duration) {
 	t.version++
-	previousDigest := t.viewDigest
-	t.view = &View{Version: t.version, PublishedAt: now, Self: t.self, LocalHealth: t.localHealth(now), HeardFraction: t.connectivity.heardFraction, members: t.members}
-	if t.viewDigest = t.view.Digest() ^ Fingerprint(t.self.ID()); t.viewDigest != previousDigest {
+	t.view = &View{
+		Version:       t.version,
+		PublishedAt:   now,
+		Self:          t.self,
+		LocalHealth:   t.localHealth(now),
+		HeardFraction: t.connectivity.heardFraction,
+		members:       t.members,
+	}
+	digest := t.view.Digest() ^ Fingerprint(t.self.ID())
+	if digest != t.viewDigest {
+		t.viewDigest = digest
 		t.viewDigestSince = now
 	}
 }
 
-// transition puts a member in and notes the step.
+// transition stores a member in a state, and records the change if it is one.
 func (t *Table) transition(member Member, state State, reason Reason, now time.Duration) {
 	previous, known := t.members.Get(member.Name)
 	if known && previous.State == state && previous.Reason == reason && previous.BootID == member.BootID {
 		t.members = t.members.Set(member.Name, member)
 		return
 	}
-	member.State, member.Reason, member.StateSince = state, reason, now
+	member.State = state
+	member.Reason = reason
+	member.StateSince = now
 	t.members = t.members.Set(member.Name, member)
 	from := previous.State
 	if !known || previous.BootID != member.BootID {
 		from = StateJoining
 	}
+	t.recordChange(member, from, state, reason)
+}
+
+func (t *Table) recordChange(member Member, from, to State, reason Reason) {
 	t.Stats.Transitions++
-	t.changes = append(t.changes, Change{member.ID(), member.Incarnation, from, state, reason, t.version + 1})
+	t.changes = append(t.changes, Change{
+		ID:          member.ID(),
+		Incarnation: member.Incarnation,
+		From:        from,
+		To:          to,
+		Reason:      reason,
+		ViewVersion: t.version + 1,
+	})
 }
 
-// ViewDigest is what a bulletin of ours says of our view.
-func (t *Table) ViewDigest() uint64 { return t.viewDigest }
+// heardFractionStep is the change of the heard fraction that makes a new view.
+const heardFractionStep = 0.1
 
-// Tick is called some times a second: what is due by now happens.
+// Tick applies the deadlines that have come. It is to be called several times within a stall threshold: the time
+// between two calls is how a process tells that it stood still.
 func (t *Table) Tick(now time.Duration) {
 	elapsed := now - t.lastTick
+	t.lastTick = now
 	stalled := elapsed > t.config.StallThreshold
 	if stalled {
 		t.Stats.Stalls++
-		t.lastStall, t.settlingUntil = elapsed, now+t.config.SettleTime
-		if t.pausedSince < 0 {
-			t.pausedTotal += elapsed
-		}
+		t.lastStall = elapsed
+		t.settlingUntil = now + t.config.SettleTime
+		t.clock.skip(elapsed)
 	}
-	t.lastTick = now
 	t.connectivity.advance(now, t.presentMembers(), stalled)
-	previousHealth, previousFraction := t.view.LocalHealth, t.view.HeardFraction
 	health := t.localHealth(now)
-	switch canJudge := health.CanDeclareGone(); {
-	case !canJudge && t.pausedSince < 0:
-		t.pausedSince = now
-	case canJudge && t.pausedSince >= 0:
-		t.pausedTotal += now - t.pausedSince
-		t.pausedSince = -1
+	if health.CanDeclareGone() {
+		t.clock.resume(now)
+	} else {
+		t.clock.pause(now)
 	}
 	previousMembers := t.members
 	t.exemptMassLoss()
-	if t.pausedSince < 0 {
-		for it := previousMembers.Iterator(); !it.Done(); {
-			_, m, _ := it.Next()
-			t.applyDeadlines(m, now)
+	if !t.clock.paused {
+		for member := range allMembers(previousMembers) {
+			t.applyDeadlines(member, now)
 		}
 	}
 	t.evictGone(now, false)
-	if t.members != previousMembers || health != previousHealth || math.Abs(t.connectivity.heardFraction-previousFraction) >= 0.1 {
+	heardChange := math.Abs(t.connectivity.heardFraction - t.view.HeardFraction)
+	if t.members != previousMembers || health != t.view.LocalHealth || heardChange >= heardFractionStep {
 		t.publishView(now)
 	}
 }
 
-// applyDeadlines carries a member over the moments that have come.
+// applyDeadlines carries a member over the deadlines that have come.
 func (t *Table) applyDeadlines(member Member, now time.Duration) {
-	if member.flapSuppressed && t.decayedPenalty(member, now) < t.config.FlapDamping.ReuseLimit {
-		member.flapSuppressed = false
-		if member.State == StateSuspect && !member.unreachable {
+	damping := t.config.FlapDamping
+	if member.flapping.suppressed && member.flapping.decayed(damping, now) < damping.ReuseLimit {
+		member.flapping.suppressed = false
+		if member.State == StateSuspect && !member.reachability.lost {
 			t.reclassify(member, ReasonRecovered, now)
 			return
 		}
 		t.members = t.members.Set(member.Name, member)
 	}
-	judgementNow := t.judgementClock(now)
+	lostFor := t.clock.at(now) - member.reachability.lostSince
 	switch member.State {
 	case StateJoining, StateWarming, StateUp:
-		switch {
-		case member.unreachable && judgementNow-member.unreachableSince >= t.config.SuspectAfter && now >= member.HeartbeatAt+t.heartbeatGrace()+t.config.SuspectAfter:
-			t.transition(member, StateSuspect, ReasonUnreachable, now)
-		case member.State == StateWarming && now >= member.warmUpUntil:
-			t.transition(member, StateUp, ReasonWarmedUp, now)
-		case member.State != StateJoining && judgementNow-member.lastHeardAt > t.maxMetricTTL()+t.config.SilentAfter:
-			t.transition(member, StateSuspect, ReasonSilent, now)
-		}
+		t.applyServingDeadlines(member, now)
 	case StateSuspect:
-		if member.unreachable && judgementNow-member.unreachableSince >= t.config.SuspectAfter+t.config.GoneAfter {
+		if member.reachability.lost && lostFor >= t.config.SuspectAfter+t.config.GoneAfter {
 			t.transition(member, StateGone, ReasonTimedOut, now)
 		}
 	case StateLeaving:
-		if member.unreachable {
+		if member.reachability.lost {
 			t.transition(member, StateGone, ReasonLeft, now)
 		}
 	}
 }
 
-// evictGone drops those that have been gone for long or, where room is wanted, the one that has been for longest. Their names and
-// numbers are what fences an old life, so they stay while there is room.
+// applyServingDeadlines is applyDeadlines for a member that is not in doubt yet.
+func (t *Table) applyServingDeadlines(member Member, now time.Duration) {
+	judgementNow := t.clock.at(now)
+	lostFor := judgementNow - member.reachability.lostSince
+	silentFor := judgementNow - member.lastHeardAt
+	nextHeartbeatMissed := now >= member.HeartbeatAt+t.heartbeatGrace()+t.config.SuspectAfter
+	switch {
+	case member.reachability.lost && lostFor >= t.config.SuspectAfter && nextHeartbeatMissed:
+		t.transition(member, StateSuspect, ReasonUnreachable, now)
+	case member.State == StateWarming && now >= member.warmUpUntil:
+		t.transition(member, StateUp, ReasonWarmedUp, now)
+	case member.State != StateJoining && silentFor > t.maxMetricTTL()+t.config.SilentAfter:
+		t.transition(member, StateSuspect, ReasonSilent, now)
+	}
+}
+
+// evictGone drops members that have been gone for longer than the retention or, where room is needed and none of them
+// was, the one that has been gone for longest. It reports whether there is room. The names and incarnations of members
+// that are gone are what fences an outdated process, so they stay while they can.
 func (t *Table) evictGone(now time.Duration, needRoom bool) bool {
 	var oldest *Member
-	for it := t.members.Iterator(); !it.Done(); {
-		_, member, _ := it.Next()
+	for member := range allMembers(t.members) {
 		if member.State != StateGone {
 			continue
 		}
@@ -194,10 +238,6 @@
 	if needRoom && oldest != nil {
 		t.members = t.members.Delete(oldest.Name)
 	}
-	for id, notifiedAt := range t.fenceNotices {
-		if now-notifiedAt > t.config.GoneRetention {
-			delete(t.fenceNotices, id)
-		}
-	}
+	t.fenceNotices.expire(now, t.config.GoneRetention)
 	return t.members.Len() < t.config.MaxMembers
 }
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -10,85 +10,132 @@
 	_ "lanewheel/internal/rapidtest"
 )
 
-// Under any order of few messages: numbers of a name don't go down, nobody is given up before the judged time is over, a view once
-// given never changes, the table stays within its bounds, and nothing is believed past its time.
-func TestOrders(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		x := newHarness(func(t *Config) { t.MaxMembers = 4 })
-		x.quiet = true
-		names := []Name{"a", "b", "c", "d", "e"}
-		highest := map[Name]Descriptor{}
-		lostFor := map[ID]time.Duration{}
-		view, digest, version := x.View(), x.View().Digest(), uint64(0)
-		id := func() ID {
-			return ID{rapid.SampledFrom(names).Draw(t, "name"), BootID(rapid.IntRange(1, 3).Draw(t, "life"))}
+// tableMachine is a table under messages in any order, with what has to hold of it.
+type tableMachine struct {
+	*tableHarness
+	names   []Name
+	newest  map[Name]Descriptor  // the newest that was seen of each name
+	lostFor map[ID]time.Duration // how long each process has been lost while this one could judge
+	view    *View                // the last that was published, and its digest at that time
+	digest  uint64
+}
+
+func newTableMachine() *tableMachine {
+	machine := &tableMachine{
+		tableHarness: newHarness(func(config *Config) { config.MaxMembers = 4 }),
+		names:        []Name{"a", "b", "c", "d", "e"},
+		newest:       map[Name]Descriptor{},
+		lostFor:      map[ID]time.Duration{},
+	}
+	machine.quiet = true
+	machine.view = machine.View()
+	machine.digest = machine.view.Digest()
+	return machine
+}
+
+func (m *tableMachine) drawID(t *rapid.T) ID {
+	return ID{rapid.SampledFrom(m.names).Draw(t, "name"), BootID(rapid.IntRange(1, 3).Draw(t, "boot ID"))}
+}
+
+func (m *tableMachine) receiveDescriptor(t *rapid.T) {
+	id := m.drawID(t)
+	incarnation := Incarnation(rapid.IntRange(1, 4).Draw(t, "incarnation"))
+	if m.HandleAlive(Descriptor{Name: id.Name, BootID: id.BootID, Incarnation: incarnation}, m.now) == AliveAccepted {
+		delete(m.lostFor, id)
+	}
+}
+
+func (m *tableMachine) lose(t *rapid.T) {
+	id := m.drawID(t)
+	if _, already := m.lostFor[id]; !already {
+		if member, known := m.View().Get(id.Name); known && member.BootID == id.BootID {
+			m.lostFor[id] = 0
 		}
-		look := func(steps int) {
-			for range steps {
-				x.now += 100 * time.Millisecond
-				if x.View().LocalHealth.CanDeclareGone() {
-					for k := range lostFor {
-						lostFor[k] += 100 * time.Millisecond
-					}
-				}
-				x.Tick(x.now)
-				for _, c := range x.TakeChanges() {
-					if c.To == StateGone && c.Reason == ReasonTimedOut && lostFor[c.ID] < x.config.SuspectAfter+x.config.GoneAfter {
-						t.Fatalf("%v given up after %v", c.ID, lostFor[c.ID])
-					}
-				}
+	}
+	if rapid.Bool().Draw(t, "left") {
+		m.HandleLeft(id, m.now)
+	} else {
+		m.HandleUnreachable(id, m.now)
+	}
+}
+
+func (m *tableMachine) receiveHeartbeat(t *rapid.T) {
+	heartbeat := Heartbeat{
+		ID:       m.drawID(t),
+		Sequence: uint64(rapid.IntRange(1, 20).Draw(t, "sequence")),
+		Ready:    rapid.Bool().Draw(t, "ready"),
+		Draining: rapid.IntRange(0, 9).Draw(t, "draining") == 0,
+		Metrics:  []Metric{{Name: "load", Value: 1, TTL: time.Duration(rapid.IntRange(0, 100).Draw(t, "TTL")) * s}},
+	}
+	age := time.Duration(rapid.IntRange(0, 3000).Draw(t, "age")) * time.Millisecond
+	m.HandleHeartbeat(heartbeat, age, m.now)
+}
+
+func (m *tableMachine) pass(t *rapid.T) {
+	const step = 100 * time.Millisecond
+	for range rapid.IntRange(1, 40).Draw(t, "steps") {
+		m.now += step
+		if m.View().LocalHealth.CanDeclareGone() {
+			for id := range m.lostFor {
+				m.lostFor[id] += step
 			}
 		}
+		m.Tick(m.now)
+		for _, change := range m.TakeChanges() {
+			timedOut := change.To == StateGone && change.Reason == ReasonTimedOut
+			if timedOut && m.lostFor[change.ID] < m.config.SuspectAfter+m.config.GoneAfter {
+				t.Fatalf("%v declared gone after %v", change.ID, m.lostFor[change.ID])
+			}
+		}
+	}
+}
+
+func (m *tableMachine) standStill(t *rapid.T) {
+	m.stall(time.Duration(rapid.IntRange(1100, 30000).Draw(t, "ms")) * time.Millisecond)
+}
+
+func (m *tableMachine) check(t *rapid.T) {
+	if m.view.Digest() != m.digest || m.View().Version < m.view.Version || m.View().Len() > m.config.MaxMembers {
+		t.Fatal("a view changed, its version went back, or it outgrew its bound")
+	}
+	m.view = m.View()
+	m.digest = m.view.Digest()
+	for name := range m.newest {
+		if _, known := m.view.Get(name); !known {
+			delete(m.newest, name) // evicted
+		}
+	}
+	for member := range m.view.All() {
+		if member.olderThan(m.newest[member.Name]) {
+			t.Fatal("an incarnation went down")
+		}
+		m.newest[member.Name] = member.Descriptor
+		if _, age, ok := member.Metric("load", m.now); ok && age > m.maxMetricTTL() {
+			t.Fatal("a metric is believed for too long")
+		}
+	}
+}
+
+// Under any order of few messages: incarnations of a name don't go down, nobody is declared gone before its time while
+// this process can judge is over, a published view never changes, the table stays within its bounds, and no metric is
+// believed past its TTL.
+func TestMessagesInAnyOrder(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		machine := newTableMachine()
 		t.Repeat(map[string]func(*rapid.T){
-			"claim": func(t *rapid.T) {
-				i := id()
-				if x.HandleAlive(Descriptor{Name: i.Name, BootID: i.BootID, Incarnation: Incarnation(rapid.IntRange(1, 4).Draw(t, "number"))}, x.now) == AliveAccepted {
-					delete(lostFor, i)
-				}
-			},
-			"lost": func(t *rapid.T) {
-				i := id()
-				if _, already := lostFor[i]; !already {
-					if m, known := x.View().Get(i.Name); known && m.BootID == i.BootID {
-						lostFor[i] = 0
-					}
-				}
-				x.HandleUnreachable(i, rapid.Bool().Draw(t, "left"), x.now)
-			},
-			"told": func(t *rapid.T) {
-				x.HandleHeartbeat(Heartbeat{ID: id(), Sequence: uint64(rapid.IntRange(1, 20).Draw(t, "seq")), Ready: rapid.Bool().Draw(t, "ready"),
-					Draining: rapid.IntRange(0, 9).Draw(t, "leaving") == 0, Metrics: []Metric{{"load", 1, time.Duration(rapid.IntRange(0, 100).Draw(t, "holds")) * s, 0}}},
-					time.Duration(rapid.IntRange(0, 3000).Draw(t, "age"))*time.Millisecond, x.now)
-			},
-			"pass":  func(t *rapid.T) { look(rapid.IntRange(1, 40).Draw(t, "steps")) },
-			"sleep": func(t *rapid.T) { x.stall(time.Duration(rapid.IntRange(1100, 30000).Draw(t, "ms")) * time.Millisecond) },
-			"": func(t *rapid.T) {
-				if view.Digest() != digest || x.View().Version < version || x.View().Len() > 4 {
-					t.Fatal("a view changed, went back, or outgrew its bound")
-				}
-				view, digest, version = x.View(), x.View().Digest(), x.View().Version
-				for n := range highest {
-					if _, known := view.Get(n); !known {
-						delete(highest, n) // forgotten
-					}
-				}
-				for m := range view.All() {
-					if m.olderThan(highest[m.Name]) {
-						t.Fatal("a number went down")
-					}
-					highest[m.Name] = m.Descriptor
-					if _, age, ok := m.Metric("load", x.now); ok && age > x.maxMetricTTL() {
-						t.Fatal("believed for too long")
-					}
-				}
-			},
+			"descriptor": machine.receiveDescriptor,
+			"heartbeat":  machine.receiveHeartbeat,
+			"lost":       machine.lose,
+			"pass":       machine.pass,
+			"stall":      machine.standStill,
+			"":           machine.check,
 		})
 	})
 }
 
 // A view of 1,000 members in simulated time: five minutes in which each publishes, a tenth dies, a tenth is replaced.
-func TestThousand(t *testing.T) {
-	x := newHarness(func(t *Config) { t.MaxMembers = 1200 })
+func TestThousandMembers(t *testing.T) {
+	x := newHarness(func(config *Config) { config.MaxMembers = 1200 })
 	x.quiet = true
 	var names []Name
 	for i := range 1000 {
@@ -98,19 +145,19 @@
 	for step := range 300 {
 		for i := step % 33; i < len(names); i += 33 {
 			m, _ := x.View().Get(names[i])
-			if m.unreachable {
+			if m.reachability.lost {
 				continue
 			}
-			x.heartbeat(names[i], m.BootID, m.Sequence+1, 0)
+			x.heartbeat(names[i], m.BootID, m.Sequence+1)
 		}
 		if step == 100 {
 			for i, n := range names {
 				switch i % 10 {
 				case 0:
-					x.HandleUnreachable(ID{n, 7}, false, x.now)
+					x.HandleUnreachable(ID{n, 7}, x.now)
 				case 1:
 					x.alive(n, 8, 2)
-					x.heartbeat(n, 8, 1, 0)
+					x.heartbeat(n, 8, 1)
 				}
 			}
 		}
