--- a/internal/fleet/gossip/agent.go
+++ b/internal/fleet/gossip/agent.go
@@ -43,6 +43,7 @@
 	ownHeartbeat        atomic.Pointer[encodedHeartbeat]
 	view                atomic.Pointer[membership.View]
 	messageLimiter      atomic.Pointer[rate.Limiter]
+	maxMembers          atomic.Int64  // config.Membership.MaxMembers, for memberlist's goroutines
 	rateLimited         atomic.Uint64 // messages past the rate
 	malformed           atomic.Uint64 // that can't be read
 	rejectedDescriptors atomic.Uint64 // claims
@@ -100,6 +101,7 @@
 	agent.table = membership.NewTable(self, config.Membership, 0)
 	agent.view.Store(agent.table.View())
 	agent.setMessageLimit(config.MaxMessageRate)
+	agent.maxMembers.Store(int64(config.Membership.MaxMembers))
 	agent.storeHeartbeat(membership.Heartbeat{ID: self.ID(), Incarnation: self.Incarnation})
 	logger := log.New(agent.libraryLog, "", 0)
 	if agent.transport, err = newTransport(ip, port, logger, agent.noteSender); err != nil {
@@ -237,6 +239,7 @@
 			}
 		}
 		p.config.Keys, p.config.Membership, p.config.MaxMessageRate = config.Keys, config.Membership, config.MaxMessageRate
+		p.maxMembers.Store(int64(config.Membership.MaxMembers))
 		p.table.SetConfig(config.Membership)
 		p.setMessageLimit(config.MaxMessageRate)
 	})
--- /dev/null
+++ b/internal/fleet/gossip/agent_test.go
@@ -0,0 +1,68 @@
+package gossip
+
+import (
+	"net"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+
+	"lanewheel/internal/eventloop"
+	"lanewheel/internal/membership"
+)
+
+// memberlist's goroutines check a node against the limit of members while the event loop replaces the configuration:
+// with -race this fails where the limit is not shared safely.
+func TestConfigReplacedWhileNodesArrive(t *testing.T) {
+	agent := goldenAgent()
+	agent.Loop = eventloop.New(1 << 10)
+	agent.memberlistConfig = &memberlist.Config{}
+	stopped := make(chan struct{})
+	go func() {
+		defer close(stopped)
+		agent.Run(func() {})
+	}()
+	node := &memberlist.Node{
+		Name: membership.ID{Name: "red", BootID: 1}.String(),
+		Addr: net.IPv4(10, 0, 0, 9),
+		Port: 7946,
+		Meta: encodeDescriptor(membership.Descriptor{Capacity: 1}),
+	}
+	full := agent.config
+	full.Membership = membership.DefaultConfig()
+	full.Membership.MaxMembers = 1
+	full.MaxMessageRate = 100
+	roomy := full
+	roomy.Membership.MaxMembers = 100
+	received := make(chan struct{})
+	go func() { // what memberlist does meanwhile; each answer is right, as the configuration is on its way
+		defer close(received)
+		for range 10_000 {
+			_ = agent.NotifyAlive(node)
+			agent.MergeRemoteState(nil, false)
+		}
+	}()
+	for range 100 {
+		agent.SetConfig(full)
+		agent.SetConfig(roomy)
+	}
+	<-received
+	for _, step := range []struct {
+		config   Config
+		accepted bool
+	}{{full, false}, {roomy, true}} {
+		applied := make(chan struct{})
+		agent.SetConfig(step.config)
+		agent.Post(func() { close(applied) })
+		select {
+		case <-applied:
+		case <-time.After(10 * time.Second):
+			t.Fatal("the configuration was not applied")
+		}
+		if err := agent.NotifyAlive(node); (err == nil) != step.accepted {
+			t.Errorf("with %d members at most: %v", step.config.Membership.MaxMembers, err)
+		}
+	}
+	agent.Post(agent.Quit)
+	<-stopped
+}
--- a/internal/fleet/gossip/delegate.go
+++ b/internal/fleet/gossip/delegate.go
@@ -18,7 +18,7 @@
 	descriptor, err := decodeDescriptor(node.Name, node.Address(), node.Meta)
 	if err == nil {
 		view := p.view.Load()
-		if _, known := view.Get(descriptor.Name); !known && descriptor.Name != view.Self.Name && view.Len() >= p.config.Membership.MaxMembers && view.Count(membership.StateGone) == 0 {
+		if _, known := view.Get(descriptor.Name); !known && descriptor.Name != view.Self.Name && int64(view.Len()) >= p.maxMembers.Load() && view.Count(membership.StateGone) == 0 {
 			err = errTooLarge
 		}
 	}
@@ -103,7 +103,7 @@
 
 // MergeRemoteState is memberlist.Delegate.
 func (p *Agent) MergeRemoteState(state []byte, join bool) {
-	if err := decodeState(state, p.config.Membership.MaxMembers+1, func(message []byte) {
+	if err := decodeState(state, int(p.maxMembers.Load())+1, func(message []byte) {
 		message = append([]byte(nil), message...)
 		p.Post(func() { p.handleMessage(message, 0) })
 	}); err != nil {
