--- /dev/null
+++ b/internal/membership/table_test.go
@@ -0,0 +1,169 @@
+package membership
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	_ "lanewheel/internal/rapidtest"
+)
+
+// tableMachine is a table under messages in any order, with what has to hold of it.
+type tableMachine struct {
+	*tableHarness
+	names   []Name
+	newest  map[Name]Descriptor  // the newest that was seen of each name
+	lostFor map[ID]time.Duration // how long each process has been lost while this one could judge
+	view    *View                // the last that was published, and its digest at that time
+	digest  uint64
+}
+
+func newTableMachine() *tableMachine {
+	machine := &tableMachine{
+		tableHarness: newHarness(func(config *Config) { config.MaxMembers = 4 }),
+		names:        []Name{"a", "b", "c", "d", "e"},
+		newest:       map[Name]Descriptor{},
+		lostFor:      map[ID]time.Duration{},
+	}
+	machine.quiet = true
+	machine.view = machine.View()
+	machine.digest = machine.view.Digest()
+	return machine
+}
+
+func (m *tableMachine) drawID(t *rapid.T) ID {
+	return ID{rapid.SampledFrom(m.names).Draw(t, "name"), BootID(rapid.IntRange(1, 3).Draw(t, "boot ID"))}
+}
+
+func (m *tableMachine) receiveDescriptor(t *rapid.T) {
+	id := m.drawID(t)
+	incarnation := Incarnation(rapid.IntRange(1, 4).Draw(t, "incarnation"))
+	if m.HandleAlive(Descriptor{Name: id.Name, BootID: id.BootID, Incarnation: incarnation}, m.now) == AliveAccepted {
+		delete(m.lostFor, id)
+	}
+}
+
+func (m *tableMachine) lose(t *rapid.T) {
+	id := m.drawID(t)
+	if _, already := m.lostFor[id]; !already {
+		if member, known := m.View().Get(id.Name); known && member.BootID == id.BootID {
+			m.lostFor[id] = 0
+		}
+	}
+	if rapid.Bool().Draw(t, "left") {
+		m.HandleLeft(id, m.now)
+	} else {
+		m.HandleUnreachable(id, m.now)
+	}
+}
+
+func (m *tableMachine) receiveHeartbeat(t *rapid.T) {
+	heartbeat := Heartbeat{
+		ID:       m.drawID(t),
+		Sequence: uint64(rapid.IntRange(1, 20).Draw(t, "sequence")),
+		Ready:    rapid.Bool().Draw(t, "ready"),
+		Draining: rapid.IntRange(0, 9).Draw(t, "draining") == 0,
+		Metrics:  []Metric{{Name: "load", Value: 1, TTL: time.Duration(rapid.IntRange(0, 100).Draw(t, "TTL")) * s}},
+	}
+	age := time.Duration(rapid.IntRange(0, 3000).Draw(t, "age")) * time.Millisecond
+	m.HandleHeartbeat(heartbeat, age, m.now)
+}
+
+func (m *tableMachine) pass(t *rapid.T) {
+	const step = 100 * time.Millisecond
+	for range rapid.IntRange(1, 40).Draw(t, "steps") {
+		m.now += step
+		if m.View().LocalHealth.CanDeclareGone() {
+			for id := range m.lostFor {
+				m.lostFor[id] += step
+			}
+		}
+		m.Tick(m.now)
+		for _, change := range m.TakeChanges() {
+			timedOut := change.To == StateGone && change.Reason == ReasonTimedOut
+			if timedOut && m.lostFor[change.ID] < m.config.SuspectAfter+m.config.GoneAfter {
+				t.Fatalf("%v declared gone after %v", change.ID, m.lostFor[change.ID])
+			}
+		}
+	}
+}
+
+func (m *tableMachine) standStill(t *rapid.T) {
+	m.stall(time.Duration(rapid.IntRange(1100, 30000).Draw(t, "ms")) * time.Millisecond)
+}
+
+func (m *tableMachine) check(t *rapid.T) {
+	if m.view.Digest() != m.digest || m.View().Version < m.view.Version || m.View().Len() > m.config.MaxMembers {
+		t.Fatal("a view changed, its version went back, or it outgrew its bound")
+	}
+	m.view = m.View()
+	m.digest = m.view.Digest()
+	for name := range m.newest {
+		if _, known := m.view.Get(name); !known {
+			delete(m.newest, name) // evicted
+		}
+	}
+	for member := range m.view.All() {
+		if member.olderThan(m.newest[member.Name]) {
+			t.Fatal("an incarnation went down")
+		}
+		m.newest[member.Name] = member.Descriptor
+		if _, age, ok := member.Metric("load", m.now); ok && age > m.maxMetricTTL() {
+			t.Fatal("a metric is believed for too long")
+		}
+	}
+}
+
+// Under any order of few messages: incarnations of a name don't go down, nobody is declared gone before its time while
+// this process can judge is over, a published view never changes, the table stays within its bounds, and no metric is
+// believed past its TTL.
+func TestMessagesInAnyOrder(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		machine := newTableMachine()
+		t.Repeat(map[string]func(*rapid.T){
+			"descriptor": machine.receiveDescriptor,
+			"heartbeat":  machine.receiveHeartbeat,
+			"lost":       machine.lose,
+			"pass":       machine.pass,
+			"stall":      machine.standStill,
+			"":           machine.check,
+		})
+	})
+}
+
+// A view of 1,000 members in simulated time: five minutes in which each publishes, a tenth dies, a tenth is replaced.
+func TestThousandMembers(t *testing.T) {
+	x := newHarness(func(config *Config) { config.MaxMembers = 1200 })
+	x.quiet = true
+	var names []Name
+	for i := range 1000 {
+		names = append(names, Name(fmt.Sprint("n", i)))
+	}
+	x.bringUp(names...)
+	for step := range 300 {
+		for i := step % 33; i < len(names); i += 33 {
+			m, _ := x.View().Get(names[i])
+			if m.reachability.lost {
+				continue
+			}
+			x.heartbeat(names[i], m.BootID, m.Sequence+1)
+		}
+		if step == 100 {
+			for i, n := range names {
+				switch i % 10 {
+				case 0:
+					x.HandleUnreachable(ID{n, 7}, x.now)
+				case 1:
+					x.alive(n, 8, 2)
+					x.heartbeat(n, 8, 1)
+				}
+			}
+		}
+		x.advance(s)
+	}
+	if v := x.View(); v.Count(StateUp) != 900 || v.Count(StateGone) != 100 || x.HeartbeatInterval() < 33*s {
+		t.Fatal(v.Count(StateUp), v.Count(StateGone), x.HeartbeatInterval())
+	}
+}
