--- a/internal/fleet/coordinator/node.go
+++ b/internal/fleet/coordinator/replica.go
@@ -3,18 +3,12 @@
 package coordinator
 
 import (
-	"bytes"
-	"crypto/rand"
-	"encoding/hex"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"log/slog"
 	"os"
 	"path/filepath"
-	"regexp"
-	"strings"
 	"sync"
 	"time"
 
@@ -105,43 +99,6 @@
 	return r, nil
 }
 
-// loadServerID is the name with a part that is drawn once for a folder. Danger: a steward whose disk was wiped votes a second time in one election; its new
-// folder is another server, which the leader takes in place of the lost one.
-func loadServerID(config Config) (raft.ServerID, error) {
-	path := filepath.Join(config.DataDir, "life")
-	suffix, err := os.ReadFile(path)
-	if err == nil && len(bytes.TrimSpace(suffix)) == 8 {
-		return raft.ServerID(config.Name + "." + string(bytes.TrimSpace(suffix))), nil
-	}
-	if err == nil {
-		return "", fmt.Errorf("%s is damaged: move the folder away, and the steward is taken in anew", path)
-	}
-	if !errors.Is(err, os.ErrNotExist) {
-		return "", err
-	}
-	if segments, _ := filepath.Glob(filepath.Join(config.DataDir, "*.wal")); len(segments) > 0 {
-		return "", fmt.Errorf("%s is missing beside a log: move the folder away, and the steward is taken in anew", path)
-	}
-	var random [4]byte
-	if _, err := rand.Read(random[:]); err != nil {
-		return "", err
-	}
-	suffix = []byte(hex.EncodeToString(random[:]))
-	file, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
-	if err != nil {
-		return "", err
-	}
-	defer file.Close()
-	if _, err := file.Write(suffix); err != nil {
-		return "", err
-	}
-	return raft.ServerID(config.Name + "." + string(suffix)), file.Sync()
-}
-
-func coordinatorName(id raft.ServerID) string {
-	return string(id[:max(0, strings.LastIndexByte(string(id), '.'))])
-}
-
 // leaderTerm tells whether this steward leads, and by which term.
 func (n *replica) leaderTerm() (term uint64, isLeader bool) {
 	return n.raft.CurrentTerm(), n.raft.State() == raft.Leader
@@ -235,90 +192,3 @@
 	_ = n.metaStore.Close() // the log leaves it open
 	_ = n.dirLock.Close()
 }
-
-// stateMachine is raft.FSM.
-type stateMachine replica
-
-// Apply is raft.FSM.
-func (m *stateMachine) Apply(entry *raft.Log) any {
-	var command coordination.Command
-	if err := json.Unmarshal(entry.Data, &command); err != nil {
-		slog.Error("bad-command", "index", entry.Index, "err", err)
-		return coordination.Reply{Reason: "can't be read: " + err.Error()}
-	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	endedBefore := len(m.state.EndedPermits)
-	wasHalted := m.state.Halt != nil
-	reply := m.state.Apply(command)
-	for _, permit := range m.state.EndedPermits[min(endedBefore, len(m.state.EndedPermits)):] {
-		slog.Info("permit", "number", uint64(permit.ID), "member", string(permit.Member), "why", permit.Purpose, "ended", permit.Outcome)
-	}
-	if halt := m.state.Halt; (halt != nil) != wasHalted {
-		slog.Info("halt", "on", halt != nil, "by", command.RequestedBy)
-	}
-	return reply
-}
-
-// Snapshot is raft.FSM.
-func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	data, err := json.Marshal(m.state)
-	return stateSnapshot(data), err
-}
-
-// Restore is raft.FSM. A snapshot that can't be read is an error, and the one before it is taken.
-func (m *stateMachine) Restore(r io.ReadCloser) error {
-	defer r.Close()
-	state := coordination.NewState(m.config.Coordination)
-	if err := json.NewDecoder(r).Decode(state); err != nil {
-		return err
-	}
-	m.mu.Lock()
-	m.state = state
-	m.mu.Unlock()
-	return nil
-}
-
-type stateSnapshot []byte
-
-// Persist is raft.FSMSnapshot.
-func (s stateSnapshot) Persist(sink raft.SnapshotSink) error {
-	if _, err := sink.Write(s); err != nil {
-		_ = sink.Cancel()
-		return err
-	}
-	return sink.Close()
-}
-
-// Release is raft.FSMSnapshot.
-func (s stateSnapshot) Release() {}
-
-// raftLogWriter turns the library's lines into ours, four a second.
-type raftLogWriter struct {
-	mu          sync.Mutex
-	windowStart time.Time
-	written     int
-	suppressed  int
-}
-
-var levelPrefix = regexp.MustCompile(`^\[[A-Z]+\]\s+`)
-
-func (l *raftLogWriter) Write(line []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if time.Since(l.windowStart) > time.Second {
-		if l.suppressed > 0 {
-			slog.Info("raft", "more", l.suppressed)
-		}
-		l.windowStart, l.written, l.suppressed = time.Now(), 0, 0
-	}
-	if l.written++; l.written > 4 {
-		l.suppressed++
-		return len(line), nil
-	}
-	text := levelPrefix.ReplaceAllString(strings.TrimSpace(string(line)), "")
-	slog.Info("raft", "text", text[:min(len(text), 300)])
-	return len(line), nil
-}
