--- a/internal/fleet/coordinator/coordinator.go
+++ b/internal/fleet/coordinator/coordinator.go
@@ -9,8 +9,6 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/hashicorp/raft"
-
 	"lanewheel/internal/coordination"
 	"lanewheel/internal/fleet/coordinator/client"
 	"lanewheel/internal/fleet/gossip"
--- a/internal/fleet/coordinator/leader.go
+++ b/internal/fleet/coordinator/leader.go
@@ -7,8 +7,6 @@
 	"sync"
 	"time"
 
-	"github.com/hashicorp/raft"
-
 	"lanewheel/internal/coordination"
 	"lanewheel/internal/coordination/canary"
 	"lanewheel/internal/fleet/coordinator/client"
