--- a/internal/coordination/canary/analysis.go
+++ b/internal/coordination/canary/analysis.go
@@ -1,6 +1,7 @@
-// Package canary holds a new release against the old one, at the same time on the same work, and says as soon as it can whether it is worse. It is
-// pure: windows of figures in, a verdict out. The test is sequential: it may be looked at after each window, and the chance of ever
-// being wrong stays under what is told. docs/releases.md says which and why.
+// Package canary holds a new release against the old one, at the same time on the same work, and says as soon as it
+// can whether it is worse. It is pure: windows of figures in, a verdict out. The test is sequential: it may be looked
+// at after each window, and the chance of ever being wrong stays under what is told. docs/releases.md says which and
+// why.
 package canary
 
 import (
@@ -66,14 +67,16 @@
 	s.squaredDeviations += delta * (value - s.mean)
 }
 
-// confidenceBounds is between which the true difference lies, at all windows at once but for a chance of alpha: Robbins' normal mixture, by the variance that was
-// seen (a confidence sequence after Waudby-Smith and others, 2021). tight is the number of windows at which it is narrowest.
+// confidenceBounds is between which the true difference lies, at all windows at once but for a chance of alpha:
+// Robbins' normal mixture, by the variance that was seen (a confidence sequence after Waudby-Smith and others, 2021).
+// tight is the number of windows at which it is narrowest.
 func (s *runningStats) confidenceBounds(alpha float64) (low, high float64) {
 	const narrowestAt = 30.0
 	if s.count < 2 {
 		return math.Inf(-1), math.Inf(1)
 	}
-	// A few windows that happen to be alike would make the variance too small: two of a difference that is usual are added.
+	// A few windows that happen to be alike would make the variance too small: two of a difference that is usual are
+	// added.
 	sigma := math.Sqrt((s.squaredDeviations + 2*s.squaredDeviations/s.count) / (s.count - 1))
 	rho := math.Sqrt((-2*math.Log(alpha) + math.Log(-2*math.Log(alpha)) + 1) / narrowestAt)
 	t := s.count * rho * rho
@@ -94,9 +97,10 @@
 	}
 }
 
-// Verdict is what is known by now: bad if the difference is over half of what has to be found, for certain; good if it is under all of it, for
-// certain, in both figures. So one that is no worse is halted with a chance of alpha at most, and one that is worse by as much as has to be found
-// passes with one of alpha at most; in between either may come, and something does.
+// Verdict is what is known by now: bad if the difference is over half of what has to be found, for certain; good if
+// it is under all of it, for certain, in both figures. So one that is no worse is halted with a chance of alpha at
+// most, and one that is worse by as much as has to be found passes with one of alpha at most; in between either may
+// come, and something does.
 func (j *Analysis) Verdict() (Verdict, string) {
 	if j.crashes >= j.config.CrashLimit && j.config.CrashLimit > 0 {
 		return Failed, fmt.Sprintf("%d of its processes ended by themselves", j.crashes)
--- a/internal/coordination/canary/analysis_test.go
+++ b/internal/coordination/canary/analysis_test.go
@@ -19,8 +19,8 @@
 	picture  = flag.String("picture", "", "where TestChances draws")
 )
 
-// simulateRollout plays one: a window is a second, both releases see the same load, which wanders; each op's time is drawn, the new release's is longer by
-// slow. It gives the verdict and after how many windows.
+// simulateRollout plays one: a window is a second, both releases see the same load, which wanders; each op's time is
+// drawn, the new release's is longer by slow. It gives the verdict and after how many windows.
 func simulateRollout(seed uint64, ops, slow, late float64, maxWindows int) (Verdict, int) {
 	random := rand.New(rand.NewPCG(seed, 9))
 	j := New(DefaultConfig())
@@ -47,7 +47,8 @@
 	return Inconclusive, maxWindows
 }
 
-// What a release comes to, by how much worse it is: wrongly halted, and let pass though it is worse by what has to be found, no more often than told.
+// What a release comes to, by how much worse it is: wrongly halted, and let pass though it is worse by what has to be
+// found, no more often than told.
 func TestChances(t *testing.T) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "verdicts on a release that is slower, by ops a window on either side", "slower by", "share halted"
--- a/internal/coordination/converge.go
+++ b/internal/coordination/converge.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// convergeMembers requests permits for the members that are not on the release that they are to have, and tells whether
-// all are on it and up. Else the rollout's WaitReason is that of the first one that is not.
+// convergeMembers requests permits for the members that are not on the release that they are to have, and tells
+// whether all are on it and up. Else the rollout's WaitReason is that of the first one that is not.
 func (s *State) convergeMembers(names []Name) bool {
 	rollout := s.Rollout
 	converged := true
@@ -120,8 +120,8 @@
 	return converged
 }
 
-// convergeMember requests a permit for a member where it needs one, and tells what is waited for, empty if the member is
-// on its release and up.
+// convergeMember requests a permit for a member where it needs one, and tells what is waited for, empty if the member
+// is on its release and up.
 func (s *State) convergeMember(member *Member) string {
 	if permit := s.Permits[member.PermitID]; permit != nil {
 		return s.permitWaitReason(permit)
--- a/internal/coordination/coordination_test.go
+++ b/internal/coordination/coordination_test.go
@@ -7,12 +7,14 @@
 	"time"
 )
 
-// A drain from its asking to its end. The second waits for its turn; one that is out counts until it is up again, whole; a key asked twice is one.
+// A drain from its request to its end. The second one waits for its turn; a member that is out counts until it is up
+// again, and at its full rate; a key that is used twice makes one permit.
 func Example() {
 	f := newFleet(3, []string{"a"}, oneAtATime)
-	fmt.Println(f.apply(Command{Kind: KindRequestPermit, Member: "n0", IdempotencyKey: "k"}), f.apply(Command{Kind: KindRequestPermit, Member: "n0", IdempotencyKey: "k"}))
-	fmt.Println(f.apply(Command{Kind: KindRequestPermit, Member: "n1"}).PermitID, f.permitSummary())
-	fmt.Println(f.apply(Command{Kind: KindBeginPermit, Member: "n0", PermitID: 1, Incarnation: 1}).OK, f.apply(Command{Kind: KindBeginPermit, Member: "n1", PermitID: 2, Incarnation: 1}))
+	keyed := Command{Kind: KindRequestPermit, Member: "n0", IdempotencyKey: "k"}
+	fmt.Println(f.apply(keyed), f.apply(keyed))
+	fmt.Println(f.request("n1").PermitID, f.permitSummary())
+	fmt.Println(f.begin("n0", 1, 1).OK, f.begin("n1", 2, 1))
 	f.setMemberState(0, MemberLeaving)
 	f.setMemberState(0, MemberGone)
 	f.advanceTime(time.Hour)
@@ -30,29 +32,31 @@
 	// 1 n0: back | 2 n1 granted
 }
 
-// What keeps a permit from beginning: its time, a crash elsewhere, a halt, another life, a drop. What has begun is never taken back.
+// What keeps a permit from beginning: its timeout, a crash elsewhere, a halt, another incarnation, a cancellation.
+// What has begun is never withdrawn.
 func Example_withdrawn() {
 	f := newFleet(4, []string{"a"}, DisruptionBudget{Name: "two", MaxUnavailable: 2})
 	f.apply(Command{Kind: KindRequestPermit, Member: "n0", BeginTimeout: time.Second})
 	f.advanceTime(2 * time.Second)
-	fmt.Println(f.lastEnded(), f.apply(Command{Kind: KindBeginPermit, Member: "n0", PermitID: 1, Incarnation: 1}))
-	f.apply(Command{Kind: KindRequestPermit, Member: "n0"})
-	f.apply(Command{Kind: KindBeginPermit, Member: "n0", PermitID: 2, Incarnation: 1})
-	f.apply(Command{Kind: KindRequestPermit, Member: "n1"})
-	f.setMemberState(3, MemberSuspect) // n0 begun, n1 granted, n3 in doubt: three of two
+	fmt.Println(f.lastEnded(), f.begin("n0", 1, 1))
+	f.request("n0")
+	f.begin("n0", 2, 1)
+	f.request("n1")
+	f.setMemberState(3, MemberSuspect) // n0 begun, n1 granted, n3 suspect: three of two
 	fmt.Println(f.lastEnded(), "|", f.permitSummary())
 	f.setMemberState(3, MemberUp)
-	f.apply(Command{Kind: KindRequestPermit, Member: "n1"})
-	fmt.Println(f.apply(Command{Kind: KindBeginPermit, Member: "n1", PermitID: 4, Incarnation: 9}).Reason)
-	f.observeInstance(1, 2, MemberUp, "1", "a") // its life is over before it began
+	f.request("n1")
+	fmt.Println(f.begin("n1", 4, 9).Reason)
+	f.observeInstance(1, 2, MemberUp, "1", "a") // it has restarted before it began
 	fmt.Println(f.lastEnded())
-	f.apply(Command{Kind: KindRequestPermit, Member: "n1"})
+	f.request("n1")
 	f.apply(Command{Kind: KindHalt, RequestedBy: "op"})
-	fmt.Println(f.lastEnded(), f.apply(Command{Kind: KindBeginPermit, Member: "n1", PermitID: 5, Incarnation: 2}))
-	fmt.Println(f.apply(Command{Kind: KindRequestPermit, Member: "n2"}), "|", f.permitSummary())
+	fmt.Println(f.lastEnded(), f.begin("n1", 5, 2))
+	fmt.Println(f.request("n2"), "|", f.permitSummary())
 	f.apply(Command{Kind: KindResume})
 	fmt.Println(f.permitSummary())
-	fmt.Println(f.apply(Command{Kind: KindCancelPermit, PermitID: 6, RequestedBy: "op"}).OK, f.lastEnded(), f.apply(Command{Kind: KindCancelPermit, PermitID: 2}))
+	canceled := f.apply(Command{Kind: KindCancelPermit, PermitID: 6, RequestedBy: "op"}).OK
+	fmt.Println(canceled, f.lastEnded(), f.apply(Command{Kind: KindCancelPermit, PermitID: 2}))
 	f.apply(Command{Kind: KindForgetMember, Member: "n0", RequestedBy: "op"})
 	fmt.Println(f.apply(Command{Kind: KindForgetMember, Member: "n2"}), f.permitSummary())
 	// Output:
@@ -67,28 +71,38 @@
 	// {false n2 is there 0 []} 2 n0 begun
 }
 
-// Budgets: what no order of things would let go is said at once; one that changes under what waits, or is out; several that overlap; least capacity;
-// a waiting one lets others by, so often.
+// Budgets: what could never be granted is refused at once; budgets that change while a permit is queued or begun;
+// budgets that overlap; the capacity that stays up; a queued permit is overtaken only so often.
+//
+//nolint:lll // the trace has one line a step
 func Example_budgets() {
-	f := newFleet(6, []string{"a", "b"}, DisruptionBudget{Name: "tenth", MaxUnavailableFraction: 0.1, MaxUnavailable: -1})
-	fmt.Println(f.apply(Command{Kind: KindRequestPermit, Member: "n0"}).Reason)
-	f.apply(Command{Kind: KindSetBudgets, Budgets: []DisruptionBudget{{Name: "all", MaxUnavailable: 3}, {Name: "a", Selector: Selector{Zone: "a"}, MaxUnavailable: 1}, {Name: "up", MinAvailableCapacity: 4, MaxUnavailable: 99}}})
+	f := newFleet(6, []string{"a", "b"}, DisruptionBudget{
+		Name: "tenth", MaxUnavailableFraction: 0.1, MaxUnavailable: -1})
+	fmt.Println(f.request("n0").Reason)
+	f.apply(Command{Kind: KindSetBudgets, Budgets: []DisruptionBudget{
+		{Name: "all", MaxUnavailable: 3},
+		{Name: "a", Selector: Selector{Zone: "a"}, MaxUnavailable: 1},
+		{Name: "up", MinAvailableCapacity: 4, MaxUnavailable: 99},
+	}})
 	fmt.Println(f.apply(Command{Kind: KindDrain, Selector: Selector{Zone: "a"}}).PermitIDs, f.permitSummary())
-	for _, i := range []int{1, 3} {
-		f.apply(Command{Kind: KindRequestPermit, Member: instanceName(i)})
-	}
+	f.request("n1")
+	f.request("n3")
 	fmt.Println(f.permitSummary())
-	f.apply(Command{Kind: KindBeginPermit, Member: "n0", PermitID: 1, Incarnation: 1})
+	f.begin("n0", 1, 1)
 	f.apply(Command{Kind: KindSetBudgets, Budgets: []DisruptionBudget{{Name: "none", MaxUnavailable: 0}}})
 	fmt.Println(f.permitSummary(), "|", f.Usage(f.Budgets[0]).Unavailable)
-	fmt.Println(f.apply(Command{Kind: KindSetBudgets, Budgets: []DisruptionBudget{{Name: "x", MaxUnavailable: -1, MaxUnavailableFraction: 2}}}).Reason)
+	fmt.Println(f.apply(Command{Kind: KindSetBudgets, Budgets: []DisruptionBudget{
+		{Name: "x", MaxUnavailable: -1, MaxUnavailableFraction: 2}}}).Reason)
 	f.apply(Command{Kind: KindSetBudgets})
-	fmt.Println(f.apply(Command{Kind: KindRequestPermit, Member: "n4"}).Reason)
+	fmt.Println(f.request("n4").Reason)
 
-	f = newFleet(4, []string{"a", "b"}, DisruptionBudget{Name: "a", Selector: Selector{Zone: "a"}, MaxUnavailable: 1}, DisruptionBudget{Name: "b", Selector: Selector{Zone: "b"}, MaxUnavailable: 2}, DisruptionBudget{Name: "all", MaxUnavailable: 3})
+	f = newFleet(4, []string{"a", "b"},
+		DisruptionBudget{Name: "a", Selector: Selector{Zone: "a"}, MaxUnavailable: 1},
+		DisruptionBudget{Name: "b", Selector: Selector{Zone: "b"}, MaxUnavailable: 2},
+		DisruptionBudget{Name: "all", MaxUnavailable: 3})
 	f.Config.MaxOvertakes = 1
 	for _, i := range []int{0, 2, 1, 3} {
-		f.apply(Command{Kind: KindRequestPermit, Member: instanceName(i)})
+		f.request(instanceName(i))
 	}
 	fmt.Println(f.permitSummary())
 	// Output:
@@ -101,13 +115,22 @@
 	// 1 n0 granted; 2 n2 queued (budget a: 1 of 2 out, 1 may be); 3 n1 granted; 4 n3 queued (others have waited longer)
 }
 
-// Clocks of leaders that are an hour apart, or run back: spans get longer by it, never shorter.
+// Clocks of leaders that differ by an hour, or run back: timeouts get longer by it, never shorter.
+//
+//nolint:lll // the trace is one line
 func Example_clocks() {
 	f := newFleet(2, []string{"a"}, oneAtATime)
 	f.apply(Command{Kind: KindRequestPermit, Member: "n0", BeginTimeout: 10 * time.Second})
-	for _, c := range []Command{{Term: 1, LeaderTime: 9 * time.Second}, {Term: 2, LeaderTime: time.Hour}, {Term: 2, LeaderTime: time.Minute}, {Term: 2, LeaderTime: time.Hour + 500*time.Millisecond}, {Term: 3, LeaderTime: 0}, {Term: 3, LeaderTime: time.Second}} {
-		c.Kind = KindTick
-		f.Apply(c)
+	for _, command := range []Command{
+		{Term: 1, LeaderTime: 9 * time.Second},
+		{Term: 2, LeaderTime: time.Hour},
+		{Term: 2, LeaderTime: time.Minute},
+		{Term: 2, LeaderTime: time.Hour + 500*time.Millisecond},
+		{Term: 3, LeaderTime: 0},
+		{Term: 3, LeaderTime: time.Second},
+	} {
+		command.Kind = KindTick
+		f.Apply(command)
 		fmt.Print(f.Now, " ", f.permitSummary(), "; ")
 	}
 	fmt.Println(f.lastEnded())
@@ -117,19 +140,23 @@
 // What is written to a snapshot and read is the same state.
 func TestSnapshot(t *testing.T) {
 	f := newFleet(5, []string{"a", "b"}, oneAtATime)
-	f.apply(Command{Kind: KindStartRollout, Plan: &RolloutPlan{Name: "r", TargetRelease: "2"}, IdempotencyKey: "k"})
-	f.restartGranted(func(Name) string { return "2" })
+	plan := &RolloutPlan{Name: "r", TargetRelease: "2"}
+	f.apply(Command{Kind: KindStartRollout, Plan: plan, IdempotencyKey: "k"})
+	f.restartGranted(constantRelease("2"))
 	f.apply(Command{Kind: KindHalt})
-	b, err := json.Marshal(f.State)
+	stored, err := json.Marshal(f.State)
 	if err != nil {
 		t.Fatal(err)
 	}
-	back := &State{}
-	if err := json.Unmarshal(b, back); err != nil {
+	restored := &State{}
+	if err := json.Unmarshal(stored, restored); err != nil {
+		t.Fatal(err)
+	}
+	again, err := json.Marshal(restored)
+	if err != nil {
 		t.Fatal(err)
 	}
-	again, _ := json.Marshal(back)
-	if string(again) != string(b) {
-		t.Fatalf("%s\n%s", b, again)
+	if string(again) != string(stored) {
+		t.Fatalf("stored as\n%s\nread and stored again\n%s", stored, again)
 	}
 }
--- a/internal/coordination/golden_test.go
+++ b/internal/coordination/golden_test.go
@@ -86,102 +86,234 @@
 }
 
 var (
-	fullMatch  = Selector{Zone: "a", Release: "1", Role: "instance", Upstream: "db"}
-	fullBudget = DisruptionBudget{Name: "zone-a", Selector: fullMatch, MaxUnavailable: 2, MaxUnavailableFraction: 0.25, MinAvailableCapacity: 12.5}
-	fullSeen   = Observation{Name: "n1", Incarnation: 1_700_000_000_001, Zone: "a", Release: "1",
-		Roles: membership.RoleServer | membership.RoleUpstream, Upstream: "db", Capacity: 1.5, State: MemberLeaving}
-	fullPlan = RolloutPlan{Name: "r2", TargetRelease: "2", Selector: fullMatch, Waves: []Wave{{Count: 3, Fraction: 0.1, Zone: "b"}},
-		Pause: 10 * time.Second, AnalysisRequired: true, RollbackWavesAtOnce: 2.5, MaxAttempts: 3}
+	fullSelector = Selector{Zone: "a", Release: "1", Role: "instance", Upstream: "db"}
+	fullBudget   = DisruptionBudget{
+		Name:                   "zone-a",
+		Selector:               fullSelector,
+		MaxUnavailable:         2,
+		MaxUnavailableFraction: 0.25,
+		MinAvailableCapacity:   12.5,
+	}
+	fullObservation = Observation{
+		Name:        "n1",
+		Incarnation: 1_700_000_000_001,
+		Zone:        "a",
+		Release:     "1",
+		Roles:       membership.RoleServer | membership.RoleUpstream,
+		Upstream:    "db",
+		Capacity:    1.5,
+		State:       MemberLeaving,
+	}
+	fullPlan = RolloutPlan{
+		Name:                "r2",
+		TargetRelease:       "2",
+		Selector:            fullSelector,
+		Waves:               []Wave{{Count: 3, Fraction: 0.1, Zone: "b"}},
+		Pause:               10 * time.Second,
+		AnalysisRequired:    true,
+		RollbackWavesAtOnce: 2.5,
+		MaxAttempts:         3,
+	}
+	fullPermit = Permit{
+		ID:           42,
+		Member:       "n1",
+		Incarnation:  1_700_000_000_001,
+		RequestedBy:  "operator",
+		Purpose:      "drain",
+		Stage:        PermitBegun,
+		RequestedAt:  50 * time.Second,
+		StageSince:   60 * time.Second,
+		BeginTimeout: 30 * time.Second,
+		Overtakes:    4,
+		WaitReason:   "budget zone-a: 2 of 8 out, 2 may be",
+		Outcome:      "back",
+	}
+	fullEndedPermit = Permit{
+		ID:           41,
+		Member:       "n0",
+		Incarnation:  1_700_000_000_000,
+		RequestedBy:  "r1",
+		Purpose:      "release",
+		Stage:        PermitEnded,
+		RequestedAt:  10 * time.Second,
+		StageSince:   40 * time.Second,
+		BeginTimeout: 30 * time.Second,
+		Overtakes:    1,
+		WaitReason:   "halted",
+		Outcome:      "back",
+	}
 )
 
 // The log holds a command as JSON; a field whose stored name changes is lost to every log that was written before.
 func TestCommandGolden(t *testing.T) {
-	c := Command{
-		Term: 7, LeaderTime: 1500 * time.Millisecond, IdempotencyKey: "0123456789abcdef", RequestedBy: "operator", Kind: KindStartRollout,
-		Observations: []Observation{fullSeen}, Budgets: []DisruptionBudget{fullBudget}, Member: "n1", Incarnation: 1_700_000_000_001, Selector: fullMatch,
-		PermitID:     42,
-		BeginTimeout: 30 * time.Second, Reason: "a reason", Plan: &fullPlan, RolloutName: "r2", Wave: 1, Healthy: true,
-	}
-	nonZero(t, c)
-	golden(t, "command.json", c)
+	command := Command{
+		Term:           7,
+		LeaderTime:     1500 * time.Millisecond,
+		IdempotencyKey: "0123456789abcdef",
+		RequestedBy:    "operator",
+		Kind:           KindStartRollout,
+		Observations:   []Observation{fullObservation},
+		Budgets:        []DisruptionBudget{fullBudget},
+		Member:         "n1",
+		Incarnation:    1_700_000_000_001,
+		Selector:       fullSelector,
+		PermitID:       42,
+		BeginTimeout:   30 * time.Second,
+		Reason:         "a reason",
+		Plan:           &fullPlan,
+		RolloutName:    "r2",
+		Wave:           1,
+		Healthy:        true,
+	}
+	nonZero(t, command)
+	golden(t, "command.json", command)
 	golden(t, "command-empty.json", Command{})
 }
 
+// goldenState has no zero field but the two of the rollout's plan that are not stored.
+func goldenState() State {
+	storedPlan := fullPlan
+	// Rollout's own "Of" and "Judged" hide these two of the plan: the known fault that is noted at Rollout.
+	storedPlan.Selector = Selector{}
+	storedPlan.AnalysisRequired = false
+	reply := Reply{OK: true, Reason: "a reason", PermitID: 42, PermitIDs: []PermitID{42, 43}}
+	keptReply := reply
+	keptReply.Reason = "it has one: queued"
+	return State{
+		Config: Config{
+			MaxHistory:         1000,
+			MaxIdempotencyKeys: 4096,
+			MaxMembers:         10_000,
+			MaxQueuedPermits:   9000,
+			MaxOvertakes:       50,
+			StalledAfter:       time.Minute,
+		},
+		Now:            90 * time.Second,
+		Term:           7,
+		LastLeaderTime: 80 * time.Second,
+		Members: map[Name]*Member{"n1": {
+			Observation:     fullObservation,
+			StateSince:      70 * time.Second,
+			PermitID:        42,
+			PreviousRelease: "0",
+			FailedAttempts:  1,
+		}},
+		Budgets:      []DisruptionBudget{fullBudget},
+		Permits:      map[PermitID]*Permit{42: &fullPermit},
+		PermitQueue:  []PermitID{43, 44},
+		LastPermitID: 44,
+		Halt:         &Halt{At: 85 * time.Second, By: "operator", Reason: "for the night"},
+		Rollout: &Rollout{
+			RolloutPlan: storedPlan,
+			RequestedBy: "operator",
+			Phase:       RolloutAnalyzing,
+			Wave:        1,
+			PhaseSince:  75 * time.Second,
+			WaveMembers: [][]Name{{"n1"}, {"n2", "n3"}},
+			WaitReason:  "the verdict on wave 2",
+			Analyzed:    true,
+			Reason:      "slower",
+		},
+		Replies:    map[string]Reply{"0123456789abcdef": keptReply},
+		ReplyOrder: []string{"0123456789abcdef"},
+		History: []HistoryEntry{{
+			Sequence:    3,
+			At:          50 * time.Second,
+			RequestedBy: "operator",
+			Kind:        KindDrain,
+			Summary:     "zone=a",
+			Reply:       reply,
+		}},
+		Sequence:     3,
+		EndedPermits: []Permit{fullEndedPermit},
+	}
+}
+
 // A snapshot holds the whole state as JSON.
 func TestStateGolden(t *testing.T) {
-	hidden := fullPlan
-	// Danger: Of and Judged of a Release hide those of its Plan, which are not stored with a state. Here that stays
-	// as it is.
-	hidden.Selector, hidden.AnalysisRequired = Selector{}, false
-	s := State{
-		Config: Config{MaxHistory: 1000, MaxIdempotencyKeys: 4096, MaxMembers: 10_000, MaxQueuedPermits: 9000, MaxOvertakes: 50, StalledAfter: time.Minute},
-		Now:    90 * time.Second, Term: 7, LastLeaderTime: 80 * time.Second,
-		Members: map[Name]*Member{"n1": {Observation: fullSeen, StateSince: 70 * time.Second, PermitID: 42, PreviousRelease: "0", FailedAttempts: 1}},
-		Budgets: []DisruptionBudget{fullBudget},
-		Permits: map[PermitID]*Permit{42: {ID: 42, Member: "n1", Incarnation: 1_700_000_000_001, RequestedBy: "operator",
-			Purpose: "drain", Stage: PermitBegun, RequestedAt: 50 * time.Second,
-			StageSince: 60 * time.Second, BeginTimeout: 30 * time.Second, Overtakes: 4, WaitReason: "budget zone-a: 2 of 8 out, 2 may be",
-			Outcome: "back"}},
-		PermitQueue: []PermitID{43, 44}, LastPermitID: 44,
-		Halt: &Halt{At: 85 * time.Second, By: "operator", Reason: "for the night"},
-		Rollout: &Rollout{RolloutPlan: hidden, RequestedBy: "operator", Phase: RolloutAnalyzing, Wave: 1, PhaseSince: 75 * time.Second,
-			WaveMembers: [][]Name{{"n1"}, {"n2", "n3"}},
-			WaitReason:  "the verdict on wave 2", Analyzed: true, Reason: "slower"},
-		Replies: map[string]Reply{"0123456789abcdef": {OK: true, Reason: "it has one: queued", PermitID: 42,
-			PermitIDs: []PermitID{42, 43}}}, ReplyOrder: []string{"0123456789abcdef"},
-		History: []HistoryEntry{{Sequence: 3, At: 50 * time.Second, RequestedBy: "operator", Kind: KindDrain, Summary: "zone=a",
-			Reply: Reply{OK: true, Reason: "a reason", PermitID: 42, PermitIDs: []PermitID{42, 43}}}},
-		Sequence: 3,
-		EndedPermits: []Permit{{ID: 41, Member: "n0", Incarnation: 1_700_000_000_000, RequestedBy: "r1", Purpose: "release", Stage: PermitEnded,
-			RequestedAt: 10 * time.Second, StageSince: 40 * time.Second,
-			BeginTimeout: 30 * time.Second, Overtakes: 1, WaitReason: "halted", Outcome: "back"}},
-	}
-	filled, release := s, *s.Rollout
-	release.RolloutPlan, filled.Rollout = fullPlan, &release
+	state := goldenState()
+	filled := state
+	rollout := *state.Rollout
+	rollout.RolloutPlan = fullPlan
+	filled.Rollout = &rollout
 	nonZero(t, filled)
-	golden(t, "state.json", s)
+	golden(t, "state.json", state)
 	golden(t, "state-empty.json", *NewState(DefaultConfig()))
 }
 
-// What is shown of a budget by a status.
-func TestUseGolden(t *testing.T) {
-	u := BudgetUsage{Budget: fullBudget, Members: 8, Unavailable: 1, UnavailableLimit: 2, AvailableCapacity: 10.5}
-	nonZero(t, u)
-	golden(t, "use.json", u)
+// What a status shows of a budget.
+func TestUsageGolden(t *testing.T) {
+	usage := BudgetUsage{
+		Budget:            fullBudget,
+		Members:           8,
+		Unavailable:       1,
+		UnavailableLimit:  2,
+		AvailableCapacity: 10.5,
+	}
+	nonZero(t, usage)
+	golden(t, "use.json", usage)
 }
 
 // The words and numbers by which commands, states and roles are stored.
 func TestStoredValues(t *testing.T) {
-	for _, x := range []struct {
-		got  any
-		want string
+	for _, stored := range []struct {
+		value any
+		want  string
 	}{
-		{[]MemberState{MemberUp, MemberWarmingUp, MemberJoining, MemberSuspect, MemberLeaving, MemberGone}, `["","cold","joining","suspect","leaving","gone"]`},
-		{[]PermitStage{PermitQueued, PermitGranted, PermitBegun, PermitEnded}, `["queued","granted","begun","ended"]`},
-		{[]RolloutPhase{RolloutUpdating, RolloutAnalyzing, RolloutRollingBack, RolloutCompleted, RolloutRolledBack}, `["going","judging","going back","done","back"]`},
-		{[]Kind{KindObserve, KindSetBudgets, KindRequestPermit, KindBeginPermit, KindCancelPermit, KindForgetMember, KindHalt, KindResume, KindStartRollout, KindRollBack, KindCanaryVerdict,
-			KindTick, KindDrain, KindCancelDrain},
-			`["see","budgets","ask","begin","drop","forget","halt","resume","release","back","verdict","tick","drain","undrain"]`},
-		{map[string]membership.Roles{"instance": membership.RoleServer, "relay": membership.RoleProxy, "steward": membership.RoleCoordinator,
-			"below": membership.RoleUpstream},
-			`{"below":8,"instance":1,"relay":2,"steward":4}`},
+		{
+			[]MemberState{MemberUp, MemberWarmingUp, MemberJoining, MemberSuspect, MemberLeaving, MemberGone},
+			`["","cold","joining","suspect","leaving","gone"]`,
+		},
+		{
+			[]PermitStage{PermitQueued, PermitGranted, PermitBegun, PermitEnded},
+			`["queued","granted","begun","ended"]`,
+		},
+		{
+			[]PermitPurpose{PurposeDrain, PurposeRollout, PurposeRollback},
+			`["drain","release","back"]`,
+		},
+		{
+			[]RolloutPhase{
+				RolloutUpdating, RolloutAnalyzing, RolloutRollingBack, RolloutCompleted, RolloutRolledBack},
+			`["going","judging","going back","done","back"]`,
+		},
+		{
+			[]Kind{
+				KindObserve, KindSetBudgets, KindRequestPermit, KindBeginPermit, KindCancelPermit,
+				KindForgetMember, KindHalt, KindResume, KindStartRollout, KindRollBack, KindCanaryVerdict,
+				KindTick, KindDrain, KindCancelDrain},
+			`["see","budgets","ask","begin","drop","forget","halt","resume","release","back","verdict","tick",` +
+				`"drain","undrain"]`,
+		},
+		{
+			map[string]membership.Roles{
+				"instance": membership.RoleServer,
+				"relay":    membership.RoleProxy,
+				"steward":  membership.RoleCoordinator,
+				"below":    membership.RoleUpstream,
+			},
+			`{"below":8,"instance":1,"relay":2,"steward":4}`,
+		},
 		{membership.Incarnation(1_700_000_000_001), `1700000000001`},
 		{map[PermitID]Name{42: "n1"}, `{"42":"n1"}`},
 	} {
-		b, err := json.Marshal(x.got)
-		if err != nil || string(b) != x.want {
-			t.Errorf("%s, wanted %s (%v)", b, x.want, err)
+		text, err := json.Marshal(stored.value)
+		if err != nil || string(text) != stored.want {
+			t.Errorf("stored as %s, want %s (%v)", text, stored.want, err)
 		}
 	}
-	// Why a permit was asked for decides what becomes of it, and is stored as a word.
-	if r := (&Rollout{Phase: RolloutUpdating}); r.permitPurpose() != "release" {
-		t.Error(r.permitPurpose())
+}
+
+// A permit's purpose decides what becomes of it, and is stored as a word.
+func TestStoredPurpose(t *testing.T) {
+	if got := (&Rollout{Phase: RolloutUpdating}).permitPurpose(); got != "release" {
+		t.Error(got)
 	}
-	if r := (&Rollout{Phase: RolloutRollingBack}); r.permitPurpose() != "back" {
-		t.Error(r.permitPurpose())
+	if got := (&Rollout{Phase: RolloutRollingBack}).permitPurpose(); got != "back" {
+		t.Error(got)
 	}
 	f := newFleet(1, []string{"a"}, oneAtATime)
-	f.apply(Command{Kind: KindRequestPermit, Member: "n0"})
+	f.request("n0")
 	if got := fmt.Sprint(f.Permits[1].Purpose, " ", f.Permits[1].BeginTimeout); got != "drain 30s" {
 		t.Error(got)
 	}
--- a/internal/coordination/permit.go
+++ b/internal/coordination/permit.go
@@ -87,8 +87,8 @@
 	return Reply{OK: true, PermitID: permit.ID}
 }
 
-// grantPermits grants queued permits that fit the budgets, in the order of the requests. One that does not fit lets later
-// ones overtake it, up to Config.MaxOvertakes; from then on the groups that it waits for are reserved for it.
+// grantPermits grants queued permits that fit the budgets, in the order of the requests. One that does not fit lets
+// later ones overtake it, up to Config.MaxOvertakes; from then on the groups that it waits for are reserved for it.
 func (s *State) grantPermits() {
 	if s.Halt != nil {
 		for _, id := range s.PermitQueue {
@@ -172,8 +172,8 @@
 	return Reply{OK: true, PermitID: command.PermitID}
 }
 
-// expirePermits ends granted permits that were not begun in time or whose member is out already, and withdraws those that
-// crashes have pushed over a budget, the latest one first.
+// expirePermits ends granted permits that were not begun in time or whose member is out already, and withdraws those
+// that crashes have pushed over a budget, the latest one first.
 func (s *State) expirePermits() {
 	permits := s.permitsByID()
 	slices.Reverse(permits)
--- a/internal/coordination/rollout.go
+++ b/internal/coordination/rollout.go
@@ -40,8 +40,8 @@
 // Rollout is a plan on its way. There is one at a time.
 //
 // Known fault: WaveMembers and Analyzed have the stored names of the plan's Selector and AnalysisRequired, "Of" and
-// "Judged". encoding/json writes and reads the outer fields alone, so a snapshot does not hold those two of the plan: a
-// state restored from it selects all members and waits for no verdict. A repair changes what is stored.
+// "Judged". encoding/json writes and reads the outer fields alone, so a snapshot does not hold those two of the plan:
+// a state restored from it selects all members and waits for no verdict. A repair changes what is stored.
 type Rollout struct {
 	RolloutPlan
 	RequestedBy string        `json:"By"`
@@ -162,8 +162,8 @@
 	return r != nil && r.Name == name && r.Wave == wave && (r.Phase == RolloutUpdating || r.Phase == RolloutAnalyzing)
 }
 
-// applyVerdict takes in a verdict on the current wave; a late one on an earlier wave is refused. A wave can fail before
-// it is updated whole, and passes only afterwards.
+// applyVerdict takes in a verdict on the current wave; a late one on an earlier wave is refused. A wave can fail
+// before it is updated whole, and passes only afterwards.
 func (s *State) applyVerdict(command Command) Reply {
 	rollout := s.Rollout
 	switch {
--- a/internal/coordination/rollout_test.go
+++ b/internal/coordination/rollout_test.go
@@ -5,52 +5,39 @@
 	"time"
 )
 
-// restartGranted has whoever may go do so, and come back on a release, until nobody may.
-func (f *fleet) restartGranted(release func(Name) string) (restarted []Name) {
-	for {
-		any := false
-		for _, p := range f.permitsByID() {
-			if p.Stage != PermitGranted || !f.apply(Command{Kind: KindBeginPermit, Member: p.Member, PermitID: p.ID, Incarnation: p.Incarnation}).OK {
-				continue
-			}
-			any = true
-			restarted = append(restarted, p.Member)
-			m := f.Members[p.Member]
-			x := m.Observation
-			x.State = MemberGone
-			f.apply(Command{Kind: KindObserve, Observations: []Observation{x}})
-			x.Incarnation++
-			x.State, x.Release = MemberUp, release(x.Name)
-			f.apply(Command{Kind: KindObserve, Observations: []Observation{x}})
-		}
-		if !any {
-			return restarted
-		}
-	}
-}
-
-// A release in waves: one, a zone, the rest; each is judged. A bad verdict halts it; nothing begins any more; the way back brings all that went, several
-// waves at a time, under the same budget.
-func Example_release() {
+// A rollout in waves: one member, a zone, the rest; each wave is analyzed. A failed verdict halts it: nothing begins
+// any more. The rollback brings all back that went, several waves at a time, under the same budget.
+func Example_rollout() {
 	f := newFleet(6, []string{"a", "b"}, oneAtATime)
-	plan := &RolloutPlan{Name: "r2", TargetRelease: "2", Waves: []Wave{{Count: 1}, {Zone: "b"}}, Pause: 10 * time.Second, AnalysisRequired: true, RollbackWavesAtOnce: 2, MaxAttempts: 1}
-	fmt.Println(f.apply(Command{Kind: KindStartRollout, Plan: plan, RequestedBy: "a"}).OK, f.apply(Command{Kind: KindStartRollout, Plan: &RolloutPlan{Name: "r3", TargetRelease: "3"}, RequestedBy: "b"}).Reason)
-	two := func(Name) string { return "2" }
-	fmt.Println(f.Rollout.WaveMembers, f.restartGranted(two), f.Rollout.Phase)
+	plan := &RolloutPlan{
+		Name:                "r2",
+		TargetRelease:       "2",
+		Waves:               []Wave{{Count: 1}, {Zone: "b"}},
+		Pause:               10 * time.Second,
+		AnalysisRequired:    true,
+		RollbackWavesAtOnce: 2,
+		MaxAttempts:         1,
+	}
+	other := &RolloutPlan{Name: "r3", TargetRelease: "3"}
+	fmt.Println(f.apply(Command{Kind: KindStartRollout, Plan: plan, RequestedBy: "a"}).OK,
+		f.apply(Command{Kind: KindStartRollout, Plan: other, RequestedBy: "b"}).Reason)
+	updated := constantRelease("2")
+	fmt.Println(f.Rollout.WaveMembers, f.restartGranted(updated), f.Rollout.Phase)
 	f.advanceTime(11 * time.Second)
-	fmt.Println(f.Rollout.WaitReason, f.restartGranted(two))
-	fmt.Println(f.apply(Command{Kind: KindCanaryVerdict, RolloutName: "r2", Wave: 0, Healthy: true}).OK, f.restartGranted(two), f.Rollout.WaitReason)
-	fmt.Println(f.apply(Command{Kind: KindCanaryVerdict, RolloutName: "r2", Wave: 0, Healthy: false}).Reason)
-	f.apply(Command{Kind: KindCanaryVerdict, RolloutName: "r2", Wave: 1, Healthy: true})
+	fmt.Println(f.Rollout.WaitReason, f.restartGranted(updated))
+	fmt.Println(f.verdict(0, true).OK, f.restartGranted(updated), f.Rollout.WaitReason)
+	fmt.Println(f.verdict(0, false).Reason)
+	f.verdict(1, true)
 	f.advanceTime(11 * time.Second)
-	f.apply(Command{Kind: KindBeginPermit, Member: f.permitsByID()[0].Member, PermitID: f.permitsByID()[0].ID, Incarnation: 1})
+	first := f.permitsByID()[0]
+	f.begin(first.Member, first.ID, 1)
 	fmt.Println(f.Rollout.Wave, f.permitSummary())
-	f.apply(Command{Kind: KindCanaryVerdict, RolloutName: "r2", Wave: 2, Healthy: false, Reason: "slower", RequestedBy: "the judgement"})
+	f.apply(Command{Kind: KindCanaryVerdict, RolloutName: "r2", Wave: 2, Healthy: false, Reason: "slower",
+		RequestedBy: "the judgement"})
 	fmt.Println(*f.Halt, f.Rollout.WaitReason)
 	fmt.Println(f.apply(Command{Kind: KindRollBack, RequestedBy: "op"}).OK, f.apply(Command{Kind: KindRollBack}).Reason)
-	m := f.Members["n2"]
-	f.observeInstance(2, int(m.Incarnation)+1, MemberUp, "2", "a")
-	fmt.Println(f.restartGranted(func(Name) string { return "1" }), f.Rollout.Phase, f.Halt)
+	f.observeInstance(2, int(f.Members["n2"].Incarnation)+1, MemberUp, "2", "a")
+	fmt.Println(f.restartGranted(constantRelease("1")), f.Rollout.Phase, f.Halt)
 	// Output:
 	// true release r2 is going
 	// [[n0] [n1 n3 n5] [n2 n4]] [n0] judging
@@ -63,19 +50,20 @@
 	// [n1 n3 n5 n2 n0] back <nil>
 }
 
-// A release that can't go on says what it waits for: one that comes back as it was, one that does not come back.
-func Example_stuck() {
+// A rollout that can't go on tells what it waits for: a member that comes back on its old release, one that does not
+// come back.
+func Example_stalledRollout() {
 	f := newFleet(2, []string{"a"}, oneAtATime)
 	f.apply(Command{Kind: KindStartRollout, Plan: &RolloutPlan{Name: "r", TargetRelease: "2", MaxAttempts: 2}})
-	fmt.Println(f.restartGranted(func(Name) string { return "1" }), f.Rollout.WaitReason)
+	fmt.Println(f.restartGranted(constantRelease("1")), f.Rollout.WaitReason)
 	f = newFleet(2, []string{"a"}, oneAtATime)
 	f.apply(Command{Kind: KindStartRollout, Plan: &RolloutPlan{Name: "r", TargetRelease: "2"}})
-	f.apply(Command{Kind: KindBeginPermit, Member: "n0", PermitID: 1, Incarnation: 1})
+	f.begin("n0", 1, 1)
 	f.setMemberState(0, MemberGone)
 	f.advanceTime(2 * time.Minute)
 	fmt.Println(f.Rollout.WaitReason)
 	f.observeInstance(0, 2, MemberUp, "2", "a")
-	f.observeInstance(0, 1, MemberGone, "1", "a") // an old life's word, which came late
+	f.observeInstance(0, 1, MemberGone, "1", "a") // late, of the earlier incarnation
 	fmt.Println(f.Members["n0"].State == MemberUp, f.Members["n0"].Release)
 	// Output:
 	// [n0 n1 n0 n1] n0 came back 2 times on 1
--- a/internal/coordination/state.go
+++ b/internal/coordination/state.go
@@ -1,9 +1,9 @@
 // Package coordination holds what the coordinators of a fleet have agreed on: its members, disruption budgets, permits
 // to go out, the rollout in progress, and whether everything is halted.
 //
-// It is pure and deterministic: the same commands in the same order make the same state on every coordinator. Time comes
-// in with a command, as a duration since its leader started, so that no two clocks have to agree. docs/releases.md has
-// the states and why they hold.
+// It is pure and deterministic: the same commands in the same order make the same state on every coordinator. Time
+// comes in with a command, as a duration since its leader started, so that no two clocks have to agree.
+// docs/releases.md has the states and why they hold.
 package coordination
 
 import (
@@ -119,8 +119,8 @@
 	return list
 }
 
-// advanceClock moves the fleet's time on. Only what passes while one coordinator leads counts, by its own clock: clocks
-// that differ by an hour can make a timeout longer when the leader changes, and never shorter.
+// advanceClock moves the fleet's time on. Only what passes while one coordinator leads counts, by its own clock:
+// clocks that differ by an hour can make a timeout longer when the leader changes, and never shorter.
 func (s *State) advanceClock(command Command) {
 	if command.Term != s.Term {
 		s.Term = command.Term
