--- a/internal/coordination/canary/analysis.go
+++ b/internal/coordination/canary/analysis.go
@@ -1,7 +1,8 @@
-// Package canary holds a new release against the old one, at the same time on the same work, and says as soon as it
-// can whether it is worse. It is pure: windows of figures in, a verdict out. The test is sequential: it may be looked
-// at after each window, and the chance of ever being wrong stays under what is told. docs/releases.md says which and
-// why.
+// Package canary compares a new release with the old one, at the same time on the same work, and tells as soon as it
+// can whether the new one is worse.
+//
+// It is pure: windows of figures in, a verdict out. The test is sequential: it may be looked at after each window, and
+// the chance of ever being wrong stays under what is configured. docs/releases.md says which test and why.
 package canary
 
 import (
@@ -9,120 +10,114 @@
 	"math"
 )
 
-// Config is what the judgement goes by.
+// Config is what an analysis goes by.
 type Config struct {
-	ErrorRate              float64 // chance of a wrong halt, and of a missed regression, each
-	DetectableLateIncrease float64 // regression that has to be found: more ops in a hundred not served in their target latency, as a share
-	DetectableSlowdown     float64 // ... and longer work, as a share
+	ErrorRate              float64 // probability of a wrong halt, and of a missed regression, each
+	DetectableLateIncrease float64 // regression to be found: increase of the share not served within its latency objective
+	DetectableSlowdown     float64 // regression to be found: increase of the mean duration, as a share
 	MinWindows             int     // windows before any verdict
-	MinRequests            float64 // that a window needs on either side to count
-	CrashLimit             int     // processes of the new release that end by themselves; so many are a verdict at once
+	MinRequests            float64 // requests that a window needs on either side to count
+	CrashLimit             int     // crashes of the new release that are a verdict at once; 0: none are
 }
 
-// DefaultConfig is what holds without being told.
+// DefaultConfig returns the values that hold where nothing is configured.
 func DefaultConfig() Config {
-	return Config{ErrorRate: 0.02, DetectableLateIncrease: 0.02, DetectableSlowdown: 0.1, MinWindows: 8, MinRequests: 20, CrashLimit: 2}
+	return Config{
+		ErrorRate:              0.02,
+		DetectableLateIncrease: 0.02,
+		DetectableSlowdown:     0.1,
+		MinWindows:             8,
+		MinRequests:            20,
+		CrashLimit:             2,
+	}
 }
 
-// Sample is what one release did in a window.
+// Sample is what the members of one release did in a window.
 type Sample struct {
-	Requests    float64 // that ended
-	OnTime      float64 // of them, in their target latency
-	MeanSeconds float64 // s that the others took on average, from reading to answer
+	Requests    float64 // finished
+	OnTime      float64 // of them, within their latency objective
+	MeanSeconds float64 // from reading a request to its answer, on average
 	Crashes     int     // processes that ended by themselves
 }
 
-// Verdict is what is known by now.
+// Verdict is what is known of the new release.
 type Verdict uint8
 
+// The verdicts.
 const (
 	Inconclusive Verdict = iota
 	Passed
 	Failed
 )
 
-var verdictNames = []string{"open", "good", "bad"}
+var verdictNames = [...]string{Inconclusive: "inconclusive", Passed: "passed", Failed: "failed"}
 
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Analysis takes one wave's windows.
+// Result is a verdict and what led to it, in words for operators.
+type Result struct {
+	Verdict Verdict
+	Reason  string
+}
+
+// Analysis gathers the windows of one wave. It is not safe for concurrent use.
 type Analysis struct {
 	config         Config
-	lateIncrease   runningStats
-	slowdown       runningStats
+	lateIncrease   runningStats // share not served on time, new release less old one
+	slowdown       runningStats // logarithm of the ratio of the mean durations, new to old
 	crashes        int
-	skippedWindows int // windows with too few ops
+	skippedWindows int // with too few requests
 }
 
-// New begins.
+// New returns an analysis without any window.
 func New(config Config) *Analysis { return &Analysis{config: config} }
 
-// runningStats is one figure's differences, window by window.
-type runningStats struct{ count, mean, squaredDeviations float64 }
-
-func (s *runningStats) add(value float64) {
-	s.count++
-	delta := value - s.mean
-	s.mean += delta / s.count
-	s.squaredDeviations += delta * (value - s.mean)
-}
-
-// confidenceBounds is between which the true difference lies, at all windows at once but for a chance of alpha:
-// Robbins' normal mixture, by the variance that was seen (a confidence sequence after Waudby-Smith and others, 2021).
-// tight is the number of windows at which it is narrowest.
-func (s *runningStats) confidenceBounds(alpha float64) (low, high float64) {
-	const narrowestAt = 30.0
-	if s.count < 2 {
-		return math.Inf(-1), math.Inf(1)
-	}
-	// A few windows that happen to be alike would make the variance too small: two of a difference that is usual are
-	// added.
-	sigma := math.Sqrt((s.squaredDeviations + 2*s.squaredDeviations/s.count) / (s.count - 1))
-	rho := math.Sqrt((-2*math.Log(alpha) + math.Log(-2*math.Log(alpha)) + 1) / narrowestAt)
-	t := s.count * rho * rho
-	radius := sigma * math.Sqrt(2*(t+1)/(s.count*s.count*rho*rho)*math.Log(math.Sqrt(t+1)/alpha))
-	return s.mean - radius, s.mean + radius
-}
-
-// Add takes a window.
-func (j *Analysis) Add(canary, baseline Sample) {
-	j.crashes += canary.Crashes
-	if canary.Requests < j.config.MinRequests || baseline.Requests < j.config.MinRequests {
-		j.skippedWindows++
+// Add takes in a window. One with too few requests on either side counts for its crashes alone.
+func (a *Analysis) Add(canary, baseline Sample) {
+	a.crashes += canary.Crashes
+	if canary.Requests < a.config.MinRequests || baseline.Requests < a.config.MinRequests {
+		a.skippedWindows++
 		return
 	}
-	j.lateIncrease.add(baseline.OnTime/baseline.Requests - canary.OnTime/canary.Requests)
+	a.lateIncrease.add(baseline.OnTime/baseline.Requests - canary.OnTime/canary.Requests)
 	if canary.MeanSeconds > 0 && baseline.MeanSeconds > 0 {
-		j.slowdown.add(math.Log(canary.MeanSeconds / baseline.MeanSeconds))
+		a.slowdown.add(math.Log(canary.MeanSeconds / baseline.MeanSeconds))
 	}
 }
 
-// Verdict is what is known by now: bad if the difference is over half of what has to be found, for certain; good if
-// it is under all of it, for certain, in both figures. So one that is no worse is halted with a chance of alpha at
-// most, and one that is worse by as much as has to be found passes with one of alpha at most; in between either may
-// come, and something does.
-func (j *Analysis) Verdict() (Verdict, string) {
-	if j.crashes >= j.config.CrashLimit && j.config.CrashLimit > 0 {
-		return Failed, fmt.Sprintf("%d of its processes ended by themselves", j.crashes)
+// Result tells what is known by now. The release fails if a difference is over half of what has to be found, for
+// certain; it passes if both are under all of it, for certain. So a release that is no worse fails with a probability
+// of ErrorRate at most, and one that is worse by what has to be found passes with ErrorRate at most; in between
+// either may come.
+func (a *Analysis) Result() Result {
+	if a.crashes >= a.config.CrashLimit && a.config.CrashLimit > 0 {
+		return Result{Failed, fmt.Sprintf("%d of its processes ended by themselves", a.crashes)}
 	}
-	if int(j.lateIncrease.count) < j.config.MinWindows {
-		return Inconclusive, fmt.Sprintf("%.0f windows of %d, %d more with too few ops", j.lateIncrease.count, j.config.MinWindows, j.skippedWindows)
+	windows := a.lateIncrease.count
+	if int(windows) < a.config.MinWindows {
+		return Result{Inconclusive, fmt.Sprintf("%.0f windows of %d, %d more with too few requests",
+			windows, a.config.MinWindows, a.skippedWindows)}
 	}
-	// Two figures are looked at: each has half of the chance.
 	passed := true
 	for _, metric := range []struct {
-		s     *runningStats
-		floor float64
-		what  string
-	}{{&j.lateIncrease, j.config.DetectableLateIncrease, "not served in time"}, {&j.slowdown, math.Log(1 + j.config.DetectableSlowdown), "time it takes"}} {
-		low, high := metric.s.confidenceBounds(j.config.ErrorRate / 2)
-		if low > metric.floor/2 {
-			return Failed, fmt.Sprintf("%s: %+.1f%%, between %+.1f%% and %+.1f%% after %.0f windows", metric.what, 100*metric.s.mean, 100*low, 100*high, metric.s.count)
+		stats      *runningStats
+		detectable float64
+		name       string
+	}{
+		{&a.lateIncrease, a.config.DetectableLateIncrease, "not served in time"},
+		{&a.slowdown, math.Log(1 + a.config.DetectableSlowdown), "time it takes"},
+	} {
+		// Two metrics are tested: each has half of the error rate.
+		low, high := metric.stats.confidenceBounds(a.config.ErrorRate / 2)
+		if low > metric.detectable/2 {
+			return Result{Failed, fmt.Sprintf("%s: %+.1f%%, between %+.1f%% and %+.1f%% after %.0f windows",
+				metric.name, 100*metric.stats.mean, 100*low, 100*high, metric.stats.count)}
 		}
-		passed = passed && high < metric.floor
+		passed = passed && high < metric.detectable
 	}
-	if passed {
-		return Passed, fmt.Sprintf("%+.1f%% not served in time, %+.1f%% in the time it takes, after %.0f windows", 100*j.lateIncrease.mean, 100*j.slowdown.mean, j.lateIncrease.count)
+	if !passed {
+		return Result{Inconclusive, fmt.Sprintf("not certain after %.0f windows", windows)}
 	}
-	return Inconclusive, fmt.Sprintf("not certain after %.0f windows", j.lateIncrease.count)
+	return Result{Passed, fmt.Sprintf("%+.1f%% not served in time, %+.1f%% in the time it takes, after %.0f windows",
+		100*a.lateIncrease.mean, 100*a.slowdown.mean, windows)}
 }
--- a/internal/coordination/canary/analysis_test.go
+++ b/internal/coordination/canary/analysis_test.go
@@ -11,7 +11,7 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
-	_ "gonum.org/v1/plot/vg/vgsvg"
+	_ "gonum.org/v1/plot/vg/vgsvg" // the format of the picture
 )
 
 var (
@@ -19,118 +19,149 @@
 	picture  = flag.String("picture", "", "where TestChances draws")
 )
 
-// simulateRollout plays one: a window is a second, both releases see the same load, which wanders; each op's time is
-// drawn, the new release's is longer by slow. It gives the verdict and after how many windows.
-func simulateRollout(seed uint64, ops, slow, late float64, maxWindows int) (Verdict, int) {
+// maxSimulatedWindows is when a simulated release without a verdict is left inconclusive.
+const maxSimulatedWindows = 600
+
+// regression is by how much a simulated release is worse than the old one.
+type regression struct {
+	slowdown float64 // of each request, as a share
+	late     float64 // share of requests that are never on time
+}
+
+// simulateWindow draws what one side does in a window of a second.
+func simulateWindow(random *rand.Rand, requests, load float64, worse regression) Sample {
+	var sample Sample
+	for range int(requests * (0.8 + 0.4*random.Float64())) {
+		seconds := 0.05 * load * (1 + worse.slowdown) * (0.5 + 0.5*random.ExpFloat64())
+		sample.Requests++
+		sample.MeanSeconds += seconds
+		if seconds < 0.35 && random.Float64() >= worse.late {
+			sample.OnTime++
+		}
+	}
+	sample.MeanSeconds /= sample.Requests
+	return sample
+}
+
+// simulateRollout plays one rollout: both releases see the same load, which wanders. It returns the verdict and after
+// how many windows it came.
+func simulateRollout(seed uint64, requests float64, worse regression) (Verdict, int) {
 	random := rand.New(rand.NewPCG(seed, 9))
-	j := New(DefaultConfig())
+	analysis := New(DefaultConfig())
 	load := 1.0
-	for n := 1; n <= maxWindows; n++ {
+	for window := 1; window <= maxSimulatedWindows; window++ {
 		load = min(3, max(0.5, load*math.Exp(0.1*random.NormFloat64())))
-		group := func(slow, late float64) (g Sample) {
-			for range int(ops * (0.8 + 0.4*random.Float64())) {
-				took := 0.05 * load * (1 + slow) * (0.5 + 0.5*random.ExpFloat64())
-				g.Requests++
-				g.MeanSeconds += took
-				if took < 0.35 && random.Float64() >= late {
-					g.OnTime++
-				}
-			}
-			g.MeanSeconds /= g.Requests
-			return g
+		canary := simulateWindow(random, requests, load, worse)
+		baseline := simulateWindow(random, requests, load, regression{})
+		analysis.Add(canary, baseline)
+		if result := analysis.Result(); result.Verdict != Inconclusive {
+			return result.Verdict, window
 		}
-		j.Add(group(slow, late), group(0, 0))
-		if v, _ := j.Verdict(); v != Inconclusive {
-			return v, n
+	}
+	return Inconclusive, maxSimulatedWindows
+}
+
+// outcomes are the shares of many simulated releases.
+type outcomes struct{ failed, passed, meanWindows float64 }
+
+func simulateRollouts(requests float64, worse regression) outcomes {
+	var sum outcomes
+	for seed := range uint64(*releases) {
+		verdict, windows := simulateRollout(seed, requests, worse)
+		sum.meanWindows += float64(windows)
+		switch verdict {
+		case Failed:
+			sum.failed++
+		case Passed:
+			sum.passed++
 		}
 	}
-	return Inconclusive, maxWindows
+	total := float64(*releases)
+	return outcomes{sum.failed / total, sum.passed / total, sum.meanWindows / total}
 }
 
-// What a release comes to, by how much worse it is: wrongly halted, and let pass though it is worse by what has to be
-// found, no more often than told.
+// What comes of a release, by how much worse it is: it is halted wrongly, and passes though it is worse by what has
+// to be found, no more often than configured.
 func TestChances(t *testing.T) {
-	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "verdicts on a release that is slower, by ops a window on either side", "slower by", "share halted"
-	p.Legend.Top, p.Legend.Left = true, true
-	for n, ops := range []float64{30, 100, 400} {
-		var line plotter.XYs
-		for _, slow := range []float64{0, 0.02, 0.05, 0.08, 0.1, 0.15, 0.2, 0.3} {
-			bad, good, windows := 0, 0, 0
-			for seed := range uint64(*releases) {
-				v, n := simulateRollout(seed, ops, slow, 0, 600)
-				windows += n
-				switch v {
-				case Failed:
-					bad++
-				case Passed:
-					good++
-				}
-			}
-			share := func(n int) float64 { return float64(n) / float64(*releases) }
-			t.Logf("%3.0f ops a window, slower by %.2f: halted %.3f, passed %.3f, open after 600 windows %.3f, %.0f windows on average", ops, slow, share(bad), share(good), 1-share(bad)-share(good), float64(windows)/float64(*releases))
-			line = append(line, plotter.XY{X: slow, Y: share(bad)})
-			if slow == 0 && share(bad) > 2*DefaultConfig().ErrorRate {
-				t.Error("halted wrongly")
-			}
-			if slow >= 0.1 && share(good) > 2*DefaultConfig().ErrorRate {
-				t.Error("missed")
-			}
-		}
-		l, err := plotter.NewLine(line)
+	chart := plot.New()
+	chart.Title.Text = "verdicts on a release that is slower, by requests a window on either side"
+	chart.X.Label.Text = "slower by"
+	chart.Y.Label.Text = "share halted"
+	chart.Legend.Top = true
+	chart.Legend.Left = true
+	for i, requests := range []float64{30, 100, 400} {
+		line, err := plotter.NewLine(checkSlowdowns(t, requests))
 		if err != nil {
 			t.Fatal(err)
 		}
-		l.Color = plotutil.Color(n)
-		p.Add(l)
-		p.Legend.Add(fmt.Sprintf("%.0f ops", ops), l)
+		line.Color = plotutil.Color(i)
+		chart.Add(line)
+		chart.Legend.Add(fmt.Sprintf("%.0f requests", requests), line)
 	}
 	for _, late := range []float64{0, 0.02, 0.05} {
-		bad, good := 0, 0
-		for seed := range uint64(*releases) {
-			switch v, _ := simulateRollout(seed, 100, 0, late, 600); v {
-			case Failed:
-				bad++
-			case Passed:
-				good++
-			}
-		}
-		t.Logf("100 ops a window, %.2f more fail: halted %.3f, passed %.3f", late, float64(bad)/float64(*releases), float64(good)/float64(*releases))
-		if late == 0.05 && bad < *releases*95/100 || late == 0.02 && good > *releases*4/100 {
+		got := simulateRollouts(100, regression{late: late})
+		t.Logf("100 requests a window, %.2f more late: halted %.3f, passed %.3f", late, got.failed, got.passed)
+		if late == 0.05 && got.failed < 0.95 || late == 0.02 && got.passed > 0.04 {
 			t.Error("missed")
 		}
 	}
-	if *picture != "" {
-		if err := p.Save(18*vg.Centimeter, 10*vg.Centimeter, *picture); err != nil {
-			t.Fatal(err)
+	if *picture == "" {
+		return
+	}
+	if err := chart.Save(18*vg.Centimeter, 10*vg.Centimeter, *picture); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// checkSlowdowns simulates releases that are slower by more and more, and returns the share halted of each.
+func checkSlowdowns(t *testing.T, requests float64) plotter.XYs {
+	t.Helper()
+	limit := 2 * DefaultConfig().ErrorRate
+	var points plotter.XYs
+	for _, slowdown := range []float64{0, 0.02, 0.05, 0.08, 0.1, 0.15, 0.2, 0.3} {
+		got := simulateRollouts(requests, regression{slowdown: slowdown})
+		t.Logf("%3.0f requests a window, slower by %.2f: halted %.3f, passed %.3f, inconclusive after %d windows %.3f, "+
+			"%.0f windows on average", requests, slowdown, got.failed, got.passed, maxSimulatedWindows,
+			1-got.failed-got.passed, got.meanWindows)
+		points = append(points, plotter.XY{X: slowdown, Y: got.failed})
+		if slowdown == 0 && got.failed > limit {
+			t.Error("halted wrongly")
+		}
+		if slowdown >= 0.1 && got.passed > limit {
+			t.Error("missed")
 		}
 	}
+	return points
 }
 
-// No verdict on little, one at once on crashes, and figures of too few ops are none.
+// No verdict on little, one at once on crashes, and windows of too few requests do not count.
 func Example() {
-	j := New(DefaultConfig())
-	fmt.Println(j.Verdict())
+	analysis := New(DefaultConfig())
+	fmt.Println(analysis.Result())
 	for range 20 {
-		j.Add(Sample{Requests: 3, OnTime: 0, MeanSeconds: 9}, Sample{Requests: 300, OnTime: 300, MeanSeconds: 0.1})
+		analysis.Add(
+			Sample{Requests: 3, OnTime: 0, MeanSeconds: 9},
+			Sample{Requests: 300, OnTime: 300, MeanSeconds: 0.1})
 	}
-	fmt.Println(j.Verdict())
+	fmt.Println(analysis.Result())
 	for n := range 20 {
-		j.Add(Sample{Requests: 100, OnTime: 90 - float64(n%3), MeanSeconds: 0.1}, Sample{Requests: 100, OnTime: 99 - float64(n%2), MeanSeconds: 0.1 + 0.001*float64(n%2)})
-		if v, why := j.Verdict(); v != Inconclusive {
-			fmt.Println(v, why)
+		analysis.Add(
+			Sample{Requests: 100, OnTime: 90 - float64(n%3), MeanSeconds: 0.1},
+			Sample{Requests: 100, OnTime: 99 - float64(n%2), MeanSeconds: 0.1 + 0.001*float64(n%2)})
+		if result := analysis.Result(); result.Verdict != Inconclusive {
+			fmt.Println(result)
 			break
 		}
 	}
-	j = New(DefaultConfig())
-	j.Add(Sample{Crashes: 1}, Sample{})
-	fmt.Println(j.Verdict())
-	j.Add(Sample{Crashes: 1}, Sample{Crashes: 9})
-	fmt.Println(j.Verdict())
+	analysis = New(DefaultConfig())
+	analysis.Add(Sample{Crashes: 1}, Sample{})
+	fmt.Println(analysis.Result())
+	analysis.Add(Sample{Crashes: 1}, Sample{Crashes: 9})
+	fmt.Println(analysis.Result())
 	// Output:
-	// open 0 windows of 8, 0 more with too few ops
-	// open 0 windows of 8, 20 more with too few ops
-	// bad not served in time: +9.4%, between +8.0% and +10.7% after 8 windows
-	// open 0 windows of 8, 1 more with too few ops
-	// bad 2 of its processes ended by themselves
+	// {inconclusive 0 windows of 8, 0 more with too few requests}
+	// {inconclusive 0 windows of 8, 20 more with too few requests}
+	// {failed not served in time: +9.4%, between +8.0% and +10.7% after 8 windows}
+	// {inconclusive 0 windows of 8, 1 more with too few requests}
+	// {failed 2 of its processes ended by themselves}
 }
--- a/internal/fleet/coordinator/analysis.go
+++ b/internal/fleet/coordinator/analysis.go
@@ -84,13 +84,14 @@
 			})
 		}
 	}
-	verdict, reason := lead.analysis.Verdict()
+	result := lead.analysis.Result()
+	verdict, reason := result.Verdict, result.Reason
 	if verdict == canary.Inconclusive || verdict == canary.Passed && rollout.Phase != coordination.RolloutAnalyzing {
 		return
 	}
 	reply, err := s.propose(coordination.Command{Kind: coordination.KindCanaryVerdict, RequestedBy: "the judgement", RolloutName: rollout.Name, Wave: rollout.Wave, Healthy: verdict == canary.Passed, Reason: reason})
 	if err == nil && reply.OK {
-		slog.Info("verdict", "release", rollout.Name, "wave", rollout.Wave+1, "is", verdict.String(), "why", reason)
+		slog.Info("canary verdict", "rollout", rollout.Name, "wave", rollout.Wave+1, "verdict", verdict.String(), "reason", reason)
 		lead.analyzedWave = ""
 	}
 }
