--- a/internal/balancer/again.go
+++ b/internal/balancer/retry.go
@@ -36,3 +36,13 @@
 	}
 	return RetryElsewhere
 }
+
+// takeRetry asks whether a second try is within the budget, and takes it off. Danger: when all are full, each op that is tried twice
+// makes them fuller, and layers that each try again multiply each other; so an op that is a repeat already gets none.
+func (c *Balancer) takeRetry(forwarded bool) bool {
+	if forwarded || c.retryTokens < 1 {
+		return false
+	}
+	c.retryTokens--
+	return true
+}
