--- a/internal/balancer/endpoint.go
+++ b/internal/balancer/endpoint.go
@@ -1,54 +1,74 @@
 package balancer
 
-import (
-	"math"
-	"time"
-)
+import "time"
 
-// EndpointName is what a member is called.
+// EndpointName identifies an endpoint within the fleet.
 type EndpointName string
 
-// Endpoint is one that ops may be given to, as the fleet's view has it.
+// Endpoint is a process that requests may be given to, as the fleet's membership view has it.
 type Endpoint struct {
 	Name            EndpointName
 	Zone            string
-	Capacity        float64       // told, in cores
-	WarmUpRemaining time.Duration // how long it still has to its full pace
-	WarmUp          time.Duration // how long that takes in all
-	Suspect         bool          // here by some, not by all: it gets what nobody else can take
+	Capacity        float64       // cores, as configured
+	WarmUpRemaining time.Duration // time left until it runs at its full pace; 0: it does
+	WarmUp          time.Duration // time that warming up takes in all; 0 where WarmUpRemaining is 0
+	Suspect         bool          // not all members can reach it: it gets next to nothing
 }
 
-// endpointState is what a chooser keeps of one.
+// endpointState is what a Balancer knows of one endpoint.
 type endpointState struct {
 	Endpoint
-	updatedAt           time.Duration // when Cold was told
-	outstanding         int           // of our own ops there
-	reportedLoad        float64       // ops in hand a core, as it last said
-	reportedAt          time.Duration // when that was so
-	hasReport           bool
-	startedSinceReport  float64 // of ours since then, a core
-	successes           float64 // what became of ours, fading with Memory: served, and not
-	failures            float64
-	consecutiveFailures int           // failures in a row
-	ejectedUntil        time.Duration // until when a bad one gets nothing at all
-	recoveredAt         time.Duration // since when one that was bad serves again, 0 if it never was
-	outlier             bool          // held to be bad, as last weighed
-	meanLatency         float64       // s that its served ones took, on average
+	index     int
+	removed   bool          // it is no endpoint any more
+	updatedAt time.Duration // when Endpoint was set, and so WarmUpRemaining
+	weight    float64
+
+	outstanding int // requests of ours that are in progress there
+
+	// The last load report.
+	hasReport          bool
+	reportedLoad       float64 // requests in progress a core; negative: idle, see IdleLoad
+	reportedAt         time.Duration
+	startedSinceReport float64 // requests of ours a core
+
+	// What became of our requests, and what follows from it.
+	successes           float64 // decaying with Config.OutcomeHalfLife
+	failures            float64 // decaying with Config.OutcomeHalfLife
 	lastOutcomeAt       time.Duration
-	weight              float64 // its share, all told
-	index               int
-	removed             bool
-	slowStartCredit     float64 // ops that a cold one may be given by us; see allowed
-	creditedPicks       float64 // picks that are in it
-	slowStartBegun      bool    // it has begun
+	consecutiveFailures int
+	outlier             bool          // as of the last recomputeWeights
+	ejectedUntil        time.Duration // an outlier gets nothing until then
+	recoveredAt         time.Duration // when an outlier succeeded again; 0: it never was one
+	meanLatency         float64       // s, of succeeded requests; 0: none yet
+
+	// The part of the requests that we may give to it while it is warming up; see slowStartAllows.
+	slowStartBegun  bool
+	slowStartCredit float64 // requests; may be given one while it is not negative
+	creditedPicks   float64 // Balancer.pickCount up to which slowStartCredit was earned
+}
+
+// hasRecentReport reports whether there is a load report that is not older than maxAge.
+func (e *endpointState) hasRecentReport(now, maxAge time.Duration) bool {
+	return e.hasReport && now-e.reportedAt <= maxAge
+}
+
+// setReport replaces the load report.
+func (e *endpointState) setReport(load float64, measuredAt time.Duration) {
+	e.hasReport = true
+	e.reportedLoad = load
+	e.reportedAt = measuredAt
+	e.startedSinceReport = 0
 }
 
-func (m *endpointState) decayOutcomes(now time.Duration, halfLife time.Duration) {
-	remaining := math.Exp2(-float64(now-m.lastOutcomeAt) / float64(halfLife))
-	m.successes, m.failures, m.lastOutcomeAt = m.successes*remaining, m.failures*remaining, now
+// warmingUp reports whether the endpoint does not run at its full pace yet.
+func (e *endpointState) warmingUp(now time.Duration) bool {
+	return e.WarmUp > 0 && e.WarmUpRemaining > now-e.updatedAt
 }
 
-// warmingUp tells whether a member is not at its full pace yet.
-func (m *endpointState) warmingUp(now time.Duration) bool {
-	return m.WarmUp > 0 && m.WarmUpRemaining > now-m.updatedAt
+// decayOutcomes ages the outcomes up to now.
+func (e *endpointState) decayOutcomes(now, halfLife time.Duration) {
+	remaining := decay(now-e.lastOutcomeAt, halfLife)
+	e.successes *= remaining
+	e.failures *= remaining
+	e.lastOutcomeAt = now
 }
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-var update = flag.Bool("update", false, "write the golden files of testdata anew")
+var update = flag.Bool("update", false, "rewrite the golden files of testdata")
 
-// golden compares what is written today with the file of testdata that an earlier version wrote.
-func golden(t *testing.T, name string, got []byte) {
+// compareGolden compares what is decided now with the file of testdata that an earlier version wrote.
+func compareGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if *update {
@@ -32,122 +32,171 @@
 	}
 }
 
-// Subsets are worked out by each process on its own: one of another version has to come to the same.
+// TestGoldenSubsets checks that subsets are those of earlier versions: each process works them out on its own, and
+// one of another version has to come to the same result.
 func TestGoldenSubsets(t *testing.T) {
 	var text bytes.Buffer
-	for _, at := range [][3]int{{3, 10, 4}, {12, 60, 15}, {7, 5, 2}, {2, 3, 3}} {
-		var deciders, members []EndpointName
-		for i := range at[0] {
-			deciders = append(deciders, EndpointName(fmt.Sprint("relay-", i)))
-		}
-		for i := range at[1] {
-			members = append(members, EndpointName(fmt.Sprint("instance-", i)))
-		}
-		subsets := Subsets(deciders, members, at[2])
-		for _, d := range deciders {
-			fmt.Fprint(&text, at, " ", d, ":")
-			for _, m := range slices.Sorted(slices.Values(subsets[d])) {
-				fmt.Fprint(&text, " ", m[len("instance-"):])
+	for _, test := range [][3]int{{3, 10, 4}, {12, 60, 15}, {7, 5, 2}, {2, 3, 3}} {
+		clients, endpoints := makeNames("relay-", test[0]), makeNames("instance-", test[1])
+		subsets := Subsets(clients, endpoints, test[2])
+		for _, client := range clients {
+			fmt.Fprint(&text, test, " ", client, ":")
+			for _, endpoint := range slices.Sorted(slices.Values(subsets[client])) {
+				fmt.Fprint(&text, " ", endpoint[len("instance-"):])
 			}
 			fmt.Fprintln(&text)
 		}
 	}
-	golden(t, "subsets.txt", text.Bytes())
+	compareGolden(t, "subsets.txt", text.Bytes())
 }
 
-// decisions plays a drawn history to a balancer and writes down all that it decides, a letter and a number each.
-func decisions(config Config, hand SpilloverConfig, seed uint64, steps int) string {
-	words := map[SpilloverReason]string{BudgetExhausted: "b", DeadlineTooClose: "l", NoReports: "u", FleetSaturated: "f", NoCapacity: "n", BackingOff: "t"}
-	rng := rand.New(rand.NewPCG(seed, 5))
-	random := rng.Float64
-	var all []Endpoint
+// decisionLog plays a drawn history to a balancer and writes down all that it decides, a letter and a number each.
+type decisionLog struct {
+	random    *rand.Rand
+	balancer  *Balancer
+	spillover *SpilloverPolicy
+	endpoints []Endpoint
+	now       time.Duration
+	text      bytes.Buffer
+}
+
+func newDecisionLog(config Config, spillover SpilloverConfig, seed uint64) *decisionLog {
+	balancer := New(config)
+	l := &decisionLog{
+		random:    rand.New(rand.NewPCG(seed, 5)),
+		balancer:  balancer,
+		spillover: NewSpilloverPolicy(spillover, balancer),
+		now:       time.Second,
+	}
 	for i := range 12 {
-		all = append(all, Endpoint{Name: EndpointName(fmt.Sprint("m", i)), Zone: []string{"a", "b"}[i%2], Capacity: float64(1 + i%3)})
+		l.endpoints = append(l.endpoints, Endpoint{
+			Name:     EndpointName(fmt.Sprint("m", i)),
+			Zone:     []string{"a", "b"}[i%2],
+			Capacity: float64(1 + i%3),
+		})
 	}
-	c := New(config)
-	h := NewSpilloverPolicy(hand, c)
-	var text bytes.Buffer
-	now := time.Second
-	c.SetEndpoints(now, all[:10])
-	for n := range steps {
-		now += time.Duration(rng.IntN(40)) * time.Millisecond
-		switch n {
-		case steps / 4: // two come, cold; one is doubted
-			all[10].WarmUpRemaining, all[10].WarmUp, all[11].WarmUpRemaining, all[11].WarmUp = 5*time.Second, 8*time.Second, 3*time.Second, 3*time.Second
-			all[1].Suspect = true
-			c.SetEndpoints(now, all)
-		case steps / 2: // one goes
-			all[1].Suspect = false
-			c.SetEndpoints(now, all[1:])
-		}
-		i, ok := c.Pick(now, random, func(i int) bool { return i == n%7 })
-		fmt.Fprint(&text, "p", i)
+	balancer.SetEndpoints(l.now, l.endpoints[:10])
+	return l
+}
+
+// drawMilliseconds draws a duration under so many milliseconds.
+func (l *decisionLog) drawMilliseconds(limit int) time.Duration {
+	return time.Duration(l.random.IntN(limit)) * time.Millisecond
+}
+
+func (l *decisionLog) run(steps int) string {
+	for step := range steps {
+		l.now += l.drawMilliseconds(40)
+		l.changeEndpoints(step, steps)
+		index, ok := l.balancer.Pick(l.now, l.random.Float64, func(index int) bool { return index == step%7 })
+		fmt.Fprint(&l.text, "p", index)
 		if !ok {
-			fmt.Fprint(&text, "!")
+			fmt.Fprint(&l.text, "!")
 			continue
 		}
-		c.RecordStart(now, i)
-		name := c.NameAt(i)
-		if q, any := c.PickProbe(now, random); any {
-			fmt.Fprint(&text, "q", q)
-			c.RecordProbe(now, q, float64(rng.IntN(8))-1, time.Duration(rng.IntN(50))*time.Millisecond)
-		}
-		if n%3 == 0 {
-			c.RecordReport(now, rng.IntN(c.Len()), IdleLoad(time.Duration(rng.IntN(2000))*time.Millisecond), time.Duration(rng.IntN(200))*time.Millisecond)
-		}
-		h.RecordArrival()
-		place, why := h.Pick(now, time.Duration(rng.IntN(2000))*time.Millisecond, float64(rng.IntN(9)), random)
-		if why == Allowed {
-			fmt.Fprint(&text, "o", place)
-			c.RecordStart(now, place)
-			what := Succeeded
-			if rng.IntN(5) == 0 || n%100 > 60 {
-				what = Rejected
-			}
-			c.RecordOutcome(now, c.NameAt(place), what, 30*time.Millisecond)
-			h.RecordOutcome(now, what)
-		} else {
-			fmt.Fprint(&text, "o", words[why])
-		}
-		what := Succeeded
-		switch {
-		case name == "m3" && n > steps/3 && n < 2*steps/3, name >= "m4" && n > 3*steps/4:
-			what = Failed
-		case rng.IntN(10) == 0:
-			what = Outcome(1 + rng.IntN(3))
-		}
-		took := time.Duration(10+rng.IntN(40)) * time.Millisecond
-		if name == "m4" {
-			took *= 4
-		}
-		if rng.IntN(50) == 0 {
-			c.RecordCancel(name)
-		} else {
-			c.RecordOutcome(now, name, what, took)
-		}
-		try := Attempt{Deadline: now + time.Duration(rng.IntN(400))*time.Millisecond, Made: 1 + rng.IntN(3), Max: 3, Idempotent: n%2 == 0, Forwarded: n%5 == 0}
-		fmt.Fprint(&text, "s", uint8(c.DecideRetry(now, try, what, rng.IntN(4) == 0, rng.IntN(20) == 0)))
-		if n%10 == 9 {
-			fmt.Fprintln(&text)
+		l.balancer.RecordStart(l.now, index)
+		name := l.balancer.NameAt(index)
+		l.report(step)
+		l.spill(step)
+		l.finish(step, steps, name)
+		if step%10 == 9 {
+			fmt.Fprintln(&l.text)
 		}
 	}
-	fmt.Fprintln(&text, "most looked bad", c.panicCount)
-	return text.String()
+	fmt.Fprintln(&l.text, "most looked bad", l.balancer.panicCount)
+	return l.text.String()
+}
+
+// changeEndpoints has two endpoints come that are warming up while another is a suspect; later one goes.
+func (l *decisionLog) changeEndpoints(step, steps int) {
+	switch step {
+	case steps / 4:
+		l.endpoints[10].WarmUpRemaining, l.endpoints[10].WarmUp = 5*time.Second, 8*time.Second
+		l.endpoints[11].WarmUpRemaining, l.endpoints[11].WarmUp = 3*time.Second, 3*time.Second
+		l.endpoints[1].Suspect = true
+		l.balancer.SetEndpoints(l.now, l.endpoints)
+	case steps / 2:
+		l.endpoints[1].Suspect = false
+		l.balancer.SetEndpoints(l.now, l.endpoints[1:])
+	}
+}
+
+// report probes an endpoint, and has another one report its load now and then.
+func (l *decisionLog) report(step int) {
+	if index, ok := l.balancer.PickProbe(l.now, l.random.Float64); ok {
+		fmt.Fprint(&l.text, "q", index)
+		l.balancer.RecordProbe(l.now, index, float64(l.random.IntN(8))-1, l.drawMilliseconds(50))
+	}
+	if step%3 == 0 {
+		index := l.random.IntN(l.balancer.Len())
+		l.balancer.RecordReport(l.now, index, IdleLoad(l.drawMilliseconds(2000)), l.drawMilliseconds(200))
+	}
+}
+
+// spill asks for another request whether it is spilled over.
+func (l *decisionLog) spill(step int) {
+	letters := map[SpilloverReason]string{
+		BudgetExhausted: "b", DeadlineTooClose: "l", NoReports: "u", FleetSaturated: "f", NoCapacity: "n", BackingOff: "t",
+	}
+	l.spillover.RecordArrival()
+	index, reason := l.spillover.Pick(l.now, l.drawMilliseconds(2000), float64(l.random.IntN(9)), l.random.Float64)
+	if reason != Allowed {
+		fmt.Fprint(&l.text, "o", letters[reason])
+		return
+	}
+	fmt.Fprint(&l.text, "o", index)
+	l.balancer.RecordStart(l.now, index)
+	outcome := Succeeded
+	if l.random.IntN(5) == 0 || step%100 > 60 {
+		outcome = Rejected
+	}
+	l.balancer.RecordOutcome(l.now, l.balancer.NameAt(index), outcome, 30*time.Millisecond)
+	l.spillover.RecordOutcome(l.now, outcome)
+}
+
+// finish ends the request that was given to an endpoint, and asks whether it is retried.
+func (l *decisionLog) finish(step, steps int, name EndpointName) {
+	outcome := Succeeded
+	switch {
+	case name == "m3" && step > steps/3 && step < 2*steps/3, name >= "m4" && step > 3*steps/4:
+		outcome = Failed
+	case l.random.IntN(10) == 0:
+		outcome = Outcome(1 + l.random.IntN(3))
+	}
+	latency := time.Duration(10+l.random.IntN(40)) * time.Millisecond
+	if name == "m4" {
+		latency *= 4
+	}
+	if l.random.IntN(50) == 0 {
+		l.balancer.RecordCancel(name)
+	} else {
+		l.balancer.RecordOutcome(l.now, name, outcome, latency)
+	}
+	attempt := Attempt{
+		Deadline:    l.now + l.drawMilliseconds(400),
+		Made:        1 + l.random.IntN(3),
+		MaxAttempts: 3,
+		Idempotent:  step%2 == 0,
+		Forwarded:   step%5 == 0,
+	}
+	result := AttemptResult{Outcome: outcome, NotSent: l.random.IntN(4) == 0, NoFailover: l.random.IntN(20) == 0}
+	fmt.Fprint(&l.text, "s", uint8(l.balancer.DecideRetry(l.now, attempt, result)))
 }
 
-// Decisions by the same history, seed and settings stay what they are, for every way of picking.
+// TestGoldenDecisions checks that decisions by the same history, seed and configuration are those of earlier versions,
+// for every policy.
 func TestGoldenDecisions(t *testing.T) {
 	var text bytes.Buffer
-	for way := LeastEstimatedLoad; way <= LeastReportedLoad; way++ {
-		config, hand := DefaultConfig(), DefaultSpilloverConfig()
-		config.Policy, config.LocalZone = way, "a"
-		hand.BudgetRatio, hand.MaxSaturatedFraction = 0.5, 0.8
+	for policy := LeastEstimatedLoad; policy <= LeastReportedLoad; policy++ {
+		config, spillover := DefaultConfig(), DefaultSpilloverConfig()
+		config.Policy, config.LocalZone = policy, "a"
+		spillover.BudgetRatio, spillover.MaxSaturatedFraction = 0.5, 0.8
 		steps := 90
-		if way == LeastEstimatedLoad {
+		if policy == LeastEstimatedLoad {
 			steps = 600
 		}
-		fmt.Fprintln(&text, "#", way)
-		text.WriteString(decisions(config, hand, uint64(way)+1, steps))
+		fmt.Fprintln(&text, "#", policy)
+		text.WriteString(newDecisionLog(config, spillover, uint64(policy)+1).run(steps))
 	}
-	golden(t, "decisions.txt", text.Bytes())
+	compareGolden(t, "decisions.txt", text.Bytes())
 }
--- a/internal/balancer/outcome.go
+++ b/internal/balancer/outcome.go
@@ -2,81 +2,107 @@
 
 import "time"
 
-// Outcome is what became of an op that was given to a member.
+// Outcome is what became of a request that was given to an endpoint.
 type Outcome uint8
 
+// The outcomes.
 const (
 	Succeeded  Outcome = iota
-	Rejected           // nacked: it never ran
+	Rejected           // the endpoint refused it: it never ran
 	Failed             // it may have run
-	NoResponse         // no answer, or the connection ended
+	NoResponse         // the connection ended or the time was up; it may have run, unless nothing of it was sent
 )
 
-// RecordStart notes that an op was given to a member.
-func (c *Balancer) RecordStart(now time.Duration, index int) {
-	state := c.endpoints[index]
+// Bounds of the time for which an outlier gets nothing. It doubles with each further failure.
+const (
+	minEjection          = time.Second
+	maxEjection          = 30 * time.Second
+	maxEjectionDoublings = 5
+)
+
+// RecordStart notes that a request was given to an endpoint.
+func (b *Balancer) RecordStart(now time.Duration, index int) {
+	state := b.endpoints[index]
 	state.outstanding++
 	state.startedSinceReport += 1 / state.Capacity
 	if state.warmingUp(now) {
 		state.slowStartCredit--
 	}
-	// A word is used up by one op. Danger: who has little to do asks little, and would give all of it to the one it heard last.
-	for slot, probed := range c.probePool {
+	// A probe's answer is used up by one request: whoever sends little probes little, and would give all of it to the
+	// endpoint that answered last.
+	for slot, probed := range b.probePool {
 		if probed == state {
-			c.probePool[slot] = nil
+			b.probePool[slot] = nil
 		}
 	}
-	c.retryTokens = min(c.config.RetryBurst, c.retryTokens+c.config.RetryRatio)
+	b.retryTokens = min(b.config.RetryBurst, b.retryTokens+b.config.RetryRatio)
 }
 
-// RecordOutcome notes what became of it, by name, as places may have changed meanwhile.
-func (c *Balancer) RecordOutcome(now time.Duration, name EndpointName, outcome Outcome, latency time.Duration) {
-	index, known := c.indexByName[name]
+// RecordOutcome notes what became of a request, by the endpoint's name, as indexes may have changed meanwhile. latency
+// is read for Succeeded alone. An endpoint that is not known any more is ignored.
+func (b *Balancer) RecordOutcome(now time.Duration, name EndpointName, outcome Outcome, latency time.Duration) {
+	index, known := b.indexByName[name]
 	if !known {
 		return
 	}
-	state := c.endpoints[index]
+	state := b.endpoints[index]
 	state.outstanding = max(0, state.outstanding-1)
-	state.decayOutcomes(now, c.config.OutcomeHalfLife)
+	state.decayOutcomes(now, b.config.OutcomeHalfLife)
 	switch outcome {
 	case Succeeded:
-		state.successes++
-		if state.consecutiveFailures >= consecutiveFailuresLimit {
-			state.recoveredAt, state.failures = now, 0
-		}
-		state.consecutiveFailures = 0
-		// How slow it is goes by a mean over some ops, so that one long op does not turn the load away.
-		const smoothing = 0.1
-		// Danger: the first op of a process that has just started takes long, and all deciders that gave it one leave it idle for seconds. Whoever is new
-		// is taken to be as quick as the others, and one op counts for a few usual ones at the most.
-		seconds := latency.Seconds()
-		if c.meanLatency > 0 {
-			seconds = min(seconds, maxLatencyFactor*c.meanLatency)
-		}
-		if state.meanLatency == 0 {
-			state.meanLatency = seconds
-			if c.meanLatency > 0 {
-				state.meanLatency = c.meanLatency
-			}
-		}
-		state.meanLatency += smoothing * (seconds - state.meanLatency)
+		b.recordSuccess(now, state, latency)
 	case Failed, NoResponse:
-		state.failures++
-		state.consecutiveFailures++
-		// Danger: one that fails at once is free at once, and would be tried again by everybody all the time. It rests twice as long
-		// each time, up to half a minute: hundreds of deciders that each try it once in that are a few tries a second.
-		if state.consecutiveFailures >= consecutiveFailuresLimit {
-			state.ejectedUntil = now + min(time.Second<<min(state.consecutiveFailures-consecutiveFailuresLimit, 5), 30*time.Second)
+		recordFailure(now, state)
+	case Rejected:
+		// A rejection says that the endpoint is overloaded, not that it is faulty. What we make of it is bounded.
+		load := max(2*b.meanLoad, b.estimatedLoad(now, state)) + 1
+		state.setReport(min(load, 4*b.meanLoad+4), now)
+	}
+	b.weightsStale = true
+}
+
+// RecordCancel notes that nobody waits any more for a request. That says nothing of the endpoint.
+func (b *Balancer) RecordCancel(name EndpointName) {
+	if index, known := b.indexByName[name]; known {
+		state := b.endpoints[index]
+		state.outstanding = max(0, state.outstanding-1)
+	}
+}
+
+func (b *Balancer) recordSuccess(now time.Duration, state *endpointState, latency time.Duration) {
+	state.successes++
+	if state.consecutiveFailures >= consecutiveFailuresLimit {
+		state.recoveredAt = now
+		state.failures = 0
+	}
+	state.consecutiveFailures = 0
+	b.recordLatency(state, latency.Seconds())
+}
+
+// recordLatency averages the latency of an endpoint over some requests, so that one long request does not turn the
+// load away. The first request to a process that has just started takes long, and all senders that gave it one
+// would leave it idle for seconds: so a new endpoint is taken to be as quick as the others, and one request counts
+// for a few usual ones at the most.
+func (b *Balancer) recordLatency(state *endpointState, latency float64) {
+	const smoothing = 0.1
+	if b.meanLatency > 0 {
+		latency = min(latency, maxLatencyFactor*b.meanLatency)
+	}
+	if state.meanLatency == 0 {
+		state.meanLatency = latency
+		if b.meanLatency > 0 {
+			state.meanLatency = b.meanLatency
 		}
-	case Rejected: // it said no as it has too much: that is load, not illness. What it makes of it is bounded.
-		state.reportedLoad, state.reportedAt, state.hasReport, state.startedSinceReport = min(max(2*c.meanLoad, c.estimatedLoad(now, state))+1, 4*c.meanLoad+4), now, true, 0
 	}
-	c.weightsStale = true
+	state.meanLatency += smoothing * (latency - state.meanLatency)
 }
 
-// RecordCancel notes that nobody waits any more for an op that was given to a member; that says nothing of it.
-func (c *Balancer) RecordCancel(name EndpointName) {
-	if index, known := c.indexByName[name]; known {
-		c.endpoints[index].outstanding = max(0, c.endpoints[index].outstanding-1)
+// recordFailure counts a failure, and ejects an endpoint that fails repeatedly: one that fails at once is free at once,
+// and would be tried again by every sender all the time.
+func recordFailure(now time.Duration, state *endpointState) {
+	state.failures++
+	state.consecutiveFailures++
+	if further := state.consecutiveFailures - consecutiveFailuresLimit; further >= 0 {
+		state.ejectedUntil = now + min(minEjection<<min(further, maxEjectionDoublings), maxEjection)
 	}
 }
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -1,34 +1,53 @@
 package balancer
 
-import (
-	"math"
-	"time"
-)
+import "time"
+
+const (
+	// maxLatencyFactor is how many times the mean latency one request counts for at the most. One such request alone does
+	// not make an endpoint slow, two do.
+	maxLatencyFactor = 5
 
-// maxLatencyFactor is how many usual ops one that took long counts for: with it alone a member is not slow, with two it is.
-const maxLatencyFactor = 5
+	// slowLatencyFactor is the multiple of the mean latency from which on an endpoint is slow; less may be chance.
+	slowLatencyFactor = 1.5
 
-// slowLatencyFactor is from where on a member is slow against the others: half as slow again may be chance.
-const slowLatencyFactor = 1.5
+	// consecutiveFailuresLimit is the number of failures in a row that make an outlier.
+	consecutiveFailuresLimit = 2
 
-// relativeLatency is how much longer our ops take at a member than usual. It fades while none comes back from there. Danger: one that is
-// held to be slow gets nothing, and nothing shows that it is well.
-func (c *Balancer) relativeLatency(now time.Duration, state *endpointState) float64 {
-	if c.meanLatency <= 0 || state.meanLatency <= 0 {
+	// minOutlierFailures is the decayed number of failures that make an outlier of an endpoint that succeeds seldom: two
+	// that are not far apart.
+	minOutlierFailures = 1.5
+)
+
+// relativeLatency returns an endpoint's latency as a multiple of the mean. It decays towards 1 while nothing comes back
+// from there: an endpoint that is held to be slow gets little, and nothing else would show that it has recovered.
+func (b *Balancer) relativeLatency(now time.Duration, state *endpointState) float64 {
+	if b.meanLatency <= 0 || state.meanLatency <= 0 {
 		return 1
 	}
-	return 1 + (state.meanLatency/c.meanLatency-1)*math.Exp2(-float64(now-state.lastOutcomeAt)/float64(c.config.OutcomeHalfLife/4))
+	return 1 + (state.meanLatency/b.meanLatency-1)*decay(now-state.lastOutcomeAt, b.config.OutcomeHalfLife/4)
 }
 
-// consecutiveFailuresLimit is how many failures in a row make a member look bad, without one served between.
-const consecutiveFailuresLimit = 2
-
-// isOutlier tells whether a member fails more than it serves, by more than a few ops, or in a row.
-func (c *Balancer) isOutlier(now time.Duration, state *endpointState) bool {
+// isOutlier reports whether an endpoint fails repeatedly, or more often than it succeeds.
+func (b *Balancer) isOutlier(now time.Duration, state *endpointState) bool {
 	if state.consecutiveFailures >= consecutiveFailuresLimit {
 		return true
 	}
-	remaining := math.Exp2(-float64(now-state.lastOutcomeAt) / float64(c.config.OutcomeHalfLife))
-	const minFailures = 1.5 // ops: two failures in a row of one that serves little
-	return state.failures*remaining >= minFailures && state.failures > state.successes
+	failures := state.failures * decay(now-state.lastOutcomeAt, b.config.OutcomeHalfLife)
+	return failures >= minOutlierFailures && state.failures > state.successes
+}
+
+// detectOutliers counts the endpoints that look like outliers and reports whether they are to be ejected. When too many
+// do, it is our own judgement that is wrong, or something that all of them depend on: then none is.
+func (b *Balancer) detectOutliers(now time.Duration) (ejecting bool) {
+	b.outlierCount = 0
+	for _, state := range b.endpoints {
+		if b.isOutlier(now, state) {
+			b.outlierCount++
+		}
+	}
+	if float64(b.outlierCount) > b.config.MaxOutlierFraction*float64(len(b.endpoints)) {
+		b.panicCount++
+		return false
+	}
+	return true
 }
--- /dev/null
+++ b/internal/balancer/outlier_test.go
@@ -0,0 +1,65 @@
+package balancer
+
+import (
+	"fmt"
+	"time"
+)
+
+// Example_outliers ejects an endpoint that fails, and reduces a slow one in proportion. One that has recovered gets its
+// share back by and by. When too many look like outliers none is ejected.
+func Example_outliers() {
+	config := DefaultConfig()
+	config.ChoiceCount = 1
+	balancer := newBalancer(config, makeEndpoints(10))
+	for i := range 10 {
+		for range 8 {
+			outcome, latency := Succeeded, 100*time.Millisecond
+			switch i {
+			case 0:
+				outcome = Failed
+			case 1:
+				latency = 400 * time.Millisecond
+			}
+			balancer.RecordStart(0, i)
+			balancer.RecordOutcome(0, balancer.NameAt(i), outcome, latency)
+		}
+	}
+	shares := measureShares(balancer, time.Second)
+	fmt.Printf("failing %.2f, slow %.2f, outliers %d\n", shares[0], shares[1], balancer.outlierCount)
+	for range 8 {
+		balancer.RecordOutcome(2*time.Second, balancer.NameAt(0), Succeeded, 100*time.Millisecond)
+	}
+	fmt.Printf("recovered %.2f\n", measureShares(balancer, 3*time.Second)[0])
+	for i := range 5 {
+		for range 20 {
+			balancer.RecordOutcome(4*time.Second, balancer.NameAt(i), NoResponse, 0)
+		}
+	}
+	shares = measureShares(balancer, 5*time.Second)
+	fmt.Printf("half look like outliers: %.1f %.1f, %v\n", shares[0], shares[9], balancer.panicCount > 0)
+	// Output:
+	// failing 0.00, slow 0.56, outliers 1
+	// recovered 0.29
+	// half look like outliers: 0.7 1.0, true
+}
+
+// Example_firstRequest shows that a newcomer whose first request takes a hundred times the usual is not left idle
+// by that alone. Two more reduce its weight, as of one that is slow.
+func Example_firstRequest() {
+	balancer := newBalancer(DefaultConfig(), makeEndpoints(4))
+	for i := range 40 {
+		balancer.RecordStart(0, i%4)
+		balancer.RecordOutcome(0, balancer.NameAt(i%4), Succeeded, 20*time.Millisecond)
+	}
+	balancer.SetEndpoints(time.Second, append(makeEndpoints(4), Endpoint{Name: "new", Capacity: 2}))
+	for range 3 {
+		balancer.RecordOutcome(time.Second, "new", Succeeded, 2*time.Second)
+		balancer.recomputeWeights(time.Second)
+		index, _ := balancer.IndexOf("new")
+		fmt.Printf("%.2f\n", balancer.endpoints[index].weight/balancer.endpoints[0].weight)
+	}
+	// Output:
+	// 1.00
+	// 0.64
+	// 0.56
+}
--- a/internal/balancer/pick.go
+++ b/internal/balancer/pick.go
@@ -5,57 +5,100 @@
 	"time"
 )
 
-// Pick chooses the member for one op: a few are drawn by their shares, and the least loaded of them gets it. not tells places that are
-// out of the question. It gives false where nobody is left. It does not allocate.
-func (c *Balancer) Pick(now time.Duration, random func() float64, excluded func(int) bool) (index int, ok bool) {
-	if len(c.endpoints) == 0 {
+// selection is one Pick under way.
+type selection struct {
+	balancer *Balancer
+	now      time.Duration
+	random   func() float64
+	excluded func(index int) bool // nil: none is
+
+	best      int // index of the least loaded endpoint so far, -1 for none
+	leastLoad float64
+}
+
+// Pick returns the index of the endpoint for one request: of a few that are drawn by weight the least loaded one.
+// excluded, which may be nil, names indexes that are out of the question. ok is false where no endpoint is left. random
+// returns numbers in [0, 1). Pick does not allocate.
+func (b *Balancer) Pick(
+	now time.Duration, random func() float64, excluded func(index int) bool,
+) (index int, ok bool) {
+	if len(b.endpoints) == 0 {
 		return 0, false
 	}
-	if c.weightsStale && now-c.weightsAt >= weightsMaxAge || c.weightsAt == 0 && c.weightsStale {
-		c.recomputeWeights(now)
+	b.refreshWeights(now)
+	b.pickCount++
+	selection := selection{
+		balancer:  b,
+		now:       now,
+		random:    random,
+		excluded:  excluded,
+		best:      -1,
+		leastLoad: math.Inf(1),
 	}
-	c.pickCount++
-	total := c.cumulativeWeights[len(c.cumulativeWeights)-1]
-	best, leastLoad := -1, math.Inf(1)
-	if c.config.Policy != LeastEstimatedLoad {
-		if candidate, decided := c.pickBaseline(random); decided && (excluded == nil || !excluded(candidate)) {
-			return candidate, true
-		}
+	if index, ok := b.pickBaseline(random); ok && !selection.isExcluded(index) {
+		return index, true
 	}
-	// Those that have just said how they stand. They were drawn by their shares, so the least loaded of them is a fair choice.
-	start := int(random() * probePoolSize) // of equals the one drawn, not the first
+	selection.compareProbed()
+	selection.compareDrawn()
+	if selection.best >= 0 {
+		return selection.best, true
+	}
+	return selection.anyLeft()
+}
+
+func (s *selection) isExcluded(index int) bool { return s.excluded != nil && s.excluded(index) }
+
+// compare takes an endpoint if it is less loaded than the best so far.
+func (s *selection) compare(state *endpointState) {
+	if load := s.balancer.estimatedLoad(s.now, state); load < s.leastLoad {
+		s.best = state.index
+		s.leastLoad = load
+	}
+}
+
+// compareProbed compares the endpoints that have just answered a probe. They were drawn by weight, so that the least
+// loaded of them is a fair choice. The start is drawn, so that of equals it is not always the first.
+func (s *selection) compareProbed() {
+	start := int(s.random() * probePoolSize)
 	for offset := range probePoolSize {
-		state := c.probePool[(start+offset)%probePoolSize]
-		if state == nil || state.removed || state.outlier || now-state.reportedAt > 2*c.loadHalfLife || excluded != nil && excluded(state.index) || !c.slowStartAllows(now, state, random) {
+		state := s.balancer.probePool[(start+offset)%probePoolSize]
+		if state == nil || state.removed || state.outlier || s.now-state.reportedAt > 2*s.balancer.loadHalfLife {
 			continue
 		}
-		if load := c.estimatedLoad(now, state); load < leastLoad {
-			best, leastLoad = state.index, load
+		if !s.isExcluded(state.index) && s.balancer.slowStartAllows(s.now, state, s.random) {
+			s.compare(state)
 		}
 	}
-	for range c.config.ChoiceCount {
-		candidate := c.drawByWeight(random() * total)
-		if candidate == best || excluded != nil && excluded(candidate) || !c.slowStartAllows(now, c.endpoints[candidate], random) {
+}
+
+// compareDrawn compares endpoints that are drawn by weight.
+func (s *selection) compareDrawn() {
+	for range s.balancer.config.ChoiceCount {
+		candidate := s.balancer.drawByWeight(s.random())
+		if candidate == s.best || s.isExcluded(candidate) {
 			continue
 		}
-		if load := c.estimatedLoad(now, c.endpoints[candidate]); load < leastLoad {
-			best, leastLoad = candidate, load
+		if state := s.balancer.endpoints[candidate]; s.balancer.slowStartAllows(s.now, state, s.random) {
+			s.compare(state)
 		}
 	}
-	if best >= 0 {
-		return best, true
-	}
-	// All that were drawn are out of the question: the first from a drawn place on that is not, a cold one only if there is no other.
-	start = min(len(c.endpoints)-1, int(random()*float64(len(c.endpoints))))
-	for offset := range c.endpoints {
-		candidate := (start + offset) % len(c.endpoints)
+}
+
+// anyLeft returns the first endpoint from a drawn index on that is not excluded; one that is warming up and has had its
+// share only if there is no other.
+func (s *selection) anyLeft() (index int, ok bool) {
+	endpoints := s.balancer.endpoints
+	start := min(len(endpoints)-1, int(s.random()*float64(len(endpoints))))
+	warmingUp := -1
+	for offset := range endpoints {
+		candidate := (start + offset) % len(endpoints)
 		switch {
-		case excluded != nil && excluded(candidate):
-		case c.slowStartAllows(now, c.endpoints[candidate], random):
+		case s.isExcluded(candidate):
+		case s.balancer.slowStartAllows(s.now, endpoints[candidate], s.random):
 			return candidate, true
-		case best < 0:
-			best = candidate
+		case warmingUp < 0:
+			warmingUp = candidate
 		}
 	}
-	return max(best, 0), best >= 0
+	return max(warmingUp, 0), warmingUp >= 0
 }
--- a/internal/balancer/policy.go
+++ b/internal/balancer/policy.go
@@ -1,88 +1,104 @@
 package balancer
 
-import "time"
+import "fmt"
 
-// Policy is how one member is picked. All but Informed are there to be compared with.
+// Policy is how an endpoint is picked. All but LeastEstimatedLoad are there to be compared with.
 type Policy uint8
 
+// The policies.
 const (
-	LeastEstimatedLoad    Policy = iota // a few drawn by share, the least loaded by what is likely by now
-	WeightedRandom                      // by told capacity
-	RoundRobin                          // one after the other, from a drawn place
-	LeastRequest                        // of all, by our own count of open ops
-	TwoChoicesOutstanding               // of two, by our own count
-	TwoChoicesReported                  // of two, by what they last said, however old
-	LeastReportedLoad                   // of all, by what they last said: everybody's favourite
+	LeastEstimatedLoad    Policy = iota // of a few drawn by weight, the one with the least load that is likely by now
+	WeightedRandom                      // by capacity
+	RoundRobin                          // one after the other, from a drawn one on
+	LeastRequest                        // of all, the one with the fewest requests of ours in progress
+	TwoChoicesOutstanding               // of two, the one with the fewest requests of ours in progress
+	TwoChoicesReported                  // of two, the one with the lower report, however old
+	LeastReportedLoad                   // of all, the one with the lowest report: all senders flock to it
 )
 
-var policyNames = []string{"informed", "random", "round-robin", "least-open", "two-own", "two-told", "greedy"}
+// policyNames are the values of the operator's setting.
+var policyNames = [...]string{"informed", "random", "round-robin", "least-open", "two-own", "two-told", "greedy"}
 
-func (w Policy) String() string { return policyNames[w] }
-
-// pickBaseline picks by one of the simple ways.
-func (c *Balancer) pickBaseline(random func() float64) (index int, ok bool) {
-	count := len(c.endpoints)
-	randomIndex := func() int { return min(count-1, int(random()*float64(count))) }
-	leastOf := func(loadOf func(*endpointState) float64, candidates ...int) int {
-		best := candidates[0]
-		for _, candidate := range candidates[1:] {
-			if loadOf(c.endpoints[candidate]) < loadOf(c.endpoints[best]) {
-				best = candidate
-			}
-		}
-		return best
+// String returns the policy's name in the operator's configuration.
+func (p Policy) String() string {
+	if int(p) < len(policyNames) {
+		return policyNames[p]
 	}
-	outstandingLoad := func(state *endpointState) float64 { return float64(state.outstanding) / state.Capacity }
-	reportedLoad := func(state *endpointState) float64 {
-		if !state.hasReport {
-			return c.meanLoad
-		}
-		return state.reportedLoad
-	}
-	switch c.config.Policy {
+	return fmt.Sprintf("Policy(%d)", uint8(p))
+}
+
+// pickBaseline picks by one of the simple policies; ok is false for LeastEstimatedLoad. There must be an endpoint.
+func (b *Balancer) pickBaseline(random func() float64) (index int, ok bool) {
+	switch b.config.Policy {
 	case WeightedRandom:
-		total := 0.0
-		for _, state := range c.endpoints {
-			total += state.Capacity
-		}
-		point := random() * total
-		for candidate, state := range c.endpoints {
-			if point -= state.Capacity; point < 0 {
-				return candidate, true
-			}
-		}
-		return count - 1, true
+		return b.drawByCapacity(random()), true
 	case RoundRobin:
-		if c.roundRobin == 0 {
-			c.roundRobin = 1 + randomIndex()
+		if b.roundRobin == 0 {
+			b.roundRobin = 1 + b.drawIndex(random)
 		}
-		c.roundRobin++
-		return c.roundRobin % count, true
+		b.roundRobin++
+		return b.roundRobin % len(b.endpoints), true
 	case TwoChoicesOutstanding:
-		return leastOf(outstandingLoad, randomIndex(), randomIndex()), true
+		return lesser(b.outstandingLoad, b.drawIndex(random), b.drawIndex(random)), true
 	case TwoChoicesReported:
-		return leastOf(reportedLoad, randomIndex(), randomIndex()), true
-	case LeastRequest, LeastReportedLoad:
-		loadBy := outstandingLoad
-		if c.config.Policy == LeastReportedLoad {
-			loadBy = reportedLoad
-		}
-		start := randomIndex() // ties go to a drawn one
-		best := start
-		for offset := range count {
-			if candidate := (start + offset) % count; loadBy(c.endpoints[candidate]) < loadBy(c.endpoints[best]) {
-				best = candidate
-			}
-		}
-		return best, true
+		return lesser(b.reportedLoad, b.drawIndex(random), b.drawIndex(random)), true
+	case LeastRequest:
+		return b.least(b.outstandingLoad, b.drawIndex(random)), true
+	case LeastReportedLoad:
+		return b.least(b.reportedLoad, b.drawIndex(random)), true
+	case LeastEstimatedLoad:
 	}
 	return 0, false
 }
 
-// Gap is the time that a member should wait for an op, by its capacity: what idle is held against.
-func (c *Balancer) Gap(index int, rate float64) time.Duration {
-	if rate <= 0 || len(c.cumulativeWeights) == 0 {
-		return 0
+// drawIndex draws an index, each with the same chance.
+func (b *Balancer) drawIndex(random func() float64) int {
+	count := len(b.endpoints)
+	return min(count-1, int(random()*float64(count)))
+}
+
+// drawByCapacity returns the index of the endpoint that a fraction of the total capacity falls on.
+func (b *Balancer) drawByCapacity(fraction float64) int {
+	total := 0.0
+	for _, state := range b.endpoints {
+		total += state.Capacity
+	}
+	point := fraction * total
+	for index, state := range b.endpoints {
+		if point -= state.Capacity; point < 0 {
+			return index
+		}
+	}
+	return len(b.endpoints) - 1
+}
+
+// outstandingLoad returns an endpoint's load by our own count.
+func (b *Balancer) outstandingLoad(index int) float64 {
+	state := b.endpoints[index]
+	return float64(state.outstanding) / state.Capacity
+}
+
+// reportedLoad returns an endpoint's load by its last report, the mean where there is none.
+func (b *Balancer) reportedLoad(index int) float64 {
+	if state := b.endpoints[index]; state.hasReport {
+		return state.reportedLoad
+	}
+	return b.meanLoad
+}
+
+// lesser returns the less loaded of two, the first of equals.
+func lesser(loadOf func(index int) float64, first, second int) int {
+	if loadOf(second) < loadOf(first) {
+		return second
+	}
+	return first
+}
+
+// least returns the least loaded of all, of equals the first from start on.
+func (b *Balancer) least(loadOf func(index int) float64, start int) int {
+	best := start
+	for offset := range b.endpoints {
+		best = lesser(loadOf, best, (start+offset)%len(b.endpoints))
 	}
-	return time.Duration(c.cumulativeWeights[len(c.cumulativeWeights)-1] / c.endpoints[index].weight / rate * float64(time.Second))
+	return best
 }
--- a/internal/balancer/report.go
+++ b/internal/balancer/report.go
@@ -5,69 +5,66 @@
 	"time"
 )
 
-// IdleLoad is what a member says that has nothing in hand: under 0 by how long it has waited, so that of many idle ones the one that waits longest
-// goes first; -1 at the most, so that it is never worth more than an op.
+// probePoolSize is the number of recent probe answers that are compared for one request, that of the Prequal paper.
+const probePoolSize = 16
+
+// Bounds of the half-life of a load report where none is configured. A load moves as fast as requests come and go, so a
+// report is worth half after the time that one takes; never less than a round trip.
+const (
+	initialLoadHalfLife = 100 * time.Millisecond // until a latency is known
+	minLoadHalfLife     = 10 * time.Millisecond
+	maxLoadHalfLife     = time.Second
+)
+
+// maxReportedLoad is the number of requests in progress above which a report is held to be nonsense.
+const maxReportedLoad = 1e6
+
+// IdleLoad returns the load that an endpoint without requests reports: negative, the lower the longer it has been
+// idle, so that of many idle ones the one that has waited longest goes first. It is -1 at the least, so that
+// idleness is never worth more than a request.
 func IdleLoad(idleFor time.Duration) float64 { return -float64(idleFor) / float64(idleFor+time.Second) }
 
-// RecordReport takes a member's own word on its load, ops in hand or Idle, that was so age ago. The effect on the next choices is bounded by how
-// old it is, and fades, as all that heard it go by it.
-func (c *Balancer) RecordReport(now time.Duration, index int, load float64, age time.Duration) {
-	state := c.endpoints[index]
+// RecordReport takes the load that an endpoint reports, requests in progress or IdleLoad, as it was age ago. A report
+// that can't be, or that is not newer than the one before, is ignored: an endpoint that reports nonsense must not
+// attract requests.
+func (b *Balancer) RecordReport(now time.Duration, index int, load float64, age time.Duration) {
+	state := b.endpoints[index]
+	if math.IsNaN(load) || load < -1 || load > maxReportedLoad || age < 0 || age > b.config.LoadMaxAge {
+		return
+	}
 	measuredAt := now - age
-	// Danger: a member that says nonsense, always idle or older than before. What is not a load says nothing; the newest counts.
-	if math.IsNaN(load) || load < -1 || load > 1e6 || age < 0 || age > c.config.LoadMaxAge || state.hasReport && measuredAt <= state.reportedAt {
+	if state.hasReport && measuredAt <= state.reportedAt {
 		return
 	}
-	state.reportedLoad, state.reportedAt, state.hasReport, state.startedSinceReport = load/state.Capacity, measuredAt, true, 0
-	c.weightsStale = true
+	state.setReport(load/state.Capacity, measuredAt)
+	b.weightsStale = true
 }
 
-// RecordProbe takes what a member says that was asked: beside Told, it is weighed against the next ops while it is fresh.
-func (c *Balancer) RecordProbe(now time.Duration, index int, load float64, age time.Duration) {
-	c.RecordReport(now, index, load, age)
-	state := c.endpoints[index]
-	for _, probed := range c.probePool {
+// RecordProbe takes the load that an endpoint answered a probe with. Beside what RecordReport does, the endpoint is
+// compared for the next requests while the report is fresh.
+func (b *Balancer) RecordProbe(now time.Duration, index int, load float64, age time.Duration) {
+	b.RecordReport(now, index, load, age)
+	state := b.endpoints[index]
+	for _, probed := range b.probePool {
 		if probed == state {
 			return
 		}
 	}
-	c.probePool[c.nextProbeSlot] = state
-	c.nextProbeSlot = (c.nextProbeSlot + 1) % probePoolSize
-}
-
-// probePoolSize is how many fresh words are weighed for one op. Sixteen is what the Prequal paper found to be enough; more would be older.
-const probePoolSize = 16
-
-// estimatedLoad is the load of a member as it is likely to be by now: what it said, drawn towards the mean by the time that has gone, as
-// all others choose by the like; and what we ourselves have sent since.
-func (c *Balancer) estimatedLoad(now time.Duration, state *endpointState) float64 {
-	if !state.hasReport || now-state.reportedAt > c.config.LoadMaxAge {
-		return c.meanLoad + float64(state.outstanding)/state.Capacity
-	}
-	remaining := math.Exp2(-float64(now-state.reportedAt) / float64(c.loadHalfLife))
-	load := state.reportedLoad
-	// Danger: one that says nonsense, always idle. Own evidence goes before hearsay: where our ops take long, it is not idle.
-	if slowdown := c.relativeLatency(now, state); load < c.meanLoad && slowdown > slowLatencyFactor {
-		load = c.meanLoad + (slowdown-1)*max(c.meanLoad, 1)
-	}
-	return c.meanLoad + (load-c.meanLoad)*remaining + state.startedSinceReport
+	b.probePool[b.nextProbeSlot] = state
+	b.nextProbeSlot = (b.nextProbeSlot + 1) % probePoolSize
 }
 
-// A load moves as fast as ops come and go: a word is worth half after the time that one takes. Before any is known, a tenth of a second; never less
-// than a round trip, nor longer than a second, in which hundreds that go by one word have long made it wrong.
-const initialLoadHalfLife, minLoadHalfLife, maxLoadHalfLife = 100 * time.Millisecond, 10 * time.Millisecond, time.Second
-
-// PickProbe gives a member whose load is worth asking for: the one drawn of whom the oldest is known. It is called some times an op.
-func (c *Balancer) PickProbe(now time.Duration, random func() float64) (index int, ok bool) {
-	if len(c.endpoints) == 0 {
+// PickProbe returns the index of an endpoint whose load is worth probing: of two that are drawn by weight the one with
+// the older report. ok is false where there is no endpoint.
+func (b *Balancer) PickProbe(now time.Duration, random func() float64) (index int, ok bool) {
+	if len(b.endpoints) == 0 {
 		return 0, false
 	}
-	total := c.cumulativeWeights[len(c.cumulativeWeights)-1]
 	best, oldest := -1, time.Duration(math.MaxInt64)
 	for range 2 {
-		candidate := c.drawByWeight(random() * total)
-		reportedAt := c.endpoints[candidate].reportedAt
-		if !c.endpoints[candidate].hasReport {
+		candidate := b.drawByWeight(random())
+		reportedAt := b.endpoints[candidate].reportedAt
+		if !b.endpoints[candidate].hasReport {
 			reportedAt = -1
 		}
 		if reportedAt < oldest {
@@ -76,3 +73,18 @@
 	}
 	return best, best >= 0
 }
+
+// estimatedLoad returns the load an endpoint is likely to have by now: the reported one, drawn towards the mean by its
+// age, as others choose by the same report; and what we have sent since.
+func (b *Balancer) estimatedLoad(now time.Duration, state *endpointState) float64 {
+	if !state.hasRecentReport(now, b.config.LoadMaxAge) {
+		return b.meanLoad + float64(state.outstanding)/state.Capacity
+	}
+	load := state.reportedLoad
+	// Guards against an endpoint that always reports to be idle: where our requests take long, it is not. What we
+	// measured goes before what is reported.
+	if slowdown := b.relativeLatency(now, state); load < b.meanLoad && slowdown > slowLatencyFactor {
+		load = b.meanLoad + (slowdown-1)*max(b.meanLoad, 1)
+	}
+	return b.meanLoad + (load-b.meanLoad)*decay(now-state.reportedAt, b.loadHalfLife) + state.startedSinceReport
+}
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -2,47 +2,55 @@
 
 import "time"
 
-// Attempt is how far an op has come at a decider.
+// Attempt is how far a request has come at a sender.
 type Attempt struct {
-	Deadline   time.Duration
-	Made       int  // that were made
-	Max        int  // that may be made
-	Idempotent bool // it may run twice
-	Forwarded  bool // another process has passed it on to us, and tries again by itself
+	Deadline    time.Duration
+	Made        int  // attempts made so far
+	MaxAttempts int  // attempts that may be made in all
+	Idempotent  bool // it may run twice
+	Forwarded   bool // another process has forwarded it to us, and retries by itself
 }
 
-// RetryDecision is what comes next of an op.
+// AttemptResult is how the last attempt ended.
+type AttemptResult struct {
+	Outcome    Outcome
+	NotSent    bool // nothing of the request went out
+	NoFailover bool // the endpoint says that no other will take it either
+}
+
+// RetryDecision is what follows an attempt.
 type RetryDecision uint8
 
+// The decisions.
 const (
-	ReturnResponse RetryDecision = iota // what came back is its answer
-	RetryElsewhere                      // another member is asked
+	ReturnResponse RetryDecision = iota // the attempt's result is the request's
+	RetryElsewhere                      // another endpoint is tried
 )
 
-// DecideRetry decides what becomes of an op whose try has ended. unsent tells that nothing of it went out. What proves that the op never ran
-// lets another be asked, within the budget and while there is time for an op as it usually takes; what proves nothing lets one that
-// may run twice be tried again and is an honest failure of one that may not.
-func (c *Balancer) DecideRetry(now time.Duration, attempt Attempt, outcome Outcome, unsent, noFailover bool) RetryDecision {
+// DecideRetry decides what follows an attempt. Where the result proves that the request never ran, another endpoint may
+// be tried, within the retry budget and while there is time for a request of mean latency. Where it proves nothing, a
+// request that is idempotent may be retried, and any other has failed.
+func (b *Balancer) DecideRetry(now time.Duration, attempt Attempt, result AttemptResult) RetryDecision {
 	switch {
-	case outcome == Succeeded || outcome == Failed || noFailover:
+	case result.Outcome == Succeeded || result.Outcome == Failed || result.NoFailover:
 		return ReturnResponse
-	case outcome == NoResponse && !unsent && !attempt.Idempotent:
+	case result.Outcome == NoResponse && !result.NotSent && !attempt.Idempotent:
 		return ReturnResponse
-	case attempt.Made >= attempt.Max || now+time.Duration(c.meanLatency*float64(time.Second)) >= attempt.Deadline:
+	case attempt.Made >= attempt.MaxAttempts || now+seconds(b.meanLatency) >= attempt.Deadline:
 		return ReturnResponse
-	// Where nothing went out nobody below has had work by it, so it costs no budget.
-	case !unsent && !c.takeRetry(attempt.Forwarded):
+	case !result.NotSent && !b.takeRetry(attempt.Forwarded): // what was not sent has cost no endpoint anything
 		return ReturnResponse
 	}
 	return RetryElsewhere
 }
 
-// takeRetry asks whether a second try is within the budget, and takes it off. Danger: when all are full, each op that is tried twice
-// makes them fuller, and layers that each try again multiply each other; so an op that is a repeat already gets none.
-func (c *Balancer) takeRetry(forwarded bool) bool {
-	if forwarded || c.retryTokens < 1 {
+// takeRetry takes a retry off the budget and reports whether there was one. When all endpoints are overloaded, each
+// retry overloads them more, and layers that each retry multiply each other: so a request that was forwarded to us gets
+// none.
+func (b *Balancer) takeRetry(forwarded bool) bool {
+	if forwarded || b.retryTokens < 1 {
 		return false
 	}
-	c.retryTokens--
+	b.retryTokens--
 	return true
 }
--- /dev/null
+++ b/internal/balancer/simulatedsenders_test.go
@@ -0,0 +1,250 @@
+package balancer
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"time"
+)
+
+// simulation is a simulated fleet with processes that send to it, each with a Balancer of its own.
+type simulation struct {
+	servers, senders int
+	utilization      float64 // of all cores
+	config           Config
+	subsetSize       int           // 0: no subsets
+	probesPerRequest float64       // 0: answers carry no load report, either
+	reportAge        time.Duration // of each probe's answer when it is sent
+	seconds          float64       // that are counted
+	oracle           bool          // senders know the true loads
+	inject           func(*simulatedFleet)
+	meanRunTime      float64 // s; 0: a tenth
+	liars            int     // servers that always report to be idle
+}
+
+// simulationResult is what a simulation measured.
+type simulationResult struct {
+	p99          float64 // s
+	late         float64 // share of the requests that took longer than 8 mean run times
+	peak         float64 // requests of the most loaded server of a second, against the mean
+	peakByChance float64 // the same where each request goes to any server with the same chance
+	longestIdle  float64 // longest idle time against the expected time between requests
+	failed       float64 // share of the requests
+	connections  int
+}
+
+func (r simulationResult) String() string {
+	return fmt.Sprintf("99th %6.0f ms, late %.4f, peak %.2f of the mean (chance %.2f), longest idle %.1f expected gaps, "+
+		"failed %.4f, connections %d",
+		1000*r.p99, r.late, r.peak, r.peakByChance, r.longestIdle, r.failed, r.connections)
+}
+
+// simulationRun is one simulation under way.
+type simulationRun struct {
+	simulation
+	fleet       *simulatedFleet
+	names       []EndpointName
+	indexByName map[EndpointName]int
+	rate        float64 // requests a second of the fleet
+	total       int     // counted requests
+	connections int
+}
+
+func (k simulation) run() simulationResult {
+	r := k.newRun()
+	var senders []EndpointName
+	for i := range k.senders {
+		senders = append(senders, EndpointName(fmt.Sprint("d", i)))
+	}
+	subsets := map[EndpointName][]EndpointName{}
+	if k.subsetSize > 0 {
+		subsets = Subsets(senders, r.names, k.subsetSize)
+	}
+	for _, sender := range senders {
+		subset := r.names
+		if k.subsetSize > 0 {
+			subset = subsets[sender]
+		}
+		r.startSender(subset)
+	}
+	r.fleet.run(r.fleet.countFrom + k.seconds)
+	return r.result()
+}
+
+func (k simulation) newRun() *simulationRun {
+	if k.meanRunTime == 0 {
+		k.meanRunTime = 0.1
+	}
+	fleet := &simulatedFleet{random: rand.New(rand.NewPCG(1, 2)), meanRunTime: k.meanRunTime, delay: 0.001, countFrom: 5}
+	r := &simulationRun{simulation: k, fleet: fleet, indexByName: map[EndpointName]int{}}
+	for i := range k.servers {
+		name := EndpointName(fmt.Sprint("m", i))
+		fleet.servers = append(fleet.servers, &simulatedServer{index: i, cores: 2, speed: 1})
+		r.names = append(r.names, name)
+		r.indexByName[name] = i
+	}
+	if k.oracle {
+		fleet.indexByLoad()
+	}
+	if k.inject != nil {
+		k.inject(fleet)
+	}
+	r.rate = k.utilization * float64(2*k.servers) / fleet.meanRunTime
+	return r
+}
+
+// simulatedSender is one process that sends requests to a simulated fleet.
+type simulatedSender struct {
+	run         *simulationRun
+	balancer    *Balancer
+	probeCredit float64
+}
+
+func (r *simulationRun) startSender(subset []EndpointName) {
+	var endpoints []Endpoint
+	for _, name := range subset {
+		endpoints = append(endpoints, Endpoint{Name: name, Capacity: 2})
+	}
+	sender := &simulatedSender{run: r, balancer: New(r.config)}
+	sender.balancer.SetEndpoints(0, endpoints)
+	r.connections += len(endpoints)
+	sender.scheduleNext()
+}
+
+func (s *simulatedSender) scheduleNext() {
+	r := s.run
+	r.fleet.schedule(r.fleet.random.ExpFloat64()*float64(r.senders)/r.rate, s.send)
+}
+
+func (s *simulatedSender) send() {
+	s.scheduleNext()
+	r, fleet := s.run, s.run.fleet
+	index := 0
+	if r.oracle {
+		index = fleet.leastLoaded()
+	} else {
+		picked, _ := s.balancer.Pick(fleet.time(), fleet.random.Float64, nil)
+		s.balancer.RecordStart(fleet.time(), picked)
+		index = r.indexByName[s.balancer.NameAt(picked)]
+		for s.probeCredit += r.probesPerRequest; s.probeCredit >= 1; s.probeCredit-- {
+			s.probe()
+		}
+	}
+	sentAt := fleet.now
+	if sentAt >= fleet.countFrom {
+		r.total++
+	}
+	fleet.schedule(fleet.delay, func() {
+		fleet.serve(fleet.servers[index], func(outcome Outcome) {
+			load := fleet.servers[index].reportedLoad(fleet.now)
+			fleet.schedule(fleet.delay, func() { s.handleResponse(index, outcome, load, sentAt) })
+		})
+	})
+}
+
+func (s *simulatedSender) probe() {
+	r, fleet := s.run, s.run.fleet
+	picked, ok := s.balancer.PickProbe(fleet.time(), fleet.random.Float64)
+	if !ok {
+		return
+	}
+	name := s.balancer.NameAt(picked)
+	server := r.indexByName[name]
+	load := fleet.servers[server].reportedLoad(fleet.now)
+	if server < r.liars {
+		load = -1
+	}
+	fleet.schedule(r.reportAge.Seconds()+2*fleet.delay, func() {
+		if index, known := s.balancer.IndexOf(name); known {
+			s.balancer.RecordProbe(fleet.time(), index, load, r.reportAge+seconds(fleet.delay))
+		}
+	})
+}
+
+func (s *simulatedSender) handleResponse(server int, outcome Outcome, load, sentAt float64) {
+	r, fleet := s.run, s.run.fleet
+	if !r.oracle {
+		name := r.names[server]
+		s.balancer.RecordOutcome(fleet.time(), name, outcome, seconds(fleet.now-sentAt))
+		if index, known := s.balancer.IndexOf(name); known && r.probesPerRequest > 0 && server >= r.liars {
+			s.balancer.RecordReport(fleet.time(), index, load, seconds(fleet.delay))
+		}
+	}
+	if sentAt < fleet.countFrom {
+		return
+	}
+	if outcome == Succeeded {
+		fleet.latencies = append(fleet.latencies, fleet.now-sentAt)
+	} else {
+		fleet.failed++
+	}
+}
+
+func (r *simulationRun) result() (result simulationResult) {
+	result.connections = r.connections
+	result.failed = float64(r.fleet.failed) / float64(r.total)
+	result.p99, result.late = r.latency()
+	perServer := r.rate / float64(r.servers)
+	result.peak = r.peak() / perServer
+	result.peakByChance = r.peakByChance(perServer) / perServer
+	result.longestIdle = r.longestIdle() * perServer
+	return result
+}
+
+// latency returns the 99th percentile and the share of the requests that took longer than 8 mean run times.
+func (r *simulationRun) latency() (p99, late float64) {
+	latencies := r.fleet.latencies
+	if len(latencies) == 0 { // who knows the true loads, and not who is broken, gives all to those
+		latencies = []float64{math.Inf(1)}
+	}
+	slices.Sort(latencies)
+	for _, latency := range latencies {
+		if latency > 8*r.fleet.meanRunTime {
+			late++
+		}
+	}
+	return latencies[len(latencies)*99/100], late / float64(r.total)
+}
+
+// peak returns how many requests the most loaded server of a second had, on average.
+func (r *simulationRun) peak() float64 {
+	sum, windows := 0, int(r.seconds)
+	for second := range windows {
+		peak := 0
+		for _, server := range r.fleet.servers {
+			if second < len(server.runsBySec) {
+				peak = max(peak, server.runsBySec[second])
+			}
+		}
+		sum += peak
+	}
+	return float64(sum) / float64(windows)
+}
+
+// peakByChance returns peak where each request goes to any server with the same chance.
+func (r *simulationRun) peakByChance(perServer float64) float64 {
+	const draws = 50
+	sum := 0
+	for range draws {
+		peak := 0
+		for range r.servers {
+			peak = max(peak, poisson(r.fleet.random, perServer))
+		}
+		sum += peak
+	}
+	return float64(sum) / draws
+}
+
+// longestIdle returns the longest time in seconds that a server was idle.
+func (r *simulationRun) longestIdle() (longest float64) {
+	for _, server := range r.fleet.servers {
+		if server.load() == 0 {
+			r.fleet.countGap(server)
+		}
+		for _, gap := range server.gaps {
+			longest = max(longest, gap)
+		}
+	}
+	return longest
+}
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -8,124 +8,161 @@
 	"time"
 )
 
-// simulateSlowStart is a member that starts among others, and many that send to it: each hears of the start late, by a time of its own, has a part of the
-// ops of its own, and believes the newcomer to be idle all the while. It gives the most that came within any of the spans against what was allowed, N and what chance may add.
-func simulateSlowStart(senders int, seed uint64) (worst float64, came, allowed float64) {
-	const warm, span, total, count = 12 * time.Second, 2 * time.Second, 1200.0, 20
-	rng := rand.New(rand.NewPCG(seed, uint64(senders)))
-	type sender struct {
-		c     *Balancer
-		part  float64
-		hears time.Duration
-		known bool
-		open  []EndpointName
+// slowStartSender is one of many senders of a fleet that an endpoint joins.
+type slowStartSender struct {
+	balancer *Balancer
+	part     float64       // of all requests, unscaled
+	learnsAt time.Duration // when it learns that the endpoint is there
+	learned  bool
+	open     []EndpointName // endpoints with a request of ours in progress
+}
+
+// slowStart is an endpoint that starts among others. Each sender learns of it late, by a time of its own, has a part of
+// the requests of its own, and believes the newcomer to be idle all the while.
+type slowStart struct {
+	random    *rand.Rand
+	endpoints []Endpoint // the newcomer first
+	senders   []*slowStartSender
+	parts     float64 // sum of the senders' parts
+	received  []int   // requests to the newcomer by window
+}
+
+const (
+	slowStartWarmUp = 12 * time.Second
+	slowStartWindow = 2 * time.Second
+	slowStartRate   = 1200.0 // requests a second of the fleet
+	slowStartFleet  = 20     // endpoints
+)
+
+func newSlowStart(senders int, seed uint64) *slowStart {
+	s := &slowStart{
+		random:    rand.New(rand.NewPCG(seed, uint64(senders))),
+		endpoints: makeEndpoints(slowStartFleet),
+		received:  make([]int, slowStartWarmUp/slowStartWindow),
 	}
-	all := make([]*sender, senders)
-	sum := 0.0
-	members := makeEndpoints(count)
-	for i := range all {
-		all[i] = &sender{c: newBalancer(DefaultConfig(), members[1:]), part: 0.2 + rng.ExpFloat64(), hears: time.Duration(rng.Float64() * float64(1500*time.Millisecond))}
-		sum += all[i].part
+	for range senders {
+		sender := &slowStartSender{
+			balancer: newBalancer(DefaultConfig(), s.endpoints[1:]),
+			part:     0.2 + s.random.ExpFloat64(),
+			learnsAt: time.Duration(s.random.Float64() * float64(1500*time.Millisecond)),
+		}
+		s.senders = append(s.senders, sender)
+		s.parts += sender.part
 	}
-	const tick = 10 * time.Millisecond
-	got := make([]float64, warm/span)
-	for now := time.Duration(0); now < warm; now += tick {
-		for _, s := range all {
-			if !s.known && now >= s.hears {
-				s.known = true
-				members[0].WarmUpRemaining, members[0].WarmUp = warm-now, warm
-				s.c.SetEndpoints(now, members)
-			}
-			if place, here := s.c.IndexOf("m0"); here {
-				s.c.RecordProbe(now, place, -0.9, 0)
-			}
-			for _, n := range s.open {
-				s.c.RecordOutcome(now, n, Succeeded, tick)
-			}
-			s.open = s.open[:0]
-			want := total * tick.Seconds() * s.part / sum
-			for ; want > 0 && rng.Float64() < want; want-- {
-				i, _ := s.c.Pick(now, rng.Float64, nil)
-				s.c.RecordStart(now, i)
-				n := s.c.NameAt(i)
-				s.open = append(s.open, n)
-				if n == "m0" {
-					got[now/span]++
-				}
-			}
+	return s
+}
+
+// step has a sender do what it does in one tick.
+func (s *slowStart) step(sender *slowStartSender, now, tick time.Duration) {
+	newcomer := s.endpoints[0].Name
+	if !sender.learned && now >= sender.learnsAt {
+		sender.learned = true
+		s.endpoints[0].WarmUpRemaining, s.endpoints[0].WarmUp = slowStartWarmUp-now, slowStartWarmUp
+		sender.balancer.SetEndpoints(now, s.endpoints)
+	}
+	if index, known := sender.balancer.IndexOf(newcomer); known {
+		sender.balancer.RecordProbe(now, index, -0.9, 0)
+	}
+	for _, name := range sender.open {
+		sender.balancer.RecordOutcome(now, name, Succeeded, tick)
+	}
+	sender.open = sender.open[:0]
+	expected := slowStartRate * tick.Seconds() * sender.part / s.parts
+	for ; expected > 0 && s.random.Float64() < expected; expected-- {
+		index, _ := sender.balancer.Pick(now, s.random.Float64, nil)
+		sender.balancer.RecordStart(now, index)
+		name := sender.balancer.NameAt(index)
+		sender.open = append(sender.open, name)
+		if name == newcomer {
+			s.received[now/slowStartWindow]++
 		}
 	}
-	for i, n := range got {
-		// Its share of all that is sent, by how warm it is in this span: what it bears where the fleet is full.
-		age := (float64(i) + 0.5) * float64(span) / float64(warm)
-		may := total * span.Seconds() / count * (0.1 + 0.9*age)
-		came, allowed = came+n, allowed+may
-		worst = max(worst, n/(may+2*math.Sqrt(may+2)))
+}
+
+// result returns the requests that the newcomer received, those that it should receive at the most, and the worst
+// window: its requests against those, with what chance may add.
+func (s *slowStart) result() (received, allowed, worst float64) {
+	for i, count := range s.received {
+		// Its weight of all that is sent, by how far it is warmed up in this window: what it bears in a saturated fleet.
+		warmth := (float64(i) + 0.5) * float64(slowStartWindow) / float64(slowStartWarmUp)
+		expected := slowStartRate * slowStartWindow.Seconds() / slowStartFleet * (0.1 + 0.9*warmth)
+		received += float64(count)
+		allowed += expected
+		worst = max(worst, float64(count)/(expected+2*math.Sqrt(expected+2)))
 	}
-	return worst, came, allowed
+	return received, allowed, worst
 }
 
-// What all senders together give a cold member stays under what it is allowed and what is put down to chance, however many they are and however
-// late each hears of it; and it is warmed: it gets half of that at the least.
+// TestSlowStartOverAllSenders checks that what all senders together give an endpoint that is warming up stays under
+// what it is allowed and what is put down to chance, however many they are and however late each learns of it; and
+// that it is warmed up: it gets half of that at the least.
 func TestSlowStartOverAllSenders(t *testing.T) {
+	const tick = 10 * time.Millisecond
 	for _, senders := range []int{1, 2, 3, 5, 10, 20, 30, 100, 300} {
 		for seed := range uint64(4) {
-			worst, came, allowed := simulateSlowStart(senders, seed)
-			if worst > 1 || came < allowed/2 {
-				t.Errorf("%d senders, seed %d: %.2f of what may come in a span, %.0f of %.0f in all", senders, seed, worst, came, allowed)
+			simulated := newSlowStart(senders, seed)
+			for now := time.Duration(0); now < slowStartWarmUp; now += tick {
+				for _, sender := range simulated.senders {
+					simulated.step(sender, now, tick)
+				}
+			}
+			received, allowed, worst := simulated.result()
+			if worst > 1 || received < allowed/2 {
+				t.Errorf("%d senders, seed %d: %.2f of what may come in a window, %.0f of %.0f in all",
+					senders, seed, worst, received, allowed)
 			}
 		}
 	}
 }
 
-// A newcomer that is the only one left is given what there is; where all are cold nobody is refused for it.
+// Example_allWarmingUp shows that an endpoint that is the only one left gets all requests, warming up or not.
 func Example_allWarmingUp() {
-	members := makeEndpoints(3)
-	for i := range members {
-		members[i].WarmUpRemaining, members[i].WarmUp = 10*s, 10*s
+	endpoints := makeEndpoints(3)
+	for i := range endpoints {
+		endpoints[i].WarmUpRemaining, endpoints[i].WarmUp = 10*time.Second, 10*time.Second
 	}
-	c := newBalancer(DefaultConfig(), members)
+	balancer := newBalancer(DefaultConfig(), endpoints)
 	random := rand.New(rand.NewPCG(1, 1)).Float64
-	given := map[bool]int{}
+	picked := map[bool]int{}
 	for range 100 {
-		i, ok := c.Pick(0, random, func(i int) bool { return i == 1 })
-		c.RecordStart(0, i)
-		given[ok && i != 1]++
+		index, ok := balancer.Pick(0, random, func(index int) bool { return index == 1 })
+		balancer.RecordStart(0, index)
+		picked[ok && index != 1]++
 	}
-	fmt.Println(given)
+	fmt.Println(picked)
 	// Output:
 	// map[true:100]
 }
 
-// While every member rests nobody has a share; a cold one that serves again gets its part then.
+// Example_allEjected shows that nobody has a weight while every endpoint is ejected; one that is warming up and
+// succeeds again gets its part then.
 func Example_allEjected() {
-	members := makeEndpoints(2)
-	members[0].WarmUpRemaining, members[0].WarmUp = 60*s, 60*s
+	endpoints := makeEndpoints(2)
+	endpoints[0].WarmUpRemaining, endpoints[0].WarmUp = time.Minute, time.Minute
 	config := DefaultConfig()
 	config.MaxOutlierFraction = 1
-	c := newBalancer(config, members)
+	balancer := newBalancer(config, endpoints)
 	random := rand.New(rand.NewPCG(1, 1)).Float64
-	for _, m := range members {
+	for _, endpoint := range endpoints {
 		for range 2 {
-			c.RecordOutcome(s, m.Name, Failed, 0)
+			balancer.RecordOutcome(time.Second, endpoint.Name, Failed, 0)
 		}
 	}
-	pick := func(now time.Duration, n int) (cold int) {
-		for range n {
-			i, _ := c.Pick(now, random, nil)
-			c.RecordStart(now, i)
-			c.RecordOutcome(now, c.NameAt(i), Succeeded, 10*ms)
-			cold += 1 - i
+	pick := func(now time.Duration, requests int) (warmingUp int) {
+		for range requests {
+			index, _ := balancer.Pick(now, random, nil)
+			balancer.RecordStart(now, index)
+			balancer.RecordOutcome(now, balancer.NameAt(index), Succeeded, 10*time.Millisecond)
+			warmingUp += 1 - index
 		}
-		return cold
+		return warmingUp
 	}
-	c.weightsStale, c.weightsAt = true, 0
-	i, ok := c.Pick(s, random, func(i int) bool { return i == 1 }) // the cold one alone may be given it
-	fmt.Println("shares:", c.cumulativeWeights[1], i, ok)
-	fmt.Println("later, of 1000:", pick(40*s, 1000) > 20) // a fiftieth of its share at the least, as it was bad
+	balancer.weightsStale, balancer.weightsAt = true, 0
+	index, ok := balancer.Pick(time.Second, random, func(index int) bool { return index == 1 })
+	fmt.Println("weight:", balancer.cumulativeWeights[1], index, ok)
+	// Its share is small: it was an outlier.
+	fmt.Println("later, of 1000:", pick(40*time.Second, 1000) > 20)
 	// Output:
-	// shares: 0 0 true
+	// weight: 0 0 true
 	// later, of 1000: true
 }
-
-const ms = time.Millisecond
--- a/internal/balancer/spillover.go
+++ b/internal/balancer/spillover.go
@@ -1,161 +1,227 @@
 package balancer
 
 import (
+	"fmt"
 	"math"
 	"time"
 )
 
-// SpilloverConfig is what handing over goes by.
+// SpilloverConfig is what spilling over goes by.
 type SpilloverConfig struct {
-	BudgetRatio          float64       // of the ops that come, so many may be handed over
-	BudgetBurst          float64       // of them that may be saved up
-	SaturatedLoad        float64       // ops in hand a core from which on a member counts as full
-	MaxSaturatedFraction float64       // share of the members that may be full: past it handing over is itself the overload
-	ReportMaxAge         time.Duration // how old a member's word on its load may be
+	BudgetRatio   float64 // spilled requests earned by each request that arrives
+	BudgetBurst   float64 // spilled requests that may be saved up
+	SaturatedLoad float64 // requests in progress a core from which on an endpoint is saturated
+
+	// MaxSaturatedFraction is the share of the endpoints that may be saturated: past it spilling over is itself the
+	// overload.
+	MaxSaturatedFraction float64
+
+	ReportMaxAge time.Duration // age from which on a load report is not believed
 }
 
-// DefaultSpilloverConfig is what holds without being told; docs/spread.md has the measurements.
+// DefaultSpilloverConfig returns the values that apply unless configured.
 func DefaultSpilloverConfig() SpilloverConfig {
-	return SpilloverConfig{BudgetRatio: 0.2, BudgetBurst: 20, SaturatedLoad: 2, MaxSaturatedFraction: 0.5, ReportMaxAge: time.Second}
+	return SpilloverConfig{
+		BudgetRatio:          0.2,
+		BudgetBurst:          20,
+		SaturatedLoad:        2,
+		MaxSaturatedFraction: 0.5,
+		ReportMaxAge:         time.Second,
+	}
+}
+
+// SpilloverReason is what keeps a request from being spilled over.
+type SpilloverReason uint8
+
+// The reasons.
+const (
+	Allowed          SpilloverReason = iota // nothing does
+	BudgetExhausted                         // as many were spilled over as may be
+	DeadlineTooClose                        // its deadline does not allow a further hop
+	NoReports                               // no endpoint has reported its load of late
+	FleetSaturated                          // too many endpoints are saturated
+	NoCapacity                              // none that was drawn has capacity and is much less loaded than we are
+	BackingOff                              // most that were spilled over were rejected there, too
+	AlreadyForwarded                        // it was forwarded to us: never by two hops, and so never in a circle
+	Draining                                // we drain: what we reject, its client retries elsewhere
+)
+
+var spilloverReasons = [...]string{
+	"allowed", "budget-exhausted", "deadline-too-close", "no-reports", "fleet-saturated", "no-capacity", "backing-off",
+	"already-forwarded", "draining",
 }
 
-// SpilloverReason is what keeps an op here, in one word.
-type SpilloverReason string
+// String returns the reason as it is logged.
+func (r SpilloverReason) String() string {
+	if int(r) < len(spilloverReasons) {
+		return spilloverReasons[r]
+	}
+	return fmt.Sprintf("SpilloverReason(%d)", uint8(r))
+}
 
 const (
-	Allowed          SpilloverReason = ""
-	BudgetExhausted  SpilloverReason = "budget"   // as many have been handed over as may be
-	DeadlineTooClose SpilloverReason = "late"     // its time does not allow it
-	NoReports        SpilloverReason = "unknown"  // nobody has said of late how it stands
-	FleetSaturated   SpilloverReason = "most"     // most of them are full
-	NoCapacity       SpilloverReason = "no-room"  // none of those drawn has room, or is much better off than we are
-	BackingOff       SpilloverReason = "turned"   // those that were handed over were mostly turned away there too
-	AlreadyForwarded SpilloverReason = "handed"   // it was handed over to us: never by two hops, and so never in a circle
-	Draining         SpilloverReason = "leaving"  // we leave: what we let go, its caller takes elsewhere
-	NoCredentials    SpilloverReason = "no-proof" // who asks is known by his connection alone, which the other does not see
+	// initialLatency is what a request is taken to need elsewhere until one came back.
+	initialLatency = 100 * time.Millisecond
+
+	// saturationMaxAge is how long the count of saturated endpoints holds.
+	saturationMaxAge = 50 * time.Millisecond
+
+	// minRejections is the decayed number of rejections from which on spilling over may pause; fewer may be chance.
+	minRejections = 3
+
+	// backoffDuration is how long spilling over pauses.
+	backoffDuration = time.Second
 )
 
-// SpilloverPolicy decides whether an op that is turned away here goes to another member, once. It goes by a chooser's words, and belongs to
-// its goroutine.
+// SpilloverPolicy decides whether a request that is rejected here goes to another endpoint, once. It uses a Balancer's
+// knowledge of the endpoints, and belongs to the same goroutine.
 type SpilloverPolicy struct {
-	config          SpilloverConfig
-	balancer        *Balancer
-	budget          float64
-	succeeded       float64 // of those handed over, fading: taken there
-	rejected        float64 // and turned away
-	decayedAt       time.Duration
-	backoffUntil    time.Duration
-	saturationAt    time.Duration // when the full ones were counted
-	reportingCount  int
-	saturatedCount  int
-	saturationKnown bool
+	config   SpilloverConfig
+	balancer *Balancer
+
+	budget float64 // requests that may be spilled over
+
+	// What became of those that were spilled over, decaying with the balancer's OutcomeHalfLife.
+	succeeded    float64
+	rejected     float64
+	decayedAt    time.Duration
+	backoffUntil time.Duration
+
+	saturation saturation
 }
 
-// NewSpilloverPolicy makes one that goes by a chooser's words.
+// saturation is how many endpoints are saturated.
+type saturation struct {
+	known     bool
+	countedAt time.Duration
+	reporting int // endpoints with a recent report
+	saturated int // those of them that are saturated
+}
+
+// NewSpilloverPolicy returns a policy that uses a balancer's knowledge.
 func NewSpilloverPolicy(config SpilloverConfig, balancer *Balancer) *SpilloverPolicy {
 	return &SpilloverPolicy{config: config, balancer: balancer, budget: config.BudgetBurst}
 }
 
-// SetConfig takes values that were told anew.
-func (h *SpilloverPolicy) SetConfig(config SpilloverConfig) {
-	h.config, h.budget = config, min(h.budget, config.BudgetBurst)
+// SetConfig replaces the configuration.
+func (p *SpilloverPolicy) SetConfig(config SpilloverConfig) {
+	p.config = config
+	p.budget = min(p.budget, config.BudgetBurst)
 }
 
-// RecordArrival notes that an op came here.
-func (h *SpilloverPolicy) RecordArrival() {
-	h.budget = min(h.config.BudgetBurst, h.budget+h.config.BudgetRatio)
+// RecordArrival notes that a request has arrived here, which earns a part of the budget.
+func (p *SpilloverPolicy) RecordArrival() {
+	p.budget = min(p.config.BudgetBurst, p.budget+p.config.BudgetRatio)
 }
 
-// initialLatency is what an op is taken to take elsewhere before one came back.
-const initialLatency = 100 * time.Millisecond
-
-// Pick tells whom an op that is turned away here goes to: one of a few drawn by their shares who has room and is far better off. left is the
-// time that it still has, own our load in ops a core.
-func (h *SpilloverPolicy) Pick(now, remaining time.Duration, ownLoad float64, random func() float64) (index int, reason SpilloverReason) {
-	latency := initialLatency
-	if h.balancer.meanLatency > 0 {
-		latency = time.Duration(h.balancer.meanLatency * float64(time.Second))
-	}
-	switch {
-	case h.budget < 1:
-		return 0, BudgetExhausted
-	case now < h.backoffUntil:
-		return 0, BackingOff
-	case remaining < 2*latency: // twice: what takes as long as usual here comes too late there
-		return 0, DeadlineTooClose
-	case h.balancer.Len() == 0:
-		return 0, NoReports
-	}
-	h.refreshSaturation(now)
-	switch {
-	case h.reportingCount == 0:
-		return 0, NoReports
-	case float64(h.saturatedCount) > h.config.MaxSaturatedFraction*float64(h.reportingCount):
-		return 0, FleetSaturated
-	}
-	if h.balancer.weightsStale && now-h.balancer.weightsAt >= weightsMaxAge || h.balancer.weightsAt == 0 && h.balancer.weightsStale {
-		h.balancer.recomputeWeights(now)
+// Pick returns the index of the endpoint that a request which is rejected here goes to: of a few that are drawn by
+// weight the least loaded one, if it has capacity and is much less loaded than we are. remaining is the time until
+// the request's deadline, ownLoad our own requests in progress a core. The index holds only where the reason is
+// Allowed.
+func (p *SpilloverPolicy) Pick(
+	now, remaining time.Duration, ownLoad float64, random func() float64,
+) (index int, reason SpilloverReason) {
+	if reason := p.check(now, remaining); reason != Allowed {
+		return 0, reason
 	}
-	h.balancer.pickCount++
+	p.balancer.refreshWeights(now)
+	p.balancer.pickCount++
 	best, leastLoad := -1, math.Inf(1)
-	consider := func(state *endpointState) {
-		if state == nil || state.removed || state.outlier || state.Suspect || !h.hasRecentReport(now, state) || !h.balancer.slowStartAllows(now, state, random) {
+	compare := func(state *endpointState) {
+		if state == nil || !p.isEligible(now, state) || !p.balancer.slowStartAllows(now, state, random) {
 			return
 		}
-		// Danger: what we know is old and others hand over too: what it would have with this op counts, and half of our own load is the
-		// least that a hop is worth. A word fades over its time and not, as a relay's, over an op's: few ops are handed over, so an idle
-		// member stays so for longer.
-		remaining := math.Exp2(-float64(now-state.reportedAt) / float64(h.config.ReportMaxAge))
-		if load := h.balancer.meanLoad + (state.reportedLoad-h.balancer.meanLoad)*remaining + state.startedSinceReport + 1/state.Capacity; load < leastLoad && load < h.config.SaturatedLoad && load <= ownLoad/2 {
+		// What we know is old and others spill over, too: so the load that it would have with this request counts, and a
+		// hop has to be worth half of our own load.
+		load := p.estimatedLoad(now, state)
+		if load < leastLoad && load < p.config.SaturatedLoad && load <= ownLoad/2 {
 			best, leastLoad = state.index, load
 		}
 	}
-	for _, state := range h.balancer.probePool {
-		consider(state)
+	for _, state := range p.balancer.probePool {
+		compare(state)
 	}
-	total := h.balancer.cumulativeWeights[len(h.balancer.cumulativeWeights)-1]
-	for range h.balancer.config.ChoiceCount {
-		consider(h.balancer.endpoints[h.balancer.drawByWeight(random()*total)])
+	for range p.balancer.config.ChoiceCount {
+		compare(p.balancer.endpoints[p.balancer.drawByWeight(random())])
 	}
 	if best < 0 {
 		return 0, NoCapacity
 	}
-	h.budget--
+	p.budget--
 	return best, Allowed
 }
 
-func (h *SpilloverPolicy) hasRecentReport(now time.Duration, state *endpointState) bool {
-	return state.hasReport && now-state.reportedAt <= h.config.ReportMaxAge
+// check returns what keeps a request here before any endpoint is looked at.
+func (p *SpilloverPolicy) check(now, remaining time.Duration) SpilloverReason {
+	latency := initialLatency
+	if p.balancer.meanLatency > 0 {
+		latency = seconds(p.balancer.meanLatency)
+	}
+	switch {
+	case p.budget < 1:
+		return BudgetExhausted
+	case now < p.backoffUntil:
+		return BackingOff
+	case remaining < 2*latency: // twice: what takes as long as usual here comes too late there
+		return DeadlineTooClose
+	case p.balancer.Len() == 0:
+		return NoReports
+	}
+	p.refreshSaturation(now)
+	switch {
+	case p.saturation.reporting == 0:
+		return NoReports
+	case float64(p.saturation.saturated) > p.config.MaxSaturatedFraction*float64(p.saturation.reporting):
+		return FleetSaturated
+	}
+	return Allowed
 }
 
-// refreshSaturation counts the full ones among those whose words are fresh, a few times a second.
-func (h *SpilloverPolicy) refreshSaturation(now time.Duration) {
-	if h.saturationKnown && now-h.saturationAt < 50*time.Millisecond {
+func (p *SpilloverPolicy) isEligible(now time.Duration, state *endpointState) bool {
+	return !state.removed && !state.outlier && !state.Suspect && state.hasRecentReport(now, p.config.ReportMaxAge)
+}
+
+// estimatedLoad returns the load that an endpoint is likely to have with one more request. Other than
+// Balancer.estimatedLoad it decays a report over ReportMaxAge, and not over a request's latency: few requests are
+// spilled over, so an idle endpoint stays idle for longer.
+func (p *SpilloverPolicy) estimatedLoad(now time.Duration, state *endpointState) float64 {
+	meanLoad := p.balancer.meanLoad
+	remaining := decay(now-state.reportedAt, p.config.ReportMaxAge)
+	return meanLoad + (state.reportedLoad-meanLoad)*remaining + state.startedSinceReport + 1/state.Capacity
+}
+
+// refreshSaturation recounts the endpoints with a recent report and those of them that are saturated, at most every
+// saturationMaxAge. It goes by the reports alone: an endpoint is not saturated because we send much to it.
+func (p *SpilloverPolicy) refreshSaturation(now time.Duration) {
+	if p.saturation.known && now-p.saturation.countedAt < saturationMaxAge {
 		return
 	}
-	h.saturationKnown, h.saturationAt, h.reportingCount, h.saturatedCount = true, now, 0, 0
-	for _, state := range h.balancer.endpoints {
-		if h.hasRecentReport(now, state) {
-			h.reportingCount++
-			if state.reportedLoad >= h.config.SaturatedLoad { // its word, not what we make of it: one that we send much to is not full by that
-				h.saturatedCount++
-			}
+	p.saturation = saturation{known: true, countedAt: now}
+	for _, state := range p.balancer.endpoints {
+		if !state.hasRecentReport(now, p.config.ReportMaxAge) {
+			continue
+		}
+		p.saturation.reporting++
+		if state.reportedLoad >= p.config.SaturatedLoad {
+			p.saturation.saturated++
 		}
 	}
 }
 
-// RecordOutcome notes what became of one that was handed over. Where they are mostly turned away as well, none is handed over for a while.
-func (h *SpilloverPolicy) RecordOutcome(now time.Duration, outcome Outcome) {
-	remaining := math.Exp2(-float64(now-h.decayedAt) / float64(h.balancer.config.OutcomeHalfLife))
-	h.succeeded, h.rejected, h.decayedAt = h.succeeded*remaining, h.rejected*remaining, now
+// RecordOutcome notes what became of a request that was spilled over. Where most are rejected there, too, spilling over
+// pauses; after the pause a few are tried before it pauses again.
+func (p *SpilloverPolicy) RecordOutcome(now time.Duration, outcome Outcome) {
+	remaining := decay(now-p.decayedAt, p.balancer.config.OutcomeHalfLife)
+	p.succeeded *= remaining
+	p.rejected *= remaining
+	p.decayedAt = now
 	if outcome == Succeeded {
-		h.succeeded++
+		p.succeeded++
 	} else {
-		h.rejected++
+		p.rejected++
 	}
-	const minRejections = 3 // of a hand over's bad luck
-	if h.rejected >= minRejections && h.rejected > h.succeeded {
-		h.backoffUntil = now + time.Second
-		h.rejected /= 2 // after the rest a few are tried before it rests again
+	if p.rejected >= minRejections && p.rejected > p.succeeded {
+		p.backoffUntil = now + backoffDuration
+		p.rejected /= 2
 	}
 }
--- a/internal/balancer/spillover_test.go
+++ b/internal/balancer/spillover_test.go
@@ -7,185 +7,251 @@
 	"time"
 )
 
-// What keeps an op here, one after the other: nobody's word, too little time, most are full, none has room or is much better off; the budget;
-// and where those that were handed over are turned away as well, a rest. A drawn member with room gets it.
+// Example_spillover shows what keeps a request here, one reason after the other; where an endpoint that is drawn has
+// capacity the request goes there.
 func Example_spillover() {
 	config := DefaultSpilloverConfig()
 	config.BudgetBurst = 3
-	c := newBalancer(DefaultConfig(), makeEndpoints(4))
-	h := NewSpilloverPolicy(config, c)
+	balancer := newBalancer(DefaultConfig(), makeEndpoints(4))
+	policy := NewSpilloverPolicy(config, balancer)
 	random := rand.New(rand.NewPCG(1, 1)).Float64
-	now := 10 * s
-	offer := func(left time.Duration, own float64) {
-		i, why := h.Pick(now, left, own, random)
-		if why == Allowed {
-			c.RecordStart(now, i)
-			fmt.Println("to", c.NameAt(i))
+	now := 10 * time.Second
+	pick := func(remaining time.Duration, ownLoad float64) {
+		index, reason := policy.Pick(now, remaining, ownLoad, random)
+		if reason == Allowed {
+			balancer.RecordStart(now, index)
+			fmt.Println("to", balancer.NameAt(index))
 		} else {
-			fmt.Println(why)
+			fmt.Println(reason)
 		}
 	}
-	offer(s, 9)
-	for i, load := range []float64{8, 8, 8, 0} { // of two cores each
-		c.RecordReport(now, i, load, 0)
+	reportAll := func(age time.Duration, loads ...float64) {
+		for i, load := range loads {
+			balancer.RecordReport(now, i, load, age)
+		}
 	}
-	h.saturationAt = 0
-	offer(50*time.Millisecond, 9)
-	offer(s, 9)
+	pick(time.Second, 9)
+	reportAll(0, 8, 8, 8, 0) // of two cores each
+	policy.saturation.countedAt = 0
+	pick(50*time.Millisecond, 9)
+	pick(time.Second, 9)
 	now += 100 * time.Millisecond
-	c.RecordReport(now, 2, 1, 0)
-	offer(s, 0.5)
-	offer(s, 9)
-	h.budget = 0.3
-	offer(s, 9)
+	balancer.RecordReport(now, 2, 1, 0)
+	pick(time.Second, 0.5)
+	pick(time.Second, 9)
+	policy.budget = 0.3
+	pick(time.Second, 9)
 	for range 4 {
-		h.RecordArrival()
-	}
-	offer(s, 9)
-	now += 5 * s
-	for i := range 4 {
-		c.RecordReport(now, i, 0, 2*s)
-	}
-	h.budget = 3
-	offer(s, 9)
-	for i := range 4 {
-		c.RecordReport(now, i, 0, 0)
+		policy.RecordArrival()
 	}
+	pick(time.Second, 9)
+	now += 5 * time.Second
+	reportAll(2*time.Second, 0, 0, 0, 0)
+	policy.budget = 3
+	pick(time.Second, 9)
+	reportAll(0, 0, 0, 0, 0)
 	now += 60 * time.Millisecond
-	for i := range 3 { // idle, as they said too long ago; the one of whom that is fresh has no room
-		c.endpoints[i].reportedAt = now - 2*s
+	for i := range 3 { // idle by reports that are too old; the one with a recent report has no capacity
+		balancer.endpoints[i].reportedAt = now - 2*time.Second
 	}
-	c.RecordReport(now, 3, 3, 0)
-	offer(s, 9)
+	balancer.RecordReport(now, 3, 3, 0)
+	pick(time.Second, 9)
 	for range 3 {
-		h.RecordOutcome(now, Rejected)
+		policy.RecordOutcome(now, Rejected)
 	}
-	offer(s, 9)
-	now += s
-	for i := range 4 {
-		c.RecordReport(now, i, 0, 0)
-	}
-	offer(s, 9)
+	pick(time.Second, 9)
+	now += time.Second
+	reportAll(0, 0, 0, 0, 0)
+	pick(time.Second, 9)
 	// Output:
-	// unknown
-	// late
-	// most
-	// no-room
+	// no-reports
+	// deadline-too-close
+	// fleet-saturated
+	// no-capacity
 	// to m3
-	// budget
+	// budget-exhausted
 	// to m2
-	// unknown
-	// no-room
-	// turned
+	// no-reports
+	// no-capacity
+	// backing-off
 	// to m0
 }
 
-// In simulated time: 60 instances that hold six ops each, a fifth of which gets three times what the others get. Those hand over what they would turn away.
-// With all of them full nothing much is handed over, and no more is turned away than without.
-func TestSpillover(t *testing.T) {
-	play := func(use float64, hands bool, config SpilloverConfig) (refused, handed, back float64) {
-		f := &simulatedFleet{chance: rand.New(rand.NewPCG(3, 2)), mean: 0.05, countFrom: 2}
-		const n, bound = 60, 6
-		var list []Endpoint
-		for i := range n {
-			f.members = append(f.members, &simulatedServer{cores: 2, speed: 1})
-			list = append(list, Endpoint{Name: EndpointName(fmt.Sprint("m", i)), Capacity: 2})
-		}
-		came, no, over, again := 0.0, 0.0, 0.0, 0.0
-		for i := range n {
-			c := New(DefaultConfig())
-			c.SetEndpoints(0, append(append([]Endpoint{}, list[:i]...), list[i+1:]...))
-			h := NewSpilloverPolicy(config, c)
-			random := f.chance.Float64
-			rate := use * 2 / f.mean * 5 / 7
-			if i%5 == 0 {
-				rate *= 3
-			}
-			place := func(p int) int { // all but us
-				if p >= i {
-					return p + 1
-				}
-				return p
-			}
-			ask := func() {
-				if q, ok := c.PickProbe(duration(f.now), random); ok {
-					name, load := c.NameAt(q), f.members[place(q)].reportedLoad(f.now)
-					f.schedule(0.002, func() {
-						if q, known := c.IndexOf(name); known {
-							c.RecordProbe(duration(f.now), q, load, time.Millisecond)
-						}
-					})
-				}
-			}
-			var look, op func()
-			look = func() {
-				if f.members[i].load() > 2 {
-					ask()
-					ask()
-				}
-				f.schedule(0.05, look)
-			}
-			op = func() {
-				f.schedule(f.chance.ExpFloat64()/rate, op)
-				came++
-				h.RecordArrival()
-				own := f.members[i]
-				if own.load() < bound {
-					f.serve(own, func(Outcome) {})
-					return
-				}
-				if hands {
-					ask()
-					if p, why := h.Pick(duration(f.now), s, own.load()/2, random); why == Allowed {
-						over++
-						began := f.now
-						name := c.NameAt(p)
-						c.RecordStart(duration(f.now), p)
-						f.schedule(0.001, func() {
-							if f.members[place(p)].load() >= bound {
-								again++
-								no++
-								c.RecordOutcome(duration(f.now), name, Rejected, 0)
-								h.RecordOutcome(duration(f.now), Rejected)
-								return
-							}
-							f.serve(f.members[place(p)], func(Outcome) {
-								c.RecordOutcome(duration(f.now), name, Succeeded, duration(f.now-began))
-								h.RecordOutcome(duration(f.now), Succeeded)
-							})
-						})
-						return
-					}
-				}
-				no++
-			}
-			f.schedule(f.chance.Float64()*0.05, look)
-			f.schedule(f.chance.ExpFloat64()/rate, op)
+func TestSpilloverReasonString(t *testing.T) {
+	for reason := Allowed; reason <= Draining; reason++ {
+		if got := reason.String(); got == "" {
+			t.Errorf("reason %d has no name", uint8(reason))
 		}
-		f.run(20)
-		return no / came, over / came, again / max(1, over)
 	}
+	if got := SpilloverReason(99).String(); got != "SpilloverReason(99)" {
+		t.Errorf("an unknown reason is %q", got)
+	}
+}
+
+// TestSpillover simulates servers of which a fifth gets three times what the others get. Those spill over what they
+// would reject. With all of them saturated not much is spilled over, and no more is rejected than without.
+func TestSpillover(t *testing.T) {
 	config := DefaultSpilloverConfig()
 	config.BudgetRatio, config.BudgetBurst = 0.5, 50
-	alone, _, _ := play(0.7, false, config)
-	with, handed, back := play(0.7, true, config)
-	t.Logf("uneven: refused %.4f alone, %.4f with hand-over of %.4f, of which %.3f were turned away", alone, with, handed, back)
-	if with > 0.2*alone || back > 0.05 {
+	alone := simulateSpillover(0.7, nil)
+	with := simulateSpillover(0.7, &config)
+	t.Logf("uneven: rejected %.4f alone; with spillover %v", alone.rejected, with)
+	if with.rejected > 0.2*alone.rejected || with.rejectedThere > 0.05 {
 		t.Error("it does not help")
 	}
-	budget, much, _ := play(0.7, true, DefaultSpilloverConfig())
-	t.Logf("  by the usual budget: refused %.4f, handed over %.4f", budget, much)
-	if budget > 0.9*alone || much > DefaultSpilloverConfig().BudgetRatio {
+	usual := DefaultSpilloverConfig()
+	within := simulateSpillover(0.7, &usual)
+	t.Logf("by the default budget: %v", within)
+	if within.rejected > 0.9*alone.rejected || within.spilled > usual.BudgetRatio {
 		t.Error("the budget")
 	}
-	alone, _, _ = play(1.6, false, config)
-	with, handed, back = play(1.6, true, config)
-	t.Logf("all full: refused %.4f alone, %.4f with hand-over of %.4f, of which %.3f were turned away", alone, with, handed, back)
-	if handed > 0.02 || with > 1.02*alone {
-		t.Error("handing over is the overload")
+	alone = simulateSpillover(1.6, nil)
+	with = simulateSpillover(1.6, &config)
+	t.Logf("all saturated: rejected %.4f alone; with spillover %v", alone.rejected, with)
+	if with.spilled > 0.02 || with.rejected > 1.02*alone.rejected {
+		t.Error("spilling over is the overload")
 	}
 	blind := config
 	blind.MaxSaturatedFraction, blind.SaturatedLoad = 1, 1000
-	_, handed, back = play(1.6, true, blind)
-	t.Logf("  without looking who is full: handed over %.4f, of which %.3f were turned away", handed, back)
+	t.Logf("  without regard to saturation: %v", simulateSpillover(1.6, &blind))
+}
+
+// spilloverResult is what a simulation of spillover measured.
+type spilloverResult struct {
+	rejected      float64 // share of all requests
+	spilled       float64 // share of all requests
+	rejectedThere float64 // share of those that were spilled over
+}
+
+func (r spilloverResult) String() string {
+	return fmt.Sprintf("rejected %.4f, spilled %.4f, of which %.3f were rejected", r.rejected, r.spilled, r.rejectedThere)
+}
+
+// spilloverRun is one simulation of spillover: each server accepts maxSpilloverLoad requests at a time.
+type spilloverRun struct {
+	fleet                                     *simulatedFleet
+	arrived, rejected, spilled, rejectedThere float64
+}
+
+const maxSpilloverLoad = 6
+
+// spillingServer is a server that spills over.
+type spillingServer struct {
+	run      *spilloverRun
+	index    int
+	server   *simulatedServer
+	balancer *Balancer        // over all but itself
+	policy   *SpilloverPolicy // nil: it spills nothing over
+	rate     float64          // requests a second
+}
+
+// simulateSpillover simulates a fleet; without a configuration nothing is spilled over.
+func simulateSpillover(utilization float64, config *SpilloverConfig) spilloverResult {
+	const servers = 60
+	fleet := &simulatedFleet{random: rand.New(rand.NewPCG(3, 2)), meanRunTime: 0.05, countFrom: 2}
+	run := &spilloverRun{fleet: fleet}
+	endpoints := makeEndpoints(servers)
+	for range endpoints {
+		fleet.servers = append(fleet.servers, &simulatedServer{cores: 2, speed: 1})
+	}
+	for i := range endpoints {
+		server := &spillingServer{
+			run:      run,
+			index:    i,
+			server:   fleet.servers[i],
+			balancer: New(DefaultConfig()),
+			rate:     utilization * 2 / fleet.meanRunTime * 5 / 7,
+		}
+		server.balancer.SetEndpoints(0, append(append([]Endpoint{}, endpoints[:i]...), endpoints[i+1:]...))
+		if config != nil {
+			server.policy = NewSpilloverPolicy(*config, server.balancer)
+		}
+		if i%5 == 0 {
+			server.rate *= 3
+		}
+		fleet.schedule(fleet.random.Float64()*0.05, server.poll)
+		fleet.schedule(fleet.random.ExpFloat64()/server.rate, server.arrive)
+	}
+	fleet.run(20)
+	return spilloverResult{
+		rejected:      run.rejected / run.arrived,
+		spilled:       run.spilled / run.arrived,
+		rejectedThere: run.rejectedThere / max(1, run.spilled),
+	}
+}
+
+// serverAt returns the server at an index of the balancer, which leaves out the sender.
+func (s *spillingServer) serverAt(index int) *simulatedServer {
+	if index >= s.index {
+		index++
+	}
+	return s.run.fleet.servers[index]
+}
+
+// poll probes others while the server has more requests than its cores can run.
+func (s *spillingServer) poll() {
+	if s.server.load() > 2 {
+		s.probe()
+		s.probe()
+	}
+	s.run.fleet.schedule(0.05, s.poll)
+}
+
+func (s *spillingServer) probe() {
+	fleet := s.run.fleet
+	index, ok := s.balancer.PickProbe(fleet.time(), fleet.random.Float64)
+	if !ok {
+		return
+	}
+	name, load := s.balancer.NameAt(index), s.serverAt(index).reportedLoad(fleet.now)
+	fleet.schedule(0.002, func() {
+		if index, known := s.balancer.IndexOf(name); known {
+			s.balancer.RecordProbe(fleet.time(), index, load, time.Millisecond)
+		}
+	})
+}
+
+// arrive is a request that arrives.
+func (s *spillingServer) arrive() {
+	run, fleet := s.run, s.run.fleet
+	fleet.schedule(fleet.random.ExpFloat64()/s.rate, s.arrive)
+	run.arrived++
+	if s.policy != nil {
+		s.policy.RecordArrival()
+	}
+	if s.server.load() < maxSpilloverLoad {
+		fleet.serve(s.server, func(Outcome) {})
+		return
+	}
+	if s.policy == nil {
+		run.rejected++
+		return
+	}
+	s.probe()
+	index, reason := s.policy.Pick(fleet.time(), time.Second, s.server.load()/2, fleet.random.Float64)
+	if reason != Allowed {
+		run.rejected++
+		return
+	}
+	run.spilled++
+	s.spill(index)
+}
+
+func (s *spillingServer) spill(index int) {
+	fleet := s.run.fleet
+	sentAt, name, server := fleet.now, s.balancer.NameAt(index), s.serverAt(index)
+	s.balancer.RecordStart(fleet.time(), index)
+	fleet.schedule(0.001, func() {
+		if server.load() >= maxSpilloverLoad {
+			s.run.rejectedThere++
+			s.run.rejected++
+			s.balancer.RecordOutcome(fleet.time(), name, Rejected, 0)
+			s.policy.RecordOutcome(fleet.time(), Rejected)
+			return
+		}
+		fleet.serve(server, func(Outcome) {
+			s.balancer.RecordOutcome(fleet.time(), name, Succeeded, seconds(fleet.now-sentAt))
+			s.policy.RecordOutcome(fleet.time(), Succeeded)
+		})
+	})
 }
--- a/internal/balancer/subset.go
+++ b/internal/balancer/subset.go
@@ -9,142 +9,213 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Subsets gives each decider the members that it keeps connections to, at most k. Whoever knows the same names works out the same.
-// Each member is in as many subsets as any other, one more or less, and when one comes or goes few connections move: deciders
-// and members take each other by a hash of both names, as in a market where each member takes so many and no more (Gale and Shapley's
-// deferred acceptance); a newcomer displaces a few, who find the next best.
+// Subsets returns the endpoints that each client keeps connections to, at most size. Whoever knows the same names
+// comes to the same result, whatever their order. Each endpoint is in as many subsets as any other, one more or
+// less, and when a client or an endpoint comes or goes few connections move.
+//
+// It is the deferred acceptance of Gale and Shapley: clients and endpoints prefer each other by a hash of both
+// names, and each endpoint accepts a fixed number of clients. A newcomer displaces a few, who find the next best.
 func Subsets(clients, endpoints []EndpointName, size int) map[EndpointName][]EndpointName {
-	out := make(map[EndpointName][]EndpointName, len(clients))
+	subsets := make(map[EndpointName][]EndpointName, len(clients))
 	if size >= len(endpoints) || len(clients) == 0 {
 		for _, client := range clients {
-			out[client] = endpoints
+			subsets[client] = endpoints
 		}
-		return out
+		return subsets
 	}
-	clients, endpoints = slices.Clone(clients), slices.Clone(endpoints)
-	slices.Sort(clients)
-	slices.Sort(endpoints)
-	type wish struct {
-		m    int
-		hash uint64
+	m := newMatching(clients, endpoints, size)
+	m.run()
+	m.placeMissing()
+	for i := range m.endpoints {
+		for _, accepted := range m.endpoints[i].accepted {
+			client := m.clients[accepted.client].name
+			subsets[client] = append(subsets[client], m.endpoints[i].name)
+		}
 	}
-	// Places: k a decider over all members; those that take one more are drawn by their own hash, so that they stay the same ones.
-	slots := len(clients) * size
-	quota := make([]int, len(endpoints))
-	tieOrder := make([]wish, len(endpoints))
-	for i, endpoint := range endpoints {
-		quota[i] = slots / len(endpoints)
-		tieOrder[i] = wish{i, xxhash.Sum64String("one more " + string(endpoint))}
+	return subsets
+}
+
+// matching is the state of one run of Subsets. Clients and endpoints are sorted by name and identified by their index.
+type matching struct {
+	size      int
+	clients   []matchedClient
+	endpoints []matchedEndpoint
+}
+
+type matchedClient struct {
+	name        EndpointName
+	hash        uint64
+	missing     int          // endpoints that it still wants
+	preferences []preference // the best first; those with a hash within hashLimit
+	next        int          // preference that it proposes to next
+	hashLimit   float64      // as a fraction of the range of hashes
+}
+
+type matchedEndpoint struct {
+	name     EndpointName
+	hash     uint64
+	quota    int          // clients that it accepts
+	accepted []acceptance // the best first
+}
+
+type preference struct {
+	endpoint int
+	hash     uint64
+}
+
+type acceptance struct {
+	client int
+	hash   uint64
+}
+
+func newMatching(clients, endpoints []EndpointName, size int) *matching {
+	m := &matching{size: size}
+	for _, name := range slices.Sorted(slices.Values(clients)) {
+		m.clients = append(m.clients, matchedClient{name: name, hash: xxhash.Sum64String(string(name)), missing: size})
 	}
-	slices.SortFunc(tieOrder, func(a, b wish) int { return cmp.Compare(a.hash, b.hash) })
-	for _, candidate := range tieOrder[:slots%len(endpoints)] {
-		quota[candidate.m]++
+	for _, name := range slices.Sorted(slices.Values(endpoints)) {
+		m.endpoints = append(m.endpoints, matchedEndpoint{name: name, hash: xxhash.Sum64String(string(name))})
 	}
-	hashes := make([]uint64, len(endpoints))
-	for i, endpoint := range endpoints {
-		hashes[i] = xxhash.Sum64String(string(endpoint))
+	m.assignQuotas()
+	return m
+}
+
+// assignQuotas distributes size places a client over all endpoints. Those that accept one more are drawn by a hash of
+// their own, so that they stay the same ones.
+func (m *matching) assignQuotas() {
+	places := len(m.clients) * m.size
+	order := make([]preference, len(m.endpoints))
+	for i := range m.endpoints {
+		m.endpoints[i].quota = places / len(m.endpoints)
+		order[i] = preference{i, xxhash.Sum64String("one more " + string(m.endpoints[i].name))}
 	}
-	// A decider's wishes, the best first. Few get beyond the first six times k, so only those are sorted at first.
-	preferences := make([][]wish, len(clients))
-	hashLimits := make([]float64, len(clients))
-	extendPreferences := func(client int) {
-		hashLimits[client] = max(6*float64(size)/float64(len(endpoints)), 4*hashLimits[client])
-		maxHash := uint64(math.MaxUint64)
-		if hashLimits[client] < 1 {
-			maxHash = uint64(hashLimits[client] * math.MaxUint64)
-		}
-		clientHash := xxhash.Sum64String(string(clients[client]))
-		var candidates []wish
-		for i := range endpoints {
-			if h := mixHashes(clientHash, hashes[i]); h <= maxHash {
-				candidates = append(candidates, wish{i, h})
-			}
-		}
-		slices.SortFunc(candidates, func(a, b wish) int { return cmp.Compare(a.hash, b.hash) })
-		preferences[client] = candidates
+	slices.SortFunc(order, comparePreferences)
+	for _, drawn := range order[:places%len(m.endpoints)] {
+		m.endpoints[drawn.endpoint].quota++
 	}
-	type taken struct {
-		d    int
-		hash uint64
+}
+
+func comparePreferences(a, b preference) int { return cmp.Compare(a.hash, b.hash) }
+
+// extendPreferences raises the limit of the hashes that a client's preferences are worked out for. Few clients get
+// beyond the first few times size, so only those are sorted at first.
+func (m *matching) extendPreferences(client *matchedClient) {
+	client.hashLimit = max(6*float64(m.size)/float64(len(m.endpoints)), 4*client.hashLimit)
+	maxHash := uint64(math.MaxUint64)
+	if client.hashLimit < 1 {
+		maxHash = uint64(client.hashLimit * math.MaxUint64)
 	}
-	accepted := make([][]taken, len(endpoints)) // the worst last
-	nextPreference := make([]int, len(clients))
-	missing := make([]int, len(clients))
-	pending := make([]int, len(clients))
-	for client := range clients {
-		missing[client], pending[client] = size, client
+	var preferences []preference
+	for i := range m.endpoints {
+		if hash := combineHashes(client.hash, m.endpoints[i].hash); hash <= maxHash {
+			preferences = append(preferences, preference{i, hash})
+		}
+	}
+	slices.SortFunc(preferences, comparePreferences)
+	client.preferences = preferences
+}
+
+// run has clients propose until each has what it wants or has proposed to all. The result does not depend on the
+// order in which they propose.
+func (m *matching) run() {
+	pending := make([]int, len(m.clients))
+	for i := range pending {
+		pending[i] = i
 	}
 	for len(pending) > 0 {
-		client := pending[len(pending)-1]
-		for nextPreference[client] == len(preferences[client]) && hashLimits[client] < 1 {
-			extendPreferences(client)
+		index := pending[len(pending)-1]
+		client := &m.clients[index]
+		for client.next == len(client.preferences) && client.hashLimit < 1 {
+			m.extendPreferences(client)
 		}
-		if missing[client] == 0 || nextPreference[client] == len(preferences[client]) {
+		if client.missing == 0 || client.next == len(client.preferences) {
 			pending = pending[:len(pending)-1]
 			continue
 		}
-		candidate := preferences[client][nextPreference[client]]
-		nextPreference[client]++
-		if quota[candidate.m] == 0 {
-			continue
+		proposal := client.preferences[client.next]
+		client.next++
+		if displaced, ok := m.propose(index, proposal); ok {
+			pending = append(pending, displaced)
 		}
-		h := accepted[candidate.m]
-		if len(h) == quota[candidate.m] {
-			if h[len(h)-1].hash <= candidate.hash {
-				continue
-			}
-			out := h[len(h)-1].d
-			h = h[:len(h)-1]
-			missing[out]++
-			pending = append(pending, out) // the result is the same in whatever order they ask
+	}
+}
+
+// propose has an endpoint accept a client if it has a place, or if it prefers the client to another, who is displaced.
+func (m *matching) propose(client int, proposal preference) (displaced int, ok bool) {
+	endpoint := &m.endpoints[proposal.endpoint]
+	if endpoint.quota == 0 {
+		return 0, false
+	}
+	if last := len(endpoint.accepted) - 1; last+1 == endpoint.quota {
+		if endpoint.accepted[last].hash <= proposal.hash {
+			return 0, false
 		}
-		position, _ := slices.BinarySearchFunc(h, candidate.hash, func(t taken, hash uint64) int { return cmp.Compare(t.hash, hash) })
-		accepted[candidate.m] = slices.Insert(h, position, taken{client, candidate.hash})
-		missing[client]--
+		displaced, ok = endpoint.accepted[last].client, true
+		endpoint.accepted = endpoint.accepted[:last]
+		m.clients[displaced].missing++
 	}
-	// Who asked all and still wants some is left where the only room is at a member that has him already: another's place there is
-	// changed against one elsewhere.
-	serves := func(endpoint, client int) bool {
-		return slices.ContainsFunc(accepted[endpoint], func(t taken) bool { return t.d == client })
+	position, _ := slices.BinarySearchFunc(endpoint.accepted, proposal.hash, func(a acceptance, hash uint64) int {
+		return cmp.Compare(a.hash, hash)
+	})
+	endpoint.accepted = slices.Insert(endpoint.accepted, position, acceptance{client, proposal.hash})
+	m.clients[client].missing--
+	return displaced, ok
+}
+
+// placeMissing places clients that have proposed to all endpoints and still want some: the only free places are at
+// endpoints that have accepted them already.
+func (m *matching) placeMissing() {
+	for client := range m.clients {
+		for ; m.clients[client].missing > 0; m.clients[client].missing-- {
+			m.placeOne(client)
+		}
 	}
-	for client := range clients {
-	next:
-		for ; missing[client] > 0; missing[client]-- {
-			for open := range accepted {
-				if len(accepted[open]) >= quota[open] {
-					continue
-				}
-				if !serves(open, client) {
-					accepted[open] = append(accepted[open], taken{client, 0})
-					continue next
-				}
-				for full := range accepted {
-					if serves(full, client) {
-						continue
-					}
-					for i, t := range accepted[full] {
-						if !serves(open, t.d) {
-							accepted[full][i].d = client
-							accepted[open] = append(accepted[open], t)
-							continue next
-						}
-					}
-				}
-			}
+}
+
+// placeOne gives a client a free place, or exchanges another client's place against a free one.
+func (m *matching) placeOne(client int) {
+	for free := range m.endpoints {
+		endpoint := &m.endpoints[free]
+		if len(endpoint.accepted) >= endpoint.quota {
+			continue
+		}
+		if !endpoint.serves(client) {
+			endpoint.accepted = append(endpoint.accepted, acceptance{client, 0})
+			return
+		}
+		if m.exchange(client, endpoint) {
+			return
 		}
 	}
-	for endpoint, h := range accepted {
-		for _, t := range h {
-			out[clients[t.d]] = append(out[clients[t.d]], endpoints[endpoint])
+}
+
+// exchange moves some other client to a free place at an endpoint and gives its former place to the client. It reports
+// whether that is possible.
+func (m *matching) exchange(client int, free *matchedEndpoint) bool {
+	for full := range m.endpoints {
+		endpoint := &m.endpoints[full]
+		if endpoint.serves(client) {
+			continue
+		}
+		for i, accepted := range endpoint.accepted {
+			if !free.serves(accepted.client) {
+				endpoint.accepted[i].client = client
+				free.accepted = append(free.accepted, accepted)
+				return true
+			}
 		}
 	}
-	return out
+	return false
+}
+
+func (e *matchedEndpoint) serves(client int) bool {
+	return slices.ContainsFunc(e.accepted, func(a acceptance) bool { return a.client == client })
 }
 
-// mixHashes is one hash of two.
-func mixHashes(a, b uint64) uint64 {
-	var x [16]byte
-	binary.LittleEndian.PutUint64(x[:], a)
-	binary.LittleEndian.PutUint64(x[8:], b)
-	return xxhash.Sum64(x[:])
+// combineHashes returns one hash of two.
+func combineHashes(a, b uint64) uint64 {
+	var bytes [16]byte
+	binary.LittleEndian.PutUint64(bytes[:], a)
+	binary.LittleEndian.PutUint64(bytes[8:], b)
+	return xxhash.Sum64(bytes[:])
 }
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -2,29 +2,78 @@
 
 import "time"
 
-// zoneLoad is what is believed of one zone as a whole.
-type zoneLoad struct {
-	capacity, load, spare float64
-	reports               int
+const (
+	// weightsMaxAge is how long weights hold unless the endpoints change: what they go by moves slower.
+	weightsMaxAge = 100 * time.Millisecond
+
+	// minSlowStartWeight is the share of its weight that an endpoint starts with: one that gets nothing never warms up.
+	minSlowStartWeight = 0.1
+
+	// maxSparseLoadFactor is how many times the mean latency a report may hold where endpoints are mostly idle.
+	maxSparseLoadFactor = 25
+)
+
+// totalWeight returns the sum of all weights. There must be an endpoint.
+func (b *Balancer) totalWeight() float64 { return b.cumulativeWeights[len(b.cumulativeWeights)-1] }
+
+// drawByWeight returns the index of the endpoint that a fraction of the total weight, from 0 to 1, falls on.
+func (b *Balancer) drawByWeight(fraction float64) int {
+	point := fraction * b.totalWeight()
+	low, high := 0, len(b.cumulativeWeights)-1
+	for low < high {
+		middle := (low + high) / 2
+		if b.cumulativeWeights[middle] > point {
+			high = middle
+		} else {
+			low = middle + 1
+		}
+	}
+	return low
 }
 
-// weightsMaxAge is how long weights hold, unless members change: what they go by moves slower.
-const weightsMaxAge = 100 * time.Millisecond
+// refreshWeights recomputes the weights if they are stale and old enough.
+func (b *Balancer) refreshWeights(now time.Duration) {
+	if b.weightsStale && (b.weightsAt == 0 || now-b.weightsAt >= weightsMaxAge) {
+		b.recomputeWeights(now)
+	}
+}
+
+func (b *Balancer) recomputeWeights(now time.Duration) {
+	b.weightsAt = now
+	b.weightsStale = false
+	b.measureLoads(now)
+	b.adaptLoadHalfLife()
+	ejecting := b.detectOutliers(now)
+	b.recomputeZoneWeights()
+	total := 0.0
+	for index, state := range b.endpoints {
+		state.outlier = ejecting && b.isOutlier(now, state)
+		weight := b.startWeight(now, state)
+		if ejecting {
+			weight = b.healthWeight(now, state, weight)
+		}
+		if state.Suspect {
+			weight *= b.config.OutlierWeight
+		}
+		weight *= b.zones[state.Zone].weight
+		state.weight = weight
+		total += weight
+		b.cumulativeWeights[index] = total
+	}
+}
 
-// recomputeWeights works out the members' shares.
-func (c *Balancer) recomputeWeights(now time.Duration) {
-	c.weightsAt, c.weightsStale = now, false
-	// The mean load, and the zones', by those that are known.
-	clear(c.zones)
+// measureLoads derives the zones' loads, the mean load and the mean latency from what is known of the endpoints.
+func (b *Balancer) measureLoads(now time.Duration) {
+	clear(b.zones)
 	loadSum, capacitySum, latencySum, latencyCount := 0.0, 0.0, 0.0, 0.0
-	for _, state := range c.endpoints {
-		zone := c.zones[state.Zone]
+	for _, state := range b.endpoints {
+		zone := b.zones[state.Zone]
 		if zone == nil {
 			zone = &zoneLoad{}
-			c.zones[state.Zone] = zone
+			b.zones[state.Zone] = zone
 		}
 		zone.capacity += state.Capacity
-		if state.hasReport && now-state.reportedAt <= c.config.LoadMaxAge {
+		if state.hasRecentReport(now, b.config.LoadMaxAge) {
 			loadSum += state.reportedLoad * state.Capacity
 			capacitySum += state.Capacity
 			zone.load += state.reportedLoad * state.Capacity
@@ -35,106 +84,50 @@
 			latencyCount++
 		}
 	}
-	c.meanLoad = 0
+	b.meanLoad = 0
 	if capacitySum > 0 {
-		c.meanLoad = loadSum / capacitySum
+		b.meanLoad = loadSum / capacitySum
 	}
-	meanLatency := 0.0
+	b.meanLatency = 0
 	if latencyCount > 0 {
-		meanLatency = latencySum / latencyCount
-	}
-	c.meanLatency = meanLatency
-	if c.config.LoadHalfLife == 0 && meanLatency > 0 {
-		// Where cores stand idle a member's load changes less often than an op takes, by how seldom it gets one.
-		sparseLoadFactor := min(25, max(1, 0.5/max(c.meanLoad, 0.02)))
-		c.loadHalfLife = min(max(time.Duration(sparseLoadFactor*meanLatency*float64(time.Second)), minLoadHalfLife), maxLoadHalfLife)
-	}
-	// How many look bad. When most do, it is our own judgement that is wrong, or what all of them depend on: then nobody is held to be.
-	c.outlierCount = 0
-	for _, state := range c.endpoints {
-		if c.isOutlier(now, state) {
-			c.outlierCount++
-		}
-	}
-	ejecting := true
-	if float64(c.outlierCount) > c.config.MaxOutlierFraction*float64(len(c.endpoints)) {
-		ejecting = false
-		c.panicCount++
-	}
-	zoneWeight := c.zoneWeights()
-	total := 0.0
-	for index, state := range c.endpoints {
-		weight := state.Capacity
-		if state.warmingUp(now) {
-			remaining := max(0, state.WarmUpRemaining-(now-state.updatedAt))
-			// From a tenth on, straight up: a process that gets nothing is never warm.
-			weight *= 0.1 + 0.9*(1-float64(remaining)/float64(state.WarmUp))
-		}
-		if state.recoveredAt > 0 && now-state.recoveredAt < c.config.OutcomeHalfLife { // it is not flooded when it is well
-			weight *= 0.1 + 0.9*float64(now-state.recoveredAt)/float64(c.config.OutcomeHalfLife)
-		}
-		if state.outlier = ejecting && c.isOutlier(now, state); ejecting {
-			switch {
-			case state.outlier && now < state.ejectedUntil:
-				weight = 0
-			case state.outlier:
-				weight *= c.config.OutlierWeight
-			case c.relativeLatency(now, state) > slowLatencyFactor: // a slow one loses in proportion
-				weight *= max(c.config.OutlierWeight, 1/c.relativeLatency(now, state))
-			}
-		}
-		if state.Suspect {
-			weight *= c.config.OutlierWeight
-		}
-		weight *= zoneWeight(state.Zone)
-		state.weight = weight
-		total += weight
-		c.cumulativeWeights[index] = total
+		b.meanLatency = latencySum / latencyCount
 	}
 }
 
-// zoneWeights gives the weight of a zone against the others: all stays in our own while it has room, and what does not fit goes to the
-// others by the room that they have, without a step between.
-func (c *Balancer) zoneWeights() func(string) float64 {
-	local := c.zones[c.config.LocalZone]
-	if c.config.LocalZone == "" || local == nil || len(c.zones) == 1 {
-		return func(string) float64 { return 1 }
-	}
-	utilization := func(zone *zoneLoad) float64 { // ops in hand a core, 1 for all cores at work
-		if zone.reports == 0 {
-			return c.meanLoad
-		}
-		return zone.load / zone.capacity
+// adaptLoadHalfLife derives the half-life of a load report from the mean latency, unless it is configured. Where cores
+// are idle an endpoint's load changes less often than a request takes, by how seldom it gets one.
+func (b *Balancer) adaptLoadHalfLife() {
+	if b.config.LoadHalfLife != 0 || b.meanLatency <= 0 {
+		return
 	}
-	spareElsewhere := 0.0
-	for name, zone := range c.zones {
-		zone.spare = max(0.02, 1.2-utilization(zone)) * zone.capacity // a full zone still takes a little: loads move
-		if name != c.config.LocalZone {
-			spareElsewhere += zone.spare
-		}
+	sparseLoadFactor := min(maxSparseLoadFactor, max(1, 0.5/max(b.meanLoad, 0.02)))
+	b.loadHalfLife = min(max(seconds(sparseLoadFactor*b.meanLatency), minLoadHalfLife), maxLoadHalfLife)
+}
+
+// startWeight returns the weight of an endpoint by its capacity, less where it has started or recovered of late; it
+// grows back in a straight line.
+func (b *Balancer) startWeight(now time.Duration, state *endpointState) float64 {
+	weight := state.Capacity
+	if state.warmingUp(now) {
+		remaining := max(0, state.WarmUpRemaining-(now-state.updatedAt))
+		weight *= minSlowStartWeight + (1-minSlowStartWeight)*(1-float64(remaining)/float64(state.WarmUp))
 	}
-	// Nothing leaves under Near; at 1.7, where as many wait as there are cores beside those at work, as much as the others have room for
-	// beside ours. A steeper way would swing: what leaves shows in the loads a while later.
-	outflow := min(1, max(0, (utilization(local)-c.config.LocalZoneUtilization)/(1.7-c.config.LocalZoneUtilization))) * spareElsewhere / (spareElsewhere + local.spare)
-	return func(name string) float64 {
-		if name == c.config.LocalZone {
-			return (1 - outflow) / local.capacity
-		}
-		zone := c.zones[name]
-		return max(outflow, 0.001) * zone.spare / spareElsewhere / zone.capacity // a thousandth keeps the others known
+	if recovering := now - state.recoveredAt; state.recoveredAt > 0 && recovering < b.config.OutcomeHalfLife {
+		weight *= minSlowStartWeight + (1-minSlowStartWeight)*float64(recovering)/float64(b.config.OutcomeHalfLife)
 	}
+	return weight
 }
 
-// drawByWeight finds the place whose share a number falls into.
-func (c *Balancer) drawByWeight(point float64) int {
-	low, high := 0, len(c.cumulativeWeights)-1
-	for low < high {
-		middle := (low + high) / 2
-		if c.cumulativeWeights[middle] > point {
-			high = middle
-		} else {
-			low = middle + 1
+// healthWeight reduces the weight of an outlier, and that of a slow endpoint in proportion.
+func (b *Balancer) healthWeight(now time.Duration, state *endpointState, weight float64) float64 {
+	if state.outlier {
+		if now < state.ejectedUntil {
+			return 0
 		}
+		return weight * b.config.OutlierWeight
 	}
-	return low
+	if latency := b.relativeLatency(now, state); latency > slowLatencyFactor {
+		return weight * max(b.config.OutlierWeight, 1/latency)
+	}
+	return weight
 }
--- a/internal/forward/pass.go
+++ b/internal/forward/pass.go
@@ -251,7 +251,15 @@
 		request.release()
 		return
 	}
-	if p.Balancer.DecideRetry(p.loop.Now(), balancer.Attempt{Deadline: request.deadline, Made: request.attempts, Max: request.maxAttempts, Idempotent: request.idempotent, Forwarded: request.message.Hops > 1}, outcome, notSent, response.Metadata.NoFailover) == balancer.RetryElsewhere {
+	attempt := balancer.Attempt{
+		Deadline:    request.deadline,
+		Made:        request.attempts,
+		MaxAttempts: request.maxAttempts,
+		Idempotent:  request.idempotent,
+		Forwarded:   request.message.Hops > 1,
+	}
+	attemptResult := balancer.AttemptResult{Outcome: outcome, NotSent: notSent, NoFailover: response.Metadata.NoFailover}
+	if p.Balancer.DecideRetry(p.loop.Now(), attempt, attemptResult) == balancer.RetryElsewhere {
 		p.Retries++
 		// Each try has an id of its own, as the protocol wants it: an instance can't tell two tries of one op in hand apart.
 		request.message.ID = fmt.Sprintf("%016x", p.random.Uint64())
--- a/internal/proxy/relay_test.go
+++ b/internal/proxy/relay_test.go
@@ -263,31 +263,3 @@
 	// ['\x01' '\x04' ["Busy" map[]] <nil>]
 	// ['\x02' "goaway" []] ['\x01' '\x01' ["Failed" map[]] <nil>]
 }
-
-// What comes next of an op, by what its try came to.
-func Example_next() {
-	config := balancer.DefaultConfig()
-	config.RetryRatio, config.RetryBurst = 0, 1
-	for _, x := range []struct {
-		t            balancer.Attempt
-		what         balancer.Outcome
-		unsent, last bool
-	}{
-		{balancer.Attempt{Deadline: time.Second, Max: 3, Made: 1}, balancer.Succeeded, false, false},
-		{balancer.Attempt{Deadline: time.Second, Max: 3, Made: 1}, balancer.Rejected, false, false},
-		{balancer.Attempt{Deadline: time.Second, Max: 3, Made: 1}, balancer.Rejected, false, true},
-		{balancer.Attempt{Deadline: 0, Max: 3, Made: 1}, balancer.Rejected, false, false},
-		{balancer.Attempt{Deadline: time.Second, Max: 3, Made: 3}, balancer.Rejected, false, false},
-		{balancer.Attempt{Deadline: time.Second, Max: 3, Made: 1}, balancer.NoResponse, false, false},
-		{balancer.Attempt{Deadline: time.Second, Max: 3, Made: 1, Idempotent: true}, balancer.NoResponse, false, false},
-		{balancer.Attempt{Deadline: time.Second, Max: 3, Made: 1}, balancer.NoResponse, true, false},
-		{balancer.Attempt{Deadline: time.Second, Max: 3, Made: 1, Idempotent: true}, balancer.Failed, false, false},
-	} {
-		c := balancer.New(config)
-		fmt.Print(c.DecideRetry(time.Millisecond, x.t, x.what, x.unsent, x.last) == balancer.RetryElsewhere, " ")
-		if x.what == balancer.Rejected && !x.last && x.t.Deadline > 0 && x.t.Made == 1 { // the budget is used up
-			fmt.Print(c.DecideRetry(time.Millisecond, x.t, x.what, false, false) == balancer.RetryElsewhere, " ")
-		}
-	}
-	// Output: false true false false false false false true true false
-}
--- a/internal/spillover/handover.go
+++ b/internal/spillover/handover.go
@@ -105,7 +105,7 @@
 	// Whoever has to say no asks others how they stand.
 	p.forwarder.Probe()
 	if reason != balancer.Allowed {
-		p.count(string(reason))
+		p.count(reason.String())
 		return nil
 	}
 	p.count("offered")
