--- /dev/null
+++ b/internal/forward/testfleet_test.go
@@ -0,0 +1,222 @@
+package forward
+
+import (
+	"fmt"
+	"net"
+	"slices"
+	"sync"
+	"testing"
+	"time"
+
+	"lanewheel/internal/balancer"
+	"lanewheel/internal/eventloop"
+	"lanewheel/internal/fake"
+	"lanewheel/internal/frontend"
+	"lanewheel/internal/membership"
+	"lanewheel/internal/transport"
+)
+
+// allocator is a buffer pool without reuse.
+type allocator struct{}
+
+func (allocator) Get() []byte { return make([]byte, 0, transport.BufferSize) }
+
+func (allocator) Put([]byte) {}
+
+// testFleet is a Forwarder and the scripted endpoints that it forwards to.
+type testFleet struct {
+	t         *testing.T
+	loop      *eventloop.Loop
+	forwarder *Forwarder
+	table     *membership.Table
+	forwarded int // requests; owned by the loop
+
+	mu          sync.Mutex // guards what follows
+	steps       []string   // what is done with the next requests, succeed when there are no more
+	received    []string   // the name of the endpoint and the class of the request, or of the notice
+	ids         map[string]bool
+	connections int
+}
+
+func (f *testFleet) addEndpoint(name membership.Name) {
+	listener := fake.Must((&net.ListenConfig{}).Listen(f.t.Context(), "tcp", "127.0.0.1:0"))
+	f.t.Cleanup(func() { _ = listener.Close() })
+	go f.accept(name, listener)
+	f.table.HandleAlive(membership.Descriptor{
+		Name:        name,
+		BootID:      1,
+		Incarnation: 1,
+		Roles:       membership.RoleServer,
+		ServiceAddr: listener.Addr().String(),
+		Capacity:    2,
+	}, 0)
+	id := membership.ID{Name: name, BootID: 1}
+	f.table.HandleHeartbeat(membership.Heartbeat{ID: id, Sequence: 1, Ready: true, ReadyFor: time.Minute}, 0, 0)
+}
+
+// updateView hands the members to the Forwarder.
+func (f *testFleet) updateView() {
+	view := f.table.View()
+	f.loop.Post(func() { f.forwarder.UpdateView(view, membership.RoleProxy) })
+}
+
+func (f *testFleet) accept(name membership.Name, listener net.Listener) {
+	for {
+		connection, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		f.mu.Lock()
+		f.connections++
+		f.mu.Unlock()
+		go f.serve(name, connection)
+	}
+}
+
+func (f *testFleet) serve(name membership.Name, connection net.Conn) {
+	defer func() {
+		_ = connection.Close()
+		f.mu.Lock()
+		f.connections--
+		f.mu.Unlock()
+	}()
+	client := fake.NewClient(connection)
+	for {
+		message, err := client.Next()
+		if err != nil {
+			return
+		}
+		parts := message.([]any)
+		if len(parts) == 3 {
+			f.receive(name, fmt.Sprint(parts[1]), "")
+			continue
+		}
+		params := parts[3].([]any)
+		fields := params[0].(map[string]any)
+		number, none := parts[1].(int), map[string]string{}
+		switch f.receive(name, fmt.Sprint(parts[2], " ", fields["passed"]), fmt.Sprint(fields["id"])) {
+		case "succeed":
+			client.Send([]any{1, number, nil, []any{params[1], none}})
+		case "busy":
+			client.Send([]any{1, number, []any{"Busy", none}, nil})
+		case "no-failover":
+			client.Send([]any{1, number, []any{"Busy", map[string]string{"last": "1"}}, nil})
+		case "deny":
+			client.Send([]any{1, number, []any{"Denied", none}, nil})
+		case "fail":
+			client.Send([]any{1, number, []any{"Failed", none}, nil})
+		case "close":
+			return
+		}
+	}
+}
+
+// receive notes what came and returns what is done with it.
+func (f *testFleet) receive(name membership.Name, what, id string) (step string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.received = append(f.received, what)
+	if id == "" {
+		return ""
+	}
+	if f.ids[id] {
+		f.t.Errorf("%s got the id %s twice", name, id)
+	}
+	f.ids[id] = true
+	if len(f.steps) == 0 {
+		return "succeed"
+	}
+	step, f.steps = f.steps[0], f.steps[1:]
+	return step
+}
+
+func (f *testFleet) receivedSoFar() []string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return slices.Clone(f.received)
+}
+
+func (f *testFleet) receivedCount() int { return len(f.receivedSoFar()) }
+
+func (f *testFleet) connectionCount() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.connections
+}
+
+// forward forwards a request of class view with a timeout, and returns it and where its result comes.
+func (f *testFleet) forward(timeout time.Duration, idempotent bool) (*Request, <-chan Result) {
+	results, started := make(chan Result, 1), make(chan *Request, 1)
+	f.loop.Post(func() {
+		f.forwarded++
+		message := frontend.Request{ID: fmt.Sprint("request-", f.forwarded), Class: "view", Body: []byte("body")}
+		options := Options{Deadline: f.loop.Now() + timeout, Idempotent: idempotent, MaxAttempts: 3}
+		started <- f.forwarder.Forward(message, options, func(result Result) {
+			result.Result = slices.Clone(result.Result)
+			results <- result
+		})
+	})
+	return <-started, results
+}
+
+// on runs something on the loop and waits for it.
+func (f *testFleet) on(do func()) {
+	done := make(chan struct{})
+	f.loop.Post(func() { do(); close(done) })
+	<-done
+}
+
+// newTable returns a membership table of ourselves alone.
+func newTable() *membership.Table {
+	self := membership.Descriptor{Name: "self", Incarnation: 1, BootID: 1}
+	return membership.NewTable(self, membership.DefaultConfig(), 0)
+}
+
+// newTestFleet starts a Forwarder before so many endpoints.
+func newTestFleet(t *testing.T, endpoints int, change func(*Config), steps ...string) *testFleet {
+	t.Helper()
+	config := Config{Balancer: balancer.DefaultConfig(), ConnectionsPerEndpoint: 2, IdleTimeout: time.Minute}
+	config.Balancer.RetryRatio = 1
+	if change != nil {
+		change(&config)
+	}
+	f := &testFleet{
+		t:     t,
+		loop:  eventloop.New(256),
+		table: newTable(),
+		steps: steps,
+		ids:   map[string]bool{},
+	}
+	sockets := &transport.Net{
+		BufferPool:     allocator{},
+		Post:           f.loop.Post,
+		PostRead:       f.loop.PostBlocking,
+		OnAccept:       func(*transport.Conn) {},
+		OnFull:         func() {},
+		MaxAccepted:    16,
+		MaxDescriptors: 128,
+		MaxUnread:      1 << 20,
+	}
+	if err := sockets.Start("127.0.0.1:0"); err != nil {
+		t.Fatal(err)
+	}
+	f.forwarder = New(f.loop, sockets, config, 1, nil)
+	for i := range endpoints {
+		f.addEndpoint(membership.Name(fmt.Sprint("m", i)))
+	}
+	f.updateView()
+	go f.loop.Run(sockets.Flush)
+	t.Cleanup(func() { f.loop.Post(f.loop.Quit) })
+	return f
+}
+
+func wait(t *testing.T, results <-chan Result) Result {
+	t.Helper()
+	select {
+	case result := <-results:
+		return result
+	case <-time.After(fake.WaitTimeout):
+		t.Fatal("no result")
+		return Result{}
+	}
+}
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -153,7 +153,8 @@
 	}
 	request := &proxiedRequest{proxy: r, id: received.ID, responder: responder}
 	r.inFlight[received.ID] = request
-	request.forwarding = r.forwarder.Forward(received, deadline, class.idempotent, maxAttempts, request.handleResult)
+	options := forward.Options{Deadline: deadline, Idempotent: class.idempotent, MaxAttempts: maxAttempts}
+	request.forwarding = r.forwarder.Forward(received, options, request.handleResult)
 	if request.responder == nil {
 		return nil
 	}
--- /dev/null
+++ b/internal/spillover/spillover_test.go
@@ -0,0 +1,244 @@
+package spillover
+
+import (
+	"fmt"
+	"net"
+	"sync"
+	"testing"
+	"time"
+
+	"lanewheel/internal/balancer"
+	"lanewheel/internal/eventloop"
+	"lanewheel/internal/fake"
+	"lanewheel/internal/forward"
+	"lanewheel/internal/frontend"
+	"lanewheel/internal/membership"
+	"lanewheel/internal/transport"
+)
+
+// allocator is a buffer pool without reuse.
+type allocator struct{}
+
+func (allocator) Get() []byte { return make([]byte, 0, transport.BufferSize) }
+func (allocator) Put([]byte)  {}
+
+// recorder is a Responder that notes what it is told.
+type recorder struct {
+	mu   sync.Mutex
+	told []string
+}
+
+func (r *recorder) note(format string, args ...any) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.told = append(r.told, fmt.Sprintf(format, args...))
+}
+
+func (r *recorder) Succeed(result []byte, _ frontend.ResponseMetadata) { r.note("succeed %s", result) }
+func (r *recorder) Reject(frontend.ResponseMetadata)                   { r.note("reject") }
+func (r *recorder) Fail(frontend.ResponseMetadata)                     { r.note("fail") }
+func (r *recorder) RejectPermanently(code string, _ frontend.ResponseMetadata) {
+	r.note("reject permanently: %s", code)
+}
+func (r *recorder) Done() { r.note("done") }
+
+func (r *recorder) String() string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return fmt.Sprint(r.told)
+}
+
+// testInstance is the spillover of an instance with a load of 10 before one other, which does with requests what it is
+// told: succeed, busy, deny, fail or nothing.
+type testInstance struct {
+	loop      *eventloop.Loop
+	spillover *Spillover
+}
+
+func newTestInstance(t *testing.T, step string) *testInstance {
+	t.Helper()
+	listener := fake.Must((&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0"))
+	t.Cleanup(func() { _ = listener.Close() })
+	go serve(listener, step)
+	x := &testInstance{loop: eventloop.New(256)}
+	sockets := &transport.Net{
+		BufferPool:     allocator{},
+		Post:           x.loop.Post,
+		PostRead:       x.loop.PostBlocking,
+		OnAccept:       func(*transport.Conn) {},
+		OnFull:         func() {},
+		MaxAccepted:    16,
+		MaxDescriptors: 128,
+		MaxUnread:      1 << 20,
+	}
+	if err := sockets.Start("127.0.0.1:0"); err != nil {
+		t.Fatal(err)
+	}
+	config := Config{
+		Config:    forward.Config{Balancer: balancer.DefaultConfig(), ConnectionsPerEndpoint: 1, IdleTimeout: time.Minute},
+		Spillover: balancer.DefaultSpilloverConfig(),
+	}
+	probe := func(_ membership.Name, done func(load float64, age time.Duration)) { done(0, 0) }
+	load := func() frontend.Load { return frontend.Load{Queued: 8, Running: 2, Cores: 1} }
+	x.spillover = newSpillover(x.loop, load, forward.New(x.loop, sockets, config.Config, 1, probe), config)
+	self := membership.Descriptor{Name: "self", Incarnation: 1, BootID: 1}
+	table := membership.NewTable(self, membership.DefaultConfig(), 0)
+	id := membership.ID{Name: "other", BootID: 1}
+	table.HandleAlive(membership.Descriptor{
+		Name:        id.Name,
+		BootID:      id.BootID,
+		Incarnation: 1,
+		Roles:       membership.RoleServer,
+		ServiceAddr: listener.Addr().String(),
+		Capacity:    2,
+	}, 0)
+	table.HandleHeartbeat(membership.Heartbeat{ID: id, Sequence: 1, Ready: true, ReadyFor: time.Minute}, 0, 0)
+	go x.loop.Run(sockets.Flush)
+	t.Cleanup(func() { x.loop.Post(x.loop.Quit) })
+	x.spillover.Start()
+	x.on(func() { x.spillover.UpdateView(table.View()) })
+	fake.WaitFor("a report of the other's load", func() (reported bool) {
+		x.on(func() {
+			now := x.loop.Now()
+			_, reason := balancer.NewSpilloverPolicy(config.Spillover, x.spillover.forwarder.Balancer).
+				Pick(now, time.Minute, 10, x.spillover.forwarder.Random)
+			reported = reason == balancer.Allowed
+		})
+		return reported
+	})
+	return x
+}
+
+// serve answers all requests in the same way.
+func serve(listener net.Listener, step string) {
+	for {
+		connection, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		go func() {
+			client := fake.NewClient(connection)
+			for {
+				message, err := client.Next()
+				if err != nil {
+					return
+				}
+				parts, none := message.([]any), map[string]string{}
+				switch step {
+				case "succeed":
+					client.Send([]any{1, parts[1], nil, []any{parts[3].([]any)[1], none}})
+				case "busy":
+					client.Send([]any{1, parts[1], []any{"Busy", none}, nil})
+				case "deny":
+					client.Send([]any{1, parts[1], []any{"Denied", none}, nil})
+				case "fail":
+					client.Send([]any{1, parts[1], []any{"Failed", none}, nil})
+				}
+			}
+		}()
+	}
+}
+
+// on runs something on the loop and waits for it.
+func (x *testInstance) on(do func()) {
+	done := make(chan struct{})
+	x.loop.Post(func() { do(); close(done) })
+	<-done
+}
+
+// forward offers a request that may be answered within a second.
+func (x *testInstance) forward(hops int, responder frontend.Responder) (handle frontend.Handle) {
+	x.on(func() {
+		request := frontend.Request{ID: "1", Class: "view", Hops: hops, Body: []byte("body")}
+		handle = x.spillover.Forward(request, x.loop.Now()+time.Second, false, responder)
+	})
+	return handle
+}
+
+// total returns how often an event was counted.
+func (x *testInstance) total(e event) (total uint64) {
+	x.on(func() { total = x.spillover.log.totals[e] })
+	return total
+}
+
+// TestForward checks that a request is answered by what the other instance did with it, and that this is counted.
+func TestForward(t *testing.T) {
+	for _, test := range []struct {
+		step        string
+		want        string
+		disposition forward.Disposition
+	}{
+		{"succeed", "[succeed body done]", forward.Succeeded},
+		{"busy", "[reject done]", forward.Rejected},
+		{"deny", "[reject permanently: denied done]", forward.Denied},
+		{"fail", "[fail done]", forward.Failed},
+	} {
+		t.Run(test.step, func(t *testing.T) {
+			x := newTestInstance(t, test.step)
+			responder := &recorder{}
+			if x.forward(0, responder) == nil {
+				t.Fatal("the request was kept")
+			}
+			fake.WaitFor("a response", func() bool { return responder.String() == test.want })
+			finished := event{kind: requestFinished, disposition: test.disposition}
+			if x.total(event{kind: requestSpilled}) != 1 || x.total(finished) != 1 {
+				t.Error("not counted")
+			}
+			x.on(func() {
+				if !x.spillover.Drained() {
+					t.Error("not drained")
+				}
+			})
+		})
+	}
+}
+
+// TestKept checks that a request which was forwarded to us, and any while we drain, stays here.
+func TestKept(t *testing.T) {
+	x := newTestInstance(t, "succeed")
+	responder := &recorder{}
+	if x.forward(1, responder) != nil || x.total(event{kind: requestKept, reason: balancer.AlreadyForwarded}) != 1 {
+		t.Error("a request is forwarded twice")
+	}
+	x.on(func() { x.spillover.Drain(time.Second) })
+	if x.forward(0, responder) != nil || x.total(event{kind: requestKept, reason: balancer.Draining}) != 1 {
+		t.Error("a request is forwarded while we drain")
+	}
+	if responder.String() != "[]" {
+		t.Error(responder)
+	}
+}
+
+// TestDrain checks that what is elsewhere is answered shortly before the end.
+func TestDrain(t *testing.T) {
+	x := newTestInstance(t, "")
+	responder := &recorder{}
+	if x.forward(0, responder) == nil {
+		t.Fatal("the request was kept")
+	}
+	x.on(func() { x.spillover.Drain(200 * time.Millisecond) })
+	startedAt := time.Now()
+	fake.WaitFor("a response", func() bool { return responder.String() == "[fail done]" })
+	if elapsed := time.Since(startedAt); elapsed < 100*time.Millisecond {
+		t.Error("answered after ", elapsed)
+	}
+}
+
+// TestCancel checks that nobody is answered who does not wait.
+func TestCancel(t *testing.T) {
+	x := newTestInstance(t, "")
+	responder := &recorder{}
+	handle := x.forward(0, responder)
+	x.on(func() {
+		x.spillover.Cancel(handle)
+		x.spillover.Cancel(handle)
+		x.spillover.Cancel(nil)
+		if !x.spillover.Drained() {
+			t.Error("not drained")
+		}
+	})
+	time.Sleep(50 * time.Millisecond)
+	if responder.String() != "[]" {
+		t.Error(responder)
+	}
+}
