--- /dev/null
+++ b/internal/proxy/request.go
@@ -0,0 +1,154 @@
+package proxy
+
+import (
+	"time"
+
+	"lanewheel/internal/authn"
+	"lanewheel/internal/balancer"
+	"lanewheel/internal/forward"
+	"lanewheel/internal/frontend"
+)
+
+// maxAttempts is the number of instances that a request is given to at the most. Two that are full one after the other
+// are a full fleet.
+const maxAttempts = 3
+
+// unknownClassCode is the code of a rejection for good that clients' front ends know.
+const unknownClassCode = "unknown-type"
+
+// proxiedRequest is a request in flight.
+type proxiedRequest struct {
+	proxy      *Proxy
+	id         string             // the client's
+	responder  frontend.Responder // nil: it is answered, or nobody waits
+	forwarding *forward.Request
+}
+
+// ResponderOf implements clients.Server: it returns who is owed the response to a request in flight, nil if none is.
+func (p *Proxy) ResponderOf(id string) frontend.Responder {
+	if request := p.inFlight[id]; request != nil {
+		return request.responder
+	}
+	return nil
+}
+
+// ResponseMetadata implements clients.Server: a proxy has no load report of its own.
+func (p *Proxy) ResponseMetadata() frontend.ResponseMetadata {
+	return frontend.ResponseMetadata{LoadReport: -1}
+}
+
+// CheckHealth implements clients.Server: a proxy is healthy while there is an instance to forward to.
+func (p *Proxy) CheckHealth(_ bool, report func(healthy bool)) {
+	report(p.endpointCount() > 0 && !p.draining)
+}
+
+// Load implements frontend.Server.
+func (p *Proxy) Load() frontend.Load {
+	return frontend.Load{
+		Ready:        p.endpointCount() > 0,
+		Draining:     p.draining,
+		Healthy:      p.endpointCount() > 0,
+		Running:      len(p.inFlight),
+		FreeCapacity: p.config.MaxInFlight - len(p.inFlight),
+		LoadReport:   -1,
+	}
+}
+
+// Submit implements frontend.Server.
+func (p *Proxy) Submit(
+	received frontend.Request, _ *authn.Credential, responder frontend.Responder,
+) frontend.Handle {
+	p.counters.received++
+	class, known := p.classes[received.Class]
+	switch {
+	case !known:
+		responder.RejectPermanently(unknownClassCode, p.ResponseMetadata())
+		responder.Done()
+		return nil
+	case !p.accepts(received.ID):
+		p.counters.rejected++
+		responder.Reject(p.ResponseMetadata())
+		responder.Done()
+		return nil
+	}
+	request := &proxiedRequest{proxy: p, id: received.ID, responder: responder}
+	p.inFlight[received.ID] = request
+	options := forward.Options{
+		Deadline:    p.deadline(received, class),
+		Idempotent:  class.idempotent,
+		MaxAttempts: maxAttempts,
+	}
+	request.forwarding = p.forwarder.Forward(received, options, request.handleResult)
+	if request.responder == nil {
+		return nil
+	}
+	return request
+}
+
+// accepts reports whether a request with an id may be forwarded: there must be memory for its body, and no other
+// with the same id in flight, as nobody could tell whose the response is.
+func (p *Proxy) accepts(id string) bool {
+	if p.draining && p.Now() >= p.acceptUntil {
+		return false
+	}
+	return len(p.inFlight) < p.config.MaxInFlight && p.inFlight[id] == nil
+}
+
+// deadline returns the deadline of a request, which counts from when it was sent.
+func (p *Proxy) deadline(received frontend.Request, class classConfig) time.Duration {
+	queueDelay := max(0, p.WallTime().Sub(time.UnixMilli(received.SentUnixMilli)))
+	timeout := class.timeout
+	if received.HasTimeout {
+		timeout = min(timeout, received.Timeout)
+	}
+	return p.Now() - queueDelay + timeout
+}
+
+// Cancel implements frontend.Server.
+func (p *Proxy) Cancel(handle frontend.Handle) {
+	if request, ok := handle.(*proxiedRequest); ok && request.responder != nil {
+		request.finish().Done()
+		request.forwarding.Cancel()
+	}
+}
+
+// handleResult answers a request by what became of it.
+func (r *proxiedRequest) handleResult(result forward.Result) {
+	if result.NoEndpoint {
+		result.Metadata.RetryAfter = r.proxy.config.RetryAfter
+	}
+	r.proxy.counters.count(result)
+	responder := r.finish()
+	result.Respond(responder)
+	responder.Done()
+}
+
+// finish takes the request out of those in flight and returns who is owed the response.
+func (r *proxiedRequest) finish() frontend.Responder {
+	responder := r.responder
+	r.responder = nil
+	delete(r.proxy.inFlight, r.id)
+	return responder
+}
+
+func (c *counters) count(result forward.Result) {
+	if result.TimedOut {
+		c.timedOut++
+	}
+	if result.NoEndpoint {
+		c.noEndpoint++
+		return
+	}
+	switch result.Disposition() {
+	case forward.Succeeded:
+		c.succeeded++
+	case forward.Rejected:
+		c.rejected++
+	case forward.Failed:
+		c.failed++
+		if result.LastOutcome == balancer.NoResponse {
+			c.noResponse++
+		}
+	case forward.Denied: // by an instance, not by us
+	}
+}
