--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -5,9 +5,6 @@
 	"io"
 	"os"
 	"path/filepath"
-	"runtime"
-	"strconv"
-	"strings"
 	"sync"
 	"time"
 
@@ -188,62 +185,3 @@
 	fmt.Fprintf(out, "%d processes are up and know each other after %.1f s\n", len(w.processes), elapsed.Seconds())
 	return elapsed, nil
 }
-
-// idleUsage measures what a process costs while nothing is done to it: from the start of the load to the first fault.
-type idleUsage struct {
-	before    map[string][3]uint64
-	startedAt time.Time
-	metrics   []metric
-	finished  bool
-}
-
-func newIdleUsage(membership *membershipCheck) *idleUsage {
-	usage := &idleUsage{startedAt: time.Now(), before: map[string][3]uint64{}}
-	for id, counters := range membership.usage {
-		usage.before[id.String()] = counters
-	}
-	return usage
-}
-
-func (r *idleUsage) finish(membership *membershipCheck, now time.Duration) {
-	if r.finished || now < 2*time.Second {
-		return
-	}
-	r.finished = true
-	membership.poll(now)
-	count, totals := 0.0, [3]float64{}
-	for id, counters := range membership.usage {
-		if before, known := r.before[id.String()]; known {
-			count++
-			for index := range counters {
-				totals[index] += float64(counters[index] - min(counters[index], before[index]))
-			}
-		}
-	}
-	if processSeconds := count * time.Since(r.startedAt).Seconds(); processSeconds > 0 {
-		r.metrics = []metric{{"bytes a second of a process at rest, both ways", totals[0] / processSeconds}, {"ms of CPU a second of a process at rest, load included", totals[1] / processSeconds},
-			{"datagrams a second that a process sends at rest", totals[2] / processSeconds}}
-	}
-}
-
-// checkMemory says what a rehearsal takes and whether the machine has it.
-func checkMemory(script *config.Drill, out io.Writer) error {
-	text, err := os.ReadFile("/proc/meminfo")
-	if err != nil {
-		return err
-	}
-	var freeMB float64
-	for _, line := range strings.Split(string(text), "\n") {
-		if rest, found := strings.CutPrefix(line, "MemAvailable:"); found {
-			kilobytes, _ := strconv.ParseFloat(strings.Fields(rest)[0], 64)
-			freeMB = kilobytes / 1024
-		}
-	}
-	const processMB = 24 // MB: what a process was seen to hold with 300 members, the pages of its own and a share of the binary's
-	neededMB := float64(script.Instances+script.Proxies+script.Allocators+script.Coordinators)*processMB + 200
-	fmt.Fprintf(out, "%d processes, %d relays and %d desks, some %.0f MB of %.0f free, %d cores, seed %d, from %s\n", script.Instances, script.Proxies, script.Allocators, neededMB, freeMB, runtime.NumCPU(), script.RandomSeed, filepath.Base(script.Path))
-	if neededMB > freeMB {
-		return fmt.Errorf("%d processes take some %.0f MB, and %.0f are free", script.Instances, neededMB, freeMB)
-	}
-	return nil
-}
