--- /dev/null
+++ b/internal/balancer/pick.go
@@ -0,0 +1,104 @@
+package balancer
+
+import (
+	"math"
+	"time"
+)
+
+// selection is one Pick under way.
+type selection struct {
+	balancer *Balancer
+	now      time.Duration
+	random   func() float64
+	excluded func(index int) bool // nil: none is
+
+	best      int // index of the least loaded endpoint so far, -1 for none
+	leastLoad float64
+}
+
+// Pick returns the index of the endpoint for one request: of a few that are drawn by weight the least loaded one.
+// excluded, which may be nil, names indexes that are out of the question. ok is false where no endpoint is left. random
+// returns numbers in [0, 1). Pick does not allocate.
+func (b *Balancer) Pick(
+	now time.Duration, random func() float64, excluded func(index int) bool,
+) (index int, ok bool) {
+	if len(b.endpoints) == 0 {
+		return 0, false
+	}
+	b.refreshWeights(now)
+	b.pickCount++
+	selection := selection{
+		balancer:  b,
+		now:       now,
+		random:    random,
+		excluded:  excluded,
+		best:      -1,
+		leastLoad: math.Inf(1),
+	}
+	if index, ok := b.pickBaseline(random); ok && !selection.isExcluded(index) {
+		return index, true
+	}
+	selection.compareProbed()
+	selection.compareDrawn()
+	if selection.best >= 0 {
+		return selection.best, true
+	}
+	return selection.anyLeft()
+}
+
+func (s *selection) isExcluded(index int) bool { return s.excluded != nil && s.excluded(index) }
+
+// compare takes an endpoint if it is less loaded than the best so far.
+func (s *selection) compare(state *endpointState) {
+	if load := s.balancer.estimatedLoad(s.now, state); load < s.leastLoad {
+		s.best = state.index
+		s.leastLoad = load
+	}
+}
+
+// compareProbed compares the endpoints that have just answered a probe. They were drawn by weight, so that the least
+// loaded of them is a fair choice. The start is drawn, so that of equals it is not always the first.
+func (s *selection) compareProbed() {
+	start := int(s.random() * probePoolSize)
+	for offset := range probePoolSize {
+		state := s.balancer.probePool[(start+offset)%probePoolSize]
+		if state == nil || state.removed || state.outlier || s.now-state.reportedAt > 2*s.balancer.loadHalfLife {
+			continue
+		}
+		if !s.isExcluded(state.index) && s.balancer.slowStartAllows(s.now, state, s.random) {
+			s.compare(state)
+		}
+	}
+}
+
+// compareDrawn compares endpoints that are drawn by weight.
+func (s *selection) compareDrawn() {
+	for range s.balancer.config.ChoiceCount {
+		candidate := s.balancer.drawByWeight(s.random())
+		if candidate == s.best || s.isExcluded(candidate) {
+			continue
+		}
+		if state := s.balancer.endpoints[candidate]; s.balancer.slowStartAllows(s.now, state, s.random) {
+			s.compare(state)
+		}
+	}
+}
+
+// anyLeft returns the first endpoint from a drawn index on that is not excluded; one that is warming up and has had its
+// share only if there is no other.
+func (s *selection) anyLeft() (index int, ok bool) {
+	endpoints := s.balancer.endpoints
+	start := min(len(endpoints)-1, int(s.random()*float64(len(endpoints))))
+	warmingUp := -1
+	for offset := range endpoints {
+		candidate := (start + offset) % len(endpoints)
+		switch {
+		case s.isExcluded(candidate):
+		case s.balancer.slowStartAllows(s.now, endpoints[candidate], s.random):
+			return candidate, true
+		case warmingUp < 0:
+			warmingUp = candidate
+		}
+	}
+	return max(warmingUp, 0), warmingUp >= 0
+}
--- /dev/null
+++ b/internal/balancer/weights.go
@@ -0,0 +1,133 @@
+package balancer
+
+import "time"
+
+const (
+	// weightsMaxAge is how long weights hold unless the endpoints change: what they go by moves slower.
+	weightsMaxAge = 100 * time.Millisecond
+
+	// minSlowStartWeight is the share of its weight that an endpoint starts with: one that gets nothing never warms up.
+	minSlowStartWeight = 0.1
+
+	// maxSparseLoadFactor is how many times the mean latency a report may hold where endpoints are mostly idle.
+	maxSparseLoadFactor = 25
+)
+
+// totalWeight returns the sum of all weights. There must be an endpoint.
+func (b *Balancer) totalWeight() float64 { return b.cumulativeWeights[len(b.cumulativeWeights)-1] }
+
+// drawByWeight returns the index of the endpoint that a fraction of the total weight, from 0 to 1, falls on.
+func (b *Balancer) drawByWeight(fraction float64) int {
+	point := fraction * b.totalWeight()
+	low, high := 0, len(b.cumulativeWeights)-1
+	for low < high {
+		middle := (low + high) / 2
+		if b.cumulativeWeights[middle] > point {
+			high = middle
+		} else {
+			low = middle + 1
+		}
+	}
+	return low
+}
+
+// refreshWeights recomputes the weights if they are stale and old enough.
+func (b *Balancer) refreshWeights(now time.Duration) {
+	if b.weightsStale && (b.weightsAt == 0 || now-b.weightsAt >= weightsMaxAge) {
+		b.recomputeWeights(now)
+	}
+}
+
+func (b *Balancer) recomputeWeights(now time.Duration) {
+	b.weightsAt = now
+	b.weightsStale = false
+	b.measureLoads(now)
+	b.adaptLoadHalfLife()
+	ejecting := b.detectOutliers(now)
+	b.recomputeZoneWeights()
+	total := 0.0
+	for index, state := range b.endpoints {
+		state.outlier = ejecting && b.isOutlier(now, state)
+		weight := b.startWeight(now, state)
+		if ejecting {
+			weight = b.healthWeight(now, state, weight)
+		}
+		if state.Suspect {
+			weight *= b.config.OutlierWeight
+		}
+		weight *= b.zones[state.Zone].weight
+		state.weight = weight
+		total += weight
+		b.cumulativeWeights[index] = total
+	}
+}
+
+// measureLoads derives the zones' loads, the mean load and the mean latency from what is known of the endpoints.
+func (b *Balancer) measureLoads(now time.Duration) {
+	clear(b.zones)
+	loadSum, capacitySum, latencySum, latencyCount := 0.0, 0.0, 0.0, 0.0
+	for _, state := range b.endpoints {
+		zone := b.zones[state.Zone]
+		if zone == nil {
+			zone = &zoneLoad{}
+			b.zones[state.Zone] = zone
+		}
+		zone.capacity += state.Capacity
+		if state.hasRecentReport(now, b.config.LoadMaxAge) {
+			loadSum += state.reportedLoad * state.Capacity
+			capacitySum += state.Capacity
+			zone.load += state.reportedLoad * state.Capacity
+			zone.reports++
+		}
+		if state.meanLatency > 0 {
+			latencySum += state.meanLatency
+			latencyCount++
+		}
+	}
+	b.meanLoad = 0
+	if capacitySum > 0 {
+		b.meanLoad = loadSum / capacitySum
+	}
+	b.meanLatency = 0
+	if latencyCount > 0 {
+		b.meanLatency = latencySum / latencyCount
+	}
+}
+
+// adaptLoadHalfLife derives the half-life of a load report from the mean latency, unless it is configured. Where cores
+// are idle an endpoint's load changes less often than a request takes, by how seldom it gets one.
+func (b *Balancer) adaptLoadHalfLife() {
+	if b.config.LoadHalfLife != 0 || b.meanLatency <= 0 {
+		return
+	}
+	sparseLoadFactor := min(maxSparseLoadFactor, max(1, 0.5/max(b.meanLoad, 0.02)))
+	b.loadHalfLife = min(max(seconds(sparseLoadFactor*b.meanLatency), minLoadHalfLife), maxLoadHalfLife)
+}
+
+// startWeight returns the weight of an endpoint by its capacity, less where it has started or recovered of late; it
+// grows back in a straight line.
+func (b *Balancer) startWeight(now time.Duration, state *endpointState) float64 {
+	weight := state.Capacity
+	if state.warmingUp(now) {
+		remaining := max(0, state.WarmUpRemaining-(now-state.updatedAt))
+		weight *= minSlowStartWeight + (1-minSlowStartWeight)*(1-float64(remaining)/float64(state.WarmUp))
+	}
+	if recovering := now - state.recoveredAt; state.recoveredAt > 0 && recovering < b.config.OutcomeHalfLife {
+		weight *= minSlowStartWeight + (1-minSlowStartWeight)*float64(recovering)/float64(b.config.OutcomeHalfLife)
+	}
+	return weight
+}
+
+// healthWeight reduces the weight of an outlier, and that of a slow endpoint in proportion.
+func (b *Balancer) healthWeight(now time.Duration, state *endpointState, weight float64) float64 {
+	if state.outlier {
+		if now < state.ejectedUntil {
+			return 0
+		}
+		return weight * b.config.OutlierWeight
+	}
+	if latency := b.relativeLatency(now, state); latency > slowLatencyFactor {
+		return weight * max(b.config.OutlierWeight, 1/latency)
+	}
+	return weight
+}
--- /dev/null
+++ b/internal/forward/forwarder_test.go
@@ -0,0 +1,223 @@
+package forward
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"lanewheel/internal/balancer"
+	"lanewheel/internal/fake"
+	"lanewheel/internal/frontend"
+)
+
+// summary is what a test compares of a Result.
+type summary struct {
+	outcome                      balancer.Outcome
+	errorCode                    string
+	notSent, noEndpoint, expired bool
+	mayHaveRun                   bool
+	disposition                  Disposition
+}
+
+func summarize(result Result) summary {
+	return summary{
+		outcome:     result.LastOutcome,
+		errorCode:   result.Error,
+		notSent:     result.NotSent,
+		noEndpoint:  result.NoEndpoint,
+		expired:     result.TimedOut,
+		mayHaveRun:  result.MayHaveRun(),
+		disposition: result.Disposition(),
+	}
+}
+
+// TestForwardResults checks the result of a request and the number of its attempts by what endpoints do with it.
+func TestForwardResults(t *testing.T) {
+	succeeded := summary{outcome: balancer.Succeeded, mayHaveRun: true}
+	failed := summary{outcome: balancer.Failed, errorCode: "Failed", mayHaveRun: true, disposition: Failed}
+	lost := summary{outcome: balancer.NoResponse, errorCode: "Failed", mayHaveRun: true, disposition: Failed}
+	rejected := summary{outcome: balancer.Rejected, errorCode: "Busy", disposition: Rejected}
+	denied := summary{outcome: balancer.Rejected, errorCode: "Denied", disposition: Denied}
+	for _, test := range []struct {
+		name       string
+		idempotent bool
+		steps      []string
+		want       summary
+		attempts   int
+	}{
+		{"success", false, nil, succeeded, 1},
+		{"rejected once", false, []string{"busy"}, succeeded, 2},
+		{"rejected by all attempts", true, []string{"busy", "busy", "busy", "busy"}, rejected, 3},
+		{"no failover", true, []string{"no-failover"}, rejected, 1},
+		{"denied", true, []string{"deny"}, denied, 1},
+		{"failed", true, []string{"fail"}, failed, 1},
+		{"connection lost, not idempotent", false, []string{"close"}, lost, 1},
+		{"connection lost, idempotent", true, []string{"close"}, succeeded, 2},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			f := newTestFleet(t, 4, nil, test.steps...)
+			_, results := f.forward(3*time.Second, test.idempotent)
+			result := wait(t, results)
+			if got := summarize(result); got != test.want {
+				t.Errorf("result %+v, want %+v", got, test.want)
+			}
+			if result.Error == "" && string(result.Result) != "body" {
+				t.Errorf("body %q", result.Result)
+			}
+			if got := f.receivedSoFar(); len(got) != test.attempts || got[0] != "view 1" {
+				t.Errorf("attempts %v, want %d", got, test.attempts)
+			}
+			f.on(func() {
+				if got := f.forwarder.Retries; got != uint64(test.attempts-1) {
+					t.Errorf("%d retries counted", got)
+				}
+			})
+		})
+	}
+}
+
+// TestForwardWithoutEndpoints checks that the result comes at once, before Forward returns.
+func TestForwardWithoutEndpoints(t *testing.T) {
+	f := newTestFleet(t, 0, nil)
+	f.on(func() {
+		var results []Result
+		options := Options{Deadline: f.loop.Now() + time.Second, Idempotent: true, MaxAttempts: 3}
+		f.forwarder.Forward(frontend.Request{ID: "1", Class: "view"}, options, func(result Result) {
+			results = append(results, result)
+		})
+		want := summary{outcome: balancer.Rejected, errorCode: "Busy", noEndpoint: true, disposition: Rejected}
+		if len(results) != 1 || summarize(results[0]) != want || results[0].Metadata.LoadReport != -1 {
+			t.Errorf("%+v", results)
+		}
+	})
+}
+
+// TestForwardDeadline checks that a request is answered at its deadline where no endpoint does, and that the
+// endpoint is told that nobody waits.
+func TestForwardDeadline(t *testing.T) {
+	f := newTestFleet(t, 1, nil, "silent")
+	startedAt := time.Now()
+	_, results := f.forward(150*time.Millisecond, true)
+	got := summarize(wait(t, results))
+	want := summary{
+		outcome:     balancer.NoResponse,
+		errorCode:   "Failed",
+		expired:     true,
+		mayHaveRun:  true,
+		disposition: Failed,
+	}
+	if elapsed := time.Since(startedAt); got != want || elapsed < 140*time.Millisecond {
+		t.Errorf("result %+v after %v, want %+v", got, elapsed, want)
+	}
+	fake.WaitFor("the endpoint to be told", func() bool { return f.receivedCount() == 2 })
+	if got := f.receivedSoFar(); got[1] != "interrupt" {
+		t.Error(got)
+	}
+}
+
+// TestCancel checks that a canceled request has no result, and that the endpoint is told.
+func TestCancel(t *testing.T) {
+	f := newTestFleet(t, 1, nil, "silent")
+	request, results := f.forward(300*time.Millisecond, true)
+	fake.WaitFor("the request to be there", func() bool { return f.receivedCount() == 1 })
+	f.on(request.Cancel)
+	f.on(request.Cancel)
+	f.on(request.Expire)
+	fake.WaitFor("the endpoint to be told", func() bool { return f.receivedCount() == 2 })
+	select {
+	case result := <-results:
+		t.Errorf("a canceled request has the result %+v", result)
+	case <-time.After(400 * time.Millisecond):
+	}
+}
+
+// TestForwardTo checks that a request goes to the endpoint that is named, and to no other.
+func TestForwardTo(t *testing.T) {
+	f := newTestFleet(t, 3, nil, "busy")
+	results := make(chan Result, 1)
+	f.on(func() {
+		request := frontend.Request{ID: "1", Class: "view"}
+		options := Options{Deadline: f.loop.Now() + time.Second, Idempotent: true}
+		f.forwarder.ForwardTo(2, request, options, func(result Result) { results <- result })
+	})
+	want := summary{outcome: balancer.Rejected, errorCode: "Busy", disposition: Rejected}
+	if got := summarize(wait(t, results)); got != want {
+		t.Errorf("result %+v, want %+v", got, want)
+	}
+	if got := f.receivedCount(); got != 1 {
+		t.Errorf("%d attempts", got)
+	}
+}
+
+// TestConnectionLimits checks that a connection carries as many requests as the protocol allows, that a further one is
+// opened up to the limit, and that a request beyond is rejected without being sent.
+func TestConnectionLimits(t *testing.T) {
+	const limit = 2 * maxInFlight
+	f := newTestFleet(t, 1, nil, slices.Repeat([]string{"silent"}, limit)...)
+	first, _ := f.forward(time.Second, true)
+	fake.WaitFor("the first request to be there", func() bool { return f.receivedCount() == 1 })
+	for range maxInFlight - 1 {
+		f.forward(time.Second, true)
+	}
+	fake.WaitFor("a connection's worth to be there", func() bool { return f.receivedCount() == maxInFlight })
+	if got := f.connectionCount(); got != 1 {
+		t.Errorf("%d connections for %d requests", got, maxInFlight)
+	}
+	for range maxInFlight {
+		f.forward(time.Second, true)
+	}
+	fake.WaitFor("the limit to be there", func() bool { return f.receivedCount() == limit })
+	if got := f.connectionCount(); got != 2 {
+		t.Errorf("%d connections for %d requests", got, limit)
+	}
+	_, results := f.forward(time.Second, true)
+	want := summary{outcome: balancer.Rejected, errorCode: "Busy", noEndpoint: true, disposition: Rejected}
+	if got := summarize(wait(t, results)); got != want {
+		t.Errorf("result %+v, want %+v", got, want)
+	}
+	f.on(first.Expire)
+	f.on(func() {
+		if first.connection != nil || first.message.Body != nil {
+			t.Error("an expired request is kept")
+		}
+	})
+}
+
+// TestIdleConnectionsClose checks that a connection that carries nothing is closed.
+func TestIdleConnectionsClose(t *testing.T) {
+	f := newTestFleet(t, 1, func(config *Config) { config.IdleTimeout = 100 * time.Millisecond })
+	f.on(f.forwarder.Start)
+	_, results := f.forward(time.Second, true)
+	wait(t, results)
+	if got := f.connectionCount(); got != 1 {
+		t.Errorf("%d connections", got)
+	}
+	fake.WaitFor("the connection to close", func() bool { return f.connectionCount() == 0 })
+}
+
+// TestUpdateView checks that requests go to the members of the view alone, or to a subset of them, and that connections
+// to the others close.
+func TestUpdateView(t *testing.T) {
+	f := newTestFleet(t, 2, nil)
+	_, results := f.forward(time.Second, true)
+	wait(t, results)
+	f.on(func() {
+		if got := f.forwarder.Balancer.Len(); got != 2 {
+			t.Errorf("%d endpoints", got)
+		}
+	})
+	f.table = newTable()
+	f.updateView()
+	fake.WaitFor("the connection to close", func() bool { return f.connectionCount() == 0 })
+	f.on(func() {
+		if got := f.forwarder.Balancer.Len(); got != 0 {
+			t.Errorf("%d endpoints of none", got)
+		}
+	})
+	subset := newTestFleet(t, 5, func(config *Config) { config.SubsetSize = 3 })
+	subset.on(func() {
+		if got := subset.forwarder.Balancer.Len(); got != 3 {
+			t.Errorf("%d endpoints of a subset of 3", got)
+		}
+	})
+}
