--- a/internal/fleet/gossip/addr.go
+++ b/internal/fleet/gossip/addr.go
@@ -5,12 +5,7 @@
 	"strconv"
 )
 
-func hostOf(addr string) string {
-	h, _, _ := net.SplitHostPort(addr)
-	return h
-}
-
-// parseAddr reads an address that a file told.
+// parseAddr reads a configured address: an IP address and a port.
 func parseAddr(addr string) (net.IP, int, error) {
 	host, portText, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -27,8 +22,11 @@
 	return ip, port, nil
 }
 
-// checkAddr checks an address of the gossip.
-func checkAddr(addr string) error {
-	_, _, err := parseAddr(addr)
-	return err
+// hostOf is an address without its port, empty if it has none.
+func hostOf(addr string) string {
+	host, _, err := net.SplitHostPort(addr)
+	if err != nil {
+		return ""
+	}
+	return host
 }
--- a/internal/fleet/gossip/codec.go
+++ b/internal/fleet/gossip/codec.go
@@ -9,51 +9,74 @@
 	"github.com/hashicorp/go-msgpack/v2/codec"
 )
 
-// What members say to each other, MessagePack behind a head of one byte for the kind and four for the age in
-// milliseconds. The age stands apart, as it is written anew whenever the message goes out; nobody's wall clock is in
-// any message.
+// messageKind is the first byte of a message.
+type messageKind byte
+
 const (
-	kindHeartbeat    byte = 'b'
-	kindFenceNotice  byte = 'f'
-	kindQuery        byte = 'q'
-	kindQueryReply   byte = 'w'
-	kindLeaseRequest byte = 'a'
-	kindLease        byte = 'g'
-	kindPermitNotice byte = 'p'
-	kindPermitBegin  byte = 'i'
-	headSize              = 5
+	kindHeartbeat    messageKind = 'b'
+	kindFenceNotice  messageKind = 'f'
+	kindQuery        messageKind = 'q'
+	kindQueryReply   messageKind = 'w'
+	kindLeaseRequest messageKind = 'a'
+	kindLease        messageKind = 'g'
+	kindPermitNotice messageKind = 'p'
+	kindPermitBegin  messageKind = 'i'
 )
 
-// What a member may say. A bulletin has to go into a packet beside others, and a claim into the 512 bytes that the
-// gossip gives.
+// headSize is the size of a message's head in bytes: the kind, and the age in milliseconds as a big-endian number of
+// four bytes. The body is MessagePack. The age stands apart, as it is written anew whenever the message goes out; no
+// message carries a wall clock time.
+const headSize = 5
+
+// The limits of what a member may send. A heartbeat has to fit into a packet beside others, and a descriptor into the
+// 512 bytes that memberlist gives it.
 const (
 	maxNameBytes       = 64
 	maxMetricNameBytes = 16
 	maxMessageBytes    = 512
 )
 
+// Errors of decoding; all of them are counted as malformed messages.
 var (
-	errUnknownKind = errors.New("no kind that we know")
+	errUnknownKind = errors.New("unknown message kind")
 	errTruncated   = errors.New("cut short")
 	errTooLarge    = errors.New("too large")
 	errOutOfRange  = errors.New("out of range")
 )
 
+// errTableFull is why a node is refused that would be one member too many.
+var errTableFull = errors.New("no room for another member")
+
+// maxInitialLength bounds what the decoder allocates for a length that a message states, whatever follows.
+const maxInitialLength = 64
+
 var msgpackHandle = func() *codec.MsgpackHandle {
-	h := &codec.MsgpackHandle{}
-	h.RawToString = true
-	h.MaxInitLen = 64 // Danger: a length of billions in a packet of ten bytes
-	return h
+	handle := &codec.MsgpackHandle{}
+	handle.RawToString = true
+	handle.MaxInitLen = maxInitialLength
+	return handle
 }()
 
-func encode(kind byte, value any) []byte {
-	message := make([]byte, headSize, 128)
-	message[0] = kind
+// envelope is a message whose head was read.
+type envelope struct {
+	kind    messageKind
+	age     time.Duration
+	body    []byte
+	message []byte // all of it
+}
+
+// encode writes a message of age 0.
+func encode(kind messageKind, value any) []byte {
+	head := [headSize]byte{byte(kind)}
+	return append(head[:], encodeBody(value)...)
+}
+
+func encodeBody(value any) []byte {
 	var body []byte
 	if err := codec.NewEncoderBytes(&body, msgpackHandle).Encode(value); err != nil {
-		panic(err) // our own types, which every message shows
+		panic(err) // a wire struct that cannot be encoded is a programming error
 	}
-	return append(message, body...)
+	return body
 }
 
 func decode(body []byte, value any) error {
@@ -65,14 +88,67 @@
 
 // setAge writes an age into a message's head.
 func setAge(message []byte, age time.Duration) []byte {
-	binary.BigEndian.PutUint32(message[1:], uint32(min(max(0, age.Milliseconds()), math.MaxUint32)))
+	millis := min(max(0, age.Milliseconds()), math.MaxUint32)
+	binary.BigEndian.PutUint32(message[1:], uint32(millis))
 	return message
 }
 
-// splitHead gives the kind and the age of a message, and what stands behind its head.
-func splitHead(message []byte) (kind byte, age time.Duration, body []byte, err error) {
+// parseEnvelope reads a message's head.
+func parseEnvelope(message []byte) (envelope, error) {
 	if len(message) < headSize {
-		return 0, 0, nil, errTruncated
+		return envelope{}, errTruncated
+	}
+	return envelope{
+		kind:    messageKind(message[0]),
+		age:     time.Duration(binary.BigEndian.Uint32(message[1:])) * time.Millisecond,
+		body:    message[headSize:],
+		message: message,
+	}, nil
+}
+
+// lengthSize is the size of the big-endian length before each message of a state, in bytes.
+const lengthSize = 2
+
+// encodeState joins messages, each with its length before it.
+func encodeState(messages [][]byte) []byte {
+	var state []byte
+	for _, message := range messages {
+		state = binary.BigEndian.AppendUint16(state, uint16(len(message)))
+		state = append(state, message...)
+	}
+	return state
+}
+
+// decodeState hands each message of a state to handle, up to a limit; the rest is left unread.
+func decodeState(state []byte, limit int, handle func(message []byte)) error {
+	for ; len(state) > 0 && limit > 0; limit-- {
+		if len(state) < lengthSize {
+			return errTruncated
+		}
+		end := lengthSize + int(binary.BigEndian.Uint16(state))
+		if len(state) < end {
+			return errTruncated
+		}
+		handle(state[lengthSize:end])
+		state = state[end:]
+	}
+	return nil
+}
+
+// inMillis reports whether a number of milliseconds is from 0 to a limit.
+func inMillis(millis, limit int64) bool { return millis >= 0 && millis <= limit }
+
+// positiveMillis reports whether a number of milliseconds is from 1 to a limit.
+func positiveMillis(millis, limit int64) bool { return millis > 0 && millis <= limit }
+
+func durationOf(millis int64) time.Duration { return time.Duration(millis) * time.Millisecond }
+
+// validNames reports whether none of names is too long.
+func validNames(names ...string) bool {
+	for _, name := range names {
+		if len(name) > maxNameBytes {
+			return false
+		}
 	}
-	return message[0], time.Duration(binary.BigEndian.Uint32(message[1:])) * time.Millisecond, message[headSize:], nil
+	return true
 }
--- a/internal/fleet/gossip/counters.go
+++ b/internal/fleet/gossip/counters.go
@@ -6,20 +6,33 @@
 	"time"
 )
 
-// counters is what came and what became of it.
-func (p *Agent) counters() map[string]uint64 {
-	stats := p.table.Stats
-	counters := map[string]uint64{"packets-in": p.transport.packetsIn.Load(), "packets-out": p.transport.packetsOut.Load(), "bytes-in": p.transport.bytesIn.Load(), "bytes-out": p.transport.bytesOut.Load(),
-		"kept-back": p.transport.suppressed.Load(), "dropped": p.rateLimited.Load(), "bad": p.malformed.Load(), "refused": p.rejectedDescriptors.Load() + stats.RejectedFull,
-		"changes": stats.Transitions, "stale": stats.StaleHeartbeats, "oversized": stats.InvalidHeartbeats, "fenced": stats.OutdatedIncarnations, "refuted": stats.RefutedSuspicions, "stood-still": stats.Stalls}
-	for code, n := range p.libraryLog.countsByCode() {
-		counters["gossip-"+code] = n
+// counters is what came and what became of it, by the names that the status socket shows.
+func (a *Agent) counters() map[string]uint64 {
+	stats := a.table.Stats
+	counters := map[string]uint64{
+		"packets-in":  a.transport.packetsIn.Load(),
+		"packets-out": a.transport.packetsOut.Load(),
+		"bytes-in":    a.transport.bytesIn.Load(),
+		"bytes-out":   a.transport.bytesOut.Load(),
+		"kept-back":   a.transport.suppressed.Load(),
+		"dropped":     a.rateLimited.Load(),
+		"bad":         a.malformed.Load(),
+		"refused":     a.rejectedDescriptors.Load() + stats.RejectedFull,
+		"changes":     stats.Transitions,
+		"stale":       stats.StaleHeartbeats,
+		"oversized":   stats.InvalidHeartbeats,
+		"fenced":      stats.OutdatedIncarnations,
+		"refuted":     stats.RefutedSuspicions,
+		"stood-still": stats.Stalls,
 	}
-	maps.Copy(counters, p.transitions)
+	for event, count := range a.libraryLog.countsByEvent() {
+		counters["gossip-"+event.counter] = count
+	}
+	maps.Copy(counters, a.transitions)
 	return counters
 }
 
-// processCPUTime is the processor time of this process.
+// processCPUTime is the processor time that this process has used, 0 if it is not known.
 func processCPUTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
--- a/internal/fleet/gossip/delegate.go
+++ b/internal/fleet/gossip/delegate.go
@@ -9,90 +9,108 @@
 	"lanewheel/internal/membership"
 )
 
-// NodeMeta is memberlist.Delegate.
-func (p *Agent) NodeMeta(limit int) []byte { return encodeDescriptor(p.view.Load().Self) }
+// The methods in this file are what memberlist calls, on goroutines of its own: they touch only what is atomic or
+// immutable, and post the rest to the event loop.
 
-// NotifyAlive is memberlist.AliveDelegate: it refuses what can't be a member before it is gossiped on. Danger: names
-// without end.
-func (p *Agent) NotifyAlive(node *memberlist.Node) error {
-	descriptor, err := decodeDescriptor(node.Name, node.Address(), node.Meta)
-	if err == nil {
-		view := p.view.Load()
-		if _, known := view.Get(descriptor.Name); !known && descriptor.Name != view.Self.Name && int64(view.Len()) >= p.maxMembers.Load() && view.Count(membership.StateGone) == 0 {
-			err = errTooLarge
-		}
-	}
+// NodeMeta implements memberlist.Delegate.
+func (a *Agent) NodeMeta(_ int) []byte { return encodeDescriptor(a.view.Load().Self) }
+
+// NotifyAlive implements memberlist.AliveDelegate. It refuses a node that cannot become a member before memberlist
+// spreads it, so that made-up names do not fill the fleet's memory.
+func (a *Agent) NotifyAlive(node *memberlist.Node) error {
+	err := a.admit(node)
 	if err != nil {
-		p.rejectedDescriptors.Add(1)
+		a.rejectedDescriptors.Add(1)
 	}
 	return err
 }
 
-// NotifyJoin is memberlist.EventDelegate.
-func (p *Agent) NotifyJoin(node *memberlist.Node) {
-	if descriptor, err := decodeDescriptor(node.Name, node.Address(), node.Meta); err == nil {
-		p.Post(func() { p.handleAlive(descriptor) })
+func (a *Agent) admit(node *memberlist.Node) error {
+	descriptor, err := decodeDescriptor(node.Name, node.Address(), node.Meta)
+	if err != nil {
+		return err
+	}
+	view := a.view.Load()
+	_, known := view.Get(descriptor.Name)
+	if known || descriptor.Name == view.Self.Name {
+		return nil
+	}
+	if int64(view.Len()) >= a.maxMembers.Load() && view.Count(membership.StateGone) == 0 {
+		return errTableFull
 	}
+	return nil
 }
 
-// NotifyUpdate is memberlist.EventDelegate.
-func (p *Agent) NotifyUpdate(node *memberlist.Node) { p.NotifyJoin(node) }
-
-// NotifyLeave is memberlist.EventDelegate.
-func (p *Agent) NotifyLeave(node *memberlist.Node) {
-	if id, ok := membership.ParseID(node.Name); ok {
-		left := node.State == memberlist.StateLeft
-		p.Post(func() {
-			if left {
-				p.table.HandleLeft(id, p.Now())
-			} else {
-				p.table.HandleUnreachable(id, p.Now())
-			}
-			p.applyChanges()
-		})
+// NotifyJoin implements memberlist.EventDelegate.
+func (a *Agent) NotifyJoin(node *memberlist.Node) {
+	descriptor, err := decodeDescriptor(node.Name, node.Address(), node.Meta)
+	if err != nil {
+		return // NotifyAlive has refused and counted it
 	}
+	a.Post(func() { a.handleAlive(descriptor) })
 }
 
-// NotifyConflict is memberlist.ConflictDelegate: one life at two addresses, which only a copied process could be.
-func (p *Agent) NotifyConflict(existing, other *memberlist.Node) {
-	slog.Warn("conflict", "life", existing.Name, "here", existing.Address(), "there", other.Address())
+// NotifyUpdate implements memberlist.EventDelegate.
+func (a *Agent) NotifyUpdate(node *memberlist.Node) { a.NotifyJoin(node) }
+
+// NotifyLeave implements memberlist.EventDelegate: a node has left, or the failure detector does not reach it.
+func (a *Agent) NotifyLeave(node *memberlist.Node) {
+	id, ok := membership.ParseID(node.Name)
+	if !ok {
+		return
+	}
+	left := node.State == memberlist.StateLeft
+	a.Post(func() {
+		if left {
+			a.table.HandleLeft(id, a.Now())
+		} else {
+			a.table.HandleUnreachable(id, a.Now())
+		}
+		a.applyChanges()
+	})
 }
 
-// AckPayload is memberlist.PingDelegate: whoever calls hears how we stand, first hand.
-func (p *Agent) AckPayload() []byte { return p.ownHeartbeat.Load().withAge() }
+// NotifyConflict implements memberlist.ConflictDelegate: one process at two addresses, which only a copied process is.
+func (a *Agent) NotifyConflict(existing, other *memberlist.Node) {
+	slog.Warn("member seen at two addresses", "member_id", existing.Name, "addr", existing.Address(),
+		"other_addr", other.Address())
+}
+
+// AckPayload implements memberlist.PingDelegate: the answer to a probe carries our last heartbeat.
+func (a *Agent) AckPayload() []byte { return a.ownHeartbeat.Load().withAge() }
 
-// NotifyPingComplete is memberlist.PingDelegate.
-func (p *Agent) NotifyPingComplete(other *memberlist.Node, rtt time.Duration, payload []byte) {
+// NotifyPingComplete implements memberlist.PingDelegate.
+func (a *Agent) NotifyPingComplete(_ *memberlist.Node, roundTrip time.Duration, payload []byte) {
 	message := append([]byte(nil), payload...)
-	p.Post(func() {
-		p.table.ObserveAck(p.Now())
-		p.handleMessage(message, rtt/2)
+	a.Post(func() {
+		a.table.ObserveAck(a.Now())
+		a.handleMessage(message, roundTrip/2)
 	})
 }
 
-// NotifyMsg is memberlist.Delegate. Danger: a member gone wild that floods the others; past the rate its messages are
-// dropped, as is what it can be made good by: the next bulletin.
-func (p *Agent) NotifyMsg(message []byte) {
-	if !p.messageLimiter.Load().Allow() {
-		p.rateLimited.Add(1)
+// NotifyMsg implements memberlist.Delegate. Messages past the configured rate are dropped, which guards against a
+// member that floods the others; the next heartbeat makes up for them.
+func (a *Agent) NotifyMsg(message []byte) {
+	if !a.messageLimiter.Load().Allow() {
+		a.rateLimited.Add(1)
 		return
 	}
 	message = append([]byte(nil), message...)
-	p.Post(func() { p.handleMessage(message, 0) })
+	a.Post(func() { a.handleMessage(message, 0) })
 }
 
-// GetBroadcasts is memberlist.Delegate.
-func (p *Agent) GetBroadcasts(overhead, limit int) [][]byte {
-	return p.broadcasts.GetBroadcasts(overhead, limit)
+// GetBroadcasts implements memberlist.Delegate.
+func (a *Agent) GetBroadcasts(overhead, limit int) [][]byte {
+	return a.broadcasts.GetBroadcasts(overhead, limit)
 }
 
-// LocalState is memberlist.Delegate: all that we believe of the others' bulletins, for one that joins or was away.
-func (p *Agent) LocalState(join bool) []byte {
-	view := p.view.Load()
-	messages := [][]byte{p.ownHeartbeat.Load().withAge()}
-	now := time.Since(p.start)
-	for member := range view.All() {
-		if member.Sequence == 0 || member.State == membership.StateGone || member.State == membership.StateFenced {
+// LocalState implements memberlist.Delegate: the last heartbeats of all members that we know, for one that joins or was
+// away.
+func (a *Agent) LocalState(_ bool) []byte {
+	messages := [][]byte{a.ownHeartbeat.Load().withAge()}
+	now := time.Since(a.start)
+	for member := range a.view.Load().All() {
+		if member.Sequence == 0 || !member.State.Present() {
 			continue
 		}
 		heartbeat, age := member.Heartbeat(now)
@@ -101,12 +119,14 @@
 	return encodeState(messages)
 }
 
-// MergeRemoteState is memberlist.Delegate.
-func (p *Agent) MergeRemoteState(state []byte, join bool) {
-	if err := decodeState(state, int(p.maxMembers.Load())+1, func(message []byte) {
+// MergeRemoteState implements memberlist.Delegate.
+func (a *Agent) MergeRemoteState(state []byte, _ bool) {
+	limit := int(a.maxMembers.Load()) + 1
+	err := decodeState(state, limit, func(message []byte) {
 		message = append([]byte(nil), message...)
-		p.Post(func() { p.handleMessage(message, 0) })
-	}); err != nil {
-		p.malformed.Add(1)
+		a.Post(func() { a.handleMessage(message, 0) })
+	})
+	if err != nil {
+		a.malformed.Add(1)
 	}
 }
--- a/internal/fleet/gossip/drain.go
+++ b/internal/fleet/gossip/drain.go
@@ -2,45 +2,53 @@
 
 import "time"
 
-// Drain is the notice to drain: it is said at once, and the fleet is left shortly before last, a time from now.
-func (p *Agent) Drain(timeout time.Duration) {
-	p.Post(func() {
-		if p.draining {
-			return
-		}
-		p.draining = true
-		p.process.Status(func(status ProcessStatus) { p.Post(func() { p.broadcastHeartbeat(status) }) })
-		// The word that we left takes some rounds of gossip; half a second of the end is for it.
-		const leaveNotice = 500 * time.Millisecond
-		p.ScheduleAt(p.Now()+max(0, timeout-leaveNotice), func() { go p.leaveFleet(min(timeout, leaveNotice) / 2) })
-	})
-}
+// leaveNotice is how long before the end of a drain the fleet is left: the news takes some rounds of gossip.
+const leaveNotice = 500 * time.Millisecond
 
-func (p *Agent) leaveFleet(timeout time.Duration) {
-	p.leaveMemberlist(timeout)
-	p.Post(func() {
-		if p.HasQuit() {
+// Drain publishes at once that the process drains, and leaves the fleet shortly before the timeout is over. Any
+// goroutine may call it.
+func (a *Agent) Drain(timeout time.Duration) {
+	a.Post(func() {
+		if a.draining {
 			return
 		}
-		p.Quit()
-		close(p.done)
+		a.draining = true
+		a.process.Status(func(status ProcessStatus) {
+			a.Post(func() { a.broadcastHeartbeat(status) })
+		})
+		a.ScheduleAt(a.Now()+max(0, timeout-leaveNotice), func() {
+			go a.leaveFleet(min(timeout, leaveNotice) / 2)
+		})
 	})
 }
 
-// leaveMemberlist says that we leave, to all that hear it within that time, and ends the gossip.
-func (p *Agent) leaveMemberlist(timeout time.Duration) {
-	p.leaveOnce.Do(func() {
-		_ = p.memberlist.Leave(timeout)
-		_ = p.memberlist.Shutdown()
-	})
-}
-
-// Drained tells whether the fleet has been left.
-func (p *Agent) Drained() bool {
+// Drained reports whether the fleet has been left. Any goroutine may call it.
+func (a *Agent) Drained() bool {
 	select {
-	case <-p.done:
+	case <-a.done:
 		return true
 	default:
 		return false
 	}
 }
+
+// leaveFleet leaves the fleet and ends the agent. It blocks.
+func (a *Agent) leaveFleet(timeout time.Duration) {
+	a.leaveMemberlist(timeout)
+	a.Post(func() {
+		if a.HasQuit() {
+			return
+		}
+		a.Quit()
+		close(a.done)
+	})
+}
+
+// leaveMemberlist tells others that we leave, for as long as the timeout, and ends the gossip. It blocks.
+func (a *Agent) leaveMemberlist(timeout time.Duration) {
+	a.leaveOnce.Do(func() {
+		// Whoever does not hear of it finds out by its failure detector.
+		_ = a.memberlist.Leave(timeout)
+		_ = a.memberlist.Shutdown()
+	})
+}
--- a/internal/fleet/gossip/fence.go
+++ b/internal/fleet/gossip/fence.go
@@ -10,52 +10,89 @@
 	"lanewheel/internal/membership"
 )
 
-// fence ends our part in the fleet: a later life has our name.
-func (p *Agent) fence() {
-	if p.fenced {
+const (
+	// fencedLeaveTimeout is how long a fenced process tells others that it leaves.
+	fencedLeaveTimeout = 200 * time.Millisecond
+	// announceTimeout is how long a raised incarnation is announced.
+	announceTimeout = time.Second
+)
+
+// fence ends our part in the fleet: a later process has our name.
+func (a *Agent) fence() {
+	if a.fenced {
 		return
 	}
-	p.fenced = true
-	slog.Warn("fenced", "name", string(p.config.Name), "incarnation", uint64(p.table.Self().Incarnation), "leaves", p.config.LeaveWhenFenced)
-	p.applyChanges()
-	// Danger: shutting down without a word would have the detector doubt a life that is over anyway; with one it says
-	// the old life has left, which nobody takes for the new one.
-	go p.leaveMemberlist(200 * time.Millisecond)
-	if p.config.LeaveWhenFenced {
-		p.process.Fenced()
+	a.fenced = true
+	slog.Warn("fenced by a later process of the same name", "member", string(a.config.Name),
+		"incarnation", uint64(a.table.Self().Incarnation), "leaving", a.config.LeaveWhenFenced)
+	a.applyChanges()
+	// Without a word the detector would report a process that is over anyway. Leaving names this process alone, so nobody
+	// takes it for the later one.
+	go a.leaveMemberlist(fencedLeaveTimeout)
+	if a.config.LeaveWhenFenced {
+		a.process.Fenced()
 	}
 }
 
-// handleAlive hands a claim to the table and does what it says.
-func (p *Agent) handleAlive(descriptor membership.Descriptor) {
-	switch p.table.HandleAlive(descriptor, p.Now()) {
+// handleAlive hands a descriptor to the table and carries out the result.
+func (a *Agent) handleAlive(descriptor membership.Descriptor) {
+	switch a.table.HandleAlive(descriptor, a.Now()) {
 	case membership.AliveOutdated:
-		p.notifyFenced(descriptor)
+		a.notifyFenced(descriptor)
 	case membership.AliveIncarnationRaised:
-		slog.Info("incarnation-raised", "name", string(p.config.Name), "incarnation", uint64(p.table.Self().Incarnation))
-		go func() { _ = p.memberlist.UpdateNode(time.Second) }()
+		slog.Info("incarnation raised", "member", string(a.config.Name),
+			"incarnation", uint64(a.table.Self().Incarnation))
+		go a.announceSelf()
+	case membership.AliveFenced:
+		a.fence()
+	}
+	a.applyChanges()
+}
+
+// handleFenceNotice takes a notice that a later process has our name.
+func (a *Agent) handleFenceNotice(body []byte) error {
+	var notice wireFenceNotice
+	if err := decode(body, &notice); err != nil {
+		return err
+	}
+	if membership.Name(notice.Name) != a.config.Name {
+		return nil
+	}
+	result := a.table.HandleFenceNotice(membership.Incarnation(notice.Incarnation), membership.BootID(notice.BootID),
+		a.Now())
+	switch result {
 	case membership.AliveFenced:
-		p.fence()
+		a.fence()
+	case membership.AliveIncarnationRaised:
+		go a.announceSelf()
 	}
-	p.applyChanges()
+	a.applyChanges()
+	return nil
 }
 
-// notifyFenced says to an old life that it is over, if that is on us.
-func (p *Agent) notifyFenced(outdated membership.Descriptor) {
-	if !p.table.ShouldNotifyFenced(outdated.ID(), p.Now()) {
+// announceSelf spreads our descriptor with its raised incarnation. It blocks.
+func (a *Agent) announceSelf() {
+	// Whoever does not get it in time gets it with the next exchange of states.
+	_ = a.memberlist.UpdateNode(announceTimeout)
+}
+
+// notifyFenced tells an outdated process that a later one has its name, if it is up to us to do so.
+func (a *Agent) notifyFenced(outdated membership.Descriptor) {
+	if !a.table.ShouldNotifyFenced(outdated.ID(), a.Now()) {
 		return
 	}
 	notice := wireFenceNotice{Name: string(outdated.Name)}
-	if self := p.table.Self(); outdated.Name == self.Name {
-		notice.Incarnation, notice.BootID = uint64(self.Incarnation), uint64(self.BootID)
-	} else if successor, known := p.table.View().Get(outdated.Name); known {
-		notice.Incarnation, notice.BootID = uint64(successor.Incarnation), uint64(successor.BootID)
+	if self := a.table.Self(); outdated.Name == self.Name {
+		notice.Incarnation = uint64(self.Incarnation)
+		notice.BootID = uint64(self.BootID)
+	} else if successor, known := a.table.View().Get(outdated.Name); known {
+		notice.Incarnation = uint64(successor.Incarnation)
+		notice.BootID = uint64(successor.BootID)
 	}
-	addr, err := net.ResolveUDPAddr("udp", outdated.GossipAddr) // an address in figures: nothing is looked up
+	addr, err := net.ResolveUDPAddr("udp", outdated.GossipAddr) // numeric: nothing is looked up
 	if err != nil {
-		return
+		return // it cannot be reached there
 	}
-	message := encode(kindFenceNotice, notice)
 	destination := memberlist.Address{Addr: addr.String(), Name: outdated.ID().String()}
-	go func() { _ = p.memberlist.SendToAddress(destination, message) }()
+	go a.send(destination, encode(kindFenceNotice, notice))
 }
--- a/internal/fleet/gossip/heartbeat.go
+++ b/internal/fleet/gossip/heartbeat.go
@@ -8,81 +8,113 @@
 	"lanewheel/internal/membership"
 )
 
-// encodedHeartbeat is our last bulletin as it goes out, with when it was written.
+// statusInterval is how late a process that has become ready is seen to be.
+const statusInterval = 250 * time.Millisecond
+
+// publisher is what an agent's own heartbeats go by. It is owned by the event loop.
+type publisher struct {
+	sequence        uint64
+	nextAt          time.Duration // when the next broadcast is due
+	announcedDigest uint64        // the view digest of the last heartbeat
+	ready           bool          // as of the last broadcast
+	readySince      time.Duration // if ready
+}
+
+// encodedHeartbeat is a heartbeat as it was written, and when. It is immutable.
 type encodedHeartbeat struct {
 	message   []byte
-	encodedAt time.Time
+	writtenAt time.Time
 }
 
-func (s *encodedHeartbeat) withAge() []byte {
-	return setAge(append([]byte(nil), s.message...), time.Since(s.encodedAt))
+// withAge is the message with its present age.
+func (h *encodedHeartbeat) withAge() []byte {
+	message := append([]byte(nil), h.message...)
+	return setAge(message, time.Since(h.writtenAt))
 }
 
-// pollStatus looks how we stand, and says so at the table's pace; at once where others have to know.
-func (p *Agent) pollStatus() {
-	if p.HasQuit() {
+// pollStatus asks the process for its status, and broadcasts a heartbeat when one is due, and at once when others
+// have to know.
+func (a *Agent) pollStatus() {
+	if a.HasQuit() {
 		return
 	}
-	p.process.Status(func(status ProcessStatus) {
-		p.Post(func() {
-			if p.Now() >= p.nextHeartbeat || status.Ready != (p.readySince >= 0) || status.Draining && !p.draining {
-				p.broadcastHeartbeat(status)
-			} else if p.announcedDigest != p.table.ViewDigest() && !p.draining {
-				// What we hold to be so goes to whoever calls next, but is no news for the whole fleet. Danger: views that differ
-				// are known to only as soon as each has spoken again, which is many seconds in a large fleet.
-				p.buildHeartbeat(status)
-			}
-		})
+	a.process.Status(func(status ProcessStatus) {
+		a.Post(func() { a.applyStatus(status) })
 	})
-	const statusInterval = 250 * time.Millisecond // how late a process that has come up is known to have
-	p.ScheduleAt(p.Now()+statusInterval, p.pollStatus)
+	a.ScheduleAt(a.Now()+statusInterval, a.pollStatus)
 }
 
-func (p *Agent) broadcastHeartbeat(status ProcessStatus) {
+func (a *Agent) applyStatus(status ProcessStatus) {
+	due := a.Now() >= a.publisher.nextAt
+	changed := status.Ready != a.publisher.ready || status.Draining && !a.draining
 	switch {
-	case !status.Ready:
-		p.readySince = -1
-	case p.readySince < 0:
-		p.readySince = p.Now()
+	case due || changed:
+		a.broadcastHeartbeat(status)
+	case a.publisher.announcedDigest != a.table.ViewDigest() && !a.draining:
+		// A new view digest goes out with the answers to probes, and is not broadcast to the whole fleet. Without this,
+		// views that differ would be found only once each has published again, many seconds later in a large fleet.
+		a.buildHeartbeat(status)
+	}
+}
+
+func (a *Agent) broadcastHeartbeat(status ProcessStatus) {
+	if status.Ready && !a.publisher.ready {
+		a.publisher.readySince = a.Now()
 	}
-	// Half to one and a half times the pace. Danger: hundreds that started at one moment all speak at the same moments.
-	p.nextHeartbeat = p.Now() + membership.Jitter(p.table.HeartbeatInterval(), p.random.Float64())
-	p.broadcasts.QueueBroadcast(&heartbeatBroadcast{from: p.table.Self().ID(), heartbeat: p.buildHeartbeat(status)})
+	a.publisher.ready = status.Ready
+	// The jitter keeps members that started at one moment from all publishing at the same moments.
+	a.publisher.nextAt = a.Now() + membership.Jitter(a.table.HeartbeatInterval(), a.random.Float64())
+	a.broadcasts.QueueBroadcast(&heartbeatBroadcast{
+		from:      a.table.Self().ID(),
+		heartbeat: a.buildHeartbeat(status),
+	})
 }
 
-// buildHeartbeat makes our next bulletin, and has it ride on answers to calls.
-func (p *Agent) buildHeartbeat(status ProcessStatus) *encodedHeartbeat {
-	p.sequence++
-	p.announcedDigest = p.table.ViewDigest()
-	self := p.table.Self()
-	heartbeat := membership.Heartbeat{ID: self.ID(), Incarnation: self.Incarnation, Sequence: p.sequence, Ready: status.Ready, Draining: status.Draining || p.draining, ViewDigest: p.table.ViewDigest(), Metrics: status.Metrics}
+// buildHeartbeat makes our next heartbeat, which the answers to probes carry from then on.
+func (a *Agent) buildHeartbeat(status ProcessStatus) *encodedHeartbeat {
+	a.publisher.sequence++
+	a.publisher.announcedDigest = a.table.ViewDigest()
+	self := a.table.Self()
+	heartbeat := membership.Heartbeat{
+		ID:          self.ID(),
+		Incarnation: self.Incarnation,
+		Sequence:    a.publisher.sequence,
+		Ready:       status.Ready,
+		Draining:    status.Draining || a.draining,
+		ViewDigest:  a.publisher.announcedDigest,
+		Metrics:     status.Metrics,
+	}
 	if status.Ready {
-		heartbeat.ReadyFor = p.Now() - p.readySince
+		heartbeat.ReadyFor = a.Now() - a.publisher.readySince
 	}
 	for i := range heartbeat.Metrics {
 		if heartbeat.Metrics[i].TTL == 0 {
-			heartbeat.Metrics[i].TTL = p.table.MetricTTL()
+			heartbeat.Metrics[i].TTL = a.table.MetricTTL()
 		}
 	}
-	p.storeHeartbeat(heartbeat)
-	return p.ownHeartbeat.Load()
+	return a.storeHeartbeat(heartbeat)
 }
 
-func (p *Agent) storeHeartbeat(heartbeat membership.Heartbeat) {
-	p.ownHeartbeat.Store(&encodedHeartbeat{encodeHeartbeat(heartbeat), time.Now()})
+func (a *Agent) storeHeartbeat(heartbeat membership.Heartbeat) *encodedHeartbeat {
+	encoded := &encodedHeartbeat{message: encodeHeartbeat(heartbeat), writtenAt: time.Now()}
+	a.ownHeartbeat.Store(encoded)
+	return encoded
 }
 
-// heartbeatBroadcast is a bulletin on its way through the fleet; its age is written each time it goes out.
+// heartbeatBroadcast is a heartbeat that memberlist spreads; its age is written each time it goes out.
 type heartbeatBroadcast struct {
 	from      membership.ID
 	heartbeat *encodedHeartbeat
 }
 
+// Invalidates implements memberlist.Broadcast: a later heartbeat of a process replaces the one before.
 func (b *heartbeatBroadcast) Invalidates(other memberlist.Broadcast) bool {
 	otherHeartbeat, isHeartbeat := other.(*heartbeatBroadcast)
 	return isHeartbeat && otherHeartbeat.from == b.from
 }
 
+// Message implements memberlist.Broadcast.
 func (b *heartbeatBroadcast) Message() []byte { return b.heartbeat.withAge() }
 
+// Finished implements memberlist.Broadcast.
 func (b *heartbeatBroadcast) Finished() {}
--- a/internal/fleet/gossip/inbox.go
+++ b/internal/fleet/gossip/inbox.go
@@ -1,22 +1,57 @@
 package gossip
 
-// noteSender notes a sender until the next look. Danger: a flood of packets that each hand the loop a call; and
-// senders without end.
-func (p *Agent) noteSender(sender string) {
-	const maxSenders = 4096 // many times the members that one process hears in a tenth of a second
-	p.mu.Lock()
-	if len(p.senders) < maxSenders {
-		p.senders[sender] = struct{}{}
+import (
+	"sync"
+
+	"lanewheel/internal/membership"
+)
+
+const (
+	// maxInboxSenders bounds the senders between two ticks: a flood of packets with made-up senders must not fill the
+	// memory. It is many times the members that one process hears in that time.
+	maxInboxSenders = 4096
+	// maxInboxCallers bounds the predecessor's callers between two ticks: one of them is enough to find the fleet.
+	maxInboxCallers = 4
+)
+
+// inbox collects what memberlist's goroutines notice until the event loop's next tick, so that a flood of packets does
+// not post a callback each. Its methods may be called on any goroutine.
+type inbox struct {
+	mu                 sync.Mutex
+	senders            map[string]struct{} // guarded by mu
+	predecessorCallers []string            // guarded by mu
+}
+
+func (i *inbox) noteSender(sender string) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	if i.senders == nil {
+		i.senders = map[string]struct{}{}
+	}
+	if len(i.senders) < maxInboxSenders {
+		i.senders[sender] = struct{}{}
 	}
-	p.mu.Unlock()
 }
 
-// notePredecessorCaller notes who called the life before ours until the next look; there is no need for more than a
-// few.
-func (p *Agent) notePredecessorCaller(addr string) {
-	p.mu.Lock()
-	if len(p.predecessorCallers) < cap(p.predecessorCallers) {
-		p.predecessorCallers = append(p.predecessorCallers, addr)
+// notePredecessorCaller notes the address of a member that called the process that had our name before.
+func (i *inbox) notePredecessorCaller(addr string) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	if len(i.predecessorCallers) < maxInboxCallers {
+		i.predecessorCallers = append(i.predecessorCallers, addr)
+	}
+}
+
+// deliver hands all of it to the table.
+func (i *inbox) deliver(table *membership.Table) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	for sender := range i.senders {
+		table.ObserveSender(sender)
+	}
+	clear(i.senders)
+	for _, addr := range i.predecessorCallers {
+		table.AddPredecessorCaller(addr)
 	}
-	p.mu.Unlock()
+	i.predecessorCallers = i.predecessorCallers[:0]
 }
--- a/internal/fleet/gossip/join.go
+++ b/internal/fleet/gossip/join.go
@@ -5,40 +5,53 @@
 	"time"
 )
 
-// joinPeriodically calls, once a second, whoever may be a part of the fleet that does not know of us.
-func (p *Agent) joinPeriodically() {
-	if p.HasQuit() {
+const (
+	// joinInterval is how often the table is asked for an address to call.
+	joinInterval = time.Second
+	// While no other member is known it is asked sooner, jittered so that many that start at once do not call at once.
+	minLonelyJoinInterval = 100 * time.Millisecond
+	maxLonelyJoinInterval = 500 * time.Millisecond
+)
+
+// joinPeriodically has an address called that may belong to a part of the fleet that does not know of us.
+func (a *Agent) joinPeriodically() {
+	if a.HasQuit() {
 		return
 	}
-	if addr, due := p.table.NextJoinAddr(p.Now(), p.random.Float64); due && !p.joining && !p.draining && !p.fenced {
-		p.joining = true
-		p.joinAddrs <- addr // there is room: one alone is under way
+	addr, due := a.table.NextJoinAddr(a.Now(), a.random.Float64)
+	if due && !a.joining && !a.draining && !a.fenced {
+		a.joining = true
+		a.joinAddrs <- addr // never blocks: one call is under way at most
 	}
-	pause := time.Second
-	if p.table.View().Len() == 0 { // alone: soon, and not all at the same moment
-		pause = time.Duration((0.1 + 0.4*p.random.Float64()) * float64(time.Second))
+	interval := joinInterval
+	if a.table.View().Len() == 0 {
+		spread := float64(maxLonelyJoinInterval - minLonelyJoinInterval)
+		interval = minLonelyJoinInterval + time.Duration(a.random.Float64()*spread)
 	}
-	p.ScheduleAt(p.Now()+pause, p.joinPeriodically)
+	a.ScheduleAt(a.Now()+interval, a.joinPeriodically)
 }
 
-// runJoins is the one goroutine that calls.
-func (p *Agent) runJoins() {
+// runJoins is the one goroutine that calls others; a call may block for some seconds.
+func (a *Agent) runJoins() {
 	for {
 		select {
-		case <-p.done:
+		case <-a.done:
 			return
-		case addr := <-p.joinAddrs:
-			joined, err := p.memberlist.Join([]string{addr})
-			p.Post(func() {
-				p.joining = false
-				p.table.RecordJoin(addr, joined > 0, p.Now(), p.random.Float64)
-				if joined > 0 {
-					p.table.ObserveAck(p.Now())
-					p.table.ObserveSender(hostOf(addr))
-				} else if p.logSampler.Allow("call-failed", p.WallTime()) {
-					slog.Info("call-failed", "addr", addr, "err", err)
-				}
-			})
+		case addr := <-a.joinAddrs:
+			joined, err := a.memberlist.Join([]string{addr})
+			a.Post(func() { a.recordJoin(addr, joined > 0, err) })
 		}
 	}
 }
+
+func (a *Agent) recordJoin(addr string, joined bool, err error) {
+	const failed = "join failed"
+	a.joining = false
+	a.table.RecordJoin(addr, joined, a.Now(), a.random.Float64)
+	if joined {
+		a.table.ObserveAck(a.Now())
+		a.table.ObserveSender(hostOf(addr))
+	} else if a.logSampler.Allow(failed, a.WallTime()) {
+		slog.Info(failed, "addr", addr, "err", err)
+	}
+}
--- a/internal/fleet/gossip/lease.go
+++ b/internal/fleet/gossip/lease.go
@@ -1,18 +1,43 @@
 package gossip
 
 import (
-	"github.com/hashicorp/memberlist"
-
 	"lanewheel/internal/concurrencylease"
 	"lanewheel/internal/membership"
 )
 
-// RequestLease asks the desk beside a service below for calls. Any goroutine may call it; the answer, if one comes,
-// goes to Grants.
-func (p *Agent) RequestLease(name membership.Name, request concurrencylease.Request) {
-	p.Post(func() {
-		if member, known := p.table.View().Get(name); known {
-			_ = p.memberlist.SendToAddress(memberlist.Address{Addr: member.GossipAddr, Name: member.ID().String()}, encodeLeaseRequest(request, member.ID(), p.table.Self().GossipAddr))
+// RequestLease asks the allocator beside an upstream service for a lease. Any goroutine may call it; the answer, if one
+// comes, goes to OnLease.
+func (a *Agent) RequestLease(name membership.Name, request concurrencylease.Request) {
+	a.Post(func() {
+		if member, known := a.table.View().Get(name); known {
+			a.send(addressOf(member), encodeLeaseRequest(request, member.ID(), a.table.Self().GossipAddr))
 		}
 	})
 }
+
+// handleLeaseRequest hands a holder's request to the allocator that this agent speaks for.
+func (a *Agent) handleLeaseRequest(body []byte) error {
+	request, replyAddr, err := decodeLeaseRequest(body, a.table.Self().ID())
+	if err != nil {
+		return err
+	}
+	if a.OnLeaseRequest == nil {
+		return nil
+	}
+	a.OnLeaseRequest(request, func(lease concurrencylease.Lease) {
+		reply := encodeLease(lease)
+		a.Post(func() { a.send(replyAddress(replyAddr, request.Holder.String()), reply) })
+	})
+	return nil
+}
+
+func (a *Agent) handleLease(body []byte) error {
+	lease, err := decodeLease(body)
+	if err != nil {
+		return err
+	}
+	if a.OnLease != nil {
+		a.OnLease(lease)
+	}
+	return nil
+}
--- a/internal/fleet/gossip/librarylog.go
+++ b/internal/fleet/gossip/librarylog.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"log/slog"
+	"maps"
 	"strings"
 	"sync"
 	"time"
@@ -10,63 +11,120 @@
 	"lanewheel/internal/logging"
 )
 
-// libraryLog has the library's own log come as lines of ours, few a second of each kind: what a stranger sends must
-// not fill it.
+// libraryEvent is what a line of memberlist's log is about.
+type libraryEvent struct {
+	code    string // in our log
+	counter string // on the status socket, behind "gossip-"
+}
+
+var (
+	eventWrongKey            = libraryEvent{code: "wrong_key", counter: "not-our-key"}
+	eventWrongCluster        = libraryEvent{code: "wrong_cluster", counter: "not-our-cluster"}
+	eventStateExchangeFailed = libraryEvent{code: "state_exchange_failed", counter: "state-not-exchanged"}
+	eventMalformed           = libraryEvent{code: "malformed", counter: "bad-message"}
+	eventOutdatedMember      = libraryEvent{code: "outdated_member", counter: "old-life"}
+	eventSuspected           = libraryEvent{code: "suspected", counter: "suspects"}
+	eventDeclaredDead        = libraryEvent{code: "declared_dead", counter: "gives-up"}
+	eventRefuted             = libraryEvent{code: "refuted", counter: "refutes"}
+	eventSendFailed          = libraryEvent{code: "send_failed", counter: "not-sent"}
+	eventOther               = libraryEvent{code: "other", counter: "other"}
+)
+
+// libraryTexts tells memberlist's lines apart by a part of their text; the first that is found counts.
+var libraryTexts = []struct {
+	part  string
+	event libraryEvent
+}{
+	{"ecrypt", eventWrongKey},
+	{"No installed keys", eventWrongKey},
+	{"not encrypted", eventWrongKey},
+	{"Label", eventWrongCluster},
+	{"label", eventWrongCluster},
+	{"Push/Pull", eventStateExchangeFailed},
+	{"push/pull", eventStateExchangeFailed},
+	{"msg type", eventMalformed},
+	{"compound", eventMalformed},
+	{"unexpected node", eventOutdatedMember},
+	{"ecode", eventMalformed},
+	{"Suspect", eventSuspected},
+	{"Marking", eventDeclaredDead},
+	{"Refuting", eventRefuted},
+	{"Failed to send", eventSendFailed},
+}
+
+// fromMarker stands before the sender's address at the end of memberlist's lines that have one.
+const fromMarker = " from="
+
+// maxTextBytes is how much of a line is logged: memberlist's lines name an address and a cause.
+const maxTextBytes = 200
+
+// libraryLog counts memberlist's log lines by event and logs a few of each a second, so that what a stranger sends does
+// not fill the log. It is written to on memberlist's goroutines.
 type libraryLog struct {
 	mu      sync.Mutex
-	sampler logging.Sampler[string]
-	counts  map[string]uint64
-	// former hears the address of a member that called the life before ours. Set before the library writes.
+	sampler logging.Sampler[string] // by code; guarded by mu
+	counts  map[libraryEvent]uint64 // guarded by mu
+	// onPredecessorCaller takes the address of a member that called the process that had our name before. It is set
+	// before memberlist writes.
 	onPredecessorCaller func(addr string)
 }
 
-// fromMarker is how the library's lines end that name a sender.
-const fromMarker = " from="
-
-// libraryCodes names the library's words that an operator should know apart.
-var libraryCodes = []struct{ text, code string }{
-	{"ecrypt", "not-our-key"}, {"No installed keys", "not-our-key"}, {"not encrypted", "not-our-key"}, {"Label", "not-our-cluster"},
-	{"label", "not-our-cluster"}, {"Push/Pull", "state-not-exchanged"}, {"push/pull", "state-not-exchanged"}, {"msg type", "bad-message"}, {"compound", "bad-message"},
-	{"unexpected node", "old-life"}, {"ecode", "bad-message"}, {"Suspect", "suspects"}, {"Marking", "gives-up"}, {"Refuting", "refutes"}, {"Failed to send", "not-sent"},
+func newLibraryLog(onPredecessorCaller func(addr string)) *libraryLog {
+	return &libraryLog{counts: map[libraryEvent]uint64{}, onPredecessorCaller: onPredecessorCaller}
 }
 
+// Write implements io.Writer for a log.Logger: each call is one line.
 func (l *libraryLog) Write(line []byte) (int, error) {
 	text := string(bytes.TrimSpace(line))
-	code := "other"
-	for _, c := range libraryCodes {
-		if strings.Contains(text, c.text) {
-			code = c.code
-			break
-		}
-	}
+	event := classify(text)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.counts[code]++
-	if code == "old-life" { // by a packet from the caller's own address, or a connection from one of the moment, which nobody listens on
-		if _, addr, hasAddr := strings.Cut(text, fromMarker); hasAddr && strings.Contains(text, "node '") && checkAddr(addr) == nil {
+	l.counts[event]++
+	switch {
+	case event == eventOutdatedMember:
+		if addr, ok := predecessorCaller(text); ok {
 			l.onPredecessorCaller(addr)
 		}
-		return len(line), nil
+	case !strings.Contains(text, "[DEBUG]"):
+		l.log(event, text, time.Now())
 	}
-	if strings.Contains(text, "[DEBUG]") {
-		return len(line), nil
-	}
-	now := time.Now()
-	l.sampler.FlushSuppressed(now, func(code string, suppressed int) { slog.Info("gossip", "code", code, "more", suppressed) })
-	if l.sampler.Allow(code, now) {
-		const maxTextBytes = 200 // bytes: the library's lines name an address and a cause
+	return len(line), nil
+}
+
+// log is called with mu held.
+func (l *libraryLog) log(event libraryEvent, text string, now time.Time) {
+	l.sampler.FlushSuppressed(now, func(code string, suppressed int) {
+		slog.Info("memberlist messages suppressed", "code", code, "count", suppressed)
+	})
+	if l.sampler.Allow(event.code, now) {
 		text = text[:min(len(text), maxTextBytes)]
-		slog.Info("gossip", "code", code, "text", strings.ToValidUTF8(text, "?"))
+		slog.Info("memberlist message", "code", event.code, "text", strings.ToValidUTF8(text, "?"))
 	}
-	return len(line), nil
 }
 
-func (l *libraryLog) countsByCode() map[string]uint64 {
+func classify(text string) libraryEvent {
+	for _, known := range libraryTexts {
+		if strings.Contains(text, known.part) {
+			return known.event
+		}
+	}
+	return eventOther
+}
+
+// predecessorCaller gives the gossip address of a member that probed the process that had our name before. Only a
+// packet comes from the address that the member listens on; a connection has a port of the moment, and its line no
+// node.
+func predecessorCaller(text string) (addr string, ok bool) {
+	_, addr, hasAddr := strings.Cut(text, fromMarker)
+	if !hasAddr || !strings.Contains(text, "node '") {
+		return "", false
+	}
+	_, _, err := parseAddr(addr)
+	return addr, err == nil
+}
+
+func (l *libraryLog) countsByEvent() map[libraryEvent]uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	counts := map[string]uint64{}
-	for code, n := range l.counts {
-		counts[code] = n
-	}
-	return counts
+	return maps.Clone(l.counts)
 }
--- /dev/null
+++ b/internal/fleet/gossip/new.go
@@ -0,0 +1,172 @@
+package gossip
+
+import (
+	"crypto/rand"
+	"encoding/binary"
+	"log"
+	mathrand "math/rand/v2"
+	"net"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+
+	"lanewheel/internal/eventloop"
+	"lanewheel/internal/membership"
+)
+
+// What memberlist is configured with.
+const (
+	// Two others have to confirm a suspicion before the shortest time to a death holds.
+	suspicionMultiplier    = 4
+	maxSuspicionMultiplier = 3
+	gossipInterval         = 100 * time.Millisecond
+	gossipNodes            = 3
+	retransmitMultiplier   = 3
+	heartbeatRetransmits   = 2 // heartbeats are replaced by later ones soon
+	gossipToDeadTime       = 30 * time.Second
+	// memberlist lengthens the interval between state exchanges in larger fleets; members whose views differ call each
+	// other before (membership.Table.NextJoinAddr).
+	pushPullInterval = 10 * time.Second
+	// A call may take some round trips of a poor link; only one goroutine calls.
+	streamTimeout       = 2 * time.Second
+	deadNodeReclaimTime = time.Second
+)
+
+// maxPendingCallbacks bounds the event loop's queue.
+const maxPendingCallbacks = 1 << 14
+
+// New opens the agent's sockets; nothing is sent before Start. seed is for what is left to chance.
+func New(config Config, process Process, seed uint64) (*Agent, error) {
+	if config.AdvertiseAddr == "" {
+		config.AdvertiseAddr = config.ListenAddr
+	}
+	self, err := newDescriptor(config)
+	if err != nil {
+		return nil, err
+	}
+	agent := newAgent(config, process, self, seed)
+	agent.memberlistConfig, err = newMemberlistConfig(config, self)
+	if err != nil {
+		return nil, err
+	}
+	if err := agent.listen(); err != nil {
+		return nil, err
+	}
+	return agent, nil
+}
+
+// newDescriptor describes this process. Its incarnation by the clock is mostly above that of its predecessor; where the
+// clock went back in between, it is raised once the predecessor's is known (membership.Table.HandleAlive).
+func newDescriptor(config Config) (membership.Descriptor, error) {
+	var bootID [8]byte
+	if _, err := rand.Read(bootID[:]); err != nil {
+		return membership.Descriptor{}, err
+	}
+	return membership.Descriptor{
+		Name:        config.Name,
+		Incarnation: membership.Incarnation(max(1, time.Now().UnixMilli())),
+		BootID:      membership.BootID(binary.BigEndian.Uint64(bootID[:])),
+		GossipAddr:  config.AdvertiseAddr,
+		ServiceAddr: config.ServiceAddr,
+		Roles:       config.Roles,
+		Zone:        config.Zone,
+		Release:     config.Release,
+		Capacity:    config.Capacity,
+		WarmUp:      config.WarmUp,
+	}, nil
+}
+
+// newAgent makes an agent without sockets.
+func newAgent(config Config, process Process, self membership.Descriptor, seed uint64) *Agent {
+	agent := &Agent{
+		Loop:        eventloop.New(maxPendingCallbacks),
+		config:      config,
+		process:     process,
+		table:       membership.NewTable(self, config.Membership, 0),
+		random:      mathrand.New(mathrand.NewPCG(seed, uint64(self.BootID))),
+		start:       time.Now(),
+		queries:     queries{pending: map[uint64]*pendingQuery{}},
+		joinAddrs:   make(chan string, 1),
+		transitions: map[string]uint64{},
+		done:        make(chan struct{}),
+	}
+	agent.libraryLog = newLibraryLog(agent.inbox.notePredecessorCaller)
+	agent.view.Store(agent.table.View())
+	agent.setMessageLimit(config.MaxMessageRate)
+	agent.maxMembers.Store(int64(config.Membership.MaxMembers))
+	agent.storeHeartbeat(membership.Heartbeat{ID: self.ID(), Incarnation: self.Incarnation})
+	agent.broadcasts = &memberlist.TransmitLimitedQueue{
+		RetransmitMult: heartbeatRetransmits,
+		NumNodes:       func() int { return agent.view.Load().Len() + 1 },
+	}
+	return agent
+}
+
+// newMemberlistConfig is memberlist's configuration, less what refers to the agent.
+func newMemberlistConfig(config Config, self membership.Descriptor) (*memberlist.Config, error) {
+	listenIP, listenPort, err := parseAddr(config.ListenAddr)
+	if err != nil {
+		return nil, err
+	}
+	advertiseIP, advertisePort, err := parseAddr(config.AdvertiseAddr)
+	if err != nil {
+		return nil, err
+	}
+	list := memberlist.DefaultLANConfig()
+	list.Name = self.ID().String()
+	list.Label = config.Cluster
+	list.BindAddr = listenIP.String()
+	list.BindPort = listenPort
+	list.AdvertiseAddr = advertiseIP.String()
+	list.AdvertisePort = advertisePort
+	list.ProbeInterval = config.ProbeInterval
+	list.ProbeTimeout = config.ProbeInterval / 2
+	list.SuspicionMult = suspicionMultiplier
+	list.SuspicionMaxTimeoutMult = maxSuspicionMultiplier
+	list.GossipInterval = gossipInterval
+	list.GossipNodes = gossipNodes
+	list.RetransmitMult = retransmitMultiplier
+	list.GossipToTheDeadTime = gossipToDeadTime
+	list.EnableCompression = false // its writer allocates far more for each message than the messages are long
+	list.PushPullInterval = pushPullInterval
+	list.TCPTimeout = streamTimeout
+	list.DeadNodeReclaimTime = deadNodeReclaimTime
+	if len(config.Keys) > 0 {
+		if list.Keyring, err = newKeyring(config.Keys); err != nil {
+			return nil, err
+		}
+	}
+	return list, nil
+}
+
+func newKeyring(keys []membership.Key) (*memberlist.Keyring, error) {
+	raw := make([][]byte, 0, len(keys))
+	for _, key := range keys {
+		raw = append(raw, key)
+	}
+	return memberlist.NewKeyring(raw, raw[0])
+}
+
+// listen opens the sockets and starts memberlist.
+func (a *Agent) listen() error {
+	logger := log.New(a.libraryLog, "", 0)
+	list := a.memberlistConfig
+	var err error
+	a.transport, err = newTransport(net.ParseIP(list.BindAddr), list.BindPort, logger, a.inbox.noteSender)
+	if err != nil {
+		return err
+	}
+	list.Transport = a.transport
+	list.Logger = logger
+	list.Delegate = a
+	list.Events = a
+	list.Alive = a
+	list.Ping = a
+	list.Conflict = a
+	a.memberlist, err = memberlist.Create(list)
+	if err != nil {
+		_ = a.transport.Shutdown() // the error that matters is why there is no gossip
+		return err
+	}
+	return nil
+}
--- a/internal/fleet/gossip/query.go
+++ b/internal/fleet/gossip/query.go
@@ -3,38 +3,100 @@
 import (
 	"time"
 
-	"github.com/hashicorp/memberlist"
-
 	"lanewheel/internal/membership"
 )
 
-// pendingQuery is a query under way.
+const (
+	// queryTimeout is how long a reply is waited for.
+	queryTimeout = time.Second
+	// maxPendingQueries bounds the queries under way where nobody replies. It is more than a proxy sends in a second.
+	maxPendingQueries = 1024
+)
+
+// queries are those without a reply yet, by nonce. It is owned by the event loop.
+type queries struct {
+	pending   map[uint64]*pendingQuery
+	lastNonce uint64
+}
+
 type pendingQuery struct {
 	sentAt   time.Duration
-	callback func(w wireQueryReply, age time.Duration)
+	callback func(reply wireQueryReply, age time.Duration)
 }
 
-// QueryLoad asks a member how it stands, by one datagram; then is called on the part's loop if a word comes. What
-// does not come within a second is not waited for.
-func (p *Agent) QueryLoad(name membership.Name, callback func(load float64, age time.Duration)) {
-	p.sendQuery(name, func(reply wireQueryReply, age time.Duration) { callback(reply.Load, age) })
+// expire drops queries whose reply has not come in time.
+func (q *queries) expire(now time.Duration) {
+	for nonce, query := range q.pending {
+		if now-query.sentAt > queryTimeout {
+			delete(q.pending, nonce)
+		}
+	}
+}
+
+// QueryLoad asks a member for its load, by one datagram; callback is called on the agent's loop if a reply comes
+// within a second. It is to be called on the agent's loop.
+func (a *Agent) QueryLoad(name membership.Name, callback func(load float64, age time.Duration)) {
+	a.sendQuery(name, func(reply wireQueryReply, age time.Duration) { callback(reply.Load, age) })
 }
 
-// QueryStats asks a member what it has done, the same way.
-func (p *Agent) QueryStats(name membership.Name, callback func(RequestStats)) {
-	p.sendQuery(name, func(reply wireQueryReply, _ time.Duration) {
-		callback(RequestStats{reply.Finished, reply.WithinObjective, reply.TotalSeconds})
+// QueryStats asks a member what it has done since its start, in the same way as QueryLoad.
+func (a *Agent) QueryStats(name membership.Name, callback func(RequestStats)) {
+	a.sendQuery(name, func(reply wireQueryReply, _ time.Duration) {
+		callback(RequestStats{
+			Finished:        reply.Finished,
+			WithinObjective: reply.WithinObjective,
+			TotalSeconds:    reply.TotalSeconds,
+		})
 	})
 }
 
-func (p *Agent) sendQuery(name membership.Name, callback func(w wireQueryReply, age time.Duration)) {
-	const maxPendingQueries = 1024 // Danger: a fleet that answers nobody; so many are more than a relay asks in a second
-	member, known := p.table.View().Get(name)
-	if !known || len(p.pendingQueries) >= maxPendingQueries {
+func (a *Agent) sendQuery(name membership.Name, callback func(reply wireQueryReply, age time.Duration)) {
+	member, known := a.table.View().Get(name)
+	if !known || len(a.queries.pending) >= maxPendingQueries {
 		return
 	}
-	p.lastNonce++
-	p.pendingQueries[p.lastNonce] = &pendingQuery{p.Now(), callback}
-	message := encode(kindQuery, wireQuery{p.lastNonce, member.ID().String(), p.table.Self().ID().String(), p.table.Self().GossipAddr})
-	_ = p.memberlist.SendToAddress(memberlist.Address{Addr: member.GossipAddr, Name: member.ID().String()}, message)
+	a.queries.lastNonce++
+	a.queries.pending[a.queries.lastNonce] = &pendingQuery{sentAt: a.Now(), callback: callback}
+	self := a.table.Self()
+	a.send(addressOf(member), encode(kindQuery, wireQuery{
+		Nonce:     a.queries.lastNonce,
+		To:        member.ID().String(),
+		From:      self.ID().String(),
+		ReplyAddr: self.GossipAddr,
+	}))
+}
+
+// handleQuery answers another member's query.
+func (a *Agent) handleQuery(body []byte) error {
+	var query wireQuery
+	if err := decode(body, &query); err != nil {
+		return err
+	}
+	if !a.isSelf(query.To) {
+		return nil
+	}
+	a.process.Load(func(load float64, stats RequestStats) {
+		reply := encode(kindQueryReply, wireQueryReply{
+			Nonce:           query.Nonce,
+			Load:            load,
+			Finished:        stats.Finished,
+			WithinObjective: stats.WithinObjective,
+			TotalSeconds:    stats.TotalSeconds,
+		})
+		a.Post(func() { a.send(replyAddress(query.ReplyAddr, query.From), reply) })
+	})
+	return nil
+}
+
+// handleQueryReply hands a reply to whoever waits for it; one that is late, or nobody's, is dropped.
+func (a *Agent) handleQueryReply(body []byte) error {
+	var reply wireQueryReply
+	if err := decode(body, &reply); err != nil {
+		return err
+	}
+	if query := a.queries.pending[reply.Nonce]; query != nil {
+		delete(a.queries.pending, reply.Nonce)
+		query.callback(reply, (a.Now()-query.sentAt)/2)
+	}
+	return nil
 }
--- a/internal/fleet/gossip/transport.go
+++ b/internal/fleet/gossip/transport.go
@@ -1,6 +1,7 @@
 package gossip
 
 import (
+	"context"
 	"log"
 	"net"
 	"sync"
@@ -10,63 +11,92 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport is the library's own, which dials from the address that it listens on, so that whoever stands between
-// knows both ends, counts what goes over it, and tells who was heard.
+// transport is memberlist's own, but dials from the address that it listens on, so that a firewall between two members
+// knows both ends, counts packets and reports senders. Its methods are called on memberlist's goroutines.
 type transport struct {
 	*memberlist.NetTransport
-	localIP      net.IP
-	onSender     func(sender string)
-	packets      chan *memberlist.Packet
-	streams      chan net.Conn
-	muted        atomic.Bool // Danger: one that hears nobody tells all that all are gone; it keeps that to itself
+	localIP  net.IP
+	onSender func(sender string)
+	packets  chan *memberlist.Packet
+	streams  chan net.Conn
+	// muted drops what is sent by datagram: a process that hears nobody would tell all that all are gone.
+	muted        atomic.Bool
 	done         chan struct{}
 	shutdownOnce sync.Once
 
-	packetsIn, packetsOut, bytesIn, bytesOut, suppressed atomic.Uint64
+	packetsIn  atomic.Uint64
+	packetsOut atomic.Uint64
+	bytesIn    atomic.Uint64
+	bytesOut   atomic.Uint64
+	suppressed atomic.Uint64 // packets that were dropped while muted
 }
 
 func newTransport(ip net.IP, port int, logger *log.Logger, onSender func(string)) (*transport, error) {
-	inner, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{ip.String()}, BindPort: port, Logger: logger})
+	inner, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
+		BindAddrs: []string{ip.String()},
+		BindPort:  port,
+		Logger:    logger,
+	})
 	if err != nil {
 		return nil, err
 	}
-	t := &transport{NetTransport: inner, localIP: ip, onSender: onSender, packets: make(chan *memberlist.Packet), streams: make(chan net.Conn), done: make(chan struct{})}
-	go func() {
-		for {
-			select {
-			case packet := <-inner.PacketCh():
-				t.packetsIn.Add(1)
-				t.bytesIn.Add(uint64(len(packet.Buf)))
-				onSender(hostOf(packet.From.String()))
-				select {
-				case t.packets <- packet:
-				case <-t.done:
-					return
-				}
-			case conn := <-inner.StreamCh():
-				onSender(hostOf(conn.RemoteAddr().String()))
-				select {
-				case t.streams <- conn:
-				case <-t.done:
-					conn.Close()
-					return
-				}
-			case <-t.done:
-				return
-			}
-		}
-	}()
+	t := &transport{
+		NetTransport: inner,
+		localIP:      ip,
+		onSender:     onSender,
+		packets:      make(chan *memberlist.Packet),
+		streams:      make(chan net.Conn),
+		done:         make(chan struct{}),
+	}
+	go t.forward()
 	return t, nil
 }
 
+// forward hands on what the inner transport receives, until Shutdown.
+func (t *transport) forward() {
+	for {
+		select {
+		case packet := <-t.NetTransport.PacketCh():
+			t.forwardPacket(packet)
+		case conn := <-t.NetTransport.StreamCh():
+			t.forwardStream(conn)
+		case <-t.done:
+			return
+		}
+	}
+}
+
+func (t *transport) forwardPacket(packet *memberlist.Packet) {
+	t.packetsIn.Add(1)
+	t.bytesIn.Add(uint64(len(packet.Buf)))
+	t.onSender(hostOf(packet.From.String()))
+	select {
+	case t.packets <- packet:
+	case <-t.done:
+	}
+}
+
+func (t *transport) forwardStream(conn net.Conn) {
+	t.onSender(hostOf(conn.RemoteAddr().String()))
+	select {
+	case t.streams <- conn:
+	case <-t.done:
+		_ = conn.Close() // nothing was read or written
+	}
+}
+
+// PacketCh implements memberlist.Transport.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
+// StreamCh implements memberlist.Transport.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
+// WriteTo implements memberlist.Transport.
 func (t *transport) WriteTo(packet []byte, addr string) (time.Time, error) {
 	return t.WriteToAddress(packet, memberlist.Address{Addr: addr})
 }
 
+// WriteToAddress implements memberlist.NodeAwareTransport.
 func (t *transport) WriteToAddress(packet []byte, addr memberlist.Address) (time.Time, error) {
 	if t.muted.Load() {
 		t.suppressed.Add(1)
@@ -77,19 +107,18 @@
 	return t.NetTransport.WriteToAddress(packet, addr)
 }
 
+// DialTimeout implements memberlist.Transport.
 func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout, LocalAddr: &net.TCPAddr{IP: t.localIP}}
-	conn, err := dialer.Dial("tcp", addr)
-	if err != nil {
-		return nil, err
-	}
-	return conn, nil
+	return dialer.DialContext(context.Background(), "tcp", addr)
 }
 
+// DialAddressTimeout implements memberlist.NodeAwareTransport.
 func (t *transport) DialAddressTimeout(addr memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return t.DialTimeout(addr.Addr, timeout)
 }
 
+// Shutdown implements memberlist.Transport.
 func (t *transport) Shutdown() error {
 	t.shutdownOnce.Do(func() { close(t.done) })
 	return t.NetTransport.Shutdown()
--- a/internal/fleet/gossip/wire.go
+++ b/internal/fleet/gossip/wire.go
@@ -1,6 +1,8 @@
 package gossip
 
-// wireDescriptor is a members.Claim on the wire, less what the gossip carries itself.
+// The structs in this file are the bodies of messages. Their tags are shared with other releases.
+
+// wireDescriptor is a membership.Descriptor, less what memberlist carries itself.
 type wireDescriptor struct {
 	Incarnation  uint64  `codec:"i"`
 	Roles        uint8   `codec:"r"`
@@ -11,6 +13,7 @@
 	ServiceAddr  string  `codec:"a"`
 }
 
+// wireHeartbeat is a membership.Heartbeat.
 type wireHeartbeat struct {
 	Name           string       `codec:"n"`
 	BootID         uint64       `codec:"l"`
@@ -23,58 +26,69 @@
 	Metrics        []wireMetric `codec:"t"`
 }
 
+// wireMetric is a membership.Metric.
 type wireMetric struct {
 	Name      string  `codec:"k"`
 	Value     float64 `codec:"v"`
 	TTLMillis int64   `codec:"h"`
 }
 
-// wireQuery asks a member how it stands; word is the answer.
+// wireFenceNotice tells a process that a later one has its name.
+type wireFenceNotice struct {
+	Name        string `codec:"n"`
+	Incarnation uint64 `codec:"i"` // of the later process
+	BootID      uint64 `codec:"l"` // of the later process
+}
+
+// wireQuery asks a member for its load and its totals; wireQueryReply is the answer.
 type wireQuery struct {
 	Nonce     uint64 `codec:"n"`
-	To        string `codec:"t"` // the life that is asked
-	From      string `codec:"w"` // the life that asks, and where it is reached
+	To        string `codec:"t"` // a membership.ID
+	From      string `codec:"w"` // a membership.ID
 	ReplyAddr string `codec:"a"`
 }
 
+// wireQueryReply answers a wireQuery. Members of older releases send no totals.
 type wireQueryReply struct {
 	Nonce           uint64  `codec:"n"`
 	Load            float64 `codec:"l"`
-	Finished        float64 `codec:"d,omitempty"` // ops that ended since its start, those in their target latency, and the s that all took
+	Finished        float64 `codec:"d,omitempty"`
 	WithinObjective float64 `codec:"w,omitempty"`
 	TotalSeconds    float64 `codec:"t,omitempty"`
 }
 
-// wirePermitNotice tells a life of a permit that it has, or that it has begun; begin is its word that it would begin.
+// wirePermitNotice is a coordinator's notice that a member has a permit, or that the permit has begun.
 type wirePermitNotice struct {
-	To        string `codec:"t"`
-	From      string `codec:"w"` // the steward, and where it is reached
+	To        string `codec:"t"` // a membership.ID
+	From      string `codec:"w"` // a membership.ID, of the coordinator
 	ReplyAddr string `codec:"a"`
 	Number    uint64 `codec:"n"`
 	Begun     bool   `codec:"b"`
 }
 
+// wirePermitBegin is a member's wish to begin its permit.
 type wirePermitBegin struct {
-	To          string `codec:"t"`
-	From        string `codec:"w"` // the holder, and where it is reached
+	To          string `codec:"t"` // a membership.ID, of the coordinator
+	From        string `codec:"w"` // a membership.ID, of the permit's holder
 	ReplyAddr   string `codec:"a"`
 	Incarnation uint64 `codec:"i"`
 	Number      uint64 `codec:"n"`
 }
 
-// wireLeaseRequest is a grants.Ask, and grant its answer.
+// wireLeaseRequest is a concurrencylease.Request; wireLease is the answer.
 type wireLeaseRequest struct {
-	To              string `codec:"t"` // the life that is asked
-	From            string `codec:"w"` // the life that asks, and where it is reached
+	To              string `codec:"t"` // a membership.ID, of the allocator
+	From            string `codec:"w"` // a membership.ID, of the holder
 	ReplyAddr       string `codec:"a"`
 	Sequence        uint64 `codec:"s"`
-	AllocatorBootID uint64 `codec:"d"` // who granted what it has, in answer to which ask
+	AllocatorBootID uint64 `codec:"d"` // of the lease that the holder has
 	HeldSequence    uint64 `codec:"h"`
 	HeldLimit       int    `codec:"l"`
 	OpenCalls       int    `codec:"o"`
 	WantedCalls     int    `codec:"n"`
 }
 
+// wireLease is a concurrencylease.Lease.
 type wireLease struct {
 	AllocatorBootID uint64 `codec:"d"`
 	Sequence        uint64 `codec:"s"`
@@ -83,10 +97,3 @@
 	UnleasedCalls   int    `codec:"a"`
 	MaxCallMillis   int64  `codec:"m"`
 }
-
-// wireFenceNotice tells a life that a later one has its name.
-type wireFenceNotice struct {
-	Name        string `codec:"n"`
-	Incarnation uint64 `codec:"i"`
-	BootID      uint64 `codec:"l"`
-}
