--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,4 +1,6 @@
-// Package goldentest reads the files under testdata that prove that a stored or spoken form stays as it is.
+// Package goldentest is imported by tests alone. It compares what the code writes with files under testdata, which
+// prove that the form of a stored file or of a message stays as it is. With the flag -update the files are written
+// anew.
 package goldentest
 
 import (
@@ -13,17 +15,18 @@
 
 var update = flag.Bool("update", false, "write golden files anew with what the code under test writes")
 
-// File holds named messages, one a line: the name, a blank and the bytes as a quoted Go string.
+// File holds named messages, one a line: the name, a blank and the bytes as a quoted Go string. It belongs to the
+// goroutine of one test.
 type File struct {
 	t      *testing.T
 	path   string
 	names  []string // in the order of the file
 	stored map[string][]byte
-	used   map[string]bool
+	used   map[string]bool // asked for by the test
 }
 
-// Open reads a file. When the test ends, each of its messages has to have been asked for; with -update the file is
-// written with those that were.
+// Open reads the file at path. When the test ends, each message of the file has to have been asked for by Bytes or
+// Check; with -update the file is written with those that were.
 func Open(t *testing.T, path string) *File {
 	t.Helper()
 	f := &File{t: t, path: path, stored: map[string][]byte{}, used: map[string]bool{}}
@@ -44,7 +47,7 @@
 	return f
 }
 
-// Bytes gives a stored message.
+// Bytes gives a copy of a stored message. The test fails at once if there is none of that name.
 func (f *File) Bytes(name string) []byte {
 	f.t.Helper()
 	message, known := f.stored[name]
@@ -69,6 +72,7 @@
 	}
 }
 
+// close checks that all messages were asked for and writes the file with -update.
 func (f *File) close() {
 	var text bytes.Buffer
 	for _, name := range f.names {
@@ -86,7 +90,7 @@
 	}
 }
 
-// CheckText compares a whole file with what the code writes; with -update it is written anew.
+// CheckText compares the whole file at path with what the code writes; with -update it is written anew.
 func CheckText(t *testing.T, path string, written []byte) {
 	t.Helper()
 	if *update {
