--- a/internal/concurrencylease/desk.go
+++ b/internal/concurrencylease/allocator.go
@@ -1,11 +1,11 @@
-// Package concurrencylease shares a hard cap on calls to one service below among all processes of a fleet. A desk beside the service grants each holder so
-// many calls at a time, for a while; whatever views the processes have of each other, and whatever is lost, late, twice or out of order
-// between them, the calls of all together never pass the cap. It is pure: what came is handed in with its time. docs/below.md says
-// which ways were weighed, and why it holds.
+// Package concurrencylease shares a hard cap on calls to one service below among all processes of a fleet. A desk
+// beside the service grants each holder so many calls at a time, for a while; whatever views the processes have of
+// each other, and whatever is lost, late, twice or out of order between them, the calls of all together never pass
+// the cap. It is pure: what came is handed in with its time. docs/below.md says which ways were weighed, and why it
+// holds.
 package concurrencylease
 
 import (
-	"cmp"
 	"slices"
 	"time"
 
@@ -14,62 +14,6 @@
 	"lanewheel/internal/membership"
 )
 
-// Config is what a desk goes by.
-type Config struct {
-	Capacity        int           // calls at a time that the service is given by all together
-	UnleasedCalls   int           // of them, what each process may make without a grant
-	MaxProcesses    int           // as many may be up at once; Alone for each is set aside
-	LeaseDuration   time.Duration // how long a grant holds, by its holder's clock from when it asked
-	MaxCallDuration time.Duration // that a call lasts below, at the most
-	MaxClockDrift   float64       // by which share a clock may run too fast or too slow
-	MaxHolders      int           // known at a time
-}
-
-// DefaultConfig is what holds without being told, but for Cap.
-func DefaultConfig() Config {
-	return Config{MaxProcesses: 100, LeaseDuration: 2 * time.Second, MaxCallDuration: 5 * time.Second, MaxClockDrift: 0.01, MaxHolders: 1000}
-}
-
-// LeasableCalls is what is left to be granted once each process has what it may make alone.
-func (t Config) LeasableCalls() int { return max(0, t.Capacity-t.UnleasedCalls*t.MaxProcesses) }
-
-// worstCase is the longest that a span of another's clock can take by ours.
-func (t Config) worstCase(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (1 + t.MaxClockDrift) / (1 - t.MaxClockDrift))
-}
-
-// Over is when all is over that was granted up to a moment: the last call is begun just before the grant ends, and lasts as long as any may.
-func (t Config) expiredBy(now time.Duration) time.Duration {
-	return now + t.worstCase(t.LeaseDuration+t.MaxCallDuration)
-}
-
-// HeldLease is the grant that a holder goes by.
-type HeldLease struct {
-	AllocatorBootID membership.BootID // who granted it
-	Sequence        uint64            // the ask that it answered
-	Limit           int               // calls at a time beyond those that it may make alone; 0 once it is over
-}
-
-// Request is what a holder says of itself, and wants. A later one counts.
-type Request struct {
-	Holder      membership.ID
-	Sequence    uint64
-	Held        HeldLease
-	OpenCalls   int // calls that may be running below, beyond those that it may make alone
-	WantedCalls int // that it could use, beyond those
-}
-
-// Lease is the answer to an ask.
-type Lease struct {
-	AllocatorBootID membership.BootID
-	Sequence        uint64 // of the ask
-	Limit           int
-	Duration        time.Duration
-	// The rest is what a holder goes by beside it: calls that it may make without a grant, and the longest that a call may last.
-	UnleasedCalls   int
-	MaxCallDuration time.Duration
-}
-
 // Allocator grants. It belongs to one goroutine.
 type Allocator struct {
 	config           Config
@@ -97,12 +41,13 @@
 	committed   int
 }
 
-// maxUnconfirmed is how many grants are told apart of which no word came back; beyond that the oldest two count as the greater one. An ask that
-// comes says which are behind it, so more are only kept of a holder that hears nothing.
+// maxUnconfirmed is how many grants are told apart of which no word came back; beyond that the oldest two count as
+// the greater one. An ask that comes says which are behind it, so more are only kept of a holder that hears nothing.
 const maxUnconfirmed = 8
 
-// NewAllocator begins at the desk. Danger: a desk that is started anew knows nothing of what the one before granted. Until all of that
-// is over it only renews what holders say they have, which together is no more than that one granted.
+// NewAllocator begins at the desk. Danger: a desk that is started anew knows nothing of what the one before granted.
+// Until all of that is over it only renews what holders say they have, which together is no more than that one
+// granted.
 func NewAllocator(config Config, bootID membership.BootID, now time.Duration) *Allocator {
 	return &Allocator{config: config, bootID: bootID, renewOnlyUntil: config.expiredBy(now), holders: map[membership.ID]*holderState{}, levelStale: true}
 }
@@ -110,7 +55,8 @@
 // Fence ends it: a later life has the desk, and grants.
 func (d *Allocator) Fence() { d.fenced = true }
 
-// SetConfig takes values that were told anew. A cap that is lower holds for what is granted from now on. What is in force runs out by its time.
+// SetConfig takes values that were told anew. A cap that is lower holds for what is granted from now on. What is in
+// force runs out by its time.
 func (d *Allocator) SetConfig(config Config, now time.Duration) {
 	// Danger: a call that is allowed to last longer outlives what was reckoned with.
 	if config.expiredBy(0) > d.config.expiredBy(0) {
@@ -200,55 +146,3 @@
 		}
 	}
 }
-
-// lotteryPeriod is how long a holder keeps the one call that it has by lot, where there are fewer calls than who want one.
-const lotteryPeriod = 3 * time.Second
-
-// fairShare is what a holder gets of the room: as much as it wants, up to a level that is the same for all; what is left over goes, one
-// each, to those that the lot falls on, another lot each turn, so that nobody is without for ever.
-func (d *Allocator) fairShare(now time.Duration, holder *holderState) int {
-	// The level of hundreds is worked out for each moment once, not for each ask.
-	if d.levelStale && (now-d.levelAt >= 20*time.Millisecond || len(d.holders) < 64) || d.levelAt/lotteryPeriod != now/lotteryPeriod {
-		d.updateFairLevel(now)
-	}
-	if holder.wantedCalls > d.level && d.winsLottery(now, holder) {
-		return d.level + 1
-	}
-	return d.level
-}
-
-func (d *Allocator) updateFairLevel(now time.Duration) {
-	d.levelAt, d.levelStale = now, false
-	demands := make([]int, 0, len(d.holders))
-	for _, holder := range d.holders {
-		if holder.wantedCalls > 0 {
-			demands = append(demands, holder.wantedCalls)
-		}
-	}
-	slices.Sort(demands)
-	available := d.config.LeasableCalls()
-	d.level, d.extraHolders = available, 0
-	for i, demand := range demands {
-		if remaining := len(demands) - i; demand*remaining > available {
-			d.level, d.extraHolders = available/remaining, available%remaining
-			break
-		}
-		available -= demand
-	}
-}
-
-// winsLottery draws who gets one more: the holders with the least hashes, of those that want more.
-func (d *Allocator) winsLottery(now time.Duration, holder *holderState) bool {
-	if d.extraHolders == 0 {
-		return false
-	}
-	round := uint64(now / lotteryPeriod)
-	rank := func(holder *holderState) uint64 { return holder.hash ^ round*0x9e3779b97f4a7c15 }
-	ownRank, ahead := rank(holder), 0
-	for _, other := range d.holders {
-		if other.wantedCalls > d.level && cmp.Less(rank(other), ownRank) {
-			ahead++
-		}
-	}
-	return ahead < d.extraHolders
-}
--- a/internal/concurrencylease/holder.go
+++ b/internal/concurrencylease/holder.go
@@ -12,7 +12,8 @@
 	ID               membership.ID
 	MaxUnleasedCalls int           // calls at a time that may be made without a grant, as told here
 	MaxCallDuration  time.Duration // that one may last, as told here or by the desk, whichever is less
-	// Alone is how many may be made without a grant, once the desk has said so. Danger: who has not heard yet what is set aside makes none.
+	// Alone is how many may be made without a grant, once the desk has said so. Danger: who has not heard yet what is
+	// set aside makes none.
 	UnleasedCalls int
 
 	held          HeldLease
@@ -49,7 +50,8 @@
 	return initialLeaseDuration
 }
 
-// wantedCalls is a quarter and one more than was wanted of late: a desk is asked some times a second, calls come by the hundred.
+// wantedCalls is a quarter and one more than was wanted of late: a desk is asked some times a second, calls come by
+// the hundred.
 func (h *Holder) wantedCalls(now time.Duration) int {
 	h.RecordDemand(now, 0)
 	if h.peakDemand < 0.05 {
@@ -66,10 +68,12 @@
 	return h.UnleasedCalls + h.held.Limit
 }
 
-// NextRequestAt is when the desk is to be asked next: four times while a grant holds, sooner while calls wait that it has not heard of.
+// NextRequestAt is when the desk is to be asked next: four times while a grant holds, sooner while calls wait that it
+// has not heard of.
 func (h *Holder) NextRequestAt(now time.Duration, waiting bool) time.Duration {
 	if waiting && h.nextRequest > now {
-		// Danger: hundreds that are short of calls, and each asks for every one. Once in a sixteenth of a grant is soon enough.
+		// Danger: hundreds that are short of calls, and each asks for every one. Once in a sixteenth of a grant is soon
+		// enough.
 		return min(h.nextRequest, h.lastRequestAt()+h.currentLeaseDuration()/16)
 	}
 	return h.nextRequest
@@ -89,11 +93,12 @@
 	return request
 }
 
-// Accept takes an answer, and tells whether it counts. It holds from when it was asked for, so that it ends here before it does at the
-// desk, however long it took to come.
+// Accept takes an answer, and tells whether it counts. It holds from when it was asked for, so that it ends here
+// before it does at the desk, however long it took to come.
 func (h *Holder) Accept(now time.Duration, lease Lease) bool {
 	sent := h.sent[lease.Sequence%uint64(len(h.sent))]
-	// Danger: an answer that travelled for long; one of a desk that is over; one to an ask before the last that was answered.
+	// Danger: an answer that travelled for long; one of a desk that is over; one to an ask before the last that was
+	// answered.
 	if sent.sequence != lease.Sequence || sent.allocatorBootID != lease.AllocatorBootID || lease.AllocatorBootID == h.held.AllocatorBootID && lease.Sequence <= h.held.Sequence || lease.Sequence <= h.held.Sequence || lease.Limit < 0 || lease.Duration <= 0 {
 		return false
 	}
