--- a/internal/upstream/below.go
+++ b/internal/upstream/below.go
@@ -1,6 +1,7 @@
-// Package upstream is the services that an instance's calls go to, where an operator's file tells of several, or of a hard cap that holds for
-// the whole fleet. Which one a call goes to is decided by internal/balancer, how many calls there may be at a time by internal/concurrencylease; here is
-// who is there, and what is open. It belongs to the instance's loop.
+// Package upstream is the services that an instance's calls go to, where an operator's file tells of several, or of a
+// hard cap that holds for the whole fleet. Which one a call goes to is decided by internal/balancer, how many calls
+// there may be at a time by internal/concurrencylease; here is who is there, and what is open. It belongs to the
+// instance's loop.
 package upstream
 
 import (
@@ -75,8 +76,8 @@
 // Start begins to ask for calls.
 func (p *Client) Start() { p.requestLeases() }
 
-// SetView takes a view of the fleet: services that members stand beside. Danger: one that is gone from our view may only be cut off from us, and what is
-// open there goes on: what was granted is kept until its time is up.
+// SetView takes a view of the fleet: services that members stand beside. Danger: one that is gone from our view may
+// only be cut off from us, and what is open there goes on: what was granted is kept until its time is up.
 func (p *Client) SetView(view *membership.View) {
 	if len(p.config.Addresses) > 0 {
 		return
@@ -207,8 +208,8 @@
 
 var balancerOutcomes = map[admission.Outcome]balancer.Outcome{admission.Succeeded: balancer.Succeeded, admission.Rejected: balancer.Rejected, admission.Failed: balancer.Failed}
 
-// Release is keep.Place. What may be running on counts until its time there is up. Danger: who gives a call up and makes another at once has two running
-// below.
+// Release is keep.Place. What may be running on counts until its time there is up. Danger: who gives a call up and
+// makes another at once has two running below.
 func (c *reservation) Release(outcome admission.Outcome, stillRunning bool) {
 	client, now := c.endpoint.client, c.endpoint.client.loop.Now()
 	result, known := balancerOutcomes[outcome]
