--- a/internal/fleet/allocator/golden_test.go
+++ b/internal/fleet/allocator/golden_test.go
@@ -10,33 +10,35 @@
 	"lanewheel/internal/membership"
 )
 
-// What a desk says of itself in the fleet, by the names that others read.
-func TestReportGolden(t *testing.T) {
-	told := concurrencylease.DefaultConfig()
-	told.Capacity = 16
-	d := New(told, "127.0.0.1:1")
-	d.allocator = concurrencylease.NewAllocator(told, 1, -time.Hour)
-	d.serviceUp, d.draining = true, true
+// What an allocator reports of itself to the fleet, by the names that other releases read.
+func TestStatusGolden(t *testing.T) {
+	config := concurrencylease.DefaultConfig()
+	config.Capacity = 16
+	server := New(config, "127.0.0.1:1")
+	server.allocator = concurrencylease.NewAllocator(config, 1, -time.Hour)
+	server.serviceUp, server.draining = true, true
 	done := make(chan struct{})
 	go func() {
-		d.Run(func() {})
+		server.Run(func() {})
 		close(done)
 	}()
-	d.Post(func() {
-		d.allocator.HandleRequest(d.Now(), concurrencylease.Request{Holder: membership.ID{Name: "n1", BootID: 1}, Sequence: 1, WantedCalls: 3})
+	server.Post(func() {
+		holder := membership.ID{Name: "n1", BootID: 1}
+		server.allocator.HandleRequest(server.Now(), concurrencylease.Request{Holder: holder, Sequence: 1, WantedCalls: 3})
 	})
-	got := make(chan gossip.ProcessStatus, 1)
-	d.Status(func(r gossip.ProcessStatus) { got <- r })
-	want := gossip.ProcessStatus{Ready: true, Draining: true, Metrics: []membership.Metric{{Name: "cap", Value: 16}, {Name: "granted",
-		Value: 3}, {Name: "holders", Value: 1}}}
-	if r := <-got; !reflect.DeepEqual(r, want) {
-		t.Errorf("%+v, wanted %+v", r, want)
+	status := make(chan gossip.ProcessStatus, 1)
+	server.Status(func(reported gossip.ProcessStatus) { status <- reported })
+	want := gossip.ProcessStatus{Ready: true, Draining: true, Metrics: []membership.Metric{
+		{Name: "cap", Value: 16}, {Name: "granted", Value: 3}, {Name: "holders", Value: 1},
+	}}
+	if got := <-status; !reflect.DeepEqual(got, want) {
+		t.Errorf("%+v, want %+v", got, want)
 	}
 	load := make(chan float64, 1)
-	d.Load(func(x float64, f gossip.RequestStats) { load <- x })
-	if x := <-load; x != 3 {
-		t.Error(x)
+	server.Load(func(reported float64, _ gossip.RequestStats) { load <- reported })
+	if got := <-load; got != 3 {
+		t.Errorf("load %v, want 3", got)
 	}
-	d.Post(d.Quit)
+	server.Post(server.Quit)
 	<-done
 }
--- /dev/null
+++ b/internal/fleet/allocator/server_test.go
@@ -0,0 +1,46 @@
+package allocator
+
+import (
+	"net"
+	"testing"
+	"time"
+
+	"lanewheel/internal/concurrencylease"
+	"lanewheel/internal/fleet/gossip"
+)
+
+// A service is reported up while it accepts connections.
+func TestProbe(t *testing.T) {
+	var config net.ListenConfig
+	listener, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	server := New(concurrencylease.DefaultConfig(), listener.Addr().String())
+	server.allocator = concurrencylease.NewAllocator(server.config, 1, 0)
+	done := make(chan struct{})
+	go func() {
+		server.Serve()
+		close(done)
+	}()
+	awaitReady(t, server, true)
+	if err := listener.Close(); err != nil {
+		t.Fatal(err)
+	}
+	awaitReady(t, server, false)
+	server.Post(server.Quit)
+	<-done
+}
+
+// awaitReady waits until a server reports that it is ready, or that it is not.
+func awaitReady(t *testing.T, server *Server, want bool) {
+	t.Helper()
+	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+		ready := make(chan bool, 1)
+		server.Status(func(status gossip.ProcessStatus) { ready <- status.Ready })
+		if <-ready == want {
+			return
+		}
+	}
+	t.Fatalf("ready is not %v in time", want)
+}
