--- a/internal/upstream/below.go
+++ b/internal/upstream/client.go
@@ -5,11 +5,9 @@
 package upstream
 
 import (
-	"log/slog"
 	"math/rand/v2"
 	"time"
 
-	"lanewheel/admission"
 	"lanewheel/internal/balancer"
 	"lanewheel/internal/concurrencylease"
 	"lanewheel/internal/eventloop"
@@ -45,17 +43,6 @@
 // callStats is what became of calls.
 type callStats struct{ started, atCapacity, abandoned uint64 }
 
-// endpoint is one below.
-type endpoint struct {
-	client          *Client
-	name            balancer.EndpointName
-	address         string
-	allocatorBootID membership.BootID
-	holder          *concurrencylease.Holder // nil: no grants are given there, Calls holds
-	openCalls       int                      // calls that may be running there
-	loggedLimit     int                      // as last logged
-}
-
 // New makes the part of an instance that is known to the fleet as self.
 func New(eventLoop *eventloop.Loop, config Config, self membership.ID, seed uint64, requestLease RequestLease) *Client {
 	client := &Client{loop: eventLoop, config: config, self: self, requestLease: requestLease, balancer: balancer.New(config.Balancer), random: rand.New(rand.NewPCG(seed, 11)), services: map[balancer.EndpointName]*endpoint{}, onAvailable: func() {}}
@@ -107,14 +94,6 @@
 	p.onAvailable()
 }
 
-// freeCapacity is how many more calls a service may be given.
-func (s *endpoint) freeCapacity(now time.Duration) int {
-	if s.holder == nil {
-		return s.client.config.MaxCalls - s.openCalls
-	}
-	return s.holder.Limit(now) - s.openCalls
-}
-
 // Acquire is keep.Below.
 func (p *Client) Acquire(excludedAddr string, waiting int) server.UpstreamSlot {
 	now := p.loop.Now()
@@ -139,13 +118,6 @@
 	return &reservation{endpoint: endpoint, startedAt: now, maxDuration: endpoint.maxCallDuration()}
 }
 
-func (s *endpoint) maxCallDuration() time.Duration {
-	if s.holder != nil {
-		return s.holder.MaxCallDuration
-	}
-	return s.client.config.MaxCallDuration
-}
-
 // recordDemand tells the services' desks that calls wait: what waits is wanted of all alike.
 func (p *Client) recordDemand(now time.Duration) {
 	leased := 0
@@ -177,13 +149,6 @@
 	p.loop.ScheduleAt(now+10*time.Millisecond, p.requestLeases) // a hundredth of what a grant holds at the least
 }
 
-func (s *endpoint) logLimit(now time.Duration) {
-	previous, current := s.loggedLimit, s.holder.Limit(now)
-	if s.loggedLimit = current; previous == 0 != (current == 0) {
-		slog.Info("calls-granted", "service", string(s.name), "limit", current, "open", s.openCalls)
-	}
-}
-
 // HandleLease takes an answer of a desk.
 func (p *Client) HandleLease(lease concurrencylease.Lease) {
 	now := p.loop.Now()
@@ -195,38 +160,3 @@
 		}
 	}
 }
-
-// reservation is a call's at one service: a keep.Place.
-type reservation struct {
-	endpoint    *endpoint
-	startedAt   time.Duration
-	maxDuration time.Duration
-}
-
-func (c *reservation) Addr() string               { return c.endpoint.address }
-func (c *reservation) MaxDuration() time.Duration { return c.maxDuration }
-
-var balancerOutcomes = map[admission.Outcome]balancer.Outcome{admission.Succeeded: balancer.Succeeded, admission.Rejected: balancer.Rejected, admission.Failed: balancer.Failed}
-
-// Release is keep.Place. What may be running on counts until its time there is up. Danger: who gives a call up and
-// makes another at once has two running below.
-func (c *reservation) Release(outcome admission.Outcome, stillRunning bool) {
-	client, now := c.endpoint.client, c.endpoint.client.loop.Now()
-	result, known := balancerOutcomes[outcome]
-	if !known {
-		result = balancer.NoResponse
-	}
-	client.balancer.RecordOutcome(now, c.endpoint.name, result, now-c.startedAt)
-	if !stillRunning {
-		c.finish()
-		return
-	}
-	client.stats.abandoned++
-	client.loop.ScheduleAt(max(now, c.startedAt+c.maxDuration), c.finish)
-}
-
-func (c *reservation) finish() {
-	c.endpoint.openCalls--
-	// What waits is given the room in a turn of its own: whoever gives it back is in the middle of something.
-	c.endpoint.client.loop.ScheduleAt(c.endpoint.client.loop.Now(), c.endpoint.client.onAvailable)
-}
