--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -1,7 +1,6 @@
-// Package upstream is the services that an instance's calls go to, where an operator's file tells of several, or of a
-// hard cap that holds for the whole fleet. Which one a call goes to is decided by internal/balancer, how many calls
-// there may be at a time by internal/concurrencylease; here is who is there, and what is open. It belongs to the
-// instance's loop.
+// Package upstream is the services that a server's calls go to, where there are several of them, or a hard cap on
+// calls that holds for the whole fleet. Which one a call goes to is decided by internal/balancer, how many calls
+// there may be at a time by internal/concurrencylease; this package knows who is there, and what is open.
 package upstream
 
 import (
@@ -15,18 +14,26 @@
 	"lanewheel/internal/server"
 )
 
-// Config is what it goes by.
+const (
+	// leaseInterval is how often it is checked whether a lease is to be requested: a hundredth of the shortest lease.
+	leaseInterval = 10 * time.Millisecond
+	// randomStream tells this package's random numbers from those of others with the same seed.
+	randomStream = 11
+)
+
+// Config is what a client goes by.
 type Config struct {
 	Balancer        balancer.Config
-	Addresses       []string      // services; none: members with the role below
-	MaxCalls        int           // at a time to one service, without a grant
-	MaxCallDuration time.Duration // that a call may last
+	Addresses       []string      // of services; none: the members with the upstream role
+	MaxCalls        int           // at a time to one service at an address, and without a lease to one of a member
+	MaxCallDuration time.Duration // that a call may take
 }
 
-// RequestLease asks the desk of a service for calls; the answer comes by Granted.
-type RequestLease func(name membership.Name, a concurrencylease.Request)
+// RequestLease sends the allocator beside a service a request; the answer comes by HandleLease.
+type RequestLease func(name membership.Name, request concurrencylease.Request)
 
-// Client is the services of one instance. It is a keep.Below.
+// Client is the services of one server. It implements server.Upstreams. It is owned by the server's event loop, on
+// which all its methods are to be called.
 type Client struct {
 	loop         *eventloop.Loop
 	config       Config
@@ -34,128 +41,179 @@
 	requestLease RequestLease
 	balancer     *balancer.Balancer
 	random       *rand.Rand
-	services     map[balancer.EndpointName]*endpoint
+	services     map[balancer.EndpointName]*service
+	leased       map[balancer.EndpointName]*leasedLimit // of the services whose calls are leased
 	onAvailable  func()
-	waitingCalls int
-	stats        callStats
+	waitingCalls int // calls that wait for a place
 }
 
-// callStats is what became of calls.
-type callStats struct{ started, atCapacity, abandoned uint64 }
-
-// New makes the part of an instance that is known to the fleet as self.
-func New(eventLoop *eventloop.Loop, config Config, self membership.ID, seed uint64, requestLease RequestLease) *Client {
-	client := &Client{loop: eventLoop, config: config, self: self, requestLease: requestLease, balancer: balancer.New(config.Balancer), random: rand.New(rand.NewPCG(seed, 11)), services: map[balancer.EndpointName]*endpoint{}, onAvailable: func() {}}
+// New makes the client of a server that the fleet knows as self. requestLease may be nil where all services have
+// configured addresses.
+func New(
+	loop *eventloop.Loop, config Config, self membership.ID, seed uint64, requestLease RequestLease,
+) *Client {
+	client := &Client{
+		loop:         loop,
+		config:       config,
+		self:         self,
+		requestLease: requestLease,
+		balancer:     balancer.New(config.Balancer),
+		random:       rand.New(rand.NewPCG(seed, randomStream)),
+		services:     map[balancer.EndpointName]*service{},
+		leased:       map[balancer.EndpointName]*leasedLimit{},
+		onAvailable:  func() {},
+	}
 	if len(config.Addresses) > 0 {
-		var candidates []balancer.Endpoint
-		for _, addr := range config.Addresses {
-			client.services[balancer.EndpointName(addr)] = &endpoint{client: client, name: balancer.EndpointName(addr), address: addr}
-			candidates = append(candidates, balancer.Endpoint{Name: balancer.EndpointName(addr), Capacity: 1})
-		}
-		client.balancer.SetEndpoints(0, candidates)
+		client.addConfigured(config.Addresses)
 	}
 	return client
 }
 
-// OnAvailable is keep.Below.
-func (p *Client) OnAvailable(then func()) { p.onAvailable = then }
+func (c *Client) addConfigured(addrs []string) {
+	var endpoints []balancer.Endpoint
+	for _, addr := range addrs {
+		name := balancer.EndpointName(addr)
+		calls := fixedLimit{maxCalls: c.config.MaxCalls, maxDuration: c.config.MaxCallDuration}
+		c.services[name] = &service{name: name, addr: addr, calls: calls}
+		endpoints = append(endpoints, balancer.Endpoint{Name: name, Capacity: 1})
+	}
+	c.balancer.SetEndpoints(0, endpoints)
+}
+
+// OnAvailable implements server.Upstreams.
+func (c *Client) OnAvailable(callback func()) { c.onAvailable = callback }
 
-// Start begins to ask for calls.
-func (p *Client) Start() { p.requestLeases() }
+// Start begins to request leases.
+func (c *Client) Start() { c.requestLeases() }
 
-// SetView takes a view of the fleet: services that members stand beside. Danger: one that is gone from our view may
-// only be cut off from us, and what is open there goes on: what was granted is kept until its time is up.
-func (p *Client) SetView(view *membership.View) {
-	if len(p.config.Addresses) > 0 {
+// SetView takes a view of the fleet and, unless addresses are configured, the services that members stand beside. A
+// member that is missing from the view may only be cut off from us while its calls go on, so what was leased for it
+// is kept until it has expired.
+func (c *Client) SetView(view *membership.View) {
+	if len(c.config.Addresses) > 0 {
 		return
 	}
-	var candidates []balancer.Endpoint
+	var endpoints []balancer.Endpoint
 	present := map[balancer.EndpointName]bool{}
 	for member := range view.All() {
-		if member.Roles&membership.RoleUpstream == 0 || member.ServiceAddr == "" || !member.State.Available() && (member.State != membership.StateSuspect || view.LocalHealth.CanDeclareGone()) {
+		if !isCallable(member, view.LocalHealth) {
 			continue
 		}
 		name := balancer.EndpointName(member.Name)
 		present[name] = true
-		known := p.services[name]
-		if known == nil {
-			known = &endpoint{client: p, name: name, holder: &concurrencylease.Holder{ID: p.self, MaxUnleasedCalls: p.config.MaxCalls, MaxCallDuration: p.config.MaxCallDuration}}
-			p.services[name] = known
-		}
-		known.address, known.allocatorBootID = member.ServiceAddr, member.BootID
-		candidates = append(candidates, balancer.Endpoint{Name: name, Zone: member.Zone, Capacity: member.Capacity, WarmUp: member.WarmUp, WarmUpRemaining: member.WarmUpRemaining(view.PublishedAt), Suspect: member.State == membership.StateSuspect})
+		c.addMember(name, member)
+		endpoints = append(endpoints, balancer.Endpoint{
+			Name:            name,
+			Zone:            member.Zone,
+			Capacity:        member.Capacity,
+			WarmUp:          member.WarmUp,
+			WarmUpRemaining: member.WarmUpRemaining(view.PublishedAt),
+			Suspect:         member.State == membership.StateSuspect,
+		})
+	}
+	c.dropMissing(present)
+	c.balancer.SetEndpoints(c.loop.Now(), endpoints)
+	c.onAvailable()
+}
+
+// isCallable reports whether calls may go to the service beside a member. A suspect one gets calls while this process
+// cannot tell whether the member is gone or it is cut off itself.
+func isCallable(member membership.Member, health membership.LocalHealth) bool {
+	if member.Roles&membership.RoleUpstream == 0 || member.ServiceAddr == "" {
+		return false
 	}
-	for name, known := range p.services {
-		if !present[name] && known.openCalls == 0 && known.holder.Limit(p.loop.Now()) <= known.holder.UnleasedCalls {
-			delete(p.services, name)
+	return member.State.Available() || member.State == membership.StateSuspect && !health.CanDeclareGone()
+}
+
+// addMember adds the service beside a member, or takes over its present address and allocator.
+func (c *Client) addMember(name balancer.EndpointName, member membership.Member) {
+	known := c.services[name]
+	if known == nil {
+		leased := &leasedLimit{holder: &concurrencylease.Holder{
+			ID:               c.self,
+			MaxUnleasedCalls: c.config.MaxCalls,
+			MaxCallDuration:  c.config.MaxCallDuration,
+		}}
+		known = &service{name: name, calls: leased}
+		c.services[name] = known
+		c.leased[name] = leased
+	}
+	known.addr = member.ServiceAddr
+	known.allocatorBootID = member.BootID
+}
+
+// dropMissing forgets services that are not present and have neither open nor leased calls.
+func (c *Client) dropMissing(present map[balancer.EndpointName]bool) {
+	now := c.loop.Now()
+	for name, known := range c.services {
+		if !present[name] && known.openCalls == 0 && !known.calls.inUse(now) {
+			delete(c.services, name)
+			delete(c.leased, name)
 		}
 	}
-	p.balancer.SetEndpoints(p.loop.Now(), candidates)
-	p.onAvailable()
 }
 
-// Acquire is keep.Below.
-func (p *Client) Acquire(excludedAddr string, waiting int) server.UpstreamSlot {
-	now := p.loop.Now()
-	p.waitingCalls = waiting
-	i, found := p.balancer.Pick(now, p.random.Float64, func(i int) bool {
-		endpoint := p.services[p.balancer.NameAt(i)]
-		return endpoint == nil || endpoint.freeCapacity(now) <= 0 || endpoint.address == excludedAddr && p.balancer.Len() > 1
+// Acquire implements server.Upstreams.
+func (c *Client) Acquire(excludedAddr string, waiting int) server.UpstreamSlot {
+	now := c.loop.Now()
+	c.waitingCalls = waiting
+	onlyOne := c.balancer.Len() <= 1
+	i, found := c.balancer.Pick(now, c.random.Float64, func(i int) (excluded bool) {
+		candidate := c.services[c.balancer.NameAt(i)]
+		if candidate == nil || candidate.freeCapacity(now) <= 0 {
+			return true
+		}
+		return candidate.addr == excludedAddr && !onlyOne
 	})
 	if !found {
-		p.stats.atCapacity++
-		p.recordDemand(now)
+		c.recordWaiting(now)
 		return nil
 	}
-	endpoint := p.services[p.balancer.NameAt(i)]
-	p.balancer.RecordStart(now, i)
-	p.stats.started++
-	endpoint.openCalls++
-	if endpoint.holder != nil {
-		endpoint.holder.RecordDemand(now, endpoint.openCalls)
+	chosen := c.services[c.balancer.NameAt(i)]
+	c.balancer.RecordStart(now, i)
+	chosen.openCalls++
+	chosen.calls.recordDemand(now, chosen.openCalls)
+	c.waitingCalls = waiting - 1
+	return &reservation{
+		client:      c,
+		service:     chosen,
+		startedAt:   now,
+		maxDuration: chosen.calls.maxCallDuration(),
 	}
-	p.waitingCalls = waiting - 1
-	return &reservation{endpoint: endpoint, startedAt: now, maxDuration: endpoint.maxCallDuration()}
 }
 
-// recordDemand tells the services' desks that calls wait: what waits is wanted of all alike.
-func (p *Client) recordDemand(now time.Duration) {
-	leased := 0
-	for _, s := range p.services {
-		if s.holder != nil {
-			leased++
-		}
+// recordWaiting counts the calls that wait as wanted of all services with leases alike.
+func (c *Client) recordWaiting(now time.Duration) {
+	if len(c.leased) == 0 {
+		return
 	}
-	for _, s := range p.services {
-		if s.holder != nil {
-			s.holder.RecordDemand(now, s.openCalls+(p.waitingCalls+leased-1)/leased)
-		}
+	share := (c.waitingCalls + len(c.leased) - 1) / len(c.leased)
+	for name, leased := range c.leased {
+		leased.recordDemand(now, c.services[name].openCalls+share)
 	}
 }
 
-// requestLeases asks for calls whenever that is due.
-func (p *Client) requestLeases() {
-	now := p.loop.Now()
-	for _, s := range p.services {
-		if s.holder == nil {
-			continue
-		}
-		if now >= s.holder.NextRequestAt(now, p.waitingCalls > 0) {
-			p.requestLease(membership.Name(s.name), s.holder.NextRequest(now, s.allocatorBootID, s.openCalls))
+// requestLeases requests leases that are due, again and again.
+func (c *Client) requestLeases() {
+	now := c.loop.Now()
+	for name, leased := range c.leased {
+		known := c.services[name]
+		if now >= leased.holder.NextRequestAt(now, c.waitingCalls > 0) {
+			request := leased.holder.NextRequest(now, known.allocatorBootID, known.openCalls)
+			c.requestLease(membership.Name(name), request)
 		}
-		// A limit that ran out is told once, as one that was given.
-		s.logLimit(now)
+		leased.logChange(now, name, known.openCalls) // a lease that has expired is logged here
 	}
-	p.loop.ScheduleAt(now+10*time.Millisecond, p.requestLeases) // a hundredth of what a grant holds at the least
+	c.loop.ScheduleAt(now+leaseInterval, c.requestLeases)
 }
 
-// HandleLease takes an answer of a desk.
-func (p *Client) HandleLease(lease concurrencylease.Lease) {
-	now := p.loop.Now()
-	for _, s := range p.services {
-		if s.holder != nil && s.allocatorBootID == lease.AllocatorBootID && s.holder.Accept(lease) {
-			s.logLimit(now)
-			p.onAvailable()
+// HandleLease takes an allocator's answer.
+func (c *Client) HandleLease(lease concurrencylease.Lease) {
+	for name, leased := range c.leased {
+		known := c.services[name]
+		if known.allocatorBootID == lease.AllocatorBootID && leased.holder.Accept(lease) {
+			leased.logChange(c.loop.Now(), name, known.openCalls)
+			c.onAvailable()
 			return
 		}
 	}
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -12,7 +12,10 @@
 	"lanewheel/internal/server"
 )
 
-const testTimeout = 10 * time.Second
+const (
+	testTimeout = 10 * time.Second
+	maxSlots    = 9
+)
 
 // harness is a client on a running event loop.
 type harness struct {
@@ -72,11 +75,11 @@
 	}
 }
 
-// acquire takes as many slots as there are, up to a limit.
-func (h *harness) acquire(excludedAddr string, limit int) (slots []server.UpstreamSlot) {
+// acquire takes all slots that there are, fewer than maxSlots in each test.
+func (h *harness) acquire(excludedAddr string) (slots []server.UpstreamSlot) {
 	h.t.Helper()
 	h.do(func() {
-		for len(slots) < limit {
+		for len(slots) < maxSlots {
 			slot := h.client.Acquire(excludedAddr, 1)
 			if slot == nil {
 				return
@@ -108,7 +111,7 @@
 // Configured services take MaxCalls each; a slot that is released is available again.
 func TestConfiguredServices(t *testing.T) {
 	h := newHarness(t, Config{Addresses: []string{"a:1", "b:1"}, MaxCalls: 2, MaxCallDuration: time.Minute})
-	slots := h.acquire("", 9)
+	slots := h.acquire("")
 	if counts := countByAddr(slots); len(slots) != 4 || counts["a:1"] != 2 || counts["b:1"] != 2 {
 		t.Fatalf("calls by service: %v, want 2 each", counts)
 	}
@@ -117,7 +120,7 @@
 	}
 	h.do(func() { slots[0].Release(admission.Succeeded, false) })
 	h.awaitAvailable()
-	if again := h.acquire("", 9); len(again) != 1 || again[0].Addr() != slots[0].Addr() {
+	if again := h.acquire(""); len(again) != 1 || again[0].Addr() != slots[0].Addr() {
 		t.Errorf("after one release: %v", countByAddr(again))
 	}
 }
@@ -125,11 +128,11 @@
 // A service that refused a call is not chosen for it again, unless it is the only one.
 func TestExcludedService(t *testing.T) {
 	config := Config{Addresses: []string{"a:1", "b:1"}, MaxCalls: 3, MaxCallDuration: time.Minute}
-	if counts := countByAddr(newHarness(t, config).acquire("a:1", 9)); counts["a:1"] != 0 || counts["b:1"] != 3 {
+	if counts := countByAddr(newHarness(t, config).acquire("a:1")); counts["a:1"] != 0 || counts["b:1"] != 3 {
 		t.Errorf("calls by service: %v, want 3 at b:1 alone", counts)
 	}
 	config.Addresses = []string{"a:1"}
-	if counts := countByAddr(newHarness(t, config).acquire("a:1", 9)); counts["a:1"] != 3 {
+	if counts := countByAddr(newHarness(t, config).acquire("a:1")); counts["a:1"] != 3 {
 		t.Errorf("calls by service: %v, want 3 at a:1", counts)
 	}
 }
@@ -139,19 +142,19 @@
 	const longest = 200 * time.Millisecond
 	h := newHarness(t, Config{Addresses: []string{"a:1"}, MaxCalls: 1, MaxCallDuration: longest})
 	startedAt := time.Now()
-	slots := h.acquire("", 9)
+	slots := h.acquire("")
 	if len(slots) != 1 {
 		t.Fatalf("%d slots, want 1", len(slots))
 	}
 	h.do(func() { slots[0].Release(admission.TimedOut, true) })
-	if early := h.acquire("", 9); len(early) != 0 && time.Since(startedAt) < longest {
+	if early := h.acquire(""); len(early) != 0 && time.Since(startedAt) < longest {
 		t.Error("a call that may be running does not count")
 	}
 	h.awaitAvailable()
 	if elapsed := time.Since(startedAt); elapsed < longest-10*time.Millisecond {
 		t.Errorf("available after %v", elapsed)
 	}
-	if late := h.acquire("", 9); len(late) != 1 {
+	if late := h.acquire(""); len(late) != 1 {
 		t.Errorf("%d slots after the call is over, want 1", len(late))
 	}
 }
@@ -206,7 +209,7 @@
 	view := upstreamTable(membership.DefaultConfig(), 7).View()
 	h.do(func() { h.client.SetView(view) })
 	h.awaitAvailable()
-	if slots := h.acquire("", 9); len(slots) != 0 {
+	if slots := h.acquire(""); len(slots) != 0 {
 		t.Fatalf("%d calls without a lease", len(slots))
 	}
 	h.do(h.client.Start)
@@ -215,12 +218,12 @@
 		t.Errorf("requested %+v, though a call waits", request)
 	}
 	h.do(func() { h.client.HandleLease(leaseFor(request, 8, 3)) })
-	if slots := h.acquire("", 9); len(slots) != 0 {
+	if slots := h.acquire(""); len(slots) != 0 {
 		t.Fatalf("%d calls by a lease of another allocator", len(slots))
 	}
 	h.do(func() { h.client.HandleLease(leaseFor(request, 7, 3)) })
 	h.awaitAvailable()
-	slots := h.acquire("", 9)
+	slots := h.acquire("")
 	if len(slots) != 4 { // 3 by the lease and 1 without
 		t.Fatalf("%d calls, want 4", len(slots))
 	}
@@ -234,11 +237,11 @@
 		}
 		h.client.SetView(empty)
 	})
-	if gone := h.acquire("", 9); len(gone) != 0 {
+	if gone := h.acquire(""); len(gone) != 0 {
 		t.Errorf("%d calls to a service that no member stands beside", len(gone))
 	}
 	h.do(func() { h.client.SetView(view) })
-	if back := h.acquire("", 9); len(back) != 4 {
+	if back := h.acquire(""); len(back) != 4 {
 		t.Errorf("%d calls once it is back, want 4", len(back))
 	}
 }
@@ -284,7 +287,7 @@
 			}
 			lease := leaseFor(h.nextRequest(), 7, 3)
 			h.do(func() { h.client.HandleLease(lease) })
-			if slots := h.acquire("", 9); len(slots) != 4 {
+			if slots := h.acquire(""); len(slots) != 4 {
 				t.Errorf("%d calls, want 4", len(slots))
 			}
 		})
--- a/internal/upstream/reservation.go
+++ b/internal/upstream/reservation.go
@@ -7,38 +7,51 @@
 	"lanewheel/internal/balancer"
 )
 
-// reservation is a call's at one service: a keep.Place.
+// reservation is one call's place at a service. It implements server.UpstreamSlot and belongs to the client's event
+// loop.
 type reservation struct {
-	endpoint    *endpoint
+	client      *Client
+	service     *service
 	startedAt   time.Duration
 	maxDuration time.Duration
 }
 
-func (c *reservation) Addr() string { return c.endpoint.address }
+// Addr implements server.UpstreamSlot.
+func (r *reservation) Addr() string { return r.service.addr }
 
-func (c *reservation) MaxDuration() time.Duration { return c.maxDuration }
+// MaxDuration implements server.UpstreamSlot.
+func (r *reservation) MaxDuration() time.Duration { return r.maxDuration }
 
-var balancerOutcomes = map[admission.Outcome]balancer.Outcome{admission.Succeeded: balancer.Succeeded, admission.Rejected: balancer.Rejected, admission.Failed: balancer.Failed}
-
-// Release is keep.Place. What may be running on counts until its time there is up. Danger: who gives a call up and
-// makes another at once has two running below.
-func (c *reservation) Release(outcome admission.Outcome, stillRunning bool) {
-	client, now := c.endpoint.client, c.endpoint.client.loop.Now()
-	result, known := balancerOutcomes[outcome]
-	if !known {
-		result = balancer.NoResponse
-	}
-	client.balancer.RecordOutcome(now, c.endpoint.name, result, now-c.startedAt)
+// Release implements server.UpstreamSlot. A call that may still be running at the service counts until the longest
+// that a call takes is over: one that is abandoned and made again has two calls running there.
+func (r *reservation) Release(outcome admission.Outcome, stillRunning bool) {
+	now := r.client.loop.Now()
+	r.client.balancer.RecordOutcome(now, r.service.name, balancerOutcome(outcome), now-r.startedAt)
 	if !stillRunning {
-		c.finish()
+		r.finish()
 		return
 	}
-	client.stats.abandoned++
-	client.loop.ScheduleAt(max(now, c.startedAt+c.maxDuration), c.finish)
+	r.client.loop.ScheduleAt(max(now, r.startedAt+r.maxDuration), r.finish)
 }
 
-func (c *reservation) finish() {
-	c.endpoint.openCalls--
-	// What waits is given the room in a turn of its own: whoever gives it back is in the middle of something.
-	c.endpoint.client.loop.ScheduleAt(c.endpoint.client.loop.Now(), c.endpoint.client.onAvailable)
+// finish frees the place. What waits for it is served in a turn of its own, as whoever released it is in the middle of
+// something.
+func (r *reservation) finish() {
+	r.service.openCalls--
+	loop := r.client.loop
+	loop.ScheduleAt(loop.Now(), r.client.onAvailable)
+}
+
+// balancerOutcome is what an outcome says of the service; one that says nothing of it counts as no response.
+func balancerOutcome(outcome admission.Outcome) balancer.Outcome {
+	switch outcome {
+	case admission.Succeeded:
+		return balancer.Succeeded
+	case admission.Rejected:
+		return balancer.Rejected
+	case admission.Failed:
+		return balancer.Failed
+	default:
+		return balancer.NoResponse
+	}
 }
