--- a/internal/fleet/coordinator/client/client.go
+++ b/internal/fleet/coordinator/client/client.go
@@ -1,5 +1,5 @@
-// Package client is how stewards are spoken to: the proof that both sides have the cluster's key, questions and answers as lines of JSON, and a client that
-// finds the one that leads.
+// Package client is how coordinators are spoken to: the handshake by which both sides prove that they have the
+// cluster's key, requests and responses as lines of JSON, and a client that finds the leader.
 package client
 
 import (
@@ -11,56 +11,74 @@
 	"lanewheel/internal/membership"
 )
 
-// ErrNoQuorum is that there is nobody to agree with.
-var ErrNoQuorum = errors.New("no majority of stewards")
+// ErrNoCoordinators is that a client has no address to ask.
+var ErrNoCoordinators = errors.New("no coordinator address is configured")
 
-// Client asks stewards, whichever leads.
+const (
+	dialTimeout     = time.Second
+	maxRetryBackoff = 200 * time.Millisecond
+)
+
+// Client asks the coordinators, whichever leads. It holds no connection and may be used from any goroutine.
 type Client struct {
-	Coordinators []string
+	Coordinators []string // addresses
 	Keys         []membership.Key
-	LocalIP      string
-	Timeout      time.Duration // until it gives up
+	LocalIP      string        // address to dial from, empty for any
+	Timeout      time.Duration // no attempt begins later
 }
 
-// Do asks until one that may answer does. A question that changes something has a key, so that it may be asked twice.
-func (k Client) Do(request Request) (Response, error) {
-	deadline := time.Now().Add(k.Timeout)
-	lastErr := errors.New("no steward is told")
+// Do asks one coordinator after the other until one that may answer does; it blocks. A request that changes something
+// must have an idempotency key, since it may be carried out without an answer and asked again. The error is
+// ErrNoQuorum, ErrNoCoordinators, ErrUnauthenticated or that of the last connection; what the coordinator refused is
+// in the response.
+func (c Client) Do(request Request) (Response, error) {
+	deadline := time.Now().Add(c.Timeout)
+	lastErr := ErrNoCoordinators
 	redirect := ""
-	for attempt := 0; time.Now().Before(deadline) && len(k.Coordinators) > 0; attempt++ {
-		addr := k.Coordinators[attempt%len(k.Coordinators)]
+	for attempt := 0; time.Now().Before(deadline) && len(c.Coordinators) > 0; attempt++ {
+		addr := c.Coordinators[attempt%len(c.Coordinators)]
 		if redirect != "" {
-			addr, redirect = redirect, ""
+			addr = redirect
+			redirect = ""
 		}
-		response, err := k.roundTrip(addr, request)
+		response, err := c.roundTrip(addr, request)
 		switch {
+		case errors.Is(err, ErrUnauthenticated): // the other coordinators have the same keys
+			return response, fmt.Errorf("%s: %w", addr, err)
 		case err != nil:
 			lastErr = fmt.Errorf("%s: %w", addr, err)
-			if errors.Is(err, ErrUnauthenticated) {
-				return response, lastErr
-			}
 		case response.Leader != "" && response.Leader != addr:
 			redirect = response.Leader
-			lastErr = fmt.Errorf("%s says that %s leads", addr, response.Leader)
-		case response.Error != "" && response.Error == ErrNoQuorum.Error():
+			lastErr = fmt.Errorf("%s: the leader is %s", addr, response.Leader)
+		case errors.Is(response.Err(), ErrNoQuorum):
 			lastErr = fmt.Errorf("%s: %w", addr, ErrNoQuorum)
 		default:
 			return response, nil
 		}
-		time.Sleep(min(200*time.Millisecond, time.Duration(attempt)*50*time.Millisecond))
+		time.Sleep(retryBackoff(attempt))
 	}
 	return Response{}, lastErr
 }
 
-func (k Client) roundTrip(addr string, request Request) (response Response, err error) {
-	conn, err := Dial(addr, k.LocalIP, k.Keys, ClientConnection, time.Second)
+// retryBackoff is the pause after an attempt, counted from 0.
+func retryBackoff(attempt int) time.Duration {
+	return min(maxRetryBackoff, time.Duration(attempt)*50*time.Millisecond)
+}
+
+func (c Client) roundTrip(addr string, request Request) (Response, error) {
+	dialer := Dialer{Keys: c.Keys, LocalIP: c.LocalIP, Timeout: dialTimeout}
+	conn, err := dialer.Dial(addr, ClientConnection)
 	if err != nil {
-		return response, err
+		return Response{}, err
+	}
+	defer func() { _ = conn.Close() }() // the response is read whole or not at all
+	if err := conn.SetDeadline(time.Now().Add(RequestTimeout)); err != nil {
+		return Response{}, err
 	}
-	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(RequestTimeout))
 	if err := json.NewEncoder(conn).Encode(request); err != nil {
-		return response, err
+		return Response{}, err
 	}
-	return response, json.NewDecoder(conn).Decode(&response)
+	var response Response
+	err = json.NewDecoder(conn).Decode(&response)
+	return response, err
 }
--- /dev/null
+++ b/internal/fleet/coordinator/client/client_test.go
@@ -0,0 +1,142 @@
+package client
+
+import (
+	"bufio"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"reflect"
+	"testing"
+	"time"
+
+	"lanewheel/internal/membership"
+)
+
+// fakeCoordinator answers requests behind the documented handshake.
+type fakeCoordinator struct {
+	addr     string
+	requests chan string // lines as they were received
+}
+
+// newFakeCoordinator starts one until the end of the test; answer makes the line that answers a request.
+func newFakeCoordinator(t *testing.T, answer func(request string) string) *fakeCoordinator {
+	t.Helper()
+	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() })
+	server := &fakeCoordinator{addr: listener.Addr().String(), requests: make(chan string, 16)}
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			server.requests <- serveOne(conn, answer)
+			_ = conn.Close()
+		}
+	}()
+	return server
+}
+
+func serveOne(conn net.Conn, answer func(string) string) string {
+	kind, err := documentedListener(conn, clusterKey)
+	if err != nil || kind != 'o' {
+		return fmt.Sprint(string(kind), err)
+	}
+	line, _ := bufio.NewReader(conn).ReadString('\n') // the test compares what came
+	_, _ = io.WriteString(conn, answer(line)+"\n")    // a client that is gone is no fault here
+	return line
+}
+
+func (s *fakeCoordinator) client() Client {
+	return Client{Coordinators: []string{s.addr}, Keys: []membership.Key{clusterKey}, Timeout: 5 * time.Second}
+}
+
+func responseLine(response Response) string {
+	text, err := json.Marshal(response)
+	if err != nil {
+		panic(err)
+	}
+	return string(text)
+}
+
+// A client follows the word of a coordinator that does not lead, and asks on where there is no quorum yet.
+func TestDoFindsLeader(t *testing.T) {
+	answers := []Response{{Error: ErrNoQuorum.Error()}, {Reply: &goldenReply}}
+	leader := newFakeCoordinator(t, func(string) string {
+		response := answers[0]
+		answers = answers[1:]
+		return responseLine(response)
+	})
+	follower := newFakeCoordinator(t, func(string) string { return responseLine(Response{Leader: leader.addr}) })
+	response, err := follower.client().Do(Request{Command: &goldenCommand})
+	if err != nil || !reflect.DeepEqual(response.Reply, &goldenReply) {
+		t.Errorf("%+v, %v", response, err)
+	}
+	if count := len(leader.requests); count != 2 {
+		t.Errorf("the leader got %d requests, want 2", count)
+	}
+}
+
+// What a coordinator refuses is in its response; a client without an address, a key or a quorum returns an error to
+// decide by.
+func TestDoErrors(t *testing.T) {
+	if _, err := (Client{Timeout: time.Second}).Do(Request{Status: true}); !errors.Is(err, ErrNoCoordinators) {
+		t.Errorf("without an address: %v", err)
+	}
+	refusing := newFakeCoordinator(t, func(string) string { return responseLine(Response{Error: "a reason"}) })
+	response, err := refusing.client().Do(Request{RemoveCoordinator: "s9"})
+	if err != nil || response.Err() != RemoteError("a reason") { //nolint:errorlint // the very value
+		t.Errorf("refused: %+v, %v", response, err)
+	}
+	electing := newFakeCoordinator(t, func(string) string { return responseLine(Response{Error: ErrNoQuorum.Error()}) })
+	client := electing.client()
+	client.Timeout = 100 * time.Millisecond
+	if _, err := client.Do(Request{Status: true}); !errors.Is(err, ErrNoQuorum) {
+		t.Errorf("without a quorum: %v", err)
+	}
+	client = electing.client()
+	client.Keys = []membership.Key{membership.Key("another key of as many bytes....")}
+	if _, err := client.Do(Request{Status: true}); !errors.Is(err, ErrUnauthenticated) {
+		t.Errorf("with another key: %v", err)
+	}
+}
+
+// A dialer goes out by the address that it is given.
+func TestDialLocalIP(t *testing.T) {
+	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = listener.Close() }()
+	from := make(chan string, 1)
+	go func() {
+		conn, err := listener.Accept()
+		if err != nil {
+			from <- err.Error()
+			return
+		}
+		from <- conn.RemoteAddr().(*net.TCPAddr).IP.String()
+		_ = conn.Close()
+	}()
+	dialer := Dialer{Keys: []membership.Key{clusterKey}, LocalIP: "127.0.0.2", Timeout: time.Second}
+	if _, err := dialer.Dial(listener.Addr().String(), ClientConnection); err == nil {
+		t.Error("a listener that says nothing was taken for a coordinator")
+	}
+	if got := <-from; got != "127.0.0.2" {
+		t.Errorf("dialed from %s", got)
+	}
+}
+
+// The pause between attempts grows to a bound.
+func TestRetryBackoff(t *testing.T) {
+	for attempt, want := range []time.Duration{0, 50, 100, 150, 200, 200} {
+		if got := retryBackoff(attempt); got != want*time.Millisecond {
+			t.Errorf("attempt %d: %v, want %v", attempt, got, want*time.Millisecond)
+		}
+	}
+}
--- /dev/null
+++ b/internal/fleet/coordinator/client/handshake_test.go
@@ -0,0 +1,109 @@
+package client
+
+import (
+	"crypto/hmac"
+	"crypto/sha256"
+	"encoding/hex"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"testing"
+
+	"lanewheel/internal/membership"
+)
+
+// documentedListener proves the key as a coordinator does, written out: 16 bytes of each side's, the kind, and
+// HMAC-SHA256 over a side's letter, the listener's bytes, the dialer's bytes and the kind.
+func documentedListener(conn net.Conn, key []byte) (kind byte, err error) {
+	own := []byte("listener's bytes")
+	theirs := make([]byte, 16)
+	if _, err := io.ReadFull(conn, theirs); err != nil {
+		return 0, err
+	}
+	if _, err := conn.Write(own); err != nil {
+		return 0, err
+	}
+	proof := make([]byte, 33)
+	if _, err := io.ReadFull(conn, proof); err != nil {
+		return 0, err
+	}
+	if !hmac.Equal(proof[1:], mac(key, "d"+string(own)+string(theirs)+string(proof[:1]))) {
+		return 0, errors.New("a proof by other steps")
+	}
+	_, err = conn.Write(mac(key, "l"+string(own)+string(theirs)+string(proof[:1])))
+	return proof[0], err
+}
+
+func mac(key []byte, text string) []byte {
+	h := hmac.New(sha256.New, key)
+	h.Write([]byte(text))
+	return h.Sum(nil)
+}
+
+// The MACs of both sides, and the letters that they begin with.
+func TestHandshakeGolden(t *testing.T) {
+	const want = "d2b5fc6ec5591b99529923fc42469d4f235c0081d186a6f9249ec08b2bbd9c2f"
+	got := hex.EncodeToString(handshakeMAC(clusterKey, 'd', []byte("listener's bytesdialer's bytes..o")))
+	if got != want {
+		t.Errorf("%s, want %s", got, want)
+	}
+	if PeerConnection != 'r' || ClientConnection != 'o' {
+		t.Error(PeerConnection, ClientConnection)
+	}
+	for _, kind := range []ConnectionKind{PeerConnection, ClientConnection} {
+		checkServerHandshake(t, kind)
+	}
+}
+
+// checkServerHandshake dials by the documented steps, with the second of the listener's keys.
+func checkServerHandshake(t *testing.T, kind ConnectionKind) {
+	t.Helper()
+	listener, dialer := net.Pipe()
+	defer func() { _, _ = listener.Close(), dialer.Close() }()
+	done := make(chan error, 1)
+	go func() {
+		keys := []membership.Key{membership.Key("another key of as many bytes...."), clusterKey}
+		got, err := ServerHandshake(listener, keys)
+		if err == nil && got != kind {
+			err = fmt.Errorf("taken for %q", got)
+		}
+		done <- err
+	}()
+	own, theirs := []byte("dialer's bytes.."), make([]byte, 16)
+	if _, err := dialer.Write(own); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := io.ReadFull(dialer, theirs); err != nil {
+		t.Fatal(err)
+	}
+	both := string(theirs) + string(own) + string(byte(kind))
+	if _, err := dialer.Write(append([]byte{byte(kind)}, mac(clusterKey, "d"+both)...)); err != nil {
+		t.Fatal(err)
+	}
+	proof := make([]byte, 32)
+	if _, err := io.ReadFull(dialer, proof); err != nil || !hmac.Equal(proof, mac(clusterKey, "l"+both)) {
+		t.Error("a proof by other steps", err)
+	}
+	if err := <-done; err != nil {
+		t.Error(err)
+	}
+}
+
+// A side without the key gets nothing: neither the dialer's request nor the listener's answer.
+func TestHandshakeOtherKey(t *testing.T) {
+	listener, dialer := net.Pipe()
+	refused := make(chan error, 1)
+	go func() {
+		_, err := ServerHandshake(listener, []membership.Key{clusterKey})
+		refused <- errors.Join(err, listener.Close())
+	}()
+	other := []membership.Key{membership.Key("another key of as many bytes....")}
+	if err := clientHandshake(dialer, other, ClientConnection); !errors.Is(err, ErrUnauthenticated) {
+		t.Errorf("dialer: %v", err)
+	}
+	if err := <-refused; !errors.Is(err, ErrUnauthenticated) {
+		t.Errorf("listener: %v", err)
+	}
+	_ = dialer.Close()
+}
--- a/internal/fleet/coordinator/streamlayer.go
+++ b/internal/fleet/coordinator/streamlayer.go
@@ -92,7 +92,7 @@
 
 // Dial is raft.StreamLayer.
 func (x *streamLayer) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	return client.Dial(string(addr), x.coordinator.config.LocalIP, x.coordinator.loadClusterKeys(), client.PeerConnection, timeout)
+	return client.Dialer{Keys: x.coordinator.loadClusterKeys(), LocalIP: x.coordinator.config.LocalIP, Timeout: timeout}.Dial(string(addr), client.PeerConnection)
 }
 
 // serveRequest answers one question.
