--- a/internal/fleet/coordinator/analysis.go
+++ b/internal/fleet/coordinator/analysis.go
@@ -1,11 +1,11 @@
 package coordinator
 
 import (
-	"fmt"
 	"log/slog"
 	"maps"
 	"math/rand/v2"
 	"slices"
+	"sync"
 	"time"
 
 	"lanewheel/internal/coordination"
@@ -14,95 +14,182 @@
 	"lanewheel/internal/membership"
 )
 
+const (
+	// verdictRequester is who requests a verdict, as the history has it.
+	verdictRequester = "the judgement"
+	// permitGrace is how long after a permit has ended a new incarnation counts as started by it.
+	permitGrace = 10 * time.Second
+)
+
+// waveKey names a wave of a rollout. The zero value is none.
+type waveKey struct {
+	rollout     string
+	wave        int
+	requestedBy string
+}
+
+// waveAnalysis gathers what the members of both releases do during a wave, window by window. It is owned by leadLoop
+// but for what mu guards.
+type waveAnalysis struct {
+	wave        waveKey
+	analysis    *canary.Analysis
+	windowStart time.Time
+
+	mu       sync.Mutex
+	previous statsByMember // guarded by mu: as of the window before
+	current  statsByMember // guarded by mu: answers of this window
+}
+
+// statsByMember is what members have done since their start.
+type statsByMember map[coordination.Name]memberStats
+
 type memberStats struct {
 	incarnation membership.Incarnation
 	gossip.RequestStats
 }
 
-// analyzeWave gathers what the new release and the old one do at the same time, window by window, and gives the verdict once there is one.
+// start begins the analysis of a wave.
+func (a *waveAnalysis) start(wave waveKey, config canary.Config) {
+	a.wave = wave
+	a.analysis = canary.New(config)
+	a.windowStart = time.Now()
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.previous = nil
+	a.current = statsByMember{}
+}
+
+// nextWindow ends a window and returns the stats as of the one before and as of this one.
+func (a *waveAnalysis) nextWindow() (previous, current statsByMember) {
+	a.windowStart = time.Now()
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	previous, current = a.previous, a.current
+	a.previous = current
+	a.current = statsByMember{}
+	return previous, current
+}
+
+// record takes in a member's answer. It may be called from any goroutine.
+func (a *waveAnalysis) record(name coordination.Name, stats memberStats) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.current[name] = stats
+}
+
+// sampleBetween sums up what a group has done between two windows. A member counts if the same incarnation answered
+// both.
+func sampleBetween(previous, current statsByMember, group []coordination.Observation) canary.Sample {
+	var sample canary.Sample
+	totalSeconds := 0.0
+	for _, member := range group {
+		earlier, later := previous[member.Name], current[member.Name]
+		isSame := earlier.incarnation == later.incarnation && earlier.incarnation != 0
+		if !isSame || later.Finished < earlier.Finished {
+			continue
+		}
+		sample.Requests += later.Finished - earlier.Finished
+		sample.OnTime += later.WithinObjective - earlier.WithinObjective
+		totalSeconds += later.TotalSeconds - earlier.TotalSeconds
+	}
+	if sample.Requests > 0 {
+		sample.MeanSeconds = totalSeconds / sample.Requests
+	}
+	return sample
+}
+
+// analyzeWave compares what the new release and the old one do at the same time, and has the verdict agreed on once
+// there is one.
 func (s *Coordinator) analyzeWave(rollout *coordination.Rollout) {
-	lead := s.leadership
-	wave := fmt.Sprint(rollout.Name, " ", rollout.Wave, " ", rollout.RequestedBy)
-	if lead.analyzedWave != wave {
-		lead.analyzedWave, lead.analysis, lead.windowStart, lead.previousStats, lead.currentStats = wave, canary.New(s.config.Canary), time.Now(), nil, map[coordination.Name]memberStats{}
+	analysis := &s.leadership.analysis
+	wave := waveKey{rollout: rollout.Name, wave: rollout.Wave, requestedBy: rollout.RequestedBy}
+	if analysis.wave != wave {
+		analysis.start(wave, s.config.Canary)
 	}
-	if time.Since(lead.windowStart) < s.config.AnalysisWindow {
+	if time.Since(analysis.windowStart) < s.config.AnalysisWindow {
 		return
 	}
-	lead.windowStart = time.Now()
-	lead.mu.Lock()
-	previous, current := lead.previousStats, lead.currentStats
-	lead.previousStats, lead.currentStats = current, map[coordination.Name]memberStats{}
-	lead.mu.Unlock()
-	var canaryMembers, baselineMembers []coordination.Observation
-	crashes := 0
+	previous, current := analysis.nextWindow()
+	groups := s.groupMembers(rollout)
+	sample := sampleBetween(previous, current, groups.canary)
+	sample.Crashes = groups.crashes
+	analysis.analysis.Add(sample, sampleBetween(previous, current, groups.baseline))
+	s.queryStats(groups.canary)
+	s.queryStats(groups.baseline)
+	s.proposeVerdict(rollout, analysis.analysis.Result())
+}
+
+// releaseGroups are the members that a rollout is meant for.
+type releaseGroups struct {
+	canary   []coordination.Observation // on the new release
+	baseline []coordination.Observation
+	crashes  int // members of canary that have come back since the window before without a permit
+}
+
+func (s *Coordinator) groupMembers(rollout *coordination.Rollout) releaseGroups {
+	lead := s.leadership
+	var groups releaseGroups
 	for _, name := range slices.Sorted(maps.Keys(lead.reported)) {
-		observation := lead.reported[name]
-		if !rollout.AppliesTo(observation) {
+		member := lead.reported[name]
+		if !rollout.AppliesTo(member) {
 			continue
 		}
-		if observation.Release == rollout.TargetRelease {
-			// One that is there under a later life without a permit has ended by itself.
-			if previousIncarnation := lead.canaryIncarnations[name]; previousIncarnation != 0 && observation.Incarnation != previousIncarnation && !s.hadPermit(name) {
-				crashes++
-			}
-			lead.canaryIncarnations[name] = observation.Incarnation
-			canaryMembers = append(canaryMembers, observation)
-		} else {
-			baselineMembers = append(baselineMembers, observation)
-		}
-	}
-	sumStats := func(group []coordination.Observation) (sample canary.Sample) {
-		totalSeconds := 0.0
-		for _, observation := range group {
-			earlier, later := previous[observation.Name], current[observation.Name]
-			if earlier.incarnation != later.incarnation || earlier.incarnation == 0 || later.Finished < earlier.Finished {
-				continue
-			}
-			sample.Requests += later.Finished - earlier.Finished
-			sample.OnTime += later.WithinObjective - earlier.WithinObjective
-			totalSeconds += later.TotalSeconds - earlier.TotalSeconds
+		if member.Release != rollout.TargetRelease {
+			groups.baseline = append(groups.baseline, member)
+			continue
 		}
-		if sample.Requests > 0 {
-			sample.MeanSeconds = totalSeconds / sample.Requests
+		groups.canary = append(groups.canary, member)
+		before := lead.canaryIncarnations[name]
+		if before != 0 && member.Incarnation != before && !s.hadPermit(name) {
+			groups.crashes++
 		}
-		return sample
+		lead.canaryIncarnations[name] = member.Incarnation
 	}
-	sample := sumStats(canaryMembers)
-	sample.Crashes = crashes
-	lead.analysis.Add(sample, sumStats(baselineMembers))
-	for _, group := range [][]coordination.Observation{canaryMembers, baselineMembers} {
-		for i, at := range rand.Perm(len(group)) {
-			if i >= s.config.SampleSize {
-				break
-			}
-			observation := group[at]
-			s.fleet.QueryStats(observation.Name, func(stats gossip.RequestStats) {
-				lead.mu.Lock()
-				lead.currentStats[observation.Name] = memberStats{observation.Incarnation, stats}
-				lead.mu.Unlock()
-			})
-		}
+	return groups
+}
+
+// queryStats asks some members of a group, drawn anew for each window, what they have done.
+func (s *Coordinator) queryStats(group []coordination.Observation) {
+	analysis := &s.leadership.analysis
+	order := rand.Perm(len(group))
+	for _, i := range order[:min(len(order), max(0, s.config.SampleSize))] {
+		member := group[i]
+		s.fleet.QueryStats(member.Name, func(stats gossip.RequestStats) {
+			analysis.record(member.Name, memberStats{member.Incarnation, stats})
+		})
 	}
-	result := lead.analysis.Result()
-	verdict, reason := result.Verdict, result.Reason
-	if verdict == canary.Inconclusive || verdict == canary.Passed && rollout.Phase != coordination.RolloutAnalyzing {
+}
+
+// proposeVerdict has a verdict agreed on. A wave can fail at any time, and passes only once it is updated whole.
+func (s *Coordinator) proposeVerdict(rollout *coordination.Rollout, result canary.Result) {
+	isWhole := rollout.Phase == coordination.RolloutAnalyzing
+	if result.Verdict == canary.Inconclusive || result.Verdict == canary.Passed && !isWhole {
 		return
 	}
-	reply, err := s.propose(coordination.Command{Kind: coordination.KindCanaryVerdict, RequestedBy: "the judgement", RolloutName: rollout.Name, Wave: rollout.Wave, Healthy: verdict == canary.Passed, Reason: reason})
-	if err == nil && reply.OK {
-		slog.Info("canary verdict", "rollout", rollout.Name, "wave", rollout.Wave+1, "verdict", verdict.String(), "reason", reason)
-		lead.analyzedWave = ""
+	reply, err := s.propose(coordination.Command{
+		Kind:        coordination.KindCanaryVerdict,
+		RequestedBy: verdictRequester,
+		RolloutName: rollout.Name,
+		Wave:        rollout.Wave,
+		Healthy:     result.Verdict == canary.Passed,
+		Reason:      result.Reason,
+	})
+	if err != nil || !reply.OK { // the next window comes to a verdict again
+		return
 	}
+	slog.Info("canary verdict", "rollout", rollout.Name, "wave", rollout.Wave+1,
+		"verdict", result.Verdict.String(), "reason", result.Reason)
+	s.leadership.analysis.wave = waveKey{}
 }
 
-func (s *Coordinator) hadPermit(name coordination.Name) (yes bool) {
+// hadPermit tells whether a member has a permit or had one a short time ago.
+func (s *Coordinator) hadPermit(name coordination.Name) (had bool) {
 	s.replica.inspect(func(state *coordination.State) {
 		member := state.Members[name]
-		yes = member != nil && member.PermitID > 0
+		had = member != nil && member.PermitID > 0
 		for _, permit := range state.EndedPermits {
-			yes = yes || permit.Member == name && state.Now-permit.StageSince < 10*time.Second
+			had = had || permit.Member == name && state.Now-permit.StageSince < permitGrace
 		}
 	})
-	return yes
+	return had
 }
--- a/internal/fleet/coordinator/coordinator.go
+++ b/internal/fleet/coordinator/coordinator.go
@@ -1,7 +1,10 @@
+// Package coordinator is one of the few processes that hold what the fleet has agreed: the state of
+// internal/coordination, replicated by hashicorp/raft with a log and snapshots on disk. The leader observes the
+// fleet's members and advances permits and rollouts; any coordinator answers operators.
 package coordinator
 
 import (
-	"errors"
+	"context"
 	"log/slog"
 	"math/rand/v2"
 	"net"
@@ -11,62 +14,67 @@
 
 	"lanewheel/internal/coordination"
 	"lanewheel/internal/fleet/coordinator/client"
+	"lanewheel/internal/fleet/coordinator/config"
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/membership"
 )
 
-// Fleet is how a steward sees and reaches the others.
+// Config is the configuration of a coordinator.
+type Config = coordinatorconfig.Config
+
+// Fleet is how a coordinator sees and reaches the members. Its methods do not block and are called from any goroutine.
 type Fleet interface {
 	View() *membership.View
-	// Nudge tells a member that it has a permit, and of the one that has begun that it has.
-	NotifyPermit(name membership.Name, of membership.Incarnation, number uint64, begun bool)
-	// Figures asks a member what it has done since its start; then may never be called, or on any goroutine.
+	// NotifyPermit tells an incarnation of a member that it holds a permit, or that the one it holds has begun.
+	NotifyPermit(name membership.Name, incarnation membership.Incarnation, permitID uint64, begun bool)
+	// QueryStats asks a member what it has done since its start; then may never be called, or on any goroutine.
 	QueryStats(name membership.Name, then func(gossip.RequestStats))
 }
 
-// Coordinator is one of those that hold what is agreed.
+// Coordinator is one of the processes that hold what is agreed. Its exported methods may be called from any goroutine.
 type Coordinator struct {
-	config              Config
-	replica             *replica
-	fleet               Fleet
-	streamLayer         *streamLayer
-	rejectedConnections atomic.Uint64
-	clusterKeys         atomic.Pointer[[]membership.Key]
-	closed              chan struct{}
-	loops               sync.WaitGroup
-	shutdownOnce        sync.Once
-	startedAt           time.Time
-	shuttingDown        atomic.Bool
-
-	leadership *leadership // nil while another leads; the leading goroutine's
+	config       Config
+	replica      *replica
+	streamLayer  *streamLayer
+	fleet        Fleet     // set by Serve, before its loops start
+	startedAt    time.Time // what LeaderTime of its commands counts from
+	clusterKeys  atomic.Pointer[[]membership.Key]
+	shuttingDown atomic.Bool
+	shutdownOnce sync.Once
+	closed       chan struct{} // ends the loops
+	loops        sync.WaitGroup
+
+	leadership *leadership // owned by leadLoop; nil while another one leads
 }
 
-// New opens a steward's folder and listener; Fleet joins it to the others.
+// New opens a coordinator's folder and listener; Serve joins it to the others. A folder that can't be gone on with is
+// a DataDirError.
 func New(config Config) (*Coordinator, error) {
 	if config.AdvertiseAddr == "" {
 		config.AdvertiseAddr = config.ListenAddr
 	}
 	s := &Coordinator{config: config, closed: make(chan struct{}), startedAt: time.Now()}
-	s.clusterKeys.Store(&config.ClusterKeys)
-	listener, err := net.Listen("tcp", config.ListenAddr)
+	s.SetClusterKeys(config.ClusterKeys)
+	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", config.ListenAddr)
 	if err != nil {
 		return nil, err
 	}
 	s.streamLayer = newStreamLayer(s, listener)
-	if s.replica, err = openReplica(config, s.streamLayer); err != nil {
-		s.streamLayer.Close()
+	s.replica, err = openReplica(config, s.streamLayer)
+	if err != nil {
+		_ = s.streamLayer.Close() // the folder's error is what matters
 		return nil, err
 	}
 	close(s.streamLayer.ready)
 	return s, nil
 }
 
-func (s *Coordinator) loadClusterKeys() []membership.Key { return *s.clusterKeys.Load() }
-
-// SetClusterKeys takes keys that were told anew.
+// SetClusterKeys replaces the keys for connections that begin later.
 func (s *Coordinator) SetClusterKeys(keys []membership.Key) { s.clusterKeys.Store(&keys) }
 
-// Serve goes on until Leave.
+func (s *Coordinator) loadClusterKeys() []membership.Key { return *s.clusterKeys.Load() }
+
+// Serve does a coordinator's work and blocks until Shutdown has ended it.
 func (s *Coordinator) Serve(fleet Fleet) {
 	s.fleet = fleet
 	s.loops.Add(2)
@@ -74,71 +82,119 @@
 	go s.leadLoop()
 	<-s.closed
 	s.loops.Wait()
-	s.streamLayer.Close()
+	_ = s.streamLayer.Close() // of a listener that is not needed any more
 	s.replica.close()
 }
 
-// Shutdown ends it. One that leads hands that over first, so that nothing waits for an election.
+// Shutdown has Serve end, and does not wait for it. A leader hands its leadership over first, so that nothing waits
+// for an election.
 func (s *Coordinator) Shutdown() {
 	s.shutdownOnce.Do(func() {
 		s.shuttingDown.Store(true)
 		go func() {
-			if _, isLeader := s.replica.leaderTerm(); isLeader {
-				_ = s.replica.raft.LeadershipTransfer().Error()
+			if s.IsLeader() {
+				_ = s.replica.raft.LeadershipTransfer().Error() // without it the others elect a leader
 			}
 			close(s.closed)
 		}()
 	})
 }
 
-// Ready tells whether there is a leader that this one knows.
+// Ready tells whether a leader is known.
 func (s *Coordinator) Ready() bool { return s.replica.leaderAddr() != "" }
 
-// IsLeader tells whether it is this one.
-func (s *Coordinator) IsLeader() bool { _, isLeader := s.replica.leaderTerm(); return isLeader }
+// IsLeader tells whether this coordinator leads.
+func (s *Coordinator) IsLeader() bool {
+	_, isLeader := s.replica.leaderTerm()
+	return isLeader
+}
+
+// takesCommands tells whether this coordinator leads and is not about to end.
+func (s *Coordinator) takesCommands() bool { return s.IsLeader() && !s.shuttingDown.Load() }
+
+// propose has a command agreed on. It blocks, and returns an error that is client.ErrNoQuorum where that fails: the
+// command may have been agreed on all the same.
+func (s *Coordinator) propose(command coordination.Command) (coordination.Reply, error) {
+	term, isLeader := s.replica.leaderTerm()
+	if !isLeader {
+		return coordination.Reply{}, client.ErrNoQuorum
+	}
+	command.Term = term
+	command.LeaderTime = time.Since(s.startedAt) // monotonic
+	return s.replica.apply(command)
+}
+
+// BeginPermit has it agreed that a member begins its permit. It returns at once; begun is called on a goroutine of
+// its own once that is agreed, and never if it is refused or this coordinator does not lead.
+func (s *Coordinator) BeginPermit(
+	name membership.Name, incarnation membership.Incarnation, permitID uint64, begun func(),
+) {
+	go func() {
+		if !s.takesCommands() {
+			return
+		}
+		reply, err := s.propose(coordination.Command{
+			Kind:        coordination.KindBeginPermit,
+			RequestedBy: string(name),
+			Member:      name,
+			Incarnation: incarnation,
+			PermitID:    coordination.PermitID(permitID),
+		})
+		switch {
+		case err != nil: // the member asks again
+		case reply.OK:
+			begun()
+		default:
+			slog.Info("permit refused", "permit", permitID, "member", string(name), "reason", reply.Reason)
+		}
+	}()
+}
+
+const (
+	minJoinPause = 200 * time.Millisecond
+	maxJoinPause = 2 * time.Second
+)
 
-// joinLoop asks to be one of those that agree for as long as it is not.
+// joinLoop asks the other coordinators to be made a voter for as long as this one is none.
 func (s *Coordinator) joinLoop() {
 	defer s.loops.Done()
-	pause := 200 * time.Millisecond
+	pause := minJoinPause
 	for {
 		select {
 		case <-s.closed:
 			return
 		case <-time.After(pause + time.Duration(rand.Int64N(int64(pause)))):
 		}
-		if s.replica.isVoter() || s.config.Bootstrap && s.replica.raft.LastIndex() == 0 {
-			pause = 2 * time.Second
+		isBootstrapping := s.config.Bootstrap && s.replica.raft.LastIndex() == 0
+		if s.replica.isVoter() || isBootstrapping {
+			pause = maxJoinPause
 			continue
 		}
-		var others []string
-		for _, addr := range s.config.Coordinators {
-			if addr != s.config.AdvertiseAddr {
-				others = append(others, addr)
-			}
-		}
-		response, err := client.Client{Coordinators: others, Keys: s.loadClusterKeys(), LocalIP: s.config.LocalIP, Timeout: 5 * time.Second}.Do(client.Request{Join: &client.JoinRequest{ID: string(s.replica.id), Addr: s.config.AdvertiseAddr}})
-		if err == nil && response.Error != "" {
-			err = errors.New(response.Error)
-		}
-		if err != nil {
-			slog.Info("steward-waits", "for", "one that takes it in", "err", err)
-			pause = min(2*pause, 2*time.Second)
+		if err := s.requestJoin(); err != nil {
+			slog.Info("join failed, retrying", "err", err)
+			pause = min(2*pause, maxJoinPause)
 		}
 	}
 }
 
-// BeginPermit hears that a member would begin its permit; done is called once it is agreed that it has.
-func (s *Coordinator) BeginPermit(name membership.Name, incarnation membership.Incarnation, permitID uint64, begun func()) {
-	go func() {
-		if _, isLeader := s.replica.leaderTerm(); !isLeader || s.shuttingDown.Load() {
-			return
-		}
-		reply, err := s.propose(coordination.Command{Kind: coordination.KindBeginPermit, RequestedBy: string(name), Member: name, Incarnation: incarnation, PermitID: coordination.PermitID(permitID)})
-		if err == nil && reply.OK {
-			begun()
-		} else if err == nil {
-			slog.Info("permit-refused", "number", permitID, "member", string(name), "why", reply.Reason)
+// requestJoin asks the leader to make this coordinator a voter.
+func (s *Coordinator) requestJoin() error {
+	var others []string
+	for _, addr := range s.config.Coordinators {
+		if addr != s.config.AdvertiseAddr {
+			others = append(others, addr)
 		}
-	}()
+	}
+	coordinators := client.Client{
+		Coordinators: others,
+		Keys:         s.loadClusterKeys(),
+		LocalIP:      s.config.LocalIP,
+		Timeout:      5 * time.Second,
+	}
+	join := &client.JoinRequest{ID: string(s.replica.id), Addr: s.config.AdvertiseAddr}
+	response, err := coordinators.Do(client.Request{Join: join})
+	if err != nil {
+		return err
+	}
+	return response.Err()
 }
--- a/internal/fleet/coordinator/coordinator_test.go
+++ b/internal/fleet/coordinator/coordinator_test.go
@@ -15,8 +15,9 @@
 	"lanewheel/internal/membership"
 )
 
-// The leading steward ends between agreeing and the answer, as far as the client can tell: it asks again with its key, and there is one permit. Whoever leads
-// next goes on with it. A stranger without the key is not even asked what it wants.
+// The leading steward ends between agreeing and the answer, as far as the client can tell: it asks again with its
+// key, and there is one permit. Whoever leads next goes on with it. A stranger without the key is not even asked what
+// it wants.
 func Example_failover() {
 	t := newTestFleet(3, 3)
 	defer t.close()
@@ -59,9 +60,10 @@
 	// true
 }
 
-// Without a majority nothing is agreed, and nothing that was is forgotten. All end at once and start again from disk: what was agreed holds, and one whose
-// folder was wiped is taken in as another. A snapshot cut short is said, and nothing is gone by; where that leaves no majority, the one that has the state
-// goes on alone when it is told to, and the others are taken in anew.
+// Without a majority nothing is agreed, and nothing that was is forgotten. All end at once and start again from disk:
+// what was agreed holds, and one whose folder was wiped is taken in as another. A snapshot cut short is said, and
+// nothing is gone by; where that leaves no majority, the one that has the state goes on alone when it is told to, and
+// the others are taken in anew.
 func Example_disks() {
 	t := newTestFleet(3, 3)
 	defer t.close()
@@ -118,7 +120,8 @@
 	// withdrawn: halted true
 }
 
-// A log whose last write was cut at any byte opens, with all that was whole; what is not ours is said, and nothing is overwritten.
+// A log whose last write was cut at any byte opens, with all that was whole; what is not ours is said, and nothing is
+// overwritten.
 func TestTorn(t *testing.T) {
 	w := newTestFleet(1, 1)
 	defer w.close()
--- a/internal/fleet/coordinator/golden_commands_test.go
+++ b/internal/fleet/coordinator/golden_commands_test.go
@@ -8,8 +8,9 @@
 	"lanewheel/internal/membership"
 )
 
-// goldenCommands are of every kind, and come out well unless said; at is when the first is given, from is the number of
-// its first permit. They leave n0 out by a permit, n3 with one that has been granted, and a release on its way back.
+// goldenCommands are of every kind, and come out well unless said; at is when the first is given, from is the number
+// of its first permit. They leave n0 out by a permit, n3 with one that has been granted, and a release on its way
+// back.
 func goldenCommands(term uint64, at time.Duration, from coordination.PermitID, inc membership.Incarnation, old, next string) (all []coordination.Command) {
 	seen := func(name coordination.Name, zone, release string, plus membership.Incarnation, why coordination.MemberState) coordination.Observation {
 		return coordination.Observation{Name: name, Incarnation: inc + plus, Zone: zone, Release: release, Roles: membership.RoleServer,
--- a/internal/fleet/coordinator/leader.go
+++ b/internal/fleet/coordinator/leader.go
@@ -4,134 +4,182 @@
 	"log/slog"
 	"maps"
 	"slices"
-	"sync"
 	"time"
 
 	"lanewheel/internal/coordination"
-	"lanewheel/internal/coordination/canary"
-	"lanewheel/internal/fleet/coordinator/client"
 	"lanewheel/internal/membership"
 )
 
-// leadership is what the one that leads keeps beside the state: nothing of it is needed by the next one.
+const (
+	leaderRoundInterval = 100 * time.Millisecond
+	barrierTimeout      = 5 * time.Second
+	activeTickInterval  = 250 * time.Millisecond // while there is a permit or a rollout
+	idleTickInterval    = 5 * time.Second
+	notifyInterval      = 500 * time.Millisecond // a permit's holder is told again: a message may be lost
+)
+
+// leadership is what a leader keeps beside the state; the next leader needs nothing of it. It is owned by leadLoop.
 type leadership struct {
-	term               uint64
-	startedAt          time.Time
-	reported           map[coordination.Name]coordination.Observation
-	lastTick           time.Time
-	notifiedAt         map[coordination.PermitID]time.Time
-	restarts           map[coordination.PermitID]*restartState
-	analyzedWave       string // the wave whose windows are gathered
-	analysis           *canary.Analysis
-	windowStart        time.Time
-	mu                 sync.Mutex // guards figures
-	previousStats      map[coordination.Name]memberStats
-	currentStats       map[coordination.Name]memberStats
-	canaryIncarnations map[coordination.Name]membership.Incarnation // of the new release, at the window before
+	term       uint64
+	reported   map[coordination.Name]coordination.Observation // what the state was told of each member
+	lastTick   time.Time
+	notifiedAt map[coordination.PermitID]time.Time
+	restarts   map[coordination.PermitID]*restartState
+	analysis   waveAnalysis
+	// canaryIncarnations are those of the new release's members in the window before.
+	canaryIncarnations map[coordination.Name]membership.Incarnation
+}
+
+func newLeadership(term uint64) *leadership {
+	return &leadership{
+		term:               term,
+		notifiedAt:         map[coordination.PermitID]time.Time{},
+		restarts:           map[coordination.PermitID]*restartState{},
+		canaryIncarnations: map[coordination.Name]membership.Incarnation{},
+	}
 }
 
-// leadLoop does, for as long as this one leads, what the leader does.
+// leadLoop does the leader's rounds for as long as this coordinator leads.
 func (s *Coordinator) leadLoop() {
 	defer s.loops.Done()
-	const tickInterval = 100 * time.Millisecond
-	for ticker := time.NewTicker(tickInterval); ; {
+	ticker := time.NewTicker(leaderRoundInterval)
+	defer ticker.Stop()
+	for {
 		select {
 		case <-s.closed:
-			ticker.Stop()
 			return
 		case <-ticker.C:
 		}
-		term, isLeader := s.replica.leaderTerm()
-		if !isLeader {
-			if s.leadership != nil {
-				slog.Info("steward", "leads", false, "term", s.leadership.term)
-			}
-			s.leadership = nil
-			continue
+		if s.refreshLeadership() {
+			s.leaderRound()
 		}
-		if s.leadership == nil || s.leadership.term != term {
-			// Danger: what was agreed before is in the log and not yet in the state. Nothing is decided before it is.
-			if s.replica.raft.Barrier(5*time.Second).Error() != nil {
-				continue
-			}
-			slog.Info("steward", "leads", true, "term", term)
-			s.leadership = &leadership{term: term, startedAt: time.Now(), notifiedAt: map[coordination.PermitID]time.Time{}, restarts: map[coordination.PermitID]*restartState{}, canaryIncarnations: map[coordination.Name]membership.Incarnation{}}
-		}
-		s.leaderRound()
 	}
 }
 
-// propose fills in when a command is given, and has it agreed on.
-func (s *Coordinator) propose(command coordination.Command) (coordination.Reply, error) {
+// refreshLeadership tells whether this coordinator leads and has all in its state that was agreed before.
+func (s *Coordinator) refreshLeadership() bool {
 	term, isLeader := s.replica.leaderTerm()
 	if !isLeader {
-		return coordination.Reply{}, client.ErrNoQuorum
+		if s.leadership != nil {
+			slog.Info("lost leadership", "term", s.leadership.term)
+		}
+		s.leadership = nil
+		return false
+	}
+	if s.leadership != nil && s.leadership.term == term {
+		return true
+	}
+	// What was agreed before is in the log and may not be in the state yet. Nothing is decided before it is.
+	if s.replica.raft.Barrier(barrierTimeout).Error() != nil {
+		return false
 	}
-	command.Term, command.LeaderTime = term, time.Since(s.startedAt) // by the clock that does not jump
-	return s.replica.apply(command)
+	slog.Info("became leader", "term", term)
+	s.leadership = newLeadership(term)
+	return true
 }
 
-// leaderRound is one round of the leader's: what it sees, what time it is, whom it nudges, what is judged and started.
+// leaderRound reports what has changed among the members, passes the time, tells holders of their permits, starts
+// members anew and analyzes the rollout.
 func (s *Coordinator) leaderRound() {
-	lead := s.leadership
 	if !s.reportMembers() {
 		return
 	}
-	active, halted := false, false
-	type nudge struct {
-		coordination.Permit
-		here, gone bool
-		before     string
+	snapshot := s.takeSnapshot()
+	if !s.tick(snapshot.active) {
+		return
+	}
+	for _, permit := range snapshot.permits {
+		s.advancePermit(permit, snapshot.rollout)
+	}
+	rollout := snapshot.rollout
+	switch {
+	case snapshot.halted: // what is measured meanwhile is of a wave that is analyzed anew after the halt
+		s.leadership.analysis.wave = waveKey{}
+	case rollout.InProgress() && rollout.AnalysisRequired && rollout.Phase != coordination.RolloutRollingBack:
+		s.analyzeWave(rollout)
 	}
-	var notices []nudge
-	var rollout *coordination.Rollout
+}
+
+// roundSnapshot is what a leader's round needs of the state.
+type roundSnapshot struct {
+	active  bool // there is a permit or a rollout in progress
+	halted  bool
+	permits []heldPermit          // granted or begun
+	rollout *coordination.Rollout // a copy; nil if there was none
+}
+
+// heldPermit is a granted or begun permit and how its holder is.
+type heldPermit struct {
+	coordination.Permit
+	holderUp        bool // the incarnation that holds it
+	holderGone      bool
+	previousRelease string // of the holder, before the rollout
+}
+
+func (s *Coordinator) takeSnapshot() (snapshot roundSnapshot) {
 	s.replica.inspect(func(state *coordination.State) {
-		active, halted = len(state.Permits) > 0 || state.Rollout.InProgress(), state.Halt != nil
+		snapshot.active = len(state.Permits) > 0 || state.Rollout.InProgress()
+		snapshot.halted = state.Halt != nil
 		for _, permit := range state.Permits {
-			if member := state.Members[permit.Member]; member != nil && permit.Stage != coordination.PermitQueued {
-				notices = append(notices, nudge{*permit, member.State == coordination.MemberUp && member.Incarnation == permit.Incarnation, member.State == coordination.MemberGone, member.PreviousRelease})
+			member := state.Members[permit.Member]
+			if member == nil || permit.Stage == coordination.PermitQueued {
+				continue
 			}
+			snapshot.permits = append(snapshot.permits, heldPermit{
+				Permit:          *permit,
+				holderUp:        member.State == coordination.MemberUp && member.Incarnation == permit.Incarnation,
+				holderGone:      member.State == coordination.MemberGone,
+				previousRelease: member.PreviousRelease,
+			})
 		}
 		if state.Rollout != nil {
-			copied := *state.Rollout
-			rollout = &copied
+			rollout := *state.Rollout
+			snapshot.rollout = &rollout
 		}
 	})
-	// At rest time need not pass often.
-	if pause := time.Second; time.Since(lead.lastTick) > pause/4 && active || time.Since(lead.lastTick) > 5*pause {
-		lead.lastTick = time.Now()
-		if _, err := s.propose(coordination.Command{Kind: coordination.KindTick}); err != nil {
-			return
-		}
+	return snapshot
+}
+
+// tick has the fleet's time pass, seldom while nothing is going on. It tells whether the round may go on.
+func (s *Coordinator) tick(active bool) bool {
+	interval := idleTickInterval
+	if active {
+		interval = activeTickInterval
 	}
-	for _, notice := range notices {
-		switch {
-		case notice.here && time.Since(lead.notifiedAt[notice.ID]) > 500*time.Millisecond: // until it has gone: a word may be lost
-			lead.notifiedAt[notice.ID] = time.Now()
-			s.fleet.NotifyPermit(notice.Member, notice.Incarnation, uint64(notice.ID), notice.Stage == coordination.PermitBegun)
-		// Who was drained stays out until his operator starts him. Danger: one that is still serving is started a second time.
-		case notice.gone && notice.Stage == coordination.PermitBegun && notice.Purpose != "drain" && rollout != nil && s.config.RestartCommand != "":
-			targetRelease := rollout.TargetRelease
-			if notice.Purpose == "back" {
-				targetRelease = notice.before
-			}
-			restart := lead.restarts[notice.ID]
-			if restart == nil {
-				restart = &restartState{}
-				lead.restarts[notice.ID] = restart
-			}
-			s.scheduleRestart(restart, notice.Permit, targetRelease)
-		}
+	if time.Since(s.leadership.lastTick) <= interval {
+		return true
 	}
+	s.leadership.lastTick = time.Now()
+	_, err := s.propose(coordination.Command{Kind: coordination.KindTick})
+	return err == nil
+}
+
+// advancePermit tells a holder of its permit until it has gone out, and starts it anew once it is gone.
+func (s *Coordinator) advancePermit(permit heldPermit, rollout *coordination.Rollout) {
+	lead := s.leadership
+	begun := permit.Stage == coordination.PermitBegun
 	switch {
-	case halted: // what is seen meanwhile is of a wave that is judged anew once that is over
-		lead.analyzedWave = ""
-	case rollout.InProgress() && rollout.AnalysisRequired && rollout.Phase != coordination.RolloutRollingBack:
-		s.analyzeWave(rollout)
+	case permit.holderUp && time.Since(lead.notifiedAt[permit.ID]) > notifyInterval:
+		lead.notifiedAt[permit.ID] = time.Now()
+		s.fleet.NotifyPermit(permit.Member, permit.Incarnation, uint64(permit.ID), begun)
+	// A member that was drained stays out until its operator starts it. One that still serves must not be started a
+	// second time: only a member that is gone is started.
+	case permit.holderGone && begun && permit.Purpose != coordination.PurposeDrain &&
+		rollout != nil && s.config.RestartCommand != "":
+		release := rollout.TargetRelease
+		if permit.Purpose == coordination.PurposeRollback {
+			release = permit.previousRelease
+		}
+		restart := lead.restarts[permit.ID]
+		if restart == nil {
+			restart = &restartState{}
+			lead.restarts[permit.ID] = restart
+		}
+		s.scheduleRestart(restart, permit.Permit, release)
 	}
 }
 
-// memberStates is why a member is out, by how it is seen.
+// memberStates is how a state of the membership is observed.
 var memberStates = map[membership.State]coordination.MemberState{
 	membership.StateUp:      coordination.MemberUp,
 	membership.StateWarming: coordination.MemberWarmingUp,
@@ -142,33 +190,23 @@
 	membership.StateFenced:  coordination.MemberGone,
 }
 
-// reportMembers says what has changed among the members, and tells whether what it sees can be trusted. Danger: a leader that is cut off from the fleet and not from
-// the other stewards sees all as gone, or all as they were.
+// reportMembers has what has changed among the members agreed on, and tells whether the view can be trusted and that
+// went well. A leader that is cut off from the fleet and not from the other coordinators would see all members as
+// gone, or as they were.
 func (s *Coordinator) reportMembers() bool {
 	view := s.fleet.View()
 	if !view.LocalHealth.CanDeclareGone() {
 		return false
 	}
 	lead := s.leadership
-	current := map[coordination.Name]coordination.Observation{}
-	add := func(claim membership.Descriptor, state coordination.MemberState) {
-		observation := coordination.Observation{Name: claim.Name, Incarnation: claim.Incarnation, Zone: claim.Zone, Release: claim.Release, Roles: claim.Roles, Capacity: claim.Capacity, State: state}
-		if claim.Roles&membership.RoleUpstream != 0 {
-			observation.Upstream = string(claim.Name)
-		}
-		current[claim.Name] = observation
-	}
-	for member := range view.All() {
-		add(member.Descriptor, memberStates[member.State])
-	}
-	add(view.Self, coordination.MemberUp)
+	current := observeView(view)
 	var changed []coordination.Observation
 	for _, name := range slices.Sorted(maps.Keys(current)) {
 		if previous, known := lead.reported[name]; !known || previous != current[name] {
 			changed = append(changed, current[name])
 		}
 	}
-	for name, previous := range lead.reported { // forgotten by the membership: it was gone for long
+	for name, previous := range lead.reported { // the membership has forgotten one that was gone for long
 		if _, known := current[name]; !known && previous.State != coordination.MemberGone {
 			previous.State = coordination.MemberGone
 			changed = append(changed, previous)
@@ -178,9 +216,35 @@
 	if len(changed) == 0 {
 		return true
 	}
-	if _, err := s.propose(coordination.Command{Kind: coordination.KindObserve, Observations: changed}); err != nil {
+	_, err := s.propose(coordination.Command{Kind: coordination.KindObserve, Observations: changed})
+	if err != nil {
 		return false
 	}
 	lead.reported = current
 	return true
 }
+
+// observeView returns an observation of each member of a view, the observer among them.
+func observeView(view *membership.View) map[coordination.Name]coordination.Observation {
+	observations := map[coordination.Name]coordination.Observation{}
+	add := func(descriptor membership.Descriptor, state coordination.MemberState) {
+		observation := coordination.Observation{
+			Name:        descriptor.Name,
+			Incarnation: descriptor.Incarnation,
+			Zone:        descriptor.Zone,
+			Release:     descriptor.Release,
+			Roles:       descriptor.Roles,
+			Capacity:    descriptor.Capacity,
+			State:       state,
+		}
+		if descriptor.Roles&membership.RoleUpstream != 0 {
+			observation.Upstream = string(descriptor.Name)
+		}
+		observations[descriptor.Name] = observation
+	}
+	for member := range view.All() {
+		add(member.Descriptor, memberStates[member.State])
+	}
+	add(view.Self, coordination.MemberUp)
+	return observations
+}
--- a/internal/fleet/coordinator/linearizable_test.go
+++ b/internal/fleet/coordinator/linearizable_test.go
@@ -15,7 +15,8 @@
 	"lanewheel/internal/membership"
 )
 
-// What clients that ask at the same time are told, while leaders end, is what one state would have told them one after the other (porcupine).
+// What clients that ask at the same time are told, while leaders end, is what one state would have told them one
+// after the other (porcupine).
 func TestLinearizable(t *testing.T) {
 	w := newTestFleet(3, 3)
 	defer w.close()
--- a/internal/fleet/coordinator/raftlog.go
+++ b/internal/fleet/coordinator/raftlog.go
@@ -8,30 +8,40 @@
 	"time"
 )
 
-// raftLogWriter turns the library's lines into ours, four a second.
+const (
+	maxRaftLinesPerSecond = 4
+	maxRaftLineBytes      = 300
+)
+
+// levelPrefix is what raft's logger puts before a line.
+var levelPrefix = regexp.MustCompile(`^\[[A-Z]+\]\s+`)
+
+// raftLogWriter enters raft's lines into our log, and only so many a second: raft repeats itself while a peer is down.
 type raftLogWriter struct {
 	mu          sync.Mutex
-	windowStart time.Time
-	written     int
-	suppressed  int
+	windowStart time.Time // guarded by mu
+	written     int       // guarded by mu: lines in the window
+	suppressed  int       // guarded by mu: lines in the window
 }
 
-var levelPrefix = regexp.MustCompile(`^\[[A-Z]+\]\s+`)
-
-func (l *raftLogWriter) Write(line []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if time.Since(l.windowStart) > time.Second {
-		if l.suppressed > 0 {
-			slog.Info("raft", "more", l.suppressed)
+// Write takes one line and never fails.
+func (w *raftLogWriter) Write(line []byte) (int, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if time.Since(w.windowStart) > time.Second {
+		if w.suppressed > 0 {
+			slog.Info("raft lines dropped", "count", w.suppressed)
 		}
-		l.windowStart, l.written, l.suppressed = time.Now(), 0, 0
+		w.windowStart = time.Now()
+		w.written = 0
+		w.suppressed = 0
 	}
-	if l.written++; l.written > 4 {
-		l.suppressed++
+	w.written++
+	if w.written > maxRaftLinesPerSecond {
+		w.suppressed++
 		return len(line), nil
 	}
 	text := levelPrefix.ReplaceAllString(strings.TrimSpace(string(line)), "")
-	slog.Info("raft", "text", text[:min(len(text), 300)])
+	slog.Info("raft", "text", text[:min(len(text), maxRaftLineBytes)])
 	return len(line), nil
 }
--- a/internal/fleet/coordinator/replica.go
+++ b/internal/fleet/coordinator/replica.go
@@ -1,9 +1,8 @@
-// Package coordinator is one of the few processes that hold what the fleet has agreed: internal/coordination's state, kept alike by hashicorp/raft with a log and
-// snapshots on disk. The one that leads has the fleet's members, the permits and the releases go on; any of them answers operators.
 package coordinator
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -20,175 +19,242 @@
 	"lanewheel/internal/coordination"
 	"lanewheel/internal/filelock"
 	"lanewheel/internal/fleet/coordinator/client"
-	"lanewheel/internal/fleet/coordinator/config"
 )
 
-// Config is what a steward goes by.
-type Config = coordinatorconfig.Config
+const (
+	keptSnapshots     = 2
+	snapshotInterval  = 10 * time.Second // between two looks at whether one is due
+	pooledConnections = 3                // kept open to each peer
+	peerTimeout       = 2 * time.Second  // of one call to a peer, snapshots aside
+)
+
+// ErrUnknownCoordinator is that no voter has the name.
+var ErrUnknownCoordinator = errors.New("no coordinator has this name")
 
-// replica is one steward's copy of the agreed state.
+// replica is one coordinator's copy of the agreed state. Its methods may be called from any goroutine.
 type replica struct {
 	config    Config
-	id        raft.ServerID // of its folder: a folder that was lost is another's life
-	raft      *raft.Raft
-	wal       *wal.WAL
+	id        raft.ServerID
+	dirLock   io.Closer
 	metaStore *metadb.BoltMetaDB
-	dirLock   io.Closer // the folder's lock
+	wal       *wal.WAL
+	snapshots raft.SnapshotStore
 	transport *raft.NetworkTransport
+	raft      *raft.Raft
 
-	mu    sync.Mutex // guards what follows
-	state *coordination.State
+	mu    sync.Mutex
+	state *coordination.State // guarded by mu
 }
 
-// openReplica starts the copy in its folder. Connections of the other stewards come by stream.
+// openReplica opens the copy in its folder and starts raft. Connections of the other coordinators come by streamLayer.
 func openReplica(config Config, streamLayer raft.StreamLayer) (*replica, error) {
 	if err := os.MkdirAll(config.DataDir, 0o700); err != nil {
 		return nil, err
 	}
-	r := &replica{config: config, state: coordination.NewState(config.Coordination), metaStore: &metadb.BoltMetaDB{}}
-	var err error
-	if r.dirLock, err = filelock.Acquire(filepath.Join(config.DataDir, "lock"), func() bool { return false }); err != nil {
+	dirLock, err := filelock.Acquire(filepath.Join(config.DataDir, "lock"), func() bool { return false })
+	if err != nil {
 		return nil, fmt.Errorf("%s: %w", config.DataDir, err)
 	}
-	opened := false
-	defer func() {
-		if !opened {
-			r.close()
-		}
-	}()
-	if r.id, err = loadServerID(config); err != nil {
-		return nil, err
+	r := &replica{
+		config:    config,
+		dirLock:   dirLock,
+		metaStore: &metadb.BoltMetaDB{},
+		state:     coordination.NewState(config.Coordination),
 	}
-	if r.wal, err = wal.Open(config.DataDir, wal.WithMetaStore(r.metaStore)); err != nil {
-		return nil, fmt.Errorf("the log in %s: %w", config.DataDir, err)
+	if err := r.start(streamLayer); err != nil {
+		r.close()
+		return nil, err
 	}
+	return r, nil
+}
+
+// start opens what is in the folder and starts raft on it.
+func (r *replica) start(streamLayer raft.StreamLayer) error {
 	logger := hclog.New(&hclog.LoggerOptions{Output: &raftLogWriter{}, Level: hclog.Warn, DisableTime: true})
-	snapshots, err := raft.NewFileSnapshotStoreWithLogger(config.DataDir, 2, logger)
+	dir := r.config.DataDir
+	var err error
+	if r.id, err = loadServerID(r.config); err != nil {
+		return err
+	}
+	if r.wal, err = wal.Open(dir, wal.WithMetaStore(r.metaStore)); err != nil {
+		return fmt.Errorf("the log in %s: %w", dir, err)
+	}
+	if r.snapshots, err = raft.NewFileSnapshotStoreWithLogger(dir, keptSnapshots, logger); err != nil {
+		return err
+	}
+	r.transport = raft.NewNetworkTransportWithLogger(streamLayer, pooledConnections, peerTimeout, logger)
+	raftConfig := newRaftConfig(r.config, r.id, logger)
+	if r.config.Bootstrap {
+		if err := r.bootstrap(raftConfig); err != nil {
+			return err
+		}
+	}
+	if r.config.ForceNewCluster {
+		if err := r.forceNewCluster(raftConfig); err != nil {
+			return err
+		}
+	}
+	r.raft, err = raft.NewRaft(raftConfig, (*stateMachine)(r), r.wal, r.wal, r.snapshots, r.transport)
 	if err != nil {
-		return nil, err
+		return &DataDirError{Path: "the state in " + dir, Problem: "can't be read", Err: err}
 	}
-	r.transport = raft.NewNetworkTransportWithLogger(streamLayer, 3, 2*time.Second, logger)
+	return nil
+}
+
+// newRaftConfig derives raft's timing from the heartbeat timeout: a leader that is cut off knows it after one
+// heartbeat timeout, the others after one more.
+func newRaftConfig(config Config, id raft.ServerID, logger hclog.Logger) *raft.Config {
 	raftConfig := raft.DefaultConfig()
-	raftConfig.LocalID, raftConfig.Logger = r.id, logger
-	// A leader that is cut off knows it after one beat, the others after one more.
-	raftConfig.HeartbeatTimeout, raftConfig.ElectionTimeout, raftConfig.LeaderLeaseTimeout, raftConfig.CommitTimeout = config.HeartbeatTimeout, config.HeartbeatTimeout, config.HeartbeatTimeout/2, config.HeartbeatTimeout/20
-	raftConfig.SnapshotThreshold, raftConfig.TrailingLogs, raftConfig.SnapshotInterval = config.SnapshotThreshold, config.SnapshotThreshold/4, 10*time.Second
+	raftConfig.LocalID = id
+	raftConfig.Logger = logger
 	raftConfig.LogLevel = "WARN"
-	if config.Bootstrap {
-		exists, err := raft.HasExistingState(r.wal, r.wal, snapshots)
-		if err != nil {
-			return nil, err
-		}
-		if exists { // Danger: a start by the same line as the first one would be a second fleet
-			slog.Info("steward", "begin", "there is a state already")
-		} else if err := raft.BootstrapCluster(raftConfig, r.wal, r.wal, snapshots, r.transport, raft.Configuration{Servers: []raft.Server{{ID: r.id, Address: raft.ServerAddress(config.AdvertiseAddr)}}}); err != nil {
-			return nil, err
-		}
+	raftConfig.HeartbeatTimeout = config.HeartbeatTimeout
+	raftConfig.ElectionTimeout = config.HeartbeatTimeout
+	raftConfig.LeaderLeaseTimeout = config.HeartbeatTimeout / 2
+	raftConfig.CommitTimeout = config.HeartbeatTimeout / 20
+	raftConfig.SnapshotThreshold = config.SnapshotThreshold
+	raftConfig.TrailingLogs = config.SnapshotThreshold / 4
+	raftConfig.SnapshotInterval = snapshotInterval
+	return raftConfig
+}
+
+// alone is a configuration of this coordinator and no other.
+func (r *replica) alone() raft.Configuration {
+	return raft.Configuration{Servers: []raft.Server{{
+		ID:      r.id,
+		Address: raft.ServerAddress(r.config.AdvertiseAddr),
+	}}}
+}
+
+// bootstrap begins a new fleet, unless there is a state: a start by the same command line as the first one must not
+// make a second fleet.
+func (r *replica) bootstrap(raftConfig *raft.Config) error {
+	exists, err := raft.HasExistingState(r.wal, r.wal, r.snapshots)
+	if err != nil {
+		return err
 	}
-	if config.ForceNewCluster {
-		slog.Warn("steward", "alone", string(r.id))
-		if err := raft.RecoverCluster(raftConfig, (*stateMachine)(r), r.wal, r.wal, snapshots, r.transport, raft.Configuration{Servers: []raft.Server{{ID: r.id, Address: raft.ServerAddress(config.AdvertiseAddr)}}}); err != nil {
-			return nil, fmt.Errorf("the state in %s: %w", config.DataDir, err)
-		}
-		r.state = coordination.NewState(config.Coordination) // it is read again
+	if exists {
+		slog.Info("bootstrap skipped", "reason", "existing state")
+		return nil
 	}
-	if r.raft, err = raft.NewRaft(raftConfig, (*stateMachine)(r), r.wal, r.wal, snapshots, r.transport); err != nil {
-		return nil, fmt.Errorf("the state in %s can't be read: move the folder away, and the steward is taken in anew by the others: %w", config.DataDir, err)
+	return raft.BootstrapCluster(raftConfig, r.wal, r.wal, r.snapshots, r.transport, r.alone())
+}
+
+// forceNewCluster makes this coordinator the only voter of the state that it has.
+func (r *replica) forceNewCluster(raftConfig *raft.Config) error {
+	slog.Warn("forcing new cluster", "id", string(r.id))
+	err := raft.RecoverCluster(raftConfig, (*stateMachine)(r), r.wal, r.wal, r.snapshots, r.transport, r.alone())
+	if err != nil {
+		return fmt.Errorf("the state in %s: %w", r.config.DataDir, err)
 	}
-	opened = true
-	return r, nil
+	r.state = coordination.NewState(r.config.Coordination) // raft reads it again
+	return nil
 }
 
-// leaderTerm tells whether this steward leads, and by which term.
-func (n *replica) leaderTerm() (term uint64, isLeader bool) {
-	return n.raft.CurrentTerm(), n.raft.State() == raft.Leader
+// leaderTerm returns the term, and whether this coordinator leads in it.
+func (r *replica) leaderTerm() (term uint64, isLeader bool) {
+	return r.raft.CurrentTerm(), r.raft.State() == raft.Leader
 }
 
-// leaderAddr is where the one that leads is reached, empty if nobody is known to.
-func (n *replica) leaderAddr() string {
-	addr, _ := n.raft.LeaderWithID()
+// leaderAddr is where the leader is reached, empty if none is known.
+func (r *replica) leaderAddr() string {
+	addr, _ := r.raft.LeaderWithID()
 	return string(addr)
 }
 
-// apply has the fleet agree on a command. It waits: it belongs beside every loop.
-func (n *replica) apply(command coordination.Command) (coordination.Reply, error) {
+// apply has a command agreed on and returns its reply. It blocks. Any error of raft is client.ErrNoQuorum too.
+func (r *replica) apply(command coordination.Command) (coordination.Reply, error) {
 	data, err := json.Marshal(command)
 	if err != nil {
 		return coordination.Reply{}, err
 	}
-	future := n.raft.Apply(data, 2*n.config.HeartbeatTimeout)
+	future := r.raft.Apply(data, 2*r.config.HeartbeatTimeout)
 	if err := future.Error(); err != nil {
 		return coordination.Reply{}, fmt.Errorf("%w: %w", client.ErrNoQuorum, err)
 	}
 	return future.Response().(coordination.Reply), nil
 }
 
-// inspect has look see the state, which it must not keep.
-func (n *replica) inspect(visit func(*coordination.State)) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	visit(n.state)
+// inspect has visit see the state, which it must neither change nor keep.
+func (r *replica) inspect(visit func(*coordination.State)) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	visit(r.state)
+}
+
+// servers returns the coordinators of the latest configuration.
+func (r *replica) servers() ([]raft.Server, error) {
+	future := r.raft.GetConfiguration()
+	if err := future.Error(); err != nil {
+		return nil, err
+	}
+	return future.Configuration().Servers, nil
 }
 
-// addVoter takes a steward in, in place of an earlier life of its name.
-func (n *replica) addVoter(id raft.ServerID, addr string) error {
-	config := n.raft.GetConfiguration()
-	if err := config.Error(); err != nil {
+// addVoter makes a coordinator a voter, in place of one of the same name with an earlier folder. It blocks.
+func (r *replica) addVoter(id raft.ServerID, addr string) error {
+	servers, err := r.servers()
+	if err != nil {
 		return err
 	}
-	for _, server := range config.Configuration().Servers {
+	for _, server := range servers {
 		if server.ID == id && string(server.Address) == addr {
 			return nil
 		}
 		if server.ID != id && coordinatorName(server.ID) == coordinatorName(id) {
-			slog.Info("steward-replaced", "old", string(server.ID), "new", string(id))
-			if err := n.raft.RemoveServer(server.ID, 0, 2*n.config.HeartbeatTimeout).Error(); err != nil {
+			slog.Info("coordinator replaced", "old", string(server.ID), "new", string(id))
+			if err := r.removeServer(server.ID); err != nil {
 				return err
 			}
 		}
 	}
-	slog.Info("steward-joins", "id", string(id), "at", addr)
-	return n.raft.AddVoter(id, raft.ServerAddress(addr), 0, 5*n.config.HeartbeatTimeout).Error()
+	slog.Info("adding voter", "id", string(id), "addr", addr)
+	return r.raft.AddVoter(id, raft.ServerAddress(addr), 0, 5*r.config.HeartbeatTimeout).Error()
 }
 
-// removeVoter takes a steward out for good.
-func (n *replica) removeVoter(name string) error {
-	config := n.raft.GetConfiguration()
-	if err := config.Error(); err != nil {
+// removeVoter takes a coordinator out for good, by its name. It blocks.
+func (r *replica) removeVoter(name string) error {
+	servers, err := r.servers()
+	if err != nil {
 		return err
 	}
-	for _, server := range config.Configuration().Servers {
+	for _, server := range servers {
 		if coordinatorName(server.ID) == name {
-			return n.raft.RemoveServer(server.ID, 0, 2*n.config.HeartbeatTimeout).Error()
+			return r.removeServer(server.ID)
 		}
 	}
-	return fmt.Errorf("no steward %q", name)
+	return fmt.Errorf("%w: %q", ErrUnknownCoordinator, name)
 }
 
-// isVoter tells whether this steward is one of those that agree.
-func (n *replica) isVoter() bool {
-	config := n.raft.GetConfiguration()
-	if config.Error() != nil {
+func (r *replica) removeServer(id raft.ServerID) error {
+	return r.raft.RemoveServer(id, 0, 2*r.config.HeartbeatTimeout).Error()
+}
+
+// isVoter tells whether this coordinator is one of the voters, as far as it knows.
+func (r *replica) isVoter() bool {
+	servers, err := r.servers()
+	if err != nil {
 		return false
 	}
-	for _, server := range config.Configuration().Servers {
-		if server.ID == n.id {
+	for _, server := range servers {
+		if server.ID == r.id {
 			return true
 		}
 	}
 	return false
 }
 
-func (n *replica) close() {
-	if n.raft != nil {
-		_ = n.raft.Shutdown().Error()
+// close ends whatever has been opened. Nothing can be done about an error: the log is read again at the next start.
+func (r *replica) close() {
+	if r.raft != nil {
+		_ = r.raft.Shutdown().Error()
 	}
-	if n.transport != nil {
-		_ = n.transport.Close()
+	if r.transport != nil {
+		_ = r.transport.Close()
 	}
-	if n.wal != nil {
-		_ = n.wal.Close()
+	if r.wal != nil {
+		_ = r.wal.Close()
 	}
-	_ = n.metaStore.Close() // the log leaves it open
-	_ = n.dirLock.Close()
+	_ = r.metaStore.Close() // the log leaves it open
+	_ = r.dirLock.Close()
 }
--- a/internal/fleet/coordinator/requests.go
+++ b/internal/fleet/coordinator/requests.go
@@ -1,7 +1,6 @@
 package coordinator
 
 import (
-	"errors"
 	"maps"
 	"slices"
 	"time"
@@ -12,74 +11,102 @@
 	"lanewheel/internal/fleet/coordinator/client"
 )
 
-func (s *Coordinator) status() *client.Status {
-	status := &client.Status{ID: string(s.replica.id), Leader: s.replica.leaderAddr(), Term: s.replica.raft.CurrentTerm(), AppliedIndex: s.replica.raft.AppliedIndex(), Coordinators: map[string]string{}}
-	_, status.IsLeader = s.replica.leaderTerm()
-	if config := s.replica.raft.GetConfiguration(); config.Error() == nil {
-		for _, x := range config.Configuration().Servers {
-			status.Coordinators[string(x.ID)] = string(x.Address)
-		}
-	}
-	s.replica.inspect(func(state *coordination.State) {
-		status.FleetTime, status.MemberCount = state.Now.Round(time.Millisecond).String(), len(state.Members)
-		if state.Halt != nil {
-			h := *state.Halt
-			status.Halt = &h
-		}
-		if state.Rollout != nil {
-			r := *state.Rollout
-			status.Rollout = &r
-		}
-		for _, b := range state.Budgets {
-			status.Budgets = append(status.Budgets, state.Usage(b))
-		}
-		for _, id := range slices.Sorted(maps.Keys(state.Permits)) {
-			status.Permits = append(status.Permits, *state.Permits[id])
-		}
-		for _, name := range slices.Sorted(maps.Keys(state.Members)) {
-			if m := state.Members[name]; m.State != coordination.MemberUp || m.PermitID > 0 {
-				status.Unavailable = append(status.Unavailable, *m)
-			}
-		}
-	})
-	return status
-}
-
-// handle answers a question. Any steward shows what it knows; only the one that leads takes commands, others say who that is.
-func (s *Coordinator) handle(request client.Request) (response client.Response) {
+// handle answers a request. Any coordinator shows what it knows; the leader alone takes commands, others name it.
+func (s *Coordinator) handle(request client.Request) client.Response {
 	switch {
 	case request.Status:
-		response.Status = s.status()
-		return response
+		return client.Response{Status: s.status()}
 	case request.History:
-		s.replica.inspect(func(state *coordination.State) {
-			response.History, response.EndedPermits = slices.Clone(state.History), slices.Clone(state.EndedPermits)
-		})
-		return response
+		return s.history()
+	case !s.takesCommands():
+		return s.redirect()
 	}
-	if _, isLeader := s.replica.leaderTerm(); !isLeader || s.shuttingDown.Load() {
-		if response.Leader = s.replica.leaderAddr(); response.Leader == "" || response.Leader == s.config.AdvertiseAddr {
-			response.Leader, response.Error = "", client.ErrNoQuorum.Error()
-		}
-		return response
+	var response client.Response
+	if err := s.handleCommand(request, &response); err != nil {
+		response.SetErr(err)
 	}
-	var err error
+	return response
+}
+
+// handleCommand carries out a request that only the leader takes.
+func (s *Coordinator) handleCommand(request client.Request, response *client.Response) error {
 	switch {
 	case request.Command != nil:
-		var reply coordination.Reply
-		if reply, err = s.propose(*request.Command); err == nil {
-			response.Reply = &reply
+		reply, err := s.propose(*request.Command)
+		if err != nil {
+			return err
 		}
+		response.Reply = &reply
 	case request.Join != nil:
-		err = s.replica.addVoter(raft.ServerID(request.Join.ID), request.Join.Addr)
+		return s.replica.addVoter(raft.ServerID(request.Join.ID), request.Join.Addr)
 	case request.RemoveCoordinator != "":
-		err = s.replica.removeVoter(request.RemoveCoordinator)
+		return s.replica.removeVoter(request.RemoveCoordinator)
 	}
-	if err != nil {
-		response.Error = err.Error()
-		if errors.Is(err, client.ErrNoQuorum) {
-			response.Error = client.ErrNoQuorum.Error()
-		}
+	return nil
+}
+
+// redirect names the leader, or tells that there is none.
+func (s *Coordinator) redirect() client.Response {
+	var response client.Response
+	leader := s.replica.leaderAddr()
+	if leader == "" || leader == s.config.AdvertiseAddr { // this one, which is about to end
+		response.SetErr(client.ErrNoQuorum)
+		return response
 	}
+	response.Leader = leader
 	return response
 }
+
+func (s *Coordinator) history() (response client.Response) {
+	s.replica.inspect(func(state *coordination.State) {
+		response.History = slices.Clone(state.History)
+		response.EndedPermits = slices.Clone(state.EndedPermits)
+	})
+	return response
+}
+
+// status is what is agreed as this coordinator has it, a copy.
+func (s *Coordinator) status() *client.Status {
+	status := &client.Status{
+		ID:           string(s.replica.id),
+		Leader:       s.replica.leaderAddr(),
+		IsLeader:     s.IsLeader(),
+		Term:         s.replica.raft.CurrentTerm(),
+		AppliedIndex: s.replica.raft.AppliedIndex(),
+		Coordinators: map[string]string{},
+	}
+	servers, err := s.replica.servers()
+	if err == nil { // else none is shown
+		for _, server := range servers {
+			status.Coordinators[string(server.ID)] = string(server.Address)
+		}
+	}
+	s.replica.inspect(func(state *coordination.State) { showState(state, status) })
+	return status
+}
+
+// showState copies into a status what it shows of the state.
+func showState(state *coordination.State, status *client.Status) {
+	status.FleetTime = state.Now.Round(time.Millisecond).String()
+	status.MemberCount = len(state.Members)
+	if state.Halt != nil {
+		halt := *state.Halt
+		status.Halt = &halt
+	}
+	if state.Rollout != nil {
+		rollout := *state.Rollout
+		status.Rollout = &rollout
+	}
+	for _, budget := range state.Budgets {
+		status.Budgets = append(status.Budgets, state.Usage(budget))
+	}
+	for _, id := range slices.Sorted(maps.Keys(state.Permits)) {
+		status.Permits = append(status.Permits, *state.Permits[id])
+	}
+	for _, name := range slices.Sorted(maps.Keys(state.Members)) {
+		member := state.Members[name]
+		if member.State != coordination.MemberUp || member.PermitID > 0 {
+			status.Unavailable = append(status.Unavailable, *member)
+		}
+	}
+}
--- a/internal/fleet/coordinator/restart.go
+++ b/internal/fleet/coordinator/restart.go
@@ -13,22 +13,35 @@
 	"lanewheel/internal/coordination"
 )
 
+const (
+	minRestartBackoff = time.Second
+	maxRestartBackoff = 15 * time.Second
+	// restartWaitDelay is how long the command's output is waited for once it has ended: a child of its own may keep
+	// it open.
+	restartWaitDelay = time.Second
+)
+
 // restartState is how far the operator's command is for one permit.
 type restartState struct {
 	running     atomic.Bool
-	done        atomic.Bool
-	attempts    int
-	nextAttempt time.Time
+	done        atomic.Bool // it went well
+	attempts    int         // owned by leadLoop
+	nextAttempt time.Time   // owned by leadLoop
+}
+
+// restartBackoff is the pause after an attempt, counted from 1.
+func restartBackoff(attempt int) time.Duration {
+	return min(minRestartBackoff<<min(attempt-1, 5), maxRestartBackoff)
 }
 
-// scheduleRestart has the operator's command run for a member that is out, again and later each time while it fails. Danger: a member that has left the fleet
-// and not ended yet can't be started, and would stay out for ever.
+// scheduleRestart runs the operator's command for a member that is out, again and later each time while it fails: a
+// member that has left the fleet and not ended yet can't be started, and would stay out for ever.
 func (s *Coordinator) scheduleRestart(restart *restartState, permit coordination.Permit, release string) {
 	if restart.running.Load() || restart.done.Load() || time.Now().Before(restart.nextAttempt) {
 		return
 	}
 	restart.attempts++
-	restart.nextAttempt = time.Now().Add(min(500*time.Millisecond<<min(restart.attempts, 6), 15*time.Second))
+	restart.nextAttempt = time.Now().Add(restartBackoff(restart.attempts))
 	restart.running.Store(true)
 	go func() {
 		restart.done.Store(s.runRestartCommand(permit, release))
@@ -36,38 +49,49 @@
 	}()
 }
 
-// runRestartCommand runs the operator's command, with a bound on its time and on what it prints, and tells whether it went well.
+// runRestartCommand runs the operator's command, with bounds on its time and its output, and tells whether it went
+// well.
 func (s *Coordinator) runRestartCommand(permit coordination.Permit, release string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), s.config.RestartTimeout)
 	defer cancel()
+	placeholders := strings.NewReplacer("{name}", string(permit.Member), "{release}", release)
 	args := strings.Fields(s.config.RestartCommand)
 	for i := range args {
-		args[i] = strings.NewReplacer("{name}", string(permit.Member), "{release}", release).Replace(args[i])
+		args[i] = placeholders.Replace(args[i])
 	}
-	cmd := exec.CommandContext(ctx, args[0], args[1:]...)
-	cmd.Env = append(os.Environ(), "LANEWHEEL_NAME="+string(permit.Member), "LANEWHEEL_RELEASE="+release)
+	command := exec.CommandContext(ctx, args[0], args[1:]...)
+	command.Env = append(os.Environ(), "LANEWHEEL_NAME="+string(permit.Member), "LANEWHEEL_RELEASE="+release)
 	output := &limitedBuffer{limit: s.config.RestartOutputLimit}
-	cmd.Stdout, cmd.Stderr = output, output
-	cmd.WaitDelay = time.Second // Danger: a child of its own that keeps the output open
+	command.Stdout = output
+	command.Stderr = output
+	command.WaitDelay = restartWaitDelay
 	startedAt := time.Now()
-	err := cmd.Run()
-	slog.Info("restart", "member", string(permit.Member), "release", release, "permit", uint64(permit.ID), "took_ms", time.Since(startedAt).Milliseconds(), "err", err, "said", string(output.data), "more", output.discarded)
+	err := command.Run()
+	slog.Info("restart command finished",
+		"member", string(permit.Member),
+		"release", release,
+		"permit", uint64(permit.ID),
+		"duration", time.Since(startedAt),
+		"err", err,
+		"output", string(output.data),
+		"output_dropped", output.discarded)
 	return err == nil
 }
 
-// limitedBuffer keeps the first bytes of what is written.
+// limitedBuffer keeps the first bytes of what is written and counts the others.
 type limitedBuffer struct {
 	mu        sync.Mutex
-	data      []byte
-	limit     int
-	discarded int
+	data      []byte // guarded by mu
+	limit     int    // bytes
+	discarded int    // bytes, guarded by mu
 }
 
-func (c *limitedBuffer) Write(b []byte) (int, error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	n := min(len(b), c.limit-len(c.data))
-	c.data = append(c.data, b[:n]...)
-	c.discarded += len(b) - n
-	return len(b), nil
+// Write never fails and never keeps the writer waiting.
+func (b *limitedBuffer) Write(data []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	kept := min(len(data), b.limit-len(b.data))
+	b.data = append(b.data, data[:kept]...)
+	b.discarded += len(data) - kept
+	return len(data), nil
 }
--- a/internal/fleet/coordinator/statemachine.go
+++ b/internal/fleet/coordinator/statemachine.go
@@ -10,14 +10,14 @@
 	"lanewheel/internal/coordination"
 )
 
-// stateMachine is raft.FSM.
+// stateMachine is a replica as raft drives it: raft.FSM.
 type stateMachine replica
 
-// Apply is raft.FSM.
+// Apply implements raft.FSM: it applies an entry of the log and returns a coordination.Reply.
 func (m *stateMachine) Apply(entry *raft.Log) any {
 	var command coordination.Command
 	if err := json.Unmarshal(entry.Data, &command); err != nil {
-		slog.Error("bad-command", "index", entry.Index, "err", err)
+		slog.Error("undecodable log entry", "index", entry.Index, "err", err)
 		return coordination.Reply{Reason: "can't be read: " + err.Error()}
 	}
 	m.mu.Lock()
@@ -26,15 +26,19 @@
 	wasHalted := m.state.Halt != nil
 	reply := m.state.Apply(command)
 	for _, permit := range m.state.EndedPermits[min(endedBefore, len(m.state.EndedPermits)):] {
-		slog.Info("permit", "number", uint64(permit.ID), "member", string(permit.Member), "why", permit.Purpose, "ended", permit.Outcome)
+		slog.Info("permit ended", "permit", uint64(permit.ID), "member", string(permit.Member),
+			"purpose", string(permit.Purpose), "outcome", permit.Outcome)
 	}
-	if halt := m.state.Halt; (halt != nil) != wasHalted {
-		slog.Info("halt", "on", halt != nil, "by", command.RequestedBy)
+	switch isHalted := m.state.Halt != nil; {
+	case isHalted && !wasHalted:
+		slog.Info("halted", "by", command.RequestedBy)
+	case !isHalted && wasHalted:
+		slog.Info("resumed", "by", command.RequestedBy)
 	}
 	return reply
 }
 
-// Snapshot is raft.FSM.
+// Snapshot implements raft.FSM.
 func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -42,29 +46,30 @@
 	return stateSnapshot(data), err
 }
 
-// Restore is raft.FSM. A snapshot that can't be read is an error, and the one before it is taken.
-func (m *stateMachine) Restore(r io.ReadCloser) error {
-	defer r.Close()
+// Restore implements raft.FSM. A snapshot that can't be read is an error, and raft takes the one before it.
+func (m *stateMachine) Restore(snapshot io.ReadCloser) error {
+	defer func() { _ = snapshot.Close() }() // it is only read
 	state := coordination.NewState(m.config.Coordination)
-	if err := json.NewDecoder(r).Decode(state); err != nil {
+	if err := json.NewDecoder(snapshot).Decode(state); err != nil {
 		return err
 	}
 	m.mu.Lock()
+	defer m.mu.Unlock()
 	m.state = state
-	m.mu.Unlock()
 	return nil
 }
 
+// stateSnapshot is the whole state as JSON: raft.FSMSnapshot.
 type stateSnapshot []byte
 
-// Persist is raft.FSMSnapshot.
+// Persist implements raft.FSMSnapshot.
 func (s stateSnapshot) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(s); err != nil {
-		_ = sink.Cancel()
+		_ = sink.Cancel() // the write's error is what matters
 		return err
 	}
 	return sink.Close()
 }
 
-// Release is raft.FSMSnapshot.
+// Release implements raft.FSMSnapshot.
 func (s stateSnapshot) Release() {}
--- a/internal/fleet/coordinator/streamlayer.go
+++ b/internal/fleet/coordinator/streamlayer.go
@@ -13,97 +13,119 @@
 	"lanewheel/internal/fleet/coordinator/client"
 )
 
-// streamLayer is raft.StreamLayer over the shared listener.
+// maxPendingConnections bounds the connections in their handshake or with a request: those that never prove a key
+// could come by the hundred.
+const maxPendingConnections = 64
+
+// streamLayer is raft.StreamLayer over the listener that peers and clients share.
 type streamLayer struct {
 	coordinator *Coordinator
 	listener    net.Listener
 	peers       chan net.Conn
-	closed      chan struct{}
+	slots       chan struct{} // one for each pending connection
 	ready       chan struct{} // closed once there is a state to answer from
+	closed      chan struct{}
 	closeOnce   sync.Once
-	slots       chan struct{} // one for each connection that is being greeted or asked
 }
 
 func newStreamLayer(coordinator *Coordinator, listener net.Listener) *streamLayer {
-	const maxConnections = 64 // operators, and strangers that say nothing
-	layer := &streamLayer{coordinator: coordinator, listener: listener, peers: make(chan net.Conn), closed: make(chan struct{}), ready: make(chan struct{}), slots: make(chan struct{}, maxConnections)}
+	layer := &streamLayer{
+		coordinator: coordinator,
+		listener:    listener,
+		peers:       make(chan net.Conn),
+		slots:       make(chan struct{}, maxPendingConnections),
+		ready:       make(chan struct{}),
+		closed:      make(chan struct{}),
+	}
 	go layer.acceptLoop()
 	return layer
 }
 
-func (x *streamLayer) acceptLoop() {
+func (l *streamLayer) acceptLoop() {
 	for {
-		conn, err := x.listener.Accept()
+		conn, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
 		select {
-		case x.slots <- struct{}{}:
-		default: // Danger: connections by the hundred on which nobody proves anything
-			conn.Close()
-			continue
+		case l.slots <- struct{}{}:
+			go func() {
+				defer func() { <-l.slots }()
+				l.handleConn(conn)
+			}()
+		default:
+			_ = conn.Close() // refused
+		}
+	}
+}
+
+// handleConn does the handshake, and hands a peer to raft or answers a client.
+func (l *streamLayer) handleConn(conn net.Conn) {
+	kind, err := client.ServerHandshake(conn, l.coordinator.loadClusterKeys())
+	switch {
+	case err != nil: // a stranger, or a peer that is gone
+	case kind == client.PeerConnection:
+		select {
+		case l.peers <- conn:
+			return
+		case <-l.closed:
+		}
+	case kind == client.ClientConnection:
+		// A request may come while the folder is still being read.
+		select {
+		case <-l.ready:
+			l.coordinator.serveRequest(conn)
+		case <-l.closed:
 		}
-		go func() {
-			defer func() { <-x.slots }()
-			kind, err := client.ServerHandshake(conn, x.coordinator.loadClusterKeys())
-			switch {
-			case err != nil:
-				x.coordinator.rejectedConnections.Add(1)
-			case kind == client.PeerConnection:
-				select {
-				case x.peers <- conn:
-					return
-				case <-x.closed:
-				}
-			case kind == client.ClientConnection:
-				// Danger: who asks while the folder is still being read.
-				select {
-				case <-x.ready:
-					x.coordinator.serveRequest(conn)
-				case <-x.closed:
-				}
-			}
-			conn.Close()
-		}()
 	}
+	_ = conn.Close() // nothing more is written
 }
 
-// Accept is net.Listener.
-func (x *streamLayer) Accept() (net.Conn, error) {
+// Accept implements net.Listener: it returns connections of peers.
+func (l *streamLayer) Accept() (net.Conn, error) {
 	select {
-	case conn := <-x.peers:
+	case conn := <-l.peers:
 		return conn, nil
-	case <-x.closed:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-// Close is net.Listener.
-func (x *streamLayer) Close() error {
-	x.closeOnce.Do(func() { close(x.closed) })
-	return x.listener.Close()
+// Close implements net.Listener.
+func (l *streamLayer) Close() error {
+	l.closeOnce.Do(func() { close(l.closed) })
+	return l.listener.Close()
 }
 
-// Addr is net.Listener: where the others dial us.
-func (x *streamLayer) Addr() net.Addr {
-	addr, _ := net.ResolveTCPAddr("tcp", x.coordinator.config.AdvertiseAddr)
+// Addr implements net.Listener: where the peers dial us. If that can't be resolved, it is a nil *net.TCPAddr, which
+// raft can print.
+func (l *streamLayer) Addr() net.Addr {
+	addr, _ := net.ResolveTCPAddr("tcp", l.coordinator.config.AdvertiseAddr)
 	return addr
 }
 
-// Dial is raft.StreamLayer.
-func (x *streamLayer) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	return client.Dialer{Keys: x.coordinator.loadClusterKeys(), LocalIP: x.coordinator.config.LocalIP, Timeout: timeout}.Dial(string(addr), client.PeerConnection)
+// Dial implements raft.StreamLayer.
+func (l *streamLayer) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	dialer := client.Dialer{
+		Keys:    l.coordinator.loadClusterKeys(),
+		LocalIP: l.coordinator.config.LocalIP,
+		Timeout: timeout,
+	}
+	return dialer.Dial(string(addr), client.PeerConnection)
 }
 
-// serveRequest answers one question.
+// serveRequest answers one request.
 func (s *Coordinator) serveRequest(conn net.Conn) {
-	_ = conn.SetDeadline(time.Now().Add(client.RequestTimeout))
+	if conn.SetDeadline(time.Now().Add(client.RequestTimeout)) != nil {
+		return // the connection is closed
+	}
 	var request client.Request
-	response := client.Response{}
-	if err := json.NewDecoder(bufio.NewReader(io.LimitReader(conn, client.MaxRequestBytes))).Decode(&request); err != nil {
+	var response client.Response
+	limited := bufio.NewReader(io.LimitReader(conn, client.MaxRequestBytes))
+	if err := json.NewDecoder(limited).Decode(&request); err != nil {
 		response.Error = "can't be read: " + err.Error()
 	} else {
 		response = s.handle(request)
 	}
-	_ = json.NewEncoder(conn).Encode(response)
+	_ = json.NewEncoder(conn).Encode(response) // a client that is gone asks again
 }
--- a/internal/fleet/coordinator/streamlayer_test.go
+++ b/internal/fleet/coordinator/streamlayer_test.go
@@ -10,7 +10,8 @@
 	"lanewheel/internal/membership"
 )
 
-// A question that comes while the steward's folder is still being read waits, and one whose steward ends before that is not answered.
+// A question that comes while the steward's folder is still being read waits, and one whose steward ends before that
+// is not answered.
 func Example_askedBeforeItIsOpen() {
 	l := fake.Must(net.Listen("tcp", "127.0.0.1:0"))
 	key := membership.Key(make([]byte, 32))
