--- a/cmd/lanewheel-coordinator/main.go
+++ b/cmd/lanewheel-coordinator/main.go
@@ -1,5 +1,5 @@
-// Command lanewheel-coordinator is lanewheel-fleet with the stewards' log linked. It is a program of its own because that takes memory at rest;
-// lanewheel hands over to it for "lanewheel steward".
+// Command lanewheel-coordinator is lanewheel-fleet with the coordinators' replicated log linked. It is a program of its
+// own because the log takes memory at rest; lanewheel hands over to it for its coordinator command.
 package main
 
 import (
--- a/internal/fleet/coordinator/fleet_test.go
+++ b/internal/fleet/coordinator/fleet_test.go
@@ -1,6 +1,7 @@
 package coordinator
 
 import (
+	"context"
 	"fmt"
 	"net"
 	"os"
@@ -16,128 +17,185 @@
 	"lanewheel/internal/membership"
 )
 
-// testFleet is so many stewards among a fleet that is as it is said to be.
+// testFleet is some coordinators, s0 and so on, in a fleet whose members are as the test says. It is their Fleet.
 type testFleet struct {
 	dir          string
 	configs      []Config
-	coordinators []*Coordinator
+	coordinators []*Coordinator // nil: not running
 	done         []chan struct{}
-	mu           sync.Mutex
-	table        *membership.Table
-	now          time.Duration
-	notices      map[uint64]string
+
+	mu      sync.Mutex
+	table   *membership.Table // guarded by mu
+	now     time.Duration     // guarded by mu
+	notices map[uint64]string // guarded by mu: by permit
 }
 
 var clusterKey = membership.Key("0123456789abcdef0123456789abcdef")
 
+// fleetCount gives each fleet of this process addresses of its own.
 var fleetCount int
 
-func newTestFleet(n int, instances int) *testFleet {
+// newTestFleet starts coordinators in a fleet of instances n0 and so on, which are up.
+func newTestFleet(coordinators, instances int) *testFleet {
 	fleetCount++
-	t := &testFleet{dir: fake.Must(os.MkdirTemp("", "stewards")), notices: map[uint64]string{}}
-	t.table = membership.NewTable(membership.Descriptor{Name: "s0", Incarnation: 1, BootID: 1, Roles: membership.RoleCoordinator}, membership.DefaultConfig(), 0)
+	f := &testFleet{
+		dir:          fake.Must(os.MkdirTemp("", "coordinators")),
+		coordinators: make([]*Coordinator, coordinators),
+		done:         make([]chan struct{}, coordinators),
+		notices:      map[uint64]string{},
+	}
+	self := membership.Descriptor{Name: "s0", Incarnation: 1, BootID: 1, Roles: membership.RoleCoordinator}
+	f.table = membership.NewTable(self, membership.DefaultConfig(), 0)
 	for i := range instances {
-		t.markUp(i, 1, "1")
+		f.markUp(i, 1, "1")
 	}
-	var all []string
-	for i := range n {
-		l := fake.Must(net.Listen("tcp", fmt.Sprintf("127.73.%d.%d:0", os.Getpid()%250, fleetCount)))
-		all = append(all, l.Addr().String())
-		l.Close()
-		t.configs = append(t.configs, Config{Name: fmt.Sprint("s", i), ListenAddr: all[i], DataDir: filepath.Join(t.dir, fmt.Sprint(i)), Bootstrap: i == 0, HeartbeatTimeout: 300 * time.Millisecond,
-			ClusterKeys: []membership.Key{clusterKey}, Coordination: coordination.DefaultConfig(), Canary: canary.DefaultConfig(), AnalysisWindow: time.Second, SampleSize: 8, RestartTimeout: time.Second, RestartOutputLimit: 64, SnapshotThreshold: 64})
+	var addrs []string
+	for i := range coordinators {
+		addr := freeAddr(fmt.Sprintf("127.73.%d.%d", os.Getpid()%250, fleetCount))
+		addrs = append(addrs, addr)
+		f.configs = append(f.configs, Config{
+			Name:               fmt.Sprint("s", i),
+			ListenAddr:         addr,
+			DataDir:            filepath.Join(f.dir, fmt.Sprint(i)),
+			Bootstrap:          i == 0,
+			HeartbeatTimeout:   300 * time.Millisecond,
+			ClusterKeys:        []membership.Key{clusterKey},
+			Coordination:       coordination.DefaultConfig(),
+			Canary:             canary.DefaultConfig(),
+			AnalysisWindow:     time.Second,
+			SampleSize:         8,
+			RestartTimeout:     time.Second,
+			RestartOutputLimit: 64,
+			SnapshotThreshold:  64,
+		})
 	}
-	t.coordinators, t.done = make([]*Coordinator, n), make([]chan struct{}, n)
-	for i := range n {
-		t.configs[i].Coordinators = all
-		t.startCoordinator(i)
+	for i := range coordinators {
+		f.configs[i].Coordinators = addrs
+		f.startCoordinator(i)
 	}
-	return t
+	return f
+}
+
+// listen opens a listener at a free port of a host.
+func listen(host string) net.Listener {
+	return fake.Must(new(net.ListenConfig).Listen(context.Background(), "tcp", host+":0"))
 }
 
-// markUp has the fleet hold an instance to be up, by a life.
-func (t *testFleet) markUp(i int, life membership.BootID, release string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.now += time.Second
-	name := membership.Name(fmt.Sprint("n", i))
-	t.table.HandleAlive(membership.Descriptor{Name: name, BootID: life, Incarnation: membership.Incarnation(life), Roles: membership.RoleServer, Release: release, Capacity: 1}, t.now)
-	t.table.HandleHeartbeat(membership.Heartbeat{ID: membership.ID{Name: name, BootID: life}, Sequence: 1, Ready: true, ReadyFor: time.Hour}, 0, t.now)
+// freeAddr is an address of a host at which nobody listens.
+func freeAddr(host string) string {
+	listener := listen(host)
+	defer func() { _ = listener.Close() }()
+	return listener.Addr().String()
 }
 
-func (t *testFleet) View() *membership.View {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.table.View()
+// markUp has the fleet see an incarnation of an instance up.
+func (f *testFleet) markUp(i int, incarnation membership.Incarnation, release string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.now += time.Second
+	descriptor := membership.Descriptor{
+		Name:        membership.Name(fmt.Sprint("n", i)),
+		BootID:      membership.BootID(incarnation),
+		Incarnation: incarnation,
+		Roles:       membership.RoleServer,
+		Release:     release,
+		Capacity:    1,
+	}
+	f.table.HandleAlive(descriptor, f.now)
+	id := membership.ID{Name: descriptor.Name, BootID: descriptor.BootID}
+	heartbeat := membership.Heartbeat{ID: id, Sequence: 1, Ready: true, ReadyFor: time.Hour}
+	f.table.HandleHeartbeat(heartbeat, 0, f.now)
 }
 
-func (t *testFleet) NotifyPermit(name membership.Name, of membership.Incarnation, number uint64, begun bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.notices[number] = fmt.Sprint(name, " ", of, " ", begun)
+func (f *testFleet) View() *membership.View {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.table.View()
 }
 
-func (t *testFleet) QueryStats(membership.Name, func(gossip.RequestStats)) {}
+func (f *testFleet) NotifyPermit(
+	name membership.Name, incarnation membership.Incarnation, permitID uint64, begun bool,
+) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.notices[permitID] = fmt.Sprint(name, " ", incarnation, " ", begun)
+}
 
-func (t *testFleet) startCoordinator(i int) {
-	s, err := New(t.configs[i])
-	if err != nil {
-		panic(err)
-	}
-	t.coordinators[i], t.done[i] = s, make(chan struct{})
+// notice is what the holder of a permit was told last.
+func (f *testFleet) notice(permitID uint64) string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.notices[permitID]
+}
+
+func (f *testFleet) QueryStats(membership.Name, func(gossip.RequestStats)) {}
+
+func (f *testFleet) startCoordinator(i int) {
+	coordinator := fake.Must(New(f.configs[i]))
+	done := make(chan struct{})
+	f.coordinators[i] = coordinator
+	f.done[i] = done
 	go func() {
-		s.Serve(t)
-		close(t.done[i])
+		coordinator.Serve(f)
+		close(done)
 	}()
 }
 
-// kill ends a steward without a word.
-func (t *testFleet) kill(i int) {
-	s := t.coordinators[i]
-	s.shutdownOnce.Do(func() { close(s.closed) })
-	<-t.done[i]
-	t.coordinators[i] = nil
+// kill ends a coordinator without handing its leadership over.
+func (f *testFleet) kill(i int) {
+	coordinator := f.coordinators[i]
+	coordinator.shutdownOnce.Do(func() { close(coordinator.closed) })
+	<-f.done[i]
+	f.coordinators[i] = nil
 }
 
-func (t *testFleet) close() {
-	for i, s := range t.coordinators {
-		if s != nil {
-			t.kill(i)
+func (f *testFleet) close() {
+	for i, coordinator := range f.coordinators {
+		if coordinator != nil {
+			f.kill(i)
 		}
 	}
-	os.RemoveAll(t.dir)
+	if err := os.RemoveAll(f.dir); err != nil {
+		panic(err)
+	}
 }
 
-func (t *testFleet) client() client.Client {
-	k := client.Client{Keys: []membership.Key{clusterKey}, Timeout: fake.WaitTimeout}
-	for _, told := range t.configs {
-		k.Coordinators = append(k.Coordinators, told.ListenAddr)
+func (f *testFleet) client() client.Client {
+	c := client.Client{Keys: []membership.Key{clusterKey}, Timeout: fake.WaitTimeout}
+	for _, config := range f.configs {
+		c.Coordinators = append(c.Coordinators, config.ListenAddr)
 	}
-	return k
+	return c
 }
 
-func (t *testFleet) propose(c coordination.Command) coordination.Reply {
-	a := fake.Must(t.client().Do(client.Request{Command: &c}))
-	if a.Reply == nil {
-		panic(a.Error)
+func (f *testFleet) propose(command coordination.Command) coordination.Reply {
+	response := fake.Must(f.client().Do(client.Request{Command: &command}))
+	if response.Reply == nil {
+		panic(response.Error)
 	}
-	return *a.Reply
+	return *response.Reply
 }
 
-// leader waits for one that leads and knows so many to agree, and as many instances.
-func (t *testFleet) leader(voters, instances int) (i int) {
+// leader waits for a leader that knows so many voters and members, and returns its index.
+func (f *testFleet) leader(voters, members int) (leader int) {
 	fake.WaitFor("a leader", func() bool {
-		for k, s := range t.coordinators {
-			if s != nil && s.IsLeader() {
-				if st := s.status(); len(st.Coordinators) == voters && st.MemberCount >= instances {
-					i = k
-					return true
-				}
+		for i, coordinator := range f.coordinators {
+			if coordinator == nil || !coordinator.IsLeader() {
+				continue
+			}
+			status := coordinator.status()
+			if len(status.Coordinators) == voters && status.MemberCount >= members {
+				leader = i
+				return true
 			}
 		}
 		return false
 	})
-	return i
+	return leader
 }
 
-var oneAtATime = coordination.Command{Kind: coordination.KindSetBudgets, Budgets: []coordination.DisruptionBudget{{Name: "one", MaxUnavailable: 1, Selector: coordination.Selector{Role: "instance"}}}}
+var oneAtATime = coordination.Command{
+	Kind: coordination.KindSetBudgets,
+	Budgets: []coordination.DisruptionBudget{{
+		Name: "one", MaxUnavailable: 1, Selector: coordination.Selector{Role: "instance"}}},
+}
--- a/internal/fleet/coordinator/golden_commands_test.go
+++ b/internal/fleet/coordinator/golden_commands_test.go
@@ -8,72 +8,191 @@
 	"lanewheel/internal/membership"
 )
 
-// goldenCommands are of every kind, and come out well unless said; at is when the first is given, from is the number
-// of its first permit. They leave n0 out by a permit, n3 with one that has been granted, and a release on its way
-// back.
-func goldenCommands(term uint64, at time.Duration, from coordination.PermitID, inc membership.Incarnation, old, next string) (all []coordination.Command) {
-	seen := func(name coordination.Name, zone, release string, plus membership.Incarnation, why coordination.MemberState) coordination.Observation {
-		return coordination.Observation{Name: name, Incarnation: inc + plus, Zone: zone, Release: release, Roles: membership.RoleServer,
-			Capacity: 1.5, State: why}
+// goldenSeries makes the commands of one half of the golden log.
+type goldenSeries struct {
+	term        uint64
+	leaderTime  time.Duration          // of the first command
+	firstPermit coordination.PermitID  // the first ID that it makes
+	incarnation membership.Incarnation // of all members at its begin
+	oldRelease  string
+	newRelease  string
+}
+
+func (g goldenSeries) observe(observations ...coordination.Observation) coordination.Command {
+	return coordination.Command{Kind: coordination.KindObserve, Observations: observations}
+}
+
+// server is an instance on the old release.
+func (g goldenSeries) server(name coordination.Name, zone string) coordination.Observation {
+	return coordination.Observation{
+		Name:        name,
+		Incarnation: g.incarnation,
+		Zone:        zone,
+		Release:     g.oldRelease,
+		Roles:       membership.RoleServer,
+		Capacity:    1.5,
+	}
+}
+
+// n0 is an instance in zone a.
+func (g goldenSeries) n0(
+	release string, restarts membership.Incarnation, state coordination.MemberState,
+) coordination.Observation {
+	observation := g.server("n0", "a")
+	observation.Incarnation += restarts
+	observation.Release = release
+	observation.State = state
+	return observation
+}
+
+// members has all members observed, and sets budgets.
+func (g goldenSeries) members() []coordination.Command {
+	upstream := coordination.Observation{
+		Name:        "d0",
+		Incarnation: g.incarnation,
+		Zone:        "a",
+		Release:     g.oldRelease,
+		Roles:       membership.RoleUpstream,
+		Upstream:    "d0",
+		Capacity:    1,
+	}
+	proxy := coordination.Observation{
+		Name:        "r0",
+		Incarnation: g.incarnation,
+		Zone:        "a",
+		Release:     g.oldRelease,
+		Roles:       membership.RoleProxy | membership.RoleCoordinator,
+		Capacity:    2,
+		State:       coordination.MemberSuspect,
+	}
+	return []coordination.Command{
+		g.observe(
+			g.server("n0", "a"), g.server("n1", "a"),
+			g.server("n2", "b"), g.server("n3", "b"),
+			g.server("n4", "c"), g.server("n5", "c"),
+			upstream, proxy),
+		{Kind: coordination.KindSetBudgets, Budgets: []coordination.DisruptionBudget{
+			{Name: "all", MaxUnavailable: 3, MinAvailableCapacity: 4},
+			{
+				Name:                   "share-b",
+				Selector:               coordination.Selector{Zone: "b", Role: "instance"},
+				MaxUnavailable:         -1,
+				MaxUnavailableFraction: 0.5,
+			},
+			{Name: "below", Selector: coordination.Selector{Upstream: "d0", Release: g.oldRelease}, MaxUnavailable: 1},
+		}},
 	}
-	group := coordination.Selector{Zone: "b", Role: "instance"}
-	all = []coordination.Command{
-		{Kind: coordination.KindObserve, Observations: []coordination.Observation{seen("n0", "a", old, 0, coordination.MemberUp), seen("n1", "a", old, 0, coordination.MemberUp),
-			seen("n2", "b", old, 0, coordination.MemberUp), seen("n3", "b", old, 0, coordination.MemberUp),
-			seen("n4", "c", old, 0, coordination.MemberUp), seen("n5", "c", old, 0, coordination.MemberUp),
-			{Name: "d0", Incarnation: inc, Zone: "a", Release: old, Roles: membership.RoleUpstream, Upstream: "d0", Capacity: 1,
-				State: coordination.MemberUp},
-			{Name: "r0", Incarnation: inc, Zone: "a", Release: old, Roles: membership.RoleProxy | membership.RoleCoordinator,
-				Capacity: 2, State: coordination.MemberSuspect}}},
-		{Kind: coordination.KindSetBudgets, Budgets: []coordination.DisruptionBudget{{Name: "all", MaxUnavailable: 3, MinAvailableCapacity: 4}, {Name: "share-b", Selector: group,
-			MaxUnavailable: -1, MaxUnavailableFraction: 0.5},
-			{Name: "below", Selector: coordination.Selector{Upstream: "d0", Release: old}, MaxUnavailable: 1}}},
-		// The permit from; then the same command once more.
-		{Kind: coordination.KindRequestPermit, Member: "n0", IdempotencyKey: fmt.Sprint("key-", term), BeginTimeout: 20 * time.Second, Reason: "by hand"},
-		{Kind: coordination.KindRequestPermit, Member: "n0", IdempotencyKey: fmt.Sprint("key-", term), BeginTimeout: 20 * time.Second, Reason: "by hand"},
-		{Kind: coordination.KindBeginPermit, Member: "n0", Incarnation: inc, PermitID: from},
-		{Kind: coordination.KindDrain, Selector: group, BeginTimeout: 25 * time.Second}, // from+1 granted, from+2 waits
+}
+
+// permits has permits requested, begun, cancelled and refused, and halts and resumes.
+func (g goldenSeries) permits() []coordination.Command {
+	keyed := coordination.Command{
+		Kind:           coordination.KindRequestPermit,
+		Member:         "n0",
+		IdempotencyKey: fmt.Sprint("key-", g.term),
+		BeginTimeout:   20 * time.Second,
+		Reason:         "by hand",
+	}
+	begin := coordination.Command{
+		Kind: coordination.KindBeginPermit, Member: "n0", Incarnation: g.incarnation, PermitID: g.firstPermit}
+	drained := coordination.Selector{Zone: "b", Role: "instance"}
+	gone := g.server("n5", "c")
+	gone.State = coordination.MemberGone
+	return []coordination.Command{
+		keyed, // makes firstPermit
+		keyed, // the same command once more
+		begin,
+		{ // firstPermit+1 is granted, +2 is queued
+			Kind: coordination.KindDrain, Selector: drained, BeginTimeout: 25 * time.Second},
 		{Kind: coordination.KindCancelDrain, Selector: coordination.Selector{Zone: "b"}},
-		{Kind: coordination.KindRequestPermit, Member: "n4"}, // from+3
-		{Kind: coordination.KindCancelPermit, PermitID: from + 3},
+		{Kind: coordination.KindRequestPermit, Member: "n4"}, // firstPermit+3
+		{Kind: coordination.KindCancelPermit, PermitID: g.firstPermit + 3},
 		{Kind: coordination.KindCancelPermit, PermitID: 999}, // refused
-		{Kind: coordination.KindObserve, Observations: []coordination.Observation{seen("n5", "c", old, 0, coordination.MemberGone)}},
+		g.observe(gone),
 		{Kind: coordination.KindForgetMember, Member: "n5", Reason: "it burnt"},
 		{Kind: coordination.KindHalt, Reason: "for the night"},
 		{Kind: coordination.KindResume},
-		{Kind: coordination.KindObserve, Observations: []coordination.Observation{seen("n0", "a", old, 0, coordination.MemberLeaving)}},
-		{Kind: coordination.KindObserve, Observations: []coordination.Observation{seen("n0", "a", old, 1, coordination.MemberUp)}}, // from is over
-		// A release, a wave of it judged, and its way back.
-		{Kind: coordination.KindStartRollout, Plan: &coordination.RolloutPlan{Name: "r" + next, TargetRelease: next, Selector: coordination.Selector{Role: "instance"},
-			Waves: []coordination.Wave{{Count: 1}, {Fraction: 0.5}, {Zone: "c"}}, Pause: time.Second, AnalysisRequired: true, RollbackWavesAtOnce: 2,
-			MaxAttempts: 3}}, // from+4: n0
-		{Kind: coordination.KindBeginPermit, Member: "n0", Incarnation: inc + 1, PermitID: from + 4},
-		{Kind: coordination.KindObserve, Observations: []coordination.Observation{seen("n0", "a", next, 2, coordination.MemberWarmingUp)}},
-		{Kind: coordination.KindObserve, Observations: []coordination.Observation{seen("n0", "a", next, 2, coordination.MemberUp)}},
-		{Kind: coordination.KindCanaryVerdict, RolloutName: "r" + next, Wave: 0, Healthy: true, Reason: "+0.1%"},
+		g.observe(g.n0(g.oldRelease, 0, coordination.MemberLeaving)),
+		g.observe(g.n0(g.oldRelease, 1, coordination.MemberUp)), // firstPermit has ended
+	}
+}
+
+// rollout has a rollout started, one of its waves analyzed, and rolled back.
+func (g goldenSeries) rollout() []coordination.Command {
+	plan := &coordination.RolloutPlan{
+		Name:                "r" + g.newRelease,
+		TargetRelease:       g.newRelease,
+		Selector:            coordination.Selector{Role: "instance"},
+		Waves:               []coordination.Wave{{Count: 1}, {Fraction: 0.5}, {Zone: "c"}},
+		Pause:               time.Second,
+		AnalysisRequired:    true,
+		RollbackWavesAtOnce: 2,
+		MaxAttempts:         3,
+	}
+	begin := func(restarts membership.Incarnation, permit coordination.PermitID) coordination.Command {
+		return coordination.Command{
+			Kind:        coordination.KindBeginPermit,
+			Member:      "n0",
+			Incarnation: g.incarnation + restarts,
+			PermitID:    g.firstPermit + permit,
+		}
+	}
+	passed := coordination.Command{
+		Kind: coordination.KindCanaryVerdict, RolloutName: plan.Name, Wave: 0, Healthy: true, Reason: "+0.1%"}
+	return []coordination.Command{
+		{Kind: coordination.KindStartRollout, Plan: plan}, // firstPermit+4 is n0's
+		begin(1, 4),
+		g.observe(g.n0(g.newRelease, 2, coordination.MemberWarmingUp)),
+		g.observe(g.n0(g.newRelease, 2, coordination.MemberUp)),
+		passed,
 		{Kind: coordination.KindTick},
 		{Kind: coordination.KindTick},
-		{Kind: coordination.KindRollBack, Reason: "second thoughts"}, // from+5: n0 goes back
+		{Kind: coordination.KindRollBack, Reason: "second thoughts"},
 		{Kind: coordination.KindRequestPermit, Member: "n3", BeginTimeout: 40 * time.Second},
-		{Kind: coordination.KindBeginPermit, Member: "n0", Incarnation: inc + 2, PermitID: from + 7},
+		begin(2, 7),
 		{Kind: coordination.KindTick},
 	}
+}
+
+// commands are of every kind, and succeed unless it is noted. They leave n0 out by a permit, n3 with one that is
+// granted, and a rollback in progress.
+func (g goldenSeries) commands() []coordination.Command {
+	all := append(g.members(), append(g.permits(), g.rollout()...)...)
 	for i := range all {
-		c := &all[i]
-		c.Term, c.LeaderTime = term, at+time.Duration(i)*500*time.Millisecond
-		if c.Kind != coordination.KindObserve && c.Kind != coordination.KindTick {
-			c.RequestedBy = fmt.Sprint("operator-", term)
+		command := &all[i]
+		command.Term = g.term
+		command.LeaderTime = g.leaderTime + time.Duration(i)*500*time.Millisecond
+		if command.Kind != coordination.KindObserve && command.Kind != coordination.KindTick {
+			command.RequestedBy = fmt.Sprint("operator-", g.term)
 		}
 	}
 	return all
 }
 
-// goldenLog is the two halves: before the snapshot and behind it.
-func goldenLog() (before, behind []coordination.Command) {
-	before = goldenCommands(2, 3*time.Second, 1, 1_700_000_000_001, "1", "2")
-	behind = goldenCommands(3, time.Second, 10, 1_700_000_000_101, "1", "3")
-	last := behind[len(behind)-1]
-	behind = append(behind, coordination.Command{Term: last.Term, LeaderTime: last.LeaderTime + time.Second, RequestedBy: "operator-3",
-		Kind: coordination.KindRequestPermit, Member: "n1"}) // 19 waits
-	return before, behind
+// goldenLog is the two halves of the log: before the snapshot and after it.
+func goldenLog() (before, after []coordination.Command) {
+	before = goldenSeries{
+		term:        2,
+		leaderTime:  3 * time.Second,
+		firstPermit: 1,
+		incarnation: 1_700_000_000_001,
+		oldRelease:  "1",
+		newRelease:  "2",
+	}.commands()
+	after = goldenSeries{
+		term:        3,
+		leaderTime:  time.Second,
+		firstPermit: 10,
+		incarnation: 1_700_000_000_101,
+		oldRelease:  "1",
+		newRelease:  "3",
+	}.commands()
+	last := after[len(after)-1]
+	return before, append(after, coordination.Command{ // 19 is queued
+		Kind:        coordination.KindRequestPermit,
+		Term:        last.Term,
+		LeaderTime:  last.LeaderTime + time.Second,
+		RequestedBy: "operator-3",
+		Member:      "n1",
+	})
 }
--- a/internal/fleet/coordinator/golden_folder_test.go
+++ b/internal/fleet/coordinator/golden_folder_test.go
@@ -9,53 +9,55 @@
 	"os"
 	"path/filepath"
 	"testing"
+
+	"lanewheel/internal/fake"
 )
 
+// pack writes a folder to a compressed archive.
 func pack(folder, path string) error {
-	var b bytes.Buffer
-	z, err := gzip.NewWriterLevel(&b, gzip.BestCompression)
+	var packed bytes.Buffer
+	compressor, err := gzip.NewWriterLevel(&packed, gzip.BestCompression)
 	if err != nil {
 		return err
 	}
-	w := tar.NewWriter(z)
-	if err := w.AddFS(os.DirFS(folder)); err != nil {
+	archive := tar.NewWriter(compressor)
+	if err := archive.AddFS(os.DirFS(folder)); err != nil {
+		return err
+	}
+	if err := errors.Join(archive.Close(), compressor.Close()); err != nil {
 		return err
 	}
-	return errors.Join(w.Close(), z.Close(), os.WriteFile(path, b.Bytes(), 0o644))
+	return os.WriteFile(path, packed.Bytes(), 0o644)
 }
 
+// unpack makes a folder of a compressed archive.
 func unpack(t *testing.T, path, folder string) {
 	t.Helper()
-	f, err := os.Open(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer f.Close()
-	z, err := gzip.NewReader(f)
-	if err != nil {
-		t.Fatal(err)
-	}
-	r := tar.NewReader(z)
+	packed := fake.Must(os.ReadFile(path))
+	archive := tar.NewReader(fake.Must(gzip.NewReader(bytes.NewReader(packed))))
 	for {
-		h, err := r.Next()
-		if err == io.EOF {
+		header, err := archive.Next()
+		if errors.Is(err, io.EOF) {
 			return
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		to := filepath.Join(folder, filepath.FromSlash(h.Name))
-		if h.Typeflag == tar.TypeDir {
-			if err := os.MkdirAll(to, 0o700); err != nil {
+		target := filepath.Join(folder, filepath.FromSlash(header.Name))
+		if header.Typeflag == tar.TypeDir {
+			if err := os.MkdirAll(target, 0o700); err != nil {
 				t.Fatal(err)
 			}
 			continue
 		}
-		b, err := io.ReadAll(r)
+		content, err := io.ReadAll(archive)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := errors.Join(os.MkdirAll(filepath.Dir(to), 0o700), os.WriteFile(to, b, 0o600)); err != nil {
+		if err := os.MkdirAll(filepath.Dir(target), 0o700); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(target, content, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/fleet/coordinator/golden_test.go
+++ b/internal/fleet/coordinator/golden_test.go
@@ -25,90 +25,159 @@
 const (
 	goldenFolder = "testdata/folder.tar.gz"
 	goldenState  = "testdata/state.json"
-	goldenAt     = "127.0.0.1:7373" // where the others would dial it: it stands in the folder
+	goldenAddr   = "127.0.0.1:7373" // where the others would dial it: it is stored in the folder
 )
 
-func goldenTold(folder string) Config {
-	return Config{Name: "s0", ListenAddr: "127.0.0.1:0", AdvertiseAddr: goldenAt, DataDir: folder, Bootstrap: true,
-		HeartbeatTimeout: 300 * time.Millisecond, ClusterKeys: []membership.Key{clusterKey}, Coordination: coordination.DefaultConfig(),
-		Canary: canary.DefaultConfig(), AnalysisWindow: time.Second, SampleSize: 8, RestartTimeout: time.Second, RestartOutputLimit: 64, SnapshotThreshold: 1000}
+// goldenKinds are the stored words of all kinds of command.
+var goldenKinds = []coordination.Kind{
+	"see", "budgets", "ask", "begin", "drop", "forget", "halt", "resume", "release", "back", "verdict", "tick", "drain",
+	"undrain"}
+
+func goldenConfig(folder string) Config {
+	return Config{
+		Name:               "s0",
+		ListenAddr:         "127.0.0.1:0",
+		AdvertiseAddr:      goldenAddr,
+		DataDir:            folder,
+		Bootstrap:          true,
+		HeartbeatTimeout:   300 * time.Millisecond,
+		ClusterKeys:        []membership.Key{clusterKey},
+		Coordination:       coordination.DefaultConfig(),
+		Canary:             canary.DefaultConfig(),
+		AnalysisWindow:     time.Second,
+		SampleSize:         8,
+		RestartTimeout:     time.Second,
+		RestartOutputLimit: 64,
+		SnapshotThreshold:  1000,
+	}
 }
 
-func (n *replica) settled() bool { return n.raft.Barrier(time.Second).Error() == nil }
+// startGolden starts a coordinator on a folder, without its loops, and waits until it leads with all of its log
+// applied.
+func startGolden(folder string) *Coordinator {
+	coordinator := fake.Must(New(goldenConfig(folder)))
+	fake.WaitFor("it leads", func() bool {
+		return coordinator.IsLeader() && coordinator.replica.raft.Barrier(time.Second).Error() == nil
+	})
+	return coordinator
+}
 
-// A folder that an earlier program wrote: its identity, its log with every kind of command, a snapshot amid them. It
+func stopGolden(coordinator *Coordinator) {
+	_ = coordinator.streamLayer.Close()
+	coordinator.replica.close()
+}
+
+// writeGoldenFolder writes the golden folder by what the code does now.
+func writeGoldenFolder(t *testing.T, before, after []coordination.Command) {
+	t.Helper()
+	folder := t.TempDir()
+	coordinator := startGolden(folder)
+	apply := func(commands []coordination.Command) {
+		for _, command := range commands {
+			reply := fake.Must(coordinator.replica.apply(command))
+			t.Log(command.Kind, command.Member, command.PermitID, reply)
+		}
+	}
+	apply(before)
+	if err := coordinator.replica.raft.Snapshot().Error(); err != nil {
+		t.Fatal(err)
+	}
+	apply(after)
+	stopGolden(coordinator)
+	if err := pack(folder, goldenFolder); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// A folder that an earlier version wrote: its identity, its log with every kind of command, a snapshot amid them. It
 // opens, holds what was agreed, and goes on.
 func TestFolderGolden(t *testing.T) {
-	before, behind := goldenLog()
+	before, after := goldenLog()
 	if *update {
-		folder := t.TempDir()
-		s := fake.Must(New(goldenTold(folder)))
-		fake.WaitFor("it leads", func() bool { return s.IsLeader() && s.replica.settled() })
-		for _, c := range before {
-			t.Log(c.Kind, c.Member, c.PermitID, fake.Must(s.replica.apply(c)))
-		}
-		if err := s.replica.raft.Snapshot().Error(); err != nil {
-			t.Fatal(err)
-		}
-		for _, c := range behind {
-			t.Log(c.Kind, c.Member, c.PermitID, fake.Must(s.replica.apply(c)))
+		writeGoldenFolder(t, before, after)
+	}
+	folder := t.TempDir()
+	unpack(t, goldenFolder, folder)
+	checkGoldenFiles(t, folder, before)
+	folderID := string(fake.Must(os.ReadFile(filepath.Join(folder, "life"))))
+
+	coordinator := startGolden(folder)
+	defer stopGolden(coordinator)
+	replica := coordinator.replica
+	if replica.id != raft.ServerID("s0."+folderID) {
+		t.Errorf("it is %s, want s0.%s", replica.id, folderID)
+	}
+	checkGoldenLog(t, replica, slices.Concat(before, after))
+	replica.inspect(func(state *coordination.State) {
+		stored := append(fake.Must(json.MarshalIndent(state, "", "  ")), '\n')
+		if *update {
+			if err := os.WriteFile(goldenState, stored, 0o644); err != nil {
+				t.Fatal(err)
+			}
 		}
-		s.streamLayer.Close()
-		s.replica.close()
-		if err := pack(folder, goldenFolder); err != nil {
-			t.Fatal(err)
+		if want := fake.Must(os.ReadFile(goldenState)); !bytes.Equal(stored, want) {
+			t.Errorf("it holds\n%s\nwant\n%s", stored, want)
 		}
+		checkGoldenState(t, state)
+	})
+
+	// It goes on where it was.
+	reply := fake.Must(replica.apply(coordination.Command{
+		Term:        9,
+		LeaderTime:  time.Second,
+		Kind:        coordination.KindCancelPermit,
+		PermitID:    18,
+		RequestedBy: "operator",
+	}))
+	if want := (coordination.Reply{OK: true, PermitID: 18}); !reflect.DeepEqual(reply, want) {
+		t.Errorf("%+v, want %+v", reply, want)
 	}
+}
 
-	folder := t.TempDir()
-	unpack(t, goldenFolder, folder)
+// checkGoldenFiles checks the names of the folder's files, and that the snapshot is what the commands before it make,
+// as the code has it now.
+func checkGoldenFiles(t *testing.T, folder string, before []coordination.Command) {
+	t.Helper()
 	var names []string
-	if err := fs.WalkDir(os.DirFS(folder), ".", func(path string, d fs.DirEntry, err error) error {
-		if !d.IsDir() {
+	err := fs.WalkDir(os.DirFS(folder), ".", func(path string, entry fs.DirEntry, err error) error {
+		if !entry.IsDir() {
 			names = append(names, path)
 		}
 		return err
-	}); err != nil {
+	})
+	if err != nil {
 		t.Fatal(err)
 	}
-	snapshots, _ := filepath.Glob(filepath.Join(folder, "snapshots", "*"))
+	snapshots := fake.Must(filepath.Glob(filepath.Join(folder, "snapshots", "*")))
 	if len(snapshots) != 1 {
 		t.Fatal(snapshots)
 	}
-	snap := "snapshots/" + filepath.Base(snapshots[0])
-	if want := []string{"00000000000000000001-0000000000000000.wal", "life", "lock", snap + "/meta.json",
-		snap + "/state.bin", "wal-meta.db"}; !slices.Equal(names, want) {
-		t.Errorf("the folder holds %q, wanted %q", names, want)
+	snapshot := "snapshots/" + filepath.Base(snapshots[0])
+	want := []string{
+		"00000000000000000001-0000000000000000.wal", "life", "lock", snapshot + "/meta.json", snapshot + "/state.bin",
+		"wal-meta.db"}
+	if !slices.Equal(names, want) {
+		t.Errorf("the folder holds %q, want %q", names, want)
 	}
-	life := string(fake.Must(os.ReadFile(filepath.Join(folder, "life"))))
-
-	// The snapshot is what the commands before it come to, as the code has it now.
-	model := coordination.NewState(coordination.DefaultConfig())
-	for _, c := range before {
-		model.Apply(c)
+	state := coordination.NewState(coordination.DefaultConfig())
+	for _, command := range before {
+		state.Apply(command)
 	}
-	stored := fake.Must(os.ReadFile(filepath.Join(folder, snap, "state.bin")))
-	if now := fake.Must(json.Marshal(model)); !bytes.Equal(stored, now) {
+	stored := fake.Must(os.ReadFile(filepath.Join(folder, snapshot, "state.bin")))
+	if now := fake.Must(json.Marshal(state)); !bytes.Equal(stored, now) {
 		t.Errorf("the snapshot is\n%s\nnow written as\n%s", stored, now)
 	}
+}
 
-	s := fake.Must(New(goldenTold(folder)))
-	defer func() {
-		s.streamLayer.Close()
-		s.replica.close()
-	}()
-	if s.replica.id != raft.ServerID("s0."+life) {
-		t.Errorf("it is %s, wanted s0.%s", s.replica.id, life)
-	}
-	fake.WaitFor("it leads", func() bool { return s.IsLeader() && s.replica.settled() })
-
-	// The log holds the commands byte for byte as they are written now.
-	commands := append(slices.Clone(before), behind...)
-	first, last := fake.Must(s.replica.wal.FirstIndex()), fake.Must(s.replica.wal.LastIndex())
-	kinds := map[coordination.Kind]int{}
-	for i, next := first, 0; i <= last; i++ {
+// checkGoldenLog checks that the log holds the commands byte for byte as they are written now.
+func checkGoldenLog(t *testing.T, replica *replica, commands []coordination.Command) {
+	t.Helper()
+	first, last := fake.Must(replica.wal.FirstIndex()), fake.Must(replica.wal.LastIndex())
+	counts := map[coordination.Kind]int{}
+	next := 0
+	for index := first; index <= last; index++ {
 		var entry raft.Log
-		if err := s.replica.wal.GetLog(i, &entry); err != nil {
+		if err := replica.wal.GetLog(index, &entry); err != nil {
 			t.Fatal(err)
 		}
 		if entry.Type != raft.LogCommand {
@@ -117,61 +186,19 @@
 		if next >= len(commands) {
 			t.Fatalf("the log has more than %d commands", next)
 		}
-		var c coordination.Command
-		if err := json.Unmarshal(entry.Data, &c); err != nil || !reflect.DeepEqual(c, commands[next]) {
-			t.Errorf("entry %d reads as\n%+v\nwanted\n%+v (%v)", i, c, commands[next], err)
+		var command coordination.Command
+		if err := json.Unmarshal(entry.Data, &command); err != nil || !reflect.DeepEqual(command, commands[next]) {
+			t.Errorf("entry %d reads as\n%+v\nwant\n%+v (%v)", index, command, commands[next], err)
 		}
 		if now := fake.Must(json.Marshal(commands[next])); !bytes.Equal(entry.Data, now) {
-			t.Errorf("entry %d is\n%s\nnow written as\n%s", i, entry.Data, now)
+			t.Errorf("entry %d is\n%s\nnow written as\n%s", index, entry.Data, now)
 		}
-		kinds[c.Kind]++
+		counts[command.Kind]++
 		next++
 	}
-	for _, do := range []coordination.Kind{"see", "budgets", "ask", "begin", "drop", "forget", "halt", "resume", "release",
-		"back", "verdict", "tick", "drain", "undrain"} {
-		if kinds[do] < 2 {
-			t.Errorf("%d entries of %q, wanted some on either side of the snapshot", kinds[do], do)
-		}
-	}
-
-	// What it holds, read from the snapshot and the log behind it.
-	var state []byte
-	s.replica.inspect(func(a *coordination.State) { state = append(fake.Must(json.MarshalIndent(a, "", "  ")), '\n') })
-	if *update {
-		if err := os.WriteFile(goldenState, state, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	if want := fake.Must(os.ReadFile(goldenState)); !bytes.Equal(state, want) {
-		t.Errorf("it holds\n%s\nwanted\n%s", state, want)
-	}
-	s.replica.inspect(func(a *coordination.State) {
-		if err := expected(a); err != nil {
-			t.Error(err)
+	for _, kind := range goldenKinds {
+		if counts[kind] < 2 {
+			t.Errorf("%d entries of %q, want some on either side of the snapshot", counts[kind], kind)
 		}
-	})
-
-	// It goes on where it was.
-	r := fake.Must(s.replica.apply(coordination.Command{Term: 9, LeaderTime: time.Second, Kind: coordination.KindCancelPermit, PermitID: 18,
-		RequestedBy: "operator"}))
-	if want := (coordination.Reply{OK: true, PermitID: 18}); !reflect.DeepEqual(r, want) {
-		t.Errorf("%+v, wanted %+v", r, want)
-	}
-}
-
-// What an operator's command is given: the words {name} and {release}, and two variables.
-func TestRestartGolden(t *testing.T) {
-	folder := t.TempDir()
-	script, said := filepath.Join(folder, "start"), filepath.Join(folder, "said")
-	if err := os.WriteFile(script, []byte("#!/bin/sh\necho \"$1 $2 $LANEWHEEL_NAME $LANEWHEEL_RELEASE\" >"+said+"\n"),
-		0o700); err != nil {
-		t.Fatal(err)
-	}
-	s := &Coordinator{config: Config{RestartCommand: script + " at={name} to={release}", RestartTimeout: 10 * time.Second, RestartOutputLimit: 64}}
-	if !s.runRestartCommand(coordination.Permit{Member: "n1", ID: 42}, "2") {
-		t.Fatal("the command failed")
-	}
-	if got := string(fake.Must(os.ReadFile(said))); got != "at=n1 to=2 n1 2\n" {
-		t.Errorf("%q", got)
 	}
 }
--- /dev/null
+++ b/internal/fleet/coordinator/restart_test.go
@@ -0,0 +1,54 @@
+package coordinator
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"lanewheel/internal/coordination"
+	"lanewheel/internal/fake"
+)
+
+// What an operator's command is given: the words {name} and {release}, and two variables.
+func TestRestartGolden(t *testing.T) {
+	folder := t.TempDir()
+	script, output := filepath.Join(folder, "start"), filepath.Join(folder, "output")
+	text := "#!/bin/sh\necho \"$1 $2 $LANEWHEEL_NAME $LANEWHEEL_RELEASE\" >" + output + "\n"
+	if err := os.WriteFile(script, []byte(text), 0o700); err != nil {
+		t.Fatal(err)
+	}
+	coordinator := &Coordinator{config: Config{
+		RestartCommand:     script + " at={name} to={release}",
+		RestartTimeout:     10 * time.Second,
+		RestartOutputLimit: 64,
+	}}
+	if !coordinator.runRestartCommand(coordination.Permit{Member: "n1", ID: 42}, "2") {
+		t.Fatal("the command failed")
+	}
+	if got := string(fake.Must(os.ReadFile(output))); got != "at=n1 to=2 n1 2\n" {
+		t.Errorf("%q", got)
+	}
+}
+
+// The pause between runs of the operator's command.
+func TestRestartBackoff(t *testing.T) {
+	for i, seconds := range []time.Duration{1, 2, 4, 8, 15, 15, 15} {
+		if got := restartBackoff(i + 1); got != seconds*time.Second {
+			t.Errorf("attempt %d: %v, want %v", i+1, got, seconds*time.Second)
+		}
+	}
+}
+
+// The first bytes of an output are kept, the others counted.
+func TestLimitedBuffer(t *testing.T) {
+	buffer := &limitedBuffer{limit: 5}
+	for _, text := range []string{"abc", "def", "gh"} {
+		if n, err := buffer.Write([]byte(text)); n != len(text) || err != nil {
+			t.Errorf("%q: %d, %v", text, n, err)
+		}
+	}
+	if string(buffer.data) != "abcde" || buffer.discarded != 3 {
+		t.Errorf("%q, %d more", buffer.data, buffer.discarded)
+	}
+}
--- a/internal/fleet/coordinator/streamlayer_test.go
+++ b/internal/fleet/coordinator/streamlayer_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net"
 	"time"
 
 	"lanewheel/internal/fake"
@@ -10,23 +9,24 @@
 	"lanewheel/internal/membership"
 )
 
-// A question that comes while the steward's folder is still being read waits, and one whose steward ends before that
-// is not answered.
+// A request that comes while the coordinator's folder is still being read waits, and is not answered if the
+// coordinator ends before that.
 func Example_askedBeforeItIsOpen() {
-	l := fake.Must(net.Listen("tcp", "127.0.0.1:0"))
-	key := membership.Key(make([]byte, 32))
-	s := &Coordinator{config: Config{AdvertiseAddr: l.Addr().String()}, closed: make(chan struct{})}
-	keys := []membership.Key{key}
-	s.clusterKeys.Store(&keys)
-	x := newStreamLayer(s, l)
-	said := make(chan error)
+	listener := listen("127.0.0.1")
+	addr := listener.Addr().String()
+	keys := []membership.Key{membership.Key(make([]byte, 32))}
+	coordinator := &Coordinator{config: Config{AdvertiseAddr: addr}, closed: make(chan struct{})}
+	coordinator.SetClusterKeys(keys)
+	layer := newStreamLayer(coordinator, listener)
+	answered := make(chan error)
 	go func() {
-		_, err := client.Client{Coordinators: []string{l.Addr().String()}, Keys: keys, Timeout: time.Second}.Do(client.Request{History: false})
-		said <- err
+		asking := client.Client{Coordinators: []string{addr}, Keys: keys, Timeout: time.Second}
+		_, err := asking.Do(client.Request{History: false})
+		answered <- err
 	}()
-	fake.WaitFor("it is being asked", func() bool { return len(x.slots) == 1 })
-	x.Close()
-	fmt.Println(<-said != nil)
+	fake.WaitFor("it is being asked", func() bool { return len(layer.slots) == 1 })
+	must(layer.Close())
+	fmt.Println(<-answered != nil)
 	// Output:
 	// true
 }
