--- a/internal/cli/coordinatorcommands/coordinator.go
+++ b/internal/cli/coordinatorcommands/coordinator.go
@@ -1,4 +1,4 @@
-// Package coordinatorcommands adds the steward to the commands of the program that has its log linked.
+// Package coordinatorcommands adds the coordinator to the commands, for the program that has its log linked.
 package coordinatorcommands
 
 import (
@@ -12,21 +12,25 @@
 	"lanewheel/internal/membership"
 )
 
-// WithCoordinator adds to what lanewheel-fleet has.
+// WithCoordinator adds the coordinator to the commands that lanewheel-fleet has.
 func WithCoordinator(commands cli.Components) cli.Components {
-	commands.RunCoordinator = func(operatorPath, logFormat string, bootstrap, recoverAlone bool) error {
-		return coordinators.Run(operatorPath, logFormat, bootstrap, recoverAlone, func(process gossip.Process, operatorConfig *lifecycle.OperatorConfig) (*gossip.Agent, func(*lifecycle.OperatorConfig), error) {
-			gossipConfig := func(operatorConfig *lifecycle.OperatorConfig) gossip.Config {
-				fleet := operatorConfig.File.Fleet
-				fleet.Roles = membership.RoleCoordinator
-				return fleetcommands.GossipConfig(&fleet, "", "", operatorConfig.ClusterKeys)
-			}
-			agent, err := gossip.New(gossipConfig(operatorConfig), process, uint64(os.Getpid()))
-			if err != nil {
-				return nil, nil, err
-			}
-			return agent, func(operatorConfig *lifecycle.OperatorConfig) { agent.SetConfig(gossipConfig(operatorConfig)) }, nil
-		})
+	commands.RunCoordinator = func(operatorPath, logFormat string, bootstrap, forceNewCluster bool) error {
+		return coordinators.Run(operatorPath, logFormat, bootstrap, forceNewCluster, attach)
 	}
 	return commands
 }
+
+// attach gives a coordinator its place in the fleet, and returns what takes a reloaded file.
+func attach(
+	process gossip.Process, operatorConfig *lifecycle.OperatorConfig,
+) (*gossip.Agent, func(*lifecycle.OperatorConfig), error) {
+	agentConfig := fleetcommands.StandaloneGossipConfig(operatorConfig, membership.RoleCoordinator)
+	agent, err := gossip.New(agentConfig, process, uint64(os.Getpid()))
+	if err != nil {
+		return nil, nil, err
+	}
+	reload := func(operatorConfig *lifecycle.OperatorConfig) {
+		agent.SetConfig(fleetcommands.StandaloneGossipConfig(operatorConfig, membership.RoleCoordinator))
+	}
+	return agent, reload, nil
+}
--- a/internal/cli/fleetcommands/allocator.go
+++ b/internal/cli/fleetcommands/allocator.go
@@ -10,23 +10,24 @@
 	"lanewheel/internal/membership"
 )
 
-// runAllocator runs a desk.
+// runAllocator runs a process that grants the leases of upstream services, until it has drained.
 func runAllocator(operatorPath, logFormat string) error {
-	return allocators.Run(operatorPath, logFormat, func(process *allocator.Server, operatorConfig *lifecycle.OperatorConfig) (func(*lifecycle.OperatorConfig), error) {
-		gossipConfig := func(operatorConfig *lifecycle.OperatorConfig) gossip.Config {
-			fleet := operatorConfig.File.Fleet
-			fleet.Roles = membership.RoleUpstream
-			return GossipConfig(&fleet, "", "", operatorConfig.ClusterKeys)
-		}
-		agent, err := gossip.New(gossipConfig(operatorConfig), process, uint64(os.Getpid()))
-		if err != nil {
-			return nil, err
-		}
-		process.Attach(agent)
-		agent.Start()
-		return func(operatorConfig *lifecycle.OperatorConfig) {
-			agent.SetConfig(gossipConfig(operatorConfig))
-			process.SetConfig(operatorConfig.File.Allocator.Config)
-		}, nil
-	})
+	return allocators.Run(operatorPath, logFormat, attachAllocator)
+}
+
+// attachAllocator gives an allocator its place in the fleet, and returns what takes a reloaded file.
+func attachAllocator(
+	process *allocator.Server, operatorConfig *lifecycle.OperatorConfig,
+) (func(*lifecycle.OperatorConfig), error) {
+	agentConfig := StandaloneGossipConfig(operatorConfig, membership.RoleUpstream)
+	agent, err := gossip.New(agentConfig, process, uint64(os.Getpid()))
+	if err != nil {
+		return nil, err
+	}
+	process.Attach(agent)
+	agent.Start()
+	return func(operatorConfig *lifecycle.OperatorConfig) {
+		agent.SetConfig(StandaloneGossipConfig(operatorConfig, membership.RoleUpstream))
+		process.SetConfig(operatorConfig.File.Allocator.Config)
+	}, nil
 }
--- a/internal/cli/fleetcommands/commands.go
+++ b/internal/cli/fleetcommands/commands.go
@@ -1,4 +1,4 @@
-// Package fleetcommands is the commands of the program that has the fleet's parts linked.
+// Package fleetcommands holds the commands of the programs that have the fleet's parts linked.
 package fleetcommands
 
 import (
@@ -6,22 +6,61 @@
 	"lanewheel/internal/config"
 	"lanewheel/internal/drill"
 	"lanewheel/internal/fleet/gossip"
+	"lanewheel/internal/lifecycle"
 	"lanewheel/internal/membership"
 )
 
-// Commands is all that lanewheel-fleet has beside lanewheel.
+// Commands returns all that lanewheel-fleet has beside lanewheel.
 func Commands() cli.Components {
-	return cli.Components{FleetHooks: joinFleet, RunProxy: runProxy, RunAllocator: runAllocator, ShowMembers: showMembers, RunDrill: runDrill, ShowRecord: showRecord, CompareRecords: compareRecords, CoordinatorFuncs: cli.CoordinatorFuncs{Request: runCoordinatorCommand, RunDrillHook: drill.RunHook}}
+	return cli.Components{
+		FleetHooks:     joinFleet,
+		RunProxy:       runProxy,
+		RunAllocator:   runAllocator,
+		ShowMembers:    showMembers,
+		RunDrill:       runDrill,
+		ShowRecord:     showRecord,
+		CompareRecords: compareRecords,
+		CoordinatorFuncs: cli.CoordinatorFuncs{
+			Request:      runCoordinatorCommand,
+			RunDrillHook: drill.RunHook,
+		},
+	}
+}
+
+// StandaloneGossipConfig is the gossip configuration of a process that is neither a server nor a proxy, and has the
+// one role.
+func StandaloneGossipConfig(operatorConfig *lifecycle.OperatorConfig, role membership.Roles) gossip.Config {
+	fleet := operatorConfig.File.Fleet
+	fleet.Roles = role
+	return gossipConfig(&fleet, "", "", operatorConfig.ClusterKeys)
 }
 
-// GossipConfig puts together what the part goes by.
-func GossipConfig(fleet *config.Fleet, name, address string, keys []membership.Key) gossip.Config {
+// gossipConfig makes the gossip configuration of a fleet section. The name and the service's address hold where the
+// section has none.
+func gossipConfig(fleet *config.Fleet, name, address string, keys []membership.Key) gossip.Config {
 	if fleet.Name != "" {
 		name = fleet.Name
 	}
 	if fleet.ServiceAddress != "" {
 		address = fleet.ServiceAddress
 	}
-	return gossip.Config{Name: membership.Name(name), Cluster: fleet.Cluster, ListenAddr: fleet.ListenAddress, AdvertiseAddr: fleet.AdvertiseAddress, ServiceAddr: address, Roles: fleet.Roles, Zone: fleet.Zone, Release: fleet.Release,
-		Capacity: fleet.Capacity, WarmUp: fleet.WarmUp, Keys: keys, ProbeInterval: fleet.ProbeInterval, MaxMessageRate: fleet.MaxMessageRate, StatusSocket: fleet.StatusSocket, LeaveWhenFenced: fleet.DrainWhenFenced, DrainByPermit: fleet.RequirePermit, Membership: fleet.Config}
+	return gossip.Config{
+		Name:            membership.Name(name),
+		Cluster:         fleet.Cluster,
+		ListenAddr:      fleet.ListenAddress,
+		AdvertiseAddr:   fleet.AdvertiseAddress,
+		ServiceAddr:     address,
+		Roles:           fleet.Roles,
+		Zone:            fleet.Zone,
+		Release:         fleet.Release,
+		Capacity:        fleet.Capacity,
+		WarmUp:          fleet.WarmUp,
+		Keys:            keys,
+		ProbeInterval:   fleet.ProbeInterval,
+		MaxMessageRate:  fleet.MaxMessageRate,
+		StatusSocket:    fleet.StatusSocket,
+		LeaveWhenFenced: fleet.DrainWhenFenced,
+		DrainByPermit:   fleet.RequirePermit,
+		Membership:      fleet.Config,
+	}
 }
--- a/internal/cli/fleetcommands/coordinator.go
+++ b/internal/cli/fleetcommands/coordinator.go
@@ -3,7 +3,6 @@
 import (
 	"crypto/rand"
 	"encoding/hex"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -17,106 +16,125 @@
 	"lanewheel/internal/lifecycle"
 )
 
-// runCoordinatorCommand asks the stewards, and prints what they say.
+// coordinatorTimeout is how long a leader is looked for.
+const coordinatorTimeout = 20 * time.Second
+
+// errNoDrainTarget is that a drain names nothing to drain.
+var errNoDrainTarget = errors.New("a member, --zone or --below is required")
+
+// runCoordinatorCommand asks the coordinators, and prints what they answer.
 func runCoordinatorCommand(arguments cli.CoordinatorCommand, out io.Writer) error {
-	operatorConfig, err := lifecycle.LoadOperatorConfig(arguments.File)
+	coordinators, err := newCoordinatorClient(arguments.File)
 	if err != nil {
 		return err
 	}
-	if !operatorConfig.File.Coordinator.Enabled || len(operatorConfig.ClusterKeys) == 0 {
-		return fmt.Errorf("%s: wants the sections [fleet], with keys, and [steward]", arguments.File)
-	}
-	coordinators := client.Client{Coordinators: operatorConfig.File.Coordinator.Config.Coordinators, Keys: operatorConfig.ClusterKeys, Timeout: 20 * time.Second}
-	printJSON := func(value any) error {
-		encoder := json.NewEncoder(out)
-		encoder.SetIndent("", "  ")
-		return encoder.Encode(value)
-	}
 	switch arguments.Action {
 	case "status":
-		answer, err := coordinators.Do(client.Request{Status: true})
-		if err != nil {
-			return err
-		}
-		if arguments.JSON {
-			return printJSON(answer.Status)
-		}
-		return printStatus(answer.Status, out)
+		return showStatus(coordinators, arguments, out)
 	case "history":
-		answer, err := coordinators.Do(client.Request{History: true})
+		return showHistory(coordinators, arguments, out)
+	case "leave":
+		response, err := coordinators.Do(client.Request{RemoveCoordinator: arguments.Name})
 		if err != nil {
 			return err
 		}
-		switch {
-		case arguments.Path != "":
-			return exportHistory(answer.History, arguments.Path)
-		case arguments.JSON:
-			return printJSON(answer.History)
-		}
-		printHistory(answer.History, out)
-		return nil
-	case "leave":
-		answer, err := coordinators.Do(client.Request{RemoveCoordinator: arguments.Name})
-		if err == nil && answer.Error != "" {
-			err = errors.New(answer.Error)
-		}
+		return response.Err()
+	}
+	return proposeCommand(coordinators, arguments, out)
+}
+
+// newCoordinatorClient reads an operator's file for the coordinators' addresses and the cluster's keys.
+func newCoordinatorClient(path string) (client.Client, error) {
+	operatorConfig, err := lifecycle.LoadOperatorConfig(path)
+	if err != nil {
+		return client.Client{}, err
+	}
+	section := operatorConfig.File.Coordinator
+	if !section.Enabled || len(operatorConfig.ClusterKeys) == 0 {
+		return client.Client{}, fmt.Errorf("%s: the sections [fleet], with keys, and [steward] are required", path)
+	}
+	return client.Client{
+		Coordinators: section.Config.Coordinators,
+		Keys:         operatorConfig.ClusterKeys,
+		Timeout:      coordinatorTimeout,
+	}, nil
+}
+
+func showStatus(coordinators client.Client, arguments cli.CoordinatorCommand, out io.Writer) error {
+	response, err := coordinators.Do(client.Request{Status: true})
+	if err != nil {
+		return err
+	}
+	if arguments.JSON {
+		return printJSON(out, response.Status)
+	}
+	return printStatus(response.Status, out)
+}
+
+func showHistory(coordinators client.Client, arguments cli.CoordinatorCommand, out io.Writer) error {
+	response, err := coordinators.Do(client.Request{History: true})
+	switch {
+	case err != nil:
 		return err
+	case arguments.Path != "":
+		return exportHistory(response.History, arguments.Path)
+	case arguments.JSON:
+		return printJSON(out, response.History)
 	}
+	return printHistory(response.History, out)
+}
+
+// proposeCommand has a command agreed on, and waits for the permits of a drain where that is asked for.
+func proposeCommand(coordinators client.Client, arguments cli.CoordinatorCommand, out io.Writer) error {
 	command, err := buildCommand(arguments)
 	if err != nil {
 		return err
 	}
-	// The same key however often it is asked: a steward that fails between agreeing and answering leaves no second permit behind.
-	var key [8]byte
-	if _, err := rand.Read(key[:]); err != nil {
+	if command.IdempotencyKey, err = newIdempotencyKey(); err != nil {
 		return err
 	}
-	command.IdempotencyKey = hex.EncodeToString(key[:])
-	answer, err := coordinators.Do(client.Request{Command: &command})
-	switch {
-	case err != nil:
+	response, err := coordinators.Do(client.Request{Command: &command})
+	if err != nil {
+		return err
+	}
+	if err := response.Err(); err != nil {
 		return err
-	case answer.Error != "":
-		return errors.New(answer.Error)
-	case !answer.Reply.OK:
-		return errors.New(answer.Reply.Reason)
 	}
-	permits := answer.Reply.PermitIDs
-	if answer.Reply.PermitID > 0 {
-		permits = append(permits, answer.Reply.PermitID)
+	if !response.Reply.OK {
+		return client.RemoteError(response.Reply.Reason)
+	}
+	permits := response.Reply.PermitIDs
+	if response.Reply.PermitID > 0 {
+		permits = append(permits, response.Reply.PermitID)
+	}
+	if _, err := fmt.Fprintln(out, "agreed", arguments.Action, permits); err != nil {
+		return err
 	}
-	fmt.Fprintln(out, "agreed", arguments.Action, permits)
 	if arguments.Action == "drain" && arguments.Wait {
 		return waitForPermits(coordinators, permits, out)
 	}
 	return nil
 }
 
-// buildCommand is the command that an operator means.
-func buildCommand(arguments cli.CoordinatorCommand) (command coordination.Command, err error) {
-	command = coordination.Command{RequestedBy: arguments.RequestedBy, Reason: arguments.Reason}
-	readFile := func() []byte {
-		content, readErr := os.ReadFile(arguments.Path)
-		err = errors.Join(err, readErr)
-		return content
+// newIdempotencyKey draws a key that stays the same however often the command is asked: a coordinator that fails
+// between agreeing and answering leaves no second permit behind.
+func newIdempotencyKey() (string, error) {
+	var key [8]byte
+	if _, err := rand.Read(key[:]); err != nil {
+		return "", err
 	}
+	return hex.EncodeToString(key[:]), nil
+}
+
+// buildCommand makes the command that an operator's action means. An unknown action makes a command that is refused.
+func buildCommand(arguments cli.CoordinatorCommand) (coordination.Command, error) {
+	command := coordination.Command{RequestedBy: arguments.RequestedBy, Reason: arguments.Reason}
 	switch arguments.Action {
 	case "drain", "undrain":
-		command.Kind, command.Selector, command.Reason = coordination.KindDrain, coordination.Selector{Zone: arguments.Zone, Upstream: arguments.Upstream}, "drain"
-		if arguments.Action == "undrain" {
-			command.Kind = coordination.KindCancelDrain
-		}
-		if arguments.Name != "" {
-			command.Member = coordination.Name(arguments.Name)
-			if arguments.Action == "drain" {
-				command.Kind = coordination.KindRequestPermit
-			}
-		}
-		if arguments.Name == "" && arguments.Zone == "" && arguments.Upstream == "" {
-			err = errors.New("wants a member, --zone or --below")
-		}
+		return buildDrain(command, arguments)
 	case "forget":
-		command.Kind, command.Member = coordination.KindForgetMember, coordination.Name(arguments.Name)
+		command.Kind = coordination.KindForgetMember
+		command.Member = coordination.Name(arguments.Name)
 	case "halt":
 		command.Kind = coordination.KindHalt
 	case "resume":
@@ -124,19 +142,42 @@
 	case "back":
 		command.Kind = coordination.KindRollBack
 	case "budgets":
-		command.Kind = coordination.KindSetBudgets
-		content := readFile()
-		if err == nil {
-			command.Budgets, err = config.ParseBudgets(arguments.Path, content)
+		content, err := os.ReadFile(arguments.Path)
+		if err != nil {
+			return command, err
 		}
+		command.Kind = coordination.KindSetBudgets
+		command.Budgets, err = config.ParseBudgets(arguments.Path, content)
+		return command, err
 	case "release":
-		command.Kind = coordination.KindStartRollout
-		content := readFile()
-		if err == nil {
-			var plan coordination.RolloutPlan
-			plan, err = config.ParseRollout(arguments.Path, content)
-			command.Plan = &plan
+		content, err := os.ReadFile(arguments.Path)
+		if err != nil {
+			return command, err
 		}
+		plan, err := config.ParseRollout(arguments.Path, content)
+		command.Kind = coordination.KindStartRollout
+		command.Plan = &plan
+		return command, err
+	}
+	return command, nil
+}
+
+// buildDrain completes a command that requests permits to drain, or cancels such requests: of one member, or of all
+// that are in a zone or beside an upstream service.
+func buildDrain(command coordination.Command, arguments cli.CoordinatorCommand) (coordination.Command, error) {
+	if arguments.Name == "" && arguments.Zone == "" && arguments.Upstream == "" {
+		return command, errNoDrainTarget
+	}
+	command.Selector = coordination.Selector{Zone: arguments.Zone, Upstream: arguments.Upstream}
+	command.Member = coordination.Name(arguments.Name)
+	command.Reason = string(coordination.PurposeDrain)
+	switch {
+	case arguments.Action == "undrain":
+		command.Kind = coordination.KindCancelDrain
+	case arguments.Name != "":
+		command.Kind = coordination.KindRequestPermit
+	default:
+		command.Kind = coordination.KindDrain
 	}
-	return command, err
+	return command, nil
 }
--- a/internal/cli/fleetcommands/drain.go
+++ b/internal/cli/fleetcommands/drain.go
@@ -10,40 +10,59 @@
 	"lanewheel/internal/fleet/coordinator/client"
 )
 
-// waitForPermits says how permits go until all have begun and their members are out, or are over.
+// permitPollInterval is how often the state of permits is asked while they are waited for.
+const permitPollInterval = 500 * time.Millisecond
+
+// waitForPermits prints how permits advance until all have begun and their members are out, or have ended. It ends
+// early when the coordinators can't be asked any more.
 func waitForPermits(coordinators client.Client, permits []coordination.PermitID, out io.Writer) error {
 	reported := map[coordination.PermitID]string{}
 	for {
-		answer, err := coordinators.Do(client.Request{Status: true})
+		response, err := coordinators.Do(client.Request{Status: true})
 		if err != nil {
 			return err
 		}
 		pending := 0
-		for _, permit := range answer.Status.Permits {
+		for _, permit := range response.Status.Permits {
 			if !slices.Contains(permits, permit.ID) {
 				continue
 			}
-			text := string(permit.Stage)
-			if permit.WaitReason != "" && permit.Stage == coordination.PermitQueued {
-				text += ": " + permit.WaitReason
-			}
-			isOut := false
-			for _, member := range answer.Status.Unavailable {
-				if member.Name == permit.Member && member.State == coordination.MemberGone {
-					text, isOut = "out", permit.Stage == coordination.PermitBegun
-				}
-			}
-			if !isOut {
+			progress := progressOf(permit, response.Status)
+			if !progress.isOut {
 				pending++
 			}
-			if reported[permit.ID] != text {
-				reported[permit.ID] = text
-				fmt.Fprintf(out, "%s permit %d of %s: %s\n", time.Now().Format(time.TimeOnly), permit.ID, permit.Member, text)
+			if reported[permit.ID] == progress.text {
+				continue
+			}
+			reported[permit.ID] = progress.text
+			_, err := fmt.Fprintf(out, "%s permit %d of %s: %s\n",
+				time.Now().Format(time.TimeOnly), permit.ID, permit.Member, progress.text)
+			if err != nil {
+				return err
 			}
 		}
 		if pending == 0 {
 			return nil
 		}
-		time.Sleep(500 * time.Millisecond)
+		time.Sleep(permitPollInterval)
+	}
+}
+
+// permitProgress is how far a permit is.
+type permitProgress struct {
+	text  string // for people
+	isOut bool   // it has begun and its member is out
+}
+
+func progressOf(permit coordination.Permit, status *client.Status) permitProgress {
+	isGone := slices.ContainsFunc(status.Unavailable, func(member coordination.Member) bool {
+		return member.Name == permit.Member && member.State == coordination.MemberGone
+	})
+	switch {
+	case isGone:
+		return permitProgress{text: "out", isOut: permit.Stage == coordination.PermitBegun}
+	case permit.Stage == coordination.PermitQueued && permit.WaitReason != "":
+		return permitProgress{text: string(permit.Stage) + ": " + permit.WaitReason}
 	}
+	return permitProgress{text: string(permit.Stage)}
 }
--- a/internal/cli/fleetcommands/drill.go
+++ b/internal/cli/fleetcommands/drill.go
@@ -9,11 +9,17 @@
 	"lanewheel/internal/drill"
 )
 
-// runDrill carries a script out; with "check" in place of a record it only says what it would do.
+// checkOnly stands in the place of a record's path for a drill whose timeline is only printed.
+const checkOnly = "check"
+
+// runDrill carries a script out and returns how many violations there were. The record and the picture are written
+// where a path is given. What can't be printed is no reason to end a drill that has run: the violations are returned.
 func runDrill(script *config.Drill, record, picture string, out io.Writer) (violations int, err error) {
-	if record == "check" {
+	if record == checkOnly {
 		for _, event := range drill.Timeline(script) {
-			fmt.Fprintln(out, event)
+			if _, err := fmt.Fprintln(out, event); err != nil {
+				return 0, err
+			}
 		}
 		return 0, nil
 	}
@@ -37,9 +43,9 @@
 		}
 	}
 	if violations == 0 {
-		fmt.Fprintln(out, "all held")
+		_, _ = fmt.Fprintln(out, "all held")
 	} else {
-		fmt.Fprintf(out, "%d did not hold, seed %d\n", violations, script.RandomSeed)
+		_, _ = fmt.Fprintf(out, "%d did not hold, seed %d\n", violations, script.RandomSeed)
 	}
 	if picture != "" {
 		err = result.Draw(picture)
@@ -47,18 +53,20 @@
 	return violations, err
 }
 
+// showRecord prints a drill's record, and draws it where a path is given.
 func showRecord(record, picture string, out io.Writer) error {
 	loaded, err := drill.LoadRecord(record)
 	if err != nil {
 		return err
 	}
 	loaded.WriteTable(out)
-	if picture != "" {
-		return loaded.Draw(picture)
+	if picture == "" {
+		return nil
 	}
-	return nil
+	return loaded.Draw(picture)
 }
 
+// compareRecords prints how two records of drills differ.
 func compareRecords(first, second string, out io.Writer) error {
 	firstRecord, err := drill.LoadRecord(first)
 	if err != nil {
--- a/internal/cli/fleetcommands/history.go
+++ b/internal/cli/fleetcommands/history.go
@@ -1,9 +1,7 @@
 package fleetcommands
 
 import (
-	"fmt"
 	"io"
-	"text/tabwriter"
 	"time"
 
 	"github.com/parquet-go/parquet-go"
@@ -11,9 +9,10 @@
 	"lanewheel/internal/coordination"
 )
 
-func printHistory(entries []coordination.HistoryEntry, out io.Writer) {
-	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "nth\tat\tby\tdid\twhat\tcame to")
+// printHistory prints the history for people.
+func printHistory(entries []coordination.HistoryEntry, out io.Writer) error {
+	var printed text
+	printed.rowf("nth\tat\tby\tdid\twhat\tcame to")
 	for _, entry := range entries {
 		outcome := "agreed"
 		if !entry.OK {
@@ -22,30 +21,41 @@
 		if entry.Reason != "" {
 			outcome += ": " + entry.Reason
 		}
-		fmt.Fprintf(table, "%d\t%v\t%s\t%s\t%s\t%s\n", entry.Sequence, entry.At.Round(time.Millisecond), entry.RequestedBy, entry.Kind, entry.Summary, outcome)
+		printed.rowf("%d\t%v\t%s\t%s\t%s\t%s", entry.Sequence, entry.At.Round(time.Millisecond), entry.RequestedBy,
+			entry.Kind, entry.Summary, outcome)
 	}
-	table.Flush()
+	return printed.writeTo(out)
 }
 
-// historyRow is one command of the history, as it is exported.
+// historyRow is one command of the history as it is exported. The columns' names are stored.
 type historyRow struct {
-	Nth    int64  `parquet:"nth"`
-	AtMS   int64  `parquet:"at_ms"`
-	By     string `parquet:"by,dict"`
-	Do     string `parquet:"do,dict"`
-	What   string `parquet:"what"`
-	Agreed bool   `parquet:"agreed"`
-	Why    string `parquet:"why"`
-	Number int64  `parquet:"number"`
+	Sequence    int64  `parquet:"nth"`
+	AtMillis    int64  `parquet:"at_ms"` // fleet time
+	RequestedBy string `parquet:"by,dict"`
+	Kind        string `parquet:"do,dict"`
+	Summary     string `parquet:"what"`
+	Agreed      bool   `parquet:"agreed"`
+	Reason      string `parquet:"why"`
+	PermitID    int64  `parquet:"number"`
 }
 
-// schema names the root of the exported history's Parquet schema, which would follow the name of the Go type.
-var schema = parquet.NewSchema("line", parquet.SchemaOf(historyRow{}))
+// historySchema names the root of the exported schema, which would follow the name of the Go type.
+var historySchema = parquet.NewSchema("line", parquet.SchemaOf(historyRow{}))
 
+// exportHistory writes the history as Parquet.
 func exportHistory(entries []coordination.HistoryEntry, path string) error {
-	var rows []historyRow
+	rows := make([]historyRow, 0, len(entries))
 	for _, entry := range entries {
-		rows = append(rows, historyRow{int64(entry.Sequence), entry.At.Milliseconds(), entry.RequestedBy, string(entry.Kind), entry.Summary, entry.OK, entry.Reason, int64(entry.PermitID)})
+		rows = append(rows, historyRow{
+			Sequence:    int64(entry.Sequence),
+			AtMillis:    entry.At.Milliseconds(),
+			RequestedBy: entry.RequestedBy,
+			Kind:        string(entry.Kind),
+			Summary:     entry.Summary,
+			Agreed:      entry.OK,
+			Reason:      entry.Reason,
+			PermitID:    int64(entry.PermitID),
+		})
 	}
-	return parquet.WriteFile(path, rows, schema)
+	return parquet.WriteFile(path, rows, historySchema)
 }
--- a/internal/cli/fleetcommands/join.go
+++ b/internal/cli/fleetcommands/join.go
@@ -2,14 +2,10 @@
 
 import (
 	"log/slog"
-	"sync/atomic"
-	"time"
 
 	"lanewheel/internal/balancer"
 	"lanewheel/internal/concurrencylease"
-	"lanewheel/internal/eventloop"
 	"lanewheel/internal/fleet/gossip"
-	"lanewheel/internal/forward"
 	"lanewheel/internal/lifecycle"
 	"lanewheel/internal/membership"
 	"lanewheel/internal/server"
@@ -18,98 +14,128 @@
 	"lanewheel/internal/upstream"
 )
 
-// joinFleet brings an instance into its fleet.
-func joinFleet(srv *server.Server, platform server.Config, operatorConfig *lifecycle.OperatorConfig) (func(*lifecycle.OperatorConfig), error) {
-	if !operatorConfig.File.Fleet.Enabled { // services at told addresses need nobody else
-		upstreamClient := upstream.New(srv.Loop, operatorConfig.File.Upstream.Config, membership.ID{}, platform.Seed, nil)
-		srv.UseUpstreams(upstreamClient)
-		srv.Post(upstreamClient.Start)
+// Names of the metrics that a process reports of itself. They are spoken by gossip, and read by the balancer and in
+// "members".
+const (
+	metricHealth   = "health" // 1: healthy
+	metricLoad     = "signal" // the load report
+	metricQueued   = "held"
+	metricRunning  = "running"
+	metricCores    = "cores"
+	metricInFlight = "passing" // of a proxy
+)
+
+// joinFleet gives an instance the fleet's parts that the operator's file enables, and returns what takes a reloaded
+// file.
+func joinFleet(
+	srv *server.Server, platform server.Config, operatorConfig *lifecycle.OperatorConfig,
+) (func(*lifecycle.OperatorConfig), error) {
+	file := &operatorConfig.File
+	if !file.Fleet.Enabled { // upstream services at configured addresses need no fleet
+		addUpstreams(srv, upstream.New(srv.Loop, file.Upstream.Config, membership.ID{}, platform.Seed, nil))
 		return func(*lifecycle.OperatorConfig) {}, nil
 	}
-	agent, err := gossip.New(GossipConfig(&operatorConfig.File.Fleet, platform.Name, platform.ListenAddr, operatorConfig.ClusterKeys), &serverProcess{srv}, platform.Seed)
+	agentConfig := func(operatorConfig *lifecycle.OperatorConfig) gossip.Config {
+		return gossipConfig(&operatorConfig.File.Fleet, platform.Name, platform.ListenAddr, operatorConfig.ClusterKeys)
+	}
+	agent, err := gossip.New(agentConfig(operatorConfig), &serverProcess{srv}, platform.Seed)
 	if err != nil {
 		return nil, err
 	}
 	var spill *spillover.Spillover
-	if operatorConfig.File.Spillover.Enabled {
+	if file.Spillover.Enabled {
 		srv.EnableSpillover(func(net *transport.Net) server.Spillover {
-			spill = spillover.New(srv, net, operatorConfig.File.Spillover.Config, platform.Seed, prober(agent))
+			spill = spillover.New(srv, net, file.Spillover.Config, platform.Seed, prober(agent))
 			return spill
 		})
 		subscribe(agent, srv.Loop, spill.UpdateView)
 		srv.AddFrontend(spill)
 	}
-	if operatorConfig.File.Upstream.Enabled {
-		upstreamClient := upstream.New(srv.Loop, operatorConfig.File.Upstream.Config, agent.View().Self.ID(), platform.Seed, agent.RequestLease)
-		agent.OnLease = func(lease concurrencylease.Lease) { srv.Post(func() { upstreamClient.HandleLease(lease) }) }
-		subscribe(agent, srv.Loop, upstreamClient.SetView)
-		srv.UseUpstreams(upstreamClient)
-		srv.Post(upstreamClient.Start)
+	if file.Upstream.Enabled {
+		upstreams := upstream.New(
+			srv.Loop, file.Upstream.Config, agent.View().Self.ID(), platform.Seed, agent.RequestLease)
+		agent.OnLease = func(lease concurrencylease.Lease) {
+			srv.Post(func() { upstreams.HandleLease(lease) })
+		}
+		subscribe(agent, srv.Loop, upstreams.SetView)
+		addUpstreams(srv, upstreams)
 	}
 	srv.AddFrontend(agent)
-	slog.Info("fleet", "name", string(agent.View().Self.Name), "listen", operatorConfig.File.Fleet.ListenAddress, "seeds", len(operatorConfig.File.Fleet.Config.Seeds), "keys", len(operatorConfig.ClusterKeys))
+	logJoined(agent, operatorConfig)
 	return func(operatorConfig *lifecycle.OperatorConfig) {
-		agent.SetConfig(GossipConfig(&operatorConfig.File.Fleet, platform.Name, platform.ListenAddr, operatorConfig.ClusterKeys))
+		agent.SetConfig(agentConfig(operatorConfig))
 		if spill != nil {
 			srv.Post(func() { spill.SetConfig(operatorConfig.File.Spillover.Config) })
 		}
 	}, nil
 }
 
-// serverProcess speaks for an instance: what it says of itself comes from its core's loop.
+// addUpstreams has an instance call upstream services by a client, which belongs to the instance's event loop.
+func addUpstreams(srv *server.Server, upstreams *upstream.Client) {
+	srv.UseUpstreams(upstreams)
+	srv.Post(upstreams.Start)
+}
+
+func logJoined(agent *gossip.Agent, operatorConfig *lifecycle.OperatorConfig) {
+	fleet := &operatorConfig.File.Fleet
+	slog.Info("joined fleet",
+		"member", string(agent.View().Self.Name),
+		"addr", fleet.ListenAddress,
+		"seeds", len(fleet.Config.Seeds),
+		"keys", len(operatorConfig.ClusterKeys))
+}
+
+// serverProcess speaks for an instance in the fleet: what it reports is read on the instance's event loop.
 type serverProcess struct{ server *server.Server }
 
-func (i *serverProcess) Status(report func(gossip.ProcessStatus)) {
-	i.server.Post(func() {
-		load := i.server.Load()
+// Status implements gossip.Process.
+func (p *serverProcess) Status(report func(gossip.ProcessStatus)) {
+	p.server.Post(func() {
+		load := p.server.Load()
 		health := 0.0
 		if load.Healthy {
 			health = 1
 		}
-		report(gossip.ProcessStatus{Ready: load.Ready, Draining: load.Draining, Metrics: []membership.Metric{{Name: "health", Value: health}, {Name: "signal", Value: load.LoadReport},
-			{Name: "held", Value: float64(load.Queued)}, {Name: "running", Value: float64(load.Running)}, {Name: "cores", Value: load.Cores}}})
+		report(gossip.ProcessStatus{
+			Ready:    load.Ready,
+			Draining: load.Draining,
+			Metrics: []membership.Metric{
+				{Name: metricHealth, Value: health},
+				{Name: metricLoad, Value: load.LoadReport},
+				{Name: metricQueued, Value: float64(load.Queued)},
+				{Name: metricRunning, Value: float64(load.Running)},
+				{Name: metricCores, Value: load.Cores},
+			},
+		})
 	})
 }
 
-func (i *serverProcess) Load(report func(float64, gossip.RequestStats)) {
-	i.server.Post(func() {
-		totals := i.server.Stats()
-		figures := gossip.RequestStats{Finished: float64(totals.Answered), WithinObjective: float64(totals.WithinObjective), TotalSeconds: totals.TotalLatency.Seconds()}
-		if load := i.server.Load(); load.Queued+load.Running > 0 {
-			report(float64(load.Queued+load.Running), figures)
-		} else {
-			report(balancer.IdleLoad(load.IdleFor), figures)
+// Load implements gossip.Process.
+func (p *serverProcess) Load(report func(float64, gossip.RequestStats)) {
+	p.server.Post(func() {
+		totals := p.server.Stats()
+		stats := gossip.RequestStats{
+			Finished:        float64(totals.Answered),
+			WithinObjective: float64(totals.WithinObjective),
+			TotalSeconds:    totals.TotalLatency.Seconds(),
 		}
+		load := p.server.Load()
+		inFlight := load.Queued + load.Running
+		if inFlight == 0 {
+			report(balancer.IdleLoad(load.IdleFor), stats)
+			return
+		}
+		report(float64(inFlight), stats)
 	})
 }
 
-func (i *serverProcess) Drain(number uint64) {
-	i.server.Post(func() {
-		slog.Info("permitted", "permit", number)
-		i.server.Drain()
-	})
-}
-
-func (i *serverProcess) Fenced() { i.server.Post(i.server.Drain) }
-
-// subscribe has a part that belongs to a loop see each view. Views come by the dozen a second; a tenth of one late is far less than they are old.
-func subscribe(agent *gossip.Agent, eventLoop *eventloop.Loop, update func(*membership.View)) {
-	var scheduled atomic.Bool
-	agent.Subscribe(func(*membership.View) {
-		if scheduled.CompareAndSwap(false, true) {
-			eventLoop.Post(func() {
-				eventLoop.ScheduleAt(eventLoop.Now()+100*time.Millisecond, func() {
-					scheduled.Store(false)
-					update(agent.View())
-				})
-			})
-		}
+// Drain implements gossip.Process.
+func (p *serverProcess) Drain(permitID uint64) {
+	p.server.Post(func() {
+		slog.Info("draining by permit", "permit", permitID)
+		p.server.Drain()
 	})
 }
 
-// prober is how others are asked how they stand.
-func prober(agent *gossip.Agent) forward.ProbeFunc {
-	return func(name membership.Name, report func(float64, time.Duration)) {
-		agent.Post(func() { agent.QueryLoad(name, report) })
-	}
-}
+// Fenced implements gossip.Process.
+func (p *serverProcess) Fenced() { p.server.Post(p.server.Drain) }
--- a/internal/cli/fleetcommands/proxy.go
+++ b/internal/cli/fleetcommands/proxy.go
@@ -1,7 +1,6 @@
 package fleetcommands
 
 import (
-	"log/slog"
 	"os"
 
 	"lanewheel/internal/fleet/gossip"
@@ -12,46 +11,60 @@
 	"lanewheel/internal/server"
 )
 
-// runProxy runs a relay.
+// runProxy runs a proxy until it has drained.
 func runProxy(operatorPath, logFormat string) error {
-	return proxies.Run(os.Getenv("RELAY_CONFIG"), operatorPath, logFormat, func(platform server.Config, operatorConfig *lifecycle.OperatorConfig) (*proxy.Proxy, func(*lifecycle.OperatorConfig), error) {
+	return proxies.Run(os.Getenv("RELAY_CONFIG"), operatorPath, logFormat, attachProxy)
+}
+
+// attachProxy makes a proxy and its place in the fleet, and returns what takes a reloaded file.
+func attachProxy(
+	platform server.Config, operatorConfig *lifecycle.OperatorConfig,
+) (*proxy.Proxy, func(*lifecycle.OperatorConfig), error) {
+	roles := operatorConfig.File.Fleet.Roles&^membership.RoleServer | membership.RoleProxy
+	agentConfig := func(operatorConfig *lifecycle.OperatorConfig) gossip.Config {
 		fleet := operatorConfig.File.Fleet
-		fleet.Roles = fleet.Roles&^membership.RoleServer | membership.RoleProxy
-		process := &proxyProcess{}
-		agent, err := gossip.New(GossipConfig(&fleet, platform.Name, platform.ListenAddr, operatorConfig.ClusterKeys), process, platform.Seed)
-		if err != nil {
-			return nil, nil, err
-		}
-		running, err := proxy.Listen(platform, operatorConfig.File.Proxy.Config, prober(agent))
-		if err != nil {
-			return nil, nil, err
-		}
-		process.proxy = running
-		subscribe(agent, running.Loop, running.UpdateView)
-		running.Attach(agent)
-		slog.Info("fleet", "name", string(agent.View().Self.Name), "listen", fleet.ListenAddress, "seeds", len(fleet.Config.Seeds), "keys", len(operatorConfig.ClusterKeys))
-		return running, func(operatorConfig *lifecycle.OperatorConfig) {
-			reloaded := operatorConfig.File.Fleet
-			reloaded.Roles = fleet.Roles
-			agent.SetConfig(GossipConfig(&reloaded, platform.Name, platform.ListenAddr, operatorConfig.ClusterKeys))
-		}, nil
-	})
+		fleet.Roles = roles
+		return gossipConfig(&fleet, platform.Name, platform.ListenAddr, operatorConfig.ClusterKeys)
+	}
+	process := &proxyProcess{}
+	agent, err := gossip.New(agentConfig(operatorConfig), process, platform.Seed)
+	if err != nil {
+		return nil, nil, err
+	}
+	process.proxy, err = proxy.Listen(platform, operatorConfig.File.Proxy.Config, prober(agent))
+	if err != nil {
+		return nil, nil, err
+	}
+	subscribe(agent, process.proxy.Loop, process.proxy.UpdateView)
+	process.proxy.Attach(agent)
+	logJoined(agent, operatorConfig)
+	return process.proxy, func(operatorConfig *lifecycle.OperatorConfig) {
+		agent.SetConfig(agentConfig(operatorConfig))
+	}, nil
 }
 
-// proxyProcess speaks for a relay.
+// proxyProcess speaks for a proxy in the fleet: what it reports is read on the proxy's event loop.
 type proxyProcess struct{ proxy *proxy.Proxy }
 
+// Status implements gossip.Process.
 func (p *proxyProcess) Status(report func(gossip.ProcessStatus)) {
 	p.proxy.Post(func() {
 		load := p.proxy.Load()
-		report(gossip.ProcessStatus{Ready: load.Ready, Draining: load.Draining, Metrics: []membership.Metric{{Name: "passing", Value: float64(load.Running)}}})
+		report(gossip.ProcessStatus{
+			Ready:    load.Ready,
+			Draining: load.Draining,
+			Metrics:  []membership.Metric{{Name: metricInFlight, Value: float64(load.Running)}},
+		})
 	})
 }
 
+// Load implements gossip.Process.
 func (p *proxyProcess) Load(report func(float64, gossip.RequestStats)) {
 	p.proxy.Post(func() { report(float64(p.proxy.Load().Running), gossip.RequestStats{}) })
 }
 
+// Fenced implements gossip.Process.
 func (p *proxyProcess) Fenced() { p.proxy.Post(p.proxy.Drain) }
 
+// Drain implements gossip.Process.
 func (p *proxyProcess) Drain(uint64) { p.proxy.Post(p.proxy.Drain) }
