--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -2,35 +2,14 @@
 
 import (
 	"bytes"
-	"flag"
 	"fmt"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
 	"slices"
 	"testing"
 	"time"
-)
-
-var update = flag.Bool("update", false, "rewrite the golden files of testdata")
 
-// compareGolden compares what is decided now with the file of testdata that an earlier version wrote.
-func compareGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Fatalf("%s: decided otherwise than before; now:\n%s", path, got)
-	}
-}
+	"lanewheel/internal/goldentest"
+)
 
 // TestGoldenSubsets checks that subsets are those of earlier versions: each process works them out on its own, and
 // one of another version has to come to the same result.
@@ -47,7 +26,7 @@
 			fmt.Fprintln(&text)
 		}
 	}
-	compareGolden(t, "subsets.txt", text.Bytes())
+	goldentest.CheckText(t, "testdata/subsets.txt", text.Bytes())
 }
 
 // decisionLog plays a drawn history to a balancer and writes down all that it decides, a letter and a number each.
@@ -198,5 +177,5 @@
 		fmt.Fprintln(&text, "#", policy)
 		text.WriteString(newDecisionLog(config, spillover, uint64(policy)+1).run(steps))
 	}
-	compareGolden(t, "decisions.txt", text.Bytes())
+	goldentest.CheckText(t, "testdata/decisions.txt", text.Bytes())
 }
--- a/internal/drill/balance.go
+++ b/internal/drill/balance.go
@@ -1,133 +1,213 @@
 package drill
 
 import (
+	"cmp"
 	"fmt"
 	"math"
 	"slices"
 	"time"
 )
 
-// checkBalance measures how load was spread over the instances in the seconds in which nothing was done, and judges it where the script says so.
-func checkBalance(w *cluster, log *requestLog, events []Event, startedAt, endedAt time.Time) (metrics []metric, violations []violation) {
-	script := w.script
-	loadSeconds := int(min(endedAt.Sub(startedAt), script.LoadDuration).Seconds())
-	calmSeconds := make([]bool, max(0, loadSeconds))
-	const warmUpSeconds = 8 // s: instances start cold
-	for second := range calmSeconds {
-		calmSeconds[second] = second >= warmUpSeconds
-	}
-	// Whose runs fail or are lost rests, up to half a minute by each relay's own judgement, and that is no load badly spread: it is not held to be idle.
-	faulty := map[int]bool{}
-	for _, event := range events {
-		if event.Fault.Action == "fail-runs" || event.Fault.Action == "lose-runs" {
-			for _, index := range event.Targets {
-				faulty[index] = true
-			}
-		}
-		start, to := event.At, event.At+script.Balance.RecoveryTime
-		if event.Fault.Duration > 0 && !event.Undo {
-			to = event.At + event.Fault.Duration + script.Balance.RecoveryTime
-		}
-		if len(event.Targets) > 0 { // who was started anew is cold
-			to += warmUpSeconds * time.Second
-		}
-		for second := range calmSeconds {
-			if time.Duration(second+1)*time.Second > start && time.Duration(second)*time.Second < to {
-				calmSeconds[second] = false
-			}
+const (
+	// warmUpSeconds is how long the load of instances that have just started does not count.
+	warmUpSeconds = 8
+
+	// minCalmSeconds is how many seconds there must be to measure the balance.
+	minCalmSeconds = 3
+)
+
+// balanceCheck measures how the load was spread over the instances in the calm seconds: those in which nothing was
+// done.
+type balanceCheck struct {
+	cluster   *cluster
+	calm      []bool          // by second
+	faulty    map[int]bool    // instances whose runs failed or were lost: each sender ejects them for a while
+	runs      [][]int         // by second and instance
+	totalRuns int             // in calm seconds
+	lastRun   []time.Duration // by instance; 0: none yet
+	longest   []float64       // by instance, its longest idle time, s
+	idlest    string          // which instance had the longest of all, and when
+}
+
+// instanceRun is a run of a request, since the start of the load.
+type instanceRun struct {
+	at      time.Duration
+	process int
+}
+
+// checkBalance returns what the balance of the load was, and the violations where the script limits it.
+func checkBalance(
+	c *cluster, log *requestLog, events []Event, startedAt, endedAt time.Time,
+) (metrics []metric, violations []violation) {
+	script := c.script
+	check := newBalanceCheck(c, int(min(endedAt.Sub(startedAt), script.LoadDuration).Seconds()))
+	for i := range events {
+		check.excludeEvent(&events[i])
+	}
+	runs, forwarded := log.instanceRuns(startedAt)
+	for _, run := range runs {
+		check.countRun(run)
+	}
+	if script.SpilloverEnabled && script.Proxies == 0 {
+		metrics = append(metrics, metric{"ops handed over and run", float64(forwarded)})
+	}
+	spread := check.spread()
+	alwaysOut := script.Coordinators > 0 // somebody is, by permits
+	if spread.seconds < minCalmSeconds || check.totalRuns == 0 || alwaysOut {
+		return metrics, nil
+	}
+	perInstance := float64(check.totalRuns) / float64(spread.seconds) / float64(script.Instances)
+	meanGap := float64(spread.seconds) * float64(script.Instances) / float64(check.totalRuns)
+	longestGaps := slices.Max(check.longest) / meanGap
+	metrics = append(metrics,
+		metric{"calm seconds", float64(spread.seconds)},
+		metric{"ops a second of an instance, calm", perInstance},
+		metric{"most loaded of a second, of what chance gives", spread.imbalance},
+		metric{"... in the worst second", spread.worst},
+		metric{"longest idle, expected gaps", longestGaps})
+	c.print("longest idle: " + check.idlest)
+	return metrics, check.violations(spread.imbalance, longestGaps)
+}
+
+func newBalanceCheck(c *cluster, seconds int) *balanceCheck {
+	instances := c.script.Instances
+	check := &balanceCheck{
+		cluster: c,
+		calm:    make([]bool, max(0, seconds)),
+		faulty:  map[int]bool{},
+		runs:    make([][]int, max(0, seconds)),
+		lastRun: make([]time.Duration, instances),
+		longest: make([]float64, instances),
+	}
+	for second := range check.calm {
+		check.calm[second] = second >= warmUpSeconds
+		check.runs[second] = make([]int, instances)
+	}
+	return check
+}
+
+// excludeEvent notes the seconds that are not calm for an event.
+func (b *balanceCheck) excludeEvent(event *Event) {
+	fault := event.Fault
+	if fault.Action == actionFailRuns || fault.Action == actionLoseRuns {
+		for _, index := range event.Targets {
+			b.faulty[index] = true
 		}
 	}
-	counts := make([][]int, len(calmSeconds))
-	for second := range counts {
-		counts[second] = make([]int, script.Instances)
+	from, to := event.At, event.At+b.cluster.script.Balance.RecoveryTime
+	if fault.Duration > 0 && !event.Undo {
+		to += fault.Duration
+	}
+	if len(event.Targets) > 0 { // they may have started anew
+		to += warmUpSeconds * time.Second
 	}
-	lastRun := make([]time.Duration, script.Instances)
-	longestGap := make([]float64, script.Instances) // the longest, s
-	log.mu.Lock()
-	forwarded := 0
-	type ran struct {
-		at   time.Duration
-		proc int
+	for second := range b.calm {
+		if time.Duration(second+1)*time.Second > from && time.Duration(second)*time.Second < to {
+			b.calm[second] = false
+		}
 	}
-	var executions []ran
-	for _, request := range log.requests {
+}
+
+// instanceRuns returns all runs in their order, and how many were elsewhere than at the process that got the request.
+func (l *requestLog) instanceRuns(startedAt time.Time) (runs []instanceRun, forwarded int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, request := range l.requests {
 		for _, execution := range request.executions {
-			executions = append(executions, ran{execution.at.Sub(startedAt), execution.process})
+			runs = append(runs, instanceRun{execution.at.Sub(startedAt), execution.process})
 			if execution.process != request.process {
 				forwarded++
 			}
 		}
 	}
-	log.mu.Unlock()
-	slices.SortFunc(executions, func(a, b ran) int { return int(a.at - b.at) })
-	total, longestIdle := 0, ""
-	for _, execution := range executions {
-		second := int(execution.at / time.Second)
-		if execution.proc >= script.Instances || second < 0 || second >= len(calmSeconds) || !calmSeconds[second] {
-			continue
-		}
-		counts[second][execution.proc]++
-		total++
-		// A gap counts where all of it is calm.
-		if start := int(lastRun[execution.proc] / time.Second); lastRun[execution.proc] > 0 && !faulty[execution.proc] && !slices.Contains(calmSeconds[start:second], false) {
-			if idleSeconds := (execution.at - lastRun[execution.proc]).Seconds(); idleSeconds > longestGap[execution.proc] {
-				if longestGap[execution.proc] = idleSeconds; idleSeconds == slices.Max(longestGap) {
-					longestIdle = fmt.Sprintf("%s until %.1f s", w.processes[execution.proc].name, execution.at.Seconds())
-				}
-			}
-		}
-		lastRun[execution.proc] = execution.at
+	slices.SortFunc(runs, func(a, b instanceRun) int { return cmp.Compare(a.at, b.at) })
+	return runs, forwarded
+}
+
+// countRun counts a run of an instance in a calm second.
+func (b *balanceCheck) countRun(run instanceRun) {
+	second := int(run.at / time.Second)
+	if run.process >= len(b.lastRun) || second < 0 || second >= len(b.calm) || !b.calm[second] {
+		return
+	}
+	b.runs[second][run.process]++
+	b.totalRuns++
+	last := b.lastRun[run.process]
+	b.lastRun[run.process] = run.at
+	// An idle time counts where all of it is calm.
+	if last == 0 || b.faulty[run.process] || slices.Contains(b.calm[int(last/time.Second):second], false) {
+		return
 	}
-	var ratios []float64
-	peak, expected, seconds := 0.0, 0.0, 0
-	for second, row := range counts {
-		if !calmSeconds[second] {
+	idle := (run.at - last).Seconds()
+	if idle <= b.longest[run.process] {
+		return
+	}
+	b.longest[run.process] = idle
+	if idle == slices.Max(b.longest) {
+		b.idlest = fmt.Sprintf("%s until %.1f s", b.cluster.processes[run.process].name, run.at.Seconds())
+	}
+}
+
+// loadSpread is how the runs of the calm seconds were spread.
+type loadSpread struct {
+	seconds   int
+	imbalance float64 // runs of the most loaded instance of a second, against what chance gives
+	worst     float64 // the same in the worst second
+}
+
+func (b *balanceCheck) spread() (spread loadSpread) {
+	peaks, expectedPeaks := 0.0, 0.0
+	for second, runs := range b.runs {
+		if !b.calm[second] {
 			continue
 		}
-		seconds++
-		count := 0
-		for _, runsOfOne := range row {
-			count += runsOfOne
+		spread.seconds++
+		total := 0
+		for _, count := range runs {
+			total += count
 		}
-		busiest, byChance := float64(slices.Max(row)), expectedMaximum(count, script.Instances)
-		peak += busiest
-		expected += byChance
-		if byChance > 0 {
-			ratios = append(ratios, busiest/byChance)
+		peak, expected := float64(slices.Max(runs)), expectedMaximum(total, len(runs))
+		peaks += peak
+		expectedPeaks += expected
+		if expected > 0 {
+			spread.worst = max(spread.worst, peak/expected)
 		}
 	}
-	if script.SpilloverEnabled && script.Proxies == 0 {
-		metrics = append(metrics, metric{"ops handed over and run", float64(forwarded)})
-	}
-	if seconds < 3 || total == 0 || script.Coordinators > 0 { // by permits somebody is out all the time
-		return metrics, nil
+	spread.imbalance = peaks / expectedPeaks
+	return spread
+}
+
+func (b *balanceCheck) violations(imbalance, longestGaps float64) (violations []violation) {
+	script := b.cluster.script
+	limits := script.Balance
+	if !limits.Enabled {
+		return nil
 	}
-	slices.Sort(ratios)
-	meanGap := float64(seconds) * float64(script.Instances) / float64(total)
-	imbalance, longestIdleGaps := peak/expected, slices.Max(longestGap)/meanGap
-	metrics = append(metrics, []metric{{"calm seconds", float64(seconds)}, {"ops a second of an instance, calm", float64(total) / float64(seconds) / float64(script.Instances)},
-		{"most loaded of a second, of what chance gives", imbalance}, {"... in the worst second", ratios[len(ratios)-1]}, {"longest idle, expected gaps", longestIdleGaps}}...)
-	w.print("longest idle: " + longestIdle)
-	if script.Balance.Enabled && imbalance > script.Balance.MaxImbalance {
-		violations = append(violations, violation{script.LoadDuration, "load even", fmt.Sprintf("the most loaded of a second had %.2f of what chance gives, %.2f is told", imbalance, script.Balance.MaxImbalance)})
+	if imbalance > limits.MaxImbalance {
+		detail := fmt.Sprintf("the most loaded of a second had %.2f of what chance gives, %.2f is told",
+			imbalance, limits.MaxImbalance)
+		violations = append(violations, violation{script.LoadDuration, ruleLoadEven, detail})
 	}
-	if script.Balance.Enabled && longestIdleGaps > script.Balance.MaxIdleGaps {
-		violations = append(violations, violation{script.LoadDuration, "none idle", fmt.Sprintf("one waited for %.1f expected gaps, %.1f is told", longestIdleGaps, script.Balance.MaxIdleGaps)})
+	if longestGaps > limits.MaxIdleGaps {
+		detail := fmt.Sprintf("one waited for %.1f expected gaps, %.1f is told", longestGaps, limits.MaxIdleGaps)
+		violations = append(violations, violation{script.LoadDuration, ruleNoneIdle, detail})
 	}
-	return metrics, violations
+	return violations
 }
 
-// expectedMaximum is how many of n ops the most loaded of m gets on average, if each goes to any with the same chance.
+// expectedMaximum returns how many of some requests the most loaded of some processes gets on average, if each request
+// goes to any with the same chance.
 func expectedMaximum(requests, processes int) float64 {
+	const negligible = 1e-12
 	mean := float64(requests) / float64(processes)
-	sum, atMost, probability := 0.0, 0.0, math.Exp(-mean)
-	for k := 0; k <= requests; k++ {
-		atMost += probability // Poisson: at most k
-		sum += 1 - math.Pow(min(1, atMost), float64(processes))
-		probability *= mean / float64(k+1)
-		if float64(k) > mean && probability < 1e-12 {
+	expected, atMost, probability := 0.0, 0.0, math.Exp(-mean)
+	for count := 0; count <= requests; count++ {
+		atMost += probability // of a Poisson distribution: at most count
+		expected += 1 - math.Pow(min(1, atMost), float64(processes))
+		probability *= mean / float64(count+1)
+		if float64(count) > mean && probability < negligible {
 			break
 		}
 	}
-	return sum
+	return expected
 }
--- a/internal/drill/coordinators.go
+++ b/internal/drill/coordinators.go
@@ -1,6 +1,7 @@
 package drill
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -9,127 +10,158 @@
 
 	"lanewheel/internal/config"
 	"lanewheel/internal/coordination"
-	"lanewheel/internal/fake"
 	"lanewheel/internal/fleet/coordinator/client"
 	"lanewheel/internal/membership"
 )
 
-func (w *cluster) coordinatorClient() client.Client {
-	coordinators := client.Client{Timeout: 30 * time.Second}
-	for _, p := range w.processes {
-		if p.isCoordinator {
+const (
+	commandTimeout = 30 * time.Second
+	statusTimeout  = time.Second
+)
+
+// instanceRole is how instances are called in selectors of the coordinators.
+const instanceRole = "instance"
+
+// coordinatorClient returns a client of all coordinators.
+func (c *cluster) coordinatorClient(timeout time.Duration) (client.Client, error) {
+	keys, err := config.ParseClusterKeys("keys", []byte(c.keys[0]))
+	if err != nil {
+		return client.Client{}, err
+	}
+	coordinators := client.Client{Timeout: timeout, Keys: keys}
+	for _, p := range c.processes {
+		if p.role == roleCoordinator {
 			coordinators.Coordinators = append(coordinators.Coordinators, fmt.Sprintf("%s:%d", p.host, coordinatorPort))
 		}
 	}
-	for _, key := range w.keys[:1] {
-		parsed, _ := config.ParseClusterKeys("keys", []byte(key))
-		coordinators.Keys = append(coordinators.Keys, parsed...)
+	return coordinators, nil
+}
+
+// runCommand gives the coordinators a command of a script and returns their answer.
+func (c *cluster) runCommand(text, idempotencyKey string) (answer string, err error) {
+	command, err := c.parseCommand(text)
+	if err != nil {
+		return "", err
+	}
+	command.RequestedBy = "rehearsal"
+	command.IdempotencyKey = idempotencyKey
+	if command.Kind == coordination.KindSetBudgets {
+		c.disruptions.setLimits(command.Budgets)
 	}
-	return coordinators
+	coordinators, err := c.coordinatorClient(commandTimeout)
+	if err != nil {
+		return "", err
+	}
+	response, err := coordinators.Do(client.Request{Command: &command})
+	switch {
+	case err != nil:
+		return "", err
+	case response.Error != "":
+		return "", errors.New(response.Error)
+	case !response.Reply.OK:
+		return "refused: " + response.Reply.Reason, nil
+	}
+	return "agreed", nil
 }
 
-// runCommand gives a command to the stewards, as an operator would: budgets FILE, release FILE, halt, resume, back, drain NAME, drain zone NAME.
-func (w *cluster) runCommand(text, key string) (string, error) {
-	command := coordination.Command{RequestedBy: "rehearsal", IdempotencyKey: key}
+// parseCommand reads a command as an operator would give it: budgets FILE, release FILE, halt, resume, back, drain
+// NAME or drain zone NAME.
+func (c *cluster) parseCommand(text string) (command coordination.Command, err error) {
 	action, argument, _ := strings.Cut(text, " ")
 	argument = strings.TrimSpace(argument)
-	readFile := func() ([]byte, error) { return os.ReadFile(filepath.Join(filepath.Dir(w.script.Path), argument)) }
 	switch action {
 	case "budgets":
-		text, err := readFile()
-		if err != nil {
-			return "", err
-		}
 		command.Kind = coordination.KindSetBudgets
-		if command.Budgets, err = config.ParseBudgets(argument, text); err != nil {
-			return "", err
-		}
-		w.disruptions.setLimits(command.Budgets)
-	case "release":
-		text, err := readFile()
+		file, err := c.readBeside(argument)
 		if err != nil {
-			return "", err
+			return command, err
 		}
-		plan, err := config.ParseRollout(argument, text)
+		command.Budgets, err = config.ParseBudgets(argument, file)
+		return command, err
+	case "release":
+		command.Kind = coordination.KindStartRollout
+		file, err := c.readBeside(argument)
 		if err != nil {
-			return "", err
+			return command, err
 		}
-		command.Kind, command.Plan = coordination.KindStartRollout, &plan
+		plan, err := config.ParseRollout(argument, file)
+		command.Plan = &plan
+		return command, err
 	case "halt", "resume", "back":
 		command.Kind = coordination.Kind(action)
 	case "drain":
-		if zone, isZone := strings.CutPrefix(argument, "zone "); isZone {
-			command.Kind, command.Selector = coordination.KindDrain, coordination.Selector{Zone: zone, Role: "instance"}
+		if zone, ok := strings.CutPrefix(argument, "zone "); ok {
+			command.Kind = coordination.KindDrain
+			command.Selector = coordination.Selector{Zone: zone, Role: instanceRole}
 		} else {
-			command.Kind, command.Member = coordination.KindRequestPermit, membership.Name(argument)
+			command.Kind = coordination.KindRequestPermit
+			command.Member = membership.Name(argument)
 		}
 	default:
-		return "", fmt.Errorf("no command %q", text)
-	}
-	answer, err := w.coordinatorClient().Do(client.Request{Command: &command})
-	switch {
-	case err != nil:
-		return "", err
-	case answer.Error != "":
-		return "", fmt.Errorf("%s", answer.Error)
-	case !answer.Reply.OK:
-		return "refused: " + answer.Reply.Reason, nil
+		return command, fmt.Errorf("no command %q", text)
 	}
-	return "agreed", nil
+	return command, nil
+}
+
+// readBeside reads a file that a script names, beside the script.
+func (c *cluster) readBeside(name string) ([]byte, error) {
+	return os.ReadFile(filepath.Join(filepath.Dir(c.script.Path), name))
 }
 
-// rolloutPhase is where the release is now, by whichever steward answers.
-func (w *cluster) rolloutPhase() string {
-	coordinators := w.coordinatorClient()
-	coordinators.Timeout = time.Second
-	answer, err := coordinators.Do(client.Request{Status: true})
+// rolloutPhase returns how far the rollout is, by whichever coordinator answers.
+func (c *cluster) rolloutPhase() string {
+	coordinators, err := c.coordinatorClient(statusTimeout)
+	if err != nil {
+		return "unknown"
+	}
+	response, err := coordinators.Do(client.Request{Status: true})
 	switch {
 	case err != nil:
 		return "unknown"
-	case answer.Status.Halt != nil:
+	case response.Status.Halt != nil:
 		return "halted"
-	case answer.Status.Rollout == nil:
+	case response.Status.Rollout == nil:
 		return "none"
 	}
-	return string(answer.Status.Rollout.Phase)
+	return string(response.Status.Rollout.Phase)
 }
 
-// checkRollout judges what the script says of the end: on which release all instances are, and how many were ever on one.
-func (w *cluster) checkRollout() (metrics []metric, violations []violation) {
-	script := w.script
-	w.disruptions.mu.Lock()
-	defer w.disruptions.mu.Unlock()
-	for _, group := range []string{"all"} {
-		metrics = append(metrics, metric{"out by permits at a time, the most of " + group, float64(w.disruptions.maxOut[group])})
+// checkRollout checks what the script says of the end: which release all instances are on, and how many were ever
+// on one.
+func (c *cluster) checkRollout() (metrics []metric, violations []violation) {
+	c.disruptions.mu.Lock()
+	defer c.disruptions.mu.Unlock()
+	maxOut := c.disruptions.maxOut[allProcesses]
+	metrics = append(metrics, metric{"out by permits at a time, the most of all", float64(maxOut)})
+	violate := func(format string, args ...any) {
+		violations = append(violations, violation{c.script.LoadDuration, ruleRelease, fmt.Sprintf(format, args...)})
 	}
-	if script.FinalRelease != "" {
-		others := 0
-		for _, p := range w.processes[:script.Instances] {
-			p.mu.Lock()
-			if p.release != script.FinalRelease || p.exited {
-				others++
-			}
-			p.mu.Unlock()
-		}
-		metrics = append(metrics, metric{"instances that are not on release " + script.FinalRelease + " at the end", float64(others)})
+	if release := c.script.FinalRelease; release != "" {
+		others := c.countNotOn(release)
+		name := "instances that are not on release " + release + " at the end"
+		metrics = append(metrics, metric{name, float64(others)})
 		if others > 0 {
-			violations = append(violations, violation{script.LoadDuration, "release", fmt.Sprintf("%d instances are not on release %s at the end", others, script.FinalRelease)})
+			violate("%d instances are not on release %s at the end", others, release)
 		}
 	}
-	if script.LimitedRelease != "" {
-		count := len(w.disruptions.everOn[script.LimitedRelease])
-		metrics = append(metrics, metric{"instances that were ever on release " + script.LimitedRelease, float64(count)})
-		if float64(count) > script.MaxLimitedFraction*float64(script.Instances) {
-			violations = append(violations, violation{script.LoadDuration, "release", fmt.Sprintf("%d instances were on release %s, %.0f%% is told", count, script.LimitedRelease, 100*script.MaxLimitedFraction)})
+	if release := c.script.LimitedRelease; release != "" {
+		count := len(c.disruptions.everOnReleases[release])
+		metrics = append(metrics, metric{"instances that were ever on release " + release, float64(count)})
+		if float64(count) > c.script.MaxLimitedFraction*float64(c.script.Instances) {
+			violate("%d instances were on release %s, %.0f%% is told", count, release, 100*c.script.MaxLimitedFraction)
 		}
 	}
 	return metrics, violations
 }
 
-// releaseFaults is what is wrong with a release, as the script has it.
-func (w *cluster) releaseFaults(release string) (fake.RuntimeFaults, bool) {
-	if w.script.BadRelease.Release == "" || w.script.BadRelease.Release != release {
-		return fake.RuntimeFaults{}, false
+// countNotOn returns the number of instances that do not run on a release.
+func (c *cluster) countNotOn(release string) (count int) {
+	for _, p := range c.processes[:c.script.Instances] {
+		p.mu.Lock()
+		if p.release != release || p.exited {
+			count++
+		}
+		p.mu.Unlock()
 	}
-	return fake.RuntimeFaults{SlowFactor: w.script.BadRelease.RunTimeFactor, FailRuns: w.script.BadRelease.FailRuns}, true
+	return count
 }
--- a/internal/drill/datagrams.go
+++ b/internal/drill/datagrams.go
@@ -1,55 +1,74 @@
 package drill
 
 import (
-	"math/rand/v2"
+	"net"
+	"slices"
 	"time"
 )
 
-func (l *network) forwardDatagrams(front *processFront) {
-	buffer := make([]byte, 64<<10)
+// reorderDelay puts a datagram behind those of the next rounds of gossip.
+const reorderDelay = 20 * time.Millisecond
+
+// forwardDatagrams forwards what comes to a process's front until it is closed.
+func (n *network) forwardDatagrams(front *processFront) {
+	const maxDatagramBytes = 64 << 10
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		size, sender, err := front.udp.ReadFromUDP(buffer)
 		if err != nil {
 			return
 		}
-		_, counters, faults, senderFront := l.lookup(sender.IP.String(), front.process)
-		l.increment(&counters.datagrams, 1)
-		l.increment(&counters.bytes, size)
-		out, delay, copies := front.udp, time.Duration(0), 1
-		if senderFront != nil { // it comes from the sender's front
-			out = senderFront.udp
+		n.forwardDatagram(front, sender, slices.Clone(buffer[:size]))
+	}
+}
+
+// forwardDatagram forwards one datagram, which it may change, under what holds on its link. It comes from the sender's
+// front.
+func (n *network) forwardDatagram(front *processFront, sender *net.UDPAddr, message []byte) {
+	current := n.lookup(sender.IP.String(), front.process)
+	n.increment(&current.counters.datagrams, 1)
+	n.increment(&current.counters.bytes, len(message))
+	out := front.udp
+	if current.senderFront != nil {
+		out = current.senderFront.udp
+	}
+	copies, delay := n.applyToDatagram(current, message)
+	for range copies {
+		send := func() { _, _ = out.WriteToUDP(message, front.target) } // what is lost is lost
+		if delay > 0 {
+			time.AfterFunc(delay, send)
+		} else {
+			send()
 		}
-		message := append([]byte(nil), buffer[:size]...)
-		for _, fault := range faults {
-			if !l.chance(fault.Fraction) {
-				continue
-			}
-			switch fault.Action {
-			case "refuse", "swallow", "lose", "stall", "half-close":
-				copies = 0
-				l.increment(&counters.dropped, 1)
-			case "delay":
-				delay += fault.Delay + time.Duration(rand.Float64()*float64(fault.Jitter))
-				l.increment(&counters.delayed, 1)
-			case "duplicate":
-				copies++
-				l.increment(&counters.duplicated, 1)
-			case "reorder":
-				delay += 20 * time.Millisecond // behind what comes in the next rounds of gossip's messages
-				l.increment(&counters.reordered, 1)
-			case "garble":
-				message[rand.IntN(len(message))] ^= 0x55
-				l.increment(&counters.corrupted, 1)
-			case "narrow":
-				delay += time.Duration(float64(size) / float64(max(1, fault.BytesPerSecond)) * float64(time.Second))
-			}
+	}
+}
+
+// applyToDatagram applies the faults of a link to a datagram, which it may change.
+func (n *network) applyToDatagram(current conditions, message []byte) (copies int, delay time.Duration) {
+	copies = 1
+	for _, fault := range current.faults {
+		if !n.chance(fault.Fraction) {
+			continue
 		}
-		for range copies {
-			if delay > 0 {
-				time.AfterFunc(delay, func() { _, _ = out.WriteToUDP(message, front.target) })
-			} else {
-				_, _ = out.WriteToUDP(message, front.target)
-			}
+		switch fault.Action {
+		case actionRefuse, actionSwallow, actionLose, actionStall, actionHalfClose:
+			copies = 0
+			n.increment(&current.counters.dropped, 1)
+		case actionDelay:
+			delay += drawDelay(fault)
+			n.increment(&current.counters.delayed, 1)
+		case actionDuplicate:
+			copies++
+			n.increment(&current.counters.duplicated, 1)
+		case actionReorder:
+			delay += reorderDelay
+			n.increment(&current.counters.reordered, 1)
+		case actionGarble:
+			garble(message)
+			n.increment(&current.counters.corrupted, 1)
+		case actionNarrow:
+			delay += transferTime(fault, len(message))
 		}
 	}
+	return copies, delay
 }
--- a/internal/drill/disruption.go
+++ b/internal/drill/disruption.go
@@ -8,81 +8,105 @@
 	"lanewheel/internal/coordination"
 )
 
-// disruptionLog is who was out by a permit, by the rehearsal's own clock and eyes: from its end to when its next life has come up.
+// settleAfterReturn is how long after the last return from a permit membership may still change.
+const settleAfterReturn = 10 * time.Second
+
+// group is whom a limit of disruption holds for: all processes, or those of a zone.
+type group struct{ zone string }
+
+// allProcesses is the group of all.
+var allProcesses = group{}
+
+// String returns the group as it is recorded.
+func (g group) String() string {
+	if g == allProcesses {
+		return "all"
+	}
+	return "zone " + g.zone
+}
+
+// disruptionLog is who is out by a permit, by the drill's own clock and eyes: from the end of a process to when its
+// next incarnation has come up.
 type disruptionLog struct {
-	mu         sync.Mutex
-	out        map[*process]bool
-	lastReturn time.Time      // when one was last back
-	maxOut     map[string]int // by group: the most at a time
-	limits     map[string]int // and the most that may be
-	everOn     map[string]map[string]bool
+	mu             sync.Mutex // guards what follows
+	out            map[*process]bool
+	lastReturn     time.Time
+	maxOut         map[group]int              // the most at a time
+	limits         map[group]int              // the most that may be out; a group that is not named has none
+	everOnReleases map[string]map[string]bool // names of processes by the releases that they were ever on
 }
 
-// noteRelease notes on which release a process is.
-func (o *disruptionLog) noteRelease(p *process) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.everOn[p.release] == nil {
-		o.everOn[p.release] = map[string]bool{}
+func newDisruptionLog() *disruptionLog {
+	return &disruptionLog{
+		out:            map[*process]bool{},
+		maxOut:         map[group]int{},
+		limits:         map[group]int{},
+		everOnReleases: map[string]map[string]bool{},
 	}
-	o.everOn[p.release][p.name] = true
 }
 
-// groups are those that a process counts in.
-func (o *disruptionLog) groups(p *process, zone string) []string {
-	return []string{"all", "zone " + zone}
+// noteRelease notes which release a process is on.
+func (l *disruptionLog) noteRelease(p *process) {
+	release := p.currentRelease()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.everOnReleases[release] == nil {
+		l.everOnReleases[release] = map[string]bool{}
+	}
+	l.everOnReleases[release][p.name] = true
 }
 
-// noteOut notes that a process ended by a permit; it gives what is over its budget then.
-func (o *disruptionLog) noteOut(w *cluster, p *process) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.out[p] = true
-	for _, group := range o.groups(p, zoneOf(w.script, p.index)) {
+// noteOut notes that a process has ended by a permit, and fails the drill if more are out than may be.
+func (l *disruptionLog) noteOut(c *cluster, p *process) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.out[p] = true
+	for _, group := range []group{allProcesses, {zoneOf(c.script, p.index)}} {
 		count := 0
-		for other := range o.out {
-			if group == "all" || group == "zone "+zoneOf(w.script, other.index) {
+		for other := range l.out {
+			if group == allProcesses || group.zone == zoneOf(c.script, other.index) {
 				count++
 			}
 		}
-		o.maxOut[group] = max(o.maxOut[group], count)
-		if limit, limited := o.limits[group]; limited && count > limit {
-			go w.fail(fmt.Sprintf("%s left by a permit and %d of %s are out by one, %d may be", p.name, count, group, limit))
+		l.maxOut[group] = max(l.maxOut[group], count)
+		if limit, limited := l.limits[group]; limited && count > limit {
+			go c.fail(fmt.Sprintf("%s left by a permit and %d of %s are out by one, %d may be", p.name, count, group, limit))
 		}
 	}
 }
 
-func (o *disruptionLog) noteBack(p *process) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.out[p] {
-		o.lastReturn = time.Now()
+// noteBack notes that a process has come up.
+func (l *disruptionLog) noteBack(p *process) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.out[p] {
+		l.lastReturn = time.Now()
 	}
-	delete(o.out, p)
+	delete(l.out, p)
 }
 
-// inProgress tells whether somebody is out by a permit, or was a moment ago.
-func (o *disruptionLog) inProgress() bool {
-	if o == nil {
+// inProgress reports whether a process is out by a permit, or was a moment ago. The log may be nil.
+func (l *disruptionLog) inProgress() bool {
+	if l == nil {
 		return false
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return len(o.out) > 0 || time.Since(o.lastReturn) < 10*time.Second
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.out) > 0 || time.Since(l.lastReturn) < settleAfterReturn
 }
 
-// setLimits notes what may be out, as far as the rehearsal can see it: counts over all and by zone.
-func (o *disruptionLog) setLimits(budgets []coordination.DisruptionBudget) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.limits = map[string]int{}
+// setLimits takes what may be out, as far as the drill can see it: counts over all instances and by zone.
+func (l *disruptionLog) setLimits(budgets []coordination.DisruptionBudget) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.limits = map[group]int{}
 	for _, budget := range budgets {
-		switch {
-		case budget.MaxUnavailable < 0 || budget.Selector.Release != "" || budget.Selector.Upstream != "" || budget.Selector.Role != "" && budget.Selector.Role != "instance":
-		case budget.Selector.Zone != "":
-			o.limits["zone "+budget.Selector.Zone] = budget.MaxUnavailable
-		default:
-			o.limits["all"] = budget.MaxUnavailable
+		selector := budget.Selector
+		if budget.MaxUnavailable < 0 || selector.Release != "" || selector.Upstream != "" {
+			continue
+		}
+		if selector.Role == "" || selector.Role == instanceRole {
+			l.limits[group{selector.Zone}] = budget.MaxUnavailable
 		}
 	}
 }
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -1,3 +1,5 @@
+// Package drill carries out game-day drills: it starts processes of this very program among fakes, injects the
+// faults of a script into them and into the links between them, and checks the invariants.
 package drill
 
 import (
@@ -5,14 +7,30 @@
 	"io"
 	"os"
 	"path/filepath"
+	"slices"
 	"sync"
 	"time"
 
 	"lanewheel/internal/config"
 )
 
-// Run carries a script out with processes of the program at binary, prints how it goes, and gives the record. An error is what
-// kept it from being carried out; whatever did not hold is in the record.
+const (
+	// startTimeout is how long, beyond the script's start, the processes may take to know each other.
+	startTimeout = 60 * time.Second
+
+	// Views are compared this often; with hundreds of processes that each have to answer less often.
+	minPollInterval        = 250 * time.Millisecond
+	pollIntervalPerProcess = 3 * time.Millisecond
+
+	// coordinatorBinary has all that the others have, and is used for all processes where there are coordinators.
+	coordinatorBinary = "lanewheel-coordinator"
+)
+
+// printf prints to whoever watches a drill, who sees what is missing.
+func printf(out io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(out, format, args...) }
+
+// Run carries a script out with processes of the program at binary, prints its progress and returns the record. An
+// error is what kept it from being carried out; what did not hold is in the record.
 func Run(script *config.Drill, binary string, out io.Writer) (Record, error) {
 	if err := checkMemory(script, out); err != nil {
 		return nil, err
@@ -21,167 +39,274 @@
 	if err != nil {
 		return nil, err
 	}
-	keepLogs := false
-	defer func() {
-		if keepLogs {
-			fmt.Fprintf(out, "what the processes logged is under %s\n", dir)
-		} else {
-			os.RemoveAll(dir)
-		}
-	}()
-	w, err := newCluster(script, binary, dir)
-	if err != nil {
-		return nil, err
-	}
-	defer w.close()
 	if script.Coordinators > 0 {
-		w.binary = filepath.Join(filepath.Dir(binary), "lanewheel-coordinator") // it has all that the others have
-	}
-	var mu sync.Mutex
-	var violations, processViolations []violation
-	failuresSince := time.Now()
-	w.fail = func(detail string) {
-		mu.Lock()
-		defer mu.Unlock()
-		processViolations = append(processViolations, violation{time.Since(failuresSince), "nothing falls over", detail})
-	}
-	w.print = func(line string) { fmt.Fprintln(out, line) }
-	requests := &requestLog{byID: map[string]*issuedRequest{}}
-	w.onExecution = requests.recordExecution
-	if script.Coordinators > 0 {
-		if err := w.listenForHooks(); err != nil {
-			return nil, err
-		}
+		binary = filepath.Join(filepath.Dir(binary), coordinatorBinary)
 	}
-	events := Timeline(script)
-	for _, event := range events {
-		fmt.Fprintln(out, event)
+	r := newRun(script, out)
+	record, err := r.execute(binary, dir)
+	if r.cluster != nil && (err != nil || record.violationCount() > 0 || script.KeepLogs) {
+		printf(out, "what the processes logged is under %s\n", dir)
+	} else {
+		_ = os.RemoveAll(dir) // what is left of a temporary folder does no harm
 	}
-	membership := &membershipCheck{cluster: w, convergence: map[string]time.Duration{}}
-	startTime, err := startAll(w, membership, out)
-	if err != nil {
-		keepLogs = true
+	return record, err
+}
+
+// run is one drill under way. Its fields are owned by the goroutine of Run, but for failures.
+type run struct {
+	script     *config.Drill
+	out        io.Writer
+	cluster    *cluster // nil until it is made
+	requests   *requestLog
+	membership *membershipCheck
+	idle       *idleUsage
+	events     []Event
+	next       int       // index of the next event
+	startedAt  time.Time // of the load
+	failures   failures
+	violations []violation
+	metrics    []metric
+	divergent  []Row
+}
+
+func newRun(script *config.Drill, out io.Writer) *run {
+	return &run{
+		script:   script,
+		out:      out,
+		requests: &requestLog{byID: map[string]*issuedRequest{}},
+		events:   Timeline(script),
+	}
+}
+
+// execute carries the drill out.
+func (r *run) execute(binary, dir string) (Record, error) {
+	if err := r.setUp(binary, dir); err != nil {
 		return nil, err
 	}
-	membership.metrics = append(membership.metrics, metric{"s until all know all, at the start", startTime.Seconds()})
-	startedAt := time.Now()
-	mu.Lock()
-	failuresSince = startedAt
-	mu.Unlock()
-	var divergence []Row
+	defer r.cluster.close()
+	if err := r.startAll(); err != nil {
+		return nil, err
+	}
+	r.startedAt = time.Now()
+	r.failures.reset(r.startedAt)
 	var load sync.WaitGroup
-	load.Add(1)
-	go func() { defer load.Done(); requests.generateLoad(w, startedAt.Add(script.LoadDuration)) }()
-	idle := newIdleUsage(membership)
-	until := script.LoadDuration // the last fault has its time to settle
-	if len(events) > 0 {
-		until = max(until, events[len(events)-1].At+script.SettleTimeout)
-	}
-	for next := 0; next < len(events) || time.Since(startedAt) < until; {
-		now := time.Since(startedAt)
-		if next < len(events) && now >= events[next].At {
-			event := &events[next]
-			next++
-			idle.finish(membership, now)
-			membership.beforeEvent(event, now)
-			fmt.Fprintln(out, event)
-			if event.Targets == nil {
-				w.links.apply(*event)
-			} else {
-				w.apply(*event)
-			}
-			membership.mu.Lock()
-			membership.changedAt = time.Since(startedAt) // from when it is done
-			membership.mu.Unlock()
-			continue
-		}
-		violations = append(violations, membership.check(now)...)
-		divergence = append(divergence, Row{now.Milliseconds(), "differs", "", "", "", float64(membership.divergent)})
-		for _, p := range w.processes {
-			if mb := p.residentMB(); mb > script.MaxMemoryMB {
-				w.fail(fmt.Sprintf("%s holds %.0f MB", p.name, mb))
-			}
-		}
-		// A fault that is behind, with its time to settle, is judged; the next one may have begun within it.
-		if next > 0 && (next == len(events) || events[next].At > events[next-1].At+script.SettleTimeout) && !events[next-1].skipCheck(now, script) {
-			violations = append(violations, membership.afterFault(&events[next-1], now)...)
-			events[next-1].checked = true
+	load.Go(func() { r.requests.generateLoad(r.cluster, r.startedAt.Add(r.script.LoadDuration)) })
+	r.idle = newIdleUsage(r.membership)
+	for until := r.duration(); r.next < len(r.events) || r.elapsed() < until; {
+		if now := r.elapsed(); r.next < len(r.events) && now >= r.events[r.next].At {
+			r.applyNext(now)
+		} else {
+			r.observe(now)
+			time.Sleep(pollInterval(r.script))
 		}
-		time.Sleep(pollInterval(script))
 	}
 	load.Wait()
-	endedAt := time.Now()
-	membership.poll(time.Since(startedAt))
-	violations = append(violations, membership.afterFault(nil, time.Since(startedAt))...)
-	idle.finish(membership, time.Since(startedAt))
-	peak := 0.0
-	for _, p := range w.processes {
-		peak = max(peak, p.residentMB())
+	return r.finish(), nil
+}
+
+// setUp makes the cluster and prints the timeline.
+func (r *run) setUp(binary, dir string) error {
+	r.failures.reset(time.Now())
+	cluster, err := newCluster(r.script, binary, dir, callbacks{
+		onExecution: r.requests.recordExecution,
+		fail:        r.failures.add,
+		print:       func(line string) { printf(r.out, "%s\n", line) },
+	})
+	if err != nil {
+		return err
 	}
-	figures := append(membership.metrics, idle.metrics...)
-	figures = append(figures, metric{"MB of its own, the fullest process", peak})
-	for _, service := range w.services {
-		peak, calls := service.peak()
-		figures = append(figures, metric{"calls at a time, the most at " + service.name, float64(peak)}, metric{"calls at " + service.name, float64(calls)})
-		if peak > service.cap {
-			w.fail(fmt.Sprintf("%s: %d calls at a time, the cap is %d", service.name, peak, service.cap))
+	if r.script.Coordinators > 0 {
+		if err := cluster.listenForHooks(); err != nil {
+			cluster.close()
+			return err
 		}
 	}
-	if script.Coordinators > 0 {
-		rollout, unmet := w.checkRollout()
-		figures, violations = append(figures, rollout...), append(violations, unmet...)
-	}
-	balance, uneven := checkBalance(w, requests, events, startedAt, endedAt)
-	figures, violations = append(figures, balance...), append(violations, uneven...)
-	traffic := w.links.total()
-	mu.Lock()
-	violations = append(append(violations, processViolations...), checkRequestRules(w, requests, startedAt, endedAt)...)
-	mu.Unlock()
-	result := buildRecord(w, requests, events, divergence, w.links.rows(func(i int) string {
-		if i < 0 {
-			return "a stranger"
+	for _, event := range r.events {
+		printf(r.out, "%s\n", event)
+	}
+	r.cluster = cluster
+	r.membership = newMembershipCheck(cluster)
+	return nil
+}
+
+// startAll starts all processes over the script's start and waits until each knows all.
+func (r *run) startAll() error {
+	processes := r.cluster.processes
+	for _, p := range processes {
+		if err := p.writeFiles(); err != nil {
+			return err
+		}
+	}
+	firstAt := time.Now()
+	for i, p := range processes {
+		time.Sleep(time.Until(firstAt.Add(r.script.StartupDuration * time.Duration(i) / time.Duration(len(processes)))))
+		if err := p.start(); err != nil {
+			return err
 		}
-		return w.processes[i].name
-	}), violations, figures, startedAt)
-	fmt.Fprintln(out, "the links carried", traffic)
-	keepLogs = len(violations) > 0 || script.KeepLogs
-	return result, nil
+	}
+	startedAt := time.Now()
+	limit := startTimeout + r.script.StartupDuration
+	for r.membership.poll(0); !r.membership.converged; r.membership.poll(0) {
+		if time.Since(startedAt) > limit {
+			return fmt.Errorf("%d of %d processes don't know all others after %v; %s",
+				r.membership.divergent, len(processes), limit, r.membership.divergentDetail)
+		}
+		time.Sleep(pollInterval(r.script))
+	}
+	seconds := time.Since(startedAt).Seconds()
+	printf(r.out, "%d processes are up and know each other after %.1f s\n", len(processes), seconds)
+	r.membership.metrics = append(r.membership.metrics, metric{"s until all know all, at the start", seconds})
+	return nil
+}
+
+// elapsed returns the time since the start of the load.
+func (r *run) elapsed() time.Duration { return time.Since(r.startedAt) }
+
+// duration returns how long the drill takes at the least: the last fault has its time to settle.
+func (r *run) duration() time.Duration {
+	if len(r.events) == 0 {
+		return r.script.LoadDuration
+	}
+	return max(r.script.LoadDuration, r.events[len(r.events)-1].At+r.script.SettleTimeout)
 }
 
-// pollInterval is how often views are compared: what is told in seconds is told to a quarter of one, or, with hundreds of processes
-// that each have to answer, to some more.
+// pollInterval returns how often views are compared.
 func pollInterval(script *config.Drill) time.Duration {
-	return max(250*time.Millisecond, time.Duration(script.Instances)*3*time.Millisecond)
+	return max(minPollInterval, time.Duration(script.Instances)*pollIntervalPerProcess)
 }
 
-// skipCheck tells whether an event is not to be judged now: it was, its time to settle is not over, or it is not the fault's last.
-func (e *Event) skipCheck(now time.Duration, script *config.Drill) bool {
-	return e.checked || now < e.At+script.SettleTimeout || e.Fault.Duration > 0 && !e.Undo
+// applyNext applies the next event.
+func (r *run) applyNext(now time.Duration) {
+	event := &r.events[r.next]
+	r.next++
+	r.idle.finish(r.membership, now)
+	r.membership.beforeEvent(event, now)
+	printf(r.out, "%s\n", event)
+	if event.Targets == nil {
+		r.cluster.network.apply(*event)
+	} else {
+		r.cluster.apply(*event)
+	}
+	r.membership.afterEvent(r.elapsed())
 }
 
-// startAll starts all processes over the told time and waits until each knows all.
-func startAll(w *cluster, membership *membershipCheck, out io.Writer) (time.Duration, error) {
-	for _, p := range w.processes {
-		if err := w.writeFiles(p); err != nil {
-			return 0, err
+// observe looks at all processes, and checks the invariants once the last event has had its time to settle.
+func (r *run) observe(now time.Duration) {
+	r.membership.poll(now)
+	r.divergent = append(r.divergent, Row{
+		AtMS:  now.Milliseconds(),
+		Kind:  kindDivergent,
+		Value: float64(r.membership.divergent),
+	})
+	for _, p := range r.cluster.processes {
+		if mb := p.residentMB(); mb > r.script.MaxMemoryMB {
+			r.failures.add(fmt.Sprintf("%s holds %.0f MB", p.name, mb))
 		}
 	}
-	first := time.Now()
-	for index, p := range w.processes {
-		time.Sleep(time.Until(first.Add(w.script.StartupDuration * time.Duration(index) / time.Duration(len(w.processes)))))
-		if err := w.startProcess(p); err != nil {
-			return 0, err
-		}
+	if event := r.settledEvent(now); event != nil {
+		r.violations = append(r.violations, r.membership.check(event, now)...)
+		event.checked = true
+	}
+}
+
+// settledEvent returns the last event if the invariants are to be checked after it now, else nil: they were, it has
+// not had its time to settle, it is not its fault's last, or the next one comes within that time.
+func (r *run) settledEvent(now time.Duration) *Event {
+	if r.next == 0 {
+		return nil
+	}
+	event := &r.events[r.next-1]
+	settledAt := event.At + r.script.SettleTimeout
+	switch {
+	case event.checked || now < settledAt || event.Fault.Duration > 0 && !event.Undo:
+		return nil
+	case r.next < len(r.events) && r.events[r.next].At <= settledAt:
+		return nil
+	}
+	return event
+}
+
+// finish checks what is checked at the end, and returns the record.
+func (r *run) finish() Record {
+	endedAt := time.Now()
+	r.membership.poll(r.elapsed())
+	r.violations = append(r.violations, r.membership.check(nil, r.elapsed())...)
+	r.idle.finish(r.membership, r.elapsed())
+	r.metrics = slices.Concat(r.membership.metrics, r.idle.metrics)
+	r.measureProcesses()
+	if r.script.Coordinators > 0 {
+		r.add(r.cluster.checkRollout())
+	}
+	r.add(checkBalance(r.cluster, r.requests, r.events, r.startedAt, endedAt))
+	traffic := r.cluster.network.total()
+	r.violations = append(r.violations, r.failures.all()...)
+	r.violations = append(r.violations, checkRequestRules(r.cluster, r.requests, r.startedAt, endedAt)...)
+	results := &results{
+		startedAt:  r.startedAt,
+		requests:   r.requests,
+		events:     r.events,
+		divergent:  r.divergent,
+		links:      r.cluster.network.rows(r.nameOf),
+		violations: r.violations,
+		metrics:    r.metrics,
 	}
-	started := time.Now()
-	limit := 60*time.Second + w.script.StartupDuration
-	for membership.poll(0); !membership.converged; membership.poll(0) {
-		if time.Since(started) > limit {
-			return 0, fmt.Errorf("%d of %d processes don't know all others after %v; %s", membership.divergent, len(w.processes), limit, membership.divergentDetail)
+	printf(r.out, "the links carried %s\n", &traffic)
+	return results.record(r.cluster.processes)
+}
+
+func (r *run) add(metrics []metric, violations []violation) {
+	r.metrics = append(r.metrics, metrics...)
+	r.violations = append(r.violations, violations...)
+}
+
+// nameOf returns the name of the process at an index of the network.
+func (r *run) nameOf(index int) string {
+	if index == stranger {
+		return "a stranger"
+	}
+	return r.cluster.processes[index].name
+}
+
+// measureProcesses measures the memory of the processes and the calls of the services.
+func (r *run) measureProcesses() {
+	peak := 0.0
+	for _, p := range r.cluster.processes {
+		peak = max(peak, p.residentMB())
+	}
+	r.metrics = append(r.metrics, metric{"MB of its own, the fullest process", peak})
+	for _, service := range r.cluster.services {
+		maxInFlight, calls := service.totals()
+		r.metrics = append(r.metrics,
+			metric{"calls at a time, the most at " + service.name, float64(maxInFlight)},
+			metric{"calls at " + service.name, float64(calls)})
+		if maxInFlight > service.capacity {
+			r.failures.add(fmt.Sprintf("%s: %d calls at a time, the cap is %d", service.name, maxInFlight, service.capacity))
 		}
-		time.Sleep(pollInterval(w.script))
 	}
-	elapsed := time.Since(started)
-	fmt.Fprintf(out, "%d processes are up and know each other after %.1f s\n", len(w.processes), elapsed.Seconds())
-	return elapsed, nil
+}
+
+// failures collects what processes did that they should not. Its methods may be called on any goroutine.
+type failures struct {
+	mu         sync.Mutex
+	since      time.Time
+	violations []violation
+}
+
+// reset sets the time that failures are counted from.
+func (f *failures) reset(since time.Time) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.since = since
+}
+
+func (f *failures) add(detail string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.violations = append(f.violations, violation{time.Since(f.since), ruleNothingCrashes, detail})
+}
+
+func (f *failures) all() []violation {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return slices.Clone(f.violations)
 }
--- a/internal/drill/fakeservice.go
+++ b/internal/drill/fakeservice.go
@@ -1,6 +1,7 @@
 package drill
 
 import (
+	"context"
 	"math"
 	"net"
 	"net/http"
@@ -11,59 +12,78 @@
 	"lanewheel/internal/config"
 )
 
-// fakeService is what a desk stands beside: it works at every call for as long as that takes, whoever still waits for it, and counts.
+// fakeService is what an allocator stands beside: it works at every call for as long as that takes, whoever still
+// waits for it, and counts.
 type fakeService struct {
-	name        string
-	cap         int
-	listener    net.Listener
-	workTime    time.Duration
-	mu          sync.Mutex
+	name     string
+	capacity int // calls at a time that there may be; 0: not configured
+	listener net.Listener
+	workTime time.Duration // mean of a call
+
+	mu          sync.Mutex // guards what follows
 	inFlight    int
 	maxInFlight int
 	calls       int
 }
 
-func newFakeService(name string, script *config.Drill) *fakeService {
+// newFakeService starts a service of an allocator's name.
+func newFakeService(name string, script *config.Drill) (*fakeService, error) {
 	service := &fakeService{name: name, workTime: script.UpstreamCallDuration}
 	for _, setting := range script.AllocatorSettings {
 		if setting[0] == "cap" {
-			service.cap, _ = strconv.Atoi(setting[1])
+			service.capacity, _ = strconv.Atoi(setting[1]) // the allocator says so if it is no number
 		}
 	}
 	var err error
-	if service.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
-		panic(err)
+	service.listener, err = (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		return nil, err
 	}
-	go func() { _ = http.Serve(service.listener, service) }()
-	return service
+	go func() { _ = http.Serve(service.listener, service) }() // until the listener is closed
+	return service, nil
 }
 
 func (s *fakeService) address() string { return s.listener.Addr().String() }
 
 // ServeHTTP answers a call when its work is done, or its time is up.
 func (s *fakeService) ServeHTTP(response http.ResponseWriter, request *http.Request) {
+	number := s.begin()
+	timeoutMS, _ := strconv.Atoi(request.Header.Get("Statement-Timeout-Ms")) // without one there is no time
+	timeout := time.Duration(timeoutMS) * time.Millisecond
+	workTime := s.drawWorkTime(number)
+	time.Sleep(min(workTime, timeout))
+	s.end()
+	if workTime > timeout {
+		response.WriteHeader(http.StatusGatewayTimeout)
+		return
+	}
+	_, _ = response.Write([]byte("rows")) // the caller may have gone
+}
+
+// begin counts a call and returns its number.
+func (s *fakeService) begin() (number int) {
 	s.mu.Lock()
+	defer s.mu.Unlock()
 	s.inFlight++
 	s.calls++
 	s.maxInFlight = max(s.maxInFlight, s.inFlight)
-	number := s.calls
-	s.mu.Unlock()
-	timeoutMS, _ := strconv.Atoi(request.Header.Get("Statement-Timeout-Ms"))
-	// Drawn by number, about the mean: the same for the same order.
-	workTime := time.Duration(-math.Log(1-math.Mod(float64(number)*0.6180339887, 1)) * float64(s.workTime))
-	time.Sleep(min(workTime, time.Duration(timeoutMS)*time.Millisecond))
+	return s.calls
+}
+
+func (s *fakeService) end() {
 	s.mu.Lock()
+	defer s.mu.Unlock()
 	s.inFlight--
-	s.mu.Unlock()
-	if workTime > time.Duration(timeoutMS)*time.Millisecond {
-		response.WriteHeader(http.StatusGatewayTimeout)
-		return
-	}
-	_, _ = response.Write([]byte("rows"))
 }
 
-// peak is how many calls were running at a time at the most, and how many came.
-func (s *fakeService) peak() (most, calls int) {
+// drawWorkTime returns how long a call works, exponentially distributed by its number: the same for the same order.
+func (s *fakeService) drawWorkTime(number int) time.Duration {
+	const goldenRatio = 0.6180339887 // its multiples are spread evenly over [0, 1)
+	return time.Duration(-math.Log(1-math.Mod(float64(number)*goldenRatio, 1)) * float64(s.workTime))
+}
+
+// totals returns how many calls were running at a time at the most, and how many there were.
+func (s *fakeService) totals() (maxInFlight, calls int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.maxInFlight, s.calls
--- a/internal/drill/faults.go
+++ b/internal/drill/faults.go
@@ -1,8 +1,8 @@
 package drill
 
 import (
+	"context"
 	"fmt"
-	"math"
 	"net"
 	"os"
 	"strconv"
@@ -14,137 +14,158 @@
 	"lanewheel/internal/fake"
 )
 
-// apply carries out what is done to processes.
-func (w *cluster) apply(event Event) {
-	if event.Fault.Action == "agree" && event.Undo { // whoever was drained is started again
-		for _, p := range w.processes[:w.script.Instances] {
-			p.mu.Lock()
-			exited := p.exited && !p.stopExpected
-			p.mu.Unlock()
-			if exited {
-				if err := w.restart(p.name, ""); err != nil {
-					w.fail(p.name + ": " + err.Error())
-				}
-			}
-		}
-		return
-	}
-	if event.Fault.Action == "agree" {
-		go func() { // an operator's command waits for its answer; the timeline does not
-			reply, err := w.runCommand(event.Fault.Command, fmt.Sprint(event.Fault.Name, event.At))
-			if err != nil {
-				w.fail(event.Fault.Name + ": " + err.Error())
-			}
-			w.print(fmt.Sprintf("        %s: %s, release %s", event.Fault.Command, reply, w.rolloutPhase()))
-		}()
-		return
+// apply carries out an event of processes, and waits until it is done; but not for the coordinators' answer to a
+// command.
+func (c *cluster) apply(event Event) {
+	switch {
+	case event.Fault.Action == actionAgree && event.Undo:
+		c.restartDrained()
+	case event.Fault.Action == actionAgree:
+		go c.command(event)
+	case event.Fault.Action == actionBurst && event.Undo:
+		c.setLoadFactor(1)
+	case event.Fault.Action == actionBurst:
+		c.setLoadFactor(event.Fault.Factor)
+	default:
+		c.applyToAll(event)
 	}
-	if event.Fault.Action == "burst" {
-		w.loadFactor.Store(math.Float64bits(1))
-		if !event.Undo {
-			w.loadFactor.Store(math.Float64bits(event.Fault.Factor))
+}
+
+// restartDrained starts the instances again that have drained by a permit.
+func (c *cluster) restartDrained() {
+	for _, p := range c.processes[:c.script.Instances] {
+		p.mu.Lock()
+		drained := p.exited && !p.stopExpected
+		p.mu.Unlock()
+		if !drained {
+			continue
+		}
+		if err := c.restart(p.name, ""); err != nil {
+			c.fail(p.name + ": " + err.Error())
 		}
-		return
 	}
+}
+
+// command gives the coordinators a command and prints their answer.
+func (c *cluster) command(event Event) {
+	fault := event.Fault
+	reply, err := c.runCommand(fault.Command, fmt.Sprint(fault.Name, event.At))
+	if err != nil {
+		c.fail(fault.Name + ": " + err.Error())
+	}
+	c.print(fmt.Sprintf("        %s: %s, release %s", fault.Command, reply, c.rolloutPhase()))
+}
+
+func (c *cluster) applyToAll(event Event) {
 	var targets sync.WaitGroup
 	for _, index := range event.Targets {
-		p := w.processes[index]
-		targets.Add(1)
-		go func() {
-			defer targets.Done()
-			if err := w.applyTo(event, p); err != nil {
-				w.fail(fmt.Sprintf("%s: %s: %v", event.Fault.Name, p.name, err))
+		p := c.processes[index]
+		targets.Go(func() {
+			var err error
+			if event.Undo {
+				err = p.undo(event.Fault)
+			} else {
+				err = p.apply(event.Fault)
 			}
-		}()
+			if err != nil {
+				c.fail(fmt.Sprintf("%s: %s: %v", event.Fault.Name, p.name, err))
+			}
+		})
 	}
 	targets.Wait()
 }
 
-func (w *cluster) applyTo(event Event, p *process) error {
-	fault := event.Fault
-	switch {
-	case fault.Action == "kill" && !event.Undo, fault.Action == "wipe" && !event.Undo:
+// apply does to the process what a fault says.
+func (p *process) apply(fault *config.DrillFault) error {
+	switch fault.Action {
+	case actionKill:
 		p.stop(syscall.SIGKILL)
-		if fault.Action == "wipe" {
-			return os.RemoveAll(p.dir)
-		}
-	case fault.Action == "kill" || fault.Action == "wipe" || fault.Action == "leave" && event.Undo:
-		if err := w.writeFiles(p); err != nil {
-			return err
-		}
-		return w.startProcess(p)
-	case fault.Action == "leave":
+	case actionWipe:
+		p.stop(syscall.SIGKILL)
+		return os.RemoveAll(p.dir)
+	case actionLeave:
 		p.stop(syscall.SIGTERM)
-	case fault.Action == "pause":
-		p.mu.Lock()
-		p.paused = !event.Undo
-		if event.Undo {
-			p.markBack()
-		} else {
-			p.markOut()
-		}
-		p.mu.Unlock()
-		if event.Undo {
-			p.signal(syscall.SIGCONT)
-		} else {
-			p.signal(syscall.SIGSTOP)
-		}
-	case (fault.Action == "restart" || fault.Action == "replace") && !event.Undo: // under its old name and address; the second one leaves first
-		if fault.Action == "restart" {
-			p.stop(syscall.SIGKILL)
-		} else {
-			p.stop(syscall.SIGTERM)
-		}
-		return w.startProcess(p)
-	case fault.Action == "late-runtime":
-		p.mu.Lock()
-		p.runtimeDelayed = !event.Undo
-		p.mu.Unlock()
-		if !event.Undo {
-			p.stop(syscall.SIGKILL)
-			return w.startProcess(p)
-		}
-	case fault.Action == "slow-runs" || fault.Action == "fail-runs" || fault.Action == "lose-runs":
-		p.mu.Lock()
-		p.runtimeFaults = fake.RuntimeFaults{}
-		if !event.Undo {
-			p.runtimeFaults = fake.RuntimeFaults{SlowFactor: fault.Factor, FailRuns: fault.Action == "fail-runs", LoseRuns: fault.Action == "lose-runs"}
-		}
-		p.mu.Unlock()
-	case fault.Action == "keys" && !event.Undo || fault.Action == "seeds" && !event.Undo:
-		if len(fault.KeyNumbers) > 0 {
-			p.keyNumbers = fault.KeyNumbers
-		}
-		p.seedCount = max(p.seedCount, fault.SeedMembers)
-		if err := w.writeFiles(p); err != nil {
+	case actionPause:
+		p.pause(true)
+	case actionRestart:
+		p.stop(syscall.SIGKILL)
+		return p.start()
+	case actionReplace:
+		p.stop(syscall.SIGTERM)
+		return p.start()
+	case actionLateRuntime:
+		p.setRuntimeDelayed(true)
+		p.stop(syscall.SIGKILL)
+		return p.start()
+	case actionSlowRuns, actionFailRuns, actionLoseRuns:
+		p.setRuntimeFaults(fake.RuntimeFaults{
+			SlowFactor: fault.Factor,
+			FailRuns:   fault.Action == actionFailRuns,
+			LoseRuns:   fault.Action == actionLoseRuns,
+		})
+	case actionKeys, actionSeeds:
+		return p.reconfigure(fault)
+	case actionFlood:
+		go p.flood(max(fault.Duration, time.Second))
+	}
+	return nil
+}
+
+// undo ends what a fault has done to the process.
+func (p *process) undo(fault *config.DrillFault) error {
+	switch fault.Action {
+	case actionKill, actionWipe, actionLeave:
+		if err := p.writeFiles(); err != nil {
 			return err
 		}
-		p.signal(syscall.SIGHUP)
-	case fault.Action == "flood" && !event.Undo:
-		go w.floodGossip(p, fault)
+		return p.start()
+	case actionPause:
+		p.pause(false)
+	case actionLateRuntime:
+		p.setRuntimeDelayed(false)
+	case actionSlowRuns, actionFailRuns, actionLoseRuns:
+		p.setRuntimeFaults(fake.RuntimeFaults{})
+	}
+	return nil
+}
+
+// reconfigure has the process read other keys or seeds.
+func (p *process) reconfigure(fault *config.DrillFault) error {
+	if len(fault.KeyNumbers) > 0 {
+		p.keyNumbers = fault.KeyNumbers
+	}
+	p.seedCount = max(p.seedCount, fault.SeedMembers)
+	if err := p.writeFiles(); err != nil {
+		return err
 	}
+	p.signal(syscall.SIGHUP)
 	return nil
 }
 
-// floodGossip is a stranger without the key: what it sends is noise, too large, and a fleet's of another key, by datagram and stream.
-func (w *cluster) floodGossip(p *process, fault *config.DrillFault) {
+// flood is a stranger without the key, who sends noise to the process's gossip, as datagrams and streams, for so long.
+func (p *process) flood(duration time.Duration) {
+	const datagramBytes, datagramsPerRound, streamBytes = 1400, 20, 100
+	ctx, cancel := context.WithTimeout(context.Background(), duration)
+	defer cancel()
 	addr := net.JoinHostPort(p.frontHost, strconv.Itoa(gossipPort))
-	connection, err := net.Dial("udp", addr)
+	var dialer net.Dialer
+	datagrams, err := dialer.DialContext(ctx, "udp", addr)
 	if err != nil {
 		return
 	}
-	defer connection.Close()
-	payload := make([]byte, 1400)
-	for until := time.Now().Add(max(fault.Duration, time.Second)); time.Now().Before(until); {
-		for index := range payload {
-			payload[index] = byte(index * int(time.Now().UnixNano()))
+	defer func() { _ = datagrams.Close() }()
+	streamDialer := net.Dialer{Timeout: 100 * time.Millisecond}
+	payload := make([]byte, datagramBytes)
+	for ctx.Err() == nil {
+		for i := range payload {
+			payload[i] = byte(i * int(time.Now().UnixNano()))
 		}
-		for range 20 {
-			_, _ = connection.Write(payload[:1+int(time.Now().UnixNano()%1400)])
+		for range datagramsPerRound {
+			_, _ = datagrams.Write(payload[:1+time.Now().UnixNano()%datagramBytes]) // what is lost is lost
 		}
-		if stream, err := net.DialTimeout("tcp", addr, 100*time.Millisecond); err == nil {
-			_, _ = stream.Write(payload[:100])
-			stream.Close()
+		if stream, err := streamDialer.DialContext(ctx, "tcp", addr); err == nil {
+			_, _ = stream.Write(payload[:streamBytes]) // it may be refused
+			_ = stream.Close()
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/internal/drill/files.go
+++ b/internal/drill/files.go
@@ -9,69 +9,135 @@
 	"lanewheel/internal/fake"
 )
 
-// writeFiles makes the folder of a process with all that it reads.
-func (w *cluster) writeFiles(p *process) error {
+// settingsReplacer fills in the settings of the fakes: a process of a drill has memory and calls for all that the load
+// brings.
+var settingsReplacer = strings.NewReplacer(
+	"IDLE", "30",
+	"FRESH", "0",
+	`"memory-kb":1900`, `"memory-kb":190000`,
+	`"dep-share":8,`, `"dep-share":800,`,
+)
+
+// iniText is an operator's file that is being written.
+type iniText struct{ strings.Builder }
+
+// section begins a section with settings, each a name and a value.
+func (t *iniText) section(name string, settings [][2]string) {
+	t.WriteString("[" + name + "]\n")
+	t.settings(settings)
+}
+
+func (t *iniText) settings(settings [][2]string) {
+	for _, setting := range settings {
+		t.set(setting[0], "%s", setting[1])
+	}
+}
+
+func (t *iniText) set(name, format string, values ...any) {
+	t.WriteString(name + " = " + fmt.Sprintf(format, values...) + "\n")
+}
+
+// writeFiles writes all that the process reads to its folder.
+func (p *process) writeFiles() error {
 	if err := os.MkdirAll(p.dir, 0o700); err != nil {
 		return err
 	}
-	settings := strings.NewReplacer("IDLE", "30", "FRESH", "0", `"memory-kb":1900`, `"memory-kb":190000`, `"dep-share":8,`, `"dep-share":800,`).Replace(fake.Settings)
-	platform := fmt.Sprintf(`{"name":%q,"listen":"%s:%d","runtime":%q,"roster":%q,"db":%q,"seed":"%x","stop_ms":1500,`+
-		`"limits":{"cores":1,"memory_mb":%g,"sockets":512},"settings":%s}`, p.name, p.host, clientPort, p.runtime.Addr(), w.registry.Addr(), w.database.Addr(),
-		w.script.RandomSeed+uint64(p.index), w.script.MaxMemoryMB, settings)
-	var seeds []string
-	for _, other := range w.processes[:p.seedCount] {
-		seeds = append(seeds, fmt.Sprintf("%s:%d", other.frontHost, gossipPort))
-	}
-	var operatorINI string
-	fleetSection := fmt.Sprintf("[fleet]\nlisten = %s:%d\nadvertise = %s:%d\nseeds = %s\nzone = %s\nrelease = %s\nkeys = keys\nwatch = w\n",
-		p.host, gossipPort, p.frontHost, gossipPort, strings.Join(seeds, ", "), zoneOf(w.script, p.index), p.release)
-	if w.script.Coordinators > 0 {
-		fleetSection += "permits = yes\n"
+	var keys strings.Builder
+	for _, number := range p.keyNumbers {
+		keys.WriteString(p.cluster.keys[number-1] + "\n")
 	}
-	section := func(name string, pairs [][2]string) {
-		operatorINI += "[" + name + "]\n"
-		for _, setting := range pairs {
-			operatorINI += setting[0] + " = " + setting[1] + "\n"
+	for name, text := range map[string]string{
+		"config.json": p.platformText(),
+		"fleet.ini":   p.operatorText(),
+		"keys":        keys.String(),
+	} {
+		if err := os.WriteFile(p.path(name), []byte(text), 0o600); err != nil {
+			return err
 		}
 	}
-	switch {
-	case p.isProxy:
-		section("relay", w.script.ProxySettings)
-	case p.isCoordinator:
-		section("steward", w.script.CoordinatorSettings)
-		var coordinators []string
-		for _, other := range w.processes {
-			if other.isCoordinator {
-				coordinators = append(coordinators, fmt.Sprintf("%s:%d", other.frontHost, coordinatorPort))
-			}
+	return nil
+}
+
+// platformText returns the platform's configuration.
+func (p *process) platformText() string {
+	c := p.cluster
+	return fmt.Sprintf(`{"name":%q,"listen":"%s:%d","runtime":%q,"roster":%q,"db":%q,"seed":"%x","stop_ms":1500,`+
+		`"limits":{"cores":1,"memory_mb":%g,"sockets":512},"settings":%s}`,
+		p.name, p.host, clientPort, p.runtime.Addr(), c.registry.Addr(), c.database.Addr(),
+		c.script.RandomSeed+uint64(p.index), c.script.MaxMemoryMB, settingsReplacer.Replace(fake.Settings))
+}
+
+// operatorText returns the operator's file.
+func (p *process) operatorText() string {
+	script := p.cluster.script
+	var text iniText
+	switch p.role {
+	case roleProxy:
+		text.section("relay", script.ProxySettings)
+	case roleCoordinator:
+		p.writeCoordinatorSection(&text)
+	case roleAllocator:
+		text.section("grants", script.AllocatorSettings)
+		text.set("lock", "%s", filepath.Join(p.cluster.dir, p.name+".lock"))
+	case roleInstance:
+		if script.Allocators > 0 {
+			text.section("below", script.UpstreamSettings)
 		}
-		operatorINI += fmt.Sprintf("listen = %s:%d\nat = %s:%d\nstewards = %s\nfolder = log.d\nrestart = %s hook %s {name} {release}\n", p.host, coordinatorPort, p.frontHost, coordinatorPort, strings.Join(coordinators, ", "), w.binary, w.hookPath())
-		fleetSection += fmt.Sprintf("name = %s\n", p.name)
-	case p.service != nil:
-		section("grants", w.script.AllocatorSettings)
-		operatorINI += fmt.Sprintf("lock = %s\n", filepath.Join(w.dir, p.name+".lock"))
-		fleetSection += fmt.Sprintf("name = %s\nserves = %s\n", p.name, p.service.address())
-	default:
-		if w.script.Allocators > 0 {
-			section("below", w.script.UpstreamSettings)
+		if script.SpilloverEnabled {
+			text.section("handover", script.SpilloverSettings)
 		}
-		if w.script.SpilloverEnabled {
-			section("handover", w.script.SpilloverSettings)
+	}
+	p.writeFleetSection(&text)
+	return text.String()
+}
+
+func (p *process) writeCoordinatorSection(text *iniText) {
+	var coordinators []string
+	for _, other := range p.cluster.processes {
+		if other.role == roleCoordinator {
+			coordinators = append(coordinators, fmt.Sprintf("%s:%d", other.frontHost, coordinatorPort))
 		}
-		fleetSection += fmt.Sprintf("serves = %s:%d\n", p.frontHost, clientPort)
 	}
-	operatorINI += fleetSection
-	for _, setting := range w.script.FleetSettings {
-		operatorINI += setting[0] + " = " + setting[1] + "\n"
+	text.section("steward", p.cluster.script.CoordinatorSettings)
+	text.set("listen", "%s:%d", p.host, coordinatorPort)
+	text.set("at", "%s:%d", p.frontHost, coordinatorPort)
+	text.set("stewards", "%s", strings.Join(coordinators, ", "))
+	text.set("folder", "log.d")
+	text.set("restart", "%s hook %s {name} {release}", p.cluster.binary, p.cluster.hookPath())
+}
+
+func (p *process) writeFleetSection(text *iniText) {
+	script := p.cluster.script
+	var seeds []string
+	for _, other := range p.cluster.processes[:p.seedCount] {
+		seeds = append(seeds, fmt.Sprintf("%s:%d", other.frontHost, gossipPort))
 	}
-	var text string
-	for _, number := range p.keyNumbers {
-		text += w.keys[number-1] + "\n"
+	text.section("fleet", nil)
+	text.set("listen", "%s:%d", p.host, gossipPort)
+	text.set("advertise", "%s:%d", p.frontHost, gossipPort)
+	text.set("seeds", "%s", strings.Join(seeds, ", "))
+	text.set("zone", "%s", zoneOf(script, p.index))
+	text.set("release", "%s", p.currentRelease())
+	text.set("keys", "keys")
+	text.set("watch", "w")
+	if script.Coordinators > 0 {
+		text.set("permits", "yes")
 	}
-	for name, text := range map[string]string{"config.json": platform, "fleet.ini": operatorINI, "keys": text} {
-		if err := os.WriteFile(p.path(name), []byte(text), 0o600); err != nil {
-			return err
-		}
+	switch p.role {
+	case roleCoordinator:
+		text.set("name", "%s", p.name)
+	case roleAllocator:
+		text.set("name", "%s", p.name)
+		text.set("serves", "%s", p.service.address())
+	case roleInstance:
+		text.set("serves", "%s:%d", p.frontHost, clientPort)
+	case roleProxy:
 	}
-	return nil
+	text.settings(script.FleetSettings)
+}
+
+func (p *process) currentRelease() string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.release
 }
--- a/internal/drill/hook.go
+++ b/internal/drill/hook.go
@@ -2,6 +2,8 @@
 
 import (
 	"bufio"
+	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -10,86 +12,102 @@
 	"time"
 )
 
-// RunHook asks the rehearsal at a socket to start a member anew on a release: it is what the stewards of a rehearsal are told to run.
+// hookStarted is the answer of a hook that has started a process; any other is an error.
+const hookStarted = "started"
+
+// RunHook asks the drill at a socket to start a process anew on a release: it is the command that the coordinators of a
+// drill are told to run. The answer is printed to out; one that is an error is returned, too.
 func RunHook(socket, name, release string, out io.Writer) error {
-	connection, err := net.DialTimeout("unix", socket, time.Second)
+	const dialTimeout, answerTimeout = time.Second, 20 * time.Second
+	dialer := net.Dialer{Timeout: dialTimeout}
+	connection, err := dialer.DialContext(context.Background(), "unix", socket)
 	if err != nil {
 		return err
 	}
-	defer connection.Close()
-	_ = connection.SetDeadline(time.Now().Add(20 * time.Second))
+	defer func() { _ = connection.Close() }() // the answer is complete, or an error is returned
+	if err := connection.SetDeadline(time.Now().Add(answerTimeout)); err != nil {
+		return err
+	}
 	if _, err := fmt.Fprintf(connection, "%s %s\n", name, release); err != nil {
 		return err
 	}
-	reply, err := bufio.NewReader(connection).ReadString('\n')
-	if err == nil {
-		fmt.Fprint(out, reply)
+	answer, err := bufio.NewReader(connection).ReadString('\n')
+	if err != nil {
+		return err
 	}
-	if err == nil && reply != "started\n" {
-		err = fmt.Errorf("%s", strings.TrimSpace(reply))
+	printf(out, "%s", answer)
+	if answer := strings.TrimSpace(answer); answer != hookStarted {
+		return errors.New(answer)
 	}
-	return err
+	return nil
 }
 
-// stewards makes the stewards of a rehearsal listen to it: the socket by which their command has members started.
-func (w *cluster) listenForHooks() error {
-	w.disruptions = &disruptionLog{out: map[*process]bool{}, maxOut: map[string]int{}, limits: map[string]int{}, everOn: map[string]map[string]bool{}}
-	for _, p := range w.processes {
-		w.disruptions.noteRelease(p)
+func (c *cluster) hookPath() string { return filepath.Join(c.dir, "hook") }
+
+// listenForHooks listens at the socket by which the coordinators have processes started.
+func (c *cluster) listenForHooks() error {
+	c.disruptions = newDisruptionLog()
+	for _, p := range c.processes {
+		c.disruptions.noteRelease(p)
 	}
-	listener, err := net.Listen("unix", w.hookPath())
+	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "unix", c.hookPath())
 	if err != nil {
 		return err
 	}
-	w.hookListener = listener
+	c.hookListener = listener
 	go func() {
 		for {
 			connection, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go func() {
-				defer connection.Close()
-				line, err := bufio.NewReader(connection).ReadString('\n')
-				name, release, _ := strings.Cut(strings.TrimSpace(line), " ")
-				if err == nil {
-					err = w.restart(name, strings.TrimSpace(release))
-				}
-				if err != nil {
-					fmt.Fprintln(connection, err)
-					return
-				}
-				fmt.Fprintln(connection, "started")
-			}()
+			go c.answerHook(connection)
 		}
 	}()
 	return nil
 }
 
-func (w *cluster) hookPath() string { return filepath.Join(w.dir, "hook") }
+// answerHook reads one line "NAME RELEASE" and answers with one line.
+func (c *cluster) answerHook(connection net.Conn) {
+	defer func() { _ = connection.Close() }() // who asks may have gone
+	line, err := bufio.NewReader(connection).ReadString('\n')
+	if err == nil {
+		name, release, _ := strings.Cut(strings.TrimSpace(line), " ")
+		err = c.restart(name, strings.TrimSpace(release))
+	}
+	answer := hookStarted
+	if err != nil {
+		answer = err.Error()
+	}
+	_, _ = io.WriteString(connection, answer+"\n")
+}
 
-// restart starts a process that has left by a permit.
-func (w *cluster) restart(name, release string) error {
-	for _, p := range w.processes {
-		if p.name != name {
-			continue
-		}
-		p.mu.Lock()
-		running := p.cmd != nil && !p.exited
-		p.mu.Unlock()
-		if running {
-			return fmt.Errorf("%s is there", name)
-		}
-		if release != "" {
-			p.mu.Lock()
-			p.release = release
-			p.mu.Unlock()
-			w.disruptions.noteRelease(p)
+// restart starts a process that has ended, on another release unless that is empty. The text of its errors is an
+// answer of the hook.
+func (c *cluster) restart(name, release string) error {
+	for _, p := range c.processes {
+		if p.name == name {
+			return p.restart(release)
 		}
-		if err := w.writeFiles(p); err != nil {
-			return err
-		}
-		return w.startProcess(p)
 	}
 	return fmt.Errorf("no process %q", name)
 }
+
+func (p *process) restart(release string) error {
+	p.mu.Lock()
+	running := p.isRunning()
+	if !running && release != "" {
+		p.release = release
+	}
+	p.mu.Unlock()
+	if running {
+		return fmt.Errorf("%s is there", p.name)
+	}
+	if release != "" {
+		p.cluster.disruptions.noteRelease(p)
+	}
+	if err := p.writeFiles(); err != nil {
+		return err
+	}
+	return p.start()
+}
--- a/internal/drill/idle.go
+++ b/internal/drill/idle.go
@@ -1,40 +1,62 @@
 package drill
 
-import "time"
+import (
+	"time"
 
-// idleUsage measures what a process costs while nothing is done to it: from the start of the load to the first fault.
+	"lanewheel/internal/membership"
+)
+
+// minIdleDuration is how long nothing must have been done for the usage at rest to be measured.
+const minIdleDuration = 2 * time.Second
+
+// usage is what a process has used since its start.
+type usage struct {
+	bytes     uint64 // of gossip, both ways
+	cpuMillis uint64
+	packets   uint64 // of gossip, sent
+}
+
+// idleUsage measures what a process uses while nothing is done to it: from the start of the load to the first fault.
 type idleUsage struct {
-	before    map[string][3]uint64
 	startedAt time.Time
+	before    map[membership.ID]usage
 	metrics   []metric
 	finished  bool
 }
 
-func newIdleUsage(membership *membershipCheck) *idleUsage {
-	usage := &idleUsage{startedAt: time.Now(), before: map[string][3]uint64{}}
-	for id, counters := range membership.usage {
-		usage.before[id.String()] = counters
-	}
-	return usage
+func newIdleUsage(check *membershipCheck) *idleUsage {
+	return &idleUsage{startedAt: time.Now(), before: check.usage}
 }
 
-func (r *idleUsage) finish(membership *membershipCheck, now time.Duration) {
-	if r.finished || now < 2*time.Second {
+// finish ends the measurement at a time since the start of the load, if that was long enough and it has not ended.
+func (u *idleUsage) finish(check *membershipCheck, now time.Duration) {
+	if u.finished || now < minIdleDuration {
 		return
 	}
-	r.finished = true
-	membership.poll(now)
-	count, totals := 0.0, [3]float64{}
-	for id, counters := range membership.usage {
-		if before, known := r.before[id.String()]; known {
-			count++
-			for index := range counters {
-				totals[index] += float64(counters[index] - min(counters[index], before[index]))
-			}
+	u.finished = true
+	check.poll(now)
+	processes := 0
+	var bytes, cpuMillis, packets float64
+	for id, after := range check.usage {
+		before, known := u.before[id]
+		if !known {
+			continue
 		}
+		processes++
+		bytes += increase(before.bytes, after.bytes)
+		cpuMillis += increase(before.cpuMillis, after.cpuMillis)
+		packets += increase(before.packets, after.packets)
+	}
+	processSeconds := float64(processes) * time.Since(u.startedAt).Seconds()
+	if processSeconds <= 0 {
+		return
 	}
-	if processSeconds := count * time.Since(r.startedAt).Seconds(); processSeconds > 0 {
-		r.metrics = []metric{{"bytes a second of a process at rest, both ways", totals[0] / processSeconds}, {"ms of CPU a second of a process at rest, load included", totals[1] / processSeconds},
-			{"datagrams a second that a process sends at rest", totals[2] / processSeconds}}
+	u.metrics = []metric{
+		{"bytes a second of a process at rest, both ways", bytes / processSeconds},
+		{"ms of CPU a second of a process at rest, load included", cpuMillis / processSeconds},
+		{"datagrams a second that a process sends at rest", packets / processSeconds},
 	}
 }
+
+// increase returns by how much a counter has grown, 0 where it has started anew.
+func increase(before, after uint64) float64 { return float64(after - min(after, before)) }
--- a/internal/drill/load.go
+++ b/internal/drill/load.go
@@ -1,8 +1,8 @@
 package drill
 
 import (
+	"context"
 	"fmt"
-	"math"
 	"math/rand/v2"
 	"net"
 	"strconv"
@@ -12,157 +12,268 @@
 	"lanewheel/internal/fake"
 )
 
-// issuedRequest is one op as its issuer saw it, and as the runtimes did.
+const (
+	// requestTimeout is the timeout in the settings of the fakes, with half a second for a busy machine.
+	requestTimeout = 3*time.Second + 500*time.Millisecond
+
+	// maxOutstanding is the protocol's limit of requests in progress on one connection; past it a client sends nothing.
+	maxOutstanding = 32
+
+	clientDialTimeout = 200 * time.Millisecond
+	clientDialDelay   = 20 * time.Millisecond // after a connection that could not be established
+
+	// A connection is kept for a time that is drawn from these.
+	minConnectionAge    = 5 * time.Second
+	connectionAgeSpread = 10 * time.Second
+
+	responseCheckInterval = 5 * time.Millisecond
+)
+
+// requestOutcome is what became of a request at its client. Records hold it.
+type requestOutcome string
+
+const (
+	outcomeNone      requestOutcome = "" // no response came
+	outcomeSucceeded requestOutcome = "acked"
+	outcomeRejected  requestOutcome = "Busy"
+	outcomeFailed    requestOutcome = "Failed"
+	outcomeBroken    requestOutcome = "broken" // its connection ended first
+)
+
+// requestOutcomes are all outcomes in the order in which they are shown.
+var requestOutcomes = []requestOutcome{
+	outcomeSucceeded, outcomeRejected, outcomeFailed, outcomeBroken, outcomeNone,
+}
+
+// classPay is the class that is not idempotent.
+const classPay = "pay"
+
+var classes = []string{"view", classPay, "list"}
+
+// issuedRequest is a request as its client and the runtimes saw it.
 type issuedRequest struct {
 	id         string
 	class      string
-	process    int
+	process    int // index of the process that it was sent to
 	sentAt     time.Time
-	answeredAt time.Time
-	outcome    string // acked, Busy, Failed; broken: its connection ended
+	answeredAt time.Time // when the last response came, or the connection ended
+	outcome    requestOutcome
 	responses  int
 	executions []execution
 }
 
+// execution is a run of a request.
 type execution struct {
-	process int
+	process int // index
 	at      time.Time
 }
 
-// requestLog is every op of the rehearsal. All of it is under mu.
+// requestLog is every request of a drill.
 type requestLog struct {
-	mu       sync.Mutex
+	mu       sync.Mutex // guards what follows, and the requests themselves
 	byID     map[string]*issuedRequest
 	requests []*issuedRequest
 }
 
-func (h *requestLog) recordExecution(p *process, id string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if request := h.byID[id]; request != nil {
+func (l *requestLog) recordExecution(p *process, id string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if request := l.byID[id]; request != nil {
 		request.executions = append(request.executions, execution{p.index, time.Now()})
 	}
 }
 
-// generateLoad asks at the told rate, whatever comes back, by connections to processes that are drawn anew whenever one ends.
-func (h *requestLog) generateLoad(w *cluster, until time.Time) {
+// generateLoad sends requests at the script's rate, whatever comes back, until a time; it returns when all clients have
+// what they wait for.
+func (l *requestLog) generateLoad(c *cluster, until time.Time) {
 	var clients sync.WaitGroup
-	for client := range w.script.Clients {
-		clients.Add(1)
-		go func() {
-			defer clients.Done()
-			h.runClient(w, client, until)
-		}()
+	for number := range c.script.Clients {
+		client := &loadClient{
+			cluster: c,
+			log:     l,
+			number:  number,
+			random:  rand.New(rand.NewPCG(c.script.RandomSeed, 1000+uint64(number))),
+			nextAt:  time.Now(),
+			until:   until,
+		}
+		clients.Go(client.run)
 	}
 	clients.Wait()
 }
 
-var classes = []string{"view", "pay", "list"}
-
-// requestTimeout is the told op timeout of the stand-in's settings; an op waits 2 s, and half a second is left for a busy machine.
-const requestTimeout = 3*time.Second + 500*time.Millisecond
+// loadClient sends requests by one connection after the other, to processes that are drawn anew each time.
+type loadClient struct {
+	cluster  *cluster
+	log      *requestLog
+	number   int
+	random   *rand.Rand
+	nextAt   time.Time // when the next request is due
+	until    time.Time
+	requests int // sent or dropped so far
+}
 
-func (h *requestLog) runClient(w *cluster, client int, until time.Time) {
-	random := rand.New(rand.NewPCG(w.script.RandomSeed, 1000+uint64(client)))
-	interval := float64(w.script.Clients) / w.script.RequestRate * float64(time.Second)
-	nextAt := time.Now()
-	for number := 1; nextAt.Before(until); {
-		targets := w.processes
-		if w.script.Proxies > 0 { // then only they are known to the stubs
-			targets = targets[w.script.Instances:]
-		}
-		targets = targets[:len(targets)-w.script.Allocators-w.script.Coordinators]
-		target := targets[random.IntN(len(targets))]
-		conn, err := net.DialTimeout("tcp", net.JoinHostPort(target.host, strconv.Itoa(clientPort)), 200*time.Millisecond)
+func (c *loadClient) run() {
+	dialer := net.Dialer{Timeout: clientDialTimeout}
+	targets := c.cluster.clientTargets()
+	for c.nextAt.Before(c.until) {
+		target := targets[c.random.IntN(len(targets))]
+		addr := net.JoinHostPort(target.host, strconv.Itoa(clientPort))
+		connection, err := dialer.DialContext(context.Background(), "tcp", addr)
 		if err != nil {
-			time.Sleep(20 * time.Millisecond)
+			time.Sleep(clientDialDelay)
 			continue
 		}
-		stub := fake.NewClient(conn)
-		inFlight := map[int]*issuedRequest{}
-		ended := make(chan struct{})
-		go func() {
-			defer close(ended)
-			for {
-				response, err := stub.NextResponse()
-				if err != nil {
-					h.mu.Lock()
-					for _, request := range inFlight {
-						if request.responses == 0 {
-							request.outcome, request.answeredAt = "broken", time.Now()
-						}
-					}
-					h.mu.Unlock()
-					return
-				}
-				h.mu.Lock()
-				if request := inFlight[response.Number]; request != nil {
-					request.responses++
-					request.answeredAt, request.outcome = time.Now(), response.Error
-					if response.Error == "" {
-						request.outcome = "acked"
-					}
-				}
-				h.mu.Unlock()
-			}
-		}()
-		connected := true
-		for reconnectAt := nextAt.Add(time.Duration((5 + 10*random.Float64()) * float64(time.Second))); connected && nextAt.Before(until) && nextAt.Before(reconnectAt); number++ {
-			nextAt = nextAt.Add(time.Duration(random.ExpFloat64() * interval / math.Float64frombits(w.loadFactor.Load())))
-			select {
-			case <-ended:
-				connected = false
-				continue
-			case <-time.After(time.Until(nextAt)):
-			}
-			request := &issuedRequest{id: fmt.Sprintf("%08x%08x", client, number), class: classes[random.IntN(len(classes))], process: target.index, sentAt: time.Now()}
-			h.mu.Lock()
-			outstanding := 0
-			for _, other := range inFlight {
-				if other.responses == 0 {
-					outstanding++
-				}
-			}
-			if outstanding < 32 { // the protocol's bound; past it a stub asks nothing
-				inFlight[number], h.byID[request.id] = request, request
-				h.requests = append(h.requests, request)
-			}
-			h.mu.Unlock()
-			if outstanding >= 32 {
-				continue
-			}
-			if !trySend(stub, fake.NewRequest(number, request.class, request.id, []byte(request.id), "from", fmt.Sprint(client), "kb", "1", "rank", "0.5", "cost", "5")) {
-				connected = false
-			}
+		session := &loadSession{
+			client:   c,
+			target:   target,
+			fake:     fake.NewClient(connection),
+			inFlight: map[int]*issuedRequest{},
+			ended:    make(chan struct{}),
+		}
+		go session.read()
+		session.run()
+	}
+}
+
+// loadSession is one connection of a client.
+type loadSession struct {
+	client   *loadClient
+	target   *process
+	fake     *fake.Client
+	ended    chan struct{}          // closed when read has returned
+	inFlight map[int]*issuedRequest // sent here, by number; guarded by the log's mu
+}
+
+// run sends requests until the connection has had its time or ends, waits for the responses and closes it.
+func (s *loadSession) run() {
+	c := s.client
+	age := minConnectionAge + time.Duration(c.random.Float64()*float64(connectionAgeSpread))
+	for reconnectAt := c.nextAt.Add(age); c.nextAt.Before(c.until) && c.nextAt.Before(reconnectAt); {
+		c.requests++
+		if !s.awaitNext() || !s.send(c.requests) {
+			break
 		}
-		awaitResponses(ended, requestTimeout, func() bool {
-			h.mu.Lock()
-			defer h.mu.Unlock()
-			for _, request := range inFlight {
-				if request.responses == 0 && request.outcome == "" {
-					return false
-				}
-			}
-			return true
-		})
-		stub.Close()
-		<-ended
 	}
+	s.awaitResponses()
+	s.fake.Close()
+	<-s.ended
 }
 
-func trySend(s *fake.Client, message []any) (sent bool) {
-	defer func() { sent = recover() == nil }() // the connection ended: the reader tells
-	s.Send(message)
+// awaitNext waits until the next request is due; it returns false if the connection has ended before.
+func (s *loadSession) awaitNext() bool {
+	c := s.client
+	script := c.cluster.script
+	mean := float64(script.Clients) / script.RequestRate * float64(time.Second)
+	c.nextAt = c.nextAt.Add(time.Duration(c.random.ExpFloat64() * mean / c.cluster.currentLoadFactor()))
+	select {
+	case <-s.ended:
+		return false
+	case <-time.After(time.Until(c.nextAt)):
+		return true
+	}
+}
+
+// send sends a request, unless too many are outstanding; it returns false if the connection has ended.
+func (s *loadSession) send(number int) bool {
+	c := s.client
+	request := &issuedRequest{
+		id:      fmt.Sprintf("%08x%08x", c.number, number),
+		class:   classes[c.random.IntN(len(classes))],
+		process: s.target.index,
+		sentAt:  time.Now(),
+	}
+	if !s.track(number, request) {
+		return true
+	}
+	return trySend(s.fake, fake.NewRequest(number, request.class, request.id, []byte(request.id),
+		"from", strconv.Itoa(c.number), "kb", "1", "rank", "0.5", "cost", "5"))
+}
+
+// track notes a request that is about to be sent; it returns false where too many are outstanding.
+func (s *loadSession) track(number int, request *issuedRequest) bool {
+	log := s.client.log
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	outstanding := 0
+	for _, other := range s.inFlight {
+		if other.responses == 0 {
+			outstanding++
+		}
+	}
+	if outstanding >= maxOutstanding {
+		return false
+	}
+	s.inFlight[number] = request
+	log.byID[request.id] = request
+	log.requests = append(log.requests, request)
+	return true
+}
+
+// trySend sends a message; it returns false if the connection has ended, which the fake panics at.
+func trySend(client *fake.Client, message []any) (sent bool) {
+	defer func() { sent = recover() == nil }()
+	client.Send(message)
 	return true
 }
 
-// awaitResponses waits until all is answered, the connection is over, or the time is up.
-func awaitResponses(ended chan struct{}, timeout time.Duration, done func() bool) {
-	for deadline := time.Now().Add(timeout); time.Now().Before(deadline) && !done(); {
+// read notes the responses until the connection ends.
+func (s *loadSession) read() {
+	defer close(s.ended)
+	for {
+		response, err := s.fake.NextResponse()
+		if err != nil {
+			s.noteEnd()
+			return
+		}
+		s.noteResponse(response)
+	}
+}
+
+func (s *loadSession) noteResponse(response fake.Response) {
+	s.client.log.mu.Lock()
+	defer s.client.log.mu.Unlock()
+	request := s.inFlight[response.Number]
+	if request == nil {
+		return
+	}
+	request.responses++
+	request.answeredAt = time.Now()
+	request.outcome = requestOutcome(response.Error)
+	if response.Error == "" {
+		request.outcome = outcomeSucceeded
+	}
+}
+
+// noteEnd notes that the connection has ended: what has no response gets none.
+func (s *loadSession) noteEnd() {
+	s.client.log.mu.Lock()
+	defer s.client.log.mu.Unlock()
+	for _, request := range s.inFlight {
+		if request.responses == 0 {
+			request.outcome = outcomeBroken
+			request.answeredAt = time.Now()
+		}
+	}
+}
+
+// awaitResponses waits until all requests are answered, the connection has ended, or the time is up.
+func (s *loadSession) awaitResponses() {
+	for deadline := time.Now().Add(requestTimeout); time.Now().Before(deadline) && !s.allAnswered(); {
 		select {
-		case <-ended:
+		case <-s.ended:
 			return
-		case <-time.After(5 * time.Millisecond):
+		case <-time.After(responseCheckInterval):
+		}
+	}
+}
+
+func (s *loadSession) allAnswered() bool {
+	s.client.log.mu.Lock()
+	defer s.client.log.mu.Unlock()
+	for _, request := range s.inFlight {
+		if request.responses == 0 && request.outcome == outcomeNone {
+			return false
 		}
 	}
+	return true
 }
--- a/internal/drill/membership.go
+++ b/internal/drill/membership.go
@@ -6,157 +6,216 @@
 	"sync"
 	"time"
 
+	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/membership"
 )
 
-// membershipCheck is the invariant of membership: once a fault is behind, all that are there hold the same lives to be there, and these are
-// those that are; and where the script says so, nobody was given up over it.
+// maxConcurrentPolls is how many processes are asked for their views at a time.
+const maxConcurrentPolls = 16
+
+// converging marks a change that not all processes know of yet.
+const converging = time.Duration(-1)
+
+// membershipCheck checks the invariant of membership: once a fault is over, all processes that are there hold the same
+// incarnations to be there, and these are those that are; and where the script says so, nobody was evicted over it.
 type membershipCheck struct {
-	cluster          *cluster
-	mu               sync.Mutex
-	converged        bool
-	divergent        int           // processes whose view is not as it should be
-	changedAt        time.Duration // when something was last done
-	convergence      map[string]time.Duration
-	evictionsBefore  map[membership.ID]uint64 // how often each life had given somebody up, when the fault began
-	suspicionsBefore map[membership.ID]uint64
-	metrics          []metric
-	divergentDetail  string // what a differing process believed
-	usage            map[membership.ID][3]uint64
-
-	evictions, suspicions map[membership.ID]uint64
+	cluster *cluster
+
+	mu              sync.Mutex // guards what follows
+	converged       bool
+	divergent       int                      // processes whose view is not as it should be
+	divergentDetail string                   // what the first of them believed
+	changedAt       time.Duration            // when something was last done
+	convergence     map[string]time.Duration // by change: how long until all knew it, or converging
+	counts          evictionCounts
+	countsBefore    evictionCounts // when the fault began; zero before the first poll
+	usage           map[membership.ID]usage
+	metrics         []metric
+}
+
+// evictionCounts is how often each incarnation has held others to be gone, and suspected them.
+type evictionCounts struct {
+	evictions  map[membership.ID]uint64
+	suspicions map[membership.ID]uint64
+}
+
+// since returns the growth of the counts since others, over all incarnations that are there.
+func (c evictionCounts) since(before evictionCounts) (evictions, suspicions uint64) {
+	for id, count := range c.evictions {
+		evictions += count - min(count, before.evictions[id])
+		suspicions += c.suspicions[id] - min(c.suspicions[id], before.suspicions[id])
+	}
+	return evictions, suspicions
+}
+
+func newMembershipCheck(c *cluster) *membershipCheck {
+	return &membershipCheck{cluster: c, convergence: map[string]time.Duration{}}
+}
+
+// pollAnswer is what one process said of its view.
+type pollAnswer struct {
+	process  *process
+	id       membership.ID
+	snapshot gossip.Snapshot
+	err      error
 }
 
-// poll asks all that are there for their views, a few at a time, and compares them with what is so.
-func (v *membershipCheck) poll(now time.Duration) {
-	type answer struct {
-		p      *process
-		digest string
-		detail string
-		ok     bool
+// poll asks all processes that are up for their views, and compares them with what is so.
+func (m *membershipCheck) poll(now time.Duration) {
+	answers := m.ask()
+	var expected uint64
+	for _, answer := range answers {
+		expected ^= membership.Fingerprint(answer.process.currentID())
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.compare(answers, fmt.Sprintf("%016x", expected))
+	m.count(answers)
+	if m.converged {
+		m.noteConvergence(now)
 	}
-	var up []*process
-	for _, p := range v.cluster.processes {
+}
+
+// ask asks all processes that are up, a few at a time.
+func (m *membershipCheck) ask() []pollAnswer {
+	var answers []pollAnswer
+	for _, p := range m.cluster.processes {
 		if p.isUp() {
-			up = append(up, p)
+			answers = append(answers, pollAnswer{process: p})
 		}
 	}
-	answers := make([]answer, len(up))
-	var all sync.WaitGroup
-	slots := make(chan struct{}, 16)
-	evictions, suspicions, usage := map[membership.ID]uint64{}, map[membership.ID]uint64{}, map[membership.ID][3]uint64{}
-	var mu sync.Mutex
-	for i, p := range up {
-		all.Add(1)
+	var asking sync.WaitGroup
+	slots := make(chan struct{}, maxConcurrentPolls)
+	for i := range answers {
 		slots <- struct{}{}
-		go func() {
-			defer func() { <-slots; all.Done() }()
-			snapshot, err := p.status()
-			probe := answer{p: p, ok: err == nil, digest: snapshot.ViewDigest}
-			if err == nil {
-				var memberStates []string
-				for _, m := range snapshot.Members {
-					if len(memberStates) < 4 {
-						memberStates = append(memberStates, m.Name+" "+m.State+" "+m.Reason)
-					}
-				}
-				probe.detail = fmt.Sprintf("%s: %s, reach %.2f, %v; %s", p.name, snapshot.LocalHealth, snapshot.HeardFraction, snapshot.States, strings.Join(memberStates, ", "))
-				mu.Lock()
-				p.mu.Lock()
-				evictions[p.id], suspicions[p.id] = snapshot.Counters["suspect-gone"], snapshot.Counters["up-suspect"]
-				usage[p.id] = [3]uint64{snapshot.Counters["bytes-in"] + snapshot.Counters["bytes-out"], uint64(snapshot.CPUMillis), snapshot.Counters["packets-out"]}
-				p.mu.Unlock()
-				mu.Unlock()
-			}
-			answers[i] = probe
-		}()
-	}
-	all.Wait()
-	var expected uint64
-	for _, p := range up {
-		p.mu.Lock()
-		expected ^= membership.Fingerprint(p.id)
-		p.mu.Unlock()
-	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.divergent, v.divergentDetail = 0, ""
-	for _, probe := range answers {
-		if !probe.p.isUp() {
+		asking.Go(func() {
+			defer func() { <-slots }()
+			answer := &answers[i]
+			answer.snapshot, answer.err = answer.process.status()
+			answer.id = answer.process.currentID()
+		})
+	}
+	asking.Wait()
+	return answers
+}
+
+// compare compares the views with the digest that they should have. A process that has gone down meanwhile is left out.
+// mu must be held.
+func (m *membershipCheck) compare(answers []pollAnswer, expectedDigest string) {
+	m.divergent = 0
+	m.divergentDetail = ""
+	for _, answer := range answers {
+		if !answer.process.isUp() || answer.err == nil && answer.snapshot.ViewDigest == expectedDigest {
+			continue
+		}
+		m.divergent++
+		if m.divergentDetail == "" && answer.err == nil {
+			m.divergentDetail = describeView(answer.process, answer.snapshot)
+		}
+	}
+	m.converged = m.divergent == 0
+}
+
+func describeView(p *process, snapshot gossip.Snapshot) string {
+	const shown = 4
+	var members []string
+	for _, member := range snapshot.Members[:min(shown, len(snapshot.Members))] {
+		members = append(members, member.Name+" "+member.State+" "+member.Reason)
+	}
+	return fmt.Sprintf("%s: %s, reach %.2f, %v; %s",
+		p.name, snapshot.LocalHealth, snapshot.HeardFraction, snapshot.States, strings.Join(members, ", "))
+}
+
+// count takes the counters of the processes. mu must be held.
+func (m *membershipCheck) count(answers []pollAnswer) {
+	m.counts = evictionCounts{map[membership.ID]uint64{}, map[membership.ID]uint64{}}
+	m.usage = map[membership.ID]usage{}
+	for _, answer := range answers {
+		if answer.err != nil {
 			continue
 		}
-		if !probe.ok || probe.digest != fmt.Sprintf("%016x", expected) {
-			if v.divergent++; v.divergentDetail == "" {
-				v.divergentDetail = probe.detail
-			}
+		counters := answer.snapshot.Counters
+		m.counts.evictions[answer.id] = counters["suspect-gone"]
+		m.counts.suspicions[answer.id] = counters["up-suspect"]
+		m.usage[answer.id] = usage{
+			bytes:     counters["bytes-in"] + counters["bytes-out"],
+			cpuMillis: uint64(answer.snapshot.CPUMillis),
+			packets:   counters["packets-out"],
 		}
 	}
-	v.converged = v.divergent == 0
-	v.usage = usage
-	if v.evictionsBefore == nil {
-		v.evictionsBefore, v.suspicionsBefore = evictions, suspicions
-	}
-	if v.converged {
-		for name, elapsed := range v.convergence {
-			if elapsed < 0 {
-				v.convergence[name] = now - v.changedAt
-				v.metrics = append(v.metrics, metric{"s until all know, " + name, (now - v.changedAt).Seconds()})
-			}
+	if m.countsBefore.evictions == nil {
+		m.countsBefore = m.counts
+	}
+}
+
+// noteConvergence notes that all know of all changes. mu must be held.
+func (m *membershipCheck) noteConvergence(now time.Duration) {
+	for name, elapsed := range m.convergence {
+		if elapsed == converging {
+			m.convergence[name] = now - m.changedAt
+			m.metrics = append(m.metrics, metric{"s until all know, " + name, (now - m.changedAt).Seconds()})
 		}
 	}
-	v.evictions, v.suspicions = evictions, suspicions
 }
 
-// beforeEvent is Invariant.
-func (v *membershipCheck) beforeEvent(event *Event, now time.Duration) {
-	v.poll(now)
-	v.mu.Lock()
-	defer v.mu.Unlock()
+// beforeEvent is called before an event is applied.
+func (m *membershipCheck) beforeEvent(event *Event, now time.Duration) {
+	m.poll(now)
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	name := event.Fault.Name
 	if event.Undo {
 		name += ", over"
 	} else {
-		v.evictionsBefore, v.suspicionsBefore = v.evictions, v.suspicions
+		m.countsBefore = m.counts
 	}
-	for earlier, took := range v.convergence {
-		if took < 0 { // overtaken
-			delete(v.convergence, earlier)
+	for earlier, elapsed := range m.convergence {
+		if elapsed == converging { // the event overtakes it
+			delete(m.convergence, earlier)
 		}
 	}
-	v.changedAt = now
-	if event.Targets != nil || event.Undo { // behind a cut all are where they were
-		v.convergence[name] = -1
+	m.changedAt = now
+	if event.Targets != nil || event.Undo { // while links are cut nobody has gone
+		m.convergence[name] = converging
 	}
 }
 
-// check is Invariant.
-func (v *membershipCheck) check(now time.Duration) []violation {
-	v.poll(now)
-	return nil
+// afterEvent is called when an event was applied.
+func (m *membershipCheck) afterEvent(now time.Duration) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.changedAt = now
 }
 
-// afterFault is Invariant.
-func (v *membershipCheck) afterFault(event *Event, now time.Duration) (violations []violation) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
+// check checks the invariant when an event has had its time to settle, or, with nil, at the end.
+func (m *membershipCheck) check(event *Event, now time.Duration) (violations []violation) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	name := "the end"
 	if event != nil {
 		name = event.Fault.Name
 	}
-	// Where a release goes on members come and go all the time, and views with them: they are judged once that rests.
-	if !v.converged && !v.cluster.disruptions.inProgress() && v.cluster.script.BadRelease.CrashAfter == 0 {
-		violations = append(violations, violation{now, "views equal", fmt.Sprintf("%d processes hold others to be there than are, %v after %s; %s", v.divergent, now-v.changedAt, name, v.divergentDetail)})
+	if !m.converged && !m.isInFlux() {
+		detail := fmt.Sprintf("%d processes hold others to be there than are, %v after %s; %s",
+			m.divergent, now-m.changedAt, name, m.divergentDetail)
+		violations = append(violations, violation{now, ruleViewsEqual, detail})
 	}
-	evictions, suspicions := uint64(0), uint64(0)
-	for id, count := range v.evictions {
-		evictions += count - min(count, v.evictionsBefore[id])
-		suspicions += v.suspicions[id] - min(v.suspicions[id], v.suspicionsBefore[id])
+	if event == nil {
+		return violations
 	}
-	if event != nil {
-		v.metrics = append(v.metrics, metric{"suspicions, " + name, float64(suspicions)}, metric{"given up, " + name, float64(evictions)})
-		if event.Fault.ForbidEviction && evictions > 0 {
-			violations = append(violations, violation{now, "none given up", fmt.Sprintf("%d times somebody that was there, over %s", evictions, name)})
-		}
+	evictions, suspicions := m.counts.since(m.countsBefore)
+	m.metrics = append(m.metrics,
+		metric{"suspicions, " + name, float64(suspicions)},
+		metric{"given up, " + name, float64(evictions)})
+	if event.Fault.ForbidEviction && evictions > 0 {
+		detail := fmt.Sprintf("%d times somebody that was there, over %s", evictions, name)
+		violations = append(violations, violation{now, ruleNoneEvicted, detail})
 	}
 	return violations
 }
+
+// isInFlux reports whether members come and go all the time, by a rollout or a release that crashes. Views are
+// checked once that is over.
+func (m *membershipCheck) isInFlux() bool {
+	return m.cluster.disruptions.inProgress() || m.cluster.script.BadRelease.CrashAfter > 0
+}
--- a/internal/drill/network.go
+++ b/internal/drill/network.go
@@ -4,27 +4,39 @@
 	"fmt"
 	"math/rand/v2"
 	"net"
+	"slices"
 	"sync"
+	"time"
 
 	"lanewheel/internal/config"
 )
 
-// network stands between the processes. Each process is reached at a front address, where we listen; whoever sends there does so
-// from its own address, and what we pass on comes from the sender's front: so both ends of every datagram and stream are known,
-// and the processes know nothing of us.
+// stranger is the index of a sender that is no process.
+const stranger = -1
+
+// garbleMask is what a byte of a garbled message is combined with.
+const garbleMask = 0x55
+
+// network stands between the processes. Each process is reached at a front address, where we listen. Whoever sends
+// there does so from its own address, and what we forward comes from the sender's front: so both ends of every
+// datagram and stream are known, and the processes know nothing of us.
 type network struct {
-	mu            sync.Mutex
-	processByHost map[string]int // process by the host it sends from
+	ports []int // where streams are taken; the gossip's first, where datagrams are taken, too
+
+	mu            sync.Mutex     // guards what follows, and the counters that counters points to
+	processByHost map[string]int // by the host that it sends from
 	fronts        []*processFront
-	faults        map[[2]int][]*config.DrillFault
-	counters      map[[2]int]*linkCounters
+	faults        map[link][]*config.DrillFault
+	counters      map[link]*linkCounters
 	random        *rand.Rand
-	ports         []int // the gossip's first; where streams are taken
 	closed        bool
-	streams       map[net.Conn][2]int
+	streams       map[*net.TCPConn]link // by the connection that the link's bytes are written to
 }
 
-// processFront is where one process is reached.
+// link is one direction between two processes, by their indexes.
+type link struct{ from, to int }
+
+// processFront is where one process is reached. It does not change once it listens.
 type processFront struct {
 	process int
 	target  *net.UDPAddr // the process itself
@@ -33,188 +45,255 @@
 	ip      net.IP // of the front
 }
 
-// linkCounters is what became of one directed link's traffic.
+// linkCounters is what became of one link's traffic.
 type linkCounters struct {
-	datagrams, bytes, streams, streamBytes                                         int64
-	dropped, delayed, duplicated, reordered, corrupted, refused, reset, halfClosed int64
+	datagrams, bytes, streams, streamBytes int64
+	dropped, delayed, duplicated           int64
+	reordered, corrupted                   int64
+	refused, reset, halfClosed             int64 // streams
+}
+
+// add adds what became of another link's traffic.
+func (c *linkCounters) add(other *linkCounters) {
+	c.datagrams += other.datagrams
+	c.bytes += other.bytes
+	c.streams += other.streams
+	c.streamBytes += other.streamBytes
+	c.dropped += other.dropped
+	c.delayed += other.delayed
+	c.duplicated += other.duplicated
+	c.reordered += other.reordered
+	c.corrupted += other.corrupted
+	c.refused += other.refused
+	c.reset += other.reset
+	c.halfClosed += other.halfClosed
+}
+
+// String returns the counters as they are recorded.
+func (c *linkCounters) String() string {
+	return fmt.Sprintf("%d datagrams of %d bytes, %d streams of %d; lost %d, delayed %d, twice %d, late %d, garbled %d, "+
+		"refused %d, cut %d, halved %d",
+		c.datagrams, c.bytes, c.streams, c.streamBytes, c.dropped, c.delayed, c.duplicated, c.reordered, c.corrupted,
+		c.refused, c.reset, c.halfClosed)
 }
 
 func newNetwork(seed uint64, ports ...int) *network {
-	return &network{processByHost: map[string]int{}, faults: map[[2]int][]*config.DrillFault{}, counters: map[[2]int]*linkCounters{}, ports: ports,
-		random: rand.New(rand.NewPCG(seed, 99)), streams: map[net.Conn][2]int{}}
+	const stream = 99 // of the random numbers of a drill with this seed
+	return &network{
+		ports:         ports,
+		processByHost: map[string]int{},
+		faults:        map[link][]*config.DrillFault{},
+		counters:      map[link]*linkCounters{},
+		random:        rand.New(rand.NewPCG(seed, stream)),
+		streams:       map[*net.TCPConn]link{},
+	}
 }
 
-// addProcess makes the front of a process that sends from and listens on host.
-func (l *network) addProcess(index int, host, address string) error {
-	front := &processFront{process: index, target: &net.UDPAddr{IP: net.ParseIP(host), Port: l.ports[0]}, ip: net.ParseIP(address)}
-	var err error
-	if front.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: front.ip, Port: l.ports[0]}); err != nil {
+// addProcess makes the front, at an address, of a process that sends from and listens on a host.
+func (n *network) addProcess(index int, host, address string) error {
+	front, err := n.listen(index, host, address)
+	if err != nil {
 		return err
 	}
-	_ = front.udp.SetReadBuffer(1 << 20)
-	for _, port := range l.ports {
+	n.mu.Lock()
+	n.processByHost[host] = index
+	for len(n.fronts) <= index {
+		n.fronts = append(n.fronts, nil)
+	}
+	n.fronts[index] = front
+	n.mu.Unlock()
+	go n.forwardDatagrams(front)
+	for i, listener := range front.tcp {
+		go n.acceptStreams(front, listener, n.ports[i])
+	}
+	return nil
+}
+
+func (n *network) listen(index int, host, address string) (*processFront, error) {
+	const readBufferBytes = 1 << 20
+	front := &processFront{
+		process: index,
+		target:  &net.UDPAddr{IP: net.ParseIP(host), Port: n.ports[0]},
+		ip:      net.ParseIP(address),
+	}
+	var err error
+	if front.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: front.ip, Port: n.ports[0]}); err != nil {
+		return nil, err
+	}
+	_ = front.udp.SetReadBuffer(readBufferBytes) // a smaller one loses some under load, as any network
+	for _, port := range n.ports {
 		listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: front.ip, Port: port})
 		if err != nil {
-			return err
+			return nil, err
 		}
 		front.tcp = append(front.tcp, listener)
 	}
-	l.mu.Lock()
-	l.processByHost[host] = index
-	for len(l.fronts) <= index {
-		l.fronts = append(l.fronts, nil)
-	}
-	l.fronts[index] = front
-	l.mu.Unlock()
-	go l.forwardDatagrams(front)
-	for index, listener := range front.tcp {
-		go l.acceptStreams(front, listener, l.ports[index])
-	}
-	return nil
+	return front, nil
+}
+
+// conditions is what holds on a link now.
+type conditions struct {
+	from        int // index of the sender, or stranger
+	senderFront *processFront
+	counters    *linkCounters
+	faults      []*config.DrillFault
+}
+
+// has reports whether one of some actions is in force.
+func (c conditions) has(actions ...string) bool {
+	return slices.ContainsFunc(c.faults, func(fault *config.DrillFault) bool {
+		return slices.Contains(actions, fault.Action)
+	})
 }
 
-// lookup gives what holds from one process to another now, and the link's counts. A host that is no process's is -1: a stranger.
-func (l *network) lookup(host string, target int) (from int, counters *linkCounters, faults []*config.DrillFault, senderFront *processFront) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	from, known := l.processByHost[host]
-	if !known {
-		from = -1
-	} else {
-		senderFront = l.fronts[from]
+// lookup returns what holds on the link from a host to a process now.
+func (n *network) lookup(host string, target int) conditions {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	found := conditions{from: stranger}
+	if index, known := n.processByHost[host]; known {
+		found.from = index
+		found.senderFront = n.fronts[index]
 	}
-	link := [2]int{from, target}
-	if counters = l.counters[link]; counters == nil {
-		counters = &linkCounters{}
-		l.counters[link] = counters
+	l := link{found.from, target}
+	if n.counters[l] == nil {
+		n.counters[l] = &linkCounters{}
 	}
-	return from, counters, l.faults[link], senderFront
+	found.counters = n.counters[l]
+	found.faults = n.faults[l]
+	return found
 }
 
-// apply brings a fault on links, or takes it off.
-func (l *network) apply(event Event) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	update := func(from, to int) {
-		if from == to {
-			return
-		}
-		link := [2]int{from, to}
-		if !event.Undo {
-			l.faults[link] = append(l.faults[link], event.Fault)
-		} else {
-			var remaining []*config.DrillFault
-			for _, fault := range l.faults[link] {
-				if fault != event.Fault {
-					remaining = append(remaining, fault)
-				}
-			}
-			l.faults[link] = remaining
-		}
-		// What is cut ends the streams that stand, too; a half-close ends one way of them.
-		for connection, streamLink := range l.streams {
-			if streamLink != link || event.Undo {
+// apply puts a fault on links, or takes it off.
+func (n *network) apply(event Event) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, from := range event.From {
+		for _, to := range event.To {
+			if from == to {
 				continue
 			}
-			switch event.Fault.Action {
-			case "refuse":
-				l.counters[link].reset++
-				_ = connection.(*net.TCPConn).SetLinger(0)
-				connection.Close()
-			case "half-close":
-				l.counters[link].halfClosed++
-				_ = connection.(*net.TCPConn).CloseWrite()
+			n.applyTo(link{from, to}, event)
+			if event.Fault.Bidirectional {
+				n.applyTo(link{to, from}, event)
 			}
 		}
 	}
-	for _, source := range event.From {
-		for _, target := range event.To {
-			update(source, target)
-			if event.Fault.Bidirectional {
-				update(target, source)
+}
+
+// applyTo does so on one link. mu must be held.
+func (n *network) applyTo(l link, event Event) {
+	if event.Undo {
+		var remaining []*config.DrillFault
+		for _, fault := range n.faults[l] {
+			if fault != event.Fault {
+				remaining = append(remaining, fault)
 			}
 		}
+		n.faults[l] = remaining
+		return
+	}
+	n.faults[l] = append(n.faults[l], event.Fault)
+	n.cutStreams(l, event.Fault.Action)
+}
+
+// cutStreams ends the streams that are open on a link where it is cut; a half-close ends one direction of them. mu
+// must be held. A stream that has just ended by itself may refuse: that is of no interest.
+func (n *network) cutStreams(l link, action string) {
+	for connection, streamLink := range n.streams {
+		if streamLink != l {
+			continue
+		}
+		switch action {
+		case actionRefuse:
+			n.counters[l].reset++
+			resetConnection(connection)
+		case actionHalfClose:
+			n.counters[l].halfClosed++
+			_ = connection.CloseWrite()
+		}
 	}
 }
 
-func (l *network) chance(probability float64) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.random.Float64() < probability
+// resetConnection closes a connection so that its peer sees a reset.
+func resetConnection(connection *net.TCPConn) {
+	_ = connection.SetLinger(0) // else the peer sees a close, which ends the stream as well
+	_ = connection.Close()
 }
 
-func (l *network) increment(counter *int64, amount int) {
-	l.mu.Lock()
+// chance draws whether something of a probability happens.
+func (n *network) chance(probability float64) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.random.Float64() < probability
+}
+
+func (n *network) increment(counter *int64, amount int) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	*counter += int64(amount)
-	l.mu.Unlock()
 }
 
-func hasFault(faults []*config.DrillFault, kinds ...string) bool {
-	for _, fault := range faults {
-		for _, kind := range kinds {
-			if fault.Action == kind {
-				return true
-			}
-		}
-	}
-	return false
+// drawDelay returns the delay of a fault with its jitter, which is not drawn from the drill's seed.
+func drawDelay(fault *config.DrillFault) time.Duration {
+	return fault.Delay + time.Duration(rand.Float64()*float64(fault.Jitter))
+}
+
+// transferTime returns how long so many bytes take on a link that is narrowed by a fault.
+func transferTime(fault *config.DrillFault, size int) time.Duration {
+	return time.Duration(float64(size) / float64(max(1, fault.BytesPerSecond)) * float64(time.Second))
 }
 
-func (l *network) isClosed() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.closed
+// garble changes one byte of a message that is not empty.
+func garble(message []byte) { message[rand.IntN(len(message))] ^= garbleMask }
+
+func (n *network) isClosed() bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.closed
 }
 
-// rows tells of each directed link what became of its traffic.
-func (l *network) rows(name func(int) string) (rows []Row) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for link, counters := range l.counters {
-		rows = append(rows, Row{Kind: "link", Process: name(link[0]), Name: name(link[1]), Outcome: counters.String(), Value: float64(counters.bytes + counters.streamBytes)})
+// rows returns a row for each link.
+func (n *network) rows(nameOf func(index int) string) (rows []Row) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for link, counters := range n.counters {
+		rows = append(rows, Row{
+			Kind:    kindLink,
+			Process: nameOf(link.from),
+			Name:    nameOf(link.to),
+			Outcome: counters.String(),
+			Value:   float64(counters.bytes + counters.streamBytes),
+		})
 	}
 	return rows
 }
 
-// total adds up what became of all that went over the links.
-func (l *network) total() (total linkCounters) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, counters := range l.counters {
-		total.datagrams += counters.datagrams
-		total.bytes += counters.bytes
-		total.streams += counters.streams
-		total.streamBytes += counters.streamBytes
-		total.dropped += counters.dropped
-		total.delayed += counters.delayed
-		total.duplicated += counters.duplicated
-		total.reordered += counters.reordered
-		total.corrupted += counters.corrupted
-		total.refused += counters.refused
-		total.reset += counters.reset
-		total.halfClosed += counters.halfClosed
+// total returns what became of the traffic of all links.
+func (n *network) total() (total linkCounters) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, counters := range n.counters {
+		total.add(counters)
 	}
 	return total
 }
 
-func (s linkCounters) String() string {
-	return fmt.Sprintf("%d datagrams of %d bytes, %d streams of %d; lost %d, delayed %d, twice %d, late %d, garbled %d, refused %d, cut %d, halved %d",
-		s.datagrams, s.bytes, s.streams, s.streamBytes, s.dropped, s.delayed, s.duplicated, s.reordered, s.corrupted, s.refused, s.reset, s.halfClosed)
-}
-
-func (l *network) close() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.closed = true
-	for _, front := range l.fronts {
-		if front != nil {
-			front.udp.Close()
-			for _, listener := range front.tcp {
-				listener.Close()
-			}
+// close ends all streams and stops listening. Errors of closing are of no interest any more.
+func (n *network) close() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.closed = true
+	for _, front := range n.fronts {
+		if front == nil {
+			continue
+		}
+		_ = front.udp.Close()
+		for _, listener := range front.tcp {
+			_ = listener.Close()
 		}
 	}
-	for connection := range l.streams {
-		connection.Close()
+	for connection := range n.streams {
+		_ = connection.Close()
 	}
 }
--- a/internal/drill/network_test.go
+++ b/internal/drill/network_test.go
@@ -1,6 +1,7 @@
 package drill
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -14,174 +15,229 @@
 	"lanewheel/internal/fake"
 )
 
-// pair is two ends with links between them, that count what comes.
-type pair struct {
-	l     *network
-	hosts [2]string
-	udp   [2]*net.UDPConn
-	tcp   [2]net.Listener
-	came  [2]atomic.Int64
-	last  [2]atomic.Value
-}
+const testPort = 7999
 
-const port = 7999
+// linkedPair is two ends with links between them. Each counts the datagrams that come and echoes streams.
+type linkedPair struct {
+	t        *testing.T
+	network  *network
+	hosts    [2]string
+	udp      [2]*net.UDPConn
+	received [2]atomic.Int64 // datagrams
+	last     [2]atomic.Value // string: the last datagram and whence it came
+}
 
-func newPair() *pair {
-	p := &pair{l: newNetwork(1, port)}
+func newLinkedPair(t *testing.T) *linkedPair {
+	t.Helper()
+	p := &linkedPair{t: t, network: newNetwork(1, testPort)}
+	t.Cleanup(p.network.close)
 	for i := range 2 {
 		p.hosts[i] = fmt.Sprintf("127.%d.9.%d", 64+os.Getpid()%64, i+1)
 		ip := net.ParseIP(p.hosts[i])
-		p.udp[i] = fake.Must(net.ListenUDP("udp", &net.UDPAddr{IP: ip, Port: port}))
-		p.tcp[i] = fake.Must(net.Listen("tcp", fmt.Sprintf("%s:%d", p.hosts[i], port)))
-		if err := p.l.addProcess(i, p.hosts[i], p.front(i)); err != nil {
-			panic(err)
+		p.udp[i] = fake.Must(net.ListenUDP("udp", &net.UDPAddr{IP: ip, Port: testPort}))
+		streams := fake.Must(net.ListenTCP("tcp", &net.TCPAddr{IP: ip, Port: testPort}))
+		t.Cleanup(func() {
+			_ = p.udp[i].Close()
+			_ = streams.Close()
+		})
+		if err := p.network.addProcess(i, p.hosts[i], p.front(i)); err != nil {
+			t.Fatal(err)
 		}
-		go func() {
-			b := make([]byte, 2000)
-			for {
-				n, from, err := p.udp[i].ReadFromUDP(b)
-				if err != nil {
-					return
-				}
-				p.last[i].Store(fmt.Sprintf("%q from the other's front: %v", b[:n], from.IP.String() == p.front(1-i)))
-				p.came[i].Add(1)
-			}
-		}()
-		go func() {
-			for {
-				c, err := p.tcp[i].Accept()
-				if err != nil {
-					return
-				}
-				go func() { _, _ = io.Copy(c, c); c.Close() }()
-			}
-		}()
+		go p.countDatagrams(i)
+		go echoStreams(streams)
 	}
 	return p
 }
 
-func (p *pair) front(i int) string { return fmt.Sprintf("127.%d.9.%d", 128+os.Getpid()%64, i+1) }
+// front returns the front address of an end.
+func (p *linkedPair) front(i int) string { return fmt.Sprintf("127.%d.9.%d", 128+os.Getpid()%64, i+1) }
 
-func (p *pair) send(from int, n int) {
-	for k := range n {
-		_, _ = p.udp[from].WriteToUDP([]byte{'a' + byte(k%26), 'x'}, &net.UDPAddr{IP: net.ParseIP(p.front(1 - from)), Port: port})
-		time.Sleep(time.Millisecond)
+func (p *linkedPair) countDatagrams(i int) {
+	buffer := make([]byte, 2000)
+	for {
+		size, from, err := p.udp[i].ReadFromUDP(buffer)
+		if err != nil {
+			return
+		}
+		fromFront := from.IP.String() == p.front(1-i)
+		p.last[i].Store(fmt.Sprintf("%q from the other's front: %v", buffer[:size], fromFront))
+		p.received[i].Add(1)
+	}
+}
+
+func echoStreams(listener net.Listener) {
+	for {
+		connection, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		go func() {
+			_, _ = io.Copy(connection, connection)
+			_ = connection.Close()
+		}()
 	}
 }
 
-func (p *pair) dial(from int) (net.Conn, error) {
-	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(p.hosts[from])}, Timeout: 500 * time.Millisecond}
-	return d.Dial("tcp", net.JoinHostPort(p.front(1-from), strconv.Itoa(port)))
+// send sends so many datagrams from an end to the other.
+func (p *linkedPair) send(from, count int) {
+	target := &net.UDPAddr{IP: net.ParseIP(p.front(1 - from)), Port: testPort}
+	for i := range count {
+		if _, err := p.udp[from].WriteToUDP([]byte{'a' + byte(i%26), 'x'}, target); err != nil {
+			p.t.Fatal(err)
+		}
+		time.Sleep(time.Millisecond)
+	}
 }
 
-func (p *pair) close() {
-	p.l.close()
-	for i := range 2 {
-		p.udp[i].Close()
-		p.tcp[i].Close()
+// dial opens a stream from an end to the other.
+func (p *linkedPair) dial(from int) (net.Conn, error) {
+	dialer := net.Dialer{
+		LocalAddr: &net.TCPAddr{IP: net.ParseIP(p.hosts[from])},
+		Timeout:   500 * time.Millisecond,
 	}
+	return dialer.DialContext(p.t.Context(), "tcp", net.JoinHostPort(p.front(1-from), strconv.Itoa(testPort)))
 }
 
-func (p *pair) put(do string, share float64, undo bool) *config.DrillFault {
-	f := &config.DrillFault{Action: do, Fraction: share, BytesPerSecond: 1000, Delay: 30 * time.Millisecond}
-	p.l.apply(Event{Fault: f, From: []int{0}, To: []int{1}})
-	return f
+// apply puts a fault on the link from the first end to the second; undo takes it off.
+func (p *linkedPair) apply(action string) (undo func()) {
+	fault := &config.DrillFault{Action: action, Fraction: 1, BytesPerSecond: 1000, Delay: 30 * time.Millisecond}
+	event := Event{Fault: fault, From: []int{0}, To: []int{1}}
+	p.network.apply(event)
+	event.Undo = true
+	return func() { p.network.apply(event) }
 }
 
-// Each fault on datagrams does what it says, one way only, and counts it.
+// TestDatagrams checks that each fault does to datagrams what it says, one way only, and counts it.
 func TestDatagrams(t *testing.T) {
-	p := newPair()
-	defer p.close()
+	p := newLinkedPair(t)
 	p.send(0, 1)
-	fake.WaitFor("the first", func() bool { return p.came[1].Load() == 1 })
+	fake.WaitFor("the first datagram", func() bool { return p.received[1].Load() == 1 })
 	if got := p.last[1].Load(); got != `"ax" from the other's front: true` {
 		t.Fatal(got)
 	}
-	for _, x := range []struct {
-		do       string
-		came     int64 // of ten
-		lost     int64
-		slower   time.Duration
-		garbled  bool
-		doubling bool
-	}{{"swallow", 0, 10, 0, false, false}, {"refuse", 0, 10, 0, false, false}, {"lose", 0, 10, 0, false, false}, {"delay", 10, 0, 30 * time.Millisecond, false, false},
-		{"duplicate", 20, 0, 0, false, true}, {"reorder", 10, 0, 15 * time.Millisecond, false, false}, {"garble", 10, 0, 0, true, false}} {
-		before, back, sum := p.came[1].Load(), p.came[0].Load(), p.l.total()
-		f := p.put(x.do, 1, false)
-		began := time.Now()
-		p.send(0, 10)
-		p.send(1, 3) // the way back is as it was
-		fake.WaitFor("the way back", func() bool { return p.came[0].Load() == back+3 })
-		if x.came > 0 {
-			fake.WaitFor(x.do, func() bool { return p.came[1].Load() == before+x.came })
-		} else {
-			time.Sleep(20 * time.Millisecond)
-		}
-		if took := time.Since(began); took < x.slower {
-			t.Fatal(x.do, took)
-		}
-		now := p.l.total()
-		if p.came[1].Load() != before+x.came || now.dropped-sum.dropped != x.lost || now.corrupted > sum.corrupted != x.garbled || now.duplicated > sum.duplicated != x.doubling {
-			t.Fatal(x.do, p.came[1].Load()-before, now)
-		}
-		p.l.apply(Event{Fault: f, Undo: true, From: []int{0}, To: []int{1}})
+	for _, test := range []datagramTest{
+		{action: actionSwallow, dropped: 10},
+		{action: actionRefuse, dropped: 10},
+		{action: actionLose, dropped: 10},
+		{action: actionDelay, received: 10, minDuration: 30 * time.Millisecond},
+		{action: actionDuplicate, received: 20, duplicates: true},
+		{action: actionReorder, received: 10, minDuration: 15 * time.Millisecond},
+		{action: actionGarble, received: 10, corrupts: true},
+	} {
+		test.run(t, p)
+	}
+}
+
+// datagramTest is what a fault does to ten datagrams.
+type datagramTest struct {
+	action      string
+	received    int64
+	dropped     int64
+	minDuration time.Duration
+	corrupts    bool
+	duplicates  bool
+}
+
+func (test datagramTest) run(t *testing.T, p *linkedPair) {
+	t.Helper()
+	forth, back, before := p.received[1].Load(), p.received[0].Load(), p.network.total()
+	undo := p.apply(test.action)
+	defer undo()
+	startedAt := time.Now()
+	p.send(0, 10)
+	p.send(1, 3) // the way back is as it was
+	fake.WaitFor("the way back", func() bool { return p.received[0].Load() == back+3 })
+	if test.received > 0 {
+		fake.WaitFor(test.action, func() bool { return p.received[1].Load() == forth+test.received })
+	} else {
+		time.Sleep(20 * time.Millisecond)
+	}
+	if elapsed := time.Since(startedAt); elapsed < test.minDuration {
+		t.Errorf("%s: %v", test.action, elapsed)
+	}
+	after := p.network.total()
+	got := datagramTest{
+		action:      test.action,
+		received:    p.received[1].Load() - forth,
+		dropped:     after.dropped - before.dropped,
+		minDuration: test.minDuration,
+		corrupts:    after.corrupted > before.corrupted,
+		duplicates:  after.duplicated > before.duplicated,
+	}
+	if got != test {
+		t.Errorf("%+v, want %+v", got, test)
+	}
+}
+
+// echo writes to a stream and returns what comes back within a time.
+func echo(t *testing.T, connection net.Conn, text string, timeout time.Duration) string {
+	t.Helper()
+	if _, err := io.WriteString(connection, text); err != nil {
+		t.Fatal(err)
 	}
+	return readText(t, connection, len(text), timeout)
 }
 
-// Streams: carried whole; refused; swallowed until the fault is over; stalled in the middle; halved.
+// readText returns what comes of so many bytes within a time.
+func readText(t *testing.T, connection net.Conn, size int, timeout time.Duration) string {
+	t.Helper()
+	buffer := make([]byte, size)
+	if err := connection.SetReadDeadline(time.Now().Add(timeout)); err != nil {
+		t.Fatal(err)
+	}
+	n, _ := io.ReadFull(connection, buffer) // less is for the caller to compare
+	return string(buffer[:n])
+}
+
+// TestStreams checks that streams are carried whole, refused, swallowed until the fault is over, stalled in the
+// middle and half-closed, one way only.
 func TestStreams(t *testing.T) {
-	p := newPair()
-	defer p.close()
-	echo := func(c net.Conn, text string, within time.Duration) string {
-		fmt.Fprint(c, text)
-		b := make([]byte, len(text))
-		_ = c.SetReadDeadline(time.Now().Add(within))
-		n, _ := io.ReadFull(c, b)
-		return string(b[:n])
-	}
-	over := func(f *config.DrillFault) { p.l.apply(Event{Fault: f, Undo: true, From: []int{0}, To: []int{1}}) }
-	c := fake.Must(p.dial(0))
-	if got := echo(c, "hello", time.Second); got != "hello" {
+	p := newLinkedPair(t)
+	stream := fake.Must(p.dial(0))
+	if got := echo(t, stream, "hello", time.Second); got != "hello" {
 		t.Fatal(got)
 	}
-	f := p.put("stall", 1, false)
-	if got := echo(c, "there", 100*time.Millisecond); got != "" {
+	undo := p.apply(actionStall)
+	if got := echo(t, stream, "there", 100*time.Millisecond); got != "" {
 		t.Fatal("stalled, and came: ", got)
 	}
-	over(f)
-	b := make([]byte, 5)
-	_ = c.SetReadDeadline(time.Now().Add(time.Second))
-	if n, _ := io.ReadFull(c, b); string(b[:n]) != "there" {
-		t.Fatal(string(b[:n]))
+	undo()
+	if got := readText(t, stream, 5, time.Second); got != "there" {
+		t.Fatal(got)
 	}
-	f = p.put("swallow", 1, false)
-	s := fake.Must(p.dial(0))
-	if got := echo(s, "late", 100*time.Millisecond); got != "" {
+
+	undo = p.apply(actionSwallow)
+	swallowed := fake.Must(p.dial(0))
+	if got := echo(t, swallowed, "late", 100*time.Millisecond); got != "" {
 		t.Fatal("swallowed, and came: ", got)
 	}
-	over(f)
-	_ = s.SetReadDeadline(time.Now().Add(time.Second))
-	if n, _ := io.ReadFull(s, b[:4]); string(b[:n]) != "late" {
-		t.Fatal(string(b[:n]))
+	undo()
+	if got := readText(t, swallowed, 4, time.Second); got != "late" {
+		t.Fatal(got)
 	}
-	f = p.put("half-close", 1, false)
-	_ = c.SetReadDeadline(time.Now().Add(time.Second))
-	if _, err := c.Read(b); err != io.EOF { // the other end heard an end, and gave one
+
+	undo = p.apply(actionHalfClose)
+	if err := stream.SetReadDeadline(time.Now().Add(time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	over(f)
-	f = p.put("refuse", 1, false)
-	if r, err := p.dial(0); err == nil {
-		if _, err := r.Read(b); err == nil {
+	if _, err := stream.Read(make([]byte, 1)); !errors.Is(err, io.EOF) { // the other end saw an end, and gave one
+		t.Fatal(err)
+	}
+	undo()
+
+	undo = p.apply(actionRefuse)
+	if refused, err := p.dial(0); err == nil {
+		if _, err := refused.Read(make([]byte, 1)); err == nil {
 			t.Fatal("refused, and stands")
 		}
 	}
-	r := fake.Must(p.dial(1)) // the other way is as it was
-	if got := echo(r, "back", time.Second); got != "back" {
+	back := fake.Must(p.dial(1))
+	if got := echo(t, back, "back", time.Second); got != "back" {
 		t.Fatal(got)
 	}
-	over(f)
-	if sum := p.l.total(); sum.refused != 1 || sum.halfClosed != 2 || sum.reset != 2 || sum.streams != 4 {
-		t.Fatal(sum)
+	undo()
+	total := p.network.total()
+	if total.refused != 1 || total.halfClosed != 2 || total.reset != 2 || total.streams != 4 {
+		t.Fatal(&total)
 	}
 }
--- a/internal/drill/picture.go
+++ b/internal/drill/picture.go
@@ -1,7 +1,9 @@
 package drill
 
 import (
+	"errors"
 	"image/color"
+	"maps"
 	"os"
 	"slices"
 
@@ -12,107 +14,157 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Draw makes one picture: service, load by process, views that differ; faults stand in all as lines.
+// Colors of the picture.
+var (
+	blue   = color.RGBA{31, 119, 180, 255}
+	orange = color.RGBA{255, 127, 14, 255}
+	grey   = color.RGBA{150, 150, 150, 255}
+	red    = color.RGBA{200, 0, 0, 255}
+)
+
+// loadQuantiles are how many quantiles of the load are drawn: the least, the quartiles and the most.
+const loadQuantiles = 5
+
+// series is a line of a picture, with a value for each second.
+type series struct {
+	name   string
+	values []float64
+	color  color.Color
+}
+
+// timelines is what a record says of each second.
+type timelines struct {
+	issued, succeeded []float64   // requests
+	divergent         []float64   // processes
+	loadQuantiles     [][]float64 // runs of a process: the least, the quartiles and the most
+}
+
+// Draw draws the record as an SVG: service, load by process, and divergent views. Faults stand in each as lines.
 func (r Record) Draw(path string) error {
-	end := int64(1)
+	t := r.timelines()
+	quantiles := t.loadQuantiles
+	var charts []*plot.Plot
+	for _, panel := range []struct {
+		title string
+		lines []series
+	}{
+		{"requests a second", []series{{"succeeded", t.succeeded, blue}, {"sent", t.issued, grey}}},
+		{"runs a second by process: least, quartiles, most", []series{
+			{"least", quantiles[0], grey},
+			{"lower", quantiles[1], orange},
+			{"median", quantiles[2], blue},
+			{"most", quantiles[4], grey},
+			{"upper", quantiles[3], orange},
+		}},
+		{"processes whose view is not what is so", []series{{"divergent", t.divergent, blue}}},
+	} {
+		chart, err := r.drawPanel(panel.title, panel.lines)
+		if err != nil {
+			return err
+		}
+		charts = append(charts, chart)
+	}
+	return saveCharts(path, charts)
+}
+
+// timelines returns what the record says of each second.
+func (r Record) timelines() timelines {
+	seconds := int64(1)
 	for _, row := range r {
-		end = max(end, row.AtMS/1000+1)
+		seconds = max(seconds, row.AtMS/1000+1)
 	}
-	seconds := func() []float64 { return make([]float64, end) }
-	issued, succeeded, divergent := seconds(), seconds(), seconds()
-	loadByProcess := map[string][]float64{}
+	t := timelines{
+		issued:    make([]float64, seconds),
+		succeeded: make([]float64, seconds),
+		divergent: make([]float64, seconds),
+	}
+	loads := map[string][]float64{}
 	for _, row := range r {
 		second := max(0, row.AtMS/1000)
 		switch row.Kind {
-		case "op":
-			issued[second]++
-			if row.Outcome == "acked" {
-				succeeded[second]++
+		case kindRequest:
+			t.issued[second]++
+			if requestOutcome(row.Outcome) == outcomeSucceeded {
+				t.succeeded[second]++
 			}
-		case "run":
-			if loadByProcess[row.Process] == nil {
-				loadByProcess[row.Process] = seconds()
+		case kindRun:
+			if loads[row.Process] == nil {
+				loads[row.Process] = make([]float64, seconds)
 			}
-			loadByProcess[row.Process][second]++
-		case "differs":
-			divergent[second] = max(divergent[second], row.Value)
+			loads[row.Process][second]++
+		case kindDivergent:
+			t.divergent[second] = max(t.divergent[second], row.Value)
 		}
 	}
-	quantiles := [][]float64{seconds(), seconds(), seconds(), seconds(), seconds()}
-	for second := range end {
-		var loads []float64
-		for _, load := range loadByProcess {
-			loads = append(loads, load[second])
+	t.loadQuantiles = quantilesBySecond(slices.Collect(maps.Values(loads)), seconds)
+	return t
+}
+
+// quantilesBySecond returns the quantiles over all processes for each second, 0 where there are none.
+func quantilesBySecond(loads [][]float64, seconds int64) [][]float64 {
+	quantiles := make([][]float64, loadQuantiles)
+	for i := range quantiles {
+		quantiles[i] = make([]float64, seconds)
+	}
+	if len(loads) == 0 {
+		return quantiles
+	}
+	for second := range seconds {
+		var values []float64
+		for _, load := range loads {
+			values = append(values, load[second])
 		}
-		slices.Sort(loads)
-		for quantile := range quantiles {
-			if len(loads) > 0 {
-				quantiles[quantile][second] = loads[quantile*(len(loads)-1)/4]
-			}
+		slices.Sort(values)
+		for i := range quantiles {
+			quantiles[i][second] = values[i*(len(values)-1)/(loadQuantiles-1)]
 		}
 	}
-	blue, orange, grey := color.RGBA{31, 119, 180, 255}, color.RGBA{255, 127, 14, 255}, color.RGBA{150, 150, 150, 255}
-	panel := func(title string, series map[string][]float64, colors map[string]color.Color) (*plot.Plot, error) {
-		chart := plot.New()
-		chart.Title.Text, chart.X.Label.Text = title, "s"
-		chart.Legend.Top = true
-		for _, name := range slices.Sorted(func(yield func(string) bool) {
-			for n := range series {
-				if !yield(n) {
-					return
-				}
-			}
-		}) {
-			xys := make(plotter.XYs, end)
-			for second := range end {
-				xys[second] = plotter.XY{X: float64(second), Y: series[name][second]}
-			}
-			line, err := plotter.NewLine(xys)
-			if err != nil {
-				return nil, err
-			}
-			line.Color = colors[name]
-			chart.Add(line)
-			chart.Legend.Add(name, line)
+	return quantiles
+}
+
+// drawPanel draws lines, and the beginnings of the faults.
+func (r Record) drawPanel(title string, lines []series) (*plot.Plot, error) {
+	chart := plot.New()
+	chart.Title.Text = title
+	chart.X.Label.Text = "s"
+	chart.Legend.Top = true
+	for _, s := range lines {
+		points := make(plotter.XYs, len(s.values))
+		for second, value := range s.values {
+			points[second] = plotter.XY{X: float64(second), Y: value}
 		}
-		top := chart.Y.Max
-		for _, row := range r.rowsOf("done") {
-			mark, err := plotter.NewLine(plotter.XYs{{X: row.Value, Y: 0}, {X: row.Value, Y: max(1, top)}})
-			if err != nil {
-				return nil, err
-			}
-			mark.Color, mark.Dashes = color.RGBA{200, 0, 0, 255}, []vg.Length{vg.Points(2), vg.Points(2)}
-			chart.Add(mark)
+		line, err := plotter.NewLine(points)
+		if err != nil {
+			return nil, err
 		}
-		return chart, nil
+		line.Color = s.color
+		chart.Add(line)
+		chart.Legend.Add(s.name, line)
 	}
-	var panels []*plot.Plot
-	for _, panelSpec := range []struct {
-		title  string
-		series map[string][]float64
-		colors map[string]color.Color
-	}{
-		{"ops a second", map[string][]float64{"asked": issued, "acked": succeeded}, map[string]color.Color{"asked": grey, "acked": blue}},
-		{"runs a second by process: least, quartiles, most", map[string][]float64{"least": quantiles[0], "lower": quantiles[1], "median": quantiles[2], "upper": quantiles[3], "most": quantiles[4]},
-			map[string]color.Color{"least": grey, "lower": orange, "median": blue, "upper": orange, "most": grey}},
-		{"processes whose view is not what is so", map[string][]float64{"differ": divergent}, map[string]color.Color{"differ": blue}},
-	} {
-		chart, err := panel(panelSpec.title, panelSpec.series, panelSpec.colors)
+	top := max(1, chart.Y.Max)
+	for _, row := range r.rowsOf(kindBegin) {
+		mark, err := plotter.NewLine(plotter.XYs{{X: row.Value, Y: 0}, {X: row.Value, Y: top}})
 		if err != nil {
-			return err
+			return nil, err
 		}
-		panels = append(panels, chart)
+		mark.Color = red
+		mark.Dashes = []vg.Length{vg.Points(2), vg.Points(2)}
+		chart.Add(mark)
 	}
+	return chart, nil
+}
+
+// saveCharts writes charts, one below the other, to a file.
+func saveCharts(path string, charts []*plot.Plot) error {
 	canvas := vgsvg.New(24*vg.Centimeter, 27*vg.Centimeter)
-	tiles := draw.Tiles{Rows: len(panels), Cols: 1, PadY: vg.Points(8)}
-	for i, chart := range panels {
+	tiles := draw.Tiles{Rows: len(charts), Cols: 1, PadY: vg.Points(8)}
+	for i, chart := range charts {
 		chart.Draw(tiles.At(draw.New(canvas), 0, i))
 	}
 	file, err := os.Create(path)
 	if err != nil {
 		return err
 	}
-	defer file.Close()
 	_, err = canvas.WriteTo(file)
-	return err
+	return errors.Join(err, file.Close())
 }
--- a/internal/drill/process.go
+++ b/internal/drill/process.go
@@ -1,13 +1,13 @@
 package drill
 
 import (
+	"context"
 	"fmt"
 	"io"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"strconv"
-	"strings"
 	"sync"
 	"syscall"
 	"time"
@@ -17,210 +17,279 @@
 	"lanewheel/internal/membership"
 )
 
-// process is one process of the rehearsal. What is under mu changes as it is killed and started.
+const (
+	// stopTimeout is how long a process may take to end by a signal before it is killed.
+	stopTimeout = 5 * time.Second
+
+	// restartDelay is how long after a crash whoever supervises a process starts it again.
+	restartDelay = time.Second
+
+	// logTailBytes is how much of a log is shown where a process ended by itself.
+	logTailBytes = 600
+)
+
+// role is what a process is started as.
+type role uint8
+
+const (
+	roleInstance role = iota
+	roleProxy
+	roleAllocator
+	roleCoordinator
+)
+
+// subcommands by role.
+var subcommands = [...]string{"serve", "relay", "desk", "steward"}
+
+// process is one process of a drill, through all its incarnations.
 type process struct {
-	cluster         *cluster
-	index           int
-	isProxy         bool
-	service         *fakeService // what it stands beside, nil if it is no desk
-	isCoordinator   bool
-	startedBefore   bool   // it was started before
-	release         string // that it is on
-	name            string
-	host, frontHost string // where it is, and where the others reach it
-	dir             string
-	runtime         *fake.Runtime
-	runtimeDelayed  bool // its runtime does not take links
-	runtimeFaults   fake.RuntimeFaults
-	mu              sync.Mutex
-	cmd             *exec.Cmd
-	exit            chan struct{}
-	stopExpected    bool // its end is our doing
-	paused, exited  bool
-	startedAt       time.Time
-	id              membership.ID  // of this life, once it has said so
-	outages         [][2]time.Time // from when to when it was out by our doing
-	drains          [][2]time.Time // when it was told to leave, and when that life was over
-	keyNumbers      []int
-	seedCount       int
-}
-
-func (p *process) isRuntimeDelayed() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.runtimeDelayed || p.cluster.script.BadRelease.NeverReady && p.release == p.cluster.script.BadRelease.Release
+	cluster   *cluster
+	index     int
+	role      role
+	name      string
+	host      string // address that it listens on and dials from
+	frontHost string // address that the others reach it at
+	dir       string
+	runtime   *fake.Runtime
+	service   *fakeService // that an allocator stands beside, else nil
+
+	// Owned by whoever starts the process: the timeline, or a hook while the process is out.
+	startedBefore bool
+	keyNumbers    []int
+	seedCount     int
+
+	mu             sync.Mutex // guards what follows
+	release        string
+	runtimeDelayed bool // its runtime takes no links
+	runtimeFaults  fake.RuntimeFaults
+	cmd            *exec.Cmd     // nil before the first start
+	exit           chan struct{} // closed at the end of cmd
+	stopExpected   bool          // its end is our doing
+	paused         bool
+	exited         bool
+	id             membership.ID // of this incarnation, once it has reported it
+	outages        []interval    // when it could not answer, by our doing
+	drains         []interval    // from each notice to drain to the end of that incarnation
 }
 
 func (p *process) path(name string) string { return filepath.Join(p.dir, name) }
 
-// startProcess starts a process in its folder.
-func (w *cluster) startProcess(p *process) error {
+// start starts the process in its folder.
+func (p *process) start() error {
 	logFile, err := os.OpenFile(p.path("log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	subcommand := "serve"
-	if p.isProxy {
-		subcommand = "relay"
-	}
-	if p.service != nil {
-		subcommand = "desk"
-	}
-	arguments := []string{subcommand, "--operator", p.path("fleet.ini")}
-	if p.isCoordinator {
-		arguments[0] = "steward"
-		if !p.startedBefore && p.index == w.script.Instances+w.script.Proxies+w.script.Allocators {
-			arguments = append(arguments, "--begin")
-		}
-		p.startedBefore = true
-	}
-	cmd := exec.Command(w.binary, arguments...)
+	cmd := exec.CommandContext(context.Background(), p.cluster.binary, p.arguments()...)
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+p.path("config.json"))
 	cmd.Stdout, cmd.Stderr = logFile, logFile
-	// Danger: a rehearsal that is killed leaves hundreds of processes behind. The kernel ends them with us.
+	// A drill that is killed would leave hundreds of processes behind: so the kernel ends them with us.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	started := make(chan error)
-	w.starts <- func() { started <- cmd.Start() }
+	p.cluster.starts <- func() { started <- cmd.Start() }
 	err = <-started
-	logFile.Close()
+	_ = logFile.Close() // the process has its own
 	if err != nil {
 		return err
 	}
-	exit := make(chan struct{})
-	crashes := w.script.BadRelease.CrashAfter > 0 && p.release == w.script.BadRelease.Release
+	bad := p.cluster.script.BadRelease
+	p.mu.Lock()
+	crashes := bad.CrashAfter > 0 && p.release == bad.Release
+	p.cmd = cmd
+	p.exit = make(chan struct{})
+	p.stopExpected, p.paused, p.exited = false, false, false
+	p.id = membership.ID{}
+	p.endOutage()
+	exit := p.exit
+	p.mu.Unlock()
 	if crashes {
-		time.AfterFunc(w.script.BadRelease.CrashAfter, func() { _ = cmd.Process.Kill() })
+		time.AfterFunc(bad.CrashAfter, func() { _ = cmd.Process.Kill() })
+	}
+	go p.wait(cmd, exit, crashes)
+	return nil
+}
+
+// arguments returns the command line. The first coordinator founds the cluster at its first start.
+func (p *process) arguments() []string {
+	arguments := []string{subcommands[p.role], "--operator", p.path("fleet.ini")}
+	if p.role != roleCoordinator {
+		return arguments
+	}
+	if !p.startedBefore && p.index == layoutOf(p.cluster.script).coordinators {
+		arguments = append(arguments, "--begin")
 	}
+	p.startedBefore = true
+	return arguments
+}
+
+// wait waits for the end of one incarnation and tells whose doing it was.
+func (p *process) wait(cmd *exec.Cmd, exit chan struct{}, crashes bool) {
+	err := cmd.Wait()
 	p.mu.Lock()
-	p.cmd, p.exit, p.stopExpected, p.exited, p.paused, p.startedAt, p.id = cmd, exit, false, false, false, time.Now(), membership.ID{}
-	p.markBack()
+	unexpected := !p.stopExpected && p.cmd == cmd
+	byPermit := unexpected && err == nil && p.cluster.disruptions != nil
+	crashed := unexpected && !byPermit && crashes
+	if byPermit || crashed {
+		p.beginOutage()
+	}
+	if p.cmd == cmd {
+		p.exited = true
+	}
 	p.mu.Unlock()
-	go func() {
-		err := cmd.Wait()
-		p.mu.Lock()
-		unexpected := !p.stopExpected && p.cmd == cmd
-		if unexpected && err == nil && w.disruptions != nil { // it left by a permit
-			unexpected = false
-			p.markOut()
-			defer w.disruptions.noteOut(w, p)
-		}
-		if unexpected && crashes { // and whoever looks after processes starts it again
-			unexpected = false
-			p.markOut()
-			time.AfterFunc(time.Second, func() { _ = w.restart(p.name, "") })
-		}
-		if p.cmd == cmd {
-			p.exited = true
-		}
-		p.mu.Unlock()
-		close(exit)
-		if unexpected {
-			w.fail(fmt.Sprintf("%s ended by itself: %v; %s", p.name, err, logTail(p.path("log"))))
-		}
-	}()
-	return nil
+	close(exit)
+	switch {
+	case byPermit:
+		p.cluster.disruptions.noteOut(p.cluster, p)
+	case crashed:
+		time.AfterFunc(restartDelay, func() { _ = p.cluster.restart(p.name, "") }) // it may be running again
+	case unexpected:
+		p.cluster.fail(fmt.Sprintf("%s ended by itself: %v; %s", p.name, err, logTail(p.path("log"))))
+	}
 }
 
-// logTail is the end of a log, for whoever reads why a process ended.
+// logTail returns the end of a log, for whoever reads why a process ended.
 func logTail(path string) string {
-	f, err := os.Open(path)
+	file, err := os.Open(path)
 	if err != nil {
 		return err.Error()
 	}
-	defer f.Close()
-	if info, err := f.Stat(); err == nil && info.Size() > 600 {
-		_, _ = f.Seek(-600, io.SeekEnd)
+	defer func() { _ = file.Close() }() // it was only read
+	if info, err := file.Stat(); err == nil && info.Size() > logTailBytes {
+		_, _ = file.Seek(-logTailBytes, io.SeekEnd) // else it is shown whole
 	}
-	b, _ := io.ReadAll(f)
-	return string(b)
+	text, err := io.ReadAll(file)
+	if err != nil {
+		return err.Error()
+	}
+	return string(text)
 }
 
-// stop ends a process by a signal that it can't or can heed, and waits for it.
+// stop ends the process by a signal and waits for it; it is killed if it does not end.
 func (p *process) stop(signal syscall.Signal) {
 	p.mu.Lock()
-	command, exit := p.cmd, p.exit
+	cmd, exit := p.cmd, p.exit
 	p.stopExpected = true
-	p.markOut()
+	p.beginOutage()
 	if signal == syscall.SIGTERM {
-		p.drains = append(p.drains, [2]time.Time{time.Now()})
-		defer func() {
-			p.mu.Lock()
-			p.drains[len(p.drains)-1][1] = time.Now()
-			p.mu.Unlock()
-		}()
+		p.drains = append(p.drains, interval{from: time.Now()})
+		defer p.endDrain()
 	}
 	p.mu.Unlock()
-	if command == nil {
+	if cmd == nil {
 		return
 	}
-	_ = command.Process.Signal(signal)
+	_ = cmd.Process.Signal(signal) // it may have ended
 	if signal != syscall.SIGKILL {
-		_ = command.Process.Signal(syscall.SIGCONT)
+		_ = cmd.Process.Signal(syscall.SIGCONT)
 	}
 	select {
 	case <-exit:
-	case <-time.After(5 * time.Second):
-		_ = command.Process.Kill()
+	case <-time.After(stopTimeout):
+		_ = cmd.Process.Kill()
 		<-exit
 	}
 }
 
-// markOut and back note that a process can't answer from now on, and that it can. They belong under mu.
-func (p *process) markOut() {
-	if n := len(p.outages); n == 0 || !p.outages[n-1][1].IsZero() {
-		p.outages = append(p.outages, [2]time.Time{time.Now()})
+func (p *process) endDrain() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.drains[len(p.drains)-1].to = time.Now()
+}
+
+// beginOutage notes that the process can't answer from now on. mu must be held.
+func (p *process) beginOutage() {
+	if n := len(p.outages); n == 0 || !p.outages[n-1].to.IsZero() {
+		p.outages = append(p.outages, interval{from: time.Now()})
+	}
+}
+
+// endOutage notes that the process can answer again. mu must be held.
+func (p *process) endOutage() {
+	if n := len(p.outages); n > 0 && p.outages[n-1].to.IsZero() {
+		p.outages[n-1].to = time.Now()
 	}
 }
 
-func (p *process) markBack() {
-	if n := len(p.outages); n > 0 && p.outages[n-1][1].IsZero() {
-		p.outages[n-1][1] = time.Now()
+// pause stops the process without ending it, or lets it go on.
+func (p *process) pause(paused bool) {
+	p.mu.Lock()
+	p.paused = paused
+	if paused {
+		p.beginOutage()
+	} else {
+		p.endOutage()
+	}
+	p.mu.Unlock()
+	if paused {
+		p.signal(syscall.SIGSTOP)
+	} else {
+		p.signal(syscall.SIGCONT)
 	}
 }
 
 func (p *process) signal(signal syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.cmd != nil && !p.exited {
-		_ = p.cmd.Process.Signal(signal)
+	if p.isRunning() {
+		_ = p.cmd.Process.Signal(signal) // it may have ended
 	}
 }
 
-// isUp tells whether a process should be among the others now, and answers.
+// isRunning reports whether the process was started and has not ended. mu must be held.
+func (p *process) isRunning() bool { return p.cmd != nil && !p.exited }
+
+// isUp reports whether the process should be among the others now, and answer.
 func (p *process) isUp() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.cmd != nil && !p.exited && !p.stopExpected && !p.paused
+	return p.isRunning() && !p.stopExpected && !p.paused
+}
+
+// outBetween reports whether the process could not answer at some time between two, by our doing.
+func (p *process) outBetween(from, to time.Time) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, outage := range p.outages {
+		if outage.overlaps(from, to) {
+			return true
+		}
+	}
+	return false
 }
 
-// status asks a process for its view.
+// status asks the process for its view.
 func (p *process) status() (gossip.Snapshot, error) {
 	snapshot, err := gossip.ReadSnapshot(p.path("w"), gossip.SnapshotBrief)
-	if err == nil {
-		incarnation, _ := strconv.ParseUint(snapshot.BootID, 16, 64)
-		p.mu.Lock()
-		p.id = membership.ID{Name: membership.Name(snapshot.Name), BootID: membership.BootID(incarnation)}
-		p.mu.Unlock()
+	if err != nil {
+		return gossip.Snapshot{}, err
+	}
+	bootID, err := strconv.ParseUint(snapshot.BootID, 16, 64)
+	if err != nil {
+		return gossip.Snapshot{}, fmt.Errorf("%s: boot id of the status: %w", p.name, err)
 	}
-	return snapshot, err
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.id = membership.ID{Name: membership.Name(snapshot.Name), BootID: membership.BootID(bootID)}
+	return snapshot, nil
+}
+
+// currentID returns the id of this incarnation, zero before it has reported it.
+func (p *process) currentID() membership.ID {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.id
 }
 
-// residentMB is what a process holds, in MB, less the pages of the binary.
+// residentMB returns the memory that the process holds, without the pages of the binary; 0 if it does not run.
 func (p *process) residentMB() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.cmd == nil || p.exited {
+	if !p.isRunning() {
 		return 0
 	}
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
+	mb, err := readProcMB(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid), "RssAnon")
 	if err != nil {
-		return 0
-	}
-	for _, line := range strings.Split(string(text), "\n") {
-		if value, found := strings.CutPrefix(line, "RssAnon:"); found {
-			kilobytes, _ := strconv.ParseFloat(strings.Fields(value)[0], 64)
-			return kilobytes / 1024
-		}
+		return 0 // it has just ended
 	}
-	return 0
+	return mb
 }
--- a/internal/drill/record.go
+++ b/internal/drill/record.go
@@ -7,31 +7,46 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// Row is one line of the raw record.
+// The kinds of rows.
+const (
+	kindRequest   = "op"        // a request: its process, id, outcome and latency in ms
+	kindRun       = "run"       // a run of a request: its process and the request's id
+	kindBegin     = "done"      // a fault began: its text, action and second
+	kindEnd       = "undone"    // a fault ended: the same
+	kindDivergent = "differs"   // how many processes had another view than they should have
+	kindViolation = "violation" // what did not hold: its text and rule
+	kindMetric    = "figure"    // a measured value: its name and value
+	kindLink      = "link"      // the traffic between two processes
+)
+
+// Row is one line of a record. Its columns and the words in them are stored.
 type Row struct {
-	AtMS    int64   `parquet:"at_ms"`
-	Kind    string  `parquet:"kind,dict"` // op, run, done, undone, differs, violation, figure, link
+	AtMS    int64   `parquet:"at_ms"`     // since the start of the load
+	Kind    string  `parquet:"kind,dict"` // op, run, done, undone, differs, violation, figure or link
 	Process string  `parquet:"process,dict"`
 	Name    string  `parquet:"name"`
 	Outcome string  `parquet:"outcome,dict"`
 	Value   float64 `parquet:"value"`
 }
 
-// Record is a rehearsal as it went, row by row.
+// Record is a drill as it went, row by row.
 type Record []Row
 
 // schema names the root of a record's Parquet schema, which would follow the name of the Go type.
 var schema = parquet.NewSchema("Row", parquet.SchemaOf(Row{}))
 
-// Save writes it as Parquet.
+// Save writes the record to a file, as Parquet.
 func (r Record) Save(path string) error { return parquet.WriteFile(path, []Row(r), schema) }
 
-// LoadRecord reads one that was saved.
+// LoadRecord reads a record that was saved.
 func LoadRecord(path string) (Record, error) {
 	rows, err := parquet.ReadFile[Row](path)
 	return Record(rows), err
 }
 
+// violationCount returns how many rules and invariants did not hold.
+func (r Record) violationCount() int { return len(r.rowsOf(kindViolation)) }
+
 func (r Record) rowsOf(kind string) (rows []Row) {
 	for _, row := range r {
 		if row.Kind == kind {
@@ -41,30 +56,68 @@
 	return rows
 }
 
-// buildRecord puts together all that was seen.
-func buildRecord(w *cluster, log *requestLog, events []Event, differs, links []Row, violations []violation, metrics []metric, startedAt time.Time) (result Record) {
-	ms := func(moment time.Time) int64 { return moment.Sub(startedAt).Milliseconds() }
-	log.mu.Lock()
-	defer log.mu.Unlock()
-	for _, request := range log.requests {
-		result = append(result, Row{ms(request.sentAt), "op", w.processes[request.process].name, request.id, request.outcome, float64(request.answeredAt.Sub(request.sentAt).Microseconds()) / 1000})
-		for _, execution := range request.executions {
-			result = append(result, Row{ms(execution.at), "run", w.processes[execution.process].name, request.id, "", 0})
-		}
-	}
-	for _, event := range events {
-		kind := "done"
+// results is all that a drill came to.
+type results struct {
+	startedAt  time.Time // of the load
+	requests   *requestLog
+	events     []Event
+	divergent  []Row
+	links      []Row
+	violations []violation
+	metrics    []metric
+}
+
+// record returns the results as rows; processes are those that indexes mean.
+func (r *results) record(processes []*process) Record {
+	record := r.requestRows(processes)
+	for _, event := range r.events {
+		kind := kindBegin
 		if event.Undo {
-			kind = "undone"
+			kind = kindEnd
 		}
-		result = append(result, Row{event.At.Milliseconds(), kind, "", event.String(), event.Fault.Action, event.At.Seconds()})
+		record = append(record, Row{
+			AtMS:    event.At.Milliseconds(),
+			Kind:    kind,
+			Name:    event.String(),
+			Outcome: event.Fault.Action,
+			Value:   event.At.Seconds(),
+		})
+	}
+	record = append(record, r.divergent...)
+	for _, violation := range r.violations {
+		record = append(record, Row{
+			AtMS:    violation.At.Milliseconds(),
+			Kind:    kindViolation,
+			Name:    fmt.Sprintf("%6.2fs %s: %s", violation.At.Seconds(), violation.Rule, violation.Detail),
+			Outcome: violation.Rule,
+		})
 	}
-	result = append(result, differs...)
-	for _, violation := range violations {
-		result = append(result, Row{violation.At.Milliseconds(), "violation", "", fmt.Sprintf("%6.2fs %s: %s", violation.At.Seconds(), violation.Rule, violation.Detail), violation.Rule, 0})
+	for _, metric := range r.metrics {
+		record = append(record, Row{Kind: kindMetric, Name: metric.Name, Value: metric.Value})
 	}
-	for _, m := range metrics {
-		result = append(result, Row{0, "figure", "", m.Name, "", m.Value})
+	return append(record, r.links...)
+}
+
+func (r *results) requestRows(processes []*process) (record Record) {
+	r.requests.mu.Lock()
+	defer r.requests.mu.Unlock()
+	for _, request := range r.requests.requests {
+		record = append(record, Row{
+			AtMS:    request.sentAt.Sub(r.startedAt).Milliseconds(),
+			Kind:    kindRequest,
+			Process: processes[request.process].name,
+			Name:    request.id,
+			Outcome: string(request.outcome),
+			Value:   float64(request.answeredAt.Sub(request.sentAt).Microseconds()) / 1000,
+		})
+		for _, execution := range request.executions {
+			record = append(record, Row{
+				AtMS:    execution.at.Sub(r.startedAt).Milliseconds(),
+				Kind:    kindRun,
+				Process: processes[execution.process].name,
+				Name:    request.id,
+			})
+		}
 	}
-	return append(result, links...)
+	return record
 }
--- a/internal/drill/requests.go
+++ b/internal/drill/requests.go
@@ -7,83 +7,127 @@
 	"time"
 )
 
+// The rules and invariants of a drill, as records hold them.
+const (
+	ruleNoRequestLost  = "no op lost"
+	ruleNoEffectTwice  = "no effect twice"
+	ruleSafeDrains     = "safe drains"
+	ruleViewsEqual     = "views equal"
+	ruleNoneEvicted    = "none given up"
+	ruleLoadEven       = "load even"
+	ruleNoneIdle       = "none idle"
+	ruleRelease        = "release"
+	ruleNothingCrashes = "nothing falls over"
+)
+
+const (
+	// drainGrace is the grace of a drain in the settings of the fakes.
+	drainGrace = 500 * time.Millisecond
+
+	// drainSlack is what a busy machine may add to it.
+	drainSlack = 150 * time.Millisecond
+)
+
 // violation is a rule or an invariant that did not hold.
 type violation struct {
-	At     time.Duration
+	At     time.Duration // since the start of the load
 	Rule   string
 	Detail string
 }
 
-// metric is one measured value of a rehearsal.
+// metric is one measured value of a drill.
 type metric struct {
 	Name  string
 	Value float64
 }
 
-// checkRequestRules judges the history of ops over the whole fleet.
-func checkRequestRules(w *cluster, log *requestLog, startedAt time.Time, endedAt time.Time) (all []violation) {
+// requestCheck checks the rules of requests over the whole fleet.
+type requestCheck struct {
+	cluster    *cluster
+	startedAt  time.Time // of the load
+	endedAt    time.Time
+	violations []violation
+}
+
+// checkRequestRules returns the violations of the rules of requests.
+func checkRequestRules(c *cluster, log *requestLog, startedAt, endedAt time.Time) []violation {
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	violate := func(request *issuedRequest, rule, what string) {
-		all = append(all, violation{request.sentAt.Sub(startedAt), rule, fmt.Sprintf("op %s (%s) at %s: %s; ran %s", request.id, request.class, w.processes[request.process].name, what, describeRuns(w, request))})
-	}
+	check := &requestCheck{cluster: c, startedAt: startedAt, endedAt: endedAt}
 	for _, request := range log.requests {
-		p := w.processes[request.process]
-		excused := p.stoppedBetween(request.sentAt.Add(-100*time.Millisecond), request.sentAt.Add(requestTimeout+time.Second))
-		switch {
-		case request.responses > 1:
-			violate(request, "no op lost", fmt.Sprint(request.responses, " final answers"))
-		case request.outcome == "" && endedAt.Sub(request.sentAt) > requestTimeout && !excused:
-			violate(request, "no op lost", "no answer")
-		case request.outcome == "broken" && !excused && !p.stoppedBetween(request.sentAt.Add(-time.Second), request.answeredAt.Add(time.Second)):
-			violate(request, "no op lost", "its connection ended")
-		case request.responses == 1 && request.answeredAt.Sub(request.sentAt) > requestTimeout && !excused:
-			violate(request, "no op lost", "answered after "+request.answeredAt.Sub(request.sentAt).String())
-		case request.outcome == "acked" && len(request.executions) == 0:
-			violate(request, "no op lost", "acked and never run")
-		case request.outcome == "Busy" && len(request.executions) > 0 && request.class == "pay": // a retryable run may be nacked, and asked for again
-			violate(request, "no effect twice", "nacked as never run, and run")
-		}
-		if len(request.executions) > 1 && request.class == "pay" { // the others may run again
-			violate(request, "no effect twice", "run more than once")
+		check.checkResponses(request)
+		check.checkEffects(request)
+		check.checkDrains(request)
+	}
+	return check.violations
+}
+
+func (c *requestCheck) violate(request *issuedRequest, rule, what string) {
+	detail := fmt.Sprintf("op %s (%s) at %s: %s; ran %s",
+		request.id, request.class, c.cluster.processes[request.process].name, what, c.describeRuns(request))
+	c.violations = append(c.violations, violation{request.sentAt.Sub(c.startedAt), rule, detail})
+}
+
+// checkResponses checks that a request has one response in time that is true, unless its process could not answer.
+func (c *requestCheck) checkResponses(request *issuedRequest) {
+	const before, after = 100 * time.Millisecond, time.Second // of an outage that may have cost the response
+	p := c.cluster.processes[request.process]
+	excused := p.outBetween(request.sentAt.Add(-before), request.sentAt.Add(requestTimeout+after))
+	elapsed := request.answeredAt.Sub(request.sentAt)
+	switch {
+	case request.responses > 1:
+		c.violate(request, ruleNoRequestLost, fmt.Sprint(request.responses, " final answers"))
+	case request.outcome == outcomeNone && c.endedAt.Sub(request.sentAt) > requestTimeout && !excused:
+		c.violate(request, ruleNoRequestLost, "no answer")
+	case request.outcome == outcomeBroken && !excused &&
+		!p.outBetween(request.sentAt.Add(-after), request.answeredAt.Add(after)):
+		c.violate(request, ruleNoRequestLost, "its connection ended")
+	case request.responses == 1 && elapsed > requestTimeout && !excused:
+		c.violate(request, ruleNoRequestLost, "answered after "+elapsed.String())
+	case request.outcome == outcomeSucceeded && len(request.executions) == 0:
+		c.violate(request, ruleNoRequestLost, "acked and never run")
+	case request.outcome == outcomeRejected && len(request.executions) > 0 && request.class == classPay:
+		c.violate(request, ruleNoEffectTwice, "nacked as never run, and run")
+	}
+}
+
+// checkEffects checks that a request that is not idempotent runs once; the others may run again.
+func (c *requestCheck) checkEffects(request *issuedRequest) {
+	if len(request.executions) > 1 && request.class == classPay {
+		c.violate(request, ruleNoEffectTwice, "run more than once")
+	}
+}
+
+// checkDrains checks that nothing runs that came later than the grace after a notice to drain. Where a request came
+// by a proxy, the proxy's notice counts as well.
+func (c *requestCheck) checkDrains(request *issuedRequest) {
+	for _, execution := range request.executions {
+		drains := c.cluster.processes[execution.process].drainsSoFar()
+		if execution.process != request.process {
+			drains = append(drains, c.cluster.processes[request.process].drainsSoFar()...)
 		}
-		const grace, slack = 500 * time.Millisecond, 150 * time.Millisecond // told in the settings; a busy machine's
-		for _, execution := range request.executions {
-			told := w.processes[execution.process].drainNotices()
-			if execution.process != request.process { // it came by a relay, whose notice counts as well
-				told = append(told, p.drainNotices()...)
-			}
-			for _, told := range told {
-				if request.sentAt.Sub(told[0]) > grace+slack && execution.at.Before(told[1]) {
-					violate(request, "safe drains", "run although it came later than the grace after the notice")
-				}
+		for _, drain := range drains {
+			if request.sentAt.Sub(drain.from) > drainGrace+drainSlack && execution.at.Before(drain.to) {
+				c.violate(request, ruleSafeDrains, "run although it came later than the grace after the notice")
 			}
 		}
 	}
-	return all
 }
 
-func describeRuns(w *cluster, request *issuedRequest) string {
+func (c *requestCheck) describeRuns(request *issuedRequest) string {
 	if len(request.executions) == 0 {
 		return "nowhere"
 	}
-	var places []string
+	var runs []string
 	for _, execution := range request.executions {
-		places = append(places, fmt.Sprintf("%s after %v", w.processes[execution.process].name, execution.at.Sub(request.sentAt).Round(time.Millisecond)))
+		elapsed := execution.at.Sub(request.sentAt).Round(time.Millisecond)
+		runs = append(runs, fmt.Sprintf("%s after %v", c.cluster.processes[execution.process].name, elapsed))
 	}
-	return strings.Join(places, ", ")
-}
-
-// stoppedBetween tells whether we stood a process still or ended it between two moments.
-func (p *process) stoppedBetween(from, to time.Time) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return slices.ContainsFunc(p.outages, func(outage [2]time.Time) bool {
-		return outage[0].Before(to) && (outage[1].IsZero() || outage[1].After(from))
-	})
+	return strings.Join(runs, ", ")
 }
 
-func (p *process) drainNotices() [][2]time.Time {
+// drainsSoFar returns the drains of the process.
+func (p *process) drainsSoFar() []interval {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.drains)
--- a/internal/drill/runtime.go
+++ b/internal/drill/runtime.go
@@ -6,30 +6,58 @@
 	"lanewheel/internal/fake"
 )
 
+const (
+	runtimeCores      = 2                     // of each fake runtime
+	runtimeDelayCheck = 20 * time.Millisecond // how often it is checked whether a runtime may take its link
+)
+
 // serveRuntime is a process's runtime: whichever link comes, it is up and works, as often as the process is started.
-func (w *cluster) serveRuntime(p *process) {
-	for life := uint64(0); ; life++ {
+func (c *cluster) serveRuntime(p *process) {
+	for incarnation := uint64(0); ; incarnation++ {
 		runtime := &fake.Runtime{Listener: p.runtime.Listener}
 		if !runtime.TryAccept() {
 			return
 		}
 		for p.isRuntimeDelayed() {
-			time.Sleep(20 * time.Millisecond)
+			time.Sleep(runtimeDelayCheck)
 		}
 		runtime.Faults = p.currentRuntimeFaults
 		runtime.SendReady("steady")
-		if w.disruptions != nil {
-			w.disruptions.noteBack(p)
+		if c.disruptions != nil {
+			c.disruptions.noteBack(p)
 		}
-		runtime.AutoRun(2, w.script.MeanRunTime, w.script.RandomSeed+life<<32+uint64(p.index), func(_, _, body string) { w.onExecution(p, body) })
+		seed := c.script.RandomSeed + incarnation<<32 + uint64(p.index)
+		runtime.AutoRun(runtimeCores, c.script.MeanRunTime, seed, func(_, _, body string) { c.onExecution(p, body) })
 	}
 }
 
+// currentRuntimeFaults returns the faults of the process's runtime: those of the script's timeline, else those of a bad
+// release.
 func (p *process) currentRuntimeFaults() fake.RuntimeFaults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if bad, is := p.cluster.releaseFaults(p.release); is && p.runtimeFaults == (fake.RuntimeFaults{}) {
-		return bad
+	bad := p.cluster.script.BadRelease
+	if p.runtimeFaults == (fake.RuntimeFaults{}) && bad.Release != "" && p.release == bad.Release {
+		return fake.RuntimeFaults{SlowFactor: bad.RunTimeFactor, FailRuns: bad.FailRuns}
 	}
 	return p.runtimeFaults
 }
+
+func (p *process) setRuntimeFaults(faults fake.RuntimeFaults) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.runtimeFaults = faults
+}
+
+func (p *process) isRuntimeDelayed() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	bad := p.cluster.script.BadRelease
+	return p.runtimeDelayed || bad.NeverReady && p.release == bad.Release
+}
+
+func (p *process) setRuntimeDelayed(delayed bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.runtimeDelayed = delayed
+}
--- a/internal/drill/streams.go
+++ b/internal/drill/streams.go
@@ -1,103 +1,139 @@
 package drill
 
 import (
+	"context"
+	"errors"
 	"io"
-	"math/rand/v2"
 	"net"
 	"sync"
 	"time"
 )
 
-func (l *network) acceptStreams(front *processFront, listener *net.TCPListener, port int) {
+const (
+	// streamDialTimeout is how long the connection to a process may take.
+	streamDialTimeout = time.Second
+
+	// How often a stream that a fault holds up looks whether it is over: before it is connected, and in the middle.
+	swallowCheckInterval = 50 * time.Millisecond
+	stallCheckInterval   = 20 * time.Millisecond
+)
+
+func (n *network) acceptStreams(front *processFront, listener *net.TCPListener, port int) {
 	for {
 		connection, err := listener.AcceptTCP()
 		if err != nil {
 			return
 		}
-		go l.forwardStream(front, connection, port)
+		go n.forwardStream(front, connection, port)
 	}
 }
 
-func (l *network) forwardStream(front *processFront, incoming *net.TCPConn, port int) {
-	defer incoming.Close()
-	host, _, _ := net.SplitHostPort(incoming.RemoteAddr().String())
-	source, counters, faults, senderFront := l.lookup(host, front.process)
-	l.increment(&counters.streams, 1)
-	local := front.ip
-	if senderFront != nil {
-		local = senderFront.ip
-	}
-	if hasFault(faults, "refuse") {
-		l.increment(&counters.refused, 1)
-		_ = incoming.SetLinger(0)
+// forwardStream forwards a stream to a process's port until it ends.
+func (n *network) forwardStream(front *processFront, incoming *net.TCPConn, port int) {
+	defer func() { _ = incoming.Close() }() // it may be closed already
+	host := incoming.RemoteAddr().(*net.TCPAddr).IP.String()
+	current := n.lookup(host, front.process)
+	n.increment(&current.counters.streams, 1)
+	if current.has(actionRefuse) {
+		n.increment(&current.counters.refused, 1)
+		resetConnection(incoming)
 		return
 	}
-	for hasFault(faults, "swallow") { // it is taken, and nothing comes of it
-		time.Sleep(50 * time.Millisecond)
-		if _, _, faults, _ = l.lookup(host, front.process); l.isClosed() {
+	for current.has(actionSwallow) { // the stream is taken, and nothing comes of it
+		time.Sleep(swallowCheckInterval)
+		if current = n.lookup(host, front.process); n.isClosed() {
 			return
 		}
 	}
-	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: local}, Timeout: time.Second}
-	connection, err := dialer.Dial("tcp", (&net.TCPAddr{IP: front.target.IP, Port: port}).String())
+	outgoing, err := n.dialProcess(front, current, port)
 	if err != nil {
-		_ = incoming.SetLinger(0)
+		resetConnection(incoming)
 		return
 	}
-	outgoing := connection.(*net.TCPConn)
-	defer outgoing.Close()
-	l.mu.Lock()
-	l.streams[outgoing], l.streams[incoming] = [2]int{source, front.process}, [2]int{front.process, source}
-	l.mu.Unlock()
-	var pumps sync.WaitGroup
-	pumps.Add(2)
-	go func() { defer pumps.Done(); l.copyStream(outgoing, incoming, host, front.process) }()
-	go func() { defer pumps.Done(); l.copyStream(incoming, outgoing, front.target.IP.String(), source) }()
-	pumps.Wait()
-	l.mu.Lock()
-	delete(l.streams, outgoing)
-	delete(l.streams, incoming)
-	l.mu.Unlock()
+	defer func() { _ = outgoing.Close() }() // it may be closed already
+	forth, back := link{current.from, front.process}, link{front.process, current.from}
+	n.trackStream(outgoing, forth)
+	n.trackStream(incoming, back)
+	var copying sync.WaitGroup
+	copying.Go(func() { n.copyStream(outgoing, incoming, host, forth.to) })
+	copying.Go(func() { n.copyStream(incoming, outgoing, front.target.IP.String(), back.to) })
+	copying.Wait()
+	n.forgetStream(outgoing)
+	n.forgetStream(incoming)
+}
+
+// dialProcess connects to a process from the front of the sender; a stranger comes from the process's own front.
+func (n *network) dialProcess(front *processFront, current conditions, port int) (*net.TCPConn, error) {
+	local := front.ip
+	if current.senderFront != nil {
+		local = current.senderFront.ip
+	}
+	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: local}, Timeout: streamDialTimeout}
+	target := net.TCPAddr{IP: front.target.IP, Port: port}
+	connection, err := dialer.DialContext(context.Background(), "tcp", target.String())
+	if err != nil {
+		return nil, err
+	}
+	return connection.(*net.TCPConn), nil
 }
 
-// copyStream carries one way of a stream under what holds on its link.
-func (l *network) copyStream(to, from *net.TCPConn, host string, target int) {
-	buffer := make([]byte, 8<<10)
+func (n *network) trackStream(connection *net.TCPConn, l link) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.streams[connection] = l
+}
+
+func (n *network) forgetStream(connection *net.TCPConn) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	delete(n.streams, connection)
+}
+
+// copyStream copies one direction of a stream, from a host to a process, under what holds on its link. An end is passed
+// on as an end, an error as a reset.
+func (n *network) copyStream(to, from *net.TCPConn, host string, target int) {
+	const bufferBytes = 8 << 10
+	buffer := make([]byte, bufferBytes)
 	for {
 		size, err := from.Read(buffer)
 		if size > 0 {
-			_, counters, faults, _ := l.lookup(host, target)
-			l.increment(&counters.streamBytes, size)
-			for hasFault(faults, "stall", "swallow") && !l.isClosed() { // in the middle of whatever it carries
-				time.Sleep(20 * time.Millisecond)
-				_, _, faults, _ = l.lookup(host, target)
-			}
-			for _, fault := range faults {
-				switch fault.Action {
-				case "delay":
-					time.Sleep(fault.Delay + time.Duration(rand.Float64()*float64(fault.Jitter)))
-				case "narrow":
-					time.Sleep(time.Duration(float64(size) / float64(max(1, fault.BytesPerSecond)) * float64(time.Second)))
-				case "garble":
-					if l.chance(fault.Fraction) {
-						buffer[rand.IntN(size)] ^= 0x55
-						l.increment(&counters.corrupted, 1)
-					}
-				}
-			}
+			n.applyToStream(buffer[:size], host, target)
 			if _, err := to.Write(buffer[:size]); err != nil {
-				_ = from.SetLinger(0)
-				from.Close()
+				resetConnection(from)
 				return
 			}
 		}
-		if err == io.EOF {
-			_ = to.CloseWrite()
+		switch {
+		case errors.Is(err, io.EOF):
+			_ = to.CloseWrite() // it may be closed already
 			return
-		} else if err != nil {
-			_ = to.SetLinger(0)
-			to.Close()
+		case err != nil:
+			resetConnection(to)
 			return
 		}
 	}
 }
+
+// applyToStream applies the faults of a link to a part of a stream, which it may change; it returns when the part
+// may be written.
+func (n *network) applyToStream(part []byte, host string, target int) {
+	current := n.lookup(host, target)
+	n.increment(&current.counters.streamBytes, len(part))
+	for current.has(actionStall, actionSwallow) && !n.isClosed() { // in the middle of whatever it carries
+		time.Sleep(stallCheckInterval)
+		current = n.lookup(host, target)
+	}
+	for _, fault := range current.faults {
+		switch fault.Action {
+		case actionDelay:
+			time.Sleep(drawDelay(fault))
+		case actionNarrow:
+			time.Sleep(transferTime(fault, len(part)))
+		case actionGarble:
+			if n.chance(fault.Fraction) {
+				garble(part)
+				n.increment(&current.counters.corrupted, 1)
+			}
+		}
+	}
+}
--- a/internal/drill/timeline.go
+++ b/internal/drill/timeline.go
@@ -1,5 +1,3 @@
-// Package drill rehearses failures: it starts processes of this very program among stand-ins, does to them and to the links
-// between them what a script says, and judges what becomes of it.
 package drill
 
 import (
@@ -13,106 +11,189 @@
 	"lanewheel/internal/config"
 )
 
-// Event is one moment of the timeline: something is done, or undone.
+// What a script may have done: values of config.DrillFault.Action. They stand in records, too.
+const (
+	// To links.
+	actionRefuse    = "refuse"
+	actionSwallow   = "swallow"
+	actionDelay     = "delay"
+	actionLose      = "lose"
+	actionDuplicate = "duplicate"
+	actionReorder   = "reorder"
+	actionNarrow    = "narrow"
+	actionStall     = "stall"
+	actionHalfClose = "half-close"
+	actionGarble    = "garble"
+
+	// To processes.
+	actionKill        = "kill"
+	actionWipe        = "wipe"
+	actionPause       = "pause"
+	actionRestart     = "restart"
+	actionReplace     = "replace"
+	actionLeave       = "leave"
+	actionLateRuntime = "late-runtime"
+	actionSlowRuns    = "slow-runs"
+	actionFailRuns    = "fail-runs"
+	actionLoseRuns    = "lose-runs"
+	actionKeys        = "keys"
+	actionSeeds       = "seeds"
+	actionFlood       = "flood"
+
+	// To the load and the coordinators.
+	actionBurst = "burst"
+	actionAgree = "agree"
+)
+
+// Whom a script names: values of config.DrillSelector.Kind.
+const (
+	selectAll          = "all"
+	selectInstances    = "instances"
+	selectProxies      = "relays"
+	selectAllocators   = "desks"
+	selectCoordinators = "stewards"
+	selectRest         = "rest"
+	selectZone         = "zone"
+	selectRelease      = "release"
+	selectProcess      = "process"
+	selectFirst        = "first"
+	selectDraw         = "draw"
+)
+
+// Event is one moment of the timeline: a fault begins or ends.
 type Event struct {
-	At       time.Duration
+	At       time.Duration // since the start of the load
 	Fault    *config.DrillFault
-	Undo     bool
-	Targets  []int // processes, by number
-	From, To []int
-	checked  bool // it was judged
+	Undo     bool  // it ends
+	Targets  []int // indexes of processes; nil: it is a fault of links
+	From, To []int // indexes of processes, of a fault of links
+	checked  bool  // the invariants were checked after it
 }
 
+// String returns the event as it is printed and recorded.
 func (e Event) String() string {
 	action := e.Fault.Action
 	if e.Undo {
 		action = "over: " + action
 	}
-	targets := fmt.Sprint("on ", abbreviate(e.Targets))
-	if e.Fault.Action == "agree" {
-		return fmt.Sprintf("%6.2fs %s: %s", e.At.Seconds(), e.Fault.Name, e.Fault.Command)
-	}
-	if e.Targets == nil {
-		targets = fmt.Sprint(abbreviate(e.From), " -> ", abbreviate(e.To))
+	prefix := fmt.Sprintf("%6.2fs %s: ", e.At.Seconds(), e.Fault.Name)
+	switch {
+	case e.Fault.Action == actionAgree:
+		return prefix + e.Fault.Command
+	case e.Targets == nil:
+		return prefix + action + " " + abbreviate(e.From) + " -> " + abbreviate(e.To)
 	}
-	return fmt.Sprintf("%6.2fs %s: %s %s", e.At.Seconds(), e.Fault.Name, action, targets)
+	return prefix + action + " on " + abbreviate(e.Targets)
 }
 
-// abbreviate writes many numbers as how many and the first few.
+// abbreviate returns numbers as text: all of a few, of many the first ones and their count.
 func abbreviate(numbers []int) string {
-	if len(numbers) <= 6 {
+	const few, shown = 6, 4
+	if len(numbers) <= few {
 		return strings.Trim(fmt.Sprint(numbers), "[]")
 	}
-	return fmt.Sprintf("%s ... (%d)", strings.Trim(fmt.Sprint(numbers[:4]), "[]"), len(numbers))
+	return fmt.Sprintf("%s ... (%d)", strings.Trim(fmt.Sprint(numbers[:shown]), "[]"), len(numbers))
 }
 
-// Timeline draws what is done when and to whom: the same seed draws the same.
+// Timeline returns the events of a script in their order. The same seed gives the same.
 func Timeline(script *config.Drill) []Event {
 	var events []Event
 	for i := range script.Faults {
-		fault := &script.Faults[i]
-		// Each has chance of its own, so that a fault more or less in the script leaves the others as they were.
-		random := rand.New(rand.NewPCG(script.RandomSeed, uint64(i)+1))
-		start := fault.Earliest + time.Duration(random.Float64()*float64(fault.Latest-fault.Earliest))
-		event := Event{At: start, Fault: fault}
-		if fault.Action == "agree" {
-			event.Targets = []int{}
-		} else if fault.Targets.Kind != "" {
-			event.Targets = selectProcesses(fault.Targets, script, nil, random)
-		} else {
-			event.From = selectProcesses(fault.From, script, nil, random)
-			event.To = selectProcesses(fault.To, script, event.From, random)
-		}
-		events = append(events, event)
-		if fault.Duration > 0 {
-			event.At, event.Undo = start+fault.Duration, true
-			events = append(events, event)
-		}
+		events = append(events, faultEvents(script, i)...)
 	}
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	return events
 }
 
-func selectProcesses(group config.DrillSelector, script *config.Drill, except []int, random *rand.Rand) (selected []int) {
-	everybody := make([]int, script.Instances+script.Proxies+script.Allocators+script.Coordinators)
-	for i := range everybody {
-		everybody[i] = i
+// faultEvents returns the beginning of a fault, and its end if it has one. Each fault has random numbers of its own, so
+// that one more or less in the script leaves the others as they were.
+func faultEvents(script *config.Drill, index int) []Event {
+	fault := &script.Faults[index]
+	random := rand.New(rand.NewPCG(script.RandomSeed, uint64(index)+1))
+	begin := Event{
+		At:    fault.Earliest + time.Duration(random.Float64()*float64(fault.Latest-fault.Earliest)),
+		Fault: fault,
+	}
+	switch {
+	case fault.Action == actionAgree:
+		begin.Targets = []int{}
+	case fault.Targets.Kind != "":
+		begin.Targets = selectProcesses(fault.Targets, script, nil, random)
+	default:
+		begin.From = selectProcesses(fault.From, script, nil, random)
+		begin.To = selectProcesses(fault.To, script, begin.From, random)
+	}
+	if fault.Duration <= 0 {
+		return []Event{begin}
+	}
+	end := begin
+	end.At += fault.Duration
+	end.Undo = true
+	return []Event{begin, end}
+}
+
+// layout is where the kinds of processes are: instances first, then proxies, allocators and coordinators.
+type layout struct {
+	proxies, allocators, coordinators, end int // first index of each kind
+}
+
+func layoutOf(script *config.Drill) layout {
+	var l layout
+	l.proxies = script.Instances
+	l.allocators = l.proxies + script.Proxies
+	l.coordinators = l.allocators + script.Allocators
+	l.end = l.coordinators + script.Coordinators
+	return l
+}
+
+// selectProcesses returns the indexes of the processes that a selector names; except are those at a link's other end.
+func selectProcesses(selector config.DrillSelector, script *config.Drill, except []int, random *rand.Rand) []int {
+	l := layoutOf(script)
+	all := make([]int, l.end)
+	for i := range all {
+		all[i] = i
 	}
-	switch group.Kind {
-	case "all":
-		return everybody
-	case "instances":
-		return everybody[:script.Instances]
-	case "relays":
-		return everybody[script.Instances : script.Instances+script.Proxies]
-	case "desks":
-		return everybody[script.Instances+script.Proxies : script.Instances+script.Proxies+script.Allocators]
-	case "stewards":
-		return everybody[script.Instances+script.Proxies+script.Allocators:]
-	case "rest":
-		return slices.DeleteFunc(everybody, func(i int) bool { return slices.Contains(except, i) })
-	case "zone", "release":
-		for i := range everybody {
-			if zoneOf(script, i) == group.Name && group.Kind == "zone" || releaseOf(script, i) == group.Name && group.Kind == "release" {
-				selected = append(selected, i)
-			}
-		}
-	case "process":
-		selected = []int{min(group.Count, len(everybody)-1)}
-	case "first":
-		selected = everybody[:group.Count]
-	case "draw":
-		count := group.Count
-		if group.Fraction > 0 {
-			count = int(group.Fraction*float64(script.Instances) + 0.5)
-		}
-		selected = random.Perm(script.Instances)[:count]
-		slices.Sort(selected)
+	switch selector.Kind {
+	case selectAll:
+		return all
+	case selectInstances:
+		return all[:l.proxies]
+	case selectProxies:
+		return all[l.proxies:l.allocators]
+	case selectAllocators:
+		return all[l.allocators:l.coordinators]
+	case selectCoordinators:
+		return all[l.coordinators:]
+	case selectRest:
+		return slices.DeleteFunc(all, func(i int) bool { return slices.Contains(except, i) })
+	case selectZone:
+		return slices.DeleteFunc(all, func(i int) bool { return zoneOf(script, i) != selector.Name })
+	case selectRelease:
+		return slices.DeleteFunc(all, func(i int) bool { return releaseOf(script, i) != selector.Name })
+	case selectProcess:
+		return []int{min(selector.Count, len(all)-1)}
+	case selectFirst:
+		return all[:selector.Count]
+	case selectDraw:
+		return drawInstances(selector, script.Instances, random)
 	}
-	return selected
+	return nil
 }
 
+func drawInstances(selector config.DrillSelector, instances int, random *rand.Rand) []int {
+	count := selector.Count
+	if selector.Fraction > 0 {
+		count = int(selector.Fraction*float64(instances) + 0.5)
+	}
+	drawn := random.Perm(instances)[:count]
+	slices.Sort(drawn)
+	return drawn
+}
+
+// zoneOf returns the zone of a process.
 func zoneOf(script *config.Drill, index int) string { return script.Zones[index%len(script.Zones)] }
+
+// releaseOf returns the release that a process starts on.
 func releaseOf(script *config.Drill, index int) string {
 	return script.Releases[index/len(script.Zones)%len(script.Releases)]
 }
--- /dev/null
+++ b/internal/drill/timeline_test.go
@@ -0,0 +1,99 @@
+package drill
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+
+	"lanewheel/internal/config"
+	"lanewheel/internal/diagnostic"
+)
+
+const timelineScript = `[drill]
+processes = 12
+zones = a, b, c
+seed = 7
+[fault halves]
+do = swallow
+from = draw 50%
+to = rest
+both = yes
+at = 1s..3s
+for = 2s
+[fault zone]
+do = kill
+on = zone b
+at = 2s
+for = 1s
+[fault few]
+do = restart
+on = draw 3
+at = 4s..6s
+`
+
+func timelineText(text string, seed uint64) (lines string) {
+	script, err := config.ParseDrill("x.ini", []byte(text))
+	if err != nil {
+		panic(err)
+	}
+	script.RandomSeed = seed
+	for _, event := range Timeline(&script) {
+		lines += event.String() + "\n"
+	}
+	return lines
+}
+
+// Example_timeline draws the same events by the same seed; another seed draws other times and processes.
+func Example_timeline() {
+	first := timelineText(timelineScript, 7)
+	fmt.Print(first)
+	fmt.Println(timelineText(timelineScript, 7) == first, timelineText(timelineScript, 8) == first)
+	// Output:
+	// 1.98s halves: swallow 3 5 6 8 10 11 -> 0 1 2 4 7 9
+	//   2.00s zone: kill on 1 4 7 10
+	//   3.00s zone: over: kill on 1 4 7 10
+	//   3.98s halves: over: swallow 3 5 6 8 10 11 -> 0 1 2 4 7 9
+	//   5.71s few: restart on 0 5 9
+	// true false
+}
+
+// Example_invalid shows that all that is wrong with a script is reported, each with its line.
+//
+//nolint:lll // each diagnostic is one line
+func Example_invalid() {
+	_, err := config.ParseDrill("x.ini", []byte("[drill]\nprocesses = 1\nspeed = 3\n"+
+		"[fault a]\ndo = explode\nat = 3s..1s\n"+
+		"[fault b]\ndo = lose\non = zone q\n"))
+	var diagnostics diagnostic.List
+	fmt.Println(errors.As(err, &diagnostics))
+	for _, d := range diagnostics {
+		fmt.Println(d)
+	}
+	// Output:
+	// true
+	// x.ini:2: drill.processes: is "1", wants a whole number from 2 to 1000
+	// x.ini:3: drill.speed: is no name of this section; wants calls-take, desks, for, mean, memory-mb, processes, rate, relays, releases, seed, seed-processes, settle, start, stewards, stubs, zones
+	// x.ini:5: fault a.do: is "explode", wants one of agree, burst, delay, duplicate, fail-runs, flood, garble, half-close, keys, kill, late-runtime, leave, lose, lose-runs, narrow, pause, refuse, reorder, replace, restart, seeds, slow-runs, stall, swallow, wipe
+	// x.ini:5: fault a.do: wants what is done, as swallow or kill
+	// x.ini:6: fault a.at: is "3s..1s", wants a time, or two with .. between, from when all are up
+	// x.ini:7: fault b.at: wants a time, or two with .. between, from when all are up
+	// x.ini:7: fault b.from: wants both, from and to, as the fault is one of links
+	// x.ini:9: fault b.on: is "zone q", wants all, rest, relays, instances, desks, stewards, zone NAME, release NAME, process N, first N, draw N or draw N%
+}
+
+// TestTimelineText checks how many processes are abbreviated.
+func TestTimelineText(t *testing.T) {
+	for _, test := range []struct {
+		numbers []int
+		want    string
+	}{
+		{nil, ""},
+		{[]int{3}, "3"},
+		{[]int{1, 2, 3, 4, 5, 6}, "1 2 3 4 5 6"},
+		{[]int{1, 2, 3, 4, 5, 6, 7}, "1 2 3 4 ... (7)"},
+	} {
+		if got := abbreviate(test.numbers); got != test.want {
+			t.Errorf("%v is %q, want %q", test.numbers, got, test.want)
+		}
+	}
+}
