--- a/internal/authz/rights_test.go
+++ b/internal/authz/rights_test.go
@@ -11,10 +11,11 @@
 	"pgregory.net/rapid"
 
 	"lanewheel/admission"
-	"lanewheel/internal/rapidtest"
+	_ "lanewheel/internal/rapidtest"
+	"lanewheel/internal/setuptest"
 )
 
-var policy = rapidtest.Must(NewPolicy([]Role{
+var policy = setuptest.Must(NewPolicy([]Role{
 	{Name: "crew", Classes: []admission.Class{"view", "set"}, CanRead: true, CanWrite: true, RatePerSecond: 10, Burst: 2, MaxInFlight: 3},
 	{Name: "viewer", Classes: []admission.Class{"view"}, CanRead: true},
 	{Name: "desk", Classes: []admission.Class{wildcard}, Tenants: []admission.TenantID{wildcard}, CanRead: true, CanWrite: true},
@@ -159,7 +160,7 @@
 				Roles:  []RoleName{roles[rapid.IntRange(0, len(roles)-1).Draw(t, "role")].Name}})
 		}
 		writes := rapid.SliceOfN(rapid.SampledFrom(kinds[:2]), 0, 1).Draw(t, "writes")
-		b := rapidtest.Must(NewPolicy(roles, callers, writes, nil))
+		b := setuptest.Must(NewPolicy(roles, callers, writes, nil))
 		name := rapid.SampledFrom([]string{"uri:a", "uri:ab", "uri:abc", "uri:c", "dns:a", "dns:b", "token:q"}).Draw(t, "name")
 		ask := Request{rapid.SampledFrom(kinds[:2]).Draw(t, "kind"), rapid.SampledFrom(tenants[:3]).Draw(t, "asks"), rapid.Bool().Draw(t, "write")}
 
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -8,33 +8,33 @@
 	"testing"
 	"time"
 
-	"lanewheel/internal/rapidtest"
+	"lanewheel/internal/setuptest"
 )
 
 var (
 	start          = time.Unix(1_800_000_000, 0)
-	authority      = rapidtest.Must(NewAuthority("water", start, 1000*time.Hour))
-	otherAuthority = rapidtest.Must(NewAuthority("roads", start, 1000*time.Hour))
+	authority      = setuptest.Must(NewAuthority("water", start, 1000*time.Hour))
+	otherAuthority = setuptest.Must(NewAuthority("roads", start, 1000*time.Hour))
 )
 
 func encodeCertificates(pairs ...KeyPair) (all []byte) {
 	for _, p := range pairs {
 		cert, _, err := p.EncodePEM()
-		all = append(all, rapidtest.Must(cert, err)...)
+		all = append(all, setuptest.Must(cert, err)...)
 	}
 	return all
 }
 
 func issueDevice(a KeyPair, uri string) KeyPair {
-	return rapidtest.Must(a.Issue(Subject{CommonName: "handheld", URIs: []string{uri}, Hosts: []string{"h.example", "10.0.0.1"}}, false, start, 10*time.Hour))
+	return setuptest.Must(a.Issue(Subject{CommonName: "handheld", URIs: []string{uri}, Hosts: []string{"h.example", "10.0.0.1"}}, false, start, 10*time.Hour))
 }
 
 // What a chain proves, and each way in which it proves nothing.
 func Example() {
 	good, taken, foreign := issueDevice(authority, "rota://water/7"), issueDevice(authority, "rota://water/8"), issueDevice(otherAuthority, "rota://water/7")
-	server := rapidtest.Must(authority.Issue(Subject{CommonName: "node"}, true, start, time.Hour))
-	list := rapidtest.Must(authority.Revoke(nil, []*big.Int{taken.Certificate.SerialNumber}, start, 2*time.Hour))
-	t := rapidtest.Must(NewTrustStore(encodeCertificates(authority), list, time.Hour, false, start))
+	server := setuptest.Must(authority.Issue(Subject{CommonName: "node"}, true, start, time.Hour))
+	list := setuptest.Must(authority.Revoke(nil, []*big.Int{taken.Certificate.SerialNumber}, start, 2*time.Hour))
+	t := setuptest.Must(NewTrustStore(encodeCertificates(authority), list, time.Hour, false, start))
 	show := func(name string, at time.Duration, chain ...KeyPair) {
 		var certs []*x509.Certificate
 		for _, p := range chain {
@@ -55,7 +55,7 @@
 	show("too early", -time.Hour, good)
 	show("over, and the list is old", 11*time.Hour, good)
 	show("with an old list", 3*time.Hour, good)
-	_, err := NewTrustStore(encodeCertificates(authority), rapidtest.Must(otherAuthority.Revoke(nil, nil, start, time.Hour)), 0, false, start)
+	_, err := NewTrustStore(encodeCertificates(authority), setuptest.Must(otherAuthority.Revoke(nil, nil, start, time.Hour)), 0, false, start)
 	fmt.Println(err)
 	_, err = NewTrustStore(encodeCertificates(authority), list, time.Hour, false, start.Add(3*time.Hour))
 	fmt.Println(err)
@@ -78,18 +78,18 @@
 // A proof is looked at again as lists, authorities and time change; while nothing has, that is two comparisons.
 func Example_recheck() {
 	d := issueDevice(authority, "rota://water/7")
-	t := rapidtest.Must(NewTrustStore(encodeCertificates(authority, otherAuthority), nil, 0, false, start))
+	t := setuptest.Must(NewTrustStore(encodeCertificates(authority, otherAuthority), nil, 0, false, start))
 	p, _ := t.Verify([]*x509.Certificate{d.Certificate}, start)
 	fmt.Printf("%q %v\n", t.Recheck(p, start), p.ValidAt(start.Add(10*time.Hour)))
-	list := rapidtest.Must(authority.Revoke(nil, nil, start, time.Hour))
-	t = rapidtest.Must(NewTrustStore(encodeCertificates(authority, otherAuthority), list, 0, false, start))
+	list := setuptest.Must(authority.Revoke(nil, nil, start, time.Hour))
+	t = setuptest.Must(NewTrustStore(encodeCertificates(authority, otherAuthority), list, 0, false, start))
 	fmt.Printf("%q in time %v, later %v %q\n", t.Recheck(p, start), p.ValidAt(start), p.ValidAt(start.Add(time.Hour)), t.Recheck(p, start.Add(time.Hour)))
-	t = rapidtest.Must(NewTrustStore(encodeCertificates(authority, otherAuthority), list, 0, true, start))
+	t = setuptest.Must(NewTrustStore(encodeCertificates(authority, otherAuthority), list, 0, true, start))
 	fmt.Printf("allowed: %q\n", t.Recheck(p, start.Add(time.Hour)))
-	newer := rapidtest.Must(authority.Revoke(list, []*big.Int{d.Certificate.SerialNumber}, start, time.Hour))
-	t = rapidtest.Must(NewTrustStore(encodeCertificates(authority, otherAuthority), append(newer, list...), 0, false, start)) // the older one behind it changes nothing
+	newer := setuptest.Must(authority.Revoke(list, []*big.Int{d.Certificate.SerialNumber}, start, time.Hour))
+	t = setuptest.Must(NewTrustStore(encodeCertificates(authority, otherAuthority), append(newer, list...), 0, false, start)) // the older one behind it changes nothing
 	fmt.Printf("%q\n", t.Recheck(p, start))
-	t = rapidtest.Must(NewTrustStore(encodeCertificates(otherAuthority), nil, 0, false, start))
+	t = setuptest.Must(NewTrustStore(encodeCertificates(otherAuthority), nil, 0, false, start))
 	fmt.Printf("%q\n", t.Recheck(p, start))
 	// Output:
 	// "" false
@@ -102,7 +102,7 @@
 // Files that are cut after any byte are refused, or say the same; a list that is cut never says less.
 func TestCut(t *testing.T) {
 	d := issueDevice(authority, "rota://water/7")
-	list := rapidtest.Must(authority.Revoke(nil, []*big.Int{d.Certificate.SerialNumber}, start, time.Hour))
+	list := setuptest.Must(authority.Revoke(nil, []*big.Int{d.Certificate.SerialNumber}, start, time.Hour))
 	roots := encodeCertificates(authority, otherAuthority)
 	for n := range len(list) {
 		if n > 0 && n < len(list)-1 {
@@ -120,7 +120,7 @@
 }
 
 func FuzzTrust(f *testing.F) {
-	block, _ := pem.Decode(rapidtest.Must(authority.Revoke(nil, []*big.Int{big.NewInt(7)}, start, time.Hour)))
+	block, _ := pem.Decode(setuptest.Must(authority.Revoke(nil, []*big.Int{big.NewInt(7)}, start, time.Hour)))
 	f.Add(encodeCertificates(authority), block.Bytes)
 	f.Fuzz(func(t *testing.T, roots, list []byte) {
 		_, _ = NewTrustStore(roots, pem.EncodeToMemory(&pem.Block{Type: "X509 CRL", Bytes: list}), 0, false, start)
@@ -129,7 +129,7 @@
 }
 
 func BenchmarkVerify(b *testing.B) {
-	t := rapidtest.Must(NewTrustStore(encodeCertificates(authority), rapidtest.Must(authority.Revoke(nil, nil, start, 9*time.Hour)), 0, false, start))
+	t := setuptest.Must(NewTrustStore(encodeCertificates(authority), setuptest.Must(authority.Revoke(nil, nil, start, 9*time.Hour)), 0, false, start))
 	chain := []*x509.Certificate{issueDevice(authority, "rota://water/7").Certificate}
 	p, _ := t.Verify(chain, start)
 	b.Run("anew", func(b *testing.B) {
--- a/internal/certs/golden_test.go
+++ b/internal/certs/golden_test.go
@@ -11,17 +11,17 @@
 	"time"
 
 	"lanewheel/internal/authz"
-	"lanewheel/internal/rapidtest"
+	"lanewheel/internal/setuptest"
 )
 
 // The files of testdata/golden were written by "lanewheel cert authority", "cert issue" and "cert revoke", and are
 // good until 2117 at the least. Their keys are for this test alone.
 
-func golden(name string) []byte { return rapidtest.Must(os.ReadFile("testdata/golden/" + name)) }
+func golden(name string) []byte { return setuptest.Must(os.ReadFile("testdata/golden/" + name)) }
 
 // Pairs read, and are written again to the byte; each is for what it was made for.
 func TestGoldenPairs(t *testing.T) {
-	authority := rapidtest.Must(ParseKeyPair(golden("authority.pem"), golden("authority.key")))
+	authority := setuptest.Must(ParseKeyPair(golden("authority.pem"), golden("authority.key")))
 	for _, of := range []struct {
 		name, subject string
 		usage         x509.KeyUsage
@@ -35,7 +35,7 @@
 			"false [] [node.example] [127.0.0.1]"},
 	} {
 		cert, key := golden(of.name+".pem"), golden(of.name+".key")
-		pair := rapidtest.Must(ParseKeyPair(cert, key))
+		pair := setuptest.Must(ParseKeyPair(cert, key))
 		c := pair.Certificate
 		is := fmt.Sprint(c.IsCA, c.URIs, c.DNSNames, c.IPAddresses)
 		if c.Subject.String() != of.subject || c.KeyUsage != of.usage || fmt.Sprint(c.ExtKeyUsage) != fmt.Sprint(of.extra) ||
@@ -54,8 +54,8 @@
 
 // What the stored chains prove, with the stored list and without it.
 func TestGoldenProofs(t *testing.T) {
-	trust := rapidtest.Must(NewTrustStore(golden("authority.pem"), golden("revoked.pem"), time.Hour, false, start))
-	without := rapidtest.Must(NewTrustStore(golden("authority.pem"), nil, 0, false, start))
+	trust := setuptest.Must(NewTrustStore(golden("authority.pem"), golden("revoked.pem"), time.Hour, false, start))
+	without := setuptest.Must(NewTrustStore(golden("authority.pem"), nil, 0, false, start))
 	for _, of := range []struct {
 		trust *TrustStore
 		name  string
@@ -63,7 +63,7 @@
 		names string
 	}{{trust, "client", "", "[uri:rota://water/7 dns:h.example subject:CN=handheld]"}, {trust, "taken", "revoked", ""},
 		{without, "taken", "", "[uri:rota://water/8 subject:CN=taken]"}, {trust, "server", "untrusted", ""}} {
-		p, why := of.trust.Verify(rapidtest.Must(ParseCertificates(golden(of.name+".pem"))), start)
+		p, why := of.trust.Verify(setuptest.Must(ParseCertificates(golden(of.name+".pem"))), start)
 		if why != of.why {
 			t.Errorf("%s: %q, want %q", of.name, why, of.why)
 		}
@@ -71,7 +71,7 @@
 			t.Errorf("%s proves %v", of.name, p.Identities)
 		}
 	}
-	list := rapidtest.Must(x509.ParseRevocationList(block(golden("revoked.pem"))))
+	list := setuptest.Must(x509.ParseRevocationList(block(golden("revoked.pem"))))
 	if due := trust.revocationListDue(); !due.Equal(list.NextUpdate.Add(time.Hour)) {
 		t.Errorf("due anew at %v, says %v", due, list.NextUpdate)
 	}
@@ -87,15 +87,15 @@
 
 // A list goes on from the stored one: what was taken back stays so, and its number rises.
 func TestGoldenList(t *testing.T) {
-	authority := rapidtest.Must(ParseKeyPair(golden("authority.pem"), golden("authority.key")))
-	taken := rapidtest.Must(ParseCertificates(golden("taken.pem")))[0]
-	before := rapidtest.Must(x509.ParseRevocationList(block(golden("revoked.pem"))))
+	authority := setuptest.Must(ParseKeyPair(golden("authority.pem"), golden("authority.key")))
+	taken := setuptest.Must(ParseCertificates(golden("taken.pem")))[0]
+	before := setuptest.Must(x509.ParseRevocationList(block(golden("revoked.pem"))))
 	if before.Number.Int64() != 2 || len(before.RevokedCertificateEntries) != 1 ||
 		before.RevokedCertificateEntries[0].SerialNumber.Cmp(taken.SerialNumber) != 0 {
 		t.Fatalf("number %v, %+v", before.Number, before.RevokedCertificateEntries)
 	}
-	text := rapidtest.Must(authority.Revoke(golden("revoked.pem"), []*big.Int{big.NewInt(77)}, start, time.Hour))
-	after := rapidtest.Must(x509.ParseRevocationList(block(text)))
+	text := setuptest.Must(authority.Revoke(golden("revoked.pem"), []*big.Int{big.NewInt(77)}, start, time.Hour))
+	after := setuptest.Must(x509.ParseRevocationList(block(text)))
 	if after.Number.Int64() != 3 || len(after.RevokedCertificateEntries) != 2 ||
 		after.RevokedCertificateEntries[1].SerialNumber.Int64() != 77 ||
 		after.RevokedCertificateEntries[0].SerialNumber.Cmp(taken.SerialNumber) != 0 ||
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -18,7 +18,7 @@
 
 	"lanewheel/internal/certs"
 	"lanewheel/internal/keyring"
-	"lanewheel/internal/rapidtest"
+	"lanewheel/internal/setuptest"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew from what the code says")
@@ -75,7 +75,7 @@
 // Every command, flag and argument that there was is there, under its name, with what holds without it.
 func TestGoldenCommandLine(t *testing.T) {
 	var l commandLine
-	parser := rapidtest.Must(kong.New(&l, kong.Name("lanewheel"), kong.Writers(io.Discard, io.Discard),
+	parser := setuptest.Must(kong.New(&l, kong.Name("lanewheel"), kong.Writers(io.Discard, io.Discard),
 		kong.Vars{"user": "somebody"}))
 	var b strings.Builder
 	listCommand(&b, parser.Model.Node)
@@ -86,7 +86,7 @@
 		}
 		return
 	}
-	if want := rapidtest.Must(os.ReadFile(path)); b.String() != string(want) {
+	if want := setuptest.Must(os.ReadFile(path)); b.String() != string(want) {
 		t.Errorf("the command line is\n%s\nwant\n%s", b.String(), want)
 	}
 }
@@ -112,24 +112,24 @@
 	run(t, "keys", "publish", goldenKeys+"rs.private", "--folder", folder)
 	run(t, "keys", "retire", "rs", "--folder", folder, "--now")
 	for _, name := range []string{"ed.json", "es.json", "rs.json"} {
-		got, want := rapidtest.Must(os.ReadFile(filepath.Join(folder, name))), rapidtest.Must(os.ReadFile(goldenKeys+name))
+		got, want := setuptest.Must(os.ReadFile(filepath.Join(folder, name))), setuptest.Must(os.ReadFile(goldenKeys+name))
 		if !bytes.Equal(got, want) {
 			t.Errorf("%s is\n%swant\n%s", name, got, want)
 		}
 	}
 	run(t, "keys", "new", "--private", folder, "--algorithm", "ES256", "--id", "a/b")
-	key := rapidtest.Must(keyring.LoadPrivateKey(filepath.Join(folder, "a_b.private")))
+	key := setuptest.Must(keyring.LoadPrivateKey(filepath.Join(folder, "a_b.private")))
 	if key.KeyID != "a/b" || key.Algorithm != "ES256" {
 		t.Errorf("new key: %q %q", key.KeyID, key.Algorithm)
 	}
 	var members map[string]any
-	if err := json.Unmarshal(rapidtest.Must(os.ReadFile(filepath.Join(folder, "a_b.private"))), &members); err != nil {
+	if err := json.Unmarshal(setuptest.Must(os.ReadFile(filepath.Join(folder, "a_b.private"))), &members); err != nil {
 		t.Fatal(err)
 	}
 	if names := sortedNames(members); names != "alg crv d kid kty use x y" {
 		t.Errorf("a private key's file names %s", names)
 	}
-	if mode := rapidtest.Must(os.Stat(filepath.Join(folder, "a_b.private"))).Mode(); mode != 0o600 {
+	if mode := setuptest.Must(os.Stat(filepath.Join(folder, "a_b.private"))).Mode(); mode != 0o600 {
 		t.Errorf("a private key's file is %v", mode)
 	}
 }
@@ -151,7 +151,7 @@
 	parts := strings.Split(strings.TrimSpace(raw), ".")
 	var header, claims map[string]any
 	for i, to := range []*map[string]any{&header, &claims} {
-		if err := json.Unmarshal(rapidtest.Must(base64.RawURLEncoding.DecodeString(parts[i])), to); err != nil {
+		if err := json.Unmarshal(setuptest.Must(base64.RawURLEncoding.DecodeString(parts[i])), to); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -170,7 +170,7 @@
 		"s", "--tenant", "water", "--roles", "crew",
 		"--tenant-claim", "org", "--roles-claim", "groups")
 	claims = nil
-	if err := json.Unmarshal(rapidtest.Must(base64.RawURLEncoding.DecodeString(strings.Split(raw, ".")[1])),
+	if err := json.Unmarshal(setuptest.Must(base64.RawURLEncoding.DecodeString(strings.Split(raw, ".")[1])),
 		&claims); err != nil {
 		t.Fatal(err)
 	}
@@ -183,7 +183,7 @@
 func TestGoldenCertificates(t *testing.T) {
 	folder := t.TempDir()
 	for _, name := range []string{"authority.pem", "authority.key", "revoked.pem"} {
-		if err := os.WriteFile(filepath.Join(folder, name), rapidtest.Must(os.ReadFile("../certs/testdata/golden/"+name)),
+		if err := os.WriteFile(filepath.Join(folder, name), setuptest.Must(os.ReadFile("../certs/testdata/golden/"+name)),
 			0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -191,20 +191,20 @@
 	path := filepath.Join(folder, "new")
 	run(t, "cert", "issue", path, "--authority", folder, "--name", "handheld", "--uri", "rota://water/7", "--host",
 		"h.example", "--host", "10.0.0.1", "--for", "1h")
-	pair := rapidtest.Must(certs.ParseKeyPair(rapidtest.Must(os.ReadFile(path+".pem")), rapidtest.Must(os.ReadFile(path+".key"))))
+	pair := setuptest.Must(certs.ParseKeyPair(setuptest.Must(os.ReadFile(path+".pem")), setuptest.Must(os.ReadFile(path+".key"))))
 	if is := fmt.Sprint(pair.Certificate.Subject, pair.Certificate.URIs, pair.Certificate.DNSNames,
 		pair.Certificate.IPAddresses); is != "CN=handheld [rota://water/7] [h.example] [10.0.0.1]" {
 		t.Error(is)
 	}
 	run(t, "cert", "revoke", path+".pem", "--authority", folder, "--for", "1h")
-	if len(rapidtest.Must(os.ReadFile(filepath.Join(folder,
-		"revoked.pem")))) <= len(rapidtest.Must(os.ReadFile("../certs/testdata/golden/revoked.pem"))) {
+	if len(setuptest.Must(os.ReadFile(filepath.Join(folder,
+		"revoked.pem")))) <= len(setuptest.Must(os.ReadFile("../certs/testdata/golden/revoked.pem"))) {
 		t.Error("the list has not grown")
 	}
 	fresh := filepath.Join(folder, "fresh")
 	run(t, "cert", "authority", fresh)
 	var names []string
-	for _, e := range rapidtest.Must(os.ReadDir(fresh)) {
+	for _, e := range setuptest.Must(os.ReadDir(fresh)) {
 		names = append(names, e.Name())
 	}
 	if got := strings.Join(names, " "); got != "authority.key authority.pem revoked.pem" {
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -13,7 +13,7 @@
 	"lanewheel/internal/amqp"
 	"lanewheel/internal/balancer"
 	"lanewheel/internal/coordination"
-	"lanewheel/internal/rapidtest"
+	"lanewheel/internal/setuptest"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew from what the code reads")
@@ -423,7 +423,7 @@
 		}
 		return
 	}
-	want := strings.Split(string(rapidtest.Must(os.ReadFile(path))), "\n")
+	want := strings.Split(string(setuptest.Must(os.ReadFile(path))), "\n")
 	for i, line := range strings.Split(got, "\n") {
 		if i >= len(want) || line != want[i] {
 			t.Fatalf("%s:%d: reads as\n%s\nwant\n%s", path, i+1, line, want[min(i, len(want)-1)])
@@ -437,14 +437,14 @@
 // The files that were shipped, and files that say everything there is, are read as they always were: each setting
 // by its name.
 func TestGoldenFiles(t *testing.T) {
-	files := rapidtest.Must(filepath.Glob("testdata/golden/*.ini"))
+	files := setuptest.Must(filepath.Glob("testdata/golden/*.ini"))
 	if len(files) < 25 {
 		t.Fatalf("%d golden files", len(files))
 	}
 	for _, path := range files {
 		t.Run(filepath.Base(path), func(t *testing.T) {
 			var l listing
-			listGolden(t, &l, path, rapidtest.Must(os.ReadFile(path)))
+			listGolden(t, &l, path, setuptest.Must(os.ReadFile(path)))
 			compare(t, strings.TrimSuffix(path, ".ini")+".golden", l.String())
 		})
 	}
@@ -453,19 +453,19 @@
 // Without a file, and with an empty one, what holds is as it always was.
 func TestGoldenDefaults(t *testing.T) {
 	var l listing
-	f := rapidtest.Must(Load(""))
+	f := setuptest.Must(Load(""))
 	listFile(&l, &f)
 	compare(t, "testdata/golden/without-file.golden", l.String())
 	l.Reset()
-	f = rapidtest.Must(Parse("etc/empty.ini", nil))
+	f = setuptest.Must(Parse("etc/empty.ini", nil))
 	listFile(&l, &f)
 	compare(t, "testdata/golden/empty-file.golden", l.String())
 }
 
 // Values that are set in place of a script's.
 func TestGoldenSet(t *testing.T) {
-	text := rapidtest.Must(os.ReadFile("testdata/golden/drill-release-bad.ini"))
-	d := rapidtest.Must(ParseDrill("etc/x", text, "bad-release.slow=1", "bad-release.crashes-after=8s", "drill.for=60s",
+	text := setuptest.Must(os.ReadFile("testdata/golden/drill-release-bad.ini"))
+	d := setuptest.Must(ParseDrill("etc/x", text, "bad-release.slow=1", "bad-release.crashes-after=8s", "drill.for=60s",
 		"relaying.way=random"))
 	if d.BadRelease.RunTimeFactor != 1 || d.BadRelease.CrashAfter != 8*time.Second || d.LoadDuration != time.Minute ||
 		fmt.Sprint(d.ProxySettings) != "[[way random]]" {
@@ -475,7 +475,7 @@
 
 // A file of cluster keys: one a line in base64, the one to write with first.
 func TestGoldenClusterKeys(t *testing.T) {
-	keys := rapidtest.Must(ParseClusterKeys("cluster-keys", rapidtest.Must(os.ReadFile("testdata/golden/cluster-keys.txt"))))
+	keys := setuptest.Must(ParseClusterKeys("cluster-keys", setuptest.Must(os.ReadFile("testdata/golden/cluster-keys.txt"))))
 	var want [3][]byte
 	for i, size := range []int{16, 24, 32} {
 		for n := range size {
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"lanewheel/internal/diagnostic"
-	"lanewheel/internal/rapidtest"
+	"lanewheel/internal/setuptest"
 )
 
 const validFile = `[callers]
@@ -33,11 +33,11 @@
 
 // Defaults stand where nothing is said, and paths count from the file's folder; without a file everything is off.
 func Example() {
-	f := rapidtest.Must(Parse("etc/op.ini", []byte(validFile)))
+	f := setuptest.Must(Parse("etc/op.ini", []byte(validFile)))
 	r := f.Callers.Roles[0]
 	fmt.Println(f.Callers.Enabled, r.RatePerSecond, r.Burst, r.MaxInFlight, f.Callers.Bindings[0].Patterns, f.Callers.Policy != nil)
 	fmt.Println(f.Tokens.KeyDir, f.Tokens.Policy.Leeway, f.Tokens.Limits.MaxCached, f.TLS.CertificateFile, f.TLS.MinVersion, f.TLS.RequireClientCertificate, f.TLS.AllowStaleRevocations)
-	f = rapidtest.Must(Load(""))
+	f = setuptest.Must(Load(""))
 	fmt.Println(f.Callers.Enabled, f.Tokens.Enabled, f.TLS.Enabled, f.Log.Format)
 	// Output:
 	// true 5 5 0 [uri:rota://water/*] true
@@ -74,7 +74,7 @@
 
 // The example that operators start from names every name there is.
 func TestExample(t *testing.T) {
-	text := rapidtest.Must(os.ReadFile("../../deploy/edge.ini"))
+	text := setuptest.Must(os.ReadFile("../../deploy/edge.ini"))
 	if _, err := Parse("edge.ini", text); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/keyring/golden_test.go
+++ b/internal/keyring/golden_test.go
@@ -10,7 +10,7 @@
 	"github.com/go-jose/go-jose/v4"
 
 	"lanewheel/internal/authz"
-	"lanewheel/internal/rapidtest"
+	"lanewheel/internal/setuptest"
 )
 
 // The files of testdata/golden were written by "lanewheel keys new", "keys publish" and "keys retire". Their keys
@@ -20,12 +20,12 @@
 func TestGoldenPrivate(t *testing.T) {
 	for name, algorithm := range map[string]string{"ed": "EdDSA", "es": "ES256", "rs": "RS256"} {
 		path := filepath.Join("testdata/golden", name+".private")
-		key := rapidtest.Must(LoadPrivateKey(path))
+		key := setuptest.Must(LoadPrivateKey(path))
 		if key.KeyID != name || key.Algorithm != algorithm || key.Use != "sig" || !key.Valid() || key.IsPublic() {
 			t.Errorf("%s: kid %q, alg %q, use %q", path, key.KeyID, key.Algorithm, key.Use)
 		}
-		text := append(rapidtest.Must(key.MarshalJSON()), '\n')
-		if want := rapidtest.Must(os.ReadFile(path)); !bytes.Equal(text, want) {
+		text := append(setuptest.Must(key.MarshalJSON()), '\n')
+		if want := setuptest.Must(os.ReadFile(path)); !bytes.Equal(text, want) {
 			t.Errorf("%s is written as\n%swant\n%s", path, text, want)
 		}
 	}
@@ -33,7 +33,7 @@
 
 // A folder of published keys reads with all that each says, and each file is written again to the byte.
 func TestGoldenPublished(t *testing.T) {
-	set := rapidtest.Must(LoadSet("testdata/golden"))
+	set := setuptest.Must(LoadSet("testdata/golden"))
 	from, until := time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC), time.Date(2066, 1, 1, 0, 0, 0, 0, time.UTC)
 	want := []struct {
 		id          KeyID
@@ -65,9 +65,9 @@
 			}
 		}
 		path := filepath.Join("testdata/golden", string(w.id))
-		private := rapidtest.Must(LoadPrivateKey(path + ".private"))
-		text := rapidtest.Must(EncodePublic(private, k.NotBefore, k.RetireAt, k.Withdrawn))
-		if stored := rapidtest.Must(os.ReadFile(path + ".json")); !bytes.Equal(text, stored) {
+		private := setuptest.Must(LoadPrivateKey(path + ".private"))
+		text := setuptest.Must(EncodePublic(private, k.NotBefore, k.RetireAt, k.Withdrawn))
+		if stored := setuptest.Must(os.ReadFile(path + ".json")); !bytes.Equal(text, stored) {
 			t.Errorf("%s is published as\n%swant\n%s", w.id, text, stored)
 		}
 	}
--- a/internal/keyring/keyring_test.go
+++ b/internal/keyring/keyring_test.go
@@ -12,14 +12,15 @@
 	"pgregory.net/rapid"
 
 	"lanewheel/internal/authz"
-	"lanewheel/internal/rapidtest"
+	_ "lanewheel/internal/rapidtest"
+	"lanewheel/internal/setuptest"
 )
 
 var start = time.Unix(1_800_000_000, 0)
 
 // encodeTestKey makes a key's file; from and until are seconds after start, 0 for none.
 func encodeTestKey(id, algorithm string, from, until int, withdrawn bool) []byte {
-	k := rapidtest.Must(GenerateKey(algorithm))
+	k := setuptest.Must(GenerateKey(algorithm))
 	k.KeyID = id
 	at := func(s int) time.Time {
 		if s == 0 {
@@ -27,13 +28,13 @@
 		}
 		return start.Add(time.Duration(s) * time.Second)
 	}
-	return rapidtest.Must(EncodePublic(*k, at(from), at(until), withdrawn))
+	return setuptest.Must(EncodePublic(*k, at(from), at(until), withdrawn))
 }
 
 // A key counts from its not-before until its retire-at, to the moment; what was taken back, what is gone and what nobody
 // knows are told apart.
 func Example_times() {
-	set := rapidtest.Must(ParseSet(map[string][]byte{"a.json": encodeTestKey("a", "EdDSA", 10, 20, false), "b.json": encodeTestKey("b", "ES256", 0, 0, false),
+	set := setuptest.Must(ParseSet(map[string][]byte{"a.json": encodeTestKey("a", "EdDSA", 10, 20, false), "b.json": encodeTestKey("b", "ES256", 0, 0, false),
 		"c.json": encodeTestKey("c", "RS256", 0, 0, true)}))
 	r := NewKeyring(set, time.Second)
 	for _, s := range []int{9, 10, 19, 20} {
@@ -45,7 +46,7 @@
 		fmt.Printf("%s %q ", id, why)
 	}
 	fmt.Println(r.Replace(set), r.Generation())
-	fmt.Println(r.Replace(rapidtest.Must(ParseSet(map[string][]byte{"c.json": encodeTestKey("d", "EdDSA", 0, 0, false)}))), r.Generation())
+	fmt.Println(r.Replace(setuptest.Must(ParseSet(map[string][]byte{"c.json": encodeTestKey("d", "EdDSA", 0, 0, false)}))), r.Generation())
 	_, gone := r.Find("b", start)
 	fmt.Println(gone)
 	// Output:
@@ -57,7 +58,7 @@
 // What is wrong with a folder is told by file, line and name; with one thing wrong nothing of it counts.
 func Example_faults() {
 	good := string(encodeTestKey("a", "EdDSA", 0, 0, false))
-	private := string(rapidtest.Must(rapidtest.Must(GenerateKey("EdDSA")).MarshalJSON()))
+	private := string(setuptest.Must(setuptest.Must(GenerateKey("EdDSA")).MarshalJSON()))
 	for _, text := range []string{`{"keys":[`, `{}`, `{"keys":[{"kty":"oct","kid":"s","k":"c2VjcmV0"}]}`, `{"keys":[` + private + `]}`,
 		strings.Replace(good, `"kid"`, `"nbf": 1800000000000, "kid"`, 1), strings.Replace(good, `"alg": "EdDSA"`, `"alg": "RS256"`, 1),
 		strings.Replace(good, `"kid"`, `"kid": "z", "kid"`, 1), strings.Replace(good, `"a"`, `""`, 1),
@@ -82,7 +83,7 @@
 
 // Ever so many unknown ids lead to one look a second; a key that is published after a look is found by the next.
 func Example_reloads() {
-	r := NewKeyring(rapidtest.Must(ParseSet(nil)), time.Second)
+	r := NewKeyring(setuptest.Must(ParseSet(nil)), time.Second)
 	say := func(now time.Duration, id KeyID) {
 		step, after := r.ResolveUnknown(now, id)
 		fmt.Print(now, " ", id, [...]string{" deny", " look", " await", " later "}[step], after, "; ")
@@ -93,7 +94,7 @@
 	say(0, "x")
 	say(300*time.Millisecond, "y")
 	say(time.Second, "y")
-	r.Replace(rapidtest.Must(ParseSet(map[string][]byte{"y.json": encodeTestKey("y", "EdDSA", 0, 0, false)})))
+	r.Replace(setuptest.Must(ParseSet(map[string][]byte{"y.json": encodeTestKey("y", "EdDSA", 0, 0, false)})))
 	r.ReloadDone([]KeyID{"y"})
 	_, why := r.Find("y", start)
 	fmt.Printf("%q\n", why)
@@ -123,12 +124,12 @@
 
 // Files are replaced whole, private keys are for their owner, and what is being written is no part of the folder.
 func Example_write() {
-	dir := rapidtest.Must(os.MkdirTemp("", "keys"))
+	dir := setuptest.Must(os.MkdirTemp("", "keys"))
 	defer os.RemoveAll(dir)
 	path := filepath.Join(dir, "a.json")
 	fmt.Println(WriteFileAtomic(path, encodeTestKey("a", "EdDSA", 0, 0, false), 0o600))
 	_ = os.WriteFile(filepath.Join(dir, ".b.json.new"), []byte("{"), 0o600)
-	fmt.Println(rapidtest.Must(os.Stat(path)).Mode(), len(rapidtest.Must(LoadSet(dir)).Keys()))
+	fmt.Println(setuptest.Must(os.Stat(path)).Mode(), len(setuptest.Must(LoadSet(dir)).Keys()))
 	_ = os.WriteFile(filepath.Join(dir, "b.json"), bytes.Repeat([]byte{' '}, maxFileBytes+1), 0o600)
 	_, err := LoadSet(dir)
 	fmt.Println(strings.ReplaceAll(err.Error(), dir, "DIR"))
@@ -150,7 +151,7 @@
 		return pool[name]
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		r := NewKeyring(rapidtest.Must(ParseSet(nil)), time.Second)
+		r := NewKeyring(setuptest.Must(ParseSet(nil)), time.Second)
 		ever := map[string]bool{}
 		for range rapid.IntRange(1, 6).Draw(t, "reloads") {
 			files := map[string][]byte{}
@@ -162,7 +163,7 @@
 					ever[id] = true
 				}
 			}
-			r.Replace(rapidtest.Must(ParseSet(files)))
+			r.Replace(setuptest.Must(ParseSet(files)))
 			at := rapid.IntRange(0, 7).Draw(t, "at")
 			for _, id := range []string{"a", "b", "c", "d"} {
 				want := authz.Denial("")
--- a/internal/rapidtest/rapidtest.go
+++ b/internal/rapidtest/rapidtest.go
@@ -15,11 +15,3 @@
 		}
 	}
 }
-
-// Must gives a value, for an example or a test whose set-up cannot fail; it panics if it does.
-func Must[T any](value T, err error) T {
-	if err != nil {
-		panic(err)
-	}
-	return value
-}
--- a/internal/rapidtest/rapidtest_test.go
+++ b/internal/rapidtest/rapidtest_test.go
@@ -1,7 +1,6 @@
 package rapidtest
 
 import (
-	"errors"
 	"flag"
 	"testing"
 )
@@ -13,17 +12,3 @@
 		}
 	}
 }
-
-func TestMust(t *testing.T) {
-	if got := Must(3, nil); got != 3 {
-		t.Errorf("Must(3, nil) = %d", got)
-	}
-	failure := errors.New("failed")
-	defer func() {
-		recovered := recover()
-		if err, isError := recovered.(error); !isError || !errors.Is(err, failure) {
-			t.Errorf("panicked with %v, want %v", recovered, failure)
-		}
-	}()
-	Must(0, failure)
-}
--- a/internal/tokens/golden_test.go
+++ b/internal/tokens/golden_test.go
@@ -13,7 +13,7 @@
 
 	"lanewheel/internal/authz"
 	"lanewheel/internal/keyring"
-	"lanewheel/internal/rapidtest"
+	"lanewheel/internal/setuptest"
 )
 
 // The tokens of testdata/golden were issued by "lanewheel token issue", with the keys of
@@ -23,7 +23,7 @@
 func goldenPart(t *testing.T, raw string, n int) map[string]any {
 	t.Helper()
 	var members map[string]any
-	if err := json.Unmarshal(rapidtest.Must(base64.RawURLEncoding.DecodeString(strings.Split(raw, ".")[n])),
+	if err := json.Unmarshal(setuptest.Must(base64.RawURLEncoding.DecodeString(strings.Split(raw, ".")[n])),
 		&members); err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 
 // Tokens of each algorithm verify, prove what they were issued for, and name their claims as ever.
 func TestGoldenTokens(t *testing.T) {
-	keys := rapidtest.Must(keyring.LoadSet("../keyring/testdata/golden"))
+	keys := setuptest.Must(keyring.LoadSet("../keyring/testdata/golden"))
 	find := func(id keyring.KeyID) (*keyring.Key, authz.Denial) {
 		if k := keys.Find(id); k != nil {
 			return k, "" // whether it counts is decided in keyring
@@ -57,7 +57,7 @@
 			[]string{"org", "groups"}},
 		"rs": {"RS256", p, Claims{Subject: "handheld-9", ID: "t-rs", KeyID: "rs"}, nil},
 	} {
-		raw := strings.TrimSpace(string(rapidtest.Must(os.ReadFile(filepath.Join("testdata/golden", name+".jwt")))))
+		raw := strings.TrimSpace(string(setuptest.Must(os.ReadFile(filepath.Join("testdata/golden", name+".jwt")))))
 		got, why := Verify(raw, find, of.policy)
 		if why != "" {
 			t.Errorf("%s: %s", name, why)
@@ -99,7 +99,7 @@
 
 // A list of what was taken back.
 func TestGoldenRevocations(t *testing.T) {
-	r, line := ParseRevocations(string(rapidtest.Must(os.ReadFile("testdata/golden/revoked.txt"))))
+	r, line := ParseRevocations(string(setuptest.Must(os.ReadFile("testdata/golden/revoked.txt"))))
 	if line != 0 {
 		t.Fatalf("line %d is wrong", line)
 	}
--- a/internal/tokens/tokens_test.go
+++ b/internal/tokens/tokens_test.go
@@ -16,7 +16,8 @@
 
 	"lanewheel/internal/authz"
 	"lanewheel/internal/keyring"
-	"lanewheel/internal/rapidtest"
+	_ "lanewheel/internal/rapidtest"
+	"lanewheel/internal/setuptest"
 )
 
 var (
@@ -27,7 +28,7 @@
 
 func keyPair(id, algorithm string) *jose.JSONWebKey {
 	if keyPairs[id] == nil {
-		keyPairs[id] = rapidtest.Must(keyring.GenerateKey(algorithm))
+		keyPairs[id] = setuptest.Must(keyring.GenerateKey(algorithm))
 		keyPairs[id].KeyID = id
 	}
 	return keyPairs[id]
@@ -38,9 +39,9 @@
 	files := map[string][]byte{}
 	for _, id := range ids {
 		name, back := strings.CutSuffix(id, "!")
-		files[name+".json"] = rapidtest.Must(keyring.EncodePublic(*keyPair(name, "EdDSA"), start.Add(-time.Hour), start.Add(time.Hour), back))
+		files[name+".json"] = setuptest.Must(keyring.EncodePublic(*keyPair(name, "EdDSA"), start.Add(-time.Hour), start.Add(time.Hour), back))
 	}
-	return rapidtest.Must(keyring.ParseSet(files))
+	return setuptest.Must(keyring.ParseSet(files))
 }
 
 func keyFinder(s *keyring.KeySet, wall time.Time) func(keyring.KeyID) (*keyring.Key, authz.Denial) {
@@ -60,8 +61,8 @@
 
 func signToken(k *jose.JSONWebKey, c jwt.Claims, header map[jose.HeaderKey]any) string {
 	o := &jose.SignerOptions{ExtraHeaders: header}
-	s := rapidtest.Must(jose.NewSigner(jose.SigningKey{Algorithm: jose.SignatureAlgorithm(k.Algorithm), Key: k}, o))
-	return rapidtest.Must(jwt.Signed(s).Claims(c).Claims(map[string]any{"tenant": "water", "roles": []string{"crew"}}).Serialize())
+	s := setuptest.Must(jose.NewSigner(jose.SigningKey{Algorithm: jose.SignatureAlgorithm(k.Algorithm), Key: k}, o))
+	return setuptest.Must(jwt.Signed(s).Claims(c).Claims(map[string]any{"tenant": "water", "roles": []string{"crew"}}).Serialize())
 }
 
 // Each way in which a token proves nothing; the algorithm is the key's, whatever the token says.
@@ -69,13 +70,13 @@
 	ed, es, rs := keyPair("ed", "EdDSA"), keyPair("es", "ES256"), keyPair("rs", "RS256")
 	files := map[string][]byte{}
 	for _, k := range []*jose.JSONWebKey{ed, es, rs} {
-		files[k.KeyID] = rapidtest.Must(keyring.EncodePublic(*k, start, time.Time{}, false))
+		files[k.KeyID] = setuptest.Must(keyring.EncodePublic(*k, start, time.Time{}, false))
 	}
-	keys := rapidtest.Must(keyring.ParseSet(files))
+	keys := setuptest.Must(keyring.ParseSet(files))
 	// The public half of an RSA key as the secret of an HMAC; an Ed25519 signature under the id of another kind of key.
-	der := rapidtest.Must(x509.MarshalPKIXPublicKey(rs.Public().Key.(*rsa.PublicKey)))
+	der := setuptest.Must(x509.MarshalPKIXPublicKey(rs.Public().Key.(*rsa.PublicKey)))
 	secret := pem.EncodeToMemory(&pem.Block{Type: "PUBLIC KEY", Bytes: der})
-	hmac := rapidtest.Must(jose.NewSigner(jose.SigningKey{Algorithm: jose.HS256, Key: jose.JSONWebKey{Key: secret, KeyID: "rs"}}, nil))
+	hmac := setuptest.Must(jose.NewSigner(jose.SigningKey{Algorithm: jose.HS256, Key: jose.JSONWebKey{Key: secret, KeyID: "rs"}}, nil))
 	posing := *ed
 	posing.KeyID = "rs"
 	good := signToken(ed, claims(nil), nil)
@@ -89,7 +90,7 @@
 	show("ES256", signToken(es, claims(nil), nil))
 	show("RS256", signToken(rs, claims(nil), nil))
 	show("none", b64(`{"alg":"none","kid":"ed"}`)+"."+parts[1]+".")
-	show("hmac", rapidtest.Must(jwt.Signed(hmac).Claims(claims(nil)).Serialize()))
+	show("hmac", setuptest.Must(jwt.Signed(hmac).Claims(claims(nil)).Serialize()))
 	show("posing", signToken(&posing, claims(nil), nil))
 	show("crit", signToken(ed, claims(nil), map[jose.HeaderKey]any{"crit": []string{"b64"}, "b64": true}))
 	show("forged", parts[0]+"."+parts[1]+"."+b64(strings.Repeat("x", 64)))
@@ -451,7 +452,7 @@
 func BenchmarkVerify(b *testing.B) {
 	for _, algorithm := range []string{"EdDSA", "ES256", "RS256"} {
 		k := keyPair("bench-"+algorithm, algorithm)
-		find := keyFinder(rapidtest.Must(keyring.ParseSet(map[string][]byte{"k": rapidtest.Must(keyring.EncodePublic(*k, time.Time{}, time.Time{}, false))})), start)
+		find := keyFinder(setuptest.Must(keyring.ParseSet(map[string][]byte{"k": setuptest.Must(keyring.EncodePublic(*k, time.Time{}, time.Time{}, false))})), start)
 		raw := signToken(k, claims(nil), nil)
 		b.Run(algorithm, func(b *testing.B) {
 			for range b.N {
