--- a/internal/fleet/gossip/agent_test.go
+++ b/internal/fleet/gossip/agent_test.go
@@ -22,6 +22,7 @@
 		defer close(stopped)
 		agent.Run(func() {})
 	}()
+	events := delegate{agent}
 	node := &memberlist.Node{
 		Name: membership.ID{Name: "red", BootID: 1}.String(),
 		Addr: net.IPv4(10, 0, 0, 9),
@@ -38,8 +39,8 @@
 	go func() { // what memberlist does meanwhile; each answer is right, as the configuration is on its way
 		defer close(received)
 		for range 10_000 {
-			_ = agent.NotifyAlive(node)
-			agent.MergeRemoteState(nil, false)
+			_ = events.NotifyAlive(node)
+			events.MergeRemoteState(nil, false)
 		}
 	}()
 	for range 100 {
@@ -59,7 +60,7 @@
 		case <-time.After(10 * time.Second):
 			t.Fatal("the configuration was not applied")
 		}
-		if err := agent.NotifyAlive(node); (err == nil) != step.accepted {
+		if err := events.NotifyAlive(node); (err == nil) != step.accepted {
 			t.Errorf("with %d members at most: %v", step.config.Membership.MaxMembers, err)
 		}
 	}
--- a/internal/fleet/gossip/delegate.go
+++ b/internal/fleet/gossip/delegate.go
@@ -9,107 +9,108 @@
 	"lanewheel/internal/membership"
 )
 
-// The methods in this file are what memberlist calls, on goroutines of its own: they touch only what is atomic or
+// delegate is what memberlist calls, on goroutines of its own: its methods touch only what of the agent is atomic or
 // immutable, and post the rest to the event loop.
+type delegate struct{ agent *Agent }
 
 // NodeMeta implements memberlist.Delegate.
-func (a *Agent) NodeMeta(_ int) []byte { return encodeDescriptor(a.view.Load().Self) }
+func (d delegate) NodeMeta(_ int) []byte { return encodeDescriptor(d.agent.view.Load().Self) }
 
 // NotifyAlive implements memberlist.AliveDelegate. It refuses a node that cannot become a member before memberlist
 // spreads it, so that made-up names do not fill the fleet's memory.
-func (a *Agent) NotifyAlive(node *memberlist.Node) error {
-	err := a.admit(node)
+func (d delegate) NotifyAlive(node *memberlist.Node) error {
+	err := d.admit(node)
 	if err != nil {
-		a.rejectedDescriptors.Add(1)
+		d.agent.rejectedDescriptors.Add(1)
 	}
 	return err
 }
 
-func (a *Agent) admit(node *memberlist.Node) error {
+func (d delegate) admit(node *memberlist.Node) error {
 	descriptor, err := decodeDescriptor(node.Name, node.Address(), node.Meta)
 	if err != nil {
 		return err
 	}
-	view := a.view.Load()
+	view := d.agent.view.Load()
 	_, known := view.Get(descriptor.Name)
 	if known || descriptor.Name == view.Self.Name {
 		return nil
 	}
-	if int64(view.Len()) >= a.maxMembers.Load() && view.Count(membership.StateGone) == 0 {
+	if int64(view.Len()) >= d.agent.maxMembers.Load() && view.Count(membership.StateGone) == 0 {
 		return errTableFull
 	}
 	return nil
 }
 
 // NotifyJoin implements memberlist.EventDelegate.
-func (a *Agent) NotifyJoin(node *memberlist.Node) {
+func (d delegate) NotifyJoin(node *memberlist.Node) {
 	descriptor, err := decodeDescriptor(node.Name, node.Address(), node.Meta)
 	if err != nil {
 		return // NotifyAlive has refused and counted it
 	}
-	a.Post(func() { a.handleAlive(descriptor) })
+	d.agent.Post(func() { d.agent.handleAlive(descriptor) })
 }
 
 // NotifyUpdate implements memberlist.EventDelegate.
-func (a *Agent) NotifyUpdate(node *memberlist.Node) { a.NotifyJoin(node) }
+func (d delegate) NotifyUpdate(node *memberlist.Node) { d.NotifyJoin(node) }
 
 // NotifyLeave implements memberlist.EventDelegate: a node has left, or the failure detector does not reach it.
-func (a *Agent) NotifyLeave(node *memberlist.Node) {
+func (d delegate) NotifyLeave(node *memberlist.Node) {
 	id, ok := membership.ParseID(node.Name)
 	if !ok {
 		return
 	}
 	left := node.State == memberlist.StateLeft
-	a.Post(func() {
+	d.agent.Post(func() {
 		if left {
-			a.table.HandleLeft(id, a.Now())
+			d.agent.table.HandleLeft(id, d.agent.Now())
 		} else {
-			a.table.HandleUnreachable(id, a.Now())
+			d.agent.table.HandleUnreachable(id, d.agent.Now())
 		}
-		a.applyChanges()
+		d.agent.applyChanges()
 	})
 }
 
 // NotifyConflict implements memberlist.ConflictDelegate: one process at two addresses, which only a copied process is.
-func (a *Agent) NotifyConflict(existing, other *memberlist.Node) {
+func (d delegate) NotifyConflict(existing, other *memberlist.Node) {
 	slog.Warn("member seen at two addresses", "member_id", existing.Name, "addr", existing.Address(),
 		"other_addr", other.Address())
 }
 
 // AckPayload implements memberlist.PingDelegate: the answer to a probe carries our last heartbeat.
-func (a *Agent) AckPayload() []byte { return a.ownHeartbeat.Load().withAge() }
+func (d delegate) AckPayload() []byte { return d.agent.ownHeartbeat.Load().withAge() }
 
 // NotifyPingComplete implements memberlist.PingDelegate.
-func (a *Agent) NotifyPingComplete(_ *memberlist.Node, roundTrip time.Duration, payload []byte) {
+func (d delegate) NotifyPingComplete(_ *memberlist.Node, roundTrip time.Duration, payload []byte) {
 	message := append([]byte(nil), payload...)
-	a.Post(func() {
-		a.table.ObserveAck(a.Now())
-		a.handleMessage(message, roundTrip/2)
+	d.agent.Post(func() {
+		d.agent.table.ObserveAck(d.agent.Now())
+		d.agent.handleMessage(message, roundTrip/2)
 	})
 }
 
 // NotifyMsg implements memberlist.Delegate. Messages past the configured rate are dropped, which guards against a
 // member that floods the others; the next heartbeat makes up for them.
-func (a *Agent) NotifyMsg(message []byte) {
-	if !a.messageLimiter.Load().Allow() {
-		a.rateLimited.Add(1)
+func (d delegate) NotifyMsg(message []byte) {
+	if !d.agent.messageLimiter.Load().Allow() {
+		d.agent.rateLimited.Add(1)
 		return
 	}
 	message = append([]byte(nil), message...)
-	a.Post(func() { a.handleMessage(message, 0) })
+	d.agent.Post(func() { d.agent.handleMessage(message, 0) })
 }
 
 // GetBroadcasts implements memberlist.Delegate.
-func (a *Agent) GetBroadcasts(overhead, limit int) [][]byte {
-	return a.broadcasts.GetBroadcasts(overhead, limit)
+func (d delegate) GetBroadcasts(overhead, limit int) [][]byte {
+	return d.agent.broadcasts.GetBroadcasts(overhead, limit)
 }
 
 // LocalState implements memberlist.Delegate: the last heartbeats of all members that we know, for one that joins or was
 // away.
-func (a *Agent) LocalState(_ bool) []byte {
-	messages := [][]byte{a.ownHeartbeat.Load().withAge()}
-	now := time.Since(a.start)
-	for member := range a.view.Load().All() {
+func (d delegate) LocalState(_ bool) []byte {
+	messages := [][]byte{d.agent.ownHeartbeat.Load().withAge()}
+	now := time.Since(d.agent.start)
+	for member := range d.agent.view.Load().All() {
 		if member.Sequence == 0 || !member.State.Present() {
 			continue
 		}
@@ -120,13 +121,13 @@
 }
 
 // MergeRemoteState implements memberlist.Delegate.
-func (a *Agent) MergeRemoteState(state []byte, _ bool) {
-	limit := int(a.maxMembers.Load()) + 1
+func (d delegate) MergeRemoteState(state []byte, _ bool) {
+	limit := int(d.agent.maxMembers.Load()) + 1
 	err := decodeState(state, limit, func(message []byte) {
 		message = append([]byte(nil), message...)
-		a.Post(func() { a.handleMessage(message, 0) })
+		d.agent.Post(func() { d.agent.handleMessage(message, 0) })
 	})
 	if err != nil {
-		a.malformed.Add(1)
+		d.agent.malformed.Add(1)
 	}
 }
--- a/internal/fleet/gossip/new.go
+++ b/internal/fleet/gossip/new.go
@@ -158,11 +158,11 @@
 	}
 	list.Transport = a.transport
 	list.Logger = logger
-	list.Delegate = a
-	list.Events = a
-	list.Alive = a
-	list.Ping = a
-	list.Conflict = a
+	list.Delegate = delegate{a}
+	list.Events = delegate{a}
+	list.Alive = delegate{a}
+	list.Ping = delegate{a}
+	list.Conflict = delegate{a}
 	a.memberlist, err = memberlist.Create(list)
 	if err != nil {
 		_ = a.transport.Shutdown() // the error that matters is why there is no gossip
