--- /dev/null
+++ b/admission/enum.go
@@ -0,0 +1,11 @@
+package admission
+
+import "fmt"
+
+// enumString names a value of an enumeration, by its type and number if it has no name.
+func enumString(typeName string, names []string, value int) string {
+	if value >= 0 && value < len(names) {
+		return names[value]
+	}
+	return fmt.Sprintf("%s(%d)", typeName, value)
+}
--- a/admission/health.go
+++ b/admission/health.go
@@ -33,20 +33,15 @@
 	StateDraining              // notified to drain
 )
 
-func (s State) String() string {
-	switch s {
-	case StateHealthy:
-		return "healthy"
-	case StateStalled:
-		return "stalled"
-	case StateFailing:
-		return "failing"
-	case StateDraining:
-		return "draining"
-	}
-	return fmt.Sprintf("State(%d)", int(s))
+var stateNames = [...]string{
+	StateHealthy:  "healthy",
+	StateStalled:  "stalled",
+	StateFailing:  "failing",
+	StateDraining: "draining",
 }
 
+func (s State) String() string { return enumString("State", stateNames[:], int(s)) }
+
 // Transition is a change of State, with the number of requests at that moment.
 type Transition struct {
 	From, To        State
--- a/admission/request.go
+++ b/admission/request.go
@@ -1,9 +1,6 @@
 package admission
 
-import (
-	"fmt"
-	"time"
-)
+import "time"
 
 // Identifiers are opaque: they say nothing of age, order or place.
 type (
@@ -50,28 +47,19 @@
 	NotStarted             // the run never started: the request was over already
 )
 
-func (o Outcome) String() string {
-	switch o {
-	case Succeeded:
-		return "succeeded"
-	case Failed:
-		return "failed"
-	case Rejected:
-		return "rejected"
-	case TimedOut:
-		return "timed out"
-	case Unreachable:
-		return "unreachable"
-	case ConnectionLost:
-		return "connection lost"
-	case Stopped:
-		return "stopped"
-	case NotStarted:
-		return "not started"
-	}
-	return fmt.Sprintf("Outcome(%d)", int(o))
+var outcomeNames = [...]string{
+	Succeeded:      "succeeded",
+	Failed:         "failed",
+	Rejected:       "rejected",
+	TimedOut:       "timed out",
+	Unreachable:    "unreachable",
+	ConnectionLost: "connection lost",
+	Stopped:        "stopped",
+	NotStarted:     "not started",
 }
 
+func (o Outcome) String() string { return enumString("Outcome", outcomeNames[:], int(o)) }
+
 // neverRan tells whether the outcome proves that the call had no effect.
 func (o Outcome) neverRan() bool { return o == Rejected || o == Unreachable }
 
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -7,7 +7,9 @@
 )
 
 // Settings are what an instance is configured with. A zero value means that nothing was configured: no limit, no such
-// party, or none of it, as each field says. Durations are never negative.
+// party, or none of it, as each field says. Durations are never negative. A Controller does not use OverloadTolerance,
+// LoadSignalLifetime, CancellationsSeen, RetriesMarked, Tier, OverQuotaWeight, ClassSettings.CallsUpstream and
+// TenantSettings.Share.
 type Settings struct {
 	Classes []ClassSettings  // never empty; requests of other classes are treated as of the first
 	Tenants []TenantSettings // in the order configured; empty where there are no tenants
@@ -123,18 +125,14 @@
 	IdempotentByKey                    // of all attempts with one key one runs, and answers the others
 )
 
-func (i Idempotency) String() string {
-	switch i {
-	case NotIdempotent:
-		return "not idempotent"
-	case Idempotent:
-		return "idempotent"
-	case IdempotentByKey:
-		return "idempotent by key"
-	}
-	return fmt.Sprintf("Idempotency(%d)", int(i))
+var idempotencyNames = [...]string{
+	NotIdempotent:   "not idempotent",
+	Idempotent:      "idempotent",
+	IdempotentByKey: "idempotent by key",
 }
 
+func (i Idempotency) String() string { return enumString("Idempotency", idempotencyNames[:], int(i)) }
+
 // HaltMode tells what the runtime does with a run that is stopped.
 type HaltMode int
 
@@ -145,18 +143,14 @@
 	HaltPause                 // the run leaves the cores
 )
 
-func (h HaltMode) String() string {
-	switch h {
-	case HaltNone:
-		return "none"
-	case HaltDrop:
-		return "drop"
-	case HaltPause:
-		return "pause"
-	}
-	return fmt.Sprintf("HaltMode(%d)", int(h))
+var haltModeNames = [...]string{
+	HaltNone:  "none",
+	HaltDrop:  "drop",
+	HaltPause: "pause",
 }
 
+func (h HaltMode) String() string { return enumString("HaltMode", haltModeNames[:], int(h)) }
+
 // UpstreamKind tells what requests call while they run.
 type UpstreamKind int
 
@@ -169,20 +163,16 @@
 	UpstreamUnknown                         // of a kind that this version does not know
 )
 
+var upstreamKindNames = [...]string{
+	UpstreamUnspecified: "unspecified",
+	UpstreamNone:        "none",
+	UpstreamShared:      "shared",
+	UpstreamNextTier:    "next tier",
+	UpstreamUnknown:     "unknown",
+}
+
 func (u UpstreamKind) String() string {
-	switch u {
-	case UpstreamUnspecified:
-		return "unspecified"
-	case UpstreamNone:
-		return "none"
-	case UpstreamShared:
-		return "shared"
-	case UpstreamNextTier:
-		return "next tier"
-	case UpstreamUnknown:
-		return "unknown"
-	}
-	return fmt.Sprintf("UpstreamKind(%d)", int(u))
+	return enumString("UpstreamKind", upstreamKindNames[:], int(u))
 }
 
 // LoadSignal is the kind of value that a load report carries, by which callers decide what they send.
@@ -196,16 +186,11 @@
 	LoadSignalTokens                      // how many requests each caller may have here; a fraction is a probability
 )
 
-func (s LoadSignal) String() string {
-	switch s {
-	case LoadSignalNone:
-		return "none"
-	case LoadSignalChance:
-		return "chance"
-	case LoadSignalLeastRank:
-		return "least rank"
-	case LoadSignalTokens:
-		return "tokens"
-	}
-	return fmt.Sprintf("LoadSignal(%d)", int(s))
+var loadSignalNames = [...]string{
+	LoadSignalNone:      "none",
+	LoadSignalChance:    "chance",
+	LoadSignalLeastRank: "least rank",
+	LoadSignalTokens:    "tokens",
 }
+
+func (s LoadSignal) String() string { return enumString("LoadSignal", loadSignalNames[:], int(s)) }
--- a/admission/settings_test.go
+++ b/admission/settings_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"testing"
 	"time"
 )
@@ -58,3 +59,23 @@
 		})
 	}
 }
+
+// Each value of an enumeration has a name, and the next one is a number.
+func TestEnumNames(t *testing.T) {
+	for _, tc := range []struct {
+		last, next fmt.Stringer
+		want       string
+		wantNext   string
+	}{
+		{IdempotentByKey, IdempotentByKey + 1, "idempotent by key", "Idempotency(3)"},
+		{HaltPause, HaltPause + 1, "pause", "HaltMode(3)"},
+		{UpstreamUnknown, UpstreamUnknown + 1, "unknown", "UpstreamKind(5)"},
+		{LoadSignalTokens, LoadSignalTokens + 1, "tokens", "LoadSignal(4)"},
+		{StateDraining, StateDraining + 1, "draining", "State(4)"},
+		{NotStarted, NotStarted + 1, "not started", "Outcome(8)"},
+	} {
+		if got, gotNext := tc.last.String(), tc.next.String(); got != tc.want || gotNext != tc.wantNext {
+			t.Errorf("named %q and %q, want %q and %q", got, gotNext, tc.want, tc.wantNext)
+		}
+	}
+}
