--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -18,15 +18,15 @@
 	defaultRunsPerCore = 2
 )
 
-// concurrencyLimit is how far idle cores have let the number of runs grow.
-type concurrencyLimit struct {
+// limitGrowth is how far idle cores have let the number of runs grow.
+type limitGrowth struct {
 	grown              int // runs
 	grownAtCompletions int // completions when it last grew
 	completions        int // runs that ended, well or not
 }
 
 // lower takes one run back where more than the cores are wanted by a sixth: beyond it runs only slow each other down.
-func (l *concurrencyLimit) lower(reading gaugeReading, cores int) {
+func (l *limitGrowth) lower(reading gaugeReading, cores int) {
 	if reading.runnable > float64(cores)*7/6 {
 		l.grown = max(cores, l.grown-1)
 	}
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -29,7 +29,7 @@
 
 	order    startOrder
 	gauges   gaugeHistory
-	limit    concurrencyLimit
+	limit    limitGrowth
 	upstream upstreamCalls
 
 	health    healthMonitor
@@ -54,7 +54,7 @@
 		requests:      requestTable{byID: map[RequestID]*trackedRequest{}},
 		records:       idempotencyRecords{recordKB: settings.RecordKB, tick: settings.Tick},
 		quotas:        newTenantQuotas(&settings),
-		limit:         concurrencyLimit{grown: cores},
+		limit:         limitGrowth{grown: cores},
 		slowStart:     newSlowStart(&settings, executor.Now()),
 		publishedLoad: unpublished,
 	}
