--- /dev/null
+++ b/internal/cli/fleetcommands/allocator.go
@@ -0,0 +1,33 @@
+package fleetcommands
+
+import (
+	"os"
+
+	"lanewheel/internal/fleet/allocator"
+	"lanewheel/internal/fleet/gossip"
+	"lanewheel/internal/lifecycle"
+	"lanewheel/internal/lifecycle/allocators"
+	"lanewheel/internal/membership"
+)
+
+// runAllocator runs a process that grants the leases of upstream services, until it has drained.
+func runAllocator(operatorPath, logFormat string) error {
+	return allocators.Run(operatorPath, logFormat, attachAllocator)
+}
+
+// attachAllocator gives an allocator its place in the fleet, and returns what takes a reloaded file.
+func attachAllocator(
+	process *allocator.Server, operatorConfig *lifecycle.OperatorConfig,
+) (func(*lifecycle.OperatorConfig), error) {
+	agentConfig := StandaloneGossipConfig(operatorConfig, membership.RoleUpstream)
+	agent, err := gossip.New(agentConfig, process, uint64(os.Getpid()))
+	if err != nil {
+		return nil, err
+	}
+	process.Attach(agent)
+	agent.Start()
+	return func(operatorConfig *lifecycle.OperatorConfig) {
+		agent.SetConfig(StandaloneGossipConfig(operatorConfig, membership.RoleUpstream))
+		process.SetConfig(operatorConfig.File.Allocator.Config)
+	}, nil
+}
--- /dev/null
+++ b/internal/cli/fleetcommands/coordinator.go
@@ -0,0 +1,183 @@
+package fleetcommands
+
+import (
+	"crypto/rand"
+	"encoding/hex"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"time"
+
+	"lanewheel/internal/cli"
+	"lanewheel/internal/config"
+	"lanewheel/internal/coordination"
+	"lanewheel/internal/fleet/coordinator/client"
+	"lanewheel/internal/lifecycle"
+)
+
+// coordinatorTimeout is how long a leader is looked for.
+const coordinatorTimeout = 20 * time.Second
+
+// errNoDrainTarget is that a drain names nothing to drain.
+var errNoDrainTarget = errors.New("a member, --zone or --below is required")
+
+// runCoordinatorCommand asks the coordinators, and prints what they answer.
+func runCoordinatorCommand(arguments cli.CoordinatorCommand, out io.Writer) error {
+	coordinators, err := newCoordinatorClient(arguments.File)
+	if err != nil {
+		return err
+	}
+	switch arguments.Action {
+	case "status":
+		return showStatus(coordinators, arguments, out)
+	case "history":
+		return showHistory(coordinators, arguments, out)
+	case "leave":
+		response, err := coordinators.Do(client.Request{RemoveCoordinator: arguments.Name})
+		if err != nil {
+			return err
+		}
+		return response.Err()
+	}
+	return proposeCommand(coordinators, arguments, out)
+}
+
+// newCoordinatorClient reads an operator's file for the coordinators' addresses and the cluster's keys.
+func newCoordinatorClient(path string) (client.Client, error) {
+	operatorConfig, err := lifecycle.LoadOperatorConfig(path)
+	if err != nil {
+		return client.Client{}, err
+	}
+	section := operatorConfig.File.Coordinator
+	if !section.Enabled || len(operatorConfig.ClusterKeys) == 0 {
+		return client.Client{}, fmt.Errorf("%s: the sections [fleet], with keys, and [steward] are required", path)
+	}
+	return client.Client{
+		Coordinators: section.Config.Coordinators,
+		Keys:         operatorConfig.ClusterKeys,
+		Timeout:      coordinatorTimeout,
+	}, nil
+}
+
+func showStatus(coordinators client.Client, arguments cli.CoordinatorCommand, out io.Writer) error {
+	response, err := coordinators.Do(client.Request{Status: true})
+	if err != nil {
+		return err
+	}
+	if arguments.JSON {
+		return printJSON(out, response.Status)
+	}
+	return printStatus(response.Status, out)
+}
+
+func showHistory(coordinators client.Client, arguments cli.CoordinatorCommand, out io.Writer) error {
+	response, err := coordinators.Do(client.Request{History: true})
+	switch {
+	case err != nil:
+		return err
+	case arguments.Path != "":
+		return exportHistory(response.History, arguments.Path)
+	case arguments.JSON:
+		return printJSON(out, response.History)
+	}
+	return printHistory(response.History, out)
+}
+
+// proposeCommand has a command agreed on, and waits for the permits of a drain where that is asked for.
+func proposeCommand(coordinators client.Client, arguments cli.CoordinatorCommand, out io.Writer) error {
+	command, err := buildCommand(arguments)
+	if err != nil {
+		return err
+	}
+	if command.IdempotencyKey, err = newIdempotencyKey(); err != nil {
+		return err
+	}
+	response, err := coordinators.Do(client.Request{Command: &command})
+	if err != nil {
+		return err
+	}
+	if err := response.Err(); err != nil {
+		return err
+	}
+	if !response.Reply.OK {
+		return client.RemoteError(response.Reply.Reason)
+	}
+	permits := response.Reply.PermitIDs
+	if response.Reply.PermitID > 0 {
+		permits = append(permits, response.Reply.PermitID)
+	}
+	if _, err := fmt.Fprintln(out, "agreed", arguments.Action, permits); err != nil {
+		return err
+	}
+	if arguments.Action == "drain" && arguments.Wait {
+		return waitForPermits(coordinators, permits, out)
+	}
+	return nil
+}
+
+// newIdempotencyKey draws a key that stays the same however often the command is asked: a coordinator that fails
+// between agreeing and answering leaves no second permit behind.
+func newIdempotencyKey() (string, error) {
+	var key [8]byte
+	if _, err := rand.Read(key[:]); err != nil {
+		return "", err
+	}
+	return hex.EncodeToString(key[:]), nil
+}
+
+// buildCommand makes the command that an operator's action means. An unknown action makes a command that is refused.
+func buildCommand(arguments cli.CoordinatorCommand) (coordination.Command, error) {
+	command := coordination.Command{RequestedBy: arguments.RequestedBy, Reason: arguments.Reason}
+	switch arguments.Action {
+	case "drain", "undrain":
+		return buildDrain(command, arguments)
+	case "forget":
+		command.Kind = coordination.KindForgetMember
+		command.Member = coordination.Name(arguments.Name)
+	case "halt":
+		command.Kind = coordination.KindHalt
+	case "resume":
+		command.Kind = coordination.KindResume
+	case "back":
+		command.Kind = coordination.KindRollBack
+	case "budgets":
+		content, err := os.ReadFile(arguments.Path)
+		if err != nil {
+			return command, err
+		}
+		command.Kind = coordination.KindSetBudgets
+		command.Budgets, err = config.ParseBudgets(arguments.Path, content)
+		return command, err
+	case "release":
+		content, err := os.ReadFile(arguments.Path)
+		if err != nil {
+			return command, err
+		}
+		plan, err := config.ParseRollout(arguments.Path, content)
+		command.Kind = coordination.KindStartRollout
+		command.Plan = &plan
+		return command, err
+	}
+	return command, nil
+}
+
+// buildDrain completes a command that requests permits to drain, or cancels such requests: of one member, or of all
+// that are in a zone or beside an upstream service.
+func buildDrain(command coordination.Command, arguments cli.CoordinatorCommand) (coordination.Command, error) {
+	if arguments.Name == "" && arguments.Zone == "" && arguments.Upstream == "" {
+		return command, errNoDrainTarget
+	}
+	command.Selector = coordination.Selector{Zone: arguments.Zone, Upstream: arguments.Upstream}
+	command.Member = coordination.Name(arguments.Name)
+	command.Reason = string(coordination.PurposeDrain)
+	switch {
+	case arguments.Action == "undrain":
+		command.Kind = coordination.KindCancelDrain
+	case arguments.Name != "":
+		command.Kind = coordination.KindRequestPermit
+	default:
+		command.Kind = coordination.KindDrain
+	}
+	return command, nil
+}
