--- /dev/null
+++ b/internal/cli/fleetcommands/coordinator_test.go
@@ -0,0 +1,313 @@
+package fleetcommands
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"reflect"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"lanewheel/internal/cli"
+	"lanewheel/internal/coordination"
+	"lanewheel/internal/fleet/coordinator/client"
+	"lanewheel/internal/membership"
+)
+
+func goldenRollout() *coordination.Rollout {
+	// A rollout's own "Of" and "Judged" stand where its plan's Selector and AnalysisRequired would: both are not stored.
+	plan := coordination.RolloutPlan{
+		Name:                "r2",
+		TargetRelease:       "2",
+		Waves:               []coordination.Wave{{Count: 2, Fraction: 0.1, Zone: "north"}},
+		Pause:               3 * time.Second,
+		RollbackWavesAtOnce: 2,
+		MaxAttempts:         3,
+	}
+	return &coordination.Rollout{
+		RolloutPlan: plan,
+		RequestedBy: "ann",
+		Phase:       coordination.RolloutUpdating,
+		Wave:        1,
+		PhaseSince:  9 * time.Second,
+		Analyzed:    true,
+		WaveMembers: [][]coordination.Name{{"p001", "p002"}},
+		WaitReason:  "a permit",
+		Reason:      "slower",
+	}
+}
+
+// goldenStatus is what a coordinator answers, with every field set.
+func goldenStatus() client.Status {
+	budget := coordination.DisruptionBudget{
+		Name:                   "all",
+		Selector:               coordination.Selector{Zone: "north", Release: "1", Role: "instance", Upstream: "db"},
+		MaxUnavailable:         3,
+		MaxUnavailableFraction: 0.5,
+		MinAvailableCapacity:   6,
+	}
+	return client.Status{
+		ID:           "s1",
+		Leader:       "s2",
+		IsLeader:     true,
+		Term:         3,
+		AppliedIndex: 44,
+		Coordinators: map[string]string{"s1": "127.0.0.1:7960"},
+		FleetTime:    "1m0s",
+		Halt:         &coordination.Halt{At: time.Second, By: "bob", Reason: "noise"},
+		Rollout:      goldenRollout(),
+		Budgets: []coordination.BudgetUsage{{
+			Budget: budget, Members: 12, Unavailable: 1, UnavailableLimit: 3, AvailableCapacity: 22}},
+		Permits: []coordination.Permit{{
+			ID:           7,
+			Member:       "p001",
+			Incarnation:  12,
+			RequestedBy:  "ann",
+			Purpose:      "drain",
+			Stage:        coordination.PermitGranted,
+			RequestedAt:  time.Second,
+			StageSince:   2 * time.Second,
+			BeginTimeout: 30 * time.Second,
+			Overtakes:    4,
+			WaitReason:   "budget all",
+			Outcome:      "dropped",
+		}},
+		Unavailable: []coordination.Member{{
+			Observation: coordination.Observation{
+				Name:        "p001",
+				Incarnation: 12,
+				Zone:        "north",
+				Release:     "1",
+				Roles:       membership.RoleServer,
+				Upstream:    "db",
+				Capacity:    2,
+				State:       coordination.MemberGone,
+			},
+			StateSince:      5 * time.Second,
+			PermitID:        7,
+			PreviousRelease: "0",
+			FailedAttempts:  1,
+		}},
+		MemberCount: 15,
+	}
+}
+
+func goldenHistory() []coordination.HistoryEntry {
+	return []coordination.HistoryEntry{{
+		Sequence:    9,
+		At:          61500 * time.Millisecond,
+		RequestedBy: "ann",
+		Kind:        coordination.KindStartRollout,
+		Summary:     "r2 to 2",
+		Reply: coordination.Reply{
+			OK: true, Reason: "begun", PermitID: 8, PermitIDs: []coordination.PermitID{8, 9}},
+	}}
+}
+
+// newFakeCoordinator answers each request with the same bytes, and writes an operator's file that names it; what it
+// was asked comes on the channel.
+func newFakeCoordinator(t *testing.T, answer []byte) (file string, requests chan string) {
+	t.Helper()
+	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() })
+	keys := []membership.Key{membership.Key(bytes.Repeat([]byte("k"), 32))}
+	requests = make(chan string, 16)
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			kind, err := client.ServerHandshake(conn, keys)
+			if err == nil && kind == client.ClientConnection {
+				line, _ := bufio.NewReader(conn).ReadString('\n') // the test compares what came
+				requests <- line
+				_, _ = conn.Write(answer)
+			}
+			_ = conn.Close()
+		}
+	}()
+	folder := t.TempDir()
+	file = filepath.Join(folder, "operator.ini")
+	writeFile(t, file, fmt.Sprintf("[fleet]\nname = s1\nlisten = 127.0.0.1:7946\nkeys = keys\n"+
+		"[steward]\nlisten = 127.0.0.1:7960\nfolder = log\nstewards = %s\n", listener.Addr()))
+	writeFile(t, filepath.Join(folder, "keys"), "a2tra2tra2tra2tra2tra2tra2tra2tra2tra2tra2s=\n")
+	return file, requests
+}
+
+func writeFile(t *testing.T, path, text string) {
+	t.Helper()
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// What a coordinator answers is read as ever, and "--json" prints it as ever.
+func TestGoldenAnswers(t *testing.T) {
+	status := goldenStatus()
+	for name, want := range map[string]client.Response{
+		"status":  {Status: &status},
+		"history": {History: goldenHistory()},
+	} {
+		t.Run(name, func(t *testing.T) {
+			text, err := json.Marshal(want)
+			if err != nil {
+				t.Fatal(err)
+			}
+			golden(t, name+"-answer.json", append(text, '\n'))
+			answer := stored(t, name+"-answer.json")
+			var got client.Response
+			if err := json.Unmarshal(answer, &got); err != nil {
+				t.Fatal(err)
+			}
+			if !reflect.DeepEqual(got, want) {
+				t.Fatalf("read otherwise than before: %+v", got)
+			}
+			file, requests := newFakeCoordinator(t, answer)
+			arguments := cli.CoordinatorCommand{File: file, Action: name, JSON: true}
+			var out bytes.Buffer
+			if err := runCoordinatorCommand(arguments, &out); err != nil {
+				t.Fatal(err)
+			}
+			<-requests
+			golden(t, name+"-printed.json", out.Bytes())
+			if name == "history" {
+				return
+			}
+			out.Reset()
+			arguments.JSON = false
+			if err := runCoordinatorCommand(arguments, &out); err != nil {
+				t.Fatal(err)
+			}
+			golden(t, name+"-printed.txt", out.Bytes())
+		})
+	}
+}
+
+const (
+	goldenBudgetsFile = `[budget all]
+role = instance
+zone = north
+release = 1
+below = db
+most = 3
+[budget share]
+share = 0.5
+least-capacity = 6
+`
+	goldenPlanFile = `[release]
+name = r2
+to = 2
+of-zone = north
+of-release = 1
+of-role = relay
+waves = 1, 25%, zone north
+pause = 2s
+judged = yes
+back-faster = 3
+tries = 4
+`
+)
+
+// What each command asks the coordinators, as it goes over the wire; the key is drawn anew each time.
+func TestGoldenQuestions(t *testing.T) {
+	folder := t.TempDir()
+	budgets, plan := filepath.Join(folder, "budgets.ini"), filepath.Join(folder, "plan.ini")
+	writeFile(t, budgets, goldenBudgetsFile)
+	writeFile(t, plan, goldenPlanFile)
+	file, requests := newFakeCoordinator(t, []byte(`{"Reply":{"OK":true,"Why":"","Number":7}}`+"\n"))
+	key := regexp.MustCompile(`"Key":"[0-9a-f]{16}"`)
+	var printed strings.Builder
+	for _, arguments := range []cli.CoordinatorCommand{
+		{Action: "drain", Name: "p001"},
+		{Action: "drain", Zone: "north"},
+		{Action: "drain", Upstream: "db"},
+		{Action: "undrain", Name: "p001"},
+		{Action: "undrain", Zone: "north"},
+		{Action: "forget", Name: "p001"},
+		{Action: "halt", Reason: "noise"},
+		{Action: "resume"},
+		{Action: "back", Reason: "slower"},
+		{Action: "budgets", Path: budgets},
+		{Action: "release", Path: plan},
+		{Action: "leave", Name: "s2"},
+	} {
+		arguments.File = file
+		arguments.RequestedBy = "ann"
+		var out bytes.Buffer
+		if err := runCoordinatorCommand(arguments, &out); err != nil {
+			t.Fatal(err)
+		}
+		request := key.ReplaceAllString(<-requests, `"Key":"16 hex digits"`)
+		fmt.Fprintf(&printed, "%s: %s%s", arguments.Action, request, out.String())
+	}
+	golden(t, "questions.txt", []byte(printed.String()))
+}
+
+// A refusal, an error of the coordinator and a command that can't be built are errors; nothing is printed.
+func TestCommandErrors(t *testing.T) {
+	var out bytes.Buffer
+	for answer, want := range map[string]string{
+		`{"Reply":{"OK":false,"Why":"nothing is halted"}}`: "nothing is halted",
+		`{"Error":"the log is full"}`:                      "the log is full",
+	} {
+		file, _ := newFakeCoordinator(t, []byte(answer+"\n"))
+		err := runCoordinatorCommand(cli.CoordinatorCommand{File: file, Action: "resume"}, &out)
+		var remote client.RemoteError
+		if !errors.As(err, &remote) || err.Error() != want {
+			t.Errorf("%s: %v", answer, err)
+		}
+	}
+	file, requests := newFakeCoordinator(t, nil)
+	err := runCoordinatorCommand(cli.CoordinatorCommand{File: file, Action: "drain"}, &out)
+	if !errors.Is(err, errNoDrainTarget) {
+		t.Error(err)
+	}
+	missing := filepath.Join(t.TempDir(), "missing.ini")
+	err = runCoordinatorCommand(cli.CoordinatorCommand{File: file, Action: "budgets", Path: missing}, &out)
+	if !errors.Is(err, os.ErrNotExist) {
+		t.Error(err)
+	}
+	if len(requests) > 0 || out.Len() > 0 {
+		t.Errorf("%d requests, printed %q", len(requests), out.String())
+	}
+}
+
+// How far a permit is, as the wait for a drain prints it.
+func TestProgressOf(t *testing.T) {
+	gone := &client.Status{Unavailable: []coordination.Member{
+		{Observation: coordination.Observation{Name: "p001", State: coordination.MemberGone}},
+		{Observation: coordination.Observation{Name: "p002", State: coordination.MemberLeaving}},
+	}}
+	for _, test := range []struct {
+		permit coordination.Permit
+		want   permitProgress
+	}{
+		{coordination.Permit{Member: "p003", Stage: coordination.PermitQueued}, permitProgress{text: "queued"}},
+		{
+			coordination.Permit{Member: "p003", Stage: coordination.PermitQueued, WaitReason: "halted"},
+			permitProgress{text: "queued: halted"},
+		},
+		{coordination.Permit{Member: "p003", Stage: coordination.PermitGranted}, permitProgress{text: "granted"}},
+		{coordination.Permit{Member: "p002", Stage: coordination.PermitBegun}, permitProgress{text: "begun"}},
+		{coordination.Permit{Member: "p001", Stage: coordination.PermitGranted}, permitProgress{text: "out"}},
+		{
+			coordination.Permit{Member: "p001", Stage: coordination.PermitBegun},
+			permitProgress{text: "out", isOut: true},
+		},
+	} {
+		if got := progressOf(test.permit, gone); got != test.want {
+			t.Errorf("%+v: %+v, want %+v", test.permit, got, test.want)
+		}
+	}
+}
