--- /dev/null
+++ b/internal/drill/balance.go
@@ -0,0 +1,213 @@
+package drill
+
+import (
+	"cmp"
+	"fmt"
+	"math"
+	"slices"
+	"time"
+)
+
+const (
+	// warmUpSeconds is how long the load of instances that have just started does not count.
+	warmUpSeconds = 8
+
+	// minCalmSeconds is how many seconds there must be to measure the balance.
+	minCalmSeconds = 3
+)
+
+// balanceCheck measures how the load was spread over the instances in the calm seconds: those in which nothing was
+// done.
+type balanceCheck struct {
+	cluster   *cluster
+	calm      []bool          // by second
+	faulty    map[int]bool    // instances whose runs failed or were lost: each sender ejects them for a while
+	runs      [][]int         // by second and instance
+	totalRuns int             // in calm seconds
+	lastRun   []time.Duration // by instance; 0: none yet
+	longest   []float64       // by instance, its longest idle time, s
+	idlest    string          // which instance had the longest of all, and when
+}
+
+// instanceRun is a run of a request, since the start of the load.
+type instanceRun struct {
+	at      time.Duration
+	process int
+}
+
+// checkBalance returns what the balance of the load was, and the violations where the script limits it.
+func checkBalance(
+	c *cluster, log *requestLog, events []Event, startedAt, endedAt time.Time,
+) (metrics []metric, violations []violation) {
+	script := c.script
+	check := newBalanceCheck(c, int(min(endedAt.Sub(startedAt), script.LoadDuration).Seconds()))
+	for i := range events {
+		check.excludeEvent(&events[i])
+	}
+	runs, forwarded := log.instanceRuns(startedAt)
+	for _, run := range runs {
+		check.countRun(run)
+	}
+	if script.SpilloverEnabled && script.Proxies == 0 {
+		metrics = append(metrics, metric{"ops handed over and run", float64(forwarded)})
+	}
+	spread := check.spread()
+	alwaysOut := script.Coordinators > 0 // somebody is, by permits
+	if spread.seconds < minCalmSeconds || check.totalRuns == 0 || alwaysOut {
+		return metrics, nil
+	}
+	perInstance := float64(check.totalRuns) / float64(spread.seconds) / float64(script.Instances)
+	meanGap := float64(spread.seconds) * float64(script.Instances) / float64(check.totalRuns)
+	longestGaps := slices.Max(check.longest) / meanGap
+	metrics = append(metrics,
+		metric{"calm seconds", float64(spread.seconds)},
+		metric{"ops a second of an instance, calm", perInstance},
+		metric{"most loaded of a second, of what chance gives", spread.imbalance},
+		metric{"... in the worst second", spread.worst},
+		metric{"longest idle, expected gaps", longestGaps})
+	c.print("longest idle: " + check.idlest)
+	return metrics, check.violations(spread.imbalance, longestGaps)
+}
+
+func newBalanceCheck(c *cluster, seconds int) *balanceCheck {
+	instances := c.script.Instances
+	check := &balanceCheck{
+		cluster: c,
+		calm:    make([]bool, max(0, seconds)),
+		faulty:  map[int]bool{},
+		runs:    make([][]int, max(0, seconds)),
+		lastRun: make([]time.Duration, instances),
+		longest: make([]float64, instances),
+	}
+	for second := range check.calm {
+		check.calm[second] = second >= warmUpSeconds
+		check.runs[second] = make([]int, instances)
+	}
+	return check
+}
+
+// excludeEvent notes the seconds that are not calm for an event.
+func (b *balanceCheck) excludeEvent(event *Event) {
+	fault := event.Fault
+	if fault.Action == actionFailRuns || fault.Action == actionLoseRuns {
+		for _, index := range event.Targets {
+			b.faulty[index] = true
+		}
+	}
+	from, to := event.At, event.At+b.cluster.script.Balance.RecoveryTime
+	if fault.Duration > 0 && !event.Undo {
+		to += fault.Duration
+	}
+	if len(event.Targets) > 0 { // they may have started anew
+		to += warmUpSeconds * time.Second
+	}
+	for second := range b.calm {
+		if time.Duration(second+1)*time.Second > from && time.Duration(second)*time.Second < to {
+			b.calm[second] = false
+		}
+	}
+}
+
+// instanceRuns returns all runs in their order, and how many were elsewhere than at the process that got the request.
+func (l *requestLog) instanceRuns(startedAt time.Time) (runs []instanceRun, forwarded int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, request := range l.requests {
+		for _, execution := range request.executions {
+			runs = append(runs, instanceRun{execution.at.Sub(startedAt), execution.process})
+			if execution.process != request.process {
+				forwarded++
+			}
+		}
+	}
+	slices.SortFunc(runs, func(a, b instanceRun) int { return cmp.Compare(a.at, b.at) })
+	return runs, forwarded
+}
+
+// countRun counts a run of an instance in a calm second.
+func (b *balanceCheck) countRun(run instanceRun) {
+	second := int(run.at / time.Second)
+	if run.process >= len(b.lastRun) || second < 0 || second >= len(b.calm) || !b.calm[second] {
+		return
+	}
+	b.runs[second][run.process]++
+	b.totalRuns++
+	last := b.lastRun[run.process]
+	b.lastRun[run.process] = run.at
+	// An idle time counts where all of it is calm.
+	if last == 0 || b.faulty[run.process] || slices.Contains(b.calm[int(last/time.Second):second], false) {
+		return
+	}
+	idle := (run.at - last).Seconds()
+	if idle <= b.longest[run.process] {
+		return
+	}
+	b.longest[run.process] = idle
+	if idle == slices.Max(b.longest) {
+		b.idlest = fmt.Sprintf("%s until %.1f s", b.cluster.processes[run.process].name, run.at.Seconds())
+	}
+}
+
+// loadSpread is how the runs of the calm seconds were spread.
+type loadSpread struct {
+	seconds   int
+	imbalance float64 // runs of the most loaded instance of a second, against what chance gives
+	worst     float64 // the same in the worst second
+}
+
+func (b *balanceCheck) spread() (spread loadSpread) {
+	peaks, expectedPeaks := 0.0, 0.0
+	for second, runs := range b.runs {
+		if !b.calm[second] {
+			continue
+		}
+		spread.seconds++
+		total := 0
+		for _, count := range runs {
+			total += count
+		}
+		peak, expected := float64(slices.Max(runs)), expectedMaximum(total, len(runs))
+		peaks += peak
+		expectedPeaks += expected
+		if expected > 0 {
+			spread.worst = max(spread.worst, peak/expected)
+		}
+	}
+	spread.imbalance = peaks / expectedPeaks
+	return spread
+}
+
+func (b *balanceCheck) violations(imbalance, longestGaps float64) (violations []violation) {
+	script := b.cluster.script
+	limits := script.Balance
+	if !limits.Enabled {
+		return nil
+	}
+	if imbalance > limits.MaxImbalance {
+		detail := fmt.Sprintf("the most loaded of a second had %.2f of what chance gives, %.2f is told",
+			imbalance, limits.MaxImbalance)
+		violations = append(violations, violation{script.LoadDuration, ruleLoadEven, detail})
+	}
+	if longestGaps > limits.MaxIdleGaps {
+		detail := fmt.Sprintf("one waited for %.1f expected gaps, %.1f is told", longestGaps, limits.MaxIdleGaps)
+		violations = append(violations, violation{script.LoadDuration, ruleNoneIdle, detail})
+	}
+	return violations
+}
+
+// expectedMaximum returns how many of some requests the most loaded of some processes gets on average, if each request
+// goes to any with the same chance.
+func expectedMaximum(requests, processes int) float64 {
+	const negligible = 1e-12
+	mean := float64(requests) / float64(processes)
+	expected, atMost, probability := 0.0, 0.0, math.Exp(-mean)
+	for count := 0; count <= requests; count++ {
+		atMost += probability // of a Poisson distribution: at most count
+		expected += 1 - math.Pow(min(1, atMost), float64(processes))
+		probability *= mean / float64(count+1)
+		if float64(count) > mean && probability < negligible {
+			break
+		}
+	}
+	return expected
+}
--- /dev/null
+++ b/internal/drill/datagrams.go
@@ -0,0 +1,74 @@
+package drill
+
+import (
+	"net"
+	"slices"
+	"time"
+)
+
+// reorderDelay puts a datagram behind those of the next rounds of gossip.
+const reorderDelay = 20 * time.Millisecond
+
+// forwardDatagrams forwards what comes to a process's front until it is closed.
+func (n *network) forwardDatagrams(front *processFront) {
+	const maxDatagramBytes = 64 << 10
+	buffer := make([]byte, maxDatagramBytes)
+	for {
+		size, sender, err := front.udp.ReadFromUDP(buffer)
+		if err != nil {
+			return
+		}
+		n.forwardDatagram(front, sender, slices.Clone(buffer[:size]))
+	}
+}
+
+// forwardDatagram forwards one datagram, which it may change, under what holds on its link. It comes from the sender's
+// front.
+func (n *network) forwardDatagram(front *processFront, sender *net.UDPAddr, message []byte) {
+	current := n.lookup(sender.IP.String(), front.process)
+	n.increment(&current.counters.datagrams, 1)
+	n.increment(&current.counters.bytes, len(message))
+	out := front.udp
+	if current.senderFront != nil {
+		out = current.senderFront.udp
+	}
+	copies, delay := n.applyToDatagram(current, message)
+	for range copies {
+		send := func() { _, _ = out.WriteToUDP(message, front.target) } // what is lost is lost
+		if delay > 0 {
+			time.AfterFunc(delay, send)
+		} else {
+			send()
+		}
+	}
+}
+
+// applyToDatagram applies the faults of a link to a datagram, which it may change.
+func (n *network) applyToDatagram(current conditions, message []byte) (copies int, delay time.Duration) {
+	copies = 1
+	for _, fault := range current.faults {
+		if !n.chance(fault.Fraction) {
+			continue
+		}
+		switch fault.Action {
+		case actionRefuse, actionSwallow, actionLose, actionStall, actionHalfClose:
+			copies = 0
+			n.increment(&current.counters.dropped, 1)
+		case actionDelay:
+			delay += drawDelay(fault)
+			n.increment(&current.counters.delayed, 1)
+		case actionDuplicate:
+			copies++
+			n.increment(&current.counters.duplicated, 1)
+		case actionReorder:
+			delay += reorderDelay
+			n.increment(&current.counters.reordered, 1)
+		case actionGarble:
+			garble(message)
+			n.increment(&current.counters.corrupted, 1)
+		case actionNarrow:
+			delay += transferTime(fault, len(message))
+		}
+	}
+	return copies, delay
+}
--- /dev/null
+++ b/internal/drill/faults.go
@@ -0,0 +1,172 @@
+package drill
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"os"
+	"strconv"
+	"sync"
+	"syscall"
+	"time"
+
+	"lanewheel/internal/config"
+	"lanewheel/internal/fake"
+)
+
+// apply carries out an event of processes, and waits until it is done; but not for the coordinators' answer to a
+// command.
+func (c *cluster) apply(event Event) {
+	switch {
+	case event.Fault.Action == actionAgree && event.Undo:
+		c.restartDrained()
+	case event.Fault.Action == actionAgree:
+		go c.command(event)
+	case event.Fault.Action == actionBurst && event.Undo:
+		c.setLoadFactor(1)
+	case event.Fault.Action == actionBurst:
+		c.setLoadFactor(event.Fault.Factor)
+	default:
+		c.applyToAll(event)
+	}
+}
+
+// restartDrained starts the instances again that have drained by a permit.
+func (c *cluster) restartDrained() {
+	for _, p := range c.processes[:c.script.Instances] {
+		p.mu.Lock()
+		drained := p.exited && !p.stopExpected
+		p.mu.Unlock()
+		if !drained {
+			continue
+		}
+		if err := c.restart(p.name, ""); err != nil {
+			c.fail(p.name + ": " + err.Error())
+		}
+	}
+}
+
+// command gives the coordinators a command and prints their answer.
+func (c *cluster) command(event Event) {
+	fault := event.Fault
+	reply, err := c.runCommand(fault.Command, fmt.Sprint(fault.Name, event.At))
+	if err != nil {
+		c.fail(fault.Name + ": " + err.Error())
+	}
+	c.print(fmt.Sprintf("        %s: %s, release %s", fault.Command, reply, c.rolloutPhase()))
+}
+
+func (c *cluster) applyToAll(event Event) {
+	var targets sync.WaitGroup
+	for _, index := range event.Targets {
+		p := c.processes[index]
+		targets.Go(func() {
+			var err error
+			if event.Undo {
+				err = p.undo(event.Fault)
+			} else {
+				err = p.apply(event.Fault)
+			}
+			if err != nil {
+				c.fail(fmt.Sprintf("%s: %s: %v", event.Fault.Name, p.name, err))
+			}
+		})
+	}
+	targets.Wait()
+}
+
+// apply does to the process what a fault says.
+func (p *process) apply(fault *config.DrillFault) error {
+	switch fault.Action {
+	case actionKill:
+		p.stop(syscall.SIGKILL)
+	case actionWipe:
+		p.stop(syscall.SIGKILL)
+		return os.RemoveAll(p.dir)
+	case actionLeave:
+		p.stop(syscall.SIGTERM)
+	case actionPause:
+		p.pause(true)
+	case actionRestart:
+		p.stop(syscall.SIGKILL)
+		return p.start()
+	case actionReplace:
+		p.stop(syscall.SIGTERM)
+		return p.start()
+	case actionLateRuntime:
+		p.setRuntimeDelayed(true)
+		p.stop(syscall.SIGKILL)
+		return p.start()
+	case actionSlowRuns, actionFailRuns, actionLoseRuns:
+		p.setRuntimeFaults(fake.RuntimeFaults{
+			SlowFactor: fault.Factor,
+			FailRuns:   fault.Action == actionFailRuns,
+			LoseRuns:   fault.Action == actionLoseRuns,
+		})
+	case actionKeys, actionSeeds:
+		return p.reconfigure(fault)
+	case actionFlood:
+		go p.flood(max(fault.Duration, time.Second))
+	}
+	return nil
+}
+
+// undo ends what a fault has done to the process.
+func (p *process) undo(fault *config.DrillFault) error {
+	switch fault.Action {
+	case actionKill, actionWipe, actionLeave:
+		if err := p.writeFiles(); err != nil {
+			return err
+		}
+		return p.start()
+	case actionPause:
+		p.pause(false)
+	case actionLateRuntime:
+		p.setRuntimeDelayed(false)
+	case actionSlowRuns, actionFailRuns, actionLoseRuns:
+		p.setRuntimeFaults(fake.RuntimeFaults{})
+	}
+	return nil
+}
+
+// reconfigure has the process read other keys or seeds.
+func (p *process) reconfigure(fault *config.DrillFault) error {
+	if len(fault.KeyNumbers) > 0 {
+		p.keyNumbers = fault.KeyNumbers
+	}
+	p.seedCount = max(p.seedCount, fault.SeedMembers)
+	if err := p.writeFiles(); err != nil {
+		return err
+	}
+	p.signal(syscall.SIGHUP)
+	return nil
+}
+
+// flood is a stranger without the key, who sends noise to the process's gossip, as datagrams and streams, for so long.
+func (p *process) flood(duration time.Duration) {
+	const datagramBytes, datagramsPerRound, streamBytes = 1400, 20, 100
+	ctx, cancel := context.WithTimeout(context.Background(), duration)
+	defer cancel()
+	addr := net.JoinHostPort(p.frontHost, strconv.Itoa(gossipPort))
+	var dialer net.Dialer
+	datagrams, err := dialer.DialContext(ctx, "udp", addr)
+	if err != nil {
+		return
+	}
+	defer func() { _ = datagrams.Close() }()
+	streamDialer := net.Dialer{Timeout: 100 * time.Millisecond}
+	payload := make([]byte, datagramBytes)
+	for ctx.Err() == nil {
+		for i := range payload {
+			payload[i] = byte(i * int(time.Now().UnixNano()))
+		}
+		for range datagramsPerRound {
+			_, _ = datagrams.Write(payload[:1+time.Now().UnixNano()%datagramBytes]) // what is lost is lost
+		}
+		if stream, err := streamDialer.DialContext(ctx, "tcp", addr); err == nil {
+			_, _ = stream.Write(payload[:streamBytes]) // it may be refused
+			_ = stream.Close()
+		}
+		time.Sleep(10 * time.Millisecond)
+	}
+}
--- /dev/null
+++ b/internal/drill/files.go
@@ -0,0 +1,143 @@
+package drill
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+
+	"lanewheel/internal/fake"
+)
+
+// settingsReplacer fills in the settings of the fakes: a process of a drill has memory and calls for all that the load
+// brings.
+var settingsReplacer = strings.NewReplacer(
+	"IDLE", "30",
+	"FRESH", "0",
+	`"memory-kb":1900`, `"memory-kb":190000`,
+	`"dep-share":8,`, `"dep-share":800,`,
+)
+
+// iniText is an operator's file that is being written.
+type iniText struct{ strings.Builder }
+
+// section begins a section with settings, each a name and a value.
+func (t *iniText) section(name string, settings [][2]string) {
+	t.WriteString("[" + name + "]\n")
+	t.settings(settings)
+}
+
+func (t *iniText) settings(settings [][2]string) {
+	for _, setting := range settings {
+		t.set(setting[0], "%s", setting[1])
+	}
+}
+
+func (t *iniText) set(name, format string, values ...any) {
+	t.WriteString(name + " = " + fmt.Sprintf(format, values...) + "\n")
+}
+
+// writeFiles writes all that the process reads to its folder.
+func (p *process) writeFiles() error {
+	if err := os.MkdirAll(p.dir, 0o700); err != nil {
+		return err
+	}
+	var keys strings.Builder
+	for _, number := range p.keyNumbers {
+		keys.WriteString(p.cluster.keys[number-1] + "\n")
+	}
+	for name, text := range map[string]string{
+		"config.json": p.platformText(),
+		"fleet.ini":   p.operatorText(),
+		"keys":        keys.String(),
+	} {
+		if err := os.WriteFile(p.path(name), []byte(text), 0o600); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// platformText returns the platform's configuration.
+func (p *process) platformText() string {
+	c := p.cluster
+	return fmt.Sprintf(`{"name":%q,"listen":"%s:%d","runtime":%q,"roster":%q,"db":%q,"seed":"%x","stop_ms":1500,`+
+		`"limits":{"cores":1,"memory_mb":%g,"sockets":512},"settings":%s}`,
+		p.name, p.host, clientPort, p.runtime.Addr(), c.registry.Addr(), c.database.Addr(),
+		c.script.RandomSeed+uint64(p.index), c.script.MaxMemoryMB, settingsReplacer.Replace(fake.Settings))
+}
+
+// operatorText returns the operator's file.
+func (p *process) operatorText() string {
+	script := p.cluster.script
+	var text iniText
+	switch p.role {
+	case roleProxy:
+		text.section("relay", script.ProxySettings)
+	case roleCoordinator:
+		p.writeCoordinatorSection(&text)
+	case roleAllocator:
+		text.section("grants", script.AllocatorSettings)
+		text.set("lock", "%s", filepath.Join(p.cluster.dir, p.name+".lock"))
+	case roleInstance:
+		if script.Allocators > 0 {
+			text.section("below", script.UpstreamSettings)
+		}
+		if script.SpilloverEnabled {
+			text.section("handover", script.SpilloverSettings)
+		}
+	}
+	p.writeFleetSection(&text)
+	return text.String()
+}
+
+func (p *process) writeCoordinatorSection(text *iniText) {
+	var coordinators []string
+	for _, other := range p.cluster.processes {
+		if other.role == roleCoordinator {
+			coordinators = append(coordinators, fmt.Sprintf("%s:%d", other.frontHost, coordinatorPort))
+		}
+	}
+	text.section("steward", p.cluster.script.CoordinatorSettings)
+	text.set("listen", "%s:%d", p.host, coordinatorPort)
+	text.set("at", "%s:%d", p.frontHost, coordinatorPort)
+	text.set("stewards", "%s", strings.Join(coordinators, ", "))
+	text.set("folder", "log.d")
+	text.set("restart", "%s hook %s {name} {release}", p.cluster.binary, p.cluster.hookPath())
+}
+
+func (p *process) writeFleetSection(text *iniText) {
+	script := p.cluster.script
+	var seeds []string
+	for _, other := range p.cluster.processes[:p.seedCount] {
+		seeds = append(seeds, fmt.Sprintf("%s:%d", other.frontHost, gossipPort))
+	}
+	text.section("fleet", nil)
+	text.set("listen", "%s:%d", p.host, gossipPort)
+	text.set("advertise", "%s:%d", p.frontHost, gossipPort)
+	text.set("seeds", "%s", strings.Join(seeds, ", "))
+	text.set("zone", "%s", zoneOf(script, p.index))
+	text.set("release", "%s", p.currentRelease())
+	text.set("keys", "keys")
+	text.set("watch", "w")
+	if script.Coordinators > 0 {
+		text.set("permits", "yes")
+	}
+	switch p.role {
+	case roleCoordinator:
+		text.set("name", "%s", p.name)
+	case roleAllocator:
+		text.set("name", "%s", p.name)
+		text.set("serves", "%s", p.service.address())
+	case roleInstance:
+		text.set("serves", "%s:%d", p.frontHost, clientPort)
+	case roleProxy:
+	}
+	text.settings(script.FleetSettings)
+}
+
+func (p *process) currentRelease() string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.release
+}
--- /dev/null
+++ b/internal/drill/network_test.go
@@ -0,0 +1,243 @@
+package drill
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"strconv"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"lanewheel/internal/config"
+	"lanewheel/internal/fake"
+)
+
+const testPort = 7999
+
+// linkedPair is two ends with links between them. Each counts the datagrams that come and echoes streams.
+type linkedPair struct {
+	t        *testing.T
+	network  *network
+	hosts    [2]string
+	udp      [2]*net.UDPConn
+	received [2]atomic.Int64 // datagrams
+	last     [2]atomic.Value // string: the last datagram and whence it came
+}
+
+func newLinkedPair(t *testing.T) *linkedPair {
+	t.Helper()
+	p := &linkedPair{t: t, network: newNetwork(1, testPort)}
+	t.Cleanup(p.network.close)
+	for i := range 2 {
+		p.hosts[i] = fmt.Sprintf("127.%d.9.%d", 64+os.Getpid()%64, i+1)
+		ip := net.ParseIP(p.hosts[i])
+		p.udp[i] = fake.Must(net.ListenUDP("udp", &net.UDPAddr{IP: ip, Port: testPort}))
+		streams := fake.Must(net.ListenTCP("tcp", &net.TCPAddr{IP: ip, Port: testPort}))
+		t.Cleanup(func() {
+			_ = p.udp[i].Close()
+			_ = streams.Close()
+		})
+		if err := p.network.addProcess(i, p.hosts[i], p.front(i)); err != nil {
+			t.Fatal(err)
+		}
+		go p.countDatagrams(i)
+		go echoStreams(streams)
+	}
+	return p
+}
+
+// front returns the front address of an end.
+func (p *linkedPair) front(i int) string { return fmt.Sprintf("127.%d.9.%d", 128+os.Getpid()%64, i+1) }
+
+func (p *linkedPair) countDatagrams(i int) {
+	buffer := make([]byte, 2000)
+	for {
+		size, from, err := p.udp[i].ReadFromUDP(buffer)
+		if err != nil {
+			return
+		}
+		fromFront := from.IP.String() == p.front(1-i)
+		p.last[i].Store(fmt.Sprintf("%q from the other's front: %v", buffer[:size], fromFront))
+		p.received[i].Add(1)
+	}
+}
+
+func echoStreams(listener net.Listener) {
+	for {
+		connection, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		go func() {
+			_, _ = io.Copy(connection, connection)
+			_ = connection.Close()
+		}()
+	}
+}
+
+// send sends so many datagrams from an end to the other.
+func (p *linkedPair) send(from, count int) {
+	target := &net.UDPAddr{IP: net.ParseIP(p.front(1 - from)), Port: testPort}
+	for i := range count {
+		if _, err := p.udp[from].WriteToUDP([]byte{'a' + byte(i%26), 'x'}, target); err != nil {
+			p.t.Fatal(err)
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
+
+// dial opens a stream from an end to the other.
+func (p *linkedPair) dial(from int) (net.Conn, error) {
+	dialer := net.Dialer{
+		LocalAddr: &net.TCPAddr{IP: net.ParseIP(p.hosts[from])},
+		Timeout:   500 * time.Millisecond,
+	}
+	return dialer.DialContext(p.t.Context(), "tcp", net.JoinHostPort(p.front(1-from), strconv.Itoa(testPort)))
+}
+
+// apply puts a fault on the link from the first end to the second; undo takes it off.
+func (p *linkedPair) apply(action string) (undo func()) {
+	fault := &config.DrillFault{Action: action, Fraction: 1, BytesPerSecond: 1000, Delay: 30 * time.Millisecond}
+	event := Event{Fault: fault, From: []int{0}, To: []int{1}}
+	p.network.apply(event)
+	event.Undo = true
+	return func() { p.network.apply(event) }
+}
+
+// TestDatagrams checks that each fault does to datagrams what it says, one way only, and counts it.
+func TestDatagrams(t *testing.T) {
+	p := newLinkedPair(t)
+	p.send(0, 1)
+	fake.WaitFor("the first datagram", func() bool { return p.received[1].Load() == 1 })
+	if got := p.last[1].Load(); got != `"ax" from the other's front: true` {
+		t.Fatal(got)
+	}
+	for _, test := range []datagramTest{
+		{action: actionSwallow, dropped: 10},
+		{action: actionRefuse, dropped: 10},
+		{action: actionLose, dropped: 10},
+		{action: actionDelay, received: 10, minDuration: 30 * time.Millisecond},
+		{action: actionDuplicate, received: 20, duplicates: true},
+		{action: actionReorder, received: 10, minDuration: 15 * time.Millisecond},
+		{action: actionGarble, received: 10, corrupts: true},
+	} {
+		test.run(t, p)
+	}
+}
+
+// datagramTest is what a fault does to ten datagrams.
+type datagramTest struct {
+	action      string
+	received    int64
+	dropped     int64
+	minDuration time.Duration
+	corrupts    bool
+	duplicates  bool
+}
+
+func (test datagramTest) run(t *testing.T, p *linkedPair) {
+	t.Helper()
+	forth, back, before := p.received[1].Load(), p.received[0].Load(), p.network.total()
+	undo := p.apply(test.action)
+	defer undo()
+	startedAt := time.Now()
+	p.send(0, 10)
+	p.send(1, 3) // the way back is as it was
+	fake.WaitFor("the way back", func() bool { return p.received[0].Load() == back+3 })
+	if test.received > 0 {
+		fake.WaitFor(test.action, func() bool { return p.received[1].Load() == forth+test.received })
+	} else {
+		time.Sleep(20 * time.Millisecond)
+	}
+	if elapsed := time.Since(startedAt); elapsed < test.minDuration {
+		t.Errorf("%s: %v", test.action, elapsed)
+	}
+	after := p.network.total()
+	got := datagramTest{
+		action:      test.action,
+		received:    p.received[1].Load() - forth,
+		dropped:     after.dropped - before.dropped,
+		minDuration: test.minDuration,
+		corrupts:    after.corrupted > before.corrupted,
+		duplicates:  after.duplicated > before.duplicated,
+	}
+	if got != test {
+		t.Errorf("%+v, want %+v", got, test)
+	}
+}
+
+// echo writes to a stream and returns what comes back within a time.
+func echo(t *testing.T, connection net.Conn, text string, timeout time.Duration) string {
+	t.Helper()
+	if _, err := io.WriteString(connection, text); err != nil {
+		t.Fatal(err)
+	}
+	return readText(t, connection, len(text), timeout)
+}
+
+// readText returns what comes of so many bytes within a time.
+func readText(t *testing.T, connection net.Conn, size int, timeout time.Duration) string {
+	t.Helper()
+	buffer := make([]byte, size)
+	if err := connection.SetReadDeadline(time.Now().Add(timeout)); err != nil {
+		t.Fatal(err)
+	}
+	n, _ := io.ReadFull(connection, buffer) // less is for the caller to compare
+	return string(buffer[:n])
+}
+
+// TestStreams checks that streams are carried whole, refused, swallowed until the fault is over, stalled in the
+// middle and half-closed, one way only.
+func TestStreams(t *testing.T) {
+	p := newLinkedPair(t)
+	stream := fake.Must(p.dial(0))
+	if got := echo(t, stream, "hello", time.Second); got != "hello" {
+		t.Fatal(got)
+	}
+	undo := p.apply(actionStall)
+	if got := echo(t, stream, "there", 100*time.Millisecond); got != "" {
+		t.Fatal("stalled, and came: ", got)
+	}
+	undo()
+	if got := readText(t, stream, 5, time.Second); got != "there" {
+		t.Fatal(got)
+	}
+
+	undo = p.apply(actionSwallow)
+	swallowed := fake.Must(p.dial(0))
+	if got := echo(t, swallowed, "late", 100*time.Millisecond); got != "" {
+		t.Fatal("swallowed, and came: ", got)
+	}
+	undo()
+	if got := readText(t, swallowed, 4, time.Second); got != "late" {
+		t.Fatal(got)
+	}
+
+	undo = p.apply(actionHalfClose)
+	if err := stream.SetReadDeadline(time.Now().Add(time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := stream.Read(make([]byte, 1)); !errors.Is(err, io.EOF) { // the other end saw an end, and gave one
+		t.Fatal(err)
+	}
+	undo()
+
+	undo = p.apply(actionRefuse)
+	if refused, err := p.dial(0); err == nil {
+		if _, err := refused.Read(make([]byte, 1)); err == nil {
+			t.Fatal("refused, and stands")
+		}
+	}
+	back := fake.Must(p.dial(1))
+	if got := echo(t, back, "back", time.Second); got != "back" {
+		t.Fatal(got)
+	}
+	undo()
+	total := p.network.total()
+	if total.refused != 1 || total.halfClosed != 2 || total.reset != 2 || total.streams != 4 {
+		t.Fatal(&total)
+	}
+}
--- /dev/null
+++ b/internal/drill/streams.go
@@ -0,0 +1,139 @@
+package drill
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"sync"
+	"time"
+)
+
+const (
+	// streamDialTimeout is how long the connection to a process may take.
+	streamDialTimeout = time.Second
+
+	// How often a stream that a fault holds up looks whether it is over: before it is connected, and in the middle.
+	swallowCheckInterval = 50 * time.Millisecond
+	stallCheckInterval   = 20 * time.Millisecond
+)
+
+func (n *network) acceptStreams(front *processFront, listener *net.TCPListener, port int) {
+	for {
+		connection, err := listener.AcceptTCP()
+		if err != nil {
+			return
+		}
+		go n.forwardStream(front, connection, port)
+	}
+}
+
+// forwardStream forwards a stream to a process's port until it ends.
+func (n *network) forwardStream(front *processFront, incoming *net.TCPConn, port int) {
+	defer func() { _ = incoming.Close() }() // it may be closed already
+	host := incoming.RemoteAddr().(*net.TCPAddr).IP.String()
+	current := n.lookup(host, front.process)
+	n.increment(&current.counters.streams, 1)
+	if current.has(actionRefuse) {
+		n.increment(&current.counters.refused, 1)
+		resetConnection(incoming)
+		return
+	}
+	for current.has(actionSwallow) { // the stream is taken, and nothing comes of it
+		time.Sleep(swallowCheckInterval)
+		if current = n.lookup(host, front.process); n.isClosed() {
+			return
+		}
+	}
+	outgoing, err := n.dialProcess(front, current, port)
+	if err != nil {
+		resetConnection(incoming)
+		return
+	}
+	defer func() { _ = outgoing.Close() }() // it may be closed already
+	forth, back := link{current.from, front.process}, link{front.process, current.from}
+	n.trackStream(outgoing, forth)
+	n.trackStream(incoming, back)
+	var copying sync.WaitGroup
+	copying.Go(func() { n.copyStream(outgoing, incoming, host, forth.to) })
+	copying.Go(func() { n.copyStream(incoming, outgoing, front.target.IP.String(), back.to) })
+	copying.Wait()
+	n.forgetStream(outgoing)
+	n.forgetStream(incoming)
+}
+
+// dialProcess connects to a process from the front of the sender; a stranger comes from the process's own front.
+func (n *network) dialProcess(front *processFront, current conditions, port int) (*net.TCPConn, error) {
+	local := front.ip
+	if current.senderFront != nil {
+		local = current.senderFront.ip
+	}
+	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: local}, Timeout: streamDialTimeout}
+	target := net.TCPAddr{IP: front.target.IP, Port: port}
+	connection, err := dialer.DialContext(context.Background(), "tcp", target.String())
+	if err != nil {
+		return nil, err
+	}
+	return connection.(*net.TCPConn), nil
+}
+
+func (n *network) trackStream(connection *net.TCPConn, l link) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.streams[connection] = l
+}
+
+func (n *network) forgetStream(connection *net.TCPConn) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	delete(n.streams, connection)
+}
+
+// copyStream copies one direction of a stream, from a host to a process, under what holds on its link. An end is passed
+// on as an end, an error as a reset.
+func (n *network) copyStream(to, from *net.TCPConn, host string, target int) {
+	const bufferBytes = 8 << 10
+	buffer := make([]byte, bufferBytes)
+	for {
+		size, err := from.Read(buffer)
+		if size > 0 {
+			n.applyToStream(buffer[:size], host, target)
+			if _, err := to.Write(buffer[:size]); err != nil {
+				resetConnection(from)
+				return
+			}
+		}
+		switch {
+		case errors.Is(err, io.EOF):
+			_ = to.CloseWrite() // it may be closed already
+			return
+		case err != nil:
+			resetConnection(to)
+			return
+		}
+	}
+}
+
+// applyToStream applies the faults of a link to a part of a stream, which it may change; it returns when the part
+// may be written.
+func (n *network) applyToStream(part []byte, host string, target int) {
+	current := n.lookup(host, target)
+	n.increment(&current.counters.streamBytes, len(part))
+	for current.has(actionStall, actionSwallow) && !n.isClosed() { // in the middle of whatever it carries
+		time.Sleep(stallCheckInterval)
+		current = n.lookup(host, target)
+	}
+	for _, fault := range current.faults {
+		switch fault.Action {
+		case actionDelay:
+			time.Sleep(drawDelay(fault))
+		case actionNarrow:
+			time.Sleep(transferTime(fault, len(part)))
+		case actionGarble:
+			if n.chance(fault.Fraction) {
+				garble(part)
+				n.increment(&current.counters.corrupted, 1)
+			}
+		}
+	}
+}
