--- a/internal/coordination/model_invariants_test.go
+++ b/internal/coordination/model_invariants_test.go
@@ -56,7 +56,7 @@
 	}
 	if command.Kind == KindBeginPermit && reply.OK {
 		if permit := after.Permits[command.PermitID]; permit == nil || permit.Stage != PermitBegun {
-			return "told that it has begun, and it has not"
+			return "answered that it has begun, and it has not"
 		}
 	}
 	if violated := violatedByEnd(before, after); violated != "" {
--- a/internal/fleet/coordinator/analysis.go
+++ b/internal/fleet/coordinator/analysis.go
@@ -100,23 +100,23 @@
 
 // analyzeWave compares what the new release and the old one do at the same time, and has the verdict agreed on once
 // there is one.
-func (s *Coordinator) analyzeWave(rollout *coordination.Rollout) {
-	analysis := &s.leadership.analysis
+func (c *Coordinator) analyzeWave(rollout *coordination.Rollout) {
+	analysis := &c.leadership.analysis
 	wave := waveKey{rollout: rollout.Name, wave: rollout.Wave, requestedBy: rollout.RequestedBy}
 	if analysis.wave != wave {
-		analysis.start(wave, s.config.Canary)
+		analysis.start(wave, c.config.Canary)
 	}
-	if time.Since(analysis.windowStart) < s.config.AnalysisWindow {
+	if time.Since(analysis.windowStart) < c.config.AnalysisWindow {
 		return
 	}
 	previous, current := analysis.nextWindow()
-	groups := s.groupMembers(rollout)
+	groups := c.groupMembers(rollout)
 	sample := sampleBetween(previous, current, groups.canary)
 	sample.Crashes = groups.crashes
 	analysis.analysis.Add(sample, sampleBetween(previous, current, groups.baseline))
-	s.queryStats(groups.canary)
-	s.queryStats(groups.baseline)
-	s.proposeVerdict(rollout, analysis.analysis.Result())
+	c.queryStats(groups.canary)
+	c.queryStats(groups.baseline)
+	c.proposeVerdict(rollout, analysis.analysis.Result())
 }
 
 // releaseGroups are the members that a rollout is meant for.
@@ -126,8 +126,8 @@
 	crashes  int // members of canary that have come back since the window before without a permit
 }
 
-func (s *Coordinator) groupMembers(rollout *coordination.Rollout) releaseGroups {
-	lead := s.leadership
+func (c *Coordinator) groupMembers(rollout *coordination.Rollout) releaseGroups {
+	lead := c.leadership
 	var groups releaseGroups
 	for _, name := range slices.Sorted(maps.Keys(lead.reported)) {
 		member := lead.reported[name]
@@ -140,7 +140,7 @@
 		}
 		groups.canary = append(groups.canary, member)
 		before := lead.canaryIncarnations[name]
-		if before != 0 && member.Incarnation != before && !s.hadPermit(name) {
+		if before != 0 && member.Incarnation != before && !c.hadPermit(name) {
 			groups.crashes++
 		}
 		lead.canaryIncarnations[name] = member.Incarnation
@@ -149,24 +149,24 @@
 }
 
 // queryStats asks some members of a group, drawn anew for each window, what they have done.
-func (s *Coordinator) queryStats(group []coordination.Observation) {
-	analysis := &s.leadership.analysis
+func (c *Coordinator) queryStats(group []coordination.Observation) {
+	analysis := &c.leadership.analysis
 	order := rand.Perm(len(group))
-	for _, i := range order[:min(len(order), max(0, s.config.SampleSize))] {
+	for _, i := range order[:min(len(order), max(0, c.config.SampleSize))] {
 		member := group[i]
-		s.fleet.QueryStats(member.Name, func(stats gossip.RequestStats) {
+		c.fleet.QueryStats(member.Name, func(stats gossip.RequestStats) {
 			analysis.record(member.Name, memberStats{member.Incarnation, stats})
 		})
 	}
 }
 
 // proposeVerdict has a verdict agreed on. A wave can fail at any time, and passes only once it is updated whole.
-func (s *Coordinator) proposeVerdict(rollout *coordination.Rollout, result canary.Result) {
+func (c *Coordinator) proposeVerdict(rollout *coordination.Rollout, result canary.Result) {
 	isWhole := rollout.Phase == coordination.RolloutAnalyzing
 	if result.Verdict == canary.Inconclusive || result.Verdict == canary.Passed && !isWhole {
 		return
 	}
-	reply, err := s.propose(coordination.Command{
+	reply, err := c.propose(coordination.Command{
 		Kind:        coordination.KindCanaryVerdict,
 		RequestedBy: verdictRequester,
 		RolloutName: rollout.Name,
@@ -179,12 +179,12 @@
 	}
 	slog.Info("canary verdict", "rollout", rollout.Name, "wave", rollout.Wave+1,
 		"verdict", result.Verdict.String(), "reason", result.Reason)
-	s.leadership.analysis.wave = waveKey{}
+	c.leadership.analysis.wave = waveKey{}
 }
 
 // hadPermit tells whether a member has a permit or had one a short time ago.
-func (s *Coordinator) hadPermit(name coordination.Name) (had bool) {
-	s.replica.inspect(func(state *coordination.State) {
+func (c *Coordinator) hadPermit(name coordination.Name) (had bool) {
+	c.replica.inspect(func(state *coordination.State) {
 		member := state.Members[name]
 		had = member != nil && member.PermitID > 0
 		for _, permit := range state.EndedPermits {
--- a/internal/fleet/coordinator/coordinator.go
+++ b/internal/fleet/coordinator/coordinator.go
@@ -53,87 +53,87 @@
 	if config.AdvertiseAddr == "" {
 		config.AdvertiseAddr = config.ListenAddr
 	}
-	s := &Coordinator{config: config, closed: make(chan struct{}), startedAt: time.Now()}
-	s.SetClusterKeys(config.ClusterKeys)
+	c := &Coordinator{config: config, closed: make(chan struct{}), startedAt: time.Now()}
+	c.SetClusterKeys(config.ClusterKeys)
 	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", config.ListenAddr)
 	if err != nil {
 		return nil, err
 	}
-	s.streamLayer = newStreamLayer(s, listener)
-	s.replica, err = openReplica(config, s.streamLayer)
+	c.streamLayer = newStreamLayer(c, listener)
+	c.replica, err = openReplica(config, c.streamLayer)
 	if err != nil {
-		_ = s.streamLayer.Close() // the folder's error is what matters
+		_ = c.streamLayer.Close() // the folder's error is what matters
 		return nil, err
 	}
-	close(s.streamLayer.ready)
-	return s, nil
+	close(c.streamLayer.ready)
+	return c, nil
 }
 
 // SetClusterKeys replaces the keys for connections that begin later.
-func (s *Coordinator) SetClusterKeys(keys []membership.Key) { s.clusterKeys.Store(&keys) }
+func (c *Coordinator) SetClusterKeys(keys []membership.Key) { c.clusterKeys.Store(&keys) }
 
-func (s *Coordinator) loadClusterKeys() []membership.Key { return *s.clusterKeys.Load() }
+func (c *Coordinator) loadClusterKeys() []membership.Key { return *c.clusterKeys.Load() }
 
 // Serve does a coordinator's work and blocks until Shutdown has ended it.
-func (s *Coordinator) Serve(fleet Fleet) {
-	s.fleet = fleet
-	s.loops.Add(2)
-	go s.joinLoop()
-	go s.leadLoop()
-	<-s.closed
-	s.loops.Wait()
-	_ = s.streamLayer.Close() // of a listener that is not needed any more
-	s.replica.close()
+func (c *Coordinator) Serve(fleet Fleet) {
+	c.fleet = fleet
+	c.loops.Add(2)
+	go c.joinLoop()
+	go c.leadLoop()
+	<-c.closed
+	c.loops.Wait()
+	_ = c.streamLayer.Close() // of a listener that is not needed any more
+	c.replica.close()
 }
 
 // Shutdown has Serve end, and does not wait for it. A leader hands its leadership over first, so that nothing waits
 // for an election.
-func (s *Coordinator) Shutdown() {
-	s.shutdownOnce.Do(func() {
-		s.shuttingDown.Store(true)
+func (c *Coordinator) Shutdown() {
+	c.shutdownOnce.Do(func() {
+		c.shuttingDown.Store(true)
 		go func() {
-			if s.IsLeader() {
-				_ = s.replica.raft.LeadershipTransfer().Error() // without it the others elect a leader
+			if c.IsLeader() {
+				_ = c.replica.raft.LeadershipTransfer().Error() // without it the others elect a leader
 			}
-			close(s.closed)
+			close(c.closed)
 		}()
 	})
 }
 
 // Ready tells whether a leader is known.
-func (s *Coordinator) Ready() bool { return s.replica.leaderAddr() != "" }
+func (c *Coordinator) Ready() bool { return c.replica.leaderAddr() != "" }
 
 // IsLeader tells whether this coordinator leads.
-func (s *Coordinator) IsLeader() bool {
-	_, isLeader := s.replica.leaderTerm()
+func (c *Coordinator) IsLeader() bool {
+	_, isLeader := c.replica.leaderTerm()
 	return isLeader
 }
 
 // takesCommands tells whether this coordinator leads and is not about to end.
-func (s *Coordinator) takesCommands() bool { return s.IsLeader() && !s.shuttingDown.Load() }
+func (c *Coordinator) takesCommands() bool { return c.IsLeader() && !c.shuttingDown.Load() }
 
 // propose has a command agreed on. It blocks, and returns an error that is client.ErrNoQuorum where that fails: the
 // command may have been agreed on all the same.
-func (s *Coordinator) propose(command coordination.Command) (coordination.Reply, error) {
-	term, isLeader := s.replica.leaderTerm()
+func (c *Coordinator) propose(command coordination.Command) (coordination.Reply, error) {
+	term, isLeader := c.replica.leaderTerm()
 	if !isLeader {
 		return coordination.Reply{}, client.ErrNoQuorum
 	}
 	command.Term = term
-	command.LeaderTime = time.Since(s.startedAt) // monotonic
-	return s.replica.apply(command)
+	command.LeaderTime = time.Since(c.startedAt) // monotonic
+	return c.replica.apply(command)
 }
 
 // BeginPermit has it agreed that a member begins its permit. It returns at once; begun is called on a goroutine of
 // its own once that is agreed, and never if it is refused or this coordinator does not lead.
-func (s *Coordinator) BeginPermit(
+func (c *Coordinator) BeginPermit(
 	name membership.Name, incarnation membership.Incarnation, permitID uint64, begun func(),
 ) {
 	go func() {
-		if !s.takesCommands() {
+		if !c.takesCommands() {
 			return
 		}
-		reply, err := s.propose(coordination.Command{
+		reply, err := c.propose(coordination.Command{
 			Kind:        coordination.KindBeginPermit,
 			RequestedBy: string(name),
 			Member:      name,
@@ -156,21 +156,21 @@
 )
 
 // joinLoop asks the other coordinators to be made a voter for as long as this one is none.
-func (s *Coordinator) joinLoop() {
-	defer s.loops.Done()
+func (c *Coordinator) joinLoop() {
+	defer c.loops.Done()
 	pause := minJoinPause
 	for {
 		select {
-		case <-s.closed:
+		case <-c.closed:
 			return
 		case <-time.After(pause + time.Duration(rand.Int64N(int64(pause)))):
 		}
-		isBootstrapping := s.config.Bootstrap && s.replica.raft.LastIndex() == 0
-		if s.replica.isVoter() || isBootstrapping {
+		isBootstrapping := c.config.Bootstrap && c.replica.raft.LastIndex() == 0
+		if c.replica.isVoter() || isBootstrapping {
 			pause = maxJoinPause
 			continue
 		}
-		if err := s.requestJoin(); err != nil {
+		if err := c.requestJoin(); err != nil {
 			slog.Info("join failed, retrying", "err", err)
 			pause = min(2*pause, maxJoinPause)
 		}
@@ -178,20 +178,20 @@
 }
 
 // requestJoin asks the leader to make this coordinator a voter.
-func (s *Coordinator) requestJoin() error {
+func (c *Coordinator) requestJoin() error {
 	var others []string
-	for _, addr := range s.config.Coordinators {
-		if addr != s.config.AdvertiseAddr {
+	for _, addr := range c.config.Coordinators {
+		if addr != c.config.AdvertiseAddr {
 			others = append(others, addr)
 		}
 	}
 	coordinators := client.Client{
 		Coordinators: others,
-		Keys:         s.loadClusterKeys(),
-		LocalIP:      s.config.LocalIP,
+		Keys:         c.loadClusterKeys(),
+		LocalIP:      c.config.LocalIP,
 		Timeout:      5 * time.Second,
 	}
-	join := &client.JoinRequest{ID: string(s.replica.id), Addr: s.config.AdvertiseAddr}
+	join := &client.JoinRequest{ID: string(c.replica.id), Addr: c.config.AdvertiseAddr}
 	response, err := coordinators.Do(client.Request{Join: join})
 	if err != nil {
 		return err
--- a/internal/fleet/coordinator/coordinator_test.go
+++ b/internal/fleet/coordinator/coordinator_test.go
@@ -63,7 +63,7 @@
 	defer f.close()
 	leader := f.leader(1, 1)
 	replica := f.coordinators[leader].replica
-	if err := replica.removeVoter("s9"); !errors.Is(err, ErrUnknownCoordinator) {
+	if err := replica.removeVoter("s9"); !errors.Is(err, errUnknownCoordinator) {
 		t.Error(err)
 	}
 	response, err := f.client().Do(client.Request{RemoveCoordinator: "s9"})
--- a/internal/fleet/coordinator/disk_test.go
+++ b/internal/fleet/coordinator/disk_test.go
@@ -33,8 +33,8 @@
 
 // Without a majority nothing is agreed, and nothing that was is forgotten. All end at once and start again from disk:
 // what was agreed holds, and one whose folder was wiped joins as another. A snapshot that was cut short is an error,
-// and is not used; where that leaves no majority, the one that has the state goes on alone when it is told to, and
-// the others join it anew.
+// and is not used; where that leaves no majority, the one that has the state goes on alone when it is configured to,
+// and the others join it anew.
 func Example_disks() {
 	f := newTestFleet(3, 3)
 	defer f.close()
--- a/internal/fleet/coordinator/fleet_test.go
+++ b/internal/fleet/coordinator/fleet_test.go
@@ -35,6 +35,24 @@
 // fleetCount gives each fleet of this process addresses of its own.
 var fleetCount int
 
+// testConfig is a coordinator with a short heartbeat and few log entries between snapshots.
+func testConfig(name, listenAddr, folder string) Config {
+	return Config{
+		Name:               name,
+		ListenAddr:         listenAddr,
+		DataDir:            folder,
+		HeartbeatTimeout:   300 * time.Millisecond,
+		ClusterKeys:        []membership.Key{clusterKey},
+		Coordination:       coordination.DefaultConfig(),
+		Canary:             canary.DefaultConfig(),
+		AnalysisWindow:     time.Second,
+		SampleSize:         8,
+		RestartTimeout:     time.Second,
+		RestartOutputLimit: 64,
+		SnapshotThreshold:  64,
+	}
+}
+
 // newTestFleet starts coordinators in a fleet of instances n0 and so on, which are up.
 func newTestFleet(coordinators, instances int) *testFleet {
 	fleetCount++
@@ -53,21 +71,9 @@
 	for i := range coordinators {
 		addr := freeAddr(fmt.Sprintf("127.73.%d.%d", os.Getpid()%250, fleetCount))
 		addrs = append(addrs, addr)
-		f.configs = append(f.configs, Config{
-			Name:               fmt.Sprint("s", i),
-			ListenAddr:         addr,
-			DataDir:            filepath.Join(f.dir, fmt.Sprint(i)),
-			Bootstrap:          i == 0,
-			HeartbeatTimeout:   300 * time.Millisecond,
-			ClusterKeys:        []membership.Key{clusterKey},
-			Coordination:       coordination.DefaultConfig(),
-			Canary:             canary.DefaultConfig(),
-			AnalysisWindow:     time.Second,
-			SampleSize:         8,
-			RestartTimeout:     time.Second,
-			RestartOutputLimit: 64,
-			SnapshotThreshold:  64,
-		})
+		config := testConfig(fmt.Sprint("s", i), addr, filepath.Join(f.dir, fmt.Sprint(i)))
+		config.Bootstrap = i == 0
+		f.configs = append(f.configs, config)
 	}
 	for i := range coordinators {
 		f.configs[i].Coordinators = addrs
--- a/internal/fleet/coordinator/golden_test.go
+++ b/internal/fleet/coordinator/golden_test.go
@@ -15,9 +15,7 @@
 	"github.com/hashicorp/raft"
 
 	"lanewheel/internal/coordination"
-	"lanewheel/internal/coordination/canary"
 	"lanewheel/internal/fake"
-	"lanewheel/internal/membership"
 )
 
 var update = flag.Bool("update", false, "write the golden folder anew; only where the stored form is meant to change")
@@ -34,22 +32,11 @@
 	"undrain"}
 
 func goldenConfig(folder string) Config {
-	return Config{
-		Name:               "s0",
-		ListenAddr:         "127.0.0.1:0",
-		AdvertiseAddr:      goldenAddr,
-		DataDir:            folder,
-		Bootstrap:          true,
-		HeartbeatTimeout:   300 * time.Millisecond,
-		ClusterKeys:        []membership.Key{clusterKey},
-		Coordination:       coordination.DefaultConfig(),
-		Canary:             canary.DefaultConfig(),
-		AnalysisWindow:     time.Second,
-		SampleSize:         8,
-		RestartTimeout:     time.Second,
-		RestartOutputLimit: 64,
-		SnapshotThreshold:  1000,
-	}
+	config := testConfig("s0", "127.0.0.1:0", folder)
+	config.AdvertiseAddr = goldenAddr
+	config.Bootstrap = true
+	config.SnapshotThreshold = 1000
+	return config
 }
 
 // startGolden starts a coordinator on a folder, without its loops, and waits until it leads with all of its log
--- a/internal/fleet/coordinator/leader.go
+++ b/internal/fleet/coordinator/leader.go
@@ -21,7 +21,7 @@
 // leadership is what a leader keeps beside the state; the next leader needs nothing of it. It is owned by leadLoop.
 type leadership struct {
 	term       uint64
-	reported   map[coordination.Name]coordination.Observation // what the state was told of each member
+	reported   map[coordination.Name]coordination.Observation // the latest agreed observation of each member
 	lastTick   time.Time
 	notifiedAt map[coordination.PermitID]time.Time
 	restarts   map[coordination.PermitID]*restartState
@@ -40,63 +40,63 @@
 }
 
 // leadLoop does the leader's rounds for as long as this coordinator leads.
-func (s *Coordinator) leadLoop() {
-	defer s.loops.Done()
+func (c *Coordinator) leadLoop() {
+	defer c.loops.Done()
 	ticker := time.NewTicker(leaderRoundInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-s.closed:
+		case <-c.closed:
 			return
 		case <-ticker.C:
 		}
-		if s.refreshLeadership() {
-			s.leaderRound()
+		if c.refreshLeadership() {
+			c.leaderRound()
 		}
 	}
 }
 
 // refreshLeadership tells whether this coordinator leads and has all in its state that was agreed before.
-func (s *Coordinator) refreshLeadership() bool {
-	term, isLeader := s.replica.leaderTerm()
+func (c *Coordinator) refreshLeadership() bool {
+	term, isLeader := c.replica.leaderTerm()
 	if !isLeader {
-		if s.leadership != nil {
-			slog.Info("lost leadership", "term", s.leadership.term)
+		if c.leadership != nil {
+			slog.Info("lost leadership", "term", c.leadership.term)
 		}
-		s.leadership = nil
+		c.leadership = nil
 		return false
 	}
-	if s.leadership != nil && s.leadership.term == term {
+	if c.leadership != nil && c.leadership.term == term {
 		return true
 	}
 	// What was agreed before is in the log and may not be in the state yet. Nothing is decided before it is.
-	if s.replica.raft.Barrier(barrierTimeout).Error() != nil {
+	if c.replica.raft.Barrier(barrierTimeout).Error() != nil {
 		return false
 	}
 	slog.Info("became leader", "term", term)
-	s.leadership = newLeadership(term)
+	c.leadership = newLeadership(term)
 	return true
 }
 
 // leaderRound reports what has changed among the members, passes the time, tells holders of their permits, starts
 // members anew and analyzes the rollout.
-func (s *Coordinator) leaderRound() {
-	if !s.reportMembers() {
+func (c *Coordinator) leaderRound() {
+	if !c.reportMembers() {
 		return
 	}
-	snapshot := s.takeSnapshot()
-	if !s.tick(snapshot.active) {
+	snapshot := c.takeSnapshot()
+	if !c.tick(snapshot.active) {
 		return
 	}
 	for _, permit := range snapshot.permits {
-		s.advancePermit(permit, snapshot.rollout)
+		c.advancePermit(permit, snapshot.rollout)
 	}
 	rollout := snapshot.rollout
 	switch {
 	case snapshot.halted: // what is measured meanwhile is of a wave that is analyzed anew after the halt
-		s.leadership.analysis.wave = waveKey{}
+		c.leadership.analysis.wave = waveKey{}
 	case rollout.InProgress() && rollout.AnalysisRequired && rollout.Phase != coordination.RolloutRollingBack:
-		s.analyzeWave(rollout)
+		c.analyzeWave(rollout)
 	}
 }
 
@@ -116,8 +116,8 @@
 	previousRelease string // of the holder, before the rollout
 }
 
-func (s *Coordinator) takeSnapshot() (snapshot roundSnapshot) {
-	s.replica.inspect(func(state *coordination.State) {
+func (c *Coordinator) takeSnapshot() (snapshot roundSnapshot) {
+	c.replica.inspect(func(state *coordination.State) {
 		snapshot.active = len(state.Permits) > 0 || state.Rollout.InProgress()
 		snapshot.halted = state.Halt != nil
 		for _, permit := range state.Permits {
@@ -141,31 +141,31 @@
 }
 
 // tick has the fleet's time pass, seldom while nothing is going on. It tells whether the round may go on.
-func (s *Coordinator) tick(active bool) bool {
+func (c *Coordinator) tick(active bool) bool {
 	interval := idleTickInterval
 	if active {
 		interval = activeTickInterval
 	}
-	if time.Since(s.leadership.lastTick) <= interval {
+	if time.Since(c.leadership.lastTick) <= interval {
 		return true
 	}
-	s.leadership.lastTick = time.Now()
-	_, err := s.propose(coordination.Command{Kind: coordination.KindTick})
+	c.leadership.lastTick = time.Now()
+	_, err := c.propose(coordination.Command{Kind: coordination.KindTick})
 	return err == nil
 }
 
 // advancePermit tells a holder of its permit until it has gone out, and starts it anew once it is gone.
-func (s *Coordinator) advancePermit(permit heldPermit, rollout *coordination.Rollout) {
-	lead := s.leadership
+func (c *Coordinator) advancePermit(permit heldPermit, rollout *coordination.Rollout) {
+	lead := c.leadership
 	begun := permit.Stage == coordination.PermitBegun
 	switch {
 	case permit.holderUp && time.Since(lead.notifiedAt[permit.ID]) > notifyInterval:
 		lead.notifiedAt[permit.ID] = time.Now()
-		s.fleet.NotifyPermit(permit.Member, permit.Incarnation, uint64(permit.ID), begun)
+		c.fleet.NotifyPermit(permit.Member, permit.Incarnation, uint64(permit.ID), begun)
 	// A member that was drained stays out until its operator starts it. One that still serves must not be started a
 	// second time: only a member that is gone is started.
 	case permit.holderGone && begun && permit.Purpose != coordination.PurposeDrain &&
-		rollout != nil && s.config.RestartCommand != "":
+		rollout != nil && c.config.RestartCommand != "":
 		release := rollout.TargetRelease
 		if permit.Purpose == coordination.PurposeRollback {
 			release = permit.previousRelease
@@ -175,7 +175,7 @@
 			restart = &restartState{}
 			lead.restarts[permit.ID] = restart
 		}
-		s.scheduleRestart(restart, permit.Permit, release)
+		c.scheduleRestart(restart, permit.Permit, release)
 	}
 }
 
@@ -193,12 +193,12 @@
 // reportMembers has what has changed among the members agreed on, and tells whether the view can be trusted and that
 // went well. A leader that is cut off from the fleet and not from the other coordinators would see all members as
 // gone, or as they were.
-func (s *Coordinator) reportMembers() bool {
-	view := s.fleet.View()
+func (c *Coordinator) reportMembers() bool {
+	view := c.fleet.View()
 	if !view.LocalHealth.CanDeclareGone() {
 		return false
 	}
-	lead := s.leadership
+	lead := c.leadership
 	current := observeView(view)
 	var changed []coordination.Observation
 	for _, name := range slices.Sorted(maps.Keys(current)) {
@@ -216,7 +216,7 @@
 	if len(changed) == 0 {
 		return true
 	}
-	_, err := s.propose(coordination.Command{Kind: coordination.KindObserve, Observations: changed})
+	_, err := c.propose(coordination.Command{Kind: coordination.KindObserve, Observations: changed})
 	if err != nil {
 		return false
 	}
--- a/internal/fleet/coordinator/replica.go
+++ b/internal/fleet/coordinator/replica.go
@@ -28,8 +28,8 @@
 	peerTimeout       = 2 * time.Second  // of one call to a peer, snapshots aside
 )
 
-// ErrUnknownCoordinator is that no voter has the name.
-var ErrUnknownCoordinator = errors.New("no coordinator has this name")
+// errUnknownCoordinator is that no voter has the name.
+var errUnknownCoordinator = errors.New("no coordinator has this name")
 
 // replica is one coordinator's copy of the agreed state. Its methods may be called from any goroutine.
 type replica struct {
@@ -223,7 +223,7 @@
 			return r.removeServer(server.ID)
 		}
 	}
-	return fmt.Errorf("%w: %q", ErrUnknownCoordinator, name)
+	return fmt.Errorf("%w: %q", errUnknownCoordinator, name)
 }
 
 func (r *replica) removeServer(id raft.ServerID) error {
--- a/internal/fleet/coordinator/requests.go
+++ b/internal/fleet/coordinator/requests.go
@@ -12,44 +12,44 @@
 )
 
 // handle answers a request. Any coordinator shows what it knows; the leader alone takes commands, others name it.
-func (s *Coordinator) handle(request client.Request) client.Response {
+func (c *Coordinator) handle(request client.Request) client.Response {
 	switch {
 	case request.Status:
-		return client.Response{Status: s.status()}
+		return client.Response{Status: c.status()}
 	case request.History:
-		return s.history()
-	case !s.takesCommands():
-		return s.redirect()
+		return c.history()
+	case !c.takesCommands():
+		return c.redirect()
 	}
 	var response client.Response
-	if err := s.handleCommand(request, &response); err != nil {
+	if err := c.handleCommand(request, &response); err != nil {
 		response.SetErr(err)
 	}
 	return response
 }
 
 // handleCommand carries out a request that only the leader takes.
-func (s *Coordinator) handleCommand(request client.Request, response *client.Response) error {
+func (c *Coordinator) handleCommand(request client.Request, response *client.Response) error {
 	switch {
 	case request.Command != nil:
-		reply, err := s.propose(*request.Command)
+		reply, err := c.propose(*request.Command)
 		if err != nil {
 			return err
 		}
 		response.Reply = &reply
 	case request.Join != nil:
-		return s.replica.addVoter(raft.ServerID(request.Join.ID), request.Join.Addr)
+		return c.replica.addVoter(raft.ServerID(request.Join.ID), request.Join.Addr)
 	case request.RemoveCoordinator != "":
-		return s.replica.removeVoter(request.RemoveCoordinator)
+		return c.replica.removeVoter(request.RemoveCoordinator)
 	}
 	return nil
 }
 
 // redirect names the leader, or tells that there is none.
-func (s *Coordinator) redirect() client.Response {
+func (c *Coordinator) redirect() client.Response {
 	var response client.Response
-	leader := s.replica.leaderAddr()
-	if leader == "" || leader == s.config.AdvertiseAddr { // this one, which is about to end
+	leader := c.replica.leaderAddr()
+	if leader == "" || leader == c.config.AdvertiseAddr { // this one, which is about to end
 		response.SetErr(client.ErrNoQuorum)
 		return response
 	}
@@ -57,8 +57,8 @@
 	return response
 }
 
-func (s *Coordinator) history() (response client.Response) {
-	s.replica.inspect(func(state *coordination.State) {
+func (c *Coordinator) history() (response client.Response) {
+	c.replica.inspect(func(state *coordination.State) {
 		response.History = slices.Clone(state.History)
 		response.EndedPermits = slices.Clone(state.EndedPermits)
 	})
@@ -66,22 +66,22 @@
 }
 
 // status is what is agreed as this coordinator has it, a copy.
-func (s *Coordinator) status() *client.Status {
+func (c *Coordinator) status() *client.Status {
 	status := &client.Status{
-		ID:           string(s.replica.id),
-		Leader:       s.replica.leaderAddr(),
-		IsLeader:     s.IsLeader(),
-		Term:         s.replica.raft.CurrentTerm(),
-		AppliedIndex: s.replica.raft.AppliedIndex(),
+		ID:           string(c.replica.id),
+		Leader:       c.replica.leaderAddr(),
+		IsLeader:     c.IsLeader(),
+		Term:         c.replica.raft.CurrentTerm(),
+		AppliedIndex: c.replica.raft.AppliedIndex(),
 		Coordinators: map[string]string{},
 	}
-	servers, err := s.replica.servers()
+	servers, err := c.replica.servers()
 	if err == nil { // else none is shown
 		for _, server := range servers {
 			status.Coordinators[string(server.ID)] = string(server.Address)
 		}
 	}
-	s.replica.inspect(func(state *coordination.State) { showState(state, status) })
+	c.replica.inspect(func(state *coordination.State) { showState(state, status) })
 	return status
 }
 
--- a/internal/fleet/coordinator/restart.go
+++ b/internal/fleet/coordinator/restart.go
@@ -36,7 +36,7 @@
 
 // scheduleRestart runs the operator's command for a member that is out, again and later each time while it fails: a
 // member that has left the fleet and not ended yet can't be started, and would stay out for ever.
-func (s *Coordinator) scheduleRestart(restart *restartState, permit coordination.Permit, release string) {
+func (c *Coordinator) scheduleRestart(restart *restartState, permit coordination.Permit, release string) {
 	if restart.running.Load() || restart.done.Load() || time.Now().Before(restart.nextAttempt) {
 		return
 	}
@@ -44,24 +44,24 @@
 	restart.nextAttempt = time.Now().Add(restartBackoff(restart.attempts))
 	restart.running.Store(true)
 	go func() {
-		restart.done.Store(s.runRestartCommand(permit, release))
+		restart.done.Store(c.runRestartCommand(permit, release))
 		restart.running.Store(false)
 	}()
 }
 
 // runRestartCommand runs the operator's command, with bounds on its time and its output, and tells whether it went
 // well.
-func (s *Coordinator) runRestartCommand(permit coordination.Permit, release string) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), s.config.RestartTimeout)
+func (c *Coordinator) runRestartCommand(permit coordination.Permit, release string) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), c.config.RestartTimeout)
 	defer cancel()
 	placeholders := strings.NewReplacer("{name}", string(permit.Member), "{release}", release)
-	args := strings.Fields(s.config.RestartCommand)
+	args := strings.Fields(c.config.RestartCommand)
 	for i := range args {
 		args[i] = placeholders.Replace(args[i])
 	}
 	command := exec.CommandContext(ctx, args[0], args[1:]...)
 	command.Env = append(os.Environ(), "LANEWHEEL_NAME="+string(permit.Member), "LANEWHEEL_RELEASE="+release)
-	output := &limitedBuffer{limit: s.config.RestartOutputLimit}
+	output := &limitedBuffer{limit: c.config.RestartOutputLimit}
 	command.Stdout = output
 	command.Stderr = output
 	command.WaitDelay = restartWaitDelay
--- a/internal/fleet/coordinator/streamlayer.go
+++ b/internal/fleet/coordinator/streamlayer.go
@@ -115,7 +115,7 @@
 }
 
 // serveRequest answers one request.
-func (s *Coordinator) serveRequest(conn net.Conn) {
+func (c *Coordinator) serveRequest(conn net.Conn) {
 	if conn.SetDeadline(time.Now().Add(client.RequestTimeout)) != nil {
 		return // the connection is closed
 	}
@@ -125,7 +125,7 @@
 	if err := json.NewDecoder(limited).Decode(&request); err != nil {
 		response.Error = "can't be read: " + err.Error()
 	} else {
-		response = s.handle(request)
+		response = c.handle(request)
 	}
 	_ = json.NewEncoder(conn).Encode(response) // a client that is gone asks again
 }
