--- a/internal/concurrencylease/holder.go
+++ b/internal/concurrencylease/holder.go
@@ -10,7 +10,7 @@
 const (
 	// initialLeaseDuration is how long a lease is taken to last before one has come.
 	initialLeaseDuration = 2 * time.Second
-	// requestsPerLease is how often a lease is renewed while it holds, so that three messages in a row may be lost.
+	// requestsPerLease is how often a lease is renewed while it holds, so that two messages in a row may be lost.
 	requestsPerLease = 4
 	// waitingRequestsPerLease is the same while calls wait that the allocator does not know of. It keeps hundreds of
 	// holders that are short of calls from sending a request for each call.
