--- a/cmd/lanewheel-fleet/main.go
+++ b/cmd/lanewheel-fleet/main.go
@@ -1,5 +1,5 @@
-// Command lanewheel-fleet is lanewheel with the parts linked that speak to other processes, and the drill. They are a program of
-// their own because what they link takes memory at rest; lanewheel hands over to it where it is wanted.
+// Command lanewheel-fleet is lanewheel with the parts linked that speak to other processes, and the drill. They are a
+// program of their own as what they link takes memory at rest; lanewheel executes it where they are wanted.
 package main
 
 import (
