--- a/internal/balancer/subset_test.go
+++ b/internal/balancer/subset_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestSubsets checks that each endpoint is in as many subsets as any other, one more or less, and that each client
-// has as many as it is told.
+// has as many as configured.
 func TestSubsets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clientCount := rapid.IntRange(1, 40).Draw(t, "clients")
--- /dev/null
+++ b/internal/drill/disruption_test.go
@@ -0,0 +1,102 @@
+package drill
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"lanewheel/internal/config"
+	"lanewheel/internal/coordination"
+)
+
+// TestDisruptionLog checks that more processes out by a permit than a budget allows fail the drill, over all and by
+// zone, and what is recorded of it.
+func TestDisruptionLog(t *testing.T) {
+	failures := make(chan string, 10)
+	script := &config.Drill{Instances: 4, Zones: []string{"a", "b"}}
+	c := &cluster{
+		callbacks:   callbacks{fail: func(detail string) { failures <- detail }},
+		script:      script,
+		disruptions: newDisruptionLog(),
+	}
+	for i, name := range []string{"p0", "p1", "p2", "p3"} {
+		c.processes = append(c.processes, &process{cluster: c, index: i, name: name, release: "1"})
+		c.disruptions.noteRelease(c.processes[i])
+	}
+	c.disruptions.setLimits([]coordination.DisruptionBudget{
+		{Selector: coordination.Selector{Role: "instance"}, MaxUnavailable: 2},
+		{Selector: coordination.Selector{Zone: "a"}, MaxUnavailable: 1},
+		{Selector: coordination.Selector{Zone: "b"}, MaxUnavailable: -1},
+		{Selector: coordination.Selector{Release: "1"}, MaxUnavailable: 0},
+		{Selector: coordination.Selector{Role: "relay"}, MaxUnavailable: 0},
+	})
+	out := func(index int, want string) {
+		t.Helper()
+		c.disruptions.noteOut(c, c.processes[index])
+		select {
+		case got := <-failures:
+			if want == "" || !strings.Contains(got, want) {
+				t.Errorf("failed with %q, want %q", got, want)
+			}
+		case <-time.After(50 * time.Millisecond):
+			if want != "" {
+				t.Errorf("did not fail with %q", want)
+			}
+		}
+	}
+	out(0, "")
+	out(1, "")
+	c.disruptions.noteBack(c.processes[1])
+	out(2, "p2 left by a permit and 2 of zone a are out by one, 1 may be")
+	c.disruptions.noteBack(c.processes[0])
+	out(1, "")
+	out(3, "p3 left by a permit and 3 of all are out by one, 2 may be")
+	if got := c.disruptions.maxOut[allProcesses]; got != 3 {
+		t.Errorf("%d out at the most", got)
+	}
+	if !c.disruptions.inProgress() || (*disruptionLog)(nil).inProgress() {
+		t.Error("in progress")
+	}
+	if got := len(c.disruptions.everOnReleases["1"]); got != 4 {
+		t.Errorf("%d were on release 1", got)
+	}
+}
+
+// TestParseCommand checks what the commands of a script are for the coordinators.
+func TestParseCommand(t *testing.T) {
+	c := &cluster{script: &config.Drill{Path: "testdata/everything.ini"}}
+	for text, want := range map[string]coordination.Command{
+		"halt":             {Kind: "halt"},
+		"resume":           {Kind: "resume"},
+		"back":             {Kind: "back"},
+		"drain p001":       {Kind: coordination.KindRequestPermit, Member: "p001"},
+		"drain zone north": {Kind: coordination.KindDrain, Selector: coordination.Selector{Zone: "north", Role: "instance"}},
+	} {
+		got, err := c.parseCommand(text)
+		if err != nil || got.Kind != want.Kind || got.Member != want.Member || got.Selector != want.Selector {
+			t.Errorf("%q is %+v, want %+v: %v", text, got, want, err)
+		}
+	}
+	for _, text := range []string{"", "explode", "budgets missing.ini", "release missing.ini"} {
+		if got, err := c.parseCommand(text); err == nil {
+			t.Errorf("%q is %+v, want an error", text, got)
+		}
+	}
+}
+
+// TestExpectedMaximum checks how many of some requests the most loaded process gets by chance.
+func TestExpectedMaximum(t *testing.T) {
+	for _, test := range []struct {
+		requests, processes int
+		min, max            float64
+	}{
+		{0, 10, 0, 0},
+		{1, 1, 0.6, 1},
+		{100, 10, 15, 17},
+		{1000, 10, 112, 118},
+	} {
+		if got := expectedMaximum(test.requests, test.processes); got < test.min || got > test.max {
+			t.Errorf("of %d requests over %d the most loaded gets %.2f", test.requests, test.processes, got)
+		}
+	}
+}
--- a/internal/forward/forwarder_test.go
+++ b/internal/forward/forwarder_test.go
@@ -7,6 +7,7 @@
 
 	"lanewheel/internal/balancer"
 	"lanewheel/internal/fake"
+	"lanewheel/internal/forward/forwardtest"
 	"lanewheel/internal/frontend"
 )
 
@@ -93,7 +94,7 @@
 }
 
 // TestForwardDeadline checks that a request is answered at its deadline where no endpoint does, and that the
-// endpoint is told that nobody waits.
+// endpoint is notified that nobody waits.
 func TestForwardDeadline(t *testing.T) {
 	f := newTestFleet(t, 1, nil, "silent")
 	startedAt := time.Now()
@@ -109,13 +110,13 @@
 	if elapsed := time.Since(startedAt); got != want || elapsed < 140*time.Millisecond {
 		t.Errorf("result %+v after %v, want %+v", got, elapsed, want)
 	}
-	fake.WaitFor("the endpoint to be told", func() bool { return f.receivedCount() == 2 })
+	fake.WaitFor("the endpoint to be notified", func() bool { return f.receivedCount() == 2 })
 	if got := f.receivedSoFar(); got[1] != "interrupt" {
 		t.Error(got)
 	}
 }
 
-// TestCancel checks that a canceled request has no result, and that the endpoint is told.
+// TestCancel checks that a canceled request has no result, and that the endpoint is notified.
 func TestCancel(t *testing.T) {
 	f := newTestFleet(t, 1, nil, "silent")
 	request, results := f.forward(300*time.Millisecond, true)
@@ -123,7 +124,7 @@
 	f.on(request.Cancel)
 	f.on(request.Cancel)
 	f.on(request.Expire)
-	fake.WaitFor("the endpoint to be told", func() bool { return f.receivedCount() == 2 })
+	fake.WaitFor("the endpoint to be notified", func() bool { return f.receivedCount() == 2 })
 	select {
 	case result := <-results:
 		t.Errorf("a canceled request has the result %+v", result)
@@ -206,7 +207,7 @@
 			t.Errorf("%d endpoints", got)
 		}
 	})
-	f.table = newTable()
+	f.table = forwardtest.NewTable("self")
 	f.updateView()
 	fake.WaitFor("the connection to close", func() bool { return f.connectionCount() == 0 })
 	f.on(func() {
--- /dev/null
+++ b/internal/forward/forwardtest/forwardtest.go
@@ -0,0 +1,56 @@
+// Package forwardtest has what tests of forwarding share: sockets, and a membership table of scripted instances.
+package forwardtest
+
+import (
+	"testing"
+	"time"
+
+	"lanewheel/internal/eventloop"
+	"lanewheel/internal/membership"
+	"lanewheel/internal/transport"
+)
+
+// pool is a buffer pool without reuse.
+type pool struct{}
+
+func (pool) Get() []byte { return make([]byte, 0, transport.BufferSize) }
+func (pool) Put([]byte)  {}
+
+// NewNet returns the sockets of an event loop, which have started.
+func NewNet(t testing.TB, loop *eventloop.Loop) *transport.Net {
+	t.Helper()
+	sockets := &transport.Net{
+		BufferPool:     pool{},
+		Post:           loop.Post,
+		PostRead:       loop.PostBlocking,
+		OnAccept:       func(*transport.Conn) {},
+		OnFull:         func() {},
+		MaxAccepted:    16,
+		MaxDescriptors: 128,
+		MaxUnread:      1 << 20,
+	}
+	if err := sockets.Start("127.0.0.1:0"); err != nil {
+		t.Fatal(err)
+	}
+	return sockets
+}
+
+// NewTable returns the membership table of a process that knows itself alone.
+func NewTable(self membership.Name) *membership.Table {
+	descriptor := membership.Descriptor{Name: self, Incarnation: 1, BootID: 1}
+	return membership.NewTable(descriptor, membership.DefaultConfig(), 0)
+}
+
+// AddInstance adds an instance that is ready and serves at an address.
+func AddInstance(table *membership.Table, name membership.Name, addr string) {
+	id := membership.ID{Name: name, BootID: 1}
+	table.HandleAlive(membership.Descriptor{
+		Name:        id.Name,
+		BootID:      id.BootID,
+		Incarnation: 1,
+		Roles:       membership.RoleServer,
+		ServiceAddr: addr,
+		Capacity:    2,
+	}, 0)
+	table.HandleHeartbeat(membership.Heartbeat{ID: id, Sequence: 1, Ready: true, ReadyFor: time.Minute}, 0, 0)
+}
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -109,7 +109,7 @@
 	r.release()
 }
 
-// detach ends the attempt: the endpoint is told that nobody waits. expired says whether that counts against it.
+// detach ends the attempt: the endpoint is notified that nobody waits. expired says whether that counts against it.
 func (r *Request) detach(expired bool) {
 	connection := r.connection
 	if connection == nil {
--- a/internal/forward/result.go
+++ b/internal/forward/result.go
@@ -39,7 +39,7 @@
 	return r.LastOutcome != balancer.Rejected && !r.NotSent && !r.NoEndpoint
 }
 
-// Disposition is what the caller of a request is told.
+// Disposition is how a caller is answered.
 type Disposition uint8
 
 // The dispositions.
@@ -60,7 +60,7 @@
 	return fmt.Sprintf("Disposition(%d)", uint8(d))
 }
 
-// Disposition returns what the caller is told.
+// Disposition returns how the caller is answered.
 func (r Result) Disposition() Disposition {
 	switch {
 	case r.LastOutcome == balancer.Succeeded:
--- a/internal/forward/testfleet_test.go
+++ b/internal/forward/testfleet_test.go
@@ -11,18 +11,11 @@
 	"lanewheel/internal/balancer"
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/fake"
+	"lanewheel/internal/forward/forwardtest"
 	"lanewheel/internal/frontend"
 	"lanewheel/internal/membership"
-	"lanewheel/internal/transport"
 )
 
-// allocator is a buffer pool without reuse.
-type allocator struct{}
-
-func (allocator) Get() []byte { return make([]byte, 0, transport.BufferSize) }
-
-func (allocator) Put([]byte) {}
-
 // testFleet is a Forwarder and the scripted endpoints that it forwards to.
 type testFleet struct {
 	t         *testing.T
@@ -42,16 +35,7 @@
 	listener := fake.Must((&net.ListenConfig{}).Listen(f.t.Context(), "tcp", "127.0.0.1:0"))
 	f.t.Cleanup(func() { _ = listener.Close() })
 	go f.accept(name, listener)
-	f.table.HandleAlive(membership.Descriptor{
-		Name:        name,
-		BootID:      1,
-		Incarnation: 1,
-		Roles:       membership.RoleServer,
-		ServiceAddr: listener.Addr().String(),
-		Capacity:    2,
-	}, 0)
-	id := membership.ID{Name: name, BootID: 1}
-	f.table.HandleHeartbeat(membership.Heartbeat{ID: id, Sequence: 1, Ready: true, ReadyFor: time.Minute}, 0, 0)
+	forwardtest.AddInstance(f.table, name, listener.Addr().String())
 }
 
 // updateView hands the members to the Forwarder.
@@ -166,12 +150,6 @@
 	<-done
 }
 
-// newTable returns a membership table of ourselves alone.
-func newTable() *membership.Table {
-	self := membership.Descriptor{Name: "self", Incarnation: 1, BootID: 1}
-	return membership.NewTable(self, membership.DefaultConfig(), 0)
-}
-
 // newTestFleet starts a Forwarder before so many endpoints.
 func newTestFleet(t *testing.T, endpoints int, change func(*Config), steps ...string) *testFleet {
 	t.Helper()
@@ -183,23 +161,11 @@
 	f := &testFleet{
 		t:     t,
 		loop:  eventloop.New(256),
-		table: newTable(),
+		table: forwardtest.NewTable("self"),
 		steps: steps,
 		ids:   map[string]bool{},
 	}
-	sockets := &transport.Net{
-		BufferPool:     allocator{},
-		Post:           f.loop.Post,
-		PostRead:       f.loop.PostBlocking,
-		OnAccept:       func(*transport.Conn) {},
-		OnFull:         func() {},
-		MaxAccepted:    16,
-		MaxDescriptors: 128,
-		MaxUnread:      1 << 20,
-	}
-	if err := sockets.Start("127.0.0.1:0"); err != nil {
-		t.Fatal(err)
-	}
+	sockets := forwardtest.NewNet(t, f.loop)
 	f.forwarder = New(f.loop, sockets, config, 1, nil)
 	for i := range endpoints {
 		f.addEndpoint(membership.Name(fmt.Sprint("m", i)))
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -28,7 +28,7 @@
 	forward.Config
 	MaxInFlight int           // requests
 	DrainGrace  time.Duration // from the notice to drain until nothing more is forwarded
-	RetryAfter  time.Duration // told to clients that are rejected as no instance is there; 0: nothing
+	RetryAfter  time.Duration // sent to clients that are rejected as no instance is there; 0: none
 }
 
 // Proxy is one process that forwards requests. All of it is owned by its event loop; Post may be called on any
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -42,7 +42,7 @@
 }
 
 // Example_silent shows an instance that never answers: the request is answered at its deadline all the same, the
-// instance is told, and its late response is dropped. When a client cancels, the instance is told. A connection
+// instance is notified, and its late response is dropped. When a client cancels, the instance is notified. A connection
 // that is refused costs nothing: the next instance gets the request.
 func Example_silent() {
 	proxy, script, addr := startProxy(1, "late", "interrupt")
@@ -52,7 +52,7 @@
 	response := fake.Must(client.NextResponse())
 	elapsed := time.Since(startedAt)
 	fmt.Println(response.Number, response.Error, elapsed > 140*time.Millisecond && elapsed < 240*time.Millisecond)
-	fake.WaitFor("the instance to be told", func() bool { return len(script.takeTrace()) > 0 })
+	fake.WaitFor("the instance to be notified", func() bool { return len(script.takeTrace()) > 0 })
 	time.Sleep(200 * time.Millisecond) // its response comes meanwhile
 	client.Send(fake.NewRequest(2, "view", fake.RequestID(2), []byte("x")))
 	response = fake.Must(client.NextResponse())
@@ -63,7 +63,7 @@
 	client.Send(fake.NewRequest(3, "view", fake.RequestID(3), nil))
 	fake.WaitFor("the request to be there", func() bool { return script.traceLength() == 1 })
 	client.Send([]any{2, "interrupt", []any{3}})
-	fake.WaitFor("the instance to be told", func() bool { return script.traceLength() == 2 })
+	fake.WaitFor("the instance to be notified", func() bool { return script.traceLength() == 2 })
 	fmt.Println(script.takeTrace())
 	client.Close()
 	proxy.Post(proxy.Quit)
--- a/internal/proxy/script_test.go
+++ b/internal/proxy/script_test.go
@@ -12,6 +12,7 @@
 	"lanewheel/internal/balancer"
 	"lanewheel/internal/fake"
 	"lanewheel/internal/forward"
+	"lanewheel/internal/forward/forwardtest"
 	"lanewheel/internal/membership"
 	"lanewheel/internal/server"
 )
@@ -138,22 +139,12 @@
 // startProxy starts a proxy before so many scripted instances, and returns it and the address that it listens on.
 func startProxy(instances int, steps ...string) (*Proxy, *endpointScript, string) {
 	script := &endpointScript{steps: steps, ids: map[string]bool{}}
-	self := membership.Descriptor{Name: "relay", Incarnation: 1, BootID: 1}
-	table := membership.NewTable(self, membership.DefaultConfig(), 0)
+	table := forwardtest.NewTable("relay")
 	for i := range instances {
 		listener := listenOn("127.0.0.1:0")
 		script.listeners = append(script.listeners, listener)
 		go script.accept(listener)
-		id := membership.ID{Name: membership.Name(fmt.Sprint("m", i)), BootID: 1}
-		table.HandleAlive(membership.Descriptor{
-			Name:        id.Name,
-			BootID:      id.BootID,
-			Incarnation: 1,
-			Roles:       membership.RoleServer,
-			ServiceAddr: listener.Addr().String(),
-			Capacity:    2,
-		}, 0)
-		table.HandleHeartbeat(membership.Heartbeat{ID: id, Sequence: 1, Ready: true, ReadyFor: time.Minute}, 0, 0)
+		forwardtest.AddInstance(table, membership.Name(fmt.Sprint("m", i)), listener.Addr().String())
 	}
 	addr := freeAddress()
 	config := Config{
--- a/internal/spillover/spillover_test.go
+++ b/internal/spillover/spillover_test.go
@@ -11,27 +11,21 @@
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/fake"
 	"lanewheel/internal/forward"
+	"lanewheel/internal/forward/forwardtest"
 	"lanewheel/internal/frontend"
 	"lanewheel/internal/membership"
-	"lanewheel/internal/transport"
 )
 
-// allocator is a buffer pool without reuse.
-type allocator struct{}
-
-func (allocator) Get() []byte { return make([]byte, 0, transport.BufferSize) }
-func (allocator) Put([]byte)  {}
-
-// recorder is a Responder that notes what it is told.
+// recorder is a Responder that notes its calls.
 type recorder struct {
-	mu   sync.Mutex
-	told []string
+	mu    sync.Mutex
+	calls []string
 }
 
 func (r *recorder) note(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.told = append(r.told, fmt.Sprintf(format, args...))
+	r.calls = append(r.calls, fmt.Sprintf(format, args...))
 }
 
 func (r *recorder) Succeed(result []byte, _ frontend.ResponseMetadata) { r.note("succeed %s", result) }
@@ -45,11 +39,11 @@
 func (r *recorder) String() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return fmt.Sprint(r.told)
+	return fmt.Sprint(r.calls)
 }
 
-// testInstance is the spillover of an instance with a load of 10 before one other, which does with requests what it is
-// told: succeed, busy, deny, fail or nothing.
+// testInstance is the spillover of an instance with a load of 10 before one other, which does with requests what its
+// step says: succeed, busy, deny, fail or nothing.
 type testInstance struct {
 	loop      *eventloop.Loop
 	spillover *Spillover
@@ -61,19 +55,7 @@
 	t.Cleanup(func() { _ = listener.Close() })
 	go serve(listener, step)
 	x := &testInstance{loop: eventloop.New(256)}
-	sockets := &transport.Net{
-		BufferPool:     allocator{},
-		Post:           x.loop.Post,
-		PostRead:       x.loop.PostBlocking,
-		OnAccept:       func(*transport.Conn) {},
-		OnFull:         func() {},
-		MaxAccepted:    16,
-		MaxDescriptors: 128,
-		MaxUnread:      1 << 20,
-	}
-	if err := sockets.Start("127.0.0.1:0"); err != nil {
-		t.Fatal(err)
-	}
+	sockets := forwardtest.NewNet(t, x.loop)
 	config := Config{
 		Config:    forward.Config{Balancer: balancer.DefaultConfig(), ConnectionsPerEndpoint: 1, IdleTimeout: time.Minute},
 		Spillover: balancer.DefaultSpilloverConfig(),
@@ -81,18 +63,8 @@
 	probe := func(_ membership.Name, done func(load float64, age time.Duration)) { done(0, 0) }
 	load := func() frontend.Load { return frontend.Load{Queued: 8, Running: 2, Cores: 1} }
 	x.spillover = newSpillover(x.loop, load, forward.New(x.loop, sockets, config.Config, 1, probe), config)
-	self := membership.Descriptor{Name: "self", Incarnation: 1, BootID: 1}
-	table := membership.NewTable(self, membership.DefaultConfig(), 0)
-	id := membership.ID{Name: "other", BootID: 1}
-	table.HandleAlive(membership.Descriptor{
-		Name:        id.Name,
-		BootID:      id.BootID,
-		Incarnation: 1,
-		Roles:       membership.RoleServer,
-		ServiceAddr: listener.Addr().String(),
-		Capacity:    2,
-	}, 0)
-	table.HandleHeartbeat(membership.Heartbeat{ID: id, Sequence: 1, Ready: true, ReadyFor: time.Minute}, 0, 0)
+	table := forwardtest.NewTable("self")
+	forwardtest.AddInstance(table, "other", listener.Addr().String())
 	go x.loop.Run(sockets.Flush)
 	t.Cleanup(func() { x.loop.Post(x.loop.Quit) })
 	x.spillover.Start()
