--- a/internal/server/health.go
+++ b/internal/server/health.go
@@ -1,9 +1,6 @@
 package server
 
 import (
-	"log/slog"
-	"time"
-
 	"lanewheel/internal/transport"
 )
 
@@ -24,41 +21,3 @@
 	}
 	in.runSelfTest(func(healthy bool) { then(healthy && in.healthy()) })
 }
-
-// runSelfTest has the runtime do the work of a check. One that does not return in a second is bad.
-func (in *Server) runSelfTest(done func(healthy bool)) {
-	link := &in.runtime
-	if link.selfTests == nil {
-		link.selfTests = map[string]func(bool){}
-	}
-	correlationID := in.nextCorrelationID("test")
-	timeout := in.ScheduleAt(in.Now()+time.Second, func() { link.selfTests[correlationID](false) })
-	link.selfTests[correlationID] = func(healthy bool) {
-		delete(link.selfTests, correlationID)
-		timeout.Stop()
-		done(healthy)
-	}
-	link.conn.RequestSelfTest(correlationID)
-}
-
-// reportPeriodically tells the roster again and again that we are here, whatever else there is to do. Danger: the list forgets
-// who is not heard for some seconds, and a datagram may be lost; so often, many in a row would have to be.
-func (in *Server) reportPeriodically() {
-	in.report()
-	in.ScheduleAt(in.Now()+250*time.Millisecond, in.reportPeriodically)
-}
-
-func (in *Server) report() {
-	if in.config.RegistryAddr == "" { // there is none
-		return
-	}
-	if in.health.registry == nil {
-		registry, err := transport.NewRegistry(in.config.RegistryAddr, in.config.Name)
-		if err != nil {
-			slog.Warn("no-roster", "err", err)
-			return
-		}
-		in.health.registry = registry
-	}
-	in.health.registry.Report(!in.draining && (in.health.healthy || !in.config.ReportReadiness))
-}
