--- a/cmd/lanewheel-fleet/main_test.go
+++ b/cmd/lanewheel-fleet/main_test.go
@@ -183,7 +183,7 @@
 	case <-time.After(fake.WaitTimeout):
 		panic("it stays: " + old.log.String())
 	}
-	fmt.Println(strings.Contains(old.log.String(), "msg=fenced name=b"), strings.Contains(old.log.String(), "msg=leaving"), old.cmd.ProcessState.ExitCode())
+	fmt.Println(strings.Contains(old.log.String(), "msg=fenced name=b"), strings.Contains(old.log.String(), "msg=draining"), old.cmd.ProcessState.ExitCode())
 	s := a.snapshot()
 	fmt.Println(len(s.Members), s.Members[0].Name, s.Members[0].State, s.Members[0].Incarnation == next.snapshot().Incarnation)
 	// Output:
--- a/cmd/lanewheel/crossings_test.go
+++ b/cmd/lanewheel/crossings_test.go
@@ -37,7 +37,7 @@
 	fmt.Fprint(pipe, text)
 	pipe.Close()
 	code, log := t.waitExit()
-	fmt.Println(code, strings.Contains(log, "msg=leaving"), strings.Contains(log, "msg=stopped"))
+	fmt.Println(code, strings.Contains(log, "msg=draining"), strings.Contains(log, "msg=stopped"))
 	// Output:
 	// 0 true true
 }
@@ -131,7 +131,7 @@
 	defer t.close()
 	t.writeConfig(strings.Replace(t.config, t.database.Addr(), hole, 1))
 	t.sendHangup()
-	fake.WaitFor("the move", func() bool { return strings.Contains(t.log.text(), "db="+hole) })
+	fake.WaitFor("the move", func() bool { return strings.Contains(t.log.text(), "database="+hole) })
 	s := t.client()
 	for i := range 12 {
 		s.Send(fake.NewRequest(i, "pay", fake.RequestID(i), nil, "kb", "1"))
@@ -454,7 +454,7 @@
 	s.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil))
 	fmt.Println(t.runtime.NextCommand())
 	t.sendTerminate()
-	fake.WaitFor("the notice", func() bool { return strings.Contains(t.log.text(), "msg=leaving") })
+	fake.WaitFor("the notice", func() bool { return strings.Contains(t.log.text(), "msg=draining") })
 	whole := t.config
 	t.writeConfig("{")
 	t.sendHangup()
@@ -478,7 +478,7 @@
 	fmt.Println(s.NextText())
 	s.Close()
 	code, log := t.waitExit()
-	fmt.Println(code, strings.Count(log, "msg=moved"))
+	fmt.Println(code, strings.Count(log, `msg="addresses changed"`))
 	// Output:
 	// start 1 route view body ""
 	// sync 0
--- a/cmd/lanewheel/main_test.go
+++ b/cmd/lanewheel/main_test.go
@@ -414,7 +414,7 @@
 	fmt.Println("sync", t.runtime.Accept())
 	s.Close()
 	code, log := t.waitExit()
-	fmt.Println(code, strings.Count(log, "msg=configuration-kept"), strings.Count(log, "code=moved"))
+	fmt.Println(code, strings.Count(log, "msg=configuration-kept"), strings.Count(log, "code=address-changed"))
 	// Output:
 	// start 1 route view body ""
 	// start 2 route pay body ""
@@ -457,7 +457,7 @@
 	// start 2 route view body ""
 	// ['\x02' "goaway" []]
 	// ['\x01' '\x02' ["Busy" map[]] <nil>]
-	// 0 msg=stopped connections=0 ops=1
+	// 0 msg=stopped connections=0 requests=1
 	// refused: true
 }
 
--- a/cmd/lanewheel/starts_test.go
+++ b/cmd/lanewheel/starts_test.go
@@ -33,7 +33,7 @@
 	fmt.Println(s.NextText())
 	t.writeConfig(strings.NewReplacer(`"was-db":`, `"db":`, `"was-roster":`, `"roster":`).Replace(t.config))
 	t.sendHangup()
-	fake.WaitFor("the move", func() bool { return strings.Contains(t.log.text(), "msg=moved") })
+	fake.WaitFor("the move", func() bool { return strings.Contains(t.log.text(), `msg="addresses changed"`) })
 	fmt.Println(t.registry.NextReport())
 	s.Send(fake.NewRequest(3, "list", fake.RequestID(3), nil))
 	fmt.Println(t.runtime.NextCommand())
--- a/internal/amqp/part.go
+++ b/internal/amqp/part.go
@@ -483,11 +483,11 @@
 }
 func (j *pendingMessage) Done() {}
 
-func (j *pendingMessage) RejectPermanently(code string, metadata frontend.ResponseMetadata) {
+func (j *pendingMessage) RejectPermanently(code frontend.RejectionCode, metadata frontend.ResponseMetadata) {
 	if metadata.Reason != "" {
 		j.report(delivery.Denied, nil, metadata)
 		return
 	}
-	metadata.Reason = code
+	metadata.Reason = string(code)
 	j.report(delivery.Unservable, nil, metadata)
 }
--- a/internal/clients/stubs.go
+++ b/internal/clients/stubs.go
@@ -273,7 +273,7 @@
 
 // RejectPermanently answers what could never be served. What the runtime does not know ends the connection, as do several such asks in a
 // row; a certificate that no longer counts bars it.
-func (a *responder) RejectPermanently(code string, metadata frontend.ResponseMetadata) {
+func (a *responder) RejectPermanently(code frontend.RejectionCode, metadata frontend.ResponseMetadata) {
 	conn := a.conn
 	invalid := true
 	if metadata.Reason != "" {
@@ -291,9 +291,9 @@
 	if invalid {
 		conn.invalidInRow++
 	}
-	if code == "unknown-op" || conn.invalidInRow >= maxInvalidInRow {
+	if code == frontend.UnknownRequest || conn.invalidInRow >= maxInvalidInRow {
 		delete(conn.pending, a.messageID) // answered; the others fail
-		conn.failAll(code)
+		conn.failAll(string(code))
 	}
 }
 
--- a/internal/server/addresses.go
+++ b/internal/server/addresses.go
@@ -1,24 +1,24 @@
 package server
 
-import (
-	"log/slog"
-)
+import "log/slog"
 
-// UpdateAddresses takes the addresses of a configuration that was read anew. What is under way at the old ones may end there.
-func (in *Server) UpdateAddresses(config Config) {
-	before := in.config
-	in.config.RuntimeAddr, in.config.DatabaseAddr, in.config.RegistryAddr = config.RuntimeAddr, config.DatabaseAddr, config.RegistryAddr
-	slog.Info("moved", "runtime", config.RuntimeAddr, "db", config.DatabaseAddr, "roster", config.RegistryAddr)
+// UpdateAddresses puts the addresses of a new configuration in force, and nothing else of it. What is under way at the
+// old ones may end there.
+func (s *Server) UpdateAddresses(config Config) {
+	before := s.config
+	s.config.RuntimeAddr = config.RuntimeAddr
+	s.config.DatabaseAddr = config.DatabaseAddr
+	s.config.RegistryAddr = config.RegistryAddr
+	slog.Info("addresses changed",
+		"runtime", config.RuntimeAddr, "database", config.DatabaseAddr, "registry", config.RegistryAddr)
 	if config.RuntimeAddr != before.RuntimeAddr {
-		in.runtime.backoff = 0
-		in.connect()
+		s.runtime.backoff = 0
+		s.runtime.connect()
 	}
 	if config.DatabaseAddr != before.DatabaseAddr {
-		in.database.addressChanged(in)
+		s.database.addressChanged()
 	}
-	if config.RegistryAddr != before.RegistryAddr && in.health.registry != nil {
-		in.health.registry.Close()
-		in.health.registry = nil
-		in.report()
+	if config.RegistryAddr != before.RegistryAddr && s.registry.reset() {
+		s.report()
 	}
 }
--- a/internal/server/authentication.go
+++ b/internal/server/authentication.go
@@ -7,60 +7,58 @@
 	"lanewheel/internal/frontend"
 )
 
-// authenticate asks the door for an op that was read. One whose caller is not known yet waits in the tables, unheard by the module:
-// it can be given up, and its id is taken, as that of any other.
-func (in *Server) authenticate(credential *authn.Credential, request frontend.Request, responder frontend.Responder) *activeRequest {
-	wanted := authn.Request{Token: request.Token, Request: authz.Request{Class: admission.Class(request.Class),
-		Tenant: admission.TenantID(request.Tenant), Write: request.Resource == ""}}
-	active := in.track(request, responder)
+// authenticate asks who makes a request and whether they may. While that is not known the request is in flight, unknown
+// to the controller: it can be canceled, and its id is taken.
+func (s *Server) authenticate(active *activeRequest, credential *authn.Credential, request frontend.Request) {
 	active.outsideController = true
-	in.authenticator.Authorize(credential, wanted, func(verdict authn.Decision) {
-		if active.responder == nil || in.requests[active.id] != active { // gone meanwhile
-			in.authenticator.Release(&verdict.Permission)
+	wanted := authn.Request{
+		Token: request.Token,
+		Request: authz.Request{
+			Class:  active.class,
+			Tenant: admission.TenantID(request.Tenant),
+			Write:  request.Resource == "",
+		},
+	}
+	s.authenticator.Authorize(credential, wanted, func(decision authn.Decision) {
+		if active.responder == nil || s.requests.get(active.id) != active { // its caller has left
+			s.authenticator.Release(&decision.Permission)
 			return
 		}
-		in.applyVerdict(request, active, verdict)
+		s.applyDecision(active, request, decision)
 	})
-	request.Body = nil // it is the reader's; the op has its own
-	return active
 }
 
-// applyVerdict carries out what the door said of an op.
-func (in *Server) applyVerdict(request frontend.Request, active *activeRequest, verdict authn.Decision) {
+// applyDecision carries out what the authenticator decided about a request.
+func (s *Server) applyDecision(active *activeRequest, request frontend.Request, decision authn.Decision) {
 	switch {
-	case verdict.Denial != "":
-		metadata := in.metadata()
-		metadata.Reason = string(verdict.Denial)
-		in.answerOutside(active, func(responder frontend.Responder) { responder.RejectPermanently("denied", metadata) })
-	case verdict.RetryAfter > 0:
-		// When to come again is said where the settings allow it, and no more.
-		metadata := in.metadata()
-		if passed, _ := in.config.Settings["stay away is passed on"].(bool); passed {
-			metadata.RetryAfter = verdict.RetryAfter
-			if maxRetryAfter := durationSetting(in.config.Settings, "longest stay away"); maxRetryAfter > 0 {
-				metadata.RetryAfter = min(verdict.RetryAfter, maxRetryAfter)
+	case decision.Denial != "":
+		metadata := s.ResponseMetadata()
+		metadata.Reason = string(decision.Denial)
+		s.answerOutside(active, func(responder frontend.Responder) {
+			responder.RejectPermanently(frontend.Denied, metadata)
+		})
+	case decision.RetryAfter > 0:
+		metadata := s.ResponseMetadata()
+		if s.settings.retryAfterAllowed {
+			metadata.RetryAfter = decision.RetryAfter
+			if s.settings.maxRetryAfter > 0 {
+				metadata.RetryAfter = min(decision.RetryAfter, s.settings.maxRetryAfter)
 			}
 		}
-		in.answerOutside(active, func(responder frontend.Responder) { responder.Reject(metadata) })
+		s.answerOutside(active, func(responder frontend.Responder) { responder.Reject(metadata) })
 	default:
-		request.Tenant = string(verdict.Tenant)
-		active.permission, active.tenant = verdict.Permission, verdict.Tenant
-		in.submitToController(request, nil, active)
+		request.Tenant = string(decision.Tenant)
+		active.permission = decision.Permission
+		active.tenant = decision.Tenant
+		s.submitToController(active, request)
 	}
 }
 
-// answerOutside answers an op that the module has not heard of, and takes it out of the tables.
-func (in *Server) answerOutside(active *activeRequest, send func(frontend.Responder)) {
-	active.outsideController = true
-	in.respond(active, send)
-	in.forget(active)
-}
-
-// UpdateAuthn puts what an operator's file says of callers in force, as it was read anew.
-func (in *Server) UpdateAuthn(parts *authn.Config) {
-	if in.authenticator == nil || parts == nil {
+// UpdateAuthn puts a new configuration of callers in force; without an authenticator, or with nil, it does nothing.
+func (s *Server) UpdateAuthn(config *authn.Config) {
+	if s.authenticator == nil || config == nil {
 		return
 	}
-	in.authenticator.Reload(*parts)
-	in.net.ReadTokens.Store(parts.KeySet != nil)
+	s.authenticator.Reload(*config)
+	s.net.ReadTokens.Store(config.KeySet != nil)
 }
--- a/internal/server/buffers.go
+++ b/internal/server/buffers.go
@@ -6,20 +6,20 @@
 	"lanewheel/internal/transport"
 )
 
-// BufferPool holds buffers of one size, which are used again.
+// BufferPool pools buffers of transport.BufferSize bytes. Any goroutine may use it.
 type BufferPool struct{ pool sync.Pool }
 
-// Get gives an empty buffer.
+// Get returns an empty buffer.
 func (p *BufferPool) Get() []byte {
-	if b, pooled := p.pool.Get().(*[transport.BufferSize]byte); pooled {
-		return b[:0]
+	if buffer, pooled := p.pool.Get().(*[transport.BufferSize]byte); pooled {
+		return buffer[:0]
 	}
 	return new([transport.BufferSize]byte)[:0]
 }
 
-// Put takes one back. What has grown out of its size is left to the collector.
-func (p *BufferPool) Put(b []byte) {
-	if cap(b) == transport.BufferSize {
-		p.pool.Put((*[transport.BufferSize]byte)(b[:transport.BufferSize]))
+// Put takes a buffer back. One of another size is left to the garbage collector.
+func (p *BufferPool) Put(buffer []byte) {
+	if cap(buffer) == transport.BufferSize {
+		p.pool.Put((*[transport.BufferSize]byte)(buffer[:transport.BufferSize]))
 	}
 }
--- a/internal/server/buffers_test.go
+++ b/internal/server/buffers_test.go
@@ -7,13 +7,13 @@
 )
 
 // Buffers of another size are not taken back.
-func Example_pool() {
-	p := &BufferPool{}
-	p.Put(make([]byte, 10))
-	b := p.Get()
-	fmt.Println(len(b), cap(b) == transport.BufferSize)
-	p.Put(append(b, "old"...))
-	fmt.Println(len(p.Get()))
+func Example_bufferPool() {
+	pool := &BufferPool{}
+	pool.Put(make([]byte, 10))
+	buffer := pool.Get()
+	fmt.Println(len(buffer), cap(buffer) == transport.BufferSize)
+	pool.Put(append(buffer, "old"...))
+	fmt.Println(len(pool.Get()))
 	// Output:
 	// 0 true
 	// 0
--- a/internal/server/config.go
+++ b/internal/server/config.go
@@ -8,9 +8,13 @@
 	"lanewheel/internal/transport"
 )
 
-// Config is what an instance is told at its start.
+// Config configures a Server. Its values have been checked by whoever read them.
 type Config struct {
-	Name, ListenAddr, RuntimeAddr, DatabaseAddr, RegistryAddr string
+	Name         string
+	ListenAddr   string
+	RuntimeAddr  string
+	DatabaseAddr string // empty where requests call nothing
+	RegistryAddr string // empty: there is no registry
 
 	Seed             uint64
 	TerminationGrace time.Duration // from SIGTERM to SIGKILL
@@ -18,9 +22,12 @@
 	MemoryMB         float64
 	Cores            float64
 	Settings         admission.Settings
-	GaugeNames       []string // our names, in the order told
-	ReportReadiness  bool     // the list follows health
+	GaugeNames       []string // of the values in a gauges event, in their order
+	ReportReadiness  bool     // the registry lists the instance only while it is healthy
 
-	Authn *authn.Config          // who may do what; nil: everybody everything
+	Authn *authn.Config          // nil: every caller may do everything
 	TLS   *transport.TLSListener // a further listener with TLS; nil: none
 }
+
+// memoryBytes is the memory limit in bytes.
+func (c *Config) memoryBytes() int { return int(c.MemoryMB * (1 << 20)) }
--- a/internal/server/databasecalls.go
+++ b/internal/server/databasecalls.go
@@ -1,6 +1,8 @@
 package server
 
 import (
+	"net/http"
+	"slices"
 	"time"
 
 	"lanewheel/admission"
@@ -8,164 +10,188 @@
 	"lanewheel/internal/transport"
 )
 
-// databaseCalls is the calls to the database that all instances share. Each has a connection of its own. Danger: a reply may
-// come twice, or noise behind it, and what comes late on a connection that is used again would be taken for the next
-// call's reply; and a resting connection may be forgotten there, so that nobody can tell whether the next call ran.
+// databaseCalls is the upstream calls of runs, to the database or to one of several services. Each call has a
+// connection of its own: a reply may come twice or with noise behind it, and what comes late on a connection that
+// is used again would be taken for the next call's reply; and if the other side has forgotten an idle connection,
+// nobody can tell whether the next call was executed. Owned by the event loop.
 type databaseCalls struct {
-	upstreams Upstreams       // services that calls go to; nil: the configuration's one address
-	open      int             // connections that stand or are being opened
-	maxConns  int             // as many as the descriptors left beside the client stubs allow
-	waiting   []*databaseCall // calls that wait for one
+	server    *Server
+	upstreams Upstreams       // nil: all calls go to the configured database
+	open      int             // connections that stand or are being dialed
+	maxConns  int             // what the descriptors that clients leave allow
+	waiting   []*databaseCall // for a connection or a slot, in this order
 }
 
-// databaseCall is one call of a run, until its outcome is told.
+// databaseCall is one call of a run, until its outcome is told. Its slot is released once, and before done is called.
 type databaseCall struct {
-	request     *activeRequest
-	startedAt   time.Duration
-	deadline    time.Duration
-	conn        *transport.DatabaseConn // nil while it waits for room
-	sent        bool
-	timer       *eventloop.Timer
-	done        func(admission.Outcome, time.Duration)
-	slot        UpstreamSlot // where it goes, where there are several
-	refusedAddr string       // where it was refused before
+	request   *activeRequest
+	startedAt time.Duration
+	deadline  time.Duration
+	timer     *eventloop.Timer // at the deadline
+	done      func(admission.Outcome, time.Duration)
+
+	conn *transport.DatabaseConn // nil while it waits
+	sent bool
+
+	slot        UpstreamSlot // nil where there is one database, and while it has none
+	refusedAddr string       // of the service that refused it before
 	attempts    int
 }
 
-func (d *databaseCalls) start(server *Server, active *activeRequest, deadline time.Duration, done func(admission.Outcome, time.Duration)) {
-	d.cancel(active.run.call) // a second call gives up the first
-	call := &databaseCall{request: active, startedAt: server.Now(), deadline: deadline, done: done}
+// underWay tells whether a call's outcome has not been told yet.
+func (c *databaseCall) underWay() bool { return c.request.run != nil && c.request.run.call == c }
+
+// interruptedOutcome is the outcome of a call that was cut short. One that was never sent can't have been executed.
+func (c *databaseCall) interruptedOutcome(outcome admission.Outcome) admission.Outcome {
+	if c.sent {
+		return outcome
+	}
+	return admission.Unreachable
+}
+
+// start makes the call that a run waits at. It cancels an earlier one of the same run.
+func (d *databaseCalls) start(
+	active *activeRequest, deadline time.Duration, done func(admission.Outcome, time.Duration),
+) {
+	d.cancel(active.run.call)
+	call := &databaseCall{request: active, startedAt: d.server.Now(), deadline: deadline, done: done}
 	active.run.call = call
-	call.timer = server.ScheduleAt(deadline, func() { d.finish(server, call, call.interruptedOutcome(admission.TimedOut)) })
-	if d.open >= d.maxConns || !d.acquireSlot(server, call) {
+	d.scheduleTimeout(call)
+	if d.open >= d.maxConns || !d.acquireSlot(call) {
 		d.waiting = append(d.waiting, call)
 		return
 	}
-	d.dial(server, call)
+	d.dial(call)
+}
+
+func (d *databaseCalls) scheduleTimeout(call *databaseCall) {
+	call.timer = d.server.ScheduleAt(call.deadline, func() {
+		d.finish(call, call.interruptedOutcome(admission.TimedOut))
+	})
 }
 
 // dial opens the connection of a call and sends it.
-func (d *databaseCalls) dial(server *Server, call *databaseCall) {
+func (d *databaseCalls) dial(call *databaseCall) {
 	d.open++
-	addr := server.config.DatabaseAddr
+	addr := d.server.config.DatabaseAddr
 	if call.slot != nil {
 		addr = call.slot.Addr()
 	}
 	var conn *transport.DatabaseConn
-	conn = server.net.DialDatabase(addr, func(refused error) {
-		switch {
-		case refused == nil && call.request.run != nil && call.request.run.call == call:
+	conn = d.server.net.DialDatabase(addr, func(refused error) {
+		if refused != nil {
+			d.handleRefused(call, addr)
+			return
+		}
+		if call.underWay() {
 			call.sent = true
-			conn.Call(addr, call.request.id, call.deadline-server.Now(), call.request.run.callBody)
-		case refused != nil:
-			d.open--
-			if call.request.run != nil && call.request.run.call == call && d.retry(server, call, addr) {
-				return
-			}
-			call.releaseSlot(admission.Unreachable, false)
-			d.finish(server, call, admission.Unreachable) // nothing was sent
-			d.startWaiting(server)
+			conn.Call(addr, call.request.id, call.deadline-d.server.Now(), call.request.run.callPoint.body)
 		}
 	})
 	call.conn = conn
-	conn.OnReply = func(reply transport.Reply) { d.handleReply(server, call, reply) }
+	conn.OnReply = func(reply transport.Reply) { d.handleReply(call, reply) }
 	conn.OnClose = func(string) {
 		d.open--
 		call.releaseSlot(admission.ConnectionLost, call.sent)
-		d.finish(server, call, call.interruptedOutcome(admission.ConnectionLost))
-		d.startWaiting(server)
+		d.finish(call, call.interruptedOutcome(admission.ConnectionLost))
+		d.startWaiting()
 	}
 }
 
-// retry makes a call anew of which nothing was sent, as its address was refused: the database has moved, or there is another service.
-func (d *databaseCalls) retry(server *Server, call *databaseCall, addr string) bool {
-	if d.upstreams == nil {
-		if addr == server.config.DatabaseAddr {
-			return false
-		}
-		d.dial(server, call)
-		return true
+// handleRefused hears that a call's connection was refused, so that nothing was sent.
+func (d *databaseCalls) handleRefused(call *databaseCall, addr string) {
+	d.open--
+	if call.underWay() && d.retry(call, addr) {
+		return
 	}
 	call.releaseSlot(admission.Unreachable, false)
-	call.refusedAddr = addr
-	const maxAttempts = 2 // two that are refused one after the other are a network that is gone
-	switch {
-	case call.attempts >= maxAttempts:
+	d.finish(call, admission.Unreachable)
+	d.startWaiting()
+}
+
+// retry makes a call again that an address refused, if the database has moved or there is another service. It tells
+// whether it does.
+func (d *databaseCalls) retry(call *databaseCall, addr string) bool {
+	if d.upstreams != nil {
+		return d.retryElsewhere(call, addr)
+	}
+	if addr == d.server.config.DatabaseAddr {
 		return false
-	case d.open >= d.maxConns || !d.acquireSlot(server, call):
-		d.waiting = append(d.waiting, call) // until another has room, or its time is up
-	default:
-		d.dial(server, call)
 	}
+	d.dial(call)
 	return true
 }
 
-// addressChanged hears that the database's address is another now. Danger: calls whose dials the old one swallows wait there for their whole time.
-func (d *databaseCalls) addressChanged(server *Server) {
+// addressChanged hears that the database has moved. Calls that are still being dialed at the old address would wait
+// there for all of their time: their dials end as refused, and they are made again.
+func (d *databaseCalls) addressChanged() {
 	if d.upstreams != nil {
 		return
 	}
-	for _, active := range server.requests {
-		if run := active.run; run != nil && run.call != nil && run.call.conn != nil && !run.call.sent {
-			run.call.conn.CancelDial() // it is refused so, and made again
+	for _, active := range d.server.requests.byID {
+		if active.run == nil {
+			continue
+		}
+		if call := active.run.call; call != nil && call.conn != nil && !call.sent {
+			call.conn.CancelDial()
 		}
 	}
 }
 
-// startWaiting gives waiting calls the room that there is.
-func (d *databaseCalls) startWaiting(server *Server) {
-	for len(d.waiting) > 0 && d.open < d.maxConns && d.acquireSlot(server, d.waiting[0]) {
+// startWaiting makes calls that wait, as far as there are connections and slots.
+func (d *databaseCalls) startWaiting() {
+	for len(d.waiting) > 0 && d.open < d.maxConns && d.acquireSlot(d.waiting[0]) {
 		call := d.waiting[0]
 		d.waiting = d.waiting[1:]
-		d.dial(server, call)
+		d.dial(call)
 	}
 }
 
-// handleReply tells what a reply proves, and no more.
-func (d *databaseCalls) handleReply(server *Server, call *databaseCall, reply transport.Reply) {
-	if call.request.run == nil || call.request.run.call != call {
+// replyOutcome is what a reply proves, and no more.
+func replyOutcome(reply *transport.Reply) admission.Outcome {
+	switch {
+	case reply.Status == http.StatusOK:
+		return admission.Succeeded
+	case reply.NeverStarted:
+		return admission.Rejected
+	case reply.Status == http.StatusGatewayTimeout:
+		return admission.TimedOut
+	}
+	return admission.Failed
+}
+
+// handleReply gives the reply to the run if the call succeeded, and tells its outcome.
+func (d *databaseCalls) handleReply(call *databaseCall, reply transport.Reply) {
+	if !call.underWay() {
 		return
 	}
-	outcome := admission.Failed
-	switch {
-	case reply.Status == 200:
-		outcome = admission.Succeeded
+	outcome := replyOutcome(&reply)
+	if outcome == admission.Succeeded {
 		active := call.request
-		active.run.callReply = append(make([]byte, 0, len(reply.Body)), reply.Body...)
-		active.run.callSequence = 0
-		if server.runtime.synced {
-			server.runtime.conn.SendCallReply(active.id, active.run.callReply)
+		point := &active.run.callPoint
+		point.reply = append(make([]byte, 0, len(reply.Body)), reply.Body...)
+		point.sequence = 0
+		if d.server.runtime.synced {
+			d.server.runtime.conn.SendCallReply(active.id, point.reply)
 		}
-	case reply.NeverStarted:
-		outcome = admission.Rejected
-	case reply.Status == 504:
-		outcome = admission.TimedOut
 	}
-	call.conn.SetCloseReason("answered")
+	call.conn.SetCloseReason(closeCompleted)
 	call.releaseSlot(outcome, false)
-	d.finish(server, call, outcome)
+	d.finish(call, outcome)
 }
 
 // finish tells the outcome of a call, once, and ends its connection.
-func (d *databaseCalls) finish(server *Server, call *databaseCall, outcome admission.Outcome) {
-	if call.request.run == nil || call.request.run.call != call {
+func (d *databaseCalls) finish(call *databaseCall, outcome admission.Outcome) {
+	if !call.underWay() {
 		return
 	}
 	d.cancel(call)
 	call.request.run.call = nil
-	server.decisionPending = true
-	call.done(outcome, server.Now()-call.startedAt)
+	d.server.decisionPending = true
+	call.done(outcome, d.server.Now()-call.startedAt)
 }
 
-// interruptedOutcome is how a call comes out that was cut short. One that was never sent can't have run.
-func (c *databaseCall) interruptedOutcome(outcome admission.Outcome) admission.Outcome {
-	if c.sent {
-		return outcome
-	}
-	return admission.Unreachable
-}
-
-// cancel gives a call up: one that is on its way ends with its connection, as nothing else would end it there.
+// cancel ends a call without an outcome; nil is none. Ending its connection is all that ends it at the other side.
 func (d *databaseCalls) cancel(call *databaseCall) {
 	if call == nil {
 		return
@@ -173,12 +199,9 @@
 	call.timer.Stop()
 	call.releaseSlot(admission.TimedOut, call.sent)
 	if call.conn != nil {
-		call.conn.Close("call-given-up")
+		call.conn.Close(closeCallCanceled)
 	}
-	for i, waiting := range d.waiting {
-		if waiting == call {
-			d.waiting = append(d.waiting[:i], d.waiting[i+1:]...)
-			break
-		}
+	if i := slices.Index(d.waiting, call); i >= 0 {
+		d.waiting = slices.Delete(d.waiting, i, i+1)
 	}
 }
--- a/internal/server/descriptors.go
+++ b/internal/server/descriptors.go
@@ -7,36 +7,48 @@
 
 // descriptorBudget is how many connections there may be at a time.
 type descriptorBudget struct {
-	total   int // accepted and dialled
+	total   int // accepted and dialed
 	clients int // accepted
-	calls   int // to the database
+	calls   int // dialed for upstream calls
 }
 
-// reservedDescriptors is how many descriptors we use beside connections of stubs and calls: the listening socket 1, the pollers of the library and of Go 2 each,
-// the runtime's link before and after a move 2, reports before and after one 2, a configuration that is being read 1; and for a moment one
-// more for what is being accepted, for the runtime's dial and for each of the four calls that are being dialled.
-const reservedDescriptors = 1 + 2 + 2 + 2 + 2 + 1 + 6
+// reservedDescriptors is how many descriptors are open beside the connections of clients and calls.
+const reservedDescriptors = 1 + // the listening socket
+	2 + // the poller of the library
+	2 + // the poller of Go
+	2 + // the runtime's link, before and after a move
+	2 + // the registry's socket, before and after a move
+	1 + // a configuration that is being read
+	6 // for a moment: one that is being accepted, the runtime's dial, and four calls' dials
 
-// divideDescriptors divides the descriptors that were told, of which some are taken before we open any. Danger: idle stubs, as many as may come, use up what we
-// need to speak with the runtime, to call below and to report, or more than was told. Stubs may open as many as half the descriptors, an eighth is
-// for those that are being closed, and a quarter is for calls; where the descriptors are few, what is ours goes first and they share the rest.
+// minCallConns is how many connections for calls there are even where descriptors are few: as many as are dialed at
+// a time.
+const minCallConns = 4
+
+// unknownOpenDescriptors is assumed to be open where the platform does not tell: what it leaves to a program, and some.
+const unknownOpenDescriptors = 16
+
+// divideDescriptors divides a limit on descriptors, of which some are open already. Idle clients must not take what
+// is needed for the link to the runtime, calls and reports. Clients may open half the limit, an eighth is for
+// connections that are being closed, and a quarter is for calls; where descriptors are few, the reserved ones go
+// first and the rest is shared.
 func divideDescriptors(limit, alreadyOpen int) descriptorBudget {
 	var machine syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &machine) == nil && machine.Cur < uint64(limit) {
 		limit = int(machine.Cur)
 	}
 	budget := descriptorBudget{total: max(3, limit-alreadyOpen-reservedDescriptors)}
-	const minCalls = 4 // as many as are dialled at a time
-	budget.clients = max(2, min(limit*5/8, max(budget.total*5/7, min(limit/2, budget.total-minCalls))))
+	whereFew := min(limit/2, budget.total-minCallConns)
+	budget.clients = max(2, min(limit*5/8, max(budget.total*5/7, whereFew)))
 	budget.calls = max(1, min(limit/4, budget.total-budget.clients))
 	return budget
 }
 
-// openDescriptors is how many descriptors are open.
+// openDescriptors counts the descriptors that are open.
 func openDescriptors() int {
 	open, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
-		return 16 // what a platform leaves to a program, and some
+		return unknownOpenDescriptors
 	}
-	return len(open) - 1 // less the one that it is read by
+	return len(open) - 1 // the one that it is read by
 }
--- a/internal/server/descriptors_test.go
+++ b/internal/server/descriptors_test.go
@@ -5,35 +5,36 @@
 	"testing"
 )
 
-// What is ours, what was taken before and all connections fit the limit, however few descriptors there are, as long as one each is left.
-func TestRoom(t *testing.T) {
+// The reserved descriptors, those that are open already and all connections fit the limit, however few descriptors
+// there are, as long as one each is left.
+func TestDivideDescriptors(t *testing.T) {
 	for limit := 32; limit <= 4096; limit++ {
-		for taken := 3; taken <= 20; taken++ {
-			r := divideDescriptors(limit, taken)
-			if r.clients < 2 || r.calls < 1 || r.clients+r.calls > r.total {
-				t.Fatal(limit, taken, r)
+		for alreadyOpen := 3; alreadyOpen <= 20; alreadyOpen++ {
+			budget := divideDescriptors(limit, alreadyOpen)
+			if budget.clients < 2 || budget.calls < 1 || budget.clients+budget.calls > budget.total {
+				t.Fatal(limit, alreadyOpen, budget)
 			}
-			if left := limit - taken - reservedDescriptors; left >= 3 && r.total > left {
-				t.Fatal("over the limit:", limit, taken, r)
+			if left := limit - alreadyOpen - reservedDescriptors; left >= 3 && budget.total > left {
+				t.Fatal("over the limit:", limit, alreadyOpen, budget)
 			}
-			if limit >= 128 && r.clients < limit/2 {
-				t.Fatal("less than stubs may open:", limit, taken, r)
+			if limit >= 128 && budget.clients < limit/2 {
+				t.Fatal("less than clients may open:", limit, alreadyOpen, budget)
 			}
 		}
 	}
 }
 
 // The usual limits and small ones.
-func Example_room() {
+func Example_divideDescriptors() {
 	for _, limit := range []int{32, 40, 64, 128, 512, 1024} {
 		budget := divideDescriptors(limit, 10)
-		fmt.Printf("%d: all %d, stubs %d, calls %d\n", limit, budget.total, budget.clients, budget.calls)
+		fmt.Printf("%d: total %d, clients %d, calls %d\n", limit, budget.total, budget.clients, budget.calls)
 	}
 	// Output:
-	// 32: all 6, stubs 4, calls 2
-	// 40: all 14, stubs 10, calls 4
-	// 64: all 38, stubs 32, calls 6
-	// 128: all 102, stubs 72, calls 30
-	// 512: all 486, stubs 320, calls 128
-	// 1024: all 998, stubs 640, calls 256
+	// 32: total 6, clients 4, calls 2
+	// 40: total 14, clients 10, calls 4
+	// 64: total 38, clients 32, calls 6
+	// 128: total 102, clients 72, calls 30
+	// 512: total 486, clients 320, calls 128
+	// 1024: total 998, clients 640, calls 256
 }
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -3,42 +3,48 @@
 import (
 	"log/slog"
 	"slices"
+	"time"
 
 	"lanewheel/internal/clients"
 	"lanewheel/internal/frontend"
 )
 
-// Drain is the notice to drain: the instance is killed Stop from now. It serves on as the module decides.
-func (in *Server) Drain() {
-	if in.draining {
+// Drain is the notice that the process is killed a TerminationGrace from now. The server serves on as the controller
+// decides; Serve returns before the kill. A second notice does nothing.
+func (s *Server) Drain() {
+	if s.draining {
 		return
 	}
-	in.draining = true
-	killAt := in.Now() + in.config.TerminationGrace
-	slog.Info("leaving", "kill_ms", in.config.TerminationGrace.Milliseconds(), "held", len(in.requests))
-	in.report()
-	schedule := clients.DrainScheduleFor(in.config.TerminationGrace)
-	for _, f := range in.frontends { // they close while connections still may be answered
-		f.Drain(max(0, in.config.TerminationGrace-schedule.FrontendsDrained))
+	s.draining = true
+	grace := s.config.TerminationGrace
+	killAt := s.Now() + grace
+	slog.Info("draining", "grace", grace, "requests", len(s.requests.byID))
+	s.report()
+	schedule := clients.DrainScheduleFor(grace)
+	for _, f := range s.frontends { // they close while their connections still may be answered
+		f.Drain(max(0, grace-schedule.FrontendsDrained))
 	}
-	if in.controller == nil { // nothing was ever taken in, so there is nothing to wait for
-		killAt = min(killAt, in.Now()+schedule.GoAway)
+	if s.controller == nil { // nothing was ever admitted, so there is nothing to wait for
+		killAt = min(killAt, s.Now()+schedule.GoAway)
 	} else {
-		in.decisionPending = true
-		in.controller.Drain(killAt)
+		s.decisionPending = true
+		s.controller.Drain(killAt)
 	}
-	in.ScheduleAt(max(in.Now(), killAt-schedule.GoAway), func() {
-		if in.authenticator != nil { // no op waits at the door past the module's last answers
-			in.authenticator.Stop()
-		}
-		in.clients.Drain(schedule, killAt, in.frontendsDrained, func(connections int) {
-			slog.Info("stopped", "connections", connections, "ops", len(in.requests))
-			in.Quit()
-		})
+	s.ScheduleAt(max(s.Now(), killAt-schedule.GoAway), func() { s.drainClients(schedule, killAt) })
+}
+
+// drainClients closes the client connections, and ends the event loop when all is closed.
+func (s *Server) drainClients(schedule clients.DrainSchedule, killAt time.Duration) {
+	if s.authenticator != nil { // no request waits to be authenticated past the controller's last responses
+		s.authenticator.Stop()
+	}
+	s.clients.Drain(schedule, killAt, s.frontendsDrained, func(connections int) {
+		slog.Info("stopped", "connections", connections, "requests", len(s.requests.byID))
+		s.Quit()
 	})
 }
 
-// frontendsDrained tells whether the fronts beside the stubs' are done.
-func (in *Server) frontendsDrained() bool {
-	return !slices.ContainsFunc(in.frontends, func(f frontend.Frontend) bool { return !f.Drained() })
+// frontendsDrained tells whether the further front ends have closed.
+func (s *Server) frontendsDrained() bool {
+	return !slices.ContainsFunc(s.frontends, func(f frontend.Frontend) bool { return !f.Drained() })
 }
--- a/internal/server/executor.go
+++ b/internal/server/executor.go
@@ -5,101 +5,149 @@
 	"time"
 
 	"lanewheel/admission"
-	"lanewheel/internal/frontend"
 )
 
-// The rest is choice.Port.
+// executor carries out what the admission controller decides: an admission.Executor. Owned by the event loop, like the
+// controller, which alone calls it.
+type executor struct {
+	server *Server
+	// clockOffset is how much earlier the controller's time is than the loop's. It is the runtime's uptime while the
+	// controller is made, as an instance warms up from its runtime's start, and 0 from then on.
+	clockOffset time.Duration
+}
+
+// newController makes the controller, for a runtime that has been up for so long.
+func (s *Server) newController(runtimeUptime time.Duration) *admission.Controller {
+	executor := &executor{server: s, clockOffset: runtimeUptime}
+	controller := admission.New(s.config.Seed, s.config.Settings, executor)
+	executor.clockOffset = 0
+	return controller
+}
 
-// Now is the module's time. While the module opens, it is as much earlier as the runtime is older than we are.
-func (in *Server) Now() time.Duration { return in.Loop.Now() - in.clockOffset }
+// Now is the time since the loop's start.
+func (e *executor) Now() time.Duration { return e.server.Now() - e.clockOffset }
 
-func (in *Server) Start(id admission.RequestID, onCall func(), onEnd func(admission.Outcome, time.Duration)) {
-	if active := in.requests[id]; active != nil {
-		active.run, active.started = &run{onCall: onCall, onEnd: onEnd}, true
-		in.running++
-		if in.runtime.synced {
-			in.runtime.conn.Start(id, active.class, active.body)
-		}
+// Start starts a run of a queued request. A runtime that can't be reached hears of it when it is.
+func (e *executor) Start(id admission.RequestID, onCall func(), onEnd func(admission.Outcome, time.Duration)) {
+	s := e.server
+	active := s.requests.get(id)
+	if active == nil {
+		return
+	}
+	active.run = &run{onCall: onCall, onEnd: onEnd}
+	active.started = true
+	s.requests.running++
+	if s.runtime.synced {
+		s.runtime.conn.Start(id, active.class, active.body)
 	}
 }
 
-func (in *Server) Stop(id admission.RequestID) {
-	if active := in.requests[id]; active != nil && active.run != nil {
-		active.run.stopRequested = true
-		if in.runtime.synced {
-			in.runtime.conn.Stop(id)
-		}
+// Stop has the runtime stop a run.
+func (e *executor) Stop(id admission.RequestID) {
+	s := e.server
+	active := s.requests.getRunning(id)
+	if active == nil {
+		return
+	}
+	active.run.stopRequested = true
+	if s.runtime.synced {
+		s.runtime.conn.Stop(id)
 	}
 }
 
-func (in *Server) Reject(id admission.RequestID, retryAfter time.Duration, noFailover bool) {
-	if active := in.requests[id]; active != nil {
-		if in.spillover != nil && !noFailover && in.spill(active) {
-			return
-		}
-		in.recordOutcome(active, false)
-		metadata := in.metadata()
-		metadata.RetryAfter, metadata.NoFailover = retryAfter, noFailover
-		in.respond(active, func(responder frontend.Responder) { responder.Reject(metadata) })
-		in.forget(active)
+// Reject rejects a request, unless it is forwarded to another instance.
+func (e *executor) Reject(id admission.RequestID, retryAfter time.Duration, noFailover bool) {
+	s := e.server
+	active := s.requests.get(id)
+	if active == nil {
+		return
+	}
+	if s.spillover != nil && !noFailover && s.spill(active) {
+		return
 	}
+	s.recordOutcome(active, false)
+	metadata := s.ResponseMetadata()
+	metadata.RetryAfter = retryAfter
+	metadata.NoFailover = noFailover
+	s.reject(active, metadata)
+	s.forget(active)
 }
 
-func (in *Server) Fail(id admission.RequestID) {
-	if active := in.requests[id]; active != nil {
-		in.recordOutcome(active, false)
-		in.respond(active, func(responder frontend.Responder) { responder.Fail(in.metadata()) })
-		in.forget(active)
+// Fail answers a request with an error.
+func (e *executor) Fail(id admission.RequestID) {
+	s := e.server
+	if active := s.requests.get(id); active != nil {
+		s.recordOutcome(active, false)
+		s.fail(active)
+		s.forget(active)
 	}
 }
 
-func (in *Server) Call(id admission.RequestID, deadline time.Duration, done func(admission.Outcome, time.Duration)) {
-	if active := in.requests[id]; active != nil && active.run != nil && active.run.callSequence != 0 {
-		in.database.start(in, active, deadline, done)
+// Call makes the upstream call that a run waits at.
+func (e *executor) Call(id admission.RequestID, deadline time.Duration, done func(admission.Outcome, time.Duration)) {
+	active := e.server.requests.getRunning(id)
+	if active != nil && active.run.callPoint.reached() {
+		e.server.database.start(active, deadline, done)
 	}
 }
 
-func (in *Server) SkipCall(id admission.RequestID) {
-	if active := in.requests[id]; active != nil && active.run != nil && active.run.callSequence != 0 {
-		active.run.skippedCall = active.run.callSequence
-		if in.runtime.synced {
-			in.runtime.conn.SkipCall(id, active.run.skippedCall)
-		}
+// SkipCall has a run go on without the upstream call that it waits at.
+func (e *executor) SkipCall(id admission.RequestID) {
+	s := e.server
+	active := s.requests.getRunning(id)
+	if active == nil || !active.run.callPoint.reached() {
+		return
+	}
+	point := &active.run.callPoint
+	point.skipped = point.sequence
+	if s.runtime.synced {
+		s.runtime.conn.SkipCall(id, point.skipped)
 	}
 }
 
-func (in *Server) Coalesce(id admission.RequestID, onEnd func(admission.Outcome, time.Duration)) {
-	if active := in.requests[id]; active != nil {
-		active.onCoalesced, active.coalescedAt = onEnd, in.Now()
-		in.idempotency.coalesce(in, active)
+// Coalesce has a request wait for the result of the one that it duplicates.
+func (e *executor) Coalesce(id admission.RequestID, onEnd func(admission.Outcome, time.Duration)) {
+	if active := e.server.requests.get(id); active != nil {
+		active.coalesced = &coalescedWait{onEnd: onEnd, since: e.Now()}
+		e.server.idempotency.coalesce(active)
 	}
 }
 
-func (in *Server) KeepRecord(id admission.RequestID, window time.Duration) {
-	if active := in.requests[id]; active != nil {
-		in.idempotency.store(in, active, window)
+// KeepRecord keeps an idempotency record of a request, for so long.
+func (e *executor) KeepRecord(id admission.RequestID, window time.Duration) {
+	if active := e.server.requests.get(id); active != nil {
+		e.server.idempotency.store(active, window)
 	}
 }
 
-func (in *Server) DropRecord(id admission.RequestID) {
-	if active := in.requests[id]; active != nil {
-		in.idempotency.forget(active.record)
+// DropRecord drops the idempotency record of a request.
+func (e *executor) DropRecord(id admission.RequestID) {
+	if active := e.server.requests.get(id); active != nil {
+		e.server.idempotency.forget(active.record)
 	}
 }
 
-func (in *Server) SetHealth(healthy, fromState bool) {
-	in.health.healthy, in.health.fromState = healthy, fromState
+// SetHealth sets what health checks are answered; fromState has deep ones answered by it, too.
+func (e *executor) SetHealth(healthy, fromState bool) {
+	e.server.health = health{healthy: healthy, fromState: fromState}
 }
 
-func (in *Server) PublishLoad(level float64) { in.loadReport = level }
+// PublishLoad sets the load report that is part of every response.
+func (e *executor) PublishLoad(level float64) { e.server.loadReport = level }
 
-func (in *Server) SetIdleTimeout(timeout time.Duration) { in.clients.SetIdleTimeout(timeout) }
+// SetIdleTimeout sets how long an unused client connection may stay.
+func (e *executor) SetIdleTimeout(timeout time.Duration) { e.server.clients.SetIdleTimeout(timeout) }
 
-func (in *Server) LogTransition(line string) { slog.Info("note", "text", line) }
+// LogTransition logs a change of the controller's state.
+func (e *executor) LogTransition(line string) {
+	slog.Info("admission state changed", "state", line)
+}
 
-func (in *Server) WakeAt(at time.Duration, then func(map[string]float64)) {
-	in.ScheduleAt(at, func() {
-		in.decisionPending = true // what is due is answered in this batch, whatever becomes of the gauges
-		in.requestGauges(then)
+// WakeAt has the controller called at a time, with the gauges of the runtime.
+func (e *executor) WakeAt(at time.Duration, then func(gauges map[string]float64)) {
+	s := e.server
+	s.ScheduleAt(at, func() {
+		s.decisionPending = true // what is due is decided in this batch, whether or not the gauges come
+		s.gauges.request(then)
 	})
 }
--- a/internal/server/gauges.go
+++ b/internal/server/gauges.go
@@ -1,65 +1,65 @@
 package server
 
-import (
-	"time"
+import "time"
 
-	"lanewheel/internal/transport"
+const (
+	gaugeTimeout = 5 * time.Millisecond   // some round trips on one machine
+	gaugeMaxAge  = 300 * time.Millisecond // older values are no longer believed
 )
 
-// handleGauges takes the gauges. Danger: starting anew what has ended in the time without a link. The fence comes
-// behind all replayed notices, and only then what is still open is sent again.
-func (in *Server) handleGauges(event transport.Event) {
-	link := &in.runtime
-	in.gauges, link.gaugesAt = map[string]float64{}, in.Now()
-	for i, name := range in.config.GaugeNames {
-		if i < len(event.Gauges) {
-			in.gauges[name] = event.Gauges[i]
-		}
-	}
-	if event.CorrelationID == link.fenceID {
-		link.fenceID, link.synced = "", true
-		in.resend()
-	}
-	if event.CorrelationID == link.pendingGauges {
-		in.deliverGauges()
-	}
+// gaugeReader requests the runtime's gauges for the controller. Owned by the event loop.
+type gaugeReader struct {
+	server    *Server
+	values    map[string]float64 // the last known, by name
+	updatedAt time.Duration
+	requestID string // correlates the request under way; empty if there is none
+	waiters   []func(gauges map[string]float64)
 }
 
-// requestGauges asks for the gauges, once for all who want them now, and goes on without them if they take long.
-func (in *Server) requestGauges(then func(map[string]float64)) {
-	link := &in.runtime
-	link.gaugeWaiters = append(link.gaugeWaiters, then)
-	if !link.synced {
-		in.deliverGauges()
+// request calls then with the gauges, or with what is known if they take too long or there is no link to the runtime.
+// Requests that are made meanwhile share one round trip.
+func (g *gaugeReader) request(then func(gauges map[string]float64)) {
+	g.waiters = append(g.waiters, then)
+	if !g.server.runtime.synced {
+		g.deliver()
 		return
 	}
-	if link.pendingGauges != "" {
+	if g.requestID != "" {
 		return
 	}
-	link.pendingGauges = in.nextCorrelationID("look")
-	link.conn.RequestGauges(link.pendingGauges)
-	correlationID := link.pendingGauges
-	// Some round trips on one machine; the last known are a look old, which is worse than none of them.
-	in.ScheduleAt(in.Now()+5*time.Millisecond, func() {
-		if link.pendingGauges == correlationID {
-			in.deliverGauges()
+	requestID := g.server.runtime.nextCorrelationID(correlateGauges)
+	g.requestID = requestID
+	g.server.runtime.conn.RequestGauges(requestID)
+	g.server.ScheduleAt(g.server.Now()+gaugeTimeout, func() {
+		if g.requestID == requestID {
+			g.deliver()
 		}
 	})
 }
 
-func (in *Server) deliverGauges() {
-	link := &in.runtime
-	link.pendingGauges = ""
-	waiters := link.gaugeWaiters
-	link.gaugeWaiters = nil
-	gauges := in.gauges
-	// Danger: what was true before a link was lost is believed for as long as there is none. Past some looks of the
-	// module it hears that nothing is known.
-	if in.Now()-link.gaugesAt > 300*time.Millisecond {
-		gauges = nil
+// update replaces the values by those of an event, which come in the order of the configured names.
+func (g *gaugeReader) update(values []float64) {
+	g.values = map[string]float64{}
+	g.updatedAt = g.server.Now()
+	for i, name := range g.server.config.GaugeNames {
+		if i < len(values) {
+			g.values[name] = values[i]
+		}
+	}
+}
+
+// deliver gives the values to all that wait for them, nil if they are too old: what was true before a link was lost
+// must not count for as long as there is none.
+func (g *gaugeReader) deliver() {
+	waiters := g.waiters
+	g.waiters = nil
+	g.requestID = ""
+	values := g.values
+	if g.server.Now()-g.updatedAt > gaugeMaxAge {
+		values = nil
 	}
 	for _, then := range waiters {
-		in.decisionPending = true
-		then(gauges)
+		g.server.decisionPending = true
+		then(values)
 	}
 }
--- a/internal/server/gauges_test.go
+++ b/internal/server/gauges_test.go
@@ -4,18 +4,17 @@
 	"fmt"
 	"time"
 
-	"lanewheel/internal/eventloop"
 	"lanewheel/internal/transport"
 )
 
-// Without a link the gauges last heard count for some looks, and then nothing is known.
-func Example_oldGauges() {
-	instance := &Server{Loop: eventloop.New(9)}
-	instance.handleGauges(transport.Event{CorrelationID: "look"})
-	instance.gauges["want a core"] = 3
+// Without a link the last known gauges count for a while, and then nothing is known.
+func Example_staleGauges() {
+	server := newServer(Config{})
+	server.handleGauges(&transport.Event{CorrelationID: "look"})
+	server.gauges.values["want a core"] = 3
 	for _, at := range []time.Duration{0, 200 * time.Millisecond, 400 * time.Millisecond} {
-		instance.SetNow(at)
-		instance.requestGauges(func(gauges map[string]float64) { fmt.Println(instance.Now(), gauges) })
+		server.SetNow(at)
+		server.gauges.request(func(gauges map[string]float64) { fmt.Println(server.Now(), gauges) })
 	}
 	// Output:
 	// 0s map[want a core:3]
--- a/internal/server/health.go
+++ b/internal/server/health.go
@@ -1,23 +1,21 @@
 package server
 
-import (
-	"lanewheel/internal/transport"
-)
-
-// health is how checks are answered, and the reports to the roster.
+// health is how health checks are answered, as the controller last set it. Owned by the event loop.
 type health struct {
-	healthy, fromState bool
-	registry           *transport.Registry
+	healthy   bool
+	fromState bool // deep checks are answered by healthy, too
 }
 
-// healthy tells whether a check is answered good: never before the runtime has come up.
-func (in *Server) healthy() bool { return in.controller != nil && in.health.healthy }
+// healthy tells whether a check is answered as healthy: never before the runtime has come up.
+func (s *Server) healthy() bool { return s.controller != nil && s.health.healthy }
 
-// CheckHealth is stubs.Core: a deep one goes by work unless the module has said to answer from its state.
-func (in *Server) CheckHealth(deep bool, then func(healthy bool)) {
-	if !deep || in.health.fromState || !in.healthy() || !in.runtime.synced {
-		then(in.healthy() && (in.runtime.synced || !deep || in.health.fromState))
+// CheckHealth implements clients.Server. A deep check has the runtime carry out a self-test, unless the controller has
+// set that its state answers.
+func (s *Server) CheckHealth(deep bool, then func(healthy bool)) {
+	fromState := !deep || s.health.fromState
+	if fromState || !s.healthy() || !s.runtime.synced {
+		then(s.healthy() && (s.runtime.synced || fromState))
 		return
 	}
-	in.runSelfTest(func(healthy bool) { then(healthy && in.healthy()) })
+	s.selfTests.run(func(healthy bool) { then(healthy && s.healthy()) })
 }
--- a/internal/server/helper_test.go
+++ b/internal/server/helper_test.go
@@ -1,18 +1,112 @@
 package server
 
 import (
+	"bufio"
+	"context"
 	"fmt"
+	"net"
+	"strings"
+	"time"
 
+	"lanewheel/admission"
+	"lanewheel/internal/fake"
 	"lanewheel/internal/frontend"
 )
 
-// printingResponder is owed an answer and prints it.
+// printingResponder prints the response that it is given.
 type printingResponder struct{}
 
-func (printingResponder) Succeed([]byte, frontend.ResponseMetadata) { fmt.Println("answered") }
-func (printingResponder) Reject(frontend.ResponseMetadata)          { fmt.Println("turned away") }
+func (printingResponder) Succeed([]byte, frontend.ResponseMetadata) { fmt.Println("succeeded") }
+func (printingResponder) Reject(frontend.ResponseMetadata)          { fmt.Println("rejected") }
 func (printingResponder) Fail(frontend.ResponseMetadata)            { fmt.Println("failed") }
-func (printingResponder) RejectPermanently(string, frontend.ResponseMetadata) {
-	fmt.Println("rejected")
+func (printingResponder) RejectPermanently(code frontend.RejectionCode, _ frontend.ResponseMetadata) {
+	fmt.Println("rejected permanently:", code)
 }
 func (printingResponder) Done() {}
+
+// fakeRuntime is the listener of a runtime that a test plays.
+type fakeRuntime struct{ listener net.Listener }
+
+func newFakeRuntime() *fakeRuntime {
+	return &fakeRuntime{listener: listen("127.0.0.1")}
+}
+
+func (r *fakeRuntime) addr() string { return r.listener.Addr().String() }
+
+// accept returns the server's link.
+func (r *fakeRuntime) accept() net.Conn { return fake.Must(r.listener.Accept()) }
+
+// freeAddr returns an address on a host where no connection of another test takes the port.
+func freeAddr(host string) string {
+	listener := listen(host)
+	addr := listener.Addr().String()
+	if err := listener.Close(); err != nil {
+		panic(err)
+	}
+	return addr
+}
+
+func listen(host string) net.Listener {
+	return fake.Must((&net.ListenConfig{}).Listen(context.Background(), "tcp", host+":0"))
+}
+
+func dial(addr string) net.Conn {
+	return fake.Must((&net.Dialer{}).DialContext(context.Background(), "tcp", addr))
+}
+
+// writeLine sends a line on a connection.
+func writeLine(conn net.Conn, format string, args ...any) {
+	fake.Must(fmt.Fprintf(conn, format+"\n", args...))
+}
+
+// startServer returns a running server with one class of requests, view, and what is closed when it has stopped.
+func startServer(listenAddr, runtimeAddr string) (*Server, <-chan struct{}) {
+	server := fake.Must(New(Config{
+		Name:             "n1",
+		ListenAddr:       listenAddr,
+		RuntimeAddr:      runtimeAddr,
+		DatabaseAddr:     "127.0.0.1:9",
+		RegistryAddr:     "127.0.0.1:9",
+		TerminationGrace: time.Second,
+		MaxDescriptors:   64,
+		MemoryMB:         64,
+		Cores:            1,
+		Settings: admission.Settings{"cores": 2.0, "op types": []admission.Settings{
+			{"name": "view", "target latency": time.Second, "op timeout": time.Second},
+		}},
+	}))
+	served := make(chan struct{})
+	go func() {
+		server.Serve()
+		close(served)
+	}()
+	return server, served
+}
+
+// onLoop waits until a condition holds on the event loop.
+func onLoop(server *Server, holds func() bool) {
+	for result := make(chan bool); ; {
+		server.Post(func() { result <- holds() })
+		if <-result {
+			return
+		}
+	}
+}
+
+// answerRuntimeCommands answers requests for gauges on a runtime's link, and gives the correlation IDs of self-tests,
+// quoted, as they come.
+func answerRuntimeCommands(link net.Conn) <-chan string {
+	selfTests := make(chan string, 9)
+	go func() {
+		for lines := bufio.NewScanner(link); lines.Scan(); {
+			_, rest, _ := strings.Cut(lines.Text(), `"mark":`)
+			switch {
+			case strings.Contains(lines.Text(), "gauges"):
+				_, _ = fmt.Fprintf(link, `{"t":"load","mark":%s,"v":[]}`+"\n", rest[:len(rest)-1]) // it may end meanwhile
+			case strings.Contains(lines.Text(), "selftest"):
+				selfTests <- rest[:len(rest)-1]
+			}
+		}
+	}()
+	return selfTests
+}
--- a/internal/server/idempotency.go
+++ b/internal/server/idempotency.go
@@ -5,134 +5,176 @@
 	"time"
 
 	"lanewheel/admission"
-	"lanewheel/internal/frontend"
+	"lanewheel/internal/eventloop"
 )
 
-// idempotencyCache are the ops that repeats are known by. Reads of like type and subject are repeats of each other; so are tries of a keyed op, which no
-// field tells of: what they say is the same, byte for byte.
+// lateReadGrace is how long a record by key outlasts its window, for duplicates that arrived within it and are read
+// later.
+const lateReadGrace = time.Second
+
+// clock is the time and the timers of the event loop.
+type clock interface {
+	Now() time.Duration
+	ScheduleAt(at time.Duration, callback func()) *eventloop.Timer
+	Post(callbacks ...func())
+}
+
+// idempotencyCache keeps the records by which duplicates are known. Reads of the same class and resource are duplicates
+// of each other; so are attempts of a request that is idempotent by key, which no field names: their bodies are equal,
+// byte for byte. Owned by the event loop.
 type idempotencyCache struct {
-	records          map[requestIdentity]*idempotencyRecord
-	requestsAreCalls bool // what comes here are calls of the tier above
+	clock               clock
+	deliver             func(waiter *activeRequest, result coalescedResult)
+	coalescedReadWindow time.Duration // how long the result of a read answers its duplicates
+	requestsAreCalls    bool          // requests are the upstream calls of another tier's requests
+
+	records map[requestIdentity]*idempotencyRecord
 }
 
+// requestIdentity is what duplicates have in common. The zero value is that of a request that has no duplicates.
 type requestIdentity struct {
 	class    admission.Class
 	resource string
-	tenant   admission.TenantID // empty where there are none
-	bodyHash [sha256.Size]byte  // of a keyed op, or of a read that is a call; zero of any other
+	tenant   admission.TenantID // empty where there are no tenants
+	bodyHash [sha256.Size]byte  // of a request by key, and of a read that is a call; zero otherwise
 	byKey    bool
 }
 
-// idempotencyRecord is one key and, once its run has gone well, the result. It is its op's, not that of an id. Danger: a client that sends the id of an op that
-// is over once more has the key of that one prolonged, or dropped when it is turned away, and a try of a keyed op runs a second time.
+func (i requestIdentity) isZero() bool { return i == requestIdentity{} }
+
+// idempotencyRecord is one identity and, once its run has succeeded, the result. It belongs to a request, not to an id:
+// a client that sends the id of an answered request again must not prolong or drop that one's record.
 type idempotencyRecord struct {
 	requestID admission.RequestID
-	forgotten bool // forgotten
 	identity  requestIdentity
 	expiresAt time.Duration
 	finished  bool
-	result    []byte
+	forgotten bool
+	result    []byte // nil unless it has succeeded
 	waiters   []*activeRequest
 }
 
-// identify is what repeats of an op have in common, zero where it has none. Danger: one tenant's read answered with what another's came to, of a
-// key that both use.
-func (k *idempotencyCache) identify(active *activeRequest, request frontend.Request, byKey bool) (identity requestIdentity) {
+// expired tells whether a record's time is over. One by key does not age before its request is finished.
+func (r *idempotencyRecord) expired(now time.Duration) bool {
+	if !r.identity.byKey {
+		return r.expiresAt <= now
+	}
+	return r.finished && r.expiresAt+lateReadGrace <= now
+}
+
+// coalescedWait is that of a request for the result of the one that it duplicates.
+type coalescedWait struct {
+	onEnd func(admission.Outcome, time.Duration) // the controller's
+	since time.Duration
+}
+
+// coalescedResult is what became of a request that others duplicate.
+type coalescedResult struct {
+	body    []byte // nil unless it succeeded
+	started bool   // its run was started
+}
+
+// identify returns what a request has in common with its duplicates. Tenants' reads of the same resource are not
+// duplicates of each other.
+func (c *idempotencyCache) identify(active *activeRequest, newIDPerAttempt, byKey bool) requestIdentity {
 	switch {
-	case byKey && request.NewIDPerAttempt:
-		// Not who sends it: a further try may come by another stub.
-		identity = requestIdentity{class: active.class, tenant: active.tenant, bodyHash: sha256.Sum256(active.body), byKey: true}
+	case byKey && newIDPerAttempt:
+		// Not the caller: a retry may come by another client.
+		return requestIdentity{
+			class: active.class, tenant: active.tenant, bodyHash: sha256.Sum256(active.body), byKey: true,
+		}
 	case !byKey && active.resource != "":
-		identity = requestIdentity{class: active.class, resource: active.resource, tenant: active.tenant}
-		// Danger: calls carry the key of the op that makes them, and one op makes several, each for something else. The body tells them apart.
-		if k.requestsAreCalls {
+		identity := requestIdentity{class: active.class, resource: active.resource, tenant: active.tenant}
+		// Calls carry the resource of the request that makes them, which may make several, each for something else.
+		if c.requestsAreCalls {
 			identity.bodyHash = sha256.Sum256(active.body)
 		}
+		return identity
 	}
-	return identity
+	return requestIdentity{}
 }
 
-// duplicateOf is the kept op that this one, which came at a time, repeats, or none.
-func (k *idempotencyCache) duplicateOf(active *activeRequest, arrivedAt time.Duration) admission.RequestID {
-	record := k.records[active.identity]
-	if active.identity == (requestIdentity{}) || record == nil {
+// duplicateOf returns the request with a record that this one, which was sent at a time, duplicates; empty if there is
+// none. While a request by key is in flight its record does not age, and one that ran and failed is not run again: its
+// effect must not happen twice.
+func (c *idempotencyCache) duplicateOf(active *activeRequest, sentAt time.Duration) admission.RequestID {
+	record := c.records[active.identity]
+	if active.identity.isZero() || record == nil {
 		return ""
 	}
-	switch {
-	// Danger: an effect that happens twice. While a keyed op is in hand its key does not age, and one that ran and failed is not run again.
-	case record.identity.byKey:
-		if record.finished && record.expiresAt <= arrivedAt {
+	inTime := record.expiresAt > sentAt
+	if record.identity.byKey {
+		if record.finished && !inTime {
 			return ""
 		}
-	case record.expiresAt <= arrivedAt, record.finished && record.result == nil:
+		return record.requestID
+	}
+	if !inTime || record.finished && record.result == nil {
 		return ""
 	}
 	return record.requestID
 }
 
-// lateReadGrace is how long a key outlasts its time, for repeats that came in it and are read behind it.
-const lateReadGrace = time.Second
-
-func (k *idempotencyCache) store(server *Server, active *activeRequest, window time.Duration) {
-	if active.identity == (requestIdentity{}) {
+// store keeps a record of a request until a window from now, or prolongs the one that is kept.
+func (c *idempotencyCache) store(active *activeRequest, window time.Duration) {
+	if active.identity.isZero() {
 		return
 	}
-	if k.records == nil {
-		k.records = map[requestIdentity]*idempotencyRecord{}
+	if c.records == nil {
+		c.records = map[requestIdentity]*idempotencyRecord{}
 	}
 	record := active.record
 	if record == nil {
-		if previous := k.records[active.identity]; previous != nil {
-			k.forget(previous)
+		if previous := c.records[active.identity]; previous != nil {
+			c.forget(previous)
 		}
 		record = &idempotencyRecord{requestID: active.id, identity: active.identity}
-		k.records[record.identity], active.record = record, record
+		c.records[record.identity] = record
+		active.record = record
 	}
-	record.expiresAt = server.Now() + window
-	k.scheduleExpiry(server, record)
+	record.expiresAt = c.clock.Now() + window
+	c.scheduleExpiry(record)
 }
 
-// scheduleExpiry forgets a key when its time is over.
-func (k *idempotencyCache) scheduleExpiry(server *Server, record *idempotencyRecord) {
+// scheduleExpiry forgets a record when its time is over, unless it gets more time or its request is still in flight.
+func (c *idempotencyCache) scheduleExpiry(record *idempotencyRecord) {
 	at := record.expiresAt
 	if record.identity.byKey {
 		at += lateReadGrace
 	}
-	server.ScheduleAt(at, func() {
-		if record.forgotten || record.identity.byKey && (!record.finished || record.expiresAt+lateReadGrace > server.Now()) || record.expiresAt > server.Now() {
-			return // it is in hand still, which ages it when it is over; or it got more time
+	c.clock.ScheduleAt(at, func() {
+		if record.expired(c.clock.Now()) {
+			c.forget(record)
 		}
-		k.forget(record)
 	})
 }
 
-// forget forgets a key. Those that wait for its result still get it.
-func (k *idempotencyCache) forget(record *idempotencyRecord) {
+// forget drops a record. One whose result others wait for stays.
+func (c *idempotencyCache) forget(record *idempotencyRecord) {
 	if record == nil || record.forgotten || len(record.waiters) > 0 {
 		return
 	}
 	record.forgotten = true
-	if k.records[record.identity] == record {
-		delete(k.records, record.identity)
+	if c.records[record.identity] == record {
+		delete(c.records, record.identity)
 	}
 }
 
-// coalesce has an op wait for the result of the one it repeats, or gives it what is kept.
-func (k *idempotencyCache) coalesce(server *Server, active *activeRequest) {
-	record := k.records[active.identity]
-	if record == nil || record.finished && record.result == nil {
-		server.Post(func() { server.finishCoalesced(active, nil, true) })
-		return
-	}
-	if record.finished {
-		server.Post(func() { server.finishCoalesced(active, record.result, true) })
-		return
+// coalesce has a request wait for the result of the one that it duplicates, or gives it the one that is kept.
+func (c *idempotencyCache) coalesce(active *activeRequest) {
+	record := c.records[active.identity]
+	switch {
+	case record == nil || record.finished && record.result == nil:
+		c.clock.Post(func() { c.deliver(active, coalescedResult{started: true}) })
+	case record.finished:
+		c.clock.Post(func() { c.deliver(active, coalescedResult{body: record.result, started: true}) })
+	default:
+		record.waiters = append(record.waiters, active)
 	}
-	record.waiters = append(record.waiters, active)
 }
 
-// finish hears that an op is over, with its result if it went well. The first word counts.
-func (k *idempotencyCache) finish(server *Server, active *activeRequest, result []byte) {
+// finish ends a request's record, with its result if it succeeded, nil otherwise. Only the first call counts.
+func (c *idempotencyCache) finish(active *activeRequest, result []byte) {
 	record := active.record
 	if record == nil || record.finished || record.forgotten {
 		return
@@ -141,47 +183,50 @@
 	if result != nil {
 		record.result = append(make([]byte, 0, len(result)), result...)
 		if !record.identity.byKey {
-			record.expiresAt = min(record.expiresAt, server.Now()+durationSetting(server.config.Settings, "shared reads for"))
+			record.expiresAt = min(record.expiresAt, c.clock.Now()+c.coalescedReadWindow)
 		}
 	}
-	waiting := record.waiters
+	waiters := record.waiters
 	record.waiters = nil
-	for _, waiter := range waiting {
-		server.Post(func() { server.finishCoalesced(waiter, record.result, active.started) })
+	for _, waiter := range waiters {
+		c.clock.Post(func() { c.deliver(waiter, coalescedResult{body: record.result, started: active.started}) })
 	}
-	if record.identity.byKey && !active.started { // a later try is free to
-		k.forget(record)
+	if record.identity.byKey && !active.started { // a retry may run
+		c.forget(record)
 		return
 	}
-	k.scheduleExpiry(server, record)
+	c.scheduleExpiry(record)
 }
 
-// detach hears that nothing more is owed of an op. Danger: a read that was given up, or whose caller left, may run on; who asks the same from now
-// on is answered by what nobody asked for any more, or stopped and failed with it. Those that wait for it already still get what it comes to.
-// Tries of a keyed op stay with it, whatever became of its answer: its effect may happen.
-func (k *idempotencyCache) detach(active *activeRequest) {
-	if record := active.record; record != nil && !record.finished && !record.identity.byKey && k.records[record.identity] == record {
-		delete(k.records, record.identity)
+// detach hears that a request's response is no longer owed. A read that was abandoned may run on, and later reads must
+// not wait for a run that is about to be stopped; those that wait for it already still get its result. Attempts of a
+// request by key stay with it, whatever became of its response: its effect may happen.
+func (c *idempotencyCache) detach(active *activeRequest) {
+	record := active.record
+	if record == nil || record.finished || record.identity.byKey {
+		return
+	}
+	if c.records[record.identity] == record {
+		delete(c.records, record.identity)
 	}
 }
 
-// finishCoalesced ends an op that waited for another's result. Where that never ran, neither did this one.
-func (in *Server) finishCoalesced(active *activeRequest, result []byte, started bool) {
-	if active.responder == nil || in.requests[active.id] != active {
+// finishCoalesced answers a request that waited for another's result. If that one was never executed, neither was this.
+func (s *Server) finishCoalesced(active *activeRequest, result coalescedResult) {
+	if active.responder == nil || s.requests.get(active.id) != active {
 		return
 	}
-	outcome := admission.Succeeded
+	outcome := admission.Failed
 	switch {
-	case result != nil:
-		in.respond(active, func(responder frontend.Responder) { responder.Succeed(result, in.metadata()) })
-	case started:
-		outcome = admission.Failed
-		in.respond(active, func(responder frontend.Responder) { responder.Fail(in.metadata()) })
+	case result.body != nil:
+		outcome = admission.Succeeded
+		s.succeed(active, result.body)
+	case result.started:
+		s.fail(active)
 	default:
-		outcome = admission.Failed
-		in.respond(active, func(responder frontend.Responder) { responder.Reject(in.metadata()) })
+		s.reject(active, s.ResponseMetadata())
 	}
-	in.decisionPending = true
-	active.onCoalesced(outcome, in.Now()-active.coalescedAt)
-	in.forget(active)
+	s.decisionPending = true
+	active.coalesced.onEnd(outcome, s.Now()-active.coalesced.since)
+	s.forget(active)
 }
--- a/internal/server/registry.go
+++ b/internal/server/registry.go
@@ -7,24 +7,49 @@
 	"lanewheel/internal/transport"
 )
 
-// reportPeriodically tells the roster again and again that we are here, whatever else there is to do. Danger: the list forgets
-// who is not heard for some seconds, and a datagram may be lost; so often, many in a row would have to be.
-func (in *Server) reportPeriodically() {
-	in.report()
-	in.ScheduleAt(in.Now()+250*time.Millisecond, in.reportPeriodically)
+// reportInterval is how often the instance reports to the registry, which forgets an instance after some seconds of
+// silence; many datagrams in a row may be lost.
+const reportInterval = 250 * time.Millisecond
+
+// registryReporter reports to the registry. Owned by the event loop.
+type registryReporter struct {
+	registry *transport.Registry // nil until the first report, and after its address has changed
 }
 
-func (in *Server) report() {
-	if in.config.RegistryAddr == "" { // there is none
-		return
-	}
-	if in.health.registry == nil {
-		registry, err := transport.NewRegistry(in.config.RegistryAddr, in.config.Name)
+// report sends one report to the registry at an address. An address that can't be used is tried again by the next
+// report.
+func (r *registryReporter) report(addr, name string, available bool) {
+	if r.registry == nil {
+		registry, err := transport.NewRegistry(addr, name)
 		if err != nil {
-			slog.Warn("no-roster", "err", err)
+			slog.Warn("registry unavailable", "addr", addr, "err", err)
 			return
 		}
-		in.health.registry = registry
+		r.registry = registry
+	}
+	r.registry.Report(available)
+}
+
+// reset closes the connection to the registry. It tells whether there was one.
+func (r *registryReporter) reset() bool {
+	if r.registry == nil {
+		return false
+	}
+	r.registry.Close()
+	r.registry = nil
+	return true
+}
+
+// reportPeriodically reports to the registry again and again, whatever else there is to do.
+func (s *Server) reportPeriodically() {
+	s.report()
+	s.ScheduleAt(s.Now()+reportInterval, s.reportPeriodically)
+}
+
+func (s *Server) report() {
+	if s.config.RegistryAddr == "" {
+		return
 	}
-	in.health.registry.Report(!in.draining && (in.health.healthy || !in.config.ReportReadiness))
+	available := !s.draining && (s.health.healthy || !s.config.ReportReadiness)
+	s.registry.report(s.config.RegistryAddr, s.config.Name, available)
 }
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -8,108 +8,169 @@
 	"lanewheel/internal/frontend"
 )
 
-// activeRequest is one op in hand: from its reading until it is answered and its run is over.
+// activeRequest is a request in flight, from when it was read until it is answered and its run has ended. It may wait
+// for its caller to be authenticated, be queued or run here, wait for the result of a request that it duplicates, or be
+// forwarded to another instance.
 type activeRequest struct {
-	id                admission.RequestID
-	class             admission.Class
-	resource          string
-	tenant            admission.TenantID // whose it is, by its caller's rights where these are known; empty where there are no tenants
-	identity          requestIdentity
-	record            *idempotencyRecord // its key, once that is stored
-	body              []byte
-	responder         frontend.Responder // its one answer; nil once it is given or the caller has left
-	run               *run
-	started           bool                                   // it was started, whatever became of that
-	onCoalesced       func(admission.Outcome, time.Duration) // waits for another's result
-	coalescedAt       time.Duration                          // when it began to wait
-	arrivedAt         time.Duration
-	outsideController bool              // the module does not know of it: it waits at the door, or is elsewhere
-	original          *frontend.Request // as it came, less its body; nil where nothing is handed over
-	deadline          time.Duration     // with it
-	spilloverHandle   frontend.Handle   // it is elsewhere
-	permission        authz.Permission  // given back when the op is over
-}
-
-// Cancel is front.Core: nobody waits for an op any more.
-func (in *Server) Cancel(handle frontend.Handle) {
-	if active, known := handle.(*activeRequest); known && active.responder != nil {
-		in.cancelRequest(active)
-	}
+	id        admission.RequestID
+	class     admission.Class
+	resource  string             // empty for a write
+	tenant    admission.TenantID // by its caller's permission where callers are known; empty where there are no tenants
+	body      []byte             // of the server's buffers
+	arrivedAt time.Duration
+
+	responder  frontend.Responder // nil once it is answered or its caller has left
+	permission authz.Permission   // released when the request is forgotten
+
+	// outsideController is set while the controller does not know of the request: its caller is not authenticated yet,
+	// or the controller has rejected it and it is forwarded.
+	outsideController bool
+	forwarding        forwarding
+
+	run     *run // nil while it does not run
+	started bool // a run was started, whatever became of it
+
+	identity  requestIdentity
+	record    *idempotencyRecord // nil until the controller has one kept
+	coalesced *coalescedWait     // nil unless it waits for another's result
 }
 
-// ResponderOf is stubs.Core: who is owed the answer of an op in hand.
-func (in *Server) ResponderOf(id string) frontend.Responder {
-	if active := in.requests[admission.RequestID(id)]; active != nil {
-		return active.responder
+// requestTable holds the requests in flight and counts where they are. Owned by the event loop.
+type requestTable struct {
+	byID        map[admission.RequestID]*activeRequest
+	capacity    int // requests that there is memory for
+	running     int
+	spilledOver int           // forwarded to other instances
+	emptySince  time.Duration // when the last one was forgotten
+}
+
+// get returns the request in flight with this id, nil if there is none.
+func (t *requestTable) get(id admission.RequestID) *activeRequest { return t.byID[id] }
+
+// getRunning returns the request in flight with this id, nil if there is none or it does not run.
+func (t *requestTable) getRunning(id admission.RequestID) *activeRequest {
+	active := t.byID[id]
+	if active == nil || active.run == nil {
+		return nil
 	}
-	return nil
+	return active
 }
 
-// ResponseMetadata is stubs.Core.
-func (in *Server) ResponseMetadata() frontend.ResponseMetadata { return in.metadata() }
+func (t *requestTable) full() bool { return len(t.byID) >= t.capacity }
 
-// track puts an op in the tables.
-func (in *Server) track(request frontend.Request, responder frontend.Responder) *activeRequest {
-	active := &activeRequest{id: admission.RequestID(request.ID), class: admission.Class(request.Class), resource: request.Resource, responder: responder, arrivedAt: in.Loop.Now(),
-		body: append(in.buffers.Get(), request.Body...)}
-	in.requests[active.id] = active
+// queued counts the requests that neither run nor are forwarded.
+func (t *requestTable) queued() int { return len(t.byID) - t.running - t.spilledOver }
+
+// idleFor is how long there has been no request in flight.
+func (t *requestTable) idleFor(now time.Duration) time.Duration {
+	if len(t.byID) > 0 {
+		return 0
+	}
+	return now - t.emptySince
+}
+
+// track enters a request in the table, with a copy of its body.
+func (s *Server) track(request *frontend.Request, responder frontend.Responder) *activeRequest {
+	active := &activeRequest{
+		id:        admission.RequestID(request.ID),
+		class:     admission.Class(request.Class),
+		resource:  request.Resource,
+		body:      append(s.buffers.Get(), request.Body...),
+		arrivedAt: s.Now(),
+		responder: responder,
+	}
+	s.requests.byID[active.id] = active
 	return active
 }
 
-// cancelRequest hears that the caller of an op has given it up.
-func (in *Server) cancelRequest(active *activeRequest) {
-	in.releaseResponder(active)
-	if active.spilloverHandle != nil {
-		in.spillover.Cancel(active.spilloverHandle)
-		in.returnFromSpillover(active)
+// forget removes a request that nothing is owed to any more and that does not run; it does nothing to any other.
+func (s *Server) forget(active *activeRequest) {
+	inUse := active.responder != nil || active.run != nil || active.forwarding.handle != nil
+	if inUse || s.requests.get(active.id) != active {
+		return
+	}
+	delete(s.requests.byID, active.id)
+	if len(s.requests.byID) == 0 {
+		s.requests.emptySince = s.Now()
+	}
+	s.buffers.Put(active.body)
+	active.body = nil
+	if s.authenticator != nil {
+		s.authenticator.Release(&active.permission)
+	}
+	if !active.outsideController {
+		s.idempotency.finish(active, nil)
+	}
+}
+
+// Cancel implements frontend.Server: nobody waits for the request any more.
+func (s *Server) Cancel(handle frontend.Handle) {
+	if active, known := handle.(*activeRequest); known && active.responder != nil {
+		s.cancelRequest(active)
+	}
+}
+
+func (s *Server) cancelRequest(active *activeRequest) {
+	s.releaseResponder(active)
+	if active.forwarding.handle != nil {
+		s.spillover.Cancel(active.forwarding.handle)
+		s.returnFromSpillover(active)
 		return
 	}
-	if active.outsideController { // the verdict finds it gone
-		in.forget(active)
+	if active.outsideController { // the authenticator's decision finds it gone
+		s.forget(active)
 		return
 	}
-	in.decisionPending = true
-	in.controller.Cancel(active.id)
-	in.forget(active)
+	s.decisionPending = true
+	s.controller.Cancel(active.id)
+	s.forget(active)
 }
 
-// releaseResponder ends the answer that is owed. Danger: whatever crosses, an op is answered once; who takes it off first is the one
-// that answers.
-func (in *Server) releaseResponder(active *activeRequest) {
+// releaseResponder ends what is owed to the caller. Whatever crosses, a request is answered once: who takes the
+// responder off it first is the one that answers.
+func (s *Server) releaseResponder(active *activeRequest) {
 	if responder := active.responder; responder != nil {
 		active.responder = nil
 		responder.Done()
-		in.idempotency.detach(active)
+		s.idempotency.detach(active)
 	}
 }
 
-// respond sends the one answer, if it is still owed.
-func (in *Server) respond(active *activeRequest, send func(frontend.Responder)) {
+// respond has send give the one response, if it is still owed.
+func (s *Server) respond(active *activeRequest, send func(frontend.Responder)) {
 	if responder := active.responder; responder != nil {
 		send(responder)
-		in.releaseResponder(active)
+		s.releaseResponder(active)
 	}
 }
 
-func (in *Server) metadata() frontend.ResponseMetadata {
-	return frontend.ResponseMetadata{LoadReport: in.loadReport}
+func (s *Server) succeed(active *activeRequest, result []byte) {
+	s.respond(active, func(responder frontend.Responder) { responder.Succeed(result, s.ResponseMetadata()) })
 }
 
-// forget forgets an op that nothing is owed to any more and that does not run.
-func (in *Server) forget(active *activeRequest) {
-	if active.responder != nil || active.run != nil || active.spilloverHandle != nil || in.requests[active.id] != active {
-		return
-	}
-	delete(in.requests, active.id)
-	if len(in.requests) == 0 {
-		in.emptySince = in.Loop.Now()
-	}
-	in.buffers.Put(active.body)
-	active.body = nil
-	if in.authenticator != nil {
-		in.authenticator.Release(&active.permission)
-	}
-	if !active.outsideController {
-		in.idempotency.finish(in, active, nil)
+func (s *Server) fail(active *activeRequest) {
+	s.respond(active, func(responder frontend.Responder) { responder.Fail(s.ResponseMetadata()) })
+}
+
+func (s *Server) reject(active *activeRequest, metadata frontend.ResponseMetadata) {
+	s.respond(active, func(responder frontend.Responder) { responder.Reject(metadata) })
+}
+
+func (s *Server) rejectPermanently(
+	active *activeRequest, code frontend.RejectionCode, metadata frontend.ResponseMetadata,
+) {
+	s.respond(active, func(responder frontend.Responder) { responder.RejectPermanently(code, metadata) })
+}
+
+// ResponseMetadata implements clients.Server: it is part of every response.
+func (s *Server) ResponseMetadata() frontend.ResponseMetadata {
+	return frontend.ResponseMetadata{LoadReport: s.loadReport}
+}
+
+// ResponderOf implements clients.Server.
+func (s *Server) ResponderOf(id string) frontend.Responder {
+	if active := s.requests.get(admission.RequestID(id)); active != nil {
+		return active.responder
 	}
+	return nil
 }
--- a/internal/server/run.go
+++ b/internal/server/run.go
@@ -11,85 +11,137 @@
 	"lanewheel/internal/transport"
 )
 
-// run is an op's run, from its start until its end is read. It says what is to be sent anew on a new link.
+// run is the run of a request, from its start until its end is read. It keeps what is to be sent anew on a new link to
+// the runtime. Owned by the event loop.
 type run struct {
-	onCall        func()
+	onCall        func() // the controller's: the run waits at an upstream call
 	onEnd         func(admission.Outcome, time.Duration)
-	confirmed     bool          // the runtime is known to have got the start
-	stopRequested bool          // it was asked to stop
-	callSequence  uint64        // the notice by which it stands at a call, 0 when it does not
-	callBody      []byte        // that call's body
-	callReply     []byte        // the reply given to it, until the run is heard of again
-	skippedCall   uint64        // the notice whose call was left out
-	call          *databaseCall // under way
+	confirmed     bool // an event of the run proved that its start arrived
+	stopRequested bool
+	callPoint     callPoint
+	call          *databaseCall // nil while none is under way
 }
 
-func (in *Server) resend() {
-	for _, id := range slices.Sorted(maps.Keys(in.requests)) {
-		active := in.requests[id]
-		run := active.run
-		if run == nil {
-			continue
-		}
-		if !run.confirmed {
-			in.runtime.conn.Start(id, active.class, active.body)
-		}
-		if run.stopRequested {
-			in.runtime.conn.Stop(id)
-		}
-		if run.callReply != nil {
-			in.runtime.conn.SendCallReply(id, run.callReply)
-		}
-		if run.skippedCall != 0 {
-			in.runtime.conn.SkipCall(id, run.skippedCall)
-		}
-	}
+// callPoint is the upstream call that a run has come to last, and how it was released from there.
+type callPoint struct {
+	sequence uint64 // of the event by which the run waits; 0 while it does not
+	body     []byte // of the call
+	reply    []byte // given to the run; nil if none was
+	skipped  uint64 // the event whose call was skipped; 0 if none was
 }
 
-var runOutcomes = map[string]admission.Outcome{
-	"success": admission.Succeeded, "failure": admission.Failed, "interrupted": admission.Stopped, "nothing": admission.NotStarted,
+// reached tells whether the run waits at an upstream call.
+func (p *callPoint) reached() bool { return p.sequence != 0 }
+
+// arrive replaces the last call of the run by the next one.
+func (p *callPoint) arrive(sequence uint64, body []byte) {
+	*p = callPoint{sequence: sequence, body: append(p.body[:0], body...)}
+}
+
+// Values of Event.Status of an end event.
+const (
+	statusSuccess     = "success"
+	statusFailure     = "failure"
+	statusInterrupted = "interrupted"
+	statusNothing     = "nothing"
+)
+
+// commandStart is the Event.Status of a refused start command.
+const commandStart = "start"
+
+// runOutcome translates the status of an end event. One that is not known counts as a failure.
+func runOutcome(status string) admission.Outcome {
+	switch status {
+	case statusSuccess:
+		return admission.Succeeded
+	case statusFailure:
+		return admission.Failed
+	case statusInterrupted:
+		return admission.Stopped
+	case statusNothing:
+		return admission.NotStarted
+	}
+	slog.Warn("unknown run status", "status", status)
+	return admission.Failed
 }
 
-// handleEnd takes the end of a run. One that went well or failed answers its op.
-func (in *Server) handleEnd(event transport.Event) {
-	active := in.requests[admission.RequestID(event.RequestID)]
-	if active == nil || active.run == nil {
+// handleCallPoint hears that a run waits at an upstream call.
+func (s *Server) handleCallPoint(event *transport.Event) {
+	active := s.requests.getRunning(admission.RequestID(event.RequestID))
+	if active == nil {
 		return
 	}
-	outcome, known := runOutcomes[event.Status]
-	if !known {
-		slog.Warn("unknown-end", "status", event.Status)
-		outcome = admission.Failed
+	run := active.run
+	s.database.cancel(run.call)
+	run.call = nil
+	run.confirmed = true
+	run.callPoint.arrive(event.Sequence, event.Body)
+	s.decisionPending = true
+	run.onCall()
+}
+
+// handleEnd hears of the end of a run.
+func (s *Server) handleEnd(event *transport.Event) {
+	if active := s.requests.getRunning(admission.RequestID(event.RequestID)); active != nil {
+		s.endRun(active, runOutcome(event.Status), event.Elapsed, event.Body)
 	}
+}
+
+// endRun ends a run. One that succeeded or failed answers its request.
+func (s *Server) endRun(active *activeRequest, outcome admission.Outcome, elapsed time.Duration, result []byte) {
 	run := active.run
-	in.database.cancel(run.call)
+	s.database.cancel(run.call)
 	active.run = nil
-	in.running--
+	s.requests.running--
 	switch outcome {
 	case admission.Succeeded:
-		in.idempotency.finish(in, active, event.Body)
-		in.recordOutcome(active, true)
-		in.respond(active, func(responder frontend.Responder) { responder.Succeed(event.Body, in.metadata()) })
+		s.idempotency.finish(active, result)
+		s.recordOutcome(active, true)
+		s.succeed(active, result)
 	case admission.Failed:
-		in.recordOutcome(active, false)
-		in.respond(active, func(responder frontend.Responder) { responder.Fail(in.metadata()) })
+		s.recordOutcome(active, false)
+		s.fail(active)
 	}
-	in.decisionPending = true
-	run.onEnd(outcome, event.Elapsed)
-	if outcome == admission.NotStarted { // nothing ran here, so an answer that is owed all the same can only be this
-		in.respond(active, func(responder frontend.Responder) { responder.Fail(in.metadata()) })
+	s.decisionPending = true
+	run.onEnd(outcome, elapsed)
+	if outcome == admission.NotStarted { // nothing ran, so if the controller left a response owed it can only be this one
+		s.fail(active)
 	}
-	in.forget(active)
+	s.forget(active)
 }
 
-// handleRefused hears that a command was not carried out. A start that was not ends its op, and its front hears that the id, type
-// or body is that of no op. Danger: the module would take it for a run that failed.
-func (in *Server) handleRefused(event transport.Event) {
-	active := in.requests[admission.RequestID(event.RequestID)]
-	if active == nil || active.run == nil || active.run.confirmed || event.Status != "start" {
-		slog.Warn("command-refused", "command", event.Status, "op", event.RequestID)
+// handleRefused hears that the runtime did not carry out a command. A refused start ends its request: its class or body
+// is none that the runtime knows. The controller must not take that for a run that failed.
+func (s *Server) handleRefused(event *transport.Event) {
+	active := s.requests.getRunning(admission.RequestID(event.RequestID))
+	if active == nil || active.run.confirmed || event.Status != commandStart {
+		slog.Warn("runtime refused command", "command", event.Status, "request", event.RequestID)
 		return
 	}
-	in.respond(active, func(responder frontend.Responder) { responder.RejectPermanently("unknown-op", in.metadata()) })
-	in.handleEnd(transport.Event{Kind: "end", RequestID: event.RequestID, Status: "nothing"})
+	s.rejectPermanently(active, frontend.UnknownRequest, s.ResponseMetadata())
+	s.endRun(active, admission.NotStarted, 0, nil)
+}
+
+// resendCommands sends a new link all that the runtime may not have received on an earlier one.
+func (s *Server) resendCommands() {
+	conn := s.runtime.conn
+	for _, id := range slices.Sorted(maps.Keys(s.requests.byID)) {
+		active := s.requests.getRunning(id)
+		if active == nil {
+			continue
+		}
+		if !active.run.confirmed {
+			conn.Start(id, active.class, active.body)
+		}
+		if active.run.stopRequested {
+			conn.Stop(id)
+		}
+		point := &active.run.callPoint
+		if point.reply != nil {
+			conn.SendCallReply(id, point.reply)
+		}
+		if point.skipped != 0 {
+			conn.SkipCall(id, point.skipped)
+		}
+	}
 }
--- a/internal/server/runtimelink.go
+++ b/internal/server/runtimelink.go
@@ -5,129 +5,178 @@
 	"strconv"
 	"time"
 
-	"lanewheel/admission"
 	"lanewheel/internal/transport"
 )
 
-// runtimeLink is what is known of the link to the runtime.
+// Kinds of the runtime's events, as transport.Event names them.
+const (
+	eventReady       = "ready"
+	eventGauges      = "load"
+	eventSelfTest    = "verdict"
+	eventEnd         = "end"
+	eventCallPoint   = "wants"
+	eventRefused     = "nack"
+	eventInformation = "info"
+)
+
+// Prefixes of correlation IDs, which the runtime echoes.
+const (
+	correlateSelfTest = "test"
+	correlateFence    = "fence"
+	correlateGauges   = "look"
+)
+
+// statusBooting is the status of a ready event of a runtime that has just started.
+const statusBooting = "booting"
+
+// Backoff between attempts to connect to the runtime.
+const (
+	minBackoff = 10 * time.Millisecond
+	maxBackoff = 500 * time.Millisecond
+)
+
+// runtimeLinks is how many links to the runtime there are at most: while it moves, the old one and the new one.
+const runtimeLinks = 2
+
+// runtimeLink is the link to the runtime, which outlasts its connections. Owned by the event loop.
 type runtimeLink struct {
-	conn          *transport.RuntimeConn // in use; nil while there is none
-	attempt       uint64                 // the last one to open a link
-	dialing       *transport.RuntimeConn // by that one
-	synced        bool                   // all notices of the time without a link have been read
-	lastSequence  uint64                 // the number of the last notice read
-	fenceID       string                 // the mark behind the replayed notices
-	correlations  uint64
-	backoff       time.Duration
-	pendingGauges string // the mark of the gauges that are awaited
-	gaugeWaiters  []func(map[string]float64)
-	gaugesAt      time.Duration // when the gauges last came
-	selfTests     map[string]func(good bool)
+	server       *Server
+	conn         *transport.RuntimeConn // in use; nil while there is none
+	attempt      uint64                 // number of the last attempt to connect
+	dialing      *transport.RuntimeConn // by that attempt
+	backoff      time.Duration          // before the next attempt
+	lastSequence uint64                 // number of the last event read
+	correlations uint64                 // number of the last correlation ID
+
+	// synced is set once all events that the runtime sent while there was no link have been read. Commands are sent only
+	// then. fenceID correlates the gauges that were requested behind those events.
+	synced  bool
+	fenceID string
 }
 
-func (in *Server) nextCorrelationID(kind string) string {
-	in.runtime.correlations++
-	return kind + "-" + strconv.FormatUint(in.runtime.correlations, 10)
+func (l *runtimeLink) nextCorrelationID(prefix string) string {
+	l.correlations++
+	return prefix + "-" + strconv.FormatUint(l.correlations, 10)
 }
 
-// connect opens a link to where the runtime is now, and again a while after that was refused or lost. One that is
-// in use stays so until the new one stands: the old address serves on for a moment after the runtime has moved.
-func (in *Server) connect() {
-	link := &in.runtime
-	link.attempt++
-	attempt := link.attempt
-	retry := func() {
-		if link.attempt == attempt { // Danger: what a dial to an old address comes to would count for the new one
-			link.backoff = min(max(2*link.backoff, 10*time.Millisecond), 500*time.Millisecond)
-			in.ScheduleAt(in.Now()+link.backoff, func() {
-				if link.attempt == attempt {
-					in.connect()
-				}
-			})
-		}
-	}
-	if link.dialing != nil { // the address that it goes to may swallow it
-		link.dialing.CancelDial()
+// connect opens a connection to where the runtime is now, and again, after a backoff, when that is refused or lost. One
+// that is in use stays so until the new one stands: the old address serves on for a moment after the runtime has moved.
+func (l *runtimeLink) connect() {
+	l.attempt++
+	attempt := l.attempt
+	if l.dialing != nil { // its address may never answer
+		l.dialing.CancelDial()
 	}
 	var conn *transport.RuntimeConn
-	conn = in.net.DialRuntime(in.config.RuntimeAddr, func(refused error) {
+	conn = l.server.net.DialRuntime(l.server.config.RuntimeAddr, func(refused error) {
 		if refused != nil {
-			retry()
-			return
-		}
-		if link.attempt != attempt {
-			conn.Close("moved")
+			l.retry(attempt)
 			return
 		}
-		if link.conn != nil {
-			link.conn.Close("moved")
-		}
-		link.conn, link.synced = conn, false
-		conn.Sync(link.lastSequence)
+		l.connected(conn, attempt)
 	})
-	link.dialing = conn
+	l.dialing = conn
 	conn.OnEvent = func(event transport.Event) {
-		if link.conn == conn { // what an old link still brings comes again on the new one
-			in.handleEvent(event)
+		if l.conn == conn { // what an old connection still brings comes again on the new one
+			l.server.handleEvent(event)
 		}
 	}
 	conn.OnClose = func(string) {
-		if link.conn == conn {
-			link.conn, link.synced = nil, false
+		if l.conn == conn {
+			l.conn = nil
+			l.synced = false
 		}
-		retry()
+		l.retry(attempt)
+	}
+}
+
+// connected takes a connection that stands into use, unless a later attempt has overtaken it.
+func (l *runtimeLink) connected(conn *transport.RuntimeConn, attempt uint64) {
+	if l.attempt != attempt {
+		conn.Close(closeAddressChanged)
+		return
+	}
+	if l.conn != nil {
+		l.conn.Close(closeAddressChanged)
 	}
+	l.conn = conn
+	l.synced = false
+	conn.Sync(l.lastSequence)
 }
 
-// handleEvent takes one line of the runtime.
-func (in *Server) handleEvent(event transport.Event) {
-	link := &in.runtime
-	if event.Sequence > 0 {
-		if event.Sequence <= link.lastSequence {
-			return // read on an earlier link
+// retry connects again after a backoff, unless a later attempt has overtaken this one.
+func (l *runtimeLink) retry(attempt uint64) {
+	if l.attempt != attempt {
+		return
+	}
+	l.backoff = min(max(2*l.backoff, minBackoff), maxBackoff)
+	l.server.ScheduleAt(l.server.Now()+l.backoff, func() {
+		if l.attempt == attempt {
+			l.connect()
 		}
-		link.lastSequence = event.Sequence
+	})
+}
+
+// seen records an event's number. It tells whether the event was read before, on an earlier connection.
+func (l *runtimeLink) seen(event *transport.Event) bool {
+	if event.Sequence == 0 { // it is not numbered
+		return false
+	}
+	if event.Sequence <= l.lastSequence {
+		return true
+	}
+	l.lastSequence = event.Sequence
+	return false
+}
+
+// handleEvent takes one event of the runtime.
+func (s *Server) handleEvent(event transport.Event) {
+	if s.runtime.seen(&event) {
+		return
 	}
 	switch event.Kind {
-	case "ready":
-		in.handleReady(event)
-	case "load":
-		in.handleGauges(event)
-	case "verdict":
-		if done := link.selfTests[event.CorrelationID]; done != nil {
-			done(event.Status == "success")
-		}
-	case "end":
-		in.handleEnd(event)
-	case "wants":
-		if active := in.requests[admission.RequestID(event.RequestID)]; active != nil && active.run != nil {
-			run := active.run
-			in.database.cancel(run.call)
-			run.confirmed, run.callSequence, run.callReply, run.skippedCall, run.call = true, event.Sequence, nil, 0, nil
-			run.callBody = append(run.callBody[:0], event.Body...)
-			in.decisionPending = true
-			run.onCall()
-		}
-	case "nack":
-		in.handleRefused(event)
-	case "info":
+	case eventReady:
+		s.handleReady(&event)
+	case eventGauges:
+		s.handleGauges(&event)
+	case eventSelfTest:
+		s.selfTests.finish(event.CorrelationID, event.Status == statusSuccess)
+	case eventEnd:
+		s.handleEnd(&event)
+	case eventCallPoint:
+		s.handleCallPoint(&event)
+	case eventRefused:
+		s.handleRefused(&event)
+	case eventInformation:
 	default:
-		slog.Warn("unknown-notice", "kind", event.Kind)
+		slog.Warn("unknown runtime event", "kind", event.Kind)
 	}
 }
 
-// handleReady opens the module when the runtime comes up, and sets the fence on each link.
-func (in *Server) handleReady(event transport.Event) {
-	slog.Info("ready", "state", event.Status, "runtime_up_ms", event.Elapsed.Milliseconds())
-	// Danger: a module that opens behind the notice to leave knows nothing of it, and lets in what is cut off a moment later.
-	if in.controller == nil && !in.draining {
-		in.config.Settings["just started"] = event.Status == "booting"
-		in.clockOffset = event.Elapsed // the age that a cold instance has counts from its runtime's start
-		in.controller = admission.New(in.config.Seed, in.config.Settings, in)
-		in.clockOffset = 0
-		in.decisionPending = true
+// handleReady makes the controller when the runtime comes up, and sets a fence behind the events that are replayed.
+func (s *Server) handleReady(event *transport.Event) {
+	slog.Info("runtime ready", "state", event.Status, "uptime", event.Elapsed)
+	// A controller that is made after the notice to drain would know nothing of it, and admit what is cut off soon.
+	if s.controller == nil && !s.draining {
+		s.config.Settings["just started"] = event.Status == statusBooting
+		s.controller = s.newController(event.Elapsed)
+		s.decisionPending = true
+	}
+	s.runtime.backoff = 0
+	s.runtime.fenceID = s.runtime.nextCorrelationID(correlateFence)
+	s.runtime.conn.RequestGauges(s.runtime.fenceID)
+}
+
+// handleGauges takes the gauges. If they are those of the fence, all replayed events have been read, and what has not
+// ended by them is sent again; any earlier, a run that has ended meanwhile would be started anew.
+func (s *Server) handleGauges(event *transport.Event) {
+	s.gauges.update(event.Gauges)
+	if event.CorrelationID == s.runtime.fenceID {
+		s.runtime.fenceID = ""
+		s.runtime.synced = true
+		s.resendCommands()
+	}
+	if event.CorrelationID == s.gauges.requestID {
+		s.gauges.deliver()
 	}
-	in.runtime.backoff = 0
-	in.runtime.fenceID = in.nextCorrelationID("fence")
-	in.runtime.conn.RequestGauges(in.runtime.fenceID)
 }
--- a/internal/server/selftest.go
+++ b/internal/server/selftest.go
@@ -1,21 +1,34 @@
 package server
 
-import (
-	"time"
-)
+import "time"
 
-// runSelfTest has the runtime do the work of a check. One that does not return in a second is bad.
-func (in *Server) runSelfTest(done func(healthy bool)) {
-	link := &in.runtime
-	if link.selfTests == nil {
-		link.selfTests = map[string]func(bool){}
+// selfTestTimeout is when a self-test that has not returned counts as failed.
+const selfTestTimeout = time.Second
+
+// selfTests are the self-tests that the runtime is carrying out for health checks. Owned by the event loop.
+type selfTests struct {
+	server  *Server
+	pending map[string]func(healthy bool) // by correlation ID
+}
+
+// run has the runtime carry out a self-test.
+func (t *selfTests) run(done func(healthy bool)) {
+	if t.pending == nil {
+		t.pending = map[string]func(bool){}
 	}
-	correlationID := in.nextCorrelationID("test")
-	timeout := in.ScheduleAt(in.Now()+time.Second, func() { link.selfTests[correlationID](false) })
-	link.selfTests[correlationID] = func(healthy bool) {
-		delete(link.selfTests, correlationID)
+	correlationID := t.server.runtime.nextCorrelationID(correlateSelfTest)
+	timeout := t.server.ScheduleAt(t.server.Now()+selfTestTimeout, func() { t.finish(correlationID, false) })
+	t.pending[correlationID] = func(healthy bool) {
 		timeout.Stop()
 		done(healthy)
 	}
-	link.conn.RequestSelfTest(correlationID)
+	t.server.runtime.conn.RequestSelfTest(correlationID)
+}
+
+// finish ends a self-test; it does nothing to one that has ended.
+func (t *selfTests) finish(correlationID string, healthy bool) {
+	if done := t.pending[correlationID]; done != nil {
+		delete(t.pending, correlationID)
+		done(healthy)
+	}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,6 +1,17 @@
-// Package server is the instance's memory: the ops in hand, the runs and calls under way, the keys and results
-// that are kept, one timer heap and the buffer pool. The Instance is the module's port: it carries out what
-// the module decides and decides nothing itself.
+// Package server is one service instance: the requests in flight with their runs, upstream calls and idempotency
+// records, the link to the runtime, and the descriptors and buffers that all of them share. It carries out what the
+// admission controller decides and decides nothing itself: it implements frontend.Server for whoever hands requests in,
+// and admission.Executor for the controller.
+//
+// # Goroutines
+//
+// One event loop owns a Server and all that it holds; Serve runs it. Unless a method says otherwise, it is called
+// on the loop only, and it must not wait. Any other goroutine uses Post, which queues a call for the loop. What the
+// poller reads comes by PostBlocking, which has the poller wait while the loop has too much to do. Beside the loop
+// there run:
+//   - New, EnableSpillover, UseUpstreams and AddFrontend, before Serve, on the goroutine that starts the instance;
+//   - clients.Frontend.Accept, on the poller's goroutine, for each connection that was accepted;
+//   - the methods of BufferPool, on any goroutine.
 package server
 
 import (
@@ -14,114 +25,134 @@
 	"lanewheel/internal/transport"
 )
 
-// Server is one life of a service instance. All of it belongs to the owner loop.
+// Server is one service instance, from its start to its end. Owned by the event loop.
 type Server struct {
 	*eventloop.Loop
-	config          Config
-	net             *transport.Net
-	buffers         *BufferPool
-	controller      *admission.Controller // nil until the runtime has come up
-	decisionPending bool                  // the module has heard something in this batch
-
-	timeouts          map[admission.Class]time.Duration // the op timeouts of those that were told
-	idempotent        map[admission.Class]bool          // those of them that may run twice
-	idempotentByKey   map[admission.Class]bool          // those of whose tries only one may run
-	latencyObjectives map[admission.Class]time.Duration // their target latencies
-	tenants           map[admission.TenantID]bool       // those that were told
-
-	requests map[admission.RequestID]*activeRequest
-	clients  *clients.Frontend
-
-	runtime       runtimeLink
-	gauges        map[string]float64 // the last known
-	database      databaseCalls
-	idempotency   idempotencyCache
-	health        health
-	authenticator *authn.Authenticator // nil: all may enter
-	loadReport    float64              // rides on all answers; under 0 until it is said
+	config   Config // its addresses follow UpdateAddresses
+	settings serviceSettings
+	net      *transport.Net
+	buffers  *BufferPool
 
-	maxRequests int // ops in hand
-	running     int // of them
-
-	spillover   Spillover // where ops may go that are turned away here; nil: nowhere
-	spilledOver int       // ops in hand that are there
+	controller      *admission.Controller // nil until the runtime has come up
+	decisionPending bool                  // the controller has heard something in this batch and has not decided yet
+	loadReport      float64               // part of every response; negative until the controller has published one
+	draining        bool
 
-	frontends   []frontend.Frontend
+	requests    requestTable
+	runtime     runtimeLink
+	gauges      gaugeReader
+	selfTests   selfTests
+	database    databaseCalls
+	idempotency idempotencyCache
+	health      health
+	registry    registryReporter
 	stats       Stats
-	emptySince  time.Duration // when the last op in hand was over
-	clockOffset time.Duration // see Now
-	draining    bool          // it was told to go
+
+	authenticator *authn.Authenticator // nil: every caller may do everything
+	spillover     Spillover            // nil: what is rejected is not forwarded
+	clients       *clients.Frontend
+	frontends     []frontend.Frontend // the further ones
 }
 
-// New makes an instance that listens and looks for its runtime.
+// New returns a server that listens for clients and connects to its runtime once Serve runs. The error is that of a
+// listener, syscall.EADDRINUSE among them.
 func New(config Config) (*Server, error) {
-	buffers := int(config.MemoryMB*(1<<20)) / transport.BufferSize
-	instance := &Server{Loop: eventloop.New(buffers / 8), config: config, buffers: &BufferPool{}, loadReport: -1, requests: map[admission.RequestID]*activeRequest{}}
-	instance.health.healthy = true
-	instance.timeouts, instance.tenants, instance.idempotent = map[admission.Class]time.Duration{}, map[admission.TenantID]bool{}, map[admission.Class]bool{}
-	instance.latencyObjectives, instance.idempotentByKey = map[admission.Class]time.Duration{}, map[admission.Class]bool{}
-	for _, class := range listSetting(config.Settings, "op types") {
-		name, _ := class["name"].(string)
-		instance.timeouts[admission.Class(name)] = max(durationSetting(class, "op timeout"), durationSetting(class, "target latency"))
-		instance.latencyObjectives[admission.Class(name)] = durationSetting(class, "target latency")
-		instance.idempotent[admission.Class(name)] = class["repeats"] == "retryable"
-		instance.idempotentByKey[admission.Class(name)] = class["repeats"] == "keyed"
+	server := newServer(config)
+	server.openNetwork()
+	if config.Authn != nil {
+		server.authenticator = authn.New(*config.Authn, server.Post, func() (time.Duration, time.Time) {
+			return server.Now(), server.WallTime()
+		})
+		server.net.ReadTokens.Store(config.Authn.KeySet != nil)
 	}
-	if tier, _ := config.Settings["tier"].(float64); tier > 0 {
-		instance.idempotency.requestsAreCalls = true
+	var authenticator clients.Authenticator // stays a nil interface where there is no authenticator
+	if server.authenticator != nil {
+		authenticator = server.authenticator
 	}
-	for _, tenant := range listSetting(config.Settings, "tenants") {
-		name, _ := tenant["name"].(string)
-		instance.tenants[admission.TenantID(name)] = true
+	server.clients = clients.New(server, server.Loop, server.net, authenticator, server.settings.idleTimeout)
+	if err := server.listen(); err != nil {
+		return nil, err
 	}
-	// A quarter of the memory is for bodies in hand; the module's own bound is far below it where ops are large. An
-	// eighth is for what was read and is not taken yet.
-	instance.maxRequests = buffers / 4
-	budget := divideDescriptors(config.MaxDescriptors, openDescriptors()) // the runtime's two links are dialled too, and stand beside it
-	instance.database.maxConns = budget.calls
-	// An eighth of the memory is for answers that nobody reads.
-	instance.net = &transport.Net{BufferPool: instance.buffers, Post: instance.Post, PostRead: instance.PostBlocking, OnAccept: func(accepted *transport.Conn) { instance.clients.Accept(accepted) }, OnFull: func() { instance.clients.EvictIdle() },
-		MaxAccepted: int64(budget.clients), MaxConns: int64(budget.total) + 2, MaxDescriptors: config.MaxDescriptors, MaxUnread: int64(config.MemoryMB*(1<<20)) / 8}
-	if config.Authn != nil {
-		instance.authenticator = authn.New(*config.Authn, instance.Post, func() (time.Duration, time.Time) { return instance.Now(), instance.WallTime() })
-		instance.net.ReadTokens.Store(config.Authn.KeySet != nil)
+	server.Post(func() {
+		server.runtime.connect()
+		server.clients.Sweep()
+		server.reportPeriodically()
+	})
+	return server, nil
+}
+
+// newServer returns a server without connections.
+func newServer(config Config) *Server {
+	bufferCount := config.memoryBytes() / transport.BufferSize
+	server := &Server{
+		Loop:       eventloop.New(bufferCount / 8), // read and not taken yet: an eighth of the memory
+		config:     config,
+		settings:   newServiceSettings(config.Settings),
+		buffers:    &BufferPool{},
+		loadReport: -1,
+		health:     health{healthy: true},
 	}
-	var authenticator clients.Authenticator // nil, not a door that is nil
-	if instance.authenticator != nil {
-		authenticator = instance.authenticator
+	server.requests = requestTable{
+		byID:     map[admission.RequestID]*activeRequest{},
+		capacity: bufferCount / 4, // bodies in flight: a quarter of the memory
 	}
-	instance.clients = clients.New(instance, instance.Loop, instance.net, authenticator, durationSetting(config.Settings, "connections idle"))
-	if err := instance.net.Start(config.ListenAddr); err != nil {
-		return nil, err
+	server.runtime.server = server
+	server.gauges.server = server
+	server.selfTests.server = server
+	server.database.server = server
+	server.idempotency = idempotencyCache{
+		clock:               server,
+		deliver:             server.finishCoalesced,
+		coalescedReadWindow: server.settings.coalescedReadWindow,
+		requestsAreCalls:    server.settings.requestsAreCalls,
 	}
-	if config.TLS != nil {
-		secure := *config.TLS
-		secure.VerifyChain = instance.authenticator.VerifyCertificate
-		if err := instance.net.ListenTLS(secure); err != nil {
-			return nil, err
-		}
+	return server
+}
+
+// openNetwork prepares the connections, within the descriptors and the memory that there are.
+func (s *Server) openNetwork() {
+	budget := divideDescriptors(s.config.MaxDescriptors, openDescriptors())
+	s.database.maxConns = budget.calls
+	s.net = &transport.Net{
+		BufferPool:     s.buffers,
+		Post:           s.Post,
+		PostRead:       s.PostBlocking,
+		OnAccept:       func(accepted *transport.Conn) { s.clients.Accept(accepted) },
+		OnFull:         func() { s.clients.EvictIdle() },
+		MaxAccepted:    int64(budget.clients),
+		MaxConns:       int64(budget.total) + runtimeLinks,
+		MaxDescriptors: s.config.MaxDescriptors,
+		MaxUnread:      int64(s.config.memoryBytes()) / 8, // responses that nobody reads: an eighth of the memory
 	}
-	instance.Post(func() {
-		instance.connect()
-		instance.clients.Sweep()
-		instance.reportPeriodically()
-	})
-	return instance, nil
 }
 
-// Serve runs the owner loop until the instance has stopped.
-func (in *Server) Serve() {
-	in.Run(func() {
-		if in.decisionPending && in.controller != nil {
-			in.decisionPending = false
-			in.controller.Decide()
-		}
-		in.net.Flush()
-	})
+// listen opens the listeners.
+func (s *Server) listen() error {
+	if err := s.net.Start(s.config.ListenAddr); err != nil {
+		return err
+	}
+	if s.config.TLS == nil {
+		return nil
+	}
+	listener := *s.config.TLS
+	listener.VerifyChain = s.authenticator.VerifyCertificate
+	return s.net.ListenTLS(listener)
 }
 
-// AddFrontend starts a further front. It belongs to the time before Serve.
-func (in *Server) AddFrontend(f frontend.Frontend) {
-	in.frontends = append(in.frontends, f)
+// AddFrontend starts a further front end. It is called before Serve.
+func (s *Server) AddFrontend(f frontend.Frontend) {
+	s.frontends = append(s.frontends, f)
 	f.Start()
 }
+
+// Serve runs the event loop until the server has drained. The controller decides once for all that a batch brought, and
+// the responses of a batch are written together.
+func (s *Server) Serve() {
+	s.Run(func() {
+		if s.decisionPending && s.controller != nil {
+			s.decisionPending = false
+			s.controller.Decide()
+		}
+		s.net.Flush()
+	})
+}
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -8,23 +8,81 @@
 	"lanewheel/internal/frontend"
 )
 
-// durationSetting is a told time, 0 if none was told.
+// serviceSettings is what the server itself needs of the admission settings. It never changes after New.
+type serviceSettings struct {
+	classes             map[admission.Class]classSettings
+	tenants             map[admission.TenantID]bool // empty where there are no tenants
+	cores               float64                     // of the runtime
+	requestsAreCalls    bool                        // requests are the upstream calls of another tier's requests
+	coalescedReadWindow time.Duration               // how long the result of a read answers its duplicates
+	idleTimeout         time.Duration               // of client connections; 0: none
+	retryAfterAllowed   bool                        // whether callers are told when to come again
+	maxRetryAfter       time.Duration               // 0: no limit
+}
+
+// classSettings is what the server needs of one class of requests.
+type classSettings struct {
+	timeout          time.Duration
+	latencyObjective time.Duration
+	idempotent       bool // a request may be executed twice
+	idempotentByKey  bool // of the attempts of a request one may be executed
+}
+
+// newServiceSettings picks what the server needs out of the admission settings.
+func newServiceSettings(settings admission.Settings) serviceSettings {
+	picked := serviceSettings{
+		classes:             map[admission.Class]classSettings{},
+		tenants:             map[admission.TenantID]bool{},
+		coalescedReadWindow: durationSetting(settings, "shared reads for"),
+		idleTimeout:         durationSetting(settings, "connections idle"),
+		maxRetryAfter:       durationSetting(settings, "longest stay away"),
+	}
+	picked.cores, _ = settings["cores"].(float64)
+	picked.retryAfterAllowed, _ = settings["stay away is passed on"].(bool)
+	if tier, _ := settings["tier"].(float64); tier > 0 {
+		picked.requestsAreCalls = true
+	}
+	for _, class := range listSetting(settings, "op types") {
+		name, _ := class["name"].(string)
+		latencyObjective := durationSetting(class, "target latency")
+		picked.classes[admission.Class(name)] = classSettings{
+			timeout:          max(durationSetting(class, "op timeout"), latencyObjective),
+			latencyObjective: latencyObjective,
+			idempotent:       class["repeats"] == "retryable",
+			idempotentByKey:  class["repeats"] == "keyed",
+		}
+	}
+	for _, tenant := range listSetting(settings, "tenants") {
+		name, _ := tenant["name"].(string)
+		picked.tenants[admission.TenantID(name)] = true
+	}
+	return picked
+}
+
+// durationSetting is a duration that was configured, 0 if none was.
 func durationSetting(settings admission.Settings, name string) time.Duration {
 	value, _ := settings[name].(time.Duration)
 	return value
 }
 
-// listSetting is a told list, empty if none was told.
+// listSetting is a list that was configured, empty if none was.
 func listSetting(settings admission.Settings, name string) []admission.Settings {
 	values, _ := settings[name].([]admission.Settings)
 	return values
 }
 
-// maxTimeouts is how many op timeouts no stub would wait, nor any op lie or work: one is many times an op's work.
+// Bounds of what a request may say of itself.
+const (
+	maxMemoryKB = 2000 // exclusive
+	maxRank     = 1    // exclusive
+	maxCaller   = math.MaxInt32
+)
+
+// maxTimeouts is how many timeouts of its class a request may be old, wait or work at most.
 const maxTimeouts = 10
 
-// maxWait is that time for one op timeout. Where none was told, or a huge one, it is a day: no caller waits so long, and a hundred
-// thousand of them still add up without overflow.
+// maxWait is the longest time that a request of a class with this timeout may be old, wait or work. Where there is no
+// timeout, or a huge one, it is a day: a hundred thousand of those still add up without overflow.
 func maxWait(timeout time.Duration) time.Duration {
 	const day = 24 * time.Hour
 	if timeout <= 0 || timeout > day/maxTimeouts {
@@ -33,19 +91,23 @@
 	return maxTimeouts * timeout
 }
 
-// invalidReason tells what makes an ask one that could never be served, whatever else is here. Danger: the module would
-// learn from figures that nobody meant, or reckon with such as overflow.
-func (in *Server) invalidReason(request frontend.Request) string {
-	timeout, known := in.timeouts[admission.Class(request.Class)]
+// check tells what makes a request one that could never be served, empty if nothing does. The controller must not learn
+// from figures that nobody meant, or calculate with such as overflow.
+func (s *serviceSettings) check(request *frontend.Request) frontend.RejectionCode {
+	class, known := s.classes[admission.Class(request.Class)]
+	if !known {
+		return frontend.UnknownClass
+	}
+	if len(s.tenants) > 0 && !s.tenants[admission.TenantID(request.Tenant)] {
+		return frontend.UnknownTenant
+	}
+	longest := maxWait(class.timeout)
 	switch {
-	case !known:
-		return "unknown-type"
-	case len(in.tenants) > 0 && !in.tenants[admission.TenantID(request.Tenant)]:
-		return "unknown-tenant"
-	case request.MemoryKB <= 0 || request.MemoryKB >= 2000 || request.Rank < 0 || request.Rank >= 1 || request.Caller < 0 || request.Caller > math.MaxInt32:
-		return "out-of-range"
-	case request.Timeout > maxWait(timeout) || request.WorkHint > maxWait(timeout):
-		return "out-of-range"
+	case request.MemoryKB <= 0 || request.MemoryKB >= maxMemoryKB,
+		request.Rank < 0 || request.Rank >= maxRank,
+		request.Caller < 0 || request.Caller > maxCaller,
+		request.Timeout > longest || request.WorkHint > longest:
+		return frontend.OutOfRange
 	}
 	return ""
 }
--- a/internal/server/spillover.go
+++ b/internal/server/spillover.go
@@ -7,78 +7,114 @@
 	"lanewheel/internal/transport"
 )
 
-// Spillover is where an op may go that the module has turned away here. It belongs to the owner loop.
+// Spillover forwards requests that are rejected here to other instances. Its methods are called on the event loop.
 type Spillover interface {
-	// Came tells that an op has come here.
+	// RequestArrived counts a request that was handed to the controller.
 	RequestArrived()
-	// Take takes what is owed of an op, or gives nil if it does not, or has answered it at once. What is taken is answered by due.
-	Forward(ask frontend.Request, due time.Duration, repeats bool, owed frontend.Responder) frontend.Handle
-	// Gone tells that nobody waits any more for one that was taken.
+	// Forward forwards a request, to be answered by the deadline. It returns nil if it does not, or has answered the
+	// request already. idempotent says whether it may be executed twice.
+	Forward(
+		request frontend.Request, deadline time.Duration, idempotent bool, responder frontend.Responder,
+	) frontend.Handle
+	// Cancel says that nobody waits any more for a request that was forwarded.
 	Cancel(frontend.Handle)
 }
 
-// EnableSpillover has ops that are turned away here go elsewhere where that takes them. It belongs to the time before Serve.
-func (in *Server) EnableSpillover(newSpillover func(net *transport.Net) Spillover) {
-	in.spillover = newSpillover(in.net)
-	in.net.ReadHops.Store(true)
+// forwarding is what it takes to forward a request, and whether it is forwarded.
+type forwarding struct {
+	request  *frontend.Request // without its body; nil where it can't be forwarded
+	deadline time.Duration
+	handle   frontend.Handle // nil while it is not forwarded
 }
 
-// spill gives an op that the module has turned away to another instance, and tells whether that has it now. The module is done with it.
-func (in *Server) spill(active *activeRequest) bool {
-	// One that runs, or waits for another's result, or whose caller is known by his connection, stays.
-	if active.original == nil || active.responder == nil || active.run != nil || active.onCoalesced != nil || in.draining || in.authenticator != nil && active.original.Token == "" {
+// EnableSpillover has requests that are rejected here forwarded where newSpillover's result does so. It is called
+// before Serve.
+func (s *Server) EnableSpillover(newSpillover func(net *transport.Net) Spillover) {
+	s.spillover = newSpillover(s.net)
+	s.net.ReadHops.Store(true)
+}
+
+// keepForForwarding keeps what it takes to forward a request if it is rejected.
+func (s *Server) keepForForwarding(active *activeRequest, request frontend.Request, queueDelay time.Duration) {
+	s.spillover.RequestArrived()
+	sentAt := s.Now() - queueDelay
+	deadline := sentAt + s.settings.classes[active.class].timeout
+	if request.HasTimeout {
+		deadline = min(deadline, sentAt+request.Timeout)
+	}
+	active.forwarding.request = &request
+	active.forwarding.deadline = deadline
+}
+
+// forwardable tells whether a request that the controller has rejected may be forwarded: not one that runs or waits for
+// another's result, and not one whose caller is known by the connection alone, which the other instance does not see.
+func (s *Server) forwardable(active *activeRequest) bool {
+	request := active.forwarding.request
+	if request == nil || active.responder == nil || s.draining {
+		return false
+	}
+	if s.authenticator != nil && request.Token == "" {
+		return false
+	}
+	return active.run == nil && active.coalesced == nil
+}
+
+// spill forwards a request that the controller has rejected and is done with. It tells whether the request is
+// forwarded, or answered by the attempt.
+func (s *Server) spill(active *activeRequest) bool {
+	if !s.forwardable(active) {
 		return false
 	}
-	request := *active.original
+	request := *active.forwarding.request
 	request.Body = active.body
-	in.idempotency.finish(in, active, nil)
-	active.outsideController, active.original = true, nil
-	in.spilledOver++
-	responder := &spilledResponder{in, active}
-	active.spilloverHandle = responder // it is elsewhere before it may come back
-	if handle := in.spillover.Forward(request, active.deadline, in.idempotent[active.class], responder); handle != nil {
-		active.spilloverHandle = handle
+	s.idempotency.finish(active, nil)
+	active.outsideController = true
+	active.forwarding.request = nil
+	s.requests.spilledOver++
+	responder := &spilledResponder{s, active}
+	active.forwarding.handle = responder // not nil, as Forward may call the responder before it returns
+	idempotent := s.settings.classes[active.class].idempotent
+	if handle := s.spillover.Forward(request, active.forwarding.deadline, idempotent, responder); handle != nil {
+		active.forwarding.handle = handle
 		return true
 	}
 	if active.responder == nil { // it is answered
 		return true
 	}
-	in.spilledOver--
-	active.spilloverHandle = nil
+	s.requests.spilledOver--
+	active.forwarding.handle = nil
 	return false
 }
 
-// spilledResponder is an op that is elsewhere: a front.Owed.
+// returnFromSpillover ends the forwarding of a request.
+func (s *Server) returnFromSpillover(active *activeRequest) {
+	if active.forwarding.handle != nil {
+		active.forwarding.handle = nil
+		s.requests.spilledOver--
+		s.forget(active)
+	}
+}
+
+// spilledResponder gives a forwarded request the response of the other instance, with the load report of this one.
 type spilledResponder struct {
 	server  *Server
 	request *activeRequest
 }
 
-func (h *spilledResponder) Succeed(result []byte, metadata frontend.ResponseMetadata) {
-	h.server.respond(h.request, func(responder frontend.Responder) { responder.Succeed(result, h.server.metadata()) })
+func (r *spilledResponder) Succeed(result []byte, _ frontend.ResponseMetadata) {
+	r.server.succeed(r.request, result)
 }
 
-func (h *spilledResponder) Reject(metadata frontend.ResponseMetadata) {
-	metadata.LoadReport = h.server.loadReport
-	h.server.respond(h.request, func(responder frontend.Responder) { responder.Reject(metadata) })
+func (r *spilledResponder) Reject(metadata frontend.ResponseMetadata) {
+	metadata.LoadReport = r.server.loadReport
+	r.server.reject(r.request, metadata)
 }
 
-func (h *spilledResponder) Fail(frontend.ResponseMetadata) {
-	h.server.respond(h.request, func(responder frontend.Responder) { responder.Fail(h.server.metadata()) })
-}
+func (r *spilledResponder) Fail(frontend.ResponseMetadata) { r.server.fail(r.request) }
 
-func (h *spilledResponder) RejectPermanently(code string, metadata frontend.ResponseMetadata) {
-	metadata.LoadReport = h.server.loadReport
-	h.server.respond(h.request, func(responder frontend.Responder) { responder.RejectPermanently(code, metadata) })
+func (r *spilledResponder) RejectPermanently(code frontend.RejectionCode, metadata frontend.ResponseMetadata) {
+	metadata.LoadReport = r.server.loadReport
+	r.server.rejectPermanently(r.request, code, metadata)
 }
 
-func (h *spilledResponder) Done() { h.server.returnFromSpillover(h.request) }
-
-// returnFromSpillover forgets that an op is elsewhere.
-func (in *Server) returnFromSpillover(active *activeRequest) {
-	if active.spilloverHandle != nil {
-		active.spilloverHandle = nil
-		in.spilledOver--
-		in.forget(active)
-	}
-}
+func (r *spilledResponder) Done() { r.server.returnFromSpillover(r.request) }
--- a/internal/server/stats.go
+++ b/internal/server/stats.go
@@ -6,40 +6,41 @@
 	"lanewheel/internal/frontend"
 )
 
-// Load is front.Core: how the instance stands.
-func (in *Server) Load() frontend.Load {
-	cores, _ := in.config.Settings["cores"].(float64)
-	return frontend.Load{Ready: in.controller != nil && in.runtime.synced, Draining: in.draining, Healthy: in.healthy(), Cores: cores,
-		Queued: len(in.requests) - in.running - in.spilledOver, Running: in.running, FreeCapacity: in.maxRequests - len(in.requests), LoadReport: in.loadReport, IdleFor: in.idleFor()}
-}
-
-// Stats is what has become of ops since the start.
+// Stats counts what became of the requests that the controller decided about, since the start.
 type Stats struct {
-	Answered        uint64        // acked, nacked or failed
-	WithinObjective uint64        // acked in their target latency
-	TotalLatency    time.Duration // that all of them took, from reading to answer
+	Answered        uint64        // succeeded, rejected or failed
+	WithinObjective uint64        // succeeded within their latency objective
+	TotalLatency    time.Duration // sum over all that were answered, from reading to response
 }
 
-// Stats gives what has become of ops.
-func (in *Server) Stats() Stats { return in.stats }
+// Stats returns the counts so far.
+func (s *Server) Stats() Stats { return s.stats }
 
-// recordOutcome notes that an op is answered, if it still is owed that.
-func (in *Server) recordOutcome(active *activeRequest, succeeded bool) {
-	if active.responder == nil || active.arrivedAt == 0 { // nobody waits
+// recordOutcome counts a request that is about to be answered, unless its caller has left.
+func (s *Server) recordOutcome(active *activeRequest, succeeded bool) {
+	if active.responder == nil || active.arrivedAt == 0 {
 		return
 	}
-	latency := in.Loop.Now() - active.arrivedAt
-	in.stats.Answered++
-	in.stats.TotalLatency += latency
-	if objective := in.latencyObjectives[active.class]; succeeded && (objective == 0 || latency <= objective) {
-		in.stats.WithinObjective++
+	latency := s.Now() - active.arrivedAt
+	s.stats.Answered++
+	s.stats.TotalLatency += latency
+	objective := s.settings.classes[active.class].latencyObjective
+	if succeeded && (objective == 0 || latency <= objective) {
+		s.stats.WithinObjective++
 	}
 }
 
-// idleFor is how long nothing has been in hand.
-func (in *Server) idleFor() time.Duration {
-	if len(in.requests) > 0 {
-		return 0
+// Load implements frontend.Server.
+func (s *Server) Load() frontend.Load {
+	return frontend.Load{
+		Ready:        s.controller != nil && s.runtime.synced,
+		Draining:     s.draining,
+		Healthy:      s.healthy(),
+		Cores:        s.settings.cores,
+		Queued:       s.requests.queued(),
+		Running:      s.requests.running,
+		FreeCapacity: s.requests.capacity - len(s.requests.byID),
+		LoadReport:   s.loadReport,
+		IdleFor:      s.requests.idleFor(s.Now()),
 	}
-	return in.Loop.Now() - in.emptySince
 }
--- a/internal/server/submit.go
+++ b/internal/server/submit.go
@@ -8,69 +8,73 @@
 	"lanewheel/internal/frontend"
 )
 
-// Submit is front.Core: it takes an op from a front. What can't be taken is nacked at once: nothing is before the runtime has
-// come up, nor under the id of an op in hand that came elsewhere: whose it is can't be told, and it never ran.
-func (in *Server) Submit(request frontend.Request, credential *authn.Credential, responder frontend.Responder) frontend.Handle {
-	// Danger: more bodies than there is memory for.
-	if in.controller == nil || len(in.requests) >= in.maxRequests || in.requests[admission.RequestID(request.ID)] != nil {
-		responder.Reject(in.metadata())
+// Submit implements frontend.Server: it takes a request from a front end. What can't be taken is rejected at once:
+// everything before the runtime has come up, what there is no memory for, and an id that is in flight already. Whose
+// request that is can't be told, and this attempt was never executed.
+func (s *Server) Submit(
+	request frontend.Request, credential *authn.Credential, responder frontend.Responder,
+) frontend.Handle {
+	if s.controller == nil || s.requests.full() || s.requests.get(admission.RequestID(request.ID)) != nil {
+		responder.Reject(s.ResponseMetadata())
 		responder.Done()
 		return nil
 	}
-	var active *activeRequest
-	if in.authenticator != nil {
-		active = in.authenticate(credential, request, responder)
+	active := s.track(&request, responder)
+	request.Body = nil // valid during this call only
+	if s.authenticator != nil {
+		s.authenticate(active, credential, request)
 	} else {
-		active = in.submitToController(request, responder, nil)
+		s.submitToController(active, request)
 	}
-	if active == nil || active.responder == nil {
+	if active.responder == nil {
 		return nil
 	}
 	return active
 }
 
-// submitToController hands an op to the module. before is the op as it waited at the door, nil if it did not.
-func (in *Server) submitToController(request frontend.Request, responder frontend.Responder, waiting *activeRequest) *activeRequest {
-	queueDelay := max(0, in.WallTime().Sub(time.UnixMilli(request.SentUnixMilli)))
-	code := in.invalidReason(request)
-	if code != "" || queueDelay > maxWait(in.timeouts[admission.Class(request.Class)]) { // the second: long over, by a clock that is not ours
-		if waiting == nil {
-			waiting = in.track(request, responder)
-		}
-		in.answerOutside(waiting, func(responder frontend.Responder) {
-			if code != "" {
-				responder.RejectPermanently(code, in.metadata())
-			} else {
-				responder.Reject(in.metadata())
-			}
+// submitToController hands a request whose caller may make it to the admission controller, unless it could never be
+// served.
+func (s *Server) submitToController(active *activeRequest, request frontend.Request) {
+	queueDelay := max(0, s.WallTime().Sub(time.UnixMilli(request.SentUnixMilli)))
+	if code := s.settings.check(&request); code != "" {
+		s.answerOutside(active, func(responder frontend.Responder) {
+			responder.RejectPermanently(code, s.ResponseMetadata())
 		})
-		return nil
+		return
 	}
-	active := waiting
-	if active == nil {
-		active = in.track(request, responder)
+	class := s.settings.classes[active.class]
+	if queueDelay > maxWait(class.timeout) { // answered long ago, or sent by a clock that is not ours
+		s.answerOutside(active, func(responder frontend.Responder) { responder.Reject(s.ResponseMetadata()) })
+		return
 	}
 	active.outsideController = false
 	active.tenant = admission.TenantID(request.Tenant)
-	if in.spillover != nil {
-		in.keepOriginal(active, request, queueDelay)
+	if s.spillover != nil {
+		s.keepForForwarding(active, request, queueDelay)
 	}
-	active.identity = in.idempotency.identify(active, request, in.idempotentByKey[active.class])
-	in.decisionPending = true
-	in.controller.Submit(admission.Request{ID: active.id, Class: active.class, Rank: request.Rank, IsWrite: request.Resource == "",
-		Resource: request.Resource, Caller: admission.CallerID(request.Caller), HasDeadline: request.HasTimeout,
-		Deadline: in.Now() - queueDelay + request.Timeout, WorkHint: request.WorkHint, MemoryKB: request.MemoryKB, QueueDelay: queueDelay,
-		Tenant: admission.TenantID(request.Tenant), DuplicateOf: in.idempotency.duplicateOf(active, in.Now()-queueDelay)})
-	return active
+	active.identity = s.idempotency.identify(active, request.NewIDPerAttempt, class.idempotentByKey)
+	s.decisionPending = true
+	sentAt := s.Now() - queueDelay
+	s.controller.Submit(admission.Request{
+		ID:          active.id,
+		Class:       active.class,
+		Rank:        request.Rank,
+		IsWrite:     request.Resource == "",
+		Resource:    request.Resource,
+		Caller:      admission.CallerID(request.Caller),
+		HasDeadline: request.HasTimeout,
+		Deadline:    sentAt + request.Timeout,
+		WorkHint:    request.WorkHint,
+		MemoryKB:    request.MemoryKB,
+		QueueDelay:  queueDelay,
+		Tenant:      active.tenant,
+		DuplicateOf: s.idempotency.duplicateOf(active, sentAt),
+	})
 }
 
-// keepOriginal keeps what it takes to ask for an op elsewhere.
-func (in *Server) keepOriginal(active *activeRequest, request frontend.Request, queueDelay time.Duration) {
-	in.spillover.RequestArrived()
-	request.Body = nil
-	active.original = &request
-	active.deadline = in.Loop.Now() - queueDelay + in.timeouts[active.class]
-	if request.HasTimeout {
-		active.deadline = min(active.deadline, in.Loop.Now()-queueDelay+request.Timeout)
-	}
+// answerOutside answers a request that the controller does not know of, and forgets it.
+func (s *Server) answerOutside(active *activeRequest, send func(frontend.Responder)) {
+	active.outsideController = true
+	s.respond(active, send)
+	s.forget(active)
 }
