--- a/cmd/lanewheel/deployed_test.go
+++ b/cmd/lanewheel/deployed_test.go
@@ -80,7 +80,7 @@
 func Example_nodeList() {
 	var linked []string
 	for _, path := range strings.Fields(string(fake.Must(exec.Command("go", "list", "-deps", ".").Output()))) {
-		if folder, ours := strings.CutPrefix(path, "lanewheel/"); ours && folder != "choice" {
+		if folder, ours := strings.CutPrefix(path, "lanewheel/"); ours && folder != "admission" {
 			linked = append(linked, strconv.Quote(folder))
 		}
 	}
