--- /dev/null
+++ b/admission/memory_test.go
@@ -0,0 +1,18 @@
+package admission
+
+// Nothing falls over: what memory cannot hold is nacked, and a run waits for its memory.
+func Example_memory() {
+	s := newFixture(Settings{})
+	big := newRequest("big", 200*ms, 0.1)
+	big.MemoryKB = 200
+	s.submit(big)
+	big.ID = "second"
+	s.submit(big) // would need 4 x 200 more
+	big.ID, big.MemoryKB = "third", 900
+	s.submit(big)
+	s.finish(Succeeded, 200*ms, "big")
+	// Output:
+	// 0ms start big
+	// 0ms reject third
+	// 0ms start second
+}
--- a/internal/server/config.go
+++ b/internal/server/config.go
@@ -22,8 +22,8 @@
 	MemoryMB         float64
 	Cores            float64
 	Settings         admission.Settings
-	GaugeNames       []string // of the values in a gauges event, in their order
-	ReportReadiness  bool     // the registry lists the instance only while it is healthy
+	GaugeNames       []admission.Gauge // of the values in a gauges event, in their order
+	ReportReadiness  bool              // the registry lists the instance only while it is healthy
 
 	Authn *authn.Config          // nil: every caller may do everything
 	TLS   *transport.TLSListener // a further listener with TLS; nil: none
--- a/internal/server/executor.go
+++ b/internal/server/executor.go
@@ -16,10 +16,12 @@
 	clockOffset time.Duration
 }
 
-// newController makes the controller, for a runtime that has been up for so long.
-func (s *Server) newController(runtimeUptime time.Duration) *admission.Controller {
+// newController makes the controller, for a runtime that has been up for so long; justStarted has the instance warm up.
+func (s *Server) newController(runtimeUptime time.Duration, justStarted bool) *admission.Controller {
+	settings := s.config.Settings
+	settings.JustStarted = justStarted
 	executor := &executor{server: s, clockOffset: runtimeUptime}
-	controller := admission.New(s.config.Seed, s.config.Settings, executor)
+	controller := admission.New(s.config.Seed, settings, executor)
 	executor.clockOffset = 0
 	return controller
 }
@@ -127,10 +129,8 @@
 	}
 }
 
-// SetHealth sets what health checks are answered; fromState has deep ones answered by it, too.
-func (e *executor) SetHealth(healthy, fromState bool) {
-	e.server.health = health{healthy: healthy, fromState: fromState}
-}
+// SetHealth sets how health checks are answered.
+func (e *executor) SetHealth(health admission.Health) { e.server.health = health }
 
 // PublishLoad sets the load report that is part of every response.
 func (e *executor) PublishLoad(level float64) { e.server.loadReport = level }
@@ -139,12 +139,13 @@
 func (e *executor) SetIdleTimeout(timeout time.Duration) { e.server.clients.SetIdleTimeout(timeout) }
 
 // LogTransition logs a change of the controller's state.
-func (e *executor) LogTransition(line string) {
-	slog.Info("admission state changed", "state", line)
+func (e *executor) LogTransition(change admission.Transition) {
+	slog.Info("state changed",
+		"from", change.From.String(), "to", change.To.String(), "queued", change.Queued, "running", change.Running)
 }
 
 // WakeAt has the controller called at a time, with the gauges of the runtime.
-func (e *executor) WakeAt(at time.Duration, then func(gauges map[string]float64)) {
+func (e *executor) WakeAt(at time.Duration, then func(admission.Gauges)) {
 	s := e.server
 	s.ScheduleAt(at, func() {
 		s.decisionPending = true // what is due is decided in this batch, whether or not the gauges come
--- a/internal/server/gauges.go
+++ b/internal/server/gauges.go
@@ -1,6 +1,10 @@
 package server
 
-import "time"
+import (
+	"time"
+
+	"lanewheel/admission"
+)
 
 const (
 	gaugeTimeout = 5 * time.Millisecond   // some round trips on one machine
@@ -10,15 +14,15 @@
 // gaugeReader requests the runtime's gauges for the controller. Owned by the event loop.
 type gaugeReader struct {
 	server    *Server
-	values    map[string]float64 // the last known, by name
+	values    admission.Gauges // the last known
 	updatedAt time.Duration
 	requestID string // correlates the request under way; empty if there is none
-	waiters   []func(gauges map[string]float64)
+	waiters   []func(admission.Gauges)
 }
 
 // request calls then with the gauges, or with what is known if they take too long or there is no link to the runtime.
 // Requests that are made meanwhile share one round trip.
-func (g *gaugeReader) request(then func(gauges map[string]float64)) {
+func (g *gaugeReader) request(then func(admission.Gauges)) {
 	g.waiters = append(g.waiters, then)
 	if !g.server.runtime.synced {
 		g.deliver()
@@ -39,7 +43,7 @@
 
 // update replaces the values by those of an event, which come in the order of the configured names.
 func (g *gaugeReader) update(values []float64) {
-	g.values = map[string]float64{}
+	g.values = admission.Gauges{}
 	g.updatedAt = g.server.Now()
 	for i, name := range g.server.config.GaugeNames {
 		if i < len(values) {
--- a/internal/server/gauges_test.go
+++ b/internal/server/gauges_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"time"
 
+	"lanewheel/admission"
 	"lanewheel/internal/transport"
 )
 
@@ -11,13 +12,13 @@
 func Example_staleGauges() {
 	server := newServer(Config{})
 	server.handleGauges(&transport.Event{CorrelationID: "look"})
-	server.gauges.values["want a core"] = 3
+	server.gauges.values[admission.GaugeRunnable] = 3
 	for _, at := range []time.Duration{0, 200 * time.Millisecond, 400 * time.Millisecond} {
 		server.SetNow(at)
-		server.gauges.request(func(gauges map[string]float64) { fmt.Println(server.Now(), gauges) })
+		server.gauges.request(func(gauges admission.Gauges) { fmt.Println(server.Now(), gauges) })
 	}
 	// Output:
-	// 0s map[want a core:3]
-	// 200ms map[want a core:3]
+	// 0s map[runnable:3]
+	// 200ms map[runnable:3]
 	// 400ms map[]
 }
--- a/internal/server/helper_test.go
+++ b/internal/server/helper_test.go
@@ -71,8 +71,8 @@
 		MaxDescriptors:   64,
 		MemoryMB:         64,
 		Cores:            1,
-		Settings: admission.Settings{"cores": 2.0, "op types": []admission.Settings{
-			{"name": "view", "target latency": time.Second, "op timeout": time.Second},
+		Settings: admission.Settings{Cores: 2, Classes: []admission.ClassSettings{
+			{Name: "view", LatencyObjective: time.Second, Timeout: time.Second},
 		}},
 	}))
 	served := make(chan struct{})
--- a/internal/server/idempotency_test.go
+++ b/internal/server/idempotency_test.go
@@ -9,7 +9,7 @@
 
 // newTestCache returns a cache whose reads are kept for 100 ms, on a clock that stands still.
 func newTestCache() *idempotencyCache {
-	settings := admission.Settings{"shared reads for": 100 * time.Millisecond}
+	settings := admission.Settings{CoalescedReadWindow: 100 * time.Millisecond}
 	return &newServer(Config{Settings: settings}).idempotency
 }
 
--- a/internal/server/registry.go
+++ b/internal/server/registry.go
@@ -50,6 +50,6 @@
 	if s.config.RegistryAddr == "" {
 		return
 	}
-	available := !s.draining && (s.health.healthy || !s.config.ReportReadiness)
+	available := !s.draining && (s.health.Healthy || !s.config.ReportReadiness)
 	s.registry.report(s.config.RegistryAddr, s.config.Name, available)
 }
--- a/internal/server/runtimelink.go
+++ b/internal/server/runtimelink.go
@@ -158,8 +158,7 @@
 	slog.Info("runtime ready", "state", event.Status, "uptime", event.Elapsed)
 	// A controller that is made after the notice to drain would know nothing of it, and admit what is cut off soon.
 	if s.controller == nil && !s.draining {
-		s.config.Settings["just started"] = event.Status == statusBooting
-		s.controller = s.newController(event.Elapsed)
+		s.controller = s.newController(event.Elapsed, event.Status == statusBooting)
 		s.decisionPending = true
 	}
 	s.runtime.backoff = 0
--- a/internal/server/selftest_test.go
+++ b/internal/server/selftest_test.go
@@ -5,6 +5,7 @@
 	"net"
 	"time"
 
+	"lanewheel/admission"
 	"lanewheel/internal/fake"
 )
 
@@ -38,7 +39,7 @@
 	}
 	// Health by the state is good before the link is synced; a deep check uses the runtime only after.
 	onLoop(server, func() bool {
-		(&executor{server: server}).SetHealth(true, false)
+		(&executor{server: server}).SetHealth(admission.Health{Healthy: true})
 		return server.runtime.synced
 	})
 	for i, status := range []string{"success", "failure", ""} {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -44,7 +44,7 @@
 	selfTests   selfTests
 	database    databaseCalls
 	idempotency idempotencyCache
-	health      health
+	health      admission.Health // as the controller last set it
 	registry    registryReporter
 	stats       Stats
 
@@ -87,10 +87,10 @@
 	server := &Server{
 		Loop:       eventloop.New(bufferCount / 8), // read and not taken yet: an eighth of the memory
 		config:     config,
-		settings:   newServiceSettings(config.Settings),
+		settings:   newServiceSettings(&config.Settings),
 		buffers:    &BufferPool{},
 		loadReport: -1,
-		health:     health{healthy: true},
+		health:     admission.Health{Healthy: true},
 	}
 	server.requests = requestTable{
 		byID:     map[admission.RequestID]*activeRequest{},
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -24,53 +24,34 @@
 type classSettings struct {
 	timeout          time.Duration
 	latencyObjective time.Duration
-	idempotent       bool // a request may be executed twice
-	idempotentByKey  bool // of the attempts of a request one may be executed
+	idempotency      admission.Idempotency
 }
 
 // newServiceSettings picks what the server needs out of the admission settings.
-func newServiceSettings(settings admission.Settings) serviceSettings {
+func newServiceSettings(settings *admission.Settings) serviceSettings {
 	picked := serviceSettings{
 		classes:             map[admission.Class]classSettings{},
 		tenants:             map[admission.TenantID]bool{},
-		coalescedReadWindow: durationSetting(settings, "shared reads for"),
-		idleTimeout:         durationSetting(settings, "connections idle"),
-		maxRetryAfter:       durationSetting(settings, "longest stay away"),
+		cores:               settings.Cores,
+		requestsAreCalls:    settings.Tier > 0,
+		coalescedReadWindow: settings.CoalescedReadWindow,
+		idleTimeout:         settings.MaxIdleTimeout,
+		retryAfterAllowed:   settings.RetryAfterAllowed,
+		maxRetryAfter:       settings.MaxRetryAfter,
 	}
-	picked.cores, _ = settings["cores"].(float64)
-	picked.retryAfterAllowed, _ = settings["stay away is passed on"].(bool)
-	if tier, _ := settings["tier"].(float64); tier > 0 {
-		picked.requestsAreCalls = true
-	}
-	for _, class := range listSetting(settings, "op types") {
-		name, _ := class["name"].(string)
-		latencyObjective := durationSetting(class, "target latency")
-		picked.classes[admission.Class(name)] = classSettings{
-			timeout:          max(durationSetting(class, "op timeout"), latencyObjective),
-			latencyObjective: latencyObjective,
-			idempotent:       class["repeats"] == "retryable",
-			idempotentByKey:  class["repeats"] == "keyed",
+	for _, class := range settings.Classes {
+		picked.classes[class.Name] = classSettings{
+			timeout:          max(class.Timeout, class.LatencyObjective),
+			latencyObjective: class.LatencyObjective,
+			idempotency:      class.Idempotency,
 		}
 	}
-	for _, tenant := range listSetting(settings, "tenants") {
-		name, _ := tenant["name"].(string)
-		picked.tenants[admission.TenantID(name)] = true
+	for _, tenant := range settings.Tenants {
+		picked.tenants[tenant.Name] = true
 	}
 	return picked
 }
 
-// durationSetting is a duration that was configured, 0 if none was.
-func durationSetting(settings admission.Settings, name string) time.Duration {
-	value, _ := settings[name].(time.Duration)
-	return value
-}
-
-// listSetting is a list that was configured, empty if none was.
-func listSetting(settings admission.Settings, name string) []admission.Settings {
-	values, _ := settings[name].([]admission.Settings)
-	return values
-}
-
 // Bounds of what a request may say of itself.
 const (
 	maxMemoryKB = 2000 // exclusive
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"reflect"
 	"testing"
 	"time"
 
@@ -10,42 +11,33 @@
 )
 
 func testSettings() serviceSettings {
-	return newServiceSettings(admission.Settings{
-		"cores":                  2.0,
-		"tier":                   1.0,
-		"shared reads for":       3 * time.Second,
-		"connections idle":       4 * time.Second,
-		"stay away is passed on": true,
-		"longest stay away":      5 * time.Second,
-		"op types": []admission.Settings{
-			{"name": "view", "target latency": time.Second, "repeats": "retryable"},
-			{"name": "pay", "target latency": time.Second, "op timeout": 2 * time.Second, "repeats": "keyed"},
-			{"name": "other"},
+	return newServiceSettings(&admission.Settings{
+		Cores:               2,
+		Tier:                1,
+		CoalescedReadWindow: 3 * time.Second,
+		MaxIdleTimeout:      4 * time.Second,
+		RetryAfterAllowed:   true,
+		MaxRetryAfter:       5 * time.Second,
+		Classes: []admission.ClassSettings{
+			{Name: "view", LatencyObjective: time.Second, Idempotency: admission.Idempotent},
+			{
+				Name: "pay", LatencyObjective: time.Second, Timeout: 2 * time.Second,
+				Idempotency: admission.IdempotentByKey,
+			},
+			{Name: "other"},
 		},
-		"tenants": []admission.Settings{{"name": "t1"}},
+		Tenants: []admission.TenantSettings{{Name: "t1"}},
 	})
 }
 
 func TestServiceSettings(t *testing.T) {
-	settings := testSettings()
-	classes := map[admission.Class]classSettings{
-		"view":  {timeout: time.Second, latencyObjective: time.Second, idempotent: true},
-		"pay":   {timeout: 2 * time.Second, latencyObjective: time.Second, idempotentByKey: true},
-		"other": {},
-	}
-	if len(settings.classes) != len(classes) {
-		t.Errorf("%d classes", len(settings.classes))
-	}
-	for name, want := range classes {
-		if got := settings.classes[name]; got != want {
-			t.Errorf("class %s: %+v", name, got)
-		}
-	}
-	if len(settings.tenants) != 1 || !settings.tenants["t1"] {
-		t.Errorf("tenants: %v", settings.tenants)
-	}
-	settings.classes, settings.tenants = nil, nil
 	want := serviceSettings{
+		classes: map[admission.Class]classSettings{
+			"view":  {timeout: time.Second, latencyObjective: time.Second, idempotency: admission.Idempotent},
+			"pay":   {timeout: 2 * time.Second, latencyObjective: time.Second, idempotency: admission.IdempotentByKey},
+			"other": {},
+		},
+		tenants:             map[admission.TenantID]bool{"t1": true},
 		cores:               2,
 		requestsAreCalls:    true,
 		coalescedReadWindow: 3 * time.Second,
@@ -53,10 +45,8 @@
 		retryAfterAllowed:   true,
 		maxRetryAfter:       5 * time.Second,
 	}
-	if settings.cores != want.cores || settings.requestsAreCalls != want.requestsAreCalls ||
-		settings.coalescedReadWindow != want.coalescedReadWindow || settings.idleTimeout != want.idleTimeout ||
-		settings.retryAfterAllowed != want.retryAfterAllowed || settings.maxRetryAfter != want.maxRetryAfter {
-		t.Errorf("%+v", settings)
+	if got := testSettings(); !reflect.DeepEqual(got, want) {
+		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
 
--- a/internal/server/spillover.go
+++ b/internal/server/spillover.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"lanewheel/admission"
 	"lanewheel/internal/frontend"
 	"lanewheel/internal/transport"
 )
@@ -73,7 +74,7 @@
 	s.requests.spilledOver++
 	responder := &spilledResponder{s, active}
 	active.forwarding.handle = responder // not nil, as Forward may call the responder before it returns
-	idempotent := s.settings.classes[active.class].idempotent
+	idempotent := s.settings.classes[active.class].idempotency == admission.Idempotent
 	if handle := s.spillover.Forward(request, active.forwarding.deadline, idempotent, responder); handle != nil {
 		active.forwarding.handle = handle
 		return true
--- a/internal/server/submit.go
+++ b/internal/server/submit.go
@@ -52,7 +52,8 @@
 	if s.spillover != nil {
 		s.keepForForwarding(active, request, queueDelay)
 	}
-	active.identity = s.idempotency.identify(active, request.NewIDPerAttempt, class.idempotentByKey)
+	byKey := class.idempotency == admission.IdempotentByKey
+	active.identity = s.idempotency.identify(active, request.NewIDPerAttempt, byKey)
 	s.decisionPending = true
 	sentAt := s.Now() - queueDelay
 	s.controller.Submit(admission.Request{
