--- /dev/null
+++ b/internal/clients/closing_test.go
@@ -0,0 +1,166 @@
+package clients
+
+import (
+	"testing"
+	"time"
+
+	"lanewheel/internal/fake"
+)
+
+// Nothing, or half a message, for 1.5 s ends a connection.
+func TestMessageTimeouts(t *testing.T) {
+	for _, test := range []struct{ name, sent, reason string }{
+		{"nothing", "", "silent"},
+		{"half a message", "\x94", "unfinished"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			server := newFakeServer(t, nil)
+			client := server.newClient()
+			began := time.Now()
+			fake.Must(client.Conn.Write([]byte(test.sent)))
+			expect(t, client, closedText)
+			if after := time.Since(began); after < 1400*time.Millisecond || after > 5*time.Second {
+				t.Error("closed after", after)
+			}
+			_ = client.Conn.Close()
+			server.waitForReason(test.reason)
+		})
+	}
+}
+
+// An unused connection is asked to go, and closed if it does not; one with a request stays.
+func TestIdleTimeout(t *testing.T) {
+	server := newFakeServer(t, nil)
+	idle, busy := server.newClient(), server.newClient()
+	send(idle, 1)
+	send(busy, 2)
+	server.answer(1, succeed)
+	expect(t, idle, textOn(succeededOn, 1))
+	server.onLoop(func() { server.clients.SetIdleTimeout(100 * time.Millisecond) })
+	expect(t, idle, goAway, closedText)
+	_ = idle.Conn.Close()
+	server.waitForReason("unused")
+	server.answer(2, succeed)
+	expect(t, busy, textOn(succeededOn, 2), goAway, closedText)
+}
+
+// Where there is no room, the connection goes that has been unused for longest, those on which nothing ever came first, and
+// none with a request.
+func TestEvictIdle(t *testing.T) {
+	server := newFakeServer(t, nil)
+	used, busy := server.newClient(), server.newClient()
+	send(used, 1)
+	server.answer(1, succeed)
+	expect(t, used, textOn(succeededOn, 1))
+	send(busy, 2)
+	server.waitFor("the request", func() bool { return len(server.pending) == 1 })
+	silent := server.newClient()
+	server.onLoop(server.clients.EvictIdle) // all have been used just now
+	time.Sleep(150 * time.Millisecond)
+	server.onLoop(server.clients.EvictIdle)
+	expect(t, silent, closedText)
+	_ = silent.Conn.Close()
+	server.waitForReason("crowded")
+	server.waitFor("its end", func() bool { return len(server.clients.connections) == 2 })
+	server.onLoop(server.clients.EvictIdle) // used a moment ago
+	time.Sleep(time.Second)
+	server.onLoop(server.clients.EvictIdle)
+	expect(t, used, closedText)
+	server.onLoop(func() {
+		for _, c := range server.clients.connections {
+			if len(c.pending) > 0 && c.closeReason != "" {
+				t.Error("the one with a request was closed")
+			}
+		}
+	})
+}
+
+// A connection that is closing and has had time to read gives its room at once.
+func TestEvictClosing(t *testing.T) {
+	server := newFakeServer(t, nil)
+	client := server.newClient()
+	send(client, 1)
+	client.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil))
+	expect(t, client, textOn(failedOn, 1), closedText)
+	time.Sleep(150 * time.Millisecond)
+	server.onLoop(server.clients.EvictIdle)
+	server.waitFor("its end", func() bool { return len(server.clients.connections) == 0 })
+}
+
+// A connection that comes after GoAway is asked to go, too.
+func TestGoAway(t *testing.T) {
+	server := newFakeServer(t, nil)
+	before := server.newClient()
+	server.onLoop(server.clients.GoAway)
+	expect(t, before, goAway)
+	expect(t, server.newClient(), goAway)
+}
+
+// A drain ends when all connections have gone.
+func TestDrain(t *testing.T) {
+	server := newFakeServer(t, nil)
+	client := server.newClient()
+	send(client, 1)
+	server.waitFor("the request", func() bool { return len(server.pending) == 1 })
+	done := make(chan int, 1)
+	others := false
+	server.onLoop(func() {
+		schedule := DrainScheduleFor(4 * time.Second)
+		server.clients.Drain(schedule, server.Now()+4*time.Second, func() bool { return others },
+			func(connections int) { done <- connections })
+	})
+	expect(t, client, goAway)
+	server.answer(1, succeed)
+	expect(t, client, textOn(succeededOn, 1))
+	_ = client.Conn.Close()
+	select {
+	case <-done:
+		t.Fatal("it has not waited for the others")
+	case <-time.After(100 * time.Millisecond):
+	}
+	server.onLoop(func() { others = true })
+	select {
+	case connections := <-done:
+		if connections != 0 {
+			t.Errorf("%d connections were closed", connections)
+		}
+	case <-time.After(time.Second):
+		t.Error("it does not end")
+	}
+}
+
+// Connections that stay are closed shortly before the kill.
+func TestDrainForced(t *testing.T) {
+	server := newFakeServer(t, nil)
+	client := server.newClient()
+	done := make(chan int, 1)
+	began := time.Now()
+	server.onLoop(func() {
+		schedule := DrainScheduleFor(4 * time.Second)
+		server.clients.Drain(schedule, server.Now()+schedule.GoAway, func() bool { return true },
+			func(connections int) { done <- connections })
+	})
+	expect(t, client, goAway, closedText)
+	_ = client.Conn.Close()
+	if connections := <-done; connections != 1 {
+		t.Errorf("%d connections were closed", connections)
+	}
+	if after := time.Since(began); after < 240*time.Millisecond {
+		t.Error("ended after", after)
+	}
+	server.waitForReason("stopped")
+}
+
+func TestDrainScheduleFor(t *testing.T) {
+	const ms = time.Millisecond
+	for grace, want := range map[time.Duration]DrainSchedule{
+		10 * time.Second: {300 * ms, 150 * ms, 80 * ms, 60 * ms, 20 * ms},
+		1200 * ms:        {300 * ms, 150 * ms, 80 * ms, 60 * ms, 20 * ms},
+		120 * ms:         {30 * ms, 15 * ms, 8 * ms, 6 * ms, 2 * ms},
+		0:                {},
+	} {
+		if got := DrainScheduleFor(grace); got != want {
+			t.Errorf("%v: %v, want %v", grace, got, want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/clients/requests_test.go
@@ -0,0 +1,207 @@
+package clients
+
+import (
+	"slices"
+	"testing"
+
+	"lanewheel/internal/authz"
+	"lanewheel/internal/fake"
+	"lanewheel/internal/frontend"
+)
+
+func TestResponses(t *testing.T) {
+	server := newFakeServer(t, nil)
+	client := server.newClient()
+	for number := 1; number <= 3; number++ {
+		send(client, number)
+	}
+	server.answer(2, reject)
+	server.answer(1, succeed)
+	server.answer(3, func(responder frontend.Responder) { responder.Fail(frontend.ResponseMetadata{LoadReport: -1}) })
+	expect(t, client, textOn(rejectedOn, 2), textOn(succeededOn, 1), textOn(failedOn, 3))
+	server.onLoop(func() {
+		for _, c := range server.clients.connections {
+			if len(c.pending) != 0 {
+				t.Errorf("%d requests are still pending", len(c.pending))
+			}
+		}
+	})
+}
+
+func TestHealthCheck(t *testing.T) {
+	server := newFakeServer(t, nil)
+	if !server.newClient().CheckHealth() {
+		t.Error("not healthy")
+	}
+}
+
+// A client that breaks the protocol has all that is pending on its connection fail, and loses it.
+func TestProtocolErrors(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		pending int // requests, numbered from 1
+		send    func(*fake.Client)
+		reason  string
+	}{
+		{"message id in use", 2, func(client *fake.Client) {
+			client.Send(fake.NewRequest(1, "view", fake.RequestID(9), nil))
+		}, "id-twice"},
+		{"request id in use", 2, func(client *fake.Client) {
+			client.Send(fake.NewRequest(9, "view", fake.RequestID(1), nil))
+		}, "op-twice"},
+		{"too many requests", 32, func(client *fake.Client) { send(client, 33) }, "too-many-open"},
+		{"unreadable message", 2, func(client *fake.Client) { client.Send([]any{7}) }, "bad-message"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			server := newFakeServer(t, nil)
+			client := server.newClient()
+			var ids []string
+			for number := 1; number <= test.pending; number++ {
+				send(client, number)
+				ids = append(ids, fake.RequestID(number))
+			}
+			server.waitFor("the requests", func() bool { return len(server.pending) == test.pending })
+			test.send(client)
+			for number := 1; number <= test.pending; number++ {
+				expect(t, client, textOn(failedOn, number))
+			}
+			expect(t, client, closedText)
+			_ = client.Conn.Close()
+			server.waitForReason(test.reason)
+			if canceled := server.canceledRequests(); !slices.Equal(canceled, ids) {
+				t.Errorf("canceled: %v", canceled)
+			}
+		})
+	}
+}
+
+// The id of a request that is pending on another connection is the server's to judge.
+func TestRequestIDOfAnotherConnection(t *testing.T) {
+	server := newFakeServer(t, nil)
+	first, second := server.newClient(), server.newClient()
+	send(first, 1)
+	server.waitFor("the request", func() bool { return len(server.pending) == 1 })
+	server.onLoop(func() {
+		server.onSubmit = func(_ frontend.Request, responder frontend.Responder) { reject(responder) }
+	})
+	second.Send(fake.NewRequest(2, "view", fake.RequestID(1), nil))
+	expect(t, second, textOn(rejectedOn, 2))
+}
+
+func TestCloseCancelsRequests(t *testing.T) {
+	server := newFakeServer(t, nil)
+	client := server.newClient()
+	send(client, 1)
+	send(client, 2)
+	server.waitFor("the requests", func() bool { return len(server.pending) == 2 })
+	_ = client.Conn.Close()
+	server.waitFor("the end", func() bool { return len(server.clients.connections) == 0 })
+	if canceled := server.canceledRequests(); !slices.Equal(canceled, []string{fake.RequestID(1), fake.RequestID(2)}) {
+		t.Errorf("canceled: %v", canceled)
+	}
+}
+
+// Requests that could never be served end the connection when there are eight in a row. One that the runtime does not know
+// ends it at once.
+func TestInvalidRequests(t *testing.T) {
+	server := newFakeServer(t, nil)
+	code := frontend.UnknownClass
+	server.onLoop(func() {
+		server.onSubmit = func(request frontend.Request, responder frontend.Responder) {
+			if request.Class == "list" {
+				reject(responder)
+				return
+			}
+			responder.RejectPermanently(code, frontend.ResponseMetadata{LoadReport: -1})
+		}
+	})
+	client := server.newClient()
+	for number := 1; number <= 7; number++ {
+		send(client, number)
+		expect(t, client, textOn(failedOn, number))
+	}
+	client.Send(fake.NewRequest(8, "list", fake.RequestID(8), nil)) // the count begins anew
+	expect(t, client, textOn(rejectedOn, 8))
+	for number := 9; number <= 16; number++ {
+		send(client, number)
+		expect(t, client, textOn(failedOn, number))
+	}
+	expect(t, client, closedText)
+	_ = client.Conn.Close()
+	server.waitForReason("unknown-type")
+
+	server.onLoop(func() { code = frontend.UnknownRequest })
+	client = server.newClient()
+	send(client, 1)
+	expect(t, client, textOn(failedOn, 1), closedText)
+	_ = client.Conn.Close()
+	server.waitForReason("unknown-op")
+}
+
+// A denial counts as invalid only where the credential is forged.
+func TestDenials(t *testing.T) {
+	server := newFakeServer(t, &fakeAuthenticator{})
+	denial := authz.Denial("tenant")
+	server.onLoop(func() {
+		server.onSubmit = func(_ frontend.Request, responder frontend.Responder) {
+			metadata := frontend.ResponseMetadata{LoadReport: -1, Reason: string(denial)}
+			responder.RejectPermanently(frontend.Denied, metadata)
+		}
+	})
+	client := server.newClient()
+	denied := func(number int) {
+		t.Helper()
+		send(client, number)
+		response := fake.Must(client.NextResponse())
+		if response.Error != "Denied" || response.Fields["why"] != string(denial) {
+			t.Fatalf("%+v", response)
+		}
+	}
+	for number := 1; number <= 20; number++ {
+		denied(number)
+	}
+	server.onLoop(func() { denial = "signature" })
+	for number := 21; number <= 28; number++ {
+		denied(number)
+	}
+	expect(t, client, closedText)
+	_ = client.Conn.Close()
+	server.waitForReason("denied")
+}
+
+// A client whose certificate is revoked is asked to go, gets the responses that it is owed, and then loses its connection.
+func TestRevokedCertificate(t *testing.T) {
+	authenticator := &fakeAuthenticator{}
+	server := newFakeServer(t, authenticator)
+	client := server.newClient()
+	send(client, 1)
+	server.waitFor("the request", func() bool { return len(server.pending) == 1 })
+	server.onLoop(func() {
+		authenticator.denial = "revoked"
+		authenticator.recheck = true
+	})
+	expect(t, client, goAway)
+	server.answer(1, succeed)
+	expect(t, client, textOn(succeededOn, 1), closedText)
+	_ = client.Conn.Close()
+	server.waitForReason("revoked")
+}
+
+// A request by a certificate that turns out to be revoked is denied, and the connection ends.
+func TestRevokedAtRequest(t *testing.T) {
+	server := newFakeServer(t, &fakeAuthenticator{denial: "revoked"})
+	server.onLoop(func() {
+		server.onSubmit = func(_ frontend.Request, responder frontend.Responder) {
+			metadata := frontend.ResponseMetadata{LoadReport: -1, Reason: "revoked"}
+			responder.RejectPermanently(frontend.Denied, metadata)
+		}
+	})
+	client := server.newClient()
+	send(client, 1)
+	if response := fake.Must(client.NextResponse()); response.Error != "Denied" {
+		t.Errorf("%+v", response)
+	}
+	expect(t, client, goAway, closedText)
+	_ = client.Conn.Close()
+	server.waitForReason("revoked")
+}
