--- a/cmd/lanewheel/main_test.go
+++ b/cmd/lanewheel/main_test.go
@@ -249,11 +249,11 @@
 		many = append(many, fake.NewRequest(i, "view", fake.RequestID(100+i), nil, "kb", "0.1"))
 	}
 	s.Send(many...)
-	fake.WaitFor("the end of a crowd", func() bool { return strings.Contains(t.log.text(), "too-many-open") })
+	fake.WaitFor("the end of a crowd", func() bool { return strings.Contains(t.log.text(), "too-many-pending") })
 	fmt.Println(other.CheckHealth())
 	t.sendTerminate()
 	_, log := t.waitExit()
-	for _, code := range []string{"bad-message", "id-twice", "op-twice", "too-many-open"} {
+	for _, code := range []string{"bad-message", "duplicate-message-id", "duplicate-request-id", "too-many-pending"} {
 		fmt.Println(code, strings.Count(log, code))
 	}
 	// Output:
@@ -267,9 +267,9 @@
 	// ['\x01' '\x01' ["Failed" map[]] <nil>] closed stop 4
 	// true
 	// bad-message 2
-	// id-twice 1
-	// op-twice 1
-	// too-many-open 1
+	// duplicate-message-id 1
+	// duplicate-request-id 1
+	// too-many-pending 1
 }
 
 // What could never be served is answered with an error and does not reach the runtime; a client that goes on so loses its
--- a/cmd/lanewheel/starts_test.go
+++ b/cmd/lanewheel/starts_test.go
@@ -243,7 +243,7 @@
 		s.Send(fake.NewRequest(1, fmt.Sprint("k", i), fake.RequestID(i), nil, "tenant", fmt.Sprint("t", many-1-i), "kb", "1", "from", fmt.Sprint(i)))
 		answers[s.NextText()]++
 	}
-	fmt.Println(len(all), answers, strings.Contains(t.log.text(), "crowded"))
+	fmt.Println(len(all), answers, strings.Contains(t.log.text(), "evicted"))
 	for _, s := range all {
 		s.Close()
 	}
--- a/internal/clients/closing_test.go
+++ b/internal/clients/closing_test.go
@@ -10,8 +10,8 @@
 // Nothing, or half a message, for 1.5 s ends a connection.
 func TestMessageTimeouts(t *testing.T) {
 	for _, test := range []struct{ name, sent, reason string }{
-		{"nothing", "", "silent"},
-		{"half a message", "\x94", "unfinished"},
+		{"nothing", "", "first-message-timeout"},
+		{"half a message", "\x94", "read-timeout"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			server := newFakeServer(t, nil)
@@ -39,13 +39,13 @@
 	server.onLoop(func() { server.clients.SetIdleTimeout(100 * time.Millisecond) })
 	expect(t, idle, goAway, closedText)
 	_ = idle.Conn.Close()
-	server.waitForReason("unused")
+	server.waitForReason("idle-timeout")
 	server.answer(2, succeed)
 	expect(t, busy, textOn(succeededOn, 2), goAway, closedText)
 }
 
-// Where there is no room, the connection goes that has been unused for longest, those on which nothing ever came first, and
-// none with a request.
+// Where there is no room, the connection goes that has been unused for longest, those on which nothing ever came
+// first, and none with a request.
 func TestEvictIdle(t *testing.T) {
 	server := newFakeServer(t, nil)
 	used, busy := server.newClient(), server.newClient()
@@ -60,7 +60,7 @@
 	server.onLoop(server.clients.EvictIdle)
 	expect(t, silent, closedText)
 	_ = silent.Conn.Close()
-	server.waitForReason("crowded")
+	server.waitForReason("evicted")
 	server.waitFor("its end", func() bool { return len(server.clients.connections) == 2 })
 	server.onLoop(server.clients.EvictIdle) // used a moment ago
 	time.Sleep(time.Second)
@@ -148,7 +148,7 @@
 	if after := time.Since(began); after < 240*time.Millisecond {
 		t.Error("ended after", after)
 	}
-	server.waitForReason("stopped")
+	server.waitForReason("shutdown")
 }
 
 func TestDrainScheduleFor(t *testing.T) {
--- a/internal/clients/helper_test.go
+++ b/internal/clients/helper_test.go
@@ -43,7 +43,8 @@
 func (bufferPool) Get() []byte { return make([]byte, 0, transport.BufferSize) }
 func (bufferPool) Put([]byte)  {}
 
-// fakeServer keeps the requests that it is handed, by id, until a test answers them. Its fields belong to its event loop.
+// fakeServer keeps the requests that it is handed, by id, until a test answers them. Its fields belong to its event
+// loop.
 type fakeServer struct {
 	*eventloop.Loop
 	t        *testing.T
@@ -165,8 +166,6 @@
 
 func (s *fakeServer) Load() frontend.Load { return frontend.Load{} }
 
-func (s *fakeServer) ResponderOf(id string) frontend.Responder { return s.pending[id] }
-
 func (s *fakeServer) CheckHealth(deep bool, then func(bool)) { then(deep) }
 
 func (s *fakeServer) ResponseMetadata() frontend.ResponseMetadata {
--- a/internal/clients/requests_test.go
+++ b/internal/clients/requests_test.go
@@ -45,11 +45,11 @@
 	}{
 		{"message id in use", 2, func(client *fake.Client) {
 			client.Send(fake.NewRequest(1, "view", fake.RequestID(9), nil))
-		}, "id-twice"},
+		}, "duplicate-message-id"},
 		{"request id in use", 2, func(client *fake.Client) {
 			client.Send(fake.NewRequest(9, "view", fake.RequestID(1), nil))
-		}, "op-twice"},
-		{"too many requests", 32, func(client *fake.Client) { send(client, 33) }, "too-many-open"},
+		}, "duplicate-request-id"},
+		{"too many requests", 32, func(client *fake.Client) { send(client, 33) }, "too-many-pending"},
 		{"unreadable message", 2, func(client *fake.Client) { client.Send([]any{7}) }, "bad-message"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -101,8 +101,8 @@
 	}
 }
 
-// Requests that could never be served end the connection when there are eight in a row. One that the runtime does not know
-// ends it at once.
+// Requests that could never be served end the connection when there are eight in a row. One that the runtime does
+// not know ends it at once.
 func TestInvalidRequests(t *testing.T) {
 	server := newFakeServer(t, nil)
 	code := frontend.UnknownClass
@@ -128,14 +128,14 @@
 	}
 	expect(t, client, closedText)
 	_ = client.Conn.Close()
-	server.waitForReason("unknown-type")
+	server.waitForReason("unknown-class")
 
 	server.onLoop(func() { code = frontend.UnknownRequest })
 	client = server.newClient()
 	send(client, 1)
 	expect(t, client, textOn(failedOn, 1), closedText)
 	_ = client.Conn.Close()
-	server.waitForReason("unknown-op")
+	server.waitForReason("unknown-request")
 }
 
 // A denial counts as invalid only where the credential is forged.
@@ -169,7 +169,8 @@
 	server.waitForReason("denied")
 }
 
-// A client whose certificate is revoked is asked to go, gets the responses that it is owed, and then loses its connection.
+// A client whose certificate is revoked is asked to go, gets the responses that it is owed, and then loses its
+// connection.
 func TestRevokedCertificate(t *testing.T) {
 	authenticator := &fakeAuthenticator{}
 	server := newFakeServer(t, authenticator)
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -21,14 +21,6 @@
 	forwarding *forward.Request
 }
 
-// ResponderOf implements clients.Server: it returns who is owed the response to a request in flight, nil if none is.
-func (p *Proxy) ResponderOf(id string) frontend.Responder {
-	if request := p.inFlight[id]; request != nil {
-		return request.responder
-	}
-	return nil
-}
-
 // ResponseMetadata implements clients.Server: a proxy has no load report of its own.
 func (p *Proxy) ResponseMetadata() frontend.ResponseMetadata {
 	return frontend.ResponseMetadata{LoadReport: -1}
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -166,11 +166,3 @@
 func (s *Server) ResponseMetadata() frontend.ResponseMetadata {
 	return frontend.ResponseMetadata{LoadReport: s.loadReport}
 }
-
-// ResponderOf implements clients.Server.
-func (s *Server) ResponderOf(id string) frontend.Responder {
-	if active := s.requests.get(admission.RequestID(id)); active != nil {
-		return active.responder
-	}
-	return nil
-}
