--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,29 +1,30 @@
-// Package eventloop is an owner: one goroutine that alone touches some tables, takes what others hand it as batches, and fires the
-// timers. The core has one, and each front that blocks elsewhere may have its own.
+// Package eventloop runs one goroutine that owns state: other goroutines post calls to it, which it takes as
+// batches, and it fires timers. A server has one, and each part of a process that waits elsewhere may have its own.
 package eventloop
 
 import (
-	"container/heap"
 	"sync"
 	"time"
 )
 
-// Loop is the owner: the one goroutine that touches the module and all tables. Others hand it calls.
+// Loop is an event loop. The goroutine in Run owns it and whatever the owner of the Loop says: any goroutine may call
+// Post and PostBlocking, the other methods are for callbacks and timers, and for the time before Run.
 type Loop struct {
 	mu         sync.Mutex
-	pending    []func()
-	maxPending int           // of those, before who reads has to wait
-	drained    *sync.Cond    // the owner has taken what was handed
-	wake       chan struct{} // one token: something is handed
+	pending    []func()   // guarded by mu
+	drained    *sync.Cond // by mu: pending was taken
+	maxPending int        // past it PostBlocking waits
+	wake       chan struct{}
 
+	// Owned by the goroutine in Run.
 	start    time.Time
-	now      time.Duration // since the start, standing still through a batch
-	wallTime time.Time     // the same moment on the wall clock
+	now      time.Duration
+	wallTime time.Time
 	timers   timerQueue
 	quitting bool
 }
 
-// New starts its time. Past so many calls handed over and not taken, who reads has to wait.
+// New returns a loop whose time starts now. PostBlocking waits while more calls than maxPending are pending.
 func New(maxPending int) *Loop {
 	l := &Loop{maxPending: maxPending, wake: make(chan struct{}, 1), start: time.Now()}
 	l.wallTime = l.start
@@ -31,19 +32,20 @@
 	return l
 }
 
-// Post gives calls to the owner, in order. Any goroutine may call it.
+// Post queues calls for the loop, in order. It never waits. Any goroutine may call it.
 func (l *Loop) Post(callbacks ...func()) {
 	l.mu.Lock()
 	l.pending = append(l.pending, callbacks...)
 	l.mu.Unlock()
 	select {
 	case l.wake <- struct{}{}:
-	default: // it is on its way
+	default: // the loop is being woken already
 	}
 }
 
-// PostBlocking is for what is read from connections. Danger: peers that send faster than the owner takes would fill
-// the memory; the poller waits here, and they wait in the kernel. It must hold no connection's lock.
+// PostBlocking is Post for what is read from connections: it waits while the loop has too much to do, so that peers
+// that send faster wait in the kernel instead of filling the memory. The goroutine of the loop must not call it,
+// nor one that holds a lock that the loop takes.
 func (l *Loop) PostBlocking(callbacks ...func()) {
 	l.mu.Lock()
 	for len(l.pending) > l.maxPending {
@@ -53,114 +55,61 @@
 	l.Post(callbacks...)
 }
 
-// Run takes all that is there as one batch, again and again, and calls after once behind each.
+// Run takes what is pending as one batch, fires the timers that are due and calls afterBatch, again and again until
+// Quit. The calling goroutine owns the loop until Run returns.
 func (l *Loop) Run(afterBatch func()) {
-	alarm := time.NewTimer(time.Hour) // the one system timer, behind the heap
-	var callbacks []func()
+	alarm := time.NewTimer(time.Hour) // the one system timer, set to the next deadline
+	defer alarm.Stop()
+	var batch []func()
 	for !l.quitting {
-		if next, due := l.timers.nextDeadline(); due {
-			alarm.Reset(max(0, next-time.Since(l.start)))
+		if deadline, pending := l.timers.nextDeadline(); pending {
+			alarm.Reset(max(0, deadline-time.Since(l.start)))
 		}
 		select {
 		case <-l.wake:
 		case <-alarm.C:
 		}
-		l.mu.Lock()
-		callbacks, l.pending = l.pending, callbacks[:0]
-		l.drained.Signal()
-		l.mu.Unlock()
+		batch = l.takePending(batch)
 		l.wallTime = time.Now()
 		l.now = l.wallTime.Sub(l.start)
-		for i, callback := range callbacks {
+		for i, callback := range batch {
 			callback()
-			callbacks[i] = nil
-		}
-		for l.timers.fireNext(l.now) {
+			batch[i] = nil // the slice is used again
 		}
+		l.timers.fire(l.now)
 		afterBatch()
 	}
-	alarm.Stop()
-}
-
-// ScheduleAt has the owner call then at a time since the start. Only the owner may ask for it.
-func (l *Loop) ScheduleAt(deadline time.Duration, callback func()) *Timer {
-	timer := &Timer{deadline: deadline, callback: callback, queue: &l.timers}
-	l.timers.schedule(timer)
-	return timer
-}
-
-// Timer is one entry of the heap.
-type Timer struct {
-	deadline time.Duration
-	sequence uint64 // among those of one time the first asked for is the first to fire
-	callback func()
-	queue    *timerQueue
-	index    int // its place in the heap, under 0 once it is out
 }
 
-// Stop takes it out. Danger: on a long day, what a dropped one holds would stay until its time.
-func (t *Timer) Stop() {
-	if t != nil && t.index >= 0 {
-		heap.Remove(t.queue, t.index)
-	}
+// takePending returns the pending calls, and leaves the emptied batch for the next ones.
+func (l *Loop) takePending(batch []func()) []func() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	taken := l.pending
+	l.pending = batch[:0]
+	l.drained.Signal()
+	return taken
 }
 
-type timerQueue struct {
-	entries      []*Timer
-	lastSequence uint64
-}
+// Now is the time since New. It stands still through a batch.
+func (l *Loop) Now() time.Duration { return l.now }
 
-func (t *timerQueue) Len() int { return len(t.entries) }
-func (t *timerQueue) Less(i, j int) bool {
-	a, b := t.entries[i], t.entries[j]
-	return a.deadline < b.deadline || a.deadline == b.deadline && a.sequence < b.sequence
-}
-func (t *timerQueue) Swap(i, j int) {
-	t.entries[i], t.entries[j] = t.entries[j], t.entries[i]
-	t.entries[i].index, t.entries[j].index = i, j
-}
-func (t *timerQueue) Push(x any) {
-	x.(*Timer).index = len(t.entries)
-	t.entries = append(t.entries, x.(*Timer))
-}
-func (t *timerQueue) Pop() any {
-	lastIndex := len(t.entries) - 1
-	last := t.entries[lastIndex]
-	t.entries[lastIndex], t.entries = nil, t.entries[:lastIndex]
-	last.index = -1
-	return last
-}
-
-func (t *timerQueue) schedule(timer *Timer) {
-	t.lastSequence++
-	timer.sequence = t.lastSequence
-	heap.Push(t, timer)
-}
+// WallTime is the moment of Now on the wall clock.
+func (l *Loop) WallTime() time.Time { return l.wallTime }
 
-// nextDeadline is when the first one fires.
-func (t *timerQueue) nextDeadline() (time.Duration, bool) {
-	if len(t.entries) == 0 {
-		return 0, false
-	}
-	return t.entries[0].deadline, true
+// SetNow sets the time that Now and WallTime tell, in tests that do not call Run.
+func (l *Loop) SetNow(now time.Duration) {
+	l.now = now
+	l.wallTime = l.start.Add(now)
 }
 
-// fireNext calls the first that is due and tells whether there was one.
-func (t *timerQueue) fireNext(now time.Duration) bool {
-	if deadline, pending := t.nextDeadline(); !pending || deadline > now {
-		return false
-	}
-	heap.Pop(t).(*Timer).callback()
-	return true
+// ScheduleAt has the loop call back at a time since New, or soon after it.
+func (l *Loop) ScheduleAt(deadline time.Duration, callback func()) *Timer {
+	return l.timers.schedule(deadline, callback)
 }
 
-// Now is the time since the start, standing still through a batch; Wall is the same moment on the wall clock.
-func (l *Loop) Now() time.Duration  { return l.now }
-func (l *Loop) WallTime() time.Time { return l.wallTime }
+// Quit ends Run after this batch.
+func (l *Loop) Quit() { l.quitting = true }
 
-// Quit ends Run behind this batch; Ended tells whether it was called. Both belong to the owner.
-func (l *Loop) Quit()         { l.quitting = true }
+// HasQuit tells whether Quit was called.
 func (l *Loop) HasQuit() bool { return l.quitting }
-
-// SetNow has time stand at a moment, for tests of what goes by it.
-func (l *Loop) SetNow(now time.Duration) { l.now, l.wallTime = now, l.start.Add(now) }
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// Timers fire by their time, those of one time in the order asked for, and dropped ones not at all; after is
-// called once for all that a batch holds.
-func Example_loop() {
+// Timers fire by their deadlines, those with the same one in the order in which they were scheduled, and stopped
+// ones not at all; afterBatch is called once for all that a batch holds.
+func Example_batch() {
 	l := New(4096)
-	say := func(text string) func() { return func() { fmt.Print(text, " ") } }
-	l.Post(say("handed"), func() {
-		l.ScheduleAt(l.now-2, say("second"))
-		l.ScheduleAt(l.now-2, say("third"))
-		l.ScheduleAt(l.now-1, say("dropped")).Stop()
-		l.ScheduleAt(l.now-3, say("first"))
-		l.ScheduleAt(l.now, func() { l.quitting = true })
+	printing := func(text string) func() { return func() { fmt.Print(text, " ") } }
+	l.Post(printing("posted"), func() {
+		l.ScheduleAt(l.now-2, printing("second"))
+		l.ScheduleAt(l.now-2, printing("third"))
+		l.ScheduleAt(l.now-1, printing("stopped")).Stop()
+		l.ScheduleAt(l.now-3, printing("first"))
+		l.ScheduleAt(l.now, l.Quit)
 	})
 	l.Run(func() { fmt.Println("after") })
 	// Output:
-	// handed first second third after
+	// posted first second third after
 }
 
-// The poller waits while the owner has too much to do, and goes on as soon as that was taken.
-func Example_heldBack() {
+// PostBlocking waits while the loop has too much to do, and goes on as soon as that was taken.
+func Example_postBlocking() {
 	l := New(4096)
 	passed := make(chan bool, 1)
 	for range 5000 {
 		l.Post(func() {})
 	}
 	go func() {
-		l.PostBlocking(func() { l.quitting = true })
+		l.PostBlocking(l.Quit)
 		passed <- true
 	}()
 	select {
@@ -46,16 +46,16 @@
 	// true 0
 }
 
-// Dropped timers leave nothing behind.
-func Example_dropped() {
+// Stopped timers leave nothing behind.
+func Example_stoppedTimers() {
 	l := New(9)
-	var all []*Timer
+	var timers []*Timer
 	for i := range 9 {
-		all = append(all, l.ScheduleAt(time.Duration(i%4), func() {}))
+		timers = append(timers, l.ScheduleAt(time.Duration(i%4), func() {}))
 	}
-	for _, t := range all[2:] {
-		t.Stop()
-		t.Stop()
+	for _, timer := range timers[2:] {
+		timer.Stop()
+		timer.Stop()
 	}
 	fmt.Println(len(l.timers.entries))
 	fmt.Println(l.timers.fireNext(1), l.timers.fireNext(1), l.timers.fireNext(1))
--- a/internal/lifecycle/beside.go
+++ b/internal/lifecycle/beside.go
@@ -28,7 +28,7 @@
 // that for whoever reads why it did not start.
 func StartStandalone(operatorPath, logFormat, want string, enabled func(*config.Operator) bool) (signals SignalChannels, operatorConfig OperatorConfig, err error) {
 	signals = notifySignals()
-	logging.Setup(os.Stderr, logFormat)
+	logging.Setup(os.Stderr, logging.Format(logFormat))
 	if operatorConfig, err = LoadOperatorConfig(operatorPath); err != nil {
 		return signals, operatorConfig, err
 	}
@@ -36,7 +36,7 @@
 		return signals, operatorConfig, diagnostic.List{{File: operatorPath, Want: want}}
 	}
 	if logFormat == "" {
-		logging.Setup(os.Stderr, operatorConfig.File.Log.Format)
+		logging.Setup(os.Stderr, logging.Format(operatorConfig.File.Log.Format))
 	}
 	return signals, operatorConfig, nil
 }
--- a/internal/lifecycle/life.go
+++ b/internal/lifecycle/life.go
@@ -22,7 +22,7 @@
 // until it is told to go. format is text or json; empty, the operator's file says.
 func Run(configPath, operatorPath, logFormat string) error {
 	signals := notifySignals()
-	logging.Setup(os.Stderr, logFormat)
+	logging.Setup(os.Stderr, logging.Format(logFormat))
 	config, err := LoadConfig(configPath)
 	if err != nil {
 		return err
@@ -36,7 +36,7 @@
 		return ErrFleetNotLinked
 	}
 	if logFormat == "" {
-		logging.Setup(os.Stderr, operatorConfig.File.Log.Format)
+		logging.Setup(os.Stderr, logging.Format(operatorConfig.File.Log.Format))
 	}
 	// One processor for each core told, and no more: a second one on a part of a core wakes and sleeps for each message.
 	processors := int(math.Ceil(config.Cores))
