--- a/internal/lifecycle/fleet.go
+++ b/internal/lifecycle/fleet.go
@@ -2,9 +2,7 @@
 
 import (
 	"errors"
-	"fmt"
 
-	"lanewheel/internal/config"
 	"lanewheel/internal/server"
 )
 
@@ -16,19 +14,3 @@
 
 // ErrFleetNotLinked says that the operator's file asks for what this program has not linked.
 var ErrFleetNotLinked = errors.New("the operator's file tells of a fleet or of services, which another program has linked")
-
-// readFleet reads what the part needs beside the operator's file.
-func (s fileDigest) readFleet(operatorConfig *OperatorConfig) error {
-	path := operatorConfig.File.Fleet.KeyFile
-	text, err := s.readFile(path)
-	if err != nil {
-		return err
-	}
-	operatorConfig.ClusterKeys, err = config.ParseClusterKeys(path, text)
-	return err
-}
-
-// fixedFleetSettings is all of the section that holds from the start on, as text to compare.
-func fixedFleetSettings(f *config.Fleet) string {
-	return fmt.Sprint(f.Enabled, f.Name, f.Cluster, f.ListenAddress, f.AdvertiseAddress, f.ServiceAddress, f.Roles, f.Zone, f.Release, f.Capacity, f.WarmUp, f.ProbeInterval, f.StatusSocket, f.DrainWhenFenced, f.RequirePermit)
-}
