--- a/cmd/lanewheel/main_test.go
+++ b/cmd/lanewheel/main_test.go
@@ -249,11 +249,11 @@
 		many = append(many, fake.NewRequest(i, "view", fake.RequestID(100+i), nil, "kb", "0.1"))
 	}
 	s.Send(many...)
-	fake.WaitFor("the end of a crowd", func() bool { return strings.Contains(t.log.text(), "too-many-open") })
+	fake.WaitFor("the end of a crowd", func() bool { return strings.Contains(t.log.text(), "too-many-pending") })
 	fmt.Println(other.CheckHealth())
 	t.sendTerminate()
 	_, log := t.waitExit()
-	for _, code := range []string{"bad-message", "id-twice", "op-twice", "too-many-open"} {
+	for _, code := range []string{"bad-message", "duplicate-message-id", "duplicate-request-id", "too-many-pending"} {
 		fmt.Println(code, strings.Count(log, code))
 	}
 	// Output:
@@ -267,9 +267,9 @@
 	// ['\x01' '\x01' ["Failed" map[]] <nil>] closed stop 4
 	// true
 	// bad-message 2
-	// id-twice 1
-	// op-twice 1
-	// too-many-open 1
+	// duplicate-message-id 1
+	// duplicate-request-id 1
+	// too-many-pending 1
 }
 
 // What could never be served is answered with an error and does not reach the runtime; a client that goes on so loses its
@@ -414,7 +414,7 @@
 	fmt.Println("sync", t.runtime.Accept())
 	s.Close()
 	code, log := t.waitExit()
-	fmt.Println(code, strings.Count(log, "msg=configuration-kept"), strings.Count(log, "code=moved"))
+	fmt.Println(code, strings.Count(log, "msg=configuration-kept"), strings.Count(log, "code=address-changed"))
 	// Output:
 	// start 1 route view body ""
 	// start 2 route pay body ""
@@ -457,7 +457,7 @@
 	// start 2 route view body ""
 	// ['\x02' "goaway" []]
 	// ['\x01' '\x02' ["Busy" map[]] <nil>]
-	// 0 msg=stopped connections=0 ops=1
+	// 0 msg=stopped connections=0 requests=1
 	// refused: true
 }
 
--- a/cmd/lanewheel/starts_test.go
+++ b/cmd/lanewheel/starts_test.go
@@ -33,7 +33,7 @@
 	fmt.Println(s.NextText())
 	t.writeConfig(strings.NewReplacer(`"was-db":`, `"db":`, `"was-roster":`, `"roster":`).Replace(t.config))
 	t.sendHangup()
-	fake.WaitFor("the move", func() bool { return strings.Contains(t.log.text(), "msg=moved") })
+	fake.WaitFor("the move", func() bool { return strings.Contains(t.log.text(), `msg="addresses changed"`) })
 	fmt.Println(t.registry.NextReport())
 	s.Send(fake.NewRequest(3, "list", fake.RequestID(3), nil))
 	fmt.Println(t.runtime.NextCommand())
@@ -243,7 +243,7 @@
 		s.Send(fake.NewRequest(1, fmt.Sprint("k", i), fake.RequestID(i), nil, "tenant", fmt.Sprint("t", many-1-i), "kb", "1", "from", fmt.Sprint(i)))
 		answers[s.NextText()]++
 	}
-	fmt.Println(len(all), answers, strings.Contains(t.log.text(), "crowded"))
+	fmt.Println(len(all), answers, strings.Contains(t.log.text(), "evicted"))
 	for _, s := range all {
 		s.Close()
 	}
--- a/internal/forward/result.go
+++ b/internal/forward/result.go
@@ -15,9 +15,6 @@
 	errorDenied = "Denied" // its caller may not: it never ran, and another endpoint would say the same
 )
 
-// deniedCode is the code of a rejection for good that front ends know as a denial.
-const deniedCode = "denied"
-
 // Responses of our own, where no endpoint has given one.
 var (
 	busyResponse   = transport.Response{Error: errorBusy, Metadata: frontend.ResponseMetadata{LoadReport: -1}}
@@ -81,7 +78,7 @@
 	case Rejected:
 		responder.Reject(r.Metadata)
 	case Denied:
-		responder.RejectPermanently(deniedCode, r.Metadata)
+		responder.RejectPermanently(frontend.Denied, r.Metadata)
 	case Failed:
 		responder.Fail(r.Metadata)
 	}
--- a/internal/spillover/spillover_test.go
+++ b/internal/spillover/spillover_test.go
@@ -31,7 +31,7 @@
 func (r *recorder) Succeed(result []byte, _ frontend.ResponseMetadata) { r.note("succeed %s", result) }
 func (r *recorder) Reject(frontend.ResponseMetadata)                   { r.note("reject") }
 func (r *recorder) Fail(frontend.ResponseMetadata)                     { r.note("fail") }
-func (r *recorder) RejectPermanently(code string, _ frontend.ResponseMetadata) {
+func (r *recorder) RejectPermanently(code frontend.RejectionCode, _ frontend.ResponseMetadata) {
 	r.note("reject permanently: %s", code)
 }
 func (r *recorder) Done() { r.note("done") }
