--- /dev/null
+++ b/internal/fleet/coordinator/loopback_test.go
@@ -0,0 +1,29 @@
+package coordinator
+
+import (
+	"net"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/raft"
+)
+
+// loopbackLayer is a stream layer on a free port of loopback.
+type loopbackLayer struct {
+	net.Listener
+}
+
+func newLoopbackLayer(t *testing.T) *loopbackLayer {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return &loopbackLayer{listener}
+}
+
+// Dial implements raft.StreamLayer.
+func (*loopbackLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout}
+	return dialer.Dial("tcp", string(address))
+}
--- a/internal/fleet/coordinator/replica.go
+++ b/internal/fleet/coordinator/replica.go
@@ -39,7 +39,7 @@
 	metaStore *metadb.BoltMetaDB
 	wal       *wal.WAL
 	snapshots raft.SnapshotStore
-	transport *raft.NetworkTransport
+	transport *drainingTransport
 	raft      *raft.Raft
 
 	mu    sync.Mutex
@@ -82,7 +82,9 @@
 	if r.snapshots, err = raft.NewFileSnapshotStoreWithLogger(dir, keptSnapshots, logger); err != nil {
 		return err
 	}
-	r.transport = raft.NewNetworkTransportWithLogger(streamLayer, pooledConnections, peerTimeout, logger)
+	r.transport = &drainingTransport{
+		NetworkTransport: raft.NewNetworkTransportWithLogger(streamLayer, pooledConnections, peerTimeout, logger),
+	}
 	raftConfig := newRaftConfig(r.config, r.id, logger)
 	if r.config.Bootstrap {
 		if err := r.bootstrap(raftConfig); err != nil {
@@ -250,6 +252,7 @@
 		_ = r.raft.Shutdown().Error()
 	}
 	if r.transport != nil {
+		r.transport.drain()
 		_ = r.transport.Close()
 	}
 	if r.wal != nil {
