--- a/cmd/lanewheel/callers_test.go
+++ b/cmd/lanewheel/callers_test.go
@@ -108,9 +108,9 @@
 
 // reloadAndWait asks for a reload and waits until it is in force.
 func (h *authDeployment) reloadAndWait() {
-	before := strings.Count(h.log.text(), "msg=operated")
+	before := strings.Count(h.log.text(), "msg=\"operator configuration reloaded\"")
 	h.sendHangup()
-	fake.WaitFor("the reload", func() bool { return strings.Count(h.log.text(), "msg=operated") > before })
+	fake.WaitFor("the reload", func() bool { return strings.Count(h.log.text(), "msg=\"operator configuration reloaded\"") > before })
 	h.client().CheckHealth() // what was handed to the loop before is done
 }
 
@@ -312,7 +312,7 @@
 	s, water := h.client(), h.token("k1", "water-1")
 	standing := fake.Must(net.Dial("tcp", h.tlsAddr)) // a handshake that stands
 	defer standing.Close()
-	kept := func() int { return strings.Count(h.log.text(), "msg=configuration-kept") }
+	kept := func() int { return strings.Count(h.log.text(), "msg=\"reload failed, configuration kept\"") }
 	for _, file := range []string{"op.ini", "keys/k1.json", "server.pem", "ca/revoked.pem", "ca/authority.pem"} {
 		whole := fake.Must(os.ReadFile(h.path(file)))
 		before := kept()
@@ -320,11 +320,11 @@
 		h.sendHangup()
 		fake.WaitFor("the refusal of "+file, func() bool { return kept() > before })
 		fmt.Println(h.requestAnswer(s, 1, "token", water))
-		before = strings.Count(h.log.text(), "msg=operated")
+		before = strings.Count(h.log.text(), "msg=\"operator configuration reloaded\"")
 		h.writeFile(file, string(whole))
 		h.sendHangup()
 		h.sendHangup()
-		fake.WaitFor("the reload", func() bool { return strings.Count(h.log.text(), "msg=operated") > before })
+		fake.WaitFor("the reload", func() bool { return strings.Count(h.log.text(), "msg=\"operator configuration reloaded\"") > before })
 	}
 	h.writeFile("op.ini", strings.Replace(h.operatorFile, h.tlsAddr, "127.0.0.1:1", 1)) // holds from the next start
 	before := kept()
--- a/cmd/lanewheel/crossings_test.go
+++ b/cmd/lanewheel/crossings_test.go
@@ -458,7 +458,7 @@
 	whole := t.config
 	t.writeConfig("{")
 	t.sendHangup()
-	fake.WaitFor("the wrong file", func() bool { return strings.Contains(t.log.text(), "msg=configuration-kept") })
+	fake.WaitFor("the wrong file", func() bool { return strings.Contains(t.log.text(), "msg=\"reload failed, configuration kept\"") })
 	t.config = whole
 	t.writeConfig(t.movedConfig())
 	t.sendHangup()
--- a/cmd/lanewheel/main_test.go
+++ b/cmd/lanewheel/main_test.go
@@ -385,7 +385,7 @@
 	text := t.movedConfig()
 	t.writeConfig(text[:len(text)/2])
 	t.sendHangup()
-	fake.WaitFor("the half file", func() bool { return strings.Contains(t.log.text(), "msg=configuration-kept") })
+	fake.WaitFor("the half file", func() bool { return strings.Contains(t.log.text(), "msg=\"reload failed, configuration kept\"") })
 	s.Send(fake.NewRequest(2, "pay", fake.RequestID(2), nil))
 	fmt.Println(old.NextCommand())
 	old.SendNotice("end", fake.RequestID(2), "success", "two")
@@ -414,7 +414,7 @@
 	fmt.Println("sync", t.runtime.Accept())
 	s.Close()
 	code, log := t.waitExit()
-	fmt.Println(code, strings.Count(log, "msg=configuration-kept"), strings.Count(log, "code=address-changed"))
+	fmt.Println(code, strings.Count(log, "msg=\"reload failed, configuration kept\""), strings.Count(log, "code=address-changed"))
 	// Output:
 	// start 1 route view body ""
 	// start 2 route pay body ""
--- a/cmd/lanewheel/rotation_test.go
+++ b/cmd/lanewheel/rotation_test.go
@@ -136,9 +136,9 @@
 // reloadOnce asks for a reload that reads what is there now, and waits for it.
 func (h *authDeployment) reloadOnce() {
 	for range 2 { // one reading may have begun before the files were written
-		before := strings.Count(h.log.text(), "msg=operated")
+		before := strings.Count(h.log.text(), "msg=\"operator configuration reloaded\"")
 		h.sendHangup()
-		fake.WaitFor("the reload", func() bool { return strings.Count(h.log.text(), "msg=operated") > before })
+		fake.WaitFor("the reload", func() bool { return strings.Count(h.log.text(), "msg=\"operator configuration reloaded\"") > before })
 	}
 }
 
--- a/internal/cli/command.go
+++ b/internal/cli/command.go
@@ -101,7 +101,16 @@
 }
 
 func serve(operatorFile, logFormat string) int {
-	err := lifecycle.Run(os.Getenv("RELAY_CONFIG"), operatorFile, logFormat)
+	options := lifecycle.Options{
+		ConfigPath:   os.Getenv("RELAY_CONFIG"),
+		OperatorPath: operatorFile,
+		LogFormat:    logging.Format(logFormat),
+	}
+	var joinFleet lifecycle.FleetJoiner
+	if components != nil {
+		joinFleet = components.FleetHooks
+	}
+	err := lifecycle.Run(options, joinFleet)
 	if errors.Is(err, lifecycle.ErrFleetNotLinked) {
 		logging.Flush()
 		err = execProgram(fleetProgram)
--- a/internal/cli/coordinatorcommands/coordinator.go
+++ b/internal/cli/coordinatorcommands/coordinator.go
@@ -9,13 +9,16 @@
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/lifecycle"
 	"lanewheel/internal/lifecycle/coordinators"
+	"lanewheel/internal/logging"
 	"lanewheel/internal/membership"
 )
 
 // WithCoordinator adds the coordinator to the commands that lanewheel-fleet has.
 func WithCoordinator(commands cli.Components) cli.Components {
 	commands.RunCoordinator = func(operatorPath, logFormat string, bootstrap, forceNewCluster bool) error {
-		return coordinators.Run(operatorPath, logFormat, bootstrap, forceNewCluster, attach)
+		options := lifecycle.Options{OperatorPath: operatorPath, LogFormat: logging.Format(logFormat)}
+		formation := coordinators.Formation{Bootstrap: bootstrap, ForceNewCluster: forceNewCluster}
+		return coordinators.Run(options, formation, attach)
 	}
 	return commands
 }
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -27,10 +27,7 @@
 var components *Components
 
 // Link says what is linked, before Main.
-func Link(parts Components) {
-	components = &parts
-	lifecycle.JoinFleet = parts.FleetHooks
-}
+func Link(parts Components) { components = &parts }
 
 // fleetProgram is the program that has most of it, beside ours, and withStewards the one that has all.
 const fleetProgram, coordinatorProgram = "lanewheel-fleet", "lanewheel-coordinator"
--- a/internal/cli/fleetcommands/allocator.go
+++ b/internal/cli/fleetcommands/allocator.go
@@ -7,12 +7,18 @@
 	"lanewheel/internal/fleet/gossip"
 	"lanewheel/internal/lifecycle"
 	"lanewheel/internal/lifecycle/allocators"
+	"lanewheel/internal/logging"
 	"lanewheel/internal/membership"
 )
 
 // runAllocator runs a process that grants the leases of upstream services, until it has drained.
 func runAllocator(operatorPath, logFormat string) error {
-	return allocators.Run(operatorPath, logFormat, attachAllocator)
+	return allocators.Run(standaloneOptions(operatorPath, logFormat), attachAllocator)
+}
+
+// standaloneOptions are the options of a process that needs no configuration of the platform.
+func standaloneOptions(operatorPath, logFormat string) lifecycle.Options {
+	return lifecycle.Options{OperatorPath: operatorPath, LogFormat: logging.Format(logFormat)}
 }
 
 // attachAllocator gives an allocator its place in the fleet, and returns what takes a reloaded file.
--- a/internal/cli/fleetcommands/proxy.go
+++ b/internal/cli/fleetcommands/proxy.go
@@ -13,7 +13,9 @@
 
 // runProxy runs a proxy until it has drained.
 func runProxy(operatorPath, logFormat string) error {
-	return proxies.Run(os.Getenv("RELAY_CONFIG"), operatorPath, logFormat, attachProxy)
+	options := standaloneOptions(operatorPath, logFormat)
+	options.ConfigPath = os.Getenv("RELAY_CONFIG")
+	return proxies.Run(options, attachProxy)
 }
 
 // attachProxy makes a proxy and its place in the fleet, and returns what takes a reloaded file.
--- a/internal/lifecycle/allocators/allocators.go
+++ b/internal/lifecycle/allocators/allocators.go
@@ -1,7 +1,9 @@
-// Package allocators is the start and the stop of a desk beside a service below.
+// Package allocators starts and stops an allocator, the process beside an upstream service that leases its
+// concurrency to the fleet.
 package allocators
 
 import (
+	"io"
 	"log/slog"
 	"runtime"
 	"time"
@@ -12,40 +14,56 @@
 	"lanewheel/internal/lifecycle"
 )
 
-// Attach brings a desk into its fleet and gives what takes an operator's file that was read anew.
-type Attach func(d *allocator.Server, o *lifecycle.OperatorConfig) (reload func(*lifecycle.OperatorConfig), err error)
-
-// shutdownTimeout is how long a desk takes to leave: its word has to get through.
+// shutdownTimeout is how long an allocator takes to leave the fleet.
 const shutdownTimeout = time.Second
 
-// Run starts the desk that the operator's file tells of, and grants until it is told to go.
-func Run(configPath, logFormat string, attach Attach) error {
-	signals, operatorConfig, err := lifecycle.StartStandalone(configPath, logFormat, "wants the sections [fleet] and [grants]", func(f *config.Operator) bool { return f.Allocator.Enabled })
+// lockRetryInterval is how often a lock that another process holds is tried.
+const lockRetryInterval = 200 * time.Millisecond
+
+// Attach brings an allocator into its fleet, before it serves. The function that it returns puts an operator's file
+// that was read again in force; it is called on the goroutine that handles signals.
+type Attach func(
+	server *allocator.Server, operatorConfig *lifecycle.OperatorConfig,
+) (reload func(*lifecycle.OperatorConfig), err error)
+
+// Run starts the allocator that the operator's file configures, and serves until it is told to end. While another
+// process holds the lock file, it waits. It is called on the main goroutine.
+func Run(options lifecycle.Options, attach Attach) error {
+	started, err := lifecycle.StartStandalone(options, "wants the sections [fleet] and [grants]",
+		func(file *config.Operator) bool { return file.Allocator.Enabled })
 	if err != nil {
 		return err
 	}
-	runtime.GOMAXPROCS(2) // one for the gossip's sockets
-	if path := operatorConfig.File.Allocator.LockFile; path != "" {
-		fileLock, err := filelock.Acquire(path, func() bool {
-			select {
-			case <-signals.Terminate:
-				return false
-			case <-time.After(200 * time.Millisecond):
-				return true
-			}
-		})
+	runtime.GOMAXPROCS(lifecycle.AgentProcessors)
+	section, fleet := &started.OperatorConfig.File.Allocator, &started.OperatorConfig.File.Fleet
+	if section.LockFile != "" {
+		lock, err := acquireLock(section.LockFile, started)
 		if err != nil {
 			return err
 		}
-		defer fileLock.Close()
+		defer func() { _ = lock.Close() }() // the kernel releases it in any case
 	}
-	server := allocator.New(operatorConfig.File.Allocator.Config, operatorConfig.File.Fleet.ServiceAddress)
-	reload, err := attach(server, &operatorConfig)
+	server := allocator.New(section.Config, fleet.ServiceAddress)
+	reload, err := attach(server, &started.OperatorConfig)
 	if err != nil {
 		return err
 	}
-	slog.Info("desk", "name", operatorConfig.File.Fleet.Name, "service", operatorConfig.File.Fleet.ServiceAddress, "cap", operatorConfig.File.Allocator.Config.Capacity, "room", operatorConfig.File.Allocator.Config.LeasableCalls())
-	go lifecycle.HandleSignals(signals, configPath, operatorConfig, func() { server.Post(func() { server.Shutdown(shutdownTimeout) }) }, reload)
+	slog.Info("allocator started", "member", fleet.Name, "service", fleet.ServiceAddress,
+		"capacity", section.Config.Capacity, "leasable", section.Config.LeasableCalls())
+	shutdown := func() { server.Post(func() { server.Shutdown(shutdownTimeout) }) }
+	go started.HandleSignals(shutdown, reload)
 	server.Serve()
 	return nil
 }
+
+// acquireLock waits for the lock until the process is told to end.
+func acquireLock(path string, started *lifecycle.Standalone) (io.Closer, error) {
+	return filelock.Acquire(path, func() bool {
+		select {
+		case <-started.Terminated():
+			return false
+		case <-time.After(lockRetryInterval):
+			return true
+		}
+	})
+}
--- a/internal/lifecycle/coordinators/coordinators_test.go
+++ b/internal/lifecycle/coordinators/coordinators_test.go
@@ -20,9 +20,9 @@
 	"lanewheel/internal/statussocket"
 )
 
-var update = flag.Bool("update", false, "write the golden file anew; only where what is shown is meant to change")
+var update = flag.Bool("update", false, "write the golden file again; only where what is shown is meant to change")
 
-// What a steward's status socket shows, a line of JSON, and what is read from it.
+// What a coordinator's status socket shows, a line of JSON, and what is read from it.
 func TestStatusGolden(t *testing.T) {
 	want := gossip.Snapshot{
 		Name: "s0", BootID: "00000000000000ff", Incarnation: 1_700_000_000_001, Zone: "a", Release: "1",
@@ -48,7 +48,7 @@
 	}
 	stored := fake.Must(os.ReadFile(path))
 	if !bytes.Equal(text, stored) {
-		t.Errorf("shown as\n%s\nnow written as\n%s", stored, text)
+		t.Errorf("stored\n%s\nwritten\n%s", stored, text)
 	}
 	// No field is left out.
 	for _, x := range []any{want, want.Members[0]} {
@@ -78,33 +78,42 @@
 	}
 }
 
-// What a steward says of itself in the fleet, by the name that others read.
+// What a coordinator reports of itself, by the name of the metric that others read.
 func TestReportGolden(t *testing.T) {
-	s := fake.Must(coordinator.New(coordinator.Config{Name: "s0", ListenAddr: "127.0.0.1:0", AdvertiseAddr: "127.0.0.1:7373",
-		DataDir: t.TempDir(), Bootstrap: true, HeartbeatTimeout: 300 * time.Millisecond,
-		ClusterKeys: []membership.Key{membership.Key("0123456789abcdef0123456789abcdef")}, Coordination: coordination.DefaultConfig(),
-		Canary: canary.DefaultConfig(), AnalysisWindow: time.Second, SnapshotThreshold: 64}))
-	p := &fleetAdapter{coordinator: s}
+	node := fake.Must(coordinator.New(coordinator.Config{
+		Name:              "s0",
+		ListenAddr:        "127.0.0.1:0",
+		AdvertiseAddr:     "127.0.0.1:7373",
+		DataDir:           t.TempDir(),
+		Bootstrap:         true,
+		HeartbeatTimeout:  300 * time.Millisecond,
+		ClusterKeys:       []membership.Key{membership.Key("0123456789abcdef0123456789abcdef")},
+		Coordination:      coordination.DefaultConfig(),
+		Canary:            canary.DefaultConfig(),
+		AnalysisWindow:    time.Second,
+		SnapshotThreshold: 64,
+	}))
+	process := &fleetProcess{coordinator: node}
+	self := membership.Descriptor{Name: "s0", Incarnation: 1, BootID: 1, Roles: membership.RoleCoordinator}
 	done := make(chan struct{})
 	go func() {
-		s.Serve(alone{membership.NewTable(membership.Descriptor{Name: "s0", Incarnation: 1, BootID: 1, Roles: membership.RoleCoordinator},
-			membership.DefaultConfig(), 0).View()})
+		node.Serve(emptyFleet{membership.NewTable(self, membership.DefaultConfig(), 0).View()})
 		close(done)
 	}()
-	fake.WaitFor("it leads", func() bool { return s.IsLeader() && s.Ready() })
-	p.Status(func(r gossip.ProcessStatus) {
+	fake.WaitFor("it leads", func() bool { return node.IsLeader() && node.Ready() })
+	process.Status(func(status gossip.ProcessStatus) {
 		want := gossip.ProcessStatus{Ready: true, Metrics: []membership.Metric{{Name: "leads", Value: 1}}}
-		if !reflect.DeepEqual(r, want) {
-			t.Errorf("%+v, wanted %+v", r, want)
+		if !reflect.DeepEqual(status, want) {
+			t.Errorf("%+v, want %+v", status, want)
 		}
 	})
-	s.Shutdown()
+	node.Shutdown()
 	<-done
 }
 
-// alone is a fleet of nobody else.
-type alone struct{ view *membership.View }
+// emptyFleet is a fleet without other members.
+type emptyFleet struct{ view *membership.View }
 
-func (a alone) View() *membership.View                                             { return a.view }
-func (a alone) NotifyPermit(membership.Name, membership.Incarnation, uint64, bool) {}
-func (a alone) QueryStats(membership.Name, func(gossip.RequestStats))              {}
+func (f emptyFleet) View() *membership.View                                             { return f.view }
+func (f emptyFleet) NotifyPermit(membership.Name, membership.Incarnation, uint64, bool) {}
+func (f emptyFleet) QueryStats(membership.Name, func(gossip.RequestStats))              {}
--- a/internal/lifecycle/frontends.go
+++ b/internal/lifecycle/frontends.go
@@ -10,8 +10,8 @@
 	"lanewheel/internal/transport"
 )
 
-// attachFrontends starts the further fronts that the operator's file turns on.
-func attachFrontends(instance *server.Server, config server.Config, operatorConfig *OperatorConfig) {
+// attachFrontends starts the further front ends that the operator's file enables.
+func attachFrontends(attachTo *server.Server, config *server.Config, operatorConfig *OperatorConfig) {
 	if !operatorConfig.File.AMQP.Enabled {
 		return
 	}
@@ -20,15 +20,21 @@
 	for _, class := range config.Settings.Classes {
 		queueConfig.IdempotentClasses[class.Name] = class.Idempotency == admission.Idempotent
 	}
-	instance.AddFrontend(amqp.New(queueConfig, instance, instance.Post, config.Seed))
+	attachTo.AddFrontend(amqp.New(queueConfig, attachTo, attachTo.Post, config.Seed))
 }
 
-// tlsListener is the further listener that a file turns on, with what is in force for its handshakes.
+// tlsListener returns the further listener with TLS, nil if none is enabled. Handshakes go by what serverTLS holds when
+// they begin.
 func (o *OperatorConfig) tlsListener(serverTLS *atomic.Pointer[tls.Config]) *transport.TLSListener {
 	if o.serverTLS == nil {
 		return nil
 	}
 	serverTLS.Store(o.serverTLS)
-	t := &o.File.TLS
-	return &transport.TLSListener{Addr: t.ListenAddress, Config: serverTLS.Load, MaxHandshakes: int64(t.MaxHandshakes), HandshakesPerSecond: t.HandshakeRate}
+	section := &o.File.TLS
+	return &transport.TLSListener{
+		Addr:                section.ListenAddress,
+		Config:              serverTLS.Load,
+		MaxHandshakes:       int64(section.MaxHandshakes),
+		HandshakesPerSecond: section.HandshakeRate,
+	}
 }
--- a/internal/lifecycle/instanceconfig.go
+++ b/internal/lifecycle/instanceconfig.go
@@ -16,7 +16,10 @@
 	"lanewheel/internal/settings"
 )
 
-// LoadConfig reads the platform's configuration. The error is a fault.List with all that is wrong.
+// minDescriptors is the least limit on descriptors that an instance works with.
+const minDescriptors = 32
+
+// LoadConfig reads the platform's configuration of an instance. The error is a diagnostic.List with all that is wrong.
 func LoadConfig(path string) (server.Config, error) {
 	if path == "" {
 		return server.Config{}, diagnostic.List{{File: "RELAY_CONFIG", Want: "is not set; wants the path of a configuration"}}
@@ -29,80 +32,140 @@
 	return config, diagnostics.Err()
 }
 
-func parseConfig(path string, text []byte) (config server.Config, diagnostics diagnostic.List) {
+// parseConfig reads a configuration as far as it can be read, and tells all that is wrong with it.
+func parseConfig(path string, text []byte) (server.Config, diagnostic.List) {
 	root, err := fastjson.ParseBytes(text)
 	if err != nil {
-		return config, diagnostic.List{{File: path, Want: err.Error()}}
+		return server.Config{}, diagnostic.List{{File: path, Want: err.Error()}}
 	}
-	var lines map[string]int // worked out once something is wrong
-	report := func(name, want string) {
-		if lines == nil {
-			lines, _ = diagnostic.JSONLines(text)
-		}
-		value := ""
-		if found := root.Get(strings.Split(name, ".")...); found != nil && found.Type() != fastjson.TypeObject {
-			value = strings.Trim(found.String(), `"`)
-		}
-		line, ancestor := lines[name], name
-		for line == 0 && strings.Contains(ancestor, ".") { // what is not there is told with the line of what it is missing in
-			ancestor = ancestor[:strings.LastIndexByte(ancestor, '.')]
-			line = lines[ancestor]
-		}
-		diagnostics = append(diagnostics, diagnostic.Diagnostic{File: path, Line: line, Name: name, Value: value, Want: want})
+	parser := &configParser{path: path, text: text, root: root}
+	parser.readAddresses()
+	parser.readLimits()
+	parser.readSeed()
+	parser.readSettings()
+	return parser.config, parser.diagnostics
+}
+
+// configParser reads one configuration.
+type configParser struct {
+	path        string
+	text        []byte
+	root        *fastjson.Value
+	lines       map[string]int // of names; nil until something is wrong
+	config      server.Config
+	diagnostics diagnostic.List
+}
+
+// report notes what is wrong with a value, by its name in the text. What is absent is reported with the line of
+// what it is missing in.
+func (p *configParser) report(name, want string) {
+	if p.lines == nil {
+		p.lines, _ = diagnostic.JSONLines(p.text) // names that stand twice are no fault here
+	}
+	value := ""
+	found := p.root.Get(strings.Split(name, ".")...)
+	if found != nil && found.Type() != fastjson.TypeObject {
+		value = strings.Trim(found.String(), `"`)
+	}
+	line, ancestor := p.lines[name], name
+	for line == 0 && strings.Contains(ancestor, ".") {
+		ancestor = ancestor[:strings.LastIndexByte(ancestor, '.')]
+		line = p.lines[ancestor]
 	}
-	for _, text := range []struct {
-		name string
-		to   *string
-		may  bool // be absent, null or empty: there is no such party
-	}{{"name", &config.Name, false}, {"listen", &config.ListenAddr, false}, {"runtime", &config.RuntimeAddr, false}, {"db", &config.DatabaseAddr, true},
-		{"roster", &config.RegistryAddr, true}} {
-		found := root.Get(text.name)
-		*text.to = string(root.GetStringBytes(text.name))
-		if *text.to == "" && (!text.may || found != nil && found.Type() != fastjson.TypeNull && found.Type() != fastjson.TypeString) {
-			report(text.name, "wants text")
+	p.diagnostics = append(p.diagnostics, diagnostic.Diagnostic{
+		File: p.path, Line: line, Name: name, Value: value, Want: want,
+	})
+}
+
+// readAddresses reads the name of the instance and the addresses of the others. An optional one that is absent, null or
+// empty says that there is no such party.
+func (p *configParser) readAddresses() {
+	for _, field := range []struct {
+		name     string
+		value    *string
+		optional bool
+	}{
+		{"name", &p.config.Name, false},
+		{"listen", &p.config.ListenAddr, false},
+		{"runtime", &p.config.RuntimeAddr, false},
+		{"db", &p.config.DatabaseAddr, true},
+		{"roster", &p.config.RegistryAddr, true},
+	} {
+		*field.value = string(p.root.GetStringBytes(field.name))
+		mayBeEmpty := field.optional && p.isTextOrAbsent(field.name)
+		if *field.value == "" && !mayBeEmpty {
+			p.report(field.name, "wants text")
 		}
 	}
+}
+
+func (p *configParser) isTextOrAbsent(name string) bool {
+	found := p.root.Get(name)
+	return found == nil || found.Type() == fastjson.TypeNull || found.Type() == fastjson.TypeString
+}
+
+// readLimits reads what the process may use, and how long it has to drain.
+func (p *configParser) readLimits() {
 	for _, limit := range []struct {
-		name string
-		to   *float64
-	}{{"cores", &config.Cores}, {"memory_mb", &config.MemoryMB}} {
-		if *limit.to = root.GetFloat64("limits", limit.name); *limit.to <= 0 {
-			report("limits."+limit.name, "wants a number over 0")
+		name  string
+		value *float64
+	}{
+		{"cores", &p.config.Cores},
+		{"memory_mb", &p.config.MemoryMB},
+	} {
+		*limit.value = p.root.GetFloat64("limits", limit.name)
+		if *limit.value <= 0 {
+			p.report("limits."+limit.name, "wants a number over 0")
 		}
 	}
-	if config.MaxDescriptors = root.GetInt("limits", "sockets"); config.MaxDescriptors < 32 {
-		report("limits.sockets", "wants a number of 32 or more")
+	p.config.MaxDescriptors = p.root.GetInt("limits", "sockets")
+	if p.config.MaxDescriptors < minDescriptors {
+		p.report("limits.sockets", "wants a number of 32 or more")
 	}
-	config.TerminationGrace = time.Duration(root.GetFloat64("stop_ms") * float64(time.Millisecond))
-	seed := string(root.GetStringBytes("seed"))
-	if config.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
-		h := fnv.New64a()
-		h.Write([]byte(seed))
-		config.Seed = h.Sum64()
+	p.config.TerminationGrace = time.Duration(p.root.GetFloat64("stop_ms") * float64(time.Millisecond))
+}
+
+// readSeed reads the seed of random choices. One that is no hexadecimal number, or absent, is hashed: it need not
+// be any.
+func (p *configParser) readSeed() {
+	text := p.root.GetStringBytes("seed")
+	seed, err := strconv.ParseUint(string(text), 16, 64)
+	if err != nil {
+		hash := fnv.New64a()
+		_, _ = hash.Write(text) // never fails
+		seed = hash.Sum64()
 	}
-	settingsObject := root.Get("settings")
-	if settingsObject == nil {
-		report("settings", "wants an object")
-		return config, diagnostics
+	p.config.Seed = seed
+}
+
+// readSettings reads the settings of the admission controller, and what the server needs beside them.
+func (p *configParser) readSettings() {
+	object := p.root.Get("settings")
+	if object == nil {
+		p.report("settings", "wants an object")
+		return
 	}
 	var problems []settings.FieldError
-	if config.Settings, problems = settings.Parse(settingsObject); len(problems) > 0 {
-		for _, problem := range problems {
-			report("settings."+strings.Join(problem.Path, "."), problem.Want)
-		}
+	p.config.Settings, problems = settings.Parse(object)
+	for _, problem := range problems {
+		p.report("settings."+strings.Join(problem.Path, "."), problem.Want)
 	}
-	// Danger: customers whose ops call nothing, or whose calls end at this tier, have no database and are told of none: their instances have to start.
-	// Where calls go somewhere the address is needed, and a configuration without it is cut short.
-	upstream := config.Settings.Upstream
-	calls := upstream != admission.UpstreamUnspecified && upstream != admission.UpstreamNone
-	if config.DatabaseAddr == "" && calls && len(diagnostics) == 0 {
-		name := upstream.String()
-		if upstream == admission.UpstreamUnknown {
-			name = string(settingsObject.GetStringBytes("domain", "below"))
-		}
-		report("db", fmt.Sprintf("wants text, as calls go to what settings.domain.below tells of (%s)", name))
+	p.checkDatabase(object)
+	p.config.GaugeNames = settings.GaugeNames(object)
+	p.config.ReportReadiness = object.GetBool("domain", "readiness")
+}
+
+// checkDatabase reports an address of the database that is absent although calls go there. Where no request makes a
+// call, or calls end at this tier, there is no database, and the instance has to start without.
+func (p *configParser) checkDatabase(object *fastjson.Value) {
+	upstream := p.config.Settings.Upstream
+	callsNothing := upstream == admission.UpstreamUnspecified || upstream == admission.UpstreamNone
+	if p.config.DatabaseAddr != "" || callsNothing || len(p.diagnostics) > 0 {
+		return
+	}
+	name := upstream.String()
+	if upstream == admission.UpstreamUnknown {
+		name = string(object.GetStringBytes("domain", "below"))
 	}
-	config.GaugeNames = settings.GaugeNames(settingsObject)
-	config.ReportReadiness = settingsObject.GetBool("domain", "readiness")
-	return config, diagnostics
+	p.report("db", fmt.Sprintf("wants text, as calls go to what settings.domain.below tells of (%s)", name))
 }
--- a/internal/lifecycle/instanceconfig_test.go
+++ b/internal/lifecycle/instanceconfig_test.go
@@ -13,8 +13,8 @@
 	"lanewheel/internal/server"
 )
 
-// Each field of an instance's configuration, by its stored name, and what it is read as. The settings have a file of
-// their own, beside the package that reads them.
+// Each field of an instance's configuration, by its stored name, and what it is read as. The settings have a golden
+// file of their own, beside the package that reads them.
 func TestGoldenConfiguration(t *testing.T) {
 	text, err := os.ReadFile("testdata/config.json")
 	if err != nil {
@@ -42,7 +42,9 @@
 			MaxRetryAfter: 1750 * ms,
 			Tick:          2 * ms,
 		},
-		GaugeNames:      []admission.Gauge{admission.GaugeBusyCores, admission.GaugeRunnable, admission.GaugeUsedMemory, admission.GaugeConnections},
+		GaugeNames: []admission.Gauge{
+			admission.GaugeBusyCores, admission.GaugeRunnable, admission.GaugeUsedMemory, admission.GaugeConnections,
+		},
 		ReportReadiness: true,
 	}
 	for _, tc := range []struct {
@@ -64,7 +66,7 @@
 			}
 		})
 	}
-	// All that is wanted is asked for by its stored name.
+	// All that is required is reported by its stored name.
 	_, diagnostics := parseConfig("config.json", []byte("{}"))
 	var names []string
 	for _, f := range diagnostics {
@@ -82,18 +84,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, faults := parseConfig("config.json", []byte(strings.Replace(string(text), `"db"`, `"was-db"`, 1)))
-	if len(faults) != 1 || faults[0].Name != "db" {
-		t.Errorf("without a database: %v, want db", faults)
+	_, diagnostics := parseConfig("config.json", []byte(strings.Replace(string(text), `"db"`, `"was-db"`, 1)))
+	if len(diagnostics) != 1 || diagnostics[0].Name != "db" {
+		t.Errorf("without a database: %v, want db", diagnostics)
 	}
 	without := strings.NewReplacer(`"db"`, `"was-db"`, `"next_hop"`, `"silent"`, `"roster"`, `"was-roster"`)
-	if _, faults = parseConfig("config.json", []byte(without.Replace(string(text)))); len(faults) > 0 {
-		t.Errorf("nothing below and no registry: %v", faults)
+	if _, diagnostics = parseConfig("config.json", []byte(without.Replace(string(text)))); len(diagnostics) > 0 {
+		t.Errorf("no calls and no registry: %v", diagnostics)
 	}
 	broken := strings.Replace(string(text), `"cpus":2`, `"cpus":"two"`, 1)
-	_, faults = parseConfig("config.json", []byte(broken))
-	if len(faults) != 1 || faults[0].Name != "settings.domain.cpus" || faults[0].Line != 6 {
-		t.Errorf("a wrong setting: %v, want settings.domain.cpus in line 6", faults)
+	_, diagnostics = parseConfig("config.json", []byte(broken))
+	if len(diagnostics) != 1 || diagnostics[0].Name != "settings.domain.cpus" || diagnostics[0].Line != 6 {
+		t.Errorf("a wrong setting: %v, want settings.domain.cpus in line 6", diagnostics)
 	}
 	var list diagnostic.List
 	if _, err = LoadConfig(""); !errors.As(err, &list) || len(list) != 1 || list[0].File != "RELAY_CONFIG" {
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,4 +1,9 @@
-// Package lifecycle is the start and the stop of a service instance.
+// Package lifecycle starts, reloads, drains and stops a service instance: it reads the configuration and the operator's
+// file, puts the parts together and carries out what signals ask for. The packages below it do the same for the other
+// processes of a fleet.
+//
+// Run, and Run of the packages below, are called on the main goroutine. What signals ask for is carried out on one
+// of its own, which reaches a running server by its Post alone.
 package lifecycle
 
 import (
@@ -15,70 +20,95 @@
 	"lanewheel/internal/server"
 )
 
-// Run starts the instance that the configuration at path and the operator's file, if one is named, tell of, and serves
-// until it is told to go. format is text or json; empty, the operator's file says.
-func Run(configPath, operatorPath, logFormat string) error {
+// Options is what a process is started with.
+type Options struct {
+	ConfigPath   string         // of the platform's configuration, JSON
+	OperatorPath string         // of the operator's file, INI; empty: none
+	LogFormat    logging.Format // empty: the operator's file says
+}
+
+// Run starts an instance and serves until it has drained. joinFleet is nil in a program that has no parts of a fleet
+// linked. The error is a diagnostic.List if a file is wrong, ErrFleetNotLinked, or why something could not be opened.
+func Run(options Options, joinFleet FleetJoiner) error {
 	signals := notifySignals()
-	logging.Setup(os.Stderr, logging.Format(logFormat))
-	config, err := LoadConfig(configPath)
+	logging.Setup(os.Stderr, options.LogFormat)
+	config, err := LoadConfig(options.ConfigPath)
 	if err != nil {
 		return err
 	}
-	operatorConfig, err := LoadOperatorConfig(operatorPath)
+	operatorConfig, err := LoadOperatorConfig(options.OperatorPath)
 	if err != nil {
 		return err
 	}
 	needsFleet := operatorConfig.File.Fleet.Enabled || operatorConfig.File.Upstream.Enabled
-	if needsFleet && JoinFleet == nil {
+	if needsFleet && joinFleet == nil {
 		return ErrFleetNotLinked
 	}
-	if logFormat == "" {
-		logging.Setup(os.Stderr, logging.Format(operatorConfig.File.Log.Format))
-	}
-	// One processor for each core told, and no more: a second one on a part of a core wakes and sleeps for each message.
-	processors := int(math.Ceil(config.Cores))
-	// A further front waits for its sockets otherwise than the poller does, which keeps a processor for up to 10 ms while it waits:
-	// with one alone the 99th percentile of stubs' ops under a flood of messages is 7.3 ms instead of 4.5.
+	options.setLogFormat(&operatorConfig)
+	otherPollers := 0
 	if operatorConfig.File.AMQP.Enabled {
-		processors++
+		otherPollers = 1
 	}
-	runtime.GOMAXPROCS(processors)
-	// Half the limit: the rest is for what the kernel and the binary itself take.
-	debug.SetMemoryLimit(int64(config.MemoryMB * (1 << 19)))
-	reload := &reloader{configPath: configPath, operatorPath: operatorPath, operatorConfig: operatorConfig, pause: func() { time.Sleep(stableFor) }}
-	config.Authn, config.TLS = operatorConfig.Authn, operatorConfig.tlsListener(&reload.serverTLS)
-	if reload.server, err = openServer(config, signals.Terminate); reload.server == nil {
+	SetRuntimeLimits(&config, otherPollers)
+	reload := newReloader(options, operatorConfig)
+	config.Authn = operatorConfig.Authn
+	config.TLS = operatorConfig.tlsListener(&reload.serverTLS)
+	reload.server, err = openServer(config, signals.terminate)
+	if reload.server == nil {
 		return err
 	}
-	attachFrontends(reload.server, config, &operatorConfig)
+	attachFrontends(reload.server, &config, &operatorConfig)
 	if needsFleet {
-		if reload.reloadFleet, err = JoinFleet(reload.server, config, &operatorConfig); err != nil {
+		reload.reloadFleet, err = joinFleet(reload.server, config, &operatorConfig)
+		if err != nil {
 			return err
 		}
 	}
 	go reload.handleSignals(signals)
 	slog.Info("listening", "name", config.Name, "addr", config.ListenAddr)
 	if operatorConfig.serverTLS != nil {
-		slog.Info("listening", "name", config.Name, "addr", operatorConfig.File.TLS.ListenAddress, "tls", operatorConfig.File.TLS.MinVersion)
+		listener := &operatorConfig.File.TLS
+		slog.Info("listening", "name", config.Name, "addr", listener.ListenAddress, "tls", listener.MinVersion)
 	}
 	reload.server.Serve()
 	return nil
 }
 
-// openServer makes the instance. Danger: one that is started anew, while the last moments of the life before it still hold the address, ends at once, and
-// its platform counts that as a crash. The address is tried for again for some seconds, longer than a drain's last steps; the notice to leave
-// ends that, and there is no instance then and no error.
+// setLogFormat has the log follow the operator's file, unless a format was given.
+func (o *Options) setLogFormat(operatorConfig *OperatorConfig) {
+	if o.LogFormat == "" {
+		logging.Setup(os.Stderr, logging.Format(operatorConfig.File.Log.Format))
+	}
+}
+
+// SetRuntimeLimits limits Go's processors and heap by the cores and the memory of a configuration. There are as
+// many processors as cores, rounded up: a further one on a part of a core would wake and sleep for each message.
+// otherPollers counts the parts whose sockets do not wait in the poller, as each keeps a processor for a while when
+// it waits. Half of the memory is left to the kernel and the binary.
+func SetRuntimeLimits(config *server.Config, otherPollers int) {
+	const heapBytesPerMB = 1 << 19
+	runtime.GOMAXPROCS(int(math.Ceil(config.Cores)) + otherPollers)
+	debug.SetMemoryLimit(int64(config.MemoryMB * heapBytesPerMB))
+}
+
+const (
+	addressTimeout       = 3 * time.Second // longer than the last steps of a drain
+	addressRetryInterval = 20 * time.Millisecond
+)
+
+// openServer returns a server that listens. While its address is in use it tries again, as the process that it replaces
+// may still be in the last moments of its drain. It returns neither a server nor an error if the process is told to end
+// meanwhile.
 func openServer(config server.Config, terminate <-chan os.Signal) (*server.Server, error) {
-	const addressTimeout, retryInterval = 3 * time.Second, 20 * time.Millisecond
 	for began := time.Now(); ; {
-		instance, err := server.New(config)
+		opened, err := server.New(config)
 		if !errors.Is(err, syscall.EADDRINUSE) || time.Since(began) > addressTimeout {
-			return instance, err
+			return opened, err
 		}
 		select {
 		case <-terminate:
 			return nil, nil
-		case <-time.After(retryInterval):
+		case <-time.After(addressRetryInterval):
 		}
 	}
 }
--- a/internal/lifecycle/operatorconfig.go
+++ b/internal/lifecycle/operatorconfig.go
@@ -9,55 +9,72 @@
 	"lanewheel/internal/membership"
 )
 
-// OperatorConfig is an operator's file with all that it names, read and checked whole.
+// OperatorConfig is an operator's file with all the files that it names, read and checked whole. It is not changed
+// after it was read.
 type OperatorConfig struct {
-	File      config.Operator
-	Authn     *authn.Config // nil: all may do everything
-	serverTLS *tls.Config   // nil: no listener with TLS
-
+	File        config.Operator
+	Authn       *authn.Config    // nil: every caller may do everything
 	ClusterKeys []membership.Key // the first is the one to write with
-	digest      [sha256.Size]byte
+
+	serverTLS *tls.Config // nil: no listener with TLS
+	digest    digest      // of all files
 }
 
-// LoadOperatorConfig reads an operator's file and the keys, certificates and lists that it names. Whatever is wrong is the error; then
-// nothing of it counts.
-func LoadOperatorConfig(path string) (operatorConfig OperatorConfig, err error) {
-	digest := fileDigest{sha256.New()}
+// digest tells apart what was read at two times.
+type digest [sha256.Size]byte
+
+// LoadOperatorConfig reads an operator's file and the keys, certificates and lists that it names. An empty path is
+// a file that enables nothing. The error is a diagnostic.List, or why a folder could not be read.
+func LoadOperatorConfig(path string) (OperatorConfig, error) {
 	if path == "" {
-		operatorConfig.File, err = config.Load(path)
-		return operatorConfig, err
+		file, err := config.Load(path)
+		return OperatorConfig{File: file}, err
 	}
-	text, err := digest.readFile(path)
+	files := newFileReader()
+	loaded, err := files.readOperatorConfig(path)
 	if err != nil {
-		return operatorConfig, err
+		return loaded, err
 	}
-	if operatorConfig.File, err = config.Parse(path, text); err != nil {
-		return operatorConfig, err
+	loaded.digest = files.digest()
+	return loaded, nil
+}
+
+// readOperatorConfig reads an operator's file and all that it names.
+func (r *fileReader) readOperatorConfig(path string) (loaded OperatorConfig, err error) {
+	text, err := r.readFile(path)
+	if err != nil {
+		return loaded, err
 	}
-	file := &operatorConfig.File
-	if file.Callers.Enabled {
-		operatorConfig.Authn = &authn.Config{Policy: file.Callers.Policy, MaxRateEntries: file.Callers.MaxRateEntries}
+	if loaded.File, err = config.Parse(path, text); err != nil {
+		return loaded, err
 	}
-	if file.Tokens.Enabled {
-		if err := digest.readTokens(&file.Tokens, operatorConfig.Authn); err != nil {
-			return operatorConfig, err
-		}
+	file := &loaded.File
+	if file.Callers.Enabled {
+		loaded.Authn = &authn.Config{Policy: file.Callers.Policy, MaxRateEntries: file.Callers.MaxRateEntries}
 	}
-	if file.TLS.Enabled {
-		if operatorConfig.serverTLS, err = digest.readServerTLS(&file.TLS, operatorConfig.Authn); err != nil {
-			return operatorConfig, err
+	for _, section := range []struct {
+		enabled bool
+		read    func(*OperatorConfig) error
+	}{
+		{file.Tokens.Enabled, r.readTokens},
+		{file.TLS.Enabled, r.readServerTLS},
+		{file.Fleet.Enabled, r.readFleet},
+		{file.AMQP.Enabled, r.readAMQP},
+	} {
+		if !section.enabled {
+			continue
 		}
-	}
-	if file.Fleet.Enabled {
-		if err := digest.readFleet(&operatorConfig); err != nil {
-			return operatorConfig, err
+		if err := section.read(&loaded); err != nil {
+			return loaded, err
 		}
 	}
-	if file.AMQP.Enabled {
-		if err := digest.readAMQP(&operatorConfig); err != nil {
-			return operatorConfig, err
-		}
+	return loaded, nil
+}
+
+// keyCount is how many keys tokens are checked with.
+func (o *OperatorConfig) keyCount() int {
+	if o.Authn == nil {
+		return 0
 	}
-	digest.Sum(operatorConfig.digest[:0])
-	return operatorConfig, nil
+	return len(o.Authn.KeySet.Keys())
 }
--- a/internal/lifecycle/operatorfiles.go
+++ b/internal/lifecycle/operatorfiles.go
@@ -1,6 +1,7 @@
 package lifecycle
 
 import (
+	"crypto/sha256"
 	"crypto/tls"
 	"crypto/x509"
 	"fmt"
@@ -11,7 +12,6 @@
 	"strings"
 	"time"
 
-	"lanewheel/internal/authn"
 	"lanewheel/internal/certs"
 	"lanewheel/internal/config"
 	"lanewheel/internal/diagnostic"
@@ -19,141 +19,170 @@
 	"lanewheel/internal/tokens"
 )
 
-// fileDigest goes by the bytes of all that was read.
-type fileDigest struct{ hash.Hash }
+// fileReader reads the files that an operator's file names, and takes a digest of all that it reads.
+type fileReader struct{ hash hash.Hash }
 
-func (s fileDigest) readFile(path string) ([]byte, error) {
+func newFileReader() *fileReader { return &fileReader{sha256.New()} }
+
+func (r *fileReader) digest() (sum digest) {
+	r.hash.Sum(sum[:0])
+	return sum
+}
+
+// add takes a file into the digest. A hash never fails.
+func (r *fileReader) add(name string, text []byte) {
+	_, _ = fmt.Fprintf(r.hash, "%q%d:", name, len(text))
+	_, _ = r.hash.Write(text)
+}
+
+func (r *fileReader) readFile(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, diagnostic.List{{File: path, Want: "can't be read: " + err.Error()}}
 	}
-	fmt.Fprintf(s, "%q%d:", path, len(text))
-	s.Write(text)
+	r.add(path, text)
 	return text, nil
 }
 
-// readTokens reads the keys and the list of what was taken back.
-func (s fileDigest) readTokens(t *config.Tokens, authnConfig *authn.Config) error {
-	files, err := keyring.ReadFolder(t.KeyDir)
+// readTokens reads the keys that tokens are checked with, and the list of revoked tokens.
+func (r *fileReader) readTokens(loaded *OperatorConfig) error {
+	section := &loaded.File.Tokens
+	files, err := keyring.ReadFolder(section.KeyDir)
 	if err != nil {
 		return err
 	}
 	for _, name := range slices.Sorted(maps.Keys(files)) {
-		fmt.Fprintf(s, "%q%d:", name, len(files[name]))
-		s.Write(files[name])
+		r.add(name, files[name])
 	}
-	if authnConfig.KeySet, err = keyring.ParseSet(files); err != nil {
+	if loaded.Authn.KeySet, err = keyring.ParseSet(files); err != nil {
 		return err
 	}
-	authnConfig.KeyDir, authnConfig.TokenPolicy, authnConfig.TokenLimits = t.KeyDir, &t.Policy, t.Limits
-	if t.RevocationFile == "" {
+	loaded.Authn.KeyDir = section.KeyDir
+	loaded.Authn.TokenPolicy = &section.Policy
+	loaded.Authn.TokenLimits = section.Limits
+	if section.RevocationFile == "" {
 		return nil
 	}
-	text, err := s.readFile(t.RevocationFile)
+	text, err := r.readFile(section.RevocationFile)
 	if err != nil {
 		return err
 	}
-	list, line := tokens.ParseRevocations(string(text))
+	revoked, line := tokens.ParseRevocations(string(text))
 	if line > 0 {
-		return diagnostic.List{{File: t.RevocationFile, Line: line, Want: `wants "jti ID" or "sub SUBJECT"`}}
+		return diagnostic.List{{File: section.RevocationFile, Line: line, Want: `wants "jti ID" or "sub SUBJECT"`}}
 	}
-	authnConfig.RevokedTokens = list
+	loaded.Authn.RevokedTokens = revoked
 	return nil
 }
 
-// readServerTLS reads what the listener with TLS needs.
-func (s fileDigest) readServerTLS(t *config.TLS, authnConfig *authn.Config) (*tls.Config, error) {
-	cert, err := s.readFile(t.CertificateFile)
+// readKeyPair reads a certificate and its key. What is wrong with them is told without what stands in the key's file.
+func (r *fileReader) readKeyPair(certificatePath, keyPath string) (tls.Certificate, error) {
+	certificate, err := r.readFile(certificatePath)
 	if err != nil {
-		return nil, err
+		return tls.Certificate{}, err
 	}
-	key, err := s.readFile(t.KeyFile)
+	key, err := r.readFile(keyPath)
 	if err != nil {
-		return nil, err
+		return tls.Certificate{}, err
 	}
-	certificate, err := tls.X509KeyPair(cert, key)
-	if err != nil { // never what stands in the key's file
-		return nil, diagnostic.List{{File: t.CertificateFile, Want: "can't be used with " + t.KeyFile + ": " + err.Error()}}
+	pair, err := tls.X509KeyPair(certificate, key)
+	if err != nil {
+		want := "can't be used with " + keyPath + ": " + err.Error()
+		return tls.Certificate{}, diagnostic.List{{File: certificatePath, Want: want}}
 	}
-	serverConfig := &tls.Config{Certificates: []tls.Certificate{certificate}, MinVersion: tls.VersionTLS13}
-	if t.MinVersion == "1.2" {
-		serverConfig.MinVersion = tls.VersionTLS12
+	return pair, nil
+}
+
+// readServerTLS reads the certificates of the listener with TLS.
+func (r *fileReader) readServerTLS(loaded *OperatorConfig) error {
+	section := &loaded.File.TLS
+	pair, err := r.readKeyPair(section.CertificateFile, section.KeyFile)
+	if err != nil {
+		return err
 	}
-	if t.AuthoritiesFile == "" {
-		authnConfig.TrustStore, err = nil, nil
-		return serverConfig, nil
+	serverTLS := &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS13}
+	if section.MinVersion == "1.2" {
+		serverTLS.MinVersion = tls.VersionTLS12
 	}
-	authorities, err := s.readFile(t.AuthoritiesFile)
+	if section.AuthoritiesFile != "" {
+		if err := r.readTrustStore(loaded); err != nil {
+			return err
+		}
+		serverTLS.ClientCAs = loaded.Authn.TrustStore.Roots()
+		// The chain is verified by package certs, as it is again and again later.
+		serverTLS.ClientAuth = tls.RequestClientCert
+		if section.RequireClientCertificate {
+			serverTLS.ClientAuth = tls.RequireAnyClientCert
+		}
+	}
+	loaded.serverTLS = serverTLS
+	return nil
+}
+
+// readTrustStore reads the authorities of client certificates and their revocation lists.
+func (r *fileReader) readTrustStore(loaded *OperatorConfig) error {
+	section := &loaded.File.TLS
+	authorities, err := r.readFile(section.AuthoritiesFile)
 	if err != nil {
-		return nil, err
+		return err
 	}
 	var lists []byte
-	if t.RevocationFile != "" {
-		if lists, err = s.readFile(t.RevocationFile); err != nil {
-			return nil, err
+	if section.RevocationFile != "" {
+		if lists, err = r.readFile(section.RevocationFile); err != nil {
+			return err
 		}
 	}
-	if authnConfig.TrustStore, err = certs.NewTrustStore(authorities, lists, t.RevocationGrace, t.AllowStaleRevocations, time.Now()); err != nil {
-		return nil, diagnostic.List{{File: t.AuthoritiesFile, Want: err.Error()}}
+	store, err := certs.NewTrustStore(
+		authorities, lists, section.RevocationGrace, section.AllowStaleRevocations, time.Now())
+	if err != nil {
+		return diagnostic.List{{File: section.AuthoritiesFile, Want: err.Error()}}
 	}
-	serverConfig.ClientCAs = authnConfig.TrustStore.Roots()
-	serverConfig.ClientAuth = tls.RequestClientCert // the chain is followed by certs, as it is again and again later
-	if t.RequireClientCertificate {
-		serverConfig.ClientAuth = tls.RequireAnyClientCert
+	loaded.Authn.TrustStore = store
+	return nil
+}
+
+// readFleet reads the keys of the fleet's messages.
+func (r *fileReader) readFleet(loaded *OperatorConfig) error {
+	path := loaded.File.Fleet.KeyFile
+	text, err := r.readFile(path)
+	if err != nil {
+		return err
 	}
-	return serverConfig, nil
+	loaded.ClusterKeys, err = config.ParseClusterKeys(path, text)
+	return err
 }
 
-// readAMQP reads what the front for messages needs beside the operator's file.
-func (s fileDigest) readAMQP(operatorConfig *OperatorConfig) error {
-	a := &operatorConfig.File.AMQP
-	if a.LoginFile != "" {
-		text, err := s.readFile(a.LoginFile)
+// readAMQP reads the login and the certificates for the broker.
+func (r *fileReader) readAMQP(loaded *OperatorConfig) error {
+	section := &loaded.File.AMQP
+	if section.LoginFile != "" {
+		text, err := r.readFile(section.LoginFile)
 		if err != nil {
 			return err
 		}
-		a.Config.Login = strings.TrimSpace(string(text))
-		if !strings.Contains(a.Config.Login, ":") {
-			return diagnostic.List{{File: a.LoginFile, Want: "wants user:password"}} // never what stands in it
+		section.Config.Login = strings.TrimSpace(string(text))
+		if !strings.Contains(section.Config.Login, ":") { // told without what stands in the file
+			return diagnostic.List{{File: section.LoginFile, Want: "wants user:password"}}
 		}
 	}
-	tlsConfig := &tls.Config{MinVersion: tls.VersionTLS12}
-	if a.AuthoritiesFile != "" {
-		text, err := s.readFile(a.AuthoritiesFile)
+	brokerTLS := &tls.Config{MinVersion: tls.VersionTLS12}
+	if section.AuthoritiesFile != "" {
+		text, err := r.readFile(section.AuthoritiesFile)
 		if err != nil {
 			return err
 		}
-		tlsConfig.RootCAs = x509.NewCertPool()
-		if !tlsConfig.RootCAs.AppendCertsFromPEM(text) {
-			return diagnostic.List{{File: a.AuthoritiesFile, Want: "wants certificates in PEM"}}
+		brokerTLS.RootCAs = x509.NewCertPool()
+		if !brokerTLS.RootCAs.AppendCertsFromPEM(text) {
+			return diagnostic.List{{File: section.AuthoritiesFile, Want: "wants certificates in PEM"}}
 		}
 	}
-	if a.CertificateFile != "" {
-		cert, err := s.readFile(a.CertificateFile)
-		if err != nil {
-			return err
-		}
-		key, err := s.readFile(a.KeyFile)
+	if section.CertificateFile != "" {
+		pair, err := r.readKeyPair(section.CertificateFile, section.KeyFile)
 		if err != nil {
 			return err
 		}
-		certificate, err := tls.X509KeyPair(cert, key)
-		if err != nil {
-			return diagnostic.List{{File: a.CertificateFile, Want: "can't be used with " + a.KeyFile + ": " + err.Error()}}
-		}
-		tlsConfig.Certificates = []tls.Certificate{certificate}
+		brokerTLS.Certificates = []tls.Certificate{pair}
 	}
-	a.Config.TLS = tlsConfig
+	section.Config.TLS = brokerTLS
 	return nil
 }
-
-// readFleet reads what the part needs beside the operator's file.
-func (s fileDigest) readFleet(operatorConfig *OperatorConfig) error {
-	path := operatorConfig.File.Fleet.KeyFile
-	text, err := s.readFile(path)
-	if err != nil {
-		return err
-	}
-	operatorConfig.ClusterKeys, err = config.ParseClusterKeys(path, text)
-	return err
-}
--- a/internal/lifecycle/proxies/proxies.go
+++ b/internal/lifecycle/proxies/proxies.go
@@ -1,11 +1,8 @@
-// Package proxies is the start and the stop of a relay.
+// Package proxies starts and stops a proxy, the process that forwards requests to the instances of a fleet.
 package proxies
 
 import (
 	"log/slog"
-	"math"
-	"runtime"
-	"runtime/debug"
 	"time"
 
 	"lanewheel/internal/config"
@@ -14,30 +11,35 @@
 	"lanewheel/internal/server"
 )
 
-// Join brings a relay into its fleet: it gives the relay, which listens, and what takes an operator's file that was read anew.
-type Join func(config server.Config, o *lifecycle.OperatorConfig) (r *proxy.Proxy, reload func(*lifecycle.OperatorConfig), err error)
+// lastMessageDelay is how long the gossip's last message takes to leave the process.
+const lastMessageDelay = 10 * time.Millisecond
 
-// Run starts the relay that the configuration at path and the operator's file tell of, and passes ops on until it is told to go.
-func Run(platformPath, operatorPath, logFormat string, join Join) error {
-	signals, operatorConfig, err := lifecycle.StartStandalone(operatorPath, logFormat, "wants the sections [fleet] and [relay]", func(file *config.Operator) bool { return file.Fleet.Enabled && file.Proxy.Enabled })
+// Join returns a proxy that listens and is in its fleet. The function that it returns puts an operator's file that
+// was read again in force; it is called on the goroutine that handles signals.
+type Join func(
+	config server.Config, operatorConfig *lifecycle.OperatorConfig,
+) (joined *proxy.Proxy, reload func(*lifecycle.OperatorConfig), err error)
+
+// Run starts the proxy that the platform's configuration and the operator's file configure, and forwards requests
+// until it has drained. It is called on the main goroutine.
+func Run(options lifecycle.Options, join Join) error {
+	started, err := lifecycle.StartStandalone(options, "wants the sections [fleet] and [relay]",
+		func(file *config.Operator) bool { return file.Fleet.Enabled && file.Proxy.Enabled })
 	if err != nil {
 		return err
 	}
-	platform, err := lifecycle.LoadConfig(platformPath)
+	platform, err := lifecycle.LoadConfig(options.ConfigPath)
 	if err != nil {
 		return err
 	}
-	// One processor more than cores: the gossip's sockets wait elsewhere than in the poller, as a further front's of an instance.
-	runtime.GOMAXPROCS(int(math.Ceil(platform.Cores)) + 1)
-	debug.SetMemoryLimit(int64(platform.MemoryMB * (1 << 19)))
-	proxy, reload, err := join(platform, &operatorConfig)
+	lifecycle.SetRuntimeLimits(&platform, 1) // the gossip's sockets do not wait in the poller
+	joined, reload, err := join(platform, &started.OperatorConfig)
 	if err != nil {
 		return err
 	}
-	slog.Info("listening", "name", platform.Name, "addr", platform.ListenAddr, "relay", true)
-	go lifecycle.HandleSignals(signals, operatorPath, operatorConfig, func() { proxy.Post(proxy.Drain) }, reload)
-	proxy.Serve()
-	// The last answers lie in the kernel's hands by now; a moment for the gossip's last word.
-	time.Sleep(10 * time.Millisecond)
+	slog.Info("listening", "name", platform.Name, "addr", platform.ListenAddr, "role", "proxy")
+	go started.HandleSignals(func() { joined.Post(joined.Drain) }, reload)
+	joined.Serve()
+	time.Sleep(lastMessageDelay) // the last responses are the kernel's to send by now
 	return nil
 }
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -10,108 +10,133 @@
 	"lanewheel/internal/server"
 )
 
-// reloader keeps a running instance on what its files say.
+// Before a reload that failed is tried again: a file takes far less to write than the first, a person far more.
+const (
+	minReloadRetry = 50 * time.Millisecond
+	maxReloadRetry = 5 * time.Second
+)
+
+// stabilityDelay is how long files have to stay as they are before they count: longer than a program takes between two
+// writes.
+const stabilityDelay = 20 * time.Millisecond
+
+// Log messages of a reload, of an instance and of a standalone process.
+const (
+	reloadFailedMessage = "reload failed, configuration kept"
+	reloadedMessage     = "operator configuration reloaded"
+)
+
+// reloader has a running server go by its files as they are now. Owned by the goroutine of handleSignals, but for
+// serverTLS, which handshakes read.
 type reloader struct {
 	server         *server.Server
-	configPath     string         // of the configuration
-	operatorPath   string         // of the operator's file, empty if there is none
-	operatorConfig OperatorConfig // what is in force of it
+	configPath     string
+	operatorPath   string         // empty: no operator's file
+	operatorConfig OperatorConfig // in force
+	reloadFleet    func(*OperatorConfig)
 	serverTLS      atomic.Pointer[tls.Config]
-	pause          func()                // between two readings: for as long as still
-	reloadFleet    func(*OperatorConfig) // takes the section [fleet] anew; nil where there is none
+	pause          func() // between two readings
 }
 
-// handleSignals carries out what signals ask for: SIGTERM to leave, SIGHUP to go by the files as they are now.
-// Danger: a file that can't be read, or is still being written, must not end or change a running instance. The old ones
-// stay in force and the files are read again, soon and then less and less often.
-func (k *reloader) handleSignals(signals SignalChannels) {
-	const minRetry, maxRetry = 50 * time.Millisecond, 5 * time.Second // a file takes far less to write; a person far more
+func newReloader(options Options, operatorConfig OperatorConfig) *reloader {
+	return &reloader{
+		configPath:     options.ConfigPath,
+		operatorPath:   options.OperatorPath,
+		operatorConfig: operatorConfig,
+		pause:          func() { time.Sleep(stabilityDelay) },
+	}
+}
+
+// handleSignals carries out what signals ask for. It never returns. A file that can't be read, or is being written,
+// must neither end nor change a running instance: the old ones stay in force, and the files are read again, soon
+// and then less and less often. They are read on another goroutine, one reading at a time, so that a disk that
+// hangs does not keep the signal to terminate from the server.
+func (r *reloader) handleSignals(signals signalChannels) {
 	var retry <-chan time.Time
-	var wait time.Duration
+	var wait time.Duration // before the last retry; 0: no reading has failed since the signal
 	wanted, reading := false, false
 	results := make(chan reloadResult, 1)
 	for {
 		select {
-		case <-signals.Terminate:
-			k.server.Post(k.server.Drain)
+		case <-signals.terminate:
+			r.server.Post(r.server.Drain)
 			continue
-		case <-signals.Reload:
-			wanted, wait = true, 0
+		case <-signals.reload:
+			wanted = true
+			wait = 0
 		case <-retry:
 			wanted = true
 		case result := <-results:
 			reading = false
-			err := result.err
-			if err == nil {
-				err = k.apply(result)
-			}
-			if err != nil {
+			if err := r.apply(result); err != nil {
 				if wait == 0 {
-					slog.Warn("configuration-kept", "err", err)
+					slog.Warn(reloadFailedMessage, "err", err)
 				}
-				wait = min(max(2*wait, minRetry), maxRetry)
+				wait = min(max(2*wait, minReloadRetry), maxReloadRetry)
 				retry = time.After(wait)
 			}
 		}
-		// Danger: a disk that hangs would keep the notice to leave from us. Files are read aside, one reading at a time.
 		if wanted && !reading {
-			wanted, reading, retry = false, true, nil
-			go func() { results <- k.read() }()
+			wanted, reading = false, true
+			retry = nil
+			go func() { results <- r.read() }()
 		}
 	}
 }
 
-// reloadResult is what the files say now.
+// reloadResult is what the files say now, or what is wrong with them.
 type reloadResult struct {
 	config         server.Config
 	operatorConfig OperatorConfig
 	err            error
 }
 
-// stableFor is how long files have to stay as they are before they count: some times what a program takes between two writes.
-const stableFor = 20 * time.Millisecond
-
-// read reads all files. Danger: a file that is cut off behind a whole line reads as one that says less. What is still being
-// written is another one a moment later.
-func (k *reloader) read() (result reloadResult) {
-	if result.config, result.err = LoadConfig(k.configPath); result.err != nil || k.operatorPath == "" {
+// read reads all files. The operator's files are read twice: one that is cut off behind a whole line reads as one that
+// says less, and what is being written is different a moment later.
+func (r *reloader) read() (result reloadResult) {
+	if result.config, result.err = LoadConfig(r.configPath); result.err != nil || r.operatorPath == "" {
 		return result
 	}
-	if result.operatorConfig, result.err = LoadOperatorConfig(k.operatorPath); result.err != nil {
+	if result.operatorConfig, result.err = LoadOperatorConfig(r.operatorPath); result.err != nil {
 		return result
 	}
-	k.pause()
-	second, err := LoadOperatorConfig(k.operatorPath)
-	if result.err = err; err == nil && second.digest != result.operatorConfig.digest {
-		result.err = diagnostic.List{{File: k.operatorPath, Want: "or a file it names, is being written"}}
+	r.pause()
+	second, err := LoadOperatorConfig(r.operatorPath)
+	if err == nil && second.digest != result.operatorConfig.digest {
+		err = diagnostic.List{{File: r.operatorPath, Want: "or a file it names, is being written"}}
 	}
+	result.err = err
 	return result
 }
 
 // apply puts in force what was read, all of it or nothing.
-func (k *reloader) apply(result reloadResult) error {
-	if k.operatorPath != "" {
-		if err := result.operatorConfig.checkUnchanged(&k.operatorConfig); err != nil {
+func (r *reloader) apply(result reloadResult) error {
+	if result.err != nil {
+		return result.err
+	}
+	if r.operatorPath != "" {
+		if err := r.applyOperatorConfig(result.operatorConfig); err != nil {
 			return err
 		}
-		k.operatorConfig = result.operatorConfig
-		if result.operatorConfig.serverTLS != nil {
-			k.serverTLS.Store(result.operatorConfig.serverTLS)
-		}
-		k.server.Post(func() { k.server.UpdateAuthn(result.operatorConfig.Authn) })
-		if k.reloadFleet != nil {
-			k.reloadFleet(&result.operatorConfig)
-		}
-		slog.Info("operated", "file", k.operatorPath, "keys", result.operatorConfig.keyCount(), "roles", len(result.operatorConfig.File.Callers.Roles),
-			"callers", len(result.operatorConfig.File.Callers.Bindings))
 	}
-	k.server.Post(func() { k.server.UpdateAddresses(result.config) })
+	r.server.Post(func() { r.server.UpdateAddresses(result.config) })
 	return nil
 }
 
-func (o *OperatorConfig) keyCount() int {
-	if o.Authn == nil {
-		return 0
+func (r *reloader) applyOperatorConfig(operatorConfig OperatorConfig) error {
+	if err := operatorConfig.checkUnchanged(&r.operatorConfig); err != nil {
+		return err
+	}
+	r.operatorConfig = operatorConfig
+	if operatorConfig.serverTLS != nil {
+		r.serverTLS.Store(operatorConfig.serverTLS)
 	}
-	return len(o.Authn.KeySet.Keys())
+	r.server.Post(func() { r.server.UpdateAuthn(operatorConfig.Authn) })
+	if r.reloadFleet != nil {
+		r.reloadFleet(&operatorConfig)
+	}
+	callers := &operatorConfig.File.Callers
+	slog.Info(reloadedMessage, "file", r.operatorPath, "keys", operatorConfig.keyCount(),
+		"roles", len(callers.Roles), "callers", len(callers.Bindings))
+	return nil
 }
--- a/internal/lifecycle/reload_test.go
+++ b/internal/lifecycle/reload_test.go
@@ -5,16 +5,19 @@
 	"os"
 	"path/filepath"
 	"strings"
+
+	"lanewheel/internal/fake"
 )
 
-// A file that is cut off behind a whole line reads as one that says less: what changes between two readings is not taken,
-// nor is what holds from the next start only.
-func Example_beingWritten() {
-	dir, err := os.MkdirTemp("", "life")
-	if err != nil {
-		panic(err)
-	}
-	defer os.RemoveAll(dir)
+const instanceConfig = `{"name":"n","listen":"l","runtime":"r","db":"d","roster":"o",` +
+	`"limits":{"cores":1,"memory_mb":1,"sockets":64},` +
+	`"settings":{"classes":[{"name":"view"}],"domain":{"cpus":1}}}`
+
+// A file that is cut off behind a whole line reads as one that says less: what changes between two readings is not
+// taken, nor is what is taken at the start only.
+func Example_partlyWritten() {
+	dir := fake.Must(os.MkdirTemp("", "lifecycle"))
+	defer func() { _ = os.RemoveAll(dir) }() // the system clears it in any case
 	write := func(name, text string) string {
 		path := filepath.Join(dir, name)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -22,17 +25,15 @@
 		}
 		return path
 	}
-	config := write("config.json", `{"name":"n","listen":"l","runtime":"r","db":"d","roster":"o","limits":{"cores":1,"memory_mb":1,"sockets":64},`+
-		`"settings":{"classes":[{"name":"view"}],"domain":{"cpus":1}}}`)
+	configPath := write("config.json", instanceConfig)
 	const whole = "[role a]\ntypes = view\nmay = read\n[role b]\ntypes = view\nmay = read\n"
-	path := write("op.ini", whole)
-	operatorConfig, err := LoadOperatorConfig(path)
-	if err != nil {
-		panic(err)
-	}
-	reload := &reloader{configPath: config, operatorPath: path, operatorConfig: operatorConfig, pause: func() {}}
+	operatorPath := write("op.ini", whole)
+	operatorConfig := fake.Must(LoadOperatorConfig(operatorPath))
+	reload := newReloader(Options{ConfigPath: configPath, OperatorPath: operatorPath}, operatorConfig)
+	reload.pause = func() {}
 	printResult := func(result reloadResult) {
-		fmt.Println(len(result.operatorConfig.File.Callers.Roles), strings.ReplaceAll(fmt.Sprint(result.err), dir+"/", ""))
+		roles := len(result.operatorConfig.File.Callers.Roles)
+		fmt.Println(roles, strings.ReplaceAll(fmt.Sprint(result.err), dir+"/", ""))
 	}
 	printResult(reload.read())
 	write("op.ini", whole[:len(whole)/2])
--- a/internal/lifecycle/signals.go
+++ b/internal/lifecycle/signals.go
@@ -6,15 +6,20 @@
 	"syscall"
 )
 
-// SignalChannels are what signals ask for. One of each that waits stands for all that come meanwhile.
-type SignalChannels struct{ Terminate, Reload <-chan os.Signal }
+// signalChannels are the signals that a process goes by. Each channel holds one, which stands for all that come
+// until it is taken. They are apart so that many of one kind leave room for the other at a slow start.
+type signalChannels struct {
+	terminate <-chan os.Signal // SIGTERM: drain and end
+	reload    <-chan os.Signal // SIGHUP: go by the files as they are now
+}
 
-// notifySignals has the notices to leave and to read anew come. It is called before all else: untold, either would end us. Danger: notices of
-// one kind that fill the room of the other before anybody takes them, at a slow start; each has its own.
-func notifySignals() SignalChannels {
-	terminate, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
+// notifySignals returns the channels. It is called before all else, as either signal would end the process until
+// then. A reader of the log that is gone must not end it either, so SIGPIPE is ignored.
+func notifySignals() signalChannels {
+	terminate := make(chan os.Signal, 1)
+	reload := make(chan os.Signal, 1)
 	signal.Notify(terminate, syscall.SIGTERM)
 	signal.Notify(reload, syscall.SIGHUP)
-	signal.Ignore(syscall.SIGPIPE) // Danger: whoever read our log is gone, and the next line ends us
-	return SignalChannels{terminate, reload}
+	signal.Ignore(syscall.SIGPIPE)
+	return signalChannels{terminate: terminate, reload: reload}
 }
--- a/internal/lifecycle/standalone.go
+++ b/internal/lifecycle/standalone.go
@@ -9,43 +9,58 @@
 	"lanewheel/internal/logging"
 )
 
-// StartStandalone begins the start of a process beside the instances: the log, the signals, and the operator's file, which has to have what on tells of. want names
-// that for whoever reads why it did not start.
-func StartStandalone(operatorPath, logFormat, want string, enabled func(*config.Operator) bool) (signals SignalChannels, operatorConfig OperatorConfig, err error) {
-	signals = notifySignals()
-	logging.Setup(os.Stderr, logging.Format(logFormat))
-	if operatorConfig, err = LoadOperatorConfig(operatorPath); err != nil {
-		return signals, operatorConfig, err
-	}
-	if !enabled(&operatorConfig.File) {
-		return signals, operatorConfig, diagnostic.List{{File: operatorPath, Want: want}}
+// AgentProcessors is GOMAXPROCS of a process that serves no requests: one is for the sockets of the gossip.
+const AgentProcessors = 2
+
+// Standalone is a process beside the instances that goes by an operator's file: a proxy, an allocator, a coordinator.
+type Standalone struct {
+	OperatorConfig OperatorConfig // at the start
+
+	operatorPath string
+	signals      signalChannels
+}
+
+// StartStandalone sets up the log and the signals, and reads the operator's file, which must have enabled what the
+// process is for. The error is a diagnostic.List; want is what it says of a file that has not.
+func StartStandalone(options Options, want string, enabled func(*config.Operator) bool) (*Standalone, error) {
+	started := &Standalone{operatorPath: options.OperatorPath, signals: notifySignals()}
+	logging.Setup(os.Stderr, options.LogFormat)
+	var err error
+	if started.OperatorConfig, err = LoadOperatorConfig(options.OperatorPath); err != nil {
+		return nil, err
 	}
-	if logFormat == "" {
-		logging.Setup(os.Stderr, logging.Format(operatorConfig.File.Log.Format))
+	if !enabled(&started.OperatorConfig.File) {
+		return nil, diagnostic.List{{File: options.OperatorPath, Want: want}}
 	}
-	return signals, operatorConfig, nil
+	options.setLogFormat(&started.OperatorConfig)
+	return started, nil
 }
 
-// HandleSignals carries out what signals ask of a process beside the instances: leave, or go by the operator's file as it is now. A file that is being
-// written may be wrong for a moment: the old one holds, and the next notice reads it again.
-func HandleSignals(signals SignalChannels, operatorPath string, current OperatorConfig, drain func(), reload func(*OperatorConfig)) {
+// Terminated receives a signal to terminate, until HandleSignals takes them.
+func (s *Standalone) Terminated() <-chan os.Signal { return s.signals.terminate }
+
+// HandleSignals calls drain for a signal to terminate, and reload with the operator's file as it is now for one to
+// reload, on the calling goroutine. It never returns. A file that is being written may be wrong for a moment: the
+// old one holds, and the next signal reads it again.
+func (s *Standalone) HandleSignals(drain func(), reload func(*OperatorConfig)) {
+	current := s.OperatorConfig
 	for {
 		select {
-		case <-signals.Terminate:
+		case <-s.signals.terminate:
 			drain()
 			continue
-		case <-signals.Reload:
+		case <-s.signals.reload:
 		}
-		next, err := LoadOperatorConfig(operatorPath)
+		next, err := LoadOperatorConfig(s.operatorPath)
 		if err == nil {
-			err = checkUnchanged(&next, &current)
+			err = next.checkUnchanged(&current)
 		}
 		if err != nil {
-			slog.Warn("configuration-kept", "err", err)
+			slog.Warn(reloadFailedMessage, "err", err)
 			continue
 		}
 		current = next
 		reload(&next)
-		slog.Info("operated", "file", operatorPath)
+		slog.Info(reloadedMessage, "file", s.operatorPath)
 	}
 }
--- a/internal/lifecycle/unchanged.go
+++ b/internal/lifecycle/unchanged.go
@@ -10,28 +10,43 @@
 	"lanewheel/internal/diagnostic"
 )
 
-// checkUnchanged tells what differs between two files that holds from the next start.
-func checkUnchanged(o, before *OperatorConfig) error { return o.checkUnchanged(before) }
-
-// checkUnchanged tells what differs between two files that holds from the next start. Danger: half of a change in force.
+// checkUnchanged returns a diagnostic.List if a file that was read again differs from the one before in what is
+// taken at the start only. A file is put in force whole or not at all.
 func (o *OperatorConfig) checkUnchanged(before *OperatorConfig) error {
-	fixedSettings := func(o *OperatorConfig) map[string]string {
-		t := &o.File.TLS
-		return map[string]string{"callers": strconv.FormatBool(o.Authn != nil), "tls.listen": t.ListenAddress,
-			"tls.handshakes": strconv.Itoa(t.MaxHandshakes), "tls.handshake-rate": fmt.Sprint(t.HandshakeRate), "log.format": o.File.Log.Format, "amqp": o.File.AMQP.StartupFingerprint(),
-			"fleet": fixedFleetSettings(&o.File.Fleet), "relay": fmt.Sprint(o.File.Proxy),
-			"below": fmt.Sprint(o.File.Upstream), "grants": fmt.Sprint(o.File.Allocator.Enabled, o.File.Allocator.LockFile, o.File.Allocator.Config.UnleasedCalls, o.File.Allocator.Config.MaxProcesses), "handover": fmt.Sprint(o.File.Spillover.Enabled, o.File.Spillover.Config.Config)}
-	}
-	now, then := fixedSettings(o), fixedSettings(before)
+	now, then := o.startSettings(), before.startSettings()
 	for _, name := range slices.Sorted(maps.Keys(now)) {
 		if now[name] != then[name] {
-			return diagnostic.List{{File: o.File.Path, Name: name, Value: now[name], Want: "was " + strconv.Quote(then[name]) + " at the start, and changes with the next one only"}}
+			return diagnostic.List{{
+				File:  o.File.Path,
+				Name:  name,
+				Value: now[name],
+				Want:  "was " + strconv.Quote(then[name]) + " at the start, and changes with the next one only",
+			}}
 		}
 	}
 	return nil
 }
 
-// fixedFleetSettings is all of the section that holds from the start on, as text to compare.
-func fixedFleetSettings(f *config.Fleet) string {
-	return fmt.Sprint(f.Enabled, f.Name, f.Cluster, f.ListenAddress, f.AdvertiseAddress, f.ServiceAddress, f.Roles, f.Zone, f.Release, f.Capacity, f.WarmUp, f.ProbeInterval, f.StatusSocket, f.DrainWhenFenced, f.RequirePermit)
+// startSettings is what is taken at the start only, as text, by the names of sections and keys.
+func (o *OperatorConfig) startSettings() map[string]string {
+	listener, allocator := &o.File.TLS, &o.File.Allocator
+	return map[string]string{
+		"callers":            strconv.FormatBool(o.Authn != nil),
+		"tls.listen":         listener.ListenAddress,
+		"tls.handshakes":     strconv.Itoa(listener.MaxHandshakes),
+		"tls.handshake-rate": fmt.Sprint(listener.HandshakeRate),
+		"log.format":         o.File.Log.Format,
+		"amqp":               o.File.AMQP.StartupFingerprint(),
+		"fleet":              fleetStartSettings(&o.File.Fleet),
+		"relay":              fmt.Sprint(o.File.Proxy),
+		"below":              fmt.Sprint(o.File.Upstream),
+		"grants": fmt.Sprint(allocator.Enabled, allocator.LockFile,
+			allocator.Config.UnleasedCalls, allocator.Config.MaxProcesses),
+		"handover": fmt.Sprint(o.File.Spillover.Enabled, o.File.Spillover.Config.Config),
+	}
+}
+
+func fleetStartSettings(f *config.Fleet) string {
+	return fmt.Sprint(f.Enabled, f.Name, f.Cluster, f.ListenAddress, f.AdvertiseAddress, f.ServiceAddress, f.Roles,
+		f.Zone, f.Release, f.Capacity, f.WarmUp, f.ProbeInterval, f.StatusSocket, f.DrainWhenFenced, f.RequirePermit)
 }
