--- /dev/null
+++ b/cmd/lanewheel/authentication_test.go
@@ -0,0 +1,216 @@
+package main
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	"lanewheel/internal/fake"
+)
+
+// Who may what, by token and by certificate, and each denial said in one word; what is denied never runs.
+func Example_callers() {
+	h := deployWithAuth()
+	defer h.close()
+	s := h.client()
+	water, roads := h.token("k1", "water-1"), h.token("k1", "roads-1")
+	fmt.Println(h.requestAnswer(s, 1, "token", water, "tenant", "water"))
+	fmt.Println(h.requestAnswer(s, 2, "token", water))
+	fmt.Println(h.requestAnswer(s, 3, "token", roads, "tenant", "water"))
+	fmt.Println(h.requestAnswer(s, 4))
+	fmt.Println(h.requestAnswer(s, 5, "token", h.token("k1", "gas-1")))
+	fmt.Println(h.requestAnswer(s, 6, "token", h.token("k1", "water-1", "--for=-1m")))
+	fmt.Println(h.requestAnswer(s, 7, "token", water[:len(water)-8]+"AAAAAAAA"))
+	fmt.Println(h.requestAnswer(s, 8, "token", water, "key", "k")) // a read
+	t := fake.Must(h.dialTLS(h.clientTLS("water-7")))
+	fmt.Println(h.requestAnswer(t, 9, "tenant", "water"), h.requestAnswer(t, 10, "tenant", "roads"))
+	t = fake.Must(h.dialTLS(h.clientTLS("")))
+	fmt.Println(h.requestAnswer(t, 11, "token", water), h.requestAnswer(t, 12))
+	h.sendTerminate()
+	s.Close()
+	t.Close()
+	code, log := h.waitExit()
+	fmt.Println(code, strings.Count(log, "msg=denied"), strings.Contains(log, water))
+	// Output:
+	// done
+	// done
+	// Denied tenant
+	// Denied no-identity
+	// Denied unmapped
+	// Denied expired
+	// Denied signature
+	// done
+	// done Denied tenant
+	// done Denied no-identity
+	// 0 7 false
+}
+
+// Reads of like key are shared within a tenant, never across: another tenant's read runs.
+func Example_sharedWithinTenant() {
+	h := deployWithAuth()
+	defer h.close()
+	h.close()
+	operatorPath = h.path("op.ini")
+	h.deployment = deployReady("FRESH", "5", `"tenants":[]`, `"tenants":[{"name":"water"},{"name":"roads"}]`)
+	operatorPath = ""
+	defer h.close()
+	s := h.client()
+	for i, subject := range []string{"water-1", "water-2", "roads-1"} {
+		s.Send(fake.NewRequest(i+1, "view", fake.RequestID(i+1), nil, "token", h.token("k1", subject), "key", "crew-9", "kb", "1"))
+		if i != 1 {
+			fmt.Println(h.runtime.NextCommand())
+			h.runtime.SendNotice("end", fake.RequestID(i+1), "success", "for "+subject)
+		}
+		fmt.Println(s.NextText())
+	}
+	// Output:
+	// start 1 route view body ""
+	// ['\x01' '\x01' <nil> ["for water-1" map[]]]
+	// ['\x01' '\x02' <nil> ["for water-1" map[]]]
+	// start 3 route view body ""
+	// ['\x01' '\x03' <nil> ["for roads-1" map[]]]
+}
+
+// A key is published before it signs and kept after it stops: an op under the old one is admitted until the told moment, by
+// instances that read it whenever; one under a key that is not read yet leads to a look, without a reload.
+func Example_rotation() {
+	h := deployWithAuth()
+	defer h.close()
+	s := h.client()
+	old := h.token("k1", "water-1")
+	h.runCommand("keys", "new", "--private", h.path("private"), "--id", "k2", "--algorithm", "ES256")
+	h.runCommand("keys", "publish", h.path("private/k2.private"), "--folder", h.path("keys"))
+	fmt.Println(h.requestAnswer(s, 1, "token", h.token("k2", "water-1")), h.requestAnswer(s, 2, "token", old))
+	at := time.Now().Add(1200 * time.Millisecond).Truncate(time.Second).Add(time.Second) // files tell whole seconds
+	h.runCommand("keys", "retire", "k1", "--folder", h.path("keys"), "--at", at.Format(time.RFC3339))
+	h.reloadAndWait()
+	n, wrong := 3, 0
+	for ; time.Now().Before(at.Add(200 * time.Millisecond)); n++ {
+		before := time.Now()
+		said := h.requestAnswer(s, n, "token", old)
+		after := time.Now()
+		if after.Before(at) && said != "done" || !before.Before(at) && said != "Denied retired-key" {
+			wrong++
+		}
+	}
+	fmt.Println("asked", n > 100, "wrong", wrong)
+	h.runCommand("keys", "retire", "k2", "--folder", h.path("keys"), "--now")
+	h.reloadAndWait()
+	fmt.Println(h.requestAnswer(s, n, "token", h.token("k2", "water-1")))
+	// Output:
+	// done done
+	// asked true wrong 0
+	// Denied withdrawn-key
+}
+
+// One identity that sends ten times its rate is nacked with a time to come back; its neighbour feels nothing. An op whose
+// token expires while it is held is answered all the same.
+func Example_rates() {
+	h := deployWithAuth()
+	defer h.close()
+	slow, water := h.token("k1", "slow"), h.token("k1", "water-1")
+	s, other := h.client(), h.client()
+	said := map[string]int{}
+	began := time.Now()
+	n := 0
+	for ; time.Since(began) < 500*time.Millisecond; n += 2 {
+		said["slow "+h.requestAnswer(s, n+1, "token", slow)]++
+		said["water "+h.requestAnswer(other, n+2, "token", water)]++
+	}
+	fmt.Println(said["slow done"] <= 2+11, said["slow done"] >= 8, said["slow Busy <nil>"] > 10, said["water done"]*2 == n)
+	s.Send(fake.NewRequest(9, "view", fake.RequestID(999999), nil, "token", slow), fake.NewRequest(10, "view", fake.RequestID(999998), nil, "token", slow),
+		fake.NewRequest(11, "view", fake.RequestID(999997), nil, "token", slow))
+	heard := ""
+	for range 2 { // at most two of the three are let in
+		heard += s.NextText()
+		h.runtime.SendNotice("end", fake.RequestID(999999), "success", "x")
+		h.runtime.SendNotice("end", fake.RequestID(999998), "success", "x")
+	}
+	fmt.Println(strings.Contains(heard, `["Busy" map["after":`))
+	short := h.token("k1", "water-1", "--for", "1s")
+	s = h.client()
+	s.Send(fake.NewRequest(12, "view", fake.RequestID(12), nil, "token", short, "cost", "1500"))
+	fake.WaitFor("its start", func() bool { return strings.HasPrefix(h.runtime.NextCommand(), "start c ") })
+	fake.WaitFor("its expiry", func() bool { return h.requestAnswer(other, 13, "token", short) == "Denied expired" })
+	h.runtime.SendNotice("end", fake.RequestID(12), "success", "late")
+	fmt.Println(s.NextText())
+	// Output:
+	// true true true true
+	// true
+	// ['\x01' '\f' <nil> ["late" map[]]]
+}
+
+// Ops whose callers leave while a token is being checked, by interrupt and by closing: neither runs, and the ids are free again.
+func Example_goneAtTheDoor() {
+	h := deployWithAuth()
+	defer h.close()
+	fresh := func() string { return h.token("k1", "water-1") }
+	one, two, three := fresh(), fresh(), fresh()
+	s, closed := h.client(), h.client()
+	s.Send(fake.NewRequest(2, "view", fake.RequestID(1), nil, "token", one, "kb", "1"), []any{2, "interrupt", []any{2}})
+	closed.Send(fake.NewRequest(2, "view", fake.RequestID(2), nil, "token", two, "kb", "1"))
+	closed.Close()
+	fake.WaitFor("the end of it", func() bool { return strings.Contains(h.log.text(), "code=peer-closed") })
+	s.Send(fake.NewRequest(3, "view", fake.RequestID(3), nil, "token", three, "kb", "1"))
+	heard := h.runtime.NextCommand()
+	for strings.HasPrefix(heard, "start 2 ") || strings.HasPrefix(heard, "stop 2") { // its check was over before the close came
+		heard = h.runtime.NextCommand()
+	}
+	fmt.Println(heard)
+	h.runtime.SendNotice("end", fake.RequestID(3), "success", "three")
+	fmt.Println(s.NextText())
+	// Output:
+	// start 3 route view body ""
+	// ['\x01' '\x03' <nil> ["three" map[]]]
+}
+
+// Forged tokens end the connections that bring them, while known callers are served.
+func Example_forged() {
+	h := deployWithAuth()
+	defer h.close()
+	good := h.token("k1", "water-1")
+	s := h.client()
+	fmt.Println(h.requestAnswer(s, 1, "token", good))
+	for k := range 5 {
+		bad := h.client()
+		for i := range 40 {
+			if said := h.requestAnswer(bad, i+1, "token", fmt.Sprintf("%s%04d", good[:len(good)-4], 1000*k+i)); said == "closed" {
+				fmt.Print(i, " ")
+				break
+			} else if said != "Denied signature" {
+				panic(said)
+			}
+		}
+	}
+	fmt.Println(h.requestAnswer(s, 2, "token", good))
+	// Output:
+	// done
+	// 8 8 8 8 8 done
+}
+
+// A token of single use is good for one op; the second is a replay.
+func Example_singleUse() {
+	h := deployWithAuth("revoked = revoked.txt", "single-use = yes\nsingle-use-remembered = 2")
+	defer h.close()
+	s := h.client()
+	first := h.token("k1", "water-1", "--jti", "a", "--for", "2s")
+	fmt.Println(h.requestAnswer(s, 1, "token", first), h.requestAnswer(s, 2, "token", first))
+	fmt.Println(h.requestAnswer(s, 3, "token", h.token("k1", "water-1", "--jti", "b")), h.requestAnswer(s, 4, "token", h.token("k1", "water-1", "--jti", "c")))
+	// Output:
+	// done Denied replayed
+	// done Busy <nil>
+}
+
+// With nothing told of callers a token changes nothing, whatever form it has.
+func Example_callersOff() {
+	t := deployReady()
+	defer t.close()
+	s := t.client()
+	s.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil, "token", strings.Repeat("x", 3000)))
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
+	fmt.Println(s.NextText())
+	// Output:
+	// start 1 route view body ""
+	// ['\x01' '\x01' <nil> ["one" map[]]]
+}
--- /dev/null
+++ b/cmd/lanewheel/certificates_test.go
@@ -0,0 +1,114 @@
+package main
+
+import (
+	"crypto/tls"
+	"fmt"
+	"net"
+	"os"
+	"slices"
+	"strings"
+	"time"
+
+	"lanewheel/internal/fake"
+)
+
+// A certificate is taken back while an op is open on its connection: the op gets its answer, the next is denied unrun, the
+// connection ends, and neither a new handshake nor a resumed session gets in. Others go on.
+func Example_takenBack() {
+	h := deployWithAuth()
+	defer h.close()
+	h.runCommand("cert", "issue", h.path("water-8"), "--authority", h.path("ca"), "--uri", "rota://water/8")
+	c := h.clientTLS("water-7")
+	s := fake.Must(h.dialTLS(c))
+	fmt.Println(h.requestAnswer(s, 1))
+	again := fake.Must(h.dialTLS(c))
+	fmt.Println("resumed", again.Conn.(*tls.Conn).ConnectionState().DidResume, h.requestAnswer(again, 2))
+	other := fake.Must(h.dialTLS(h.clientTLS("water-8")))
+	s.Send(fake.NewRequest(3, "view", fake.RequestID(3), nil, "kb", "1"))
+	fmt.Println(h.runtime.NextCommand())
+	h.runCommand("cert", "revoke", h.path("water-7.pem"), "--authority", h.path("ca"))
+	h.reloadAndWait()
+	s.Send(fake.NewRequest(4, "view", fake.RequestID(4), nil, "kb", "1"))
+	heard := []string{s.NextText(), s.NextText()} // the asking may come before the op or behind it
+	slices.Sort(heard)
+	fmt.Println(heard)
+	h.runtime.SendNotice("end", fake.RequestID(3), "success", "one")
+	fmt.Println(s.NextText(), s.NextText())
+	fake.WaitFor("the end of the idle one", func() bool { return again.NextText() == "closed" })
+	fmt.Println(h.requestAnswer(other, 5), len(h.runtime.Messages))
+	for range 2 {
+		late, err := h.dialTLS(c)
+		if err == nil {
+			_, err = late.NextResponse()
+		}
+		fmt.Println(err != nil, strings.Contains(err.Error(), "bad certificate"))
+	}
+	// Output:
+	// done
+	// resumed true done
+	// start 3 route view body ""
+	// [['\x01' '\x04' ["Denied" map["why":"revoked"]] <nil>] ['\x02' "goaway" []]]
+	// ['\x01' '\x03' <nil> ["one" map[]]] closed
+	// done 0
+	// true true
+	// true true
+}
+
+// Hundreds of connections that stop in the handshake keep nobody out for long; half a handshake has an end.
+func Example_stalledHandshakes() {
+	h := deployWithAuth("clients = asked", "clients = required\nhandshakes = 16\nhandshake-rate = 10000")
+	defer h.close()
+	var stalled []net.Conn
+	for range 200 {
+		c := fake.Must(net.Dial("tcp", h.tlsAddr))
+		stalled = append(stalled, c)
+		_, _ = c.Write([]byte{0x16, 3, 1, 0, 200, 1})
+	}
+	began := time.Now()
+	s := fake.Must(h.dialTLS(h.clientTLS("water-7")))
+	fmt.Println(h.requestAnswer(s, 1), time.Since(began) < 4*time.Second)
+	for _, c := range stalled {
+		_ = c.SetReadDeadline(time.Now().Add(fake.WaitTimeout))
+		if _, err := c.Read(make([]byte, 64)); os.IsTimeout(err) {
+			panic("a handshake without end")
+		}
+		c.Close()
+	}
+	noise := fake.Must(net.Dial("tcp", h.tlsAddr))
+	_, _ = noise.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
+	fake.WaitFor("its end", func() bool { return strings.Contains(h.log.text(), "code=handshake-failed") })
+	none, err := h.dialTLS(h.clientTLS(""))
+	if err == nil { // the client hears of the refusal with its first read
+		_, err = none.NextResponse()
+	}
+	fmt.Println(strings.Contains(err.Error(), "certificate required"))
+	fmt.Println(h.requestAnswer(s, 2))
+	// Output:
+	// done true
+	// true
+	// done
+}
+
+// However many connections stop in the handshake, no more than told hold a descriptor and memory; the others wait outside.
+func Example_handshakesAtATime() {
+	h := deployWithAuth("clients = asked", "clients = asked\nhandshakes = 4\nhandshake-rate = 10000")
+	defer h.close()
+	held := func() (n int) {
+		for _, fd := range fake.Must(os.ReadDir(fmt.Sprintf("/proc/%d/fd", h.cmd.Process.Pid))) {
+			if to, _ := os.Readlink(fmt.Sprintf("/proc/%d/fd/%s", h.cmd.Process.Pid, fd.Name())); strings.HasPrefix(to, "socket:") {
+				n++
+			}
+		}
+		return n
+	}
+	before, most := held(), 0
+	for range 25 {
+		defer fake.Must(net.Dial("tcp", h.tlsAddr)).Close()
+	}
+	for end := time.Now().Add(500 * time.Millisecond); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+		most = max(most, held()-before)
+	}
+	fmt.Println(most >= 4, most < 12) // some are closed while others are accepted
+	// Output:
+	// true true
+}
--- /dev/null
+++ b/cmd/lanewheel/commandline_test.go
@@ -0,0 +1,105 @@
+package main
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strconv"
+	"strings"
+
+	"lanewheel/internal/fake"
+)
+
+// A start that can't be: one line that says why, and a code that is not 0.
+func Example_badStart() {
+	taken := fake.Must(net.Listen("tcp", "127.0.0.1:0"))
+	defer taken.Close()
+	good := fmt.Sprintf(`{"name":"n1","listen":%q,"runtime":"127.0.0.1:1","roster":"127.0.0.1:1","db":"127.0.0.1:1",`+
+		`"limits":{"cores":1,"memory_mb":192,"sockets":64},"settings":%s}`, taken.Addr(), strings.NewReplacer("IDLE", "1", "FRESH", "0").Replace(fake.Settings))
+	for _, text := range []string{`{"name":`, `{}`, strings.Replace(good, `"cores":1`, `"cores":0`, 1),
+		strings.Replace(good, `"cpus":2`, `"cpus":"two"`, 1), strings.Replace(good, `"settings"`, `"other"`, 1), good} {
+		t := &deployment{log: &logBuffer{}, exited: make(chan struct{})}
+		t.start(text)
+		code, log := t.waitExit()
+		log = strings.ReplaceAll(log, taken.Addr().String(), "ADDR")
+		if _, after, found := strings.Cut(log, ".json:"); found {
+			log = after
+		}
+		fmt.Println(code, strings.Count(log, "\n"), log)
+	}
+	// Output:
+	// 1 0  cannot parse JSON: cannot parse object: cannot parse object value: cannot parse empty string; unparsed tail: \"\""
+	// 1 0  name: wants text" more=6
+	// 1 0 1: limits.cores: is \"0\", wants a number over 0"
+	// 1 0 6: settings.domain.cpus: is \"two\", wants another type than string"
+	// 1 0  settings: wants an object"
+	// 1 0 msg=cannot-start err="listen tcp ADDR: bind: address already in use"
+}
+
+// runCommand gives the exit code and all that the program prints for a command line.
+func runCommand(args ...string) string {
+	cmd := exec.Command(binaryPath, args...)
+	cmd.Env = []string{"TMPDIR=" + tempDir}
+	out, _ := cmd.CombinedOutput()
+	return fmt.Sprintf("%d %s", cmd.ProcessState.ExitCode(), strings.ReplaceAll(string(out), tempDir+"/", ""))
+}
+
+// The command line: help on every level, files checked with each fault in its place, a wrong word told from a wrong file.
+func Example_commandLine() {
+	for _, args := range [][]string{{"--help"}, {"check", "--help"}, {"try", "--help"}} {
+		text := runCommand(args...)
+		fmt.Println(args, text[:2], strings.Contains(text, "Usage: lanewheel"))
+	}
+	fmt.Println(runCommand("chekc")[:1])
+	write := func(name, text string) string {
+		path := filepath.Join(tempDir, name)
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			panic(err)
+		}
+		return path
+	}
+	fmt.Print(runCommand("check", write("good.ini", "; a comment\n[log]\nformat = json\n")))
+	fmt.Print(runCommand("check", write("bad.ini", "[log]\nformat = xml\nformt = text\n\n[lgo]\n[log]\n")))
+	fmt.Print(runCommand("check", write("bad.json", "{\"name\":\"n1\",\n\"listen\":\"127.0.0.1:1\",\"runtime\":\"r\",\"db\":\"d\",\"roster\":7,\n"+
+		"\"limits\":{\"cores\":-1,\n\"memory_mb\":3},\"settings\":{\"classes\":[{\"name\":\"view\"},\n{\"credit\":\"x\"}]}}")))
+	// Output:
+	// [--help] 0  true
+	// [check --help] 0  true
+	// [try --help] 0  true
+	// 2
+	// 0 good.ini: good
+	// 1 bad.ini:2: log.format: is "xml", wants one of json, text
+	// bad.ini:3: log.formt: is no name of this section; wants format
+	// bad.ini:5: lgo: is no section; wants amqp, below, caller NAME, callers, fleet, grants, handover, log, queue NAME, relay, role NAME, steward, tls, tokens
+	// bad.ini:6: log: stands in line 1 already
+	// 1 bad.json:2: roster: is "7", wants text
+	// bad.json:3: limits.cores: is "-1", wants a number over 0
+	// bad.json:3: limits.sockets: wants a number of 32 or more
+	// bad.json:4: settings.domain.cpus: wants a number of 1 or more
+	// bad.json:5: settings.classes.1.credit: is "x", wants another type than string
+}
+
+// A newcomer's first command: it starts, serves, ends with its table, and all that was asked is in it.
+func Example_try() {
+	text := runCommand("try", "--for", "1s", "--rate", "100", "--mean", "1ms")
+	lines := strings.Split(strings.TrimSpace(text), "\n")
+	fmt.Println(text[:2], strings.Contains(text, "an instance serves at 127.0.0.1:"))
+	for _, line := range lines {
+		if f := strings.Fields(line); len(f) == 9 && f[0] != "op" {
+			n := map[string]int{}
+			for i, name := range []string{"asked", "acked", "nacked", "failed", "denied", "unanswered"} {
+				n[name] = fake.Must(strconv.Atoi(f[i+1]))
+			}
+			fmt.Println(f[0], n["asked"] > 10, n["unanswered"], n["asked"] == n["acked"]+n["nacked"]+n["failed"]+n["denied"])
+		}
+	}
+	fmt.Println(strings.HasPrefix(lines[len(lines)-1], "CPU of the instance: "))
+	// Output:
+	// 0  true
+	// view true 0 true
+	// pay true 0 true
+	// list true 0 true
+	// true
+}
--- /dev/null
+++ b/cmd/lanewheel/drain_test.go
@@ -0,0 +1,198 @@
+package main
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"lanewheel/internal/fake"
+)
+
+// Told to go, the instance says so, answers what it has, asks its stubs to go and ends by itself with 0.
+func Example_drain() {
+	t := deployReady()
+	defer t.close()
+	s := t.client()
+	s.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil))
+	t.runtime.NextCommand()
+	t.sendTerminate()
+	fake.WaitFor("the roster is told", func() bool { return t.registry.NextReport() == "HERE n1 off" })
+	t.sendTerminate()
+	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
+	fmt.Println(s.NextText())
+	s.Send(fake.NewRequest(2, "view", fake.RequestID(2), nil))
+	fmt.Println(t.runtime.NextCommand())
+	fmt.Println(s.NextText())
+	fmt.Println(s.NextText())
+	s.Close()
+	code, log := t.waitExit()
+	fmt.Println(code, log[strings.LastIndex(log, "msg="):])
+	_, err := net.Dial("tcp", t.listenAddr)
+	fmt.Println("refused:", err != nil)
+	// Output:
+	// ['\x01' '\x01' <nil> ["one" map[]]]
+	// start 2 route view body ""
+	// ['\x02' "goaway" []]
+	// ['\x01' '\x02' ["Busy" map[]] <nil>]
+	// 0 msg=stopped connections=0 requests=1
+	// refused: true
+}
+
+// A stub that connects while the listening socket is being closed is accepted and answered, or refused; SIGTERM
+// before the runtime is up ends at once.
+func Example_earlyStop() {
+	t := deploy()
+	defer t.close()
+	s := t.client()
+	s.CheckHealth()
+	t.sendTerminate()
+	fmt.Println(s.NextText(), s.NextText())
+	code, _ := t.waitExit()
+	fmt.Println(code)
+	// Output:
+	// ['\x02' "goaway" []] closed
+	// 0
+}
+
+// Notices of both kinds while the configuration is still being read: none ends the program, and the one to leave is not lost among the others.
+func Example_noticesBeforeTheConfiguration() {
+	t := &deployment{log: &logBuffer{}, exited: make(chan struct{}), runtime: fake.NewRuntime(), database: fake.NewDatabase(), registry: fake.NewRegistry()}
+	defer t.close()
+	other := deployReady()
+	text := other.config
+	other.close()
+	t.configPath = filepath.Join(tempDir, "held.json")
+	if err := unix.Mkfifo(t.configPath, 0o600); err != nil {
+		panic(err)
+	}
+	t.run()
+	// Opened once the program has opened it too, which then waits for what stands in it.
+	pipe := fake.Must(os.OpenFile(t.configPath, os.O_WRONLY, 0))
+	for range 100 {
+		t.sendHangup()
+		fake.WaitFor("the notice is taken", func() bool { return !signalPending(t.cmd.Process.Pid) })
+	}
+	t.sendTerminate()
+	fmt.Fprint(pipe, text)
+	pipe.Close()
+	code, log := t.waitExit()
+	fmt.Println(code, strings.Contains(log, "msg=draining"), strings.Contains(log, "msg=stopped"))
+	// Output:
+	// 0 true true
+}
+
+// signalPending tells whether a signal that was sent to the process has not been delivered.
+func signalPending(pid int) bool {
+	for _, line := range strings.Split(string(fake.Must(os.ReadFile(fmt.Sprintf("/proc/%d/status", pid)))), "\n") {
+		if mask, is := strings.CutPrefix(line, "ShdPnd:"); is {
+			return strings.Trim(mask, "\t0") != ""
+		}
+	}
+	return false
+}
+
+// Connections that stand in the backlog, with an op written on each, when listening ends while the table is full: each op has its answer.
+func Example_backlogAtTheEnd() {
+	t := deployReady()
+	defer t.close()
+	var busy, waiting []*fake.Client
+	for i := range 32 { // of 64 descriptors, as many as may be connected; none can be let go, as an op is open on each
+		s := t.client()
+		s.Send(fake.NewRequest(1, "pay", fake.RequestID(i), nil, "kb", "1"))
+		busy = append(busy, s)
+	}
+	fake.WaitFor("all are in", func() bool { return t.runtime.NextCommand() != "" && len(busy) == 32 })
+	for i := range 8 {
+		s := t.client()
+		s.Send(fake.NewRequest(1, "pay", fake.RequestID(100+i), nil, "kb", "1"))
+		waiting = append(waiting, s)
+	}
+	t.sendTerminate()
+	answers := map[string]int{}
+	for _, s := range waiting {
+		for h := s.NextText(); ; h = s.NextText() {
+			if !strings.Contains(h, "goaway") {
+				answers[h]++
+				break
+			}
+		}
+	}
+	fmt.Println(answers)
+	for _, s := range append(busy, waiting...) {
+		s.Close()
+	}
+	code, _ := t.waitExit()
+	fmt.Println(code)
+	// Output:
+	// map[['\x01' '\x01' ["Busy" map[]] <nil>]:8]
+	// 0
+}
+
+// A stub that rests until the instance ends it, with half an op written when it is asked to go: its connection ends in good order, long before a
+// peer's patience, however short the time to the kill is, and an op that was open has its answer.
+func Example_restsUntilTheEnd() {
+	for _, stop := range []string{"1500", "240", "60", "0"} {
+		t := deployReady(`"stop_ms":1500`, `"stop_ms":`+stop)
+		s, rests := t.client(), t.client()
+		fmt.Print(stop, " ", rests.CheckHealth())
+		s.Send(fake.NewRequest(1, "pay", fake.RequestID(1), nil))
+		t.runtime.NextCommand()
+		half := fake.Encode(nil, fake.NewRequest(2, "view", fake.RequestID(2), nil))
+		rests.Conn.Write(half[:len(half)/2])
+		later := t.client()
+		fmt.Print(" ", later.CheckHealth()) // what came before it is read too
+		later.Close()
+		began := time.Now()
+		t.sendTerminate()
+		h := s.NextText()
+		for strings.Contains(h, "goaway") {
+			h = s.NextText()
+		}
+		fmt.Print(" ", h)
+		fmt.Print(" ", rests.NextText(), " ", rests.NextText())
+		code, log := t.waitExit()
+		fmt.Println("", code, time.Since(began) < 5*time.Second, strings.Contains(log, "msg=stopped"))
+		t.close()
+	}
+	// Output:
+	// 1500 true true ['\x01' '\x01' ["Failed" map[]] <nil>] ['\x02' "goaway" []] closed 0 true true
+	// 240 true true ['\x01' '\x01' ["Failed" map[]] <nil>] ['\x02' "goaway" []] closed 0 true true
+	// 60 true true ['\x01' '\x01' ["Failed" map[]] <nil>] ['\x02' "goaway" []] closed 0 true true
+	// 0 true true ['\x01' '\x01' ["Failed" map[]] <nil>] ['\x02' "goaway" []] closed 0 true true
+}
+
+// A process is killed right behind an accept: one connection stands in its queue with an op on it, another's op runs. Both end with their process,
+// at once and with no answer; the first never ran. The next life takes the address and serves.
+func Example_killedBehindAccept() {
+	t := deployReady()
+	defer t.close()
+	runs, queued := t.client(), (*fake.Client)(nil)
+	runs.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil))
+	fmt.Println(t.runtime.NextCommand())
+	_ = t.cmd.Process.Signal(syscall.SIGSTOP) // the kernel accepts for it
+	queued = t.client()
+	queued.Send(fake.NewRequest(2, "view", fake.RequestID(2), nil))
+	_ = t.cmd.Process.Kill()
+	<-t.exited
+	fmt.Println(runs.NextText(), strings.HasSuffix(queued.NextText(), "connection reset by peer")) // over the bytes that it never read
+	fmt.Println(t.runtime.NextCommand())
+	t.exited = make(chan struct{})
+	t.run()
+	t.runtime.Accept()
+	t.runtime.SendReady("booting")
+	s := t.client()
+	fake.WaitFor("health", func() bool { return s.CheckHealth() })
+	s.Send(fake.NewRequest(1, "view", fake.RequestID(3), nil))
+	fmt.Println(t.runtime.NextCommand())
+	// Output:
+	// start 1 route view body ""
+	// closed true
+	// link closed
+	// start 3 route view body ""
+}
--- /dev/null
+++ b/cmd/lanewheel/log_test.go
@@ -0,0 +1,50 @@
+package main
+
+import (
+	"fmt"
+	"os"
+
+	"golang.org/x/sys/unix"
+
+	"lanewheel/internal/fake"
+)
+
+// Nobody reads the log, and its pipe is full; then its reader is gone. Ops are answered all the same, and the program leaves with 0.
+func Example_logThatNobodyReads() {
+	var ends [2]int
+	if err := unix.Pipe2(ends[:], unix.O_CLOEXEC|unix.O_NONBLOCK); err != nil {
+		panic(err)
+	}
+	for {
+		if _, err := unix.Write(ends[1], make([]byte, 1)); err != nil { // full to the last byte
+			break
+		}
+	}
+	if _, err := unix.FcntlInt(uintptr(ends[1]), unix.F_SETFL, 0); err != nil { // the program's writes wait
+		panic(err)
+	}
+	logFile = os.NewFile(uintptr(ends[1]), "log")
+	t := deployReady()
+	logFile.Close()
+	logFile = nil
+	defer t.close()
+	s := t.client()
+	ask := func(n int) {
+		s.Send(fake.NewRequest(n, "view", fake.RequestID(n), nil))
+		t.runtime.NextCommand()
+		t.runtime.SendNotice("end", fake.RequestID(n), "success", "one")
+		fmt.Println(s.NextText())
+	}
+	ask(1)
+	unix.Close(ends[0]) // what is being written is refused
+	t.client().Close()  // and leaves a line
+	ask(2)
+	t.sendTerminate()
+	s.Close()
+	code, _ := t.waitExit()
+	fmt.Println(code)
+	// Output:
+	// ['\x01' '\x01' <nil> ["one" map[]]]
+	// ['\x01' '\x02' <nil> ["one" map[]]]
+	// 0
+}
--- /dev/null
+++ b/cmd/lanewheel/runtimelink_test.go
@@ -0,0 +1,112 @@
+package main
+
+import (
+	"fmt"
+	"time"
+
+	"lanewheel/internal/fake"
+)
+
+// answerFence answers the mark behind the replayed notices of a link whose gauges are otherwise left unanswered.
+func answerFence(t *deployment) {
+	for i := range 9 {
+		fmt.Fprintf(t.runtime.Conn, `{"t":"load","mark":"fence-%d","v":[0.1,0]}`+"\n", i)
+	}
+}
+
+// A link lost with one run at a call whose reply is on its way, one whose end is missed, and one op read without
+// a link: on the new one nothing starts twice, and each is answered once.
+func Example_lostLink() {
+	t := deployReady()
+	defer t.close()
+	s := t.client()
+	s.Send(fake.NewRequest(1, "pay", fake.RequestID(1), nil), fake.NewRequest(2, "pay", fake.RequestID(2), []byte("b")))
+	fmt.Println(t.runtime.NextCommand())
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("wants", fake.RequestID(1), "", "ask")
+	call := t.database.NextCall()
+	t.runtime.Conn.Close()
+	for s.CheckHealth() && t.runtime.NextCommand() != "link closed" {
+	}
+	call.Reply("200 OK", "", "rows")
+	fmt.Println("sync", t.runtime.Accept())
+	s.Send(fake.NewRequest(3, "pay", fake.RequestID(3), []byte("c")))
+	fmt.Println("deaf link, well:", s.CheckHealth())
+	t.runtime.SendReady("steady")
+	t.runtime.SendNotice("end", fake.RequestID(2), "success", "two")
+	fmt.Println(s.NextText())
+	heard := map[string]int{}
+	for range 2 {
+		heard[t.runtime.NextCommand()]++
+	}
+	fmt.Println(heard)
+	t.runtime.SendNotice("end", fake.RequestID(3), "success", "three")
+	fmt.Println(s.NextText())
+	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
+	fmt.Println(s.NextText())
+	t.runtime.Conn.Close()
+	fmt.Println("sync", t.runtime.Accept())
+	t.runtime.SendReady("steady")
+	fmt.Println(s.CheckHealth(), len(t.runtime.Messages))
+	// Output:
+	// start 1 route pay body ""
+	// start 2 route pay body "b"
+	// sync 1
+	// deaf link, well: true
+	// ['\x01' '\x02' <nil> ["two" map[]]]
+	// map[give 1 body "rows":1 start 3 route pay body "c":1]
+	// ['\x01' '\x03' <nil> ["three" map[]]]
+	// ['\x01' '\x01' <nil> ["one" map[]]]
+	// sync 4
+	// true 0
+}
+
+// A stop that the lost link swallowed is sent again; a start that is not carried out ends its op.
+func Example_unsentStop() {
+	t := deployReady()
+	defer t.close()
+	s := t.client()
+	s.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil))
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.Conn.Close()
+	fake.WaitFor("the end of the link", func() bool { return t.runtime.NextCommand() == "link closed" })
+	s.Send([]any{2, "interrupt", []any{1}})
+	fmt.Println(s.CheckHealth(), "sync", t.runtime.Accept())
+	t.runtime.SendReady("steady")
+	fmt.Println(t.runtime.NextCommand())
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("end", fake.RequestID(1), "interrupted", "")
+	s.Send(fake.NewRequest(2, "view", fake.RequestID(2), nil))
+	fmt.Println(t.runtime.NextCommand())
+	fmt.Fprintf(t.runtime.Conn, `{"t":"nack","status":"start","rid":%q}`+"\n", fake.RequestID(2))
+	fmt.Println(s.NextText())
+	// Output:
+	// start 1 route view body ""
+	// true sync 0
+	// start 1 route view body ""
+	// stop 1
+	// start 2 route view body ""
+	// ['\x01' '\x02' ["Failed" map[]] <nil>]
+}
+
+// Health is not good, and nothing is taken, before the runtime is up. The roster hears of us each second.
+func Example_lateRuntime() {
+	t := deploy()
+	defer t.close()
+	fmt.Println(t.registry.NextReport())
+	s := t.client()
+	fmt.Println(s.CheckHealth())
+	s.Send(fake.NewRequest(7, "view", fake.RequestID(1), nil))
+	fmt.Println(s.NextText())
+	fmt.Println("sync", t.runtime.Accept())
+	t.runtime.SendReady("booting")
+	fake.WaitFor("health", func() bool { return s.CheckHealth() })
+	began := time.Now()
+	fmt.Println(t.registry.NextReport(), time.Since(began) < 1200*time.Millisecond)
+	// Output:
+	// HERE n1 on
+	// false
+	// ['\x01' '\a' ["Busy" map[]] <nil>]
+	// sync 0
+	// HERE n1 on true
+}
--- /dev/null
+++ b/cmd/lanewheel/upstreamcalls_test.go
@@ -0,0 +1,220 @@
+package main
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"lanewheel/internal/fake"
+)
+
+// What each end of a call proves: only a call that never ran is made again for an op that may not run twice.
+func Example_calls() {
+	t := deployReady()
+	defer t.close()
+	s := t.client()
+	for i, how := range []func(c *fake.Call){
+		func(c *fake.Call) { c.Reply("500 Failed", "", "") },
+		func(c *fake.Call) { c.Reply("504 Late", "", "") },
+		func(c *fake.Call) { c.Conn.Close() },
+		func(c *fake.Call) { fmt.Fprint(c.Conn, "what?") },
+		func(c *fake.Call) { c.Reply("503 Full", "Never-Started: 1\r\n", "") },
+		func(c *fake.Call) { c.Reply("409 None", "Never-Started: 1\r\n", "") },
+	} {
+		n := i + 1
+		s.Send(fake.NewRequest(n, "pay", fake.RequestID(n), nil))
+		t.runtime.NextCommand()
+		t.runtime.SendNotice("wants", fake.RequestID(n), "", "ask")
+		how(t.database.NextCall())
+		if i < 4 {
+			fmt.Println(s.NextText())
+		} else {
+			fmt.Println(t.database.NextCall().Text)
+			s.Send([]any{2, "interrupt", []any{n}})
+		}
+		t.runtime.SendNotice("end", fake.RequestID(n), "interrupted", "")
+	}
+	// each has its own connection, and the run's end gives its call up
+	fake.WaitFor("the end of all connections", func() bool { return len(t.database.ConnectionsEnded) == 8 })
+	// refused: it never ran, and this type can do without
+	t.database.Listener.Close()
+	s.Send(fake.NewRequest(9, "list", fake.RequestID(9), nil))
+	t.runtime.NextCommand()
+	t.runtime.SendNotice("wants", fake.RequestID(9), "", "ask")
+	fmt.Println(t.runtime.NextCommand())
+	// Output:
+	// ['\x01' '\x01' ["Failed" map[]] <nil>]
+	// ['\x01' '\x02' ["Failed" map[]] <nil>]
+	// ['\x01' '\x03' ["Failed" map[]] <nil>]
+	// ['\x01' '\x04' ["Failed" map[]] <nil>]
+	// POST /v1/exec for 5 timed true body "ask"
+	// POST /v1/exec for 6 timed true body "ask"
+	// omit 9 no 13
+}
+
+// The database's address swallows what knocks; SIGHUP names another. Calls that wait at the old one go to the new one at once, and dials for
+// calls that were given up hold up nobody.
+func Example_movedFromAHole() {
+	hole, fd := blackHoleAddr()
+	defer unix.Close(fd)
+	t := deployReady()
+	defer t.close()
+	t.writeConfig(strings.Replace(t.config, t.database.Addr(), hole, 1))
+	t.sendHangup()
+	fake.WaitFor("the move", func() bool { return strings.Contains(t.log.text(), "database="+hole) })
+	s := t.client()
+	for i := range 12 {
+		s.Send(fake.NewRequest(i, "pay", fake.RequestID(i), nil, "kb", "1"))
+		t.runtime.NextCommand()
+		t.runtime.SendNotice("wants", fake.RequestID(i), "", "ask")
+	}
+	for i := range 11 { // all but the last are over
+		s.Send([]any{2, "interrupt", []any{i}})
+	}
+	fmt.Println(s.CheckHealth())
+	for i := range 11 {
+		t.runtime.SendNotice("end", fake.RequestID(i), "interrupted", "")
+	}
+	s.Send(fake.NewRequest(12, "view", fake.RequestID(12), nil, "kb", "1"))
+	for heard := ""; heard != `start c route view body ""`; {
+		heard = t.runtime.NextCommand()
+	}
+	t.runtime.SendNotice("end", fake.RequestID(12), "success", "all read")
+	fmt.Println(s.NextText())
+	t.writeConfig(strings.Replace(t.config, hole, t.database.Addr(), 1))
+	t.sendHangup()
+	call := t.database.NextCall()
+	fmt.Println(call.Text)
+	call.Reply("200 OK", "", "rows")
+	for heard := ""; !strings.HasPrefix(heard, "give"); {
+		heard = t.runtime.NextCommand()
+	}
+	t.runtime.SendNotice("end", fake.RequestID(11), "success", "one")
+	fmt.Println(s.NextText())
+	// Output:
+	// true
+	// ['\x01' '\f' <nil> ["all read" map[]]]
+	// POST /v1/exec for b timed true body "ask"
+	// ['\x01' '\v' <nil> ["one" map[]]]
+}
+
+// blackHoleAddr gives an address whose queue is full: what knocks there hears nothing.
+func blackHoleAddr() (addr string, fd int) {
+	fd = fake.Must(unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0))
+	err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
+	if err == nil {
+		err = unix.Listen(fd, 0)
+	}
+	at := fake.Must(unix.Getsockname(fd))
+	if err != nil {
+		panic(err)
+	}
+	addr = fmt.Sprintf("127.0.0.1:%d", at.(*unix.SockaddrInet4).Port)
+	for {
+		if _, err := net.DialTimeout("tcp", addr, 100*time.Millisecond); err != nil {
+			return addr, fd
+		}
+	}
+}
+
+// Several services below by told addresses, one call at a time each: calls go to both; the third waits until one is over; one that is refused
+// goes to the other service, as nothing of it was sent; and a call that is given up counts until its time below is over.
+func Example_services() {
+	// The program that has this linked stands beside.
+	if out, err := exec.Command("go", "build", "-o", filepath.Join(tempDir, "lanewheel-fleet"), "../lanewheel-fleet").CombinedOutput(); err != nil {
+		panic(string(out))
+	}
+	a, b := fake.NewDatabase(), fake.NewDatabase()
+	defer a.Listener.Close()
+	defer b.Listener.Close()
+	operatorPath = filepath.Join(tempDir, "services.ini")
+	defer func() { operatorPath = "" }()
+	text := fmt.Sprintf("[below]\nservices = %s, %s\ncalls = 1\nlongest = 700ms\n", a.Addr(), b.Addr())
+	if err := os.WriteFile(operatorPath, []byte(text), 0o600); err != nil {
+		panic(err)
+	}
+	t := deployReady(`"dep-share":8,`, `"dep-share":800,`)
+	defer t.close()
+	s := t.client()
+	ask := func(n int) {
+		s.Send(fake.NewRequest(n, "pay", fake.RequestID(n), nil))
+		t.runtime.NextCommand()
+		t.runtime.SendNotice("wants", fake.RequestID(n), "", fmt.Sprint("ask", n))
+	}
+	ask(1)
+	ask(2)
+	first, second := a.NextCall(), b.NextCall()
+	fmt.Println(first.Text != second.Text)
+	ask(3)
+	fmt.Println(len(a.Calls), len(b.Calls))
+	second.Reply("200 OK", "", "rows")
+	fmt.Println(t.runtime.NextCommand()[:4])
+	third := b.NextCall()
+	fmt.Println(third.Text)
+	third.Reply("200 OK", "", "rows")
+	t.runtime.NextCommand()
+
+	// The first one's time below runs out; nothing more goes there before that, and then it does.
+	b.Listener.Close()
+	ask(4)
+	fmt.Println(len(a.Calls))
+	fmt.Println(a.NextCall().Text)
+	fmt.Println(len(t.database.Calls))
+	// Output:
+	// true
+	// 0 0
+	// give
+	// POST /v1/exec for 3 timed true body "ask3"
+	// 0
+	// POST /v1/exec for 4 timed true body "ask4"
+	// 0
+}
+
+// A customer with nothing below and no list is told of neither: the instance starts and serves, and a call that a run wants all the same
+// is one that never ran. Once the file tells of a database, calls go there. Where the settings say that calls go somewhere, a
+// configuration without the address is cut short.
+func Example_nothingBelow() {
+	absent := []string{`"db":`, `"was-db":`, `"roster":`, `"was-roster":`}
+	t := deployReady(append(absent, `"below":"common"`, `"below":"silent"`)...)
+	defer t.close()
+	s := t.client()
+	s.Send(fake.NewRequest(1, "view", fake.RequestID(1), []byte("a")))
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
+	fmt.Println(s.NextText())
+	s.Send(fake.NewRequest(2, "list", fake.RequestID(2), nil))
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("wants", fake.RequestID(2), "", "ask")
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("end", fake.RequestID(2), "success", "two")
+	fmt.Println(s.NextText())
+	t.writeConfig(strings.NewReplacer(`"was-db":`, `"db":`, `"was-roster":`, `"roster":`).Replace(t.config))
+	t.sendHangup()
+	fake.WaitFor("the move", func() bool { return strings.Contains(t.log.text(), `msg="addresses changed"`) })
+	fmt.Println(t.registry.NextReport())
+	s.Send(fake.NewRequest(3, "list", fake.RequestID(3), nil))
+	fmt.Println(t.runtime.NextCommand())
+	t.runtime.SendNotice("wants", fake.RequestID(3), "", "ask")
+	fmt.Println(t.database.NextCall().Text)
+
+	cut := deploy(absent...)
+	defer cut.close()
+	code, log := cut.waitExit()
+	fmt.Println(code, log[strings.Index(log, ".json:")+6:])
+	// Output:
+	// start 1 route view body "a"
+	// ['\x01' '\x01' <nil> ["one" map[]]]
+	// start 2 route list body ""
+	// omit 2 no 2
+	// ['\x01' '\x02' <nil> ["two" map[]]]
+	// HERE n1 on
+	// start 3 route list body ""
+	// POST /v1/exec for 3 timed true body "ask"
+	// 1  db: wants text, as calls go to what settings.domain.below tells of (shared)"
+}
