--- a/cmd/lanewheel/authentication_test.go
+++ b/cmd/lanewheel/authentication_test.go
@@ -8,7 +8,7 @@
 	"lanewheel/internal/fake"
 )
 
-// Who may what, by token and by certificate, and each denial said in one word; what is denied never runs.
+// Who may do what, by token and by certificate, and each denial in one word; what is denied never runs.
 func Example_callers() {
 	h := deployWithAuth()
 	defer h.close()
@@ -45,8 +45,8 @@
 	// 0 7 false
 }
 
-// Reads of like key are shared within a tenant, never across: another tenant's read runs.
-func Example_sharedWithinTenant() {
+// Reads of the same resource are coalesced within a tenant, never across: another tenant's read runs.
+func Example_coalescedWithinTenant() {
 	h := deployWithAuth()
 	defer h.close()
 	h.close()
@@ -71,9 +71,10 @@
 	// ['\x01' '\x03' <nil> ["for roads-1" map[]]]
 }
 
-// A key is published before it signs and kept after it stops: an op under the old one is admitted until the told moment, by
-// instances that read it whenever; one under a key that is not read yet leads to a look, without a reload.
-func Example_rotation() {
+// A key is published before it signs and kept after it stops: a request under the old one is admitted until the
+// configured moment, by instances that read it whenever; one under a key that is not read yet leads to a look,
+// without a reload.
+func Example_keyRotation() {
 	h := deployWithAuth()
 	defer h.close()
 	s := h.client()
@@ -103,9 +104,9 @@
 	// Denied withdrawn-key
 }
 
-// One identity that sends ten times its rate is nacked with a time to come back; its neighbour feels nothing. An op whose
-// token expires while it is held is answered all the same.
-func Example_rates() {
+// One identity that sends ten times its rate is rejected with a time to come back; its neighbor feels nothing. A
+// request whose token expires while it is queued is answered all the same.
+func Example_rateLimits() {
 	h := deployWithAuth()
 	defer h.close()
 	slow, water := h.token("k1", "slow"), h.token("k1", "water-1")
@@ -140,8 +141,9 @@
 	// ['\x01' '\f' <nil> ["late" map[]]]
 }
 
-// Ops whose callers leave while a token is being checked, by interrupt and by closing: neither runs, and the ids are free again.
-func Example_goneAtTheDoor() {
+// Requests whose callers leave while a token is being verified, by cancel and by closing: neither runs, and the ids
+// are free again.
+func Example_canceledWhileAuthenticated() {
 	h := deployWithAuth()
 	defer h.close()
 	fresh := func() string { return h.token("k1", "water-1") }
@@ -164,8 +166,8 @@
 	// ['\x01' '\x03' <nil> ["three" map[]]]
 }
 
-// Forged tokens end the connections that bring them, while known callers are served.
-func Example_forged() {
+// Forged tokens close the connections that bring them, while known callers are served.
+func Example_forgedTokens() {
 	h := deployWithAuth()
 	defer h.close()
 	good := h.token("k1", "water-1")
@@ -188,8 +190,8 @@
 	// 8 8 8 8 8 done
 }
 
-// A token of single use is good for one op; the second is a replay.
-func Example_singleUse() {
+// A single-use token is good for one request; the second is a replay.
+func Example_singleUseToken() {
 	h := deployWithAuth("revoked = revoked.txt", "single-use = yes\nsingle-use-remembered = 2")
 	defer h.close()
 	s := h.client()
@@ -201,8 +203,8 @@
 	// done Busy <nil>
 }
 
-// With nothing told of callers a token changes nothing, whatever form it has.
-func Example_callersOff() {
+// Where no callers are configured a token changes nothing, whatever form it has.
+func Example_callersNotConfigured() {
 	t := deployReady()
 	defer t.close()
 	s := t.client()
--- a/cmd/lanewheel/bench_test.go
+++ b/cmd/lanewheel/bench_test.go
@@ -42,7 +42,8 @@
 // roomyConfig are changes of a town's configuration that have nothing nacked.
 var roomyConfig = []string{`"cpus":2`, `"cpus":64`, `"memory-kb":1900`, `"memory-kb":1900000`, `"sockets":64`, `"sockets":1024`}
 
-// sendRequests sends ops on connections, eight open on each, until count are answered, and gives how many were not acked.
+// sendRequests sends ops on connections, eight open on each, until count are answered, and gives how many were not
+// acked.
 func sendRequests(dial func() *fake.Client, conns, count int, token string) int64 {
 	var asked, other atomic.Int64
 	var all sync.WaitGroup
@@ -148,7 +149,8 @@
 	}
 }
 
-// How a known caller fares, 200 ops a second on one connection, without and with a flood of forged tokens from four others.
+// How a known caller fares, 200 ops a second on one connection, without and with a flood of forged tokens from four
+// others.
 //
 //	go test -run xxx -bench Forged -benchtime 2000x ./cmd/lanewheel
 func BenchmarkForged(b *testing.B) {
@@ -208,8 +210,9 @@
 	}
 }
 
-// How long a start takes, by its parts: from exec to the line "listening", from there to the link with the runtime, and from the runtime's word that it is up
-// to the first good health check; alone, with the database and the list silent, and many at one moment as in a fleet's restart.
+// How long a start takes, by its parts: from exec to the line "listening", from there to the link with the runtime,
+// and from the runtime's word that it is up to the first good health check; alone, with the database and the list
+// silent, and many at one moment as in a fleet's restart.
 //
 //	go test -run xxx -bench Start -benchtime 20x ./cmd/lanewheel
 func BenchmarkStart(b *testing.B) {
--- a/cmd/lanewheel/certificates_test.go
+++ b/cmd/lanewheel/certificates_test.go
@@ -12,9 +12,9 @@
 	"lanewheel/internal/fake"
 )
 
-// A certificate is taken back while an op is open on its connection: the op gets its answer, the next is denied unrun, the
-// connection ends, and neither a new handshake nor a resumed session gets in. Others go on.
-func Example_takenBack() {
+// A certificate is revoked while a request is pending on its connection: the request is answered, the next is
+// denied, the connection is closed, and neither a new handshake nor a resumed session gets in. Others go on.
+func Example_revokedCertificate() {
 	h := deployWithAuth()
 	defer h.close()
 	h.runCommand("cert", "issue", h.path("water-8"), "--authority", h.path("ca"), "--uri", "rota://water/8")
@@ -89,8 +89,9 @@
 	// done
 }
 
-// However many connections stop in the handshake, no more than told hold a descriptor and memory; the others wait outside.
-func Example_handshakesAtATime() {
+// However many connections stop in the handshake, no more than configured hold a descriptor and memory; the others
+// wait outside.
+func Example_maxHandshakes() {
 	h := deployWithAuth("clients = asked", "clients = asked\nhandshakes = 4\nhandshake-rate = 10000")
 	defer h.close()
 	held := func() (n int) {
--- a/cmd/lanewheel/connections_test.go
+++ b/cmd/lanewheel/connections_test.go
@@ -12,8 +12,8 @@
 	"lanewheel/internal/fake"
 )
 
-// Who says nothing, or half an op, is let go in time; whoever has asked once stays.
-func Example_silent() {
+// Who sends nothing, or half a request, loses the connection in time; who has sent a request once stays.
+func Example_silentClients() {
 	t := deployReady()
 	defer t.close()
 	began := time.Now()
@@ -32,8 +32,8 @@
 	// true true
 }
 
-// An unused connection is asked to go and closed; one more op that crosses the asking is served.
-func Example_unused() {
+// An unused connection is asked to go and closed; one more request that crosses the asking is served.
+func Example_idleConnection() {
 	t := deployReady("IDLE", "0.3")
 	defer t.close()
 	s := t.client()
@@ -50,9 +50,9 @@
 	// closed
 }
 
-// More connections than the bound wait in the backlog; those that are unused make room, the silent ones first, and
-// one with an open op never.
-func Example_descriptors() {
+// More connections than the limit wait in the backlog; those that are unused make room, the silent ones first, and
+// one with a pending request never.
+func Example_connectionLimit() {
 	t := deployReady()
 	defer t.close()
 	s := t.client()
@@ -77,7 +77,7 @@
 	// true
 }
 
-// Hundreds of connections, each with an op, stay far within the memory.
+// Hundreds of connections, each with a request, stay far within the memory.
 func Example_manyConnections() {
 	t := deployReady(`"sockets":64`, `"sockets":1024`)
 	defer t.close()
@@ -100,9 +100,10 @@
 	// under 96 MB: true
 }
 
-// Idle clients fill the descriptors while nobody can learn of other instances, by the kernel's own limit: the instance links to its runtime after
-// that, serves, calls below, reports, takes its new addresses and leaves; it never holds more than was told, and who rests longest goes first.
-func Example_descriptorsUsedUp() {
+// Idle clients fill the descriptors, by the kernel's own limit: the instance links to its runtime after that,
+// serves, makes calls, reports, takes new addresses and drains; it never holds more than configured, and the
+// connection that is idle for longest goes first.
+func Example_descriptorLimit() {
 	const most = 40
 	t := deploy("\"sockets\":64", "\"sockets\":40")
 	defer t.close()
@@ -170,8 +171,9 @@
 	// 0 within the limit: true
 }
 
-// No list has a cap under 1,024: as many tenants and op types told, and stubs connected at a time, each served.
-func Example_sizes() {
+// No list has a limit under 1,024: as many tenants and classes configured, and clients connected at a time, each
+// served.
+func Example_manyClassesAndTenants() {
 	const many = 1024
 	var tenants, types []string
 	for i := range many {
--- a/cmd/lanewheel/deployed_test.go
+++ b/cmd/lanewheel/deployed_test.go
@@ -15,15 +15,16 @@
 	"lanewheel/internal/fake"
 )
 
-// The deployed line alone, as the platform starts it: what it opens is what it speaks with, and nothing that is off adds a socket, a
-// thread or a file. A socket of the runtime's link, one that listens, one that reports; the poller's.
+// The deployed line alone, as the platform starts it: what it opens is what it speaks with, and nothing that is off
+// adds a socket, a thread or a file. A socket of the runtime's link, one that listens, one that reports; the
+// poller's.
 func Example_deployed() {
 	fmt.Println(deployWords("run", "exec ", "\x00"))
 	t := deployReady()
 	defer t.close()
 	pid := t.cmd.Process.Pid
-	// Danger: a file that whoever runs the tests left open goes through them to every program they start, under its number; that one is
-	// not the program's.
+	// Danger: a file that whoever runs the tests left open goes through them to every program they start, under its
+	// number; that one is not the program's.
 	given := map[string]string{}
 	for _, fd := range fake.Must(os.ReadDir("/proc/self/fd")) {
 		n, _ := strconv.Atoi(fd.Name())
@@ -76,7 +77,8 @@
 	// mapped: 2 true true
 }
 
-// The deploy file's list of what the instance is made of names all that it links, less the decisions, and nothing else.
+// The deploy file's list of what the instance is made of names all that it links, less the decisions, and nothing
+// else.
 func Example_nodeList() {
 	var linked []string
 	for _, path := range strings.Fields(string(fake.Must(exec.Command("go", "list", "-deps", ".").Output()))) {
--- a/cmd/lanewheel/drain_test.go
+++ b/cmd/lanewheel/drain_test.go
@@ -14,7 +14,7 @@
 	"lanewheel/internal/fake"
 )
 
-// Told to go, the instance says so, answers what it has, asks its stubs to go and ends by itself with 0.
+// Told to end, the instance reports so, answers what it has, asks its clients to go away and ends by itself with 0.
 func Example_drain() {
 	t := deployReady()
 	defer t.close()
@@ -44,9 +44,9 @@
 	// refused: true
 }
 
-// A stub that connects while the listening socket is being closed is accepted and answered, or refused; SIGTERM
-// before the runtime is up ends at once.
-func Example_earlyStop() {
+// A client that connects while the listening socket is being closed is accepted and answered, or refused; SIGTERM
+// before the runtime is up ends the program at once.
+func Example_earlyTerminate() {
 	t := deploy()
 	defer t.close()
 	s := t.client()
@@ -60,8 +60,9 @@
 	// 0
 }
 
-// Notices of both kinds while the configuration is still being read: none ends the program, and the one to leave is not lost among the others.
-func Example_noticesBeforeTheConfiguration() {
+// Signals of both kinds while the configuration is still being read: none ends the program, and SIGTERM is not lost
+// among the others.
+func Example_signalsBeforeConfiguration() {
 	t := &deployment{log: &logBuffer{}, exited: make(chan struct{}), runtime: fake.NewRuntime(), database: fake.NewDatabase(), registry: fake.NewRegistry()}
 	defer t.close()
 	other := deployReady()
@@ -97,8 +98,9 @@
 	return false
 }
 
-// Connections that stand in the backlog, with an op written on each, when listening ends while the table is full: each op has its answer.
-func Example_backlogAtTheEnd() {
+// Connections that stand in the backlog, with a request written on each, when listening ends while the table is
+// full: each request is answered.
+func Example_backlogWhileDraining() {
 	t := deployReady()
 	defer t.close()
 	var busy, waiting []*fake.Client
@@ -134,9 +136,10 @@
 	// 0
 }
 
-// A stub that rests until the instance ends it, with half an op written when it is asked to go: its connection ends in good order, long before a
-// peer's patience, however short the time to the kill is, and an op that was open has its answer.
-func Example_restsUntilTheEnd() {
+// A client that stays until the instance closes the connection, with half a request written when it is asked to go
+// away: its connection is closed in good order, long before a peer's timeout, however short the time to the kill
+// is, and a pending request is answered.
+func Example_idleWhileDraining() {
 	for _, stop := range []string{"1500", "240", "60", "0"} {
 		t := deployReady(`"stop_ms":1500`, `"stop_ms":`+stop)
 		s, rests := t.client(), t.client()
@@ -167,9 +170,10 @@
 	// 0 true true ['\x01' '\x01' ["Failed" map[]] <nil>] ['\x02' "goaway" []] closed 0 true true
 }
 
-// A process is killed right behind an accept: one connection stands in its queue with an op on it, another's op runs. Both end with their process,
-// at once and with no answer; the first never ran. The next life takes the address and serves.
-func Example_killedBehindAccept() {
+// A process is killed right after an accept: one connection stands in its queue with a request on it, another's
+// request runs. Both end with their process, at once and without a response; the first was never executed. The next
+// process takes the address and serves.
+func Example_killedAfterAccept() {
 	t := deployReady()
 	defer t.close()
 	runs, queued := t.client(), (*fake.Client)(nil)
--- a/cmd/lanewheel/duplicates_test.go
+++ b/cmd/lanewheel/duplicates_test.go
@@ -9,8 +9,9 @@
 	"lanewheel/internal/fake"
 )
 
-// Reads of like type and key within the told time get the first one's result, without a run of their own.
-func Example_shared() {
+// Reads of the same class and resource within the configured time get the first one's result, without a run of
+// their own.
+func Example_coalescedReads() {
 	t := deployReady("FRESH", "5")
 	defer t.close()
 	s := t.client()
@@ -32,9 +33,9 @@
 	// true 0
 }
 
-// A read whose caller has left runs on until its stop is heard. Who asked the same before that gets what it comes to; who asks the same now has a run
-// of its own.
-func Example_repeatOfOneGivenUp() {
+// A read whose caller has left runs on until its stop is confirmed. Duplicates from before that get its result;
+// later ones have a run of their own.
+func Example_duplicateOfAbandonedRead() {
 	t := deployReady("FRESH", "5")
 	defer t.close()
 	s := t.client()
@@ -63,9 +64,9 @@
 	// ['\x01' '\x04' <nil> ["three" map[]]]
 }
 
-// What comes to a further tier are calls, which carry the key of the op that makes them: each has a result of its own, and only one that says the
-// same is answered with another's.
-func Example_callsOfTheTierAbove() {
+// The requests of a further tier are calls, which carry the resource of the request that makes them: each has a
+// result of its own, and only one with the same body is answered with another's.
+func Example_duplicatesInFurtherTier() {
 	t := deployReady("FRESH", "5", `{"classes"`, `{"tier":1,"classes"`)
 	defer t.close()
 	s := t.client()
@@ -89,9 +90,10 @@
 	// ['\x01' '\x03' <nil> ["of lamps" map[]]]
 }
 
-// A read's repeat while the first runs, in the moment in which the first's answer leaves, when its run has failed, and from another tenant, in
-// another class, after the told time: the first's result, or a run of its own, and one answer each.
-func Example_repeats() {
+// A duplicate of a read while the first runs, in the moment in which the first is answered, when its run has
+// failed, and from another tenant, in another class, after the configured time: the first's result, or a run of its
+// own, and one response each.
+func Example_duplicateReads() {
 	t := deployReady("FRESH", "2", `"tenants":[]`, `"tenants":[{"name":"water"},{"name":"roads"}]`)
 	defer t.close()
 	s := t.client()
@@ -153,9 +155,10 @@
 	// start true
 }
 
-// Tries of one keyed op, each under an id of its own and by whichever stub: one runs. The others get its result, while it runs and afterwards, or
-// its failure. What says something else, or is of another class, is another op.
-func Example_keyedTries() {
+// Attempts of one request that is idempotent by key, each under an id of its own and by whichever client: one runs.
+// The others get its result, while it runs and afterwards, or its failure. Another body, or another class, is
+// another request.
+func Example_retriesByKey() {
 	t := deployReady(`"repeat":"at_most_once"}`, `"repeat":"deduplicated","dedup-window-s":60}`)
 	defer t.close()
 	s, other := t.client(), t.client()
--- a/cmd/lanewheel/helper_test.go
+++ b/cmd/lanewheel/helper_test.go
@@ -70,7 +70,8 @@
 	}
 }
 
-// deployWords gives the words that stand between two others in a line of the deploy file, so that the tests run what is deployed.
+// deployWords gives the words that stand between two others in a line of the deploy file, so that the tests run
+// what is deployed.
 func deployWords(line, after, before string) []string {
 	for _, text := range strings.Split(string(fake.Must(os.ReadFile("../../deploy/balancer.toml"))), "\n") {
 		if rest, is := strings.CutPrefix(text, line+" = "); is {
--- a/cmd/lanewheel/log_test.go
+++ b/cmd/lanewheel/log_test.go
@@ -9,8 +9,9 @@
 	"lanewheel/internal/fake"
 )
 
-// Nobody reads the log, and its pipe is full; then its reader is gone. Ops are answered all the same, and the program leaves with 0.
-func Example_logThatNobodyReads() {
+// Nobody reads the log, and its pipe is full; then its reader is gone. Requests are answered all the same, and the
+// program ends with 0.
+func Example_logReaderStopped() {
 	var ends [2]int
 	if err := unix.Pipe2(ends[:], unix.O_CLOEXEC|unix.O_NONBLOCK); err != nil {
 		panic(err)
--- a/cmd/lanewheel/protocol_test.go
+++ b/cmd/lanewheel/protocol_test.go
@@ -9,8 +9,8 @@
 	"lanewheel/internal/fake"
 )
 
-// Crossings: an interrupt with the end, one for an id never seen, a connection that closes with ops open.
-func Example_crossings() {
+// A cancel that crosses the end, one for an id that was never seen, a connection that closes with pending requests.
+func Example_cancelCrossings() {
 	t := deployReady()
 	defer t.close()
 	s, other := t.client(), t.client()
@@ -33,8 +33,8 @@
 	// true
 }
 
-// A connection that breaks the protocol fails what is open on it and ends at once; the others go on.
-func Example_faults() {
+// A connection that breaks the protocol has what is pending on it fail and is closed at once; the others go on.
+func Example_protocolErrors() {
 	t := deployReady()
 	defer t.close()
 	other := t.client()
@@ -76,10 +76,10 @@
 	// too-many-pending 1
 }
 
-// What could never be served is answered with an error and does not reach the runtime; a client that goes on so loses its
-// connection. An id in hand that comes from elsewhere is nacked, and its first bearer served. Ids that the runtime does
-// not know are no failed runs: dozens of them leave the instance well.
-func Example_unservable() {
+// What could never be served fails and does not reach the runtime; a client that goes on so loses its connection.
+// An id in flight that comes by another connection is rejected, and its first bearer served. Ids that the runtime
+// does not know are no failed runs: dozens of them leave the instance healthy.
+func Example_invalidRequests() {
 	t := deployReady(`"tenants":[]`, `"tenants":[{"name":"acme"}]`)
 	defer t.close()
 	s, bad := t.client(), t.client()
@@ -116,8 +116,8 @@
 	// ['\x01' '\x01' <nil> ["one" map[]]] false
 }
 
-// A stub that never reads loses its connection before its answers hold much memory; the others go on.
-func Example_neverReads() {
+// A client that never reads loses its connection before its responses hold much memory; the others go on.
+func Example_clientNeverReads() {
 	t := deployReady()
 	defer t.close()
 	deaf, other := t.client(), t.client()
@@ -150,8 +150,9 @@
 	// true
 }
 
-// A stub that ends its side of the connection and waits for the answers: the protocol page knows no such end (a stub closes once everything is
-// answered), and it is taken for its leaving, at once: its run is stopped, nothing is answered, and its connection ends.
+// A client that closes its side of the connection and waits for the responses: the protocol knows no such end (a
+// client closes once everything is answered), and it is taken for its leaving, at once: its run is stopped, nothing
+// is answered, and its connection is closed.
 func Example_halfClosed() {
 	t := deployReady()
 	defer t.close()
--- a/cmd/lanewheel/queue_test.go
+++ b/cmd/lanewheel/queue_test.go
@@ -71,8 +71,8 @@
 	return slices.Compact(all)
 }
 
-// A message's op runs beside the stubs' ops; a connection that drops while it runs does not run it again, and its answer goes out
-// on the next one.
+// A message's request runs beside those of clients; a connection that drops while it runs does not run it again,
+// and its answer goes out on the next one.
 func Example_queue() {
 	d := deployWithQueue(queueOperatorFile)
 	defer d.close()
@@ -103,7 +103,7 @@
 	// 1 0 []
 }
 
-// Who may is the identity's matter on queues too: a told one for all of a queue, or a token each.
+// Authorization holds for queues, too: one identity for all of a queue, or a token with each message.
 func Example_queueIdentity() {
 	h := deployWithAuth()
 	defer h.close()
@@ -138,7 +138,8 @@
 	// d denied no-identity
 }
 
-// The operators' commands: what is there at the broker and what is missing, ops sent and answered, the intake as it stands.
+// The operators' commands: what is there at the broker and what is missing, requests sent and answered, the
+// consumer's state.
 func Example_queueCommands() {
 	d := deployWithQueue(queueOperatorFile + "[queue none]\n")
 	defer d.close()
@@ -160,7 +161,8 @@
 	// 0 true true
 }
 
-// At SIGTERM consuming stops, what runs is answered and acked, what was not started goes back, and the program ends with 0.
+// At SIGTERM consuming stops, what runs is answered and acknowledged, what was not started goes back, and the
+// program ends with 0.
 func Example_queueDrain() {
 	d := deployWithQueue(strings.Replace(queueOperatorFile, "floor = 4", "floor = 30", 1))
 	defer d.close()
@@ -192,8 +194,8 @@
 	// 0 true 60 0 true
 }
 
-// The operators' test: over a script of cuts, the broker's count of every ack and every answer agrees with what was sent, to the
-// message, in ten runs of one script with the same totals.
+// Over a script of cut connections, the broker's count of every acknowledgment and every answer agrees with what
+// was sent, to the message, in ten runs of one script with the same totals.
 func TestQueueTotals(t *testing.T) {
 	const many = 200
 	// A call is given up after four times the slowest of the last ones, so calls take longer than a busy machine
@@ -239,7 +241,8 @@
 	}
 }
 
-// A flood of messages past their deadline, while a stub's ops go on at a rate: how long each of those takes, without and with it.
+// A flood of messages past their deadline, while a stub's ops go on at a rate: how long each of those takes,
+// without and with it.
 //
 //	go test -run xxx -bench Flood -benchtime 1000x ./cmd/lanewheel
 func BenchmarkFlood(b *testing.B) {
--- a/cmd/lanewheel/registry_test.go
+++ b/cmd/lanewheel/registry_test.go
@@ -9,7 +9,8 @@
 	"lanewheel/internal/fake"
 )
 
-// The roster hears "off" from an instance that is unwell where the list follows health, and "on" when it is back.
+// The registry hears "off" from an instance that is not healthy where its list follows health, and "on" when it is
+// back.
 func Example_readiness() {
 	t := deployReady(`"deep-checks":true`, `"deep-checks":true,"readiness":true`)
 	defer t.close()
@@ -25,8 +26,9 @@
 	// ['\x01' '\x01' <nil> ["late" map[]]]
 }
 
-// The list's machine is down at the start, is back later, goes silent, and moves: reports go on all the while, each with the state of its moment.
-func Example_listThatIsDown() {
+// The registry is down at the start, is back later, goes silent, and moves: reports go on all the while, each with
+// the state of its moment.
+func Example_registryDown() {
 	t := deploy()
 	defer t.close()
 	addr := t.registry.Addr()
--- a/cmd/lanewheel/reload_test.go
+++ b/cmd/lanewheel/reload_test.go
@@ -9,9 +9,10 @@
 	"lanewheel/internal/fake"
 )
 
-// SIGHUP moves runtime, database and roster. While the file is half written the old ones stay; when it is whole, ops,
-// runs and notice numbers carry on at the new ones without another signal. A second move comes before the first is done.
-func Example_moved() {
+// SIGHUP moves runtime, database and registry. While the file is half written the old addresses stay; when it is
+// whole, requests, runs and event numbers carry on at the new ones without another signal. A second move comes
+// before the first is done.
+func Example_addressesReloaded() {
 	t := deployReady()
 	defer t.close()
 	s := t.client()
@@ -67,9 +68,9 @@
 	// 0 1 3
 }
 
-// A configuration is read anew while the instance drains: runtime, database and list move, the run that is under way ends by the new ones, and the
-// drain goes on by its own times; a wrong one changes nothing.
-func Example_movedWhileLeaving() {
+// A configuration is read again while the instance drains: runtime, database and registry move, the run that is
+// under way ends by the new ones, and the drain goes on by its own times; a wrong one changes nothing.
+func Example_reloadedWhileDraining() {
 	t := deployReady()
 	defer t.close()
 	s := t.client()
@@ -111,8 +112,8 @@
 	// 0 1
 }
 
-// Reloads that come twice at once, half written, cut off behind a whole line, while leaving and while a handshake stands:
-// never half a change, and nothing is dropped.
+// Reloads that come twice at once, half written, cut off behind a whole line, while draining and during a
+// handshake: never half a change, and nothing is dropped.
 func Example_reloads() {
 	h := deployWithAuth()
 	defer h.close()
--- a/cmd/lanewheel/requests_test.go
+++ b/cmd/lanewheel/requests_test.go
@@ -7,8 +7,8 @@
 	"lanewheel/internal/fake"
 )
 
-// An op's way: read, started, at a call, called, given the reply, ended, answered.
-func Example_served() {
+// A request's way: read, started, at an upstream call, given the reply, ended, answered.
+func Example_requestLifecycle() {
 	t := deployReady()
 	defer t.close()
 	s := t.client()
@@ -34,9 +34,9 @@
 	// ['\x01' '\b' ["Failed" map[]] <nil>]
 }
 
-// An op larger than the memory is nacked unstarted; one that takes too long is given up and its run stopped, and
-// the end that comes then is no second answer. Gauges that never come hold up no answer.
-func Example_nackedAndGivenUp() {
+// A request larger than the memory is rejected before it is started; one that takes too long fails and its run is
+// stopped, and the end that comes then is no second response. Gauges that never come hold up no response.
+func Example_rejectedAndTimedOut() {
 	t := deployReady()
 	defer t.close()
 	t.runtime.Conn.Close()
@@ -65,7 +65,8 @@
 	// ['\x01' '\t' <nil> [
 }
 
-// A clock that was set back or forth loses no op: one from far ahead is served, one from long ago nacked at once.
+// A clock that was set back or forth loses no request: one from far ahead is served, one from long ago rejected at
+// once.
 func Example_clockSteps() {
 	t := deployReady()
 	defer t.close()
@@ -84,8 +85,9 @@
 	// ['\x01' '\x01' <nil> ["one" map[]]]
 }
 
-// A class whose op timeout was not told, or is huge: what its callers say of their wait and its work still counts.
-func Example_timeouts() {
+// A class whose timeout is not configured, or is huge: what callers say of their deadlines and of the work still
+// counts.
+func Example_unusualTimeouts() {
 	for _, told := range []string{``, `"give-up-s":0,`, `"give-up-s":3e9,`, `"give-up-s":1e300,`} {
 		t := deployReady(`{"name":"view","credit":1,"promise-s":1,"give-up-s":3,`, `{"name":"view","credit":1,`+told)
 		s := t.client()
--- a/cmd/lanewheel/rotation_test.go
+++ b/cmd/lanewheel/rotation_test.go
@@ -19,7 +19,8 @@
 	"lanewheel/internal/keyring"
 )
 
-// A long form turns the keys every minute:  go test -run Rotation ./cmd/lanewheel -rotate-for 10m -rotate-every 1m -timeout 20m
+// A long form turns the keys every minute:  go test -run Rotation ./cmd/lanewheel -rotate-for 10m -rotate-every 1m
+// -timeout 20m
 var (
 	rotateFor   = flag.Duration("rotate-for", 6*time.Second, "how long the load of TestRotation goes on")
 	rotateEvery = flag.Duration("rotate-every", time.Second, "how often its keys turn; whole seconds")
@@ -78,7 +79,8 @@
 	return h
 }
 
-// expected tells what is right for an op at a moment: why it is to be denied, empty if it is not. unsure: a reload was under way.
+// expected tells what is right for an op at a moment: why it is to be denied, empty if it is not. unsure: a reload
+// was under way.
 func (i *issuer) expected(t issuedToken, tenant, kind string, at time.Time) (why string, unsure bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -223,8 +225,9 @@
 	}
 }
 
-// Keys turn, tokens are taken back and files read anew under a few hundred ops a second from roads and water handhelds,
-// honest and not: no wrongful refusal, no wrongful admission, one answer each, and nothing that was denied ever runs.
+// Keys are rotated, tokens revoked and files read again under a few hundred requests a second from clients of two
+// tenants, honest and not: no wrongful denial, no wrongful admission, one response each, and nothing that was
+// denied ever runs.
 func TestRotation(t *testing.T) {
 	h := deployWithAuth()
 	defer h.close()
--- a/cmd/lanewheel/runtimelink_test.go
+++ b/cmd/lanewheel/runtimelink_test.go
@@ -14,8 +14,8 @@
 	}
 }
 
-// A link lost with one run at a call whose reply is on its way, one whose end is missed, and one op read without
-// a link: on the new one nothing starts twice, and each is answered once.
+// A link lost with one run at a call whose reply is on its way, one whose end is missed, and one request read
+// without a link: on the new one nothing starts twice, and each is answered once.
 func Example_lostLink() {
 	t := deployReady()
 	defer t.close()
@@ -61,7 +61,7 @@
 	// true 0
 }
 
-// A stop that the lost link swallowed is sent again; a start that is not carried out ends its op.
+// A stop that the lost link swallowed is sent again; a start that is refused ends its request.
 func Example_unsentStop() {
 	t := deployReady()
 	defer t.close()
@@ -89,7 +89,7 @@
 	// ['\x01' '\x02' ["Failed" map[]] <nil>]
 }
 
-// Health is not good, and nothing is taken, before the runtime is up. The roster hears of us each second.
+// Health is not good, and nothing is admitted, before the runtime is up. The registry gets reports each second.
 func Example_lateRuntime() {
 	t := deploy()
 	defer t.close()
--- a/cmd/lanewheel/start_test.go
+++ b/cmd/lanewheel/start_test.go
@@ -13,8 +13,8 @@
 	"lanewheel/internal/fake"
 )
 
-// An address that the life before it still holds: the start waits for it, and does not end; the notice to leave ends that.
-func Example_addressStillHeld() {
+// An address that the process before still holds: the start waits for it, and does not fail; SIGTERM ends the wait.
+func Example_addressInUse() {
 	for _, leave := range []bool{false, true} {
 		before := fake.Must(net.Listen("tcp", fmt.Sprintf("127.70.%d.1:0", os.Getpid()%250)))
 		t := deploy()
@@ -49,9 +49,10 @@
 	// left with 0 true
 }
 
-// A start among parties that are late or silent: the runtime refuses at first, the database swallows what knocks, nobody listens at the list's
-// address. Once the runtime is there the instance is ready without waiting for anybody else; what can do without the others is served.
-func Example_everybodyLate() {
+// A start among peers that are late or silent: the runtime refuses at first, the database's address never answers,
+// nobody listens at the registry's. Once the runtime is there the instance is ready without waiting for anybody
+// else; what can do without the others is served.
+func Example_latePeers() {
 	hole, fd := blackHoleAddr()
 	defer unix.Close(fd)
 	free := fake.Must(net.Listen("tcp", "127.0.0.1:0"))
--- a/cmd/lanewheel/upstreamcalls_test.go
+++ b/cmd/lanewheel/upstreamcalls_test.go
@@ -14,8 +14,9 @@
 	"lanewheel/internal/fake"
 )
 
-// What each end of a call proves: only a call that never ran is made again for an op that may not run twice.
-func Example_calls() {
+// What each end of an upstream call proves: only a call that was never executed is made again for a request that is
+// not idempotent.
+func Example_upstreamCalls() {
 	t := deployReady()
 	defer t.close()
 	s := t.client()
@@ -58,9 +59,9 @@
 	// omit 9 no 13
 }
 
-// The database's address swallows what knocks; SIGHUP names another. Calls that wait at the old one go to the new one at once, and dials for
-// calls that were given up hold up nobody.
-func Example_movedFromAHole() {
+// The database's address never answers; SIGHUP names another. Calls that wait at the old one go to the new one at
+// once, and dials for calls that timed out hold up nobody.
+func Example_databaseMovedFromBlackHole() {
 	hole, fd := blackHoleAddr()
 	defer unix.Close(fd)
 	t := deployReady()
@@ -123,9 +124,10 @@
 	}
 }
 
-// Several services below by told addresses, one call at a time each: calls go to both; the third waits until one is over; one that is refused
-// goes to the other service, as nothing of it was sent; and a call that is given up counts until its time below is over.
-func Example_services() {
+// Several upstream services with configured addresses, one call at a time each: calls go to both; the third waits
+// until one is over; one that is refused goes to the other service, as nothing of it was sent; and a call that
+// timed out counts until its time at the service is over.
+func Example_severalUpstreams() {
 	// The program that has this linked stands beside.
 	if out, err := exec.Command("go", "build", "-o", filepath.Join(tempDir, "lanewheel-fleet"), "../lanewheel-fleet").CombinedOutput(); err != nil {
 		panic(string(out))
@@ -176,10 +178,10 @@
 	// 0
 }
 
-// A customer with nothing below and no list is told of neither: the instance starts and serves, and a call that a run wants all the same
-// is one that never ran. Once the file tells of a database, calls go there. Where the settings say that calls go somewhere, a
-// configuration without the address is cut short.
-func Example_nothingBelow() {
+// A configuration without a database and a registry: the instance starts and serves, and a call that a run wants
+// all the same is one that was never executed. Once the file names a database, calls go there. Where the settings
+// say that calls go somewhere, a configuration without the address is wrong.
+func Example_noUpstream() {
 	absent := []string{`"db":`, `"was-db":`, `"roster":`, `"was-roster":`}
 	t := deployReady(append(absent, `"below":"common"`, `"below":"silent"`)...)
 	defer t.close()
