--- a/cmd/lanewheel/authdeployment_test.go
+++ b/cmd/lanewheel/authdeployment_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"crypto/tls"
 	"crypto/x509"
 	"fmt"
@@ -93,7 +94,9 @@
 	h.operatorFile = strings.NewReplacer(append(changes, "ADDR", h.tlsAddr)...).Replace(authOperatorFile)
 	h.writeFile("op.ini", h.operatorFile)
 	operatorPath = h.path("op.ini")
-	h.deployment = deployReady(`"tenants":[]`, `"tenants":[{"name":"water"},{"name":"roads"}]`, `"retry-after":false`, `"retry-after":true,"max-retry-after-s":0.2`)
+	h.deployment = deployReady(
+		`"tenants":[]`, `"tenants":[{"name":"water"},{"name":"roads"}]`,
+		`"retry-after":false`, `"retry-after":true,"max-retry-after-s":0.2`)
 	operatorPath = ""
 	return h
 }
@@ -107,14 +110,15 @@
 
 // reloadAndWait asks for a reload and waits until it is in force.
 func (h *authDeployment) reloadAndWait() {
-	before := strings.Count(h.log.text(), "msg=\"operator configuration reloaded\"")
+	before := h.reloads()
 	h.sendHangup()
-	fake.WaitFor("the reload", func() bool { return strings.Count(h.log.text(), "msg=\"operator configuration reloaded\"") > before })
+	fake.WaitFor("the reload", func() bool { return h.reloads() > before })
 	h.client().CheckHealth() // what was handed to the loop before is done
 }
 
 func (h *authDeployment) token(key, subject string, more ...string) string {
-	return h.runCommand(append([]string{"token", "issue", "--key", h.path("private/" + key + ".private"), "--issuer", "us", "--audience", "rota",
+	keyPath := h.path("private/" + key + ".private")
+	return h.runCommand(append([]string{"token", "issue", "--key", keyPath, "--issuer", "us", "--audience", "rota",
 		"--subject", subject}, more...)...)
 }
 
@@ -130,14 +134,15 @@
 }
 
 func (h *authDeployment) dialTLS(c *tls.Config) (*fake.Client, error) {
-	conn, err := tls.Dial("tcp", h.tlsAddr, c)
+	conn, err := (&tls.Dialer{Config: c}).DialContext(context.Background(), "tcp", h.tlsAddr)
 	if err != nil {
 		return nil, err
 	}
 	return fake.NewClient(conn), nil
 }
 
-// requestAnswer sends one op and gives its answer without what rides on it; the runtime ends it if it comes there.
+// requestAnswer sends one request and returns its response without the load report; the runtime ends its run if it
+// gets there.
 func (h *authDeployment) requestAnswer(s *fake.Client, n int, more ...string) string {
 	s.Send(fake.NewRequest(n, "view", fake.RequestID(n), nil, append([]string{"kb", "1", "cost", "1"}, more...)...))
 	answers := make(chan string, 1)
@@ -165,3 +170,8 @@
 		}
 	}
 }
+
+// reloads counts the reloads of the operator's file that the log tells of.
+func (h *authDeployment) reloads() int {
+	return strings.Count(h.log.text(), `msg="operator configuration reloaded"`)
+}
--- a/cmd/lanewheel/authentication_test.go
+++ b/cmd/lanewheel/authentication_test.go
@@ -56,7 +56,8 @@
 	defer h.close()
 	s := h.client()
 	for i, subject := range []string{"water-1", "water-2", "roads-1"} {
-		s.Send(fake.NewRequest(i+1, "view", fake.RequestID(i+1), nil, "token", h.token("k1", subject), "key", "crew-9", "kb", "1"))
+		s.Send(fake.NewRequest(i+1, "view", fake.RequestID(i+1), nil,
+			"token", h.token("k1", subject), "key", "crew-9", "kb", "1"))
 		if i != 1 {
 			fmt.Println(h.runtime.NextCommand())
 			h.runtime.SendNotice("end", fake.RequestID(i+1), "success", "for "+subject)
@@ -119,7 +120,9 @@
 		said["water "+h.requestAnswer(other, n+2, "token", water)]++
 	}
 	fmt.Println(said["slow done"] <= 2+11, said["slow done"] >= 8, said["slow Busy <nil>"] > 10, said["water done"]*2 == n)
-	s.Send(fake.NewRequest(9, "view", fake.RequestID(999999), nil, "token", slow), fake.NewRequest(10, "view", fake.RequestID(999998), nil, "token", slow),
+	s.Send(
+		fake.NewRequest(9, "view", fake.RequestID(999999), nil, "token", slow),
+		fake.NewRequest(10, "view", fake.RequestID(999998), nil, "token", slow),
 		fake.NewRequest(11, "view", fake.RequestID(999997), nil, "token", slow))
 	heard := ""
 	for range 2 { // at most two of the three are let in
@@ -155,7 +158,8 @@
 	fake.WaitFor("the end of it", func() bool { return strings.Contains(h.log.text(), "code=peer-closed") })
 	s.Send(fake.NewRequest(3, "view", fake.RequestID(3), nil, "token", three, "kb", "1"))
 	heard := h.runtime.NextCommand()
-	for strings.HasPrefix(heard, "start 2 ") || strings.HasPrefix(heard, "stop 2") { // its check was over before the close came
+	// Its check may have been over before the close came.
+	for strings.HasPrefix(heard, "start 2 ") || strings.HasPrefix(heard, "stop 2") {
 		heard = h.runtime.NextCommand()
 	}
 	fmt.Println(heard)
@@ -176,7 +180,8 @@
 	for k := range 5 {
 		bad := h.client()
 		for i := range 40 {
-			if said := h.requestAnswer(bad, i+1, "token", fmt.Sprintf("%s%04d", good[:len(good)-4], 1000*k+i)); said == "closed" {
+			token := fmt.Sprintf("%s%04d", good[:len(good)-4], 1000*k+i)
+			if said := h.requestAnswer(bad, i+1, "token", token); said == "closed" {
 				fmt.Print(i, " ")
 				break
 			} else if said != "Denied signature" {
@@ -197,7 +202,9 @@
 	s := h.client()
 	first := h.token("k1", "water-1", "--jti", "a", "--for", "2s")
 	fmt.Println(h.requestAnswer(s, 1, "token", first), h.requestAnswer(s, 2, "token", first))
-	fmt.Println(h.requestAnswer(s, 3, "token", h.token("k1", "water-1", "--jti", "b")), h.requestAnswer(s, 4, "token", h.token("k1", "water-1", "--jti", "c")))
+	fmt.Println(
+		h.requestAnswer(s, 3, "token", h.token("k1", "water-1", "--jti", "b")),
+		h.requestAnswer(s, 4, "token", h.token("k1", "water-1", "--jti", "c")))
 	// Output:
 	// done Denied replayed
 	// done Busy <nil>
--- a/cmd/lanewheel/bench_test.go
+++ b/cmd/lanewheel/bench_test.go
@@ -39,11 +39,13 @@
 	}()
 }
 
-// roomyConfig are changes of a town's configuration that have nothing nacked.
-var roomyConfig = []string{`"cpus":2`, `"cpus":64`, `"memory-kb":1900`, `"memory-kb":1900000`, `"sockets":64`, `"sockets":1024`}
+// roomyConfig are changes of a configuration by which nothing is rejected.
+var roomyConfig = []string{
+	`"cpus":2`, `"cpus":64`, `"memory-kb":1900`, `"memory-kb":1900000`, `"sockets":64`, `"sockets":1024`,
+}
 
-// sendRequests sends ops on connections, eight open on each, until count are answered, and gives how many were not
-// acked.
+// sendRequests sends requests on connections, eight pending on each, until count are answered, and returns how many did
+// not succeed.
 func sendRequests(dial func() *fake.Client, conns, count int, token string) int64 {
 	var asked, other atomic.Int64
 	var all sync.WaitGroup
@@ -80,10 +82,10 @@
 	return other.Load()
 }
 
-// What an op costs an instance: without callers, with a remembered token, under TLS, and under both.
+// What a request costs an instance: without callers, with a remembered token, under TLS, and under both.
 //
-//	go test -run xxx -bench Op -benchtime 60000x ./cmd/lanewheel
-func BenchmarkOp(b *testing.B) {
+//	go test -run xxx -bench Request -benchtime 60000x ./cmd/lanewheel
+func BenchmarkRequest(b *testing.B) {
 	for _, how := range []string{"plain", "token", "tls", "tls and token"} {
 		b.Run(how, func(b *testing.B) {
 			var t *deployment
@@ -149,8 +151,25 @@
 	}
 }
 
-// How a known caller fares, 200 ops a second on one connection, without and with a flood of forged tokens from four
-// others.
+// sendForged sends requests with tokens like a good one, on one connection after the other, and counts their responses.
+func (h *authDeployment) sendForged(k int, good string, stop *atomic.Bool, forged *atomic.Int64) {
+	for n := 0; !stop.Load(); {
+		s := h.deployment.client()
+		for range 8 { // as many as end a connection
+			n++
+			s.Send(fake.NewRequest(n, "view", fmt.Sprintf("%08x%08x", k+9, n), nil, "kb", "1",
+				"token", fmt.Sprintf("%s%d%07d", good[:len(good)-8], k, n%10_000_000)))
+			if _, err := s.NextResponse(); err != nil {
+				break
+			}
+			forged.Add(1)
+		}
+		s.Close()
+	}
+}
+
+// How a known caller fares, 200 requests a second on one connection, without and with a flood of forged tokens from
+// four others.
 //
 //	go test -run xxx -bench Forged -benchtime 2000x ./cmd/lanewheel
 func BenchmarkForged(b *testing.B) {
@@ -170,19 +189,7 @@
 				all.Add(1)
 				go func() {
 					defer all.Done()
-					for n := 0; !stop.Load(); {
-						s := h.deployment.client()
-						for range 8 { // as many as end a connection
-							n++
-							s.Send(fake.NewRequest(n, "view", fmt.Sprintf("%08x%08x", k+9, n), nil, "kb", "1",
-								"token", fmt.Sprintf("%s%d%07d", good[:len(good)-8], k, n%10_000_000)))
-							if _, err := s.NextResponse(); err != nil {
-								break
-							}
-							forged.Add(1)
-						}
-						s.Close()
-					}
+					h.sendForged(k, good, &stop, &forged)
 				}()
 			}
 			s := h.client()
@@ -211,7 +218,7 @@
 }
 
 // How long a start takes, by its parts: from exec to the line "listening", from there to the link with the runtime,
-// and from the runtime's word that it is up to the first good health check; alone, with the database and the list
+// and from the runtime's ready event to the first good health check; alone, with the database and the registry
 // silent, and many at one moment as in a fleet's restart.
 //
 //	go test -run xxx -bench Start -benchtime 20x ./cmd/lanewheel
@@ -233,7 +240,7 @@
 					began := time.Now()
 					t := deploy()
 					if how.mute {
-						t.database.Listener.Close()
+						_ = t.database.Listener.Close()
 						t.registry.Close()
 					}
 					all.Add(1)
@@ -251,7 +258,9 @@
 						s.Close()
 						mu.Lock()
 						defer mu.Unlock()
-						for i, span := range []time.Duration{listens.Sub(began), linked.Sub(listens), ready.Sub(linked), ready.Sub(began)} {
+						for i, span := range []time.Duration{
+							listens.Sub(began), linked.Sub(listens), ready.Sub(linked), ready.Sub(began),
+						} {
 							_ = parts[i].RecordValue(span.Microseconds())
 						}
 					}()
--- a/cmd/lanewheel/certificates_test.go
+++ b/cmd/lanewheel/certificates_test.go
@@ -29,7 +29,7 @@
 	h.runCommand("cert", "revoke", h.path("water-7.pem"), "--authority", h.path("ca"))
 	h.reloadAndWait()
 	s.Send(fake.NewRequest(4, "view", fake.RequestID(4), nil, "kb", "1"))
-	heard := []string{s.NextText(), s.NextText()} // the asking may come before the op or behind it
+	heard := []string{s.NextText(), s.NextText()} // goaway may come before the response or behind it
 	slices.Sort(heard)
 	fmt.Println(heard)
 	h.runtime.SendNotice("end", fake.RequestID(3), "success", "one")
@@ -60,7 +60,7 @@
 	defer h.close()
 	var stalled []net.Conn
 	for range 200 {
-		c := fake.Must(net.Dial("tcp", h.tlsAddr))
+		c := fake.Must(dial(h.tlsAddr))
 		stalled = append(stalled, c)
 		_, _ = c.Write([]byte{0x16, 3, 1, 0, 200, 1})
 	}
@@ -72,9 +72,9 @@
 		if _, err := c.Read(make([]byte, 64)); os.IsTimeout(err) {
 			panic("a handshake without end")
 		}
-		c.Close()
+		_ = c.Close()
 	}
-	noise := fake.Must(net.Dial("tcp", h.tlsAddr))
+	noise := fake.Must(dial(h.tlsAddr))
 	_, _ = noise.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 	fake.WaitFor("its end", func() bool { return strings.Contains(h.log.text(), "code=handshake-failed") })
 	none, err := h.dialTLS(h.clientTLS(""))
@@ -96,7 +96,8 @@
 	defer h.close()
 	held := func() (n int) {
 		for _, fd := range fake.Must(os.ReadDir(fmt.Sprintf("/proc/%d/fd", h.cmd.Process.Pid))) {
-			if to, _ := os.Readlink(fmt.Sprintf("/proc/%d/fd/%s", h.cmd.Process.Pid, fd.Name())); strings.HasPrefix(to, "socket:") {
+			to, _ := os.Readlink(fmt.Sprintf("/proc/%d/fd/%s", h.cmd.Process.Pid, fd.Name())) // it may be closed by now
+			if strings.HasPrefix(to, "socket:") {
 				n++
 			}
 		}
@@ -104,7 +105,8 @@
 	}
 	before, most := held(), 0
 	for range 25 {
-		defer fake.Must(net.Dial("tcp", h.tlsAddr)).Close()
+		conn := fake.Must(dial(h.tlsAddr))
+		defer func() { _ = conn.Close() }()
 	}
 	for end := time.Now().Add(500 * time.Millisecond); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		most = max(most, held()-before)
--- a/cmd/lanewheel/commandline_test.go
+++ b/cmd/lanewheel/commandline_test.go
@@ -1,8 +1,8 @@
 package main
 
 import (
+	"context"
 	"fmt"
-	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -13,11 +13,14 @@
 )
 
 // A start that fails: one line that says why, and a code that is not 0.
+//
+//nolint:lll // a line of the trace is long
 func Example_startFails() {
-	taken := fake.Must(net.Listen("tcp", "127.0.0.1:0"))
-	defer taken.Close()
+	taken := fake.Must(listen("127.0.0.1:0"))
+	defer func() { _ = taken.Close() }()
 	good := fmt.Sprintf(`{"name":"n1","listen":%q,"runtime":"127.0.0.1:1","roster":"127.0.0.1:1","db":"127.0.0.1:1",`+
-		`"limits":{"cores":1,"memory_mb":192,"sockets":64},"settings":%s}`, taken.Addr(), strings.NewReplacer("IDLE", "1", "FRESH", "0").Replace(fake.Settings))
+		`"limits":{"cores":1,"memory_mb":192,"sockets":64},"settings":%s}`,
+		taken.Addr(), strings.NewReplacer("IDLE", "1", "FRESH", "0").Replace(fake.Settings))
 	for _, text := range []string{`{"name":`, `{}`, strings.Replace(good, `"cores":1`, `"cores":0`, 1),
 		strings.Replace(good, `"cpus":2`, `"cpus":"two"`, 1), strings.Replace(good, `"settings"`, `"other"`, 1), good} {
 		t := &deployment{log: &logBuffer{}, exited: make(chan struct{})}
@@ -29,15 +32,18 @@
 		}
 		fmt.Println(code, strings.Count(log, "\n"), log)
 	}
-	// Output: 1 0  cannot parse JSON: cannot parse object: cannot parse object value: cannot parse empty string;
-	// unparsed tail: \"\"" 1 0  name: wants text" more=6 1 0 1: limits.cores: is \"0\", wants a number over 0" 1 0 6:
-	// settings.domain.cpus: is \"two\", wants another type than string" 1 0  settings: wants an object" 1 0
-	// msg=cannot-start err="listen tcp ADDR: bind: address already in use"
+	// Output:
+	// 1 0  cannot parse JSON: cannot parse object: cannot parse object value: cannot parse empty string; unparsed tail: \"\""
+	// 1 0  name: wants text" more=6
+	// 1 0 1: limits.cores: is \"0\", wants a number over 0"
+	// 1 0 6: settings.domain.cpus: is \"two\", wants another type than string"
+	// 1 0  settings: wants an object"
+	// 1 0 msg=cannot-start err="listen tcp ADDR: bind: address already in use"
 }
 
 // runCommand gives the exit code and all that the program prints for a command line.
 func runCommand(args ...string) string {
-	cmd := exec.Command(binaryPath, args...)
+	cmd := exec.CommandContext(context.Background(), binaryPath, args...)
 	cmd.Env = []string{"TMPDIR=" + tempDir}
 	out, _ := cmd.CombinedOutput()
 	return fmt.Sprintf("%d %s", cmd.ProcessState.ExitCode(), strings.ReplaceAll(string(out), tempDir+"/", ""))
@@ -45,6 +51,8 @@
 
 // The command line: help on every level, files checked with each fault in its place, a wrong word told from a wrong
 // file.
+//
+//nolint:lll // a line of the trace is long
 func Example_commandLine() {
 	for _, args := range [][]string{{"--help"}, {"check", "--help"}, {"try", "--help"}} {
 		text := runCommand(args...)
@@ -60,15 +68,26 @@
 	}
 	fmt.Print(runCommand("check", write("good.ini", "; a comment\n[log]\nformat = json\n")))
 	fmt.Print(runCommand("check", write("bad.ini", "[log]\nformat = xml\nformt = text\n\n[lgo]\n[log]\n")))
-	fmt.Print(runCommand("check", write("bad.json", "{\"name\":\"n1\",\n\"listen\":\"127.0.0.1:1\",\"runtime\":\"r\",\"db\":\"d\",\"roster\":7,\n"+
-		"\"limits\":{\"cores\":-1,\n\"memory_mb\":3},\"settings\":{\"classes\":[{\"name\":\"view\"},\n{\"credit\":\"x\"}]}}")))
-	// Output: [--help] 0  true [check --help] 0  true [try --help] 0  true 2 0 good.ini: good 1 bad.ini:2: log.format:
-	// is "xml", wants one of json, text bad.ini:3: log.formt: is no name of this section; wants format bad.ini:5: lgo:
-	// is no section; wants amqp, below, caller NAME, callers, fleet, grants, handover, log, queue NAME, relay, role
-	// NAME, steward, tls, tokens bad.ini:6: log: stands in line 1 already 1 bad.json:2: roster: is "7", wants text
-	// bad.json:3: limits.cores: is "-1", wants a number over 0 bad.json:3: limits.sockets: wants a number of 32 or
-	// more bad.json:4: settings.domain.cpus: wants a number of 1 or more bad.json:5: settings.classes.1.credit: is
-	// "x", wants another type than string
+	fmt.Print(runCommand("check", write("bad.json", `{"name":"n1",
+"listen":"127.0.0.1:1","runtime":"r","db":"d","roster":7,
+"limits":{"cores":-1,
+"memory_mb":3},"settings":{"classes":[{"name":"view"},
+{"credit":"x"}]}}`)))
+	// Output:
+	// [--help] 0  true
+	// [check --help] 0  true
+	// [try --help] 0  true
+	// 2
+	// 0 good.ini: good
+	// 1 bad.ini:2: log.format: is "xml", wants one of json, text
+	// bad.ini:3: log.formt: is no name of this section; wants format
+	// bad.ini:5: lgo: is no section; wants amqp, below, caller NAME, callers, fleet, grants, handover, log, queue NAME, relay, role NAME, steward, tls, tokens
+	// bad.ini:6: log: stands in line 1 already
+	// 1 bad.json:2: roster: is "7", wants text
+	// bad.json:3: limits.cores: is "-1", wants a number over 0
+	// bad.json:3: limits.sockets: wants a number of 32 or more
+	// bad.json:4: settings.domain.cpus: wants a number of 1 or more
+	// bad.json:5: settings.classes.1.credit: is "x", wants another type than string
 }
 
 // A newcomer's first command: it starts, serves, ends with its table, and all that was requested is in it.
--- a/cmd/lanewheel/connections_test.go
+++ b/cmd/lanewheel/connections_test.go
@@ -23,7 +23,7 @@
 	half.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil, "cost", "900"))
 	fmt.Println(t.runtime.NextCommand())
 	message := fake.Encode(nil, fake.NewRequest(2, "view", fake.RequestID(2), nil))
-	half.Conn.Write(message[:len(message)/2])
+	_, _ = half.Conn.Write(message[:len(message)/2])
 	fmt.Println(silent.NextText(), half.NextText(), half.NextText())
 	fmt.Println(time.Since(began) < 2500*time.Millisecond, asked.CheckHealth())
 	// Output:
@@ -60,7 +60,7 @@
 	fmt.Println(t.runtime.NextCommand())
 	asked := t.client()
 	asked.CheckHealth()
-	for range 60 { // of 64 descriptors 40 are for stubs
+	for range 60 { // of 64 descriptors 40 are for clients
 		t.client()
 	}
 	late := t.client()
@@ -125,7 +125,8 @@
 	s := t.client()
 	fake.WaitFor("health", func() bool { return s.CheckHealth() })
 	asked := map[string]int{}
-	for n := 1; n <= 6; n++ { // as many calls at a time as their share lets through, more than there is room for connections
+	// As many calls at a time as their share lets through, more than there is room for connections.
+	for n := 1; n <= 6; n++ {
 		s.Send(fake.NewRequest(n, "pay", fake.RequestID(n), nil, "kb", "1"))
 		t.runtime.NextCommand()
 		t.runtime.SendNotice("wants", fake.RequestID(n), "", "ask")
@@ -178,9 +179,11 @@
 	var tenants, types []string
 	for i := range many {
 		tenants = append(tenants, fmt.Sprintf(`{"name":"t%d","quota-per-s":5}`, i))
-		types = append(types, fmt.Sprintf(`{"name":"k%d","credit":%d,"promise-s":1,"give-up-s":9,"repeat":"idempotent"}`, i, 1+i%5))
+		types = append(types, fmt.Sprintf(
+			`{"name":"k%d","credit":%d,"promise-s":1,"give-up-s":9,"repeat":"idempotent"}`, i, 1+i%5))
 	}
-	t := deployReady(`"tenants":[]`, `"tenants":[`+strings.Join(tenants, ",")+"]", `"classes":[`, `"classes":[`+strings.Join(types, ",")+",",
+	t := deployReady(`"tenants":[]`, `"tenants":[`+strings.Join(tenants, ",")+"]",
+		`"classes":[`, `"classes":[`+strings.Join(types, ",")+",",
 		`"sockets":64`, `"sockets":4096`, `"memory-kb":1900`, `"memory-kb":1900000`, `"cpus":2`, `"cpus":64`)
 	defer t.close()
 	t.endRunsAtOnce()
@@ -189,7 +192,8 @@
 	for i := range many {
 		s := t.client()
 		all = append(all, s)
-		s.Send(fake.NewRequest(1, fmt.Sprint("k", i), fake.RequestID(i), nil, "tenant", fmt.Sprint("t", many-1-i), "kb", "1", "from", fmt.Sprint(i)))
+		s.Send(fake.NewRequest(1, fmt.Sprint("k", i), fake.RequestID(i), nil,
+			"tenant", fmt.Sprint("t", many-1-i), "kb", "1", "from", fmt.Sprint(i)))
 		answers[s.NextText()]++
 	}
 	fmt.Println(len(all), answers, strings.Contains(t.log.text(), "evicted"))
--- a/cmd/lanewheel/deployed_test.go
+++ b/cmd/lanewheel/deployed_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"os"
 	"os/exec"
@@ -23,13 +24,14 @@
 	t := deployReady()
 	defer t.close()
 	pid := t.cmd.Process.Pid
-	// Danger: a file that whoever runs the tests left open goes through them to every program they start, under its
+	// A file that whoever runs the tests left open goes through them to every program they start, under its
 	// number; that one is not the program's.
 	given := map[string]string{}
 	for _, fd := range fake.Must(os.ReadDir("/proc/self/fd")) {
 		n, _ := strconv.Atoi(fd.Name())
 		flags, _, errno := syscall.Syscall(syscall.SYS_FCNTL, uintptr(n), syscall.F_GETFD, 0)
-		if to, err := os.Readlink("/proc/self/fd/" + fd.Name()); n > 2 && err == nil && errno == 0 && flags&syscall.FD_CLOEXEC == 0 {
+		inherited := n > 2 && errno == 0 && flags&syscall.FD_CLOEXEC == 0
+		if to, err := os.Readlink("/proc/self/fd/" + fd.Name()); err == nil && inherited {
 			given[fd.Name()] = to
 		}
 	}
@@ -40,7 +42,8 @@
 			if err != nil || given[fd.Name()] == to {
 				continue
 			}
-			if strings.HasPrefix(to, "/sys/fs/cgroup/") || to == "/dev/null" { // Go's own look at its cores, where there are such; ours is what is left
+			// Go's own look at its cores, where there are such; ours is what is left.
+			if strings.HasPrefix(to, "/sys/fs/cgroup/") || to == "/dev/null" {
 				continue
 			}
 			kinds[regexp.MustCompile(`[:\[].*`).ReplaceAllString(to, "")]++
@@ -81,7 +84,8 @@
 // else.
 func Example_nodeList() {
 	var linked []string
-	for _, path := range strings.Fields(string(fake.Must(exec.Command("go", "list", "-deps", ".").Output()))) {
+	listed := fake.Must(exec.CommandContext(context.Background(), "go", "list", "-deps", ".").Output())
+	for _, path := range strings.Fields(string(listed)) {
 		if folder, ours := strings.CutPrefix(path, "lanewheel/"); ours && folder != "admission" {
 			linked = append(linked, strconv.Quote(folder))
 		}
--- a/cmd/lanewheel/drain_test.go
+++ b/cmd/lanewheel/drain_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net"
 	"os"
 	"path/filepath"
 	"strings"
@@ -33,7 +32,7 @@
 	s.Close()
 	code, log := t.waitExit()
 	fmt.Println(code, log[strings.LastIndex(log, "msg="):])
-	_, err := net.Dial("tcp", t.listenAddr)
+	_, err := dial(t.listenAddr)
 	fmt.Println("refused:", err != nil)
 	// Output:
 	// ['\x01' '\x01' <nil> ["one" map[]]]
@@ -63,7 +62,10 @@
 // Signals of both kinds while the configuration is still being read: none ends the program, and SIGTERM is not lost
 // among the others.
 func Example_signalsBeforeConfiguration() {
-	t := &deployment{log: &logBuffer{}, exited: make(chan struct{}), runtime: fake.NewRuntime(), database: fake.NewDatabase(), registry: fake.NewRegistry()}
+	t := &deployment{
+		log: &logBuffer{}, exited: make(chan struct{}),
+		runtime: fake.NewRuntime(), database: fake.NewDatabase(), registry: fake.NewRegistry(),
+	}
 	defer t.close()
 	other := deployReady()
 	text := other.config
@@ -80,8 +82,8 @@
 		fake.WaitFor("the notice is taken", func() bool { return !signalPending(t.cmd.Process.Pid) })
 	}
 	t.sendTerminate()
-	fmt.Fprint(pipe, text)
-	pipe.Close()
+	_, _ = fmt.Fprint(pipe, text)
+	_ = pipe.Close()
 	code, log := t.waitExit()
 	fmt.Println(code, strings.Contains(log, "msg=draining"), strings.Contains(log, "msg=stopped"))
 	// Output:
@@ -104,7 +106,8 @@
 	t := deployReady()
 	defer t.close()
 	var busy, waiting []*fake.Client
-	for i := range 32 { // of 64 descriptors, as many as may be connected; none can be let go, as an op is open on each
+	// Of 64 descriptors, as many as may be connected; none can be evicted, as a request is pending on each.
+	for i := range 32 {
 		s := t.client()
 		s.Send(fake.NewRequest(1, "pay", fake.RequestID(i), nil, "kb", "1"))
 		busy = append(busy, s)
@@ -147,7 +150,7 @@
 		s.Send(fake.NewRequest(1, "pay", fake.RequestID(1), nil))
 		t.runtime.NextCommand()
 		half := fake.Encode(nil, fake.NewRequest(2, "view", fake.RequestID(2), nil))
-		rests.Conn.Write(half[:len(half)/2])
+		_, _ = rests.Conn.Write(half[:len(half)/2])
 		later := t.client()
 		fmt.Print(" ", later.CheckHealth()) // what came before it is read too
 		later.Close()
@@ -184,7 +187,8 @@
 	queued.Send(fake.NewRequest(2, "view", fake.RequestID(2), nil))
 	_ = t.cmd.Process.Kill()
 	<-t.exited
-	fmt.Println(runs.NextText(), strings.HasSuffix(queued.NextText(), "connection reset by peer")) // over the bytes that it never read
+	// A reset, over the bytes that it never read.
+	fmt.Println(runs.NextText(), strings.HasSuffix(queued.NextText(), "connection reset by peer"))
 	fmt.Println(t.runtime.NextCommand())
 	t.exited = make(chan struct{})
 	t.run()
--- a/cmd/lanewheel/duplicates_test.go
+++ b/cmd/lanewheel/duplicates_test.go
@@ -15,7 +15,10 @@
 	t := deployReady("FRESH", "5")
 	defer t.close()
 	s := t.client()
-	s.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil, "key", "k"), fake.NewRequest(2, "view", fake.RequestID(2), nil, "key", "k"), fake.NewRequest(3, "view", fake.RequestID(3), nil, "key", "l"))
+	s.Send(
+		fake.NewRequest(1, "view", fake.RequestID(1), nil, "key", "k"),
+		fake.NewRequest(2, "view", fake.RequestID(2), nil, "key", "k"),
+		fake.NewRequest(3, "view", fake.RequestID(3), nil, "key", "l"))
 	fmt.Println(t.runtime.NextCommand())
 	fmt.Println(t.runtime.NextCommand())
 	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
@@ -110,8 +113,8 @@
 	}
 	answers := map[string]int{}
 	for range 29 {
-		h := s.NextText()
-		answers[h[strings.Index(h, "<nil>"):]]++
+		_, result, _ := strings.Cut(s.NextText(), "<nil>")
+		answers["<nil>"+result]++
 	}
 	fmt.Println(answers)
 	s.Send(read(60, "view", "roads"), read(61, "list", "water"))
@@ -128,7 +131,7 @@
 	fmt.Println(t.runtime.NextCommand())
 	t.runtime.SendNotice("end", fake.RequestID(64), "success", "two")
 	fmt.Println(s.NextText())
-	// Past the told time the result is nobody's: some repeat runs.
+	// Past the configured time the result is dropped: some duplicate runs.
 	n := 65
 	fake.WaitFor("the end of its time", func() bool {
 		s.Send(read(n, "view", "roads"))
--- a/cmd/lanewheel/helper_test.go
+++ b/cmd/lanewheel/helper_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"fmt"
 	"net"
 	"os"
@@ -16,7 +17,7 @@
 	"lanewheel/internal/fake"
 )
 
-// deployment is one instance, as its own process, among stand-ins for all that it speaks to.
+// deployment is one instance, as its own process, among fakes of all that it speaks to.
 type deployment struct {
 	cmd        *exec.Cmd
 	log        *logBuffer
@@ -50,10 +51,18 @@
 var (
 	binaryPath, tempDir string
 	deploymentCount     int
-	operatorPath        string   // the operator's file of the next town
-	logFile             *os.File // where the next town logs to, in place of its own log
+	operatorPath        string   // the operator's file of the next deployment
+	logFile             *os.File // where the next deployment logs to, in place of its own log
 )
 
+func listen(addr string) (net.Listener, error) {
+	return (&net.ListenConfig{}).Listen(context.Background(), "tcp", addr)
+}
+
+func dial(addr string) (net.Conn, error) {
+	return (&net.Dialer{}).DialContext(context.Background(), "tcp", addr)
+}
+
 // buildProgram makes the program once for all tests.
 func buildProgram() {
 	tempDir = fake.Must(os.MkdirTemp("", "lanewheel"))
@@ -65,7 +74,7 @@
 			args = append(args, "-race")
 		}
 	}
-	if out, err := exec.Command("go", append(args, ".")...).CombinedOutput(); err != nil {
+	if out, err := exec.CommandContext(context.Background(), "go", append(args, ".")...).CombinedOutput(); err != nil {
 		panic(string(out))
 	}
 }
@@ -83,17 +92,21 @@
 	panic("no line " + line)
 }
 
-// deploy starts a town whose runtime is not up yet; changes are pairs of text to replace in the configuration.
+// deploy starts a deployment whose runtime is not up yet; changes are pairs of text to replace in the configuration.
 func deploy(changes ...string) *deployment {
-	t := &deployment{log: &logBuffer{}, exited: make(chan struct{}), runtime: fake.NewRuntime(), database: fake.NewDatabase()}
+	t := &deployment{
+		log: &logBuffer{}, exited: make(chan struct{}), runtime: fake.NewRuntime(), database: fake.NewDatabase(),
+	}
 	t.registry = fake.NewRegistry()
-	// Danger: a free port that is given back is taken by a connection of another test. Each town listens on a
+	// A free port that is given back may be taken by a connection of another test, so each deployment listens on a
 	// loopback address of its own, where nobody else binds.
 	deploymentCount++
-	free := fake.Must(net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 71+deploymentCount/250, os.Getpid()%250, 1+deploymentCount%250)))
+	host := fmt.Sprintf("127.%d.%d.%d", 71+deploymentCount/250, os.Getpid()%250, 1+deploymentCount%250)
+	free := fake.Must(listen(host + ":0"))
 	t.listenAddr = free.Addr().String()
-	free.Close()
-	text := fmt.Sprintf(`{"name":"n1","listen":%q,"runtime":%q,"roster":%q,"db":%q,"seed":"8c1f30d27a5be964","stop_ms":1500,
+	_ = free.Close()
+	text := fmt.Sprintf(`{"name":"n1","listen":%q,"runtime":%q,"roster":%q,"db":%q,
+ "seed":"8c1f30d27a5be964","stop_ms":1500,
  "limits":{"cores":1,"memory_mb":192,"sockets":64},"settings":%s}`,
 		t.listenAddr, t.runtime.Addr(), t.registry.Addr(), t.database.Addr(), fake.Settings)
 	text = strings.NewReplacer(append(changes, "IDLE", "30", "FRESH", "0")...).Replace(text)
@@ -110,7 +123,7 @@
 
 // run runs the program on the configuration at t.path.
 func (t *deployment) run() {
-	t.cmd = exec.Command(binaryPath)
+	t.cmd = exec.CommandContext(context.Background(), binaryPath)
 	if operatorPath != "" {
 		t.cmd.Args = append(t.cmd.Args, "serve", "--operator", operatorPath)
 	}
@@ -136,13 +149,13 @@
 	}
 }
 
-// movedConfig gives the configuration with new stand-ins for the runtime, the database and the roster.
+// movedConfig returns the configuration with new fakes of the runtime, the database and the registry.
 func (t *deployment) movedConfig() string {
 	rt, db, roster := fake.NewRuntime(), fake.NewDatabase(), fake.NewRegistry()
 	text := strings.NewReplacer(t.runtime.Addr(), rt.Addr(), t.database.Addr(), db.Addr(),
 		t.registry.Addr(), roster.Addr()).Replace(t.config)
-	t.runtime.Listener.Close()
-	t.database.Listener.Close()
+	_ = t.runtime.Listener.Close()
+	_ = t.database.Listener.Close()
 	t.registry.Close()
 	rt.LastNotice, t.runtime, t.database, t.registry = t.runtime.LastNotice, rt, db, roster
 	return text
@@ -150,7 +163,7 @@
 
 func (t *deployment) sendHangup() { _ = t.cmd.Process.Signal(syscall.SIGHUP) }
 
-// town gives one whose runtime is up.
+// deployReady starts a deployment whose runtime is up.
 func deployReady(changes ...string) *deployment {
 	t := deploy(changes...)
 	t.runtime.Accept()
@@ -163,8 +176,8 @@
 
 func (t *deployment) close() {
 	_ = t.cmd.Process.Kill()
-	t.runtime.Listener.Close()
-	t.database.Listener.Close()
+	_ = t.runtime.Listener.Close()
+	_ = t.database.Listener.Close()
 	t.registry.Close()
 	<-t.exited
 	if strings.Contains(t.log.text(), "DATA RACE") || strings.Contains(t.log.text(), "panic:") {
@@ -191,3 +204,9 @@
 func (t *deployment) sendTerminate() { _ = t.cmd.Process.Signal(syscall.SIGTERM) }
 
 func (t *deployment) client() *fake.Client { return fake.Dial(t.listenAddr) }
+
+// reloadFailed begins the log's line on a reload that failed.
+const reloadFailed = `msg="reload failed, configuration kept"`
+
+// failedReloads counts the reloads that failed.
+func (t *deployment) failedReloads() int { return strings.Count(t.log.text(), reloadFailed) }
--- a/cmd/lanewheel/log_test.go
+++ b/cmd/lanewheel/log_test.go
@@ -26,7 +26,7 @@
 	}
 	logFile = os.NewFile(uintptr(ends[1]), "log")
 	t := deployReady()
-	logFile.Close()
+	_ = logFile.Close()
 	logFile = nil
 	defer t.close()
 	s := t.client()
@@ -37,8 +37,8 @@
 		fmt.Println(s.NextText())
 	}
 	ask(1)
-	unix.Close(ends[0]) // what is being written is refused
-	t.client().Close()  // and leaves a line
+	_ = unix.Close(ends[0]) // what is being written is refused
+	t.client().Close()      // and leaves a line
 	ask(2)
 	t.sendTerminate()
 	s.Close()
--- a/cmd/lanewheel/main_test.go
+++ b/cmd/lanewheel/main_test.go
@@ -8,6 +8,6 @@
 func TestMain(m *testing.M) {
 	buildProgram()
 	code := m.Run()
-	os.RemoveAll(tempDir)
+	_ = os.RemoveAll(tempDir)
 	os.Exit(code)
 }
--- a/cmd/lanewheel/protocol_test.go
+++ b/cmd/lanewheel/protocol_test.go
@@ -38,12 +38,15 @@
 	t := deployReady()
 	defer t.close()
 	other := t.client()
-	for i, bad := range [][]byte{{0xc1}, fake.Encode(nil, fake.NewRequest(1, "view", fake.RequestID(50), nil)), fake.Encode(nil, fake.NewRequest(2, "view", fake.RequestID(3), nil)),
+	for i, bad := range [][]byte{
+		{0xc1},
+		fake.Encode(nil, fake.NewRequest(1, "view", fake.RequestID(50), nil)),
+		fake.Encode(nil, fake.NewRequest(2, "view", fake.RequestID(3), nil)),
 		{0x94, 0, 2, 0xa4, 'v', 'i', 'e', 'w', 0x92, 0x81, 0xa2, 'i', 'd', 0xdb, 0x03, 0x90, 0, 0}} { // 60 MB to come
 		s := t.client()
 		s.Send(fake.NewRequest(1, "view", fake.RequestID(i+1), nil))
 		fmt.Println(t.runtime.NextCommand())
-		s.Conn.Write(bad)
+		_, _ = s.Conn.Write(bad)
 		fmt.Println(s.NextText(), s.NextText(), t.runtime.NextCommand())
 		t.runtime.SendNotice("end", fake.RequestID(i+1), "interrupted", "")
 	}
@@ -79,6 +82,8 @@
 // What could never be served fails and does not reach the runtime; a client that goes on so loses its connection.
 // An id in flight that comes by another connection is rejected, and its first bearer served. Ids that the runtime
 // does not know are no failed runs: dozens of them leave the instance healthy.
+//
+//nolint:lll // a line of the trace is long
 func Example_invalidRequests() {
 	t := deployReady(`"tenants":[]`, `"tenants":[{"name":"acme"}]`)
 	defer t.close()
@@ -97,7 +102,7 @@
 		bad = t.client()
 		bad.Send(fake.NewRequest(1, "view", fake.RequestID(100+i), nil, "tenant", "acme"))
 		t.runtime.NextCommand()
-		fmt.Fprintf(t.runtime.Conn, `{"t":"nack","status":"start","rid":%q}`+"\n", fake.RequestID(100+i))
+		_, _ = fmt.Fprintf(t.runtime.Conn, `{"t":"nack","status":"start","rid":%q}`+"\n", fake.RequestID(100+i))
 		if i == 0 {
 			fmt.Print(bad.NextText(), " ")
 		}
@@ -140,7 +145,7 @@
 					t.runtime.SendNotice("end", line["rid"].(string), "success", result)
 					n++
 				}
-			case <-time.After(50 * time.Millisecond): // the module nacked the rest of them
+			case <-time.After(50 * time.Millisecond): // the rest of them were rejected
 				n = 10
 			}
 		}
--- a/cmd/lanewheel/queue_test.go
+++ b/cmd/lanewheel/queue_test.go
@@ -17,7 +17,7 @@
 	"lanewheel/internal/fake/broker"
 )
 
-// queueDeployment is a town that also consumes from a broker.
+// queueDeployment is a deployment that also consumes from a broker.
 type queueDeployment struct {
 	*deployment
 	broker       *broker.Broker
@@ -35,14 +35,15 @@
 floor = 4
 `
 
-// deployWithQueue starts one; changes are pairs of text to replace in the town's configuration.
+// deployWithQueue starts one; changes are pairs of text to replace in the configuration.
 func deployWithQueue(file string, changes ...string) *queueDeployment {
 	d := &queueDeployment{broker: broker.New()}
 	for _, name := range []string{"ops", "dead", "replies"} {
 		d.broker.DeclareQueue(name, nil)
 	}
 	path := filepath.Join(tempDir, fmt.Sprintf("depot%d.ini", time.Now().UnixNano()))
-	if err := os.WriteFile(path, []byte(strings.NewReplacer("URL", d.broker.URL(), "WATCH", path+".sock").Replace(file)), 0o600); err != nil {
+	text := strings.NewReplacer("URL", d.broker.URL(), "WATCH", path+".sock").Replace(file)
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		panic(err)
 	}
 	operatorPath, d.operatorPath = path, path
@@ -57,7 +58,10 @@
 }
 
 func queueMessage(id, kind string) client.Publishing {
-	return client.Publishing{MessageId: id, CorrelationId: id, ReplyTo: "replies", Type: kind, Timestamp: time.Now(), Expiration: "20000", Body: []byte(id)}
+	return client.Publishing{
+		MessageId: id, CorrelationId: id, ReplyTo: "replies", Type: kind,
+		Timestamp: time.Now(), Expiration: "20000", Body: []byte(id),
+	}
 }
 
 // answers waits for as many and gives them sorted; an answer sent twice counts once.
@@ -113,7 +117,8 @@
 	for _, name := range []string{"water", "any", "replies"} {
 		b.DeclareQueue(name, nil)
 	}
-	h.writeFile("op.ini", h.operatorFile+fmt.Sprintf("[amqp]\nbrokers = %s\n[queue water]\nidentity = token:water-depot\n[queue any]\nidentity = message\n", b.URL()))
+	h.writeFile("op.ini", h.operatorFile+fmt.Sprintf(
+		"[amqp]\nbrokers = %s\n[queue water]\nidentity = token:water-depot\n[queue any]\nidentity = message\n", b.URL()))
 	operatorPath = h.path("op.ini")
 	h.deployment = deployReady(`"tenants":[]`, `"tenants":[{"name":"water"},{"name":"roads"}]`)
 	operatorPath = ""
@@ -149,7 +154,8 @@
 			fmt.Println(f[len(f)-1], strings.Contains(line, "NOT_FOUND"))
 		}
 	}
-	fmt.Println(strings.Fields(runCommand("queue", "send", d.operatorPath, "--queue", "ops", "--type", "view", "--count", "5"))[:9])
+	sent := runCommand("queue", "send", d.operatorPath, "--queue", "ops", "--type", "view", "--count", "5")
+	fmt.Println(strings.Fields(sent)[:9])
 	text := runCommand("queue", "watch", d.operatorPath, "--count", "1")
 	fmt.Println(text[:1], strings.Contains(text, "takes"), strings.Contains(text, "acked:5"))
 	// Output:
@@ -189,7 +195,8 @@
 	if outcomes["acked"] > ran || outcomes["acked"]+outcomes["failed"] != counts.Acked {
 		fmt.Println(outcomes, ran, counts)
 	}
-	fmt.Println(code, len(all) == counts.Acked, counts.Acked+counts.Ready, counts.Unsettled, strings.Contains(log, "party=broker code=stopped"))
+	fmt.Println(code, len(all) == counts.Acked, counts.Acked+counts.Ready, counts.Unsettled,
+		strings.Contains(log, "party=broker code=stopped"))
 	// Output:
 	// 0 true 60 0 true
 }
@@ -198,7 +205,7 @@
 // was sent, to the message, in ten runs of one script with the same totals.
 func TestQueueTotals(t *testing.T) {
 	const many = 200
-	// A call is given up after four times the slowest of the last ones, so calls take longer than a busy machine
+	// A call times out after four times the slowest of the last ones, so calls take longer than a busy machine
 	// usually pauses a process: a pause is then no call that never returns, which fails its request.
 	const callTime = 20 * time.Millisecond
 	play := func() string {
@@ -208,12 +215,18 @@
 		runs := map[string]int{}
 		d.runtime.AutoRun(8, 200*time.Microsecond, 7, func(id, kind, _ string) { mu.Lock(); runs[id]++; mu.Unlock() })
 		d.database.AutoReplyAfter(callTime)
-		d.broker.SetFaults(broker.Fault{Connection: 1, Frame: 90}, broker.Fault{Connection: 2, Frame: 333, Mode: broker.TruncateFrame},
-			broker.Fault{Connection: 3, Frame: 200, Mode: broker.Stall, Duration: 50 * time.Millisecond}, broker.Fault{Connection: 3, Frame: 412, Mode: broker.TruncateFrame})
+		d.broker.SetFaults(
+			broker.Fault{Connection: 1, Frame: 90},
+			broker.Fault{Connection: 2, Frame: 333, Mode: broker.TruncateFrame},
+			broker.Fault{Connection: 3, Frame: 200, Mode: broker.Stall, Duration: 50 * time.Millisecond},
+			broker.Fault{Connection: 3, Frame: 412, Mode: broker.TruncateFrame})
 		for i := range many {
 			d.broker.Publish("ops", queueMessage(fmt.Sprintf("m%03d", i), []string{"view", "pay", "list"}[i%3]))
 		}
-		fake.WaitFor("the last ack", func() bool { c := d.broker.Counts("ops"); return c.Acked == many && c.Unsettled+c.Ready == 0 })
+		fake.WaitFor("the last ack", func() bool {
+			c := d.broker.Counts("ops")
+			return c.Acked == many && c.Unsettled+c.Ready == 0
+		})
 		all := d.answers(many) // each was confirmed before its ack
 		outcomes := map[string]int{}
 		for _, a := range all {
@@ -230,7 +243,8 @@
 		if got := outcomes["acked"] + outcomes["may-have-run"]; got != many || len(runs) != outcomes["acked"] {
 			t.Errorf("%v, %d ran", outcomes, len(runs))
 		}
-		return fmt.Sprint("answers ", len(all), " acks ", d.broker.Counts("ops").Acked, " ran twice ", twice, " wrong ", d.broker.Violations())
+		return fmt.Sprint("answers ", len(all), " acks ", d.broker.Counts("ops").Acked,
+			" ran twice ", twice, " wrong ", d.broker.Violations())
 	}
 	first := play()
 	t.Log(first)
@@ -241,7 +255,7 @@
 	}
 }
 
-// A flood of messages past their deadline, while a stub's ops go on at a rate: how long each of those takes,
+// A flood of messages past their deadline, while a client's requests go on at a rate: how long each of those takes,
 // without and with it.
 //
 //	go test -run xxx -bench Flood -benchtime 1000x ./cmd/lanewheel
@@ -296,8 +310,10 @@
 //
 //	go test -run xxx -bench Waiting -benchtime 1x ./cmd/lanewheel
 func BenchmarkWaiting(b *testing.B) {
-	const many = 5000 // of 6,144 ops for which 192 MB have room
-	d := deployWithQueue(strings.NewReplacer("floor = 4", "floor = 5000\nmost = 5000", "[queue", "in-hand = 5000\n[queue").Replace(strings.Replace(queueOperatorFile, "floor = 4", "floor = 1000\nmost = 5000", 1)), roomyConfig...)
+	const many = 5000 // of 6,144 requests for which 192 MB have room
+	file := strings.Replace(queueOperatorFile, "floor = 4", "floor = 1000\nmost = 5000", 1)
+	file = strings.NewReplacer("floor = 4", "floor = 5000\nmost = 5000", "[queue", "in-hand = 5000\n[queue").Replace(file)
+	d := deployWithQueue(file, roomyConfig...)
 	defer d.close()
 	before := residentKB(d.cmd.Process.Pid)
 	go func() {
@@ -317,7 +333,7 @@
 	b.ReportMetric(float64(residentKB(d.cmd.Process.Pid)-before)/1024, "MB-more")
 }
 
-// Messages a second, and what one costs an instance, beside the stubs' ops of BenchmarkOp.
+// Messages a second, and what one costs an instance, beside the clients' requests of BenchmarkRequest.
 //
 //	go test -run xxx -bench Messages -benchtime 30000x ./cmd/lanewheel
 func BenchmarkMessages(b *testing.B) {
@@ -342,7 +358,8 @@
 	b.ReportMetric(float64(b.N-outcomes["acked"])/float64(b.N), "turned/op")
 	began := time.Now()
 	d.broker.DropConnections()
-	for ever, _ := d.broker.Connections(); ever < 2 || d.broker.Counts("ops").Consumers == 0; ever, _ = d.broker.Connections() {
+	ever, _ := d.broker.Connections()
+	for ; ever < 2 || d.broker.Counts("ops").Consumers == 0; ever, _ = d.broker.Connections() {
 		time.Sleep(time.Millisecond)
 	}
 	b.ReportMetric(float64(time.Since(began).Milliseconds()), "ms-to-consume-again")
--- a/cmd/lanewheel/registry_test.go
+++ b/cmd/lanewheel/registry_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"net"
 	"strings"
@@ -37,7 +38,7 @@
 	t.runtime.SendReady("steady")
 	c := t.client()
 	fake.WaitFor("health", func() bool { return c.CheckHealth() })
-	conn := fake.Must(net.ListenPacket("udp", addr)) // back
+	conn := fake.Must((&net.ListenConfig{}).ListenPacket(context.Background(), "udp", addr)) // back
 	b := make([]byte, 100)
 	hear := func() string {
 		_ = conn.SetReadDeadline(time.Now().Add(fake.WaitTimeout))
@@ -49,7 +50,7 @@
 	t.writeConfig(strings.Replace(t.config, addr, t.registry.Addr(), 1))
 	t.sendHangup()
 	fmt.Println(t.registry.NextReport())
-	conn.Close()
+	_ = conn.Close()
 	t.sendTerminate()
 	off := 0
 	fake.WaitFor("the list hears that it goes, more than once", func() bool {
--- a/cmd/lanewheel/reload_test.go
+++ b/cmd/lanewheel/reload_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net"
 	"os"
 	"strings"
 
@@ -22,7 +21,7 @@
 	text := t.movedConfig()
 	t.writeConfig(text[:len(text)/2])
 	t.sendHangup()
-	fake.WaitFor("the half file", func() bool { return strings.Contains(t.log.text(), "msg=\"reload failed, configuration kept\"") })
+	fake.WaitFor("the half file", func() bool { return t.failedReloads() > 0 })
 	s.Send(fake.NewRequest(2, "pay", fake.RequestID(2), nil))
 	fmt.Println(old.NextCommand())
 	old.SendNotice("end", fake.RequestID(2), "success", "two")
@@ -51,7 +50,7 @@
 	fmt.Println("sync", t.runtime.Accept())
 	s.Close()
 	code, log := t.waitExit()
-	fmt.Println(code, strings.Count(log, "msg=\"reload failed, configuration kept\""), strings.Count(log, "code=address-changed"))
+	fmt.Println(code, strings.Count(log, reloadFailed), strings.Count(log, "code=address-changed"))
 	// Output:
 	// start 1 route view body ""
 	// start 2 route pay body ""
@@ -81,7 +80,7 @@
 	whole := t.config
 	t.writeConfig("{")
 	t.sendHangup()
-	fake.WaitFor("the wrong file", func() bool { return strings.Contains(t.log.text(), "msg=\"reload failed, configuration kept\"") })
+	fake.WaitFor("the wrong file", func() bool { return t.failedReloads() > 0 })
 	t.config = whole
 	t.writeConfig(t.movedConfig())
 	t.sendHangup()
@@ -118,9 +117,9 @@
 	h := deployWithAuth()
 	defer h.close()
 	s, water := h.client(), h.token("k1", "water-1")
-	standing := fake.Must(net.Dial("tcp", h.tlsAddr)) // a handshake that stands
-	defer standing.Close()
-	kept := func() int { return strings.Count(h.log.text(), "msg=\"reload failed, configuration kept\"") }
+	standing := fake.Must(dial(h.tlsAddr)) // a handshake that stands
+	defer func() { _ = standing.Close() }()
+	kept := h.failedReloads
 	for _, file := range []string{"op.ini", "keys/k1.json", "server.pem", "ca/revoked.pem", "ca/authority.pem"} {
 		whole := fake.Must(os.ReadFile(h.path(file)))
 		before := kept()
@@ -128,11 +127,11 @@
 		h.sendHangup()
 		fake.WaitFor("the refusal of "+file, func() bool { return kept() > before })
 		fmt.Println(h.requestAnswer(s, 1, "token", water))
-		before = strings.Count(h.log.text(), "msg=\"operator configuration reloaded\"")
+		before = h.reloads()
 		h.writeFile(file, string(whole))
 		h.sendHangup()
 		h.sendHangup()
-		fake.WaitFor("the reload", func() bool { return strings.Count(h.log.text(), "msg=\"operator configuration reloaded\"") > before })
+		fake.WaitFor("the reload", func() bool { return h.reloads() > before })
 	}
 	h.writeFile("op.ini", strings.Replace(h.operatorFile, h.tlsAddr, "127.0.0.1:1", 1)) // holds from the next start
 	before := kept()
--- a/cmd/lanewheel/requests_test.go
+++ b/cmd/lanewheel/requests_test.go
@@ -39,7 +39,7 @@
 func Example_rejectedAndTimedOut() {
 	t := deployReady()
 	defer t.close()
-	t.runtime.Conn.Close()
+	_ = t.runtime.Conn.Close()
 	t.runtime.Silent = true
 	t.runtime.Accept()
 	t.runtime.SendReady("steady")
@@ -55,7 +55,7 @@
 	fmt.Println(t.runtime.NextCommand())
 	t.runtime.SendNotice("end", fake.RequestID(4), "interrupted", "")
 	s.Send([]any{0, 9, "check", []any{map[string]string{}}})
-	fmt.Println(s.NextText()[:20]) // the check's answer, no second one of the op; unwell, as a run hung
+	fmt.Println(s.NextText()[:20]) // the health check's response, no second one of the request; not healthy, as a run hung
 	// Output:
 	// ['\x01' '\x03' ["Busy" map[]] <nil>]
 	// start 4 route pay body ""
@@ -72,7 +72,9 @@
 	defer t.close()
 	s := t.client()
 	at := func(off time.Duration) string { return fmt.Sprint(time.Now().Add(off).UnixMilli()) }
-	s.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil, "at", at(time.Hour)), fake.NewRequest(2, "view", fake.RequestID(2), nil, "at", at(-time.Hour)),
+	s.Send(
+		fake.NewRequest(1, "view", fake.RequestID(1), nil, "at", at(time.Hour)),
+		fake.NewRequest(2, "view", fake.RequestID(2), nil, "at", at(-time.Hour)),
 		fake.NewRequest(3, "view", fake.RequestID(3), nil, "at", "0"))
 	fmt.Println(t.runtime.NextCommand())
 	heard := map[string]bool{s.NextText(): true, s.NextText(): true}
--- a/cmd/lanewheel/rotation_test.go
+++ b/cmd/lanewheel/rotation_test.go
@@ -32,7 +32,7 @@
 	retire time.Time
 }
 
-// issuer turns keys and takes tokens back; it is also the oracle, which knows for each op what was right.
+// issuer rotates keys and revokes tokens; it is also the oracle, which knows for each request what is right.
 type issuer struct {
 	deployment *authDeployment
 	mu         sync.Mutex
@@ -54,7 +54,10 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.serial++
-	h := issuedToken{id: fmt.Sprint("t", i.serial), subject: subject, retire: i.current.retire, expiry: time.Now().Add(span).Truncate(time.Second)}
+	h := issuedToken{
+		id: fmt.Sprint("t", i.serial), subject: subject,
+		retire: i.current.retire, expiry: time.Now().Add(span).Truncate(time.Second),
+	}
 	key := *i.current.key
 	switch forge {
 	case "key": // signed by a key of its own under the id of ours
@@ -64,8 +67,10 @@
 		key = *fake.Must(keyring.GenerateKey("EdDSA"))
 	}
 	s := fake.Must(jose.NewSigner(jose.SigningKey{Algorithm: jose.EdDSA, Key: key}, nil))
-	h.raw = fake.Must(jwt.Signed(s).Claims(jwt.Claims{Issuer: "us", Audience: jwt.Audience{"rota"}, Subject: subject, ID: h.id,
-		Expiry: jwt.NewNumericDate(h.expiry)}).Serialize())
+	h.raw = fake.Must(jwt.Signed(s).Claims(jwt.Claims{
+		Issuer: "us", Audience: jwt.Audience{"rota"}, Subject: subject, ID: h.id,
+		Expiry: jwt.NewNumericDate(h.expiry),
+	}).Serialize())
 	h.forged = forge != ""
 	if forge == "body" {
 		parts := strings.Split(h.raw, ".")
@@ -108,7 +113,8 @@
 	key.KeyID = fmt.Sprint("turn-", n)
 	retire := time.Now().Truncate(time.Second).Add(3*(*rotateEvery) + time.Second)
 	text := fake.Must(keyring.EncodePublic(*key, time.Now().Add(-time.Second), retire, false))
-	if err := keyring.WriteFileAtomic(filepath.Join(i.deployment.path("keys"), key.KeyID+".json"), text, 0o644); err != nil {
+	path := filepath.Join(i.deployment.path("keys"), key.KeyID+".json")
+	if err := keyring.WriteFileAtomic(path, text, 0o644); err != nil {
 		panic(err)
 	}
 	if n%2 == 0 { // every other one is found by a look
@@ -138,13 +144,13 @@
 // reloadOnce asks for a reload that reads what is there now, and waits for it.
 func (h *authDeployment) reloadOnce() {
 	for range 2 { // one reading may have begun before the files were written
-		before := strings.Count(h.log.text(), "msg=\"operator configuration reloaded\"")
+		before := h.reloads()
 		h.sendHangup()
-		fake.WaitFor("the reload", func() bool { return strings.Count(h.log.text(), "msg=\"operator configuration reloaded\"") > before })
+		fake.WaitFor("the reload", func() bool { return h.reloads() > before })
 	}
 }
 
-// loadResult is what became of the ops, by how they came out and what was right.
+// loadResult is what became of the requests, by how they came out and what was right.
 type loadResult struct {
 	mu                                                    sync.Mutex
 	sent, succeeded, denied, rejected, failed, unanswered int
@@ -153,7 +159,30 @@
 	deniedIDs                                             map[string]bool
 }
 
-// runClient asks one op after the other with tokens that it renews; an honest one has its own tenant and good tokens.
+// recordExecuted counts a request that was not denied or rejected.
+func (s *loadResult) recordExecuted(succeeded bool) {
+	if succeeded {
+		s.succeeded++
+	} else {
+		s.failed++
+	}
+}
+
+// misbehave draws what a dishonest client does: it claims another's tenant, sends a class that it may not, or forges.
+func misbehave(chance *rand.Rand, tenant, other string) (claims, kind, forge string) {
+	switch chance.IntN(6) {
+	case 0:
+		return other, "view", ""
+	case 1:
+		return tenant, "set", ""
+	case 2:
+		return tenant, "view", [...]string{"key", "id", "body"}[chance.IntN(3)]
+	}
+	return tenant, "view", ""
+}
+
+// runClient sends one request after the other with tokens that it renews; an honest one has its own tenant and good
+// tokens.
 func (s *loadResult) runClient(i *issuer, k int, honest bool, end time.Time) {
 	chance := rand.New(rand.NewPCG(uint64(k), 7))
 	tenant, other := "water", "roads"
@@ -166,14 +195,7 @@
 	for n := 1; time.Now().Before(end); n++ {
 		claims, kind, forge := tenant, "view", ""
 		if !honest {
-			switch chance.IntN(6) {
-			case 0:
-				claims = other
-			case 1:
-				kind = "set"
-			case 2:
-				forge = [...]string{"key", "id", "body"}[chance.IntN(3)]
-			}
+			claims, kind, forge = misbehave(chance, tenant, other)
 		}
 		// A token is used until well past its end, so that both sides of the end are seen.
 		if t.raw == "" || forge != "" || t.forged || time.Since(t.expiry) > 1500*time.Millisecond || chance.IntN(200) == 0 {
@@ -195,29 +217,27 @@
 		}
 		first, unsure := i.expected(t, claims, kind, before)
 		last, alsoUnsure := i.expected(t, claims, kind, after)
+		sure := !unsure && !alsoUnsure
 		why, _ := a.Fields["why"].(string)
 		switch a.Error {
 		case "Denied":
 			s.denied++
 			s.denials[why]++
 			s.deniedIDs[id] = true
-			if first == "" && last == "" && !unsure && !alsoUnsure {
+			if first == "" && last == "" && sure {
 				s.violations = append(s.violations, fmt.Sprintf("refused %s %s of %s: %s", kind, claims, t.subject, why))
 			}
 		case "Busy":
 			s.rejected++
 		default:
-			if a.Error == "" {
-				s.succeeded++
-			} else {
-				s.failed++
-			}
-			if first != "" && last != "" && !unsure && !alsoUnsure {
-				s.violations = append(s.violations, fmt.Sprintf("admitted %s %s of %s: should be %s", kind, claims, t.subject, first))
+			s.recordExecuted(a.Error == "")
+			if first != "" && last != "" && sure {
+				s.violations = append(s.violations,
+					fmt.Sprintf("admitted %s %s of %s: should be %s", kind, claims, t.subject, first))
 			}
 		}
 		s.mu.Unlock()
-		if a.Error == "Denied" && strings.Contains(" signature unknown-key ", " "+why+" ") && honest {
+		if forged := why == "signature" || why == "unknown-key"; a.Error == "Denied" && forged && honest {
 			conn.Close()
 			conn = i.deployment.client()
 		}
@@ -256,7 +276,8 @@
 		i.rotate(n)
 	}
 	all.Wait()
-	t.Logf("asked %d, acked %d, denied %d %v, nacked %d, failed %d, lost %d", s.sent, s.succeeded, s.denied, s.denials, s.rejected, s.failed, s.unanswered)
+	t.Logf("sent %d, succeeded %d, denied %d %v, rejected %d, failed %d, unanswered %d",
+		s.sent, s.succeeded, s.denied, s.denials, s.rejected, s.failed, s.unanswered)
 	for _, w := range s.violations[:min(len(s.violations), 10)] {
 		t.Error(w)
 	}
--- a/cmd/lanewheel/runtimelink_test.go
+++ b/cmd/lanewheel/runtimelink_test.go
@@ -10,7 +10,7 @@
 // answerFence answers the mark behind the replayed notices of a link whose gauges are otherwise left unanswered.
 func answerFence(t *deployment) {
 	for i := range 9 {
-		fmt.Fprintf(t.runtime.Conn, `{"t":"load","mark":"fence-%d","v":[0.1,0]}`+"\n", i)
+		_, _ = fmt.Fprintf(t.runtime.Conn, `{"t":"load","mark":"fence-%d","v":[0.1,0]}`+"\n", i)
 	}
 }
 
@@ -25,7 +25,7 @@
 	fmt.Println(t.runtime.NextCommand())
 	t.runtime.SendNotice("wants", fake.RequestID(1), "", "ask")
 	call := t.database.NextCall()
-	t.runtime.Conn.Close()
+	_ = t.runtime.Conn.Close()
 	for s.CheckHealth() && t.runtime.NextCommand() != "link closed" {
 	}
 	call.Reply("200 OK", "", "rows")
@@ -44,7 +44,7 @@
 	fmt.Println(s.NextText())
 	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
 	fmt.Println(s.NextText())
-	t.runtime.Conn.Close()
+	_ = t.runtime.Conn.Close()
 	fmt.Println("sync", t.runtime.Accept())
 	t.runtime.SendReady("steady")
 	fmt.Println(s.CheckHealth(), len(t.runtime.Messages))
@@ -68,7 +68,7 @@
 	s := t.client()
 	s.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil))
 	fmt.Println(t.runtime.NextCommand())
-	t.runtime.Conn.Close()
+	_ = t.runtime.Conn.Close()
 	fake.WaitFor("the end of the link", func() bool { return t.runtime.NextCommand() == "link closed" })
 	s.Send([]any{2, "interrupt", []any{1}})
 	fmt.Println(s.CheckHealth(), "sync", t.runtime.Accept())
@@ -78,7 +78,7 @@
 	t.runtime.SendNotice("end", fake.RequestID(1), "interrupted", "")
 	s.Send(fake.NewRequest(2, "view", fake.RequestID(2), nil))
 	fmt.Println(t.runtime.NextCommand())
-	fmt.Fprintf(t.runtime.Conn, `{"t":"nack","status":"start","rid":%q}`+"\n", fake.RequestID(2))
+	_, _ = fmt.Fprintf(t.runtime.Conn, `{"t":"nack","status":"start","rid":%q}`+"\n", fake.RequestID(2))
 	fmt.Println(s.NextText())
 	// Output:
 	// start 1 route view body ""
--- a/cmd/lanewheel/start_test.go
+++ b/cmd/lanewheel/start_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net"
 	"os"
 	"path/filepath"
 	"strings"
@@ -16,9 +15,9 @@
 // An address that the process before still holds: the start waits for it, and does not fail; SIGTERM ends the wait.
 func Example_addressInUse() {
 	for _, leave := range []bool{false, true} {
-		before := fake.Must(net.Listen("tcp", fmt.Sprintf("127.70.%d.1:0", os.Getpid()%250)))
+		before := fake.Must(listen(fmt.Sprintf("127.70.%d.1:0", os.Getpid()%250)))
 		t := deploy()
-		t.cmd.Process.Kill()
+		_ = t.cmd.Process.Kill()
 		<-t.exited
 		text := strings.Replace(t.config, t.listenAddr, before.Addr().String(), 1)
 		t.exited, t.log, t.listenAddr = make(chan struct{}), &logBuffer{}, before.Addr().String()
@@ -34,7 +33,7 @@
 			fmt.Println("left with", code, t.log.text() == "")
 		} else {
 			time.Sleep(100 * time.Millisecond) // some tries; without them the program is over by now
-			before.Close()
+			_ = before.Close()
 			t.runtime.Accept()
 			t.runtime.SendReady("steady")
 			s := t.client()
@@ -42,7 +41,7 @@
 			fmt.Println("up")
 		}
 		t.close()
-		before.Close()
+		_ = before.Close()
 	}
 	// Output:
 	// up
@@ -54,19 +53,23 @@
 // else; what can do without the others is served.
 func Example_latePeers() {
 	hole, fd := blackHoleAddr()
-	defer unix.Close(fd)
-	free := fake.Must(net.Listen("tcp", "127.0.0.1:0"))
-	free.Close()
+	defer func() { _ = unix.Close(fd) }()
+	free := fake.Must(listen("127.0.0.1:0"))
+	_ = free.Close()
 	t := deploy()
-	t.cmd.Process.Kill()
+	_ = t.cmd.Process.Kill()
 	<-t.exited
-	t.runtime.Listener.Close()
+	_ = t.runtime.Listener.Close()
 	t.exited, t.log = make(chan struct{}), &logBuffer{}
-	t.start(strings.NewReplacer(t.database.Addr(), hole, t.registry.Addr(), free.Addr().String(), t.runtime.Addr(), free.Addr().String()).Replace(t.config))
+	t.start(strings.NewReplacer(
+		t.database.Addr(), hole,
+		t.registry.Addr(), free.Addr().String(),
+		t.runtime.Addr(), free.Addr().String(),
+	).Replace(t.config))
 	defer t.close()
 	s := t.client()
 	fmt.Println("before:", s.CheckHealth())
-	t.runtime = &fake.Runtime{Listener: fake.Must(net.Listen("tcp", free.Addr().String()))}
+	t.runtime = &fake.Runtime{Listener: fake.Must(listen(free.Addr().String()))}
 	t.runtime.Accept()
 	t.runtime.SendReady("booting")
 	began := time.Now()
@@ -76,7 +79,8 @@
 	fmt.Println(t.runtime.NextCommand())
 	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
 	fmt.Println(s.NextText())
-	s.Send(fake.NewRequest(2, "list", fake.RequestID(2), nil)) // it can leave the call out, and does before its time is over
+	// It can skip the call, and does before its time is over.
+	s.Send(fake.NewRequest(2, "list", fake.RequestID(2), nil))
 	fmt.Println(t.runtime.NextCommand())
 	t.runtime.SendNotice("wants", fake.RequestID(2), "", "ask")
 	fmt.Println(t.runtime.NextCommand())
--- a/cmd/lanewheel/upstreamcalls_test.go
+++ b/cmd/lanewheel/upstreamcalls_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"net"
 	"os"
@@ -23,8 +24,8 @@
 	for i, how := range []func(c *fake.Call){
 		func(c *fake.Call) { c.Reply("500 Failed", "", "") },
 		func(c *fake.Call) { c.Reply("504 Late", "", "") },
-		func(c *fake.Call) { c.Conn.Close() },
-		func(c *fake.Call) { fmt.Fprint(c.Conn, "what?") },
+		func(c *fake.Call) { _ = c.Conn.Close() },
+		func(c *fake.Call) { _, _ = fmt.Fprint(c.Conn, "what?") },
 		func(c *fake.Call) { c.Reply("503 Full", "Never-Started: 1\r\n", "") },
 		func(c *fake.Call) { c.Reply("409 None", "Never-Started: 1\r\n", "") },
 	} {
@@ -44,7 +45,7 @@
 	// each has its own connection, and the run's end gives its call up
 	fake.WaitFor("the end of all connections", func() bool { return len(t.database.ConnectionsEnded) == 8 })
 	// refused: it never ran, and this type can do without
-	t.database.Listener.Close()
+	_ = t.database.Listener.Close()
 	s.Send(fake.NewRequest(9, "list", fake.RequestID(9), nil))
 	t.runtime.NextCommand()
 	t.runtime.SendNotice("wants", fake.RequestID(9), "", "ask")
@@ -63,7 +64,7 @@
 // once, and dials for calls that timed out hold up nobody.
 func Example_databaseMovedFromBlackHole() {
 	hole, fd := blackHoleAddr()
-	defer unix.Close(fd)
+	defer func() { _ = unix.Close(fd) }()
 	t := deployReady()
 	defer t.close()
 	t.writeConfig(strings.Replace(t.config, t.database.Addr(), hole, 1))
@@ -118,7 +119,8 @@
 	}
 	addr = fmt.Sprintf("127.0.0.1:%d", at.(*unix.SockaddrInet4).Port)
 	for {
-		if _, err := net.DialTimeout("tcp", addr, 100*time.Millisecond); err != nil {
+		dialer := net.Dialer{Timeout: 100 * time.Millisecond}
+		if _, err := dialer.DialContext(context.Background(), "tcp", addr); err != nil {
 			return addr, fd
 		}
 	}
@@ -129,12 +131,14 @@
 // timed out counts until its time at the service is over.
 func Example_severalUpstreams() {
 	// The program that has this linked stands beside.
-	if out, err := exec.Command("go", "build", "-o", filepath.Join(tempDir, "lanewheel-fleet"), "../lanewheel-fleet").CombinedOutput(); err != nil {
+	program := filepath.Join(tempDir, "lanewheel-fleet")
+	build := exec.CommandContext(context.Background(), "go", "build", "-o", program, "../lanewheel-fleet")
+	if out, err := build.CombinedOutput(); err != nil {
 		panic(string(out))
 	}
 	a, b := fake.NewDatabase(), fake.NewDatabase()
-	defer a.Listener.Close()
-	defer b.Listener.Close()
+	defer func() { _ = a.Listener.Close() }()
+	defer func() { _ = b.Listener.Close() }()
 	operatorPath = filepath.Join(tempDir, "services.ini")
 	defer func() { operatorPath = "" }()
 	text := fmt.Sprintf("[below]\nservices = %s, %s\ncalls = 1\nlongest = 700ms\n", a.Addr(), b.Addr())
@@ -163,7 +167,7 @@
 	t.runtime.NextCommand()
 
 	// The first one's time below runs out; nothing more goes there before that, and then it does.
-	b.Listener.Close()
+	_ = b.Listener.Close()
 	ask(4)
 	fmt.Println(len(a.Calls))
 	fmt.Println(a.NextCall().Text)
