--- a/cmd/lanewheel/deployed_test.go
+++ b/cmd/lanewheel/deployed_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"os"
 	"os/exec"
@@ -15,20 +16,22 @@
 	"lanewheel/internal/fake"
 )
 
-// The deployed line alone, as the platform starts it: what it opens is what it speaks with, and nothing that is off adds a socket, a
-// thread or a file. A socket of the runtime's link, one that listens, one that reports; the poller's.
+// The deployed line alone, as the platform starts it: what it opens is what it speaks with, and nothing that is off
+// adds a socket, a thread or a file. A socket of the runtime's link, one that listens, one that reports; the
+// poller's.
 func Example_deployed() {
 	fmt.Println(deployWords("run", "exec ", "\x00"))
 	t := deployReady()
 	defer t.close()
 	pid := t.cmd.Process.Pid
-	// Danger: a file that whoever runs the tests left open goes through them to every program they start, under its number; that one is
-	// not the program's.
+	// A file that whoever runs the tests left open goes through them to every program they start, under its
+	// number; that one is not the program's.
 	given := map[string]string{}
 	for _, fd := range fake.Must(os.ReadDir("/proc/self/fd")) {
 		n, _ := strconv.Atoi(fd.Name())
 		flags, _, errno := syscall.Syscall(syscall.SYS_FCNTL, uintptr(n), syscall.F_GETFD, 0)
-		if to, err := os.Readlink("/proc/self/fd/" + fd.Name()); n > 2 && err == nil && errno == 0 && flags&syscall.FD_CLOEXEC == 0 {
+		inherited := n > 2 && errno == 0 && flags&syscall.FD_CLOEXEC == 0
+		if to, err := os.Readlink("/proc/self/fd/" + fd.Name()); err == nil && inherited {
 			given[fd.Name()] = to
 		}
 	}
@@ -39,7 +42,8 @@
 			if err != nil || given[fd.Name()] == to {
 				continue
 			}
-			if strings.HasPrefix(to, "/sys/fs/cgroup/") || to == "/dev/null" { // Go's own look at its cores, where there are such; ours is what is left
+			// Go's own look at its cores, where there are such; ours is what is left.
+			if strings.HasPrefix(to, "/sys/fs/cgroup/") || to == "/dev/null" {
 				continue
 			}
 			kinds[regexp.MustCompile(`[:\[].*`).ReplaceAllString(to, "")]++
@@ -76,10 +80,12 @@
 	// mapped: 2 true true
 }
 
-// The deploy file's list of what the instance is made of names all that it links, less the decisions, and nothing else.
+// The deploy file's list of what the instance is made of names all that it links, less the decisions, and nothing
+// else.
 func Example_nodeList() {
 	var linked []string
-	for _, path := range strings.Fields(string(fake.Must(exec.Command("go", "list", "-deps", ".").Output()))) {
+	listed := fake.Must(exec.CommandContext(context.Background(), "go", "list", "-deps", ".").Output())
+	for _, path := range strings.Fields(string(listed)) {
 		if folder, ours := strings.CutPrefix(path, "lanewheel/"); ours && folder != "admission" {
 			linked = append(linked, strconv.Quote(folder))
 		}
