--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -2,7 +2,7 @@
 // small part of the requests, and what it knows of the endpoints' load is sparse and old.
 //
 // It is pure: time and randomness are arguments, and what is believed of the endpoints is handed in by methods.
-// Times are durations since an origin that the caller chooses, the same for all calls. docs/spread.md compares the
+// Times are durations since an origin that the caller chooses, the same for all calls. docs/balancing.md compares the
 // policies.
 package balancer
 
--- a/internal/concurrencylease/lease.go
+++ b/internal/concurrencylease/lease.go
@@ -1,7 +1,7 @@
 // Package concurrencylease shares a hard cap on the concurrent calls to one upstream service among all processes of a
 // fleet. An allocator beside the service leases each holder so many calls at a time, for a while. Whatever views the
 // processes have of each other, and whatever messages between them are lost, late, duplicated or out of order, the
-// calls of all together never exceed the cap. It has no I/O: messages are handed in with their time. docs/below.md
+// calls of all together never exceed the cap. It has no I/O: messages are handed in with their time. docs/upstreams.md
 // says which designs were weighed, and why this one holds.
 package concurrencylease
 
