--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -13,9 +13,6 @@
 // are a full fleet.
 const maxAttempts = 3
 
-// unknownClassCode is the code of a rejection for good that clients' front ends know.
-const unknownClassCode = "unknown-type"
-
 // proxiedRequest is a request in flight.
 type proxiedRequest struct {
 	proxy      *Proxy
@@ -24,14 +21,6 @@
 	forwarding *forward.Request
 }
 
-// ResponderOf implements clients.Server: it returns who is owed the response to a request in flight, nil if none is.
-func (p *Proxy) ResponderOf(id string) frontend.Responder {
-	if request := p.inFlight[id]; request != nil {
-		return request.responder
-	}
-	return nil
-}
-
 // ResponseMetadata implements clients.Server: a proxy has no load report of its own.
 func (p *Proxy) ResponseMetadata() frontend.ResponseMetadata {
 	return frontend.ResponseMetadata{LoadReport: -1}
@@ -62,7 +51,7 @@
 	class, known := p.classes[received.Class]
 	switch {
 	case !known:
-		responder.RejectPermanently(unknownClassCode, p.ResponseMetadata())
+		responder.RejectPermanently(frontend.UnknownClass, p.ResponseMetadata())
 		responder.Done()
 		return nil
 	case !p.accepts(received.ID):
--- /dev/null
+++ b/internal/server/buffers.go
@@ -0,0 +1,25 @@
+package server
+
+import (
+	"sync"
+
+	"lanewheel/internal/transport"
+)
+
+// BufferPool pools buffers of transport.BufferSize bytes. Any goroutine may use it.
+type BufferPool struct{ pool sync.Pool }
+
+// Get returns an empty buffer.
+func (p *BufferPool) Get() []byte {
+	if buffer, pooled := p.pool.Get().(*[transport.BufferSize]byte); pooled {
+		return buffer[:0]
+	}
+	return new([transport.BufferSize]byte)[:0]
+}
+
+// Put takes a buffer back. One of another size is left to the garbage collector.
+func (p *BufferPool) Put(buffer []byte) {
+	if cap(buffer) == transport.BufferSize {
+		p.pool.Put((*[transport.BufferSize]byte)(buffer[:transport.BufferSize]))
+	}
+}
--- /dev/null
+++ b/internal/server/stats.go
@@ -0,0 +1,46 @@
+package server
+
+import (
+	"time"
+
+	"lanewheel/internal/frontend"
+)
+
+// Stats counts what became of the requests that the controller decided about, since the start.
+type Stats struct {
+	Answered        uint64        // succeeded, rejected or failed
+	WithinObjective uint64        // succeeded within their latency objective
+	TotalLatency    time.Duration // sum over all that were answered, from reading to response
+}
+
+// Stats returns the counts so far.
+func (s *Server) Stats() Stats { return s.stats }
+
+// recordOutcome counts a request that is about to be answered, unless its caller has left.
+func (s *Server) recordOutcome(active *activeRequest, succeeded bool) {
+	if active.responder == nil || active.arrivedAt == 0 {
+		return
+	}
+	latency := s.Now() - active.arrivedAt
+	s.stats.Answered++
+	s.stats.TotalLatency += latency
+	objective := s.settings.classes[active.class].latencyObjective
+	if succeeded && (objective == 0 || latency <= objective) {
+		s.stats.WithinObjective++
+	}
+}
+
+// Load implements frontend.Server.
+func (s *Server) Load() frontend.Load {
+	return frontend.Load{
+		Ready:        s.controller != nil && s.runtime.synced,
+		Draining:     s.draining,
+		Healthy:      s.healthy(),
+		Cores:        s.settings.cores,
+		Queued:       s.requests.queued(),
+		Running:      s.requests.running,
+		FreeCapacity: s.requests.capacity - len(s.requests.byID),
+		LoadReport:   s.loadReport,
+		IdleFor:      s.requests.idleFor(s.Now()),
+	}
+}
