--- a/cmd/lanewheel/callers_test.go
+++ b/cmd/lanewheel/callers_test.go
@@ -189,7 +189,7 @@
 	s.Close()
 	t.Close()
 	code, log := h.waitExit()
-	fmt.Println(code, strings.Count(log, "msg=denied"), strings.Contains(log, water))
+	fmt.Println(code, strings.Count(log, `msg="request denied"`), strings.Contains(log, water))
 	// Output:
 	// done
 	// done
--- a/internal/authn/authenticator.go
+++ b/internal/authn/authenticator.go
@@ -1,9 +1,9 @@
-// Package authn is the door: it tells who an op's caller is and whether the op may come in. What it decides stands in
-// rights, keyring, tokens and certs; here it is put together, and what takes time is done beside the owner loop.
+// Package authn tells who makes a request and whether it may be admitted. What is decided lives in authz, keyring,
+// tokens and certs; this package puts it together, and does what takes time (signatures, reading files) off the
+// event loop.
 package authn
 
 import (
-	"log/slog"
 	"sync/atomic"
 	"time"
 
@@ -14,89 +14,104 @@
 	"lanewheel/internal/tokens"
 )
 
-// Config are what an operator's file says of callers, read and checked whole.
+// Config is what the operator's file says of callers, read and checked whole.
 type Config struct {
 	Policy         *authz.Policy
-	MaxRateEntries int               // of rates and counts, at a time
-	TrustStore     *certs.TrustStore // nil: no certificates
-	KeySet         *keyring.KeySet   // nil: no tokens
-	KeyDir         string            // where the keys are read again
-	TokenPolicy    *tokens.Policy    // of tokens
+	MaxRateEntries int               // identities whose rates and requests in flight are counted at a time
+	TrustStore     *certs.TrustStore // nil: certificates are not accepted
+	KeySet         *keyring.KeySet   // nil: tokens are not accepted
+	KeyDir         string            // the folder that the keys are read from again
+	TokenPolicy    *tokens.Policy
 	RevokedTokens  *tokens.Revocations
 	TokenLimits    tokens.Limits
 }
 
-// Authenticator belongs to the owner loop, but for Prove.
+// Authenticator decides on requests. Owned by the server's event loop, which calls all methods but VerifyCertificate:
+// that one is called from the goroutines of handshakes. Tokens are verified one after the other on a goroutine that is
+// started with the first keys and runs until the process ends.
 type Authenticator struct {
-	post        func(...func())
-	clock       func() (now time.Duration, wall time.Time) // of the loop's batch
-	config      Config
-	generation  uint64
-	trust       atomic.Pointer[certs.TrustStore] // for handshakes, which are made beside the loop
-	limiter     *authz.RateLimiter
-	verifier    *tokens.Verifier
-	checks      chan tokenCheck
-	denialLog   logging.Sampler[authz.Denial]
-	denials     map[authz.Denial]uint64
-	admitted    uint64
-	deferred    uint64
-	loggedTotal uint64 // admitted, denied and later together when last said
-	loggedAt    time.Duration
-	draining    bool
+	post  func(...func())                            // runs functions on the event loop
+	clock func() (now time.Duration, wall time.Time) // the event loop's time
+
+	config     Config
+	generation generation
+	trust      atomic.Pointer[certs.TrustStore] // for handshakes; equals config.TrustStore
+	limiter    *authz.RateLimiter
+	verifier   *tokens.Verifier // nil: tokens are not accepted
+	checks     chan tokenCheck  // to the goroutine that verifies tokens; nil until there are keys
+	draining   bool             // no request waits for a check any more
+
+	counters  counters
+	denialLog logging.Sampler[authz.Denial]
 }
 
-// New opens a door. hand gives calls to the owner loop, clock is its time.
+// generation counts configurations, from 1 on. What was found out by an earlier one is found out again.
+type generation uint64
+
+// New makes an authenticator. post runs functions on the event loop and may be called from any goroutine; clock is the
+// event loop's time.
 func New(config Config, post func(...func()), clock func() (time.Duration, time.Time)) *Authenticator {
-	d := &Authenticator{post: post, clock: clock, denials: map[authz.Denial]uint64{}}
-	d.Reload(config)
-	return d
+	a := &Authenticator{
+		post:     post,
+		clock:    clock,
+		counters: counters{denied: map[authz.Denial]uint64{}},
+	}
+	a.Reload(config)
+	return a
 }
 
-// Reload puts what was read anew in force, whole. Ops that were let in before stay in.
-func (d *Authenticator) Reload(config Config) {
-	d.generation++
-	if d.limiter == nil || config.MaxRateEntries != d.config.MaxRateEntries {
-		d.limiter = d.limiter.Resize(config.MaxRateEntries)
-	}
-	switch {
-	case config.KeySet == nil:
-		if d.verifier != nil {
-			d.verifier.ExpireWaiting(0, true)
-		}
-		d.verifier = nil
-	case d.verifier == nil:
-		d.verifier = tokens.NewVerifier(config.KeySet, config.TokenPolicy, config.RevokedTokens, config.TokenLimits)
-		if d.checks == nil {
-			// Never full: the office asks for no more checks at a time than may wait, and once more for each after a look.
-			d.checks = make(chan tokenCheck, 4*maxPendingChecks)
-			go verifyTokens(d.checks, d.handleResult)
-		}
-	default:
-		d.verifier.Reload(config.KeySet, config.TokenPolicy, config.RevokedTokens, config.TokenLimits)
+// Reload puts another configuration in force, whole. Requests that were admitted before stay admitted.
+func (a *Authenticator) Reload(config Config) {
+	a.generation++
+	if a.limiter == nil || config.MaxRateEntries != a.config.MaxRateEntries {
+		a.limiter = a.limiter.Resize(config.MaxRateEntries)
 	}
-	d.config = config
-	d.trust.Store(config.TrustStore)
+	a.reloadVerifier(config)
+	a.config = config
+	a.trust.Store(config.TrustStore)
 }
 
-// Sweep is called some times a second: it gives up what has waited too long, and says what there is to say.
-func (d *Authenticator) Sweep() {
-	now, wall := d.clock()
-	if d.verifier != nil {
-		d.verifier.ExpireWaiting(now, false)
+func (a *Authenticator) reloadVerifier(config Config) {
+	if config.KeySet == nil {
+		a.expireWaiting()
+		a.verifier = nil
+		return
+	}
+	if a.verifier != nil {
+		a.verifier.Reload(config.KeySet, config.TokenPolicy, config.RevokedTokens, config.TokenLimits)
+		return
 	}
-	d.denialLog.FlushSuppressed(wall, func(denial authz.Denial, more int) { slog.Warn("denials", "why", denial, "more", more) })
-	if now-d.loggedAt >= logInterval {
-		d.loggedAt = now
-		d.logCounters()
+	a.verifier = tokens.NewVerifier(config.KeySet, config.TokenPolicy, config.RevokedTokens, config.TokenLimits)
+	if a.checks == nil {
+		// Never full: the verifier asks for at most as many checks as may wait, and once more for each after new keys.
+		a.checks = make(chan tokenCheck, 4*maxPendingChecks)
+		go verifyTokens(a.checks, a.handleResult)
 	}
 }
 
-// Stop gives up all that wait, and lets nothing wait from here on: the instance is leaving, and answers everything now.
-func (d *Authenticator) Stop() {
-	d.draining = true
-	d.logCounters()
-	if d.verifier != nil {
-		now, _ := d.clock()
-		d.verifier.ExpireWaiting(now, true)
+// Sweep defers the requests that have waited too long for the check of their token, and logs what is due. It is called
+// several times a second.
+func (a *Authenticator) Sweep() {
+	now, wall := a.clock()
+	if a.verifier != nil {
+		a.verifier.ExpireWaiting(now, false)
+	}
+	a.logSweep(now, wall)
+}
+
+// Stop defers all requests that wait for the check of a token, and lets none wait from now on: the server drains, and
+// answers everything at once.
+func (a *Authenticator) Stop() {
+	a.draining = true
+	a.logCounters()
+	a.expireWaiting()
+}
+
+// expireWaiting defers all requests that wait for the check of a token.
+func (a *Authenticator) expireWaiting() {
+	if a.verifier == nil {
+		return
 	}
+	now, _ := a.clock()
+	a.verifier.ExpireWaiting(now, true)
 }
--- a/internal/authn/authenticator_test.go
+++ b/internal/authn/authenticator_test.go
@@ -203,9 +203,10 @@
 }
 
 var wantedLines = []string{
-	`level=WARN msg=denied why=no-identity caller="" type=set tenant=""`,
-	`level=WARN msg=denials why=no-identity more=2`,
-	`level=INFO msg=callers admitted=0 later=1 tokens=0 bad_tokens=0 rates=0 no-identity=6`,
+	`level=WARN msg="request denied" reason=no-identity identity="" class=set tenant=""`,
+	`level=WARN msg="requests denied" reason=no-identity suppressed=2`,
+	`level=INFO msg="authentication counters" admitted=0 deferred=1 cached_tokens=0 cached_denials=0 rate_entries=0` +
+		` no-identity=6`,
 }
 
 func TestIsForgery(t *testing.T) {
--- a/internal/authn/authorize.go
+++ b/internal/authn/authorize.go
@@ -8,114 +8,122 @@
 	"lanewheel/internal/tokens"
 )
 
-// Request is an op that wants to come in.
+// Request is a request that wants to be admitted.
 type Request struct {
 	authz.Request
-	Token string
+	Token string // empty: the connection's credential counts alone
 }
 
-// Decision is what the door says. With neither Why nor After the op may come in, under Tenant.
+// Decision is the answer to a Request: denied, deferred, or, with neither Denial nor RetryAfter, admitted for Tenant.
 type Decision struct {
 	Tenant     admission.TenantID
-	Permission authz.Permission
-	Denial     authz.Denial  // denied
-	RetryAfter time.Duration // not now
+	Permission authz.Permission // to be given to Release when the request is done
+	Denial     authz.Denial     // why it is denied; trying again is of no use
+	RetryAfter time.Duration    // it may be tried again after this time
 }
 
-// Authorize asks for an op. done is called once, at once if all is known.
-func (d *Authenticator) Authorize(credential *Credential, request Request, done func(Decision)) {
-	if denial := d.RevocationReason(credential); denial != "" {
-		done(d.deny(credential.principalName(), request, denial))
+// Authorize decides on a request. done is called once, on the event loop: before Authorize returns where all is known,
+// and otherwise when the token is checked.
+func (a *Authenticator) Authorize(credential *Credential, request Request, done func(Decision)) {
+	if denial := a.RevocationReason(credential); denial != "" {
+		done(a.deny(credential.provenIdentity(), request, denial))
 		return
 	}
-	if request.Token == "" {
-		d.identifyByCertificate(credential)
-		done(d.decide(credential, nil, &credential.principal, credential.principalDenial, request))
+	// A token that nobody can check proves nothing, and takes nothing away.
+	if request.Token == "" || a.verifier == nil {
+		a.identifyByCertificate(credential)
+		done(a.decide(credential, request))
 		return
 	}
-	if d.verifier == nil { // a token that nobody can check proves nothing, and takes nothing away
-		d.identifyByCertificate(credential)
-		done(d.decide(credential, nil, &credential.principal, credential.principalDenial, request))
-		return
-	}
-	now, wall := d.clock()
-	if credential.entry != nil && credential.token == request.Token {
-		if denial, current := d.verifier.Revalidate(now, wall, credential.entry); current {
-			d.identifyByToken(credential, request.Token, credential.entry)
-			done(d.decide(credential, credential.entry, &credential.principal, firstDenial(denial, credential.principalDenial), request))
+	now, wall := a.clock()
+	if credential.resolved.entry != nil && credential.resolved.token == request.Token {
+		if denial, current := a.verifier.Revalidate(now, wall, credential.resolved.entry); current {
+			done(a.decideByCurrentToken(credential, request, denial))
 			return
 		}
 	}
-	if entry, denial, known := d.verifier.Lookup(now, wall, request.Token); known {
-		done(d.resume(credential, request, entry, denial, 0))
+	if entry, denial, known := a.verifier.Lookup(now, wall, request.Token); known {
+		done(a.decideByVerdict(credential, request, tokens.Verdict{Entry: entry, Denial: denial}))
 		return
 	}
-	if d.draining {
-		d.deferred++
-		done(Decision{RetryAfter: authz.MinRetryAfter})
+	if a.draining {
+		done(a.deferRequest(authz.MinRetryAfter))
 		return
 	}
-	action, raw := d.verifier.RequestCheck(now, request.Token, credential.suspect, func(entry *tokens.CachedToken, denial authz.Denial, retryAfter time.Duration) {
-		done(d.resume(credential, request, entry, denial, retryAfter))
+	step := a.verifier.RequestCheck(now, request.Token, credential.suspect, func(verdict tokens.Verdict) {
+		done(a.decideByVerdict(credential, request, verdict))
 	})
-	d.perform(action, raw, credential.suspect)
+	a.perform(step, credential.suspect)
 }
 
-func firstDenial(a, b authz.Denial) authz.Denial {
-	if a != "" {
-		return a
+// Release gives back the permission of a request that is done.
+func (a *Authenticator) Release(permission *authz.Permission) {
+	now, _ := a.clock()
+	a.limiter.Release(now, permission)
+}
+
+// decideByCurrentToken decides by the token that the connection brought last; denial is why it no longer counts.
+func (a *Authenticator) decideByCurrentToken(credential *Credential, request Request, denial authz.Denial) Decision {
+	a.identifyByToken(credential, request.Token, credential.resolved.entry)
+	if denial != "" {
+		return a.deny(credential.resolved.principal.Identity, request, denial)
 	}
-	return b
+	return a.decide(credential, request)
 }
 
-// resume goes on with what is known of a token.
-func (d *Authenticator) resume(credential *Credential, request Request, entry *tokens.CachedToken, denial authz.Denial, retryAfter time.Duration) Decision {
-	if entry == nil && denial == "" {
-		d.deferred++
-		return Decision{RetryAfter: max(retryAfter, authz.MinRetryAfter)}
+// decideByVerdict decides once the verdict on the request's token is known.
+func (a *Authenticator) decideByVerdict(credential *Credential, request Request, verdict tokens.Verdict) Decision {
+	if verdict.Denial != "" {
+		credential.suspect = credential.suspect || IsForgery(verdict.Denial)
+		return a.deny("", request, verdict.Denial)
 	}
-	if denial != "" {
-		credential.suspect = credential.suspect || IsForgery(denial)
-		return d.deny("", request, denial)
+	if verdict.Entry == nil {
+		return a.deferRequest(max(verdict.RetryAfter, authz.MinRetryAfter))
 	}
-	if denial := d.RevocationReason(credential); denial != "" { // the certificate may have been taken back while the token was checked
-		return d.deny(credential.principalName(), request, denial)
+	// The certificate may have been revoked while the token was checked.
+	if denial := a.RevocationReason(credential); denial != "" {
+		return a.deny(credential.provenIdentity(), request, denial)
 	}
-	d.identifyByToken(credential, request.Token, entry)
-	return d.decide(credential, entry, &credential.principal, credential.principalDenial, request)
+	a.identifyByToken(credential, request.Token, verdict.Entry)
+	return a.decide(credential, request)
 }
 
-// decide tells whether a known caller may do what it asks, now.
-func (d *Authenticator) decide(credential *Credential, entry *tokens.CachedToken, principal *authz.Principal, denial authz.Denial, request Request) Decision {
-	if denial != "" {
-		return d.deny(principal.Identity, request, denial)
+// decide decides on the request of a credential whose principal is known.
+func (a *Authenticator) decide(credential *Credential, request Request) Decision {
+	principal := &credential.resolved.principal
+	if credential.resolved.denial != "" {
+		return a.deny(principal.Identity, request, credential.resolved.denial)
 	}
-	roles, tenant, denial := d.config.Policy.Authorize(principal, request.Request)
+	grant, denial := a.config.Policy.Authorize(principal, request.Request)
 	if denial != "" {
-		return d.deny(principal.Identity, request, denial)
+		return a.deny(principal.Identity, request, denial)
 	}
-	now, wall := d.clock()
-	if entry != nil {
-		denial, retryAfter := d.verifier.UseOnce(wall, entry)
-		switch {
-		case denial != "":
-			return d.deny(principal.Identity, request, denial)
-		case retryAfter > 0:
-			d.deferred++
-			return Decision{RetryAfter: retryAfter}
+	now, wall := a.clock()
+	if credential.resolved.entry != nil {
+		denial, retryAfter := a.verifier.UseOnce(wall, credential.resolved.entry)
+		if denial != "" {
+			return a.deny(principal.Identity, request, denial)
+		}
+		if retryAfter > 0 {
+			return a.deferRequest(retryAfter)
 		}
 	}
-	permission, retryAfter, admitted := d.limiter.Acquire(now, principal, roles)
+	permission, retryAfter, admitted := a.limiter.Acquire(now, principal, grant.Roles)
 	if !admitted {
-		d.deferred++
-		return Decision{RetryAfter: retryAfter}
+		return a.deferRequest(retryAfter)
 	}
-	d.admitted++
-	return Decision{Tenant: tenant, Permission: permission}
+	a.counters.admitted++
+	return Decision{Tenant: grant.Tenant, Permission: permission}
+}
+
+func (a *Authenticator) deferRequest(retryAfter time.Duration) Decision {
+	a.counters.deferred++
+	return Decision{RetryAfter: retryAfter}
 }
 
-// Release takes a pass back whose op is over.
-func (d *Authenticator) Release(permission *authz.Permission) {
-	now, _ := d.clock()
-	d.limiter.Release(now, permission)
+// deny counts and logs a denial. identity is empty where none is proven.
+func (a *Authenticator) deny(identity authz.Identity, request Request, denial authz.Denial) Decision {
+	a.counters.denied[denial]++
+	a.logDenial(identity, request, denial)
+	return Decision{Denial: denial}
 }
--- a/internal/authn/check.go
+++ b/internal/authn/check.go
@@ -9,6 +9,10 @@
 	"lanewheel/internal/tokens"
 )
 
+// maxPendingChecks bounds how many requests an operator may allow to wait for the check of a token.
+const maxPendingChecks = 4096
+
+// tokenCheck is a token to be verified off the event loop, with all that the check reads.
 type tokenCheck struct {
 	raw     string
 	suspect bool
@@ -16,74 +20,98 @@
 	policy  *tokens.Policy
 }
 
-// maxPendingChecks bounds what an operator may allow to wait for a verdict.
-const maxPendingChecks = 4096
+// verifyTokens verifies one token after the other, and hands each result to done on its own goroutine.
+func verifyTokens(checks <-chan tokenCheck, done func(tokens.CheckResult)) {
+	for check := range checks {
+		done(check.verify())
+	}
+}
 
-// verifyTokens verifies one token after the other, beside the loop.
-func verifyTokens(jobs <-chan tokenCheck, done func(tokens.CheckResult)) {
-	for check := range jobs {
-		started := time.Now()
-		result := tokens.CheckResult{Raw: check.raw, Suspect: check.suspect, KeySet: check.keys}
-		result.Claims, result.Denial = tokens.Verify(check.raw, func(id keyring.KeyID) (*keyring.Key, authz.Denial) {
-			key := check.keys.Find(id)
-			if key == nil {
-				return nil, keyring.UnknownKey
-			}
-			return key, key.CheckTime(started)
-		}, check.policy)
-		result.Duration = time.Since(started)
-		done(result)
+func (c tokenCheck) verify() tokens.CheckResult {
+	started := time.Now()
+	findKey := func(id keyring.KeyID) (*keyring.Key, authz.Denial) {
+		key := c.keys.Find(id)
+		if key == nil {
+			return nil, keyring.UnknownKey
+		}
+		return key, key.CheckTime(started)
+	}
+	claims, denial := tokens.Verify(c.raw, findKey, c.policy)
+	return tokens.CheckResult{
+		Raw:      c.raw,
+		Suspect:  c.suspect,
+		Claims:   claims,
+		Denial:   denial,
+		Duration: time.Since(started),
+		KeySet:   c.keys,
 	}
 }
 
-func (d *Authenticator) handleResult(result tokens.CheckResult) {
-	d.post(func() {
-		if d.verifier != nil {
-			now, wall := d.clock()
-			action, raw := d.verifier.HandleResult(now, wall, result)
-			d.perform(action, raw, result.Suspect)
+// handleResult brings a result to the event loop; it is called on the goroutine of the checks.
+func (a *Authenticator) handleResult(result tokens.CheckResult) {
+	a.post(func() {
+		if a.verifier == nil { // tokens are no longer accepted
+			return
 		}
+		now, wall := a.clock()
+		a.perform(a.verifier.HandleResult(now, wall, result), result.Suspect)
 	})
 }
 
-// perform sees to what the office wants done.
-func (d *Authenticator) perform(action tokens.Action, raw string, suspect bool) {
-	switch action {
+// perform starts what the verifier wants done off the event loop.
+func (a *Authenticator) perform(step tokens.Step, suspect bool) {
+	switch step.Action {
 	case tokens.CheckToken:
-		d.checks <- tokenCheck{raw, suspect, d.verifier.Keyring.Set(), d.verifier.Policy()}
+		a.checks <- tokenCheck{
+			raw:     step.Token,
+			suspect: suspect,
+			keys:    a.verifier.KeySet(),
+			policy:  a.verifier.Policy(),
+		}
 	case tokens.ReloadKeys:
-		verifier, keyDir := d.verifier, d.config.KeyDir
-		go func() { // one at a time, a second apart at the least: the ring sees to that
-			keys, err := keyring.LoadSet(keyDir)
-			if err != nil {
-				slog.Warn("keys-kept", "err", err)
-			}
-			d.post(func() {
-				if d.verifier == verifier {
-					d.handleKeys(keys)
-				}
-			})
-		}()
+		go a.reloadKeys(a.verifier, a.config.KeyDir)
+	}
+}
+
+// reloadKeys reads the folder of keys again, off the event loop. The keyring sees to it that one read is under way at a
+// time. A verifier that was replaced in the meantime gets nothing of it.
+func (a *Authenticator) reloadKeys(verifier *tokens.Verifier, keyDir string) {
+	keys, err := keyring.LoadSet(keyDir)
+	if err != nil {
+		slog.Warn("key folder unreadable, keeping current keys", "err", err)
 	}
+	a.post(func() {
+		if a.verifier == verifier {
+			a.handleKeys(keys)
+		}
+	})
 }
 
-func (d *Authenticator) handleKeys(keys *keyring.KeySet) {
-	generation := d.verifier.Keyring.Generation()
-	recheck := d.verifier.HandleKeys(keys)
-	if d.verifier.Keyring.Generation() != generation {
-		d.config.KeySet = keys
-		slog.Info("keys", "keys", len(keys.Keys()), "by", "look")
+// handleKeys takes the keys that were read; nil if they could not be.
+func (a *Authenticator) handleKeys(keys *keyring.KeySet) {
+	recheck, replaced := a.verifier.HandleKeys(keys)
+	if replaced {
+		a.config.KeySet = keys
+		slog.Info("keys loaded", "count", len(keys.Keys()), "trigger", "unknown key")
 	}
 	for _, raw := range recheck {
-		d.perform(tokens.CheckToken, raw, false)
+		a.perform(tokens.Step{Action: tokens.CheckToken, Token: raw}, false)
 	}
 }
 
-// IsForgery tells whether a token that is denied so was never good anywhere: whoever brings several is no caller of ours.
+// IsForgery tells whether a token that is denied so was never good anywhere. A caller that brings several is none of
+// ours.
 func IsForgery(denial authz.Denial) bool {
 	switch denial {
-	case tokens.TooLong, tokens.Malformed, tokens.WrongAlgorithm, tokens.CriticalHeader, tokens.BadSignature, tokens.WrongIssuer,
-		tokens.WrongAudience, tokens.NoSubject, keyring.UnknownKey:
+	case tokens.TooLong,
+		tokens.Malformed,
+		tokens.WrongAlgorithm,
+		tokens.CriticalHeader,
+		tokens.BadSignature,
+		tokens.WrongIssuer,
+		tokens.WrongAudience,
+		tokens.NoSubject,
+		keyring.UnknownKey:
 		return true
 	}
 	return false
--- a/internal/authn/credential.go
+++ b/internal/authn/credential.go
@@ -9,24 +9,45 @@
 	"lanewheel/internal/tokens"
 )
 
-// Credential is what a connection has proved. It belongs to the owner loop.
+// Credential is what a connection has proven, with what was found out about it. Owned by the event loop. Proof and
+// ConfiguredIdentity are set before the first request and not changed afterwards.
 type Credential struct {
 	Proof              *certs.VerifiedChain // nil: no certificate
-	ConfiguredIdentity authz.Identity       // who it is by the operator's word, empty if nobody says so
-	proofGeneration    uint64               // the generation for which the proof was looked at last
-	proofDenial        authz.Denial
-	suspect            bool // it has brought tokens that prove nothing
+	ConfiguredIdentity authz.Identity       // set by the operator, as for a queue; empty: none
 
-	token               string // the last good one, and what it proves
-	entry               *tokens.CachedToken
-	principal           authz.Principal // by the token, else by the proof
-	principalGeneration uint64          // the generation for which who is right, 0 if it is not known
-	principalDenial     authz.Denial
+	proof    proofCheck
+	resolved resolution
+	suspect  bool // it has brought forged tokens; never reset
 }
 
-// VerifyCertificate follows a client's chain during its handshake. It is called beside the loop.
-func (d *Authenticator) VerifyCertificate(chain []*x509.Certificate) (any, string) {
-	trust := d.trust.Load()
+// proofCheck is what the last check of a certificate came to.
+type proofCheck struct {
+	generation generation   // of the configuration that it was checked against
+	denial     authz.Denial // final once it is set
+}
+
+// resolution is who a credential is: by a token if there is an entry, and otherwise by its certificate or configured
+// identity.
+type resolution struct {
+	generation generation // of the configuration that says so; 0: not known
+	principal  authz.Principal
+	denial     authz.Denial // why it is nobody
+	token      string       // the last good one
+	entry      *tokens.CachedToken
+}
+
+// provenIdentity names the credential in the log where no principal is known.
+func (c *Credential) provenIdentity() authz.Identity {
+	if c.Proof != nil && len(c.Proof.Identities) > 0 {
+		return c.Proof.Identities[0]
+	}
+	return c.ConfiguredIdentity
+}
+
+// VerifyCertificate verifies a client's chain, its own certificate first: it gives a *certs.VerifiedChain, or an
+// authz.Denial as text. It may be called from any goroutine, and is called from those of handshakes.
+func (a *Authenticator) VerifyCertificate(chain []*x509.Certificate) (any, string) {
+	trust := a.trust.Load()
 	if trust == nil {
 		return nil, string(certs.Untrusted)
 	}
@@ -37,59 +58,57 @@
 	return proof, ""
 }
 
-// RevocationReason tells whether what a connection's certificate proved still counts; a reason bars it for good. It costs a
-// comparison while nothing has changed.
-func (d *Authenticator) RevocationReason(credential *Credential) authz.Denial {
-	if credential.Proof == nil || credential.proofDenial != "" {
-		return credential.proofDenial
+// RevocationReason tells why a connection's certificate no longer counts, empty if it does. A reason is final. It costs
+// a comparison while nothing has changed.
+func (a *Authenticator) RevocationReason(credential *Credential) authz.Denial {
+	if credential.Proof == nil || credential.proof.denial != "" {
+		return credential.proof.denial
 	}
-	_, wall := d.clock()
-	if credential.proofGeneration == d.generation && credential.Proof.ValidAt(wall) {
+	_, wall := a.clock()
+	if credential.proof.generation == a.generation && credential.Proof.ValidAt(wall) {
 		return ""
 	}
-	if d.config.TrustStore == nil {
-		credential.proofDenial = certs.Untrusted
-		return credential.proofDenial
+	if a.config.TrustStore == nil {
+		credential.proof.denial = certs.Untrusted
+		return credential.proof.denial
 	}
-	credential.proofDenial = d.config.TrustStore.Recheck(credential.Proof, wall)
-	credential.proofGeneration, credential.principalGeneration = d.generation, 0
-	return credential.proofDenial
+	credential.proof.denial = a.config.TrustStore.Recheck(credential.Proof, wall)
+	credential.proof.generation = a.generation
+	credential.resolved.generation = 0
+	return credential.proof.denial
 }
 
-// NeedsRecheck tells whether a connection's proof was not looked at since something has changed.
-func (d *Authenticator) NeedsRecheck(credential *Credential) bool {
-	return credential.Proof != nil && credential.proofDenial == "" && credential.proofGeneration != d.generation
+// NeedsRecheck tells whether the configuration has changed since a connection's certificate was checked.
+func (a *Authenticator) NeedsRecheck(credential *Credential) bool {
+	return credential.Proof != nil && credential.proof.denial == "" && credential.proof.generation != a.generation
 }
 
-// identifyByCertificate has b.who be the caller by its certificate alone.
-func (d *Authenticator) identifyByCertificate(credential *Credential) {
-	if credential.principalGeneration == d.generation && credential.entry == nil {
+// identifyByCertificate resolves a credential without a token: by its configured identity, or its certificate.
+func (a *Authenticator) identifyByCertificate(credential *Credential) {
+	if credential.resolved.generation == a.generation && credential.resolved.entry == nil {
 		return
 	}
-	credential.principalGeneration, credential.entry, credential.token = d.generation, nil, ""
-	if credential.ConfiguredIdentity != "" {
-		credential.principal, credential.principalDenial = d.config.Policy.Resolve([]authz.Identity{credential.ConfiguredIdentity}, "", nil)
-		return
-	}
-	if credential.Proof == nil {
-		credential.principal, credential.principalDenial = d.config.Policy.Anonymous()
-		return
+	resolved := resolution{generation: a.generation}
+	policy := a.config.Policy
+	switch {
+	case credential.ConfiguredIdentity != "":
+		identities := []authz.Identity{credential.ConfiguredIdentity}
+		resolved.principal, resolved.denial = policy.Resolve(identities, authz.Claims{})
+	case credential.Proof == nil:
+		resolved.principal, resolved.denial = policy.Anonymous()
+	default:
+		resolved.principal, resolved.denial = policy.Resolve(credential.Proof.Identities, authz.Claims{})
 	}
-	credential.principal, credential.principalDenial = d.config.Policy.Resolve(credential.Proof.Identities, "", nil)
+	credential.resolved = resolved
 }
 
-// identifyByToken has b.who be the caller by a good token.
-func (d *Authenticator) identifyByToken(credential *Credential, token string, entry *tokens.CachedToken) {
-	if credential.principalGeneration == d.generation && credential.entry == entry {
+// identifyByToken resolves a credential by a good token, whatever its certificate proves.
+func (a *Authenticator) identifyByToken(credential *Credential, token string, entry *tokens.CachedToken) {
+	if credential.resolved.generation == a.generation && credential.resolved.entry == entry {
 		return
 	}
-	credential.principalGeneration, credential.entry, credential.token = d.generation, entry, token
-	credential.principal, credential.principalDenial = d.config.Policy.Resolve(entry.Identities(), entry.Tenant, entry.Roles)
-}
-
-func (b *Credential) principalName() authz.Identity {
-	if b.Proof != nil && len(b.Proof.Identities) > 0 {
-		return b.Proof.Identities[0]
-	}
-	return b.ConfiguredIdentity
+	resolved := resolution{generation: a.generation, token: token, entry: entry}
+	claims := authz.Claims{Tenant: entry.Tenant, Roles: entry.Roles}
+	resolved.principal, resolved.denial = a.config.Policy.Resolve(entry.Identities(), claims)
+	credential.resolved = resolved
 }
--- a/internal/authn/helper_test.go
+++ b/internal/authn/helper_test.go
@@ -139,8 +139,8 @@
 
 func (f *fixture) clientCertificate(uri string) *x509.Certificate {
 	f.t.Helper()
-	pair := setuptest.Must(f.authority.Issue(certs.Subject{CommonName: "c", URIs: []string{uri}}, false, f.wall, time.Hour))
-	return pair.Certificate
+	subject := certs.Subject{CommonName: "c", URIs: []string{uri}}
+	return setuptest.Must(f.authority.Issue(subject, false, f.wall, time.Hour)).Certificate
 }
 
 // credentialOf is the credential of a connection whose handshake brought a certificate.
--- a/internal/authz/identity.go
+++ b/internal/authz/identity.go
@@ -1,18 +1,28 @@
 package authz
 
-// Identity is an identity: what a caller proved to be. It begins with its kind and a colon: uri:, dns: and subject: come from a
-// certificate, token: from a token's subject.
+// Identity is what a caller has proven to be: its kind, a colon and a name.
 type Identity string
 
-// Denial is why an op is denied, in one word; empty if it is not.
-type Denial string
+// IdentityKind says what an identity was proven by.
+type IdentityKind string
 
-// Reasons that are the rights' own. Others come from what proves an identity.
+// The kinds as the operator's file writes them.
 const (
-	noIdentity    Denial = "no-identity" // none was brought, and the file gives callers without one no role
-	unmapped      Denial = "unmapped"    // the identity is proven, but the file knows no tenant or role for it
-	wrongTenant   Denial = "tenant"      // the op claims a tenant that is not the identity's and in none of its roles
-	wrongClass    Denial = "type"        // no role has the op type
-	noWriteAccess Denial = "write"       // a role has the type, but only for reads
-	noReadAccess  Denial = "read"        // a role has the type, but only for writes
+	URIIdentity     IdentityKind = "uri"     // a URI of a certificate
+	DNSIdentity     IdentityKind = "dns"     // a DNS name of a certificate
+	SubjectIdentity IdentityKind = "subject" // the subject of a certificate
+	TokenIdentity   IdentityKind = "token"   // the subject of a token
 )
+
+// NewIdentity gives the identity of a kind with a name.
+func NewIdentity(kind IdentityKind, name string) Identity {
+	return Identity(string(kind) + ":" + name)
+}
+
+func (k IdentityKind) known() bool {
+	switch k {
+	case URIIdentity, DNSIdentity, SubjectIdentity, TokenIdentity:
+		return true
+	}
+	return false
+}
--- a/internal/authz/policy_test.go
+++ b/internal/authz/policy_test.go
@@ -15,48 +15,63 @@
 )
 
 var policy = setuptest.Must(NewPolicy([]Role{
-	{Name: "crew", Classes: []admission.Class{"view", "set"}, CanRead: true, CanWrite: true, RatePerSecond: 10, Burst: 2, MaxInFlight: 3},
+	{
+		Name:          "crew",
+		Classes:       []admission.Class{"view", "set"},
+		CanRead:       true,
+		CanWrite:      true,
+		RatePerSecond: 10,
+		Burst:         2,
+		MaxInFlight:   3,
+	},
 	{Name: "viewer", Classes: []admission.Class{"view"}, CanRead: true},
-	{Name: "desk", Classes: []admission.Class{wildcard}, Tenants: []admission.TenantID{wildcard}, CanRead: true, CanWrite: true},
+	{
+		Name:     "dispatch",
+		Classes:  []admission.Class{wildcard},
+		Tenants:  []admission.TenantID{wildcard},
+		CanRead:  true,
+		CanWrite: true,
+	},
 }, []Binding{
 	{Name: "water", Patterns: []string{"uri:rota://water/*"}, Tenant: "water", Roles: []RoleName{"crew"}},
-	{Name: "foreman", Patterns: []string{"uri:rota://water/foreman", "token:desk-1"}, Tenant: "water", Roles: []RoleName{"desk"}},
+	{
+		Name:     "foreman",
+		Patterns: []string{"uri:rota://water/foreman", "token:dispatch-1"},
+		Tenant:   "water",
+		Roles:    []RoleName{"dispatch"},
+	},
 	{Name: "roads", Patterns: []string{"uri:rota://*"}, Tenant: "roads", Roles: []RoleName{"crew", "viewer"}},
 }, []admission.Class{"set"}, nil))
 
-// Who a caller is, and what it may: a whole name goes before a start, a longer start before a shorter; a write that calls
-// itself a read stays a write; another tenant's op is denied.
+// Who a caller is, and what it may: a whole identity goes before a prefix, a longer prefix before a shorter one; a
+// write that says it is a read stays a write; another tenant's request is denied.
 func Example() {
 	for _, c := range []struct {
-		name   Identity
-		claim  admission.TenantID
-		roles  []RoleName
-		kind   admission.Class
-		tenant admission.TenantID
-		write  bool
+		identity Identity
+		claims   Claims
+		request  Request
 	}{
-		{"uri:rota://water/7", "", nil, "set", "water", true},
-		{"uri:rota://water/7", "", nil, "set", "", true},
-		{"uri:rota://water/7", "", nil, "set", "roads", true},
-		{"uri:rota://roads/7", "", nil, "set", "water", true},
-		{"uri:rota://water/foreman", "", nil, "set", "roads", true},
-		{"token:x", "water", []RoleName{"viewer", "none"}, "view", "water", false},
-		{"token:x", "water", []RoleName{"viewer"}, "view", "water", true},
-		{"token:x", "water", []RoleName{"viewer"}, "set", "water", false},
-		{"token:x", "water", nil, "view", "water", false},
-		{"token:desk-1", "roads", []RoleName{"viewer"}, "any", "gas", true},
+		{"uri:rota://water/7", Claims{}, Request{"set", "water", true}},
+		{"uri:rota://water/7", Claims{}, Request{"set", "", true}},
+		{"uri:rota://water/7", Claims{}, Request{"set", "roads", true}},
+		{"uri:rota://roads/7", Claims{}, Request{"set", "water", true}},
+		{"uri:rota://water/foreman", Claims{}, Request{"set", "roads", true}},
+		{"token:x", Claims{"water", []RoleName{"viewer", "none"}}, Request{"view", "water", false}},
+		{"token:x", Claims{"water", []RoleName{"viewer"}}, Request{"view", "water", true}},
+		{"token:x", Claims{"water", []RoleName{"viewer"}}, Request{"set", "water", false}},
+		{"token:x", Claims{"water", nil}, Request{"view", "water", false}},
+		{"token:dispatch-1", Claims{"roads", []RoleName{"viewer"}}, Request{"any", "gas", true}},
 	} {
-		w, why := policy.Resolve([]Identity{c.name}, c.claim, c.roles)
-		if why == "" {
-			var tenant admission.TenantID
-			_, tenant, why = policy.Authorize(&w, Request{c.kind, c.tenant, c.write})
-			fmt.Printf("%s %s for %s: %q\n", c.name, c.kind, tenant, why)
+		principal, denial := policy.Resolve([]Identity{c.identity}, c.claims)
+		if denial != "" {
+			fmt.Printf("%s: %q\n", c.identity, denial)
 			continue
 		}
-		fmt.Printf("%s: %q\n", c.name, why)
+		grant, denial := policy.Authorize(&principal, c.request)
+		fmt.Printf("%s %s for %s: %q\n", c.identity, c.request.Class, grant.Tenant, denial)
 	}
-	_, why := policy.Anonymous()
-	fmt.Println(why)
+	_, denial := policy.Anonymous()
+	fmt.Println(denial)
 	_, err := NewPolicy(nil, []Binding{{Name: "a", Patterns: []string{"uri:x"}, Roles: []RoleName{"none"}}}, nil, nil)
 	fmt.Println(err)
 	// Output:
@@ -69,67 +84,109 @@
 	// token:x view for water: "write"
 	// token:x set for water: "type"
 	// token:x: "unmapped"
-	// token:desk-1 any for gas: ""
+	// token:dispatch-1 any for gas: ""
 	// no-identity
 	// caller "a": there is no role "none"
 }
 
-// The book against rules read one by one.
-func TestPolicy(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		tenants := []admission.TenantID{"", "a", "b", wildcard}
-		kinds := []admission.Class{"x", "y", wildcard}
-		var roles []Role
-		for i := range rapid.IntRange(1, 4).Draw(t, "roles") {
-			roles = append(roles, Role{Name: RoleName(fmt.Sprint("r", i)),
-				Tenants: rapid.SliceOfN(rapid.SampledFrom(tenants[1:]), 0, 2).Draw(t, "tenants"),
-				Classes: rapid.SliceOfN(rapid.SampledFrom(kinds), 1, 2).Draw(t, "types"),
-				CanRead: rapid.Bool().Draw(t, "reads"), CanWrite: rapid.Bool().Draw(t, "writes")})
+var (
+	drawnTenants = []admission.TenantID{"", "a", "b", wildcard}
+	drawnClasses = []admission.Class{"x", "y", wildcard}
+)
+
+func drawRoles(t *rapid.T) []Role {
+	var roles []Role
+	for i := range rapid.IntRange(1, 4).Draw(t, "roles") {
+		roles = append(roles, Role{
+			Name:     RoleName(fmt.Sprint("r", i)),
+			Tenants:  rapid.SliceOfN(rapid.SampledFrom(drawnTenants[1:]), 0, 2).Draw(t, "tenants"),
+			Classes:  rapid.SliceOfN(rapid.SampledFrom(drawnClasses), 1, 2).Draw(t, "classes"),
+			CanRead:  rapid.Bool().Draw(t, "can read"),
+			CanWrite: rapid.Bool().Draw(t, "can write"),
+		})
+	}
+	return roles
+}
+
+func drawBindings(t *rapid.T, roles []Role) []Binding {
+	patterns := rapid.SampledFrom([]string{"uri:a", "uri:a*", "uri:ab", "uri:ab*", "uri:*", "dns:a", "token:*"})
+	var bindings []Binding
+	used := map[string]bool{}
+	for i := range rapid.IntRange(0, 4).Draw(t, "bindings") {
+		pattern := patterns.Draw(t, "pattern")
+		if used[pattern] {
+			continue
 		}
-		var callers []Binding
-		used := map[string]bool{}
-		for i := range rapid.IntRange(0, 4).Draw(t, "callers") {
-			match := rapid.SampledFrom([]string{"uri:a", "uri:a*", "uri:ab", "uri:ab*", "uri:*", "dns:a", "token:*"}).Draw(t, "match")
-			if used[match] {
-				continue
-			}
-			used[match] = true
-			callers = append(callers, Binding{Name: fmt.Sprint("c", i), Patterns: []string{match},
-				Tenant: rapid.SampledFrom(tenants[:3]).Draw(t, "tenant"),
-				Roles:  []RoleName{roles[rapid.IntRange(0, len(roles)-1).Draw(t, "role")].Name}})
+		used[pattern] = true
+		bindings = append(bindings, Binding{
+			Name:     fmt.Sprint("c", i),
+			Patterns: []string{pattern},
+			Tenant:   rapid.SampledFrom(drawnTenants[:3]).Draw(t, "tenant"),
+			Roles:    []RoleName{roles[rapid.IntRange(0, len(roles)-1).Draw(t, "role")].Name},
+		})
+	}
+	return bindings
+}
+
+// bestBinding gives the index of the binding that counts for an identity, -1 if none does.
+func bestBinding(bindings []Binding, identity string) int {
+	best, length := -1, -1
+	for i, binding := range bindings {
+		pattern := binding.Patterns[0]
+		if text, isPrefix := strings.CutSuffix(pattern, "*"); pattern == identity {
+			best, length = i, math.MaxInt
+		} else if isPrefix && strings.HasPrefix(identity, text) && len(text) > length {
+			best, length = i, len(text)
 		}
-		writes := rapid.SliceOfN(rapid.SampledFrom(kinds[:2]), 0, 1).Draw(t, "writes")
-		b := setuptest.Must(NewPolicy(roles, callers, writes, nil))
-		name := rapid.SampledFrom([]string{"uri:a", "uri:ab", "uri:abc", "uri:c", "dns:a", "dns:b", "token:q"}).Draw(t, "name")
-		ask := Request{rapid.SampledFrom(kinds[:2]).Draw(t, "kind"), rapid.SampledFrom(tenants[:3]).Draw(t, "asks"), rapid.Bool().Draw(t, "write")}
+	}
+	return best
+}
 
-		best, length := -1, -1
-		for i, c := range callers {
-			m := c.Patterns[0]
-			if with, open := strings.CutSuffix(m, "*"); m == name {
-				best, length = i, math.MaxInt
-			} else if open && strings.HasPrefix(name, with) && len(with) > length {
-				best, length = i, len(with)
-			}
+// allowed tells whether a role allows a request to an identity with the binding's tenant.
+func allowed(role Role, binding Binding, request Request, writeClasses []admission.Class) bool {
+	tenant := request.Tenant
+	if tenant == "" {
+		tenant = binding.Tenant
+	}
+	if tenant != binding.Tenant && !slices.Contains(role.Tenants, tenant) && !slices.Contains(role.Tenants, wildcard) {
+		return false
+	}
+	if !slices.Contains(role.Classes, request.Class) && !slices.Contains(role.Classes, wildcard) {
+		return false
+	}
+	if request.Write || slices.Contains(writeClasses, request.Class) {
+		return role.CanWrite
+	}
+	return role.CanRead
+}
+
+// The policy against rules that are read one by one.
+func TestPolicy(t *testing.T) {
+	identities := []string{"uri:a", "uri:ab", "uri:abc", "uri:c", "dns:a", "dns:b", "token:q"}
+	rapid.Check(t, func(t *rapid.T) {
+		roles := drawRoles(t)
+		bindings := drawBindings(t, roles)
+		writeClasses := rapid.SliceOfN(rapid.SampledFrom(drawnClasses[:2]), 0, 1).Draw(t, "write classes")
+		policy := setuptest.Must(NewPolicy(roles, bindings, writeClasses, nil))
+		identity := rapid.SampledFrom(identities).Draw(t, "identity")
+		request := Request{
+			Class:  rapid.SampledFrom(drawnClasses[:2]).Draw(t, "class"),
+			Tenant: rapid.SampledFrom(drawnTenants[:3]).Draw(t, "request's tenant"),
+			Write:  rapid.Bool().Draw(t, "write"),
 		}
-		may := false
-		if best >= 0 {
-			c := callers[best]
-			r := roles[slices.IndexFunc(roles, func(r Role) bool { return r.Name == c.Roles[0] })]
-			tenant := ask.Tenant
-			if tenant == "" {
-				tenant = c.Tenant
-			}
-			write := ask.Write || slices.Contains(writes, ask.Class)
-			may = (tenant == c.Tenant || slices.Contains(r.Tenants, tenant) || slices.Contains(r.Tenants, wildcard)) &&
-				(slices.Contains(r.Classes, ask.Class) || slices.Contains(r.Classes, wildcard)) && (write && r.CanWrite || !write && r.CanRead)
+
+		want := false
+		if best := bestBinding(bindings, identity); best >= 0 {
+			binding := bindings[best]
+			role := roles[slices.IndexFunc(roles, func(r Role) bool { return r.Name == binding.Roles[0] })]
+			want = allowed(role, binding, request, writeClasses)
 		}
-		w, why := b.Resolve([]Identity{Identity(name)}, "", nil)
-		if why == "" {
-			_, _, why = b.Authorize(&w, ask)
+		principal, denial := policy.Resolve([]Identity{Identity(identity)}, Claims{})
+		if denial == "" {
+			_, denial = policy.Authorize(&principal, request)
 		}
-		if may != (why == "") {
-			t.Fatalf("%s %+v: %q, want may %v", name, ask, why, may)
+		if want != (denial == "") {
+			t.Fatalf("%s %+v: %q, want it allowed: %v", identity, request, denial, want)
 		}
 	})
 }
--- a/internal/authz/ratelimiter.go
+++ b/internal/authz/ratelimiter.go
@@ -1,176 +1,141 @@
 package authz
 
-import (
-	"time"
+import "time"
+
+const (
+	// MinRetryAfter is the shortest retry delay that is answered; the timers of clients are no finer.
+	MinRetryAfter = time.Millisecond
+	// tableFullRetryAfter is the retry delay where no entry is free: entries become so within seconds, as buckets fill.
+	tableFullRetryAfter = time.Second
+
+	// An entry that is added has some others looked at: more than one, so that the table is gone through faster than it
+	// fills, and more when it is full, but never so many that the event loop is held up.
+	evictionScan     = 2
+	evictionScanFull = 64
 )
 
-// RateLimiter keeps what identities have used of their rates, and how many of their ops are in hand.
+// RateLimiter counts what identities use of the bounds of their roles: a token bucket for the rate, and the requests in
+// flight. It belongs to one goroutine.
 type RateLimiter struct {
-	maxEntries    int // entries at a time
-	entries       map[usageKey]*usage
-	evictionOrder []usageKey // in the order in which they are looked at to make room
-	evictionHand  int
+	maxEntries   int
+	entries      map[usageKey]*usage
+	evictionRing []usageKey // the keys of entries, in the order in which they are looked at
+	evictionHand int        // index of the next one to look at
 }
 
-// usageKey is one identity under one role: each role's bounds count for themselves.
+// usageKey is one identity under one role: the bounds of each role count separately.
 type usageKey struct {
 	identity Identity
 	role     RoleName
 }
 
-type usage struct {
-	tokens    float64       // of the bucket, in ops
-	filledAt  time.Duration // when that was so
-	rate      float64       // as last told, to know when the bucket is full
-	burst     float64
-	inFlight  int
-	durations [4]time.Duration // the last ops' time in hand; a handful shows about when one ends
-	finished  int
-}
-
-// newRateLimiter keeps at most so many entries, one for each identity and role that uses a bound.
+// newRateLimiter makes one for at most so many entries, one for each identity and role with a bound.
 func newRateLimiter(maxEntries int) *RateLimiter {
-	return &RateLimiter{maxEntries: max(1, maxEntries), entries: map[usageKey]*usage{}}
+	return &RateLimiter{
+		maxEntries: max(1, maxEntries),
+		entries:    map[usageKey]*usage{},
+	}
 }
 
-// Resize gives a gate for so many entries that goes on with what this one keeps; on a nil one, a new gate.
-func (g *RateLimiter) Resize(maxEntries int) *RateLimiter {
-	if g == nil {
+// Resize gives a limiter for so many entries that keeps what this one has counted; a nil one gives a new limiter.
+func (l *RateLimiter) Resize(maxEntries int) *RateLimiter {
+	if l == nil {
 		return newRateLimiter(maxEntries)
 	}
-	g.maxEntries = max(1, maxEntries)
-	return g
+	l.maxEntries = max(1, maxEntries)
+	return l
 }
 
-// Permission is one op let in by a gate, to be given back.
+// Permission is one admitted request, to be given to Release when it is done. The zero value is none that is counted.
 type Permission struct {
 	key       usageKey
 	grantedAt time.Duration
 	counted   bool
 }
 
-// MinRetryAfter is the least time that whoever is beyond a bound is told to stay away; a client's timers are no finer.
-const MinRetryAfter = time.Millisecond
-
-// fullRetryAfter is for how long whoever finds no entry is told to stay away: entries fall free as buckets fill, within seconds.
-const fullRetryAfter = time.Second
-
-// Acquire lets an op in by the first of its roles that has room, or tells when to come back.
-func (g *RateLimiter) Acquire(now time.Duration, principal *Principal, roles []*Role) (Permission, time.Duration, bool) {
-	retryAfter := time.Duration(-1)
+// Acquire admits a request by the first of the roles whose bounds have capacity left. If none has, it gives the time
+// after which to retry.
+func (l *RateLimiter) Acquire(
+	now time.Duration, principal *Principal, roles []*Role,
+) (permission Permission, retryAfter time.Duration, admitted bool) {
+	retryAfter = -1
 	for _, role := range roles {
-		if role.RatePerSecond <= 0 && role.MaxInFlight <= 0 {
+		if role.unlimited() {
 			return Permission{}, 0, true
 		}
 		key := usageKey{principal.Identity, role.Name}
-		entry := g.entries[key]
+		entry := l.entry(now, key, role)
 		if entry == nil {
-			if !g.makeRoom(now) {
-				retryAfter = earlier(retryAfter, fullRetryAfter)
-				continue
-			}
-			entry = &usage{tokens: role.Burst, filledAt: now}
-			g.entries[key] = entry
-			g.evictionOrder = append(g.evictionOrder, key)
+			retryAfter = earlier(retryAfter, tableFullRetryAfter)
+			continue
 		}
-		entry.refill(now, role)
-		switch {
-		case role.MaxInFlight > 0 && entry.inFlight >= role.MaxInFlight:
-			retryAfter = earlier(retryAfter, entry.averageDuration()/time.Duration(entry.inFlight))
-		case role.RatePerSecond > 0 && entry.tokens < 1:
-			retryAfter = earlier(retryAfter, time.Duration((1-entry.tokens)/role.RatePerSecond*float64(time.Second)))
-		default:
-			if role.RatePerSecond > 0 {
-				entry.tokens--
-			}
-			entry.inFlight++
-			return Permission{key: key, grantedAt: now, counted: true}, 0, true
+		if wait, limited := entry.take(now, role); limited {
+			retryAfter = earlier(retryAfter, wait)
+			continue
 		}
+		return Permission{key: key, grantedAt: now, counted: true}, 0, true
 	}
 	return Permission{}, max(retryAfter, MinRetryAfter), false
 }
 
-func earlier(a, b time.Duration) time.Duration {
-	if a < 0 {
-		return b
-	}
-	return min(a, b)
-}
-
-// Release takes a pass back: its op is no longer in hand.
-func (g *RateLimiter) Release(now time.Duration, permission *Permission) {
+// Release takes a permission back: its request is done. A second time does nothing.
+func (l *RateLimiter) Release(now time.Duration, permission *Permission) {
 	if !permission.counted {
 		return
 	}
 	permission.counted = false
-	if entry := g.entries[permission.key]; entry != nil && entry.inFlight > 0 {
-		entry.inFlight--
-		entry.durations[entry.finished%len(entry.durations)] = now - permission.grantedAt
-		entry.finished++
+	if entry := l.entries[permission.key]; entry != nil && entry.inFlight > 0 {
+		entry.release(now - permission.grantedAt)
 	}
 }
 
-// refill brings a bucket up to now by the role as it is told now. Danger: a clock that stands or steps back; time is the
-// program's own, and less than nothing fills nothing.
-func (e *usage) refill(now time.Duration, role *Role) {
-	if role.RatePerSecond != e.rate || role.Burst != e.burst { // told anew: what was used stays used
-		if e.burst > 0 {
-			e.tokens += role.Burst - e.burst
-		} else if e.rate == 0 {
-			e.tokens = role.Burst
-		}
-		e.rate, e.burst = role.RatePerSecond, role.Burst
-	}
-	e.tokens = min(role.Burst, e.tokens+max(0, (now-e.filledAt).Seconds())*role.RatePerSecond)
-	e.filledAt = max(e.filledAt, now)
-}
+// Len is how many entries there are.
+func (l *RateLimiter) Len() int { return len(l.entries) }
 
-// averageDuration is how long an op of this entry is about in hand.
-func (e *usage) averageDuration() time.Duration {
-	n := min(e.finished, len(e.durations))
-	if n == 0 {
-		return 100 * time.Millisecond // nothing is known; an op of a fraction of a second
+// entry gives the entry of a key, a new one if need be; nil if the table is full.
+func (l *RateLimiter) entry(now time.Duration, key usageKey, role *Role) *usage {
+	if known := l.entries[key]; known != nil {
+		return known
 	}
-	var sum time.Duration
-	for _, duration := range e.durations[:n] {
-		sum += duration
+	if !l.makeRoom(now) {
+		return nil
 	}
-	return sum / time.Duration(n)
+	added := &usage{tokens: role.Burst, filledAt: now}
+	l.entries[key] = added
+	l.evictionRing = append(l.evictionRing, key)
+	return added
 }
 
-// idle tells whether forgetting the entry changes nothing: a new one would be like it.
-func (e *usage) idle(now time.Duration) bool {
-	return e.inFlight == 0 && (e.rate <= 0 || e.tokens+(now-e.filledAt).Seconds()*e.rate >= e.burst)
-}
-
-// Each entry that wants room has a few others looked at: two, so that the hand goes round faster than the table fills, and
-// more when it is full, but never so many that the loop feels it.
-const evictionScan, evictionScanFull = 2, 64
-
-// makeRoom makes room for one more entry. Danger: a table that grows with each identity ever seen. What is as good as new is
-// forgotten, a few looked at each time; if all are in use, the newcomer has to wait.
-func (g *RateLimiter) makeRoom(now time.Duration) bool {
-	for n := 0; len(g.evictionOrder) > 0 && n < evictionScanFull && (n < evictionScan || len(g.entries) >= g.maxEntries); n++ {
-		g.evictionHand %= len(g.evictionOrder)
-		if key := g.evictionOrder[g.evictionHand]; g.entries[key].idle(now) {
-			delete(g.entries, key)
-			last := len(g.evictionOrder) - 1
-			g.evictionOrder[g.evictionHand] = g.evictionOrder[last]
-			g.evictionOrder = g.evictionOrder[:last]
-		} else {
-			g.evictionHand++
+// makeRoom tells whether one more entry fits. Entries that are as good as new are dropped, a few looked at each
+// time, so that the table does not grow with every identity ever seen. One that is in use is never dropped for a
+// newcomer.
+func (l *RateLimiter) makeRoom(now time.Duration) bool {
+	for scanned := 0; len(l.evictionRing) > 0 && scanned < l.scanLimit(); scanned++ {
+		l.evictionHand %= len(l.evictionRing)
+		key := l.evictionRing[l.evictionHand]
+		if !l.entries[key].idle(now) {
+			l.evictionHand++
+			continue
 		}
+		delete(l.entries, key)
+		last := len(l.evictionRing) - 1
+		l.evictionRing[l.evictionHand] = l.evictionRing[last]
+		l.evictionRing = l.evictionRing[:last]
 	}
-	return len(g.entries) < g.maxEntries
+	return len(l.entries) < l.maxEntries
 }
 
-// Len is how many entries there are.
-func (g *RateLimiter) Len() int { return len(g.entries) }
+func (l *RateLimiter) scanLimit() int {
+	if len(l.entries) >= l.maxEntries {
+		return evictionScanFull
+	}
+	return evictionScan
+}
 
-// inFlight is how many ops of an identity are in hand under a role.
-func (g *RateLimiter) inFlight(identity Identity, role RoleName) int {
-	if entry := g.entries[usageKey{identity, role}]; entry != nil {
-		return entry.inFlight
+// earlier gives the shorter of two delays; a negative first one is none yet.
+func earlier(a, b time.Duration) time.Duration {
+	if a < 0 {
+		return b
 	}
-	return 0
+	return min(a, b)
 }
--- a/internal/authz/ratelimiter_test.go
+++ b/internal/authz/ratelimiter_test.go
@@ -8,28 +8,28 @@
 	"pgregory.net/rapid"
 )
 
-// An identity's rate, its ops in hand, and when it may come back; ten times its rate costs its neighbour nothing.
+// An identity's rate, its requests in flight, and when to retry; a request beyond its rate costs its neighbor nothing.
 func Example_rateLimiter() {
-	g := newRateLimiter(10)
-	water, _ := policy.Resolve([]Identity{"uri:rota://water/7"}, "", nil)
-	other, _ := policy.Resolve([]Identity{"uri:rota://water/8"}, "", nil)
-	roles, _, _ := policy.Authorize(&water, Request{"set", "water", true})
-	take := func(now time.Duration, w *Principal) Permission {
-		p, after, in := g.Acquire(now, w, roles)
-		fmt.Println(now, w.Identity, in, after)
-		return p
+	limiter := newRateLimiter(10)
+	water, _ := policy.Resolve([]Identity{"uri:rota://water/7"}, Claims{})
+	other, _ := policy.Resolve([]Identity{"uri:rota://water/8"}, Claims{})
+	grant, _ := policy.Authorize(&water, Request{"set", "water", true})
+	acquire := func(now time.Duration, principal *Principal) Permission {
+		permission, retryAfter, admitted := limiter.Acquire(now, principal, grant.Roles)
+		fmt.Println(now, principal.Identity, admitted, retryAfter)
+		return permission
 	}
-	take(0, &water)
-	p := take(0, &water)
-	take(0, &water)
-	take(0, &other)
-	take(50*time.Millisecond, &water)
-	take(100*time.Millisecond, &water)
-	take(time.Second, &water) // its rate would allow it, but three are in hand
-	g.Release(time.Second, &p)
-	g.Release(time.Second, &p) // a second time gives nothing back
-	take(time.Second, &water)
-	fmt.Println(g.inFlight(water.Identity, "crew"), g.Len())
+	acquire(0, &water)
+	permission := acquire(0, &water)
+	acquire(0, &water)
+	acquire(0, &other)
+	acquire(50*time.Millisecond, &water)
+	acquire(100*time.Millisecond, &water)
+	acquire(time.Second, &water) // its rate would allow it, but three are in flight
+	limiter.Release(time.Second, &permission)
+	limiter.Release(time.Second, &permission) // a second time gives nothing back
+	acquire(time.Second, &water)
+	fmt.Println(limiter.entries[usageKey{water.Identity, "crew"}].inFlight, limiter.Len())
 	// Output:
 	// 0s uri:rota://water/7 true 0s
 	// 0s uri:rota://water/7 true 0s
@@ -42,24 +42,25 @@
 	// 3 2
 }
 
-// A hundred thousand identities leave no more entries than told; who is in use is not forgotten for a newcomer.
+// A hundred thousand identities leave no more entries than configured; one in use is not dropped for a newcomer.
 func Example_bounded() {
-	g := newRateLimiter(300) // a hundred are refilling at a time
-	r := &Role{Name: "r", RatePerSecond: 10, Burst: 1}
-	turned := 0
+	limiter := newRateLimiter(300) // a hundred are refilling at a time
+	role := &Role{Name: "r", RatePerSecond: 10, Burst: 1}
+	rejected := 0
 	for i := range 100_000 {
-		w := &Principal{Identity: Identity(fmt.Sprint("token:", i))}
-		p, _, in := g.Acquire(time.Duration(i)*time.Millisecond, w, []*Role{r})
-		if !in {
-			turned++
+		principal := &Principal{Identity: Identity(fmt.Sprint("token:", i))}
+		now := time.Duration(i) * time.Millisecond
+		permission, _, admitted := limiter.Acquire(now, principal, []*Role{role})
+		if !admitted {
+			rejected++
 		}
-		g.Release(time.Duration(i)*time.Millisecond, &p)
+		limiter.Release(now, &permission)
 	}
-	fmt.Println(g.Len() <= 300, turned)
-	g = newRateLimiter(2)
+	fmt.Println(limiter.Len() <= 300, rejected)
+	limiter = newRateLimiter(2)
 	for i := range 3 {
-		_, after, in := g.Acquire(0, &Principal{Identity: Identity(fmt.Sprint(i))}, []*Role{r})
-		fmt.Println(in, after)
+		_, retryAfter, admitted := limiter.Acquire(0, &Principal{Identity: Identity(fmt.Sprint(i))}, []*Role{role})
+		fmt.Println(admitted, retryAfter)
 	}
 	// Output:
 	// true 0
@@ -68,59 +69,88 @@
 	// false 1s
 }
 
-// The gate against a count of all that was ever let in: never more than burst and rate allow in any span, never more in hand
-// than told, nobody turned away who keeps to both, and who comes back when told is let in.
+// limiterModel remembers all that a limiter has ever admitted for one identity.
+type limiterModel struct {
+	*RateLimiter
+	role       *Role
+	principal  *Principal
+	now        time.Duration
+	admittedAt []time.Duration
+	inFlight   []Permission
+}
+
+func drawLimiterModel(t *rapid.T) *limiterModel {
+	return &limiterModel{
+		RateLimiter: newRateLimiter(4),
+		principal:   &Principal{Identity: "a"},
+		role: &Role{
+			Name:          "r",
+			RatePerSecond: rapid.Float64Range(1, 50).Draw(t, "rate"),
+			Burst:         rapid.Float64Range(1, 9).Draw(t, "burst"),
+			MaxInFlight:   rapid.IntRange(0, 4).Draw(t, "max in flight"),
+		},
+	}
+}
+
+func (m *limiterModel) acquire() (retryAfter time.Duration, admitted bool) {
+	permission, retryAfter, admitted := m.Acquire(m.now, m.principal, []*Role{m.role})
+	if admitted {
+		m.admittedAt = append(m.admittedAt, m.now)
+		m.inFlight = append(m.inFlight, permission)
+	}
+	return retryAfter, admitted
+}
+
+// checkBounds looks at each span that ends now.
+func (m *limiterModel) checkBounds(t *rapid.T) {
+	if m.role.MaxInFlight > 0 && len(m.inFlight) > m.role.MaxInFlight {
+		t.Fatal("more in flight than the role allows")
+	}
+	for i, from := range m.admittedAt {
+		count := len(m.admittedAt) - i
+		limit := m.role.Burst + (m.now-from).Seconds()*m.role.RatePerSecond + 1e-6
+		if float64(count) > limit {
+			t.Fatalf("%d in %v, want at most %f", count, m.now-from, limit)
+		}
+	}
+}
+
+// The limiter against a list of all that was ever admitted: never more than burst and rate allow in any span, never
+// more in flight than configured, no one rejected who keeps to both, and who retries when told is admitted.
 func TestRateLimiter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		role := &Role{Name: "r", RatePerSecond: rapid.Float64Range(1, 50).Draw(t, "rate"), Burst: rapid.Float64Range(1, 9).Draw(t, "burst"),
-			MaxInFlight: rapid.IntRange(0, 4).Draw(t, "open")}
-		g := newRateLimiter(4)
-		now := time.Duration(0)
-		var in []time.Duration
-		var open []Permission
-		w := &Principal{Identity: "a"}
+		m := drawLimiterModel(t)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond
-			if len(open) > 0 && rapid.Bool().Draw(t, "ends") {
-				g.Release(now, &open[0])
-				open = open[1:]
+			m.now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond
+			if len(m.inFlight) > 0 && rapid.Bool().Draw(t, "finishes") {
+				m.Release(m.now, &m.inFlight[0])
+				m.inFlight = m.inFlight[1:]
 				continue
 			}
-			p, after, let := g.Acquire(now, w, []*Role{role})
-			if let {
-				in, open = append(in, now), append(open, p)
-			}
-			if role.MaxInFlight > 0 && len(open) > role.MaxInFlight {
-				t.Fatal("more in hand than told")
-			}
-			for i := range in { // in any span up to now
-				if most := role.Burst + (now-in[i]).Seconds()*role.RatePerSecond + 1e-6; float64(len(in)-i) > most {
-					t.Fatalf("%d in %v, most %f", len(in)-i, now-in[i], most)
-				}
+			retryAfter, admitted := m.acquire()
+			m.checkBounds(t)
+			if admitted || m.role.MaxInFlight > 0 && len(m.inFlight) >= m.role.MaxInFlight {
+				continue
 			}
-			if !let && (role.MaxInFlight == 0 || len(open) < role.MaxInFlight) {
-				now += after + time.Microsecond
-				p, _, let := g.Acquire(now, w, []*Role{role})
-				if !let {
-					t.Fatalf("came back after %v and was turned away", after)
-				}
-				in, open = append(in, now), append(open, p)
+			m.now += retryAfter + time.Microsecond
+			if _, admitted := m.acquire(); !admitted {
+				t.Fatalf("retried after %v and was rejected", retryAfter)
 			}
 		}
 	})
 }
 
 func BenchmarkAuthorizeAndAcquire(b *testing.B) {
-	g := newRateLimiter(10_000)
-	w, _ := policy.Resolve([]Identity{"uri:rota://water/7"}, "", nil)
+	limiter := newRateLimiter(10_000)
+	principal, _ := policy.Resolve([]Identity{"uri:rota://water/7"}, Claims{})
 	b.ReportAllocs()
 	for i := range b.N {
-		roles, _, _ := policy.Authorize(&w, Request{"set", "water", true})
+		grant, _ := policy.Authorize(&principal, Request{"set", "water", true})
 		now := time.Duration(i) * time.Second
-		p, _, in := g.Acquire(now, &w, roles)
-		if !in {
-			b.Fatal("turned away")
+		permission, _, admitted := limiter.Acquire(now, &principal, grant.Roles)
+		if !admitted {
+			b.Fatal("rejected")
 		}
-		g.Release(now, &p)
+		limiter.Release(now, &permission)
 	}
 }
--- a/internal/keyring/keyring.go
+++ b/internal/keyring/keyring.go
@@ -57,6 +57,12 @@
 	return ""
 }
 
+// SamePublicKey tells whether two keys are the same but for their ids and times.
+func (k *Key) SamePublicKey(other *Key) bool {
+	public, comparable := k.PublicKey.(interface{ Equal(crypto.PublicKey) bool })
+	return comparable && k.Algorithm == other.Algorithm && public.Equal(other.PublicKey)
+}
+
 // KeySet is all keys of a folder. It never changes.
 type KeySet struct {
 	keys   map[KeyID]*Key
--- a/internal/tokens/cache.go
+++ b/internal/tokens/cache.go
@@ -1,7 +1,6 @@
 package tokens
 
 import (
-	"crypto"
 	"crypto/sha256"
 	"time"
 
@@ -9,139 +8,163 @@
 	"lanewheel/internal/keyring"
 )
 
-// tokenDigest is by what a token is known again.
+// denialTTL is how long a bad token is known as such without another check. A client that repeats it does so within
+// seconds.
+const denialTTL = 10 * time.Second
+
+// tokenDigest identifies a token in the caches.
 type tokenDigest [sha256.Size]byte
 
+func digestOf(raw string) tokenDigest { return sha256.Sum256([]byte(raw)) }
+
 // CachedToken is a good token that is remembered.
 type CachedToken struct {
 	Claims
 	digest     tokenDigest
-	generation uint64        // of keys and revocations for which it was looked at last
+	generation uint64        // of the verifier's configuration that it was validated against
 	key        *keyring.Key  // as it was in force then
-	expiresAt  time.Duration // by the program's own clock, whatever the wall clock does
-	referenced bool          // since the hand last passed
+	expiresAt  time.Duration // by the event loop's time, whatever the wall clock does
+	referenced bool          // since the eviction hand last passed
+}
+
+// cache holds good tokens. Eviction is by a clock: the first entry goes that was not used since the hand last passed.
+type cache struct {
+	entries map[tokenDigest]*CachedToken
+	ring    []*CachedToken // all entries, and removed ones that the hand has not come to
+	hand    int            // index into ring
+}
+
+func (c *cache) clear() {
+	clear(c.entries)
+	c.ring = nil
+}
+
+func (c *cache) contains(entry *CachedToken) bool { return c.entries[entry.digest] == entry }
+
+// add keeps an entry, and evicts others while there are limit of them.
+func (c *cache) add(entry *CachedToken, limit int) {
+	delete(c.entries, entry.digest)
+	for len(c.ring) >= max(1, limit) {
+		c.hand %= len(c.ring)
+		if candidate := c.ring[c.hand]; candidate.referenced && c.contains(candidate) {
+			candidate.referenced = false
+			c.hand++
+			continue
+		}
+		c.evictAtHand()
+	}
+	c.entries[entry.digest] = entry
+	c.ring = append(c.ring, entry)
+}
+
+func (c *cache) evictAtHand() {
+	c.remove(c.ring[c.hand])
+	last := len(c.ring) - 1
+	c.ring[c.hand] = c.ring[last]
+	c.ring[last] = nil
+	c.ring = c.ring[:last]
+}
+
+// remove has an entry not found any more; its place in the ring is left to the hand.
+func (c *cache) remove(entry *CachedToken) {
+	if c.contains(entry) {
+		delete(c.entries, entry.digest)
+	}
 }
 
-// cachedDenial is a token that proved nothing.
+// cachedDenial is why a token proves nothing.
 type cachedDenial struct {
 	denial     authz.Denial
-	generation uint64
+	generation uint64 // of the verifier's configuration that says so
 	expiresAt  time.Duration
 }
 
-// Lookup gives a token's entry if it is remembered, or why it proves nothing if that is known. Otherwise known is false and the
-// caller is to Ask.
-func (o *Verifier) Lookup(now time.Duration, wall time.Time, raw string) (entry *CachedToken, denial authz.Denial, known bool) {
-	if len(raw) > o.policy.MaxBytes {
+// denialCache holds bad tokens; the oldest makes room.
+type denialCache struct {
+	entries map[tokenDigest]cachedDenial
+	order   []tokenDigest // the oldest first
+}
+
+func (c *denialCache) add(digest tokenDigest, entry cachedDenial, limit int) {
+	if _, known := c.entries[digest]; !known {
+		c.order = append(c.order, digest)
+		if len(c.order) > max(1, limit) {
+			delete(c.entries, c.order[0])
+			c.order = c.order[1:]
+		}
+	}
+	c.entries[digest] = entry
+}
+
+// permanent tells whether a denial stays true of a token whatever the time. One that was denied a moment too early must
+// not stay denied when its time has come.
+func permanent(denial authz.Denial) bool {
+	switch denial {
+	case Malformed, WrongAlgorithm, CriticalHeader, BadSignature, WrongIssuer, WrongAudience, NoSubject, noTokenID:
+		return true
+	}
+	return false
+}
+
+// Lookup gives a token's entry, or why it proves nothing, if that is known. Otherwise RequestCheck has it checked.
+func (v *Verifier) Lookup(
+	now time.Duration, wall time.Time, raw string,
+) (entry *CachedToken, denial authz.Denial, known bool) {
+	if len(raw) > v.policy.MaxBytes {
 		return nil, TooLong, true
 	}
-	digest := tokenDigest(sha256.Sum256([]byte(raw)))
-	if entry := o.cached[digest]; entry != nil {
-		if denial, current := o.validate(now, wall, entry); current {
+	digest := digestOf(raw)
+	if entry := v.cache.entries[digest]; entry != nil {
+		if denial, current := v.validate(now, wall, entry); current {
 			return entry, denial, true
 		}
-		o.evict(entry)
+		v.cache.remove(entry)
 		return nil, "", false
 	}
-	if earlier, denied := o.denied[digest]; denied && earlier.generation == o.generation && now < earlier.expiresAt {
+	earlier, denied := v.denials.entries[digest]
+	if denied && earlier.generation == v.generation && now < earlier.expiresAt {
 		return nil, earlier.denial, true
 	}
 	return nil, "", false
 }
 
-// Revalidate tells whether a remembered entry counts now; not sure means that it has to be checked again.
-// It is looked at with every op, and costs some comparisons while nothing has changed.
-func (o *Verifier) Revalidate(now time.Duration, wall time.Time, entry *CachedToken) (denial authz.Denial, current bool) {
-	if o.cached[entry.digest] != entry {
+// Revalidate tells why a cached token no longer counts, if it does not. Where current is false it has to be looked up
+// again. It is called for each request, and costs a few comparisons while nothing has changed.
+func (v *Verifier) Revalidate(
+	now time.Duration, wall time.Time, entry *CachedToken,
+) (denial authz.Denial, current bool) {
+	if !v.cache.contains(entry) {
 		return "", false
 	}
-	return o.validate(now, wall, entry)
+	return v.validate(now, wall, entry)
 }
 
-func (o *Verifier) validate(now time.Duration, wall time.Time, entry *CachedToken) (authz.Denial, bool) {
+func (v *Verifier) validate(now time.Duration, wall time.Time, entry *CachedToken) (authz.Denial, bool) {
 	entry.referenced = true
-	if entry.generation != o.generation {
-		key := o.Keyring.Set().Find(entry.KeyID)
+	if entry.generation != v.generation {
+		key := v.keyring.Set().Find(entry.KeyID)
 		if key == nil {
-			_, denial := o.Keyring.Find(entry.KeyID, wall)
+			_, denial := v.keyring.Find(entry.KeyID, wall)
 			return denial, denial != keyring.UnknownKey
 		}
-		if !sameKey(key, entry.key) { // another key under the old id proves nothing of this token
+		if !key.SamePublicKey(entry.key) { // another key under the same id proves nothing about this token
 			return "", false
 		}
 		if denial := key.CheckTime(wall); denial != "" {
 			return denial, true
 		}
-		if o.revocations.Contains(&entry.Claims) {
+		if v.revocations.Contains(&entry.Claims) {
 			return Revoked, true
 		}
-		entry.key, entry.generation = key, o.generation
+		entry.key = key
+		entry.generation = v.generation
 	}
 	if denial := entry.key.CheckTime(wall); denial != "" {
 		return denial, true
 	}
-	// Danger: a wall clock that steps back would let an expired token live on.
+	// The event loop's time guards against a wall clock that steps back and would let an expired token live on.
 	if now >= entry.expiresAt {
 		return expired, true
 	}
-	return entry.CheckTime(wall, o.policy), true
-}
-
-func sameKey(a, b *keyring.Key) bool {
-	key, comparable := a.PublicKey.(interface{ Equal(crypto.PublicKey) bool })
-	return comparable && a.Algorithm == b.Algorithm && key.Equal(b.PublicKey)
-}
-
-// cache keeps an entry; the first that was not used since the hand passed makes room.
-func (o *Verifier) cache(entry *CachedToken) {
-	if old := o.cached[entry.digest]; old != nil {
-		o.evict(old)
-	}
-	for len(o.evictionOrder) >= max(1, o.limits.MaxCached) {
-		o.evictionHand %= len(o.evictionOrder)
-		if old := o.evictionOrder[o.evictionHand]; old.referenced && o.cached[old.digest] == old {
-			old.referenced = false
-			o.evictionHand++
-			continue
-		}
-		o.evictAt(o.evictionHand)
-	}
-	o.cached[entry.digest] = entry
-	o.evictionOrder = append(o.evictionOrder, entry)
-}
-
-func (o *Verifier) evictAt(index int) {
-	if old := o.evictionOrder[index]; o.cached[old.digest] == old {
-		delete(o.cached, old.digest)
-	}
-	last := len(o.evictionOrder) - 1
-	o.evictionOrder[index], o.evictionOrder[last] = o.evictionOrder[last], nil
-	o.evictionOrder = o.evictionOrder[:last]
-}
-
-// evict leaves an entry to the hand; it is not found any more.
-func (o *Verifier) evict(entry *CachedToken) {
-	if o.cached[entry.digest] == entry {
-		delete(o.cached, entry.digest)
-	}
-}
-
-// denialTTL is how long a bad token is known as such without another check: a client that brings it again and again does so
-// within seconds.
-const denialTTL = 10 * time.Second
-
-// permanentDenials are the reasons that stay true of a token whatever the time. Danger: one that was refused a moment too early
-// would stay refused when its time has come.
-var permanentDenials = map[authz.Denial]bool{Malformed: true, WrongAlgorithm: true, CriticalHeader: true, BadSignature: true, WrongIssuer: true,
-	WrongAudience: true, NoSubject: true, noTokenID: true}
-
-func (o *Verifier) cacheDenial(now time.Duration, digest tokenDigest, denial authz.Denial) {
-	if _, known := o.denied[digest]; !known {
-		o.deniedOrder = append(o.deniedOrder, digest)
-		if len(o.deniedOrder) > max(1, o.limits.MaxCached) {
-			delete(o.denied, o.deniedOrder[0])
-			o.deniedOrder = o.deniedOrder[1:]
-		}
-	}
-	o.denied[digest] = cachedDenial{denial, o.generation, now + denialTTL}
+	return entry.CheckTime(wall, v.policy), true
 }
--- a/internal/tokens/check.go
+++ b/internal/tokens/check.go
@@ -1,179 +1,233 @@
 package tokens
 
 import (
-	"crypto/sha256"
 	"time"
 
 	"lanewheel/internal/authz"
 	"lanewheel/internal/keyring"
 )
 
-// pendingCheck is a token whose check is asked for or under way, with all that wait for it.
-type pendingCheck struct {
-	raw          string
-	digest       tokenDigest
-	startedAt    time.Duration
-	keysReloaded bool // a look at the folder was made for it
-	keyID        keyring.KeyID
-	callbacks    []callback
-}
-
-// maxWait is for how long an op waits for the verdict on its token: some looks at a folder, and a part of any target latency.
+// maxWait is how long a request waits for the verdict on its token: a few reads of a folder, and a part of any latency
+// objective.
 const maxWait = 250 * time.Millisecond
 
-// callback is handed the verdict: an entry, or a reason, or, with neither, the time after which to come again.
-type callback func(e *CachedToken, why authz.Denial, after time.Duration)
+// Verdict is what is known of a token. With neither Entry nor Denial it is not known, and to be asked for again.
+type Verdict struct {
+	Entry      *CachedToken
+	Denial     authz.Denial
+	RetryAfter time.Duration
+}
+
+// callback is handed a verdict, once.
+type callback func(Verdict)
 
-// Action is what an Office wants done beside the loop.
+// Action is what a Verifier wants done off the event loop.
 type Action int
 
+// The actions.
 const (
 	noAction   Action = iota
-	CheckToken        // the token: hand the result to Checked
-	ReloadKeys        // at the folder: hand the set to Looked
+	CheckToken        // verify the step's token, and hand the result to HandleResult
+	ReloadKeys        // read the key folder, and hand the set to HandleKeys
 )
 
-// RequestCheck has a token checked that is not known. done is called once, now or when the verdict is there. suspect tells that the
-// connection has brought tokens that prove nothing. The act, if any, is for the caller to see to.
-// Danger: forged tokens that take all the time there is. Checks have a share of a core, half of it for those who have
-// brought nothing bad yet, and what finds no time or room is told when to come again.
-func (o *Verifier) RequestCheck(now time.Duration, raw string, suspect bool, done callback) (Action, string) {
-	digest := tokenDigest(sha256.Sum256([]byte(raw)))
-	if pending := o.pending[digest]; pending != nil {
-		if o.waiting >= o.limits.MaxWaiting {
-			done(nil, "", o.budget.minRetryAfter(now, suspect))
-			return noAction, ""
-		}
-		pending.callbacks = append(pending.callbacks, done)
-		o.waiting++
-		return noAction, ""
-	}
-	if retryAfter := o.budget.waitTime(now, suspect); retryAfter > 0 || o.waiting >= o.limits.MaxWaiting || o.checksInFlight >= o.limits.MaxWaiting {
-		done(nil, "", max(retryAfter, o.budget.minRetryAfter(now, suspect)))
-		return noAction, ""
-	}
-	o.pending[digest] = &pendingCheck{raw: raw, digest: digest, startedAt: now, callbacks: []callback{done}}
-	o.waiting++
-	o.checksInFlight++
-	return CheckToken, raw
+func (a Action) String() string {
+	return [...]string{"no action", "check token", "reload keys"}[a]
+}
+
+// Step is what a Verifier wants done. The zero value is nothing.
+type Step struct {
+	Action Action
+	Token  string // to be verified, with CheckToken
 }
 
 // CheckResult is what a check came to.
 type CheckResult struct {
 	Raw      string
-	Suspect  bool // as it was asked for
+	Suspect  bool // as given to RequestCheck
 	Claims   Claims
 	Denial   authz.Denial
-	Duration time.Duration
-	KeySet   *keyring.KeySet // by which it was checked
+	Duration time.Duration   // of a core
+	KeySet   *keyring.KeySet // that the token was verified by
+}
+
+// pendingCheck is a token whose check is asked for or under way, with all that wait for it.
+type pendingCheck struct {
+	raw          string
+	digest       tokenDigest
+	startedAt    time.Duration
+	keysReloaded bool // the key folder was read for it
+	keyID        keyring.KeyID
+	callbacks    []callback
+}
+
+// pendingChecks are the tokens without a verdict.
+type pendingChecks struct {
+	byDigest        map[tokenDigest]*pendingCheck
+	waiting         int             // callbacks of all of them
+	inFlight        int             // checks that are asked for and not back
+	awaitingKeys    []*pendingCheck // for the read of the key folder that is under way
+	reloadOvertaken bool            // the keys were replaced since that read was begun
+}
+
+// RequestCheck has a token checked that Lookup does not know. done is called once, at once or when the verdict is
+// there. suspect says that the connection has brought forged tokens. Checks take at most a fraction of a core, half
+// of it for connections that are not suspect, so that a flood of forged tokens does not keep others out; what finds
+// no capacity left is told when to retry.
+func (v *Verifier) RequestCheck(now time.Duration, raw string, suspect bool, done callback) Step {
+	digest := digestOf(raw)
+	full := v.checks.waiting >= v.limits.MaxWaiting
+	if pending := v.checks.byDigest[digest]; pending != nil {
+		if full {
+			done(Verdict{RetryAfter: v.budget.minRetryAfter(now, suspect)})
+			return Step{}
+		}
+		pending.callbacks = append(pending.callbacks, done)
+		v.checks.waiting++
+		return Step{}
+	}
+	retryAfter := v.budget.waitTime(now, suspect)
+	if retryAfter > 0 || full || v.checks.inFlight >= v.limits.MaxWaiting {
+		done(Verdict{RetryAfter: max(retryAfter, v.budget.minRetryAfter(now, suspect))})
+		return Step{}
+	}
+	v.checks.byDigest[digest] = &pendingCheck{
+		raw:       raw,
+		digest:    digest,
+		startedAt: now,
+		callbacks: []callback{done},
+	}
+	v.checks.waiting++
+	return v.startCheck(raw)
 }
 
-// HandleResult takes a check's result. It may lead to a look at the folder, or to another check if the keys have changed since.
-func (o *Verifier) HandleResult(now time.Duration, wall time.Time, result CheckResult) (Action, string) {
-	digest := tokenDigest(sha256.Sum256([]byte(result.Raw)))
-	o.checksInFlight--
-	o.budget.spend(now, result.Duration, result.Suspect)
-	pending := o.pending[digest]
+func (v *Verifier) startCheck(raw string) Step {
+	v.checks.inFlight++
+	return Step{Action: CheckToken, Token: raw}
+}
+
+// HandleResult takes the result of a check. It may lead to a read of the key folder, or to another check if the keys
+// have changed since.
+func (v *Verifier) HandleResult(now time.Duration, wall time.Time, result CheckResult) Step {
+	v.checks.inFlight--
+	v.budget.spend(now, result.Duration, result.Suspect)
+	digest := digestOf(result.Raw)
+	pending := v.checks.byDigest[digest]
 	if pending == nil { // nobody waits any more
 		pending = &pendingCheck{raw: result.Raw, digest: digest, keysReloaded: true}
 	}
-	if result.KeySet != o.Keyring.Set() {
+	if result.KeySet != v.keyring.Set() {
 		if len(pending.callbacks) == 0 {
-			return noAction, ""
+			return Step{}
 		}
-		o.checksInFlight++
-		return CheckToken, pending.raw
+		return v.startCheck(pending.raw)
 	}
 	if result.Denial == keyring.UnknownKey {
-		if _, denial := o.Keyring.Find(result.Claims.KeyID, wall); denial == keyring.Withdrawn || pending.keysReloaded {
-			result.Denial = denial
-			o.resolve(pending, nil, result.Denial, 0)
-			return noAction, ""
-		}
-		step, retryAfter := o.Keyring.ResolveUnknown(now, result.Claims.KeyID)
-		switch step {
-		case keyring.Deny:
-			o.resolve(pending, nil, result.Denial, 0)
-		case keyring.RetryLater:
-			o.resolve(pending, nil, "", retryAfter)
-		case keyring.Await:
-			o.awaitingKeys = append(o.awaitingKeys, pending)
-		case keyring.Reload:
-			pending.keysReloaded, pending.keyID = true, result.Claims.KeyID
-			o.awaitingKeys = append(o.awaitingKeys, pending)
-			return ReloadKeys, ""
-		}
-		return noAction, ""
+		return v.handleUnknownKey(now, wall, pending, result.Claims.KeyID)
 	}
 	if result.Denial != "" {
-		if permanentDenials[result.Denial] {
-			o.cacheDenial(now, digest, result.Denial)
+		if permanent(result.Denial) {
+			entry := cachedDenial{denial: result.Denial, generation: v.generation, expiresAt: now + denialTTL}
+			v.denials.add(digest, entry, v.limits.MaxCached)
 		}
-		o.resolve(pending, nil, result.Denial, 0)
-		return noAction, ""
+		v.resolve(pending, Verdict{Denial: result.Denial})
+		return Step{}
 	}
-	entry := &CachedToken{Claims: result.Claims, digest: digest, generation: o.generation, key: o.Keyring.Set().Find(result.Claims.KeyID)}
-	entry.expiresAt = now + max(0, result.Claims.Expiry.Add(o.policy.Leeway).Sub(wall))
-	denial := entry.key.CheckTime(wall)
-	if denial == "" {
-		denial = entry.CheckTime(wall, o.policy)
+	v.resolve(pending, v.acceptClaims(now, wall, digest, result.Claims))
+	return Step{}
+}
+
+// acceptClaims gives the verdict on a token that is verified by the key set in force, and caches it if it counts.
+func (v *Verifier) acceptClaims(now time.Duration, wall time.Time, digest tokenDigest, claims Claims) Verdict {
+	entry := &CachedToken{
+		Claims:     claims,
+		digest:     digest,
+		generation: v.generation,
+		key:        v.keyring.Set().Find(claims.KeyID),
+		expiresAt:  now + max(0, claims.Expiry.Add(v.policy.Leeway).Sub(wall)),
 	}
-	if denial == "" && o.revocations.Contains(&entry.Claims) {
-		denial = Revoked
+	if denial := entry.key.CheckTime(wall); denial != "" {
+		return Verdict{Denial: denial}
+	}
+	if denial := entry.CheckTime(wall, v.policy); denial != "" {
+		return Verdict{Denial: denial}
+	}
+	if v.revocations.Contains(&entry.Claims) {
+		return Verdict{Denial: Revoked}
+	}
+	v.cache.add(entry, v.limits.MaxCached)
+	return Verdict{Entry: entry}
+}
+
+// handleUnknownKey decides on a token whose key is not in the set in force.
+func (v *Verifier) handleUnknownKey(now time.Duration, wall time.Time, pending *pendingCheck, id keyring.KeyID) Step {
+	_, denial := v.keyring.Find(id, wall)
+	if denial == keyring.Withdrawn || pending.keysReloaded {
+		v.resolve(pending, Verdict{Denial: denial})
+		return Step{}
 	}
-	if denial != "" {
-		o.resolve(pending, nil, denial, 0)
-		return noAction, ""
+	switch action, retryAfter := v.keyring.ResolveUnknown(now, id); action {
+	case keyring.Deny:
+		v.resolve(pending, Verdict{Denial: keyring.UnknownKey})
+	case keyring.RetryLater:
+		v.resolve(pending, Verdict{RetryAfter: retryAfter})
+	case keyring.Await:
+		v.checks.awaitingKeys = append(v.checks.awaitingKeys, pending)
+	case keyring.Reload:
+		pending.keysReloaded = true
+		pending.keyID = id
+		v.checks.awaitingKeys = append(v.checks.awaitingKeys, pending)
+		return Step{Action: ReloadKeys}
 	}
-	o.cache(entry)
-	o.resolve(pending, entry, "", 0)
-	return noAction, ""
+	return Step{}
 }
 
-// HandleKeys hears that the look at the folder is over. set is nil if it could not be read; the old one stays then. It gives
-// the tokens that are to be checked again.
-func (o *Verifier) HandleKeys(keys *keyring.KeySet) (recheck []string) {
-	if o.reloadOvertaken { // Danger: a look begun before the keys were replaced would bring older ones back
-		keys, o.reloadOvertaken = nil, false
+// HandleKeys takes the set that was read from the key folder; nil if it could not be read, and the one in force stays.
+// It gives the tokens that are to be checked again, and whether another set is in force now.
+func (v *Verifier) HandleKeys(keys *keyring.KeySet) (recheck []string, replaced bool) {
+	if v.checks.reloadOvertaken { // a read that was begun before the keys were replaced would bring older ones back
+		v.checks.reloadOvertaken = false
+		keys = nil
 	}
-	if keys != nil && o.Keyring.Replace(keys) {
-		o.generation++
+	if keys != nil && v.keyring.Replace(keys) {
+		v.generation++
+		replaced = true
 	}
-	waiting := o.awaitingKeys
-	o.awaitingKeys = nil
-	var keyIDs []keyring.KeyID
-	for _, pending := range waiting {
+	awaiting := v.checks.awaitingKeys
+	v.checks.awaitingKeys = nil
+	var sought []keyring.KeyID
+	for _, pending := range awaiting {
 		if pending.keysReloaded {
-			keyIDs = append(keyIDs, pending.keyID)
+			sought = append(sought, pending.keyID)
 		}
-		if o.pending[pending.digest] == pending {
+		if v.checks.byDigest[pending.digest] == pending {
 			recheck = append(recheck, pending.raw)
-			o.checksInFlight++
+			v.checks.inFlight++
 		}
 	}
-	o.Keyring.ReloadDone(keyIDs)
-	return recheck
+	v.keyring.ReloadDone(sought)
+	return recheck, replaced
 }
 
-// ExpireWaiting gives up what has waited too long, or, with all, everything that waits: told to come again. No answer's due time
-// hangs on a disk or on a queue of checks.
-func (o *Verifier) ExpireWaiting(now time.Duration, all bool) {
-	for _, pending := range o.pending {
+// ExpireWaiting tells requests to retry that have waited too long for a verdict, or all that wait. No response is held
+// up by a disk or by a queue of checks.
+func (v *Verifier) ExpireWaiting(now time.Duration, all bool) {
+	for _, pending := range v.checks.byDigest {
 		if all || now-pending.startedAt >= maxWait {
-			o.resolve(pending, nil, "", maxWait)
+			v.resolve(pending, Verdict{RetryAfter: maxWait})
 		}
 	}
 }
 
 // resolve hands a verdict to all that wait for it.
-func (o *Verifier) resolve(pending *pendingCheck, entry *CachedToken, denial authz.Denial, retryAfter time.Duration) {
-	if o.pending[pending.digest] == pending {
-		delete(o.pending, pending.digest)
-		o.waiting -= len(pending.callbacks)
+func (v *Verifier) resolve(pending *pendingCheck, verdict Verdict) {
+	if v.checks.byDigest[pending.digest] == pending {
+		delete(v.checks.byDigest, pending.digest)
+		v.checks.waiting -= len(pending.callbacks)
 	}
 	callbacks := pending.callbacks
 	pending.callbacks = nil
 	for _, done := range callbacks {
-		done(entry, denial, retryAfter)
+		done(verdict)
 	}
 }
--- a/internal/tokens/cpubudget.go
+++ b/internal/tokens/cpubudget.go
@@ -1,66 +1,76 @@
 package tokens
 
-import (
-	"time"
+import "time"
+
+const (
+	// burstWindow bounds what a pool saves up: what it is given in so much time.
+	burstWindow = time.Second
+	// minCheckDelay is the shortest delay after which whoever found no capacity retries: some dozen checks.
+	minCheckDelay = 20 * time.Millisecond
+	// minBudgetDelay is the shortest wait for a pool that is used up.
+	minBudgetDelay = time.Millisecond
 )
 
-// cpuBudget is the time that checks may take: a bucket that fills with a share of the time that passes. It has two parts, one
-// for connections that have brought nothing bad and one for the others.
-type cpuBudget struct {
-	fraction  float64
-	remaining [2]time.Duration // clean, suspect
-	filledAt  time.Duration
-}
+// pool is a part of the budget. Each gets half of it.
+type pool int
 
 const (
-	cleanPool   = 0
-	suspectPool = 1
+	cleanPool   pool = iota // for connections that have brought no forged token
+	suspectPool             // for the others
+	poolCount
 )
 
-// burstWindow is what a part may save up, as time of the clock: a second's worth, so that a shift that signs on at once is let in.
-const burstWindow = time.Second
+func poolOf(suspect bool) pool {
+	if suspect {
+		return suspectPool
+	}
+	return cleanPool
+}
+
+// cpuBudget is the time that checks may take: buckets that fill with a fraction of the time that passes.
+type cpuBudget struct {
+	fraction  float64 // of a core
+	remaining [poolCount]time.Duration
+	filledAt  time.Duration
+}
 
 func newCPUBudget(fraction float64) cpuBudget {
 	budget := cpuBudget{fraction: fraction}
 	for i := range budget.remaining {
-		budget.remaining[i] = budget.capacity()
+		budget.remaining[i] = budget.share(burstWindow)
 	}
 	return budget
 }
 
-func (b *cpuBudget) capacity() time.Duration {
-	return time.Duration(b.fraction / 2 * float64(burstWindow))
+// share is what a pool is given in some time.
+func (b *cpuBudget) share(elapsed time.Duration) time.Duration {
+	return time.Duration(b.fraction / float64(poolCount) * float64(elapsed))
 }
 
 func (b *cpuBudget) refill(now time.Duration) {
+	added := b.share(max(0, now-b.filledAt))
 	for i := range b.remaining {
-		b.remaining[i] = min(b.capacity(), b.remaining[i]+time.Duration(b.fraction/2*float64(max(0, now-b.filledAt))))
+		b.remaining[i] = min(b.share(burstWindow), b.remaining[i]+added)
 	}
 	b.filledAt = max(b.filledAt, now)
 }
 
-func poolOf(suspect bool) int {
-	if suspect {
-		return suspectPool
-	}
-	return cleanPool
-}
-
 // waitTime is for how long no check may begin for such a connection, 0 if one may now.
 func (b *cpuBudget) waitTime(now time.Duration, suspect bool) time.Duration {
 	b.refill(now)
-	if remaining := b.remaining[poolOf(suspect)]; remaining <= 0 && b.fraction > 0 {
-		return max(time.Millisecond, time.Duration(float64(-remaining)/(b.fraction/2)))
+	remaining := b.remaining[poolOf(suspect)]
+	if remaining > 0 || b.fraction <= 0 {
+		return 0
 	}
-	return 0
+	return max(minBudgetDelay, time.Duration(float64(-remaining)/(b.fraction/float64(poolCount))))
 }
 
-// minRetryAfter is when whoever found no room is told to come again, at the least.
+// minRetryAfter is the shortest delay after which whoever found no capacity retries.
 func (b *cpuBudget) minRetryAfter(now time.Duration, suspect bool) time.Duration {
-	return max(b.waitTime(now, suspect), 20*time.Millisecond) // some dozen checks
+	return max(b.waitTime(now, suspect), minCheckDelay)
 }
 
-// spend takes off what a check took. It may go below nothing: a check is not cut short.
+// spend takes off what a check took. A check is not cut short, so a pool may become negative.
 func (b *cpuBudget) spend(now, duration time.Duration, suspect bool) {
 	b.refill(now)
 	b.remaining[poolOf(suspect)] -= duration
--- /dev/null
+++ b/internal/tokens/helper_test.go
@@ -0,0 +1,162 @@
+package tokens
+
+import (
+	"strings"
+	"time"
+
+	"github.com/go-jose/go-jose/v4"
+	"github.com/go-jose/go-jose/v4/jwt"
+
+	"lanewheel/internal/authz"
+	"lanewheel/internal/keyring"
+	_ "lanewheel/internal/rapidtest"
+	"lanewheel/internal/setuptest"
+)
+
+var (
+	start  = time.Unix(1_800_000_000, 0)
+	policy = &Policy{
+		Issuer:      "us",
+		Audience:    "rota",
+		Leeway:      30 * time.Second,
+		MaxBytes:    2048,
+		TenantClaim: "tenant",
+		RolesClaim:  "roles",
+	}
+	limits = Limits{
+		MaxCached:         16,
+		MaxWaiting:        4,
+		CPUFraction:       0.1,
+		MaxSingleUseIDs:   3,
+		KeyReloadInterval: time.Second,
+	}
+	keyPairs = map[string]*jose.JSONWebKey{}
+)
+
+// keyPair gives the key of an id, the same each time.
+func keyPair(id, algorithm string) *jose.JSONWebKey {
+	if keyPairs[id] == nil {
+		keyPairs[id] = setuptest.Must(keyring.GenerateKey(algorithm))
+		keyPairs[id].KeyID = id
+	}
+	return keyPairs[id]
+}
+
+// publishedSet publishes keys that count for an hour around start; those with a ! are withdrawn.
+func publishedSet(ids ...string) *keyring.KeySet {
+	files := map[string][]byte{}
+	for _, id := range ids {
+		name, withdrawn := strings.CutSuffix(id, "!")
+		key := *keyPair(name, "EdDSA")
+		files[name+".json"] = setuptest.Must(
+			keyring.EncodePublic(key, start.Add(-time.Hour), start.Add(time.Hour), withdrawn))
+	}
+	return setuptest.Must(keyring.ParseSet(files))
+}
+
+func keyFinder(set *keyring.KeySet, wall time.Time) func(keyring.KeyID) (*keyring.Key, authz.Denial) {
+	ring := keyring.NewKeyring(set, time.Second)
+	return func(id keyring.KeyID) (*keyring.Key, authz.Denial) { return ring.Find(id, wall) }
+}
+
+// claims are those of a good token for a minute; change may change them.
+func claims(change func(*jwt.Claims)) jwt.Claims {
+	claims := jwt.Claims{
+		Issuer:    "us",
+		Subject:   "depot",
+		Audience:  jwt.Audience{"rota"},
+		ID:        "t1",
+		NotBefore: jwt.NewNumericDate(start),
+		Expiry:    jwt.NewNumericDate(start.Add(time.Minute)),
+	}
+	if change != nil {
+		change(&claims)
+	}
+	return claims
+}
+
+func signToken(key *jose.JSONWebKey, claims jwt.Claims, header map[jose.HeaderKey]any) string {
+	signingKey := jose.SigningKey{Algorithm: jose.SignatureAlgorithm(key.Algorithm), Key: key}
+	signer := setuptest.Must(jose.NewSigner(signingKey, &jose.SignerOptions{ExtraHeaders: header}))
+	private := map[string]any{"tenant": "water", "roles": []string{"crew"}}
+	return setuptest.Must(jwt.Signed(signer).Claims(claims).Claims(private).Serialize())
+}
+
+// goodToken is signed with the key of an id.
+func goodToken(id string, change func(*jwt.Claims)) string {
+	return signToken(keyPair(id, "EdDSA"), claims(change), nil)
+}
+
+// testVerifier drives a Verifier as an authenticator does: checks are made at once unless they are held.
+type testVerifier struct {
+	*Verifier
+	now        time.Duration
+	wall       time.Time
+	published  *keyring.KeySet // what a read of the key folder finds
+	cost       time.Duration   // of a check
+	checkCount int
+	reloads    int
+	held       bool
+	heldChecks []string
+}
+
+func newTestVerifier(ids ...string) *testVerifier {
+	set := publishedSet(ids...)
+	return &testVerifier{Verifier: NewVerifier(set, policy, nil, limits), wall: start, published: set}
+}
+
+func (v *testVerifier) advance(d time.Duration) {
+	v.now += d
+	v.wall = v.wall.Add(d)
+}
+
+func (v *testVerifier) perform(step Step) {
+	switch step.Action {
+	case CheckToken:
+		if v.held {
+			v.heldChecks = append(v.heldChecks, step.Token)
+			return
+		}
+		v.check(step.Token)
+	case ReloadKeys:
+		v.reloads++
+		recheck, _ := v.HandleKeys(v.published)
+		for _, raw := range recheck {
+			v.perform(Step{CheckToken, raw})
+		}
+	}
+}
+
+func (v *testVerifier) check(raw string) {
+	v.checkCount++
+	set := v.KeySet()
+	findKey := func(id keyring.KeyID) (*keyring.Key, authz.Denial) {
+		if key := set.Find(id); key != nil {
+			return key, key.CheckTime(v.wall)
+		}
+		return nil, keyring.UnknownKey
+	}
+	claims, denial := Verify(raw, findKey, v.Policy())
+	result := CheckResult{Raw: raw, Claims: claims, Denial: denial, Duration: v.cost, KeySet: set}
+	v.perform(v.HandleResult(v.now, v.wall, result))
+}
+
+// verdict gives the verdict on a token as text.
+func (v *testVerifier) verdict(raw string) string {
+	if entry, denial, known := v.Lookup(v.now, v.wall, raw); known {
+		return textOf(Verdict{Entry: entry, Denial: denial})
+	}
+	text := "waits"
+	v.perform(v.RequestCheck(v.now, raw, false, func(verdict Verdict) { text = textOf(verdict) }))
+	return text
+}
+
+func textOf(verdict Verdict) string {
+	switch {
+	case verdict.Denial != "":
+		return string(verdict.Denial)
+	case verdict.Entry != nil:
+		return "good"
+	}
+	return "later " + verdict.RetryAfter.Round(time.Millisecond).String()
+}
--- a/internal/tokens/singleuse.go
+++ b/internal/tokens/singleuse.go
@@ -7,12 +7,51 @@
 	"lanewheel/internal/authz"
 )
 
-// singleUseIDs remembers the ids of tokens that count for one op, until they expire.
+const (
+	minSingleUseDelay = time.Millisecond // the shortest wait for an id to expire
+	noCapacityDelay   = time.Second      // where no id may be remembered at all
+)
+
+// singleUseIDs remembers the ids of tokens that count for one request, until they expire.
 type singleUseIDs struct {
 	limit           int
-	latestForgotten time.Time            // the latest expiry of those that are forgotten
-	expiresAt       map[string]time.Time // expiry
+	expiries        map[string]time.Time
 	byExpiry        expiryHeap
+	latestForgotten time.Time // the latest expiry of an id that was forgotten
+}
+
+func newSingleUseIDs(limit int) singleUseIDs {
+	return singleUseIDs{limit: limit, expiries: map[string]time.Time{}}
+}
+
+// use notes an id. Forgetting one before it expires would let it be used again: at the limit nothing is forgotten,
+// and a new id has to wait until the first one expires.
+func (s *singleUseIDs) use(wall time.Time, id string, expiresAt time.Time) (denial authz.Denial, wait time.Duration) {
+	if _, used := s.expiries[id]; used {
+		return replayed, 0
+	}
+	s.forgetExpired(wall)
+	// A wall clock that steps back must not make a token good again whose id is forgotten.
+	if !expiresAt.After(s.latestForgotten) {
+		return expired, 0
+	}
+	if len(s.expiries) >= s.limit {
+		if len(s.byExpiry) == 0 {
+			return "", noCapacityDelay
+		}
+		return "", max(minSingleUseDelay, s.byExpiry[0].expiresAt.Sub(wall))
+	}
+	s.expiries[id] = expiresAt
+	heap.Push(&s.byExpiry, expiry{expiresAt, id})
+	return "", 0
+}
+
+func (s *singleUseIDs) forgetExpired(wall time.Time) {
+	for len(s.byExpiry) > 0 && !wall.Before(s.byExpiry[0].expiresAt) {
+		first := heap.Pop(&s.byExpiry).(expiry)
+		delete(s.expiries, first.id)
+		s.latestForgotten = first.expiresAt
+	}
 }
 
 // expiry is an id and when it may be forgotten.
@@ -21,50 +60,21 @@
 	id        string
 }
 
+// expiryHeap is a container/heap with the earliest expiry first.
 type expiryHeap []expiry
 
-func (h expiryHeap) Len() int { return len(h) }
-
+func (h expiryHeap) Len() int           { return len(h) }
 func (h expiryHeap) Less(i, j int) bool { return h[i].expiresAt.Before(h[j].expiresAt) }
+func (h expiryHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
-func (h expiryHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-
+// Push is called by container/heap.
 func (h *expiryHeap) Push(x any) { *h = append(*h, x.(expiry)) }
 
+// Pop is called by container/heap.
 func (h *expiryHeap) Pop() any {
-	old := *h
-	x := old[len(old)-1]
-	old[len(old)-1] = expiry{}
-	*h = old[:len(old)-1]
-	return x
-}
-
-func newSingleUseIDs(limit int) singleUseIDs {
-	return singleUseIDs{limit: limit, expiresAt: map[string]time.Time{}}
-}
-
-// use notes an id. Danger: forgetting one before it expires lets it be used again. When the bound is reached nothing is
-// forgotten; the newcomer is told to come again when the first one expires.
-func (o *singleUseIDs) use(wall time.Time, id string, expiresAt time.Time) (authz.Denial, time.Duration) {
-	if _, used := o.expiresAt[id]; used {
-		return replayed, 0
-	}
-	for len(o.byExpiry) > 0 && !wall.Before(o.byExpiry[0].expiresAt) {
-		first := heap.Pop(&o.byExpiry).(expiry)
-		delete(o.expiresAt, first.id)
-		o.latestForgotten = first.expiresAt
-	}
-	// Danger: a wall clock that steps back makes a token good again whose id is forgotten.
-	if !expiresAt.After(o.latestForgotten) {
-		return expired, 0
-	}
-	if len(o.expiresAt) >= o.limit {
-		if len(o.byExpiry) == 0 {
-			return "", time.Second
-		}
-		return "", max(time.Millisecond, o.byExpiry[0].expiresAt.Sub(wall))
-	}
-	o.expiresAt[id] = expiresAt
-	heap.Push(&o.byExpiry, expiry{expiresAt, id})
-	return "", 0
+	last := len(*h) - 1
+	popped := (*h)[last]
+	(*h)[last] = expiry{}
+	*h = (*h)[:last]
+	return popped
 }
--- /dev/null
+++ b/internal/tokens/verifier_test.go
@@ -0,0 +1,212 @@
+package tokens
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/go-jose/go-jose/v4/jwt"
+	"pgregory.net/rapid"
+
+	"lanewheel/internal/keyring"
+)
+
+// A token counts under an old key until the configured moment and not after, whenever the folder was read; a cached
+// token is not checked again until something changes, and then only by what has changed.
+func Example_cached() {
+	v := newTestVerifier("a", "b")
+	long := func(id string) string {
+		return goodToken(id, func(c *jwt.Claims) { c.Expiry = jwt.NewNumericDate(start.Add(9 * time.Hour)) })
+	}
+	a, b := long("a"), long("b")
+	fmt.Println(v.verdict(a), v.verdict(a), v.verdict(b), "checks", v.checkCount)
+	v.Reload(publishedSet("a", "b", "c"), policy, nil, limits)
+	fmt.Println(v.verdict(a), v.verdict(b), "checks", v.checkCount)
+	v.advance(time.Hour - time.Nanosecond)
+	fmt.Println(v.verdict(a))
+	v.advance(time.Nanosecond)
+	fmt.Println(v.verdict(a), "checks", v.checkCount)
+	v = newTestVerifier("a", "b")
+	fmt.Println(v.verdict(a), v.verdict(b))
+	v.Reload(publishedSet("a!", "c"), policy, nil, limits)
+	fmt.Println(v.verdict(a), v.verdict(b))
+	v = newTestVerifier("a")
+	v.verdict(a)
+	revocations, _ := ParseRevocations("# revoked\njti t1\n\nsub nobody")
+	v.Reload(publishedSet("a"), policy, revocations, limits)
+	fmt.Println(v.verdict(a))
+	_, line := ParseRevocations("jti x\njti")
+	fmt.Println("wrong line", line)
+	// Output:
+	// good good good checks 2
+	// good good checks 2
+	// good
+	// retired-key checks 2
+	// good good
+	// withdrawn-key withdrawn-key
+	// revoked
+	// wrong line 2
+}
+
+// Clocks that differ by the leeway and by more; a clock that steps back keeps no cached token alive.
+func Example_clocks() {
+	raw := goodToken("a", nil)
+	offsets := []time.Duration{-31 * time.Second, -30 * time.Second, 0, 90*time.Second - 1, 90 * time.Second}
+	for _, offset := range offsets {
+		v := newTestVerifier("a")
+		v.advance(offset)
+		v.now = 0
+		fmt.Println(offset, v.verdict(raw))
+	}
+	v := newTestVerifier("a")
+	fmt.Print(v.verdict(raw), " ")
+	v.advance(2 * time.Minute)
+	v.wall = start // an hour's step back would do the same
+	fmt.Println(v.verdict(raw))
+	// Output:
+	// -31s early
+	// -30s good
+	// 0s good
+	// 1m29.999999999s good
+	// 1m30s expired
+	// good expired
+}
+
+// tokenModel is the rules by which tokens count, read afresh for each verdict.
+type tokenModel struct {
+	published []string        // ids of keys, withdrawn ones with a !
+	removed   map[string]bool // keys that were published at some time
+	revoked   map[string]bool // ids of tokens
+}
+
+func tokenID(keyID string, nth int) string { return fmt.Sprint(keyID, nth) }
+
+// lifetime is how long the nth token of a key counts.
+func lifetime(nth int) time.Duration { return time.Duration(nth+1) * 20 * time.Minute }
+
+func (m *tokenModel) verdict(elapsed time.Duration, keyID string, nth int) string {
+	published := ""
+	for _, mark := range m.published {
+		if strings.TrimSuffix(mark, "!") == keyID {
+			published = mark
+		}
+	}
+	switch {
+	case published == "" && m.removed[keyID], strings.HasSuffix(published, "!"):
+		return "withdrawn-key"
+	case published == "":
+		return "unknown-key"
+	case elapsed >= time.Hour:
+		return "retired-key"
+	case elapsed >= lifetime(nth)+policy.Leeway:
+		return "expired"
+	case m.revoked[tokenID(keyID, nth)]:
+		return "revoked"
+	}
+	return "good"
+}
+
+// drawReload draws other keys and revocations, and gives the list of these.
+func (m *tokenModel) drawReload(t *rapid.T, ids []string) (revocations string) {
+	for _, mark := range m.published {
+		m.removed[strings.TrimSuffix(mark, "!")] = true
+	}
+	m.published = nil
+	for _, id := range ids {
+		if mark := rapid.SampledFrom([]string{"", id, id + "!"}).Draw(t, "key"); mark != "" {
+			m.published = append(m.published, mark)
+		}
+	}
+	m.revoked = map[string]bool{}
+	id := rapid.SampledFrom([]string{"", "a0", "b1"}).Draw(t, "revoked")
+	if id == "" {
+		return ""
+	}
+	m.revoked[id] = true
+	return "jti " + id
+}
+
+// The verifier against rules that are read afresh each time: whatever is cached, reloaded and revoked, the same
+// verdict.
+func TestVerifier(t *testing.T) {
+	ids := []string{"a", "b", "c"}
+	raws := map[string]string{}
+	for _, id := range ids {
+		for nth := range 3 {
+			raws[tokenID(id, nth)] = goodToken(id, func(c *jwt.Claims) {
+				c.ID = tokenID(id, nth)
+				c.Expiry = jwt.NewNumericDate(start.Add(lifetime(nth)))
+			})
+		}
+	}
+	rapid.Check(t, func(t *rapid.T) {
+		v := newTestVerifier("a")
+		model := &tokenModel{published: []string{"a"}, removed: map[string]bool{}, revoked: map[string]bool{}}
+		for range 30 {
+			switch rapid.IntRange(0, 3).Draw(t, "what") {
+			case 0:
+				revocations, _ := ParseRevocations(model.drawReload(t, ids))
+				v.published = publishedSet(model.published...)
+				v.Reload(v.published, policy, revocations, limits)
+			case 1:
+				v.advance(time.Duration(rapid.IntRange(1, 9).Draw(t, "minutes")) * time.Minute)
+			default:
+				id := rapid.SampledFrom(ids).Draw(t, "id")
+				nth := rapid.IntRange(0, 2).Draw(t, "nth")
+				elapsed := v.wall.Sub(start)
+				want := model.verdict(elapsed, id, nth)
+				got := v.verdict(raws[tokenID(id, nth)])
+				if got != want && !strings.HasPrefix(got, "later") {
+					t.Fatalf("%s%d at %v: %s, want %s", id, nth, elapsed, got, want)
+				}
+			}
+			cached, denied := v.CacheSizes()
+			if cached > limits.MaxCached || denied > limits.MaxCached || v.checks.waiting != 0 {
+				t.Fatal("past its bounds")
+			}
+		}
+	})
+}
+
+// What a cached token costs a request: found by its digest, and on the connection that brought it last.
+func BenchmarkLookup(b *testing.B) {
+	v := newTestVerifier("a")
+	raw := goodToken("a", nil)
+	v.verdict(raw)
+	entry, _, _ := v.Lookup(v.now, v.wall, raw)
+	b.Run("by digest", func(b *testing.B) {
+		for range b.N {
+			if _, denial, known := v.Lookup(v.now, v.wall, raw); denial != "" || !known {
+				b.Fatal(denial)
+			}
+		}
+	})
+	b.Run("by connection", func(b *testing.B) {
+		for range b.N {
+			if denial, current := v.Revalidate(v.now, v.wall, entry); denial != "" || !current {
+				b.Fatal(denial)
+			}
+		}
+	})
+}
+
+// Two keys are one only if algorithm and public key agree, whatever their ids and times.
+func TestAnotherKeyUnderTheSameIDIsCheckedAgain(t *testing.T) {
+	v := newTestVerifier("a")
+	raw := goodToken("a", nil)
+	if got := v.verdict(raw); got != "good" {
+		t.Fatal(got)
+	}
+	before := keyPairs["a"]
+	delete(keyPairs, "a")
+	defer func() { keyPairs["a"] = before }()
+	v.published = publishedSet("a")
+	v.Reload(v.published, policy, nil, limits)
+	if got := v.verdict(raw); got != string(BadSignature) || v.checkCount != 2 {
+		t.Errorf("%s after %d checks, want signature after 2", got, v.checkCount)
+	}
+	if v.KeySet().Find(keyring.KeyID("a")) == nil {
+		t.Error("the other key is not in force")
+	}
+}
--- a/internal/tokens/verify.go
+++ b/internal/tokens/verify.go
@@ -1,9 +1,8 @@
-// Package tokens decides on signed tokens (JWT, RFC 7519): what one proves, what of it is remembered, how much time
-// checking may take, and which may be used once. It is pure: keys, times and chance are arguments.
+// Package tokens decides on signed tokens (JWT, RFC 7519): what one proves, what of it is cached, how much time checks
+// may take, and which may be used once. It does no I/O: keys and times are arguments.
 package tokens
 
 import (
-	"crypto/rand"
 	"encoding/base64"
 	"encoding/json"
 	"errors"
@@ -13,7 +12,6 @@
 	"github.com/go-jose/go-jose/v4"
 	"github.com/go-jose/go-jose/v4/jwt"
 
-	"lanewheel/admission"
 	"lanewheel/internal/authz"
 	"lanewheel/internal/keyring"
 )
@@ -22,8 +20,8 @@
 const (
 	TooLong        authz.Denial = "too-long"
 	Malformed      authz.Denial = "malformed"
-	WrongAlgorithm authz.Denial = "algorithm" // none, one we don't take, or not the key's own
-	CriticalHeader authz.Denial = "critical"  // it wants something understood that we don't
+	WrongAlgorithm authz.Denial = "algorithm" // none, one that is not accepted, or not the key's own
+	CriticalHeader authz.Denial = "critical"  // it requires a header to be understood that is not
 	BadSignature   authz.Denial = "signature"
 	expired        authz.Denial = "expired"
 	notYetValid    authz.Denial = "early"
@@ -32,7 +30,7 @@
 	NoSubject      authz.Denial = "subject" // it names nobody
 	Revoked        authz.Denial = "revoked"
 	replayed       authz.Denial = "replayed"
-	noTokenID      authz.Denial = "no-id" // single use is told, and it has no jti
+	noTokenID      authz.Denial = "no-id" // it has no jti, and the policy is single use
 )
 
 // Policy is what a token has to say.
@@ -40,117 +38,91 @@
 	Issuer      string
 	Audience    string
 	Leeway      time.Duration // between the issuer's clock and ours
-	MaxBytes    int           // bytes
-	TenantClaim string        // the claim with the tenant; empty: the file maps subjects
-	RolesClaim  string        // the claim with the roles, a list or words
-	SingleUse   bool          // a token counts for one op
+	MaxBytes    int
+	TenantClaim string // the claim with the tenant; empty: the operator's file maps subjects
+	RolesClaim  string // the claim with the roles: a list, or words in a string
+	SingleUse   bool   // a token counts for one request
 }
 
-// Claims are what a good token proves.
-type Claims struct {
-	Subject   string
-	ID        string
-	Tenant    admission.TenantID
-	Roles     []authz.RoleName
-	KeyID     keyring.KeyID
-	NotBefore time.Time // not-before, without the leeway; zero if it has none
-	Expiry    time.Time // without the leeway
-}
-
-// NewID draws an id for a token.
-func NewID() string { return rand.Text() }
-
-// Identities are the identities that it proves.
-func (c *Claims) Identities() []authz.Identity {
-	return []authz.Identity{authz.Identity("token:" + c.Subject)}
-}
-
-var algorithms = []jose.SignatureAlgorithm{jose.EdDSA, jose.ES256, jose.RS256}
+var acceptedAlgorithms = []jose.SignatureAlgorithm{jose.EdDSA, jose.ES256, jose.RS256}
 
-// Verify reads a token and checks all that does not change while it is remembered: its form, key, signature, issuer and
-// audience. find gives the key in force. If the key does not count, its id comes back with the reason.
-func Verify(raw string, findKey func(keyring.KeyID) (*keyring.Key, authz.Denial), policy *Policy) (Claims, authz.Denial) {
-	var claims Claims
-	// Danger: a token of any length costs time and memory before anything of it is known.
+// Verify reads a token and checks all that does not change while it is cached: its form, key, signature, issuer and
+// audience. findKey gives the key in force, or why it does not count; the claims have the key's id then, and only that.
+// It may be called from any goroutine.
+func Verify(
+	raw string, findKey func(keyring.KeyID) (*keyring.Key, authz.Denial), policy *Policy,
+) (Claims, authz.Denial) {
+	// Before anything of the token is known, its length bounds the time and memory that it costs.
 	if len(raw) > policy.MaxBytes {
-		return claims, TooLong
-	}
-	header, _, _ := strings.Cut(raw, ".")
-	headerJSON, err := base64.RawURLEncoding.DecodeString(header)
-	var members map[string]json.RawMessage
-	if err != nil || json.Unmarshal(headerJSON, &members) != nil {
-		return claims, Malformed
-	}
-	if _, critical := members["crit"]; critical { // the library would let b64 pass, which a JWT must not use
-		return claims, CriticalHeader
+		return Claims{}, TooLong
 	}
-	token, err := jwt.ParseSigned(raw, algorithms)
-	var unexpected *jose.ErrUnexpectedSignatureAlgorithm
-	switch {
-	case errors.As(err, &unexpected):
-		return claims, WrongAlgorithm
-	case err != nil || len(token.Headers) != 1 || token.Headers[0].KeyID == "":
-		return claims, Malformed
+	token, denial := parse(raw)
+	if denial != "" {
+		return Claims{}, denial
 	}
-	claims.KeyID = keyring.KeyID(token.Headers[0].KeyID)
+	header := token.Headers[0]
+	claims := Claims{KeyID: keyring.KeyID(header.KeyID)}
 	key, denial := findKey(claims.KeyID)
 	if denial != "" {
 		return claims, denial
 	}
-	// Danger: a token that chooses how it is checked, as one signed by an RSA key's public half as if it were a secret.
-	if token.Headers[0].Algorithm != string(key.Algorithm) {
+	// The algorithm is the key's, not the token's choice: the public half of an RSA key must not pass as an HMAC's secret.
+	if header.Algorithm != string(key.Algorithm) {
 		return claims, WrongAlgorithm
 	}
 	var registered jwt.Claims
 	var private map[string]any
-	switch err := token.Claims(key.PublicKey, &registered, &private); {
-	case errors.Is(err, jose.ErrCryptoFailure):
-		return claims, BadSignature
-	case err != nil:
+	if err := token.Claims(key.PublicKey, &registered, &private); err != nil {
+		if errors.Is(err, jose.ErrCryptoFailure) {
+			return claims, BadSignature
+		}
 		return claims, Malformed
-	case registered.Issuer != policy.Issuer:
-		return claims, WrongIssuer
-	case !registered.Audience.Contains(policy.Audience):
-		return claims, WrongAudience
-	case registered.Subject == "":
-		return claims, NoSubject
-	case registered.Expiry == nil:
-		return claims, Malformed // a token that never ends is none of ours
-	case policy.SingleUse && registered.ID == "":
-		return claims, noTokenID
 	}
-	claims.Subject, claims.ID, claims.Expiry = registered.Subject, registered.ID, registered.Expiry.Time()
-	if registered.NotBefore != nil {
-		claims.NotBefore = registered.NotBefore.Time()
+	if denial := policy.checkRegistered(&registered); denial != "" {
+		return claims, denial
 	}
-	if policy.TenantClaim != "" {
-		tenant, _ := private[policy.TenantClaim].(string)
-		claims.Tenant = admission.TenantID(tenant)
+	claims.setRegistered(&registered)
+	claims.setPrivate(private, policy)
+	return claims, ""
+}
+
+// parse takes a token apart without trusting anything in it. A parsed token has one header with a key's id.
+func parse(raw string) (*jwt.JSONWebToken, authz.Denial) {
+	header, _, _ := strings.Cut(raw, ".")
+	headerJSON, err := base64.RawURLEncoding.DecodeString(header)
+	if err != nil {
+		return nil, Malformed
 	}
-	if policy.RolesClaim != "" {
-		switch roles := private[policy.RolesClaim].(type) {
-		case string:
-			for _, role := range strings.Fields(roles) {
-				claims.Roles = append(claims.Roles, authz.RoleName(role))
-			}
-		case []any:
-			for _, role := range roles {
-				if name, ok := role.(string); ok {
-					claims.Roles = append(claims.Roles, authz.RoleName(name))
-				}
-			}
-		}
+	var members map[string]json.RawMessage
+	if json.Unmarshal(headerJSON, &members) != nil {
+		return nil, Malformed
 	}
-	return claims, ""
+	if _, critical := members["crit"]; critical { // the library accepts b64, which a JWT must not use
+		return nil, CriticalHeader
+	}
+	token, err := jwt.ParseSigned(raw, acceptedAlgorithms)
+	var unexpected *jose.ErrUnexpectedSignatureAlgorithm
+	switch {
+	case errors.As(err, &unexpected):
+		return nil, WrongAlgorithm
+	case err != nil || len(token.Headers) != 1 || token.Headers[0].KeyID == "":
+		return nil, Malformed
+	}
+	return token, ""
 }
 
-// CheckTime tells whether claims count at a moment, with the leeway.
-func (c *Claims) CheckTime(wall time.Time, policy *Policy) authz.Denial {
+func (p *Policy) checkRegistered(registered *jwt.Claims) authz.Denial {
 	switch {
-	case !wall.Before(c.Expiry.Add(policy.Leeway)):
-		return expired
-	case !c.NotBefore.IsZero() && wall.Before(c.NotBefore.Add(-policy.Leeway)):
-		return notYetValid
+	case registered.Issuer != p.Issuer:
+		return WrongIssuer
+	case !registered.Audience.Contains(p.Audience):
+		return WrongAudience
+	case registered.Subject == "":
+		return NoSubject
+	case registered.Expiry == nil: // a token has to expire
+		return Malformed
+	case p.SingleUse && registered.ID == "":
+		return noTokenID
 	}
 	return ""
 }
