--- a/internal/certs/issue.go
+++ b/internal/certs/issue.go
@@ -1,27 +1,18 @@
 package certs
 
 import (
-	"bytes"
 	"crypto"
 	"crypto/ecdsa"
 	"crypto/elliptic"
 	"crypto/rand"
 	"crypto/x509"
 	"crypto/x509/pkix"
-	"encoding/pem"
-	"errors"
 	"math/big"
 	"net"
 	"net/url"
 	"time"
 )
 
-// KeyPair is a certificate with its private key.
-type KeyPair struct {
-	Certificate *x509.Certificate
-	privateKey  crypto.Signer
-}
-
 // Subject is whom a certificate is for.
 type Subject struct {
 	CommonName string   // common name
@@ -95,63 +86,3 @@
 	}
 	return signCertificate(template, a.Certificate, a.privateKey)
 }
-
-// Revoke gives a list, PEM, with all that old has and the serials given; old may be empty. It is due anew after span.
-func (a KeyPair) Revoke(previous []byte, serials []*big.Int, now time.Time, validity time.Duration) ([]byte, error) {
-	list := &x509.RevocationList{Number: big.NewInt(1), ThisUpdate: now.Add(-clockSkew), NextUpdate: now.Add(validity)}
-	if len(bytes.TrimSpace(previous)) > 0 {
-		block, _ := pem.Decode(previous)
-		if block == nil {
-			return nil, errors.New("wants a list in PEM")
-		}
-		parsed, err := x509.ParseRevocationList(block.Bytes)
-		if err != nil {
-			return nil, err
-		}
-		if err := parsed.CheckSignatureFrom(a.Certificate); err != nil {
-			return nil, err
-		}
-		list.RevokedCertificateEntries = parsed.RevokedCertificateEntries
-		list.Number.Add(parsed.Number, big.NewInt(1))
-	}
-	for _, serial := range serials {
-		list.RevokedCertificateEntries = append(list.RevokedCertificateEntries,
-			x509.RevocationListEntry{SerialNumber: serial, RevocationTime: now})
-	}
-	der, err := x509.CreateRevocationList(rand.Reader, list, a.Certificate, a.privateKey)
-	if err != nil {
-		return nil, err
-	}
-	return pem.EncodeToMemory(&pem.Block{Type: "X509 CRL", Bytes: der}), nil
-}
-
-// EncodePEM gives a pair as PEM: the certificate, and the private key in PKCS 8.
-func (p KeyPair) EncodePEM() (cert, key []byte, err error) {
-	der, err := x509.MarshalPKCS8PrivateKey(p.privateKey)
-	if err != nil {
-		return nil, nil, err
-	}
-	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: p.Certificate.Raw}),
-		pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}), nil
-}
-
-// ParseKeyPair reads what Texts wrote.
-func ParseKeyPair(cert, key []byte) (KeyPair, error) {
-	certificates, err := ParseCertificates(cert)
-	if err != nil {
-		return KeyPair{}, err
-	}
-	block, _ := pem.Decode(key)
-	if block == nil {
-		return KeyPair{}, errors.New("wants a private key in PEM")
-	}
-	privateKey, err := x509.ParsePKCS8PrivateKey(block.Bytes)
-	if err != nil {
-		return KeyPair{}, errors.New("wants a private key in PKCS 8")
-	}
-	signer, ok := privateKey.(crypto.Signer)
-	if !ok {
-		return KeyPair{}, errors.New("wants a private key that signs")
-	}
-	return KeyPair{certificates[0], signer}, nil
-}
--- /dev/null
+++ b/internal/keyring/key.go
@@ -0,0 +1,53 @@
+// Package keyring holds the keys that tokens are signed with: read whole or not at all from a folder of JWK sets (RFC 7517),
+// each key with the times between which it counts. What is decided here is pure; folder.go reads and writes files.
+package keyring
+
+import (
+	"crypto"
+	"time"
+
+	"github.com/go-jose/go-jose/v4"
+
+	"lanewheel/internal/authz"
+)
+
+// KeyID is a key's kid.
+type KeyID string
+
+// The reasons for which a key does not count.
+const (
+	UnknownKey  authz.Denial = "unknown-key"   // no file has it
+	notYetValid authz.Denial = "early-key"     // published, but its time has not come
+	retired     authz.Denial = "retired-key"   // its time is over
+	Withdrawn   authz.Denial = "withdrawn-key" // taken back before its time, or its file is gone
+)
+
+// Key is one public key.
+type Key struct {
+	ID        KeyID
+	Algorithm jose.SignatureAlgorithm // the only one that it counts for
+	PublicKey crypto.PublicKey
+	NotBefore time.Time // zero: always
+	RetireAt  time.Time // the first moment at which it no longer counts; zero: never
+	Withdrawn bool
+	File      string
+}
+
+// CheckTime tells whether a key counts at a moment. It is a told time, the same for all instances, whenever they read the file.
+func (k *Key) CheckTime(wall time.Time) authz.Denial {
+	switch {
+	case k.Withdrawn:
+		return Withdrawn
+	case wall.Before(k.NotBefore):
+		return notYetValid
+	case !k.RetireAt.IsZero() && !wall.Before(k.RetireAt):
+		return retired
+	}
+	return ""
+}
+
+// SamePublicKey tells whether two keys are the same but for their ids and times.
+func (k *Key) SamePublicKey(other *Key) bool {
+	public, comparable := k.PublicKey.(interface{ Equal(crypto.PublicKey) bool })
+	return comparable && k.Algorithm == other.Algorithm && public.Equal(other.PublicKey)
+}
