--- a/internal/amqp/amqp_test.go
+++ b/internal/amqp/amqp_test.go
@@ -454,14 +454,14 @@
 	roots.AddCert(ours.Certificate)
 	for _, a := range []certs.KeyPair{ours, other} {
 		l := fake.Must(tls.Listen("tcp", "127.0.0.1:0", &tls.Config{ClientCAs: roots, ClientAuth: tls.RequireAndVerifyClientCert,
-			Certificates: []tls.Certificate{pair(a.Issue(certs.Subject{CommonName: "broker", Hosts: []string{"127.0.0.1"}}, true, now, time.Hour))}}))
+			Certificates: []tls.Certificate{pair(a.IssueServer(certs.Subject{CommonName: "broker", Hosts: []string{"127.0.0.1"}}, now, time.Hour))}}))
 		b, c := broker.NewOnListener(l), newFakeServer()
 		b.DeclareQueue("ops", nil)
 		b.DeclareQueue("replies", nil)
 		t := testConfig(b)
 		t.BrokerURLs = []string{"amqps://" + b.Addr() + "/"}
 		t.Login = "guest:guest"
-		t.TLS = &tls.Config{RootCAs: roots, Certificates: []tls.Certificate{pair(ours.Issue(certs.Subject{CommonName: "node"}, false, now, time.Hour))}}
+		t.TLS = &tls.Config{RootCAs: roots, Certificates: []tls.Certificate{pair(ours.IssueClient(certs.Subject{CommonName: "node"}, now, time.Hour))}}
 		s := startTestbed(b, c, t)
 		b.Publish("ops", newMessage("a", "view"))
 		if a.Certificate == ours.Certificate {
--- a/internal/authn/helper_test.go
+++ b/internal/authn/helper_test.go
@@ -134,13 +134,13 @@
 	for _, certificate := range revoked {
 		lists = setuptest.Must(f.authority.Revoke(lists, serials(certificate), f.wall, time.Hour))
 	}
-	return setuptest.Must(certs.NewTrustStore(text, lists, 0, false, f.wall))
+	return setuptest.Must(certs.NewTrustStore(text, lists, certs.RevocationPolicy{}, f.wall))
 }
 
 func (f *fixture) clientCertificate(uri string) *x509.Certificate {
 	f.t.Helper()
 	subject := certs.Subject{CommonName: "c", URIs: []string{uri}}
-	return setuptest.Must(f.authority.Issue(subject, false, f.wall, time.Hour)).Certificate
+	return setuptest.Must(f.authority.IssueClient(subject, f.wall, time.Hour)).Certificate
 }
 
 // credentialOf is the credential of a connection whose handshake brought a certificate.
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -5,6 +5,7 @@
 	"encoding/pem"
 	"fmt"
 	"math/big"
+	"slices"
 	"testing"
 	"time"
 
@@ -17,80 +18,103 @@
 	otherAuthority = setuptest.Must(NewAuthority("roads", start, 1000*time.Hour))
 )
 
-func encodeCertificates(pairs ...KeyPair) (all []byte) {
-	for _, p := range pairs {
-		cert, _, err := p.EncodePEM()
-		all = append(all, setuptest.Must(cert, err)...)
+func encodeCertificates(pairs ...KeyPair) []byte {
+	var all []byte
+	for _, pair := range pairs {
+		certificate, _, err := pair.EncodePEM()
+		all = append(all, setuptest.Must(certificate, err)...)
 	}
 	return all
 }
 
-func issueDevice(a KeyPair, uri string) KeyPair {
-	return setuptest.Must(a.Issue(Subject{CommonName: "handheld", URIs: []string{uri}, Hosts: []string{"h.example", "10.0.0.1"}}, false, start, 10*time.Hour))
+func issueDevice(authority KeyPair, uri string) KeyPair {
+	subject := Subject{CommonName: "handheld", URIs: []string{uri}, Hosts: []string{"h.example", "10.0.0.1"}}
+	return setuptest.Must(authority.IssueClient(subject, start, 10*time.Hour))
+}
+
+// revocations is an authority's list with the certificates of pairs.
+func revocations(authority KeyPair, validity time.Duration, pairs ...KeyPair) []byte {
+	return moreRevocations(authority, nil, validity, pairs...)
+}
+
+func moreRevocations(authority KeyPair, previous []byte, validity time.Duration, pairs ...KeyPair) []byte {
+	var serials []*big.Int
+	for _, pair := range pairs {
+		serials = append(serials, pair.Certificate.SerialNumber)
+	}
+	return setuptest.Must(authority.Revoke(previous, serials, start, validity))
 }
 
 // What a chain proves, and each way in which it proves nothing.
 func Example() {
-	good, taken, foreign := issueDevice(authority, "rota://water/7"), issueDevice(authority, "rota://water/8"), issueDevice(otherAuthority, "rota://water/7")
-	server := setuptest.Must(authority.Issue(Subject{CommonName: "node"}, true, start, time.Hour))
-	list := setuptest.Must(authority.Revoke(nil, []*big.Int{taken.Certificate.SerialNumber}, start, 2*time.Hour))
-	t := setuptest.Must(NewTrustStore(encodeCertificates(authority), list, time.Hour, false, start))
+	good := issueDevice(authority, "rota://water/7")
+	revoked := issueDevice(authority, "rota://water/8")
+	foreign := issueDevice(otherAuthority, "rota://water/7")
+	server := setuptest.Must(authority.IssueServer(Subject{CommonName: "node"}, start, time.Hour))
+	list := revocations(authority, 2*time.Hour, revoked)
+	graced := RevocationPolicy{Grace: time.Hour}
+	trust := setuptest.Must(NewTrustStore(encodeCertificates(authority), list, graced, start))
 	show := func(name string, at time.Duration, chain ...KeyPair) {
-		var certs []*x509.Certificate
-		for _, p := range chain {
-			certs = append(certs, p.Certificate)
+		var certificates []*x509.Certificate
+		for _, pair := range chain {
+			certificates = append(certificates, pair.Certificate)
 		}
-		p, why := t.Verify(certs, start.Add(at))
-		fmt.Printf("%s: %q", name, why)
-		if why == "" {
-			fmt.Print(" ", p.Identities)
+		verified, denial := trust.Verify(certificates, start.Add(at))
+		fmt.Printf("%s: %q", name, denial)
+		if denial == "" {
+			fmt.Print(" ", verified.Identities)
 		}
 		fmt.Println()
 	}
 	show("good", 0, good)
 	show("none", 0)
-	show("taken back", 0, taken)
+	show("revoked", 0, revoked)
 	show("foreign", 0, foreign)
 	show("a server's", 0, server)
 	show("too early", -time.Hour, good)
-	show("over, and the list is old", 11*time.Hour, good)
-	show("with an old list", 3*time.Hour, good)
-	_, err := NewTrustStore(encodeCertificates(authority), setuptest.Must(otherAuthority.Revoke(nil, nil, start, time.Hour)), 0, false, start)
+	show("expired, and the list is stale", 11*time.Hour, good)
+	show("with a stale list", 3*time.Hour, good)
+	foreignList := revocations(otherAuthority, time.Hour)
+	_, err := NewTrustStore(encodeCertificates(authority), foreignList, RevocationPolicy{}, start)
 	fmt.Println(err)
-	_, err = NewTrustStore(encodeCertificates(authority), list, time.Hour, false, start.Add(3*time.Hour))
+	_, err = NewTrustStore(encodeCertificates(authority), list, graced, start.Add(3*time.Hour))
 	fmt.Println(err)
-	_, err = NewTrustStore(encodeCertificates(good), nil, 0, false, start)
+	_, err = NewTrustStore(encodeCertificates(good), nil, RevocationPolicy{}, start)
 	fmt.Println(err)
 	// Output:
 	// good: "" [uri:rota://water/7 dns:h.example subject:CN=handheld]
 	// none: "no-certificate"
-	// taken back: "revoked"
+	// revoked: "revoked"
 	// foreign: "untrusted"
 	// a server's: "untrusted"
 	// too early: "expired"
-	// over, and the list is old: "expired"
-	// with an old list: "stale-list"
+	// expired, and the list is stale: "expired"
+	// with a stale list: "stale-list"
 	// the list of CN=roads is not signed by a told authority
 	// the list of CN=water was due anew at 2027-01-15T10:00:00Z
 	// CN=handheld is no authority's certificate
 }
 
-// A proof is looked at again as lists, authorities and time change; while nothing has, that is two comparisons.
+// A chain is checked again as lists, authorities and time change; while nothing has, that is a few comparisons.
 func Example_recheck() {
-	d := issueDevice(authority, "rota://water/7")
-	t := setuptest.Must(NewTrustStore(encodeCertificates(authority, otherAuthority), nil, 0, false, start))
-	p, _ := t.Verify([]*x509.Certificate{d.Certificate}, start)
-	fmt.Printf("%q %v\n", t.Recheck(p, start), p.ValidAt(start.Add(10*time.Hour)))
-	list := setuptest.Must(authority.Revoke(nil, nil, start, time.Hour))
-	t = setuptest.Must(NewTrustStore(encodeCertificates(authority, otherAuthority), list, 0, false, start))
-	fmt.Printf("%q in time %v, later %v %q\n", t.Recheck(p, start), p.ValidAt(start), p.ValidAt(start.Add(time.Hour)), t.Recheck(p, start.Add(time.Hour)))
-	t = setuptest.Must(NewTrustStore(encodeCertificates(authority, otherAuthority), list, 0, true, start))
-	fmt.Printf("allowed: %q\n", t.Recheck(p, start.Add(time.Hour)))
-	newer := setuptest.Must(authority.Revoke(list, []*big.Int{d.Certificate.SerialNumber}, start, time.Hour))
-	t = setuptest.Must(NewTrustStore(encodeCertificates(authority, otherAuthority), append(newer, list...), 0, false, start)) // the older one behind it changes nothing
-	fmt.Printf("%q\n", t.Recheck(p, start))
-	t = setuptest.Must(NewTrustStore(encodeCertificates(otherAuthority), nil, 0, false, start))
-	fmt.Printf("%q\n", t.Recheck(p, start))
+	device := issueDevice(authority, "rota://water/7")
+	both := encodeCertificates(authority, otherAuthority)
+	trust := setuptest.Must(NewTrustStore(both, nil, RevocationPolicy{}, start))
+	verified, _ := trust.Verify([]*x509.Certificate{device.Certificate}, start)
+	fmt.Printf("%q %v\n", trust.Recheck(verified, start), verified.ValidAt(start.Add(10*time.Hour)))
+	list := revocations(authority, time.Hour)
+	trust = setuptest.Must(NewTrustStore(both, list, RevocationPolicy{}, start))
+	fmt.Printf("%q in time %v, ", trust.Recheck(verified, start), verified.ValidAt(start))
+	later := start.Add(time.Hour)
+	fmt.Printf("later %v %q\n", verified.ValidAt(later), trust.Recheck(verified, later))
+	trust = setuptest.Must(NewTrustStore(both, list, RevocationPolicy{AllowStale: true}, start))
+	fmt.Printf("allowed: %q\n", trust.Recheck(verified, later))
+	newer := moreRevocations(authority, list, time.Hour, device)
+	newerFirst := slices.Concat(newer, list) // the older one behind it changes nothing
+	trust = setuptest.Must(NewTrustStore(both, newerFirst, RevocationPolicy{}, start))
+	fmt.Printf("%q\n", trust.Recheck(verified, start))
+	trust = setuptest.Must(NewTrustStore(encodeCertificates(otherAuthority), nil, RevocationPolicy{}, start))
+	fmt.Printf("%q\n", trust.Recheck(verified, start))
 	// Output:
 	// "" false
 	// "" in time true, later false "stale-list"
@@ -100,21 +124,20 @@
 }
 
 // Files that are cut after any byte are refused, or say the same; a list that is cut never says less.
-func TestCut(t *testing.T) {
-	d := issueDevice(authority, "rota://water/7")
-	list := setuptest.Must(authority.Revoke(nil, []*big.Int{d.Certificate.SerialNumber}, start, time.Hour))
+func TestTruncatedFiles(t *testing.T) {
+	device := issueDevice(authority, "rota://water/7")
+	list := revocations(authority, time.Hour, device)
 	roots := encodeCertificates(authority, otherAuthority)
-	for n := range len(list) {
-		if n > 0 && n < len(list)-1 {
-			if _, err := NewTrustStore(roots, list[:n], 0, false, start); err == nil {
-				t.Fatalf("a list cut after %d of %d bytes is taken", n, len(list))
-			}
+	for n := 1; n < len(list)-1; n++ {
+		if _, err := NewTrustStore(roots, list[:n], RevocationPolicy{}, start); err == nil {
+			t.Fatalf("a list cut after %d of %d bytes is accepted", n, len(list))
 		}
 	}
-	for n := range len(roots) {
-		all, err := ParseCertificates(roots[:n])
-		if one := len(encodeCertificates(authority)); err == nil && (len(all) != 1 || n < one-1 || n > one) && n != len(roots)-1 {
-			t.Fatalf("authorities cut after %d of %d bytes are taken", n, len(roots))
+	first := len(encodeCertificates(authority))
+	for n := range len(roots) - 1 { // but for the line feed at the end
+		certificates, err := ParseCertificates(roots[:n])
+		if err == nil && (len(certificates) != 1 || n < first-1 || n > first) {
+			t.Fatalf("authorities cut after %d of %d bytes are accepted", n, len(roots))
 		}
 	}
 }
@@ -122,24 +145,26 @@
 func FuzzTrust(f *testing.F) {
 	block, _ := pem.Decode(setuptest.Must(authority.Revoke(nil, []*big.Int{big.NewInt(7)}, start, time.Hour)))
 	f.Add(encodeCertificates(authority), block.Bytes)
-	f.Fuzz(func(t *testing.T, roots, list []byte) {
-		_, _ = NewTrustStore(roots, pem.EncodeToMemory(&pem.Block{Type: "X509 CRL", Bytes: list}), 0, false, start)
-		_, _ = NewTrustStore(encodeCertificates(authority), list, 0, false, start)
+	f.Fuzz(func(_ *testing.T, roots, list []byte) {
+		text := pem.EncodeToMemory(&pem.Block{Type: revocationListBlock, Bytes: list})
+		_, _ = NewTrustStore(roots, text, RevocationPolicy{}, start) // anything but a panic
+		_, _ = NewTrustStore(encodeCertificates(authority), list, RevocationPolicy{}, start)
 	})
 }
 
 func BenchmarkVerify(b *testing.B) {
-	t := setuptest.Must(NewTrustStore(encodeCertificates(authority), setuptest.Must(authority.Revoke(nil, nil, start, 9*time.Hour)), 0, false, start))
+	list := revocations(authority, 9*time.Hour)
+	trust := setuptest.Must(NewTrustStore(encodeCertificates(authority), list, RevocationPolicy{}, start))
 	chain := []*x509.Certificate{issueDevice(authority, "rota://water/7").Certificate}
-	p, _ := t.Verify(chain, start)
-	b.Run("anew", func(b *testing.B) {
+	verified, _ := trust.Verify(chain, start)
+	b.Run("verify", func(b *testing.B) {
 		for range b.N {
-			t.Verify(chain, start)
+			trust.Verify(chain, start)
 		}
 	})
-	b.Run("still", func(b *testing.B) {
+	b.Run("recheck", func(b *testing.B) {
 		for range b.N {
-			t.Recheck(p, start)
+			trust.Recheck(verified, start)
 		}
 	})
 }
--- a/internal/certs/chain.go
+++ b/internal/certs/chain.go
@@ -1,7 +1,6 @@
 package certs
 
 import (
-	"bytes"
 	"crypto/sha256"
 	"crypto/x509"
 	"errors"
@@ -10,18 +9,18 @@
 	"lanewheel/internal/authz"
 )
 
-// VerifiedChain is a chain that was followed to its authority, and by what.
+// VerifiedChain is a chain that was verified up to its authority. Recheck changes it: it belongs to one goroutine.
 type VerifiedChain struct {
-	Identities  []authz.Identity // URI, then DNS names, then the subject
-	chain       []*x509.Certificate
-	trustDigest [sha256.Size]byte
+	Identities  []authz.Identity    // by URI, then by DNS name, then by the subject
+	chain       []*x509.Certificate // the client's own certificate first, the authority's last
+	trustDigest [sha256.Size]byte   // of the authorities that it was verified by
 	notBefore   time.Time
 	notAfter    time.Time
-	listExpiry  time.Time // when the first list that speaks of the chain is too old; zero: never
+	listExpiry  time.Time // when the first revocation list of its issuers is stale; zero: never
 }
 
-// Verify follows a chain, the client's own certificate first.
-func (t *TrustStore) Verify(presented []*x509.Certificate, now time.Time) (*VerifiedChain, authz.Denial) {
+// Verify verifies a chain, the client's own certificate first.
+func (s *TrustStore) Verify(presented []*x509.Certificate, now time.Time) (*VerifiedChain, authz.Denial) {
 	if len(presented) == 0 {
 		return nil, noCertificate
 	}
@@ -29,8 +28,13 @@
 	for _, certificate := range presented[1:] {
 		intermediates.AddCert(certificate)
 	}
-	chains, err := presented[0].Verify(x509.VerifyOptions{Roots: t.roots, Intermediates: intermediates, CurrentTime: now,
-		KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}})
+	leaf := presented[0]
+	chains, err := leaf.Verify(x509.VerifyOptions{
+		Roots:         s.roots,
+		Intermediates: intermediates,
+		CurrentTime:   now,
+		KeyUsages:     []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth},
+	})
 	var invalid x509.CertificateInvalidError
 	switch {
 	case errors.As(err, &invalid) && invalid.Reason == x509.Expired:
@@ -38,38 +42,56 @@
 	case err != nil:
 		return nil, Untrusted
 	}
-	verified := &VerifiedChain{chain: chains[0], trustDigest: t.digest}
-	for _, certificate := range verified.chain {
-		if verified.notAfter.IsZero() || certificate.NotAfter.Before(verified.notAfter) {
-			verified.notAfter = certificate.NotAfter
-		}
-		if certificate.NotBefore.After(verified.notBefore) {
-			verified.notBefore = certificate.NotBefore
-		}
+	verified := &VerifiedChain{
+		Identities:  identitiesOf(leaf),
+		chain:       chains[0],
+		trustDigest: s.digest,
 	}
-	leaf := presented[0]
+	verified.boundTimes()
+	return verified, s.checkRevocation(verified, now)
+}
+
+// identitiesOf gives all identities that a certificate proves, in the order in which they count.
+func identitiesOf(leaf *x509.Certificate) []authz.Identity {
+	var identities []authz.Identity
 	for _, uri := range leaf.URIs {
-		verified.Identities = append(verified.Identities, authz.Identity("uri:"+uri.String()))
+		identities = append(identities, authz.NewIdentity(authz.URIIdentity, uri.String()))
 	}
 	for _, name := range leaf.DNSNames {
-		verified.Identities = append(verified.Identities, authz.Identity("dns:"+name))
+		identities = append(identities, authz.NewIdentity(authz.DNSIdentity, name))
 	}
 	if subject := leaf.Subject.String(); subject != "" {
-		verified.Identities = append(verified.Identities, authz.Identity("subject:"+subject))
+		identities = append(identities, authz.NewIdentity(authz.SubjectIdentity, subject))
+	}
+	return identities
+}
+
+// boundTimes takes the times between which all certificates of the chain are valid.
+func (c *VerifiedChain) boundTimes() {
+	for _, certificate := range c.chain {
+		if c.notAfter.IsZero() || certificate.NotAfter.Before(c.notAfter) {
+			c.notAfter = certificate.NotAfter
+		}
+		if certificate.NotBefore.After(c.notBefore) {
+			c.notBefore = certificate.NotBefore
+		}
 	}
-	return verified, t.checkRevocation(verified, now)
 }
 
-// ValidAt tells whether a moment lies within the times of all certificates of the chain.
-// and no list that speaks of them is too old; else the proof has to be looked at again.
-func (p *VerifiedChain) ValidAt(now time.Time) bool {
-	return !now.Before(p.notBefore) && now.Before(p.notAfter) && (p.listExpiry.IsZero() || now.Before(p.listExpiry))
+// ValidAt tells whether all certificates of the chain are valid at a moment and the revocation lists of their issuers
+// are not stale. Otherwise Recheck says whether the chain still counts.
+func (c *VerifiedChain) ValidAt(now time.Time) bool {
+	if now.Before(c.notBefore) || !now.Before(c.notAfter) {
+		return false
+	}
+	return c.listExpiry.IsZero() || now.Before(c.listExpiry)
 }
 
-// Recheck tells whether a proof counts now. It costs little unless the authorities have changed since it was made.
-func (t *TrustStore) Recheck(verified *VerifiedChain, now time.Time) authz.Denial {
-	if verified.trustDigest != t.digest {
-		again, denial := t.Verify(verified.chain, now)
+// Recheck tells why a chain does not count now, empty if it does. It verifies signatures again only where the
+// authorities have changed since it was verified.
+func (s *TrustStore) Recheck(verified *VerifiedChain, now time.Time) authz.Denial {
+	if verified.trustDigest != s.digest {
+		again, denial := s.Verify(verified.chain, now)
 		if denial == "" {
 			*verified = *again
 		}
@@ -78,30 +100,5 @@
 	if now.Before(verified.notBefore) || !now.Before(verified.notAfter) {
 		return expired
 	}
-	return t.checkRevocation(verified, now)
-}
-
-// checkRevocation looks a chain up in the lists of those who issued it.
-func (t *TrustStore) checkRevocation(verified *VerifiedChain, now time.Time) authz.Denial {
-	verified.listExpiry = time.Time{}
-	for _, certificate := range verified.chain {
-		for _, list := range t.revocationLists {
-			if !bytes.Equal(list.issuer, certificate.RawIssuer) {
-				continue
-			}
-			if list.serials[string(certificate.SerialNumber.Bytes())] {
-				return revoked
-			}
-			// Danger: whoever can keep new lists from us could go on with what was taken back.
-			if !t.allowStale && !list.validUntil.IsZero() {
-				if !now.Before(list.validUntil) {
-					return staleRevocationList
-				}
-				if verified.listExpiry.IsZero() || list.validUntil.Before(verified.listExpiry) {
-					verified.listExpiry = list.validUntil
-				}
-			}
-		}
-	}
-	return ""
+	return s.checkRevocation(verified, now)
 }
--- a/internal/certs/golden_test.go
+++ b/internal/certs/golden_test.go
@@ -22,11 +22,12 @@
 // Pairs read, and are written again to the byte; each is for what it was made for.
 func TestGoldenPairs(t *testing.T) {
 	authority := setuptest.Must(ParseKeyPair(golden("authority.pem"), golden("authority.key")))
-	for _, of := range []struct {
-		name, subject string
+	for _, want := range []struct {
+		name          string
+		subject       string
 		usage         x509.KeyUsage
-		extra         []x509.ExtKeyUsage
-		is            string
+		extendedUsage []x509.ExtKeyUsage
+		names         string
 	}{
 		{"authority", "CN=depot authority", x509.KeyUsageCertSign | x509.KeyUsageCRLSign, nil, "true [] [] []"},
 		{"client", "CN=handheld", x509.KeyUsageDigitalSignature, []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth},
@@ -34,71 +35,81 @@
 		{"server", "CN=server", x509.KeyUsageDigitalSignature, []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth},
 			"false [] [node.example] [127.0.0.1]"},
 	} {
-		cert, key := golden(of.name+".pem"), golden(of.name+".key")
-		pair := setuptest.Must(ParseKeyPair(cert, key))
-		c := pair.Certificate
-		is := fmt.Sprint(c.IsCA, c.URIs, c.DNSNames, c.IPAddresses)
-		if c.Subject.String() != of.subject || c.KeyUsage != of.usage || fmt.Sprint(c.ExtKeyUsage) != fmt.Sprint(of.extra) ||
-			is != of.is {
-			t.Errorf("%s: %s, usage %b %v, %s", of.name, c.Subject, c.KeyUsage, c.ExtKeyUsage, is)
+		text, keyText := golden(want.name+".pem"), golden(want.name+".key")
+		pair := setuptest.Must(ParseKeyPair(text, keyText))
+		got := pair.Certificate
+		names := fmt.Sprint(got.IsCA, got.URIs, got.DNSNames, got.IPAddresses)
+		if got.Subject.String() != want.subject || got.KeyUsage != want.usage ||
+			fmt.Sprint(got.ExtKeyUsage) != fmt.Sprint(want.extendedUsage) || names != want.names {
+			t.Errorf("%s: %s, usage %b %v, %s", want.name, got.Subject, got.KeyUsage, got.ExtKeyUsage, names)
 		}
-		if err := c.CheckSignatureFrom(authority.Certificate); err != nil {
-			t.Errorf("%s: %v", of.name, err)
+		if err := got.CheckSignatureFrom(authority.Certificate); err != nil {
+			t.Errorf("%s: %v", want.name, err)
 		}
-		againCert, againKey, err := pair.EncodePEM()
-		if err != nil || !bytes.Equal(againCert, cert) || !bytes.Equal(againKey, key) {
-			t.Errorf("%s is written as\n%s%swant\n%s%s %v", of.name, againCert, againKey, cert, key, err)
+		encoded, encodedKey, err := pair.EncodePEM()
+		if err != nil || !bytes.Equal(encoded, text) || !bytes.Equal(encodedKey, keyText) {
+			t.Errorf("%s is written as\n%s%swant\n%s%s %v", want.name, encoded, encodedKey, text, keyText, err)
 		}
 	}
 }
 
 // What the stored chains prove, with the stored list and without it.
 func TestGoldenProofs(t *testing.T) {
-	trust := setuptest.Must(NewTrustStore(golden("authority.pem"), golden("revoked.pem"), time.Hour, false, start))
-	without := setuptest.Must(NewTrustStore(golden("authority.pem"), nil, 0, false, start))
-	for _, of := range []struct {
-		trust *TrustStore
-		name  string
-		why   authz.Denial
-		names string
-	}{{trust, "client", "", "[uri:rota://water/7 dns:h.example subject:CN=handheld]"}, {trust, "taken", "revoked", ""},
-		{without, "taken", "", "[uri:rota://water/8 subject:CN=taken]"}, {trust, "server", "untrusted", ""}} {
-		p, why := of.trust.Verify(setuptest.Must(ParseCertificates(golden(of.name+".pem"))), start)
-		if why != of.why {
-			t.Errorf("%s: %q, want %q", of.name, why, of.why)
+	policy := RevocationPolicy{Grace: time.Hour}
+	trust := setuptest.Must(NewTrustStore(golden("authority.pem"), golden("revoked.pem"), policy, start))
+	without := setuptest.Must(NewTrustStore(golden("authority.pem"), nil, RevocationPolicy{}, start))
+	for _, want := range []struct {
+		trust      *TrustStore
+		name       string
+		denial     authz.Denial
+		identities string
+	}{
+		{trust, "client", "", "[uri:rota://water/7 dns:h.example subject:CN=handheld]"},
+		{trust, "taken", "revoked", ""},
+		{without, "taken", "", "[uri:rota://water/8 subject:CN=taken]"},
+		{trust, "server", "untrusted", ""},
+	} {
+		chain := setuptest.Must(ParseCertificates(golden(want.name + ".pem")))
+		verified, denial := want.trust.Verify(chain, start)
+		if denial != want.denial {
+			t.Errorf("%s: %q, want %q", want.name, denial, want.denial)
 		}
-		if why == "" && fmt.Sprint(p.Identities) != of.names {
-			t.Errorf("%s proves %v", of.name, p.Identities)
+		if denial == "" && fmt.Sprint(verified.Identities) != want.identities {
+			t.Errorf("%s proves %v, want %s", want.name, verified.Identities, want.identities)
 		}
 	}
 	list := setuptest.Must(x509.ParseRevocationList(block(golden("revoked.pem"))))
-	if due := trust.revocationListDue(); !due.Equal(list.NextUpdate.Add(time.Hour)) {
-		t.Errorf("due anew at %v, says %v", due, list.NextUpdate)
+	if len(trust.revocationLists) != 1 {
+		t.Fatalf("%d lists, want one", len(trust.revocationLists))
+	}
+	if got := trust.revocationLists[0].validUntil; !got.Equal(list.NextUpdate.Add(time.Hour)) {
+		t.Errorf("the list counts until %v, want an hour after %v", got, list.NextUpdate)
 	}
 }
 
+// block gives what one stored revocation list holds.
 func block(text []byte) []byte {
-	b, rest := pem.Decode(text)
-	if b == nil || b.Type != "X509 CRL" || len(rest) > 0 {
-		panic("no list alone")
+	decoded, rest := pem.Decode(text)
+	if decoded == nil || decoded.Type != "X509 CRL" || len(rest) > 0 {
+		panic("want one revocation list and nothing else")
 	}
-	return b.Bytes
+	return decoded.Bytes
 }
 
-// A list goes on from the stored one: what was taken back stays so, and its number rises.
+// A list continues the stored one: what was revoked stays so, and its number rises.
 func TestGoldenList(t *testing.T) {
 	authority := setuptest.Must(ParseKeyPair(golden("authority.pem"), golden("authority.key")))
-	taken := setuptest.Must(ParseCertificates(golden("taken.pem")))[0]
+	revoked := setuptest.Must(ParseCertificates(golden("taken.pem")))[0]
 	before := setuptest.Must(x509.ParseRevocationList(block(golden("revoked.pem"))))
 	if before.Number.Int64() != 2 || len(before.RevokedCertificateEntries) != 1 ||
-		before.RevokedCertificateEntries[0].SerialNumber.Cmp(taken.SerialNumber) != 0 {
+		before.RevokedCertificateEntries[0].SerialNumber.Cmp(revoked.SerialNumber) != 0 {
 		t.Fatalf("number %v, %+v", before.Number, before.RevokedCertificateEntries)
 	}
 	text := setuptest.Must(authority.Revoke(golden("revoked.pem"), []*big.Int{big.NewInt(77)}, start, time.Hour))
 	after := setuptest.Must(x509.ParseRevocationList(block(text)))
 	if after.Number.Int64() != 3 || len(after.RevokedCertificateEntries) != 2 ||
 		after.RevokedCertificateEntries[1].SerialNumber.Int64() != 77 ||
-		after.RevokedCertificateEntries[0].SerialNumber.Cmp(taken.SerialNumber) != 0 ||
+		after.RevokedCertificateEntries[0].SerialNumber.Cmp(revoked.SerialNumber) != 0 ||
 		!after.NextUpdate.Equal(start.Add(time.Hour)) ||
 		!after.ThisUpdate.Equal(start.Add(-5*time.Minute)) {
 		t.Errorf("number %v, %v to %v, %+v", after.Number, after.ThisUpdate, after.NextUpdate,
@@ -106,13 +117,17 @@
 	}
 }
 
-// The reasons that are spoken, in answers, logs and listings.
+// The denials that are spoken, in answers, logs and listings.
 func TestGoldenReasons(t *testing.T) {
-	for reason, want := range map[authz.Denial]string{noCertificate: "no-certificate", Untrusted: "untrusted",
-		expired: "expired", revoked: "revoked",
-		staleRevocationList: "stale-list"} {
-		if string(reason) != want {
-			t.Errorf("%q, want %q", reason, want)
+	for denial, want := range map[authz.Denial]string{
+		noCertificate:       "no-certificate",
+		Untrusted:           "untrusted",
+		expired:             "expired",
+		revoked:             "revoked",
+		staleRevocationList: "stale-list",
+	} {
+		if string(denial) != want {
+			t.Errorf("%q, want %q", denial, want)
 		}
 	}
 }
--- a/internal/certs/issue.go
+++ b/internal/certs/issue.go
@@ -13,69 +13,55 @@
 	"time"
 )
 
+const (
+	clockSkew  = 5 * time.Minute // a certificate begins so much before now: clocks differ
+	serialBits = 120             // of entropy
+)
+
 // Subject is whom a certificate is for.
 type Subject struct {
-	CommonName string   // common name
+	CommonName string
 	URIs       []string // as rota://water/handheld-7
 	Hosts      []string // DNS names and IP addresses
 }
 
-// clockSkew is how far before now a certificate begins: clocks differ.
-const clockSkew = 5 * time.Minute
-
-func newTemplate(name string, now time.Time, validity time.Duration) (*x509.Certificate, error) {
-	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
-	if err != nil {
-		return nil, err
-	}
-	return &x509.Certificate{SerialNumber: serial, Subject: pkix.Name{CommonName: name}, NotBefore: now.Add(-clockSkew),
-		NotAfter: now.Add(validity), BasicConstraintsValid: true}, nil
-}
-
-func signCertificate(template, parent *x509.Certificate, signer crypto.Signer) (KeyPair, error) {
-	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-	if err != nil {
-		return KeyPair{}, err
-	}
-	if signer == nil {
-		parent, signer = template, key
-	}
-	der, err := x509.CreateCertificate(rand.Reader, template, parent, key.Public(), signer)
-	if err != nil {
-		return KeyPair{}, err
-	}
-	cert, err := x509.ParseCertificate(der)
-	return KeyPair{cert, key}, err
-}
-
-// NewAuthority makes an authority of its own, on P-256.
+// NewAuthority makes an authority with a certificate that it signs itself, on P-256.
 func NewAuthority(name string, now time.Time, validity time.Duration) (KeyPair, error) {
 	template, err := newTemplate(name, now, validity)
 	if err != nil {
 		return KeyPair{}, err
 	}
-	template.IsCA, template.MaxPathLen, template.MaxPathLenZero = true, 0, true
+	template.IsCA = true
+	template.MaxPathLenZero = true // it issues to clients and servers, not to other authorities
 	template.KeyUsage = x509.KeyUsageCertSign | x509.KeyUsageCRLSign
-	return signCertificate(template, nil, nil)
+	return signCertificate(template, nil)
+}
+
+// IssueClient makes a certificate for a client.
+func (p KeyPair) IssueClient(subject Subject, now time.Time, validity time.Duration) (KeyPair, error) {
+	return p.issue(subject, x509.ExtKeyUsageClientAuth, now, validity)
+}
+
+// IssueServer makes a certificate for a server.
+func (p KeyPair) IssueServer(subject Subject, now time.Time, validity time.Duration) (KeyPair, error) {
+	return p.issue(subject, x509.ExtKeyUsageServerAuth, now, validity)
 }
 
-// Issue makes a certificate for a client, or for a server.
-func (a KeyPair) Issue(subject Subject, server bool, now time.Time, validity time.Duration) (KeyPair, error) {
+func (p KeyPair) issue(
+	subject Subject, usage x509.ExtKeyUsage, now time.Time, validity time.Duration,
+) (KeyPair, error) {
 	template, err := newTemplate(subject.CommonName, now, validity)
 	if err != nil {
 		return KeyPair{}, err
 	}
 	template.KeyUsage = x509.KeyUsageDigitalSignature
-	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}
-	if server {
-		template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}
-	}
+	template.ExtKeyUsage = []x509.ExtKeyUsage{usage}
 	for _, text := range subject.URIs {
-		parsed, err := url.Parse(text)
+		uri, err := url.Parse(text)
 		if err != nil {
 			return KeyPair{}, err
 		}
-		template.URIs = append(template.URIs, parsed)
+		template.URIs = append(template.URIs, uri)
 	}
 	for _, host := range subject.Hosts {
 		if ip := net.ParseIP(host); ip != nil {
@@ -84,5 +70,39 @@
 			template.DNSNames = append(template.DNSNames, host)
 		}
 	}
-	return signCertificate(template, a.Certificate, a.privateKey)
+	return signCertificate(template, &p)
+}
+
+func newTemplate(name string, now time.Time, validity time.Duration) (*x509.Certificate, error) {
+	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
+	if err != nil {
+		return nil, err
+	}
+	return &x509.Certificate{
+		SerialNumber:          serial,
+		Subject:               pkix.Name{CommonName: name},
+		NotBefore:             now.Add(-clockSkew),
+		NotAfter:              now.Add(validity),
+		BasicConstraintsValid: true,
+	}, nil
+}
+
+// signCertificate makes a key for a template and has its certificate signed by an authority; nil: by itself.
+func signCertificate(template *x509.Certificate, authority *KeyPair) (KeyPair, error) {
+	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	if err != nil {
+		return KeyPair{}, err
+	}
+	parent := template
+	var signer crypto.Signer = key
+	if authority != nil {
+		parent = authority.Certificate
+		signer = authority.privateKey
+	}
+	der, err := x509.CreateCertificate(rand.Reader, template, parent, key.Public(), signer)
+	if err != nil {
+		return KeyPair{}, err
+	}
+	certificate, err := x509.ParseCertificate(der)
+	return KeyPair{certificate, key}, err
 }
--- a/internal/certs/keypair.go
+++ b/internal/certs/keypair.go
@@ -14,31 +14,32 @@
 }
 
 // EncodePEM gives a pair as PEM: the certificate, and the private key in PKCS 8.
-func (p KeyPair) EncodePEM() (cert, key []byte, err error) {
+func (p KeyPair) EncodePEM() (certificate, privateKey []byte, err error) {
 	der, err := x509.MarshalPKCS8PrivateKey(p.privateKey)
 	if err != nil {
 		return nil, nil, err
 	}
-	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: p.Certificate.Raw}),
-		pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}), nil
+	certificate = pem.EncodeToMemory(&pem.Block{Type: certificateBlock, Bytes: p.Certificate.Raw})
+	privateKey = pem.EncodeToMemory(&pem.Block{Type: privateKeyBlock, Bytes: der})
+	return certificate, privateKey, nil
 }
 
-// ParseKeyPair reads what Texts wrote.
-func ParseKeyPair(cert, key []byte) (KeyPair, error) {
-	certificates, err := ParseCertificates(cert)
+// ParseKeyPair reads what EncodePEM gave. Its errors hold nothing of the private key.
+func ParseKeyPair(certificate, privateKey []byte) (KeyPair, error) {
+	certificates, err := ParseCertificates(certificate)
 	if err != nil {
 		return KeyPair{}, err
 	}
-	block, _ := pem.Decode(key)
+	block, _ := pem.Decode(privateKey)
 	if block == nil {
 		return KeyPair{}, errors.New("wants a private key in PEM")
 	}
-	privateKey, err := x509.ParsePKCS8PrivateKey(block.Bytes)
+	parsed, err := x509.ParsePKCS8PrivateKey(block.Bytes)
 	if err != nil {
 		return KeyPair{}, errors.New("wants a private key in PKCS 8")
 	}
-	signer, ok := privateKey.(crypto.Signer)
-	if !ok {
+	signer, isSigner := parsed.(crypto.Signer)
+	if !isSigner {
 		return KeyPair{}, errors.New("wants a private key that signs")
 	}
 	return KeyPair{certificates[0], signer}, nil
--- a/internal/certs/pem.go
+++ b/internal/certs/pem.go
@@ -7,28 +7,36 @@
 	"errors"
 )
 
-// ParseCertificates reads all certificates of a PEM text.
-func ParseCertificates(text []byte) (parsed []*x509.Certificate, err error) {
-	rest := text
+// Types of PEM blocks.
+const (
+	certificateBlock    = "CERTIFICATE"
+	privateKeyBlock     = "PRIVATE KEY"
+	revocationListBlock = "X509 CRL"
+)
+
+// ParseCertificates reads all certificates of a PEM text, one at least; blocks of other types are skipped.
+func ParseCertificates(text []byte) ([]*x509.Certificate, error) {
+	var certificates []*x509.Certificate
 	for {
 		var block *pem.Block
-		if block, rest = pem.Decode(rest); block == nil {
+		block, text = pem.Decode(text)
+		if block == nil {
 			break
 		}
-		if block.Type != "CERTIFICATE" {
+		if block.Type != certificateBlock {
 			continue
 		}
 		certificate, err := x509.ParseCertificate(block.Bytes)
 		if err != nil {
 			return nil, err
 		}
-		parsed = append(parsed, certificate)
+		certificates = append(certificates, certificate)
 	}
-	if len(parsed) == 0 {
+	if len(certificates) == 0 {
 		return nil, errors.New("wants a certificate in PEM")
 	}
-	if len(bytes.TrimSpace(rest)) > 0 { // Danger: a file that is still being written
+	if len(bytes.TrimSpace(text)) > 0 { // as of a file that is still being written
 		return nil, errors.New("ends in the middle of a certificate")
 	}
-	return parsed, nil
+	return certificates, nil
 }
--- a/internal/certs/revocationlist.go
+++ b/internal/certs/revocationlist.go
@@ -6,64 +6,102 @@
 	"fmt"
 	"math/big"
 	"time"
+
+	"lanewheel/internal/authz"
 )
 
-// revocationList is what one authority took back.
+// maxRevokedEntries bounds a list: far more than any fleet of devices needs.
+const maxRevokedEntries = 200_000
+
+// revocationList is what one authority revoked.
 type revocationList struct {
 	issuer     []byte // raw subject of the authority
 	serials    map[string]bool
-	number     *big.Int
-	validUntil time.Time // when the next list was due, with the told grace
+	number     *big.Int  // rises with each list
+	validUntil time.Time // when the next list was due, with the grace; zero: for ever
 }
 
-// addRevocationList takes one list in.
-func (t *TrustStore) addRevocationList(der []byte, grace time.Duration, now time.Time) error {
+// addRevocationList reads one list.
+func (s *TrustStore) addRevocationList(der []byte, now time.Time) error {
 	crl, err := x509.ParseRevocationList(der)
 	if err != nil {
 		return err
 	}
-	// Danger: a list that anybody may have written lets revoked certificates back in, or locks everybody out.
-	signed := false
-	for _, authority := range t.authorities {
-		signed = signed || bytes.Equal(authority.RawSubject, crl.RawIssuer) && crl.CheckSignatureFrom(authority) == nil
-	}
-	if !signed {
+	// A list that anybody may have written would let revoked certificates back in, or lock everybody out.
+	if !s.isSigned(crl) {
 		return fmt.Errorf("the list of %s is not signed by a told authority", crl.Issuer)
 	}
-	if len(crl.RevokedCertificateEntries) > maxRevokedEntries {
-		return fmt.Errorf("the list of %s has %d entries, wants %d or fewer", crl.Issuer, len(crl.RevokedCertificateEntries), maxRevokedEntries)
+	count := len(crl.RevokedCertificateEntries)
+	if count > maxRevokedEntries {
+		return fmt.Errorf("the list of %s has %d entries, wants %d or fewer", crl.Issuer, count, maxRevokedEntries)
 	}
-	parsed := &revocationList{issuer: crl.RawIssuer, serials: map[string]bool{}, number: crl.Number}
-	if parsed.number == nil {
-		parsed.number = new(big.Int)
+	list := &revocationList{
+		issuer:  crl.RawIssuer,
+		serials: map[string]bool{},
+		number:  crl.Number,
+	}
+	if list.number == nil {
+		list.number = new(big.Int)
 	}
 	if !crl.NextUpdate.IsZero() {
-		parsed.validUntil = crl.NextUpdate.Add(grace)
-		if !now.Before(parsed.validUntil) && !t.allowStale {
+		list.validUntil = crl.NextUpdate.Add(s.policy.Grace)
+		if !now.Before(list.validUntil) && !s.policy.AllowStale {
 			return fmt.Errorf("the list of %s was due anew at %s", crl.Issuer, crl.NextUpdate.UTC().Format(time.RFC3339))
 		}
 	}
 	for _, entry := range crl.RevokedCertificateEntries {
-		parsed.serials[string(entry.SerialNumber.Bytes())] = true
+		list.serials[string(entry.SerialNumber.Bytes())] = true
 	}
-	for i, earlier := range t.revocationLists {
-		if bytes.Equal(earlier.issuer, parsed.issuer) { // the newer one counts
-			if parsed.number.Cmp(earlier.number) > 0 {
-				t.revocationLists[i] = parsed
-			}
-			return nil
+	s.keepNewer(list)
+	return nil
+}
+
+// isSigned tells whether an authority of the store signed a list.
+func (s *TrustStore) isSigned(crl *x509.RevocationList) bool {
+	for _, authority := range s.authorities {
+		if bytes.Equal(authority.RawSubject, crl.RawIssuer) && crl.CheckSignatureFrom(authority) == nil {
+			return true
 		}
 	}
-	t.revocationLists = append(t.revocationLists, parsed)
-	return nil
+	return false
 }
 
-// revocationListDue is when the first list is due anew, with its grace; zero if none ever is.
-func (t *TrustStore) revocationListDue() (due time.Time) {
-	for _, list := range t.revocationLists {
-		if !list.validUntil.IsZero() && (due.IsZero() || list.validUntil.Before(due)) {
-			due = list.validUntil
+// keepNewer keeps a list unless there is a newer one of its authority.
+func (s *TrustStore) keepNewer(list *revocationList) {
+	for i, earlier := range s.revocationLists {
+		if !bytes.Equal(earlier.issuer, list.issuer) {
+			continue
+		}
+		if list.number.Cmp(earlier.number) > 0 {
+			s.revocationLists[i] = list
+		}
+		return
+	}
+	s.revocationLists = append(s.revocationLists, list)
+}
+
+// checkRevocation looks each certificate of a chain up in the list of its issuer, and notes until when these count.
+func (s *TrustStore) checkRevocation(verified *VerifiedChain, now time.Time) authz.Denial {
+	verified.listExpiry = time.Time{}
+	for _, certificate := range verified.chain {
+		for _, list := range s.revocationLists {
+			if !bytes.Equal(list.issuer, certificate.RawIssuer) {
+				continue
+			}
+			if list.serials[string(certificate.SerialNumber.Bytes())] {
+				return revoked
+			}
+			if s.policy.AllowStale || list.validUntil.IsZero() {
+				continue
+			}
+			// Whoever can keep new lists from us must not go on with a revoked certificate.
+			if !now.Before(list.validUntil) {
+				return staleRevocationList
+			}
+			if verified.listExpiry.IsZero() || list.validUntil.Before(verified.listExpiry) {
+				verified.listExpiry = list.validUntil
+			}
 		}
 	}
-	return due
+	return ""
 }
--- a/internal/certs/revoke.go
+++ b/internal/certs/revoke.go
@@ -10,31 +10,42 @@
 	"time"
 )
 
-// Revoke gives a list, PEM, with all that old has and the serials given; old may be empty. It is due anew after span.
-func (a KeyPair) Revoke(previous []byte, serials []*big.Int, now time.Time, validity time.Duration) ([]byte, error) {
-	list := &x509.RevocationList{Number: big.NewInt(1), ThisUpdate: now.Add(-clockSkew), NextUpdate: now.Add(validity)}
+// Revoke gives a revocation list, PEM, with all that the previous one has and the serials given. previous is the
+// authority's last list, or empty. The next list is due after validity.
+func (p KeyPair) Revoke(previous []byte, serials []*big.Int, now time.Time, validity time.Duration) ([]byte, error) {
+	list := &x509.RevocationList{
+		Number:     big.NewInt(1),
+		ThisUpdate: now.Add(-clockSkew),
+		NextUpdate: now.Add(validity),
+	}
 	if len(bytes.TrimSpace(previous)) > 0 {
-		block, _ := pem.Decode(previous)
-		if block == nil {
-			return nil, errors.New("wants a list in PEM")
-		}
-		parsed, err := x509.ParseRevocationList(block.Bytes)
+		parsed, err := p.parseOwnList(previous)
 		if err != nil {
 			return nil, err
 		}
-		if err := parsed.CheckSignatureFrom(a.Certificate); err != nil {
-			return nil, err
-		}
 		list.RevokedCertificateEntries = parsed.RevokedCertificateEntries
 		list.Number.Add(parsed.Number, big.NewInt(1))
 	}
 	for _, serial := range serials {
-		list.RevokedCertificateEntries = append(list.RevokedCertificateEntries,
-			x509.RevocationListEntry{SerialNumber: serial, RevocationTime: now})
+		entry := x509.RevocationListEntry{SerialNumber: serial, RevocationTime: now}
+		list.RevokedCertificateEntries = append(list.RevokedCertificateEntries, entry)
+	}
+	der, err := x509.CreateRevocationList(rand.Reader, list, p.Certificate, p.privateKey)
+	if err != nil {
+		return nil, err
+	}
+	return pem.EncodeToMemory(&pem.Block{Type: revocationListBlock, Bytes: der}), nil
+}
+
+// parseOwnList reads a list that this authority signed.
+func (p KeyPair) parseOwnList(text []byte) (*x509.RevocationList, error) {
+	block, _ := pem.Decode(text)
+	if block == nil {
+		return nil, errors.New("wants a list in PEM")
 	}
-	der, err := x509.CreateRevocationList(rand.Reader, list, a.Certificate, a.privateKey)
+	list, err := x509.ParseRevocationList(block.Bytes)
 	if err != nil {
 		return nil, err
 	}
-	return pem.EncodeToMemory(&pem.Block{Type: "X509 CRL", Bytes: der}), nil
+	return list, list.CheckSignatureFrom(p.Certificate)
 }
--- a/internal/certs/truststore.go
+++ b/internal/certs/truststore.go
@@ -1,5 +1,6 @@
-// Package certs decides on client certificates: whether a chain leads to a told authority, whether a certificate was taken
-// back, and which identities it proves. It is pure; issue.go makes certificates for the operators' commands.
+// Package certs decides on client certificates: whether a chain leads to a configured authority, whether a certificate
+// was revoked, and which identities it proves. It does no I/O, and the time is an argument. It also issues and revokes
+// certificates for the operators' commands.
 package certs
 
 import (
@@ -12,26 +13,27 @@
 	"time"
 )
 
-// TrustStore is authorities and what they took back. It never changes.
+// maxAuthorities bounds the authorities that are read.
+const maxAuthorities = 32
+
+// RevocationPolicy says how long a revocation list counts.
+type RevocationPolicy struct {
+	Grace      time.Duration // for which a list counts after the next one was due
+	AllowStale bool          // a list counts for ever; else certificates of its authority are denied once it is stale
+}
+
+// TrustStore is authorities and what they revoked. It never changes, and may be used from any goroutine.
 type TrustStore struct {
 	roots           *x509.CertPool
-	digest          [sha256.Size]byte
-	revocationLists []*revocationList
-	allowStale      bool
 	authorities     []*x509.Certificate
+	digest          [sha256.Size]byte // of the authorities' text
+	revocationLists []*revocationList // one for each authority that has any
+	policy          RevocationPolicy
 }
 
-// Bounds of what is read: some authorities, and lists far longer than any fleet of devices.
-const (
-	maxAuthorities    = 32
-	maxRevokedEntries = 200_000
-)
-
-// NewTrustStore reads authorities and lists, both PEM; lists may be empty. A list has to be signed by one of the authorities and,
-// at the moment given, no older than it says plus grace. With allowOld one that grows too old later goes on counting, and
-// else certificates of its authority no longer prove anything then.
-func NewTrustStore(authorities, lists []byte, grace time.Duration, allowStale bool, now time.Time) (*TrustStore, error) {
-	store := &TrustStore{roots: x509.NewCertPool(), digest: sha256.Sum256(authorities), allowStale: allowStale}
+// NewTrustStore reads authorities and revocation lists, both PEM; lists may be empty. Each list has to be signed by one
+// of the authorities and, but for AllowStale, not to be stale now. Of two lists of one authority the newer one counts.
+func NewTrustStore(authorities, lists []byte, policy RevocationPolicy, now time.Time) (*TrustStore, error) {
 	parsed, err := ParseCertificates(authorities)
 	if err != nil {
 		return nil, err
@@ -39,26 +41,33 @@
 	if len(parsed) > maxAuthorities {
 		return nil, fmt.Errorf("%d authorities, wants %d or fewer", len(parsed), maxAuthorities)
 	}
+	store := &TrustStore{
+		roots:       x509.NewCertPool(),
+		authorities: parsed,
+		digest:      sha256.Sum256(authorities),
+		policy:      policy,
+	}
 	for _, authority := range parsed {
 		if !authority.IsCA {
 			return nil, fmt.Errorf("%s is no authority's certificate", authority.Subject)
 		}
 		store.roots.AddCert(authority)
-		store.authorities = append(store.authorities, authority)
 	}
-	for rest := lists; ; {
+	for {
 		var block *pem.Block
-		if block, rest = pem.Decode(rest); block == nil {
-			if len(bytes.TrimSpace(rest)) > 0 {
-				return nil, errors.New("a list of what was taken back is cut off")
-			}
-			return store, nil
+		block, lists = pem.Decode(lists)
+		if block == nil {
+			break
 		}
-		if err := store.addRevocationList(block.Bytes, grace, now); err != nil {
+		if err := store.addRevocationList(block.Bytes, now); err != nil {
 			return nil, err
 		}
 	}
+	if len(bytes.TrimSpace(lists)) > 0 {
+		return nil, errors.New("a list of what was taken back is cut off")
+	}
+	return store, nil
 }
 
-// Roots is the authorities, as a server tells them to its clients.
-func (t *TrustStore) Roots() *x509.CertPool { return t.roots }
+// Roots is the authorities, as a server names them to its clients.
+func (s *TrustStore) Roots() *x509.CertPool { return s.roots }
--- a/internal/cli/cert.go
+++ b/internal/cli/cert.go
@@ -96,7 +96,11 @@
 	if name == "" {
 		name = filepath.Base(c.Path)
 	}
-	pair, err := authority.Issue(certs.Subject{CommonName: name, URIs: c.URI, Hosts: c.Host}, c.Server, time.Now(), c.Validity)
+	issue := authority.IssueClient
+	if c.Server {
+		issue = authority.IssueServer
+	}
+	pair, err := issue(certs.Subject{CommonName: name, URIs: c.URI, Hosts: c.Host}, time.Now(), c.Validity)
 	if err != nil {
 		return err
 	}
--- a/internal/lifecycle/operatorfiles.go
+++ b/internal/lifecycle/operatorfiles.go
@@ -93,7 +93,8 @@
 			return nil, err
 		}
 	}
-	if authnConfig.TrustStore, err = certs.NewTrustStore(authorities, lists, t.RevocationGrace, t.AllowStaleRevocations, time.Now()); err != nil {
+	policy := certs.RevocationPolicy{Grace: t.RevocationGrace, AllowStale: t.AllowStaleRevocations}
+	if authnConfig.TrustStore, err = certs.NewTrustStore(authorities, lists, policy, time.Now()); err != nil {
 		return nil, diagnostic.List{{File: t.AuthoritiesFile, Want: err.Error()}}
 	}
 	serverConfig.ClientCAs = authnConfig.TrustStore.Roots()
