--- a/internal/keyring/folder.go
+++ b/internal/keyring/folder.go
@@ -9,8 +9,8 @@
 	"lanewheel/internal/diagnostic"
 )
 
-// ReadFolder reads all files of a folder that end in .json, names with a dot in front left out: what is still being written
-// has such a name.
+// ReadFolder reads all files of a folder whose names end in .json, by their paths. Names that begin with a dot are left
+// out: a file that is being written has one. Its errors are a diagnostic.List.
 func ReadFolder(path string) (map[string][]byte, error) {
 	entries, err := os.ReadDir(path)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return files, nil
 }
 
-// LoadSet reads the set of a folder.
+// LoadSet reads the set of a folder. Its errors are a diagnostic.List.
 func LoadSet(path string) (*KeySet, error) {
 	files, err := ReadFolder(path)
 	if err != nil {
--- a/internal/keyring/generate.go
+++ b/internal/keyring/generate.go
@@ -26,14 +26,14 @@
 	case jose.ES256:
 		private, err = ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	case jose.RS256:
-		private, err = rsa.GenerateKey(rand.Reader, 2048)
+		private, err = rsa.GenerateKey(rand.Reader, minRSABits)
 	default:
 		return nil, fmt.Errorf("algorithm %q: wants EdDSA, ES256 or RS256", algorithm)
 	}
 	if err != nil {
 		return nil, err
 	}
-	key := &jose.JSONWebKey{Key: private, Algorithm: algorithm, Use: "sig"}
+	key := &jose.JSONWebKey{Key: private, Algorithm: algorithm, Use: signatureUse}
 	thumbprint, err := key.Thumbprint(crypto.SHA256)
 	if err != nil {
 		return nil, err
@@ -42,7 +42,8 @@
 	return key, nil
 }
 
-// EncodePublic gives the text of a set with the public half of a key and the times between which it counts; zero ones are none.
+// EncodePublic gives the text of a set with the public half of a key and the times between which it counts. A zero time
+// is none.
 func EncodePublic(key jose.JSONWebKey, notBefore, retireAt time.Time, withdrawn bool) ([]byte, error) {
 	public := key.Public()
 	text, err := public.MarshalJSON()
@@ -54,19 +55,19 @@
 		return nil, err
 	}
 	if !notBefore.IsZero() {
-		members["nbf"] = notBefore.Unix()
+		members[notBeforeMember] = notBefore.Unix()
 	}
 	if !retireAt.IsZero() {
-		members["exp"] = retireAt.Unix()
+		members[retireAtMember] = retireAt.Unix()
 	}
 	if withdrawn {
-		members["withdrawn"] = true
+		members[withdrawnMember] = true
 	}
 	set, err := json.MarshalIndent(map[string]any{"keys": []any{members}}, "", " ")
 	return append(set, '\n'), err
 }
 
-// LoadPrivateKey reads a private key's file.
+// LoadPrivateKey reads a private key's file. Its errors hold nothing of the key.
 func LoadPrivateKey(path string) (jose.JSONWebKey, error) {
 	var key jose.JSONWebKey
 	text, err := os.ReadFile(path)
@@ -74,7 +75,7 @@
 		return key, err
 	}
 	if err := key.UnmarshalJSON(text); err != nil || key.IsPublic() || !key.Valid() {
-		return key, fmt.Errorf("%s: wants a private key as \"keys new\" writes it", path) // never what stands in it
+		return key, fmt.Errorf("%s: wants a private key as \"keys new\" writes it", path)
 	}
 	return key, nil
 }
--- a/internal/keyring/golden_test.go
+++ b/internal/keyring/golden_test.go
@@ -34,51 +34,66 @@
 // A folder of published keys reads with all that each says, and each file is written again to the byte.
 func TestGoldenPublished(t *testing.T) {
 	set := setuptest.Must(LoadSet("testdata/golden"))
-	from, until := time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC), time.Date(2066, 1, 1, 0, 0, 0, 0, time.UTC)
-	want := []struct {
-		id          KeyID
-		algorithm   jose.SignatureAlgorithm
-		from, until time.Time
-		withdrawn   bool
-		early, late authz.Denial // a second before the first moment, and at the last
-		between     authz.Denial
+	from := time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
+	until := time.Date(2066, 1, 1, 0, 0, 0, 0, time.UTC)
+	wanted := []struct {
+		key    Key          // without its public half
+		early  authz.Denial // a second before from
+		during authz.Denial
+		late   authz.Denial // at until
 	}{
-		{id: "ed", algorithm: jose.EdDSA, from: from, until: until, early: "early-key", late: "retired-key"},
-		{id: "es", algorithm: jose.ES256},
-		{id: "rs", algorithm: jose.RS256, withdrawn: true, early: "withdrawn-key", late: "withdrawn-key",
-			between: "withdrawn-key"},
+		{
+			key:   Key{ID: "ed", Algorithm: jose.EdDSA, NotBefore: from, RetireAt: until},
+			early: "early-key",
+			late:  "retired-key",
+		},
+		{key: Key{ID: "es", Algorithm: jose.ES256}},
+		{
+			key:    Key{ID: "rs", Algorithm: jose.RS256, Withdrawn: true},
+			early:  "withdrawn-key",
+			during: "withdrawn-key",
+			late:   "withdrawn-key",
+		},
 	}
 	all := set.Keys()
-	if len(all) != len(want) {
-		t.Fatalf("%d keys", len(all))
+	if len(all) != len(wanted) {
+		t.Fatalf("%d keys, want %d", len(all), len(wanted))
 	}
-	for i, w := range want {
-		k := all[i]
-		if k.ID != w.id || k.Algorithm != w.algorithm || !k.NotBefore.Equal(w.from) || !k.RetireAt.Equal(w.until) ||
-			k.Withdrawn != w.withdrawn ||
-			filepath.Base(k.File) != string(w.id)+".json" {
-			t.Errorf("%s reads as %+v", w.id, k)
+	for i, want := range wanted {
+		got := all[i]
+		if got.ID != want.key.ID || got.Algorithm != want.key.Algorithm || got.Withdrawn != want.key.Withdrawn ||
+			!got.NotBefore.Equal(want.key.NotBefore) || !got.RetireAt.Equal(want.key.RetireAt) ||
+			filepath.Base(got.File) != string(want.key.ID)+".json" {
+			t.Errorf("%s reads as %+v", want.key.ID, got)
 		}
-		for at, why := range map[time.Time]authz.Denial{from.Add(-time.Second): w.early, start: w.between, until: w.late} {
-			if got := k.CheckTime(at); got != why {
-				t.Errorf("%s at %v: %q, want %q", w.id, at, got, why)
+		for at, denial := range map[time.Time]authz.Denial{
+			from.Add(-time.Second): want.early,
+			start:                  want.during,
+			until:                  want.late,
+		} {
+			if checked := got.CheckTime(at); checked != denial {
+				t.Errorf("%s at %v: %q, want %q", got.ID, at, checked, denial)
 			}
 		}
-		path := filepath.Join("testdata/golden", string(w.id))
+		path := filepath.Join("testdata/golden", string(got.ID))
 		private := setuptest.Must(LoadPrivateKey(path + ".private"))
-		text := setuptest.Must(EncodePublic(private, k.NotBefore, k.RetireAt, k.Withdrawn))
+		text := setuptest.Must(EncodePublic(private, got.NotBefore, got.RetireAt, got.Withdrawn))
 		if stored := setuptest.Must(os.ReadFile(path + ".json")); !bytes.Equal(text, stored) {
-			t.Errorf("%s is published as\n%swant\n%s", w.id, text, stored)
+			t.Errorf("%s is published as\n%swant\n%s", got.ID, text, stored)
 		}
 	}
 }
 
-// The names and reasons that are spoken, in answers, logs and listings.
+// The denials that are spoken, in answers, logs and listings.
 func TestGoldenReasons(t *testing.T) {
-	for reason, want := range map[authz.Denial]string{UnknownKey: "unknown-key", notYetValid: "early-key",
-		retired: "retired-key", Withdrawn: "withdrawn-key"} {
-		if string(reason) != want {
-			t.Errorf("%q, want %q", reason, want)
+	for denial, want := range map[authz.Denial]string{
+		UnknownKey:  "unknown-key",
+		notYetValid: "early-key",
+		retired:     "retired-key",
+		Withdrawn:   "withdrawn-key",
+	} {
+		if string(denial) != want {
+			t.Errorf("%q, want %q", denial, want)
 		}
 	}
 }
--- a/internal/keyring/key.go
+++ b/internal/keyring/key.go
@@ -1,5 +1,6 @@
-// Package keyring holds the keys that tokens are signed with: read whole or not at all from a folder of JWK sets (RFC 7517),
-// each key with the times between which it counts. What is decided here is pure; folder.go reads and writes files.
+// Package keyring holds the keys that tokens are signed with: read whole or not at all from a folder of JWK sets (RFC
+// 7517), each key with the times between which it counts. Decisions do no I/O and take the time as an argument; the
+// functions of folder.go, generate.go and writefile.go read and write files.
 package keyring
 
 import (
@@ -14,15 +15,15 @@
 // KeyID is a key's kid.
 type KeyID string
 
-// The reasons for which a key does not count.
+// Why a key does not count.
 const (
 	UnknownKey  authz.Denial = "unknown-key"   // no file has it
-	notYetValid authz.Denial = "early-key"     // published, but its time has not come
+	notYetValid authz.Denial = "early-key"     // it is published, but its time has not come
 	retired     authz.Denial = "retired-key"   // its time is over
-	Withdrawn   authz.Denial = "withdrawn-key" // taken back before its time, or its file is gone
+	Withdrawn   authz.Denial = "withdrawn-key" // withdrawn before its time was over, or its file is gone
 )
 
-// Key is one public key.
+// Key is one public key. It never changes.
 type Key struct {
 	ID        KeyID
 	Algorithm jose.SignatureAlgorithm // the only one that it counts for
@@ -33,7 +34,8 @@
 	File      string
 }
 
-// CheckTime tells whether a key counts at a moment. It is a told time, the same for all instances, whenever they read the file.
+// CheckTime tells why a key does not count at a moment, empty if it does. That is the same for all instances, whenever
+// they read the file.
 func (k *Key) CheckTime(wall time.Time) authz.Denial {
 	switch {
 	case k.Withdrawn:
--- a/internal/keyring/keyring.go
+++ b/internal/keyring/keyring.go
@@ -4,71 +4,60 @@
 	"time"
 
 	"lanewheel/internal/authz"
+	"lanewheel/internal/boundedmap"
 )
 
-// Keyring is the set in force, and when the folder is looked at again. It belongs to the owner loop.
+// maxRememberedIDs bounds the ids that are no keys, or no longer: forged ones evict each other, and cost at most a read
+// of the folder.
+const maxRememberedIDs = 1024
+
+// Keyring is the set in force, and decides when the folder is read again. It belongs to the event loop.
 type Keyring struct {
-	set            *KeySet
-	generation     uint64
-	removed        map[KeyID]bool          // keys that were in force and whose files are gone
-	removedOrder   []KeyID                 // the oldest first
-	notFound       map[KeyID]time.Duration // when a look that did not find it was begun
-	notFoundOrder  []KeyID
-	reloadInterval time.Duration // between looks for unknown keys
-	reloadStarted  time.Duration // when the last look was begun
+	set      *KeySet                              // nil: no keys
+	removed  boundedmap.Map[KeyID, struct{}]      // keys that were in force and whose files are gone
+	notFound boundedmap.Map[KeyID, time.Duration] // ids that a read did not find, and when it was begun
+
+	reloadInterval time.Duration // between two reads for unknown keys
+	reloadStarted  time.Duration // when the last one was begun
 	reloading      bool
 	everReloaded   bool
 }
 
-// maxRememberedIDs is how many ids that are no keys are noted: forged ones push each other out, and cost a look at most.
-const maxRememberedIDs = 1024
-
-// NewKeyring starts with a set. every is the least time between two looks at the folder for unknown keys.
+// NewKeyring starts with a set. reloadInterval is the least time between two reads of the folder for unknown keys.
 func NewKeyring(set *KeySet, reloadInterval time.Duration) *Keyring {
-	return &Keyring{set: set, generation: 1, reloadInterval: reloadInterval, removed: map[KeyID]bool{}, notFound: map[KeyID]time.Duration{}}
+	return &Keyring{set: set, reloadInterval: reloadInterval}
 }
 
-// Generation changes with each set that is another one.
-func (r *Keyring) Generation() uint64 { return r.generation }
-
-// Reloading tells whether a look is under way.
+// Reloading tells whether a read of the folder is under way.
 func (r *Keyring) Reloading() bool { return r.reloading }
 
 // Set is the one in force.
 func (r *Keyring) Set() *KeySet { return r.set }
 
-// Replace puts a new set in force and tells whether it is another one. Keys that are no longer in it count as withdrawn.
+// Replace puts a set in force and tells whether it is another one. Keys that are no longer in it count as withdrawn.
 func (r *Keyring) Replace(set *KeySet) bool {
 	if r.set != nil && set != nil && r.set.digest == set.digest {
 		return false
 	}
 	for _, old := range r.set.Keys() {
-		if set.Find(old.ID) == nil && !r.removed[old.ID] {
-			r.removed[old.ID] = true
-			r.removedOrder = append(r.removedOrder, old.ID)
-			if len(r.removedOrder) > maxRememberedIDs {
-				delete(r.removed, r.removedOrder[0])
-				r.removedOrder = r.removedOrder[1:]
-			}
+		if set.Find(old.ID) == nil {
+			r.removed.Put(old.ID, struct{}{}, maxRememberedIDs)
 		}
 	}
 	r.set = set
-	r.generation++
-	clear(r.notFound)
-	r.notFoundOrder = r.notFoundOrder[:0]
+	r.notFound.Clear()
 	return true
 }
 
-// Find tells of a key at a moment: nil with the reason if it does not count then.
+// Find gives a key that counts at a moment, or why there is none.
 func (r *Keyring) Find(id KeyID, wall time.Time) (*Key, authz.Denial) {
-	key := r.set.Find(id)
-	switch {
-	case key != nil:
+	if key := r.set.Find(id); key != nil {
 		if denial := key.CheckTime(wall); denial != "" {
 			return nil, denial
 		}
 		return key, ""
-	case r.removed[id]:
+	}
+	if _, removed := r.removed.Get(id); removed {
 		return nil, Withdrawn
 	}
 	return nil, UnknownKey
@@ -77,44 +66,44 @@
 // UnknownKeyAction is what an unknown key leads to.
 type UnknownKeyAction int
 
+// The actions.
 const (
-	Deny       UnknownKeyAction = iota // the folder was looked at for this key a moment ago
-	Reload                             // look at the folder now, and decide then
-	Await                              // a look is under way
-	RetryLater                         // the next look may be begun after a while
+	Deny       UnknownKeyAction = iota // the folder was read for this key a moment ago
+	Reload                             // read the folder now, and decide then
+	Await                              // a read is under way: decide when it is done
+	RetryLater                         // the next read may be begun after a while
 )
 
-// ResolveUnknown decides what an unknown key leads to: one look at the folder for all that ask, not one each. Danger: forged tokens
-// with ever new ids would keep the disk busy, and hold up a key that was published a moment ago.
+func (a UnknownKeyAction) String() string {
+	return [...]string{"deny", "reload", "await", "retry later"}[a]
+}
+
+// ResolveUnknown decides what an unknown key leads to; the duration is the delay with RetryLater. All that ask
+// share one read of the folder: forged tokens with ever new ids must neither keep the disk busy, nor hold up a key
+// that was just published.
 func (r *Keyring) ResolveUnknown(now time.Duration, id KeyID) (UnknownKeyAction, time.Duration) {
-	if at, recent := r.notFound[id]; recent && now-at < r.reloadInterval {
+	if at, recent := r.notFound.Get(id); recent && now-at < r.reloadInterval {
 		return Deny, 0
 	}
-	switch {
-	case r.reloading:
+	if r.reloading {
 		return Await, 0
-	case r.everReloaded && now-r.reloadStarted < r.reloadInterval:
-		return RetryLater, r.reloadInterval - (now - r.reloadStarted)
 	}
-	r.reloading, r.everReloaded, r.reloadStarted = true, true, now
+	if elapsed := now - r.reloadStarted; r.everReloaded && elapsed < r.reloadInterval {
+		return RetryLater, r.reloadInterval - elapsed
+	}
+	r.reloading = true
+	r.everReloaded = true
+	r.reloadStarted = now
 	return Reload, 0
 }
 
-// ReloadDone hears that a look is over, after Replace if it brought a set. Those ids that were sought and are still unknown are
-// denied for as long as no other look may begin.
+// ReloadDone ends a read of the folder; if it brought a set, Replace goes before it. Those of the sought ids that are
+// still unknown are denied until another read may be begun.
 func (r *Keyring) ReloadDone(sought []KeyID) {
 	r.reloading = false
 	for _, id := range sought {
-		if r.set.Find(id) != nil {
-			continue
-		}
-		if _, known := r.notFound[id]; !known {
-			r.notFoundOrder = append(r.notFoundOrder, id)
-			if len(r.notFoundOrder) > maxRememberedIDs {
-				delete(r.notFound, r.notFoundOrder[0])
-				r.notFoundOrder = r.notFoundOrder[1:]
-			}
+		if r.set.Find(id) == nil {
+			r.notFound.Put(id, r.reloadStarted, maxRememberedIDs)
 		}
-		r.notFound[id] = r.reloadStarted
 	}
 }
--- a/internal/keyring/keyring_test.go
+++ b/internal/keyring/keyring_test.go
@@ -18,51 +18,71 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// encodeTestKey makes a key's file; from and until are seconds after start, 0 for none.
-func encodeTestKey(id, algorithm string, from, until int, withdrawn bool) []byte {
-	k := setuptest.Must(GenerateKey(algorithm))
-	k.KeyID = id
-	at := func(s int) time.Time {
-		if s == 0 {
+// lifetime is when a key counts, in seconds after start; 0 is no bound.
+type lifetime struct{ from, until int }
+
+func (l lifetime) times() (notBefore, retireAt time.Time) {
+	at := func(seconds int) time.Time {
+		if seconds == 0 {
 			return time.Time{}
 		}
-		return start.Add(time.Duration(s) * time.Second)
+		return start.Add(time.Duration(seconds) * time.Second)
 	}
-	return setuptest.Must(EncodePublic(*k, at(from), at(until), withdrawn))
+	return at(l.from), at(l.until)
+}
+
+// encodeTestKey makes a key and gives the file that publishes it.
+func encodeTestKey(id, algorithm string, counts lifetime, withdrawn bool) []byte {
+	key := setuptest.Must(GenerateKey(algorithm))
+	key.KeyID = id
+	notBefore, retireAt := counts.times()
+	return setuptest.Must(EncodePublic(*key, notBefore, retireAt, withdrawn))
 }
 
-// A key counts from its not-before until its retire-at, to the moment; what was taken back, what is gone and what nobody
+// A key counts from its not-before until its retire-at, to the moment; what was withdrawn, what is gone and what nobody
 // knows are told apart.
 func Example_times() {
-	set := setuptest.Must(ParseSet(map[string][]byte{"a.json": encodeTestKey("a", "EdDSA", 10, 20, false), "b.json": encodeTestKey("b", "ES256", 0, 0, false),
-		"c.json": encodeTestKey("c", "RS256", 0, 0, true)}))
-	r := NewKeyring(set, time.Second)
-	for _, s := range []int{9, 10, 19, 20} {
-		_, why := r.Find("a", start.Add(time.Duration(s)*time.Second))
-		fmt.Printf("%d %q ", s, why)
+	set := setuptest.Must(ParseSet(map[string][]byte{
+		"a.json": encodeTestKey("a", "EdDSA", lifetime{10, 20}, false),
+		"b.json": encodeTestKey("b", "ES256", lifetime{}, false),
+		"c.json": encodeTestKey("c", "RS256", lifetime{}, true),
+	}))
+	ring := NewKeyring(set, time.Second)
+	for _, seconds := range []int{9, 10, 19, 20} {
+		_, denial := ring.Find("a", start.Add(time.Duration(seconds)*time.Second))
+		fmt.Printf("%d %q ", seconds, denial)
 	}
 	for _, id := range []KeyID{"b", "c", "d"} {
-		_, why := r.Find(id, start)
-		fmt.Printf("%s %q ", id, why)
+		_, denial := ring.Find(id, start)
+		fmt.Printf("%s %q ", id, denial)
 	}
-	fmt.Println(r.Replace(set), r.Generation())
-	fmt.Println(r.Replace(setuptest.Must(ParseSet(map[string][]byte{"c.json": encodeTestKey("d", "EdDSA", 0, 0, false)}))), r.Generation())
-	_, gone := r.Find("b", start)
-	fmt.Println(gone)
+	fmt.Println(ring.Replace(set), ring.Set() == set)
+	other := setuptest.Must(ParseSet(map[string][]byte{"c.json": encodeTestKey("d", "EdDSA", lifetime{}, false)}))
+	fmt.Println(ring.Replace(other), ring.Set() == other)
+	_, denial := ring.Find("b", start)
+	fmt.Println(denial)
 	// Output:
-	// 9 "early-key" 10 "" 19 "" 20 "retired-key" b "" c "withdrawn-key" d "unknown-key" false 1
-	// true 2
+	// 9 "early-key" 10 "" 19 "" 20 "retired-key" b "" c "withdrawn-key" d "unknown-key" false true
+	// true true
 	// withdrawn-key
 }
 
 // What is wrong with a folder is told by file, line and name; with one thing wrong nothing of it counts.
 func Example_faults() {
-	good := string(encodeTestKey("a", "EdDSA", 0, 0, false))
+	good := string(encodeTestKey("a", "EdDSA", lifetime{}, false))
 	private := string(setuptest.Must(setuptest.Must(GenerateKey("EdDSA")).MarshalJSON()))
-	for _, text := range []string{`{"keys":[`, `{}`, `{"keys":[{"kty":"oct","kid":"s","k":"c2VjcmV0"}]}`, `{"keys":[` + private + `]}`,
-		strings.Replace(good, `"kid"`, `"nbf": 1800000000000, "kid"`, 1), strings.Replace(good, `"alg": "EdDSA"`, `"alg": "RS256"`, 1),
-		strings.Replace(good, `"kid"`, `"kid": "z", "kid"`, 1), strings.Replace(good, `"a"`, `""`, 1),
-		strings.Replace(good, `"kid"`, `"nbf": 20, "exp": 10, "kid"`, 1)} {
+	changed := func(member, text string) string { return strings.Replace(good, member, text, 1) }
+	for _, text := range []string{
+		`{"keys":[`,
+		`{}`,
+		`{"keys":[{"kty":"oct","kid":"s","k":"c2VjcmV0"}]}`,
+		`{"keys":[` + private + `]}`,
+		changed(`"kid"`, `"nbf": 1800000000000, "kid"`),
+		changed(`"alg": "EdDSA"`, `"alg": "RS256"`),
+		changed(`"kid"`, `"kid": "z", "kid"`),
+		changed(`"a"`, `""`),
+		changed(`"kid"`, `"nbf": 20, "exp": 10, "kid"`),
+	} {
 		_, err := ParseSet(map[string][]byte{"f.json": []byte(text)})
 		fmt.Println(err)
 	}
@@ -81,39 +101,47 @@
 	// g.json:6: keys.0.kid: is "a", is a key of f.json too
 }
 
-// Ever so many unknown ids lead to one look a second; a key that is published after a look is found by the next.
+// Any number of unknown ids leads to one read a second; a key that is published after a read is found by the next.
 func Example_reloads() {
-	r := NewKeyring(setuptest.Must(ParseSet(nil)), time.Second)
-	say := func(now time.Duration, id KeyID) {
-		step, after := r.ResolveUnknown(now, id)
-		fmt.Print(now, " ", id, [...]string{" deny", " look", " await", " later "}[step], after, "; ")
+	ring := NewKeyring(setuptest.Must(ParseSet(nil)), time.Second)
+	resolve := func(now time.Duration, id KeyID) {
+		action, retryAfter := ring.ResolveUnknown(now, id)
+		fmt.Println(now, id, action, retryAfter)
 	}
-	say(0, "x")
-	say(0, "y")
-	r.ReloadDone([]KeyID{"x"})
-	say(0, "x")
-	say(300*time.Millisecond, "y")
-	say(time.Second, "y")
-	r.Replace(setuptest.Must(ParseSet(map[string][]byte{"y.json": encodeTestKey("y", "EdDSA", 0, 0, false)})))
-	r.ReloadDone([]KeyID{"y"})
-	_, why := r.Find("y", start)
-	fmt.Printf("%q\n", why)
-	looks := 0
+	resolve(0, "x")
+	resolve(0, "y")
+	ring.ReloadDone([]KeyID{"x"})
+	resolve(0, "x")
+	resolve(300*time.Millisecond, "y")
+	resolve(time.Second, "y")
+	published := map[string][]byte{"y.json": encodeTestKey("y", "EdDSA", lifetime{}, false)}
+	ring.Replace(setuptest.Must(ParseSet(published)))
+	ring.ReloadDone([]KeyID{"y"})
+	_, denial := ring.Find("y", start)
+	fmt.Printf("%q\n", denial)
+	reloads := 0
 	for i := range 100_000 {
-		if step, _ := r.ResolveUnknown(time.Duration(i)*100*time.Microsecond+2*time.Second, KeyID(fmt.Sprint(i))); step == Reload {
-			looks++
-			r.ReloadDone([]KeyID{KeyID(fmt.Sprint(i))})
+		id := KeyID(fmt.Sprint(i))
+		now := time.Duration(i)*100*time.Microsecond + 2*time.Second
+		if action, _ := ring.ResolveUnknown(now, id); action == Reload {
+			reloads++
+			ring.ReloadDone([]KeyID{id})
 		}
 	}
-	fmt.Println(looks, len(r.notFound) <= maxRememberedIDs)
+	fmt.Println(reloads, ring.notFound.Len() <= maxRememberedIDs)
 	// Output:
-	// 0s x look0s; 0s y await0s; 0s x deny0s; 300ms y later 700ms; 1s y look0s; ""
+	// 0s x reload 0s
+	// 0s y await 0s
+	// 0s x deny 0s
+	// 300ms y retry later 700ms
+	// 1s y reload 0s
+	// ""
 	// 10 true
 }
 
 // A file that is cut after any of its bytes is no set, or the same one; never another.
-func TestCut(t *testing.T) {
-	whole := encodeTestKey("a", "ES256", 10, 20, false)
+func TestTruncatedFile(t *testing.T) {
+	whole := encodeTestKey("a", "ES256", lifetime{10, 20}, false)
 	for n := range len(whole) {
 		set, err := ParseSet(map[string][]byte{"a.json": whole[:n]})
 		if err == nil && (len(set.Keys()) != 1 || !set.Find("a").RetireAt.Equal(start.Add(20*time.Second))) {
@@ -125,60 +153,82 @@
 // Files are replaced whole, private keys are for their owner, and what is being written is no part of the folder.
 func Example_write() {
 	dir := setuptest.Must(os.MkdirTemp("", "keys"))
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }() // left to the system if it fails
 	path := filepath.Join(dir, "a.json")
-	fmt.Println(WriteFileAtomic(path, encodeTestKey("a", "EdDSA", 0, 0, false), 0o600))
-	_ = os.WriteFile(filepath.Join(dir, ".b.json.new"), []byte("{"), 0o600)
+	fmt.Println(WriteFileAtomic(path, encodeTestKey("a", "EdDSA", lifetime{}, false), 0o600))
+	fmt.Println(os.WriteFile(filepath.Join(dir, ".b.json.new"), []byte("{"), 0o600))
 	fmt.Println(setuptest.Must(os.Stat(path)).Mode(), len(setuptest.Must(LoadSet(dir)).Keys()))
-	_ = os.WriteFile(filepath.Join(dir, "b.json"), bytes.Repeat([]byte{' '}, maxFileBytes+1), 0o600)
+	tooLong := bytes.Repeat([]byte{' '}, maxFileBytes+1)
+	fmt.Println(os.WriteFile(filepath.Join(dir, "b.json"), tooLong, 0o600))
 	_, err := LoadSet(dir)
 	fmt.Println(strings.ReplaceAll(err.Error(), dir, "DIR"))
 	// Output:
 	// <nil>
+	// <nil>
 	// -rw------- 1
+	// <nil>
 	// DIR/b.json: wants 262144 bytes or fewer
 }
 
-// The ring against a table of what was published when.
+// keyringModel is which keys are published, and which ever were.
+type keyringModel struct {
+	published map[string]lifetime
+	ever      map[string]bool
+}
+
+// drawReload draws the keys of another folder.
+func (m *keyringModel) drawReload(t *rapid.T) {
+	m.published = map[string]lifetime{}
+	for _, id := range []string{"a", "b", "c"} {
+		if rapid.Bool().Draw(t, "published") {
+			from := rapid.IntRange(1, 3).Draw(t, "from")
+			m.published[id] = lifetime{from, rapid.IntRange(4, 6).Draw(t, "until")}
+			m.ever[id] = true
+		}
+	}
+}
+
+func (m *keyringModel) denial(id string, seconds int) authz.Denial {
+	counts, published := m.published[id]
+	switch {
+	case !published && m.ever[id]:
+		return Withdrawn
+	case !published:
+		return UnknownKey
+	case seconds < counts.from:
+		return notYetValid
+	case seconds >= counts.until:
+		return retired
+	}
+	return ""
+}
+
+// The keyring against a table of what was published when.
 func TestKeyring(t *testing.T) {
-	type key struct{ from, until int }
-	pool := map[string][]byte{}
-	file := func(id string, k key) []byte {
-		name := fmt.Sprint(id, k)
-		if pool[name] == nil {
-			pool[name] = encodeTestKey(id, "EdDSA", k.from, k.until, false)
+	files := map[string][]byte{} // making a key takes a while
+	file := func(id string, counts lifetime) []byte {
+		name := fmt.Sprint(id, counts)
+		if files[name] == nil {
+			files[name] = encodeTestKey(id, "EdDSA", counts, false)
 		}
-		return pool[name]
+		return files[name]
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		r := NewKeyring(setuptest.Must(ParseSet(nil)), time.Second)
-		ever := map[string]bool{}
+		ring := NewKeyring(setuptest.Must(ParseSet(nil)), time.Second)
+		model := keyringModel{ever: map[string]bool{}}
 		for range rapid.IntRange(1, 6).Draw(t, "reloads") {
-			files := map[string][]byte{}
-			table := map[string]key{}
-			for _, id := range []string{"a", "b", "c"} {
-				if rapid.Bool().Draw(t, "there") {
-					k := key{rapid.IntRange(1, 3).Draw(t, "from"), rapid.IntRange(4, 6).Draw(t, "until")}
-					files[id+".json"], table[id] = file(id, k), k
-					ever[id] = true
-				}
+			model.drawReload(t)
+			folder := map[string][]byte{}
+			for id, counts := range model.published {
+				folder[id+".json"] = file(id, counts)
 			}
-			r.Replace(setuptest.Must(ParseSet(files)))
-			at := rapid.IntRange(0, 7).Draw(t, "at")
+			ring.Replace(setuptest.Must(ParseSet(folder)))
+			seconds := rapid.IntRange(0, 7).Draw(t, "seconds")
+			wall := start.Add(time.Duration(seconds) * time.Second)
 			for _, id := range []string{"a", "b", "c", "d"} {
-				want := authz.Denial("")
-				switch k, there := table[id]; {
-				case !there && ever[id]:
-					want = Withdrawn
-				case !there:
-					want = UnknownKey
-				case at < k.from:
-					want = notYetValid
-				case at >= k.until:
-					want = retired
-				}
-				if _, why := r.Find(KeyID(id), start.Add(time.Duration(at)*time.Second)); why != want {
-					t.Fatalf("%s at %d: %q, want %q", id, at, why, want)
+				want := model.denial(id, seconds)
+				if _, denial := ring.Find(KeyID(id), wall); denial != want {
+					t.Fatalf("%s at %d: %q, want %q", id, seconds, denial, want)
 				}
 			}
 		}
@@ -186,17 +236,35 @@
 }
 
 func FuzzRead(f *testing.F) {
-	f.Add(encodeTestKey("a", "EdDSA", 1, 2, false))
+	f.Add(encodeTestKey("a", "EdDSA", lifetime{1, 2}, false))
 	f.Add([]byte(`{"keys":[{"kty":"oct","k":"AA","kid":"x"},{"kty":"RSA","n":"AQ","e":"AQAB","kid":"y","x5c":["AA"]}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		set, err := ParseSet(map[string][]byte{"f.json": text})
 		if err != nil {
 			return
 		}
-		for _, k := range set.Keys() {
-			if k.ID == "" || k.PublicKey == nil || k.Algorithm == "" {
-				t.Fatalf("a key without what it needs: %+v", k)
+		for _, key := range set.Keys() {
+			if key.ID == "" || key.PublicKey == nil || key.Algorithm == "" {
+				t.Fatalf("a key without what it needs: %+v", key)
 			}
 		}
 	})
 }
+
+func TestSamePublicKey(t *testing.T) {
+	parse := func(text []byte) *Key {
+		return setuptest.Must(ParseSet(map[string][]byte{"a.json": text})).Find("a")
+	}
+	key := setuptest.Must(GenerateKey("EdDSA"))
+	key.KeyID = "a"
+	first := parse(setuptest.Must(EncodePublic(*key, time.Time{}, time.Time{}, false)))
+	later := parse(setuptest.Must(EncodePublic(*key, start, time.Time{}, false)))
+	if !first.SamePublicKey(later) {
+		t.Error("a key with another time is another one")
+	}
+	for _, algorithm := range []string{"EdDSA", "ES256"} {
+		if other := parse(encodeTestKey("a", algorithm, lifetime{}, false)); first.SamePublicKey(other) {
+			t.Errorf("another key, of %s, is the same one", algorithm)
+		}
+	}
+}
--- a/internal/keyring/parse.go
+++ b/internal/keyring/parse.go
@@ -5,11 +5,9 @@
 	"crypto/ed25519"
 	"crypto/elliptic"
 	"crypto/rsa"
-	"crypto/sha256"
 	"encoding/json"
+	"errors"
 	"fmt"
-	"maps"
-	"slices"
 	"strconv"
 	"time"
 
@@ -18,45 +16,47 @@
 	"lanewheel/internal/diagnostic"
 )
 
-// extensions is what stands in a published key beside what RFC 7517 knows.
+// Members of a published key beside those of RFC 7517.
+const (
+	notBeforeMember = "nbf" // seconds since 1970
+	retireAtMember  = "exp" // seconds since 1970
+	withdrawnMember = "withdrawn"
+)
+
+const (
+	signatureUse = "sig" // the only use of a key, in its member of that name
+
+	maxUnixSeconds = 3e10 // far beyond any time that is meant, and far below one in milliseconds
+
+	minRSABits = 2048 // shorter ones are weak
+	maxRSABits = 4096 // longer ones take too long to verify with
+)
+
+// extensions are the members of a published key beside those of RFC 7517.
 type extensions struct {
 	NotBefore *float64 `json:"nbf"`
 	RetireAt  *float64 `json:"exp"`
 	Withdrawn bool     `json:"withdrawn"`
 }
 
-// ParseSet makes a set of files, by their names. All of them have to be right. The error is a fault.List.
-func ParseSet(files map[string][]byte) (*KeySet, error) {
-	set := &KeySet{keys: map[KeyID]*Key{}}
+// addFile adds the keys of one file, and gives all that is wrong with it.
+func (s *KeySet) addFile(name string, text []byte) diagnostic.List {
 	var diagnostics diagnostic.List
-	digest := sha256.New()
-	for _, name := range slices.Sorted(maps.Keys(files)) {
-		text := files[name]
-		fmt.Fprintf(digest, "%q%d:", name, len(text))
-		digest.Write(text)
-		diagnostics = append(diagnostics, set.addFile(name, text)...)
-	}
-	if len(set.keys) > maxKeys {
-		diagnostics = append(diagnostics, diagnostic.Diagnostic{File: "keys", Value: strconv.Itoa(len(set.keys)), Want: fmt.Sprintf("wants %d keys or fewer", maxKeys)})
-	}
-	if err := diagnostics.Err(); err != nil {
-		return nil, err
-	}
-	digest.Sum(set.digest[:0])
-	return set, nil
-}
-
-// addFile takes the keys of one file in.
-func (s *KeySet) addFile(name string, text []byte) (diagnostics diagnostic.List) {
 	lines, duplicates := diagnostic.JSONLines(text)
 	report := func(path, value, want string) {
-		diagnostics = append(diagnostics, diagnostic.Diagnostic{File: name, Line: lines[path], Name: path, Value: value, Want: want})
+		diagnostics = append(diagnostics, diagnostic.Diagnostic{
+			File:  name,
+			Line:  lines[path],
+			Name:  path,
+			Value: value,
+			Want:  want,
+		})
 	}
 	if len(text) > maxFileBytes {
 		report("", strconv.Itoa(len(text)), fmt.Sprintf("wants %d bytes or fewer", maxFileBytes))
 		return diagnostics
 	}
-	for _, path := range duplicates { // Danger: readers that differ in which of the two they believe
+	for _, path := range duplicates { // readers differ in which of the two they take
 		report(path, "", "stands twice")
 	}
 	var set struct {
@@ -71,9 +71,9 @@
 	}
 	for i, raw := range set.Keys {
 		path := fmt.Sprintf("keys.%d", i)
-		key, want := parseKey(raw)
-		if want != "" {
-			report(path, "", want)
+		key, err := parseKey(raw)
+		if err != nil {
+			report(path, "", err.Error())
 			continue
 		}
 		if other := s.keys[key.ID]; other != nil {
@@ -86,61 +86,73 @@
 	return diagnostics
 }
 
-// parseKey takes one key apart, or tells what is wanted of it.
-func parseKey(raw json.RawMessage) (*Key, string) {
+// parseKey reads one key. Its error says what is wanted of it.
+func parseKey(raw json.RawMessage) (*Key, error) {
 	var jwk jose.JSONWebKey
 	if err := jwk.UnmarshalJSON(raw); err != nil {
-		return nil, "can't be read: " + err.Error()
+		return nil, fmt.Errorf("can't be read: %w", err)
 	}
 	var extra extensions
 	if err := json.Unmarshal(raw, &extra); err != nil {
-		return nil, "can't be read: " + err.Error()
+		return nil, fmt.Errorf("can't be read: %w", err)
 	}
 	if jwk.KeyID == "" {
-		return nil, "wants a kid"
+		return nil, errors.New("wants a kid")
 	}
-	// Danger: a private key left where all instances read, and whoever else can.
+	// All instances read the folder, and whoever else can: a private key in it is no secret any more.
 	if !jwk.IsPublic() {
-		return nil, "wants a public key; this one is private or shared, and has to be replaced"
+		return nil, errors.New("wants a public key; this one is private or shared, and has to be replaced")
 	}
-	if jwk.Use != "" && jwk.Use != "sig" {
-		return nil, `wants the use "sig"`
+	if jwk.Use != "" && jwk.Use != signatureUse {
+		return nil, fmt.Errorf("wants the use %q", signatureUse)
 	}
 	key := &Key{ID: KeyID(jwk.KeyID), PublicKey: jwk.Key, Withdrawn: extra.Withdrawn}
-	for _, bound := range []struct {
-		from *float64
-		to   *time.Time
-	}{{extra.NotBefore, &key.NotBefore}, {extra.RetireAt, &key.RetireAt}} {
-		if bound.from == nil {
-			continue
-		}
-		// Danger: a time in milliseconds, or none that anybody meant, would keep a key for ever.
-		if *bound.from <= 0 || *bound.from > 3e10 {
-			return nil, "wants nbf and exp in seconds since 1970"
-		}
-		*bound.to = time.UnixMilli(int64(*bound.from * 1e3))
+	var err error
+	if key.NotBefore, err = unixTime(extra.NotBefore); err != nil {
+		return nil, err
+	}
+	if key.RetireAt, err = unixTime(extra.RetireAt); err != nil {
+		return nil, err
+	}
+	if key.Algorithm, err = algorithmOf(jwk.Key); err != nil {
+		return nil, err
+	}
+	if jwk.Algorithm != "" && jwk.Algorithm != string(key.Algorithm) {
+		return nil, fmt.Errorf("wants the alg %s, which is what such a key is for", key.Algorithm)
 	}
-	switch public := jwk.Key.(type) {
+	if !key.RetireAt.IsZero() && !key.NotBefore.Before(key.RetireAt) {
+		return nil, errors.New("wants an exp after its nbf")
+	}
+	return key, nil
+}
+
+// unixTime gives the time of a member in seconds; nil: the zero time. A time in milliseconds, or one that nobody meant,
+// would keep a key for ever.
+func unixTime(seconds *float64) (time.Time, error) {
+	if seconds == nil {
+		return time.Time{}, nil
+	}
+	if *seconds <= 0 || *seconds > maxUnixSeconds {
+		return time.Time{}, errors.New("wants nbf and exp in seconds since 1970")
+	}
+	return time.UnixMilli(int64(*seconds * 1e3)), nil
+}
+
+// algorithmOf gives the one algorithm that a public key counts for.
+func algorithmOf(public any) (jose.SignatureAlgorithm, error) {
+	switch public := public.(type) {
 	case ed25519.PublicKey:
-		key.Algorithm = jose.EdDSA
+		return jose.EdDSA, nil
 	case *ecdsa.PublicKey:
 		if public.Curve != elliptic.P256() {
-			return nil, "wants the curve P-256"
+			return "", errors.New("wants the curve P-256")
 		}
-		key.Algorithm = jose.ES256
+		return jose.ES256, nil
 	case *rsa.PublicKey:
-		if bits := public.N.BitLen(); bits < 2048 || bits > 4096 { // below it is weak, above it takes our time
-			return nil, "wants a modulus of 2048 to 4096 bits"
+		if bits := public.N.BitLen(); bits < minRSABits || bits > maxRSABits {
+			return "", fmt.Errorf("wants a modulus of %d to %d bits", minRSABits, maxRSABits)
 		}
-		key.Algorithm = jose.RS256
-	default:
-		return nil, "wants a key of Ed25519, P-256 or RSA"
-	}
-	if jwk.Algorithm != "" && jwk.Algorithm != string(key.Algorithm) {
-		return nil, fmt.Sprintf("wants the alg %s, which is what such a key is for", key.Algorithm)
-	}
-	if !key.RetireAt.IsZero() && !key.NotBefore.Before(key.RetireAt) {
-		return nil, "wants an exp after its nbf"
+		return jose.RS256, nil
 	}
-	return key, ""
+	return "", errors.New("wants a key of Ed25519, P-256 or RSA")
 }
--- a/internal/tokens/cache.go
+++ b/internal/tokens/cache.go
@@ -79,23 +79,6 @@
 	expiresAt  time.Duration
 }
 
-// denialCache holds bad tokens; the oldest makes room.
-type denialCache struct {
-	entries map[tokenDigest]cachedDenial
-	order   []tokenDigest // the oldest first
-}
-
-func (c *denialCache) add(digest tokenDigest, entry cachedDenial, limit int) {
-	if _, known := c.entries[digest]; !known {
-		c.order = append(c.order, digest)
-		if len(c.order) > max(1, limit) {
-			delete(c.entries, c.order[0])
-			c.order = c.order[1:]
-		}
-	}
-	c.entries[digest] = entry
-}
-
 // permanent tells whether a denial stays true of a token whatever the time. One that was denied a moment too early must
 // not stay denied when its time has come.
 func permanent(denial authz.Denial) bool {
@@ -121,7 +104,7 @@
 		v.cache.remove(entry)
 		return nil, "", false
 	}
-	earlier, denied := v.denials.entries[digest]
+	earlier, denied := v.denials.Get(digest)
 	if denied && earlier.generation == v.generation && now < earlier.expiresAt {
 		return nil, earlier.denial, true
 	}
--- a/internal/tokens/check.go
+++ b/internal/tokens/check.go
@@ -128,7 +128,7 @@
 	if result.Denial != "" {
 		if permanent(result.Denial) {
 			entry := cachedDenial{denial: result.Denial, generation: v.generation, expiresAt: now + denialTTL}
-			v.denials.add(digest, entry, v.limits.MaxCached)
+			v.denials.Put(digest, entry, v.limits.MaxCached)
 		}
 		v.resolve(pending, Verdict{Denial: result.Denial})
 		return Step{}
--- a/internal/tokens/verifier.go
+++ b/internal/tokens/verifier.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"lanewheel/internal/authz"
+	"lanewheel/internal/boundedmap"
 	"lanewheel/internal/keyring"
 )
 
@@ -26,7 +27,7 @@
 	generation  uint64 // counts changes of keys, policy and revocations
 
 	cache     cache
-	denials   denialCache
+	denials   boundedmap.Map[tokenDigest, cachedDenial]
 	budget    cpuBudget
 	singleUse singleUseIDs
 	checks    pendingChecks
@@ -41,7 +42,6 @@
 		limits:      limits,
 		generation:  1,
 		cache:       cache{entries: map[tokenDigest]*CachedToken{}},
-		denials:     denialCache{entries: map[tokenDigest]cachedDenial{}},
 		budget:      newCPUBudget(limits.CPUFraction),
 		singleUse:   newSingleUseIDs(limits.MaxSingleUseIDs),
 		checks:      pendingChecks{byDigest: map[tokenDigest]*pendingCheck{}},
@@ -80,5 +80,5 @@
 
 // CacheSizes is how many good tokens and how many denials are cached.
 func (v *Verifier) CacheSizes() (cached, denied int) {
-	return len(v.cache.entries), len(v.denials.entries)
+	return len(v.cache.entries), v.denials.Len()
 }
