--- /dev/null
+++ b/internal/certs/chain.go
@@ -0,0 +1,104 @@
+package certs
+
+import (
+	"crypto/sha256"
+	"crypto/x509"
+	"errors"
+	"time"
+
+	"lanewheel/internal/authz"
+)
+
+// VerifiedChain is a chain that was verified up to its authority. Recheck changes it: it belongs to one goroutine.
+type VerifiedChain struct {
+	Identities  []authz.Identity    // by URI, then by DNS name, then by the subject
+	chain       []*x509.Certificate // the client's own certificate first, the authority's last
+	trustDigest [sha256.Size]byte   // of the authorities that it was verified by
+	notBefore   time.Time
+	notAfter    time.Time
+	listExpiry  time.Time // when the first revocation list of its issuers is stale; zero: never
+}
+
+// Verify verifies a chain, the client's own certificate first.
+func (s *TrustStore) Verify(presented []*x509.Certificate, now time.Time) (*VerifiedChain, authz.Denial) {
+	if len(presented) == 0 {
+		return nil, noCertificate
+	}
+	intermediates := x509.NewCertPool()
+	for _, certificate := range presented[1:] {
+		intermediates.AddCert(certificate)
+	}
+	leaf := presented[0]
+	chains, err := leaf.Verify(x509.VerifyOptions{
+		Roots:         s.roots,
+		Intermediates: intermediates,
+		CurrentTime:   now,
+		KeyUsages:     []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth},
+	})
+	var invalid x509.CertificateInvalidError
+	switch {
+	case errors.As(err, &invalid) && invalid.Reason == x509.Expired:
+		return nil, expired
+	case err != nil:
+		return nil, Untrusted
+	}
+	verified := &VerifiedChain{
+		Identities:  identitiesOf(leaf),
+		chain:       chains[0],
+		trustDigest: s.digest,
+	}
+	verified.boundTimes()
+	return verified, s.checkRevocation(verified, now)
+}
+
+// identitiesOf gives all identities that a certificate proves, in the order in which they count.
+func identitiesOf(leaf *x509.Certificate) []authz.Identity {
+	var identities []authz.Identity
+	for _, uri := range leaf.URIs {
+		identities = append(identities, authz.NewIdentity(authz.URIIdentity, uri.String()))
+	}
+	for _, name := range leaf.DNSNames {
+		identities = append(identities, authz.NewIdentity(authz.DNSIdentity, name))
+	}
+	if subject := leaf.Subject.String(); subject != "" {
+		identities = append(identities, authz.NewIdentity(authz.SubjectIdentity, subject))
+	}
+	return identities
+}
+
+// boundTimes takes the times between which all certificates of the chain are valid.
+func (c *VerifiedChain) boundTimes() {
+	for _, certificate := range c.chain {
+		if c.notAfter.IsZero() || certificate.NotAfter.Before(c.notAfter) {
+			c.notAfter = certificate.NotAfter
+		}
+		if certificate.NotBefore.After(c.notBefore) {
+			c.notBefore = certificate.NotBefore
+		}
+	}
+}
+
+// ValidAt tells whether all certificates of the chain are valid at a moment and the revocation lists of their issuers
+// are not stale. Otherwise Recheck says whether the chain still counts.
+func (c *VerifiedChain) ValidAt(now time.Time) bool {
+	if now.Before(c.notBefore) || !now.Before(c.notAfter) {
+		return false
+	}
+	return c.listExpiry.IsZero() || now.Before(c.listExpiry)
+}
+
+// Recheck tells why a chain does not count now, empty if it does. It verifies signatures again only where the
+// authorities have changed since it was verified.
+func (s *TrustStore) Recheck(verified *VerifiedChain, now time.Time) authz.Denial {
+	if verified.trustDigest != s.digest {
+		again, denial := s.Verify(verified.chain, now)
+		if denial == "" {
+			*verified = *again
+		}
+		return denial
+	}
+	if now.Before(verified.notBefore) || !now.Before(verified.notAfter) {
+		return expired
+	}
+	return s.checkRevocation(verified, now)
+}
--- /dev/null
+++ b/internal/certs/keypair.go
@@ -0,0 +1,46 @@
+package certs
+
+import (
+	"crypto"
+	"crypto/x509"
+	"encoding/pem"
+	"errors"
+)
+
+// KeyPair is a certificate with its private key.
+type KeyPair struct {
+	Certificate *x509.Certificate
+	privateKey  crypto.Signer
+}
+
+// EncodePEM gives a pair as PEM: the certificate, and the private key in PKCS 8.
+func (p KeyPair) EncodePEM() (certificate, privateKey []byte, err error) {
+	der, err := x509.MarshalPKCS8PrivateKey(p.privateKey)
+	if err != nil {
+		return nil, nil, err
+	}
+	certificate = pem.EncodeToMemory(&pem.Block{Type: certificateBlock, Bytes: p.Certificate.Raw})
+	privateKey = pem.EncodeToMemory(&pem.Block{Type: privateKeyBlock, Bytes: der})
+	return certificate, privateKey, nil
+}
+
+// ParseKeyPair reads what EncodePEM gave. Its errors hold nothing of the private key.
+func ParseKeyPair(certificate, privateKey []byte) (KeyPair, error) {
+	certificates, err := ParseCertificates(certificate)
+	if err != nil {
+		return KeyPair{}, err
+	}
+	block, _ := pem.Decode(privateKey)
+	if block == nil {
+		return KeyPair{}, errors.New("wants a private key in PEM")
+	}
+	parsed, err := x509.ParsePKCS8PrivateKey(block.Bytes)
+	if err != nil {
+		return KeyPair{}, errors.New("wants a private key in PKCS 8")
+	}
+	signer, isSigner := parsed.(crypto.Signer)
+	if !isSigner {
+		return KeyPair{}, errors.New("wants a private key that signs")
+	}
+	return KeyPair{certificates[0], signer}, nil
+}
--- a/internal/lifecycle/operatorfiles.go
+++ b/internal/lifecycle/operatorfiles.go
@@ -132,8 +132,8 @@
 			return err
 		}
 	}
-	store, err := certs.NewTrustStore(
-		authorities, lists, section.RevocationGrace, section.AllowStaleRevocations, time.Now())
+	policy := certs.RevocationPolicy{Grace: section.RevocationGrace, AllowStale: section.AllowStaleRevocations}
+	store, err := certs.NewTrustStore(authorities, lists, policy, time.Now())
 	if err != nil {
 		return diagnostic.List{{File: section.AuthoritiesFile, Want: err.Error()}}
 	}
