--- a/internal/amqp/amqp_test.go
+++ b/internal/amqp/amqp_test.go
@@ -479,7 +479,7 @@
 
 func state(s *testbed) string {
 	say := make(chan string)
-	s.consumer.Post(func() { say <- s.consumer.flow.State("ops") })
+	s.consumer.Post(func() { say <- s.consumer.flow.State("ops").String() })
 	return <-say
 }
 
--- a/internal/amqp/delivery/acktracker.go
+++ b/internal/amqp/delivery/acktracker.go
@@ -1,75 +1,74 @@
 package delivery
 
-// AckTracker gathers the acks of one channel, so that many go as one. Danger: an ack of several covers everything before it, so it may
-// only cover what is done.
-type AckTracker struct{ unsettled []trackedDelivery }
+import (
+	"cmp"
+	"slices"
+)
+
+// AckTracker collects the acks of one channel, so that several deliveries are acked by one message. An ack of several
+// covers every unsettled delivery before it, so it may only cover deliveries that are all done. The zero value is
+// ready for use. It belongs to one goroutine.
+type AckTracker struct {
+	unsettled []trackedDelivery // by tag, ascending
+}
 
 type trackedDelivery struct {
 	tag   uint64
-	acked bool
+	acked bool // to be acked by the next Flush
 }
 
-// AckRange is one ack to send; Multiple: for all before it too.
+// AckRange is one ack to send.
 type AckRange struct {
 	Tag      uint64
-	Multiple bool
+	Multiple bool // for all unsettled deliveries before it, too
 }
 
-// Received notes a delivery; tags rise.
-func (a *AckTracker) Received(tag uint64) {
-	a.unsettled = append(a.unsettled, trackedDelivery{tag: tag})
+// Received notes a delivery. Tags ascend.
+func (t *AckTracker) Received(tag uint64) {
+	t.unsettled = append(t.unsettled, trackedDelivery{tag: tag})
 }
 
-// Acked marks a delivery to be acked. Drop takes one out that is settled otherwise; it tells whether it was in hand.
-func (a *AckTracker) Acked(tag uint64) {
-	if i := a.indexOf(tag); i >= 0 {
-		a.unsettled[i].acked = true
+// Acked marks a delivery to be acked.
+func (t *AckTracker) Acked(tag uint64) {
+	if i, found := t.find(tag); found {
+		t.unsettled[i].acked = true
 	}
 }
 
-func (a *AckTracker) Remove(tag uint64) bool {
-	i := a.indexOf(tag)
-	if i >= 0 {
-		a.unsettled = append(a.unsettled[:i], a.unsettled[i+1:]...)
+// Remove drops a delivery that is settled otherwise. It tells whether the delivery was unsettled.
+func (t *AckTracker) Remove(tag uint64) bool {
+	i, found := t.find(tag)
+	if found {
+		t.unsettled = slices.Delete(t.unsettled, i, i+1)
 	}
-	return i >= 0
+	return found
 }
 
-func (a *AckTracker) indexOf(tag uint64) int {
-	low, high := 0, len(a.unsettled)
-	for low < high {
-		if mid := (low + high) / 2; a.unsettled[mid].tag < tag {
-			low = mid + 1
-		} else {
-			high = mid
-		}
-	}
-	if low < len(a.unsettled) && a.unsettled[low].tag == tag {
-		return low
-	}
-	return -1
+func (t *AckTracker) find(tag uint64) (int, bool) {
+	return slices.BinarySearchFunc(t.unsettled, tag, func(d trackedDelivery, tag uint64) int {
+		return cmp.Compare(d.tag, tag)
+	})
 }
 
-// Len is how many deliveries are not settled.
-func (a *AckTracker) Len() int { return len(a.unsettled) }
-
-// Flush gives the acks to send: one for all up to the first that is not done, and one for each other that is.
-func (a *AckTracker) Flush() (acks []AckRange) {
-	n := 0
-	for n < len(a.unsettled) && a.unsettled[n].acked {
-		n++
+// Flush returns the acks to send: one for all deliveries up to the first that is not done, and one for each other
+// that is.
+func (t *AckTracker) Flush() []AckRange {
+	var acks []AckRange
+	done := 0
+	for done < len(t.unsettled) && t.unsettled[done].acked {
+		done++
 	}
-	if n > 0 {
-		acks = append(acks, AckRange{a.unsettled[n-1].tag, n > 1})
+	if done > 0 {
+		acks = append(acks, AckRange{Tag: t.unsettled[done-1].tag, Multiple: done > 1})
 	}
-	kept := a.unsettled[:0]
-	for _, delivery := range a.unsettled[n:] {
-		if delivery.acked {
-			acks = append(acks, AckRange{Tag: delivery.tag})
+	kept := t.unsettled[:0]
+	for _, d := range t.unsettled[done:] {
+		if d.acked {
+			acks = append(acks, AckRange{Tag: d.tag})
 		} else {
-			kept = append(kept, delivery)
+			kept = append(kept, d)
 		}
 	}
-	a.unsettled = kept
+	t.unsettled = kept
 	return acks
 }
--- a/internal/amqp/delivery/deduplicator.go
+++ b/internal/amqp/delivery/deduplicator.go
@@ -4,159 +4,192 @@
 	"time"
 )
 
-// MessageID is what a message is known again by: its message-id, or what was derived for it.
+// MessageID is what a message is recognized by: its message-id, or an id derived from its content.
 type MessageID string
 
-// DeliveryTag is one delivery, on one channel of one connection.
-type DeliveryTag struct {
-	ChannelID uint64 // each channel counts as one of its own
-	Number    uint64
+// Tag identifies one delivery: a number on one channel of one connection.
+type Tag struct {
+	ChannelID uint64 // drawn anew for each channel that is opened
+	Number    uint64 // the broker's delivery tag
 }
 
-// Deduplicator knows messages again that come twice. It is bounded by count and age; what it has forgotten comes as new, which
-// only what may run twice may do.
-type Deduplicator struct {
-	maxSettled   int
-	maxAge       time.Duration
-	records      map[MessageID]*record
-	settledOrder []*record // as they were settled, the oldest first
-}
-
-type record struct {
-	id         MessageID
-	digest     uint64 // of what it says
-	inFlight   bool
-	deliveries []DeliveryTag // deliveries that wait for its outcome
-	settledAt  time.Duration
-	confirmed  bool // its answer was confirmed
-	reply      any  // to be sent again if it was not
-	returned   bool // it was put back: it never ran here
-	returns    int  // how often that was
-}
-
-// NewDeduplicator remembers at most so many settled messages, each for at most so long.
-func NewDeduplicator(maxSettled int, maxAge time.Duration) *Deduplicator {
-	return &Deduplicator{maxSettled: max(1, maxSettled), maxAge: maxAge, records: map[MessageID]*record{}}
+// Arrival is one delivery of a message.
+type Arrival struct {
+	ID          MessageID
+	Digest      uint64 // of the message's content
+	Tag         Tag
+	Redelivered bool // the broker has delivered it before, here or to a peer
+	Idempotent  bool // its class may be executed twice
 }
 
 // Decision is what to do with a delivery.
 type Decision int
 
+// The decisions.
 const (
-	Process        Decision = iota // hand it in
-	Join                           // it waits for the outcome of one in hand
-	AlreadyReplied                 // answered and confirmed: only its ack was lost
-	ResendReply                    // answered, but nobody knows whether that arrived: the answer is sent again
-	Uncertain                      // it may have run, here or at a peer, and must not run again
+	Process        Decision = iota // submit it
+	Join                           // the message is in flight; the delivery is settled with it
+	AlreadyReplied                 // replied and confirmed: only the ack was lost
+	ResendReply                    // replied, but whether the reply reached the broker is unknown: publish it again
+	Uncertain                      // it may have been executed, here or at a peer, and must not be executed again
 	IDConflict                     // another message has its id
 )
 
-// Receive decides what to do with a delivery. Danger: a connection that drops brings all unsettled messages back; whatever of them
-// runs, or has run, must not run twice where that does harm, and each is answered once.
-func (m *Deduplicator) Receive(now time.Duration, id MessageID, digest uint64, tag DeliveryTag, redelivered, idempotent bool) (Decision, any) {
-	m.evict(now)
-	r := m.records[id]
-	switch {
-	case r == nil:
-		m.records[id] = &record{id: id, digest: digest, inFlight: true, deliveries: []DeliveryTag{tag}}
-		if redelivered && !idempotent {
-			return Uncertain, nil
+// Deduplicator recognizes messages that are delivered again. What it remembers is bounded in count and age; a
+// forgotten message that is redelivered is Uncertain unless its class is idempotent. It belongs to one goroutine.
+type Deduplicator[Reply any] struct {
+	maxSettled   int
+	maxAge       time.Duration
+	records      map[MessageID]*record[Reply]
+	settledOrder []*record[Reply] // the earliest settled first; a record that was settled twice is in it twice
+}
+
+type recordState int
+
+const (
+	stateInFlight  recordState = iota
+	stateReturned              // given back to the broker: it was not executed here
+	stateReplied               // the reply is not confirmed yet
+	stateConfirmed             // the broker has the reply
+)
+
+type record[Reply any] struct {
+	id        MessageID
+	digest    uint64
+	state     recordState
+	tags      []Tag // deliveries that wait for the outcome
+	settledAt time.Duration
+	reply     Reply // while replied, to be sent again
+	returns   int   // times that it was returned
+}
+
+// NewDeduplicator returns a deduplicator that remembers at most maxSettled settled messages, each for at most maxAge.
+func NewDeduplicator[Reply any](maxSettled int, maxAge time.Duration) *Deduplicator[Reply] {
+	return &Deduplicator[Reply]{
+		maxSettled: max(1, maxSettled),
+		maxAge:     maxAge,
+		records:    map[MessageID]*record[Reply]{},
+	}
+}
+
+// Receive decides what to do with a delivery; with ResendReply it returns the reply. When a connection breaks, the
+// broker delivers all unsettled messages again: none that is in flight or was executed may be executed twice where
+// that does harm, and each is replied to once.
+func (d *Deduplicator[Reply]) Receive(now time.Duration, arrival Arrival) (Decision, Reply) {
+	d.evict(now)
+	var none Reply
+	r := d.records[arrival.ID]
+	if r == nil {
+		d.records[arrival.ID] = &record[Reply]{
+			id:     arrival.ID,
+			digest: arrival.Digest,
+			tags:   []Tag{arrival.Tag},
 		}
-		return Process, nil
-	case r.digest != digest:
-		return IDConflict, nil
-	case r.inFlight:
-		r.deliveries = append(r.deliveries, tag)
-		return Join, nil
-	case r.returned:
-		r.returned, r.inFlight, r.deliveries = false, true, []DeliveryTag{tag}
-		return Process, nil
-	case r.confirmed:
-		return AlreadyReplied, nil
+		if arrival.Redelivered && !arrival.Idempotent {
+			return Uncertain, none
+		}
+		return Process, none
+	}
+	if r.digest != arrival.Digest {
+		return IDConflict, none
+	}
+	switch r.state {
+	case stateInFlight:
+		r.tags = append(r.tags, arrival.Tag)
+		return Join, none
+	case stateReturned:
+		r.state = stateInFlight
+		r.tags = []Tag{arrival.Tag}
+		return Process, none
+	case stateConfirmed:
+		return AlreadyReplied, none
+	case stateReplied:
 	}
 	return ResendReply, r.reply
 }
 
-// ChannelClosed forgets the deliveries of a connection that is lost; their messages come again, here or at a peer.
-func (m *Deduplicator) ChannelClosed(channelID uint64) {
-	for _, r := range m.records {
-		if !r.inFlight {
+// ChannelClosed forgets the deliveries of a channel that is gone; the broker delivers their messages again, here or
+// to a peer.
+func (d *Deduplicator[Reply]) ChannelClosed(channelID uint64) {
+	for _, r := range d.records {
+		if r.state != stateInFlight {
 			continue
 		}
-		kept := r.deliveries[:0]
-		for _, t := range r.deliveries {
-			if t.ChannelID != channelID {
-				kept = append(kept, t)
+		kept := r.tags[:0]
+		for _, tag := range r.tags {
+			if tag.ChannelID != channelID {
+				kept = append(kept, tag)
 			}
 		}
-		r.deliveries = kept
+		r.tags = kept
 	}
 }
 
-// Returns is how often a message was put back from here.
-func (m *Deduplicator) Returns(id MessageID) int {
-	if r := m.records[id]; r != nil {
+// Returns is how often a message was returned from here.
+func (d *Deduplicator[Reply]) Returns(id MessageID) int {
+	if r := d.records[id]; r != nil {
 		return r.returns
 	}
 	return 0
 }
 
-// Replied settles a message with its answer, until Confirmed to be sent again if it comes again.
-func (m *Deduplicator) Replied(now time.Duration, id MessageID, reply any) []DeliveryTag {
-	return m.settle(now, id, reply, false)
-}
-
-// Returned settles a message that never ran here and is the broker's again.
-func (m *Deduplicator) Returned(now time.Duration, id MessageID) []DeliveryTag {
-	return m.settle(now, id, nil, true)
+// Replied settles a message with its reply, which is remembered until ReplyConfirmed. It returns the deliveries that
+// are to be acked once the reply is confirmed.
+func (d *Deduplicator[Reply]) Replied(now time.Duration, id MessageID, reply Reply) []Tag {
+	r := d.records[id]
+	if r == nil || r.state != stateInFlight {
+		return nil
+	}
+	r.reply = reply
+	return d.settle(now, r, stateReplied)
 }
 
-func (m *Deduplicator) settle(now time.Duration, id MessageID, reply any, returned bool) []DeliveryTag {
-	r := m.records[id]
-	if r == nil || !r.inFlight {
+// Returned settles a message that was not executed here and goes back to the broker. It returns the deliveries to
+// give back.
+func (d *Deduplicator[Reply]) Returned(now time.Duration, id MessageID) []Tag {
+	r := d.records[id]
+	if r == nil || r.state != stateInFlight {
 		return nil
 	}
-	deliveries := r.deliveries
-	if returned {
-		r.returns++
-	}
-	r.inFlight, r.deliveries, r.settledAt, r.reply, r.returned, r.confirmed = false, nil, now, reply, returned, false
-	m.settledOrder = append(m.settledOrder, r)
-	return deliveries
+	r.returns++
+	return d.settle(now, r, stateReturned)
+}
+
+func (d *Deduplicator[Reply]) settle(now time.Duration, r *record[Reply], state recordState) []Tag {
+	tags := r.tags
+	r.tags = nil
+	r.state = state
+	r.settledAt = now
+	d.settledOrder = append(d.settledOrder, r)
+	return tags
 }
 
-// ReplyConfirmed tells that the answer arrived at the broker.
-func (m *Deduplicator) ReplyConfirmed(id MessageID) {
-	if r := m.records[id]; r != nil && !r.inFlight {
-		r.confirmed, r.reply = true, nil
+// ReplyConfirmed says that the broker has the message's reply.
+func (d *Deduplicator[Reply]) ReplyConfirmed(id MessageID) {
+	r := d.records[id]
+	if r == nil || r.state != stateReplied {
+		return
 	}
+	var none Reply
+	r.reply = none
+	r.state = stateConfirmed
 }
 
-// evict lets go of what is too old, or too much.
-func (m *Deduplicator) evict(now time.Duration) {
-	for len(m.settledOrder) > 0 {
-		r := m.settledOrder[0]
-		current := m.records[r.id] == r && !r.inFlight
-		if current && len(m.settledOrder) <= m.maxSettled && now-r.settledAt < m.maxAge {
+// evict forgets settled messages that are too old or too many.
+func (d *Deduplicator[Reply]) evict(now time.Duration) {
+	for len(d.settledOrder) > 0 {
+		r := d.settledOrder[0]
+		isCurrent := d.records[r.id] == r && r.state != stateInFlight
+		if isCurrent && len(d.settledOrder) <= d.maxSettled && now-r.settledAt < d.maxAge {
 			return
 		}
-		if current && now-r.settledAt >= 0 {
-			delete(m.records, r.id)
+		if isCurrent && now-r.settledAt >= 0 {
+			delete(d.records, r.id)
 		}
-		m.settledOrder[0] = nil
-		m.settledOrder = m.settledOrder[1:]
+		d.settledOrder[0] = nil
+		d.settledOrder = d.settledOrder[1:]
 	}
 }
 
-// Len is how many messages are known, in hand and settled.
-func (m *Deduplicator) Len() int { return len(m.records) }
-
-// inFlightCount are the messages in hand.
-func (m *Deduplicator) inFlightCount() (n int) {
-	for _, r := range m.records {
-		if r.inFlight {
-			n++
-		}
-	}
-	return n
-}
+// Len is how many messages are remembered, in flight and settled.
+func (d *Deduplicator[Reply]) Len() int { return len(d.records) }
--- a/internal/amqp/delivery/deduplicator_test.go
+++ b/internal/amqp/delivery/deduplicator_test.go
@@ -8,87 +8,110 @@
 	"pgregory.net/rapid"
 )
 
-// The memory against a list of all that ever happened: nothing runs twice that must not, what runs is not run beside itself, what
-// was answered and confirmed is not answered again, and the tags in hand are those of connections that stand.
+// A random history against a model of it: nothing is executed twice that must not be, no message is executed beside
+// itself, what was replied and confirmed is not replied again, and the deliveries in flight are those of open channels.
 func TestDeduplicator(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := NewDeduplicator(1000, time.Hour)
-		type truth struct {
-			running, answered, sure, put, ever bool
-			tags                               map[DeliveryTag]bool
-		}
-		all := map[MessageID]*truth{}
-		tag, conn := uint64(0), uint64(1)
+		d := NewDeduplicator[string](1000, time.Hour)
+		models := map[MessageID]*modelMessage{}
+		tag, channel := uint64(0), uint64(1)
 		for range 60 {
 			id := MessageID(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id"))
-			x := all[id]
-			if x == nil {
-				x = &truth{tags: map[DeliveryTag]bool{}}
-				all[id] = x
+			model := models[id]
+			if model == nil {
+				model = &modelMessage{tags: map[Tag]bool{}}
+				models[id] = model
 			}
-			switch rapid.IntRange(0, 4).Draw(t, "what") {
+			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0, 1:
 				tag++
-				here := DeliveryTag{conn, tag}
-				redelivered, twice := rapid.Bool().Draw(t, "redelivered"), rapid.Bool().Draw(t, "twice")
-				step, _ := m.Receive(0, id, 7, here, redelivered, twice)
-				want := Process
-				switch {
-				case x.running:
-					want = Join
-				case x.sure:
-					want = AlreadyReplied
-				case x.answered:
-					want = ResendReply
-				case x.put:
-				case !x.ever && redelivered && !twice:
-					want = Uncertain
-				}
-				if step != want {
-					t.Fatalf("%s: step %d, want %d of %+v", id, step, want, x)
-				}
-				if step == Process || step == Uncertain || step == Join {
-					x.running, x.ever, x.put = true, true, false
-					x.tags[here] = true
-				}
+				model.receive(t, d, Arrival{
+					ID:          id,
+					Digest:      7,
+					Tag:         Tag{ChannelID: channel, Number: tag},
+					Redelivered: rapid.Bool().Draw(t, "redelivered"),
+					Idempotent:  rapid.Bool().Draw(t, "idempotent"),
+				})
 			case 2:
-				if x.running {
-					tags := m.Replied(0, id, "answer")
-					if len(tags) != len(x.tags) {
-						t.Fatalf("%s: %v in hand, want %v", id, tags, x.tags)
-					}
-					x.running, x.answered, x.tags = false, true, map[DeliveryTag]bool{}
+				if model.inFlight {
+					model.reply(t, d, id)
 				}
 			case 3:
-				if x.running && rapid.Bool().Draw(t, "put back") {
-					m.Returned(0, id)
-					x.running, x.put, x.tags = false, true, map[DeliveryTag]bool{}
-				} else if x.answered {
-					m.ReplyConfirmed(id)
-					x.sure = true
+				if model.inFlight && rapid.Bool().Draw(t, "returned") {
+					d.Returned(0, id)
+					model.inFlight, model.returned, model.tags = false, true, map[Tag]bool{}
+				} else if model.replied {
+					d.ReplyConfirmed(id)
+					model.confirmed = true
 				}
 			case 4:
-				m.ChannelClosed(conn)
-				conn++
-				for _, x := range all {
-					clear(x.tags)
+				d.ChannelClosed(channel)
+				channel++
+				for _, other := range models {
+					clear(other.tags)
 				}
 			}
 		}
 	})
 }
 
-// What is remembered has a bound in count and in age.
+// modelMessage is what has happened to one message.
+type modelMessage struct {
+	inFlight, replied, confirmed, returned, everReceived bool
+	tags                                                 map[Tag]bool
+}
+
+func (m *modelMessage) receive(t *rapid.T, d *Deduplicator[string], arrival Arrival) {
+	t.Helper()
+	decision, _ := d.Receive(0, arrival)
+	want := Process
+	switch {
+	case m.inFlight:
+		want = Join
+	case m.confirmed:
+		want = AlreadyReplied
+	case m.replied:
+		want = ResendReply
+	case m.returned:
+	case !m.everReceived && arrival.Redelivered && !arrival.Idempotent:
+		want = Uncertain
+	}
+	if decision != want {
+		t.Fatalf("%s: decision %d, want %d of %+v", arrival.ID, decision, want, m)
+	}
+	if decision == Process || decision == Uncertain || decision == Join {
+		m.inFlight, m.everReceived, m.returned = true, true, false
+		m.tags[arrival.Tag] = true
+	}
+}
+
+func (m *modelMessage) reply(t *rapid.T, d *Deduplicator[string], id MessageID) {
+	t.Helper()
+	tags := d.Replied(0, id, "reply")
+	if len(tags) != len(m.tags) {
+		t.Fatalf("%s: %v in flight, want %v", id, tags, m.tags)
+	}
+	m.inFlight, m.replied, m.tags = false, true, map[Tag]bool{}
+}
+
+// What is remembered is bounded in count and in age.
 func Example_deduplicatorBounds() {
-	m := NewDeduplicator(100, time.Minute)
+	d := NewDeduplicator[any](100, time.Minute)
 	for i := range 10_000 {
 		id := MessageID(fmt.Sprint(i))
-		m.Receive(time.Duration(i), id, 0, DeliveryTag{1, uint64(i)}, false, true)
-		m.Replied(time.Duration(i), id, nil)
+		tag := Tag{ChannelID: 1, Number: uint64(i)}
+		d.Receive(time.Duration(i), Arrival{ID: id, Tag: tag, Idempotent: true})
+		d.Replied(time.Duration(i), id, nil)
+	}
+	inFlight := 0
+	for _, r := range d.records {
+		if r.state == stateInFlight {
+			inFlight++
+		}
 	}
-	fmt.Println(m.Len() <= 101, m.inFlightCount())
-	m.Receive(time.Hour, "new", 0, DeliveryTag{}, false, true)
-	fmt.Println(m.Len())
+	fmt.Println(d.Len() <= 101, inFlight)
+	d.Receive(time.Hour, Arrival{ID: "new", Idempotent: true})
+	fmt.Println(d.Len())
 	// Output:
 	// true 0
 	// 1
--- a/internal/amqp/delivery/flowcontroller.go
+++ b/internal/amqp/delivery/flowcontroller.go
@@ -1,59 +1,88 @@
-// Package delivery decides how many messages are taken from which queue, and what becomes of one. It is pure: values in,
-// values out; the time and chance are arguments.
+// Package delivery decides how many messages are taken from which queue, and what becomes of each. It does no I/O:
+// the time and random numbers are arguments. Nothing in it is safe for concurrent use; one event loop owns it all.
 package delivery
 
 import (
-	"cmp"
-	"slices"
 	"time"
 
 	"lanewheel/internal/frontend"
 )
 
-// FlowController decides the intake. It belongs to one goroutine.
+// UpdateInterval is how often FlowController.Update is called: some times within any latency objective.
+const UpdateInterval = 100 * time.Millisecond
+
+const (
+	// windowDecreaseFactor is what is left of the window after an interval in which the server was overloaded: the
+	// consumer is out of the way within half a second.
+	windowDecreaseFactor = 0.7
+	// windowUsedFraction of the window has to be in flight before it grows.
+	windowUsedFraction = 0.8
+	// overloadedQueuePerCore is how many requests may be queued at the server, for each core, before the window shrinks.
+	overloadedQueuePerCore = 2
+	// growthQueuePerCore is how many may be queued, for each core, while the window grows.
+	growthQueuePerCore = 1
+)
+
+// PauseReason is why nothing is taken from any queue.
+type PauseReason int
+
+// The pause reasons.
+const (
+	NotPaused         PauseReason = iota
+	PausedDraining                // the instance drains
+	PausedRuntimeDown             // the server has no runtime
+	PausedBlocked                 // the broker accepts no replies
+	PausedMemory                  // the server has no memory for further requests
+)
+
+// String returns the reason as the status socket names it, empty for NotPaused.
+func (r PauseReason) String() string {
+	switch r {
+	case NotPaused:
+		return ""
+	case PausedDraining:
+		return "leaving"
+	case PausedRuntimeDown:
+		return "runtime-down"
+	case PausedBlocked:
+		return "blocked"
+	case PausedMemory:
+		return "memory"
+	}
+	return "unknown"
+}
+
+// FlowController decides how many messages of each queue may be in flight. It belongs to one goroutine.
 type FlowController struct {
 	queues      []*queue
-	maxInFlight int     // messages in hand over all queues
-	window      float64 // as many as it lets in now
+	maxInFlight int     // messages in flight over all queues
+	window      float64 // messages that may be in flight now, over all queues
 	updatedAt   time.Duration
 	updated     bool
-	rejected    int // since the last look, by the module, for want of room
-	load        frontend.Load
-	pauseReason string // why nothing is taken, empty if something is
+	rejected    int // messages that the server rejected since the last update
+	pauseReason PauseReason
 }
 
-// Constants of the control.
-const (
-	// UpdateInterval is how often Look is called: some times within any target latency.
-	UpdateInterval = 100 * time.Millisecond
-	// Down is what is left of the level after a look in which the module had no room: sharp enough to be out of the way
-	// within half a second.
-	decreaseFactor = 0.7
-	// First and longest wait between two probes of a queue whose messages fail.
-	initialProbeBackoff, maxProbeBackoff = time.Second, 30 * time.Second
-	// A queue fails if half of its last ops did, and it had enough of them to tell.
-	failureThreshold, minOutcomes = 0.5, 8
-)
-
-// NewFlowController opens with the queues told and a bound on messages in hand.
+// NewFlowController returns a controller for the queues, with at most maxInFlight messages in flight over all.
 func NewFlowController(queues []Queue, maxInFlight int) *FlowController {
-	flow := &FlowController{maxInFlight: max(1, maxInFlight)}
+	c := &FlowController{maxInFlight: max(1, maxInFlight)}
 	for _, config := range queues {
-		flow.queues = append(flow.queues, &queue{Queue: config})
+		c.queues = append(c.queues, &queue{Queue: config, mode: QueueOpen})
 	}
-	flow.window = float64(flow.minInFlight())
-	return flow
+	c.window = float64(c.minInFlight())
+	return c
 }
 
-func (d *FlowController) minInFlight() (sum int) {
-	for _, q := range d.queues {
+// minInFlight is what the queues may have in flight however busy the server is.
+func (c *FlowController) minInFlight() (sum int) {
+	for _, q := range c.queues {
 		sum += max(0, q.MinInFlight)
 	}
 	return max(1, sum)
 }
 
-func (d *FlowController) lookup(name QueueName) *queue {
-	for _, q := range d.queues {
+func (c *FlowController) lookup(name QueueName) *queue {
+	for _, q := range c.queues {
 		if q.Name == name {
 			return q
 		}
@@ -61,160 +90,132 @@
 	return nil
 }
 
-// Received counts a delivery; Settled one that is no longer in hand.
-func (d *FlowController) Received(name QueueName) {
-	if q := d.lookup(name); q != nil {
+// Received counts a delivery from the queue as in flight.
+func (c *FlowController) Received(name QueueName) {
+	if q := c.lookup(name); q != nil {
 		q.inFlight++
 	}
 }
 
-func (d *FlowController) Settled(name QueueName) {
-	if q := d.lookup(name); q != nil && q.inFlight > 0 {
+// Settled counts a delivery from the queue as no longer in flight.
+func (c *FlowController) Settled(name QueueName) {
+	if q := c.lookup(name); q != nil && q.inFlight > 0 {
 		q.inFlight--
 	}
 }
 
-// Disconnected tells that all deliveries of a queue went back with their connection.
-func (d *FlowController) Disconnected(name QueueName) {
-	if q := d.lookup(name); q != nil {
+// Disconnected says that all deliveries of the queue went back to the broker with their channel.
+func (c *FlowController) Disconnected(name QueueName) {
+	if q := c.lookup(name); q != nil {
 		q.inFlight = 0
 	}
 }
 
-// Rejected tells that the module had no room for a message. Ended tells how a run of one came out.
-func (d *FlowController) Rejected() { d.rejected++ }
+// Rejected says that the server had no capacity for a message.
+func (c *FlowController) Rejected() { c.rejected++ }
 
-func (d *FlowController) Finished(now time.Duration, name QueueName, failed bool) {
-	q := d.lookup(name)
-	if q == nil {
-		return
-	}
-	q.failures[q.finished%len(q.failures)] = failed
-	q.finished++
-	switch {
-	case q.mode == modeOpen && q.isFailing():
-		q.mode, q.probeBackoff = modeProbing, initialProbeBackoff
-		q.nextProbe = now + q.probeBackoff
-	case q.mode == modeProbing && failed:
-		q.probeBackoff = min(2*q.probeBackoff, maxProbeBackoff)
-		q.nextProbe = now + q.probeBackoff
-	case q.mode == modeProbing:
-		q.mode, q.recoveryLimit = modeRecovering, 1
-		q.finished = 0
-	case q.mode == modeRecovering && failed:
-		q.mode, q.probeBackoff = modeProbing, min(2*q.probeBackoff, maxProbeBackoff)
-		q.nextProbe = now + q.probeBackoff
-	case q.mode == modeRecovering:
-		if q.recoveryLimit++; q.recoveryLimit > max(q.MinInFlight, minOutcomes) {
-			q.mode, q.finished, q.probeBackoff = modeOpen, 0, 0
-		}
+// Finished says that a message of the queue was executed, and whether that failed.
+func (c *FlowController) Finished(now time.Duration, name QueueName, failed bool) {
+	if q := c.lookup(name); q != nil {
+		q.finish(now, failed)
 	}
 }
 
-// TotalInFlight is how many messages are in hand over all queues.
-func (d *FlowController) TotalInFlight() (sum int) {
-	for _, q := range d.queues {
+// TotalInFlight is how many messages are in flight over all queues.
+func (c *FlowController) TotalInFlight() (sum int) {
+	for _, q := range c.queues {
 		sum += q.inFlight
 	}
 	return sum
 }
 
-// InFlight is how many messages of a queue are in hand; Level how many over all queues it lets in.
-func (d *FlowController) InFlight(name QueueName) int {
-	if q := d.lookup(name); q != nil {
+// InFlight is how many messages of the queue are in flight.
+func (c *FlowController) InFlight(name QueueName) int {
+	if q := c.lookup(name); q != nil {
 		return q.inFlight
 	}
 	return 0
 }
 
-func (d *FlowController) Window() int { return int(d.window) }
+// Window is how many messages may be in flight over all queues.
+func (c *FlowController) Window() int { return int(c.window) }
 
-// PauseReason is why nothing is taken, empty if something is.
-func (d *FlowController) PauseReason() string { return d.pauseReason }
+// PauseReason is why nothing is taken, NotPaused if something may be.
+func (c *FlowController) PauseReason() PauseReason { return c.pauseReason }
 
-// Update works out the limits anew. blocked tells that answers can't leave. Saturated, an instance leaves messages in the queue for
-// its peers and keeps its room for callers who wait on a connection: the level falls while the module turns messages away or
-// holds more ops than it has cores, and rises, by as many as there are cores, only while what it lets in is used.
-func (d *FlowController) Update(now time.Duration, load frontend.Load, blocked bool) {
-	d.load = load
-	rejected := d.rejected
-	d.rejected = 0
-	if d.updated && now-d.updatedAt < UpdateInterval/2 {
+// Limit is how many messages of the queue may be in flight. At 0 it is not consumed from.
+func (c *FlowController) Limit(name QueueName) int {
+	if q := c.lookup(name); q != nil {
+		return q.limit
+	}
+	return 0
+}
+
+// State says how the queue is treated.
+func (c *FlowController) State(name QueueName) QueueState {
+	q := c.lookup(name)
+	if q == nil {
+		return QueueState{}
+	}
+	return QueueState{Pause: c.pauseReason, Mode: q.mode}
+}
+
+// Update computes the limits anew; blocked says that the broker accepts no replies. A saturated instance leaves
+// messages in the queue for its peers and keeps its capacity for callers who wait on a connection: the window shrinks
+// while the server rejects messages or queues more requests than its cores can soon run, and grows, by the number of
+// cores, only while it is used.
+func (c *FlowController) Update(now time.Duration, load frontend.Load, blocked bool) {
+	rejected := c.rejected
+	c.rejected = 0
+	if c.updated && now-c.updatedAt < UpdateInterval/2 {
 		return
 	}
-	d.updatedAt, d.updated = now, true
-	d.pauseReason = ""
+	c.updatedAt = now
+	c.updated = true
+	c.pauseReason = pauseReason(load, blocked)
+	if c.pauseReason != NotPaused {
+		c.pause()
+		return
+	}
+	c.resizeWindow(load, rejected)
+	c.divideWindow(now)
+}
+
+func pauseReason(load frontend.Load, blocked bool) PauseReason {
 	switch {
 	case load.Draining:
-		d.pauseReason = "leaving"
+		return PausedDraining
 	case !load.Ready:
-		d.pauseReason = "runtime-down"
+		return PausedRuntimeDown
 	case blocked:
-		d.pauseReason = "blocked"
+		return PausedBlocked
 	case load.FreeCapacity <= 0:
-		d.pauseReason = "memory"
-	}
-	if d.pauseReason != "" {
-		// Danger: coming back with all that was let in before, into an instance that starts cold.
-		d.window = float64(d.minInFlight())
-		for _, q := range d.queues {
-			q.limit = 0
-		}
-		return
-	}
-	cores := max(1, load.Cores)
-	d.window = max(d.window, float64(d.minInFlight())) // room that was short may be back
-	switch {
-	case rejected > 0, !load.Healthy, float64(load.Queued) > 2*cores:
-		d.window = max(float64(d.minInFlight()), d.window*decreaseFactor)
-	case float64(d.TotalInFlight()) >= 0.8*d.window && float64(load.Queued) <= cores:
-		d.window += cores
-	}
-	d.window = min(d.window, float64(min(d.maxInFlight, d.TotalInFlight()+load.FreeCapacity)))
-	d.divide(now)
-}
-
-// divide divides the level: floors first, then the higher priority before the lower, by weight within one, and never more than
-// a queue can use.
-func (d *FlowController) divide(now time.Duration) {
-	remaining := int(d.window)
-	byPriority := slices.Clone(d.queues)
-	slices.SortStableFunc(byPriority, func(a, b *queue) int { return cmp.Compare(b.Priority, a.Priority) })
-	for _, q := range byPriority {
-		q.limit = min(q.MinInFlight, q.ceiling(now), max(remaining, 0))
-		remaining -= q.limit
-	}
-	for i := 0; i < len(byPriority) && remaining > 0; {
-		j := i
-		for j < len(byPriority) && byPriority[j].Priority == byPriority[i].Priority {
-			j++
-		}
-		remaining = fillByWeight(byPriority[i:j], remaining, now)
-		i = j
-	}
-	for _, q := range d.queues {
-		if q.mode == modeProbing && now >= q.nextProbe && q.inFlight == 0 {
-			q.limit = 1
-		}
+		return PausedMemory
 	}
+	return NotPaused
 }
 
-// Limit is how many messages of a queue may be in hand; none means that consuming stops.
-func (d *FlowController) Limit(name QueueName) int {
-	if q := d.lookup(name); q != nil {
-		return q.limit
+// pause closes all queues. The window is reset, so that after the pause an instance that starts cold does not get at
+// once all that it had before.
+func (c *FlowController) pause() {
+	c.window = float64(c.minInFlight())
+	for _, q := range c.queues {
+		q.limit = 0
 	}
-	return 0
 }
 
-// State tells how a queue is treated, in one word.
-func (d *FlowController) State(name QueueName) string {
-	q := d.lookup(name)
+// resizeWindow shrinks the window if the server is overloaded, and grows it if it is used and the server is not busy.
+func (c *FlowController) resizeWindow(load frontend.Load, rejected int) {
+	cores := max(1, load.Cores)
+	queued := float64(load.Queued)
+	lowest := float64(c.minInFlight())
+	inFlight := c.TotalInFlight()
+	c.window = max(c.window, lowest) // a lack of capacity may have pushed it under the minimum
 	switch {
-	case q == nil:
-		return "unknown"
-	case d.pauseReason != "":
-		return d.pauseReason
+	case rejected > 0, !load.Healthy, queued > overloadedQueuePerCore*cores:
+		c.window = max(lowest, c.window*windowDecreaseFactor)
+	case float64(inFlight) >= windowUsedFraction*c.window && queued <= growthQueuePerCore*cores:
+		c.window += cores
 	}
-	return [...]string{"open", "probing", "coming"}[q.mode]
+	c.window = min(c.window, float64(min(c.maxInFlight, inFlight+load.FreeCapacity)))
 }
--- a/internal/amqp/delivery/flowcontroller_test.go
+++ b/internal/amqp/delivery/flowcontroller_test.go
@@ -14,38 +14,42 @@
 
 var calm = frontend.Load{Ready: true, Healthy: true, Cores: 4, FreeCapacity: 1000}
 
-// An instance with room takes more as long as what it takes is used; saturated it lets go of all but the floors, and when it
-// leaves, or what it needs is down, it takes nothing.
+// The window grows as long as it is used; it shrinks to the minimum while the server is overloaded, and closes when the
+// instance drains or what it needs is down.
 func Example() {
-	d := NewFlowController([]Queue{{Name: "ops", Weight: 1, MinInFlight: 2, MaxInFlight: 50}}, 30)
+	flow := NewFlowController([]Queue{{Name: "ops", Weight: 1, MinInFlight: 2, MaxInFlight: 50}}, 30)
 	now := time.Duration(0)
-	look := func(load frontend.Load, blocked bool) {
+	update := func(load frontend.Load, blocked bool) {
 		now += UpdateInterval
-		d.Update(now, load, blocked)
-		for range d.Limit("ops") - d.TotalInFlight() {
-			d.Received("ops")
+		flow.Update(now, load, blocked)
+		for range flow.Limit("ops") - flow.TotalInFlight() {
+			flow.Received("ops")
 		}
-		fmt.Print(d.Limit("ops"), " ")
+		fmt.Print(flow.Limit("ops"), " ")
 	}
 	for range 9 {
-		look(calm, false)
+		update(calm, false)
 	}
-	fmt.Println(d.State("ops"))
+	fmt.Println(flow.State("ops"))
 	for range 9 {
-		d.Rejected()
-		look(calm, false)
+		flow.Rejected()
+		update(calm, false)
 	}
-	fmt.Println(d.State("ops"))
+	fmt.Println(flow.State("ops"))
 	busy := calm
 	busy.Queued = 20
-	look(busy, false)
-	look(calm, true)
-	fmt.Println(d.State("ops"))
-	for _, change := range []func(*frontend.Load){func(l *frontend.Load) { l.Ready = false }, func(l *frontend.Load) { l.Draining = true }, func(l *frontend.Load) { l.FreeCapacity = 0 }} {
+	update(busy, false)
+	update(calm, true)
+	fmt.Println(flow.State("ops"))
+	for _, change := range []func(*frontend.Load){
+		func(l *frontend.Load) { l.Ready = false },
+		func(l *frontend.Load) { l.Draining = true },
+		func(l *frontend.Load) { l.FreeCapacity = 0 },
+	} {
 		load := calm
 		change(&load)
-		look(load, false)
-		fmt.Println(d.State("ops"))
+		update(load, false)
+		fmt.Println(flow.State("ops"))
 	}
 	// Output:
 	// 2 6 10 14 18 22 26 30 30 open
@@ -56,23 +60,26 @@
 	// 0 memory
 }
 
-// Floors first, then the higher priority, then weights; a queue that has nothing leaves its part to the others.
+// Minimums first, then the higher priority, then weights; an empty queue leaves its part to the others.
 func Example_priorities() {
-	d := NewFlowController([]Queue{{Name: "low", Weight: 1, MinInFlight: 2, MaxInFlight: 50}, {Name: "a", Weight: 3, Priority: 1, MinInFlight: 1, MaxInFlight: 50},
-		{Name: "b", Weight: 1, Priority: 1, MinInFlight: 1, MaxInFlight: 50}}, 24)
+	flow := NewFlowController([]Queue{
+		{Name: "low", Weight: 1, MinInFlight: 2, MaxInFlight: 50},
+		{Name: "a", Weight: 3, Priority: 1, MinInFlight: 1, MaxInFlight: 50},
+		{Name: "b", Weight: 1, Priority: 1, MinInFlight: 1, MaxInFlight: 50},
+	}, 24)
 	now := time.Duration(0)
 	show := func(busy ...QueueName) {
 		for range 20 {
 			now += UpdateInterval
-			d.Update(now, calm, false)
-			for _, q := range d.queues {
+			flow.Update(now, calm, false)
+			for _, q := range flow.queues {
 				for slices.Contains(busy, q.Name) && q.inFlight < q.limit {
 					q.inFlight++
 				}
 			}
 		}
-		fmt.Println("low", d.Limit("low"), "a", d.Limit("a"), "b", d.Limit("b"))
-		for _, q := range d.queues {
+		fmt.Println("low", flow.Limit("low"), "a", flow.Limit("a"), "b", flow.Limit("b"))
+		for _, q := range flow.queues {
 			q.inFlight = 0
 		}
 	}
@@ -85,27 +92,27 @@
 	// low 16 a 4 b 4
 }
 
-// A queue whose messages fail is probed ever more seldom, and comes back a few at a time.
+// A queue whose messages fail is probed with growing pauses, and recovers a few messages at a time.
 func Example_failing() {
-	d := NewFlowController([]Queue{{Name: "ops", Weight: 1, MinInFlight: 4, MaxInFlight: 50}}, 30)
+	flow := NewFlowController([]Queue{{Name: "ops", Weight: 1, MinInFlight: 4, MaxInFlight: 50}}, 30)
 	now := time.Duration(0)
 	broken := true
-	took := 0
-	say := ""
+	taken := 0
+	last := ""
 	for range 400 {
 		now += UpdateInterval
-		d.Update(now, calm, false)
-		for d.TotalInFlight() < d.Limit("ops") {
-			d.Received("ops")
-			took++
+		flow.Update(now, calm, false)
+		for flow.TotalInFlight() < flow.Limit("ops") {
+			flow.Received("ops")
+			taken++
 		}
-		for n := d.TotalInFlight(); n > 0; n-- {
-			d.Settled("ops")
-			d.Finished(now, "ops", broken)
+		for n := flow.TotalInFlight(); n > 0; n-- {
+			flow.Settled("ops")
+			flow.Finished(now, "ops", broken)
 		}
-		if state := d.State("ops"); state != say {
-			fmt.Println(now, state, "taken", took)
-			say = state
+		if state := flow.State("ops").String(); state != last {
+			fmt.Println(now, state, "taken", taken)
+			last = state
 		}
 		broken = now < 20*time.Second
 	}
@@ -116,55 +123,83 @@
 	// 31.6s open taken 24
 }
 
-// The intake against its bounds, whatever the queues, loads and ends: never more than told, floors kept while it is open, nothing
-// while it is closed.
+// Whatever the queues, loads and outcomes: never more in flight than configured, minimums kept while nothing is paused,
+// and nothing taken while it is.
 func TestFlowController(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var queues []Queue
-		floors := 0
-		for i := range rapid.IntRange(1, 4).Draw(t, "queues") {
-			q := Queue{Name: QueueName(fmt.Sprint("q", i)), Weight: rapid.Float64Range(0.01, 10).Draw(t, "weight"),
-				Priority: rapid.IntRange(0, 2).Draw(t, "priority"), MinInFlight: rapid.IntRange(0, 3).Draw(t, "floor"), MaxInFlight: rapid.IntRange(3, 40).Draw(t, "most")}
-			queues = append(queues, q)
-			floors += q.MinInFlight
+		queues := drawQueues(t)
+		minimums := 0
+		for _, q := range queues {
+			minimums += q.MinInFlight
 		}
-		most := rapid.IntRange(max(1, floors), 60).Draw(t, "in hand")
-		d := NewFlowController(queues, most)
+		maxInFlight := rapid.IntRange(max(1, minimums), 60).Draw(t, "in flight")
+		flow := NewFlowController(queues, maxInFlight)
 		now := time.Duration(0)
 		for range 40 {
 			now += time.Duration(rapid.IntRange(60, 400).Draw(t, "ms")) * time.Millisecond
-			load := frontend.Load{Ready: rapid.IntRange(0, 9).Draw(t, "up") > 0, Healthy: rapid.Bool().Draw(t, "well"), Cores: 2,
-				Queued: rapid.IntRange(0, 9).Draw(t, "held"), FreeCapacity: rapid.IntRange(0, 100).Draw(t, "room")}
-			if rapid.Bool().Draw(t, "nacked") {
-				d.Rejected()
+			load := frontend.Load{
+				Ready:        rapid.IntRange(0, 9).Draw(t, "ready") > 0,
+				Healthy:      rapid.Bool().Draw(t, "healthy"),
+				Cores:        2,
+				Queued:       rapid.IntRange(0, 9).Draw(t, "queued"),
+				FreeCapacity: rapid.IntRange(0, 100).Draw(t, "capacity"),
 			}
-			d.Update(now, load, false)
+			if rapid.Bool().Draw(t, "rejected") {
+				flow.Rejected()
+			}
+			flow.Update(now, load, false)
 			sum := 0
 			for _, q := range queues {
-				limit := d.Limit(q.Name)
-				sum += limit
-				if limit < 0 || limit > q.MaxInFlight {
-					t.Fatalf("%s may have %d of %d", q.Name, limit, q.MaxInFlight)
-				}
-				if d.PauseReason() != "" && limit > 0 {
-					t.Fatal("closed, and takes")
-				}
-				if d.PauseReason() == "" && d.State(q.Name) == "open" && load.FreeCapacity >= floors && limit < q.MinInFlight {
-					t.Fatalf("%s is below its floor: %d", q.Name, limit)
-				}
+				sum += flow.Limit(q.Name)
+				checkLimit(t, flow, q, load.FreeCapacity >= minimums)
 			}
-			if sum > most+len(queues) { // a probe each at the most
-				t.Fatalf("%d in hand, told %d", sum, most)
+			if sum > maxInFlight+len(queues) { // each may be probed
+				t.Fatalf("%d in flight, configured %d", sum, maxInFlight)
 			}
 			for _, q := range queues {
-				for d.lookup(q.Name).inFlight < d.Limit(q.Name) && rapid.Bool().Draw(t, "comes") {
-					d.Received(q.Name)
-				}
-				for d.lookup(q.Name).inFlight > 0 && rapid.Bool().Draw(t, "ends") {
-					d.Settled(q.Name)
-					d.Finished(now, q.Name, rapid.Bool().Draw(t, "failed"))
-				}
+				drawTraffic(t, flow, q.Name, now)
 			}
 		}
 	})
 }
+
+func drawQueues(t *rapid.T) []Queue {
+	var queues []Queue
+	for i := range rapid.IntRange(1, 4).Draw(t, "queues") {
+		queues = append(queues, Queue{
+			Name:        QueueName(fmt.Sprint("q", i)),
+			Weight:      rapid.Float64Range(0.01, 10).Draw(t, "weight"),
+			Priority:    rapid.IntRange(0, 2).Draw(t, "priority"),
+			MinInFlight: rapid.IntRange(0, 3).Draw(t, "minimum"),
+			MaxInFlight: rapid.IntRange(3, 40).Draw(t, "maximum"),
+		})
+	}
+	return queues
+}
+
+// checkLimit checks the limit of one queue; hasCapacity says that the server has capacity for all minimums.
+func checkLimit(t *rapid.T, flow *FlowController, q Queue, hasCapacity bool) {
+	t.Helper()
+	limit := flow.Limit(q.Name)
+	if limit < 0 || limit > q.MaxInFlight {
+		t.Fatalf("%s may have %d of %d", q.Name, limit, q.MaxInFlight)
+	}
+	paused := flow.PauseReason() != NotPaused
+	if paused && limit > 0 {
+		t.Fatal("paused, and takes")
+	}
+	if !paused && flow.State(q.Name).String() == "open" && hasCapacity && limit < q.MinInFlight {
+		t.Fatalf("%s is under its minimum: %d", q.Name, limit)
+	}
+}
+
+// drawTraffic fills the queue's limit in part, and finishes a part of what is in flight.
+func drawTraffic(t *rapid.T, flow *FlowController, name QueueName, now time.Duration) {
+	for flow.lookup(name).inFlight < flow.Limit(name) && rapid.Bool().Draw(t, "arrives") {
+		flow.Received(name)
+	}
+	for flow.lookup(name).inFlight > 0 && rapid.Bool().Draw(t, "finishes") {
+		flow.Settled(name)
+		flow.Finished(now, name, rapid.Bool().Draw(t, "failed"))
+	}
+}
--- a/internal/amqp/delivery/queue.go
+++ b/internal/amqp/delivery/queue.go
@@ -1,40 +1,131 @@
 package delivery
 
 import (
+	"cmp"
+	"slices"
 	"time"
 )
 
+const (
+	// initialProbeBackoff and maxProbeBackoff are the first and the longest wait between two probes of a queue whose
+	// messages fail.
+	initialProbeBackoff = time.Second
+	maxProbeBackoff     = 30 * time.Second
+	// failureThreshold is the fraction of a queue's last messages that failed from which on the queue is failing.
+	failureThreshold = 0.5
+	// minOutcomes is how many messages have to be finished before a queue can be failing.
+	minOutcomes = 8
+	// outcomeWindow is how many of the last outcomes count: with some dozens a failing queue is no coincidence.
+	outcomeWindow = 32
+	// minQueueWeight keeps a queue of weight 0 from getting nothing for ever.
+	minQueueWeight = 0.01
+	// demandGrowthFactor and demandHeadroom say how many messages more than it has in flight a queue may ask for.
+	demandGrowthFactor = 2
+	demandHeadroom     = 4
+)
+
 // QueueName is a queue's name at the broker.
 type QueueName string
 
-// Queue is what is told of one.
+// Queue is the configuration of one queue.
 type Queue struct {
 	Name        QueueName
-	Weight      float64 // its share beside others of the same priority
-	Priority    int     // the higher go first
-	MinInFlight int     // messages that it may have in hand however busy the instance is, while it takes any
-	MaxInFlight int     // messages that it may have in hand
+	Weight      float64 // its share beside other queues of the same priority
+	Priority    int     // queues of a higher priority go first
+	MinInFlight int     // messages that may be in flight however busy the instance is, unless all is paused
+	MaxInFlight int     // messages that may be in flight at most
 }
 
+// QueueMode is how a queue is treated for the outcomes of its messages.
+type QueueMode int
+
+// The queue modes. The zero value stands for a queue that is not configured.
+const (
+	UnknownQueue    QueueMode = iota
+	QueueOpen                 // limited by the window alone
+	QueueProbing              // its messages fail: one at a time, with growing pauses
+	QueueRecovering           // a probe succeeded: a few at a time, then more
+)
+
+// String returns the mode as the status socket names it.
+func (m QueueMode) String() string {
+	switch m {
+	case QueueOpen:
+		return "open"
+	case QueueProbing:
+		return "probing"
+	case QueueRecovering:
+		return "coming"
+	case UnknownQueue:
+	}
+	return "unknown"
+}
+
+// QueueState is a queue's mode, and why it is paused, if it is.
+type QueueState struct {
+	Pause PauseReason
+	Mode  QueueMode
+}
+
+// String returns the pause reason, or the mode if there is none, as the status socket names them.
+func (s QueueState) String() string {
+	if s.Pause != NotPaused {
+		return s.Pause.String()
+	}
+	return s.Mode.String()
+}
+
+// queue is the state of one queue. It belongs to its FlowController.
 type queue struct {
 	Queue
-	inFlight      int // taken and not settled
-	limit         int
-	nextProbe     time.Duration // when one is let through again, while it fails
+	inFlight      int // received and not settled
+	limit         int // messages that may be in flight
+	mode          QueueMode
+	nextProbe     time.Duration // when a failing queue gets its next message
 	probeBackoff  time.Duration
-	recoveryLimit int       // what a queue that comes back may have in hand
-	failures      [32]bool  // whether the last ops failed: some dozen show more than chance
-	finished      int       // of ends, ever
-	mode          queueMode // how it is treated
+	recoveryLimit int                 // messages that a recovering queue may have in flight
+	failures      [outcomeWindow]bool // whether the last messages failed, a ring
+	finished      int                 // outcomes written to the ring since the queue was opened
 }
 
-type queueMode int
+// finish takes the outcome of a message.
+func (q *queue) finish(now time.Duration, failed bool) {
+	q.failures[q.finished%len(q.failures)] = failed
+	q.finished++
+	switch q.mode {
+	case QueueOpen:
+		if q.isFailing() {
+			q.probeAfter(now, initialProbeBackoff)
+		}
+	case QueueProbing:
+		if failed {
+			q.probeAfter(now, min(2*q.probeBackoff, maxProbeBackoff))
+			return
+		}
+		q.mode = QueueRecovering
+		q.recoveryLimit = 1
+		q.finished = 0
+	case QueueRecovering:
+		if failed {
+			q.probeAfter(now, min(2*q.probeBackoff, maxProbeBackoff))
+			return
+		}
+		q.recoveryLimit++
+		if q.recoveryLimit > max(q.MinInFlight, minOutcomes) {
+			q.mode = QueueOpen
+			q.finished = 0
+			q.probeBackoff = 0
+		}
+	case UnknownQueue:
+	}
+}
 
-const (
-	modeOpen       queueMode = iota
-	modeProbing              // its messages fail: one at a time, ever more seldom
-	modeRecovering           // a probe went well: a few, then more
-)
+// probeAfter closes the queue but for one message after the backoff.
+func (q *queue) probeAfter(now, backoff time.Duration) {
+	q.mode = QueueProbing
+	q.probeBackoff = backoff
+	q.nextProbe = now + backoff
+}
 
 func (q *queue) isFailing() bool {
 	n := min(q.finished, len(q.failures))
@@ -47,42 +138,76 @@
 	return n >= minOutcomes && float64(failed) >= failureThreshold*float64(n)
 }
 
-// ceiling is what a queue may have in hand by its own state: one that fails is probed, not drained into failure.
+// ceiling is what the queue may have in flight by its own mode. A failing queue is probed, so that it is not emptied
+// into failures.
 func (q *queue) ceiling(now time.Duration) int {
 	switch q.mode {
-	case modeProbing:
+	case QueueProbing:
 		if now >= q.nextProbe {
 			return 1
 		}
 		return 0
-	case modeRecovering:
+	case QueueRecovering:
 		return min(q.MaxInFlight, q.recoveryLimit)
+	case UnknownQueue, QueueOpen:
 	}
 	return q.MaxInFlight
 }
 
-// demand is what a queue can use: somewhat more than it has, so that it shows whether there is more.
-func (q *queue) demand(now time.Duration) int { return min(q.ceiling(now), 2*q.inFlight+4) }
+// demand is what the queue can use: somewhat more than it has in flight, so that it shows whether it has more.
+func (q *queue) demand(now time.Duration) int {
+	return min(q.ceiling(now), demandGrowthFactor*q.inFlight+demandHeadroom)
+}
+
+// divideWindow divides the window among the queues: first the minimum of each, then what they can use, a higher
+// priority before a lower one, and by weight within one priority.
+func (c *FlowController) divideWindow(now time.Duration) {
+	remaining := int(c.window)
+	byPriority := slices.Clone(c.queues)
+	slices.SortStableFunc(byPriority, func(a, b *queue) int { return cmp.Compare(b.Priority, a.Priority) })
+	for _, q := range byPriority {
+		q.limit = min(q.MinInFlight, q.ceiling(now), max(remaining, 0))
+		remaining -= q.limit
+	}
+	for start := 0; start < len(byPriority) && remaining > 0; {
+		end := start
+		for end < len(byPriority) && byPriority[end].Priority == byPriority[start].Priority {
+			end++
+		}
+		remaining = fillByWeight(byPriority[start:end], remaining, now)
+		start = end
+	}
+	// A probe needs no place in the window: without it a failing queue would stay closed as long as others fill that.
+	for _, q := range c.queues {
+		if q.mode == QueueProbing && now >= q.nextProbe && q.inFlight == 0 {
+			q.limit = 1
+		}
+	}
+}
 
-// fillByWeight gives what is left to queues of one priority, by weight, until each has what it wants.
+// fillByWeight raises the limits of queues of one priority, by weight, until each has what it demands. It returns
+// what remains.
 func fillByWeight(queues []*queue, remaining int, now time.Duration) int {
 	for remaining > 0 {
 		totalWeight := 0.0
 		for _, q := range queues {
 			if q.limit < q.demand(now) {
-				totalWeight += max(q.Weight, 0.01)
+				totalWeight += max(q.Weight, minQueueWeight)
 			}
 		}
 		if totalWeight == 0 {
 			return remaining
 		}
-		before := remaining
+		available := float64(remaining)
 		for _, q := range queues {
-			if missing := q.demand(now) - q.limit; missing > 0 && remaining > 0 {
-				part := min(missing, remaining, max(1, int(float64(before)*max(q.Weight, 0.01)/totalWeight)))
-				q.limit += part
-				remaining -= part
+			missing := q.demand(now) - q.limit
+			if missing <= 0 || remaining <= 0 {
+				continue
 			}
+			share := int(available * max(q.Weight, minQueueWeight) / totalWeight)
+			part := min(missing, remaining, max(1, share))
+			q.limit += part
+			remaining -= part
 		}
 	}
 	return remaining
--- a/internal/amqp/delivery/retrybudget.go
+++ b/internal/amqp/delivery/retrybudget.go
@@ -4,23 +4,35 @@
 	"time"
 )
 
-// RetryBudget bounds repeats of all messages together to a share of fresh work. Danger: an overloaded fleet that hands the same
-// messages round and round does nothing else.
+const (
+	// initialRetries is how many retries a new budget holds.
+	initialRetries = 10
+	// maxSavedRetries is how many retries a budget may save up: some seconds of a busy queue's.
+	maxSavedRetries = 100
+	// minRetryDelay is how long a rejected message is kept before it is returned, doubled with each attempt. Without it
+	// broker and instance would pass the message to and fro as fast as they can, and spend the budget on a moment's lack
+	// of capacity.
+	minRetryDelay = 200 * time.Millisecond
+	// maxRetryDelayDoublings bounds the doubling of minRetryDelay.
+	maxRetryDelayDoublings = 8
+)
+
+// RetryBudget bounds the retries of all messages to a fraction of the fresh ones, so that an overloaded fleet does not
+// spend its time on passing the same messages round. It belongs to one goroutine.
 type RetryBudget struct {
-	fraction  float64
-	remaining float64
+	fraction  float64 // retries granted for each fresh message
+	remaining float64 // retries
 }
 
-// maxSavedRetries is how many repeats a budget may save up: some seconds of a busy queue's.
-const maxSavedRetries = 100
-
-// NewRetryBudget begins with a few repeats.
+// NewRetryBudget returns a budget that grants fraction retries for each fresh message, and holds a few to begin with.
 func NewRetryBudget(fraction float64) *RetryBudget {
-	return &RetryBudget{fraction: fraction, remaining: 10}
+	return &RetryBudget{fraction: fraction, remaining: initialRetries}
 }
 
-// CountFresh counts a message that came for the first time.
-func (b *RetryBudget) CountFresh() { b.remaining = min(maxSavedRetries, b.remaining+b.fraction) }
+// CountFresh counts a message that arrived for the first time.
+func (b *RetryBudget) CountFresh() {
+	b.remaining = min(maxSavedRetries, b.remaining+b.fraction)
+}
 
 func (b *RetryBudget) take() bool {
 	if b.remaining < 1 {
@@ -30,39 +42,58 @@
 	return true
 }
 
-// minRetryDelay is before a message is put back that the module had no room for, twice as long with each attempt. Danger: broker and
-// instance hand it to and fro as fast as they can, and the budget is spent on a moment without room while the message has
-// time. Five attempts last three seconds.
-const minRetryDelay = 200 * time.Millisecond
-
-// Settle decides what becomes of a message. chance is between 0 and 1; after is when to come back, as the module said.
-func (b *RetryBudget) Settle(message Message, config SettlementConfig, outcome Outcome, retryAfter time.Duration, random float64) Disposition {
-	final := Disposition{Reply: true, Action: Ack, Code: outcome.Code(), DeadLetter: outcome != Succeeded && config.DeadLetter}
+// Settle decides what becomes of a message. retryAfter is when to come back, as the server said, 0 if it did not;
+// random is from 0 to under 1.
+func (b *RetryBudget) Settle(
+	message Message, config SettlementConfig, outcome Outcome, retryAfter time.Duration, random float64,
+) Disposition {
 	switch outcome {
-	case Drained: // it is the broker's again, whatever its attempts: our leaving is no failure of it
-		if config.UseRetryQueue && !message.Idempotent { // put back, it would come redelivered, and could not be told from one that ran
-			return Disposition{Action: Reject}
-		}
-		return Disposition{Action: Requeue}
+	case Drained:
+		return settleDrained(message, config)
 	case Rejected:
-		// Half to one and a half times: what was nacked together does not come back together.
-		delay := max(minRetryDelay<<min(message.Attempt, 8), retryAfter)
-		delay = delay/2 + time.Duration(random*float64(delay))
-		total := delay
-		if config.UseRetryQueue {
-			total += config.RetryQueueDelay
-		}
-		if message.Attempt+1 >= config.MaxAttempts || total >= message.Remaining || !b.take() {
-			final.Code = Failed.Code()
-			if message.Attempt+1 >= config.MaxAttempts {
-				final.Code = "out-of-attempts"
-			}
-			return final
-		}
-		if config.UseRetryQueue {
-			return Disposition{Action: Reject, Delay: delay}
-		}
-		return Disposition{Action: Requeue, Delay: delay}
+		return b.settleRejected(message, config, retryAfter, random)
+	default:
+		return finalDisposition(outcome, config)
+	}
+}
+
+func finalDisposition(outcome Outcome, config SettlementConfig) Disposition {
+	return Disposition{
+		Reply:      true,
+		Outcome:    outcome,
+		DeadLetter: outcome != Succeeded && config.DeadLetter,
+		Action:     Ack,
+	}
+}
+
+// settleDrained returns the message whatever its attempts: it did not fail, the instance drains. A message that is
+// requeued is redelivered, and without idempotence could not be told from one that was executed; so it goes by the
+// retry queue where there is one.
+func settleDrained(message Message, config SettlementConfig) Disposition {
+	if config.UseRetryQueue && !message.Idempotent {
+		return Disposition{Action: Reject}
+	}
+	return Disposition{Action: Requeue}
+}
+
+// settleRejected returns the message for a further attempt if its attempts, its deadline and the budget allow one.
+func (b *RetryBudget) settleRejected(
+	message Message, config SettlementConfig, retryAfter time.Duration, random float64,
+) Disposition {
+	if message.Attempt+1 >= config.MaxAttempts {
+		return finalDisposition(OutOfAttempts, config)
+	}
+	// From half to one and a half times, so that messages that were rejected together do not come back together.
+	delay := max(minRetryDelay<<min(message.Attempt, maxRetryDelayDoublings), retryAfter)
+	delay = delay/2 + time.Duration(random*float64(delay))
+	action := Requeue
+	total := delay
+	if config.UseRetryQueue {
+		action = Reject
+		total += config.RetryQueueDelay
+	}
+	if total >= message.Remaining || !b.take() {
+		return finalDisposition(Failed, config)
 	}
-	return final
+	return Disposition{Action: action, Delay: delay}
 }
--- a/internal/amqp/delivery/settlement.go
+++ b/internal/amqp/delivery/settlement.go
@@ -4,56 +4,77 @@
 	"time"
 )
 
-// Outcome is how an op of a message came out.
+// Outcome is what became of a message.
 type Outcome int
 
+// The outcomes.
 const (
-	Succeeded       Outcome = iota
-	Rejected                // it never ran here
-	Failed                  // it may have run
-	Denied                  // it may not, and never ran
-	Unservable              // it never could be, and never ran
-	Expired                 // it came too late, and never ran
-	MayHaveExecuted         // redelivered, of a type that must not run twice, and unknown here
-	Drained                 // it was not started, and the instance leaves
-	DuplicateID             // another message in hand has its id and says something else
+	NoOutcome       Outcome = iota // none that is replied: the message goes back to the broker
+	Succeeded                      // it was executed
+	Rejected                       // the server had no capacity; it was not executed here
+	Failed                         // it may have been executed
+	Denied                         // its caller may not; it was not executed
+	Unservable                     // it can't be served, now or later; it was not executed
+	Expired                        // it arrived after its deadline; it was not executed
+	MayHaveExecuted                // redelivered, not idempotent, and not known here
+	Drained                        // the instance drains; it was not executed
+	DuplicateID                    // another message with its id and another content is remembered
+	OutOfAttempts                  // rejected as often as is allowed; it was not executed
 )
 
-// Code is what an answer says of an outcome.
-func (o Outcome) Code() string {
-	return [...]string{"acked", "nacked", "failed", "denied", "unservable", "past-due", "may-have-run", "drained", "id-twice"}[o]
+var outcomeNames = [...]string{
+	NoOutcome:       "",
+	Succeeded:       "acked",
+	Rejected:        "nacked",
+	Failed:          "failed",
+	Denied:          "denied",
+	Unservable:      "unservable",
+	Expired:         "past-due",
+	MayHaveExecuted: "may-have-run",
+	Drained:         "drained",
+	DuplicateID:     "id-twice",
+	OutOfAttempts:   "out-of-attempts",
 }
 
-// Message is what a decision on one needs.
+// String returns the outcome as replies, dead letters and counters name it, empty for NoOutcome.
+func (o Outcome) String() string {
+	if o < 0 || int(o) >= len(outcomeNames) {
+		return "unknown"
+	}
+	return outcomeNames[o]
+}
+
+// Message is what the decision on a message depends on.
 type Message struct {
-	Attempt    int           // times that it has come back already, by the broker's count or ours
-	Remaining  time.Duration // of its wait
-	Idempotent bool          // its type may run twice
+	Attempt    int           // earlier attempts, by the broker's count or ours
+	Remaining  time.Duration // until its deadline
+	Idempotent bool          // its class may be executed twice
 }
 
-// SettlementConfig is what the operator's file says of a queue's messages.
+// SettlementConfig is how the messages of a queue are settled.
 type SettlementConfig struct {
-	MaxAttempts     int           // after so many it is answered as failed
-	UseRetryQueue   bool          // what is rejected comes back after a while: the queue dead-letters into one that does so
-	RetryQueueDelay time.Duration // how long that takes
-	DeadLetter      bool          // failures are copied to a dead-letter queue
-	Reply           bool          // the message names where its answer goes
+	MaxAttempts     int           // after so many attempts a message is replied to as failed
+	UseRetryQueue   bool          // the queue dead-letters rejected messages into one that returns them after a while
+	RetryQueueDelay time.Duration // how long the retry queue keeps a message
+	DeadLetter      bool          // messages that did not succeed are copied to a dead-letter queue
+	Reply           bool          // messages name the queue of their reply
 }
 
-// Action is what is to be done with a delivery, behind its answer if there is one.
+// Action is how a delivery is settled, after its reply if there is one.
 type Action int
 
+// The actions.
 const (
 	Ack     Action = iota
-	Requeue        // put back for a peer
-	Reject         // into the retry queue
+	Requeue        // return it to the queue, for a peer
+	Reject         // dead-letter it into the retry queue
 )
 
-// Disposition is what becomes of a message.
+// Disposition is the decision on a message.
 type Disposition struct {
-	Reply      bool // it is answered now, finally
-	DeadLetter bool // and copied to the dead-letter queue
+	Reply      bool    // reply now; there is no further attempt
+	Outcome    Outcome // that is replied
+	DeadLetter bool    // copy it to the dead-letter queue
 	Action     Action
-	Delay      time.Duration // before Then
-	Code       string        // of the answer
+	Delay      time.Duration // before the action
 }
--- a/internal/amqp/delivery/settlement_test.go
+++ b/internal/amqp/delivery/settlement_test.go
@@ -11,10 +11,13 @@
 // What becomes of a message.
 func Example_settle() {
 	b := NewRetryBudget(0.1)
-	plain, retry := SettlementConfig{MaxAttempts: 3, DeadLetter: true}, SettlementConfig{MaxAttempts: 3, UseRetryQueue: true, RetryQueueDelay: time.Second, DeadLetter: true}
-	show := func(name string, m Message, t SettlementConfig, how Outcome, after time.Duration) {
-		f := b.Settle(m, t, how, after, 0.5)
-		fmt.Printf("%s: answer %v %s dead %v then %s in %v\n", name, f.Reply, f.Code, f.DeadLetter, [...]string{"ack", "requeue", "reject"}[f.Action], f.Delay)
+	plain := SettlementConfig{MaxAttempts: 3, DeadLetter: true}
+	retry := SettlementConfig{MaxAttempts: 3, UseRetryQueue: true, RetryQueueDelay: time.Second, DeadLetter: true}
+	show := func(name string, m Message, config SettlementConfig, outcome Outcome, retryAfter time.Duration) {
+		d := b.Settle(m, config, outcome, retryAfter, 0.5)
+		action := [...]string{"ack", "requeue", "reject"}[d.Action]
+		fmt.Printf("%s: answer %v %s dead %v then %s in %v\n",
+			name, d.Reply, d.Outcome, d.DeadLetter, action, d.Delay)
 	}
 	m := Message{Remaining: 10 * time.Second, Idempotent: true}
 	show("acked", m, plain, Succeeded, 0)
@@ -28,16 +31,16 @@
 	show("denied", m, plain, Denied, 0)
 	show("drained", m, retry, Drained, 0)
 	show("drained, must not run twice", Message{Remaining: time.Second}, retry, Drained, 0)
-	put := 0
+	returned := 0
 	for range 100 {
 		if !b.Settle(m, plain, Rejected, 0, 0).Reply {
-			put++
+			returned++
 		}
 	}
 	for range 50 {
 		b.CountFresh()
 	}
-	fmt.Println("budget", put, b.Settle(m, plain, Rejected, 0, 0).Reply)
+	fmt.Println("budget", returned, b.Settle(m, plain, Rejected, 0, 0).Reply)
 	// Output:
 	// acked: answer true acked dead false then ack in 0s
 	// nacked: answer false  dead false then requeue in 200ms
@@ -53,40 +56,70 @@
 	// budget 7 false
 }
 
-// What becomes of any message: answered or put back, never both; put back only what never ran, in time to be tried again, within
-// its attempts and the budget; a failure is never called acked.
+// Any message is replied to or returned, never both. It is returned only if it was not executed, there is time for a
+// further attempt, and attempts and budget allow one; a failure is never called a success.
 func TestSettle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		share := rapid.Float64Range(0, 1).Draw(t, "share")
-		b := NewRetryBudget(share)
-		told := SettlementConfig{MaxAttempts: rapid.IntRange(1, 5).Draw(t, "attempts"), UseRetryQueue: rapid.Bool().Draw(t, "retry"),
-			RetryQueueDelay: time.Duration(rapid.IntRange(0, 3000).Draw(t, "delay")) * time.Millisecond, DeadLetter: rapid.Bool().Draw(t, "dead")}
-		fresh, back := 0, 0
+		fraction := rapid.Float64Range(0, 1).Draw(t, "fraction")
+		budget := NewRetryBudget(fraction)
+		config := SettlementConfig{
+			MaxAttempts:     rapid.IntRange(1, 5).Draw(t, "attempts"),
+			UseRetryQueue:   rapid.Bool().Draw(t, "retry queue"),
+			RetryQueueDelay: time.Duration(rapid.IntRange(0, 3000).Draw(t, "delay")) * time.Millisecond,
+			DeadLetter:      rapid.Bool().Draw(t, "dead letter"),
+		}
+		fresh, retries := 0, 0
 		for range 100 {
-			m := Message{Attempt: rapid.IntRange(0, 6).Draw(t, "attempt"), Idempotent: rapid.Bool().Draw(t, "twice"),
-				Remaining: time.Duration(rapid.IntRange(-1000, 10_000).Draw(t, "left")) * time.Millisecond}
-			if m.Attempt == 0 {
-				b.CountFresh()
+			message := Message{
+				Attempt:    rapid.IntRange(0, 6).Draw(t, "attempt"),
+				Idempotent: rapid.Bool().Draw(t, "idempotent"),
+				Remaining:  time.Duration(rapid.IntRange(-1000, 10_000).Draw(t, "remaining")) * time.Millisecond,
+			}
+			if message.Attempt == 0 {
+				budget.CountFresh()
 				fresh++
 			}
-			how := Outcome(rapid.IntRange(int(Succeeded), int(DuplicateID)).Draw(t, "how"))
-			f := b.Settle(m, told, how, time.Duration(rapid.IntRange(0, 500).Draw(t, "after"))*time.Millisecond, rapid.Float64Range(0, 1).Draw(t, "chance"))
-			switch {
-			case f.Reply && (f.Action != Ack || f.Delay != 0 || f.Code == "" || (f.Code == "acked") != (how == Succeeded) || f.DeadLetter != (told.DeadLetter && how != Succeeded)):
-				t.Fatalf("%s: %+v", how.Code(), f)
-			case !f.Reply && how != Rejected && how != Drained, !f.Reply && (f.Action == Ack || f.DeadLetter):
-				t.Fatalf("%s put back: %+v", how.Code(), f)
-			case how == Drained && (f.Reply || f.Delay != 0 || f.Action == Requeue && told.UseRetryQueue && !m.Idempotent):
-				t.Fatalf("drained: %+v", f)
-			case how == Rejected && !f.Reply:
-				back++
-				if f.Delay >= m.Remaining || m.Attempt+1 >= told.MaxAttempts || told.UseRetryQueue != (f.Action == Reject) || told.UseRetryQueue && f.Delay+told.RetryQueueDelay >= m.Remaining {
-					t.Fatalf("nacked %+v: %+v", m, f)
-				}
+			outcome := Outcome(rapid.IntRange(int(Succeeded), int(DuplicateID)).Draw(t, "outcome"))
+			retryAfter := time.Duration(rapid.IntRange(0, 500).Draw(t, "retry after")) * time.Millisecond
+			disposition := budget.Settle(message, config, outcome, retryAfter, rapid.Float64Range(0, 1).Draw(t, "random"))
+			if disposition.Reply {
+				checkReplied(t, disposition, config, outcome)
+			} else {
+				checkReturned(t, disposition, message, config, outcome)
+			}
+			if outcome == Drained && disposition.Reply {
+				t.Fatalf("drained: %+v", disposition)
 			}
-			if float64(back) > 10+share*float64(fresh) {
-				t.Fatalf("%d put back of %d fresh, share %f", back, fresh, share)
+			if outcome == Rejected && !disposition.Reply {
+				retries++
+			}
+			if float64(retries) > 10+fraction*float64(fresh) {
+				t.Fatalf("%d returned of %d fresh, fraction %f", retries, fresh, fraction)
 			}
 		}
 	})
 }
+
+func checkReplied(t *rapid.T, d Disposition, config SettlementConfig, outcome Outcome) {
+	t.Helper()
+	if d.Action != Ack || d.Delay != 0 || d.Outcome.String() == "" ||
+		(d.Outcome.String() == "acked") != (outcome == Succeeded) ||
+		d.DeadLetter != (config.DeadLetter && outcome != Succeeded) {
+		t.Fatalf("%s: %+v", outcome, d)
+	}
+}
+
+func checkReturned(t *rapid.T, d Disposition, message Message, config SettlementConfig, outcome Outcome) {
+	t.Helper()
+	if outcome != Rejected && outcome != Drained || d.Action == Ack || d.DeadLetter {
+		t.Fatalf("%s returned: %+v", outcome, d)
+	}
+	if outcome == Drained && (d.Delay != 0 || d.Action == Requeue && config.UseRetryQueue && !message.Idempotent) {
+		t.Fatalf("drained: %+v", d)
+	}
+	if outcome == Rejected && (d.Delay >= message.Remaining || message.Attempt+1 >= config.MaxAttempts ||
+		config.UseRetryQueue != (d.Action == Reject) ||
+		config.UseRetryQueue && d.Delay+config.RetryQueueDelay >= message.Remaining) {
+		t.Fatalf("rejected %+v: %+v", message, d)
+	}
+}
--- a/internal/amqp/part.go
+++ b/internal/amqp/part.go
@@ -40,7 +40,7 @@
 	postToServer  func(...func()) // to the core's loop
 	random        *rand.Rand
 	flow          *delivery.FlowController
-	deduplicator  *delivery.Deduplicator
+	deduplicator  *delivery.Deduplicator[*reply]
 	retryBudget   *delivery.RetryBudget
 	brokers       *brokerSelector
 	queues        map[delivery.QueueName]*Queue
@@ -70,7 +70,7 @@
 // New makes the front; it consumes once Start is called. hand gives calls to the core's loop.
 func New(config Config, server frontend.Server, postToServer func(...func()), seed uint64) *Consumer {
 	consumer := &Consumer{Loop: eventloop.New(1 << 16), config: config, server: server, postToServer: postToServer, random: rand.New(rand.NewPCG(seed, 1)),
-		deduplicator: delivery.NewDeduplicator(config.MaxRemembered, config.RememberedFor), retryBudget: delivery.NewRetryBudget(config.RetryFraction),
+		deduplicator: delivery.NewDeduplicator[*reply](config.MaxRemembered, config.RememberedFor), retryBudget: delivery.NewRetryBudget(config.RetryFraction),
 		queues: map[delivery.QueueName]*Queue{}, credentials: map[delivery.QueueName]*authn.Credential{},
 		inFlight: map[delivery.MessageID]*pendingMessage{}, closed: make(chan struct{}), counters: map[string]uint64{}}
 	var queues []delivery.Queue
@@ -165,7 +165,7 @@
 			before := p.flow.PauseReason()
 			p.flow.Update(p.Now(), load, p.session != nil && p.session.blocked)
 			if after := p.flow.PauseReason(); after != before {
-				slog.Info("intake", "was", before, "is", after, "in_hand", p.flow.TotalInFlight())
+				slog.Info("intake", "was", before.String(), "is", after.String(), "in_hand", p.flow.TotalInFlight())
 			}
 			p.applyLimits()
 			p.housekeep()
@@ -191,7 +191,7 @@
 }
 
 // handleDelivery takes one delivery, read beside the loop.
-func (p *Consumer) handleDelivery(queue *Queue, message parsedMessage, tag delivery.DeliveryTag, redelivered bool) {
+func (p *Consumer) handleDelivery(queue *Queue, message parsedMessage, tag delivery.Tag, redelivered bool) {
 	if p.session == nil || p.session.channelOf(queue.Name, tag) == nil {
 		return // lost meanwhile; it comes again
 	}
@@ -203,11 +203,15 @@
 		return
 	}
 	idempotent := p.config.IdempotentClasses[admission.Class(message.request.Class)]
-	decision, earlier := p.deduplicator.Receive(p.Now(), message.id, message.digest, tag, redelivered, idempotent)
+	decision, earlier := p.deduplicator.Receive(p.Now(), delivery.Arrival{
+		ID: message.id, Digest: message.digest, Tag: tag, Redelivered: redelivered, Idempotent: idempotent,
+	})
 	conflict := decision == delivery.IDConflict
 	if conflict { // it is known by what it says, too
 		message.id = delivery.MessageID(fmt.Sprintf("%s#%x", message.id, message.digest))
-		decision, earlier = p.deduplicator.Receive(p.Now(), message.id, message.digest, tag, false, true)
+		decision, earlier = p.deduplicator.Receive(p.Now(), delivery.Arrival{
+			ID: message.id, Digest: message.digest, Tag: tag, Idempotent: true,
+		})
 	}
 	pending := &pendingMessage{consumer: p, queue: queue, message: message}
 	switch decision {
@@ -220,15 +224,11 @@
 		return
 	case delivery.ResendReply:
 		p.counters["answered-again"]++
-		if repeated, ok := earlier.(*reply); ok {
-			s := p.session
-			s.publishReply(repeated, func() {
-				p.deduplicator.ReplyConfirmed(message.id)
-				s.ack(queue.Name, tag)
-			})
-			return
-		}
-		p.session.ack(queue.Name, tag)
+		s := p.session
+		s.publishReply(earlier, func() {
+			p.deduplicator.ReplyConfirmed(message.id)
+			s.ack(queue.Name, tag)
+		})
 		return
 	case delivery.Uncertain:
 		p.settle(pending, nil, p.disposition(pending, delivery.MayHaveExecuted, 0), "")
@@ -298,16 +298,16 @@
 		}
 		return
 	}
-	answer := pending.newReply(result, disposition.Code, reason)
+	answer := pending.newReply(result, disposition.Outcome.String(), reason)
 	tags := p.deduplicator.Replied(p.Now(), pending.message.id, answer)
 	p.publishOutcome(pending, answer, disposition, reason, tags)
 }
 
 // publishOutcome answers, copies to the dead-letter queue, and acks once both are confirmed.
-func (p *Consumer) publishOutcome(pending *pendingMessage, answer *reply, disposition delivery.Disposition, reason string, tags []delivery.DeliveryTag) {
-	p.counters[disposition.Code]++
-	if disposition.Code != delivery.Succeeded.Code() && p.outcomeLog.Allow(disposition.Code, time.Now()) {
-		slog.Info("message", "queue", pending.queue.Name, "code", disposition.Code, "why", reason, "id", truncate(string(pending.message.id)), "attempt", pending.message.attempt)
+func (p *Consumer) publishOutcome(pending *pendingMessage, answer *reply, disposition delivery.Disposition, reason string, tags []delivery.Tag) {
+	p.counters[disposition.Outcome.String()]++
+	if disposition.Outcome.String() != delivery.Succeeded.String() && p.outcomeLog.Allow(disposition.Outcome.String(), time.Now()) {
+		slog.Info("message", "queue", pending.queue.Name, "code", disposition.Outcome.String(), "why", reason, "id", truncate(string(pending.message.id)), "attempt", pending.message.attempt)
 	}
 	s := p.session
 	if s == nil {
@@ -325,7 +325,7 @@
 				s.ack(pending.queue.Name, tag)
 			}
 		}
-		if executedOutcomes[disposition.Code] {
+		if executedOutcomes[disposition.Outcome.String()] {
 			ack()
 		} else {
 			p.paceAck(ack)
@@ -339,7 +339,7 @@
 		s.publishReply(answer, confirmed)
 	}
 	if deadLetter {
-		s.publishDeadLetter(pending, disposition.Code, reason, confirmed)
+		s.publishDeadLetter(pending, disposition.Outcome.String(), reason, confirmed)
 	}
 	if unconfirmed == 0 {
 		confirmed()
@@ -347,7 +347,7 @@
 }
 
 // executedOutcomes are the outcomes of messages that were runs; the others never were.
-var executedOutcomes = map[string]bool{delivery.Succeeded.Code(): true, delivery.Failed.Code(): true}
+var executedOutcomes = map[string]bool{delivery.Succeeded.String(): true, delivery.Failed.String(): true}
 
 // ackPaceInterval is how often paced acks go out: some at a time, as each waking costs as much as a message.
 const ackPaceInterval = 10 * time.Millisecond
--- a/internal/amqp/session.go
+++ b/internal/amqp/session.go
@@ -389,7 +389,7 @@
 func (s *session) readDeliveries(c *channel, deliveries <-chan client.Delivery) {
 	for incoming := range deliveries {
 		message := c.queue.Mapping.read(c.queue.Name, &incoming, placeholderReason(incoming.Body), time.Now())
-		tag := delivery.DeliveryTag{ChannelID: c.id, Number: incoming.DeliveryTag}
+		tag := delivery.Tag{ChannelID: c.id, Number: incoming.DeliveryTag}
 		if message.defect == badHeader { // nothing of it was read, so nothing can tell it from another
 			message.id = delivery.MessageID(fmt.Sprintf("unread:%d:%d", tag.ChannelID, tag.Number))
 		}
@@ -399,21 +399,21 @@
 }
 
 // channelOf gives the channel on which a delivery came, nil if it is gone.
-func (s *session) channelOf(name delivery.QueueName, tag delivery.DeliveryTag) *channel {
+func (s *session) channelOf(name delivery.QueueName, tag delivery.Tag) *channel {
 	if c := s.channels[name]; c != nil && c.id == tag.ChannelID && !s.ended {
 		return c
 	}
 	return nil
 }
 
-func (s *session) trackDelivery(name delivery.QueueName, tag delivery.DeliveryTag) {
+func (s *session) trackDelivery(name delivery.QueueName, tag delivery.Tag) {
 	if c := s.channelOf(name, tag); c != nil {
 		c.acks.Received(tag.Number)
 	}
 }
 
 // ack marks a delivery; the batch's acks go together.
-func (s *session) ack(name delivery.QueueName, tag delivery.DeliveryTag) {
+func (s *session) ack(name delivery.QueueName, tag delivery.Tag) {
 	if c := s.channelOf(name, tag); c != nil {
 		c.acks.Acked(tag.Number)
 		s.consumer.flow.Settled(name)
@@ -434,14 +434,14 @@
 	s.enqueue(func() error { return ch.Ack(ack.Tag, ack.Multiple) })
 }
 
-func (s *session) requeue(name delivery.QueueName, tag delivery.DeliveryTag) {
+func (s *session) requeue(name delivery.QueueName, tag delivery.Tag) {
 	if c := s.channelOf(name, tag); c != nil && c.acks.Remove(tag.Number) {
 		s.consumer.flow.Settled(name)
 		s.enqueue(func() error { return c.link.Nack(tag.Number, false, true) })
 	}
 }
 
-func (s *session) reject(name delivery.QueueName, tag delivery.DeliveryTag) {
+func (s *session) reject(name delivery.QueueName, tag delivery.Tag) {
 	if c := s.channelOf(name, tag); c != nil && c.acks.Remove(tag.Number) {
 		s.consumer.flow.Settled(name)
 		s.enqueue(func() error { return c.link.Reject(tag.Number, false) })
--- a/internal/amqp/watch.go
+++ b/internal/amqp/watch.go
@@ -28,7 +28,7 @@
 }
 
 func (p *Consumer) status() Status {
-	s := Status{PauseReason: p.flow.PauseReason(), Window: p.flow.Window(), InHand: len(p.inFlight), Remembered: p.deduplicator.Len(), Counts: map[string]uint64{}}
+	s := Status{PauseReason: p.flow.PauseReason().String(), Window: p.flow.Window(), InHand: len(p.inFlight), Remembered: p.deduplicator.Len(), Counts: map[string]uint64{}}
 	if p.session != nil {
 		s.Broker = hostPort(p.session.url)
 	}
@@ -36,7 +36,7 @@
 		s.Counts[name] = n
 	}
 	for _, q := range p.config.Queues {
-		s.Queues = append(s.Queues, QueueStatus{string(q.Name), p.flow.State(q.Name), p.flow.Limit(q.Name), p.flow.InFlight(delivery.QueueName(q.Name))})
+		s.Queues = append(s.Queues, QueueStatus{string(q.Name), p.flow.State(q.Name).String(), p.flow.Limit(q.Name), p.flow.InFlight(delivery.QueueName(q.Name))})
 	}
 	return s
 }
