--- a/cmd/lanewheel/queue_test.go
+++ b/cmd/lanewheel/queue_test.go
@@ -187,7 +187,7 @@
 	if outcomes["acked"] > ran || outcomes["acked"]+outcomes["failed"] != counts.Acked {
 		fmt.Println(outcomes, ran, counts)
 	}
-	fmt.Println(code, len(all) == counts.Acked, counts.Acked+counts.Ready, counts.Unsettled, strings.Contains(log, "party=broker code=stopped"))
+	fmt.Println(code, len(all) == counts.Acked, counts.Acked+counts.Ready, counts.Unsettled, strings.Contains(log, "peer=broker code=shutdown"))
 	// Output:
 	// 0 true 60 0 true
 }
--- a/internal/amqp/ackpacer.go
+++ b/internal/amqp/ackpacer.go
@@ -4,28 +4,30 @@
 	"time"
 )
 
-// ackPaceInterval is how often paced acks go out: some at a time, as each waking costs as much as a message.
+// ackPaceInterval is how often paced acks are sent: several at a time, as each wake-up costs as much as a message.
 const ackPaceInterval = 10 * time.Millisecond
 
-// paceAck acks a message that never became an op. Danger: a flood of such, as fast as broker and core can go, leaves no time for the
-// callers who wait on a connection. Each is answered at once; the broker sends more only as they are acked.
-func (p *Consumer) paceAck(step func()) {
-	p.pacedAcks = append(p.pacedAcks, step)
-	if len(p.pacedAcks) == 1 {
-		p.ScheduleAt(p.Now()+ackPaceInterval, p.releasePacedAcks)
+// paceAck delays the ack of a message that was not executed, at most Config.UnstartedRate a second. A flood of such
+// messages, as fast as broker and server can pass them, would leave no time for callers who wait on a connection. Each
+// is replied to at once; but the broker delivers more only as they are acked.
+func (c *Consumer) paceAck(ack func()) {
+	c.pacedAcks = append(c.pacedAcks, ack)
+	if len(c.pacedAcks) == 1 {
+		c.ScheduleAt(c.Now()+ackPaceInterval, c.releasePacedAcks)
 	}
 }
 
-func (p *Consumer) releasePacedAcks() {
-	n := min(len(p.pacedAcks), max(1, int(ackPaceInterval.Seconds()*float64(p.config.UnstartedRate))))
-	if p.draining {
-		n = len(p.pacedAcks)
+func (c *Consumer) releasePacedAcks() {
+	perInterval := max(1, int(ackPaceInterval.Seconds()*float64(c.config.UnstartedRate)))
+	released := min(len(c.pacedAcks), perInterval)
+	if c.draining {
+		released = len(c.pacedAcks)
 	}
-	for _, step := range p.pacedAcks[:n] {
-		step()
+	for _, ack := range c.pacedAcks[:released] {
+		ack()
 	}
-	p.pacedAcks = append(p.pacedAcks[:0], p.pacedAcks[n:]...)
-	if len(p.pacedAcks) > 0 {
-		p.ScheduleAt(p.Now()+ackPaceInterval, p.releasePacedAcks)
+	c.pacedAcks = append(c.pacedAcks[:0], c.pacedAcks[released:]...)
+	if len(c.pacedAcks) > 0 {
+		c.ScheduleAt(c.Now()+ackPaceInterval, c.releasePacedAcks)
 	}
 }
--- a/internal/amqp/brokerselector.go
+++ b/internal/amqp/brokerselector.go
@@ -4,44 +4,46 @@
 	"time"
 )
 
-// brokerSelector decides to which broker a connection is made. It is pure; the first address is the preferred one.
+const (
+	// initialBackoff is some round trips, maxBackoff what an operator waits for after repairing a broker.
+	initialBackoff = 200 * time.Millisecond
+	maxBackoff     = 30 * time.Second
+	// stableAfter is how long a connection has to last to reset its broker's backoff.
+	stableAfter = 10 * time.Second
+	// failbackAfter is how long another broker is used before the preferred one is tried again.
+	failbackAfter = 30 * time.Second
+	// minPickDelay keeps pick from being called again and again for a backoff that is all but over.
+	minPickDelay = time.Millisecond
+)
+
+// brokerSelector decides which broker to connect to; the first is the preferred one. It does no I/O and belongs to one
+// goroutine. Times are by that goroutine's clock.
 type brokerSelector struct {
 	brokers     []brokerState
-	current     int // the one in use, -1 for none
+	current     int // index of the connected broker, -1 for none
 	connectedAt time.Duration
-	random      func() float64
+	random      func() float64 // from 0 to under 1
 }
 
 type brokerState struct {
-	url       string
-	backoff   time.Duration // how long it is left alone after the next failure
-	retryAt   time.Duration
-	lastError string // of its last failure
+	url     string
+	backoff time.Duration // after the next failure
+	retryAt time.Duration
 }
 
-const (
-	// The first penalty is some round trips, the longest what an operator waits for after mending a broker.
-	initialBackoff, maxBackoff = 200 * time.Millisecond, 30 * time.Second
-	// A connection that stood for so long pays its broker's penalties off; shorter, and it counts as flapping.
-	stableAfter = 10 * time.Second
-	// How long a lesser broker is stayed with before the preferred is tried again.
-	failbackAfter = 30 * time.Second
-)
-
-// newBrokerSelector begins with none in use. chance gives numbers between 0 and 1.
+// newBrokerSelector returns a selector with no broker connected.
 func newBrokerSelector(urls []string, random func() float64) *brokerSelector {
-	r := &brokerSelector{current: -1, random: random}
+	s := &brokerSelector{current: -1, random: random}
 	for _, url := range urls {
-		r.brokers = append(r.brokers, brokerState{url: url, backoff: initialBackoff})
+		s.brokers = append(s.brokers, brokerState{url: url, backoff: initialBackoff})
 	}
-	return r
+	return s
 }
 
-// pick gives the address to try now, or how long to wait: the first in order whose penalty is over, else the one whose is over
-// first.
-func (r *brokerSelector) pick(now time.Duration) (url string, wait time.Duration) {
+// pick returns the broker to try now, the first whose backoff is over, or else how long to wait.
+func (s *brokerSelector) pick(now time.Duration) (url string, wait time.Duration) {
 	soonest := time.Duration(-1)
-	for _, broker := range r.brokers {
+	for _, broker := range s.brokers {
 		if broker.retryAt <= now {
 			return broker.url, 0
 		}
@@ -49,44 +51,44 @@
 			soonest = remaining
 		}
 	}
-	return "", max(soonest, time.Millisecond)
+	return "", max(soonest, minPickDelay)
 }
 
-func (r *brokerSelector) indexOf(url string) int {
-	for i := range r.brokers {
-		if r.brokers[i].url == url {
+func (s *brokerSelector) indexOf(url string) int {
+	for i := range s.brokers {
+		if s.brokers[i].url == url {
 			return i
 		}
 	}
 	return -1
 }
 
-// connected tells that a connection stands.
-func (r *brokerSelector) connected(now time.Duration, url string) {
-	r.current, r.connectedAt = r.indexOf(url), now
+// connected says that a broker is connected.
+func (s *brokerSelector) connected(now time.Duration, url string) {
+	s.current = s.indexOf(url)
+	s.connectedAt = now
 }
 
-// failed tells that a broker failed: it was not reached, it refused, or its connection broke. Danger: one that takes connections
-// and drops them would have the consumer flap; only a connection that stood for a while takes its penalty back.
-func (r *brokerSelector) failed(now time.Duration, url, code string) {
-	i := r.indexOf(url)
+// failed says that a broker was not reached, refused the connection or lost it. Only a connection that lasted resets
+// the backoff: a broker that accepts connections and drops them would otherwise have the consumer flap.
+func (s *brokerSelector) failed(now time.Duration, url string) {
+	i := s.indexOf(url)
 	if i < 0 {
 		return
 	}
-	broker := &r.brokers[i]
-	if r.current == i {
-		if now-r.connectedAt >= stableAfter {
+	broker := &s.brokers[i]
+	if s.current == i {
+		if now-s.connectedAt >= stableAfter {
 			broker.backoff = initialBackoff
 		}
-		r.current = -1
+		s.current = -1
 	}
-	// Half to one and a half times: consumers that a broker lost together do not come back together.
-	broker.retryAt = now + broker.backoff/2 + time.Duration(r.random()*float64(broker.backoff))
+	// From half to one and a half times, so that consumers that a broker lost together do not come back together.
+	broker.retryAt = now + broker.backoff/2 + time.Duration(s.random()*float64(broker.backoff))
 	broker.backoff = min(2*broker.backoff, maxBackoff)
-	broker.lastError = code
 }
 
-// shouldFailBack tells whether to go back to the preferred broker, from a lesser one that was stayed with for a while.
-func (r *brokerSelector) shouldFailBack(now time.Duration) bool {
-	return r.current > 0 && now-r.connectedAt >= failbackAfter && r.brokers[0].retryAt <= now
+// shouldFailBack tells whether to return to the preferred broker, from another one that was used for a while.
+func (s *brokerSelector) shouldFailBack(now time.Duration) bool {
+	return s.current > 0 && now-s.connectedAt >= failbackAfter && s.brokers[0].retryAt <= now
 }
--- a/internal/amqp/brokerselector_test.go
+++ b/internal/amqp/brokerselector_test.go
@@ -14,7 +14,7 @@
 		fmt.Println(now, addr, wait, r.shouldFailBack(now))
 	}
 	say()
-	r.failed(now, "one", "unreachable")
+	r.failed(now, "one")
 	say()
 	r.connected(now, "two")
 	now = 29 * time.Second
@@ -27,7 +27,7 @@
 			tries++
 			r.connected(now, "one")
 			now += 100 * time.Millisecond
-			r.failed(now, "one", "closed")
+			r.failed(now, "one")
 		}
 	}
 	fmt.Println("tries in ten minutes", tries)
--- a/internal/amqp/channel.go
+++ b/internal/amqp/channel.go
@@ -11,61 +11,83 @@
 	"lanewheel/internal/amqp/delivery"
 )
 
-// channel is a queue's. Its number is one of its own: what was delivered on one channel can't be settled on another.
+const (
+	// minReopenDelay and maxReopenDelay are the first and the longest wait before a channel is opened again.
+	minReopenDelay = time.Second
+	maxReopenDelay = 30 * time.Second
+)
+
+// channel is the channel of one queue. Its id is drawn anew whenever a channel is opened: what was delivered on one
+// can't be settled on another. Owned by the consumer's event loop, but for what the writer does with link.
 type channel struct {
 	id             uint64
 	queue          *Queue
 	link           *client.Channel // nil while it is being opened
-	prefetch       int             // as last told the broker; 0: it does not consume
+	prefetch       int             // as the broker was last told; 0: it does not consume
 	wantedPrefetch int
-	consumerTag    string // of its consumer
+	consumerTag    string
 	acks           delivery.AckTracker
-	backoff        time.Duration
+	reopenDelay    time.Duration
 }
 
-// openChannel opens a queue's channel after a while; it may fail again and again.
+// openChannel opens a queue's channel after a delay.
 func (s *session) openChannel(queue *Queue, delay time.Duration) {
 	s.consumer.lastID++
-	c := &channel{id: s.consumer.lastID, queue: queue, wantedPrefetch: s.consumer.flow.Limit(queue.Name), backoff: delay}
+	c := &channel{
+		id:             s.consumer.lastID,
+		queue:          queue,
+		wantedPrefetch: s.consumer.flow.Limit(queue.Name),
+		reopenDelay:    delay,
+	}
 	s.channels[queue.Name] = c
 	s.consumer.ScheduleAt(s.consumer.Now()+delay, func() {
 		if s.ended || s.closing {
 			return
 		}
-		s.enqueue(func() error {
-			ch, err := s.connection.Channel()
-			if err != nil {
-				return err
-			}
-			closed := ch.NotifyClose(make(chan *client.Error, 1))
-			cancelled := ch.NotifyCancel(make(chan string, 8))
-			go func() {
-				for range cancelled {
-					s.consumer.Post(func() {
-						slog.Warn("queue", "queue", queue.Name, "code", "cancelled")
-						s.reopenChannel(c)
-					})
-				}
-			}()
-			go func() {
-				e := <-closed
-				s.consumer.Post(func() {
-					if e != nil && s.channels[queue.Name] == c {
-						slog.Warn("queue", "queue", queue.Name, "code", "amqp-"+strconv.Itoa(e.Code), "err", truncate(e.Reason))
-					}
-					s.reopenChannel(c)
-				})
-			}()
+		s.enqueue(func() error { return s.openLink(c) })
+	})
+}
+
+// openLink opens the channel at the broker. The writer calls it.
+func (s *session) openLink(c *channel) error {
+	link, err := s.connection.Channel()
+	if err != nil {
+		return err
+	}
+	closed := link.NotifyClose(make(chan *client.Error, 1))
+	cancellations := link.NotifyCancel(make(chan string, maxPendingCancellations))
+	go func() {
+		for range cancellations {
 			s.consumer.Post(func() {
-				c.link = ch
-				s.setPrefetch(queue.Name, c.wantedPrefetch)
+				slog.Warn("queue consumer canceled by broker", "queue", string(c.queue.Name))
+				s.reopenChannel(c)
 			})
-			return nil
-		})
+		}
+	}()
+	go func() {
+		err := <-closed
+		s.consumer.Post(func() { s.handleChannelClosed(c, err) })
+	}()
+	s.consumer.Post(func() {
+		c.link = link
+		s.setPrefetch(c.queue.Name, c.wantedPrefetch)
 	})
+	return nil
 }
 
-// reopenChannel replaces a channel that is gone, or whose consumer the broker took away; its deliveries come again.
+// handleChannelClosed hears that a channel is closed; err is nil if that was in order.
+func (s *session) handleChannelClosed(c *channel, err *client.Error) {
+	if err != nil && s.channels[c.queue.Name] == c {
+		slog.Warn("queue channel closed by broker",
+			"queue", string(c.queue.Name),
+			"code", string(amqpCode(err)),
+			"err", truncate(err.Reason))
+	}
+	s.reopenChannel(c)
+}
+
+// reopenChannel replaces a channel that is gone, or whose consumer the broker canceled; its deliveries come again. A
+// queue that is gone is asked for with growing delays.
 func (s *session) reopenChannel(c *channel) {
 	name := c.queue.Name
 	if s.ended || s.closing || s.channels[name] != c {
@@ -73,56 +95,62 @@
 	}
 	s.consumer.deduplicator.ChannelClosed(c.id)
 	s.consumer.flow.Disconnected(name)
-	if old := c.link; old != nil {
-		s.enqueue(old.Close)
+	if c.link != nil {
+		s.enqueue(c.link.Close)
 	}
-	// A queue that is gone is asked for again after a second, then less and less often.
-	s.openChannel(c.queue, min(max(2*c.backoff, time.Second), 30*time.Second))
+	s.openChannel(c.queue, min(max(2*c.reopenDelay, minReopenDelay), maxReopenDelay))
 }
 
-// setPrefetch tells the broker how many messages of a queue may be unsettled; none, and the consumer is cancelled.
-func (s *session) setPrefetch(name delivery.QueueName, prefetch int) {
+// setPrefetch tells the broker how many messages of a queue may be unsettled; at 0 the queue is not consumed from.
+func (s *session) setPrefetch(name delivery.QueueName, wanted int) {
 	c := s.channels[name]
 	if c == nil {
 		return
 	}
-	c.wantedPrefetch = prefetch
-	if c.link == nil || s.closing || prefetch == c.prefetch {
-		return
-	}
-	// Small changes of a large limit are not worth a round trip.
-	if previous := c.prefetch; previous > 0 && prefetch > 0 && prefetch*10 > previous*9 && prefetch*9 < previous*10 {
+	c.wantedPrefetch = wanted
+	previous := c.prefetch
+	if c.link == nil || s.closing || wanted == previous || isSmallChange(previous, wanted) {
 		return
 	}
-	previous, ch := c.prefetch, c.link
-	c.prefetch = prefetch
+	c.prefetch = wanted
+	link := c.link
 	switch {
-	case prefetch == 0:
+	case wanted == 0:
 		tag := c.consumerTag
-		s.enqueue(func() error { return ch.Cancel(tag, false) })
+		s.enqueue(func() error { return link.Cancel(tag, false) })
 	case previous > 0:
-		s.enqueue(func() error { return ch.Qos(prefetch, 0, true) })
+		s.enqueue(func() error { return link.Qos(wanted, 0, true) })
 	default:
 		s.consumer.lastID++
 		c.consumerTag = "lanewheel-" + strconv.FormatUint(s.consumer.lastID, 10)
 		tag := c.consumerTag
-		s.enqueue(func() error {
-			if err := ch.Qos(prefetch, 0, true); err != nil {
-				return err
-			}
-			from, err := ch.Consume(string(name), tag, false, false, false, false, nil)
-			if err == nil {
-				go s.readDeliveries(c, from)
-			}
-			return err
-		})
+		s.enqueue(func() error { return s.consume(c, link, tag, wanted) })
 	}
 }
 
-// readDeliveries reads one consumer's deliveries, beside the loop.
+// isSmallChange tells whether a limit above 0 changes by less than a tenth, which is not worth a round trip.
+func isSmallChange(previous, wanted int) bool {
+	return previous > 0 && wanted > 0 && wanted*10 > previous*9 && wanted*9 < previous*10
+}
+
+// consume begins to consume a queue. The writer calls it.
+func (s *session) consume(c *channel, link *client.Channel, tag string, prefetch int) error {
+	if err := link.Qos(prefetch, 0, true); err != nil {
+		return err
+	}
+	deliveries, err := link.Consume(string(c.queue.Name), tag, false, false, false, false, nil)
+	if err != nil {
+		return err
+	}
+	go s.readDeliveries(c, deliveries)
+	return nil
+}
+
+// readDeliveries reads one consumer's deliveries, on a goroutine of its own, until the consumer is canceled. It uses
+// only what is constant in the channel.
 func (s *session) readDeliveries(c *channel, deliveries <-chan client.Delivery) {
 	for incoming := range deliveries {
-		message := c.queue.Mapping.read(c.queue.Name, &incoming, placeholderReason(incoming.Body), time.Now())
+		message := c.queue.Mapping.read(c.queue.Name, &incoming, placeholderDefect(incoming.Body), time.Now())
 		tag := delivery.Tag{ChannelID: c.id, Number: incoming.DeliveryTag}
 		if message.defect == badHeader { // nothing of it was read, so nothing can tell it from another
 			message.id = delivery.MessageID(fmt.Sprintf("unread:%d:%d", tag.ChannelID, tag.Number))
@@ -132,7 +160,7 @@
 	}
 }
 
-// channelOf gives the channel on which a delivery came, nil if it is gone.
+// channelOf returns the channel on which a delivery came, nil if it is gone.
 func (s *session) channelOf(name delivery.QueueName, tag delivery.Tag) *channel {
 	if c := s.channels[name]; c != nil && c.id == tag.ChannelID && !s.ended {
 		return c
@@ -146,7 +174,7 @@
 	}
 }
 
-// ack marks a delivery; the batch's acks go together.
+// ack marks a delivery to be acked by the next flushAcks.
 func (s *session) ack(name delivery.QueueName, tag delivery.Tag) {
 	if c := s.channelOf(name, tag); c != nil {
 		c.acks.Acked(tag.Number)
@@ -154,30 +182,34 @@
 	}
 }
 
-// flushAcks sends the acks of a batch.
+// flushAcks sends the acks that were marked, those of one batch of the event loop together.
 func (s *session) flushAcks() {
 	for _, c := range s.channels {
-		for _, a := range c.acks.Flush() {
-			c.sendAck(s, a)
+		link := c.link
+		for _, ack := range c.acks.Flush() {
+			s.enqueue(func() error { return link.Ack(ack.Tag, ack.Multiple) })
 		}
 	}
 }
 
-func (c *channel) sendAck(s *session, ack delivery.AckRange) {
-	ch := c.link
-	s.enqueue(func() error { return ch.Ack(ack.Tag, ack.Multiple) })
-}
-
+// requeue gives a delivery back to its queue, for a peer.
 func (s *session) requeue(name delivery.QueueName, tag delivery.Tag) {
-	if c := s.channelOf(name, tag); c != nil && c.acks.Remove(tag.Number) {
-		s.consumer.flow.Settled(name)
-		s.enqueue(func() error { return c.link.Nack(tag.Number, false, true) })
+	c := s.channelOf(name, tag)
+	if c == nil || !c.acks.Remove(tag.Number) {
+		return
 	}
+	s.consumer.flow.Settled(name)
+	link := c.link
+	s.enqueue(func() error { return link.Nack(tag.Number, false, true) })
 }
 
+// reject has the broker dead-letter a delivery, into the retry queue.
 func (s *session) reject(name delivery.QueueName, tag delivery.Tag) {
-	if c := s.channelOf(name, tag); c != nil && c.acks.Remove(tag.Number) {
-		s.consumer.flow.Settled(name)
-		s.enqueue(func() error { return c.link.Reject(tag.Number, false) })
+	c := s.channelOf(name, tag)
+	if c == nil || !c.acks.Remove(tag.Number) {
+		return
 	}
+	s.consumer.flow.Settled(name)
+	link := c.link
+	s.enqueue(func() error { return link.Reject(tag.Number, false) })
 }
--- a/internal/amqp/consumer.go
+++ b/internal/amqp/consumer.go
@@ -1,3 +1,6 @@
+// Package amqp is the front end for messages on queues (AMQP 0-9-1): it consumes from a broker, submits each message
+// as a request to the server, publishes the reply and settles the delivery. Package delivery holds its decisions;
+// mapping.go, brokerselector.go and propertywalker.go do no I/O either.
 package amqp
 
 import (
@@ -9,248 +12,277 @@
 	"lanewheel/admission"
 	"lanewheel/internal/amqp/delivery"
 	"lanewheel/internal/authn"
+	"lanewheel/internal/authz"
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/frontend"
 	"lanewheel/internal/logging"
 	"lanewheel/internal/statussocket"
 )
 
-// Config is what the operator's file tells of this front.
+const (
+	// maxPendingCalls is how many calls to the consumer's loop may be pending before PostBlocking waits.
+	maxPendingCalls = 1 << 16
+	// drainCheckInterval is how often a draining consumer checks whether all is settled.
+	drainCheckInterval = 5 * time.Millisecond
+	// counterLogInterval is how often the counters are logged, if they have changed.
+	counterLogInterval = time.Minute
+)
+
+// Config is the operator's configuration of the front end.
 type Config struct {
-	BrokerURLs        []string // URLs, the preferred first
+	BrokerURLs        []string // the preferred broker first
 	Queues            []Queue
-	MaxInFlight       int // messages over all queues
-	RetryFraction     float64
-	UnstartedRate     int // messages a second that never become ops
-	MaxRemembered     int
+	MaxInFlight       int     // messages over all queues
+	RetryFraction     float64 // retries for each fresh message
+	UnstartedRate     int     // messages a second that may be settled without being executed
+	MaxRemembered     int     // settled messages that are remembered for redeliveries
 	RememberedFor     time.Duration
 	HeartbeatInterval time.Duration
-	TLS               *tls.Config              // for amqps addresses
-	StatusSocket      string                   // path of a local socket that tells how the intake stands, empty for none
-	Login             string                   // user:password in place of the URLs', empty for theirs
-	IdempotentClasses map[admission.Class]bool // the op types that may run twice
+	TLS               *tls.Config              // for amqps URLs; nil: the system's roots, no client certificate
+	StatusSocket      string                   // path of the local socket that shows the status; empty: none
+	Login             string                   // user:password, instead of the URLs'; empty: the URLs'
+	IdempotentClasses map[admission.Class]bool // the classes that may be executed twice
 }
 
-// Consumer is the front. All its tables belong to its own loop; the broker's client, which blocks, works beside it.
+// Queue is the operator's configuration of one queue.
+type Queue struct {
+	delivery.Queue
+	Settlement      delivery.SettlementConfig
+	Mapping         Mapping
+	Identity        authz.Identity // the caller of all its messages; empty: each message brings a token
+	DeadLetterQueue string         // empty: none
+}
+
+// Consumer is the front end. Its event loop owns all its state; what blocks in the broker's client library runs on
+// goroutines of the session.
 type Consumer struct {
 	*eventloop.Loop
-	config        Config
-	server        frontend.Server
-	postToServer  func(...func()) // to the core's loop
-	random        *rand.Rand
-	flow          *delivery.FlowController
-	deduplicator  *delivery.Deduplicator[*reply]
-	retryBudget   *delivery.RetryBudget
-	brokers       *brokerSelector
-	queues        map[delivery.QueueName]*Queue
-	credentials   map[delivery.QueueName]*authn.Credential // belong to the core's loop
-	inFlight      map[delivery.MessageID]*pendingMessage   // in hand
-	session       *session                                 // nil while there is none
-	lastID        uint64
-	pollingLoad   bool // for the core's load
+	config       Config
+	server       frontend.Server
+	postToServer func(...func()) // posts to the server's event loop
+	random       *rand.Rand
+	flow         *delivery.FlowController
+	deduplicator *delivery.Deduplicator[*reply]
+	retryBudget  *delivery.RetryBudget
+	brokers      *brokerSelector
+	queues       map[delivery.QueueName]*Queue
+	inFlight     map[delivery.MessageID]*pendingMessage
+	session      *session // nil while there is none
+	lastID       uint64   // of sessions, channels and consumer tags
+	pollingLoad  bool     // the server's load was asked for
+	pacedAcks    []func()
+	counters     counters
+	logSampler   logging.Sampler[sampledLine]
+
 	draining      bool
-	drainDeadline time.Duration // when all has to be over
-	closed        chan struct{}
-	outcomeLog    logging.Sampler[string]
-	counters      map[string]uint64 // by outcome, and what else happens
-	pacedAcks     []func()          // acks that are paced
-	loggedAt      time.Duration
-	loggedTotal   uint64
+	drainDeadline time.Duration // by the loop's clock
+	closed        chan struct{} // closed once all is drained; any goroutine may receive from it
+
+	credentials map[delivery.QueueName]*authn.Credential // owned by the server's event loop
 }
 
-// New makes the front; it consumes once Start is called. hand gives calls to the core's loop.
+// New returns a consumer that hands the messages to server; it consumes once Start is called. postToServer posts
+// calls to the server's event loop.
 func New(config Config, server frontend.Server, postToServer func(...func()), seed uint64) *Consumer {
-	consumer := &Consumer{Loop: eventloop.New(1 << 16), config: config, server: server, postToServer: postToServer, random: rand.New(rand.NewPCG(seed, 1)),
-		deduplicator: delivery.NewDeduplicator[*reply](config.MaxRemembered, config.RememberedFor), retryBudget: delivery.NewRetryBudget(config.RetryFraction),
-		queues: map[delivery.QueueName]*Queue{}, credentials: map[delivery.QueueName]*authn.Credential{},
-		inFlight: map[delivery.MessageID]*pendingMessage{}, closed: make(chan struct{}), counters: map[string]uint64{}}
+	c := &Consumer{
+		Loop:         eventloop.New(maxPendingCalls),
+		config:       config,
+		server:       server,
+		postToServer: postToServer,
+		random:       rand.New(rand.NewPCG(seed, 1)),
+		deduplicator: delivery.NewDeduplicator[*reply](config.MaxRemembered, config.RememberedFor),
+		retryBudget:  delivery.NewRetryBudget(config.RetryFraction),
+		queues:       map[delivery.QueueName]*Queue{},
+		credentials:  map[delivery.QueueName]*authn.Credential{},
+		inFlight:     map[delivery.MessageID]*pendingMessage{},
+		closed:       make(chan struct{}),
+		counters:     newCounters(),
+	}
 	var queues []delivery.Queue
 	for i := range config.Queues {
 		queue := &config.Queues[i]
-		consumer.queues[queue.Name] = queue
-		consumer.credentials[queue.Name] = &authn.Credential{ConfiguredIdentity: queue.Identity}
+		c.queues[queue.Name] = queue
+		c.credentials[queue.Name] = &authn.Credential{ConfiguredIdentity: queue.Identity}
 		queues = append(queues, queue.Queue)
 	}
-	consumer.flow = delivery.NewFlowController(queues, config.MaxInFlight)
-	consumer.brokers = newBrokerSelector(config.BrokerURLs, consumer.random.Float64)
-	return consumer
+	c.flow = delivery.NewFlowController(queues, config.MaxInFlight)
+	c.brokers = newBrokerSelector(config.BrokerURLs, c.random.Float64)
+	return c
 }
 
 // Start begins to consume.
-func (p *Consumer) Start() {
-	if p.config.StatusSocket != "" {
-		statussocket.Serve(p.config.StatusSocket, p.closed, p.serveStatus)
+func (c *Consumer) Start() {
+	if c.config.StatusSocket != "" {
+		statussocket.Serve(c.config.StatusSocket, c.closed, c.serveStatus)
 	}
-	p.Post(func() {
-		p.connect()
-		p.pollLoad()
+	c.Post(func() {
+		c.connect()
+		c.pollLoad()
 	})
-	go p.Run(func() {
-		if p.session != nil {
-			p.session.flushAcks()
+	go c.Run(func() {
+		if c.session != nil {
+			c.session.flushAcks()
 		}
 	})
 }
 
-// Drain is the notice to drain: consuming stops at once; what was not started goes back, what runs is answered, and all is
-// closed by last, a time from now.
-func (p *Consumer) Drain(deadline time.Duration) {
-	p.Post(func() {
-		if p.draining {
+// Drain is the notice to drain: consuming stops at once, what was not executed goes back, what is executed is replied
+// to, and all is closed within the given time. Any goroutine may call it.
+func (c *Consumer) Drain(within time.Duration) {
+	c.Post(func() {
+		if c.draining {
 			return
 		}
-		p.draining, p.drainDeadline = true, p.Now()+deadline
-		p.applyLimits()
-		p.finishDrain()
+		c.draining = true
+		c.drainDeadline = c.Now() + within
+		c.applyLimits()
+		c.continueDrain()
 	})
 }
 
-// Drained tells whether all is over.
-func (p *Consumer) Drained() bool {
+// Drained tells whether all is closed. Any goroutine may call it.
+func (c *Consumer) Drained() bool {
 	select {
-	case <-p.closed:
+	case <-c.closed:
 		return true
 	default:
 		return false
 	}
 }
 
-// finishDrain ends once nothing is in hand, or at the last moment; what is left then goes back with the channels.
-func (p *Consumer) finishDrain() {
-	s := p.session
-	if (len(p.inFlight)+len(p.pacedAcks) == 0 && (s == nil || s.idle())) || p.Now() >= p.drainDeadline {
-		p.logCounters()
-		if s != nil {
-			s.close("stopped")
-		}
-		for len(p.inFlight) > 0 { // their ops are the core's to end; nobody here waits any more
-			for id := range p.inFlight {
-				delete(p.inFlight, id)
-			}
-		}
-		finish := func() {
-			p.Quit()
-			close(p.closed)
-		}
-		if s == nil {
-			finish()
-			return
-		}
-		s.whenClosed(finish)
+// continueDrain closes the session once nothing is in flight, or at the deadline, and comes back until then. What is
+// left at the deadline goes back to the broker with its channel.
+func (c *Consumer) continueDrain() {
+	settled := len(c.inFlight)+len(c.pacedAcks) == 0 && (c.session == nil || c.session.idle())
+	if !settled && c.Now() < c.drainDeadline {
+		c.ScheduleAt(c.Now()+drainCheckInterval, c.continueDrain)
 		return
 	}
-	p.ScheduleAt(p.Now()+5*time.Millisecond, p.finishDrain)
+	c.logCounters()
+	clear(c.inFlight) // the server finishes their requests; nobody waits for the outcomes here
+	finish := func() {
+		c.Quit()
+		close(c.closed)
+	}
+	if c.session == nil {
+		finish()
+		return
+	}
+	c.session.close(codeShutdown)
+	c.session.whenClosed(finish)
 }
 
-// pollLoad asks the core how it stands, and goes by it.
-func (p *Consumer) pollLoad() {
-	if p.pollingLoad {
+// pollLoad asks the server for its load, updates the limits by it, and does so again after an interval.
+func (c *Consumer) pollLoad() {
+	if c.pollingLoad {
 		return
 	}
-	p.pollingLoad = true
-	p.postToServer(func() {
-		load := p.server.Load()
-		p.Post(func() {
-			p.pollingLoad = false
-			load.Draining = load.Draining || p.draining
-			before := p.flow.PauseReason()
-			p.flow.Update(p.Now(), load, p.session != nil && p.session.blocked)
-			if after := p.flow.PauseReason(); after != before {
-				slog.Info("intake", "was", before.String(), "is", after.String(), "in_hand", p.flow.TotalInFlight())
-			}
-			p.applyLimits()
-			p.housekeep()
-			if !p.HasQuit() {
-				p.ScheduleAt(p.Now()+delivery.UpdateInterval, p.pollLoad)
+	c.pollingLoad = true
+	c.postToServer(func() {
+		load := c.server.Load()
+		c.Post(func() {
+			c.pollingLoad = false
+			c.updateFlow(load)
+			c.applyLimits()
+			c.housekeep()
+			if !c.HasQuit() {
+				c.ScheduleAt(c.Now()+delivery.UpdateInterval, c.pollLoad)
 			}
 		})
 	})
 }
 
-// applyLimits has the session take as much from each queue as the desk allows.
-func (p *Consumer) applyLimits() {
-	if p.session == nil {
+func (c *Consumer) updateFlow(load frontend.Load) {
+	load.Draining = load.Draining || c.draining
+	blocked := c.session != nil && c.session.blocked
+	before := c.flow.PauseReason()
+	c.flow.Update(c.Now(), load, blocked)
+	switch after := c.flow.PauseReason(); after {
+	case before:
+	case delivery.NotPaused:
+		slog.Info("queue intake resumed", "in_flight", c.flow.TotalInFlight())
+	default:
+		slog.Info("queue intake paused", "reason", after.String(), "in_flight", c.flow.TotalInFlight())
+	}
+}
+
+// applyLimits lets the session have as many messages of each queue unsettled as the flow controller allows.
+func (c *Consumer) applyLimits() {
+	if c.session == nil {
 		return
 	}
-	for _, queue := range p.queues {
-		limit := p.flow.Limit(queue.Name)
-		if p.draining {
+	for _, queue := range c.queues {
+		limit := c.flow.Limit(queue.Name)
+		if c.draining {
 			limit = 0
 		}
-		p.session.setPrefetch(queue.Name, limit)
+		c.session.setPrefetch(queue.Name, limit)
 	}
 }
 
-// handleDisconnect hears that a session's connection is gone: its deliveries come again, here or at a peer, and what runs goes on.
-func (p *Consumer) handleDisconnect(s *session, code string) {
-	if p.session != s {
-		return
-	}
-	p.session = nil
-	p.brokers.failed(p.Now(), s.url, code)
-	for name := range p.queues {
-		p.flow.Disconnected(name)
+// housekeep does what is due now and then.
+func (c *Consumer) housekeep() {
+	c.logSuppressed()
+	canFailBack := c.session != nil && !c.draining && len(c.inFlight) == 0
+	if canFailBack && c.brokers.shouldFailBack(c.Now()) {
+		c.session.close(codeFailback)
 	}
-	if !p.draining {
-		p.connect()
+	if c.Now()-c.counters.loggedAt >= counterLogInterval {
+		c.counters.loggedAt = c.Now()
+		c.logCounters()
 	}
 }
 
-// connect looks for a broker.
-func (p *Consumer) connect() {
-	if p.draining || p.session != nil {
+// connect opens a session with the broker that is to be tried now, or comes back when one may be.
+func (c *Consumer) connect() {
+	if c.draining || c.session != nil {
 		return
 	}
-	url, wait := p.brokers.pick(p.Now())
+	url, wait := c.brokers.pick(c.Now())
 	if wait > 0 {
-		p.ScheduleAt(p.Now()+wait, p.connect)
+		c.ScheduleAt(c.Now()+wait, c.connect)
 		return
 	}
-	p.lastID++
-	p.openSession(url, p.lastID, func(s *session, code string) {
-		if code != "" {
-			p.brokers.failed(p.Now(), url, code)
-			if p.outcomeLog.Allow("broker "+code, time.Now()) {
-				slog.Warn("broker", "addr", hostPort(url), "code", code)
-			}
-			p.connect()
-			return
-		}
-		if p.draining {
-			s.close("stopped")
-			return
-		}
-		p.session = s
-		p.brokers.connected(p.Now(), url)
-		slog.Info("broker", "addr", hostPort(url), "code", "consuming", "connection", s.id)
-		p.applyLimits()
-	})
+	c.lastID++
+	c.openSession(c.lastID, url)
 }
 
-// housekeep does what is due now and then.
-func (p *Consumer) housekeep() {
-	p.outcomeLog.FlushSuppressed(time.Now(), func(outcome string, more int) { slog.Info("messages", "code", outcome, "more", more) })
-	if p.session != nil && !p.draining && p.brokers.shouldFailBack(p.Now()) && len(p.inFlight) == 0 {
-		p.session.close("returning")
-	}
-	const logInterval = time.Minute
-	if p.Now()-p.loggedAt >= logInterval {
-		p.loggedAt = p.Now()
-		p.logCounters()
+// handleConnectFailure hears that a session was not opened.
+func (c *Consumer) handleConnectFailure(url string, err error) {
+	code := connectErrorCode(err)
+	c.brokers.failed(c.Now(), url)
+	if c.logSampler.Allow(sampledLine{connectionCode: code}, time.Now()) {
+		slog.Warn("broker connection failed", "addr", hostPort(url), "code", string(code))
 	}
+	c.connect()
 }
 
-// logCounters leaves a line with the counters, if they have moved since the last one.
-func (p *Consumer) logCounters() {
-	var attributes []any
-	total := uint64(0)
-	for _, name := range sortedNames(p.counters) {
-		total += p.counters[name]
-		attributes = append(attributes, name, p.counters[name])
+// handleConnect takes a session that was opened.
+func (c *Consumer) handleConnect(s *session) {
+	if c.draining {
+		s.close(codeShutdown)
+		return
+	}
+	c.session = s
+	c.brokers.connected(c.Now(), s.url)
+	slog.Info("broker connected", "addr", hostPort(s.url), "connection", s.id)
+	for _, queue := range c.config.Queues {
+		s.openChannel(c.queues[queue.Name], 0)
 	}
-	if total == p.loggedTotal {
+}
+
+// handleDisconnect hears that a session's connection is gone: its deliveries come again, here or at a peer, and what
+// is executed goes on.
+func (c *Consumer) handleDisconnect(s *session) {
+	if c.session != s {
 		return
 	}
-	p.loggedTotal = total
-	slog.Info("queues", append([]any{"in_hand", len(p.inFlight), "known", p.deduplicator.Len()}, attributes...)...)
+	c.session = nil
+	c.brokers.failed(c.Now(), s.url)
+	for name := range c.queues {
+		c.flow.Disconnected(name)
+	}
+	if !c.draining {
+		c.connect()
+	}
 }
--- a/internal/amqp/golden_test.go
+++ b/internal/amqp/golden_test.go
@@ -72,7 +72,7 @@
 		name     string
 		mapping  *Mapping
 		delivery client.Delivery
-		marked   string
+		found    defect
 	}{
 		{"all headers", &byHeaders, goldenDelivery(), ""},
 		{"all properties", &byProperties, changed(func(d *client.Delivery) { d.CorrelationId = "6" }), ""},
@@ -84,7 +84,7 @@
 		{"too long", &byHeaders, changed(func(d *client.Delivery) { d.Body = []byte("a body of more bytes") }), ""},
 		{"bad header", &byHeaders, changed(func(d *client.Delivery) { d.Headers = nil }), badHeader},
 	} {
-		m := of.mapping.read("ops", &of.delivery, of.marked, time.Unix(1_800_000_100, 0))
+		m := of.mapping.read("ops", &of.delivery, of.found, time.Unix(1_800_000_100, 0))
 		all = append(all, map[string]any{"message": of.name, "id": m.id, "digest": fmt.Sprintf("%016x", m.digest),
 			"attempt":  m.attempt,
 			"reply to": m.replyTo, "correlation id": m.correlationID, "due": m.deadline.UnixMilli(), "not to be served": m.defect,
@@ -198,8 +198,8 @@
 func TestGoldenSnapshot(t *testing.T) {
 	const stored = `{"broker":"127.0.0.1:5672","closed":"blocked","level":7,"in_hand":5,"known":99,` +
 		`"queues":[{"name":"ops","state":"probing","limit":3,"in_hand":2}],"counts":{"acked":11,"put-back":4}}`
-	want := Status{Broker: "127.0.0.1:5672", PauseReason: "blocked", Window: 7, InHand: 5, Remembered: 99,
-		Queues: []QueueStatus{{Name: "ops", State: "probing", Limit: 3, InHand: 2}},
+	want := Status{Broker: "127.0.0.1:5672", PauseReason: "blocked", Window: 7, InFlight: 5, Remembered: 99,
+		Queues: []QueueStatus{{Name: "ops", State: "probing", Limit: 3, InFlight: 2}},
 		Counts: map[string]uint64{"acked": 11, "put-back": 4}}
 	var got Status
 	if err := json.Unmarshal([]byte(stored), &got); err != nil || !reflect.DeepEqual(got, want) {
--- a/internal/amqp/mapping.go
+++ b/internal/amqp/mapping.go
@@ -1,5 +1,3 @@
-// Package amqp is the front for messages on queues (AMQP 0-9-1): it consumes, hands ops to the core, answers and settles. What
-// it decides stands in intake; mapping.go and routes.go are pure as well.
 package amqp
 
 import (
@@ -15,17 +13,33 @@
 	client "github.com/rabbitmq/amqp091-go"
 
 	"lanewheel/internal/amqp/delivery"
-	"lanewheel/internal/authz"
 	"lanewheel/internal/frontend"
 )
 
-// Source is where a value is read in a message: a property, or a header.
+const (
+	maxCostMilliseconds       = 1e9
+	maxExpirationMilliseconds = 1e12
+	maxAttemptCount           = 1e6
+)
+
+// defect is why a message can't be served. The defects are part of the protocol of queues.
+type defect string
+
+const (
+	noDefect      defect = ""
+	badNumber     defect = "bad-number"
+	badExpiration defect = "bad-expiration"
+	badHeader     defect = "bad-header"
+	tooLong       defect = "too-long"
+)
+
+// Source is where in a message a value is read: a property, or a header. The zero Source has no value.
 type Source struct {
 	Header bool
 	Name   string
 }
 
-// properties are those that a value can come from.
+// properties are those that a value can be read from.
 var properties = map[string]func(*client.Delivery) string{
 	"type":           func(d *client.Delivery) string { return d.Type },
 	"app-id":         func(d *client.Delivery) string { return d.AppId },
@@ -35,18 +49,19 @@
 	"routing-key":    func(d *client.Delivery) string { return d.RoutingKey },
 }
 
-// ParseSource reads a source: the name of a property, or header: and a header's name. Empty is none.
+// ParseSource parses the name of a property, or header: and the name of a header. Empty is the zero Source.
 func ParseSource(text string) (Source, error) {
 	if name, isHeader := strings.CutPrefix(text, "header:"); isHeader && name != "" {
 		return Source{Header: true, Name: name}, nil
 	}
 	if _, known := properties[text]; !known && text != "" {
-		return Source{}, fmt.Errorf("%q: wants header:NAME, or one of type, app-id, user-id, content-type, correlation-id, routing-key", text)
+		const wanted = "header:NAME, or one of type, app-id, user-id, content-type, correlation-id, routing-key"
+		return Source{}, fmt.Errorf("%q: wants %s", text, wanted)
 	}
 	return Source{Name: text}, nil
 }
 
-// value is what stands there; numbers come as text.
+// value returns what a message has there, numbers as text, or nothing.
 func (s Source) value(d *client.Delivery) string {
 	if !s.Header {
 		if read := properties[s.Name]; read != nil {
@@ -69,94 +84,140 @@
 	return ""
 }
 
+// number reads a finite number. Without one it leaves the value as it is; it returns false for anything else.
+func (s Source) number(d *client.Delivery, value *float64) bool {
+	text := s.value(d)
+	if text == "" {
+		return true
+	}
+	x, err := strconv.ParseFloat(text, 64)
+	if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
+		return false
+	}
+	*value = x
+	return true
+}
+
 // Mapping is how the messages of a queue are read.
 type Mapping struct {
 	Class, Tenant, Subject, Rank, Cost, KB, Token Source
-	DefaultWait                                   time.Duration // of a message without expiration
-	MaxBodyBytes                                  int           // bytes of a body
-	DefaultRank                                   float64       // where none is told
-	DefaultKB                                     float64
+
+	DefaultWait  time.Duration // of a message without expiration
+	MaxBodyBytes int
+	DefaultRank  float64 // of a message without one
+	DefaultKB    float64 // of a message without one
 }
 
 // parsedMessage is a message as it was read.
 type parsedMessage struct {
 	id            delivery.MessageID
+	digest        uint64 // of its content
 	request       frontend.Request
-	digest        uint64 // of what it says
-	attempt       int
+	attempt       int // earlier attempts that the broker has counted
 	replyTo       string
-	correlationID string // correlation id of its answer
+	correlationID string // of its reply
 	deadline      time.Time
-	defect        string // why it can't be served, empty if it can be
+	defect        defect
 }
 
-// read reads a message; now is the wall clock, for one without a timestamp. A redelivery reads the same but for that.
-func (m *Mapping) read(queue delivery.QueueName, incoming *client.Delivery, defect string, now time.Time) parsedMessage {
-	message := parsedMessage{replyTo: incoming.ReplyTo, correlationID: incoming.CorrelationId, defect: defect}
-	hash := sha256.New()
-	fmt.Fprintf(hash, "%q%q%q%q%d:", incoming.Type, incoming.ReplyTo, incoming.CorrelationId, incoming.Expiration, incoming.Timestamp.Unix())
-	for _, source := range []Source{m.Class, m.Tenant, m.Subject, m.Rank, m.Cost, m.KB} {
-		fmt.Fprintf(hash, "%q", source.value(incoming))
+// read reads a message; now is the time of one without a timestamp. found is a defect that is known already. All but
+// the deadline of a message without a timestamp is the same for each delivery.
+func (m *Mapping) read(
+	queue delivery.QueueName, incoming *client.Delivery, found defect, now time.Time,
+) parsedMessage {
+	message := parsedMessage{
+		replyTo:       incoming.ReplyTo,
+		correlationID: incoming.CorrelationId,
+		attempt:       rejections(queue, incoming.Headers),
+		defect:        found,
 	}
-	hash.Write(incoming.Body)
-	sum := hash.Sum(nil)
+	sum := m.contentHash(incoming)
 	message.digest = binary.BigEndian.Uint64(sum)
-	// A missing id is derived from all that the message says, so that a redelivery gets the same.
-	if message.id = delivery.MessageID(incoming.MessageId); message.id == "" {
+	message.id = delivery.MessageID(incoming.MessageId)
+	if message.id == "" {
 		message.id = delivery.MessageID("sha256:" + hex.EncodeToString(sum[:16]))
 	}
 	if message.correlationID == "" {
 		message.correlationID = incoming.MessageId
 	}
-	requestID := sha256.Sum256([]byte(string(queue) + "\x00" + string(message.id)))
-	request := &message.request
-	request.ID = hex.EncodeToString(requestID[:8])
-	request.Class, request.Tenant, request.Resource, request.Token = m.Class.value(incoming), m.Tenant.value(incoming), m.Subject.value(incoming), m.Token.value(incoming)
-	request.Rank, request.MemoryKB, request.Body = m.DefaultRank, m.DefaultKB, incoming.Body
-	readNumber := func(source Source, to *float64) {
-		if text := source.value(incoming); text != "" {
-			x, err := strconv.ParseFloat(text, 64)
-			if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-				message.markDefect("bad-number")
-				return
-			}
-			*to = x
-		}
+	m.readRequest(&message, queue, incoming)
+	m.readTimeout(&message, incoming, now)
+	if len(incoming.Body) > m.MaxBodyBytes {
+		message.markDefect(tooLong)
+	}
+	return message
+}
+
+// contentHash is over all that a message says but its id, so that a redelivery has the same, in another version of
+// this program too.
+func (m *Mapping) contentHash(incoming *client.Delivery) []byte {
+	var content []byte
+	content = fmt.Appendf(content, "%q%q%q%q%d:",
+		incoming.Type, incoming.ReplyTo, incoming.CorrelationId, incoming.Expiration, incoming.Timestamp.Unix())
+	for _, source := range []Source{m.Class, m.Tenant, m.Subject, m.Rank, m.Cost, m.KB} {
+		content = fmt.Appendf(content, "%q", source.value(incoming))
 	}
-	cost := 0.0
-	readNumber(m.Rank, &request.Rank)
-	readNumber(m.KB, &request.MemoryKB)
-	readNumber(m.Cost, &cost)
-	if cost < 0 || cost > 1e9 {
-		message.markDefect("bad-number")
-		cost = 0
+	sum := sha256.Sum256(append(content, incoming.Body...))
+	return sum[:]
+}
+
+func (m *Mapping) readRequest(message *parsedMessage, queue delivery.QueueName, incoming *client.Delivery) {
+	id := sha256.Sum256([]byte(string(queue) + "\x00" + string(message.id)))
+	message.request = frontend.Request{
+		ID:       hex.EncodeToString(id[:8]),
+		Class:    m.Class.value(incoming),
+		Tenant:   m.Tenant.value(incoming),
+		Resource: m.Subject.value(incoming),
+		Token:    m.Token.value(incoming),
+		Rank:     m.DefaultRank,
+		MemoryKB: m.DefaultKB,
+		Body:     incoming.Body,
 	}
-	request.WorkHint = time.Duration(cost * float64(time.Millisecond))
-	sentAt := now
-	if !incoming.Timestamp.IsZero() {
-		sentAt = incoming.Timestamp
+	costMilliseconds := 0.0
+	for _, number := range []struct {
+		source Source
+		value  *float64
+	}{
+		{m.Rank, &message.request.Rank},
+		{m.KB, &message.request.MemoryKB},
+		{m.Cost, &costMilliseconds},
+	} {
+		if !number.source.number(incoming, number.value) {
+			message.markDefect(badNumber)
+		}
 	}
-	request.HasTimeout, request.Timeout = true, m.DefaultWait
+	if costMilliseconds < 0 || costMilliseconds > maxCostMilliseconds {
+		message.markDefect(badNumber)
+		costMilliseconds = 0
+	}
+	message.request.WorkHint = time.Duration(costMilliseconds * float64(time.Millisecond))
+}
+
+// readTimeout reads when a message was sent and how long it may take from then.
+func (m *Mapping) readTimeout(message *parsedMessage, incoming *client.Delivery, now time.Time) {
+	timeout := m.DefaultWait
 	if incoming.Expiration != "" {
 		milliseconds, err := strconv.ParseInt(incoming.Expiration, 10, 64)
-		if err != nil || milliseconds < 0 || milliseconds > 1e12 {
-			message.markDefect("bad-expiration")
+		if err != nil || milliseconds < 0 || milliseconds > maxExpirationMilliseconds {
+			message.markDefect(badExpiration)
 			milliseconds = 0
 		}
-		request.Timeout = time.Duration(milliseconds) * time.Millisecond
+		timeout = time.Duration(milliseconds) * time.Millisecond
 	}
-	request.SentUnixMilli = sentAt.UnixMilli()
-	message.deadline = sentAt.Add(request.Timeout)
-	if len(incoming.Body) > m.MaxBodyBytes {
-		message.markDefect(string(tooLong))
+	sentAt := now
+	if !incoming.Timestamp.IsZero() {
+		sentAt = incoming.Timestamp
 	}
-	message.attempt = rejections(queue, incoming.Headers)
-	return message
+	message.request.HasTimeout = true
+	message.request.Timeout = timeout
+	message.request.SentUnixMilli = sentAt.UnixMilli()
+	message.deadline = sentAt.Add(timeout)
 }
 
-func (m *parsedMessage) markDefect(reason string) {
-	if m.defect == "" {
-		m.defect = reason
+// markDefect notes a defect. The first counts.
+func (m *parsedMessage) markDefect(found defect) {
+	if m.defect == noDefect {
+		m.defect = found
 	}
 }
 
@@ -170,19 +231,10 @@
 		}
 		switch n := entry["count"].(type) {
 		case int64:
-			return int(min(max(n, 0), 1e6))
+			return int(min(max(n, 0), maxAttemptCount))
 		case int32:
 			return int(max(n, 0))
 		}
 	}
 	return 0
 }
-
-// Queue is one queue as the operator's file tells of it.
-type Queue struct {
-	delivery.Queue
-	Settlement      delivery.SettlementConfig
-	Mapping         Mapping
-	Identity        authz.Identity // whose ops its messages are; empty: each brings a token
-	DeadLetterQueue string         // name of the dead-letter queue, empty for none
-}
--- a/internal/amqp/message.go
+++ b/internal/amqp/message.go
@@ -1,6 +1,7 @@
 package amqp
 
 import (
+	"bytes"
 	"fmt"
 	"log/slog"
 	"time"
@@ -10,201 +11,267 @@
 	"lanewheel/internal/frontend"
 )
 
-// pendingMessage is one message in hand.
+// maxLoggedBytes bounds what a message or a broker can write into a log line.
+const maxLoggedBytes = 64
+
+// truncate bounds text from outside for the log.
+func truncate(s string) string { return s[:min(len(s), maxLoggedBytes)] }
+
+// pendingMessage is a message in flight. It is the frontend.Responder of its request: those methods are called on the
+// server's event loop, all else belongs to the consumer's.
 type pendingMessage struct {
 	consumer *Consumer
 	queue    *Queue
 	message  parsedMessage
-	finished bool // its outcome has come
+	finished bool // its outcome has arrived
 }
 
-// handleDelivery takes one delivery, read beside the loop.
-func (p *Consumer) handleDelivery(queue *Queue, message parsedMessage, tag delivery.Tag, redelivered bool) {
-	if p.session == nil || p.session.channelOf(queue.Name, tag) == nil {
-		return // lost meanwhile; it comes again
+// handleDelivery takes one delivery, which was read on a goroutine of its channel.
+func (c *Consumer) handleDelivery(queue *Queue, message parsedMessage, tag delivery.Tag, redelivered bool) {
+	if c.session == nil || c.session.channelOf(queue.Name, tag) == nil {
+		return // its channel is gone; the broker delivers it again
 	}
-	p.flow.Received(queue.Name)
-	p.session.trackDelivery(queue.Name, tag)
-	if p.draining {
-		p.counters["returned"]++
-		p.session.requeue(queue.Name, tag)
+	c.flow.Received(queue.Name)
+	c.session.trackDelivery(queue.Name, tag)
+	if c.draining {
+		c.counters.events[eventReturnedAtDrain]++
+		c.session.requeue(queue.Name, tag)
 		return
 	}
-	idempotent := p.config.IdempotentClasses[admission.Class(message.request.Class)]
-	decision, earlier := p.deduplicator.Receive(p.Now(), delivery.Arrival{
-		ID: message.id, Digest: message.digest, Tag: tag, Redelivered: redelivered, Idempotent: idempotent,
+	decision, earlier := c.deduplicator.Receive(c.Now(), delivery.Arrival{
+		ID:          message.id,
+		Digest:      message.digest,
+		Tag:         tag,
+		Redelivered: redelivered,
+		Idempotent:  c.isIdempotent(&message),
 	})
 	conflict := decision == delivery.IDConflict
-	if conflict { // it is known by what it says, too
+	if conflict {
+		// Under its own id it would be confused with the other message, so its content becomes part of its id. It is
+		// not going to be executed, so a redelivery does no harm.
 		message.id = delivery.MessageID(fmt.Sprintf("%s#%x", message.id, message.digest))
-		decision, earlier = p.deduplicator.Receive(p.Now(), delivery.Arrival{
-			ID: message.id, Digest: message.digest, Tag: tag, Idempotent: true,
+		decision, earlier = c.deduplicator.Receive(c.Now(), delivery.Arrival{
+			ID:         message.id,
+			Digest:     message.digest,
+			Tag:        tag,
+			Idempotent: true,
 		})
 	}
-	pending := &pendingMessage{consumer: p, queue: queue, message: message}
+	pending := &pendingMessage{consumer: c, queue: queue, message: message}
 	switch decision {
-	case delivery.Join: // in hand already; the delivery is settled with it
-		p.counters["joined"]++
-		return
+	case delivery.Join:
+		c.counters.events[eventJoined]++
 	case delivery.AlreadyReplied:
-		p.counters["repeated"]++
-		p.session.ack(queue.Name, tag)
-		return
+		c.counters.events[eventRepeated]++
+		c.session.ack(queue.Name, tag)
 	case delivery.ResendReply:
-		p.counters["answered-again"]++
-		s := p.session
-		s.publishReply(earlier, func() {
-			p.deduplicator.ReplyConfirmed(message.id)
-			s.ack(queue.Name, tag)
-		})
-		return
+		c.counters.events[eventReplyResent]++
+		c.resendReply(pending, earlier, tag)
 	case delivery.Uncertain:
-		p.settle(pending, nil, p.disposition(pending, delivery.MayHaveExecuted, 0), "")
-		return
-	}
-	if conflict {
-		p.settle(pending, nil, p.disposition(pending, delivery.DuplicateID, 0), "")
-		return
-	}
-	if message.attempt == 0 && !redelivered {
-		p.retryBudget.CountFresh()
+		c.settle(pending, nil, c.disposition(pending, delivery.MayHaveExecuted, 0), "")
+	case delivery.Process, delivery.IDConflict:
+		if conflict {
+			c.settle(pending, nil, c.disposition(pending, delivery.DuplicateID, 0), "")
+			return
+		}
+		if message.attempt == 0 && !redelivered {
+			c.retryBudget.CountFresh()
+		}
+		c.submit(pending)
 	}
-	p.inFlight[message.id] = pending
+}
+
+func (c *Consumer) isIdempotent(message *parsedMessage) bool {
+	return c.config.IdempotentClasses[admission.Class(message.request.Class)]
+}
+
+// resendReply publishes the reply of an earlier delivery again, as nobody knows whether the broker got it.
+func (c *Consumer) resendReply(pending *pendingMessage, earlier *reply, tag delivery.Tag) {
+	s := c.session
+	s.publishReply(earlier, func() {
+		c.deduplicator.ReplyConfirmed(pending.message.id)
+		s.ack(pending.queue.Name, tag)
+	})
+}
+
+// submit hands a message to the server, but for one that can't be served.
+func (c *Consumer) submit(pending *pendingMessage) {
+	message := &pending.message
+	c.inFlight[message.id] = pending
 	switch {
-	case message.defect != "":
-		p.complete(pending, delivery.Unservable, nil, frontend.ResponseMetadata{Reason: message.defect})
-	case !time.Now().Before(message.deadline): // the core does not hear of it
-		p.complete(pending, delivery.Expired, nil, frontend.ResponseMetadata{})
+	case message.defect != noDefect:
+		c.complete(pending, delivery.Unservable, nil, frontend.ResponseMetadata{Reason: string(message.defect)})
+	case !time.Now().Before(message.deadline):
+		c.complete(pending, delivery.Expired, nil, frontend.ResponseMetadata{})
 	default:
-		p.postToServer(func() { p.server.Submit(message.request, p.credentials[queue.Name], pending) })
+		c.postToServer(func() {
+			c.server.Submit(message.request, c.credentials[pending.queue.Name], pending)
+		})
 	}
 }
 
 // disposition decides what becomes of a message.
-func (p *Consumer) disposition(pending *pendingMessage, outcome delivery.Outcome, retryAfter time.Duration) delivery.Disposition {
-	return p.retryBudget.Settle(delivery.Message{Attempt: max(pending.message.attempt, p.deduplicator.Returns(pending.message.id)), Remaining: time.Until(pending.message.deadline),
-		Idempotent: p.config.IdempotentClasses[admission.Class(pending.message.request.Class)]}, pending.queue.Settlement, outcome, retryAfter, p.random.Float64())
+func (c *Consumer) disposition(
+	pending *pendingMessage, outcome delivery.Outcome, retryAfter time.Duration,
+) delivery.Disposition {
+	message := delivery.Message{
+		Attempt:    max(pending.message.attempt, c.deduplicator.Returns(pending.message.id)),
+		Remaining:  time.Until(pending.message.deadline),
+		Idempotent: c.isIdempotent(&pending.message),
+	}
+	return c.retryBudget.Settle(message, pending.queue.Settlement, outcome, retryAfter, c.random.Float64())
 }
 
-// complete takes how the op of a message came out.
-func (p *Consumer) complete(pending *pendingMessage, outcome delivery.Outcome, result []byte, metadata frontend.ResponseMetadata) {
+// complete takes the outcome of a message.
+func (c *Consumer) complete(
+	pending *pendingMessage, outcome delivery.Outcome, result []byte, metadata frontend.ResponseMetadata,
+) {
 	if pending.finished {
 		return
 	}
 	pending.finished = true
-	if p.draining && outcome == delivery.Rejected {
+	if c.draining && outcome == delivery.Rejected {
 		outcome = delivery.Drained
 	}
 	switch outcome {
 	case delivery.Rejected:
-		p.flow.Rejected()
+		c.flow.Rejected()
 	case delivery.Succeeded, delivery.Failed:
-		p.flow.Finished(p.Now(), pending.queue.Name, outcome == delivery.Failed)
+		c.flow.Finished(c.Now(), pending.queue.Name, outcome == delivery.Failed)
+	default: // it says nothing of the server or the queue
 	}
-	disposition := p.disposition(pending, outcome, metadata.RetryAfter)
+	disposition := c.disposition(pending, outcome, metadata.RetryAfter)
 	if disposition.Delay > 0 {
-		p.ScheduleAt(p.Now()+disposition.Delay, func() { p.settle(pending, result, disposition, metadata.Reason) })
+		c.ScheduleAt(c.Now()+disposition.Delay, func() { c.settle(pending, result, disposition, metadata.Reason) })
 		return
 	}
-	p.settle(pending, result, disposition, metadata.Reason)
+	c.settle(pending, result, disposition, metadata.Reason)
 }
 
-func (p *Consumer) settle(pending *pendingMessage, result []byte, disposition delivery.Disposition, reason string) {
-	delete(p.inFlight, pending.message.id)
+// settle replies to a message, or gives it back to the broker.
+func (c *Consumer) settle(
+	pending *pendingMessage, result []byte, disposition delivery.Disposition, reason string,
+) {
+	id := pending.message.id
+	delete(c.inFlight, id)
 	if !disposition.Reply {
-		tags := p.deduplicator.Returned(p.Now(), pending.message.id)
-		p.counters["put-back"]++
-		if p.session == nil {
-			return // the broker has it back already
-		}
-		for _, tag := range tags {
-			if disposition.Action == delivery.Reject {
-				p.session.reject(pending.queue.Name, tag)
-			} else {
-				p.session.requeue(pending.queue.Name, tag)
-			}
-		}
+		tags := c.deduplicator.Returned(c.Now(), id)
+		c.counters.events[eventReturned]++
+		c.giveBack(pending.queue.Name, tags, disposition.Action)
 		return
 	}
-	answer := pending.newReply(result, disposition.Outcome.String(), reason)
-	tags := p.deduplicator.Replied(p.Now(), pending.message.id, answer)
-	p.publishOutcome(pending, answer, disposition, reason, tags)
+	c.counters.outcomes[disposition.Outcome]++
+	c.logOutcome(pending, disposition.Outcome, reason)
+	answer := newReply(&pending.message, result, disposition.Outcome, reason)
+	tags := c.deduplicator.Replied(c.Now(), id, answer)
+	c.publishOutcome(pending, answer, disposition.DeadLetter, tags)
 }
 
-// publishOutcome answers, copies to the dead-letter queue, and acks once both are confirmed.
-func (p *Consumer) publishOutcome(pending *pendingMessage, answer *reply, disposition delivery.Disposition, reason string, tags []delivery.Tag) {
-	p.counters[disposition.Outcome.String()]++
-	if disposition.Outcome.String() != delivery.Succeeded.String() && p.outcomeLog.Allow(disposition.Outcome.String(), time.Now()) {
-		slog.Info("message", "queue", pending.queue.Name, "code", disposition.Outcome.String(), "why", reason, "id", truncate(string(pending.message.id)), "attempt", pending.message.attempt)
+func (c *Consumer) giveBack(queue delivery.QueueName, tags []delivery.Tag, action delivery.Action) {
+	if c.session == nil {
+		return // the broker has the message back already
 	}
-	s := p.session
-	if s == nil {
-		return // it comes again, and finds its answer remembered
-	}
-	deadLetter := disposition.DeadLetter && pending.queue.DeadLetterQueue != ""
-	unconfirmed := 0 // for so many confirmations
-	confirmed := func() {
-		if unconfirmed--; unconfirmed > 0 {
-			return
-		}
-		p.deduplicator.ReplyConfirmed(pending.message.id)
-		ack := func() {
-			for _, tag := range tags {
-				s.ack(pending.queue.Name, tag)
-			}
-		}
-		if executedOutcomes[disposition.Outcome.String()] {
-			ack()
+	for _, tag := range tags {
+		if action == delivery.Reject {
+			c.session.reject(queue, tag)
 		} else {
-			p.paceAck(ack)
+			c.session.requeue(queue, tag)
 		}
 	}
-	if deadLetter {
-		unconfirmed++
+}
+
+func (c *Consumer) logOutcome(pending *pendingMessage, outcome delivery.Outcome, reason string) {
+	if outcome == delivery.Succeeded || !c.logSampler.Allow(sampledLine{outcome: outcome}, time.Now()) {
+		return
 	}
+	slog.Info("queue message not succeeded",
+		"queue", string(pending.queue.Name),
+		"outcome", outcome.String(),
+		"reason", reason,
+		"message_id", truncate(string(pending.message.id)),
+		"attempt", pending.message.attempt)
+}
+
+// publishOutcome publishes the reply and the copy for the dead-letter queue, and acks the deliveries once the broker
+// has confirmed both.
+func (c *Consumer) publishOutcome(pending *pendingMessage, answer *reply, deadLetter bool, tags []delivery.Tag) {
+	s := c.session
+	if s == nil {
+		return // the broker delivers the message again, and the reply is remembered
+	}
+	deadLetter = deadLetter && pending.queue.DeadLetterQueue != ""
+	unconfirmed := 0
 	if answer.replyTo != "" {
 		unconfirmed++
-		s.publishReply(answer, confirmed)
 	}
 	if deadLetter {
-		s.publishDeadLetter(pending, disposition.Outcome.String(), reason, confirmed)
+		unconfirmed++
 	}
 	if unconfirmed == 0 {
-		confirmed()
+		c.ackReplied(s, pending, answer.outcome, tags)
+		return
+	}
+	onConfirmed := func() {
+		unconfirmed--
+		if unconfirmed == 0 {
+			c.ackReplied(s, pending, answer.outcome, tags)
+		}
+	}
+	if answer.replyTo != "" {
+		s.publishReply(answer, onConfirmed)
+	}
+	if deadLetter {
+		s.publishDeadLetter(pending, answer, onConfirmed)
 	}
 }
 
-// executedOutcomes are the outcomes of messages that were runs; the others never were.
-var executedOutcomes = map[string]bool{delivery.Succeeded.String(): true, delivery.Failed.String(): true}
-
-// truncate bounds what a message can write into the log.
-func truncate(s string) string { return s[:min(len(s), 64)] }
-
-// The rest is front.Owed, called on the core's loop.
-
-func (j *pendingMessage) report(outcome delivery.Outcome, result []byte, metadata frontend.ResponseMetadata) {
-	if result != nil {
-		result = append(make([]byte, 0, len(result)), result...)
+// ackReplied acks the deliveries of a message whose reply the broker has.
+func (c *Consumer) ackReplied(
+	s *session, pending *pendingMessage, outcome delivery.Outcome, tags []delivery.Tag,
+) {
+	c.deduplicator.ReplyConfirmed(pending.message.id)
+	ack := func() {
+		for _, tag := range tags {
+			s.ack(pending.queue.Name, tag)
+		}
 	}
-	j.consumer.Post(func() { j.consumer.complete(j, outcome, result, metadata) })
+	if outcome == delivery.Succeeded || outcome == delivery.Failed {
+		ack()
+		return
+	}
+	c.paceAck(ack)
 }
 
-func (j *pendingMessage) Succeed(result []byte, metadata frontend.ResponseMetadata) {
-	j.report(delivery.Succeeded, result, metadata)
+// report passes the outcome to the consumer's event loop; the result is the server's after the call.
+func (m *pendingMessage) report(outcome delivery.Outcome, result []byte, metadata frontend.ResponseMetadata) {
+	result = bytes.Clone(result)
+	m.consumer.Post(func() { m.consumer.complete(m, outcome, result, metadata) })
 }
-func (j *pendingMessage) Reject(metadata frontend.ResponseMetadata) {
-	j.report(delivery.Rejected, nil, metadata)
+
+// Succeed implements frontend.Responder.
+func (m *pendingMessage) Succeed(result []byte, metadata frontend.ResponseMetadata) {
+	m.report(delivery.Succeeded, result, metadata)
 }
-func (j *pendingMessage) Fail(metadata frontend.ResponseMetadata) {
-	j.report(delivery.Failed, nil, metadata)
+
+// Reject implements frontend.Responder.
+func (m *pendingMessage) Reject(metadata frontend.ResponseMetadata) {
+	m.report(delivery.Rejected, nil, metadata)
 }
-func (j *pendingMessage) Done() {}
 
-func (j *pendingMessage) RejectPermanently(code frontend.RejectionCode, metadata frontend.ResponseMetadata) {
+// Fail implements frontend.Responder.
+func (m *pendingMessage) Fail(metadata frontend.ResponseMetadata) {
+	m.report(delivery.Failed, nil, metadata)
+}
+
+// RejectPermanently implements frontend.Responder. A denial brings its reason along, all else has the code for one.
+func (m *pendingMessage) RejectPermanently(code frontend.RejectionCode, metadata frontend.ResponseMetadata) {
 	if metadata.Reason != "" {
-		j.report(delivery.Denied, nil, metadata)
+		m.report(delivery.Denied, nil, metadata)
 		return
 	}
 	metadata.Reason = string(code)
-	j.report(delivery.Unservable, nil, metadata)
+	m.report(delivery.Unservable, nil, metadata)
 }
+
+// Done implements frontend.Responder.
+func (m *pendingMessage) Done() {}
--- a/internal/amqp/propertywalker.go
+++ b/internal/amqp/propertywalker.go
@@ -1,41 +1,60 @@
 package amqp
 
-// validProperties tells whether properties, behind class, weight and size, can be read: text where text has to be, tables of known kinds and
-// of little depth. Danger: the library closes the connection over what it can't read, the broker sends it again, and a single
-// message keeps a queue from being consumed for ever.
+// Bits of the property flags, by the specification, whose properties are not short strings.
+const (
+	moreFlags       = 1 << 0 // there are more flags than the specification has properties
+	lastPropertyBit = 2
+	timestampBit    = 6
+	priorityBit     = 11
+	deliveryModeBit = 12
+	headersBit      = 13
+	firstBit        = 15
+)
+
+// maxTableDepth is how far tables may be nested.
+const maxTableDepth = 8
+
+// validProperties tells whether the client library can read properties, their flags first: strings where strings have
+// to be, tables of known types and of little depth. The library closes the connection over what it can't read, and
+// the broker delivers it again: a single message would keep a queue from ever being consumed.
 func validProperties(b []byte) bool {
-	walk := propertyWalker{rest: b}
-	flags := walk.readUint(2)
-	if flags&1 != 0 { // more flags than the specification has properties
+	w := propertyWalker{rest: b}
+	flags := w.readUint(2)
+	if flags&moreFlags != 0 {
 		return false
 	}
-	for bit := 15; bit >= 2; bit-- {
+	for bit := firstBit; bit >= lastPropertyBit; bit-- {
 		if flags&(1<<bit) == 0 {
 			continue
 		}
 		switch bit {
-		case 13:
-			walk.table(0)
-		case 12, 11:
-			walk.skip(1)
-		case 6:
-			walk.skip(8)
+		case headersBit:
+			w.table(0)
+		case deliveryModeBit, priorityBit:
+			w.skip(1)
+		case timestampBit:
+			w.skip(8)
 		default:
-			walk.skip(walk.readUint(1))
+			w.skip(w.readUint(1))
 		}
 	}
-	return !walk.invalid && len(walk.rest) == 0
+	return !w.invalid && len(w.rest) == 0
 }
 
-// propertyWalker passes over the parts of properties.
+// propertyWalker walks over properties without reading their values.
 type propertyWalker struct {
 	rest    []byte
-	invalid bool
+	invalid bool // they end too early, or can't be read
+}
+
+func (w *propertyWalker) fail() {
+	w.invalid = true
+	w.rest = nil
 }
 
 func (w *propertyWalker) skip(n int) {
 	if n < 0 || n > len(w.rest) {
-		w.invalid, w.rest = true, nil
+		w.fail()
 		return
 	}
 	w.rest = w.rest[n:]
@@ -43,7 +62,7 @@
 
 func (w *propertyWalker) readUint(size int) (x int) {
 	if size > len(w.rest) {
-		w.invalid, w.rest = true, nil
+		w.fail()
 		return 0
 	}
 	for _, c := range w.rest[:size] {
@@ -53,29 +72,35 @@
 	return x
 }
 
-// maxTableDepth is how far tables may be nested; a person nests two or three.
-const maxTableDepth = 8
-
-// section gives the next so many bytes to walk by themselves.
+// section returns a walker over the next n bytes, and skips them.
 func (w *propertyWalker) section(n int) propertyWalker {
 	if n < 0 || n > len(w.rest) {
-		w.invalid, w.rest = true, nil
+		w.fail()
 		return propertyWalker{}
 	}
-	p := propertyWalker{rest: w.rest[:n]}
+	section := propertyWalker{rest: w.rest[:n]}
 	w.rest = w.rest[n:]
-	return p
+	return section
 }
 
 func (w *propertyWalker) table(depth int) {
-	p := w.section(w.readUint(4))
-	for len(p.rest) > 0 && !p.invalid {
-		p.skip(p.readUint(1))
-		p.value(depth)
+	section := w.section(w.readUint(4))
+	for len(section.rest) > 0 && !section.invalid {
+		section.skip(section.readUint(1))
+		section.value(depth)
 	}
-	w.invalid = w.invalid || p.invalid
+	w.invalid = w.invalid || section.invalid
 }
 
+func (w *propertyWalker) array(depth int) {
+	section := w.section(w.readUint(4))
+	for len(section.rest) > 0 && !section.invalid {
+		section.value(depth)
+	}
+	w.invalid = w.invalid || section.invalid
+}
+
+// value walks over a value of a table or an array, which begins with its type.
 func (w *propertyWalker) value(depth int) {
 	if depth > maxTableDepth {
 		w.invalid = true
@@ -97,11 +122,7 @@
 	case 'F':
 		w.table(depth + 1)
 	case 'A':
-		p := w.section(w.readUint(4))
-		for len(p.rest) > 0 && !p.invalid {
-			p.value(depth + 1)
-		}
-		w.invalid = w.invalid || p.invalid
+		w.array(depth + 1)
 	case 'V':
 	default:
 		w.invalid = true
--- a/internal/amqp/reply.go
+++ b/internal/amqp/reply.go
@@ -4,40 +4,84 @@
 	"time"
 
 	client "github.com/rabbitmq/amqp091-go"
+
+	"lanewheel/internal/amqp/delivery"
+)
+
+// The headers of replies and dead letters. They are part of the protocol of queues.
+const (
+	outcomeHeader = "outcome"
+	reasonHeader  = "why"
+	queueHeader   = "queue"
+	attemptHeader = "attempt"
 )
 
-// reply is an answer as it is published.
+// reply is a reply as it is published.
 type reply struct {
-	replyTo, correlationID, outcome, reason string
-	messageID                               string // the message's id
-	body                                    []byte
+	replyTo       string // empty: the message wants none
+	correlationID string
+	outcome       delivery.Outcome
+	reason        string // empty: none
+	messageID     delivery.MessageID
+	body          []byte
 }
 
-func (j *pendingMessage) newReply(result []byte, outcome, reason string) *reply {
-	return &reply{replyTo: j.message.replyTo, correlationID: j.message.correlationID, outcome: outcome, reason: reason, messageID: string(j.message.id), body: result}
+func newReply(message *parsedMessage, result []byte, outcome delivery.Outcome, reason string) *reply {
+	return &reply{
+		replyTo:       message.replyTo,
+		correlationID: message.correlationID,
+		outcome:       outcome,
+		reason:        reason,
+		messageID:     message.id,
+		body:          result,
+	}
 }
 
-// publishReply publishes an answer; then is called once it is confirmed.
-func (s *session) publishReply(answer *reply, onConfirmed func()) {
-	headers := client.Table{"outcome": answer.outcome}
-	if answer.reason != "" {
-		headers["why"] = answer.reason
+// outcomeHeaders are what replies and dead letters have in common.
+func (r *reply) outcomeHeaders() client.Table {
+	headers := client.Table{outcomeHeader: r.outcome.String()}
+	if r.reason != "" {
+		headers[reasonHeader] = r.reason
 	}
-	// Its id is the message's: whoever gets an answer twice, since nobody could tell whether the first one arrived, knows it again.
-	s.publish(answer.replyTo, client.Publishing{MessageId: "answer:" + answer.messageID, CorrelationId: answer.correlationID, Type: answer.outcome, Headers: headers, Body: answer.body, Timestamp: time.Now()}, onConfirmed)
+	return headers
 }
 
-// publishDeadLetter copies a message to its queue's dead-letter queue, with the reason.
-func (s *session) publishDeadLetter(pending *pendingMessage, outcome, reason string, onConfirmed func()) {
-	headers := client.Table{"outcome": outcome, "queue": string(pending.queue.Name), "attempt": int64(pending.message.attempt)}
-	if reason != "" {
-		headers["why"] = reason
-	}
-	s.publish(pending.queue.DeadLetterQueue, client.Publishing{MessageId: string(pending.message.id), CorrelationId: pending.message.correlationID, ReplyTo: pending.message.replyTo,
-		Type: pending.message.request.Class, Headers: headers, Body: pending.message.request.Body, DeliveryMode: client.Persistent, Timestamp: time.Now()}, onConfirmed)
+// publishReply publishes a reply; onConfirmed is called on the consumer's loop once the broker has confirmed it. The
+// reply's id is derived from the message's, so that whoever gets a reply twice recognizes the second: it is published
+// again if nobody could tell whether the first arrived.
+func (s *session) publishReply(r *reply, onConfirmed func()) {
+	s.publish(r.replyTo, client.Publishing{
+		MessageId:     "answer:" + string(r.messageID),
+		CorrelationId: r.correlationID,
+		Type:          r.outcome.String(),
+		Headers:       r.outcomeHeaders(),
+		Body:          r.body,
+		Timestamp:     time.Now(),
+	}, onConfirmed)
+}
+
+// publishDeadLetter copies a message to its queue's dead-letter queue, with the outcome and reason of its reply;
+// onConfirmed is called as by publishReply.
+func (s *session) publishDeadLetter(pending *pendingMessage, r *reply, onConfirmed func()) {
+	message := &pending.message
+	headers := r.outcomeHeaders()
+	headers[queueHeader] = string(pending.queue.Name)
+	headers[attemptHeader] = int64(message.attempt)
+	s.publish(pending.queue.DeadLetterQueue, client.Publishing{
+		MessageId:     string(message.id),
+		CorrelationId: message.correlationID,
+		ReplyTo:       message.replyTo,
+		Type:          message.request.Class,
+		Headers:       headers,
+		Body:          message.request.Body,
+		DeliveryMode:  client.Persistent,
+		Timestamp:     time.Now(),
+	}, onConfirmed)
 }
 
-func (s *session) publish(key string, message client.Publishing, onConfirmed func()) {
+// publish publishes to a queue by the default exchange. The number that a confirmation will carry is asked for right
+// before the message is published: both are right together because the writer alone publishes on this channel.
+func (s *session) publish(queue string, message client.Publishing, onConfirmed func()) {
 	s.mu.Lock()
 	s.unconfirmed++
 	s.mu.Unlock()
@@ -45,12 +89,12 @@
 		s.mu.Lock()
 		s.onConfirm[s.replyChannel.GetNextPublishSeqNo()] = onConfirmed
 		s.mu.Unlock()
-		return s.replyChannel.Publish("", key, false, false, message)
+		return s.replyChannel.Publish("", queue, false, false, message)
 	})
 }
 
-// handleConfirmation hears from the broker that it has what was published, or has not: then the message stays unsettled and comes again
-// with its channel.
+// handleConfirmation hears from the broker that it has what was published, or has not: then the message stays
+// unsettled, and is delivered again with its channel. It is called on a goroutine of the session.
 func (s *session) handleConfirmation(confirmation client.Confirmation) {
 	s.mu.Lock()
 	onConfirmed := s.onConfirm[confirmation.DeliveryTag]
--- a/internal/amqp/session.go
+++ b/internal/amqp/session.go
@@ -1,12 +1,10 @@
 package amqp
 
 import (
+	"context"
 	"crypto/tls"
-	"errors"
 	"log/slog"
-	"maps"
 	"net"
-	"slices"
 	"strconv"
 	"strings"
 	"sync"
@@ -17,203 +15,193 @@
 	"lanewheel/internal/amqp/delivery"
 )
 
-// session is one connection to a broker, with a channel a queue and one for answers. It belongs to the part's loop; its writer,
-// one goroutine, does what blocks, in order.
+const (
+	// dialTimeout bounds how long opening a connection may take: some round trips of a poor line.
+	dialTimeout = 5 * time.Second
+	// closeTimeout bounds how long the broker may take to close a connection in order.
+	closeTimeout = 200 * time.Millisecond
+	// maxHeaderBytes bounds a message's properties: those of the specification and some dozen headers.
+	maxHeaderBytes = 8 << 10
+	// How many notifications of the client library may wait for the goroutine that takes them.
+	maxPendingConfirmations = 1024
+	maxPendingBlockings     = 8
+	maxPendingCancellations = 8
+)
+
+// session is one connection to a broker, with one channel for each queue and one for replies. What blocks, or has to
+// go out in order, is done by its writer, one goroutine.
 type session struct {
-	consumer     *Consumer
-	id           uint64
-	url          string
-	connection   *client.Connection
+	consumer *Consumer
+	id       uint64
+	url      string
+
+	// Set by the goroutine that dials, before the consumer's event loop knows the session; constant after that.
 	netConn      net.Conn
+	connection   *client.Connection
 	replyChannel *client.Channel
-	channels     map[delivery.QueueName]*channel
-	blocked      bool
-	closing      bool
-	closeCode    string // the code of our own close
-	ended        bool
-	onClosed     func() // once it is closed
+
+	// Owned by the consumer's event loop.
+	channels  map[delivery.QueueName]*channel
+	blocked   bool // the broker accepts nothing that is published
+	closing   bool
+	closeCode connectionCode // why we close; empty: we don't
+	ended     bool
+	onClosed  func() // called once the session has ended
 
 	mu          sync.Mutex
-	steps       []func() error
-	wake        *sync.Cond
-	stopped     bool
-	busy        bool
-	unconfirmed int // published and not confirmed, or about to be
-	onConfirm   map[uint64]func()
+	steps       []func() error // guarded by mu
+	wake        *sync.Cond     // by mu: there are steps, or the session has ended
+	stopped     bool           // guarded by mu
+	busy        bool           // guarded by mu: the writer is at steps that it took
+	unconfirmed int            // guarded by mu: published and not confirmed, or about to be published
+	// onConfirm is called for the number of a published message, guarded by mu.
+	onConfirm map[uint64]func()
 }
 
-// dialTimeout bounds how long a broker is tried: some round trips of a poor line.
-const dialTimeout = 5 * time.Second
-
-// hostPort is an address without the login that it may hold.
+// hostPort returns a broker's address without the login that its URL may hold.
 func hostPort(url string) string {
-	parsed, err := client.ParseURI(url)
+	uri, err := client.ParseURI(url)
 	if err != nil {
 		return "?"
 	}
-	return net.JoinHostPort(parsed.Host, strconv.Itoa(parsed.Port))
+	return joinHostPort(&uri)
 }
 
-func sortedNames(m map[string]uint64) []string { return slices.Sorted(maps.Keys(m)) }
+func joinHostPort(uri *client.URI) string {
+	return net.JoinHostPort(uri.Host, strconv.Itoa(uri.Port))
+}
 
-// openSession dials beside the loop; done is called on it, with a code if it did not come about.
-func (p *Consumer) openSession(url string, id uint64, done func(s *session, code string)) {
+// openSession dials on a goroutine of its own. handleConnect or handleConnectFailure hears how that went.
+func (c *Consumer) openSession(id uint64, url string) {
+	s := &session{
+		consumer:  c,
+		id:        id,
+		url:       url,
+		channels:  map[delivery.QueueName]*channel{},
+		onConfirm: map[uint64]func(){},
+	}
+	s.wake = sync.NewCond(&s.mu)
 	go func() {
-		s := &session{consumer: p, id: id, url: url, channels: map[delivery.QueueName]*channel{}, onConfirm: map[uint64]func(){}}
-		s.wake = sync.NewCond(&s.mu)
 		err := s.dial()
-		p.Post(func() {
+		c.Post(func() {
 			if err != nil {
 				if s.netConn != nil {
-					s.netConn.Close()
+					_ = s.netConn.Close() // it is of no use, and the error is known
 				}
-				done(nil, errorCode(err))
+				c.handleConnectFailure(url, err)
 				return
 			}
 			go s.writeLoop()
-			done(s, "")
-			if p.session != s {
-				return
-			}
-			for _, q := range p.config.Queues {
-				s.openChannel(p.queues[q.Name], 0)
-			}
+			c.handleConnect(s)
 		})
 	}()
 }
 
-// errorCode is one word for why a broker could not be used.
-func errorCode(err error) string {
-	var refused *client.Error
-	var timeout net.Error
-	switch {
-	case errors.Is(err, client.ErrCredentials), errors.As(err, &refused) && refused.Code == client.AccessRefused:
-		return "login-refused"
-	case errors.Is(err, client.ErrVhost):
-		return "vhost"
-	case errors.As(err, &timeout) && timeout.Timeout():
-		return "timeout"
-	case errors.As(err, &refused):
-		return "amqp-" + strconv.Itoa(refused.Code)
-	}
-	return "unreachable"
-}
-
+// dial opens the connection and the channel for replies.
 func (s *session) dial() error {
-	parsed, err := client.ParseURI(s.url)
+	uri, err := client.ParseURI(s.url)
 	if err != nil {
 		return err
 	}
 	if user, password, found := strings.Cut(s.consumer.config.Login, ":"); found {
-		parsed.Username, parsed.Password = user, password
+		uri.Username, uri.Password = user, password
+	}
+	dialer := net.Dialer{Timeout: dialTimeout}
+	s.netConn, err = dialer.DialContext(context.Background(), "tcp", joinHostPort(&uri))
+	if err != nil {
+		return err
+	}
+	if err := s.netConn.SetDeadline(time.Now().Add(dialTimeout)); err != nil {
+		return err
 	}
-	conn, err := (&net.Dialer{Timeout: dialTimeout}).Dial("tcp", net.JoinHostPort(parsed.Host, strconv.Itoa(parsed.Port)))
+	s.connection, err = client.Open(s.filteredConn(&uri), client.Config{
+		SASL:       []client.Authentication{uri.PlainAuth()},
+		Vhost:      uri.Vhost,
+		Heartbeat:  s.consumer.config.HeartbeatInterval,
+		Locale:     "en_US",
+		Properties: client.Table{"product": "lanewheel"},
+	})
 	if err != nil {
 		return err
 	}
-	s.netConn = conn
-	_ = conn.SetDeadline(time.Now().Add(dialTimeout))
-	if parsed.Scheme == "amqps" {
+	if err := s.netConn.SetDeadline(time.Time{}); err != nil {
+		return err
+	}
+	s.replyChannel, err = s.connection.Channel()
+	if err != nil {
+		return err
+	}
+	if err := s.replyChannel.Confirm(false); err != nil {
+		return err
+	}
+	s.watch()
+	return nil
+}
+
+// filteredConn is the connection as the client library reads it: without TLS, and without contents over our bounds.
+func (s *session) filteredConn(uri *client.URI) net.Conn {
+	conn := s.netConn
+	if uri.Scheme == "amqps" {
 		config := &tls.Config{}
 		if s.consumer.config.TLS != nil {
 			config = s.consumer.config.TLS.Clone()
 		}
 		if config.ServerName == "" {
-			config.ServerName = parsed.Host
+			config.ServerName = uri.Host
 		}
 		conn = tls.Client(conn, config)
 	}
-	maxBody := 0
-	for _, q := range s.consumer.config.Queues {
-		maxBody = max(maxBody, q.Mapping.MaxBodyBytes)
-	}
-	const maxHeaderBytes = 8 << 10 // properties and some dozen headers
-	s.connection, err = client.Open(newFrameFilter(conn, maxHeaderBytes, maxBody), client.Config{SASL: []client.Authentication{parsed.PlainAuth()},
-		Vhost: parsed.Vhost, Heartbeat: s.consumer.config.HeartbeatInterval, Locale: "en_US", Properties: client.Table{"product": "lanewheel"}})
-	if err != nil {
-		return err
-	}
-	_ = s.netConn.SetDeadline(time.Time{})
-	if s.replyChannel, err = s.connection.Channel(); err != nil {
-		return err
-	}
-	if err = s.replyChannel.Confirm(false); err != nil {
-		return err
+	maxBodyBytes := 0
+	for _, queue := range s.consumer.config.Queues {
+		maxBodyBytes = max(maxBodyBytes, queue.Mapping.MaxBodyBytes)
 	}
+	return newFrameFilter(conn, maxHeaderBytes, maxBodyBytes)
+}
+
+// watch starts the goroutines that take what the client library notifies. They end with the connection.
+func (s *session) watch() {
 	closed := s.connection.NotifyClose(make(chan *client.Error, 1))
-	blocked := s.connection.NotifyBlocked(make(chan client.Blocking, 8))
-	confirmed := s.replyChannel.NotifyPublish(make(chan client.Confirmation, 1024))
-	outClosed := s.replyChannel.NotifyClose(make(chan *client.Error, 1))
+	repliesClosed := s.replyChannel.NotifyClose(make(chan *client.Error, 1))
+	blockings := s.connection.NotifyBlocked(make(chan client.Blocking, maxPendingBlockings))
+	confirmations := s.replyChannel.NotifyPublish(make(chan client.Confirmation, maxPendingConfirmations))
 	go func() {
-		for config := range confirmed {
-			s.handleConfirmation(config)
+		for confirmation := range confirmations {
+			s.handleConfirmation(confirmation)
 		}
 	}()
 	go func() {
-		for b := range blocked {
-			s.consumer.Post(func() {
-				s.blocked = b.Active
-				slog.Warn("broker", "addr", hostPort(s.url), "code", map[bool]string{true: "blocked", false: "unblocked"}[b.Active])
-			})
+		for blocking := range blockings {
+			s.consumer.Post(func() { s.handleBlocking(blocking.Active) })
 		}
 	}()
 	go func() {
-		code := "closed"
+		code := codeClosed
 		select {
-		case e := <-closed:
-			if e != nil {
-				code = "amqp-" + strconv.Itoa(e.Code)
+		case err := <-closed:
+			if err != nil {
+				code = amqpCode(err)
 			}
-		case e := <-outClosed:
-			if e != nil {
-				code = "answers-amqp-" + strconv.Itoa(e.Code)
+		case err := <-repliesClosed:
+			if err != nil {
+				code = "replies-" + amqpCode(err)
 			}
-			s.netConn.Close()
+			_ = s.netConn.Close() // without replies the session is of no use
 		}
 		s.consumer.Post(func() { s.handleClosed(code) })
 	}()
-	return nil
 }
 
-// enqueue has the writer do something; an error of it means that channel or connection is gone, which is told elsewhere. What
-// waits is bounded by what is in hand: some steps for each message.
-func (s *session) enqueue(step func() error) {
-	s.mu.Lock()
-	s.steps = append(s.steps, step)
-	s.mu.Unlock()
-	s.wake.Signal()
-}
-
-func (s *session) writeLoop() {
-	for {
-		s.mu.Lock()
-		s.busy = false
-		for len(s.steps) == 0 && !s.stopped {
-			s.wake.Wait()
-		}
-		if s.stopped {
-			s.mu.Unlock()
-			return
-		}
-		work := s.steps
-		s.steps, s.busy = nil, true
-		s.mu.Unlock()
-		for _, step := range work {
-			_ = step()
-		}
+func (s *session) handleBlocking(blocked bool) {
+	s.blocked = blocked
+	if blocked {
+		slog.Warn("broker blocks publishing", "addr", hostPort(s.url))
+	} else {
+		slog.Warn("broker accepts publishing again", "addr", hostPort(s.url))
 	}
 }
 
-// idle tells whether nothing is on its way out.
-func (s *session) idle() bool {
-	s.flushAcks()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return len(s.steps) == 0 && !s.busy && s.unconfirmed == 0
-}
-
 // handleClosed hears that the connection is gone.
-func (s *session) handleClosed(code string) {
+func (s *session) handleClosed(code connectionCode) {
 	if s.ended {
 		return
 	}
@@ -221,57 +209,58 @@
 	if s.closeCode != "" {
 		code = s.closeCode
 	}
-	s.netConn.Close()
-	s.mu.Lock()
-	s.stopped = true
-	s.mu.Unlock()
-	s.wake.Broadcast()
+	_ = s.netConn.Close() // it may be closed already
+	s.stopWriter()
 	for _, c := range s.channels {
 		s.consumer.deduplicator.ChannelClosed(c.id)
 	}
-	slog.Info("end", "party", "broker", "code", code, "addr", hostPort(s.url), "connection", s.id)
-	s.consumer.handleDisconnect(s, code)
+	slog.Info("connection closed", "peer", "broker", "code", string(code), "addr", hostPort(s.url), "connection", s.id)
+	s.consumer.handleDisconnect(s)
 	if s.onClosed != nil {
 		s.onClosed()
 	}
 }
 
-// close ends the connection in order: consumers, channels, connection. A broker that does not answer is left.
-func (s *session) close(code string) {
+// close ends the connection in order: channels with their consumers, then the connection. It does not wait for a
+// broker that does not answer.
+func (s *session) close(code connectionCode) {
 	if s.closing || s.ended {
 		return
 	}
-	s.closing, s.closeCode = true, code
+	s.closing = true
+	s.closeCode = code
+	var links []*client.Channel
 	for _, c := range s.channels {
 		c.wantedPrefetch = 0
+		if c.link != nil {
+			links = append(links, c.link)
+		}
 	}
 	go func() {
-		gone := make(chan struct{})
+		closed := make(chan struct{})
 		go func() {
-			for _, c := range s.channels {
-				if c.link != nil {
-					_ = c.link.Close()
-				}
+			// Errors say that the connection is gone, which is what is wanted.
+			for _, link := range links {
+				_ = link.Close()
 			}
 			_ = s.replyChannel.Close()
 			_ = s.connection.Close()
-			close(gone)
+			close(closed)
 		}()
-		const closeTimeout = 200 * time.Millisecond // some round trips
 		select {
-		case <-gone:
+		case <-closed:
 		case <-time.After(closeTimeout):
 		}
-		s.netConn.Close()
+		_ = s.netConn.Close() // it may be closed already
 		s.consumer.Post(func() { s.handleClosed(code) })
 	}()
 }
 
-// whenClosed calls then once the session has ended.
-func (s *session) whenClosed(then func()) {
+// whenClosed calls a function on the consumer's event loop once the session has ended.
+func (s *session) whenClosed(callback func()) {
 	if s.ended {
-		then()
+		callback()
 		return
 	}
-	s.onClosed = then
+	s.onClosed = callback
 }
--- a/internal/cli/queue.go
+++ b/internal/cli/queue.go
@@ -232,11 +232,11 @@
 		if status.PauseReason != "" {
 			state = status.PauseReason
 		}
-		fmt.Fprintf(o.out, "broker %q, %s, level %d, in hand %d, known %d, %v\n", status.Broker, state, status.Window, status.InHand, status.Remembered, status.Counts)
+		fmt.Fprintf(o.out, "broker %q, %s, level %d, in hand %d, known %d, %v\n", status.Broker, state, status.Window, status.InFlight, status.Remembered, status.Counts)
 		table := tabwriter.NewWriter(o.out, 0, 0, 2, ' ', 0)
 		fmt.Fprintln(table, "queue\tstate\tlimit\tin hand")
 		for _, q := range status.Queues {
-			fmt.Fprintf(table, "%s\t%s\t%d\t%d\n", q.Name, q.State, q.Limit, q.InHand)
+			fmt.Fprintf(table, "%s\t%s\t%d\t%d\n", q.Name, q.State, q.Limit, q.InFlight)
 		}
 		table.Flush()
 	}
