--- a/internal/amqp/brokerselector_test.go
+++ b/internal/amqp/brokerselector_test.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// When the primary goes, the second broker is consumed from; a primary that flaps does not have the consumer flap.
+// When the preferred broker fails, the second one is used; one that flaps does not have the consumer flap.
 func Example_failover() {
 	now := time.Duration(0)
-	r := newBrokerSelector([]string{"one", "two"}, func() float64 { return 0.5 })
-	say := func() {
-		addr, wait := r.pick(now)
-		fmt.Println(now, addr, wait, r.shouldFailBack(now))
+	selector := newBrokerSelector([]string{"one", "two"}, func() float64 { return 0.5 })
+	show := func() {
+		url, wait := selector.pick(now)
+		fmt.Println(now, url, wait, selector.shouldFailBack(now))
 	}
-	say()
-	r.failed(now, "one")
-	say()
-	r.connected(now, "two")
+	show()
+	selector.failed(now, "one")
+	show()
+	selector.connected(now, "two")
 	now = 29 * time.Second
-	say()
+	show()
 	now = 30 * time.Second
-	say() // back to the preferred
+	show() // back to the preferred
 	tries := 0
 	for end := now + 10*time.Minute; now < end; now += 10 * time.Millisecond {
-		if addr, _ := r.pick(now); addr == "one" {
+		if url, _ := selector.pick(now); url == "one" {
 			tries++
-			r.connected(now, "one")
+			selector.connected(now, "one")
 			now += 100 * time.Millisecond
-			r.failed(now, "one")
+			selector.failed(now, "one")
 		}
 	}
 	fmt.Println("tries in ten minutes", tries)
--- a/internal/amqp/channel.go
+++ b/internal/amqp/channel.go
@@ -192,24 +192,19 @@
 	}
 }
 
-// requeue gives a delivery back to its queue, for a peer.
-func (s *session) requeue(name delivery.QueueName, tag delivery.Tag) {
+// giveBack settles a delivery without an ack: with delivery.Reject the broker dead-letters it into the retry queue,
+// else it returns to its queue, for a peer.
+func (s *session) giveBack(name delivery.QueueName, tag delivery.Tag, action delivery.Action) {
 	c := s.channelOf(name, tag)
 	if c == nil || !c.acks.Remove(tag.Number) {
 		return
 	}
 	s.consumer.flow.Settled(name)
 	link := c.link
-	s.enqueue(func() error { return link.Nack(tag.Number, false, true) })
-}
-
-// reject has the broker dead-letter a delivery, into the retry queue.
-func (s *session) reject(name delivery.QueueName, tag delivery.Tag) {
-	c := s.channelOf(name, tag)
-	if c == nil || !c.acks.Remove(tag.Number) {
-		return
-	}
-	s.consumer.flow.Settled(name)
-	link := c.link
-	s.enqueue(func() error { return link.Reject(tag.Number, false) })
+	s.enqueue(func() error {
+		if action == delivery.Reject {
+			return link.Reject(tag.Number, false)
+		}
+		return link.Nack(tag.Number, false, true)
+	})
 }
--- a/internal/amqp/consumer.go
+++ b/internal/amqp/consumer.go
@@ -200,9 +200,9 @@
 	switch after := c.flow.PauseReason(); after {
 	case before:
 	case delivery.NotPaused:
-		slog.Info("queue intake resumed", "in_flight", c.flow.TotalInFlight())
+		slog.Info("consuming resumed", "in_flight", c.flow.TotalInFlight())
 	default:
-		slog.Info("queue intake paused", "reason", after.String(), "in_flight", c.flow.TotalInFlight())
+		slog.Info("consuming paused", "reason", after.String(), "in_flight", c.flow.TotalInFlight())
 	}
 }
 
--- a/internal/amqp/consumer_test.go
+++ b/internal/amqp/consumer_test.go
@@ -16,49 +16,41 @@
 	"lanewheel/internal/frontend"
 )
 
-// A message's way: taken, run, answered, acked. What can't be served, came too late or was denied is answered unrun, and copied
-// to the dead letters.
+// nestedTables returns headers of so many tables, one in the other.
+func nestedTables(depth int) client.Table {
+	table := client.Table{}
+	for range depth {
+		table = client.Table{"t": table}
+	}
+	return table
+}
+
+// A message is consumed, executed, replied to and acked. What can't be served, came too late or was denied is replied
+// to without being executed, and copied to the dead-letter queue.
 func Example() {
-	b, c := newBroker(), newFakeServer()
-	c.behave = func(ask frontend.Request, body string, owed frontend.Responder) {
-		switch ask.Class {
-		case "deny":
-			owed.RejectPermanently("denied", frontend.ResponseMetadata{Reason: "tenant"})
-		case "what":
-			owed.RejectPermanently("unknown-type", frontend.ResponseMetadata{})
-		case "fail":
-			owed.Fail(frontend.ResponseMetadata{})
-		default:
-			c.run(body)
-			owed.Succeed([]byte("done "+body), frontend.ResponseMetadata{})
+	b, server := newBroker(), newFakeServer()
+	server.respond = func(request frontend.Request, body string, responder frontend.Responder) {
+		if class := request.Class; class == "view" || class == "pay" {
+			server.execute(body)
 		}
-		owed.Done()
+		respondByClass(request, body, responder)
 	}
-	s := startTestbed(b, c, testConfig(b))
-	defer s.close()
-	for _, kind := range []string{"view", "pay", "deny", "what", "fail"} {
-		b.Publish("ops", newMessage(kind, kind))
+	bed := startTestbed(b, server, testConfig(b))
+	defer bed.close()
+	for _, class := range []string{"view", "pay", "deny", "what", "fail"} {
+		b.Publish("ops", newMessage(class, class))
 	}
-	late := newMessage("late", "view")
-	late.Timestamp, late.Expiration = time.Now().Add(-time.Hour), "1000"
 	long := newMessage("long", "view")
 	long.Body = bytes.Repeat([]byte("x"), 200_000)
 	nested, deeper := newMessage("nested", "view"), newMessage("deeper", "view")
-	deep := client.Table{}
-	for i := range 5000 {
-		if deep = (client.Table{"t": deep}); i == 500 {
-			nested.Headers = deep // short enough, and yet more than the library reads
-		}
-	}
-	deeper.Headers = deep
-	odd := newMessage("odd", "view")
-	odd.Expiration = "soon"
-	for _, p := range []client.Publishing{late, long, nested, deeper, odd} {
+	nested.Headers = nestedTables(501) // short enough, and yet more than the library reads
+	deeper.Headers = nestedTables(5000)
+	for _, p := range []client.Publishing{lateMessage(), long, nested, deeper, badExpirationMessage()} {
 		b.Publish("ops", p)
 	}
-	s.settled("ops")
-	fake.WaitFor("all answers", func() bool { return b.Counts("replies").Ready == 8 }) // nobody can tell where nested's goes
-	for _, r := range s.replies() {
+	bed.waitSettled()
+	bed.waitReplies(8) // nobody can tell where those of nested and deeper go
+	for _, r := range bed.replies() {
 		fmt.Println(r)
 	}
 	var dead []string
@@ -68,7 +60,7 @@
 	}
 	slices.Sort(dead)
 	fmt.Println(strings.Join(dead, "\n"))
-	fmt.Println(c.runs, b.Violations())
+	fmt.Println(server.executions, b.Violations())
 	// Output:
 	// c-deny denied
 	// c-fail failed
@@ -89,100 +81,117 @@
 	// map[pay:1 view:1] []
 }
 
-// The same exchange with the connection cut behind each of its frames, and inside it: whatever the frame, each message has one
-// final answer, none of a type that must not run twice does, and nothing is left unsettled.
-func TestCutAfterEachFrame(t *testing.T) {
-	kinds := []string{"view", "pay", "key"}
-	play := func(faults ...broker.Fault) (s *testbed, frames int, wrong string) {
-		b, c := newBroker(), newFakeServer()
-		b.SetFaults(faults...)
-		s = startTestbed(b, c, testConfig(b))
-		defer s.close()
-		for i := range 12 {
-			b.Publish("ops", newMessage(fmt.Sprint(kinds[i%3], i), kinds[i%3]))
-		}
-		s.settled("ops")
-		fake.WaitFor("all answers", func() bool { return b.Counts("replies").Ready >= 12 })
-		replies := s.replies()
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		for i := range 12 {
-			id := fmt.Sprint(kinds[i%3], i)
-			n, ran, told := 0, c.runs[id], 1
-			for _, r := range replies {
-				if strings.HasPrefix(r, "c-"+id+" ") {
-					n++
-					if r == "c-"+id+" may-have-run" && kinds[i%3] == "pay" {
-						told = 0 // redelivered, and nobody can tell whether a peer had it before
-					}
-				}
-			}
-			if n != 1 || ran != told {
-				wrong += fmt.Sprintf("%s: %d answers, %d runs; ", id, n, ran)
-			}
+// exchangeClasses are those of the messages of exchange, in turn: idempotent, not idempotent, idempotent by key.
+var exchangeClasses = []string{"view", "pay", "key"}
+
+// exchange sends twelve messages over connections with faults. It returns the frames of the first connection, and
+// what is wrong.
+func exchange(faults ...broker.Fault) (frames int, wrong string) {
+	b, server := newBroker(), newFakeServer()
+	b.SetFaults(faults...)
+	bed := startTestbed(b, server, testConfig(b))
+	defer bed.close()
+	const messages = 12
+	for i := range messages {
+		class := exchangeClasses[i%len(exchangeClasses)]
+		b.Publish("ops", newMessage(fmt.Sprint(class, i), class))
+	}
+	bed.waitSettled()
+	fake.WaitFor("all replies", func() bool { return b.Counts("replies").Ready >= messages })
+	replies := bed.replies()
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	for i := range messages {
+		class := exchangeClasses[i%len(exchangeClasses)]
+		id := fmt.Sprint(class, i)
+		wrong += checkExchanged(id, class, replies, server.executions[id])
+	}
+	if violations := b.Violations(); len(violations) > 0 {
+		wrong += fmt.Sprint(violations)
+	}
+	return b.FrameCount(1), wrong
+}
+
+// checkExchanged says what is wrong with one message of an exchange: it has one reply and one execution.
+func checkExchanged(id, class string, replies []string, executions int) string {
+	count, wantExecutions := 0, 1
+	for _, r := range replies {
+		if !strings.HasPrefix(r, "c-"+id+" ") {
+			continue
 		}
-		if len(b.Violations()) > 0 {
-			wrong += fmt.Sprint(b.Violations())
+		count++
+		if r == "c-"+id+" may-have-run" && class == "pay" {
+			wantExecutions = 0 // redelivered, and nobody can tell whether a peer had it before
 		}
-		return s, b.FrameCount(1), wrong
 	}
-	_, frames, wrong := play()
+	if count != 1 || executions != wantExecutions {
+		return fmt.Sprintf("%s: %d replies, %d executions; ", id, count, executions)
+	}
+	return ""
+}
+
+// The same exchange with the connection cut behind each of its frames, and inside it: whatever the frame, each message
+// has one final reply, none that is not idempotent is executed twice, and nothing is left unsettled.
+func TestCutAfterEachFrame(t *testing.T) {
+	frames, wrong := exchange()
 	if wrong != "" || frames < 60 {
 		t.Fatalf("%d frames without a fault: %s", frames, wrong)
 	}
-	var all sync.WaitGroup
-	room := make(chan bool, 24)
-	for _, how := range []broker.FaultMode{broker.Disconnect, broker.TruncateFrame} {
-		for k := 1; k <= frames; k++ {
-			all.Add(1)
-			room <- true
+	var running sync.WaitGroup
+	slots := make(chan bool, 24)
+	for _, mode := range []broker.FaultMode{broker.Disconnect, broker.TruncateFrame} {
+		for frame := 1; frame <= frames; frame++ {
+			running.Add(1)
+			slots <- true
 			go func() {
-				defer all.Done()
-				// The second connection is cut as well, a little further on.
-				if _, _, wrong := play(broker.Fault{Connection: 1, Frame: k, Mode: how}, broker.Fault{Connection: 2, Frame: k/2 + 9, Mode: how}); wrong != "" {
-					t.Errorf("cut %d at frame %d: %s", how, k, wrong)
+				defer running.Done()
+				_, wrong := exchange(
+					broker.Fault{Connection: 1, Frame: frame, Mode: mode},
+					// The second connection is cut as well, a little further on.
+					broker.Fault{Connection: 2, Frame: frame/2 + 9, Mode: mode},
+				)
+				if wrong != "" {
+					t.Errorf("cut %d at frame %d: %s", mode, frame, wrong)
 				}
-				<-room
+				<-slots
 			}()
 		}
 	}
-	all.Wait()
+	running.Wait()
 	t.Logf("%d frames, cut behind and inside each", frames)
 }
 
-// A message that the module turns away goes back, by the retry queue where there is one, counted; out of attempts it is answered.
+// A message that the server rejects goes back, by the retry queue where there is one, and is counted; out of attempts
+// it is replied to.
 func Example_rejected() {
-	for _, retry := range []bool{false, true} {
-		b, c := newBroker(), newFakeServer()
-		q := defaultQueue
-		q.Settlement.UseRetryQueue = retry
-		if retry {
-			b = broker.New()
-			b.DeclareQueue("ops", client.Table{"x-dead-letter-exchange": "", "x-dead-letter-routing-key": "ops.retry"})
-			b.DeclareQueue("ops.retry", client.Table{"x-message-ttl": int64(20), "x-dead-letter-exchange": "", "x-dead-letter-routing-key": "ops"})
-			b.DeclareQueue("replies", nil)
-			b.DeclareQueue("dead", nil)
+	for _, useRetryQueue := range []bool{false, true} {
+		b, server := newBroker(), newFakeServer()
+		queue := defaultQueue()
+		queue.Settlement.UseRetryQueue = useRetryQueue
+		if useRetryQueue {
+			b = newRetryBroker(20)
 		}
-		turned := 0
-		c.behave = func(ask frontend.Request, body string, owed frontend.Responder) {
-			if body == "never" || turned < 2 {
-				turned++
-				owed.Reject(frontend.ResponseMetadata{})
+		rejected := 0
+		server.respond = func(_ frontend.Request, body string, responder frontend.Responder) {
+			if body == "never" || rejected < 2 {
+				rejected++
+				responder.Reject(frontend.ResponseMetadata{})
 			} else {
-				owed.Succeed([]byte("at last"), frontend.ResponseMetadata{})
+				responder.Succeed([]byte("at last"), frontend.ResponseMetadata{})
 			}
-			owed.Done()
+			responder.Done()
 		}
-		s := startTestbed(b, c, testConfig(b, q))
+		bed := startTestbed(b, server, testConfig(b, queue))
 		b.Publish("ops", newMessage("once", "pay"))
-		fake.WaitFor("an answer", func() bool { return b.Counts("replies").Ready == 1 })
-		fmt.Println(s.replies(), "put back", b.Counts("ops").Requeued, "rejected", b.Counts("ops").Rejected)
-		if retry {
+		bed.waitReplies(1)
+		counts := b.Counts("ops")
+		fmt.Println(bed.replies(), "put back", counts.Requeued, "rejected", counts.Rejected)
+		if useRetryQueue {
 			b.Publish("ops", newMessage("never", "pay"))
 			fake.WaitFor("its end", func() bool { return b.Counts("dead").Ready == 1 })
-			fmt.Println(s.replies(), "rejected", b.Counts("ops").Rejected, "dead", b.Counts("dead").Ready)
+			fmt.Println(bed.replies(), "rejected", b.Counts("ops").Rejected, "dead", b.Counts("dead").Ready)
 		}
-		s.close()
+		bed.close()
 	}
 	// Output:
 	// [c-once acked at last] put back 2 rejected 0
@@ -190,59 +199,51 @@
 	// [c-never out-of-attempts] rejected 4 dead 1
 }
 
-// At the notice consuming stops, what was not started goes back untouched, what runs is answered and acked, and the connection
-// closes in order; with a broker that has died, or answers nothing, the end comes all the same.
+// When the consumer drains, what was not executed goes back untouched, what is executed is replied to and acked, and
+// the connection closes in order; with a broker that has died, or is silent, the consumer ends all the same.
 func Example_drain() {
-	for _, how := range []string{"well", "dead", "silent"} {
-		b, c := newBroker(), newFakeServer()
-		var held []func(bool)
-		var mu sync.Mutex
-		c.behave = func(ask frontend.Request, body string, owed frontend.Responder) {
-			mu.Lock()
-			defer mu.Unlock()
-			held = append(held, func(runs bool) {
-				if runs {
-					owed.Succeed([]byte("done"), frontend.ResponseMetadata{})
+	for _, condition := range []string{"well", "dead", "silent"} {
+		b, server := newBroker(), newFakeServer()
+		var responses deferred
+		server.respond = func(_ frontend.Request, _ string, responder frontend.Responder) {
+			executed := responses.len() < 2
+			responses.add(func() {
+				if executed {
+					responder.Succeed([]byte("done"), frontend.ResponseMetadata{})
 				} else {
-					owed.Reject(frontend.ResponseMetadata{})
+					responder.Reject(frontend.ResponseMetadata{})
 				}
-				owed.Done()
+				responder.Done()
 			})
 		}
-		q := defaultQueue
-		q.MinInFlight = 6
-		s := startTestbed(b, c, testConfig(b, q))
+		queue := defaultQueue()
+		queue.MinInFlight = 6
+		bed := startTestbed(b, server, testConfig(b, queue))
 		for i := range 20 {
 			b.Publish("ops", newMessage(fmt.Sprintf("m%02d", i), "view"))
 		}
-		fake.WaitFor("six in hand", func() bool { mu.Lock(); defer mu.Unlock(); return len(held) == 6 })
-		s.server.set(func(l *frontend.Load) { l.Draining = true })
-		s.consumer.Drain(800 * time.Millisecond)
-		s.consumer.Drain(time.Hour) // a second notice changes nothing
-		switch how {
+		fake.WaitFor("six in flight", func() bool { return responses.len() == 6 })
+		server.changeLoad(func(l *frontend.Load) { l.Draining = true })
+		bed.consumer.Drain(800 * time.Millisecond)
+		bed.consumer.Drain(time.Hour) // a second notice changes nothing
+		switch condition {
 		case "dead":
 			b.Close()
 		case "silent":
 			b.SetSilent(true)
 		}
-		began := time.Now()
-		c.Post(func() {
-			mu.Lock()
-			defer mu.Unlock()
-			for i, end := range held {
-				end(i < 2)
-			}
-		})
-		fake.WaitFor("the end", s.consumer.Drained)
-		fmt.Println(how, "in time", time.Since(began) < 1500*time.Millisecond)
-		if how == "well" {
+		start := time.Now()
+		server.Post(responses.release)
+		fake.WaitFor("the end", bed.consumer.Drained)
+		fmt.Println(condition, "in time", time.Since(start) < 1500*time.Millisecond)
+		if condition == "well" {
 			counts := b.Counts("ops")
-			fmt.Println("acked", counts.Acked, "back", counts.Ready, "answers", s.replies())
-			_, standing := b.Connections()
-			fmt.Println("connections", standing, b.Violations())
+			fmt.Println("acked", counts.Acked, "back", counts.Ready, "answers", bed.replies())
+			_, open := b.Connections()
+			fmt.Println("connections", open, b.Violations())
 		}
 		b.Close()
-		c.Post(c.Quit)
+		server.Post(server.Quit)
 	}
 	// Output:
 	// well in time true
@@ -252,58 +253,60 @@
 	// silent in time true
 }
 
-// Two messages with one id: with the same content they are one op, and both are settled with it; with another content the second
-// is told so. A channel that the broker closes is opened anew, and what was in hand is not run again.
+// Two messages with one id: with the same content they are one request, and both are settled with it; with another
+// content the second is told so. A channel that the broker closes is opened anew, and what was in flight is not
+// executed again.
 func Example_duplicates() {
-	b, c := newBroker(), newFakeServer()
-	var mu sync.Mutex
-	var end []func()
-	c.behave = func(ask frontend.Request, body string, owed frontend.Responder) {
-		c.run(body)
-		mu.Lock()
-		defer mu.Unlock()
-		end = append(end, func() { owed.Succeed([]byte("done "+body), frontend.ResponseMetadata{}); owed.Done() })
+	b, server := newBroker(), newFakeServer()
+	var responses deferred
+	server.respond = func(_ frontend.Request, body string, responder frontend.Responder) {
+		server.execute(body)
+		responses.add(func() {
+			responder.Succeed([]byte("done "+body), frontend.ResponseMetadata{})
+			responder.Done()
+		})
 	}
-	s := startTestbed(b, c, testConfig(b))
-	defer s.close()
+	bed := startTestbed(b, server, testConfig(b))
+	defer bed.close()
 	other := newMessage("a", "pay")
 	other.Body = []byte("b")
 	b.Publish("ops", newMessage("a", "pay"))
 	b.Publish("ops", newMessage("a", "pay"))
-	fake.WaitFor("both in hand", func() bool { return b.Counts("ops").Unsettled == 2 })
+	fake.WaitFor("both in flight", func() bool { return b.Counts("ops").Unsettled == 2 })
 	b.Publish("ops", other)
 	fake.WaitFor("the other's end", func() bool { return b.Counts("ops").Acked == 1 })
 	b.CloseConsumerChannels()
-	fake.WaitFor("both again", func() bool { x := b.Counts("ops"); return x.Redelivered == 2 && x.Unsettled == 2 })
-	c.Post(func() {
-		mu.Lock()
-		defer mu.Unlock()
-		for _, then := range end {
-			then()
-		}
+	fake.WaitFor("both again", func() bool {
+		counts := b.Counts("ops")
+		return counts.Redelivered == 2 && counts.Unsettled == 2
 	})
-	s.settled("ops")
-	fmt.Println(s.replies(), c.runs, b.Counts("ops").Acked)
+	server.Post(responses.release)
+	bed.waitSettled()
+	fmt.Println(bed.replies(), server.executions, b.Counts("ops").Acked)
 	// Output:
 	// [c-a acked done a c-a id-twice] map[a:1] 3
 }
 
-// Two instances on one queue, one of them slow: the fast one gets the work, and what the slow one left untouched goes back.
+// Two instances on one queue, one of them slow: the fast one gets the work, and what the slow one left untouched goes
+// back.
 func Example_twoInstances() {
 	b := newBroker()
 	slow, fast := newFakeServer(), newFakeServer()
-	slow.behave = func(_ frontend.Request, body string, owed frontend.Responder) {
-		slow.run(body)
-		slow.load.Queued = 40 // it holds more than it has cores
-		slow.ScheduleAt(slow.Now()+300*time.Millisecond, func() { owed.Succeed([]byte("slow"), frontend.ResponseMetadata{}); owed.Done() })
+	slow.respond = func(_ frontend.Request, body string, responder frontend.Responder) {
+		slow.execute(body)
+		slow.load.Queued = 40 // more than its cores can run
+		slow.ScheduleAt(slow.Now()+300*time.Millisecond, func() {
+			responder.Succeed([]byte("slow"), frontend.ResponseMetadata{})
+			responder.Done()
+		})
 	}
 	one, two := startTestbed(b, slow, testConfig(b)), startTestbed(b, fast, testConfig(b))
 	for i := range 300 {
 		b.Publish("ops", newMessage(fmt.Sprint(i), "view"))
 	}
-	one.settled("ops")
-	fake.WaitFor("all answers", func() bool { return b.Counts("replies").Ready == 300 })
-	fmt.Println(len(one.replies()), len(fast.runs)+len(slow.runs), len(slow.runs) < 30)
+	one.waitSettled()
+	one.waitReplies(300)
+	fmt.Println(len(one.replies()), len(fast.executions)+len(slow.executions), len(slow.executions) < 30)
 	one.consumer.Drain(time.Second)
 	fake.WaitFor("its end", one.consumer.Drained)
 	two.close()
--- a/internal/amqp/delivery/settlement_test.go
+++ b/internal/amqp/delivery/settlement_test.go
@@ -21,12 +21,12 @@
 	}
 	m := Message{Remaining: 10 * time.Second, Idempotent: true}
 	show("acked", m, plain, Succeeded, 0)
-	show("nacked", m, plain, Rejected, 0)
-	show("nacked, come later", m, plain, Rejected, 2*time.Second)
-	show("nacked, retry queue", m, retry, Rejected, 0)
-	show("nacked, no time", Message{Remaining: 20 * time.Millisecond}, plain, Rejected, 0)
-	show("nacked, no time for the retry queue", Message{Remaining: time.Second}, retry, Rejected, 0)
-	show("nacked, last attempt", Message{Remaining: time.Minute, Attempt: 2}, retry, Rejected, 0)
+	show("rejected", m, plain, Rejected, 0)
+	show("rejected, come later", m, plain, Rejected, 2*time.Second)
+	show("rejected, retry queue", m, retry, Rejected, 0)
+	show("rejected, no time", Message{Remaining: 20 * time.Millisecond}, plain, Rejected, 0)
+	show("rejected, no time for the retry queue", Message{Remaining: time.Second}, retry, Rejected, 0)
+	show("rejected, last attempt", Message{Remaining: time.Minute, Attempt: 2}, retry, Rejected, 0)
 	show("failed", m, retry, Failed, 0)
 	show("denied", m, plain, Denied, 0)
 	show("drained", m, retry, Drained, 0)
@@ -43,12 +43,12 @@
 	fmt.Println("budget", returned, b.Settle(m, plain, Rejected, 0, 0).Reply)
 	// Output:
 	// acked: answer true acked dead false then ack in 0s
-	// nacked: answer false  dead false then requeue in 200ms
-	// nacked, come later: answer false  dead false then requeue in 2s
-	// nacked, retry queue: answer false  dead false then reject in 200ms
-	// nacked, no time: answer true failed dead true then ack in 0s
-	// nacked, no time for the retry queue: answer true failed dead true then ack in 0s
-	// nacked, last attempt: answer true out-of-attempts dead true then ack in 0s
+	// rejected: answer false  dead false then requeue in 200ms
+	// rejected, come later: answer false  dead false then requeue in 2s
+	// rejected, retry queue: answer false  dead false then reject in 200ms
+	// rejected, no time: answer true failed dead true then ack in 0s
+	// rejected, no time for the retry queue: answer true failed dead true then ack in 0s
+	// rejected, last attempt: answer true out-of-attempts dead true then ack in 0s
 	// failed: answer true failed dead true then ack in 0s
 	// denied: answer true denied dead true then ack in 0s
 	// drained: answer false  dead false then requeue in 0s
--- a/internal/amqp/framefilter_test.go
+++ b/internal/amqp/framefilter_test.go
@@ -4,55 +4,60 @@
 	"bytes"
 	"encoding/binary"
 	"net"
+	"slices"
 	"testing"
 )
 
-// Content of any size and tables of any depth do not reach the library; whatever way the bytes come cut, the same goes on.
-func TestFrameFilter(t *testing.T) {
-	frame := func(kind byte, channel uint16, payload []byte) []byte {
-		b := binary.BigEndian.AppendUint16([]byte{kind}, channel)
-		b = binary.BigEndian.AppendUint32(b, uint32(len(payload)))
-		return append(append(b, payload...), 0xce)
-	}
-	header := func(size uint64, id int) []byte { // with a message-id of that length
-		b := binary.BigEndian.AppendUint64([]byte{0, 60, 0, 0}, size)
-		if id == 0 {
-			return append(b, 0, 0)
-		}
-		return append(append(b, 0, 1<<7, byte(id)), make([]byte, id)...)
+var _ net.Conn = (*frameFilter)(nil)
+
+func frameOf(kind byte, channel uint16, payload []byte) []byte {
+	b := binary.BigEndian.AppendUint16([]byte{kind}, channel)
+	b = binary.BigEndian.AppendUint32(b, uint32(len(payload)))
+	return append(append(b, payload...), 0xce)
+}
+
+// headerOf is a header for a body of some bytes, with a message-id of so many.
+func headerOf(bodySize, idBytes int) []byte {
+	b := binary.BigEndian.AppendUint64([]byte{0, 60, 0, 0}, uint64(bodySize))
+	if idBytes == 0 {
+		return append(b, 0, 0)
 	}
-	var stream []byte
-	stream = append(stream, frame(1, 1, []byte("method"))...)
-	stream = append(stream, frame(2, 1, header(5, 0))...)
-	stream = append(stream, frame(3, 1, []byte("small"))...)
-	stream = append(stream, frame(2, 2, header(3000, 3))...)
-	stream = append(stream, frame(3, 2, make([]byte, 2000))...)
-	stream = append(stream, frame(8, 0, nil)...)
-	stream = append(stream, frame(3, 2, make([]byte, 1000))...)
-	stream = append(stream, frame(2, 1, header(4, 200))...)
-	stream = append(stream, frame(3, 1, []byte("more"))...)
-	stream = append(stream, frame(1, 1, []byte("end"))...)
-	var want []byte
-	want = append(want, frame(1, 1, []byte("method"))...)
-	want = append(want, frame(2, 1, header(5, 0))...)
-	want = append(want, frame(3, 1, []byte("small"))...)
-	want = append(want, frame(2, 2, header(uint64(len(placeholders[tooLong])), 3))...)
-	want = append(want, frame(3, 2, []byte(placeholders[tooLong]))...)
-	want = append(want, frame(8, 0, nil)...)
-	want = append(want, frame(2, 1, header(uint64(len(placeholders[badHeader])), 0))...)
-	want = append(want, frame(3, 1, []byte(placeholders[badHeader]))...)
-	want = append(want, frame(1, 1, []byte("end"))...)
+	return append(append(b, 0, 1<<7, byte(idBytes)), make([]byte, idBytes)...)
+}
+
+// Contents of any size and tables of any depth do not reach the library; whatever way the bytes come cut, the same is
+// passed on.
+func TestFrameFilter(t *testing.T) {
+	stream := slices.Concat(
+		frameOf(1, 1, []byte("method")),
+		frameOf(2, 1, headerOf(5, 0)),
+		frameOf(3, 1, []byte("small")),
+		frameOf(2, 2, headerOf(3000, 3)),
+		frameOf(3, 2, make([]byte, 2000)),
+		frameOf(8, 0, nil),
+		frameOf(3, 2, make([]byte, 1000)),
+		frameOf(2, 1, headerOf(4, 200)),
+		frameOf(3, 1, []byte("more")),
+		frameOf(1, 1, []byte("end")),
+	)
+	want := slices.Concat(
+		frameOf(1, 1, []byte("method")),
+		frameOf(2, 1, headerOf(5, 0)),
+		frameOf(3, 1, []byte("small")),
+		frameOf(2, 2, headerOf(len(placeholders[tooLong]), 3)),
+		frameOf(3, 2, []byte(placeholders[tooLong])),
+		frameOf(8, 0, nil),
+		frameOf(2, 1, headerOf(len(placeholders[badHeader]), 0)),
+		frameOf(3, 1, []byte(placeholders[badHeader])),
+		frameOf(1, 1, []byte("end")),
+	)
 	for size := 1; size <= len(stream); size++ {
-		s := newFrameFilter(nil, 100, 100)
-		for rest := stream; len(rest) > 0; {
-			n := min(size, len(rest))
-			s.feed(rest[:n])
-			rest = rest[n:]
+		filter := newFrameFilter(nil, 100, 100)
+		for piece := range slices.Chunk(stream, size) {
+			filter.feed(piece)
 		}
-		if !bytes.Equal(s.ready, want) {
-			t.Fatalf("in pieces of %d: %q", size, s.ready)
+		if !bytes.Equal(filter.ready, want) {
+			t.Fatalf("in pieces of %d: %q", size, filter.ready)
 		}
 	}
 }
-
-var _ net.Conn = (*frameFilter)(nil)
--- a/internal/amqp/mapping_test.go
+++ b/internal/amqp/mapping_test.go
@@ -7,18 +7,30 @@
 	client "github.com/rabbitmq/amqp091-go"
 )
 
+// Whatever a message says, it reads as a request, and a redelivery reads the same.
 func FuzzMapping(f *testing.F) {
 	f.Add("id", "view", "1000", "water", "0.5", int64(3), []byte("body"))
 	f.Add("", "", "x", "", "NaN", int64(-1), []byte(nil))
-	m := defaultQueue.Mapping
-	m.Tenant, m.Rank = Source{Header: true, Name: "tenant"}, Source{Header: true, Name: "rank"}
-	f.Fuzz(func(t *testing.T, id, kind, expiration, tenant, rank string, count int64, body []byte) {
-		d := &client.Delivery{MessageId: id, Type: kind, Expiration: expiration, Body: body, Headers: client.Table{"tenant": tenant, "rank": rank,
-			"x-death": []any{client.Table{"queue": "ops", "reason": "rejected", "count": count}}}}
-		r := m.read("ops", d, "", time.Unix(0, 0))
-		again := m.read("ops", d, "", time.Unix(1, 0))
-		if r.id == "" || len(r.request.ID) != 16 || r.id != again.id || r.digest != again.digest || r.attempt < 0 || r.request.Timeout < 0 {
-			t.Fatalf("%+v", r)
+	mapping := defaultQueue().Mapping
+	mapping.Tenant = Source{Header: true, Name: "tenant"}
+	mapping.Rank = Source{Header: true, Name: "rank"}
+	f.Fuzz(func(t *testing.T, id, class, expiration, tenant, rank string, count int64, body []byte) {
+		incoming := &client.Delivery{
+			MessageId:  id,
+			Type:       class,
+			Expiration: expiration,
+			Body:       body,
+			Headers: client.Table{
+				"tenant":  tenant,
+				"rank":    rank,
+				"x-death": []any{client.Table{"queue": "ops", "reason": "rejected", "count": count}},
+			},
+		}
+		m := mapping.read("ops", incoming, noDefect, time.Unix(0, 0))
+		again := mapping.read("ops", incoming, noDefect, time.Unix(1, 0))
+		if m.id == "" || len(m.request.ID) != 16 || m.id != again.id || m.digest != again.digest ||
+			m.attempt < 0 || m.request.Timeout < 0 {
+			t.Fatalf("%+v", m)
 		}
 	})
 }
--- a/internal/amqp/message.go
+++ b/internal/amqp/message.go
@@ -35,7 +35,7 @@
 	c.session.trackDelivery(queue.Name, tag)
 	if c.draining {
 		c.counters.events[eventReturnedAtDrain]++
-		c.session.requeue(queue.Name, tag)
+		c.session.giveBack(queue.Name, tag, delivery.Requeue)
 		return
 	}
 	decision, earlier := c.deduplicator.Receive(c.Now(), delivery.Arrival{
@@ -172,11 +172,7 @@
 		return // the broker has the message back already
 	}
 	for _, tag := range tags {
-		if action == delivery.Reject {
-			c.session.reject(queue, tag)
-		} else {
-			c.session.requeue(queue, tag)
-		}
+		c.session.giveBack(queue, tag, action)
 	}
 }
 
--- a/internal/amqp/session_test.go
+++ b/internal/amqp/session_test.go
@@ -12,77 +12,91 @@
 	"lanewheel/internal/fake/broker"
 )
 
-// A broker that says it is blocked gets nothing new from us; a queue that is deleted and comes back is consumed again; a login
-// that is refused, and a broker that takes connections and drops them, are tried less and less often.
+// queueState returns how the work queue is treated.
+func (t *testbed) queueState() string {
+	state := make(chan string)
+	t.consumer.Post(func() { state <- t.consumer.flow.State("ops").String() })
+	return <-state
+}
+
+// A broker that blocks publishing gives the consumer nothing new; a queue that is deleted and comes back is consumed
+// again; a broker that refuses the login is tried less and less often.
 func Example_brokerFaults() {
-	b, c := newBroker(), newFakeServer()
-	s := startTestbed(b, c, testConfig(b))
+	b, server := newBroker(), newFakeServer()
+	bed := startTestbed(b, server, testConfig(b))
 	b.Publish("ops", newMessage("a", "view"))
-	s.settled("ops")
+	bed.waitSettled()
 	b.SetBlocked(true)
-	fake.WaitFor("the intake's end", func() bool { return b.Counts("ops").Consumers == 0 })
+	fake.WaitFor("the pause of consuming", func() bool { return b.Counts("ops").Consumers == 0 })
 	b.Publish("ops", newMessage("b", "view"))
-	fmt.Println(state(s), b.Counts("ops").Ready)
+	fmt.Println(bed.queueState(), b.Counts("ops").Ready)
 	b.SetBlocked(false)
-	s.settled("ops")
+	bed.waitSettled()
 	b.DeleteQueue("ops")
 	time.Sleep(delivery.UpdateInterval)
 	b.DeclareQueue("ops", nil)
 	b.Publish("ops", newMessage("c", "view"))
-	s.settled("ops")
-	fmt.Println(len(s.replies()))
-	s.close()
+	bed.waitSettled()
+	fmt.Println(len(bed.replies()))
+	bed.close()
 
 	b = newBroker()
 	b.RefuseLogins(true)
-	s = startTestbed(b, newFakeServer(), testConfig(b))
+	bed = startTestbed(b, newFakeServer(), testConfig(b))
 	time.Sleep(1500 * time.Millisecond)
-	ever, _ := b.Connections()
-	fmt.Println("tries", ever >= 2 && ever <= 6)
-	s.close()
+	total, _ := b.Connections()
+	fmt.Println("tries", total >= 2 && total <= 6)
+	bed.close()
 	// Output:
 	// blocked 1
 	// 3
 	// tries true
 }
 
-// Brokers under TLS: one whose certificate the told authority signed is consumed from, and told who we are; another is not.
+// issueCertificate returns a certificate of an authority with its key.
+func issueCertificate(authority certs.KeyPair, subject certs.Subject, isServer bool, now time.Time) tls.Certificate {
+	pair := fake.Must(authority.Issue(subject, isServer, now, time.Hour))
+	cert, key, err := pair.EncodePEM()
+	fake.Must(cert, err)
+	return fake.Must(tls.X509KeyPair(cert, key))
+}
+
+// Brokers under TLS: one whose certificate the configured authority signed is consumed from, and gets our certificate;
+// another is not.
 func Example_tls() {
 	now := time.Now()
-	ours, other := fake.Must(certs.NewAuthority("ours", now, time.Hour)), fake.Must(certs.NewAuthority("other", now, time.Hour))
-	pair := func(p certs.KeyPair, err error) tls.Certificate {
-		cert, key, _ := fake.Must(p, err).EncodePEM()
-		return fake.Must(tls.X509KeyPair(cert, key))
-	}
+	ours := fake.Must(certs.NewAuthority("ours", now, time.Hour))
+	other := fake.Must(certs.NewAuthority("other", now, time.Hour))
 	roots := x509.NewCertPool()
 	roots.AddCert(ours.Certificate)
-	for _, a := range []certs.KeyPair{ours, other} {
-		l := fake.Must(tls.Listen("tcp", "127.0.0.1:0", &tls.Config{ClientCAs: roots, ClientAuth: tls.RequireAndVerifyClientCert,
-			Certificates: []tls.Certificate{pair(a.Issue(certs.Subject{CommonName: "broker", Hosts: []string{"127.0.0.1"}}, true, now, time.Hour))}}))
-		b, c := broker.NewOnListener(l), newFakeServer()
+	for _, authority := range []certs.KeyPair{ours, other} {
+		subject := certs.Subject{CommonName: "broker", Hosts: []string{"127.0.0.1"}}
+		listener := fake.Must(tls.Listen("tcp", "127.0.0.1:0", &tls.Config{
+			ClientCAs:    roots,
+			ClientAuth:   tls.RequireAndVerifyClientCert,
+			Certificates: []tls.Certificate{issueCertificate(authority, subject, true, now)},
+		}))
+		b, server := broker.NewOnListener(listener), newFakeServer()
 		b.DeclareQueue("ops", nil)
 		b.DeclareQueue("replies", nil)
-		t := testConfig(b)
-		t.BrokerURLs = []string{"amqps://" + b.Addr() + "/"}
-		t.Login = "guest:guest"
-		t.TLS = &tls.Config{RootCAs: roots, Certificates: []tls.Certificate{pair(ours.Issue(certs.Subject{CommonName: "node"}, false, now, time.Hour))}}
-		s := startTestbed(b, c, t)
+		config := testConfig(b)
+		config.BrokerURLs = []string{"amqps://" + b.Addr() + "/"}
+		config.Login = "guest:guest"
+		config.TLS = &tls.Config{
+			RootCAs:      roots,
+			Certificates: []tls.Certificate{issueCertificate(ours, certs.Subject{CommonName: "node"}, false, now)},
+		}
+		bed := startTestbed(b, server, config)
 		b.Publish("ops", newMessage("a", "view"))
-		if a.Certificate == ours.Certificate {
-			s.settled("ops")
+		if authority.Certificate == ours.Certificate {
+			bed.waitSettled()
 		} else {
-			fake.WaitFor("some tries", func() bool { ever, _ := b.Connections(); return ever > 1 })
+			fake.WaitFor("some tries", func() bool { total, _ := b.Connections(); return total > 1 })
 		}
-		fmt.Println(b.Counts("ops").Acked, s.replies())
-		s.close()
+		fmt.Println(b.Counts("ops").Acked, bed.replies())
+		bed.close()
 	}
 	// Output:
 	// 1 [c-a acked done a]
 	// 0 []
 }
-
-func state(s *testbed) string {
-	say := make(chan string)
-	s.consumer.Post(func() { say <- s.consumer.flow.State("ops").String() })
-	return <-say
-}
--- a/internal/amqp/testbed_test.go
+++ b/internal/amqp/testbed_test.go
@@ -29,63 +29,140 @@
 	os.Exit(m.Run())
 }
 
-// fakeServer is a core that runs what it is handed, one run each, and counts.
+// fakeServer executes what is submitted, and counts.
 type fakeServer struct {
 	*eventloop.Loop
-	mu     sync.Mutex
-	runs   map[string]int // by body
-	load   frontend.Load
-	behave func(ask frontend.Request, body string, owed frontend.Responder) // on its loop; nil: acked after a millisecond
+	mu         sync.Mutex
+	executions map[string]int // by body; guarded by mu
+	load       frontend.Load  // owned by the loop
+
+	// respond is called on the loop for each request; nil: each succeeds after a millisecond.
+	respond func(request frontend.Request, body string, responder frontend.Responder)
 }
 
 func newFakeServer() *fakeServer {
-	c := &fakeServer{Loop: eventloop.New(4096), runs: map[string]int{}, load: frontend.Load{Ready: true, Healthy: true, Cores: 4, FreeCapacity: 1000}}
-	go c.Run(func() {})
-	return c
+	s := &fakeServer{
+		Loop:       eventloop.New(4096),
+		executions: map[string]int{},
+		load:       frontend.Load{Ready: true, Healthy: true, Cores: 4, FreeCapacity: 1000},
+	}
+	go s.Run(func() {})
+	return s
 }
 
-func (c *fakeServer) Submit(ask frontend.Request, _ *authn.Credential, owed frontend.Responder) frontend.Handle {
-	body := string(ask.Body)
-	if c.behave != nil {
-		c.behave(ask, body, owed)
+func (s *fakeServer) Submit(
+	request frontend.Request, _ *authn.Credential, responder frontend.Responder,
+) frontend.Handle {
+	body := string(request.Body)
+	if s.respond != nil {
+		s.respond(request, body, responder)
 		return nil
 	}
-	c.run(body)
-	c.ScheduleAt(c.Now()+time.Millisecond, func() {
-		owed.Succeed([]byte("done "+body), frontend.ResponseMetadata{})
-		owed.Done()
+	s.execute(body)
+	s.ScheduleAt(s.Now()+time.Millisecond, func() {
+		responder.Succeed([]byte("done "+body), frontend.ResponseMetadata{})
+		responder.Done()
 	})
 	return nil
 }
 
-func (c *fakeServer) run(body string) {
-	c.mu.Lock()
-	c.runs[body]++
-	c.mu.Unlock()
+// execute counts an execution.
+func (s *fakeServer) execute(body string) {
+	s.mu.Lock()
+	s.executions[body]++
+	s.mu.Unlock()
+}
+
+func (s *fakeServer) Cancel(frontend.Handle) {}
+func (s *fakeServer) Load() frontend.Load    { return s.load }
+
+func (s *fakeServer) changeLoad(change func(*frontend.Load)) {
+	s.Post(func() { change(&s.load) })
+}
+
+// respondByClass responds as the class of a request says; all but those of the classes named here succeed.
+func respondByClass(request frontend.Request, body string, responder frontend.Responder) {
+	switch request.Class {
+	case "deny":
+		responder.RejectPermanently("denied", frontend.ResponseMetadata{Reason: "tenant"})
+	case "what":
+		responder.RejectPermanently("unknown-type", frontend.ResponseMetadata{})
+	case "fail":
+		responder.Fail(frontend.ResponseMetadata{})
+	case "refuse":
+		responder.Reject(frontend.ResponseMetadata{})
+	default:
+		responder.Succeed([]byte("done "+body), frontend.ResponseMetadata{})
+	}
+	responder.Done()
+}
+
+// deferred are responses that a test gives later. Its methods may be called from any goroutine.
+type deferred struct {
+	mu        sync.Mutex
+	responses []func()
+}
+
+func (d *deferred) add(response func()) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.responses = append(d.responses, response)
 }
 
-func (c *fakeServer) Cancel(frontend.Handle) {}
-func (c *fakeServer) Load() frontend.Load    { return c.load }
+func (d *deferred) len() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return len(d.responses)
+}
 
-func (c *fakeServer) set(load func(*frontend.Load)) { c.Post(func() { load(&c.load) }) }
+// release gives the responses. The server's loop has to call it.
+func (d *deferred) release() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, response := range d.responses {
+		response()
+	}
+	d.responses = nil
+}
 
-// testbed is a front between a broker and a core.
+// testbed is a consumer between a broker and a server.
 type testbed struct {
 	broker   *broker.Broker
 	server   *fakeServer
 	consumer *Consumer
 }
 
-var defaultQueue = Queue{Queue: delivery.Queue{Name: "ops", Weight: 1, MinInFlight: 2, MaxInFlight: 100},
-	Settlement: delivery.SettlementConfig{MaxAttempts: 3, RetryQueueDelay: 20 * time.Millisecond, DeadLetter: true}, DeadLetterQueue: "dead", Identity: "token:depot",
-	Mapping: Mapping{Class: Source{Name: "type"}, DefaultWait: 30 * time.Second, MaxBodyBytes: 2048, DefaultRank: 0.5, DefaultKB: 1}}
+func defaultQueue() Queue {
+	return Queue{
+		Queue:           delivery.Queue{Name: "ops", Weight: 1, MinInFlight: 2, MaxInFlight: 100},
+		Settlement:      delivery.SettlementConfig{MaxAttempts: 3, RetryQueueDelay: 20 * time.Millisecond, DeadLetter: true},
+		DeadLetterQueue: "dead",
+		Identity:        "token:depot",
+		Mapping: Mapping{
+			Class:        Source{Name: "type"},
+			DefaultWait:  30 * time.Second,
+			MaxBodyBytes: 2048,
+			DefaultRank:  0.5,
+			DefaultKB:    1,
+		},
+	}
+}
 
 func testConfig(b *broker.Broker, queues ...Queue) Config {
 	if len(queues) == 0 {
-		queues = []Queue{defaultQueue}
+		queues = []Queue{defaultQueue()}
+	}
+	return Config{
+		BrokerURLs:        []string{b.URL()},
+		Queues:            queues,
+		MaxInFlight:       100,
+		RetryFraction:     1,
+		UnstartedRate:     10_000,
+		MaxRemembered:     1000,
+		RememberedFor:     time.Minute,
+		HeartbeatInterval: 10 * time.Second,
+		IdempotentClasses: map[admission.Class]bool{"view": true, "key": true},
 	}
-	return Config{BrokerURLs: []string{b.URL()}, Queues: queues, MaxInFlight: 100, RetryFraction: 1, UnstartedRate: 10_000, MaxRemembered: 1000, RememberedFor: time.Minute,
-		HeartbeatInterval: 10 * time.Second, IdempotentClasses: map[admission.Class]bool{"view": true, "key": true}}
 }
 
 func newBroker() *broker.Broker {
@@ -96,34 +173,73 @@
 	return b
 }
 
-func startTestbed(b *broker.Broker, c *fakeServer, t Config) *testbed {
-	s := &testbed{b, c, New(t, c, c.Post, 1)}
-	s.consumer.Start()
-	return s
+// newRetryBroker is newBroker with a retry queue that keeps messages for so many milliseconds, for ever if negative.
+func newRetryBroker(delayMilliseconds int64) *broker.Broker {
+	b := broker.New()
+	b.DeclareQueue("ops", client.Table{"x-dead-letter-exchange": "", "x-dead-letter-routing-key": "ops.retry"})
+	var retry client.Table
+	if delayMilliseconds >= 0 {
+		retry = client.Table{
+			"x-message-ttl":             delayMilliseconds,
+			"x-dead-letter-exchange":    "",
+			"x-dead-letter-routing-key": "ops",
+		}
+	}
+	b.DeclareQueue("ops.retry", retry)
+	b.DeclareQueue("replies", nil)
+	b.DeclareQueue("dead", nil)
+	return b
 }
 
-func (s *testbed) close() {
-	s.consumer.Drain(time.Second)
-	fake.WaitFor("the end of the front", s.consumer.Drained)
-	s.broker.Close()
-	s.server.Post(s.server.Quit)
+func startTestbed(b *broker.Broker, server *fakeServer, config Config) *testbed {
+	t := &testbed{broker: b, server: server, consumer: New(config, server, server.Post, 1)}
+	t.consumer.Start()
+	return t
 }
 
-func newMessage(id, kind string) client.Publishing {
-	return client.Publishing{MessageId: id, Type: kind, ReplyTo: "replies", CorrelationId: "c-" + id, Body: []byte(id)}
+func (t *testbed) close() {
+	t.consumer.Drain(time.Second)
+	fake.WaitFor("the end of the consumer", t.consumer.Drained)
+	t.broker.Close()
+	t.server.Post(t.server.Quit)
 }
 
-// settled waits until nothing is left in a queue.
-func (s *testbed) settled(name string) {
-	fake.WaitFor("the end of "+name, func() bool {
-		c := s.broker.Counts(name)
-		return c.Ready+c.Unsettled == 0
+func newMessage(id, class string) client.Publishing {
+	return client.Publishing{MessageId: id, Type: class, ReplyTo: "replies", CorrelationId: "c-" + id, Body: []byte(id)}
+}
+
+// lateMessage arrives after its deadline.
+func lateMessage() client.Publishing {
+	message := newMessage("late", "view")
+	message.Timestamp = time.Now().Add(-time.Hour)
+	message.Expiration = "1000"
+	return message
+}
+
+// badExpirationMessage has an expiration that is no number.
+func badExpirationMessage() client.Publishing {
+	message := newMessage("odd", "view")
+	message.Expiration = "soon"
+	return message
+}
+
+// waitSettled waits until nothing is left in the work queue.
+func (t *testbed) waitSettled() {
+	fake.WaitFor("the end of ops", func() bool {
+		counts := t.broker.Counts("ops")
+		return counts.Ready+counts.Unsettled == 0
 	})
 }
 
-// replies gives what was answered, sorted; an answer sent twice, with the same id and words, counts once.
-func (s *testbed) replies() (all []string) {
-	for _, p := range s.broker.DrainQueue("replies") {
+// waitReplies waits for so many replies.
+func (t *testbed) waitReplies(count int) {
+	fake.WaitFor("all replies", func() bool { return t.broker.Counts("replies").Ready == count })
+}
+
+// replies returns the replies, sorted; one that was published twice, with the same id and content, counts once.
+func (t *testbed) replies() []string {
+	var all []string
+	for _, p := range t.broker.DrainQueue("replies") {
 		all = append(all, strings.TrimSpace(fmt.Sprint(p.CorrelationId, " ", p.Type, " ", string(p.Body))))
 	}
 	slices.Sort(all)
