--- a/internal/amqp/delivery/flowcontroller.go
+++ b/internal/amqp/delivery/flowcontroller.go
@@ -67,7 +67,7 @@
 func NewFlowController(queues []Queue, maxInFlight int) *FlowController {
 	c := &FlowController{maxInFlight: max(1, maxInFlight)}
 	for _, config := range queues {
-		c.queues = append(c.queues, &queue{Queue: config, mode: QueueOpen})
+		c.queues = append(c.queues, &queue{Queue: config, mode: modeOpen})
 	}
 	c.window = float64(c.minInFlight())
 	return c
@@ -157,7 +157,7 @@
 	if q == nil {
 		return QueueState{}
 	}
-	return QueueState{Pause: c.pauseReason, Mode: q.mode}
+	return QueueState{pause: c.pauseReason, mode: q.mode}
 }
 
 // Update computes the limits anew; blocked says that the broker accepts no replies. A saturated instance leaves
--- a/internal/amqp/delivery/queue.go
+++ b/internal/amqp/delivery/queue.go
@@ -36,43 +36,43 @@
 	MaxInFlight int     // messages that may be in flight at most
 }
 
-// QueueMode is how a queue is treated for the outcomes of its messages.
-type QueueMode int
+// queueMode is how a queue is treated for the outcomes of its messages.
+type queueMode int
 
 // The queue modes. The zero value stands for a queue that is not configured.
 const (
-	UnknownQueue    QueueMode = iota
-	QueueOpen                 // limited by the window alone
-	QueueProbing              // its messages fail: one at a time, with growing pauses
-	QueueRecovering           // a probe succeeded: a few at a time, then more
+	modeUnknown    queueMode = iota
+	modeOpen                 // limited by the window alone
+	modeProbing              // its messages fail: one at a time, with growing pauses
+	modeRecovering           // a probe succeeded: a few at a time, then more
 )
 
 // String returns the mode as the status socket names it.
-func (m QueueMode) String() string {
+func (m queueMode) String() string {
 	switch m {
-	case QueueOpen:
+	case modeOpen:
 		return "open"
-	case QueueProbing:
+	case modeProbing:
 		return "probing"
-	case QueueRecovering:
+	case modeRecovering:
 		return "coming"
-	case UnknownQueue:
+	case modeUnknown:
 	}
 	return "unknown"
 }
 
 // QueueState is a queue's mode, and why it is paused, if it is.
 type QueueState struct {
-	Pause PauseReason
-	Mode  QueueMode
+	pause PauseReason
+	mode  queueMode
 }
 
 // String returns the pause reason, or the mode if there is none, as the status socket names them.
 func (s QueueState) String() string {
-	if s.Pause != NotPaused {
-		return s.Pause.String()
+	if s.pause != NotPaused {
+		return s.pause.String()
 	}
-	return s.Mode.String()
+	return s.mode.String()
 }
 
 // queue is the state of one queue. It belongs to its FlowController.
@@ -80,7 +80,7 @@
 	Queue
 	inFlight      int // received and not settled
 	limit         int // messages that may be in flight
-	mode          QueueMode
+	mode          queueMode
 	nextProbe     time.Duration // when a failing queue gets its next message
 	probeBackoff  time.Duration
 	recoveryLimit int                 // messages that a recovering queue may have in flight
@@ -93,36 +93,36 @@
 	q.failures[q.finished%len(q.failures)] = failed
 	q.finished++
 	switch q.mode {
-	case QueueOpen:
+	case modeOpen:
 		if q.isFailing() {
 			q.probeAfter(now, initialProbeBackoff)
 		}
-	case QueueProbing:
+	case modeProbing:
 		if failed {
 			q.probeAfter(now, min(2*q.probeBackoff, maxProbeBackoff))
 			return
 		}
-		q.mode = QueueRecovering
+		q.mode = modeRecovering
 		q.recoveryLimit = 1
 		q.finished = 0
-	case QueueRecovering:
+	case modeRecovering:
 		if failed {
 			q.probeAfter(now, min(2*q.probeBackoff, maxProbeBackoff))
 			return
 		}
 		q.recoveryLimit++
 		if q.recoveryLimit > max(q.MinInFlight, minOutcomes) {
-			q.mode = QueueOpen
+			q.mode = modeOpen
 			q.finished = 0
 			q.probeBackoff = 0
 		}
-	case UnknownQueue:
+	case modeUnknown:
 	}
 }
 
 // probeAfter closes the queue but for one message after the backoff.
 func (q *queue) probeAfter(now, backoff time.Duration) {
-	q.mode = QueueProbing
+	q.mode = modeProbing
 	q.probeBackoff = backoff
 	q.nextProbe = now + backoff
 }
@@ -142,14 +142,14 @@
 // into failures.
 func (q *queue) ceiling(now time.Duration) int {
 	switch q.mode {
-	case QueueProbing:
+	case modeProbing:
 		if now >= q.nextProbe {
 			return 1
 		}
 		return 0
-	case QueueRecovering:
+	case modeRecovering:
 		return min(q.MaxInFlight, q.recoveryLimit)
-	case UnknownQueue, QueueOpen:
+	case modeUnknown, modeOpen:
 	}
 	return q.MaxInFlight
 }
@@ -179,7 +179,7 @@
 	}
 	// A probe needs no place in the window: without it a failing queue would stay closed as long as others fill that.
 	for _, q := range c.queues {
-		if q.mode == QueueProbing && now >= q.nextProbe && q.inFlight == 0 {
+		if q.mode == modeProbing && now >= q.nextProbe && q.inFlight == 0 {
 			q.limit = 1
 		}
 	}
