--- a/cmd/lanewheel-fleet/main_test.go
+++ b/cmd/lanewheel-fleet/main_test.go
@@ -67,7 +67,7 @@
 	code := old.waitForExit()
 	log := old.log.String()
 	fenced := strings.Contains(log, `msg="fenced by a later process of the same name" member=b`)
-	fmt.Println(fenced, strings.Contains(log, "msg=leaving"), code)
+	fmt.Println(fenced, strings.Contains(log, "msg=draining"), code)
 	s := a.snapshot()
 	latest := s.Members[0].Incarnation == next.snapshot().Incarnation
 	fmt.Println(len(s.Members), s.Members[0].Name, s.Members[0].State, latest)
