--- a/internal/clients/connection.go
+++ b/internal/clients/connection.go
@@ -7,7 +7,8 @@
 
 	"lanewheel/internal/authn"
 	"lanewheel/internal/certs"
-	"lanewheel/internal/transport"
+	"lanewheel/internal/frontend"
+	"lanewheel/internal/rpc"
 )
 
 // maxPending is how many requests may be pending on a connection, by the protocol.
@@ -16,7 +17,7 @@
 // connection is a client's connection, with the requests that are pending on it. Owned by the event loop.
 type connection struct {
 	frontend      *Frontend
-	conn          *transport.ServerConn
+	conn          *rpc.ServerConn
 	credential    authn.Credential
 	pending       map[uint32]*responder // by message id
 	pendingChecks int                   // health checks that are not answered yet
@@ -31,7 +32,7 @@
 }
 
 // submit hands a request to the server.
-func (c *connection) submit(messageID uint32, request *transport.Request) {
+func (c *connection) submit(messageID uint32, request *frontend.Request) {
 	if c.closeReason != "" {
 		return
 	}
--- a/internal/clients/frontend.go
+++ b/internal/clients/frontend.go
@@ -18,6 +18,7 @@
 	"lanewheel/internal/authz"
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/frontend"
+	"lanewheel/internal/rpc"
 	"lanewheel/internal/transport"
 )
 
@@ -46,7 +47,7 @@
 	loop          *eventloop.Loop
 	net           *transport.Net
 	authenticator Authenticator // nil: every client may do everything
-	connections   map[*transport.ServerConn]*connection
+	connections   map[*rpc.ServerConn]*connection
 	idleTimeout   time.Duration // for unused connections; 0: none
 	draining      bool          // all clients are asked to go away
 	lastSweep     time.Duration
@@ -62,7 +63,7 @@
 		loop:          loop,
 		net:           net,
 		authenticator: authenticator,
-		connections:   map[*transport.ServerConn]*connection{},
+		connections:   map[*rpc.ServerConn]*connection{},
 		idleTimeout:   idleTimeout,
 	}
 }
@@ -72,9 +73,9 @@
 
 // Accept makes an accepted connection one of a client. It is called on the poller's goroutine.
 func (f *Frontend) Accept(accepted *transport.Conn) {
-	conn := accepted.ServerConn()
+	conn := rpc.NewServerConn(accepted)
 	c := &connection{frontend: f, conn: conn, pending: map[uint32]*responder{}}
-	conn.OnRequest = func(messageID uint32, request transport.Request) {
+	conn.OnRequest = func(messageID uint32, request frontend.Request) {
 		c.received = true
 		c.submit(messageID, &request)
 	}
--- /dev/null
+++ b/internal/database/conn.go
@@ -0,0 +1,59 @@
+// Package database calls the database, or another upstream service, by HTTP/1.1: a connection carries one call and is
+// closed with its reply.
+package database
+
+import (
+	"strconv"
+	"time"
+
+	"lanewheel/admission"
+	"lanewheel/internal/transport"
+)
+
+// The parts of a call's head, in their order.
+const (
+	requestLine          = "POST /v1/exec HTTP/1.1\r\n"
+	headerHost           = "Host: "
+	headerRequestID      = "\r\nRequest-Ref: "
+	headerTimeoutMillis  = "\r\nStatement-Timeout-Ms: "
+	headerContentLength  = "\r\nContent-Length: "
+	headerConnectionLast = "\r\nConnection: close\r\n\r\n"
+)
+
+// Conn is the connection of one call. The fields are its callbacks, called on the owner loop; the methods are for the
+// owner loop.
+type Conn struct {
+	*transport.Conn
+	OnReply func(Reply)
+	OnClose func(code string)
+}
+
+// Dial opens a connection; ready is called as by transport.Conn.Dial. The callbacks have to be set before the owner
+// loop goes on.
+func Dial(net *transport.Net, addr string, ready func(refused error)) *Conn {
+	conn := &Conn{Conn: net.NewDialed(transport.DialOptions{Peer: transport.PeerDatabase, ResetOnClose: true})}
+	conn.SetHandler(conn.handler())
+	conn.Conn.Dial(addr, ready)
+	return conn
+}
+
+func (c *Conn) handler() transport.Handler {
+	return transport.Handler{
+		Parse:   c.parseReply,
+		OnClose: func(code string) { c.OnClose(code) },
+	}
+}
+
+// Call sends the call. The timeout is sent as whole milliseconds, at least one.
+func (c *Conn) Call(host string, id admission.RequestID, timeout time.Duration, body []byte) {
+	b := append(c.OutputBuffer(), requestLine+headerHost...)
+	b = append(b, host...)
+	b = append(b, headerRequestID...)
+	b = append(b, id...)
+	b = append(b, headerTimeoutMillis...)
+	b = strconv.AppendInt(b, max(1, timeout.Milliseconds()), 10)
+	b = append(b, headerContentLength...)
+	b = strconv.AppendInt(b, int64(len(body)), 10)
+	b = append(b, headerConnectionLast...)
+	c.SetOutput(append(b, body...))
+}
--- a/internal/transport/golden_database_test.go
+++ b/internal/database/golden_test.go
@@ -1,4 +1,4 @@
-package transport
+package database
 
 import (
 	"reflect"
@@ -6,15 +6,18 @@
 	"time"
 
 	"lanewheel/internal/goldentest"
+	"lanewheel/internal/transport"
 )
 
 // What is asked of the database.
 func TestGoldenToDatabase(t *testing.T) {
 	file := goldentest.Open(t, "testdata/database_calls.golden")
 	for name, limit := range map[string]time.Duration{"call": 1500 * time.Millisecond, "call-late": time.Microsecond} {
-		d := &DatabaseConn{Conn: newTestConn()}
+		l := transport.NewDetached()
+		d := &Conn{Conn: l.Conn}
 		d.Call("127.0.0.1:5432", "0123456789abcdef", limit, []byte("statement"))
-		file.Check(name, d.output)
+		output, _ := l.Output()
+		file.Check(name, output)
 	}
 }
 
@@ -34,11 +37,13 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var got []Reply
-			d := &DatabaseConn{Conn: newTestConn()}
-			d.parse = d.parseReply
-			d.onUnreadable = func(code string) { t.Error(code) }
+			l := transport.NewDetached()
+			d := &Conn{Conn: l.Conn}
+			handler := d.handler()
+			handler.OnUnreadable = func(code string) { t.Error(code) }
+			d.SetHandler(handler)
 			d.OnReply = func(r Reply) { got = append(got, r) }
-			d.received(file.Bytes(tc.name))
+			l.Receive(file.Bytes(tc.name))
 			if !reflect.DeepEqual(got, []Reply{tc.want}) {
 				t.Errorf("read as %+v, want %+v", got, tc.want)
 			}
--- /dev/null
+++ b/internal/database/reply.go
@@ -0,0 +1,210 @@
+package database
+
+import (
+	"bytes"
+	"net/http"
+	"strconv"
+	"strings"
+
+	"lanewheel/internal/transport"
+)
+
+// errMalformed ends a connection on which something else came than one reply that can be read in one way.
+const errMalformed transport.ParseError = "bad-reply"
+
+const (
+	versionPrefix = "HTTP/1."
+	statusOffset  = len("HTTP/1.1 ")
+	lineEnd       = "\r\n"
+	headEnd       = "\r\n\r\n"
+)
+
+// The fields of a reply that are read, in lower case.
+const (
+	fieldContentLength    = "content-length"
+	fieldTransferEncoding = "transfer-encoding"
+	fieldNeverStarted     = "never-started" // 1: the call never ran
+	encodingChunked       = "chunked"
+)
+
+// Reply is what came back.
+type Reply struct {
+	Status       int
+	NeverStarted bool   // the status and fields prove that the call never ran
+	Body         []byte // valid only during the call of OnReply
+}
+
+// noLength is the length of a reply that does not tell one.
+const noLength = -1
+
+// replyHead is the status line and fields of a reply.
+type replyHead struct {
+	status       int
+	neverStarted bool
+	length       int // bytes; noLength: not told
+	chunked      bool
+}
+
+// parseReply reads the one reply, and interim ones before it. What could be read in more than one way, as its length is
+// told twice or against itself, or not at all, is malformed.
+func (c *Conn) parseReply(b []byte) (int, func(), error) {
+	if n := min(len(b), len(versionPrefix)); string(b[:n]) != versionPrefix[:n] { // noise, and no need to wait for its end
+		return 0, nil, errMalformed
+	}
+	end := bytes.Index(b, []byte(headEnd))
+	if end < 0 {
+		return 0, nil, nil
+	}
+	head, err := parseHead(string(b[:end]))
+	if err != nil {
+		return 0, nil, err
+	}
+	offset := end + len(headEnd)
+	if head.status < http.StatusOK { // an interim reply: the real one follows
+		return offset, nil, nil
+	}
+	if err := head.checkLength(transport.BufferSize - offset); err != nil {
+		return 0, nil, err
+	}
+	body, size, err := head.readBody(c.Net().Get(), b[offset:])
+	if err != nil || size < 0 {
+		c.Net().Put(body)
+		return 0, nil, err
+	}
+	c.IgnoreInput() // whatever comes behind it belongs to nothing
+	reply := Reply{Status: head.status, NeverStarted: head.neverStarted, Body: body}
+	call := func() {
+		c.OnReply(reply)
+		c.Net().Put(body)
+	}
+	return offset + size, call, nil
+}
+
+func parseHead(text string) (replyHead, error) {
+	lines := strings.Split(text, lineEnd)
+	status, err := parseStatus(lines[0])
+	if err != nil {
+		return replyHead{}, err
+	}
+	head := replyHead{status: status, length: noLength}
+	for _, line := range lines[1:] {
+		if err := head.parseField(line); err != nil {
+			return replyHead{}, err
+		}
+	}
+	return head, nil
+}
+
+// parseStatus reads the three digits of a status line.
+func parseStatus(line string) (int, error) {
+	code, _, _ := strings.Cut(line[min(len(line), statusOffset):], " ")
+	status, err := strconv.Atoi(code)
+	if err != nil || len(code) != 3 || status < 100 || line[statusOffset-1] != ' ' {
+		return 0, errMalformed
+	}
+	return status, nil
+}
+
+// parseField reads a line with a name and value; the status is known already.
+func (h *replyHead) parseField(line string) error {
+	name, value, found := strings.Cut(line, ":")
+	value = strings.Trim(value, " \t")
+	if !found || name == "" || strings.ContainsFunc(name, notInName) || strings.ContainsFunc(value, notInValue) {
+		return errMalformed
+	}
+	switch strings.ToLower(name) {
+	case fieldContentLength:
+		n, err := strconv.ParseUint(value, 10, 62)
+		if err != nil || h.length >= 0 && h.length != int(n) {
+			return errMalformed
+		}
+		h.length = int(n)
+	case fieldTransferEncoding:
+		if h.chunked || !strings.EqualFold(value, encodingChunked) {
+			return errMalformed
+		}
+		h.chunked = true
+	case fieldNeverStarted:
+		h.neverStarted = value == "1" && (h.status == http.StatusServiceUnavailable || h.status == http.StatusConflict)
+	}
+	return nil
+}
+
+func notInName(c rune) bool { return c <= ' ' || c >= 0x7f }
+
+func notInValue(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f }
+
+// checkLength tells whether there is one way to read the body, and room for it.
+func (h *replyHead) checkLength(room int) error {
+	switch {
+	case h.chunked && h.length >= 0, !h.chunked && h.length < 0 && h.status == http.StatusOK:
+		return errMalformed
+	case h.length > room:
+		return transport.ErrTooLong
+	}
+	return nil
+}
+
+// readBody appends the body to a buffer and gives how much of the input it takes; under 0: it is not complete.
+func (h *replyHead) readBody(buffer, input []byte) (body []byte, size int, err error) {
+	if h.chunked {
+		return readChunks(buffer, input)
+	}
+	size = max(h.length, 0)
+	if size > len(input) {
+		return buffer, incomplete, nil
+	}
+	return append(buffer, input[:size]...), size, nil
+}
+
+// incomplete is the size of a body that is not there to its end.
+const incomplete = -1
+
+// readChunks reads a chunked body, like readBody.
+func readChunks(body, input []byte) ([]byte, int, error) {
+	offset := 0
+	for {
+		line, next, found := cutLine(input, offset)
+		if !found {
+			return body, incomplete, nil
+		}
+		offset = next
+		digits, _, _ := strings.Cut(string(line), ";") // extensions follow
+		size, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 16)
+		if err != nil || int(size)+len(body) > transport.BufferSize {
+			return body, 0, errMalformed
+		}
+		if size == 0 {
+			return body, skipTrailer(input, offset), nil
+		}
+		end := offset + int(size)
+		if end+len(lineEnd) > len(input) {
+			return body, incomplete, nil
+		}
+		body = append(body, input[offset:end]...)
+		offset = end + len(lineEnd)
+	}
+}
+
+// skipTrailer passes over fields behind the last chunk and the empty line behind them.
+func skipTrailer(input []byte, offset int) int {
+	for {
+		line, next, found := cutLine(input, offset)
+		if !found {
+			return incomplete
+		}
+		offset = next
+		if len(line) == 0 {
+			return offset
+		}
+	}
+}
+
+// cutLine gives the line at an offset and the offset of the next one.
+func cutLine(input []byte, offset int) (line []byte, next int, found bool) {
+	end := bytes.Index(input[offset:], []byte(lineEnd))
+	if end < 0 {
+		return nil, offset, false
+	}
+	return input[offset : offset+end], offset + end + len(lineEnd), true
+}
--- a/internal/forward/connection.go
+++ b/internal/forward/connection.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"lanewheel/internal/balancer"
-	"lanewheel/internal/transport"
+	"lanewheel/internal/rpc"
 )
 
 const (
@@ -25,7 +25,7 @@
 type connection struct {
 	forwarder   *Forwarder
 	endpoint    *endpoint
-	client      *transport.ClientConn
+	client      *rpc.ClientConn
 	established bool
 	draining    bool // no request is given to it any more; it may still be connecting
 	lastID      uint32
@@ -69,7 +69,7 @@
 	}
 	endpoint.connections = append(endpoint.connections, c)
 	connectTimer := f.loop.ScheduleAt(f.loop.Now()+connectTimeout, c.failWaiting)
-	c.client = f.net.DialMember(endpoint.address, func(err error) {
+	c.client = rpc.Dial(f.net, endpoint.address, func(err error) {
 		connectTimer.Stop()
 		c.handleDialed(err)
 	})
@@ -117,7 +117,7 @@
 }
 
 // handleResponse takes a response. One to a request that was abandoned meanwhile is dropped.
-func (c *connection) handleResponse(id uint32, response transport.Response) {
+func (c *connection) handleResponse(id uint32, response rpc.Response) {
 	request := c.inFlight[id]
 	if request == nil {
 		return
@@ -125,11 +125,11 @@
 	delete(c.inFlight, id)
 	c.lastUsed = c.forwarder.loop.Now()
 	switch response.Error {
-	case "":
+	case rpc.CodeNone:
 		c.forwarder.finishAttempt(request, c.endpoint.name, response, attemptEnd{outcome: balancer.Succeeded})
-	case errorBusy:
+	case rpc.CodeBusy:
 		c.forwarder.finishAttempt(request, c.endpoint.name, response, attemptEnd{outcome: balancer.Rejected})
-	case errorDenied: // it says nothing of the endpoint
+	case rpc.CodeDenied: // it says nothing of the endpoint
 		c.forwarder.Balancer.RecordCancel(c.endpoint.name)
 		request.connection = nil
 		request.finish(Result{LastOutcome: balancer.Rejected, Response: response})
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -12,6 +12,7 @@
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/frontend"
 	"lanewheel/internal/membership"
+	"lanewheel/internal/rpc"
 	"lanewheel/internal/transport"
 )
 
@@ -137,7 +138,7 @@
 
 // finishAttempt is called when an attempt has ended: it finishes the request or has another endpoint tried.
 func (f *Forwarder) finishAttempt(
-	request *Request, name balancer.EndpointName, response transport.Response, end attemptEnd,
+	request *Request, name balancer.EndpointName, response rpc.Response, end attemptEnd,
 ) {
 	now := f.loop.Now()
 	f.Balancer.RecordOutcome(now, name, end.outcome, now-request.attemptStartedAt)
--- a/internal/forward/forwarder_test.go
+++ b/internal/forward/forwarder_test.go
@@ -9,12 +9,13 @@
 	"lanewheel/internal/fake"
 	"lanewheel/internal/forward/forwardtest"
 	"lanewheel/internal/frontend"
+	"lanewheel/internal/rpc"
 )
 
 // summary is what a test compares of a Result.
 type summary struct {
 	outcome                      balancer.Outcome
-	errorCode                    string
+	errorCode                    rpc.ErrorCode
 	notSent, noEndpoint, expired bool
 	mayHaveRun                   bool
 	disposition                  Disposition
--- a/internal/forward/result.go
+++ b/internal/forward/result.go
@@ -5,20 +5,13 @@
 
 	"lanewheel/internal/balancer"
 	"lanewheel/internal/frontend"
-	"lanewheel/internal/transport"
-)
-
-// Error codes of the request protocol.
-const (
-	errorBusy   = "Busy"   // rejected: it never ran
-	errorFailed = "Failed" // it may have run
-	errorDenied = "Denied" // its caller may not: it never ran, and another endpoint would say the same
+	"lanewheel/internal/rpc"
 )
 
 // Responses of our own, where no endpoint has given one.
 var (
-	busyResponse   = transport.Response{Error: errorBusy, Metadata: frontend.ResponseMetadata{LoadReport: -1}}
-	failedResponse = transport.Response{Error: errorFailed, Metadata: frontend.ResponseMetadata{LoadReport: -1}}
+	busyResponse   = rpc.Response{Error: rpc.CodeBusy, Metadata: frontend.ResponseMetadata{LoadReport: -1}}
+	failedResponse = rpc.Response{Error: rpc.CodeFailed, Metadata: frontend.ResponseMetadata{LoadReport: -1}}
 )
 
 // Result is what became of a request that was forwarded. Response.Result stays valid only during the call that it is
@@ -28,7 +21,7 @@
 	NotSent     bool             // nothing of the last attempt went out, and each before proved that the request never ran
 	NoEndpoint  bool             // there was no endpoint, or none left, to give it to
 	TimedOut    bool             // its deadline passed
-	transport.Response
+	rpc.Response
 }
 
 // MayHaveRun reports whether the request may have run.
@@ -62,7 +55,7 @@
 	switch {
 	case r.LastOutcome == balancer.Succeeded:
 		return Succeeded
-	case r.Error == errorDenied:
+	case r.Error == rpc.CodeDenied:
 		return Denied
 	case !r.MayHaveRun():
 		return Rejected
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -8,6 +8,7 @@
 
 	"lanewheel/admission"
 	"lanewheel/internal/clients"
+	"lanewheel/internal/discovery"
 	"lanewheel/internal/eventloop"
 	"lanewheel/internal/forward"
 	"lanewheel/internal/frontend"
@@ -44,7 +45,7 @@
 	classes     map[string]classConfig
 	inFlight    map[string]*proxiedRequest // by the client's id
 	frontends   []frontend.Frontend
-	registry    *transport.Registry // nil: there is none, or it was not reached yet
+	registry    *discovery.Registry // nil: there is none, or it was not reached yet
 	draining    bool
 	acceptUntil time.Duration // while draining: nothing is forwarded from then on
 	counters    counters
--- a/internal/proxy/registry.go
+++ b/internal/proxy/registry.go
@@ -4,7 +4,7 @@
 	"log/slog"
 	"time"
 
-	"lanewheel/internal/transport"
+	"lanewheel/internal/discovery"
 )
 
 // registryInterval is how often a proxy reports to the registry, as an instance does.
@@ -22,7 +22,7 @@
 }
 
 func (p *Proxy) connectRegistry() {
-	registry, err := transport.NewRegistry(p.platform.RegistryAddr, p.platform.Name)
+	registry, err := discovery.NewRegistry(p.platform.RegistryAddr, p.platform.Name)
 	if err != nil {
 		slog.Warn("registry unavailable", "addr", p.platform.RegistryAddr, "err", err)
 		return
--- /dev/null
+++ b/internal/rpc/client.go
@@ -0,0 +1,149 @@
+package rpc
+
+import (
+	"lanewheel/internal/frontend"
+	"lanewheel/internal/transport"
+)
+
+// ClientConn is a connection on which we are a client of an instance: requests go out, responses come in. The fields
+// are its callbacks, called on the owner loop, and the methods are for the owner loop.
+type ClientConn struct {
+	*transport.Conn
+	OnResponse func(messageID uint32, response Response)
+	OnGoAway   func() // the instance asks for no further requests
+	OnClose    func(code string)
+}
+
+// Response is the answer to a request. Result stays valid only during the call that it is given to.
+type Response struct {
+	Error    ErrorCode // CodeNone: it succeeded
+	Metadata frontend.ResponseMetadata
+	Result   []byte
+}
+
+// Dial opens a connection to an instance; ready is called as by transport.Conn.Dial. The callbacks have to be set
+// before the owner loop goes on.
+func Dial(net *transport.Net, addr string, ready func(refused error)) *ClientConn {
+	client := newClientConn(net.NewDialed(transport.DialOptions{Peer: transport.PeerInstance}))
+	client.SetHandler(client.handler())
+	client.Conn.Dial(addr, ready)
+	return client
+}
+
+func newClientConn(conn *transport.Conn) *ClientConn { return &ClientConn{Conn: conn} }
+
+func (c *ClientConn) handler() transport.Handler {
+	return transport.Handler{
+		Parse:   c.parseMessage,
+		OnClose: func(code string) { c.OnClose(code) },
+	}
+}
+
+// Send sends a request.
+func (c *ClientConn) Send(messageID uint32, request frontend.Request) {
+	b := append(c.OutputBuffer(), tagFixArray|requestParts, kindRequest)
+	b = appendString(appendMessageID(b, messageID), request.Class)
+	b = appendRequestFields(append(b, tagFixArray|2), &request)
+	c.SetOutput(appendBytes(b, request.Body))
+}
+
+// Cancel says that nobody waits for the response any more.
+func (c *ClientConn) Cancel(messageID uint32) {
+	b := appendNotificationHead(c.OutputBuffer(), methodCancel)
+	c.SetOutput(appendMessageID(append(b, tagFixArray|1), messageID))
+}
+
+// parseMessage reads one response or notification.
+func (c *ClientConn) parseMessage(b []byte) (int, func(), error) {
+	d := decoder{input: b}
+	parts := d.readArrayLength()
+	kind := d.readInteger()
+	var call func()
+	switch {
+	case d.failed():
+	case parts == responseParts && kind == kindResponse:
+		call = c.parseResponse(&d)
+	case parts == notificationParts && kind == kindNotification:
+		method := string(d.readString())
+		d.skip(0)
+		if method == methodGoAway {
+			call = func() { c.OnGoAway() }
+		}
+	default:
+		d.malformed = true
+	}
+	return d.finish(call)
+}
+
+func (c *ClientConn) parseResponse(d *decoder) func() {
+	messageID, isID := d.readMessageID()
+	response := Response{Metadata: frontend.ResponseMetadata{LoadReport: noLoadReport}}
+	var result []byte
+	switch {
+	case d.malformed || !isID:
+		d.malformed = true
+	case !d.readNil():
+		d.readError(&response)
+	default:
+		result = d.readResult(&response)
+	}
+	if d.failed() {
+		return nil
+	}
+	response.Result = append(c.Net().Get(), result...)
+	return func() {
+		c.OnResponse(messageID, response)
+		c.Net().Put(response.Result)
+	}
+}
+
+// readError reads [name, fields] and the nil that stands for the result.
+func (d *decoder) readError(response *Response) {
+	if d.readArrayLength() != 2 {
+		d.malformed = true
+		return
+	}
+	response.Error = ErrorCode(d.readString())
+	response.Metadata = d.readMetadata()
+	if response.Error == CodeNone || !d.truncated && !d.readNil() {
+		d.malformed = true
+	}
+}
+
+// readResult reads [result, fields]. The result of a health check is a bool, which is passed over.
+func (d *decoder) readResult(response *Response) (result []byte) {
+	if d.readArrayLength() != 2 {
+		d.malformed = true
+		return nil
+	}
+	if tag, found := d.peek(); found && (tag == tagFalse || tag == tagTrue) {
+		d.offset++
+	} else {
+		result = d.readBytes()
+	}
+	response.Metadata = d.readMetadata()
+	return result
+}
+
+// noLoadReport is the load report of a response that brings none.
+const noLoadReport = -1
+
+// readMetadata reads the fields beside a result or error. Unknown ones are skipped.
+func (d *decoder) readMetadata() frontend.ResponseMetadata {
+	metadata := frontend.ResponseMetadata{LoadReport: noLoadReport}
+	for i := d.readMapLength(); i > 0 && !d.failed(); i-- {
+		switch name := d.readString(); string(name) {
+		case fieldLoadReport:
+			metadata.LoadReport = max(0, d.readNumber())
+		case fieldRetryAfter:
+			metadata.RetryAfter = d.readMilliseconds()
+		case fieldNoFailover:
+			metadata.NoFailover = d.readNumber() == 1
+		case fieldReason:
+			metadata.Reason = string(d.readString())
+		default:
+			d.skip(0)
+		}
+	}
+	return metadata
+}
--- a/internal/transport/golden_rpc_test.go
+++ b/internal/rpc/golden_test.go
@@ -1,4 +1,4 @@
-package transport
+package rpc
 
 import (
 	"bytes"
@@ -7,7 +7,9 @@
 	"testing"
 	"time"
 
+	"lanewheel/internal/frontend"
 	"lanewheel/internal/goldentest"
+	"lanewheel/internal/transport"
 )
 
 // clientRead is what a client stub's connection is told.
@@ -21,7 +23,7 @@
 // serverRead is what a server's connection to a client stub is told.
 type serverRead struct {
 	messageID uint32
-	request   *Request
+	request   *frontend.Request
 	interrupt bool
 	check     bool
 	deep      bool
@@ -29,44 +31,46 @@
 }
 
 func readByServer(b []byte) (all []serverRead) {
-	l := newTestConn()
-	l.net.ReadTokens.Store(true)
-	l.net.ReadHops.Store(true)
-	s := l.ServerConn()
-	s.OnRequest = func(n uint32, a Request) { all = append(all, serverRead{messageID: n, request: &a}) }
+	l := transport.NewDetached()
+	l.Net().ReadTokens.Store(true)
+	l.Net().ReadHops.Store(true)
+	s := NewServerConn(l.Conn)
+	s.OnRequest = func(n uint32, a frontend.Request) { all = append(all, serverRead{messageID: n, request: &a}) }
 	s.OnCancel = func(n uint32) { all = append(all, serverRead{messageID: n, interrupt: true}) }
 	s.OnHealthCheck = func(n uint32, deep bool) { all = append(all, serverRead{messageID: n, check: true, deep: deep}) }
 	s.OnProtocolError = func(code string) { all = append(all, serverRead{fault: code}) }
-	s.received(b)
+	l.Receive(b)
 	return all
 }
 
 func readByClient(b []byte) (all []clientRead) {
-	c := &ClientConn{Conn: newTestConn()}
-	c.parse = c.parseMessage
-	c.onUnreadable = func(code string) { all = append(all, clientRead{closeReason: code}) }
+	l := transport.NewDetached()
+	c := newClientConn(l.Conn)
+	handler := c.handler()
+	handler.OnUnreadable = func(code string) { all = append(all, clientRead{closeReason: code}) }
+	c.SetHandler(handler)
 	c.OnResponse = func(n uint32, a Response) { all = append(all, clientRead{messageID: n, response: a}) }
 	c.OnGoAway = func() { all = append(all, clientRead{goAway: true}) }
-	c.received(b)
+	l.Receive(b)
 	return all
 }
 
-func goldenRequest() Request {
-	return Request{ID: "0123456789abcdef", Class: "view", Tenant: "acme", Resource: "k1", SentUnixMilli: 1764576000123, Caller: 4,
+func goldenRequest() frontend.Request {
+	return frontend.Request{ID: "0123456789abcdef", Class: "view", Tenant: "acme", Resource: "k1", SentUnixMilli: 1764576000123, Caller: 4,
 		Timeout: 480 * time.Millisecond, HasTimeout: true, WorkHint: 12500 * time.Microsecond, MemoryKB: 24.5, Rank: 0.625,
 		Token: "abc.def", Hops: 1, NewIDPerAttempt: true, Body: []byte{0xff, 0xc1}}
 }
 
 // goldenLongRequest has a text and a body past the short forms of their heads.
-func goldenLongRequest() Request {
+func goldenLongRequest() frontend.Request {
 	a := goldenRequest()
 	a.Token, a.Body = strings.Repeat("t", 40), bytes.Repeat([]byte("b"), 300)
 	return a
 }
 
 // goldenMinimalRequest has nothing that may be left out.
-func goldenMinimalRequest() Request {
-	return Request{ID: "0123456789abcdef", Class: "view", NewIDPerAttempt: true, Body: []byte{}}
+func goldenMinimalRequest() frontend.Request {
+	return frontend.Request{ID: "0123456789abcdef", Class: "view", NewIDPerAttempt: true, Body: []byte{}}
 }
 
 // What a client stub says: our own client writes the stored bytes, and the server reads them as what was meant.
@@ -74,9 +78,10 @@
 	file := goldentest.Open(t, "testdata/rpc_from_client.golden")
 	long, least, whole := goldenLongRequest(), goldenMinimalRequest(), goldenRequest()
 	written := func(write func(*ClientConn)) []byte {
-		c := &ClientConn{Conn: newTestConn()}
-		write(c)
-		return c.output
+		l := transport.NewDetached()
+		write(newClientConn(l.Conn))
+		output, _ := l.Output()
+		return output
 	}
 	for _, tc := range []struct {
 		name  string
@@ -104,8 +109,8 @@
 // What a server says to client stubs: it writes the stored bytes, and our own client reads them as what was meant.
 func TestGoldenToClients(t *testing.T) {
 	file := goldentest.Open(t, "testdata/rpc_to_client.golden")
-	with := ResponseMetadata{LoadReport: 0.25, RetryAfter: 1500 * time.Millisecond, NoFailover: true, Reason: "type"}
-	bare := ResponseMetadata{LoadReport: -1}
+	with := frontend.ResponseMetadata{LoadReport: 0.25, RetryAfter: 1500 * time.Millisecond, NoFailover: true, Reason: "type"}
+	bare := frontend.ResponseMetadata{LoadReport: -1}
 	none, short, long := []byte{}, []byte{0, 255}, bytes.Repeat([]byte("r"), 300)
 	for _, tc := range []struct {
 		name  string
@@ -129,9 +134,10 @@
 		{"goaway", func(s *ServerConn) { s.GoAway() }, clientRead{goAway: true}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l := newTestConn()
-			tc.write(l.ServerConn())
-			file.Check(tc.name, l.output)
+			l := transport.NewDetached()
+			tc.write(NewServerConn(l.Conn))
+			output, _ := l.Output()
+			file.Check(tc.name, output)
 			if got := readByClient(file.Bytes(tc.name)); !reflect.DeepEqual(got, []clientRead{tc.want}) {
 				t.Errorf("read as %+v, want %+v", got, tc.want)
 			}
--- /dev/null
+++ b/internal/runtimelink/command.go
@@ -0,0 +1,63 @@
+package runtimelink
+
+import (
+	"encoding/base64"
+	"strconv"
+	"unicode/utf8"
+
+	"lanewheel/admission"
+)
+
+// commandLine is what is to be written, with a command that is not complete at its end.
+type commandLine []byte
+
+func newCommandLine(output []byte, kind string) commandLine {
+	line := append(output, '{')
+	return commandLine(appendQuoted(appendName(line, fieldKind), kind))
+}
+
+func (l commandLine) sequence(n uint64) commandLine {
+	return strconv.AppendUint(l.name(fieldSequence), n, 10)
+}
+
+func (l commandLine) requestID(id admission.RequestID) commandLine {
+	return l.text(fieldRequestID, string(id))
+}
+
+func (l commandLine) text(name, value string) commandLine {
+	return appendQuoted(l.name(name), value)
+}
+
+func (l commandLine) body(body []byte) commandLine {
+	l = append(l.name(fieldBody), '"')
+	return append(base64.StdEncoding.AppendEncode(l, body), '"')
+}
+
+// end completes the command.
+func (l commandLine) end() []byte { return append(l, '}', '\n') }
+
+// name begins a further field.
+func (l commandLine) name(name string) commandLine { return appendName(append(l, ','), name) }
+
+func appendName(b []byte, name string) []byte {
+	b = append(append(b, '"'), name...)
+	return append(b, '"', ':')
+}
+
+// appendQuoted writes a string as JSON has it.
+func appendQuoted(b []byte, s string) []byte {
+	const hexDigits = "0123456789abcdef"
+	b = append(b, '"')
+	for _, c := range s {
+		switch {
+		case c == '"' || c == '\\':
+			b = append(b, '\\', byte(c))
+		case c < 0x20:
+			b = append(b, `\u00`...)
+			b = append(b, hexDigits[c>>4], hexDigits[c&15])
+		default:
+			b = utf8.AppendRune(b, c)
+		}
+	}
+	return append(b, '"')
+}
--- /dev/null
+++ b/internal/runtimelink/conn_test.go
@@ -0,0 +1,79 @@
+package runtimelink
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"lanewheel/internal/transport"
+	"lanewheel/internal/transport/transporttest"
+)
+
+// runtimeTrace is what the owner of a link is told of bytes that come in these reads.
+func runtimeTrace(pieces ...[]byte) string {
+	var out strings.Builder
+	l := transport.NewDetached()
+	r := &Conn{Conn: l.Conn}
+	handler := r.handler()
+	handler.OnUnreadable = func(code string) { fmt.Fprintln(&out, code) }
+	r.SetHandler(handler)
+	r.OnEvent = func(n Event) {
+		fmt.Fprintf(&out, "%s no %d rid %q status %q mark %q after %v bytes %q gauges %v\n",
+			n.Kind, n.Sequence, n.RequestID, n.Status, n.CorrelationID, n.Elapsed, n.Body, n.Gauges)
+	}
+	for _, b := range pieces {
+		l.Receive(b)
+	}
+	return out.String()
+}
+
+var runtimeLines = []byte(`{"t":"ready","status":"booting","time_ms":12.5}
+
+{"t":"end","no":3,"rid":"0123456789abcdef","status":"success","time_ms":41,"b64":"AP8="}
+` + "\r\n" + ` { "t" : "load", "v": [0.5, 3,1e-1,120], "mark":"a\"\u0041\ud83d\ude00\/", "new":{"x":[true,null,{}],"y":-1} }
+{"t":"info","no":4,"status":"","b64":""}
+`)
+
+// Every form that a line can take, what ends the link, and each command.
+func Example_lines() {
+	fmt.Print(runtimeTrace(runtimeLines))
+	for _, b := range []string{"{}x\n", "[1]\n", `{"t":"end","b64":"A*"}` + "\n", `{"t":"end","no":"x"}` + "\n", `{"t"` + "\n",
+		`{"a":` + strings.Repeat("[", 40) + "\n", `{"a":"\u00"}` + "\n", strings.Repeat(" ", transport.BufferSize+1)} {
+		fmt.Print(runtimeTrace([]byte(b)))
+	}
+	l := transport.NewDetached()
+	r := &Conn{Conn: l.Conn}
+	r.Sync(0)
+	r.Start("0123456789abcdef", `a"b`, []byte{0, 255})
+	r.Stop("0123456789abcdef")
+	r.SendCallReply("0123456789abcdef", nil)
+	r.SkipCall("0123456789abcdef", 9)
+	r.RequestGauges("g-1")
+	r.RequestSelfTest("t-2")
+	output, _ := l.Output()
+	fmt.Printf("%s", output)
+	// Output:
+	// ready no 0 rid "" status "booting" mark "" after 12.5ms bytes "" gauges []
+	// end no 3 rid "0123456789abcdef" status "success" mark "" after 41ms bytes "\x00\xff" gauges []
+	// load no 0 rid "" status "" mark "a\"A😀/" after 0s bytes "" gauges [0.5 3 0.1 120]
+	// info no 4 rid "" status "" mark "" after 0s bytes "" gauges []
+	// bad-line
+	// bad-line
+	// bad-line
+	// bad-line
+	// bad-line
+	// bad-line
+	// bad-line
+	// too-long
+	// {"t":"sync","no":0}
+	// {"t":"start","rid":"0123456789abcdef","route":"a\"b","b64":"AP8="}
+	// {"t":"stop","rid":"0123456789abcdef"}
+	// {"t":"give","rid":"0123456789abcdef","b64":""}
+	// {"t":"omit","rid":"0123456789abcdef","no":9}
+	// {"t":"gauges","mark":"g-1"}
+	// {"t":"selftest","mark":"t-2"}
+}
+
+func FuzzConn(f *testing.F) {
+	transporttest.FuzzSplits(f, runtimeTrace, runtimeLines, []byte("{\"t\":\"x\\\"\n"))
+}
--- a/internal/transport/golden_runtime_test.go
+++ b/internal/runtimelink/golden_test.go
@@ -1,4 +1,4 @@
-package transport
+package runtimelink
 
 import (
 	"reflect"
@@ -6,6 +6,7 @@
 	"time"
 
 	"lanewheel/internal/goldentest"
+	"lanewheel/internal/transport"
 )
 
 // What is said to the runtime.
@@ -14,20 +15,21 @@
 	const id = "0123456789abcdef"
 	for _, tc := range []struct {
 		name  string
-		write func(*RuntimeConn)
+		write func(*Conn)
 	}{
-		{"sync", func(r *RuntimeConn) { r.Sync(1<<64 - 1) }},
-		{"start", func(r *RuntimeConn) { r.Start(id, "a\"b\\\x01\u00e9", []byte{0, 255}) }},
-		{"stop", func(r *RuntimeConn) { r.Stop(id) }},
-		{"give", func(r *RuntimeConn) { r.SendCallReply(id, []byte("rows")) }},
-		{"omit", func(r *RuntimeConn) { r.SkipCall(id, 9) }},
-		{"gauges", func(r *RuntimeConn) { r.RequestGauges("look-1") }},
-		{"selftest", func(r *RuntimeConn) { r.RequestSelfTest("test-2") }},
+		{"sync", func(r *Conn) { r.Sync(1<<64 - 1) }},
+		{"start", func(r *Conn) { r.Start(id, "a\"b\\\x01\u00e9", []byte{0, 255}) }},
+		{"stop", func(r *Conn) { r.Stop(id) }},
+		{"give", func(r *Conn) { r.SendCallReply(id, []byte("rows")) }},
+		{"omit", func(r *Conn) { r.SkipCall(id, 9) }},
+		{"gauges", func(r *Conn) { r.RequestGauges("look-1") }},
+		{"selftest", func(r *Conn) { r.RequestSelfTest("test-2") }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r := &RuntimeConn{Conn: newTestConn()}
-			tc.write(r)
-			file.Check(tc.name, r.output)
+			l := transport.NewDetached()
+			tc.write(&Conn{Conn: l.Conn})
+			output, _ := l.Output()
+			file.Check(tc.name, output)
 		})
 	}
 }
@@ -60,11 +62,13 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var got []Event
-			r := &RuntimeConn{Conn: newTestConn()}
-			r.parse = r.parseLine
-			r.onUnreadable = func(code string) { t.Error(code) }
+			l := transport.NewDetached()
+			r := &Conn{Conn: l.Conn}
+			handler := r.handler()
+			handler.OnUnreadable = func(code string) { t.Error(code) }
+			r.SetHandler(handler)
 			r.OnEvent = func(n Event) { got = append(got, n) }
-			r.received(file.Bytes(tc.name))
+			l.Receive(file.Bytes(tc.name))
 			if !reflect.DeepEqual(got, []Event{tc.want}) {
 				t.Errorf("read as %+v, want %+v", got, tc.want)
 			}
--- a/internal/server/databasecalls.go
+++ b/internal/server/databasecalls.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"lanewheel/admission"
+	"lanewheel/internal/database"
 	"lanewheel/internal/eventloop"
-	"lanewheel/internal/transport"
 )
 
 // databaseCalls is the upstream calls of runs, to the database or to one of several services. Each call has a
@@ -30,7 +30,7 @@
 	timer     *eventloop.Timer // at the deadline
 	done      func(admission.Outcome, time.Duration)
 
-	conn *transport.DatabaseConn // nil while it waits
+	conn *database.Conn // nil while it waits
 	sent bool
 
 	slot        UpstreamSlot // nil where there is one database, and while it has none
@@ -77,8 +77,8 @@
 	if call.slot != nil {
 		addr = call.slot.Addr()
 	}
-	var conn *transport.DatabaseConn
-	conn = d.server.net.DialDatabase(addr, func(refused error) {
+	var conn *database.Conn
+	conn = database.Dial(d.server.net, addr, func(refused error) {
 		if refused != nil {
 			d.handleRefused(call, addr)
 			return
@@ -89,7 +89,7 @@
 		}
 	})
 	call.conn = conn
-	conn.OnReply = func(reply transport.Reply) { d.handleReply(call, reply) }
+	conn.OnReply = func(reply database.Reply) { d.handleReply(call, reply) }
 	conn.OnClose = func(string) {
 		d.open--
 		call.releaseSlot(admission.ConnectionLost, call.sent)
@@ -148,7 +148,7 @@
 }
 
 // replyOutcome is what a reply proves, and no more.
-func replyOutcome(reply *transport.Reply) admission.Outcome {
+func replyOutcome(reply *database.Reply) admission.Outcome {
 	switch {
 	case reply.Status == http.StatusOK:
 		return admission.Succeeded
@@ -161,7 +161,7 @@
 }
 
 // handleReply gives the reply to the run if the call succeeded, and tells its outcome.
-func (d *databaseCalls) handleReply(call *databaseCall, reply transport.Reply) {
+func (d *databaseCalls) handleReply(call *databaseCall, reply database.Reply) {
 	if !call.underWay() {
 		return
 	}
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"lanewheel/internal/frontend"
-	"lanewheel/internal/transport"
+	"lanewheel/internal/runtimelink"
 )
 
 // The runtime comes up after the notice to drain, in the same batch: what is requested then is rejected, and never
@@ -19,7 +19,7 @@
 	onLoop(server, func() bool { return server.runtime.conn != nil })
 	server.Post(func() {
 		server.Drain()
-		server.handleEvent(transport.Event{Kind: eventReady, Status: "steady"})
+		server.handleEvent(runtimelink.Event{Kind: runtimelink.EventReady, Status: "steady"})
 		request := frontend.Request{
 			ID: "0123456789abcdef", Class: "view", SentUnixMilli: time.Now().UnixMilli(), MemoryKB: 1,
 		}
--- a/internal/server/gauges_test.go
+++ b/internal/server/gauges_test.go
@@ -5,13 +5,13 @@
 	"time"
 
 	"lanewheel/admission"
-	"lanewheel/internal/transport"
+	"lanewheel/internal/runtimelink"
 )
 
 // Without a link the last known gauges count for a while, and then nothing is known.
 func Example_staleGauges() {
 	server := newServer(Config{})
-	server.handleGauges(&transport.Event{CorrelationID: "look"})
+	server.handleGauges(&runtimelink.Event{CorrelationID: "look"})
 	server.gauges.values[admission.GaugeRunnable] = 3
 	for _, at := range []time.Duration{0, 200 * time.Millisecond, 400 * time.Millisecond} {
 		server.SetNow(at)
--- a/internal/server/outcomes_test.go
+++ b/internal/server/outcomes_test.go
@@ -4,11 +4,12 @@
 	"testing"
 
 	"lanewheel/admission"
-	"lanewheel/internal/transport"
+	"lanewheel/internal/database"
+	"lanewheel/internal/runtimelink"
 )
 
 func TestRunOutcome(t *testing.T) {
-	for status, want := range map[string]admission.Outcome{
+	for status, want := range map[runtimelink.Status]admission.Outcome{
 		"success": admission.Succeeded, "failure": admission.Failed, "interrupted": admission.Stopped,
 		"nothing": admission.NotStarted, "": admission.Failed, "other": admission.Failed,
 	} {
@@ -19,7 +20,7 @@
 }
 
 func TestReplyOutcome(t *testing.T) {
-	for reply, want := range map[*transport.Reply]admission.Outcome{
+	for reply, want := range map[*database.Reply]admission.Outcome{
 		{Status: 200}:                     admission.Succeeded,
 		{Status: 503, NeverStarted: true}: admission.Rejected,
 		{Status: 504, NeverStarted: true}: admission.Rejected,
--- a/internal/server/registry.go
+++ b/internal/server/registry.go
@@ -4,7 +4,7 @@
 	"log/slog"
 	"time"
 
-	"lanewheel/internal/transport"
+	"lanewheel/internal/discovery"
 )
 
 // reportInterval is how often the instance reports to the registry, which forgets an instance after some seconds of
@@ -13,14 +13,14 @@
 
 // registryReporter reports to the registry. Owned by the event loop.
 type registryReporter struct {
-	registry *transport.Registry // nil until the first report, and after its address has changed
+	registry *discovery.Registry // nil until the first report, and after its address has changed
 }
 
 // report sends one report to the registry at an address. An address that can't be used is tried again by the next
 // report.
 func (r *registryReporter) report(addr, name string, available bool) {
 	if r.registry == nil {
-		registry, err := transport.NewRegistry(addr, name)
+		registry, err := discovery.NewRegistry(addr, name)
 		if err != nil {
 			slog.Warn("registry unavailable", "addr", addr, "err", err)
 			return
--- a/internal/server/run.go
+++ b/internal/server/run.go
@@ -8,7 +8,7 @@
 
 	"lanewheel/admission"
 	"lanewheel/internal/frontend"
-	"lanewheel/internal/transport"
+	"lanewheel/internal/runtimelink"
 )
 
 // run is the run of a request, from its start until its end is read. It keeps what is to be sent anew on a new link to
@@ -38,27 +38,16 @@
 	*p = callPoint{sequence: sequence, body: append(p.body[:0], body...)}
 }
 
-// Values of Event.Status of an end event.
-const (
-	statusSuccess     = "success"
-	statusFailure     = "failure"
-	statusInterrupted = "interrupted"
-	statusNothing     = "nothing"
-)
-
-// commandStart is the Event.Status of a refused start command.
-const commandStart = "start"
-
 // runOutcome translates the status of an end event. One that is not known counts as a failure.
-func runOutcome(status string) admission.Outcome {
+func runOutcome(status runtimelink.Status) admission.Outcome {
 	switch status {
-	case statusSuccess:
+	case runtimelink.StatusSuccess:
 		return admission.Succeeded
-	case statusFailure:
+	case runtimelink.StatusFailure:
 		return admission.Failed
-	case statusInterrupted:
+	case runtimelink.StatusInterrupted:
 		return admission.Stopped
-	case statusNothing:
+	case runtimelink.StatusNotStarted:
 		return admission.NotStarted
 	}
 	slog.Warn("unknown run status", "status", status)
@@ -66,7 +55,7 @@
 }
 
 // handleCallPoint hears that a run waits at an upstream call.
-func (s *Server) handleCallPoint(event *transport.Event) {
+func (s *Server) handleCallPoint(event *runtimelink.Event) {
 	active := s.requests.getRunning(admission.RequestID(event.RequestID))
 	if active == nil {
 		return
@@ -81,7 +70,7 @@
 }
 
 // handleEnd hears of the end of a run.
-func (s *Server) handleEnd(event *transport.Event) {
+func (s *Server) handleEnd(event *runtimelink.Event) {
 	if active := s.requests.getRunning(admission.RequestID(event.RequestID)); active != nil {
 		s.endRun(active, runOutcome(event.Status), event.Elapsed, event.Body)
 	}
@@ -112,9 +101,9 @@
 
 // handleRefused hears that the runtime did not carry out a command. A refused start ends its request: its class or body
 // is none that the runtime knows. The controller must not take that for a run that failed.
-func (s *Server) handleRefused(event *transport.Event) {
+func (s *Server) handleRefused(event *runtimelink.Event) {
 	active := s.requests.getRunning(admission.RequestID(event.RequestID))
-	if active == nil || active.run.confirmed || event.Status != commandStart {
+	if active == nil || active.run.confirmed || event.Status != runtimelink.StatusStart {
 		slog.Warn("runtime refused command", "command", event.Status, "request", event.RequestID)
 		return
 	}
--- a/internal/server/runtimelink.go
+++ b/internal/server/runtimelink.go
@@ -5,18 +5,7 @@
 	"strconv"
 	"time"
 
-	"lanewheel/internal/transport"
-)
-
-// Kinds of the runtime's events, as transport.Event names them.
-const (
-	eventReady       = "ready"
-	eventGauges      = "load"
-	eventSelfTest    = "verdict"
-	eventEnd         = "end"
-	eventCallPoint   = "wants"
-	eventRefused     = "nack"
-	eventInformation = "info"
+	"lanewheel/internal/runtimelink"
 )
 
 // Prefixes of correlation IDs, which the runtime echoes.
@@ -26,9 +15,6 @@
 	correlateGauges   = "look"
 )
 
-// statusBooting is the status of a ready event of a runtime that has just started.
-const statusBooting = "booting"
-
 // Backoff between attempts to connect to the runtime.
 const (
 	minBackoff = 10 * time.Millisecond
@@ -41,12 +27,12 @@
 // runtimeLink is the link to the runtime, which outlasts its connections. Owned by the event loop.
 type runtimeLink struct {
 	server       *Server
-	conn         *transport.RuntimeConn // in use; nil while there is none
-	attempt      uint64                 // number of the last attempt to connect
-	dialing      *transport.RuntimeConn // by that attempt
-	backoff      time.Duration          // before the next attempt
-	lastSequence uint64                 // number of the last event read
-	correlations uint64                 // number of the last correlation ID
+	conn         *runtimelink.Conn // in use; nil while there is none
+	attempt      uint64            // number of the last attempt to connect
+	dialing      *runtimelink.Conn // by that attempt
+	backoff      time.Duration     // before the next attempt
+	lastSequence uint64            // number of the last event read
+	correlations uint64            // number of the last correlation ID
 
 	// synced is set once all events that the runtime sent while there was no link have been read. Commands are sent only
 	// then. fenceID correlates the gauges that were requested behind those events.
@@ -67,8 +53,8 @@
 	if l.dialing != nil { // its address may never answer
 		l.dialing.CancelDial()
 	}
-	var conn *transport.RuntimeConn
-	conn = l.server.net.DialRuntime(l.server.config.RuntimeAddr, func(refused error) {
+	var conn *runtimelink.Conn
+	conn = runtimelink.Dial(l.server.net, l.server.config.RuntimeAddr, func(refused error) {
 		if refused != nil {
 			l.retry(attempt)
 			return
@@ -76,7 +62,7 @@
 		l.connected(conn, attempt)
 	})
 	l.dialing = conn
-	conn.OnEvent = func(event transport.Event) {
+	conn.OnEvent = func(event runtimelink.Event) {
 		if l.conn == conn { // what an old connection still brings comes again on the new one
 			l.server.handleEvent(event)
 		}
@@ -91,7 +77,7 @@
 }
 
 // connected takes a connection that stands into use, unless a later attempt has overtaken it.
-func (l *runtimeLink) connected(conn *transport.RuntimeConn, attempt uint64) {
+func (l *runtimeLink) connected(conn *runtimelink.Conn, attempt uint64) {
 	if l.attempt != attempt {
 		conn.Close(closeAddressChanged)
 		return
@@ -118,7 +104,7 @@
 }
 
 // seen records an event's number. It tells whether the event was read before, on an earlier connection.
-func (l *runtimeLink) seen(event *transport.Event) bool {
+func (l *runtimeLink) seen(event *runtimelink.Event) bool {
 	if event.Sequence == 0 { // it is not numbered
 		return false
 	}
@@ -130,35 +116,35 @@
 }
 
 // handleEvent takes one event of the runtime.
-func (s *Server) handleEvent(event transport.Event) {
+func (s *Server) handleEvent(event runtimelink.Event) {
 	if s.runtime.seen(&event) {
 		return
 	}
 	switch event.Kind {
-	case eventReady:
+	case runtimelink.EventReady:
 		s.handleReady(&event)
-	case eventGauges:
+	case runtimelink.EventGauges:
 		s.handleGauges(&event)
-	case eventSelfTest:
-		s.selfTests.finish(event.CorrelationID, event.Status == statusSuccess)
-	case eventEnd:
+	case runtimelink.EventSelfTest:
+		s.selfTests.finish(event.CorrelationID, event.Status == runtimelink.StatusSuccess)
+	case runtimelink.EventEnd:
 		s.handleEnd(&event)
-	case eventCallPoint:
+	case runtimelink.EventCallPoint:
 		s.handleCallPoint(&event)
-	case eventRefused:
+	case runtimelink.EventRefused:
 		s.handleRefused(&event)
-	case eventInformation:
+	case runtimelink.EventInfo:
 	default:
 		slog.Warn("unknown runtime event", "kind", event.Kind)
 	}
 }
 
 // handleReady makes the controller when the runtime comes up, and sets a fence behind the events that are replayed.
-func (s *Server) handleReady(event *transport.Event) {
+func (s *Server) handleReady(event *runtimelink.Event) {
 	slog.Info("runtime ready", "state", event.Status, "uptime", event.Elapsed)
 	// A controller that is made after the notice to drain would know nothing of it, and admit what is cut off soon.
 	if s.controller == nil && !s.draining {
-		s.controller = s.newController(event.Elapsed, event.Status == statusBooting)
+		s.controller = s.newController(event.Elapsed, event.Status == runtimelink.StatusBooting)
 		s.decisionPending = true
 	}
 	s.runtime.backoff = 0
@@ -168,7 +154,7 @@
 
 // handleGauges takes the gauges. If they are those of the fence, all replayed events have been read, and what has not
 // ended by them is sent again; any earlier, a run that has ended meanwhile would be started anew.
-func (s *Server) handleGauges(event *transport.Event) {
+func (s *Server) handleGauges(event *runtimelink.Event) {
 	s.gauges.update(event.Gauges)
 	if event.CorrelationID == s.runtime.fenceID {
 		s.runtime.fenceID = ""
--- a/internal/transport/close.go
+++ b/internal/transport/close.go
@@ -9,94 +9,110 @@
 	"time"
 )
 
-// SetCloseReason notes why a connection is going to end, whoever ends it then.
-func (l *Conn) SetCloseReason(code string) {
-	if l.closeReason == "" {
-		l.closeReason = code
+// The codes of closes that no caller of Close gave.
+const (
+	codePeerClosed      = "peer-closed"
+	codePeerReset       = "peer-reset"
+	codeUnreadLimit     = "never-reads"
+	codeSystemError     = "errno-" // before the text of the error
+	codeHandshakeFailed = "handshake-failed"
+	codeMalformedRecord = "bad-record"
+)
+
+// SetCloseReason notes the code of a connection that is going to be closed, whoever closes it. The first one counts.
+func (c *Conn) SetCloseReason(code string) {
+	if c.closeReason == "" {
+		c.closeReason = code
 	}
 }
 
-// Close ends the connection once all that was gathered for it is written. One that was accepted is ended by a half-close: it is over when
-// the peer has ended its side too, or with Cut, which whoever closes has to see to.
-func (l *Conn) Close(code string) {
-	l.SetCloseReason(code)
-	if l.polled == nil {
-		l.CancelDial()
-	}
-	if l.closed || l.polled == nil || l.closing.Load() {
+// Close ends the connection once all that was gathered for it is written. One that was accepted is ended by a
+// half-close: it is closed when the peer has ended its side too, or by Abort, which the caller has to see to.
+func (c *Conn) Close(code string) {
+	c.SetCloseReason(code)
+	if c.polled == nil {
+		c.CancelDial()
+	}
+	if c.closed || c.polled == nil || c.closing.Load() {
 		return
 	}
-	l.flush()
-	if l.tls != nil && l.tls.established.Load() {
-		_ = l.tls.conn.CloseWrite() // so that the peer can tell our end from one that somebody else made
+	c.flush()
+	if c.tls != nil && c.tls.established.Load() {
+		_ = c.tls.conn.CloseWrite() // so that the peer can tell our end from one that somebody else made
 	}
-	l.closing.Store(true)
-	if l.unwritten.Load() <= 0 && len(l.outputBeforePoll) == 0 {
-		l.finishClose()
+	c.closing.Store(true)
+	if c.unwritten.Load() <= 0 && len(c.outputBeforePoll) == 0 {
+		c.finishClose()
 	}
 }
 
-// finishClose ends what is closing and has nothing left to write; it may come twice. Danger: a close over bytes that nobody has read resets
-// the connection, and the peer loses the answers that it has not read yet. Our side ends first, what still comes is read and
-// thrown away, and the poller closes at the peer's end.
-func (l *Conn) finishClose() {
-	if l.halfCloses {
-		l.shutdown(syscall.SHUT_WR, nil)
+// finishClose ends what is closing and has nothing left to write; it may be called twice. A close over bytes that
+// nobody has read resets the connection, and the peer loses the responses that it has not read yet: so our side ends
+// first, what still comes is read and dropped, and the poller closes at the peer's end.
+func (c *Conn) finishClose() {
+	if c.halfCloses {
+		c.shutdown(syscall.SHUT_WR, nil)
 	} else {
-		l.Abort()
+		c.Abort()
 	}
 }
 
 // Abort ends the connection at once, whatever is not written yet.
-func (l *Conn) Abort() {
-	if !l.closed {
-		l.closing.Store(true) // nothing that still comes is taken in
-		l.shutdown(syscall.SHUT_RDWR, nil)
+func (c *Conn) Abort() {
+	if !c.closed {
+		c.closing.Store(true) // nothing that still comes is parsed
+		c.shutdown(syscall.SHUT_RDWR, nil)
 	}
 }
 
-// CancelDial has a dial that goes on end as refused. One that stands already stays.
-func (l *Conn) CancelDial() {
-	if l.cancelDial != nil {
-		l.cancelDial()
+// CancelDial has a dial that is under way end as refused. A connection that stands already stays.
+func (c *Conn) CancelDial() {
+	if c.cancelDial != nil {
+		c.cancelDial()
 	}
 }
 
-// handleClosed leaves the one line of the connection's end, with a code for the reason.
-func (l *Conn) handleClosed(err error) {
-	if l.closed {
+// handleClosed gives back what the connection holds, logs the close and tells the handler.
+func (c *Conn) handleClosed(err error) {
+	if c.closed {
 		return
 	}
-	l.closed = true
-	if !l.halfCloses { // we dialled it
-		l.net.dialedConns.Add(-1)
+	c.closed = true
+	if !c.halfCloses { // we dialled it
+		c.net.dialedConns.Add(-1)
+	}
+	c.net.unreadBytes.Add(-c.unwritten.Load() - int64(len(c.outputBeforePoll)))
+	c.outputBeforePoll = nil
+	code := c.closeCode(err)
+	if now := time.Now(); c.net.closeTally.Allow(closeKind{c.peer, code}, now) {
+		slog.Info("connection closed", "peer", c.peer.String(), "code", code, "duration", now.Sub(c.openedAt))
+	}
+	if c.output != nil {
+		c.net.Put(c.output)
+		c.output = nil
+	}
+	if c.handler.OnClose != nil {
+		c.handler.OnClose(code)
 	}
-	l.net.unreadBytes.Add(-l.unwritten.Load() - int64(len(l.outputBeforePoll)))
-	l.outputBeforePoll = nil
-	if reason := l.closeError.Load(); reason != nil {
+}
+
+// closeCode is the code of a close that the poller tells with err.
+func (c *Conn) closeCode(err error) string {
+	if c.closeReason != "" {
+		return c.closeReason
+	}
+	if reason := c.closeError.Load(); reason != nil {
 		err = *reason
 	}
-	code := l.closeReason
 	var errno syscall.Errno
 	switch {
-	case code != "":
 	case err == nil, errors.Is(err, io.EOF), errors.Is(err, net.ErrClosed):
-		code = "peer-closed"
+		return codePeerClosed
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
-		code = "peer-reset"
+		return codePeerReset
 	case errors.As(err, &errno):
-		code = "errno-" + errno.Error()
-	default:
-		code = "never-reads"
-	}
-	if now := time.Now(); l.net.closeTally.Allow(closeKind{l.peer, code}, now) {
-		slog.Info("end", "party", l.peer, "code", code, "open_ms", now.Sub(l.openedAt).Milliseconds())
-	}
-	if l.output != nil {
-		l.net.Put(l.output)
-		l.output = nil
-	}
-	if l.onClose != nil {
-		l.onClose(code)
+		return codeSystemError + errno.Error()
+	default: // errUnreadLimit, or the poller's own bound of the same size
+		return codeUnreadLimit
 	}
 }
--- /dev/null
+++ b/internal/transport/close_test.go
@@ -0,0 +1,91 @@
+package transport_test
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"lanewheel/internal/frontend"
+)
+
+// A connection is closed while more lies unread on it: the peer still gets its response and an end in good order, not a
+// reset. One that does not end its side then is aborted.
+func Example_closeOverUnread() {
+	x := newTestNet()
+	c, s := x.connect()
+	other, _ := x.connect()
+	free := x.holdNextRead()
+	other.Write(healthCheckMessage)
+	<-x.held
+	c.Write(healthCheckMessage)
+	waitReady(s.Descriptor(), unix.POLLIN)
+	x.onOwner(func() {
+		s.AnswerHealthCheck(1, true, frontend.ResponseMetadata{LoadReport: -1})
+		s.Close("unused")
+	})
+	close(free)
+	for range 2 { // what lies unread is read and thrown away, and so is what comes behind the close
+		for left := 1; left > 0; time.Sleep(time.Millisecond) {
+			left = 0
+			if fd, open := s.LockDescriptor(); open {
+				left, _ = unix.IoctlGetInt(fd, unix.TIOCINQ)
+				s.UnlockDescriptor()
+			}
+		}
+		c.Write(healthCheckMessage)
+	}
+	raw, _ := c.(*net.TCPConn).SyscallConn()
+	_ = raw.Control(func(fd uintptr) {
+		wrong, _ := unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_ERROR)
+		fmt.Println("wrong:", wrong)
+	})
+	fmt.Println(readAnswer(c), readAnswer(c))
+	x.onOwner(s.Abort)
+	fmt.Println(<-x.closed)
+	// Output:
+	// wrong: 0
+	// 9401ce00000001c092c380 0 bytes, EOF
+	// unused
+}
+
+// A peer that reads nothing has its responses wait here, in order, up to the bound, and its connection is closed
+// then; one that reads in time gets them all, and the close behind them, whoever comes last to the last byte.
+func Example_lastByte() {
+	x := newTestNet()
+	for range 20 {
+		c, s := x.connect()
+		// The library opens a connection before it has the poller watch it, and what is left to write in between is never
+		// written: clients are written to only once something has come from them.
+		c.Write(healthCheckMessage)
+		readAnswer(c)
+		x.onOwner(func() {
+			_ = unix.SetsockoptInt(s.Descriptor(), unix.SOL_SOCKET, unix.SO_SNDBUF, 8<<10)
+			for i := range 30 {
+				s.Succeed(uint32(i), make([]byte, 4096), frontend.ResponseMetadata{LoadReport: -1})
+			}
+			s.Close("unused")
+		})
+		all, err := io.ReadAll(c)
+		if err != nil || len(all) != 30*(4096+13) {
+			fmt.Println(len(all), err)
+		}
+		c.Close()
+		if code := <-x.closed; code != "unused" {
+			fmt.Println(code)
+		}
+	}
+	c, s := x.connect()
+	defer c.Close()
+	x.onOwner(func() {
+		for i := range 4000 {
+			s.Succeed(uint32(i), make([]byte, 4096), frontend.ResponseMetadata{LoadReport: -1})
+			s.FlushNow()
+		}
+	})
+	fmt.Println(<-x.closed, x.UnreadBytes())
+	// Output:
+	// never-reads 0
+}
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -8,88 +8,117 @@
 	"github.com/lesismal/nbio"
 )
 
-// dial opens a connection; ready is called with nil once it stands. A refused one proves that nothing was sent.
-// Danger: the library's own DialAsync (v1.6.8) takes the first four bytes of an address that has sixteen, and
-// so connects to 0.0.0.0. Each party has a few goroutines that dial instead, so that one that hangs holds up no other.
-func (n *Net) dial(conn *Conn, addr string, ready func(refused error)) {
-	queue := n.dialQueues[conn.peer]
-	if queue == nil {
-		queue = make(chan func(), 1024) // more than there are descriptors for
-		n.dialQueues[conn.peer] = queue
-		workers := 4
-		if conn.peer == peerMember { // hundreds of them, and those of a lost zone hang until their time is up
-			workers = 32
-		}
-		for range workers {
-			go func() {
-				for nextDial := range queue {
-					nextDial()
-				}
-			}()
-		}
-	}
+const (
+	dialTimeout = 2 * time.Second
+	// maxQueuedDials is how many dials to one kind of peer may wait: more than there are descriptors for.
+	maxQueuedDials = 1024
+)
+
+// DialOptions is what a connection that is dialled is like.
+type DialOptions struct {
+	Peer         Peer
+	ResetOnClose bool // closed without a lingering state: for a connection that carries one call
+}
+
+// NewDialed makes a connection that Dial opens.
+func (n *Net) NewDialed(options DialOptions) *Conn {
+	return &Conn{net: n, peer: options.Peer, resetOnClose: options.ResetOnClose, openedAt: time.Now()}
+}
+
+// Dial opens the connection. ready is called on the owner loop, with nil once the connection stands, or with why it
+// does not: then nothing was sent, and Handler.OnClose is not called.
+func (c *Conn) Dial(addr string, ready func(refused error)) {
+	queue := c.net.dialQueue(c.peer)
 	ctx, cancel := context.WithCancel(context.Background())
-	conn.cancelDial = cancel
-	n.dialedConns.Add(1)
+	c.cancelDial = cancel
+	c.net.dialedConns.Add(1)
 	finish := func(refused error) {
 		cancel()
-		conn.cancelDial = nil
+		c.cancelDial = nil
 		if refused != nil {
-			n.dialedConns.Add(-1)
+			c.net.dialedConns.Add(-1)
 		}
 		ready(refused)
 	}
-	queue <- func() {
-		// No keepalive: four system calls, and nothing stays open and silent here.
-		dialer := net.Dialer{Timeout: 2 * time.Second, KeepAlive: -1}
-		if n.LocalIP != nil {
-			dialer.LocalAddr = &net.TCPAddr{IP: n.LocalIP}
-		}
-		// Danger: dials to an address that swallows them hold up the others of their party. One that was given up ends at once, and
-		// those behind it that were are not begun.
-		socket, err := dialer.DialContext(ctx, "tcp", addr)
-		var polled *nbio.Conn
-		if err == nil {
-			if conn.resetOnClose {
-				_ = socket.(*net.TCPConn).SetLinger(0)
+	queue <- func() { c.connect(ctx, addr, finish) }
+}
+
+// dialQueue is the queue of the dials to a kind of peer. Its workers dial with the standard library: the poller's own
+// DialAsync (v1.6.8) takes the first four bytes of an address that has sixteen, and so connects to 0.0.0.0.
+func (n *Net) dialQueue(peer Peer) chan func() {
+	if queue := n.dialQueues[peer]; queue != nil {
+		return queue
+	}
+	queue := make(chan func(), maxQueuedDials)
+	n.dialQueues[peer] = queue
+	for range peer.dialWorkers() {
+		go func() {
+			for dial := range queue {
+				dial()
 			}
-			if polled, err = nbio.NBConn(socket); err != nil {
-				_ = socket.Close() // Danger: at the descriptor limit the second one that this takes is refused, and the first would stay
+		}()
+	}
+	return queue
+}
+
+// connect runs on a worker; finish is called on the owner loop.
+func (c *Conn) connect(ctx context.Context, addr string, finish func(refused error)) {
+	polled, err := c.dialSocket(ctx, addr)
+	if err != nil {
+		c.net.Post(func() { finish(err) })
+		return
+	}
+	polled.SetSession(c)
+	opened := false
+	c.onOpen = func(polled *nbio.Conn) {
+		opened = true
+		c.net.Post(func() {
+			c.polled = polled
+			c.unpolled = true
+			if c.closeReason != "" { // closed while it was being opened
+				c.Abort()
 			}
-		}
-		if err != nil {
-			n.Post(func() { finish(err) })
-			return
-		}
-		polled.SetSession(conn)
-		opened := false
-		conn.onOpen = func(polled *nbio.Conn) {
-			opened = true
-			n.Post(func() {
-				conn.polled, conn.unpolled = polled, true
-				if conn.closeReason != "" { // closed while it was being opened
-					conn.Abort()
-				}
-				finish(nil)
-			})
-		}
-		_, err = n.engine.AddConn(polled)
-		switch {
-		case !opened: // the library had no place for it, and tells nobody
-			n.Post(func() { finish(err) })
-		default: // a failure closes it, which is told
-			n.Post(conn.polling)
-		}
+			finish(nil)
+		})
+	}
+	_, err = c.net.engine.AddConn(polled)
+	if !opened { // the library had no place for it, and tells nobody
+		c.net.Post(func() { finish(err) })
+		return
+	}
+	c.net.Post(c.handlePolled) // if AddConn failed, the library has closed the connection, which is told
+}
+
+// dialSocket dials. Where the address swallows what is sent there, the dial would hold up the others to its kind of
+// peer: with ctx cancelled it ends at once, and one that has not begun does not begin.
+func (c *Conn) dialSocket(ctx context.Context, addr string) (*nbio.Conn, error) {
+	// No keepalive: it costs four system calls, and no connection stays open and silent here.
+	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
+	if c.net.LocalIP != nil {
+		dialer.LocalAddr = &net.TCPAddr{IP: c.net.LocalIP}
+	}
+	socket, err := dialer.DialContext(ctx, "tcp", addr)
+	if err != nil {
+		return nil, err
+	}
+	if c.resetOnClose {
+		_ = socket.(*net.TCPConn).SetLinger(0) // it fails only on a socket that is closed
+	}
+	polled, err := nbio.NBConn(socket)
+	if err != nil {
+		_ = socket.Close() // at the descriptor limit the second one that NBConn takes is refused, and the first would stay
+		return nil, err
 	}
+	return polled, nil
 }
 
-// polling writes what had to wait until the poller watches the connection. Danger: the library opens a connection before that, and what the
-// kernel does not take in between is kept by it and never written, as nobody is woken for it.
-func (l *Conn) polling() {
-	l.unpolled = false
-	output := l.outputBeforePoll
-	l.outputBeforePoll = nil
-	if len(output) > 0 && !l.closed {
-		l.transmit(output)
+// handlePolled writes what had to wait until the poller watches the connection: the library opens a connection before
+// that, and what the kernel does not take in between is kept by it and never written, as nobody is woken for it.
+func (c *Conn) handlePolled() {
+	c.unpolled = false
+	output := c.outputBeforePoll
+	c.outputBeforePoll = nil
+	if len(output) > 0 && !c.closed {
+		c.transmit(output)
 	}
 }
--- a/internal/transport/read.go
+++ b/internal/transport/read.go
@@ -2,88 +2,108 @@
 
 import "time"
 
-// received runs on the poller: it takes whole messages off the bytes and hands them over together.
-func (l *Conn) received(b []byte) {
+// received cuts whole messages off the bytes and hands them over together. It runs on the poller, or on the goroutine
+// of a TLS stream.
+func (c *Conn) received(b []byte) {
 	var calls []func()
-	problem := ""
-	for len(b) > 0 && !l.ignoresInput && !l.closing.Load() {
-		if len(l.partial) == 0 {
-			var n int
-			n, problem = l.parseMessages(b, &calls)
-			b = b[n:]
-			if problem != "" || len(b) == 0 || l.ignoresInput {
-				break
-			}
-			if len(b) >= BufferSize {
-				problem = "too-long"
-				break
-			}
-			if l.partial == nil {
-				l.partial = l.net.Get()
-				l.partialSince.Store(time.Now().UnixNano())
-			}
-			l.partial = append(l.partial[:0], b...)
-			break
-		}
-		size := min(len(b), BufferSize-len(l.partial))
-		if size == 0 {
-			problem = "too-long"
-			break
-		}
-		l.partial = append(l.partial, b[:size]...)
-		b = b[size:]
-		var n int
-		n, problem = l.parseMessages(l.partial, &calls)
-		if n > 0 {
-			l.partial = l.partial[:copy(l.partial, l.partial[n:])]
-			l.partialSince.Store(time.Now().UnixNano())
+	err := c.parseInput(b, &calls)
+	if len(c.partial) == 0 && c.partial != nil {
+		c.net.Put(c.partial)
+		c.partial = nil
+		c.partialSince.Store(0)
+	}
+	if err != nil {
+		c.ignoresInput = true
+		calls = append(calls, func() { c.handleUnreadable(err.Error()) })
+	}
+	if len(calls) > 0 {
+		c.net.PostRead(calls...)
+	}
+}
+
+func (c *Conn) handleUnreadable(code string) {
+	if c.handler.OnUnreadable != nil {
+		c.handler.OnUnreadable(code)
+		return
+	}
+	c.Close(code)
+}
+
+// parseInput parses the bytes behind the partial message, if there is one, and keeps what is not complete.
+func (c *Conn) parseInput(b []byte, calls *[]func()) error {
+	for len(b) > 0 && !c.ignoresInput && !c.closing.Load() {
+		if len(c.partial) == 0 {
+			return c.parseFresh(b, calls)
 		}
-		if problem != "" || l.ignoresInput {
-			l.partial = l.partial[:0]
-			break
+		n, err := c.parseBehindPartial(b, calls)
+		if err != nil {
+			return err
 		}
+		b = b[n:]
 	}
-	if len(l.partial) == 0 && l.partial != nil {
-		l.net.Put(l.partial)
-		l.partial = nil
-		l.partialSince.Store(0)
+	return nil
+}
+
+// parseFresh parses bytes that begin with a message.
+func (c *Conn) parseFresh(b []byte, calls *[]func()) error {
+	n, err := c.parseMessages(b, calls)
+	b = b[n:]
+	if err != nil || len(b) == 0 || c.ignoresInput {
+		return err
 	}
-	if problem != "" {
-		l.ignoresInput = true
-		calls = append(calls, func() {
-			if l.onUnreadable == nil {
-				l.Close(problem)
-			} else {
-				l.onUnreadable(problem)
-			}
-		})
+	if len(b) >= BufferSize {
+		return ErrTooLong
 	}
-	if len(calls) > 0 {
-		l.net.PostRead(calls...)
+	if c.partial == nil {
+		c.partial = c.net.Get()
+		c.partialSince.Store(time.Now().UnixNano())
+	}
+	c.partial = append(c.partial[:0], b...)
+	return nil
+}
+
+// parseBehindPartial takes as many of the bytes as fit behind the partial message, and parses both.
+func (c *Conn) parseBehindPartial(b []byte, calls *[]func()) (taken int, err error) {
+	taken = min(len(b), BufferSize-len(c.partial))
+	if taken == 0 {
+		return 0, ErrTooLong
+	}
+	c.partial = append(c.partial, b[:taken]...)
+	n, err := c.parseMessages(c.partial, calls)
+	if n > 0 {
+		c.partial = c.partial[:copy(c.partial, c.partial[n:])]
+		c.partialSince.Store(time.Now().UnixNano())
 	}
+	if err != nil || c.ignoresInput {
+		c.partial = c.partial[:0]
+	}
+	return taken, err
 }
 
-func (l *Conn) parseMessages(b []byte, calls *[]func()) (used int, problem string) {
-	for used < len(b) && !l.ignoresInput {
-		n, call, problem := l.parse(b[used:])
-		if problem != "" || n == 0 {
-			return used, problem
+func (c *Conn) parseMessages(b []byte, calls *[]func()) (used int, err error) {
+	for used < len(b) && !c.ignoresInput {
+		n, call, err := c.handler.Parse(b[used:])
+		if err != nil || n == 0 {
+			return used, err
 		}
 		used += n
 		if call != nil {
 			*calls = append(*calls, call)
 		}
 	}
-	return used, ""
+	return used, nil
 }
 
-// PartialFor tells how long a message has been coming without an end.
-func (l *Conn) PartialFor(now time.Time) time.Duration {
-	if since := l.partialSince.Load(); since != 0 {
+// IgnoreInput drops what comes behind the message that is being parsed. It is for Handler.Parse alone.
+func (c *Conn) IgnoreInput() { c.ignoresInput = true }
+
+// PartialFor tells for how long a message has been incomplete; 0: there is none.
+func (c *Conn) PartialFor(now time.Time) time.Duration {
+	if since := c.partialSince.Load(); since != 0 {
 		return now.Sub(time.Unix(0, since))
 	}
 	return 0
 }
 
-// HasPartial tells whether a message has begun to come.
-func (l *Conn) HasPartial() bool { return l.partialSince.Load() != 0 }
+// HasPartial tells whether a part of a message was read.
+func (c *Conn) HasPartial() bool { return c.partialSince.Load() != 0 }
--- a/internal/transport/tls_listener.go
+++ b/internal/transport/tls_listener.go
@@ -12,19 +12,17 @@
 	"golang.org/x/time/rate"
 )
 
-// TLS runs above the poller: the poller reads and writes the sockets of these connections as it does of all others, and
-// what it reads is fed to one goroutine a connection, which shakes hands and deciphers. What is written is enciphered where
-// it is written, and never waits. docs/identity.md says what else was weighed.
-
-// TLSListener is a further listener, with TLS.
+// TLSListener configures a further listener, with TLS.
 type TLSListener struct {
 	Addr string
-	// Config gives what is in force for the next handshake; it is not changed once given.
+	// Config gives the configuration for the next handshake. It is called on the connection's goroutine, and what it
+	// returned is not changed any more.
 	Config func() *tls.Config
-	// Prove follows a client's chain and gives what it proves or a code for why it does not.
-	VerifyChain         func(chain []*x509.Certificate) (proof any, code string)
+	// VerifyChain gives the identity that a client's chain proves, or a code for why it proves none. It is called on the
+	// connection's goroutine.
+	VerifyChain         func(chain []*x509.Certificate) (identity any, code string)
 	MaxHandshakes       int64   // handshakes at a time
-	HandshakesPerSecond float64 // handshakes a second
+	HandshakesPerSecond float64 // handshakes begun
 }
 
 type tlsListener struct {
@@ -34,56 +32,67 @@
 	limiter    *rate.Limiter
 }
 
-// ListenTLS listens for connections with TLS.
+// ListenTLS listens for connections with TLS. It is called after Start, before the owner loop runs.
 func (n *Net) ListenTLS(config TLSListener) error {
-	listener, err := (&net.ListenConfig{KeepAlive: -1}).Listen(context.Background(), "tcp", config.Addr)
+	socket, err := (&net.ListenConfig{KeepAlive: -1}).Listen(context.Background(), "tcp", config.Addr)
 	if err != nil {
 		return err
 	}
-	secure := &tlsListener{TLSListener: config, limiter: rate.NewLimiter(rate.Limit(config.HandshakesPerSecond), int(max(1, config.HandshakesPerSecond)))}
-	secure.base = &tls.Config{GetConfigForClient: func(hello *tls.ClientHelloInfo) (*tls.Config, error) {
-		stream, isStream := hello.Conn.(*tlsStream)
-		if !isStream {
-			return nil, errors.New("no connection of ours")
-		}
-		c := secure.Config().Clone()
-		// Called for a resumed session too. Danger: one that goes on after its certificate was taken back.
-		c.VerifyConnection = func(state tls.ConnectionState) error {
-			if len(state.PeerCertificates) == 0 { // where one is required, TLS has seen to it
-				return nil
-			}
-			var code string
-			if stream.identity, code = secure.VerifyChain(state.PeerCertificates); code != "" {
-				return verifyError(code)
-			}
-			return nil
-		}
-		return c, nil
-	}}
-	n.tlsListener = secure
-	// Danger: a crowd of handshakes takes the core, or the memory, from those who are in.
-	bounded := &boundedListener{TCPListener: listener.(*net.TCPListener), net: n, forever: make(chan struct{}),
-		alsoFull: func() bool { return secure.handshakes.Load() >= secure.MaxHandshakes }}
+	burst := int(max(1, config.HandshakesPerSecond))
+	listener := &tlsListener{
+		TLSListener: config,
+		limiter:     rate.NewLimiter(rate.Limit(config.HandshakesPerSecond), burst),
+	}
+	listener.base = &tls.Config{GetConfigForClient: listener.configFor}
+	n.tlsListener = listener
+	bounded := &boundedListener{
+		TCPListener: socket.(*net.TCPListener),
+		net:         n,
+		// Many handshakes at a time would take the core, or the memory, from those who are connected.
+		alsoFull: func() bool { return listener.handshakes.Load() >= listener.MaxHandshakes },
+		forever:  make(chan struct{}),
+	}
 	n.listeners = append(n.listeners, bounded)
 	go n.acceptTLS(bounded)
 	return nil
 }
 
+// configFor is the configuration of one handshake, which leaves the identity in the connection's stream.
+func (l *tlsListener) configFor(hello *tls.ClientHelloInfo) (*tls.Config, error) {
+	stream, isStream := hello.Conn.(*tlsStream)
+	if !isStream {
+		return nil, errors.New("tls handshake on a connection of another listener")
+	}
+	config := l.Config().Clone()
+	// Unlike VerifyPeerCertificate it is called for a resumed session too, which must not outlive a certificate that was
+	// revoked.
+	config.VerifyConnection = func(state tls.ConnectionState) error {
+		if len(state.PeerCertificates) == 0 { // where one is required, crypto/tls has refused the handshake
+			return nil
+		}
+		identity, code := l.VerifyChain(state.PeerCertificates)
+		stream.identity = identity
+		if code != "" {
+			return verifyError(code)
+		}
+		return nil
+	}
+	return config, nil
+}
+
 func (n *Net) acceptTLS(listener *boundedListener) {
 	for {
-		_ = n.tlsListener.limiter.Wait(context.Background())
-		conn, err := listener.Accept()
+		_ = n.tlsListener.limiter.Wait(context.Background()) // it fails only with its context, or a burst of 0
+		socket, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		polled, err := nbio.NBConn(conn)
+		polled, err := nbio.NBConn(socket)
 		if err != nil {
-			conn.Close()
+			_ = socket.Close() // there is no descriptor for it, and nothing was read or written
 			continue
 		}
-		stream := &tlsStream{polled: polled}
-		stream.readable.L, stream.consumed.L = &stream.mu, &stream.mu
-		stream.conn = tls.Server(stream, n.tlsListener.base)
+		stream := newTLSStream(polled, n.tlsListener.base)
 		n.tlsListener.handshakes.Add(1)
 		stream.owner = n.newAccepted(polled, stream)
 		stream.owner.onOpen = func(*nbio.Conn) {} // it stands already
@@ -101,9 +110,9 @@
 }
 
 // Handshaking tells whether the connection is still in its handshake.
-func (l *Conn) Handshaking() bool { return l.tls != nil && !l.tls.established.Load() }
+func (c *Conn) Handshaking() bool { return c.tls != nil && !c.tls.established.Load() }
 
 // verifyError is a code for why a certificate proves nothing.
 type verifyError string
 
-func (r verifyError) Error() string { return string(r) }
+func (e verifyError) Error() string { return string(e) }
--- a/internal/transport/tls_stream.go
+++ b/internal/transport/tls_stream.go
@@ -13,130 +13,155 @@
 	"github.com/lesismal/nbio"
 )
 
-// tlsStream is what lies between a connection's TLS and the poller: crypto/tls takes it for a net.Conn whose reads wait and
-// whose writes do not.
+// tlsStream lies between a connection's TLS and the poller: crypto/tls takes it for a net.Conn whose reads wait and
+// whose writes do not. The poller reads and writes its socket as all others, and what it reads is fed to one
+// goroutine a connection, which shakes hands and decrypts. What is written is encrypted where it is written, and
+// never waits. docs/identity.md says what else was weighed.
 type tlsStream struct {
-	conn            *tls.Conn
-	polled          *nbio.Conn
-	owner           *Conn
-	identity        any             // what the handshake came to
-	onAuthenticated func(proof any) // the owner's, called on its loop
-	established     atomic.Bool     // the handshake is over
+	conn        *tls.Conn
+	polled      *nbio.Conn
+	owner       *Conn
+	identity    any         // what the handshake proved; written and read by the goroutine that runs serve
+	established atomic.Bool // the handshake is over, and went well
 
 	mu       sync.Mutex
-	readable sync.Cond // something came, or the end
-	consumed sync.Cond // something was taken
-	input    []byte
-	err      error
+	readable sync.Cond // Read waits for it: there is input, or err
+	consumed sync.Cond // the poller waits for it in receive: there is room for input, or err
+	input    []byte    // guarded by mu
+	err      error     // guarded by mu; nothing more is read
 }
 
-// maxUndeciphered is what may lie undeciphered before the poller waits: some records. It waits only while the owner loop has so much to
-// do that plain connections wait too.
-const maxUndeciphered = 64 << 10
+// maxEncryptedInput is how many bytes may wait to be decrypted before the poller waits: some records. It waits only
+// while the owner loop has so much to do that plain connections wait too.
+const maxEncryptedInput = 64 << 10
+
+func newTLSStream(polled *nbio.Conn, config *tls.Config) *tlsStream {
+	stream := &tlsStream{polled: polled}
+	stream.readable.L = &stream.mu
+	stream.consumed.L = &stream.mu
+	stream.conn = tls.Server(stream, config)
+	return stream
+}
 
 // serve shakes hands and reads until the connection ends.
-func (p *tlsStream) serve() {
-	n := p.owner.net
-	err := p.conn.Handshake()
-	p.established.Store(err == nil)
+func (s *tlsStream) serve() {
+	n := s.owner.net
+	err := s.conn.Handshake()
+	s.established.Store(err == nil)
 	n.tlsListener.handshakes.Add(-1)
 	if err != nil {
-		p.endInput(io.EOF)
-		code := "handshake-failed"
-		var reason verifyError
-		if errors.As(err, &reason) {
-			code = string(reason)
-		}
-		n.Post(func() {
-			p.owner.SetCloseReason(code)
-			p.owner.Close(code)
-		})
+		s.endInput(io.EOF)
+		s.closeUnauthenticated(err)
 		return
 	}
-	n.Post(func() { p.onAuthenticated(p.identity) })
-	buf := n.Get()
+	n.Post(func() {
+		if s.owner.handler.OnAuthenticated != nil {
+			s.owner.handler.OnAuthenticated(s.identity)
+		}
+	})
+	buffer := n.Get()
 	for err == nil {
 		var size int
-		if size, err = p.conn.Read(buf[:BufferSize]); size > 0 {
-			p.owner.received(buf[:size])
+		if size, err = s.conn.Read(buffer[:BufferSize]); size > 0 {
+			s.owner.received(buffer[:size])
 		}
 	}
-	n.Put(buf)
-	// The client has ended its side, or sent what can't be deciphered: nothing more comes, and nobody reads on. Danger:
-	// the poller would wait for room here.
-	p.endInput(io.EOF)
+	n.Put(buffer)
+	// The client has ended its side, or sent what can't be decrypted. Nobody reads on, and the poller must not wait in
+	// receive for somebody who does.
+	s.endInput(io.EOF)
 	n.Post(func() {
 		if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
-			p.owner.SetCloseReason("bad-record")
+			s.owner.SetCloseReason(codeMalformedRecord)
 		}
-		p.owner.Abort()
+		s.owner.Abort()
+	})
+}
+
+// closeUnauthenticated closes the connection after a handshake that failed.
+func (s *tlsStream) closeUnauthenticated(err error) {
+	code := codeHandshakeFailed
+	var reason verifyError
+	if errors.As(err, &reason) {
+		code = string(reason)
+	}
+	s.owner.net.Post(func() {
+		s.owner.SetCloseReason(code)
+		s.owner.Close(code)
 	})
 }
 
-// receive takes what the poller has read.
-func (p *tlsStream) receive(b []byte) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for len(p.input) > maxUndeciphered && p.err == nil {
-		p.consumed.Wait()
+// receive takes what the poller has read, and waits while too much of it is not decrypted yet.
+func (s *tlsStream) receive(b []byte) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for len(s.input) > maxEncryptedInput && s.err == nil {
+		s.consumed.Wait()
 	}
-	if p.err != nil {
+	if s.err != nil {
 		return
 	}
-	if p.input == nil {
-		p.input = p.owner.net.Get()
+	if s.input == nil {
+		s.input = s.owner.net.Get()
 	}
-	p.input = append(p.input, b...)
-	p.readable.Signal()
+	s.input = append(s.input, b...)
+	s.readable.Signal()
 }
 
-// endInput ends what reads.
-func (p *tlsStream) endInput(err error) {
-	p.mu.Lock()
-	p.err = err
-	p.mu.Unlock()
-	p.readable.Broadcast()
-	p.consumed.Broadcast()
+// endInput has Read fail from now on, once the input is read, and receive drop what comes.
+func (s *tlsStream) endInput(err error) {
+	s.mu.Lock()
+	s.err = err
+	s.mu.Unlock()
+	s.readable.Broadcast()
+	s.consumed.Broadcast()
 }
 
-func (p *tlsStream) Read(b []byte) (int, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for len(p.input) == 0 {
-		if p.err != nil {
-			return 0, p.err
+// Read gives input to decrypt, and waits for it.
+func (s *tlsStream) Read(b []byte) (int, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for len(s.input) == 0 {
+		if s.err != nil {
+			return 0, s.err
 		}
-		p.readable.Wait()
+		s.readable.Wait()
 	}
-	n := copy(b, p.input)
-	p.input = p.input[:copy(p.input, p.input[n:])]
-	if len(p.input) == 0 {
-		p.owner.net.Put(p.input)
-		p.input = nil
+	n := copy(b, s.input)
+	s.input = s.input[:copy(s.input, s.input[n:])]
+	if len(s.input) == 0 {
+		s.owner.net.Put(s.input)
+		s.input = nil
 	}
-	p.consumed.Signal()
+	s.consumed.Signal()
 	return n, nil
 }
 
-// Write counts and writes what TLS has made of the answers.
-func (p *tlsStream) Write(b []byte) (int, error) {
-	p.owner.net.unreadBytes.Add(int64(len(b)))
-	p.owner.transmit(b)
+// Write counts and writes what TLS has encrypted. It is called on the owner loop, and by serve during the handshake.
+func (s *tlsStream) Write(b []byte) (int, error) {
+	s.owner.net.unreadBytes.Add(int64(len(b)))
+	s.owner.transmit(b)
 	return len(b), nil
 }
 
-func (p *tlsStream) Close() error {
-	p.endInput(io.EOF)
-	p.owner.shutdown(syscall.SHUT_RDWR, nil)
+// Close ends both directions; the poller closes the descriptor.
+func (s *tlsStream) Close() error {
+	s.endInput(io.EOF)
+	s.owner.shutdown(syscall.SHUT_RDWR, nil)
 	return nil
 }
 
-func (p *tlsStream) LocalAddr() net.Addr { return p.polled.LocalAddr() }
+// LocalAddr is the address of our end.
+func (s *tlsStream) LocalAddr() net.Addr { return s.polled.LocalAddr() }
 
-func (p *tlsStream) RemoteAddr() net.Addr { return p.polled.RemoteAddr() }
+// RemoteAddr is the address of the peer's end.
+func (s *tlsStream) RemoteAddr() net.Addr { return s.polled.RemoteAddr() }
 
-func (p *tlsStream) SetDeadline(time.Time) error { return nil }
+// SetDeadline does nothing: who waits too long is closed by the front end.
+func (s *tlsStream) SetDeadline(time.Time) error { return nil }
 
-func (p *tlsStream) SetReadDeadline(time.Time) error { return nil }
+// SetReadDeadline does nothing, like SetDeadline.
+func (s *tlsStream) SetReadDeadline(time.Time) error { return nil }
 
-func (p *tlsStream) SetWriteDeadline(time.Time) error { return nil }
+// SetWriteDeadline does nothing: writes do not wait.
+func (s *tlsStream) SetWriteDeadline(time.Time) error { return nil }
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -5,98 +5,99 @@
 	"syscall"
 )
 
-// outputBuffer gives the bytes gathered for the next write, to append a message of at most BufferSize to.
-func (l *Conn) outputBuffer() []byte {
-	if l.output == nil {
-		l.output = l.net.Get()
+// errUnreadLimit closes a connection whose peer leaves too much unread.
+var errUnreadLimit = errors.New("peer leaves too much unread")
+
+// OutputBuffer gives what was gathered for the next flush, to append a message of at most BufferSize to; SetOutput has to
+// follow.
+func (c *Conn) OutputBuffer() []byte {
+	if c.output == nil {
+		c.output = c.net.Get()
 	}
-	if !l.flushPending {
-		l.flushPending = true
-		l.net.unflushed = append(l.net.unflushed, l)
+	if !c.flushPending {
+		c.flushPending = true
+		c.net.unflushed = append(c.net.unflushed, c)
 	}
-	return l.output
+	return c.output
 }
 
-// setOutput takes back what room gave, with the message behind it.
-func (l *Conn) setOutput(output []byte) {
+// SetOutput takes back what OutputBuffer gave, with the message behind it.
+func (c *Conn) SetOutput(output []byte) {
 	if cap(output) > BufferSize { // grown past its buffer: written at once, so that the pool keeps one size
-		l.net.Put(l.output)
-		l.output = nil
-		l.write(output)
+		c.net.Put(c.output)
+		c.output = nil
+		c.write(output)
 		return
 	}
-	l.output = output
+	c.output = output
 }
 
-func (l *Conn) flush() {
-	if l.output == nil {
+func (c *Conn) flush() {
+	if c.output == nil {
 		return
 	}
-	output := l.output
-	l.output = nil
-	l.write(output)
-	l.net.Put(output)
+	output := c.output
+	c.output = nil
+	c.write(output)
+	c.net.Put(output)
 }
 
-func (l *Conn) write(b []byte) {
-	if l.closed || l.polled == nil || len(b) == 0 {
-		return
-	}
-	const slack = 16 << 10 // some answers with the longest results
-	// Danger: peers that read nothing, each within its bound, hold all the memory together.
-	if l.net.unreadBytes.Add(int64(len(b))) > l.net.MaxUnread && l.unwritten.Load() > slack {
-		l.net.unreadBytes.Add(-int64(len(b)))
-		l.SetCloseReason("never-reads")
-		l.Abort()
+func (c *Conn) write(b []byte) {
+	if c.closed || c.polled == nil || len(b) == 0 {
 		return
 	}
-	if l.tls != nil && !l.tls.established.Load() { // Danger: the loop would wait for the handshake
-		l.net.unreadBytes.Add(-int64(len(b)))
+	const slack = 16 << 10 // bytes: some responses with the longest results
+	// Peers that read nothing, each within its own bound, would together hold all the memory.
+	if c.net.unreadBytes.Add(int64(len(b))) > c.net.MaxUnread && c.unwritten.Load() > slack {
+		c.net.unreadBytes.Add(-int64(len(b)))
+		c.SetCloseReason(codeUnreadLimit)
+		c.Abort()
 		return
 	}
-	if l.tls != nil {
-		// What comes out of it is written, and counted, by the pipe below.
-		_, _ = l.tls.conn.Write(b)
-		l.net.unreadBytes.Add(-int64(len(b)))
+	if c.tls != nil {
+		// tls.Conn.Write would have the owner loop wait for a handshake. What it encrypts is counted again, and written,
+		// by tlsStream.Write.
+		if c.tls.established.Load() {
+			_, _ = c.tls.conn.Write(b) // a failure ends the connection, which is told
+		}
+		c.net.unreadBytes.Add(-int64(len(b)))
 		return
 	}
-	if l.unpolled {
-		l.outputBeforePoll = append(l.outputBeforePoll, b...)
+	if c.unpolled {
+		c.outputBeforePoll = append(c.outputBeforePoll, b...)
 		return
 	}
-	l.transmit(b)
+	c.transmit(b)
 }
 
-var errUnreadLimit = errors.New("leaves too much unread")
-
-// transmit sends what it can and leaves the rest to the poller; the bytes are counted as unread before. A failure has the poller end the
-// connection, which is told by its callback.
-func (l *Conn) transmit(b []byte) {
-	before := l.unwritten.Add(int64(len(b))) - int64(len(b))
+// transmit sends what it can and leaves the rest to the poller. The bytes were counted as unread before. After a
+// failure the poller closes the connection, which its callback tells.
+func (c *Conn) transmit(b []byte) {
+	before := c.unwritten.Add(int64(len(b))) - int64(len(b))
 	var err error
 	if before+int64(len(b)) > maxUnwritten {
 		err = errUnreadLimit
 	} else if before == 0 { // else what comes first is not written yet
 		var n int
-		n, err = l.writeNow(b)
+		n, err = c.writeNow(b)
 		if b = b[n:]; n > 0 {
-			l.written(n)
+			c.written(n)
 		}
 	}
 	if err == nil && len(b) > 0 {
-		_, err = l.polled.Write(b)
+		_, err = c.polled.Write(b)
 	}
 	if err != nil {
-		l.unwritten.Add(-int64(len(b)))
-		l.net.unreadBytes.Add(-int64(len(b)))
-		l.shutdown(syscall.SHUT_RDWR, err)
+		c.unwritten.Add(-int64(len(b)))
+		c.net.unreadBytes.Add(-int64(len(b)))
+		c.shutdown(syscall.SHUT_RDWR, err)
 	}
 }
 
-// written hears that the kernel has taken so many bytes.
-func (l *Conn) written(size int) {
-	l.net.unreadBytes.Add(-int64(size))
-	if l.unwritten.Add(-int64(size)) == 0 && l.closing.Load() {
-		l.net.Post(l.finishClose)
+// written hears that the kernel has taken so many bytes, on any goroutine.
+func (c *Conn) written(size int) {
+	c.net.unreadBytes.Add(-int64(size))
+	if c.unwritten.Add(-int64(size)) == 0 && c.closing.Load() {
+		c.net.Post(c.finishClose)
 	}
 }
