--- a/internal/database/conn.go
+++ b/internal/database/conn.go
@@ -33,7 +33,7 @@
 func Dial(net *transport.Net, addr string, ready func(refused error)) *Conn {
 	conn := &Conn{Conn: net.NewDialed(transport.DialOptions{Peer: transport.PeerDatabase, ResetOnClose: true})}
 	conn.SetHandler(conn.handler())
-	conn.Conn.Dial(addr, ready)
+	conn.Dial(addr, ready)
 	return conn
 }
 
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -11,11 +11,11 @@
 // What is reported to the registry, one datagram each.
 func TestGoldenToRegistry(t *testing.T) {
 	file := goldentest.Open(t, "testdata/registry_reports.golden")
-	registry, err := net.ListenPacket("udp", "127.0.0.1:0")
+	registry, err := (&net.ListenConfig{}).ListenPacket(t.Context(), "udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer registry.Close()
+	defer func() { _ = registry.Close() }()
 	r, err := NewRegistry(registry.LocalAddr().String(), "instance-1")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -2,6 +2,7 @@
 package discovery
 
 import (
+	"context"
 	"fmt"
 	"net"
 	"time"
@@ -26,7 +27,7 @@
 // NewRegistry opens the socket that the reports of the named instance go out of. Nothing is sent yet, so a registry
 // that is down is no error.
 func NewRegistry(addr, name string) (*Registry, error) {
-	conn, err := net.Dial("udp", addr)
+	conn, err := (&net.Dialer{}).DialContext(context.Background(), "udp", addr) // it sends nothing, and does not wait
 	if err != nil {
 		return nil, fmt.Errorf("socket for reports to the registry: %w", err)
 	}
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -26,7 +26,7 @@
 func Dial(net *transport.Net, addr string, ready func(refused error)) *ClientConn {
 	client := newClientConn(net.NewDialed(transport.DialOptions{Peer: transport.PeerInstance}))
 	client.SetHandler(client.handler())
-	client.Conn.Dial(addr, ready)
+	client.Dial(addr, ready)
 	return client
 }
 
--- a/internal/rpc/golden_test.go
+++ b/internal/rpc/golden_test.go
@@ -12,7 +12,7 @@
 	"lanewheel/internal/transport"
 )
 
-// clientRead is what a client stub's connection is told.
+// clientRead is what a client is told.
 type clientRead struct {
 	messageID   uint32
 	response    Response
@@ -20,14 +20,14 @@
 	closeReason string
 }
 
-// serverRead is what a server's connection to a client stub is told.
+// serverRead is what a server is told of a client.
 type serverRead struct {
-	messageID uint32
-	request   *frontend.Request
-	interrupt bool
-	check     bool
-	deep      bool
-	fault     string
+	messageID     uint32
+	request       *frontend.Request
+	cancel        bool
+	healthCheck   bool
+	deep          bool
+	protocolError string
 }
 
 func readByServer(b []byte) (all []serverRead) {
@@ -36,9 +36,11 @@
 	l.Net().ReadHops.Store(true)
 	s := NewServerConn(l.Conn)
 	s.OnRequest = func(n uint32, a frontend.Request) { all = append(all, serverRead{messageID: n, request: &a}) }
-	s.OnCancel = func(n uint32) { all = append(all, serverRead{messageID: n, interrupt: true}) }
-	s.OnHealthCheck = func(n uint32, deep bool) { all = append(all, serverRead{messageID: n, check: true, deep: deep}) }
-	s.OnProtocolError = func(code string) { all = append(all, serverRead{fault: code}) }
+	s.OnCancel = func(n uint32) { all = append(all, serverRead{messageID: n, cancel: true}) }
+	s.OnHealthCheck = func(n uint32, deep bool) {
+		all = append(all, serverRead{messageID: n, healthCheck: true, deep: deep})
+	}
+	s.OnProtocolError = func(code string) { all = append(all, serverRead{protocolError: code}) }
 	l.Receive(b)
 	return all
 }
@@ -56,9 +58,23 @@
 }
 
 func goldenRequest() frontend.Request {
-	return frontend.Request{ID: "0123456789abcdef", Class: "view", Tenant: "acme", Resource: "k1", SentUnixMilli: 1764576000123, Caller: 4,
-		Timeout: 480 * time.Millisecond, HasTimeout: true, WorkHint: 12500 * time.Microsecond, MemoryKB: 24.5, Rank: 0.625,
-		Token: "abc.def", Hops: 1, NewIDPerAttempt: true, Body: []byte{0xff, 0xc1}}
+	return frontend.Request{
+		ID:              "0123456789abcdef",
+		Class:           "view",
+		Tenant:          "acme",
+		Resource:        "k1",
+		SentUnixMilli:   1764576000123,
+		Caller:          4,
+		Timeout:         480 * time.Millisecond,
+		HasTimeout:      true,
+		WorkHint:        12500 * time.Microsecond,
+		MemoryKB:        24.5,
+		Rank:            0.625,
+		Token:           "abc.def",
+		Hops:            1,
+		NewIDPerAttempt: true,
+		Body:            []byte{0xff, 0xc1},
+	}
 }
 
 // goldenLongRequest has a text and a body past the short forms of their heads.
@@ -73,10 +89,10 @@
 	return frontend.Request{ID: "0123456789abcdef", Class: "view", NewIDPerAttempt: true, Body: []byte{}}
 }
 
-// What a client stub says: our own client writes the stored bytes, and the server reads them as what was meant.
+// What a client sends: our own client writes the stored bytes, and the server reads them as what was meant.
 func TestGoldenFromClients(t *testing.T) {
 	file := goldentest.Open(t, "testdata/rpc_from_client.golden")
-	long, least, whole := goldenLongRequest(), goldenMinimalRequest(), goldenRequest()
+	long, minimal, full := goldenLongRequest(), goldenMinimalRequest(), goldenRequest()
 	written := func(write func(*ClientConn)) []byte {
 		l := transport.NewDetached()
 		write(newClientConn(l.Conn))
@@ -85,15 +101,15 @@
 	}
 	for _, tc := range []struct {
 		name  string
-		write func(*ClientConn) // nil: our client never says it
+		write func(*ClientConn) // nil: our client never sends it
 		want  serverRead
 	}{
-		{"request", func(c *ClientConn) { c.Send(7, whole) }, serverRead{messageID: 7, request: &whole}},
+		{"request", func(c *ClientConn) { c.Send(7, full) }, serverRead{messageID: 7, request: &full}},
 		{"request-long", func(c *ClientConn) { c.Send(1<<32-1, long) }, serverRead{messageID: 1<<32 - 1, request: &long}},
-		{"request-least", func(c *ClientConn) { c.Send(1, least) }, serverRead{messageID: 1, request: &least}},
-		{"interrupt", func(c *ClientConn) { c.Cancel(7) }, serverRead{messageID: 7, interrupt: true}},
-		{"check", nil, serverRead{messageID: 8, check: true}},
-		{"check-deep", nil, serverRead{messageID: 9, check: true, deep: true}},
+		{"request-least", func(c *ClientConn) { c.Send(1, minimal) }, serverRead{messageID: 1, request: &minimal}},
+		{"interrupt", func(c *ClientConn) { c.Cancel(7) }, serverRead{messageID: 7, cancel: true}},
+		{"check", nil, serverRead{messageID: 8, healthCheck: true}},
+		{"check-deep", nil, serverRead{messageID: 9, healthCheck: true, deep: true}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if tc.write != nil {
@@ -106,10 +122,15 @@
 	}
 }
 
-// What a server says to client stubs: it writes the stored bytes, and our own client reads them as what was meant.
+// What a server sends to clients: it writes the stored bytes, and our own client reads them as what was meant.
 func TestGoldenToClients(t *testing.T) {
 	file := goldentest.Open(t, "testdata/rpc_to_client.golden")
-	with := frontend.ResponseMetadata{LoadReport: 0.25, RetryAfter: 1500 * time.Millisecond, NoFailover: true, Reason: "type"}
+	metadata := frontend.ResponseMetadata{
+		LoadReport: 0.25,
+		RetryAfter: 1500 * time.Millisecond,
+		NoFailover: true,
+		Reason:     "type",
+	}
 	bare := frontend.ResponseMetadata{LoadReport: -1}
 	none, short, long := []byte{}, []byte{0, 255}, bytes.Repeat([]byte("r"), 300)
 	for _, tc := range []struct {
@@ -117,18 +138,18 @@
 		write func(*ServerConn)
 		want  clientRead
 	}{
-		{"result", func(s *ServerConn) { s.Succeed(7, short, with) },
-			clientRead{messageID: 7, response: Response{Metadata: with, Result: short}}},
+		{"result", func(s *ServerConn) { s.Succeed(7, short, metadata) },
+			clientRead{messageID: 7, response: Response{Metadata: metadata, Result: short}}},
 		{"result-long", func(s *ServerConn) { s.Succeed(1<<32-1, long, bare) },
 			clientRead{messageID: 1<<32 - 1, response: Response{Metadata: bare, Result: long}}},
-		{"busy", func(s *ServerConn) { s.Reject(8, with) },
-			clientRead{messageID: 8, response: Response{Error: "Busy", Metadata: with, Result: none}}},
-		{"failed", func(s *ServerConn) { s.Fail(9, with) },
-			clientRead{messageID: 9, response: Response{Error: "Failed", Metadata: with, Result: none}}},
-		{"denied", func(s *ServerConn) { s.Deny(10, with) },
-			clientRead{messageID: 10, response: Response{Error: "Denied", Metadata: with, Result: none}}},
-		{"check-good", func(s *ServerConn) { s.AnswerHealthCheck(11, true, with) },
-			clientRead{messageID: 11, response: Response{Metadata: with, Result: none}}},
+		{"busy", func(s *ServerConn) { s.Reject(8, metadata) },
+			clientRead{messageID: 8, response: Response{Error: "Busy", Metadata: metadata, Result: none}}},
+		{"failed", func(s *ServerConn) { s.Fail(9, metadata) },
+			clientRead{messageID: 9, response: Response{Error: "Failed", Metadata: metadata, Result: none}}},
+		{"denied", func(s *ServerConn) { s.Deny(10, metadata) },
+			clientRead{messageID: 10, response: Response{Error: "Denied", Metadata: metadata, Result: none}}},
+		{"check-good", func(s *ServerConn) { s.AnswerHealthCheck(11, true, metadata) },
+			clientRead{messageID: 11, response: Response{Metadata: metadata, Result: none}}},
 		{"check-bad", func(s *ServerConn) { s.AnswerHealthCheck(12, false, bare) },
 			clientRead{messageID: 12, response: Response{Metadata: bare, Result: none}}},
 		{"goaway", func(s *ServerConn) { s.GoAway() }, clientRead{goAway: true}},
--- a/internal/rpc/server_test.go
+++ b/internal/rpc/server_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"encoding/hex"
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 
@@ -18,11 +19,12 @@
 	l := transport.NewDetached()
 	s := NewServerConn(l.Conn)
 	s.OnRequest = func(n uint32, a frontend.Request) {
-		fmt.Fprintf(&out, "op %d %s %s at %d from %d waits %v %v cost %v %g KB rank %g tenant %q subject %q body %d\n",
-			n, a.Class, a.ID, a.SentUnixMilli, a.Caller, a.HasTimeout, a.Timeout, a.WorkHint, a.MemoryKB, a.Rank, a.Tenant, a.Resource, len(a.Body))
+		fmt.Fprintf(&out, "request %d %s %s sent at %d caller %d tenant %q resource %q body %d\n",
+			n, a.Class, a.ID, a.SentUnixMilli, a.Caller, a.Tenant, a.Resource, len(a.Body))
+		fmt.Fprintf(&out, "  timeout %v %v work %v %g KB rank %g\n", a.HasTimeout, a.Timeout, a.WorkHint, a.MemoryKB, a.Rank)
 	}
-	s.OnCancel = func(n uint32) { fmt.Fprintf(&out, "interrupt %d\n", n) }
-	s.OnHealthCheck = func(n uint32, deep bool) { fmt.Fprintf(&out, "check %d deep %v\n", n, deep) }
+	s.OnCancel = func(n uint32) { fmt.Fprintf(&out, "cancel %d\n", n) }
+	s.OnHealthCheck = func(n uint32, deep bool) { fmt.Fprintf(&out, "health check %d deep %v\n", n, deep) }
 	s.OnProtocolError = func(code string) { fmt.Fprintln(&out, code) }
 	for _, b := range pieces {
 		l.Receive(b)
@@ -50,12 +52,15 @@
 
 var clientMessages = [][]byte{
 	// as clients write it: all fields are text
-	unhex("94 00 01 a4 'view' 92 8a " + sampleIDField + " a2 'at' ad '1764576000123' a4 'from' a1 '4' a6 'tenant' a4 'acme'" +
-		" a4 'wait' a3 '480' a4 'cost' a5 '12.50' a2 'kb' a4 '24.5' a4 'rank' a6 '0.6250' a3 'key' a2 'k1' a1 'x' a1 'y' c4 02 ffc1"),
+	unhex("94 00 01 a4 'view' 92 8a " + sampleIDField + " a2 'at' ad '1764576000123' a4 'from' a1 '4'" +
+		" a6 'tenant' a4 'acme' a4 'wait' a3 '480' a4 'cost' a5 '12.50' a2 'kb' a4 '24.5' a4 'rank' a6 '0.6250'" +
+		" a3 'key' a2 'k1' a1 'x' a1 'y' c4 02 ffc1"),
 	// numbers in all their forms, unknown fields of all kinds, wide heads
-	unhex("dc0004 cc00 cd0102 d904 'view' dd00000002 de0007 d90269 64 da0010 '0123456789abcdef' a2 'at' cf0000019adb9bcc7b" +
+	unhex("dc0004 cc00 cd0102 d904 'view' dd00000002 de0007 d90269 64 da0010 '0123456789abcdef'" +
+		" a2 'at' cf0000019adb9bcc7b" +
 		" a4 'from' d0 05 a4 'wait' ca43f00000 a4 'cost' cb4029000000000000 a2 'kb' d1 0018 a4 'rank' 00 c5 0001 00"),
-	unhex("94 d200000000 ce00010000 a1 'w' 92 df00000006 " + sampleIDField + " a1 'a' c0 a1 'b' 92 c3 81 01 c2 a1 'c' d4 0100 a1 'd' c7 02 05 0000" +
+	unhex("94 d200000000 ce00010000 a1 'w' 92 df00000006 " + sampleIDField +
+		" a1 'a' c0 a1 'b' 92 c3 81 01 c2 a1 'c' d4 0100 a1 'd' c7 02 05 0000" +
 		" a1 'e' cfffffffffffffffff c6 00000000"),
 	unhex("94 00 07 a5 'check' 91 81 a4 'deep' a1 '1'"), unhex("94 00 08 a5 'check' 91 80"),
 	unhex("93 02 a9 'interrupt' 91 07"), unhex("93 02 a9 'interrupt' 91 ff"), unhex("93 02 a4 'what' 92 01 a1 'x'"),
@@ -65,12 +70,15 @@
 func Example_clientMessages() {
 	fmt.Print(serverTrace(bytes.Join(clientMessages, nil)))
 	// Output:
-	// op 1 view 0123456789abcdef at 1764576000123 from 4 waits true 480ms cost 12.5ms 24.5 KB rank 0.625 tenant "acme" subject "k1" body 2
-	// op 258 view 0123456789abcdef at 1764621012091 from 5 waits true 480ms cost 12.5ms 24 KB rank 0 tenant "" subject "" body 1
-	// op 65536 w 0123456789abcdef at 0 from 0 waits false 0s cost 0s 0 KB rank 0 tenant "" subject "" body 0
-	// check 7 deep true
-	// check 8 deep false
-	// interrupt 7
+	// request 1 view 0123456789abcdef sent at 1764576000123 caller 4 tenant "acme" resource "k1" body 2
+	//   timeout true 480ms work 12.5ms 24.5 KB rank 0.625
+	// request 258 view 0123456789abcdef sent at 1764621012091 caller 5 tenant "" resource "" body 1
+	//   timeout true 480ms work 12.5ms 24 KB rank 0
+	// request 65536 w 0123456789abcdef sent at 0 caller 0 tenant "" resource "" body 0
+	//   timeout false 0s work 0s 0 KB rank 0
+	// health check 7 deep true
+	// health check 8 deep false
+	// cancel 7
 }
 
 // A token is read where callers are known, and may have any form where they are not.
@@ -112,7 +120,7 @@
 		fmt.Printf("%q\n", serverTrace(b))
 	}
 	// Output:
-	// "interrupt 7\nbad-message\n"
+	// "cancel 7\nbad-message\n"
 	// "bad-message\n"
 	// "bad-message\n"
 	// "bad-message\n"
@@ -135,15 +143,23 @@
 	s.AnswerHealthCheck(10, true, frontend.ResponseMetadata{LoadReport: -1})
 	s.GoAway()
 	output, _ := l.Output()
-	fmt.Printf("%+q\n", output)
+	for _, response := range bytes.SplitAfter(output, []byte{0x94, 1}) {
+		fmt.Printf("%+q\n", response)
+	}
 	s.Succeed(11, make([]byte, 4096), frontend.ResponseMetadata{LoadReport: -1})
 	output, flushPending := l.Output()
 	fmt.Println(len(output), cap(output) == transport.BufferSize, flushPending)
 	// Output:
-	// "\x94\x01\xce\x00\x00\x00\a\xc0\x92\xc4\x02\x00\xff\x81\xa3say\xa40.25\x94\x01\xce\x00\x00\x00\b\x92\xa4Busy\x82\xa5after\xa12\xa4last\xa11\xc0\x94\x01\xce\x00\x00\x00\t\x92\xa6Failed\x80\xc0\x94\x01\xce\x00\x00\x00\n\xc0\x92\u00c0\x93\x02\xa6goaway\x90"
+	// "\x94\x01"
+	// "\xce\x00\x00\x00\a\xc0\x92\xc4\x02\x00\xff\x81\xa3say\xa40.25\x94\x01"
+	// "\xce\x00\x00\x00\b\x92\xa4Busy\x82\xa5after\xa12\xa4last\xa11\xc0\x94\x01"
+	// "\xce\x00\x00\x00\t\x92\xa6Failed\x80\xc0\x94\x01"
+	// "\xce\x00\x00\x00\n\xc0\x92\u00c0\x93\x02\xa6goaway\x90"
 	// 4200 true true
 }
 
 func FuzzClients(f *testing.F) {
-	transporttest.FuzzSplits(f, serverTrace, append(clientMessages, bytes.Join(clientMessages, nil), unhex("93 02 a9 'interrupt' 91 07 c1 00"))...)
+	seeds := append(slices.Clone(clientMessages), bytes.Join(clientMessages, nil))
+	seeds = append(seeds, unhex("93 02 a9 'interrupt' 91 07 c1 00"))
+	transporttest.FuzzSplits(f, serverTrace, seeds...)
 }
--- a/internal/runtimelink/command.go
+++ b/internal/runtimelink/command.go
@@ -12,8 +12,8 @@
 type commandLine []byte
 
 func newCommandLine(output []byte, kind string) commandLine {
-	line := append(output, '{')
-	return commandLine(appendQuoted(appendName(line, fieldKind), kind))
+	output = append(output, '{')
+	return appendQuoted(appendName(output, fieldKind), kind)
 }
 
 func (l commandLine) sequence(n uint64) commandLine {
--- a/internal/runtimelink/conn_test.go
+++ b/internal/runtimelink/conn_test.go
@@ -30,15 +30,24 @@
 var runtimeLines = []byte(`{"t":"ready","status":"booting","time_ms":12.5}
 
 {"t":"end","no":3,"rid":"0123456789abcdef","status":"success","time_ms":41,"b64":"AP8="}
-` + "\r\n" + ` { "t" : "load", "v": [0.5, 3,1e-1,120], "mark":"a\"\u0041\ud83d\ude00\/", "new":{"x":[true,null,{}],"y":-1} }
+` + "\r\n" + ` { "t" : "load", "v": [0.5, 3,1e-1,120], "mark":"a\"\u0041\ud83d\ude00\/",` +
+	` "new":{"x":[true,null,{}],"y":-1} }
 {"t":"info","no":4,"status":"","b64":""}
 `)
 
 // Every form that a line can take, what ends the link, and each command.
 func Example_lines() {
 	fmt.Print(runtimeTrace(runtimeLines))
-	for _, b := range []string{"{}x\n", "[1]\n", `{"t":"end","b64":"A*"}` + "\n", `{"t":"end","no":"x"}` + "\n", `{"t"` + "\n",
-		`{"a":` + strings.Repeat("[", 40) + "\n", `{"a":"\u00"}` + "\n", strings.Repeat(" ", transport.BufferSize+1)} {
+	for _, b := range []string{
+		"{}x\n",
+		"[1]\n",
+		`{"t":"end","b64":"A*"}` + "\n",
+		`{"t":"end","no":"x"}` + "\n",
+		`{"t"` + "\n",
+		`{"a":` + strings.Repeat("[", 40) + "\n",
+		`{"a":"\u00"}` + "\n",
+		strings.Repeat(" ", transport.BufferSize+1),
+	} {
 		fmt.Print(runtimeTrace([]byte(b)))
 	}
 	l := transport.NewDetached()
--- a/internal/runtimelink/golden_test.go
+++ b/internal/runtimelink/golden_test.go
@@ -9,7 +9,7 @@
 	"lanewheel/internal/transport"
 )
 
-// What is said to the runtime.
+// What is sent to the runtime.
 func TestGoldenToRuntime(t *testing.T) {
 	file := goldentest.Open(t, "testdata/runtime_commands.golden")
 	const id = "0123456789abcdef"
@@ -34,7 +34,7 @@
 	}
 }
 
-// What the runtime says. One line has all fields that are known, whatever kind has them, and some that are not;
+// What the runtime sends. One line has all fields that are known, whatever kind has them, and some that are not;
 // one has all escapes and all words of JSON.
 func TestGoldenFromRuntime(t *testing.T) {
 	file := goldentest.Open(t, "testdata/runtime_notices.golden")
@@ -50,14 +50,15 @@
 		{"wants", Event{Kind: "wants", Sequence: 4, RequestID: id, Body: []byte("ask")}},
 		{"end-success", Event{Kind: "end", Sequence: 5, RequestID: id, Status: "success", Elapsed: 41 * time.Millisecond,
 			Body: []byte{0, 255}}},
-		{"end-failure", Event{Kind: "end", Sequence: 6, RequestID: id, Status: "failure", Elapsed: 20 * time.Millisecond, Body: []byte{}}},
-		{"end-interrupted", Event{Kind: "end", Sequence: 7, RequestID: id, Status: "interrupted", Elapsed: 20 * time.Millisecond,
+		{"end-failure", Event{Kind: "end", Sequence: 6, RequestID: id, Status: "failure", Elapsed: 20 * time.Millisecond,
 			Body: []byte{}}},
+		{"end-interrupted", Event{Kind: "end", Sequence: 7, RequestID: id, Status: "interrupted",
+			Elapsed: 20 * time.Millisecond, Body: []byte{}}},
 		{"end-nothing", Event{Kind: "end", Sequence: 8, RequestID: id, Status: "nothing"}},
 		{"nack", Event{Kind: "nack", Sequence: 9, RequestID: id, Status: "start"}},
 		{"info", Event{Kind: "info", Sequence: 10, Status: "any"}},
-		{"all", Event{Kind: "k", RequestID: "r", Status: "s", CorrelationID: "m\"A/", Sequence: 11, Elapsed: time.Millisecond, Body: []byte("b"),
-			Gauges: []float64{-1.5, 0.1}}},
+		{"all", Event{Kind: "k", RequestID: "r", Status: "s", CorrelationID: "m\"A/", Sequence: 11, Elapsed: time.Millisecond,
+			Body: []byte("b"), Gauges: []float64{-1.5, 0.1}}},
 		{"escapes", Event{Kind: "info", CorrelationID: "\"\\/\b\f\n\r\t\u00e9\U0001f600"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/runtimelink/wire.go
+++ b/internal/runtimelink/wire.go
@@ -33,8 +33,8 @@
 	EventInfo      EventKind = "info"    // asks for nothing
 )
 
-// Status is how a run, a self-test or the start of the runtime ended, as an Event tells it. A runtime may send others than
-// those below.
+// Status is how a run, a self-test or the start of the runtime ended, as an Event tells it. A runtime may send others
+// than those below.
 type Status string
 
 // The statuses.
--- a/internal/transport/close_test.go
+++ b/internal/transport/close_test.go
@@ -18,9 +18,9 @@
 	c, s := x.connect()
 	other, _ := x.connect()
 	free := x.holdNextRead()
-	other.Write(healthCheckMessage)
+	write(other, healthCheckMessage)
 	<-x.held
-	c.Write(healthCheckMessage)
+	write(c, healthCheckMessage)
 	waitReady(s.Descriptor(), unix.POLLIN)
 	x.onOwner(func() {
 		s.AnswerHealthCheck(1, true, frontend.ResponseMetadata{LoadReport: -1})
@@ -35,7 +35,7 @@
 				s.UnlockDescriptor()
 			}
 		}
-		c.Write(healthCheckMessage)
+		write(c, healthCheckMessage)
 	}
 	raw, _ := c.(*net.TCPConn).SyscallConn()
 	_ = raw.Control(func(fd uintptr) {
@@ -59,7 +59,7 @@
 		c, s := x.connect()
 		// The library opens a connection before it has the poller watch it, and what is left to write in between is never
 		// written: clients are written to only once something has come from them.
-		c.Write(healthCheckMessage)
+		write(c, healthCheckMessage)
 		readAnswer(c)
 		x.onOwner(func() {
 			_ = unix.SetsockoptInt(s.Descriptor(), unix.SOL_SOCKET, unix.SO_SNDBUF, 8<<10)
@@ -72,13 +72,13 @@
 		if err != nil || len(all) != 30*(4096+13) {
 			fmt.Println(len(all), err)
 		}
-		c.Close()
+		closeAll(c)
 		if code := <-x.closed; code != "unused" {
 			fmt.Println(code)
 		}
 	}
 	c, s := x.connect()
-	defer c.Close()
+	defer closeAll(c)
 	x.onOwner(func() {
 		for i := range 4000 {
 			s.Succeed(uint32(i), make([]byte, 4096), frontend.ResponseMetadata{LoadReport: -1})
--- a/internal/transport/descriptor_test.go
+++ b/internal/transport/descriptor_test.go
@@ -23,15 +23,15 @@
 	_ = first
 	connects := x.prepareConnects(12)
 	free := x.holdNextRead()
-	other.Write(healthCheckMessage)
+	write(other, healthCheckMessage)
 	<-x.held
 	// With the poller standing, in this order: something to read, and two ends.
 	then := x.holdNextRead()
-	second.Write(healthCheckMessage)
+	write(second, healthCheckMessage)
 	waitReady(s.Descriptor(), unix.POLLIN)
-	third.Close()
+	closeAll(third)
 	waitReady(s3.Descriptor(), unix.POLLRDHUP)
-	fourth.Close()
+	closeAll(fourth)
 	waitReady(s4.Descriptor(), unix.POLLRDHUP)
 	close(free)
 	<-x.held // it has fetched all three, and stands in the first
@@ -43,7 +43,7 @@
 	close(then)
 	fmt.Println(<-x.closed, <-x.closed)
 	again, _ := x.connect() // the poller has taken all that it had fetched
-	again.Write(healthCheckMessage)
+	write(again, healthCheckMessage)
 	fmt.Println(readAnswer(again))
 	for _, s := range later {
 		if fd, open := s.LockDescriptor(); !open {
@@ -61,7 +61,7 @@
 // already: the client's connection is left as it is.
 func Example_lingerOfAnother() {
 	x := newTestNet()
-	l, _ := net.Listen("tcp", "127.0.0.1:0")
+	l := listen()
 	var calls []*database.Conn
 	var far []net.Conn
 	for range 2 {
@@ -80,7 +80,7 @@
 	connects := x.prepareConnects(12)
 	x.onOwner(func() {
 		for i, d := range calls {
-			far[i].Close()
+			closeAll(far[i])
 			// Until the poller has closed it, which the owner has not heard yet.
 			for gone := false; !gone; time.Sleep(time.Millisecond) {
 				_, err := unix.FcntlInt(uintptr(d.Descriptor()), unix.F_GETFD, 0)
--- a/internal/transport/dial_test.go
+++ b/internal/transport/dial_test.go
@@ -28,8 +28,8 @@
 	}
 	_, s := x.connect()
 	fmt.Println("accepted", at(s.Conn))
-	l, _ := net.Listen("tcp", "127.0.0.1:0")
-	defer l.Close() // kept until then: the collector closes one that is out of use, and what stands there is reset
+	l := listen()
+	defer closeAll(l) // kept until then: the collector closes one that is out of use, and what stands there is reset
 	addr := l.Addr().String()
 	var stands sync.WaitGroup
 	ready := func(error) { stands.Done() }
@@ -53,7 +53,7 @@
 func Example_swallowedDials() {
 	x := newTestNet()
 	hole := blackHoleAddr()
-	l, _ := net.Listen("tcp", "127.0.0.1:0")
+	l := listen()
 	refused := make(chan error, 99)
 	var calls []*database.Conn
 	x.onOwner(func() {
@@ -78,7 +78,7 @@
 		database.Dial(x.Net, l.Addr().String(), func(err error) { refused <- err }).OnClose = func(string) {}
 	})
 	fmt.Println(<-refused, time.Since(began) < 5*time.Second) // ten times two seconds otherwise
-	l.Close()
+	closeAll(l)
 	// Output:
 	// <nil> true
 }
@@ -97,8 +97,9 @@
 	}
 	at, _ := unix.Getsockname(fd)
 	addr := fmt.Sprintf("127.0.0.1:%d", at.(*unix.SockaddrInet4).Port)
+	dialer := net.Dialer{Timeout: 100 * time.Millisecond}
 	for {
-		if _, err := net.DialTimeout("tcp", addr, 100*time.Millisecond); err != nil {
+		if _, err := dialer.DialContext(context.Background(), "tcp", addr); err != nil {
 			return addr
 		}
 	}
@@ -115,7 +116,7 @@
 	if err != nil {
 		panic(err)
 	}
-	defer far.Close()
+	defer closeAll(far)
 	x := newTestNet()
 	l := x.NewDialed(transport.DialOptions{Peer: transport.PeerDatabase})
 	l.SetHandler(transport.Handler{Parse: func([]byte) (int, func(), error) { return 0, nil, nil }})
@@ -163,17 +164,14 @@
 	before := nbio.MaxOpenFiles
 	x := newTestNetWithLimit(64)
 	defer func() { nbio.MaxOpenFiles = before }()
-	far, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		panic(err)
-	}
-	defer far.Close()
+	far := listen()
+	defer closeAll(far)
 	for { // numbers up to the table's end are taken
 		fd, err := unix.FcntlInt(0, unix.F_DUPFD_CLOEXEC, 3)
 		if err != nil {
 			panic(err)
 		}
-		defer unix.Close(fd)
+		defer func() { _ = unix.Close(fd) }()
 		if fd >= nbio.MaxOpenFiles {
 			break
 		}
--- a/internal/transport/testnet_test.go
+++ b/internal/transport/testnet_test.go
@@ -1,6 +1,7 @@
 package transport_test
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -104,7 +105,8 @@
 
 // connect connects and gives both ends.
 func (x *testNet) connect() (net.Conn, *rpc.ServerConn) {
-	c, err := net.Dial("tcp", x.ListenAddr().String())
+	var dialer net.Dialer
+	c, err := dialer.DialContext(context.Background(), "tcp", x.ListenAddr().String())
 	if err != nil {
 		panic(err)
 	}
@@ -153,8 +155,33 @@
 	for {
 		if n, err := unix.Poll(p, 10000); n == 1 && p[0].Revents&events != 0 {
 			return
-		} else if err != syscall.EINTR {
+		} else if !errors.Is(err, syscall.EINTR) {
 			panic(fmt.Sprint("nothing comes: ", n, err))
 		}
 	}
 }
+
+// listen listens on a free port of the loopback address.
+func listen() net.Listener {
+	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		panic(err)
+	}
+	return listener
+}
+
+// write writes to a connection that stands.
+func write(c net.Conn, b []byte) {
+	if _, err := c.Write(b); err != nil {
+		panic(err)
+	}
+}
+
+// closeAll closes what was not closed before.
+func closeAll(closers ...io.Closer) {
+	for _, closer := range closers {
+		if err := closer.Close(); err != nil {
+			panic(err)
+		}
+	}
+}
--- a/internal/transport/tls_stream.go
+++ b/internal/transport/tls_stream.go
@@ -1,6 +1,7 @@
 package transport
 
 import (
+	"context"
 	"crypto/tls"
 	"errors"
 	"io"
@@ -46,7 +47,8 @@
 // serve shakes hands and reads until the connection ends.
 func (s *tlsStream) serve() {
 	n := s.owner.net
-	err := s.conn.Handshake()
+	// The front end closes a connection whose handshake takes too long.
+	err := s.conn.HandshakeContext(context.Background())
 	s.established.Store(err == nil)
 	n.tlsListener.handshakes.Add(-1)
 	if err != nil {
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -8,8 +8,8 @@
 // errUnreadLimit closes a connection whose peer leaves too much unread.
 var errUnreadLimit = errors.New("peer leaves too much unread")
 
-// OutputBuffer gives what was gathered for the next flush, to append a message of at most BufferSize to; SetOutput has to
-// follow.
+// OutputBuffer gives what was gathered for the next flush, to append a message of at most BufferSize to. SetOutput has
+// to follow.
 func (c *Conn) OutputBuffer() []byte {
 	if c.output == nil {
 		c.output = c.net.Get()
