--- /dev/null
+++ b/internal/diagnostic/diagnostic_test.go
@@ -0,0 +1,64 @@
+package diagnostic
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+)
+
+func Example() {
+	lines, duplicates := JSONLines([]byte("{\"a\":1,\n \"b\":[{\"c\":2},\n  {\"c\":3,\"c\":4}],\n\n \"d\":{}}"))
+	fmt.Println(lines["a"], lines["b.0.c"], lines["b.1.c"], lines["d"], duplicates)
+	lines, _ = JSONLines([]byte(strings.Repeat("[", 100)))
+	fmt.Println(len(lines) < 50)
+	fmt.Println(List{{File: "f", Line: 3, Name: "a.b", Value: strings.Repeat("x", 70), Want: "wants less"}, {}})
+	fmt.Println(List(nil).Err())
+	// Output:
+	// 1 2 3 5 [b.1.c]
+	// true
+	// f:3: a.b: is "xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx"..., wants less (and 1 more)
+	// <nil>
+}
+
+func TestDiagnosticError(t *testing.T) {
+	for want, diagnostic := range map[string]Diagnostic{
+		`f: can't be read`:               {File: "f", Want: "can't be read"},
+		`f:2: wants a section`:           {File: "f", Line: 2, Want: "wants a section"},
+		`f:2: a: wants a number`:         {File: "f", Line: 2, Name: "a", Want: "wants a number"},
+		`f: a: is "x\"", wants a number`: {File: "f", Name: "a", Value: `x"`, Want: "wants a number"},
+	} {
+		if got := diagnostic.Error(); got != want {
+			t.Errorf("got %s, want %s", got, want)
+		}
+	}
+}
+
+// As an error a list is in the order of its lines, and those of one line in the order in which they were found.
+func TestListErr(t *testing.T) {
+	err := List{{Line: 3, Name: "c"}, {Line: 1, Name: "a"}, {Line: 1, Name: "b"}}.Err()
+	var list List
+	if !errors.As(fmt.Errorf("check: %w", err), &list) || len(list) != 3 {
+		t.Fatalf("%v is no list of 3", err)
+	}
+	for i, want := range []string{"a", "b", "c"} {
+		if list[i].Name != want {
+			t.Errorf("diagnostic %d is %s, want %s", i, list[i].Name, want)
+		}
+	}
+}
+
+// A text that can't be read gives the lines up to there, and no more.
+func TestJSONLinesOfBrokenText(t *testing.T) {
+	for text, want := range map[string]string{
+		``:                          `map[]`,
+		`{"a":1,` + "\n" + `"b" 2}`: `map[:1 a:1 b:2]`,
+		`{"a":[1` + "\n" + `}`:      `map[:1 a:1 a.0:1]`,
+		"\n\n7":                     `map[:3]`,
+	} {
+		lines, duplicates := JSONLines([]byte(text))
+		if got := fmt.Sprint(lines); got != want || duplicates != nil {
+			t.Errorf("%q: got %s with duplicates %v, want %s", text, got, duplicates, want)
+		}
+	}
+}
