--- /dev/null
+++ b/internal/fake/broker/broker_test.go
@@ -0,0 +1,300 @@
+package broker
+
+import (
+	"errors"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	amqp "github.com/rabbitmq/amqp091-go"
+)
+
+// timeout is far longer than anything here takes.
+const timeout = 10 * time.Second
+
+// open starts a broker and opens a channel there.
+func open(t *testing.T) (*Broker, *amqp.Channel) {
+	t.Helper()
+	b := New()
+	t.Cleanup(b.Close)
+	return b, openChannel(t, b)
+}
+
+func openChannel(t *testing.T, b *Broker) *amqp.Channel {
+	t.Helper()
+	conn, err := amqp.Dial(b.URL())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() })
+	ch, err := conn.Channel()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return ch
+}
+
+func consume(t *testing.T, ch *amqp.Channel, queueName string) <-chan amqp.Delivery {
+	t.Helper()
+	deliveries, err := ch.Consume(queueName, "", false, false, false, false, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return deliveries
+}
+
+func next(t *testing.T, deliveries <-chan amqp.Delivery) amqp.Delivery {
+	t.Helper()
+	select {
+	case d, open := <-deliveries:
+		if !open {
+			t.Fatal("the deliveries ended")
+		}
+		return d
+	case <-time.After(timeout):
+		t.Fatal("no delivery")
+	}
+	return amqp.Delivery{}
+}
+
+func waitForCounts(t *testing.T, b *Broker, queueName string, want Counts) {
+	t.Helper()
+	for end := time.Now().Add(timeout); b.Counts(queueName) != want; time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("%s has %+v, want %+v", queueName, b.Counts(queueName), want)
+		}
+	}
+}
+
+// All properties of a message arrive as they were published, with a body over the size of a frame.
+func TestMessageRoundTrip(t *testing.T) {
+	b, ch := open(t)
+	b.DeclareQueue("q", nil)
+	want := amqp.Publishing{
+		ContentType:     "type",
+		ContentEncoding: "encoding",
+		Headers: amqp.Table{"b": true, "i": int32(-3), "l": int64(1 << 40), "d": 0.5, "s": "text", "x": []byte{0, 255},
+			"T": time.Unix(1764576000, 0), "F": amqp.Table{"in": "side"}, "A": []any{"a", int32(1)}, "V": nil},
+		DeliveryMode:  2,
+		Priority:      3,
+		CorrelationId: "correlation",
+		ReplyTo:       "reply",
+		Expiration:    "60000",
+		MessageId:     "message",
+		Timestamp:     time.Unix(1764576001, 0),
+		Type:          "kind",
+		UserId:        "guest",
+		AppId:         "app",
+		Body:          []byte(strings.Repeat("body", maxFrameBytes/2)),
+	}
+	if err := ch.PublishWithContext(t.Context(), "", "q", false, false, want); err != nil {
+		t.Fatal(err)
+	}
+	d := next(t, consume(t, ch, "q"))
+	got := amqp.Publishing{
+		ContentType:     d.ContentType,
+		ContentEncoding: d.ContentEncoding,
+		Headers:         d.Headers,
+		DeliveryMode:    d.DeliveryMode,
+		Priority:        d.Priority,
+		CorrelationId:   d.CorrelationId,
+		ReplyTo:         d.ReplyTo,
+		Expiration:      d.Expiration,
+		MessageId:       d.MessageId,
+		Timestamp:       d.Timestamp,
+		Type:            d.Type,
+		UserId:          d.UserId,
+		AppId:           d.AppId,
+		Body:            d.Body,
+	}
+	if !reflect.DeepEqual(got, want) {
+		got.Body, want.Body = nil, nil
+		t.Errorf("got %+v, want %+v, or the bodies differ", got, want)
+	}
+	if d.RoutingKey != "q" || d.Redelivered {
+		t.Errorf("got routing key %q, redelivered %v", d.RoutingKey, d.Redelivered)
+	}
+}
+
+// Prefetch bounds what is unsettled; what is requeued comes first again, as redelivered; each settlement is counted.
+func TestSettlement(t *testing.T) {
+	b, ch := open(t)
+	for _, body := range []string{"a", "b", "c"} {
+		b.Publish("q", amqp.Publishing{Body: []byte(body)})
+	}
+	if err := ch.Qos(1, 0, false); err != nil {
+		t.Fatal(err)
+	}
+	deliveries := consume(t, ch, "q")
+	first := next(t, deliveries)
+	waitForCounts(t, b, "q", Counts{Published: 3, Delivered: 1, Ready: 2, Unsettled: 1, Consumers: 1})
+	if err := first.Nack(false, true); err != nil {
+		t.Fatal(err)
+	}
+	again := next(t, deliveries)
+	if string(again.Body) != "a" || !again.Redelivered {
+		t.Errorf("got %q, redelivered %v, behind a requeue of a", again.Body, again.Redelivered)
+	}
+	if err := again.Ack(false); err != nil {
+		t.Fatal(err)
+	}
+	if err := next(t, deliveries).Reject(false); err != nil {
+		t.Fatal(err)
+	}
+	next(t, deliveries)
+	waitForCounts(t, b, "q", Counts{Published: 3, Delivered: 4, Redelivered: 1, Acked: 1, Requeued: 1, Rejected: 1,
+		Unsettled: 1, Consumers: 1})
+	if violations := b.Violations(); violations != nil {
+		t.Error(violations)
+	}
+}
+
+// An unknown delivery tag closes the channel, and what it had is ready again.
+func TestUnknownDeliveryTag(t *testing.T) {
+	b, ch := open(t)
+	b.Publish("q", amqp.Publishing{})
+	next(t, consume(t, ch, "q"))
+	closed := ch.NotifyClose(make(chan *amqp.Error, 1))
+	if err := ch.Ack(7, false); err != nil {
+		t.Fatal(err)
+	}
+	if err := <-closed; err == nil || err.Code != replyPreconditionFailed {
+		t.Errorf("closed with %v", err)
+	}
+	waitForCounts(t, b, "q", Counts{Published: 1, Delivered: 1, Requeued: 1, Ready: 1})
+	if violations := b.Violations(); len(violations) != 1 {
+		t.Errorf("got %q, want one violation", violations)
+	}
+}
+
+// The higher priority is delivered first, and of one priority what came first.
+func TestPriorities(t *testing.T) {
+	b, ch := open(t)
+	b.DeclareQueue("q", amqp.Table{"x-max-priority": 9})
+	for _, p := range []amqp.Publishing{{Priority: 1, Body: []byte("c")}, {Priority: 5, Body: []byte("a")},
+		{Priority: 1, Body: []byte("d")}, {Priority: 5, Body: []byte("b")}} {
+		b.Publish("q", p)
+	}
+	deliveries := consume(t, ch, "q")
+	for _, want := range []string{"a", "b", "c", "d"} {
+		if got := next(t, deliveries); string(got.Body) != want {
+			t.Errorf("got %s, want %s", got.Body, want)
+		}
+	}
+}
+
+// What expires, by its own time or the queue's, and what is rejected is dead-lettered, with a count for each reason.
+func TestDeadLetters(t *testing.T) {
+	b, ch := open(t)
+	b.DeclareQueue("dead", nil)
+	b.DeclareQueue("q", amqp.Table{"x-dead-letter-exchange": "", "x-dead-letter-routing-key": "dead"})
+	b.DeclareQueue("short", amqp.Table{"x-message-ttl": 1, "x-dead-letter-exchange": "", "x-dead-letter-routing-key": "q"})
+	b.Publish("short", amqp.Publishing{Expiration: "60000", Body: []byte("m")})
+	if err := next(t, consume(t, ch, "q")).Reject(false); err != nil {
+		t.Fatal(err)
+	}
+	d := next(t, consume(t, ch, "dead"))
+	want := []any{
+		amqp.Table{"queue": "q", "reason": "rejected", "count": int64(1), "exchange": ""},
+		amqp.Table{"queue": "short", "reason": "expired", "count": int64(1), "exchange": ""},
+	}
+	if !reflect.DeepEqual(d.Headers["x-death"], want) || d.Expiration != "" {
+		t.Errorf("got %v, expiration %q, want %v", d.Headers["x-death"], d.Expiration, want)
+	}
+	got := addDeath(want, "short", "expired", "e")
+	counted := []any{amqp.Table{"queue": "short", "reason": "expired", "count": int64(2), "exchange": "e"}, want[0]}
+	if !reflect.DeepEqual(got, counted) {
+		t.Errorf("a second expiry: got %v, want %v", got, counted)
+	}
+}
+
+// Of the message's time to live and the queue's the shorter one counts; one under 0 is none.
+func TestTTL(t *testing.T) {
+	for _, tc := range []struct {
+		own     string
+		ofQueue any
+		want    time.Duration
+		expires bool
+	}{
+		{own: ""},
+		{own: "5", want: 5 * time.Millisecond, expires: true},
+		{own: "5", ofQueue: 3, want: 3 * time.Millisecond, expires: true},
+		{own: "5", ofQueue: int64(7), want: 5 * time.Millisecond, expires: true},
+		{own: "-5", ofQueue: int32(7), want: 7 * time.Millisecond, expires: true},
+		{own: "x", ofQueue: "text"},
+	} {
+		q := &queue{args: amqp.Table{"x-message-ttl": tc.ofQueue}}
+		ttl, expires := q.ttlOf(&message{Publishing: amqp.Publishing{Expiration: tc.own}})
+		if expires != tc.expires || expires && ttl != tc.want {
+			t.Errorf("%q in a queue with %v: got %v, %v", tc.own, tc.ofQueue, ttl, expires)
+		}
+	}
+}
+
+// A login with a wrong password, or while logins are refused, is.
+func TestLogin(t *testing.T) {
+	b, _ := open(t)
+	if _, err := amqp.Dial("amqp://guest:other@" + b.Addr() + "/"); err == nil {
+		t.Error("a wrong password is let in")
+	}
+	b.RefuseLogins(true)
+	if _, err := amqp.Dial(b.URL()); err == nil {
+		t.Error("refused logins are let in")
+	}
+	if accepted, _ := b.Connections(); accepted != 3 {
+		t.Errorf("accepted %d connections, want 3", accepted)
+	}
+}
+
+// A fault ends the connection at its frame, in whichever direction that goes; connections behind it are not touched.
+func TestFaults(t *testing.T) {
+	for _, mode := range []FaultMode{Disconnect, TruncateFrame} {
+		for frame := 1; frame <= 6; frame++ {
+			b := New()
+			b.SetFaults(Fault{Connection: 1, Frame: frame, Mode: mode})
+			b.Publish("q", amqp.Publishing{Body: []byte("m")})
+			if exchangeFrames(b) == nil {
+				t.Errorf("mode %d at frame %d shows nothing", mode, frame)
+			}
+			if got := b.FrameCount(1); got < frame { // replies to the frame are counted too
+				t.Errorf("mode %d: %d frames, want at least %d", mode, got, frame)
+			}
+			b.Publish("q", amqp.Publishing{Body: []byte("m")})
+			if err := exchangeFrames(b); err != nil {
+				t.Errorf("the second connection: %v", err)
+			}
+			b.Close()
+		}
+	}
+}
+
+// exchangeFrames opens a channel, has a message delivered, and tells what went wrong. The message is there with the
+// 7th frame.
+func exchangeFrames(b *Broker) error {
+	conn, err := amqp.Dial(b.URL())
+	if err != nil {
+		return err
+	}
+	defer func() { _ = conn.Close() }()
+	closed := conn.NotifyClose(make(chan *amqp.Error, 1))
+	ch, err := conn.Channel()
+	if err != nil {
+		return err
+	}
+	deliveries, err := ch.Consume("q", "", true, false, false, false, nil)
+	if err != nil {
+		return err
+	}
+	select {
+	case _, open := <-deliveries:
+		if !open {
+			return amqp.ErrClosed
+		}
+	case err := <-closed:
+		return err
+	case <-time.After(timeout):
+		return errors.New("no delivery")
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/fake/broker/queue.go
@@ -0,0 +1,226 @@
+package broker
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	amqp "github.com/rabbitmq/amqp091-go"
+)
+
+// The arguments of a queue that are followed.
+const (
+	argMaxPriority          = "x-max-priority"
+	argMessageTTL           = "x-message-ttl" // milliseconds
+	argDeadLetterExchange   = "x-dead-letter-exchange"
+	argDeadLetterRoutingKey = "x-dead-letter-routing-key"
+)
+
+// headerDeaths is the header that tells where a message was dead-lettered.
+const headerDeaths = "x-death"
+
+// The reasons of dead-lettering.
+const (
+	reasonExpired  = "expired"
+	reasonRejected = "rejected"
+)
+
+// queue is a queue. Guarded by Broker.mu, like all here.
+type queue struct {
+	name         string
+	args         amqp.Table
+	ready        []*message // by priority, where the queue has them, and sequence
+	consumers    []*consumer
+	nextConsumer int // the index of the one whose turn it is
+	counts       Counts
+}
+
+type message struct {
+	amqp.Publishing
+	sequence    uint64 // 0 until it is in a queue
+	routingKey  string
+	redelivered bool
+}
+
+// consumer is a consumer of a queue on a channel.
+type consumer struct {
+	tag     string
+	channel *channel
+	queue   *queue
+	noAck   bool
+}
+
+// hasRoom tells whether the consumer's channel may be sent one more message.
+func (c *consumer) hasRoom() bool {
+	return c.channel.prefetch == 0 || len(c.channel.unsettled) < c.channel.prefetch
+}
+
+func (b *Broker) declare(name string, args amqp.Table) *queue {
+	q := b.queues[name]
+	if q == nil {
+		q = &queue{name: name, args: args}
+		b.queues[name] = q
+	}
+	return q
+}
+
+// enqueue puts a message into a queue: a new one at the end, another one where it was.
+func (b *Broker) enqueue(q *queue, added *message) {
+	if added.sequence == 0 {
+		b.lastSequence++
+		added.sequence = b.lastSequence
+		q.counts.Published++
+	}
+	index, _ := slices.BinarySearchFunc(q.ready, added, q.compare)
+	q.ready = slices.Insert(q.ready, index, added)
+	if ttl, expires := q.ttlOf(added); expires {
+		time.AfterFunc(ttl, func() { b.expire(q, added) })
+	}
+	b.deliver(q)
+}
+
+// compare is the order of the queue.
+func (q *queue) compare(x, y *message) int {
+	if _, hasPriorities := q.args[argMaxPriority]; hasPriorities && x.Priority != y.Priority {
+		return int(y.Priority) - int(x.Priority)
+	}
+	return int(x.sequence) - int(y.sequence)
+}
+
+// ttlOf tells how long a message may be ready: the shorter one of its own time and the queue's.
+func (q *queue) ttlOf(m *message) (ttl time.Duration, expires bool) {
+	if own, err := time.ParseDuration(m.Expiration + "ms"); err == nil {
+		ttl = own
+		expires = own >= 0
+	}
+	if ms, hasTTL := toInt64(q.args[argMessageTTL]); hasTTL {
+		if ofQueue := time.Duration(ms) * time.Millisecond; !expires || ofQueue < ttl {
+			ttl = ofQueue
+			expires = ofQueue >= 0
+		}
+	}
+	return ttl, expires
+}
+
+func toInt64(x any) (value int64, isInteger bool) {
+	switch x := x.(type) {
+	case int:
+		return int64(x), true
+	case int32:
+		return int64(x), true
+	case int64:
+		return x, true
+	}
+	return 0, false
+}
+
+func (b *Broker) expire(q *queue, m *message) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	index := slices.Index(q.ready, m)
+	if index < 0 { // it was delivered, or drained
+		return
+	}
+	q.ready = slices.Delete(q.ready, index, index+1)
+	q.counts.Expired++
+	b.deadLetter(q, m, reasonExpired)
+}
+
+// deadLetter moves a message to where its queue tells, with a count in x-death as RabbitMQ's extension has it.
+func (b *Broker) deadLetter(q *queue, m *message, reason string) {
+	exchange, found := q.args[argDeadLetterExchange].(string)
+	if !found {
+		return
+	}
+	key, found := q.args[argDeadLetterRoutingKey].(string)
+	if !found {
+		key = m.routingKey
+	}
+	p := m.Publishing
+	p.Expiration = ""
+	p.Headers = amqp.Table{}
+	maps.Copy(p.Headers, m.Headers)
+	p.Headers[headerDeaths] = addDeath(p.Headers[headerDeaths], q.name, reason, exchange)
+	b.route(exchange, key, p)
+}
+
+// addDeath counts one more death in a queue for a reason, and puts it first.
+func addDeath(earlier any, queueName, reason, exchange string) []any {
+	count := int64(1)
+	others, _ := earlier.([]any)
+	others = slices.DeleteFunc(slices.Clone(others), func(x any) bool {
+		death, isTable := x.(amqp.Table)
+		if !isTable || death["queue"] != queueName || death["reason"] != reason {
+			return false
+		}
+		n, _ := toInt64(death["count"])
+		count += n
+		return true
+	})
+	death := amqp.Table{"queue": queueName, "reason": reason, "count": count, "exchange": exchange}
+	return append([]any{death}, others...)
+}
+
+// route puts a message into the queues that its routing key is bound to. Without one it is lost.
+func (b *Broker) route(exchange, key string, p amqp.Publishing) {
+	names := []string{key} // of the default exchange
+	if exchange != "" {
+		names = b.bindings[exchange][key]
+	}
+	for _, name := range names {
+		if q := b.queues[name]; q != nil {
+			b.enqueue(q, &message{Publishing: p, routingKey: key})
+		}
+	}
+}
+
+func (b *Broker) bind(queueName, exchange, key string) {
+	b.declareExchange(exchange)
+	b.bindings[exchange][key] = append(b.bindings[exchange][key], queueName)
+}
+
+func (b *Broker) declareExchange(name string) {
+	if b.bindings[name] == nil {
+		b.bindings[name] = map[string][]string{}
+	}
+}
+
+// deliver delivers what is ready to consumers with room, in turn.
+func (b *Broker) deliver(q *queue) {
+	for len(q.ready) > 0 {
+		receiver := q.takeTurn()
+		if receiver == nil {
+			return
+		}
+		m := q.ready[0]
+		q.ready = q.ready[1:]
+		q.counts.Delivered++
+		if m.redelivered {
+			q.counts.Redelivered++
+		}
+		receiver.channel.deliver(receiver, m)
+	}
+}
+
+// takeTurn gives the next consumer with room; nil: there is none.
+func (q *queue) takeTurn() *consumer {
+	for i := range q.consumers {
+		index := (q.nextConsumer + i) % len(q.consumers)
+		if c := q.consumers[index]; c.hasRoom() {
+			q.nextConsumer = (index + 1) % len(q.consumers)
+			return c
+		}
+	}
+	return nil
+}
+
+func (q *queue) removeConsumer(removed *consumer) {
+	q.consumers = slices.DeleteFunc(q.consumers, func(c *consumer) bool { return c == removed })
+}
+
+// requeue puts a delivery in its queue again, where it was, as redelivered.
+func (b *Broker) requeue(u unsettled) {
+	u.message.redelivered = true
+	u.queue.counts.Requeued++
+	b.enqueue(u.queue, u.message)
+}
