--- a/internal/fake/broker/broker_test.go
+++ b/internal/fake/broker/broker_test.go
@@ -282,7 +282,7 @@
 	if err != nil {
 		return err
 	}
-	deliveries, err := ch.Consume("q", "", true, false, false, false, nil)
+	deliveries, err := ch.Consume("q", "", false, false, false, false, nil)
 	if err != nil {
 		return err
 	}
