--- /dev/null
+++ b/internal/rpc/golden_test.go
@@ -0,0 +1,167 @@
+package rpc
+
+import (
+	"bytes"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"lanewheel/internal/frontend"
+	"lanewheel/internal/goldentest"
+	"lanewheel/internal/transport"
+)
+
+// clientRead is what a client is told.
+type clientRead struct {
+	messageID   uint32
+	response    Response
+	goAway      bool
+	closeReason string
+}
+
+// serverRead is what a server is told of a client.
+type serverRead struct {
+	messageID     uint32
+	request       *frontend.Request
+	cancel        bool
+	healthCheck   bool
+	deep          bool
+	protocolError string
+}
+
+func readByServer(b []byte) (all []serverRead) {
+	l := transport.NewDetached()
+	l.Net().ReadTokens.Store(true)
+	l.Net().ReadHops.Store(true)
+	s := NewServerConn(l.Conn)
+	s.OnRequest = func(n uint32, a frontend.Request) { all = append(all, serverRead{messageID: n, request: &a}) }
+	s.OnCancel = func(n uint32) { all = append(all, serverRead{messageID: n, cancel: true}) }
+	s.OnHealthCheck = func(n uint32, deep bool) {
+		all = append(all, serverRead{messageID: n, healthCheck: true, deep: deep})
+	}
+	s.OnProtocolError = func(code string) { all = append(all, serverRead{protocolError: code}) }
+	l.Receive(b)
+	return all
+}
+
+func readByClient(b []byte) (all []clientRead) {
+	l := transport.NewDetached()
+	c := newClientConn(l.Conn)
+	handler := c.handler()
+	handler.OnUnreadable = func(code string) { all = append(all, clientRead{closeReason: code}) }
+	c.SetHandler(handler)
+	c.OnResponse = func(n uint32, a Response) { all = append(all, clientRead{messageID: n, response: a}) }
+	c.OnGoAway = func() { all = append(all, clientRead{goAway: true}) }
+	l.Receive(b)
+	return all
+}
+
+func goldenRequest() frontend.Request {
+	return frontend.Request{
+		ID:              "0123456789abcdef",
+		Class:           "view",
+		Tenant:          "acme",
+		Resource:        "k1",
+		SentUnixMilli:   1764576000123,
+		Caller:          4,
+		Timeout:         480 * time.Millisecond,
+		HasTimeout:      true,
+		WorkHint:        12500 * time.Microsecond,
+		MemoryKB:        24.5,
+		Rank:            0.625,
+		Token:           "abc.def",
+		Hops:            1,
+		NewIDPerAttempt: true,
+		Body:            []byte{0xff, 0xc1},
+	}
+}
+
+// goldenLongRequest has a text and a body past the short forms of their heads.
+func goldenLongRequest() frontend.Request {
+	a := goldenRequest()
+	a.Token, a.Body = strings.Repeat("t", 40), bytes.Repeat([]byte("b"), 300)
+	return a
+}
+
+// goldenMinimalRequest has nothing that may be left out.
+func goldenMinimalRequest() frontend.Request {
+	return frontend.Request{ID: "0123456789abcdef", Class: "view", NewIDPerAttempt: true, Body: []byte{}}
+}
+
+// What a client sends: our own client writes the stored bytes, and the server reads them as what was meant.
+func TestGoldenFromClients(t *testing.T) {
+	file := goldentest.Open(t, "testdata/rpc_from_client.golden")
+	long, minimal, full := goldenLongRequest(), goldenMinimalRequest(), goldenRequest()
+	written := func(write func(*ClientConn)) []byte {
+		l := transport.NewDetached()
+		write(newClientConn(l.Conn))
+		output, _ := l.Output()
+		return output
+	}
+	for _, tc := range []struct {
+		name  string
+		write func(*ClientConn) // nil: our client never sends it
+		want  serverRead
+	}{
+		{"request", func(c *ClientConn) { c.Send(7, full) }, serverRead{messageID: 7, request: &full}},
+		{"request-long", func(c *ClientConn) { c.Send(1<<32-1, long) }, serverRead{messageID: 1<<32 - 1, request: &long}},
+		{"request-least", func(c *ClientConn) { c.Send(1, minimal) }, serverRead{messageID: 1, request: &minimal}},
+		{"interrupt", func(c *ClientConn) { c.Cancel(7) }, serverRead{messageID: 7, cancel: true}},
+		{"check", nil, serverRead{messageID: 8, healthCheck: true}},
+		{"check-deep", nil, serverRead{messageID: 9, healthCheck: true, deep: true}},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			if tc.write != nil {
+				file.Check(tc.name, written(tc.write))
+			}
+			if got := readByServer(file.Bytes(tc.name)); !reflect.DeepEqual(got, []serverRead{tc.want}) {
+				t.Errorf("read as %+v, want %+v", got, tc.want)
+			}
+		})
+	}
+}
+
+// What a server sends to clients: it writes the stored bytes, and our own client reads them as what was meant.
+func TestGoldenToClients(t *testing.T) {
+	file := goldentest.Open(t, "testdata/rpc_to_client.golden")
+	metadata := frontend.ResponseMetadata{
+		LoadReport: 0.25,
+		RetryAfter: 1500 * time.Millisecond,
+		NoFailover: true,
+		Reason:     "type",
+	}
+	bare := frontend.ResponseMetadata{LoadReport: -1}
+	none, short, long := []byte{}, []byte{0, 255}, bytes.Repeat([]byte("r"), 300)
+	for _, tc := range []struct {
+		name  string
+		write func(*ServerConn)
+		want  clientRead
+	}{
+		{"result", func(s *ServerConn) { s.Succeed(7, short, metadata) },
+			clientRead{messageID: 7, response: Response{Metadata: metadata, Result: short}}},
+		{"result-long", func(s *ServerConn) { s.Succeed(1<<32-1, long, bare) },
+			clientRead{messageID: 1<<32 - 1, response: Response{Metadata: bare, Result: long}}},
+		{"busy", func(s *ServerConn) { s.Reject(8, metadata) },
+			clientRead{messageID: 8, response: Response{Error: "Busy", Metadata: metadata, Result: none}}},
+		{"failed", func(s *ServerConn) { s.Fail(9, metadata) },
+			clientRead{messageID: 9, response: Response{Error: "Failed", Metadata: metadata, Result: none}}},
+		{"denied", func(s *ServerConn) { s.Deny(10, metadata) },
+			clientRead{messageID: 10, response: Response{Error: "Denied", Metadata: metadata, Result: none}}},
+		{"check-good", func(s *ServerConn) { s.AnswerHealthCheck(11, true, metadata) },
+			clientRead{messageID: 11, response: Response{Metadata: metadata, Result: none}}},
+		{"check-bad", func(s *ServerConn) { s.AnswerHealthCheck(12, false, bare) },
+			clientRead{messageID: 12, response: Response{Metadata: bare, Result: none}}},
+		{"goaway", func(s *ServerConn) { s.GoAway() }, clientRead{goAway: true}},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			l := transport.NewDetached()
+			tc.write(NewServerConn(l.Conn))
+			output, _ := l.Output()
+			file.Check(tc.name, output)
+			if got := readByClient(file.Bytes(tc.name)); !reflect.DeepEqual(got, []clientRead{tc.want}) {
+				t.Errorf("read as %+v, want %+v", got, tc.want)
+			}
+		})
+	}
+}
--- a/internal/transport/golden_runtime_test.go
+++ b/internal/runtimelink/golden_test.go
@@ -1,4 +1,4 @@
-package transport
+package runtimelink
 
 import (
 	"reflect"
@@ -6,33 +6,35 @@
 	"time"
 
 	"lanewheel/internal/goldentest"
+	"lanewheel/internal/transport"
 )
 
-// What is said to the runtime.
+// What is sent to the runtime.
 func TestGoldenToRuntime(t *testing.T) {
 	file := goldentest.Open(t, "testdata/runtime_commands.golden")
 	const id = "0123456789abcdef"
 	for _, tc := range []struct {
 		name  string
-		write func(*RuntimeConn)
+		write func(*Conn)
 	}{
-		{"sync", func(r *RuntimeConn) { r.Sync(1<<64 - 1) }},
-		{"start", func(r *RuntimeConn) { r.Start(id, "a\"b\\\x01\u00e9", []byte{0, 255}) }},
-		{"stop", func(r *RuntimeConn) { r.Stop(id) }},
-		{"give", func(r *RuntimeConn) { r.SendCallReply(id, []byte("rows")) }},
-		{"omit", func(r *RuntimeConn) { r.SkipCall(id, 9) }},
-		{"gauges", func(r *RuntimeConn) { r.RequestGauges("look-1") }},
-		{"selftest", func(r *RuntimeConn) { r.RequestSelfTest("test-2") }},
+		{"sync", func(r *Conn) { r.Sync(1<<64 - 1) }},
+		{"start", func(r *Conn) { r.Start(id, "a\"b\\\x01\u00e9", []byte{0, 255}) }},
+		{"stop", func(r *Conn) { r.Stop(id) }},
+		{"give", func(r *Conn) { r.SendCallReply(id, []byte("rows")) }},
+		{"omit", func(r *Conn) { r.SkipCall(id, 9) }},
+		{"gauges", func(r *Conn) { r.RequestGauges("look-1") }},
+		{"selftest", func(r *Conn) { r.RequestSelfTest("test-2") }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r := &RuntimeConn{Conn: newTestConn()}
-			tc.write(r)
-			file.Check(tc.name, r.output)
+			l := transport.NewDetached()
+			tc.write(&Conn{Conn: l.Conn})
+			output, _ := l.Output()
+			file.Check(tc.name, output)
 		})
 	}
 }
 
-// What the runtime says. One line has all fields that are known, whatever kind has them, and some that are not;
+// What the runtime sends. One line has all fields that are known, whatever kind has them, and some that are not;
 // one has all escapes and all words of JSON.
 func TestGoldenFromRuntime(t *testing.T) {
 	file := goldentest.Open(t, "testdata/runtime_notices.golden")
@@ -48,23 +50,26 @@
 		{"wants", Event{Kind: "wants", Sequence: 4, RequestID: id, Body: []byte("ask")}},
 		{"end-success", Event{Kind: "end", Sequence: 5, RequestID: id, Status: "success", Elapsed: 41 * time.Millisecond,
 			Body: []byte{0, 255}}},
-		{"end-failure", Event{Kind: "end", Sequence: 6, RequestID: id, Status: "failure", Elapsed: 20 * time.Millisecond, Body: []byte{}}},
-		{"end-interrupted", Event{Kind: "end", Sequence: 7, RequestID: id, Status: "interrupted", Elapsed: 20 * time.Millisecond,
+		{"end-failure", Event{Kind: "end", Sequence: 6, RequestID: id, Status: "failure", Elapsed: 20 * time.Millisecond,
 			Body: []byte{}}},
+		{"end-interrupted", Event{Kind: "end", Sequence: 7, RequestID: id, Status: "interrupted",
+			Elapsed: 20 * time.Millisecond, Body: []byte{}}},
 		{"end-nothing", Event{Kind: "end", Sequence: 8, RequestID: id, Status: "nothing"}},
 		{"nack", Event{Kind: "nack", Sequence: 9, RequestID: id, Status: "start"}},
 		{"info", Event{Kind: "info", Sequence: 10, Status: "any"}},
-		{"all", Event{Kind: "k", RequestID: "r", Status: "s", CorrelationID: "m\"A/", Sequence: 11, Elapsed: time.Millisecond, Body: []byte("b"),
-			Gauges: []float64{-1.5, 0.1}}},
+		{"all", Event{Kind: "k", RequestID: "r", Status: "s", CorrelationID: "m\"A/", Sequence: 11, Elapsed: time.Millisecond,
+			Body: []byte("b"), Gauges: []float64{-1.5, 0.1}}},
 		{"escapes", Event{Kind: "info", CorrelationID: "\"\\/\b\f\n\r\t\u00e9\U0001f600"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var got []Event
-			r := &RuntimeConn{Conn: newTestConn()}
-			r.parse = r.parseLine
-			r.onUnreadable = func(code string) { t.Error(code) }
+			l := transport.NewDetached()
+			r := &Conn{Conn: l.Conn}
+			handler := r.handler()
+			handler.OnUnreadable = func(code string) { t.Error(code) }
+			r.SetHandler(handler)
 			r.OnEvent = func(n Event) { got = append(got, n) }
-			r.received(file.Bytes(tc.name))
+			l.Receive(file.Bytes(tc.name))
 			if !reflect.DeepEqual(got, []Event{tc.want}) {
 				t.Errorf("read as %+v, want %+v", got, tc.want)
 			}
