--- a/cmd/lanewheel-fleet/benchmark_test.go
+++ b/cmd/lanewheel-fleet/benchmark_test.go
@@ -63,12 +63,12 @@
 	writeFiles(dir, map[string]string{
 		"config.json": replacer.Replace(string(config)),
 		"keys":        clusterKeys("x"),
-		"relay.ini": "[relay]\n[fleet]\n" +
+		"proxy.ini": "[proxy]\n[fleet]\n" +
 			"listen = " + gossipAddr(33) + "\n" +
 			"seeds = " + gossipAddr(31) + "\n" +
-			"keys = keys\n",
+			"key-file = keys\n",
 	})
-	proxy := command("relay", "--operator", filepath.Join(dir, "relay.ini"))
+	proxy := command("proxy", "--operator", filepath.Join(dir, "proxy.ini"))
 	proxy.Env = append(os.Environ(), "RELAY_CONFIG="+filepath.Join(dir, "config.json"))
 	if err := proxy.Start(); err != nil {
 		b.Fatal(err)
--- a/cmd/lanewheel-fleet/main_test.go
+++ b/cmd/lanewheel-fleet/main_test.go
@@ -48,10 +48,10 @@
 // is fenced and told so, wherever it is, and leaves if its file says so. One that was paused over its successor's
 // start finds out when it goes on.
 func Example_fenced() {
-	const quick = "settle = 100ms\ngone-after = 500ms\n"
+	const quick = "settle-time = 100ms\ndead-after = 500ms\n"
 	a := startNode(nodeOptions{name: "a", host: 11, keys: "x", seeds: []int{11}, extra: quick})
 	defer a.stop(syscall.SIGKILL)
-	old := startNode(nodeOptions{name: "b", host: 12, keys: "x", seeds: []int{11}, extra: quick + "fenced = leave\n"})
+	old := startNode(nodeOptions{name: "b", host: 12, keys: "x", seeds: []int{11}, extra: quick + "when-fenced = drain\n"})
 	a.waitFor("b", "up")
 	old.waitFor("a", "up")
 	oldIncarnation := old.snapshot().Incarnation
--- a/cmd/lanewheel-fleet/node_test.go
+++ b/cmd/lanewheel-fleet/node_test.go
@@ -128,8 +128,8 @@
 	return "[fleet]\n" +
 		"listen = " + gossipAddr(o.host) + "\n" +
 		"seeds = " + strings.Join(seeds, ",") + "\n" +
-		"keys = keys\n" +
-		"watch = w\n" +
+		"key-file = keys\n" +
+		"status-socket = w\n" +
 		"warm-up = 0s\n" +
 		o.extra
 }
--- a/cmd/lanewheel/bench_test.go
+++ b/cmd/lanewheel/bench_test.go
@@ -91,14 +91,14 @@
 			if how == "plain" {
 				t = deployReady(roomyConfig...)
 			} else {
-				h := deployWithAuth("open = 8", "open = 0", "clients = asked", "clients = asked\nhandshake-rate = 10000")
+				h := deployWithAuth("max-in-flight = 8", "max-in-flight = 0", "client-certificates = optional", "client-certificates = optional\nhandshake-rate = 10000")
 				h.close()
 				operatorPath = h.path("op.ini")
 				h.deployment = deployReady(append(roomyConfig, `"tenants":[]`, `"tenants":[{"name":"water"},{"name":"roads"}]`)...)
 				operatorPath = ""
 				t = h.deployment
 				if how != "tls" {
-					token = h.token("k1", "water-1", "--for", "10h")
+					token = h.token("k1", "water-1", "--validity", "10h")
 				}
 				if how != "token" {
 					c := h.clientTLS("water-7")
@@ -125,7 +125,7 @@
 	const many = 500
 	for _, how := range []string{"plain", "tls"} {
 		b.Run(how, func(b *testing.B) {
-			h := deployWithAuth("clients = asked", "clients = asked\nhandshake-rate = 10000")
+			h := deployWithAuth("client-certificates = optional", "client-certificates = optional\nhandshake-rate = 10000")
 			h.close()
 			operatorPath = h.path("op.ini")
 			h.deployment = deployReady(roomyConfig...)
@@ -157,7 +157,7 @@
 			h := deployWithAuth()
 			defer h.close()
 			h.endRunsAtOnce()
-			good := h.token("k1", "water-1", "--for", "10h")
+			good := h.token("k1", "water-1", "--validity", "10h")
 			var stop atomic.Bool
 			var forged atomic.Int64
 			var all sync.WaitGroup
--- a/cmd/lanewheel/callers_test.go
+++ b/cmd/lanewheel/callers_test.go
@@ -23,14 +23,14 @@
 }
 
 const authOperatorFile = `[callers]
-writes = set
+write-classes = set
 [role crew]
-types = view, pay, list
-may = read, write
-open = 8
+classes = view, pay, list
+permissions = read, write
+max-in-flight = 8
 [role slow]
-types = view
-may = read, write
+classes = view
+permissions = read, write
 rate = 20
 burst = 2
 [caller water]
@@ -46,19 +46,19 @@
 tenant = water
 roles = slow
 [tokens]
-keys = keys
+key-dir = keys
 issuer = us
 audience = rota
 leeway = 1s
-look-every = 100ms
-revoked = revoked.txt
+key-reload-interval = 100ms
+revocation-file = revoked.txt
 [tls]
 listen = ADDR
 certificate = server.pem
 key = server.key
 authorities = ca/authority.pem
-revoked = ca/revoked.pem
-clients = asked
+revocation-lists = ca/revoked.pem
+client-certificates = optional
 `
 
 var authDeploymentCount int
@@ -178,7 +178,7 @@
 	fmt.Println(h.requestAnswer(s, 3, "token", roads, "tenant", "water"))
 	fmt.Println(h.requestAnswer(s, 4))
 	fmt.Println(h.requestAnswer(s, 5, "token", h.token("k1", "gas-1")))
-	fmt.Println(h.requestAnswer(s, 6, "token", h.token("k1", "water-1", "--for=-1m")))
+	fmt.Println(h.requestAnswer(s, 6, "token", h.token("k1", "water-1", "--validity=-1m")))
 	fmt.Println(h.requestAnswer(s, 7, "token", water[:len(water)-8]+"AAAAAAAA"))
 	fmt.Println(h.requestAnswer(s, 8, "token", water, "key", "k")) // a read
 	t := fake.Must(h.dialTLS(h.clientTLS("water-7")))
@@ -376,7 +376,7 @@
 		h.runtime.SendNotice("end", fake.RequestID(999998), "success", "x")
 	}
 	fmt.Println(strings.Contains(heard, `["Busy" map["after":`))
-	short := h.token("k1", "water-1", "--for", "1s")
+	short := h.token("k1", "water-1", "--validity", "1s")
 	s = h.client()
 	s.Send(fake.NewRequest(12, "view", fake.RequestID(12), nil, "token", short, "cost", "1500"))
 	fake.WaitFor("its start", func() bool { return strings.HasPrefix(h.runtime.NextCommand(), "start c ") })
@@ -391,7 +391,7 @@
 
 // Hundreds of connections that stop in the handshake keep nobody out for long; half a handshake has an end.
 func Example_stalledHandshakes() {
-	h := deployWithAuth("clients = asked", "clients = required\nhandshakes = 16\nhandshake-rate = 10000")
+	h := deployWithAuth("client-certificates = optional", "client-certificates = required\nmax-handshakes = 16\nhandshake-rate = 10000")
 	defer h.close()
 	var stalled []net.Conn
 	for range 200 {
@@ -426,7 +426,7 @@
 
 // However many connections stop in the handshake, no more than told hold a descriptor and memory; the others wait outside.
 func Example_handshakesAtATime() {
-	h := deployWithAuth("clients = asked", "clients = asked\nhandshakes = 4\nhandshake-rate = 10000")
+	h := deployWithAuth("client-certificates = optional", "client-certificates = optional\nmax-handshakes = 4\nhandshake-rate = 10000")
 	defer h.close()
 	held := func() (n int) {
 		for _, fd := range fake.Must(os.ReadDir(fmt.Sprintf("/proc/%d/fd", h.cmd.Process.Pid))) {
@@ -498,10 +498,10 @@
 
 // A token of single use is good for one op; the second is a replay.
 func Example_singleUse() {
-	h := deployWithAuth("revoked = revoked.txt", "single-use = yes\nsingle-use-remembered = 2")
+	h := deployWithAuth("revocation-file = revoked.txt", "single-use = yes\nmax-single-use-ids = 2")
 	defer h.close()
 	s := h.client()
-	first := h.token("k1", "water-1", "--jti", "a", "--for", "2s")
+	first := h.token("k1", "water-1", "--jti", "a", "--validity", "2s")
 	fmt.Println(h.requestAnswer(s, 1, "token", first), h.requestAnswer(s, 2, "token", first))
 	fmt.Println(h.requestAnswer(s, 3, "token", h.token("k1", "water-1", "--jti", "b")), h.requestAnswer(s, 4, "token", h.token("k1", "water-1", "--jti", "c")))
 	// Output:
--- a/cmd/lanewheel/main_test.go
+++ b/cmd/lanewheel/main_test.go
@@ -678,7 +678,7 @@
 	// 0 good.ini: good
 	// 1 bad.ini:2: log.format: is "xml", wants one of json, text
 	// bad.ini:3: log.formt: is no name of this section; wants format
-	// bad.ini:5: lgo: is no section; wants amqp, below, caller NAME, callers, fleet, grants, handover, log, queue NAME, relay, role NAME, steward, tls, tokens
+	// bad.ini:5: lgo: is no section; wants allocator, amqp, caller NAME, callers, coordinator, fleet, log, proxy, queue NAME, role NAME, spillover, tls, tokens, upstream
 	// bad.ini:6: log: stands in line 1 already
 	// 1 bad.json:2: roster: is "7", wants text
 	// bad.json:3: limits.cores: is "-1", wants a number over 0
@@ -689,7 +689,7 @@
 
 // A newcomer's first command: it starts, serves, ends with its table, and all that was asked is in it.
 func Example_try() {
-	text := runCommand("try", "--for", "1s", "--rate", "100", "--mean", "1ms")
+	text := runCommand("try", "--duration", "1s", "--rate", "100", "--mean-run-time", "1ms")
 	lines := strings.Split(strings.TrimSpace(text), "\n")
 	fmt.Println(text[:2], strings.Contains(text, "an instance serves at 127.0.0.1:"))
 	for _, line := range lines {
--- a/cmd/lanewheel/queue_test.go
+++ b/cmd/lanewheel/queue_test.go
@@ -27,12 +27,12 @@
 const queueOperatorFile = `[amqp]
 brokers = URL
 heartbeat = 10s
-watch = WATCH
+status-socket = WATCH
 [queue ops]
-dead-letters = dead
-rank-default = 0.5
-kb-default = 1
-floor = 4
+dead-letter-queue = dead
+default-rank = 0.5
+default-kb = 1
+min-in-flight = 4
 `
 
 // deployWithQueue starts one; changes are pairs of text to replace in the town's configuration.
@@ -162,7 +162,7 @@
 
 // At SIGTERM consuming stops, what runs is answered and acked, what was not started goes back, and the program ends with 0.
 func Example_queueDrain() {
-	d := deployWithQueue(strings.Replace(queueOperatorFile, "floor = 4", "floor = 30", 1))
+	d := deployWithQueue(strings.Replace(queueOperatorFile, "min-in-flight = 4", "min-in-flight = 30", 1))
 	defer d.close()
 	for i := range 60 {
 		d.broker.Publish("ops", queueMessage(fmt.Sprintf("m%02d", i), "view"))
@@ -294,7 +294,7 @@
 //	go test -run xxx -bench Waiting -benchtime 1x ./cmd/lanewheel
 func BenchmarkWaiting(b *testing.B) {
 	const many = 5000 // of 6,144 ops for which 192 MB have room
-	d := deployWithQueue(strings.NewReplacer("floor = 4", "floor = 5000\nmost = 5000", "[queue", "in-hand = 5000\n[queue").Replace(strings.Replace(queueOperatorFile, "floor = 4", "floor = 1000\nmost = 5000", 1)), roomyConfig...)
+	d := deployWithQueue(strings.NewReplacer("min-in-flight = 4", "min-in-flight = 5000\nmax-in-flight = 5000", "[queue", "max-in-flight = 5000\n[queue").Replace(strings.Replace(queueOperatorFile, "min-in-flight = 4", "min-in-flight = 1000\nmax-in-flight = 5000", 1)), roomyConfig...)
 	defer d.close()
 	before := residentKB(d.cmd.Process.Pid)
 	go func() {
@@ -318,7 +318,7 @@
 //
 //	go test -run xxx -bench Messages -benchtime 30000x ./cmd/lanewheel
 func BenchmarkMessages(b *testing.B) {
-	d := deployWithQueue(strings.Replace(queueOperatorFile, "floor = 4", "floor = 64\nmost = 128", 1), roomyConfig...)
+	d := deployWithQueue(strings.Replace(queueOperatorFile, "min-in-flight = 4", "min-in-flight = 64\nmax-in-flight = 128", 1), roomyConfig...)
 	defer d.close()
 	d.endRunsAtOnce()
 	before, held := cpuTime(d.cmd.Process.Pid), residentKB(d.cmd.Process.Pid)
--- a/cmd/lanewheel/services_test.go
+++ b/cmd/lanewheel/services_test.go
@@ -21,7 +21,7 @@
 	defer b.Listener.Close()
 	operatorPath = filepath.Join(tempDir, "services.ini")
 	defer func() { operatorPath = "" }()
-	text := fmt.Sprintf("[below]\nservices = %s, %s\ncalls = 1\nlongest = 700ms\n", a.Addr(), b.Addr())
+	text := fmt.Sprintf("[upstream]\naddresses = %s, %s\nmax-concurrency = 1\ncall-timeout = 700ms\n", a.Addr(), b.Addr())
 	if err := os.WriteFile(operatorPath, []byte(text), 0o600); err != nil {
 		panic(err)
 	}
--- a/internal/cli/cert.go
+++ b/internal/cli/cert.go
@@ -13,15 +13,15 @@
 
 // certCommand makes what a deployment needs to know devices by certificates, with this program alone.
 type certCommand struct {
-	Authority certAuthority `cmd:"" name:"authority" help:"Make an authority: FOLDER/authority.pem to tell, and its private key."`
-	Issue     certIssue     `cmd:"" name:"issue" help:"Issue a certificate to a client, or with --server to an instance."`
-	Revoke    certRevoke    `cmd:"" name:"revoke" help:"Take certificates back: write the authority's list anew."`
+	Authority certAuthority `cmd:"" name:"authority" help:"${help_cert_authority}"`
+	Issue     certIssue     `cmd:"" name:"issue" help:"${help_cert_issue}"`
+	Revoke    certRevoke    `cmd:"" name:"revoke" help:"Revoke certificates: write the authority's list anew."`
 }
 
 type certAuthority struct {
 	Folder   string        `arg:"" name:"folder" help:"Folder to make it in." type:"path"`
 	Name     string        `name:"name" default:"lanewheel authority" help:"Its name."`
-	Validity time.Duration `name:"for" default:"43800h" help:"How long it counts."`
+	Validity time.Duration `name:"validity" default:"43800h" help:"How long it is valid."`
 }
 
 func (c *certAuthority) Run(o output) error {
@@ -35,7 +35,7 @@
 	if err := savePair(o, pair, filepath.Join(c.Folder, "authority")); err != nil {
 		return err
 	}
-	// An empty list from the start: an instance that is told of a list does not start without one.
+	// An empty list from the start: an instance that is configured with a list does not start without one.
 	list, err := pair.Revoke(nil, nil, time.Now(), c.Validity)
 	if err != nil {
 		return err
@@ -43,11 +43,11 @@
 	return keyring.WriteFileAtomic(filepath.Join(c.Folder, "revoked.pem"), list, 0o644)
 }
 
-// savePair writes a pair as PATH.pem and PATH.key; what is there already is never written over.
+// savePair writes a pair as PATH.pem and PATH.key; a file that exists is never overwritten.
 func savePair(o output, pair certs.KeyPair, path string) error {
 	for _, extension := range []string{".pem", ".key"} {
 		if _, err := os.Stat(path + extension); err == nil {
-			return fmt.Errorf("%s is there already", path+extension)
+			return fmt.Errorf("%s already exists", path+extension)
 		}
 	}
 	cert, key, err := pair.EncodePEM()
@@ -60,7 +60,7 @@
 	if err := keyring.WriteFileAtomic(path+".pem", cert, 0o644); err != nil {
 		return err
 	}
-	fmt.Fprintf(o.out, "%s.pem until %s, serial %x\n", path, formatTime(pair.Certificate.NotAfter), pair.Certificate.SerialNumber)
+	o.printf("%s.pem until %s, serial %x\n", path, formatTime(pair.Certificate.NotAfter), pair.Certificate.SerialNumber)
 	return nil
 }
 
@@ -84,7 +84,7 @@
 	URI       []string      `name:"uri" help:"Identities, as rota://water/handheld-7."`
 	Host      []string      `name:"host" help:"DNS names and addresses."`
 	Server    bool          `name:"server" help:"For an instance instead of a client."`
-	Validity  time.Duration `name:"for" default:"8760h" help:"How long it counts."`
+	Validity  time.Duration `name:"validity" default:"8760h" help:"How long it is valid."`
 }
 
 func (c *certIssue) Run(o output) error {
@@ -104,9 +104,9 @@
 }
 
 type certRevoke struct {
-	Certs     []string      `arg:"" name:"certs" optional:"" help:"Files of the certificates; without any, the list is only written anew." type:"path"`
-	Authority string        `name:"authority" required:"" help:"Folder of the authority." type:"path"`
-	Validity  time.Duration `name:"for" default:"720h" help:"When the next list is due."`
+	Certs      []string      `arg:"" name:"certs" optional:"" help:"${help_cert_files}" type:"path"`
+	Authority  string        `name:"authority" required:"" help:"Folder of the authority." type:"path"`
+	NextUpdate time.Duration `name:"next-update" default:"720h" help:"When the next list is due."`
 }
 
 func (c *certRevoke) Run(o output) error {
@@ -119,28 +119,37 @@
 	if err != nil && !os.IsNotExist(err) {
 		return err
 	}
+	serials, err := loadSerials(c.Certs, authority)
+	if err != nil {
+		return err
+	}
+	list, err := authority.Revoke(previous, serials, time.Now(), c.NextUpdate)
+	if err != nil {
+		return err
+	}
+	if err := keyring.WriteFileAtomic(path, list, 0o644); err != nil {
+		return err
+	}
+	o.printf("%s: %d more taken back\n", path, len(serials))
+	return nil
+}
+
+// loadSerials reads the serial numbers of certificates that the authority has issued.
+func loadSerials(files []string, authority certs.KeyPair) ([]*big.Int, error) {
 	var serials []*big.Int
-	for _, file := range c.Certs {
+	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err != nil {
-			return err
+			return nil, err
 		}
 		certificates, err := certs.ParseCertificates(text)
 		if err != nil {
-			return fmt.Errorf("%s: %w", file, err)
+			return nil, fmt.Errorf("%s: %w", file, err)
 		}
 		if err := certificates[0].CheckSignatureFrom(authority.Certificate); err != nil {
-			return fmt.Errorf("%s is not this authority's: %w", file, err)
+			return nil, fmt.Errorf("%s is not this authority's: %w", file, err)
 		}
 		serials = append(serials, certificates[0].SerialNumber)
 	}
-	list, err := authority.Revoke(previous, serials, time.Now(), c.Validity)
-	if err != nil {
-		return err
-	}
-	if err := keyring.WriteFileAtomic(path, list, 0o644); err != nil {
-		return err
-	}
-	fmt.Fprintf(o.out, "%s: %d more taken back\n", path, len(serials))
-	return nil
+	return serials, nil
 }
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"errors"
-	"fmt"
 	"os"
 
 	"lanewheel/internal/config"
@@ -13,8 +12,8 @@
 
 // checkCommand reads a file as an instance would, and says all that is wrong with it.
 type checkCommand struct {
-	IncludeNamedFiles bool     `name:"named" help:"Also read the keys, certificates and lists that an operator's file names."`
-	Files             []string `arg:"" name:"file" help:"Configurations, which begin with a brace, or operator's files."`
+	IncludeNamedFiles bool     `name:"include-named-files" help:"${help_include_named}"`
+	Files             []string `arg:"" name:"file" help:"${help_check_file}"`
 }
 
 func (c *checkCommand) Run(o output) error {
@@ -24,14 +23,14 @@
 		var diagnostics diagnostic.List
 		switch {
 		case err == nil:
-			fmt.Fprintf(o.out, "%s: good\n", path)
+			o.printf("%s: good\n", path)
 			continue
 		case errors.As(err, &diagnostics):
-			for _, f := range diagnostics {
-				fmt.Fprintln(o.out, f)
+			for _, d := range diagnostics {
+				o.printf("%v\n", d)
 			}
 		default:
-			fmt.Fprintf(o.out, "%s: %v\n", path, err)
+			o.printf("%s: %v\n", path, err)
 		}
 		failed = true
 	}
@@ -51,7 +50,8 @@
 		return err
 	}
 	if c.IncludeNamedFiles {
-		_, err = lifecycle.LoadOperatorConfig(path)
+		operatorConfig, err := lifecycle.LoadOperatorConfig(path)
+		operatorConfig.File.Renamed.Warn()
 		return err
 	}
 	_, err = config.Load(path)
--- a/internal/cli/golden_test.go
+++ b/internal/cli/credentials_test.go
@@ -4,9 +4,7 @@
 	"bytes"
 	"encoding/base64"
 	"encoding/json"
-	"flag"
 	"fmt"
-	"io"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -14,83 +12,11 @@
 	"strings"
 	"testing"
 
-	"github.com/alecthomas/kong"
-
 	"lanewheel/internal/certs"
 	"lanewheel/internal/keyring"
 	"lanewheel/internal/rapidtest"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew from what the code says")
-
-// listCommand lists a command with its flags and arguments, and all below it.
-func listCommand(b *strings.Builder, n *kong.Node) {
-	fmt.Fprintf(b, "%s", n.FullPath())
-	if n.Hidden {
-		b.WriteString(" (hidden)")
-	}
-	if n.DefaultCmd != nil {
-		fmt.Fprintf(b, " (without a command: %s)", n.DefaultCmd.Name)
-	}
-	b.WriteString("\n")
-	value := func(v *kong.Value) {
-		fmt.Fprintf(b, " %s", v.Target.Type())
-		if v.Required {
-			b.WriteString(" required")
-		}
-		if v.HasDefault {
-			fmt.Fprintf(b, " default %q", v.Default)
-		}
-		if v.Enum != "" {
-			fmt.Fprintf(b, " one of %q", v.Enum)
-		}
-		if v.Tag.Type != "" {
-			fmt.Fprintf(b, " type %s", v.Tag.Type)
-		}
-		b.WriteString("\n")
-	}
-	for _, arg := range n.Positional {
-		fmt.Fprintf(b, "    <%s>", arg.Name)
-		value(arg)
-	}
-	flags := slices.Clone(n.Flags)
-	slices.SortFunc(flags, func(x, y *kong.Flag) int { return strings.Compare(x.Name, y.Name) })
-	for _, f := range flags {
-		fmt.Fprintf(b, "    --%s", f.Name)
-		if f.Tag.Negatable != "" {
-			b.WriteString(" (or --no-" + f.Name + ")")
-		}
-		if f.Hidden {
-			b.WriteString(" (hidden)")
-		}
-		value(f.Value)
-	}
-	children := slices.Clone(n.Children)
-	slices.SortFunc(children, func(x, y *kong.Node) int { return strings.Compare(x.Name, y.Name) })
-	for _, child := range children {
-		listCommand(b, child)
-	}
-}
-
-// Every command, flag and argument that there was is there, under its name, with what holds without it.
-func TestGoldenCommandLine(t *testing.T) {
-	var l commandLine
-	parser := rapidtest.Must(kong.New(&l, kong.Name("lanewheel"), kong.Writers(io.Discard, io.Discard),
-		kong.Vars{"user": "somebody"}))
-	var b strings.Builder
-	listCommand(&b, parser.Model.Node)
-	const path = "testdata/golden/command-line.txt"
-	if *update {
-		if err := os.WriteFile(path, []byte(b.String()), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if want := rapidtest.Must(os.ReadFile(path)); b.String() != string(want) {
-		t.Errorf("the command line is\n%s\nwant\n%s", b.String(), want)
-	}
-}
-
 // run carries a command line out that has to succeed, and gives what it printed.
 func run(t *testing.T, args ...string) string {
 	t.Helper()
@@ -147,7 +73,7 @@
 func TestGoldenToken(t *testing.T) {
 	raw := run(t, "token", "issue", "--key", goldenKeys+"ed.private", "--issuer", "https://issuer.example", "--audience",
 		"rota", "--subject", "handheld-7",
-		"--tenant", "water", "--roles", "crew,visitor", "--jti", "t-ed", "--for", "2h")
+		"--tenant", "water", "--roles", "crew,visitor", "--jti", "t-ed", "--validity", "2h")
 	parts := strings.Split(strings.TrimSpace(raw), ".")
 	var header, claims map[string]any
 	for i, to := range []*map[string]any{&header, &claims} {
@@ -190,13 +116,13 @@
 	}
 	path := filepath.Join(folder, "new")
 	run(t, "cert", "issue", path, "--authority", folder, "--name", "handheld", "--uri", "rota://water/7", "--host",
-		"h.example", "--host", "10.0.0.1", "--for", "1h")
+		"h.example", "--host", "10.0.0.1", "--validity", "1h")
 	pair := rapidtest.Must(certs.ParseKeyPair(rapidtest.Must(os.ReadFile(path+".pem")), rapidtest.Must(os.ReadFile(path+".key"))))
 	if is := fmt.Sprint(pair.Certificate.Subject, pair.Certificate.URIs, pair.Certificate.DNSNames,
 		pair.Certificate.IPAddresses); is != "CN=handheld [rota://water/7] [h.example] [10.0.0.1]" {
 		t.Error(is)
 	}
-	run(t, "cert", "revoke", path+".pem", "--authority", folder, "--for", "1h")
+	run(t, "cert", "revoke", path+".pem", "--authority", folder, "--next-update", "1h")
 	if len(rapidtest.Must(os.ReadFile(filepath.Join(folder,
 		"revoked.pem")))) <= len(rapidtest.Must(os.ReadFile("../certs/testdata/golden/revoked.pem"))) {
 		t.Error("the list has not grown")
--- /dev/null
+++ b/internal/cli/drain.go
@@ -0,0 +1,25 @@
+package cli
+
+// drainCommand requests permits to take members out, and waits for them.
+type drainCommand struct {
+	coordinatorFlags
+	Name     string `arg:"" name:"name" optional:"" help:"A member."`
+	Zone     string `name:"zone" help:"${help_drain_zone}"`
+	Upstream string `name:"upstream" help:"${help_drain_upstream}"`
+	Cancel   bool   `name:"cancel" help:"${help_cancel}"`
+	Wait     bool   `name:"wait" help:"Say how it goes until all are out." default:"true" negatable:""`
+}
+
+func (c *drainCommand) Run(o output) error {
+	command := CoordinatorCommand{
+		Action:   ActionDrain,
+		Name:     c.Name,
+		Zone:     c.Zone,
+		Upstream: c.Upstream,
+		Wait:     c.Wait && !c.Cancel,
+	}
+	if c.Cancel {
+		command.Action = ActionUndrain
+	}
+	return c.request(o, command)
+}
--- a/internal/cli/fleetcommands/coordinator.go
+++ b/internal/cli/fleetcommands/coordinator.go
@@ -20,7 +20,7 @@
 const coordinatorTimeout = 20 * time.Second
 
 // errNoDrainTarget is that a drain names nothing to drain.
-var errNoDrainTarget = errors.New("a member, --zone or --below is required")
+var errNoDrainTarget = errors.New("a member, --zone or --upstream is required")
 
 // runCoordinatorCommand asks the coordinators, and prints what they answer.
 func runCoordinatorCommand(arguments cli.CoordinatorCommand, out io.Writer) error {
@@ -29,11 +29,11 @@
 		return err
 	}
 	switch arguments.Action {
-	case "status":
+	case cli.ActionStatus:
 		return showStatus(coordinators, arguments, out)
-	case "history":
+	case cli.ActionHistory:
 		return showHistory(coordinators, arguments, out)
-	case "leave":
+	case cli.ActionLeave:
 		response, err := coordinators.Do(client.Request{RemoveCoordinator: arguments.Name})
 		if err != nil {
 			return err
@@ -49,9 +49,10 @@
 	if err != nil {
 		return client.Client{}, err
 	}
+	operatorConfig.File.Renamed.Warn()
 	section := operatorConfig.File.Coordinator
 	if !section.Enabled || len(operatorConfig.ClusterKeys) == 0 {
-		return client.Client{}, fmt.Errorf("%s: the sections [fleet], with keys, and [steward] are required", path)
+		return client.Client{}, fmt.Errorf("%s: the sections [fleet], with keys, and [coordinator] are required", path)
 	}
 	return client.Client{
 		Coordinators: section.Config.Coordinators,
@@ -110,7 +111,7 @@
 	if _, err := fmt.Fprintln(out, "agreed", arguments.Action, permits); err != nil {
 		return err
 	}
-	if arguments.Action == "drain" && arguments.Wait {
+	if arguments.Action == cli.ActionDrain && arguments.Wait {
 		return waitForPermits(coordinators, permits, out)
 	}
 	return nil
@@ -130,18 +131,18 @@
 func buildCommand(arguments cli.CoordinatorCommand) (coordination.Command, error) {
 	command := coordination.Command{RequestedBy: arguments.RequestedBy, Reason: arguments.Reason}
 	switch arguments.Action {
-	case "drain", "undrain":
+	case cli.ActionDrain, cli.ActionUndrain:
 		return buildDrain(command, arguments)
-	case "forget":
+	case cli.ActionForget:
 		command.Kind = coordination.KindForgetMember
 		command.Member = coordination.Name(arguments.Name)
-	case "halt":
+	case cli.ActionHalt:
 		command.Kind = coordination.KindHalt
-	case "resume":
+	case cli.ActionResume:
 		command.Kind = coordination.KindResume
-	case "back":
+	case cli.ActionBack:
 		command.Kind = coordination.KindRollBack
-	case "budgets":
+	case cli.ActionBudgets:
 		content, err := os.ReadFile(arguments.Path)
 		if err != nil {
 			return command, err
@@ -149,7 +150,7 @@
 		command.Kind = coordination.KindSetBudgets
 		command.Budgets, err = config.ParseBudgets(arguments.Path, content)
 		return command, err
-	case "release":
+	case cli.ActionRelease:
 		content, err := os.ReadFile(arguments.Path)
 		if err != nil {
 			return command, err
@@ -172,7 +173,7 @@
 	command.Member = coordination.Name(arguments.Name)
 	command.Reason = string(coordination.PurposeDrain)
 	switch {
-	case arguments.Action == "undrain":
+	case arguments.Action == cli.ActionUndrain:
 		command.Kind = coordination.KindCancelDrain
 	case arguments.Name != "":
 		command.Kind = coordination.KindRequestPermit
--- a/internal/cli/fleetcommands/coordinator_test.go
+++ b/internal/cli/fleetcommands/coordinator_test.go
@@ -139,8 +139,8 @@
 	}()
 	folder := t.TempDir()
 	file = filepath.Join(folder, "operator.ini")
-	writeFile(t, file, fmt.Sprintf("[fleet]\nname = s1\nlisten = 127.0.0.1:7946\nkeys = keys\n"+
-		"[steward]\nlisten = 127.0.0.1:7960\nfolder = log\nstewards = %s\n", listener.Addr()))
+	writeFile(t, file, fmt.Sprintf("[fleet]\nname = s1\nlisten = 127.0.0.1:7946\nkey-file = keys\n"+
+		"[coordinator]\nlisten = 127.0.0.1:7960\ndata-dir = log\ncoordinators = %s\n", listener.Addr()))
 	writeFile(t, filepath.Join(folder, "keys"), "a2tra2tra2tra2tra2tra2tra2tra2tra2tra2tra2s=\n")
 	return file, requests
 }
@@ -174,7 +174,7 @@
 				t.Fatalf("read otherwise than before: %+v", got)
 			}
 			file, requests := newFakeCoordinator(t, answer)
-			arguments := cli.CoordinatorCommand{File: file, Action: name, JSON: true}
+			arguments := cli.CoordinatorCommand{File: file, Action: cli.CoordinatorAction(name), JSON: true}
 			var out bytes.Buffer
 			if err := runCoordinatorCommand(arguments, &out); err != nil {
 				t.Fatal(err)
@@ -199,23 +199,23 @@
 role = instance
 zone = north
 release = 1
-below = db
-most = 3
+upstream = db
+max-unavailable = 3
 [budget share]
-share = 0.5
-least-capacity = 6
+max-unavailable-fraction = 0.5
+min-capacity = 6
 `
 	goldenPlanFile = `[release]
 name = r2
-to = 2
+target-release = 2
 of-zone = north
 of-release = 1
-of-role = relay
+of-role = proxy
 waves = 1, 25%, zone north
 pause = 2s
-judged = yes
-back-faster = 3
-tries = 4
+analyzed = yes
+rollback-speedup = 3
+max-tries = 4
 `
 )
 
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -1,31 +1,24 @@
 package cli
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"os"
 	"path/filepath"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/go-jose/go-jose/v4"
-	"github.com/go-jose/go-jose/v4/jwt"
 
-	"lanewheel/internal/authz"
 	"lanewheel/internal/keyring"
-	"lanewheel/internal/lifecycle"
-	"lanewheel/internal/tokens"
 )
 
 // keysCommand makes and looks after the keys that tokens are signed with.
 type keysCommand struct {
-	New     keysNew     `cmd:"" name:"new" help:"Make a key pair; the private half is written for its owner alone, and nothing is published."`
-	List    keysList    `cmd:"" name:"list" help:"List the published keys of a folder and what they count for now."`
-	Publish keysPublish `cmd:"" name:"publish" help:"Publish the public half of a key, with the times between which it counts."`
-	Retire  keysRetire  `cmd:"" name:"retire" help:"Tell when a published key stops to count, or take it back now."`
+	New     keysNew     `cmd:"" name:"new" help:"${help_keys_new}"`
+	List    keysList    `cmd:"" name:"list" help:"List the published keys of a folder and whether they are valid now."`
+	Publish keysPublish `cmd:"" name:"publish" help:"${help_keys_publish}"`
+	Retire  keysRetire  `cmd:"" name:"retire" help:"Say when a published key stops being valid, or revoke it now."`
 }
 
 type keysNew struct {
@@ -48,7 +41,7 @@
 	}
 	path := filepath.Join(c.PrivateDir, keyFileName(key.KeyID)+".private")
 	if _, err := os.Stat(path); err == nil {
-		return fmt.Errorf("%s is there already", path)
+		return fmt.Errorf("%s already exists", path)
 	}
 	if err := os.MkdirAll(c.PrivateDir, 0o700); err != nil {
 		return err
@@ -56,7 +49,7 @@
 	if err := keyring.WriteFileAtomic(path, append(text, '\n'), 0o600); err != nil {
 		return err
 	}
-	fmt.Fprintf(o.out, "%s\t%s\t%s\n", key.KeyID, c.Algorithm, path)
+	o.printf("%s\t%s\t%s\n", key.KeyID, c.Algorithm, path)
 	return nil
 }
 
@@ -79,16 +72,16 @@
 	if err != nil {
 		return err
 	}
-	table := tabwriter.NewWriter(o.out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "key\talgorithm\tnow\tfrom\tuntil\tfile")
+	table := newTable(o.out)
+	table.row("key", "algorithm", "now", "from", "until", "file")
 	for _, key := range set.Keys() {
 		status := key.CheckTime(time.Now())
 		if status == "" {
 			status = "counts"
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\n", key.ID, key.Algorithm, status, formatTime(key.NotBefore), formatTime(key.RetireAt), filepath.Base(key.File))
+		table.row(key.ID, key.Algorithm, status, formatTime(key.NotBefore), formatTime(key.RetireAt), filepath.Base(key.File))
 	}
-	return table.Flush()
+	return table.print()
 }
 
 func formatTime(t time.Time) string {
@@ -98,13 +91,13 @@
 	return t.UTC().Format(time.RFC3339)
 }
 
-// validityFlags are two ends of a time, each told as a moment or from now.
+// validityFlags are the two ends of a time, each absolute or from now.
 type validityFlags struct {
-	From  string `name:"from" help:"When it begins to count: RFC 3339, or a time from now as 10m. Without it, always." placeholder:"WHEN"`
-	Until string `name:"until" help:"When it stops to count: RFC 3339, or a time from now as 720h. Without it, never." placeholder:"WHEN"`
+	From  string `name:"from" help:"${help_key_from}" placeholder:"WHEN"`
+	Until string `name:"until" help:"${help_key_until}" placeholder:"WHEN"`
 }
 
-// parseTime reads a moment, or a time from now.
+// parseTime reads an absolute time, or one from now. An empty text is the zero time.
 func parseTime(text string) (time.Time, error) {
 	if text == "" {
 		return time.Time{}, nil
@@ -114,14 +107,14 @@
 	}
 	t, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		return t, fmt.Errorf("%q: wants a moment as 2027-01-31T06:00:00Z, or a time from now as 36h", text)
+		return t, fmt.Errorf("%q: want a time as 2027-01-31T06:00:00Z, or one from now as 36h: %w", text, err)
 	}
 	return t, nil
 }
 
 type keysPublish struct {
 	Key    string `arg:"" name:"key" help:"File of the private key." type:"path"`
-	Folder string `name:"folder" help:"Folder of the published keys, which instances read." required:"" type:"path"`
+	Folder string `name:"folder" help:"${help_key_folder}" required:"" type:"path"`
 	validityFlags
 }
 
@@ -138,12 +131,20 @@
 	if err != nil {
 		return err
 	}
-	return publishKey(o, c.Folder, key, from, until, false)
+	return publishKey(o, c.Folder, publication{key: key, from: from, until: until})
 }
 
-// publishKey writes a key's file, and proves that the folder is good with it before instances see it.
-func publishKey(o output, folder string, key jose.JSONWebKey, from, until time.Time, withdrawn bool) error {
-	text, err := keyring.EncodePublic(key, from, until, withdrawn)
+// publication is a key with the times between which it is valid; withdrawn, it never is.
+type publication struct {
+	key         jose.JSONWebKey
+	from, until time.Time
+	withdrawn   bool
+}
+
+// publishKey writes a key's file, and proves that the folder is valid with it before instances see it.
+func publishKey(o output, folder string, published publication) error {
+	key := published.key
+	text, err := keyring.EncodePublic(key, published.from, published.until, published.withdrawn)
 	if err != nil {
 		return err
 	}
@@ -162,20 +163,20 @@
 	if err := keyring.WriteFileAtomic(path, text, 0o644); err != nil {
 		return err
 	}
-	fmt.Fprintf(o.out, "%s\tfrom %s until %s\t%s\n", key.KeyID, formatTime(from), formatTime(until), path)
+	o.printf("%s\tfrom %s until %s\t%s\n", key.KeyID, formatTime(published.from), formatTime(published.until), path)
 	return nil
 }
 
 type keysRetire struct {
 	KeyID    string `arg:"" name:"kid" help:"The key's id."`
 	Folder   string `name:"folder" help:"Folder of the published keys." required:"" type:"path"`
-	RetireAt string `name:"at" help:"When it stops to count: RFC 3339, or a time from now." placeholder:"WHEN"`
-	Withdraw bool   `name:"now" help:"Take it back now: whatever it signed counts no more."`
+	RetireAt string `name:"at" help:"When it stops being valid: RFC 3339, or a time from now." placeholder:"WHEN"`
+	Withdraw bool   `name:"now" help:"Revoke it now: whatever it signed is invalid."`
 }
 
 func (c *keysRetire) Run(o output) error {
 	if c.Withdraw == (c.RetireAt != "") {
-		return errors.New("wants one of --at and --now")
+		return errors.New("exactly one of --at and --now is required")
 	}
 	at, err := parseTime(c.RetireAt)
 	if err != nil {
@@ -195,121 +196,15 @@
 	if filepath.Base(key.File) != keyFileName(c.KeyID)+".json" {
 		return fmt.Errorf("%s was not written by \"keys publish\": change it there", key.File)
 	}
-	return publishKey(o, c.Folder, jose.JSONWebKey{Key: key.PublicKey, KeyID: c.KeyID, Algorithm: string(key.Algorithm), Use: "sig"},
-		key.NotBefore, at, c.Withdraw || key.Withdrawn)
-}
-
-// tokenCommand issues and shows tokens.
-type tokenCommand struct {
-	Issue tokenIssue `cmd:"" name:"issue" help:"Sign a token and print it."`
-	Show  tokenShow  `cmd:"" name:"show" help:"Show what a token says and, with an operator's file, whether it counts now."`
-}
-
-type tokenIssue struct {
-	Key         string        `name:"key" help:"File of the private key." required:"" type:"path"`
-	Issuer      string        `name:"issuer" required:"" help:"Who issues it, as the instances are told."`
-	Audience    string        `name:"audience" required:"" help:"For whom it is, as the instances are told."`
-	Subject     string        `name:"subject" required:"" help:"Whom it is for, as handheld-7."`
-	Tenant      string        `name:"tenant" help:"Tenant, in the claim that --tenant-claim names."`
-	Roles       []string      `name:"roles" help:"Roles, in the claim that --roles-claim names." placeholder:"ROLE,..."`
-	TenantClaim string        `name:"tenant-claim" default:"tenant" help:"Name of the claim with the tenant."`
-	RolesClaim  string        `name:"roles-claim" default:"roles" help:"Name of the claim with the roles."`
-	Validity    time.Duration `name:"for" default:"1h" help:"How long it counts."`
-	TokenID     string        `name:"jti" help:"Its id; without one, it has one drawn at random."`
-}
-
-func (c *tokenIssue) Run(o output) error {
-	key, err := keyring.LoadPrivateKey(c.Key)
-	if err != nil {
-		return err
-	}
-	signer, err := jose.NewSigner(jose.SigningKey{Algorithm: jose.SignatureAlgorithm(key.Algorithm), Key: key},
-		(&jose.SignerOptions{}).WithType("JWT"))
-	if err != nil {
-		return err
-	}
-	id := c.TokenID
-	if id == "" {
-		id = tokens.NewID()
-	}
-	now := time.Now()
-	claims := jwt.Claims{Issuer: c.Issuer, Subject: c.Subject, Audience: jwt.Audience{c.Audience}, ID: id,
-		IssuedAt: jwt.NewNumericDate(now), NotBefore: jwt.NewNumericDate(now), Expiry: jwt.NewNumericDate(now.Add(c.Validity))}
-	private := map[string]any{}
-	if c.Tenant != "" {
-		private[c.TenantClaim] = c.Tenant
-	}
-	if len(c.Roles) > 0 {
-		private[c.RolesClaim] = c.Roles
-	}
-	text, err := jwt.Signed(signer).Claims(claims).Claims(private).Serialize()
-	if err != nil {
-		return err
-	}
-	fmt.Fprintln(o.out, text)
-	return nil
-}
-
-type tokenShow struct {
-	File     string `arg:"" name:"file" help:"File with the token, - for standard input." default:"-"`
-	Operator string `name:"operator" help:"Operator's file, whose keys and rules it is checked by." placeholder:"FILE" type:"path"`
-}
-
-func (c *tokenShow) Run(o output) error {
-	var text []byte
-	var err error
-	if c.File == "-" {
-		text, err = io.ReadAll(io.LimitReader(os.Stdin, 1<<16))
-	} else {
-		text, err = os.ReadFile(c.File)
-	}
-	if err != nil {
-		return err
-	}
-	raw := strings.TrimSpace(string(text))
-	token, err := jwt.ParseSigned(raw, []jose.SignatureAlgorithm{jose.EdDSA, jose.ES256, jose.RS256})
-	if err != nil {
-		return err
-	}
-	var claims map[string]any
-	if err := token.UnsafeClaimsWithoutVerification(&claims); err != nil {
-		return err
-	}
-	body, err := json.MarshalIndent(claims, "", " ")
-	if err != nil {
-		return err
-	}
-	fmt.Fprintf(o.out, "algorithm %s, key %s\n%s\n", token.Headers[0].Algorithm, token.Headers[0].KeyID, body)
-	if c.Operator == "" {
-		return nil
-	}
-	operatorConfig, err := lifecycle.LoadOperatorConfig(c.Operator)
-	if err != nil {
-		return err
-	}
-	if operatorConfig.Authn == nil || operatorConfig.Authn.KeySet == nil {
-		return errors.New("the operator's file has no tokens")
-	}
-	callers := operatorConfig.Authn
-	denial := verifyNow(raw, callers.KeySet, callers.TokenPolicy, callers.RevokedTokens)
-	if denial != "" {
-		fmt.Fprintf(o.out, "denied: %s\n", denial)
-		return errReported
-	}
-	fmt.Fprintln(o.out, "good")
-	return nil
-}
-
-// verifyNow tells whether a token counts now, as an instance would.
-func verifyNow(raw string, keys *keyring.KeySet, policy *tokens.Policy, revoked *tokens.Revocations) authz.Denial {
-	now := time.Now()
-	ring := keyring.NewKeyring(keys, time.Second)
-	claims, denial := tokens.Verify(raw, func(id keyring.KeyID) (*keyring.Key, authz.Denial) { return ring.Find(id, now) }, policy)
-	if denial == "" {
-		denial = claims.CheckTime(now, policy)
-	}
-	if denial == "" && revoked.Contains(&claims) {
-		denial = tokens.Revoked
-	}
-	return denial
+	return publishKey(o, c.Folder, publication{
+		key: jose.JSONWebKey{
+			Key:       key.PublicKey,
+			KeyID:     c.KeyID,
+			Algorithm: string(key.Algorithm),
+			Use:       "sig",
+		},
+		from:      key.NotBefore,
+		until:     at,
+		withdrawn: c.Withdraw || key.Withdrawn,
+	})
 }
--- /dev/null
+++ b/internal/cli/rollout.go
@@ -0,0 +1,52 @@
+package cli
+
+// releaseCommand rolls a release out in waves.
+type releaseCommand struct {
+	Start    releaseStart    `cmd:"" name:"start" help:"Start a rollout."`
+	Status   releaseStatus   `cmd:"" name:"status" help:"How far it is, and what it waits for."`
+	Halt     releaseHalt     `cmd:"" name:"halt" help:"Nothing further begins, anywhere."`
+	Resume   releaseResume   `cmd:"" name:"resume" help:"Go on."`
+	Rollback releaseRollback `cmd:"" name:"rollback" help:"Roll back: waves in reverse, under the same budgets."`
+}
+
+type releaseStart struct {
+	coordinatorFlags
+	File string `arg:"" name:"file" help:"${help_release_start}" type:"path"`
+}
+
+func (c *releaseStart) Run(o output) error {
+	return c.request(o, CoordinatorCommand{Action: ActionRelease, Path: c.File})
+}
+
+type releaseStatus struct {
+	coordinatorFlags
+	JSON bool `name:"json"`
+}
+
+func (c *releaseStatus) Run(o output) error {
+	return c.request(o, CoordinatorCommand{Action: ActionStatus, JSON: c.JSON})
+}
+
+type releaseHalt struct {
+	coordinatorFlags
+	Reason string `arg:"" name:"why" optional:"" help:"Why, for the history."`
+}
+
+func (c *releaseHalt) Run(o output) error {
+	return c.request(o, CoordinatorCommand{Action: ActionHalt, Reason: c.Reason})
+}
+
+type releaseResume struct{ coordinatorFlags }
+
+func (c *releaseResume) Run(o output) error {
+	return c.request(o, CoordinatorCommand{Action: ActionResume})
+}
+
+type releaseRollback struct {
+	coordinatorFlags
+	Reason string `arg:"" name:"why" optional:"" help:"Why, for the history."`
+}
+
+func (c *releaseRollback) Run(o output) error {
+	return c.request(o, CoordinatorCommand{Action: ActionBack, Reason: c.Reason})
+}
--- /dev/null
+++ b/internal/cli/tryload.go
@@ -0,0 +1,218 @@
+package cli
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	client "github.com/rabbitmq/amqp091-go"
+
+	"lanewheel/internal/fake"
+	"lanewheel/internal/fake/broker"
+)
+
+// tryClasses are the classes of the load, of which each is as likely.
+var tryClasses = []string{"view", "pay", "list"}
+
+// The queues of a trial.
+const (
+	tryQueue      = "try"
+	tryReplyQueue = "try.answers"
+)
+
+// run sends the load and returns when all is answered or overdue. A third of it goes by the queue, if there is one.
+func (t *loadTest) run(o output, c *tryCommand, trial *trial, token string) {
+	done := make(chan struct{})
+	defer close(done)
+	go t.printProgress(o, done)
+	if trial.broker == nil {
+		t.runClients(c, c.Rate, trial.listenAddr, token)
+		return
+	}
+	sent := make(chan struct{})
+	go func() {
+		defer close(sent)
+		t.runQueue(c, trial.broker)
+	}()
+	t.runClients(c, c.Rate*2/3, trial.listenAddr, token)
+	<-sent
+}
+
+// runClients sends at a rate in all, each client its part, whatever comes back: an open loop.
+func (t *loadTest) runClients(c *tryCommand, rate float64, addr, token string) {
+	var clients sync.WaitGroup
+	for number := range c.Clients {
+		clients.Go(func() {
+			defer func() { _ = recover() }() // a connection that is closed on it is in the table, as unanswered
+			client := newTryClient(t, c, number, addr)
+			defer client.connection.Close()
+			client.run(rate, token)
+		})
+	}
+	clients.Wait()
+}
+
+// tryClient is one client of the load.
+type tryClient struct {
+	test       *loadTest
+	command    *tryCommand
+	number     int
+	connection *fake.Client
+	random     *rand.Rand
+
+	mu      sync.Mutex // guards pending
+	pending map[int]tryRequest
+}
+
+// tryRequest is a request that is not answered yet.
+type tryRequest struct {
+	class  string
+	sentAt time.Time
+}
+
+func newTryClient(test *loadTest, c *tryCommand, number int, addr string) *tryClient {
+	return &tryClient{
+		test:       test,
+		command:    c,
+		number:     number,
+		connection: fake.Dial(addr),
+		random:     rand.New(rand.NewPCG(c.Seed, uint64(number))),
+		pending:    map[int]tryRequest{},
+	}
+}
+
+// run sends the client's part of the rate, and waits a while for what is not answered.
+func (c *tryClient) run(rate float64, token string) {
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		c.takeResponses()
+	}()
+	gap := float64(c.command.Clients) / rate * float64(time.Second)
+	began := time.Now()
+	at := time.Duration(0)
+	for n := 1; ; n++ {
+		at += time.Duration(c.random.ExpFloat64() * gap)
+		if at >= c.command.Duration {
+			break
+		}
+		time.Sleep(time.Until(began.Add(at)))
+		c.send(n, token)
+	}
+	c.awaitResponses()
+	c.connection.Close()
+	<-done
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, request := range c.pending {
+		c.test.countUnanswered(request.class, 1)
+	}
+}
+
+// takeResponses records responses until the connection ends.
+func (c *tryClient) takeResponses() {
+	for {
+		response, err := c.connection.NextResponse()
+		if err != nil {
+			return
+		}
+		c.mu.Lock()
+		request, known := c.pending[response.Number]
+		delete(c.pending, response.Number)
+		c.mu.Unlock()
+		if known {
+			c.test.record(request.class, time.Since(request.sentAt), response)
+		}
+	}
+}
+
+// send sends one request, unless as many are pending as the protocol lets.
+func (c *tryClient) send(number int, token string) {
+	const maxPending = 32 // the protocol's bound
+	const maxRank = 0.999 // under 1, rounded too
+	class := tryClasses[c.random.IntN(len(tryClasses))]
+	fields := []string{
+		"from", fmt.Sprint(c.number),
+		"kb", "1",
+		"rank", fmt.Sprintf("%.3f", maxRank*c.random.Float64()),
+		"cost", fmt.Sprint(c.command.MeanRunTime.Milliseconds()),
+	}
+	if token != "" {
+		fields = append(fields, "token", token)
+	}
+	c.mu.Lock()
+	full := len(c.pending) >= maxPending
+	if !full {
+		c.pending[number] = tryRequest{class, time.Now()}
+	}
+	c.mu.Unlock()
+	c.test.countSent(class)
+	if full {
+		c.test.countUnanswered(class, 1)
+		return
+	}
+	key := fmt.Sprintf("%08x%08x", c.number, number)
+	c.connection.Send(fake.NewRequest(number, class, key, []byte("body"), fields...))
+}
+
+// awaitResponses waits until all is answered, at most for as long as a request may take.
+func (c *tryClient) awaitResponses() {
+	const requestTimeout = 3 * time.Second // of the settings of the fakes
+	for end := time.Now().Add(requestTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		c.mu.Lock()
+		left := len(c.pending)
+		c.mu.Unlock()
+		if left == 0 {
+			return
+		}
+	}
+}
+
+// runQueue sends a third of the rate as messages, and takes their replies.
+func (t *loadTest) runQueue(c *tryCommand, queue *broker.Broker) {
+	const replyTimeout = 5 * time.Second
+	sentAt := map[string]time.Time{}
+	began := time.Now()
+	gap := time.Duration(3 / c.Rate * float64(time.Second))
+	for n := 0; time.Since(began) < c.Duration; n++ {
+		for next := began.Add(time.Duration(n) * gap); time.Now().Before(next); time.Sleep(time.Millisecond) {
+			t.takeReplies(queue, sentAt)
+		}
+		id := fmt.Sprint("m", n)
+		sentAt[id] = time.Now()
+		t.countSent(queueRow)
+		queue.Publish(tryQueue, client.Publishing{
+			MessageId:     id,
+			CorrelationId: id,
+			ReplyTo:       tryReplyQueue,
+			Type:          tryClasses[n%len(tryClasses)],
+			Timestamp:     time.Now(),
+			Body:          []byte("body"),
+		})
+	}
+	for end := time.Now().Add(replyTimeout); len(sentAt) > 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+		t.takeReplies(queue, sentAt)
+	}
+	t.countUnanswered(queueRow, len(sentAt))
+}
+
+// takeReplies records the replies that have come; sentAt has the messages without one.
+func (t *loadTest) takeReplies(queue *broker.Broker, sentAt map[string]time.Time) {
+	for _, reply := range queue.DrainQueue(tryReplyQueue) {
+		sent, pending := sentAt[reply.CorrelationId]
+		if !pending {
+			continue
+		}
+		delete(sentAt, reply.CorrelationId)
+		response := fake.Response{Error: reply.Type}
+		switch reply.Type {
+		case "acked":
+			response.Error = ""
+		case "denied":
+			response.Error = "Denied"
+			response.Fields = map[string]any{"why": reply.Headers["why"]}
+		}
+		t.record(queueRow, time.Since(sent), response)
+	}
+}
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -14,11 +14,11 @@
 		panic(err)
 	}
 	shipped, err := Parse("fleet.ini", text)
-	bare, _ := Parse("x", []byte("[fleet]\nlisten = 127.0.0.1:7946\nkeys = k\n"))
+	bare, _ := Parse("x", []byte("[fleet]\nlisten = 127.0.0.1:7946\nkey-file = k\n"))
 	fmt.Println(err, shipped.Fleet.ProbeInterval == bare.Fleet.ProbeInterval, shipped.Fleet.WarmUp == bare.Fleet.WarmUp, shipped.Fleet.MaxMessageRate == bare.Fleet.MaxMessageRate)
 	shipped.Fleet.Config.Seeds = nil
 	fmt.Println(fmt.Sprint(shipped.Fleet.Config) == fmt.Sprint(bare.Fleet.Config))
-	_, err = Parse("op.ini", []byte("[fleet]\nlisten = here:7946\nseeds = 10.0.0.1:7946, 10.0.0.2\nroles = instance, king\nzone = a b\nflaps = 2\nflaps-over = 2\ncut-off-at = 0.9\n"))
+	_, err = Parse("op.ini", []byte("[fleet]\nlisten = here:7946\nseeds = 10.0.0.1:7946, 10.0.0.2\nroles = instance, king\nzone = a b\nflap-suppress = 2\nflap-reuse = 2\nisolated-threshold = 0.9\n"))
 	for _, f := range err.(diagnostic.List) {
 		fmt.Println(f)
 	}
@@ -27,19 +27,19 @@
 	// Output:
 	// <nil> true true true
 	// true
-	// op.ini:1: fleet.keys: wants a path
+	// op.ini:1: fleet.key-file: wants a path
 	// op.ini:2: fleet.listen: is "here:7946", wants an address in figures and a port, as 10.0.0.7:7946
 	// op.ini:3: fleet.seeds: is "10.0.0.2", wants an address in figures and a port, as 10.0.0.7:7946
-	// op.ini:4: fleet.roles: is "king", wants some of instance, relay, steward, below
+	// op.ini:4: fleet.roles: is "king", wants some of instance, proxy, coordinator, upstream
 	// op.ini:5: fleet.zone: is "a b", wants up to 64 bytes without @ or blanks
-	// op.ini:7: fleet.flaps-over: is "2", wants less than flaps
-	// op.ini:8: fleet.cut-off-at: is "0.9", wants thin-at or less
+	// op.ini:7: fleet.flap-reuse: is "2", wants less than flap-suppress
+	// op.ini:8: fleet.isolated-threshold: is "0.9", wants degraded-threshold or less
 	// keys:3: stands there already (and 1 more)
 }
 
-// The shipped files of services below and of hand-over say what holds without them, but for their examples; what is wrong is said whole.
-func Example_below() {
-	const fleet = "[fleet]\nlisten = 127.0.0.1:7948\nkeys = k\nname = d\nserves = 127.0.0.1:1\n"
+// The shipped files of upstream services and of spillover say what holds without them, but for their examples; what is wrong is said whole.
+func Example_upstream() {
+	const fleet = "[fleet]\nlisten = 127.0.0.1:7948\nkey-file = k\nname = d\nservice-address = 127.0.0.1:1\n"
 	read := func(name string) Operator {
 		text, err := os.ReadFile("../../deploy/" + name)
 		if err != nil {
@@ -49,42 +49,42 @@
 		fmt.Print(err, " ")
 		return f
 	}
-	shipped, over := read("below.ini"), read("handover.ini")
-	bare, err := Parse("x", []byte("[below]\n[grants]\ncap = 200\n[handover]\n"+fleet))
+	shipped, over := read("upstream.ini"), read("spillover.ini")
+	bare, err := Parse("x", []byte("[upstream]\n[allocator]\nmax-concurrency = 200\n[spillover]\n"+fleet))
 	shipped.Upstream.Config.Addresses, shipped.Allocator.LockFile = nil, ""
 	bare.Spillover.Config.LocalAddress = over.Spillover.Config.LocalAddress
 	fmt.Println(err, fmt.Sprint(shipped.Upstream) == fmt.Sprint(bare.Upstream), shipped.Allocator == bare.Allocator, over.Spillover == bare.Spillover)
-	_, err = Parse("x", []byte("[below]\ncalls = some\n[grants]\ncap = 5\nalone = 1\n[handover]\nshare = 2\n"))
+	_, err = Parse("x", []byte("[upstream]\nmax-concurrency = some\n[allocator]\nmax-concurrency = 5\nunleased-per-process = 1\n[spillover]\nbudget = 2\n"))
 	for _, f := range err.(diagnostic.List) {
 		fmt.Println(f)
 	}
-	_, err = Parse("x", []byte("[grants]\nholds = 1ms\n"+fleet))
+	_, err = Parse("x", []byte("[allocator]\nlease-duration = 1ms\n"+fleet))
 	for _, f := range err.(diagnostic.List) {
 		fmt.Println(f)
 	}
 	// Output:
 	// <nil> <nil> <nil> true true true
-	// x:1: below.services: wants addresses, or a section [fleet] by which members with the role below are known
-	// x:2: below.calls: is "some", wants a whole number from 0 to 100000
-	// x:3: grants: wants a section [fleet], by which the holders are known
-	// x:5: grants.alone: leaves nothing to be granted: cap is no more than alone times processes
-	// x:6: handover: wants a section [fleet], by which it knows the members
-	// x:7: handover.share: is "2", wants a number from 0 to 1
-	// x:1: grants.cap: wants the calls at a time that the service takes
-	// x:2: grants.holds: is "1ms", wants a time from 200ms to 1m0s, as 1m30s
+	// x:1: upstream.addresses: wants addresses, or a section [fleet] by which members with the role upstream are known
+	// x:2: upstream.max-concurrency: is "some", wants a whole number from 0 to 100000
+	// x:3: allocator: wants a section [fleet], by which the holders are known
+	// x:5: allocator.unleased-per-process: leaves nothing to be leased: max-concurrency is no more than unleased-per-process times max-processes
+	// x:6: spillover: wants a section [fleet], by which it knows the members
+	// x:7: spillover.budget: is "2", wants a number from 0 to 1
+	// x:1: allocator.max-concurrency: wants the calls at a time that the service takes
+	// x:2: allocator.lease-duration: is "1ms", wants a time from 200ms to 1m0s, as 1m30s
 }
 
-// The shipped file of a steward says what holds without it, but for its examples; budgets and releases are read whole or not at all.
-func Example_steward() {
-	text, err := os.ReadFile("../../deploy/steward.ini")
+// The shipped file of a coordinator says what holds without it, but for its examples; budgets and rollouts are read whole or not at all.
+func Example_coordinator() {
+	text, err := os.ReadFile("../../deploy/coordinator.ini")
 	if err != nil {
 		panic(err)
 	}
-	shipped, err := Parse("steward.ini", text)
-	bare, _ := Parse("x", []byte("[steward]\nlisten = 127.0.0.1:7960\nfolder = steward.d\nstewards = 127.0.0.1:7960\n[fleet]\nname = steward-1\nlisten = 127.0.0.1:7949\nkeys = k\n"))
+	shipped, err := Parse("coordinator.ini", text)
+	bare, _ := Parse("x", []byte("[coordinator]\nlisten = 127.0.0.1:7960\ndata-dir = coordinator.d\ncoordinators = 127.0.0.1:7960\n[fleet]\nname = coordinator-1\nlisten = 127.0.0.1:7949\nkey-file = k\n"))
 	shipped.Coordinator.Config.RestartCommand, shipped.Coordinator.Config.Coordinators = "", bare.Coordinator.Config.Coordinators
 	fmt.Println(err, fmt.Sprint(shipped.Coordinator) == fmt.Sprint(bare.Coordinator))
-	_, err = Parse("x", []byte("[steward]\nlisten = here\nbeat = 1ms\n"))
+	_, err = Parse("x", []byte("[coordinator]\nlisten = here\nleader-timeout = 1ms\n"))
 	for _, f := range err.(diagnostic.List) {
 		fmt.Println(f)
 	}
@@ -98,49 +98,49 @@
 		p, err := ParseRollout(name, text)
 		fmt.Println(p.Name, p.TargetRelease, p.Waves, p.Pause, p.AnalysisRequired, err)
 	}
-	_, err = ParseBudgets("b", []byte("[budget x]\nmost = 1\nshare = 0.5\n[budget y]\n[other]\n"))
+	_, err = ParseBudgets("b", []byte("[budget x]\nmax-unavailable = 1\nmax-unavailable-fraction = 0.5\n[budget y]\n[other]\n"))
 	for _, f := range err.(diagnostic.List) {
 		fmt.Println(f)
 	}
-	_, err = ParseRollout("p", []byte("[release]\nto = 2\nwaves = 1, ten, 120%\n"))
+	_, err = ParseRollout("p", []byte("[release]\ntarget-release = 2\nwaves = 1, ten, 120%\n"))
 	for _, f := range err.(diagnostic.List) {
 		fmt.Println(f)
 	}
 	// Output:
 	// <nil> true
-	// x:1: steward: wants a section [fleet], by which the members are known
-	// x:1: steward.stewards: wants the addresses of the stewards, one of which leads
-	// x:1: steward.folder: wants a path
-	// x:2: steward.listen: is "here", wants an address in figures and a port, as 10.0.0.7:7946
-	// x:3: steward.beat: is "1ms", wants a time from 100ms to 1m0s, as 1m30s
+	// x:1: coordinator: wants a section [fleet], by which the members are known
+	// x:1: coordinator.coordinators: wants the addresses of the coordinators, one of which leads
+	// x:1: coordinator.data-dir: wants a path
+	// x:2: coordinator.listen: is "here", wants an address in figures and a port, as 10.0.0.7:7946
+	// x:3: coordinator.leader-timeout: is "1ms", wants a time from 100ms to 1m0s, as 1m30s
 	// 3 {all role=instance 3 -1 0} <nil>
 	// 7 {all role=instance 12 -1 0} <nil>
 	// r2 2 [{1 0 } {0 0.25 }] 1s false <nil>
 	// r2 2 [{4 0 } {0 0.1 } {0 0.4 }] 4s true <nil>
-	// b:2: budget x.most: wants one of most and share
-	// b:4: budget y.most: wants one of most and share
+	// b:2: budget x.max-unavailable: wants one of max-unavailable and max-unavailable-fraction
+	// b:4: budget y.max-unavailable: wants one of max-unavailable and max-unavailable-fraction
 	// b:5: other: is no section; wants budget NAME
 	// p:1: release.name: wants text
 	// p:3: release.waves: is "ten", wants a number, a share as 10%, or zone NAME
 	// p:3: release.waves: is "120%", wants a number, a share as 10%, or zone NAME
 }
 
-// The shipped file of a relay says what holds without it.
-func Example_relay() {
-	text, err := os.ReadFile("../../deploy/relay.ini")
+// The shipped file of a proxy says what holds without it.
+func Example_proxy() {
+	text, err := os.ReadFile("../../deploy/proxy.ini")
 	if err != nil {
 		panic(err)
 	}
-	shipped, err := Parse("relay.ini", text)
-	bare, _ := Parse("x", []byte("[relay]\n[fleet]\nlisten = 127.0.0.1:7947\nkeys = k\n"))
+	shipped, err := Parse("proxy.ini", text)
+	bare, _ := Parse("x", []byte("[proxy]\n[fleet]\nlisten = 127.0.0.1:7947\nkey-file = k\n"))
 	fmt.Println(err, shipped.Proxy == bare.Proxy)
-	_, err = Parse("x", []byte("[relay]\nway = best\nasks = many\n"))
+	_, err = Parse("x", []byte("[proxy]\npolicy = best\nprobes-per-request = many\n"))
 	for _, f := range err.(diagnostic.List) {
 		fmt.Println(f)
 	}
 	// Output:
 	// <nil> true
-	// x:1: relay: wants a section [fleet], by which it knows the members
-	// x:2: relay.way: is "best", wants one of greedy, informed, least-open, random, round-robin, two-own, two-told
-	// x:3: relay.asks: is "many", wants a number from 0 to 16
+	// x:1: proxy: wants a section [fleet], by which it knows the members
+	// x:2: proxy.policy: is "best", wants one of greedy, informed, least-open, random, round-robin, two-own, two-told
+	// x:3: proxy.probes-per-request: is "many", wants a number from 0 to 16
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -1,69 +1,34 @@
+// Package config reads the operator's file, an INI that says what a process does beyond what the platform tells it, and
+// the other files of that form: scripts of drills, disruption budgets and rollouts.
+//
+// Every value is checked, with its file, line and name; a name or section that is not known is wrong, not passed over.
+// An earlier name is accepted: see renamed.go.
+//
+// The errors of all that reads a text are a diagnostic.List, for errors.As.
 package config
 
 import (
-	"maps"
 	"os"
-	"slices"
-	"strings"
-	"time"
 
-	"lanewheel/admission"
-	"lanewheel/internal/authz"
 	"lanewheel/internal/diagnostic"
-	"lanewheel/internal/tokens"
 )
 
-// Operator is a whole operator's file. Its zero value is what holds without one: everything off.
+// Operator is a whole operator's file. Its zero value, but for the log's format, is what holds without one: everything
+// off.
 type Operator struct {
-	Path    string
-	Log     Log
-	Callers Callers
-	Tokens  Tokens
-	TLS     TLS
-	AMQP    AMQP
-	Fleet   Fleet
-	Proxy   Proxy
-
+	Path        string
+	Log         Log
+	Callers     Callers
+	Tokens      Tokens
+	TLS         TLS
+	AMQP        AMQP
+	Fleet       Fleet
+	Proxy       Proxy
 	Upstream    Upstream
 	Allocator   Allocator
 	Spillover   Spillover
 	Coordinator Coordinator
-}
-
-// Callers is who may do what. It is on if the file has any section that speaks of callers.
-type Callers struct {
-	Enabled        bool
-	anonymousRoles []authz.RoleName  // of callers that prove nothing
-	writeClasses   []admission.Class // what changes something, whatever an op says of itself
-	MaxRateEntries int               // identities whose rates and counts are kept, by role
-	Roles          []authz.Role
-	Bindings       []authz.Binding
-	Policy         *authz.Policy
-}
-
-// Tokens is how signed tokens are checked.
-type Tokens struct {
-	Enabled        bool
-	KeyDir         string // a folder
-	RevocationFile string // a file, empty for none
-	Policy         tokens.Policy
-	Limits         tokens.Limits
-}
-
-// TLS is a further listener.
-type TLS struct {
-	Enabled                  bool
-	ListenAddress            string
-	CertificateFile          string
-	KeyFile                  string
-	AuthoritiesFile          string // empty: no client certificates
-	RevocationFile           string // lists, empty for none
-	RevocationGrace          time.Duration
-	AllowStaleRevocations    bool
-	RequireClientCertificate bool   // a client has to bring a certificate
-	MinVersion               string // version
-	MaxHandshakes            int    // at a time
-	HandshakeRate            float64
+	Renamed     RenamedSettings // for whoever goes by the file to warn of
 }
 
 // Log is how lines are written.
@@ -71,44 +36,51 @@
 	Format string // text or json
 }
 
-// Load reads the file at path; no path gives a File with everything off. The error is a fault.List with all that is wrong.
+// Load reads the file at path; no path gives an Operator with everything off, and without the defaults that a file
+// gives to what it does not say. It warns of earlier names. The error is a diagnostic.List with all that is wrong.
 func Load(path string) (Operator, error) {
 	if path == "" {
 		return Operator{Log: Log{Format: "text"}}, nil
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return Operator{}, diagnostic.List{{File: path, Want: "can't be read: " + err.Error()}}
+		return Operator{}, unreadable(path, err)
 	}
-	return Parse(path, text)
+	operator, err := Parse(path, text)
+	operator.Renamed.Warn()
+	return operator, err
+}
+
+func unreadable(path string, err error) error {
+	return diagnostic.List{{File: path, Want: "can't be read: " + err.Error()}}
 }
 
-// Parse reads the text of a file; path is what its faults name.
+// Parse reads the text of a file; path is what its diagnostics name, and where paths in it count from. It warns of
+// nothing: Operator.Renamed has what there is to warn of.
 func Parse(path string, text []byte) (Operator, error) {
-	r := newReader(path, text)
-	f := Operator{Path: path}
-	f.Log = r.readLog()
-	f.Callers = r.readCallers()
-	f.Tokens = r.readTokens()
-	f.TLS = r.readTLS()
-	f.AMQP = r.readAMQP()
-	f.Fleet = r.readFleet()
-	f.Proxy = r.readProxy(&f.Fleet)
-	f.Upstream, f.Allocator, f.Spillover = r.readUpstream(&f.Fleet), r.readAllocator(&f.Fleet), r.readSpillover(&f.Fleet)
-	f.Coordinator = r.readCoordinator(&f.Fleet)
-	f.Callers.Enabled = f.Callers.Enabled || f.Tokens.Enabled || f.TLS.Enabled
+	r := newReader(path, text, &operatorRenames)
+	operator := Operator{Path: path}
+	operator.Log = r.readLog()
+	operator.Callers = r.readCallers()
+	operator.Tokens = r.readTokens()
+	operator.TLS = r.readTLS()
+	operator.AMQP = r.readAMQP()
+	operator.Fleet = r.readFleet()
+	operator.Proxy = r.readProxy(&operator.Fleet)
+	operator.Upstream = r.readUpstream(&operator.Fleet)
+	operator.Allocator = r.readAllocator(&operator.Fleet)
+	operator.Spillover = r.readSpillover(&operator.Fleet)
+	operator.Coordinator = r.readCoordinator(&operator.Fleet)
+	operator.Callers.Enabled = operator.Callers.Enabled || operator.Tokens.Enabled || operator.TLS.Enabled
 	r.reportUnknownSections("caller", "queue", "role")
-	return f, r.diagnostics.Err()
+	operator.Renamed = r.renamed
+	return operator, r.diagnostics.Err()
 }
 
 func (r *reader) readLog() Log {
-	l := Log{Format: "text"}
+	log := Log{Format: "text"}
 	s := r.section("log")
-	s.enumValue("format", &l.Format, "text", "json")
+	s.enumValue("format", &log.Format, "text", "json")
 	s.reportUnknownNames()
-	return l
-}
-
-func joinSorted(set map[string]bool) string {
-	return strings.Join(slices.Sorted(maps.Keys(set)), ", ")
+	return log
 }
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -11,17 +11,17 @@
 )
 
 const validFile = `[callers]
-writes = set
+write-classes = set
 [role crew]
-types = view, set
-may = read, write
+classes = view, set
+permissions = read, write
 rate = 5
 [caller water]
 match = uri:rota://water/*
 tenant = water
 roles = crew
 [tokens]
-keys = keys
+key-dir = keys
 issuer = us
 audience = rota
 [tls]
@@ -47,9 +47,9 @@
 
 // Every fault has its place; a value that needs another section is one too.
 func Example_faults() {
-	for _, change := range [][2]string{{"rate = 5", "rate = many"}, {"may = read, write", "may = wriet"}, {"roles = crew", "roles = crwe"},
-		{"match = uri:rota://water/*", "match = rota://water/*"}, {"keys = keys\n", ""}, {"listen = 127.0.0.1:9443", "listen = 9443"},
-		{"authorities = ca.pem", "revoked = list.pem"}, {"issuer = us", "issuer = us\nissuer = them"}, {"audience = rota", "audience = %(keys)s"},
+	for _, change := range [][2]string{{"rate = 5", "rate = many"}, {"permissions = read, write", "permissions = wriet"}, {"roles = crew", "roles = crwe"},
+		{"match = uri:rota://water/*", "match = rota://water/*"}, {"key-dir = keys\n", ""}, {"listen = 127.0.0.1:9443", "listen = 9443"},
+		{"authorities = ca.pem", "revocation-lists = list.pem"}, {"issuer = us", "issuer = us\nissuer = them"}, {"audience = rota", "audience = %(keys)s"},
 		{"[callers]", "stray = 1\n[callers]"}, {"[role crew]", "[role]\n[role crew]"}} {
 		_, err := Parse("op.ini", []byte(strings.Replace(validFile, change[0], change[1], 1)))
 		all, _ := err.(diagnostic.List)
@@ -59,17 +59,17 @@
 	}
 	// Output:
 	// op.ini:6: role crew.rate: is "many", wants a number from 0 to 1e+06
-	// op.ini:5: role crew.may: is "wriet", wants read, write or both
-	// op.ini:5: role crew.may: wants read, write or both
+	// op.ini:5: role crew.permissions: is "wriet", wants read, write or both
+	// op.ini:5: role crew.permissions: wants read, write or both
 	// op.ini:10: caller water.roles: is "crwe", is no role of this file; wants one of crew
 	// op.ini:8: caller water.match: is "rota://water/*", wants uri:, dns:, subject: or token: in front
-	// op.ini:11: tokens.keys: wants a path
+	// op.ini:11: tokens.key-dir: wants a path
 	// op.ini:16: tls.listen: is "9443", wants an address and a port, as 127.0.0.1:9443
-	// op.ini:15: tls.authorities: wants a path, as clients is required
-	// op.ini:19: tls.revoked: is "list.pem", wants authorities, which sign it
+	// op.ini:15: tls.authorities: wants a path, as client-certificates is required
+	// op.ini:19: tls.revocation-lists: is "list.pem", wants authorities, which sign it
 	// op.ini:14: tokens.issuer: stands in line 13 already
 	// op.ini:1: stray: stands before the first section
-	// op.ini:3: role: is no section; wants amqp, below, caller NAME, callers, fleet, grants, handover, log, queue NAME, relay, role NAME, steward, tls, tokens
+	// op.ini:3: role: is no section; wants allocator, amqp, caller NAME, callers, coordinator, fleet, log, proxy, queue NAME, role NAME, spillover, tls, tokens, upstream
 }
 
 // The example that operators start from names every name there is.
@@ -78,7 +78,7 @@
 	if _, err := Parse("edge.ini", text); err != nil {
 		t.Fatal(err)
 	}
-	r := newReader("edge.ini", text)
+	r := newReader("edge.ini", text, &operatorRenames)
 	r.readLog()
 	r.readCallers()
 	r.readTokens()
@@ -95,8 +95,19 @@
 			t.Errorf("the example has no [%s]", name)
 		}
 	}
-	for _, known := range []string{"callers.anonymous", "callers.writes", "callers.entries", "role visitor.rate", "role visitor.burst",
-		"role visitor.open", "role dispatch.tenants", "tokens.single-use", "tokens.share", "tls.stale-list", "tls.handshake-rate"} {
+	for _, known := range []string{
+		"callers.anonymous-roles",
+		"callers.write-classes",
+		"callers.max-rate-entries",
+		"role visitor.rate",
+		"role visitor.burst",
+		"role visitor.max-in-flight",
+		"role dispatch.tenants",
+		"tokens.single-use",
+		"tokens.cpu-fraction",
+		"tls.stale-revocation-list",
+		"tls.handshake-rate",
+	} {
 		if r.lines[known] == 0 {
 			t.Errorf("the example has no %s", known)
 		}
--- a/internal/drill/fakeservice.go
+++ b/internal/drill/fakeservice.go
@@ -30,8 +30,8 @@
 func newFakeService(name string, script *config.Drill) (*fakeService, error) {
 	service := &fakeService{name: name, workTime: script.UpstreamCallDuration}
 	for _, setting := range script.AllocatorSettings {
-		if setting[0] == "cap" {
-			service.capacity, _ = strconv.Atoi(setting[1]) // the allocator says so if it is no number
+		if setting.Name == "max-concurrency" {
+			service.capacity, _ = strconv.Atoi(setting.Value) // the allocator says so if it is no number
 		}
 	}
 	var err error
--- a/internal/drill/files.go
+++ b/internal/drill/files.go
@@ -6,6 +6,7 @@
 	"path/filepath"
 	"strings"
 
+	"lanewheel/internal/config"
 	"lanewheel/internal/fake"
 )
 
@@ -21,15 +22,15 @@
 // iniText is an operator's file that is being written.
 type iniText struct{ strings.Builder }
 
-// section begins a section with settings, each a name and a value.
-func (t *iniText) section(name string, settings [][2]string) {
+// section begins a section with settings.
+func (t *iniText) section(name string, settings []config.Setting) {
 	t.WriteString("[" + name + "]\n")
 	t.settings(settings)
 }
 
-func (t *iniText) settings(settings [][2]string) {
+func (t *iniText) settings(settings []config.Setting) {
 	for _, setting := range settings {
-		t.set(setting[0], "%s", setting[1])
+		t.set(setting.Name, "%s", setting.Value)
 	}
 }
 
@@ -73,18 +74,18 @@
 	var text iniText
 	switch p.role {
 	case roleProxy:
-		text.section("relay", script.ProxySettings)
+		text.section("proxy", script.ProxySettings)
 	case roleCoordinator:
 		p.writeCoordinatorSection(&text)
 	case roleAllocator:
-		text.section("grants", script.AllocatorSettings)
-		text.set("lock", "%s", filepath.Join(p.cluster.dir, p.name+".lock"))
+		text.section("allocator", script.AllocatorSettings)
+		text.set("lock-file", "%s", filepath.Join(p.cluster.dir, p.name+".lock"))
 	case roleInstance:
 		if script.Allocators > 0 {
-			text.section("below", script.UpstreamSettings)
+			text.section("upstream", script.UpstreamSettings)
 		}
 		if script.SpilloverEnabled {
-			text.section("handover", script.SpilloverSettings)
+			text.section("spillover", script.SpilloverSettings)
 		}
 	}
 	p.writeFleetSection(&text)
@@ -98,12 +99,12 @@
 			coordinators = append(coordinators, fmt.Sprintf("%s:%d", other.frontHost, coordinatorPort))
 		}
 	}
-	text.section("steward", p.cluster.script.CoordinatorSettings)
+	text.section("coordinator", p.cluster.script.CoordinatorSettings)
 	text.set("listen", "%s:%d", p.host, coordinatorPort)
-	text.set("at", "%s:%d", p.frontHost, coordinatorPort)
-	text.set("stewards", "%s", strings.Join(coordinators, ", "))
-	text.set("folder", "log.d")
-	text.set("restart", "%s hook %s {name} {release}", p.cluster.binary, p.cluster.hookPath())
+	text.set("advertise", "%s:%d", p.frontHost, coordinatorPort)
+	text.set("coordinators", "%s", strings.Join(coordinators, ", "))
+	text.set("data-dir", "log.d")
+	text.set("restart-command", "%s drill-hook %s {name} {release}", p.cluster.binary, p.cluster.hookPath())
 }
 
 func (p *process) writeFleetSection(text *iniText) {
@@ -118,19 +119,19 @@
 	text.set("seeds", "%s", strings.Join(seeds, ", "))
 	text.set("zone", "%s", zoneOf(script, p.index))
 	text.set("release", "%s", p.currentRelease())
-	text.set("keys", "keys")
-	text.set("watch", "w")
+	text.set("key-file", "keys")
+	text.set("status-socket", "w")
 	if script.Coordinators > 0 {
-		text.set("permits", "yes")
+		text.set("require-permit", "yes")
 	}
 	switch p.role {
 	case roleCoordinator:
 		text.set("name", "%s", p.name)
 	case roleAllocator:
 		text.set("name", "%s", p.name)
-		text.set("serves", "%s", p.service.address())
+		text.set("service-address", "%s", p.service.address())
 	case roleInstance:
-		text.set("serves", "%s:%d", p.frontHost, clientPort)
+		text.set("service-address", "%s:%d", p.frontHost, clientPort)
 	case roleProxy:
 	}
 	text.settings(script.FleetSettings)
--- a/internal/drill/process.go
+++ b/internal/drill/process.go
@@ -39,7 +39,7 @@
 )
 
 // subcommands by role.
-var subcommands = [...]string{"serve", "relay", "desk", "steward"}
+var subcommands = [...]string{"serve", "proxy", "allocator", "coordinator"}
 
 // process is one process of a drill, through all its incarnations.
 type process struct {
@@ -116,7 +116,7 @@
 		return arguments
 	}
 	if !p.startedBefore && p.index == layoutOf(p.cluster.script).coordinators {
-		arguments = append(arguments, "--begin")
+		arguments = append(arguments, "--bootstrap")
 	}
 	p.startedBefore = true
 	return arguments
--- a/internal/drill/timeline_test.go
+++ b/internal/drill/timeline_test.go
@@ -14,20 +14,20 @@
 zones = a, b, c
 seed = 7
 [fault halves]
-do = swallow
+action = blackhole
 from = draw 50%
-to = rest
-both = yes
+to = others
+bidirectional = yes
 at = 1s..3s
-for = 2s
+duration = 2s
 [fault zone]
-do = kill
-on = zone b
+action = kill
+targets = zone b
 at = 2s
-for = 1s
+duration = 1s
 [fault few]
-do = restart
-on = draw 3
+action = restart
+targets = draw 3
 at = 4s..6s
 `
 
@@ -62,8 +62,8 @@
 //nolint:lll // each diagnostic is one line
 func Example_invalid() {
 	_, err := config.ParseDrill("x.ini", []byte("[drill]\nprocesses = 1\nspeed = 3\n"+
-		"[fault a]\ndo = explode\nat = 3s..1s\n"+
-		"[fault b]\ndo = lose\non = zone q\n"))
+		"[fault a]\naction = explode\nat = 3s..1s\n"+
+		"[fault b]\naction = lose\ntargets = zone q\n"))
 	var diagnostics diagnostic.List
 	fmt.Println(errors.As(err, &diagnostics))
 	for _, d := range diagnostics {
@@ -72,13 +72,13 @@
 	// Output:
 	// true
 	// x.ini:2: drill.processes: is "1", wants a whole number from 2 to 1000
-	// x.ini:3: drill.speed: is no name of this section; wants calls-take, desks, for, mean, memory-mb, processes, rate, relays, releases, seed, seed-processes, settle, start, stewards, stubs, zones
-	// x.ini:5: fault a.do: is "explode", wants one of agree, burst, delay, duplicate, fail-runs, flood, garble, half-close, keys, kill, late-runtime, leave, lose, lose-runs, narrow, pause, refuse, reorder, replace, restart, seeds, slow-runs, stall, swallow, wipe
-	// x.ini:5: fault a.do: wants what is done, as swallow or kill
+	// x.ini:3: drill.speed: is no name of this section; wants allocators, clients, coordinators, duration, max-memory-mb, mean-run-time, processes, proxies, rate, releases, seed, seed-members, settle, startup, upstream-call-duration, zones
+	// x.ini:5: fault a.action: is "explode", wants one of blackhole, burst, coordinator-command, delay, duplicate, fail-runs, flood, garble, half-close, keys, kill, late-runtime, leave, lose, lose-runs, pause, refuse, reorder, replace, restart, seeds, slow-runs, stall, throttle, wipe
+	// x.ini:5: fault a.action: wants what is done, as blackhole or kill
 	// x.ini:6: fault a.at: is "3s..1s", wants a time, or two with .. between, from when all are up
 	// x.ini:7: fault b.at: wants a time, or two with .. between, from when all are up
 	// x.ini:7: fault b.from: wants both, from and to, as the fault is one of links
-	// x.ini:9: fault b.on: is "zone q", wants all, rest, relays, instances, desks, stewards, zone NAME, release NAME, process N, first N, draw N or draw N%
+	// x.ini:9: fault b.targets: is "zone q", wants all, others, proxies, instances, allocators, coordinators, zone NAME, release NAME, process N, first N, draw N or draw N%
 }
 
 // TestTimelineText checks how many processes are abbreviated.
--- a/internal/lifecycle/allocators/desks.go
+++ b/internal/lifecycle/allocators/desks.go
@@ -20,7 +20,7 @@
 
 // Run starts the desk that the operator's file tells of, and grants until it is told to go.
 func Run(configPath, logFormat string, attach Attach) error {
-	signals, operatorConfig, err := lifecycle.StartStandalone(configPath, logFormat, "wants the sections [fleet] and [grants]", func(f *config.Operator) bool { return f.Allocator.Enabled })
+	signals, operatorConfig, err := lifecycle.StartStandalone(configPath, logFormat, "wants the sections [fleet] and [allocator]", func(f *config.Operator) bool { return f.Allocator.Enabled })
 	if err != nil {
 		return err
 	}
--- a/internal/lifecycle/beside.go
+++ b/internal/lifecycle/beside.go
@@ -38,6 +38,7 @@
 	if logFormat == "" {
 		logging.Setup(os.Stderr, operatorConfig.File.Log.Format)
 	}
+	operatorConfig.File.Renamed.Warn()
 	return signals, operatorConfig, nil
 }
 
@@ -60,6 +61,7 @@
 			continue
 		}
 		current = next
+		next.File.Renamed.Warn()
 		reload(&next)
 		slog.Info("operated", "file", operatorPath)
 	}
--- a/internal/lifecycle/callers.go
+++ b/internal/lifecycle/callers.go
@@ -178,9 +178,9 @@
 	fixedSettings := func(o *OperatorConfig) map[string]string {
 		t := &o.File.TLS
 		return map[string]string{"callers": strconv.FormatBool(o.Authn != nil), "tls.listen": t.ListenAddress,
-			"tls.handshakes": strconv.Itoa(t.MaxHandshakes), "tls.handshake-rate": fmt.Sprint(t.HandshakeRate), "log.format": o.File.Log.Format, "amqp": o.File.AMQP.StartupFingerprint(),
-			"fleet": fixedFleetSettings(&o.File.Fleet), "relay": fmt.Sprint(o.File.Proxy),
-			"below": fmt.Sprint(o.File.Upstream), "grants": fmt.Sprint(o.File.Allocator.Enabled, o.File.Allocator.LockFile, o.File.Allocator.Config.UnleasedCalls, o.File.Allocator.Config.MaxProcesses), "handover": fmt.Sprint(o.File.Spillover.Enabled, o.File.Spillover.Config.Config)}
+			"tls.max-handshakes": strconv.Itoa(t.MaxHandshakes), "tls.handshake-rate": fmt.Sprint(t.HandshakeRate), "log.format": o.File.Log.Format, "amqp": o.File.AMQP.StartupFingerprint(),
+			"fleet": fixedFleetSettings(&o.File.Fleet), "proxy": fmt.Sprint(o.File.Proxy),
+			"upstream": fmt.Sprint(o.File.Upstream), "allocator": fmt.Sprint(o.File.Allocator.Enabled, o.File.Allocator.LockFile, o.File.Allocator.Config.UnleasedCalls, o.File.Allocator.Config.MaxProcesses), "spillover": fmt.Sprint(o.File.Spillover.Enabled, o.File.Spillover.Config.Config)}
 	}
 	now, then := fixedSettings(o), fixedSettings(before)
 	for _, name := range slices.Sorted(maps.Keys(now)) {
--- a/internal/lifecycle/coordinators/stewards.go
+++ b/internal/lifecycle/coordinators/stewards.go
@@ -21,7 +21,7 @@
 
 // Run starts the steward that the operator's file tells of.
 func Run(configPath, logFormat string, bootstrap, forceNewCluster bool, attach Attach) error {
-	signals, operatorConfig, err := lifecycle.StartStandalone(configPath, logFormat, "wants the sections [fleet] and [steward]", func(f *config.Operator) bool { return f.Coordinator.Enabled })
+	signals, operatorConfig, err := lifecycle.StartStandalone(configPath, logFormat, "wants the sections [fleet] and [coordinator]", func(f *config.Operator) bool { return f.Coordinator.Enabled })
 	if err != nil {
 		return err
 	}
--- a/internal/lifecycle/life.go
+++ b/internal/lifecycle/life.go
@@ -38,6 +38,7 @@
 	if logFormat == "" {
 		logging.Setup(os.Stderr, operatorConfig.File.Log.Format)
 	}
+	operatorConfig.File.Renamed.Warn()
 	// One processor for each core told, and no more: a second one on a part of a core wakes and sleeps for each message.
 	processors := int(math.Ceil(config.Cores))
 	// A further front waits for its sockets otherwise than the poller does, which keeps a processor for up to 10 ms while it waits:
@@ -171,6 +172,7 @@
 			return err
 		}
 		k.operatorConfig = result.operatorConfig
+		result.operatorConfig.File.Renamed.Warn()
 		if result.operatorConfig.serverTLS != nil {
 			k.serverTLS.Store(result.operatorConfig.serverTLS)
 		}
--- a/internal/lifecycle/proxies/relays.go
+++ b/internal/lifecycle/proxies/relays.go
@@ -19,7 +19,7 @@
 
 // Run starts the relay that the configuration at path and the operator's file tell of, and passes ops on until it is told to go.
 func Run(platformPath, operatorPath, logFormat string, join Join) error {
-	signals, operatorConfig, err := lifecycle.StartStandalone(operatorPath, logFormat, "wants the sections [fleet] and [relay]", func(file *config.Operator) bool { return file.Fleet.Enabled && file.Proxy.Enabled })
+	signals, operatorConfig, err := lifecycle.StartStandalone(operatorPath, logFormat, "wants the sections [fleet] and [proxy]", func(file *config.Operator) bool { return file.Fleet.Enabled && file.Proxy.Enabled })
 	if err != nil {
 		return err
 	}
