--- a/cmd/lanewheel-fleet/main_test.go
+++ b/cmd/lanewheel-fleet/main_test.go
@@ -123,7 +123,7 @@
 	}{
 		{
 			nodeOptions{name: "a", host: 21, keys: "x"},
-			[]string{"msg=cannot-start", "address already in use"},
+			[]string{`msg="start failed"`, "address already in use"},
 		},
 		{
 			nodeOptions{name: "b", host: 22, extra: "gone-after = soon\n"},
--- a/cmd/lanewheel-fleet/renamed_test.go
+++ b/cmd/lanewheel-fleet/renamed_test.go
@@ -40,20 +40,22 @@
 
 // TestRenamedSettingsWarnedOnce checks the same for an operator's file by which a process serves.
 func TestRenamedSettingsWarnedOnce(t *testing.T) {
-	n := startNode(nodeOptions{name: "a", host: 26, keys: "x", seeds: []int{26}, extra: "gone-after = 2s\nfenced = leave\n"})
+	extra := "gone-after = 2s\nfenced = leave\n"
+	n := startNode(nodeOptions{name: "a", host: 26, keys: "x", seeds: []int{26}, extra: extra})
 	fake.WaitFor("the node to answer", func() bool { return n.snapshot().Name != "" })
-	if err := os.WriteFile(n.operatorPath, append([]byte("; read again\n"), readFile(t, n.operatorPath)...), 0o600); err != nil {
+	text := append([]byte("; read again\n"), readFile(t, n.operatorPath)...)
+	if err := os.WriteFile(n.operatorPath, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	n.signal(syscall.SIGHUP)
 	time.Sleep(time.Second) // its log can be read once it has exited, which then says whether it has read the file
 	n.stop(syscall.SIGTERM)
-	text := n.log.String()
+	logged := n.log.String()
 	want := `msg="renamed settings" use="fleet.gone-after is now fleet.dead-after; ` +
 		`fleet.fenced is now fleet.when-fenced; fleet.fenced = leave is now drain"`
-	if strings.Count(text, "renamed settings") != 1 || !strings.Contains(text, want) ||
-		!strings.Contains(text, "msg=operated") {
-		t.Errorf("logged\n%s", text)
+	if strings.Count(logged, "renamed settings") != 1 || !strings.Contains(logged, want) ||
+		!strings.Contains(logged, "msg=operated") {
+		t.Errorf("logged\n%s", logged)
 	}
 }
 
--- a/cmd/lanewheel/main_test.go
+++ b/cmd/lanewheel/main_test.go
@@ -637,11 +637,11 @@
 	}
 	// Output:
 	// 1 0  cannot parse JSON: cannot parse object: cannot parse object value: cannot parse empty string; unparsed tail: \"\""
-	// 1 0  name: wants text" more=6
+	// 1 0  name: wants text" suppressed=6
 	// 1 0 1: limits.cores: is \"0\", wants a number over 0"
 	// 1 0 6: settings.domain.cpus: is \"two\", wants another type than string"
 	// 1 0  settings: wants an object"
-	// 1 0 msg=cannot-start err="listen tcp ADDR: bind: address already in use"
+	// 1 0 msg="start failed" err="listen tcp ADDR: bind: address already in use"
 }
 
 // runCommand gives the exit code and all that the program prints for a command line.
--- a/internal/cli/cert.go
+++ b/internal/cli/cert.go
@@ -96,7 +96,8 @@
 	if name == "" {
 		name = filepath.Base(c.Path)
 	}
-	pair, err := authority.Issue(certs.Subject{CommonName: name, URIs: c.URI, Hosts: c.Host}, c.Server, time.Now(), c.Validity)
+	subject := certs.Subject{CommonName: name, URIs: c.URI, Hosts: c.Host}
+	pair, err := authority.Issue(subject, c.Server, time.Now(), c.Validity)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -123,9 +123,9 @@
 	}
 	var diagnostics diagnostic.List
 	if errors.As(err, &diagnostics) && len(diagnostics) > 1 {
-		slog.Error("cannot-start", "err", diagnostics[0], "more", len(diagnostics)-1)
+		slog.Error("start failed", "err", diagnostics[0], "suppressed", len(diagnostics)-1)
 	} else {
-		slog.Error("cannot-start", "err", err)
+		slog.Error("start failed", "err", err)
 	}
 	return errReported
 }
--- a/internal/cli/credentials_test.go
+++ b/internal/cli/credentials_test.go
@@ -117,7 +117,8 @@
 	path := filepath.Join(folder, "new")
 	run(t, "cert", "issue", path, "--authority", folder, "--name", "handheld", "--uri", "rota://water/7", "--host",
 		"h.example", "--host", "10.0.0.1", "--validity", "1h")
-	pair := rapidtest.Must(certs.ParseKeyPair(rapidtest.Must(os.ReadFile(path+".pem")), rapidtest.Must(os.ReadFile(path+".key"))))
+	certificate, key := rapidtest.Must(os.ReadFile(path+".pem")), rapidtest.Must(os.ReadFile(path+".key"))
+	pair := rapidtest.Must(certs.ParseKeyPair(certificate, key))
 	if is := fmt.Sprint(pair.Certificate.Subject, pair.Certificate.URIs, pair.Certificate.DNSNames,
 		pair.Certificate.IPAddresses); is != "CN=handheld [rota://water/7] [h.example] [10.0.0.1]" {
 		t.Error(is)
--- a/internal/cli/help.go
+++ b/internal/cli/help.go
@@ -17,11 +17,11 @@
 	"help_include_named": "Also read the keys, certificates and lists that an operator's file names.",
 	"help_check_file":    "Configurations, which begin with a brace, or operator's files.",
 
-	"help_request_operator": "Operator's file (INI) whose section [coordinator] names the coordinators and whose [fleet] " +
-		"the keys.",
+	"help_request_operator": "Operator's file (INI) whose section [coordinator] names the coordinators and " +
+		"whose [fleet] the keys.",
 	"help_by":             "Who gives the command, as the history is to have it.",
-	"help_bootstrap":      "Begin a new fleet: once, on one coordinator. Where there is a state already it changes nothing.",
-	"help_recover":        "The other coordinators are lost for good, with their disks: go on from this one's state alone.",
+	"help_bootstrap":      "Begin a new fleet: once, on one coordinator. Where there is a state it changes nothing.",
+	"help_recover":        "The others are lost for good, with their disks: go on from this one's state alone.",
 	"help_drain_zone":     "All that are up in a zone, one after the other as the budgets let them.",
 	"help_drain_upstream": "The allocator beside an upstream service, so that the service can be taken out.",
 	"help_cancel":         "Cancel what has been requested and has not begun.",
@@ -40,12 +40,14 @@
 	"help_cert_issue":     "Issue a certificate to a client, or with --server to an instance.",
 	"help_cert_files":     "Files of the certificates; without any, the list is only written anew.",
 
-	"help_keys_new":     "Make a key pair; the private half is written for its owner alone, and nothing is published.",
-	"help_keys_publish": "Publish the public half of a key, with the times between which it is valid.",
-	"help_key_from":     "When it becomes valid: RFC 3339, or a time from now as 10m. Without it, always.",
-	"help_key_until":    "When it stops being valid: RFC 3339, or a time from now as 720h. Without it, never.",
-	"help_key_folder":   "Folder of the published keys, which instances read.",
-	"help_token_show":   "Show what a token says and, with an operator's file, whether it is valid now.",
+	"help_keys_new":       "Make a key pair; the private half is written for its owner alone, and nothing is published.",
+	"help_keys_publish":   "Publish the public half of a key, with the times between which it is valid.",
+	"help_key_from":       "When it becomes valid: RFC 3339, or a time from now as 10m. Without it, always.",
+	"help_key_until":      "When it stops being valid: RFC 3339, or a time from now as 720h. Without it, never.",
+	"help_key_folder":     "Folder of the published keys, which instances read.",
+	"help_token_operator": "Operator's file, whose keys and rules it is checked by.",
+	"help_try_token":      "File with a token that the clients bring.",
+	"help_token_show":     "Show what a token says and, with an operator's file, whether it is valid now.",
 
 	"help_queue_check": "Try each broker: login, the queues, and what the file says of them.",
 	"help_queue_watch": "Show the consumer of a running instance, as its status socket tells.",
--- a/internal/cli/token.go
+++ b/internal/cli/token.go
@@ -77,7 +77,7 @@
 
 type tokenShow struct {
 	File     string `arg:"" name:"file" help:"File with the token, - for standard input." default:"-"`
-	Operator string `name:"operator" help:"Operator's file, whose keys and rules it is checked by." placeholder:"FILE" type:"path"`
+	Operator string `name:"operator" help:"${help_token_operator}" placeholder:"FILE" type:"path"`
 }
 
 func (c *tokenShow) Run(o output) error {
--- a/internal/cli/try.go
+++ b/internal/cli/try.go
@@ -25,7 +25,7 @@
 	Seed        uint64        `name:"seed" help:"For chance: the same seed gives the same load." default:"1"`
 	Operator    string        `name:"operator" help:"Operator's file for the instance." placeholder:"FILE" type:"path"`
 	AMQP        bool          `name:"amqp" help:"${help_try_amqp}"`
-	Token       string        `name:"token" help:"File with a token that the clients bring." placeholder:"FILE" type:"path"`
+	Token       string        `name:"token" help:"${help_try_token}" placeholder:"FILE" type:"path"`
 	Log         string        `name:"log" help:"${help_try_log}" placeholder:"FILE" type:"path"`
 }
 
@@ -98,7 +98,8 @@
 	broker   *broker.Broker // nil without --amqp
 
 	instance *exec.Cmd
-	exited   chan error // takes the instance's end
+	exited   chan struct{} // closed when the instance has ended
+	exitErr  error         // to be read after that
 }
 
 // newTrial starts the fakes.
@@ -117,7 +118,7 @@
 		runtime:  fake.NewRuntime(),
 		database: fake.NewDatabase(),
 		registry: fake.NewRegistry(),
-		exited:   make(chan error, 1),
+		exited:   make(chan struct{}),
 	}
 	if t.logPath == "" {
 		t.logPath = filepath.Join(dir, "log")
@@ -176,7 +177,10 @@
 	if err := t.instance.Start(); err != nil {
 		return err
 	}
-	go func() { t.exited <- t.instance.Wait() }()
+	go func() {
+		t.exitErr = t.instance.Wait()
+		close(t.exited)
+	}()
 	return t.waitReady()
 }
 
@@ -207,8 +211,8 @@
 func (t *trial) stop() error {
 	_ = t.instance.Process.Signal(syscall.SIGTERM) // it may have ended
 	select {
-	case err := <-t.exited:
-		return err
+	case <-t.exited:
+		return t.exitErr
 	case <-time.After(fake.WaitTimeout):
 		_ = t.instance.Process.Kill() // it may have ended
 		return errNotTerminated
--- a/internal/config/drillselector.go
+++ b/internal/config/drillselector.go
@@ -16,7 +16,7 @@
 
 // readSelector reads which processes are meant.
 func (s *section) readSelector(name string, drill *Drill) DrillSelector {
-	text, told, found := s.lookupWords(name)
+	text, written, found := s.lookupWords(name)
 	if !found {
 		return DrillSelector{}
 	}
@@ -46,7 +46,7 @@
 		valid = err == nil && count >= 0 && count <= limit && (!isPercentage || kind == "draw")
 	}
 	if !valid {
-		s.report(name, told, "wants all, others, proxies, instances, allocators, coordinators, zone NAME, release NAME, "+
+		s.report(name, written, "wants all, others, proxies, instances, allocators, coordinators, zone NAME, release NAME, "+
 			"process N, first N, draw N or draw N%")
 	}
 	return selector
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -3,8 +3,6 @@
 import (
 	"fmt"
 	"os"
-
-	"lanewheel/internal/diagnostic"
 )
 
 // The shipped file says what holds without it, but for its examples, and can be read; what is wrong is said whole.
@@ -15,13 +13,14 @@
 	}
 	shipped, err := Parse("fleet.ini", text)
 	bare, _ := Parse("x", []byte("[fleet]\nlisten = 127.0.0.1:7946\nkey-file = k\n"))
-	fmt.Println(err, shipped.Fleet.ProbeInterval == bare.Fleet.ProbeInterval, shipped.Fleet.WarmUp == bare.Fleet.WarmUp, shipped.Fleet.MaxMessageRate == bare.Fleet.MaxMessageRate)
+	fmt.Println(err, shipped.Fleet.ProbeInterval == bare.Fleet.ProbeInterval,
+		shipped.Fleet.WarmUp == bare.Fleet.WarmUp,
+		shipped.Fleet.MaxMessageRate == bare.Fleet.MaxMessageRate)
 	shipped.Fleet.Config.Seeds = nil
 	fmt.Println(fmt.Sprint(shipped.Fleet.Config) == fmt.Sprint(bare.Fleet.Config))
-	_, err = Parse("op.ini", []byte("[fleet]\nlisten = here:7946\nseeds = 10.0.0.1:7946, 10.0.0.2\nroles = instance, king\nzone = a b\nflap-suppress = 2\nflap-reuse = 2\nisolated-threshold = 0.9\n"))
-	for _, f := range err.(diagnostic.List) {
-		fmt.Println(f)
-	}
+	_, err = Parse("op.ini", []byte("[fleet]\nlisten = here:7946\nseeds = 10.0.0.1:7946, 10.0.0.2\n"+
+		"roles = instance, king\nzone = a b\nflap-suppress = 2\nflap-reuse = 2\nisolated-threshold = 0.9\n"))
+	printDiagnostics(err)
 	_, err = ParseClusterKeys("keys", []byte("# two\nAAAAAAAAAAAAAAAAAAAAAA==\nAAAAAAAAAAAAAAAAAAAAAA==\nsecret\n"))
 	fmt.Println(err)
 	// Output:
@@ -37,7 +36,10 @@
 	// keys:3: stands there already (and 1 more)
 }
 
-// The shipped files of upstream services and of spillover say what holds without them, but for their examples; what is wrong is said whole.
+// The shipped files of upstream services and of spillover say what holds without them, but for their examples; what is
+// wrong is said whole.
+//
+//nolint:lll // each diagnostic is one line
 func Example_upstream() {
 	const fleet = "[fleet]\nlisten = 127.0.0.1:7948\nkey-file = k\nname = d\nservice-address = 127.0.0.1:1\n"
 	read := func(name string) Operator {
@@ -53,15 +55,13 @@
 	bare, err := Parse("x", []byte("[upstream]\n[allocator]\nmax-concurrency = 200\n[spillover]\n"+fleet))
 	shipped.Upstream.Config.Addresses, shipped.Allocator.LockFile = nil, ""
 	bare.Spillover.Config.LocalAddress = over.Spillover.Config.LocalAddress
-	fmt.Println(err, fmt.Sprint(shipped.Upstream) == fmt.Sprint(bare.Upstream), shipped.Allocator == bare.Allocator, over.Spillover == bare.Spillover)
-	_, err = Parse("x", []byte("[upstream]\nmax-concurrency = some\n[allocator]\nmax-concurrency = 5\nunleased-per-process = 1\n[spillover]\nbudget = 2\n"))
-	for _, f := range err.(diagnostic.List) {
-		fmt.Println(f)
-	}
+	fmt.Println(err, fmt.Sprint(shipped.Upstream) == fmt.Sprint(bare.Upstream), shipped.Allocator == bare.Allocator,
+		over.Spillover == bare.Spillover)
+	_, err = Parse("x", []byte("[upstream]\nmax-concurrency = some\n"+
+		"[allocator]\nmax-concurrency = 5\nunleased-per-process = 1\n[spillover]\nbudget = 2\n"))
+	printDiagnostics(err)
 	_, err = Parse("x", []byte("[allocator]\nlease-duration = 1ms\n"+fleet))
-	for _, f := range err.(diagnostic.List) {
-		fmt.Println(f)
-	}
+	printDiagnostics(err)
 	// Output:
 	// <nil> <nil> <nil> true true true
 	// x:1: upstream.addresses: wants addresses, or a section [fleet] by which members with the role upstream are known
@@ -74,20 +74,21 @@
 	// x:2: allocator.lease-duration: is "1ms", wants a time from 200ms to 1m0s, as 1m30s
 }
 
-// The shipped file of a coordinator says what holds without it, but for its examples; budgets and rollouts are read whole or not at all.
+// The shipped file of a coordinator says what holds without it, but for its examples; budgets and rollouts are read
+// whole or not at all.
 func Example_coordinator() {
 	text, err := os.ReadFile("../../deploy/coordinator.ini")
 	if err != nil {
 		panic(err)
 	}
 	shipped, err := Parse("coordinator.ini", text)
-	bare, _ := Parse("x", []byte("[coordinator]\nlisten = 127.0.0.1:7960\ndata-dir = coordinator.d\ncoordinators = 127.0.0.1:7960\n[fleet]\nname = coordinator-1\nlisten = 127.0.0.1:7949\nkey-file = k\n"))
-	shipped.Coordinator.Config.RestartCommand, shipped.Coordinator.Config.Coordinators = "", bare.Coordinator.Config.Coordinators
+	bare, _ := Parse("x", []byte("[coordinator]\nlisten = 127.0.0.1:7960\ndata-dir = coordinator.d\n"+
+		"coordinators = 127.0.0.1:7960\n[fleet]\nname = coordinator-1\nlisten = 127.0.0.1:7949\nkey-file = k\n"))
+	shipped.Coordinator.Config.RestartCommand = ""
+	shipped.Coordinator.Config.Coordinators = bare.Coordinator.Config.Coordinators
 	fmt.Println(err, fmt.Sprint(shipped.Coordinator) == fmt.Sprint(bare.Coordinator))
 	_, err = Parse("x", []byte("[coordinator]\nlisten = here\nleader-timeout = 1ms\n"))
-	for _, f := range err.(diagnostic.List) {
-		fmt.Println(f)
-	}
+	printDiagnostics(err)
 	for _, name := range []string{"budgets.ini", "budgets-100.ini"} {
 		text, _ := os.ReadFile("../../drills/agreed/" + name)
 		all, err := ParseBudgets(name, text)
@@ -98,14 +99,11 @@
 		p, err := ParseRollout(name, text)
 		fmt.Println(p.Name, p.TargetRelease, p.Waves, p.Pause, p.AnalysisRequired, err)
 	}
-	_, err = ParseBudgets("b", []byte("[budget x]\nmax-unavailable = 1\nmax-unavailable-fraction = 0.5\n[budget y]\n[other]\n"))
-	for _, f := range err.(diagnostic.List) {
-		fmt.Println(f)
-	}
+	_, err = ParseBudgets("b", []byte("[budget x]\nmax-unavailable = 1\nmax-unavailable-fraction = 0.5\n"+
+		"[budget y]\n[other]\n"))
+	printDiagnostics(err)
 	_, err = ParseRollout("p", []byte("[release]\ntarget-release = 2\nwaves = 1, ten, 120%\n"))
-	for _, f := range err.(diagnostic.List) {
-		fmt.Println(f)
-	}
+	printDiagnostics(err)
 	// Output:
 	// <nil> true
 	// x:1: coordinator: wants a section [fleet], by which the members are known
@@ -135,9 +133,7 @@
 	bare, _ := Parse("x", []byte("[proxy]\n[fleet]\nlisten = 127.0.0.1:7947\nkey-file = k\n"))
 	fmt.Println(err, shipped.Proxy == bare.Proxy)
 	_, err = Parse("x", []byte("[proxy]\npolicy = best\nprobes-per-request = many\n"))
-	for _, f := range err.(diagnostic.List) {
-		fmt.Println(f)
-	}
+	printDiagnostics(err)
 	// Output:
 	// <nil> true
 	// x:1: proxy: wants a section [fleet], by which it knows the members
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -108,7 +108,8 @@
 
 // A file of cluster keys: one a line in base64, the one to write with first.
 func TestGoldenClusterKeys(t *testing.T) {
-	keys := rapidtest.Must(ParseClusterKeys("cluster-keys", rapidtest.Must(os.ReadFile("testdata/golden/cluster-keys.txt"))))
+	text := rapidtest.Must(os.ReadFile("testdata/golden/cluster-keys.txt"))
+	keys := rapidtest.Must(ParseClusterKeys("cluster-keys", text))
 	var want [3][]byte
 	for i, size := range []int{16, 24, 32} {
 		for n := range size {
--- a/internal/config/listing_test.go
+++ b/internal/config/listing_test.go
@@ -19,7 +19,7 @@
 	case t.Kind() == reflect.String, t.Kind() == reflect.Slice && t.Elem().Kind() == reflect.String:
 		verb = "%q"
 	}
-	fmt.Fprintf(l, "%s = "+verb+"\n", name, value)
+	_, _ = fmt.Fprintf(l, "%s = "+verb+"\n", name, value)
 }
 
 // either is the word that stands in a file for a value that is held as a bool.
--- a/internal/config/listingdrill_test.go
+++ b/internal/config/listingdrill_test.go
@@ -23,6 +23,15 @@
 	l.add("drill.memory-mb", d.MaxMemoryMB)
 	l.add("drill.zones", d.Zones)
 	l.add("drill.releases", d.Releases)
+	listCopied(l, d)
+	listGoals(l, d)
+	for i := range d.Faults {
+		listFault(l, &d.Faults[i])
+	}
+}
+
+// listCopied lists what is copied into the files of processes.
+func listCopied(l *listing, d *Drill) {
 	for _, copied := range []struct {
 		name     string
 		renames  map[string]string
@@ -44,6 +53,9 @@
 			l.add(copied.name+"."+name, setting.Value)
 		}
 	}
+}
+
+func listGoals(l *listing, d *Drill) {
 	l.add("handing", d.SpilloverEnabled)
 	l.add("bad-release.release", d.BadRelease.Release)
 	l.add("bad-release.slow", d.BadRelease.RunTimeFactor)
@@ -57,29 +69,31 @@
 	l.add("even.most", d.Balance.MaxImbalance)
 	l.add("even.idle", d.Balance.MaxIdleGaps)
 	l.add("even.back", d.Balance.RecoveryTime)
-	group := func(g DrillSelector) string {
-		return fmt.Sprintf("%v %q count %d share %v", g.Kind, g.Name, g.Count, g.Fraction)
-	}
-	for _, f := range d.Faults {
-		name := "fault " + f.Name
-		l.add(name+".do", f.Action)
-		l.add(name+".at", fmt.Sprint(f.Earliest, " ", f.Latest))
-		l.add(name+".for", f.Duration)
-		l.add(name+".on", group(f.Targets))
-		l.add(name+".from", group(f.From))
-		l.add(name+".to", group(f.To))
-		l.add(name+".both", f.Bidirectional)
-		l.add(name+".share", f.Fraction)
-		l.add(name+".factor", f.Factor)
-		l.add(name+".command", f.Command)
-		l.add(name+".delay", f.Delay)
-		l.add(name+".jitter", f.Jitter)
-		l.add(name+".rate", f.BytesPerSecond)
-		l.add(name+".keys", f.KeyNumbers)
-		l.add(name+".seeds", f.SeedMembers)
-		l.add(name+".none-gone", f.ForbidEviction)
-		l.add(name+".refuses", f.AllowUnanswered)
-	}
+}
+
+func selectorText(g DrillSelector) string {
+	return fmt.Sprintf("%v %q count %d share %v", g.Kind, g.Name, g.Count, g.Fraction)
+}
+
+func listFault(l *listing, f *DrillFault) {
+	name := "fault " + f.Name
+	l.add(name+".do", f.Action)
+	l.add(name+".at", fmt.Sprint(f.Earliest, " ", f.Latest))
+	l.add(name+".for", f.Duration)
+	l.add(name+".on", selectorText(f.Targets))
+	l.add(name+".from", selectorText(f.From))
+	l.add(name+".to", selectorText(f.To))
+	l.add(name+".both", f.Bidirectional)
+	l.add(name+".share", f.Fraction)
+	l.add(name+".factor", f.Factor)
+	l.add(name+".command", f.Command)
+	l.add(name+".delay", f.Delay)
+	l.add(name+".jitter", f.Jitter)
+	l.add(name+".rate", f.BytesPerSecond)
+	l.add(name+".keys", f.KeyNumbers)
+	l.add(name+".seeds", f.SeedMembers)
+	l.add(name+".none-gone", f.ForbidEviction)
+	l.add(name+".refuses", f.AllowUnanswered)
 }
 
 func listSelector(l *listing, before string, g coordination.Selector) {
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"strings"
@@ -35,31 +36,51 @@
 func Example() {
 	f := rapidtest.Must(Parse("etc/op.ini", []byte(validFile)))
 	r := f.Callers.Roles[0]
-	fmt.Println(f.Callers.Enabled, r.RatePerSecond, r.Burst, r.MaxInFlight, f.Callers.Bindings[0].Patterns, f.Callers.Policy != nil)
-	fmt.Println(f.Tokens.KeyDir, f.Tokens.Policy.Leeway, f.Tokens.Limits.MaxCached, f.TLS.CertificateFile, f.TLS.MinVersion, f.TLS.RequireClientCertificate, f.TLS.AllowStaleRevocations)
+	patterns := f.Callers.Bindings[0].Patterns
+	fmt.Println(f.Callers.Enabled, r.RatePerSecond, r.Burst, r.MaxInFlight, patterns, f.Callers.Policy != nil)
+	fmt.Println(f.Tokens.KeyDir, f.Tokens.Policy.Leeway, f.Tokens.Limits.MaxCached)
+	fmt.Println(f.TLS.CertificateFile, f.TLS.MinVersion, f.TLS.RequireClientCertificate, f.TLS.AllowStaleRevocations)
 	f = rapidtest.Must(Load(""))
 	fmt.Println(f.Callers.Enabled, f.Tokens.Enabled, f.TLS.Enabled, f.Log.Format)
 	// Output:
 	// true 5 5 0 [uri:rota://water/*] true
-	// etc/keys 30s 8192 etc/a.pem 1.3 true false
+	// etc/keys 30s 8192
+	// etc/a.pem 1.3 true false
 	// false false false text
 }
 
+// printDiagnostics prints all that is wrong, a line each.
+func printDiagnostics(err error) {
+	var diagnostics diagnostic.List
+	_ = errors.As(err, &diagnostics) // any other error is none that is expected, and misses in the output
+	for _, d := range diagnostics {
+		fmt.Println(d)
+	}
+}
+
 // Every fault has its place; a value that needs another section is one too.
+//
+//nolint:lll // each diagnostic is one line
 func Example_faults() {
-	for _, change := range [][2]string{{"rate = 5", "rate = many"}, {"permissions = read, write", "permissions = wriet"}, {"roles = crew", "roles = crwe"},
-		{"match = uri:rota://water/*", "match = rota://water/*"}, {"key-dir = keys\n", ""}, {"listen = 127.0.0.1:9443", "listen = 9443"},
-		{"authorities = ca.pem", "revocation-lists = list.pem"}, {"issuer = us", "issuer = us\nissuer = them"}, {"audience = rota", "audience = %(keys)s"},
-		{"[callers]", "stray = 1\n[callers]"}, {"[role crew]", "[role]\n[role crew]"}} {
+	for _, change := range [][2]string{
+		{"rate = 5", "rate = many"},
+		{"permissions = read, write", "permissions = wrote"},
+		{"roles = crew", "roles = crwe"},
+		{"match = uri:rota://water/*", "match = rota://water/*"},
+		{"key-dir = keys\n", ""},
+		{"listen = 127.0.0.1:9443", "listen = 9443"},
+		{"authorities = ca.pem", "revocation-lists = list.pem"},
+		{"issuer = us", "issuer = us\nissuer = them"},
+		{"audience = rota", "audience = %(keys)s"},
+		{"[callers]", "stray = 1\n[callers]"},
+		{"[role crew]", "[role]\n[role crew]"},
+	} {
 		_, err := Parse("op.ini", []byte(strings.Replace(validFile, change[0], change[1], 1)))
-		all, _ := err.(diagnostic.List)
-		for _, f := range all {
-			fmt.Println(f)
-		}
+		printDiagnostics(err)
 	}
 	// Output:
 	// op.ini:6: role crew.rate: is "many", wants a number from 0 to 1e+06
-	// op.ini:5: role crew.permissions: is "wriet", wants read, write or both
+	// op.ini:5: role crew.permissions: is "wrote", wants read, write or both
 	// op.ini:5: role crew.permissions: wants read, write or both
 	// op.ini:10: caller water.roles: is "crwe", is no role of this file; wants one of crew
 	// op.ini:8: caller water.match: is "rota://water/*", wants uri:, dns:, subject: or token: in front
--- a/internal/config/renamed_test.go
+++ b/internal/config/renamed_test.go
@@ -188,7 +188,8 @@
 
 // TestRenamedDrillDiagnostics does the same for scripts and plans.
 func TestRenamedDrillDiagnostics(t *testing.T) {
-	_, err := ParseDrill("x", []byte("[drill]\nrelays = 2\nproxies = 2\nrelyas = 1\n[fault a]\ndo = kil\nat = 1s\non = desk\n"))
+	_, err := ParseDrill("x", []byte("[drill]\nrelays = 2\nproxies = 2\nrelyas = 1\n"+
+		"[fault a]\ndo = kil\nat = 1s\non = desk\n"))
 	checkDiagnostics(t, err, []string{
 		"x:3: drill.proxies: stands in line 2 already",
 		"x:4: drill.relyas: is no name of this section; wants allocators, clients, coordinators, duration, max-memory-mb, " +
@@ -319,7 +320,8 @@
 
 // TestStartupFingerprint checks that what a reload can't change is told by the names that a file has.
 func TestStartupFingerprint(t *testing.T) {
-	operator := rapidtest.Must(Parse("etc/op.ini", []byte("[amqp]\nbrokers = amqp://h\nin-hand = 9\n[queue a]\nmost = 7\n")))
+	const text = "[amqp]\nbrokers = amqp://h\nin-hand = 9\n[queue a]\nmost = 7\n"
+	operator := rapidtest.Must(Parse("etc/op.ini", []byte(text)))
 	got := operator.AMQP.StartupFingerprint()
 	for _, want := range []string{"brokers = amqp://h, ", "max-in-flight = 9, ", "dedup-ttl = 10m0s, ",
 		"queue a.max-in-flight = 7, ", "queue a.class = type, "} {
--- a/internal/config/section.go
+++ b/internal/config/section.go
@@ -43,19 +43,20 @@
 	return s.source.Key(written).Value(), true
 }
 
-// lookupWords is lookup for a value of words, each of which is given as it is now; told is what stands in the file.
-func (s *section) lookupWords(name string) (text, told string, found bool) {
-	told, found = s.lookup(name)
-	text = s.reader.renames.value(s.name, name, told)
-	if text != told {
-		s.reader.noteRenamed(fmt.Sprintf("%s = %s is now %s", s.reader.display(s.name, name), told, text))
+// lookupWords is lookup for a value of words, each of which is returned as it is now; written is what stands in the
+// file.
+func (s *section) lookupWords(name string) (text, written string, found bool) {
+	written, found = s.lookup(name)
+	text = s.reader.renames.value(s.name, name, written)
+	if text != written {
+		s.reader.noteRenamed(fmt.Sprintf("%s = %s is now %s", s.reader.display(s.name, name), written, text))
 	}
-	return text, told, found
+	return text, written, found
 }
 
 func (s *section) report(name, value, want string) { s.reader.report(s.name, name, value, want) }
 
-// noteEffective notes the value that holds for a name, whether or not the file tells it.
+// noteEffective notes the value that holds for a name, whether or not it stands in the file.
 func (s *section) noteEffective(name string, value any) {
 	s.effective = append(s.effective, fmt.Sprintf("%s = %v", name, value))
 }
@@ -68,7 +69,7 @@
 	s.noteEffective(name, *target)
 }
 
-// requiredString is text that has to be there once its section is.
+// requiredString is text that has to stand there once its section does.
 func (s *section) requiredString(name string, target *string) {
 	if s.stringValue(name, target); *target == "" && s.exists() {
 		s.report(name, "", "wants text")
@@ -87,7 +88,7 @@
 	s.noteEffective(name, *target)
 }
 
-// requiredPath is a path that has to be told once its section is there.
+// requiredPath is a path that has to stand there once its section does.
 func (s *section) requiredPath(name string, target *string) {
 	if s.pathValue(name, target); *target == "" && s.exists() {
 		s.report(name, "", "wants a path")
@@ -96,12 +97,12 @@
 
 // enumValue reads one of some words; an earlier one is read as that which it is now.
 func (s *section) enumValue(name string, target *string, allowed ...string) {
-	text, told, found := s.lookupWords(name)
+	text, written, found := s.lookupWords(name)
 	switch {
 	case found && slices.Contains(allowed, text):
 		*target = text
 	case found:
-		s.report(name, told, "wants one of "+strings.Join(slices.Sorted(slices.Values(allowed)), ", "))
+		s.report(name, written, "wants one of "+strings.Join(slices.Sorted(slices.Values(allowed)), ", "))
 	}
 	s.noteEffective(name, *target)
 }
@@ -174,7 +175,8 @@
 	return items
 }
 
-// checkAddress checks an address in figures. A host's name is wrong: looking it up would hang where no resolver answers.
+// checkAddress checks an address in figures. A host's name is wrong: looking it up would hang where no resolver
+// answers.
 func (s *section) checkAddress(name, value string) {
 	if value == "" {
 		return
