--- a/internal/cli/commandline_test.go
+++ b/internal/cli/commandline_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"lanewheel/internal/rapidtest"
+	"lanewheel/internal/setuptest"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew from what the code says")
@@ -68,7 +68,7 @@
 // testModel is the command line as the parser knows it.
 func testModel() *kong.Node {
 	var commands commandLine
-	return rapidtest.Must(newParser(&commands, "somebody", kong.Writers(io.Discard, io.Discard))).Model.Node
+	return setuptest.Must(newParser(&commands, "somebody", kong.Writers(io.Discard, io.Discard))).Model.Node
 }
 
 // Every command, flag and argument that there was is there, under its name, with what holds without it.
@@ -82,7 +82,7 @@
 		}
 		return
 	}
-	if want := rapidtest.Must(os.ReadFile(path)); b.String() != string(want) {
+	if want := setuptest.Must(os.ReadFile(path)); b.String() != string(want) {
 		t.Errorf("the command line is\n%s\nwant\n%s", b.String(), want)
 	}
 }
--- a/internal/cli/renamed.go
+++ b/internal/cli/renamed.go
@@ -80,7 +80,7 @@
 		"coordinator": c.Coordinator.Log,
 	}
 	if format, logs := formats[name]; logs {
-		logging.Setup(os.Stderr, format)
+		logging.Setup(os.Stderr, logging.Format(format))
 	}
 	slog.Warn("renamed commands", "use", strings.Join(uses, "; "))
 }
--- a/internal/cli/renamed_test.go
+++ b/internal/cli/renamed_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"lanewheel/internal/rapidtest"
+	"lanewheel/internal/setuptest"
 )
 
 // TestRenameArgs rewrites each earlier command and flag, and nothing else.
@@ -66,7 +66,7 @@
 		}
 		now[command] = append(now[command], line)
 	}
-	earlier := string(rapidtest.Must(os.ReadFile("testdata/golden/command-line-earlier.txt")))
+	earlier := string(setuptest.Must(os.ReadFile("testdata/golden/command-line-earlier.txt")))
 	var words []string
 	count := 0
 	for line := range strings.Lines(earlier) {
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"lanewheel/internal/diagnostic"
-	"lanewheel/internal/rapidtest"
+	"lanewheel/internal/setuptest"
 )
 
 const validFile = `[callers]
@@ -34,13 +34,13 @@
 
 // Defaults stand where nothing is said, and paths count from the file's folder; without a file everything is off.
 func Example() {
-	f := rapidtest.Must(Parse("etc/op.ini", []byte(validFile)))
+	f := setuptest.Must(Parse("etc/op.ini", []byte(validFile)))
 	r := f.Callers.Roles[0]
 	patterns := f.Callers.Bindings[0].Patterns
 	fmt.Println(f.Callers.Enabled, r.RatePerSecond, r.Burst, r.MaxInFlight, patterns, f.Callers.Policy != nil)
 	fmt.Println(f.Tokens.KeyDir, f.Tokens.Policy.Leeway, f.Tokens.Limits.MaxCached)
 	fmt.Println(f.TLS.CertificateFile, f.TLS.MinVersion, f.TLS.RequireClientCertificate, f.TLS.AllowStaleRevocations)
-	f = rapidtest.Must(Load(""))
+	f = setuptest.Must(Load(""))
 	fmt.Println(f.Callers.Enabled, f.Tokens.Enabled, f.TLS.Enabled, f.Log.Format)
 	// Output:
 	// true 5 5 0 [uri:rota://water/*] true
@@ -95,7 +95,7 @@
 
 // The example that operators start from names every name there is.
 func TestExample(t *testing.T) {
-	text := rapidtest.Must(os.ReadFile("../../deploy/edge.ini"))
+	text := setuptest.Must(os.ReadFile("../../deploy/edge.ini"))
 	if _, err := Parse("edge.ini", text); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/renamed_test.go
+++ b/internal/config/renamed_test.go
@@ -12,7 +12,7 @@
 	"testing"
 
 	"lanewheel/internal/diagnostic"
-	"lanewheel/internal/rapidtest"
+	"lanewheel/internal/setuptest"
 )
 
 // parseGolden reads a file as its kind, which its name tells, and gives the earlier terms that it uses.
@@ -36,10 +36,10 @@
 // nothing to warn of.
 func TestRenamedFiles(t *testing.T) {
 	warnings := captureWarnings(t)
-	files := rapidtest.Must(filepath.Glob("testdata/golden/*.ini"))
+	files := setuptest.Must(filepath.Glob("testdata/golden/*.ini"))
 	for _, path := range files {
 		t.Run(filepath.Base(path), func(t *testing.T) {
-			text := rapidtest.Must(os.ReadFile(filepath.Join("testdata/renamed", filepath.Base(path))))
+			text := setuptest.Must(os.ReadFile(filepath.Join("testdata/renamed", filepath.Base(path))))
 			var l listing
 			listGolden(t, &l, path, text)
 			compare(t, strings.TrimSuffix(path, ".ini")+".golden", l.String())
@@ -66,7 +66,7 @@
 	} {
 		seen := map[string]bool{}
 		for _, name := range kind.files {
-			r := newReader(name, rapidtest.Must(os.ReadFile("testdata/golden/"+name)), kind.renames)
+			r := newReader(name, setuptest.Must(os.ReadFile("testdata/golden/"+name)), kind.renames)
 			for key := range r.lines {
 				section, name, _ := strings.Cut(key, ".")
 				kind, _, _ := strings.Cut(section, " ")
@@ -321,7 +321,7 @@
 // TestStartupFingerprint checks that what a reload can't change is told by the names that a file has.
 func TestStartupFingerprint(t *testing.T) {
 	const text = "[amqp]\nbrokers = amqp://h\nin-hand = 9\n[queue a]\nmost = 7\n"
-	operator := rapidtest.Must(Parse("etc/op.ini", []byte(text)))
+	operator := setuptest.Must(Parse("etc/op.ini", []byte(text)))
 	got := operator.AMQP.StartupFingerprint()
 	for _, want := range []string{"brokers = amqp://h, ", "max-in-flight = 9, ", "dedup-ttl = 10m0s, ",
 		"queue a.max-in-flight = 7, ", "queue a.class = type, "} {
@@ -329,7 +329,7 @@
 			t.Errorf("%q is missing in %s", want, got)
 		}
 	}
-	without := rapidtest.Must(Parse("etc/op.ini", nil))
+	without := setuptest.Must(Parse("etc/op.ini", nil))
 	if got := without.AMQP.StartupFingerprint(); got != "off" {
 		t.Errorf("without the section: %s", got)
 	}
--- a/internal/forward/result.go
+++ b/internal/forward/result.go
@@ -15,9 +15,6 @@
 	errorDenied = "Denied" // its caller may not: it never ran, and another endpoint would say the same
 )
 
-// deniedCode is the code of a rejection for good that front ends know as a denial.
-const deniedCode = "denied"
-
 // Responses of our own, where no endpoint has given one.
 var (
 	busyResponse   = transport.Response{Error: errorBusy, Metadata: frontend.ResponseMetadata{LoadReport: -1}}
@@ -39,7 +36,7 @@
 	return r.LastOutcome != balancer.Rejected && !r.NotSent && !r.NoEndpoint
 }
 
-// Disposition is what the caller of a request is told.
+// Disposition is how a caller is answered.
 type Disposition uint8
 
 // The dispositions.
@@ -60,7 +57,7 @@
 	return fmt.Sprintf("Disposition(%d)", uint8(d))
 }
 
-// Disposition returns what the caller is told.
+// Disposition returns how the caller is answered.
 func (r Result) Disposition() Disposition {
 	switch {
 	case r.LastOutcome == balancer.Succeeded:
@@ -81,7 +78,7 @@
 	case Rejected:
 		responder.Reject(r.Metadata)
 	case Denied:
-		responder.RejectPermanently(deniedCode, r.Metadata)
+		responder.RejectPermanently(frontend.Denied, r.Metadata)
 	case Failed:
 		responder.Fail(r.Metadata)
 	}
--- /dev/null
+++ b/internal/server/addresses.go
@@ -0,0 +1,24 @@
+package server
+
+import "log/slog"
+
+// UpdateAddresses puts the addresses of a new configuration in force, and nothing else of it. What is under way at the
+// old ones may end there.
+func (s *Server) UpdateAddresses(config Config) {
+	before := s.config
+	s.config.RuntimeAddr = config.RuntimeAddr
+	s.config.DatabaseAddr = config.DatabaseAddr
+	s.config.RegistryAddr = config.RegistryAddr
+	slog.Info("addresses changed",
+		"runtime", config.RuntimeAddr, "database", config.DatabaseAddr, "registry", config.RegistryAddr)
+	if config.RuntimeAddr != before.RuntimeAddr {
+		s.runtime.backoff = 0
+		s.runtime.connect()
+	}
+	if config.DatabaseAddr != before.DatabaseAddr {
+		s.database.addressChanged()
+	}
+	if config.RegistryAddr != before.RegistryAddr && s.registry.reset() {
+		s.report()
+	}
+}
