--- a/internal/drill/golden_files_test.go
+++ b/internal/drill/golden_files_test.go
@@ -82,12 +82,24 @@
 			if err != nil {
 				t.Fatal(err)
 			}
+			if name == "fleet.ini" {
+				checkPresentTerms(t, p.name, file)
+			}
 			fmt.Fprintf(&text, "# %s %s\n%s\n", p.name, name, strings.NewReplacer(names...).Replace(string(file)))
 		}
 	}
 	goldentest.CheckText(t, "testdata/files.txt", text.Bytes())
 }
 
+// checkPresentTerms checks that an operator's file has no earlier terms: each process would warn of them.
+func checkPresentTerms(t *testing.T, name string, file []byte) {
+	t.Helper()
+	operator, err := config.Parse("fleet.ini", file)
+	if err != nil || len(operator.Renamed) > 0 {
+		t.Errorf("%s: earlier terms %q, error %v", name, operator.Renamed, err)
+	}
+}
+
 // TestSettingsReplacer checks that all that is filled in stands in the settings of the fakes.
 func TestSettingsReplacer(t *testing.T) {
 	settings := settingsReplacer.Replace(fake.Settings)
