--- a/internal/config/drillfault.go
+++ b/internal/config/drillfault.go
@@ -1,7 +1,6 @@
 package config
 
 import (
-	"slices"
 	"strconv"
 	"strings"
 	"time"
@@ -10,7 +9,7 @@
 // DrillFault is one thing that is done, to links or to processes.
 type DrillFault struct {
 	Name              string
-	Action            string        // as records have it
+	Action            DrillAction   // empty is an error of the script
 	Earliest, Latest  time.Duration // it begins between these, by chance
 	Duration          time.Duration // until it is undone; 0 for what can't be
 	Targets, From, To DrillSelector
@@ -26,47 +25,25 @@
 	AllowUnanswered   bool // requests may be without an answer while it lasts
 }
 
-// linkFaults and processFaults are what can be done to links, and to processes, the load and the coordinators.
-var (
-	linkFaults = []string{
-		"refuse", "blackhole", "delay", "lose", "duplicate", "reorder", "throttle", "stall", "half-close", "garble",
-	}
-	processFaults = []string{
-		"kill", "wipe", "pause", "restart", "replace", "leave", "late-runtime", "slow-runs", "fail-runs", "lose-runs",
-		"burst", coordinatorCommand, "keys", "seeds", "flood",
-	}
-)
-
-// coordinatorCommand is the action that gives the coordinators a command.
-const coordinatorCommand = "coordinator-command"
-
 func (s *section) readDrillFault(drill *Drill) DrillFault {
 	parsed := DrillFault{Name: s.label(), Fraction: 1, Factor: 4}
-	action := ""
-	s.enumValue("action", &action, slices.Concat(linkFaults, processFaults)...)
-	if action == "" {
-		s.report("action", "", "wants what is done, as blackhole or kill")
-	}
-	parsed.Action = action
-	if stored, differs := storedActions[action]; differs {
-		parsed.Action = stored
-	}
+	parsed.Action = s.readAction("action")
 	s.readFaultTime(&parsed)
 	parsed.Targets = s.readSelector("targets", drill)
 	parsed.From = s.readSelector("from", drill)
 	parsed.To = s.readSelector("to", drill)
-	isLinkFault := slices.Contains(linkFaults, action)
+	commandsCoordinators := parsed.Action == ActionCoordinatorCommand
 	switch {
-	case isLinkFault && (parsed.From.Kind == "" || parsed.To.Kind == ""):
+	case parsed.Action.onLinks() && (parsed.From.Kind == "" || parsed.To.Kind == ""):
 		s.report("from", "", "wants both, from and to, as the fault is one of links")
-	case !isLinkFault && parsed.Targets.Kind == "" && action != "" && action != coordinatorCommand:
+	case !parsed.Action.onLinks() && parsed.Targets.Kind == "" && parsed.Action != "" && !commandsCoordinators:
 		s.report("targets", "", "wants processes, as zone a, draw 5 or draw 33%")
 	}
 	s.boolValue("bidirectional", &parsed.Bidirectional)
 	s.floatValue("fraction", &parsed.Fraction, 0, 1)
 	s.floatValue("factor", &parsed.Factor, 0.01, 1000)
 	s.stringValue("command", &parsed.Command)
-	if action == coordinatorCommand && parsed.Command == "" {
+	if commandsCoordinators && parsed.Command == "" {
 		s.report("command", "", "wants a command for the coordinators, as release FILE, halt, resume, back, budgets FILE, "+
 			"drain NAME, drain zone NAME")
 	}
--- a/internal/config/renamed.go
+++ b/internal/config/renamed.go
@@ -382,7 +382,7 @@
 }
 
 // earlierActions and earlierSelectors are the earlier words for what a drill does, and to whom. Records of drills still
-// speak them: storedActions and storedSelectors are the way back.
+// speak them: they are the values of DrillAction and SelectorKind, and storedSelectors is the way back.
 var (
 	earlierActions   = map[string]string{"swallow": "blackhole", "narrow": "throttle", "agree": "coordinator-command"}
 	earlierSelectors = map[string]string{
@@ -391,6 +391,5 @@
 		"stewards": "coordinators",
 		"rest":     "others",
 	}
-	storedActions   = inverted(earlierActions)
 	storedSelectors = inverted(earlierSelectors)
 )
--- a/internal/drill/balance.go
+++ b/internal/drill/balance.go
@@ -6,6 +6,8 @@
 	"math"
 	"slices"
 	"time"
+
+	"lanewheel/internal/config"
 )
 
 const (
@@ -89,7 +91,7 @@
 // excludeEvent notes the seconds that are not calm for an event.
 func (b *balanceCheck) excludeEvent(event *Event) {
 	fault := event.Fault
-	if fault.Action == actionFailRuns || fault.Action == actionLoseRuns {
+	if fault.Action == config.ActionFailRuns || fault.Action == config.ActionLoseRuns {
 		for _, index := range event.Targets {
 			b.faulty[index] = true
 		}
--- a/internal/drill/datagrams.go
+++ b/internal/drill/datagrams.go
@@ -4,6 +4,8 @@
 	"net"
 	"slices"
 	"time"
+
+	"lanewheel/internal/config"
 )
 
 // reorderDelay puts a datagram behind those of the next rounds of gossip.
@@ -51,22 +53,22 @@
 			continue
 		}
 		switch fault.Action {
-		case actionRefuse, actionSwallow, actionLose, actionStall, actionHalfClose:
+		case config.ActionRefuse, config.ActionBlackhole, config.ActionLose, config.ActionStall, config.ActionHalfClose:
 			copies = 0
 			n.increment(&current.counters.dropped, 1)
-		case actionDelay:
+		case config.ActionDelay:
 			delay += drawDelay(fault)
 			n.increment(&current.counters.delayed, 1)
-		case actionDuplicate:
+		case config.ActionDuplicate:
 			copies++
 			n.increment(&current.counters.duplicated, 1)
-		case actionReorder:
+		case config.ActionReorder:
 			delay += reorderDelay
 			n.increment(&current.counters.reordered, 1)
-		case actionGarble:
+		case config.ActionGarble:
 			garble(message)
 			n.increment(&current.counters.corrupted, 1)
-		case actionNarrow:
+		case config.ActionThrottle:
 			delay += transferTime(fault, len(message))
 		}
 	}
--- a/internal/drill/faults.go
+++ b/internal/drill/faults.go
@@ -18,13 +18,13 @@
 // command.
 func (c *cluster) apply(event Event) {
 	switch {
-	case event.Fault.Action == actionAgree && event.Undo:
+	case event.Fault.Action == config.ActionCoordinatorCommand && event.Undo:
 		c.restartDrained()
-	case event.Fault.Action == actionAgree:
+	case event.Fault.Action == config.ActionCoordinatorCommand:
 		go c.command(event)
-	case event.Fault.Action == actionBurst && event.Undo:
+	case event.Fault.Action == config.ActionBurst && event.Undo:
 		c.setLoadFactor(1)
-	case event.Fault.Action == actionBurst:
+	case event.Fault.Action == config.ActionBurst:
 		c.setLoadFactor(event.Fault.Factor)
 	default:
 		c.applyToAll(event)
@@ -78,34 +78,34 @@
 // apply does to the process what a fault says.
 func (p *process) apply(fault *config.DrillFault) error {
 	switch fault.Action {
-	case actionKill:
+	case config.ActionKill:
 		p.stop(syscall.SIGKILL)
-	case actionWipe:
+	case config.ActionWipe:
 		p.stop(syscall.SIGKILL)
 		return os.RemoveAll(p.dir)
-	case actionLeave:
+	case config.ActionLeave:
 		p.stop(syscall.SIGTERM)
-	case actionPause:
+	case config.ActionPause:
 		p.pause(true)
-	case actionRestart:
+	case config.ActionRestart:
 		p.stop(syscall.SIGKILL)
 		return p.start()
-	case actionReplace:
+	case config.ActionReplace:
 		p.stop(syscall.SIGTERM)
 		return p.start()
-	case actionLateRuntime:
+	case config.ActionLateRuntime:
 		p.setRuntimeDelayed(true)
 		p.stop(syscall.SIGKILL)
 		return p.start()
-	case actionSlowRuns, actionFailRuns, actionLoseRuns:
+	case config.ActionSlowRuns, config.ActionFailRuns, config.ActionLoseRuns:
 		p.setRuntimeFaults(fake.RuntimeFaults{
 			SlowFactor: fault.Factor,
-			FailRuns:   fault.Action == actionFailRuns,
-			LoseRuns:   fault.Action == actionLoseRuns,
+			FailRuns:   fault.Action == config.ActionFailRuns,
+			LoseRuns:   fault.Action == config.ActionLoseRuns,
 		})
-	case actionKeys, actionSeeds:
+	case config.ActionKeys, config.ActionSeeds:
 		return p.reconfigure(fault)
-	case actionFlood:
+	case config.ActionFlood:
 		go p.flood(max(fault.Duration, time.Second))
 	}
 	return nil
@@ -114,16 +114,16 @@
 // undo ends what a fault has done to the process.
 func (p *process) undo(fault *config.DrillFault) error {
 	switch fault.Action {
-	case actionKill, actionWipe, actionLeave:
+	case config.ActionKill, config.ActionWipe, config.ActionLeave:
 		if err := p.writeFiles(); err != nil {
 			return err
 		}
 		return p.start()
-	case actionPause:
+	case config.ActionPause:
 		p.pause(false)
-	case actionLateRuntime:
+	case config.ActionLateRuntime:
 		p.setRuntimeDelayed(false)
-	case actionSlowRuns, actionFailRuns, actionLoseRuns:
+	case config.ActionSlowRuns, config.ActionFailRuns, config.ActionLoseRuns:
 		p.setRuntimeFaults(fake.RuntimeFaults{})
 	}
 	return nil
--- a/internal/drill/network.go
+++ b/internal/drill/network.go
@@ -140,7 +140,7 @@
 }
 
 // has reports whether one of some actions is in force.
-func (c conditions) has(actions ...string) bool {
+func (c conditions) has(actions ...config.DrillAction) bool {
 	return slices.ContainsFunc(c.faults, func(fault *config.DrillFault) bool {
 		return slices.Contains(actions, fault.Action)
 	})
@@ -199,16 +199,16 @@
 
 // cutStreams ends the streams that are open on a link where it is cut; a half-close ends one direction of them. mu
 // must be held. A stream that has just ended by itself may refuse: that is of no interest.
-func (n *network) cutStreams(l link, action string) {
+func (n *network) cutStreams(l link, action config.DrillAction) {
 	for connection, streamLink := range n.streams {
 		if streamLink != l {
 			continue
 		}
 		switch action {
-		case actionRefuse:
+		case config.ActionRefuse:
 			n.counters[l].reset++
 			resetConnection(connection)
-		case actionHalfClose:
+		case config.ActionHalfClose:
 			n.counters[l].halfClosed++
 			_ = connection.CloseWrite()
 		}
--- a/internal/drill/network_test.go
+++ b/internal/drill/network_test.go
@@ -99,7 +99,7 @@
 }
 
 // apply puts a fault on the link from the first end to the second; undo takes it off.
-func (p *linkedPair) apply(action string) (undo func()) {
+func (p *linkedPair) apply(action config.DrillAction) (undo func()) {
 	fault := &config.DrillFault{Action: action, Fraction: 1, BytesPerSecond: 1000, Delay: 30 * time.Millisecond}
 	event := Event{Fault: fault, From: []int{0}, To: []int{1}}
 	p.network.apply(event)
@@ -116,13 +116,13 @@
 		t.Fatal(got)
 	}
 	for _, test := range []datagramTest{
-		{action: actionSwallow, dropped: 10},
-		{action: actionRefuse, dropped: 10},
-		{action: actionLose, dropped: 10},
-		{action: actionDelay, received: 10, minDuration: 30 * time.Millisecond},
-		{action: actionDuplicate, received: 20, duplicates: true},
-		{action: actionReorder, received: 10, minDuration: 15 * time.Millisecond},
-		{action: actionGarble, received: 10, corrupts: true},
+		{action: config.ActionBlackhole, dropped: 10},
+		{action: config.ActionRefuse, dropped: 10},
+		{action: config.ActionLose, dropped: 10},
+		{action: config.ActionDelay, received: 10, minDuration: 30 * time.Millisecond},
+		{action: config.ActionDuplicate, received: 20, duplicates: true},
+		{action: config.ActionReorder, received: 10, minDuration: 15 * time.Millisecond},
+		{action: config.ActionGarble, received: 10, corrupts: true},
 	} {
 		test.run(t, p)
 	}
@@ -130,7 +130,7 @@
 
 // datagramTest is what a fault does to ten datagrams.
 type datagramTest struct {
-	action      string
+	action      config.DrillAction
 	received    int64
 	dropped     int64
 	minDuration time.Duration
@@ -148,7 +148,7 @@
 	p.send(1, 3) // the way back is as it was
 	fake.WaitFor("the way back", func() bool { return p.received[0].Load() == back+3 })
 	if test.received > 0 {
-		fake.WaitFor(test.action, func() bool { return p.received[1].Load() == forth+test.received })
+		fake.WaitFor(string(test.action), func() bool { return p.received[1].Load() == forth+test.received })
 	} else {
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -197,7 +197,7 @@
 	if got := echo(t, stream, "hello", time.Second); got != "hello" {
 		t.Fatal(got)
 	}
-	undo := p.apply(actionStall)
+	undo := p.apply(config.ActionStall)
 	if got := echo(t, stream, "there", 100*time.Millisecond); got != "" {
 		t.Fatal("stalled, and came: ", got)
 	}
@@ -206,7 +206,7 @@
 		t.Fatal(got)
 	}
 
-	undo = p.apply(actionSwallow)
+	undo = p.apply(config.ActionBlackhole)
 	swallowed := fake.Must(p.dial(0))
 	if got := echo(t, swallowed, "late", 100*time.Millisecond); got != "" {
 		t.Fatal("swallowed, and came: ", got)
@@ -216,7 +216,7 @@
 		t.Fatal(got)
 	}
 
-	undo = p.apply(actionHalfClose)
+	undo = p.apply(config.ActionHalfClose)
 	if err := stream.SetReadDeadline(time.Now().Add(time.Second)); err != nil {
 		t.Fatal(err)
 	}
@@ -225,7 +225,7 @@
 	}
 	undo()
 
-	undo = p.apply(actionRefuse)
+	undo = p.apply(config.ActionRefuse)
 	if refused, err := p.dial(0); err == nil {
 		if _, err := refused.Read(make([]byte, 1)); err == nil {
 			t.Fatal("refused, and stands")
--- a/internal/drill/record.go
+++ b/internal/drill/record.go
@@ -79,7 +79,7 @@
 			AtMS:    event.At.Milliseconds(),
 			Kind:    kind,
 			Name:    event.String(),
-			Outcome: event.Fault.Action,
+			Outcome: string(event.Fault.Action),
 			Value:   event.At.Seconds(),
 		})
 	}
--- a/internal/drill/streams.go
+++ b/internal/drill/streams.go
@@ -7,6 +7,8 @@
 	"net"
 	"sync"
 	"time"
+
+	"lanewheel/internal/config"
 )
 
 const (
@@ -34,12 +36,12 @@
 	host := incoming.RemoteAddr().(*net.TCPAddr).IP.String()
 	current := n.lookup(host, front.process)
 	n.increment(&current.counters.streams, 1)
-	if current.has(actionRefuse) {
+	if current.has(config.ActionRefuse) {
 		n.increment(&current.counters.refused, 1)
 		resetConnection(incoming)
 		return
 	}
-	for current.has(actionSwallow) { // the stream is taken, and nothing comes of it
+	for current.has(config.ActionBlackhole) { // the stream is taken, and nothing comes of it
 		time.Sleep(swallowCheckInterval)
 		if current = n.lookup(host, front.process); n.isClosed() {
 			return
@@ -119,17 +121,17 @@
 func (n *network) applyToStream(part []byte, host string, target int) {
 	current := n.lookup(host, target)
 	n.increment(&current.counters.streamBytes, len(part))
-	for current.has(actionStall, actionSwallow) && !n.isClosed() { // in the middle of whatever it carries
+	for current.has(config.ActionStall, config.ActionBlackhole) && !n.isClosed() { // in the middle of whatever it carries
 		time.Sleep(stallCheckInterval)
 		current = n.lookup(host, target)
 	}
 	for _, fault := range current.faults {
 		switch fault.Action {
-		case actionDelay:
+		case config.ActionDelay:
 			time.Sleep(drawDelay(fault))
-		case actionNarrow:
+		case config.ActionThrottle:
 			time.Sleep(transferTime(fault, len(part)))
-		case actionGarble:
+		case config.ActionGarble:
 			if n.chance(fault.Fraction) {
 				garble(part)
 				n.increment(&current.counters.corrupted, 1)
--- a/internal/drill/timeline.go
+++ b/internal/drill/timeline.go
@@ -11,55 +11,6 @@
 	"lanewheel/internal/config"
 )
 
-// What a script may have done: values of config.DrillFault.Action. They stand in records, too.
-const (
-	// To links.
-	actionRefuse    = "refuse"
-	actionSwallow   = "swallow"
-	actionDelay     = "delay"
-	actionLose      = "lose"
-	actionDuplicate = "duplicate"
-	actionReorder   = "reorder"
-	actionNarrow    = "narrow"
-	actionStall     = "stall"
-	actionHalfClose = "half-close"
-	actionGarble    = "garble"
-
-	// To processes.
-	actionKill        = "kill"
-	actionWipe        = "wipe"
-	actionPause       = "pause"
-	actionRestart     = "restart"
-	actionReplace     = "replace"
-	actionLeave       = "leave"
-	actionLateRuntime = "late-runtime"
-	actionSlowRuns    = "slow-runs"
-	actionFailRuns    = "fail-runs"
-	actionLoseRuns    = "lose-runs"
-	actionKeys        = "keys"
-	actionSeeds       = "seeds"
-	actionFlood       = "flood"
-
-	// To the load and the coordinators.
-	actionBurst = "burst"
-	actionAgree = "agree"
-)
-
-// Whom a script names: values of config.DrillSelector.Kind.
-const (
-	selectAll          = "all"
-	selectInstances    = "instances"
-	selectProxies      = "relays"
-	selectAllocators   = "desks"
-	selectCoordinators = "stewards"
-	selectRest         = "rest"
-	selectZone         = "zone"
-	selectRelease      = "release"
-	selectProcess      = "process"
-	selectFirst        = "first"
-	selectDraw         = "draw"
-)
-
 // Event is one moment of the timeline: a fault begins or ends.
 type Event struct {
 	At       time.Duration // since the start of the load
@@ -72,13 +23,13 @@
 
 // String returns the event as it is printed and recorded.
 func (e Event) String() string {
-	action := e.Fault.Action
+	action := string(e.Fault.Action)
 	if e.Undo {
 		action = "over: " + action
 	}
 	prefix := fmt.Sprintf("%6.2fs %s: ", e.At.Seconds(), e.Fault.Name)
 	switch {
-	case e.Fault.Action == actionAgree:
+	case e.Fault.Action == config.ActionCoordinatorCommand:
 		return prefix + e.Fault.Command
 	case e.Targets == nil:
 		return prefix + action + " " + abbreviate(e.From) + " -> " + abbreviate(e.To)
@@ -115,7 +66,7 @@
 		Fault: fault,
 	}
 	switch {
-	case fault.Action == actionAgree:
+	case fault.Action == config.ActionCoordinatorCommand:
 		begin.Targets = []int{}
 	case fault.Targets.Kind != "":
 		begin.Targets = selectProcesses(fault.Targets, script, nil, random)
@@ -154,27 +105,27 @@
 		all[i] = i
 	}
 	switch selector.Kind {
-	case selectAll:
+	case config.SelectAll:
 		return all
-	case selectInstances:
+	case config.SelectInstances:
 		return all[:l.proxies]
-	case selectProxies:
+	case config.SelectProxies:
 		return all[l.proxies:l.allocators]
-	case selectAllocators:
+	case config.SelectAllocators:
 		return all[l.allocators:l.coordinators]
-	case selectCoordinators:
+	case config.SelectCoordinators:
 		return all[l.coordinators:]
-	case selectRest:
+	case config.SelectOthers:
 		return slices.DeleteFunc(all, func(i int) bool { return slices.Contains(except, i) })
-	case selectZone:
+	case config.SelectZone:
 		return slices.DeleteFunc(all, func(i int) bool { return zoneOf(script, i) != selector.Name })
-	case selectRelease:
+	case config.SelectRelease:
 		return slices.DeleteFunc(all, func(i int) bool { return releaseOf(script, i) != selector.Name })
-	case selectProcess:
+	case config.SelectProcess:
 		return []int{min(selector.Count, len(all)-1)}
-	case selectFirst:
+	case config.SelectFirst:
 		return all[:selector.Count]
-	case selectDraw:
+	case config.SelectDraw:
 		return drawInstances(selector, script.Instances, random)
 	}
 	return nil
