--- a/cmd/lanewheel/authdeployment_test.go
+++ b/cmd/lanewheel/authdeployment_test.go
@@ -23,14 +23,14 @@
 
 const authOperatorFile = `[callers]
 
-writes = set
+write-classes = set
 [role crew]
-types = view, pay, list
-may = read, write
-open = 8
+classes = view, pay, list
+permissions = read, write
+max-in-flight = 8
 [role slow]
-types = view
-may = read, write
+classes = view
+permissions = read, write
 rate = 20
 burst = 2
 [caller water]
@@ -46,19 +46,19 @@
 tenant = water
 roles = slow
 [tokens]
-keys = keys
+key-dir = keys
 issuer = us
 audience = rota
 leeway = 1s
-look-every = 100ms
-revoked = revoked.txt
+key-reload-interval = 100ms
+revocation-file = revoked.txt
 [tls]
 listen = ADDR
 certificate = server.pem
 key = server.key
 authorities = ca/authority.pem
-revoked = ca/revoked.pem
-clients = asked
+revocation-lists = ca/revoked.pem
+client-certificates = optional
 `
 
 var authDeploymentCount int
--- a/cmd/lanewheel/authentication_test.go
+++ b/cmd/lanewheel/authentication_test.go
@@ -19,7 +19,7 @@
 	fmt.Println(h.requestAnswer(s, 3, "token", roads, "tenant", "water"))
 	fmt.Println(h.requestAnswer(s, 4))
 	fmt.Println(h.requestAnswer(s, 5, "token", h.token("k1", "gas-1")))
-	fmt.Println(h.requestAnswer(s, 6, "token", h.token("k1", "water-1", "--for=-1m")))
+	fmt.Println(h.requestAnswer(s, 6, "token", h.token("k1", "water-1", "--validity=-1m")))
 	fmt.Println(h.requestAnswer(s, 7, "token", water[:len(water)-8]+"AAAAAAAA"))
 	fmt.Println(h.requestAnswer(s, 8, "token", water, "key", "k")) // a read
 	t := fake.Must(h.dialTLS(h.clientTLS("water-7")))
@@ -131,7 +131,7 @@
 		h.runtime.SendNotice("end", fake.RequestID(999998), "success", "x")
 	}
 	fmt.Println(strings.Contains(heard, `["Busy" map["after":`))
-	short := h.token("k1", "water-1", "--for", "1s")
+	short := h.token("k1", "water-1", "--validity", "1s")
 	s = h.client()
 	s.Send(fake.NewRequest(12, "view", fake.RequestID(12), nil, "token", short, "cost", "1500"))
 	fake.WaitFor("its start", func() bool { return strings.HasPrefix(h.runtime.NextCommand(), "start c ") })
@@ -197,10 +197,10 @@
 
 // A single-use token is good for one request; the second is a replay.
 func Example_singleUseToken() {
-	h := deployWithAuth("revoked = revoked.txt", "single-use = yes\nsingle-use-remembered = 2")
+	h := deployWithAuth("revocation-file = revoked.txt", "single-use = yes\nmax-single-use-ids = 2")
 	defer h.close()
 	s := h.client()
-	first := h.token("k1", "water-1", "--jti", "a", "--for", "2s")
+	first := h.token("k1", "water-1", "--jti", "a", "--validity", "2s")
 	fmt.Println(h.requestAnswer(s, 1, "token", first), h.requestAnswer(s, 2, "token", first))
 	fmt.Println(
 		h.requestAnswer(s, 3, "token", h.token("k1", "water-1", "--jti", "b")),
--- a/cmd/lanewheel/certificates_test.go
+++ b/cmd/lanewheel/certificates_test.go
@@ -56,7 +56,8 @@
 
 // Hundreds of connections that stop in the handshake keep nobody out for long; half a handshake has an end.
 func Example_stalledHandshakes() {
-	h := deployWithAuth("clients = asked", "clients = required\nhandshakes = 16\nhandshake-rate = 10000")
+	h := deployWithAuth("client-certificates = optional",
+		"client-certificates = required\nmax-handshakes = 16\nhandshake-rate = 10000")
 	defer h.close()
 	var stalled []net.Conn
 	for range 200 {
@@ -92,7 +93,8 @@
 // However many connections stop in the handshake, no more than configured hold a descriptor and memory; the others
 // wait outside.
 func Example_maxHandshakes() {
-	h := deployWithAuth("clients = asked", "clients = asked\nhandshakes = 4\nhandshake-rate = 10000")
+	h := deployWithAuth("client-certificates = optional",
+		"client-certificates = optional\nmax-handshakes = 4\nhandshake-rate = 10000")
 	defer h.close()
 	held := func() (n int) {
 		for _, fd := range fake.Must(os.ReadDir(fmt.Sprintf("/proc/%d/fd", h.cmd.Process.Pid))) {
--- a/cmd/lanewheel/commandline_test.go
+++ b/cmd/lanewheel/commandline_test.go
@@ -34,11 +34,11 @@
 	}
 	// Output:
 	// 1 0  cannot parse JSON: cannot parse object: cannot parse object value: cannot parse empty string; unparsed tail: \"\""
-	// 1 0  name: wants text" more=6
+	// 1 0  name: wants text" suppressed=6
 	// 1 0 1: limits.cores: is \"0\", wants a number over 0"
 	// 1 0 6: settings.domain.cpus: is \"two\", wants another type than string"
 	// 1 0  settings: wants an object"
-	// 1 0 msg=cannot-start err="listen tcp ADDR: bind: address already in use"
+	// 1 0 msg="start failed" err="listen tcp ADDR: bind: address already in use"
 }
 
 // runCommand gives the exit code and all that the program prints for a command line.
@@ -81,7 +81,7 @@
 	// 0 good.ini: good
 	// 1 bad.ini:2: log.format: is "xml", wants one of json, text
 	// bad.ini:3: log.formt: is no name of this section; wants format
-	// bad.ini:5: lgo: is no section; wants amqp, below, caller NAME, callers, fleet, grants, handover, log, queue NAME, relay, role NAME, steward, tls, tokens
+	// bad.ini:5: lgo: is no section; wants allocator, amqp, caller NAME, callers, coordinator, fleet, log, proxy, queue NAME, role NAME, spillover, tls, tokens, upstream
 	// bad.ini:6: log: stands in line 1 already
 	// 1 bad.json:2: roster: is "7", wants text
 	// bad.json:3: limits.cores: is "-1", wants a number over 0
@@ -92,7 +92,7 @@
 
 // A newcomer's first command: it starts, serves, ends with its table, and all that was requested is in it.
 func Example_try() {
-	text := runCommand("try", "--for", "1s", "--rate", "100", "--mean", "1ms")
+	text := runCommand("try", "--duration", "1s", "--rate", "100", "--mean-run-time", "1ms")
 	lines := strings.Split(strings.TrimSpace(text), "\n")
 	fmt.Println(text[:2], strings.Contains(text, "an instance serves at 127.0.0.1:"))
 	for _, line := range lines {
--- a/internal/fleet/coordinator/loopback_test.go
+++ b/internal/fleet/coordinator/loopback_test.go
@@ -15,7 +15,8 @@
 
 func newLoopbackLayer(t *testing.T) *loopbackLayer {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	var config net.ListenConfig
+	listener, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/coordinator/transport.go
+++ b/internal/fleet/coordinator/transport.go
@@ -8,9 +8,9 @@
 
 // drainingTransport is raft's network transport, of which no heartbeat is being handled any more once drain returns.
 //
-// Raft handles heartbeats on the transport's goroutines, and its shutdown does not wait for them. One that passed raft's
-// own check before the shutdown would write the term to a store that is closed by then, which raft takes for a fatal
-// error: it panics.
+// Raft handles heartbeats on the transport's goroutines, and its shutdown does not wait for them. One that passed
+// raft's own check before the shutdown would write the term to a store that is closed by then, which raft takes for a
+// fatal error: it panics.
 type drainingTransport struct {
 	*raft.NetworkTransport
 
--- a/internal/lifecycle/allocators/allocators.go
+++ b/internal/lifecycle/allocators/allocators.go
@@ -29,7 +29,7 @@
 // Run starts the allocator that the operator's file configures, and serves until it is told to end. While another
 // process holds the lock file, it waits. It is called on the main goroutine.
 func Run(options lifecycle.Options, attach Attach) error {
-	started, err := lifecycle.StartStandalone(options, "wants the sections [fleet] and [grants]",
+	started, err := lifecycle.StartStandalone(options, "wants the sections [fleet] and [allocator]",
 		func(file *config.Operator) bool { return file.Allocator.Enabled })
 	if err != nil {
 		return err
--- a/internal/lifecycle/coordinators/coordinators.go
+++ b/internal/lifecycle/coordinators/coordinators.go
@@ -32,7 +32,7 @@
 // Run starts the coordinator that the operator's file configures, and serves until it is told to end. It is called
 // on the main goroutine.
 func Run(options lifecycle.Options, formation Formation, attach Attach) error {
-	started, err := lifecycle.StartStandalone(options, "wants the sections [fleet] and [steward]",
+	started, err := lifecycle.StartStandalone(options, "wants the sections [fleet] and [coordinator]",
 		func(file *config.Operator) bool { return file.Coordinator.Enabled })
 	if err != nil {
 		return err
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -45,6 +45,7 @@
 		return ErrFleetNotLinked
 	}
 	options.setLogFormat(&operatorConfig)
+	operatorConfig.File.Renamed.Warn()
 	otherPollers := 0
 	if operatorConfig.File.AMQP.Enabled {
 		otherPollers = 1
--- a/internal/lifecycle/proxies/proxies.go
+++ b/internal/lifecycle/proxies/proxies.go
@@ -23,7 +23,7 @@
 // Run starts the proxy that the platform's configuration and the operator's file configure, and forwards requests
 // until it has drained. It is called on the main goroutine.
 func Run(options lifecycle.Options, join Join) error {
-	started, err := lifecycle.StartStandalone(options, "wants the sections [fleet] and [relay]",
+	started, err := lifecycle.StartStandalone(options, "wants the sections [fleet] and [proxy]",
 		func(file *config.Operator) bool { return file.Fleet.Enabled && file.Proxy.Enabled })
 	if err != nil {
 		return err
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -128,6 +128,7 @@
 		return err
 	}
 	r.operatorConfig = operatorConfig
+	operatorConfig.File.Renamed.Warn()
 	if operatorConfig.serverTLS != nil {
 		r.serverTLS.Store(operatorConfig.serverTLS)
 	}
--- a/internal/lifecycle/standalone.go
+++ b/internal/lifecycle/standalone.go
@@ -33,6 +33,7 @@
 		return nil, diagnostic.List{{File: options.OperatorPath, Want: want}}
 	}
 	options.setLogFormat(&started.OperatorConfig)
+	started.OperatorConfig.File.Renamed.Warn()
 	return started, nil
 }
 
@@ -60,6 +61,7 @@
 			continue
 		}
 		current = next
+		next.File.Renamed.Warn()
 		reload(&next)
 		slog.Info(reloadedMessage, "file", s.operatorPath)
 	}
--- a/internal/lifecycle/unchanged.go
+++ b/internal/lifecycle/unchanged.go
@@ -33,16 +33,16 @@
 	return map[string]string{
 		"callers":            strconv.FormatBool(o.Authn != nil),
 		"tls.listen":         listener.ListenAddress,
-		"tls.handshakes":     strconv.Itoa(listener.MaxHandshakes),
+		"tls.max-handshakes": strconv.Itoa(listener.MaxHandshakes),
 		"tls.handshake-rate": fmt.Sprint(listener.HandshakeRate),
 		"log.format":         o.File.Log.Format,
 		"amqp":               o.File.AMQP.StartupFingerprint(),
 		"fleet":              fleetStartSettings(&o.File.Fleet),
-		"relay":              fmt.Sprint(o.File.Proxy),
-		"below":              fmt.Sprint(o.File.Upstream),
-		"grants": fmt.Sprint(allocator.Enabled, allocator.LockFile,
+		"proxy":              fmt.Sprint(o.File.Proxy),
+		"upstream":           fmt.Sprint(o.File.Upstream),
+		"allocator": fmt.Sprint(allocator.Enabled, allocator.LockFile,
 			allocator.Config.UnleasedCalls, allocator.Config.MaxProcesses),
-		"handover": fmt.Sprint(o.File.Spillover.Enabled, o.File.Spillover.Config.Config),
+		"spillover": fmt.Sprint(o.File.Spillover.Enabled, o.File.Spillover.Config.Config),
 	}
 }
 
