--- a/internal/fleet/gossip/librarylog.go
+++ b/internal/fleet/gossip/librarylog.go
@@ -18,15 +18,15 @@
 }
 
 var (
-	eventWrongKey            = libraryEvent{code: "wrong_key", counter: "not-our-key"}
-	eventWrongCluster        = libraryEvent{code: "wrong_cluster", counter: "not-our-cluster"}
-	eventStateExchangeFailed = libraryEvent{code: "state_exchange_failed", counter: "state-not-exchanged"}
+	eventWrongKey            = libraryEvent{code: "wrong-key", counter: "not-our-key"}
+	eventWrongCluster        = libraryEvent{code: "wrong-cluster", counter: "not-our-cluster"}
+	eventStateExchangeFailed = libraryEvent{code: "state-exchange-failed", counter: "state-not-exchanged"}
 	eventMalformed           = libraryEvent{code: "malformed", counter: "bad-message"}
-	eventOutdatedMember      = libraryEvent{code: "outdated_member", counter: "old-life"}
+	eventOutdatedMember      = libraryEvent{code: "outdated-member", counter: "old-life"}
 	eventSuspected           = libraryEvent{code: "suspected", counter: "suspects"}
-	eventDeclaredDead        = libraryEvent{code: "declared_dead", counter: "gives-up"}
+	eventDeclaredDead        = libraryEvent{code: "declared-dead", counter: "gives-up"}
 	eventRefuted             = libraryEvent{code: "refuted", counter: "refutes"}
-	eventSendFailed          = libraryEvent{code: "send_failed", counter: "not-sent"}
+	eventSendFailed          = libraryEvent{code: "send-failed", counter: "not-sent"}
 	eventOther               = libraryEvent{code: "other", counter: "other"}
 )
 
