--- a/cmd/lanewheel/rotation_test.go
+++ b/cmd/lanewheel/rotation_test.go
@@ -292,7 +292,7 @@
 	case s.unanswered > 0:
 		t.Error("an op without an answer")
 	case s.failed > 0 || s.rejected*20 > s.sent:
-		t.Error("ops that failed, or more than one in twenty nacked")
+		t.Error("requests that failed, or more than one in twenty rejected")
 	}
 	for _, why := range []string{"tenant", "type", "signature", "unknown-key", "expired", "revoked"} {
 		if s.denials[why] == 0 {
