--- a/internal/drill/faults.go
+++ b/internal/drill/faults.go
@@ -115,10 +115,7 @@
 func (p *process) undo(fault *config.DrillFault) error {
 	switch fault.Action {
 	case config.ActionKill, config.ActionWipe, config.ActionLeave:
-		if err := p.writeFiles(); err != nil {
-			return err
-		}
-		return p.start()
+		return p.startAgain()
 	case config.ActionPause:
 		p.pause(false)
 	case config.ActionLateRuntime:
@@ -129,6 +126,21 @@
 	return nil
 }
 
+// startAgain starts a process that a fault has ended, unless the coordinators have done so: one that was out by their
+// permit is theirs to start, and a second process on its addresses would fail for them.
+func (p *process) startAgain() error {
+	p.mu.Lock()
+	running := p.isRunning()
+	p.mu.Unlock()
+	if running {
+		return nil
+	}
+	if err := p.writeFiles(); err != nil {
+		return err
+	}
+	return p.start()
+}
+
 // reconfigure has the process read other keys or seeds.
 func (p *process) reconfigure(fault *config.DrillFault) error {
 	if len(fault.KeyNumbers) > 0 {
