--- a/admission/answer.go
+++ b/admission/answer.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// answerSpareTicks is how many ticks before it is due an answer is sent at the latest.
-const answerSpareTicks = 2
+// answerMarginTicks is how many ticks before it is due an answer is sent at the latest.
+const answerMarginTicks = 2
 
 // reject turns away a request that has not run, with advice on how long to keep away.
 func (c *Controller) reject(r *trackedRequest) {
@@ -43,7 +43,7 @@
 
 // dueAt is when a request's answer is sent at the latest: before it is owed, and before the kill.
 func (c *Controller) dueAt(r *trackedRequest) time.Duration {
-	at := r.deadline - answerSpareTicks*c.settings.Tick
+	at := r.deadline - answerMarginTicks*c.settings.Tick
 	if c.drain.notified {
 		at = min(at, c.drain.lastAnswerAt())
 	}
--- a/admission/arrivals.go
+++ b/admission/arrivals.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	arrivalsKept = 64
-	// fewArrivals is the number under which the last arrivals say nothing of all callers.
-	fewArrivals = 16
+	arrivalHistorySize = 64
+	// minArrivals is the number under which the last arrivals say nothing of all callers.
+	minArrivals = 16
 	// queueDelayWindow is how far back queue delays count.
 	queueDelayWindow = 500 * time.Millisecond
-	// sameDeadlineShare is the difference of two shares of the timeout that are taken for the same. Clocks are in
+	// deadlineShareTolerance is the difference of two shares of the timeout that are taken for the same. Clocks are in
 	// microseconds; two different ones this near are rare among the arrivals kept.
-	sameDeadlineShare = 0.005
+	deadlineShareTolerance = 0.005
 )
 
 // arrival is what is remembered of a request that was read.
@@ -30,10 +30,10 @@
 // arrivalHistory holds the last arrivals, for their spread over callers and ranks.
 type arrivalHistory struct{ recent []arrival }
 
-func (h *arrivalHistory) add(a arrival) { h.recent = appendRecent(h.recent, a, arrivalsKept) }
+func (h *arrivalHistory) add(a arrival) { h.recent = appendRecent(h.recent, a, arrivalHistorySize) }
 
 // isFew tells whether the arrivals are too few to go by.
-func (h *arrivalHistory) isFew() bool { return len(h.recent) < fewArrivals }
+func (h *arrivalHistory) isFew() bool { return len(h.recent) < minArrivals }
 
 // timeSpentBefore is the time that a request's earlier attempts took, as far as it shows. Callers name the same share
 // of the timeout for each first attempt, and what is left of it for a retry; so a share that hardly any of the last
@@ -45,7 +45,7 @@
 	}
 	same := 0
 	for _, a := range h.recent {
-		if math.Abs(a.deadlineShare-deadlineShare) < sameDeadlineShare {
+		if math.Abs(a.deadlineShare-deadlineShare) < deadlineShareTolerance {
 			same++
 		}
 	}
@@ -76,8 +76,8 @@
 // connectionReuse is how often callers came again within an idle timeout, and how long their connections were open and
 // unused for that.
 type connectionReuse struct {
-	count  int
-	unused time.Duration
+	reuses  int
+	idleTime time.Duration
 }
 
 func (h *arrivalHistory) connectionReuse(now, idleTimeout time.Duration) connectionReuse {
@@ -88,9 +88,9 @@
 		if !cameAgain {
 			until = now
 		} else if until-a.at <= idleTimeout {
-			reuse.count++
+			reuse.reuses++
 		}
-		reuse.unused += min(until-a.at, idleTimeout)
+		reuse.idleTime += min(until-a.at, idleTimeout)
 		next[a.caller] = a.at
 	}
 	return reuse
--- a/admission/batch_test.go
+++ b/admission/batch_test.go
@@ -11,13 +11,13 @@
 	play := func(age time.Duration) {
 		s := newFixture(Settings{})
 		s.warmUp(200 * ms)
-		s.controller.limit.grown = 3
+		s.controller.limit.runs = 3
 		s.submit(newRequest("a1", 200*ms, 0.9), newRequest("a2", 200*ms, 0.9), newRequest("a3", 200*ms, 0.9))
 		s.submit(newRequest("waiting", 200*ms, 0.1))
 		s.now += age
 		s.controller.health.lastProgress = s.now
 		s.controller.recordGauges(Gauges{GaugeRunnable: 3})
-		s.controller.limit.grown = 3 // as idle cores let it grow before
+		s.controller.limit.runs = 3 // as idle cores let it grow before
 		for _, r := range s.controller.requests.running {
 			r.arrivedAt = s.now // their slack leaves the limit as it is
 		}
--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -6,29 +6,29 @@
 )
 
 const (
-	// busyCoresWithoutRoom is the share of busy cores above which none is taken for idle, where runs that want a
+	// saturatedBusyShare is the share of busy cores above which none is taken for idle, where runs that want a
 	// core are not measured.
-	busyCoresWithoutRoom = 0.95
-	// usableConcurrency is the part of the survivable runs that may run or be in a call.
-	usableConcurrency = 0.9
-	// usableOnCores is the part of the survivable runs that are started. It leaves room for runs that come back from
+	saturatedBusyShare = 0.95
+	// usableConcurrencyShare is the part of the survivable runs that may run or be in a call.
+	usableConcurrencyShare = 0.9
+	// usableRunningShare is the part of the survivable runs that are started. It leaves room for runs that come back from
 	// calls.
-	usableOnCores = 0.75
+	usableRunningShare = 0.75
 	// defaultRunsPerCore bounds the runs where it is not known how many are survived.
 	defaultRunsPerCore = 2
 )
 
-// limitGrowth is how far idle cores have let the number of runs grow.
-type limitGrowth struct {
-	grown              int // runs
-	grownAtCompletions int // completions when it last grew
+// adaptiveLimit is how far idle cores have let the number of runs grow.
+type adaptiveLimit struct {
+	runs              int // runs
+	completionsAtGrowth int // completions when it last grew
 	completions        int // runs that ended, well or not
 }
 
 // lower takes one run back where more than the cores are wanted by a sixth: beyond it runs only slow each other down.
-func (l *limitGrowth) lower(reading gaugeReading, cores int) {
+func (l *adaptiveLimit) lower(reading gaugeReading, cores int) {
 	if reading.runnable > float64(cores)*7/6 {
-		l.grown = max(cores, l.grown-1)
+		l.runs = max(cores, l.runs-1)
 	}
 }
 
@@ -44,7 +44,7 @@
 			classes[r.class] = true
 		}
 	}
-	limit := c.limit.grown
+	limit := c.limit.runs
 	for limit > c.cores && !c.allMeet(classes, limit, least, now) {
 		limit--
 	}
@@ -65,14 +65,14 @@
 func (c *Controller) raiseLimit(now time.Duration) bool {
 	reading, measured := c.gauges.last()
 	running := len(c.requests.running)
-	if !measured || c.limit.completions <= c.limit.grownAtCompletions || running >= c.concurrencyCeiling() {
+	if !measured || c.limit.completions <= c.limit.completionsAtGrowth || running >= c.concurrencyCeiling() {
 		return false
 	}
-	if reading.runnable >= 0 && !c.coreFree(now) || reading.runnable < 0 && reading.busy > busyCoresWithoutRoom {
+	if reading.runnable >= 0 && !c.coreFree(now) || reading.runnable < 0 && reading.busy > saturatedBusyShare {
 		return false
 	}
-	c.limit.grown = running + 1
-	c.limit.grownAtCompletions = c.limit.completions
+	c.limit.runs = running + 1
+	c.limit.completionsAtGrowth = c.limit.completions
 	return true
 }
 
@@ -88,12 +88,12 @@
 	}
 	open := c.upstream.open
 	room := int(c.maxConcurrency()) - open
-	waiting := len(c.requests.calling) - open
+	waiting := len(c.requests.atCall) - open
 	floor := room
 	if waiting > 0 && (open == 0 || room > c.halfCores()) {
 		floor--
 	}
-	return max(min(1, floor), min(int(usableOnCores*survivable), max(room-waiting, min(c.cores, floor))))
+	return max(min(1, floor), min(int(usableRunningShare*survivable), max(room-waiting, min(c.cores, floor))))
 }
 
 func (c *Controller) halfCores() int { return (c.cores + 1) / 2 }
@@ -101,7 +101,7 @@
 // maxConcurrency is how many may run and be in a call: a part of what is survived, or one more than the cores.
 func (c *Controller) maxConcurrency() float64 {
 	survivable := c.survivableConcurrency()
-	return max(usableConcurrency*survivable, min(survivable, float64(c.cores+1)))
+	return max(usableConcurrencyShare*survivable, min(survivable, float64(c.cores+1)))
 }
 
 // concurrencyAllows tells whether beside so many on the cores one more may go there, or to a call that it comes back
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -6,7 +6,7 @@
 	// The time between samples of the gauges is a part of the least latency objective, as a divisor: several in a run
 	// that is worth its objective. It is not so short that timers cost more than they tell, nor so long that a hang
 	// goes unseen.
-	sampleIntervalShare = 20
+	sampleIntervalDivisor = 20
 	minSampleInterval   = 5 * time.Millisecond
 	maxSampleInterval   = 100 * time.Millisecond
 	minSampleTicks      = 2
@@ -29,7 +29,7 @@
 
 	order    startOrder
 	gauges   gaugeHistory
-	limit    limitGrowth
+	limit    adaptiveLimit
 	upstream upstreamCalls
 
 	health    healthMonitor
@@ -37,7 +37,7 @@
 	drain     drainState
 
 	publishedLoad float64 // the last load report, or unpublished
-	idle          idleTimeout
+	idle          idleTimeoutState
 	wakeAt        time.Duration // the timer that is set; 0: none
 }
 
@@ -54,7 +54,7 @@
 		requests:      requestTable{byID: map[RequestID]*trackedRequest{}},
 		records:       idempotencyRecords{recordKB: settings.RecordKB, tick: settings.Tick},
 		quotas:        newTenantQuotas(&settings),
-		limit:         limitGrowth{grown: cores},
+		limit:         adaptiveLimit{runs: cores},
 		slowStart:     newSlowStart(&settings, executor.Now()),
 		publishedLoad: unpublished,
 	}
@@ -107,5 +107,5 @@
 // sampleInterval is the time between samples of the gauges.
 func (c *Controller) sampleInterval() time.Duration {
 	return min(maxSampleInterval,
-		max(c.minLatencyObjective()/sampleIntervalShare, minSampleTicks*c.settings.Tick, minSampleInterval))
+		max(c.minLatencyObjective()/sampleIntervalDivisor, minSampleTicks*c.settings.Tick, minSampleInterval))
 }
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -6,7 +6,7 @@
 	// minKillMargin and killMarginShare, a divisor of the whole drain, are how long before the kill everything is
 	// answered: the process may stand still in between, or did when it was notified; a long drain can spare the time.
 	minKillMargin   = 150 * time.Millisecond
-	killMarginShare = 12
+	killMarginDivisor = 12
 )
 
 // drainState is the notice to drain.
@@ -23,12 +23,12 @@
 
 // lastAnswerAt is when everything is answered before the kill.
 func (d *drainState) lastAnswerAt() time.Duration {
-	return d.killAt - max(minKillMargin, (d.killAt-d.notifiedAt)/killMarginShare)
+	return d.killAt - max(minKillMargin, (d.killAt-d.notifiedAt)/killMarginDivisor)
 }
 
 // rejectWhileDraining rejects a queued request that came after the grace, or whose run the kill would cut off.
 func (c *Controller) rejectWhileDraining(r *trackedRequest, now time.Duration) {
-	cutoff := c.drain.notifiedAt + c.settings.DrainGrace - answerSpareTicks*c.settings.Tick
+	cutoff := c.drain.notifiedAt + c.settings.DrainGrace - answerMarginTicks*c.settings.Tick
 	if r.arrivedAt > cutoff || c.estimatedRunTime(r, len(c.requests.running), now) > c.timeLeft(r, now) {
 		c.reject(r)
 	}
--- a/admission/estimate.go
+++ b/admission/estimate.go
@@ -7,8 +7,8 @@
 // The run-time estimate: the paper's section 3.2, fitted on the last runs.
 
 const (
-	// runsKept is a second or two of work at the usual rates, enough for a line through it.
-	runsKept = 24
+	// runHistorySize is a second or two of work at the usual rates, enough for a line through it.
+	runHistorySize = 24
 	// runSampleLifetime leaves out older runs: a cold start or a slow spell must not rate the runs after it.
 	runSampleLifetime = 8 * time.Second
 	// minRecentRuns are used however old they are.
@@ -22,9 +22,9 @@
 	// A hint may be rough: an estimate stays between these multiples of the mean, and its slope above the share.
 	minHintScale, maxHintScale = 0.25, 8
 	minHintSlope               = 0.25
-	// unknownWorkShare is the part of a latency objective, as a divisor, that a run is taken for while nothing is
+	// unknownWorkDivisor is the part of a latency objective, as a divisor, that a run is taken for while nothing is
 	// known of the class: it lets the first runs in.
-	unknownWorkShare = 8
+	unknownWorkDivisor = 8
 )
 
 // classState is a class with what is known of its runs.
@@ -49,7 +49,7 @@
 
 // runTimeEstimate sums up the last runs of a class as of a moment.
 type runTimeEstimate struct {
-	known           bool
+	valid           bool
 	at              time.Duration
 	successes       int           // of the history when it was made
 	runs            int           // that it stands on
@@ -65,7 +65,7 @@
 }
 
 func (h *runHistory) add(sample runSample) {
-	h.recent = appendRecent(h.recent, sample, runsKept)
+	h.recent = appendRecent(h.recent, sample, runHistorySize)
 	h.successes++
 }
 
@@ -81,12 +81,12 @@
 
 // estimate is worked out once for each moment and number of successes, not for each request.
 func (h *runHistory) estimate(now time.Duration) *runTimeEstimate {
-	if e := &h.cached; e.known && e.at == now && e.successes == h.successes {
+	if e := &h.cached; e.valid && e.at == now && e.successes == h.successes {
 		return e
 	}
 	runs := h.since(now)
 	e := runTimeEstimate{
-		known:     true,
+		valid:     true,
 		at:        now,
 		successes: h.successes,
 		runs:      len(runs),
@@ -145,7 +145,7 @@
 	if hint > 0 {
 		return time.Duration(float64(hint) / c.slowStart.speedShare(now))
 	}
-	return class.LatencyObjective / unknownWorkShare
+	return class.LatencyObjective / unknownWorkDivisor
 }
 
 // estimatedRunTime is the paper's T, equation 9: r times runs per core, with so many running.
--- a/admission/gauges.go
+++ b/admission/gauges.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// readingsKept is the number of readings that means stand on.
-	readingsKept = 10
-	// readingLifetime is how many sample intervals a reading tells something of the present.
-	readingLifetime = 3
+	// readingHistorySize is the number of readings that means stand on.
+	readingHistorySize = 10
+	// readingLifetimeIntervals is how many sample intervals a reading tells something of the present.
+	readingLifetimeIntervals = 3
 	// notMeasured stands for a gauge that is absent.
 	notMeasured = -1
 )
@@ -27,7 +27,7 @@
 type gaugeHistory struct{ readings []gaugeReading }
 
 func (h *gaugeHistory) add(reading gaugeReading) {
-	h.readings = appendRecent(h.readings, reading, readingsKept)
+	h.readings = appendRecent(h.readings, reading, readingHistorySize)
 }
 
 // last is the last reading, if there is one.
@@ -90,7 +90,7 @@
 			return false
 		}
 	}
-	return len(h.readings) == readingsKept
+	return len(h.readings) == readingHistorySize
 }
 
 // recordGauges takes the gauges of this moment.
@@ -117,7 +117,7 @@
 func (c *Controller) estimatedRunnable(now time.Duration) float64 {
 	running := len(c.requests.running)
 	reading, exists := c.gauges.last()
-	if exists && reading.runnable >= 0 && now-reading.at < readingLifetime*c.sampleInterval() {
+	if exists && reading.runnable >= 0 && now-reading.at < readingLifetimeIntervals*c.sampleInterval() {
 		return max(0, reading.runnable+float64(running-reading.running))
 	}
 	return float64(running)
--- a/admission/health.go
+++ b/admission/health.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	resultsKept = 16
+	resultHistorySize = 16
 	// resultLifetime is how long a result counts; that failures are forgotten is the way back from failing.
 	resultLifetime = 5 * time.Second
 	// minFailures is the number of failures under which they are the usual errors.
 	minFailures = 3
-	// failingFrom is the share of failed runs from which the instance is failing.
-	failingFrom = 0.5
+	// failingFailureRate is the share of failed runs from which the instance is failing.
+	failingFailureRate = 0.5
 	// probeInterval is how often a failing instance lets one request through, to see whether runs still fail.
 	probeInterval = 500 * time.Millisecond
 	// Runs are stalled when none has made progress for this multiple of their mean run time, with the second constant
 	// divided by their number on top: a lone run may be far longer than its hint.
 	stalledRunTimes    = 2
-	stalledRunTimesOne = 6
+	stalledExtraRunTimes = 6
 )
 
 // State is the health of an instance as its Controller sees it.
@@ -57,7 +57,7 @@
 	state        State
 	results      []runResult   // the last runs that succeeded or failed
 	lastProgress time.Duration // when a run last ended, or reached or left a call
-	probedAt     time.Duration // when a request was last let through while failing
+	lastProbeAt     time.Duration // when a request was last let through while failing
 }
 
 type runResult struct {
@@ -66,7 +66,7 @@
 }
 
 func (h *healthMonitor) addResult(result runResult) {
-	h.results = appendRecent(h.results, result, resultsKept)
+	h.results = appendRecent(h.results, result, resultHistorySize)
 }
 
 // failureRate is the share of the recent runs that failed, 0 while that are few.
@@ -101,7 +101,7 @@
 	}
 	runTime /= time.Duration(len(running))
 	quiet := now - max(oldest, c.health.lastProgress)
-	return float64(quiet) > float64(runTime)*(stalledRunTimes+stalledRunTimesOne/float64(len(running)))
+	return float64(quiet) > float64(runTime)*(stalledRunTimes+stalledExtraRunTimes/float64(len(running)))
 }
 
 // updateState concludes the state and announces a change, once.
@@ -126,7 +126,7 @@
 		return StateDraining
 	case c.stalled(now):
 		return StateStalled
-	case c.health.failureRate(now) >= failingFrom:
+	case c.health.failureRate(now) >= failingFailureRate:
 		return StateFailing
 	}
 	return StateHealthy
@@ -154,11 +154,11 @@
 
 // probeOrReject lets one queued request through each probeInterval.
 func (c *Controller) probeOrReject(r *trackedRequest, now time.Duration) {
-	if now-c.health.probedAt < probeInterval {
+	if now-c.health.lastProbeAt < probeInterval {
 		c.reject(r)
 		return
 	}
-	c.health.probedAt = now
+	c.health.lastProbeAt = now
 }
 
 // rejectStalledRuns answers the idempotent among the runs that may never end, while their callers have time to try
--- a/admission/history.go
+++ b/admission/history.go
@@ -11,7 +11,7 @@
 	return list
 }
 
-// without removes a request from a list, in place.
-func without(list []*trackedRequest, r *trackedRequest) []*trackedRequest {
+// removeRequest removes a request from a list, in place.
+func removeRequest(list []*trackedRequest, r *trackedRequest) []*trackedRequest {
 	return slices.DeleteFunc(list, func(other *trackedRequest) bool { return other == r })
 }
--- a/admission/idletimeout.go
+++ b/admission/idletimeout.go
@@ -3,29 +3,29 @@
 import "time"
 
 const (
-	// admissionsKept is the number of decisions that the share of rejections stands on.
-	admissionsKept = 64
-	// keepConnectionsFrom is the share of rejections from which connections are kept: a full table is then the lesser
+	// decisionHistorySize is the number of decisions that the share of rejections stands on.
+	decisionHistorySize = 64
+	// keepConnectionsRejectionRate is the share of rejections from which connections are kept: a full table is then the lesser
 	// evil, as each rejected attempt has cost a connection.
-	keepConnectionsFrom = 0.6
-	// handshakeCost is how long an idle connection is as costly as a new one, in seconds: a part of a request, against
+	keepConnectionsRejectionRate = 0.6
+	// idleSecondsPerHandshake is how long an idle connection is as costly as a new one, in seconds: a part of a request, against
 	// a part of busy cores.
-	handshakeCost = 5
+	idleSecondsPerHandshake = 5
 )
 
-// idleTimeout holds how long unused connections may stay, and what that goes by.
-type idleTimeout struct {
+// idleTimeoutState holds how long unused connections may stay, and what that goes by.
+type idleTimeoutState struct {
 	current  time.Duration // as last set; 0: not yet
 	rejected []bool        // of the last requests within quota, whether each was rejected or started
 }
 
 // addDecision notes that a request was rejected unstarted, or started.
-func (t *idleTimeout) addDecision(rejected bool) {
-	t.rejected = appendRecent(t.rejected, rejected, admissionsKept)
+func (t *idleTimeoutState) addDecision(rejected bool) {
+	t.rejected = appendRecent(t.rejected, rejected, decisionHistorySize)
 }
 
 // rejectionRate is the share of the last requests that were rejected unstarted.
-func (t *idleTimeout) rejectionRate() float64 {
+func (t *idleTimeoutState) rejectionRate() float64 {
 	n := 0
 	for _, rejected := range t.rejected {
 		if rejected {
@@ -55,9 +55,9 @@
 // again once in handshakeCost of waiting or sooner, longer as far as the cores idle.
 func (c *Controller) worthwhileIdleTimeout(now time.Duration) time.Duration {
 	timeout := c.settings.MaxIdleTimeout
-	for timeout > c.sampleInterval() && !c.arrivals.isFew() && c.idle.rejectionRate() < keepConnectionsFrom {
+	for timeout > c.sampleInterval() && !c.arrivals.isFew() && c.idle.rejectionRate() < keepConnectionsRejectionRate {
 		reuse := c.arrivals.connectionReuse(now, timeout)
-		if float64(reuse.count)*handshakeCost >= reuse.unused.Seconds()*c.gauges.meanBusy() {
+		if float64(reuse.reuses)*idleSecondsPerHandshake >= reuse.idleTime.Seconds()*c.gauges.meanBusy() {
 			break
 		}
 		timeout /= 2
--- a/admission/loadreport.go
+++ b/admission/loadreport.go
@@ -44,7 +44,7 @@
 // sustainedPressure is the pressure now or the mean of the last readings, whichever is more: callers compare instances,
 // and a report that jumps back at each lull would draw them all at once.
 func (c *Controller) sustainedPressure(now time.Duration) float64 {
-	return max(c.pressure(now), c.gauges.meanPressure(now-readingsKept*c.sampleInterval()))
+	return max(c.pressure(now), c.gauges.meanPressure(now-readingHistorySize*c.sampleInterval()))
 }
 
 // minLatencyObjective is the least objective of all classes.
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -9,9 +9,9 @@
 // The start order: the paper's section 3.3.
 
 const (
-	// urgentFrom is the paper's alpha: the run time as a share of the slack from which a request is urgent. At 1 it
+	// urgentRunTimeShare is the paper's alpha: the run time as a share of the slack from which a request is urgent. At 1 it
 	// would be one that already misses.
-	urgentFrom = 0.5
+	urgentRunTimeShare = 0.5
 	// minSlack is the paper's epsilon: it keeps the division defined when no slack is left.
 	minSlack = time.Millisecond
 	// protectedRank is the rank from which a request is protected where all classes have one weight.
@@ -76,7 +76,7 @@
 			slack:   r.slack(now),
 		}
 		k.runTime = time.Duration(float64(k.work) * runsPerCore(float64(len(c.requests.running)), c.cores))
-		if float64(k.runTime)/float64(max(k.slack, minSlack)) > urgentFrom {
+		if float64(k.runTime)/float64(max(k.slack, minSlack)) > urgentRunTimeShare {
 			k.urgency = urgencyUrgent
 		}
 		if c.order.protects(r) {
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -8,8 +8,8 @@
 const (
 	// quotaWindow holds some tens of arrivals at the usual loads.
 	quotaWindow = 4 * time.Second
-	// tenantArrivalsKept is 500 a second over the window, twice the fastest that one instance takes in.
-	tenantArrivalsKept = 2048
+	// tenantArrivalHistorySize is 500 a second over the window, twice the fastest that one instance takes in.
+	tenantArrivalHistorySize = 2048
 	// quotaDeviations is how many standard deviations beyond its quota a tenant may be by chance.
 	quotaDeviations = 2
 )
@@ -46,7 +46,7 @@
 		return false
 	}
 	if !r.IsRetry {
-		tenant.recent = appendRecent(tenant.recent, now, tenantArrivalsKept)
+		tenant.recent = appendRecent(tenant.recent, now, tenantArrivalHistorySize)
 	}
 	since := now - quotaWindow
 	arrived, quotas := q.totals(since)
--- a/admission/records.go
+++ b/admission/records.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// recordSpareTicks is how much longer than its window a record is kept, for a duplicate that is read late.
-	recordSpareTicks = 2
-	// coalescedReadsMemoryShare is the part of the memory, as a divisor, that records of reads may take: requests
+	// recordMarginTicks is how much longer than its window a record is kept, for a duplicate that is read late.
+	recordMarginTicks = 2
+	// coalescedReadsMemoryDivisor is the part of the memory, as a divisor, that records of reads may take: requests
 	// that are idempotent by key need theirs more.
-	coalescedReadsMemoryShare = 5
+	coalescedReadsMemoryDivisor = 5
 )
 
 // idempotencyRecord is one that the Executor keeps.
@@ -61,12 +61,12 @@
 func (c *Controller) recordWindow(r *trackedRequest, now time.Duration) time.Duration {
 	switch r.class.Idempotency {
 	case IdempotentByKey:
-		return r.arrivedAt + r.class.IdempotencyWindow - now + recordSpareTicks*c.settings.Tick
+		return r.arrivedAt + r.class.IdempotencyWindow - now + recordMarginTicks*c.settings.Tick
 	case Idempotent:
 		if r.IsWrite || r.Resource == "" || c.settings.CoalescedReadWindow <= 0 {
 			return 0
 		}
-		if c.records.memoryKB(now)+c.settings.RecordKB > c.settings.MemoryKB/coalescedReadsMemoryShare {
+		if c.records.memoryKB(now)+c.settings.RecordKB > c.settings.MemoryKB/coalescedReadsMemoryDivisor {
 			return 0 // the read runs, and is not coalesced
 		}
 		return r.deadline - now + c.settings.CoalescedReadWindow
--- a/admission/request.go
+++ b/admission/request.go
@@ -89,30 +89,30 @@
 	byID       map[RequestID]*trackedRequest // all below
 	queue      []*trackedRequest             // not started, by arrival
 	running    []*trackedRequest             // started and not at an upstream call
-	calling    []*trackedRequest             // started and at an upstream call, made or not
+	atCall    []*trackedRequest             // started and at an upstream call, made or not
 	coalesced  []*trackedRequest             // waiting for the result of the request that they duplicate
 	unanswered []*trackedRequest             // the result of awaitingAnswer, used again
 }
 
 // forget removes a request that is answered and has no run.
 func (t *requestTable) forget(r *trackedRequest) {
-	t.queue = without(t.queue, r)
-	t.coalesced = without(t.coalesced, r)
-	t.running = without(t.running, r)
-	t.calling = without(t.calling, r)
+	t.queue = removeRequest(t.queue, r)
+	t.coalesced = removeRequest(t.coalesced, r)
+	t.running = removeRequest(t.running, r)
+	t.atCall = removeRequest(t.atCall, r)
 	delete(t.byID, r.ID)
 }
 
 // resume moves a run from its upstream call back to the cores.
 func (t *requestTable) resume(r *trackedRequest) {
-	t.calling = without(t.calling, r)
+	t.atCall = removeRequest(t.atCall, r)
 	t.running = append(t.running, r)
 }
 
 // awaitingAnswer lists the requests that are owed an answer, in a fixed order. The list is valid until the next call.
 func (t *requestTable) awaitingAnswer() []*trackedRequest {
 	t.unanswered = t.unanswered[:0]
-	for _, list := range [...][]*trackedRequest{t.queue, t.coalesced, t.running, t.calling} {
+	for _, list := range [...][]*trackedRequest{t.queue, t.coalesced, t.running, t.atCall} {
 		for _, r := range list {
 			if !r.answered {
 				t.unanswered = append(t.unanswered, r)
@@ -133,7 +133,7 @@
 	for _, r := range t.running {
 		kb += r.MemoryKB * runFactor
 	}
-	for _, r := range t.calling {
+	for _, r := range t.atCall {
 		kb += r.MemoryKB * runFactor
 	}
 	return kb
--- a/admission/retryafter.go
+++ b/admission/retryafter.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	// unreadDelayShare is the part of a latency objective, as a divisor, from which requests lie unread.
-	unreadDelayShare = 32
-	// unreadRetryAfterShare is the part of the advice, as a divisor, that is given then.
-	unreadRetryAfterShare = 8
+	// longQueueDelayDivisor is the part of a latency objective, as a divisor, from which requests lie unread.
+	longQueueDelayDivisor = 32
+	// unreadRetryAfterDivisor is the part of the advice, as a divisor, that is given then.
+	unreadRetryAfterDivisor = 8
 	// saturatedPressure is the pressure that, if it lasts, means that other instances are no better off.
 	saturatedPressure = 0.4
 	// retryStormShare is the share of retries among the arrivals that means the same.
@@ -23,9 +23,9 @@
 		return 0
 	}
 	longest := float64(c.settings.MaxRetryAfter) * (1 - c.acceptance())
-	unread := c.arrivals.recentQueueDelay(c.executor.Now()) > c.minLatencyObjective()/unreadDelayShare
+	unread := c.arrivals.recentQueueDelay(c.executor.Now()) > c.minLatencyObjective()/longQueueDelayDivisor
 	if c.health.state == StateHealthy && unread {
-		longest /= unreadRetryAfterShare
+		longest /= unreadRetryAfterDivisor
 	}
 	return time.Duration(longest * (0.5 + 0.5*c.random.float64()))
 }
--- a/admission/run.go
+++ b/admission/run.go
@@ -28,7 +28,7 @@
 
 // start runs a queued request.
 func (c *Controller) start(r *trackedRequest) {
-	c.requests.queue = without(c.requests.queue, r)
+	c.requests.queue = removeRequest(c.requests.queue, r)
 	c.requests.running = append(c.requests.running, r)
 	c.idle.addDecision(false)
 	r.startedAt = c.executor.Now()
--- a/admission/shedding.go
+++ b/admission/shedding.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// lateAnswerValue is the value of a late answer from which the deadline counts, not the objective.
-const lateAnswerValue = 0.5
+// minLateAnswerValue is the value of a late answer from which the deadline counts, not the objective.
+const minLateAnswerValue = 0.5
 
 // timeLeft is the time in which an answer still has its value: until the latency objective, or until the deadline where
 // a late answer has half of it or more; never past the kill.
 func (c *Controller) timeLeft(r *trackedRequest, now time.Duration) time.Duration {
 	left := r.slack(now)
-	if r.class.LateValue >= lateAnswerValue {
+	if r.class.LateValue >= minLateAnswerValue {
 		left = r.deadline - now
 	}
 	left = min(left, r.deadline-now)
--- a/admission/slowstart.go
+++ b/admission/slowstart.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// minWarmUpShare keeps estimates finite where the configured speed at the start is none.
-const minWarmUpShare = 0.05
+// minWarmUpSpeedShare keeps estimates finite where the configured speed at the start is none.
+const minWarmUpSpeedShare = 0.05
 
 // slowStart is the warm-up of an instance that has just started.
 type slowStart struct {
@@ -13,7 +13,7 @@
 }
 
 func newSlowStart(settings *Settings, now time.Duration) slowStart {
-	s := slowStart{startedAt: now, initialShare: max(minWarmUpShare, settings.WarmUpSpeedShare)}
+	s := slowStart{startedAt: now, initialShare: max(minWarmUpSpeedShare, settings.WarmUpSpeedShare)}
 	if settings.JustStarted {
 		s.duration = settings.WarmUp
 	}
--- a/admission/submit.go
+++ b/admission/submit.go
@@ -72,7 +72,7 @@
 
 // coalesce answers a duplicate by the first one's result.
 func (c *Controller) coalesce(r *trackedRequest) {
-	c.requests.queue = without(c.requests.queue, r)
+	c.requests.queue = removeRequest(c.requests.queue, r)
 	c.requests.coalesced = append(c.requests.coalesced, r)
 	r.onDeadline = func() {
 		r.answered = true
--- a/admission/upstream.go
+++ b/admission/upstream.go
@@ -26,9 +26,9 @@
 func (c *Controller) reachedCall(r *trackedRequest) {
 	now := c.executor.Now()
 	c.health.lastProgress = now
-	c.requests.running = without(c.requests.running, r)
-	if !slices.Contains(c.requests.calling, r) {
-		c.requests.calling = append(c.requests.calling, r)
+	c.requests.running = removeRequest(c.requests.running, r)
+	if !slices.Contains(c.requests.atCall, r) {
+		c.requests.atCall = append(c.requests.atCall, r)
 	}
 	c.upstream.end(r, now, now) // one that the run no longer waits for would count for ever
 	r.callAttempts = 0
@@ -37,7 +37,7 @@
 // scheduleCalls lets the runs with the least slack call first, as far as calls are allowed. The others go on without
 // their call when their slack is spent, where that is worth something.
 func (c *Controller) scheduleCalls(now time.Duration) {
-	waiting := slices.DeleteFunc(slices.Clone(c.requests.calling), func(r *trackedRequest) bool { return r.inCall })
+	waiting := slices.DeleteFunc(slices.Clone(c.requests.atCall), func(r *trackedRequest) bool { return r.inCall })
 	slices.SortStableFunc(waiting, func(a, b *trackedRequest) int {
 		return cmp.Compare(a.arrivedAt+a.latencyObjective, b.arrivedAt+b.latencyObjective)
 	})
@@ -125,7 +125,7 @@
 
 // callDeadline is when a call is abandoned.
 func (c *Controller) callDeadline(r *trackedRequest, now time.Duration) time.Duration {
-	deadline := r.deadline - answerSpareTicks*c.settings.Tick
+	deadline := r.deadline - answerMarginTicks*c.settings.Tick
 	if slack := r.slack(now); r.class.SkippedCallValue > 0 && slack > 0 {
 		deadline = now + slack*2/3 // leaves time for the answer without the call
 	}
