--- a/admission/answer.go
+++ b/admission/answer.go
@@ -17,16 +17,16 @@
 	if c.records.remove(r.ID) {
 		c.executor.DropRecord(r.ID) // it never ran here, so a later attempt may
 	}
-	c.executor.Reject(r.ID, c.retryAfter(), c.saturatedElsewhere())
+	c.executor.Reject(r.ID, c.retryAfter(), c.isFleetSaturated())
 	if !r.overQuota { // what is beyond a quota is rejected on a good day too
 		c.idle.addDecision(true)
 	}
 	c.requests.forget(r)
 }
 
-// abandon answers a request that has a run, and frees the run's core where that is allowed. One that is not idempotent
+// abandonRun answers a request that has a run, and frees the run's core where that is allowed. One that is not idempotent
 // fails: rejected, it would run again elsewhere.
-func (c *Controller) abandon(r *trackedRequest) {
+func (c *Controller) abandonRun(r *trackedRequest) {
 	if r.answered {
 		return
 	}
@@ -41,19 +41,19 @@
 	}
 }
 
-// dueAt is when a request's answer is sent at the latest: before it is owed, and before the kill.
-func (c *Controller) dueAt(r *trackedRequest) time.Duration {
+// latestAnswerAt is when a request's answer is sent at the latest: before it is owed, and before the kill.
+func (c *Controller) latestAnswerAt(r *trackedRequest) time.Duration {
 	at := r.deadline - answerMarginTicks*c.settings.Tick
 	if c.drain.notified {
-		at = min(at, c.drain.lastAnswerAt())
+		at = min(at, c.drain.latestAnswerAt())
 	}
 	return at
 }
 
-// answerExpired answers what is due now, so that no request is lost, whatever holds it up.
-func (c *Controller) answerExpired(now time.Duration) {
+// answerDueRequests answers what is due now, so that no request is lost, whatever holds it up.
+func (c *Controller) answerDueRequests(now time.Duration) {
 	for _, r := range c.requests.awaitingAnswer() {
-		if c.dueAt(r) <= now {
+		if c.latestAnswerAt(r) <= now {
 			r.onDeadline()
 		}
 	}
--- a/admission/arrivals.go
+++ b/admission/arrivals.go
@@ -32,15 +32,15 @@
 
 func (h *arrivalHistory) add(a arrival) { h.recent = appendRecent(h.recent, a, arrivalHistorySize) }
 
-// isFew tells whether the arrivals are too few to go by.
-func (h *arrivalHistory) isFew() bool { return len(h.recent) < minArrivals }
+// hasTooFew tells whether the arrivals are too few to go by.
+func (h *arrivalHistory) hasTooFew() bool { return len(h.recent) < minArrivals }
 
-// timeSpentBefore is the time that a request's earlier attempts took, as far as it shows. Callers name the same share
+// earlierAttemptTime is the time that a request's earlier attempts took, as far as it shows. Callers name the same share
 // of the timeout for each first attempt, and what is left of it for a retry; so a share that hardly any of the last
 // arrivals had is that of a retry. An attempt with a full timeout of its own shows nothing. Without this, retries whose
 // objective has passed would take the cores from requests that can still meet theirs.
-func (h *arrivalHistory) timeSpentBefore(r *trackedRequest, deadlineShare float64) time.Duration {
-	if !r.HasDeadline || h.isFew() {
+func (h *arrivalHistory) earlierAttemptTime(r *trackedRequest, deadlineShare float64) time.Duration {
+	if !r.HasDeadline || h.hasTooFew() {
 		return 0
 	}
 	same := 0
@@ -96,9 +96,9 @@
 	return reuse
 }
 
-// recentQueueDelay is how long requests have lately lain unread, at worst. Reading takes the cores while the queue is
+// maxRecentQueueDelay is how long requests have lately lain unread, at worst. Reading takes the cores while the queue is
 // short, and what was read has spent its time already.
-func (h *arrivalHistory) recentQueueDelay(now time.Duration) time.Duration {
+func (h *arrivalHistory) maxRecentQueueDelay(now time.Duration) time.Duration {
 	var longest time.Duration
 	for _, a := range h.recent {
 		if a.at > now-queueDelayWindow {
--- a/admission/batch.go
+++ b/admission/batch.go
@@ -28,7 +28,7 @@
 		if overQuota || !atRisk {
 			continue
 		}
-		count := c.startCount(anchor, capacity, now)
+		count := c.feasibleStarts(anchor, capacity, now)
 		if count < 1 {
 			continue
 		}
@@ -43,9 +43,9 @@
 	return best
 }
 
-// startCount turns the anchor's slack into a number of starts: how many may run for it to meet its objective, less
+// feasibleStarts turns the anchor's slack into a number of starts: how many may run for it to meet its objective, less
 // those running, within the capacity.
-func (c *Controller) startCount(anchor candidate, capacity int, now time.Duration) int {
+func (c *Controller) feasibleStarts(anchor candidate, capacity int, now time.Duration) int {
 	count := 0
 	for count < capacity &&
 		c.estimatedRunTime(anchor.request, len(c.requests.running)+count+1, now) <= anchor.slack {
--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -25,8 +25,8 @@
 	completions        int // runs that ended, well or not
 }
 
-// lower takes one run back where more than the cores are wanted by a sixth: beyond it runs only slow each other down.
-func (l *adaptiveLimit) lower(reading gaugeReading, cores int) {
+// shrink takes one run back where more than the cores are wanted by a sixth: beyond it runs only slow each other down.
+func (l *adaptiveLimit) shrink(reading gaugeReading, cores int) {
 	if reading.runnable > float64(cores)*7/6 {
 		l.runs = max(cores, l.runs-1)
 	}
@@ -45,14 +45,14 @@
 		}
 	}
 	limit := c.limit.runs
-	for limit > c.cores && !c.allMeet(classes, limit, least, now) {
+	for limit > c.cores && !c.allWithinSlack(classes, limit, least, now) {
 		limit--
 	}
 	return min(max(limit, c.cores+c.gauges.blockedRuns()), c.concurrencyCeiling())
 }
 
-// allMeet tells whether with so many running each class meets the slack.
-func (c *Controller) allMeet(classes map[*classState]bool, running int, slack, now time.Duration) bool {
+// allWithinSlack tells whether with so many running each class meets the slack.
+func (c *Controller) allWithinSlack(classes map[*classState]bool, running int, slack, now time.Duration) bool {
 	meets := true
 	for class := range classes { // the result does not depend on their order
 		meets = meets && c.fittedRunTime(class, running, now) <= slack
@@ -104,9 +104,9 @@
 	return max(usableConcurrencyShare*survivable, min(survivable, float64(c.cores+1)))
 }
 
-// concurrencyAllows tells whether beside so many on the cores one more may go there, or to a call that it comes back
+// allowsOneMore tells whether beside so many on the cores one more may go there, or to a call that it comes back
 // from. One alone always may.
-func (c *Controller) concurrencyAllows(running int) bool {
+func (c *Controller) allowsOneMore(running int) bool {
 	if c.survivableConcurrency() <= 0 || len(c.requests.running)+c.upstream.open == 0 {
 		return true
 	}
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -72,13 +72,13 @@
 // methods and of functions that were handed to the Executor.
 func (c *Controller) Decide() {
 	now := c.executor.Now()
-	c.answerExpired(now)
+	c.answerDueRequests(now)
 	c.updateState(now)
-	c.protect(now)
+	c.rejectWhileUnhealthy(now)
 	c.startRequests(now)
 	c.scheduleCalls(now)
 	c.publishLoad(now)
-	if c.gauges.takenAt(now) {
+	if c.gauges.sampledAt(now) {
 		c.adjustIdleTimeout(now)
 	}
 	c.scheduleWake(now)
@@ -92,7 +92,7 @@
 		next = now + c.sampleInterval()
 	}
 	for _, r := range c.requests.awaitingAnswer() {
-		next = min(next, max(c.dueAt(r), now+c.settings.Tick))
+		next = min(next, max(c.latestAnswerAt(r), now+c.settings.Tick))
 	}
 	if next == 0 || c.wakeAt > now && c.wakeAt <= next {
 		return
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -21,15 +21,15 @@
 	c.drain = drainState{notified: true, notifiedAt: c.executor.Now(), killAt: killAt}
 }
 
-// lastAnswerAt is when everything is answered before the kill.
-func (d *drainState) lastAnswerAt() time.Duration {
+// latestAnswerAt is when everything is answered before the kill.
+func (d *drainState) latestAnswerAt() time.Duration {
 	return d.killAt - max(minKillMargin, (d.killAt-d.notifiedAt)/killMarginDivisor)
 }
 
 // rejectWhileDraining rejects a queued request that came after the grace, or whose run the kill would cut off.
 func (c *Controller) rejectWhileDraining(r *trackedRequest, now time.Duration) {
 	cutoff := c.drain.notifiedAt + c.settings.DrainGrace - answerMarginTicks*c.settings.Tick
-	if r.arrivedAt > cutoff || c.estimatedRunTime(r, len(c.requests.running), now) > c.timeLeft(r, now) {
+	if r.arrivedAt > cutoff || c.estimatedRunTime(r, len(c.requests.running), now) > c.remainingTime(r, now) {
 		c.reject(r)
 	}
 }
--- a/admission/estimate.go
+++ b/admission/estimate.go
@@ -69,8 +69,8 @@
 	h.successes++
 }
 
-// since lists the runs that are recent enough, at least minRecentRuns of them.
-func (h *runHistory) since(now time.Duration) []runSample {
+// recentRuns lists the runs that are recent enough, at least minRecentRuns of them.
+func (h *runHistory) recentRuns(now time.Duration) []runSample {
 	for i, sample := range h.recent {
 		if sample.at > now-runSampleLifetime || i == len(h.recent)-minRecentRuns {
 			return h.recent[i:]
@@ -84,7 +84,7 @@
 	if e := &h.cached; e.valid && e.at == now && e.successes == h.successes {
 		return e
 	}
-	runs := h.since(now)
+	runs := h.recentRuns(now)
 	e := runTimeEstimate{
 		valid:     true,
 		at:        now,
@@ -110,9 +110,9 @@
 	return &h.cached
 }
 
-// scale is how much longer than the mean a request with this hint runs. A line through the last runs tells how far
+// workScale is how much longer than the mean a request with this hint runs. A line through the last runs tells how far
 // run times follow hints, as waits on disk and at calls do not grow with them; without a line, in proportion.
-func (e *runTimeEstimate) scale(hint time.Duration) float64 {
+func (e *runTimeEstimate) workScale(hint time.Duration) float64 {
 	if e.meanHint <= 0 || hint <= 0 {
 		return 1
 	}
@@ -140,7 +140,7 @@
 func (c *Controller) classWork(class *classState, hint, now time.Duration) time.Duration {
 	e := class.runs.estimate(now)
 	if e.runs > 0 {
-		return time.Duration(float64(e.workSum) / float64(e.runs) * e.scale(hint))
+		return time.Duration(float64(e.workSum) / float64(e.runs) * e.workScale(hint))
 	}
 	if hint > 0 {
 		return time.Duration(float64(hint) / c.slowStart.speedShare(now))
--- a/admission/gauges.go
+++ b/admission/gauges.go
@@ -38,8 +38,8 @@
 	return h.readings[len(h.readings)-1], true
 }
 
-// takenAt tells whether the last reading is of this moment.
-func (h *gaugeHistory) takenAt(now time.Duration) bool {
+// sampledAt tells whether the last reading is of this moment.
+func (h *gaugeHistory) sampledAt(now time.Duration) bool {
 	reading, exists := h.last()
 	return exists && reading.at == now
 }
@@ -83,8 +83,8 @@
 	return int(math.Ceil(sum / float64(n)))
 }
 
-// pressureLasted tells whether each of a full set of readings had at least this pressure.
-func (h *gaugeHistory) pressureLasted(least float64) bool {
+// pressureSustained tells whether each of a full set of readings had at least this pressure.
+func (h *gaugeHistory) pressureSustained(least float64) bool {
 	for _, reading := range h.readings {
 		if reading.pressure < least {
 			return false
@@ -110,7 +110,7 @@
 		reading.busy = busy
 	}
 	c.gauges.add(reading)
-	c.limit.lower(reading, c.cores)
+	c.limit.shrink(reading, c.cores)
 }
 
 // estimatedRunnable estimates how many runs want a core now: the last gauge, and what has started or ended since.
--- a/admission/health.go
+++ b/admission/health.go
@@ -55,7 +55,7 @@
 // healthMonitor holds what the state is concluded from.
 type healthMonitor struct {
 	state        State
-	results      []runResult   // the last runs that succeeded or failed
+	recentResults      []runResult   // the last runs that succeeded or failed
 	lastProgress time.Duration // when a run last ended, or reached or left a call
 	lastProbeAt     time.Duration // when a request was last let through while failing
 }
@@ -66,13 +66,13 @@
 }
 
 func (h *healthMonitor) addResult(result runResult) {
-	h.results = appendRecent(h.results, result, resultHistorySize)
+	h.recentResults = appendRecent(h.recentResults, result, resultHistorySize)
 }
 
 // failureRate is the share of the recent runs that failed, 0 while that are few.
 func (h *healthMonitor) failureRate(now time.Duration) float64 {
 	n, failed := 0, 0
-	for _, result := range h.results {
+	for _, result := range h.recentResults {
 		if result.at > now-resultLifetime {
 			n++
 			if result.failed {
@@ -86,9 +86,9 @@
 	return float64(failed) / float64(n)
 }
 
-// stalled tells whether work goes in and none comes out: no run has ended, reached or left a call for far longer than
+// isStalled tells whether work goes in and none comes out: no run has ended, reached or left a call for far longer than
 // those on the cores should take. It detects hangs, a dead disk, a lost core, a lock held for ever.
-func (c *Controller) stalled(now time.Duration) bool {
+func (c *Controller) isStalled(now time.Duration) bool {
 	running := c.requests.running
 	if len(running) == 0 {
 		return false
@@ -124,7 +124,7 @@
 	switch {
 	case c.drain.notified:
 		return StateDraining
-	case c.stalled(now):
+	case c.isStalled(now):
 		return StateStalled
 	case c.health.failureRate(now) >= failingFailureRate:
 		return StateFailing
@@ -132,8 +132,8 @@
 	return StateHealthy
 }
 
-// protect rejects what should not be started here in the present state.
-func (c *Controller) protect(now time.Duration) {
+// rejectWhileUnhealthy rejects what should not be started here in the present state.
+func (c *Controller) rejectWhileUnhealthy(now time.Duration) {
 	if c.health.state == StateHealthy {
 		return
 	}
--- a/admission/idletimeout.go
+++ b/admission/idletimeout.go
@@ -39,7 +39,7 @@
 // take capacity, and turn new callers back unseen. One step a sample: one moment must not close all of them.
 func (c *Controller) adjustIdleTimeout(now time.Duration) {
 	current := c.idle.current
-	timeout := c.worthwhileIdleTimeout(now)
+	timeout := c.targetIdleTimeout(now)
 	if timeout > current && current > 0 {
 		timeout = min(c.settings.MaxIdleTimeout, current*2)
 	} else if timeout < current {
@@ -51,11 +51,11 @@
 	}
 }
 
-// worthwhileIdleTimeout is the longest timeout, halved from the configured one, with which an unused connection is used
+// targetIdleTimeout is the longest timeout, halved from the configured one, with which an unused connection is used
 // again once in handshakeCost of waiting or sooner, longer as far as the cores idle.
-func (c *Controller) worthwhileIdleTimeout(now time.Duration) time.Duration {
+func (c *Controller) targetIdleTimeout(now time.Duration) time.Duration {
 	timeout := c.settings.MaxIdleTimeout
-	for timeout > c.sampleInterval() && !c.arrivals.isFew() && c.idle.rejectionRate() < keepConnectionsRejectionRate {
+	for timeout > c.sampleInterval() && !c.arrivals.hasTooFew() && c.idle.rejectionRate() < keepConnectionsRejectionRate {
 		reuse := c.arrivals.connectionReuse(now, timeout)
 		if float64(reuse.reuses)*idleSecondsPerHandshake >= reuse.idleTime.Seconds()*c.gauges.meanBusy() {
 			break
--- a/admission/loadreport.go
+++ b/admission/loadreport.go
@@ -37,7 +37,7 @@
 	for _, r := range c.requests.queue {
 		queued += c.estimatedWork(r, now)
 	}
-	wait := float64(queued)/float64(c.cores) + float64(c.arrivals.recentQueueDelay(now))
+	wait := float64(queued)/float64(c.cores) + float64(c.arrivals.maxRecentQueueDelay(now))
 	return wait / float64(c.minLatencyObjective()/2)
 }
 
@@ -85,7 +85,7 @@
 // leastRank is the rank under which the share of the arrivals lies that is not accepted. With few arrivals while
 // warming up, when the first answers count, it assumes ranks that are evenly spread.
 func (c *Controller) leastRank(acceptance float64, warmingUp bool) float64 {
-	if warmingUp && c.arrivals.isFew() {
+	if warmingUp && c.arrivals.hasTooFew() {
 		return 1 - acceptance
 	}
 	ranks := c.arrivals.sortedRanks()
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -54,9 +54,9 @@
 	return startOrder{weightBands: len(weights)}
 }
 
-// protects is the paper's safeguard flag g, from the rank: the band of the highest weight, as ranks give each weight
+// isProtected is the paper's safeguard flag g, from the rank: the band of the highest weight, as ranks give each weight
 // a band of equal width.
-func (o *startOrder) protects(r *trackedRequest) bool {
+func (o *startOrder) isProtected(r *trackedRequest) bool {
 	if o.weightBands < 2 {
 		return r.Rank >= protectedRank
 	}
@@ -79,7 +79,7 @@
 		if float64(k.runTime)/float64(max(k.slack, minSlack)) > urgentRunTimeShare {
 			k.urgency = urgencyUrgent
 		}
-		if c.order.protects(r) {
+		if c.order.isProtected(r) {
 			k.level = levelProtected
 		}
 		if r.overQuota {
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -38,9 +38,9 @@
 	return quotas
 }
 
-// exceeded counts an arrival and tells whether its tenant now sends this instance more than its part of the quota.
+// recordArrival counts an arrival and tells whether its tenant now sends this instance more than its part of the quota.
 // Marked retries are not counted, or a rejection would count against the tenant.
-func (q *tenantQuotas) exceeded(r *trackedRequest, now time.Duration) bool {
+func (q *tenantQuotas) recordArrival(r *trackedRequest, now time.Duration) bool {
 	tenant := q.arrivals[r.Tenant]
 	if tenant == nil || tenant.quotaPerSecond <= 0 {
 		return false
@@ -54,21 +54,21 @@
 	// In a storm of unmarked retries all tenants are beyond their quotas; the quotas then grow with all that comes.
 	part := tenant.quotaPerSecond * share * max(1, arrived/(quotas*share))
 	// Where few requests come, a tenant within its quota is beyond it by chance.
-	return float64(tenant.since(since)) > part+quotaDeviations*math.Sqrt(part)
+	return float64(tenant.countSince(since)) > part+quotaDeviations*math.Sqrt(part)
 }
 
 // totals counts the arrivals of all tenants and sums their quotas, in the order configured.
 func (q *tenantQuotas) totals(since time.Duration) (arrived, quotasPerSecond float64) {
 	for _, settings := range q.configured {
 		tenant := q.arrivals[settings.Name]
-		arrived += float64(tenant.since(since))
+		arrived += float64(tenant.countSince(since))
 		quotasPerSecond += tenant.quotaPerSecond
 	}
 	return arrived, quotasPerSecond
 }
 
-// since counts the arrivals after a moment.
-func (t *tenantArrivals) since(from time.Duration) int {
+// countSince counts the arrivals after a moment.
+func (t *tenantArrivals) countSince(from time.Duration) int {
 	n := 0
 	for _, at := range t.recent {
 		if at > from {
--- a/admission/quota_test.go
+++ b/admission/quota_test.go
@@ -24,7 +24,7 @@
 		{Name: "y", QuotaPerSecond: 100},
 	}})
 	n := 1
-	for n < 900 && !s.controller.quotas.exceeded(&trackedRequest{Request: y}, s.now) {
+	for n < 900 && !s.controller.quotas.recordArrival(&trackedRequest{Request: y}, s.now) {
 		n++
 	}
 	fmt.Println("of hundreds within a moment, the first one beyond is", n)
--- a/admission/records.go
+++ b/admission/records.go
@@ -42,9 +42,9 @@
 	return true
 }
 
-// record has the Executor keep a record of a request that may be duplicated, before it can run. It returns false if
-// there is no memory for a record that is needed.
-func (c *Controller) record(r *trackedRequest, now time.Duration) bool {
+// keepRecord has the Executor keep a keepRecord of a request that may be duplicated, before it can run. It returns false if
+// there is no memory for a keepRecord that is needed.
+func (c *Controller) keepRecord(r *trackedRequest, now time.Duration) bool {
 	window := c.recordWindow(r, now)
 	if window <= 0 {
 		return true
--- a/admission/retryafter.go
+++ b/admission/retryafter.go
@@ -23,18 +23,18 @@
 		return 0
 	}
 	longest := float64(c.settings.MaxRetryAfter) * (1 - c.acceptance())
-	unread := c.arrivals.recentQueueDelay(c.executor.Now()) > c.minLatencyObjective()/longQueueDelayDivisor
+	unread := c.arrivals.maxRecentQueueDelay(c.executor.Now()) > c.minLatencyObjective()/longQueueDelayDivisor
 	if c.health.state == StateHealthy && unread {
 		longest /= unreadRetryAfterDivisor
 	}
 	return time.Duration(longest * (0.5 + 0.5*c.random.float64()))
 }
 
-// saturatedElsewhere tells that the pressure has lasted in spite of the load report. Then the others are no better off,
+// isFleetSaturated tells that the pressure has lasted in spite of the load report. Then the others are no better off,
 // and a rejected request that goes on to them only costs each its reading.
-func (c *Controller) saturatedElsewhere() bool {
+func (c *Controller) isFleetSaturated() bool {
 	if c.health.state != StateHealthy {
 		return false
 	}
-	return c.arrivals.retryShare() > retryStormShare || c.gauges.pressureLasted(saturatedPressure)
+	return c.arrivals.retryShare() > retryStormShare || c.gauges.pressureSustained(saturatedPressure)
 }
--- a/admission/run.go
+++ b/admission/run.go
@@ -33,16 +33,16 @@
 	c.idle.addDecision(false)
 	r.startedAt = c.executor.Now()
 	r.concurrencyAtStart = len(c.requests.running)
-	r.onDeadline = func() { c.abandon(r) }
+	r.onDeadline = func() { c.abandonRun(r) }
 	c.executor.Start(
 		r.ID,
-		func() { c.reachedCall(r) },
-		func(outcome Outcome, elapsed time.Duration) { c.finished(r, outcome, elapsed) },
+		func() { c.onCallReached(r) },
+		func(outcome Outcome, elapsed time.Duration) { c.onRunEnd(r, outcome, elapsed) },
 	)
 }
 
-// finished hears that a run has ended.
-func (c *Controller) finished(r *trackedRequest, outcome Outcome, elapsed time.Duration) {
+// onRunEnd hears that a run has ended.
+func (c *Controller) onRunEnd(r *trackedRequest, outcome Outcome, elapsed time.Duration) {
 	now := c.executor.Now()
 	concurrency := float64(r.concurrencyAtStart+len(c.requests.running)) / 2
 	c.upstream.end(r, now, now)
@@ -65,12 +65,12 @@
 
 // stopRun takes a run that nobody waits for off the cores, where that is possible.
 func (c *Controller) stopRun(r *trackedRequest) {
-	if c.canStop() {
+	if c.canStopRuns() {
 		c.executor.Stop(r.ID)
 	}
 }
 
-// canStop tells whether runs can be taken off the cores.
-func (c *Controller) canStop() bool {
+// canStopRuns tells whether runs can be taken off the cores.
+func (c *Controller) canStopRuns() bool {
 	return c.settings.Halt == HaltDrop || c.settings.Halt == HaltPause
 }
--- a/admission/scenario_test.go
+++ b/admission/scenario_test.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// one picks one of the values by chance.
-func one[T any](chance *rand.Rand, values ...T) T { return values[chance.IntN(len(values))] }
+// pickOne picks pickOne of the values by chance.
+func pickOne[T any](chance *rand.Rand, values ...T) T { return values[chance.IntN(len(values))] }
 
-// pick gives one of a map's keys, by chance but not by the map's order.
-func pick[T any](chance *rand.Rand, m map[RequestID]T) (RequestID, bool) {
+// pickKey gives one of a map's keys, by chance but not by the map's order.
+func pickKey[T any](chance *rand.Rand, m map[RequestID]T) (RequestID, bool) {
 	if len(m) == 0 {
 		return "", false
 	}
-	return one(chance, slices.Sorted(maps.Keys(m))...), true
+	return pickOne(chance, slices.Sorted(maps.Keys(m))...), true
 }
 
 // scenario is a random sequence of events: classes, tenants, quotas, calls, hints, drains, overloads, cold starts,
@@ -62,19 +62,19 @@
 	s.settings.RunMemoryFactor = float64(1 + c.IntN(4))
 	s.settings.MemoryKB = float64(200 + c.IntN(4000))
 	s.settings.Tick = 2 * time.Millisecond
-	s.settings.SurvivableRunsPerCore = one(c, 0.0, 4, 8)
+	s.settings.SurvivableRunsPerCore = pickOne(c, 0.0, 4, 8)
 	s.settings.DrainGrace = s.duration(0, 1000)
-	s.settings.Upstream = one(c, UpstreamShared, UpstreamNextTier, UpstreamNone)
-	s.settings.UpstreamShare = one(c, 0, 0.3, 2, 8)
+	s.settings.Upstream = pickOne(c, UpstreamShared, UpstreamNextTier, UpstreamNone)
+	s.settings.UpstreamShare = pickOne(c, 0, 0.3, 2, 8)
 	s.settings.UpstreamWindow = s.duration(1000, 5000)
 	s.settings.TimedOutCallLinger = s.duration(0, 300)
 	if c.IntN(3) > 0 && len(s.settings.Classes) > 1 {
 		s.settings.Classes[1].SkippedCallValue = 0.5
 	}
-	s.settings.Halt = one(c, HaltDrop, HaltPause, HaltNone)
+	s.settings.Halt = pickOne(c, HaltDrop, HaltPause, HaltNone)
 	s.settings.RetryAfterAllowed = c.IntN(2) == 0
 	s.settings.MaxRetryAfter = s.duration(500, 3000)
-	s.settings.LoadSignal = one(c, LoadSignalChance, LoadSignalLeastRank, LoadSignalTokens, LoadSignalNone)
+	s.settings.LoadSignal = pickOne(c, LoadSignalChance, LoadSignalLeastRank, LoadSignalTokens, LoadSignalNone)
 	s.settings.JustStarted = c.IntN(3) == 0
 	s.settings.WarmUp = s.duration(0, 5000)
 	s.settings.WarmUpSpeedShare = 0.3
@@ -82,7 +82,7 @@
 	s.settings.FleetSize = float64(1 + c.IntN(5))
 	s.settings.Callers = 4
 	s.settings.MaxIdleTimeout = s.duration(1000, 30000)
-	s.settings.CoalescedReadWindow = one(c, 0, 0, time.Second)
+	s.settings.CoalescedReadWindow = pickOne(c, 0, 0, time.Second)
 }
 
 func (s *scenario) drawClass(i int) ClassSettings {
@@ -93,10 +93,10 @@
 		Weight:            float64(1 + c.IntN(3)),
 		LatencyObjective:  objective,
 		Timeout:           objective + s.duration(0, 3000),
-		LateValue:         one(c, 0, 0, 0.3, 0.6),
-		Idempotency:       one(c, Idempotent, Idempotent, IdempotentByKey, NotIdempotent),
+		LateValue:         pickOne(c, 0, 0, 0.3, 0.6),
+		Idempotency:       pickOne(c, Idempotent, Idempotent, IdempotentByKey, NotIdempotent),
 		IdempotencyWindow: s.duration(500, 5000),
-		ObjectivePerWork:  one(c, 0.0, 0, 4),
+		ObjectivePerWork:  pickOne(c, 0.0, 0, 4),
 	}
 }
 
@@ -152,7 +152,7 @@
 	c, now := s.chance, s.recorder.now
 	request := Request{
 		ID:       RequestID(fmt.Sprintf("%016x", s.arrived)),
-		Class:    one(c, s.settings.Classes...).Name,
+		Class:    pickOne(c, s.settings.Classes...).Name,
 		Rank:     c.Float64(),
 		IsRetry:  c.IntN(5) == 0,
 		IsWrite:  c.IntN(2) == 0,
@@ -161,7 +161,7 @@
 		MemoryKB: 1 + 20*c.Float64(),
 	}
 	if c.IntN(3) == 0 {
-		request.WorkHint = one(c, 0, s.runTime, 100*s.runTime)
+		request.WorkHint = pickOne(c, 0, s.runTime, 100*s.runTime)
 	}
 	if c.IntN(3) == 0 {
 		request.QueueDelay = s.duration(0, 400)
@@ -171,10 +171,10 @@
 		request.Deadline = now - request.QueueDelay + s.duration(10, 3000)
 	}
 	if !request.IsWrite {
-		request.Resource = one(c, "", "k1", "k2")
+		request.Resource = pickOne(c, "", "k1", "k2")
 	}
 	if len(s.settings.Tenants) > 0 {
-		request.Tenant = one(c, s.settings.Tenants...).Name
+		request.Tenant = pickOne(c, s.settings.Tenants...).Name
 	}
 	return request
 }
@@ -182,7 +182,7 @@
 // stepRun has a run reach a call or end, unless it is in a call.
 func (s *scenario) stepRun() {
 	r, c := s.recorder, s.chance
-	id, exists := pick(c, r.onEnd)
+	id, exists := pickKey(c, r.onEnd)
 	if !exists {
 		return
 	}
@@ -194,7 +194,7 @@
 		delete(r.onEnd, id)
 		outcome := Succeeded
 		if c.IntN(10) == 0 {
-			outcome = one(c, Failed, Stopped, NotStarted)
+			outcome = pickOne(c, Failed, Stopped, NotStarted)
 		}
 		onEnd(outcome, time.Duration((0.2+c.ExpFloat64())*float64(s.runTime)))
 	}
@@ -203,13 +203,13 @@
 // stepCall ends a call.
 func (s *scenario) stepCall() {
 	r, c := s.recorder, s.chance
-	id, exists := pick(c, r.onCallDone)
+	id, exists := pickKey(c, r.onCallDone)
 	if !exists {
 		return
 	}
 	done := r.onCallDone[id]
 	delete(r.onCallDone, id)
-	done(one(c, Succeeded, Succeeded, Succeeded, Failed, Rejected, TimedOut, Unreachable, ConnectionLost),
+	done(pickOne(c, Succeeded, Succeeded, Succeeded, Failed, Rejected, TimedOut, Unreachable, ConnectionLost),
 		s.duration(1, 100))
 }
 
--- a/admission/shedding.go
+++ b/admission/shedding.go
@@ -8,16 +8,16 @@
 // minLateAnswerValue is the value of a late answer from which the deadline counts, not the objective.
 const minLateAnswerValue = 0.5
 
-// timeLeft is the time in which an answer still has its value: until the latency objective, or until the deadline where
+// remainingTime is the time in which an answer still has its value: until the latency objective, or until the deadline where
 // a late answer has half of it or more; never past the kill.
-func (c *Controller) timeLeft(r *trackedRequest, now time.Duration) time.Duration {
+func (c *Controller) remainingTime(r *trackedRequest, now time.Duration) time.Duration {
 	left := r.slack(now)
 	if r.class.LateValue >= minLateAnswerValue {
 		left = r.deadline - now
 	}
 	left = min(left, r.deadline-now)
 	if c.drain.notified {
-		left = min(left, c.drain.lastAnswerAt()-now)
+		left = min(left, c.drain.latestAnswerAt()-now)
 	}
 	return left
 }
@@ -35,7 +35,7 @@
 		if countWait {
 			wait = ahead / time.Duration(c.cores)
 		}
-		if wait+k.runTime > c.timeLeft(k.request, now) {
+		if wait+k.runTime > c.remainingTime(k.request, now) {
 			c.reject(k.request)
 			return true
 		}
@@ -56,12 +56,12 @@
 
 // stopHopelessRuns stops idempotent runs whose answer has lost its value, while requests wait and no core is free.
 func (c *Controller) stopHopelessRuns(now time.Duration) {
-	if !c.canStop() || c.coreFree(now) {
+	if !c.canStopRuns() || c.coreFree(now) {
 		return
 	}
 	for _, r := range slices.Clone(c.requests.running) {
 		if r.class.Idempotency == Idempotent && r.class.LateValue == 0 && r.slack(now) < 0 {
-			c.abandon(r)
+			c.abandonRun(r)
 		}
 	}
 }
--- a/admission/submit.go
+++ b/admission/submit.go
@@ -14,7 +14,7 @@
 	c.requests.queue = append(c.requests.queue, r)
 
 	deadlineShare := float64(r.deadline-r.arrivedAt) / float64(max(r.class.Timeout, 1))
-	r.latencyObjective -= c.arrivals.timeSpentBefore(r, deadlineShare)
+	r.latencyObjective -= c.arrivals.earlierAttemptTime(r, deadlineShare)
 	c.arrivals.add(arrival{
 		at:            now,
 		queueDelay:    r.QueueDelay,
@@ -23,12 +23,12 @@
 		deadlineShare: deadlineShare,
 		isRetry:       r.IsRetry,
 	})
-	r.overQuota = c.quotas.exceeded(r, now)
+	r.overQuota = c.quotas.recordArrival(r, now)
 
 	switch {
 	case r.DuplicateOf != "": // its effect must not happen twice
 		c.coalesce(r)
-	case c.memoryInUse(now) > c.memoryLimit() || !c.record(r, now):
+	case c.memoryInUse(now) > c.memoryLimit() || !c.keepRecord(r, now):
 		c.reject(r)
 	}
 }
--- a/admission/upstream.go
+++ b/admission/upstream.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	// callsPerCore bounds the calls where the upstream has admission control of its own: they keep the cores busy
+	// maxCallsPerCore bounds the calls where the upstream has admission control of its own: they keep the cores busy
 	// while calls are no slower than runs.
-	callsPerCore = 2
-	// usableShare is the part of the configured share that is used, as all instances start some calls at once.
-	usableShare = 0.9
+	maxCallsPerCore = 2
+	// usableUpstreamShare is the part of the configured share that is used, as all instances start some calls at once.
+	usableUpstreamShare = 0.9
 	// minUpstreamWindow replaces a window that was not configured.
 	minUpstreamWindow = time.Second
-	// budgetPerCall is how many times what calls take now must be left of a budget of time for another call.
-	budgetPerCall = 4
-	// firstCallFactor is over the slowest of the last calls, past what chance brings.
-	firstCallFactor = 4
+	// callBudgetFactor is how many times what calls take now must be left of a budget of time for another call.
+	callBudgetFactor = 4
+	// firstCallTimeoutFactor is over the slowest of the last calls, past what chance brings.
+	firstCallTimeoutFactor = 4
 	// maxCallAttempts outlast a moment of overload.
 	maxCallAttempts = 3
 )
 
-// reachedCall hears that a run stands at an upstream call.
-func (c *Controller) reachedCall(r *trackedRequest) {
+// onCallReached hears that a run stands at an upstream call.
+func (c *Controller) onCallReached(r *trackedRequest) {
 	now := c.executor.Now()
 	c.health.lastProgress = now
 	c.requests.running = removeRequest(c.requests.running, r)
@@ -50,17 +50,17 @@
 			c.call(r, now)
 		default:
 			full = true
-			c.skipIfSpent(r, now)
+			c.skipCallIfOutOfTime(r, now)
 		}
 	}
 }
 
-// skipIfSpent lets a run go on without its call when too little slack is left for more. Where calls are scarce many
+// skipCallIfOutOfTime lets a run go on without its call when too little slack is left for more. Where calls are scarce many
 // wait, and leave for the cores together when their slack is spent, so that is bounded.
-func (c *Controller) skipIfSpent(r *trackedRequest, now time.Duration) {
+func (c *Controller) skipCallIfOutOfTime(r *trackedRequest, now time.Duration) {
 	running := len(c.requests.running)
 	spent := r.class.SkippedCallValue > 0 && r.slack(now) < c.estimatedRunTime(r, running, now)/2
-	if spent && c.concurrencyAllows(running) {
+	if spent && c.allowsOneMore(running) {
 		c.skipCall(r)
 	}
 }
@@ -72,23 +72,23 @@
 // for runs on half of the cores, or none starts until they are back.
 func (c *Controller) callAllowed(now time.Duration) bool {
 	beside := max(len(c.requests.running), min(c.halfCores(), int(c.maxConcurrency())-1))
-	if !c.concurrencyAllows(beside) {
+	if !c.allowsOneMore(beside) {
 		return false
 	}
 	share := c.settings.UpstreamShare
-	inHand := c.upstream.inHand(now)
+	inHand := c.upstream.outstanding(now)
 	if c.settings.Upstream != UpstreamShared || share <= 0 {
-		return inHand < callsPerCore*c.cores
+		return inHand < maxCallsPerCore*c.cores
 	}
 	throttle := c.upstream.throttle()
-	if float64(inHand+1) > max(1, usableShare*throttle.share*share) {
+	if float64(inHand+1) > max(1, usableUpstreamShare*throttle.share*share) {
 		return false
 	}
 	budget := c.callTimeBudget(now)
 	if budget.limit == 0 || budget.used == 0 {
 		return true
 	}
-	next := budgetPerCall*throttle.latest + c.settings.TimedOutCallLinger
+	next := callBudgetFactor*throttle.callTime + c.settings.TimedOutCallLinger
 	return budget.used+next < time.Duration(throttle.share*float64(budget.limit))
 }
 
@@ -105,8 +105,8 @@
 		return callTimeBudget{}
 	}
 	return callTimeBudget{
-		limit: time.Duration(usableShare * share * float64(window)),
-		used:  c.upstream.timeInHand(now-window, now),
+		limit: time.Duration(usableUpstreamShare * share * float64(window)),
+		used:  c.upstream.outstandingTime(now-window, now),
 	}
 }
 
@@ -119,7 +119,7 @@
 	deadline := c.callDeadline(r, now)
 	c.upstream.begin(r, now, c.upstreamWindow())
 	c.executor.Call(r.ID, deadline, func(outcome Outcome, elapsed time.Duration) {
-		c.callFinished(r, outcome, elapsed)
+		c.onCallDone(r, outcome, elapsed)
 	})
 }
 
@@ -130,18 +130,18 @@
 		deadline = now + slack*2/3 // leaves time for the answer without the call
 	}
 	if budget := c.callTimeBudget(now); budget.limit > 0 {
-		left := (budget.limit - budget.used) / time.Duration(c.upstream.inHand(now)+1)
+		left := (budget.limit - budget.used) / time.Duration(c.upstream.outstanding(now)+1)
 		deadline = min(deadline, now+left-c.settings.TimedOutCallLinger)
 	}
 	// A reply that never comes would hold its request until the slack is spent. A second call has all the time there is.
-	if c.upstream.timed() && r.callAttempts == 0 && r.class.Idempotency == Idempotent {
-		deadline = min(deadline, now+firstCallFactor*slices.Max(c.upstream.times))
+	if c.upstream.hasEnoughCallTimes() && r.callAttempts == 0 && r.class.Idempotency == Idempotent {
+		deadline = min(deadline, now+firstCallTimeoutFactor*slices.Max(c.upstream.callTimes))
 	}
 	return max(deadline, now+c.settings.Tick)
 }
 
-// callFinished hears how a call ended.
-func (c *Controller) callFinished(r *trackedRequest, outcome Outcome, elapsed time.Duration) {
+// onCallDone hears how a call ended.
+func (c *Controller) onCallDone(r *trackedRequest, outcome Outcome, elapsed time.Duration) {
 	now := c.executor.Now()
 	until := now
 	if outcome == TimedOut || outcome == ConnectionLost {
@@ -150,7 +150,7 @@
 	c.upstream.end(r, now, until)
 	if outcome == Succeeded {
 		c.health.lastProgress = now
-		c.upstream.succeeded(elapsed)
+		c.upstream.recordCallTime(elapsed)
 		c.requests.resume(r)
 		return
 	}
@@ -160,7 +160,7 @@
 	switch {
 	case r.answered:
 		c.executor.Fail(r.ID)
-	case mayRepeat && c.worthRepeating(r, outcome, now):
+	case mayRepeat && c.shouldRepeatCall(r, outcome, now):
 		// scheduleCalls makes the call again.
 	case r.class.SkippedCallValue > 0:
 		c.skipCall(r)
@@ -170,16 +170,16 @@
 	}
 }
 
-// worthRepeating tells whether one spoilt reply, or one that never came, is no reason to go on without the call: while
+// shouldRepeatCall tells whether one spoilt reply, or one that never came, is no reason to go on without the call: while
 // the time of a whole run is left. A call that was rejected, or that timed out at an overloaded upstream, is.
-func (c *Controller) worthRepeating(r *trackedRequest, outcome Outcome, now time.Duration) bool {
+func (c *Controller) shouldRepeatCall(r *trackedRequest, outcome Outcome, now time.Duration) bool {
 	if r.callAttempts >= maxCallAttempts {
 		return false
 	}
 	spoilt := outcome == ConnectionLost
 	if outcome == TimedOut {
 		throttle := c.upstream.throttle()
-		spoilt = throttle.share == 1 && throttle.latest > 0
+		spoilt = throttle.share == 1 && throttle.callTime > 0
 	}
 	return spoilt && r.slack(now) > c.estimatedRunTime(r, len(c.requests.running)+1, now)
 }
--- a/admission/upstream_test.go
+++ b/admission/upstream_test.go
@@ -122,7 +122,7 @@
 		if i >= 20 {
 			elapsed = 100 * ms
 		}
-		upstream.succeeded(elapsed)
+		upstream.recordCallTime(elapsed)
 		if i == 19 || i == 23 {
 			fmt.Printf("calls of %v: %.2f of the share\n", elapsed, upstream.throttle().share)
 		}
@@ -175,7 +175,7 @@
 		UpstreamWindow: 5 * time.Second,
 	})
 	for range 16 {
-		s.controller.upstream.succeeded(100 * ms)
+		s.controller.upstream.recordCallTime(100 * ms)
 	}
 	for _, id := range []RequestID{"a", "b", "c"} {
 		s.submit(newRequest(string(id), 100*ms, 0.1))
