--- a/admission/answer.go
+++ b/admission/answer.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// answerMarginTicks is how many ticks before it is due an answer is sent at the latest.
+// answerMarginTicks is the number of ticks between the time at which an answer is sent at the latest and its deadline.
 const answerMarginTicks = 2
 
-// reject turns away a request that has not run, with advice on how long to keep away.
+// reject rejects a request that has not started, with Retry-After advice.
 func (c *Controller) reject(r *trackedRequest) {
 	if r.answered {
 		return
 	}
 	r.answered = true
 	if c.records.remove(r.ID) {
-		c.executor.DropRecord(r.ID) // it never ran here, so a later attempt may
+		c.executor.DropRecord(r.ID) // the request has not run here, so a later attempt may run
 	}
 	c.executor.Reject(r.ID, c.retryAfter(), c.isFleetSaturated())
-	if !r.overQuota { // what is beyond a quota is rejected on a good day too
+	if !r.overQuota { // requests beyond a quota are rejected even without overload
 		c.idle.addDecision(true)
 	}
 	c.requests.forget(r)
 }
 
-// abandonRun answers a request that has a run, and frees the run's core where that is allowed. One that is not idempotent
-// fails: rejected, it would run again elsewhere.
+// abandonRun answers a request that has a run, and frees the run's core where runs can be stopped. A request that is
+// not idempotent fails, because the caller would send it to another instance after a rejection.
 func (c *Controller) abandonRun(r *trackedRequest) {
 	if r.answered {
 		return
@@ -41,7 +41,7 @@
 	}
 }
 
-// latestAnswerAt is when a request's answer is sent at the latest: before it is owed, and before the kill.
+// latestAnswerAt returns the time by which a request must be answered: before its deadline, and before the kill.
 func (c *Controller) latestAnswerAt(r *trackedRequest) time.Duration {
 	at := r.deadline - answerMarginTicks*c.settings.Tick
 	if c.drain.notified {
@@ -50,7 +50,7 @@
 	return at
 }
 
-// answerDueRequests answers what is due now, so that no request is lost, whatever holds it up.
+// answerDueRequests answers the requests that are due, so that every request is answered whatever blocks it.
 func (c *Controller) answerDueRequests(now time.Duration) {
 	for _, r := range c.requests.awaitingAnswer() {
 		if c.latestAnswerAt(r) <= now {
--- a/admission/answer_test.go
+++ b/admission/answer_test.go
@@ -15,7 +15,7 @@
 	s.onCall["calls"]()
 	s.controller.Decide()
 	s.controller.limit.completions = s.controller.limit.completionsAtGrowth // no growth: the third is queued
-	s.controller.health.lastProgress += time.Hour                          // and not stalled
+	s.controller.health.lastProgress += time.Hour                           // and not stalled
 	third := newRequest("queued", 200*ms, 0.1)
 	third.HasDeadline, third.Deadline = true, s.now+650*ms
 	s.submit(newRequest("runs too", 200*ms, 0.1), third)
--- a/admission/arrivals.go
+++ b/admission/arrivals.go
@@ -8,16 +8,16 @@
 
 const (
 	arrivalHistorySize = 64
-	// minArrivals is the number under which the last arrivals say nothing of all callers.
+	// minArrivals is the number of arrivals below which they do not represent all callers.
 	minArrivals = 16
-	// queueDelayWindow is how far back queue delays count.
+	// queueDelayWindow is the period over which queue delays are considered.
 	queueDelayWindow = 500 * time.Millisecond
-	// deadlineShareTolerance is the difference of two shares of the timeout that are taken for the same. Clocks are in
-	// microseconds; two different ones this near are rare among the arrivals kept.
+	// deadlineShareTolerance is the difference below which two shares of the timeout count as equal. Clocks have a
+	// resolution of microseconds, and two different shares rarely differ by so little among the arrivals kept.
 	deadlineShareTolerance = 0.005
 )
 
-// arrival is what is remembered of a request that was read.
+// arrival records a request that was read.
 type arrival struct {
 	at            time.Duration
 	queueDelay    time.Duration
@@ -27,18 +27,19 @@
 	isRetry       bool
 }
 
-// arrivalHistory holds the last arrivals, for their spread over callers and ranks.
+// arrivalHistory holds the most recent arrivals. It shows how they are spread over callers and ranks.
 type arrivalHistory struct{ recent []arrival }
 
 func (h *arrivalHistory) add(a arrival) { h.recent = appendRecent(h.recent, a, arrivalHistorySize) }
 
-// hasTooFew tells whether the arrivals are too few to go by.
+// hasTooFew reports whether there are too few arrivals to draw conclusions from.
 func (h *arrivalHistory) hasTooFew() bool { return len(h.recent) < minArrivals }
 
-// earlierAttemptTime is the time that a request's earlier attempts took, as far as it shows. Callers name the same share
-// of the timeout for each first attempt, and what is left of it for a retry; so a share that hardly any of the last
-// arrivals had is that of a retry. An attempt with a full timeout of its own shows nothing. Without this, retries whose
-// objective has passed would take the cores from requests that can still meet theirs.
+// earlierAttemptTime estimates the time that a request's earlier attempts took, 0 if they cannot be detected. Callers
+// set the deadline of each first attempt to the same share of the timeout, and that of a retry to the remaining time. A
+// share that hardly any recent arrival has therefore marks a retry. An attempt with a full timeout of its own cannot be
+// detected. Without this estimate, retries whose objective has passed would take the cores from requests that can still
+// meet theirs.
 func (h *arrivalHistory) earlierAttemptTime(r *trackedRequest, deadlineShare float64) time.Duration {
 	if !r.HasDeadline || h.hasTooFew() {
 		return 0
@@ -55,15 +56,15 @@
 	return max(0, r.class.Timeout-(r.deadline-r.arrivedAt))
 }
 
-// callerSpread is the number of callers over which the arrivals are spread, those with more arrivals counting more
-// (the inverse of the sum of squared shares); without arrivals it is the number configured, at least 1.
+// callerSpread returns the effective number of callers of the arrivals: the inverse of the sum of squared shares, in
+// which callers with more arrivals weigh more. Without arrivals it is the configured number, at least 1.
 func (h *arrivalHistory) callerSpread(configured float64) float64 {
 	counts := map[CallerID]float64{}
 	for _, a := range h.recent {
 		counts[a.caller]++
 	}
 	var squares float64
-	for _, n := range counts { // whole numbers: their sum does not depend on the order
+	for _, n := range counts { // integer values: their sum does not depend on the iteration order
 		squares += n * n
 	}
 	if squares == 0 {
@@ -73,16 +74,16 @@
 	return total * total / squares
 }
 
-// connectionReuse is how often callers came again within an idle timeout, and how long their connections were open and
-// unused for that.
+// connectionReuse counts the arrivals whose caller sent another request within an idle timeout, and sums the time for
+// which connections were open and unused.
 type connectionReuse struct {
-	reuses  int
+	reuses   int
 	idleTime time.Duration
 }
 
 func (h *arrivalHistory) connectionReuse(now, idleTimeout time.Duration) connectionReuse {
 	var reuse connectionReuse
-	next := map[CallerID]time.Duration{} // the caller's following arrival
+	next := map[CallerID]time.Duration{} // the caller's next arrival
 	for _, a := range slices.Backward(h.recent) {
 		until, cameAgain := next[a.caller]
 		if !cameAgain {
@@ -96,8 +97,8 @@
 	return reuse
 }
 
-// maxRecentQueueDelay is how long requests have lately lain unread, at worst. Reading takes the cores while the queue is
-// short, and what was read has spent its time already.
+// maxRecentQueueDelay returns the longest time that a recently read request had waited unread. While the queue is short,
+// reading takes the cores, and requests have already used up part of their time when they are read.
 func (h *arrivalHistory) maxRecentQueueDelay(now time.Duration) time.Duration {
 	var longest time.Duration
 	for _, a := range h.recent {
@@ -108,7 +109,7 @@
 	return longest
 }
 
-// retryShare is the share of the arrivals that are marked as retries.
+// retryShare returns the share of the arrivals that are marked as retries.
 func (h *arrivalHistory) retryShare() float64 {
 	retries := 0
 	for _, a := range h.recent {
@@ -119,7 +120,7 @@
 	return float64(retries) / float64(max(1, len(h.recent)))
 }
 
-// sortedRanks lists the ranks of the arrivals, lowest first.
+// sortedRanks returns the ranks of the arrivals in ascending order.
 func (h *arrivalHistory) sortedRanks() []float64 {
 	ranks := make([]float64, 0, len(h.recent))
 	for _, a := range h.recent {
--- a/admission/batch.go
+++ b/admission/batch.go
@@ -8,15 +8,15 @@
 
 // Batch selection: the knapsack of the paper's section 3.5, equations 17 to 21.
 
-// selectBatch picks what to start into the capacity that the limit leaves. It follows the start order, unless no core
-// is free and starting the head would make another request miss its objective; then it takes the best batch around
-// one that is at risk.
+// selectBatch selects the candidates to start within the capacity left by the limit. It follows the start order, unless
+// no core is free and starting the head would make another request miss its objective. In that case it selects the best
+// batch around a request at risk.
 func (c *Controller) selectBatch(candidates []candidate, capacity int, now time.Duration) []candidate {
 	head := candidates[:min(1, capacity, len(candidates))]
 	if c.coreFree(now) || len(candidates) < 2 {
 		return head
 	}
-	// With the head started, the next start comes when one of those running ends.
+	// If the head starts now, the next start happens when one of the running requests ends.
 	running := len(c.requests.running) + 1
 	gap := c.estimatedRunTime(candidates[0].request, running, now) / time.Duration(running)
 	var best []candidate
@@ -43,8 +43,8 @@
 	return best
 }
 
-// feasibleStarts turns the anchor's slack into a number of starts: how many may run for it to meet its objective, less
-// those running, within the capacity.
+// feasibleStarts returns the number of requests that can start, within the capacity, such that the anchor still meets
+// its objective. It derives the number from the anchor's slack and subtracts the requests that are running.
 func (c *Controller) feasibleStarts(anchor candidate, capacity int, now time.Duration) int {
 	count := 0
 	for count < capacity &&
@@ -54,8 +54,8 @@
 	return count
 }
 
-// batchAround fills the count with the anchor and those of highest value whose slack is no less than its own, and
-// returns the sum of their values.
+// batchAround returns a batch of at most count requests, and the sum of their values. The batch holds the anchor and
+// the candidates of highest value among those with at least the anchor's slack.
 func batchAround(anchor candidate, candidates []candidate, count int) ([]candidate, float64) {
 	var batch []candidate
 	var workSum, slackSum float64
--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -6,35 +6,36 @@
 )
 
 const (
-	// saturatedBusyShare is the share of busy cores above which none is taken for idle, where runs that want a
-	// core are not measured.
+	// saturatedBusyShare is the share of busy cores above which no core counts as idle. It applies where the number
+	// of runnable runs is not measured.
 	saturatedBusyShare = 0.95
-	// usableConcurrencyShare is the part of the survivable runs that may run or be in a call.
+	// usableConcurrencyShare is the share of the survivable runs that may be on the cores or in a call.
 	usableConcurrencyShare = 0.9
-	// usableRunningShare is the part of the survivable runs that are started. It leaves room for runs that come back from
-	// calls.
+	// usableRunningShare is the share of the survivable runs that may be started. The rest is reserved for runs that
+	// return from calls.
 	usableRunningShare = 0.75
-	// defaultRunsPerCore bounds the runs where it is not known how many are survived.
+	// defaultRunsPerCore limits the runs per core if the survivable number is not known.
 	defaultRunsPerCore = 2
 )
 
-// adaptiveLimit is how far idle cores have let the number of runs grow.
+// adaptiveLimit is the limit on concurrent runs. It grows while cores are idle.
 type adaptiveLimit struct {
-	runs              int // runs
-	completionsAtGrowth int // completions when it last grew
-	completions        int // runs that ended, well or not
+	runs                int // the limit
+	completionsAtGrowth int // completions when the limit last grew
+	completions         int // runs that succeeded or failed
 }
 
-// shrink takes one run back where more than the cores are wanted by a sixth: beyond it runs only slow each other down.
+// shrink lowers the limit by one, but not below the cores, while more than 7/6 as many runs as there are cores are
+// runnable. Beyond this excess of a sixth, additional runs only slow each other down.
 func (l *adaptiveLimit) shrink(reading gaugeReading, cores int) {
 	if reading.runnable > float64(cores)*7/6 {
 		l.runs = max(cores, l.runs-1)
 	}
 }
 
-// concurrencyLimit is the largest number of runs with which, by the fit, each class running meets the least slack of
-// those running. It stays within what idle cores have let it grow to, floors at the cores with the runs on top that
-// wait for something else, and stays under the ceiling.
+// concurrencyLimit returns the largest number of runs at which, by the fitted run times, each running class completes
+// within the least slack of the running requests. The limit is at most the adaptive limit and the ceiling. It is at
+// least the number of cores plus the number of blocked runs, unless the ceiling is lower.
 func (c *Controller) concurrencyLimit(now time.Duration) int {
 	least := time.Duration(math.MaxInt64)
 	classes := map[*classState]bool{}
@@ -51,17 +52,18 @@
 	return min(max(limit, c.cores+c.gauges.blockedRuns()), c.concurrencyCeiling())
 }
 
-// allWithinSlack tells whether with so many running each class meets the slack.
+// allWithinSlack reports whether each class completes within the slack if the given number of requests is running.
 func (c *Controller) allWithinSlack(classes map[*classState]bool, running int, slack, now time.Duration) bool {
 	meets := true
-	for class := range classes { // the result does not depend on their order
+	for class := range classes { // the result does not depend on the iteration order
 		meets = meets && c.fittedRunTime(class, running, now) <= slack
 	}
 	return meets
 }
 
-// raiseLimit lets one more run than the limit while cores idle and work waits. It needs a completion since it last
-// did: a hang looks like idle cores, and would take in all that waits.
+// raiseLimit raises the limit to one more than the running requests if cores are idle, and reports whether it did. It is
+// called while requests are queued. It requires a completion since the last time: during a hang the cores look idle too,
+// and the limit would grow until all queued requests had started.
 func (c *Controller) raiseLimit(now time.Duration) bool {
 	reading, measured := c.gauges.last()
 	running := len(c.requests.running)
@@ -76,11 +78,12 @@
 	return true
 }
 
-// concurrencyCeiling is how many runs on the cores the instance survives, less in proportion while it warms up.
+// concurrencyCeiling returns the number of runs on the cores that the instance survives. During slow start it is reduced
+// in proportion to the speed.
 //
-// Runs that are in a call come back when the upstream does, all at once, and those that wait for a call go on without
-// it when their slack is spent: both count. Beside those that wait, as many are started as there are cores, and a place
-// is left for the next call while half of the cores are kept at work.
+// When the upstream recovers, all runs in a call return at once, and runs that wait for a call go on without it when
+// their slack is used up. Both kinds therefore count. In addition to the waiting runs, at most as many are started as
+// there are cores, and one place is reserved for the next call while half of the cores are kept busy.
 func (c *Controller) concurrencyCeiling() int {
 	survivable := c.survivableConcurrency()
 	if survivable <= 0 {
@@ -98,14 +101,15 @@
 
 func (c *Controller) halfCores() int { return (c.cores + 1) / 2 }
 
-// maxConcurrency is how many may run and be in a call: a part of what is survived, or one more than the cores.
+// maxConcurrency returns the maximum number of runs on the cores and in calls: a share of the survivable runs, or one
+// more than the cores if that is greater and survivable.
 func (c *Controller) maxConcurrency() float64 {
 	survivable := c.survivableConcurrency()
 	return max(usableConcurrencyShare*survivable, min(survivable, float64(c.cores+1)))
 }
 
-// allowsOneMore tells whether beside so many on the cores one more may go there, or to a call that it comes back
-// from. One alone always may.
+// allowsOneMore reports whether one more run may be on the cores, or in a call from which it returns, in addition to the
+// given number of runs on the cores. A single run is always allowed.
 func (c *Controller) allowsOneMore(running int) bool {
 	if c.survivableConcurrency() <= 0 || len(c.requests.running)+c.upstream.open == 0 {
 		return true
@@ -113,7 +117,7 @@
 	return float64(running+c.upstream.open+1) <= c.maxConcurrency()
 }
 
-// survivableConcurrency is how many runs on the cores are survived now, 0 if that is not known.
+// survivableConcurrency returns the number of runs on the cores that the instance survives now, 0 if it is not known.
 func (c *Controller) survivableConcurrency() float64 {
 	perCore := c.settings.SurvivableRunsPerCore
 	if perCore <= 0 {
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -3,18 +3,18 @@
 import "time"
 
 const (
-	// The time between samples of the gauges is a part of the least latency objective, as a divisor: several in a run
-	// that is worth its objective. It is not so short that timers cost more than they tell, nor so long that a hang
-	// goes unseen.
+	// The time between gauge samples is the least latency objective divided by sampleIntervalDivisor, so that a run of
+	// that length is sampled several times. Much shorter intervals would spend more on timers than the samples are
+	// worth, and with much longer ones a hang would go unnoticed.
 	sampleIntervalDivisor = 20
-	minSampleInterval   = 5 * time.Millisecond
-	maxSampleInterval   = 100 * time.Millisecond
-	minSampleTicks      = 2
+	minSampleInterval     = 5 * time.Millisecond
+	maxSampleInterval     = 100 * time.Millisecond
+	minSampleTicks        = 2
 )
 
-// Controller decides for one instance which requests are admitted, in which order they run, and what is rejected. It
-// has no goroutine, clock or I/O of its own: the goroutine that owns it calls its methods and, later, the functions
-// that it hands to the Executor.
+// Controller decides for one instance which requests are admitted, in which order they run, and which are rejected. It
+// has no goroutine, clock or I/O of its own. The goroutine that owns it calls its methods and the functions that it
+// passes to the Executor.
 type Controller struct {
 	executor Executor
 	settings Settings
@@ -38,11 +38,11 @@
 
 	publishedLoad float64 // the last load report, or unpublished
 	idle          idleTimeoutState
-	wakeAt        time.Duration // the timer that is set; 0: none
+	wakeAt        time.Duration // when the pending timer fires; 0: no timer is set
 }
 
-// New makes the Controller of an instance that has just come up, and has the Executor report it as healthy. The
-// settings must be valid, see Settings.Validate. With the same seed the same events give the same decisions.
+// New returns the Controller of an instance that has just started, and sets its health to healthy through the Executor.
+// The settings must be valid, see Settings.Validate. The same seed and events result in the same decisions.
 func New(seed uint64, settings Settings, executor Executor) *Controller {
 	cores := max(1, int(settings.Cores))
 	c := &Controller{
@@ -62,14 +62,14 @@
 		c.classes[class.Name] = &classState{ClassSettings: class, runs: runHistory{cores: cores}}
 	}
 	c.order = newStartOrder(c.classes)
-	// Health checks that do real work and call the upstream would add to an overload, so they are answered from here.
+	// Health checks that do real work and call the upstream would add to an overload. Health is set explicitly instead.
 	executor.SetHealth(Health{Healthy: true, FromState: true})
 	return c
 }
 
-// Decide runs one round, after all events of a batch are in: it answers what is due, concludes the state, starts what
-// may run and grants upstream calls, and tells callers how much is welcome. It must follow each batch of calls of other
-// methods and of functions that were handed to the Executor.
+// Decide makes the decisions that follow from a batch of events: it answers due requests, updates the state, starts
+// queued requests, grants upstream calls and publishes the load report. It must be called after each batch of calls of
+// other methods and of functions that were passed to the Executor.
 func (c *Controller) Decide() {
 	now := c.executor.Now()
 	c.answerDueRequests(now)
@@ -84,8 +84,8 @@
 	c.scheduleWake(now)
 }
 
-// scheduleWake keeps one timer: for the next answer that is due and, while there is work, for the next sample of the
-// gauges.
+// scheduleWake keeps one timer set. It fires when the next answer is due or, while there is work, when the next gauge
+// sample is due.
 func (c *Controller) scheduleWake(now time.Duration) {
 	next := time.Duration(0)
 	if len(c.requests.byID) > 0 || c.health.state != StateHealthy || c.loadIsReduced() {
@@ -101,10 +101,10 @@
 	c.executor.WakeAt(next, c.recordGauges)
 }
 
-// loadIsReduced tells whether callers were last asked for less than their usual traffic.
+// loadIsReduced reports whether the last load report asked callers for less than their usual traffic.
 func (c *Controller) loadIsReduced() bool { return c.publishedLoad >= 0 && c.acceptance() < 1 }
 
-// sampleInterval is the time between samples of the gauges.
+// sampleInterval returns the time between samples of the gauges.
 func (c *Controller) sampleInterval() time.Duration {
 	return min(maxSampleInterval,
 		max(c.minLatencyObjective()/sampleIntervalDivisor, minSampleTicks*c.settings.Tick, minSampleInterval))
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -3,30 +3,31 @@
 import "time"
 
 const (
-	// minKillMargin and killMarginShare, a divisor of the whole drain, are how long before the kill everything is
-	// answered: the process may stand still in between, or did when it was notified; a long drain can spare the time.
-	minKillMargin   = 150 * time.Millisecond
+	// All requests are answered before the kill by a margin: minKillMargin, or the duration of the whole drain divided
+	// by killMarginDivisor if that is longer. The process may be suspended during the drain, or may have been when it
+	// was notified. A long drain has time for a longer margin.
+	minKillMargin     = 150 * time.Millisecond
 	killMarginDivisor = 12
 )
 
-// drainState is the notice to drain.
+// drainState records the notice to drain.
 type drainState struct {
 	notified   bool
 	notifiedAt time.Duration
 	killAt     time.Duration
 }
 
-// Drain takes the notice that the instance will be killed at the time given. It is followed by Decide.
+// Drain records the notice that the instance will be killed at the given time. Decide must be called afterwards.
 func (c *Controller) Drain(killAt time.Duration) {
 	c.drain = drainState{notified: true, notifiedAt: c.executor.Now(), killAt: killAt}
 }
 
-// latestAnswerAt is when everything is answered before the kill.
+// latestAnswerAt returns the time by which all requests must be answered, ahead of the kill.
 func (d *drainState) latestAnswerAt() time.Duration {
 	return d.killAt - max(minKillMargin, (d.killAt-d.notifiedAt)/killMarginDivisor)
 }
 
-// rejectWhileDraining rejects a queued request that came after the grace, or whose run the kill would cut off.
+// rejectWhileDraining rejects a queued request that arrived after the grace, or whose run would not end before the kill.
 func (c *Controller) rejectWhileDraining(r *trackedRequest, now time.Duration) {
 	cutoff := c.drain.notifiedAt + c.settings.DrainGrace - answerMarginTicks*c.settings.Tick
 	if r.arrivedAt > cutoff || c.estimatedRunTime(r, len(c.requests.running), now) > c.remainingTime(r, now) {
--- a/admission/enum.go
+++ b/admission/enum.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// enumString names a value of an enumeration, by its type and number if it has no name.
+// enumString returns the name of an enumeration value, or its type and number if it has no name.
 func enumString(typeName string, names []string, value int) string {
 	if value >= 0 && value < len(names) {
 		return names[value]
--- a/admission/estimate.go
+++ b/admission/estimate.go
@@ -4,61 +4,61 @@
 	"time"
 )
 
-// The run-time estimate: the paper's section 3.2, fitted on the last runs.
+// Run time estimation: the paper's section 3.2, fitted to recent runs.
 
 const (
-	// runHistorySize is a second or two of work at the usual rates, enough for a line through it.
+	// runHistorySize covers one or two seconds of work at the usual rates, which is enough for a line fit.
 	runHistorySize = 24
-	// runSampleLifetime leaves out older runs: a cold start or a slow spell must not rate the runs after it.
+	// runSampleLifetime excludes older runs, so that a cold start or a slow period does not distort later estimates.
 	runSampleLifetime = 8 * time.Second
-	// minRecentRuns are used however old they are.
+	// minRecentRuns is the number of last runs that are used regardless of their age.
 	minRecentRuns = 4
-	// minFitRuns is the number of runs under which no line is fitted.
+	// minFitRuns is the minimum number of runs for a line fit.
 	minFitRuns = 8
-	// minHintVariance is the variance of hints, relative to their mean, under which they are nearly alike.
+	// minHintVariance is the variance of hints, relative to their mean, below which hints are too similar for a fit.
 	minHintVariance = 0.01
-	// minConcurrencyVariance is the variance of a deviation of one run, under which there is no slope to be seen.
+	// minConcurrencyVariance is the variance of a deviation by one run. Below it, no slope can be determined.
 	minConcurrencyVariance = 1
-	// A hint may be rough: an estimate stays between these multiples of the mean, and its slope above the share.
+	// Hints may be rough: an estimate is kept between these multiples of the mean, and its slope above the minimum.
 	minHintScale, maxHintScale = 0.25, 8
 	minHintSlope               = 0.25
-	// unknownWorkDivisor is the part of a latency objective, as a divisor, that a run is taken for while nothing is
-	// known of the class: it lets the first runs in.
+	// unknownWorkDivisor divides the latency objective of a class to obtain its estimated work while there are no
+	// samples. The result is low enough to admit the first runs.
 	unknownWorkDivisor = 8
 )
 
-// classState is a class with what is known of its runs.
+// classState holds the settings of a class and the history of its runs.
 type classState struct {
 	ClassSettings
 	runs runHistory
 }
 
-// runHistory holds the last successful runs of a class.
+// runHistory holds the most recent successful runs of a class.
 type runHistory struct {
 	cores     int
 	recent    []runSample
-	successes int // runs that ever succeeded
+	successes int // number of successful runs since the start
 	cached    runTimeEstimate
 }
 
 type runSample struct {
 	at, elapsed time.Duration
-	hint        time.Duration // of the request's work
-	concurrency float64       // runs on the cores, mean of its start and end
+	hint        time.Duration // work hint of the request
+	concurrency float64       // runs on the cores, mean of the values at its start and end
 }
 
-// runTimeEstimate sums up the last runs of a class as of a moment.
+// runTimeEstimate summarizes the recent runs of a class at one point in time.
 type runTimeEstimate struct {
 	valid           bool
 	at              time.Duration
-	successes       int           // of the history when it was made
-	runs            int           // that it stands on
-	workSum         time.Duration // of their elapsed times, each divided by its runs per core
+	successes       int           // successes of the history when the estimate was made
+	runs            int           // number of runs that the estimate is based on
+	workSum         time.Duration // sum of their elapsed times, each divided by its runs per core
 	meanHint        float64       // seconds
-	hintSlope       float64       // how far a run time follows its hint: 0 not at all, 1 in proportion
+	hintSlope       float64       // how strongly run times follow hints: 0 not at all, 1 in proportion
 	meanConcurrency float64
 
-	// A line through run times, in seconds, against concurrencies.
+	// Line fit of run times, in seconds, against concurrencies.
 	meanElapsed         float64
 	elapsedSlope        float64
 	concurrencyVariance float64
@@ -69,7 +69,7 @@
 	h.successes++
 }
 
-// recentRuns lists the runs that are recent enough, at least minRecentRuns of them.
+// recentRuns returns the runs within runSampleLifetime, and at least the last minRecentRuns.
 func (h *runHistory) recentRuns(now time.Duration) []runSample {
 	for i, sample := range h.recent {
 		if sample.at > now-runSampleLifetime || i == len(h.recent)-minRecentRuns {
@@ -79,7 +79,8 @@
 	return h.recent
 }
 
-// estimate is worked out once for each moment and number of successes, not for each request.
+// estimate returns the estimate for the given time. It is computed once for each time and number of successes, not for
+// each request.
 func (h *runHistory) estimate(now time.Duration) *runTimeEstimate {
 	if e := &h.cached; e.valid && e.at == now && e.successes == h.successes {
 		return e
@@ -110,8 +111,9 @@
 	return &h.cached
 }
 
-// workScale is how much longer than the mean a request with this hint runs. A line through the last runs tells how far
-// run times follow hints, as waits on disk and at calls do not grow with them; without a line, in proportion.
+// workScale returns the ratio of the work of a request with the given hint to the mean work. The line fit shows how
+// strongly run times follow hints, because waits for the disk or for calls do not grow with them. Without a fit, work is
+// proportional to the hint.
 func (e *runTimeEstimate) workScale(hint time.Duration) float64 {
 	if e.meanHint <= 0 || hint <= 0 {
 		return 1
@@ -127,16 +129,16 @@
 	return sum / time.Duration(max(1, len(runs)))
 }
 
-// runsPerCore is how many runs share a core, 1 at least.
+// runsPerCore returns the number of runs that share a core, at least 1.
 func runsPerCore(running float64, cores int) float64 { return max(1, running/float64(cores)) }
 
-// estimatedWork is the run time of a request that has a core to itself: the paper's r, equation 7. It is the mean run
-// time over runs per core, scaled by the hint over the mean hint.
+// estimatedWork returns the estimated run time of a request that has a core to itself: the paper's r, equation 7. It is
+// the mean of run time divided by runs per core, scaled by the ratio of the hint to the mean hint.
 func (c *Controller) estimatedWork(r *trackedRequest, now time.Duration) time.Duration {
 	return c.classWork(r.class, r.WorkHint, now)
 }
 
-// classWork is the estimated work of a request of the class with the hint, 0 for none.
+// classWork returns the estimated work of a request of the class with the given hint, 0 for no hint.
 func (c *Controller) classWork(class *classState, hint, now time.Duration) time.Duration {
 	e := class.runs.estimate(now)
 	if e.runs > 0 {
@@ -148,13 +150,13 @@
 	return class.LatencyObjective / unknownWorkDivisor
 }
 
-// estimatedRunTime is the paper's T, equation 9: r times runs per core, with so many running.
+// estimatedRunTime returns the paper's T, equation 9: r times runs per core, for the given number of running requests.
 func (c *Controller) estimatedRunTime(r *trackedRequest, running int, now time.Duration) time.Duration {
 	return time.Duration(float64(c.estimatedWork(r, now)) * runsPerCore(float64(running), c.cores))
 }
 
-// fittedRunTime is the run time of a class with so many running: by the line through the last runs or, while these are
-// few or were all with one concurrency, in proportion to runs per core.
+// fittedRunTime returns the run time of a class for the given number of running requests. It is taken from the line fit,
+// or is proportional to the runs per core if there are few runs or all had the same concurrency.
 func (c *Controller) fittedRunTime(class *classState, running int, now time.Duration) time.Duration {
 	e := class.runs.estimate(now)
 	if e.runs < minFitRuns || e.concurrencyVariance < minConcurrencyVariance {
--- a/admission/gauges.go
+++ b/admission/gauges.go
@@ -6,31 +6,31 @@
 )
 
 const (
-	// readingHistorySize is the number of readings that means stand on.
+	// readingHistorySize is the number of readings over which means are computed.
 	readingHistorySize = 10
-	// readingLifetimeIntervals is how many sample intervals a reading tells something of the present.
+	// readingLifetimeIntervals is the number of sample intervals for which a reading describes the present.
 	readingLifetimeIntervals = 3
-	// notMeasured stands for a gauge that is absent.
+	// notMeasured is the value of a gauge that is absent.
 	notMeasured = -1
 )
 
-// gaugeReading is what was measured and worked out at one moment.
+// gaugeReading holds the measured and derived values of one moment.
 type gaugeReading struct {
 	at       time.Duration
-	runnable float64 // runs that want a core; notMeasured where there is no such gauge
-	busy     float64 // share of the cores, 1 where there is no such gauge
+	runnable float64 // runs that are on a core or wait for one, or notMeasured
+	busy     float64 // share of the cores that is busy, 1 if it was not measured
 	pressure float64 // see Controller.pressure
 	running  int
 }
 
-// gaugeHistory holds the last readings.
+// gaugeHistory holds the most recent readings.
 type gaugeHistory struct{ readings []gaugeReading }
 
 func (h *gaugeHistory) add(reading gaugeReading) {
 	h.readings = appendRecent(h.readings, reading, readingHistorySize)
 }
 
-// last is the last reading, if there is one.
+// last returns the most recent reading and whether there is one.
 func (h *gaugeHistory) last() (gaugeReading, bool) {
 	if len(h.readings) == 0 {
 		return gaugeReading{}, false
@@ -38,13 +38,13 @@
 	return h.readings[len(h.readings)-1], true
 }
 
-// sampledAt tells whether the last reading is of this moment.
+// sampledAt reports whether the last reading was taken at the given time.
 func (h *gaugeHistory) sampledAt(now time.Duration) bool {
 	reading, exists := h.last()
 	return exists && reading.at == now
 }
 
-// meanPressure is the mean since a moment.
+// meanPressure returns the mean pressure of the readings after the given time.
 func (h *gaugeHistory) meanPressure(since time.Duration) float64 {
 	var sum float64
 	n := 0
@@ -57,7 +57,7 @@
 	return sum / float64(max(1, n))
 }
 
-// meanBusy is the mean share of the cores that was busy.
+// meanBusy returns the mean share of the cores that was busy.
 func (h *gaugeHistory) meanBusy() float64 {
 	var busy float64
 	for _, reading := range h.readings {
@@ -66,8 +66,8 @@
 	return busy
 }
 
-// blockedRuns is how many runs wait for something else than a core. Without them the floor of the limit would leave
-// cores idle wherever requests wait on disk.
+// blockedRuns returns the mean number of runs that wait for something other than a core, rounded up. If the minimum of
+// the limit did not include them, cores would be idle wherever requests wait for the disk.
 func (h *gaugeHistory) blockedRuns() int {
 	var sum float64
 	n := 0
@@ -83,7 +83,7 @@
 	return int(math.Ceil(sum / float64(n)))
 }
 
-// pressureSustained tells whether each of a full set of readings had at least this pressure.
+// pressureSustained reports whether the history is full and each reading has at least the given pressure.
 func (h *gaugeHistory) pressureSustained(least float64) bool {
 	for _, reading := range h.readings {
 		if reading.pressure < least {
@@ -93,7 +93,7 @@
 	return len(h.readings) == readingHistorySize
 }
 
-// recordGauges takes the gauges of this moment.
+// recordGauges adds a reading of the given gauges, taken now.
 func (c *Controller) recordGauges(gauges Gauges) {
 	now := c.executor.Now()
 	reading := gaugeReading{
@@ -113,7 +113,8 @@
 	c.limit.shrink(reading, c.cores)
 }
 
-// estimatedRunnable estimates how many runs want a core now: the last gauge, and what has started or ended since.
+// estimatedRunnable estimates the number of runs that are on a core or wait for one now, from the last reading and the
+// runs that have started or ended since.
 func (c *Controller) estimatedRunnable(now time.Duration) float64 {
 	running := len(c.requests.running)
 	reading, exists := c.gauges.last()
@@ -123,7 +124,7 @@
 	return float64(running)
 }
 
-// coreFree tells whether a start now would find an idle core.
+// coreFree reports whether a run that starts now would find an idle core.
 func (c *Controller) coreFree(now time.Duration) bool {
 	return c.estimatedRunnable(now) < float64(c.cores)
 }
--- a/admission/health.go
+++ b/admission/health.go
@@ -8,29 +8,30 @@
 
 const (
 	resultHistorySize = 16
-	// resultLifetime is how long a result counts; that failures are forgotten is the way back from failing.
+	// resultLifetime is how long a result counts. A failing instance recovers because its failures expire.
 	resultLifetime = 5 * time.Second
-	// minFailures is the number of failures under which they are the usual errors.
+	// minFailures is the number of failures below which they count as ordinary errors.
 	minFailures = 3
-	// failingFailureRate is the share of failed runs from which the instance is failing.
+	// failingFailureRate is the share of failed runs at which the instance is failing.
 	failingFailureRate = 0.5
-	// probeInterval is how often a failing instance lets one request through, to see whether runs still fail.
+	// probeInterval is how often a failing instance starts one request, to check whether runs still fail.
 	probeInterval = 500 * time.Millisecond
-	// Runs are stalled when none has made progress for this multiple of their mean run time, with the second constant
-	// divided by their number on top: a lone run may be far longer than its hint.
-	stalledRunTimes    = 2
+	// Runs are stalled when none has made progress for a multiple of their mean run time. The multiple is the sum of
+	// stalledRunTimes and of stalledExtraRunTimes divided by the number of runs. The extra part is large for a single
+	// run because it may take far longer than its hint.
+	stalledRunTimes      = 2
 	stalledExtraRunTimes = 6
 )
 
-// State is the health of an instance as its Controller sees it.
+// State is the health of an instance as its Controller determines it.
 type State int
 
-// Each has its way back to StateHealthy but draining.
+// Every state except StateDraining can return to StateHealthy.
 const (
 	StateHealthy  State = iota // runs end, and few fail
-	StateStalled               // work goes in and none comes out; the next run that ends is the way back
-	StateFailing               // half or more of the last runs failed; failures are forgotten after a while
-	StateDraining              // notified to drain
+	StateStalled               // requests start but none completes; ends when a run next ends
+	StateFailing               // half or more of the recent runs failed; ends when the failures expire
+	StateDraining              // the instance was notified to drain
 )
 
 var stateNames = [...]string{
@@ -42,7 +43,7 @@
 
 func (s State) String() string { return enumString("State", stateNames[:], int(s)) }
 
-// Transition is a change of State, with the number of requests at that moment.
+// Transition is a change of State, with the number of requests at that time.
 type Transition struct {
 	From, To        State
 	Queued, Running int
@@ -52,12 +53,12 @@
 	return fmt.Sprintf("%v -> %v: queued %d, running %d", t.From, t.To, t.Queued, t.Running)
 }
 
-// healthMonitor holds what the state is concluded from.
+// healthMonitor holds the state and the data from which it is derived.
 type healthMonitor struct {
-	state        State
-	recentResults      []runResult   // the last runs that succeeded or failed
-	lastProgress time.Duration // when a run last ended, or reached or left a call
-	lastProbeAt     time.Duration // when a request was last let through while failing
+	state         State
+	recentResults []runResult   // the most recent runs that succeeded or failed
+	lastProgress  time.Duration // when a run last ended, or reached or left a call
+	lastProbeAt   time.Duration // when a failing instance last kept a request as a probe
 }
 
 type runResult struct {
@@ -69,7 +70,7 @@
 	h.recentResults = appendRecent(h.recentResults, result, resultHistorySize)
 }
 
-// failureRate is the share of the recent runs that failed, 0 while that are few.
+// failureRate returns the share of recent runs that failed, 0 if there were fewer than minFailures failures.
 func (h *healthMonitor) failureRate(now time.Duration) float64 {
 	n, failed := 0, 0
 	for _, result := range h.recentResults {
@@ -86,8 +87,9 @@
 	return float64(failed) / float64(n)
 }
 
-// isStalled tells whether work goes in and none comes out: no run has ended, reached or left a call for far longer than
-// those on the cores should take. It detects hangs, a dead disk, a lost core, a lock held for ever.
+// isStalled reports whether requests start but none completes: no run has ended, or reached or left a call, for much
+// longer than the runs on the cores should take. It detects hangs, such as a failed disk, a lost core or a lock that is
+// never released.
 func (c *Controller) isStalled(now time.Duration) bool {
 	running := c.requests.running
 	if len(running) == 0 {
@@ -104,7 +106,7 @@
 	return float64(quiet) > float64(runTime)*(stalledRunTimes+stalledExtraRunTimes/float64(len(running)))
 }
 
-// updateState concludes the state and announces a change, once.
+// updateState updates the state, and logs and publishes a change once.
 func (c *Controller) updateState(now time.Duration) {
 	was := c.health.state
 	c.health.state = c.currentState(now)
@@ -132,7 +134,7 @@
 	return StateHealthy
 }
 
-// rejectWhileUnhealthy rejects what should not be started here in the present state.
+// rejectWhileUnhealthy rejects the requests that should not run on this instance in its present state.
 func (c *Controller) rejectWhileUnhealthy(now time.Duration) {
 	if c.health.state == StateHealthy {
 		return
@@ -152,7 +154,7 @@
 	}
 }
 
-// probeOrReject lets one queued request through each probeInterval.
+// probeOrReject keeps one queued request per probeInterval as a probe and rejects the others.
 func (c *Controller) probeOrReject(r *trackedRequest, now time.Duration) {
 	if now-c.health.lastProbeAt < probeInterval {
 		c.reject(r)
@@ -161,8 +163,8 @@
 	c.health.lastProbeAt = now
 }
 
-// rejectStalledRuns answers the idempotent among the runs that may never end, while their callers have time to try
-// elsewhere.
+// rejectStalledRuns rejects the idempotent requests among the stalled runs while their callers have time to try another
+// instance.
 func (c *Controller) rejectStalledRuns() {
 	for _, r := range c.requests.running {
 		if r.class.Idempotency == Idempotent && !r.answered {
--- a/admission/history.go
+++ b/admission/history.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// appendRecent appends to a list that keeps the last limit elements.
+// appendRecent appends an element to a list and keeps the last limit elements.
 func appendRecent[T any](list []T, element T, limit int) []T {
 	list = append(list, element)
 	if len(list) > limit {
--- a/admission/idletimeout.go
+++ b/admission/idletimeout.go
@@ -3,28 +3,28 @@
 import "time"
 
 const (
-	// decisionHistorySize is the number of decisions that the share of rejections stands on.
+	// decisionHistorySize is the number of decisions from which the rejection rate is computed.
 	decisionHistorySize = 64
-	// keepConnectionsRejectionRate is the share of rejections from which connections are kept: a full table is then the lesser
-	// evil, as each rejected attempt has cost a connection.
+	// keepConnectionsRejectionRate is the rejection rate from which connections are kept open. Since each rejected
+	// attempt has cost a connection, a full connection table is then the lesser problem.
 	keepConnectionsRejectionRate = 0.6
-	// idleSecondsPerHandshake is how long an idle connection is as costly as a new one, in seconds: a part of a request, against
-	// a part of busy cores.
+	// idleSecondsPerHandshake is the time in seconds for which keeping an idle connection costs as much as opening a
+	// new one. It relates part of the work of a request to a share of busy cores.
 	idleSecondsPerHandshake = 5
 )
 
-// idleTimeoutState holds how long unused connections may stay, and what that goes by.
+// idleTimeoutState holds the current idle timeout and the decisions from which it is adjusted.
 type idleTimeoutState struct {
-	current  time.Duration // as last set; 0: not yet
-	rejected []bool        // of the last requests within quota, whether each was rejected or started
+	current  time.Duration // the last value set; 0: none
+	rejected []bool        // for each recent request within quota: whether it was rejected (true) or started
 }
 
-// addDecision notes that a request was rejected unstarted, or started.
+// addDecision records that a request was started, or rejected without being started.
 func (t *idleTimeoutState) addDecision(rejected bool) {
 	t.rejected = appendRecent(t.rejected, rejected, decisionHistorySize)
 }
 
-// rejectionRate is the share of the last requests that were rejected unstarted.
+// rejectionRate returns the share of recent requests that were rejected without being started.
 func (t *idleTimeoutState) rejectionRate() float64 {
 	n := 0
 	for _, rejected := range t.rejected {
@@ -35,8 +35,9 @@
 	return float64(n) / float64(max(1, len(t.rejected)))
 }
 
-// adjustIdleTimeout says how long an unused connection may stay. A table full of connections that are hardly used would
-// take capacity, and turn new callers back unseen. One step a sample: one moment must not close all of them.
+// adjustIdleTimeout adjusts how long an unused connection may stay open. Too many rarely used connections would take
+// capacity, and new callers would be refused before their requests are seen. The timeout changes by one step per sample,
+// so that a single sample does not close all of them.
 func (c *Controller) adjustIdleTimeout(now time.Duration) {
 	current := c.idle.current
 	timeout := c.targetIdleTimeout(now)
@@ -51,8 +52,8 @@
 	}
 }
 
-// targetIdleTimeout is the longest timeout, halved from the configured one, with which an unused connection is used
-// again once in handshakeCost of waiting or sooner, longer as far as the cores idle.
+// targetIdleTimeout halves the configured timeout until an unused connection is reused at least once per
+// idleSecondsPerHandshake seconds of waiting. It allows longer waits in proportion as the cores are idle.
 func (c *Controller) targetIdleTimeout(now time.Duration) time.Duration {
 	timeout := c.settings.MaxIdleTimeout
 	for timeout > c.sampleInterval() && !c.arrivals.hasTooFew() && c.idle.rejectionRate() < keepConnectionsRejectionRate {
--- a/admission/loadreport.go
+++ b/admission/loadreport.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// failingAcceptance lets some traffic come while the instance is failing.
+	// failingAcceptance is the acceptance of a failing instance. It still admits some traffic.
 	failingAcceptance = 0.05
-	// pressureWeight is how fast acceptance falls with pressure.
+	// pressureWeight determines how fast acceptance decreases with pressure.
 	pressureWeight = 4
-	// A load report is rounded to these steps to one, not to be published for each request.
+	// A load report is rounded to this number of steps per 1, so that it is not published for each request.
 	loadReportSteps       = 20
 	warmUpLoadReportSteps = 200
-	// unpublished is below any load report.
+	// unpublished is the initial value of publishedLoad, lower than any load report.
 	unpublished = -1
 )
 
-// acceptance is how much of its usual traffic the instance wants, 0 to 1.
+// acceptance returns the share of its usual traffic that the instance can accept, 0 to 1.
 func (c *Controller) acceptance() float64 {
 	now := c.executor.Now()
 	switch c.health.state {
@@ -30,8 +30,8 @@
 	return succeeding * succeeding * c.slowStart.speedShare(now) / (1 + pressureWeight*c.sustainedPressure(now))
 }
 
-// pressure is the wait, unread and then queued, as a multiple of half a latency objective: as much as can still be done
-// in time.
+// pressure returns the waiting time of requests, unread and queued, as a multiple of half the least latency objective.
+// Half an objective is the wait that still leaves time to run.
 func (c *Controller) pressure(now time.Duration) float64 {
 	var queued time.Duration
 	for _, r := range c.requests.queue {
@@ -41,13 +41,13 @@
 	return wait / float64(c.minLatencyObjective()/2)
 }
 
-// sustainedPressure is the pressure now or the mean of the last readings, whichever is more: callers compare instances,
-// and a report that jumps back at each lull would draw them all at once.
+// sustainedPressure returns the current pressure or the mean of the recent readings, whichever is greater. Callers
+// compare instances, and a report that recovered during each short lull would attract all of them at once.
 func (c *Controller) sustainedPressure(now time.Duration) float64 {
 	return max(c.pressure(now), c.gauges.meanPressure(now-readingHistorySize*c.sampleInterval()))
 }
 
-// minLatencyObjective is the least objective of all classes.
+// minLatencyObjective returns the shortest latency objective of all classes.
 func (c *Controller) minLatencyObjective() time.Duration {
 	least := time.Duration(math.MaxInt64)
 	for _, class := range c.classes {
@@ -56,7 +56,7 @@
 	return least
 }
 
-// publishLoad turns the acceptance into the value that callers go by, and publishes a change.
+// publishLoad converts the acceptance into the configured load signal, and publishes it if it has changed.
 func (c *Controller) publishLoad(now time.Duration) {
 	var level float64
 	steps := float64(loadReportSteps)
@@ -82,8 +82,9 @@
 	}
 }
 
-// leastRank is the rank under which the share of the arrivals lies that is not accepted. With few arrivals while
-// warming up, when the first answers count, it assumes ranks that are evenly spread.
+// leastRank returns the rank below which requests are not accepted, so that the rejected share of the arrivals is
+// 1 - acceptance. During slow start the first reports matter although there are few arrivals, so ranks are assumed to
+// be uniformly distributed until there are enough.
 func (c *Controller) leastRank(acceptance float64, warmingUp bool) float64 {
 	if warmingUp && c.arrivals.hasTooFew() {
 		return 1 - acceptance
@@ -96,20 +97,21 @@
 	return ranks[min(below, len(ranks)-1)]
 }
 
-// tokens is how many requests each caller may have here. Callers that seldom have more than one get the acceptance: a
-// fraction counts by chance.
+// tokens returns the number of requests that each caller may have on this instance. If callers rarely have more than
+// one, it is the acceptance: a fraction is used as a probability.
 func (c *Controller) tokens(now time.Duration) float64 {
 	return c.acceptance() * max(1, c.capacity(now)/c.arrivals.callerSpread(c.settings.Callers))
 }
 
-// warmUpTokens is each caller's part of the capacity. An instance that warms up would be overloaded by the sum of what
-// all callers send, those that have not come yet included.
+// warmUpTokens returns each caller's part of the capacity. The sum of the requests of all callers, including those that
+// have not sent any yet, would otherwise overload an instance during slow start.
 func (c *Controller) warmUpTokens(now time.Duration) float64 {
 	callers := max(c.arrivals.callerSpread(c.settings.Callers), c.settings.Callers)
 	return c.acceptance() * c.capacity(now) / callers
 }
 
-// capacity is how many requests could be here and still be in time: those that run, and half an objective of waiting.
+// capacity returns the number of requests that can be on this instance and still be answered within their objective: the
+// running requests, plus those that can wait for half an objective.
 func (c *Controller) capacity(now time.Duration) float64 {
 	var objective, work time.Duration
 	for _, class := range c.classes {
--- a/admission/request.go
+++ b/admission/request.go
@@ -89,7 +89,7 @@
 	byID       map[RequestID]*trackedRequest // all below
 	queue      []*trackedRequest             // not started, by arrival
 	running    []*trackedRequest             // started and not at an upstream call
-	atCall    []*trackedRequest             // started and at an upstream call, made or not
+	atCall     []*trackedRequest             // started and at an upstream call, made or not
 	coalesced  []*trackedRequest             // waiting for the result of the request that they duplicate
 	unanswered []*trackedRequest             // the result of awaitingAnswer, used again
 }
--- a/admission/upstreamcalls.go
+++ b/admission/upstreamcalls.go
@@ -30,10 +30,10 @@
 	calls     []upstreamCall  // the last ones, for the mean in hand
 	open      int             // of these
 	lingering []time.Duration // when calls that were abandoned no longer occupy the upstream
-	callTimes     []time.Duration // of the last calls that succeeded
+	callTimes []time.Duration // of the last calls that succeeded
 
-	cachedTime   time.Duration // see timeInHand
-	cachedAt time.Duration
+	cachedTime time.Duration // see timeInHand
+	cachedAt   time.Duration
 }
 
 // outstanding counts the open calls, and those that were abandoned and linger.
@@ -99,7 +99,7 @@
 
 // callThrottle is how far calls are held back.
 type callThrottle struct {
-	share  float64       // of the usual number, minThrottle to 1
+	share    float64       // of the usual number, minThrottle to 1
 	callTime time.Duration // what calls take now; 0 while that is not known
 }
 
