--- a/admission/answer.go
+++ b/admission/answer.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// answerMarginTicks is the number of ticks between the time at which an answer is sent at the latest and its deadline.
+// answerMarginTicks is the number of ticks between the time at which an answer is sent at the latest and its
+// deadline.
 const answerMarginTicks = 2
 
 // reject rejects a request that has not started, with Retry-After advice.
@@ -24,8 +25,8 @@
 	c.requests.forget(r)
 }
 
-// abandonRun answers a request that has a run, and frees the run's core where runs can be stopped. A request that is
-// not idempotent fails, because the caller would send it to another instance after a rejection.
+// abandonRun answers a request that has a run, and frees the run's core where runs can be stopped. A request that
+// is not idempotent fails, because the caller would send it to another instance after a rejection.
 func (c *Controller) abandonRun(r *trackedRequest) {
 	if r.answered {
 		return
--- a/admission/answer_test.go
+++ b/admission/answer_test.go
@@ -33,8 +33,8 @@
 	// 6196ms reject calls
 }
 
-// No effect happens twice: a duplicate gets the first one's result, a rejected request leaves no record, and a run that
-// is abandoned fails instead of being rejected.
+// No effect happens twice: a duplicate gets the first one's result, a rejected request leaves no record, and a run
+// that is abandoned fails instead of being rejected.
 func Example_noEffectTwice() {
 	keyed := ClassSettings{
 		Name:              "low",
--- a/admission/arrivals.go
+++ b/admission/arrivals.go
@@ -35,11 +35,11 @@
 // hasTooFew reports whether there are too few arrivals to draw conclusions from.
 func (h *arrivalHistory) hasTooFew() bool { return len(h.recent) < minArrivals }
 
-// earlierAttemptTime estimates the time that a request's earlier attempts took, 0 if they cannot be detected. Callers
-// set the deadline of each first attempt to the same share of the timeout, and that of a retry to the remaining time. A
-// share that hardly any recent arrival has therefore marks a retry. An attempt with a full timeout of its own cannot be
-// detected. Without this estimate, retries whose objective has passed would take the cores from requests that can still
-// meet theirs.
+// earlierAttemptTime estimates the time that a request's earlier attempts took, 0 if they cannot be detected.
+// Callers set the deadline of each first attempt to the same share of the timeout, and that of a retry to the
+// remaining time. A share that hardly any recent arrival has therefore marks a retry. An attempt with a full
+// timeout of its own cannot be detected. Without this estimate, retries whose objective has passed would take the
+// cores from requests that can still meet theirs.
 func (h *arrivalHistory) earlierAttemptTime(r *trackedRequest, deadlineShare float64) time.Duration {
 	if !r.HasDeadline || h.hasTooFew() {
 		return 0
@@ -56,8 +56,8 @@
 	return max(0, r.class.Timeout-(r.deadline-r.arrivedAt))
 }
 
-// callerSpread returns the effective number of callers of the arrivals: the inverse of the sum of squared shares, in
-// which callers with more arrivals weigh more. Without arrivals it is the configured number, at least 1.
+// callerSpread returns the effective number of callers of the arrivals: the inverse of the sum of squared shares,
+// in which callers with more arrivals weigh more. Without arrivals it is the configured number, at least 1.
 func (h *arrivalHistory) callerSpread(configured float64) float64 {
 	counts := map[CallerID]float64{}
 	for _, a := range h.recent {
@@ -74,8 +74,8 @@
 	return total * total / squares
 }
 
-// connectionReuse counts the arrivals whose caller sent another request within an idle timeout, and sums the time for
-// which connections were open and unused.
+// connectionReuse counts the arrivals whose caller sent another request within an idle timeout, and sums the time
+// for which connections were open and unused.
 type connectionReuse struct {
 	reuses   int
 	idleTime time.Duration
@@ -97,8 +97,8 @@
 	return reuse
 }
 
-// maxRecentQueueDelay returns the longest time that a recently read request had waited unread. While the queue is short,
-// reading takes the cores, and requests have already used up part of their time when they are read.
+// maxRecentQueueDelay returns the longest time that a recently read request had waited unread. While the queue is
+// short, reading takes the cores, and requests have already used up part of their time when they are read.
 func (h *arrivalHistory) maxRecentQueueDelay(now time.Duration) time.Duration {
 	var longest time.Duration
 	for _, a := range h.recent {
--- a/admission/batch.go
+++ b/admission/batch.go
@@ -8,9 +8,9 @@
 
 // Batch selection: the knapsack of the paper's section 3.5, equations 17 to 21.
 
-// selectBatch selects the candidates to start within the capacity left by the limit. It follows the start order, unless
-// no core is free and starting the head would make another request miss its objective. In that case it selects the best
-// batch around a request at risk.
+// selectBatch selects the candidates to start within the capacity left by the limit. It follows the start order,
+// unless no core is free and starting the head would make another request miss its objective. In that case it
+// selects the best batch around a request at risk.
 func (c *Controller) selectBatch(candidates []candidate, capacity int, now time.Duration) []candidate {
 	head := candidates[:min(1, capacity, len(candidates))]
 	if c.coreFree(now) || len(candidates) < 2 {
@@ -43,8 +43,8 @@
 	return best
 }
 
-// feasibleStarts returns the number of requests that can start, within the capacity, such that the anchor still meets
-// its objective. It derives the number from the anchor's slack and subtracts the requests that are running.
+// feasibleStarts returns the number of requests that can start, within the capacity, such that the anchor still
+// meets its objective. It derives the number from the anchor's slack and subtracts the requests that are running.
 func (c *Controller) feasibleStarts(anchor candidate, capacity int, now time.Duration) int {
 	count := 0
 	for count < capacity &&
@@ -54,8 +54,8 @@
 	return count
 }
 
-// batchAround returns a batch of at most count requests, and the sum of their values. The batch holds the anchor and
-// the candidates of highest value among those with at least the anchor's slack.
+// batchAround returns a batch of at most count requests, and the sum of their values. The batch holds the anchor
+// and the candidates of highest value among those with at least the anchor's slack.
 func batchAround(anchor candidate, candidates []candidate, count int) ([]candidate, float64) {
 	var batch []candidate
 	var workSum, slackSum float64
--- a/admission/batch_test.go
+++ b/admission/batch_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Batch selection starts a request at risk against the start order while no core is free; without a feasible one the
-// order decides.
+// Batch selection starts a request at risk against the start order while no core is free; without a feasible one
+// the order decides.
 func Example_batchSelection() {
 	play := func(age time.Duration) {
 		s := newFixture(Settings{})
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// What one request costs while so many are queued and the cores are busy: one comes, one ends, one starts. Objectives
-// are long, so that none is shed.
+// What one request costs while so many are queued and the cores are busy: one comes, one ends, one starts.
+// Objectives are long, so that none is shed.
 //
 //	go test -run xxx -bench Held ./admission
 func BenchmarkHeld(b *testing.B) {
--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -11,8 +11,8 @@
 	saturatedBusyShare = 0.95
 	// usableConcurrencyShare is the share of the survivable runs that may be on the cores or in a call.
 	usableConcurrencyShare = 0.9
-	// usableRunningShare is the share of the survivable runs that may be started. The rest is reserved for runs that
-	// return from calls.
+	// usableRunningShare is the share of the survivable runs that may be started. The rest is reserved for runs
+	// that return from calls.
 	usableRunningShare = 0.75
 	// defaultRunsPerCore limits the runs per core if the survivable number is not known.
 	defaultRunsPerCore = 2
@@ -33,9 +33,9 @@
 	}
 }
 
-// concurrencyLimit returns the largest number of runs at which, by the fitted run times, each running class completes
-// within the least slack of the running requests. The limit is at most the adaptive limit and the ceiling. It is at
-// least the number of cores plus the number of blocked runs, unless the ceiling is lower.
+// concurrencyLimit returns the largest number of runs at which, by the fitted run times, each running class
+// completes within the least slack of the running requests. The limit is at most the adaptive limit and the
+// ceiling. It is at least the number of cores plus the number of blocked runs, unless the ceiling is lower.
 func (c *Controller) concurrencyLimit(now time.Duration) int {
 	least := time.Duration(math.MaxInt64)
 	classes := map[*classState]bool{}
@@ -61,9 +61,9 @@
 	return meets
 }
 
-// raiseLimit raises the limit to one more than the running requests if cores are idle, and reports whether it did. It is
-// called while requests are queued. It requires a completion since the last time: during a hang the cores look idle too,
-// and the limit would grow until all queued requests had started.
+// raiseLimit raises the limit to one more than the running requests if cores are idle, and reports whether it did.
+// It is called while requests are queued. It requires a completion since the last time: during a hang the cores
+// look idle too, and the limit would grow until all queued requests had started.
 func (c *Controller) raiseLimit(now time.Duration) bool {
 	reading, measured := c.gauges.last()
 	running := len(c.requests.running)
@@ -78,12 +78,12 @@
 	return true
 }
 
-// concurrencyCeiling returns the number of runs on the cores that the instance survives. During slow start it is reduced
-// in proportion to the speed.
+// concurrencyCeiling returns the number of runs on the cores that the instance survives. During slow start it is
+// reduced in proportion to the speed.
 //
-// When the upstream recovers, all runs in a call return at once, and runs that wait for a call go on without it when
-// their slack is used up. Both kinds therefore count. In addition to the waiting runs, at most as many are started as
-// there are cores, and one place is reserved for the next call while half of the cores are kept busy.
+// When the upstream recovers, all runs in a call return at once, and runs that wait for a call go on without it
+// when their slack is used up. Both kinds therefore count. In addition to the waiting runs, at most as many are
+// started as there are cores, and one place is reserved for the next call while half of the cores are kept busy.
 func (c *Controller) concurrencyCeiling() int {
 	survivable := c.survivableConcurrency()
 	if survivable <= 0 {
@@ -101,15 +101,15 @@
 
 func (c *Controller) halfCores() int { return (c.cores + 1) / 2 }
 
-// maxConcurrency returns the maximum number of runs on the cores and in calls: a share of the survivable runs, or one
-// more than the cores if that is greater and survivable.
+// maxConcurrency returns the maximum number of runs on the cores and in calls: a share of the survivable runs, or
+// one more than the cores if that is greater and survivable.
 func (c *Controller) maxConcurrency() float64 {
 	survivable := c.survivableConcurrency()
 	return max(usableConcurrencyShare*survivable, min(survivable, float64(c.cores+1)))
 }
 
-// allowsOneMore reports whether one more run may be on the cores, or in a call from which it returns, in addition to the
-// given number of runs on the cores. A single run is always allowed.
+// allowsOneMore reports whether one more run may be on the cores, or in a call from which it returns, in addition
+// to the given number of runs on the cores. A single run is always allowed.
 func (c *Controller) allowsOneMore(running int) bool {
 	if c.survivableConcurrency() <= 0 || len(c.requests.running)+c.upstream.open == 0 {
 		return true
@@ -117,7 +117,8 @@
 	return float64(running+c.upstream.open+1) <= c.maxConcurrency()
 }
 
-// survivableConcurrency returns the number of runs on the cores that the instance survives now, 0 if it is not known.
+// survivableConcurrency returns the number of runs on the cores that the instance survives now, 0 if it is not
+// known.
 func (c *Controller) survivableConcurrency() float64 {
 	perCore := c.settings.SurvivableRunsPerCore
 	if perCore <= 0 {
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -3,18 +3,18 @@
 import "time"
 
 const (
-	// The time between gauge samples is the least latency objective divided by sampleIntervalDivisor, so that a run of
-	// that length is sampled several times. Much shorter intervals would spend more on timers than the samples are
-	// worth, and with much longer ones a hang would go unnoticed.
+	// The time between gauge samples is the least latency objective divided by sampleIntervalDivisor, so that a run
+	// of that length is sampled several times. Much shorter intervals would spend more on timers than the samples
+	// are worth, and with much longer ones a hang would go unnoticed.
 	sampleIntervalDivisor = 20
 	minSampleInterval     = 5 * time.Millisecond
 	maxSampleInterval     = 100 * time.Millisecond
 	minSampleTicks        = 2
 )
 
-// Controller decides for one instance which requests are admitted, in which order they run, and which are rejected. It
-// has no goroutine, clock or I/O of its own. The goroutine that owns it calls its methods and the functions that it
-// passes to the Executor.
+// Controller decides for one instance which requests are admitted, in which order they run, and which are rejected.
+// It has no goroutine, clock or I/O of its own. The goroutine that owns it calls its methods and the functions that
+// it passes to the Executor.
 type Controller struct {
 	executor Executor
 	settings Settings
@@ -41,8 +41,9 @@
 	wakeAt        time.Duration // when the pending timer fires; 0: no timer is set
 }
 
-// New returns the Controller of an instance that has just started, and sets its health to healthy through the Executor.
-// The settings must be valid, see Settings.Validate. The same seed and events result in the same decisions.
+// New returns the Controller of an instance that has just started, and sets its health to healthy through the
+// Executor. The settings must be valid, see Settings.Validate. The same seed and events result in the same
+// decisions.
 func New(seed uint64, settings Settings, executor Executor) *Controller {
 	cores := max(1, int(settings.Cores))
 	c := &Controller{
@@ -62,14 +63,15 @@
 		c.classes[class.Name] = &classState{ClassSettings: class, runs: runHistory{cores: cores}}
 	}
 	c.order = newStartOrder(c.classes)
-	// Health checks that do real work and call the upstream would add to an overload. Health is set explicitly instead.
+	// Health checks that do real work and call the upstream would add to an overload. Health is set explicitly
+	// instead.
 	executor.SetHealth(Health{Healthy: true, FromState: true})
 	return c
 }
 
 // Decide makes the decisions that follow from a batch of events: it answers due requests, updates the state, starts
-// queued requests, grants upstream calls and publishes the load report. It must be called after each batch of calls of
-// other methods and of functions that were passed to the Executor.
+// queued requests, grants upstream calls and publishes the load report. It must be called after each batch of calls
+// of other methods and of functions that were passed to the Executor.
 func (c *Controller) Decide() {
 	now := c.executor.Now()
 	c.answerDueRequests(now)
@@ -84,8 +86,8 @@
 	c.scheduleWake(now)
 }
 
-// scheduleWake keeps one timer set. It fires when the next answer is due or, while there is work, when the next gauge
-// sample is due.
+// scheduleWake keeps one timer set. It fires when the next answer is due or, while there is work, when the next
+// gauge sample is due.
 func (c *Controller) scheduleWake(now time.Duration) {
 	next := time.Duration(0)
 	if len(c.requests.byID) > 0 || c.health.state != StateHealthy || c.loadIsReduced() {
--- a/admission/decisions_test.go
+++ b/admission/decisions_test.go
@@ -12,8 +12,8 @@
 	"testing"
 )
 
-// The decisions of random scenarios, as digests of a block of scenarios each: a change that is to decide the same has
-// to give the same digests. To compare more blocks than are in the file, record them with the version before:
+// The decisions of random scenarios, as digests of a block of scenarios each: a change that is to decide the same
+// has to give the same digests. To compare more blocks than are in the file, record them with the version before:
 //
 //	go test -run SameDecisions ./admission -blocks 60 -record
 var (
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// All requests are answered before the kill by a margin: minKillMargin, or the duration of the whole drain divided
-	// by killMarginDivisor if that is longer. The process may be suspended during the drain, or may have been when it
-	// was notified. A long drain has time for a longer margin.
+	// All requests are answered before the kill by a margin: minKillMargin, or the duration of the whole drain
+	// divided by killMarginDivisor if that is longer. The process may be suspended during the drain, or may have
+	// been when it was notified. A long drain has time for a longer margin.
 	minKillMargin     = 150 * time.Millisecond
 	killMarginDivisor = 12
 )
@@ -27,7 +27,8 @@
 	return d.killAt - max(minKillMargin, (d.killAt-d.notifiedAt)/killMarginDivisor)
 }
 
-// rejectWhileDraining rejects a queued request that arrived after the grace, or whose run would not end before the kill.
+// rejectWhileDraining rejects a queued request that arrived after the grace, or whose run would not end before the
+// kill.
 func (c *Controller) rejectWhileDraining(r *trackedRequest, now time.Duration) {
 	cutoff := c.drain.notifiedAt + c.settings.DrainGrace - answerMarginTicks*c.settings.Tick
 	if r.arrivedAt > cutoff || c.estimatedRunTime(r, len(c.requests.running), now) > c.remainingTime(r, now) {
--- a/admission/drain_test.go
+++ b/admission/drain_test.go
@@ -22,8 +22,8 @@
 	// 4550ms reject in time
 }
 
-// Before the kill all is answered: a twelfth of a long drain ahead of it, 150 ms ahead at the end of a short one, as
-// the machine may stand still.
+// Before the kill all is answered: a twelfth of a long drain ahead of it, 150 ms ahead at the end of a short one,
+// as the machine may stand still.
 func Example_answeredBeforeKill() {
 	for _, drain := range []time.Duration{8400 * ms, 1200 * ms} {
 		s := newFixture(Settings{})
--- a/admission/estimate.go
+++ b/admission/estimate.go
@@ -9,13 +9,15 @@
 const (
 	// runHistorySize covers one or two seconds of work at the usual rates, which is enough for a line fit.
 	runHistorySize = 24
-	// runSampleLifetime excludes older runs, so that a cold start or a slow period does not distort later estimates.
+	// runSampleLifetime excludes older runs, so that a cold start or a slow period does not distort later
+	// estimates.
 	runSampleLifetime = 8 * time.Second
 	// minRecentRuns is the number of last runs that are used regardless of their age.
 	minRecentRuns = 4
 	// minFitRuns is the minimum number of runs for a line fit.
 	minFitRuns = 8
-	// minHintVariance is the variance of hints, relative to their mean, below which hints are too similar for a fit.
+	// minHintVariance is the variance of hints, relative to their mean, below which hints are too similar for a
+	// fit.
 	minHintVariance = 0.01
 	// minConcurrencyVariance is the variance of a deviation by one run. Below it, no slope can be determined.
 	minConcurrencyVariance = 1
@@ -79,8 +81,8 @@
 	return h.recent
 }
 
-// estimate returns the estimate for the given time. It is computed once for each time and number of successes, not for
-// each request.
+// estimate returns the estimate for the given time. It is computed once for each time and number of successes, not
+// for each request.
 func (h *runHistory) estimate(now time.Duration) *runTimeEstimate {
 	if e := &h.cached; e.valid && e.at == now && e.successes == h.successes {
 		return e
@@ -112,8 +114,8 @@
 }
 
 // workScale returns the ratio of the work of a request with the given hint to the mean work. The line fit shows how
-// strongly run times follow hints, because waits for the disk or for calls do not grow with them. Without a fit, work is
-// proportional to the hint.
+// strongly run times follow hints, because waits for the disk or for calls do not grow with them. Without a fit,
+// work is proportional to the hint.
 func (e *runTimeEstimate) workScale(hint time.Duration) float64 {
 	if e.meanHint <= 0 || hint <= 0 {
 		return 1
@@ -132,8 +134,8 @@
 // runsPerCore returns the number of runs that share a core, at least 1.
 func runsPerCore(running float64, cores int) float64 { return max(1, running/float64(cores)) }
 
-// estimatedWork returns the estimated run time of a request that has a core to itself: the paper's r, equation 7. It is
-// the mean of run time divided by runs per core, scaled by the ratio of the hint to the mean hint.
+// estimatedWork returns the estimated run time of a request that has a core to itself: the paper's r, equation 7.
+// It is the mean of run time divided by runs per core, scaled by the ratio of the hint to the mean hint.
 func (c *Controller) estimatedWork(r *trackedRequest, now time.Duration) time.Duration {
 	return c.classWork(r.class, r.WorkHint, now)
 }
@@ -150,13 +152,14 @@
 	return class.LatencyObjective / unknownWorkDivisor
 }
 
-// estimatedRunTime returns the paper's T, equation 9: r times runs per core, for the given number of running requests.
+// estimatedRunTime returns the paper's T, equation 9: r times runs per core, for the given number of running
+// requests.
 func (c *Controller) estimatedRunTime(r *trackedRequest, running int, now time.Duration) time.Duration {
 	return time.Duration(float64(c.estimatedWork(r, now)) * runsPerCore(float64(running), c.cores))
 }
 
-// fittedRunTime returns the run time of a class for the given number of running requests. It is taken from the line fit,
-// or is proportional to the runs per core if there are few runs or all had the same concurrency.
+// fittedRunTime returns the run time of a class for the given number of running requests. It is taken from the line
+// fit, or is proportional to the runs per core if there are few runs or all had the same concurrency.
 func (c *Controller) fittedRunTime(class *classState, running int, now time.Duration) time.Duration {
 	e := class.runs.estimate(now)
 	if e.runs < minFitRuns || e.concurrencyVariance < minConcurrencyVariance {
--- a/admission/executor.go
+++ b/admission/executor.go
@@ -4,28 +4,29 @@
 
 // Executor carries out the decisions of a Controller. The server and the simulator's host implement it.
 //
-// All methods are called by the goroutine that calls the Controller, from within one of its methods. They must not block
-// and must not call the Controller. The same goroutine calls the functions passed to them, later.
+// All methods are called by the goroutine that calls the Controller, from within one of its methods. They must not
+// block and must not call the Controller. The same goroutine calls the functions passed to them, later.
 type Executor interface {
-	// Now returns the time since an origin of the Executor's choice. It never goes back, and does not change while the
-	// Controller handles a batch.
+	// Now returns the time since an origin of the Executor's choice. It never goes back, and does not change while
+	// the Controller handles a batch.
 	Now() time.Duration
 
-	// Start runs a queued request. onCall is called each time the run reaches an upstream call. onEnd is called once
-	// when the run has ended, with its elapsed time.
+	// Start runs a queued request. onCall is called each time the run reaches an upstream call. onEnd is called
+	// once when the run has ended, with its elapsed time.
 	Start(id RequestID, onCall func(), onEnd func(outcome Outcome, elapsed time.Duration))
 	// Stop removes a run from the cores. The onEnd function passed to Start confirms it.
 	Stop(id RequestID)
-	// Coalesce answers a request with the result of the request that it duplicates. onEnd is called once afterwards.
+	// Coalesce answers a request with the result of the request that it duplicates. onEnd is called once
+	// afterwards.
 	Coalesce(id RequestID, onEnd func(outcome Outcome, elapsed time.Duration))
-	// Reject rejects a request. The caller is asked to send nothing to this instance for retryAfter (0: no advice) and,
-	// if noFailover is set, not to try another instance either.
+	// Reject rejects a request. The caller is asked to send nothing to this instance for retryAfter (0: no advice)
+	// and, if noFailover is set, not to try another instance either.
 	Reject(id RequestID, retryAfter time.Duration, noFailover bool)
 	// Fail answers a request with an error unless it has been answered. If its run is at a call, Fail ends the run.
 	Fail(id RequestID)
 
-	// Call makes the upstream call of a run that has reached one, and abandons the call at the deadline. done is called
-	// once. Unless the outcome is Succeeded, the run remains at the call.
+	// Call makes the upstream call of a run that has reached one, and abandons the call at the deadline. done is
+	// called once. Unless the outcome is Succeeded, the run remains at the call.
 	Call(id RequestID, deadline time.Duration, done func(outcome Outcome, elapsed time.Duration))
 	// SkipCall lets a run that is at an upstream call continue without making it.
 	SkipCall(id RequestID)
--- a/admission/gauges.go
+++ b/admission/gauges.go
@@ -66,8 +66,8 @@
 	return busy
 }
 
-// blockedRuns returns the mean number of runs that wait for something other than a core, rounded up. If the minimum of
-// the limit did not include them, cores would be idle wherever requests wait for the disk.
+// blockedRuns returns the mean number of runs that wait for something other than a core, rounded up. If the minimum
+// of the limit did not include them, cores would be idle wherever requests wait for the disk.
 func (h *gaugeHistory) blockedRuns() int {
 	var sum float64
 	n := 0
@@ -113,8 +113,8 @@
 	c.limit.shrink(reading, c.cores)
 }
 
-// estimatedRunnable estimates the number of runs that are on a core or wait for one now, from the last reading and the
-// runs that have started or ended since.
+// estimatedRunnable estimates the number of runs that are on a core or wait for one now, from the last reading and
+// the runs that have started or ended since.
 func (c *Controller) estimatedRunnable(now time.Duration) float64 {
 	running := len(c.requests.running)
 	reading, exists := c.gauges.last()
--- a/admission/health.go
+++ b/admission/health.go
@@ -16,9 +16,9 @@
 	failingFailureRate = 0.5
 	// probeInterval is how often a failing instance starts one request, to check whether runs still fail.
 	probeInterval = 500 * time.Millisecond
-	// Runs are stalled when none has made progress for a multiple of their mean run time. The multiple is the sum of
-	// stalledRunTimes and of stalledExtraRunTimes divided by the number of runs. The extra part is large for a single
-	// run because it may take far longer than its hint.
+	// Runs are stalled when none has made progress for a multiple of their mean run time. The multiple is the sum
+	// of stalledRunTimes and of stalledExtraRunTimes divided by the number of runs. The extra part is large for a
+	// single run because it may take far longer than its hint.
 	stalledRunTimes      = 2
 	stalledExtraRunTimes = 6
 )
@@ -87,9 +87,9 @@
 	return float64(failed) / float64(n)
 }
 
-// isStalled reports whether requests start but none completes: no run has ended, or reached or left a call, for much
-// longer than the runs on the cores should take. It detects hangs, such as a failed disk, a lost core or a lock that is
-// never released.
+// isStalled reports whether requests start but none completes: no run has ended, or reached or left a call, for
+// much longer than the runs on the cores should take. It detects hangs, such as a failed disk, a lost core or a
+// lock that is never released.
 func (c *Controller) isStalled(now time.Duration) bool {
 	running := c.requests.running
 	if len(running) == 0 {
@@ -163,8 +163,8 @@
 	c.health.lastProbeAt = now
 }
 
-// rejectStalledRuns rejects the idempotent requests among the stalled runs while their callers have time to try another
-// instance.
+// rejectStalledRuns rejects the idempotent requests among the stalled runs while their callers have time to try
+// another instance.
 func (c *Controller) rejectStalledRuns() {
 	for _, r := range c.requests.running {
 		if r.class.Idempotency == Idempotent && !r.answered {
--- a/admission/idletimeout.go
+++ b/admission/idletimeout.go
@@ -8,8 +8,8 @@
 	// keepConnectionsRejectionRate is the rejection rate from which connections are kept open. Since each rejected
 	// attempt has cost a connection, a full connection table is then the lesser problem.
 	keepConnectionsRejectionRate = 0.6
-	// idleSecondsPerHandshake is the time in seconds for which keeping an idle connection costs as much as opening a
-	// new one. It relates part of the work of a request to a share of busy cores.
+	// idleSecondsPerHandshake is the time in seconds for which keeping an idle connection costs as much as opening
+	// a new one. It relates part of the work of a request to a share of busy cores.
 	idleSecondsPerHandshake = 5
 )
 
@@ -35,9 +35,9 @@
 	return float64(n) / float64(max(1, len(t.rejected)))
 }
 
-// adjustIdleTimeout adjusts how long an unused connection may stay open. Too many rarely used connections would take
-// capacity, and new callers would be refused before their requests are seen. The timeout changes by one step per sample,
-// so that a single sample does not close all of them.
+// adjustIdleTimeout adjusts how long an unused connection may stay open. Too many rarely used connections would
+// take capacity, and new callers would be refused before their requests are seen. The timeout changes by one step
+// per sample, so that a single sample does not close all of them.
 func (c *Controller) adjustIdleTimeout(now time.Duration) {
 	current := c.idle.current
 	timeout := c.targetIdleTimeout(now)
--- a/admission/loadreport.go
+++ b/admission/loadreport.go
@@ -30,8 +30,8 @@
 	return succeeding * succeeding * c.slowStart.speedShare(now) / (1 + pressureWeight*c.sustainedPressure(now))
 }
 
-// pressure returns the waiting time of requests, unread and queued, as a multiple of half the least latency objective.
-// Half an objective is the wait that still leaves time to run.
+// pressure returns the waiting time of requests, unread and queued, as a multiple of half the least latency
+// objective. Half an objective is the wait that still leaves time to run.
 func (c *Controller) pressure(now time.Duration) float64 {
 	var queued time.Duration
 	for _, r := range c.requests.queue {
@@ -82,8 +82,8 @@
 	}
 }
 
-// leastRank returns the rank below which requests are not accepted, so that the rejected share of the arrivals is
-// 1 - acceptance. During slow start the first reports matter although there are few arrivals, so ranks are assumed to
+// leastRank returns the rank below which requests are not accepted, so that the rejected share of the arrivals is 1
+// - acceptance. During slow start the first reports matter although there are few arrivals, so ranks are assumed to
 // be uniformly distributed until there are enough.
 func (c *Controller) leastRank(acceptance float64, warmingUp bool) float64 {
 	if warmingUp && c.arrivals.hasTooFew() {
@@ -97,21 +97,21 @@
 	return ranks[min(below, len(ranks)-1)]
 }
 
-// tokens returns the number of requests that each caller may have on this instance. If callers rarely have more than
-// one, it is the acceptance: a fraction is used as a probability.
+// tokens returns the number of requests that each caller may have on this instance. If callers rarely have more
+// than one, it is the acceptance: a fraction is used as a probability.
 func (c *Controller) tokens(now time.Duration) float64 {
 	return c.acceptance() * max(1, c.capacity(now)/c.arrivals.callerSpread(c.settings.Callers))
 }
 
-// warmUpTokens returns each caller's part of the capacity. The sum of the requests of all callers, including those that
-// have not sent any yet, would otherwise overload an instance during slow start.
+// warmUpTokens returns each caller's part of the capacity. The sum of the requests of all callers, including those
+// that have not sent any yet, would otherwise overload an instance during slow start.
 func (c *Controller) warmUpTokens(now time.Duration) float64 {
 	callers := max(c.arrivals.callerSpread(c.settings.Callers), c.settings.Callers)
 	return c.acceptance() * c.capacity(now) / callers
 }
 
-// capacity returns the number of requests that can be on this instance and still be answered within their objective: the
-// running requests, plus those that can wait for half an objective.
+// capacity returns the number of requests that can be on this instance and still be answered within their
+// objective: the running requests, plus those that can wait for half an objective.
 func (c *Controller) capacity(now time.Duration) float64 {
 	var objective, work time.Duration
 	for _, class := range c.classes {
--- a/admission/loadreport_test.go
+++ b/admission/loadreport_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Requests come that lay unread for long. The load report falls and, once that lasts, callers of rejected requests are
-// asked not to try another instance.
+// Requests come that lay unread for long. The load report falls and, once that lasts, callers of rejected requests
+// are asked not to try another instance.
 func Example_queueDelay() {
 	s := newFixture(Settings{LoadSignal: LoadSignalChance})
 	s.warmUp(200 * ms)
@@ -45,8 +45,8 @@
 	// 40 callers: acceptance 0.14, tokens 0.15
 }
 
-// The least rank holds from the first answer of an instance that warms up: no request has come yet, and three in ten of
-// the ranks are welcome.
+// The least rank holds from the first answer of an instance that warms up: no request has come yet, and three in
+// ten of the ranks are welcome.
 func Example_warmUpRank() {
 	s := newFixture(Settings{
 		LoadSignal:       LoadSignalLeastRank,
@@ -62,9 +62,9 @@
 	// 0ms load 0.00
 }
 
-// What an instance that warms up invites by its tokens, summed over all callers that may go by them, stays within what
-// it bears and what chance adds, from its first answer on, with 1 to 300 callers of which it has seen none, some or
-// all.
+// What an instance that warms up invites by its tokens, summed over all callers that may go by them, stays within
+// what it bears and what chance adds, from its first answer on, with 1 to 300 callers of which it has seen none,
+// some or all.
 func TestWarmUpTokens(t *testing.T) {
 	for callers := 1; callers <= 300; callers++ {
 		for _, seen := range []int{0, 1, callers / 2, callers} {
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -9,35 +9,35 @@
 // The start order: the paper's section 3.3.
 
 const (
-	// urgentRunTimeShare is the paper's alpha: the run time as a share of the slack from which a request is urgent. At 1 it
-	// would be one that already misses.
+	// urgentRunTimeShare is the paper's alpha: a request is urgent if its run time is greater than this share of
+	// its slack. At 1, only requests that already miss their objective would be urgent.
 	urgentRunTimeShare = 0.5
-	// minSlack is the paper's epsilon: it keeps the division defined when no slack is left.
+	// minSlack is the paper's epsilon: it keeps the division defined when no slack remains.
 	minSlack = time.Millisecond
-	// protectedRank is the rank from which a request is protected where all classes have one weight.
+	// protectedRank is the rank from which requests are protected if all classes have the same weight.
 	protectedRank = 0.8
 )
 
-// The first level of the key. A request beyond its tenant's quota stands one level lower.
+// First level of the sort key. Requests beyond their tenant's quota are one level lower.
 const (
 	levelProtected = 0
 	levelUsual     = 1
 )
 
-// The second level of the key.
+// Second level of the sort key.
 const (
 	urgencyUrgent  = 0
 	urgencyRelaxed = 1
 )
 
-// candidate is one queued request with its place in the order, worked out once a round.
+// candidate is a queued request with its sort key. It is computed once per round.
 type candidate struct {
 	request *trackedRequest
 	level   int           // the paper's 1-g
 	urgency int           // the paper's 1-urgent
 	work    time.Duration // the paper's r
 	slack   time.Duration // the paper's s
-	runTime time.Duration // the paper's T with those running now
+	runTime time.Duration // the paper's T with the currently running requests
 }
 
 // startOrder sorts the queue.
@@ -54,8 +54,8 @@
 	return startOrder{weightBands: len(weights)}
 }
 
-// isProtected is the paper's safeguard flag g, from the rank: the band of the highest weight, as ranks give each weight
-// a band of equal width.
+// isProtected returns the paper's safeguard flag g. It reports whether the rank is in the band of the highest
+// weight. Each weight has a band of equal width.
 func (o *startOrder) isProtected(r *trackedRequest) bool {
 	if o.weightBands < 2 {
 		return r.Rank >= protectedRank
@@ -63,8 +63,8 @@
 	return r.Rank >= 1-1/float64(o.weightBands)
 }
 
-// sortQueue sorts the queue by (1-g, 1-urgent, r): protected first, then urgent, then least work. Equations 10 to 13.
-// The result is valid until the next call.
+// sortQueue returns the queue sorted by (1-g, 1-urgent, r): protected requests first, then urgent ones, then those
+// with the least work. Equations 10 to 13. The result is valid until the next call.
 func (c *Controller) sortQueue(now time.Duration) []candidate {
 	candidates := c.order.candidates[:0]
 	for _, r := range c.requests.queue {
@@ -94,7 +94,7 @@
 	return candidates
 }
 
-// removeCandidate removes a request that has left the queue, in place.
+// removeCandidate removes the candidate of a request that has left the queue, in place.
 func removeCandidate(candidates []candidate, r *trackedRequest) []candidate {
 	return slices.DeleteFunc(candidates, func(k candidate) bool { return k.request == r })
 }
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// quotaWindow holds some tens of arrivals at the usual loads.
+	// quotaWindow is long enough for some tens of arrivals at the usual loads.
 	quotaWindow = 4 * time.Second
-	// tenantArrivalHistorySize is 500 a second over the window, twice the fastest that one instance takes in.
+	// tenantArrivalHistorySize is 500 arrivals per second over the window, twice the highest rate of one instance.
 	tenantArrivalHistorySize = 2048
-	// quotaDeviations is how many standard deviations beyond its quota a tenant may be by chance.
+	// quotaDeviations is the number of standard deviations by which a tenant may exceed its quota by chance.
 	quotaDeviations = 2
 )
 
-// tenantQuotas counts the tenants' arrivals against their quotas.
+// tenantQuotas counts the arrivals of each tenant and compares them with its quota.
 type tenantQuotas struct {
 	configured []TenantSettings
 	fleetSize  float64
@@ -38,8 +38,8 @@
 	return quotas
 }
 
-// recordArrival counts an arrival and tells whether its tenant now sends this instance more than its part of the quota.
-// Marked retries are not counted, or a rejection would count against the tenant.
+// recordArrival counts an arrival and reports whether its tenant now exceeds this instance's part of the quota.
+// Marked retries are not counted, because a rejection would otherwise count against the tenant.
 func (q *tenantQuotas) recordArrival(r *trackedRequest, now time.Duration) bool {
 	tenant := q.arrivals[r.Tenant]
 	if tenant == nil || tenant.quotaPerSecond <= 0 {
@@ -51,13 +51,14 @@
 	since := now - quotaWindow
 	arrived, quotas := q.totals(since)
 	share := quotaWindow.Seconds() / max(1, q.fleetSize)
-	// In a storm of unmarked retries all tenants are beyond their quotas; the quotas then grow with all that comes.
+	// In a storm of unmarked retries all tenants exceed their quotas. The quotas are then scaled up with the
+	// arrivals.
 	part := tenant.quotaPerSecond * share * max(1, arrived/(quotas*share))
-	// Where few requests come, a tenant within its quota is beyond it by chance.
+	// At low rates, a tenant within its quota exceeds its part by chance.
 	return float64(tenant.countSince(since)) > part+quotaDeviations*math.Sqrt(part)
 }
 
-// totals counts the arrivals of all tenants and sums their quotas, in the order configured.
+// totals returns the arrivals of all tenants and the sum of their quotas. It adds them in the configured order.
 func (q *tenantQuotas) totals(since time.Duration) (arrived, quotasPerSecond float64) {
 	for _, settings := range q.configured {
 		tenant := q.arrivals[settings.Name]
@@ -67,7 +68,7 @@
 	return arrived, quotasPerSecond
 }
 
-// countSince counts the arrivals after a moment.
+// countSince returns the number of arrivals after the given time.
 func (t *tenantArrivals) countSince(from time.Duration) int {
 	n := 0
 	for _, at := range t.recent {
--- a/admission/random.go
+++ b/admission/random.go
@@ -5,13 +5,14 @@
 	"hash/fnv"
 )
 
-// randomSource draws by the instance's seed and a counter, so that the same events give the same decisions.
+// randomSource derives random numbers from a seed and a counter, so that the same events result in the same
+// decisions.
 type randomSource struct {
 	seed  uint64
 	draws uint64
 }
 
-// float64 draws from 0 to under 1.
+// float64 returns a random number of at least 0 and less than 1.
 func (s *randomSource) float64() float64 {
 	s.draws++
 	hash := fnv.New64a()
--- a/admission/records.go
+++ b/admission/records.go
@@ -6,33 +6,34 @@
 )
 
 const (
-	// recordMarginTicks is how much longer than its window a record is kept, for a duplicate that is read late.
+	// recordMarginTicks is the number of ticks that a record is kept beyond its window, for duplicates that are
+	// read late.
 	recordMarginTicks = 2
-	// coalescedReadsMemoryDivisor is the part of the memory, as a divisor, that records of reads may take: requests
-	// that are idempotent by key need theirs more.
+	// coalescedReadsMemoryDivisor divides the memory to obtain the limit above which no record is kept for a read.
+	// Requests that are idempotent by key need their records more.
 	coalescedReadsMemoryDivisor = 5
 )
 
-// idempotencyRecord is one that the Executor keeps.
+// idempotencyRecord is a record that the Executor keeps.
 type idempotencyRecord struct {
 	id        RequestID
 	expiresAt time.Duration
 }
 
-// idempotencyRecords counts the records that the Executor keeps, for the memory that they take.
+// idempotencyRecords tracks the records that the Executor keeps, to account for their memory.
 type idempotencyRecords struct {
 	kept     []idempotencyRecord
 	recordKB float64
 	tick     time.Duration
 }
 
-// memoryKB is the memory of all records. They are freed within a tick of their expiry.
+// memoryKB returns the memory of all records. Records are freed within a tick of their expiry.
 func (s *idempotencyRecords) memoryKB(now time.Duration) float64 {
 	s.kept = slices.DeleteFunc(s.kept, func(record idempotencyRecord) bool { return record.expiresAt+s.tick < now })
 	return float64(len(s.kept)) * s.recordKB
 }
 
-// remove forgets a request's record and tells whether there was one.
+// remove removes a request's record and reports whether there was one.
 func (s *idempotencyRecords) remove(id RequestID) bool {
 	i := slices.IndexFunc(s.kept, func(record idempotencyRecord) bool { return record.id == id })
 	if i < 0 {
@@ -42,8 +43,8 @@
 	return true
 }
 
-// keepRecord has the Executor keep a keepRecord of a request that may be duplicated, before it can run. It returns false if
-// there is no memory for a keepRecord that is needed.
+// keepRecord has the Executor keep a record of a request that may be duplicated, before it can run. It returns
+// false if a record is required and there is no memory for it.
 func (c *Controller) keepRecord(r *trackedRequest, now time.Duration) bool {
 	window := c.recordWindow(r, now)
 	if window <= 0 {
@@ -57,7 +58,7 @@
 	return true
 }
 
-// recordWindow is how long from now on a request's record is kept, 0 or less for none.
+// recordWindow returns how long a request's record is to be kept from now on, 0 or less for no record.
 func (c *Controller) recordWindow(r *trackedRequest, now time.Duration) time.Duration {
 	switch r.class.Idempotency {
 	case IdempotentByKey:
@@ -67,7 +68,7 @@
 			return 0
 		}
 		if c.records.memoryKB(now)+c.settings.RecordKB > c.settings.MemoryKB/coalescedReadsMemoryDivisor {
-			return 0 // the read runs, and is not coalesced
+			return 0 // the read runs and is not coalesced
 		}
 		return r.deadline - now + c.settings.CoalescedReadWindow
 	}
--- a/admission/retryafter.go
+++ b/admission/retryafter.go
@@ -3,21 +3,23 @@
 import "time"
 
 const (
-	// longQueueDelayDivisor is the part of a latency objective, as a divisor, from which requests lie unread.
+	// longQueueDelayDivisor divides a latency objective to obtain the queue delay above which requests count as
+	// waiting unread.
 	longQueueDelayDivisor = 32
-	// unreadRetryAfterDivisor is the part of the advice, as a divisor, that is given then.
+	// unreadRetryAfterDivisor divides the Retry-After advice while requests wait unread.
 	unreadRetryAfterDivisor = 8
-	// saturatedPressure is the pressure that, if it lasts, means that other instances are no better off.
+	// saturatedPressure is the sustained pressure at which other instances are assumed to be saturated too.
 	saturatedPressure = 0.4
-	// retryStormShare is the share of retries among the arrivals that means the same.
+	// retryStormShare is the share of retries among the arrivals above which the same is assumed.
 	retryStormShare = 1.0 / 6
 )
 
-// retryAfter is how long a rejected request's caller should send nothing here: the longer the less is accepted, and
-// drawn from half its length on, so that callers do not come back all at once.
+// retryAfter returns how long the caller of a rejected request should send nothing to this instance. The longest
+// advice increases as the acceptance decreases. The advice is drawn from the upper half of that range, so that
+// callers do not all return at the same time.
 //
-// Where requests lie unread, advice is heard late: all callers would keep away and come back together, with idle cores
-// in between. A healthy instance then gives a small part of it, and leaves the rest to the load report.
+// If requests wait unread, advice reaches callers late: all of them would stay away and return together, with idle
+// cores in between. A healthy instance then sends only a small part of the advice and relies on the load report.
 func (c *Controller) retryAfter() time.Duration {
 	if !c.settings.RetryAfterAllowed {
 		return 0
@@ -30,8 +32,9 @@
 	return time.Duration(longest * (0.5 + 0.5*c.random.float64()))
 }
 
-// isFleetSaturated tells that the pressure has lasted in spite of the load report. Then the others are no better off,
-// and a rejected request that goes on to them only costs each its reading.
+// isFleetSaturated reports whether the other instances are presumably saturated too, because the pressure has
+// lasted in spite of the load report or many arrivals are retries. A rejected request that is sent to another
+// instance then only costs that instance the time to read it.
 func (c *Controller) isFleetSaturated() bool {
 	if c.health.state != StateHealthy {
 		return false
--- a/admission/run.go
+++ b/admission/run.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// startRequests starts queued requests as far as the limit and the memory allow, and sheds those that are hopeless.
+// startRequests starts queued requests within the limit and the memory, and sheds hopeless requests.
 func (c *Controller) startRequests(now time.Duration) {
 	candidates := c.shedHopeless(c.sortQueue(now), now, false)
 	for len(candidates) > 0 {
@@ -26,7 +26,7 @@
 	}
 }
 
-// start runs a queued request.
+// start starts the run of a queued request.
 func (c *Controller) start(r *trackedRequest) {
 	c.requests.queue = removeRequest(c.requests.queue, r)
 	c.requests.running = append(c.requests.running, r)
@@ -41,13 +41,13 @@
 	)
 }
 
-// onRunEnd hears that a run has ended.
+// onRunEnd handles the end of a run.
 func (c *Controller) onRunEnd(r *trackedRequest, outcome Outcome, elapsed time.Duration) {
 	now := c.executor.Now()
 	concurrency := float64(r.concurrencyAtStart+len(c.requests.running)) / 2
 	c.upstream.end(r, now, now)
 	c.requests.forget(r)
-	if outcome != NotStarted { // one that never started tells nothing of those that run
+	if outcome != NotStarted { // a run that never started is no sign of progress
 		c.health.lastProgress = now
 	}
 	if outcome == Succeeded || outcome == Failed {
@@ -57,20 +57,20 @@
 	if outcome == Succeeded {
 		r.class.runs.add(runSample{at: now, elapsed: elapsed, hint: r.WorkHint, concurrency: concurrency})
 	}
-	if outcome == Stopped && !r.answered { // stopped by the runtime: the answer is still owed
+	if outcome == Stopped && !r.answered { // stopped by the runtime: the request still needs an answer
 		r.answered = true
 		c.executor.Fail(r.ID)
 	}
 }
 
-// stopRun takes a run that nobody waits for off the cores, where that is possible.
+// stopRun removes a run whose answer nobody waits for from the cores, if runs can be stopped.
 func (c *Controller) stopRun(r *trackedRequest) {
 	if c.canStopRuns() {
 		c.executor.Stop(r.ID)
 	}
 }
 
-// canStopRuns tells whether runs can be taken off the cores.
+// canStopRuns reports whether runs can be removed from the cores.
 func (c *Controller) canStopRuns() bool {
 	return c.settings.Halt == HaltDrop || c.settings.Halt == HaltPause
 }
--- a/admission/shedding.go
+++ b/admission/shedding.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// minLateAnswerValue is the value of a late answer from which the deadline counts, not the objective.
+// minLateAnswerValue is the value of a late answer from which the deadline applies instead of the latency
+// objective.
 const minLateAnswerValue = 0.5
 
-// remainingTime is the time in which an answer still has its value: until the latency objective, or until the deadline where
-// a late answer has half of it or more; never past the kill.
+// remainingTime returns the time during which an answer keeps its value: until the latency objective, or until the
+// deadline if a late answer has at least half the value. It never extends past the kill.
 func (c *Controller) remainingTime(r *trackedRequest, now time.Duration) time.Duration {
 	left := r.slack(now)
 	if r.class.LateValue >= minLateAnswerValue {
@@ -22,9 +23,10 @@
 	return left
 }
 
-// shedHopeless rejects, while no core is free, queued requests that can't be done in the time left, and returns the
-// others. Rejected late they would come back as retries with their slack spent. countWait also counts the wait for the
-// work before each in the order, which the paper's T leaves out.
+// shedHopeless rejects queued requests that cannot be completed within their remaining time, and returns the
+// others. It rejects none while a core is free. Requests that were rejected late would return as retries with no
+// slack left. If countWait is set, the wait for the work ahead of each request in the order is included, which the
+// paper's T leaves out.
 func (c *Controller) shedHopeless(candidates []candidate, now time.Duration, countWait bool) []candidate {
 	if c.coreFree(now) {
 		return candidates
@@ -44,7 +46,7 @@
 	})
 }
 
-// remainingWork is the work that is left of the runs on the cores.
+// remainingWork returns the remaining work of the runs on the cores.
 func (c *Controller) remainingWork(now time.Duration) time.Duration {
 	var left time.Duration
 	for _, r := range c.requests.running {
--- a/admission/skippedcalls_test.go
+++ b/admission/skippedcalls_test.go
@@ -14,9 +14,9 @@
 	warmingUp bool
 }
 
-// Calls are scarce and may be skipped: many requests wait for one, and go on without it when their slack is spent. On
-// few cores and many, warm and warming up, what runs stays under what is survived, also if all calls end at once; and
-// calls and runs go on.
+// Calls are scarce and may be skipped: many requests wait for one, and go on without it when their slack is spent.
+// On few cores and many, warm and warming up, what runs stays under what is survived, also if all calls end at
+// once; and calls and runs go on.
 func TestScarceCallsSkipped(t *testing.T) {
 	for _, cores := range []float64{1, 2, 4, 32} {
 		for _, perCore := range []float64{2, 3, 8} {
@@ -71,8 +71,8 @@
 	}
 }
 
-// moveRunsThroughCalls moves on as many runs as there are cores: to a call and, behind it, to their end. It returns how
-// many ended.
+// moveRunsThroughCalls moves on as many runs as there are cores: to a call and, behind it, to their end. It returns
+// how many ended.
 func (s *fixture) moveRunsThroughCalls(cores int) int {
 	ids, ends := s.runningIDs(), 0
 	for _, id := range ids[:min(cores, len(ids))] {
--- a/admission/slowstart.go
+++ b/admission/slowstart.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// minWarmUpSpeedShare keeps estimates finite where the configured speed at the start is none.
+// minWarmUpSpeedShare keeps estimates finite if the configured initial speed is 0.
 const minWarmUpSpeedShare = 0.05
 
-// slowStart is the warm-up of an instance that has just started.
+// slowStart describes the warm-up of an instance that has just started.
 type slowStart struct {
 	startedAt    time.Duration
 	duration     time.Duration // 0 or less: no warm-up
-	initialShare float64       // of full speed
+	initialShare float64       // share of full speed at the start
 }
 
 func newSlowStart(settings *Settings, now time.Duration) slowStart {
@@ -20,7 +20,7 @@
 	return s
 }
 
-// speedShare is the speed of the instance as a share of full speed; it rises evenly to 1.
+// speedShare returns the speed of the instance as a share of full speed. It increases linearly to 1.
 func (s *slowStart) speedShare(now time.Duration) float64 {
 	age := now - s.startedAt
 	if s.duration <= 0 || age >= s.duration {
--- a/admission/submit.go
+++ b/admission/submit.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Submit takes a request that has just been read: it is queued, answered by the one that it duplicates, or rejected at
-// once. Decide follows, once for all that came in one batch.
+// Submit takes a request that has just been read. The request is queued, rejected immediately, or coalesced with
+// the request that it duplicates. Decide must be called once after all requests of a batch.
 func (c *Controller) Submit(request Request) {
 	now := c.executor.Now()
 	r := c.track(request, now)
@@ -26,14 +26,14 @@
 	r.overQuota = c.quotas.recordArrival(r, now)
 
 	switch {
-	case r.DuplicateOf != "": // its effect must not happen twice
+	case r.DuplicateOf != "": // its effect must not occur twice
 		c.coalesce(r)
 	case c.memoryInUse(now) > c.memoryLimit() || !c.keepRecord(r, now):
 		c.reject(r)
 	}
 }
 
-// track works out what a request is owed.
+// track returns a trackedRequest with the deadline and latency objective of the request.
 func (c *Controller) track(request Request, now time.Duration) *trackedRequest {
 	class := c.classes[request.Class]
 	if class == nil {
@@ -54,8 +54,8 @@
 	return r
 }
 
-// Cancel hears that the caller of a request has gone: it is owed no answer. A request that is not known, or has been
-// answered and has ended, is passed over.
+// Cancel handles a caller that has disconnected: its request needs no answer any more. Cancel ignores a request
+// that is unknown, or that has been answered and has ended.
 func (c *Controller) Cancel(id RequestID) {
 	r := c.requests.byID[id]
 	if r == nil {
@@ -70,7 +70,7 @@
 	}
 }
 
-// coalesce answers a duplicate by the first one's result.
+// coalesce answers a duplicate with the result of the first request.
 func (c *Controller) coalesce(r *trackedRequest) {
 	c.requests.queue = removeRequest(c.requests.queue, r)
 	c.requests.coalesced = append(c.requests.coalesced, r)
--- a/admission/upstream.go
+++ b/admission/upstream.go
@@ -7,22 +7,23 @@
 )
 
 const (
-	// maxCallsPerCore bounds the calls where the upstream has admission control of its own: they keep the cores busy
-	// while calls are no slower than runs.
+	// maxCallsPerCore limits the calls to an upstream that has its own admission control. This number keeps the
+	// cores busy if calls take no longer than runs.
 	maxCallsPerCore = 2
-	// usableUpstreamShare is the part of the configured share that is used, as all instances start some calls at once.
+	// usableUpstreamShare is the usable part of the configured share, because all instances start some calls at
+	// once.
 	usableUpstreamShare = 0.9
-	// minUpstreamWindow replaces a window that was not configured.
+	// minUpstreamWindow is the shortest window. It also replaces a window that is not configured.
 	minUpstreamWindow = time.Second
-	// callBudgetFactor is how many times what calls take now must be left of a budget of time for another call.
+	// callBudgetFactor is the multiple of the current call time that must remain in a time budget for another call.
 	callBudgetFactor = 4
-	// firstCallTimeoutFactor is over the slowest of the last calls, past what chance brings.
+	// firstCallTimeoutFactor is applied to the slowest recent call. The product is beyond random variation.
 	firstCallTimeoutFactor = 4
-	// maxCallAttempts outlast a moment of overload.
+	// maxCallAttempts is enough attempts to outlast a short overload.
 	maxCallAttempts = 3
 )
 
-// onCallReached hears that a run stands at an upstream call.
+// onCallReached handles a run that has reached an upstream call.
 func (c *Controller) onCallReached(r *trackedRequest) {
 	now := c.executor.Now()
 	c.health.lastProgress = now
@@ -30,22 +31,22 @@
 	if !slices.Contains(c.requests.atCall, r) {
 		c.requests.atCall = append(c.requests.atCall, r)
 	}
-	c.upstream.end(r, now, now) // one that the run no longer waits for would count for ever
+	c.upstream.end(r, now, now) // a call that the run no longer waits for would count as open forever
 	r.callAttempts = 0
 }
 
-// scheduleCalls lets the runs with the least slack call first, as far as calls are allowed. The others go on without
-// their call when their slack is spent, where that is worth something.
+// scheduleCalls makes the waiting calls that are allowed, those with the least slack first. The other runs go on
+// without their call when their slack is used up, if an answer without the call has a value.
 func (c *Controller) scheduleCalls(now time.Duration) {
 	waiting := slices.DeleteFunc(slices.Clone(c.requests.atCall), func(r *trackedRequest) bool { return r.inCall })
 	slices.SortStableFunc(waiting, func(a, b *trackedRequest) int {
 		return cmp.Compare(a.arrivedAt+a.latencyObjective, b.arrivedAt+b.latencyObjective)
 	})
-	full := false // what has no room for one has none for the next
+	full := false // if one call is not allowed, the following ones are not either
 	for _, r := range waiting {
 		switch {
 		case r.answered:
-			c.executor.Fail(r.ID) // ends the run, nobody waits for it
+			c.executor.Fail(r.ID) // ends the run, because nobody waits for its answer
 		case !full && c.callAllowed(now):
 			c.call(r, now)
 		default:
@@ -55,8 +56,9 @@
 	}
 }
 
-// skipCallIfOutOfTime lets a run go on without its call when too little slack is left for more. Where calls are scarce many
-// wait, and leave for the cores together when their slack is spent, so that is bounded.
+// skipCallIfOutOfTime lets a run go on without its call when there is too little slack left for the call. If calls
+// are scarce, many runs wait and would return to the cores together when their slack is used up, so their number is
+// limited.
 func (c *Controller) skipCallIfOutOfTime(r *trackedRequest, now time.Duration) {
 	running := len(c.requests.running)
 	spent := r.class.SkippedCallValue > 0 && r.slack(now) < c.estimatedRunTime(r, running, now)/2
@@ -65,11 +67,12 @@
 	}
 }
 
-// callAllowed bounds the calls in hand so that the upstream survives what all instances call. Abandoned calls linger
-// there and are counted for as long. With an upstream that has admission control of its own no share is configured.
+// callAllowed reports whether another call may be made. It limits the outstanding calls so that the upstream
+// survives the calls of all instances. Abandoned calls linger at the upstream and count until they have ended
+// there. No share is configured for an upstream with its own admission control.
 //
-// Calls and runs together must leave what the cores survive when all calls come back at once, and calls must leave room
-// for runs on half of the cores, or none starts until they are back.
+// The cores must survive the runs and all calls if the calls return at once. Calls must also leave room for runs on
+// half of the cores, because no run could start until they return otherwise.
 func (c *Controller) callAllowed(now time.Duration) bool {
 	beside := max(len(c.requests.running), min(c.halfCores(), int(c.maxConcurrency())-1))
 	if !c.allowsOneMore(beside) {
@@ -92,13 +95,14 @@
 	return budget.used+next < time.Duration(throttle.share*float64(budget.limit))
 }
 
-// callTimeBudget is how long calls may be in hand, summed over the window, and how long they were. A limit of 0 means
-// that there is none.
+// callTimeBudget holds the maximum and the actual sum of outstanding call times over the window. A limit of 0 means
+// that there is no limit.
 type callTimeBudget struct{ limit, used time.Duration }
 
-// callTimeBudget applies where the share is under one call, and so a part of the time. Where several calls are allowed
-// at once their time is not bounded beside their number: calls cut short by what earlier ones used would be abandoned,
-// linger and use up more, until none is answered, long after the upstream has recovered.
+// callTimeBudget returns the budget for a share below one call, which is a part of the time. If several calls are
+// allowed at once, only their number is limited. A limit on their time would shorten calls because of the time that
+// earlier ones used. These calls would be abandoned, linger and use more time, until none is answered long after
+// the upstream has recovered.
 func (c *Controller) callTimeBudget(now time.Duration) callTimeBudget {
 	share, window := c.settings.UpstreamShare, c.upstreamWindow()
 	if share >= 1 {
@@ -114,7 +118,7 @@
 	return max(c.settings.UpstreamWindow, minUpstreamWindow)
 }
 
-// call makes the upstream call at which a run stands.
+// call makes the upstream call that a run has reached.
 func (c *Controller) call(r *trackedRequest, now time.Duration) {
 	deadline := c.callDeadline(r, now)
 	c.upstream.begin(r, now, c.upstreamWindow())
@@ -123,7 +127,7 @@
 	})
 }
 
-// callDeadline is when a call is abandoned.
+// callDeadline returns the time at which a call is abandoned.
 func (c *Controller) callDeadline(r *trackedRequest, now time.Duration) time.Duration {
 	deadline := r.deadline - answerMarginTicks*c.settings.Tick
 	if slack := r.slack(now); r.class.SkippedCallValue > 0 && slack > 0 {
@@ -133,14 +137,15 @@
 		left := (budget.limit - budget.used) / time.Duration(c.upstream.outstanding(now)+1)
 		deadline = min(deadline, now+left-c.settings.TimedOutCallLinger)
 	}
-	// A reply that never comes would hold its request until the slack is spent. A second call has all the time there is.
+	// A reply that never arrives would block its request until the slack is used up. A second attempt may use all
+	// the remaining time.
 	if c.upstream.hasEnoughCallTimes() && r.callAttempts == 0 && r.class.Idempotency == Idempotent {
 		deadline = min(deadline, now+firstCallTimeoutFactor*slices.Max(c.upstream.callTimes))
 	}
 	return max(deadline, now+c.settings.Tick)
 }
 
-// onCallDone hears how a call ended.
+// onCallDone handles the end of a call.
 func (c *Controller) onCallDone(r *trackedRequest, outcome Outcome, elapsed time.Duration) {
 	now := c.executor.Now()
 	until := now
@@ -154,8 +159,8 @@
 		c.requests.resume(r)
 		return
 	}
-	// Another attempt must not repeat an effect: only an outcome that proves that the call never ran, or a request
-	// that may run again, allows one.
+	// Another attempt must not repeat an effect. It is allowed only if the outcome proves that the call never ran,
+	// or if the request may run again.
 	mayRepeat := outcome.neverRan() || r.class.Idempotency == Idempotent
 	switch {
 	case r.answered:
@@ -170,8 +175,9 @@
 	}
 }
 
-// shouldRepeatCall tells whether one spoilt reply, or one that never came, is no reason to go on without the call: while
-// the time of a whole run is left. A call that was rejected, or that timed out at an overloaded upstream, is.
+// shouldRepeatCall reports whether a call is repeated instead of skipped. It is repeated after a lost connection or
+// an isolated timeout while there is time for a whole run. It is not repeated if the call was rejected, or timed
+// out at an overloaded upstream.
 func (c *Controller) shouldRepeatCall(r *trackedRequest, outcome Outcome, now time.Duration) bool {
 	if r.callAttempts >= maxCallAttempts {
 		return false
--- a/admission/upstream_test.go
+++ b/admission/upstream_test.go
@@ -48,8 +48,8 @@
 	// 0ms skip call c
 }
 
-// One spoilt reply, or one that never comes, is no reason to skip the call while the time of a run is left; the first
-// call is not waited for much longer than any took. What never started is neither a failure nor progress.
+// One spoilt reply, or one that never comes, is no reason to skip the call while the time of a run is left; the
+// first call is not waited for much longer than any took. What never started is neither a failure nor progress.
 func Example_spoiltReply() {
 	s := newFixture(Settings{
 		Classes:        withSkippedCallValue(0.5, 0.5),
@@ -158,8 +158,8 @@
 	// c may take 400ms
 }
 
-// An upstream share under one is a part of the time: one call in hand at most, abandoned when the part is used, and no
-// other until enough of the window has passed.
+// An upstream share under one is a part of the time: one call in hand at most, abandoned when the part is used, and
+// no other until enough of the window has passed.
 func Example_callTimeBudget() {
 	patient := ClassSettings{
 		Name:             "low",
--- a/admission/upstreamcalls.go
+++ b/admission/upstreamcalls.go
@@ -6,43 +6,43 @@
 )
 
 const (
-	// callTimeHistorySize still shows the usual time through ten seconds of overload.
+	// callTimeHistorySize is large enough to still contain the usual call times after ten seconds of overload.
 	callTimeHistorySize = 128
-	// latestCallCount are those whose median is the time that calls take now.
+	// latestCallCount is the number of calls whose median is the current call time.
 	latestCallCount = 8
-	// minCallTimes is the number of calls under which their times say nothing.
+	// minCallTimes is the minimum number of call times for an estimate.
 	minCallTimes = 16
-	// slowCallFactor is over the quickest quarter; that is about twice the usual time.
+	// slowCallFactor is a multiple of the fastest quartile. It is about twice the usual call time.
 	slowCallFactor = 4
-	// minThrottleShare is the part of the share that always stays, as calls may be slow and the upstream not overloaded.
+	// minThrottleShare is the part of the share that always remains, because calls may be slow without overload.
 	minThrottleShare = 0.25
 )
 
-// upstreamCall is a call that was made.
+// upstreamCall records a call.
 type upstreamCall struct {
 	id          RequestID
-	from, until time.Duration // until: where it is not open
+	from, until time.Duration // until is set if the call is not open
 	open        bool
 }
 
-// upstreamCalls holds the calls that occupy the upstream, and the times of the last ones.
+// upstreamCalls holds the calls that occupy the upstream, and the times of the most recent ones.
 type upstreamCalls struct {
-	calls     []upstreamCall  // the last ones, for the mean in hand
-	open      int             // of these
-	lingering []time.Duration // when calls that were abandoned no longer occupy the upstream
-	callTimes []time.Duration // of the last calls that succeeded
+	calls     []upstreamCall  // the most recent calls, for outstandingTime
+	open      int             // number of open calls
+	lingering []time.Duration // times at which abandoned calls cease to occupy the upstream
+	callTimes []time.Duration // of the most recent successful calls
 
-	cachedTime time.Duration // see timeInHand
+	cachedTime time.Duration // the last result of outstandingTime
 	cachedAt   time.Duration
 }
 
-// outstanding counts the open calls, and those that were abandoned and linger.
+// outstanding returns the number of calls that are open, or were abandoned and linger at the upstream.
 func (u *upstreamCalls) outstanding(now time.Duration) int {
 	u.lingering = slices.DeleteFunc(u.lingering, func(until time.Duration) bool { return until <= now })
 	return u.open + len(u.lingering)
 }
 
-// begin notes a call that goes out. Calls that ended before the window are dropped.
+// begin records a call that is being made. It removes old calls that ended before the window.
 func (u *upstreamCalls) begin(r *trackedRequest, now, window time.Duration) {
 	old := 0
 	for old < len(u.calls) && !u.calls[old].open && u.calls[old].until < now-window {
@@ -54,7 +54,7 @@
 	r.callAttempts++
 }
 
-// end notes that a request's call is no longer open, but occupies the upstream until the time given.
+// end records that a request's call is no longer open, but occupies the upstream until the given time.
 func (u *upstreamCalls) end(r *trackedRequest, now, until time.Duration) {
 	if !r.inCall {
 		return
@@ -72,16 +72,16 @@
 	}
 }
 
-// recordCallTime notes how long a call took.
+// recordCallTime records the time of a successful call.
 func (u *upstreamCalls) recordCallTime(elapsed time.Duration) {
 	u.callTimes = appendRecent(u.callTimes, elapsed, callTimeHistorySize)
 }
 
-// hasEnoughCallTimes tells whether the times of calls are known well enough to go by.
+// hasEnoughCallTimes reports whether there are enough call times for an estimate.
 func (u *upstreamCalls) hasEnoughCallTimes() bool { return len(u.callTimes) >= minCallTimes }
 
-// outstandingTime sums how long calls were in hand since a moment. It is summed once for each now: what begins or ends at
-// this moment does not change it.
+// outstandingTime returns the sum of the times for which calls were outstanding between from and now. It is
+// computed once for each now, because calls that begin or end at that time do not change it.
 func (u *upstreamCalls) outstandingTime(from, now time.Duration) time.Duration {
 	if u.cachedAt == now && now > 0 {
 		return u.cachedTime
@@ -97,15 +97,16 @@
 	return u.cachedTime
 }
 
-// callThrottle is how far calls are held back.
+// callThrottle describes how much calls are throttled.
 type callThrottle struct {
-	share    float64       // of the usual number, minThrottle to 1
-	callTime time.Duration // what calls take now; 0 while that is not known
+	share    float64       // share of the usual number of calls, minThrottleShare to 1
+	callTime time.Duration // current call time; 0 while it is not known
 }
 
-// throttle is under 1 while calls take over slowCallFactor times their quickest quarter, in proportion. A quarter is
-// still quick when most have been slow for a while. An overloaded upstream gets less done the more calls it holds, so
-// calls would pile up there long after a burst has gone.
+// throttle returns a share below 1 while calls take longer than slowCallFactor times their fastest quartile, in
+// proportion. The fastest quartile remains fast for a while even if most calls are slow. The more calls an
+// overloaded upstream holds, the less it completes, so that calls would accumulate there long after a burst has
+// ended.
 func (u *upstreamCalls) throttle() callThrottle {
 	if !u.hasEnoughCallTimes() {
 		return callThrottle{share: 1}
