--- a/admission/answer_test.go
+++ b/admission/answer_test.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// No request is lost: a queued one, a running one and one at a call are answered before they are due.
+// Queued requests, running requests and requests at a call are all answered before they are due.
 func Example_answeredInTime() {
 	s := newFixture(Settings{
 		Upstream:       UpstreamShared,
@@ -14,8 +14,8 @@
 	s.submit(newRequest("calls", 200*ms, 0.1), newRequest("runs", 200*ms, 0.1))
 	s.onCall["calls"]()
 	s.controller.Decide()
-	s.controller.limit.completions = s.controller.limit.completionsAtGrowth // no growth: the third is queued
-	s.controller.health.lastProgress += time.Hour                           // and not stalled
+	s.controller.limit.completions = s.controller.limit.completionsAtGrowth // no growth: the third request stays queued
+	s.controller.health.lastProgress += time.Hour                           // prevents the stalled state
 	third := newRequest("queued", 200*ms, 0.1)
 	third.HasDeadline, third.Deadline = true, s.now+650*ms
 	s.submit(newRequest("runs too", 200*ms, 0.1), third)
@@ -33,8 +33,8 @@
 	// 6196ms reject calls
 }
 
-// No effect happens twice: a duplicate gets the first one's result, a rejected request leaves no record, and a run
-// that is abandoned fails instead of being rejected.
+// No effect occurs twice: a duplicate receives the result of the first request, a rejected request leaves no
+// record, and an abandoned run that is not idempotent fails instead of being rejected.
 func Example_noEffectTwice() {
 	keyed := ClassSettings{
 		Name:              "low",
--- a/admission/arrivals.go
+++ b/admission/arrivals.go
@@ -63,15 +63,15 @@
 	for _, a := range h.recent {
 		counts[a.caller]++
 	}
-	var squares float64
+	var squareSum float64
 	for _, n := range counts { // integer values: their sum does not depend on the iteration order
-		squares += n * n
+		squareSum += n * n
 	}
-	if squares == 0 {
+	if squareSum == 0 {
 		return max(1, configured)
 	}
 	total := float64(len(h.recent))
-	return total * total / squares
+	return total * total / squareSum
 }
 
 // connectionReuse counts the arrivals whose caller sent another request within an idle timeout, and sums the time
@@ -85,8 +85,8 @@
 	var reuse connectionReuse
 	next := map[CallerID]time.Duration{} // the caller's next arrival
 	for _, a := range slices.Backward(h.recent) {
-		until, cameAgain := next[a.caller]
-		if !cameAgain {
+		until, hasNext := next[a.caller]
+		if !hasNext {
 			until = now
 		} else if until-a.at <= idleTimeout {
 			reuse.reuses++
--- a/admission/arrivals_test.go
+++ b/admission/arrivals_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A deadline at a share of the timeout that no other arrival has is that of a retry: its slack is spent.
+// A deadline at a share of the timeout that no other arrival has marks a retry, whose slack is reduced.
 func Example_timeSpentBefore() {
 	s := newFixture(Settings{})
 	for i := range 16 {
--- a/admission/batch.go
+++ b/admission/batch.go
@@ -59,21 +59,21 @@
 func batchAround(anchor candidate, candidates []candidate, count int) ([]candidate, float64) {
 	var batch []candidate
 	var workSum, slackSum float64
-	for _, k := range candidates {
-		if k.request == anchor.request || k.slack >= anchor.slack && k.slack > 0 {
-			batch = append(batch, k)
-			workSum += float64(k.work)
-			slackSum += float64(k.slack)
+	for _, cand := range candidates {
+		if cand.request == anchor.request || cand.slack >= anchor.slack && cand.slack > 0 {
+			batch = append(batch, cand)
+			workSum += float64(cand.work)
+			slackSum += float64(cand.slack)
 		}
 	}
-	value := func(k candidate) float64 { return 1 / (float64(k.work)/workSum + float64(k.slack)/slackSum) }
+	value := func(cand candidate) float64 { return 1 / (float64(cand.work)/workSum + float64(cand.slack)/slackSum) }
 	slices.SortStableFunc(batch, func(a, b candidate) int { return cmp.Compare(value(b), value(a)) })
-	batch = slices.DeleteFunc(batch, func(k candidate) bool { return k.request == anchor.request })
+	batch = slices.DeleteFunc(batch, func(cand candidate) bool { return cand.request == anchor.request })
 	batch = slices.Insert(batch, 0, anchor)
 	batch = batch[:min(count, len(batch))]
 	var total float64
-	for _, k := range batch {
-		total += value(k)
+	for _, cand := range batch {
+		total += value(cand)
 	}
 	return batch, total
 }
--- a/admission/batch_test.go
+++ b/admission/batch_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Batch selection starts a request at risk against the start order while no core is free; without a feasible one
-// the order decides.
+// Batch selection starts a request at risk ahead of the start order while no core is free. The start order applies
+// if there is no feasible batch.
 func Example_batchSelection() {
 	play := func(age time.Duration) {
 		s := newFixture(Settings{})
@@ -17,9 +17,9 @@
 		s.now += age
 		s.controller.health.lastProgress = s.now
 		s.controller.recordGauges(Gauges{GaugeRunnable: 3})
-		s.controller.limit.runs = 3 // as idle cores let it grow before
+		s.controller.limit.runs = 3 // the limit to which idle cores let it grow before
 		for _, r := range s.controller.requests.running {
-			r.arrivedAt = s.now // their slack leaves the limit as it is
+			r.arrivedAt = s.now // their slack does not reduce the limit
 		}
 		s.onEnd["a1"](Succeeded, 200*ms)
 		s.submit(newRequest("head", 150*ms, 0.9))
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// What one request costs while so many are queued and the cores are busy: one comes, one ends, one starts.
-// Objectives are long, so that none is shed.
+// BenchmarkHeld measures the cost of one request for a number of queued requests while the cores are busy: one
+// request arrives, one run ends and one run starts. Objectives are long, so that no request is shed.
 //
 //	go test -run xxx -bench Held ./admission
 func BenchmarkHeld(b *testing.B) {
--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -37,16 +37,16 @@
 // completes within the least slack of the running requests. The limit is at most the adaptive limit and the
 // ceiling. It is at least the number of cores plus the number of blocked runs, unless the ceiling is lower.
 func (c *Controller) concurrencyLimit(now time.Duration) int {
-	least := time.Duration(math.MaxInt64)
+	leastSlack := time.Duration(math.MaxInt64)
 	classes := map[*classState]bool{}
 	for _, r := range c.requests.running {
 		if slack := r.slack(now); slack > 0 {
-			least = min(least, slack)
+			leastSlack = min(leastSlack, slack)
 			classes[r.class] = true
 		}
 	}
 	limit := c.limit.runs
-	for limit > c.cores && !c.allWithinSlack(classes, limit, least, now) {
+	for limit > c.cores && !c.allWithinSlack(classes, limit, leastSlack, now) {
 		limit--
 	}
 	return min(max(limit, c.cores+c.gauges.blockedRuns()), c.concurrencyCeiling())
--- a/admission/concurrency_test.go
+++ b/admission/concurrency_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// The limit floors at the cores, grows by one while cores idle and work waits, once for each completion, falls back
-// when more than the cores are wanted, and stays under the survivable number of runs.
+// The limit is at least the number of cores. While cores are idle and requests wait, it grows by one for each
+// completion. It decreases when more runs than cores are runnable, and stays below the survivable number of runs.
 func Example_concurrencyLimit() {
 	s := newFixture(Settings{})
 	s.warmUp(100 * ms)
 	fmt.Println("limit", s.controller.concurrencyLimit(s.now))
 	s.submit(newRequest("a", 100*ms, 0.1), newRequest("b", 100*ms, 0.1), newRequest("c", 100*ms, 0.1),
 		newRequest("d", 100*ms, 0.1))
-	s.advance(50*ms, Gauges{GaugeRunnable: 1}) // one of the two waits on disk
+	s.advance(50*ms, Gauges{GaugeRunnable: 1}) // one of the two waits for the disk
 	fmt.Println("limit", s.controller.concurrencyLimit(s.now))
 	s.advance(50*ms, Gauges{GaugeRunnable: 1})
 	s.finish(Succeeded, 100*ms, "a")
@@ -34,22 +34,23 @@
 	// ceiling 12 warming up 4
 }
 
-// Calls take long and end all at once, while requests come without end: the runs on the cores stay under what is
-// survived, on few cores and many, with a low multiple and a high one; and the cores are kept at work.
+// Calls take long and all end at once, while requests keep arriving. The runs on the cores must stay within the
+// survivable number, for few and many cores and for low and high numbers of runs per core. The cores must be kept
+// busy.
 func TestCallsReturnTogether(t *testing.T) {
 	for _, cores := range []float64{1, 4} {
 		for _, perCore := range []float64{2, 3, 4, 8} {
 			t.Run(fmt.Sprintf("%v cores, %v a core", cores, perCore), func(t *testing.T) {
-				most := playCallsReturnTogether(cores, perCore)
-				if float64(most) > cores*perCore || float64(most) < cores {
-					t.Errorf("%d ran, %v are survived", most, cores*perCore)
+				maxRunning := playCallsReturnTogether(cores, perCore)
+				if float64(maxRunning) > cores*perCore || float64(maxRunning) < cores {
+					t.Errorf("%d runs on the cores, %v are survivable", maxRunning, cores*perCore)
 				}
 			})
 		}
 	}
 }
 
-// playCallsReturnTogether returns the most runs that were on the cores.
+// playCallsReturnTogether returns the highest number of runs that were on the cores at once.
 func playCallsReturnTogether(cores, perCore float64) int {
 	s := newFixture(Settings{
 		Cores:                 cores,
@@ -60,7 +61,7 @@
 		MemoryKB:              1e6,
 	})
 	s.quiet = true
-	arrived, most := 0, 0
+	arrived, maxRunning := 0, 0
 	for step := range 400 {
 		s.now += 2 * ms
 		var requests []Request
@@ -77,12 +78,12 @@
 		}
 		s.controller.Decide()
 		s.controller.recordGauges(Gauges{GaugeRunnable: 0.5, GaugeBusyCores: 0.5}) // idle cores let the limit grow
-		most = max(most, len(s.controller.requests.running))
+		maxRunning = max(maxRunning, len(s.controller.requests.running))
 	}
-	return most
+	return maxRunning
 }
 
-// moveRuns moves on as many runs as there are cores: half of those that may go to a call, the others to their end.
+// moveRuns advances as many runs as there are cores. Half of the runs that can reach a call do so; the others end.
 func (s *fixture) moveRuns(cores int) {
 	ids := s.runningIDs()
 	for _, id := range ids[:min(cores, len(ids))] {
--- a/admission/decisions_test.go
+++ b/admission/decisions_test.go
@@ -12,8 +12,9 @@
 	"testing"
 )
 
-// The decisions of random scenarios, as digests of a block of scenarios each: a change that is to decide the same
-// has to give the same digests. To compare more blocks than are in the file, record them with the version before:
+// TestSameDecisions compares digests of the decisions in random scenarios, one digest per block of scenarios. A
+// change that must not alter decisions must reproduce them. To compare more blocks than the file holds, record them
+// with the previous version:
 //
 //	go test -run SameDecisions ./admission -blocks 60 -record
 var (
@@ -42,15 +43,15 @@
 	recorded := bufio.NewScanner(bytes.NewReader(text))
 	for b, line := range lines {
 		if !recorded.Scan() {
-			t.Fatalf("%s has %d blocks, wants %d", decisionsFile, b, len(lines))
+			t.Fatalf("%s has %d blocks, want %d", decisionsFile, b, len(lines))
 		}
 		if want := recorded.Text(); line != want {
-			t.Errorf("block %s, was %s", line, want)
+			t.Errorf("block %s, want %s", line, want)
 		}
 	}
 }
 
-// playBlocks returns a line for each block: its number, its digest and how much was decided.
+// playBlocks returns a line for each block: its number, its digest and the number of decisions.
 func playBlocks(n int) []string {
 	lines := make([]string, n)
 	var all sync.WaitGroup
@@ -59,7 +60,7 @@
 			hash, decided := fnv.New64a(), 0
 			for i := range scenariosPerBlock {
 				digest, n := play(uint64(b*scenariosPerBlock + i))
-				_, _ = fmt.Fprintln(hash, digest) // a hash takes all
+				_, _ = fmt.Fprintln(hash, digest) // writing to a hash never fails
 				decided += n
 			}
 			lines[b] = fmt.Sprintf("%d %016x %d", b, hash.Sum64(), decided)
--- a/admission/drain_test.go
+++ b/admission/drain_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Drain: nothing that came after the grace runs, and all is answered before the kill.
+// During a drain, no request that arrives after the grace runs, and all requests are answered before the kill.
 func Example_drain() {
 	s := newFixture(Settings{})
 	s.warmUp(200 * ms)
@@ -22,8 +22,8 @@
 	// 4550ms reject in time
 }
 
-// Before the kill all is answered: a twelfth of a long drain ahead of it, 150 ms ahead at the end of a short one,
-// as the machine may stand still.
+// All requests are answered before the kill: by a twelfth of the duration of a long drain, and by 150 ms in a short
+// one, because the machine may be suspended.
 func Example_answeredBeforeKill() {
 	for _, drain := range []time.Duration{8400 * ms, 1200 * ms} {
 		s := newFixture(Settings{})
--- a/admission/estimate_test.go
+++ b/admission/estimate_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// The fit: run time against the number of runs, in proportion while there are too few runs for a line.
+// The run time is fitted against the number of runs. It is proportional while there are too few runs for a line
+// fit.
 func Example_runTimeFit() {
 	s := newFixture(Settings{})
 	low := s.controller.classes["low"]
@@ -17,7 +18,7 @@
 	fitted := func(running int) time.Duration { return s.controller.fittedRunTime(low, running, s.now).Round(ms) }
 	fmt.Println("line", fitted(2), fitted(6))
 	low.runs.recent = low.runs.recent[:1]
-	low.runs.successes++ // as add does, for a new estimate
+	low.runs.successes++ // as add does, to invalidate the cached estimate
 	fmt.Println("proportion", fitted(2), fitted(4))
 	// Output:
 	// line 200ms 400ms
--- a/admission/example_test.go
+++ b/admission/example_test.go
@@ -7,7 +7,7 @@
 	"lanewheel/admission"
 )
 
-// executor runs each request at once, and has no upstream, records or timers.
+// executor starts each run immediately, and has no upstream, records or timers.
 type executor struct {
 	now     time.Duration
 	running map[admission.RequestID]func(admission.Outcome, time.Duration)
@@ -40,8 +40,8 @@
 func (*executor) Call(admission.RequestID, time.Duration, func(admission.Outcome, time.Duration)) {
 }
 
-// An instance of one core runs one request at a time. The second waits, and the third is rejected: it can't be done
-// in the time that its caller waits.
+// An instance with one core runs one request at a time. The second request waits. The third is rejected because it
+// cannot be completed before its deadline.
 func Example() {
 	settings := admission.Settings{
 		Cores: 1,
--- a/admission/fixture_test.go
+++ b/admission/fixture_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-// fixture is an Executor that prints what its Controller decides, and keeps the functions that it is handed.
+// fixture is an Executor that prints the decisions of its Controller and keeps the functions passed to it.
 type fixture struct {
 	controller   *Controller
 	now          time.Duration
@@ -29,8 +29,8 @@
 	then func(Gauges)
 }
 
-// newFixture starts an instance of two cores; each setting that extra has replaces the default one.
-func newFixture(extra Settings) *fixture {
+// newFixture starts an instance with two cores. Settings that are not zero in overrides replace the defaults.
+func newFixture(overrides Settings) *fixture {
 	s := &fixture{
 		onCall:     map[RequestID]func(){},
 		onEnd:      map[RequestID]func(Outcome, time.Duration){},
@@ -47,7 +47,7 @@
 		SurvivableRunsPerCore: 8,
 		DrainGrace:            time.Second,
 	}
-	to, from := reflect.ValueOf(&settings).Elem(), reflect.ValueOf(extra)
+	to, from := reflect.ValueOf(&settings).Elem(), reflect.ValueOf(overrides)
 	for i := range from.NumField() {
 		if !from.Field(i).IsZero() {
 			to.Field(i).Set(from.Field(i))
@@ -58,7 +58,7 @@
 	return s
 }
 
-// testClasses are the classes of a fixture: the low and the high one.
+// testClasses returns the classes of a fixture, low and high.
 func testClasses() []ClassSettings {
 	low := ClassSettings{
 		Name:             "low",
@@ -72,7 +72,7 @@
 	return []ClassSettings{low, high}
 }
 
-// withSkippedCallValue gives testClasses the values of answers without the upstream call.
+// withSkippedCallValue returns testClasses with the given values of answers without the upstream call.
 func withSkippedCallValue(low, high float64) []ClassSettings {
 	classes := testClasses()
 	classes[0].SkippedCallValue, classes[1].SkippedCallValue = low, high
@@ -82,7 +82,7 @@
 func (s *fixture) printf(format string, args ...any) {
 	if !s.quiet {
 		line := fmt.Sprintf("%dms "+format+"\n", append([]any{s.now.Milliseconds()}, args...)...)
-		_, _ = io.WriteString(s.out, line) // a lost line fails the example
+		_, _ = io.WriteString(s.out, line) // a missing line fails the example
 	}
 }
 
@@ -134,7 +134,7 @@
 	s.timers = append(s.timers, timer{at, then})
 }
 
-// newRequest is of the low class, or of the high one by its rank.
+// newRequest returns a request of the class low, or high if its rank is at least 0.5.
 func newRequest(id string, hint time.Duration, rank float64) Request {
 	r := Request{ID: RequestID(id), Class: "low", WorkHint: hint, Rank: rank}
 	if rank >= 0.5 {
@@ -143,7 +143,7 @@
 	return r
 }
 
-// submit takes requests, of 10 KB unless they say otherwise, as one batch.
+// submit submits requests as one batch. Requests without a memory size get 10 KB.
 func (s *fixture) submit(requests ...Request) {
 	for _, r := range requests {
 		if r.MemoryKB == 0 {
@@ -154,7 +154,7 @@
 	s.controller.Decide()
 }
 
-// finish ends runs after the time they took, as one batch.
+// finish ends runs with the given outcome and elapsed time, as one batch.
 func (s *fixture) finish(outcome Outcome, elapsed time.Duration, ids ...RequestID) {
 	for _, id := range ids {
 		if s.onEnd[id] == nil {
@@ -168,14 +168,14 @@
 	s.controller.Decide()
 }
 
-// finishCall ends a call and takes its function.
+// finishCall ends a call and removes its done function.
 func (s *fixture) finishCall(id RequestID, outcome Outcome, elapsed time.Duration) {
 	done := s.onCallDone[id]
 	delete(s.onCallDone, id)
 	done(outcome, elapsed)
 }
 
-// advance moves the clock on, firing the timers with these gauges.
+// advance advances the clock by the duration, and fires due timers with the given gauges.
 func (s *fixture) advance(duration time.Duration, gauges Gauges) {
 	for until := s.now + duration; s.now < until; {
 		s.now += 2 * ms
@@ -185,7 +185,7 @@
 	}
 }
 
-// fireTimers fires those that are due and tells whether there were any.
+// fireTimers fires the timers that are due and reports whether there were any.
 func (s *fixture) fireTimers(gauges Gauges) bool {
 	timers := s.timers
 	s.timers = nil
@@ -199,7 +199,7 @@
 	return len(s.timers) < len(timers)
 }
 
-// warmUp gives each class the runs that it needs for a fit, all of one length, unprinted.
+// warmUp runs enough requests of each class for a fit, all with the same elapsed time, without printing.
 func (s *fixture) warmUp(elapsed time.Duration) {
 	s.quiet = true
 	for i := range 16 {
@@ -211,7 +211,7 @@
 	s.quiet = false
 }
 
-// runningIDs are the requests on the cores.
+// runningIDs returns the IDs of the requests on the cores.
 func (s *fixture) runningIDs() []RequestID {
 	var ids []RequestID
 	for _, r := range s.controller.requests.running {
@@ -220,7 +220,7 @@
 	return ids
 }
 
-// awaitedCalls are the requests whose call is not done, in the order of their names.
+// awaitedCalls returns the sorted IDs of the requests whose call is not done.
 func (s *fixture) awaitedCalls() []RequestID {
 	var ids []RequestID
 	for id := range s.onCallDone {
--- a/admission/gauges.go
+++ b/admission/gauges.go
@@ -84,9 +84,9 @@
 }
 
 // pressureSustained reports whether the history is full and each reading has at least the given pressure.
-func (h *gaugeHistory) pressureSustained(least float64) bool {
+func (h *gaugeHistory) pressureSustained(minPressure float64) bool {
 	for _, reading := range h.readings {
-		if reading.pressure < least {
+		if reading.pressure < minPressure {
 			return false
 		}
 	}
--- a/admission/health.go
+++ b/admission/health.go
@@ -30,8 +30,8 @@
 const (
 	StateHealthy  State = iota // runs end, and few fail
 	StateStalled               // requests start but none completes; ends when a run next ends
-	StateFailing               // half or more of the recent runs failed; ends when the failures expire
-	StateDraining              // the instance was notified to drain
+	StateFailing               // the instance was notified to drain
+	StateDraining              // the instance previous notified to drain
 )
 
 var stateNames = [...]string{
@@ -102,19 +102,19 @@
 		runTime += c.estimatedRunTime(r, len(running), now)
 	}
 	runTime /= time.Duration(len(running))
-	quiet := now - max(oldest, c.health.lastProgress)
-	return float64(quiet) > float64(runTime)*(stalledRunTimes+stalledExtraRunTimes/float64(len(running)))
+	sinceProgress := now - max(oldest, c.health.lastProgress)
+	return float64(sinceProgress) > float64(runTime)*(stalledRunTimes+stalledExtraRunTimes/float64(len(running)))
 }
 
 // updateState updates the state, and logs and publishes a change once.
 func (c *Controller) updateState(now time.Duration) {
-	was := c.health.state
+	previous := c.health.state
 	c.health.state = c.currentState(now)
-	if c.health.state == was {
+	if c.health.state == previous {
 		return
 	}
 	c.executor.LogTransition(Transition{
-		From:    was,
+		From:    previous,
 		To:      c.health.state,
 		Queued:  len(c.requests.queue),
 		Running: len(c.requests.running),
--- a/admission/health_test.go
+++ b/admission/health_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Stalled: work goes in and none comes out. All are answered at once; the first run that ends is the way back.
+// In the stalled state, requests start but none completes. All requests are answered immediately, and the next run
+// that ends makes the instance healthy again.
 func Example_stalled() {
 	s := newFixture(Settings{LoadSignal: LoadSignalChance})
 	s.warmUp(100 * ms)
@@ -32,7 +33,7 @@
 	// 2400ms start e
 }
 
-// Failing: most runs fail at once. A few requests go through as a probe; old failures are forgotten.
+// In the failing state, most runs fail immediately. A few requests run as probes, and old failures expire.
 func Example_failing() {
 	s := newFixture(Settings{})
 	s.warmUp(100 * ms)
--- a/admission/idletimeout_test.go
+++ b/admission/idletimeout_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Connections of callers that come back are kept; where each comes once, unused ones are closed a step sooner at
-// each sample, but not while more is rejected than started.
+// Connections of callers that return are kept. If each caller sends only one request, the timeout of unused
+// connections is reduced by one step per sample, unless more requests are rejected than started.
 func Example_idleTimeout() {
 	play := func(callers int, work time.Duration) {
 		s := newFixture(Settings{MaxIdleTimeout: 8 * time.Second})
--- a/admission/loadreport.go
+++ b/admission/loadreport.go
@@ -90,11 +90,11 @@
 		return 1 - acceptance
 	}
 	ranks := c.arrivals.sortedRanks()
-	below := int((1 - acceptance) * float64(len(ranks)))
-	if below <= 0 {
+	rejected := int((1 - acceptance) * float64(len(ranks)))
+	if rejected <= 0 {
 		return 0
 	}
-	return ranks[min(below, len(ranks)-1)]
+	return ranks[min(rejected, len(ranks)-1)]
 }
 
 // tokens returns the number of requests that each caller may have on this instance. If callers rarely have more
--- a/admission/loadreport_test.go
+++ b/admission/loadreport_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Requests come that lay unread for long. The load report falls and, once that lasts, callers of rejected requests
-// are asked not to try another instance.
+// Requests arrive that have waited unread for long. The load report decreases. Once this lasts, callers of rejected
+// requests are asked not to try another instance.
 func Example_queueDelay() {
 	s := newFixture(Settings{LoadSignal: LoadSignalChance})
 	s.warmUp(200 * ms)
@@ -25,7 +25,7 @@
 	// 3750ms reject s11, no failover
 }
 
-// The tokens of a caller are a probability where callers seldom have two requests here.
+// The tokens of a caller are a probability if callers rarely have two requests on this instance.
 func Example_tokens() {
 	for _, callers := range []int{2, 40} {
 		s := newFixture(Settings{LoadSignal: LoadSignalTokens})
@@ -45,8 +45,8 @@
 	// 40 callers: acceptance 0.14, tokens 0.15
 }
 
-// The least rank holds from the first answer of an instance that warms up: no request has come yet, and three in
-// ten of the ranks are welcome.
+// The least rank applies from the first report of an instance that warms up: no request has arrived yet, and
+// three tenths of the ranks are accepted.
 func Example_warmUpRank() {
 	s := newFixture(Settings{
 		LoadSignal:       LoadSignalLeastRank,
@@ -62,9 +62,8 @@
 	// 0ms load 0.00
 }
 
-// What an instance that warms up invites by its tokens, summed over all callers that may go by them, stays within
-// what it bears and what chance adds, from its first answer on, with 1 to 300 callers of which it has seen none,
-// some or all.
+// The tokens of an instance that warms up, summed over all callers that may use them, stay within its capacity plus
+// random variation. This holds from the first report, for 1 to 300 callers of which it has seen none, some or all.
 func TestWarmUpTokens(t *testing.T) {
 	for callers := 1; callers <= 300; callers++ {
 		for _, seen := range []int{0, 1, callers / 2, callers} {
@@ -96,7 +95,7 @@
 		s.finish(Succeeded, 10*ms, r.ID)
 	}
 	s.controller.Decide()
-	// What two cores do in the time, while nothing is known of the work: an eighth of an objective each.
+	// The work that two cores complete in the time. Without samples, a request counts as an eighth of an objective.
 	work := objective / 8
 	if seen > 0 {
 		work = 10 * ms
@@ -104,6 +103,6 @@
 	allowed := 2 * s.controller.slowStart.speedShare(s.now) * float64(tolerance) / float64(work)
 	invited := float64(callers) * s.controller.publishedLoad
 	if invited > allowed+2*math.Sqrt(allowed+2) || invited <= 0 {
-		t.Fatalf("%d callers, %d seen: %.1f invited, %.1f allowed", callers, seen, invited, allowed)
+		t.Fatalf("%d callers, %d seen: %.1f requests invited, %.1f allowed", callers, seen, invited, allowed)
 	}
 }
--- a/admission/memory_test.go
+++ b/admission/memory_test.go
@@ -1,13 +1,13 @@
 package admission
 
-// What memory cannot hold is rejected, and a run waits for its memory.
+// Requests that do not fit in memory are rejected, and a run starts only when its memory is available.
 func Example_memory() {
 	s := newFixture(Settings{})
 	big := newRequest("big", 200*ms, 0.1)
 	big.MemoryKB = 200
 	s.submit(big)
 	big.ID = "second"
-	s.submit(big) // would need 4 x 200 more
+	s.submit(big) // would need 4 x 200 KB more
 	big.ID, big.MemoryKB = "third", 900
 	s.submit(big)
 	s.finish(Succeeded, 200*ms, "big")
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -68,24 +68,24 @@
 func (c *Controller) sortQueue(now time.Duration) []candidate {
 	candidates := c.order.candidates[:0]
 	for _, r := range c.requests.queue {
-		k := candidate{
+		cand := candidate{
 			request: r,
 			level:   levelUsual,
 			urgency: urgencyRelaxed,
 			work:    c.estimatedWork(r, now),
 			slack:   r.slack(now),
 		}
-		k.runTime = time.Duration(float64(k.work) * runsPerCore(float64(len(c.requests.running)), c.cores))
-		if float64(k.runTime)/float64(max(k.slack, minSlack)) > urgentRunTimeShare {
-			k.urgency = urgencyUrgent
+		cand.runTime = time.Duration(float64(cand.work) * runsPerCore(float64(len(c.requests.running)), c.cores))
+		if float64(cand.runTime)/float64(max(cand.slack, minSlack)) > urgentRunTimeShare {
+			cand.urgency = urgencyUrgent
 		}
 		if c.order.isProtected(r) {
-			k.level = levelProtected
+			cand.level = levelProtected
 		}
 		if r.overQuota {
-			k.level++
+			cand.level++
 		}
-		candidates = append(candidates, k)
+		candidates = append(candidates, cand)
 	}
 	slices.SortStableFunc(candidates, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.level, b.level), cmp.Compare(a.urgency, b.urgency), cmp.Compare(a.work, b.work))
@@ -96,5 +96,5 @@
 
 // removeCandidate removes the candidate of a request that has left the queue, in place.
 func removeCandidate(candidates []candidate, r *trackedRequest) []candidate {
-	return slices.DeleteFunc(candidates, func(k candidate) bool { return k.request == r })
+	return slices.DeleteFunc(candidates, func(cand candidate) bool { return cand.request == r })
 }
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -1,12 +1,12 @@
 package admission
 
-// The start order: protected first, then urgent, then least work left.
+// The start order is protected requests first, then urgent ones, then those with the least work.
 func Example_startOrder() {
 	s := newFixture(Settings{})
 	s.warmUp(200 * ms)
 	s.submit(newRequest("a1", 200*ms, 0.1), newRequest("a2", 200*ms, 0.1)) // fill both cores
 	s.submit(newRequest("urgent", 200*ms, 0.1))
-	s.now += 620 * ms // its slack runs out
+	s.now += 620 * ms // uses up most of its slack
 	s.submit(
 		newRequest("long", 220*ms, 0.1),
 		newRequest("short", 100*ms, 0.1),
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -53,9 +53,9 @@
 	share := quotaWindow.Seconds() / max(1, q.fleetSize)
 	// In a storm of unmarked retries all tenants exceed their quotas. The quotas are then scaled up with the
 	// arrivals.
-	part := tenant.quotaPerSecond * share * max(1, arrived/(quotas*share))
+	instanceQuota := tenant.quotaPerSecond * share * max(1, arrived/(quotas*share))
 	// At low rates, a tenant within its quota exceeds its part by chance.
-	return float64(tenant.countSince(since)) > part+quotaDeviations*math.Sqrt(part)
+	return float64(tenant.countSince(since)) > instanceQuota+quotaDeviations*math.Sqrt(instanceQuota)
 }
 
 // totals returns the arrivals of all tenants and the sum of their quotas. It adds them in the configured order.
--- a/admission/quota_test.go
+++ b/admission/quota_test.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// A tenant beyond its quota waits for the others: its first request is within, its later ones are not.
+// Requests of a tenant beyond its quota wait for those of other tenants. Its first request is within the quota, and
+// the later ones are not.
 func Example_quota() {
 	s := newFixture(Settings{FleetSize: 1, Tenants: []TenantSettings{
 		{Name: "x", QuotaPerSecond: 0.1},
@@ -27,11 +28,11 @@
 	for n < 900 && !s.controller.quotas.recordArrival(&trackedRequest{Request: y}, s.now) {
 		n++
 	}
-	fmt.Println("of hundreds within a moment, the first one beyond is", n)
+	fmt.Println("first arrival beyond the quota of 100 a second:", n)
 	// Output:
 	// 3200ms start a
 	// 3200ms start b
 	// 3200ms start x0
 	// 3200ms start y
-	// of hundreds within a moment, the first one beyond is 441
+	// first arrival beyond the quota of 100 a second: 441
 }
--- a/admission/random_test.go
+++ b/admission/random_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The same seed and events give the same trace; another seed draws otherwise.
+// The same seed and events result in the same trace. Another seed draws different random numbers.
 func Example_sameSeed() {
 	trace := func() string {
 		var out strings.Builder
--- a/admission/recorder_test.go
+++ b/admission/recorder_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// recorder is an Executor that hashes all that it is told, to the nanosecond. Its words are those of the digests
-// in testdata.
+// recorder is an Executor that hashes all calls it receives, with times in nanoseconds. Its texts are part of the
+// digests in testdata and must not change.
 type recorder struct {
 	controller *Controller
 	now        time.Duration
@@ -32,7 +32,7 @@
 func (r *recorder) record(format string, args ...any) {
 	r.lines++
 	line := fmt.Sprintf("%d "+format+"\n", append([]any{r.now}, args...)...)
-	_, _ = r.hash.Write([]byte(line)) // a hash takes all
+	_, _ = r.hash.Write([]byte(line)) // writing to a hash never fails
 }
 
 func (r *recorder) Now() time.Duration { return r.now }
@@ -87,7 +87,7 @@
 	r.timers = append(r.timers, timer{at, then})
 }
 
-// fireTimers fires those that are due, each with gauges of its own.
+// fireTimers fires the timers that are due, each with newly drawn gauges.
 func (r *recorder) fireTimers(gauges func() Gauges) {
 	timers := r.timers
 	r.timers = nil
--- a/admission/run.go
+++ b/admission/run.go
@@ -11,17 +11,17 @@
 			capacity = 1
 		}
 		if capacity < 1 {
-			if left := c.shedHopeless(candidates, now, true); len(left) > 0 {
+			if remaining := c.shedHopeless(candidates, now, true); len(remaining) > 0 {
 				c.stopHopelessRuns(now)
 			}
 			return
 		}
-		for _, k := range c.selectBatch(candidates, capacity, now) {
-			if c.runExceedsMemory(k.request, now) {
+		for _, cand := range c.selectBatch(candidates, capacity, now) {
+			if c.runExceedsMemory(cand.request, now) {
 				return
 			}
-			c.start(k.request)
-			candidates = removeCandidate(candidates, k.request)
+			c.start(cand.request)
+			candidates = removeCandidate(candidates, cand.request)
 		}
 	}
 }
--- a/admission/scenario_test.go
+++ b/admission/scenario_test.go
@@ -8,48 +8,48 @@
 	"time"
 )
 
-// pickOne picks pickOne of the values by chance.
-func pickOne[T any](chance *rand.Rand, values ...T) T { return values[chance.IntN(len(values))] }
+// pickOne returns one of the values at random.
+func pickOne[T any](rng *rand.Rand, values ...T) T { return values[rng.IntN(len(values))] }
 
-// pickKey gives one of a map's keys, by chance but not by the map's order.
-func pickKey[T any](chance *rand.Rand, m map[RequestID]T) (RequestID, bool) {
+// pickKey returns a random key of a map, independent of the map's iteration order, and whether the map has any.
+func pickKey[T any](rng *rand.Rand, m map[RequestID]T) (RequestID, bool) {
 	if len(m) == 0 {
 		return "", false
 	}
-	return pickOne(chance, slices.Sorted(maps.Keys(m))...), true
+	return pickOne(rng, slices.Sorted(maps.Keys(m))...), true
 }
 
 // scenario is a random sequence of events: classes, tenants, quotas, calls, hints, drains, overloads, cold starts,
-// times and gauges that jump. The order in which it draws belongs to the digests in testdata.
+// and jumps of times and gauges. The digests in testdata depend on the order of its draws.
 type scenario struct {
-	chance   *rand.Rand
+	rng      *rand.Rand
 	recorder *recorder
 	settings Settings
 	cores    int
-	runTime  time.Duration // of one request, about
+	runTime  time.Duration // approximate run time of one request
 	arrived  int
 	drained  bool
 }
 
-// play plays the scenario of a seed, and returns the digest and the number of what was decided.
+// play plays the scenario of a seed, and returns the digest and the number of decisions.
 func play(seed uint64) (digest uint64, lines int) {
-	s := &scenario{chance: rand.New(rand.NewPCG(seed, 18)), recorder: newRecorder()}
+	s := &scenario{rng: rand.New(rand.NewPCG(seed, 18)), recorder: newRecorder()}
 	s.drawSettings()
 	s.recorder.controller = New(seed, s.settings, s.recorder)
-	s.runTime = time.Duration(5+s.chance.IntN(60)) * time.Millisecond
+	s.runTime = time.Duration(5+s.rng.IntN(60)) * time.Millisecond
 	for range 150 {
 		s.step()
 	}
 	return s.recorder.hash.Sum64(), s.recorder.lines
 }
 
-// duration draws between two numbers of milliseconds.
-func (s *scenario) duration(least, most int) time.Duration {
-	return time.Duration(least+s.chance.IntN(most-least+1)) * time.Millisecond
+// duration returns a random duration between two numbers of milliseconds.
+func (s *scenario) duration(minimum, maximum int) time.Duration {
+	return time.Duration(minimum+s.rng.IntN(maximum-minimum+1)) * time.Millisecond
 }
 
 func (s *scenario) drawSettings() {
-	c := s.chance
+	c := s.rng
 	for i := range 1 + c.IntN(3) {
 		s.settings.Classes = append(s.settings.Classes, s.drawClass(i))
 	}
@@ -86,7 +86,7 @@
 }
 
 func (s *scenario) drawClass(i int) ClassSettings {
-	c := s.chance
+	c := s.rng
 	objective := s.duration(200, 2000)
 	return ClassSettings{
 		Name:              Class(fmt.Sprint("t", i)),
@@ -100,9 +100,9 @@
 	}
 }
 
-// step plays one batch of events and, after the decisions, the timers that are due.
+// step plays one batch of events, then the decisions, then the timers that are due.
 func (s *scenario) step() {
-	r, c := s.recorder, s.chance
+	r, c := s.recorder, s.rng
 	s.stepArrivals()
 	r.now += s.duration(0, 20)
 	for range c.IntN(s.cores + 2) {
@@ -119,9 +119,9 @@
 	r.controller.Decide()
 }
 
-// stepArrivals has some requests come, many at once, the clock jump, or the notice to drain.
+// stepArrivals plays the arrival of a few or many requests, a jump of the clock, or the notice to drain.
 func (s *scenario) stepArrivals() {
-	r, c := s.recorder, s.chance
+	r, c := s.recorder, s.rng
 	switch c.IntN(40) {
 	case 0:
 		s.submit(20 + c.IntN(150))
@@ -149,7 +149,7 @@
 }
 
 func (s *scenario) drawRequest() Request {
-	c, now := s.chance, s.recorder.now
+	c, now := s.rng, s.recorder.now
 	request := Request{
 		ID:       RequestID(fmt.Sprintf("%016x", s.arrived)),
 		Class:    pickOne(c, s.settings.Classes...).Name,
@@ -179,9 +179,9 @@
 	return request
 }
 
-// stepRun has a run reach a call or end, unless it is in a call.
+// stepRun makes a run that is not in a call reach a call or end.
 func (s *scenario) stepRun() {
-	r, c := s.recorder, s.chance
+	r, c := s.recorder, s.rng
 	id, exists := pickKey(c, r.onEnd)
 	if !exists {
 		return
@@ -202,7 +202,7 @@
 
 // stepCall ends a call.
 func (s *scenario) stepCall() {
-	r, c := s.recorder, s.chance
+	r, c := s.recorder, s.rng
 	id, exists := pickKey(c, r.onCallDone)
 	if !exists {
 		return
@@ -214,7 +214,7 @@
 }
 
 func (s *scenario) drawGauges() Gauges {
-	c := s.chance
+	c := s.rng
 	switch c.IntN(8) {
 	case 0:
 		return nil
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -184,7 +184,7 @@
 	LoadSignalNone      LoadSignal = iota // there are no load reports
 	LoadSignalChance                      // the probability, 0 to 1, with which a caller should send a request here
 	LoadSignalLeastRank                   // the lowest rank, 0 to less than 1, of requests that are accepted
-	LoadSignalTokens                      // the number of requests that each caller may have here; a fraction is a probability
+	LoadSignalTokens                      // requests that each caller may have here; a fraction is a probability
 )
 
 var loadSignalNames = [...]string{
--- a/admission/settings_test.go
+++ b/admission/settings_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// Each value of an enumeration has a name, and the next one is a number.
+// TestEnumNames checks that each value of an enumeration has a name, and that the value after the last has none.
 func TestEnumNames(t *testing.T) {
 	for _, tc := range []struct {
 		last, next fmt.Stringer
--- a/admission/shedding.go
+++ b/admission/shedding.go
@@ -12,15 +12,15 @@
 // remainingTime returns the time during which an answer keeps its value: until the latency objective, or until the
 // deadline if a late answer has at least half the value. It never extends past the kill.
 func (c *Controller) remainingTime(r *trackedRequest, now time.Duration) time.Duration {
-	left := r.slack(now)
+	remaining := r.slack(now)
 	if r.class.LateValue >= minLateAnswerValue {
-		left = r.deadline - now
+		remaining = r.deadline - now
 	}
-	left = min(left, r.deadline-now)
+	remaining = min(remaining, r.deadline-now)
 	if c.drain.notified {
-		left = min(left, c.drain.latestAnswerAt()-now)
+		remaining = min(remaining, c.drain.latestAnswerAt()-now)
 	}
-	return left
+	return remaining
 }
 
 // shedHopeless rejects queued requests that cannot be completed within their remaining time, and returns the
@@ -32,28 +32,28 @@
 		return candidates
 	}
 	ahead := c.remainingWork(now)
-	return slices.DeleteFunc(candidates, func(k candidate) bool {
+	return slices.DeleteFunc(candidates, func(cand candidate) bool {
 		wait := time.Duration(0)
 		if countWait {
 			wait = ahead / time.Duration(c.cores)
 		}
-		if wait+k.runTime > c.remainingTime(k.request, now) {
-			c.reject(k.request)
+		if wait+cand.runTime > c.remainingTime(cand.request, now) {
+			c.reject(cand.request)
 			return true
 		}
-		ahead += k.work
+		ahead += cand.work
 		return false
 	})
 }
 
 // remainingWork returns the remaining work of the runs on the cores.
 func (c *Controller) remainingWork(now time.Duration) time.Duration {
-	var left time.Duration
+	var remaining time.Duration
 	for _, r := range c.requests.running {
 		done := float64(now-r.startedAt) / runsPerCore(float64(len(c.requests.running)), c.cores)
-		left += max(0, c.estimatedWork(r, now)-time.Duration(done))
+		remaining += max(0, c.estimatedWork(r, now)-time.Duration(done))
 	}
-	return left
+	return remaining
 }
 
 // stopHopelessRuns stops idempotent runs whose answer has lost its value, while requests wait and no core is free.
--- a/admission/shedding_test.go
+++ b/admission/shedding_test.go
@@ -6,7 +6,7 @@
 	s.warmUp(200 * ms)
 	late := newRequest("late", 200*ms, 0.1)
 	late.HasDeadline, late.Deadline = true, s.now+100*ms
-	s.submit(late) // a core is free: it runs
+	s.submit(late) // runs because a core is free
 	late.ID = "late again"
 	s.submit(newRequest("b", 100*ms, 0.9))
 	s.submit(late)
@@ -16,7 +16,7 @@
 	// 3200ms reject late again
 }
 
-// A run past its latency objective is stopped while another waits and no core is free.
+// A run past its latency objective is stopped if another request waits and no core is free.
 func Example_stopHopelessRuns() {
 	s := newFixture(Settings{Halt: HaltDrop})
 	s.warmUp(400 * ms)
--- a/admission/skippedcalls_test.go
+++ b/admission/skippedcalls_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// scarceCalls is a scenario in which calls are scarce and may be skipped.
+// scarceCalls is a scenario with too few upstream calls for all runs, in which calls may be skipped.
 type scarceCalls struct {
 	cores     float64
-	perCore   float64 // survivable runs
-	share     float64 // of the upstream
+	perCore   float64 // survivable runs per core
+	share     float64 // share of the upstream
 	warmingUp bool
 }
 
-// Calls are scarce and may be skipped: many requests wait for one, and go on without it when their slack is spent.
-// On few cores and many, warm and warming up, what runs stays under what is survived, also if all calls end at
-// once; and calls and runs go on.
+// Calls are scarce and may be skipped: many requests wait for a call, and go on without it when their slack is used
+// up. The runs must stay within the survivable number even if all calls end at once, for few and many cores, with
+// and without warm-up. Calls and runs must make progress.
 func TestScarceCallsSkipped(t *testing.T) {
 	for _, cores := range []float64{1, 2, 4, 32} {
 		for _, perCore := range []float64{2, 3, 8} {
@@ -54,7 +54,7 @@
 		}
 		s.submit(requests...)
 		ends += s.moveRunsThroughCalls(int(c.cores))
-		for _, id := range s.awaitedCalls() { // each takes a while, and with a scarce upstream ends alone
+		for _, id := range s.awaitedCalls() { // each takes a while; with a scarce upstream, calls end one at a time
 			if s.controller.requests.byID[id] != nil && (c.share <= 2 || step%7 == 0) {
 				s.finishCall(id, Succeeded, 100*ms)
 				calls++
@@ -63,16 +63,16 @@
 		s.controller.Decide()
 		running, open := len(s.controller.requests.running), s.controller.upstream.open
 		if survivable := s.controller.survivableConcurrency(); float64(running+open) > survivable && running+open > 1 {
-			t.Fatalf("%d run and %d are in a call, %.1f are survived", running, open, survivable)
+			t.Fatalf("%d runs on the cores and %d in calls, %.1f are survivable", running, open, survivable)
 		}
 	}
-	if calls < 50 || ends < 50 { // one call at a time ends 57 times
-		t.Errorf("it stands: %d calls, %d ends", calls, ends)
+	if calls < 50 || ends < 50 { // 57 runs end if there is one call at a time
+		t.Errorf("too little progress: %d calls and %d runs ended, want 50 of each", calls, ends)
 	}
 }
 
-// moveRunsThroughCalls moves on as many runs as there are cores: to a call and, behind it, to their end. It returns
-// how many ended.
+// moveRunsThroughCalls advances as many runs as there are cores: first to a call, then to their end. It returns the
+// number of runs that ended.
 func (s *fixture) moveRunsThroughCalls(cores int) int {
 	ids, ends := s.runningIDs(), 0
 	for _, id := range ids[:min(cores, len(ids))] {
--- a/admission/upstream.go
+++ b/admission/upstream.go
@@ -42,27 +42,27 @@
 	slices.SortStableFunc(waiting, func(a, b *trackedRequest) int {
 		return cmp.Compare(a.arrivedAt+a.latencyObjective, b.arrivedAt+b.latencyObjective)
 	})
-	full := false // if one call is not allowed, the following ones are not either
+	limitReached := false // if one call is not allowed, the following ones are not either
 	for _, r := range waiting {
 		switch {
 		case r.answered:
 			c.executor.Fail(r.ID) // ends the run, because nobody waits for its answer
-		case !full && c.callAllowed(now):
+		case !limitReached && c.callAllowed(now):
 			c.call(r, now)
 		default:
-			full = true
+			limitReached = true
 			c.skipCallIfOutOfTime(r, now)
 		}
 	}
 }
 
-// skipCallIfOutOfTime lets a run go on without its call when there is too little slack left for the call. If calls
+// skipCallIfOutOfTime lets a run go on without its call when its slack is less than half of its run time. If calls
 // are scarce, many runs wait and would return to the cores together when their slack is used up, so their number is
 // limited.
 func (c *Controller) skipCallIfOutOfTime(r *trackedRequest, now time.Duration) {
 	running := len(c.requests.running)
-	spent := r.class.SkippedCallValue > 0 && r.slack(now) < c.estimatedRunTime(r, running, now)/2
-	if spent && c.allowsOneMore(running) {
+	outOfTime := r.class.SkippedCallValue > 0 && r.slack(now) < c.estimatedRunTime(r, running, now)/2
+	if outOfTime && c.allowsOneMore(running) {
 		c.skipCall(r)
 	}
 }
@@ -74,25 +74,25 @@
 // The cores must survive the runs and all calls if the calls return at once. Calls must also leave room for runs on
 // half of the cores, because no run could start until they return otherwise.
 func (c *Controller) callAllowed(now time.Duration) bool {
-	beside := max(len(c.requests.running), min(c.halfCores(), int(c.maxConcurrency())-1))
-	if !c.allowsOneMore(beside) {
+	otherRuns := max(len(c.requests.running), min(c.halfCores(), int(c.maxConcurrency())-1))
+	if !c.allowsOneMore(otherRuns) {
 		return false
 	}
 	share := c.settings.UpstreamShare
-	inHand := c.upstream.outstanding(now)
+	outstanding := c.upstream.outstanding(now)
 	if c.settings.Upstream != UpstreamShared || share <= 0 {
-		return inHand < maxCallsPerCore*c.cores
+		return outstanding < maxCallsPerCore*c.cores
 	}
 	throttle := c.upstream.throttle()
-	if float64(inHand+1) > max(1, usableUpstreamShare*throttle.share*share) {
+	if float64(outstanding+1) > max(1, usableUpstreamShare*throttle.share*share) {
 		return false
 	}
 	budget := c.callTimeBudget(now)
 	if budget.limit == 0 || budget.used == 0 {
 		return true
 	}
-	next := callBudgetFactor*throttle.callTime + c.settings.TimedOutCallLinger
-	return budget.used+next < time.Duration(throttle.share*float64(budget.limit))
+	nextCallTime := callBudgetFactor*throttle.callTime + c.settings.TimedOutCallLinger
+	return budget.used+nextCallTime < time.Duration(throttle.share*float64(budget.limit))
 }
 
 // callTimeBudget holds the maximum and the actual sum of outstanding call times over the window. A limit of 0 means
@@ -134,8 +134,8 @@
 		deadline = now + slack*2/3 // leaves time for the answer without the call
 	}
 	if budget := c.callTimeBudget(now); budget.limit > 0 {
-		left := (budget.limit - budget.used) / time.Duration(c.upstream.outstanding(now)+1)
-		deadline = min(deadline, now+left-c.settings.TimedOutCallLinger)
+		perCall := (budget.limit - budget.used) / time.Duration(c.upstream.outstanding(now)+1)
+		deadline = min(deadline, now+perCall-c.settings.TimedOutCallLinger)
 	}
 	// A reply that never arrives would block its request until the slack is used up. A second attempt may use all
 	// the remaining time.
@@ -182,12 +182,12 @@
 	if r.callAttempts >= maxCallAttempts {
 		return false
 	}
-	spoilt := outcome == ConnectionLost
+	isIsolated := outcome == ConnectionLost
 	if outcome == TimedOut {
 		throttle := c.upstream.throttle()
-		spoilt = throttle.share == 1 && throttle.callTime > 0
+		isIsolated = throttle.share == 1 && throttle.callTime > 0
 	}
-	return spoilt && r.slack(now) > c.estimatedRunTime(r, len(c.requests.running)+1, now)
+	return isIsolated && r.slack(now) > c.estimatedRunTime(r, len(c.requests.running)+1, now)
 }
 
 // skipCall lets a run go on without its call.
--- a/admission/upstream_test.go
+++ b/admission/upstream_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A call is repeated only where that is harmless or the outcome proves that it never ran.
+// A call is repeated only if the request may run again or the outcome proves that the call never ran.
 func Example_callRepeated() {
 	once := ClassSettings{
 		Name:             "low",
@@ -22,7 +22,7 @@
 	s.onCallDone["a"](Rejected, ms)
 	s.onCallDone["b"](TimedOut, ms)
 	s.controller.Decide()
-	fmt.Println("where an answer without the call has a value")
+	fmt.Println("with a value of answers without the call")
 	s = newFixture(Settings{
 		Classes:        withSkippedCallValue(0.5, 0),
 		Upstream:       UpstreamShared,
@@ -42,14 +42,15 @@
 	// 0ms fail b
 	// 0ms call a
 	// 0ms fail b
-	// where an answer without the call has a value
+	// with a value of answers without the call
 	// 0ms start c
 	// 0ms call c
 	// 0ms skip call c
 }
 
-// One spoilt reply, or one that never comes, is no reason to skip the call while the time of a run is left; the
-// first call is not waited for much longer than any took. What never started is neither a failure nor progress.
+// A single lost or missing reply does not cause a call to be skipped while there is time for a whole run. The first
+// attempt times out not much later than the slowest recent call. A run that never started counts neither as a
+// failure nor as progress.
 func Example_spoiltReply() {
 	s := newFixture(Settings{
 		Classes:        withSkippedCallValue(0.5, 0.5),
@@ -73,13 +74,13 @@
 	s.onCall["a"]()
 	s.controller.Decide()
 	for _, outcome := range []Outcome{TimedOut, ConnectionLost, ConnectionLost} {
-		fmt.Println("waits for", s.callDeadline-s.now)
+		fmt.Println("timeout", s.callDeadline-s.now)
 		s.now += 20 * ms
 		s.onCallDone["a"](outcome, 20*ms)
 		s.controller.Decide()
 	}
 	s.finish(Succeeded, 100*ms, "a")
-	fmt.Println("with little time left")
+	fmt.Println("with little slack")
 	s.submit(newRequest("b", 100*ms, 0.1))
 	s.onCall["b"]()
 	s.controller.Decide()
@@ -94,13 +95,13 @@
 	// Output:
 	// 1920ms start a
 	// 1920ms call a
-	// waits for 80ms
+	// timeout 80ms
 	// 1940ms call a
-	// waits for 653.333333ms
+	// timeout 653.333333ms
 	// 1960ms call a
-	// waits for 640ms
+	// timeout 640ms
 	// 1980ms skip call a
-	// with little time left
+	// with little slack
 	// 1980ms start b
 	// 1980ms call b
 	// 2900ms skip call b
@@ -108,7 +109,8 @@
 	// true 0
 }
 
-// The upstream is overloaded: while calls take over four times their quickest quarter, fewer are in hand.
+// While calls take more than four times their fastest quartile, the upstream counts as overloaded and fewer calls
+// are made.
 func Example_upstreamOverloaded() {
 	s := newFixture(Settings{
 		Cores:          4,
@@ -134,7 +136,7 @@
 	s.now += 100 * ms
 	s.onCallDone["a"](Succeeded, 100*ms)
 	s.controller.Decide()
-	fmt.Println("calls were long in hand before")
+	fmt.Println("with earlier long calls")
 	s.onCallDone["b"](Succeeded, 100*ms)
 	s.finish(Succeeded, 200*ms, "a", "b")
 	for range 5 {
@@ -144,7 +146,7 @@
 	s.submit(newRequest("c", 100*ms, 0.1))
 	s.onCall["c"]()
 	s.controller.Decide()
-	fmt.Println("c may take", s.callDeadline-s.now)
+	fmt.Println("timeout of c:", s.callDeadline-s.now)
 	// Output:
 	// calls of 10ms: 1.00 of the share
 	// calls of 100ms: 0.40 of the share
@@ -152,14 +154,14 @@
 	// 0ms start b
 	// 0ms call a
 	// 100ms call b
-	// calls were long in hand before
+	// with earlier long calls
 	// 101ms start c
 	// 101ms call c
-	// c may take 400ms
+	// timeout of c: 400ms
 }
 
-// An upstream share under one is a part of the time: one call in hand at most, abandoned when the part is used, and
-// no other until enough of the window has passed.
+// An upstream share below one is a part of the time: at most one call is open, it is abandoned when the part is
+// used up, and no other starts until enough of the window has passed.
 func Example_callTimeBudget() {
 	patient := ClassSettings{
 		Name:             "low",
@@ -183,18 +185,18 @@
 	}
 	s.controller.Decide()
 	budget := s.controller.callTimeBudget(s.now)
-	fmt.Println("in hand for", budget.limit, "at most, so far", budget.used)
+	fmt.Println("call time limit", budget.limit, "used", budget.used)
 	s.now += 1750 * ms
 	s.onCallDone["a"](Succeeded, 1750*ms)
-	s.controller.Decide() // too little is left for another
+	s.controller.Decide() // too little time remains for another call
 	s.now += 4 * time.Second
-	s.controller.health.lastProgress = s.now // and not stalled
+	s.controller.health.lastProgress = s.now // prevents the stalled state
 	s.controller.Decide()
 	// Output:
 	// 0ms start a
 	// 0ms start b
 	// 0ms call a
 	// 0ms start c
-	// in hand for 1.8s at most, so far 0s
+	// call time limit 1.8s used 0s
 	// 5750ms call b
 }
