--- a/admission/answer.go
+++ b/admission/answer.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// answerMarginTicks is the number of ticks between the time at which an answer is sent at the latest and its
-// deadline.
+// answerMarginTicks is the number of ticks before its deadline by which a request is answered.
 const answerMarginTicks = 2
 
 // reject rejects a request that has not started, with Retry-After advice.
@@ -25,7 +24,7 @@
 	c.requests.forget(r)
 }
 
-// abandonRun answers a request that has a run, and frees the run's core where runs can be stopped. A request that
+// abandonRun answers a request that has a run, and frees the run's core if runs can be stopped. A request that
 // is not idempotent fails, because the caller would send it to another instance after a rejection.
 func (c *Controller) abandonRun(r *trackedRequest) {
 	if r.answered {
@@ -51,7 +50,7 @@
 	return at
 }
 
-// answerDueRequests answers the requests that are due, so that every request is answered whatever blocks it.
+// answerDueRequests answers the requests that are due, so that each is answered in time even if its run is blocked.
 func (c *Controller) answerDueRequests(now time.Duration) {
 	for _, r := range c.requests.awaitingAnswer() {
 		if c.latestAnswerAt(r) <= now {
--- a/admission/arrivals.go
+++ b/admission/arrivals.go
@@ -77,7 +77,7 @@
 // connectionReuse counts the arrivals whose caller sent another request within an idle timeout, and sums the time
 // for which connections were open and unused.
 type connectionReuse struct {
-	reuses   int
+	count   int
 	idleTime time.Duration
 }
 
@@ -89,7 +89,7 @@
 		if !hasNext {
 			until = now
 		} else if until-a.at <= idleTimeout {
-			reuse.reuses++
+			reuse.count++
 		}
 		reuse.idleTime += min(until-a.at, idleTimeout)
 		next[a.caller] = a.at
--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// saturatedBusyShare is the share of busy cores above which no core counts as idle. It applies where the number
+	// saturatedBusyShare is the share of busy cores above which no core counts as idle. It applies if the number
 	// of runnable runs is not measured.
 	saturatedBusyShare = 0.95
 	// usableConcurrencyShare is the share of the survivable runs that may be on the cores or in a call.
@@ -25,7 +25,7 @@
 	completions         int // runs that succeeded or failed
 }
 
-// shrink lowers the limit by one, but not below the cores, while more than 7/6 as many runs as there are cores are
+// shrink lowers the limit by one, but not below the cores, if more than 7/6 as many runs as there are cores are
 // runnable. Beyond this excess of a sixth, additional runs only slow each other down.
 func (l *adaptiveLimit) shrink(reading gaugeReading, cores int) {
 	if reading.runnable > float64(cores)*7/6 {
@@ -34,8 +34,8 @@
 }
 
 // concurrencyLimit returns the largest number of runs at which, by the fitted run times, each running class
-// completes within the least slack of the running requests. The limit is at most the adaptive limit and the
-// ceiling. It is at least the number of cores plus the number of blocked runs, unless the ceiling is lower.
+// completes within the least slack of the running requests. It is at most the adaptive limit, but at least the
+// number of cores plus the number of blocked runs, and never above the ceiling.
 func (c *Controller) concurrencyLimit(now time.Duration) int {
 	leastSlack := time.Duration(math.MaxInt64)
 	classes := map[*classState]bool{}
--- a/admission/idletimeout.go
+++ b/admission/idletimeout.go
@@ -5,9 +5,9 @@
 const (
 	// decisionHistorySize is the number of decisions from which the rejection rate is computed.
 	decisionHistorySize = 64
-	// keepConnectionsRejectionRate is the rejection rate from which connections are kept open. Since each rejected
+	// keepOpenRejectionRate is the rejection rate from which connections are kept open. Since each rejected
 	// attempt has cost a connection, a full connection table is then the lesser problem.
-	keepConnectionsRejectionRate = 0.6
+	keepOpenRejectionRate = 0.6
 	// idleSecondsPerHandshake is the time in seconds for which keeping an idle connection costs as much as opening
 	// a new one. It relates part of the work of a request to a share of busy cores.
 	idleSecondsPerHandshake = 5
@@ -56,9 +56,9 @@
 // idleSecondsPerHandshake seconds of waiting. It allows longer waits in proportion as the cores are idle.
 func (c *Controller) targetIdleTimeout(now time.Duration) time.Duration {
 	timeout := c.settings.MaxIdleTimeout
-	for timeout > c.sampleInterval() && !c.arrivals.hasTooFew() && c.idle.rejectionRate() < keepConnectionsRejectionRate {
+	for timeout > c.sampleInterval() && !c.arrivals.hasTooFew() && c.idle.rejectionRate() < keepOpenRejectionRate {
 		reuse := c.arrivals.connectionReuse(now, timeout)
-		if float64(reuse.reuses)*idleSecondsPerHandshake >= reuse.idleTime.Seconds()*c.gauges.meanBusy() {
+		if float64(reuse.count)*idleSecondsPerHandshake >= reuse.idleTime.Seconds()*c.gauges.meanBusy() {
 			break
 		}
 		timeout /= 2
--- a/admission/loadreport.go
+++ b/admission/loadreport.go
@@ -82,9 +82,9 @@
 	}
 }
 
-// leastRank returns the rank below which requests are not accepted, so that the rejected share of the arrivals is 1
-// - acceptance. During slow start the first reports matter although there are few arrivals, so ranks are assumed to
-// be uniformly distributed until there are enough.
+// leastRank returns the rank below which requests are not accepted, chosen such that the acceptance is the share of
+// the arrivals at or above it. During slow start the first reports matter although there are few arrivals, so ranks
+// are assumed to be uniformly distributed until there are enough.
 func (c *Controller) leastRank(acceptance float64, warmingUp bool) float64 {
 	if warmingUp && c.arrivals.hasTooFew() {
 		return 1 - acceptance
--- a/admission/retryafter.go
+++ b/admission/retryafter.go
@@ -25,8 +25,8 @@
 		return 0
 	}
 	longest := float64(c.settings.MaxRetryAfter) * (1 - c.acceptance())
-	hasLongQueueDelay := c.arrivals.maxRecentQueueDelay(c.executor.Now()) > c.minLatencyObjective()/longQueueDelayDivisor
-	if c.health.state == StateHealthy && hasLongQueueDelay {
+	longDelay := c.arrivals.maxRecentQueueDelay(c.executor.Now()) > c.minLatencyObjective()/longQueueDelayDivisor
+	if c.health.state == StateHealthy && longDelay {
 		longest /= unreadRetryAfterDivisor
 	}
 	return time.Duration(longest * (0.5 + 0.5*c.random.float64()))
--- a/admission/skippedcalls_test.go
+++ b/admission/skippedcalls_test.go
@@ -66,7 +66,7 @@
 			t.Fatalf("%d runs on the cores and %d in calls, %.1f are survivable", running, open, survivable)
 		}
 	}
-	if calls < 50 || ends < 50 { // 57 runs end if there is one call at a time
+	if calls < 50 || ends < 50 { // calls that end one at a time end 57 times
 		t.Errorf("too little progress: %d calls and %d runs ended, want 50 of each", calls, ends)
 	}
 }
