--- a/admission/arrivals.go
+++ b/admission/arrivals.go
@@ -77,7 +77,7 @@
 // connectionReuse counts the arrivals whose caller sent another request within an idle timeout, and sums the time
 // for which connections were open and unused.
 type connectionReuse struct {
-	count   int
+	count    int
 	idleTime time.Duration
 }
 
--- a/admission/arrivals_test.go
+++ b/admission/arrivals_test.go
@@ -6,7 +6,7 @@
 )
 
 // A deadline at a share of the timeout that no other arrival has marks a retry, whose slack is reduced.
-func Example_timeSpentBefore() {
+func Example_earlierAttemptTime() {
 	s := newFixture(Settings{})
 	for i := range 16 {
 		first := newRequest(fmt.Sprint("first", i), 100*ms, 0.1)
--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -34,8 +34,8 @@
 }
 
 // concurrencyLimit returns the largest number of runs at which, by the fitted run times, each running class
-// completes within the least slack of the running requests. It is at most the adaptive limit, but at least the
-// number of cores plus the number of blocked runs, and never above the ceiling.
+// completes within the least slack of the running requests. The result is at most the adaptive limit, but at least
+// the number of cores plus the number of blocked runs, and never above the ceiling.
 func (c *Controller) concurrencyLimit(now time.Duration) int {
 	leastSlack := time.Duration(math.MaxInt64)
 	classes := map[*classState]bool{}
--- a/admission/health.go
+++ b/admission/health.go
@@ -30,8 +30,8 @@
 const (
 	StateHealthy  State = iota // runs end, and few fail
 	StateStalled               // requests start but none completes; ends when a run next ends
-	StateFailing               // the instance was notified to drain
-	StateDraining              // the instance previous notified to drain
+	StateFailing               // half or more of the recent runs failed; ends when the failures expire
+	StateDraining              // the instance was notified to drain
 )
 
 var stateNames = [...]string{
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -54,8 +54,8 @@
 	return startOrder{weightBands: len(weights)}
 }
 
-// isProtected returns the paper's safeguard flag g. It reports whether the rank is in the band of the highest
-// weight. Each weight has a band of equal width.
+// isProtected reports whether a request is protected: the paper's safeguard flag g. Its rank must be in the band of
+// the highest weight, as each weight has a band of equal width, or at least protectedRank if there is one weight.
 func (o *startOrder) isProtected(r *trackedRequest) bool {
 	if o.weightBands < 2 {
 		return r.Rank >= protectedRank
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -32,7 +32,7 @@
 
 	Upstream            UpstreamKind
 	UpstreamShare       float64       // calls that this instance may have open if Upstream is shared; 0: no limit
-	UpstreamWindow      time.Duration // period over which a share below 1 is averaged, as a part of the time
+	UpstreamWindow      time.Duration // a share below 1 is a part of the time, averaged over this window
 	TimedOutCallLinger  time.Duration // how long a call that timed out still occupies the upstream
 	CoalescedReadWindow time.Duration // how long the result of a read answers duplicates; 0: reads are not coalesced
 
@@ -67,7 +67,7 @@
 // TenantSettings configures one tenant.
 type TenantSettings struct {
 	Name           TenantID
-	QuotaPerSecond float64 // for the whole fleet; 0: no quota
+	QuotaPerSecond float64 // requests per second to the whole fleet; 0: no quota
 	Share          float64 // of all traffic, 0 to 1
 }
 
--- a/admission/skippedcalls_test.go
+++ b/admission/skippedcalls_test.go
@@ -67,7 +67,7 @@
 		}
 	}
 	if calls < 50 || ends < 50 { // calls that end one at a time end 57 times
-		t.Errorf("too little progress: %d calls and %d runs ended, want 50 of each", calls, ends)
+		t.Errorf("too little progress: %d calls and %d runs ended, want at least 50 of each", calls, ends)
 	}
 }
 
--- a/admission/upstream_test.go
+++ b/admission/upstream_test.go
@@ -48,8 +48,8 @@
 	// 0ms skip call c
 }
 
-// A single lost or missing reply does not cause a call to be skipped while there is time for a whole run. The first
-// attempt times out not much later than the slowest recent call. A run that never started counts neither as a
+// A single lost or missing reply does not cause a call to be skipped while there is time for a whole run. The timeout
+// of the first attempt is a small multiple of the slowest recent call. A run that never started counts neither as a
 // failure nor as progress.
 func Example_spoiltReply() {
 	s := newFixture(Settings{
