--- a/admission/batch.go
+++ b/admission/batch.go
@@ -43,8 +43,8 @@
 	return best
 }
 
-// feasibleStarts returns the number of requests that can start, within the capacity, such that the anchor still
-// meets its objective. It derives the number from the anchor's slack and subtracts the requests that are running.
+// feasibleStarts returns the number of requests, at most the capacity, that can start in addition to the running
+// ones such that the estimated run time of the anchor stays within its slack.
 func (c *Controller) feasibleStarts(anchor candidate, capacity int, now time.Duration) int {
 	count := 0
 	for count < capacity &&
--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -11,8 +11,8 @@
 	saturatedBusyShare = 0.95
 	// usableConcurrencyShare is the share of the survivable runs that may be on the cores or in a call.
 	usableConcurrencyShare = 0.9
-	// usableRunningShare is the share of the survivable runs that may be started. The rest is reserved for runs
-	// that return from calls.
+	// usableRunningShare is the share of the survivable runs up to which requests are started. The rest is reserved
+	// for runs that return from calls.
 	usableRunningShare = 0.75
 	// defaultRunsPerCore limits the runs per core if the survivable number is not known.
 	defaultRunsPerCore = 2
@@ -33,9 +33,9 @@
 	}
 }
 
-// concurrencyLimit returns the largest number of runs at which, by the fitted run times, each running class
-// completes within the least slack of the running requests. The result is at most the adaptive limit, but at least
-// the number of cores plus the number of blocked runs, and never above the ceiling.
+// concurrencyLimit returns the largest number of runs at which the fitted run time of each class with running
+// requests is within the least positive slack of these requests. The result is at most the adaptive limit, but at
+// least the number of cores plus the number of blocked runs, and never above the ceiling.
 func (c *Controller) concurrencyLimit(now time.Duration) int {
 	leastSlack := time.Duration(math.MaxInt64)
 	classes := map[*classState]bool{}
@@ -52,7 +52,8 @@
 	return min(max(limit, c.cores+c.gauges.blockedRuns()), c.concurrencyCeiling())
 }
 
-// allWithinSlack reports whether each class completes within the slack if the given number of requests is running.
+// allWithinSlack reports whether the fitted run time of each class is within the slack if the given number of
+// requests is running.
 func (c *Controller) allWithinSlack(classes map[*classState]bool, running int, slack, now time.Duration) bool {
 	meets := true
 	for class := range classes { // the result does not depend on the iteration order
@@ -62,8 +63,8 @@
 }
 
 // raiseLimit raises the limit to one more than the running requests if cores are idle, and reports whether it did.
-// It is called while requests are queued. It requires a completion since the last time: during a hang the cores
-// look idle too, and the limit would grow until all queued requests had started.
+// It is called while requests are queued. It requires a completion since it last raised the limit: the cores also
+// look idle during a hang, and the limit would otherwise grow until all queued requests had started.
 func (c *Controller) raiseLimit(now time.Duration) bool {
 	reading, measured := c.gauges.last()
 	running := len(c.requests.running)
@@ -78,12 +79,14 @@
 	return true
 }
 
-// concurrencyCeiling returns the number of runs on the cores that the instance survives. During slow start it is
-// reduced in proportion to the speed.
+// concurrencyCeiling returns the maximum number of runs on the cores, so that the instance survives when the runs
+// at calls return. During slow start, the survivable runs beyond one per core are reduced in proportion to the speed.
+// If the survivable number is not known, the result is defaultRunsPerCore for each core.
 //
 // When the upstream recovers, all runs in a call return at once, and runs that wait for a call go on without it
-// when their slack is used up. Both kinds therefore count. In addition to the waiting runs, at most as many are
-// started as there are cores, and one place is reserved for the next call while half of the cores are kept busy.
+// when their slack is used up. Both kinds therefore reduce the result. However many runs wait, as many runs as there
+// are cores are still allowed if the open calls leave room for them. While runs wait, one place of that room is
+// reserved for the next call, provided that no call is open or half of the cores can still be kept busy.
 func (c *Controller) concurrencyCeiling() int {
 	survivable := c.survivableConcurrency()
 	if survivable <= 0 {
@@ -101,15 +104,16 @@
 
 func (c *Controller) halfCores() int { return (c.cores + 1) / 2 }
 
-// maxConcurrency returns the maximum number of runs on the cores and in calls: a share of the survivable runs, or
-// one more than the cores if that is greater and survivable.
+// maxConcurrency returns the maximum number of runs on the cores and in calls: a share of the survivable runs, but
+// at least one more than the cores, or all survivable runs if these are fewer.
 func (c *Controller) maxConcurrency() float64 {
 	survivable := c.survivableConcurrency()
 	return max(usableConcurrencyShare*survivable, min(survivable, float64(c.cores+1)))
 }
 
 // allowsOneMore reports whether one more run may be on the cores, or in a call from which it returns, in addition
-// to the given number of runs on the cores. A single run is always allowed.
+// to the open calls and the given number of runs on the cores. A single run is always allowed. There is no limit if
+// the survivable number is not known.
 func (c *Controller) allowsOneMore(running int) bool {
 	if c.survivableConcurrency() <= 0 || len(c.requests.running)+c.upstream.open == 0 {
 		return true
--- a/admission/concurrency_test.go
+++ b/admission/concurrency_test.go
@@ -40,10 +40,10 @@
 func TestCallsReturnTogether(t *testing.T) {
 	for _, cores := range []float64{1, 4} {
 		for _, perCore := range []float64{2, 3, 4, 8} {
-			t.Run(fmt.Sprintf("%v cores, %v a core", cores, perCore), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%v cores, %v runs per core", cores, perCore), func(t *testing.T) {
 				maxRunning := playCallsReturnTogether(cores, perCore)
 				if float64(maxRunning) > cores*perCore || float64(maxRunning) < cores {
-					t.Errorf("%d runs on the cores, %v are survivable", maxRunning, cores*perCore)
+					t.Errorf("highest number of runs on the cores is %d, want %v to %v", maxRunning, cores, cores*perCore)
 				}
 			})
 		}
@@ -83,7 +83,8 @@
 	return maxRunning
 }
 
-// moveRuns advances as many runs as there are cores. Half of the runs that can reach a call do so; the others end.
+// moveRuns advances as many runs as there are cores. A run that can still reach a call does so with a probability of
+// one half. The other runs end.
 func (s *fixture) moveRuns(cores int) {
 	ids := s.runningIDs()
 	for _, id := range ids[:min(cores, len(ids))] {
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -4,8 +4,8 @@
 
 const (
 	// The time between gauge samples is the least latency objective divided by sampleIntervalDivisor, so that a run
-	// of that length is sampled several times. Much shorter intervals would spend more on timers than the samples
-	// are worth, and with much longer ones a hang would go unnoticed.
+	// of that length is sampled several times. With much shorter intervals, the cost of the timers would outweigh
+	// the benefit of the samples. With much longer ones, a hang would go unnoticed.
 	sampleIntervalDivisor = 20
 	minSampleInterval     = 5 * time.Millisecond
 	maxSampleInterval     = 100 * time.Millisecond
@@ -63,8 +63,8 @@
 		c.classes[class.Name] = &classState{ClassSettings: class, runs: runHistory{cores: cores}}
 	}
 	c.order = newStartOrder(c.classes)
-	// Health checks that do real work and call the upstream would add to an overload. Health is set explicitly
-	// instead.
+	// Health checks that do real work and call the upstream would add to an overload. They are answered from the
+	// state instead.
 	executor.SetHealth(Health{Healthy: true, FromState: true})
 	return c
 }
--- a/admission/drain_test.go
+++ b/admission/drain_test.go
@@ -22,8 +22,8 @@
 	// 4550ms reject in time
 }
 
-// All requests are answered before the kill: by a twelfth of the duration of a long drain, and by 150 ms in a short
-// one, because the machine may be suspended.
+// All requests are answered some time before the kill, because the machine may be suspended: a twelfth of the duration
+// of a long drain, and 150 ms in a short one.
 func Example_answeredBeforeKill() {
 	for _, drain := range []time.Duration{8400 * ms, 1200 * ms} {
 		s := newFixture(Settings{})
--- a/admission/estimate.go
+++ b/admission/estimate.go
@@ -12,7 +12,7 @@
 	// runSampleLifetime excludes older runs, so that a cold start or a slow period does not distort later
 	// estimates.
 	runSampleLifetime = 8 * time.Second
-	// minRecentRuns is the number of last runs that are used regardless of their age.
+	// minRecentRuns is the number of most recent runs that are used regardless of their age.
 	minRecentRuns = 4
 	// minFitRuns is the minimum number of runs for a line fit.
 	minFitRuns = 8
@@ -71,7 +71,7 @@
 	h.successes++
 }
 
-// recentRuns returns the runs within runSampleLifetime, and at least the last minRecentRuns.
+// recentRuns returns the runs within runSampleLifetime, but at least the last minRecentRuns.
 func (h *runHistory) recentRuns(now time.Duration) []runSample {
 	for i, sample := range h.recent {
 		if sample.at > now-runSampleLifetime || i == len(h.recent)-minRecentRuns {
--- a/admission/executor.go
+++ b/admission/executor.go
@@ -5,9 +5,9 @@
 // Executor carries out the decisions of a Controller. The server and the simulator's host implement it.
 //
 // All methods are called by the goroutine that calls the Controller, from within one of its methods. They must not
-// block and must not call the Controller. The same goroutine calls the functions passed to them, later.
+// block and must not call the Controller. The functions passed to them are to be called later, by the same goroutine.
 type Executor interface {
-	// Now returns the time since an origin of the Executor's choice. It never goes back, and does not change while
+	// Now returns the time since an origin of the Executor's choice. It never decreases, and does not change while
 	// the Controller handles a batch.
 	Now() time.Duration
 
--- a/admission/gauges.go
+++ b/admission/gauges.go
@@ -114,7 +114,7 @@
 }
 
 // estimatedRunnable estimates the number of runs that are on a core or wait for one now, from the last reading and
-// the runs that have started or ended since.
+// the runs that have started or ended since. Without a measurement that is recent enough, all runs count.
 func (c *Controller) estimatedRunnable(now time.Duration) float64 {
 	running := len(c.requests.running)
 	reading, exists := c.gauges.last()
--- a/admission/health.go
+++ b/admission/health.go
@@ -29,8 +29,8 @@
 // Every state except StateDraining can return to StateHealthy.
 const (
 	StateHealthy  State = iota // runs end, and few fail
-	StateStalled               // requests start but none completes; ends when a run next ends
-	StateFailing               // half or more of the recent runs failed; ends when the failures expire
+	StateStalled               // requests start but none completes; ends when a run ends or makes other progress
+	StateFailing               // half or more of the recent runs failed; ends when failures expire or probes succeed
 	StateDraining              // the instance was notified to drain
 )
 
@@ -57,7 +57,7 @@
 type healthMonitor struct {
 	state         State
 	recentResults []runResult   // the most recent runs that succeeded or failed
-	lastProgress  time.Duration // when a run last ended, or reached or left a call
+	lastProgress  time.Duration // when a run last ended or reached a call, or a call last succeeded
 	lastProbeAt   time.Duration // when a failing instance last kept a request as a probe
 }
 
@@ -87,9 +87,9 @@
 	return float64(failed) / float64(n)
 }
 
-// isStalled reports whether requests start but none completes: no run has ended, or reached or left a call, for
-// much longer than the runs on the cores should take. It detects hangs, such as a failed disk, a lost core or a
-// lock that is never released.
+// isStalled reports whether requests start but none completes: no run has ended or reached a call, and no call has
+// succeeded, for much longer than the runs on the cores should take. It detects hangs, such as a failed disk, a lost
+// core or a lock that is never released.
 func (c *Controller) isStalled(now time.Duration) bool {
 	running := c.requests.running
 	if len(running) == 0 {
@@ -154,7 +154,7 @@
 	}
 }
 
-// probeOrReject keeps one queued request per probeInterval as a probe and rejects the others.
+// probeOrReject keeps a request queued as a probe if none was kept within probeInterval, and rejects it otherwise.
 func (c *Controller) probeOrReject(r *trackedRequest, now time.Duration) {
 	if now-c.health.lastProbeAt < probeInterval {
 		c.reject(r)
--- a/admission/idletimeout.go
+++ b/admission/idletimeout.go
@@ -9,7 +9,8 @@
 	// attempt has cost a connection, a full connection table is then the lesser problem.
 	keepOpenRejectionRate = 0.6
 	// idleSecondsPerHandshake is the time in seconds for which keeping an idle connection costs as much as opening
-	// a new one. It relates part of the work of a request to a share of busy cores.
+	// a new one while all cores are busy. A new connection costs part of the work of a request. The cost of an idle
+	// one is weighted by the share of busy cores.
 	idleSecondsPerHandshake = 5
 )
 
@@ -52,8 +53,8 @@
 	}
 }
 
-// targetIdleTimeout halves the configured timeout until an unused connection is reused at least once per
-// idleSecondsPerHandshake seconds of waiting. It allows longer waits in proportion as the cores are idle.
+// targetIdleTimeout returns the configured timeout, halved until unused connections are reused at least once per
+// idleSecondsPerHandshake seconds of waiting. The less busy the cores are, the longer the wait that it allows.
 func (c *Controller) targetIdleTimeout(now time.Duration) time.Duration {
 	timeout := c.settings.MaxIdleTimeout
 	for timeout > c.sampleInterval() && !c.arrivals.hasTooFew() && c.idle.rejectionRate() < keepOpenRejectionRate {
--- a/admission/loadreport.go
+++ b/admission/loadreport.go
@@ -10,7 +10,8 @@
 	failingAcceptance = 0.05
 	// pressureWeight determines how fast acceptance decreases with pressure.
 	pressureWeight = 4
-	// A load report is rounded to this number of steps per 1, so that it is not published for each request.
+	// Load reports are rounded to multiples of 1/loadReportSteps, or of 1/warmUpLoadReportSteps for tokens during
+	// slow start, so that not every request changes them.
 	loadReportSteps       = 20
 	warmUpLoadReportSteps = 200
 	// unpublished is the initial value of publishedLoad, lower than any load report.
@@ -97,8 +98,8 @@
 	return ranks[min(rejected, len(ranks)-1)]
 }
 
-// tokens returns the number of requests that each caller may have on this instance. If callers rarely have more
-// than one, it is the acceptance: a fraction is used as a probability.
+// tokens returns the number of requests that each caller may have on this instance. If the capacity is less than
+// one request per caller, it returns the acceptance, because callers use a fraction as a probability.
 func (c *Controller) tokens(now time.Duration) float64 {
 	return c.acceptance() * max(1, c.capacity(now)/c.arrivals.callerSpread(c.settings.Callers))
 }
--- a/admission/retryafter.go
+++ b/admission/retryafter.go
@@ -3,14 +3,15 @@
 import "time"
 
 const (
-	// longQueueDelayDivisor divides a latency objective to obtain the queue delay above which requests count as
+	// longQueueDelayDivisor divides the least latency objective to obtain the queue delay above which requests count as
 	// waiting unread.
 	longQueueDelayDivisor = 32
 	// unreadRetryAfterDivisor divides the Retry-After advice while requests wait unread.
 	unreadRetryAfterDivisor = 8
 	// saturatedPressure is the sustained pressure at which other instances are assumed to be saturated too.
 	saturatedPressure = 0.4
-	// retryStormShare is the share of retries among the arrivals above which the same is assumed.
+	// retryStormShare is the share of retries among the arrivals above which other instances are assumed to be
+	// saturated too.
 	retryStormShare = 1.0 / 6
 )
 
--- a/admission/scenario_test.go
+++ b/admission/scenario_test.go
@@ -19,8 +19,8 @@
 	return pickOne(rng, slices.Sorted(maps.Keys(m))...), true
 }
 
-// scenario is a random sequence of events: classes, tenants, quotas, calls, hints, drains, overloads, cold starts,
-// and jumps of times and gauges. The digests in testdata depend on the order of its draws.
+// scenario plays random events with random settings: classes, tenants, quotas, calls, hints, drains, overloads, cold
+// starts, and jumps of times and gauges. The digests in testdata depend on the order in which it draws random numbers.
 type scenario struct {
 	rng      *rand.Rand
 	recorder *recorder
@@ -49,70 +49,70 @@
 }
 
 func (s *scenario) drawSettings() {
-	c := s.rng
-	for i := range 1 + c.IntN(3) {
+	rng := s.rng
+	for i := range 1 + rng.IntN(3) {
 		s.settings.Classes = append(s.settings.Classes, s.drawClass(i))
 	}
-	for i := range c.IntN(4) {
-		tenant := TenantSettings{Name: TenantID(fmt.Sprint("w", i)), QuotaPerSecond: float64(1 + c.IntN(50))}
+	for i := range rng.IntN(4) {
+		tenant := TenantSettings{Name: TenantID(fmt.Sprint("w", i)), QuotaPerSecond: float64(1 + rng.IntN(50))}
 		s.settings.Tenants = append(s.settings.Tenants, tenant)
 	}
-	s.cores = 1 + c.IntN(8)
+	s.cores = 1 + rng.IntN(8)
 	s.settings.Cores = float64(s.cores)
-	s.settings.RunMemoryFactor = float64(1 + c.IntN(4))
-	s.settings.MemoryKB = float64(200 + c.IntN(4000))
+	s.settings.RunMemoryFactor = float64(1 + rng.IntN(4))
+	s.settings.MemoryKB = float64(200 + rng.IntN(4000))
 	s.settings.Tick = 2 * time.Millisecond
-	s.settings.SurvivableRunsPerCore = pickOne(c, 0.0, 4, 8)
+	s.settings.SurvivableRunsPerCore = pickOne(rng, 0.0, 4, 8)
 	s.settings.DrainGrace = s.duration(0, 1000)
-	s.settings.Upstream = pickOne(c, UpstreamShared, UpstreamNextTier, UpstreamNone)
-	s.settings.UpstreamShare = pickOne(c, 0, 0.3, 2, 8)
+	s.settings.Upstream = pickOne(rng, UpstreamShared, UpstreamNextTier, UpstreamNone)
+	s.settings.UpstreamShare = pickOne(rng, 0, 0.3, 2, 8)
 	s.settings.UpstreamWindow = s.duration(1000, 5000)
 	s.settings.TimedOutCallLinger = s.duration(0, 300)
-	if c.IntN(3) > 0 && len(s.settings.Classes) > 1 {
+	if rng.IntN(3) > 0 && len(s.settings.Classes) > 1 {
 		s.settings.Classes[1].SkippedCallValue = 0.5
 	}
-	s.settings.Halt = pickOne(c, HaltDrop, HaltPause, HaltNone)
-	s.settings.RetryAfterAllowed = c.IntN(2) == 0
+	s.settings.Halt = pickOne(rng, HaltDrop, HaltPause, HaltNone)
+	s.settings.RetryAfterAllowed = rng.IntN(2) == 0
 	s.settings.MaxRetryAfter = s.duration(500, 3000)
-	s.settings.LoadSignal = pickOne(c, LoadSignalChance, LoadSignalLeastRank, LoadSignalTokens, LoadSignalNone)
-	s.settings.JustStarted = c.IntN(3) == 0
+	s.settings.LoadSignal = pickOne(rng, LoadSignalChance, LoadSignalLeastRank, LoadSignalTokens, LoadSignalNone)
+	s.settings.JustStarted = rng.IntN(3) == 0
 	s.settings.WarmUp = s.duration(0, 5000)
 	s.settings.WarmUpSpeedShare = 0.3
-	s.settings.RecordKB = float64(c.IntN(3))
-	s.settings.FleetSize = float64(1 + c.IntN(5))
+	s.settings.RecordKB = float64(rng.IntN(3))
+	s.settings.FleetSize = float64(1 + rng.IntN(5))
 	s.settings.Callers = 4
 	s.settings.MaxIdleTimeout = s.duration(1000, 30000)
-	s.settings.CoalescedReadWindow = pickOne(c, 0, 0, time.Second)
+	s.settings.CoalescedReadWindow = pickOne(rng, 0, 0, time.Second)
 }
 
 func (s *scenario) drawClass(i int) ClassSettings {
-	c := s.rng
+	rng := s.rng
 	objective := s.duration(200, 2000)
 	return ClassSettings{
 		Name:              Class(fmt.Sprint("t", i)),
-		Weight:            float64(1 + c.IntN(3)),
+		Weight:            float64(1 + rng.IntN(3)),
 		LatencyObjective:  objective,
 		Timeout:           objective + s.duration(0, 3000),
-		LateValue:         pickOne(c, 0, 0, 0.3, 0.6),
-		Idempotency:       pickOne(c, Idempotent, Idempotent, IdempotentByKey, NotIdempotent),
+		LateValue:         pickOne(rng, 0, 0, 0.3, 0.6),
+		Idempotency:       pickOne(rng, Idempotent, Idempotent, IdempotentByKey, NotIdempotent),
 		IdempotencyWindow: s.duration(500, 5000),
-		ObjectivePerWork:  pickOne(c, 0.0, 0, 4),
+		ObjectivePerWork:  pickOne(rng, 0.0, 0, 4),
 	}
 }
 
 // step plays one batch of events, then the decisions, then the timers that are due.
 func (s *scenario) step() {
-	r, c := s.recorder, s.rng
+	r, rng := s.recorder, s.rng
 	s.stepArrivals()
 	r.now += s.duration(0, 20)
-	for range c.IntN(s.cores + 2) {
+	for range rng.IntN(s.cores + 2) {
 		s.stepRun()
 	}
-	for range c.IntN(3) {
+	for range rng.IntN(3) {
 		s.stepCall()
 	}
-	if s.arrived > 0 && c.IntN(10) == 0 {
-		r.controller.Cancel(RequestID(fmt.Sprintf("%016x", 1+c.IntN(s.arrived))))
+	if s.arrived > 0 && rng.IntN(10) == 0 {
+		r.controller.Cancel(RequestID(fmt.Sprintf("%016x", 1+rng.IntN(s.arrived))))
 	}
 	r.controller.Decide()
 	r.fireTimers(s.drawGauges)
@@ -121,23 +121,23 @@
 
 // stepArrivals plays the arrival of a few or many requests, a jump of the clock, or the notice to drain.
 func (s *scenario) stepArrivals() {
-	r, c := s.recorder, s.rng
-	switch c.IntN(40) {
+	r, rng := s.recorder, s.rng
+	switch rng.IntN(40) {
 	case 0:
-		s.submit(20 + c.IntN(150))
+		s.submit(20 + rng.IntN(150))
 	case 1:
 		r.now += s.duration(100, 2000)
 	case 2:
-		if c.IntN(20) == 0 {
+		if rng.IntN(20) == 0 {
 			r.now += time.Minute
 		}
 	case 3:
-		if !s.drained && c.IntN(25) == 0 {
+		if !s.drained && rng.IntN(25) == 0 {
 			s.drained = true
 			r.controller.Drain(r.now + s.duration(500, 3000))
 		}
 	default:
-		s.submit(c.IntN(6))
+		s.submit(rng.IntN(6))
 	}
 }
 
@@ -149,77 +149,77 @@
 }
 
 func (s *scenario) drawRequest() Request {
-	c, now := s.rng, s.recorder.now
+	rng, now := s.rng, s.recorder.now
 	request := Request{
 		ID:       RequestID(fmt.Sprintf("%016x", s.arrived)),
-		Class:    pickOne(c, s.settings.Classes...).Name,
-		Rank:     c.Float64(),
-		IsRetry:  c.IntN(5) == 0,
-		IsWrite:  c.IntN(2) == 0,
-		Caller:   CallerID(c.IntN(6)),
-		WorkHint: time.Duration(c.ExpFloat64() * float64(s.runTime)),
-		MemoryKB: 1 + 20*c.Float64(),
-	}
-	if c.IntN(3) == 0 {
-		request.WorkHint = pickOne(c, 0, s.runTime, 100*s.runTime)
-	}
-	if c.IntN(3) == 0 {
+		Class:    pickOne(rng, s.settings.Classes...).Name,
+		Rank:     rng.Float64(),
+		IsRetry:  rng.IntN(5) == 0,
+		IsWrite:  rng.IntN(2) == 0,
+		Caller:   CallerID(rng.IntN(6)),
+		WorkHint: time.Duration(rng.ExpFloat64() * float64(s.runTime)),
+		MemoryKB: 1 + 20*rng.Float64(),
+	}
+	if rng.IntN(3) == 0 {
+		request.WorkHint = pickOne(rng, 0, s.runTime, 100*s.runTime)
+	}
+	if rng.IntN(3) == 0 {
 		request.QueueDelay = s.duration(0, 400)
 	}
-	if c.IntN(2) == 0 {
+	if rng.IntN(2) == 0 {
 		request.HasDeadline = true
 		request.Deadline = now - request.QueueDelay + s.duration(10, 3000)
 	}
 	if !request.IsWrite {
-		request.Resource = pickOne(c, "", "k1", "k2")
+		request.Resource = pickOne(rng, "", "k1", "k2")
 	}
 	if len(s.settings.Tenants) > 0 {
-		request.Tenant = pickOne(c, s.settings.Tenants...).Name
+		request.Tenant = pickOne(rng, s.settings.Tenants...).Name
 	}
 	return request
 }
 
 // stepRun makes a run that is not in a call reach a call or end.
 func (s *scenario) stepRun() {
-	r, c := s.recorder, s.rng
-	id, exists := pickKey(c, r.onEnd)
+	r, rng := s.recorder, s.rng
+	id, exists := pickKey(rng, r.onEnd)
 	if !exists {
 		return
 	}
 	onEnd, onCall := r.onEnd[id], r.onCall[id]
 	switch {
-	case onCall != nil && c.IntN(4) == 0 && r.onCallDone[id] == nil:
+	case onCall != nil && rng.IntN(4) == 0 && r.onCallDone[id] == nil:
 		onCall()
 	case r.onCallDone[id] == nil:
 		delete(r.onEnd, id)
 		outcome := Succeeded
-		if c.IntN(10) == 0 {
-			outcome = pickOne(c, Failed, Stopped, NotStarted)
+		if rng.IntN(10) == 0 {
+			outcome = pickOne(rng, Failed, Stopped, NotStarted)
 		}
-		onEnd(outcome, time.Duration((0.2+c.ExpFloat64())*float64(s.runTime)))
+		onEnd(outcome, time.Duration((0.2+rng.ExpFloat64())*float64(s.runTime)))
 	}
 }
 
 // stepCall ends a call.
 func (s *scenario) stepCall() {
-	r, c := s.recorder, s.rng
-	id, exists := pickKey(c, r.onCallDone)
+	r, rng := s.recorder, s.rng
+	id, exists := pickKey(rng, r.onCallDone)
 	if !exists {
 		return
 	}
 	done := r.onCallDone[id]
 	delete(r.onCallDone, id)
-	done(pickOne(c, Succeeded, Succeeded, Succeeded, Failed, Rejected, TimedOut, Unreachable, ConnectionLost),
+	done(pickOne(rng, Succeeded, Succeeded, Succeeded, Failed, Rejected, TimedOut, Unreachable, ConnectionLost),
 		s.duration(1, 100))
 }
 
 func (s *scenario) drawGauges() Gauges {
-	c := s.rng
-	switch c.IntN(8) {
+	rng := s.rng
+	switch rng.IntN(8) {
 	case 0:
 		return nil
 	case 1:
-		return Gauges{GaugeBusyCores: c.Float64()}
+		return Gauges{GaugeBusyCores: rng.Float64()}
 	}
-	return Gauges{GaugeRunnable: float64(c.IntN(3 * s.cores)), GaugeBusyCores: c.Float64()}
+	return Gauges{GaugeRunnable: float64(rng.IntN(3 * s.cores)), GaugeBusyCores: rng.Float64()}
 }
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Settings configures an instance. A zero value means that nothing is configured: no limit, none of the named
-// items, or as documented for the field. Durations are never negative. A Controller does not use OverloadTolerance,
-// LoadSignalLifetime, CancellationsSeen, RetriesMarked, Tier, OverQuotaWeight, ClassSettings.CallsUpstream and
-// TenantSettings.Share.
+// Settings configures an instance. The zero value of a field means that it is not configured: there is no limit, or
+// the feature is absent, unless the field's comment states otherwise. Durations are never negative. A Controller does
+// not use OverloadTolerance, LoadSignalLifetime, CancellationsSeen, RetriesMarked, Tier, OverQuotaWeight,
+// ClassSettings.CallsUpstream or TenantSettings.Share.
 type Settings struct {
 	Classes []ClassSettings  // never empty; requests of unknown classes are treated as requests of the first class
 	Tenants []TenantSettings // in the configured order; empty if there are no tenants
@@ -31,7 +31,7 @@
 	WarmUpSpeedShare float64       // speed at the start, as a share of full speed, 0 to 1
 
 	Upstream            UpstreamKind
-	UpstreamShare       float64       // calls that this instance may have open if Upstream is shared; 0: no limit
+	UpstreamShare       float64       // calls that this instance may have open if Upstream is shared; 0: a limit per core
 	UpstreamWindow      time.Duration // a share below 1 is a part of the time, averaged over this window
 	TimedOutCallLinger  time.Duration // how long a call that timed out still occupies the upstream
 	CoalescedReadWindow time.Duration // how long the result of a read answers duplicates; 0: reads are not coalesced
--- a/admission/shedding.go
+++ b/admission/shedding.go
@@ -24,9 +24,9 @@
 }
 
 // shedHopeless rejects queued requests that cannot be completed within their remaining time, and returns the
-// others. It rejects none while a core is free. Requests that were rejected late would return as retries with no
-// slack left. If countWait is set, the wait for the work ahead of each request in the order is included, which the
-// paper's T leaves out.
+// others. It rejects none while a core is free. If hopeless requests were rejected later, they would return as
+// retries with no slack left. If countWait is set, the wait for the work ahead of each request in the order is
+// included, which the paper's T leaves out.
 func (c *Controller) shedHopeless(candidates []candidate, now time.Duration, countWait bool) []candidate {
 	if c.coreFree(now) {
 		return candidates
--- a/admission/skippedcalls_test.go
+++ b/admission/skippedcalls_test.go
@@ -54,7 +54,7 @@
 		}
 		s.submit(requests...)
 		ends += s.moveRunsThroughCalls(int(c.cores))
-		for _, id := range s.awaitedCalls() { // each takes a while; with a scarce upstream, calls end one at a time
+		for _, id := range s.awaitedCalls() { // a share of 2 allows one open call; otherwise calls end in batches
 			if s.controller.requests.byID[id] != nil && (c.share <= 2 || step%7 == 0) {
 				s.finishCall(id, Succeeded, 100*ms)
 				calls++
@@ -66,7 +66,7 @@
 			t.Fatalf("%d runs on the cores and %d in calls, %.1f are survivable", running, open, survivable)
 		}
 	}
-	if calls < 50 || ends < 50 { // calls that end one at a time end 57 times
+	if calls < 50 || ends < 50 { // with one call in each batch, 58 calls and 57 runs end
 		t.Errorf("too little progress: %d calls and %d runs ended, want at least 50 of each", calls, ends)
 	}
 }
--- a/admission/submit.go
+++ b/admission/submit.go
@@ -54,7 +54,7 @@
 	return r
 }
 
-// Cancel handles a caller that has disconnected: its request needs no answer any more. Cancel ignores a request
+// Cancel handles the disconnection of a caller, whose request no longer needs an answer. Cancel ignores a request
 // that is unknown, or that has been answered and has ended.
 func (c *Controller) Cancel(id RequestID) {
 	r := c.requests.byID[id]
--- a/admission/upstream.go
+++ b/admission/upstream.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	// maxCallsPerCore limits the calls to an upstream that has its own admission control. This number keeps the
-	// cores busy if calls take no longer than runs.
+	// maxCallsPerCore limits the calls to an upstream that has its own admission control, or of which no share is
+	// configured. This number keeps the cores busy if calls take no longer than runs.
 	maxCallsPerCore = 2
-	// usableUpstreamShare is the usable part of the configured share, because all instances start some calls at
-	// once.
+	// usableUpstreamShare is the part of the configured share that is used. The rest is a reserve, because all
+	// instances start some calls at once.
 	usableUpstreamShare = 0.9
 	// minUpstreamWindow is the shortest window. It also replaces a window that is not configured.
 	minUpstreamWindow = time.Second
 	// callBudgetFactor is the multiple of the current call time that must remain in a time budget for another call.
 	callBudgetFactor = 4
-	// firstCallTimeoutFactor is applied to the slowest recent call. The product is beyond random variation.
+	// firstCallTimeoutFactor times the slowest recent call time limits the first attempt of an idempotent request.
+	// Random variation alone does not make a call that slow.
 	firstCallTimeoutFactor = 4
-	// maxCallAttempts is enough attempts to outlast a short overload.
+	// maxCallAttempts is the maximum number of attempts for a call, enough to outlast a short overload.
 	maxCallAttempts = 3
 )
 
--- a/admission/upstream_test.go
+++ b/admission/upstream_test.go
@@ -7,14 +7,14 @@
 
 // A call is repeated only if the request may run again or the outcome proves that the call never ran.
 func Example_callRepeated() {
-	once := ClassSettings{
+	notIdempotent := ClassSettings{
 		Name:             "low",
 		Weight:           1,
 		LatencyObjective: time.Second,
 		Timeout:          2 * time.Second,
 		Idempotency:      NotIdempotent,
 	}
-	s := newFixture(Settings{Classes: []ClassSettings{once}, Upstream: UpstreamNextTier})
+	s := newFixture(Settings{Classes: []ClassSettings{notIdempotent}, Upstream: UpstreamNextTier})
 	s.submit(newRequest("a", 200*ms, 0.1), newRequest("b", 200*ms, 0.1))
 	s.onCall["a"]()
 	s.onCall["b"]()
@@ -22,7 +22,7 @@
 	s.onCallDone["a"](Rejected, ms)
 	s.onCallDone["b"](TimedOut, ms)
 	s.controller.Decide()
-	fmt.Println("with a value of answers without the call")
+	fmt.Println("if an answer without the call has a value")
 	s = newFixture(Settings{
 		Classes:        withSkippedCallValue(0.5, 0),
 		Upstream:       UpstreamShared,
@@ -42,7 +42,7 @@
 	// 0ms fail b
 	// 0ms call a
 	// 0ms fail b
-	// with a value of answers without the call
+	// if an answer without the call has a value
 	// 0ms start c
 	// 0ms call c
 	// 0ms skip call c
@@ -51,7 +51,7 @@
 // A single lost or missing reply does not cause a call to be skipped while there is time for a whole run. The timeout
 // of the first attempt is a small multiple of the slowest recent call. A run that never started counts neither as a
 // failure nor as progress.
-func Example_spoiltReply() {
+func Example_lostReply() {
 	s := newFixture(Settings{
 		Classes:        withSkippedCallValue(0.5, 0.5),
 		Upstream:       UpstreamShared,
--- a/admission/upstreamcalls.go
+++ b/admission/upstreamcalls.go
@@ -8,11 +8,12 @@
 const (
 	// callTimeHistorySize is large enough to still contain the usual call times after ten seconds of overload.
 	callTimeHistorySize = 128
-	// latestCallCount is the number of calls whose median is the current call time.
+	// latestCallCount is the number of most recent calls whose median time is the current call time.
 	latestCallCount = 8
 	// minCallTimes is the minimum number of call times for an estimate.
 	minCallTimes = 16
-	// slowCallFactor is a multiple of the fastest quartile. It is about twice the usual call time.
+	// slowCallFactor times the fastest quartile of call times is the call time above which calls are throttled. It
+	// is about twice the usual call time.
 	slowCallFactor = 4
 	// minThrottleShare is the part of the share that always remains, because calls may be slow without overload.
 	minThrottleShare = 0.25
@@ -21,7 +22,7 @@
 // upstreamCall records a call.
 type upstreamCall struct {
 	id          RequestID
-	from, until time.Duration // until is set if the call is not open
+	from, until time.Duration // until is 0 while the call is open
 	open        bool
 }
 
@@ -103,10 +104,10 @@
 	callTime time.Duration // current call time; 0 while it is not known
 }
 
-// throttle returns a share below 1 while calls take longer than slowCallFactor times their fastest quartile, in
-// proportion. The fastest quartile remains fast for a while even if most calls are slow. The more calls an
-// overloaded upstream holds, the less it completes, so that calls would accumulate there long after a burst has
-// ended.
+// throttle returns a share below 1 while the current call time is longer than slowCallFactor times the fastest
+// quartile of call times. The share is inversely proportional to the current call time. The fastest quartile remains
+// fast for a while even if most calls are slow. The more calls an overloaded upstream holds, the fewer it completes,
+// so that calls would accumulate there long after a burst has ended.
 func (u *upstreamCalls) throttle() callThrottle {
 	if !u.hasEnoughCallTimes() {
 		return callThrottle{share: 1}
