--- a/admission/answer.go
+++ b/admission/answer.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// answerSpareTicks is how many ticks before it is due an answer is sent at the latest.
-const answerSpareTicks = 2
+// answerMarginTicks is the number of ticks before its deadline by which a request is answered.
+const answerMarginTicks = 2
 
-// reject turns away a request that has not run, with advice on how long to keep away.
+// reject rejects a request that has not started, with Retry-After advice.
 func (c *Controller) reject(r *trackedRequest) {
 	if r.answered {
 		return
 	}
 	r.answered = true
 	if c.records.remove(r.ID) {
-		c.executor.DropRecord(r.ID) // it never ran here, so a later attempt may
+		c.executor.DropRecord(r.ID) // the request has not run here, so a later attempt may run
 	}
-	c.executor.Reject(r.ID, c.retryAfter(), c.saturatedElsewhere())
-	if !r.overQuota { // what is beyond a quota is rejected on a good day too
+	c.executor.Reject(r.ID, c.retryAfter(), c.isFleetSaturated())
+	if !r.overQuota { // requests beyond a quota are rejected even without overload
 		c.idle.addDecision(true)
 	}
 	c.requests.forget(r)
 }
 
-// abandon answers a request that has a run, and frees the run's core where that is allowed. One that is not idempotent
-// fails: rejected, it would run again elsewhere.
-func (c *Controller) abandon(r *trackedRequest) {
+// abandonRun answers a request that has a run, and frees the run's core if runs can be stopped. A request that
+// is not idempotent fails, because the caller would send it to another instance after a rejection.
+func (c *Controller) abandonRun(r *trackedRequest) {
 	if r.answered {
 		return
 	}
@@ -41,19 +41,19 @@
 	}
 }
 
-// dueAt is when a request's answer is sent at the latest: before it is owed, and before the kill.
-func (c *Controller) dueAt(r *trackedRequest) time.Duration {
-	at := r.deadline - answerSpareTicks*c.settings.Tick
+// latestAnswerAt returns the time by which a request must be answered: before its deadline, and before the kill.
+func (c *Controller) latestAnswerAt(r *trackedRequest) time.Duration {
+	at := r.deadline - answerMarginTicks*c.settings.Tick
 	if c.drain.notified {
-		at = min(at, c.drain.lastAnswerAt())
+		at = min(at, c.drain.latestAnswerAt())
 	}
 	return at
 }
 
-// answerExpired answers what is due now, so that no request is lost, whatever holds it up.
-func (c *Controller) answerExpired(now time.Duration) {
+// answerDueRequests answers the requests that are due, so that each is answered in time even if its run is blocked.
+func (c *Controller) answerDueRequests(now time.Duration) {
 	for _, r := range c.requests.awaitingAnswer() {
-		if c.dueAt(r) <= now {
+		if c.latestAnswerAt(r) <= now {
 			r.onDeadline()
 		}
 	}
--- a/admission/arrivals_test.go
+++ b/admission/arrivals_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A deadline at a share of the timeout that no other arrival has is that of a retry: its slack is spent.
-func Example_timeSpentBefore() {
+// A deadline at a share of the timeout that no other arrival has marks a retry, whose slack is reduced.
+func Example_earlierAttemptTime() {
 	s := newFixture(Settings{})
 	for i := range 16 {
 		first := newRequest(fmt.Sprint("first", i), 100*ms, 0.1)
--- a/admission/batch.go
+++ b/admission/batch.go
@@ -8,15 +8,15 @@
 
 // Batch selection: the knapsack of the paper's section 3.5, equations 17 to 21.
 
-// selectBatch picks what to start into the capacity that the limit leaves. It follows the start order, unless no core
-// is free and starting the head would make another request miss its objective; then it takes the best batch around
-// one that is at risk.
+// selectBatch selects the candidates to start within the capacity left by the limit. It follows the start order,
+// unless no core is free and starting the head would make another request miss its objective. In that case it
+// selects the best batch around a request at risk.
 func (c *Controller) selectBatch(candidates []candidate, capacity int, now time.Duration) []candidate {
 	head := candidates[:min(1, capacity, len(candidates))]
 	if c.coreFree(now) || len(candidates) < 2 {
 		return head
 	}
-	// With the head started, the next start comes when one of those running ends.
+	// If the head starts now, the next start happens when one of the running requests ends.
 	running := len(c.requests.running) + 1
 	gap := c.estimatedRunTime(candidates[0].request, running, now) / time.Duration(running)
 	var best []candidate
@@ -28,7 +28,7 @@
 		if overQuota || !atRisk {
 			continue
 		}
-		count := c.startCount(anchor, capacity, now)
+		count := c.feasibleStarts(anchor, capacity, now)
 		if count < 1 {
 			continue
 		}
@@ -43,9 +43,9 @@
 	return best
 }
 
-// startCount turns the anchor's slack into a number of starts: how many may run for it to meet its objective, less
-// those running, within the capacity.
-func (c *Controller) startCount(anchor candidate, capacity int, now time.Duration) int {
+// feasibleStarts returns the number of requests, at most the capacity, that can start in addition to the running
+// ones such that the estimated run time of the anchor stays within its slack.
+func (c *Controller) feasibleStarts(anchor candidate, capacity int, now time.Duration) int {
 	count := 0
 	for count < capacity &&
 		c.estimatedRunTime(anchor.request, len(c.requests.running)+count+1, now) <= anchor.slack {
@@ -54,26 +54,26 @@
 	return count
 }
 
-// batchAround fills the count with the anchor and those of highest value whose slack is no less than its own, and
-// returns the sum of their values.
+// batchAround returns a batch of at most count requests, and the sum of their values. The batch holds the anchor
+// and the candidates of highest value among those with at least the anchor's slack.
 func batchAround(anchor candidate, candidates []candidate, count int) ([]candidate, float64) {
 	var batch []candidate
 	var workSum, slackSum float64
-	for _, k := range candidates {
-		if k.request == anchor.request || k.slack >= anchor.slack && k.slack > 0 {
-			batch = append(batch, k)
-			workSum += float64(k.work)
-			slackSum += float64(k.slack)
+	for _, cand := range candidates {
+		if cand.request == anchor.request || cand.slack >= anchor.slack && cand.slack > 0 {
+			batch = append(batch, cand)
+			workSum += float64(cand.work)
+			slackSum += float64(cand.slack)
 		}
 	}
-	value := func(k candidate) float64 { return 1 / (float64(k.work)/workSum + float64(k.slack)/slackSum) }
+	value := func(cand candidate) float64 { return 1 / (float64(cand.work)/workSum + float64(cand.slack)/slackSum) }
 	slices.SortStableFunc(batch, func(a, b candidate) int { return cmp.Compare(value(b), value(a)) })
-	batch = slices.DeleteFunc(batch, func(k candidate) bool { return k.request == anchor.request })
+	batch = slices.DeleteFunc(batch, func(cand candidate) bool { return cand.request == anchor.request })
 	batch = slices.Insert(batch, 0, anchor)
 	batch = batch[:min(count, len(batch))]
 	var total float64
-	for _, k := range batch {
-		total += value(k)
+	for _, cand := range batch {
+		total += value(cand)
 	}
 	return batch, total
 }
--- a/admission/batch_test.go
+++ b/admission/batch_test.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Batch selection starts a request at risk against the start order while no core is free; without a feasible one the
-// order decides.
+// Batch selection starts a request at risk ahead of the start order while no core is free. The start order applies
+// if there is no feasible batch.
 func Example_batchSelection() {
 	play := func(age time.Duration) {
 		s := newFixture(Settings{})
 		s.warmUp(200 * ms)
-		s.controller.limit.grown = 3
+		s.controller.limit.runs = 3
 		s.submit(newRequest("a1", 200*ms, 0.9), newRequest("a2", 200*ms, 0.9), newRequest("a3", 200*ms, 0.9))
 		s.submit(newRequest("waiting", 200*ms, 0.1))
 		s.now += age
 		s.controller.health.lastProgress = s.now
 		s.controller.recordGauges(Gauges{GaugeRunnable: 3})
-		s.controller.limit.grown = 3 // as idle cores let it grow before
+		s.controller.limit.runs = 3 // the limit to which idle cores let it grow before
 		for _, r := range s.controller.requests.running {
-			r.arrivedAt = s.now // their slack leaves the limit as it is
+			r.arrivedAt = s.now // their slack does not reduce the limit
 		}
 		s.onEnd["a1"](Succeeded, 200*ms)
 		s.submit(newRequest("head", 150*ms, 0.9))
--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -6,81 +6,87 @@
 )
 
 const (
-	// busyCoresWithoutRoom is the share of busy cores above which none is taken for idle, where runs that want a
-	// core are not measured.
-	busyCoresWithoutRoom = 0.95
-	// usableConcurrency is the part of the survivable runs that may run or be in a call.
-	usableConcurrency = 0.9
-	// usableOnCores is the part of the survivable runs that are started. It leaves room for runs that come back from
-	// calls.
-	usableOnCores = 0.75
-	// defaultRunsPerCore bounds the runs where it is not known how many are survived.
+	// saturatedBusyShare is the share of busy cores above which no core counts as idle. It applies if the number
+	// of runnable runs is not measured.
+	saturatedBusyShare = 0.95
+	// usableConcurrencyShare is the share of the survivable runs that may be on the cores or in a call.
+	usableConcurrencyShare = 0.9
+	// usableRunningShare is the share of the survivable runs up to which requests are started. The rest is reserved
+	// for runs that return from calls.
+	usableRunningShare = 0.75
+	// defaultRunsPerCore limits the runs per core if the survivable number is not known.
 	defaultRunsPerCore = 2
 )
 
-// limitGrowth is how far idle cores have let the number of runs grow.
-type limitGrowth struct {
-	grown              int // runs
-	grownAtCompletions int // completions when it last grew
-	completions        int // runs that ended, well or not
+// adaptiveLimit is the limit on concurrent runs. It grows while cores are idle.
+type adaptiveLimit struct {
+	runs                int // the limit
+	completionsAtGrowth int // completions when the limit last grew
+	completions         int // runs that succeeded or failed
 }
 
-// lower takes one run back where more than the cores are wanted by a sixth: beyond it runs only slow each other down.
-func (l *limitGrowth) lower(reading gaugeReading, cores int) {
+// shrink lowers the limit by one, but not below the cores, if more than 7/6 as many runs as there are cores are
+// runnable. Beyond this excess of a sixth, additional runs only slow each other down.
+func (l *adaptiveLimit) shrink(reading gaugeReading, cores int) {
 	if reading.runnable > float64(cores)*7/6 {
-		l.grown = max(cores, l.grown-1)
+		l.runs = max(cores, l.runs-1)
 	}
 }
 
-// concurrencyLimit is the largest number of runs with which, by the fit, each class running meets the least slack of
-// those running. It stays within what idle cores have let it grow to, floors at the cores with the runs on top that
-// wait for something else, and stays under the ceiling.
+// concurrencyLimit returns the largest number of runs at which the fitted run time of each class with running
+// requests is within the least positive slack of these requests. The result is at most the adaptive limit, but at
+// least the number of cores plus the number of blocked runs, and never above the ceiling.
 func (c *Controller) concurrencyLimit(now time.Duration) int {
-	least := time.Duration(math.MaxInt64)
+	leastSlack := time.Duration(math.MaxInt64)
 	classes := map[*classState]bool{}
 	for _, r := range c.requests.running {
 		if slack := r.slack(now); slack > 0 {
-			least = min(least, slack)
+			leastSlack = min(leastSlack, slack)
 			classes[r.class] = true
 		}
 	}
-	limit := c.limit.grown
-	for limit > c.cores && !c.allMeet(classes, limit, least, now) {
+	limit := c.limit.runs
+	for limit > c.cores && !c.allWithinSlack(classes, limit, leastSlack, now) {
 		limit--
 	}
 	return min(max(limit, c.cores+c.gauges.blockedRuns()), c.concurrencyCeiling())
 }
 
-// allMeet tells whether with so many running each class meets the slack.
-func (c *Controller) allMeet(classes map[*classState]bool, running int, slack, now time.Duration) bool {
+// allWithinSlack reports whether the fitted run time of each class is within the slack if the given number of
+// requests is running.
+func (c *Controller) allWithinSlack(classes map[*classState]bool, running int, slack, now time.Duration) bool {
 	meets := true
-	for class := range classes { // the result does not depend on their order
+	for class := range classes { // the result does not depend on the iteration order
 		meets = meets && c.fittedRunTime(class, running, now) <= slack
 	}
 	return meets
 }
 
-// raiseLimit lets one more run than the limit while cores idle and work waits. It needs a completion since it last
-// did: a hang looks like idle cores, and would take in all that waits.
+// raiseLimit raises the limit to one more than the running requests if cores are idle, and reports whether it did.
+// It is called while requests are queued. It requires a completion since it last raised the limit: the cores also
+// look idle during a hang, and the limit would otherwise grow until all queued requests had started.
 func (c *Controller) raiseLimit(now time.Duration) bool {
 	reading, measured := c.gauges.last()
 	running := len(c.requests.running)
-	if !measured || c.limit.completions <= c.limit.grownAtCompletions || running >= c.concurrencyCeiling() {
+	if !measured || c.limit.completions <= c.limit.completionsAtGrowth || running >= c.concurrencyCeiling() {
 		return false
 	}
-	if reading.runnable >= 0 && !c.coreFree(now) || reading.runnable < 0 && reading.busy > busyCoresWithoutRoom {
+	if reading.runnable >= 0 && !c.coreFree(now) || reading.runnable < 0 && reading.busy > saturatedBusyShare {
 		return false
 	}
-	c.limit.grown = running + 1
-	c.limit.grownAtCompletions = c.limit.completions
+	c.limit.runs = running + 1
+	c.limit.completionsAtGrowth = c.limit.completions
 	return true
 }
 
-// concurrencyCeiling is how many runs on the cores the instance survives, less in proportion while it warms up.
+// concurrencyCeiling returns the maximum number of runs on the cores, so that the instance survives when the runs
+// at calls return. During slow start, the survivable runs beyond one per core are reduced in proportion to the speed.
+// If the survivable number is not known, the result is defaultRunsPerCore for each core.
 //
-// Runs that are in a call come back when the upstream does, all at once, and those that wait for a call go on without
-// it when their slack is spent: both count. Beside those that wait, as many are started as there are cores, and a place
-// is left for the next call while half of the cores are kept at work.
+// When the upstream recovers, all runs in a call return at once, and runs that wait for a call go on without it
+// when their slack is used up. Both kinds therefore reduce the result. However many runs wait, as many runs as there
+// are cores are still allowed if the open calls leave room for them. While runs wait, one place of that room is
+// reserved for the next call, provided that no call is open or half of the cores can still be kept busy.
 func (c *Controller) concurrencyCeiling() int {
 	survivable := c.survivableConcurrency()
 	if survivable <= 0 {
@@ -88,32 +94,35 @@
 	}
 	open := c.upstream.open
 	room := int(c.maxConcurrency()) - open
-	waiting := len(c.requests.calling) - open
+	waiting := len(c.requests.atCall) - open
 	floor := room
 	if waiting > 0 && (open == 0 || room > c.halfCores()) {
 		floor--
 	}
-	return max(min(1, floor), min(int(usableOnCores*survivable), max(room-waiting, min(c.cores, floor))))
+	return max(min(1, floor), min(int(usableRunningShare*survivable), max(room-waiting, min(c.cores, floor))))
 }
 
 func (c *Controller) halfCores() int { return (c.cores + 1) / 2 }
 
-// maxConcurrency is how many may run and be in a call: a part of what is survived, or one more than the cores.
+// maxConcurrency returns the maximum number of runs on the cores and in calls: a share of the survivable runs, but
+// at least one more than the cores, or all survivable runs if these are fewer.
 func (c *Controller) maxConcurrency() float64 {
 	survivable := c.survivableConcurrency()
-	return max(usableConcurrency*survivable, min(survivable, float64(c.cores+1)))
+	return max(usableConcurrencyShare*survivable, min(survivable, float64(c.cores+1)))
 }
 
-// concurrencyAllows tells whether beside so many on the cores one more may go there, or to a call that it comes back
-// from. One alone always may.
-func (c *Controller) concurrencyAllows(running int) bool {
+// allowsOneMore reports whether one more run may be on the cores, or in a call from which it returns, in addition
+// to the open calls and the given number of runs on the cores. A single run is always allowed. There is no limit if
+// the survivable number is not known.
+func (c *Controller) allowsOneMore(running int) bool {
 	if c.survivableConcurrency() <= 0 || len(c.requests.running)+c.upstream.open == 0 {
 		return true
 	}
 	return float64(running+c.upstream.open+1) <= c.maxConcurrency()
 }
 
-// survivableConcurrency is how many runs on the cores are survived now, 0 if that is not known.
+// survivableConcurrency returns the number of runs on the cores that the instance survives now, 0 if it is not
+// known.
 func (c *Controller) survivableConcurrency() float64 {
 	perCore := c.settings.SurvivableRunsPerCore
 	if perCore <= 0 {
--- a/admission/history.go
+++ b/admission/history.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// appendRecent appends to a list that keeps the last limit elements.
+// appendRecent appends an element to a list and keeps the last limit elements.
 func appendRecent[T any](list []T, element T, limit int) []T {
 	list = append(list, element)
 	if len(list) > limit {
@@ -11,7 +11,7 @@
 	return list
 }
 
-// without removes a request from a list, in place.
-func without(list []*trackedRequest, r *trackedRequest) []*trackedRequest {
+// removeRequest removes a request from a list, in place.
+func removeRequest(list []*trackedRequest, r *trackedRequest) []*trackedRequest {
 	return slices.DeleteFunc(list, func(other *trackedRequest) bool { return other == r })
 }
--- a/admission/idletimeout.go
+++ b/admission/idletimeout.go
@@ -3,29 +3,30 @@
 import "time"
 
 const (
-	// admissionsKept is the number of decisions that the share of rejections stands on.
-	admissionsKept = 64
-	// keepConnectionsFrom is the share of rejections from which connections are kept: a full table is then the lesser
-	// evil, as each rejected attempt has cost a connection.
-	keepConnectionsFrom = 0.6
-	// handshakeCost is how long an idle connection is as costly as a new one, in seconds: a part of a request, against
-	// a part of busy cores.
-	handshakeCost = 5
+	// decisionHistorySize is the number of decisions from which the rejection rate is computed.
+	decisionHistorySize = 64
+	// keepOpenRejectionRate is the rejection rate from which connections are kept open. Since each rejected
+	// attempt has cost a connection, a full connection table is then the lesser problem.
+	keepOpenRejectionRate = 0.6
+	// idleSecondsPerHandshake is the time in seconds for which keeping an idle connection costs as much as opening
+	// a new one while all cores are busy. A new connection costs part of the work of a request. The cost of an idle
+	// one is weighted by the share of busy cores.
+	idleSecondsPerHandshake = 5
 )
 
-// idleTimeout holds how long unused connections may stay, and what that goes by.
-type idleTimeout struct {
-	current  time.Duration // as last set; 0: not yet
-	rejected []bool        // of the last requests within quota, whether each was rejected or started
+// idleTimeoutState holds the current idle timeout and the decisions from which it is adjusted.
+type idleTimeoutState struct {
+	current  time.Duration // the last value set; 0: none
+	rejected []bool        // for each recent request within quota: whether it was rejected (true) or started
 }
 
-// addDecision notes that a request was rejected unstarted, or started.
-func (t *idleTimeout) addDecision(rejected bool) {
-	t.rejected = appendRecent(t.rejected, rejected, admissionsKept)
+// addDecision records that a request was started, or rejected without being started.
+func (t *idleTimeoutState) addDecision(rejected bool) {
+	t.rejected = appendRecent(t.rejected, rejected, decisionHistorySize)
 }
 
-// rejectionRate is the share of the last requests that were rejected unstarted.
-func (t *idleTimeout) rejectionRate() float64 {
+// rejectionRate returns the share of recent requests that were rejected without being started.
+func (t *idleTimeoutState) rejectionRate() float64 {
 	n := 0
 	for _, rejected := range t.rejected {
 		if rejected {
@@ -35,11 +36,12 @@
 	return float64(n) / float64(max(1, len(t.rejected)))
 }
 
-// adjustIdleTimeout says how long an unused connection may stay. A table full of connections that are hardly used would
-// take capacity, and turn new callers back unseen. One step a sample: one moment must not close all of them.
+// adjustIdleTimeout adjusts how long an unused connection may stay open. Too many rarely used connections would
+// take capacity, and new callers would be refused before their requests are seen. The timeout changes by one step
+// per sample, so that a single sample does not close all of them.
 func (c *Controller) adjustIdleTimeout(now time.Duration) {
 	current := c.idle.current
-	timeout := c.worthwhileIdleTimeout(now)
+	timeout := c.targetIdleTimeout(now)
 	if timeout > current && current > 0 {
 		timeout = min(c.settings.MaxIdleTimeout, current*2)
 	} else if timeout < current {
@@ -51,13 +53,13 @@
 	}
 }
 
-// worthwhileIdleTimeout is the longest timeout, halved from the configured one, with which an unused connection is used
-// again once in handshakeCost of waiting or sooner, longer as far as the cores idle.
-func (c *Controller) worthwhileIdleTimeout(now time.Duration) time.Duration {
+// targetIdleTimeout returns the configured timeout, halved until unused connections are reused at least once per
+// idleSecondsPerHandshake seconds of waiting. The less busy the cores are, the longer the wait that it allows.
+func (c *Controller) targetIdleTimeout(now time.Duration) time.Duration {
 	timeout := c.settings.MaxIdleTimeout
-	for timeout > c.sampleInterval() && !c.arrivals.isFew() && c.idle.rejectionRate() < keepConnectionsFrom {
+	for timeout > c.sampleInterval() && !c.arrivals.hasTooFew() && c.idle.rejectionRate() < keepOpenRejectionRate {
 		reuse := c.arrivals.connectionReuse(now, timeout)
-		if float64(reuse.count)*handshakeCost >= reuse.unused.Seconds()*c.gauges.meanBusy() {
+		if float64(reuse.count)*idleSecondsPerHandshake >= reuse.idleTime.Seconds()*c.gauges.meanBusy() {
 			break
 		}
 		timeout /= 2
--- a/admission/loadreport.go
+++ b/admission/loadreport.go
@@ -6,18 +6,19 @@
 )
 
 const (
-	// failingAcceptance lets some traffic come while the instance is failing.
+	// failingAcceptance is the acceptance of a failing instance. It still admits some traffic.
 	failingAcceptance = 0.05
-	// pressureWeight is how fast acceptance falls with pressure.
+	// pressureWeight determines how fast acceptance decreases with pressure.
 	pressureWeight = 4
-	// A load report is rounded to these steps to one, not to be published for each request.
+	// Load reports are rounded to multiples of 1/loadReportSteps, or of 1/warmUpLoadReportSteps for tokens during
+	// slow start, so that not every request changes them.
 	loadReportSteps       = 20
 	warmUpLoadReportSteps = 200
-	// unpublished is below any load report.
+	// unpublished is the initial value of publishedLoad, lower than any load report.
 	unpublished = -1
 )
 
-// acceptance is how much of its usual traffic the instance wants, 0 to 1.
+// acceptance returns the share of its usual traffic that the instance can accept, 0 to 1.
 func (c *Controller) acceptance() float64 {
 	now := c.executor.Now()
 	switch c.health.state {
@@ -30,24 +31,24 @@
 	return succeeding * succeeding * c.slowStart.speedShare(now) / (1 + pressureWeight*c.sustainedPressure(now))
 }
 
-// pressure is the wait, unread and then queued, as a multiple of half a latency objective: as much as can still be done
-// in time.
+// pressure returns the waiting time of requests, unread and queued, as a multiple of half the least latency
+// objective. Half an objective is the wait that still leaves time to run.
 func (c *Controller) pressure(now time.Duration) float64 {
 	var queued time.Duration
 	for _, r := range c.requests.queue {
 		queued += c.estimatedWork(r, now)
 	}
-	wait := float64(queued)/float64(c.cores) + float64(c.arrivals.recentQueueDelay(now))
+	wait := float64(queued)/float64(c.cores) + float64(c.arrivals.maxRecentQueueDelay(now))
 	return wait / float64(c.minLatencyObjective()/2)
 }
 
-// sustainedPressure is the pressure now or the mean of the last readings, whichever is more: callers compare instances,
-// and a report that jumps back at each lull would draw them all at once.
+// sustainedPressure returns the current pressure or the mean of the recent readings, whichever is greater. Callers
+// compare instances, and a report that recovered during each short lull would attract all of them at once.
 func (c *Controller) sustainedPressure(now time.Duration) float64 {
-	return max(c.pressure(now), c.gauges.meanPressure(now-readingsKept*c.sampleInterval()))
+	return max(c.pressure(now), c.gauges.meanPressure(now-readingHistorySize*c.sampleInterval()))
 }
 
-// minLatencyObjective is the least objective of all classes.
+// minLatencyObjective returns the shortest latency objective of all classes.
 func (c *Controller) minLatencyObjective() time.Duration {
 	least := time.Duration(math.MaxInt64)
 	for _, class := range c.classes {
@@ -56,7 +57,7 @@
 	return least
 }
 
-// publishLoad turns the acceptance into the value that callers go by, and publishes a change.
+// publishLoad converts the acceptance into the configured load signal, and publishes it if it has changed.
 func (c *Controller) publishLoad(now time.Duration) {
 	var level float64
 	steps := float64(loadReportSteps)
@@ -82,34 +83,36 @@
 	}
 }
 
-// leastRank is the rank under which the share of the arrivals lies that is not accepted. With few arrivals while
-// warming up, when the first answers count, it assumes ranks that are evenly spread.
+// leastRank returns the rank below which requests are not accepted, chosen such that the acceptance is the share of
+// the arrivals at or above it. During slow start the first reports matter although there are few arrivals, so ranks
+// are assumed to be uniformly distributed until there are enough.
 func (c *Controller) leastRank(acceptance float64, warmingUp bool) float64 {
-	if warmingUp && c.arrivals.isFew() {
+	if warmingUp && c.arrivals.hasTooFew() {
 		return 1 - acceptance
 	}
 	ranks := c.arrivals.sortedRanks()
-	below := int((1 - acceptance) * float64(len(ranks)))
-	if below <= 0 {
+	rejected := int((1 - acceptance) * float64(len(ranks)))
+	if rejected <= 0 {
 		return 0
 	}
-	return ranks[min(below, len(ranks)-1)]
+	return ranks[min(rejected, len(ranks)-1)]
 }
 
-// tokens is how many requests each caller may have here. Callers that seldom have more than one get the acceptance: a
-// fraction counts by chance.
+// tokens returns the number of requests that each caller may have on this instance. If the capacity is less than
+// one request per caller, it returns the acceptance, because callers use a fraction as a probability.
 func (c *Controller) tokens(now time.Duration) float64 {
 	return c.acceptance() * max(1, c.capacity(now)/c.arrivals.callerSpread(c.settings.Callers))
 }
 
-// warmUpTokens is each caller's part of the capacity. An instance that warms up would be overloaded by the sum of what
-// all callers send, those that have not come yet included.
+// warmUpTokens returns each caller's part of the capacity. The sum of the requests of all callers, including those
+// that have not sent any yet, would otherwise overload an instance during slow start.
 func (c *Controller) warmUpTokens(now time.Duration) float64 {
 	callers := max(c.arrivals.callerSpread(c.settings.Callers), c.settings.Callers)
 	return c.acceptance() * c.capacity(now) / callers
 }
 
-// capacity is how many requests could be here and still be in time: those that run, and half an objective of waiting.
+// capacity returns the number of requests that can be on this instance and still be answered within their
+// objective: the running requests, plus those that can wait for half an objective.
 func (c *Controller) capacity(now time.Duration) float64 {
 	var objective, work time.Duration
 	for _, class := range c.classes {
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -9,35 +9,35 @@
 // The start order: the paper's section 3.3.
 
 const (
-	// urgentFrom is the paper's alpha: the run time as a share of the slack from which a request is urgent. At 1 it
-	// would be one that already misses.
-	urgentFrom = 0.5
-	// minSlack is the paper's epsilon: it keeps the division defined when no slack is left.
+	// urgentRunTimeShare is the paper's alpha: a request is urgent if its run time is greater than this share of
+	// its slack. At 1, only requests that already miss their objective would be urgent.
+	urgentRunTimeShare = 0.5
+	// minSlack is the paper's epsilon: it keeps the division defined when no slack remains.
 	minSlack = time.Millisecond
-	// protectedRank is the rank from which a request is protected where all classes have one weight.
+	// protectedRank is the rank from which requests are protected if all classes have the same weight.
 	protectedRank = 0.8
 )
 
-// The first level of the key. A request beyond its tenant's quota stands one level lower.
+// First level of the sort key. Requests beyond their tenant's quota are one level lower.
 const (
 	levelProtected = 0
 	levelUsual     = 1
 )
 
-// The second level of the key.
+// Second level of the sort key.
 const (
 	urgencyUrgent  = 0
 	urgencyRelaxed = 1
 )
 
-// candidate is one queued request with its place in the order, worked out once a round.
+// candidate is a queued request with its sort key. It is computed once per round.
 type candidate struct {
 	request *trackedRequest
 	level   int           // the paper's 1-g
 	urgency int           // the paper's 1-urgent
 	work    time.Duration // the paper's r
 	slack   time.Duration // the paper's s
-	runTime time.Duration // the paper's T with those running now
+	runTime time.Duration // the paper's T with the currently running requests
 }
 
 // startOrder sorts the queue.
@@ -54,38 +54,38 @@
 	return startOrder{weightBands: len(weights)}
 }
 
-// protects is the paper's safeguard flag g, from the rank: the band of the highest weight, as ranks give each weight
-// a band of equal width.
-func (o *startOrder) protects(r *trackedRequest) bool {
+// isProtected reports whether a request is protected: the paper's safeguard flag g. Its rank must be in the band of
+// the highest weight, as each weight has a band of equal width, or at least protectedRank if there is one weight.
+func (o *startOrder) isProtected(r *trackedRequest) bool {
 	if o.weightBands < 2 {
 		return r.Rank >= protectedRank
 	}
 	return r.Rank >= 1-1/float64(o.weightBands)
 }
 
-// sortQueue sorts the queue by (1-g, 1-urgent, r): protected first, then urgent, then least work. Equations 10 to 13.
-// The result is valid until the next call.
+// sortQueue returns the queue sorted by (1-g, 1-urgent, r): protected requests first, then urgent ones, then those
+// with the least work. Equations 10 to 13. The result is valid until the next call.
 func (c *Controller) sortQueue(now time.Duration) []candidate {
 	candidates := c.order.candidates[:0]
 	for _, r := range c.requests.queue {
-		k := candidate{
+		cand := candidate{
 			request: r,
 			level:   levelUsual,
 			urgency: urgencyRelaxed,
 			work:    c.estimatedWork(r, now),
 			slack:   r.slack(now),
 		}
-		k.runTime = time.Duration(float64(k.work) * runsPerCore(float64(len(c.requests.running)), c.cores))
-		if float64(k.runTime)/float64(max(k.slack, minSlack)) > urgentFrom {
-			k.urgency = urgencyUrgent
+		cand.runTime = time.Duration(float64(cand.work) * runsPerCore(float64(len(c.requests.running)), c.cores))
+		if float64(cand.runTime)/float64(max(cand.slack, minSlack)) > urgentRunTimeShare {
+			cand.urgency = urgencyUrgent
 		}
-		if c.order.protects(r) {
-			k.level = levelProtected
+		if c.order.isProtected(r) {
+			cand.level = levelProtected
 		}
 		if r.overQuota {
-			k.level++
+			cand.level++
 		}
-		candidates = append(candidates, k)
+		candidates = append(candidates, cand)
 	}
 	slices.SortStableFunc(candidates, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.level, b.level), cmp.Compare(a.urgency, b.urgency), cmp.Compare(a.work, b.work))
@@ -94,7 +94,7 @@
 	return candidates
 }
 
-// removeCandidate removes a request that has left the queue, in place.
+// removeCandidate removes the candidate of a request that has left the queue, in place.
 func removeCandidate(candidates []candidate, r *trackedRequest) []candidate {
-	return slices.DeleteFunc(candidates, func(k candidate) bool { return k.request == r })
+	return slices.DeleteFunc(candidates, func(cand candidate) bool { return cand.request == r })
 }
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// quotaWindow holds some tens of arrivals at the usual loads.
+	// quotaWindow is long enough for some tens of arrivals at the usual loads.
 	quotaWindow = 4 * time.Second
-	// tenantArrivalsKept is 500 a second over the window, twice the fastest that one instance takes in.
-	tenantArrivalsKept = 2048
-	// quotaDeviations is how many standard deviations beyond its quota a tenant may be by chance.
+	// tenantArrivalHistorySize is 500 arrivals per second over the window, twice the highest rate of one instance.
+	tenantArrivalHistorySize = 2048
+	// quotaDeviations is the number of standard deviations by which a tenant may exceed its quota by chance.
 	quotaDeviations = 2
 )
 
-// tenantQuotas counts the tenants' arrivals against their quotas.
+// tenantQuotas counts the arrivals of each tenant and compares them with its quota.
 type tenantQuotas struct {
 	configured []TenantSettings
 	fleetSize  float64
@@ -38,37 +38,38 @@
 	return quotas
 }
 
-// exceeded counts an arrival and tells whether its tenant now sends this instance more than its part of the quota.
-// Marked retries are not counted, or a rejection would count against the tenant.
-func (q *tenantQuotas) exceeded(r *trackedRequest, now time.Duration) bool {
+// recordArrival counts an arrival and reports whether its tenant now exceeds this instance's part of the quota.
+// Marked retries are not counted, because a rejection would otherwise count against the tenant.
+func (q *tenantQuotas) recordArrival(r *trackedRequest, now time.Duration) bool {
 	tenant := q.arrivals[r.Tenant]
 	if tenant == nil || tenant.quotaPerSecond <= 0 {
 		return false
 	}
 	if !r.IsRetry {
-		tenant.recent = appendRecent(tenant.recent, now, tenantArrivalsKept)
+		tenant.recent = appendRecent(tenant.recent, now, tenantArrivalHistorySize)
 	}
 	since := now - quotaWindow
 	arrived, quotas := q.totals(since)
 	share := quotaWindow.Seconds() / max(1, q.fleetSize)
-	// In a storm of unmarked retries all tenants are beyond their quotas; the quotas then grow with all that comes.
-	part := tenant.quotaPerSecond * share * max(1, arrived/(quotas*share))
-	// Where few requests come, a tenant within its quota is beyond it by chance.
-	return float64(tenant.since(since)) > part+quotaDeviations*math.Sqrt(part)
+	// In a storm of unmarked retries all tenants exceed their quotas. The quotas are then scaled up with the
+	// arrivals.
+	instanceQuota := tenant.quotaPerSecond * share * max(1, arrived/(quotas*share))
+	// At low rates, a tenant within its quota exceeds its part by chance.
+	return float64(tenant.countSince(since)) > instanceQuota+quotaDeviations*math.Sqrt(instanceQuota)
 }
 
-// totals counts the arrivals of all tenants and sums their quotas, in the order configured.
+// totals returns the arrivals of all tenants and the sum of their quotas. It adds them in the configured order.
 func (q *tenantQuotas) totals(since time.Duration) (arrived, quotasPerSecond float64) {
 	for _, settings := range q.configured {
 		tenant := q.arrivals[settings.Name]
-		arrived += float64(tenant.since(since))
+		arrived += float64(tenant.countSince(since))
 		quotasPerSecond += tenant.quotaPerSecond
 	}
 	return arrived, quotasPerSecond
 }
 
-// since counts the arrivals after a moment.
-func (t *tenantArrivals) since(from time.Duration) int {
+// countSince returns the number of arrivals after the given time.
+func (t *tenantArrivals) countSince(from time.Duration) int {
 	n := 0
 	for _, at := range t.recent {
 		if at > from {
--- a/admission/submit.go
+++ b/admission/submit.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Submit takes a request that has just been read: it is queued, answered by the one that it duplicates, or rejected at
-// once. Decide follows, once for all that came in one batch.
+// Submit takes a request that has just been read. The request is queued, rejected immediately, or coalesced with
+// the request that it duplicates. Decide must be called once after all requests of a batch.
 func (c *Controller) Submit(request Request) {
 	now := c.executor.Now()
 	r := c.track(request, now)
@@ -14,7 +14,7 @@
 	c.requests.queue = append(c.requests.queue, r)
 
 	deadlineShare := float64(r.deadline-r.arrivedAt) / float64(max(r.class.Timeout, 1))
-	r.latencyObjective -= c.arrivals.timeSpentBefore(r, deadlineShare)
+	r.latencyObjective -= c.arrivals.earlierAttemptTime(r, deadlineShare)
 	c.arrivals.add(arrival{
 		at:            now,
 		queueDelay:    r.QueueDelay,
@@ -23,17 +23,17 @@
 		deadlineShare: deadlineShare,
 		isRetry:       r.IsRetry,
 	})
-	r.overQuota = c.quotas.exceeded(r, now)
+	r.overQuota = c.quotas.recordArrival(r, now)
 
 	switch {
-	case r.DuplicateOf != "": // its effect must not happen twice
+	case r.DuplicateOf != "": // its effect must not occur twice
 		c.coalesce(r)
-	case c.memoryInUse(now) > c.memoryLimit() || !c.record(r, now):
+	case c.memoryInUse(now) > c.memoryLimit() || !c.keepRecord(r, now):
 		c.reject(r)
 	}
 }
 
-// track works out what a request is owed.
+// track returns a trackedRequest with the deadline and latency objective of the request.
 func (c *Controller) track(request Request, now time.Duration) *trackedRequest {
 	class := c.classes[request.Class]
 	if class == nil {
@@ -54,8 +54,8 @@
 	return r
 }
 
-// Cancel hears that the caller of a request has gone: it is owed no answer. A request that is not known, or has been
-// answered and has ended, is passed over.
+// Cancel handles the disconnection of a caller, whose request no longer needs an answer. Cancel ignores a request
+// that is unknown, or that has been answered and has ended.
 func (c *Controller) Cancel(id RequestID) {
 	r := c.requests.byID[id]
 	if r == nil {
@@ -70,9 +70,9 @@
 	}
 }
 
-// coalesce answers a duplicate by the first one's result.
+// coalesce answers a duplicate with the result of the first request.
 func (c *Controller) coalesce(r *trackedRequest) {
-	c.requests.queue = without(c.requests.queue, r)
+	c.requests.queue = removeRequest(c.requests.queue, r)
 	c.requests.coalesced = append(c.requests.coalesced, r)
 	r.onDeadline = func() {
 		r.answered = true
