--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -10,11 +10,11 @@
 // Loop is an event loop. The goroutine in Run owns it and whatever the owner of the Loop says: any goroutine may call
 // Post and PostBlocking, the other methods are for callbacks and timers, and for the time before Run.
 type Loop struct {
-	mu         sync.Mutex
-	pending    []func()   // guarded by mu
-	drained    *sync.Cond // by mu: pending was taken
-	maxPending int        // past it PostBlocking waits
-	wake       chan struct{}
+	mu           sync.Mutex
+	pending      []func()   // guarded by mu
+	pendingTaken *sync.Cond // by mu: pending was taken
+	maxPending   int        // past it PostBlocking waits
+	wake         chan struct{}
 
 	// Owned by the goroutine in Run.
 	start    time.Time
@@ -28,7 +28,7 @@
 func New(maxPending int) *Loop {
 	l := &Loop{maxPending: maxPending, wake: make(chan struct{}, 1), start: time.Now()}
 	l.wallTime = l.start
-	l.drained = sync.NewCond(&l.mu)
+	l.pendingTaken = sync.NewCond(&l.mu)
 	return l
 }
 
@@ -49,7 +49,7 @@
 func (l *Loop) PostBlocking(callbacks ...func()) {
 	l.mu.Lock()
 	for len(l.pending) > l.maxPending {
-		l.drained.Wait()
+		l.pendingTaken.Wait()
 	}
 	l.mu.Unlock()
 	l.Post(callbacks...)
@@ -58,16 +58,16 @@
 // Run takes what is pending as one batch, fires the timers that are due and calls afterBatch, again and again until
 // Quit. The calling goroutine owns the loop until Run returns.
 func (l *Loop) Run(afterBatch func()) {
-	alarm := time.NewTimer(time.Hour) // the one system timer, set to the next deadline
-	defer alarm.Stop()
+	systemTimer := time.NewTimer(time.Hour) // the one system timer, set to the next deadline
+	defer systemTimer.Stop()
 	var batch []func()
 	for !l.quitting {
-		if deadline, pending := l.timers.nextDeadline(); pending {
-			alarm.Reset(max(0, deadline-time.Since(l.start)))
+		if deadline, ok := l.timers.nextDeadline(); ok {
+			systemTimer.Reset(max(0, deadline-time.Since(l.start)))
 		}
 		select {
 		case <-l.wake:
-		case <-alarm.C:
+		case <-systemTimer.C:
 		}
 		batch = l.takePending(batch)
 		l.wallTime = time.Now()
@@ -87,7 +87,7 @@
 	defer l.mu.Unlock()
 	taken := l.pending
 	l.pending = batch[:0]
-	l.drained.Signal()
+	l.pendingTaken.Signal()
 	return taken
 }
 
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -87,7 +87,7 @@
 
 // fireNext calls back the first timer if it is due, and tells whether it was.
 func (q *timerQueue) fireNext(now time.Duration) bool {
-	if deadline, pending := q.nextDeadline(); !pending || deadline > now {
+	if deadline, ok := q.nextDeadline(); !ok || deadline > now {
 		return false
 	}
 	heap.Pop(q).(*Timer).callback()
--- a/internal/server/addresses.go
+++ b/internal/server/addresses.go
@@ -16,7 +16,7 @@
 		s.runtime.connect()
 	}
 	if config.DatabaseAddr != before.DatabaseAddr {
-		s.database.addressChanged()
+		s.database.onAddressChanged()
 	}
 	if config.RegistryAddr != before.RegistryAddr && s.registry.reset() {
 		s.report()
--- a/internal/server/authentication.go
+++ b/internal/server/authentication.go
@@ -10,7 +10,7 @@
 // authenticate asks who makes a request and whether they may. While that is not known the request is in flight, unknown
 // to the controller: it can be canceled, and its id is taken.
 func (s *Server) authenticate(active *activeRequest, credential *authn.Credential, request frontend.Request) {
-	active.outsideController = true
+	active.unknownToController = true
 	wanted := authn.Request{
 		Token: request.Token,
 		Request: authz.Request{
@@ -34,7 +34,7 @@
 	case decision.Denial != "":
 		metadata := s.ResponseMetadata()
 		metadata.Reason = string(decision.Denial)
-		s.answerOutside(active, func(responder frontend.Responder) {
+		s.respondWithoutController(active, func(responder frontend.Responder) {
 			responder.RejectPermanently(frontend.Denied, metadata)
 		})
 	case decision.RetryAfter > 0:
@@ -45,7 +45,7 @@
 				metadata.RetryAfter = min(decision.RetryAfter, s.settings.maxRetryAfter)
 			}
 		}
-		s.answerOutside(active, func(responder frontend.Responder) { responder.Reject(metadata) })
+		s.respondWithoutController(active, func(responder frontend.Responder) { responder.Reject(metadata) })
 	default:
 		request.Tenant = string(decision.Tenant)
 		active.permission = decision.Permission
--- a/internal/server/buffers.go
+++ b/internal/server/buffers.go
@@ -11,7 +11,7 @@
 
 // Get returns an empty buffer.
 func (p *BufferPool) Get() []byte {
-	if buffer, pooled := p.pool.Get().(*[transport.BufferSize]byte); pooled {
+	if buffer, ok := p.pool.Get().(*[transport.BufferSize]byte); ok {
 		return buffer[:0]
 	}
 	return new([transport.BufferSize]byte)[:0]
--- a/internal/server/databasecalls.go
+++ b/internal/server/databasecalls.go
@@ -17,7 +17,7 @@
 type databaseCalls struct {
 	server    *Server
 	upstreams Upstreams       // nil: all calls go to the configured database
-	open      int             // connections that stand or are being dialed
+	openConns int             // connections that stand or are being dialed
 	maxConns  int             // what the descriptors that clients leave allow
 	waiting   []*databaseCall // for a connection or a slot, in this order
 }
@@ -38,8 +38,8 @@
 	attempts    int
 }
 
-// underWay tells whether a call's outcome has not been told yet.
-func (c *databaseCall) underWay() bool { return c.request.run != nil && c.request.run.call == c }
+// inProgress tells whether a call's outcome has not been told yet.
+func (c *databaseCall) inProgress() bool { return c.request.run != nil && c.request.run.call == c }
 
 // interruptedOutcome is the outcome of a call that was cut short. One that was never sent can't have been executed.
 func (c *databaseCall) interruptedOutcome(outcome admission.Outcome) admission.Outcome {
@@ -57,7 +57,7 @@
 	call := &databaseCall{request: active, startedAt: d.server.Now(), deadline: deadline, done: done}
 	active.run.call = call
 	d.scheduleTimeout(call)
-	if d.open >= d.maxConns || !d.acquireSlot(call) {
+	if d.openConns >= d.maxConns || !d.acquireSlot(call) {
 		d.waiting = append(d.waiting, call)
 		return
 	}
@@ -72,7 +72,7 @@
 
 // dial opens the connection of a call and sends it.
 func (d *databaseCalls) dial(call *databaseCall) {
-	d.open++
+	d.openConns++
 	addr := d.server.config.DatabaseAddr
 	if call.slot != nil {
 		addr = call.slot.Addr()
@@ -83,7 +83,7 @@
 			d.handleRefused(call, addr)
 			return
 		}
-		if call.underWay() {
+		if call.inProgress() {
 			call.sent = true
 			conn.Call(addr, call.request.id, call.deadline-d.server.Now(), call.request.run.callPoint.body)
 		}
@@ -91,22 +91,22 @@
 	call.conn = conn
 	conn.OnReply = func(reply database.Reply) { d.handleReply(call, reply) }
 	conn.OnClose = func(string) {
-		d.open--
+		d.openConns--
 		call.releaseSlot(admission.ConnectionLost, call.sent)
 		d.finish(call, call.interruptedOutcome(admission.ConnectionLost))
-		d.startWaiting()
+		d.startWaitingCalls()
 	}
 }
 
 // handleRefused hears that a call's connection was refused, so that nothing was sent.
 func (d *databaseCalls) handleRefused(call *databaseCall, addr string) {
-	d.open--
-	if call.underWay() && d.retry(call, addr) {
+	d.openConns--
+	if call.inProgress() && d.retry(call, addr) {
 		return
 	}
 	call.releaseSlot(admission.Unreachable, false)
 	d.finish(call, admission.Unreachable)
-	d.startWaiting()
+	d.startWaitingCalls()
 }
 
 // retry makes a call again that an address refused, if the database has moved or there is another service. It tells
@@ -122,9 +122,9 @@
 	return true
 }
 
-// addressChanged hears that the database has moved. Calls that are still being dialed at the old address would wait
+// onAddressChanged hears that the database has moved. Calls that are still being dialed at the old address would wait
 // there for all of their time: their dials end as refused, and they are made again.
-func (d *databaseCalls) addressChanged() {
+func (d *databaseCalls) onAddressChanged() {
 	if d.upstreams != nil {
 		return
 	}
@@ -138,9 +138,9 @@
 	}
 }
 
-// startWaiting makes calls that wait, as far as there are connections and slots.
-func (d *databaseCalls) startWaiting() {
-	for len(d.waiting) > 0 && d.open < d.maxConns && d.acquireSlot(d.waiting[0]) {
+// startWaitingCalls makes calls that wait, as far as there are connections and slots.
+func (d *databaseCalls) startWaitingCalls() {
+	for len(d.waiting) > 0 && d.openConns < d.maxConns && d.acquireSlot(d.waiting[0]) {
 		call := d.waiting[0]
 		d.waiting = d.waiting[1:]
 		d.dial(call)
@@ -162,7 +162,7 @@
 
 // handleReply gives the reply to the run if the call succeeded, and tells its outcome.
 func (d *databaseCalls) handleReply(call *databaseCall, reply database.Reply) {
-	if !call.underWay() {
+	if !call.inProgress() {
 		return
 	}
 	outcome := replyOutcome(&reply)
@@ -182,7 +182,7 @@
 
 // finish tells the outcome of a call, once, and ends its connection.
 func (d *databaseCalls) finish(call *databaseCall, outcome admission.Outcome) {
-	if !call.underWay() {
+	if !call.inProgress() {
 		return
 	}
 	d.cancel(call)
--- a/internal/server/descriptors.go
+++ b/internal/server/descriptors.go
@@ -25,21 +25,21 @@
 // a time.
 const minCallConns = 4
 
-// unknownOpenDescriptors is assumed to be open where the platform does not tell: what it leaves to a program, and some.
-const unknownOpenDescriptors = 16
+// assumedOpenDescriptors is assumed to be open where the platform does not tell: what it leaves to a program, and some.
+const assumedOpenDescriptors = 16
 
 // divideDescriptors divides a limit on descriptors, of which some are open already. Idle clients must not take what
 // is needed for the link to the runtime, calls and reports. Clients may open half the limit, an eighth is for
 // connections that are being closed, and a quarter is for calls; where descriptors are few, the reserved ones go
 // first and the rest is shared.
 func divideDescriptors(limit, alreadyOpen int) descriptorBudget {
-	var machine syscall.Rlimit
-	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &machine) == nil && machine.Cur < uint64(limit) {
-		limit = int(machine.Cur)
+	var processLimit syscall.Rlimit
+	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &processLimit) == nil && processLimit.Cur < uint64(limit) {
+		limit = int(processLimit.Cur)
 	}
 	budget := descriptorBudget{total: max(3, limit-alreadyOpen-reservedDescriptors)}
-	whereFew := min(limit/2, budget.total-minCallConns)
-	budget.clients = max(2, min(limit*5/8, max(budget.total*5/7, whereFew)))
+	clientsIfScarce := min(limit/2, budget.total-minCallConns)
+	budget.clients = max(2, min(limit*5/8, max(budget.total*5/7, clientsIfScarce)))
 	budget.calls = max(1, min(limit/4, budget.total-budget.clients))
 	return budget
 }
@@ -48,7 +48,7 @@
 func openDescriptors() int {
 	open, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
-		return unknownOpenDescriptors
+		return assumedOpenDescriptors
 	}
 	return len(open) - 1 // the one that it is read by
 }
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -16,7 +16,7 @@
 	runtime := newFakeRuntime()
 	server, served := startServer(freeAddr("127.72.0.2"), runtime.addr())
 	link := runtime.accept()
-	onLoop(server, func() bool { return server.runtime.conn != nil })
+	waitOnLoop(server, func() bool { return server.runtime.conn != nil })
 	server.Post(func() {
 		server.Drain()
 		server.handleEvent(runtimelink.Event{Kind: runtimelink.EventReady, Status: "steady"})
--- a/internal/server/executor.go
+++ b/internal/server/executor.go
@@ -72,7 +72,7 @@
 	metadata.RetryAfter = retryAfter
 	metadata.NoFailover = noFailover
 	s.reject(active, metadata)
-	s.forget(active)
+	s.removeIfFinished(active)
 }
 
 // Fail answers a request with an error.
@@ -81,7 +81,7 @@
 	if active := s.requests.get(id); active != nil {
 		s.recordOutcome(active, false)
 		s.fail(active)
-		s.forget(active)
+		s.removeIfFinished(active)
 	}
 }
 
@@ -125,7 +125,7 @@
 // DropRecord drops the idempotency record of a request.
 func (e *executor) DropRecord(id admission.RequestID) {
 	if active := e.server.requests.get(id); active != nil {
-		e.server.idempotency.forget(active.record)
+		e.server.idempotency.remove(active.record)
 	}
 }
 
@@ -145,10 +145,10 @@
 }
 
 // WakeAt has the controller called at a time, with the gauges of the runtime.
-func (e *executor) WakeAt(at time.Duration, then func(admission.Gauges)) {
+func (e *executor) WakeAt(at time.Duration, callback func(admission.Gauges)) {
 	s := e.server
 	s.ScheduleAt(at, func() {
 		s.decisionPending = true // what is due is decided in this batch, whether or not the gauges come
-		s.gauges.request(then)
+		s.gauges.request(callback)
 	})
 }
--- a/internal/server/gauges.go
+++ b/internal/server/gauges.go
@@ -22,8 +22,8 @@
 
 // request calls then with the gauges, or with what is known if they take too long or there is no link to the runtime.
 // Requests that are made meanwhile share one round trip.
-func (g *gaugeReader) request(then func(admission.Gauges)) {
-	g.waiters = append(g.waiters, then)
+func (g *gaugeReader) request(callback func(admission.Gauges)) {
+	g.waiters = append(g.waiters, callback)
 	if !g.server.runtime.synced {
 		g.deliver()
 		return
@@ -31,7 +31,7 @@
 	if g.requestID != "" {
 		return
 	}
-	requestID := g.server.runtime.nextCorrelationID(correlateGauges)
+	requestID := g.server.runtime.nextCorrelationID(gaugesPrefix)
 	g.requestID = requestID
 	g.server.runtime.conn.RequestGauges(requestID)
 	g.server.ScheduleAt(g.server.Now()+gaugeTimeout, func() {
--- a/internal/server/health.go
+++ b/internal/server/health.go
@@ -5,11 +5,11 @@
 
 // CheckHealth implements clients.Server. A deep check has the runtime carry out a self-test, unless the controller has
 // set that its state answers.
-func (s *Server) CheckHealth(deep bool, then func(healthy bool)) {
+func (s *Server) CheckHealth(deep bool, callback func(healthy bool)) {
 	fromState := !deep || s.health.FromState
 	if fromState || !s.healthy() || !s.runtime.synced {
-		then(s.healthy() && (s.runtime.synced || fromState))
+		callback(s.healthy() && (s.runtime.synced || fromState))
 		return
 	}
-	s.selfTests.run(func(healthy bool) { then(healthy && s.healthy()) })
+	s.selfTests.run(func(healthy bool) { callback(healthy && s.healthy()) })
 }
--- a/internal/server/helper_test.go
+++ b/internal/server/helper_test.go
@@ -83,10 +83,10 @@
 	return server, served
 }
 
-// onLoop waits until a condition holds on the event loop.
-func onLoop(server *Server, holds func() bool) {
+// waitOnLoop waits until a condition holds on the event loop.
+func waitOnLoop(server *Server, condition func() bool) {
 	for result := make(chan bool); ; {
-		server.Post(func() { result <- holds() })
+		server.Post(func() { result <- condition() })
 		if <-result {
 			return
 		}
--- a/internal/server/idempotency.go
+++ b/internal/server/idempotency.go
@@ -24,7 +24,7 @@
 // byte for byte. Owned by the event loop.
 type idempotencyCache struct {
 	clock               clock
-	deliver             func(waiter *activeRequest, result coalescedResult)
+	onResult            func(waiter *activeRequest, result coalescedResult)
 	coalescedReadWindow time.Duration // how long the result of a read answers its duplicates
 	requestsAreCalls    bool          // requests are the upstream calls of another tier's requests
 
@@ -49,7 +49,7 @@
 	identity  requestIdentity
 	expiresAt time.Duration
 	finished  bool
-	forgotten bool
+	removed   bool
 	result    []byte // nil unless it has succeeded
 	waiters   []*activeRequest
 }
@@ -126,7 +126,7 @@
 	record := active.record
 	if record == nil {
 		if previous := c.records[active.identity]; previous != nil {
-			c.forget(previous)
+			c.remove(previous)
 		}
 		record = &idempotencyRecord{requestID: active.id, identity: active.identity}
 		c.records[record.identity] = record
@@ -144,17 +144,17 @@
 	}
 	c.clock.ScheduleAt(at, func() {
 		if record.expired(c.clock.Now()) {
-			c.forget(record)
+			c.remove(record)
 		}
 	})
 }
 
-// forget drops a record. One whose result others wait for stays.
-func (c *idempotencyCache) forget(record *idempotencyRecord) {
-	if record == nil || record.forgotten || len(record.waiters) > 0 {
+// remove drops a record. One whose result others wait for stays.
+func (c *idempotencyCache) remove(record *idempotencyRecord) {
+	if record == nil || record.removed || len(record.waiters) > 0 {
 		return
 	}
-	record.forgotten = true
+	record.removed = true
 	if c.records[record.identity] == record {
 		delete(c.records, record.identity)
 	}
@@ -165,9 +165,9 @@
 	record := c.records[active.identity]
 	switch {
 	case record == nil || record.finished && record.result == nil:
-		c.clock.Post(func() { c.deliver(active, coalescedResult{started: true}) })
+		c.clock.Post(func() { c.onResult(active, coalescedResult{started: true}) })
 	case record.finished:
-		c.clock.Post(func() { c.deliver(active, coalescedResult{body: record.result, started: true}) })
+		c.clock.Post(func() { c.onResult(active, coalescedResult{body: record.result, started: true}) })
 	default:
 		record.waiters = append(record.waiters, active)
 	}
@@ -176,7 +176,7 @@
 // finish ends a request's record, with its result if it succeeded, nil otherwise. Only the first call counts.
 func (c *idempotencyCache) finish(active *activeRequest, result []byte) {
 	record := active.record
-	if record == nil || record.finished || record.forgotten {
+	if record == nil || record.finished || record.removed {
 		return
 	}
 	record.finished = true
@@ -189,10 +189,10 @@
 	waiters := record.waiters
 	record.waiters = nil
 	for _, waiter := range waiters {
-		c.clock.Post(func() { c.deliver(waiter, coalescedResult{body: record.result, started: active.started}) })
+		c.clock.Post(func() { c.onResult(waiter, coalescedResult{body: record.result, started: active.started}) })
 	}
 	if record.identity.byKey && !active.started { // a retry may run
-		c.forget(record)
+		c.remove(record)
 		return
 	}
 	c.scheduleExpiry(record)
@@ -228,5 +228,5 @@
 	}
 	s.decisionPending = true
 	active.coalesced.onEnd(outcome, s.Now()-active.coalesced.since)
-	s.forget(active)
+	s.removeIfFinished(active)
 }
--- a/internal/server/idempotency_test.go
+++ b/internal/server/idempotency_test.go
@@ -25,8 +25,8 @@
 		active.identity = cache.identify(active, true, byKey)
 		return active
 	}
-	printDuplicate := func(what string, byKey bool, sentAt time.Duration) {
-		fmt.Printf("%s, sent at %v: %q\n", what, sentAt, cache.duplicateOf(newRequest(byKey), sentAt))
+	printDuplicate := func(description string, byKey bool, sentAt time.Duration) {
+		fmt.Printf("%s, sent at %v: %q\n", description, sentAt, cache.duplicateOf(newRequest(byKey), sentAt))
 	}
 	first := newRequest(true)
 	cache.store(first, 200*time.Millisecond)
@@ -35,7 +35,7 @@
 	cache.finish(first, []byte("one"))
 	printDuplicate("by key, finished", true, 199*time.Millisecond)
 	printDuplicate("by key, finished", true, 200*time.Millisecond)
-	cache.forget(first.record)
+	cache.remove(first.record)
 	second := newRequest(true)
 	cache.store(second, time.Second)
 	cache.finish(second, nil)
@@ -76,7 +76,7 @@
 		cache.finish(first, []byte("one"))
 		again := newRequest("z", byKey)
 		cache.store(again, time.Hour)
-		cache.forget(again.record) // it is rejected
+		cache.remove(again.record) // it is rejected
 		fmt.Printf("by key %v: %q, later %q\n", byKey,
 			cache.duplicateOf(newRequest("x", byKey), 99*time.Millisecond),
 			cache.duplicateOf(newRequest("x", byKey), 201*time.Millisecond))
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -22,10 +22,10 @@
 	responder  frontend.Responder // nil once it is answered or its caller has left
 	permission authz.Permission   // released when the request is forgotten
 
-	// outsideController is set while the controller does not know of the request: its caller is not authenticated yet,
+	// unknownToController is set while the controller does not know of the request: its caller is not authenticated yet,
 	// or the controller has rejected it and it is forwarded.
-	outsideController bool
-	forwarding        forwarding
+	unknownToController bool
+	forwarding          forwarding
 
 	run     *run // nil while it does not run
 	started bool // a run was started, whatever became of it
@@ -83,8 +83,8 @@
 	return active
 }
 
-// forget removes a request that nothing is owed to any more and that does not run; it does nothing to any other.
-func (s *Server) forget(active *activeRequest) {
+// removeIfFinished removes a request that nothing is owed to any more and that does not run; it does nothing to any other.
+func (s *Server) removeIfFinished(active *activeRequest) {
 	inUse := active.responder != nil || active.run != nil || active.forwarding.handle != nil
 	if inUse || s.requests.get(active.id) != active {
 		return
@@ -98,14 +98,14 @@
 	if s.authenticator != nil {
 		s.authenticator.Release(&active.permission)
 	}
-	if !active.outsideController {
+	if !active.unknownToController {
 		s.idempotency.finish(active, nil)
 	}
 }
 
 // Cancel implements frontend.Server: nobody waits for the request any more.
 func (s *Server) Cancel(handle frontend.Handle) {
-	if active, known := handle.(*activeRequest); known && active.responder != nil {
+	if active, ok := handle.(*activeRequest); ok && active.responder != nil {
 		s.cancelRequest(active)
 	}
 }
@@ -114,16 +114,16 @@
 	s.releaseResponder(active)
 	if active.forwarding.handle != nil {
 		s.spillover.Cancel(active.forwarding.handle)
-		s.returnFromSpillover(active)
+		s.endForwarding(active)
 		return
 	}
-	if active.outsideController { // the authenticator's decision finds it gone
-		s.forget(active)
+	if active.unknownToController { // the authenticator's decision finds it gone
+		s.removeIfFinished(active)
 		return
 	}
 	s.decisionPending = true
 	s.controller.Cancel(active.id)
-	s.forget(active)
+	s.removeIfFinished(active)
 }
 
 // releaseResponder ends what is owed to the caller. Whatever crosses, a request is answered once: who takes the
--- a/internal/server/run.go
+++ b/internal/server/run.go
@@ -33,8 +33,8 @@
 // reached tells whether the run waits at an upstream call.
 func (p *callPoint) reached() bool { return p.sequence != 0 }
 
-// arrive replaces the last call of the run by the next one.
-func (p *callPoint) arrive(sequence uint64, body []byte) {
+// reach replaces the last call of the run by the next one.
+func (p *callPoint) reach(sequence uint64, body []byte) {
 	*p = callPoint{sequence: sequence, body: append(p.body[:0], body...)}
 }
 
@@ -64,7 +64,7 @@
 	s.database.cancel(run.call)
 	run.call = nil
 	run.confirmed = true
-	run.callPoint.arrive(event.Sequence, event.Body)
+	run.callPoint.reach(event.Sequence, event.Body)
 	s.decisionPending = true
 	run.onCall()
 }
@@ -96,7 +96,7 @@
 	if outcome == admission.NotStarted { // nothing ran, so if the controller left a response owed it can only be this one
 		s.fail(active)
 	}
-	s.forget(active)
+	s.removeIfFinished(active)
 }
 
 // handleRefused hears that the runtime did not carry out a command. A refused start ends its request: its class or body
--- a/internal/server/runtimelink.go
+++ b/internal/server/runtimelink.go
@@ -10,9 +10,9 @@
 
 // Prefixes of correlation IDs, which the runtime echoes.
 const (
-	correlateSelfTest = "test"
-	correlateFence    = "fence"
-	correlateGauges   = "look"
+	selfTestPrefix = "test"
+	fencePrefix    = "fence"
+	gaugesPrefix   = "look"
 )
 
 // Backoff between attempts to connect to the runtime.
@@ -21,18 +21,18 @@
 	maxBackoff = 500 * time.Millisecond
 )
 
-// runtimeLinks is how many links to the runtime there are at most: while it moves, the old one and the new one.
-const runtimeLinks = 2
+// maxRuntimeLinks is how many links to the runtime there are at most: while it moves, the old one and the new one.
+const maxRuntimeLinks = 2
 
 // runtimeLink is the link to the runtime, which outlasts its connections. Owned by the event loop.
 type runtimeLink struct {
-	server       *Server
-	conn         *runtimelink.Conn // in use; nil while there is none
-	attempt      uint64            // number of the last attempt to connect
-	dialing      *runtimelink.Conn // by that attempt
-	backoff      time.Duration     // before the next attempt
-	lastSequence uint64            // number of the last event read
-	correlations uint64            // number of the last correlation ID
+	server                *Server
+	conn                  *runtimelink.Conn // in use; nil while there is none
+	attempt               uint64            // number of the last attempt to connect
+	dialing               *runtimelink.Conn // by that attempt
+	backoff               time.Duration     // before the next attempt
+	lastSequence          uint64            // number of the last event read
+	lastCorrelationNumber uint64            // number of the last correlation ID
 
 	// synced is set once all events that the runtime sent while there was no link have been read. Commands are sent only
 	// then. fenceID correlates the gauges that were requested behind those events.
@@ -41,8 +41,8 @@
 }
 
 func (l *runtimeLink) nextCorrelationID(prefix string) string {
-	l.correlations++
-	return prefix + "-" + strconv.FormatUint(l.correlations, 10)
+	l.lastCorrelationNumber++
+	return prefix + "-" + strconv.FormatUint(l.lastCorrelationNumber, 10)
 }
 
 // connect opens a connection to where the runtime is now, and again, after a backoff, when that is refused or lost. One
@@ -59,7 +59,7 @@
 			l.retry(attempt)
 			return
 		}
-		l.connected(conn, attempt)
+		l.onConnected(conn, attempt)
 	})
 	l.dialing = conn
 	conn.OnEvent = func(event runtimelink.Event) {
@@ -76,8 +76,8 @@
 	}
 }
 
-// connected takes a connection that stands into use, unless a later attempt has overtaken it.
-func (l *runtimeLink) connected(conn *runtimelink.Conn, attempt uint64) {
+// onConnected takes a connection that stands into use, unless a later attempt has overtaken it.
+func (l *runtimeLink) onConnected(conn *runtimelink.Conn, attempt uint64) {
 	if l.attempt != attempt {
 		conn.Close(closeAddressChanged)
 		return
@@ -103,8 +103,8 @@
 	})
 }
 
-// seen records an event's number. It tells whether the event was read before, on an earlier connection.
-func (l *runtimeLink) seen(event *runtimelink.Event) bool {
+// recordSequence records an event's number. It tells whether the event was read before, on an earlier connection.
+func (l *runtimeLink) recordSequence(event *runtimelink.Event) bool {
 	if event.Sequence == 0 { // it is not numbered
 		return false
 	}
@@ -117,7 +117,7 @@
 
 // handleEvent takes one event of the runtime.
 func (s *Server) handleEvent(event runtimelink.Event) {
-	if s.runtime.seen(&event) {
+	if s.runtime.recordSequence(&event) {
 		return
 	}
 	switch event.Kind {
@@ -148,7 +148,7 @@
 		s.decisionPending = true
 	}
 	s.runtime.backoff = 0
-	s.runtime.fenceID = s.runtime.nextCorrelationID(correlateFence)
+	s.runtime.fenceID = s.runtime.nextCorrelationID(fencePrefix)
 	s.runtime.conn.RequestGauges(s.runtime.fenceID)
 }
 
--- a/internal/server/selftest.go
+++ b/internal/server/selftest.go
@@ -16,7 +16,7 @@
 	if t.pending == nil {
 		t.pending = map[string]func(bool){}
 	}
-	correlationID := t.server.runtime.nextCorrelationID(correlateSelfTest)
+	correlationID := t.server.runtime.nextCorrelationID(selfTestPrefix)
 	timeout := t.server.ScheduleAt(t.server.Now()+selfTestTimeout, func() { t.finish(correlationID, false) })
 	t.pending[correlationID] = func(healthy bool) {
 		timeout.Stop()
--- a/internal/server/selftest_test.go
+++ b/internal/server/selftest_test.go
@@ -38,7 +38,7 @@
 	for checker.send(1); checker.response() != healthy; checker.send(1) {
 	}
 	// Health by the state is good before the link is synced; a deep check uses the runtime only after.
-	onLoop(server, func() bool {
+	waitOnLoop(server, func() bool {
 		(&executor{server: server}).SetHealth(admission.Health{Healthy: true})
 		return server.runtime.synced
 	})
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -102,7 +102,7 @@
 	server.database.server = server
 	server.idempotency = idempotencyCache{
 		clock:               server,
-		deliver:             server.finishCoalesced,
+		onResult:            server.finishCoalesced,
 		coalescedReadWindow: server.settings.coalescedReadWindow,
 		requestsAreCalls:    server.settings.requestsAreCalls,
 	}
@@ -120,7 +120,7 @@
 		OnAccept:       func(accepted *transport.Conn) { s.clients.Accept(accepted) },
 		OnFull:         func() { s.clients.EvictIdle() },
 		MaxAccepted:    int64(budget.clients),
-		MaxConns:       int64(budget.total) + runtimeLinks,
+		MaxConns:       int64(budget.total) + maxRuntimeLinks,
 		MaxDescriptors: s.config.MaxDescriptors,
 		MaxUnread:      int64(s.config.memoryBytes()) / 8, // responses that nobody reads: an eighth of the memory
 	}
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -29,7 +29,7 @@
 
 // newServiceSettings picks what the server needs out of the admission settings.
 func newServiceSettings(settings *admission.Settings) serviceSettings {
-	picked := serviceSettings{
+	result := serviceSettings{
 		classes:             map[admission.Class]classSettings{},
 		tenants:             map[admission.TenantID]bool{},
 		cores:               settings.Cores,
@@ -40,16 +40,16 @@
 		maxRetryAfter:       settings.MaxRetryAfter,
 	}
 	for _, class := range settings.Classes {
-		picked.classes[class.Name] = classSettings{
+		result.classes[class.Name] = classSettings{
 			timeout:          max(class.Timeout, class.LatencyObjective),
 			latencyObjective: class.LatencyObjective,
 			idempotency:      class.Idempotency,
 		}
 	}
 	for _, tenant := range settings.Tenants {
-		picked.tenants[tenant.Name] = true
+		result.tenants[tenant.Name] = true
 	}
-	return picked
+	return result
 }
 
 // Bounds of what a request may say of itself.
@@ -75,19 +75,19 @@
 // check tells what makes a request one that could never be served, empty if nothing does. The controller must not learn
 // from figures that nobody meant, or calculate with such as overflow.
 func (s *serviceSettings) check(request *frontend.Request) frontend.RejectionCode {
-	class, known := s.classes[admission.Class(request.Class)]
-	if !known {
+	class, ok := s.classes[admission.Class(request.Class)]
+	if !ok {
 		return frontend.UnknownClass
 	}
 	if len(s.tenants) > 0 && !s.tenants[admission.TenantID(request.Tenant)] {
 		return frontend.UnknownTenant
 	}
-	longest := maxWait(class.timeout)
+	maxDuration := maxWait(class.timeout)
 	switch {
 	case request.MemoryKB <= 0 || request.MemoryKB >= maxMemoryKB,
 		request.Rank < 0 || request.Rank >= maxRank,
 		request.Caller < 0 || request.Caller > maxCaller,
-		request.Timeout > longest || request.WorkHint > longest:
+		request.Timeout > maxDuration || request.WorkHint > maxDuration:
 		return frontend.OutOfRange
 	}
 	return ""
--- a/internal/server/spillover.go
+++ b/internal/server/spillover.go
@@ -35,8 +35,8 @@
 	s.net.ReadHops.Store(true)
 }
 
-// keepForForwarding keeps what it takes to forward a request if it is rejected.
-func (s *Server) keepForForwarding(active *activeRequest, request frontend.Request, queueDelay time.Duration) {
+// prepareForwarding keeps what it takes to forward a request if it is rejected.
+func (s *Server) prepareForwarding(active *activeRequest, request frontend.Request, queueDelay time.Duration) {
 	s.spillover.RequestArrived()
 	sentAt := s.Now() - queueDelay
 	deadline := sentAt + s.settings.classes[active.class].timeout
@@ -69,7 +69,7 @@
 	request := *active.forwarding.request
 	request.Body = active.body
 	s.idempotency.finish(active, nil)
-	active.outsideController = true
+	active.unknownToController = true
 	active.forwarding.request = nil
 	s.requests.spilledOver++
 	responder := &spilledResponder{s, active}
@@ -87,12 +87,12 @@
 	return false
 }
 
-// returnFromSpillover ends the forwarding of a request.
-func (s *Server) returnFromSpillover(active *activeRequest) {
+// endForwarding ends the forwarding of a request.
+func (s *Server) endForwarding(active *activeRequest) {
 	if active.forwarding.handle != nil {
 		active.forwarding.handle = nil
 		s.requests.spilledOver--
-		s.forget(active)
+		s.removeIfFinished(active)
 	}
 }
 
@@ -118,4 +118,4 @@
 	r.server.rejectPermanently(r.request, code, metadata)
 }
 
-func (r *spilledResponder) Done() { r.server.returnFromSpillover(r.request) }
+func (r *spilledResponder) Done() { r.server.endForwarding(r.request) }
--- a/internal/server/submit.go
+++ b/internal/server/submit.go
@@ -37,20 +37,20 @@
 func (s *Server) submitToController(active *activeRequest, request frontend.Request) {
 	queueDelay := max(0, s.WallTime().Sub(time.UnixMilli(request.SentUnixMilli)))
 	if code := s.settings.check(&request); code != "" {
-		s.answerOutside(active, func(responder frontend.Responder) {
+		s.respondWithoutController(active, func(responder frontend.Responder) {
 			responder.RejectPermanently(code, s.ResponseMetadata())
 		})
 		return
 	}
 	class := s.settings.classes[active.class]
 	if queueDelay > maxWait(class.timeout) { // answered long ago, or sent by a clock that is not ours
-		s.answerOutside(active, func(responder frontend.Responder) { responder.Reject(s.ResponseMetadata()) })
+		s.respondWithoutController(active, func(responder frontend.Responder) { responder.Reject(s.ResponseMetadata()) })
 		return
 	}
-	active.outsideController = false
+	active.unknownToController = false
 	active.tenant = admission.TenantID(request.Tenant)
 	if s.spillover != nil {
-		s.keepForForwarding(active, request, queueDelay)
+		s.prepareForwarding(active, request, queueDelay)
 	}
 	byKey := class.idempotency == admission.IdempotentByKey
 	active.identity = s.idempotency.identify(active, request.NewIDPerAttempt, byKey)
@@ -73,9 +73,9 @@
 	})
 }
 
-// answerOutside answers a request that the controller does not know of, and forgets it.
-func (s *Server) answerOutside(active *activeRequest, send func(frontend.Responder)) {
-	active.outsideController = true
+// respondWithoutController answers a request that the controller does not know of, and forgets it.
+func (s *Server) respondWithoutController(active *activeRequest, send func(frontend.Responder)) {
+	active.unknownToController = true
 	s.respond(active, send)
-	s.forget(active)
+	s.removeIfFinished(active)
 }
--- a/internal/server/upstreams.go
+++ b/internal/server/upstreams.go
@@ -16,7 +16,7 @@
 	// and nil while none has a slot. waiting is how many calls wait for a slot, this one included.
 	Acquire(refusedAddr string, waiting int) UpstreamSlot
 	// OnAvailable has then called, on the event loop, whenever there may be slots again.
-	OnAvailable(then func())
+	OnAvailable(callback func())
 }
 
 // UpstreamSlot is a call's place at one service. Its methods are called on the event loop.
@@ -30,7 +30,7 @@
 // UseUpstreams has calls go to several services instead of the configured database. It is called before Serve.
 func (s *Server) UseUpstreams(upstreams Upstreams) {
 	s.database.upstreams = upstreams
-	upstreams.OnAvailable(s.database.startWaiting)
+	upstreams.OnAvailable(s.database.startWaitingCalls)
 }
 
 // acquireSlot finds a slot for a call, where there are several services. It tells whether the call may be made.
@@ -68,7 +68,7 @@
 	if call.attempts >= maxAttempts {
 		return false
 	}
-	if d.open >= d.maxConns || !d.acquireSlot(call) {
+	if d.openConns >= d.maxConns || !d.acquireSlot(call) {
 		d.waiting = append(d.waiting, call)
 		return true
 	}
--- a/internal/settings/executor_test.go
+++ b/internal/settings/executor_test.go
@@ -21,12 +21,12 @@
 }
 
 const (
-	step        = 2 * time.Millisecond
-	runTime     = 30 * time.Millisecond
-	callTime    = 5 * time.Millisecond
-	afterCall   = 20 * time.Millisecond
-	arrivalGap  = 8 * time.Millisecond
-	callerWaits = 500 * time.Millisecond
+	stepTime         = 2 * time.Millisecond
+	runTime          = 30 * time.Millisecond
+	callTime         = 5 * time.Millisecond
+	runTimeAfterCall = 20 * time.Millisecond
+	arrivalGap       = 8 * time.Millisecond
+	callerTimeout    = 500 * time.Millisecond
 )
 
 func newFakeExecutor() *fakeExecutor {
@@ -38,9 +38,9 @@
 	}
 }
 
-func (e *fakeExecutor) schedule(at time.Duration, call func()) {
-	at = max(at, e.now+step).Truncate(step)
-	e.scheduled[at] = append(e.scheduled[at], call)
+func (e *fakeExecutor) schedule(at time.Duration, callback func()) {
+	at = max(at, e.now+stepTime).Truncate(stepTime)
+	e.scheduled[at] = append(e.scheduled[at], callback)
 }
 
 func (e *fakeExecutor) finish(id admission.RequestID, outcome admission.Outcome, elapsed time.Duration) {
@@ -65,7 +65,7 @@
 	e.started++
 	e.onEnd[id] = onEnd
 	if e.started%2 == 0 {
-		e.schedule(e.now+step, onCall)
+		e.schedule(e.now+stepTime, onCall)
 		return
 	}
 	e.finishAfter(id, runTime)
@@ -78,7 +78,7 @@
 func (e *fakeExecutor) Call(id admission.RequestID, _ time.Duration, done func(admission.Outcome, time.Duration)) {
 	e.schedule(e.now+callTime, func() {
 		done(admission.Succeeded, callTime)
-		e.finishAfter(id, afterCall)
+		e.finishAfter(id, runTimeAfterCall)
 	})
 }
 
@@ -113,7 +113,7 @@
 	e := newFakeExecutor()
 	controller := admission.New(1, settings, e)
 	arrived := 0
-	for ; e.now < 2*time.Second; e.now += step {
+	for ; e.now < 2*time.Second; e.now += stepTime {
 		if e.now < time.Second && e.now%arrivalGap == 0 {
 			arrived++
 			controller.Submit(simulatedRequest(arrived, e.now))
@@ -121,8 +121,8 @@
 		if e.now == 1500*time.Millisecond {
 			controller.Drain(e.now + 400*time.Millisecond)
 		}
-		for _, call := range e.scheduled[e.now] {
-			call()
+		for _, callback := range e.scheduled[e.now] {
+			callback()
 		}
 		delete(e.scheduled, e.now)
 		controller.Decide()
@@ -144,7 +144,7 @@
 		IsWrite:     n%3 > 0,
 		Caller:      admission.CallerID(n % 5),
 		HasDeadline: true,
-		Deadline:    now + callerWaits,
+		Deadline:    now + callerTimeout,
 		WorkHint:    30 * time.Millisecond,
 		MemoryKB:    20,
 		Tenant:      admission.TenantID("xy"[n%2 : n%2+1]),
@@ -155,8 +155,8 @@
 
 // checkAnswered notes a request that came longer ago than its caller waits, with some spare time, and has no answer.
 func (e *fakeExecutor) checkAnswered(arrived int) {
-	const spare = 30 * time.Millisecond
-	for n := 1; time.Duration(n)*arrivalGap < e.now-callerWaits-spare && n <= arrived; n++ {
+	const margin = 30 * time.Millisecond
+	for n := 1; time.Duration(n)*arrivalGap < e.now-callerTimeout-margin && n <= arrived; n++ {
 		if id := simulatedID(n); !e.answered[id] {
 			e.problems = append(e.problems, fmt.Sprintf("request %s has no answer at %v", id, e.now))
 			return
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -122,8 +122,8 @@
 // The words of the enumerations. Beside those that the platform says today stand the ones that were accepted in their
 // place before.
 var (
-	upstreamKinds = words[admission.UpstreamKind]{
-		known: map[string]admission.UpstreamKind{
+	upstreamKinds = enumeration[admission.UpstreamKind]{
+		values: map[string]admission.UpstreamKind{
 			"":          admission.UpstreamUnspecified,
 			"common":    admission.UpstreamShared,
 			"shared":    admission.UpstreamShared,
@@ -132,18 +132,18 @@
 			"silent":    admission.UpstreamNone,
 			"none":      admission.UpstreamNone,
 		},
-		other: admission.UpstreamUnknown,
+		fallback: admission.UpstreamUnknown,
 	}
-	haltModes = words[admission.HaltMode]{
-		known: map[string]admission.HaltMode{
+	haltModes = enumeration[admission.HaltMode]{
+		values: map[string]admission.HaltMode{
 			"drop":   admission.HaltDrop,
 			"pause":  admission.HaltPause,
 			"silent": admission.HaltNone,
 		},
-		other: admission.HaltNone,
+		fallback: admission.HaltNone,
 	}
-	loadSignals = words[admission.LoadSignal]{
-		known: map[string]admission.LoadSignal{
+	loadSignals = enumeration[admission.LoadSignal]{
+		values: map[string]admission.LoadSignal{
 			"min_rank":   admission.LoadSignalLeastRank,
 			"least rank": admission.LoadSignalLeastRank,
 			"bias":       admission.LoadSignalChance,
@@ -151,16 +151,16 @@
 			"tokens":     admission.LoadSignalTokens,
 			"silent":     admission.LoadSignalNone,
 		},
-		other: admission.LoadSignalNone,
+		fallback: admission.LoadSignalNone,
 	}
-	idempotencies = words[admission.Idempotency]{
-		known: map[string]admission.Idempotency{
+	idempotencies = enumeration[admission.Idempotency]{
+		values: map[string]admission.Idempotency{
 			"idempotent":   admission.Idempotent,
 			"retryable":    admission.Idempotent,
 			"deduplicated": admission.IdempotentByKey,
 			"keyed":        admission.IdempotentByKey,
 			"at_most_once": admission.NotIdempotent,
 		},
-		other: admission.NotIdempotent,
+		fallback: admission.NotIdempotent,
 	}
 )
--- a/internal/settings/read.go
+++ b/internal/settings/read.go
@@ -20,12 +20,12 @@
 // readObject reads the fields that an object has.
 func readObject[T any](object *fastjson.Value, fields []field[T], to *T) []FieldError {
 	var problems []FieldError
-	for _, known := range fields {
-		v := object.Get(known.path...)
+	for _, f := range fields {
+		v := object.Get(f.path...)
 		if isAbsent(v) {
 			continue
 		}
-		problems = append(problems, within(known.path, known.read(to, v))...)
+		problems = append(problems, prefixPaths(f.path, f.read(to, v))...)
 	}
 	return problems
 }
@@ -48,7 +48,7 @@
 		if len(nested) == 0 && isAbsent(value.Get("name")) {
 			nested = []FieldError{{Path: []string{"name"}, Want: "wants text"}}
 		}
-		problems = append(problems, within([]string{strconv.Itoa(i)}, nested)...)
+		problems = append(problems, prefixPaths([]string{strconv.Itoa(i)}, nested)...)
 	}
 	return items, problems
 }
@@ -93,18 +93,18 @@
 	return S(v.GetStringBytes()), true
 }
 
-// words reads an enumeration. A word that is not known is no error.
-type words[E any] struct {
-	known map[string]E
-	other E
+// enumeration reads an enumeration. A word that is not known is no error.
+type enumeration[E any] struct {
+	values   map[string]E
+	fallback E
 }
 
-func (w words[E]) read(v *fastjson.Value) (E, bool) {
+func (w enumeration[E]) read(v *fastjson.Value) (E, bool) {
 	word, ok := text[string](v)
-	if value, known := w.known[word]; known && ok {
+	if value, known := w.values[word]; known && ok {
 		return value, true
 	}
-	return w.other, ok
+	return w.fallback, ok
 }
 
 // maxSeconds is what a time.Duration holds, rounded down.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -27,8 +27,8 @@
 	return fmt.Sprintf("%v: is a %s, which is the wrong type", e.Path, e.got)
 }
 
-// within prefixes the errors' paths by that of the object that they were found in.
-func within(parent []string, nested []FieldError) []FieldError {
+// prefixPaths prefixes the errors' paths by that of the object that they were found in.
+func prefixPaths(parent []string, nested []FieldError) []FieldError {
 	problems := make([]FieldError, 0, len(nested))
 	for _, problem := range nested {
 		problem.Path = append(append([]string(nil), parent...), problem.Path...)
@@ -74,7 +74,7 @@
 
 // GaugeName maps the name of a gauge on the wire; one that is not known stays as it is.
 func GaugeName(stored string) admission.Gauge {
-	if name, known := gaugeNames[stored]; known {
+	if name, ok := gaugeNames[stored]; ok {
 		return name
 	}
 	return admission.Gauge(stored)
