--- a/internal/server/addresses.go
+++ b/internal/server/addresses.go
@@ -2,8 +2,8 @@
 
 import "log/slog"
 
-// UpdateAddresses puts the addresses of a new configuration in force, and nothing else of it. What is under way at the
-// old ones may end there.
+// UpdateAddresses applies the runtime, database and registry addresses of config and ignores its other fields. Calls
+// that were already sent to an old address may finish there.
 func (s *Server) UpdateAddresses(config Config) {
 	before := s.config
 	s.config.RuntimeAddr = config.RuntimeAddr
--- a/internal/server/authentication.go
+++ b/internal/server/authentication.go
@@ -7,8 +7,8 @@
 	"lanewheel/internal/frontend"
 )
 
-// authenticate asks who makes a request and whether they may. While that is not known the request is in flight, unknown
-// to the controller: it can be canceled, and its id is taken.
+// authenticate starts the authentication and authorization of a request's caller. Until the decision arrives, the
+// request is in flight but unknown to the controller: it can be canceled, and no other request may use its ID.
 func (s *Server) authenticate(active *activeRequest, credential *authn.Credential, request frontend.Request) {
 	active.unknownToController = true
 	wanted := authn.Request{
@@ -20,7 +20,7 @@
 		},
 	}
 	s.authenticator.Authorize(credential, wanted, func(decision authn.Decision) {
-		if active.responder == nil || s.requests.get(active.id) != active { // its caller has left
+		if active.responder == nil || s.requests.get(active.id) != active { // the request was canceled
 			s.authenticator.Release(&decision.Permission)
 			return
 		}
@@ -28,7 +28,7 @@
 	})
 }
 
-// applyDecision carries out what the authenticator decided about a request.
+// applyDecision rejects a request or submits it to the controller, as the authenticator decided.
 func (s *Server) applyDecision(active *activeRequest, request frontend.Request, decision authn.Decision) {
 	switch {
 	case decision.Denial != "":
@@ -54,7 +54,8 @@
 	}
 }
 
-// UpdateAuthn puts a new configuration of callers in force; without an authenticator, or with nil, it does nothing.
+// UpdateAuthn applies a new authentication configuration. It does nothing if the server has no authenticator or config
+// is nil.
 func (s *Server) UpdateAuthn(config *authn.Config) {
 	if s.authenticator == nil || config == nil {
 		return
--- a/internal/server/buffers.go
+++ b/internal/server/buffers.go
@@ -6,7 +6,7 @@
 	"lanewheel/internal/transport"
 )
 
-// BufferPool pools buffers of transport.BufferSize bytes. Any goroutine may use it.
+// BufferPool is a pool of buffers of transport.BufferSize bytes. Its methods may be called on any goroutine.
 type BufferPool struct{ pool sync.Pool }
 
 // Get returns an empty buffer.
@@ -17,7 +17,7 @@
 	return new([transport.BufferSize]byte)[:0]
 }
 
-// Put takes a buffer back. One of another size is left to the garbage collector.
+// Put returns a buffer to the pool. A buffer of another capacity is left to the garbage collector.
 func (p *BufferPool) Put(buffer []byte) {
 	if cap(buffer) == transport.BufferSize {
 		p.pool.Put((*[transport.BufferSize]byte)(buffer[:transport.BufferSize]))
--- a/internal/server/closereasons.go
+++ b/internal/server/closereasons.go
@@ -1,6 +1,6 @@
 package server
 
-// Why connections to the runtime and the database were closed, as the log has it.
+// Reasons for closing connections to the runtime and the database, as they appear in the log.
 const (
 	closeAddressChanged = "address-changed"
 	closeCallCanceled   = "call-canceled"
--- a/internal/server/databasecalls.go
+++ b/internal/server/databasecalls.go
@@ -10,38 +10,40 @@
 	"lanewheel/internal/eventloop"
 )
 
-// databaseCalls is the upstream calls of runs, to the database or to one of several services. Each call has a
-// connection of its own: a reply may come twice or with noise behind it, and what comes late on a connection that
-// is used again would be taken for the next call's reply; and if the other side has forgotten an idle connection,
-// nobody can tell whether the next call was executed. Owned by the event loop.
+// databaseCalls makes the upstream calls of runs, to the database or to one of several services. Connections are not
+// reused, for two reasons. A reply may arrive twice or be followed by garbage, and late bytes on a reused connection
+// would be read as the reply to the next call. And if the peer has dropped an idle connection, there is no way to find
+// out whether the next call was executed. Owned by the event loop.
 type databaseCalls struct {
 	server    *Server
-	upstreams Upstreams       // nil: all calls go to the configured database
-	openConns int             // connections that stand or are being dialed
-	maxConns  int             // what the descriptors that clients leave allow
-	waiting   []*databaseCall // for a connection or a slot, in this order
+	upstreams Upstreams       // nil if all calls go to the configured database
+	openConns int             // connections that are open or being dialed
+	maxConns  int             // limit of openConns: the share of the descriptors that is reserved for calls
+	waiting   []*databaseCall // calls that wait for a connection or a slot, in FIFO order
 }
 
-// databaseCall is one call of a run, until its outcome is told. Its slot is released once, and before done is called.
+// databaseCall is one call of a run, until its outcome is reported. Its slot is released exactly once, before done is
+// called.
 type databaseCall struct {
 	request   *activeRequest
 	startedAt time.Duration
 	deadline  time.Duration
-	timer     *eventloop.Timer // at the deadline
+	timer     *eventloop.Timer // fires at the deadline
 	done      func(admission.Outcome, time.Duration)
 
-	conn *database.Conn // nil while it waits
+	conn *database.Conn // nil while the call waits for a connection or a slot
 	sent bool
 
-	slot        UpstreamSlot // nil where there is one database, and while it has none
-	refusedAddr string       // of the service that refused it before
+	slot        UpstreamSlot // nil if calls go to the one database, or while the call has no slot
+	refusedAddr string       // address of the service that refused the previous attempt
 	attempts    int
 }
 
-// inProgress tells whether a call's outcome has not been told yet.
+// inProgress reports whether the outcome of the call has not been reported yet.
 func (c *databaseCall) inProgress() bool { return c.request.run != nil && c.request.run.call == c }
 
-// interruptedOutcome is the outcome of a call that was cut short. One that was never sent can't have been executed.
+// interruptedOutcome returns the outcome of a call that was interrupted. It is Unreachable if the call was never sent,
+// because then it cannot have been executed.
 func (c *databaseCall) interruptedOutcome(outcome admission.Outcome) admission.Outcome {
 	if c.sent {
 		return outcome
@@ -49,7 +51,7 @@
 	return admission.Unreachable
 }
 
-// start makes the call that a run waits at. It cancels an earlier one of the same run.
+// start makes the call that a run waits for. It cancels an earlier call of the same run.
 func (d *databaseCalls) start(
 	active *activeRequest, deadline time.Duration, done func(admission.Outcome, time.Duration),
 ) {
@@ -70,7 +72,7 @@
 	})
 }
 
-// dial opens the connection of a call and sends it.
+// dial opens a connection for a call and sends the call on it.
 func (d *databaseCalls) dial(call *databaseCall) {
 	d.openConns++
 	addr := d.server.config.DatabaseAddr
@@ -98,7 +100,7 @@
 	}
 }
 
-// handleRefused hears that a call's connection was refused, so that nothing was sent.
+// handleRefused handles a refused connection: it retries the call or ends it as Unreachable, as nothing was sent.
 func (d *databaseCalls) handleRefused(call *databaseCall, addr string) {
 	d.openConns--
 	if call.inProgress() && d.retry(call, addr) {
@@ -109,8 +111,8 @@
 	d.startWaitingCalls()
 }
 
-// retry makes a call again that an address refused, if the database has moved or there is another service. It tells
-// whether it does.
+// retry repeats a call that was refused at addr, if the database has moved or there are several services. It reports
+// whether the call is repeated.
 func (d *databaseCalls) retry(call *databaseCall, addr string) bool {
 	if d.upstreams != nil {
 		return d.retryElsewhere(call, addr)
@@ -122,8 +124,8 @@
 	return true
 }
 
-// onAddressChanged hears that the database has moved. Calls that are still being dialed at the old address would wait
-// there for all of their time: their dials end as refused, and they are made again.
+// onAddressChanged handles a change of the database address. Calls that are still dialing the old address could wait
+// there until their deadlines, so their dials are canceled. A canceled dial counts as refused, and the call is retried.
 func (d *databaseCalls) onAddressChanged() {
 	if d.upstreams != nil {
 		return
@@ -138,7 +140,7 @@
 	}
 }
 
-// startWaitingCalls makes calls that wait, as far as there are connections and slots.
+// startWaitingCalls dials the waiting calls, in order, until there is no connection or slot left.
 func (d *databaseCalls) startWaitingCalls() {
 	for len(d.waiting) > 0 && d.openConns < d.maxConns && d.acquireSlot(d.waiting[0]) {
 		call := d.waiting[0]
@@ -147,7 +149,7 @@
 	}
 }
 
-// replyOutcome is what a reply proves, and no more.
+// replyOutcome returns the outcome that a reply proves. A call counts as not executed only if the reply states so.
 func replyOutcome(reply *database.Reply) admission.Outcome {
 	switch {
 	case reply.Status == http.StatusOK:
@@ -160,7 +162,7 @@
 	return admission.Failed
 }
 
-// handleReply gives the reply to the run if the call succeeded, and tells its outcome.
+// handleReply passes the reply on to the run if the call succeeded, and finishes the call.
 func (d *databaseCalls) handleReply(call *databaseCall, reply database.Reply) {
 	if !call.inProgress() {
 		return
@@ -180,7 +182,7 @@
 	d.finish(call, outcome)
 }
 
-// finish tells the outcome of a call, once, and ends its connection.
+// finish reports the outcome of a call and closes its connection. It does nothing if the call has already finished.
 func (d *databaseCalls) finish(call *databaseCall, outcome admission.Outcome) {
 	if !call.inProgress() {
 		return
@@ -191,7 +193,8 @@
 	call.done(outcome, d.server.Now()-call.startedAt)
 }
 
-// cancel ends a call without an outcome; nil is none. Ending its connection is all that ends it at the other side.
+// cancel ends a call without reporting an outcome. It does nothing if call is nil. Closing the connection is the only
+// way to cancel the call at the database or service.
 func (d *databaseCalls) cancel(call *databaseCall) {
 	if call == nil {
 		return
--- a/internal/server/descriptors.go
+++ b/internal/server/descriptors.go
@@ -5,33 +5,35 @@
 	"syscall"
 )
 
-// descriptorBudget is how many connections there may be at a time.
+// descriptorBudget holds the maximum numbers of simultaneous connections.
 type descriptorBudget struct {
-	total   int // accepted and dialed
-	clients int // accepted
-	calls   int // dialed for upstream calls
+	total   int // accepted and dialed connections
+	clients int // connections accepted from clients
+	calls   int // connections dialed for upstream calls
 }
 
-// reservedDescriptors is how many descriptors are open beside the connections of clients and calls.
+// reservedDescriptors is the number of descriptors that are reserved for everything other than client connections and
+// upstream calls.
 const reservedDescriptors = 1 + // the listening socket
-	2 + // the poller of the library
-	2 + // the poller of Go
-	2 + // the runtime's link, before and after a move
-	2 + // the registry's socket, before and after a move
-	1 + // a configuration that is being read
-	6 // for a moment: one that is being accepted, the runtime's dial, and four calls' dials
+	2 + // the poller of the network library
+	2 + // the poller of the Go runtime
+	2 + // the links to the service runtime, old and new, while its address changes
+	2 + // the sockets to the registry, old and new, while its address changes
+	1 + // a configuration file that is being read
+	6 // short-lived ones: a connection being accepted, a dial to the service runtime and four dials of calls
 
-// minCallConns is how many connections for calls there are even where descriptors are few: as many as are dialed at
-// a time.
+// minCallConns is the number of connections that divideDescriptors tries to keep for calls where descriptors are
+// scarce: as many as are dialed at the same time.
 const minCallConns = 4
 
-// assumedOpenDescriptors is assumed to be open where the platform does not tell: what it leaves to a program, and some.
+// assumedOpenDescriptors is the number of open descriptors that is assumed where it cannot be read from the operating
+// system: the descriptors that a process inherits, and a margin.
 const assumedOpenDescriptors = 16
 
-// divideDescriptors divides a limit on descriptors, of which some are open already. Idle clients must not take what
-// is needed for the link to the runtime, calls and reports. Clients may open half the limit, an eighth is for
-// connections that are being closed, and a quarter is for calls; where descriptors are few, the reserved ones go
-// first and the rest is shared.
+// divideDescriptors divides the descriptor limit between clients and calls, given the number of descriptors that are
+// already open. Idle clients must not use up the descriptors that are needed for the runtime link, calls and reports.
+// Clients may open half of the limit, an eighth is for client connections that are being closed, and a quarter is for
+// calls. Where descriptors are scarce, the reserved ones are subtracted first and the remainder is shared.
 func divideDescriptors(limit, alreadyOpen int) descriptorBudget {
 	var processLimit syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &processLimit) == nil && processLimit.Cur < uint64(limit) {
@@ -44,11 +46,11 @@
 	return budget
 }
 
-// openDescriptors counts the descriptors that are open.
+// openDescriptors returns the number of descriptors that the process has open.
 func openDescriptors() int {
 	open, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		return assumedOpenDescriptors
 	}
-	return len(open) - 1 // the one that it is read by
+	return len(open) - 1 // not the one that the directory is read with
 }
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -9,8 +9,8 @@
 	"lanewheel/internal/frontend"
 )
 
-// Drain is the notice that the process is killed a TerminationGrace from now. The server serves on as the controller
-// decides; Serve returns before the kill. A second notice does nothing.
+// Drain starts draining: the process will be killed one TerminationGrace from now. The controller decides how requests
+// are served until then, and Serve returns before the kill. Further calls do nothing.
 func (s *Server) Drain() {
 	if s.draining {
 		return
@@ -21,10 +21,10 @@
 	slog.Info("draining", "grace", grace, "requests", len(s.requests.byID))
 	s.report()
 	schedule := clients.DrainScheduleFor(grace)
-	for _, f := range s.frontends { // they close while their connections still may be answered
+	for _, f := range s.frontends { // they must close while responses can still be sent on their connections
 		f.Drain(max(0, grace-schedule.FrontendsDrained))
 	}
-	if s.controller == nil { // nothing was ever admitted, so there is nothing to wait for
+	if s.controller == nil { // no request was ever admitted, so there is no run to wait for
 		killAt = min(killAt, s.Now()+schedule.GoAway)
 	} else {
 		s.decisionPending = true
@@ -33,9 +33,9 @@
 	s.ScheduleAt(max(s.Now(), killAt-schedule.GoAway), func() { s.drainClients(schedule, killAt) })
 }
 
-// drainClients closes the client connections, and ends the event loop when all is closed.
+// drainClients closes the client connections and ends the event loop once all connections are closed.
 func (s *Server) drainClients(schedule clients.DrainSchedule, killAt time.Duration) {
-	if s.authenticator != nil { // no request waits to be authenticated past the controller's last responses
+	if s.authenticator != nil { // no request may wait for authentication after the controller's last responses
 		s.authenticator.Stop()
 	}
 	s.clients.Drain(schedule, killAt, s.frontendsDrained, func(connections int) {
@@ -44,7 +44,7 @@
 	})
 }
 
-// frontendsDrained tells whether the further front ends have closed.
+// frontendsDrained reports whether all front ends added by AddFrontend have drained.
 func (s *Server) frontendsDrained() bool {
 	return !slices.ContainsFunc(s.frontends, func(f frontend.Frontend) bool { return !f.Drained() })
 }
--- a/internal/server/executor.go
+++ b/internal/server/executor.go
@@ -7,16 +7,17 @@
 	"lanewheel/admission"
 )
 
-// executor carries out what the admission controller decides: an admission.Executor. Owned by the event loop, like the
-// controller, which alone calls it.
+// executor carries out the decisions of the admission controller. It implements admission.Executor. Owned by the event
+// loop, like the controller, which is its only caller.
 type executor struct {
 	server *Server
-	// clockOffset is how much earlier the controller's time is than the loop's. It is the runtime's uptime while the
-	// controller is made, as an instance warms up from its runtime's start, and 0 from then on.
+	// clockOffset is subtracted from the loop's time to get the controller's time. It is the runtime's uptime while the
+	// controller is created, because an instance warms up from the start of its runtime, and 0 afterwards.
 	clockOffset time.Duration
 }
 
-// newController makes the controller, for a runtime that has been up for so long; justStarted has the instance warm up.
+// newController returns a controller for a runtime that has been up for runtimeUptime. The instance warms up if
+// justStarted is set.
 func (s *Server) newController(runtimeUptime time.Duration, justStarted bool) *admission.Controller {
 	settings := s.config.Settings
 	settings.JustStarted = justStarted
@@ -26,10 +27,10 @@
 	return controller
 }
 
-// Now is the time since the loop's start.
+// Now returns the time since the start of the loop.
 func (e *executor) Now() time.Duration { return e.server.Now() - e.clockOffset }
 
-// Start starts a run of a queued request. A runtime that can't be reached hears of it when it is.
+// Start starts a run of a queued request. If there is no link to the runtime, the command is sent once there is one.
 func (e *executor) Start(id admission.RequestID, onCall func(), onEnd func(admission.Outcome, time.Duration)) {
 	s := e.server
 	active := s.requests.get(id)
@@ -44,7 +45,7 @@
 	}
 }
 
-// Stop has the runtime stop a run.
+// Stop commands the runtime to stop a run.
 func (e *executor) Stop(id admission.RequestID) {
 	s := e.server
 	active := s.requests.getRunning(id)
@@ -57,7 +58,7 @@
 	}
 }
 
-// Reject rejects a request, unless it is forwarded to another instance.
+// Reject rejects a request, or forwards it to another instance if spillover is enabled and noFailover is not set.
 func (e *executor) Reject(id admission.RequestID, retryAfter time.Duration, noFailover bool) {
 	s := e.server
 	active := s.requests.get(id)
@@ -75,7 +76,7 @@
 	s.removeIfFinished(active)
 }
 
-// Fail answers a request with an error.
+// Fail responds to a request with a failure.
 func (e *executor) Fail(id admission.RequestID) {
 	s := e.server
 	if active := s.requests.get(id); active != nil {
@@ -85,7 +86,7 @@
 	}
 }
 
-// Call makes the upstream call that a run waits at.
+// Call makes the upstream call that a run waits for.
 func (e *executor) Call(id admission.RequestID, deadline time.Duration, done func(admission.Outcome, time.Duration)) {
 	active := e.server.requests.getRunning(id)
 	if active != nil && active.run.callPoint.reached() {
@@ -93,7 +94,7 @@
 	}
 }
 
-// SkipCall has a run go on without the upstream call that it waits at.
+// SkipCall lets a run continue without the upstream call that it waits for.
 func (e *executor) SkipCall(id admission.RequestID) {
 	s := e.server
 	active := s.requests.getRunning(id)
@@ -107,7 +108,7 @@
 	}
 }
 
-// Coalesce has a request wait for the result of the one that it duplicates.
+// Coalesce makes a request wait for the result of the request that it duplicates.
 func (e *executor) Coalesce(id admission.RequestID, onEnd func(admission.Outcome, time.Duration)) {
 	if active := e.server.requests.get(id); active != nil {
 		active.coalesced = &coalescedWait{onEnd: onEnd, since: e.Now()}
@@ -115,7 +116,7 @@
 	}
 }
 
-// KeepRecord keeps an idempotency record of a request, for so long.
+// KeepRecord keeps the idempotency record of a request until the end of window, counted from now.
 func (e *executor) KeepRecord(id admission.RequestID, window time.Duration) {
 	if active := e.server.requests.get(id); active != nil {
 		e.server.idempotency.store(active, window)
@@ -129,13 +130,13 @@
 	}
 }
 
-// SetHealth sets how health checks are answered.
+// SetHealth sets the response to health checks.
 func (e *executor) SetHealth(health admission.Health) { e.server.health = health }
 
-// PublishLoad sets the load report that is part of every response.
+// PublishLoad sets the load report that every response carries.
 func (e *executor) PublishLoad(level float64) { e.server.loadReport = level }
 
-// SetIdleTimeout sets how long an unused client connection may stay.
+// SetIdleTimeout sets the time after which an unused client connection is closed.
 func (e *executor) SetIdleTimeout(timeout time.Duration) { e.server.clients.SetIdleTimeout(timeout) }
 
 // LogTransition logs a change of the controller's state.
@@ -144,11 +145,11 @@
 		"from", change.From.String(), "to", change.To.String(), "queued", change.Queued, "running", change.Running)
 }
 
-// WakeAt has the controller called at a time, with the gauges of the runtime.
+// WakeAt schedules a callback that passes the runtime's gauges to the controller.
 func (e *executor) WakeAt(at time.Duration, callback func(admission.Gauges)) {
 	s := e.server
 	s.ScheduleAt(at, func() {
-		s.decisionPending = true // what is due is decided in this batch, whether or not the gauges come
+		s.decisionPending = true // decisions that are due are made in this batch, even if the gauges do not arrive in it
 		s.gauges.request(callback)
 	})
 }
--- a/internal/server/gauges.go
+++ b/internal/server/gauges.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	gaugeTimeout = 5 * time.Millisecond   // some round trips on one machine
-	gaugeMaxAge  = 300 * time.Millisecond // older values are no longer believed
+	gaugeTimeout = 5 * time.Millisecond   // a few round trips on one host
+	gaugeMaxAge  = 300 * time.Millisecond // older values are discarded
 )
 
 // gaugeReader requests the runtime's gauges for the controller. Owned by the event loop.
 type gaugeReader struct {
 	server    *Server
-	values    admission.Gauges // the last known
+	values    admission.Gauges // of the last event
 	updatedAt time.Duration
-	requestID string // correlates the request under way; empty if there is none
+	requestID string // correlation ID of the pending request; empty if there is none
 	waiters   []func(admission.Gauges)
 }
 
-// request calls then with the gauges, or with what is known if they take too long or there is no link to the runtime.
-// Requests that are made meanwhile share one round trip.
+// request calls callback with the gauges. If they do not arrive within gaugeTimeout, or there is no link to the
+// runtime, it passes the last values. Calls that are made while a request is pending share its round trip.
 func (g *gaugeReader) request(callback func(admission.Gauges)) {
 	g.waiters = append(g.waiters, callback)
 	if !g.server.runtime.synced {
@@ -41,7 +41,7 @@
 	})
 }
 
-// update replaces the values by those of an event, which come in the order of the configured names.
+// update replaces the values by those of an event, which are in the order of the configured names.
 func (g *gaugeReader) update(values []float64) {
 	g.values = admission.Gauges{}
 	g.updatedAt = g.server.Now()
@@ -52,8 +52,8 @@
 	}
 }
 
-// deliver gives the values to all that wait for them, nil if they are too old: what was true before a link was lost
-// must not count for as long as there is none.
+// deliver passes the values to all waiters, or nil if the values are older than gaugeMaxAge. Values from before the loss
+// of a link must not be used until there is a new link.
 func (g *gaugeReader) deliver() {
 	waiters := g.waiters
 	g.waiters = nil
