--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,5 +1,6 @@
-// Package eventloop runs one goroutine that owns state: other goroutines post calls to it, which it takes as
-// batches, and it fires timers. A server has one, and each part of a process that waits elsewhere may have its own.
+// Package eventloop provides an event loop: one goroutine that owns state, runs the calls that other goroutines post
+// to it in batches, and fires timers. A server has one, and each part of a process that does its own waiting may have
+// one too.
 package eventloop
 
 import (
@@ -7,13 +8,14 @@
 	"time"
 )
 
-// Loop is an event loop. The goroutine in Run owns it and whatever the owner of the Loop says: any goroutine may call
-// Post and PostBlocking, the other methods are for callbacks and timers, and for the time before Run.
+// Loop is an event loop. The goroutine that calls Run owns the Loop and the state that is documented as owned by it.
+// Any goroutine may call Post and PostBlocking. The other methods may be called only from posted callbacks and timers,
+// and before Run.
 type Loop struct {
 	mu           sync.Mutex
 	pending      []func()   // guarded by mu
-	pendingTaken *sync.Cond // by mu: pending was taken
-	maxPending   int        // past it PostBlocking waits
+	pendingTaken *sync.Cond // on mu; signaled when the loop takes the pending calls
+	maxPending   int        // PostBlocking waits while pending is longer
 	wake         chan struct{}
 
 	// Owned by the goroutine in Run.
@@ -24,7 +26,7 @@
 	quitting bool
 }
 
-// New returns a loop whose time starts now. PostBlocking waits while more calls than maxPending are pending.
+// New returns a loop whose time starts now. PostBlocking waits while more than maxPending calls are pending.
 func New(maxPending int) *Loop {
 	l := &Loop{maxPending: maxPending, wake: make(chan struct{}, 1), start: time.Now()}
 	l.wallTime = l.start
@@ -32,20 +34,20 @@
 	return l
 }
 
-// Post queues calls for the loop, in order. It never waits. Any goroutine may call it.
+// Post queues calls for the loop, in order. It never blocks. Any goroutine may call it.
 func (l *Loop) Post(callbacks ...func()) {
 	l.mu.Lock()
 	l.pending = append(l.pending, callbacks...)
 	l.mu.Unlock()
 	select {
 	case l.wake <- struct{}{}:
-	default: // the loop is being woken already
+	default: // a wake-up is already pending
 	}
 }
 
-// PostBlocking is Post for what is read from connections: it waits while the loop has too much to do, so that peers
-// that send faster wait in the kernel instead of filling the memory. The goroutine of the loop must not call it,
-// nor one that holds a lock that the loop takes.
+// PostBlocking is like Post, but blocks while too many calls are pending. It is meant for data read from connections:
+// data from peers that send too fast then stays in kernel buffers instead of filling the memory. It must not be called
+// by the loop's goroutine, nor by a goroutine that holds a lock that the loop acquires.
 func (l *Loop) PostBlocking(callbacks ...func()) {
 	l.mu.Lock()
 	for len(l.pending) > l.maxPending {
@@ -55,10 +57,10 @@
 	l.Post(callbacks...)
 }
 
-// Run takes what is pending as one batch, fires the timers that are due and calls afterBatch, again and again until
-// Quit. The calling goroutine owns the loop until Run returns.
+// Run repeats the following until Quit is called: it runs the pending calls as one batch, fires the timers that are due
+// and calls afterBatch. The calling goroutine owns the loop until Run returns.
 func (l *Loop) Run(afterBatch func()) {
-	systemTimer := time.NewTimer(time.Hour) // the one system timer, set to the next deadline
+	systemTimer := time.NewTimer(time.Hour) // the only timer of the Go runtime, set to the next deadline
 	defer systemTimer.Stop()
 	var batch []func()
 	for !l.quitting {
@@ -74,14 +76,14 @@
 		l.now = l.wallTime.Sub(l.start)
 		for i, callback := range batch {
 			callback()
-			batch[i] = nil // the slice is used again
+			batch[i] = nil // the slice is reused
 		}
 		l.timers.fire(l.now)
 		afterBatch()
 	}
 }
 
-// takePending returns the pending calls, and leaves the emptied batch for the next ones.
+// takePending returns the pending calls and reuses the slice of the finished batch for the next ones.
 func (l *Loop) takePending(batch []func()) []func() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -91,25 +93,25 @@
 	return taken
 }
 
-// Now is the time since New. It stands still through a batch.
+// Now returns the time since New. It does not change during a batch.
 func (l *Loop) Now() time.Duration { return l.now }
 
-// WallTime is the moment of Now on the wall clock.
+// WallTime returns the wall-clock time that corresponds to Now.
 func (l *Loop) WallTime() time.Time { return l.wallTime }
 
-// SetNow sets the time that Now and WallTime tell, in tests that do not call Run.
+// SetNow sets the time that Now and WallTime return. It is for tests that do not call Run.
 func (l *Loop) SetNow(now time.Duration) {
 	l.now = now
 	l.wallTime = l.start.Add(now)
 }
 
-// ScheduleAt has the loop call back at a time since New, or soon after it.
+// ScheduleAt schedules a callback on the loop at deadline, a time since New, or soon after it.
 func (l *Loop) ScheduleAt(deadline time.Duration, callback func()) *Timer {
 	return l.timers.schedule(deadline, callback)
 }
 
-// Quit ends Run after this batch.
+// Quit makes Run return after the current batch.
 func (l *Loop) Quit() { l.quitting = true }
 
-// HasQuit tells whether Quit was called.
+// HasQuit reports whether Quit was called.
 func (l *Loop) HasQuit() bool { return l.quitting }
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Timers fire by their deadlines, those with the same one in the order in which they were scheduled, and stopped
-// ones not at all; afterBatch is called once for all that a batch holds.
+// Timers fire in the order of their deadlines, and in the order of scheduling if their deadlines are equal. Stopped
+// timers do not fire. afterBatch is called once per batch.
 func Example_batch() {
 	l := New(4096)
 	printing := func(text string) func() { return func() { fmt.Print(text, " ") } }
@@ -22,31 +22,31 @@
 	// posted first second third after
 }
 
-// PostBlocking waits while the loop has too much to do, and goes on as soon as that was taken.
+// PostBlocking blocks while too many calls are pending, and continues once the loop has taken them.
 func Example_postBlocking() {
 	l := New(4096)
-	passed := make(chan bool, 1)
+	returned := make(chan bool, 1)
 	for range 5000 {
 		l.Post(func() {})
 	}
 	go func() {
 		l.PostBlocking(l.Quit)
-		passed <- true
+		returned <- true
 	}()
 	select {
-	case <-passed:
-		fmt.Println("went on")
+	case <-returned:
+		fmt.Println("returned")
 	case <-time.After(20 * time.Millisecond):
-		fmt.Println("waits")
+		fmt.Println("blocks")
 	}
 	l.Run(func() {})
-	fmt.Println(<-passed, len(l.pending))
+	fmt.Println(<-returned, len(l.pending))
 	// Output:
-	// waits
+	// blocks
 	// true 0
 }
 
-// Stopped timers leave nothing behind.
+// Stopped timers are removed from the queue.
 func Example_stoppedTimers() {
 	l := New(9)
 	var timers []*Timer
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// removed is the index of a timer that is not in the queue any more.
+// removed is the index of a timer that is no longer in the queue.
 const removed = -1
 
-// Timer is a callback that is scheduled for a time. Owned by its loop.
+// Timer is a callback scheduled for a deadline. It is owned by its loop.
 type Timer struct {
 	deadline time.Duration
-	sequence uint64 // of timers with the same deadline, the first that was scheduled fires first
+	sequence uint64 // timers with the same deadline fire in the order of their sequence numbers
 	callback func()
 	queue    *timerQueue
-	index    int // in the heap, or removed
+	index    int // position in the heap, or removed
 }
 
-// Stop keeps the timer from firing; one that has fired, was stopped or is nil stays as it is. The queue drops it at
-// once: until its deadline it would hold what its callback refers to.
+// Stop prevents the timer from firing. It does nothing if the timer is nil, has fired or was stopped. The timer leaves
+// the queue at once, because otherwise the data that its callback refers to would stay in memory until the deadline.
 func (t *Timer) Stop() {
 	if t != nil && t.index != removed {
 		heap.Remove(t.queue, t.index)
 	}
 }
 
-// timerQueue is a heap of timers by their deadlines: a heap.Interface, whose methods only package heap calls.
+// timerQueue is a heap of timers, ordered by deadline. It implements heap.Interface for calls by package heap only.
 type timerQueue struct {
 	entries      []*Timer
 	lastSequence uint64
@@ -71,7 +71,7 @@
 	return timer
 }
 
-// nextDeadline is when the next timer fires, and whether there is one.
+// nextDeadline returns the deadline of the next timer, and whether there is a timer.
 func (q *timerQueue) nextDeadline() (time.Duration, bool) {
 	if len(q.entries) == 0 {
 		return 0, false
@@ -79,13 +79,13 @@
 	return q.entries[0].deadline, true
 }
 
-// fire calls back all timers that are due, also those that are scheduled meanwhile.
+// fire calls the callbacks of all timers that are due, including due timers that these callbacks schedule.
 func (q *timerQueue) fire(now time.Duration) {
 	for q.fireNext(now) {
 	}
 }
 
-// fireNext calls back the first timer if it is due, and tells whether it was.
+// fireNext calls the callback of the first timer if it is due, and reports whether it was.
 func (q *timerQueue) fireNext(now time.Duration) bool {
 	if deadline, ok := q.nextDeadline(); !ok || deadline > now {
 		return false
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -1,6 +1,6 @@
-// Package frontend is the interface between a server and those who hand it requests: clients on connections,
-// messages on queues. A front end translates its protocol to and from requests, and owes each request one response.
-// The server does not ask which front end a request came by.
+// Package frontend defines the interface between a server and its front ends, which submit requests to it: those of
+// clients on connections, and those in messages of queues. A front end translates between its protocol and requests,
+// and sends exactly one response to each request. The server does not distinguish between front ends.
 package frontend
 
 import (
@@ -9,96 +9,96 @@
 	"lanewheel/internal/authn"
 )
 
-// Request is a request as a front end has read it. Body stays valid only during the call that Request is passed to.
+// Request is a request as read by a front end. Body is valid only during the call that the Request is passed to.
 type Request struct {
 	ID            string
 	Class         string
-	Tenant        string // empty where there are no tenants
-	Resource      string // that is read; empty for a write
-	SentUnixMilli int64  // when it was sent, in Unix milliseconds, by the sender's clock
-	Caller        int    // where callers are numbered
+	Tenant        string // empty if there are no tenants
+	Resource      string // resource that is read; empty for a write
+	SentUnixMilli int64  // time at which it was sent, in Unix milliseconds by the sender's clock
+	Caller        int    // number of the caller, if callers are numbered
 
-	Timeout    time.Duration // how long its caller waits, since it was sent
+	Timeout    time.Duration // how long the caller waits, counted from the sending of the request
 	HasTimeout bool
 
-	WorkHint time.Duration // rough work; 0 where none is given
-	MemoryKB float64       // that it takes while it is queued
-	Rank     float64       // 0 to under 1
+	WorkHint time.Duration // approximate work; 0 if the request states none
+	MemoryKB float64       // memory that the request takes while it is queued
+	Rank     float64       // at least 0 and less than 1
 
-	Token           string // empty where none is presented
-	Hops            int    // processes that have forwarded it
-	NewIDPerAttempt bool   // retries come under ids of their own; only their bodies tell that they are of one request
+	Token           string // empty if the caller presents none
+	Hops            int    // number of processes that have forwarded the request
+	NewIDPerAttempt bool   // each attempt has its own ID; only equal bodies identify the attempts of a request
 	Body            []byte
 }
 
-// ResponseMetadata is what a response carries beside itself.
+// ResponseMetadata is the additional data that a response carries.
 type ResponseMetadata struct {
-	LoadReport float64       // negative: left out
-	RetryAfter time.Duration // when the caller may come again; 0: left out
+	LoadReport float64       // omitted if negative
+	RetryAfter time.Duration // time after which the caller may retry; omitted if 0
 	NoFailover bool          // the caller should not try another instance
-	Reason     string        // of a denial, an authz.Denial; empty: left out
+	Reason     string        // an authz.Denial, for denials; omitted if empty
 }
 
-// RejectionCode says why a request could never be served. The codes are part of the protocol of queues.
+// RejectionCode is the reason why a request can never be served. The codes are part of the queue protocol.
 type RejectionCode string
 
 // The rejection codes.
 const (
 	UnknownClass   RejectionCode = "unknown-type"
 	UnknownTenant  RejectionCode = "unknown-tenant"
-	OutOfRange     RejectionCode = "out-of-range" // one of its figures
-	UnknownRequest RejectionCode = "unknown-op"   // the runtime knows no such request
-	Denied         RejectionCode = "denied"       // ResponseMetadata.Reason says why
+	OutOfRange     RejectionCode = "out-of-range" // a numeric value is out of range
+	UnknownRequest RejectionCode = "unknown-op"   // the runtime does not know the request
+	Denied         RejectionCode = "denied"       // ResponseMetadata.Reason holds the reason
 )
 
-// Responder is owed the response of one request. One of Succeed, Reject, Fail and RejectPermanently is called once,
-// unless the front end has canceled the request; Done follows in any case. All are called on the server's event
-// loop and must not wait.
+// Responder receives the response to one request. Exactly one of Succeed, Reject, Fail and RejectPermanently is called,
+// once, unless the front end has canceled the request. Done is called last in any case. All methods are called on the
+// server's event loop and must not block.
 type Responder interface {
-	// Succeed gives the result of a run. It stays valid only during the call.
+	// Succeed responds with the result of a run. The result is valid only during the call.
 	Succeed(result []byte, metadata ResponseMetadata)
-	// Reject says that the request was not executed, and may be sent again.
+	// Reject responds that the request was not executed and may be retried.
 	Reject(metadata ResponseMetadata)
-	// Fail says that the request failed. It may have been executed.
+	// Fail responds that the request failed. The request may have been executed.
 	Fail(metadata ResponseMetadata)
-	// RejectPermanently says that the request was not executed, and would not be if it were sent again.
+	// RejectPermanently responds that the request was not executed and that a retry would not be executed either.
 	RejectPermanently(code RejectionCode, metadata ResponseMetadata)
-	// Done says that nothing is owed any more.
+	// Done reports that no response follows.
 	Done()
 }
 
-// Handle is a request that the server has taken. Only the server looks inside, so it is no interface with methods.
+// Handle identifies a request that the server has accepted. Its value is opaque to front ends, so it has no methods.
 type Handle any
 
-// Load is what a front end may go by to hand in more or less.
+// Load is the state of the server by which a front end may adjust the rate of its requests.
 type Load struct {
-	Ready        bool // the runtime has come up and its link stands
+	Ready        bool // the runtime is ready and its link is synced
 	Draining     bool
-	Healthy      bool          // health checks are answered so
-	Cores        float64       // of the runtime
-	Queued       int           // requests in flight that do not run
-	Running      int           // requests in flight that run
-	FreeCapacity int           // requests that there is memory for beside those
-	IdleFor      time.Duration // how long there has been no request in flight
-	LoadReport   float64       // part of every response; negative before the first
+	Healthy      bool          // health checks are answered as healthy
+	Cores        float64       // cores of the runtime
+	Queued       int           // requests in flight that are neither running nor forwarded
+	Running      int           // requests in flight that are running
+	FreeCapacity int           // requests that there is memory for in addition to those in flight
+	IdleFor      time.Duration // time since the last request in flight; 0 while there are any
+	LoadReport   float64       // sent with every response; negative until the first one is published
 }
 
-// Frontend is a front end with an event loop of its own. Its methods are called on the server's, but for Start,
-// which is called before that runs.
+// Frontend is a front end with its own event loop. Its methods are called on the server's event loop, except for Start,
+// which is called before that loop runs.
 type Frontend interface {
 	Start()
-	// Drain is the notice to drain. All has to be closed within a time from now.
+	// Drain starts draining. Everything must be closed within the given time from now.
 	Drain(within time.Duration)
-	// Drained tells whether all is closed.
+	// Drained reports whether everything is closed.
 	Drained() bool
 }
 
-// Server is what a front end hands its requests to. Its methods are called on the server's event loop.
+// Server accepts the requests of front ends. Its methods are called on the server's event loop.
 type Server interface {
-	// Submit hands a request in. It returns nil if the request was answered at once. credential is what the caller
-	// proved, for one connection or queue; it is never nil.
+	// Submit submits a request. It returns nil if the request was answered at once. credential holds the identity that the
+	// caller has proved for its connection or queue; it is never nil.
 	Submit(request Request, credential *authn.Credential, responder Responder) Handle
-	// Cancel says that nobody waits for the request any more. A nil handle is none.
+	// Cancel cancels a request whose caller no longer waits for the response. It does nothing if the handle is nil.
 	Cancel(Handle)
 	Load() Load
 }
--- a/internal/server/buffers_test.go
+++ b/internal/server/buffers_test.go
@@ -6,7 +6,7 @@
 	"lanewheel/internal/transport"
 )
 
-// Buffers of another size are not taken back.
+// The pool does not keep buffers of another capacity.
 func Example_bufferPool() {
 	pool := &BufferPool{}
 	pool.Put(make([]byte, 10))
--- a/internal/server/databasecalls.go
+++ b/internal/server/databasecalls.go
@@ -18,7 +18,7 @@
 	server    *Server
 	upstreams Upstreams       // nil if all calls go to the configured database
 	openConns int             // connections that are open or being dialed
-	maxConns  int             // limit of openConns: the share of the descriptors that is reserved for calls
+	maxConns  int             // limit of openConns, from the descriptor budget
 	waiting   []*databaseCall // calls that wait for a connection or a slot, in FIFO order
 }
 
--- a/internal/server/descriptors_test.go
+++ b/internal/server/descriptors_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The reserved descriptors, those that are open already and all connections fit the limit, however few descriptors
-// there are, as long as one each is left.
+// The sum of the reserved descriptors, the open descriptors and all connections does not exceed the limit, however low
+// it is, if it leaves at least 3 descriptors.
 func TestDivideDescriptors(t *testing.T) {
 	for limit := 32; limit <= 4096; limit++ {
 		for alreadyOpen := 3; alreadyOpen <= 20; alreadyOpen++ {
@@ -15,16 +15,16 @@
 				t.Fatal(limit, alreadyOpen, budget)
 			}
 			if left := limit - alreadyOpen - reservedDescriptors; left >= 3 && budget.total > left {
-				t.Fatal("over the limit:", limit, alreadyOpen, budget)
+				t.Fatal("total exceeds the limit:", limit, alreadyOpen, budget)
 			}
 			if limit >= 128 && budget.clients < limit/2 {
-				t.Fatal("less than clients may open:", limit, alreadyOpen, budget)
+				t.Fatal("clients get less than half of the limit:", limit, alreadyOpen, budget)
 			}
 		}
 	}
 }
 
-// The usual limits and small ones.
+// Common limits and small ones.
 func Example_divideDescriptors() {
 	for _, limit := range []int{32, 40, 64, 128, 512, 1024} {
 		budget := divideDescriptors(limit, 10)
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -10,8 +10,8 @@
 	"lanewheel/internal/runtimelink"
 )
 
-// The runtime comes up after the notice to drain, in the same batch: what is requested then is rejected, and never
-// sent on.
+// The runtime becomes ready after Drain, in the same batch. A request submitted afterwards is rejected and never sent
+// to the runtime.
 func Example_readyWhileDraining() {
 	runtime := newFakeRuntime()
 	server, served := startServer(freeAddr("127.72.0.2"), runtime.addr())
@@ -26,11 +26,11 @@
 		server.Submit(request, nil, printingResponder{})
 	})
 	<-served
-	_ = link.SetReadDeadline(time.Now().Add(50 * time.Millisecond)) // all that was sent has arrived by now
+	_ = link.SetReadDeadline(time.Now().Add(50 * time.Millisecond)) // everything that was sent has arrived by then
 	lines := bufio.NewScanner(link)
 	for lines.Scan() {
 		if strings.Contains(lines.Text(), "start") {
-			fmt.Println("sent on")
+			fmt.Println("request sent to the runtime")
 		}
 	}
 	// Output:
--- a/internal/server/executor.go
+++ b/internal/server/executor.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// KeepRecord keeps the idempotency record of a request until the end of window, counted from now.
+// KeepRecord keeps the idempotency record of a request for the length of window from now.
 func (e *executor) KeepRecord(id admission.RequestID, window time.Duration) {
 	if active := e.server.requests.get(id); active != nil {
 		e.server.idempotency.store(active, window)
--- a/internal/server/gauges.go
+++ b/internal/server/gauges.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// deliver passes the values to all waiters, or nil if the values are older than gaugeMaxAge. Values from before the loss
-// of a link must not be used until there is a new link.
+// deliver passes the values to all waiters, or nil if the values are older than gaugeMaxAge. Values from before the
+// loss of a link must not be used until there is a new link.
 func (g *gaugeReader) deliver() {
 	waiters := g.waiters
 	g.waiters = nil
--- a/internal/server/gauges_test.go
+++ b/internal/server/gauges_test.go
@@ -8,7 +8,7 @@
 	"lanewheel/internal/runtimelink"
 )
 
-// Without a link the last known gauges count for a while, and then nothing is known.
+// Without a link to the runtime, the last gauges are used until they are too old.
 func Example_staleGauges() {
 	server := newServer(Config{})
 	server.handleGauges(&runtimelink.Event{CorrelationID: "look"})
--- a/internal/server/helper_test.go
+++ b/internal/server/helper_test.go
@@ -13,7 +13,7 @@
 	"lanewheel/internal/frontend"
 )
 
-// printingResponder prints the response that it is given.
+// printingResponder prints each response.
 type printingResponder struct{}
 
 func (printingResponder) Succeed([]byte, frontend.ResponseMetadata) { fmt.Println("succeeded") }
@@ -24,7 +24,7 @@
 }
 func (printingResponder) Done() {}
 
-// fakeRuntime is the listener of a runtime that a test plays.
+// fakeRuntime is the listener of a runtime that the test simulates.
 type fakeRuntime struct{ listener net.Listener }
 
 func newFakeRuntime() *fakeRuntime {
@@ -33,10 +33,11 @@
 
 func (r *fakeRuntime) addr() string { return r.listener.Addr().String() }
 
-// accept returns the server's link.
+// accept waits for the server to connect and returns its link.
 func (r *fakeRuntime) accept() net.Conn { return fake.Must(r.listener.Accept()) }
 
-// freeAddr returns an address on a host where no connection of another test takes the port.
+// freeAddr returns a free address on a host. The caller chooses a host on which no connection of another test can take
+// the port.
 func freeAddr(host string) string {
 	listener := listen(host)
 	addr := listener.Addr().String()
@@ -54,12 +55,12 @@
 	return fake.Must((&net.Dialer{}).DialContext(context.Background(), "tcp", addr))
 }
 
-// writeLine sends a line on a connection.
+// writeLine writes a formatted line to a connection.
 func writeLine(conn net.Conn, format string, args ...any) {
 	fake.Must(fmt.Fprintf(conn, format+"\n", args...))
 }
 
-// startServer returns a running server with one class of requests, view, and what is closed when it has stopped.
+// startServer returns a running server with one request class, view, and a channel that is closed when Serve returns.
 func startServer(listenAddr, runtimeAddr string) (*Server, <-chan struct{}) {
 	server := fake.Must(New(Config{
 		Name:             "n1",
@@ -83,7 +84,7 @@
 	return server, served
 }
 
-// waitOnLoop waits until a condition holds on the event loop.
+// waitOnLoop waits until the condition is true. It is evaluated on the event loop.
 func waitOnLoop(server *Server, condition func() bool) {
 	for result := make(chan bool); ; {
 		server.Post(func() { result <- condition() })
@@ -93,8 +94,8 @@
 	}
 }
 
-// answerRuntimeCommands answers requests for gauges on a runtime's link, and gives the correlation IDs of self-tests,
-// quoted, as they come.
+// answerRuntimeCommands answers requests for gauges on a runtime's link. It sends the quoted correlation IDs of
+// requested self-tests to the returned channel.
 func answerRuntimeCommands(link net.Conn) <-chan string {
 	selfTests := make(chan string, 9)
 	go func() {
@@ -102,7 +103,7 @@
 			_, rest, _ := strings.Cut(lines.Text(), `"mark":`)
 			switch {
 			case strings.Contains(lines.Text(), "gauges"):
-				_, _ = fmt.Fprintf(link, `{"t":"load","mark":%s,"v":[]}`+"\n", rest[:len(rest)-1]) // it may end meanwhile
+				_, _ = fmt.Fprintf(link, `{"t":"load","mark":%s,"v":[]}`+"\n", rest[:len(rest)-1]) // the link may be closed by now
 			case strings.Contains(lines.Text(), "selftest"):
 				selfTests <- rest[:len(rest)-1]
 			}
--- a/internal/server/idempotency.go
+++ b/internal/server/idempotency.go
@@ -8,53 +8,55 @@
 	"lanewheel/internal/eventloop"
 )
 
-// lateReadGrace is how long a record by key outlasts its window, for duplicates that arrived within it and are read
-// later.
+// lateReadGrace is how long a record by key is kept after its window, for duplicates that arrived within the window but
+// are read later.
 const lateReadGrace = time.Second
 
-// clock is the time and the timers of the event loop.
+// clock provides the time, the timers and the queue of the event loop.
 type clock interface {
 	Now() time.Duration
 	ScheduleAt(at time.Duration, callback func()) *eventloop.Timer
 	Post(callbacks ...func())
 }
 
-// idempotencyCache keeps the records by which duplicates are known. Reads of the same class and resource are duplicates
-// of each other; so are attempts of a request that is idempotent by key, which no field names: their bodies are equal,
-// byte for byte. Owned by the event loop.
+// idempotencyCache keeps the records that identify duplicates. Reads of the same class and resource are duplicates of
+// each other. So are the attempts of a request that is idempotent by key. No field carries the key: attempts of the
+// same request are identified by their bodies, which are equal byte for byte. Owned by the event loop.
 type idempotencyCache struct {
 	clock               clock
 	onResult            func(waiter *activeRequest, result coalescedResult)
 	coalescedReadWindow time.Duration // how long the result of a read answers its duplicates
-	requestsAreCalls    bool          // requests are the upstream calls of another tier's requests
+	requestsAreCalls    bool          // requests are upstream calls made by the requests of another tier
 
 	records map[requestIdentity]*idempotencyRecord
 }
 
-// requestIdentity is what duplicates have in common. The zero value is that of a request that has no duplicates.
+// requestIdentity is equal for requests that are duplicates of each other. The zero value is the identity of a request
+// that cannot have duplicates.
 type requestIdentity struct {
 	class    admission.Class
 	resource string
-	tenant   admission.TenantID // empty where there are no tenants
-	bodyHash [sha256.Size]byte  // of a request by key, and of a read that is a call; zero otherwise
+	tenant   admission.TenantID // empty if there are no tenants
+	bodyHash [sha256.Size]byte  // set for a request by key and for a read that is an upstream call; zero otherwise
 	byKey    bool
 }
 
 func (i requestIdentity) isZero() bool { return i == requestIdentity{} }
 
-// idempotencyRecord is one identity and, once its run has succeeded, the result. It belongs to a request, not to an id:
-// a client that sends the id of an answered request again must not prolong or drop that one's record.
+// idempotencyRecord is the record of one identity and, once the run has succeeded, its result. It belongs to a
+// request, not to a request ID: a client that reuses the ID of an answered request must not extend or drop that
+// request's record.
 type idempotencyRecord struct {
 	requestID admission.RequestID
 	identity  requestIdentity
 	expiresAt time.Duration
 	finished  bool
 	removed   bool
-	result    []byte // nil unless it has succeeded
+	result    []byte // nil unless the run has succeeded
 	waiters   []*activeRequest
 }
 
-// expired tells whether a record's time is over. One by key does not age before its request is finished.
+// expired reports whether the record has expired. A record by key cannot expire before its request has finished.
 func (r *idempotencyRecord) expired(now time.Duration) bool {
 	if !r.identity.byKey {
 		return r.expiresAt <= now
@@ -62,30 +64,30 @@
 	return r.finished && r.expiresAt+lateReadGrace <= now
 }
 
-// coalescedWait is that of a request for the result of the one that it duplicates.
+// coalescedWait is the wait of a request for the result of the request that it duplicates.
 type coalescedWait struct {
-	onEnd func(admission.Outcome, time.Duration) // the controller's
+	onEnd func(admission.Outcome, time.Duration) // callback of the controller
 	since time.Duration
 }
 
-// coalescedResult is what became of a request that others duplicate.
+// coalescedResult is the result of a request, passed to the requests that duplicate it.
 type coalescedResult struct {
-	body    []byte // nil unless it succeeded
-	started bool   // its run was started
+	body    []byte // nil unless the request succeeded
+	started bool   // a run of the request was started
 }
 
-// identify returns what a request has in common with its duplicates. Tenants' reads of the same resource are not
-// duplicates of each other.
+// identify returns the identity of a request. Reads of the same resource by different tenants are not duplicates of
+// each other.
 func (c *idempotencyCache) identify(active *activeRequest, newIDPerAttempt, byKey bool) requestIdentity {
 	switch {
 	case byKey && newIDPerAttempt:
-		// Not the caller: a retry may come by another client.
+		// The caller is not part of the identity: a retry may be sent by another client.
 		return requestIdentity{
 			class: active.class, tenant: active.tenant, bodyHash: sha256.Sum256(active.body), byKey: true,
 		}
 	case !byKey && active.resource != "":
 		identity := requestIdentity{class: active.class, resource: active.resource, tenant: active.tenant}
-		// Calls carry the resource of the request that makes them, which may make several, each for something else.
+		// A call carries the resource of the request that makes it, and one request may make several different calls.
 		if c.requestsAreCalls {
 			identity.bodyHash = sha256.Sum256(active.body)
 		}
@@ -94,9 +96,9 @@
 	return requestIdentity{}
 }
 
-// duplicateOf returns the request with a record that this one, which was sent at a time, duplicates; empty if there is
-// none. While a request by key is in flight its record does not age, and one that ran and failed is not run again: its
-// effect must not happen twice.
+// duplicateOf returns the ID of the recorded request that a request sent at sentAt duplicates, or an empty ID if there
+// is none. The record of a request by key does not expire while the request is in flight. A request by key that was run
+// and failed also counts, so that it is not run again: its effect must not happen twice.
 func (c *idempotencyCache) duplicateOf(active *activeRequest, sentAt time.Duration) admission.RequestID {
 	record := c.records[active.identity]
 	if active.identity.isZero() || record == nil {
@@ -115,7 +117,7 @@
 	return record.requestID
 }
 
-// store keeps a record of a request until a window from now, or prolongs the one that is kept.
+// store keeps a record of a request for the length of window from now. If there is one already, it extends its window.
 func (c *idempotencyCache) store(active *activeRequest, window time.Duration) {
 	if active.identity.isZero() {
 		return
@@ -136,7 +138,8 @@
 	c.scheduleExpiry(record)
 }
 
-// scheduleExpiry forgets a record when its time is over, unless it gets more time or its request is still in flight.
+// scheduleExpiry schedules the removal of a record for the end of its window, after lateReadGrace if it is by key. The
+// record stays if it was extended by then, or is by key and its request is still in flight.
 func (c *idempotencyCache) scheduleExpiry(record *idempotencyRecord) {
 	at := record.expiresAt
 	if record.identity.byKey {
@@ -149,7 +152,7 @@
 	})
 }
 
-// remove drops a record. One whose result others wait for stays.
+// remove drops a record, unless other requests wait for its result.
 func (c *idempotencyCache) remove(record *idempotencyRecord) {
 	if record == nil || record.removed || len(record.waiters) > 0 {
 		return
@@ -160,7 +163,8 @@
 	}
 }
 
-// coalesce has a request wait for the result of the one that it duplicates, or gives it the one that is kept.
+// coalesce makes a request wait for the result of the request that it duplicates, or delivers the result if that
+// request has finished.
 func (c *idempotencyCache) coalesce(active *activeRequest) {
 	record := c.records[active.identity]
 	switch {
@@ -173,7 +177,8 @@
 	}
 }
 
-// finish ends a request's record, with its result if it succeeded, nil otherwise. Only the first call counts.
+// finish completes the record of a request and delivers the result to the requests that wait for it. result is nil
+// unless the request succeeded. Only the first call for a record has an effect.
 func (c *idempotencyCache) finish(active *activeRequest, result []byte) {
 	record := active.record
 	if record == nil || record.finished || record.removed {
@@ -191,16 +196,16 @@
 	for _, waiter := range waiters {
 		c.clock.Post(func() { c.onResult(waiter, coalescedResult{body: record.result, started: active.started}) })
 	}
-	if record.identity.byKey && !active.started { // a retry may run
+	if record.identity.byKey && !active.started { // a retry is allowed to run
 		c.remove(record)
 		return
 	}
 	c.scheduleExpiry(record)
 }
 
-// detach hears that a request's response is no longer owed. A read that was abandoned may run on, and later reads must
-// not wait for a run that is about to be stopped; those that wait for it already still get its result. Attempts of a
-// request by key stay with it, whatever became of its response: its effect may happen.
+// detach handles that a request has been answered or canceled. A canceled read may still be running, but later reads
+// must not wait for a run that is about to be stopped; requests that already wait for it still get its result. A record
+// by key is kept for further attempts in any case, because the effect of the request may still happen.
 func (c *idempotencyCache) detach(active *activeRequest) {
 	record := active.record
 	if record == nil || record.finished || record.identity.byKey {
@@ -211,7 +216,8 @@
 	}
 }
 
-// finishCoalesced answers a request that waited for another's result. If that one was never executed, neither was this.
+// finishCoalesced answers a request that waited for the result of another request. It is rejected if the other request
+// was never executed, because then neither was this one.
 func (s *Server) finishCoalesced(active *activeRequest, result coalescedResult) {
 	if active.responder == nil || s.requests.get(active.id) != active {
 		return
--- a/internal/server/idempotency_test.go
+++ b/internal/server/idempotency_test.go
@@ -7,15 +7,15 @@
 	"lanewheel/admission"
 )
 
-// newTestCache returns a cache whose reads are kept for 100 ms, on a clock that stands still.
+// newTestCache returns a cache that keeps reads for 100 ms. Its clock does not advance.
 func newTestCache() *idempotencyCache {
 	settings := admission.Settings{CoalescedReadWindow: 100 * time.Millisecond}
 	return &newServer(Config{Settings: settings}).idempotency
 }
 
-// A record by key does not age while its request is in flight, however short the window; once that is finished it holds
-// for attempts that were sent within the window, however late they are read. A run that was never started leaves none.
-// The record of a read ends with its window.
+// A record by key does not expire while its request is in flight, however short the window. Once the request has
+// finished, the record applies to attempts that were sent within the window, however late they are read. A request
+// whose run was never started leaves no record. The record of a read expires at the end of its window.
 func Example_recordsExpire() {
 	cache := newTestCache()
 	count := 0
@@ -60,8 +60,8 @@
 	// read, sent at 100ms: ""
 }
 
-// The id of a finished request is sent again, with another body: the record of the first is neither prolonged nor
-// dropped with it.
+// The ID of a finished request is reused with another body. This neither extends nor drops the record of the first
+// request.
 func Example_requestIDReused() {
 	cache := newTestCache()
 	newRequest := func(body string, byKey bool) *activeRequest {
@@ -76,7 +76,7 @@
 		cache.finish(first, []byte("one"))
 		again := newRequest("z", byKey)
 		cache.store(again, time.Hour)
-		cache.remove(again.record) // it is rejected
+		cache.remove(again.record) // as if the second request were rejected
 		fmt.Printf("by key %v: %q, later %q\n", byKey,
 			cache.duplicateOf(newRequest("x", byKey), 99*time.Millisecond),
 			cache.duplicateOf(newRequest("x", byKey), 201*time.Millisecond))
--- a/internal/server/outcomes_test.go
+++ b/internal/server/outcomes_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// What was cut short before it was sent can't have been executed.
+// A call that was interrupted before it was sent cannot have been executed.
 func TestInterruptedOutcome(t *testing.T) {
 	if got := (&databaseCall{}).interruptedOutcome(admission.TimedOut); got != admission.Unreachable {
 		t.Error("not sent:", got)
--- a/internal/server/registry.go
+++ b/internal/server/registry.go
@@ -7,8 +7,8 @@
 	"lanewheel/internal/discovery"
 )
 
-// reportInterval is how often the instance reports to the registry, which forgets an instance after some seconds of
-// silence; many datagrams in a row may be lost.
+// reportInterval is the time between reports to the registry. The registry removes an instance after some seconds
+// without a report, so many datagrams in a row may be lost.
 const reportInterval = 250 * time.Millisecond
 
 // registryReporter reports to the registry. Owned by the event loop.
@@ -16,8 +16,8 @@
 	registry *discovery.Registry // nil until the first report, and after its address has changed
 }
 
-// report sends one report to the registry at an address. An address that can't be used is tried again by the next
-// report.
+// report sends one report to the registry at addr. If the socket cannot be opened, it logs a warning, and the next
+// report tries again.
 func (r *registryReporter) report(addr, name string, available bool) {
 	if r.registry == nil {
 		registry, err := discovery.NewRegistry(addr, name)
@@ -30,7 +30,7 @@
 	r.registry.Report(available)
 }
 
-// reset closes the connection to the registry. It tells whether there was one.
+// reset closes the socket to the registry and reports whether there was one.
 func (r *registryReporter) reset() bool {
 	if r.registry == nil {
 		return false
@@ -40,7 +40,7 @@
 	return true
 }
 
-// reportPeriodically reports to the registry again and again, whatever else there is to do.
+// reportPeriodically reports to the registry now and every reportInterval from now on.
 func (s *Server) reportPeriodically() {
 	s.report()
 	s.ScheduleAt(s.Now()+reportInterval, s.reportPeriodically)
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -8,46 +8,46 @@
 	"lanewheel/internal/frontend"
 )
 
-// activeRequest is a request in flight, from when it was read until it is answered and its run has ended. It may wait
-// for its caller to be authenticated, be queued or run here, wait for the result of a request that it duplicates, or be
-// forwarded to another instance.
+// activeRequest is a request in flight: from the time it was read until it has been answered and its run has ended. It
+// waits for the authentication of its caller, is queued or running, waits for the result of a request that it
+// duplicates, or is forwarded to another instance.
 type activeRequest struct {
 	id        admission.RequestID
 	class     admission.Class
 	resource  string             // empty for a write
-	tenant    admission.TenantID // by its caller's permission where callers are known; empty where there are no tenants
-	body      []byte             // of the server's buffers
+	tenant    admission.TenantID // from the caller's permission if callers are authenticated; empty without tenants
+	body      []byte             // from the server's buffer pool
 	arrivedAt time.Duration
 
-	responder  frontend.Responder // nil once it is answered or its caller has left
-	permission authz.Permission   // released when the request is forgotten
+	responder  frontend.Responder // nil once the request has been answered or canceled
+	permission authz.Permission   // released when the request is removed
 
-	// unknownToController is set while the controller does not know of the request: its caller is not authenticated yet,
-	// or the controller has rejected it and it is forwarded.
+	// unknownToController is set while the controller does not know the request: its caller has not been authenticated
+	// yet, or the controller has rejected the request and it is forwarded.
 	unknownToController bool
 	forwarding          forwarding
 
-	run     *run // nil while it does not run
-	started bool // a run was started, whatever became of it
+	run     *run // nil while the request is not running
+	started bool // a run was started, even if it has ended since
 
 	identity  requestIdentity
-	record    *idempotencyRecord // nil until the controller has one kept
-	coalesced *coalescedWait     // nil unless it waits for another's result
+	record    *idempotencyRecord // nil until the controller keeps a record
+	coalesced *coalescedWait     // nil unless the request waits for the result of another one
 }
 
-// requestTable holds the requests in flight and counts where they are. Owned by the event loop.
+// requestTable holds the requests in flight and counts them by state. Owned by the event loop.
 type requestTable struct {
 	byID        map[admission.RequestID]*activeRequest
-	capacity    int // requests that there is memory for
+	capacity    int // maximum number of requests that the memory allows
 	running     int
-	spilledOver int           // forwarded to other instances
-	emptySince  time.Duration // when the last one was forgotten
+	spilledOver int           // requests forwarded to other instances
+	emptySince  time.Duration // when the last request was removed
 }
 
-// get returns the request in flight with this id, nil if there is none.
+// get returns the request in flight with this ID, or nil if there is none.
 func (t *requestTable) get(id admission.RequestID) *activeRequest { return t.byID[id] }
 
-// getRunning returns the request in flight with this id, nil if there is none or it does not run.
+// getRunning returns the request in flight with this ID, or nil if there is none or it is not running.
 func (t *requestTable) getRunning(id admission.RequestID) *activeRequest {
 	active := t.byID[id]
 	if active == nil || active.run == nil {
@@ -58,10 +58,10 @@
 
 func (t *requestTable) full() bool { return len(t.byID) >= t.capacity }
 
-// queued counts the requests that neither run nor are forwarded.
+// queued returns the number of requests that are neither running nor forwarded.
 func (t *requestTable) queued() int { return len(t.byID) - t.running - t.spilledOver }
 
-// idleFor is how long there has been no request in flight.
+// idleFor returns the time since the last request in flight was removed, or 0 if there are requests in flight.
 func (t *requestTable) idleFor(now time.Duration) time.Duration {
 	if len(t.byID) > 0 {
 		return 0
@@ -69,7 +69,7 @@
 	return now - t.emptySince
 }
 
-// track enters a request in the table, with a copy of its body.
+// track adds a request to the table, with a copy of its body.
 func (s *Server) track(request *frontend.Request, responder frontend.Responder) *activeRequest {
 	active := &activeRequest{
 		id:        admission.RequestID(request.ID),
@@ -83,7 +83,8 @@
 	return active
 }
 
-// removeIfFinished removes a request that nothing is owed to any more and that does not run; it does nothing to any other.
+// removeIfFinished removes a request that has no responder, is not running and is not forwarded. Otherwise it does
+// nothing.
 func (s *Server) removeIfFinished(active *activeRequest) {
 	inUse := active.responder != nil || active.run != nil || active.forwarding.handle != nil
 	if inUse || s.requests.get(active.id) != active {
@@ -103,7 +104,7 @@
 	}
 }
 
-// Cancel implements frontend.Server: nobody waits for the request any more.
+// Cancel implements frontend.Server: the caller no longer waits for the response.
 func (s *Server) Cancel(handle frontend.Handle) {
 	if active, ok := handle.(*activeRequest); ok && active.responder != nil {
 		s.cancelRequest(active)
@@ -117,7 +118,7 @@
 		s.endForwarding(active)
 		return
 	}
-	if active.unknownToController { // the authenticator's decision finds it gone
+	if active.unknownToController { // applying the authenticator's decision then does nothing
 		s.removeIfFinished(active)
 		return
 	}
@@ -126,8 +127,8 @@
 	s.removeIfFinished(active)
 }
 
-// releaseResponder ends what is owed to the caller. Whatever crosses, a request is answered once: who takes the
-// responder off it first is the one that answers.
+// releaseResponder detaches the responder from the request and calls its Done. A request is therefore answered only
+// once, even if several events could answer it: the first one to detach the responder answers.
 func (s *Server) releaseResponder(active *activeRequest) {
 	if responder := active.responder; responder != nil {
 		active.responder = nil
@@ -136,7 +137,7 @@
 	}
 }
 
-// respond has send give the one response, if it is still owed.
+// respond calls send to write the response, unless the request has already been answered or canceled.
 func (s *Server) respond(active *activeRequest, send func(frontend.Responder)) {
 	if responder := active.responder; responder != nil {
 		send(responder)
@@ -162,7 +163,7 @@
 	s.respond(active, func(responder frontend.Responder) { responder.RejectPermanently(code, metadata) })
 }
 
-// ResponseMetadata implements clients.Server: it is part of every response.
+// ResponseMetadata implements clients.Server. It returns the metadata that every response carries.
 func (s *Server) ResponseMetadata() frontend.ResponseMetadata {
 	return frontend.ResponseMetadata{LoadReport: s.loadReport}
 }
--- a/internal/server/run.go
+++ b/internal/server/run.go
@@ -11,34 +11,34 @@
 	"lanewheel/internal/runtimelink"
 )
 
-// run is the run of a request, from its start until its end is read. It keeps what is to be sent anew on a new link to
-// the runtime. Owned by the event loop.
+// run is the run of a request, from its start until its end event is read. It keeps the commands that are sent again
+// on a new link to the runtime. Owned by the event loop.
 type run struct {
-	onCall        func() // the controller's: the run waits at an upstream call
+	onCall        func() // callback of the controller, called when the run waits for an upstream call
 	onEnd         func(admission.Outcome, time.Duration)
-	confirmed     bool // an event of the run proved that its start arrived
+	confirmed     bool // an event of the run has proved that the start command arrived
 	stopRequested bool
 	callPoint     callPoint
-	call          *databaseCall // nil while none is under way
+	call          *databaseCall // nil while there is no call in progress
 }
 
-// callPoint is the upstream call that a run has come to last, and how it was released from there.
+// callPoint is the last upstream call that a run has reached, and how the run was allowed to continue.
 type callPoint struct {
-	sequence uint64 // of the event by which the run waits; 0 while it does not
-	body     []byte // of the call
-	reply    []byte // given to the run; nil if none was
-	skipped  uint64 // the event whose call was skipped; 0 if none was
+	sequence uint64 // sequence number of the event that reported the call; 0 while the run does not wait
+	body     []byte // body of the call
+	reply    []byte // reply passed to the run; nil if there is none
+	skipped  uint64 // sequence number of the event whose call was skipped; 0 if no call was skipped
 }
 
-// reached tells whether the run waits at an upstream call.
+// reached reports whether the run waits for an upstream call.
 func (p *callPoint) reached() bool { return p.sequence != 0 }
 
-// reach replaces the last call of the run by the next one.
+// reach replaces the last call of the run with the next one.
 func (p *callPoint) reach(sequence uint64, body []byte) {
 	*p = callPoint{sequence: sequence, body: append(p.body[:0], body...)}
 }
 
-// runOutcome translates the status of an end event. One that is not known counts as a failure.
+// runOutcome converts the status of an end event. An unknown status counts as a failure.
 func runOutcome(status runtimelink.Status) admission.Outcome {
 	switch status {
 	case runtimelink.StatusSuccess:
@@ -54,7 +54,7 @@
 	return admission.Failed
 }
 
-// handleCallPoint hears that a run waits at an upstream call.
+// handleCallPoint handles the event that a run waits for an upstream call.
 func (s *Server) handleCallPoint(event *runtimelink.Event) {
 	active := s.requests.getRunning(admission.RequestID(event.RequestID))
 	if active == nil {
@@ -69,14 +69,14 @@
 	run.onCall()
 }
 
-// handleEnd hears of the end of a run.
+// handleEnd handles the event that a run has ended.
 func (s *Server) handleEnd(event *runtimelink.Event) {
 	if active := s.requests.getRunning(admission.RequestID(event.RequestID)); active != nil {
 		s.endRun(active, runOutcome(event.Status), event.Elapsed, event.Body)
 	}
 }
 
-// endRun ends a run. One that succeeded or failed answers its request.
+// endRun ends a run. If the run succeeded or failed, its request is answered.
 func (s *Server) endRun(active *activeRequest, outcome admission.Outcome, elapsed time.Duration, result []byte) {
 	run := active.run
 	s.database.cancel(run.call)
@@ -93,14 +93,14 @@
 	}
 	s.decisionPending = true
 	run.onEnd(outcome, elapsed)
-	if outcome == admission.NotStarted { // nothing ran, so if the controller left a response owed it can only be this one
+	if outcome == admission.NotStarted { // nothing ran, so a request that the controller has not answered can only fail
 		s.fail(active)
 	}
 	s.removeIfFinished(active)
 }
 
-// handleRefused hears that the runtime did not carry out a command. A refused start ends its request: its class or body
-// is none that the runtime knows. The controller must not take that for a run that failed.
+// handleRefused handles the event that the runtime refused a command. A refused start ends its request, because the
+// runtime does not know its class or body. The controller must not count that as a failed run.
 func (s *Server) handleRefused(event *runtimelink.Event) {
 	active := s.requests.getRunning(admission.RequestID(event.RequestID))
 	if active == nil || active.run.confirmed || event.Status != runtimelink.StatusStart {
@@ -111,7 +111,7 @@
 	s.endRun(active, admission.NotStarted, 0, nil)
 }
 
-// resendCommands sends a new link all that the runtime may not have received on an earlier one.
+// resendCommands sends on a new link all commands that the runtime may not have received on an earlier one.
 func (s *Server) resendCommands() {
 	conn := s.runtime.conn
 	for _, id := range slices.Sorted(maps.Keys(s.requests.byID)) {
--- a/internal/server/runtimelink.go
+++ b/internal/server/runtimelink.go
@@ -8,7 +8,7 @@
 	"lanewheel/internal/runtimelink"
 )
 
-// Prefixes of correlation IDs, which the runtime echoes.
+// Prefixes of correlation IDs. The runtime sends a correlation ID back unchanged.
 const (
 	selfTestPrefix = "test"
 	fencePrefix    = "fence"
@@ -21,21 +21,21 @@
 	maxBackoff = 500 * time.Millisecond
 )
 
-// maxRuntimeLinks is how many links to the runtime there are at most: while it moves, the old one and the new one.
+// maxRuntimeLinks is the maximum number of links to the runtime: the old and the new one while its address changes.
 const maxRuntimeLinks = 2
 
-// runtimeLink is the link to the runtime, which outlasts its connections. Owned by the event loop.
+// runtimeLink is the link to the runtime. It spans successive connections. Owned by the event loop.
 type runtimeLink struct {
 	server                *Server
-	conn                  *runtimelink.Conn // in use; nil while there is none
+	conn                  *runtimelink.Conn // connection in use; nil while there is none
 	attempt               uint64            // number of the last attempt to connect
-	dialing               *runtimelink.Conn // by that attempt
+	dialing               *runtimelink.Conn // connection of the last attempt
 	backoff               time.Duration     // before the next attempt
 	lastSequence          uint64            // number of the last event read
 	lastCorrelationNumber uint64            // number of the last correlation ID
 
 	// synced is set once all events that the runtime sent while there was no link have been read. Commands are sent only
-	// then. fenceID correlates the gauges that were requested behind those events.
+	// while it is set. fenceID is the correlation ID of the gauges that were requested as a fence after those events.
 	synced  bool
 	fenceID string
 }
@@ -45,12 +45,13 @@
 	return prefix + "-" + strconv.FormatUint(l.lastCorrelationNumber, 10)
 }
 
-// connect opens a connection to where the runtime is now, and again, after a backoff, when that is refused or lost. One
-// that is in use stays so until the new one stands: the old address serves on for a moment after the runtime has moved.
+// connect dials the runtime's current address. If the connection is refused or lost, it dials again after a backoff. A
+// connection in use stays in use until the new one is open, because the old address still works for a moment after the
+// runtime has moved.
 func (l *runtimeLink) connect() {
 	l.attempt++
 	attempt := l.attempt
-	if l.dialing != nil { // its address may never answer
+	if l.dialing != nil { // its address may never respond
 		l.dialing.CancelDial()
 	}
 	var conn *runtimelink.Conn
@@ -63,7 +64,7 @@
 	})
 	l.dialing = conn
 	conn.OnEvent = func(event runtimelink.Event) {
-		if l.conn == conn { // what an old connection still brings comes again on the new one
+		if l.conn == conn { // events on an old connection are sent again on the new one
 			l.server.handleEvent(event)
 		}
 	}
@@ -76,7 +77,7 @@
 	}
 }
 
-// onConnected takes a connection that stands into use, unless a later attempt has overtaken it.
+// onConnected switches to a connection that has been opened, or closes it if there was a later attempt.
 func (l *runtimeLink) onConnected(conn *runtimelink.Conn, attempt uint64) {
 	if l.attempt != attempt {
 		conn.Close(closeAddressChanged)
@@ -90,7 +91,7 @@
 	conn.Sync(l.lastSequence)
 }
 
-// retry connects again after a backoff, unless a later attempt has overtaken this one.
+// retry connects again after a backoff, unless there is a later attempt.
 func (l *runtimeLink) retry(attempt uint64) {
 	if l.attempt != attempt {
 		return
@@ -103,9 +104,10 @@
 	})
 }
 
-// recordSequence records an event's number. It tells whether the event was read before, on an earlier connection.
+// recordSequence records the number of an event. It reports whether the event was already read, on an earlier
+// connection.
 func (l *runtimeLink) recordSequence(event *runtimelink.Event) bool {
-	if event.Sequence == 0 { // it is not numbered
+	if event.Sequence == 0 { // the event is not numbered
 		return false
 	}
 	if event.Sequence <= l.lastSequence {
@@ -115,7 +117,7 @@
 	return false
 }
 
-// handleEvent takes one event of the runtime.
+// handleEvent handles one event of the runtime. It ignores events that were already read on an earlier connection.
 func (s *Server) handleEvent(event runtimelink.Event) {
 	if s.runtime.recordSequence(&event) {
 		return
@@ -139,10 +141,11 @@
 	}
 }
 
-// handleReady makes the controller when the runtime comes up, and sets a fence behind the events that are replayed.
+// handleReady creates the controller when the runtime becomes ready for the first time, and requests gauges as a fence
+// after the replayed events.
 func (s *Server) handleReady(event *runtimelink.Event) {
 	slog.Info("runtime ready", "state", event.Status, "uptime", event.Elapsed)
-	// A controller that is made after the notice to drain would know nothing of it, and admit what is cut off soon.
+	// A controller created after Drain would not know about it and would admit requests that are cut off soon.
 	if s.controller == nil && !s.draining {
 		s.controller = s.newController(event.Elapsed, event.Status == runtimelink.StatusBooting)
 		s.decisionPending = true
@@ -152,8 +155,9 @@
 	s.runtime.conn.RequestGauges(s.runtime.fenceID)
 }
 
-// handleGauges takes the gauges. If they are those of the fence, all replayed events have been read, and what has not
-// ended by them is sent again; any earlier, a run that has ended meanwhile would be started anew.
+// handleGauges handles a gauges event. If it belongs to the fence, all replayed events have been read, and the commands
+// of runs that have not ended are sent again. If they were sent earlier, a run that had ended while there was no link
+// would be started again.
 func (s *Server) handleGauges(event *runtimelink.Event) {
 	s.gauges.update(event.Gauges)
 	if event.CorrelationID == s.runtime.fenceID {
--- a/internal/server/selftest.go
+++ b/internal/server/selftest.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// selfTestTimeout is when a self-test that has not returned counts as failed.
+// selfTestTimeout is the time after which a self-test without a result counts as failed.
 const selfTestTimeout = time.Second
 
-// selfTests are the self-tests that the runtime is carrying out for health checks. Owned by the event loop.
+// selfTests holds the self-tests that the runtime is carrying out for health checks. Owned by the event loop.
 type selfTests struct {
 	server  *Server
 	pending map[string]func(healthy bool) // by correlation ID
 }
 
-// run has the runtime carry out a self-test.
+// run makes the runtime carry out a self-test and calls done with the result.
 func (t *selfTests) run(done func(healthy bool)) {
 	if t.pending == nil {
 		t.pending = map[string]func(bool){}
@@ -25,7 +25,7 @@
 	t.server.runtime.conn.RequestSelfTest(correlationID)
 }
 
-// finish ends a self-test; it does nothing to one that has ended.
+// finish reports the result of a self-test. It does nothing if the self-test has already finished.
 func (t *selfTests) finish(correlationID string, healthy bool) {
 	if done := t.pending[correlationID]; done != nil {
 		delete(t.pending, correlationID)
--- a/internal/server/selftest_test.go
+++ b/internal/server/selftest_test.go
@@ -19,13 +19,13 @@
 // response returns the next response in hexadecimal.
 func (c *healthChecker) response() string {
 	message := make([]byte, 11)
-	_ = c.conn.SetReadDeadline(time.Now().Add(10 * time.Second)) // a response that does not come shows as an empty one
+	_ = c.conn.SetReadDeadline(time.Now().Add(10 * time.Second)) // a missing response is returned as an empty string
 	n, _ := c.conn.Read(message)
 	return fmt.Sprintf("%x", message[:n])
 }
 
-// A deep check is answered by the runtime's self-test unless the controller says otherwise, and as unhealthy when that
-// never ends.
+// A deep check is answered with the result of the runtime's self-test, unless the controller has set that its state
+// answers checks. If the self-test never ends, the check is answered as unhealthy.
 func Example_deepCheck() {
 	runtime := newFakeRuntime()
 	addr := freeAddr("127.72.0.1")
@@ -37,7 +37,7 @@
 	const healthy = "9401ce00000001c092c380"
 	for checker.send(1); checker.response() != healthy; checker.send(1) {
 	}
-	// Health by the state is good before the link is synced; a deep check uses the runtime only after.
+	// The controller's state is healthy before the link is synced; deep checks use the runtime only afterwards.
 	waitOnLoop(server, func() bool {
 		(&executor{server: server}).SetHealth(admission.Health{Healthy: true})
 		return server.runtime.synced
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,16 +1,16 @@
-// Package server is one service instance: the requests in flight with their runs, upstream calls and idempotency
-// records, the link to the runtime, and the descriptors and buffers that all of them share. It carries out what the
-// admission controller decides and decides nothing itself: it implements frontend.Server for whoever hands requests in,
-// and admission.Executor for the controller.
+// Package server implements one service instance: the requests in flight with their runs, upstream calls and
+// idempotency records, the link to the runtime, and the descriptors and buffers that all of them share. It carries out
+// the decisions of the admission controller and makes no admission decisions itself. It implements frontend.Server for
+// the front ends, which submit requests, and admission.Executor for the controller.
 //
 // # Goroutines
 //
-// One event loop owns a Server and all that it holds; Serve runs it. Unless a method says otherwise, it is called
-// on the loop only, and it must not wait. Any other goroutine uses Post, which queues a call for the loop. What the
-// poller reads comes by PostBlocking, which has the poller wait while the loop has too much to do. Beside the loop
-// there run:
+// One event loop owns a Server and everything in it; Serve runs the loop. Unless its documentation states otherwise, a
+// method may be called only on the loop and must not block. Other goroutines use Post, which queues a call for the
+// loop. The poller passes on the data that it reads with PostBlocking, which blocks the poller while too many calls
+// are pending. The following run outside the loop:
 //   - New, EnableSpillover, UseUpstreams and AddFrontend, before Serve, on the goroutine that starts the instance;
-//   - clients.Frontend.Accept, on the poller's goroutine, for each connection that was accepted;
+//   - clients.Frontend.Accept, on the poller's goroutine, for each accepted connection;
 //   - the methods of BufferPool, on any goroutine.
 package server
 
@@ -25,17 +25,17 @@
 	"lanewheel/internal/transport"
 )
 
-// Server is one service instance, from its start to its end. Owned by the event loop.
+// Server is one service instance. Owned by the event loop.
 type Server struct {
 	*eventloop.Loop
-	config   Config // its addresses follow UpdateAddresses
+	config   Config // UpdateAddresses changes its addresses
 	settings serviceSettings
 	net      *transport.Net
 	buffers  *BufferPool
 
-	controller      *admission.Controller // nil until the runtime has come up
-	decisionPending bool                  // the controller has heard something in this batch and has not decided yet
-	loadReport      float64               // part of every response; negative until the controller has published one
+	controller      *admission.Controller // nil until the runtime is ready
+	decisionPending bool                  // the controller has handled an event since its last decision
+	loadReport      float64               // sent with every response; negative until the controller publishes one
 	draining        bool
 
 	requests    requestTable
@@ -44,18 +44,18 @@
 	selfTests   selfTests
 	database    databaseCalls
 	idempotency idempotencyCache
-	health      admission.Health // as the controller last set it
+	health      admission.Health // last value set by the controller
 	registry    registryReporter
 	stats       Stats
 
-	authenticator *authn.Authenticator // nil: every caller may do everything
-	spillover     Spillover            // nil: what is rejected is not forwarded
+	authenticator *authn.Authenticator // nil if every caller is allowed to do everything
+	spillover     Spillover            // nil if rejected requests are not forwarded
 	clients       *clients.Frontend
-	frontends     []frontend.Frontend // the further ones
+	frontends     []frontend.Frontend // added by AddFrontend
 }
 
-// New returns a server that listens for clients and connects to its runtime once Serve runs. The error is that of a
-// listener, syscall.EADDRINUSE among them.
+// New returns a server that listens for clients. It connects to its runtime once Serve runs. If a listener cannot be
+// opened, New returns its error, for example syscall.EADDRINUSE.
 func New(config Config) (*Server, error) {
 	server := newServer(config)
 	server.openNetwork()
@@ -65,7 +65,7 @@
 		})
 		server.net.ReadTokens.Store(config.Authn.KeySet != nil)
 	}
-	var authenticator clients.Authenticator // stays a nil interface where there is no authenticator
+	var authenticator clients.Authenticator // must be a nil interface if there is no authenticator
 	if server.authenticator != nil {
 		authenticator = server.authenticator
 	}
@@ -81,11 +81,11 @@
 	return server, nil
 }
 
-// newServer returns a server without connections.
+// newServer returns a server without listeners and connections.
 func newServer(config Config) *Server {
 	bufferCount := config.memoryBytes() / transport.BufferSize
 	server := &Server{
-		Loop:       eventloop.New(bufferCount / 8), // read and not taken yet: an eighth of the memory
+		Loop:       eventloop.New(bufferCount / 8), // unprocessed reads: at most an eighth of the memory
 		config:     config,
 		settings:   newServiceSettings(&config.Settings),
 		buffers:    &BufferPool{},
@@ -94,7 +94,7 @@
 	}
 	server.requests = requestTable{
 		byID:     map[admission.RequestID]*activeRequest{},
-		capacity: bufferCount / 4, // bodies in flight: a quarter of the memory
+		capacity: bufferCount / 4, // bodies in flight: at most a quarter of the memory
 	}
 	server.runtime.server = server
 	server.gauges.server = server
@@ -109,7 +109,7 @@
 	return server
 }
 
-// openNetwork prepares the connections, within the descriptors and the memory that there are.
+// openNetwork sets up the network, with limits that follow from the available descriptors and memory.
 func (s *Server) openNetwork() {
 	budget := divideDescriptors(s.config.MaxDescriptors, openDescriptors())
 	s.database.maxConns = budget.calls
@@ -122,7 +122,7 @@
 		MaxAccepted:    int64(budget.clients),
 		MaxConns:       int64(budget.total) + maxRuntimeLinks,
 		MaxDescriptors: s.config.MaxDescriptors,
-		MaxUnread:      int64(s.config.memoryBytes()) / 8, // responses that nobody reads: an eighth of the memory
+		MaxUnread:      int64(s.config.memoryBytes()) / 8, // unread responses: at most an eighth of the memory
 	}
 }
 
@@ -139,14 +139,14 @@
 	return s.net.ListenTLS(listener)
 }
 
-// AddFrontend starts a further front end. It is called before Serve.
+// AddFrontend starts an additional front end. It must be called before Serve.
 func (s *Server) AddFrontend(f frontend.Frontend) {
 	s.frontends = append(s.frontends, f)
 	f.Start()
 }
 
-// Serve runs the event loop until the server has drained. The controller decides once for all that a batch brought, and
-// the responses of a batch are written together.
+// Serve runs the event loop until the server has drained. The controller decides once per batch of events, and the
+// responses of a batch are written together.
 func (s *Server) Serve() {
 	s.Run(func() {
 		if s.decisionPending && s.controller != nil {
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -8,26 +8,26 @@
 	"lanewheel/internal/frontend"
 )
 
-// serviceSettings is what the server itself needs of the admission settings. It never changes after New.
+// serviceSettings is the part of the admission settings that the server itself uses. It never changes after New.
 type serviceSettings struct {
 	classes             map[admission.Class]classSettings
-	tenants             map[admission.TenantID]bool // empty where there are no tenants
-	cores               float64                     // of the runtime
-	requestsAreCalls    bool                        // requests are the upstream calls of another tier's requests
+	tenants             map[admission.TenantID]bool // names of the tenants; empty if there are none
+	cores               float64                     // cores of the runtime
+	requestsAreCalls    bool                        // requests are upstream calls made by the requests of another tier
 	coalescedReadWindow time.Duration               // how long the result of a read answers its duplicates
-	idleTimeout         time.Duration               // of client connections; 0: none
-	retryAfterAllowed   bool                        // whether callers are told when to come again
-	maxRetryAfter       time.Duration               // 0: no limit
+	idleTimeout         time.Duration               // of client connections; 0 means no timeout
+	retryAfterAllowed   bool                        // rejections may carry a Retry-After
+	maxRetryAfter       time.Duration               // 0 means no limit
 }
 
-// classSettings is what the server needs of one class of requests.
+// classSettings is the part of the settings of a request class that the server uses.
 type classSettings struct {
 	timeout          time.Duration
 	latencyObjective time.Duration
 	idempotency      admission.Idempotency
 }
 
-// newServiceSettings picks what the server needs out of the admission settings.
+// newServiceSettings extracts the server's part from the admission settings.
 func newServiceSettings(settings *admission.Settings) serviceSettings {
 	result := serviceSettings{
 		classes:             map[admission.Class]classSettings{},
@@ -52,18 +52,18 @@
 	return result
 }
 
-// Bounds of what a request may say of itself.
+// Bounds of the values in a request.
 const (
 	maxMemoryKB = 2000 // exclusive
 	maxRank     = 1    // exclusive
 	maxCaller   = math.MaxInt32
 )
 
-// maxTimeouts is how many timeouts of its class a request may be old, wait or work at most.
+// maxTimeouts is the maximum age, timeout or work of a request, in timeouts of its class.
 const maxTimeouts = 10
 
-// maxWait is the longest time that a request of a class with this timeout may be old, wait or work. Where there is no
-// timeout, or a huge one, it is a day: a hundred thousand of those still add up without overflow.
+// maxWait returns the maximum age, timeout or work of a request whose class has the given timeout. Without a timeout,
+// or with a huge one, it is a day: the sum of a hundred thousand such durations does not overflow.
 func maxWait(timeout time.Duration) time.Duration {
 	const day = 24 * time.Hour
 	if timeout <= 0 || timeout > day/maxTimeouts {
@@ -72,8 +72,8 @@
 	return maxTimeouts * timeout
 }
 
-// check tells what makes a request one that could never be served, empty if nothing does. The controller must not learn
-// from figures that nobody meant, or calculate with such as overflow.
+// check returns the code with which a request is rejected permanently, or an empty code if the request can be served.
+// It protects the controller from learning from implausible values and from calculating with values that overflow.
 func (s *serviceSettings) check(request *frontend.Request) frontend.RejectionCode {
 	class, ok := s.classes[admission.Class(request.Class)]
 	if !ok {
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -57,21 +57,21 @@
 		change func(*frontend.Request)
 		want   frontend.RejectionCode
 	}{
-		{"as it should be", func(*frontend.Request) {}, ""},
-		{"class", func(r *frontend.Request) { r.Class = "none" }, frontend.UnknownClass},
-		{"tenant", func(r *frontend.Request) { r.Tenant = "" }, frontend.UnknownTenant},
-		{"class before tenant", func(r *frontend.Request) { r.Class, r.Tenant = "", "" }, frontend.UnknownClass},
+		{"valid", func(*frontend.Request) {}, ""},
+		{"unknown class", func(r *frontend.Request) { r.Class = "none" }, frontend.UnknownClass},
+		{"unknown tenant", func(r *frontend.Request) { r.Tenant = "" }, frontend.UnknownTenant},
+		{"unknown class before unknown tenant", func(r *frontend.Request) { r.Class, r.Tenant = "", "" }, frontend.UnknownClass},
 		{"no memory", func(r *frontend.Request) { r.MemoryKB = 0 }, frontend.OutOfRange},
-		{"most memory", func(r *frontend.Request) { r.MemoryKB = 1999 }, ""},
+		{"maximum memory", func(r *frontend.Request) { r.MemoryKB = 1999 }, ""},
 		{"too much memory", func(r *frontend.Request) { r.MemoryKB = 2000 }, frontend.OutOfRange},
-		{"rank below", func(r *frontend.Request) { r.Rank = -0.1 }, frontend.OutOfRange},
-		{"rank above", func(r *frontend.Request) { r.Rank = 1 }, frontend.OutOfRange},
-		{"caller below", func(r *frontend.Request) { r.Caller = -1 }, frontend.OutOfRange},
-		{"last caller", func(r *frontend.Request) { r.Caller = math.MaxInt32 }, ""},
-		{"caller above", func(r *frontend.Request) { r.Caller = math.MaxInt32 + 1 }, frontend.OutOfRange},
-		{"longest timeout", func(r *frontend.Request) { r.Timeout = 10 * time.Second }, ""},
-		{"timeout", func(r *frontend.Request) { r.Timeout = 10*time.Second + 1 }, frontend.OutOfRange},
-		{"work", func(r *frontend.Request) { r.WorkHint = 10*time.Second + 1 }, frontend.OutOfRange},
+		{"rank too low", func(r *frontend.Request) { r.Rank = -0.1 }, frontend.OutOfRange},
+		{"rank too high", func(r *frontend.Request) { r.Rank = 1 }, frontend.OutOfRange},
+		{"caller too low", func(r *frontend.Request) { r.Caller = -1 }, frontend.OutOfRange},
+		{"maximum caller", func(r *frontend.Request) { r.Caller = math.MaxInt32 }, ""},
+		{"caller too high", func(r *frontend.Request) { r.Caller = math.MaxInt32 + 1 }, frontend.OutOfRange},
+		{"maximum timeout", func(r *frontend.Request) { r.Timeout = 10 * time.Second }, ""},
+		{"timeout too long", func(r *frontend.Request) { r.Timeout = 10*time.Second + 1 }, frontend.OutOfRange},
+		{"work too long", func(r *frontend.Request) { r.WorkHint = 10*time.Second + 1 }, frontend.OutOfRange},
 		{"work without a timeout", func(r *frontend.Request) { r.Class, r.WorkHint = "other", 24*time.Hour }, ""},
 	}
 	for _, test := range tests {
@@ -79,7 +79,7 @@
 			request := frontend.Request{Class: "view", Tenant: "t1", MemoryKB: 1}
 			test.change(&request)
 			if got := settings.check(&request); got != test.want {
-				t.Errorf("%q, want %q", got, test.want)
+				t.Errorf("got code %q, want %q", got, test.want)
 			}
 		})
 	}
--- a/internal/server/spillover.go
+++ b/internal/server/spillover.go
@@ -10,32 +10,32 @@
 
 // Spillover forwards requests that are rejected here to other instances. Its methods are called on the event loop.
 type Spillover interface {
-	// RequestArrived counts a request that was handed to the controller.
+	// RequestArrived counts a request that is submitted to the controller.
 	RequestArrived()
-	// Forward forwards a request, to be answered by the deadline. It returns nil if it does not, or has answered the
-	// request already. idempotent says whether it may be executed twice.
+	// Forward forwards a request that must be answered by the deadline. It returns nil if the request is not forwarded,
+	// or has already been answered through the responder. idempotent reports whether the request may be executed twice.
 	Forward(
 		request frontend.Request, deadline time.Duration, idempotent bool, responder frontend.Responder,
 	) frontend.Handle
-	// Cancel says that nobody waits any more for a request that was forwarded.
+	// Cancel cancels a forwarded request whose caller no longer waits for the response.
 	Cancel(frontend.Handle)
 }
 
-// forwarding is what it takes to forward a request, and whether it is forwarded.
+// forwarding holds the data that is needed to forward a request, and its handle once it is forwarded.
 type forwarding struct {
-	request  *frontend.Request // without its body; nil where it can't be forwarded
+	request  *frontend.Request // without its body; nil if the request cannot be forwarded
 	deadline time.Duration
-	handle   frontend.Handle // nil while it is not forwarded
+	handle   frontend.Handle // nil while the request is not forwarded
 }
 
-// EnableSpillover has requests that are rejected here forwarded where newSpillover's result does so. It is called
-// before Serve.
+// EnableSpillover makes the server forward rejected requests through the Spillover that newSpillover returns. It must
+// be called before Serve.
 func (s *Server) EnableSpillover(newSpillover func(net *transport.Net) Spillover) {
 	s.spillover = newSpillover(s.net)
 	s.net.ReadHops.Store(true)
 }
 
-// prepareForwarding keeps what it takes to forward a request if it is rejected.
+// prepareForwarding stores the data that is needed to forward a request in case the controller rejects it.
 func (s *Server) prepareForwarding(active *activeRequest, request frontend.Request, queueDelay time.Duration) {
 	s.spillover.RequestArrived()
 	sentAt := s.Now() - queueDelay
@@ -47,8 +47,9 @@
 	active.forwarding.deadline = deadline
 }
 
-// forwardable tells whether a request that the controller has rejected may be forwarded: not one that runs or waits for
-// another's result, and not one whose caller is known by the connection alone, which the other instance does not see.
+// forwardable reports whether a request that the controller has rejected may be forwarded. It must not be running or
+// waiting for the result of another request. If callers are authenticated, it must carry a token: the other instance
+// does not see the connection, so it cannot authenticate the caller by the connection alone.
 func (s *Server) forwardable(active *activeRequest) bool {
 	request := active.forwarding.request
 	if request == nil || active.responder == nil || s.draining {
@@ -60,8 +61,8 @@
 	return active.run == nil && active.coalesced == nil
 }
 
-// spill forwards a request that the controller has rejected and is done with. It tells whether the request is
-// forwarded, or answered by the attempt.
+// spill tries to forward a request that the controller has rejected. It reports whether the request is forwarded or was
+// answered during the attempt.
 func (s *Server) spill(active *activeRequest) bool {
 	if !s.forwardable(active) {
 		return false
@@ -79,7 +80,7 @@
 		active.forwarding.handle = handle
 		return true
 	}
-	if active.responder == nil { // it is answered
+	if active.responder == nil { // Forward has answered the request
 		return true
 	}
 	s.requests.spilledOver--
@@ -96,7 +97,7 @@
 	}
 }
 
-// spilledResponder gives a forwarded request the response of the other instance, with the load report of this one.
+// spilledResponder answers a forwarded request with the response of the other instance and this instance's load report.
 type spilledResponder struct {
 	server  *Server
 	request *activeRequest
--- a/internal/server/stats.go
+++ b/internal/server/stats.go
@@ -6,17 +6,17 @@
 	"lanewheel/internal/frontend"
 )
 
-// Stats counts what became of the requests that the controller decided about, since the start.
+// Stats counts the outcomes of the requests that were submitted to the controller, since the start of the server.
 type Stats struct {
 	Answered        uint64        // succeeded, rejected or failed
 	WithinObjective uint64        // succeeded within their latency objective
-	TotalLatency    time.Duration // sum over all that were answered, from reading to response
+	TotalLatency    time.Duration // sum over all answered requests, from reading the request to its response
 }
 
 // Stats returns the counts so far.
 func (s *Server) Stats() Stats { return s.stats }
 
-// recordOutcome counts a request that is about to be answered, unless its caller has left.
+// recordOutcome counts a request that is about to be answered, unless it was canceled.
 func (s *Server) recordOutcome(active *activeRequest, succeeded bool) {
 	if active.responder == nil || active.arrivedAt == 0 {
 		return
--- a/internal/server/submit.go
+++ b/internal/server/submit.go
@@ -8,9 +8,9 @@
 	"lanewheel/internal/frontend"
 )
 
-// Submit implements frontend.Server: it takes a request from a front end. What can't be taken is rejected at once:
-// everything before the runtime has come up, what there is no memory for, and an id that is in flight already. Whose
-// request that is can't be told, and this attempt was never executed.
+// Submit implements frontend.Server. It rejects a request at once if the runtime is not ready yet, if there is no
+// memory for the request, or if its ID is already in flight. In the last case the server cannot find out whose request
+// the one in flight is, and this attempt has not been executed.
 func (s *Server) Submit(
 	request frontend.Request, credential *authn.Credential, responder frontend.Responder,
 ) frontend.Handle {
@@ -32,8 +32,8 @@
 	return active
 }
 
-// submitToController hands a request whose caller may make it to the admission controller, unless it could never be
-// served.
+// submitToController submits an authorized request to the admission controller, unless the request could never be
+// served or is too old.
 func (s *Server) submitToController(active *activeRequest, request frontend.Request) {
 	queueDelay := max(0, s.WallTime().Sub(time.UnixMilli(request.SentUnixMilli)))
 	if code := s.settings.check(&request); code != "" {
@@ -43,7 +43,7 @@
 		return
 	}
 	class := s.settings.classes[active.class]
-	if queueDelay > maxWait(class.timeout) { // answered long ago, or sent by a clock that is not ours
+	if queueDelay > maxWait(class.timeout) { // the caller has long given up, or its clock differs from this host's
 		s.respondWithoutController(active, func(responder frontend.Responder) { responder.Reject(s.ResponseMetadata()) })
 		return
 	}
@@ -73,7 +73,7 @@
 	})
 }
 
-// respondWithoutController answers a request that the controller does not know of, and forgets it.
+// respondWithoutController answers a request that the controller does not know, and removes it.
 func (s *Server) respondWithoutController(active *activeRequest, send func(frontend.Responder)) {
 	active.unknownToController = true
 	s.respond(active, send)
--- a/internal/server/upstreams.go
+++ b/internal/server/upstreams.go
@@ -6,34 +6,36 @@
 	"lanewheel/admission"
 )
 
-// maxAttempts is how many services a call is tried at. Two that refuse it one after the other are a network that is
-// gone.
+// maxAttempts is the maximum number of services at which a call is tried. If two services in a row refuse the call, the
+// cause is most likely the network.
 const maxAttempts = 2
 
-// Upstreams is several services that calls may go to. Its methods are called on the event loop.
+// Upstreams is a set of services that upstream calls are distributed to. Its methods are called on the event loop.
 type Upstreams interface {
-	// Acquire returns a slot for a call at one of the services, but not at the one at the address that refused the call,
-	// and nil while none has a slot. waiting is how many calls wait for a slot, this one included.
+	// Acquire returns a slot for a call at one of the services, except the one at refusedAddr, which refused the call. It
+	// returns nil if there is no free slot. waiting is the number of calls that wait for a slot, including this one.
 	Acquire(refusedAddr string, waiting int) UpstreamSlot
-	// OnAvailable has then called, on the event loop, whenever there may be slots again.
+	// OnAvailable registers callback, which is called on the event loop whenever slots may have become available.
 	OnAvailable(callback func())
 }
 
-// UpstreamSlot is a call's place at one service. Its methods are called on the event loop.
+// UpstreamSlot is a call's slot at one service. Its methods are called on the event loop.
 type UpstreamSlot interface {
 	Addr() string
-	MaxDuration() time.Duration // of the call
-	// Release gives the slot back, once. running tells that the call may go on at the service, for MaxDuration at most.
+	MaxDuration() time.Duration // maximum duration of the call
+	// Release releases the slot. It must be called exactly once. running reports whether the call may still be running at
+	// the service, for MaxDuration at most.
 	Release(outcome admission.Outcome, running bool)
 }
 
-// UseUpstreams has calls go to several services instead of the configured database. It is called before Serve.
+// UseUpstreams sends upstream calls to several services instead of the configured database. It must be called before
+// Serve.
 func (s *Server) UseUpstreams(upstreams Upstreams) {
 	s.database.upstreams = upstreams
 	upstreams.OnAvailable(s.database.startWaitingCalls)
 }
 
-// acquireSlot finds a slot for a call, where there are several services. It tells whether the call may be made.
+// acquireSlot acquires a slot for a call if there are several services. It reports whether the call may be made.
 func (d *databaseCalls) acquireSlot(call *databaseCall) bool {
 	if d.upstreams == nil {
 		return true
@@ -43,7 +45,7 @@
 		return false
 	}
 	call.attempts++
-	// The concurrency that was leased counts on calls that last no longer than this.
+	// The leased concurrency is based on the assumption that calls last no longer than MaxDuration.
 	if deadline := d.server.Now() + call.slot.MaxDuration(); deadline < call.deadline {
 		call.deadline = deadline
 		call.timer.Stop()
@@ -52,7 +54,7 @@
 	return true
 }
 
-// releaseSlot gives a call's slot back, if it has one. running tells that the call may go on at the service.
+// releaseSlot releases the call's slot, if it has one. running reports whether the call may still be running there.
 func (c *databaseCall) releaseSlot(outcome admission.Outcome, running bool) {
 	if slot := c.slot; slot != nil {
 		c.slot = nil
@@ -60,8 +62,8 @@
 	}
 }
 
-// retryElsewhere makes a call that one service refused at another one, or has it wait for a slot there. It tells
-// whether it does.
+// retryElsewhere retries a call that a service refused at another service, or queues it until there is a slot there. It
+// returns false if the call has no attempts left.
 func (d *databaseCalls) retryElsewhere(call *databaseCall, refusedAddr string) bool {
 	call.releaseSlot(admission.Unreachable, false)
 	call.refusedAddr = refusedAddr
