--- a/cmd/lanewheel/commandline_test.go
+++ b/cmd/lanewheel/commandline_test.go
@@ -36,7 +36,7 @@
 	// 1 0  cannot parse JSON: cannot parse object: cannot parse object value: cannot parse empty string; unparsed tail: \"\""
 	// 1 0  name: wants text" suppressed=6
 	// 1 0 1: limits.cores: is \"0\", wants a number over 0"
-	// 1 0 6: settings.domain.cpus: is \"two\", wants another type than string"
+	// 1 0 6: settings.domain.cpus: is \"two\", must not be of type string"
 	// 1 0  settings: wants an object"
 	// 1 0 msg="start failed" err="listen tcp ADDR: bind: address already in use"
 }
@@ -86,8 +86,8 @@
 	// 1 bad.json:2: roster: is "7", wants text
 	// bad.json:3: limits.cores: is "-1", wants a number over 0
 	// bad.json:3: limits.sockets: wants a number of 32 or more
-	// bad.json:4: settings.domain.cpus: wants a number of 1 or more
-	// bad.json:5: settings.classes.1.credit: is "x", wants another type than string
+	// bad.json:4: settings.domain.cpus: must be a number of 1 or more
+	// bad.json:5: settings.classes.1.credit: is "x", must not be of type string
 }
 
 // A newcomer's first command: it starts, serves, ends with its table, and all that was requested is in it.
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -9,12 +9,12 @@
 // timers do not fire. afterBatch is called once per batch.
 func Example_batch() {
 	l := New(4096)
-	printing := func(text string) func() { return func() { fmt.Print(text, " ") } }
-	l.Post(printing("posted"), func() {
-		l.ScheduleAt(l.now-2, printing("second"))
-		l.ScheduleAt(l.now-2, printing("third"))
-		l.ScheduleAt(l.now-1, printing("stopped")).Stop()
-		l.ScheduleAt(l.now-3, printing("first"))
+	printer := func(text string) func() { return func() { fmt.Print(text, " ") } }
+	l.Post(printer("posted"), func() {
+		l.ScheduleAt(l.now-2, printer("second"))
+		l.ScheduleAt(l.now-2, printer("third"))
+		l.ScheduleAt(l.now-1, printer("stopped")).Stop()
+		l.ScheduleAt(l.now-3, printer("first"))
 		l.ScheduleAt(l.now, l.Quit)
 	})
 	l.Run(func() { fmt.Println("after") })
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -1,6 +1,6 @@
-// Package frontend defines the interface between a server and its front ends, which submit requests to it: those of
-// clients on connections, and those in messages of queues. A front end translates between its protocol and requests,
-// and sends exactly one response to each request. The server does not distinguish between front ends.
+// Package frontend defines the interface between a server and its front ends. A front end reads requests from client
+// connections or queue messages and submits them to the server. It translates between its protocol and requests, and
+// sends exactly one response to each request. The server does not distinguish between front ends.
 package frontend
 
 import (
@@ -95,8 +95,8 @@
 
 // Server accepts the requests of front ends. Its methods are called on the server's event loop.
 type Server interface {
-	// Submit submits a request. It returns nil if the request was answered at once. credential holds the identity that the
-	// caller has proved for its connection or queue; it is never nil.
+	// Submit submits a request. It returns nil if the request was answered at once. credential holds the proof of the
+	// caller's identity for one connection or queue; it is never nil.
 	Submit(request Request, credential *authn.Credential, responder Responder) Handle
 	// Cancel cancels a request whose caller no longer waits for the response. It does nothing if the handle is nil.
 	Cancel(Handle)
--- a/internal/server/authentication.go
+++ b/internal/server/authentication.go
@@ -11,7 +11,7 @@
 // request is in flight but unknown to the controller: it can be canceled, and no other request may use its ID.
 func (s *Server) authenticate(active *activeRequest, credential *authn.Credential, request frontend.Request) {
 	active.unknownToController = true
-	wanted := authn.Request{
+	authRequest := authn.Request{
 		Token: request.Token,
 		Request: authz.Request{
 			Class:  active.class,
@@ -19,7 +19,7 @@
 			Write:  request.Resource == "",
 		},
 	}
-	s.authenticator.Authorize(credential, wanted, func(decision authn.Decision) {
+	s.authenticator.Authorize(credential, authRequest, func(decision authn.Decision) {
 		if active.responder == nil || s.requests.get(active.id) != active { // the request was canceled
 			s.authenticator.Release(&decision.Permission)
 			return
--- a/internal/server/databasecalls.go
+++ b/internal/server/databasecalls.go
@@ -80,8 +80,8 @@
 		addr = call.slot.Addr()
 	}
 	var conn *database.Conn
-	conn = database.Dial(d.server.net, addr, func(refused error) {
-		if refused != nil {
+	conn = database.Dial(d.server.net, addr, func(dialErr error) {
+		if dialErr != nil {
 			d.handleRefused(call, addr)
 			return
 		}
--- a/internal/server/descriptors.go
+++ b/internal/server/descriptors.go
@@ -48,9 +48,9 @@
 
 // openDescriptors returns the number of descriptors that the process has open.
 func openDescriptors() int {
-	open, err := os.ReadDir("/proc/self/fd")
+	entries, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		return assumedOpenDescriptors
 	}
-	return len(open) - 1 // not the one that the directory is read with
+	return len(entries) - 1 // not the one that the directory is read with
 }
--- a/internal/server/idempotency.go
+++ b/internal/server/idempotency.go
@@ -104,14 +104,14 @@
 	if active.identity.isZero() || record == nil {
 		return ""
 	}
-	inTime := record.expiresAt > sentAt
+	withinWindow := record.expiresAt > sentAt
 	if record.identity.byKey {
-		if record.finished && !inTime {
+		if record.finished && !withinWindow {
 			return ""
 		}
 		return record.requestID
 	}
-	if !inTime || record.finished && record.result == nil {
+	if !withinWindow || record.finished && record.result == nil {
 		return ""
 	}
 	return record.requestID
--- a/internal/server/idempotency_test.go
+++ b/internal/server/idempotency_test.go
@@ -74,9 +74,9 @@
 		cache.store(first, 200*time.Millisecond)
 		first.started = true
 		cache.finish(first, []byte("one"))
-		again := newRequest("z", byKey)
-		cache.store(again, time.Hour)
-		cache.remove(again.record) // as if the second request were rejected
+		second := newRequest("z", byKey)
+		cache.store(second, time.Hour)
+		cache.remove(second.record) // as if the second request were rejected
 		fmt.Printf("by key %v: %q, later %q\n", byKey,
 			cache.duplicateOf(newRequest("x", byKey), 99*time.Millisecond),
 			cache.duplicateOf(newRequest("x", byKey), 201*time.Millisecond))
--- a/internal/server/runtimelink.go
+++ b/internal/server/runtimelink.go
@@ -55,8 +55,8 @@
 		l.dialing.CancelDial()
 	}
 	var conn *runtimelink.Conn
-	conn = runtimelink.Dial(l.server.net, l.server.config.RuntimeAddr, func(refused error) {
-		if refused != nil {
+	conn = runtimelink.Dial(l.server.net, l.server.config.RuntimeAddr, func(dialErr error) {
+		if dialErr != nil {
 			l.retry(attempt)
 			return
 		}
--- a/internal/server/selftest_test.go
+++ b/internal/server/selftest_test.go
@@ -50,11 +50,11 @@
 		case <-time.After(10 * time.Second):
 			fmt.Println("no self-test was requested")
 		}
-		began := time.Now()
+		start := time.Now()
 		if status != "" {
 			writeLine(link, `{"t":"verdict","mark":%s,"status":%q}`, correlationID, status)
 		}
-		fmt.Println(checker.response(), "in time:", time.Since(began) < 1500*time.Millisecond)
+		fmt.Println(checker.response(), "in time:", time.Since(start) < 1500*time.Millisecond)
 	}
 	server.Post(server.Quit)
 	// Output:
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -60,7 +60,7 @@
 		{"valid", func(*frontend.Request) {}, ""},
 		{"unknown class", func(r *frontend.Request) { r.Class = "none" }, frontend.UnknownClass},
 		{"unknown tenant", func(r *frontend.Request) { r.Tenant = "" }, frontend.UnknownTenant},
-		{"unknown class before unknown tenant", func(r *frontend.Request) { r.Class, r.Tenant = "", "" }, frontend.UnknownClass},
+		{"class before tenant", func(r *frontend.Request) { r.Class, r.Tenant = "", "" }, frontend.UnknownClass},
 		{"no memory", func(r *frontend.Request) { r.MemoryKB = 0 }, frontend.OutOfRange},
 		{"maximum memory", func(r *frontend.Request) { r.MemoryKB = 1999 }, ""},
 		{"too much memory", func(r *frontend.Request) { r.MemoryKB = 2000 }, frontend.OutOfRange},
--- a/internal/settings/executor_test.go
+++ b/internal/settings/executor_test.go
@@ -8,8 +8,8 @@
 	"lanewheel/admission"
 )
 
-// fakeExecutor carries out what a Controller decides: a run takes 30 ms, and every second one stands at a call of 5 ms
-// first.
+// fakeExecutor carries out the decisions of a Controller. A run takes 30 ms. Every second run first makes an upstream
+// call of 5 ms, after which it takes 20 ms.
 type fakeExecutor struct {
 	now       time.Duration
 	scheduled map[time.Duration][]func()
@@ -88,12 +88,12 @@
 func (e *fakeExecutor) Reject(id admission.RequestID, retryAfter time.Duration, _ bool) {
 	e.answered[id] = true
 	if retryAfter < 0 {
-		e.problems = append(e.problems, "retry after "+retryAfter.String())
+		e.problems = append(e.problems, "negative retry after: "+retryAfter.String())
 	}
 }
 
 func (e *fakeExecutor) Coalesce(admission.RequestID, func(admission.Outcome, time.Duration)) {
-	e.problems = append(e.problems, "coalesced, and nothing is a duplicate")
+	e.problems = append(e.problems, "request coalesced although there are no duplicates")
 }
 
 func (e *fakeExecutor) WakeAt(at time.Duration, then func(admission.Gauges)) {
@@ -107,8 +107,8 @@
 func (e *fakeExecutor) SetIdleTimeout(time.Duration)                  {}
 func (e *fakeExecutor) LogTransition(admission.Transition)            {}
 
-// simulate plays two seconds with the settings and returns what was wrong: a request without an answer in its time. Of
-// further answers an instance takes no notice.
+// simulate runs a controller with the settings for two simulated seconds and returns the problems, such as a request
+// that was not answered in time. Further answers to an answered request are ignored, as an instance ignores them.
 func simulate(settings admission.Settings) []string {
 	e := newFakeExecutor()
 	controller := admission.New(1, settings, e)
@@ -153,12 +153,12 @@
 
 func simulatedID(n int) admission.RequestID { return admission.RequestID(strconv.Itoa(n)) }
 
-// checkAnswered notes a request that came longer ago than its caller waits, with some spare time, and has no answer.
+// checkAnswered records a problem if a request has not been answered within its caller's timeout and a margin.
 func (e *fakeExecutor) checkAnswered(arrived int) {
 	const margin = 30 * time.Millisecond
 	for n := 1; time.Duration(n)*arrivalGap < e.now-callerTimeout-margin && n <= arrived; n++ {
 		if id := simulatedID(n); !e.answered[id] {
-			e.problems = append(e.problems, fmt.Sprintf("request %s has no answer at %v", id, e.now))
+			e.problems = append(e.problems, fmt.Sprintf("request %s is not answered at %v", id, e.now))
 			return
 		}
 	}
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -8,16 +8,16 @@
 	"lanewheel/admission"
 )
 
-// field is one setting of an object that is read into a T.
+// field describes one setting of an object that is read into a T.
 type field[T any] struct {
-	path []string // on the wire, from the object's root
+	path []string // names on the wire, from the root of the object
 	read func(*T, *fastjson.Value) []FieldError
 }
 
-// valueReader reads one value; ok tells whether it is of the right type.
+// valueReader reads one value. ok reports whether the value has the right type.
 type valueReader[V any] func(*fastjson.Value) (value V, ok bool)
 
-// newField stores what read returns at the place that target names.
+// newField returns a field whose value is read by read and stored in the variable that target points to.
 func newField[T, V any](read valueReader[V], target func(*T) *V, path ...string) field[T] {
 	return field[T]{path, func(to *T, v *fastjson.Value) []FieldError {
 		value, ok := read(v)
@@ -29,7 +29,7 @@
 	}}
 }
 
-// newListField reads a list of objects.
+// newListField returns a field that is a list of objects with the given fields.
 func newListField[T, Item any](fields []field[Item], target func(*T) *[]Item, path ...string) field[T] {
 	return field[T]{path, func(to *T, v *fastjson.Value) []FieldError {
 		items, problems := readObjects(v, fields)
@@ -40,7 +40,7 @@
 	}}
 }
 
-// newClassListField reads a list with a value for each class, by the order of the classes.
+// newClassListField returns a field that is a list with one value per class, in the order of the classes.
 func newClassListField[V any](read valueReader[V], target func(*admission.ClassSettings) *V,
 	path ...string) field[admission.Settings] {
 	return field[admission.Settings]{path, func(to *admission.Settings, v *fastjson.Value) []FieldError {
@@ -66,7 +66,8 @@
 	coresPath   = []string{"domain", "cpus"}
 )
 
-// instanceFields are read in this order; lists with a value for each class follow the classes.
+// instanceFields are the settings of an instance, read in this order. Lists with one value per class must follow the
+// classes.
 var instanceFields = []field[instance]{
 	newListField(classFields, func(s *instance) *[]class { return &s.Classes }, classesPath...),
 	newListField(tenantFields, func(s *instance) *[]tenant { return &s.Tenants }, "tenants"),
@@ -102,6 +103,7 @@
 	newField(number, func(s *instance) *float64 { return &s.Tier }, "tier"),
 }
 
+// classFields are the settings of a request class.
 var classFields = []field[class]{
 	newField(text[admission.Class], func(c *class) *admission.Class { return &c.Name }, "name"),
 	newField(number, func(c *class) *float64 { return &c.Weight }, "credit"),
@@ -113,14 +115,15 @@
 	newField(idempotencies.read, func(c *class) *admission.Idempotency { return &c.Idempotency }, "repeat"),
 }
 
+// tenantFields are the settings of a tenant.
 var tenantFields = []field[tenant]{
 	newField(text[admission.TenantID], func(t *tenant) *admission.TenantID { return &t.Name }, "name"),
 	newField(number, func(t *tenant) *float64 { return &t.QuotaPerSecond }, "quota-per-s"),
 	newField(number, func(t *tenant) *float64 { return &t.Share }, "portion"),
 }
 
-// The words of the enumerations. Beside those that the platform says today stand the ones that were accepted in their
-// place before.
+// The enumerations, by the names of their values on the wire. They include the names that the platform uses today and
+// older names that were accepted for the same values.
 var (
 	upstreamKinds = enumeration[admission.UpstreamKind]{
 		values: map[string]admission.UpstreamKind{
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -21,7 +21,7 @@
 	return fastjson.MustParseBytes(text)
 }
 
-// Each setting that is known, by its stored name, and what it is read as.
+// Checks the value that each known setting is read as. The settings have their names on the wire.
 func TestGoldenSettings(t *testing.T) {
 	want := goldenSettings()
 	got, problems := Parse(readGolden(t))
@@ -32,25 +32,25 @@
 	for i := range wantFields.NumField() {
 		name := wantFields.Type().Field(i).Name
 		if read, wanted := gotFields.Field(i).Interface(), wantFields.Field(i).Interface(); !reflect.DeepEqual(read, wanted) {
-			t.Errorf("%s is read as %v, want %v", name, read, wanted)
+			t.Errorf("%s = %v, want %v", name, read, wanted)
 		}
 		if wantFields.Field(i).IsZero() {
-			t.Errorf("the test says nothing of %s", name)
+			t.Errorf("the test has no value for %s", name)
 		}
 	}
-	// The two lists with a value for each class are fields of the classes.
-	if known := wantFields.NumField() + 2; len(instanceFields) != known {
-		t.Errorf("%d settings are known, want %d", len(instanceFields), known)
+	// The two lists with one value per class are instance settings on the wire, but fields of ClassSettings.
+	if wantCount := wantFields.NumField() + 2; len(instanceFields) != wantCount {
+		t.Errorf("%d instance settings, want %d", len(instanceFields), wantCount)
 	}
-	if known := reflect.TypeFor[admission.ClassSettings]().NumField() - 2; len(classFields) != known {
-		t.Errorf("%d settings of a class are known, want %d", len(classFields), known)
+	if wantCount := reflect.TypeFor[admission.ClassSettings]().NumField() - 2; len(classFields) != wantCount {
+		t.Errorf("%d class settings, want %d", len(classFields), wantCount)
 	}
-	if known := reflect.TypeFor[admission.TenantSettings]().NumField(); len(tenantFields) != known {
-		t.Errorf("%d settings of a tenant are known, want %d", len(tenantFields), known)
+	if wantCount := reflect.TypeFor[admission.TenantSettings]().NumField(); len(tenantFields) != wantCount {
+		t.Errorf("%d tenant settings, want %d", len(tenantFields), wantCount)
 	}
 }
 
-// goldenSettings are those of testdata/settings.json.
+// goldenSettings returns the settings in testdata/settings.json.
 func goldenSettings() admission.Settings {
 	const ms = time.Millisecond
 	return admission.Settings{
@@ -112,12 +112,12 @@
 		"other",
 	}
 	if got := GaugeNames(readGolden(t)); !reflect.DeepEqual(got, want) {
-		t.Errorf("gauges are read as %q, want %q", got, want)
+		t.Errorf("gauges = %q, want %q", got, want)
 	}
 }
 
-// Each word that a setting may have, and one that is not known.
-func TestGoldenWords(t *testing.T) {
+// Checks each name of an enumeration value, and an unknown name.
+func TestGoldenEnumerationNames(t *testing.T) {
 	for _, tc := range []struct {
 		name, word string
 		want       admission.Settings
@@ -144,7 +144,7 @@
 	} {
 		got, _ := Parse(fastjson.MustParse(`{"domain":{"` + tc.name + `":"` + tc.word + `"}}`))
 		if !reflect.DeepEqual(got, tc.want) {
-			t.Errorf("%s %q is read as %+v, want %+v", tc.name, tc.word, got, tc.want)
+			t.Errorf("%s %q: settings = %+v, want %+v", tc.name, tc.word, got, tc.want)
 		}
 	}
 	for word, want := range map[string]admission.Idempotency{
@@ -157,12 +157,12 @@
 	} {
 		got, _ := Parse(fastjson.MustParse(`{"classes":[{"name":"view","repeat":"` + word + `"}]}`))
 		if len(got.Classes) != 1 || got.Classes[0].Idempotency != want {
-			t.Errorf("repeat %q is read as %+v, want %v", word, got.Classes, want)
+			t.Errorf("repeat %q: classes = %+v, want %v", word, got.Classes, want)
 		}
 	}
 }
 
-// What stands in for times that are absent or too short to mean anything, and for shares past their ends.
+// Checks the defaults for durations that are missing or too short, and that shares are limited to their range.
 func TestGoldenDefaults(t *testing.T) {
 	got, problems := Parse(fastjson.MustParse(`{"classes":[{"name":"none"},{"name":"target","promise-s":0.4},
 		{"name":"timeout","give-up-s":2},{"name":"short","promise-s":0.0001,"give-up-s":0.0002}],
@@ -178,11 +178,11 @@
 		{Name: "short", LatencyObjective: 1000 * ms, Timeout: 1000 * ms},
 	}}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read as %+v, want %+v", got, want)
+		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
 
-// What is wrong is named by where it is stored.
+// Errors name the settings by their paths on the wire.
 func TestGoldenPaths(t *testing.T) {
 	for _, tc := range []struct{ text, want string }{
 		{`{}`, "domain.cpus classes"},
@@ -197,7 +197,7 @@
 			paths = append(paths, strings.Join(problem.Path, "."))
 		}
 		if got := strings.Join(paths, " "); got != tc.want {
-			t.Errorf("%s: wrong are %q, want %q", tc.text, got, tc.want)
+			t.Errorf("%s: errors at %q, want %q", tc.text, got, tc.want)
 		}
 	}
 }
--- a/internal/settings/read.go
+++ b/internal/settings/read.go
@@ -8,16 +8,16 @@
 	"github.com/valyala/fastjson"
 )
 
-// wrongType is the problem with a value of another type than the setting's.
+// wrongType returns the error for a value whose JSON type is not that of the setting.
 func wrongType(v *fastjson.Value) FieldError {
 	got := v.Type().String()
-	return FieldError{got: got, Want: "wants another type than " + got}
+	return FieldError{got: got, Want: "must not be of type " + got}
 }
 
-// isAbsent tells whether a setting is missing or null.
+// isAbsent reports whether a setting is missing or null.
 func isAbsent(v *fastjson.Value) bool { return v == nil || v.Type() == fastjson.TypeNull }
 
-// readObject reads the fields that an object has.
+// readObject reads the given fields of an object into to. It skips fields that are absent.
 func readObject[T any](object *fastjson.Value, fields []field[T], to *T) []FieldError {
 	var problems []FieldError
 	for _, f := range fields {
@@ -30,7 +30,7 @@
 	return problems
 }
 
-// readObjects reads a list of objects, each of which needs a name.
+// readObjects reads a list of objects. Each object must have a name.
 func readObjects[T any](v *fastjson.Value, fields []field[T]) ([]T, []FieldError) {
 	values, err := v.Array()
 	if err != nil {
@@ -46,14 +46,14 @@
 	for i, value := range values {
 		nested := readObject(value, fields, &items[i])
 		if len(nested) == 0 && isAbsent(value.Get("name")) {
-			nested = []FieldError{{Path: []string{"name"}, Want: "wants text"}}
+			nested = []FieldError{{Path: []string{"name"}, Want: "must be a string"}}
 		}
 		problems = append(problems, prefixPaths([]string{strconv.Itoa(i)}, nested)...)
 	}
 	return items, problems
 }
 
-// readList reads a list of values of one type.
+// readList reads a list of values. ok is false if v is not a list or a value has the wrong type.
 func readList[V any](v *fastjson.Value, read valueReader[V]) ([]V, bool) {
 	items, err := v.Array()
 	if err != nil {
@@ -80,7 +80,7 @@
 	return x, err == nil
 }
 
-// duration reads seconds; a negative time is none.
+// duration reads a number of seconds. A negative number is read as 0.
 func duration(v *fastjson.Value) (time.Duration, bool) {
 	seconds, ok := number(v)
 	return max(0, SecondsToDuration(seconds)), ok
@@ -93,7 +93,7 @@
 	return S(v.GetStringBytes()), true
 }
 
-// enumeration reads an enumeration. A word that is not known is no error.
+// enumeration reads a value of type E by its name. An unknown name is not an error, but is read as fallback.
 type enumeration[E any] struct {
 	values   map[string]E
 	fallback E
@@ -101,17 +101,17 @@
 
 func (w enumeration[E]) read(v *fastjson.Value) (E, bool) {
 	word, ok := text[string](v)
-	if value, known := w.values[word]; known && ok {
+	if value, found := w.values[word]; found && ok {
 		return value, true
 	}
 	return w.fallback, ok
 }
 
-// maxSeconds is what a time.Duration holds, rounded down.
+// maxSeconds is the maximum of a time.Duration in seconds, rounded down.
 const maxSeconds = 9e9
 
-// SecondsToDuration converts seconds to whole microseconds, the unit in which the simulator counts. What is too large,
-// of either sign, becomes the longest duration.
+// SecondsToDuration converts seconds to a duration of whole microseconds, the unit that the simulator uses. A value
+// whose magnitude is too large, positive or negative, becomes the longest duration.
 func SecondsToDuration(seconds float64) time.Duration {
 	if math.Abs(seconds) > maxSeconds {
 		return time.Duration(math.MaxInt64)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,5 @@
-// Package settings reads the settings that the platform gives to an instance, and maps their names and words to
-// admission.Settings. The simulator and the real instance read them alike. This is the only place that knows the names
-// on the wire.
+// Package settings reads the settings that the platform passes to an instance, and converts them to admission.Settings.
+// The simulator and the real instance use the same code. No other package knows the names of the settings on the wire.
 package settings
 
 import (
@@ -13,21 +12,21 @@
 	"lanewheel/admission"
 )
 
-// FieldError is a setting that can't be used.
+// FieldError is an error in one setting.
 type FieldError struct {
-	Path []string // where it stands, from the root of the settings
-	Want string   // what is wanted there
-	got  string   // the type that was read, if that is what is wrong
+	Path []string // location of the setting, from the root of the settings
+	Want string   // requirement that the setting does not meet
+	got  string   // JSON type that was read, if it is the wrong type; otherwise empty
 }
 
 func (e FieldError) Error() string {
 	if e.got == "" {
 		return fmt.Sprintf("%s: %s", strings.Join(e.Path, "."), e.Want)
 	}
-	return fmt.Sprintf("%v: is a %s, which is the wrong type", e.Path, e.got)
+	return fmt.Sprintf("%v: type %s is not accepted", e.Path, e.got)
 }
 
-// prefixPaths prefixes the errors' paths by that of the object that they were found in.
+// prefixPaths returns the errors with parent, the path of the enclosing object or list, prepended to their paths.
 func prefixPaths(parent []string, nested []FieldError) []FieldError {
 	problems := make([]FieldError, 0, len(nested))
 	for _, problem := range nested {
@@ -37,23 +36,24 @@
 	return problems
 }
 
-// Parse reads the settings, completes them, and returns all that is wrong with them. Names that are absent, null or
-// not known are passed over; without cores or classes there is nothing to decide on.
+// Parse reads the settings, applies the defaults, and returns all errors that it finds. Settings that are missing or
+// null and unknown names are ignored, except that cores and classes are required: no decisions are possible without
+// them.
 func Parse(stored *fastjson.Value) (admission.Settings, []FieldError) {
 	var parsed admission.Settings
 	problems := readObject(stored, instanceFields, &parsed)
 	parsed.ApplyDefaults()
 	err := parsed.Validate()
 	if errors.Is(err, admission.ErrNoCores) {
-		problems = addOnce(problems, FieldError{Path: coresPath, Want: "wants a number of 1 or more"})
+		problems = addOnce(problems, FieldError{Path: coresPath, Want: "must be a number of 1 or more"})
 	}
 	if errors.Is(err, admission.ErrNoClasses) {
-		problems = addOnce(problems, FieldError{Path: classesPath, Want: "wants a list that is not empty"})
+		problems = addOnce(problems, FieldError{Path: classesPath, Want: "must be a non-empty list"})
 	}
 	return parsed, problems
 }
 
-// addOnce adds a problem unless one with the setting or a part of it was found before.
+// addOnce adds a problem unless there is already one with the same setting or a part of it.
 func addOnce(problems []FieldError, problem FieldError) []FieldError {
 	path := strings.Join(problem.Path, ".")
 	for _, found := range problems {
@@ -64,7 +64,7 @@
 	return append(problems, problem)
 }
 
-// gaugeNames maps the names of the gauges on the wire.
+// gaugeNames maps the names of gauges on the wire to those of package admission.
 var gaugeNames = map[string]admission.Gauge{
 	"cpu_busy": admission.GaugeBusyCores,
 	"runnable": admission.GaugeRunnable,
@@ -72,7 +72,7 @@
 	"sockets":  admission.GaugeConnections,
 }
 
-// GaugeName maps the name of a gauge on the wire; one that is not known stays as it is.
+// GaugeName converts the name of a gauge on the wire. An unknown name is returned unchanged.
 func GaugeName(stored string) admission.Gauge {
 	if name, ok := gaugeNames[stored]; ok {
 		return name
@@ -80,7 +80,7 @@
 	return admission.Gauge(stored)
 }
 
-// GaugeNames are the gauges in the order in which the runtime reports them.
+// GaugeNames returns the names of the gauges in the order in which the runtime reports them.
 func GaugeNames(stored *fastjson.Value) []admission.Gauge {
 	var names []admission.Gauge
 	for _, v := range stored.GetArray("domain", "meters") {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -27,26 +27,26 @@
  "rules":{"drain-grace-s":0.5,"fall-multiple":8,"start-capacity":0.3,"tip-after-s":2,"warm-within-s":5},
  "tick-s":0.002}`
 
-// replacements are the JSON values that take a setting's place; the empty one removes it.
+// replacements are the JSON values that replace a setting. An empty string removes the setting.
 var replacements = []string{
 	"", "null", `"what"`, `""`, "true", "[]", "{}", "[null]",
 	"0", "-1", "-0.0001", "1e-12", "1e7", "9e15", "1e300",
 }
 
-// Every value of the settings left out, of another type, zero, under zero, tiny and huge: it is refused with its name,
-// or the decisions go on and every request is answered in its time.
-func TestSettings(t *testing.T) {
+// Each value in the settings is removed, and replaced by values of other types, zero, negative, tiny and huge values.
+// Either Parse reports an error that names the setting, or the controller works and every request is answered in time.
+func TestReplacedSettings(t *testing.T) {
 	base := fastjson.MustParse(sampleSettings)
 	if parsed, problems := Parse(base); len(problems) > 0 || len(simulate(parsed)) > 0 {
 		t.Fatal(problems, simulate(parsed))
 	}
-	var tests sync.WaitGroup
-	defer tests.Wait()
+	var workers sync.WaitGroup
+	defer workers.Wait()
 	slots := make(chan struct{}, runtime.NumCPU())
 	for _, path := range allPaths(base, nil) {
 		for _, replacement := range replacements {
 			slots <- struct{}{}
-			tests.Go(func() {
+			workers.Go(func() {
 				defer func() { <-slots }()
 				checkReplaced(t, path, replacement)
 			})
@@ -54,37 +54,37 @@
 	}
 }
 
-// allPaths lists the paths of all values in one, by the index in lists.
+// allPaths returns the paths of all values nested in v. Items of lists are identified by their indexes.
 func allPaths(v *fastjson.Value, path []string) [][]string {
 	var paths [][]string
 	if len(path) > 0 {
 		paths = append(paths, path)
 	}
-	within := func(name string) []string { return append(path[:len(path):len(path)], name) }
+	childPath := func(name string) []string { return append(path[:len(path):len(path)], name) }
 	if object, err := v.Object(); err == nil {
 		object.Visit(func(name []byte, value *fastjson.Value) {
-			paths = append(paths, allPaths(value, within(string(name)))...)
+			paths = append(paths, allPaths(value, childPath(string(name)))...)
 		})
 	}
 	for i, item := range v.GetArray() {
-		paths = append(paths, allPaths(item, within(strconv.Itoa(i)))...)
+		paths = append(paths, allPaths(item, childPath(strconv.Itoa(i)))...)
 	}
 	return paths
 }
 
-// checkReplaced may run in any goroutine.
+// checkReplaced checks Parse and the controller with one value replaced. It may be called on any goroutine.
 func checkReplaced(t *testing.T, path []string, replacement string) {
 	t.Helper()
 	description := strings.Join(path, ".") + " = " + replacement
 	defer func() {
 		if p := recover(); p != nil {
-			t.Error(description, "panics:", p)
+			t.Error(description, "panicked:", p)
 		}
 	}()
 	parsed, problems := Parse(replaced(path, replacement))
 	if len(problems) > 0 {
 		if text := fmt.Sprint(problems[0]); !strings.Contains(text, path[0]) {
-			t.Error(description, "is refused with:", text)
+			t.Error(description, "is rejected with an error that does not name it:", text)
 		}
 		return
 	}
@@ -93,11 +93,11 @@
 		t.Error(description, failures[0])
 	}
 	if elapsed := time.Since(start); elapsed > time.Minute {
-		t.Error(description, "takes", elapsed)
+		t.Error(description, "took", elapsed)
 	}
 }
 
-// replaced is the sample with another value at the path.
+// replaced returns the sample settings with the value at path replaced or removed.
 func replaced(path []string, replacement string) *fastjson.Value {
 	v := fastjson.MustParse(sampleSettings)
 	parent, last := v.Get(path[:len(path)-1]...), path[len(path)-1]
--- a/internal/simulator/simulation_test.go
+++ b/internal/simulator/simulation_test.go
@@ -89,8 +89,8 @@
 	// line 3: ended: how: wants an outcome code
 	// line 3: aborted: has 1 values, wants 2 to 2
 	// line 3: timeout-fired: health-info.runnable: wants a number
-	// line 2: boot: boot-info: [domain cpus]: is a string, which is the wrong type
-	// line 2: boot: boot-info: classes: wants a list that is not empty
+	// line 2: boot: boot-info: [domain cpus]: type string is not accepted
+	// line 2: boot: boot-info: classes: must be a non-empty list
 	// line 3: input ends inside a batch
 	// ["eor"]
 	// line 3: tick: clock-s: the clock goes back
