--- a/internal/server/executor.go
+++ b/internal/server/executor.go
@@ -145,7 +145,7 @@
 		"from", change.From.String(), "to", change.To.String(), "queued", change.Queued, "running", change.Running)
 }
 
-// WakeAt schedules a callback that passes the runtime's gauges to the controller.
+// WakeAt schedules callback for a time since the start of the loop. It is called with the runtime's gauges.
 func (e *executor) WakeAt(at time.Duration, callback func(admission.Gauges)) {
 	s := e.server
 	s.ScheduleAt(at, func() {
--- a/internal/server/gauges.go
+++ b/internal/server/gauges.go
@@ -53,7 +53,7 @@
 }
 
 // deliver passes the values to all waiters, or nil if the values are older than gaugeMaxAge. Values from before the
-// loss of a link must not be used until there is a new link.
+// loss of a link must not be used for as long as there is no link.
 func (g *gaugeReader) deliver() {
 	waiters := g.waiters
 	g.waiters = nil
--- a/internal/server/idempotency.go
+++ b/internal/server/idempotency.go
@@ -12,7 +12,7 @@
 // are read later.
 const lateReadGrace = time.Second
 
-// clock provides the time, the timers and the queue of the event loop.
+// clock provides the time, the timers and the call queue of the event loop.
 type clock interface {
 	Now() time.Duration
 	ScheduleAt(at time.Duration, callback func()) *eventloop.Timer
@@ -117,7 +117,8 @@
 	return record.requestID
 }
 
-// store keeps a record of a request for the length of window from now. If there is one already, it extends its window.
+// store keeps a record of a request for the length of window from now. If the request already has a
+// record, its window restarts.
 func (c *idempotencyCache) store(active *activeRequest, window time.Duration) {
 	if active.identity.isZero() {
 		return
@@ -203,7 +204,7 @@
 	c.scheduleExpiry(record)
 }
 
-// detach handles that a request has been answered or canceled. A canceled read may still be running, but later reads
+// detach is called when a request has been answered or canceled. A canceled read may still be running, but later reads
 // must not wait for a run that is about to be stopped; requests that already wait for it still get its result. A record
 // by key is kept for further attempts in any case, because the effect of the request may still happen.
 func (c *idempotencyCache) detach(active *activeRequest) {
--- a/internal/settings/read.go
+++ b/internal/settings/read.go
@@ -53,7 +53,7 @@
 	return items, problems
 }
 
-// readList reads a list of values. ok is false if v is not a list or a value has the wrong type.
+// readList reads a list of values of one type. It returns false if v is not a list or an item has the wrong type.
 func readList[V any](v *fastjson.Value, read valueReader[V]) ([]V, bool) {
 	items, err := v.Array()
 	if err != nil {
@@ -99,12 +99,12 @@
 	fallback E
 }
 
-func (w enumeration[E]) read(v *fastjson.Value) (E, bool) {
-	word, ok := text[string](v)
-	if value, found := w.values[word]; found && ok {
+func (e enumeration[E]) read(v *fastjson.Value) (E, bool) {
+	name, ok := text[string](v)
+	if value, found := e.values[name]; found && ok {
 		return value, true
 	}
-	return w.fallback, ok
+	return e.fallback, ok
 }
 
 // maxSeconds is the maximum of a time.Duration in seconds, rounded down.
