--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,6 +1,6 @@
 // Package eventloop provides an event loop: one goroutine that owns state, runs the calls that other goroutines post
-// to it in batches, and fires timers. A server has one, and each part of a process that does its own waiting may have
-// one too.
+// to it in batches, and fires timers. A server has one, and other parts of a process that wait for events may have
+// their own.
 package eventloop
 
 import (
@@ -60,7 +60,7 @@
 // Run repeats the following until Quit is called: it runs the pending calls as one batch, fires the timers that are due
 // and calls afterBatch. The calling goroutine owns the loop until Run returns.
 func (l *Loop) Run(afterBatch func()) {
-	systemTimer := time.NewTimer(time.Hour) // the only timer of the Go runtime, set to the next deadline
+	systemTimer := time.NewTimer(time.Hour) // the only time.Timer of the loop, set to the next deadline
 	defer systemTimer.Stop()
 	var batch []func()
 	for !l.quitting {
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// timerQueue is a heap of timers, ordered by deadline. It implements heap.Interface for calls by package heap only.
+// timerQueue is a heap of timers, ordered by deadline. Its heap.Interface methods are called only by package heap.
 type timerQueue struct {
 	entries      []*Timer
 	lastSequence uint64
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -18,7 +18,7 @@
 	SentUnixMilli int64  // time at which it was sent, in Unix milliseconds by the sender's clock
 	Caller        int    // number of the caller, if callers are numbered
 
-	Timeout    time.Duration // how long the caller waits, counted from the sending of the request
+	Timeout    time.Duration // how long the caller waits, from the time the request was sent
 	HasTimeout bool
 
 	WorkHint time.Duration // approximate work; 0 if the request states none
@@ -27,7 +27,7 @@
 
 	Token           string // empty if the caller presents none
 	Hops            int    // number of processes that have forwarded the request
-	NewIDPerAttempt bool   // each attempt has its own ID; only equal bodies identify the attempts of a request
+	NewIDPerAttempt bool   // each attempt has its own ID; attempts of a request are recognized by their equal bodies
 	Body            []byte
 }
 
@@ -63,14 +63,14 @@
 	Fail(metadata ResponseMetadata)
 	// RejectPermanently responds that the request was not executed and that a retry would not be executed either.
 	RejectPermanently(code RejectionCode, metadata ResponseMetadata)
-	// Done reports that no response follows.
+	// Done reports that the server will not call the responder again.
 	Done()
 }
 
 // Handle identifies a request that the server has accepted. Its value is opaque to front ends, so it has no methods.
 type Handle any
 
-// Load is the state of the server by which a front end may adjust the rate of its requests.
+// Load is the state of the server. A front end may use it to adjust the rate of its requests.
 type Load struct {
 	Ready        bool // the runtime is ready and its link is synced
 	Draining     bool
@@ -78,7 +78,7 @@
 	Cores        float64       // cores of the runtime
 	Queued       int           // requests in flight that are neither running nor forwarded
 	Running      int           // requests in flight that are running
-	FreeCapacity int           // requests that there is memory for in addition to those in flight
+	FreeCapacity int           // number of further requests that the memory allows
 	IdleFor      time.Duration // time since the last request in flight; 0 while there are any
 	LoadReport   float64       // sent with every response; negative until the first one is published
 }
@@ -87,9 +87,9 @@
 // which is called before that loop runs.
 type Frontend interface {
 	Start()
-	// Drain starts draining. Everything must be closed within the given time from now.
+	// Drain starts draining, which must be complete within the given time from now.
 	Drain(within time.Duration)
-	// Drained reports whether everything is closed.
+	// Drained reports whether draining is complete.
 	Drained() bool
 }
 
--- a/internal/server/databasecalls.go
+++ b/internal/server/databasecalls.go
@@ -34,7 +34,7 @@
 	conn *database.Conn // nil while the call waits for a connection or a slot
 	sent bool
 
-	slot        UpstreamSlot // nil if calls go to the one database, or while the call has no slot
+	slot        UpstreamSlot // nil if calls go to the configured database, or while the call has no slot
 	refusedAddr string       // address of the service that refused the previous attempt
 	attempts    int
 }
--- a/internal/server/executor.go
+++ b/internal/server/executor.go
@@ -27,7 +27,7 @@
 	return controller
 }
 
-// Now returns the time since the start of the loop.
+// Now returns the controller's time: the time since the start of the loop, minus clockOffset.
 func (e *executor) Now() time.Duration { return e.server.Now() - e.clockOffset }
 
 // Start starts a run of a queued request. If there is no link to the runtime, the command is sent once there is one.
@@ -76,7 +76,7 @@
 	s.removeIfFinished(active)
 }
 
-// Fail responds to a request with a failure.
+// Fail responds that a request failed.
 func (e *executor) Fail(id admission.RequestID) {
 	s := e.server
 	if active := s.requests.get(id); active != nil {
@@ -116,7 +116,7 @@
 	}
 }
 
-// KeepRecord keeps the idempotency record of a request for the length of window from now.
+// KeepRecord keeps the idempotency record of a request for the given window, starting now.
 func (e *executor) KeepRecord(id admission.RequestID, window time.Duration) {
 	if active := e.server.requests.get(id); active != nil {
 		e.server.idempotency.store(active, window)
@@ -145,7 +145,7 @@
 		"from", change.From.String(), "to", change.To.String(), "queued", change.Queued, "running", change.Running)
 }
 
-// WakeAt schedules callback for a time since the start of the loop. It is called with the runtime's gauges.
+// WakeAt calls callback with the runtime's gauges at a time since the start of the loop, or soon after it.
 func (e *executor) WakeAt(at time.Duration, callback func(admission.Gauges)) {
 	s := e.server
 	s.ScheduleAt(at, func() {
--- a/internal/server/gauges.go
+++ b/internal/server/gauges.go
@@ -62,8 +62,8 @@
 	if g.server.Now()-g.updatedAt > gaugeMaxAge {
 		values = nil
 	}
-	for _, then := range waiters {
+	for _, callback := range waiters {
 		g.server.decisionPending = true
-		then(values)
+		callback(values)
 	}
 }
--- a/internal/server/helper_test.go
+++ b/internal/server/helper_test.go
@@ -84,7 +84,7 @@
 	return server, served
 }
 
-// waitOnLoop waits until the condition is true. It is evaluated on the event loop.
+// waitOnLoop waits until condition, which is evaluated on the event loop, returns true.
 func waitOnLoop(server *Server, condition func() bool) {
 	for result := make(chan bool); ; {
 		server.Post(func() { result <- condition() })
--- a/internal/server/idempotency.go
+++ b/internal/server/idempotency.go
@@ -8,8 +8,8 @@
 	"lanewheel/internal/eventloop"
 )
 
-// lateReadGrace is how long a record by key is kept after its window, for duplicates that arrived within the window but
-// are read later.
+// lateReadGrace is how long the record of a keyed request is kept after its window, for duplicates that arrived within
+// the window but are read later.
 const lateReadGrace = time.Second
 
 // clock provides the time, the timers and the call queue of the event loop.
@@ -20,8 +20,8 @@
 }
 
 // idempotencyCache keeps the records that identify duplicates. Reads of the same class and resource are duplicates of
-// each other. So are the attempts of a request that is idempotent by key. No field carries the key: attempts of the
-// same request are identified by their bodies, which are equal byte for byte. Owned by the event loop.
+// each other. So are the attempts of a keyed request, which is one that is idempotent by key. No field carries the key:
+// attempts of the same request are identified by their bodies, which are equal byte for byte. Owned by the event loop.
 type idempotencyCache struct {
 	clock               clock
 	onResult            func(waiter *activeRequest, result coalescedResult)
@@ -37,7 +37,7 @@
 	class    admission.Class
 	resource string
 	tenant   admission.TenantID // empty if there are no tenants
-	bodyHash [sha256.Size]byte  // set for a request by key and for a read that is an upstream call; zero otherwise
+	bodyHash [sha256.Size]byte  // set for a keyed request and for a read that is an upstream call; zero otherwise
 	byKey    bool
 }
 
@@ -56,7 +56,8 @@
 	waiters   []*activeRequest
 }
 
-// expired reports whether the record has expired. A record by key cannot expire before its request has finished.
+// expired reports whether the record has expired. The record of a keyed request cannot expire before the request has
+// finished.
 func (r *idempotencyRecord) expired(now time.Duration) bool {
 	if !r.identity.byKey {
 		return r.expiresAt <= now
@@ -97,7 +98,7 @@
 }
 
 // duplicateOf returns the ID of the recorded request that a request sent at sentAt duplicates, or an empty ID if there
-// is none. The record of a request by key does not expire while the request is in flight. A request by key that was run
+// is none. The record of a keyed request does not expire while the request is in flight. A keyed request that was run
 // and failed also counts, so that it is not run again: its effect must not happen twice.
 func (c *idempotencyCache) duplicateOf(active *activeRequest, sentAt time.Duration) admission.RequestID {
 	record := c.records[active.identity]
@@ -117,8 +118,8 @@
 	return record.requestID
 }
 
-// store keeps a record of a request for the length of window from now. If the request already has a
-// record, its window restarts.
+// store keeps a record of a request for the given window, starting now. If the request already has a record, its window
+// restarts.
 func (c *idempotencyCache) store(active *activeRequest, window time.Duration) {
 	if active.identity.isZero() {
 		return
@@ -139,8 +140,8 @@
 	c.scheduleExpiry(record)
 }
 
-// scheduleExpiry schedules the removal of a record for the end of its window, after lateReadGrace if it is by key. The
-// record stays if it was extended by then, or is by key and its request is still in flight.
+// scheduleExpiry schedules the removal of a record for the end of its window, plus lateReadGrace for a keyed request.
+// The record stays if its window has been extended by then, or if the request is keyed and still in flight.
 func (c *idempotencyCache) scheduleExpiry(record *idempotencyRecord) {
 	at := record.expiresAt
 	if record.identity.byKey {
@@ -205,8 +206,8 @@
 }
 
 // detach is called when a request has been answered or canceled. A canceled read may still be running, but later reads
-// must not wait for a run that is about to be stopped; requests that already wait for it still get its result. A record
-// by key is kept for further attempts in any case, because the effect of the request may still happen.
+// must not wait for a run that is about to be stopped; requests that already wait for it still get its result. The
+// record of a keyed request is kept for further attempts in any case, because its effect may still happen.
 func (c *idempotencyCache) detach(active *activeRequest) {
 	record := active.record
 	if record == nil || record.finished || record.identity.byKey {
--- a/internal/server/idempotency_test.go
+++ b/internal/server/idempotency_test.go
@@ -7,13 +7,13 @@
 	"lanewheel/admission"
 )
 
-// newTestCache returns a cache that keeps reads for 100 ms. Its clock does not advance.
+// newTestCache returns a cache that keeps the results of reads for 100 ms. Its clock does not advance.
 func newTestCache() *idempotencyCache {
 	settings := admission.Settings{CoalescedReadWindow: 100 * time.Millisecond}
 	return &newServer(Config{Settings: settings}).idempotency
 }
 
-// A record by key does not expire while its request is in flight, however short the window. Once the request has
+// The record of a keyed request does not expire while the request is in flight, however short the window. Once it has
 // finished, the record applies to attempts that were sent within the window, however late they are read. A request
 // whose run was never started leaves no record. The record of a read expires at the end of its window.
 func Example_recordsExpire() {
--- a/internal/server/outcomes_test.go
+++ b/internal/server/outcomes_test.go
@@ -14,7 +14,7 @@
 		"nothing": admission.NotStarted, "": admission.Failed, "other": admission.Failed,
 	} {
 		if got := runOutcome(status); got != want {
-			t.Errorf("%q: %v, want %v", status, got, want)
+			t.Errorf("runOutcome(%q) = %v, want %v", status, got, want)
 		}
 	}
 }
@@ -29,7 +29,7 @@
 		{Status: 500}:                     admission.Failed,
 	} {
 		if got := replyOutcome(reply); got != want {
-			t.Errorf("%+v: %v, want %v", *reply, got, want)
+			t.Errorf("replyOutcome(%+v) = %v, want %v", *reply, got, want)
 		}
 	}
 }
@@ -37,9 +37,9 @@
 // A call that was interrupted before it was sent cannot have been executed.
 func TestInterruptedOutcome(t *testing.T) {
 	if got := (&databaseCall{}).interruptedOutcome(admission.TimedOut); got != admission.Unreachable {
-		t.Error("not sent:", got)
+		t.Error("outcome of a call that was not sent:", got)
 	}
 	if got := (&databaseCall{sent: true}).interruptedOutcome(admission.TimedOut); got != admission.TimedOut {
-		t.Error("sent:", got)
+		t.Error("outcome of a call that was sent:", got)
 	}
 }
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -15,7 +15,7 @@
 	id        admission.RequestID
 	class     admission.Class
 	resource  string             // empty for a write
-	tenant    admission.TenantID // from the caller's permission if callers are authenticated; empty without tenants
+	tenant    admission.TenantID // from the caller's permission if authenticated; empty if there are no tenants
 	body      []byte             // from the server's buffer pool
 	arrivedAt time.Duration
 
@@ -118,7 +118,7 @@
 		s.endForwarding(active)
 		return
 	}
-	if active.unknownToController { // applying the authenticator's decision then does nothing
+	if active.unknownToController { // the authenticator's decision will be ignored
 		s.removeIfFinished(active)
 		return
 	}
--- a/internal/server/runtimelink.go
+++ b/internal/server/runtimelink.go
@@ -35,7 +35,7 @@
 	lastCorrelationNumber uint64            // number of the last correlation ID
 
 	// synced is set once all events that the runtime sent while there was no link have been read. Commands are sent only
-	// while it is set. fenceID is the correlation ID of the gauges that were requested as a fence after those events.
+	// while it is set. fenceID is the correlation ID of the gauges request that serves as a fence after those events.
 	synced  bool
 	fenceID string
 }
@@ -104,9 +104,9 @@
 	})
 }
 
-// recordSequence records the number of an event. It reports whether the event was already read, on an earlier
-// connection.
-func (l *runtimeLink) recordSequence(event *runtimelink.Event) bool {
+// alreadyRead reports whether an event was already read, on an earlier connection. Otherwise it records the number of
+// the event, if it has one, as the last one read.
+func (l *runtimeLink) alreadyRead(event *runtimelink.Event) bool {
 	if event.Sequence == 0 { // the event is not numbered
 		return false
 	}
@@ -119,7 +119,7 @@
 
 // handleEvent handles one event of the runtime. It ignores events that were already read on an earlier connection.
 func (s *Server) handleEvent(event runtimelink.Event) {
-	if s.runtime.recordSequence(&event) {
+	if s.runtime.alreadyRead(&event) {
 		return
 	}
 	switch event.Kind {
@@ -141,8 +141,8 @@
 	}
 }
 
-// handleReady creates the controller when the runtime becomes ready for the first time, and requests gauges as a fence
-// after the replayed events.
+// handleReady creates the controller when the runtime becomes ready for the first time. It also requests gauges as a
+// fence: the runtime sends them after all replayed events.
 func (s *Server) handleReady(event *runtimelink.Event) {
 	slog.Info("runtime ready", "state", event.Status, "uptime", event.Elapsed)
 	// A controller created after Drain would not know about it and would admit requests that are cut off soon.
@@ -155,9 +155,9 @@
 	s.runtime.conn.RequestGauges(s.runtime.fenceID)
 }
 
-// handleGauges handles a gauges event. If it belongs to the fence, all replayed events have been read, and the commands
-// of runs that have not ended are sent again. If they were sent earlier, a run that had ended while there was no link
-// would be started again.
+// handleGauges handles a gauges event. If it answers the fence request, all replayed events have been read, and the
+// commands of runs that have not ended are sent again. If they were sent earlier, a run that had ended while there was
+// no link would be started again.
 func (s *Server) handleGauges(event *runtimelink.Event) {
 	s.gauges.update(event.Gauges)
 	if event.CorrelationID == s.runtime.fenceID {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -81,7 +81,7 @@
 	return server, nil
 }
 
-// newServer returns a server without listeners and connections.
+// newServer returns a server without listeners or connections.
 func newServer(config Config) *Server {
 	bufferCount := config.memoryBytes() / transport.BufferSize
 	server := &Server{
--- a/internal/server/submit.go
+++ b/internal/server/submit.go
@@ -9,8 +9,8 @@
 )
 
 // Submit implements frontend.Server. It rejects a request at once if the runtime is not ready yet, if there is no
-// memory for the request, or if its ID is already in flight. In the last case the server cannot find out whose request
-// the one in flight is, and this attempt has not been executed.
+// memory for the request, or if its ID is already in flight. In the last case the server cannot know whose request
+// is in flight, and this attempt was never executed, so it may be retried.
 func (s *Server) Submit(
 	request frontend.Request, credential *authn.Credential, responder frontend.Responder,
 ) frontend.Handle {
@@ -43,7 +43,7 @@
 		return
 	}
 	class := s.settings.classes[active.class]
-	if queueDelay > maxWait(class.timeout) { // the caller has long given up, or its clock differs from this host's
+	if queueDelay > maxWait(class.timeout) { // answered long ago, or sent by a host with a different clock
 		s.respondWithoutController(active, func(responder frontend.Responder) { responder.Reject(s.ResponseMetadata()) })
 		return
 	}
--- a/internal/settings/executor_test.go
+++ b/internal/settings/executor_test.go
@@ -88,7 +88,7 @@
 func (e *fakeExecutor) Reject(id admission.RequestID, retryAfter time.Duration, _ bool) {
 	e.answered[id] = true
 	if retryAfter < 0 {
-		e.problems = append(e.problems, "negative retry after: "+retryAfter.String())
+		e.problems = append(e.problems, "negative Retry-After: "+retryAfter.String())
 	}
 }
 
@@ -96,8 +96,8 @@
 	e.problems = append(e.problems, "request coalesced although there are no duplicates")
 }
 
-func (e *fakeExecutor) WakeAt(at time.Duration, then func(admission.Gauges)) {
-	e.schedule(at, func() { then(admission.Gauges{admission.GaugeRunnable: 2, admission.GaugeBusyCores: 0.9}) })
+func (e *fakeExecutor) WakeAt(at time.Duration, callback func(admission.Gauges)) {
+	e.schedule(at, func() { callback(admission.Gauges{admission.GaugeRunnable: 2, admission.GaugeBusyCores: 0.9}) })
 }
 
 func (e *fakeExecutor) KeepRecord(admission.RequestID, time.Duration) {}
@@ -158,7 +158,7 @@
 	const margin = 30 * time.Millisecond
 	for n := 1; time.Duration(n)*arrivalGap < e.now-callerTimeout-margin && n <= arrived; n++ {
 		if id := simulatedID(n); !e.answered[id] {
-			e.problems = append(e.problems, fmt.Sprintf("request %s is not answered at %v", id, e.now))
+			e.problems = append(e.problems, fmt.Sprintf("request %s is still unanswered at %v", id, e.now))
 			return
 		}
 	}
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -17,24 +17,25 @@
 // valueReader reads one value. ok reports whether the value has the right type.
 type valueReader[V any] func(*fastjson.Value) (value V, ok bool)
 
-// newField returns a field whose value is read by read and stored in the variable that target points to.
+// newField returns a field that reads its value with the given reader and stores it in the variable whose address
+// target returns.
 func newField[T, V any](read valueReader[V], target func(*T) *V, path ...string) field[T] {
-	return field[T]{path, func(to *T, v *fastjson.Value) []FieldError {
+	return field[T]{path, func(dst *T, v *fastjson.Value) []FieldError {
 		value, ok := read(v)
 		if !ok {
 			return []FieldError{wrongType(v)}
 		}
-		*target(to) = value
+		*target(dst) = value
 		return nil
 	}}
 }
 
 // newListField returns a field that is a list of objects with the given fields.
 func newListField[T, Item any](fields []field[Item], target func(*T) *[]Item, path ...string) field[T] {
-	return field[T]{path, func(to *T, v *fastjson.Value) []FieldError {
+	return field[T]{path, func(dst *T, v *fastjson.Value) []FieldError {
 		items, problems := readObjects(v, fields)
 		if len(problems) == 0 {
-			*target(to) = items
+			*target(dst) = items
 		}
 		return problems
 	}}
@@ -43,13 +44,13 @@
 // newClassListField returns a field that is a list with one value per class, in the order of the classes.
 func newClassListField[V any](read valueReader[V], target func(*admission.ClassSettings) *V,
 	path ...string) field[admission.Settings] {
-	return field[admission.Settings]{path, func(to *admission.Settings, v *fastjson.Value) []FieldError {
+	return field[admission.Settings]{path, func(dst *admission.Settings, v *fastjson.Value) []FieldError {
 		values, ok := readList(v, read)
 		if !ok {
 			return []FieldError{wrongType(v)}
 		}
-		for i := range min(len(values), len(to.Classes)) {
-			*target(&to.Classes[i]) = values[i]
+		for i := range min(len(values), len(dst.Classes)) {
+			*target(&dst.Classes[i]) = values[i]
 		}
 		return nil
 	}}
@@ -66,8 +67,8 @@
 	coresPath   = []string{"domain", "cpus"}
 )
 
-// instanceFields are the settings of an instance, read in this order. Lists with one value per class must follow the
-// classes.
+// instanceFields are the settings of an instance, read in this order. Lists with one value per class must come
+// after the list of classes, because their values are stored in its items.
 var instanceFields = []field[instance]{
 	newListField(classFields, func(s *instance) *[]class { return &s.Classes }, classesPath...),
 	newListField(tenantFields, func(s *instance) *[]tenant { return &s.Tenants }, "tenants"),
@@ -123,7 +124,7 @@
 }
 
 // The enumerations, by the names of their values on the wire. They include the names that the platform uses today and
-// older names that were accepted for the same values.
+// older names, which are still accepted.
 var (
 	upstreamKinds = enumeration[admission.UpstreamKind]{
 		values: map[string]admission.UpstreamKind{
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -21,7 +21,7 @@
 	return fastjson.MustParseBytes(text)
 }
 
-// Checks the value that each known setting is read as. The settings have their names on the wire.
+// Checks that each setting is read by its name on the wire and gets the expected value.
 func TestGoldenSettings(t *testing.T) {
 	want := goldenSettings()
 	got, problems := Parse(readGolden(t))
@@ -119,8 +119,8 @@
 // Checks each name of an enumeration value, and an unknown name.
 func TestGoldenEnumerationNames(t *testing.T) {
 	for _, tc := range []struct {
-		name, word string
-		want       admission.Settings
+		name, value string
+		want        admission.Settings
 	}{
 		{"below", "common", admission.Settings{Upstream: admission.UpstreamShared}},
 		{"below", "shared", admission.Settings{Upstream: admission.UpstreamShared}},
@@ -142,12 +142,12 @@
 		{"signal", "tokens", admission.Settings{LoadSignal: admission.LoadSignalTokens}},
 		{"signal", "other", admission.Settings{LoadSignal: admission.LoadSignalNone}},
 	} {
-		got, _ := Parse(fastjson.MustParse(`{"domain":{"` + tc.name + `":"` + tc.word + `"}}`))
+		got, _ := Parse(fastjson.MustParse(`{"domain":{"` + tc.name + `":"` + tc.value + `"}}`))
 		if !reflect.DeepEqual(got, tc.want) {
-			t.Errorf("%s %q: settings = %+v, want %+v", tc.name, tc.word, got, tc.want)
+			t.Errorf("%s %q: settings = %+v, want %+v", tc.name, tc.value, got, tc.want)
 		}
 	}
-	for word, want := range map[string]admission.Idempotency{
+	for value, want := range map[string]admission.Idempotency{
 		"idempotent":   admission.Idempotent,
 		"retryable":    admission.Idempotent,
 		"deduplicated": admission.IdempotentByKey,
@@ -155,9 +155,9 @@
 		"at_most_once": admission.NotIdempotent,
 		"other":        admission.NotIdempotent,
 	} {
-		got, _ := Parse(fastjson.MustParse(`{"classes":[{"name":"view","repeat":"` + word + `"}]}`))
+		got, _ := Parse(fastjson.MustParse(`{"classes":[{"name":"view","repeat":"` + value + `"}]}`))
 		if len(got.Classes) != 1 || got.Classes[0].Idempotency != want {
-			t.Errorf("repeat %q: classes = %+v, want %v", word, got.Classes, want)
+			t.Errorf("repeat %q: classes = %+v, want %v", value, got.Classes, want)
 		}
 	}
 }
--- a/internal/settings/read.go
+++ b/internal/settings/read.go
@@ -17,15 +17,15 @@
 // isAbsent reports whether a setting is missing or null.
 func isAbsent(v *fastjson.Value) bool { return v == nil || v.Type() == fastjson.TypeNull }
 
-// readObject reads the given fields of an object into to. It skips fields that are absent.
-func readObject[T any](object *fastjson.Value, fields []field[T], to *T) []FieldError {
+// readObject reads the given fields of an object into dst. It skips fields that are absent.
+func readObject[T any](object *fastjson.Value, fields []field[T], dst *T) []FieldError {
 	var problems []FieldError
 	for _, f := range fields {
 		v := object.Get(f.path...)
 		if isAbsent(v) {
 			continue
 		}
-		problems = append(problems, prefixPaths(f.path, f.read(to, v))...)
+		problems = append(problems, prefixPaths(f.path, f.read(dst, v))...)
 	}
 	return problems
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -23,7 +23,7 @@
 	if e.got == "" {
 		return fmt.Sprintf("%s: %s", strings.Join(e.Path, "."), e.Want)
 	}
-	return fmt.Sprintf("%v: type %s is not accepted", e.Path, e.got)
+	return fmt.Sprintf("%v: must not be of type %s", e.Path, e.got)
 }
 
 // prefixPaths returns the errors with parent, the path of the enclosing object or list, prepended to their paths.
@@ -36,9 +36,9 @@
 	return problems
 }
 
-// Parse reads the settings, applies the defaults, and returns all errors that it finds. Settings that are missing or
-// null and unknown names are ignored, except that cores and classes are required: no decisions are possible without
-// them.
+// Parse reads the settings, applies the defaults, and returns all errors that it finds. Missing settings, null
+// values and unknown names are ignored. The cores and the classes are required, because no decisions are possible
+// without them.
 func Parse(stored *fastjson.Value) (admission.Settings, []FieldError) {
 	var parsed admission.Settings
 	problems := readObject(stored, instanceFields, &parsed)
@@ -53,7 +53,7 @@
 	return parsed, problems
 }
 
-// addOnce adds a problem unless there is already one with the same setting or a part of it.
+// addOnce appends a problem unless there already is one for the same setting or a part of it.
 func addOnce(problems []FieldError, problem FieldError) []FieldError {
 	path := strings.Join(problem.Path, ".")
 	for _, found := range problems {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -33,8 +33,9 @@
 	"0", "-1", "-0.0001", "1e-12", "1e7", "9e15", "1e300",
 }
 
-// Each value in the settings is removed, and replaced by values of other types, zero, negative, tiny and huge values.
-// Either Parse reports an error that names the setting, or the controller works and every request is answered in time.
+// Each value in the settings is removed, and replaced by values of other types and by zero, negative, tiny and huge
+// numbers. Either Parse reports an error that names the setting, or the controller works and every request is answered
+// in time.
 func TestReplacedSettings(t *testing.T) {
 	base := fastjson.MustParse(sampleSettings)
 	if parsed, problems := Parse(base); len(problems) > 0 || len(simulate(parsed)) > 0 {
@@ -90,7 +91,7 @@
 	}
 	start := time.Now()
 	if failures := simulate(parsed); len(failures) > 0 {
-		t.Error(description, failures[0])
+		t.Error(description+":", failures[0])
 	}
 	if elapsed := time.Since(start); elapsed > time.Minute {
 		t.Error(description, "took", elapsed)
--- a/internal/simulator/simulation_test.go
+++ b/internal/simulator/simulation_test.go
@@ -89,7 +89,7 @@
 	// line 3: ended: how: wants an outcome code
 	// line 3: aborted: has 1 values, wants 2 to 2
 	// line 3: timeout-fired: health-info.runnable: wants a number
-	// line 2: boot: boot-info: [domain cpus]: type string is not accepted
+	// line 2: boot: boot-info: [domain cpus]: must not be of type string
 	// line 2: boot: boot-info: classes: must be a non-empty list
 	// line 3: input ends inside a batch
 	// ["eor"]
