--- a/internal/server/authentication.go
+++ b/internal/server/authentication.go
@@ -7,11 +7,11 @@
 	"lanewheel/internal/frontend"
 )
 
-// authenticate asks who makes a request and whether they may. While that is not known the request is in flight, unknown
-// to the controller: it can be canceled, and its id is taken.
+// authenticate starts the authentication and authorization of a request's caller. Until the decision arrives, the
+// request is in flight but unknown to the controller: it can be canceled, and no other request may use its ID.
 func (s *Server) authenticate(active *activeRequest, credential *authn.Credential, request frontend.Request) {
-	active.outsideController = true
-	wanted := authn.Request{
+	active.unknownToController = true
+	authRequest := authn.Request{
 		Token: request.Token,
 		Request: authz.Request{
 			Class:  active.class,
@@ -19,8 +19,8 @@
 			Write:  request.Resource == "",
 		},
 	}
-	s.authenticator.Authorize(credential, wanted, func(decision authn.Decision) {
-		if active.responder == nil || s.requests.get(active.id) != active { // its caller has left
+	s.authenticator.Authorize(credential, authRequest, func(decision authn.Decision) {
+		if active.responder == nil || s.requests.get(active.id) != active { // the request was canceled
 			s.authenticator.Release(&decision.Permission)
 			return
 		}
@@ -28,13 +28,13 @@
 	})
 }
 
-// applyDecision carries out what the authenticator decided about a request.
+// applyDecision rejects a request or submits it to the controller, as the authenticator decided.
 func (s *Server) applyDecision(active *activeRequest, request frontend.Request, decision authn.Decision) {
 	switch {
 	case decision.Denial != "":
 		metadata := s.ResponseMetadata()
 		metadata.Reason = string(decision.Denial)
-		s.answerOutside(active, func(responder frontend.Responder) {
+		s.respondWithoutController(active, func(responder frontend.Responder) {
 			responder.RejectPermanently(frontend.Denied, metadata)
 		})
 	case decision.RetryAfter > 0:
@@ -45,7 +45,7 @@
 				metadata.RetryAfter = min(decision.RetryAfter, s.settings.maxRetryAfter)
 			}
 		}
-		s.answerOutside(active, func(responder frontend.Responder) { responder.Reject(metadata) })
+		s.respondWithoutController(active, func(responder frontend.Responder) { responder.Reject(metadata) })
 	default:
 		request.Tenant = string(decision.Tenant)
 		active.permission = decision.Permission
@@ -54,7 +54,8 @@
 	}
 }
 
-// UpdateAuthn puts a new configuration of callers in force; without an authenticator, or with nil, it does nothing.
+// UpdateAuthn applies a new authentication configuration. It does nothing if the server has no authenticator or config
+// is nil.
 func (s *Server) UpdateAuthn(config *authn.Config) {
 	if s.authenticator == nil || config == nil {
 		return
--- a/internal/server/health.go
+++ b/internal/server/health.go
@@ -1,15 +1,15 @@
 package server
 
-// healthy tells whether a check is answered as healthy: never before the runtime has come up.
+// healthy reports whether the controller considers the instance healthy. It is false until the runtime is ready.
 func (s *Server) healthy() bool { return s.controller != nil && s.health.Healthy }
 
-// CheckHealth implements clients.Server. A deep check has the runtime carry out a self-test, unless the controller has
-// set that its state answers.
-func (s *Server) CheckHealth(deep bool, then func(healthy bool)) {
+// CheckHealth implements clients.Server. A deep check makes the runtime carry out a self-test, unless the controller
+// has set that checks are answered from its state.
+func (s *Server) CheckHealth(deep bool, callback func(healthy bool)) {
 	fromState := !deep || s.health.FromState
 	if fromState || !s.healthy() || !s.runtime.synced {
-		then(s.healthy() && (s.runtime.synced || fromState))
+		callback(s.healthy() && (s.runtime.synced || fromState))
 		return
 	}
-	s.selfTests.run(func(healthy bool) { then(healthy && s.healthy()) })
+	s.selfTests.run(func(healthy bool) { callback(healthy && s.healthy()) })
 }
--- a/internal/server/idempotency_test.go
+++ b/internal/server/idempotency_test.go
@@ -7,15 +7,15 @@
 	"lanewheel/admission"
 )
 
-// newTestCache returns a cache whose reads are kept for 100 ms, on a clock that stands still.
+// newTestCache returns a cache that keeps the results of reads for 100 ms. Its clock does not advance.
 func newTestCache() *idempotencyCache {
 	settings := admission.Settings{CoalescedReadWindow: 100 * time.Millisecond}
 	return &newServer(Config{Settings: settings}).idempotency
 }
 
-// A record by key does not age while its request is in flight, however short the window; once that is finished it holds
-// for attempts that were sent within the window, however late they are read. A run that was never started leaves none.
-// The record of a read ends with its window.
+// The record of a keyed request does not expire while the request is in flight, however short the window. Once it has
+// finished, the record applies to attempts that were sent within the window, however late they are read. A request
+// whose run was never started leaves no record. The record of a read expires at the end of its window.
 func Example_recordsExpire() {
 	cache := newTestCache()
 	count := 0
@@ -25,8 +25,8 @@
 		active.identity = cache.identify(active, true, byKey)
 		return active
 	}
-	printDuplicate := func(what string, byKey bool, sentAt time.Duration) {
-		fmt.Printf("%s, sent at %v: %q\n", what, sentAt, cache.duplicateOf(newRequest(byKey), sentAt))
+	printDuplicate := func(description string, byKey bool, sentAt time.Duration) {
+		fmt.Printf("%s, sent at %v: %q\n", description, sentAt, cache.duplicateOf(newRequest(byKey), sentAt))
 	}
 	first := newRequest(true)
 	cache.store(first, 200*time.Millisecond)
@@ -35,7 +35,7 @@
 	cache.finish(first, []byte("one"))
 	printDuplicate("by key, finished", true, 199*time.Millisecond)
 	printDuplicate("by key, finished", true, 200*time.Millisecond)
-	cache.forget(first.record)
+	cache.remove(first.record)
 	second := newRequest(true)
 	cache.store(second, time.Second)
 	cache.finish(second, nil)
@@ -60,8 +60,8 @@
 	// read, sent at 100ms: ""
 }
 
-// The id of a finished request is sent again, with another body: the record of the first is neither prolonged nor
-// dropped with it.
+// The ID of a finished request is reused with another body. This neither extends nor drops the record of the first
+// request.
 func Example_requestIDReused() {
 	cache := newTestCache()
 	newRequest := func(body string, byKey bool) *activeRequest {
@@ -74,9 +74,9 @@
 		cache.store(first, 200*time.Millisecond)
 		first.started = true
 		cache.finish(first, []byte("one"))
-		again := newRequest("z", byKey)
-		cache.store(again, time.Hour)
-		cache.forget(again.record) // it is rejected
+		second := newRequest("z", byKey)
+		cache.store(second, time.Hour)
+		cache.remove(second.record) // as if the second request were rejected
 		fmt.Printf("by key %v: %q, later %q\n", byKey,
 			cache.duplicateOf(newRequest("x", byKey), 99*time.Millisecond),
 			cache.duplicateOf(newRequest("x", byKey), 201*time.Millisecond))
--- a/internal/server/selftest_test.go
+++ b/internal/server/selftest_test.go
@@ -19,13 +19,13 @@
 // response returns the next response in hexadecimal.
 func (c *healthChecker) response() string {
 	message := make([]byte, 11)
-	_ = c.conn.SetReadDeadline(time.Now().Add(10 * time.Second)) // a response that does not come shows as an empty one
+	_ = c.conn.SetReadDeadline(time.Now().Add(10 * time.Second)) // a missing response is returned as an empty string
 	n, _ := c.conn.Read(message)
 	return fmt.Sprintf("%x", message[:n])
 }
 
-// A deep check is answered by the runtime's self-test unless the controller says otherwise, and as unhealthy when that
-// never ends.
+// A deep check is answered with the result of the runtime's self-test, unless the controller has set that its state
+// answers checks. If the self-test never ends, the check is answered as unhealthy.
 func Example_deepCheck() {
 	runtime := newFakeRuntime()
 	addr := freeAddr("127.72.0.1")
@@ -37,8 +37,8 @@
 	const healthy = "9401ce00000001c092c380"
 	for checker.send(1); checker.response() != healthy; checker.send(1) {
 	}
-	// Health by the state is good before the link is synced; a deep check uses the runtime only after.
-	onLoop(server, func() bool {
+	// The controller's state is healthy before the link is synced; deep checks use the runtime only afterwards.
+	waitOnLoop(server, func() bool {
 		(&executor{server: server}).SetHealth(admission.Health{Healthy: true})
 		return server.runtime.synced
 	})
@@ -50,11 +50,11 @@
 		case <-time.After(10 * time.Second):
 			fmt.Println("no self-test was requested")
 		}
-		began := time.Now()
+		start := time.Now()
 		if status != "" {
 			writeLine(link, `{"t":"verdict","mark":%s,"status":%q}`, correlationID, status)
 		}
-		fmt.Println(checker.response(), "in time:", time.Since(began) < 1500*time.Millisecond)
+		fmt.Println(checker.response(), "in time:", time.Since(start) < 1500*time.Millisecond)
 	}
 	server.Post(server.Quit)
 	// Output:
--- a/internal/server/submit.go
+++ b/internal/server/submit.go
@@ -8,9 +8,9 @@
 	"lanewheel/internal/frontend"
 )
 
-// Submit implements frontend.Server: it takes a request from a front end. What can't be taken is rejected at once:
-// everything before the runtime has come up, what there is no memory for, and an id that is in flight already. Whose
-// request that is can't be told, and this attempt was never executed.
+// Submit implements frontend.Server. It rejects a request at once if the runtime is not ready yet, if there is no
+// memory for the request, or if its ID is already in flight. In the last case the server cannot know whose request
+// is in flight, and this attempt was never executed, so it may be retried.
 func (s *Server) Submit(
 	request frontend.Request, credential *authn.Credential, responder frontend.Responder,
 ) frontend.Handle {
@@ -32,25 +32,25 @@
 	return active
 }
 
-// submitToController hands a request whose caller may make it to the admission controller, unless it could never be
-// served.
+// submitToController submits an authorized request to the admission controller, unless the request could never be
+// served or is too old.
 func (s *Server) submitToController(active *activeRequest, request frontend.Request) {
 	queueDelay := max(0, s.WallTime().Sub(time.UnixMilli(request.SentUnixMilli)))
 	if code := s.settings.check(&request); code != "" {
-		s.answerOutside(active, func(responder frontend.Responder) {
+		s.respondWithoutController(active, func(responder frontend.Responder) {
 			responder.RejectPermanently(code, s.ResponseMetadata())
 		})
 		return
 	}
 	class := s.settings.classes[active.class]
-	if queueDelay > maxWait(class.timeout) { // answered long ago, or sent by a clock that is not ours
-		s.answerOutside(active, func(responder frontend.Responder) { responder.Reject(s.ResponseMetadata()) })
+	if queueDelay > maxWait(class.timeout) { // answered long ago, or sent by a host with a different clock
+		s.respondWithoutController(active, func(responder frontend.Responder) { responder.Reject(s.ResponseMetadata()) })
 		return
 	}
-	active.outsideController = false
+	active.unknownToController = false
 	active.tenant = admission.TenantID(request.Tenant)
 	if s.spillover != nil {
-		s.keepForForwarding(active, request, queueDelay)
+		s.prepareForwarding(active, request, queueDelay)
 	}
 	byKey := class.idempotency == admission.IdempotentByKey
 	active.identity = s.idempotency.identify(active, request.NewIDPerAttempt, byKey)
@@ -73,9 +73,9 @@
 	})
 }
 
-// answerOutside answers a request that the controller does not know of, and forgets it.
-func (s *Server) answerOutside(active *activeRequest, send func(frontend.Responder)) {
-	active.outsideController = true
+// respondWithoutController answers a request that the controller does not know, and removes it.
+func (s *Server) respondWithoutController(active *activeRequest, send func(frontend.Responder)) {
+	active.unknownToController = true
 	s.respond(active, send)
-	s.forget(active)
+	s.removeIfFinished(active)
 }
--- a/internal/settings/executor_test.go
+++ b/internal/settings/executor_test.go
@@ -8,8 +8,8 @@
 	"lanewheel/admission"
 )
 
-// fakeExecutor carries out what a Controller decides: a run takes 30 ms, and every second one stands at a call of 5 ms
-// first.
+// fakeExecutor carries out the decisions of a Controller. A run takes 30 ms. Every second run first makes an upstream
+// call of 5 ms, after which it takes 20 ms.
 type fakeExecutor struct {
 	now       time.Duration
 	scheduled map[time.Duration][]func()
@@ -21,12 +21,12 @@
 }
 
 const (
-	step        = 2 * time.Millisecond
-	runTime     = 30 * time.Millisecond
-	callTime    = 5 * time.Millisecond
-	afterCall   = 20 * time.Millisecond
-	arrivalGap  = 8 * time.Millisecond
-	callerWaits = 500 * time.Millisecond
+	stepTime         = 2 * time.Millisecond
+	runTime          = 30 * time.Millisecond
+	callTime         = 5 * time.Millisecond
+	runTimeAfterCall = 20 * time.Millisecond
+	arrivalGap       = 8 * time.Millisecond
+	callerTimeout    = 500 * time.Millisecond
 )
 
 func newFakeExecutor() *fakeExecutor {
@@ -38,9 +38,9 @@
 	}
 }
 
-func (e *fakeExecutor) schedule(at time.Duration, call func()) {
-	at = max(at, e.now+step).Truncate(step)
-	e.scheduled[at] = append(e.scheduled[at], call)
+func (e *fakeExecutor) schedule(at time.Duration, callback func()) {
+	at = max(at, e.now+stepTime).Truncate(stepTime)
+	e.scheduled[at] = append(e.scheduled[at], callback)
 }
 
 func (e *fakeExecutor) finish(id admission.RequestID, outcome admission.Outcome, elapsed time.Duration) {
@@ -65,7 +65,7 @@
 	e.started++
 	e.onEnd[id] = onEnd
 	if e.started%2 == 0 {
-		e.schedule(e.now+step, onCall)
+		e.schedule(e.now+stepTime, onCall)
 		return
 	}
 	e.finishAfter(id, runTime)
@@ -78,7 +78,7 @@
 func (e *fakeExecutor) Call(id admission.RequestID, _ time.Duration, done func(admission.Outcome, time.Duration)) {
 	e.schedule(e.now+callTime, func() {
 		done(admission.Succeeded, callTime)
-		e.finishAfter(id, afterCall)
+		e.finishAfter(id, runTimeAfterCall)
 	})
 }
 
@@ -88,16 +88,16 @@
 func (e *fakeExecutor) Reject(id admission.RequestID, retryAfter time.Duration, _ bool) {
 	e.answered[id] = true
 	if retryAfter < 0 {
-		e.problems = append(e.problems, "retry after "+retryAfter.String())
+		e.problems = append(e.problems, "negative Retry-After: "+retryAfter.String())
 	}
 }
 
 func (e *fakeExecutor) Coalesce(admission.RequestID, func(admission.Outcome, time.Duration)) {
-	e.problems = append(e.problems, "coalesced, and nothing is a duplicate")
+	e.problems = append(e.problems, "request coalesced although there are no duplicates")
 }
 
-func (e *fakeExecutor) WakeAt(at time.Duration, then func(admission.Gauges)) {
-	e.schedule(at, func() { then(admission.Gauges{admission.GaugeRunnable: 2, admission.GaugeBusyCores: 0.9}) })
+func (e *fakeExecutor) WakeAt(at time.Duration, callback func(admission.Gauges)) {
+	e.schedule(at, func() { callback(admission.Gauges{admission.GaugeRunnable: 2, admission.GaugeBusyCores: 0.9}) })
 }
 
 func (e *fakeExecutor) KeepRecord(admission.RequestID, time.Duration) {}
@@ -107,13 +107,13 @@
 func (e *fakeExecutor) SetIdleTimeout(time.Duration)                  {}
 func (e *fakeExecutor) LogTransition(admission.Transition)            {}
 
-// simulate plays two seconds with the settings and returns what was wrong: a request without an answer in its time. Of
-// further answers an instance takes no notice.
+// simulate runs a controller with the settings for two simulated seconds and returns the problems, such as a request
+// that was not answered in time. Further answers to an answered request are ignored, as an instance ignores them.
 func simulate(settings admission.Settings) []string {
 	e := newFakeExecutor()
 	controller := admission.New(1, settings, e)
 	arrived := 0
-	for ; e.now < 2*time.Second; e.now += step {
+	for ; e.now < 2*time.Second; e.now += stepTime {
 		if e.now < time.Second && e.now%arrivalGap == 0 {
 			arrived++
 			controller.Submit(simulatedRequest(arrived, e.now))
@@ -121,8 +121,8 @@
 		if e.now == 1500*time.Millisecond {
 			controller.Drain(e.now + 400*time.Millisecond)
 		}
-		for _, call := range e.scheduled[e.now] {
-			call()
+		for _, callback := range e.scheduled[e.now] {
+			callback()
 		}
 		delete(e.scheduled, e.now)
 		controller.Decide()
@@ -144,7 +144,7 @@
 		IsWrite:     n%3 > 0,
 		Caller:      admission.CallerID(n % 5),
 		HasDeadline: true,
-		Deadline:    now + callerWaits,
+		Deadline:    now + callerTimeout,
 		WorkHint:    30 * time.Millisecond,
 		MemoryKB:    20,
 		Tenant:      admission.TenantID("xy"[n%2 : n%2+1]),
@@ -153,12 +153,12 @@
 
 func simulatedID(n int) admission.RequestID { return admission.RequestID(strconv.Itoa(n)) }
 
-// checkAnswered notes a request that came longer ago than its caller waits, with some spare time, and has no answer.
+// checkAnswered records a problem if a request has not been answered within its caller's timeout and a margin.
 func (e *fakeExecutor) checkAnswered(arrived int) {
-	const spare = 30 * time.Millisecond
-	for n := 1; time.Duration(n)*arrivalGap < e.now-callerWaits-spare && n <= arrived; n++ {
+	const margin = 30 * time.Millisecond
+	for n := 1; time.Duration(n)*arrivalGap < e.now-callerTimeout-margin && n <= arrived; n++ {
 		if id := simulatedID(n); !e.answered[id] {
-			e.problems = append(e.problems, fmt.Sprintf("request %s has no answer at %v", id, e.now))
+			e.problems = append(e.problems, fmt.Sprintf("request %s is still unanswered at %v", id, e.now))
 			return
 		}
 	}
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -8,48 +8,49 @@
 	"lanewheel/admission"
 )
 
-// field is one setting of an object that is read into a T.
+// field describes one setting of an object that is read into a T.
 type field[T any] struct {
-	path []string // on the wire, from the object's root
+	path []string // names on the wire, from the root of the object
 	read func(*T, *fastjson.Value) []FieldError
 }
 
-// valueReader reads one value; ok tells whether it is of the right type.
+// valueReader reads one value. ok reports whether the value has the right type.
 type valueReader[V any] func(*fastjson.Value) (value V, ok bool)
 
-// newField stores what read returns at the place that target names.
+// newField returns a field that reads its value with the given reader and stores it in the variable whose address
+// target returns.
 func newField[T, V any](read valueReader[V], target func(*T) *V, path ...string) field[T] {
-	return field[T]{path, func(to *T, v *fastjson.Value) []FieldError {
+	return field[T]{path, func(dst *T, v *fastjson.Value) []FieldError {
 		value, ok := read(v)
 		if !ok {
 			return []FieldError{wrongType(v)}
 		}
-		*target(to) = value
+		*target(dst) = value
 		return nil
 	}}
 }
 
-// newListField reads a list of objects.
+// newListField returns a field that is a list of objects with the given fields.
 func newListField[T, Item any](fields []field[Item], target func(*T) *[]Item, path ...string) field[T] {
-	return field[T]{path, func(to *T, v *fastjson.Value) []FieldError {
+	return field[T]{path, func(dst *T, v *fastjson.Value) []FieldError {
 		items, problems := readObjects(v, fields)
 		if len(problems) == 0 {
-			*target(to) = items
+			*target(dst) = items
 		}
 		return problems
 	}}
 }
 
-// newClassListField reads a list with a value for each class, by the order of the classes.
+// newClassListField returns a field that is a list with one value per class, in the order of the classes.
 func newClassListField[V any](read valueReader[V], target func(*admission.ClassSettings) *V,
 	path ...string) field[admission.Settings] {
-	return field[admission.Settings]{path, func(to *admission.Settings, v *fastjson.Value) []FieldError {
+	return field[admission.Settings]{path, func(dst *admission.Settings, v *fastjson.Value) []FieldError {
 		values, ok := readList(v, read)
 		if !ok {
 			return []FieldError{wrongType(v)}
 		}
-		for i := range min(len(values), len(to.Classes)) {
-			*target(&to.Classes[i]) = values[i]
+		for i := range min(len(values), len(dst.Classes)) {
+			*target(&dst.Classes[i]) = values[i]
 		}
 		return nil
 	}}
@@ -66,7 +67,8 @@
 	coresPath   = []string{"domain", "cpus"}
 )
 
-// instanceFields are read in this order; lists with a value for each class follow the classes.
+// instanceFields are the settings of an instance, read in this order. Lists with one value per class must come
+// after the list of classes, because their values are stored in its items.
 var instanceFields = []field[instance]{
 	newListField(classFields, func(s *instance) *[]class { return &s.Classes }, classesPath...),
 	newListField(tenantFields, func(s *instance) *[]tenant { return &s.Tenants }, "tenants"),
@@ -102,6 +104,7 @@
 	newField(number, func(s *instance) *float64 { return &s.Tier }, "tier"),
 }
 
+// classFields are the settings of a request class.
 var classFields = []field[class]{
 	newField(text[admission.Class], func(c *class) *admission.Class { return &c.Name }, "name"),
 	newField(number, func(c *class) *float64 { return &c.Weight }, "credit"),
@@ -113,17 +116,18 @@
 	newField(idempotencies.read, func(c *class) *admission.Idempotency { return &c.Idempotency }, "repeat"),
 }
 
+// tenantFields are the settings of a tenant.
 var tenantFields = []field[tenant]{
 	newField(text[admission.TenantID], func(t *tenant) *admission.TenantID { return &t.Name }, "name"),
 	newField(number, func(t *tenant) *float64 { return &t.QuotaPerSecond }, "quota-per-s"),
 	newField(number, func(t *tenant) *float64 { return &t.Share }, "portion"),
 }
 
-// The words of the enumerations. Beside those that the platform says today stand the ones that were accepted in their
-// place before.
+// The enumerations, by the names of their values on the wire. They include the names that the platform uses today and
+// older names, which are still accepted.
 var (
-	upstreamKinds = words[admission.UpstreamKind]{
-		known: map[string]admission.UpstreamKind{
+	upstreamKinds = enumeration[admission.UpstreamKind]{
+		values: map[string]admission.UpstreamKind{
 			"":          admission.UpstreamUnspecified,
 			"common":    admission.UpstreamShared,
 			"shared":    admission.UpstreamShared,
@@ -132,18 +136,18 @@
 			"silent":    admission.UpstreamNone,
 			"none":      admission.UpstreamNone,
 		},
-		other: admission.UpstreamUnknown,
+		fallback: admission.UpstreamUnknown,
 	}
-	haltModes = words[admission.HaltMode]{
-		known: map[string]admission.HaltMode{
+	haltModes = enumeration[admission.HaltMode]{
+		values: map[string]admission.HaltMode{
 			"drop":   admission.HaltDrop,
 			"pause":  admission.HaltPause,
 			"silent": admission.HaltNone,
 		},
-		other: admission.HaltNone,
+		fallback: admission.HaltNone,
 	}
-	loadSignals = words[admission.LoadSignal]{
-		known: map[string]admission.LoadSignal{
+	loadSignals = enumeration[admission.LoadSignal]{
+		values: map[string]admission.LoadSignal{
 			"min_rank":   admission.LoadSignalLeastRank,
 			"least rank": admission.LoadSignalLeastRank,
 			"bias":       admission.LoadSignalChance,
@@ -151,16 +155,16 @@
 			"tokens":     admission.LoadSignalTokens,
 			"silent":     admission.LoadSignalNone,
 		},
-		other: admission.LoadSignalNone,
+		fallback: admission.LoadSignalNone,
 	}
-	idempotencies = words[admission.Idempotency]{
-		known: map[string]admission.Idempotency{
+	idempotencies = enumeration[admission.Idempotency]{
+		values: map[string]admission.Idempotency{
 			"idempotent":   admission.Idempotent,
 			"retryable":    admission.Idempotent,
 			"deduplicated": admission.IdempotentByKey,
 			"keyed":        admission.IdempotentByKey,
 			"at_most_once": admission.NotIdempotent,
 		},
-		other: admission.NotIdempotent,
+		fallback: admission.NotIdempotent,
 	}
 )
