--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -91,7 +91,7 @@
 	byName := make(map[EndpointName]int, len(endpoints))
 	for _, endpoint := range endpoints {
 		var state *endpointState
-		if index, known := b.indexByName[endpoint.Name]; known {
+		if index, ok := b.indexByName[endpoint.Name]; ok {
 			state = b.endpoints[index]
 		} else {
 			state = &endpointState{lastOutcomeAt: now, creditedPicks: b.pickCount}
@@ -124,13 +124,13 @@
 func (b *Balancer) NameAt(index int) EndpointName { return b.endpoints[index].Name }
 
 // IndexOf returns the index of an endpoint, and whether there is one of that name.
-func (b *Balancer) IndexOf(name EndpointName) (index int, known bool) {
-	index, known = b.indexByName[name]
-	return index, known
+func (b *Balancer) IndexOf(name EndpointName) (index int, ok bool) {
+	index, ok = b.indexByName[name]
+	return index, ok
 }
 
-// decay returns what a value of some age is still worth, 1 for a new one.
-func decay(age, halfLife time.Duration) float64 {
+// decayFactor returns what a value of some age is still worth, 1 for a new one.
+func decayFactor(age, halfLife time.Duration) float64 {
 	return math.Exp2(-float64(age) / float64(halfLife))
 }
 
--- a/internal/balancer/benchmark_test.go
+++ b/internal/balancer/benchmark_test.go
@@ -35,48 +35,48 @@
 		change func(*simulation)
 	}{
 		{"usual", func(*simulation) {}},
-		{"reports 300 ms old", func(k *simulation) { k.reportAge = 300 * time.Millisecond }},
-		{"full", func(k *simulation) { k.utilization = 0.92 }},
-		{"one in eight slow by four", func(k *simulation) {
-			k.utilization = 0.6
-			k.inject = slowDownEighth
+		{"reports 300 ms old", func(sim *simulation) { sim.reportAge = 300 * time.Millisecond }},
+		{"full", func(sim *simulation) { sim.utilization = 0.92 }},
+		{"one in eight slow by four", func(sim *simulation) {
+			sim.utilization = 0.6
+			sim.inject = slowDownEighth
 		}},
-		{"one in twenty fails at once", func(k *simulation) {
-			k.utilization = 0.6
-			k.inject = breakTwentieth
+		{"one in twenty fails at once", func(sim *simulation) {
+			sim.utilization = 0.6
+			sim.inject = breakTwentieth
 		}},
-		{"a request a second", func(k *simulation) {
-			k.utilization = 0.05
-			k.seconds = 40
+		{"a request a second", func(sim *simulation) {
+			sim.utilization = 0.05
+			sim.seconds = 40
 		}},
-		{"subsets of 20", func(k *simulation) { k.subsetSize = 20 }},
+		{"subsets of 20", func(sim *simulation) { sim.subsetSize = 20 }},
 	} {
 		for policy := LeastEstimatedLoad; policy <= LeastReportedLoad; policy++ {
-			k := largeSimulation()
-			test.change(&k)
-			k.config.Policy = policy
-			b.Logf("%-28s %-12v %v", test.name, policy, k.run())
+			sim := largeSimulation()
+			test.change(&sim)
+			sim.config.Policy = policy
+			b.Logf("%-28s %-12v %v", test.name, policy, sim.run())
 		}
-		k := largeSimulation()
-		test.change(&k)
-		k.oracle = true
-		b.Logf("%-28s %-12v %v", test.name, "true loads", k.run())
+		sim := largeSimulation()
+		test.change(&sim)
+		sim.oracle = true
+		b.Logf("%-28s %-12v %v", test.name, "true loads", sim.run())
 	}
 }
 
 // BenchmarkLarge simulates 3,000 servers and 1,000 senders, with subsets of 30:
 // go test -run xxx -bench Large -benchtime 1x -timeout 20m ./internal/balancer
 func BenchmarkLarge(b *testing.B) {
-	k := largeSimulation()
-	k.servers = 3000
-	k.senders = 1000
-	k.seconds = 5
-	k.subsetSize = 30
-	b.Log("estimated load", k.run())
-	k.config.Policy = WeightedRandom
-	b.Log("random", k.run())
-	k.config.Policy, k.subsetSize, k.oracle = LeastEstimatedLoad, 0, true
-	b.Log("true loads", k.run())
+	sim := largeSimulation()
+	sim.servers = 3000
+	sim.senders = 1000
+	sim.seconds = 5
+	sim.subsetSize = 30
+	b.Log("estimated load", sim.run())
+	sim.config.Policy = WeightedRandom
+	b.Log("random", sim.run())
+	sim.config.Policy, sim.subsetSize, sim.oracle = LeastEstimatedLoad, 0, true
+	b.Log("true loads", sim.run())
 }
 
 var picture = flag.String("picture", "", "file that BenchmarkReportAge draws to")
@@ -94,13 +94,13 @@
 	for i, policy := range []Policy{LeastEstimatedLoad, TwoChoicesReported, LeastReportedLoad, WeightedRandom} {
 		var points plotter.XYs
 		for _, ms := range []int{10, 30, 100, 300, 1000, 3000, 10000} {
-			k := largeSimulation()
-			k.reportAge = time.Duration(ms) * time.Millisecond
-			k.config.Policy = policy
-			k.config.LoadMaxAge = max(k.config.LoadMaxAge, 2*k.reportAge)
-			result := k.run()
-			b.Log(k.reportAge, policy, result)
-			points = append(points, plotter.XY{X: k.reportAge.Seconds(), Y: 1000 * result.p99})
+			sim := largeSimulation()
+			sim.reportAge = time.Duration(ms) * time.Millisecond
+			sim.config.Policy = policy
+			sim.config.LoadMaxAge = max(sim.config.LoadMaxAge, 2*sim.reportAge)
+			result := sim.run()
+			b.Log(sim.reportAge, policy, result)
+			points = append(points, plotter.XY{X: sim.reportAge.Seconds(), Y: 1000 * result.p99})
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
--- a/internal/balancer/endpoint.go
+++ b/internal/balancer/endpoint.go
@@ -67,8 +67,8 @@
 
 // decayOutcomes ages the outcomes up to now.
 func (e *endpointState) decayOutcomes(now, halfLife time.Duration) {
-	remaining := decay(now-e.lastOutcomeAt, halfLife)
-	e.successes *= remaining
-	e.failures *= remaining
+	factor := decayFactor(now-e.lastOutcomeAt, halfLife)
+	e.successes *= factor
+	e.failures *= factor
 	e.lastOutcomeAt = now
 }
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -152,11 +152,11 @@
 		l.balancer.RecordOutcome(l.now, name, outcome, latency)
 	}
 	attempt := Attempt{
-		Deadline:    l.now + l.drawMilliseconds(400),
-		Made:        1 + l.random.IntN(3),
-		MaxAttempts: 3,
-		Idempotent:  step%2 == 0,
-		Forwarded:   step%5 == 0,
+		Deadline:     l.now + l.drawMilliseconds(400),
+		AttemptsMade: 1 + l.random.IntN(3),
+		MaxAttempts:  3,
+		Idempotent:   step%2 == 0,
+		Forwarded:    step%5 == 0,
 	}
 	result := AttemptResult{Outcome: outcome, NotSent: l.random.IntN(4) == 0, NoFailover: l.random.IntN(20) == 0}
 	fmt.Fprint(&l.text, "s", uint8(l.balancer.DecideRetry(l.now, attempt, result)))
--- a/internal/balancer/outcome.go
+++ b/internal/balancer/outcome.go
@@ -41,8 +41,8 @@
 // RecordOutcome notes what became of a request, by the endpoint's name, as indexes may have changed meanwhile. latency
 // is read for Succeeded alone. An endpoint that is not known any more is ignored.
 func (b *Balancer) RecordOutcome(now time.Duration, name EndpointName, outcome Outcome, latency time.Duration) {
-	index, known := b.indexByName[name]
-	if !known {
+	index, ok := b.indexByName[name]
+	if !ok {
 		return
 	}
 	state := b.endpoints[index]
@@ -63,7 +63,7 @@
 
 // RecordCancel notes that nobody waits any more for a request. That says nothing of the endpoint.
 func (b *Balancer) RecordCancel(name EndpointName) {
-	if index, known := b.indexByName[name]; known {
+	if index, ok := b.indexByName[name]; ok {
 		state := b.endpoints[index]
 		state.outstanding = max(0, state.outstanding-1)
 	}
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -24,7 +24,7 @@
 	if b.meanLatency <= 0 || state.meanLatency <= 0 {
 		return 1
 	}
-	return 1 + (state.meanLatency/b.meanLatency-1)*decay(now-state.lastOutcomeAt, b.config.OutcomeHalfLife/4)
+	return 1 + (state.meanLatency/b.meanLatency-1)*decayFactor(now-state.lastOutcomeAt, b.config.OutcomeHalfLife/4)
 }
 
 // isOutlier reports whether an endpoint fails repeatedly, or more often than it succeeds.
@@ -32,7 +32,7 @@
 	if state.consecutiveFailures >= consecutiveFailuresLimit {
 		return true
 	}
-	failures := state.failures * decay(now-state.lastOutcomeAt, b.config.OutcomeHalfLife)
+	failures := state.failures * decayFactor(now-state.lastOutcomeAt, b.config.OutcomeHalfLife)
 	return failures >= minOutlierFailures && state.failures > state.successes
 }
 
--- a/internal/balancer/pick.go
+++ b/internal/balancer/pick.go
@@ -43,7 +43,7 @@
 	if selection.best >= 0 {
 		return selection.best, true
 	}
-	return selection.anyLeft()
+	return selection.pickFallback()
 }
 
 func (s *selection) isExcluded(index int) bool { return s.excluded != nil && s.excluded(index) }
@@ -84,21 +84,21 @@
 	}
 }
 
-// anyLeft returns the first endpoint from a drawn index on that is not excluded; one that is warming up and has had its
+// pickFallback returns the first endpoint from a drawn index on that is not excluded; one that is warming up and has had its
 // share only if there is no other.
-func (s *selection) anyLeft() (index int, ok bool) {
+func (s *selection) pickFallback() (index int, ok bool) {
 	endpoints := s.balancer.endpoints
 	start := min(len(endpoints)-1, int(s.random()*float64(len(endpoints))))
-	warmingUp := -1
+	fallback := -1
 	for offset := range endpoints {
 		candidate := (start + offset) % len(endpoints)
 		switch {
 		case s.isExcluded(candidate):
 		case s.balancer.slowStartAllows(s.now, endpoints[candidate], s.random):
 			return candidate, true
-		case warmingUp < 0:
-			warmingUp = candidate
+		case fallback < 0:
+			fallback = candidate
 		}
 	}
-	return max(warmingUp, 0), warmingUp >= 0
+	return max(fallback, 0), fallback >= 0
 }
--- a/internal/balancer/policy.go
+++ b/internal/balancer/policy.go
@@ -39,13 +39,13 @@
 		b.roundRobin++
 		return b.roundRobin % len(b.endpoints), true
 	case TwoChoicesOutstanding:
-		return lesser(b.outstandingLoad, b.drawIndex(random), b.drawIndex(random)), true
+		return lessLoaded(b.outstandingLoad, b.drawIndex(random), b.drawIndex(random)), true
 	case TwoChoicesReported:
-		return lesser(b.reportedLoad, b.drawIndex(random), b.drawIndex(random)), true
+		return lessLoaded(b.reportedLoad, b.drawIndex(random), b.drawIndex(random)), true
 	case LeastRequest:
-		return b.least(b.outstandingLoad, b.drawIndex(random)), true
+		return b.leastLoaded(b.outstandingLoad, b.drawIndex(random)), true
 	case LeastReportedLoad:
-		return b.least(b.reportedLoad, b.drawIndex(random)), true
+		return b.leastLoaded(b.reportedLoad, b.drawIndex(random)), true
 	case LeastEstimatedLoad:
 	}
 	return 0, false
@@ -86,19 +86,19 @@
 	return b.meanLoad
 }
 
-// lesser returns the less loaded of two, the first of equals.
-func lesser(loadOf func(index int) float64, first, second int) int {
+// lessLoaded returns the less loaded of two, the first of equals.
+func lessLoaded(loadOf func(index int) float64, first, second int) int {
 	if loadOf(second) < loadOf(first) {
 		return second
 	}
 	return first
 }
 
-// least returns the least loaded of all, of equals the first from start on.
-func (b *Balancer) least(loadOf func(index int) float64, start int) int {
+// leastLoaded returns the leastLoaded loaded of all, of equals the first from start on.
+func (b *Balancer) leastLoaded(loadOf func(index int) float64, start int) int {
 	best := start
 	for offset := range b.endpoints {
-		best = lesser(loadOf, best, (start+offset)%len(b.endpoints))
+		best = lessLoaded(loadOf, best, (start+offset)%len(b.endpoints))
 	}
 	return best
 }
--- a/internal/balancer/policy_test.go
+++ b/internal/balancer/policy_test.go
@@ -7,7 +7,7 @@
 
 // simulateWith runs a small simulation that is changed in one point.
 func simulateWith(change func(*simulation)) simulationResult {
-	k := simulation{
+	sim := simulation{
 		servers:          60,
 		senders:          12,
 		utilization:      0.7,
@@ -16,62 +16,62 @@
 		reportAge:        2 * time.Millisecond,
 		config:           DefaultConfig(),
 	}
-	change(&k)
-	return k.run()
+	change(&sim)
+	return sim.run()
 }
 
 // TestPolicies compares the policies in simulated time: by the true loads, by what is known, and by the simple
 // policies; with reports that are late, and servers that are slow, fail at once, or lie.
 func TestPolicies(t *testing.T) {
-	usual := simulateWith(func(*simulation) {})
-	random := simulateWith(func(k *simulation) { k.config.Policy = WeightedRandom })
-	oracle := simulateWith(func(k *simulation) { k.oracle = true })
-	t.Log("estimated load", usual)
+	baseline := simulateWith(func(*simulation) {})
+	random := simulateWith(func(sim *simulation) { sim.config.Policy = WeightedRandom })
+	oracle := simulateWith(func(sim *simulation) { sim.oracle = true })
+	t.Log("estimated load", baseline)
 	t.Log("random        ", random)
 	t.Log("true loads    ", oracle)
-	if usual.p99 > 1.15*oracle.p99 || usual.p99 > 0.75*random.p99 {
+	if baseline.p99 > 1.15*oracle.p99 || baseline.p99 > 0.75*random.p99 {
 		t.Error("worse than it has to be")
 	}
-	if usual.peak > 1.25*usual.peakByChance {
+	if baseline.peak > 1.25*baseline.peakByChance {
 		t.Error("the most loaded server of a second gets too much")
 	}
-	if usual.longestIdle > 5 {
+	if baseline.longestIdle > 5 {
 		t.Error("a server is left idle")
 	}
 	t.Run("late reports", func(t *testing.T) { testLateReports(t, random) })
 	t.Run("broken servers", testBrokenServers)
 	t.Run("slow servers", testSlowServers)
-	t.Run("liars", func(t *testing.T) { testLiars(t, usual) })
+	t.Run("liars", func(t *testing.T) { testFalseIdleReports(t, baseline) })
 	t.Run("sparse load", testSparseLoad)
-	t.Run("subsets", func(t *testing.T) { testSimulatedSubsets(t, usual) })
+	t.Run("subsets", func(t *testing.T) { testSimulatedSubsets(t, baseline) })
 }
 
 // Reports as old as several requests take: all senders flock to one server if the reports are believed as they are.
 func testLateReports(t *testing.T, random simulationResult) {
 	const age = 500 * time.Millisecond
-	late := simulateWith(func(k *simulation) { k.reportAge = age })
-	believed := simulateWith(func(k *simulation) {
-		k.reportAge = age
-		k.config.LoadHalfLife = time.Hour
+	decayed := simulateWith(func(sim *simulation) { sim.reportAge = age })
+	undecayed := simulateWith(func(sim *simulation) {
+		sim.reportAge = age
+		sim.config.LoadHalfLife = time.Hour
 	})
-	greedy := simulateWith(func(k *simulation) {
-		k.reportAge = age
-		k.config.Policy = LeastReportedLoad
+	leastReported := simulateWith(func(sim *simulation) {
+		sim.reportAge = age
+		sim.config.Policy = LeastReportedLoad
 	})
-	t.Log("decayed ", late)
-	t.Log("believed", believed)
-	t.Log("greedy  ", greedy)
-	if late.p99 > random.p99 || late.p99 > 0.8*believed.p99 || late.p99 > 0.5*greedy.p99 {
+	t.Log("decayed ", decayed)
+	t.Log("believed", undecayed)
+	t.Log("greedy  ", leastReported)
+	if decayed.p99 > random.p99 || decayed.p99 > 0.8*undecayed.p99 || decayed.p99 > 0.5*leastReported.p99 {
 		t.Error("senders flock")
 	}
 }
 
 // One in twenty fails at once: it is free at once, and so the best of all by its load.
 func testBrokenServers(t *testing.T) {
-	ejected := simulateWith(func(k *simulation) { k.inject = breakTwentieth })
-	kept := simulateWith(func(k *simulation) {
-		k.inject = breakTwentieth
-		k.config.MaxOutlierFraction = -1
+	ejected := simulateWith(func(sim *simulation) { sim.inject = breakTwentieth })
+	kept := simulateWith(func(sim *simulation) {
+		sim.inject = breakTwentieth
+		sim.config.MaxOutlierFraction = -1
 	})
 	t.Log("ejected    ", ejected)
 	t.Log("not ejected", kept)
@@ -81,14 +81,14 @@
 }
 
 func testSlowServers(t *testing.T) {
-	slow := simulateWith(func(k *simulation) {
-		k.inject = slowDownEighth
-		k.utilization = 0.6
+	slow := simulateWith(func(sim *simulation) {
+		sim.inject = slowDownEighth
+		sim.utilization = 0.6
 	})
-	random := simulateWith(func(k *simulation) {
-		k.inject = slowDownEighth
-		k.utilization = 0.6
-		k.config.Policy = WeightedRandom
+	random := simulateWith(func(sim *simulation) {
+		sim.inject = slowDownEighth
+		sim.utilization = 0.6
+		sim.config.Policy = WeightedRandom
 	})
 	t.Log("estimated load", slow)
 	t.Log("random        ", random)
@@ -98,23 +98,23 @@
 }
 
 // Two servers report that they are idle, whatever is so.
-func testLiars(t *testing.T, usual simulationResult) {
-	lied := simulateWith(func(k *simulation) { k.liars = 2 })
-	t.Log(lied)
-	if lied.p99 > 1.3*usual.p99 {
+func testFalseIdleReports(t *testing.T, baseline simulationResult) {
+	misled := simulateWith(func(sim *simulation) { sim.misreportingServers = 2 })
+	t.Log(misled)
+	if misled.p99 > 1.3*baseline.p99 {
 		t.Error("a server that lies gets too much")
 	}
 }
 
 func testSparseLoad(t *testing.T) {
-	sparse := simulateWith(func(k *simulation) {
-		k.utilization = 0.05
-		k.seconds = 40
+	sparse := simulateWith(func(sim *simulation) {
+		sim.utilization = 0.05
+		sim.seconds = 40
 	})
-	oracle := simulateWith(func(k *simulation) {
-		k.utilization = 0.05
-		k.seconds = 40
-		k.oracle = true
+	oracle := simulateWith(func(sim *simulation) {
+		sim.utilization = 0.05
+		sim.seconds = 40
+		sim.oracle = true
 	})
 	t.Log(sparse)
 	if sparse.peak > 1.25*sparse.peakByChance || sparse.p99 > 1.1*oracle.p99 {
@@ -125,12 +125,12 @@
 	}
 	// 200 servers that get 3 requests of 20 ms a second each, from 40 senders: a report is worth something for as long
 	// as a server waits for a request.
-	short := simulateWith(func(k *simulation) {
-		k.servers = 200
-		k.senders = 40
-		k.utilization = 0.03
-		k.seconds = 20
-		k.meanRunTime = 0.02
+	short := simulateWith(func(sim *simulation) {
+		sim.servers = 200
+		sim.senders = 40
+		sim.utilization = 0.03
+		sim.seconds = 20
+		sim.meanRunTime = 0.02
 	})
 	t.Log("short requests", short)
 	if short.peak > 0.8*short.peakByChance || short.longestIdle > 5.5 {
@@ -138,10 +138,10 @@
 	}
 }
 
-func testSimulatedSubsets(t *testing.T, usual simulationResult) {
-	subset := simulateWith(func(k *simulation) { k.subsetSize = 15 })
+func testSimulatedSubsets(t *testing.T, baseline simulationResult) {
+	subset := simulateWith(func(sim *simulation) { sim.subsetSize = 15 })
 	t.Log(subset)
-	if subset.p99 > 1.25*usual.p99 || subset.connections != 12*15 {
+	if subset.p99 > 1.25*baseline.p99 || subset.connections != 12*15 {
 		t.Error("subsets")
 	}
 }
--- a/internal/balancer/report.go
+++ b/internal/balancer/report.go
@@ -86,5 +86,5 @@
 	if slowdown := b.relativeLatency(now, state); load < b.meanLoad && slowdown > slowLatencyFactor {
 		load = b.meanLoad + (slowdown-1)*max(b.meanLoad, 1)
 	}
-	return b.meanLoad + (load-b.meanLoad)*decay(now-state.reportedAt, b.loadHalfLife) + state.startedSinceReport
+	return b.meanLoad + (load-b.meanLoad)*decayFactor(now-state.reportedAt, b.loadHalfLife) + state.startedSinceReport
 }
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -4,11 +4,11 @@
 
 // Attempt is how far a request has come at a sender.
 type Attempt struct {
-	Deadline    time.Duration
-	Made        int  // attempts made so far
-	MaxAttempts int  // attempts that may be made in all
-	Idempotent  bool // it may run twice
-	Forwarded   bool // another process has forwarded it to us, and retries by itself
+	Deadline     time.Duration
+	AttemptsMade int  // attempts made so far
+	MaxAttempts  int  // attempts that may be made in all
+	Idempotent   bool // it may run twice
+	Forwarded    bool // another process has forwarded it to us, and retries by itself
 }
 
 // AttemptResult is how the last attempt ended.
@@ -36,7 +36,7 @@
 		return ReturnResponse
 	case result.Outcome == NoResponse && !result.NotSent && !attempt.Idempotent:
 		return ReturnResponse
-	case attempt.Made >= attempt.MaxAttempts || now+seconds(b.meanLatency) >= attempt.Deadline:
+	case attempt.AttemptsMade >= attempt.MaxAttempts || now+seconds(b.meanLatency) >= attempt.Deadline:
 		return ReturnResponse
 	case !result.NotSent && !b.takeRetry(attempt.Forwarded): // what was not sent has cost no endpoint anything
 		return ReturnResponse
--- a/internal/balancer/retry_test.go
+++ b/internal/balancer/retry_test.go
@@ -8,9 +8,9 @@
 // Example_retryBudget earns retries: one in ten requests, a few saved up, never for what is forwarded to us.
 func Example_retryBudget() {
 	balancer := newBalancer(DefaultConfig(), makeEndpoints(3))
-	atFirst := 0
+	initial := 0
 	for balancer.takeRetry(false) {
-		atFirst++
+		initial++
 	}
 	for range 100 {
 		balancer.RecordStart(0, 0)
@@ -22,7 +22,7 @@
 	for range 1000 {
 		balancer.RecordStart(0, 0)
 	}
-	fmt.Println(atFirst, earned, balancer.takeRetry(true), balancer.retryTokens)
+	fmt.Println(initial, earned, balancer.takeRetry(true), balancer.retryTokens)
 	// Output: 10 9 false 10
 }
 
@@ -30,23 +30,23 @@
 func Example_decideRetry() {
 	config := DefaultConfig()
 	config.RetryRatio, config.RetryBurst = 0, 1
-	fresh := Attempt{Deadline: time.Second, MaxAttempts: 3, Made: 1}
-	expired, exhausted, idempotent := fresh, fresh, fresh
+	first := Attempt{Deadline: time.Second, MaxAttempts: 3, AttemptsMade: 1}
+	expired, exhausted, idempotent := first, first, first
 	expired.Deadline = 0
-	exhausted.Made = 3
+	exhausted.AttemptsMade = 3
 	idempotent.Idempotent = true
 	for _, test := range []struct {
 		attempt Attempt
 		result  AttemptResult
 	}{
-		{fresh, AttemptResult{Outcome: Succeeded}},
-		{fresh, AttemptResult{Outcome: Rejected}},
-		{fresh, AttemptResult{Outcome: Rejected, NoFailover: true}},
+		{first, AttemptResult{Outcome: Succeeded}},
+		{first, AttemptResult{Outcome: Rejected}},
+		{first, AttemptResult{Outcome: Rejected, NoFailover: true}},
 		{expired, AttemptResult{Outcome: Rejected}},
 		{exhausted, AttemptResult{Outcome: Rejected}},
-		{fresh, AttemptResult{Outcome: NoResponse}},
+		{first, AttemptResult{Outcome: NoResponse}},
 		{idempotent, AttemptResult{Outcome: NoResponse}},
-		{fresh, AttemptResult{Outcome: NoResponse, NotSent: true}},
+		{first, AttemptResult{Outcome: NoResponse, NotSent: true}},
 		{idempotent, AttemptResult{Outcome: Failed}},
 	} {
 		balancer := New(config)
@@ -54,7 +54,7 @@
 			return balancer.DecideRetry(time.Millisecond, test.attempt, test.result) == RetryElsewhere
 		}
 		fmt.Print(retries(), " ")
-		if test.attempt == fresh && test.result == (AttemptResult{Outcome: Rejected}) {
+		if test.attempt == first && test.result == (AttemptResult{Outcome: Rejected}) {
 			fmt.Print(retries(), " ")
 		}
 	}
--- a/internal/balancer/simulatedsenders_test.go
+++ b/internal/balancer/simulatedsenders_test.go
@@ -10,17 +10,17 @@
 
 // simulation is a simulated fleet with processes that send to it, each with a Balancer of its own.
 type simulation struct {
-	servers, senders int
-	utilization      float64 // of all cores
-	config           Config
-	subsetSize       int           // 0: no subsets
-	probesPerRequest float64       // 0: answers carry no load report, either
-	reportAge        time.Duration // of each probe's answer when it is sent
-	seconds          float64       // that are counted
-	oracle           bool          // senders know the true loads
-	inject           func(*simulatedFleet)
-	meanRunTime      float64 // s; 0: a tenth
-	liars            int     // servers that always report to be idle
+	servers, senders    int
+	utilization         float64 // of all cores
+	config              Config
+	subsetSize          int           // 0: no subsets
+	probesPerRequest    float64       // 0: answers carry no load report, either
+	reportAge           time.Duration // of each probe's answer when it is sent
+	seconds             float64       // that are counted
+	oracle              bool          // senders know the true loads
+	inject              func(*simulatedFleet)
+	meanRunTime         float64 // s; 0: a tenth
+	misreportingServers int     // servers that always report to be idle
 }
 
 // simulationResult is what a simulation measured.
@@ -51,46 +51,46 @@
 	connections int
 }
 
-func (k simulation) run() simulationResult {
-	r := k.newRun()
+func (sim simulation) run() simulationResult {
+	r := sim.newRun()
 	var senders []EndpointName
-	for i := range k.senders {
+	for i := range sim.senders {
 		senders = append(senders, EndpointName(fmt.Sprint("d", i)))
 	}
 	subsets := map[EndpointName][]EndpointName{}
-	if k.subsetSize > 0 {
-		subsets = Subsets(senders, r.names, k.subsetSize)
+	if sim.subsetSize > 0 {
+		subsets = Subsets(senders, r.names, sim.subsetSize)
 	}
 	for _, sender := range senders {
 		subset := r.names
-		if k.subsetSize > 0 {
+		if sim.subsetSize > 0 {
 			subset = subsets[sender]
 		}
 		r.startSender(subset)
 	}
-	r.fleet.run(r.fleet.countFrom + k.seconds)
+	r.fleet.run(r.fleet.countFrom + sim.seconds)
 	return r.result()
 }
 
-func (k simulation) newRun() *simulationRun {
-	if k.meanRunTime == 0 {
-		k.meanRunTime = 0.1
+func (sim simulation) newRun() *simulationRun {
+	if sim.meanRunTime == 0 {
+		sim.meanRunTime = 0.1
 	}
-	fleet := &simulatedFleet{random: rand.New(rand.NewPCG(1, 2)), meanRunTime: k.meanRunTime, delay: 0.001, countFrom: 5}
-	r := &simulationRun{simulation: k, fleet: fleet, indexByName: map[EndpointName]int{}}
-	for i := range k.servers {
+	fleet := &simulatedFleet{random: rand.New(rand.NewPCG(1, 2)), meanRunTime: sim.meanRunTime, delay: 0.001, countFrom: 5}
+	r := &simulationRun{simulation: sim, fleet: fleet, indexByName: map[EndpointName]int{}}
+	for i := range sim.servers {
 		name := EndpointName(fmt.Sprint("m", i))
 		fleet.servers = append(fleet.servers, &simulatedServer{index: i, cores: 2, speed: 1})
 		r.names = append(r.names, name)
 		r.indexByName[name] = i
 	}
-	if k.oracle {
+	if sim.oracle {
 		fleet.indexByLoad()
 	}
-	if k.inject != nil {
-		k.inject(fleet)
+	if sim.inject != nil {
+		sim.inject(fleet)
 	}
-	r.rate = k.utilization * float64(2*k.servers) / fleet.meanRunTime
+	r.rate = sim.utilization * float64(2*sim.servers) / fleet.meanRunTime
 	return r
 }
 
@@ -152,11 +152,11 @@
 	name := s.balancer.NameAt(picked)
 	server := r.indexByName[name]
 	load := fleet.servers[server].reportedLoad(fleet.now)
-	if server < r.liars {
+	if server < r.misreportingServers {
 		load = -1
 	}
 	fleet.schedule(r.reportAge.Seconds()+2*fleet.delay, func() {
-		if index, known := s.balancer.IndexOf(name); known {
+		if index, ok := s.balancer.IndexOf(name); ok {
 			s.balancer.RecordProbe(fleet.time(), index, load, r.reportAge+seconds(fleet.delay))
 		}
 	})
@@ -167,7 +167,7 @@
 	if !r.oracle {
 		name := r.names[server]
 		s.balancer.RecordOutcome(fleet.time(), name, outcome, seconds(fleet.now-sentAt))
-		if index, known := s.balancer.IndexOf(name); known && r.probesPerRequest > 0 && server >= r.liars {
+		if index, ok := s.balancer.IndexOf(name); ok && r.probesPerRequest > 0 && server >= r.misreportingServers {
 			s.balancer.RecordReport(fleet.time(), index, load, seconds(fleet.delay))
 		}
 	}
@@ -213,8 +213,8 @@
 	for second := range windows {
 		peak := 0
 		for _, server := range r.fleet.servers {
-			if second < len(server.runsBySec) {
-				peak = max(peak, server.runsBySec[second])
+			if second < len(server.runsBySecond) {
+				peak = max(peak, server.runsBySecond[second])
 			}
 		}
 		sum += peak
@@ -240,10 +240,10 @@
 func (r *simulationRun) longestIdle() (longest float64) {
 	for _, server := range r.fleet.servers {
 		if server.load() == 0 {
-			r.fleet.countGap(server)
+			r.fleet.recordIdleTime(server)
 		}
-		for _, gap := range server.gaps {
-			longest = max(longest, gap)
+		for _, idleTime := range server.idleTimes {
+			longest = max(longest, idleTime)
 		}
 	}
 	return longest
--- a/internal/balancer/simulation_test.go
+++ b/internal/balancer/simulation_test.go
@@ -25,16 +25,16 @@
 
 // simulatedServer is one server of a simulated fleet.
 type simulatedServer struct {
-	index       int
-	indexByLoad int // its place among the servers of its load
-	cores       int
-	busy        int     // cores at work
-	speed       float64 // 1 is usual
-	broken      bool    // fails at once
-	queue       []func()
-	idleSince   float64   // s
-	gaps        []float64 // s that it was idle, each time
-	runsBySec   []int     // requests by second since counting started
+	index        int
+	indexByLoad  int // its place among the servers of its load
+	cores        int
+	busy         int     // cores at work
+	speed        float64 // 1 is usual
+	broken       bool    // fails at once
+	queue        []func()
+	idleSince    float64   // s
+	idleTimes    []float64 // s that it was idle, each time
+	runsBySecond []int     // requests by second since counting started
 }
 
 func (s *simulatedServer) load() float64 { return float64(s.busy + len(s.queue)) }
@@ -166,18 +166,18 @@
 		return
 	}
 	if f.now > f.countFrom && server.load() == 0 {
-		f.countGap(server)
+		f.recordIdleTime(server)
 	}
 	second := int(f.now - f.countFrom)
-	for len(server.runsBySec) <= second {
-		server.runsBySec = append(server.runsBySec, 0)
+	for len(server.runsBySecond) <= second {
+		server.runsBySecond = append(server.runsBySecond, 0)
 	}
-	server.runsBySec[second]++
+	server.runsBySecond[second]++
 }
 
-// countGap notes how long a server has been idle.
-func (f *simulatedFleet) countGap(server *simulatedServer) {
-	server.gaps = append(server.gaps, f.now-max(f.countFrom, server.idleSince))
+// recordIdleTime notes how long a server has been idle.
+func (f *simulatedFleet) recordIdleTime(server *simulatedServer) {
+	server.idleTimes = append(server.idleTimes, f.now-max(f.countFrom, server.idleSince))
 }
 
 func slowDownEighth(f *simulatedFleet) {
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -10,21 +10,21 @@
 
 // slowStartSender is one of many senders of a fleet that an endpoint joins.
 type slowStartSender struct {
-	balancer *Balancer
-	part     float64       // of all requests, unscaled
-	learnsAt time.Duration // when it learns that the endpoint is there
-	learned  bool
-	open     []EndpointName // endpoints with a request of ours in progress
+	balancer     *Balancer
+	relativeRate float64       // of all requests, unscaled
+	discoversAt  time.Duration // when it learns that the endpoint is there
+	discovered   bool
+	open         []EndpointName // endpoints with a request of ours in progress
 }
 
 // slowStart is an endpoint that starts among others. Each sender learns of it late, by a time of its own, has a part of
 // the requests of its own, and believes the newcomer to be idle all the while.
 type slowStart struct {
-	random    *rand.Rand
-	endpoints []Endpoint // the newcomer first
-	senders   []*slowStartSender
-	parts     float64 // sum of the senders' parts
-	received  []int   // requests to the newcomer by window
+	random            *rand.Rand
+	endpoints         []Endpoint // the newcomer first
+	senders           []*slowStartSender
+	totalRelativeRate float64 // sum of the senders' parts
+	received          []int   // requests to the newcomer by window
 }
 
 const (
@@ -42,12 +42,12 @@
 	}
 	for range senders {
 		sender := &slowStartSender{
-			balancer: newBalancer(DefaultConfig(), s.endpoints[1:]),
-			part:     0.2 + s.random.ExpFloat64(),
-			learnsAt: time.Duration(s.random.Float64() * float64(1500*time.Millisecond)),
+			balancer:     newBalancer(DefaultConfig(), s.endpoints[1:]),
+			relativeRate: 0.2 + s.random.ExpFloat64(),
+			discoversAt:  time.Duration(s.random.Float64() * float64(1500*time.Millisecond)),
 		}
 		s.senders = append(s.senders, sender)
-		s.parts += sender.part
+		s.totalRelativeRate += sender.relativeRate
 	}
 	return s
 }
@@ -55,19 +55,19 @@
 // step has a sender do what it does in one tick.
 func (s *slowStart) step(sender *slowStartSender, now, tick time.Duration) {
 	newcomer := s.endpoints[0].Name
-	if !sender.learned && now >= sender.learnsAt {
-		sender.learned = true
+	if !sender.discovered && now >= sender.discoversAt {
+		sender.discovered = true
 		s.endpoints[0].WarmUpRemaining, s.endpoints[0].WarmUp = slowStartWarmUp-now, slowStartWarmUp
 		sender.balancer.SetEndpoints(now, s.endpoints)
 	}
-	if index, known := sender.balancer.IndexOf(newcomer); known {
+	if index, ok := sender.balancer.IndexOf(newcomer); ok {
 		sender.balancer.RecordProbe(now, index, -0.9, 0)
 	}
 	for _, name := range sender.open {
 		sender.balancer.RecordOutcome(now, name, Succeeded, tick)
 	}
 	sender.open = sender.open[:0]
-	expected := slowStartRate * tick.Seconds() * sender.part / s.parts
+	expected := slowStartRate * tick.Seconds() * sender.relativeRate / s.totalRelativeRate
 	for ; expected > 0 && s.random.Float64() < expected; expected-- {
 		index, _ := sender.balancer.Pick(now, s.random.Float64, nil)
 		sender.balancer.RecordStart(now, index)
@@ -84,8 +84,8 @@
 func (s *slowStart) result() (received, allowed, worst float64) {
 	for i, count := range s.received {
 		// Its weight of all that is sent, by how far it is warmed up in this window: what it bears in a saturated fleet.
-		warmth := (float64(i) + 0.5) * float64(slowStartWindow) / float64(slowStartWarmUp)
-		expected := slowStartRate * slowStartWindow.Seconds() / slowStartFleet * (0.1 + 0.9*warmth)
+		warmUpProgress := (float64(i) + 0.5) * float64(slowStartWindow) / float64(slowStartWarmUp)
+		expected := slowStartRate * slowStartWindow.Seconds() / slowStartFleet * (0.1 + 0.9*warmUpProgress)
 		received += float64(count)
 		allowed += expected
 		worst = max(worst, float64(count)/(expected+2*math.Sqrt(expected+2)))
--- a/internal/balancer/spillover.go
+++ b/internal/balancer/spillover.go
@@ -92,7 +92,7 @@
 
 // saturation is how many endpoints are saturated.
 type saturation struct {
-	known     bool
+	counted   bool
 	countedAt time.Duration
 	reporting int // endpoints with a recent report
 	saturated int // those of them that are saturated
@@ -121,7 +121,7 @@
 func (p *SpilloverPolicy) Pick(
 	now, remaining time.Duration, ownLoad float64, random func() float64,
 ) (index int, reason SpilloverReason) {
-	if reason := p.check(now, remaining); reason != Allowed {
+	if reason := p.checkPreconditions(now, remaining); reason != Allowed {
 		return 0, reason
 	}
 	p.balancer.refreshWeights(now)
@@ -151,8 +151,8 @@
 	return best, Allowed
 }
 
-// check returns what keeps a request here before any endpoint is looked at.
-func (p *SpilloverPolicy) check(now, remaining time.Duration) SpilloverReason {
+// checkPreconditions returns what keeps a request here before any endpoint is looked at.
+func (p *SpilloverPolicy) checkPreconditions(now, remaining time.Duration) SpilloverReason {
 	latency := initialLatency
 	if p.balancer.meanLatency > 0 {
 		latency = seconds(p.balancer.meanLatency)
@@ -186,17 +186,17 @@
 // spilled over, so an idle endpoint stays idle for longer.
 func (p *SpilloverPolicy) estimatedLoad(now time.Duration, state *endpointState) float64 {
 	meanLoad := p.balancer.meanLoad
-	remaining := decay(now-state.reportedAt, p.config.ReportMaxAge)
-	return meanLoad + (state.reportedLoad-meanLoad)*remaining + state.startedSinceReport + 1/state.Capacity
+	factor := decayFactor(now-state.reportedAt, p.config.ReportMaxAge)
+	return meanLoad + (state.reportedLoad-meanLoad)*factor + state.startedSinceReport + 1/state.Capacity
 }
 
 // refreshSaturation recounts the endpoints with a recent report and those of them that are saturated, at most every
 // saturationMaxAge. It goes by the reports alone: an endpoint is not saturated because we send much to it.
 func (p *SpilloverPolicy) refreshSaturation(now time.Duration) {
-	if p.saturation.known && now-p.saturation.countedAt < saturationMaxAge {
+	if p.saturation.counted && now-p.saturation.countedAt < saturationMaxAge {
 		return
 	}
-	p.saturation = saturation{known: true, countedAt: now}
+	p.saturation = saturation{counted: true, countedAt: now}
 	for _, state := range p.balancer.endpoints {
 		if !state.hasRecentReport(now, p.config.ReportMaxAge) {
 			continue
@@ -211,9 +211,9 @@
 // RecordOutcome notes what became of a request that was spilled over. Where most are rejected there, too, spilling over
 // pauses; after the pause a few are tried before it pauses again.
 func (p *SpilloverPolicy) RecordOutcome(now time.Duration, outcome Outcome) {
-	remaining := decay(now-p.decayedAt, p.balancer.config.OutcomeHalfLife)
-	p.succeeded *= remaining
-	p.rejected *= remaining
+	factor := decayFactor(now-p.decayedAt, p.balancer.config.OutcomeHalfLife)
+	p.succeeded *= factor
+	p.rejected *= factor
 	p.decayedAt = now
 	if outcome == Succeeded {
 		p.succeeded++
--- a/internal/balancer/spillover_test.go
+++ b/internal/balancer/spillover_test.go
@@ -93,44 +93,44 @@
 func TestSpillover(t *testing.T) {
 	config := DefaultSpilloverConfig()
 	config.BudgetRatio, config.BudgetBurst = 0.5, 50
-	alone := simulateSpillover(0.7, nil)
+	without := simulateSpillover(0.7, nil)
 	with := simulateSpillover(0.7, &config)
-	t.Logf("uneven: rejected %.4f alone; with spillover %v", alone.rejected, with)
-	if with.rejected > 0.2*alone.rejected || with.rejectedThere > 0.05 {
+	t.Logf("uneven: rejected %.4f alone; with spillover %v", without.rejected, with)
+	if with.rejected > 0.2*without.rejected || with.spilledRejected > 0.05 {
 		t.Error("it does not help")
 	}
-	usual := DefaultSpilloverConfig()
-	within := simulateSpillover(0.7, &usual)
-	t.Logf("by the default budget: %v", within)
-	if within.rejected > 0.9*alone.rejected || within.spilled > usual.BudgetRatio {
+	defaults := DefaultSpilloverConfig()
+	withDefaults := simulateSpillover(0.7, &defaults)
+	t.Logf("by the default budget: %v", withDefaults)
+	if withDefaults.rejected > 0.9*without.rejected || withDefaults.spilled > defaults.BudgetRatio {
 		t.Error("the budget")
 	}
-	alone = simulateSpillover(1.6, nil)
+	without = simulateSpillover(1.6, nil)
 	with = simulateSpillover(1.6, &config)
-	t.Logf("all saturated: rejected %.4f alone; with spillover %v", alone.rejected, with)
-	if with.spilled > 0.02 || with.rejected > 1.02*alone.rejected {
+	t.Logf("all saturated: rejected %.4f alone; with spillover %v", without.rejected, with)
+	if with.spilled > 0.02 || with.rejected > 1.02*without.rejected {
 		t.Error("spilling over is the overload")
 	}
-	blind := config
-	blind.MaxSaturatedFraction, blind.SaturatedLoad = 1, 1000
-	t.Logf("  without regard to saturation: %v", simulateSpillover(1.6, &blind))
+	ignoringSaturation := config
+	ignoringSaturation.MaxSaturatedFraction, ignoringSaturation.SaturatedLoad = 1, 1000
+	t.Logf("  without regard to saturation: %v", simulateSpillover(1.6, &ignoringSaturation))
 }
 
 // spilloverResult is what a simulation of spillover measured.
 type spilloverResult struct {
-	rejected      float64 // share of all requests
-	spilled       float64 // share of all requests
-	rejectedThere float64 // share of those that were spilled over
+	rejected        float64 // share of all requests
+	spilled         float64 // share of all requests
+	spilledRejected float64 // share of those that were spilled over
 }
 
 func (r spilloverResult) String() string {
-	return fmt.Sprintf("rejected %.4f, spilled %.4f, of which %.3f were rejected", r.rejected, r.spilled, r.rejectedThere)
+	return fmt.Sprintf("rejected %.4f, spilled %.4f, of which %.3f were rejected", r.rejected, r.spilled, r.spilledRejected)
 }
 
 // spilloverRun is one simulation of spillover: each server accepts maxSpilloverLoad requests at a time.
 type spilloverRun struct {
-	fleet                                     *simulatedFleet
-	arrived, rejected, spilled, rejectedThere float64
+	fleet                                       *simulatedFleet
+	arrived, rejected, spilled, spilledRejected float64
 }
 
 const maxSpilloverLoad = 6
@@ -174,9 +174,9 @@
 	}
 	fleet.run(20)
 	return spilloverResult{
-		rejected:      run.rejected / run.arrived,
-		spilled:       run.spilled / run.arrived,
-		rejectedThere: run.rejectedThere / max(1, run.spilled),
+		rejected:        run.rejected / run.arrived,
+		spilled:         run.spilled / run.arrived,
+		spilledRejected: run.spilledRejected / max(1, run.spilled),
 	}
 }
 
@@ -205,7 +205,7 @@
 	}
 	name, load := s.balancer.NameAt(index), s.serverAt(index).reportedLoad(fleet.now)
 	fleet.schedule(0.002, func() {
-		if index, known := s.balancer.IndexOf(name); known {
+		if index, ok := s.balancer.IndexOf(name); ok {
 			s.balancer.RecordProbe(fleet.time(), index, load, time.Millisecond)
 		}
 	})
@@ -243,7 +243,7 @@
 	s.balancer.RecordStart(fleet.time(), index)
 	fleet.schedule(0.001, func() {
 		if server.load() >= maxSpilloverLoad {
-			s.run.rejectedThere++
+			s.run.spilledRejected++
 			s.run.rejected++
 			s.balancer.RecordOutcome(fleet.time(), name, Rejected, 0)
 			s.policy.RecordOutcome(fleet.time(), Rejected)
--- a/internal/balancer/subset.go
+++ b/internal/balancer/subset.go
@@ -179,7 +179,7 @@
 		if len(endpoint.accepted) >= endpoint.quota {
 			continue
 		}
-		if !endpoint.serves(client) {
+		if !endpoint.hasAccepted(client) {
 			endpoint.accepted = append(endpoint.accepted, acceptance{client, 0})
 			return
 		}
@@ -194,11 +194,11 @@
 func (m *matching) exchange(client int, free *matchedEndpoint) bool {
 	for full := range m.endpoints {
 		endpoint := &m.endpoints[full]
-		if endpoint.serves(client) {
+		if endpoint.hasAccepted(client) {
 			continue
 		}
 		for i, accepted := range endpoint.accepted {
-			if !free.serves(accepted.client) {
+			if !free.hasAccepted(accepted.client) {
 				endpoint.accepted[i].client = client
 				free.accepted = append(free.accepted, accepted)
 				return true
@@ -208,7 +208,7 @@
 	return false
 }
 
-func (e *matchedEndpoint) serves(client int) bool {
+func (e *matchedEndpoint) hasAccepted(client int) bool {
 	return slices.ContainsFunc(e.accepted, func(a acceptance) bool { return a.client == client })
 }
 
--- a/internal/balancer/subset_test.go
+++ b/internal/balancer/subset_test.go
@@ -59,15 +59,15 @@
 	clients, endpoints := makeNames("d", 40), makeNames("m", 200)
 	before := Subsets(clients, endpoints, 20)
 	const trials = 50
-	worst, sum := 0, 0
+	maxOpened, openedSum := 0, 0
 	for i := range trials {
 		without := Subsets(clients, slices.Delete(slices.Clone(endpoints), i, i+1), 20)
 		leaving, returning := movedConnections(before, without), movedConnections(without, before)
-		worst = max(worst, leaving, returning)
-		sum += leaving
+		maxOpened = max(maxOpened, leaving, returning)
+		openedSum += leaving
 	}
-	if worst > 60 || sum/trials > 25 {
-		t.Fatalf("%d of 800 opened on average, %d at the most", sum/trials, worst)
+	if maxOpened > 60 || openedSum/trials > 25 {
+		t.Fatalf("%d of 800 opened on average, %d at the most", openedSum/trials, maxOpened)
 	}
 	if moved := movedConnections(before, Subsets(append(clients, "d40"), endpoints, 20)); moved > 80 {
 		t.Fatal("a further client opens ", moved)
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -48,7 +48,7 @@
 	total := 0.0
 	for index, state := range b.endpoints {
 		state.outlier = ejecting && b.isOutlier(now, state)
-		weight := b.startWeight(now, state)
+		weight := b.baseWeight(now, state)
 		if ejecting {
 			weight = b.healthWeight(now, state, weight)
 		}
@@ -104,16 +104,16 @@
 	b.loadHalfLife = min(max(seconds(sparseLoadFactor*b.meanLatency), minLoadHalfLife), maxLoadHalfLife)
 }
 
-// startWeight returns the weight of an endpoint by its capacity, less where it has started or recovered of late; it
+// baseWeight returns the weight of an endpoint by its capacity, less where it has started or recovered of late; it
 // grows back in a straight line.
-func (b *Balancer) startWeight(now time.Duration, state *endpointState) float64 {
+func (b *Balancer) baseWeight(now time.Duration, state *endpointState) float64 {
 	weight := state.Capacity
 	if state.warmingUp(now) {
 		remaining := max(0, state.WarmUpRemaining-(now-state.updatedAt))
 		weight *= minSlowStartWeight + (1-minSlowStartWeight)*(1-float64(remaining)/float64(state.WarmUp))
 	}
-	if recovering := now - state.recoveredAt; state.recoveredAt > 0 && recovering < b.config.OutcomeHalfLife {
-		weight *= minSlowStartWeight + (1-minSlowStartWeight)*float64(recovering)/float64(b.config.OutcomeHalfLife)
+	if sinceRecovery := now - state.recoveredAt; state.recoveredAt > 0 && sinceRecovery < b.config.OutcomeHalfLife {
+		weight *= minSlowStartWeight + (1-minSlowStartWeight)*float64(sinceRecovery)/float64(b.config.OutcomeHalfLife)
 	}
 	return weight
 }
--- a/internal/concurrencylease/allocator.go
+++ b/internal/concurrencylease/allocator.go
@@ -46,7 +46,7 @@
 	return &Allocator{
 		config:         config,
 		bootID:         bootID,
-		renewOnlyUntil: config.expiredBy(now),
+		renewOnlyUntil: config.latestCallEnd(now),
 		holders:        map[membership.ID]*holderState{},
 		share:          fairShare{stale: true},
 	}
@@ -58,10 +58,10 @@
 // SetConfig replaces the configuration. A lower capacity holds for what is granted from now on; leases in force run out
 // by their time.
 func (a *Allocator) SetConfig(config Config) {
-	// Calls that may take longer from now on outlive what was expected of leases in force.
-	if longer := config.expiredBy(0) - a.config.expiredBy(0); longer > 0 {
+	// Calls that may take increase from now on outlive what was expected of leases in force.
+	if increase := config.latestCallEnd(0) - a.config.latestCallEnd(0); increase > 0 {
 		for _, holder := range a.holders {
-			holder.expiresAt += longer
+			holder.expiresAt += increase
 		}
 	}
 	a.config = config
@@ -142,7 +142,7 @@
 func (a *Allocator) limit(now time.Duration, holder *holderState, renewable int) int {
 	if !a.RenewOnly(now) {
 		available := max(0, a.config.LeasableCalls()-(a.committed-holder.committed))
-		return min(holder.wantedCalls, a.fairShare(now, holder), available)
+		return min(holder.wantedCalls, a.fairLimit(now, holder), available)
 	}
 	// A holder that goes by a lease of ours already has that renewed.
 	for _, lease := range holder.unconfirmed {
@@ -158,7 +158,7 @@
 		holder.unconfirmed = slices.Delete(holder.unconfirmed, 0, 1)
 	}
 	holder.unconfirmed = append(holder.unconfirmed, lease)
-	holder.expiresAt = a.config.expiredBy(now)
+	holder.expiresAt = a.config.latestCallEnd(now)
 	a.updateCommitted(holder)
 }
 
--- a/internal/concurrencylease/allocator_test.go
+++ b/internal/concurrencylease/allocator_test.go
@@ -64,7 +64,7 @@
 
 // What is late, duplicated, of another allocator or out of range changes nothing; past its limit an allocator knows
 // no new holder.
-func Example_refused() {
+func Example_invalidMessages() {
 	config := DefaultConfig()
 	config.Capacity, config.MaxHolders = 4, 2
 	config.LeaseDuration, config.MaxCallDuration = time.Second, time.Second
@@ -81,9 +81,9 @@
 
 	second := holder.NextRequest(now, 7, 0)
 	secondLease, _ := allocator.HandleRequest(now, second)
-	ofAnother := Lease{AllocatorBootID: 8, Sequence: second.Sequence, Limit: 100, Duration: time.Hour}
-	ofNoRequest := Lease{AllocatorBootID: 7, Sequence: 99, Limit: 100, Duration: time.Hour}
-	fmt.Println(holder.Accept(ofAnother), holder.Accept(ofNoRequest), holder.Accept(secondLease),
+	otherAllocatorLease := Lease{AllocatorBootID: 8, Sequence: second.Sequence, Limit: 100, Duration: time.Hour}
+	unrequestedLease := Lease{AllocatorBootID: 7, Sequence: 99, Limit: 100, Duration: time.Hour}
+	fmt.Println(holder.Accept(otherAllocatorLease), holder.Accept(unrequestedLease), holder.Accept(secondLease),
 		holder.Accept(firstLease), holder.Limit(now+999*time.Millisecond), holder.Limit(now+time.Second))
 
 	outOfRange, ok := allocator.HandleRequest(now, Request{
@@ -117,8 +117,8 @@
 func Example_expiry() {
 	config := DefaultConfig()
 	config.Capacity, config.MaxClockDrift = 10, 0.1
-	lastCallOver := (config.LeaseDuration + config.MaxCallDuration).Seconds() / (1 - config.MaxClockDrift)
-	fmt.Println(config.expiredBy(0).Seconds()/(1+config.MaxClockDrift) >= lastCallOver-1e-6)
+	lastCallEnd := (config.LeaseDuration + config.MaxCallDuration).Seconds() / (1 - config.MaxClockDrift)
+	fmt.Println(config.latestCallEnd(0).Seconds()/(1+config.MaxClockDrift) >= lastCallEnd-1e-6)
 
 	allocator := NewAllocator(config, 1, 0)
 	now := time.Minute
--- a/internal/concurrencylease/fairshare.go
+++ b/internal/concurrencylease/fairshare.go
@@ -10,8 +10,8 @@
 	// that want one.
 	lotteryPeriod = 3 * time.Second
 	// From so many holders on the level is worked out once in a levelInterval and not for each request.
-	manyHolders   = 64
-	levelInterval = 20 * time.Millisecond
+	recomputeThrottleHolders = 64
+	recomputeInterval        = 20 * time.Millisecond
 )
 
 // fairShare is how the leasable calls are shared: each holder gets as much as it wants up to a level that is the same
@@ -24,9 +24,9 @@
 	stale        bool          // something it depends on has changed since
 }
 
-// fairShare is how many calls a holder gets at the most.
-func (a *Allocator) fairShare(now time.Duration, holder *holderState) int {
-	recent := now-a.share.computedAt < levelInterval && len(a.holders) >= manyHolders
+// fairLimit is how many calls a holder gets at the most.
+func (a *Allocator) fairLimit(now time.Duration, holder *holderState) int {
+	recent := now-a.share.computedAt < recomputeInterval && len(a.holders) >= recomputeThrottleHolders
 	if a.share.stale && !recent || a.share.computedAt/lotteryPeriod != now/lotteryPeriod {
 		a.updateFairShare(now)
 	}
--- a/internal/concurrencylease/holder.go
+++ b/internal/concurrencylease/holder.go
@@ -19,8 +19,8 @@
 	// and calls come by the hundred. A peak under negligibleDemand calls has faded away.
 	demandHeadroom   = 1.25
 	negligibleDemand = 0.05
-	// rememberedRequests is how many requests may be under way whose answers are told apart.
-	rememberedRequests = 8
+	// maxTrackedRequests is how many requests may be under way whose answers are told apart.
+	maxTrackedRequests = 8
 )
 
 // Holder is one process's side of an allocator. It belongs to one goroutine.
@@ -34,7 +34,7 @@
 	held          HeldLease
 	expiresAt     time.Duration
 	sequence      uint64                          // of the last request
-	sent          [rememberedRequests]sentRequest // the last ones, by sequence
+	sent          [maxTrackedRequests]sentRequest // the last ones, by sequence
 	nextRequest   time.Duration
 	leaseDuration time.Duration // of the last lease, 0 before the first
 	peakDemand    float64       // recent peak of the calls wanted at a time, as of peakAt; it decays
@@ -84,17 +84,17 @@
 	if !waiting || h.nextRequest <= now {
 		return h.nextRequest
 	}
-	soonest := h.request(h.sequence).sentAt + h.currentLeaseDuration()/waitingRequestsPerLease
+	soonest := h.sentSlot(h.sequence).sentAt + h.currentLeaseDuration()/waitingRequestsPerLease
 	return min(h.nextRequest, soonest)
 }
 
-// request is what is remembered at the place of a sequence.
-func (h *Holder) request(sequence uint64) *sentRequest { return &h.sent[sequence%rememberedRequests] }
+// sentSlot is what is remembered at the place of a sequence.
+func (h *Holder) sentSlot(sequence uint64) *sentRequest { return &h.sent[sequence%maxTrackedRequests] }
 
 // NextRequest makes the next request to an allocator; openCalls is the calls that may be running.
 func (h *Holder) NextRequest(now time.Duration, allocatorBootID membership.BootID, openCalls int) Request {
 	h.sequence++
-	*h.request(h.sequence) = sentRequest{sequence: h.sequence, allocatorBootID: allocatorBootID, sentAt: now}
+	*h.sentSlot(h.sequence) = sentRequest{sequence: h.sequence, allocatorBootID: allocatorBootID, sentAt: now}
 	h.nextRequest = now + h.currentLeaseDuration()/requestsPerLease
 	request := Request{
 		Holder:      h.ID,
@@ -112,9 +112,9 @@
 // Accept takes an answer, and reports whether it counts. A lease lasts from when it was requested, so that it ends here
 // before it does at the allocator, however long the answer took.
 func (h *Holder) Accept(lease Lease) bool {
-	sent := h.request(lease.Sequence)
-	answersUs := sent.sequence == lease.Sequence && sent.allocatorBootID == lease.AllocatorBootID
-	if !answersUs || lease.Sequence <= h.held.Sequence || lease.Limit < 0 || lease.Duration <= 0 {
+	sent := h.sentSlot(lease.Sequence)
+	answersOwnRequest := sent.sequence == lease.Sequence && sent.allocatorBootID == lease.AllocatorBootID
+	if !answersOwnRequest || lease.Sequence <= h.held.Sequence || lease.Limit < 0 || lease.Duration <= 0 {
 		return false // very late, of another allocator, older than the last one, or out of range
 	}
 	h.UnleasedCalls = min(h.MaxUnleasedCalls, max(0, lease.UnleasedCalls))
--- a/internal/concurrencylease/lease.go
+++ b/internal/concurrencylease/lease.go
@@ -36,9 +36,9 @@
 // LeasableCalls is how many calls are left for leases once each process has what it may make without one.
 func (c Config) LeasableCalls() int { return max(0, c.Capacity-c.UnleasedCalls*c.MaxProcesses) }
 
-// expiredBy is when all is over that was leased up to now, by the allocator's clock: the last call begins just before
+// latestCallEnd is when all is over that was leased up to now, by the allocator's clock: the last call begins just before
 // its lease ends and takes as long as any may.
-func (c Config) expiredBy(now time.Duration) time.Duration {
+func (c Config) latestCallEnd(now time.Duration) time.Duration {
 	return now + c.worstCase(c.LeaseDuration+c.MaxCallDuration)
 }
 
--- a/internal/concurrencylease/simulation_test.go
+++ b/internal/concurrencylease/simulation_test.go
@@ -17,7 +17,7 @@
 // Whatever is lost, late, duplicated or out of order, whichever process dies, stands still or has a clock that is wrong
 // within the configured drift: there are never more calls than the capacity, and the capacity is used. For more
 // simulations: go test -run Cap ./internal/concurrencylease -scenes 20000.
-func TestCap(t *testing.T) {
+func TestCapacityIsNeverExceeded(t *testing.T) {
 	served := 0
 	for seed := range uint64(*simulations) {
 		sim := simulate(seed, 20*time.Second)
@@ -69,11 +69,11 @@
 
 type process struct {
 	clock
-	holder      *Holder
-	openCalls   int
-	wantedCalls int
-	deaf        bool // it receives nothing
-	generation  int  // how often it was started
+	holder         *Holder
+	openCalls      int
+	wantedCalls    int
+	dropsResponses bool // it receives nothing
+	generation     int  // how often it was started
 }
 
 // simulate runs a simulation for a duration.
@@ -86,7 +86,7 @@
 		sim.processes = append(sim.processes, p)
 		sim.startProcess(p)
 	}
-	sim.after(0, sim.disturb)
+	sim.after(0, sim.injectFault)
 	for sim.at < duration {
 		next := sim.events[0]
 		sim.events = sim.events[1:]
@@ -202,7 +202,7 @@
 			return
 		}
 		lease, ok := allocator.HandleRequest(sim.allocatorClock.now(sim), request)
-		if !ok || p.deaf {
+		if !ok || p.dropsResponses {
 			return
 		}
 		sim.send(&p.clock, func() {
@@ -245,8 +245,8 @@
 	})
 }
 
-// disturb has something go wrong, again and again.
-func (sim *simulation) disturb() {
+// injectFault has something go wrong, again and again.
+func (sim *simulation) injectFault() {
 	p := sim.processes[sim.random.IntN(len(sim.processes))]
 	switch sim.random.IntN(8) {
 	case 0:
@@ -261,9 +261,9 @@
 	case 3:
 		sim.startAllocator()
 	case 4:
-		p.deaf = !p.deaf
+		p.dropsResponses = !p.dropsResponses
 	default:
 		p.wantedCalls = sim.random.IntN(20)
 	}
-	sim.after(sim.duration(700*time.Millisecond), sim.disturb)
+	sim.after(sim.duration(700*time.Millisecond), sim.injectFault)
 }
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -58,11 +58,11 @@
 // progress returns how far the request has come.
 func (r *Request) progress() balancer.Attempt {
 	return balancer.Attempt{
-		Deadline:    r.options.Deadline,
-		Made:        r.attempts,
-		MaxAttempts: r.options.MaxAttempts,
-		Idempotent:  r.options.Idempotent,
-		Forwarded:   r.message.Hops > 1,
+		Deadline:     r.options.Deadline,
+		AttemptsMade: r.attempts,
+		MaxAttempts:  r.options.MaxAttempts,
+		Idempotent:   r.options.Idempotent,
+		Forwarded:    r.message.Hops > 1,
 	}
 }
 
