--- a/internal/concurrencylease/allocator.go
+++ b/internal/concurrencylease/allocator.go
@@ -9,39 +9,40 @@
 	"lanewheel/internal/membership"
 )
 
-// maxUnconfirmed is how many leases of a holder are told apart that it may go by; beyond that the oldest two count as
-// the greater one. Each request says which are behind its holder, so more are only kept of a holder that receives
-// nothing.
+// maxUnconfirmed is the maximum number of leases that are tracked per holder because the holder may be using any of
+// them. Beyond it, the oldest two are merged into one with the larger limit. Each request confirms the lease that its
+// holder uses, so only a holder that receives no leases reaches the maximum.
 const maxUnconfirmed = 8
 
-// Allocator grants leases. It belongs to one goroutine.
+// Allocator grants leases. All methods must be called from the same goroutine.
 type Allocator struct {
 	config Config
 	bootID membership.BootID
-	// renewOnlyUntil is until when leases of an earlier allocator, of which this one knows nothing, may be in force.
+	// renewOnlyUntil is the time until which leases of an earlier allocator, which this one has no record of, may be in
+	// force.
 	renewOnlyUntil time.Duration
 	holders        map[membership.ID]*holderState
 	committed      int // sum of the holders' committed calls
 	fenced         bool
 	share          fairShare
 
-	rejectedRequests uint64 // of holders for which there is no room
-	ignoredRequests  uint64 // late or duplicated
+	rejectedRequests uint64 // requests of new holders beyond Config.MaxHolders
+	ignoredRequests  uint64 // late or duplicated requests
 }
 
-// holderState is what the allocator knows of one holder.
+// holderState is the allocator's record of one holder.
 type holderState struct {
-	hash        uint64      // of its identity
-	sequence    uint64      // of its last request
-	unconfirmed []HeldLease // leases that it may go by, the oldest first
-	openCalls   int
-	wantedCalls int
-	expiresAt   time.Duration // when none of its calls can be running any more
-	committed   int           // calls that it may have running
+	hash        uint64        // of the holder's ID
+	sequence    uint64        // of the last request
+	unconfirmed []HeldLease   // leases that the holder may be using, oldest first
+	openCalls   int           // as of the last request
+	wantedCalls int           // as of the last request
+	expiresAt   time.Duration // when the last call made under any of the leases has ended
+	committed   int           // maximum number of calls that the holder may have running
 }
 
-// NewAllocator makes an allocator that knows nothing of what was granted before it. Until all of that is over it only
-// renews what holders say they have, which together is no more than what was granted.
+// NewAllocator returns an allocator that has no record of leases granted by an earlier one. Until all of those have
+// expired, it only renews the leases that holders report, whose sum does not exceed what was granted.
 func NewAllocator(config Config, bootID membership.BootID, now time.Duration) *Allocator {
 	return &Allocator{
 		config:         config,
@@ -52,13 +53,13 @@
 	}
 }
 
-// Fence ends it: a later process has its name, and grants.
+// Fence makes the allocator stop answering requests, because a later process with the same name has taken over.
 func (a *Allocator) Fence() { a.fenced = true }
 
-// SetConfig replaces the configuration. A lower capacity holds for what is granted from now on; leases in force run out
-// by their time.
+// SetConfig replaces the configuration. A lower capacity applies to leases granted from now on; leases in force keep
+// their limit until they expire.
 func (a *Allocator) SetConfig(config Config) {
-	// Calls that may take increase from now on outlive what was expected of leases in force.
+	// With a longer lease or call duration, calls under leases in force may end later than computed at the grant.
 	if increase := config.latestCallEnd(0) - a.config.latestCallEnd(0); increase > 0 {
 		for _, holder := range a.holders {
 			holder.expiresAt += increase
@@ -68,16 +69,17 @@
 	a.share.stale = true
 }
 
-// RenewOnly reports whether it only renews leases of an earlier allocator yet.
+// RenewOnly reports whether the allocator still only renews leases of an earlier allocator.
 func (a *Allocator) RenewOnly(now time.Duration) bool { return now < a.renewOnlyUntil }
 
-// Committed is how many calls may be running by leases, and how many holders there are.
+// Committed returns the maximum number of calls that may be running under leases, and the number of holders.
 func (a *Allocator) Committed(now time.Duration) (calls, holders int) {
 	a.expireHolders(now)
 	return a.committed, len(a.holders)
 }
 
-// HandleRequest answers a request; ok is false if it gets no answer.
+// HandleRequest returns the lease that answers a request. ok is false if the request is not answered: the allocator is
+// fenced, the request is late or duplicated, or its holder is one too many.
 func (a *Allocator) HandleRequest(now time.Duration, request Request) (lease Lease, ok bool) {
 	if a.fenced {
 		return lease, false
@@ -100,7 +102,7 @@
 	}, true
 }
 
-// admit gives the state of a request's holder, nil if the request is not to be answered.
+// admit returns the state of a request's holder, or nil if the request must not be answered.
 func (a *Allocator) admit(request Request) *holderState {
 	holder := a.holders[request.Holder]
 	switch {
@@ -118,8 +120,9 @@
 	return holder
 }
 
-// recordRequest takes over what a holder has and wants, and gives what an earlier allocator leased to it that may be
-// renewed. Numbers are cut to the capacity, so that no sum overflows.
+// recordRequest records the open and wanted calls of a holder, and drops the leases that the request shows to be
+// superseded. It returns the limit of a lease of an earlier allocator that may be renewed, 0 for none. Numbers are
+// clamped to the capacity so that no sum overflows.
 func (a *Allocator) recordRequest(now time.Duration, holder *holderState, request Request) (renewable int) {
 	holder.sequence = request.Sequence
 	holder.openCalls = a.clamp(request.OpenCalls)
@@ -138,20 +141,20 @@
 
 func (a *Allocator) clamp(calls int) int { return min(max(0, calls), a.config.Capacity) }
 
-// limit is how many calls a holder gets.
+// limit returns the number of concurrent calls to lease to a holder.
 func (a *Allocator) limit(now time.Duration, holder *holderState, renewable int) int {
 	if !a.RenewOnly(now) {
 		available := max(0, a.config.LeasableCalls()-(a.committed-holder.committed))
 		return min(holder.wantedCalls, a.fairLimit(now, holder), available)
 	}
-	// A holder that goes by a lease of ours already has that renewed.
+	// A holder that already uses a lease of this allocator gets that renewed.
 	for _, lease := range holder.unconfirmed {
 		renewable = max(renewable, lease.Limit)
 	}
 	return min(renewable, holder.wantedCalls)
 }
 
-// recordLease notes a lease that its holder may go by from now on.
+// recordLease records a lease that its holder may use from now on.
 func (a *Allocator) recordLease(now time.Duration, holder *holderState, lease HeldLease) {
 	if len(holder.unconfirmed) >= maxUnconfirmed {
 		holder.unconfirmed[1].Limit = max(holder.unconfirmed[0].Limit, holder.unconfirmed[1].Limit)
@@ -162,7 +165,8 @@
 	a.updateCommitted(holder)
 }
 
-// updateCommitted recounts the calls that a holder may have running, by all leases that it may go by.
+// updateCommitted recomputes the number of calls that a holder may have running: the maximum of its open calls and the
+// limits of all leases that it may be using.
 func (a *Allocator) updateCommitted(holder *holderState) {
 	a.committed -= holder.committed
 	holder.committed = holder.openCalls
@@ -172,7 +176,7 @@
 	a.committed += holder.committed
 }
 
-// expireHolders drops holders none of whose calls can be running any more.
+// expireHolders removes holders that cannot have calls running any more.
 func (a *Allocator) expireHolders(now time.Duration) {
 	for id, holder := range a.holders {
 		if now >= holder.expiresAt && holder.expiresAt > 0 {
--- a/internal/concurrencylease/allocator_test.go
+++ b/internal/concurrencylease/allocator_test.go
@@ -8,7 +8,7 @@
 	"lanewheel/internal/membership"
 )
 
-// newHolder is a holder that has had no lease yet.
+// newHolder returns a holder that has not received a lease.
 func newHolder(name membership.Name) *Holder {
 	return &Holder{ID: membership.ID{Name: name, BootID: 1}, MaxCallDuration: time.Minute}
 }
@@ -20,14 +20,15 @@
 	return holders
 }
 
-// renew has a holder request a lease from an allocator, and take it.
+// renew requests a lease for a holder from an allocator, and reports whether the holder accepts it.
 func renew(allocator *Allocator, holder *Holder, now time.Duration, openCalls int) bool {
 	lease, ok := allocator.HandleRequest(now, holder.NextRequest(now, allocator.bootID, openCalls))
 	return ok && holder.Accept(lease)
 }
 
-// A lease from the first request to its end: a new allocator renews and grants nothing, then shares by what is
-// wanted; what a holder had that asks no more is leased to others once its last call may be over.
+// Example shows leases from the first request to their expiry. A new allocator at first only renews leases. Later it
+// divides the calls by demand. The calls of a holder that sends no more requests are leased to others once its last
+// call must have ended.
 func Example() {
 	config := DefaultConfig()
 	config.Capacity, config.MaxClockDrift = 10, 0
@@ -62,8 +63,8 @@
 	// 15s b true 10 5s granted 10 to 1
 }
 
-// What is late, duplicated, of another allocator or out of range changes nothing; past its limit an allocator knows
-// no new holder.
+// Example_invalidMessages shows that messages that are late, duplicated, from another allocator or out of range have no
+// effect, and that an allocator accepts no new holder beyond MaxHolders.
 func Example_invalidMessages() {
 	config := DefaultConfig()
 	config.Capacity, config.MaxHolders = 4, 2
@@ -110,10 +111,10 @@
 	// false
 }
 
-// A holder's clock that is as slow as configured and an allocator's that is as fast: what was leased is free no
-// sooner than the holder's last call is over, by true time. A holder that receives nothing more counts by the
-// greatest lease that it may have taken, however many it is sent; and by calls that take as long as they might when
-// it was granted.
+// Example_expiry checks the expiry of leases where the holder's clock is as slow, and the allocator's as fast, as
+// MaxClockDrift allows: by true time, leased calls become free no earlier than the holder's last call ends. A holder
+// that receives no leases is counted with the largest lease that it may have accepted, however many it is sent, and
+// with the longest call duration in force since the grant.
 func Example_expiry() {
 	config := DefaultConfig()
 	config.Capacity, config.MaxClockDrift = 10, 0.1
@@ -146,7 +147,7 @@
 	// 0 0
 }
 
-// A request at an allocator of 300 holders that all want more than there is.
+// BenchmarkHandleRequest measures a request to an allocator with 300 holders whose demand exceeds the capacity.
 func BenchmarkHandleRequest(b *testing.B) {
 	config := DefaultConfig()
 	config.Capacity = 200
--- a/internal/concurrencylease/fairshare.go
+++ b/internal/concurrencylease/fairshare.go
@@ -6,25 +6,26 @@
 )
 
 const (
-	// lotteryPeriod is how long a holder keeps the one call that it has by lot, where there are fewer calls than holders
-	// that want one.
+	// lotteryPeriod is how long a holder keeps the extra call that it won in the lottery. Where fewer calls are leasable
+	// than holders want one, it is the holder's only call.
 	lotteryPeriod = 3 * time.Second
-	// From so many holders on the level is worked out once in a levelInterval and not for each request.
+	// From recomputeThrottleHolders holders on, the level is recomputed at most once per recomputeInterval instead of
+	// for each request.
 	recomputeThrottleHolders = 64
 	recomputeInterval        = 20 * time.Millisecond
 )
 
-// fairShare is how the leasable calls are shared: each holder gets as much as it wants up to a level that is the same
-// for all. What is left over goes, one call each, to the holders that are drawn by lot, and others in each lottery
-// period, so that none is without a call for ever.
+// fairShare is the max-min fair division of the leasable calls: each holder gets as many as it wants, up to a level
+// that is the same for all. The remainder goes, one call each, to holders drawn by lottery. Each lottery period draws
+// anew, so that no holder stays without a call forever.
 type fairShare struct {
 	level        int
-	extraHolders int           // holders that get one more than the level
-	computedAt   time.Duration // when the level was worked out
-	stale        bool          // something it depends on has changed since
+	extraHolders int           // number of holders that get one call more than the level
+	computedAt   time.Duration // when the level was computed
+	stale        bool          // whether an input has changed since computedAt
 }
 
-// fairLimit is how many calls a holder gets at the most.
+// fairLimit returns the maximum number of calls that a holder gets by its fair share.
 func (a *Allocator) fairLimit(now time.Duration, holder *holderState) int {
 	recent := now-a.share.computedAt < recomputeInterval && len(a.holders) >= recomputeThrottleHolders
 	if a.share.stale && !recent || a.share.computedAt/lotteryPeriod != now/lotteryPeriod {
@@ -56,8 +57,8 @@
 	}
 }
 
-// winsLottery reports whether a holder gets one more than the level: those with the least rank do, of the holders that
-// want more.
+// winsLottery reports whether a holder gets one call more than the level. Of the holders that want more than the level,
+// the extraHolders with the lowest ranks win.
 func (a *Allocator) winsLottery(now time.Duration, holder *holderState) bool {
 	if a.share.extraHolders == 0 {
 		return false
@@ -73,8 +74,8 @@
 	return ahead < a.share.extraHolders
 }
 
-// lotteryRank orders holders, differently in each period.
+// lotteryRank returns the rank of a holder in the lottery of a period. The order differs between periods.
 func lotteryRank(holder *holderState, period uint64) uint64 {
-	const multiplier = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio, which spreads the periods over all bits
+	const multiplier = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio, to spread the period over all bits
 	return holder.hash ^ period*multiplier
 }
--- a/internal/concurrencylease/fairshare_test.go
+++ b/internal/concurrencylease/fairshare_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Five calls among twenty holders that want one each: each has its turn.
+// Example_lottery divides five calls among twenty holders that want one each: every holder gets a call at some time.
 func Example_lottery() {
 	config := DefaultConfig()
 	config.Capacity, config.LeaseDuration, config.MaxCallDuration = 5, 500*time.Millisecond, 100*time.Millisecond
@@ -30,7 +30,7 @@
 	// Output: 20 true 5
 }
 
-// limitSummary is the least, the greatest and the sum of what holders may do.
+// limitSummary is the smallest, the largest and the sum of the limits of some holders.
 type limitSummary struct{ smallest, largest, sum int }
 
 func summarizeLimits(holders []*Holder, now time.Duration) limitSummary {
@@ -44,14 +44,14 @@
 	return summary
 }
 
-// Where nothing fails the capacity is used up, within a tenth, as long as enough is wanted, and each holder has what
-// the others have.
+// TestFairShares checks that without faults and with sufficient demand, at least nine tenths of the capacity are leased
+// and holders with the same demand get nearly the same limit.
 func TestFairShares(t *testing.T) {
 	config := DefaultConfig()
 	config.Capacity = 200
 	allocator := NewAllocator(config, 1, 0)
 	holders := newHolders(50)
-	persistent := holders[15:] // the others are gone after 20 s
+	persistent := holders[15:] // the others send no requests after 20 s
 	for now := 8 * time.Second; now < 60*time.Second; now += 500 * time.Millisecond {
 		active := holders
 		if now > 20*time.Second {
@@ -65,14 +65,14 @@
 		if now == 18*time.Second && (all.sum < 180 || all.sum > 200 || persisting.largest-persisting.smallest > 5) {
 			t.Fatal(now, all, persisting)
 		}
-		// What the others had is used by those that stay.
+		// The remaining holders use the calls of the ones that left.
 		if now > 32*time.Second && (persisting.sum < 180 || persisting.sum > 200) {
 			t.Fatal(now, persisting)
 		}
 	}
 }
 
-// unevenDemand is 1 call for each fifth holder and 50 for the others.
+// unevenDemand returns 1 call for every fifth holder and 50 for the others.
 func unevenDemand(holders []*Holder, holder *Holder) int {
 	for i := 0; i < len(holders); i += 5 {
 		if holders[i] == holder {
--- a/internal/concurrencylease/holder.go
+++ b/internal/concurrencylease/holder.go
@@ -8,36 +8,38 @@
 )
 
 const (
-	// initialLeaseDuration is how long a lease is taken to last before one has come.
+	// initialLeaseDuration is the assumed duration of a lease until the first one is received.
 	initialLeaseDuration = 2 * time.Second
-	// requestsPerLease is how often a lease is renewed while it holds, so that two messages in a row may be lost.
+	// requestsPerLease is the number of renewal requests per lease duration. With 4, two consecutive messages may be
+	// lost without the lease expiring.
 	requestsPerLease = 4
-	// waitingRequestsPerLease is the same while calls wait that the allocator does not know of. It keeps hundreds of
-	// holders that are short of calls from sending a request for each call.
+	// waitingRequestsPerLease is the maximum number of requests per lease duration while calls wait that the allocator
+	// has not been informed of. It keeps hundreds of holders that have too few calls from sending one request per call.
 	waitingRequestsPerLease = 16
-	// A holder asks for demandHeadroom times its recent peak and one call more, as requests are sent some times a second
-	// and calls come by the hundred. A peak under negligibleDemand calls has faded away.
+	// A holder requests demandHeadroom times its recent peak plus one call, because requests are sent only a few times
+	// per second while calls arrive by the hundred. A decayed peak below negligibleDemand calls counts as no demand.
 	demandHeadroom   = 1.25
 	negligibleDemand = 0.05
-	// maxTrackedRequests is how many requests may be under way whose answers are told apart.
+	// maxTrackedRequests is the number of most recent requests whose answers are accepted.
 	maxTrackedRequests = 8
 )
 
-// Holder is one process's side of an allocator. It belongs to one goroutine.
+// Holder requests leases for one process and keeps the current one. All methods must be called from the same goroutine.
 type Holder struct {
 	ID               membership.ID
-	MaxUnleasedCalls int           // the configured bound of UnleasedCalls
-	MaxCallDuration  time.Duration // that a call may take, as configured or as the allocator says, whichever is less
-	// UnleasedCalls is how many calls may be made without a lease. It is 0 until the allocator has said what is set aside.
+	MaxUnleasedCalls int           // configured upper bound of UnleasedCalls
+	MaxCallDuration  time.Duration // the lesser of the configured maximum and the allocator's
+	// UnleasedCalls is the number of concurrent calls that may be made without a lease. It is 0 until the first lease
+	// states how many the allocator sets aside.
 	UnleasedCalls int
 
 	held          HeldLease
 	expiresAt     time.Duration
 	sequence      uint64                          // of the last request
-	sent          [maxTrackedRequests]sentRequest // the last ones, by sequence
+	sent          [maxTrackedRequests]sentRequest // the most recent requests, indexed by sentSlot
 	nextRequest   time.Duration
 	leaseDuration time.Duration // of the last lease, 0 before the first
-	peakDemand    float64       // recent peak of the calls wanted at a time, as of peakAt; it decays
+	peakDemand    float64       // decaying peak of the number of concurrent calls wanted, as of peakAt
 	peakAt        time.Duration
 }
 
@@ -47,8 +49,8 @@
 	sentAt          time.Duration
 }
 
-// RecordDemand notes how many calls are wanted at a time now, with those that are open. The recorded peak decays by
-// half in the duration of a lease: a burst comes again soon, or not.
+// RecordDemand records the number of concurrent calls wanted now, including the open ones. The recorded peak halves per
+// lease duration, because a burst either repeats soon or not at all.
 func (h *Holder) RecordDemand(now time.Duration, calls int) {
 	h.peakDemand *= math.Exp2(-float64(now-h.peakAt) / float64(h.currentLeaseDuration()))
 	h.peakAt = now
@@ -62,7 +64,7 @@
 	return initialLeaseDuration
 }
 
-// wantedCalls is how many calls to ask for, beyond those without a lease.
+// wantedCalls returns the number of calls to request beyond UnleasedCalls.
 func (h *Holder) wantedCalls(now time.Duration) int {
 	h.RecordDemand(now, 0)
 	if h.peakDemand < negligibleDemand {
@@ -71,7 +73,8 @@
 	return max(0, int(math.Ceil(h.peakDemand*demandHeadroom))+1-h.UnleasedCalls)
 }
 
-// Limit is how many calls may be made at a time. What was leased beyond its time may be another holder's already.
+// Limit returns the maximum number of concurrent calls. Once the lease has expired only UnleasedCalls remain, because
+// the leased calls may already belong to another holder.
 func (h *Holder) Limit(now time.Duration) int {
 	if now >= h.expiresAt {
 		return h.UnleasedCalls
@@ -79,7 +82,7 @@
 	return h.UnleasedCalls + h.held.Limit
 }
 
-// NextRequestAt is when the next request is due; sooner while calls wait.
+// NextRequestAt returns the time at which the next request is due. It is earlier while calls wait.
 func (h *Holder) NextRequestAt(now time.Duration, waiting bool) time.Duration {
 	if !waiting || h.nextRequest <= now {
 		return h.nextRequest
@@ -88,10 +91,11 @@
 	return min(h.nextRequest, soonest)
 }
 
-// sentSlot is what is remembered at the place of a sequence.
+// sentSlot returns the slot for the request with a sequence. It may hold an earlier request.
 func (h *Holder) sentSlot(sequence uint64) *sentRequest { return &h.sent[sequence%maxTrackedRequests] }
 
-// NextRequest makes the next request to an allocator; openCalls is the calls that may be running.
+// NextRequest returns the next request to an allocator and records it as sent. openCalls is the number of calls that
+// may be running, including those without a lease.
 func (h *Holder) NextRequest(now time.Duration, allocatorBootID membership.BootID, openCalls int) Request {
 	h.sequence++
 	*h.sentSlot(h.sequence) = sentRequest{sequence: h.sequence, allocatorBootID: allocatorBootID, sentAt: now}
@@ -109,13 +113,14 @@
 	return request
 }
 
-// Accept takes an answer, and reports whether it counts. A lease lasts from when it was requested, so that it ends here
-// before it does at the allocator, however long the answer took.
+// Accept replaces the held lease by one received from an allocator. It reports whether the lease is valid. The duration
+// of a lease counts from the time of its request, so that it expires at the holder before it does at the allocator,
+// however long the answer took.
 func (h *Holder) Accept(lease Lease) bool {
 	sent := h.sentSlot(lease.Sequence)
 	answersOwnRequest := sent.sequence == lease.Sequence && sent.allocatorBootID == lease.AllocatorBootID
 	if !answersOwnRequest || lease.Sequence <= h.held.Sequence || lease.Limit < 0 || lease.Duration <= 0 {
-		return false // very late, of another allocator, older than the last one, or out of range
+		return false // no longer tracked, from another allocator, older than the held lease, or out of range
 	}
 	h.UnleasedCalls = min(h.MaxUnleasedCalls, max(0, lease.UnleasedCalls))
 	if lease.MaxCallDuration > 0 {
--- a/internal/concurrencylease/lease.go
+++ b/internal/concurrencylease/lease.go
@@ -1,8 +1,8 @@
 // Package concurrencylease shares a hard cap on the concurrent calls to one upstream service among all processes of a
-// fleet. An allocator beside the service leases each holder so many calls at a time, for a while. Whatever views the
-// processes have of each other, and whatever messages between them are lost, late, duplicated or out of order, the
-// calls of all together never exceed the cap. It has no I/O: messages are handed in with their time. docs/upstreams.md
-// says which designs were weighed, and why this one holds.
+// fleet. An allocator next to the service grants each holder a lease: a number of concurrent calls for a limited time.
+// The total number of concurrent calls never exceeds the cap, even if the processes have different views of the fleet
+// and messages between them are lost, delayed, duplicated or reordered. The package does no I/O: the caller passes in
+// messages and the current time. docs/upstreams.md compares the designs considered and explains why this one is safe.
 package concurrencylease
 
 import (
@@ -11,18 +11,18 @@
 	"lanewheel/internal/membership"
 )
 
-// Config is what an allocator goes by.
+// Config is the configuration of an Allocator.
 type Config struct {
-	Capacity        int           // concurrent calls that the service takes from all processes together
-	UnleasedCalls   int           // of them, how many each process may make without a lease
-	MaxProcesses    int           // that may be up at once; UnleasedCalls is set aside for each
-	LeaseDuration   time.Duration // of a lease, by its holder's clock from when it was requested
-	MaxCallDuration time.Duration // that a call takes at the most
-	MaxClockDrift   float64       // the fraction by which a clock may run too fast or too slow
-	MaxHolders      int           // that are known at a time
+	Capacity        int           // maximum number of concurrent calls to the service from all processes together
+	UnleasedCalls   int           // number of these calls that each process may make without a lease
+	MaxProcesses    int           // maximum number of processes up at once; UnleasedCalls is set aside for each
+	LeaseDuration   time.Duration // measured by the holder's clock from the time of the request
+	MaxCallDuration time.Duration // maximum duration of a call
+	MaxClockDrift   float64       // maximum fraction by which a clock runs too fast or too slow
+	MaxHolders      int           // maximum number of holders tracked at a time
 }
 
-// DefaultConfig is what holds unless configured otherwise, less the capacity.
+// DefaultConfig returns the default configuration, without a capacity.
 func DefaultConfig() Config {
 	return Config{
 		MaxProcesses:    100,
@@ -33,35 +33,36 @@
 	}
 }
 
-// LeasableCalls is how many calls are left for leases once each process has what it may make without one.
+// LeasableCalls returns the number of calls that remain for leases after UnleasedCalls is set aside for each process.
 func (c Config) LeasableCalls() int { return max(0, c.Capacity-c.UnleasedCalls*c.MaxProcesses) }
 
-// latestCallEnd is when all is over that was leased up to now, by the allocator's clock: the last call begins just before
-// its lease ends and takes as long as any may.
+// latestCallEnd returns the time, by the allocator's clock, at which all calls under leases granted up to now have
+// ended: the last call starts just before its lease expires and takes MaxCallDuration.
 func (c Config) latestCallEnd(now time.Duration) time.Duration {
 	return now + c.worstCase(c.LeaseDuration+c.MaxCallDuration)
 }
 
-// worstCase is the longest that a duration by a holder's clock takes by the allocator's: the one runs too slow and the
-// other too fast.
+// worstCase returns the longest time that a duration measured by a holder's clock can take by the allocator's clock:
+// the holder's clock runs too slow and the allocator's too fast.
 func (c Config) worstCase(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + c.MaxClockDrift) / (1 - c.MaxClockDrift))
 }
 
-// HeldLease is the lease that a holder goes by.
+// HeldLease is the lease that a holder currently uses.
 type HeldLease struct {
-	AllocatorBootID membership.BootID // of the allocator that granted it; 0 for none
-	Sequence        uint64            // of the request that it answered
-	Limit           int               // concurrent calls beyond UnleasedCalls; 0 once it is over
+	AllocatorBootID membership.BootID // of the allocator that granted the lease; 0: no lease
+	Sequence        uint64            // of the request that the lease answered
+	Limit           int               // concurrent calls beyond UnleasedCalls; 0 once the lease has expired
 }
 
-// Request is what a holder has, and wants. The one with the greatest sequence counts.
+// Request asks an allocator for a lease, and reports the holder's current lease and calls. Of the requests of a holder
+// the one with the highest sequence is in effect.
 type Request struct {
 	Holder      membership.ID
 	Sequence    uint64
 	Held        HeldLease
 	OpenCalls   int // calls that may be running, beyond UnleasedCalls
-	WantedCalls int // concurrent calls that it could use, beyond UnleasedCalls
+	WantedCalls int // concurrent calls that the holder can use, beyond UnleasedCalls
 }
 
 // Lease is an allocator's answer to a request.
@@ -70,6 +71,6 @@
 	Sequence        uint64 // of the request
 	Limit           int    // concurrent calls beyond UnleasedCalls
 	Duration        time.Duration
-	UnleasedCalls   int           // calls that the holder may make without a lease
-	MaxCallDuration time.Duration // that a call may take
+	UnleasedCalls   int           // concurrent calls that the holder may make without a lease
+	MaxCallDuration time.Duration // maximum duration of a call
 }
--- a/internal/concurrencylease/simulation_test.go
+++ b/internal/concurrencylease/simulation_test.go
@@ -12,39 +12,40 @@
 	"lanewheel/internal/membership"
 )
 
-var simulations = flag.Int("scenes", 300, "simulations that TestCap runs")
+var simulations = flag.Int("scenes", 300, "number of simulations that TestCapacityIsNeverExceeded runs")
 
-// Whatever is lost, late, duplicated or out of order, whichever process dies, stands still or has a clock that is wrong
-// within the configured drift: there are never more calls than the capacity, and the capacity is used. For more
-// simulations: go test -run Cap ./internal/concurrencylease -scenes 20000.
+// TestCapacityIsNeverExceeded simulates messages that are lost, delayed, duplicated or reordered, and processes that
+// crash, stall or have a clock that is wrong within the configured drift. It checks that the number of concurrent calls
+// never exceeds the capacity, and that the capacity is used. To run more simulations:
+// go test -run Cap ./internal/concurrencylease -scenes 20000.
 func TestCapacityIsNeverExceeded(t *testing.T) {
 	served := 0
 	for seed := range uint64(*simulations) {
 		sim := simulate(seed, 20*time.Second)
 		served += sim.served
 		if sim.maxRunning > sim.config.Capacity {
-			t.Fatalf("seed %d: %d calls at a time, the capacity is %d (%+v)",
+			t.Fatalf("seed %d: %d concurrent calls exceed the capacity of %d (%+v)",
 				seed, sim.maxRunning, sim.config.Capacity, sim.config)
 		}
 	}
 	if mean := served / *simulations; mean < 500 {
-		t.Fatalf("only %d calls a simulation", mean)
+		t.Fatalf("mean number of calls per simulation is %d, must be at least 500", mean)
 	}
 }
 
-// simulation is an allocator and holders whose clocks run at their own rates, with a network between them that loses,
-// duplicates, delays and reorders messages, and processes that die, stand still and start anew.
+// simulation is a discrete-event simulation of an allocator and its holders. Each process has its own clock rate. The
+// network loses, duplicates, delays and reorders messages, and processes crash, stall and restart.
 type simulation struct {
 	config          Config
 	random          *rand.Rand
 	at              time.Duration
-	events          []event // by time
+	events          []event // sorted by time
 	eventCount      int
 	allocator       *Allocator
 	allocatorBootID membership.BootID
 	allocatorClock  *clock
 	processes       []*process
-	running         int // calls at the service, of all processes, with those without a lease
+	running         int // calls running at the service from all processes, including those without a lease
 	maxRunning      int
 	served          int
 	lossRate        float64
@@ -56,7 +57,7 @@
 	do       func()
 }
 
-// clock is a process's own: off by up to an hour, and too fast or too slow.
+// clock is the clock of one process. It is off by up to an hour and runs too fast or too slow.
 type clock struct {
 	offset       time.Duration
 	rate         float64
@@ -72,8 +73,8 @@
 	holder         *Holder
 	openCalls      int
 	wantedCalls    int
-	dropsResponses bool // it receives nothing
-	generation     int  // how often it was started
+	dropsResponses bool // no lease reaches the process
+	generation     int  // number of times that the process was started
 }
 
 // simulate runs a simulation for a duration.
@@ -96,7 +97,7 @@
 	return sim
 }
 
-// drawConfig draws the configuration and gives the number of processes.
+// drawConfig draws a random configuration and returns the number of processes.
 func (sim *simulation) drawConfig() (processes int) {
 	sim.config = DefaultConfig()
 	processes = 2 + sim.random.IntN(12)
@@ -110,7 +111,7 @@
 	return processes
 }
 
-// duration draws one up to a bound.
+// duration draws a random duration up to a bound.
 func (sim *simulation) duration(bound time.Duration) time.Duration {
 	return time.Duration(sim.random.Float64() * float64(bound))
 }
@@ -131,7 +132,7 @@
 	sim.events = slices.Insert(sim.events, place, added)
 }
 
-// send has a message arrive some time later, once, twice or never. A process that stands still gets it afterwards.
+// send delivers a message after a random delay: once, twice or never. A stalled process receives it after the stall.
 func (sim *simulation) send(to *clock, do func()) {
 	for range 2 {
 		if sim.random.Float64() > sim.lossRate {
@@ -155,7 +156,7 @@
 	do()
 }
 
-// startAllocator puts a new allocator in the place of the one before.
+// startAllocator replaces the allocator by a new one.
 func (sim *simulation) startAllocator() {
 	drawn := sim.drawClock()
 	sim.allocatorClock = &drawn
@@ -163,7 +164,7 @@
 	sim.allocator = NewAllocator(sim.config, sim.allocatorBootID, sim.allocatorClock.now(sim))
 }
 
-// startProcess puts a new process in a process's place. Calls of the one before go on at the service.
+// startProcess replaces a process by a new one. The calls of the earlier process continue at the service.
 func (sim *simulation) startProcess(p *process) {
 	p.generation++
 	p.openCalls = 0
@@ -198,7 +199,7 @@
 	request := p.holder.NextRequest(now, sim.allocatorBootID, p.openCalls)
 	holder, allocator := p.holder, sim.allocator
 	sim.send(sim.allocatorClock, func() {
-		if sim.allocator != allocator { // it was replaced
+		if sim.allocator != allocator { // the allocator was replaced while the request was in transit
 			return
 		}
 		lease, ok := allocator.HandleRequest(sim.allocatorClock.now(sim), request)
@@ -213,7 +214,7 @@
 	})
 }
 
-// callPeriodically makes calls, as many as are wanted and allowed.
+// callPeriodically makes as many calls as are wanted and allowed.
 func (sim *simulation) callPeriodically(p *process, generation int) {
 	if p.generation != generation {
 		return
@@ -227,7 +228,7 @@
 	sim.after(delay, func() { sim.callPeriodically(p, generation) })
 }
 
-// call makes a call that takes as long as it may by the clock of its process, or less.
+// call makes a call that takes at most MaxCallDuration by the clock of its process.
 func (sim *simulation) call(p *process, generation int) {
 	p.openCalls++
 	sim.running++
@@ -245,12 +246,13 @@
 	})
 }
 
-// injectFault has something go wrong, again and again.
+// injectFault injects a random fault or change of demand, and schedules the next one.
 func (sim *simulation) injectFault() {
 	p := sim.processes[sim.random.IntN(len(sim.processes))]
 	switch sim.random.IntN(8) {
 	case 0:
-		// Killed and started anew. While its calls go on, there is one more process than MaxProcesses counts.
+		// The process is killed and restarted. While its earlier calls continue, it counts as one process more than
+		// MaxProcesses allows, so this is limited to configurations without unleased calls.
 		if sim.config.UnleasedCalls == 0 {
 			sim.startProcess(p)
 		}
