--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -1,9 +1,9 @@
-// Package balancer decides which of many endpoints gets the next request, where each process that decides sends a
-// small part of the requests, and what it knows of the endpoints' load is sparse and old.
+// Package balancer decides which of many endpoints receives the next request. It is designed for fleets in which each
+// sender sends only a small part of the requests, and has sparse and outdated information about the endpoints' loads.
 //
-// It is pure: time and randomness are arguments, and what is believed of the endpoints is handed in by methods.
-// Times are durations since an origin that the caller chooses, the same for all calls. docs/balancing.md compares the
-// policies.
+// The package does no I/O: the caller passes in the time, a source of randomness and all information about the
+// endpoints. Times are durations since an origin that the caller chooses and that is the same for all calls.
+// docs/balancing.md compares the policies.
 package balancer
 
 import (
@@ -13,28 +13,28 @@
 	"time"
 )
 
-// Config is what the decisions go by.
+// Config is the configuration of a Balancer.
 type Config struct {
-	Policy      Policy // how an endpoint is picked; LeastEstimatedLoad unless configured
-	LocalZone   string // our own; empty: zones don't matter
-	ChoiceCount int    // endpoints that are drawn and compared for one request
+	Policy      Policy // how an endpoint is picked; the default is LeastEstimatedLoad
+	LocalZone   string // the sender's zone; empty: zones are ignored
+	ChoiceCount int    // number of endpoints that are drawn and compared for one request
 
-	// LoadHalfLife is the age at which a load report is worth half: others send by the same report. 0: derived from the
-	// mean latency.
+	// LoadHalfLife is the age at which a load report has half its weight. Reports lose weight because other senders act
+	// on the same report. 0: derived from the mean latency.
 	LoadHalfLife time.Duration
-	LoadMaxAge   time.Duration // age from which on a load report is worth nothing
+	LoadMaxAge   time.Duration // age beyond which a load report is ignored
 
-	LocalZoneUtilization float64 // share of a zone's capacity in use up to which all requests stay in it
+	LocalZoneUtilization float64 // utilization of the local zone up to which all requests stay in it
 
-	OutlierWeight      float64       // share of its usual weight that an outlier keeps, so that its recovery is seen
-	MaxOutlierFraction float64       // share of the endpoints that may be held to be outliers at a time
-	OutcomeHalfLife    time.Duration // age at which an outcome counts for half
+	OutlierWeight      float64       // fraction of its weight that an outlier keeps, so that its recovery is detected
+	MaxOutlierFraction float64       // maximum fraction of the endpoints that may be treated as outliers at a time
+	OutcomeHalfLife    time.Duration // age at which an outcome has half its weight
 
 	RetryRatio float64 // retries earned by each request
-	RetryBurst float64 // retries that may be saved up
+	RetryBurst float64 // maximum number of earned retries that are saved up
 }
 
-// DefaultConfig returns the values that apply unless configured.
+// DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	return Config{
 		ChoiceCount:          3,
@@ -48,28 +48,28 @@
 	}
 }
 
-// Balancer picks endpoints for requests. It has no lock: all of it belongs to the goroutine of its owner.
+// Balancer picks endpoints for requests. It has no lock: all methods must be called from the goroutine of its owner.
 type Balancer struct {
 	config      Config
 	endpoints   []*endpointState
 	indexByName map[EndpointName]int
 
-	// What recomputeWeights derives from the endpoints' states.
-	cumulativeWeights []float64 // by endpoint: its weight and those of all before it
-	weightsAt         time.Duration
-	weightsStale      bool // something has changed since
+	// Values that recomputeWeights derives from the endpoints' states.
+	cumulativeWeights []float64     // by endpoint index: the sum of the weights up to and including this endpoint
+	weightsAt         time.Duration // when the weights were computed
+	weightsStale      bool          // whether an input has changed since weightsAt
 	zones             map[string]*zoneLoad
-	meanLoad          float64 // requests in progress a core, over the endpoints with a recent report
+	meanLoad          float64 // requests in progress per core, over the endpoints with a recent report
 	meanLatency       float64 // s, over all endpoints with a succeeded request; 0: none yet
 	loadHalfLife      time.Duration
-	outlierCount      int
-	panicCount        uint64 // times that too many looked like outliers, and none was held to be one
+	outlierCount      int    // endpoints that look like outliers, ejected or not
+	panicCount        uint64 // recomputations that ejected no outlier because too many endpoints looked like one
 
 	retryTokens float64
-	pickCount   float64 // requests that an endpoint was to be picked for
+	pickCount   float64 // requests for which an endpoint was to be picked
 	roundRobin  int     // position of the policy RoundRobin; 0: not drawn yet
 
-	probePool     [probePoolSize]*endpointState // endpoints that answered a probe of late and got no request since
+	probePool     [probePoolSize]*endpointState // recently probed endpoints without a request since
 	nextProbeSlot int                           // the slot that is overwritten next
 }
 
@@ -85,7 +85,7 @@
 	}
 }
 
-// SetEndpoints replaces the endpoints. What is known of those that stay is kept. Indexes hold until the next call.
+// SetEndpoints replaces the endpoints. Endpoints that remain keep their state. Indexes are valid until the next call.
 func (b *Balancer) SetEndpoints(now time.Duration, endpoints []Endpoint) {
 	var states []*endpointState
 	byName := make(map[EndpointName]int, len(endpoints))
@@ -96,7 +96,7 @@
 		} else {
 			state = &endpointState{lastOutcomeAt: now, creditedPicks: b.pickCount}
 		}
-		if endpoint.WarmUpRemaining > state.WarmUpRemaining { // it has restarted
+		if endpoint.WarmUpRemaining > state.WarmUpRemaining { // the endpoint has restarted
 			state.slowStartCredit = 0
 			state.slowStartBegun = false
 		}
@@ -123,13 +123,13 @@
 // NameAt returns the name of the endpoint at an index.
 func (b *Balancer) NameAt(index int) EndpointName { return b.endpoints[index].Name }
 
-// IndexOf returns the index of an endpoint, and whether there is one of that name.
+// IndexOf returns the index of an endpoint. ok is false if there is no endpoint with that name.
 func (b *Balancer) IndexOf(name EndpointName) (index int, ok bool) {
 	index, ok = b.indexByName[name]
 	return index, ok
 }
 
-// decayFactor returns what a value of some age is still worth, 1 for a new one.
+// decayFactor returns the remaining weight of a value of some age: 1 at age 0, halved per halfLife.
 func decayFactor(age, halfLife time.Duration) float64 {
 	return math.Exp2(-float64(age) / float64(halfLife))
 }
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// makeNames returns numbered names.
+// makeNames returns count names, numbered from 0.
 func makeNames(prefix string, count int) (names []EndpointName) {
 	for i := range count {
 		names = append(names, EndpointName(fmt.Sprint(prefix, i)))
@@ -14,7 +14,7 @@
 	return names
 }
 
-// makeEndpoints returns endpoints of no zone, or of the named zones in turn.
+// makeEndpoints returns endpoints with 2 cores each, without a zone or in the given zones in turn.
 func makeEndpoints(count int, zones ...string) (endpoints []Endpoint) {
 	for i, name := range makeNames("m", count) {
 		endpoint := Endpoint{Name: name, Capacity: 2}
@@ -32,7 +32,7 @@
 	return balancer
 }
 
-// measureShares picks many times and returns how often each endpoint was picked, 1 for an even share.
+// measureShares picks 20,000 times and returns the number of picks per endpoint, relative to an even share.
 func measureShares(balancer *Balancer, now time.Duration) []float64 {
 	const picks = 20000
 	random := rand.New(rand.NewPCG(1, 1)).Float64
@@ -44,8 +44,8 @@
 	return shares
 }
 
-// Example_shares warms up an endpoint: a tenth at first, straight up with time. A suspect gets next to nothing, a
-// larger endpoint more.
+// Example_shares shows the shares of endpoints. One that is warming up starts with a tenth of its share, which grows
+// linearly with time. A suspect receives almost no requests, and a larger endpoint more than the others.
 func Example_shares() {
 	config := DefaultConfig()
 	config.ChoiceCount = 1
@@ -66,8 +66,8 @@
 	// 10s: warming up 1.02, suspect 0.02, larger 2.01
 }
 
-// Example_zones keeps all requests in the local zone while it has room; what does not fit goes to the others by the
-// room that they have, without a step.
+// Example_zones shows that all requests stay in the local zone a while it has spare capacity. The excess grows
+// continuously with the utilization, and is divided over the other zones by their spare capacity.
 func Example_zones() {
 	config := DefaultConfig()
 	config.LocalZone, config.ChoiceCount = "a", 1
@@ -82,15 +82,15 @@
 		for i, share := range shares {
 			byZone[balancer.endpoints[i].Zone] += share / float64(len(shares))
 		}
-		fmt.Printf("local at %.1f: stays %.2f, to the empty one %.2f, to the full one %.2f\n",
+		fmt.Printf("local zone at %.1f: local %.2f, zone at 0.5 %.2f, zone at 0.9 %.2f\n",
 			utilization, byZone["a"], byZone["b"], byZone["c"])
 	}
 	// Output:
-	// local at 0.5: stays 1.00, to the empty one 0.00, to the full one 0.00
-	// local at 0.7: stays 1.00, to the empty one 0.00, to the full one 0.00
-	// local at 0.8: stays 0.93, to the empty one 0.05, to the full one 0.02
-	// local at 0.9: stays 0.84, to the empty one 0.11, to the full one 0.05
-	// local at 1.0: stays 0.75, to the empty one 0.18, to the full one 0.08
-	// local at 1.2: stays 0.50, to the empty one 0.35, to the full one 0.15
-	// local at 1.5: stays 0.21, to the empty one 0.55, to the full one 0.24
+	// local zone at 0.5: local 1.00, zone at 0.5 0.00, zone at 0.9 0.00
+	// local zone at 0.7: local 1.00, zone at 0.5 0.00, zone at 0.9 0.00
+	// local zone at 0.8: local 0.93, zone at 0.5 0.05, zone at 0.9 0.02
+	// local zone at 0.9: local 0.84, zone at 0.5 0.11, zone at 0.9 0.05
+	// local zone at 1.0: local 0.75, zone at 0.5 0.18, zone at 0.9 0.08
+	// local zone at 1.2: local 0.50, zone at 0.5 0.35, zone at 0.9 0.15
+	// local zone at 1.5: local 0.21, zone at 0.5 0.55, zone at 0.9 0.24
 }
--- a/internal/balancer/benchmark_test.go
+++ b/internal/balancer/benchmark_test.go
@@ -14,7 +14,7 @@
 	_ "gonum.org/v1/plot/vg/vgsvg"
 )
 
-// largeSimulation is what the policies are compared by.
+// largeSimulation returns the simulation that the benchmarks compare policies with.
 func largeSimulation() simulation {
 	return simulation{
 		servers:          200,
@@ -27,25 +27,25 @@
 	}
 }
 
-// BenchmarkPolicies compares the policies on one machine and one seed:
+// BenchmarkPolicies logs the results of all policies in several scenarios, with the same seed:
 // go test -run xxx -bench Policies -benchtime 1x ./internal/balancer
 func BenchmarkPolicies(b *testing.B) {
 	for _, test := range []struct {
 		name   string
 		change func(*simulation)
 	}{
-		{"usual", func(*simulation) {}},
+		{"baseline", func(*simulation) {}},
 		{"reports 300 ms old", func(sim *simulation) { sim.reportAge = 300 * time.Millisecond }},
-		{"full", func(sim *simulation) { sim.utilization = 0.92 }},
-		{"one in eight slow by four", func(sim *simulation) {
+		{"92% utilization", func(sim *simulation) { sim.utilization = 0.92 }},
+		{"1 in 8 at a quarter speed", func(sim *simulation) {
 			sim.utilization = 0.6
 			sim.inject = slowDownEighth
 		}},
-		{"one in twenty fails at once", func(sim *simulation) {
+		{"1 in 20 fails immediately", func(sim *simulation) {
 			sim.utilization = 0.6
 			sim.inject = breakTwentieth
 		}},
-		{"a request a second", func(sim *simulation) {
+		{"1 request/s per server", func(sim *simulation) {
 			sim.utilization = 0.05
 			sim.seconds = 40
 		}},
@@ -79,15 +79,15 @@
 	b.Log("true loads", sim.run())
 }
 
-var picture = flag.String("picture", "", "file that BenchmarkReportAge draws to")
+var picture = flag.String("picture", "", "SVG file that BenchmarkReportAge writes its plot to")
 
-// BenchmarkReportAge draws the latency by the age of the load reports:
+// BenchmarkReportAge plots the 99th percentile of the latency over the age of the load reports:
 // go test -run xxx -bench ReportAge -benchtime 1x ./internal/balancer -picture $PWD/FILE.svg
 func BenchmarkReportAge(b *testing.B) {
 	p := plot.New()
-	p.Title.Text = "200 servers, 40 senders, 75% in use, requests of 100 ms"
-	p.X.Label.Text = "age of each load report, s"
-	p.Y.Label.Text = "99th percentile, ms"
+	p.Title.Text = "200 servers, 40 senders, 75% utilization, requests of 100 ms"
+	p.X.Label.Text = "age of load reports, s"
+	p.Y.Label.Text = "99th percentile of latency, ms"
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{}
 	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{}
 	p.Legend.Top, p.Legend.Left = true, true
@@ -118,7 +118,7 @@
 	}
 }
 
-// BenchmarkPick picks of 300 endpoints; it must not allocate.
+// BenchmarkPick measures Pick with 300 endpoints. Pick must not allocate.
 func BenchmarkPick(b *testing.B) {
 	balancer := newBalancer(DefaultConfig(), makeEndpoints(300))
 	for i := range 300 {
@@ -133,7 +133,7 @@
 	}
 }
 
-// BenchmarkSubsets works out the subsets of a middle and a large fleet.
+// BenchmarkSubsets measures Subsets for a medium and a large fleet.
 func BenchmarkSubsets(b *testing.B) {
 	for _, test := range []struct{ clients, endpoints, size int }{{40, 200, 20}, {1000, 3000, 20}} {
 		b.Run(fmt.Sprint(test.clients, test.endpoints, test.size), func(b *testing.B) {
--- a/internal/balancer/endpoint.go
+++ b/internal/balancer/endpoint.go
@@ -5,46 +5,46 @@
 // EndpointName identifies an endpoint within the fleet.
 type EndpointName string
 
-// Endpoint is a process that requests may be given to, as the fleet's membership view has it.
+// Endpoint is a process that can receive requests, as described by the fleet's membership view.
 type Endpoint struct {
 	Name            EndpointName
 	Zone            string
 	Capacity        float64       // cores, as configured
-	WarmUpRemaining time.Duration // time left until it runs at its full pace; 0: it does
-	WarmUp          time.Duration // time that warming up takes in all; 0 where WarmUpRemaining is 0
-	Suspect         bool          // not all members can reach it: it gets next to nothing
+	WarmUpRemaining time.Duration // time until the endpoint is warmed up; 0: it is warmed up
+	WarmUp          time.Duration // total time that warming up takes; 0 if WarmUpRemaining is 0
+	Suspect         bool          // whether some members cannot reach the endpoint, which reduces its weight to almost 0
 }
 
-// endpointState is what a Balancer knows of one endpoint.
+// endpointState is a Balancer's record of one endpoint.
 type endpointState struct {
 	Endpoint
 	index     int
-	removed   bool          // it is no endpoint any more
-	updatedAt time.Duration // when Endpoint was set, and so WarmUpRemaining
+	removed   bool          // whether SetEndpoints has removed the endpoint
+	updatedAt time.Duration // when Endpoint was set; WarmUpRemaining counts from then
 	weight    float64
 
-	outstanding int // requests of ours that are in progress there
+	outstanding int // requests of this sender that are in progress at the endpoint
 
 	// The last load report.
 	hasReport          bool
-	reportedLoad       float64 // requests in progress a core; negative: idle, see IdleLoad
+	reportedLoad       float64 // requests in progress per core; negative: idle, see IdleLoad
 	reportedAt         time.Duration
-	startedSinceReport float64 // requests of ours a core
+	startedSinceReport float64 // requests per core that this sender has started since the report
 
-	// What became of our requests, and what follows from it.
+	// The outcomes of this sender's requests, and the state derived from them.
 	successes           float64 // decaying with Config.OutcomeHalfLife
 	failures            float64 // decaying with Config.OutcomeHalfLife
 	lastOutcomeAt       time.Duration
 	consecutiveFailures int
 	outlier             bool          // as of the last recomputeWeights
-	ejectedUntil        time.Duration // an outlier gets nothing until then
-	recoveredAt         time.Duration // when an outlier succeeded again; 0: it never was one
+	ejectedUntil        time.Duration // until then an outlier receives no requests
+	recoveredAt         time.Duration // when a request to an outlier last succeeded again; 0: never
 	meanLatency         float64       // s, of succeeded requests; 0: none yet
 
-	// The part of the requests that we may give to it while it is warming up; see slowStartAllows.
+	// The limit of this sender's requests while the endpoint is warming up; see slowStartAllows.
 	slowStartBegun  bool
-	slowStartCredit float64 // requests; may be given one while it is not negative
-	creditedPicks   float64 // Balancer.pickCount up to which slowStartCredit was earned
+	slowStartCredit float64 // requests; the endpoint may receive a request unless it is negative
+	creditedPicks   float64 // Balancer.pickCount up to which slowStartCredit has been earned
 }
 
 // hasRecentReport reports whether there is a load report that is not older than maxAge.
@@ -60,12 +60,12 @@
 	e.startedSinceReport = 0
 }
 
-// warmingUp reports whether the endpoint does not run at its full pace yet.
+// warmingUp reports whether the endpoint has not reached its full speed yet.
 func (e *endpointState) warmingUp(now time.Duration) bool {
 	return e.WarmUp > 0 && e.WarmUpRemaining > now-e.updatedAt
 }
 
-// decayOutcomes ages the outcomes up to now.
+// decayOutcomes decays the counts of outcomes to the current time.
 func (e *endpointState) decayOutcomes(now, halfLife time.Duration) {
 	factor := decayFactor(now-e.lastOutcomeAt, halfLife)
 	e.successes *= factor
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -11,8 +11,8 @@
 	"lanewheel/internal/goldentest"
 )
 
-// TestGoldenSubsets checks that subsets are those of earlier versions: each process works them out on its own, and
-// one of another version has to come to the same result.
+// TestGoldenSubsets checks that Subsets returns the same subsets as earlier versions. Each process computes the subsets
+// on its own, and processes of different versions must agree.
 func TestGoldenSubsets(t *testing.T) {
 	var text bytes.Buffer
 	for _, test := range [][3]int{{3, 10, 4}, {12, 60, 15}, {7, 5, 2}, {2, 3, 3}} {
@@ -29,7 +29,7 @@
 	goldentest.CheckText(t, "testdata/subsets.txt", text.Bytes())
 }
 
-// decisionLog plays a drawn history to a balancer and writes down all that it decides, a letter and a number each.
+// decisionLog replays a random history to a balancer and records each of its decisions as a letter and a number.
 type decisionLog struct {
 	random    *rand.Rand
 	balancer  *Balancer
@@ -58,7 +58,7 @@
 	return l
 }
 
-// drawMilliseconds draws a duration under so many milliseconds.
+// drawMilliseconds draws a duration of whole milliseconds below limit.
 func (l *decisionLog) drawMilliseconds(limit int) time.Duration {
 	return time.Duration(l.random.IntN(limit)) * time.Millisecond
 }
@@ -86,7 +86,7 @@
 	return l.text.String()
 }
 
-// changeEndpoints has two endpoints come that are warming up while another is a suspect; later one goes.
+// changeEndpoints adds two endpoints that are warming up and makes another one a suspect. Later it removes the suspect.
 func (l *decisionLog) changeEndpoints(step, steps int) {
 	switch step {
 	case steps / 4:
@@ -100,7 +100,7 @@
 	}
 }
 
-// report probes an endpoint, and has another one report its load now and then.
+// report probes an endpoint, and in every third step records a load report of another one.
 func (l *decisionLog) report(step int) {
 	if index, ok := l.balancer.PickProbe(l.now, l.random.Float64); ok {
 		fmt.Fprint(&l.text, "q", index)
@@ -112,7 +112,7 @@
 	}
 }
 
-// spill asks for another request whether it is spilled over.
+// spill decides whether a further request is spilled over.
 func (l *decisionLog) spill(step int) {
 	letters := map[SpilloverReason]string{
 		BudgetExhausted: "b", DeadlineTooClose: "l", NoReports: "u", FleetSaturated: "f", NoCapacity: "n", BackingOff: "t",
@@ -133,7 +133,7 @@
 	l.spillover.RecordOutcome(l.now, outcome)
 }
 
-// finish ends the request that was given to an endpoint, and asks whether it is retried.
+// finish ends the request that was sent to an endpoint, and decides whether it is retried.
 func (l *decisionLog) finish(step, steps int, name EndpointName) {
 	outcome := Succeeded
 	switch {
@@ -162,8 +162,8 @@
 	fmt.Fprint(&l.text, "s", uint8(l.balancer.DecideRetry(l.now, attempt, result)))
 }
 
-// TestGoldenDecisions checks that decisions by the same history, seed and configuration are those of earlier versions,
-// for every policy.
+// TestGoldenDecisions checks for every policy that the same history, seed and configuration lead to the same decisions as
+// in earlier versions.
 func TestGoldenDecisions(t *testing.T) {
 	var text bytes.Buffer
 	for policy := LeastEstimatedLoad; policy <= LeastReportedLoad; policy++ {
--- a/internal/balancer/outcome.go
+++ b/internal/balancer/outcome.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Outcome is what became of a request that was given to an endpoint.
+// Outcome is the result of a request that was sent to an endpoint.
 type Outcome uint8
 
 // The outcomes.
 const (
 	Succeeded  Outcome = iota
-	Rejected           // the endpoint refused it: it never ran
-	Failed             // it may have run
-	NoResponse         // the connection ended or the time was up; it may have run, unless nothing of it was sent
+	Rejected           // the endpoint refused the request, which has not run
+	Failed             // the endpoint reported a failure; the request may have run
+	NoResponse         // the connection ended or the request timed out; it may have run unless nothing of it was sent
 )
 
-// Bounds of the time for which an outlier gets nothing. It doubles with each further failure.
+// Bounds of the time for which an outlier is ejected. The time doubles with each further failure.
 const (
 	minEjection          = time.Second
 	maxEjection          = 30 * time.Second
 	maxEjectionDoublings = 5
 )
 
-// RecordStart notes that a request was given to an endpoint.
+// RecordStart records that a request was sent to an endpoint.
 func (b *Balancer) RecordStart(now time.Duration, index int) {
 	state := b.endpoints[index]
 	state.outstanding++
@@ -28,8 +28,8 @@
 	if state.warmingUp(now) {
 		state.slowStartCredit--
 	}
-	// A probe's answer is used up by one request: whoever sends little probes little, and would give all of it to the
-	// endpoint that answered last.
+	// One request uses up a probe's answer. A sender with few requests sends few probes, and would otherwise send all
+	// its requests to the endpoint that answered last.
 	for slot, probed := range b.probePool {
 		if probed == state {
 			b.probePool[slot] = nil
@@ -38,8 +38,8 @@
 	b.retryTokens = min(b.config.RetryBurst, b.retryTokens+b.config.RetryRatio)
 }
 
-// RecordOutcome notes what became of a request, by the endpoint's name, as indexes may have changed meanwhile. latency
-// is read for Succeeded alone. An endpoint that is not known any more is ignored.
+// RecordOutcome records the outcome of a request to an endpoint. The endpoint is identified by name because indexes may
+// have changed since the request started; one that was removed is ignored. latency is only used for Succeeded.
 func (b *Balancer) RecordOutcome(now time.Duration, name EndpointName, outcome Outcome, latency time.Duration) {
 	index, ok := b.indexByName[name]
 	if !ok {
@@ -54,14 +54,14 @@
 	case Failed, NoResponse:
 		recordFailure(now, state)
 	case Rejected:
-		// A rejection says that the endpoint is overloaded, not that it is faulty. What we make of it is bounded.
+		// A rejection means that the endpoint is overloaded, not that it is faulty. The load derived from it is bounded.
 		load := max(2*b.meanLoad, b.estimatedLoad(now, state)) + 1
 		state.setReport(min(load, 4*b.meanLoad+4), now)
 	}
 	b.weightsStale = true
 }
 
-// RecordCancel notes that nobody waits any more for a request. That says nothing of the endpoint.
+// RecordCancel records that a request was canceled. A cancellation does not count for or against the endpoint.
 func (b *Balancer) RecordCancel(name EndpointName) {
 	if index, ok := b.indexByName[name]; ok {
 		state := b.endpoints[index]
@@ -79,10 +79,10 @@
 	b.recordLatency(state, latency.Seconds())
 }
 
-// recordLatency averages the latency of an endpoint over some requests, so that one long request does not turn the
-// load away. The first request to a process that has just started takes long, and all senders that gave it one
-// would leave it idle for seconds: so a new endpoint is taken to be as quick as the others, and one request counts
-// for a few usual ones at the most.
+// recordLatency updates the moving average of an endpoint's latency. It averages over several requests so that one long
+// request does not divert the load. The first request to a process that has just started takes long, and all senders
+// that sent it one would leave it idle for seconds. Therefore a new endpoint starts with the mean latency of the
+// others, and one request counts for at most maxLatencyFactor times the mean.
 func (b *Balancer) recordLatency(state *endpointState, latency float64) {
 	const smoothing = 0.1
 	if b.meanLatency > 0 {
@@ -97,8 +97,8 @@
 	state.meanLatency += smoothing * (latency - state.meanLatency)
 }
 
-// recordFailure counts a failure, and ejects an endpoint that fails repeatedly: one that fails at once is free at once,
-// and would be tried again by every sender all the time.
+// recordFailure counts a failure, and ejects an endpoint that fails repeatedly. An endpoint that fails requests
+// immediately is always idle, and would otherwise attract requests from every sender.
 func recordFailure(now time.Duration, state *endpointState) {
 	state.failures++
 	state.consecutiveFailures++
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -3,23 +3,23 @@
 import "time"
 
 const (
-	// maxLatencyFactor is how many times the mean latency one request counts for at the most. One such request alone does
-	// not make an endpoint slow, two do.
+	// maxLatencyFactor limits the latency of one request to this multiple of the mean latency. One such request does not
+	// make an endpoint slow, two do.
 	maxLatencyFactor = 5
 
-	// slowLatencyFactor is the multiple of the mean latency from which on an endpoint is slow; less may be chance.
+	// slowLatencyFactor is the multiple of the mean latency above which an endpoint is slow; a lower one may be chance.
 	slowLatencyFactor = 1.5
 
-	// consecutiveFailuresLimit is the number of failures in a row that make an outlier.
+	// consecutiveFailuresLimit is the number of consecutive failures that make an endpoint an outlier.
 	consecutiveFailuresLimit = 2
 
-	// minOutlierFailures is the decayed number of failures that make an outlier of an endpoint that succeeds seldom: two
-	// that are not far apart.
+	// minOutlierFailures is the decayed number of failures that make an endpoint with fewer successes an outlier. Two
+	// failures that are not far apart reach it.
 	minOutlierFailures = 1.5
 )
 
-// relativeLatency returns an endpoint's latency as a multiple of the mean. It decays towards 1 while nothing comes back
-// from there: an endpoint that is held to be slow gets little, and nothing else would show that it has recovered.
+// relativeLatency returns an endpoint's latency as a multiple of the mean. It decays towards 1 while there are no
+// outcomes: an endpoint that is considered slow receives few requests, so its recovery would otherwise go unnoticed.
 func (b *Balancer) relativeLatency(now time.Duration, state *endpointState) float64 {
 	if b.meanLatency <= 0 || state.meanLatency <= 0 {
 		return 1
@@ -36,8 +36,9 @@
 	return failures >= minOutlierFailures && state.failures > state.successes
 }
 
-// detectOutliers counts the endpoints that look like outliers and reports whether they are to be ejected. When too many
-// do, it is our own judgement that is wrong, or something that all of them depend on: then none is.
+// detectOutliers counts the endpoints that look like outliers and reports whether they are to be ejected. If their
+// fraction exceeds MaxOutlierFraction, none is ejected: the cause is then probably an error in detection, or a
+// dependency that the endpoints share.
 func (b *Balancer) detectOutliers(now time.Duration) (ejecting bool) {
 	b.outlierCount = 0
 	for _, state := range b.endpoints {
--- a/internal/balancer/outlier_test.go
+++ b/internal/balancer/outlier_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Example_outliers ejects an endpoint that fails, and reduces a slow one in proportion. One that has recovered gets its
-// share back by and by. When too many look like outliers none is ejected.
+// Example_outliers shows that a failing endpoint is ejected, and that the share of a slow one is reduced. After a
+// recovery the share grows back gradually. If too many endpoints look like outliers, none is ejected.
 func Example_outliers() {
 	config := DefaultConfig()
 	config.ChoiceCount = 1
@@ -43,8 +43,8 @@
 	// half look like outliers: 0.7 1.0, true
 }
 
-// Example_firstRequest shows that a newcomer whose first request takes a hundred times the usual is not left idle
-// by that alone. Two more reduce its weight, as of one that is slow.
+// Example_firstRequest shows that a new endpoint whose first request takes a hundred times the mean latency keeps its
+// weight. Two more such requests reduce its weight like that of any slow endpoint.
 func Example_firstRequest() {
 	balancer := newBalancer(DefaultConfig(), makeEndpoints(4))
 	for i := range 40 {
--- a/internal/balancer/pick.go
+++ b/internal/balancer/pick.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// selection is one Pick under way.
+// selection is the state of one call of Pick.
 type selection struct {
 	balancer *Balancer
 	now      time.Duration
 	random   func() float64
-	excluded func(index int) bool // nil: none is
+	excluded func(index int) bool // nil: no endpoint is excluded
 
 	best      int // index of the least loaded endpoint so far, -1 for none
 	leastLoad float64
 }
 
-// Pick returns the index of the endpoint for one request: of a few that are drawn by weight the least loaded one.
-// excluded, which may be nil, names indexes that are out of the question. ok is false where no endpoint is left. random
-// returns numbers in [0, 1). Pick does not allocate.
+// Pick returns the index of the endpoint for one request: the least loaded of a few that are drawn by weight. excluded,
+// which may be nil, reports whether an index must not be returned. ok is false if there is no endpoint or all are
+// excluded. random returns numbers in [0, 1). Pick does not allocate.
 func (b *Balancer) Pick(
 	now time.Duration, random func() float64, excluded func(index int) bool,
 ) (index int, ok bool) {
@@ -48,7 +48,7 @@
 
 func (s *selection) isExcluded(index int) bool { return s.excluded != nil && s.excluded(index) }
 
-// compare takes an endpoint if it is less loaded than the best so far.
+// compare makes an endpoint the best if it is less loaded than the best so far.
 func (s *selection) compare(state *endpointState) {
 	if load := s.balancer.estimatedLoad(s.now, state); load < s.leastLoad {
 		s.best = state.index
@@ -56,8 +56,9 @@
 	}
 }
 
-// compareProbed compares the endpoints that have just answered a probe. They were drawn by weight, so that the least
-// loaded of them is a fair choice. The start is drawn, so that of equals it is not always the first.
+// compareProbed compares the endpoints that have recently answered a probe. PickProbe drew them by weight, so choosing
+// the least loaded of them respects the weights. The starting slot is random so that ties are not always won by the
+// first slot.
 func (s *selection) compareProbed() {
 	start := int(s.random() * probePoolSize)
 	for offset := range probePoolSize {
@@ -84,8 +85,8 @@
 	}
 }
 
-// pickFallback returns the first endpoint from a drawn index on that is not excluded; one that is warming up and has had its
-// share only if there is no other.
+// pickFallback returns the first endpoint, from a random index on, that is not excluded. It returns an endpoint that is
+// warming up and has used up its slow start credit only if there is no other.
 func (s *selection) pickFallback() (index int, ok bool) {
 	endpoints := s.balancer.endpoints
 	start := min(len(endpoints)-1, int(s.random()*float64(len(endpoints))))
--- a/internal/balancer/policy.go
+++ b/internal/balancer/policy.go
@@ -2,21 +2,21 @@
 
 import "fmt"
 
-// Policy is how an endpoint is picked. All but LeastEstimatedLoad are there to be compared with.
+// Policy is the method by which an endpoint is picked. All policies but LeastEstimatedLoad exist for comparison.
 type Policy uint8
 
 // The policies.
 const (
-	LeastEstimatedLoad    Policy = iota // of a few drawn by weight, the one with the least load that is likely by now
-	WeightedRandom                      // by capacity
-	RoundRobin                          // one after the other, from a drawn one on
-	LeastRequest                        // of all, the one with the fewest requests of ours in progress
-	TwoChoicesOutstanding               // of two, the one with the fewest requests of ours in progress
-	TwoChoicesReported                  // of two, the one with the lower report, however old
-	LeastReportedLoad                   // of all, the one with the lowest report: all senders flock to it
+	LeastEstimatedLoad    Policy = iota // the lowest estimated current load among a few drawn by weight
+	WeightedRandom                      // drawn with a probability in proportion to the capacity
+	RoundRobin                          // each in turn, starting with a random one
+	LeastRequest                        // the fewest requests of this sender in progress per core among all
+	TwoChoicesOutstanding               // the fewest requests of this sender in progress per core among two
+	TwoChoicesReported                  // the lowest reported load among two, regardless of the report's age
+	LeastReportedLoad                   // the lowest reported load among all; all senders herd to the same endpoint
 )
 
-// policyNames are the values of the operator's setting.
+// policyNames are the values of the policy in the operator's configuration.
 var policyNames = [...]string{"informed", "random", "round-robin", "least-open", "two-own", "two-told", "greedy"}
 
 // String returns the policy's name in the operator's configuration.
@@ -27,7 +27,8 @@
 	return fmt.Sprintf("Policy(%d)", uint8(p))
 }
 
-// pickBaseline picks by one of the simple policies; ok is false for LeastEstimatedLoad. There must be an endpoint.
+// pickBaseline picks by one of the policies for comparison; ok is false for LeastEstimatedLoad. There must be an
+// endpoint.
 func (b *Balancer) pickBaseline(random func() float64) (index int, ok bool) {
 	switch b.config.Policy {
 	case WeightedRandom:
@@ -51,13 +52,13 @@
 	return 0, false
 }
 
-// drawIndex draws an index, each with the same chance.
+// drawIndex draws an index with uniform probability.
 func (b *Balancer) drawIndex(random func() float64) int {
 	count := len(b.endpoints)
 	return min(count-1, int(random()*float64(count)))
 }
 
-// drawByCapacity returns the index of the endpoint that a fraction of the total capacity falls on.
+// drawByCapacity returns the index of the endpoint at a fraction, in [0, 1), of the cumulative capacity.
 func (b *Balancer) drawByCapacity(fraction float64) int {
 	total := 0.0
 	for _, state := range b.endpoints {
@@ -72,13 +73,13 @@
 	return len(b.endpoints) - 1
 }
 
-// outstandingLoad returns an endpoint's load by our own count.
+// outstandingLoad returns the requests of this sender in progress at an endpoint, per core.
 func (b *Balancer) outstandingLoad(index int) float64 {
 	state := b.endpoints[index]
 	return float64(state.outstanding) / state.Capacity
 }
 
-// reportedLoad returns an endpoint's load by its last report, the mean where there is none.
+// reportedLoad returns an endpoint's last reported load, or the mean load if there is no report.
 func (b *Balancer) reportedLoad(index int) float64 {
 	if state := b.endpoints[index]; state.hasReport {
 		return state.reportedLoad
@@ -86,7 +87,7 @@
 	return b.meanLoad
 }
 
-// lessLoaded returns the less loaded of two, the first of equals.
+// lessLoaded returns the index with the lower load, or first if the loads are equal.
 func lessLoaded(loadOf func(index int) float64, first, second int) int {
 	if loadOf(second) < loadOf(first) {
 		return second
@@ -94,7 +95,7 @@
 	return first
 }
 
-// leastLoaded returns the leastLoaded loaded of all, of equals the first from start on.
+// leastLoaded returns the index with the lowest load. Of equal loads it returns the first, counting from start.
 func (b *Balancer) leastLoaded(loadOf func(index int) float64, start int) int {
 	best := start
 	for offset := range b.endpoints {
--- a/internal/balancer/policy_test.go
+++ b/internal/balancer/policy_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// simulateWith runs a small simulation that is changed in one point.
+// simulateWith runs a small simulation after applying a change to its parameters.
 func simulateWith(change func(*simulation)) simulationResult {
 	sim := simulation{
 		servers:          60,
@@ -20,8 +20,8 @@
 	return sim.run()
 }
 
-// TestPolicies compares the policies in simulated time: by the true loads, by what is known, and by the simple
-// policies; with reports that are late, and servers that are slow, fail at once, or lie.
+// TestPolicies compares policies in a simulation: LeastEstimatedLoad, an oracle that uses the true loads, and simple
+// policies. The subtests have late reports, and servers that are slow, fail immediately or report false loads.
 func TestPolicies(t *testing.T) {
 	baseline := simulateWith(func(*simulation) {})
 	random := simulateWith(func(sim *simulation) { sim.config.Policy = WeightedRandom })
@@ -30,23 +30,24 @@
 	t.Log("random        ", random)
 	t.Log("true loads    ", oracle)
 	if baseline.p99 > 1.15*oracle.p99 || baseline.p99 > 0.75*random.p99 {
-		t.Error("worse than it has to be")
+		t.Error("99th percentile is too high compared with true loads or the random policy")
 	}
 	if baseline.peak > 1.25*baseline.peakByChance {
-		t.Error("the most loaded server of a second gets too much")
+		t.Error("the most loaded server per second receives too many requests")
 	}
 	if baseline.longestIdle > 5 {
-		t.Error("a server is left idle")
+		t.Error("a server stays idle for too long")
 	}
 	t.Run("late reports", func(t *testing.T) { testLateReports(t, random) })
 	t.Run("broken servers", testBrokenServers)
 	t.Run("slow servers", testSlowServers)
-	t.Run("liars", func(t *testing.T) { testFalseIdleReports(t, baseline) })
+	t.Run("false idle reports", func(t *testing.T) { testFalseIdleReports(t, baseline) })
 	t.Run("sparse load", testSparseLoad)
 	t.Run("subsets", func(t *testing.T) { testSimulatedSubsets(t, baseline) })
 }
 
-// Reports as old as several requests take: all senders flock to one server if the reports are believed as they are.
+// testLateReports uses reports that are older than several requests take. Without decay of the reports, all senders
+// would herd to the same server.
 func testLateReports(t *testing.T, random simulationResult) {
 	const age = 500 * time.Millisecond
 	decayed := simulateWith(func(sim *simulation) { sim.reportAge = age })
@@ -58,15 +59,16 @@
 		sim.reportAge = age
 		sim.config.Policy = LeastReportedLoad
 	})
-	t.Log("decayed ", decayed)
-	t.Log("believed", undecayed)
-	t.Log("greedy  ", leastReported)
+	t.Log("decayed       ", decayed)
+	t.Log("not decayed   ", undecayed)
+	t.Log("least reported", leastReported)
 	if decayed.p99 > random.p99 || decayed.p99 > 0.8*undecayed.p99 || decayed.p99 > 0.5*leastReported.p99 {
-		t.Error("senders flock")
+		t.Error("senders herd to the same server")
 	}
 }
 
-// One in twenty fails at once: it is free at once, and so the best of all by its load.
+// testBrokenServers lets one in twenty servers fail requests immediately. Such a server is always idle, and therefore
+// the best choice by its load.
 func testBrokenServers(t *testing.T) {
 	ejected := simulateWith(func(sim *simulation) { sim.inject = breakTwentieth })
 	kept := simulateWith(func(sim *simulation) {
@@ -76,7 +78,7 @@
 	t.Log("ejected    ", ejected)
 	t.Log("not ejected", kept)
 	if ejected.failed > 0.01 || kept.failed < 3*ejected.failed {
-		t.Error("the broken attract requests")
+		t.Error("broken servers attract requests")
 	}
 }
 
@@ -93,16 +95,16 @@
 	t.Log("estimated load", slow)
 	t.Log("random        ", random)
 	if slow.p99 > 0.5*random.p99 {
-		t.Error("the slow ones are overloaded")
+		t.Error("the slow servers are overloaded")
 	}
 }
 
-// Two servers report that they are idle, whatever is so.
+// testFalseIdleReports lets two servers always report that they are idle.
 func testFalseIdleReports(t *testing.T, baseline simulationResult) {
 	misled := simulateWith(func(sim *simulation) { sim.misreportingServers = 2 })
 	t.Log(misled)
 	if misled.p99 > 1.3*baseline.p99 {
-		t.Error("a server that lies gets too much")
+		t.Error("a server with false reports receives too many requests")
 	}
 }
 
@@ -118,13 +120,13 @@
 	})
 	t.Log(sparse)
 	if sparse.peak > 1.25*sparse.peakByChance || sparse.p99 > 1.1*oracle.p99 {
-		t.Error("sparse load")
+		t.Error("peak or 99th percentile is too high under sparse load")
 	}
 	if sparse.longestIdle > 5 {
-		t.Error("a server is left idle under sparse load")
+		t.Error("a server stays idle for too long under sparse load")
 	}
-	// 200 servers that get 3 requests of 20 ms a second each, from 40 senders: a report is worth something for as long
-	// as a server waits for a request.
+	// Each of 200 servers receives 3 requests of 20 ms per second from 40 senders. A report must keep its weight for
+	// about the time between two requests to a server.
 	short := simulateWith(func(sim *simulation) {
 		sim.servers = 200
 		sim.senders = 40
@@ -134,7 +136,7 @@
 	})
 	t.Log("short requests", short)
 	if short.peak > 0.8*short.peakByChance || short.longestIdle > 5.5 {
-		t.Error("sparse load of short requests")
+		t.Error("peak or idle time is too high under sparse load of short requests")
 	}
 }
 
@@ -142,7 +144,7 @@
 	subset := simulateWith(func(sim *simulation) { sim.subsetSize = 15 })
 	t.Log(subset)
 	if subset.p99 > 1.25*baseline.p99 || subset.connections != 12*15 {
-		t.Error("subsets")
+		t.Error("99th percentile is too high or the number of connections is wrong with subsets")
 	}
 }
 
--- a/internal/balancer/report.go
+++ b/internal/balancer/report.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// probePoolSize is the number of recent probe answers that are compared for one request, that of the Prequal paper.
+// probePoolSize is the number of recent probe answers that are compared for one request, as in the Prequal paper.
 const probePoolSize = 16
 
-// Bounds of the half-life of a load report where none is configured. A load moves as fast as requests come and go, so a
-// report is worth half after the time that one takes; never less than a round trip.
+// Bounds of the half-life of a load report if none is configured. A load changes as fast as requests start and end, so
+// the half-life is about the latency of one request, but never less than a round trip.
 const (
-	initialLoadHalfLife = 100 * time.Millisecond // until a latency is known
+	initialLoadHalfLife = 100 * time.Millisecond // until there is a latency sample
 	minLoadHalfLife     = 10 * time.Millisecond
 	maxLoadHalfLife     = time.Second
 )
 
-// maxReportedLoad is the number of requests in progress above which a report is held to be nonsense.
+// maxReportedLoad is the maximum number of requests in progress in a valid report.
 const maxReportedLoad = 1e6
 
-// IdleLoad returns the load that an endpoint without requests reports: negative, the lower the longer it has been
-// idle, so that of many idle ones the one that has waited longest goes first. It is -1 at the least, so that
-// idleness is never worth more than a request.
+// IdleLoad returns the load that an endpoint without requests reports. It is negative and decreases with the time for
+// which the endpoint has been idle, so that of several idle endpoints the one that has been idle longest is preferred.
+// It is never less than -1, so that idleness never counts for more than one request.
 func IdleLoad(idleFor time.Duration) float64 { return -float64(idleFor) / float64(idleFor+time.Second) }
 
-// RecordReport takes the load that an endpoint reports, requests in progress or IdleLoad, as it was age ago. A report
-// that can't be, or that is not newer than the one before, is ignored: an endpoint that reports nonsense must not
-// attract requests.
+// RecordReport records the load that an endpoint reports: the number of requests in progress or IdleLoad, measured age
+// ago. It ignores a report that is out of range or not newer than the previous one: an endpoint that sends invalid
+// reports must not attract requests.
 func (b *Balancer) RecordReport(now time.Duration, index int, load float64, age time.Duration) {
 	state := b.endpoints[index]
 	if math.IsNaN(load) || load < -1 || load > maxReportedLoad || age < 0 || age > b.config.LoadMaxAge {
@@ -40,8 +40,8 @@
 	b.weightsStale = true
 }
 
-// RecordProbe takes the load that an endpoint answered a probe with. Beside what RecordReport does, the endpoint is
-// compared for the next requests while the report is fresh.
+// RecordProbe records the load in an endpoint's answer to a probe. In addition to calling RecordReport, it adds the
+// endpoint to the pool of those that are compared for the next requests while their reports are recent.
 func (b *Balancer) RecordProbe(now time.Duration, index int, load float64, age time.Duration) {
 	b.RecordReport(now, index, load, age)
 	state := b.endpoints[index]
@@ -54,8 +54,8 @@
 	b.nextProbeSlot = (b.nextProbeSlot + 1) % probePoolSize
 }
 
-// PickProbe returns the index of an endpoint whose load is worth probing: of two that are drawn by weight the one with
-// the older report. ok is false where there is no endpoint.
+// PickProbe returns the index of an endpoint to probe: of two that are drawn by weight, the one with the older report.
+// ok is false if there is no endpoint.
 func (b *Balancer) PickProbe(now time.Duration, random func() float64) (index int, ok bool) {
 	if len(b.endpoints) == 0 {
 		return 0, false
@@ -74,15 +74,16 @@
 	return best, best >= 0
 }
 
-// estimatedLoad returns the load an endpoint is likely to have by now: the reported one, drawn towards the mean by its
-// age, as others choose by the same report; and what we have sent since.
+// estimatedLoad estimates the current load of an endpoint in requests in progress per core. It is the reported load,
+// moved towards the mean with the report's age because other senders act on the same report, plus the requests that
+// this sender has started since.
 func (b *Balancer) estimatedLoad(now time.Duration, state *endpointState) float64 {
 	if !state.hasRecentReport(now, b.config.LoadMaxAge) {
 		return b.meanLoad + float64(state.outstanding)/state.Capacity
 	}
 	load := state.reportedLoad
-	// Guards against an endpoint that always reports to be idle: where our requests take long, it is not. What we
-	// measured goes before what is reported.
+	// Guards against an endpoint that always reports that it is idle: if this sender's requests to it take long, it is
+	// not. Measured latency takes precedence over reported load.
 	if slowdown := b.relativeLatency(now, state); load < b.meanLoad && slowdown > slowLatencyFactor {
 		load = b.meanLoad + (slowdown-1)*max(b.meanLoad, 1)
 	}
--- a/internal/balancer/report_test.go
+++ b/internal/balancer/report_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Example_invalidReports ignores a report that can't be, and one that is older than the last. A rejection says that an
-// endpoint is overloaded, not that it fails.
+// Example_invalidReports shows that reports are ignored if they are out of range or older than the last one. A
+// rejection means that an endpoint is overloaded, and does not count as a failure.
 func Example_invalidReports() {
 	balancer := newBalancer(DefaultConfig(), makeEndpoints(3))
 	for i := range 3 {
@@ -24,7 +24,7 @@
 	balancer.RecordStart(time.Second, 1)
 	balancer.RecordOutcome(time.Second, "m1", Rejected, 0)
 	fmt.Println(balancer.endpoints[1].reportedLoad > balancer.endpoints[0].reportedLoad, balancer.endpoints[1].failures)
-	balancer.RecordOutcome(time.Second, "gone", Succeeded, time.Second) // of one that has left meanwhile
+	balancer.RecordOutcome(time.Second, "gone", Succeeded, time.Second) // of an endpoint that has been removed
 	pick := func(excluded func(index int) bool) (int, bool) {
 		return balancer.Pick(time.Second, rand.New(rand.NewPCG(1, 1)).Float64, excluded)
 	}
@@ -37,8 +37,9 @@
 	// 2 true false
 }
 
-// Example_reportDecay shows what a report is worth: all at once, half after the half-life, nothing past its time; and
-// that what we have sent since counts. A probe's answer is used up by one request; of equal ones each has its turn.
+// Example_reportDecay shows the weight of a report: full at first, half after the half-life, none beyond LoadMaxAge.
+// Requests started since the report are added. One request uses up a probe's answer. Endpoints with equal reports
+// receive about equal shares.
 func Example_reportDecay() {
 	config := DefaultConfig()
 	config.LoadHalfLife, config.ChoiceCount = 100*time.Millisecond, 1
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// Attempt is how far a request has come at a sender.
+// Attempt describes the progress of a request at its sender.
 type Attempt struct {
 	Deadline     time.Duration
-	AttemptsMade int  // attempts made so far
-	MaxAttempts  int  // attempts that may be made in all
-	Idempotent   bool // it may run twice
-	Forwarded    bool // another process has forwarded it to us, and retries by itself
+	AttemptsMade int  // number of attempts made so far
+	MaxAttempts  int  // maximum total number of attempts
+	Idempotent   bool // whether the request may run twice
+	Forwarded    bool // whether another process has forwarded the request, and retries it itself
 }
 
-// AttemptResult is how the last attempt ended.
+// AttemptResult is the result of the last attempt.
 type AttemptResult struct {
 	Outcome    Outcome
-	NotSent    bool // nothing of the request went out
-	NoFailover bool // the endpoint says that no other will take it either
+	NotSent    bool // whether nothing of the request was sent
+	NoFailover bool // whether the endpoint has reported that other endpoints will not accept the request either
 }
 
-// RetryDecision is what follows an attempt.
+// RetryDecision is the action that follows an attempt.
 type RetryDecision uint8
 
 // The decisions.
 const (
-	ReturnResponse RetryDecision = iota // the attempt's result is the request's
-	RetryElsewhere                      // another endpoint is tried
+	ReturnResponse RetryDecision = iota // return the attempt's result as the result of the request
+	RetryElsewhere                      // try another endpoint
 )
 
-// DecideRetry decides what follows an attempt. Where the result proves that the request never ran, another endpoint may
-// be tried, within the retry budget and while there is time for a request of mean latency. Where it proves nothing, a
-// request that is idempotent may be retried, and any other has failed.
+// DecideRetry decides whether a request is retried after an attempt. If the result proves that the request has not run,
+// or if the request is idempotent and there was no response, another endpoint may be tried: within the retry budget,
+// and if the time until the deadline exceeds the mean latency. Any other request that may have run is not retried.
 func (b *Balancer) DecideRetry(now time.Duration, attempt Attempt, result AttemptResult) RetryDecision {
 	switch {
 	case result.Outcome == Succeeded || result.Outcome == Failed || result.NoFailover:
@@ -38,15 +38,15 @@
 		return ReturnResponse
 	case attempt.AttemptsMade >= attempt.MaxAttempts || now+seconds(b.meanLatency) >= attempt.Deadline:
 		return ReturnResponse
-	case !result.NotSent && !b.takeRetry(attempt.Forwarded): // what was not sent has cost no endpoint anything
+	case !result.NotSent && !b.takeRetry(attempt.Forwarded): // an attempt that was not sent put no load on an endpoint
 		return ReturnResponse
 	}
 	return RetryElsewhere
 }
 
-// takeRetry takes a retry off the budget and reports whether there was one. When all endpoints are overloaded, each
-// retry overloads them more, and layers that each retry multiply each other: so a request that was forwarded to us gets
-// none.
+// takeRetry takes a retry from the budget and reports whether there was one. When all endpoints are overloaded, each
+// retry adds to the overload, and retries of several layers multiply. Therefore a request that another process has
+// forwarded gets no retry from the budget.
 func (b *Balancer) takeRetry(forwarded bool) bool {
 	if forwarded || b.retryTokens < 1 {
 		return false
--- a/internal/balancer/retry_test.go
+++ b/internal/balancer/retry_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Example_retryBudget earns retries: one in ten requests, a few saved up, never for what is forwarded to us.
+// Example_retryBudget shows the retry budget: one retry per ten requests, up to ten saved up, and none for requests
+// that another process has forwarded.
 func Example_retryBudget() {
 	balancer := newBalancer(DefaultConfig(), makeEndpoints(3))
 	initial := 0
@@ -26,7 +27,8 @@
 	// Output: 10 9 false 10
 }
 
-// Example_decideRetry shows what follows an attempt, by how it ended; and again where the budget is used up.
+// Example_decideRetry shows the decision for each result of an attempt. For one of them it also shows the decision with
+// the budget used up.
 func Example_decideRetry() {
 	config := DefaultConfig()
 	config.RetryRatio, config.RetryBurst = 0, 1
--- a/internal/balancer/simulatedsenders_test.go
+++ b/internal/balancer/simulatedsenders_test.go
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// simulation is a simulated fleet with processes that send to it, each with a Balancer of its own.
+// simulation holds the parameters of a simulated fleet and its senders, each of which has its own Balancer.
 type simulation struct {
 	servers, senders    int
-	utilization         float64 // of all cores
+	utilization         float64 // mean fraction of all cores in use
 	config              Config
-	subsetSize          int           // 0: no subsets
-	probesPerRequest    float64       // 0: answers carry no load report, either
-	reportAge           time.Duration // of each probe's answer when it is sent
-	seconds             float64       // that are counted
-	oracle              bool          // senders know the true loads
+	subsetSize          int           // endpoints per sender; 0: all servers
+	probesPerRequest    float64       // 0: responses carry no load report, either
+	reportAge           time.Duration // age of the load in each probe's answer when it is sent
+	seconds             float64       // duration of the measurement
+	oracle              bool          // whether requests go to the server with the lowest true load
 	inject              func(*simulatedFleet)
-	meanRunTime         float64 // s; 0: a tenth
-	misreportingServers int     // servers that always report to be idle
+	meanRunTime         float64 // s; 0: 0.1 s
+	misreportingServers int     // number of servers that always report that they are idle
 }
 
-// simulationResult is what a simulation measured.
+// simulationResult holds the measurements of a simulation.
 type simulationResult struct {
 	p99          float64 // s
-	late         float64 // share of the requests that took longer than 8 mean run times
-	peak         float64 // requests of the most loaded server of a second, against the mean
-	peakByChance float64 // the same where each request goes to any server with the same chance
-	longestIdle  float64 // longest idle time against the expected time between requests
-	failed       float64 // share of the requests
+	late         float64 // fraction of the requests that took longer than 8 mean run times
+	peak         float64 // requests per second of the most loaded server of each second, relative to the mean
+	peakByChance float64 // expected peak if each request goes to a uniformly random server
+	longestIdle  float64 // longest idle time, relative to the expected time between requests to a server
+	failed       float64 // fraction of the requests
 	connections  int
 }
 
@@ -40,14 +40,14 @@
 		1000*r.p99, r.late, r.peak, r.peakByChance, r.longestIdle, r.failed, r.connections)
 }
 
-// simulationRun is one simulation under way.
+// simulationRun is the state of a running simulation.
 type simulationRun struct {
 	simulation
 	fleet       *simulatedFleet
 	names       []EndpointName
 	indexByName map[EndpointName]int
-	rate        float64 // requests a second of the fleet
-	total       int     // counted requests
+	rate        float64 // requests per second of the fleet
+	total       int     // requests sent since counting started
 	connections int
 }
 
@@ -192,10 +192,11 @@
 	return result
 }
 
-// latency returns the 99th percentile and the share of the requests that took longer than 8 mean run times.
+// latency returns the 99th percentile of the latency in seconds, and the fraction of the requests that took longer than
+// 8 mean run times.
 func (r *simulationRun) latency() (p99, late float64) {
 	latencies := r.fleet.latencies
-	if len(latencies) == 0 { // who knows the true loads, and not who is broken, gives all to those
+	if len(latencies) == 0 { // the oracle sends all requests to broken servers, because their load is lowest
 		latencies = []float64{math.Inf(1)}
 	}
 	slices.Sort(latencies)
@@ -207,7 +208,7 @@
 	return latencies[len(latencies)*99/100], late / float64(r.total)
 }
 
-// peak returns how many requests the most loaded server of a second had, on average.
+// peak returns the number of requests of the most loaded server of each second, averaged over the seconds.
 func (r *simulationRun) peak() float64 {
 	sum, windows := 0, int(r.seconds)
 	for second := range windows {
@@ -222,7 +223,7 @@
 	return float64(sum) / float64(windows)
 }
 
-// peakByChance returns peak where each request goes to any server with the same chance.
+// peakByChance returns the expected peak if each request goes to a uniformly random server.
 func (r *simulationRun) peakByChance(perServer float64) float64 {
 	const draws = 50
 	sum := 0
--- a/internal/balancer/simulation_test.go
+++ b/internal/balancer/simulation_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// simulatedFleet is a fleet in simulated time: servers with cores and a queue.
+// simulatedFleet is a discrete-event simulation of a fleet of servers, each with cores and a queue.
 type simulatedFleet struct {
 	now         float64 // s
 	events      simulatedEvents
 	eventCount  int
 	random      *rand.Rand
 	servers     []*simulatedServer
-	meanRunTime float64 // s that a request takes on a core
-	delay       float64 // s from an answer or a report to the sender
-	countFrom   float64 // s, when counting starts
+	meanRunTime float64 // s, mean run time of a request on a core
+	delay       float64 // s, one-way network delay between sender and server
+	countFrom   float64 // s, simulated time at which counting starts
 
-	serversByLoad [][]int // indexes of the servers by their load; nil: not kept
+	serversByLoad [][]int // indexes of the servers by their load; nil: not maintained
 
 	latencies []float64 // s, of succeeded requests
 	failed    int
@@ -26,20 +26,20 @@
 // simulatedServer is one server of a simulated fleet.
 type simulatedServer struct {
 	index        int
-	indexByLoad  int // its place among the servers of its load
+	indexByLoad  int // index among the servers with the same load
 	cores        int
-	busy         int     // cores at work
-	speed        float64 // 1 is usual
-	broken       bool    // fails at once
+	busy         int     // busy cores
+	speed        float64 // relative speed, normally 1
+	broken       bool    // whether requests fail immediately
 	queue        []func()
 	idleSince    float64   // s
-	idleTimes    []float64 // s that it was idle, each time
-	runsBySecond []int     // requests by second since counting started
+	idleTimes    []float64 // s, duration of each idle period
+	runsBySecond []int     // requests per second since counting started
 }
 
 func (s *simulatedServer) load() float64 { return float64(s.busy + len(s.queue)) }
 
-// reportedLoad is the load that it reports.
+// reportedLoad returns the load that the server reports: the requests in progress and queued, or IdleLoad.
 func (s *simulatedServer) reportedLoad(now float64) float64 {
 	if load := s.load(); load > 0 {
 		return load
@@ -47,14 +47,14 @@
 	return IdleLoad(seconds(now - s.idleSince))
 }
 
-// simulatedEvent is something that is done at a simulated time.
+// simulatedEvent is an action at a simulated time.
 type simulatedEvent struct {
 	at       float64 // s
-	sequence int     // of events at the same time the earlier scheduled one comes first
+	sequence int     // orders events at the same time by when they were scheduled
 	do       func()
 }
 
-// simulatedEvents is a heap of events.
+// simulatedEvents is a heap of events, ordered by time.
 type simulatedEvents []simulatedEvent
 
 func (h simulatedEvents) Len() int { return len(h) }
@@ -73,13 +73,13 @@
 // time returns the simulated time.
 func (f *simulatedFleet) time() time.Duration { return seconds(f.now) }
 
-// schedule has something done in so many seconds.
+// schedule schedules an action after a delay in seconds.
 func (f *simulatedFleet) schedule(delay float64, do func()) {
 	f.eventCount++
 	heap.Push(&f.events, simulatedEvent{f.now + delay, f.eventCount, do})
 }
 
-// run does what is scheduled up to a time in seconds.
+// run runs the events up to a simulated time in seconds.
 func (f *simulatedFleet) run(until float64) {
 	for len(f.events) > 0 && f.events[0].at <= until {
 		event := heap.Pop(&f.events).(simulatedEvent)
@@ -89,7 +89,7 @@
 	f.now = until
 }
 
-// indexByLoad starts to keep serversByLoad.
+// indexByLoad builds serversByLoad, which is maintained from then on.
 func (f *simulatedFleet) indexByLoad() {
 	f.serversByLoad = [][]int{}
 	for _, server := range f.servers {
@@ -106,7 +106,7 @@
 	f.serversByLoad[load] = append(f.serversByLoad[load], server.index)
 }
 
-// reindex moves a server whose load has changed.
+// reindex moves a server whose load has changed within serversByLoad.
 func (f *simulatedFleet) reindex(server *simulatedServer, earlierLoad int) {
 	if f.serversByLoad == nil {
 		return
@@ -119,7 +119,7 @@
 	f.addByLoad(server)
 }
 
-// leastLoaded draws one of the servers with the least load.
+// leastLoaded returns the index of a random server among those with the lowest load.
 func (f *simulatedFleet) leastLoaded() int {
 	for _, row := range f.serversByLoad {
 		if len(row) > 0 {
@@ -129,7 +129,7 @@
 	return 0
 }
 
-// serve gives a request to a server; done gets the outcome, at the server.
+// serve starts or queues a request at a server. done is called with the outcome at the time when the request ends.
 func (f *simulatedFleet) serve(server *simulatedServer, done func(Outcome)) {
 	f.countRun(server)
 	if server.broken {
@@ -175,7 +175,7 @@
 	server.runsBySecond[second]++
 }
 
-// recordIdleTime notes how long a server has been idle.
+// recordIdleTime records how long a server has been idle.
 func (f *simulatedFleet) recordIdleTime(server *simulatedServer) {
 	server.idleTimes = append(server.idleTimes, f.now-max(f.countFrom, server.idleSince))
 }
@@ -194,7 +194,7 @@
 	}
 }
 
-// poisson draws how many requests come where so many are expected.
+// poisson draws a number from the Poisson distribution with a mean.
 func poisson(random *rand.Rand, mean float64) (count int) {
 	for x := random.ExpFloat64(); x < mean; x += random.ExpFloat64() {
 		count++
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -2,16 +2,18 @@
 
 import "time"
 
-// slowStartShare is the part of its drawn share that an endpoint which is warming up gets: the sum over all senders
-// then stays under what it bears, where their shares are uneven, too.
+// slowStartShare is the fraction of its share by weight that an endpoint receives while it is warming up. It keeps the
+// sum over all senders below the endpoint's reduced capacity even if the senders' request rates are uneven.
 const slowStartShare = 0.75
 
-// slowStartAllows reports whether an endpoint may be given a request now, as far as its warming up goes.
+// slowStartAllows reports whether the slow start limit allows a request to an endpoint now. It is always true for an
+// endpoint that is not warming up.
 //
-// An endpoint that is warming up has little to do. So of a few that are drawn it is the least loaded one each time, for
-// every sender, and would get several times its weight from all of them together. So each sender gives it no more than
-// its weight of the sender's own requests, and that is its weight of the fleet's, however many others send. Each sender
-// begins at a drawn point between two requests, lest hundreds give it their first one together.
+// An endpoint that is warming up has few requests in progress. It is therefore the least loaded of every draw of every
+// sender, and would receive several times its share by weight from all senders together. Each sender limits it to its
+// share by weight of the sender's own requests, which adds up to its share of the fleet's requests for any number of
+// senders. Each sender starts at a random point between two requests, so that hundreds of senders do not send their
+// first request at the same time.
 func (b *Balancer) slowStartAllows(now time.Duration, state *endpointState, random func() float64) bool {
 	if !state.warmingUp(now) {
 		return true
@@ -21,7 +23,7 @@
 		state.slowStartCredit = -random()
 		state.creditedPicks = b.pickCount
 	}
-	if total := b.totalWeight(); total > 0 { // 0: all of them are ejected
+	if total := b.totalWeight(); total > 0 { // 0: all endpoints are ejected
 		earned := (b.pickCount - state.creditedPicks) * slowStartShare * state.weight / total
 		state.slowStartCredit = min(1, state.slowStartCredit+earned)
 	}
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// slowStartSender is one of many senders of a fleet that an endpoint joins.
+// slowStartSender is one of the senders in a fleet that a new endpoint joins.
 type slowStartSender struct {
 	balancer     *Balancer
-	relativeRate float64       // of all requests, unscaled
-	discoversAt  time.Duration // when it learns that the endpoint is there
+	relativeRate float64       // request rate, relative to totalRelativeRate
+	discoversAt  time.Duration // when the sender learns of the new endpoint
 	discovered   bool
-	open         []EndpointName // endpoints with a request of ours in progress
+	open         []EndpointName // endpoints with a request of this sender in progress
 }
 
-// slowStart is an endpoint that starts among others. Each sender learns of it late, by a time of its own, has a part of
-// the requests of its own, and believes the newcomer to be idle all the while.
+// slowStart simulates an endpoint that joins a fleet. Each sender learns of it after a different delay, has a different
+// share of the requests, and always sees reports that the new endpoint is idle.
 type slowStart struct {
 	random            *rand.Rand
-	endpoints         []Endpoint // the newcomer first
+	endpoints         []Endpoint // the new endpoint is the first
 	senders           []*slowStartSender
-	totalRelativeRate float64 // sum of the senders' parts
-	received          []int   // requests to the newcomer by window
+	totalRelativeRate float64 // sum over the senders
+	received          []int   // requests to the new endpoint per window
 }
 
 const (
 	slowStartWarmUp = 12 * time.Second
 	slowStartWindow = 2 * time.Second
-	slowStartRate   = 1200.0 // requests a second of the fleet
-	slowStartFleet  = 20     // endpoints
+	slowStartRate   = 1200.0 // requests per second of the fleet
+	slowStartFleet  = 20     // number of endpoints
 )
 
 func newSlowStart(senders int, seed uint64) *slowStart {
@@ -52,7 +52,7 @@
 	return s
 }
 
-// step has a sender do what it does in one tick.
+// step simulates one tick of a sender.
 func (s *slowStart) step(sender *slowStartSender, now, tick time.Duration) {
 	newcomer := s.endpoints[0].Name
 	if !sender.discovered && now >= sender.discoversAt {
@@ -79,11 +79,11 @@
 	}
 }
 
-// result returns the requests that the newcomer received, those that it should receive at the most, and the worst
-// window: its requests against those, with what chance may add.
+// result returns the number of requests that the new endpoint received and the number allowed by its weight. worst is
+// the maximum over all windows of the received requests, relative to the allowed ones plus a margin for chance.
 func (s *slowStart) result() (received, allowed, worst float64) {
 	for i, count := range s.received {
-		// Its weight of all that is sent, by how far it is warmed up in this window: what it bears in a saturated fleet.
+		// The share of all requests by the endpoint's weight in this window, which is its capacity in a saturated fleet.
 		warmUpProgress := (float64(i) + 0.5) * float64(slowStartWindow) / float64(slowStartWarmUp)
 		expected := slowStartRate * slowStartWindow.Seconds() / slowStartFleet * (0.1 + 0.9*warmUpProgress)
 		received += float64(count)
@@ -93,9 +93,10 @@
 	return received, allowed, worst
 }
 
-// TestSlowStartOverAllSenders checks that what all senders together give an endpoint that is warming up stays under
-// what it is allowed and what is put down to chance, however many they are and however late each learns of it; and
-// that it is warmed up: it gets half of that at the least.
+// TestSlowStartOverAllSenders checks the requests that all senders together send to an endpoint that is warming up, for
+// different numbers of senders and delays until each learns of it. In each window they must not exceed the allowed
+// number plus a margin for chance. In total they must be at least half of the allowed number, so that the endpoint warms
+// up.
 func TestSlowStartOverAllSenders(t *testing.T) {
 	const tick = 10 * time.Millisecond
 	for _, senders := range []int{1, 2, 3, 5, 10, 20, 30, 100, 300} {
@@ -108,14 +109,14 @@
 			}
 			received, allowed, worst := simulated.result()
 			if worst > 1 || received < allowed/2 {
-				t.Errorf("%d senders, seed %d: %.2f of what may come in a window, %.0f of %.0f in all",
+				t.Errorf("%d senders, seed %d: worst window at %.2f of its limit, received %.0f of %.0f allowed requests",
 					senders, seed, worst, received, allowed)
 			}
 		}
 	}
 }
 
-// Example_allWarmingUp shows that an endpoint that is the only one left gets all requests, warming up or not.
+// Example_allWarmingUp shows that endpoints that are warming up receive all requests if there are no others.
 func Example_allWarmingUp() {
 	endpoints := makeEndpoints(3)
 	for i := range endpoints {
@@ -134,8 +135,8 @@
 	// map[true:100]
 }
 
-// Example_allEjected shows that nobody has a weight while every endpoint is ejected; one that is warming up and
-// succeeds again gets its part then.
+// Example_allEjected shows that all weights are 0 while every endpoint is ejected. An endpoint that is warming up
+// receives its share again after it has recovered.
 func Example_allEjected() {
 	endpoints := makeEndpoints(2)
 	endpoints[0].WarmUpRemaining, endpoints[0].WarmUp = time.Minute, time.Minute
@@ -160,9 +161,9 @@
 	balancer.weightsStale, balancer.weightsAt = true, 0
 	index, ok := balancer.Pick(time.Second, random, func(index int) bool { return index == 1 })
 	fmt.Println("weight:", balancer.cumulativeWeights[1], index, ok)
-	// Its share is small: it was an outlier.
-	fmt.Println("later, of 1000:", pick(40*time.Second, 1000) > 20)
+	// The share is small because the endpoint was an outlier.
+	fmt.Println("later, more than 20 of 1000:", pick(40*time.Second, 1000) > 20)
 	// Output:
 	// weight: 0 0 true
-	// later, of 1000: true
+	// later, more than 20 of 1000: true
 }
--- a/internal/balancer/spillover.go
+++ b/internal/balancer/spillover.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// SpilloverConfig is what spilling over goes by.
+// SpilloverConfig is the configuration of a SpilloverPolicy.
 type SpilloverConfig struct {
 	BudgetRatio   float64 // spilled requests earned by each request that arrives
-	BudgetBurst   float64 // spilled requests that may be saved up
-	SaturatedLoad float64 // requests in progress a core from which on an endpoint is saturated
+	BudgetBurst   float64 // maximum number of earned spilled requests that are saved up
+	SaturatedLoad float64 // requests in progress per core from which on an endpoint is saturated
 
-	// MaxSaturatedFraction is the share of the endpoints that may be saturated: past it spilling over is itself the
-	// overload.
+	// MaxSaturatedFraction is the maximum fraction of the endpoints that may be saturated. Beyond it, spillover itself
+	// is the cause of overload.
 	MaxSaturatedFraction float64
 
-	ReportMaxAge time.Duration // age from which on a load report is not believed
+	ReportMaxAge time.Duration // age beyond which a load report is ignored
 }
 
-// DefaultSpilloverConfig returns the values that apply unless configured.
+// DefaultSpilloverConfig returns the default configuration.
 func DefaultSpilloverConfig() SpilloverConfig {
 	return SpilloverConfig{
 		BudgetRatio:          0.2,
@@ -30,20 +30,20 @@
 	}
 }
 
-// SpilloverReason is what keeps a request from being spilled over.
+// SpilloverReason is the reason why a request is not spilled over.
 type SpilloverReason uint8
 
 // The reasons.
 const (
-	Allowed          SpilloverReason = iota // nothing does
-	BudgetExhausted                         // as many were spilled over as may be
-	DeadlineTooClose                        // its deadline does not allow a further hop
-	NoReports                               // no endpoint has reported its load of late
+	Allowed          SpilloverReason = iota // the request may be spilled over
+	BudgetExhausted                         // the spillover budget is used up
+	DeadlineTooClose                        // the deadline does not allow a further hop
+	NoReports                               // no endpoint has reported its load recently
 	FleetSaturated                          // too many endpoints are saturated
-	NoCapacity                              // none that was drawn has capacity and is much less loaded than we are
-	BackingOff                              // most that were spilled over were rejected there, too
-	AlreadyForwarded                        // it was forwarded to us: never by two hops, and so never in a circle
-	Draining                                // we drain: what we reject, its client retries elsewhere
+	NoCapacity                              // no drawn endpoint has capacity and much less load than this instance
+	BackingOff                              // most requests spilled over recently were rejected there, too
+	AlreadyForwarded                        // the request was forwarded once; a single hop rules out loops
+	Draining                                // this instance drains: clients retry rejected requests elsewhere
 )
 
 var spilloverReasons = [...]string{
@@ -51,7 +51,7 @@
 	"already-forwarded", "draining",
 }
 
-// String returns the reason as it is logged.
+// String returns the reason as it appears in the log.
 func (r SpilloverReason) String() string {
 	if int(r) < len(spilloverReasons) {
 		return spilloverReasons[r]
@@ -60,28 +60,28 @@
 }
 
 const (
-	// initialLatency is what a request is taken to need elsewhere until one came back.
+	// initialLatency is the assumed latency of a request at another endpoint until there are samples.
 	initialLatency = 100 * time.Millisecond
 
-	// saturationMaxAge is how long the count of saturated endpoints holds.
+	// saturationMaxAge is how long a count of the saturated endpoints is used.
 	saturationMaxAge = 50 * time.Millisecond
 
-	// minRejections is the decayed number of rejections from which on spilling over may pause; fewer may be chance.
+	// minRejections is the decayed number of rejections from which on spillover may pause; fewer may be chance.
 	minRejections = 3
 
-	// backoffDuration is how long spilling over pauses.
+	// backoffDuration is how long spillover pauses.
 	backoffDuration = time.Second
 )
 
-// SpilloverPolicy decides whether a request that is rejected here goes to another endpoint, once. It uses a Balancer's
-// knowledge of the endpoints, and belongs to the same goroutine.
+// SpilloverPolicy decides whether a request that is rejected here is forwarded, once, to another endpoint. It uses the
+// state of a Balancer, and its methods must be called from the Balancer's goroutine.
 type SpilloverPolicy struct {
 	config   SpilloverConfig
 	balancer *Balancer
 
-	budget float64 // requests that may be spilled over
+	budget float64 // number of requests that may be spilled over
 
-	// What became of those that were spilled over, decaying with the balancer's OutcomeHalfLife.
+	// Outcomes of the requests that were spilled over, decaying with the balancer's OutcomeHalfLife.
 	succeeded    float64
 	rejected     float64
 	decayedAt    time.Duration
@@ -90,7 +90,7 @@
 	saturation saturation
 }
 
-// saturation is how many endpoints are saturated.
+// saturation is a count of the saturated endpoints.
 type saturation struct {
 	counted   bool
 	countedAt time.Duration
@@ -98,7 +98,7 @@
 	saturated int // those of them that are saturated
 }
 
-// NewSpilloverPolicy returns a policy that uses a balancer's knowledge.
+// NewSpilloverPolicy returns a policy that uses the state of a balancer.
 func NewSpilloverPolicy(config SpilloverConfig, balancer *Balancer) *SpilloverPolicy {
 	return &SpilloverPolicy{config: config, balancer: balancer, budget: config.BudgetBurst}
 }
@@ -109,15 +109,15 @@
 	p.budget = min(p.budget, config.BudgetBurst)
 }
 
-// RecordArrival notes that a request has arrived here, which earns a part of the budget.
+// RecordArrival records that a request has arrived here, which adds BudgetRatio to the budget.
 func (p *SpilloverPolicy) RecordArrival() {
 	p.budget = min(p.config.BudgetBurst, p.budget+p.config.BudgetRatio)
 }
 
-// Pick returns the index of the endpoint that a request which is rejected here goes to: of a few that are drawn by
-// weight the least loaded one, if it has capacity and is much less loaded than we are. remaining is the time until
-// the request's deadline, ownLoad our own requests in progress a core. The index holds only where the reason is
-// Allowed.
+// Pick returns the index of the endpoint that receives a request which is rejected here: the least loaded of a few that
+// are drawn by weight, if it has capacity and is much less loaded than this instance. remaining is the time until the
+// request's deadline. ownLoad is the load of this instance in requests in progress per core. The index is valid only if
+// the reason is Allowed.
 func (p *SpilloverPolicy) Pick(
 	now, remaining time.Duration, ownLoad float64, random func() float64,
 ) (index int, reason SpilloverReason) {
@@ -131,8 +131,8 @@
 		if state == nil || !p.isEligible(now, state) || !p.balancer.slowStartAllows(now, state, random) {
 			return
 		}
-		// What we know is old and others spill over, too: so the load that it would have with this request counts, and a
-		// hop has to be worth half of our own load.
+		// Load reports are outdated, and other instances spill over, too. Therefore the estimate includes this request,
+		// and must be at most half of this instance's own load to justify a hop.
 		load := p.estimatedLoad(now, state)
 		if load < leastLoad && load < p.config.SaturatedLoad && load <= ownLoad/2 {
 			best, leastLoad = state.index, load
@@ -151,7 +151,7 @@
 	return best, Allowed
 }
 
-// checkPreconditions returns what keeps a request here before any endpoint is looked at.
+// checkPreconditions returns the reason why a request must stay here regardless of the endpoint, or Allowed.
 func (p *SpilloverPolicy) checkPreconditions(now, remaining time.Duration) SpilloverReason {
 	latency := initialLatency
 	if p.balancer.meanLatency > 0 {
@@ -162,7 +162,7 @@
 		return BudgetExhausted
 	case now < p.backoffUntil:
 		return BackingOff
-	case remaining < 2*latency: // twice: what takes as long as usual here comes too late there
+	case remaining < 2*latency: // with less, the response comes too late after a hop
 		return DeadlineTooClose
 	case p.balancer.Len() == 0:
 		return NoReports
@@ -181,9 +181,9 @@
 	return !state.removed && !state.outlier && !state.Suspect && state.hasRecentReport(now, p.config.ReportMaxAge)
 }
 
-// estimatedLoad returns the load that an endpoint is likely to have with one more request. Other than
-// Balancer.estimatedLoad it decays a report over ReportMaxAge, and not over a request's latency: few requests are
-// spilled over, so an idle endpoint stays idle for longer.
+// estimatedLoad estimates the load of an endpoint with one more request, in requests in progress per core. Unlike
+// Balancer.estimatedLoad it decays a report over ReportMaxAge instead of a request's latency: few requests are spilled
+// over, so an idle endpoint stays idle for longer.
 func (p *SpilloverPolicy) estimatedLoad(now time.Duration, state *endpointState) float64 {
 	meanLoad := p.balancer.meanLoad
 	factor := decayFactor(now-state.reportedAt, p.config.ReportMaxAge)
@@ -191,7 +191,7 @@
 }
 
 // refreshSaturation recounts the endpoints with a recent report and those of them that are saturated, at most every
-// saturationMaxAge. It goes by the reports alone: an endpoint is not saturated because we send much to it.
+// saturationMaxAge. It uses only the reports: sending many requests to an endpoint does not mean that it is saturated.
 func (p *SpilloverPolicy) refreshSaturation(now time.Duration) {
 	if p.saturation.counted && now-p.saturation.countedAt < saturationMaxAge {
 		return
@@ -208,8 +208,8 @@
 	}
 }
 
-// RecordOutcome notes what became of a request that was spilled over. Where most are rejected there, too, spilling over
-// pauses; after the pause a few are tried before it pauses again.
+// RecordOutcome records the outcome of a request that was spilled over. If most are rejected there, too, spillover
+// pauses for backoffDuration. After the pause, a few requests are tried before it can pause again.
 func (p *SpilloverPolicy) RecordOutcome(now time.Duration, outcome Outcome) {
 	factor := decayFactor(now-p.decayedAt, p.balancer.config.OutcomeHalfLife)
 	p.succeeded *= factor
--- a/internal/balancer/spillover_test.go
+++ b/internal/balancer/spillover_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Example_spillover shows what keeps a request here, one reason after the other; where an endpoint that is drawn has
-// capacity the request goes there.
+// Example_spillover shows each reason why a request is not spilled over, and requests that are spilled over to a drawn
+// endpoint with capacity.
 func Example_spillover() {
 	config := DefaultSpilloverConfig()
 	config.BudgetBurst = 3
@@ -31,7 +31,7 @@
 		}
 	}
 	pick(time.Second, 9)
-	reportAll(0, 8, 8, 8, 0) // of two cores each
+	reportAll(0, 8, 8, 8, 0) // requests in progress on two cores each
 	policy.saturation.countedAt = 0
 	pick(50*time.Millisecond, 9)
 	pick(time.Second, 9)
@@ -51,7 +51,7 @@
 	pick(time.Second, 9)
 	reportAll(0, 0, 0, 0, 0)
 	now += 60 * time.Millisecond
-	for i := range 3 { // idle by reports that are too old; the one with a recent report has no capacity
+	for i := range 3 { // idle, but with reports that are too old; the endpoint with a recent report has no capacity
 		balancer.endpoints[i].reportedAt = now - 2*time.Second
 	}
 	balancer.RecordReport(now, 3, 3, 0)
@@ -88,46 +88,49 @@
 	}
 }
 
-// TestSpillover simulates servers of which a fifth gets three times what the others get. Those spill over what they
-// would reject. With all of them saturated not much is spilled over, and no more is rejected than without.
+// TestSpillover simulates a fleet in which a fifth of the servers receives three times the requests of the others, and
+// servers spill over requests that they would reject. If all servers are saturated, few requests are spilled over, and
+// about as many are rejected as without spillover.
 func TestSpillover(t *testing.T) {
 	config := DefaultSpilloverConfig()
 	config.BudgetRatio, config.BudgetBurst = 0.5, 50
 	without := simulateSpillover(0.7, nil)
 	with := simulateSpillover(0.7, &config)
-	t.Logf("uneven: rejected %.4f alone; with spillover %v", without.rejected, with)
+	t.Logf("uneven: rejected %.4f without spillover; with spillover %v", without.rejected, with)
 	if with.rejected > 0.2*without.rejected || with.spilledRejected > 0.05 {
-		t.Error("it does not help")
+		t.Error("spillover does not reduce rejections, or too many spilled requests are rejected")
 	}
 	defaults := DefaultSpilloverConfig()
 	withDefaults := simulateSpillover(0.7, &defaults)
-	t.Logf("by the default budget: %v", withDefaults)
+	t.Logf("with the default budget: %v", withDefaults)
 	if withDefaults.rejected > 0.9*without.rejected || withDefaults.spilled > defaults.BudgetRatio {
-		t.Error("the budget")
+		t.Error("spillover with the default budget does not reduce rejections, or exceeds the budget")
 	}
 	without = simulateSpillover(1.6, nil)
 	with = simulateSpillover(1.6, &config)
-	t.Logf("all saturated: rejected %.4f alone; with spillover %v", without.rejected, with)
+	t.Logf("all saturated: rejected %.4f without spillover; with spillover %v", without.rejected, with)
 	if with.spilled > 0.02 || with.rejected > 1.02*without.rejected {
-		t.Error("spilling over is the overload")
+		t.Error("spillover adds to the overload of a saturated fleet")
 	}
 	ignoringSaturation := config
 	ignoringSaturation.MaxSaturatedFraction, ignoringSaturation.SaturatedLoad = 1, 1000
-	t.Logf("  without regard to saturation: %v", simulateSpillover(1.6, &ignoringSaturation))
+	t.Logf("  ignoring saturation: %v", simulateSpillover(1.6, &ignoringSaturation))
 }
 
-// spilloverResult is what a simulation of spillover measured.
+// spilloverResult holds the measurements of a simulation of spillover.
 type spilloverResult struct {
-	rejected        float64 // share of all requests
-	spilled         float64 // share of all requests
-	spilledRejected float64 // share of those that were spilled over
+	rejected        float64 // fraction of all requests
+	spilled         float64 // fraction of all requests
+	spilledRejected float64 // rejected fraction of the spilled requests
 }
 
 func (r spilloverResult) String() string {
-	return fmt.Sprintf("rejected %.4f, spilled %.4f, of which %.3f were rejected", r.rejected, r.spilled, r.spilledRejected)
+	return fmt.Sprintf("rejected %.4f, spilled %.4f, of which %.3f were rejected",
+		r.rejected, r.spilled, r.spilledRejected)
 }
 
-// spilloverRun is one simulation of spillover: each server accepts maxSpilloverLoad requests at a time.
+// spilloverRun is the state of a running simulation of spillover. Each server accepts maxSpilloverLoad requests at a
+// time.
 type spilloverRun struct {
 	fleet                                       *simulatedFleet
 	arrived, rejected, spilled, spilledRejected float64
@@ -135,17 +138,17 @@
 
 const maxSpilloverLoad = 6
 
-// spillingServer is a server that spills over.
+// spillingServer is a server that spills over requests.
 type spillingServer struct {
 	run      *spilloverRun
 	index    int
 	server   *simulatedServer
-	balancer *Balancer        // over all but itself
-	policy   *SpilloverPolicy // nil: it spills nothing over
-	rate     float64          // requests a second
+	balancer *Balancer        // with all other servers as endpoints
+	policy   *SpilloverPolicy // nil: no spillover
+	rate     float64          // requests per second
 }
 
-// simulateSpillover simulates a fleet; without a configuration nothing is spilled over.
+// simulateSpillover simulates a fleet. If config is nil, no requests are spilled over.
 func simulateSpillover(utilization float64, config *SpilloverConfig) spilloverResult {
 	const servers = 60
 	fleet := &simulatedFleet{random: rand.New(rand.NewPCG(3, 2)), meanRunTime: 0.05, countFrom: 2}
@@ -180,7 +183,7 @@
 	}
 }
 
-// serverAt returns the server at an index of the balancer, which leaves out the sender.
+// serverAt returns the server at an index of the balancer, whose endpoints do not include the server itself.
 func (s *spillingServer) serverAt(index int) *simulatedServer {
 	if index >= s.index {
 		index++
@@ -188,7 +191,7 @@
 	return s.run.fleet.servers[index]
 }
 
-// poll probes others while the server has more requests than its cores can run.
+// poll probes other servers periodically while the server has more requests than cores.
 func (s *spillingServer) poll() {
 	if s.server.load() > 2 {
 		s.probe()
@@ -211,7 +214,7 @@
 	})
 }
 
-// arrive is a request that arrives.
+// arrive handles an arriving request, and schedules the next arrival.
 func (s *spillingServer) arrive() {
 	run, fleet := s.run, s.run.fleet
 	fleet.schedule(fleet.random.ExpFloat64()/s.rate, s.arrive)
--- a/internal/balancer/subset.go
+++ b/internal/balancer/subset.go
@@ -9,12 +9,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Subsets returns the endpoints that each client keeps connections to, at most size. Whoever knows the same names
-// comes to the same result, whatever their order. Each endpoint is in as many subsets as any other, one more or
-// less, and when a client or an endpoint comes or goes few connections move.
+// Subsets returns the endpoints that each client keeps connections to, at most size per client. All processes that use
+// the same names compute the same result, regardless of their order. The numbers of subsets that two endpoints are in
+// differ by at most one. Few connections move when a client or an endpoint joins or leaves.
 //
-// It is the deferred acceptance of Gale and Shapley: clients and endpoints prefer each other by a hash of both
-// names, and each endpoint accepts a fixed number of clients. A newcomer displaces a few, who find the next best.
+// Subsets uses the deferred acceptance algorithm of Gale and Shapley: clients and endpoints prefer each other by a hash
+// of both names, and each endpoint accepts a fixed number of clients. A new client displaces a few others, which then
+// propose to their next preference.
 func Subsets(clients, endpoints []EndpointName, size int) map[EndpointName][]EndpointName {
 	subsets := make(map[EndpointName][]EndpointName, len(clients))
 	if size >= len(endpoints) || len(clients) == 0 {
@@ -45,17 +46,17 @@
 type matchedClient struct {
 	name        EndpointName
 	hash        uint64
-	missing     int          // endpoints that it still wants
-	preferences []preference // the best first; those with a hash within hashLimit
-	next        int          // preference that it proposes to next
+	missing     int          // number of endpoints that the client still needs
+	preferences []preference // endpoints with a hash within hashLimit, best first
+	next        int          // index of the preference to propose to next
 	hashLimit   float64      // as a fraction of the range of hashes
 }
 
 type matchedEndpoint struct {
 	name     EndpointName
 	hash     uint64
-	quota    int          // clients that it accepts
-	accepted []acceptance // the best first
+	quota    int          // maximum number of clients
+	accepted []acceptance // accepted clients, best first
 }
 
 type preference struct {
@@ -80,8 +81,8 @@
 	return m
 }
 
-// assignQuotas distributes size places a client over all endpoints. Those that accept one more are drawn by a hash of
-// their own, so that they stay the same ones.
+// assignQuotas distributes size places per client over all endpoints. The endpoints that accept one more client than
+// the others are chosen by a hash of their names, so that the choice is stable.
 func (m *matching) assignQuotas() {
 	places := len(m.clients) * m.size
 	order := make([]preference, len(m.endpoints))
@@ -97,8 +98,8 @@
 
 func comparePreferences(a, b preference) int { return cmp.Compare(a.hash, b.hash) }
 
-// extendPreferences raises the limit of the hashes that a client's preferences are worked out for. Few clients get
-// beyond the first few times size, so only those are sorted at first.
+// extendPreferences raises the hash limit of a client and recomputes its preferences. Few clients propose to more than
+// the first few times size endpoints, so only those are sorted at first.
 func (m *matching) extendPreferences(client *matchedClient) {
 	client.hashLimit = max(6*float64(m.size)/float64(len(m.endpoints)), 4*client.hashLimit)
 	maxHash := uint64(math.MaxUint64)
@@ -115,8 +116,8 @@
 	client.preferences = preferences
 }
 
-// run has clients propose until each has what it wants or has proposed to all. The result does not depend on the
-// order in which they propose.
+// run lets clients propose until each has size endpoints or has proposed to all. The result does not depend on the
+// order of the proposals.
 func (m *matching) run() {
 	pending := make([]int, len(m.clients))
 	for i := range pending {
@@ -140,7 +141,8 @@
 	}
 }
 
-// propose has an endpoint accept a client if it has a place, or if it prefers the client to another, who is displaced.
+// propose makes an endpoint accept a client if it has a free place or prefers the client to an accepted one, which is
+// then displaced. ok is true if a client was displaced.
 func (m *matching) propose(client int, proposal preference) (displaced int, ok bool) {
 	endpoint := &m.endpoints[proposal.endpoint]
 	if endpoint.quota == 0 {
@@ -162,8 +164,8 @@
 	return displaced, ok
 }
 
-// placeMissing places clients that have proposed to all endpoints and still want some: the only free places are at
-// endpoints that have accepted them already.
+// placeMissing places clients that have proposed to all endpoints and still need some. For them the only free places
+// are at endpoints that have already accepted them.
 func (m *matching) placeMissing() {
 	for client := range m.clients {
 		for ; m.clients[client].missing > 0; m.clients[client].missing-- {
@@ -172,7 +174,7 @@
 	}
 }
 
-// placeOne gives a client a free place, or exchanges another client's place against a free one.
+// placeOne assigns a free place to a client, or exchanges another client's place for a free one.
 func (m *matching) placeOne(client int) {
 	for free := range m.endpoints {
 		endpoint := &m.endpoints[free]
@@ -189,8 +191,8 @@
 	}
 }
 
-// exchange moves some other client to a free place at an endpoint and gives its former place to the client. It reports
-// whether that is possible.
+// exchange moves another client to a free place at an endpoint and assigns that client's former place to the given
+// client. It reports whether it found such an exchange.
 func (m *matching) exchange(client int, free *matchedEndpoint) bool {
 	for full := range m.endpoints {
 		endpoint := &m.endpoints[full]
@@ -212,7 +214,7 @@
 	return slices.ContainsFunc(e.accepted, func(a acceptance) bool { return a.client == client })
 }
 
-// combineHashes returns one hash of two.
+// combineHashes returns a hash of two hashes.
 func combineHashes(a, b uint64) uint64 {
 	var bytes [16]byte
 	binary.LittleEndian.PutUint64(bytes[:], a)
--- a/internal/balancer/subset_test.go
+++ b/internal/balancer/subset_test.go
@@ -9,8 +9,8 @@
 	_ "lanewheel/internal/rapidtest"
 )
 
-// TestSubsets checks that each endpoint is in as many subsets as any other, one more or less, and that each client
-// has as many as configured.
+// TestSubsets checks that endpoints are in equal numbers of subsets up to rounding, that each subset has the configured
+// size, and that the order of the endpoints does not matter.
 func TestSubsets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clientCount := rapid.IntRange(1, 40).Draw(t, "clients")
@@ -29,19 +29,19 @@
 		}
 		for _, name := range endpoints {
 			if even := clientCount * size / endpointCount; count[name] < even-1 || count[name] > even+1 {
-				t.Fatalf("%s is in %d subsets, even is %d", name, count[name], even)
+				t.Fatalf("%s is in %d subsets, want %d within 1", name, count[name], even)
 			}
 		}
 		slices.Reverse(endpoints)
 		for client, subset := range Subsets(clients, endpoints, size) {
 			if !slices.Equal(slices.Sorted(slices.Values(subset)), slices.Sorted(slices.Values(subsets[client]))) {
-				t.Fatal("another order, another subset")
+				t.Fatal("the order of the endpoints changes a subset")
 			}
 		}
 	})
 }
 
-// movedConnections returns the number of connections of later that earlier has not.
+// movedConnections returns the number of connections in later that are not in earlier.
 func movedConnections(earlier, later map[EndpointName][]EndpointName) (count int) {
 	for client, subset := range later {
 		for _, name := range subset {
@@ -53,8 +53,8 @@
 	return count
 }
 
-// TestSubsetsAreStable checks how many of 800 connections are opened when one of 200 endpoints goes or comes, or a
-// client comes.
+// TestSubsetsAreStable limits the number of the 800 connections that are newly opened when one of 200 endpoints leaves
+// or joins, or a client joins.
 func TestSubsetsAreStable(t *testing.T) {
 	clients, endpoints := makeNames("d", 40), makeNames("m", 200)
 	before := Subsets(clients, endpoints, 20)
@@ -67,9 +67,9 @@
 		openedSum += leaving
 	}
 	if maxOpened > 60 || openedSum/trials > 25 {
-		t.Fatalf("%d of 800 opened on average, %d at the most", openedSum/trials, maxOpened)
+		t.Fatalf("%d of 800 connections opened on average, at most %d", openedSum/trials, maxOpened)
 	}
 	if moved := movedConnections(before, Subsets(append(clients, "d40"), endpoints, 20)); moved > 80 {
-		t.Fatal("a further client opens ", moved)
+		t.Fatal("connections opened when a client joins: ", moved)
 	}
 }
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -3,20 +3,23 @@
 import "time"
 
 const (
-	// weightsMaxAge is how long weights hold unless the endpoints change: what they go by moves slower.
+	// weightsMaxAge is how long weights are used unless the endpoints change. The inputs of the weights change more
+	// slowly.
 	weightsMaxAge = 100 * time.Millisecond
 
-	// minSlowStartWeight is the share of its weight that an endpoint starts with: one that gets nothing never warms up.
+	// minSlowStartWeight is the fraction of its weight that an endpoint starts with. An endpoint that receives no
+	// requests never warms up.
 	minSlowStartWeight = 0.1
 
-	// maxSparseLoadFactor is how many times the mean latency a report may hold where endpoints are mostly idle.
+	// maxSparseLoadFactor is the maximum half-life of a load report, as a multiple of the mean latency, where endpoints
+	// are mostly idle.
 	maxSparseLoadFactor = 25
 )
 
 // totalWeight returns the sum of all weights. There must be an endpoint.
 func (b *Balancer) totalWeight() float64 { return b.cumulativeWeights[len(b.cumulativeWeights)-1] }
 
-// drawByWeight returns the index of the endpoint that a fraction of the total weight, from 0 to 1, falls on.
+// drawByWeight returns the index of the endpoint at a fraction, from 0 to 1, of the cumulative weight.
 func (b *Balancer) drawByWeight(fraction float64) int {
 	point := fraction * b.totalWeight()
 	low, high := 0, len(b.cumulativeWeights)-1
@@ -31,7 +34,7 @@
 	return low
 }
 
-// refreshWeights recomputes the weights if they are stale and old enough.
+// refreshWeights recomputes the weights if they are stale and at least weightsMaxAge old.
 func (b *Balancer) refreshWeights(now time.Duration) {
 	if b.weightsStale && (b.weightsAt == 0 || now-b.weightsAt >= weightsMaxAge) {
 		b.recomputeWeights(now)
@@ -62,7 +65,7 @@
 	}
 }
 
-// measureLoads derives the zones' loads, the mean load and the mean latency from what is known of the endpoints.
+// measureLoads derives the zones' loads, the mean load and the mean latency from the endpoints' states.
 func (b *Balancer) measureLoads(now time.Duration) {
 	clear(b.zones)
 	loadSum, capacitySum, latencySum, latencyCount := 0.0, 0.0, 0.0, 0.0
@@ -94,8 +97,9 @@
 	}
 }
 
-// adaptLoadHalfLife derives the half-life of a load report from the mean latency, unless it is configured. Where cores
-// are idle an endpoint's load changes less often than a request takes, by how seldom it gets one.
+// adaptLoadHalfLife derives the half-life of a load report from the mean latency, unless it is configured. If cores are
+// mostly idle, an endpoint's load changes less often than once per latency, because requests arrive rarely, so the
+// half-life is longer.
 func (b *Balancer) adaptLoadHalfLife() {
 	if b.config.LoadHalfLife != 0 || b.meanLatency <= 0 {
 		return
@@ -104,8 +108,8 @@
 	b.loadHalfLife = min(max(seconds(sparseLoadFactor*b.meanLatency), minLoadHalfLife), maxLoadHalfLife)
 }
 
-// baseWeight returns the weight of an endpoint by its capacity, less where it has started or recovered of late; it
-// grows back in a straight line.
+// baseWeight returns the weight of an endpoint by its capacity. The weight is reduced after a start or a recovery and
+// then grows linearly to the full value.
 func (b *Balancer) baseWeight(now time.Duration, state *endpointState) float64 {
 	weight := state.Capacity
 	if state.warmingUp(now) {
@@ -118,7 +122,7 @@
 	return weight
 }
 
-// healthWeight reduces the weight of an outlier, and that of a slow endpoint in proportion.
+// healthWeight reduces the weight of an outlier, and that of a slow endpoint in inverse proportion to its latency.
 func (b *Balancer) healthWeight(now time.Duration, state *endpointState, weight float64) float64 {
 	if state.outlier {
 		if now < state.ejectedUntil {
--- a/internal/balancer/zone.go
+++ b/internal/balancer/zone.go
@@ -1,32 +1,33 @@
 package balancer
 
 const (
-	// saturatedUtilization is the utilization of the local zone, in requests in progress a core, at which as much
-	// leaves it as the others have room for. A lower one would oscillate: what leaves shows in the loads a while
-	// later.
+	// saturatedUtilization is the utilization of the local zone, in requests in progress per core, at which requests are
+	// divided over all zones by their spare capacity. A lower value would cause oscillation, because requests that leave
+	// the zone affect the reported loads only after a delay.
 	saturatedUtilization = 1.7
 
-	// spareUtilization is the utilization up to which a zone has spare capacity.
+	// spareUtilization is the utilization, in requests in progress per core, up to which a zone has spare capacity.
 	spareUtilization = 1.2
 
-	// minSpareFraction is the share of its capacity that a full zone still takes, as loads move.
+	// minSpareFraction is the fraction of its capacity that counts as spare even in a full zone, because loads change.
 	minSpareFraction = 0.02
 
-	// minOutflow is the share of the requests that leave the local zone in any case, so that the others' loads are known.
+	// minOutflow is the minimum fraction of the requests that leave the local zone, so that there are samples from the
+	// other zones.
 	minOutflow = 0.001
 )
 
-// zoneLoad is what is believed of one zone as a whole.
+// zoneLoad is the aggregated load of one zone.
 type zoneLoad struct {
 	capacity float64 // cores
-	load     float64 // requests in progress, of the endpoints with a recent report
-	reports  int     // endpoints with a recent report
+	load     float64 // requests in progress at the endpoints with a recent report
+	reports  int     // number of endpoints with a recent report
 	spare    float64 // cores
-	weight   float64 // factor of the weight of each endpoint in it
+	weight   float64 // factor applied to the weight of each endpoint in the zone
 }
 
-// recomputeZoneWeights keeps all requests in our own zone while it has room. What does not fit goes to the other zones
-// by the room that they have, without a step between.
+// recomputeZoneWeights keeps all requests in the local zone up to LocalZoneUtilization. The excess is divided over the
+// other zones by their spare capacity. The fraction that leaves grows continuously with the utilization.
 func (b *Balancer) recomputeZoneWeights() {
 	local := b.zones[b.config.LocalZone]
 	if b.config.LocalZone == "" || local == nil || len(b.zones) == 1 {
@@ -54,7 +55,8 @@
 	}
 }
 
-// utilization returns the requests in progress a core of a zone, the mean where nothing is known of it.
+// utilization returns the requests in progress per core of a zone, or the mean load if there are no recent reports from
+// the zone.
 func (b *Balancer) utilization(zone *zoneLoad) float64 {
 	if zone.reports == 0 {
 		return b.meanLoad
