--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -32,7 +32,7 @@
 	return balancer
 }
 
-// measureShares picks 20,000 times and returns the number of picks per endpoint, relative to an even share.
+// measureShares picks 20,000 times and returns each endpoint's share of the picks, where 1 is an even share.
 func measureShares(balancer *Balancer, now time.Duration) []float64 {
 	const picks = 20000
 	random := rand.New(rand.NewPCG(1, 1)).Float64
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -162,8 +162,8 @@
 	fmt.Fprint(&l.text, "s", uint8(l.balancer.DecideRetry(l.now, attempt, result)))
 }
 
-// TestGoldenDecisions checks for every policy that the same history, seed and configuration lead to the same decisions as
-// in earlier versions.
+// TestGoldenDecisions checks, for every policy, that the same history, seed and configuration lead to the same
+// decisions as in earlier versions.
 func TestGoldenDecisions(t *testing.T) {
 	var text bytes.Buffer
 	for policy := LeastEstimatedLoad; policy <= LeastReportedLoad; policy++ {
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -95,8 +95,8 @@
 
 // TestSlowStartOverAllSenders checks the requests that all senders together send to an endpoint that is warming up, for
 // different numbers of senders and delays until each learns of it. In each window they must not exceed the allowed
-// number plus a margin for chance. In total they must be at least half of the allowed number, so that the endpoint warms
-// up.
+// number plus a margin for chance. In total they must be at least half of the allowed number, so that the endpoint
+// warms up.
 func TestSlowStartOverAllSenders(t *testing.T) {
 	const tick = 10 * time.Millisecond
 	for _, senders := range []int{1, 2, 3, 5, 10, 20, 30, 100, 300} {
--- a/internal/balancer/spillover_test.go
+++ b/internal/balancer/spillover_test.go
@@ -84,7 +84,7 @@
 		}
 	}
 	if got := SpilloverReason(99).String(); got != "SpilloverReason(99)" {
-		t.Errorf("an unknown reason is %q", got)
+		t.Errorf("name of unknown reason 99 is %q, want %q", got, "SpilloverReason(99)")
 	}
 }
 
--- a/internal/concurrencylease/allocator.go
+++ b/internal/concurrencylease/allocator.go
@@ -79,7 +79,7 @@
 }
 
 // HandleRequest returns the lease that answers a request. ok is false if the request is not answered: the allocator is
-// fenced, the request is late or duplicated, or its holder is one too many.
+// fenced, the request is late or duplicated, or its holder is new and there are already Config.MaxHolders holders.
 func (a *Allocator) HandleRequest(now time.Duration, request Request) (lease Lease, ok bool) {
 	if a.fenced {
 		return lease, false
--- a/internal/concurrencylease/fairshare_test.go
+++ b/internal/concurrencylease/fairshare_test.go
@@ -51,23 +51,23 @@
 	config.Capacity = 200
 	allocator := NewAllocator(config, 1, 0)
 	holders := newHolders(50)
-	persistent := holders[15:] // the others send no requests after 20 s
+	remaining := holders[15:] // the others send no requests after 20 s
 	for now := 8 * time.Second; now < 60*time.Second; now += 500 * time.Millisecond {
 		active := holders
 		if now > 20*time.Second {
-			active = persistent
+			active = remaining
 		}
 		for _, holder := range active {
 			holder.RecordDemand(now, unevenDemand(holders, holder))
 			renew(allocator, holder, now, holder.Limit(now))
 		}
-		all, persisting := summarizeLimits(holders, now), summarizeLimits(persistent, now)
-		if now == 18*time.Second && (all.sum < 180 || all.sum > 200 || persisting.largest-persisting.smallest > 5) {
-			t.Fatal(now, all, persisting)
+		all, remainingLimits := summarizeLimits(holders, now), summarizeLimits(remaining, now)
+		if now == 18*time.Second && (all.sum < 180 || all.sum > 200 || remainingLimits.largest-remainingLimits.smallest > 5) {
+			t.Fatal(now, all, remainingLimits)
 		}
 		// The remaining holders use the calls of the ones that left.
-		if now > 32*time.Second && (persisting.sum < 180 || persisting.sum > 200) {
-			t.Fatal(now, persisting)
+		if now > 32*time.Second && (remainingLimits.sum < 180 || remainingLimits.sum > 200) {
+			t.Fatal(now, remainingLimits)
 		}
 	}
 }
