--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -24,14 +24,16 @@
 	LoadHalfLife time.Duration
 	LoadMaxAge   time.Duration // age beyond which a load report is ignored
 
-	LocalZoneUtilization float64 // utilization of the local zone up to which all requests stay in it
+	// LocalZoneUtilization is the utilization of the local zone, in requests in progress per core, up to which all
+	// requests stay in it.
+	LocalZoneUtilization float64
 
 	OutlierWeight      float64       // fraction of its weight that an outlier keeps, so that its recovery is detected
 	MaxOutlierFraction float64       // maximum fraction of the endpoints that may be treated as outliers at a time
 	OutcomeHalfLife    time.Duration // age at which an outcome has half its weight
 
 	RetryRatio float64 // retries earned by each request
-	RetryBurst float64 // maximum number of earned retries that are saved up
+	RetryBurst float64 // maximum number of retries that can be saved up
 }
 
 // DefaultConfig returns the default configuration.
@@ -63,13 +65,13 @@
 	meanLatency       float64 // s, over all endpoints with a succeeded request; 0: none yet
 	loadHalfLife      time.Duration
 	outlierCount      int    // endpoints that look like outliers, ejected or not
-	panicCount        uint64 // recomputations that ejected no outlier because too many endpoints looked like one
+	panicCount        uint64 // number of recomputations that ejected no endpoint because too many looked like outliers
 
 	retryTokens float64
-	pickCount   float64 // requests for which an endpoint was to be picked
+	pickCount   float64 // number of selections by Balancer.Pick and SpilloverPolicy.Pick
 	roundRobin  int     // position of the policy RoundRobin; 0: not drawn yet
 
-	probePool     [probePoolSize]*endpointState // recently probed endpoints without a request since
+	probePool     [probePoolSize]*endpointState // recently probed endpoints that this sender has sent no request to since
 	nextProbeSlot int                           // the slot that is overwritten next
 }
 
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -66,8 +66,9 @@
 	// 10s: warming up 1.02, suspect 0.02, larger 2.01
 }
 
-// Example_zones shows that all requests stay in the local zone a while it has spare capacity. The excess grows
-// continuously with the utilization, and is divided over the other zones by their spare capacity.
+// Example_zones shows that all requests stay in the local zone, a, up to a utilization of LocalZoneUtilization. The
+// excess grows continuously with the utilization, and is divided among the other zones in proportion to their spare
+// capacity.
 func Example_zones() {
 	config := DefaultConfig()
 	config.LocalZone, config.ChoiceCount = "a", 1
--- a/internal/balancer/endpoint.go
+++ b/internal/balancer/endpoint.go
@@ -12,7 +12,7 @@
 	Capacity        float64       // cores, as configured
 	WarmUpRemaining time.Duration // time until the endpoint is warmed up; 0: it is warmed up
 	WarmUp          time.Duration // total time that warming up takes; 0 if WarmUpRemaining is 0
-	Suspect         bool          // whether some members cannot reach the endpoint, which reduces its weight to almost 0
+	Suspect         bool          // whether some members cannot reach the endpoint; reduces its weight to almost 0
 }
 
 // endpointState is a Balancer's record of one endpoint.
@@ -38,7 +38,7 @@
 	consecutiveFailures int
 	outlier             bool          // as of the last recomputeWeights
 	ejectedUntil        time.Duration // until then an outlier receives no requests
-	recoveredAt         time.Duration // when a request to an outlier last succeeded again; 0: never
+	recoveredAt         time.Duration // when the endpoint last recovered from consecutive failures; 0: never
 	meanLatency         float64       // s, of succeeded requests; 0: none yet
 
 	// The limit of this sender's requests while the endpoint is warming up; see slowStartAllows.
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -86,7 +86,8 @@
 	return l.text.String()
 }
 
-// changeEndpoints adds two endpoints that are warming up and makes another one a suspect. Later it removes the suspect.
+// changeEndpoints adds two endpoints that are warming up and makes another one a suspect. Later it removes an endpoint,
+// and the suspect is reachable again.
 func (l *decisionLog) changeEndpoints(step, steps int) {
 	switch step {
 	case steps / 4:
--- a/internal/balancer/outcome.go
+++ b/internal/balancer/outcome.go
@@ -8,7 +8,7 @@
 // The outcomes.
 const (
 	Succeeded  Outcome = iota
-	Rejected           // the endpoint refused the request, which has not run
+	Rejected           // the endpoint rejected the request without running it
 	Failed             // the endpoint reported a failure; the request may have run
 	NoResponse         // the connection ended or the request timed out; it may have run unless nothing of it was sent
 )
@@ -28,8 +28,8 @@
 	if state.warmingUp(now) {
 		state.slowStartCredit--
 	}
-	// One request uses up a probe's answer. A sender with few requests sends few probes, and would otherwise send all
-	// its requests to the endpoint that answered last.
+	// Each probe's answer is used for only one request. A sender with few requests sends few probes, and would otherwise
+	// send all its requests to the endpoint that answered last.
 	for slot, probed := range b.probePool {
 		if probed == state {
 			b.probePool[slot] = nil
@@ -39,7 +39,8 @@
 }
 
 // RecordOutcome records the outcome of a request to an endpoint. The endpoint is identified by name because indexes may
-// have changed since the request started; one that was removed is ignored. latency is only used for Succeeded.
+// have changed since the request started. The outcome is ignored if the endpoint has been removed. latency is only used
+// for Succeeded.
 func (b *Balancer) RecordOutcome(now time.Duration, name EndpointName, outcome Outcome, latency time.Duration) {
 	index, ok := b.indexByName[name]
 	if !ok {
@@ -80,9 +81,10 @@
 }
 
 // recordLatency updates the moving average of an endpoint's latency. It averages over several requests so that one long
-// request does not divert the load. The first request to a process that has just started takes long, and all senders
-// that sent it one would leave it idle for seconds. Therefore a new endpoint starts with the mean latency of the
-// others, and one request counts for at most maxLatencyFactor times the mean.
+// request does not divert the load. The first request to a process that has just started takes long. Taken at face
+// value, it would make every sender that sent one avoid the process and leave it idle for seconds. Therefore a new
+// endpoint starts with the mean latency of the others, and the latency of one request counts as at most
+// maxLatencyFactor times the mean.
 func (b *Balancer) recordLatency(state *endpointState, latency float64) {
 	const smoothing = 0.1
 	if b.meanLatency > 0 {
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -3,18 +3,19 @@
 import "time"
 
 const (
-	// maxLatencyFactor limits the latency of one request to this multiple of the mean latency. One such request does not
-	// make an endpoint slow, two do.
+	// maxLatencyFactor is the maximum latency that is recorded for one request, as a multiple of the mean latency. One
+	// request at the maximum does not make an endpoint slow, but two do.
 	maxLatencyFactor = 5
 
-	// slowLatencyFactor is the multiple of the mean latency above which an endpoint is slow; a lower one may be chance.
+	// slowLatencyFactor is the multiple of the mean latency above which an endpoint is slow. Lower multiples may be due
+	// to chance.
 	slowLatencyFactor = 1.5
 
 	// consecutiveFailuresLimit is the number of consecutive failures that make an endpoint an outlier.
 	consecutiveFailuresLimit = 2
 
-	// minOutlierFailures is the decayed number of failures that make an endpoint with fewer successes an outlier. Two
-	// failures that are not far apart reach it.
+	// minOutlierFailures is the minimum decayed number of failures that makes an endpoint with fewer successes an
+	// outlier. Two failures reach it if they are not far apart.
 	minOutlierFailures = 1.5
 )
 
--- a/internal/balancer/outlier_test.go
+++ b/internal/balancer/outlier_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Example_outliers shows that a failing endpoint is ejected, and that the share of a slow one is reduced. After a
-// recovery the share grows back gradually. If too many endpoints look like outliers, none is ejected.
+// Example_outliers shows that a failing endpoint is ejected, and that the share of a slow one is reduced in inverse
+// proportion to its latency. After a recovery the share grows back gradually. If too many endpoints look like outliers,
+// none is ejected.
 func Example_outliers() {
 	config := DefaultConfig()
 	config.ChoiceCount = 1
@@ -44,7 +45,7 @@
 }
 
 // Example_firstRequest shows that a new endpoint whose first request takes a hundred times the mean latency keeps its
-// weight. Two more such requests reduce its weight like that of any slow endpoint.
+// weight. A second and a third such request reduce its weight like that of any slow endpoint.
 func Example_firstRequest() {
 	balancer := newBalancer(DefaultConfig(), makeEndpoints(4))
 	for i := range 40 {
--- a/internal/balancer/pick.go
+++ b/internal/balancer/pick.go
@@ -16,9 +16,9 @@
 	leastLoad float64
 }
 
-// Pick returns the index of the endpoint for one request: the least loaded of a few that are drawn by weight. excluded,
-// which may be nil, reports whether an index must not be returned. ok is false if there is no endpoint or all are
-// excluded. random returns numbers in [0, 1). Pick does not allocate.
+// Pick returns the index of the endpoint for one request. With the default policy, this is the least loaded of a few
+// endpoints that are drawn by weight. excluded, which may be nil, reports whether an index must not be returned. ok is
+// false if there is no endpoint or all are excluded. random returns numbers in [0, 1). Pick does not allocate.
 func (b *Balancer) Pick(
 	now time.Duration, random func() float64, excluded func(index int) bool,
 ) (index int, ok bool) {
--- a/internal/balancer/policy.go
+++ b/internal/balancer/policy.go
@@ -2,21 +2,21 @@
 
 import "fmt"
 
-// Policy is the method by which an endpoint is picked. All policies but LeastEstimatedLoad exist for comparison.
+// Policy is the method of picking an endpoint. All policies but LeastEstimatedLoad exist for comparison.
 type Policy uint8
 
 // The policies.
 const (
-	LeastEstimatedLoad    Policy = iota // the lowest estimated current load among a few drawn by weight
-	WeightedRandom                      // drawn with a probability in proportion to the capacity
-	RoundRobin                          // each in turn, starting with a random one
-	LeastRequest                        // the fewest requests of this sender in progress per core among all
-	TwoChoicesOutstanding               // the fewest requests of this sender in progress per core among two
-	TwoChoicesReported                  // the lowest reported load among two, regardless of the report's age
-	LeastReportedLoad                   // the lowest reported load among all; all senders herd to the same endpoint
+	LeastEstimatedLoad    Policy = iota // the endpoint with the lowest estimated load among a few drawn by weight
+	WeightedRandom                      // an endpoint drawn with a probability proportional to its capacity
+	RoundRobin                          // each endpoint in turn, starting with a random one
+	LeastRequest                        // the endpoint with the fewest requests of this sender in progress per core
+	TwoChoicesOutstanding               // like LeastRequest, but among two random endpoints
+	TwoChoicesReported                  // like LeastReportedLoad, but among two random endpoints
+	LeastReportedLoad                   // the endpoint with the lowest last report, however old; all senders herd to it
 )
 
-// policyNames are the values of the policy in the operator's configuration.
+// policyNames are the names of the policies in the operator's configuration.
 var policyNames = [...]string{"informed", "random", "round-robin", "least-open", "two-own", "two-told", "greedy"}
 
 // String returns the policy's name in the operator's configuration.
@@ -27,8 +27,8 @@
 	return fmt.Sprintf("Policy(%d)", uint8(p))
 }
 
-// pickBaseline picks by one of the policies for comparison; ok is false for LeastEstimatedLoad. There must be an
-// endpoint.
+// pickBaseline picks an endpoint by one of the policies that exist for comparison. ok is false for LeastEstimatedLoad.
+// There must be at least one endpoint.
 func (b *Balancer) pickBaseline(random func() float64) (index int, ok bool) {
 	switch b.config.Policy {
 	case WeightedRandom:
@@ -58,7 +58,8 @@
 	return min(count-1, int(random()*float64(count)))
 }
 
-// drawByCapacity returns the index of the endpoint at a fraction, in [0, 1), of the cumulative capacity.
+// drawByCapacity maps a fraction in [0, 1) to the index of an endpoint. A uniformly random fraction draws each endpoint
+// with a probability proportional to its capacity.
 func (b *Balancer) drawByCapacity(fraction float64) int {
 	total := 0.0
 	for _, state := range b.endpoints {
--- a/internal/balancer/policy_test.go
+++ b/internal/balancer/policy_test.go
@@ -21,7 +21,8 @@
 }
 
 // TestPolicies compares policies in a simulation: LeastEstimatedLoad, an oracle that uses the true loads, and simple
-// policies. The subtests have late reports, and servers that are slow, fail immediately or report false loads.
+// policies. The subtests cover late reports, sparse load, subsets, and servers that are slow, fail immediately or
+// report false loads.
 func TestPolicies(t *testing.T) {
 	baseline := simulateWith(func(*simulation) {})
 	random := simulateWith(func(sim *simulation) { sim.config.Policy = WeightedRandom })
@@ -46,7 +47,7 @@
 	t.Run("subsets", func(t *testing.T) { testSimulatedSubsets(t, baseline) })
 }
 
-// testLateReports uses reports that are older than several requests take. Without decay of the reports, all senders
+// testLateReports uses load reports whose age is several mean run times. Without decay of the reports, all senders
 // would herd to the same server.
 func testLateReports(t *testing.T, random simulationResult) {
 	const age = 500 * time.Millisecond
@@ -67,8 +68,8 @@
 	}
 }
 
-// testBrokenServers lets one in twenty servers fail requests immediately. Such a server is always idle, and therefore
-// the best choice by its load.
+// testBrokenServers makes one in twenty servers fail requests immediately. Such a server is always idle, and therefore
+// looks like the best choice.
 func testBrokenServers(t *testing.T) {
 	ejected := simulateWith(func(sim *simulation) { sim.inject = breakTwentieth })
 	kept := simulateWith(func(sim *simulation) {
@@ -99,7 +100,7 @@
 	}
 }
 
-// testFalseIdleReports lets two servers always report that they are idle.
+// testFalseIdleReports makes two servers always report that they are idle.
 func testFalseIdleReports(t *testing.T, baseline simulationResult) {
 	misled := simulateWith(func(sim *simulation) { sim.misreportingServers = 2 })
 	t.Log(misled)
--- a/internal/balancer/report.go
+++ b/internal/balancer/report.go
@@ -24,9 +24,9 @@
 // It is never less than -1, so that idleness never counts for more than one request.
 func IdleLoad(idleFor time.Duration) float64 { return -float64(idleFor) / float64(idleFor+time.Second) }
 
-// RecordReport records the load that an endpoint reports: the number of requests in progress or IdleLoad, measured age
-// ago. It ignores a report that is out of range or not newer than the previous one: an endpoint that sends invalid
-// reports must not attract requests.
+// RecordReport records the load that an endpoint reports: the number of requests in progress or IdleLoad. age is the
+// time since the load was measured. RecordReport ignores a report that is out of range or not newer than the previous
+// one, because an endpoint that sends invalid reports must not attract requests.
 func (b *Balancer) RecordReport(now time.Duration, index int, load float64, age time.Duration) {
 	state := b.endpoints[index]
 	if math.IsNaN(load) || load < -1 || load > maxReportedLoad || age < 0 || age > b.config.LoadMaxAge {
@@ -41,7 +41,8 @@
 }
 
 // RecordProbe records the load in an endpoint's answer to a probe. In addition to calling RecordReport, it adds the
-// endpoint to the pool of those that are compared for the next requests while their reports are recent.
+// endpoint to the pool of recently probed endpoints. Pick compares these, while their reports are recent, with the
+// endpoints that it draws.
 func (b *Balancer) RecordProbe(now time.Duration, index int, load float64, age time.Duration) {
 	b.RecordReport(now, index, load, age)
 	state := b.endpoints[index]
@@ -82,8 +83,8 @@
 		return b.meanLoad + float64(state.outstanding)/state.Capacity
 	}
 	load := state.reportedLoad
-	// Guards against an endpoint that always reports that it is idle: if this sender's requests to it take long, it is
-	// not. Measured latency takes precedence over reported load.
+	// Measured latency takes precedence over reported load. This guards against an endpoint that always reports that it is
+	// idle: if this sender's requests to it take long, it is not idle.
 	if slowdown := b.relativeLatency(now, state); load < b.meanLoad && slowdown > slowLatencyFactor {
 		load = b.meanLoad + (slowdown-1)*max(b.meanLoad, 1)
 	}
--- a/internal/balancer/report_test.go
+++ b/internal/balancer/report_test.go
@@ -37,9 +37,9 @@
 	// 2 true false
 }
 
-// Example_reportDecay shows the weight of a report: full at first, half after the half-life, none beyond LoadMaxAge.
-// Requests started since the report are added. One request uses up a probe's answer. Endpoints with equal reports
-// receive about equal shares.
+// Example_reportDecay shows the weight of a report: full at first, half of it after the half-life, none beyond
+// LoadMaxAge. Requests started since the report are added. Each probe's answer is used for only one request. Endpoints
+// with equal reports receive about equal shares.
 func Example_reportDecay() {
 	config := DefaultConfig()
 	config.LoadHalfLife, config.ChoiceCount = 100*time.Millisecond, 1
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -27,9 +27,11 @@
 	RetryElsewhere                      // try another endpoint
 )
 
-// DecideRetry decides whether a request is retried after an attempt. If the result proves that the request has not run,
-// or if the request is idempotent and there was no response, another endpoint may be tried: within the retry budget,
-// and if the time until the deadline exceeds the mean latency. Any other request that may have run is not retried.
+// DecideRetry decides whether a request is retried at another endpoint after an attempt. A request can be retried if
+// the result proves that it has not run, or if it is idempotent and there was no response. Any other request that may
+// have run is not retried. A retry also requires that fewer than MaxAttempts attempts were made, that the time until
+// the deadline exceeds the mean latency, that the result is not NoFailover, and a token from the retry budget. A retry
+// after an attempt that was not sent needs no token.
 func (b *Balancer) DecideRetry(now time.Duration, attempt Attempt, result AttemptResult) RetryDecision {
 	switch {
 	case result.Outcome == Succeeded || result.Outcome == Failed || result.NoFailover:
@@ -45,7 +47,7 @@
 }
 
 // takeRetry takes a retry from the budget and reports whether there was one. When all endpoints are overloaded, each
-// retry adds to the overload, and retries of several layers multiply. Therefore a request that another process has
+// retry adds to the overload, and retries at several layers multiply. Therefore a request that another process has
 // forwarded gets no retry from the budget.
 func (b *Balancer) takeRetry(forwarded bool) bool {
 	if forwarded || b.retryTokens < 1 {
--- a/internal/balancer/retry_test.go
+++ b/internal/balancer/retry_test.go
@@ -27,8 +27,8 @@
 	// Output: 10 9 false 10
 }
 
-// Example_decideRetry shows the decision for each result of an attempt. For one of them it also shows the decision with
-// the budget used up.
+// Example_decideRetry shows the decisions for different attempts and results. For one of them it also shows the
+// decision after the budget is used up.
 func Example_decideRetry() {
 	config := DefaultConfig()
 	config.RetryRatio, config.RetryBurst = 0, 1
--- a/internal/balancer/simulatedsenders_test.go
+++ b/internal/balancer/simulatedsenders_test.go
@@ -13,23 +13,23 @@
 	servers, senders    int
 	utilization         float64 // mean fraction of all cores in use
 	config              Config
-	subsetSize          int           // endpoints per sender; 0: all servers
-	probesPerRequest    float64       // 0: responses carry no load report, either
-	reportAge           time.Duration // age of the load in each probe's answer when it is sent
-	seconds             float64       // duration of the measurement
-	oracle              bool          // whether requests go to the server with the lowest true load
-	inject              func(*simulatedFleet)
-	meanRunTime         float64 // s; 0: 0.1 s
-	misreportingServers int     // number of servers that always report that they are idle
+	subsetSize          int                   // endpoints per sender; 0: all servers
+	probesPerRequest    float64               // 0: responses carry no load report, either
+	reportAge           time.Duration         // age of the load in each probe's answer when it is sent
+	seconds             float64               // s, duration of the measurement
+	oracle              bool                  // whether requests go to the server with the lowest true load
+	inject              func(*simulatedFleet) // injects a fault into the fleet before the start; nil: no fault
+	meanRunTime         float64               // s; 0: 0.1 s
+	misreportingServers int                   // number of servers that always report that they are idle
 }
 
 // simulationResult holds the measurements of a simulation.
 type simulationResult struct {
-	p99          float64 // s
+	p99          float64 // s, 99th percentile of the latency
 	late         float64 // fraction of the requests that took longer than 8 mean run times
-	peak         float64 // requests per second of the most loaded server of each second, relative to the mean
+	peak         float64 // most requests to any server in a second, averaged over the seconds, relative to the mean
 	peakByChance float64 // expected peak if each request goes to a uniformly random server
-	longestIdle  float64 // longest idle time, relative to the expected time between requests to a server
+	longestIdle  float64 // longest idle time of a server, relative to the mean time between requests to it
 	failed       float64 // fraction of the requests
 	connections  int
 }
@@ -185,10 +185,10 @@
 	result.connections = r.connections
 	result.failed = float64(r.fleet.failed) / float64(r.total)
 	result.p99, result.late = r.latency()
-	perServer := r.rate / float64(r.servers)
-	result.peak = r.peak() / perServer
-	result.peakByChance = r.peakByChance(perServer) / perServer
-	result.longestIdle = r.longestIdle() * perServer
+	ratePerServer := r.rate / float64(r.servers)
+	result.peak = r.peak() / ratePerServer
+	result.peakByChance = r.peakByChance(ratePerServer) / ratePerServer
+	result.longestIdle = r.longestIdle() * ratePerServer
 	return result
 }
 
@@ -224,13 +224,13 @@
 }
 
 // peakByChance returns the expected peak if each request goes to a uniformly random server.
-func (r *simulationRun) peakByChance(perServer float64) float64 {
+func (r *simulationRun) peakByChance(ratePerServer float64) float64 {
 	const draws = 50
 	sum := 0
 	for range draws {
 		peak := 0
 		for range r.servers {
-			peak = max(peak, poisson(r.fleet.random, perServer))
+			peak = max(peak, poisson(r.fleet.random, ratePerServer))
 		}
 		sum += peak
 	}
--- a/internal/balancer/simulation_test.go
+++ b/internal/balancer/simulation_test.go
@@ -34,7 +34,7 @@
 	queue        []func()
 	idleSince    float64   // s
 	idleTimes    []float64 // s, duration of each idle period
-	runsBySecond []int     // requests per second since counting started
+	runsBySecond []int     // number of requests by second since counting started
 }
 
 func (s *simulatedServer) load() float64 { return float64(s.busy + len(s.queue)) }
@@ -194,7 +194,7 @@
 	}
 }
 
-// poisson draws a number from the Poisson distribution with a mean.
+// poisson draws a number from the Poisson distribution with the given mean.
 func poisson(random *rand.Rand, mean float64) (count int) {
 	for x := random.ExpFloat64(); x < mean; x += random.ExpFloat64() {
 		count++
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -9,7 +9,7 @@
 // slowStartAllows reports whether the slow start limit allows a request to an endpoint now. It is always true for an
 // endpoint that is not warming up.
 //
-// An endpoint that is warming up has few requests in progress. It is therefore the least loaded of every draw of every
+// An endpoint that is warming up has few requests in progress. It is therefore the least loaded in every draw of every
 // sender, and would receive several times its share by weight from all senders together. Each sender limits it to its
 // share by weight of the sender's own requests, which adds up to its share of the fleet's requests for any number of
 // senders. Each sender starts at a random point between two requests, so that hundreds of senders do not send their
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -54,13 +54,13 @@
 
 // step simulates one tick of a sender.
 func (s *slowStart) step(sender *slowStartSender, now, tick time.Duration) {
-	newcomer := s.endpoints[0].Name
+	newName := s.endpoints[0].Name
 	if !sender.discovered && now >= sender.discoversAt {
 		sender.discovered = true
 		s.endpoints[0].WarmUpRemaining, s.endpoints[0].WarmUp = slowStartWarmUp-now, slowStartWarmUp
 		sender.balancer.SetEndpoints(now, s.endpoints)
 	}
-	if index, ok := sender.balancer.IndexOf(newcomer); ok {
+	if index, ok := sender.balancer.IndexOf(newName); ok {
 		sender.balancer.RecordProbe(now, index, -0.9, 0)
 	}
 	for _, name := range sender.open {
@@ -73,7 +73,7 @@
 		sender.balancer.RecordStart(now, index)
 		name := sender.balancer.NameAt(index)
 		sender.open = append(sender.open, name)
-		if name == newcomer {
+		if name == newName {
 			s.received[now/slowStartWindow]++
 		}
 	}
--- a/internal/balancer/spillover.go
+++ b/internal/balancer/spillover.go
@@ -8,12 +8,12 @@
 
 // SpilloverConfig is the configuration of a SpilloverPolicy.
 type SpilloverConfig struct {
-	BudgetRatio   float64 // spilled requests earned by each request that arrives
-	BudgetBurst   float64 // maximum number of earned spilled requests that are saved up
-	SaturatedLoad float64 // requests in progress per core from which on an endpoint is saturated
+	BudgetRatio   float64 // number of requests that may be spilled over for each request that arrives
+	BudgetBurst   float64 // maximum number of requests that can be saved up in the budget
+	SaturatedLoad float64 // requests in progress per core at and above which an endpoint is saturated
 
-	// MaxSaturatedFraction is the maximum fraction of the endpoints that may be saturated. Beyond it, spillover itself
-	// is the cause of overload.
+	// MaxSaturatedFraction is the maximum fraction of the endpoints that may be saturated. Beyond it no requests are
+	// spilled over, because spillover itself would cause overload.
 	MaxSaturatedFraction float64
 
 	ReportMaxAge time.Duration // age beyond which a load report is ignored
@@ -30,7 +30,7 @@
 	}
 }
 
-// SpilloverReason is the reason why a request is not spilled over.
+// SpilloverReason is Allowed, or the reason why a request is not spilled over.
 type SpilloverReason uint8
 
 // The reasons.
@@ -40,10 +40,10 @@
 	DeadlineTooClose                        // the deadline does not allow a further hop
 	NoReports                               // no endpoint has reported its load recently
 	FleetSaturated                          // too many endpoints are saturated
-	NoCapacity                              // no drawn endpoint has capacity and much less load than this instance
-	BackingOff                              // most requests spilled over recently were rejected there, too
+	NoCapacity                              // no drawn endpoint has spare capacity and is much less loaded than this one
+	BackingOff                              // most requests spilled over recently were rejected again
 	AlreadyForwarded                        // the request was forwarded once; a single hop rules out loops
-	Draining                                // this instance drains: clients retry rejected requests elsewhere
+	Draining                                // this instance is draining; clients retry rejected requests elsewhere
 )
 
 var spilloverReasons = [...]string{
@@ -63,18 +63,18 @@
 	// initialLatency is the assumed latency of a request at another endpoint until there are samples.
 	initialLatency = 100 * time.Millisecond
 
-	// saturationMaxAge is how long a count of the saturated endpoints is used.
+	// saturationMaxAge is the age at which the count of saturated endpoints is refreshed.
 	saturationMaxAge = 50 * time.Millisecond
 
-	// minRejections is the decayed number of rejections from which on spillover may pause; fewer may be chance.
+	// minRejections is the minimum decayed number of rejections for a pause of spillover. Fewer may be due to chance.
 	minRejections = 3
 
 	// backoffDuration is how long spillover pauses.
 	backoffDuration = time.Second
 )
 
-// SpilloverPolicy decides whether a request that is rejected here is forwarded, once, to another endpoint. It uses the
-// state of a Balancer, and its methods must be called from the Balancer's goroutine.
+// SpilloverPolicy decides whether a request that this instance rejects is forwarded, once, to another endpoint. It uses
+// the state of a Balancer, and its methods must be called from the Balancer's goroutine.
 type SpilloverPolicy struct {
 	config   SpilloverConfig
 	balancer *Balancer
@@ -109,15 +109,15 @@
 	p.budget = min(p.budget, config.BudgetBurst)
 }
 
-// RecordArrival records that a request has arrived here, which adds BudgetRatio to the budget.
+// RecordArrival records that a request has arrived at this instance, which adds BudgetRatio to the budget.
 func (p *SpilloverPolicy) RecordArrival() {
 	p.budget = min(p.config.BudgetBurst, p.budget+p.config.BudgetRatio)
 }
 
-// Pick returns the index of the endpoint that receives a request which is rejected here: the least loaded of a few that
-// are drawn by weight, if it has capacity and is much less loaded than this instance. remaining is the time until the
-// request's deadline. ownLoad is the load of this instance in requests in progress per core. The index is valid only if
-// the reason is Allowed.
+// Pick returns the index of the endpoint that a request rejected by this instance is spilled over to: the least loaded
+// of a few that were recently probed or are drawn by weight, if it has spare capacity and is much less loaded than this
+// instance. remaining is the time until the request's deadline. ownLoad is the load of this instance in requests in
+// progress per core. The index is valid only if the reason is Allowed.
 func (p *SpilloverPolicy) Pick(
 	now, remaining time.Duration, ownLoad float64, random func() float64,
 ) (index int, reason SpilloverReason) {
@@ -151,7 +151,7 @@
 	return best, Allowed
 }
 
-// checkPreconditions returns the reason why a request must stay here regardless of the endpoint, or Allowed.
+// checkPreconditions returns the reason why a request must not be spilled over to any endpoint, or Allowed.
 func (p *SpilloverPolicy) checkPreconditions(now, remaining time.Duration) SpilloverReason {
 	latency := initialLatency
 	if p.balancer.meanLatency > 0 {
@@ -162,7 +162,7 @@
 		return BudgetExhausted
 	case now < p.backoffUntil:
 		return BackingOff
-	case remaining < 2*latency: // with less, the response comes too late after a hop
+	case remaining < 2*latency: // twice, because after a hop a response with the mean latency would be too late
 		return DeadlineTooClose
 	case p.balancer.Len() == 0:
 		return NoReports
@@ -190,8 +190,9 @@
 	return meanLoad + (state.reportedLoad-meanLoad)*factor + state.startedSinceReport + 1/state.Capacity
 }
 
-// refreshSaturation recounts the endpoints with a recent report and those of them that are saturated, at most every
-// saturationMaxAge. It uses only the reports: sending many requests to an endpoint does not mean that it is saturated.
+// refreshSaturation recounts the endpoints with a recent report and those of them that are saturated, at most once per
+// saturationMaxAge. It uses only reported loads: many requests from this instance do not mean that an endpoint is
+// saturated.
 func (p *SpilloverPolicy) refreshSaturation(now time.Duration) {
 	if p.saturation.counted && now-p.saturation.countedAt < saturationMaxAge {
 		return
@@ -208,8 +209,9 @@
 	}
 }
 
-// RecordOutcome records the outcome of a request that was spilled over. If most are rejected there, too, spillover
-// pauses for backoffDuration. After the pause, a few requests are tried before it can pause again.
+// RecordOutcome records the outcome of a request that was spilled over. Any outcome but Succeeded counts as a
+// rejection. If most requests are rejected again, spillover pauses for backoffDuration. After the pause, a few requests
+// are tried before it can pause again.
 func (p *SpilloverPolicy) RecordOutcome(now time.Duration, outcome Outcome) {
 	factor := decayFactor(now-p.decayedAt, p.balancer.config.OutcomeHalfLife)
 	p.succeeded *= factor
--- a/internal/balancer/spillover_test.go
+++ b/internal/balancer/spillover_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Example_spillover shows each reason why a request is not spilled over, and requests that are spilled over to a drawn
-// endpoint with capacity.
+// Example_spillover shows each reason for which Pick does not spill over a request, and requests that are spilled over
+// to an endpoint with spare capacity.
 func Example_spillover() {
 	config := DefaultSpilloverConfig()
 	config.BudgetBurst = 3
@@ -129,13 +129,13 @@
 		r.rejected, r.spilled, r.spilledRejected)
 }
 
-// spilloverRun is the state of a running simulation of spillover. Each server accepts maxSpilloverLoad requests at a
-// time.
+// spilloverRun is the state of a running simulation of spillover.
 type spilloverRun struct {
 	fleet                                       *simulatedFleet
 	arrived, rejected, spilled, spilledRejected float64
 }
 
+// maxSpilloverLoad is the number of requests that each server accepts at a time.
 const maxSpilloverLoad = 6
 
 // spillingServer is a server that spills over requests.
@@ -183,7 +183,7 @@
 	}
 }
 
-// serverAt returns the server at an index of the balancer, whose endpoints do not include the server itself.
+// serverAt returns the server at an index of s.balancer, whose endpoints are all servers but s.
 func (s *spillingServer) serverAt(index int) *simulatedServer {
 	if index >= s.index {
 		index++
--- a/internal/balancer/subset.go
+++ b/internal/balancer/subset.go
@@ -10,8 +10,8 @@
 )
 
 // Subsets returns the endpoints that each client keeps connections to, at most size per client. All processes that use
-// the same names compute the same result, regardless of their order. The numbers of subsets that two endpoints are in
-// differ by at most one. Few connections move when a client or an endpoint joins or leaves.
+// the same names compute the same result, regardless of their order. The number of subsets that contain an
+// endpoint differs by at most one between endpoints. Few connections move when a client or an endpoint joins or leaves.
 //
 // Subsets uses the deferred acceptance algorithm of Gale and Shapley: clients and endpoints prefer each other by a hash
 // of both names, and each endpoint accepts a fixed number of clients. A new client displaces a few others, which then
@@ -61,12 +61,12 @@
 
 type preference struct {
 	endpoint int
-	hash     uint64
+	hash     uint64 // combined hash of the client and the endpoint; lower is better
 }
 
 type acceptance struct {
 	client int
-	hash   uint64
+	hash   uint64 // combined hash of the client and the endpoint; lower is better; 0 if added by placeOne
 }
 
 func newMatching(clients, endpoints []EndpointName, size int) *matching {
@@ -98,8 +98,8 @@
 
 func comparePreferences(a, b preference) int { return cmp.Compare(a.hash, b.hash) }
 
-// extendPreferences raises the hash limit of a client and recomputes its preferences. Few clients propose to more than
-// the first few times size endpoints, so only those are sorted at first.
+// extendPreferences raises the hash limit of a client and recomputes its preferences. Few clients propose to more
+// endpoints than a small multiple of size, so only about that many are sorted at first.
 func (m *matching) extendPreferences(client *matchedClient) {
 	client.hashLimit = max(6*float64(m.size)/float64(len(m.endpoints)), 4*client.hashLimit)
 	maxHash := uint64(math.MaxUint64)
@@ -142,7 +142,7 @@
 }
 
 // propose makes an endpoint accept a client if it has a free place or prefers the client to an accepted one, which is
-// then displaced. ok is true if a client was displaced.
+// then displaced. ok reports whether a client was displaced.
 func (m *matching) propose(client int, proposal preference) (displaced int, ok bool) {
 	endpoint := &m.endpoints[proposal.endpoint]
 	if endpoint.quota == 0 {
@@ -164,8 +164,8 @@
 	return displaced, ok
 }
 
-// placeMissing places clients that have proposed to all endpoints and still need some. For them the only free places
-// are at endpoints that have already accepted them.
+// placeMissing places clients that have proposed to all endpoints and still need some. The only free places that
+// remain for them are at endpoints that have already accepted them.
 func (m *matching) placeMissing() {
 	for client := range m.clients {
 		for ; m.clients[client].missing > 0; m.clients[client].missing-- {
@@ -176,8 +176,8 @@
 
 // placeOne assigns a free place to a client, or exchanges another client's place for a free one.
 func (m *matching) placeOne(client int) {
-	for free := range m.endpoints {
-		endpoint := &m.endpoints[free]
+	for index := range m.endpoints {
+		endpoint := &m.endpoints[index]
 		if len(endpoint.accepted) >= endpoint.quota {
 			continue
 		}
@@ -194,8 +194,8 @@
 // exchange moves another client to a free place at an endpoint and assigns that client's former place to the given
 // client. It reports whether it found such an exchange.
 func (m *matching) exchange(client int, free *matchedEndpoint) bool {
-	for full := range m.endpoints {
-		endpoint := &m.endpoints[full]
+	for index := range m.endpoints {
+		endpoint := &m.endpoints[index]
 		if endpoint.hasAccepted(client) {
 			continue
 		}
--- a/internal/balancer/subset_test.go
+++ b/internal/balancer/subset_test.go
@@ -29,7 +29,7 @@
 		}
 		for _, name := range endpoints {
 			if even := clientCount * size / endpointCount; count[name] < even-1 || count[name] > even+1 {
-				t.Fatalf("%s is in %d subsets, want %d within 1", name, count[name], even)
+				t.Fatalf("%s is in %d subsets, want %d±1", name, count[name], even)
 			}
 		}
 		slices.Reverse(endpoints)
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -4,22 +4,23 @@
 
 const (
 	// weightsMaxAge is how long weights are used unless the endpoints change. The inputs of the weights change more
-	// slowly.
+	// slowly than this.
 	weightsMaxAge = 100 * time.Millisecond
 
 	// minSlowStartWeight is the fraction of its weight that an endpoint starts with. An endpoint that receives no
 	// requests never warms up.
 	minSlowStartWeight = 0.1
 
-	// maxSparseLoadFactor is the maximum half-life of a load report, as a multiple of the mean latency, where endpoints
-	// are mostly idle.
+	// maxSparseLoadFactor is the maximum half-life of a load report, as a multiple of the mean latency, while
+	// endpoints are mostly idle.
 	maxSparseLoadFactor = 25
 )
 
 // totalWeight returns the sum of all weights. There must be an endpoint.
 func (b *Balancer) totalWeight() float64 { return b.cumulativeWeights[len(b.cumulativeWeights)-1] }
 
-// drawByWeight returns the index of the endpoint at a fraction, from 0 to 1, of the cumulative weight.
+// drawByWeight maps a fraction from 0 to 1 to the index of an endpoint. A uniformly random fraction draws each endpoint
+// with a probability proportional to its weight.
 func (b *Balancer) drawByWeight(fraction float64) int {
 	point := fraction * b.totalWeight()
 	low, high := 0, len(b.cumulativeWeights)-1
@@ -98,7 +99,7 @@
 }
 
 // adaptLoadHalfLife derives the half-life of a load report from the mean latency, unless it is configured. If cores are
-// mostly idle, an endpoint's load changes less often than once per latency, because requests arrive rarely, so the
+// mostly idle, requests arrive rarely and an endpoint's load changes less often than once per mean latency, so the
 // half-life is longer.
 func (b *Balancer) adaptLoadHalfLife() {
 	if b.config.LoadHalfLife != 0 || b.meanLatency <= 0 {
@@ -108,8 +109,8 @@
 	b.loadHalfLife = min(max(seconds(sparseLoadFactor*b.meanLatency), minLoadHalfLife), maxLoadHalfLife)
 }
 
-// baseWeight returns the weight of an endpoint by its capacity. The weight is reduced after a start or a recovery and
-// then grows linearly to the full value.
+// baseWeight returns the weight of an endpoint before its health and its zone are considered: its capacity, which is
+// reduced after a start or a recovery and then grows linearly to the full value.
 func (b *Balancer) baseWeight(now time.Duration, state *endpointState) float64 {
 	weight := state.Capacity
 	if state.warmingUp(now) {
@@ -122,7 +123,8 @@
 	return weight
 }
 
-// healthWeight reduces the weight of an outlier, and that of a slow endpoint in inverse proportion to its latency.
+// healthWeight reduces the weight of an outlier, to 0 while it is ejected, and that of a slow endpoint in inverse
+// proportion to its latency.
 func (b *Balancer) healthWeight(now time.Duration, state *endpointState, weight float64) float64 {
 	if state.outlier {
 		if now < state.ejectedUntil {
--- a/internal/balancer/zone.go
+++ b/internal/balancer/zone.go
@@ -2,14 +2,15 @@
 
 const (
 	// saturatedUtilization is the utilization of the local zone, in requests in progress per core, at which requests are
-	// divided over all zones by their spare capacity. A lower value would cause oscillation, because requests that leave
-	// the zone affect the reported loads only after a delay.
+	// divided among all zones in proportion to their spare capacity. A lower value would cause oscillation, because
+	// requests that leave the zone affect the reported loads only after a delay.
 	saturatedUtilization = 1.7
 
 	// spareUtilization is the utilization, in requests in progress per core, up to which a zone has spare capacity.
 	spareUtilization = 1.2
 
-	// minSpareFraction is the fraction of its capacity that counts as spare even in a full zone, because loads change.
+	// minSpareFraction is the fraction of a zone's capacity that counts as spare even if the zone is full, because loads
+	// change.
 	minSpareFraction = 0.02
 
 	// minOutflow is the minimum fraction of the requests that leave the local zone, so that there are samples from the
@@ -26,8 +27,8 @@
 	weight   float64 // factor applied to the weight of each endpoint in the zone
 }
 
-// recomputeZoneWeights keeps all requests in the local zone up to LocalZoneUtilization. The excess is divided over the
-// other zones by their spare capacity. The fraction that leaves grows continuously with the utilization.
+// recomputeZoneWeights keeps all requests in the local zone up to LocalZoneUtilization. The excess is divided among the
+// other zones in proportion to their spare capacity. The fraction that leaves grows continuously with the utilization.
 func (b *Balancer) recomputeZoneWeights() {
 	local := b.zones[b.config.LocalZone]
 	if b.config.LocalZone == "" || local == nil || len(b.zones) == 1 {
--- a/internal/concurrencylease/allocator.go
+++ b/internal/concurrencylease/allocator.go
@@ -9,7 +9,7 @@
 	"lanewheel/internal/membership"
 )
 
-// maxUnconfirmed is the maximum number of leases that are tracked per holder because the holder may be using any of
+// maxUnconfirmed is the maximum number of leases per holder that are tracked because the holder may be using any of
 // them. Beyond it, the oldest two are merged into one with the larger limit. Each request confirms the lease that its
 // holder uses, so only a holder that receives no leases reaches the maximum.
 const maxUnconfirmed = 8
@@ -18,8 +18,8 @@
 type Allocator struct {
 	config Config
 	bootID membership.BootID
-	// renewOnlyUntil is the time until which leases of an earlier allocator, which this one has no record of, may be in
-	// force.
+	// renewOnlyUntil is the time until which calls under leases of an earlier allocator may be running. This allocator has
+	// no record of those leases.
 	renewOnlyUntil time.Duration
 	holders        map[membership.ID]*holderState
 	committed      int // sum of the holders' committed calls
@@ -37,12 +37,13 @@
 	unconfirmed []HeldLease   // leases that the holder may be using, oldest first
 	openCalls   int           // as of the last request
 	wantedCalls int           // as of the last request
-	expiresAt   time.Duration // when the last call made under any of the leases has ended
+	expiresAt   time.Duration // time by which the last call under any of the leases has ended
 	committed   int           // maximum number of calls that the holder may have running
 }
 
-// NewAllocator returns an allocator that has no record of leases granted by an earlier one. Until all of those have
-// expired, it only renews the leases that holders report, whose sum does not exceed what was granted.
+// NewAllocator returns an allocator that has no record of leases granted by an earlier one. Until the last call under
+// those has ended, it only renews the leases that holders report. Their sum does not exceed the calls that the earlier
+// allocator granted.
 func NewAllocator(config Config, bootID membership.BootID, now time.Duration) *Allocator {
 	return &Allocator{
 		config:         config,
@@ -59,7 +60,8 @@
 // SetConfig replaces the configuration. A lower capacity applies to leases granted from now on; leases in force keep
 // their limit until they expire.
 func (a *Allocator) SetConfig(config Config) {
-	// With a longer lease or call duration, calls under leases in force may end later than computed at the grant.
+	// With a longer lease or call duration, calls under leases in force may end later than computed when they were
+	// granted.
 	if increase := config.latestCallEnd(0) - a.config.latestCallEnd(0); increase > 0 {
 		for _, holder := range a.holders {
 			holder.expiresAt += increase
@@ -147,7 +149,7 @@
 		available := max(0, a.config.LeasableCalls()-(a.committed-holder.committed))
 		return min(holder.wantedCalls, a.fairLimit(now, holder), available)
 	}
-	// A holder that already uses a lease of this allocator gets that renewed.
+	// If the holder may already be using a lease of this allocator, that lease is renewed.
 	for _, lease := range holder.unconfirmed {
 		renewable = max(renewable, lease.Limit)
 	}
--- a/internal/concurrencylease/fairshare.go
+++ b/internal/concurrencylease/fairshare.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// lotteryPeriod is how long a holder keeps the extra call that it won in the lottery. Where fewer calls are leasable
-	// than holders want one, it is the holder's only call.
+	// lotteryPeriod is how long a holder keeps the extra call that it won in the lottery. If more holders want calls than
+	// there are leasable calls, it is the holder's only call.
 	lotteryPeriod = 3 * time.Second
-	// From recomputeThrottleHolders holders on, the level is recomputed at most once per recomputeInterval instead of
-	// for each request.
-	recomputeThrottleHolders = 64
-	recomputeInterval        = 20 * time.Millisecond
+	// With at least minHoldersToThrottle holders, the level is recomputed at most once per recomputeInterval instead
+	// of for each request.
+	minHoldersToThrottle = 64
+	recomputeInterval    = 20 * time.Millisecond
 )
 
 // fairShare is the max-min fair division of the leasable calls: each holder gets as many as it wants, up to a level
 // that is the same for all. The remainder goes, one call each, to holders drawn by lottery. Each lottery period draws
-// anew, so that no holder stays without a call forever.
+// anew, so that no holder is without a call forever.
 type fairShare struct {
 	level        int
 	extraHolders int           // number of holders that get one call more than the level
@@ -27,7 +27,7 @@
 
 // fairLimit returns the maximum number of calls that a holder gets by its fair share.
 func (a *Allocator) fairLimit(now time.Duration, holder *holderState) int {
-	recent := now-a.share.computedAt < recomputeInterval && len(a.holders) >= recomputeThrottleHolders
+	recent := now-a.share.computedAt < recomputeInterval && len(a.holders) >= minHoldersToThrottle
 	if a.share.stale && !recent || a.share.computedAt/lotteryPeriod != now/lotteryPeriod {
 		a.updateFairShare(now)
 	}
--- a/internal/concurrencylease/fairshare_test.go
+++ b/internal/concurrencylease/fairshare_test.go
@@ -44,8 +44,8 @@
 	return summary
 }
 
-// TestFairShares checks that without faults and with sufficient demand, at least nine tenths of the capacity are leased
-// and holders with the same demand get nearly the same limit.
+// TestFairShares checks that without faults and with sufficient demand, at least nine tenths of the capacity are
+// leased, also after some holders have left, and that the limits of the remaining holders differ by at most 5.
 func TestFairShares(t *testing.T) {
 	config := DefaultConfig()
 	config.Capacity = 200
@@ -63,11 +63,11 @@
 		}
 		all, remainingLimits := summarizeLimits(holders, now), summarizeLimits(remaining, now)
 		if now == 18*time.Second && (all.sum < 180 || all.sum > 200 || remainingLimits.largest-remainingLimits.smallest > 5) {
-			t.Fatal(now, all, remainingLimits)
+			t.Fatal("limits of all and of the remaining holders at", now, all, remainingLimits)
 		}
 		// The remaining holders use the calls of the ones that left.
 		if now > 32*time.Second && (remainingLimits.sum < 180 || remainingLimits.sum > 200) {
-			t.Fatal(now, remainingLimits)
+			t.Fatal("limits of the remaining holders at", now, remainingLimits)
 		}
 	}
 }
--- a/internal/concurrencylease/holder.go
+++ b/internal/concurrencylease/holder.go
@@ -13,8 +13,9 @@
 	// requestsPerLease is the number of renewal requests per lease duration. With 4, two consecutive messages may be
 	// lost without the lease expiring.
 	requestsPerLease = 4
-	// waitingRequestsPerLease is the maximum number of requests per lease duration while calls wait that the allocator
-	// has not been informed of. It keeps hundreds of holders that have too few calls from sending one request per call.
+	// waitingRequestsPerLease is the maximum number of requests per lease duration while there are waiting calls that the
+	// allocator has not been informed of. It keeps hundreds of holders that have too few calls from sending one request
+	// per call.
 	waitingRequestsPerLease = 16
 	// A holder requests demandHeadroom times its recent peak plus one call, because requests are sent only a few times
 	// per second while calls arrive by the hundred. A decayed peak below negligibleDemand calls counts as no demand.
@@ -28,9 +29,9 @@
 type Holder struct {
 	ID               membership.ID
 	MaxUnleasedCalls int           // configured upper bound of UnleasedCalls
-	MaxCallDuration  time.Duration // the lesser of the configured maximum and the allocator's
-	// UnleasedCalls is the number of concurrent calls that may be made without a lease. It is 0 until the first lease
-	// states how many the allocator sets aside.
+	MaxCallDuration  time.Duration // maximum duration of a call: the lesser of the configured and the allocator's
+	// UnleasedCalls is the number of concurrent calls that may be made without a lease. It is 0 until the first lease,
+	// which contains the number that the allocator sets aside.
 	UnleasedCalls int
 
 	held          HeldLease
@@ -113,9 +114,9 @@
 	return request
 }
 
-// Accept replaces the held lease by one received from an allocator. It reports whether the lease is valid. The duration
-// of a lease counts from the time of its request, so that it expires at the holder before it does at the allocator,
-// however long the answer took.
+// Accept replaces the held lease with one received from an allocator. It ignores an invalid lease, and reports whether
+// the lease is valid. The duration of a lease counts from the time of its request, so that the lease expires at the
+// holder before it does at the allocator, however long the answer took.
 func (h *Holder) Accept(lease Lease) bool {
 	sent := h.sentSlot(lease.Sequence)
 	answersOwnRequest := sent.sequence == lease.Sequence && sent.allocatorBootID == lease.AllocatorBootID
--- a/internal/concurrencylease/lease.go
+++ b/internal/concurrencylease/lease.go
@@ -14,9 +14,9 @@
 // Config is the configuration of an Allocator.
 type Config struct {
 	Capacity        int           // maximum number of concurrent calls to the service from all processes together
-	UnleasedCalls   int           // number of these calls that each process may make without a lease
-	MaxProcesses    int           // maximum number of processes up at once; UnleasedCalls is set aside for each
-	LeaseDuration   time.Duration // measured by the holder's clock from the time of the request
+	UnleasedCalls   int           // number of these concurrent calls that each process may make without a lease
+	MaxProcesses    int           // maximum number of processes running at once; UnleasedCalls is set aside for each
+	LeaseDuration   time.Duration // duration of a lease, by the holder's clock, from the time of the request
 	MaxCallDuration time.Duration // maximum duration of a call
 	MaxClockDrift   float64       // maximum fraction by which a clock runs too fast or too slow
 	MaxHolders      int           // maximum number of holders tracked at a time
@@ -55,8 +55,8 @@
 	Limit           int               // concurrent calls beyond UnleasedCalls; 0 once the lease has expired
 }
 
-// Request asks an allocator for a lease, and reports the holder's current lease and calls. Of the requests of a holder
-// the one with the highest sequence is in effect.
+// Request asks an allocator for a lease, and reports the holder's current lease and calls. Of a holder's
+// requests, the one with the highest sequence is in effect.
 type Request struct {
 	Holder      membership.ID
 	Sequence    uint64
--- a/internal/concurrencylease/simulation_test.go
+++ b/internal/concurrencylease/simulation_test.go
@@ -38,8 +38,8 @@
 type simulation struct {
 	config          Config
 	random          *rand.Rand
-	at              time.Duration
-	events          []event // sorted by time
+	at              time.Duration // current true time
+	events          []event       // sorted by time
 	eventCount      int
 	allocator       *Allocator
 	allocatorBootID membership.BootID
@@ -47,8 +47,8 @@
 	processes       []*process
 	running         int // calls running at the service from all processes, including those without a lease
 	maxRunning      int
-	served          int
-	lossRate        float64
+	served          int     // number of calls started
+	lossRate        float64 // probability that a copy of a message is lost
 }
 
 type event struct {
@@ -60,7 +60,7 @@
 // clock is the clock of one process. It is off by up to an hour and runs too fast or too slow.
 type clock struct {
 	offset       time.Duration
-	rate         float64
+	rate         float64       // speed of the clock relative to true time
 	stalledUntil time.Duration // by true time
 }
 
@@ -73,16 +73,16 @@
 	holder         *Holder
 	openCalls      int
 	wantedCalls    int
-	dropsResponses bool // no lease reaches the process
+	dropsResponses bool // whether the process receives no leases
 	generation     int  // number of times that the process was started
 }
 
 // simulate runs a simulation for a duration.
 func simulate(seed uint64, duration time.Duration) *simulation {
 	sim := &simulation{random: rand.New(rand.NewPCG(seed, 5)), allocatorClock: &clock{}}
-	count := sim.drawConfig()
+	processCount := sim.drawConfig()
 	sim.startAllocator()
-	for range count {
+	for range processCount {
 		p := &process{wantedCalls: sim.random.IntN(12)}
 		sim.processes = append(sim.processes, p)
 		sim.startProcess(p)
@@ -126,10 +126,10 @@
 func (sim *simulation) after(delay time.Duration, do func()) {
 	sim.eventCount++
 	added := event{sim.at + delay, sim.eventCount, do}
-	place, _ := slices.BinarySearchFunc(sim.events, added, func(a, b event) int {
+	position, _ := slices.BinarySearchFunc(sim.events, added, func(a, b event) int {
 		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.sequence, b.sequence))
 	})
-	sim.events = slices.Insert(sim.events, place, added)
+	sim.events = slices.Insert(sim.events, position, added)
 }
 
 // send delivers a message after a random delay: once, twice or never. A stalled process receives it after the stall.
@@ -156,7 +156,7 @@
 	do()
 }
 
-// startAllocator replaces the allocator by a new one.
+// startAllocator replaces the allocator with a new one.
 func (sim *simulation) startAllocator() {
 	drawn := sim.drawClock()
 	sim.allocatorClock = &drawn
@@ -164,7 +164,7 @@
 	sim.allocator = NewAllocator(sim.config, sim.allocatorBootID, sim.allocatorClock.now(sim))
 }
 
-// startProcess replaces a process by a new one. The calls of the earlier process continue at the service.
+// startProcess replaces a process with a new one. The calls of the earlier process continue at the service.
 func (sim *simulation) startProcess(p *process) {
 	p.generation++
 	p.openCalls = 0
@@ -251,8 +251,8 @@
 	p := sim.processes[sim.random.IntN(len(sim.processes))]
 	switch sim.random.IntN(8) {
 	case 0:
-		// The process is killed and restarted. While its earlier calls continue, it counts as one process more than
-		// MaxProcesses allows, so this is limited to configurations without unleased calls.
+		// The process is killed and restarted. While its earlier calls continue, there is in effect one process more than
+		// MaxProcesses allows for, so this is limited to configurations without unleased calls.
 		if sim.config.UnleasedCalls == 0 {
 			sim.startProcess(p)
 		}
