--- a/internal/balancer/policy.go
+++ b/internal/balancer/policy.go
@@ -13,7 +13,7 @@
 	LeastRequest                        // the endpoint with the fewest requests of this sender in progress per core
 	TwoChoicesOutstanding               // like LeastRequest, but among two random endpoints
 	TwoChoicesReported                  // like LeastReportedLoad, but among two random endpoints
-	LeastReportedLoad                   // the endpoint with the lowest last report, however old; all senders herd to it
+	LeastReportedLoad                   // the endpoint with the lowest reported load, however old; all senders herd to it
 )
 
 // policyNames are the names of the policies in the operator's configuration.
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -29,9 +29,9 @@
 
 // DecideRetry decides whether a request is retried at another endpoint after an attempt. A request can be retried if
 // the result proves that it has not run, or if it is idempotent and there was no response. Any other request that may
-// have run is not retried. A retry also requires that fewer than MaxAttempts attempts were made, that the time until
-// the deadline exceeds the mean latency, that the result is not NoFailover, and a token from the retry budget. A retry
-// after an attempt that was not sent needs no token.
+// have run is not retried. A retry also requires that NoFailover is not set, that fewer than MaxAttempts attempts were
+// made, that the time until the deadline exceeds the mean latency, and that the retry budget is not used up. A retry
+// after an attempt that was not sent does not use the budget.
 func (b *Balancer) DecideRetry(now time.Duration, attempt Attempt, result AttemptResult) RetryDecision {
 	switch {
 	case result.Outcome == Succeeded || result.Outcome == Failed || result.NoFailover:
--- a/internal/balancer/simulation_test.go
+++ b/internal/balancer/simulation_test.go
@@ -34,7 +34,7 @@
 	queue        []func()
 	idleSince    float64   // s
 	idleTimes    []float64 // s, duration of each idle period
-	runsBySecond []int     // number of requests by second since counting started
+	runsBySecond []int     // number of requests in each second since counting started
 }
 
 func (s *simulatedServer) load() float64 { return float64(s.busy + len(s.queue)) }
--- a/internal/balancer/spillover.go
+++ b/internal/balancer/spillover.go
@@ -40,7 +40,7 @@
 	DeadlineTooClose                        // the deadline does not allow a further hop
 	NoReports                               // no endpoint has reported its load recently
 	FleetSaturated                          // too many endpoints are saturated
-	NoCapacity                              // no drawn endpoint has spare capacity and is much less loaded than this one
+	NoCapacity                              // no drawn endpoint has spare capacity and much less load than this instance
 	BackingOff                              // most requests spilled over recently were rejected again
 	AlreadyForwarded                        // the request was forwarded once; a single hop rules out loops
 	Draining                                // this instance is draining; clients retry rejected requests elsewhere
--- a/internal/balancer/subset.go
+++ b/internal/balancer/subset.go
@@ -10,8 +10,8 @@
 )
 
 // Subsets returns the endpoints that each client keeps connections to, at most size per client. All processes that use
-// the same names compute the same result, regardless of their order. The number of subsets that contain an
-// endpoint differs by at most one between endpoints. Few connections move when a client or an endpoint joins or leaves.
+// the same names compute the same result, regardless of their order. The number of subsets that contain an endpoint
+// differs by at most one between endpoints. Few connections move when a client or an endpoint joins or leaves.
 //
 // Subsets uses the deferred acceptance algorithm of Gale and Shapley: clients and endpoints prefer each other by a hash
 // of both names, and each endpoint accepts a fixed number of clients. A new client displaces a few others, which then
--- a/internal/concurrencylease/lease.go
+++ b/internal/concurrencylease/lease.go
@@ -55,8 +55,8 @@
 	Limit           int               // concurrent calls beyond UnleasedCalls; 0 once the lease has expired
 }
 
-// Request asks an allocator for a lease, and reports the holder's current lease and calls. Of a holder's
-// requests, the one with the highest sequence is in effect.
+// Request asks an allocator for a lease, and reports the holder's current lease and calls. Of a holder's requests,
+// the one with the highest sequence is in effect.
 type Request struct {
 	Holder      membership.ID
 	Sequence    uint64
