--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -3,28 +3,29 @@
 import "time"
 
 const (
-	// maxLatencyFactor is how many times the mean latency one request counts for at the most. One such request alone does
-	// not make an endpoint slow, two do.
+	// maxLatencyFactor is the maximum latency that is recorded for one request, as a multiple of the mean latency. One
+	// request at the maximum does not make an endpoint slow, but two do.
 	maxLatencyFactor = 5
 
-	// slowLatencyFactor is the multiple of the mean latency from which on an endpoint is slow; less may be chance.
+	// slowLatencyFactor is the multiple of the mean latency above which an endpoint is slow. Lower multiples may be due
+	// to chance.
 	slowLatencyFactor = 1.5
 
-	// consecutiveFailuresLimit is the number of failures in a row that make an outlier.
+	// consecutiveFailuresLimit is the number of consecutive failures that make an endpoint an outlier.
 	consecutiveFailuresLimit = 2
 
-	// minOutlierFailures is the decayed number of failures that make an outlier of an endpoint that succeeds seldom: two
-	// that are not far apart.
+	// minOutlierFailures is the minimum decayed number of failures that makes an endpoint with fewer successes an
+	// outlier. Two failures reach it if they are not far apart.
 	minOutlierFailures = 1.5
 )
 
-// relativeLatency returns an endpoint's latency as a multiple of the mean. It decays towards 1 while nothing comes back
-// from there: an endpoint that is held to be slow gets little, and nothing else would show that it has recovered.
+// relativeLatency returns an endpoint's latency as a multiple of the mean. It decays towards 1 while there are no
+// outcomes: an endpoint that is considered slow receives few requests, so its recovery would otherwise go unnoticed.
 func (b *Balancer) relativeLatency(now time.Duration, state *endpointState) float64 {
 	if b.meanLatency <= 0 || state.meanLatency <= 0 {
 		return 1
 	}
-	return 1 + (state.meanLatency/b.meanLatency-1)*decay(now-state.lastOutcomeAt, b.config.OutcomeHalfLife/4)
+	return 1 + (state.meanLatency/b.meanLatency-1)*decayFactor(now-state.lastOutcomeAt, b.config.OutcomeHalfLife/4)
 }
 
 // isOutlier reports whether an endpoint fails repeatedly, or more often than it succeeds.
@@ -32,12 +33,13 @@
 	if state.consecutiveFailures >= consecutiveFailuresLimit {
 		return true
 	}
-	failures := state.failures * decay(now-state.lastOutcomeAt, b.config.OutcomeHalfLife)
+	failures := state.failures * decayFactor(now-state.lastOutcomeAt, b.config.OutcomeHalfLife)
 	return failures >= minOutlierFailures && state.failures > state.successes
 }
 
-// detectOutliers counts the endpoints that look like outliers and reports whether they are to be ejected. When too many
-// do, it is our own judgement that is wrong, or something that all of them depend on: then none is.
+// detectOutliers counts the endpoints that look like outliers and reports whether they are to be ejected. If their
+// fraction exceeds MaxOutlierFraction, none is ejected: the cause is then probably an error in detection, or a
+// dependency that the endpoints share.
 func (b *Balancer) detectOutliers(now time.Duration) (ejecting bool) {
 	b.outlierCount = 0
 	for _, state := range b.endpoints {
--- a/internal/balancer/policy_test.go
+++ b/internal/balancer/policy_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// simulateWith runs a small simulation that is changed in one point.
+// simulateWith runs a small simulation after applying a change to its parameters.
 func simulateWith(change func(*simulation)) simulationResult {
-	k := simulation{
+	sim := simulation{
 		servers:          60,
 		senders:          12,
 		utilization:      0.7,
@@ -16,133 +16,136 @@
 		reportAge:        2 * time.Millisecond,
 		config:           DefaultConfig(),
 	}
-	change(&k)
-	return k.run()
+	change(&sim)
+	return sim.run()
 }
 
-// TestPolicies compares the policies in simulated time: by the true loads, by what is known, and by the simple
-// policies; with reports that are late, and servers that are slow, fail at once, or lie.
+// TestPolicies compares policies in a simulation: LeastEstimatedLoad, an oracle that uses the true loads, and simple
+// policies. The subtests cover late reports, sparse load, subsets, and servers that are slow, fail immediately or
+// report false loads.
 func TestPolicies(t *testing.T) {
-	usual := simulateWith(func(*simulation) {})
-	random := simulateWith(func(k *simulation) { k.config.Policy = WeightedRandom })
-	oracle := simulateWith(func(k *simulation) { k.oracle = true })
-	t.Log("estimated load", usual)
+	baseline := simulateWith(func(*simulation) {})
+	random := simulateWith(func(sim *simulation) { sim.config.Policy = WeightedRandom })
+	oracle := simulateWith(func(sim *simulation) { sim.oracle = true })
+	t.Log("estimated load", baseline)
 	t.Log("random        ", random)
 	t.Log("true loads    ", oracle)
-	if usual.p99 > 1.15*oracle.p99 || usual.p99 > 0.75*random.p99 {
-		t.Error("worse than it has to be")
+	if baseline.p99 > 1.15*oracle.p99 || baseline.p99 > 0.75*random.p99 {
+		t.Error("99th percentile is too high compared with true loads or the random policy")
 	}
-	if usual.peak > 1.25*usual.peakByChance {
-		t.Error("the most loaded server of a second gets too much")
+	if baseline.peak > 1.25*baseline.peakByChance {
+		t.Error("the most loaded server per second receives too many requests")
 	}
-	if usual.longestIdle > 5 {
-		t.Error("a server is left idle")
+	if baseline.longestIdle > 5 {
+		t.Error("a server stays idle for too long")
 	}
 	t.Run("late reports", func(t *testing.T) { testLateReports(t, random) })
 	t.Run("broken servers", testBrokenServers)
 	t.Run("slow servers", testSlowServers)
-	t.Run("liars", func(t *testing.T) { testLiars(t, usual) })
+	t.Run("false idle reports", func(t *testing.T) { testFalseIdleReports(t, baseline) })
 	t.Run("sparse load", testSparseLoad)
-	t.Run("subsets", func(t *testing.T) { testSimulatedSubsets(t, usual) })
+	t.Run("subsets", func(t *testing.T) { testSimulatedSubsets(t, baseline) })
 }
 
-// Reports as old as several requests take: all senders flock to one server if the reports are believed as they are.
+// testLateReports uses load reports whose age is several mean run times. Without decay of the reports, all senders
+// would herd to the same server.
 func testLateReports(t *testing.T, random simulationResult) {
 	const age = 500 * time.Millisecond
-	late := simulateWith(func(k *simulation) { k.reportAge = age })
-	believed := simulateWith(func(k *simulation) {
-		k.reportAge = age
-		k.config.LoadHalfLife = time.Hour
+	decayed := simulateWith(func(sim *simulation) { sim.reportAge = age })
+	undecayed := simulateWith(func(sim *simulation) {
+		sim.reportAge = age
+		sim.config.LoadHalfLife = time.Hour
 	})
-	greedy := simulateWith(func(k *simulation) {
-		k.reportAge = age
-		k.config.Policy = LeastReportedLoad
+	leastReported := simulateWith(func(sim *simulation) {
+		sim.reportAge = age
+		sim.config.Policy = LeastReportedLoad
 	})
-	t.Log("decayed ", late)
-	t.Log("believed", believed)
-	t.Log("greedy  ", greedy)
-	if late.p99 > random.p99 || late.p99 > 0.8*believed.p99 || late.p99 > 0.5*greedy.p99 {
-		t.Error("senders flock")
+	t.Log("decayed       ", decayed)
+	t.Log("not decayed   ", undecayed)
+	t.Log("least reported", leastReported)
+	if decayed.p99 > random.p99 || decayed.p99 > 0.8*undecayed.p99 || decayed.p99 > 0.5*leastReported.p99 {
+		t.Error("senders herd to the same server")
 	}
 }
 
-// One in twenty fails at once: it is free at once, and so the best of all by its load.
+// testBrokenServers makes one in twenty servers fail requests immediately. Such a server is always idle, and therefore
+// looks like the best choice.
 func testBrokenServers(t *testing.T) {
-	ejected := simulateWith(func(k *simulation) { k.inject = breakTwentieth })
-	kept := simulateWith(func(k *simulation) {
-		k.inject = breakTwentieth
-		k.config.MaxOutlierFraction = -1
+	ejected := simulateWith(func(sim *simulation) { sim.inject = breakTwentieth })
+	kept := simulateWith(func(sim *simulation) {
+		sim.inject = breakTwentieth
+		sim.config.MaxOutlierFraction = -1
 	})
 	t.Log("ejected    ", ejected)
 	t.Log("not ejected", kept)
 	if ejected.failed > 0.01 || kept.failed < 3*ejected.failed {
-		t.Error("the broken attract requests")
+		t.Error("broken servers attract requests")
 	}
 }
 
 func testSlowServers(t *testing.T) {
-	slow := simulateWith(func(k *simulation) {
-		k.inject = slowDownEighth
-		k.utilization = 0.6
+	slow := simulateWith(func(sim *simulation) {
+		sim.inject = slowDownEighth
+		sim.utilization = 0.6
 	})
-	random := simulateWith(func(k *simulation) {
-		k.inject = slowDownEighth
-		k.utilization = 0.6
-		k.config.Policy = WeightedRandom
+	random := simulateWith(func(sim *simulation) {
+		sim.inject = slowDownEighth
+		sim.utilization = 0.6
+		sim.config.Policy = WeightedRandom
 	})
 	t.Log("estimated load", slow)
 	t.Log("random        ", random)
 	if slow.p99 > 0.5*random.p99 {
-		t.Error("the slow ones are overloaded")
+		t.Error("the slow servers are overloaded")
 	}
 }
 
-// Two servers report that they are idle, whatever is so.
-func testLiars(t *testing.T, usual simulationResult) {
-	lied := simulateWith(func(k *simulation) { k.liars = 2 })
-	t.Log(lied)
-	if lied.p99 > 1.3*usual.p99 {
-		t.Error("a server that lies gets too much")
+// testFalseIdleReports makes two servers always report that they are idle.
+func testFalseIdleReports(t *testing.T, baseline simulationResult) {
+	misled := simulateWith(func(sim *simulation) { sim.misreportingServers = 2 })
+	t.Log(misled)
+	if misled.p99 > 1.3*baseline.p99 {
+		t.Error("a server with false reports receives too many requests")
 	}
 }
 
 func testSparseLoad(t *testing.T) {
-	sparse := simulateWith(func(k *simulation) {
-		k.utilization = 0.05
-		k.seconds = 40
+	sparse := simulateWith(func(sim *simulation) {
+		sim.utilization = 0.05
+		sim.seconds = 40
 	})
-	oracle := simulateWith(func(k *simulation) {
-		k.utilization = 0.05
-		k.seconds = 40
-		k.oracle = true
+	oracle := simulateWith(func(sim *simulation) {
+		sim.utilization = 0.05
+		sim.seconds = 40
+		sim.oracle = true
 	})
 	t.Log(sparse)
 	if sparse.peak > 1.25*sparse.peakByChance || sparse.p99 > 1.1*oracle.p99 {
-		t.Error("sparse load")
+		t.Error("peak or 99th percentile is too high under sparse load")
 	}
 	if sparse.longestIdle > 5 {
-		t.Error("a server is left idle under sparse load")
+		t.Error("a server stays idle for too long under sparse load")
 	}
-	// 200 servers that get 3 requests of 20 ms a second each, from 40 senders: a report is worth something for as long
-	// as a server waits for a request.
-	short := simulateWith(func(k *simulation) {
-		k.servers = 200
-		k.senders = 40
-		k.utilization = 0.03
-		k.seconds = 20
-		k.meanRunTime = 0.02
+	// Each of 200 servers receives 3 requests of 20 ms per second from 40 senders. A report must keep its weight for
+	// about the time between two requests to a server.
+	short := simulateWith(func(sim *simulation) {
+		sim.servers = 200
+		sim.senders = 40
+		sim.utilization = 0.03
+		sim.seconds = 20
+		sim.meanRunTime = 0.02
 	})
 	t.Log("short requests", short)
 	if short.peak > 0.8*short.peakByChance || short.longestIdle > 5.5 {
-		t.Error("sparse load of short requests")
+		t.Error("peak or idle time is too high under sparse load of short requests")
 	}
 }
 
-func testSimulatedSubsets(t *testing.T, usual simulationResult) {
-	subset := simulateWith(func(k *simulation) { k.subsetSize = 15 })
+func testSimulatedSubsets(t *testing.T, baseline simulationResult) {
+	subset := simulateWith(func(sim *simulation) { sim.subsetSize = 15 })
 	t.Log(subset)
-	if subset.p99 > 1.25*usual.p99 || subset.connections != 12*15 {
-		t.Error("subsets")
+	if subset.p99 > 1.25*baseline.p99 || subset.connections != 12*15 {
+		t.Error("99th percentile is too high or the number of connections is wrong with subsets")
 	}
 }
 
--- a/internal/balancer/simulatedsenders_test.go
+++ b/internal/balancer/simulatedsenders_test.go
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// simulation is a simulated fleet with processes that send to it, each with a Balancer of its own.
+// simulation holds the parameters of a simulated fleet and its senders, each of which has its own Balancer.
 type simulation struct {
-	servers, senders int
-	utilization      float64 // of all cores
-	config           Config
-	subsetSize       int           // 0: no subsets
-	probesPerRequest float64       // 0: answers carry no load report, either
-	reportAge        time.Duration // of each probe's answer when it is sent
-	seconds          float64       // that are counted
-	oracle           bool          // senders know the true loads
-	inject           func(*simulatedFleet)
-	meanRunTime      float64 // s; 0: a tenth
-	liars            int     // servers that always report to be idle
-}
-
-// simulationResult is what a simulation measured.
+	servers, senders    int
+	utilization         float64 // mean fraction of all cores in use
+	config              Config
+	subsetSize          int                   // endpoints per sender; 0: all servers
+	probesPerRequest    float64               // 0: responses carry no load report, either
+	reportAge           time.Duration         // age of the load in each probe's answer when it is sent
+	seconds             float64               // s, duration of the measurement
+	oracle              bool                  // whether requests go to the server with the lowest true load
+	inject              func(*simulatedFleet) // injects a fault into the fleet before the start; nil: no fault
+	meanRunTime         float64               // s; 0: 0.1 s
+	misreportingServers int                   // number of servers that always report that they are idle
+}
+
+// simulationResult holds the measurements of a simulation.
 type simulationResult struct {
-	p99          float64 // s
-	late         float64 // share of the requests that took longer than 8 mean run times
-	peak         float64 // requests of the most loaded server of a second, against the mean
-	peakByChance float64 // the same where each request goes to any server with the same chance
-	longestIdle  float64 // longest idle time against the expected time between requests
-	failed       float64 // share of the requests
+	p99          float64 // s, 99th percentile of the latency
+	late         float64 // fraction of the requests that took longer than 8 mean run times
+	peak         float64 // most requests to any server in a second, averaged over the seconds, relative to the mean
+	peakByChance float64 // expected peak if each request goes to a uniformly random server
+	longestIdle  float64 // longest idle time of a server, relative to the mean time between requests to it
+	failed       float64 // fraction of the requests
 	connections  int
 }
 
@@ -40,57 +40,57 @@
 		1000*r.p99, r.late, r.peak, r.peakByChance, r.longestIdle, r.failed, r.connections)
 }
 
-// simulationRun is one simulation under way.
+// simulationRun is the state of a running simulation.
 type simulationRun struct {
 	simulation
 	fleet       *simulatedFleet
 	names       []EndpointName
 	indexByName map[EndpointName]int
-	rate        float64 // requests a second of the fleet
-	total       int     // counted requests
+	rate        float64 // requests per second of the fleet
+	total       int     // requests sent since counting started
 	connections int
 }
 
-func (k simulation) run() simulationResult {
-	r := k.newRun()
+func (sim simulation) run() simulationResult {
+	r := sim.newRun()
 	var senders []EndpointName
-	for i := range k.senders {
+	for i := range sim.senders {
 		senders = append(senders, EndpointName(fmt.Sprint("d", i)))
 	}
 	subsets := map[EndpointName][]EndpointName{}
-	if k.subsetSize > 0 {
-		subsets = Subsets(senders, r.names, k.subsetSize)
+	if sim.subsetSize > 0 {
+		subsets = Subsets(senders, r.names, sim.subsetSize)
 	}
 	for _, sender := range senders {
 		subset := r.names
-		if k.subsetSize > 0 {
+		if sim.subsetSize > 0 {
 			subset = subsets[sender]
 		}
 		r.startSender(subset)
 	}
-	r.fleet.run(r.fleet.countFrom + k.seconds)
+	r.fleet.run(r.fleet.countFrom + sim.seconds)
 	return r.result()
 }
 
-func (k simulation) newRun() *simulationRun {
-	if k.meanRunTime == 0 {
-		k.meanRunTime = 0.1
+func (sim simulation) newRun() *simulationRun {
+	if sim.meanRunTime == 0 {
+		sim.meanRunTime = 0.1
 	}
-	fleet := &simulatedFleet{random: rand.New(rand.NewPCG(1, 2)), meanRunTime: k.meanRunTime, delay: 0.001, countFrom: 5}
-	r := &simulationRun{simulation: k, fleet: fleet, indexByName: map[EndpointName]int{}}
-	for i := range k.servers {
+	fleet := &simulatedFleet{random: rand.New(rand.NewPCG(1, 2)), meanRunTime: sim.meanRunTime, delay: 0.001, countFrom: 5}
+	r := &simulationRun{simulation: sim, fleet: fleet, indexByName: map[EndpointName]int{}}
+	for i := range sim.servers {
 		name := EndpointName(fmt.Sprint("m", i))
 		fleet.servers = append(fleet.servers, &simulatedServer{index: i, cores: 2, speed: 1})
 		r.names = append(r.names, name)
 		r.indexByName[name] = i
 	}
-	if k.oracle {
+	if sim.oracle {
 		fleet.indexByLoad()
 	}
-	if k.inject != nil {
-		k.inject(fleet)
+	if sim.inject != nil {
+		sim.inject(fleet)
 	}
-	r.rate = k.utilization * float64(2*k.servers) / fleet.meanRunTime
+	r.rate = sim.utilization * float64(2*sim.servers) / fleet.meanRunTime
 	return r
 }
 
@@ -152,11 +152,11 @@
 	name := s.balancer.NameAt(picked)
 	server := r.indexByName[name]
 	load := fleet.servers[server].reportedLoad(fleet.now)
-	if server < r.liars {
+	if server < r.misreportingServers {
 		load = -1
 	}
 	fleet.schedule(r.reportAge.Seconds()+2*fleet.delay, func() {
-		if index, known := s.balancer.IndexOf(name); known {
+		if index, ok := s.balancer.IndexOf(name); ok {
 			s.balancer.RecordProbe(fleet.time(), index, load, r.reportAge+seconds(fleet.delay))
 		}
 	})
@@ -167,7 +167,7 @@
 	if !r.oracle {
 		name := r.names[server]
 		s.balancer.RecordOutcome(fleet.time(), name, outcome, seconds(fleet.now-sentAt))
-		if index, known := s.balancer.IndexOf(name); known && r.probesPerRequest > 0 && server >= r.liars {
+		if index, ok := s.balancer.IndexOf(name); ok && r.probesPerRequest > 0 && server >= r.misreportingServers {
 			s.balancer.RecordReport(fleet.time(), index, load, seconds(fleet.delay))
 		}
 	}
@@ -185,17 +185,18 @@
 	result.connections = r.connections
 	result.failed = float64(r.fleet.failed) / float64(r.total)
 	result.p99, result.late = r.latency()
-	perServer := r.rate / float64(r.servers)
-	result.peak = r.peak() / perServer
-	result.peakByChance = r.peakByChance(perServer) / perServer
-	result.longestIdle = r.longestIdle() * perServer
+	ratePerServer := r.rate / float64(r.servers)
+	result.peak = r.peak() / ratePerServer
+	result.peakByChance = r.peakByChance(ratePerServer) / ratePerServer
+	result.longestIdle = r.longestIdle() * ratePerServer
 	return result
 }
 
-// latency returns the 99th percentile and the share of the requests that took longer than 8 mean run times.
+// latency returns the 99th percentile of the latency in seconds, and the fraction of the requests that took longer than
+// 8 mean run times.
 func (r *simulationRun) latency() (p99, late float64) {
 	latencies := r.fleet.latencies
-	if len(latencies) == 0 { // who knows the true loads, and not who is broken, gives all to those
+	if len(latencies) == 0 { // the oracle sends all requests to broken servers, because their load is lowest
 		latencies = []float64{math.Inf(1)}
 	}
 	slices.Sort(latencies)
@@ -207,14 +208,14 @@
 	return latencies[len(latencies)*99/100], late / float64(r.total)
 }
 
-// peak returns how many requests the most loaded server of a second had, on average.
+// peak returns the number of requests of the most loaded server of each second, averaged over the seconds.
 func (r *simulationRun) peak() float64 {
 	sum, windows := 0, int(r.seconds)
 	for second := range windows {
 		peak := 0
 		for _, server := range r.fleet.servers {
-			if second < len(server.runsBySec) {
-				peak = max(peak, server.runsBySec[second])
+			if second < len(server.runsBySecond) {
+				peak = max(peak, server.runsBySecond[second])
 			}
 		}
 		sum += peak
@@ -222,14 +223,14 @@
 	return float64(sum) / float64(windows)
 }
 
-// peakByChance returns peak where each request goes to any server with the same chance.
-func (r *simulationRun) peakByChance(perServer float64) float64 {
+// peakByChance returns the expected peak if each request goes to a uniformly random server.
+func (r *simulationRun) peakByChance(ratePerServer float64) float64 {
 	const draws = 50
 	sum := 0
 	for range draws {
 		peak := 0
 		for range r.servers {
-			peak = max(peak, poisson(r.fleet.random, perServer))
+			peak = max(peak, poisson(r.fleet.random, ratePerServer))
 		}
 		sum += peak
 	}
@@ -240,10 +241,10 @@
 func (r *simulationRun) longestIdle() (longest float64) {
 	for _, server := range r.fleet.servers {
 		if server.load() == 0 {
-			r.fleet.countGap(server)
+			r.fleet.recordIdleTime(server)
 		}
-		for _, gap := range server.gaps {
-			longest = max(longest, gap)
+		for _, idleTime := range server.idleTimes {
+			longest = max(longest, idleTime)
 		}
 	}
 	return longest
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -3,20 +3,24 @@
 import "time"
 
 const (
-	// weightsMaxAge is how long weights hold unless the endpoints change: what they go by moves slower.
+	// weightsMaxAge is how long weights are used unless the endpoints change. The inputs of the weights change more
+	// slowly than this.
 	weightsMaxAge = 100 * time.Millisecond
 
-	// minSlowStartWeight is the share of its weight that an endpoint starts with: one that gets nothing never warms up.
+	// minSlowStartWeight is the fraction of its weight that an endpoint starts with. An endpoint that receives no
+	// requests never warms up.
 	minSlowStartWeight = 0.1
 
-	// maxSparseLoadFactor is how many times the mean latency a report may hold where endpoints are mostly idle.
+	// maxSparseLoadFactor is the maximum half-life of a load report, as a multiple of the mean latency, while
+	// endpoints are mostly idle.
 	maxSparseLoadFactor = 25
 )
 
 // totalWeight returns the sum of all weights. There must be an endpoint.
 func (b *Balancer) totalWeight() float64 { return b.cumulativeWeights[len(b.cumulativeWeights)-1] }
 
-// drawByWeight returns the index of the endpoint that a fraction of the total weight, from 0 to 1, falls on.
+// drawByWeight maps a fraction from 0 to 1 to the index of an endpoint. A uniformly random fraction draws each endpoint
+// with a probability proportional to its weight.
 func (b *Balancer) drawByWeight(fraction float64) int {
 	point := fraction * b.totalWeight()
 	low, high := 0, len(b.cumulativeWeights)-1
@@ -31,7 +35,7 @@
 	return low
 }
 
-// refreshWeights recomputes the weights if they are stale and old enough.
+// refreshWeights recomputes the weights if they are stale and at least weightsMaxAge old.
 func (b *Balancer) refreshWeights(now time.Duration) {
 	if b.weightsStale && (b.weightsAt == 0 || now-b.weightsAt >= weightsMaxAge) {
 		b.recomputeWeights(now)
@@ -48,7 +52,7 @@
 	total := 0.0
 	for index, state := range b.endpoints {
 		state.outlier = ejecting && b.isOutlier(now, state)
-		weight := b.startWeight(now, state)
+		weight := b.baseWeight(now, state)
 		if ejecting {
 			weight = b.healthWeight(now, state, weight)
 		}
@@ -62,7 +66,7 @@
 	}
 }
 
-// measureLoads derives the zones' loads, the mean load and the mean latency from what is known of the endpoints.
+// measureLoads derives the zones' loads, the mean load and the mean latency from the endpoints' states.
 func (b *Balancer) measureLoads(now time.Duration) {
 	clear(b.zones)
 	loadSum, capacitySum, latencySum, latencyCount := 0.0, 0.0, 0.0, 0.0
@@ -94,8 +98,9 @@
 	}
 }
 
-// adaptLoadHalfLife derives the half-life of a load report from the mean latency, unless it is configured. Where cores
-// are idle an endpoint's load changes less often than a request takes, by how seldom it gets one.
+// adaptLoadHalfLife derives the half-life of a load report from the mean latency, unless it is configured. If cores are
+// mostly idle, requests arrive rarely and an endpoint's load changes less often than once per mean latency, so the
+// half-life is longer.
 func (b *Balancer) adaptLoadHalfLife() {
 	if b.config.LoadHalfLife != 0 || b.meanLatency <= 0 {
 		return
@@ -104,21 +109,22 @@
 	b.loadHalfLife = min(max(seconds(sparseLoadFactor*b.meanLatency), minLoadHalfLife), maxLoadHalfLife)
 }
 
-// startWeight returns the weight of an endpoint by its capacity, less where it has started or recovered of late; it
-// grows back in a straight line.
-func (b *Balancer) startWeight(now time.Duration, state *endpointState) float64 {
+// baseWeight returns the weight of an endpoint before its health and its zone are considered: its capacity, which is
+// reduced after a start or a recovery and then grows linearly to the full value.
+func (b *Balancer) baseWeight(now time.Duration, state *endpointState) float64 {
 	weight := state.Capacity
 	if state.warmingUp(now) {
 		remaining := max(0, state.WarmUpRemaining-(now-state.updatedAt))
 		weight *= minSlowStartWeight + (1-minSlowStartWeight)*(1-float64(remaining)/float64(state.WarmUp))
 	}
-	if recovering := now - state.recoveredAt; state.recoveredAt > 0 && recovering < b.config.OutcomeHalfLife {
-		weight *= minSlowStartWeight + (1-minSlowStartWeight)*float64(recovering)/float64(b.config.OutcomeHalfLife)
+	if sinceRecovery := now - state.recoveredAt; state.recoveredAt > 0 && sinceRecovery < b.config.OutcomeHalfLife {
+		weight *= minSlowStartWeight + (1-minSlowStartWeight)*float64(sinceRecovery)/float64(b.config.OutcomeHalfLife)
 	}
 	return weight
 }
 
-// healthWeight reduces the weight of an outlier, and that of a slow endpoint in proportion.
+// healthWeight reduces the weight of an outlier, to 0 while it is ejected, and that of a slow endpoint in inverse
+// proportion to its latency.
 func (b *Balancer) healthWeight(now time.Duration, state *endpointState, weight float64) float64 {
 	if state.outlier {
 		if now < state.ejectedUntil {
