--- a/internal/fleet/gossip/agent_test.go
+++ b/internal/fleet/gossip/agent_test.go
@@ -13,7 +13,7 @@
 
 // memberlist's goroutines check a node against the limit of members while the event loop replaces the configuration:
 // with -race this fails where the limit is not shared safely.
-func TestConfigReplacedWhileNodesArrive(t *testing.T) {
+func TestSetConfigDuringNotifyAlive(t *testing.T) {
 	agent := goldenAgent()
 	agent.Loop = eventloop.New(1 << 10)
 	agent.memberlistConfig = &memberlist.Config{}
@@ -29,12 +29,12 @@
 		Port: 7946,
 		Meta: encodeDescriptor(membership.Descriptor{Capacity: 1}),
 	}
-	full := agent.config
-	full.Membership = membership.DefaultConfig()
-	full.Membership.MaxMembers = 1
-	full.MaxMessageRate = 100
-	roomy := full
-	roomy.Membership.MaxMembers = 100
+	smallLimit := agent.config
+	smallLimit.Membership = membership.DefaultConfig()
+	smallLimit.Membership.MaxMembers = 1
+	smallLimit.MaxMessageRate = 100
+	largeLimit := smallLimit
+	largeLimit.Membership.MaxMembers = 100
 	received := make(chan struct{})
 	go func() { // what memberlist does meanwhile; each answer is right, as the configuration is on its way
 		defer close(received)
@@ -44,14 +44,14 @@
 		}
 	}()
 	for range 100 {
-		agent.SetConfig(full)
-		agent.SetConfig(roomy)
+		agent.SetConfig(smallLimit)
+		agent.SetConfig(largeLimit)
 	}
 	<-received
 	for _, step := range []struct {
 		config   Config
 		accepted bool
-	}{{full, false}, {roomy, true}} {
+	}{{smallLimit, false}, {largeLimit, true}} {
 		applied := make(chan struct{})
 		agent.SetConfig(step.config)
 		agent.Post(func() { close(applied) })
--- a/internal/fleet/gossip/codec.go
+++ b/internal/fleet/gossip/codec.go
@@ -23,10 +23,10 @@
 	kindPermitBegin  messageKind = 'i'
 )
 
-// headSize is the size of a message's head in bytes: the kind, and the age in milliseconds as a big-endian number of
+// headerSize is the size of a message's head in bytes: the kind, and the age in milliseconds as a big-endian number of
 // four bytes. The body is MessagePack. The age stands apart, as it is written anew whenever the message goes out; no
 // message carries a wall clock time.
-const headSize = 5
+const headerSize = 5
 
 // The limits of what a member may send. A heartbeat has to fit into a packet beside others, and a descriptor into the
 // 512 bytes that memberlist gives it.
@@ -67,7 +67,7 @@
 
 // encode writes a message of age 0.
 func encode(kind messageKind, value any) []byte {
-	head := [headSize]byte{byte(kind)}
+	head := [headerSize]byte{byte(kind)}
 	return append(head[:], encodeBody(value)...)
 }
 
@@ -95,19 +95,19 @@
 
 // parseEnvelope reads a message's head.
 func parseEnvelope(message []byte) (envelope, error) {
-	if len(message) < headSize {
+	if len(message) < headerSize {
 		return envelope{}, errTruncated
 	}
 	return envelope{
 		kind:    messageKind(message[0]),
 		age:     time.Duration(binary.BigEndian.Uint32(message[1:])) * time.Millisecond,
-		body:    message[headSize:],
+		body:    message[headerSize:],
 		message: message,
 	}, nil
 }
 
-// lengthSize is the size of the big-endian length before each message of a state, in bytes.
-const lengthSize = 2
+// lengthPrefixSize is the size of the big-endian length before each message of a state, in bytes.
+const lengthPrefixSize = 2
 
 // encodeState joins messages, each with its length before it.
 func encodeState(messages [][]byte) []byte {
@@ -122,29 +122,29 @@
 // decodeState hands each message of a state to handle, up to a limit; the rest is left unread.
 func decodeState(state []byte, limit int, handle func(message []byte)) error {
 	for ; len(state) > 0 && limit > 0; limit-- {
-		if len(state) < lengthSize {
+		if len(state) < lengthPrefixSize {
 			return errTruncated
 		}
-		end := lengthSize + int(binary.BigEndian.Uint16(state))
+		end := lengthPrefixSize + int(binary.BigEndian.Uint16(state))
 		if len(state) < end {
 			return errTruncated
 		}
-		handle(state[lengthSize:end])
+		handle(state[lengthPrefixSize:end])
 		state = state[end:]
 	}
 	return nil
 }
 
-// inMillis reports whether a number of milliseconds is from 0 to a limit.
-func inMillis(millis, limit int64) bool { return millis >= 0 && millis <= limit }
+// millisInRange reports whether a number of milliseconds is from 0 to a limit.
+func millisInRange(millis, limit int64) bool { return millis >= 0 && millis <= limit }
 
-// positiveMillis reports whether a number of milliseconds is from 1 to a limit.
-func positiveMillis(millis, limit int64) bool { return millis > 0 && millis <= limit }
+// positiveMillisInRange reports whether a number of milliseconds is from 1 to a limit.
+func positiveMillisInRange(millis, limit int64) bool { return millis > 0 && millis <= limit }
 
-func durationOf(millis int64) time.Duration { return time.Duration(millis) * time.Millisecond }
+func durationFromMillis(millis int64) time.Duration { return time.Duration(millis) * time.Millisecond }
 
-// validNames reports whether none of names is too long.
-func validNames(names ...string) bool {
+// validNameLengths reports whether none of names is too long.
+func validNameLengths(names ...string) bool {
 	for _, name := range names {
 		if len(name) > maxNameBytes {
 			return false
--- a/internal/fleet/gossip/codec_lease.go
+++ b/internal/fleet/gossip/codec_lease.go
@@ -32,7 +32,7 @@
 	}
 	holder, validHolder := membership.ParseID(wire.From)
 	validCounts := wire.Sequence > 0 && wire.HeldLimit >= 0 && wire.OpenCalls >= 0 && wire.WantedCalls >= 0
-	if !validHolder || !validCounts || wire.To != self.String() || !validNames(wire.ReplyAddr) {
+	if !validHolder || !validCounts || wire.To != self.String() || !validNameLengths(wire.ReplyAddr) {
 		return request, "", errOutOfRange
 	}
 	request = concurrencylease.Request{
@@ -65,8 +65,8 @@
 	if err := decode(body, &wire); err != nil {
 		return lease, err
 	}
-	validDurations := positiveMillis(wire.DurationMillis, math.MaxInt32) &&
-		positiveMillis(wire.MaxCallMillis, math.MaxInt32)
+	validDurations := positiveMillisInRange(wire.DurationMillis, math.MaxInt32) &&
+		positiveMillisInRange(wire.MaxCallMillis, math.MaxInt32)
 	if wire.Limit < 0 || wire.UnleasedCalls < 0 || !validDurations {
 		return lease, errOutOfRange
 	}
@@ -74,8 +74,8 @@
 		AllocatorBootID: membership.BootID(wire.AllocatorBootID),
 		Sequence:        wire.Sequence,
 		Limit:           wire.Limit,
-		Duration:        durationOf(wire.DurationMillis),
+		Duration:        durationFromMillis(wire.DurationMillis),
 		UnleasedCalls:   wire.UnleasedCalls,
-		MaxCallDuration: durationOf(wire.MaxCallMillis),
+		MaxCallDuration: durationFromMillis(wire.MaxCallMillis),
 	}, nil
 }
--- a/internal/fleet/gossip/codec_member.go
+++ b/internal/fleet/gossip/codec_member.go
@@ -27,7 +27,7 @@
 
 func decodeDescriptor(name, addr string, meta []byte) (descriptor membership.Descriptor, err error) {
 	id, ok := membership.ParseID(name)
-	if !ok || !validNames(string(id.Name)) {
+	if !ok || !validNameLengths(string(id.Name)) {
 		return descriptor, errOutOfRange
 	}
 	var wire wireDescriptor
@@ -35,8 +35,8 @@
 		return descriptor, err
 	}
 	validCapacity := wire.Capacity > 0 && wire.Capacity <= maxCapacity // false for NaN
-	if !validNames(wire.ServiceAddr, wire.Zone, wire.Release) || !validCapacity ||
-		!inMillis(wire.WarmUpMillis, maxWarmUpMillis) {
+	if !validNameLengths(wire.ServiceAddr, wire.Zone, wire.Release) || !validCapacity ||
+		!millisInRange(wire.WarmUpMillis, maxWarmUpMillis) {
 		return descriptor, errOutOfRange
 	}
 	return membership.Descriptor{
@@ -49,7 +49,7 @@
 		Zone:        wire.Zone,
 		Release:     wire.Release,
 		Capacity:    wire.Capacity,
-		WarmUp:      durationOf(wire.WarmUpMillis),
+		WarmUp:      durationFromMillis(wire.WarmUpMillis),
 	}, nil
 }
 
@@ -79,7 +79,7 @@
 	if err := decode(body, &wire); err != nil {
 		return heartbeat, err
 	}
-	if wire.Name == "" || !validNames(wire.Name) || !inMillis(wire.ReadyForMillis, maxReadyForMillis) {
+	if wire.Name == "" || !validNameLengths(wire.Name) || !millisInRange(wire.ReadyForMillis, maxReadyForMillis) {
 		return heartbeat, errOutOfRange
 	}
 	metrics, err := decodeMetrics(wire.Metrics)
@@ -91,7 +91,7 @@
 		Incarnation: membership.Incarnation(wire.Incarnation),
 		Sequence:    wire.Sequence,
 		Ready:       wire.Ready,
-		ReadyFor:    durationOf(wire.ReadyForMillis),
+		ReadyFor:    durationFromMillis(wire.ReadyForMillis),
 		Draining:    wire.Draining,
 		ViewDigest:  wire.ViewDigest,
 		Metrics:     metrics,
@@ -100,13 +100,13 @@
 
 func decodeMetrics(wire []wireMetric) (metrics []membership.Metric, err error) {
 	for _, metric := range wire {
-		if metric.Name == "" || len(metric.Name) > maxMetricNameBytes || !inMillis(metric.TTLMillis, math.MaxInt32) {
+		if metric.Name == "" || len(metric.Name) > maxMetricNameBytes || !millisInRange(metric.TTLMillis, math.MaxInt32) {
 			return nil, errOutOfRange
 		}
 		metrics = append(metrics, membership.Metric{
 			Name:  metric.Name,
 			Value: metric.Value,
-			TTL:   durationOf(metric.TTLMillis),
+			TTL:   durationFromMillis(metric.TTLMillis),
 		})
 	}
 	return metrics, nil
--- a/internal/fleet/gossip/codec_test.go
+++ b/internal/fleet/gossip/codec_test.go
@@ -15,7 +15,7 @@
 )
 
 // bodyOf is what stands behind the head of a message.
-func bodyOf(message []byte) []byte { return message[headSize:] }
+func bodyOf(message []byte) []byte { return message[headerSize:] }
 
 func drawMillis(t *rapid.T, label string) time.Duration {
 	return time.Duration(rapid.IntRange(0, 3_600_000).Draw(t, label)) * time.Millisecond
@@ -54,8 +54,8 @@
 		if err != nil || received.kind != kindHeartbeat || received.age != 1500*time.Millisecond {
 			t.Fatal(received.kind, received.age, err)
 		}
-		if back, err := decodeHeartbeat(received.body); err != nil || !reflect.DeepEqual(back, heartbeat) {
-			t.Fatal(err, back, heartbeat)
+		if got, err := decodeHeartbeat(received.body); err != nil || !reflect.DeepEqual(got, heartbeat) {
+			t.Fatal(err, got, heartbeat)
 		}
 		checkDescriptorRoundTrip(t, heartbeat.ID, heartbeat.Incarnation)
 		checkLeaseRequestRoundTrip(t, heartbeat.ID)
@@ -77,8 +77,8 @@
 		WarmUp:      drawMillis(t, "warm-up"),
 	}
 	encoded := encodeDescriptor(descriptor)
-	if back, err := decodeDescriptor(id.String(), "a:1", encoded); err != nil || back != descriptor {
-		t.Fatal(err, back, descriptor)
+	if got, err := decodeDescriptor(id.String(), "a:1", encoded); err != nil || got != descriptor {
+		t.Fatal(err, got, descriptor)
 	}
 	if len(encoded) > 512 {
 		t.Fatalf("a descriptor of %d bytes", len(encoded))
@@ -98,9 +98,9 @@
 		WantedCalls: drawCount(t, "wanted"),
 	}
 	body := bodyOf(encodeLeaseRequest(request, id, "a:1"))
-	back, addr, err := decodeLeaseRequest(body, id)
-	if err != nil || back != request || addr != "a:1" || len(body) > maxMessageBytes {
-		t.Fatal(err, back, request)
+	got, addr, err := decodeLeaseRequest(body, id)
+	if err != nil || got != request || addr != "a:1" || len(body) > maxMessageBytes {
+		t.Fatal(err, got, request)
 	}
 	if _, _, err := decodeLeaseRequest(body, membership.ID{Name: "another", BootID: 1}); err == nil {
 		t.Fatal("took a request to another allocator")
@@ -116,13 +116,13 @@
 		UnleasedCalls:   1,
 		MaxCallDuration: drawMillis(t, "call duration") + time.Millisecond,
 	}
-	if back, err := decodeLease(bodyOf(encodeLease(lease))); err != nil || back != lease {
-		t.Fatal(err, back, lease)
+	if got, err := decodeLease(bodyOf(encodeLease(lease))); err != nil || got != lease {
+		t.Fatal(err, got, lease)
 	}
 }
 
-// readHeartbeat decodes a whole message as a heartbeat.
-func readHeartbeat(message []byte) error {
+// decodeHeartbeatMessage decodes a whole message as a heartbeat.
+func decodeHeartbeatMessage(message []byte) error {
 	received, err := parseEnvelope(message)
 	if err == nil {
 		_, err = decodeHeartbeat(received.body)
@@ -136,14 +136,14 @@
 		ID:      membership.ID{Name: "n", BootID: 1},
 		Metrics: []membership.Metric{{Name: "load", Value: 1, TTL: time.Second}},
 	})
-	refused := 0
+	rejected := 0
 	for cut := range len(message) {
-		if readHeartbeat(message[:cut]) != nil {
-			refused++
+		if decodeHeartbeatMessage(message[:cut]) != nil {
+			rejected++
 		}
 	}
-	fmt.Println(refused == len(message), readHeartbeat(append(message, make([]byte, 600)...)))
-	fmt.Println(readHeartbeat(encodeHeartbeat(membership.Heartbeat{
+	fmt.Println(rejected == len(message), decodeHeartbeatMessage(append(message, make([]byte, 600)...)))
+	fmt.Println(decodeHeartbeatMessage(encodeHeartbeat(membership.Heartbeat{
 		ID:      membership.ID{Name: "n"},
 		Metrics: []membership.Metric{{Name: "a name that is far too long"}},
 	})))
--- a/internal/fleet/gossip/delegate.go
+++ b/internal/fleet/gossip/delegate.go
@@ -32,8 +32,8 @@
 		return err
 	}
 	view := d.agent.view.Load()
-	_, known := view.Get(descriptor.Name)
-	if known || descriptor.Name == view.Self.Name {
+	_, found := view.Get(descriptor.Name)
+	if found || descriptor.Name == view.Self.Name {
 		return nil
 	}
 	if int64(view.Len()) >= d.agent.maxMembers.Load() && view.Count(membership.StateGone) == 0 {
@@ -78,7 +78,7 @@
 }
 
 // AckPayload implements memberlist.PingDelegate: the answer to a probe carries our last heartbeat.
-func (d delegate) AckPayload() []byte { return d.agent.ownHeartbeat.Load().withAge() }
+func (d delegate) AckPayload() []byte { return d.agent.ownHeartbeat.Load().withCurrentAge() }
 
 // NotifyPingComplete implements memberlist.PingDelegate.
 func (d delegate) NotifyPingComplete(_ *memberlist.Node, roundTrip time.Duration, payload []byte) {
@@ -108,7 +108,7 @@
 // LocalState implements memberlist.Delegate: the last heartbeats of all members that we know, for one that joins or was
 // away.
 func (d delegate) LocalState(_ bool) []byte {
-	messages := [][]byte{d.agent.ownHeartbeat.Load().withAge()}
+	messages := [][]byte{d.agent.ownHeartbeat.Load().withCurrentAge()}
 	now := time.Since(d.agent.start)
 	for member := range d.agent.view.Load().All() {
 		if member.Sequence == 0 || !member.State.Present() {
--- a/internal/fleet/gossip/drain.go
+++ b/internal/fleet/gossip/drain.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// leaveNotice is how long before the end of a drain the fleet is left: the news takes some rounds of gossip.
-const leaveNotice = 500 * time.Millisecond
+// leaveLeadTime is how long before the end of a drain the fleet is left: the news takes some rounds of gossip.
+const leaveLeadTime = 500 * time.Millisecond
 
 // Drain publishes at once that the process drains, and leaves the fleet shortly before the timeout is over. Any
 // goroutine may call it.
@@ -16,8 +16,8 @@
 		a.process.Status(func(status ProcessStatus) {
 			a.Post(func() { a.broadcastHeartbeat(status) })
 		})
-		a.ScheduleAt(a.Now()+max(0, timeout-leaveNotice), func() {
-			go a.leaveFleet(min(timeout, leaveNotice) / 2)
+		a.ScheduleAt(a.Now()+max(0, timeout-leaveLeadTime), func() {
+			go a.leaveFleet(min(timeout, leaveLeadTime) / 2)
 		})
 	})
 }
--- a/internal/fleet/gossip/fence.go
+++ b/internal/fleet/gossip/fence.go
@@ -85,7 +85,7 @@
 	if self := a.table.Self(); outdated.Name == self.Name {
 		notice.Incarnation = uint64(self.Incarnation)
 		notice.BootID = uint64(self.BootID)
-	} else if successor, known := a.table.View().Get(outdated.Name); known {
+	} else if successor, found := a.table.View().Get(outdated.Name); found {
 		notice.Incarnation = uint64(successor.Incarnation)
 		notice.BootID = uint64(successor.BootID)
 	}
--- a/internal/fleet/gossip/golden_snapshot_test.go
+++ b/internal/fleet/gossip/golden_snapshot_test.go
@@ -96,16 +96,16 @@
 	text = append(text, '\n')
 	goldentest.CheckText(t, filepath.Join("testdata", snapshotFile), text)
 	stored := readGolden(t, snapshotFile)
-	var back Snapshot
+	var got Snapshot
 	d := json.NewDecoder(bytes.NewReader(stored))
 	d.DisallowUnknownFields()
-	same(t, d.Decode(&back), back, goldenSnapshot())
+	checkEqualAllSet(t, d.Decode(&got), got, goldenSnapshot())
 }
 
 // The kinds of snapshots that clients of the status socket ask for.
 func TestGoldenSnapshotKinds(t *testing.T) {
-	same(t, nil, []SnapshotKind{SnapshotFull, SnapshotBrief}, []SnapshotKind{"view", "brief"})
+	checkEqualAllSet(t, nil, []SnapshotKind{SnapshotFull, SnapshotBrief}, []SnapshotKind{"view", "brief"})
 	agent := goldenAgent()
-	same(t, nil, slices.Sorted(maps.Keys(agent.snapshot(SnapshotBrief).Counters)),
+	checkEqualAllSet(t, nil, slices.Sorted(maps.Keys(agent.snapshot(SnapshotBrief).Counters)),
 		slices.Sorted(maps.Keys(agent.snapshot(SnapshotFull).Counters)))
 }
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -45,15 +45,15 @@
 	return []goldenMessage{
 		goldenDescriptor(),
 		goldenHeartbeat(),
-		plain("fenced", kindFenceNotice, wireFenceNotice{Name: "blue", Incarnation: 3, BootID: 5}),
-		plain("query", kindQuery, wireQuery{Nonce: 42, To: self, From: other, ReplyAddr: "10.0.0.8:7946"}),
-		plain("word", kindQueryReply, wireQueryReply{
+		goldenWireMessage("fenced", kindFenceNotice, wireFenceNotice{Name: "blue", Incarnation: 3, BootID: 5}),
+		goldenWireMessage("query", kindQuery, wireQuery{Nonce: 42, To: self, From: other, ReplyAddr: "10.0.0.8:7946"}),
+		goldenWireMessage("word", kindQueryReply, wireQueryReply{
 			Nonce: 42, Load: -0.5, Finished: 300, WithinObjective: 299, TotalSeconds: 17.25,
 		}),
-		plain("permit", kindPermitNotice, wirePermitNotice{
+		goldenWireMessage("permit", kindPermitNotice, wirePermitNotice{
 			To: self, From: other, ReplyAddr: "10.0.0.8:7946", Number: 19, Begun: true,
 		}),
-		plain("begin", kindPermitBegin, wirePermitBegin{
+		goldenWireMessage("begin", kindPermitBegin, wirePermitBegin{
 			To: self, From: other, ReplyAddr: "10.0.0.8:7946", Incarnation: 1_700_000_000_123, Number: 19,
 		}),
 		goldenLeaseRequest(),
@@ -69,10 +69,10 @@
 		Zone:  "north", Release: "v7", Capacity: 2.5, WarmUp: 4500 * time.Millisecond}
 	return goldenMessage{"claim", encodeDescriptor(descriptor), func(t *testing.T, stored []byte) {
 		t.Helper()
-		back, err := decodeDescriptor(goldenSelf.String(), descriptor.GossipAddr, stored)
-		same(t, err, back, descriptor)
-		wire, err := decoded[wireDescriptor](stored)
-		same(t, err, wire, wireDescriptor{Incarnation: 1_700_000_000_123, Roles: 15, Zone: "north",
+		got, err := decodeDescriptor(goldenSelf.String(), descriptor.GossipAddr, stored)
+		checkEqualAllSet(t, err, got, descriptor)
+		wire, err := decodeAs[wireDescriptor](stored)
+		checkEqualAllSet(t, err, wire, wireDescriptor{Incarnation: 1_700_000_000_123, Roles: 15, Zone: "north",
 			Release: "v7", Capacity: 2.5, WarmUpMillis: 4500, ServiceAddr: "10.0.0.7:8000"})
 	}}
 }
@@ -91,11 +91,11 @@
 	encoded := setAge(encodeHeartbeat(heartbeat), goldenAge)
 	return goldenMessage{"bulletin", encoded, func(t *testing.T, stored []byte) {
 		t.Helper()
-		body := head(t, stored, kindHeartbeat, goldenAge)
-		back, err := decodeHeartbeat(body)
-		sameValues(t, err, back, heartbeat) // when a metric was measured is not sent: it is by the receiver's clock
-		wire, err := decoded[wireHeartbeat](body)
-		same(t, err, wire, wireHeartbeat{Name: "blue", BootID: 0x0123456789abcdef,
+		body := checkHeader(t, stored, kindHeartbeat, goldenAge)
+		got, err := decodeHeartbeat(body)
+		checkEqual(t, err, got, heartbeat) // when a metric was measured is not sent: it is by the receiver's clock
+		wire, err := decodeAs[wireHeartbeat](body)
+		checkEqualAllSet(t, err, wire, wireHeartbeat{Name: "blue", BootID: 0x0123456789abcdef,
 			Incarnation: 1_700_000_000_123, Sequence: 77, Ready: true, ReadyForMillis: 61_001, Draining: true,
 			ViewDigest: 0xdeadbeef01234567, Metrics: []wireMetric{{Name: "health", Value: 0.75, TTLMillis: 3000},
 				{Name: "held", Value: 12, TTLMillis: 4000}}})
@@ -110,13 +110,13 @@
 	encoded := encodeLeaseRequest(request, goldenSelf, "10.0.0.8:7946")
 	return goldenMessage{"ask", encoded, func(t *testing.T, stored []byte) {
 		t.Helper()
-		body := head(t, stored, kindLeaseRequest, 0)
-		back, addr, err := decodeLeaseRequest(body, goldenSelf)
-		same(t, err, back, request)
-		same(t, nil, addr, "10.0.0.8:7946")
-		wire, err := decoded[wireLeaseRequest](body)
-		same(t, err, wire, wantWire)
-		same(t, nil, encode(kindLeaseRequest, wantWire), stored)
+		body := checkHeader(t, stored, kindLeaseRequest, 0)
+		got, addr, err := decodeLeaseRequest(body, goldenSelf)
+		checkEqualAllSet(t, err, got, request)
+		checkEqualAllSet(t, nil, addr, "10.0.0.8:7946")
+		wire, err := decodeAs[wireLeaseRequest](body)
+		checkEqualAllSet(t, err, wire, wantWire)
+		checkEqualAllSet(t, nil, encode(kindLeaseRequest, wantWire), stored)
 	}}
 }
 
@@ -127,12 +127,12 @@
 		MaxCallMillis: 5000}
 	return goldenMessage{"grant", encodeLease(lease), func(t *testing.T, stored []byte) {
 		t.Helper()
-		body := head(t, stored, kindLease, 0)
-		back, err := decodeLease(body)
-		same(t, err, back, lease)
-		wire, err := decoded[wireLease](body)
-		same(t, err, wire, wantWire)
-		same(t, nil, encode(kindLease, wantWire), stored)
+		body := checkHeader(t, stored, kindLease, 0)
+		got, err := decodeLease(body)
+		checkEqualAllSet(t, err, got, lease)
+		wire, err := decodeAs[wireLease](body)
+		checkEqualAllSet(t, err, wire, wantWire)
+		checkEqualAllSet(t, nil, encode(kindLease, wantWire), stored)
 	}}
 }
 
@@ -145,7 +145,7 @@
 		t.Helper()
 		var parts [][]byte
 		err := decodeState(stored, 2, func(part []byte) { parts = append(parts, part) })
-		same(t, err, parts, want)
+		checkEqualAllSet(t, err, parts, want)
 	}}
 }
 
@@ -153,7 +153,7 @@
 func TestGoldenKinds(t *testing.T) {
 	kinds := []messageKind{kindHeartbeat, kindFenceNotice, kindQuery, kindQueryReply, kindLeaseRequest, kindLease,
 		kindPermitNotice, kindPermitBegin}
-	same(t, nil, string(firstBytes(kinds)), "bfqwagpi")
+	checkEqualAllSet(t, nil, string(firstBytes(kinds)), "bfqwagpi")
 }
 
 func firstBytes(kinds []messageKind) (bytes []byte) {
@@ -163,22 +163,22 @@
 	return bytes
 }
 
-// plain is a message whose wire struct is what the program uses.
-func plain[T any](name string, kind messageKind, value T) goldenMessage {
+// goldenWireMessage is a message whose wire struct is what the program uses.
+func goldenWireMessage[T any](name string, kind messageKind, value T) goldenMessage {
 	return goldenMessage{name, setAge(encode(kind, value), goldenAge), func(t *testing.T, stored []byte) {
 		t.Helper()
-		back, err := decoded[T](head(t, stored, kind, goldenAge))
-		same(t, err, back, value)
+		got, err := decodeAs[T](checkHeader(t, stored, kind, goldenAge))
+		checkEqualAllSet(t, err, got, value)
 	}}
 }
 
-func decoded[T any](body []byte) (value T, err error) {
+func decodeAs[T any](body []byte) (value T, err error) {
 	err = decode(body, &value)
 	return value, err
 }
 
-// head checks a stored message's head and gives what stands behind it.
-func head(t *testing.T, stored []byte, wantKind messageKind, wantAge time.Duration) []byte {
+// checkHeader checks a stored message's checkHeader and gives what stands behind it.
+func checkHeader(t *testing.T, stored []byte, wantKind messageKind, wantAge time.Duration) []byte {
 	t.Helper()
 	received, err := parseEnvelope(stored)
 	if err != nil || received.kind != wantKind || received.age != wantAge {
@@ -187,16 +187,16 @@
 	return received.body
 }
 
-// same fails unless got is want and every field of want is set.
-func same[T any](t *testing.T, err error, got, want T) {
+// checkEqualAllSet fails unless got is want and every field of want is set.
+func checkEqualAllSet[T any](t *testing.T, err error, got, want T) {
 	t.Helper()
-	sameValues(t, err, got, want)
+	checkEqual(t, err, got, want)
 	if unset := unsetFields(reflect.ValueOf(want), ""); len(unset) > 0 {
 		t.Errorf("fields without a value: %v", unset)
 	}
 }
 
-func sameValues[T any](t *testing.T, err error, got, want T) {
+func checkEqual[T any](t *testing.T, err error, got, want T) {
 	t.Helper()
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v\nerror %v", got, want, err)
--- a/internal/fleet/gossip/heartbeat.go
+++ b/internal/fleet/gossip/heartbeat.go
@@ -23,13 +23,13 @@
 // encodedHeartbeat is a heartbeat as it was written, and when. It is immutable.
 type encodedHeartbeat struct {
 	message   []byte
-	writtenAt time.Time
+	encodedAt time.Time
 }
 
-// withAge is the message with its present age.
-func (h *encodedHeartbeat) withAge() []byte {
+// withCurrentAge is the message with its present age.
+func (h *encodedHeartbeat) withCurrentAge() []byte {
 	message := append([]byte(nil), h.message...)
-	return setAge(message, time.Since(h.writtenAt))
+	return setAge(message, time.Since(h.encodedAt))
 }
 
 // pollStatus asks the process for its status, and broadcasts a heartbeat when one is due, and at once when others
@@ -96,7 +96,7 @@
 }
 
 func (a *Agent) storeHeartbeat(heartbeat membership.Heartbeat) *encodedHeartbeat {
-	encoded := &encodedHeartbeat{message: encodeHeartbeat(heartbeat), writtenAt: time.Now()}
+	encoded := &encodedHeartbeat{message: encodeHeartbeat(heartbeat), encodedAt: time.Now()}
 	a.ownHeartbeat.Store(encoded)
 	return encoded
 }
@@ -114,7 +114,7 @@
 }
 
 // Message implements memberlist.Broadcast.
-func (b *heartbeatBroadcast) Message() []byte { return b.heartbeat.withAge() }
+func (b *heartbeatBroadcast) Message() []byte { return b.heartbeat.withCurrentAge() }
 
 // Finished implements memberlist.Broadcast.
 func (b *heartbeatBroadcast) Finished() {}
--- a/internal/fleet/gossip/join.go
+++ b/internal/fleet/gossip/join.go
@@ -9,8 +9,8 @@
 	// joinInterval is how often the table is asked for an address to call.
 	joinInterval = time.Second
 	// While no other member is known it is asked sooner, jittered so that many that start at once do not call at once.
-	minLonelyJoinInterval = 100 * time.Millisecond
-	maxLonelyJoinInterval = 500 * time.Millisecond
+	minIsolatedJoinInterval = 100 * time.Millisecond
+	maxIsolatedJoinInterval = 500 * time.Millisecond
 )
 
 // joinPeriodically has an address called that may belong to a part of the fleet that does not know of us.
@@ -25,8 +25,8 @@
 	}
 	interval := joinInterval
 	if a.table.View().Len() == 0 {
-		spread := float64(maxLonelyJoinInterval - minLonelyJoinInterval)
-		interval = minLonelyJoinInterval + time.Duration(a.random.Float64()*spread)
+		spread := float64(maxIsolatedJoinInterval - minIsolatedJoinInterval)
+		interval = minIsolatedJoinInterval + time.Duration(a.random.Float64()*spread)
 	}
 	a.ScheduleAt(a.Now()+interval, a.joinPeriodically)
 }
@@ -45,13 +45,13 @@
 }
 
 func (a *Agent) recordJoin(addr string, joined bool, err error) {
-	const failed = "join failed"
+	const joinFailedMessage = "join failed"
 	a.joining = false
 	a.table.RecordJoin(addr, joined, a.Now(), a.random.Float64)
 	if joined {
 		a.table.ObserveAck(a.Now())
 		a.table.ObserveSender(hostOf(addr))
-	} else if a.logSampler.Allow(failed, a.WallTime()) {
-		slog.Info(failed, "addr", addr, "err", err)
+	} else if a.logSampler.Allow(joinFailedMessage, a.WallTime()) {
+		slog.Info(joinFailedMessage, "addr", addr, "err", err)
 	}
 }
--- a/internal/fleet/gossip/lease.go
+++ b/internal/fleet/gossip/lease.go
@@ -9,7 +9,7 @@
 // comes, goes to OnLease.
 func (a *Agent) RequestLease(name membership.Name, request concurrencylease.Request) {
 	a.Post(func() {
-		if member, known := a.table.View().Get(name); known {
+		if member, found := a.table.View().Get(name); found {
 			a.send(addressOf(member), encodeLeaseRequest(request, member.ID(), a.table.Self().GossipAddr))
 		}
 	})
--- a/internal/fleet/gossip/librarylog.go
+++ b/internal/fleet/gossip/librarylog.go
@@ -30,10 +30,10 @@
 	eventOther               = libraryEvent{code: "other", counter: "other"}
 )
 
-// libraryTexts tells memberlist's lines apart by a part of their text; the first that is found counts.
-var libraryTexts = []struct {
-	part  string
-	event libraryEvent
+// libraryPatterns tells memberlist's lines apart by a part of their text; the first that is found counts.
+var libraryPatterns = []struct {
+	substring string
+	event     libraryEvent
 }{
 	{"ecrypt", eventWrongKey},
 	{"No installed keys", eventWrongKey},
@@ -55,8 +55,8 @@
 // fromMarker stands before the sender's address at the end of memberlist's lines that have one.
 const fromMarker = " from="
 
-// maxTextBytes is how much of a line is logged: memberlist's lines name an address and a cause.
-const maxTextBytes = 200
+// maxLoggedTextBytes is how much of a line is logged: memberlist's lines name an address and a cause.
+const maxLoggedTextBytes = 200
 
 // libraryLog counts memberlist's log lines by event and logs a few of each a second, so that what a stranger sends does
 // not fill the log. It is written to on memberlist's goroutines.
@@ -97,15 +97,15 @@
 		slog.Info("memberlist messages suppressed", "code", code, "count", suppressed)
 	})
 	if l.sampler.Allow(event.code, now) {
-		text = text[:min(len(text), maxTextBytes)]
+		text = text[:min(len(text), maxLoggedTextBytes)]
 		slog.Info("memberlist message", "code", event.code, "text", strings.ToValidUTF8(text, "?"))
 	}
 }
 
 func classify(text string) libraryEvent {
-	for _, known := range libraryTexts {
-		if strings.Contains(text, known.part) {
-			return known.event
+	for _, pattern := range libraryPatterns {
+		if strings.Contains(text, pattern.substring) {
+			return pattern.event
 		}
 	}
 	return eventOther
--- a/internal/fleet/gossip/message.go
+++ b/internal/fleet/gossip/message.go
@@ -55,7 +55,7 @@
 		from: heartbeat.ID,
 		heartbeat: &encodedHeartbeat{
 			message:   append([]byte(nil), received.message...),
-			writtenAt: time.Now().Add(-received.age),
+			encodedAt: time.Now().Add(-received.age),
 		},
 	})
 	a.applyChanges()
--- a/internal/fleet/gossip/new.go
+++ b/internal/fleet/gossip/new.go
@@ -112,31 +112,31 @@
 	if err != nil {
 		return nil, err
 	}
-	list := memberlist.DefaultLANConfig()
-	list.Name = self.ID().String()
-	list.Label = config.Cluster
-	list.BindAddr = listenIP.String()
-	list.BindPort = listenPort
-	list.AdvertiseAddr = advertiseIP.String()
-	list.AdvertisePort = advertisePort
-	list.ProbeInterval = config.ProbeInterval
-	list.ProbeTimeout = config.ProbeInterval / 2
-	list.SuspicionMult = suspicionMultiplier
-	list.SuspicionMaxTimeoutMult = maxSuspicionMultiplier
-	list.GossipInterval = gossipInterval
-	list.GossipNodes = gossipNodes
-	list.RetransmitMult = retransmitMultiplier
-	list.GossipToTheDeadTime = gossipToDeadTime
-	list.EnableCompression = false // its writer allocates far more for each message than the messages are long
-	list.PushPullInterval = pushPullInterval
-	list.TCPTimeout = streamTimeout
-	list.DeadNodeReclaimTime = deadNodeReclaimTime
+	memberlistConfig := memberlist.DefaultLANConfig()
+	memberlistConfig.Name = self.ID().String()
+	memberlistConfig.Label = config.Cluster
+	memberlistConfig.BindAddr = listenIP.String()
+	memberlistConfig.BindPort = listenPort
+	memberlistConfig.AdvertiseAddr = advertiseIP.String()
+	memberlistConfig.AdvertisePort = advertisePort
+	memberlistConfig.ProbeInterval = config.ProbeInterval
+	memberlistConfig.ProbeTimeout = config.ProbeInterval / 2
+	memberlistConfig.SuspicionMult = suspicionMultiplier
+	memberlistConfig.SuspicionMaxTimeoutMult = maxSuspicionMultiplier
+	memberlistConfig.GossipInterval = gossipInterval
+	memberlistConfig.GossipNodes = gossipNodes
+	memberlistConfig.RetransmitMult = retransmitMultiplier
+	memberlistConfig.GossipToTheDeadTime = gossipToDeadTime
+	memberlistConfig.EnableCompression = false // its writer allocates far more for each message than the messages are long
+	memberlistConfig.PushPullInterval = pushPullInterval
+	memberlistConfig.TCPTimeout = streamTimeout
+	memberlistConfig.DeadNodeReclaimTime = deadNodeReclaimTime
 	if len(config.Keys) > 0 {
-		if list.Keyring, err = newKeyring(config.Keys); err != nil {
+		if memberlistConfig.Keyring, err = newKeyring(config.Keys); err != nil {
 			return nil, err
 		}
 	}
-	return list, nil
+	return memberlistConfig, nil
 }
 
 func newKeyring(keys []membership.Key) (*memberlist.Keyring, error) {
@@ -150,20 +150,20 @@
 // listen opens the sockets and starts memberlist.
 func (a *Agent) listen() error {
 	logger := log.New(a.libraryLog, "", 0)
-	list := a.memberlistConfig
+	memberlistConfig := a.memberlistConfig
 	var err error
-	a.transport, err = newTransport(net.ParseIP(list.BindAddr), list.BindPort, logger, a.inbox.noteSender)
+	a.transport, err = newTransport(net.ParseIP(memberlistConfig.BindAddr), memberlistConfig.BindPort, logger, a.inbox.noteSender)
 	if err != nil {
 		return err
 	}
-	list.Transport = a.transport
-	list.Logger = logger
-	list.Delegate = delegate{a}
-	list.Events = delegate{a}
-	list.Alive = delegate{a}
-	list.Ping = delegate{a}
-	list.Conflict = delegate{a}
-	a.memberlist, err = memberlist.Create(list)
+	memberlistConfig.Transport = a.transport
+	memberlistConfig.Logger = logger
+	memberlistConfig.Delegate = delegate{a}
+	memberlistConfig.Events = delegate{a}
+	memberlistConfig.Alive = delegate{a}
+	memberlistConfig.Ping = delegate{a}
+	memberlistConfig.Conflict = delegate{a}
+	a.memberlist, err = memberlist.Create(memberlistConfig)
 	if err != nil {
 		_ = a.transport.Shutdown() // the error that matters is why there is no gossip
 		return err
--- a/internal/fleet/gossip/permit.go
+++ b/internal/fleet/gossip/permit.go
@@ -6,8 +6,8 @@
 // call it.
 func (a *Agent) NotifyPermit(name membership.Name, incarnation membership.Incarnation, number uint64, begun bool) {
 	a.Post(func() {
-		member, known := a.table.View().Get(name)
-		if !known || member.Incarnation != incarnation {
+		member, found := a.table.View().Get(name)
+		if !found || member.Incarnation != incarnation {
 			return
 		}
 		self := a.table.Self()
--- a/internal/fleet/gossip/query.go
+++ b/internal/fleet/gossip/query.go
@@ -51,8 +51,8 @@
 }
 
 func (a *Agent) sendQuery(name membership.Name, callback func(reply wireQueryReply, age time.Duration)) {
-	member, known := a.table.View().Get(name)
-	if !known || len(a.queries.pending) >= maxPendingQueries {
+	member, found := a.table.View().Get(name)
+	if !found || len(a.queries.pending) >= maxPendingQueries {
 		return
 	}
 	a.queries.lastNonce++
--- a/internal/fleet/gossip/snapshot.go
+++ b/internal/fleet/gossip/snapshot.go
@@ -116,12 +116,12 @@
 	snapshotReadTimeout = 3 * time.Second
 )
 
-// maxKindBytes bounds the line that a client of the status socket sends.
-const maxKindBytes = 16
+// maxSnapshotKindBytes bounds the line that a client of the status socket sends.
+const maxSnapshotKindBytes = 16
 
 // serveStatus answers one client of the status socket, on the socket's goroutine.
 func (a *Agent) serveStatus(conn net.Conn) {
-	line, err := bufio.NewReaderSize(conn, maxKindBytes).ReadSlice('\n')
+	line, err := bufio.NewReaderSize(conn, maxSnapshotKindBytes).ReadSlice('\n')
 	if err != nil {
 		return
 	}
