--- a/internal/fleet/gossip/addr.go
+++ b/internal/fleet/gossip/addr.go
@@ -5,7 +5,8 @@
 	"strconv"
 )
 
-// parseAddr reads a configured address: an IP address and a port.
+// parseAddr parses an address of the form IP:port. It returns an error unless the host is an IP address and the port is
+// from 1 to 65535.
 func parseAddr(addr string) (net.IP, int, error) {
 	host, portText, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -13,16 +14,16 @@
 	}
 	port, err := strconv.Atoi(portText)
 	if err != nil || port < 1 || port > 65535 {
-		return nil, 0, &net.AddrError{Err: "wants a port from 1 to 65535", Addr: addr}
+		return nil, 0, &net.AddrError{Err: "port must be from 1 to 65535", Addr: addr}
 	}
 	ip := net.ParseIP(host)
 	if ip == nil {
-		return nil, 0, &net.AddrError{Err: "wants an IP address", Addr: addr}
+		return nil, 0, &net.AddrError{Err: "host must be an IP address", Addr: addr}
 	}
 	return ip, port, nil
 }
 
-// hostOf is an address without its port, empty if it has none.
+// hostOf returns addr without its port, or an empty string if addr has no port.
 func hostOf(addr string) string {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
--- a/internal/fleet/gossip/agent.go
+++ b/internal/fleet/gossip/agent.go
@@ -1,6 +1,6 @@
-// Package gossip is the agent of a process that speaks to the other members of its fleet, over memberlist. What it
-// receives goes to a membership.Table on an event loop of its own; what the table decides is carried out here and
-// handed to those who have subscribed.
+// Package gossip connects a process to the other members of its fleet through memberlist. Its Agent passes received
+// messages to a membership.Table on an event loop of its own, carries out the table's decisions and passes each new
+// view of the fleet to its subscribers.
 package gossip
 
 import (
@@ -22,18 +22,18 @@
 	"lanewheel/internal/statussocket"
 )
 
-// tickInterval is how often the table is given the time. It has to be well under the table's stall threshold, or the
-// process would seem to stand still.
+// tickInterval is the interval between two calls of membership.Table.Tick. It must be well below the table's stall
+// threshold; otherwise the table would conclude that the process has stalled.
 const tickInterval = 100 * time.Millisecond
 
-// Agent is one process's place in its fleet. What is not said to be shared is owned by its event loop.
+// Agent connects one process to its fleet. Fields that are not marked as shared are owned by its event loop.
 type Agent struct {
 	*eventloop.Loop
 	config           Config
 	process          Process
 	table            *membership.Table
 	random           *mathrand.Rand
-	memberlist       *memberlist.Memberlist // may be called on any goroutine
+	memberlist       *memberlist.Memberlist // shared
 	memberlistConfig *memberlist.Config
 	transport        *transport                       // shared
 	libraryLog       *libraryLog                      // shared
@@ -43,45 +43,47 @@
 
 	publisher   publisher
 	queries     queries
-	joinAddrs   chan string // to the one goroutine that calls others
-	joining     bool        // a call is under way
+	joinAddrs   chan string // sends addresses to runJoins
+	joining     bool        // a join is in progress
 	draining    bool
 	fenced      bool
 	subscribers []func(*membership.View)
 	logSampler  logging.Sampler[string]
-	transitions map[string]uint64 // changes of members' states, by "from-to"
+	transitions map[string]uint64 // number of changes of members' states, by "from-to"
 	localHealth membership.LocalHealth
 
-	// The rest is shared with memberlist's goroutines and with callers on any goroutine.
+	// The fields below are shared with memberlist's goroutines and with callers on any goroutine.
 	ownHeartbeat        atomic.Pointer[encodedHeartbeat]
 	view                atomic.Pointer[membership.View]
 	messageLimiter      atomic.Pointer[rate.Limiter]
 	maxMembers          atomic.Int64  // config.Membership.MaxMembers
-	rateLimited         atomic.Uint64 // messages past the rate
-	malformed           atomic.Uint64 // messages that cannot be decoded
+	rateLimited         atomic.Uint64 // messages dropped because of the rate limit
+	malformed           atomic.Uint64 // messages that could not be decoded
 	rejectedDescriptors atomic.Uint64
-	leaveOnce           sync.Once     // memberlist cannot be left twice
-	done                chan struct{} // closed once the fleet has been left
+	leaveOnce           sync.Once     // memberlist must not be left twice
+	done                chan struct{} // closed when the agent has left the fleet
 
-	// OnLeaseRequest takes a holder's request for a lease, where the process is an allocator; answer may be called on any
-	// goroutine. OnLease takes a lease that was granted to the process. Both are called on the agent's loop, are nil where
-	// there is nobody to take it, and are set before Start.
+	// OnLeaseRequest handles a holder's request for a lease if the process is an allocator; answer may be called on
+	// any goroutine. OnLease handles a lease that was granted to the process. Both are called on the agent's loop and
+	// must be set before Start. If one is nil, the messages for it are ignored.
 	OnLeaseRequest func(request concurrencylease.Request, answer func(concurrencylease.Lease))
 	OnLease        func(lease concurrencylease.Lease)
-	// OnPermitBegin takes a member's wish to begin its permit, where the process is a coordinator; done is called once the
-	// permit has begun. The same holds of it.
+	// OnPermitBegin handles a member's request to begin its permit if the process is a coordinator. It calls done, on
+	// any goroutine, once the permit has begun. It is called on the agent's loop and must be set before Start. If it
+	// is nil, such requests are ignored.
 	OnPermitBegin func(name membership.Name, incarnation membership.Incarnation, number uint64, done func())
 }
 
-// Subscribe has callback called with each new view, on the agent's loop. It is to be called before Start.
+// Subscribe registers callback, which is called on the agent's loop with each new view. Subscribe must be called before
+// Start.
 func (a *Agent) Subscribe(callback func(*membership.View)) {
 	a.subscribers = append(a.subscribers, callback)
 }
 
-// View is the last view of the fleet. Any goroutine may call it.
+// View returns the latest view of the fleet. Any goroutine may call it.
 func (a *Agent) View() *membership.View { return a.view.Load() }
 
-// Start begins to speak to others.
+// Start starts the event loop, the status socket and the communication with other members.
 func (a *Agent) Start() {
 	if a.config.StatusSocket != "" {
 		statussocket.Serve(a.config.StatusSocket, a.done, a.serveStatus)
@@ -109,7 +111,7 @@
 	}
 }
 
-// applyChanges logs what the table has changed, and publishes its view if it is new.
+// applyChanges logs the table's changes and passes its view to the subscribers if it is new.
 func (a *Agent) applyChanges() {
 	for _, change := range a.table.TakeChanges() {
 		a.recordChange(change)
@@ -138,8 +140,8 @@
 	}
 }
 
-// SetConfig replaces keys, seeds, durations and limits. Addresses, names and what the process says of itself hold until
-// the next start. Any goroutine may call it.
+// SetConfig replaces the keys, seeds, durations and limits. The addresses, the names and the other properties that the
+// process announces of itself do not change until the next start. Any goroutine may call it.
 func (a *Agent) SetConfig(config Config) {
 	a.Post(func() {
 		a.rotateKeys(membership.PlanKeyRotation(a.config.Keys, config.Keys))
@@ -157,8 +159,8 @@
 	a.messageLimiter.Store(rate.NewLimiter(rate.Limit(perSecond), burst))
 }
 
-// rotateKeys carries out a rotation, if gossip is encrypted. After an error it goes on with the other keys: the more of
-// them are there, the more members are understood.
+// rotateKeys applies a key rotation if gossip is encrypted. After an error it continues with the remaining keys: the
+// more keys are installed, the more members' messages can be decrypted.
 func (a *Agent) rotateKeys(rotation membership.KeyRotation) {
 	keyring := a.memberlistConfig.Keyring
 	if keyring == nil {
--- a/internal/fleet/gossip/agent_test.go
+++ b/internal/fleet/gossip/agent_test.go
@@ -11,8 +11,8 @@
 	"lanewheel/internal/membership"
 )
 
-// memberlist's goroutines check a node against the limit of members while the event loop replaces the configuration:
-// with -race this fails where the limit is not shared safely.
+// memberlist's goroutines check nodes against the maximum number of members while the event loop replaces the
+// configuration. With -race, this test fails if the maximum is not shared safely.
 func TestSetConfigDuringNotifyAlive(t *testing.T) {
 	agent := goldenAgent()
 	agent.Loop = eventloop.New(1 << 10)
@@ -36,7 +36,7 @@
 	largeLimit := smallLimit
 	largeLimit.Membership.MaxMembers = 100
 	received := make(chan struct{})
-	go func() { // what memberlist does meanwhile; each answer is right, as the configuration is on its way
+	go func() { // calls of memberlist meanwhile; either result is correct while the configuration is changing
 		defer close(received)
 		for range 10_000 {
 			_ = events.NotifyAlive(node)
@@ -58,10 +58,10 @@
 		select {
 		case <-applied:
 		case <-time.After(10 * time.Second):
-			t.Fatal("the configuration was not applied")
+			t.Fatal("configuration was not applied within 10 s")
 		}
 		if err := events.NotifyAlive(node); (err == nil) != step.accepted {
-			t.Errorf("with %d members at most: %v", step.config.Membership.MaxMembers, err)
+			t.Errorf("NotifyAlive with a maximum of %d members returned %v", step.config.Membership.MaxMembers, err)
 		}
 	}
 	agent.Post(agent.Quit)
--- a/internal/fleet/gossip/codec.go
+++ b/internal/fleet/gossip/codec.go
@@ -9,7 +9,7 @@
 	"github.com/hashicorp/go-msgpack/v2/codec"
 )
 
-// messageKind is the first byte of a message.
+// messageKind identifies the type of a message. It is the first byte of the message.
 type messageKind byte
 
 const (
@@ -23,31 +23,32 @@
 	kindPermitBegin  messageKind = 'i'
 )
 
-// headerSize is the size of a message's head in bytes: the kind, and the age in milliseconds as a big-endian number of
-// four bytes. The body is MessagePack. The age stands apart, as it is written anew whenever the message goes out; no
-// message carries a wall clock time.
+// headerSize is the size of a message header in bytes: the kind, followed by the age in milliseconds as a four-byte
+// big-endian number. The body is MessagePack. The age is not part of the body because it is updated each time the
+// message is sent. No message carries a wall clock time.
 const headerSize = 5
 
-// The limits of what a member may send. A heartbeat has to fit into a packet beside others, and a descriptor into the
-// 512 bytes that memberlist gives it.
+// Limits of what a member may send, in bytes. A heartbeat must fit into a packet together with other messages, and a
+// descriptor into the 512 bytes that memberlist allows for it.
 const (
 	maxNameBytes       = 64
 	maxMetricNameBytes = 16
 	maxMessageBytes    = 512
 )
 
-// Errors of decoding; all of them are counted as malformed messages.
+// Decoding errors. A message that causes one is counted as malformed.
 var (
 	errUnknownKind = errors.New("unknown message kind")
-	errTruncated   = errors.New("cut short")
-	errTooLarge    = errors.New("too large")
-	errOutOfRange  = errors.New("out of range")
+	errTruncated   = errors.New("message is truncated")
+	errTooLarge    = errors.New("message body is too large")
+	errOutOfRange  = errors.New("value is invalid or out of range")
 )
 
-// errTableFull is why a node is refused that would be one member too many.
-var errTableFull = errors.New("no room for another member")
+// errTableFull is returned for a node that would exceed the maximum number of members.
+var errTableFull = errors.New("maximum number of members is reached")
 
-// maxInitialLength bounds what the decoder allocates for a length that a message states, whatever follows.
+// maxInitialLength limits how many elements the decoder allocates in advance for a length that a message declares,
+// whether or not that many elements follow.
 const maxInitialLength = 64
 
 var msgpackHandle = func() *codec.MsgpackHandle {
@@ -57,15 +58,15 @@
 	return handle
 }()
 
-// envelope is a message whose head was read.
+// envelope is a message with its decoded header.
 type envelope struct {
 	kind    messageKind
 	age     time.Duration
 	body    []byte
-	message []byte // all of it
+	message []byte // the whole message, with its header
 }
 
-// encode writes a message of age 0.
+// encode returns an encoded message with the age 0.
 func encode(kind messageKind, value any) []byte {
 	head := [headerSize]byte{byte(kind)}
 	return append(head[:], encodeBody(value)...)
@@ -86,14 +87,14 @@
 	return codec.NewDecoderBytes(body, msgpackHandle).Decode(value)
 }
 
-// setAge writes an age into a message's head.
+// setAge overwrites the age in the header of message and returns message.
 func setAge(message []byte, age time.Duration) []byte {
 	millis := min(max(0, age.Milliseconds()), math.MaxUint32)
 	binary.BigEndian.PutUint32(message[1:], uint32(millis))
 	return message
 }
 
-// parseEnvelope reads a message's head.
+// parseEnvelope decodes the header of a message. It returns errTruncated if the message is shorter than a header.
 func parseEnvelope(message []byte) (envelope, error) {
 	if len(message) < headerSize {
 		return envelope{}, errTruncated
@@ -106,10 +107,10 @@
 	}, nil
 }
 
-// lengthPrefixSize is the size of the big-endian length before each message of a state, in bytes.
+// lengthPrefixSize is the size in bytes of the big-endian length that precedes each message of a state.
 const lengthPrefixSize = 2
 
-// encodeState joins messages, each with its length before it.
+// encodeState concatenates messages, each preceded by its length.
 func encodeState(messages [][]byte) []byte {
 	var state []byte
 	for _, message := range messages {
@@ -119,7 +120,8 @@
 	return state
 }
 
-// decodeState hands each message of a state to handle, up to a limit; the rest is left unread.
+// decodeState calls handle with each message of a state, up to limit messages, and ignores the rest. It returns
+// errTruncated if the state ends within a message.
 func decodeState(state []byte, limit int, handle func(message []byte)) error {
 	for ; len(state) > 0 && limit > 0; limit-- {
 		if len(state) < lengthPrefixSize {
@@ -135,15 +137,15 @@
 	return nil
 }
 
-// millisInRange reports whether a number of milliseconds is from 0 to a limit.
+// millisInRange reports whether millis is from 0 to limit.
 func millisInRange(millis, limit int64) bool { return millis >= 0 && millis <= limit }
 
-// positiveMillisInRange reports whether a number of milliseconds is from 1 to a limit.
+// positiveMillisInRange reports whether millis is from 1 to limit.
 func positiveMillisInRange(millis, limit int64) bool { return millis > 0 && millis <= limit }
 
 func durationFromMillis(millis int64) time.Duration { return time.Duration(millis) * time.Millisecond }
 
-// validNameLengths reports whether none of names is too long.
+// validNameLengths reports whether each of names has at most maxNameBytes bytes.
 func validNameLengths(names ...string) bool {
 	for _, name := range names {
 		if len(name) > maxNameBytes {
--- a/internal/fleet/gossip/codec_lease.go
+++ b/internal/fleet/gossip/codec_lease.go
@@ -21,8 +21,8 @@
 	})
 }
 
-// decodeLeaseRequest reads a holder's request and where it wants the answer. One that is meant for another process than
-// self, such as an allocator that was there before, is out of range.
+// decodeLeaseRequest decodes a holder's request and the address to which the reply is sent. It returns errOutOfRange
+// for a request to a process other than self, such as an allocator that previously ran at the same address.
 func decodeLeaseRequest(
 	body []byte, self membership.ID,
 ) (request concurrencylease.Request, replyAddr string, err error) {
--- a/internal/fleet/gossip/codec_member.go
+++ b/internal/fleet/gossip/codec_member.go
@@ -8,11 +8,11 @@
 
 const (
 	maxCapacity       = 1e6       // cores
-	maxWarmUpMillis   = 3_600_000 // an hour
+	maxWarmUpMillis   = 3_600_000 // 1 hour
 	maxReadyForMillis = math.MaxInt32 * 1000
 )
 
-// encodeDescriptor writes what memberlist carries beside a node's name and address.
+// encodeDescriptor encodes the fields of a descriptor that memberlist does not carry in a node's name and address.
 func encodeDescriptor(descriptor membership.Descriptor) []byte {
 	return encodeBody(wireDescriptor{
 		Incarnation:  uint64(descriptor.Incarnation),
@@ -25,6 +25,7 @@
 	})
 }
 
+// decodeDescriptor returns the descriptor of a memberlist node from its name, address and metadata.
 func decodeDescriptor(name, addr string, meta []byte) (descriptor membership.Descriptor, err error) {
 	id, ok := membership.ParseID(name)
 	if !ok || !validNameLengths(string(id.Name)) {
@@ -100,7 +101,8 @@
 
 func decodeMetrics(wire []wireMetric) (metrics []membership.Metric, err error) {
 	for _, metric := range wire {
-		if metric.Name == "" || len(metric.Name) > maxMetricNameBytes || !millisInRange(metric.TTLMillis, math.MaxInt32) {
+		if metric.Name == "" || len(metric.Name) > maxMetricNameBytes ||
+			!millisInRange(metric.TTLMillis, math.MaxInt32) {
 			return nil, errOutOfRange
 		}
 		metrics = append(metrics, membership.Metric{
--- a/internal/fleet/gossip/codec_test.go
+++ b/internal/fleet/gossip/codec_test.go
@@ -14,7 +14,7 @@
 	_ "lanewheel/internal/rapidtest"
 )
 
-// bodyOf is what stands behind the head of a message.
+// bodyOf returns a message without its header.
 func bodyOf(message []byte) []byte { return message[headerSize:] }
 
 func drawMillis(t *rapid.T, label string) time.Duration {
@@ -46,7 +46,7 @@
 	return heartbeat
 }
 
-// What is encoded is decoded as it was; durations are in whole milliseconds.
+// Decoding an encoded value returns the same value. Durations are in whole milliseconds.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		heartbeat := drawHeartbeat(t)
@@ -81,7 +81,7 @@
 		t.Fatal(err, got, descriptor)
 	}
 	if len(encoded) > 512 {
-		t.Fatalf("a descriptor of %d bytes", len(encoded))
+		t.Fatalf("encoded descriptor has %d bytes, maximum is 512", len(encoded))
 	}
 }
 
@@ -103,7 +103,7 @@
 		t.Fatal(err, got, request)
 	}
 	if _, _, err := decodeLeaseRequest(body, membership.ID{Name: "another", BootID: 1}); err == nil {
-		t.Fatal("took a request to another allocator")
+		t.Fatal("accepted a request to another allocator")
 	}
 }
 
@@ -130,7 +130,7 @@
 	return err
 }
 
-// What is cut, too long, out of range or foreign is an error and nothing else.
+// Decoding input that is truncated, too long, out of range or from a node with an invalid name only returns an error.
 func Example_malformed() {
 	message := encodeHeartbeat(membership.Heartbeat{
 		ID:      membership.ID{Name: "n", BootID: 1},
@@ -157,13 +157,14 @@
 	err = decodeState(encodeState([][]byte{{1}, {2, 3}, {4}}), 2, func([]byte) { count++ })
 	fmt.Println(count, err, decodeState([]byte{0, 9, 1}, 5, func([]byte) {}))
 	// Output:
-	// true too large
-	// out of range
-	// out of range out of range out of range out of range out of range
-	// 2 <nil> cut short
+	// true message body is too large
+	// value is invalid or out of range
+	// value is invalid or out of range value is invalid or out of range value is invalid or out of range value is invalid or out of range value is invalid or out of range
+	// 2 <nil> message is truncated
 }
 
-// Each limit of a heartbeat, a descriptor and a lease: the greatest value passes, the next one does not.
+// For each limit of a heartbeat, a descriptor and a lease, a value at the limit is accepted and the next one is
+// rejected.
 func TestDecodingLimits(t *testing.T) {
 	const longestName = "abcdefghijklmnopqrstuvwxyzabcdefghijklmnopqrstuvwxyzabcdefghijkl" // maxNameBytes
 	heartbeat := func(change func(*wireHeartbeat)) error {
@@ -223,7 +224,7 @@
 		},
 	} {
 		if test.within != nil || test.beyond == nil {
-			t.Errorf("%s: within its limit %v, beyond %v", name, test.within, test.beyond)
+			t.Errorf("%s: error %v for a value within the limit, %v for one beyond it", name, test.within, test.beyond)
 		}
 	}
 }
--- a/internal/fleet/gossip/config.go
+++ b/internal/fleet/gossip/config.go
@@ -6,23 +6,23 @@
 	"lanewheel/internal/membership"
 )
 
-// Config is what an agent goes by.
+// Config configures an Agent.
 type Config struct {
 	Name            membership.Name
-	Cluster         string // messages of other clusters are dropped
+	Cluster         string // messages from other clusters are dropped
 	ListenAddr      string // ip:port, UDP and TCP
-	AdvertiseAddr   string // where others reach it; empty: ListenAddr
-	ServiceAddr     string // where the process takes requests; empty if it takes none
+	AdvertiseAddr   string // ip:port at which other members reach the agent; empty: ListenAddr
+	ServiceAddr     string // address at which the process accepts requests; empty: it accepts none
 	Roles           membership.Roles
 	Zone            string
 	Release         string
-	Capacity        float64 // its share of work beside the others, in cores
+	Capacity        float64 // determines its share of the work relative to other members, in cores
 	WarmUp          time.Duration
-	Keys            []membership.Key // the first is the primary one; none: gossip is not encrypted
-	ProbeInterval   time.Duration    // between two probes of another member
-	MaxMessageRate  float64          // messages a second that are taken
-	StatusSocket    string           // path of a local socket; empty for none
-	LeaveWhenFenced bool             // a fenced process stops
-	DrainByPermit   bool             // it drains by permits of the coordinators
+	Keys            []membership.Key // the first is the primary key; empty: gossip is not encrypted
+	ProbeInterval   time.Duration    // interval between two probes of other members
+	MaxMessageRate  float64          // maximum number of messages accepted per second
+	StatusSocket    string           // path of a local socket; empty: no socket
+	LeaveWhenFenced bool             // the process stops when it is fenced
+	DrainByPermit   bool             // the process drains when the coordinators grant it a permit
 	Membership      membership.Config
 }
--- a/internal/fleet/gossip/counters.go
+++ b/internal/fleet/gossip/counters.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// counters is what came and what became of it, by the names that the status socket shows.
+// counters returns the counts of the agent's packets, messages and events, by the names shown on the status socket.
 func (a *Agent) counters() map[string]uint64 {
 	stats := a.table.Stats
 	counters := map[string]uint64{
@@ -32,7 +32,7 @@
 	return counters
 }
 
-// processCPUTime is the processor time that this process has used, 0 if it is not known.
+// processCPUTime returns the CPU time used by this process, or 0 if it cannot be determined.
 func processCPUTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
--- a/internal/fleet/gossip/delegate.go
+++ b/internal/fleet/gossip/delegate.go
@@ -9,15 +9,15 @@
 	"lanewheel/internal/membership"
 )
 
-// delegate is what memberlist calls, on goroutines of its own: its methods touch only what of the agent is atomic or
-// immutable, and post the rest to the event loop.
+// delegate implements the callbacks of memberlist, which run on memberlist's goroutines. Its methods access only those
+// fields of the agent that are shared or immutable, and post all other work to the event loop.
 type delegate struct{ agent *Agent }
 
 // NodeMeta implements memberlist.Delegate.
 func (d delegate) NodeMeta(_ int) []byte { return encodeDescriptor(d.agent.view.Load().Self) }
 
-// NotifyAlive implements memberlist.AliveDelegate. It refuses a node that cannot become a member before memberlist
-// spreads it, so that made-up names do not fill the fleet's memory.
+// NotifyAlive implements memberlist.AliveDelegate. It rejects a node that cannot become a member before memberlist
+// spreads it, so that made-up names cannot fill the memory of the fleet.
 func (d delegate) NotifyAlive(node *memberlist.Node) error {
 	err := d.admit(node)
 	if err != nil {
@@ -26,6 +26,8 @@
 	return err
 }
 
+// admit returns an error if a node cannot become a member: if its descriptor is malformed, or if it would be a new
+// member past the maximum number of members and no gone member can be evicted for it.
 func (d delegate) admit(node *memberlist.Node) error {
 	descriptor, err := decodeDescriptor(node.Name, node.Address(), node.Meta)
 	if err != nil {
@@ -46,7 +48,7 @@
 func (d delegate) NotifyJoin(node *memberlist.Node) {
 	descriptor, err := decodeDescriptor(node.Name, node.Address(), node.Meta)
 	if err != nil {
-		return // NotifyAlive has refused and counted it
+		return // NotifyAlive has rejected and counted the node
 	}
 	d.agent.Post(func() { d.agent.handleAlive(descriptor) })
 }
@@ -54,7 +56,8 @@
 // NotifyUpdate implements memberlist.EventDelegate.
 func (d delegate) NotifyUpdate(node *memberlist.Node) { d.NotifyJoin(node) }
 
-// NotifyLeave implements memberlist.EventDelegate: a node has left, or the failure detector does not reach it.
+// NotifyLeave implements memberlist.EventDelegate. It handles a node that has left or that the failure detector cannot
+// reach.
 func (d delegate) NotifyLeave(node *memberlist.Node) {
 	id, ok := membership.ParseID(node.Name)
 	if !ok {
@@ -71,13 +74,15 @@
 	})
 }
 
-// NotifyConflict implements memberlist.ConflictDelegate: one process at two addresses, which only a copied process is.
+// NotifyConflict implements memberlist.ConflictDelegate. It logs that one process is seen at two addresses, which
+// happens only if a process was copied.
 func (d delegate) NotifyConflict(existing, other *memberlist.Node) {
 	slog.Warn("member seen at two addresses", "member_id", existing.Name, "addr", existing.Address(),
 		"other_addr", other.Address())
 }
 
-// AckPayload implements memberlist.PingDelegate: the answer to a probe carries our last heartbeat.
+// AckPayload implements memberlist.PingDelegate. It returns the process's latest heartbeat, which the response to a
+// probe carries.
 func (d delegate) AckPayload() []byte { return d.agent.ownHeartbeat.Load().withCurrentAge() }
 
 // NotifyPingComplete implements memberlist.PingDelegate.
@@ -89,8 +94,8 @@
 	})
 }
 
-// NotifyMsg implements memberlist.Delegate. Messages past the configured rate are dropped, which guards against a
-// member that floods the others; the next heartbeat makes up for them.
+// NotifyMsg implements memberlist.Delegate. It drops messages above the configured rate, which protects against a
+// member that floods the others. The next heartbeat replaces a dropped one.
 func (d delegate) NotifyMsg(message []byte) {
 	if !d.agent.messageLimiter.Load().Allow() {
 		d.agent.rateLimited.Add(1)
@@ -105,8 +110,8 @@
 	return d.agent.broadcasts.GetBroadcasts(overhead, limit)
 }
 
-// LocalState implements memberlist.Delegate: the last heartbeats of all members that we know, for one that joins or was
-// away.
+// LocalState implements memberlist.Delegate. It returns the latest heartbeats of this process and of all present
+// members, for a member that joins or that was unreachable.
 func (d delegate) LocalState(_ bool) []byte {
 	messages := [][]byte{d.agent.ownHeartbeat.Load().withCurrentAge()}
 	now := time.Since(d.agent.start)
@@ -120,7 +125,8 @@
 	return encodeState(messages)
 }
 
-// MergeRemoteState implements memberlist.Delegate.
+// MergeRemoteState implements memberlist.Delegate. It handles the messages of a state that LocalState of another member
+// has returned.
 func (d delegate) MergeRemoteState(state []byte, _ bool) {
 	limit := int(d.agent.maxMembers.Load()) + 1
 	err := decodeState(state, limit, func(message []byte) {
--- a/internal/fleet/gossip/drain.go
+++ b/internal/fleet/gossip/drain.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// leaveLeadTime is how long before the end of a drain the fleet is left: the news takes some rounds of gossip.
+// leaveLeadTime is how long before the end of a drain the process leaves the fleet: the leave message needs several
+// rounds of gossip to reach all members.
 const leaveLeadTime = 500 * time.Millisecond
 
-// Drain publishes at once that the process drains, and leaves the fleet shortly before the timeout is over. Any
-// goroutine may call it.
+// Drain announces immediately that the process is draining, and leaves the fleet shortly before timeout has elapsed.
+// Any goroutine may call it.
 func (a *Agent) Drain(timeout time.Duration) {
 	a.Post(func() {
 		if a.draining {
@@ -22,7 +23,7 @@
 	})
 }
 
-// Drained reports whether the fleet has been left. Any goroutine may call it.
+// Drained reports whether the agent has left the fleet. Any goroutine may call it.
 func (a *Agent) Drained() bool {
 	select {
 	case <-a.done:
@@ -32,7 +33,7 @@
 	}
 }
 
-// leaveFleet leaves the fleet and ends the agent. It blocks.
+// leaveFleet leaves the fleet and stops the agent. It blocks until the process has left.
 func (a *Agent) leaveFleet(timeout time.Duration) {
 	a.leaveMemberlist(timeout)
 	a.Post(func() {
@@ -44,10 +45,11 @@
 	})
 }
 
-// leaveMemberlist tells others that we leave, for as long as the timeout, and ends the gossip. It blocks.
+// leaveMemberlist announces to other members, for at most timeout, that this process leaves, and shuts memberlist
+// down. It blocks until then.
 func (a *Agent) leaveMemberlist(timeout time.Duration) {
 	a.leaveOnce.Do(func() {
-		// Whoever does not hear of it finds out by its failure detector.
+		// A member that misses the announcement detects the departure with its failure detector.
 		_ = a.memberlist.Leave(timeout)
 		_ = a.memberlist.Shutdown()
 	})
--- a/internal/fleet/gossip/fence.go
+++ b/internal/fleet/gossip/fence.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// fencedLeaveTimeout is how long a fenced process tells others that it leaves.
+	// fencedLeaveTimeout is the maximum time for which a fenced process announces that it leaves.
 	fencedLeaveTimeout = 200 * time.Millisecond
-	// announceTimeout is how long a raised incarnation is announced.
+	// announceTimeout is the maximum time for which a raised incarnation is announced.
 	announceTimeout = time.Second
 )
 
-// fence ends our part in the fleet: a later process has our name.
+// fence ends this process's participation in the fleet because a later process has its name.
 func (a *Agent) fence() {
 	if a.fenced {
 		return
@@ -26,15 +26,15 @@
 	slog.Warn("fenced by a later process of the same name", "member", string(a.config.Name),
 		"incarnation", uint64(a.table.Self().Incarnation), "leaving", a.config.LeaveWhenFenced)
 	a.applyChanges()
-	// Without a word the detector would report a process that is over anyway. Leaving names this process alone, so nobody
-	// takes it for the later one.
+	// If this process left without an announcement, the failure detector would report it although it has been
+	// superseded. The announcement identifies this process alone, so no member applies it to the later one.
 	go a.leaveMemberlist(fencedLeaveTimeout)
 	if a.config.LeaveWhenFenced {
 		a.process.Fenced()
 	}
 }
 
-// handleAlive hands a descriptor to the table and carries out the result.
+// handleAlive passes a descriptor to the table and acts on the result.
 func (a *Agent) handleAlive(descriptor membership.Descriptor) {
 	switch a.table.HandleAlive(descriptor, a.Now()) {
 	case membership.AliveOutdated:
@@ -49,7 +49,7 @@
 	a.applyChanges()
 }
 
-// handleFenceNotice takes a notice that a later process has our name.
+// handleFenceNotice handles a notice that a later process has this process's name.
 func (a *Agent) handleFenceNotice(body []byte) error {
 	var notice wireFenceNotice
 	if err := decode(body, &notice); err != nil {
@@ -70,13 +70,14 @@
 	return nil
 }
 
-// announceSelf spreads our descriptor with its raised incarnation. It blocks.
+// announceSelf broadcasts this process's descriptor with its raised incarnation. It blocks for up to announceTimeout.
 func (a *Agent) announceSelf() {
-	// Whoever does not get it in time gets it with the next exchange of states.
+	// A member that does not receive it in time receives it with the next state exchange.
 	_ = a.memberlist.UpdateNode(announceTimeout)
 }
 
-// notifyFenced tells an outdated process that a later one has its name, if it is up to us to do so.
+// notifyFenced notifies an outdated process that a later one has its name, if the table has chosen this process to send
+// the notice.
 func (a *Agent) notifyFenced(outdated membership.Descriptor) {
 	if !a.table.ShouldNotifyFenced(outdated.ID(), a.Now()) {
 		return
@@ -89,9 +90,9 @@
 		notice.Incarnation = uint64(successor.Incarnation)
 		notice.BootID = uint64(successor.BootID)
 	}
-	addr, err := net.ResolveUDPAddr("udp", outdated.GossipAddr) // numeric: nothing is looked up
+	addr, err := net.ResolveUDPAddr("udp", outdated.GossipAddr) // the address is numeric, so there is no name lookup
 	if err != nil {
-		return // it cannot be reached there
+		return // the process cannot be reached at this address
 	}
 	destination := memberlist.Address{Addr: addr.String(), Name: outdated.ID().String()}
 	go a.send(destination, encode(kindFenceNotice, notice))
--- a/internal/fleet/gossip/fuzz_test.go
+++ b/internal/fleet/gossip/fuzz_test.go
@@ -8,7 +8,7 @@
 	"lanewheel/internal/membership"
 )
 
-// Whatever bytes come, decoding neither panics nor gives values out of range.
+// Decoding arbitrary bytes neither panics nor returns values out of range.
 func FuzzMessages(f *testing.F) {
 	id := membership.ID{Name: "n", BootID: 1}
 	f.Add(encodeHeartbeat(membership.Heartbeat{ID: id, Metrics: []membership.Metric{{Name: "load", Value: 1}}}))
@@ -31,7 +31,7 @@
 		total := 0
 		_ = decodeState(message, 100, func(part []byte) { total += len(part) })
 		if total > len(message) {
-			t.Fatal("more than there was")
+			t.Fatal("the decoded parts are longer than the state")
 		}
 	})
 }
@@ -46,7 +46,7 @@
 	for _, wire := range []any{
 		&wireFenceNotice{}, &wireQuery{}, &wireQueryReply{}, &wirePermitNotice{}, &wirePermitBegin{},
 	} {
-		_ = decode(body, wire) // either answer is right, a panic is not
+		_ = decode(body, wire) // may return an error, but must not panic
 	}
 	request, _, err := decodeLeaseRequest(body, self)
 	if err == nil && (request.Sequence == 0 || request.OpenCalls < 0 || request.WantedCalls < 0) {
--- a/internal/fleet/gossip/golden_snapshot_test.go
+++ b/internal/fleet/gossip/golden_snapshot_test.go
@@ -15,7 +15,7 @@
 	"lanewheel/internal/membership"
 )
 
-// libraryLines are lines of memberlist, one for each code that the status socket counts.
+// libraryLines are lines of memberlist's log, with at least one for each counter of the status socket.
 var libraryLines = []string{
 	"[ERR] memberlist: Decrypt packet failed: No installed keys could decrypt the message",
 	"[ERR] memberlist: failed to receive: Remote state is not encrypted",
@@ -27,7 +27,7 @@
 	"[INFO] memberlist: anything else",
 }
 
-// goldenAgent is an agent that was never started, with something in all that a snapshot shows.
+// goldenAgent returns an agent that was never started, with a value in every field that a snapshot shows.
 func goldenAgent() *Agent {
 	config := membership.DefaultConfig()
 	table := membership.NewTable(membership.Descriptor{Name: "blue", Incarnation: 7, BootID: 0x0123456789abcdef,
@@ -66,7 +66,7 @@
 	return agent
 }
 
-// goldenSnapshot is what the stored snapshot reads as.
+// goldenSnapshot returns the expected result of decoding the stored snapshot.
 func goldenSnapshot() Snapshot {
 	return Snapshot{Name: "blue", BootID: "0123456789abcdef", Incarnation: 7, Zone: "north",
 		Release: "v7", LocalHealth: "young", HeardFraction: 1, ViewVersion: 3, ViewDigest: "3f221ae6bba73235",
@@ -84,8 +84,8 @@
 			"gossip-gives-up": 1, "gossip-refutes": 1, "gossip-not-sent": 1, "gossip-other": 1}}
 }
 
-// The status socket shows the same names and values as the version before: `lanewheel members` and
-// operators' scripts read it.
+// The status socket shows the same names and values as the previous version, as `lanewheel members` and operators'
+// scripts read them.
 func TestGoldenSnapshot(t *testing.T) {
 	shown := goldenAgent().snapshot(SnapshotFull)
 	shown.CPUMillis = 1234
@@ -102,7 +102,8 @@
 	checkEqualAllSet(t, d.Decode(&got), got, goldenSnapshot())
 }
 
-// The kinds of snapshots that clients of the status socket ask for.
+// The names of the snapshot kinds, which clients of the status socket send, stay the same, and each kind shows all
+// counters.
 func TestGoldenSnapshotKinds(t *testing.T) {
 	checkEqualAllSet(t, nil, []SnapshotKind{SnapshotFull, SnapshotBrief}, []SnapshotKind{"view", "brief"})
 	agent := goldenAgent()
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -17,21 +17,21 @@
 	"lanewheel/internal/membership"
 )
 
-// The golden files hold what a released process sends and shows. Processes of two versions speak to each other while a
-// fleet is replaced, so these bytes stay as they are.
+// The golden files contain the messages that a released process sends and the snapshot that it shows. Processes of two
+// versions communicate while the processes of a fleet are replaced, so these bytes must not change.
 const (
 	messagesFile = "messages.txt"
 	snapshotFile = "snapshot.json"
 )
 
-// goldenMessage is one message as it is sent, and how it is decoded.
+// goldenMessage is an encoded message and a function that decodes and checks the stored one.
 type goldenMessage struct {
 	name    string
 	encoded []byte
 	decode  func(t *testing.T, stored []byte)
 }
 
-// goldenAge is the age of all golden messages that have one.
+// goldenAge is the age of all golden messages whose age is not 0.
 const goldenAge = 1500 * time.Millisecond
 
 var (
@@ -39,7 +39,7 @@
 	goldenOther = membership.ID{Name: "green", BootID: 0xfedcba9876543210}
 )
 
-// goldenMessages lists every message with all fields set.
+// goldenMessages returns one message of each type, with all fields set.
 func goldenMessages() []goldenMessage {
 	self, other := goldenSelf.String(), goldenOther.String()
 	return []goldenMessage{
@@ -93,7 +93,7 @@
 		t.Helper()
 		body := checkHeader(t, stored, kindHeartbeat, goldenAge)
 		got, err := decodeHeartbeat(body)
-		checkEqual(t, err, got, heartbeat) // when a metric was measured is not sent: it is by the receiver's clock
+		checkEqual(t, err, got, heartbeat) // times of metrics are by the receiver's clock and are not sent
 		wire, err := decodeAs[wireHeartbeat](body)
 		checkEqualAllSet(t, err, wire, wireHeartbeat{Name: "blue", BootID: 0x0123456789abcdef,
 			Incarnation: 1_700_000_000_123, Sequence: 77, Ready: true, ReadyForMillis: 61_001, Draining: true,
@@ -149,7 +149,7 @@
 	}}
 }
 
-// The first byte of each kind of message is shared with other releases.
+// The first byte of each kind of message is part of the protocol between releases.
 func TestGoldenKinds(t *testing.T) {
 	kinds := []messageKind{kindHeartbeat, kindFenceNotice, kindQuery, kindQueryReply, kindLeaseRequest, kindLease,
 		kindPermitNotice, kindPermitBegin}
@@ -163,7 +163,7 @@
 	return bytes
 }
 
-// goldenWireMessage is a message whose wire struct is what the program uses.
+// goldenWireMessage returns a golden message of a type that the program uses as its wire struct, without conversion.
 func goldenWireMessage[T any](name string, kind messageKind, value T) goldenMessage {
 	return goldenMessage{name, setAge(encode(kind, value), goldenAge), func(t *testing.T, stored []byte) {
 		t.Helper()
@@ -182,20 +182,21 @@
 	t.Helper()
 	received, err := parseEnvelope(stored)
 	if err != nil || received.kind != wantKind || received.age != wantAge {
-		t.Fatalf("head %q %v, error %v; want %q %v", received.kind, received.age, err, wantKind, wantAge)
+		t.Fatalf("header is %q %v, error %v; want %q %v", received.kind, received.age, err, wantKind, wantAge)
 	}
 	return received.body
 }
 
-// checkEqualAllSet fails unless got is want and every field of want is set.
+// checkEqualAllSet reports a failure unless err is nil, got equals want and every field of want is set.
 func checkEqualAllSet[T any](t *testing.T, err error, got, want T) {
 	t.Helper()
 	checkEqual(t, err, got, want)
 	if unset := unsetFields(reflect.ValueOf(want), ""); len(unset) > 0 {
-		t.Errorf("fields without a value: %v", unset)
+		t.Errorf("fields not set: %v", unset)
 	}
 }
 
+// checkEqual reports a failure unless err is nil and got equals want.
 func checkEqual[T any](t *testing.T, err error, got, want T) {
 	t.Helper()
 	if err != nil || !reflect.DeepEqual(got, want) {
@@ -203,7 +204,7 @@
 	}
 }
 
-// unsetFields names the fields of a value that are zero, each once.
+// unsetFields returns the names of the zero fields of a value, sorted and without duplicates.
 func unsetFields(v reflect.Value, path string) (unset []string) {
 	switch {
 	case v.Kind() == reflect.Struct:
@@ -222,7 +223,7 @@
 	return slices.Compact(unset)
 }
 
-// What is sent stays as the version before wrote it, and is read to the same values.
+// Each message is encoded as by the previous version, and the stored message is decoded to the same values.
 func TestGoldenMessages(t *testing.T) {
 	all := goldenMessages()
 	var text strings.Builder
@@ -244,15 +245,15 @@
 		stored[name] = b
 	}
 	if len(stored) != len(all) {
-		t.Errorf("%d messages are stored, %d are known", len(stored), len(all))
+		t.Errorf("%d messages are stored, %d are defined", len(stored), len(all))
 	}
 	for _, m := range all {
 		t.Run(m.name, func(t *testing.T) {
 			if len(stored[m.name]) == 0 {
-				t.Fatal("is not stored")
+				t.Fatal("message is not stored")
 			}
 			if !bytes.Equal(m.encoded, stored[m.name]) {
-				t.Errorf("encodes to\n%x, stored is\n%x", m.encoded, stored[m.name])
+				t.Errorf("encoded message is\n%x, stored message is\n%x", m.encoded, stored[m.name])
 			}
 			m.decode(t, stored[m.name])
 		})
--- a/internal/fleet/gossip/heartbeat.go
+++ b/internal/fleet/gossip/heartbeat.go
@@ -8,32 +8,33 @@
 	"lanewheel/internal/membership"
 )
 
-// statusInterval is how late a process that has become ready is seen to be.
+// statusInterval is the interval between two requests for the status of the process, and so the maximum delay with
+// which the agent notices that the process has become ready.
 const statusInterval = 250 * time.Millisecond
 
-// publisher is what an agent's own heartbeats go by. It is owned by the event loop.
+// publisher holds the state from which the agent publishes its own heartbeats. It is owned by the event loop.
 type publisher struct {
 	sequence        uint64
-	nextAt          time.Duration // when the next broadcast is due
-	announcedDigest uint64        // the view digest of the last heartbeat
+	nextAt          time.Duration // time of the next regular broadcast
+	announcedDigest uint64        // view digest in the latest heartbeat
 	ready           bool          // as of the last broadcast
-	readySince      time.Duration // if ready
+	readySince      time.Duration // valid if ready
 }
 
-// encodedHeartbeat is a heartbeat as it was written, and when. It is immutable.
+// encodedHeartbeat is an encoded heartbeat with the time at which it was encoded. It is immutable.
 type encodedHeartbeat struct {
 	message   []byte
 	encodedAt time.Time
 }
 
-// withCurrentAge is the message with its present age.
+// withCurrentAge returns a copy of the message with its current age.
 func (h *encodedHeartbeat) withCurrentAge() []byte {
 	message := append([]byte(nil), h.message...)
 	return setAge(message, time.Since(h.encodedAt))
 }
 
-// pollStatus asks the process for its status, and broadcasts a heartbeat when one is due, and at once when others
-// have to know.
+// pollStatus asks the process for its status every statusInterval. A heartbeat is broadcast when one is due, and
+// immediately when the process has become ready or unready or has begun to drain.
 func (a *Agent) pollStatus() {
 	if a.HasQuit() {
 		return
@@ -51,8 +52,9 @@
 	case due || changed:
 		a.broadcastHeartbeat(status)
 	case a.publisher.announcedDigest != a.table.ViewDigest() && !a.draining:
-		// A new view digest goes out with the answers to probes, and is not broadcast to the whole fleet. Without this,
-		// views that differ would be found only once each has published again, many seconds later in a large fleet.
+		// A new view digest is sent with the responses to probes and is not broadcast to the whole fleet. Without
+		// this case, differing views would be detected only after each process has published again, which takes many
+		// seconds in a large fleet.
 		a.buildHeartbeat(status)
 	}
 }
@@ -62,7 +64,7 @@
 		a.publisher.readySince = a.Now()
 	}
 	a.publisher.ready = status.Ready
-	// The jitter keeps members that started at one moment from all publishing at the same moments.
+	// The jitter prevents members that started at the same time from all publishing at the same times.
 	a.publisher.nextAt = a.Now() + membership.Jitter(a.table.HeartbeatInterval(), a.random.Float64())
 	a.broadcasts.QueueBroadcast(&heartbeatBroadcast{
 		from:      a.table.Self().ID(),
@@ -70,7 +72,7 @@
 	})
 }
 
-// buildHeartbeat makes our next heartbeat, which the answers to probes carry from then on.
+// buildHeartbeat returns this process's next heartbeat, which the responses to probes carry from now on.
 func (a *Agent) buildHeartbeat(status ProcessStatus) *encodedHeartbeat {
 	a.publisher.sequence++
 	a.publisher.announcedDigest = a.table.ViewDigest()
@@ -101,13 +103,14 @@
 	return encoded
 }
 
-// heartbeatBroadcast is a heartbeat that memberlist spreads; its age is written each time it goes out.
+// heartbeatBroadcast is a heartbeat that memberlist broadcasts. Its age is updated each time it is sent.
 type heartbeatBroadcast struct {
 	from      membership.ID
 	heartbeat *encodedHeartbeat
 }
 
-// Invalidates implements memberlist.Broadcast: a later heartbeat of a process replaces the one before.
+// Invalidates implements memberlist.Broadcast. It reports whether other is a heartbeat of the same process, which b
+// replaces.
 func (b *heartbeatBroadcast) Invalidates(other memberlist.Broadcast) bool {
 	otherHeartbeat, isHeartbeat := other.(*heartbeatBroadcast)
 	return isHeartbeat && otherHeartbeat.from == b.from
--- a/internal/fleet/gossip/inbox.go
+++ b/internal/fleet/gossip/inbox.go
@@ -7,21 +7,23 @@
 )
 
 const (
-	// maxInboxSenders bounds the senders between two ticks: a flood of packets with made-up senders must not fill the
-	// memory. It is many times the members that one process hears in that time.
+	// maxInboxSenders limits the senders recorded between two ticks, so that a flood of packets with made-up senders
+	// cannot fill the memory. It is many times the number of members that one process hears in that time.
 	maxInboxSenders = 4096
-	// maxInboxCallers bounds the predecessor's callers between two ticks: one of them is enough to find the fleet.
+	// maxInboxCallers limits the predecessor's callers recorded between two ticks: one of them is enough to find the
+	// fleet.
 	maxInboxCallers = 4
 )
 
-// inbox collects what memberlist's goroutines notice until the event loop's next tick, so that a flood of packets does
-// not post a callback each. Its methods may be called on any goroutine.
+// inbox collects observations of memberlist's goroutines until the event loop's next tick, so that a flood of packets
+// does not post one callback per packet. Its methods may be called on any goroutine.
 type inbox struct {
 	mu                 sync.Mutex
 	senders            map[string]struct{} // guarded by mu
 	predecessorCallers []string            // guarded by mu
 }
 
+// noteSender records the sender of a packet or stream.
 func (i *inbox) noteSender(sender string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -33,7 +35,8 @@
 	}
 }
 
-// notePredecessorCaller notes the address of a member that called the process that had our name before.
+// notePredecessorCaller records the address of a member that called the process that previously had this process's
+// name.
 func (i *inbox) notePredecessorCaller(addr string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -42,7 +45,7 @@
 	}
 }
 
-// deliver hands all of it to the table.
+// deliver passes the recorded senders and callers to table and forgets them.
 func (i *inbox) deliver(table *membership.Table) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/fleet/gossip/lease.go
+++ b/internal/fleet/gossip/lease.go
@@ -5,8 +5,8 @@
 	"lanewheel/internal/membership"
 )
 
-// RequestLease asks the allocator beside an upstream service for a lease. Any goroutine may call it; the answer, if one
-// comes, goes to OnLease.
+// RequestLease asks the allocator with the given member name, which runs beside an upstream service, for a lease. If a
+// response arrives, it is passed to OnLease. Any goroutine may call it.
 func (a *Agent) RequestLease(name membership.Name, request concurrencylease.Request) {
 	a.Post(func() {
 		if member, found := a.table.View().Get(name); found {
@@ -15,7 +15,7 @@
 	})
 }
 
-// handleLeaseRequest hands a holder's request to the allocator that this agent speaks for.
+// handleLeaseRequest passes a holder's request to OnLeaseRequest and sends the answer to the holder.
 func (a *Agent) handleLeaseRequest(body []byte) error {
 	request, replyAddr, err := decodeLeaseRequest(body, a.table.Self().ID())
 	if err != nil {
--- a/internal/fleet/gossip/librarylog.go
+++ b/internal/fleet/gossip/librarylog.go
@@ -11,10 +11,10 @@
 	"lanewheel/internal/logging"
 )
 
-// libraryEvent is what a line of memberlist's log is about.
+// libraryEvent is the kind of event that a line of memberlist's log reports.
 type libraryEvent struct {
-	code    string // in our log
-	counter string // on the status socket, behind "gossip-"
+	code    string // in the agent's log
+	counter string // on the status socket, after the prefix "gossip-"
 }
 
 var (
@@ -30,7 +30,7 @@
 	eventOther               = libraryEvent{code: "other", counter: "other"}
 )
 
-// libraryPatterns tells memberlist's lines apart by a part of their text; the first that is found counts.
+// libraryPatterns maps substrings of memberlist's log lines to events. The first pattern that a line contains applies.
 var libraryPatterns = []struct {
 	substring string
 	event     libraryEvent
@@ -52,20 +52,21 @@
 	{"Failed to send", eventSendFailed},
 }
 
-// fromMarker stands before the sender's address at the end of memberlist's lines that have one.
+// fromMarker precedes the sender's address, which is at the end of those memberlist lines that contain one.
 const fromMarker = " from="
 
-// maxLoggedTextBytes is how much of a line is logged: memberlist's lines name an address and a cause.
+// maxLoggedTextBytes limits the logged part of a line. It leaves room for the address and the cause in memberlist's
+// lines.
 const maxLoggedTextBytes = 200
 
-// libraryLog counts memberlist's log lines by event and logs a few of each a second, so that what a stranger sends does
-// not fill the log. It is written to on memberlist's goroutines.
+// libraryLog counts memberlist's log lines by event and logs a few lines of each code per second, so that messages from
+// strangers cannot fill the log. It is written to on memberlist's goroutines.
 type libraryLog struct {
 	mu      sync.Mutex
 	sampler logging.Sampler[string] // by code; guarded by mu
 	counts  map[libraryEvent]uint64 // guarded by mu
-	// onPredecessorCaller takes the address of a member that called the process that had our name before. It is set
-	// before memberlist writes.
+	// onPredecessorCaller is called with the address of a member that called the process that previously had this
+	// process's name. It is set before memberlist writes to the log.
 	onPredecessorCaller func(addr string)
 }
 
@@ -73,7 +74,7 @@
 	return &libraryLog{counts: map[libraryEvent]uint64{}, onPredecessorCaller: onPredecessorCaller}
 }
 
-// Write implements io.Writer for a log.Logger: each call is one line.
+// Write implements io.Writer for a log.Logger, which writes one line per call.
 func (l *libraryLog) Write(line []byte) (int, error) {
 	text := string(bytes.TrimSpace(line))
 	event := classify(text)
@@ -91,7 +92,7 @@
 	return len(line), nil
 }
 
-// log is called with mu held.
+// log logs a line unless the sampler suppresses it. It must be called with mu held.
 func (l *libraryLog) log(event libraryEvent, text string, now time.Time) {
 	l.sampler.FlushSuppressed(now, func(code string, suppressed int) {
 		slog.Info("memberlist messages suppressed", "code", code, "count", suppressed)
@@ -111,9 +112,9 @@
 	return eventOther
 }
 
-// predecessorCaller gives the gossip address of a member that probed the process that had our name before. Only a
-// packet comes from the address that the member listens on; a connection has a port of the moment, and its line no
-// node.
+// predecessorCaller returns the gossip address of a member that probed the process that previously had this process's
+// name. Only a packet is sent from the address on which the member listens. A connection has an ephemeral port, and its
+// log line contains no node.
 func predecessorCaller(text string) (addr string, ok bool) {
 	_, addr, hasAddr := strings.Cut(text, fromMarker)
 	if !hasAddr || !strings.Contains(text, "node '") {
--- a/internal/fleet/gossip/message.go
+++ b/internal/fleet/gossip/message.go
@@ -8,7 +8,8 @@
 	"lanewheel/internal/membership"
 )
 
-// handleMessage decodes a message and acts on it; transit is how long it was on its way at least.
+// handleMessage decodes a message and acts on it. transit is the minimum time that the message took to arrive; it is
+// added to the age of the message.
 func (a *Agent) handleMessage(message []byte, transit time.Duration) {
 	received, err := parseEnvelope(message)
 	if err == nil {
@@ -42,7 +43,7 @@
 	return errUnknownKind
 }
 
-// handleHeartbeat hands a heartbeat to the table and spreads it on if it is news.
+// handleHeartbeat passes a heartbeat to the table and, if the table accepts it as new, broadcasts it to other members.
 func (a *Agent) handleHeartbeat(received envelope) error {
 	heartbeat, err := decodeHeartbeat(received.body)
 	if err != nil {
@@ -62,20 +63,20 @@
 	return nil
 }
 
-// send sends a message by one datagram. Nothing waits for it: what is lost is sent again by whoever wants an answer, or
-// made up for by the next heartbeat.
+// send sends a message as one datagram and ignores errors. A sender that needs an answer sends a lost message again,
+// and the next heartbeat replaces a lost one.
 func (a *Agent) send(to memberlist.Address, message []byte) {
 	_ = a.memberlist.SendToAddress(to, message)
 }
 
-// isSelf reports whether a message's addressee is this very process.
+// isSelf reports whether to, the addressee of a message, is the ID of this process.
 func (a *Agent) isSelf(to string) bool { return to == a.table.Self().ID().String() }
 
 func addressOf(member membership.Member) memberlist.Address {
 	return memberlist.Address{Addr: member.GossipAddr, Name: member.ID().String()}
 }
 
-// replyAddress is where a message's sender wants its reply.
+// replyAddress returns the address to which the reply to a message is sent: the reply address and the ID of its sender.
 func replyAddress(addr, from string) memberlist.Address {
 	return memberlist.Address{Addr: addr, Name: from}
 }
--- a/internal/fleet/gossip/new.go
+++ b/internal/fleet/gossip/new.go
@@ -14,28 +14,30 @@
 	"lanewheel/internal/membership"
 )
 
-// What memberlist is configured with.
+// Parameters of memberlist's configuration.
 const (
-	// Two others have to confirm a suspicion before the shortest time to a death holds.
+	// The suspicion timeout drops to its minimum only after two other members have confirmed the suspicion.
 	suspicionMultiplier    = 4
 	maxSuspicionMultiplier = 3
 	gossipInterval         = 100 * time.Millisecond
 	gossipNodes            = 3
 	retransmitMultiplier   = 3
-	heartbeatRetransmits   = 2 // heartbeats are replaced by later ones soon
+	heartbeatRetransmits   = 2 // later heartbeats soon replace earlier ones
 	gossipToDeadTime       = 30 * time.Second
-	// memberlist lengthens the interval between state exchanges in larger fleets; members whose views differ call each
-	// other before (membership.Table.NextJoinAddr).
+	// memberlist lengthens the interval between state exchanges in larger fleets. Members whose views differ exchange
+	// their states earlier, by a join (membership.Table.NextJoinAddr).
 	pushPullInterval = 10 * time.Second
-	// A call may take some round trips of a poor link; only one goroutine calls.
+	// Allows for several round trips on a poor link. A join blocks only the goroutine of runJoins.
 	streamTimeout       = 2 * time.Second
 	deadNodeReclaimTime = time.Second
 )
 
-// maxPendingCallbacks bounds the event loop's queue.
+// maxPendingCallbacks is the maximum length of the event loop's queue.
 const maxPendingCallbacks = 1 << 14
 
-// New opens the agent's sockets; nothing is sent before Start. seed is for what is left to chance.
+// New returns an agent with open sockets. It returns an error if an address or a key of config is not valid or if a
+// socket cannot be opened. The agent sends nothing before Start. seed seeds the agent's random numbers, which
+// determine jitter and the choice of addresses to join.
 func New(config Config, process Process, seed uint64) (*Agent, error) {
 	if config.AdvertiseAddr == "" {
 		config.AdvertiseAddr = config.ListenAddr
@@ -55,8 +57,9 @@
 	return agent, nil
 }
 
-// newDescriptor describes this process. Its incarnation by the clock is mostly above that of its predecessor; where the
-// clock went back in between, it is raised once the predecessor's is known (membership.Table.HandleAlive).
+// newDescriptor returns the descriptor of this process. The incarnation is the time in milliseconds, and so usually
+// higher than that of the predecessor. If the clock was set back in between, the incarnation is raised once the
+// predecessor's is known (membership.Table.HandleAlive).
 func newDescriptor(config Config) (membership.Descriptor, error) {
 	var bootID [8]byte
 	if _, err := rand.Read(bootID[:]); err != nil {
@@ -76,7 +79,7 @@
 	}, nil
 }
 
-// newAgent makes an agent without sockets.
+// newAgent returns an agent without sockets.
 func newAgent(config Config, process Process, self membership.Descriptor, seed uint64) *Agent {
 	agent := &Agent{
 		Loop:        eventloop.New(maxPendingCallbacks),
@@ -102,7 +105,7 @@
 	return agent
 }
 
-// newMemberlistConfig is memberlist's configuration, less what refers to the agent.
+// newMemberlistConfig returns memberlist's configuration without the fields that refer to the agent.
 func newMemberlistConfig(config Config, self membership.Descriptor) (*memberlist.Config, error) {
 	listenIP, listenPort, err := parseAddr(config.ListenAddr)
 	if err != nil {
@@ -127,7 +130,7 @@
 	memberlistConfig.GossipNodes = gossipNodes
 	memberlistConfig.RetransmitMult = retransmitMultiplier
 	memberlistConfig.GossipToTheDeadTime = gossipToDeadTime
-	memberlistConfig.EnableCompression = false // its writer allocates far more for each message than the messages are long
+	memberlistConfig.EnableCompression = false // the compressor allocates far more than the size of each message
 	memberlistConfig.PushPullInterval = pushPullInterval
 	memberlistConfig.TCPTimeout = streamTimeout
 	memberlistConfig.DeadNodeReclaimTime = deadNodeReclaimTime
@@ -147,12 +150,15 @@
 	return memberlist.NewKeyring(raw, raw[0])
 }
 
-// listen opens the sockets and starts memberlist.
+// listen opens the sockets and starts memberlist. It returns an error if one of the two fails; no socket remains open
+// then.
 func (a *Agent) listen() error {
 	logger := log.New(a.libraryLog, "", 0)
 	memberlistConfig := a.memberlistConfig
 	var err error
-	a.transport, err = newTransport(net.ParseIP(memberlistConfig.BindAddr), memberlistConfig.BindPort, logger, a.inbox.noteSender)
+	a.transport, err = newTransport(
+		net.ParseIP(memberlistConfig.BindAddr), memberlistConfig.BindPort, logger, a.inbox.noteSender,
+	)
 	if err != nil {
 		return err
 	}
@@ -165,7 +171,7 @@
 	memberlistConfig.Conflict = delegate{a}
 	a.memberlist, err = memberlist.Create(memberlistConfig)
 	if err != nil {
-		_ = a.transport.Shutdown() // the error that matters is why there is no gossip
+		_ = a.transport.Shutdown() // the error of Create is the one to report
 		return err
 	}
 	return nil
--- a/internal/fleet/gossip/permit.go
+++ b/internal/fleet/gossip/permit.go
@@ -2,8 +2,8 @@
 
 import "lanewheel/internal/membership"
 
-// NotifyPermit tells a member of one incarnation that it has a permit, or that the permit has begun. Any goroutine may
-// call it.
+// NotifyPermit notifies a member that it has a permit or, if begun is set, that the permit has begun. It sends
+// nothing if the member now has another incarnation. Any goroutine may call it.
 func (a *Agent) NotifyPermit(name membership.Name, incarnation membership.Incarnation, number uint64, begun bool) {
 	a.Post(func() {
 		member, found := a.table.View().Get(name)
@@ -21,8 +21,9 @@
 	})
 }
 
-// handlePermitNotice answers a permit that was granted with the wish to begin it, and drains once the coordinators have
-// agreed that it has begun. A permit that was withdrawn while its notice was on the way is never begun that way.
+// handlePermitNotice answers the notice of a granted permit with a request to begin it, and drains the process once the
+// coordinators have agreed that the permit has begun. A permit that is withdrawn while its notice is in transit is
+// therefore never begun.
 func (a *Agent) handlePermitNotice(body []byte) error {
 	var notice wirePermitNotice
 	if err := decode(body, &notice); err != nil {
@@ -46,7 +47,7 @@
 	return nil
 }
 
-// handlePermitBegin hands a member's wish to begin its permit to the coordinator that this agent speaks for.
+// handlePermitBegin passes a member's request to begin its permit to OnPermitBegin.
 func (a *Agent) handlePermitBegin(body []byte) error {
 	var begin wirePermitBegin
 	if err := decode(body, &begin); err != nil {
--- a/internal/fleet/gossip/process.go
+++ b/internal/fleet/gossip/process.go
@@ -2,30 +2,30 @@
 
 import "lanewheel/internal/membership"
 
-// ProcessStatus is what a process reports of itself for a heartbeat.
+// ProcessStatus is the status of a process that its heartbeats carry.
 type ProcessStatus struct {
 	Ready    bool
 	Draining bool
-	Metrics  []membership.Metric // a TTL of 0 is replaced by the table's
+	Metrics  []membership.Metric // a TTL of 0 is replaced by the table's metric TTL
 }
 
-// RequestStats is what a process has done since its start.
+// RequestStats contains the totals of the requests that a process has served since its start.
 type RequestStats struct {
-	Finished        float64 // requests that were answered
-	WithinObjective float64 // of them, within their latency objective
-	TotalSeconds    float64 // that all of them took, from reading to answer
+	Finished        float64 // answered requests
+	WithinObjective float64 // answered requests that met their latency objective
+	TotalSeconds    float64 // sum of the times of the answered requests, each from reading to answer
 }
 
-// Process is the process that an agent speaks for. Its methods may be called on any goroutine, and may call back on
-// any.
+// Process is the process that an agent represents in the fleet. Its methods may be called on any goroutine, and may
+// call their callbacks on any goroutine.
 type Process interface {
-	// Status calls back with the present status.
+	// Status calls callback with the current status.
 	Status(callback func(ProcessStatus))
-	// Load calls back with the work in hand and the totals. A load below 0 says how long there has been none
-	// (balancer.Idle).
+	// Load calls callback with the work in progress and the request totals. A load below 0 means that the process is
+	// idle and encodes for how long (balancer.IdleLoad).
 	Load(callback func(load float64, stats RequestStats))
-	// Drain has the process drain, by a permit of the coordinators.
+	// Drain starts to drain the process. permit is the number of the permit that the coordinators have granted for it.
 	Drain(permit uint64)
-	// Fenced is called once a later process has the name, where the configuration has it leave.
+	// Fenced is called when a later process has taken this process's name, if Config.LeaveWhenFenced is set.
 	Fenced()
 }
--- a/internal/fleet/gossip/query.go
+++ b/internal/fleet/gossip/query.go
@@ -7,13 +7,14 @@
 )
 
 const (
-	// queryTimeout is how long a reply is waited for.
+	// queryTimeout is the maximum time to wait for a reply.
 	queryTimeout = time.Second
-	// maxPendingQueries bounds the queries under way where nobody replies. It is more than a proxy sends in a second.
+	// maxPendingQueries limits the queries without a reply, for the case that no member replies. It is more than the
+	// number of queries that a proxy sends in a second.
 	maxPendingQueries = 1024
 )
 
-// queries are those without a reply yet, by nonce. It is owned by the event loop.
+// queries holds the queries that still wait for a reply, by nonce. It is owned by the event loop.
 type queries struct {
 	pending   map[uint64]*pendingQuery
 	lastNonce uint64
@@ -24,7 +25,7 @@
 	callback func(reply wireQueryReply, age time.Duration)
 }
 
-// expire drops queries whose reply has not come in time.
+// expire drops the queries whose reply has not arrived within queryTimeout.
 func (q *queries) expire(now time.Duration) {
 	for nonce, query := range q.pending {
 		if now-query.sentAt > queryTimeout {
@@ -33,13 +34,13 @@
 	}
 }
 
-// QueryLoad asks a member for its load, by one datagram; callback is called on the agent's loop if a reply comes
-// within a second. It is to be called on the agent's loop.
+// QueryLoad asks a member for its load with one datagram. If a reply arrives within a second, callback is called on the
+// agent's loop with the load and its estimated age. QueryLoad must be called on the agent's loop.
 func (a *Agent) QueryLoad(name membership.Name, callback func(load float64, age time.Duration)) {
 	a.sendQuery(name, func(reply wireQueryReply, age time.Duration) { callback(reply.Load, age) })
 }
 
-// QueryStats asks a member what it has done since its start, in the same way as QueryLoad.
+// QueryStats asks a member for its request totals since its start, in the same way as QueryLoad.
 func (a *Agent) QueryStats(name membership.Name, callback func(RequestStats)) {
 	a.sendQuery(name, func(reply wireQueryReply, _ time.Duration) {
 		callback(RequestStats{
@@ -88,7 +89,7 @@
 	return nil
 }
 
-// handleQueryReply hands a reply to whoever waits for it; one that is late, or nobody's, is dropped.
+// handleQueryReply passes a reply to the callback of its query. It drops a reply that is late or belongs to no query.
 func (a *Agent) handleQueryReply(body []byte) error {
 	var reply wireQueryReply
 	if err := decode(body, &reply); err != nil {
--- a/internal/fleet/gossip/snapshot.go
+++ b/internal/fleet/gossip/snapshot.go
@@ -12,7 +12,7 @@
 	"lanewheel/internal/membership"
 )
 
-// Snapshot is a process's view of the fleet, as its status socket shows it.
+// Snapshot is a process's view of the fleet in the form that its status socket shows.
 type Snapshot struct {
 	Name          string            `json:"name"`
 	BootID        string            `json:"life"`
@@ -22,11 +22,11 @@
 	LocalHealth   string            `json:"standing"`
 	HeardFraction float64           `json:"reach"`
 	ViewVersion   uint64            `json:"version"`
-	ViewDigest    string            `json:"digest"` // of its view with itself in it
+	ViewDigest    string            `json:"digest"` // of the view with the process itself included
 	States        map[string]int    `json:"states"`
-	Members       []MemberSnapshot  `json:"members"` // SnapshotBrief: only those that are not up
+	Members       []MemberSnapshot  `json:"members"` // in a SnapshotBrief, only those that are not up
 	Counters      map[string]uint64 `json:"counts"`
-	CPUMillis     int64             `json:"cpu_ms"` // used by the process since its start
+	CPUMillis     int64             `json:"cpu_ms"` // CPU time used by the process since its start
 }
 
 // MemberSnapshot is one member of a Snapshot.
@@ -36,24 +36,24 @@
 	Incarnation          uint64             `json:"incarnation"`
 	State                string             `json:"state"`
 	Reason               string             `json:"why"`
-	InStateMillis        int64              `json:"for_ms"` // in this state
-	SinceHeartbeatMillis int64              `json:"spoke_ms"`
+	InStateMillis        int64              `json:"for_ms"`   // time since it entered this state
+	SinceHeartbeatMillis int64              `json:"spoke_ms"` // time since its last heartbeat
 	GossipAddr           string             `json:"addr"`
 	Roles                string             `json:"roles"`
 	Zone                 string             `json:"zone"`
 	Release              string             `json:"release"`
 	Capacity             float64            `json:"capacity"`
-	Metrics              map[string]float64 `json:"facts"` // those within their TTL
-	StaleMetrics         []string           `json:"stale,omitempty"`
+	Metrics              map[string]float64 `json:"facts"`           // only those within their TTL
+	StaleMetrics         []string           `json:"stale,omitempty"` // names of the metrics past their TTL
 }
 
-// SnapshotKind is how much a snapshot shows. It is what a client of the status socket sends, as a line.
+// SnapshotKind selects the members that a snapshot shows. A client of the status socket sends it as a line.
 type SnapshotKind string
 
 // The kinds of snapshots.
 const (
 	SnapshotFull  SnapshotKind = "view"  // all members
-	SnapshotBrief SnapshotKind = "brief" // only those that are not up
+	SnapshotBrief SnapshotKind = "brief" // only members that are not up
 )
 
 func (a *Agent) snapshot(kind SnapshotKind) Snapshot {
@@ -109,17 +109,17 @@
 	return snapshot
 }
 
-// The timeouts of the status socket: to build a snapshot, to connect, and to read it as a whole.
+// Timeouts of the status socket: to build a snapshot, to connect, and to read a whole snapshot.
 const (
 	snapshotTimeout     = time.Second
 	snapshotDialTimeout = time.Second
 	snapshotReadTimeout = 3 * time.Second
 )
 
-// maxSnapshotKindBytes bounds the line that a client of the status socket sends.
+// maxSnapshotKindBytes limits the line that a client of the status socket sends, with its line feed.
 const maxSnapshotKindBytes = 16
 
-// serveStatus answers one client of the status socket, on the socket's goroutine.
+// serveStatus sends a snapshot to one client of the status socket. It is called on the socket's goroutine.
 func (a *Agent) serveStatus(conn net.Conn) {
 	line, err := bufio.NewReaderSize(conn, maxSnapshotKindBytes).ReadSlice('\n')
 	if err != nil {
@@ -130,19 +130,20 @@
 	a.Post(func() { result <- a.snapshot(kind) })
 	select {
 	case snapshot := <-result:
-		_ = json.NewEncoder(conn).Encode(snapshot) // a client that is gone gets none
+		_ = json.NewEncoder(conn).Encode(snapshot) // an error means that the client has disconnected
 	case <-time.After(snapshotTimeout):
 	}
 }
 
-// ReadSnapshot reads a snapshot from the status socket of a running process.
+// ReadSnapshot reads a snapshot from the status socket at path. It returns an error if the socket cannot be reached
+// or the snapshot cannot be read in time.
 func ReadSnapshot(path string, kind SnapshotKind) (snapshot Snapshot, err error) {
 	dialer := net.Dialer{Timeout: snapshotDialTimeout}
 	conn, err := dialer.DialContext(context.Background(), "unix", path)
 	if err != nil {
 		return snapshot, err
 	}
-	defer func() { _ = conn.Close() }() // all that counts has been read by then
+	defer func() { _ = conn.Close() }() // the snapshot has been read by then
 	if err := conn.SetDeadline(time.Now().Add(snapshotReadTimeout)); err != nil {
 		return snapshot, err
 	}
--- a/internal/fleet/gossip/transport.go
+++ b/internal/fleet/gossip/transport.go
@@ -11,15 +11,17 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport is memberlist's own, but dials from the address that it listens on, so that a firewall between two members
-// knows both ends, counts packets and reports senders. Its methods are called on memberlist's goroutines.
+// transport extends memberlist's own transport. It dials from the address on which it listens, so that a firewall
+// between two members knows both ends; it counts packets; and it reports the senders of packets and streams. Its
+// methods are called on memberlist's goroutines.
 type transport struct {
 	*memberlist.NetTransport
 	localIP  net.IP
 	onSender func(sender string)
 	packets  chan *memberlist.Packet
 	streams  chan net.Conn
-	// muted drops what is sent by datagram: a process that hears nobody would tell all that all are gone.
+	// muted makes the transport drop outgoing packets: a process that receives nothing would otherwise report to all
+	// members that all the others are gone.
 	muted        atomic.Bool
 	done         chan struct{}
 	shutdownOnce sync.Once
@@ -28,7 +30,7 @@
 	packetsOut atomic.Uint64
 	bytesIn    atomic.Uint64
 	bytesOut   atomic.Uint64
-	suppressed atomic.Uint64 // packets that were dropped while muted
+	suppressed atomic.Uint64 // packets dropped while muted
 }
 
 func newTransport(ip net.IP, port int, logger *log.Logger, onSender func(string)) (*transport, error) {
@@ -52,7 +54,7 @@
 	return t, nil
 }
 
-// forward hands on what the inner transport receives, until Shutdown.
+// forward passes the packets and streams of memberlist's transport on to PacketCh and StreamCh, until Shutdown.
 func (t *transport) forward() {
 	for {
 		select {
@@ -81,7 +83,7 @@
 	select {
 	case t.streams <- conn:
 	case <-t.done:
-		_ = conn.Close() // nothing was read or written
+		_ = conn.Close() // nothing has been read or written
 	}
 }
 
--- a/internal/fleet/gossip/wire.go
+++ b/internal/fleet/gossip/wire.go
@@ -1,8 +1,8 @@
 package gossip
 
-// The structs in this file are the bodies of messages. Their tags are shared with other releases.
+// The structs in this file are the bodies of messages. Their tags are part of the protocol between releases.
 
-// wireDescriptor is a membership.Descriptor, less what memberlist carries itself.
+// wireDescriptor is a membership.Descriptor without the fields that memberlist itself carries.
 type wireDescriptor struct {
 	Incarnation  uint64  `codec:"i"`
 	Roles        uint8   `codec:"r"`
@@ -33,14 +33,14 @@
 	TTLMillis int64   `codec:"h"`
 }
 
-// wireFenceNotice tells a process that a later one has its name.
+// wireFenceNotice notifies a process that a later one has its name.
 type wireFenceNotice struct {
 	Name        string `codec:"n"`
 	Incarnation uint64 `codec:"i"` // of the later process
 	BootID      uint64 `codec:"l"` // of the later process
 }
 
-// wireQuery asks a member for its load and its totals; wireQueryReply is the answer.
+// wireQuery asks a member for its load and its request totals. wireQueryReply is the answer.
 type wireQuery struct {
 	Nonce     uint64 `codec:"n"`
 	To        string `codec:"t"` // a membership.ID
@@ -48,7 +48,7 @@
 	ReplyAddr string `codec:"a"`
 }
 
-// wireQueryReply answers a wireQuery. Members of older releases send no totals.
+// wireQueryReply answers a wireQuery. Members that run older releases send no request totals.
 type wireQueryReply struct {
 	Nonce           uint64  `codec:"n"`
 	Load            float64 `codec:"l"`
@@ -66,7 +66,7 @@
 	Begun     bool   `codec:"b"`
 }
 
-// wirePermitBegin is a member's wish to begin its permit.
+// wirePermitBegin is a member's request to begin its permit.
 type wirePermitBegin struct {
 	To          string `codec:"t"` // a membership.ID, of the coordinator
 	From        string `codec:"w"` // a membership.ID, of the permit's holder
@@ -75,13 +75,13 @@
 	Number      uint64 `codec:"n"`
 }
 
-// wireLeaseRequest is a concurrencylease.Request; wireLease is the answer.
+// wireLeaseRequest is a concurrencylease.Request. wireLease is the answer.
 type wireLeaseRequest struct {
 	To              string `codec:"t"` // a membership.ID, of the allocator
 	From            string `codec:"w"` // a membership.ID, of the holder
 	ReplyAddr       string `codec:"a"`
 	Sequence        uint64 `codec:"s"`
-	AllocatorBootID uint64 `codec:"d"` // of the lease that the holder has
+	AllocatorBootID uint64 `codec:"d"` // of the lease that the holder currently has
 	HeldSequence    uint64 `codec:"h"`
 	HeldLimit       int    `codec:"l"`
 	OpenCalls       int    `codec:"o"`
