--- a/internal/fleet/gossip/agent.go
+++ b/internal/fleet/gossip/agent.go
@@ -43,7 +43,7 @@
 
 	publisher   publisher
 	queries     queries
-	joinAddrs   chan string // sends addresses to runJoins
+	joinAddrs   chan string // addresses for runJoins
 	joining     bool        // a join is in progress
 	draining    bool
 	fenced      bool
@@ -68,9 +68,9 @@
 	// must be set before Start. If one is nil, the messages for it are ignored.
 	OnLeaseRequest func(request concurrencylease.Request, answer func(concurrencylease.Lease))
 	OnLease        func(lease concurrencylease.Lease)
-	// OnPermitBegin handles a member's request to begin its permit if the process is a coordinator. It calls done, on
-	// any goroutine, once the permit has begun. It is called on the agent's loop and must be set before Start. If it
-	// is nil, such requests are ignored.
+	// OnPermitBegin handles a member's request to begin its permit if the process is a coordinator. The handler calls
+	// done, on any goroutine, once the permit has begun. OnPermitBegin is called on the agent's loop and must be set
+	// before Start. If it is nil, such requests are ignored.
 	OnPermitBegin func(name membership.Name, incarnation membership.Incarnation, number uint64, done func())
 }
 
--- a/internal/fleet/gossip/codec.go
+++ b/internal/fleet/gossip/codec.go
@@ -41,7 +41,7 @@
 	errUnknownKind = errors.New("unknown message kind")
 	errTruncated   = errors.New("message is truncated")
 	errTooLarge    = errors.New("message body is too large")
-	errOutOfRange  = errors.New("value is invalid or out of range")
+	errOutOfRange  = errors.New("value is out of range")
 )
 
 // errTableFull is returned for a node that would exceed the maximum number of members.
--- a/internal/fleet/gossip/codec_test.go
+++ b/internal/fleet/gossip/codec_test.go
@@ -158,8 +158,8 @@
 	fmt.Println(count, err, decodeState([]byte{0, 9, 1}, 5, func([]byte) {}))
 	// Output:
 	// true message body is too large
-	// value is invalid or out of range
-	// value is invalid or out of range value is invalid or out of range value is invalid or out of range value is invalid or out of range value is invalid or out of range
+	// value is out of range
+	// value is out of range value is out of range value is out of range value is out of range value is out of range
 	// 2 <nil> message is truncated
 }
 
--- a/internal/fleet/gossip/config.go
+++ b/internal/fleet/gossip/config.go
@@ -16,13 +16,13 @@
 	Roles           membership.Roles
 	Zone            string
 	Release         string
-	Capacity        float64 // determines its share of the work relative to other members, in cores
+	Capacity        float64 // share of the work relative to other members, in cores
 	WarmUp          time.Duration
 	Keys            []membership.Key // the first is the primary key; empty: gossip is not encrypted
 	ProbeInterval   time.Duration    // interval between two probes of other members
 	MaxMessageRate  float64          // maximum number of messages accepted per second
 	StatusSocket    string           // path of a local socket; empty: no socket
 	LeaveWhenFenced bool             // the process stops when it is fenced
-	DrainByPermit   bool             // the process drains when the coordinators grant it a permit
+	DrainByPermit   bool             // the process drains under permits of the coordinators
 	Membership      membership.Config
 }
--- a/internal/fleet/gossip/drain.go
+++ b/internal/fleet/gossip/drain.go
@@ -46,7 +46,7 @@
 }
 
 // leaveMemberlist announces to other members, for at most timeout, that this process leaves, and shuts memberlist
-// down. It blocks until then.
+// down. It blocks.
 func (a *Agent) leaveMemberlist(timeout time.Duration) {
 	a.leaveOnce.Do(func() {
 		// A member that misses the announcement detects the departure with its failure detector.
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -177,7 +177,7 @@
 	return value, err
 }
 
-// checkHeader checks a stored message's checkHeader and gives what stands behind it.
+// checkHeader checks the header of a stored message and returns its body.
 func checkHeader(t *testing.T, stored []byte, wantKind messageKind, wantAge time.Duration) []byte {
 	t.Helper()
 	received, err := parseEnvelope(stored)
--- a/internal/fleet/gossip/heartbeat.go
+++ b/internal/fleet/gossip/heartbeat.go
@@ -34,7 +34,7 @@
 }
 
 // pollStatus asks the process for its status every statusInterval. A heartbeat is broadcast when one is due, and
-// immediately when the process has become ready or unready or has begun to drain.
+// immediately when the process has become ready or unready or is draining.
 func (a *Agent) pollStatus() {
 	if a.HasQuit() {
 		return
--- a/internal/fleet/gossip/inbox.go
+++ b/internal/fleet/gossip/inbox.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// deliver passes the recorded senders and callers to table and forgets them.
+// deliver passes the recorded senders and callers to table and clears them.
 func (i *inbox) deliver(table *membership.Table) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/fleet/gossip/new.go
+++ b/internal/fleet/gossip/new.go
@@ -16,7 +16,7 @@
 
 // Parameters of memberlist's configuration.
 const (
-	// The suspicion timeout drops to its minimum only after two other members have confirmed the suspicion.
+	// With 4, the suspicion timeout drops to its minimum only after two other members have confirmed the suspicion.
 	suspicionMultiplier    = 4
 	maxSuspicionMultiplier = 3
 	gossipInterval         = 100 * time.Millisecond
@@ -57,9 +57,9 @@
 	return agent, nil
 }
 
-// newDescriptor returns the descriptor of this process. The incarnation is the time in milliseconds, and so usually
-// higher than that of the predecessor. If the clock was set back in between, the incarnation is raised once the
-// predecessor's is known (membership.Table.HandleAlive).
+// newDescriptor returns the descriptor of this process. The incarnation is the Unix time in milliseconds and thus
+// usually higher than that of the predecessor. If the clock was set back in between, the incarnation is raised once
+// the predecessor's is known (membership.Table.HandleAlive).
 func newDescriptor(config Config) (membership.Descriptor, error) {
 	var bootID [8]byte
 	if _, err := rand.Read(bootID[:]); err != nil {
--- a/internal/fleet/gossip/permit.go
+++ b/internal/fleet/gossip/permit.go
@@ -3,7 +3,7 @@
 import "lanewheel/internal/membership"
 
 // NotifyPermit notifies a member that it has a permit or, if begun is set, that the permit has begun. It sends
-// nothing if the member now has another incarnation. Any goroutine may call it.
+// nothing if the member is not in the view or has another incarnation. Any goroutine may call it.
 func (a *Agent) NotifyPermit(name membership.Name, incarnation membership.Incarnation, number uint64, begun bool) {
 	a.Post(func() {
 		member, found := a.table.View().Get(name)
