--- a/internal/fleet/gossip/agent_test.go
+++ b/internal/fleet/gossip/agent_test.go
@@ -35,9 +35,9 @@
 	smallLimit.MaxMessageRate = 100
 	largeLimit := smallLimit
 	largeLimit.Membership.MaxMembers = 100
-	received := make(chan struct{})
-	go func() { // calls of memberlist meanwhile; either result is correct while the configuration is changing
-		defer close(received)
+	callsDone := make(chan struct{})
+	go func() { // memberlist's concurrent calls; either result is correct while the configuration is changing
+		defer close(callsDone)
 		for range 10_000 {
 			_ = events.NotifyAlive(node)
 			events.MergeRemoteState(nil, false)
@@ -47,7 +47,7 @@
 		agent.SetConfig(smallLimit)
 		agent.SetConfig(largeLimit)
 	}
-	<-received
+	<-callsDone
 	for _, step := range []struct {
 		config   Config
 		accepted bool
--- a/internal/fleet/gossip/codec.go
+++ b/internal/fleet/gossip/codec.go
@@ -28,8 +28,8 @@
 // message is sent. No message carries a wall clock time.
 const headerSize = 5
 
-// Limits of what a member may send, in bytes. A heartbeat must fit into a packet together with other messages, and a
-// descriptor into the 512 bytes that memberlist allows for it.
+// Maximum sizes in bytes of the names and messages that a member sends. A heartbeat must fit into a packet together
+// with other messages, and a descriptor into the 512 bytes that memberlist allows for it.
 const (
 	maxNameBytes       = 64
 	maxMetricNameBytes = 16
@@ -66,10 +66,10 @@
 	message []byte // the whole message, with its header
 }
 
-// encode returns an encoded message with the age 0.
+// encode returns an encoded message with an age of 0.
 func encode(kind messageKind, value any) []byte {
-	head := [headerSize]byte{byte(kind)}
-	return append(head[:], encodeBody(value)...)
+	header := [headerSize]byte{byte(kind)}
+	return append(header[:], encodeBody(value)...)
 }
 
 func encodeBody(value any) []byte {
--- a/internal/fleet/gossip/delegate.go
+++ b/internal/fleet/gossip/delegate.go
@@ -9,8 +9,8 @@
 	"lanewheel/internal/membership"
 )
 
-// delegate implements the callbacks of memberlist, which run on memberlist's goroutines. Its methods access only those
-// fields of the agent that are shared or immutable, and post all other work to the event loop.
+// delegate implements the callbacks of memberlist, which run on memberlist's goroutines. Its methods access only
+// those fields of the agent that are shared or immutable, and post all other work to the event loop.
 type delegate struct{ agent *Agent }
 
 // NodeMeta implements memberlist.Delegate.
@@ -56,8 +56,8 @@
 // NotifyUpdate implements memberlist.EventDelegate.
 func (d delegate) NotifyUpdate(node *memberlist.Node) { d.NotifyJoin(node) }
 
-// NotifyLeave implements memberlist.EventDelegate. It handles a node that has left or that the failure detector cannot
-// reach.
+// NotifyLeave implements memberlist.EventDelegate. It handles a node that has left or that the failure detector
+// cannot reach.
 func (d delegate) NotifyLeave(node *memberlist.Node) {
 	id, ok := membership.ParseID(node.Name)
 	if !ok {
@@ -81,8 +81,8 @@
 		"other_addr", other.Address())
 }
 
-// AckPayload implements memberlist.PingDelegate. It returns the process's latest heartbeat, which the response to a
-// probe carries.
+// AckPayload implements memberlist.PingDelegate. It returns this process's latest heartbeat, which memberlist sends
+// with its response to a probe.
 func (d delegate) AckPayload() []byte { return d.agent.ownHeartbeat.Load().withCurrentAge() }
 
 // NotifyPingComplete implements memberlist.PingDelegate.
@@ -95,7 +95,7 @@
 }
 
 // NotifyMsg implements memberlist.Delegate. It drops messages above the configured rate, which protects against a
-// member that floods the others. The next heartbeat replaces a dropped one.
+// member that floods the others. A dropped heartbeat is replaced by the next one.
 func (d delegate) NotifyMsg(message []byte) {
 	if !d.agent.messageLimiter.Load().Allow() {
 		d.agent.rateLimited.Add(1)
@@ -125,8 +125,8 @@
 	return encodeState(messages)
 }
 
-// MergeRemoteState implements memberlist.Delegate. It handles the messages of a state that LocalState of another member
-// has returned.
+// MergeRemoteState implements memberlist.Delegate. It handles the messages of a state that another member's
+// LocalState returned.
 func (d delegate) MergeRemoteState(state []byte, _ bool) {
 	limit := int(d.agent.maxMembers.Load()) + 1
 	err := decodeState(state, limit, func(message []byte) {
--- a/internal/fleet/gossip/golden_snapshot_test.go
+++ b/internal/fleet/gossip/golden_snapshot_test.go
@@ -84,8 +84,8 @@
 			"gossip-gives-up": 1, "gossip-refutes": 1, "gossip-not-sent": 1, "gossip-other": 1}}
 }
 
-// The status socket shows the same names and values as the previous version, as `lanewheel members` and operators'
-// scripts read them.
+// The status socket shows the same names and values as the previous version, because `lanewheel members` and
+// operators' scripts read them.
 func TestGoldenSnapshot(t *testing.T) {
 	shown := goldenAgent().snapshot(SnapshotFull)
 	shown.CPUMillis = 1234
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -17,8 +17,8 @@
 	"lanewheel/internal/membership"
 )
 
-// The golden files contain the messages that a released process sends and the snapshot that it shows. Processes of two
-// versions communicate while the processes of a fleet are replaced, so these bytes must not change.
+// The golden files contain the messages that a released process sends and the snapshot that it shows. Processes of
+// two versions communicate while the processes of a fleet are replaced, so these bytes must not change.
 const (
 	messagesFile = "messages.txt"
 	snapshotFile = "snapshot.json"
@@ -93,7 +93,7 @@
 		t.Helper()
 		body := checkHeader(t, stored, kindHeartbeat, goldenAge)
 		got, err := decodeHeartbeat(body)
-		checkEqual(t, err, got, heartbeat) // times of metrics are by the receiver's clock and are not sent
+		checkEqual(t, err, got, heartbeat) // the times of metrics refer to the receiver's clock and are not sent
 		wire, err := decodeAs[wireHeartbeat](body)
 		checkEqualAllSet(t, err, wire, wireHeartbeat{Name: "blue", BootID: 0x0123456789abcdef,
 			Incarnation: 1_700_000_000_123, Sequence: 77, Ready: true, ReadyForMillis: 61_001, Draining: true,
@@ -163,7 +163,8 @@
 	return bytes
 }
 
-// goldenWireMessage returns a golden message of a type that the program uses as its wire struct, without conversion.
+// goldenWireMessage returns a golden message whose value is itself a wire struct, without conversion from another
+// type.
 func goldenWireMessage[T any](name string, kind messageKind, value T) goldenMessage {
 	return goldenMessage{name, setAge(encode(kind, value), goldenAge), func(t *testing.T, stored []byte) {
 		t.Helper()
@@ -223,7 +224,8 @@
 	return slices.Compact(unset)
 }
 
-// Each message is encoded as by the previous version, and the stored message is decoded to the same values.
+// Each message is encoded to the same bytes as by the previous version, and the stored bytes are decoded to the same
+// values.
 func TestGoldenMessages(t *testing.T) {
 	all := goldenMessages()
 	var text strings.Builder
--- a/internal/fleet/gossip/heartbeat.go
+++ b/internal/fleet/gossip/heartbeat.go
@@ -72,7 +72,7 @@
 	})
 }
 
-// buildHeartbeat returns this process's next heartbeat, which the responses to probes carry from now on.
+// buildHeartbeat returns this process's next heartbeat and stores it as the one that responses to probes carry.
 func (a *Agent) buildHeartbeat(status ProcessStatus) *encodedHeartbeat {
 	a.publisher.sequence++
 	a.publisher.announcedDigest = a.table.ViewDigest()
--- a/internal/fleet/gossip/join.go
+++ b/internal/fleet/gossip/join.go
@@ -9,12 +9,13 @@
 	// joinInterval is the interval at which the table is asked for an address to join.
 	joinInterval = time.Second
 	// While no other member is known, the interval is shorter and chosen at random within these bounds, so that
-	// processes that start at the same time do not all call at the same time.
+	// processes that start at the same time do not all attempt a join at the same time.
 	minIsolatedJoinInterval = 100 * time.Millisecond
 	maxIsolatedJoinInterval = 500 * time.Millisecond
 )
 
-// joinPeriodically passes addresses to runJoins that may belong to a part of the fleet that does not know this process.
+// joinPeriodically passes to runJoins the addresses of members that may belong to a part of the fleet that does not
+// know this process.
 func (a *Agent) joinPeriodically() {
 	if a.HasQuit() {
 		return
@@ -22,7 +23,7 @@
 	addr, due := a.table.NextJoinAddr(a.Now(), a.random.Float64)
 	if due && !a.joining && !a.draining && !a.fenced {
 		a.joining = true
-		a.joinAddrs <- addr // never blocks: at most one join is in progress
+		a.joinAddrs <- addr // does not block: at most one join is in progress
 	}
 	interval := joinInterval
 	if a.table.View().Len() == 0 {
@@ -32,7 +33,8 @@
 	a.ScheduleAt(a.Now()+interval, a.joinPeriodically)
 }
 
-// runJoins joins other members, one at a time. It runs on a goroutine of its own, as a join may block for some seconds.
+// runJoins joins other members, one at a time. It runs on a goroutine of its own, as a join may block for some
+// seconds.
 func (a *Agent) runJoins() {
 	for {
 		select {
--- a/internal/fleet/gossip/librarylog.go
+++ b/internal/fleet/gossip/librarylog.go
@@ -13,8 +13,8 @@
 
 // libraryEvent is the kind of event that a line of memberlist's log reports.
 type libraryEvent struct {
-	code    string // in the agent's log
-	counter string // on the status socket, after the prefix "gossip-"
+	code    string // value of the attribute "code" in the agent's log
+	counter string // name on the status socket, after the prefix "gossip-"
 }
 
 var (
@@ -30,7 +30,8 @@
 	eventOther               = libraryEvent{code: "other", counter: "other"}
 )
 
-// libraryPatterns maps substrings of memberlist's log lines to events. The first pattern that a line contains applies.
+// libraryPatterns maps substrings of memberlist's log lines to events. The first pattern that a line contains
+// applies.
 var libraryPatterns = []struct {
 	substring string
 	event     libraryEvent
@@ -59,8 +60,8 @@
 // lines.
 const maxLoggedTextBytes = 200
 
-// libraryLog counts memberlist's log lines by event and logs a few lines of each code per second, so that messages from
-// strangers cannot fill the log. It is written to on memberlist's goroutines.
+// libraryLog counts memberlist's log lines by event and logs a few lines of each code per second, so that messages
+// from unknown senders cannot fill the log. It is written to on memberlist's goroutines.
 type libraryLog struct {
 	mu      sync.Mutex
 	sampler logging.Sampler[string] // by code; guarded by mu
@@ -113,8 +114,8 @@
 }
 
 // predecessorCaller returns the gossip address of a member that probed the process that previously had this process's
-// name. Only a packet is sent from the address on which the member listens. A connection has an ephemeral port, and its
-// log line contains no node.
+// name. Only a packet is sent from the address on which the member listens; a connection comes from an ephemeral
+// port. memberlist quotes the node's name only in the log line for a packet.
 func predecessorCaller(text string) (addr string, ok bool) {
 	_, addr, hasAddr := strings.Cut(text, fromMarker)
 	if !hasAddr || !strings.Contains(text, "node '") {
--- a/internal/fleet/gossip/message.go
+++ b/internal/fleet/gossip/message.go
@@ -43,7 +43,8 @@
 	return errUnknownKind
 }
 
-// handleHeartbeat passes a heartbeat to the table and, if the table accepts it as new, broadcasts it to other members.
+// handleHeartbeat passes a heartbeat to the table and, if the table accepts it as new, broadcasts it to other
+// members.
 func (a *Agent) handleHeartbeat(received envelope) error {
 	heartbeat, err := decodeHeartbeat(received.body)
 	if err != nil {
@@ -63,7 +64,7 @@
 	return nil
 }
 
-// send sends a message as one datagram and ignores errors. A sender that needs an answer sends a lost message again,
+// send sends a message as one datagram and ignores errors. A sender that needs an answer retries a lost message,
 // and the next heartbeat replaces a lost one.
 func (a *Agent) send(to memberlist.Address, message []byte) {
 	_ = a.memberlist.SendToAddress(to, message)
@@ -76,7 +77,8 @@
 	return memberlist.Address{Addr: member.GossipAddr, Name: member.ID().String()}
 }
 
-// replyAddress returns the address to which the reply to a message is sent: the reply address and the ID of its sender.
+// replyAddress returns the address to which the reply to a message is sent: the reply address and the ID of its
+// sender.
 func replyAddress(addr, from string) memberlist.Address {
 	return memberlist.Address{Addr: addr, Name: from}
 }
--- a/internal/fleet/gossip/new.go
+++ b/internal/fleet/gossip/new.go
@@ -150,8 +150,7 @@
 	return memberlist.NewKeyring(raw, raw[0])
 }
 
-// listen opens the sockets and starts memberlist. It returns an error if one of the two fails; no socket remains open
-// then.
+// listen opens the sockets and starts memberlist. If it returns an error, no socket remains open.
 func (a *Agent) listen() error {
 	logger := log.New(a.libraryLog, "", 0)
 	memberlistConfig := a.memberlistConfig
--- a/internal/fleet/gossip/query.go
+++ b/internal/fleet/gossip/query.go
@@ -9,8 +9,8 @@
 const (
 	// queryTimeout is the maximum time to wait for a reply.
 	queryTimeout = time.Second
-	// maxPendingQueries limits the queries without a reply, for the case that no member replies. It is more than the
-	// number of queries that a proxy sends in a second.
+	// maxPendingQueries limits the queries that wait for a reply, which accumulate if no member replies. It is more
+	// than the number of queries that a proxy sends in a second.
 	maxPendingQueries = 1024
 )
 
@@ -34,8 +34,8 @@
 	}
 }
 
-// QueryLoad asks a member for its load with one datagram. If a reply arrives within a second, callback is called on the
-// agent's loop with the load and its estimated age. QueryLoad must be called on the agent's loop.
+// QueryLoad asks a member for its load with one datagram. If a reply arrives within a second, callback is called on
+// the agent's loop with the load and its estimated age. QueryLoad must be called on the agent's loop.
 func (a *Agent) QueryLoad(name membership.Name, callback func(load float64, age time.Duration)) {
 	a.sendQuery(name, func(reply wireQueryReply, age time.Duration) { callback(reply.Load, age) })
 }
--- a/internal/fleet/gossip/wire.go
+++ b/internal/fleet/gossip/wire.go
@@ -60,7 +60,7 @@
 // wirePermitNotice is a coordinator's notice that a member has a permit, or that the permit has begun.
 type wirePermitNotice struct {
 	To        string `codec:"t"` // a membership.ID
-	From      string `codec:"w"` // a membership.ID, of the coordinator
+	From      string `codec:"w"` // membership.ID of the coordinator
 	ReplyAddr string `codec:"a"`
 	Number    uint64 `codec:"n"`
 	Begun     bool   `codec:"b"`
@@ -68,8 +68,8 @@
 
 // wirePermitBegin is a member's request to begin its permit.
 type wirePermitBegin struct {
-	To          string `codec:"t"` // a membership.ID, of the coordinator
-	From        string `codec:"w"` // a membership.ID, of the permit's holder
+	To          string `codec:"t"` // membership.ID of the coordinator
+	From        string `codec:"w"` // membership.ID of the permit's holder
 	ReplyAddr   string `codec:"a"`
 	Incarnation uint64 `codec:"i"`
 	Number      uint64 `codec:"n"`
@@ -77,8 +77,8 @@
 
 // wireLeaseRequest is a concurrencylease.Request. wireLease is the answer.
 type wireLeaseRequest struct {
-	To              string `codec:"t"` // a membership.ID, of the allocator
-	From            string `codec:"w"` // a membership.ID, of the holder
+	To              string `codec:"t"` // membership.ID of the allocator
+	From            string `codec:"w"` // membership.ID of the holder
 	ReplyAddr       string `codec:"a"`
 	Sequence        uint64 `codec:"s"`
 	AllocatorBootID uint64 `codec:"d"` // of the lease that the holder currently has
--- a/internal/membership/alive.go
+++ b/internal/membership/alive.go
@@ -2,42 +2,43 @@
 
 import "time"
 
-// AliveResult is what became of a descriptor that was received.
+// AliveResult is the result of handling a received descriptor.
 type AliveResult uint8
 
-// The results.
+// The values of AliveResult.
 const (
-	AliveAccepted          AliveResult = iota // it is in the table
-	AliveOutdated                             // of an earlier process of the name, which has to be notified
-	AliveTableFull                            // there is no room
-	AliveIncarnationRaised                    // another has our name: we took a higher incarnation and have to announce it
-	AliveFenced                               // a later process has our name: we are fenced
-	AliveOwn                                  // our own descriptor
+	AliveAccepted          AliveResult = iota // the descriptor is in the table
+	AliveOutdated                             // of an earlier process with the name, which must be notified
+	AliveTableFull                            // the table is full
+	AliveIncarnationRaised                    // name conflict: this process raised its incarnation and must announce it
+	AliveFenced                               // name conflict: this process is fenced
+	AliveOwn                                  // the descriptor of this process
 )
 
 var aliveResultNames = [...]string{"accepted", "outdated", "table full", "incarnation raised", "fenced", "own"}
 
 func (r AliveResult) String() string { return aliveResultNames[r] }
 
-// HandleAlive takes a descriptor that gossip brought, of a member that the failure detector reaches.
+// HandleAlive handles a descriptor that was received by gossip, of a member that the failure detector reaches.
 func (t *Table) HandleAlive(descriptor Descriptor, now time.Duration) AliveResult {
 	if descriptor.Name == t.self.Name {
 		return t.resolveNameConflict(descriptor, now)
 	}
-	member, known := t.members.Get(descriptor.Name)
+	member, found := t.members.Get(descriptor.Name)
 	switch {
-	case !known && t.members.Len() >= t.config.MaxMembers && !t.evictGone(now, true):
-		// Members that are here stay, so that made-up names by the thousand cannot fill the memory or push them out.
+	case !found && t.members.Len() >= t.config.MaxMembers && !t.evictGone(now, true):
+		// Members that are not gone are never evicted, so that thousands of made-up names cannot fill the memory or
+		// displace them.
 		t.Stats.RejectedFull++
 		return AliveTableFull
-	case known && descriptor.olderThan(member.Descriptor):
+	case found && descriptor.olderThan(member.Descriptor):
 		t.Stats.OutdatedIncarnations++
 		return AliveOutdated
-	case !known:
+	case !found:
 		t.transition(newMember(descriptor), StateJoining, ReasonDiscovered, now)
 	case descriptor.BootID != member.BootID:
 		t.supersede(member, descriptor, now)
-	default: // the same process, perhaps with a raised incarnation, perhaps back
+	default: // the same process, possibly with a raised incarnation or reachable again
 		member.Descriptor = descriptor
 		t.markReachable(member, now)
 	}
@@ -49,7 +50,8 @@
 	return Member{Descriptor: descriptor, fingerprint: Fingerprint(descriptor.ID())}
 }
 
-// supersede puts a new process in the place of the one that had its name, whatever that one still publishes.
+// supersede replaces a member by a later process with the same name. Heartbeats that the earlier process still
+// publishes are ignored from then on.
 func (t *Table) supersede(previous Member, descriptor Descriptor, now time.Duration) {
 	if previous.State.Present() {
 		t.recordChange(previous, previous.State, StateFenced, ReasonSuperseded)
@@ -62,14 +64,14 @@
 	t.transition(successor, StateJoining, ReasonDiscovered, now)
 }
 
-// maxIncarnationRaises is how often our own incarnation is raised: two that start at one moment raise in turn, and are
-// told apart by their boot IDs before that is used up.
+// maxIncarnationRaises is the maximum number of times that this process raises its incarnation. Two processes that
+// start at the same time raise theirs in turn, and their boot IDs decide between them before the limit is reached.
 const maxIncarnationRaises = 3
 
-// resolveNameConflict decides about another process with our name. Shortly after our start it is most likely our
-// predecessor, of whom some still speak: we take a higher incarnation. Later it is our successor, and we are fenced.
-// The incarnation is raised above what was seen and not read from the clock, which may have gone back between two
-// starts.
+// resolveNameConflict handles a descriptor of another process with the name of this one. Shortly after the start of
+// this process, the other one is most likely its predecessor, which some members still gossip about; this process
+// then raises its incarnation. Later the other one is its successor, and this process is fenced. The new incarnation
+// is one above the one received and is not taken from the clock, which may have been set back between the two starts.
 func (t *Table) resolveNameConflict(rival Descriptor, now time.Duration) AliveResult {
 	if rival.BootID == t.self.BootID {
 		return AliveOwn
@@ -92,7 +94,8 @@
 	return AliveFenced
 }
 
-// HandleFenceNotice takes another member's notice that a later process has our name.
+// HandleFenceNotice handles another member's notice that a later process, with the given incarnation and boot ID, has
+// the name of this one.
 func (t *Table) HandleFenceNotice(incarnation Incarnation, bootID BootID, now time.Duration) AliveResult {
 	rival := t.self
 	rival.Incarnation = incarnation
--- a/internal/membership/alive_test.go
+++ b/internal/membership/alive_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Restarted within a second under its name and address, while its old messages still travel: the new process is never
-// taken for the old one.
+// A member restarts within a second with the same name and address, while messages of the old process are still in
+// transit. The new process is never mistaken for the old one.
 func Example_restart() {
 	x := newHarness()
 	x.bringUp("a")
 	x.alive("a", 8, 2)
 	fmt.Println(x.alive("a", 7, 1) == AliveOutdated, x.heartbeat("a", 7, 50))
-	x.HandleUnreachable(ID{"a", 7}, x.now) // the end of the old process is not the new one's
+	x.HandleUnreachable(ID{"a", 7}, x.now) // does not apply to the new process
 	x.heartbeat("a", 8, 1)
 	x.advanceWithHeartbeats(3*s, "a")
-	// two of one incarnation: all who see both decide alike, in whatever order
+	// two processes with the same incarnation: every member makes the same decision, in whatever order they arrive
 	fmt.Println(x.alive("a", 5, 2) == AliveOutdated)
 	x.alive("a", 9, 2)
 	// Output:
@@ -30,8 +30,9 @@
 	// 3s a 2: joining -> joining, claimed
 }
 
-// Our own name: a predecessor whose incarnation is higher, as the clock went back between, is overtaken shortly after
-// our start; a successor that shows up later fences us, and so does one that another member notifies us of.
+// Another process has the name of this one. A predecessor whose incarnation is higher, because the clock was set back
+// in between, is outbid by a raised incarnation shortly after the start. A later successor fences this process, also
+// if only a notice of another member reports it.
 func Example_nameConflict() {
 	x := newHarness()
 	fmt.Println(x.alive("me", 9, 5000) == AliveIncarnationRaised, x.Self().Incarnation)
@@ -46,8 +47,9 @@
 	// true fenced
 }
 
-// Two that start under one name at one moment raise in turn, and one of them is over in the end.
-func Example_twins() {
+// Two processes that start with the same name at the same time raise their incarnations in turn, until exactly one of
+// them is fenced.
+func Example_simultaneousStarts() {
 	now := time.Duration(0)
 	a := NewTable(Descriptor{Name: "n", Incarnation: 10, BootID: 1}, DefaultConfig(), 0)
 	b := NewTable(Descriptor{Name: "n", Incarnation: 10, BootID: 2}, DefaultConfig(), 0)
@@ -64,7 +66,7 @@
 	// Output: true true true
 }
 
-// A crash loop under one name is held back as well, though each start is a process of its own.
+// A crash loop under one name is suppressed as flapping, although each start is a new process.
 func Example_crashLoop() {
 	x := newHarness()
 	x.quiet = true
@@ -78,8 +80,9 @@
 	// Output: suspect flapping 23
 }
 
-// Names without end: members that are here stay, those that are gone make room, the others are refused.
-func Example_bounds() {
+// When the table is full, present members are kept, gone members are evicted for new ones, and further new members
+// are rejected. A heartbeat with too many metrics is rejected as well.
+func Example_maxMembers() {
 	x := newHarness(func(config *Config) { config.MaxMembers, config.MaxMetrics = 3, 1 })
 	x.quiet = true
 	x.bringUp("a", "b", "c")
@@ -91,8 +94,9 @@
 	// true 3 1 1
 }
 
-// No list has a cap under 1,024: a fleet of so many others, each with a predecessor, is held as it stands.
-func Example_many() {
+// No internal limit is below 1,024 members: a fleet of that many others, each with a predecessor, fits into the
+// table.
+func Example_largeFleet() {
 	x := newHarness()
 	x.quiet = true
 	for i := range 1024 {
@@ -100,13 +104,13 @@
 		x.alive(n, 6, 1)
 		x.bringUp(n)
 	}
-	here := 0
+	available := 0
 	for m := range x.View().All() {
 		if m.State.Available() && m.BootID == 7 {
-			here++
+			available++
 		}
 	}
-	fmt.Println(here, x.Stats.RejectedFull)
+	fmt.Println(available, x.Stats.RejectedFull)
 	// Output:
 	// 1024 0
 }
--- a/internal/membership/clock.go
+++ b/internal/membership/clock.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// judgementClock is the time by which other members are judged. It stands still while this process may not judge, so
-// that no deadline of theirs runs out by our own fault: without it, a process that was paused, starved or cut off
-// would declare the whole fleet gone as soon as it runs again.
+// judgementClock is the clock for the deadlines of other members. It is paused while this process cannot judge them,
+// so that no deadline expires because of a fault of this process. Without it, a process that was paused, starved or
+// cut off would declare the whole fleet gone as soon as it resumed.
 type judgementClock struct {
 	paused      bool
-	pausedSince time.Duration // while paused, by our clock
-	pausedTotal time.Duration // how long it stood still before
+	pausedSince time.Duration // by the local clock; valid while paused
+	pausedTotal time.Duration // sum of all earlier pauses and stalls
 }
 
-// at translates a time of ours, which must not be earlier than the last pause.
+// at converts a time of the local clock, which must not be earlier than the last pause, to the judgement clock.
 func (c *judgementClock) at(now time.Duration) time.Duration {
 	if c.paused {
 		now = c.pausedSince
@@ -19,7 +19,7 @@
 	return now - c.pausedTotal
 }
 
-// skip takes time out during which this process stood still.
+// skip excludes the duration of a stall of this process.
 func (c *judgementClock) skip(stall time.Duration) {
 	if !c.paused {
 		c.pausedTotal += stall
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -2,41 +2,42 @@
 
 import "time"
 
-// Config is what the decisions go by.
+// Config configures a Table.
 type Config struct {
-	MaxMembers         int           // members kept, in whatever state; those gone are dropped first
-	GoneRetention      time.Duration // how long a member that is gone is remembered
-	SuspectAfter       time.Duration // from the detector's report to suspect; a false report is refuted within it
+	MaxMembers         int           // limit of the table, in any state; gone members are evicted first
+	GoneRetention      time.Duration // how long a gone member is kept
+	SuspectAfter       time.Duration // from the detector's report to suspect; time to refute a false report
 	GoneAfter          time.Duration // from suspect to gone
-	SilentAfter        time.Duration // without a heartbeat from one that serves, beyond the TTL of its metrics
-	StallThreshold     time.Duration // between two ticks; longer, and this process stood still
-	SettleTime         time.Duration // after a stall, until what is known here is up to date again
-	HeartbeatInterval  time.Duration // between two heartbeats of a member, in a small fleet
-	FleetHeartbeatRate float64       // heartbeats a second in the whole fleet, in a large one
-	MaxMetrics         int           // of a member
+	SilentAfter        time.Duration // from the end of the maximum metric TTL without a heartbeat to suspect
+	StallThreshold     time.Duration // longest time between two ticks that is not taken for a stall
+	SettleTime         time.Duration // after a stall, until the table is up to date again
+	HeartbeatInterval  time.Duration // mean time between two heartbeats of a member in a small fleet
+	FleetHeartbeatRate float64       // heartbeats per second of the whole fleet, in a large fleet
+	MaxMetrics         int           // maximum number of metrics in a heartbeat
 	FlapDamping        FlapDampingConfig
 	Connectivity       ConnectivityConfig
-	Seeds              []string // gossip addresses that are called while nobody there is known
+	Seeds              []string // gossip addresses that are joined while no present member has them
 }
 
-// FlapDampingConfig is how members that come and go are held back.
+// FlapDampingConfig configures how long a flapping member is kept suspect. The penalty is the decaying number of its
+// returns.
 type FlapDampingConfig struct {
-	SuppressLimit float64       // penalty from which a member that comes back stays suspect
-	ReuseLimit    float64       // penalty below which it is taken back
-	MaxPenalty    float64       // the penalty never grows beyond it
-	HalfLife      time.Duration // in which the penalty decays by half
+	SuppressLimit float64       // from this penalty on, a member that returns stays suspect
+	ReuseLimit    float64       // below this penalty, the member becomes available again
+	MaxPenalty    float64       // maximum penalty
+	HalfLife      time.Duration // time in which the penalty decays by half
 }
 
-// ConnectivityConfig is how a process tells that it is cut off itself.
+// ConnectivityConfig configures how a process detects that it is itself cut off from the fleet.
 type ConnectivityConfig struct {
-	Window        time.Duration // in which distinct senders are counted
-	DegradedBelow float64       // fraction of the usual number of senders
-	IsolatedBelow float64       // fraction of the usual number of senders
-	AdaptAfter    time.Duration // after which what is heard becomes the usual, whatever it is
-	AckTimeout    time.Duration // without an answer to a probe of ours: nobody hears us
+	Window        time.Duration // time window over which distinct senders are counted
+	DegradedBelow float64       // fraction of the baseline below which the process is degraded
+	IsolatedBelow float64       // fraction of the baseline below which the process is isolated
+	AdaptAfter    time.Duration // a low number of senders that lasts this long starts a new baseline
+	AckTimeout    time.Duration // without a response to probes: the process is unanswered
 }
 
-// DefaultConfig is what holds unless configured otherwise.
+// DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	return Config{
 		MaxMembers:         4096,
--- a/internal/membership/connectivity.go
+++ b/internal/membership/connectivity.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// LocalHealth is how far a process may trust what it observes of others. Its names are shown on status sockets.
+// LocalHealth describes how far a process can trust its own observations of other members. Its names are shown on
+// status sockets.
 type LocalHealth uint8
 
 // The values of LocalHealth.
 const (
-	LocalLearning   LocalHealth = iota // it has not listened for long enough to know what is usual
-	LocalHealthy                       // it hears and is heard as usual
-	LocalDegraded                      // it hears well under the usual: a part of the fleet may be cut off from it
-	LocalIsolated                      // it hears nearly nobody: it is cut off itself
-	LocalUnanswered                    // it hears others, but nobody answers it
-	LocalResumed                       // it stood still until just now, and what it knows is out of date
+	LocalLearning   LocalHealth = iota // it has not yet received long enough to have a baseline
+	LocalHealthy                       // it hears the usual number of members, and they answer it
+	LocalDegraded                      // it hears well below the usual number: part of the fleet may be cut off
+	LocalIsolated                      // it hears almost no member: it is itself cut off
+	LocalUnanswered                    // it hears other members, but none answers its probes
+	LocalResumed                       // it has recently stalled, and its table may be out of date
 	LocalFenced                        // a later process has its name
 )
 
@@ -24,36 +25,38 @@
 
 func (h LocalHealth) String() string { return localHealthNames[h] }
 
-// CanDeclareGone reports whether a process of this health may declare others gone.
+// CanDeclareGone reports whether a process with this health may declare other members gone.
 func (h LocalHealth) CanDeclareGone() bool {
 	return h == LocalLearning || h == LocalHealthy || h == LocalDegraded
 }
 
 const (
-	// windowSlots is into how many slots a window is divided; it moves on by one of them.
+	// windowSlots is the number of slots of a window. The window advances by one slot at a time.
 	windowSlots = 3
-	// baselineWindows is of how many windows, each one slot after the last, the baseline is the median.
+	// baselineWindows is the number of recent windows whose median is the baseline. Each window starts one slot after
+	// the previous one.
 	baselineWindows = 30
-	// minBaselineWindows is how many of them there have to be before there is a baseline.
+	// minBaselineWindows is the minimum number of recorded windows from which a baseline is computed.
 	minBaselineWindows = 6
-	// maxSenders bounds the senders of a slot: a flood of packets with made-up senders must not fill the memory, and
-	// says nothing new past this.
+	// maxSenders limits the recorded senders of a slot, so that a flood of packets with made-up senders cannot fill
+	// the memory. Further senders would add no information.
 	maxSenders = 4096
 )
 
-// connectivityMonitor compares how many members a process hears with how many it usually hears. It is owned by the
-// table and is given the sender of each message, and each answer to a probe of ours.
+// connectivityMonitor compares the number of members that this process hears with the baseline, the number that it
+// usually hears. It is owned by the table, which reports to it each sender of a message and each answer to a probe of
+// this process.
 type connectivityMonitor struct {
 	config        ConnectivityConfig
 	slots         [windowSlots]map[string]struct{} // senders by slot of the window
-	current       int                              // the slot that fills
-	nextRotation  time.Duration                    // when the next one begins
-	history       []int                            // senders in each of the last windows, the oldest first
-	lowWindows    int                              // windows in a row well under the baseline
-	lowSince      time.Duration                    // when the first of them ended
-	silentWindows int                              // windows in a row without any sender
-	heardFraction float64                          // of the baseline, 1 at most
-	lastAck       time.Duration                    // when a probe of ours was last answered
+	current       int                              // index of the slot that records senders now
+	nextRotation  time.Duration                    // when the next slot begins
+	history       []int                            // number of senders in each of the last windows, oldest first
+	lowWindows    int                              // consecutive windows below DegradedBelow
+	lowSince      time.Duration                    // when the first of the low windows ended
+	silentWindows int                              // consecutive windows without any sender
+	heardFraction float64                          // senders in the last window relative to the baseline, at most 1
+	lastAck       time.Duration                    // when a probe of this process was last answered
 }
 
 func newConnectivityMonitor(config ConnectivityConfig, now time.Duration) *connectivityMonitor {
@@ -69,18 +72,19 @@
 	return monitor
 }
 
-// observeSender takes the sender of a message.
+// observeSender records the sender of a message.
 func (m *connectivityMonitor) observeSender(sender string) {
 	if slot := m.slots[m.current]; len(slot) < maxSenders {
 		slot[sender] = struct{}{}
 	}
 }
 
-// observeAck takes an answer to a probe of ours.
+// observeAck records an answer to a probe of this process.
 func (m *connectivityMonitor) observeAck(now time.Duration) { m.lastAck = now }
 
-// advance moves the window on; peers is how many members there are to be heard. A process that stood still skips the
-// slots of that time: nothing was heard in them by its own fault.
+// advance advances the window to now and evaluates each window that has ended. peers is the number of members that
+// can be heard. After a stall of this process it skips the missed slots, in which the process itself received
+// nothing.
 func (m *connectivityMonitor) advance(now time.Duration, peers int, stalled bool) {
 	if stalled {
 		m.nextRotation = now + m.config.Window/windowSlots
@@ -90,13 +94,14 @@
 		return
 	}
 	for ; now >= m.nextRotation; m.nextRotation += m.config.Window / windowSlots {
-		m.evaluateWindow(m.sendersInWindow(), peers, m.nextRotation)
+		m.evaluateWindow(m.countSenders(), peers, m.nextRotation)
 		m.current = (m.current + 1) % windowSlots
 		clear(m.slots[m.current])
 	}
 }
 
-func (m *connectivityMonitor) sendersInWindow() int {
+// countSenders returns the number of distinct senders in the current window.
+func (m *connectivityMonitor) countSenders() int {
 	senders := map[string]struct{}{}
 	for _, slot := range m.slots {
 		maps.Copy(senders, slot)
@@ -104,7 +109,7 @@
 	return len(senders)
 }
 
-// evaluateWindow compares a window, and the time at which it ended, with the baseline.
+// evaluateWindow compares heard, the number of senders in the window that ended at the time at, with the baseline.
 func (m *connectivityMonitor) evaluateWindow(heard, peers int, at time.Duration) {
 	m.silentWindows++
 	if heard > 0 {
@@ -113,12 +118,12 @@
 	if len(m.history) < minBaselineWindows || peers == 0 {
 		m.heardFraction = 1
 		m.lowWindows = 0
-		if peers > 0 && (heard > 0 || len(m.history) > 0) { // windows before the first message are not usual
+		if peers > 0 && (heard > 0 || len(m.history) > 0) { // windows before the first message do not count
 			m.recordWindow(heard)
 		}
 		return
 	}
-	// The baseline counts for no more than the members that there are, so members that left are not missed.
+	// The baseline is capped at the number of peers, so that members that have left are not expected.
 	m.heardFraction = min(1, float64(heard)/max(1, min(m.baseline(), float64(peers))))
 	if m.heardFraction >= m.config.DegradedBelow {
 		m.lowWindows = 0
@@ -129,7 +134,7 @@
 	if m.lowWindows == 1 {
 		m.lowSince = at
 	}
-	if at-m.lowSince >= m.config.AdaptAfter { // a new baseline begins
+	if at-m.lowSince >= m.config.AdaptAfter { // start a new baseline
 		m.history = m.history[:0]
 		m.lowWindows = 0
 		m.heardFraction = 1
@@ -143,7 +148,8 @@
 	m.history = append(m.history, heard)
 }
 
-// baseline is the number of senders that a window usually has.
+// baseline returns the usual number of senders in a window: the median of the recorded windows, or 0 if there are
+// none.
 func (m *connectivityMonitor) baseline() float64 {
 	if len(m.history) == 0 {
 		return 0
@@ -152,13 +158,14 @@
 	return float64(sorted[len(sorted)/2])
 }
 
-// hearsNobody reports whether nobody was heard for two windows where there usually is somebody.
+// hearsNobody reports whether no member has been heard for two whole windows although there is a baseline.
 func (m *connectivityMonitor) hearsNobody() bool {
 	return m.silentWindows > 2*windowSlots && len(m.history) >= minBaselineWindows
 }
 
-// localHealth is the health by what is heard alone. Nearly nobody in two windows, one slot apart, is isolation; a
-// window that is merely low may be so by chance, and has to stay so for a whole window more.
+// localHealth returns the health that follows from the received messages alone. Two consecutive windows, one slot
+// apart, with almost no senders mean isolation. A window that is merely low may be so by chance; the process is
+// degraded only once the windows have remained low for one more whole window.
 func (m *connectivityMonitor) localHealth(now time.Duration, peers int) LocalHealth {
 	switch {
 	case peers == 0 || len(m.history) < minBaselineWindows:
@@ -173,17 +180,17 @@
 	return LocalHealthy
 }
 
-// ObserveSender takes the sender of any message.
+// ObserveSender records the sender of any message.
 func (t *Table) ObserveSender(sender string) { t.connectivity.observeSender(sender) }
 
-// ObserveAck takes an answer to a probe of ours.
+// ObserveAck records an answer to a probe of this process.
 func (t *Table) ObserveAck(now time.Duration) { t.connectivity.observeAck(now) }
 
-// HearsNobody reports whether this process is cut off so far that what it would say about others is worth nothing,
-// and is not to be sent.
+// HearsNobody reports whether this process is cut off so completely that its reports about other members are
+// meaningless and must not be sent.
 func (t *Table) HearsNobody() bool { return t.connectivity.hearsNobody() }
 
-// localHealth is how far this process may trust itself now.
+// localHealth returns the current health of this process.
 func (t *Table) localHealth(now time.Duration) LocalHealth {
 	switch {
 	case t.fenced:
@@ -191,17 +198,17 @@
 	case now < t.settlingUntil:
 		return LocalResumed
 	}
-	return t.connectivity.localHealth(now, t.presentMembers())
+	return t.connectivity.localHealth(now, t.countPresentMembers())
 }
 
-// healthy reports whether what the failure detector says is not due to this process.
+// healthy reports whether this process is not itself a likely cause of the failure detector's reports.
 func (t *Table) healthy(now time.Duration) bool {
 	health := t.localHealth(now)
 	return health == LocalHealthy || health == LocalLearning
 }
 
-// presentMembers is how many members there are to be heard.
-func (t *Table) presentMembers() (count int) {
+// countPresentMembers returns the number of present members, which are those that can be heard.
+func (t *Table) countPresentMembers() (count int) {
 	for member := range allMembers(t.members) {
 		if member.State.Present() {
 			count++
--- a/internal/membership/connectivity_test.go
+++ b/internal/membership/connectivity_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Standing still for 8 s while a member is in doubt declares nobody gone; the doubt goes on where it stood, and what
-// arrived meanwhile counts as old.
+// A stall of 8 s while a member is lost does not cause the member to be declared gone: its deadline excludes the
+// stall. Messages that arrived during the stall count as old.
 func Example_stall() {
 	x := newHarness()
 	x.bringUp("a", "b")
@@ -20,7 +20,7 @@
 	_, age, ok := m.Metric("load", x.now)
 	fmt.Println(age, ok)
 	x.advance(s)
-	x.alive("a", 7, 1) // it was alive all the time
+	x.alive("a", 7, 1) // it was alive during the stall
 	x.advanceWithHeartbeats(5*s, "a", "b")
 	fmt.Println(x.Stats.Stalls, x.View().Count(StateUp))
 	// Output:
@@ -33,8 +33,9 @@
 	// 1 2
 }
 
-// A process that hears nobody any more is cut off itself: it declares nobody gone, keeps its doubts to itself, and
-// reports the fraction that it hears. When it hears again, all is as it was. If that lasts, it becomes the baseline.
+// A process that no longer hears any member is itself cut off: it declares no member gone, reports HearsNobody, so
+// that it spreads no suspicions, and publishes the fraction that it hears. When it hears all members again, it is
+// healthy and they are up. A reduced number of senders that lasts becomes the new baseline.
 func Example_cutOff() {
 	x := newHarness()
 	x.bringUp("a", "b", "c")
@@ -71,8 +72,9 @@
 	// sound
 }
 
-// Others are gone and we are healthy: a third of the fleet dies, we still hear most, and declare them gone.
-func Example_othersGone() {
+// A third of the fleet fails. This process still hears most members, so it is healthy and declares the failed ones
+// gone.
+func Example_partOfFleetGone() {
 	x := newHarness()
 	x.quiet = true
 	x.bringUp("a", "b", "c", "d", "e", "f")
@@ -83,7 +85,7 @@
 	x.HandleUnreachable(ID{"f", 7}, x.now)
 	x.advanceWithHeartbeats(8*s, "a", "b", "c", "d")
 	fmt.Println(x.View().LocalHealth, x.View().Count(StateGone))
-	// heard, but answered by nobody
+	// it hears the other members, but none answers its probes
 	for range 80 {
 		x.now += s / 10
 		for _, sender := range x.reachableSenders {
@@ -97,7 +99,8 @@
 	// unheard
 }
 
-// Metrics that stop while the gossip goes on are not believed any more, and the member is silent.
+// If a member stops publishing while the failure detector still reaches it, its metrics expire and it becomes suspect
+// as silent.
 func Example_silent() {
 	x := newHarness()
 	x.alive("a", 7, 1)
@@ -110,7 +113,7 @@
 		x.advance(3 * s)
 	}
 	x.heartbeat("a", 7, 2)
-	fmt.Println(x.heartbeat("a", 7, 1)) // an earlier one, by a longer way
+	fmt.Println(x.heartbeat("a", 7, 1)) // an earlier heartbeat that took a longer path
 	// Output:
 	// 0s a 1: joining -> joining, claimed
 	// 0s a 1: joining -> up, ready
--- a/internal/membership/descriptor.go
+++ b/internal/membership/descriptor.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Roles is a set of what a member does for the fleet. Its bits are part of the gossip messages.
+// Roles is the set of roles of a member in the fleet. Its bits are part of the gossip messages.
 type Roles uint8
 
-// The roles, by the bit that stands for each.
+// The bits of Roles.
 const (
 	RoleServer      Roles = 1 << iota // serves requests
 	RoleProxy                         // forwards requests
 	RoleCoordinator                   // holds the replicated state
-	RoleUpstream                      // stands beside a service that servers call
+	RoleUpstream                      // runs beside an upstream service that servers call
 )
 
-// roleNames are the roles' names in operators' files and on status sockets, in the order of the bits.
+// roleNames are the names of the roles in operators' files and on status sockets, in the order of the bits.
 var roleNames = []string{"instance", "relay", "steward", "below"}
 
-// String is the names of the roles, joined by "+".
+// String returns the names of the roles, joined by "+".
 func (r Roles) String() string {
 	var names []string
 	for i, name := range roleNames {
@@ -30,11 +30,12 @@
 	return strings.Join(names, "+")
 }
 
-// ParseRoles reads names of roles; unknown is the first that is not one, empty if there is none.
+// ParseRoles returns the set of the roles with the given names. unknown is the first name that is not the name of a
+// role, or empty if all are.
 func ParseRoles(names []string) (roles Roles, unknown string) {
 	for _, name := range names {
-		role, known := parseRole(name)
-		if !known {
+		role, found := parseRole(name)
+		if !found {
 			return roles, name
 		}
 		roles |= role
@@ -42,7 +43,7 @@
 	return roles, ""
 }
 
-func parseRole(name string) (role Roles, known bool) {
+func parseRole(name string) (role Roles, found bool) {
 	for i, candidate := range roleNames {
 		if name == candidate {
 			return 1 << i, true
@@ -51,25 +52,27 @@
 	return 0, false
 }
 
-// Descriptor is what a member says it is, from its start to its end.
+// Descriptor describes a member. A member announces it itself, and it remains the same while the process runs, except
+// for the incarnation.
 type Descriptor struct {
 	Name        Name
 	Incarnation Incarnation
 	BootID      BootID
-	GossipAddr  string // where its gossip is reached
-	ServiceAddr string // where it takes requests; empty for one that takes none
+	GossipAddr  string // address for gossip
+	ServiceAddr string // address at which it accepts requests; empty: it accepts none
 	Roles       Roles
 	Zone        string
 	Release     string
-	Capacity    float64       // as configured: its share of work beside the others, in cores
-	WarmUp      time.Duration // from ready to its full rate
+	Capacity    float64       // configured share of the work relative to other members, in cores
+	WarmUp      time.Duration // time from ready to its full rate
 }
 
-// ID is the identity of the process that the descriptor describes.
+// ID returns the identity of the process that the descriptor describes.
 func (d Descriptor) ID() ID { return ID{Name: d.Name, BootID: d.BootID} }
 
-// olderThan reports whether d is of an earlier process of the name than other. Two of the same incarnation are
-// ordered by their boot IDs, so that all who see both decide alike.
+// olderThan reports whether d belongs to an earlier process than other, which has the same name. Processes with the
+// same incarnation are ordered by their boot IDs, so that all members that receive both descriptors make the same
+// decision.
 func (d Descriptor) olderThan(other Descriptor) bool {
 	if d.Incarnation != other.Incarnation {
 		return d.Incarnation < other.Incarnation
--- a/internal/membership/fence_test.go
+++ b/internal/membership/fence_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// An outdated process is notified by two of the members, the same ones by whichever view, and not again at once.
+// An outdated process is notified by exactly two of the members, whichever member evaluates the ranks, and a notifier
+// does not notify it again immediately.
 func TestFenceNotifiers(t *testing.T) {
 	names := []Name{"a", "b", "c", "d", "e", "f", "g"}
 	for bootID := range BootID(50) {
@@ -15,7 +16,7 @@
 			}
 			notifiers++
 			if table.ShouldNotifyFenced(outdated, s) {
-				t.Fatal("notified again at once")
+				t.Fatal("ShouldNotifyFenced reported true again within the settle time")
 			}
 		}
 		if notifiers != fenceNotifiers {
@@ -24,7 +25,7 @@
 	}
 }
 
-// tableOf is the table of one of several members that know each other.
+// tableOf returns the table of the member self, in which the other members of names are up.
 func tableOf(self Name, names []Name) *Table {
 	table := NewTable(Descriptor{Name: self, BootID: 7, Incarnation: 1}, DefaultConfig(), 0)
 	for _, name := range names {
--- a/internal/membership/flapping.go
+++ b/internal/membership/flapping.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// flapPenalty counts how often a member came back of late. It stays with the name over restarts: one that crashes as
-// soon as it serves is a new process each time.
+// flapPenalty is a decaying count of the recent returns of a member. It is kept for the name across restarts, because
+// a member that crashes as soon as it serves is a new process each time.
 type flapPenalty struct {
-	value      float64 // as of at
+	value      float64 // penalty at the time at
 	at         time.Duration
-	suppressed bool // it stays suspect until the penalty is below the reuse limit
+	suppressed bool // the member stays suspect until the penalty is below the reuse limit
 }
 
 // add counts one return.
@@ -22,12 +22,13 @@
 	}
 }
 
-// decayed is the penalty as of now.
+// decayed returns the penalty at the time now.
 func (p *flapPenalty) decayed(config FlapDampingConfig, now time.Duration) float64 {
 	return p.value * math.Exp2(-float64(now-p.at)/float64(config.HalfLife))
 }
 
-// exemptMassLoss marks members that are lost together with many others: a network cut or a zone, which is no flapping.
+// exemptMassLoss exempts members that are lost together with many others from the flap penalty: the cause is a
+// network partition or the failure of a zone, not flapping.
 func (t *Table) exemptMassLoss() {
 	threshold := max(1, t.members.Len()/8)
 	var lost []Member
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -10,19 +10,19 @@
 	"lanewheel/internal/goldentest"
 )
 
-// goldenFile holds the names and numbers that processes of two versions share: what is sent, shown on status sockets
-// and written in operators' files.
+// goldenFile contains the names and numbers that must be the same in all versions: those in messages, on status
+// sockets and in operators' files.
 const goldenFile = "shared.json"
 
-// sharedValues is every enumeration by its value, and what an identity looks like in a message.
+// sharedValues contains the names of all enumeration values, the text of an identity in messages, and digests.
 type sharedValues struct {
 	Roles    map[string]uint8 `json:"roles"`
 	States   []string         `json:"states"`
 	Standing []string         `json:"standing"`
 	Reasons  []string         `json:"reasons"`
 	ID       string           `json:"id"`
-	Mark     uint64           `json:"mark"`   // of the identity
-	Digest   uint64           `json:"digest"` // of a view of two
+	Mark     uint64           `json:"mark"`   // fingerprint of the identity
+	Digest   uint64           `json:"digest"` // digest of a view of two members
 }
 
 func currentShared() sharedValues {
@@ -50,7 +50,7 @@
 	return s
 }
 
-// What other processes and operators' files go by stays as the version before had it.
+// The names and numbers that other processes and operators' files depend on are the same as in the previous version.
 func TestGoldenShared(t *testing.T) {
 	current := currentShared()
 	text, err := json.MarshalIndent(current, "", "  ")
@@ -64,8 +64,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var back sharedValues
-	if err := json.Unmarshal(stored, &back); err != nil {
+	var decoded sharedValues
+	if err := json.Unmarshal(stored, &decoded); err != nil {
 		t.Fatal(err)
 	}
 	want := sharedValues{Roles: map[string]uint8{"instance": 1, "relay": 2, "steward": 4, "below": 8},
@@ -74,14 +74,14 @@
 		Reasons: []string{"claimed", "ready", "warmed", "unreached", "mute", "flapping", "returned",
 			"said", "left", "given-up", "superseded"},
 		ID: "blue@0123456789abcdef", Mark: 10703471849183513418, Digest: 9472487049747876169}
-	if !reflect.DeepEqual(back, want) {
-		t.Errorf("stored is\n%+v\nwant\n%+v", back, want)
+	if !reflect.DeepEqual(decoded, want) {
+		t.Errorf("stored values are\n%+v\nwant\n%+v", decoded, want)
 	}
-	if id, ok := ParseID(back.ID); !ok || id != (ID{Name: "blue", BootID: 0x0123456789abcdef}) {
-		t.Errorf("%q reads as %v, %v", back.ID, id, ok)
+	if id, ok := ParseID(decoded.ID); !ok || id != (ID{Name: "blue", BootID: 0x0123456789abcdef}) {
+		t.Errorf("ParseID(%q) returned %v, %v", decoded.ID, id, ok)
 	}
-	if r, bad := ParseRoles([]string{"instance", "relay", "steward",
-		"below"}); bad != "" || r != 15 || r.String() != "instance+relay+steward+below" {
-		t.Errorf("the roles read as %v (%d), bad %q", r, r, bad)
+	if r, unknown := ParseRoles([]string{"instance", "relay", "steward",
+		"below"}); unknown != "" || r != 15 || r.String() != "instance+relay+steward+below" {
+		t.Errorf("ParseRoles returned %v (%d), unknown %q", r, r, unknown)
 	}
 }
--- a/internal/membership/harness_test.go
+++ b/internal/membership/harness_test.go
@@ -8,12 +8,12 @@
 
 const s = time.Second
 
-// tableHarness drives a table through hours in milliseconds and prints each change.
+// tableHarness drives a table in simulated time and prints each change of a member, unless quiet is set.
 type tableHarness struct {
 	*Table
 	now              time.Duration
 	quiet            bool
-	reachableSenders []string // members that are heard, and answer, all the time
+	reachableSenders []string // members that send messages and answer probes all the time
 }
 
 func newHarness(changes ...func(*Config)) *tableHarness {
@@ -37,7 +37,7 @@
 	}
 }
 
-// stall has the process stand still.
+// stall simulates a stall of this process.
 func (x *tableHarness) stall(d time.Duration) {
 	x.now += d
 	x.Tick(x.now)
@@ -52,7 +52,7 @@
 	}
 }
 
-// alive hands in a member's descriptor.
+// alive passes a member's descriptor to the table.
 func (x *tableHarness) alive(name Name, bootID BootID, incarnation Incarnation) AliveResult {
 	result := x.HandleAlive(Descriptor{
 		Name:        name,
@@ -65,7 +65,7 @@
 	return result
 }
 
-// heartbeat hands in a heartbeat of a member that has been ready for long, written just now.
+// heartbeat passes to the table a just written heartbeat of a member that has been ready for longer than its warm-up.
 func (x *tableHarness) heartbeat(name Name, bootID BootID, sequence uint64, metrics ...Metric) bool {
 	return x.publish(Heartbeat{
 		ID:       ID{name, bootID},
@@ -76,14 +76,14 @@
 	}, 0)
 }
 
-// publish hands in any heartbeat.
+// publish passes any heartbeat to the table.
 func (x *tableHarness) publish(heartbeat Heartbeat, age time.Duration) bool {
 	accepted := x.HandleHeartbeat(heartbeat, age, x.now)
 	x.printChanges()
 	return accepted
 }
 
-// bringUp adds members that have been ready for long.
+// bringUp adds members that have been ready for longer than their warm-up.
 func (x *tableHarness) bringUp(names ...Name) {
 	for _, n := range names {
 		x.alive(n, 7, 1)
@@ -91,7 +91,7 @@
 	}
 }
 
-// advanceWithHeartbeats has members publish again and again while time goes on.
+// advanceWithHeartbeats advances the time by d, while the named members publish a heartbeat each second.
 func (x *tableHarness) advanceWithHeartbeats(d time.Duration, names ...Name) {
 	for end := x.now + d; x.now < end; {
 		x.advance(s)
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// Metric is one value that a member publishes of itself.
+// Metric is one value that a member publishes about itself.
 type Metric struct {
 	Name       string
 	Value      float64
-	TTL        time.Duration // for how long it is believed
-	MeasuredAt time.Duration // by our clock; its age when it arrived is taken off
+	TTL        time.Duration // how long it is valid
+	MeasuredAt time.Duration // by the local clock: the time of receipt minus its age at that time
 }
 
-// Heartbeat is what a member publishes from time to time. Its times are durations, as clocks differ.
+// Heartbeat is the status that a member publishes periodically. It contains durations instead of times, because the
+// clocks of members differ.
 type Heartbeat struct {
 	ID
 	Incarnation Incarnation
-	Sequence    uint64 // the greatest counts, in whatever order they come
-	Ready       bool   // it can serve
-	ReadyFor    time.Duration
+	Sequence    uint64        // the heartbeat with the highest one applies, in whatever order they arrive
+	Ready       bool          // it can serve
+	ReadyFor    time.Duration // time since it became ready
 	Draining    bool
-	ViewDigest  uint64 // of its view with itself in it; 0 for none
+	ViewDigest  uint64 // digest of its view, including itself; 0: none
 	Metrics     []Metric
 }
 
-// HandleHeartbeat takes a heartbeat that was written age ago, and reports whether it was news: one that is outdated or
-// breaks a limit changes nothing.
+// HandleHeartbeat handles a heartbeat that was written the duration age ago. It reports whether the heartbeat was
+// new; an outdated or invalid one changes nothing but the counters in Stats.
 func (t *Table) HandleHeartbeat(heartbeat Heartbeat, age time.Duration, now time.Duration) bool {
-	member, known := t.members.Get(heartbeat.Name)
-	if !known || member.BootID != heartbeat.BootID || heartbeat.Sequence <= member.Sequence {
+	member, found := t.members.Get(heartbeat.Name)
+	if !found || member.BootID != heartbeat.BootID || heartbeat.Sequence <= member.Sequence {
 		t.Stats.StaleHeartbeats++
 		return false
 	}
@@ -37,18 +38,18 @@
 		t.Stats.InvalidHeartbeats++
 		return false
 	}
-	if now < t.settlingUntil { // it may have waited while this process stood still
+	if now < t.settlingUntil { // it may have been queued during the stall
 		age += t.lastStall
 	}
 	member.lastHeardAt = t.clock.at(now)
-	t.record(&member, heartbeat, now-age)
+	t.recordHeartbeat(&member, heartbeat, now-age)
 	t.applyHeartbeat(member, heartbeat.Draining, now)
 	t.publishView(now)
 	return true
 }
 
-// record copies a heartbeat that was written at writtenAt into a member.
-func (t *Table) record(member *Member, heartbeat Heartbeat, writtenAt time.Duration) {
+// recordHeartbeat copies a heartbeat that was written at writtenAt into a member.
+func (t *Table) recordHeartbeat(member *Member, heartbeat Heartbeat, writtenAt time.Duration) {
 	member.Sequence = heartbeat.Sequence
 	member.HeartbeatAt = writtenAt
 	member.ready = heartbeat.Ready
@@ -60,7 +61,7 @@
 	maxTTL := t.maxMetricTTL()
 	member.Metrics = nil
 	for _, metric := range heartbeat.Metrics {
-		if math.IsNaN(metric.Value) || math.IsInf(metric.Value, 0) { // cannot be compared
+		if math.IsNaN(metric.Value) || math.IsInf(metric.Value, 0) { // such values cannot be compared
 			continue
 		}
 		metric.TTL = min(max(0, metric.TTL), maxTTL)
@@ -69,10 +70,10 @@
 	}
 }
 
-// applyHeartbeat stores a member whose heartbeat was recorded, in the state that follows from it.
+// applyHeartbeat stores a member whose heartbeat was recorded, with the state that follows from the heartbeat.
 func (t *Table) applyHeartbeat(member Member, draining bool, now time.Duration) {
 	switch {
-	case !member.State.Present(): // hearsay of one that is gone: its descriptor has to come first
+	case !member.State.Present(): // a gone member returns only by its descriptor
 		t.members = t.members.Set(member.Name, member)
 	case draining:
 		t.transition(member, StateLeaving, ReasonDraining, now)
@@ -88,15 +89,16 @@
 	}
 }
 
-// refutesReport reports whether a member's last heartbeat was written well after the detector reported it
-// unreachable: it lives, and has not flapped. A process that missed the refutation would otherwise declare gone by
-// itself whom all others reach, and hear no more of it for many seconds.
+// refutesReport reports whether a member's last heartbeat was written well after the failure detector reported the
+// member unreachable. The member is then alive and has not flapped. Without this check, a process that missed the
+// refutation by gossip would alone declare a member gone that all others reach, and would not learn of the error for
+// many seconds.
 func (t *Table) refutesReport(member Member) bool {
 	return member.reachability.lost && member.HeartbeatAt > member.reachability.reportedAt+t.config.SuspectAfter
 }
 
-// HeartbeatInterval is the mean time between two heartbeats of a member. It grows with the fleet, so that the
-// heartbeats of all members together stay under the configured rate.
+// HeartbeatInterval returns the mean interval between two heartbeats of a member. It grows with the fleet, so that
+// the heartbeats of all members together do not exceed the configured rate.
 func (t *Table) HeartbeatInterval() time.Duration { return t.heartbeatIntervalFor(t.members.Len() + 1) }
 
 func (t *Table) heartbeatIntervalFor(fleetSize int) time.Duration {
@@ -104,19 +106,20 @@
 	return max(t.config.HeartbeatInterval, interval)
 }
 
-// MetricTTL is for how long a metric that each heartbeat carries is believed: two may be lost on the way.
+// MetricTTL returns the TTL of a metric that is part of every heartbeat: the metric remains valid if two heartbeats
+// in a row are lost.
 func (t *Table) MetricTTL() time.Duration { return 3 * t.HeartbeatInterval() }
 
-// maxMetricTTL bounds the TTL that a member may ask for, so that a value that is published once is not believed for
-// ever.
+// maxMetricTTL returns the maximum TTL of a metric, so that a value that is published only once does not remain valid
+// indefinitely.
 func (t *Table) maxMetricTTL() time.Duration {
 	const minFleetSize = 10
 	return 4 * t.heartbeatIntervalFor(max(t.members.Len()+1, minFleetSize))
 }
 
-// heartbeatGrace is how long a member that has just published is waited for: until its next heartbeat is due, twice
-// over. A member that is really gone has been silent for about as long when the detector reports it, so this costs no
-// time then.
+// heartbeatGrace returns the time after a member's last heartbeat in which the member does not become suspect: two
+// heartbeat intervals, but at most maxGrace. It does not delay the detection of a member that has really failed,
+// because such a member has been silent for about as long when the failure detector reports it.
 func (t *Table) heartbeatGrace() time.Duration {
 	const maxGrace = 3 * time.Second
 	return min(2*t.HeartbeatInterval(), maxGrace)
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -5,39 +5,42 @@
 	"time"
 )
 
-// The pause before an address is called again doubles each time, within these bounds.
+// Bounds of the backoff before a failed join of an address is retried. It doubles after each failure.
 const (
 	minJoinBackoff = 500 * time.Millisecond
 	maxJoinBackoff = 10 * time.Second
 )
 
-// fleetJoinRate is how many members of the whole fleet call an address each second where many miss the same one. It
-// keeps hundreds that miss one seed from calling it at the moment that it is back.
+// fleetJoinRate is the mean number of members of the whole fleet that attempt a join per second. It prevents hundreds
+// of members that have lost the same seed from all joining it as soon as it is back.
 const fleetJoinRate = 3
 
-// maxPredecessorCallers bounds the list of those that called our predecessor: one that answers tells us of all others.
+// maxPredecessorCallers limits the list of the predecessor's callers: a join with one of them is enough to learn of
+// all other members.
 const maxPredecessorCallers = 4
 
 const (
-	// divergenceDelay is how long a view has to stand before it is held to differ: news takes some rounds of gossip.
+	// divergenceDelay is the time for which a view must be unchanged before it is compared with others, because
+	// a change takes several rounds of gossip to reach all members.
 	divergenceDelay = 2 * time.Second
-	// divergentJoinChance is the chance each second that the member whose view differs from most calls another.
+	// divergentJoinChance is the probability per second with which a member whose view differs from most others
+	// joins one of them.
 	divergentJoinChance = 0.2
 )
 
-// joinSchedule is which gossip addresses were called, and which are to be called first.
+// joinSchedule holds the gossip addresses whose join has failed, and those to join first.
 type joinSchedule struct {
-	attempts           map[string]joinAttempt // of addresses that did not answer
-	predecessorCallers []string               // addresses of members that called the process that had our name before
+	attempts           map[string]joinAttempt // failed attempts, by address
+	predecessorCallers []string               // addresses of members that called this process's predecessor
 }
 
-// joinAttempt is how an address was last called.
+// joinAttempt is the backoff state of an address after a failed join.
 type joinAttempt struct {
-	retryAt time.Duration // when it may be called again
+	retryAt time.Duration // earliest time of the next attempt
 	backoff time.Duration
 }
 
-// due reports whether an address may be called again.
+// due reports whether a join of an address may be attempted.
 func (j *joinSchedule) due(addr string, now time.Duration) bool {
 	return now >= j.attempts[addr].retryAt
 }
@@ -46,10 +49,10 @@
 	j.predecessorCallers = slices.DeleteFunc(j.predecessorCallers, func(a string) bool { return a == addr })
 }
 
-// NextJoinAddr gives a gossip address to call now, if there is one. It is to be called once a second. A seed where
-// nobody is known, and a member that was lost without having left, may be in a part of the fleet that does not know
-// of us: two halves that have declared each other gone find together by nothing else. random gives numbers from 0 to
-// 1.
+// NextJoinAddr returns a gossip address to join now; ok is false if there is none. It must be called once a second,
+// because its probabilities are per second. A seed address without a present member, and a member that was lost
+// without having left, may belong to a part of the fleet that does not know this process. Two halves of a fleet that
+// have declared each other gone are reunited only by such joins. random returns numbers from 0 to 1.
 func (t *Table) NextJoinAddr(now time.Duration, random func() float64) (addr string, ok bool) {
 	knownAddrs := map[string]bool{t.self.GossipAddr: true}
 	present := 0
@@ -59,12 +62,12 @@
 			present++
 		}
 	}
-	for known := range knownAddrs {
-		delete(t.joins.attempts, known)
+	for addr := range knownAddrs {
+		delete(t.joins.attempts, addr)
 	}
 	excluded := func(addr string) bool { return knownAddrs[addr] || !t.joins.due(addr, now) }
 	t.joins.predecessorCallers = slices.DeleteFunc(t.joins.predecessorCallers, excluded)
-	if len(t.joins.predecessorCallers) > 0 { // called at once: each of them is called by us alone
+	if len(t.joins.predecessorCallers) > 0 { // joined immediately: no other member joins them at the same time
 		return t.joins.predecessorCallers[0], true
 	}
 	missing := slices.DeleteFunc(t.missingAddrs(), excluded)
@@ -77,10 +80,11 @@
 	return pick(missing, random), true
 }
 
-// joinChance is the chance at which each member of a fleet calls, so that the whole fleet calls at its rate.
+// joinChance returns the probability with which each member attempts a join, so that the whole fleet attempts
+// fleetJoinRate joins per second. present is the number of other members that are present.
 func joinChance(present int) float64 { return float64(fleetJoinRate) / float64(present+1) }
 
-// pick chooses one of addrs, of which there has to be one.
+// pick returns a random element of addrs, which must not be empty.
 func pick(addrs []string, random func() float64) string {
 	return addrs[min(len(addrs)-1, int(random()*float64(len(addrs))))]
 }
@@ -96,10 +100,10 @@
 	return missing
 }
 
-// AddPredecessorCaller takes the address of a member that called the process that had our name and address before: a
-// part of the fleet that does not know of us yet. A seed that is started again together with others is found by these
-// alone; the rest of the fleet would learn of it only once the detector has reported the predecessors, many seconds
-// later.
+// AddPredecessorCaller records the address of a member that called this process's predecessor, which had the same
+// name and address. The member belongs to a part of the fleet that does not know this process yet. When a seed is
+// restarted together with other members, only such calls lead it to the rest of the fleet early. Otherwise the rest
+// would learn of it only after the failure detector has reported the predecessors, many seconds later.
 func (t *Table) AddPredecessorCaller(addr string) {
 	joins := &t.joins
 	if len(joins.predecessorCallers) < maxPredecessorCallers && !slices.Contains(joins.predecessorCallers, addr) {
@@ -107,9 +111,9 @@
 	}
 }
 
-// nextDivergentMember gives the address of a member whose view differs from ours, though both have had time to
-// receive the same. Without it a process that joined through one that was in doubt of a third at that moment would
-// miss the third, as the news that it is well went out before.
+// nextDivergentMember returns the address of a member whose view differs from this process's view although both have
+// had time to receive the same messages. Without it, a process that joined through a member that suspected a third
+// one at that time would lack the third, because the refutation was broadcast before the join.
 func (t *Table) nextDivergentMember(now time.Duration, present int, random func() float64) (addr string, ok bool) {
 	if now-t.viewDigestSince < divergenceDelay || present == 0 {
 		return "", false
@@ -125,8 +129,9 @@
 			divergent = append(divergent, member.GossipAddr)
 		}
 	}
-	// A member that differs from most is most likely the one that misses something, and need not wait to be called. It
-	// does so by chance all the same, as each differs from most while the whole fleet changes.
+	// If this process differs from most members, it most likely lacks something itself and attempts the join with a
+	// higher probability. It does not always join, because every member differs from most while the whole fleet
+	// changes.
 	chance := joinChance(present)
 	if len(divergent) > agreeing {
 		chance = max(chance, divergentJoinChance)
@@ -137,13 +142,15 @@
 	return pick(divergent, random), true
 }
 
-// hasSettledView reports whether a member's last view digest is late enough to be compared with ours.
+// hasSettledView reports whether a member's last view digest is recent enough to be compared with this process's
+// digest.
 func (t *Table) hasSettledView(member Member) bool {
 	return member.State.Available() && !member.reachability.lost && member.viewDigest != 0 &&
 		member.HeartbeatAt > t.viewDigestSince+divergenceDelay/2
 }
 
-// RecordJoin takes the result of a call. The pause before the next one is jittered by half.
+// RecordJoin records the result of a join of addr. The backoff after a failure has a jitter of up to half of it in
+// either direction.
 func (t *Table) RecordJoin(addr string, succeeded bool, now time.Duration, random func() float64) {
 	t.joins.dropPredecessorCaller(addr)
 	if succeeded {
@@ -158,7 +165,7 @@
 	}
 }
 
-// Jitter gives half to one and a half times an interval, by a random number from 0 to 1.
+// Jitter returns interval multiplied by 0.5 to 1.5, depending on random, a number from 0 to 1.
 func Jitter(interval time.Duration, random float64) time.Duration {
 	return time.Duration((0.5 + random) * float64(interval))
 }
--- a/internal/membership/join_test.go
+++ b/internal/membership/join_test.go
@@ -2,8 +2,9 @@
 
 import "fmt"
 
-// Which address to call: a seed where nobody is known, and a member that was lost without having left; seldom where
-// many miss the same, later each time, never a member that is here or has left.
+// NextJoinAddr returns a seed address without a present member, and a member that was lost without having left. It
+// does so with a low probability in a larger fleet and after a growing backoff, and never returns a present member or
+// one that has left.
 func Example_nextJoinAddr() {
 	x := newHarness(func(config *Config) { config.Seeds = []string{"a:1", "me:1", "z:1"} })
 	x.quiet = true
@@ -34,8 +35,8 @@
 	//  false
 }
 
-// A member that called our predecessor is called at once and not by chance, once; not one that is known already, and
-// a few of them at the most.
+// A member that called this process's predecessor is joined immediately, whatever the random number, and only once.
+// Known members are not joined, and the number of recorded callers is limited.
 func Example_predecessorCallers() {
 	x := newHarness(func(config *Config) { config.Seeds = []string{"me:1"} })
 	x.quiet = true
@@ -60,7 +61,8 @@
 	//  false
 }
 
-// A member whose view differs from ours is called once both have settled, not while either still changes.
+// A member whose view differs from this process's view is joined once both views have settled, not while one of them
+// still changes.
 func Example_divergentViews() {
 	x := newHarness()
 	x.quiet = true
--- a/internal/membership/keys_test.go
+++ b/internal/membership/keys_test.go
@@ -9,7 +9,8 @@
 	_ "lanewheel/internal/rapidtest"
 )
 
-// At no moment of a rotation the primary key is one that the keyring lacks, and in the end the keyring is the new list.
+// During a rotation, the primary key is always in the keyring. After it, the keyring contains exactly the keys of the
+// new list, and the primary key is the first of them.
 func TestPlanKeyRotation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from := drawKeys(t, "from")
@@ -19,7 +20,7 @@
 		primary := from[0]
 		check := func() {
 			if !containsKey(keyring, primary) {
-				t.Fatal("encrypts with a key that it does not have")
+				t.Fatal("the primary key is not in the keyring")
 			}
 		}
 		for _, key := range rotation.Add {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,7 +1,7 @@
-// Package membership decides who is there: which processes make up the fleet, in which state each is, what is known
-// of it, and how far this process may trust what it observes itself. It has no I/O: messages are handed in with their
-// time, and randomness is an argument; internal/fleet/gossip sends and receives. docs/fleet.md has the table of
-// states.
+// Package membership maintains a process's view of its fleet: the member processes, their states and their metrics,
+// and how far the process can trust its own observations. It does no I/O: messages, the current time and random
+// numbers are arguments of its functions. Package internal/fleet/gossip sends and receives the messages. The states
+// are listed in docs/fleet.md.
 package membership
 
 import (
@@ -10,32 +10,33 @@
 	"strings"
 )
 
-// Name is a member's name; it stays over restarts.
+// Name is the name of a member. It stays the same across restarts.
 type Name string
 
-// Incarnation is the fencing number of a name: a process that starts anew under a name takes a higher one than any that
+// Incarnation is the fencing number of a name. A process that starts with the name takes a higher one than any that
 // it has seen.
 type Incarnation uint64
 
-// BootID is drawn at random at each start. It tells two processes apart that have the same name and incarnation.
+// BootID is a random number that is drawn at each start of a process. It distinguishes processes with the same name
+// and incarnation.
 type BootID uint64
 
-// bootIDDigits is the length of a boot ID as text.
+// bootIDDigits is the number of hexadecimal digits of a boot ID as text.
 const bootIDDigits = 16
 
-// String is the boot ID in hexadecimal, as messages and status sockets show it.
+// String returns the boot ID in hexadecimal, as in messages and on status sockets.
 func (b BootID) String() string { return fmt.Sprintf("%016x", uint64(b)) }
 
-// ID is one process of a name, from its start to its end, as gossip knows it.
+// ID identifies one process: a restart under the same name has another boot ID.
 type ID struct {
 	Name   Name
 	BootID BootID
 }
 
-// String is the identity as messages carry it; ParseID reads it.
+// String returns the identity in the form that messages carry and ParseID parses.
 func (id ID) String() string { return string(id.Name) + "@" + id.BootID.String() }
 
-// ParseID reads what ID.String wrote; ok is false for any other text.
+// ParseID parses the result of ID.String. ok is false for any other text.
 func ParseID(text string) (id ID, ok bool) {
 	separator := strings.LastIndexByte(text, '@')
 	if separator <= 0 || len(text)-separator-1 != bootIDDigits {
--- a/internal/membership/reachability.go
+++ b/internal/membership/reachability.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// HandleUnreachable takes the failure detector's report that it does not reach a process any more.
+// HandleUnreachable handles the failure detector's report that it no longer reaches a process.
 func (t *Table) HandleUnreachable(id ID, now time.Duration) {
 	member, present := t.presentMember(id)
 	switch {
@@ -24,7 +24,7 @@
 	t.publishView(now)
 }
 
-// HandleLeft takes a process's own word that it has left.
+// HandleLeft handles a process's announcement that it has left.
 func (t *Table) HandleLeft(id ID, now time.Duration) {
 	if member, present := t.presentMember(id); present {
 		t.markLeft(member, now)
@@ -32,10 +32,10 @@
 	}
 }
 
-// presentMember gives the member that is this very process, if it is part of the fleet.
+// presentMember returns the member with the given identity; present is false if no such process is part of the fleet.
 func (t *Table) presentMember(id ID) (member Member, present bool) {
-	member, known := t.members.Get(id.Name)
-	return member, known && member.BootID == id.BootID && member.State.Present()
+	member, found := t.members.Get(id.Name)
+	return member, found && member.BootID == id.BootID && member.State.Present()
 }
 
 func (t *Table) markLeft(member Member, now time.Duration) {
@@ -43,19 +43,19 @@
 	t.transition(member, StateGone, ReasonLeft, now)
 }
 
-// markReachable takes a member that the detector reaches, or reaches again.
+// markReachable handles a member that the failure detector reaches, possibly after it was lost.
 func (t *Table) markReachable(member Member, now time.Duration) {
 	if !member.reachability.lost && member.State != StateGone {
 		t.transition(member, member.State, member.Reason, now)
 		return
 	}
-	if member.State != StateSuspect && member.State != StateGone { // the report was false, and is refuted in time
+	if member.State != StateSuspect && member.State != StateGone { // the report was refuted in time
 		t.Stats.RefutedSuspicions++
 		member.reachability.lost = false
 		t.transition(member, member.State, member.Reason, now)
 		return
 	}
-	// A member that comes back with many others, or while we ourselves were cut off, has not flapped.
+	// A member that was lost together with many others, or while this process was cut off, has not flapped.
 	if !member.reachability.flapExempt {
 		member.flapping.add(t.config.FlapDamping, now)
 	}
@@ -65,7 +65,7 @@
 	t.reclassify(member, ReasonRecovered, now)
 }
 
-// reclassify gives a member that is reached the state that its last heartbeat asks for.
+// reclassify sets the state of a reachable member according to its last heartbeat and its flap penalty.
 func (t *Table) reclassify(member Member, reason Reason, now time.Duration) {
 	switch {
 	case member.State == StateLeaving || member.Reason == ReasonDraining:
--- a/internal/membership/reachability_test.go
+++ b/internal/membership/reachability_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// A member's life: its descriptor, ready, warmed up by how long it has been ready and not by when we heard, draining,
-// left.
+// The life cycle of a member: its descriptor is received, it becomes ready, is warmed up, drains and leaves. The
+// warm-up is measured from the time at which the member became ready, not from the time at which its heartbeat was
+// received.
 func Example() {
 	x := newHarness()
 	x.alive("a", 7, 1)
@@ -25,8 +26,9 @@
 	// 2s a 1: leaving -> gone, left
 }
 
-// A death is reported, suspected, declared. A false report of the detector that is refuted in time changes nothing.
-func Example_death() {
+// A member that fails is reported unreachable, becomes suspect and is declared gone. A false report of the failure
+// detector that is refuted in time changes nothing.
+func Example_unreachable() {
 	x := newHarness()
 	x.bringUp("a", "b")
 	x.HandleUnreachable(ID{"a", 7}, x.now)
@@ -45,8 +47,9 @@
 	// 1
 }
 
-// A member that published a moment ago is not in doubt before its next heartbeat is due; a heartbeat that it wrote well
-// after the detector's report refutes that, also where all others have heard long ago that it is there.
+// A member that has just published does not become suspect before its next heartbeat is due. A heartbeat that it
+// wrote well after the failure detector's report refutes the report, also if this process missed the refutation that
+// all other members have received.
 func Example_missedRefutation() {
 	x := newHarness()
 	x.bringUp("a", "b")
@@ -55,7 +58,7 @@
 	x.advanceWithHeartbeats(4*s, "a", "b")
 	fmt.Println(x.Stats.RefutedSuspicions)
 	x.HandleUnreachable(ID{"a", 7}, x.now)
-	x.advanceWithHeartbeats(4*s, "b") // in doubt before it speaks again
+	x.advanceWithHeartbeats(4*s, "b") // it becomes suspect before its next heartbeat
 	x.advanceWithHeartbeats(2*s, "a", "b")
 	// Output:
 	// 0s a 1: joining -> joining, claimed
@@ -67,7 +70,8 @@
 	// 13s a 1: suspect -> up, returned
 }
 
-// A member that flaps is taken back later each time, and in the end like any other.
+// A flapping member stays suspect for longer the more it flaps. After a long time without flapping, it is treated
+// like any other member again.
 func Example_flapping() {
 	x := newHarness(func(config *Config) { config.GoneAfter = time.Minute })
 	x.quiet = true
@@ -86,7 +90,7 @@
 		fmt.Println(flaps, x.now-began)
 		x.advanceWithHeartbeats(10*time.Minute, "a", "b", "c")
 	}
-	// many that come back together have not flapped: the network between was cut
+	// many members that return together have not flapped: the network was partitioned
 	for range 5 {
 		for _, n := range []Name{"a", "b", "c"} {
 			x.HandleUnreachable(ID{n, 7}, x.now)
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -14,22 +14,22 @@
 	From        State
 	To          State
 	Reason      Reason
-	ViewVersion uint64 // the first that shows it
+	ViewVersion uint64 // version of the first view that contains the change
 }
 
-// Stats counts what came and what became of it, since the start.
+// Stats counts the events of a table since the start.
 type Stats struct {
-	Transitions          uint64 // changes of a member's state
-	RejectedFull         uint64 // descriptors for which there was no room
-	StaleHeartbeats      uint64 // of an unknown process, or not newer than the last
-	InvalidHeartbeats    uint64 // past a limit
-	OutdatedIncarnations uint64 // descriptors of an earlier process of a name
-	RefutedSuspicions    uint64 // reports of the failure detector that were false
-	Stalls               uint64 // times that this process stood still
+	Transitions          uint64 // changes of members' states
+	RejectedFull         uint64 // descriptors rejected because the table was full
+	StaleHeartbeats      uint64 // heartbeats of an unknown process, or not newer than its last one
+	InvalidHeartbeats    uint64 // heartbeats with too many metrics or a negative age
+	OutdatedIncarnations uint64 // descriptors of an earlier process with a known name
+	RefutedSuspicions    uint64 // false reports of the failure detector
+	Stalls               uint64 // stalls of this process
 }
 
-// Table holds the members and decides their states. It belongs to one goroutine; the views that it publishes may be
-// read on any.
+// Table holds the members and decides their states. Its methods must be called on a single goroutine. The views that
+// it publishes may be read on any goroutine.
 type Table struct {
 	config       Config
 	self         Descriptor
@@ -41,20 +41,20 @@
 
 	start             time.Duration
 	lastTick          time.Duration
-	lastStall         time.Duration // how long this process last stood still
-	settlingUntil     time.Duration // until when what is known here may be out of date after a stall
+	lastStall         time.Duration // duration of this process's last stall
+	settlingUntil     time.Duration // end of the time after a stall in which the table may be out of date
 	clock             judgementClock
-	incarnationRaises int // how often our own incarnation was raised
+	incarnationRaises int // number of times that this process's incarnation was raised
 	fenced            bool
-	viewDigest        uint64        // of our view with ourselves in it
-	viewDigestSince   time.Duration // when it last changed
+	viewDigest        uint64        // digest of this process's view, including the process itself
+	viewDigestSince   time.Duration // when the view digest last changed
 	fenceNotices      fenceNotices
 	joins             joinSchedule
 
 	Stats Stats
 }
 
-// NewTable makes a table in which only this process is.
+// NewTable returns a table without other members for the process that self describes.
 func NewTable(self Descriptor, config Config, now time.Duration) *Table {
 	table := &Table{
 		config:       config,
@@ -70,22 +70,22 @@
 	return table
 }
 
-// SetConfig replaces the configuration. What runs by the earlier one goes on to its end.
+// SetConfig replaces the configuration. Deadlines that were already computed from the old one do not change.
 func (t *Table) SetConfig(config Config) {
 	t.config = config
 	t.connectivity.config = config.Connectivity
 }
 
-// Self is our own descriptor with its present incarnation.
+// Self returns the descriptor of this process with its current incarnation.
 func (t *Table) Self() Descriptor { return t.self }
 
-// View is the last view that was published.
+// View returns the last published view.
 func (t *Table) View() *View { return t.view }
 
-// ViewDigest is the digest of our view that our heartbeats carry.
+// ViewDigest returns the digest of this process's view for its heartbeats. It includes the process itself.
 func (t *Table) ViewDigest() uint64 { return t.viewDigest }
 
-// TakeChanges gives the changes since it was last called.
+// TakeChanges returns the changes since its last call.
 func (t *Table) TakeChanges() []Change {
 	changes := t.changes
 	t.changes = nil
@@ -109,10 +109,10 @@
 	}
 }
 
-// transition stores a member in a state, and records the change if it is one.
+// transition stores a member with a state and a reason, and records a change if they differ from the stored ones.
 func (t *Table) transition(member Member, state State, reason Reason, now time.Duration) {
-	previous, known := t.members.Get(member.Name)
-	if known && previous.State == state && previous.Reason == reason && previous.BootID == member.BootID {
+	previous, found := t.members.Get(member.Name)
+	if found && previous.State == state && previous.Reason == reason && previous.BootID == member.BootID {
 		t.members = t.members.Set(member.Name, member)
 		return
 	}
@@ -121,7 +121,7 @@
 	member.StateSince = now
 	t.members = t.members.Set(member.Name, member)
 	from := previous.State
-	if !known || previous.BootID != member.BootID {
+	if !found || previous.BootID != member.BootID {
 		from = StateJoining
 	}
 	t.recordChange(member, from, state, reason)
@@ -139,11 +139,11 @@
 	})
 }
 
-// heardFractionStep is the change of the heard fraction that makes a new view.
+// heardFractionStep is the minimum change of the heard fraction that causes a new view to be published.
 const heardFractionStep = 0.1
 
-// Tick applies the deadlines that have come. It is to be called several times within a stall threshold: the time
-// between two calls is how a process tells that it stood still.
+// Tick applies the deadlines that have expired. It must be called several times per stall threshold: a longer time
+// between two calls is taken for a stall of this process.
 func (t *Table) Tick(now time.Duration) {
 	elapsed := now - t.lastTick
 	t.lastTick = now
@@ -154,7 +154,7 @@
 		t.settlingUntil = now + t.config.SettleTime
 		t.clock.skip(elapsed)
 	}
-	t.connectivity.advance(now, t.presentMembers(), stalled)
+	t.connectivity.advance(now, t.countPresentMembers(), stalled)
 	health := t.localHealth(now)
 	if health.CanDeclareGone() {
 		t.clock.resume(now)
@@ -175,7 +175,7 @@
 	}
 }
 
-// applyDeadlines carries a member over the deadlines that have come.
+// applyDeadlines changes the state of a member according to its expired deadlines.
 func (t *Table) applyDeadlines(member Member, now time.Duration) {
 	damping := t.config.FlapDamping
 	if member.flapping.suppressed && member.flapping.decayed(damping, now) < damping.ReuseLimit {
@@ -201,7 +201,7 @@
 	}
 }
 
-// applyServingDeadlines is applyDeadlines for a member that is not in doubt yet.
+// applyServingDeadlines is applyDeadlines for a joining, warming or up member.
 func (t *Table) applyServingDeadlines(member Member, now time.Duration) {
 	judgementNow := t.clock.at(now)
 	lostFor := judgementNow - member.reachability.lostSince
@@ -217,9 +217,10 @@
 	}
 }
 
-// evictGone drops members that have been gone for longer than the retention or, where room is needed and none of them
-// was, the one that has been gone for longest. It reports whether there is room. The names and incarnations of members
-// that are gone are what fences an outdated process, so they stay while they can.
+// evictGone deletes the members that have been gone for longer than GoneRetention. If there are none and needRoom is
+// set, it deletes the member that has been gone for the longest time. It reports whether the table has room for
+// another member. Gone members are otherwise kept, because an outdated process is fenced by their names and
+// incarnations.
 func (t *Table) evictGone(now time.Duration, needRoom bool) bool {
 	var oldest *Member
 	for member := range allMembers(t.members) {
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -10,14 +10,14 @@
 	_ "lanewheel/internal/rapidtest"
 )
 
-// tableMachine is a table under messages in any order, with what has to hold of it.
+// tableMachine applies random messages to a table and checks its invariants.
 type tableMachine struct {
 	*tableHarness
 	names   []Name
-	newest  map[Name]Descriptor  // the newest that was seen of each name
-	lostFor map[ID]time.Duration // how long each process has been lost while this one could judge
-	view    *View                // the last that was published, and its digest at that time
-	digest  uint64
+	newest  map[Name]Descriptor  // latest descriptor seen of each name
+	lostFor map[ID]time.Duration // time for which each process has been lost while this one could declare members gone
+	view    *View                // last published view
+	digest  uint64               // digest of view when it was published
 }
 
 func newTableMachine() *tableMachine {
@@ -45,10 +45,10 @@
 	}
 }
 
-func (m *tableMachine) lose(t *rapid.T) {
+func (m *tableMachine) loseMember(t *rapid.T) {
 	id := m.drawID(t)
 	if _, already := m.lostFor[id]; !already {
-		if member, known := m.View().Get(id.Name); known && member.BootID == id.BootID {
+		if member, found := m.View().Get(id.Name); found && member.BootID == id.BootID {
 			m.lostFor[id] = 0
 		}
 	}
@@ -71,7 +71,7 @@
 	m.HandleHeartbeat(heartbeat, age, m.now)
 }
 
-func (m *tableMachine) pass(t *rapid.T) {
+func (m *tableMachine) passTime(t *rapid.T) {
 	const step = 100 * time.Millisecond
 	for range rapid.IntRange(1, 40).Draw(t, "steps") {
 		m.now += step
@@ -84,56 +84,57 @@
 		for _, change := range m.TakeChanges() {
 			timedOut := change.To == StateGone && change.Reason == ReasonTimedOut
 			if timedOut && m.lostFor[change.ID] < m.config.SuspectAfter+m.config.GoneAfter {
-				t.Fatalf("%v declared gone after %v", change.ID, m.lostFor[change.ID])
+				t.Fatalf("%v was declared gone after only %v", change.ID, m.lostFor[change.ID])
 			}
 		}
 	}
 }
 
-func (m *tableMachine) standStill(t *rapid.T) {
+func (m *tableMachine) stallProcess(t *rapid.T) {
 	m.stall(time.Duration(rapid.IntRange(1100, 30000).Draw(t, "ms")) * time.Millisecond)
 }
 
 func (m *tableMachine) check(t *rapid.T) {
 	if m.view.Digest() != m.digest || m.View().Version < m.view.Version || m.View().Len() > m.config.MaxMembers {
-		t.Fatal("a view changed, its version went back, or it outgrew its bound")
+		t.Fatal("a published view changed, the version decreased, or the view exceeds the maximum number of members")
 	}
 	m.view = m.View()
 	m.digest = m.view.Digest()
 	for name := range m.newest {
-		if _, known := m.view.Get(name); !known {
+		if _, found := m.view.Get(name); !found {
 			delete(m.newest, name) // evicted
 		}
 	}
 	for member := range m.view.All() {
 		if member.olderThan(m.newest[member.Name]) {
-			t.Fatal("an incarnation went down")
+			t.Fatal("the incarnation of a name decreased")
 		}
 		m.newest[member.Name] = member.Descriptor
 		if _, age, ok := member.Metric("load", m.now); ok && age > m.maxMetricTTL() {
-			t.Fatal("a metric is believed for too long")
+			t.Fatal("a metric is still valid after the maximum TTL")
 		}
 	}
 }
 
-// Under any order of few messages: incarnations of a name don't go down, nobody is declared gone before its time while
-// this process can judge is over, a published view never changes, the table stays within its bounds, and no metric is
-// believed past its TTL.
+// For a few messages in any order: the incarnation of a name never decreases; no member is declared gone before its
+// deadline, which counts only the time in which this process can declare members gone; a published view never
+// changes; the table does not exceed its maximum size; and no metric is valid past the maximum TTL.
 func TestMessagesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machine := newTableMachine()
 		t.Repeat(map[string]func(*rapid.T){
 			"descriptor": machine.receiveDescriptor,
 			"heartbeat":  machine.receiveHeartbeat,
-			"lost":       machine.lose,
-			"pass":       machine.pass,
-			"stall":      machine.standStill,
+			"lost":       machine.loseMember,
+			"pass time":  machine.passTime,
+			"stall":      machine.stallProcess,
 			"":           machine.check,
 		})
 	})
 }
 
-// A view of 1,000 members in simulated time: five minutes in which each publishes, a tenth dies, a tenth is replaced.
+// 1,000 members publish for five minutes of simulated time, while a tenth of them fail and a tenth are replaced by
+// new processes.
 func TestThousandMembers(t *testing.T) {
 	x := newHarness(func(config *Config) { config.MaxMembers = 1200 })
 	x.quiet = true
