--- a/internal/membership/alive.go
+++ b/internal/membership/alive.go
@@ -8,7 +8,7 @@
 // The values of AliveResult.
 const (
 	AliveAccepted          AliveResult = iota // the descriptor is in the table
-	AliveOutdated                             // of an earlier process with the name, which must be notified
+	AliveOutdated                             // the descriptor of an earlier process, which must be notified
 	AliveTableFull                            // the table is full
 	AliveIncarnationRaised                    // name conflict: this process raised its incarnation and must announce it
 	AliveFenced                               // name conflict: this process is fenced
@@ -50,7 +50,7 @@
 	return Member{Descriptor: descriptor, fingerprint: Fingerprint(descriptor.ID())}
 }
 
-// supersede replaces a member by a later process with the same name. Heartbeats that the earlier process still
+// supersede replaces a member with a later process with the same name. Heartbeats that the earlier process still
 // publishes are ignored from then on.
 func (t *Table) supersede(previous Member, descriptor Descriptor, now time.Duration) {
 	if previous.State.Present() {
--- a/internal/membership/alive_test.go
+++ b/internal/membership/alive_test.go
@@ -31,8 +31,8 @@
 }
 
 // Another process has the name of this one. A predecessor whose incarnation is higher, because the clock was set back
-// in between, is outbid by a raised incarnation shortly after the start. A later successor fences this process, also
-// if only a notice of another member reports it.
+// in between, is superseded by a raised incarnation shortly after the start. A later successor fences this process,
+// also if only a notice of another member reports it.
 func Example_nameConflict() {
 	x := newHarness()
 	fmt.Println(x.alive("me", 9, 5000) == AliveIncarnationRaised, x.Self().Incarnation)
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -4,19 +4,19 @@
 
 // Config configures a Table.
 type Config struct {
-	MaxMembers         int           // limit of the table, in any state; gone members are evicted first
+	MaxMembers         int           // maximum number of members, in any state; gone ones are evicted first
 	GoneRetention      time.Duration // how long a gone member is kept
-	SuspectAfter       time.Duration // from the detector's report to suspect; time to refute a false report
+	SuspectAfter       time.Duration // from the detector's report to suspect; a member can refute the report until then
 	GoneAfter          time.Duration // from suspect to gone
-	SilentAfter        time.Duration // from the end of the maximum metric TTL without a heartbeat to suspect
+	SilentAfter        time.Duration // from the end of the maximum metric TTL to suspect, if no heartbeat has arrived
 	StallThreshold     time.Duration // longest time between two ticks that is not taken for a stall
-	SettleTime         time.Duration // after a stall, until the table is up to date again
+	SettleTime         time.Duration // time after a stall in which the table is considered out of date
 	HeartbeatInterval  time.Duration // mean time between two heartbeats of a member in a small fleet
 	FleetHeartbeatRate float64       // heartbeats per second of the whole fleet, in a large fleet
 	MaxMetrics         int           // maximum number of metrics in a heartbeat
 	FlapDamping        FlapDampingConfig
 	Connectivity       ConnectivityConfig
-	Seeds              []string // gossip addresses that are joined while no present member has them
+	Seeds              []string // gossip addresses that are joined while no reachable member has them
 }
 
 // FlapDampingConfig configures how long a flapping member is kept suspect. The penalty is the decaying number of its
--- a/internal/membership/connectivity.go
+++ b/internal/membership/connectivity.go
@@ -12,7 +12,7 @@
 
 // The values of LocalHealth.
 const (
-	LocalLearning   LocalHealth = iota // it has not yet received long enough to have a baseline
+	LocalLearning   LocalHealth = iota // it has not listened for long enough to have a baseline
 	LocalHealthy                       // it hears the usual number of members, and they answer it
 	LocalDegraded                      // it hears well below the usual number: part of the fleet may be cut off
 	LocalIsolated                      // it hears almost no member: it is itself cut off
--- a/internal/membership/fence.go
+++ b/internal/membership/fence.go
@@ -23,8 +23,8 @@
 }
 
 // ShouldNotifyFenced reports whether this process must notify an outdated one that it is fenced. Only fenceNotifiers
-// members must, the same ones in every view with the same available members, and not again within the settle time. A
-// call that returns true is recorded as a notice.
+// members notify it; views with the same available members select the same ones. A member does not notify it again
+// within the settle time. A call that returns true is recorded as a notice.
 func (t *Table) ShouldNotifyFenced(id ID, now time.Duration) bool {
 	if notifiedAt, notified := t.fenceNotices[id]; notified && now-notifiedAt < t.config.SettleTime {
 		return false
--- a/internal/membership/harness_test.go
+++ b/internal/membership/harness_test.go
@@ -65,7 +65,7 @@
 	return result
 }
 
-// heartbeat passes to the table a just written heartbeat of a member that has been ready for longer than its warm-up.
+// heartbeat passes a heartbeat with an age of 0 to the table. The member has been ready for longer than its warm-up.
 func (x *tableHarness) heartbeat(name Name, bootID BootID, sequence uint64, metrics ...Metric) bool {
 	return x.publish(Heartbeat{
 		ID:       ID{name, bootID},
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -18,7 +18,7 @@
 type Heartbeat struct {
 	ID
 	Incarnation Incarnation
-	Sequence    uint64        // the heartbeat with the highest one applies, in whatever order they arrive
+	Sequence    uint64        // the heartbeat with the highest sequence applies, in any order of arrival
 	Ready       bool          // it can serve
 	ReadyFor    time.Duration // time since it became ready
 	Draining    bool
@@ -91,8 +91,8 @@
 
 // refutesReport reports whether a member's last heartbeat was written well after the failure detector reported the
 // member unreachable. The member is then alive and has not flapped. Without this check, a process that missed the
-// refutation by gossip would alone declare a member gone that all others reach, and would not learn of the error for
-// many seconds.
+// refutation by gossip would be the only one to declare the member gone, and would not learn of the error for many
+// seconds.
 func (t *Table) refutesReport(member Member) bool {
 	return member.reachability.lost && member.HeartbeatAt > member.reachability.reportedAt+t.config.SuspectAfter
 }
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -50,7 +50,7 @@
 }
 
 // NextJoinAddr returns a gossip address to join now; ok is false if there is none. It must be called once a second,
-// because its probabilities are per second. A seed address without a present member, and a member that was lost
+// because its probabilities are per second. A seed address without a reachable member, and a member that was lost
 // without having left, may belong to a part of the fleet that does not know this process. Two halves of a fleet that
 // have declared each other gone are reunited only by such joins. random returns numbers from 0 to 1.
 func (t *Table) NextJoinAddr(now time.Duration, random func() float64) (addr string, ok bool) {
@@ -81,7 +81,7 @@
 }
 
 // joinChance returns the probability with which each member attempts a join, so that the whole fleet attempts
-// fleetJoinRate joins per second. present is the number of other members that are present.
+// fleetJoinRate joins per second. present is the number of other members that are present and not lost.
 func joinChance(present int) float64 { return float64(fleetJoinRate) / float64(present+1) }
 
 // pick returns a random element of addrs, which must not be empty.
@@ -89,7 +89,7 @@
 	return addrs[min(len(addrs)-1, int(random()*float64(len(addrs))))]
 }
 
-// missingAddrs gives the seeds, and the addresses of members that were lost without having left.
+// missingAddrs returns the addresses of the seeds and of the members that were lost without having left.
 func (t *Table) missingAddrs() []string {
 	missing := slices.Clone(t.config.Seeds)
 	for member := range t.view.All() {
--- a/internal/membership/join_test.go
+++ b/internal/membership/join_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// NextJoinAddr returns a seed address without a present member, and a member that was lost without having left. It
+// NextJoinAddr returns a seed address without a reachable member, and a member that was lost without having left. It
 // does so with a low probability in a larger fleet and after a growing backoff, and never returns a present member or
 // one that has left.
 func Example_nextJoinAddr() {
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -29,7 +29,7 @@
 // Reason is the reason for the state of a member. Its names are shown on status sockets.
 type Reason uint8
 
-// The reasons.
+// The values of Reason.
 const (
 	ReasonDiscovered  Reason = iota // its descriptor was received
 	ReasonReady                     // it reported that it can serve
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -109,7 +109,8 @@
 	}
 }
 
-// transition stores a member with a state and a reason, and records a change if they differ from the stored ones.
+// transition stores a member with a state and a reason, and records a change if they or the process differ from
+// the stored ones.
 func (t *Table) transition(member Member, state State, reason Reason, now time.Duration) {
 	previous, found := t.members.Get(member.Name)
 	if found && previous.State == state && previous.Reason == reason && previous.BootID == member.BootID {
@@ -142,8 +143,8 @@
 // heardFractionStep is the minimum change of the heard fraction that causes a new view to be published.
 const heardFractionStep = 0.1
 
-// Tick applies the deadlines that have expired. It must be called several times per stall threshold: a longer time
-// between two calls is taken for a stall of this process.
+// Tick applies the deadlines that have expired. It must be called several times per stall threshold: a longer
+// interval than the threshold is taken for a stall of this process.
 func (t *Table) Tick(now time.Duration) {
 	elapsed := now - t.lastTick
 	t.lastTick = now
@@ -201,7 +202,7 @@
 	}
 }
 
-// applyServingDeadlines is applyDeadlines for a joining, warming or up member.
+// applyServingDeadlines changes the state of a joining, warming or up member according to its expired deadlines.
 func (t *Table) applyServingDeadlines(member Member, now time.Duration) {
 	judgementNow := t.clock.at(now)
 	lostFor := judgementNow - member.reachability.lostSince
