--- a/internal/membership/alive.go
+++ b/internal/membership/alive.go
@@ -24,16 +24,16 @@
 	if descriptor.Name == t.self.Name {
 		return t.resolveNameConflict(descriptor, now)
 	}
-	member, known := t.members.Get(descriptor.Name)
+	member, found := t.members.Get(descriptor.Name)
 	switch {
-	case !known && t.members.Len() >= t.config.MaxMembers && !t.evictGone(now, true):
+	case !found && t.members.Len() >= t.config.MaxMembers && !t.evictGone(now, true):
 		// Members that are here stay, so that made-up names by the thousand cannot fill the memory or push them out.
 		t.Stats.RejectedFull++
 		return AliveTableFull
-	case known && descriptor.olderThan(member.Descriptor):
+	case found && descriptor.olderThan(member.Descriptor):
 		t.Stats.OutdatedIncarnations++
 		return AliveOutdated
-	case !known:
+	case !found:
 		t.transition(newMember(descriptor), StateJoining, ReasonDiscovered, now)
 	case descriptor.BootID != member.BootID:
 		t.supersede(member, descriptor, now)
@@ -57,7 +57,7 @@
 	successor := newMember(descriptor)
 	successor.flapping = previous.flapping
 	if previous.State != StateGone && previous.State != StateLeaving {
-		successor.flapping.add(t.config.FlapDamping, now)
+		successor.flapping.addFlap(t.config.FlapDamping, now)
 	}
 	t.transition(successor, StateJoining, ReasonDiscovered, now)
 }
@@ -70,11 +70,11 @@
 // predecessor, of whom some still speak: we take a higher incarnation. Later it is our successor, and we are fenced.
 // The incarnation is raised above what was seen and not read from the clock, which may have gone back between two
 // starts.
-func (t *Table) resolveNameConflict(rival Descriptor, now time.Duration) AliveResult {
-	if rival.BootID == t.self.BootID {
+func (t *Table) resolveNameConflict(other Descriptor, now time.Duration) AliveResult {
+	if other.BootID == t.self.BootID {
 		return AliveOwn
 	}
-	if rival.olderThan(t.self) {
+	if other.olderThan(t.self) {
 		t.Stats.OutdatedIncarnations++
 		return AliveOutdated
 	}
@@ -83,7 +83,7 @@
 	}
 	if now-t.start <= t.config.SettleTime+t.config.GoneAfter && t.incarnationRaises < maxIncarnationRaises {
 		t.incarnationRaises++
-		t.self.Incarnation = rival.Incarnation + 1
+		t.self.Incarnation = other.Incarnation + 1
 		t.publishView(now)
 		return AliveIncarnationRaised
 	}
@@ -94,8 +94,8 @@
 
 // HandleFenceNotice takes another member's notice that a later process has our name.
 func (t *Table) HandleFenceNotice(incarnation Incarnation, bootID BootID, now time.Duration) AliveResult {
-	rival := t.self
-	rival.Incarnation = incarnation
-	rival.BootID = bootID
-	return t.resolveNameConflict(rival, now)
+	other := t.self
+	other.Incarnation = incarnation
+	other.BootID = bootID
+	return t.resolveNameConflict(other, now)
 }
--- a/internal/membership/connectivity.go
+++ b/internal/membership/connectivity.go
@@ -46,7 +46,7 @@
 type connectivityMonitor struct {
 	config        ConnectivityConfig
 	slots         [windowSlots]map[string]struct{} // senders by slot of the window
-	current       int                              // the slot that fills
+	currentSlot   int                              // the slot that fills
 	nextRotation  time.Duration                    // when the next one begins
 	history       []int                            // senders in each of the last windows, the oldest first
 	lowWindows    int                              // windows in a row well under the baseline
@@ -71,7 +71,7 @@
 
 // observeSender takes the sender of a message.
 func (m *connectivityMonitor) observeSender(sender string) {
-	if slot := m.slots[m.current]; len(slot) < maxSenders {
+	if slot := m.slots[m.currentSlot]; len(slot) < maxSenders {
 		slot[sender] = struct{}{}
 	}
 }
@@ -91,8 +91,8 @@
 	}
 	for ; now >= m.nextRotation; m.nextRotation += m.config.Window / windowSlots {
 		m.evaluateWindow(m.sendersInWindow(), peers, m.nextRotation)
-		m.current = (m.current + 1) % windowSlots
-		clear(m.slots[m.current])
+		m.currentSlot = (m.currentSlot + 1) % windowSlots
+		clear(m.slots[m.currentSlot])
 	}
 }
 
@@ -191,17 +191,17 @@
 	case now < t.settlingUntil:
 		return LocalResumed
 	}
-	return t.connectivity.localHealth(now, t.presentMembers())
+	return t.connectivity.localHealth(now, t.countPresentMembers())
 }
 
 // healthy reports whether what the failure detector says is not due to this process.
-func (t *Table) healthy(now time.Duration) bool {
+func (t *Table) locallyHealthy(now time.Duration) bool {
 	health := t.localHealth(now)
 	return health == LocalHealthy || health == LocalLearning
 }
 
 // presentMembers is how many members there are to be heard.
-func (t *Table) presentMembers() (count int) {
+func (t *Table) countPresentMembers() (count int) {
 	for member := range allMembers(t.members) {
 		if member.State.Present() {
 			count++
--- a/internal/membership/connectivity_test.go
+++ b/internal/membership/connectivity_test.go
@@ -9,20 +9,20 @@
 // Standing still for 8 s while a member is in doubt declares nobody gone; the doubt goes on where it stood, and what
 // arrived meanwhile counts as old.
 func Example_stall() {
-	x := newHarness()
-	x.bringUp("a", "b")
-	x.HandleUnreachable(ID{"a", 7}, x.now)
-	x.advance(s / 2)
-	x.stall(8 * s)
-	fmt.Println(x.View().LocalHealth)
-	x.heartbeat("b", 7, 2, Metric{Name: "load", Value: 1, TTL: 5 * s})
-	m, _ := x.View().Get("b")
-	_, age, ok := m.Metric("load", x.now)
+	h := newHarness()
+	h.bringUp("a", "b")
+	h.HandleUnreachable(ID{"a", 7}, h.now)
+	h.advance(s / 2)
+	h.stall(8 * s)
+	fmt.Println(h.View().LocalHealth)
+	h.heartbeat("b", 7, 2, Metric{Name: "load", Value: 1, TTL: 5 * s})
+	m, _ := h.View().Get("b")
+	_, age, ok := m.Metric("load", h.now)
 	fmt.Println(age, ok)
-	x.advance(s)
-	x.alive("a", 7, 1) // it was alive all the time
-	x.advanceWithHeartbeats(5*s, "a", "b")
-	fmt.Println(x.Stats.Stalls, x.View().Count(StateUp))
+	h.advance(s)
+	h.alive("a", 7, 1) // it was alive all the time
+	h.advanceWithHeartbeats(5*s, "a", "b")
+	fmt.Println(h.Stats.Stalls, h.View().Count(StateUp))
 	// Output:
 	// 0s a 1: joining -> joining, claimed
 	// 0s a 1: joining -> up, ready
@@ -36,28 +36,28 @@
 // A process that hears nobody any more is cut off itself: it declares nobody gone, keeps its doubts to itself, and
 // reports the fraction that it hears. When it hears again, all is as it was. If that lasts, it becomes the baseline.
 func Example_cutOff() {
-	x := newHarness()
-	x.bringUp("a", "b", "c")
-	x.reachableSenders = []string{"a", "b", "c"}
-	x.advanceWithHeartbeats(20*s, "a", "b", "c")
-	fmt.Println(x.View().LocalHealth, x.HearsNobody())
-	x.reachableSenders = nil
-	x.advance(3 * s)
+	h := newHarness()
+	h.bringUp("a", "b", "c")
+	h.reachableSenders = []string{"a", "b", "c"}
+	h.advanceWithHeartbeats(20*s, "a", "b", "c")
+	fmt.Println(h.View().LocalHealth, h.HearsNobody())
+	h.reachableSenders = nil
+	h.advance(3 * s)
 	for _, n := range []Name{"a", "b", "c"} {
-		x.HandleUnreachable(ID{n, 7}, x.now)
+		h.HandleUnreachable(ID{n, 7}, h.now)
 	}
-	x.advance(30 * s)
-	fmt.Println(x.View().LocalHealth, x.HearsNobody(), x.View().HeardFraction)
-	x.reachableSenders = []string{"a", "b", "c"}
+	h.advance(30 * s)
+	fmt.Println(h.View().LocalHealth, h.HearsNobody(), h.View().HeardFraction)
+	h.reachableSenders = []string{"a", "b", "c"}
 	for _, n := range []Name{"a", "b", "c"} {
-		x.alive(n, 7, 1)
+		h.alive(n, 7, 1)
 	}
-	x.advanceWithHeartbeats(6*s, "a", "b", "c")
-	fmt.Println(x.View().LocalHealth, x.View().Count(StateUp))
-	x.reachableSenders = []string{"a"}
-	x.quiet = true
-	x.advanceWithHeartbeats(80*s, "a", "b", "c")
-	fmt.Println(x.View().LocalHealth)
+	h.advanceWithHeartbeats(6*s, "a", "b", "c")
+	fmt.Println(h.View().LocalHealth, h.View().Count(StateUp))
+	h.reachableSenders = []string{"a"}
+	h.quiet = true
+	h.advanceWithHeartbeats(80*s, "a", "b", "c")
+	fmt.Println(h.View().LocalHealth)
 	// Output:
 	// 0s a 1: joining -> joining, claimed
 	// 0s a 1: joining -> up, ready
@@ -73,25 +73,25 @@
 
 // Others are gone and we are healthy: a third of the fleet dies, we still hear most, and declare them gone.
 func Example_othersGone() {
-	x := newHarness()
-	x.quiet = true
-	x.bringUp("a", "b", "c", "d", "e", "f")
-	x.reachableSenders = []string{"a", "b", "c", "d", "e", "f"}
-	x.advanceWithHeartbeats(20*s, "a", "b", "c", "d", "e", "f")
-	x.reachableSenders = x.reachableSenders[:4]
-	x.HandleUnreachable(ID{"e", 7}, x.now)
-	x.HandleUnreachable(ID{"f", 7}, x.now)
-	x.advanceWithHeartbeats(8*s, "a", "b", "c", "d")
-	fmt.Println(x.View().LocalHealth, x.View().Count(StateGone))
+	h := newHarness()
+	h.quiet = true
+	h.bringUp("a", "b", "c", "d", "e", "f")
+	h.reachableSenders = []string{"a", "b", "c", "d", "e", "f"}
+	h.advanceWithHeartbeats(20*s, "a", "b", "c", "d", "e", "f")
+	h.reachableSenders = h.reachableSenders[:4]
+	h.HandleUnreachable(ID{"e", 7}, h.now)
+	h.HandleUnreachable(ID{"f", 7}, h.now)
+	h.advanceWithHeartbeats(8*s, "a", "b", "c", "d")
+	fmt.Println(h.View().LocalHealth, h.View().Count(StateGone))
 	// heard, but answered by nobody
 	for range 80 {
-		x.now += s / 10
-		for _, sender := range x.reachableSenders {
-			x.ObserveSender(sender)
+		h.now += s / 10
+		for _, sender := range h.reachableSenders {
+			h.ObserveSender(sender)
 		}
-		x.Tick(x.now)
+		h.Tick(h.now)
 	}
-	fmt.Println(x.View().LocalHealth)
+	fmt.Println(h.View().LocalHealth)
 	// Output:
 	// sound 2
 	// unheard
@@ -99,18 +99,18 @@
 
 // Metrics that stop while the gossip goes on are not believed any more, and the member is silent.
 func Example_silent() {
-	x := newHarness()
-	x.alive("a", 7, 1)
-	x.heartbeat("a", 7, 1,
+	h := newHarness()
+	h.alive("a", 7, 1)
+	h.heartbeat("a", 7, 1,
 		Metric{Name: "load", Value: 0.5, TTL: time.Hour}, Metric{Name: "odd", Value: math.NaN(), TTL: s})
 	for range 4 {
-		m, _ := x.View().Get("a")
-		v, age, ok := m.Metric("load", x.now)
-		fmt.Println(x.now, v, age, ok, len(m.Metrics))
-		x.advance(3 * s)
+		m, _ := h.View().Get("a")
+		v, age, ok := m.Metric("load", h.now)
+		fmt.Println(h.now, v, age, ok, len(m.Metrics))
+		h.advance(3 * s)
 	}
-	x.heartbeat("a", 7, 2)
-	fmt.Println(x.heartbeat("a", 7, 1)) // an earlier one, by a longer way
+	h.heartbeat("a", 7, 2)
+	fmt.Println(h.heartbeat("a", 7, 1)) // an earlier one, by a longer way
 	// Output:
 	// 0s a 1: joining -> joining, claimed
 	// 0s a 1: joining -> up, ready
--- a/internal/membership/descriptor.go
+++ b/internal/membership/descriptor.go
@@ -33,8 +33,8 @@
 // ParseRoles reads names of roles; unknown is the first that is not one, empty if there is none.
 func ParseRoles(names []string) (roles Roles, unknown string) {
 	for _, name := range names {
-		role, known := parseRole(name)
-		if !known {
+		role, found := parseRole(name)
+		if !found {
 			return roles, name
 		}
 		roles |= role
@@ -42,7 +42,7 @@
 	return roles, ""
 }
 
-func parseRole(name string) (role Roles, known bool) {
+func parseRole(name string) (role Roles, found bool) {
 	for i, candidate := range roleNames {
 		if name == candidate {
 			return 1 << i, true
--- a/internal/membership/fence.go
+++ b/internal/membership/fence.go
@@ -28,12 +28,12 @@
 		return false
 	}
 	ownRank := notifierRank(t.self.Name, id)
-	ahead := 0
+	membersAhead := 0
 	for member := range t.view.All() {
 		if member.State.Available() && notifierRank(member.Name, id) < ownRank {
-			ahead++
+			membersAhead++
 		}
-		if ahead >= fenceNotifiers {
+		if membersAhead >= fenceNotifiers {
 			return false
 		}
 	}
--- a/internal/membership/flapping.go
+++ b/internal/membership/flapping.go
@@ -14,8 +14,8 @@
 }
 
 // add counts one return.
-func (p *flapPenalty) add(config FlapDampingConfig, now time.Duration) {
-	p.value = min(config.MaxPenalty, p.decayed(config, now)+1)
+func (p *flapPenalty) addFlap(config FlapDampingConfig, now time.Duration) {
+	p.value = min(config.MaxPenalty, p.decayedValue(config, now)+1)
 	p.at = now
 	if p.value >= config.SuppressLimit {
 		p.suppressed = true
@@ -23,23 +23,23 @@
 }
 
 // decayed is the penalty as of now.
-func (p *flapPenalty) decayed(config FlapDampingConfig, now time.Duration) float64 {
+func (p *flapPenalty) decayedValue(config FlapDampingConfig, now time.Duration) float64 {
 	return p.value * math.Exp2(-float64(now-p.at)/float64(config.HalfLife))
 }
 
 // exemptMassLoss marks members that are lost together with many others: a network cut or a zone, which is no flapping.
-func (t *Table) exemptMassLoss() {
+func (t *Table) exemptMassOutage() {
 	threshold := max(1, t.members.Len()/8)
-	var lost []Member
+	var unreachable []Member
 	for member := range allMembers(t.members) {
-		if member.reachability.lost && member.State != StateGone && member.State != StateLeaving {
-			lost = append(lost, member)
+		if member.reachability.unreachable && member.State != StateGone && member.State != StateLeaving {
+			unreachable = append(unreachable, member)
 		}
 	}
-	if len(lost) <= threshold {
+	if len(unreachable) <= threshold {
 		return
 	}
-	for _, member := range lost {
+	for _, member := range unreachable {
 		if !member.reachability.flapExempt {
 			member.reachability.flapExempt = true
 			t.members = t.members.Set(member.Name, member)
--- a/internal/membership/harness_test.go
+++ b/internal/membership/harness_test.go
@@ -25,49 +25,49 @@
 	return &tableHarness{Table: NewTable(self, config, 0)}
 }
 
-func (x *tableHarness) advance(d time.Duration) {
-	for end := x.now + d; x.now < end; {
-		x.now += 100 * time.Millisecond
-		for _, sender := range x.reachableSenders {
-			x.ObserveSender(sender)
-			x.ObserveAck(x.now)
+func (h *tableHarness) advance(d time.Duration) {
+	for end := h.now + d; h.now < end; {
+		h.now += 100 * time.Millisecond
+		for _, sender := range h.reachableSenders {
+			h.ObserveSender(sender)
+			h.ObserveAck(h.now)
 		}
-		x.Tick(x.now)
-		x.printChanges()
+		h.Tick(h.now)
+		h.printChanges()
 	}
 }
 
 // stall has the process stand still.
-func (x *tableHarness) stall(d time.Duration) {
-	x.now += d
-	x.Tick(x.now)
-	x.printChanges()
+func (h *tableHarness) stall(d time.Duration) {
+	h.now += d
+	h.Tick(h.now)
+	h.printChanges()
 }
 
-func (x *tableHarness) printChanges() {
-	for _, c := range x.TakeChanges() {
-		if !x.quiet {
-			fmt.Printf("%v %s %d: %v -> %v, %s\n", x.now, c.Name, c.Incarnation, c.From, c.To, c.Reason)
+func (h *tableHarness) printChanges() {
+	for _, c := range h.TakeChanges() {
+		if !h.quiet {
+			fmt.Printf("%v %s %d: %v -> %v, %s\n", h.now, c.Name, c.Incarnation, c.From, c.To, c.Reason)
 		}
 	}
 }
 
 // alive hands in a member's descriptor.
-func (x *tableHarness) alive(name Name, bootID BootID, incarnation Incarnation) AliveResult {
-	result := x.HandleAlive(Descriptor{
+func (h *tableHarness) alive(name Name, bootID BootID, incarnation Incarnation) AliveResult {
+	result := h.HandleAlive(Descriptor{
 		Name:        name,
 		BootID:      bootID,
 		Incarnation: incarnation,
 		GossipAddr:  string(name) + ":1",
 		WarmUp:      5 * s,
-	}, x.now)
-	x.printChanges()
+	}, h.now)
+	h.printChanges()
 	return result
 }
 
 // heartbeat hands in a heartbeat of a member that has been ready for long, written just now.
-func (x *tableHarness) heartbeat(name Name, bootID BootID, sequence uint64, metrics ...Metric) bool {
-	return x.publish(Heartbeat{
+func (h *tableHarness) heartbeat(name Name, bootID BootID, sequence uint64, metrics ...Metric) bool {
+	return h.publish(Heartbeat{
 		ID:       ID{name, bootID},
 		Sequence: sequence,
 		Ready:    true,
@@ -77,52 +77,52 @@
 }
 
 // publish hands in any heartbeat.
-func (x *tableHarness) publish(heartbeat Heartbeat, age time.Duration) bool {
-	accepted := x.HandleHeartbeat(heartbeat, age, x.now)
-	x.printChanges()
+func (h *tableHarness) publish(heartbeat Heartbeat, age time.Duration) bool {
+	accepted := h.HandleHeartbeat(heartbeat, age, h.now)
+	h.printChanges()
 	return accepted
 }
 
 // bringUp adds members that have been ready for long.
-func (x *tableHarness) bringUp(names ...Name) {
+func (h *tableHarness) bringUp(names ...Name) {
 	for _, n := range names {
-		x.alive(n, 7, 1)
-		x.heartbeat(n, 7, 1)
+		h.alive(n, 7, 1)
+		h.heartbeat(n, 7, 1)
 	}
 }
 
 // advanceWithHeartbeats has members publish again and again while time goes on.
-func (x *tableHarness) advanceWithHeartbeats(d time.Duration, names ...Name) {
-	for end := x.now + d; x.now < end; {
-		x.advance(s)
+func (h *tableHarness) advanceWithHeartbeats(d time.Duration, names ...Name) {
+	for end := h.now + d; h.now < end; {
+		h.advance(s)
 		for _, n := range names {
-			m, _ := x.View().Get(n)
-			x.heartbeat(n, m.BootID, m.Sequence+1)
+			m, _ := h.View().Get(n)
+			h.heartbeat(n, m.BootID, m.Sequence+1)
 		}
 	}
 }
 
 func BenchmarkHandleHeartbeat(b *testing.B) {
-	x := newHarness()
-	x.quiet = true
+	h := newHarness()
+	h.quiet = true
 	for i := range 300 {
-		x.bringUp(Name(fmt.Sprint("n", i)))
+		h.bringUp(Name(fmt.Sprint("n", i)))
 	}
 	b.ReportAllocs()
 	for i := range b.N {
-		x.heartbeat(Name(fmt.Sprint("n", i%300)), 7, uint64(i+2), Metric{Name: "load", Value: 1, TTL: s})
+		h.heartbeat(Name(fmt.Sprint("n", i%300)), 7, uint64(i+2), Metric{Name: "load", Value: 1, TTL: s})
 	}
 }
 
 func BenchmarkTick(b *testing.B) {
-	x := newHarness()
-	x.quiet = true
+	h := newHarness()
+	h.quiet = true
 	for i := range 300 {
-		x.bringUp(Name(fmt.Sprint("n", i)))
+		h.bringUp(Name(fmt.Sprint("n", i)))
 	}
 	b.ReportAllocs()
 	for range b.N {
-		x.now += 100 * time.Millisecond
-		x.Tick(x.now)
+		h.now += 100 * time.Millisecond
+		h.Tick(h.now)
 	}
 }
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -28,8 +28,8 @@
 // HandleHeartbeat takes a heartbeat that was written age ago, and reports whether it was news: one that is outdated or
 // breaks a limit changes nothing.
 func (t *Table) HandleHeartbeat(heartbeat Heartbeat, age time.Duration, now time.Duration) bool {
-	member, known := t.members.Get(heartbeat.Name)
-	if !known || member.BootID != heartbeat.BootID || heartbeat.Sequence <= member.Sequence {
+	member, found := t.members.Get(heartbeat.Name)
+	if !found || member.BootID != heartbeat.BootID || heartbeat.Sequence <= member.Sequence {
 		t.Stats.StaleHeartbeats++
 		return false
 	}
@@ -41,14 +41,14 @@
 		age += t.lastStall
 	}
 	member.lastHeardAt = t.clock.at(now)
-	t.record(&member, heartbeat, now-age)
+	t.recordHeartbeat(&member, heartbeat, now-age)
 	t.applyHeartbeat(member, heartbeat.Draining, now)
 	t.publishView(now)
 	return true
 }
 
 // record copies a heartbeat that was written at writtenAt into a member.
-func (t *Table) record(member *Member, heartbeat Heartbeat, writtenAt time.Duration) {
+func (t *Table) recordHeartbeat(member *Member, heartbeat Heartbeat, writtenAt time.Duration) {
 	member.Sequence = heartbeat.Sequence
 	member.HeartbeatAt = writtenAt
 	member.ready = heartbeat.Ready
@@ -81,7 +81,7 @@
 		t.markReachable(member, now)
 	case member.State == StateSuspect && member.Reason == ReasonSilent:
 		t.reclassify(member, ReasonRecovered, now)
-	case member.State == StateJoining && member.ready && !member.reachability.lost:
+	case member.State == StateJoining && member.ready && !member.reachability.unreachable:
 		t.reclassify(member, ReasonReady, now)
 	default:
 		t.members = t.members.Set(member.Name, member)
@@ -92,7 +92,7 @@
 // unreachable: it lives, and has not flapped. A process that missed the refutation would otherwise declare gone by
 // itself whom all others reach, and hear no more of it for many seconds.
 func (t *Table) refutesReport(member Member) bool {
-	return member.reachability.lost && member.HeartbeatAt > member.reachability.reportedAt+t.config.SuspectAfter
+	return member.reachability.unreachable && member.HeartbeatAt > member.reachability.reportedAt+t.config.SuspectAfter
 }
 
 // HeartbeatInterval is the mean time between two heartbeats of a member. It grows with the fleet, so that the
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -51,18 +51,18 @@
 // of us: two halves that have declared each other gone find together by nothing else. random gives numbers from 0 to
 // 1.
 func (t *Table) NextJoinAddr(now time.Duration, random func() float64) (addr string, ok bool) {
-	knownAddrs := map[string]bool{t.self.GossipAddr: true}
+	reachableAddrs := map[string]bool{t.self.GossipAddr: true}
 	present := 0
 	for member := range t.view.All() {
-		if member.State.Present() && !member.reachability.lost {
-			knownAddrs[member.GossipAddr] = true
+		if member.State.Present() && !member.reachability.unreachable {
+			reachableAddrs[member.GossipAddr] = true
 			present++
 		}
 	}
-	for known := range knownAddrs {
-		delete(t.joins.attempts, known)
+	for reachable := range reachableAddrs {
+		delete(t.joins.attempts, reachable)
 	}
-	excluded := func(addr string) bool { return knownAddrs[addr] || !t.joins.due(addr, now) }
+	excluded := func(addr string) bool { return reachableAddrs[addr] || !t.joins.due(addr, now) }
 	t.joins.predecessorCallers = slices.DeleteFunc(t.joins.predecessorCallers, excluded)
 	if len(t.joins.predecessorCallers) > 0 { // called at once: each of them is called by us alone
 		return t.joins.predecessorCallers[0], true
@@ -74,14 +74,14 @@
 	if present > 0 && random() >= joinChance(present) {
 		return "", false
 	}
-	return pick(missing, random), true
+	return pickRandom(missing, random), true
 }
 
 // joinChance is the chance at which each member of a fleet calls, so that the whole fleet calls at its rate.
 func joinChance(present int) float64 { return float64(fleetJoinRate) / float64(present+1) }
 
 // pick chooses one of addrs, of which there has to be one.
-func pick(addrs []string, random func() float64) string {
+func pickRandom(addrs []string, random func() float64) string {
 	return addrs[min(len(addrs)-1, int(random()*float64(len(addrs))))]
 }
 
@@ -89,7 +89,7 @@
 func (t *Table) missingAddrs() []string {
 	missing := slices.Clone(t.config.Seeds)
 	for member := range t.view.All() {
-		if member.reachability.lost && member.Reason != ReasonLeft && member.State != StateFenced {
+		if member.reachability.unreachable && member.Reason != ReasonLeft && member.State != StateFenced {
 			missing = append(missing, member.GossipAddr)
 		}
 	}
@@ -134,12 +134,12 @@
 	if len(divergent) == 0 || random() >= chance {
 		return "", false
 	}
-	return pick(divergent, random), true
+	return pickRandom(divergent, random), true
 }
 
 // hasSettledView reports whether a member's last view digest is late enough to be compared with ours.
 func (t *Table) hasSettledView(member Member) bool {
-	return member.State.Available() && !member.reachability.lost && member.viewDigest != 0 &&
+	return member.State.Available() && !member.reachability.unreachable && member.viewDigest != 0 &&
 		member.HeartbeatAt > t.viewDigestSince+divergenceDelay/2
 }
 
--- a/internal/membership/join_test.go
+++ b/internal/membership/join_test.go
@@ -5,25 +5,25 @@
 // Which address to call: a seed where nobody is known, and a member that was lost without having left; seldom where
 // many miss the same, later each time, never a member that is here or has left.
 func Example_nextJoinAddr() {
-	x := newHarness(func(config *Config) { config.Seeds = []string{"a:1", "me:1", "z:1"} })
-	x.quiet = true
+	h := newHarness(func(config *Config) { config.Seeds = []string{"a:1", "me:1", "z:1"} })
+	h.quiet = true
 	half := func() float64 { return 0.4 }
-	fmt.Println(x.NextJoinAddr(x.now, half))
-	x.bringUp("a", "b", "c", "d", "e", "f")
-	fmt.Println(x.NextJoinAddr(x.now, half))
+	fmt.Println(h.NextJoinAddr(h.now, half))
+	h.bringUp("a", "b", "c", "d", "e", "f")
+	fmt.Println(h.NextJoinAddr(h.now, half))
 	for range 3 {
-		x.RecordJoin("z:1", false, x.now, half)
-		from := x.now
-		for _, due := x.NextJoinAddr(x.now, half); !due; _, due = x.NextJoinAddr(x.now, half) {
-			x.advance(s / 2)
+		h.RecordJoin("z:1", false, h.now, half)
+		from := h.now
+		for _, due := h.NextJoinAddr(h.now, half); !due; _, due = h.NextJoinAddr(h.now, half) {
+			h.advance(s / 2)
 		}
-		fmt.Println("again after", x.now-from)
+		fmt.Println("again after", h.now-from)
 	}
-	x.RecordJoin("z:1", false, x.now, half)
-	x.HandleLeft(ID{"b", 7}, x.now)
-	x.HandleUnreachable(ID{"c", 7}, x.now)
-	fmt.Println(x.NextJoinAddr(x.now, half))
-	fmt.Println(x.NextJoinAddr(x.now, func() float64 { return 0.99 }))
+	h.RecordJoin("z:1", false, h.now, half)
+	h.HandleLeft(ID{"b", 7}, h.now)
+	h.HandleUnreachable(ID{"c", 7}, h.now)
+	fmt.Println(h.NextJoinAddr(h.now, half))
+	fmt.Println(h.NextJoinAddr(h.now, func() float64 { return 0.99 }))
 	// Output:
 	// a:1 true
 	// z:1 true
@@ -37,19 +37,19 @@
 // A member that called our predecessor is called at once and not by chance, once; not one that is known already, and
 // a few of them at the most.
 func Example_predecessorCallers() {
-	x := newHarness(func(config *Config) { config.Seeds = []string{"me:1"} })
-	x.quiet = true
+	h := newHarness(func(config *Config) { config.Seeds = []string{"me:1"} })
+	h.quiet = true
 	never := func() float64 { return 0.99 }
-	x.bringUp("a", "b")
-	x.AddPredecessorCaller("a:1")
-	fmt.Println(x.NextJoinAddr(x.now, never))
+	h.bringUp("a", "b")
+	h.AddPredecessorCaller("a:1")
+	fmt.Println(h.NextJoinAddr(h.now, never))
 	for _, addr := range []string{"c:1", "c:1", "d:1", "e:1", "f:1", "g:1"} {
-		x.AddPredecessorCaller(addr)
+		h.AddPredecessorCaller(addr)
 	}
 	for range 5 {
-		addr, due := x.NextJoinAddr(x.now, never)
+		addr, due := h.NextJoinAddr(h.now, never)
 		fmt.Println(addr, due)
-		x.RecordJoin(addr, addr != "d:1", x.now, never)
+		h.RecordJoin(addr, addr != "d:1", h.now, never)
 	}
 	// Output:
 	//  false
@@ -62,14 +62,14 @@
 
 // A member whose view differs from ours is called once both have settled, not while either still changes.
 func Example_divergentViews() {
-	x := newHarness()
-	x.quiet = true
-	x.bringUp("a", "b")
+	h := newHarness()
+	h.quiet = true
+	h.bringUp("a", "b")
 	always := func() float64 { return 0 }
-	x.advance(4 * s)
-	fmt.Println(x.NextJoinAddr(x.now, always))
+	h.advance(4 * s)
+	fmt.Println(h.NextJoinAddr(h.now, always))
 	publish := func(name Name, sequence, viewDigest uint64) {
-		x.publish(Heartbeat{
+		h.publish(Heartbeat{
 			ID:         ID{name, 7},
 			Sequence:   sequence,
 			Ready:      true,
@@ -77,16 +77,16 @@
 			ViewDigest: viewDigest,
 		}, 0)
 	}
-	publish("b", 2, x.ViewDigest())
-	fmt.Println(x.NextJoinAddr(x.now, always))
-	publish("a", 2, x.ViewDigest()^Fingerprint(ID{"c", 7}))
-	fmt.Println(x.NextJoinAddr(x.now, always))
-	x.alive("d", 7, 1)
-	changedAt := x.now
-	x.now += divergenceDelay
+	publish("b", 2, h.ViewDigest())
+	fmt.Println(h.NextJoinAddr(h.now, always))
+	publish("a", 2, h.ViewDigest()^Fingerprint(ID{"c", 7}))
+	fmt.Println(h.NextJoinAddr(h.now, always))
+	h.alive("d", 7, 1)
+	changedAt := h.now
+	h.now += divergenceDelay
 	publish("a", 3, 1)
-	fmt.Println(x.NextJoinAddr(changedAt+divergenceDelay/2, always))
-	fmt.Println(x.NextJoinAddr(changedAt+2*divergenceDelay, always))
+	fmt.Println(h.NextJoinAddr(changedAt+divergenceDelay/2, always))
+	fmt.Println(h.NextJoinAddr(changedAt+2*divergenceDelay, always))
 	// Output:
 	//  false
 	//  false
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -71,10 +71,10 @@
 
 // reachability is what the failure detector reported of a member.
 type reachability struct {
-	lost       bool          // the detector does not reach it
-	lostSince  time.Duration // since when, by the judgement clock
-	reportedAt time.Duration // when the detector said so, by our clock
-	flapExempt bool          // it was lost while we were not healthy ourselves, or with many others
+	unreachable      bool          // the detector does not reach it
+	unreachableSince time.Duration // since when, by the judgement clock
+	reportedAt       time.Duration // when the detector said so, by our clock
+	flapExempt       bool          // it was lost while we were not healthy ourselves, or with many others
 }
 
 // Metric gives the value of a metric and its age; ok is false if the member has no such metric or it is past its TTL.
--- a/internal/membership/reachability.go
+++ b/internal/membership/reachability.go
@@ -4,18 +4,18 @@
 
 // HandleUnreachable takes the failure detector's report that it does not reach a process any more.
 func (t *Table) HandleUnreachable(id ID, now time.Duration) {
-	member, present := t.presentMember(id)
+	member, present := t.findPresentMember(id)
 	switch {
 	case !present:
 		return
 	case member.State == StateLeaving:
 		t.markLeft(member, now)
-	case !member.reachability.lost:
+	case !member.reachability.unreachable:
 		member.reachability = reachability{
-			lost:       true,
-			lostSince:  t.clock.at(now),
-			reportedAt: now,
-			flapExempt: !t.healthy(now),
+			unreachable:      true,
+			unreachableSince: t.clock.at(now),
+			reportedAt:       now,
+			flapExempt:       !t.locallyHealthy(now),
 		}
 		t.members = t.members.Set(member.Name, member)
 	default:
@@ -26,40 +26,40 @@
 
 // HandleLeft takes a process's own word that it has left.
 func (t *Table) HandleLeft(id ID, now time.Duration) {
-	if member, present := t.presentMember(id); present {
+	if member, present := t.findPresentMember(id); present {
 		t.markLeft(member, now)
 		t.publishView(now)
 	}
 }
 
 // presentMember gives the member that is this very process, if it is part of the fleet.
-func (t *Table) presentMember(id ID) (member Member, present bool) {
-	member, known := t.members.Get(id.Name)
-	return member, known && member.BootID == id.BootID && member.State.Present()
+func (t *Table) findPresentMember(id ID) (member Member, present bool) {
+	member, found := t.members.Get(id.Name)
+	return member, found && member.BootID == id.BootID && member.State.Present()
 }
 
 func (t *Table) markLeft(member Member, now time.Duration) {
-	member.reachability.lost = true
+	member.reachability.unreachable = true
 	t.transition(member, StateGone, ReasonLeft, now)
 }
 
 // markReachable takes a member that the detector reaches, or reaches again.
 func (t *Table) markReachable(member Member, now time.Duration) {
-	if !member.reachability.lost && member.State != StateGone {
+	if !member.reachability.unreachable && member.State != StateGone {
 		t.transition(member, member.State, member.Reason, now)
 		return
 	}
 	if member.State != StateSuspect && member.State != StateGone { // the report was false, and is refuted in time
 		t.Stats.RefutedSuspicions++
-		member.reachability.lost = false
+		member.reachability.unreachable = false
 		t.transition(member, member.State, member.Reason, now)
 		return
 	}
 	// A member that comes back with many others, or while we ourselves were cut off, has not flapped.
 	if !member.reachability.flapExempt {
-		member.flapping.add(t.config.FlapDamping, now)
+		member.flapping.addFlap(t.config.FlapDamping, now)
 	}
-	member.reachability.lost = false
+	member.reachability.unreachable = false
 	member.reachability.flapExempt = false
 	member.lastHeardAt = t.clock.at(now)
 	t.reclassify(member, ReasonRecovered, now)
--- a/internal/membership/reachability_test.go
+++ b/internal/membership/reachability_test.go
@@ -8,15 +8,15 @@
 // A member's life: its descriptor, ready, warmed up by how long it has been ready and not by when we heard, draining,
 // left.
 func Example() {
-	x := newHarness()
-	x.alive("a", 7, 1)
-	x.HandleHeartbeat(Heartbeat{ID: ID{"a", 7}, Sequence: 1, Ready: true, ReadyFor: 3 * s}, s, x.now)
-	x.printChanges()
-	x.advanceWithHeartbeats(2*s, "a")
-	x.HandleHeartbeat(Heartbeat{ID: ID{"a", 7}, Sequence: 9, Ready: true, Draining: true}, 0, x.now)
-	x.printChanges()
-	x.HandleLeft(ID{"a", 7}, x.now)
-	x.printChanges()
+	h := newHarness()
+	h.alive("a", 7, 1)
+	h.HandleHeartbeat(Heartbeat{ID: ID{"a", 7}, Sequence: 1, Ready: true, ReadyFor: 3 * s}, s, h.now)
+	h.printChanges()
+	h.advanceWithHeartbeats(2*s, "a")
+	h.HandleHeartbeat(Heartbeat{ID: ID{"a", 7}, Sequence: 9, Ready: true, Draining: true}, 0, h.now)
+	h.printChanges()
+	h.HandleLeft(ID{"a", 7}, h.now)
+	h.printChanges()
 	// Output:
 	// 0s a 1: joining -> joining, claimed
 	// 0s a 1: joining -> warming, ready
@@ -27,14 +27,14 @@
 
 // A death is reported, suspected, declared. A false report of the detector that is refuted in time changes nothing.
 func Example_death() {
-	x := newHarness()
-	x.bringUp("a", "b")
-	x.HandleUnreachable(ID{"a", 7}, x.now)
-	x.HandleUnreachable(ID{"b", 7}, x.now)
-	x.advance(s / 2)
-	x.alive("b", 7, 1)
-	x.advanceWithHeartbeats(8*s, "b")
-	fmt.Println(x.Stats.RefutedSuspicions)
+	h := newHarness()
+	h.bringUp("a", "b")
+	h.HandleUnreachable(ID{"a", 7}, h.now)
+	h.HandleUnreachable(ID{"b", 7}, h.now)
+	h.advance(s / 2)
+	h.alive("b", 7, 1)
+	h.advanceWithHeartbeats(8*s, "b")
+	fmt.Println(h.Stats.RefutedSuspicions)
 	// Output:
 	// 0s a 1: joining -> joining, claimed
 	// 0s a 1: joining -> up, ready
@@ -48,15 +48,15 @@
 // A member that published a moment ago is not in doubt before its next heartbeat is due; a heartbeat that it wrote well
 // after the detector's report refutes that, also where all others have heard long ago that it is there.
 func Example_missedRefutation() {
-	x := newHarness()
-	x.bringUp("a", "b")
-	x.advanceWithHeartbeats(4*s, "a", "b")
-	x.HandleUnreachable(ID{"a", 7}, x.now)
-	x.advanceWithHeartbeats(4*s, "a", "b")
-	fmt.Println(x.Stats.RefutedSuspicions)
-	x.HandleUnreachable(ID{"a", 7}, x.now)
-	x.advanceWithHeartbeats(4*s, "b") // in doubt before it speaks again
-	x.advanceWithHeartbeats(2*s, "a", "b")
+	h := newHarness()
+	h.bringUp("a", "b")
+	h.advanceWithHeartbeats(4*s, "a", "b")
+	h.HandleUnreachable(ID{"a", 7}, h.now)
+	h.advanceWithHeartbeats(4*s, "a", "b")
+	fmt.Println(h.Stats.RefutedSuspicions)
+	h.HandleUnreachable(ID{"a", 7}, h.now)
+	h.advanceWithHeartbeats(4*s, "b") // in doubt before it speaks again
+	h.advanceWithHeartbeats(2*s, "a", "b")
 	// Output:
 	// 0s a 1: joining -> joining, claimed
 	// 0s a 1: joining -> up, ready
@@ -69,34 +69,34 @@
 
 // A member that flaps is taken back later each time, and in the end like any other.
 func Example_flapping() {
-	x := newHarness(func(config *Config) { config.GoneAfter = time.Minute })
-	x.quiet = true
-	x.bringUp("a", "b", "c")
+	h := newHarness(func(config *Config) { config.GoneAfter = time.Minute })
+	h.quiet = true
+	h.bringUp("a", "b", "c")
 	for _, flaps := range []int{3, 4, 6, 8, 20} {
 		for range flaps {
-			x.advanceWithHeartbeats(2*s, "b", "c")
-			x.HandleUnreachable(ID{"a", 7}, x.now)
-			x.advanceWithHeartbeats(2*s, "b", "c")
-			x.alive("a", 7, 1)
+			h.advanceWithHeartbeats(2*s, "b", "c")
+			h.HandleUnreachable(ID{"a", 7}, h.now)
+			h.advanceWithHeartbeats(2*s, "b", "c")
+			h.alive("a", 7, 1)
 		}
-		began := x.now
-		for m, _ := x.View().Get("a"); m.State != StateUp; m, _ = x.View().Get("a") {
-			x.advanceWithHeartbeats(s, "a", "b", "c")
+		began := h.now
+		for m, _ := h.View().Get("a"); m.State != StateUp; m, _ = h.View().Get("a") {
+			h.advanceWithHeartbeats(s, "a", "b", "c")
 		}
-		fmt.Println(flaps, x.now-began)
-		x.advanceWithHeartbeats(10*time.Minute, "a", "b", "c")
+		fmt.Println(flaps, h.now-began)
+		h.advanceWithHeartbeats(10*time.Minute, "a", "b", "c")
 	}
 	// many that come back together have not flapped: the network between was cut
 	for range 5 {
 		for _, n := range []Name{"a", "b", "c"} {
-			x.HandleUnreachable(ID{n, 7}, x.now)
+			h.HandleUnreachable(ID{n, 7}, h.now)
 		}
-		x.advance(2 * s)
+		h.advance(2 * s)
 		for _, n := range []Name{"a", "b", "c"} {
-			x.alive(n, 7, 1)
+			h.alive(n, 7, 1)
 		}
 	}
-	fmt.Println(x.View().Count(StateUp))
+	fmt.Println(h.View().Count(StateUp))
 	// Output:
 	// 3 0s
 	// 4 55s
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -43,7 +43,7 @@
 	lastTick          time.Duration
 	lastStall         time.Duration // how long this process last stood still
 	settlingUntil     time.Duration // until when what is known here may be out of date after a stall
-	clock             judgementClock
+	clock             pausableClock
 	incarnationRaises int // how often our own incarnation was raised
 	fenced            bool
 	viewDigest        uint64        // of our view with ourselves in it
@@ -111,8 +111,8 @@
 
 // transition stores a member in a state, and records the change if it is one.
 func (t *Table) transition(member Member, state State, reason Reason, now time.Duration) {
-	previous, known := t.members.Get(member.Name)
-	if known && previous.State == state && previous.Reason == reason && previous.BootID == member.BootID {
+	previous, found := t.members.Get(member.Name)
+	if found && previous.State == state && previous.Reason == reason && previous.BootID == member.BootID {
 		t.members = t.members.Set(member.Name, member)
 		return
 	}
@@ -121,7 +121,7 @@
 	member.StateSince = now
 	t.members = t.members.Set(member.Name, member)
 	from := previous.State
-	if !known || previous.BootID != member.BootID {
+	if !found || previous.BootID != member.BootID {
 		from = StateJoining
 	}
 	t.recordChange(member, from, state, reason)
@@ -154,7 +154,7 @@
 		t.settlingUntil = now + t.config.SettleTime
 		t.clock.skip(elapsed)
 	}
-	t.connectivity.advance(now, t.presentMembers(), stalled)
+	t.connectivity.advance(now, t.countPresentMembers(), stalled)
 	health := t.localHealth(now)
 	if health.CanDeclareGone() {
 		t.clock.resume(now)
@@ -162,7 +162,7 @@
 		t.clock.pause(now)
 	}
 	previousMembers := t.members
-	t.exemptMassLoss()
+	t.exemptMassOutage()
 	if !t.clock.paused {
 		for member := range allMembers(previousMembers) {
 			t.applyDeadlines(member, now)
@@ -178,24 +178,24 @@
 // applyDeadlines carries a member over the deadlines that have come.
 func (t *Table) applyDeadlines(member Member, now time.Duration) {
 	damping := t.config.FlapDamping
-	if member.flapping.suppressed && member.flapping.decayed(damping, now) < damping.ReuseLimit {
+	if member.flapping.suppressed && member.flapping.decayedValue(damping, now) < damping.ReuseLimit {
 		member.flapping.suppressed = false
-		if member.State == StateSuspect && !member.reachability.lost {
+		if member.State == StateSuspect && !member.reachability.unreachable {
 			t.reclassify(member, ReasonRecovered, now)
 			return
 		}
 		t.members = t.members.Set(member.Name, member)
 	}
-	lostFor := t.clock.at(now) - member.reachability.lostSince
+	unreachableFor := t.clock.at(now) - member.reachability.unreachableSince
 	switch member.State {
 	case StateJoining, StateWarming, StateUp:
 		t.applyServingDeadlines(member, now)
 	case StateSuspect:
-		if member.reachability.lost && lostFor >= t.config.SuspectAfter+t.config.GoneAfter {
+		if member.reachability.unreachable && unreachableFor >= t.config.SuspectAfter+t.config.GoneAfter {
 			t.transition(member, StateGone, ReasonTimedOut, now)
 		}
 	case StateLeaving:
-		if member.reachability.lost {
+		if member.reachability.unreachable {
 			t.transition(member, StateGone, ReasonLeft, now)
 		}
 	}
@@ -203,12 +203,12 @@
 
 // applyServingDeadlines is applyDeadlines for a member that is not in doubt yet.
 func (t *Table) applyServingDeadlines(member Member, now time.Duration) {
-	judgementNow := t.clock.at(now)
-	lostFor := judgementNow - member.reachability.lostSince
-	silentFor := judgementNow - member.lastHeardAt
+	clockNow := t.clock.at(now)
+	unreachableFor := clockNow - member.reachability.unreachableSince
+	silentFor := clockNow - member.lastHeardAt
 	nextHeartbeatMissed := now >= member.HeartbeatAt+t.heartbeatGrace()+t.config.SuspectAfter
 	switch {
-	case member.reachability.lost && lostFor >= t.config.SuspectAfter && nextHeartbeatMissed:
+	case member.reachability.unreachable && unreachableFor >= t.config.SuspectAfter && nextHeartbeatMissed:
 		t.transition(member, StateSuspect, ReasonUnreachable, now)
 	case member.State == StateWarming && now >= member.warmUpUntil:
 		t.transition(member, StateUp, ReasonWarmedUp, now)
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -13,19 +13,19 @@
 // tableMachine is a table under messages in any order, with what has to hold of it.
 type tableMachine struct {
 	*tableHarness
-	names   []Name
-	newest  map[Name]Descriptor  // the newest that was seen of each name
-	lostFor map[ID]time.Duration // how long each process has been lost while this one could judge
-	view    *View                // the last that was published, and its digest at that time
-	digest  uint64
+	names          []Name
+	newest         map[Name]Descriptor  // the newest that was seen of each name
+	unreachableFor map[ID]time.Duration // how long each process has been lost while this one could judge
+	view           *View                // the last that was published, and its digest at that time
+	digest         uint64
 }
 
 func newTableMachine() *tableMachine {
 	machine := &tableMachine{
-		tableHarness: newHarness(func(config *Config) { config.MaxMembers = 4 }),
-		names:        []Name{"a", "b", "c", "d", "e"},
-		newest:       map[Name]Descriptor{},
-		lostFor:      map[ID]time.Duration{},
+		tableHarness:   newHarness(func(config *Config) { config.MaxMembers = 4 }),
+		names:          []Name{"a", "b", "c", "d", "e"},
+		newest:         map[Name]Descriptor{},
+		unreachableFor: map[ID]time.Duration{},
 	}
 	machine.quiet = true
 	machine.view = machine.View()
@@ -41,15 +41,15 @@
 	id := m.drawID(t)
 	incarnation := Incarnation(rapid.IntRange(1, 4).Draw(t, "incarnation"))
 	if m.HandleAlive(Descriptor{Name: id.Name, BootID: id.BootID, Incarnation: incarnation}, m.now) == AliveAccepted {
-		delete(m.lostFor, id)
+		delete(m.unreachableFor, id)
 	}
 }
 
 func (m *tableMachine) lose(t *rapid.T) {
 	id := m.drawID(t)
-	if _, already := m.lostFor[id]; !already {
-		if member, known := m.View().Get(id.Name); known && member.BootID == id.BootID {
-			m.lostFor[id] = 0
+	if _, already := m.unreachableFor[id]; !already {
+		if member, found := m.View().Get(id.Name); found && member.BootID == id.BootID {
+			m.unreachableFor[id] = 0
 		}
 	}
 	if rapid.Bool().Draw(t, "left") {
@@ -76,15 +76,15 @@
 	for range rapid.IntRange(1, 40).Draw(t, "steps") {
 		m.now += step
 		if m.View().LocalHealth.CanDeclareGone() {
-			for id := range m.lostFor {
-				m.lostFor[id] += step
+			for id := range m.unreachableFor {
+				m.unreachableFor[id] += step
 			}
 		}
 		m.Tick(m.now)
 		for _, change := range m.TakeChanges() {
 			timedOut := change.To == StateGone && change.Reason == ReasonTimedOut
-			if timedOut && m.lostFor[change.ID] < m.config.SuspectAfter+m.config.GoneAfter {
-				t.Fatalf("%v declared gone after %v", change.ID, m.lostFor[change.ID])
+			if timedOut && m.unreachableFor[change.ID] < m.config.SuspectAfter+m.config.GoneAfter {
+				t.Fatalf("%v declared gone after %v", change.ID, m.unreachableFor[change.ID])
 			}
 		}
 	}
@@ -101,7 +101,7 @@
 	m.view = m.View()
 	m.digest = m.view.Digest()
 	for name := range m.newest {
-		if _, known := m.view.Get(name); !known {
+		if _, found := m.view.Get(name); !found {
 			delete(m.newest, name) // evicted
 		}
 	}
@@ -135,35 +135,35 @@
 
 // A view of 1,000 members in simulated time: five minutes in which each publishes, a tenth dies, a tenth is replaced.
 func TestThousandMembers(t *testing.T) {
-	x := newHarness(func(config *Config) { config.MaxMembers = 1200 })
-	x.quiet = true
+	h := newHarness(func(config *Config) { config.MaxMembers = 1200 })
+	h.quiet = true
 	var names []Name
 	for i := range 1000 {
 		names = append(names, Name(fmt.Sprint("n", i)))
 	}
-	x.bringUp(names...)
+	h.bringUp(names...)
 	for step := range 300 {
 		for i := step % 33; i < len(names); i += 33 {
-			m, _ := x.View().Get(names[i])
-			if m.reachability.lost {
+			m, _ := h.View().Get(names[i])
+			if m.reachability.unreachable {
 				continue
 			}
-			x.heartbeat(names[i], m.BootID, m.Sequence+1)
+			h.heartbeat(names[i], m.BootID, m.Sequence+1)
 		}
 		if step == 100 {
 			for i, n := range names {
 				switch i % 10 {
 				case 0:
-					x.HandleUnreachable(ID{n, 7}, x.now)
+					h.HandleUnreachable(ID{n, 7}, h.now)
 				case 1:
-					x.alive(n, 8, 2)
-					x.heartbeat(n, 8, 1)
+					h.alive(n, 8, 2)
+					h.heartbeat(n, 8, 1)
 				}
 			}
 		}
-		x.advance(s)
+		h.advance(s)
 	}
-	if v := x.View(); v.Count(StateUp) != 900 || v.Count(StateGone) != 100 || x.HeartbeatInterval() < 33*s {
-		t.Fatal(v.Count(StateUp), v.Count(StateGone), x.HeartbeatInterval())
+	if v := h.View(); v.Count(StateUp) != 900 || v.Count(StateGone) != 100 || h.HeartbeatInterval() < 33*s {
+		t.Fatal(v.Count(StateUp), v.Count(StateGone), h.HeartbeatInterval())
 	}
 }
