--- a/internal/membership/alive.go
+++ b/internal/membership/alive.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// AliveResult is what became of a descriptor that was received.
+// AliveResult is the result of processing a received descriptor or fence notice.
 type AliveResult uint8
 
 // The results.
 const (
-	AliveAccepted          AliveResult = iota // it is in the table
-	AliveOutdated                             // of an earlier process of the name, which has to be notified
-	AliveTableFull                            // there is no room
-	AliveIncarnationRaised                    // another has our name: we took a higher incarnation and have to announce it
-	AliveFenced                               // a later process has our name: we are fenced
-	AliveOwn                                  // our own descriptor
+	AliveAccepted          AliveResult = iota // the descriptor was stored in the table
+	AliveOutdated                             // it describes an earlier process of the name, which must be notified
+	AliveTableFull                            // the table has no room for another member
+	AliveIncarnationRaised                    // another process has this name: the own incarnation was raised, announce it
+	AliveFenced                               // a later process has this name: this process is fenced
+	AliveOwn                                  // it is the descriptor of this process
 )
 
 var aliveResultNames = [...]string{"accepted", "outdated", "table full", "incarnation raised", "fenced", "own"}
 
 func (r AliveResult) String() string { return aliveResultNames[r] }
 
-// HandleAlive takes a descriptor that gossip brought, of a member that the failure detector reaches.
+// HandleAlive processes a descriptor that was received by gossip, of a member that the failure detector can reach.
 func (t *Table) HandleAlive(descriptor Descriptor, now time.Duration) AliveResult {
 	if descriptor.Name == t.self.Name {
 		return t.resolveNameConflict(descriptor, now)
@@ -27,7 +27,7 @@
 	member, found := t.members.Get(descriptor.Name)
 	switch {
 	case !found && t.members.Len() >= t.config.MaxMembers && !t.evictGone(now, true):
-		// Members that are here stay, so that made-up names by the thousand cannot fill the memory or push them out.
+		// Present members are not evicted, so thousands of made-up names can neither fill the memory nor displace them.
 		t.Stats.RejectedFull++
 		return AliveTableFull
 	case found && descriptor.olderThan(member.Descriptor):
@@ -37,7 +37,7 @@
 		t.transition(newMember(descriptor), StateJoining, ReasonDiscovered, now)
 	case descriptor.BootID != member.BootID:
 		t.supersede(member, descriptor, now)
-	default: // the same process, perhaps with a raised incarnation, perhaps back
+	default: // the same process; it may have raised its incarnation or be reachable again
 		member.Descriptor = descriptor
 		t.markReachable(member, now)
 	}
@@ -49,7 +49,8 @@
 	return Member{Descriptor: descriptor, fingerprint: Fingerprint(descriptor.ID())}
 }
 
-// supersede puts a new process in the place of the one that had its name, whatever that one still publishes.
+// supersede replaces the previous process of a name by a new one. Messages that the previous process still publishes
+// do not affect the new one.
 func (t *Table) supersede(previous Member, descriptor Descriptor, now time.Duration) {
 	if previous.State.Present() {
 		t.recordChange(previous, previous.State, StateFenced, ReasonSuperseded)
@@ -62,14 +63,16 @@
 	t.transition(successor, StateJoining, ReasonDiscovered, now)
 }
 
-// maxIncarnationRaises is how often our own incarnation is raised: two that start at one moment raise in turn, and are
-// told apart by their boot IDs before that is used up.
+// maxIncarnationRaises is the maximum number of times that this process raises its own incarnation. Two processes that
+// start under one name at the same moment raise their incarnations in turn. Boot IDs order equal incarnations, and this
+// limit ends the exchange.
 const maxIncarnationRaises = 3
 
-// resolveNameConflict decides about another process with our name. Shortly after our start it is most likely our
-// predecessor, of whom some still speak: we take a higher incarnation. Later it is our successor, and we are fenced.
-// The incarnation is raised above what was seen and not read from the clock, which may have gone back between two
-// starts.
+// resolveNameConflict handles a descriptor of another process that has the name of this one. Shortly after the start
+// of this process, the other one is most likely its predecessor, about which some members still gossip: this process
+// raises its own incarnation above the predecessor's. Later, the other one is the successor, and this process is
+// fenced. The new incarnation is derived from the received one and not from the clock, which may have gone back between
+// the two starts.
 func (t *Table) resolveNameConflict(other Descriptor, now time.Duration) AliveResult {
 	if other.BootID == t.self.BootID {
 		return AliveOwn
@@ -92,7 +95,7 @@
 	return AliveFenced
 }
 
-// HandleFenceNotice takes another member's notice that a later process has our name.
+// HandleFenceNotice processes a notice from another member that a later process has the name of this process.
 func (t *Table) HandleFenceNotice(incarnation Incarnation, bootID BootID, now time.Duration) AliveResult {
 	other := t.self
 	other.Incarnation = incarnation
--- a/internal/membership/clock.go
+++ b/internal/membership/clock.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// judgementClock is the time by which other members are judged. It stands still while this process may not judge, so
-// that no deadline of theirs runs out by our own fault: without it, a process that was paused, starved or cut off
-// would declare the whole fleet gone as soon as it runs again.
+// pausableClock measures the time that counts towards the deadlines of other members. It is paused while this process
+// may not declare members gone, so that no member times out because of a local fault. Without it, a process that was
+// suspended, starved of CPU or cut off from the network would declare the whole fleet gone as soon as it resumes.
 type pausableClock struct {
 	paused      bool
-	pausedSince time.Duration // while paused, by our clock
-	pausedTotal time.Duration // how long it stood still before
+	pausedSince time.Duration // on the local clock; valid while paused
+	pausedTotal time.Duration // total duration of earlier pauses and skipped stalls
 }
 
-// at translates a time of ours, which must not be earlier than the last pause.
+// at converts a time on the local clock to this clock. now must not be earlier than the last pause.
 func (c *pausableClock) at(now time.Duration) time.Duration {
 	if c.paused {
 		now = c.pausedSince
@@ -19,7 +19,7 @@
 	return now - c.pausedTotal
 }
 
-// skip takes time out during which this process stood still.
+// skip excludes a stall of this process. During a pause, the stall is excluded already.
 func (c *pausableClock) skip(stall time.Duration) {
 	if !c.paused {
 		c.pausedTotal += stall
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-// Config is what the decisions go by.
+// Config holds the limits and timeouts of the membership decisions.
 type Config struct {
-	MaxMembers         int           // members kept, in whatever state; those gone are dropped first
-	GoneRetention      time.Duration // how long a member that is gone is remembered
-	SuspectAfter       time.Duration // from the detector's report to suspect; a false report is refuted within it
+	MaxMembers         int           // maximum number of members in any state; gone ones are evicted first
+	GoneRetention      time.Duration // how long a gone member is kept in the table
+	SuspectAfter       time.Duration // from the detector's report to suspect; a false report can be refuted meanwhile
 	GoneAfter          time.Duration // from suspect to gone
-	SilentAfter        time.Duration // without a heartbeat from one that serves, beyond the TTL of its metrics
-	StallThreshold     time.Duration // between two ticks; longer, and this process stood still
-	SettleTime         time.Duration // after a stall, until what is known here is up to date again
-	HeartbeatInterval  time.Duration // between two heartbeats of a member, in a small fleet
-	FleetHeartbeatRate float64       // heartbeats a second in the whole fleet, in a large one
-	MaxMetrics         int           // of a member
+	SilentAfter        time.Duration // time without a heartbeat, beyond the metric TTL, until a serving member is suspect
+	StallThreshold     time.Duration // a longer time between two ticks means that this process was stalled
+	SettleTime         time.Duration // time after a stall until the local view is up to date again
+	HeartbeatInterval  time.Duration // mean time between two heartbeats of a member in a small fleet
+	FleetHeartbeatRate float64       // heartbeats per second of all members together in a large fleet
+	MaxMetrics         int           // maximum number of metrics in a heartbeat
 	FlapDamping        FlapDampingConfig
 	Connectivity       ConnectivityConfig
-	Seeds              []string // gossip addresses that are called while nobody there is known
+	Seeds              []string // gossip addresses to join while no member with that address is known
 }
 
-// FlapDampingConfig is how members that come and go are held back.
+// FlapDampingConfig configures how long members that repeatedly leave and return stay suspect.
 type FlapDampingConfig struct {
-	SuppressLimit float64       // penalty from which a member that comes back stays suspect
-	ReuseLimit    float64       // penalty below which it is taken back
-	MaxPenalty    float64       // the penalty never grows beyond it
-	HalfLife      time.Duration // in which the penalty decays by half
+	SuppressLimit float64       // from this penalty on, a returning member stays suspect
+	ReuseLimit    float64       // below this penalty, the member becomes available again
+	MaxPenalty    float64       // upper limit of the penalty
+	HalfLife      time.Duration // time in which the penalty decays by half
 }
 
-// ConnectivityConfig is how a process tells that it is cut off itself.
+// ConnectivityConfig configures how a process detects that it is cut off from the fleet.
 type ConnectivityConfig struct {
-	Window        time.Duration // in which distinct senders are counted
-	DegradedBelow float64       // fraction of the usual number of senders
-	IsolatedBelow float64       // fraction of the usual number of senders
-	AdaptAfter    time.Duration // after which what is heard becomes the usual, whatever it is
-	AckTimeout    time.Duration // without an answer to a probe of ours: nobody hears us
+	Window        time.Duration // period over which distinct senders are counted
+	DegradedBelow float64       // fraction of the usual number of senders below which the process is degraded
+	IsolatedBelow float64       // fraction of the usual number of senders below which the process is isolated
+	AdaptAfter    time.Duration // time after which a lower number of senders becomes the new baseline
+	AckTimeout    time.Duration // time without an ack to an own probe until the process counts as unanswered
 }
 
-// DefaultConfig is what holds unless configured otherwise.
+// DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	return Config{
 		MaxMembers:         4096,
--- a/internal/membership/connectivity.go
+++ b/internal/membership/connectivity.go
@@ -6,54 +6,54 @@
 	"time"
 )
 
-// LocalHealth is how far a process may trust what it observes of others. Its names are shown on status sockets.
+// LocalHealth is how far a process may trust its observations of other members. Its names are shown on status sockets.
 type LocalHealth uint8
 
 // The values of LocalHealth.
 const (
-	LocalLearning   LocalHealth = iota // it has not listened for long enough to know what is usual
-	LocalHealthy                       // it hears and is heard as usual
-	LocalDegraded                      // it hears well under the usual: a part of the fleet may be cut off from it
-	LocalIsolated                      // it hears nearly nobody: it is cut off itself
-	LocalUnanswered                    // it hears others, but nobody answers it
-	LocalResumed                       // it stood still until just now, and what it knows is out of date
-	LocalFenced                        // a later process has its name
+	LocalLearning   LocalHealth = iota // it has not listened for long enough to have a baseline
+	LocalHealthy                       // it receives messages and acks as usual
+	LocalDegraded                      // it hears far fewer members than usual: part of the fleet may be cut off from it
+	LocalIsolated                      // it hears almost no members: it is cut off itself
+	LocalUnanswered                    // it hears other members, but none answers its probes
+	LocalResumed                       // it has just resumed after a stall, and its view is out of date
+	LocalFenced                        // a later process has taken its name
 )
 
 var localHealthNames = [...]string{"young", "sound", "thin", "cut-off", "unheard", "woken", "fenced"}
 
 func (h LocalHealth) String() string { return localHealthNames[h] }
 
-// CanDeclareGone reports whether a process of this health may declare others gone.
+// CanDeclareGone reports whether a process with this health may declare other members gone.
 func (h LocalHealth) CanDeclareGone() bool {
 	return h == LocalLearning || h == LocalHealthy || h == LocalDegraded
 }
 
 const (
-	// windowSlots is into how many slots a window is divided; it moves on by one of them.
+	// windowSlots is the number of slots of a window. The window advances by one slot at a time.
 	windowSlots = 3
-	// baselineWindows is of how many windows, each one slot after the last, the baseline is the median.
+	// baselineWindows is the maximum number of windows, each one slot after the previous, whose median is the baseline.
 	baselineWindows = 30
-	// minBaselineWindows is how many of them there have to be before there is a baseline.
+	// minBaselineWindows is the number of recorded windows from which on there is a baseline.
 	minBaselineWindows = 6
-	// maxSenders bounds the senders of a slot: a flood of packets with made-up senders must not fill the memory, and
-	// says nothing new past this.
+	// maxSenders is the maximum number of senders recorded per slot. A flood of packets with made-up senders must not fill
+	// the memory, and further senders would not change the result.
 	maxSenders = 4096
 )
 
-// connectivityMonitor compares how many members a process hears with how many it usually hears. It is owned by the
-// table and is given the sender of each message, and each answer to a probe of ours.
+// connectivityMonitor compares the number of members that this process hears with the usual number. It belongs to the
+// table, which reports the sender of each message and each ack to a probe of this process.
 type connectivityMonitor struct {
 	config        ConnectivityConfig
-	slots         [windowSlots]map[string]struct{} // senders by slot of the window
-	currentSlot   int                              // the slot that fills
-	nextRotation  time.Duration                    // when the next one begins
-	history       []int                            // senders in each of the last windows, the oldest first
-	lowWindows    int                              // windows in a row well under the baseline
-	lowSince      time.Duration                    // when the first of them ended
-	silentWindows int                              // windows in a row without any sender
-	heardFraction float64                          // of the baseline, 1 at most
-	lastAck       time.Duration                    // when a probe of ours was last answered
+	slots         [windowSlots]map[string]struct{} // distinct senders in each slot of the window
+	currentSlot   int                              // index of the slot that records new senders
+	nextRotation  time.Duration                    // when the next slot begins
+	history       []int                            // number of senders in each of the last windows, oldest first
+	lowWindows    int                              // consecutive windows far below the baseline
+	lowSince      time.Duration                    // when the first of the low windows ended
+	silentWindows int                              // consecutive windows without any sender
+	heardFraction float64                          // senders heard as a fraction of the baseline, at most 1
+	lastAck       time.Duration                    // when a probe of this process was last acked
 }
 
 func newConnectivityMonitor(config ConnectivityConfig, now time.Duration) *connectivityMonitor {
@@ -69,18 +69,18 @@
 	return monitor
 }
 
-// observeSender takes the sender of a message.
+// observeSender records the sender of a message.
 func (m *connectivityMonitor) observeSender(sender string) {
 	if slot := m.slots[m.currentSlot]; len(slot) < maxSenders {
 		slot[sender] = struct{}{}
 	}
 }
 
-// observeAck takes an answer to a probe of ours.
+// observeAck records an ack to a probe of this process.
 func (m *connectivityMonitor) observeAck(now time.Duration) { m.lastAck = now }
 
-// advance moves the window on; peers is how many members there are to be heard. A process that stood still skips the
-// slots of that time: nothing was heard in them by its own fault.
+// advance evaluates each window that has ended by now. peers is the number of present members. After a stall, the
+// slots that have ended meanwhile are skipped, because they are empty only as this process did not run.
 func (m *connectivityMonitor) advance(now time.Duration, peers int, stalled bool) {
 	if stalled {
 		m.nextRotation = now + m.config.Window/windowSlots
@@ -104,8 +104,8 @@
 	return len(senders)
 }
 
-// evaluateWindow compares a window, and the time at which it ended, with the baseline.
-func (m *connectivityMonitor) evaluateWindow(heard, peers int, at time.Duration) {
+// evaluateWindow compares the number of senders heard in the window that ended at endedAt with the baseline.
+func (m *connectivityMonitor) evaluateWindow(heard, peers int, endedAt time.Duration) {
 	m.silentWindows++
 	if heard > 0 {
 		m.silentWindows = 0
@@ -113,12 +113,12 @@
 	if len(m.history) < minBaselineWindows || peers == 0 {
 		m.heardFraction = 1
 		m.lowWindows = 0
-		if peers > 0 && (heard > 0 || len(m.history) > 0) { // windows before the first message are not usual
+		if peers > 0 && (heard > 0 || len(m.history) > 0) { // windows before the first message are not typical
 			m.recordWindow(heard)
 		}
 		return
 	}
-	// The baseline counts for no more than the members that there are, so members that left are not missed.
+	// The baseline is limited to the number of present members, so that members that left are not missed.
 	m.heardFraction = min(1, float64(heard)/max(1, min(m.baseline(), float64(peers))))
 	if m.heardFraction >= m.config.DegradedBelow {
 		m.lowWindows = 0
@@ -127,9 +127,9 @@
 	}
 	m.lowWindows++
 	if m.lowWindows == 1 {
-		m.lowSince = at
+		m.lowSince = endedAt
 	}
-	if at-m.lowSince >= m.config.AdaptAfter { // a new baseline begins
+	if endedAt-m.lowSince >= m.config.AdaptAfter { // collect a new baseline
 		m.history = m.history[:0]
 		m.lowWindows = 0
 		m.heardFraction = 1
@@ -143,7 +143,7 @@
 	m.history = append(m.history, heard)
 }
 
-// baseline is the number of senders that a window usually has.
+// baseline returns the usual number of senders in a window: the median of the recorded windows, or 0 without any.
 func (m *connectivityMonitor) baseline() float64 {
 	if len(m.history) == 0 {
 		return 0
@@ -152,13 +152,14 @@
 	return float64(sorted[len(sorted)/2])
 }
 
-// hearsNobody reports whether nobody was heard for two windows where there usually is somebody.
+// hearsNobody reports whether the window has been empty for more than two window lengths although there is a baseline.
 func (m *connectivityMonitor) hearsNobody() bool {
 	return m.silentWindows > 2*windowSlots && len(m.history) >= minBaselineWindows
 }
 
-// localHealth is the health by what is heard alone. Nearly nobody in two windows, one slot apart, is isolation; a
-// window that is merely low may be so by chance, and has to stay so for a whole window more.
+// localHealth returns the health as far as it follows from received messages and acks. The process is isolated after
+// two consecutive windows, one slot apart, with almost no senders. A window that is merely low may be so by chance, so
+// the process is degraded only when the following windows stay low for a whole window length.
 func (m *connectivityMonitor) localHealth(now time.Duration, peers int) LocalHealth {
 	switch {
 	case peers == 0 || len(m.history) < minBaselineWindows:
@@ -173,17 +174,17 @@
 	return LocalHealthy
 }
 
-// ObserveSender takes the sender of any message.
+// ObserveSender records the sender of a message of any kind.
 func (t *Table) ObserveSender(sender string) { t.connectivity.observeSender(sender) }
 
-// ObserveAck takes an answer to a probe of ours.
+// ObserveAck records an ack to a probe of this process.
 func (t *Table) ObserveAck(now time.Duration) { t.connectivity.observeAck(now) }
 
-// HearsNobody reports whether this process is cut off so far that what it would say about others is worth nothing,
-// and is not to be sent.
+// HearsNobody reports whether this process has heard no member for so long that its reports about others are worthless
+// and must not be sent.
 func (t *Table) HearsNobody() bool { return t.connectivity.hearsNobody() }
 
-// localHealth is how far this process may trust itself now.
+// localHealth returns the health of this process.
 func (t *Table) localHealth(now time.Duration) LocalHealth {
 	switch {
 	case t.fenced:
@@ -194,13 +195,13 @@
 	return t.connectivity.localHealth(now, t.countPresentMembers())
 }
 
-// healthy reports whether what the failure detector says is not due to this process.
+// locallyHealthy reports whether a report of the failure detector is not due to a fault of this process.
 func (t *Table) locallyHealthy(now time.Duration) bool {
 	health := t.localHealth(now)
 	return health == LocalHealthy || health == LocalLearning
 }
 
-// presentMembers is how many members there are to be heard.
+// countPresentMembers returns the number of members that this process can expect to hear.
 func (t *Table) countPresentMembers() (count int) {
 	for member := range allMembers(t.members) {
 		if member.State.Present() {
--- a/internal/membership/descriptor.go
+++ b/internal/membership/descriptor.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Roles is a set of what a member does for the fleet. Its bits are part of the gossip messages.
+// Roles is the set of roles that a member has in the fleet. Its bits are part of the gossip messages.
 type Roles uint8
 
-// The roles, by the bit that stands for each.
+// The roles, one bit each.
 const (
 	RoleServer      Roles = 1 << iota // serves requests
 	RoleProxy                         // forwards requests
-	RoleCoordinator                   // holds the replicated state
-	RoleUpstream                      // stands beside a service that servers call
+	RoleCoordinator                   // stores the replicated state
+	RoleUpstream                      // runs beside a service that servers call
 )
 
-// roleNames are the roles' names in operators' files and on status sockets, in the order of the bits.
+// roleNames holds the names of the roles in operators' files and on status sockets, in bit order.
 var roleNames = []string{"instance", "relay", "steward", "below"}
 
-// String is the names of the roles, joined by "+".
+// String returns the names of the roles, joined by "+".
 func (r Roles) String() string {
 	var names []string
 	for i, name := range roleNames {
@@ -30,7 +30,7 @@
 	return strings.Join(names, "+")
 }
 
-// ParseRoles reads names of roles; unknown is the first that is not one, empty if there is none.
+// ParseRoles parses role names. unknown is the first name that is not a role, or empty if all are.
 func ParseRoles(names []string) (roles Roles, unknown string) {
 	for _, name := range names {
 		role, found := parseRole(name)
@@ -51,25 +51,26 @@
 	return 0, false
 }
 
-// Descriptor is what a member says it is, from its start to its end.
+// Descriptor is the description that a member publishes of itself. Except for the incarnation, it is constant from the
+// start of the process to its end.
 type Descriptor struct {
 	Name        Name
 	Incarnation Incarnation
 	BootID      BootID
-	GossipAddr  string // where its gossip is reached
-	ServiceAddr string // where it takes requests; empty for one that takes none
+	GossipAddr  string // address of its gossip
+	ServiceAddr string // address where it accepts requests; empty if it accepts none
 	Roles       Roles
 	Zone        string
 	Release     string
-	Capacity    float64       // as configured: its share of work beside the others, in cores
-	WarmUp      time.Duration // from ready to its full rate
+	Capacity    float64       // configured, in cores; its share of the work is proportional to it
+	WarmUp      time.Duration // time from ready to its full rate
 }
 
-// ID is the identity of the process that the descriptor describes.
+// ID returns the identity of the process that the descriptor describes.
 func (d Descriptor) ID() ID { return ID{Name: d.Name, BootID: d.BootID} }
 
-// olderThan reports whether d is of an earlier process of the name than other. Two of the same incarnation are
-// ordered by their boot IDs, so that all who see both decide alike.
+// olderThan reports whether d describes an earlier process of the name than other does. Descriptors with the same
+// incarnation are ordered by their boot IDs, so that all members that see both make the same decision.
 func (d Descriptor) olderThan(other Descriptor) bool {
 	if d.Incarnation != other.Incarnation {
 		return d.Incarnation < other.Incarnation
--- a/internal/membership/fence.go
+++ b/internal/membership/fence.go
@@ -6,13 +6,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// fenceNotifiers is how many members notify an outdated process: a notice may be lost on the way.
+// fenceNotifiers is the number of members that notify an outdated process. It is above 1 because a notice may be lost.
 const fenceNotifiers = 2
 
-// fenceNotices is when which outdated process was last notified that it is fenced.
+// fenceNotices holds, for each outdated process, when this process last notified it that it is fenced.
 type fenceNotices map[ID]time.Duration
 
-// expire drops those that are older than retention.
+// expire deletes the notices that are older than retention.
 func (n fenceNotices) expire(now, retention time.Duration) {
 	for id, notifiedAt := range n {
 		if now-notifiedAt > retention {
@@ -21,8 +21,9 @@
 	}
 }
 
-// ShouldNotifyFenced reports whether this process is to notify an outdated one: few are, the same ones by every view,
-// and not again within the settle time. A call that reports true counts as a notice.
+// ShouldNotifyFenced reports whether this process must notify an outdated process that it is fenced. Only a few members
+// do so; all members with the same view select the same ones, and a notice is not repeated within the settle time.
+// A call that returns true is recorded as a notice.
 func (t *Table) ShouldNotifyFenced(id ID, now time.Duration) bool {
 	if notifiedAt, notified := t.fenceNotices[id]; notified && now-notifiedAt < t.config.SettleTime {
 		return false
@@ -41,7 +42,7 @@
 	return true
 }
 
-// notifierRank orders members by who is to notify an outdated process, the least first.
+// notifierRank returns the rank of a member among the notifiers of an outdated process. The lowest ranks notify it.
 func notifierRank(notifier Name, outdated ID) uint64 {
 	return xxhash.Sum64String(string(notifier) + "\x00" + outdated.String())
 }
--- a/internal/membership/flapping.go
+++ b/internal/membership/flapping.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// flapPenalty counts how often a member came back of late. It stays with the name over restarts: one that crashes as
-// soon as it serves is a new process each time.
+// flapPenalty is a decaying count of a member's recent returns. It belongs to the name and survives restarts, because
+// a member that crashes as soon as it serves is a new process each time.
 type flapPenalty struct {
-	value      float64 // as of at
-	at         time.Duration
-	suppressed bool // it stays suspect until the penalty is below the reuse limit
+	value      float64 // at the time updatedAt
+	updatedAt  time.Duration
+	suppressed bool // the member stays suspect until the penalty is below the reuse limit
 }
 
-// add counts one return.
+// addFlap adds one return to the penalty.
 func (p *flapPenalty) addFlap(config FlapDampingConfig, now time.Duration) {
 	p.value = min(config.MaxPenalty, p.decayedValue(config, now)+1)
-	p.at = now
+	p.updatedAt = now
 	if p.value >= config.SuppressLimit {
 		p.suppressed = true
 	}
 }
 
-// decayed is the penalty as of now.
+// decayedValue returns the penalty at the time now.
 func (p *flapPenalty) decayedValue(config FlapDampingConfig, now time.Duration) float64 {
-	return p.value * math.Exp2(-float64(now-p.at)/float64(config.HalfLife))
+	return p.value * math.Exp2(-float64(now-p.updatedAt)/float64(config.HalfLife))
 }
 
-// exemptMassLoss marks members that are lost together with many others: a network cut or a zone, which is no flapping.
+// exemptMassOutage exempts members from the flap penalty that are unreachable together with many others. The cause is
+// then a network cut or the outage of a zone, and not flapping.
 func (t *Table) exemptMassOutage() {
 	threshold := max(1, t.members.Len()/8)
 	var unreachable []Member
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -5,28 +5,29 @@
 	"time"
 )
 
-// Metric is one value that a member publishes of itself.
+// Metric is a value that a member publishes about itself.
 type Metric struct {
 	Name       string
 	Value      float64
-	TTL        time.Duration // for how long it is believed
-	MeasuredAt time.Duration // by our clock; its age when it arrived is taken off
+	TTL        time.Duration // how long the value is valid
+	MeasuredAt time.Duration // on the local clock; the age on arrival is subtracted
 }
 
-// Heartbeat is what a member publishes from time to time. Its times are durations, as clocks differ.
+// Heartbeat is the message that a member publishes periodically. Its times are durations, because clocks differ between
+// hosts.
 type Heartbeat struct {
 	ID
 	Incarnation Incarnation
-	Sequence    uint64 // the greatest counts, in whatever order they come
-	Ready       bool   // it can serve
+	Sequence    uint64 // the heartbeat with the highest number is valid, in any order of arrival
+	Ready       bool   // the member can serve
 	ReadyFor    time.Duration
 	Draining    bool
-	ViewDigest  uint64 // of its view with itself in it; 0 for none
+	ViewDigest  uint64 // digest of its view, including itself; 0 for none
 	Metrics     []Metric
 }
 
-// HandleHeartbeat takes a heartbeat that was written age ago, and reports whether it was news: one that is outdated or
-// breaks a limit changes nothing.
+// HandleHeartbeat processes a heartbeat that was written age ago and reports whether it was accepted. A heartbeat that
+// is outdated or exceeds a limit is counted and otherwise ignored.
 func (t *Table) HandleHeartbeat(heartbeat Heartbeat, age time.Duration, now time.Duration) bool {
 	member, found := t.members.Get(heartbeat.Name)
 	if !found || member.BootID != heartbeat.BootID || heartbeat.Sequence <= member.Sequence {
@@ -37,7 +38,7 @@
 		t.Stats.InvalidHeartbeats++
 		return false
 	}
-	if now < t.settlingUntil { // it may have waited while this process stood still
+	if now < t.settlingUntil { // it may have been queued while this process was stalled
 		age += t.lastStall
 	}
 	member.lastHeardAt = t.clock.at(now)
@@ -47,7 +48,7 @@
 	return true
 }
 
-// record copies a heartbeat that was written at writtenAt into a member.
+// recordHeartbeat copies a heartbeat that was written at writtenAt, on the local clock, into a member.
 func (t *Table) recordHeartbeat(member *Member, heartbeat Heartbeat, writtenAt time.Duration) {
 	member.Sequence = heartbeat.Sequence
 	member.HeartbeatAt = writtenAt
@@ -60,7 +61,7 @@
 	maxTTL := t.maxMetricTTL()
 	member.Metrics = nil
 	for _, metric := range heartbeat.Metrics {
-		if math.IsNaN(metric.Value) || math.IsInf(metric.Value, 0) { // cannot be compared
+		if math.IsNaN(metric.Value) || math.IsInf(metric.Value, 0) { // such values cannot be compared
 			continue
 		}
 		metric.TTL = min(max(0, metric.TTL), maxTTL)
@@ -69,10 +70,10 @@
 	}
 }
 
-// applyHeartbeat stores a member whose heartbeat was recorded, in the state that follows from it.
+// applyHeartbeat stores a member with the state that follows from its recorded heartbeat.
 func (t *Table) applyHeartbeat(member Member, draining bool, now time.Duration) {
 	switch {
-	case !member.State.Present(): // hearsay of one that is gone: its descriptor has to come first
+	case !member.State.Present(): // a relayed heartbeat of a gone member: only a descriptor brings it back
 		t.members = t.members.Set(member.Name, member)
 	case draining:
 		t.transition(member, StateLeaving, ReasonDraining, now)
@@ -88,15 +89,15 @@
 	}
 }
 
-// refutesReport reports whether a member's last heartbeat was written well after the detector reported it
-// unreachable: it lives, and has not flapped. A process that missed the refutation would otherwise declare gone by
-// itself whom all others reach, and hear no more of it for many seconds.
+// refutesReport reports whether a member's last heartbeat was written long enough after the detector reported the
+// member unreachable to prove that it is alive and has not flapped. Without this check, a process that missed the
+// refutation would declare a member gone that all others reach, and would not hear of it again for many seconds.
 func (t *Table) refutesReport(member Member) bool {
 	return member.reachability.unreachable && member.HeartbeatAt > member.reachability.reportedAt+t.config.SuspectAfter
 }
 
-// HeartbeatInterval is the mean time between two heartbeats of a member. It grows with the fleet, so that the
-// heartbeats of all members together stay under the configured rate.
+// HeartbeatInterval returns the mean time between two heartbeats of a member. It grows with the fleet, so that the
+// heartbeats of all members together stay within the configured rate.
 func (t *Table) HeartbeatInterval() time.Duration { return t.heartbeatIntervalFor(t.members.Len() + 1) }
 
 func (t *Table) heartbeatIntervalFor(fleetSize int) time.Duration {
@@ -104,19 +105,19 @@
 	return max(t.config.HeartbeatInterval, interval)
 }
 
-// MetricTTL is for how long a metric that each heartbeat carries is believed: two may be lost on the way.
+// MetricTTL returns the TTL of a metric that is part of every heartbeat. It allows for the loss of two heartbeats.
 func (t *Table) MetricTTL() time.Duration { return 3 * t.HeartbeatInterval() }
 
-// maxMetricTTL bounds the TTL that a member may ask for, so that a value that is published once is not believed for
-// ever.
+// maxMetricTTL returns the upper limit of the TTL that a member may request, so that a value that is published once
+// does not stay valid forever.
 func (t *Table) maxMetricTTL() time.Duration {
 	const minFleetSize = 10
 	return 4 * t.heartbeatIntervalFor(max(t.members.Len()+1, minFleetSize))
 }
 
-// heartbeatGrace is how long a member that has just published is waited for: until its next heartbeat is due, twice
-// over. A member that is really gone has been silent for about as long when the detector reports it, so this costs no
-// time then.
+// heartbeatGrace returns the time after a heartbeat within which the next one is not overdue: two heartbeat intervals,
+// but at most maxGrace. A member that has really failed has been silent for about this long when the detector reports
+// it, so the grace period does not delay its detection.
 func (t *Table) heartbeatGrace() time.Duration {
 	const maxGrace = 3 * time.Second
 	return min(2*t.HeartbeatInterval(), maxGrace)
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -5,39 +5,41 @@
 	"time"
 )
 
-// The pause before an address is called again doubles each time, within these bounds.
+// The delay before the next join attempt at an address doubles with each failure, within these limits.
 const (
 	minJoinBackoff = 500 * time.Millisecond
 	maxJoinBackoff = 10 * time.Second
 )
 
-// fleetJoinRate is how many members of the whole fleet call an address each second where many miss the same one. It
-// keeps hundreds that miss one seed from calling it at the moment that it is back.
+// fleetJoinRate is the number of join attempts per second that the whole fleet makes when many members miss the same
+// address. Without it, hundreds of members that miss one seed would all contact it as soon as it is back.
 const fleetJoinRate = 3
 
-// maxPredecessorCallers bounds the list of those that called our predecessor: one that answers tells us of all others.
+// maxPredecessorCallers is the maximum number of recorded callers of the predecessor. A few are enough, because one
+// that answers reports all other members.
 const maxPredecessorCallers = 4
 
 const (
-	// divergenceDelay is how long a view has to stand before it is held to differ: news takes some rounds of gossip.
+	// divergenceDelay is how long a view must be unchanged before it is compared with others: an update takes some rounds
+	// of gossip to reach all members.
 	divergenceDelay = 2 * time.Second
-	// divergentJoinChance is the chance each second that the member whose view differs from most calls another.
+	// divergentJoinChance is the probability, per second, that a member whose view differs from most others joins one.
 	divergentJoinChance = 0.2
 )
 
-// joinSchedule is which gossip addresses were called, and which are to be called first.
+// joinSchedule records failed join attempts by gossip address, and the addresses to join first.
 type joinSchedule struct {
-	attempts           map[string]joinAttempt // of addresses that did not answer
-	predecessorCallers []string               // addresses of members that called the process that had our name before
+	attempts           map[string]joinAttempt // the last attempt at each address that did not answer
+	predecessorCallers []string               // addresses of members that called the predecessor of this process
 }
 
-// joinAttempt is how an address was last called.
+// joinAttempt is the backoff after a failed join attempt at an address.
 type joinAttempt struct {
-	retryAt time.Duration // when it may be called again
+	retryAt time.Duration // time of the earliest next attempt
 	backoff time.Duration
 }
 
-// due reports whether an address may be called again.
+// due reports whether a join attempt at an address is allowed again.
 func (j *joinSchedule) due(addr string, now time.Duration) bool {
 	return now >= j.attempts[addr].retryAt
 }
@@ -46,10 +48,10 @@
 	j.predecessorCallers = slices.DeleteFunc(j.predecessorCallers, func(a string) bool { return a == addr })
 }
 
-// NextJoinAddr gives a gossip address to call now, if there is one. It is to be called once a second. A seed where
-// nobody is known, and a member that was lost without having left, may be in a part of the fleet that does not know
-// of us: two halves that have declared each other gone find together by nothing else. random gives numbers from 0 to
-// 1.
+// NextJoinAddr returns the gossip address to join now; ok is false if there is none. The caller must call it once a
+// second. A seed without a known member, or a member that became unreachable without leaving, may be in a part of the
+// fleet that does not know this process. Two halves of a fleet that have declared each other gone merge only by these
+// join attempts. random returns numbers from 0 to 1.
 func (t *Table) NextJoinAddr(now time.Duration, random func() float64) (addr string, ok bool) {
 	reachableAddrs := map[string]bool{t.self.GossipAddr: true}
 	present := 0
@@ -64,7 +66,7 @@
 	}
 	excluded := func(addr string) bool { return reachableAddrs[addr] || !t.joins.due(addr, now) }
 	t.joins.predecessorCallers = slices.DeleteFunc(t.joins.predecessorCallers, excluded)
-	if len(t.joins.predecessorCallers) > 0 { // called at once: each of them is called by us alone
+	if len(t.joins.predecessorCallers) > 0 { // joined at once: no other process joins them for this reason
 		return t.joins.predecessorCallers[0], true
 	}
 	missing := slices.DeleteFunc(t.missingAddrs(), excluded)
@@ -77,15 +79,16 @@
 	return pickRandom(missing, random), true
 }
 
-// joinChance is the chance at which each member of a fleet calls, so that the whole fleet calls at its rate.
+// joinChance returns the probability, per second, of a join attempt by each member at which the whole fleet makes
+// fleetJoinRate attempts.
 func joinChance(present int) float64 { return float64(fleetJoinRate) / float64(present+1) }
 
-// pick chooses one of addrs, of which there has to be one.
+// pickRandom returns a random element of addrs, which must not be empty.
 func pickRandom(addrs []string, random func() float64) string {
 	return addrs[min(len(addrs)-1, int(random()*float64(len(addrs))))]
 }
 
-// missingAddrs gives the seeds, and the addresses of members that were lost without having left.
+// missingAddrs returns the seeds and the addresses of members that became unreachable without leaving.
 func (t *Table) missingAddrs() []string {
 	missing := slices.Clone(t.config.Seeds)
 	for member := range t.view.All() {
@@ -96,10 +99,10 @@
 	return missing
 }
 
-// AddPredecessorCaller takes the address of a member that called the process that had our name and address before: a
-// part of the fleet that does not know of us yet. A seed that is started again together with others is found by these
-// alone; the rest of the fleet would learn of it only once the detector has reported the predecessors, many seconds
-// later.
+// AddPredecessorCaller records the address of a member that called the previous process with the name and address of
+// this one. The caller's part of the fleet does not know this process yet. When a seed restarts together with other
+// members, only these callers connect it to the fleet: the rest of the fleet would learn of it only when the detector
+// has reported the predecessors, many seconds later.
 func (t *Table) AddPredecessorCaller(addr string) {
 	joins := &t.joins
 	if len(joins.predecessorCallers) < maxPredecessorCallers && !slices.Contains(joins.predecessorCallers, addr) {
@@ -107,9 +110,9 @@
 	}
 }
 
-// nextDivergentMember gives the address of a member whose view differs from ours, though both have had time to
-// receive the same. Without it a process that joined through one that was in doubt of a third at that moment would
-// miss the third, as the news that it is well went out before.
+// nextDivergentMember returns the address of a member whose view differs from the local one although both have had
+// time to receive the same updates; ok is false if no join attempt is due. Without it, a process that joins through a
+// member that suspects a third one at that moment would miss the third one, because its refutation was sent before.
 func (t *Table) nextDivergentMember(now time.Duration, present int, random func() float64) (addr string, ok bool) {
 	if now-t.viewDigestSince < divergenceDelay || present == 0 {
 		return "", false
@@ -125,8 +128,9 @@
 			divergent = append(divergent, member.GossipAddr)
 		}
 	}
-	// A member that differs from most is most likely the one that misses something, and need not wait to be called. It
-	// does so by chance all the same, as each differs from most while the whole fleet changes.
+	// A process whose view differs from most others has most likely missed an update, so its chance to join is raised and
+	// it need not wait to be joined. Chance still decides, because each view differs from most others while the whole
+	// fleet changes.
 	chance := joinChance(present)
 	if len(divergent) > agreeing {
 		chance = max(chance, divergentJoinChance)
@@ -137,13 +141,13 @@
 	return pickRandom(divergent, random), true
 }
 
-// hasSettledView reports whether a member's last view digest is late enough to be compared with ours.
+// hasSettledView reports whether a member's last view digest is recent enough to be compared with the local one.
 func (t *Table) hasSettledView(member Member) bool {
 	return member.State.Available() && !member.reachability.unreachable && member.viewDigest != 0 &&
 		member.HeartbeatAt > t.viewDigestSince+divergenceDelay/2
 }
 
-// RecordJoin takes the result of a call. The pause before the next one is jittered by half.
+// RecordJoin records the result of a join attempt. The delay before the next attempt is jittered by half.
 func (t *Table) RecordJoin(addr string, succeeded bool, now time.Duration, random func() float64) {
 	t.joins.dropPredecessorCaller(addr)
 	if succeeded {
@@ -158,7 +162,7 @@
 	}
 }
 
-// Jitter gives half to one and a half times an interval, by a random number from 0 to 1.
+// Jitter returns half to one and a half times interval, proportional to random, which must be from 0 to 1.
 func Jitter(interval time.Duration, random float64) time.Duration {
 	return time.Duration((0.5 + random) * float64(interval))
 }
--- a/internal/membership/keys.go
+++ b/internal/membership/keys.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// Key is one of the cluster's gossip keys: a process that has none of them is heard by nobody.
+// Key is one of the cluster's gossip keys. Members discard the messages of a process that has none of them.
 type Key []byte
 
-// KeyRotation is what has to be done, in this order, to replace a list of keys; the first of a list is the primary one,
-// which messages are encrypted with.
+// KeyRotation holds the steps, in this order, that replace one list of keys by another. The first key of a list is the
+// primary key, with which messages are encrypted.
 type KeyRotation struct {
 	Add     []Key
-	Primary Key // nil: the same as before
+	Primary Key // nil: unchanged
 	Remove  []Key
 }
 
-// PlanKeyRotation gives the way from one list of keys to another. Keys are added first and removed last, so that at no
-// moment a message cannot be read that the earlier or the later list could read.
+// PlanKeyRotation returns the steps from one list of keys to another. Keys are added first and removed last, so that
+// during the rotation every message that the old or the new list can decrypt stays readable.
 func PlanKeyRotation(from, to []Key) (rotation KeyRotation) {
 	for _, key := range to {
 		if !containsKey(from, key) {
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// State is where a member stands. Its names are shown on status sockets.
+// State is the state of a member. Its names are shown on status sockets.
 type State uint8
 
-// The states, in the order of a member's life.
+// The states, in the order of a member's life cycle.
 const (
-	StateJoining State = iota // its descriptor is known, not yet that it can serve
-	StateWarming              // it serves, at less than its full rate
+	StateJoining State = iota // its descriptor was received, but it has not reported that it can serve
+	StateWarming              // it serves at less than its full rate
 	StateUp                   // it serves
-	StateSuspect              // in doubt, see Reason
-	StateLeaving              // it drains, by its own word
+	StateSuspect              // it may have failed; Reason has the cause
+	StateLeaving              // it reported that it is draining
 	StateGone                 // it left, or was declared gone
-	StateFenced               // a later process has its name
+	StateFenced               // a later process has taken its name
 )
 
 var stateNames = [...]string{"joining", "warming", "up", "suspect", "leaving", "gone", "fenced"}
@@ -23,25 +23,25 @@
 // Available reports whether work may be sent to a member in this state.
 func (s State) Available() bool { return s == StateWarming || s == StateUp }
 
-// Present reports whether a member in this state is part of the fleet still.
+// Present reports whether a member in this state is still part of the fleet.
 func (s State) Present() bool { return s != StateGone && s != StateFenced }
 
-// Reason is why a member is in its state. Its names are shown on status sockets.
+// Reason is the cause of a member's state. Its names are shown on status sockets.
 type Reason uint8
 
 // The reasons.
 const (
 	ReasonDiscovered  Reason = iota // its descriptor was received
 	ReasonReady                     // it reported that it can serve
-	ReasonWarmedUp                  // its warm-up is over
-	ReasonUnreachable               // the failure detector does not reach it
-	ReasonSilent                    // its gossip lives, but it publishes no heartbeat
-	ReasonFlapping                  // it came back too often of late
-	ReasonRecovered                 // it was unreachable or silent, and is no more
-	ReasonDraining                  // it reported that it drains
-	ReasonLeft                      // it left by its own word
-	ReasonTimedOut                  // it was in doubt for too long
-	ReasonSuperseded                // a later process has its name
+	ReasonWarmedUp                  // its warm-up has ended
+	ReasonUnreachable               // the failure detector reported it unreachable
+	ReasonSilent                    // it is reachable by gossip but publishes no heartbeats
+	ReasonFlapping                  // it returned too often recently
+	ReasonRecovered                 // it is no longer unreachable, silent or suppressed for flapping
+	ReasonDraining                  // it reported that it is draining
+	ReasonLeft                      // it announced that it left
+	ReasonTimedOut                  // it was suspect for too long
+	ReasonSuperseded                // a later process has taken its name
 )
 
 var reasonNames = [...]string{"claimed", "ready", "warmed", "unreached", "mute", "flapping", "returned", "said", "left",
@@ -49,35 +49,38 @@
 
 func (r Reason) String() string { return reasonNames[r] }
 
-// Member is one member as it is known here. It is a value: nobody changes it in place.
+// Member is the local record of one member. It is a value that is never modified in place.
 type Member struct {
 	Descriptor
 	State       State
 	Reason      Reason
-	StateSince  time.Duration // when it came into the state, by our clock
-	Sequence    uint64        // of its last heartbeat
-	HeartbeatAt time.Duration // when its last heartbeat was written, by our clock
-	Metrics     []Metric      // of its last heartbeat, never changed in place
+	StateSince  time.Duration // when it entered the state, on the local clock
+	Sequence    uint64        // sequence number of its last heartbeat
+	HeartbeatAt time.Duration // when its last heartbeat was written, on the local clock
+	Metrics     []Metric      // metrics of its last heartbeat, never modified in place
 
-	fingerprint  uint64 // Fingerprint of its identity
-	viewDigest   uint64 // of its view, as of its last heartbeat
+	fingerprint  uint64 // Fingerprint of its ID
+	viewDigest   uint64 // digest of its view, from its last heartbeat
 	ready        bool
 	readyFor     time.Duration // how long it had been ready at its last heartbeat
-	warmUpUntil  time.Duration // when its warm-up is over
+	warmUpUntil  time.Duration // when its warm-up ends, on the local clock
 	reachability reachability
-	lastHeardAt  time.Duration // when it last published or came back, by the judgement clock
+	lastHeardAt  time.Duration // when it last published or returned, on Table.clock
 	flapping     flapPenalty
 }
 
-// reachability is what the failure detector reported of a member.
+// reachability records the failure detector's last report about a member.
 type reachability struct {
-	unreachable      bool          // the detector does not reach it
-	unreachableSince time.Duration // since when, by the judgement clock
-	reportedAt       time.Duration // when the detector said so, by our clock
-	flapExempt       bool          // it was lost while we were not healthy ourselves, or with many others
+	unreachable      bool          // the detector cannot reach it
+	unreachableSince time.Duration // when it became unreachable, on Table.clock
+	reportedAt       time.Duration // when the detector reported it, on the local clock
+	// flapExempt excludes its return from the flap penalty: it became unreachable while this process was not healthy, or
+	// together with many other members, or its heartbeats refuted the report.
+	flapExempt bool
 }
 
-// Metric gives the value of a metric and its age; ok is false if the member has no such metric or it is past its TTL.
+// Metric returns the value and the age of a metric. ok is false if the member has no metric of that name or the metric
+// is older than its TTL.
 func (m Member) Metric(name string, now time.Duration) (value float64, age time.Duration, ok bool) {
 	for _, metric := range m.Metrics {
 		if metric.Name == name {
@@ -88,10 +91,10 @@
 	return 0, 0, false
 }
 
-// WarmUpRemaining is how long a member still has to its full rate.
+// WarmUpRemaining returns the time until the member reaches its full rate, or 0.
 func (m Member) WarmUpRemaining(now time.Duration) time.Duration { return max(0, m.warmUpUntil-now) }
 
-// Heartbeat gives the last heartbeat that a member published, and its age.
+// Heartbeat returns the last heartbeat that the member published, and its age.
 func (m Member) Heartbeat(now time.Duration) (heartbeat Heartbeat, age time.Duration) {
 	heartbeat = Heartbeat{
 		ID:          m.ID(),
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,7 +1,7 @@
-// Package membership decides who is there: which processes make up the fleet, in which state each is, what is known
-// of it, and how far this process may trust what it observes itself. It has no I/O: messages are handed in with their
-// time, and randomness is an argument; internal/fleet/gossip sends and receives. docs/fleet.md has the table of
-// states.
+// Package membership decides which processes make up the fleet. It keeps the state and the last heartbeat of each
+// member and determines how far this process may trust its own observations. It does no I/O: messages, their times
+// and random numbers are arguments, and internal/fleet/gossip sends and receives the messages. docs/fleet.md has the
+// table of states.
 package membership
 
 import (
@@ -10,32 +10,32 @@
 	"strings"
 )
 
-// Name is a member's name; it stays over restarts.
+// Name is the name of a member. It stays the same across restarts.
 type Name string
 
-// Incarnation is the fencing number of a name: a process that starts anew under a name takes a higher one than any that
-// it has seen.
+// Incarnation is the fencing number of a name. A process that starts under a name takes a higher incarnation than any
+// that it has seen for that name.
 type Incarnation uint64
 
-// BootID is drawn at random at each start. It tells two processes apart that have the same name and incarnation.
+// BootID is a random number drawn at each start. It distinguishes two processes with the same name and incarnation.
 type BootID uint64
 
-// bootIDDigits is the length of a boot ID as text.
+// bootIDDigits is the number of hexadecimal digits of a boot ID as text.
 const bootIDDigits = 16
 
-// String is the boot ID in hexadecimal, as messages and status sockets show it.
+// String returns the boot ID in hexadecimal, as it appears in messages and on status sockets.
 func (b BootID) String() string { return fmt.Sprintf("%016x", uint64(b)) }
 
-// ID is one process of a name, from its start to its end, as gossip knows it.
+// ID identifies one process of a name in gossip messages, from its start to its end.
 type ID struct {
 	Name   Name
 	BootID BootID
 }
 
-// String is the identity as messages carry it; ParseID reads it.
+// String returns the identity as messages carry it. ParseID parses this form.
 func (id ID) String() string { return string(id.Name) + "@" + id.BootID.String() }
 
-// ParseID reads what ID.String wrote; ok is false for any other text.
+// ParseID parses the result of ID.String; ok is false for any other text.
 func ParseID(text string) (id ID, ok bool) {
 	separator := strings.LastIndexByte(text, '@')
 	if separator <= 0 || len(text)-separator-1 != bootIDDigits {
--- a/internal/membership/reachability.go
+++ b/internal/membership/reachability.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// HandleUnreachable takes the failure detector's report that it does not reach a process any more.
+// HandleUnreachable processes a report of the failure detector that it can no longer reach a process.
 func (t *Table) HandleUnreachable(id ID, now time.Duration) {
 	member, present := t.findPresentMember(id)
 	switch {
@@ -24,7 +24,7 @@
 	t.publishView(now)
 }
 
-// HandleLeft takes a process's own word that it has left.
+// HandleLeft processes the announcement of a process that it has left.
 func (t *Table) HandleLeft(id ID, now time.Duration) {
 	if member, present := t.findPresentMember(id); present {
 		t.markLeft(member, now)
@@ -32,7 +32,7 @@
 	}
 }
 
-// presentMember gives the member that is this very process, if it is part of the fleet.
+// findPresentMember returns the member whose current process is id; present is false if it is not part of the fleet.
 func (t *Table) findPresentMember(id ID) (member Member, present bool) {
 	member, found := t.members.Get(id.Name)
 	return member, found && member.BootID == id.BootID && member.State.Present()
@@ -43,19 +43,19 @@
 	t.transition(member, StateGone, ReasonLeft, now)
 }
 
-// markReachable takes a member that the detector reaches, or reaches again.
+// markReachable stores a member that the detector reaches, possibly after it was unreachable or gone.
 func (t *Table) markReachable(member Member, now time.Duration) {
 	if !member.reachability.unreachable && member.State != StateGone {
 		t.transition(member, member.State, member.Reason, now)
 		return
 	}
-	if member.State != StateSuspect && member.State != StateGone { // the report was false, and is refuted in time
+	if member.State != StateSuspect && member.State != StateGone { // the report was false and was refuted in time
 		t.Stats.RefutedSuspicions++
 		member.reachability.unreachable = false
 		t.transition(member, member.State, member.Reason, now)
 		return
 	}
-	// A member that comes back with many others, or while we ourselves were cut off, has not flapped.
+	// A member has not flapped if it became unreachable together with many others, or while this process was cut off.
 	if !member.reachability.flapExempt {
 		member.flapping.addFlap(t.config.FlapDamping, now)
 	}
@@ -65,7 +65,7 @@
 	t.reclassify(member, ReasonRecovered, now)
 }
 
-// reclassify gives a member that is reached the state that its last heartbeat asks for.
+// reclassify moves a reachable member to the state that follows from its last heartbeat and its flap penalty.
 func (t *Table) reclassify(member Member, reason Reason, now time.Duration) {
 	switch {
 	case member.State == StateLeaving || member.Reason == ReasonDraining:
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -14,22 +14,22 @@
 	From        State
 	To          State
 	Reason      Reason
-	ViewVersion uint64 // the first that shows it
+	ViewVersion uint64 // the first view version that shows the change
 }
 
-// Stats counts what came and what became of it, since the start.
+// Stats counts events since the start of this process.
 type Stats struct {
 	Transitions          uint64 // changes of a member's state
-	RejectedFull         uint64 // descriptors for which there was no room
-	StaleHeartbeats      uint64 // of an unknown process, or not newer than the last
-	InvalidHeartbeats    uint64 // past a limit
-	OutdatedIncarnations uint64 // descriptors of an earlier process of a name
-	RefutedSuspicions    uint64 // reports of the failure detector that were false
-	Stalls               uint64 // times that this process stood still
+	RejectedFull         uint64 // descriptors rejected because the table was full
+	StaleHeartbeats      uint64 // heartbeats of an unknown process, or not newer than the last one
+	InvalidHeartbeats    uint64 // heartbeats that exceeded a limit
+	OutdatedIncarnations uint64 // descriptors or notices of an earlier process of a name
+	RefutedSuspicions    uint64 // reports of the failure detector that proved false
+	Stalls               uint64 // stalls of this process
 }
 
-// Table holds the members and decides their states. It belongs to one goroutine; the views that it publishes may be
-// read on any.
+// Table holds the members and decides their states. Its methods may be called by one goroutine only. The views that it
+// publishes may be read by any goroutine.
 type Table struct {
 	config       Config
 	self         Descriptor
@@ -41,20 +41,20 @@
 
 	start             time.Duration
 	lastTick          time.Duration
-	lastStall         time.Duration // how long this process last stood still
-	settlingUntil     time.Duration // until when what is known here may be out of date after a stall
+	lastStall         time.Duration // duration of the last stall of this process
+	settlingUntil     time.Duration // until when the local view may be out of date after a stall
 	clock             pausableClock
-	incarnationRaises int // how often our own incarnation was raised
+	incarnationRaises int // how often this process raised its own incarnation
 	fenced            bool
-	viewDigest        uint64        // of our view with ourselves in it
-	viewDigestSince   time.Duration // when it last changed
+	viewDigest        uint64        // digest of the local view, including this process
+	viewDigestSince   time.Duration // when viewDigest last changed
 	fenceNotices      fenceNotices
 	joins             joinSchedule
 
 	Stats Stats
 }
 
-// NewTable makes a table in which only this process is.
+// NewTable returns a table that contains only this process.
 func NewTable(self Descriptor, config Config, now time.Duration) *Table {
 	table := &Table{
 		config:       config,
@@ -70,22 +70,22 @@
 	return table
 }
 
-// SetConfig replaces the configuration. What runs by the earlier one goes on to its end.
+// SetConfig replaces the configuration. Deadlines that were already computed from the previous one do not change.
 func (t *Table) SetConfig(config Config) {
 	t.config = config
 	t.connectivity.config = config.Connectivity
 }
 
-// Self is our own descriptor with its present incarnation.
+// Self returns the descriptor of this process with its current incarnation.
 func (t *Table) Self() Descriptor { return t.self }
 
-// View is the last view that was published.
+// View returns the last published view.
 func (t *Table) View() *View { return t.view }
 
-// ViewDigest is the digest of our view that our heartbeats carry.
+// ViewDigest returns the digest of the local view that the heartbeats of this process carry.
 func (t *Table) ViewDigest() uint64 { return t.viewDigest }
 
-// TakeChanges gives the changes since it was last called.
+// TakeChanges returns the changes since the previous call.
 func (t *Table) TakeChanges() []Change {
 	changes := t.changes
 	t.changes = nil
@@ -109,7 +109,8 @@
 	}
 }
 
-// transition stores a member in a state, and records the change if it is one.
+// transition stores a member with a state and a reason. It records a change if the state, the reason or the process is
+// new.
 func (t *Table) transition(member Member, state State, reason Reason, now time.Duration) {
 	previous, found := t.members.Get(member.Name)
 	if found && previous.State == state && previous.Reason == reason && previous.BootID == member.BootID {
@@ -139,11 +140,11 @@
 	})
 }
 
-// heardFractionStep is the change of the heard fraction that makes a new view.
+// heardFractionStep is the change of the heard fraction from which on a new view is published.
 const heardFractionStep = 0.1
 
-// Tick applies the deadlines that have come. It is to be called several times within a stall threshold: the time
-// between two calls is how a process tells that it stood still.
+// Tick applies the deadlines that have passed. It must be called several times within each stall threshold: a longer
+// time between two calls counts as a stall of this process.
 func (t *Table) Tick(now time.Duration) {
 	elapsed := now - t.lastTick
 	t.lastTick = now
@@ -175,7 +176,7 @@
 	}
 }
 
-// applyDeadlines carries a member over the deadlines that have come.
+// applyDeadlines applies the deadlines of a member that have passed.
 func (t *Table) applyDeadlines(member Member, now time.Duration) {
 	damping := t.config.FlapDamping
 	if member.flapping.suppressed && member.flapping.decayedValue(damping, now) < damping.ReuseLimit {
@@ -201,7 +202,7 @@
 	}
 }
 
-// applyServingDeadlines is applyDeadlines for a member that is not in doubt yet.
+// applyServingDeadlines applies the deadlines of a member that is joining, warming or up.
 func (t *Table) applyServingDeadlines(member Member, now time.Duration) {
 	clockNow := t.clock.at(now)
 	unreachableFor := clockNow - member.reachability.unreachableSince
@@ -217,9 +218,9 @@
 	}
 }
 
-// evictGone drops members that have been gone for longer than the retention or, where room is needed and none of them
-// was, the one that has been gone for longest. It reports whether there is room. The names and incarnations of members
-// that are gone are what fences an outdated process, so they stay while they can.
+// evictGone deletes the members that have been gone for longer than the retention time. If needRoom is set and
+// it deleted none, it deletes the member that has been gone longest. It reports whether the table has room for another.
+// Outdated processes are fenced by the names and incarnations of gone members, so these are kept as long as possible.
 func (t *Table) evictGone(now time.Duration, needRoom bool) bool {
 	var oldest *Member
 	for member := range allMembers(t.members) {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -9,14 +9,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// View is all that a process knows of the others, as of one version. It is immutable and may be read on any
-// goroutine; a later one shares with it what is the same.
+// View is a snapshot of all members that this process knows. It is immutable and may be read by any goroutine.
+// Successive views share their unchanged parts.
 type View struct {
 	Version       uint64
 	PublishedAt   time.Duration
 	Self          Descriptor
 	LocalHealth   LocalHealth
-	HeardFraction float64 // members heard of those that usually are, 1 at most
+	HeardFraction float64 // number of members heard as a fraction of the usual number, at most 1
 	members       *immutable.SortedMap[Name, Member]
 }
 
@@ -24,13 +24,13 @@
 
 func (nameComparer) Compare(a, b Name) int { return cmp.Compare(a, b) }
 
-// Get gives a member by its name.
+// Get returns the member with the given name.
 func (v *View) Get(name Name) (Member, bool) { return v.members.Get(name) }
 
-// Len is the number of members, in whatever state.
+// Len returns the number of members in any state.
 func (v *View) Len() int { return v.members.Len() }
 
-// All iterates over the members in the order of their names.
+// All returns an iterator over the members in the order of their names.
 func (v *View) All() iter.Seq[Member] { return allMembers(v.members) }
 
 func allMembers(members *immutable.SortedMap[Name, Member]) iter.Seq[Member] {
@@ -43,7 +43,7 @@
 	}
 }
 
-// Count is the number of members in a state.
+// Count returns the number of members in a state.
 func (v *View) Count(state State) (count int) {
 	for member := range v.All() {
 		if member.State == state {
@@ -53,7 +53,8 @@
 	return count
 }
 
-// Digest is the same for two views in which the same processes are joining, warming or up, in whatever order they came.
+// Digest returns a digest of the processes that are joining, warming or up. It does not depend on the order in which
+// they were added.
 func (v *View) Digest() (digest uint64) {
 	for member := range v.All() {
 		if member.State.Available() || member.State == StateJoining {
@@ -63,5 +64,6 @@
 	return digest
 }
 
-// Fingerprint is what one process adds to a view's digest, by exclusive or.
+// Fingerprint returns the contribution of one process to the digest of a view. Contributions are combined by exclusive
+// or.
 func Fingerprint(id ID) uint64 { return xxhash.Sum64String(id.String()) }
