--- a/internal/membership/alive_test.go
+++ b/internal/membership/alive_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Restarted within a second under its name and address, while its old messages still travel: the new process is never
-// taken for the old one.
+// A member restarts within a second under the same name and address while messages of its previous process are still in
+// transit. The new process must never be taken for the previous one.
 func Example_restart() {
 	h := newHarness()
 	h.bringUp("a")
 	h.alive("a", 8, 2)
 	fmt.Println(h.alive("a", 7, 1) == AliveOutdated, h.heartbeat("a", 7, 50))
-	h.HandleUnreachable(ID{"a", 7}, h.now) // the end of the old process is not the new one's
+	h.HandleUnreachable(ID{"a", 7}, h.now) // a report about the previous process does not affect the new one
 	h.heartbeat("a", 8, 1)
 	h.advanceWithHeartbeats(3*s, "a")
-	// two of one incarnation: all who see both decide alike, in whatever order
+	// of two processes with the same incarnation, the one with the higher boot ID wins in any order of arrival
 	fmt.Println(h.alive("a", 5, 2) == AliveOutdated)
 	h.alive("a", 9, 2)
 	// Output:
@@ -30,8 +30,9 @@
 	// 3s a 2: joining -> joining, claimed
 }
 
-// Our own name: a predecessor whose incarnation is higher, as the clock went back between, is overtaken shortly after
-// our start; a successor that shows up later fences us, and so does one that another member notifies us of.
+// Another process has the name of this one. Shortly after its start, this process raises its incarnation above that of
+// its predecessor, which is higher because the clock went back between the two starts. Later, a fence notice from
+// another member about a successor fences this process.
 func Example_nameConflict() {
 	h := newHarness()
 	fmt.Println(h.alive("me", 9, 5000) == AliveIncarnationRaised, h.Self().Incarnation)
@@ -46,8 +47,9 @@
 	// true fenced
 }
 
-// Two that start under one name at one moment raise in turn, and one of them is over in the end.
-func Example_twins() {
+// Two processes that start under one name at the same moment raise their incarnations in turn until exactly one of them
+// is fenced.
+func Example_simultaneousStarts() {
 	now := time.Duration(0)
 	a := NewTable(Descriptor{Name: "n", Incarnation: 10, BootID: 1}, DefaultConfig(), 0)
 	b := NewTable(Descriptor{Name: "n", Incarnation: 10, BootID: 2}, DefaultConfig(), 0)
@@ -64,7 +66,7 @@
 	// Output: true true true
 }
 
-// A crash loop under one name is held back as well, though each start is a process of its own.
+// A crash loop under one name is suppressed as flapping, although each start is a new process.
 func Example_crashLoop() {
 	h := newHarness()
 	h.quiet = true
@@ -78,8 +80,9 @@
 	// Output: suspect flapping 23
 }
 
-// Names without end: members that are here stay, those that are gone make room, the others are refused.
-func Example_bounds() {
+// The table is limited to MaxMembers: present members stay, gone ones are evicted for new ones, and further names are
+// rejected.
+func Example_memberLimit() {
 	h := newHarness(func(config *Config) { config.MaxMembers, config.MaxMetrics = 3, 1 })
 	h.quiet = true
 	h.bringUp("a", "b", "c")
@@ -91,8 +94,9 @@
 	// true 3 1 1
 }
 
-// No list has a cap under 1,024: a fleet of so many others, each with a predecessor, is held as it stands.
-func Example_many() {
+// No internal list is limited to fewer than 1,024 entries: the table holds a fleet of 1,024 other members, each of
+// which has replaced a predecessor.
+func Example_fleetOf1024() {
 	h := newHarness()
 	h.quiet = true
 	for i := range 1024 {
@@ -100,13 +104,13 @@
 		h.alive(n, 6, 1)
 		h.bringUp(n)
 	}
-	here := 0
+	available := 0
 	for m := range h.View().All() {
 		if m.State.Available() && m.BootID == 7 {
-			here++
+			available++
 		}
 	}
-	fmt.Println(here, h.Stats.RejectedFull)
+	fmt.Println(available, h.Stats.RejectedFull)
 	// Output:
 	// 1024 0
 }
--- a/internal/membership/connectivity_test.go
+++ b/internal/membership/connectivity_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Standing still for 8 s while a member is in doubt declares nobody gone; the doubt goes on where it stood, and what
-// arrived meanwhile counts as old.
+// A stall of 8 s while a member is unreachable declares no member gone. The time for which the member is unreachable
+// continues without the stall, and heartbeats that arrived meanwhile count as that much older.
 func Example_stall() {
 	h := newHarness()
 	h.bringUp("a", "b")
@@ -20,7 +20,7 @@
 	_, age, ok := m.Metric("load", h.now)
 	fmt.Println(age, ok)
 	h.advance(s)
-	h.alive("a", 7, 1) // it was alive all the time
+	h.alive("a", 7, 1) // it was alive throughout
 	h.advanceWithHeartbeats(5*s, "a", "b")
 	fmt.Println(h.Stats.Stalls, h.View().Count(StateUp))
 	// Output:
@@ -33,9 +33,10 @@
 	// 1 2
 }
 
-// A process that hears nobody any more is cut off itself: it declares nobody gone, keeps its doubts to itself, and
-// reports the fraction that it hears. When it hears again, all is as it was. If that lasts, it becomes the baseline.
-func Example_cutOff() {
+// A process that no longer hears any member is isolated: it declares none gone, sends no reports about others, and
+// publishes the fraction that it hears. When it hears them again, it is healthy and all members are up. If it keeps
+// hearing fewer members, that becomes the baseline.
+func Example_isolated() {
 	h := newHarness()
 	h.bringUp("a", "b", "c")
 	h.reachableSenders = []string{"a", "b", "c"}
@@ -71,8 +72,8 @@
 	// sound
 }
 
-// Others are gone and we are healthy: a third of the fleet dies, we still hear most, and declare them gone.
-func Example_othersGone() {
+// A third of the fleet fails. This process still hears most members, so it is healthy and declares the others gone.
+func Example_membersGone() {
 	h := newHarness()
 	h.quiet = true
 	h.bringUp("a", "b", "c", "d", "e", "f")
@@ -83,7 +84,7 @@
 	h.HandleUnreachable(ID{"f", 7}, h.now)
 	h.advanceWithHeartbeats(8*s, "a", "b", "c", "d")
 	fmt.Println(h.View().LocalHealth, h.View().Count(StateGone))
-	// heard, but answered by nobody
+	// it hears other members, but none answers its probes
 	for range 80 {
 		h.now += s / 10
 		for _, sender := range h.reachableSenders {
@@ -97,7 +98,7 @@
 	// unheard
 }
 
-// Metrics that stop while the gossip goes on are not believed any more, and the member is silent.
+// When a member stops publishing heartbeats while its gossip continues, its metrics expire and it becomes suspect.
 func Example_silent() {
 	h := newHarness()
 	h.alive("a", 7, 1)
@@ -110,7 +111,7 @@
 		h.advance(3 * s)
 	}
 	h.heartbeat("a", 7, 2)
-	fmt.Println(h.heartbeat("a", 7, 1)) // an earlier one, by a longer way
+	fmt.Println(h.heartbeat("a", 7, 1)) // an earlier heartbeat that arrives late
 	// Output:
 	// 0s a 1: joining -> joining, claimed
 	// 0s a 1: joining -> up, ready
--- a/internal/membership/fence_test.go
+++ b/internal/membership/fence_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// An outdated process is notified by two of the members, the same ones by whichever view, and not again at once.
+// An outdated process is notified by two members, which all members select in the same way, and not again at once.
 func TestFenceNotifiers(t *testing.T) {
 	names := []Name{"a", "b", "c", "d", "e", "f", "g"}
 	for bootID := range BootID(50) {
@@ -15,7 +15,7 @@
 			}
 			notifiers++
 			if table.ShouldNotifyFenced(outdated, s) {
-				t.Fatal("notified again at once")
+				t.Fatal("notified again within the settle time")
 			}
 		}
 		if notifiers != fenceNotifiers {
@@ -24,7 +24,7 @@
 	}
 }
 
-// tableOf is the table of one of several members that know each other.
+// tableOf returns the table of self, one of several members that know each other.
 func tableOf(self Name, names []Name) *Table {
 	table := NewTable(Descriptor{Name: self, BootID: 7, Incarnation: 1}, DefaultConfig(), 0)
 	for _, name := range names {
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -10,49 +10,50 @@
 	"lanewheel/internal/goldentest"
 )
 
-// goldenFile holds the names and numbers that processes of two versions share: what is sent, shown on status sockets
-// and written in operators' files.
+// goldenFile holds the names and numbers that processes of different versions share, in messages, on status sockets and
+// in operators' files.
 const goldenFile = "shared.json"
 
-// sharedValues is every enumeration by its value, and what an identity looks like in a message.
+// sharedValues holds all names of each enumeration in the order of their values, and the encoded form of an identity.
 type sharedValues struct {
-	Roles    map[string]uint8 `json:"roles"`
-	States   []string         `json:"states"`
-	Standing []string         `json:"standing"`
-	Reasons  []string         `json:"reasons"`
-	ID       string           `json:"id"`
-	Mark     uint64           `json:"mark"`   // of the identity
-	Digest   uint64           `json:"digest"` // of a view of two
+	Roles       map[string]uint8 `json:"roles"`
+	States      []string         `json:"states"`
+	LocalHealth []string         `json:"standing"`
+	Reasons     []string         `json:"reasons"`
+	ID          string           `json:"id"`
+	Fingerprint uint64           `json:"mark"`   // of the identity
+	Digest      uint64           `json:"digest"` // of a view with two members
 }
 
-func currentShared() sharedValues {
-	s := sharedValues{Roles: map[string]uint8{}}
-	for _, r := range []Roles{RoleServer, RoleProxy, RoleCoordinator, RoleUpstream} {
-		s.Roles[r.String()] = uint8(r)
+func currentSharedValues() sharedValues {
+	values := sharedValues{Roles: map[string]uint8{}}
+	for _, role := range []Roles{RoleServer, RoleProxy, RoleCoordinator, RoleUpstream} {
+		values.Roles[role.String()] = uint8(role)
 	}
-	for _, x := range []State{StateJoining, StateWarming, StateUp, StateSuspect, StateLeaving, StateGone, StateFenced} {
-		s.States = append(s.States, x.String())
+	for _, state := range []State{StateJoining, StateWarming, StateUp, StateSuspect, StateLeaving, StateGone,
+		StateFenced} {
+		values.States = append(values.States, state.String())
 	}
-	for _, x := range []LocalHealth{LocalLearning, LocalHealthy, LocalDegraded, LocalIsolated, LocalUnanswered,
+	for _, health := range []LocalHealth{LocalLearning, LocalHealthy, LocalDegraded, LocalIsolated, LocalUnanswered,
 		LocalResumed, LocalFenced} {
-		s.Standing = append(s.Standing, x.String())
+		values.LocalHealth = append(values.LocalHealth, health.String())
 	}
-	for _, x := range []Reason{ReasonDiscovered, ReasonReady, ReasonWarmedUp, ReasonUnreachable, ReasonSilent,
+	for _, reason := range []Reason{ReasonDiscovered, ReasonReady, ReasonWarmedUp, ReasonUnreachable, ReasonSilent,
 		ReasonFlapping, ReasonRecovered, ReasonDraining, ReasonLeft, ReasonTimedOut, ReasonSuperseded} {
-		s.Reasons = append(s.Reasons, x.String())
+		values.Reasons = append(values.Reasons, reason.String())
 	}
 	id := ID{Name: "blue", BootID: 0x0123456789abcdef}
-	s.ID, s.Mark = id.String(), Fingerprint(id)
+	values.ID, values.Fingerprint = id.String(), Fingerprint(id)
 	table := NewTable(Descriptor{Name: "self", BootID: 1}, DefaultConfig(), 0)
 	table.HandleAlive(Descriptor{Name: "blue", BootID: id.BootID}, 0)
 	table.HandleAlive(Descriptor{Name: "green", BootID: 2}, 0)
-	s.Digest = table.View().Digest()
-	return s
+	values.Digest = table.View().Digest()
+	return values
 }
 
-// What other processes and operators' files go by stays as the version before had it.
+// The values that other processes and operators' files depend on must not change between versions.
 func TestGoldenShared(t *testing.T) {
-	current := currentShared()
+	current := currentSharedValues()
 	text, err := json.MarshalIndent(current, "", "  ")
 	if err != nil {
 		t.Fatal(err)
@@ -64,24 +65,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var back sharedValues
-	if err := json.Unmarshal(stored, &back); err != nil {
+	var decoded sharedValues
+	if err := json.Unmarshal(stored, &decoded); err != nil {
 		t.Fatal(err)
 	}
 	want := sharedValues{Roles: map[string]uint8{"instance": 1, "relay": 2, "steward": 4, "below": 8},
-		States:   []string{"joining", "warming", "up", "suspect", "leaving", "gone", "fenced"},
-		Standing: []string{"young", "sound", "thin", "cut-off", "unheard", "woken", "fenced"},
+		States:      []string{"joining", "warming", "up", "suspect", "leaving", "gone", "fenced"},
+		LocalHealth: []string{"young", "sound", "thin", "cut-off", "unheard", "woken", "fenced"},
 		Reasons: []string{"claimed", "ready", "warmed", "unreached", "mute", "flapping", "returned",
 			"said", "left", "given-up", "superseded"},
-		ID: "blue@0123456789abcdef", Mark: 10703471849183513418, Digest: 9472487049747876169}
-	if !reflect.DeepEqual(back, want) {
-		t.Errorf("stored is\n%+v\nwant\n%+v", back, want)
+		ID: "blue@0123456789abcdef", Fingerprint: 10703471849183513418, Digest: 9472487049747876169}
+	if !reflect.DeepEqual(decoded, want) {
+		t.Errorf("stored values are\n%+v\nwant\n%+v", decoded, want)
 	}
-	if id, ok := ParseID(back.ID); !ok || id != (ID{Name: "blue", BootID: 0x0123456789abcdef}) {
-		t.Errorf("%q reads as %v, %v", back.ID, id, ok)
+	if id, ok := ParseID(decoded.ID); !ok || id != (ID{Name: "blue", BootID: 0x0123456789abcdef}) {
+		t.Errorf("%q is parsed as %v, ok %v", decoded.ID, id, ok)
 	}
-	if r, bad := ParseRoles([]string{"instance", "relay", "steward",
-		"below"}); bad != "" || r != 15 || r.String() != "instance+relay+steward+below" {
-		t.Errorf("the roles read as %v (%d), bad %q", r, r, bad)
+	if roles, unknown := ParseRoles([]string{"instance", "relay", "steward",
+		"below"}); unknown != "" || roles != 15 || roles.String() != "instance+relay+steward+below" {
+		t.Errorf("the roles are parsed as %v (%d), unknown role %q", roles, roles, unknown)
 	}
 }
--- a/internal/membership/harness_test.go
+++ b/internal/membership/harness_test.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
+// s is a second, as a short unit for durations.
 const s = time.Second
 
-// tableHarness drives a table through hours in milliseconds and prints each change.
+// tableHarness runs a table in simulated time and prints each state change, unless it is quiet.
 type tableHarness struct {
 	*Table
 	now              time.Duration
 	quiet            bool
-	reachableSenders []string // members that are heard, and answer, all the time
+	reachableSenders []string // members that send messages and acks at every step
 }
 
 func newHarness(changes ...func(*Config)) *tableHarness {
@@ -25,6 +26,7 @@
 	return &tableHarness{Table: NewTable(self, config, 0)}
 }
 
+// advance advances the time by d, with a tick every 100 ms.
 func (h *tableHarness) advance(d time.Duration) {
 	for end := h.now + d; h.now < end; {
 		h.now += 100 * time.Millisecond
@@ -37,7 +39,7 @@
 	}
 }
 
-// stall has the process stand still.
+// stall advances the time by d in a single tick, as after a stall of the process.
 func (h *tableHarness) stall(d time.Duration) {
 	h.now += d
 	h.Tick(h.now)
@@ -52,7 +54,7 @@
 	}
 }
 
-// alive hands in a member's descriptor.
+// alive passes a member's descriptor to the table.
 func (h *tableHarness) alive(name Name, bootID BootID, incarnation Incarnation) AliveResult {
 	result := h.HandleAlive(Descriptor{
 		Name:        name,
@@ -65,7 +67,7 @@
 	return result
 }
 
-// heartbeat hands in a heartbeat of a member that has been ready for long, written just now.
+// heartbeat passes a heartbeat to the table, written just now by a member that has been ready for 10 s.
 func (h *tableHarness) heartbeat(name Name, bootID BootID, sequence uint64, metrics ...Metric) bool {
 	return h.publish(Heartbeat{
 		ID:       ID{name, bootID},
@@ -76,14 +78,14 @@
 	}, 0)
 }
 
-// publish hands in any heartbeat.
+// publish passes a heartbeat to the table.
 func (h *tableHarness) publish(heartbeat Heartbeat, age time.Duration) bool {
 	accepted := h.HandleHeartbeat(heartbeat, age, h.now)
 	h.printChanges()
 	return accepted
 }
 
-// bringUp adds members that have been ready for long.
+// bringUp adds members that have been ready for 10 s, twice their warm-up time.
 func (h *tableHarness) bringUp(names ...Name) {
 	for _, n := range names {
 		h.alive(n, 7, 1)
@@ -91,7 +93,7 @@
 	}
 }
 
-// advanceWithHeartbeats has members publish again and again while time goes on.
+// advanceWithHeartbeats advances the time by d, with a heartbeat of each named member every second.
 func (h *tableHarness) advanceWithHeartbeats(d time.Duration, names ...Name) {
 	for end := h.now + d; h.now < end; {
 		h.advance(s)
--- a/internal/membership/join_test.go
+++ b/internal/membership/join_test.go
@@ -2,8 +2,9 @@
 
 import "fmt"
 
-// Which address to call: a seed where nobody is known, and a member that was lost without having left; seldom where
-// many miss the same, later each time, never a member that is here or has left.
+// The address to join is a seed without a known member, or a member that became unreachable without leaving. Attempts
+// are rare when many members miss the same address, and the delay grows after each failure. Reachable members and
+// members that have left are not joined.
 func Example_nextJoinAddr() {
 	h := newHarness(func(config *Config) { config.Seeds = []string{"a:1", "me:1", "z:1"} })
 	h.quiet = true
@@ -34,8 +35,8 @@
 	//  false
 }
 
-// A member that called our predecessor is called at once and not by chance, once; not one that is known already, and
-// a few of them at the most.
+// A member that called the predecessor is joined at once, whatever the random number, and once only. Members that are
+// already known are not joined, and at most four callers are recorded.
 func Example_predecessorCallers() {
 	h := newHarness(func(config *Config) { config.Seeds = []string{"me:1"} })
 	h.quiet = true
@@ -60,7 +61,7 @@
 	//  false
 }
 
-// A member whose view differs from ours is called once both have settled, not while either still changes.
+// A member whose view differs from the local one is joined when both views have settled, and not while either changes.
 func Example_divergentViews() {
 	h := newHarness()
 	h.quiet = true
--- a/internal/membership/keys_test.go
+++ b/internal/membership/keys_test.go
@@ -9,7 +9,7 @@
 	_ "lanewheel/internal/rapidtest"
 )
 
-// At no moment of a rotation the primary key is one that the keyring lacks, and in the end the keyring is the new list.
+// After each step of a rotation, the keyring contains the primary key. At the end, it contains the new list of keys.
 func TestPlanKeyRotation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from := drawKeys(t, "from")
@@ -19,7 +19,7 @@
 		primary := from[0]
 		check := func() {
 			if !containsKey(keyring, primary) {
-				t.Fatal("encrypts with a key that it does not have")
+				t.Fatal("the primary key is not in the keyring")
 			}
 		}
 		for _, key := range rotation.Add {
--- a/internal/membership/reachability_test.go
+++ b/internal/membership/reachability_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A member's life: its descriptor, ready, warmed up by how long it has been ready and not by when we heard, draining,
-// left.
+// The life cycle of a member: its descriptor arrives, it is ready, warmed up, draining, and it leaves. The warm-up time
+// starts when it becomes ready and not when its first heartbeat arrives.
 func Example() {
 	h := newHarness()
 	h.alive("a", 7, 1)
@@ -25,8 +25,9 @@
 	// 2s a 1: leaving -> gone, left
 }
 
-// A death is reported, suspected, declared. A false report of the detector that is refuted in time changes nothing.
-func Example_death() {
+// A failed member is reported unreachable, becomes suspect and is declared gone. A false report of the detector that is
+// refuted in time changes no state.
+func Example_declaredGone() {
 	h := newHarness()
 	h.bringUp("a", "b")
 	h.HandleUnreachable(ID{"a", 7}, h.now)
@@ -45,8 +46,8 @@
 	// 1
 }
 
-// A member that published a moment ago is not in doubt before its next heartbeat is due; a heartbeat that it wrote well
-// after the detector's report refutes that, also where all others have heard long ago that it is there.
+// A member that has just published is not suspect before its next heartbeat is overdue. A heartbeat that it wrote well
+// after the detector's report refutes the report, even if this process missed the refutation that all others received.
 func Example_missedRefutation() {
 	h := newHarness()
 	h.bringUp("a", "b")
@@ -55,7 +56,7 @@
 	h.advanceWithHeartbeats(4*s, "a", "b")
 	fmt.Println(h.Stats.RefutedSuspicions)
 	h.HandleUnreachable(ID{"a", 7}, h.now)
-	h.advanceWithHeartbeats(4*s, "b") // in doubt before it speaks again
+	h.advanceWithHeartbeats(4*s, "b") // it becomes suspect before its next heartbeat
 	h.advanceWithHeartbeats(2*s, "a", "b")
 	// Output:
 	// 0s a 1: joining -> joining, claimed
@@ -67,7 +68,8 @@
 	// 13s a 1: suspect -> up, returned
 }
 
-// A member that flaps is taken back later each time, and in the end like any other.
+// The more often a member flaps, the longer it stays suspect. After a long time without flaps, it is treated like any
+// other member.
 func Example_flapping() {
 	h := newHarness(func(config *Config) { config.GoneAfter = time.Minute })
 	h.quiet = true
@@ -86,7 +88,7 @@
 		fmt.Println(flaps, h.now-began)
 		h.advanceWithHeartbeats(10*time.Minute, "a", "b", "c")
 	}
-	// many that come back together have not flapped: the network between was cut
+	// many members that return together have not flapped: the network was cut
 	for range 5 {
 		for _, n := range []Name{"a", "b", "c"} {
 			h.HandleUnreachable(ID{n, 7}, h.now)
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -10,14 +10,14 @@
 	_ "lanewheel/internal/rapidtest"
 )
 
-// tableMachine is a table under messages in any order, with what has to hold of it.
+// tableMachine is a state machine test of a table that receives messages in any order. check tests the invariants.
 type tableMachine struct {
 	*tableHarness
 	names          []Name
-	newest         map[Name]Descriptor  // the newest that was seen of each name
-	unreachableFor map[ID]time.Duration // how long each process has been lost while this one could judge
-	view           *View                // the last that was published, and its digest at that time
-	digest         uint64
+	newest         map[Name]Descriptor  // the newest descriptor seen for each name
+	unreachableFor map[ID]time.Duration // how long each process has been unreachable while members could be declared gone
+	view           *View                // the last published view
+	digest         uint64               // of view when it was published
 }
 
 func newTableMachine() *tableMachine {
@@ -45,7 +45,7 @@
 	}
 }
 
-func (m *tableMachine) lose(t *rapid.T) {
+func (m *tableMachine) reportLoss(t *rapid.T) {
 	id := m.drawID(t)
 	if _, already := m.unreachableFor[id]; !already {
 		if member, found := m.View().Get(id.Name); found && member.BootID == id.BootID {
@@ -71,7 +71,7 @@
 	m.HandleHeartbeat(heartbeat, age, m.now)
 }
 
-func (m *tableMachine) pass(t *rapid.T) {
+func (m *tableMachine) passTime(t *rapid.T) {
 	const step = 100 * time.Millisecond
 	for range rapid.IntRange(1, 40).Draw(t, "steps") {
 		m.now += step
@@ -84,19 +84,19 @@
 		for _, change := range m.TakeChanges() {
 			timedOut := change.To == StateGone && change.Reason == ReasonTimedOut
 			if timedOut && m.unreachableFor[change.ID] < m.config.SuspectAfter+m.config.GoneAfter {
-				t.Fatalf("%v declared gone after %v", change.ID, m.unreachableFor[change.ID])
+				t.Fatalf("%v was declared gone after being unreachable for only %v", change.ID, m.unreachableFor[change.ID])
 			}
 		}
 	}
 }
 
-func (m *tableMachine) standStill(t *rapid.T) {
+func (m *tableMachine) stallProcess(t *rapid.T) {
 	m.stall(time.Duration(rapid.IntRange(1100, 30000).Draw(t, "ms")) * time.Millisecond)
 }
 
 func (m *tableMachine) check(t *rapid.T) {
 	if m.view.Digest() != m.digest || m.View().Version < m.view.Version || m.View().Len() > m.config.MaxMembers {
-		t.Fatal("a view changed, its version went back, or it outgrew its bound")
+		t.Fatal("a published view changed, the version decreased, or the table exceeded MaxMembers")
 	}
 	m.view = m.View()
 	m.digest = m.view.Digest()
@@ -107,33 +107,34 @@
 	}
 	for member := range m.view.All() {
 		if member.olderThan(m.newest[member.Name]) {
-			t.Fatal("an incarnation went down")
+			t.Fatal("an incarnation decreased")
 		}
 		m.newest[member.Name] = member.Descriptor
 		if _, age, ok := member.Metric("load", m.now); ok && age > m.maxMetricTTL() {
-			t.Fatal("a metric is believed for too long")
+			t.Fatal("a metric is valid beyond the maximum TTL")
 		}
 	}
 }
 
-// Under any order of few messages: incarnations of a name don't go down, nobody is declared gone before its time while
-// this process can judge is over, a published view never changes, the table stays within its bounds, and no metric is
-// believed past its TTL.
+// Invariants under any order of a few messages: the incarnation of a name does not decrease, no member is declared gone
+// before it has been unreachable long enough while this process could declare members gone, a published view never
+// changes, the table stays within MaxMembers, and no metric is valid beyond the maximum TTL.
 func TestMessagesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machine := newTableMachine()
 		t.Repeat(map[string]func(*rapid.T){
 			"descriptor": machine.receiveDescriptor,
 			"heartbeat":  machine.receiveHeartbeat,
-			"lost":       machine.lose,
-			"pass":       machine.pass,
-			"stall":      machine.standStill,
+			"loss":       machine.reportLoss,
+			"pass time":  machine.passTime,
+			"stall":      machine.stallProcess,
 			"":           machine.check,
 		})
 	})
 }
 
-// A view of 1,000 members in simulated time: five minutes in which each publishes, a tenth dies, a tenth is replaced.
+// A fleet of 1,000 members in five minutes of simulated time: each member publishes, a tenth of them fails, and another
+// tenth is replaced.
 func TestThousandMembers(t *testing.T) {
 	h := newHarness(func(config *Config) { config.MaxMembers = 1200 })
 	h.quiet = true
