--- a/internal/membership/alive.go
+++ b/internal/membership/alive.go
@@ -10,8 +10,8 @@
 	AliveAccepted          AliveResult = iota // the descriptor was stored in the table
 	AliveOutdated                             // it describes an earlier process of the name, which must be notified
 	AliveTableFull                            // the table has no room for another member
-	AliveIncarnationRaised                    // another process has this name: the own incarnation was raised, announce it
-	AliveFenced                               // a later process has this name: this process is fenced
+	AliveIncarnationRaised                    // this process raised its incarnation and must announce it
+	AliveFenced                               // a later process has taken the name of this one, which is fenced
 	AliveOwn                                  // it is the descriptor of this process
 )
 
--- a/internal/membership/alive_test.go
+++ b/internal/membership/alive_test.go
@@ -31,8 +31,8 @@
 }
 
 // Another process has the name of this one. Shortly after its start, this process raises its incarnation above that of
-// its predecessor, which is higher because the clock went back between the two starts. Later, a fence notice from
-// another member about a successor fences this process.
+// its predecessor, which is higher because the clock went back between the two starts. A successor that
+// appears later fences this process, here by a fence notice from another member.
 func Example_nameConflict() {
 	h := newHarness()
 	fmt.Println(h.alive("me", 9, 5000) == AliveIncarnationRaised, h.Self().Incarnation)
--- a/internal/membership/connectivity.go
+++ b/internal/membership/connectivity.go
@@ -80,7 +80,7 @@
 func (m *connectivityMonitor) observeAck(now time.Duration) { m.lastAck = now }
 
 // advance evaluates each window that has ended by now. peers is the number of present members. After a stall, the
-// slots that have ended meanwhile are skipped, because they are empty only as this process did not run.
+// slots that have ended meanwhile are skipped: they are empty because this process did not run.
 func (m *connectivityMonitor) advance(now time.Duration, peers int, stalled bool) {
 	if stalled {
 		m.nextRotation = now + m.config.Window/windowSlots
--- a/internal/membership/descriptor.go
+++ b/internal/membership/descriptor.go
@@ -57,12 +57,12 @@
 	Name        Name
 	Incarnation Incarnation
 	BootID      BootID
-	GossipAddr  string // address of its gossip
+	GossipAddr  string // address for gossip messages
 	ServiceAddr string // address where it accepts requests; empty if it accepts none
 	Roles       Roles
 	Zone        string
 	Release     string
-	Capacity    float64       // configured, in cores; its share of the work is proportional to it
+	Capacity    float64       // configured share of the work relative to other members, in cores
 	WarmUp      time.Duration // time from ready to its full rate
 }
 
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -79,8 +79,8 @@
 	return pickRandom(missing, random), true
 }
 
-// joinChance returns the probability, per second, of a join attempt by each member at which the whole fleet makes
-// fleetJoinRate attempts.
+// joinChance returns the probability with which each member makes a join attempt each second, so that the whole fleet
+// makes fleetJoinRate attempts per second.
 func joinChance(present int) float64 { return float64(fleetJoinRate) / float64(present+1) }
 
 // pickRandom returns a random element of addrs, which must not be empty.
@@ -128,9 +128,9 @@
 			divergent = append(divergent, member.GossipAddr)
 		}
 	}
-	// A process whose view differs from most others has most likely missed an update, so its chance to join is raised and
-	// it need not wait to be joined. Chance still decides, because each view differs from most others while the whole
-	// fleet changes.
+	// A process whose view differs from most others has most likely missed an update. It joins with a higher probability
+	// instead of waiting to be joined. The attempt stays random, because every view differs from most others while the
+	// whole fleet changes.
 	chance := joinChance(present)
 	if len(divergent) > agreeing {
 		chance = max(chance, divergentJoinChance)
--- a/internal/membership/join_test.go
+++ b/internal/membership/join_test.go
@@ -8,22 +8,22 @@
 func Example_nextJoinAddr() {
 	h := newHarness(func(config *Config) { config.Seeds = []string{"a:1", "me:1", "z:1"} })
 	h.quiet = true
-	half := func() float64 { return 0.4 }
-	fmt.Println(h.NextJoinAddr(h.now, half))
+	lowRandom := func() float64 { return 0.4 }
+	fmt.Println(h.NextJoinAddr(h.now, lowRandom))
 	h.bringUp("a", "b", "c", "d", "e", "f")
-	fmt.Println(h.NextJoinAddr(h.now, half))
+	fmt.Println(h.NextJoinAddr(h.now, lowRandom))
 	for range 3 {
-		h.RecordJoin("z:1", false, h.now, half)
+		h.RecordJoin("z:1", false, h.now, lowRandom)
 		from := h.now
-		for _, due := h.NextJoinAddr(h.now, half); !due; _, due = h.NextJoinAddr(h.now, half) {
+		for _, due := h.NextJoinAddr(h.now, lowRandom); !due; _, due = h.NextJoinAddr(h.now, lowRandom) {
 			h.advance(s / 2)
 		}
 		fmt.Println("again after", h.now-from)
 	}
-	h.RecordJoin("z:1", false, h.now, half)
+	h.RecordJoin("z:1", false, h.now, lowRandom)
 	h.HandleLeft(ID{"b", 7}, h.now)
 	h.HandleUnreachable(ID{"c", 7}, h.now)
-	fmt.Println(h.NextJoinAddr(h.now, half))
+	fmt.Println(h.NextJoinAddr(h.now, lowRandom))
 	fmt.Println(h.NextJoinAddr(h.now, func() float64 { return 0.99 }))
 	// Output:
 	// a:1 true
@@ -40,17 +40,17 @@
 func Example_predecessorCallers() {
 	h := newHarness(func(config *Config) { config.Seeds = []string{"me:1"} })
 	h.quiet = true
-	never := func() float64 { return 0.99 }
+	highRandom := func() float64 { return 0.99 }
 	h.bringUp("a", "b")
 	h.AddPredecessorCaller("a:1")
-	fmt.Println(h.NextJoinAddr(h.now, never))
+	fmt.Println(h.NextJoinAddr(h.now, highRandom))
 	for _, addr := range []string{"c:1", "c:1", "d:1", "e:1", "f:1", "g:1"} {
 		h.AddPredecessorCaller(addr)
 	}
 	for range 5 {
-		addr, due := h.NextJoinAddr(h.now, never)
+		addr, due := h.NextJoinAddr(h.now, highRandom)
 		fmt.Println(addr, due)
-		h.RecordJoin(addr, addr != "d:1", h.now, never)
+		h.RecordJoin(addr, addr != "d:1", h.now, highRandom)
 	}
 	// Output:
 	//  false
@@ -66,9 +66,9 @@
 	h := newHarness()
 	h.quiet = true
 	h.bringUp("a", "b")
-	always := func() float64 { return 0 }
+	zeroRandom := func() float64 { return 0 }
 	h.advance(4 * s)
-	fmt.Println(h.NextJoinAddr(h.now, always))
+	fmt.Println(h.NextJoinAddr(h.now, zeroRandom))
 	publish := func(name Name, sequence, viewDigest uint64) {
 		h.publish(Heartbeat{
 			ID:         ID{name, 7},
@@ -79,15 +79,15 @@
 		}, 0)
 	}
 	publish("b", 2, h.ViewDigest())
-	fmt.Println(h.NextJoinAddr(h.now, always))
+	fmt.Println(h.NextJoinAddr(h.now, zeroRandom))
 	publish("a", 2, h.ViewDigest()^Fingerprint(ID{"c", 7}))
-	fmt.Println(h.NextJoinAddr(h.now, always))
+	fmt.Println(h.NextJoinAddr(h.now, zeroRandom))
 	h.alive("d", 7, 1)
 	changedAt := h.now
 	h.now += divergenceDelay
 	publish("a", 3, 1)
-	fmt.Println(h.NextJoinAddr(changedAt+divergenceDelay/2, always))
-	fmt.Println(h.NextJoinAddr(changedAt+2*divergenceDelay, always))
+	fmt.Println(h.NextJoinAddr(changedAt+divergenceDelay/2, zeroRandom))
+	fmt.Println(h.NextJoinAddr(changedAt+2*divergenceDelay, zeroRandom))
 	// Output:
 	//  false
 	//  false
--- a/internal/membership/reachability_test.go
+++ b/internal/membership/reachability_test.go
@@ -68,8 +68,7 @@
 	// 13s a 1: suspect -> up, returned
 }
 
-// The more often a member flaps, the longer it stays suspect. After a long time without flaps, it is treated like any
-// other member.
+// The more often a member flaps, the longer it stays suspect, but it always becomes up again in the end.
 func Example_flapping() {
 	h := newHarness(func(config *Config) { config.GoneAfter = time.Minute })
 	h.quiet = true
