--- a/internal/membership/alive.go
+++ b/internal/membership/alive.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// AliveResult is the result of handling a received descriptor.
+// AliveResult is the result of processing a received descriptor or fence notice.
 type AliveResult uint8
 
-// The values of AliveResult.
+// The results.
 const (
-	AliveAccepted          AliveResult = iota // the descriptor is in the table
-	AliveOutdated                             // the descriptor of an earlier process, which must be notified
-	AliveTableFull                            // the table is full
-	AliveIncarnationRaised                    // name conflict: this process raised its incarnation and must announce it
-	AliveFenced                               // name conflict: this process is fenced
-	AliveOwn                                  // the descriptor of this process
+	AliveAccepted          AliveResult = iota // the descriptor was stored in the table
+	AliveOutdated                             // it describes an earlier process of the name, which must be notified
+	AliveTableFull                            // the table has no room for another member
+	AliveIncarnationRaised                    // this process raised its incarnation and must announce it
+	AliveFenced                               // a later process has taken the name of this one, which is fenced
+	AliveOwn                                  // it is the descriptor of this process
 )
 
 var aliveResultNames = [...]string{"accepted", "outdated", "table full", "incarnation raised", "fenced", "own"}
 
 func (r AliveResult) String() string { return aliveResultNames[r] }
 
-// HandleAlive handles a descriptor that was received by gossip, of a member that the failure detector reaches.
+// HandleAlive processes a descriptor that was received by gossip, of a member that the failure detector can reach.
 func (t *Table) HandleAlive(descriptor Descriptor, now time.Duration) AliveResult {
 	if descriptor.Name == t.self.Name {
 		return t.resolveNameConflict(descriptor, now)
@@ -27,8 +27,7 @@
 	member, found := t.members.Get(descriptor.Name)
 	switch {
 	case !found && t.members.Len() >= t.config.MaxMembers && !t.evictGone(now, true):
-		// Members that are not gone are never evicted, so that thousands of made-up names cannot fill the memory or
-		// displace them.
+		// Present members are not evicted, so thousands of made-up names can neither fill the memory nor displace them.
 		t.Stats.RejectedFull++
 		return AliveTableFull
 	case found && descriptor.olderThan(member.Descriptor):
@@ -38,7 +37,7 @@
 		t.transition(newMember(descriptor), StateJoining, ReasonDiscovered, now)
 	case descriptor.BootID != member.BootID:
 		t.supersede(member, descriptor, now)
-	default: // the same process, possibly with a raised incarnation or reachable again
+	default: // the same process; it may have raised its incarnation or be reachable again
 		member.Descriptor = descriptor
 		t.markReachable(member, now)
 	}
@@ -50,8 +49,8 @@
 	return Member{Descriptor: descriptor, fingerprint: Fingerprint(descriptor.ID())}
 }
 
-// supersede replaces a member with a later process with the same name. Heartbeats that the earlier process still
-// publishes are ignored from then on.
+// supersede replaces the previous process of a name by a new one. Messages that the previous process still publishes
+// do not affect the new one.
 func (t *Table) supersede(previous Member, descriptor Descriptor, now time.Duration) {
 	if previous.State.Present() {
 		t.recordChange(previous, previous.State, StateFenced, ReasonSuperseded)
@@ -59,24 +58,26 @@
 	successor := newMember(descriptor)
 	successor.flapping = previous.flapping
 	if previous.State != StateGone && previous.State != StateLeaving {
-		successor.flapping.add(t.config.FlapDamping, now)
+		successor.flapping.addFlap(t.config.FlapDamping, now)
 	}
 	t.transition(successor, StateJoining, ReasonDiscovered, now)
 }
 
-// maxIncarnationRaises is the maximum number of times that this process raises its incarnation. Two processes that
-// start at the same time raise theirs in turn, and their boot IDs decide between them before the limit is reached.
+// maxIncarnationRaises is the maximum number of times that this process raises its own incarnation. Two processes that
+// start under one name at the same moment raise their incarnations in turn. Boot IDs order equal incarnations, and this
+// limit ends the exchange.
 const maxIncarnationRaises = 3
 
-// resolveNameConflict handles a descriptor of another process with the name of this one. Shortly after the start of
-// this process, the other one is most likely its predecessor, which some members still gossip about; this process
-// then raises its incarnation. Later the other one is its successor, and this process is fenced. The new incarnation
-// is one above the one received and is not taken from the clock, which may have been set back between the two starts.
-func (t *Table) resolveNameConflict(rival Descriptor, now time.Duration) AliveResult {
-	if rival.BootID == t.self.BootID {
+// resolveNameConflict handles a descriptor of another process that has the name of this one. Shortly after the start
+// of this process, the other one is most likely its predecessor, about which some members still gossip: this process
+// raises its own incarnation above the predecessor's. Later, the other one is the successor, and this process is
+// fenced. The new incarnation is derived from the received one and not from the clock, which may have gone back between
+// the two starts.
+func (t *Table) resolveNameConflict(other Descriptor, now time.Duration) AliveResult {
+	if other.BootID == t.self.BootID {
 		return AliveOwn
 	}
-	if rival.olderThan(t.self) {
+	if other.olderThan(t.self) {
 		t.Stats.OutdatedIncarnations++
 		return AliveOutdated
 	}
@@ -85,7 +86,7 @@
 	}
 	if now-t.start <= t.config.SettleTime+t.config.GoneAfter && t.incarnationRaises < maxIncarnationRaises {
 		t.incarnationRaises++
-		t.self.Incarnation = rival.Incarnation + 1
+		t.self.Incarnation = other.Incarnation + 1
 		t.publishView(now)
 		return AliveIncarnationRaised
 	}
@@ -94,11 +95,10 @@
 	return AliveFenced
 }
 
-// HandleFenceNotice handles another member's notice that a later process, with the given incarnation and boot ID, has
-// the name of this one.
+// HandleFenceNotice processes a notice from another member that a later process has the name of this process.
 func (t *Table) HandleFenceNotice(incarnation Incarnation, bootID BootID, now time.Duration) AliveResult {
-	rival := t.self
-	rival.Incarnation = incarnation
-	rival.BootID = bootID
-	return t.resolveNameConflict(rival, now)
+	other := t.self
+	other.Incarnation = incarnation
+	other.BootID = bootID
+	return t.resolveNameConflict(other, now)
 }
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -2,39 +2,38 @@
 
 import "time"
 
-// Config configures a Table.
+// Config holds the limits and timeouts of the membership decisions.
 type Config struct {
-	MaxMembers         int           // maximum number of members, in any state; gone ones are evicted first
-	GoneRetention      time.Duration // how long a gone member is kept
-	SuspectAfter       time.Duration // from the detector's report to suspect; a member can refute the report until then
+	MaxMembers         int           // maximum number of members in any state; gone ones are evicted first
+	GoneRetention      time.Duration // how long a gone member is kept in the table
+	SuspectAfter       time.Duration // from the detector's report to suspect; a false report can be refuted meanwhile
 	GoneAfter          time.Duration // from suspect to gone
-	SilentAfter        time.Duration // from the end of the maximum metric TTL to suspect, if no heartbeat has arrived
-	StallThreshold     time.Duration // longest time between two ticks that is not taken for a stall
-	SettleTime         time.Duration // time after a stall in which the table is considered out of date
+	SilentAfter        time.Duration // time without a heartbeat, beyond the metric TTL, until a serving member is suspect
+	StallThreshold     time.Duration // a longer time between two ticks means that this process was stalled
+	SettleTime         time.Duration // time after a stall until the local view is up to date again
 	HeartbeatInterval  time.Duration // mean time between two heartbeats of a member in a small fleet
-	FleetHeartbeatRate float64       // heartbeats per second of the whole fleet, in a large fleet
+	FleetHeartbeatRate float64       // heartbeats per second of all members together in a large fleet
 	MaxMetrics         int           // maximum number of metrics in a heartbeat
 	FlapDamping        FlapDampingConfig
 	Connectivity       ConnectivityConfig
-	Seeds              []string // gossip addresses that are joined while no reachable member has them
+	Seeds              []string // gossip addresses to join while no member with that address is known
 }
 
-// FlapDampingConfig configures how long a flapping member is kept suspect. The penalty is the decaying number of its
-// returns.
+// FlapDampingConfig configures how long members that repeatedly leave and return stay suspect.
 type FlapDampingConfig struct {
-	SuppressLimit float64       // from this penalty on, a member that returns stays suspect
+	SuppressLimit float64       // from this penalty on, a returning member stays suspect
 	ReuseLimit    float64       // below this penalty, the member becomes available again
-	MaxPenalty    float64       // maximum penalty
+	MaxPenalty    float64       // upper limit of the penalty
 	HalfLife      time.Duration // time in which the penalty decays by half
 }
 
-// ConnectivityConfig configures how a process detects that it is itself cut off from the fleet.
+// ConnectivityConfig configures how a process detects that it is cut off from the fleet.
 type ConnectivityConfig struct {
-	Window        time.Duration // time window over which distinct senders are counted
-	DegradedBelow float64       // fraction of the baseline below which the process is degraded
-	IsolatedBelow float64       // fraction of the baseline below which the process is isolated
-	AdaptAfter    time.Duration // a low number of senders that lasts this long starts a new baseline
-	AckTimeout    time.Duration // without a response to probes: the process is unanswered
+	Window        time.Duration // period over which distinct senders are counted
+	DegradedBelow float64       // fraction of the usual number of senders below which the process is degraded
+	IsolatedBelow float64       // fraction of the usual number of senders below which the process is isolated
+	AdaptAfter    time.Duration // time after which a lower number of senders becomes the new baseline
+	AckTimeout    time.Duration // time without an ack to an own probe until the process counts as unanswered
 }
 
 // DefaultConfig returns the default configuration.
--- a/internal/membership/connectivity.go
+++ b/internal/membership/connectivity.go
@@ -6,19 +6,18 @@
 	"time"
 )
 
-// LocalHealth describes how far a process can trust its own observations of other members. Its names are shown on
-// status sockets.
+// LocalHealth is how far a process may trust its observations of other members. Its names are shown on status sockets.
 type LocalHealth uint8
 
 // The values of LocalHealth.
 const (
 	LocalLearning   LocalHealth = iota // it has not listened for long enough to have a baseline
-	LocalHealthy                       // it hears the usual number of members, and they answer it
-	LocalDegraded                      // it hears well below the usual number: part of the fleet may be cut off
-	LocalIsolated                      // it hears almost no member: it is itself cut off
+	LocalHealthy                       // it receives messages and acks as usual
+	LocalDegraded                      // it hears far fewer members than usual: part of the fleet may be cut off from it
+	LocalIsolated                      // it hears almost no members: it is cut off itself
 	LocalUnanswered                    // it hears other members, but none answers its probes
-	LocalResumed                       // it has recently stalled, and its table may be out of date
-	LocalFenced                        // a later process has its name
+	LocalResumed                       // it has just resumed after a stall, and its view is out of date
+	LocalFenced                        // a later process has taken its name
 )
 
 var localHealthNames = [...]string{"young", "sound", "thin", "cut-off", "unheard", "woken", "fenced"}
@@ -33,30 +32,28 @@
 const (
 	// windowSlots is the number of slots of a window. The window advances by one slot at a time.
 	windowSlots = 3
-	// baselineWindows is the number of recent windows whose median is the baseline. Each window starts one slot after
-	// the previous one.
+	// baselineWindows is the maximum number of windows, each one slot after the previous, whose median is the baseline.
 	baselineWindows = 30
-	// minBaselineWindows is the minimum number of recorded windows from which a baseline is computed.
+	// minBaselineWindows is the number of recorded windows from which on there is a baseline.
 	minBaselineWindows = 6
-	// maxSenders limits the recorded senders of a slot, so that a flood of packets with made-up senders cannot fill
-	// the memory. Further senders would add no information.
+	// maxSenders is the maximum number of senders recorded per slot. A flood of packets with made-up senders must not fill
+	// the memory, and further senders would not change the result.
 	maxSenders = 4096
 )
 
-// connectivityMonitor compares the number of members that this process hears with the baseline, the number that it
-// usually hears. It is owned by the table, which reports to it each sender of a message and each answer to a probe of
-// this process.
+// connectivityMonitor compares the number of members that this process hears with the usual number. It belongs to the
+// table, which reports the sender of each message and each ack to a probe of this process.
 type connectivityMonitor struct {
 	config        ConnectivityConfig
-	slots         [windowSlots]map[string]struct{} // senders by slot of the window
-	current       int                              // index of the slot that records senders now
+	slots         [windowSlots]map[string]struct{} // distinct senders in each slot of the window
+	currentSlot   int                              // index of the slot that records new senders
 	nextRotation  time.Duration                    // when the next slot begins
 	history       []int                            // number of senders in each of the last windows, oldest first
-	lowWindows    int                              // consecutive windows below DegradedBelow
+	lowWindows    int                              // consecutive windows far below the baseline
 	lowSince      time.Duration                    // when the first of the low windows ended
 	silentWindows int                              // consecutive windows without any sender
-	heardFraction float64                          // senders in the last window relative to the baseline, at most 1
-	lastAck       time.Duration                    // when a probe of this process was last answered
+	heardFraction float64                          // senders heard as a fraction of the baseline, at most 1
+	lastAck       time.Duration                    // when a probe of this process was last acked
 }
 
 func newConnectivityMonitor(config ConnectivityConfig, now time.Duration) *connectivityMonitor {
@@ -74,17 +71,16 @@
 
 // observeSender records the sender of a message.
 func (m *connectivityMonitor) observeSender(sender string) {
-	if slot := m.slots[m.current]; len(slot) < maxSenders {
+	if slot := m.slots[m.currentSlot]; len(slot) < maxSenders {
 		slot[sender] = struct{}{}
 	}
 }
 
-// observeAck records an answer to a probe of this process.
+// observeAck records an ack to a probe of this process.
 func (m *connectivityMonitor) observeAck(now time.Duration) { m.lastAck = now }
 
-// advance advances the window to now and evaluates each window that has ended. peers is the number of members that
-// can be heard. After a stall of this process it skips the missed slots, in which the process itself received
-// nothing.
+// advance evaluates each window that has ended by now. peers is the number of present members. After a stall, the
+// slots that have ended meanwhile are skipped: they are empty because this process did not run.
 func (m *connectivityMonitor) advance(now time.Duration, peers int, stalled bool) {
 	if stalled {
 		m.nextRotation = now + m.config.Window/windowSlots
@@ -94,14 +90,13 @@
 		return
 	}
 	for ; now >= m.nextRotation; m.nextRotation += m.config.Window / windowSlots {
-		m.evaluateWindow(m.countSenders(), peers, m.nextRotation)
-		m.current = (m.current + 1) % windowSlots
-		clear(m.slots[m.current])
+		m.evaluateWindow(m.sendersInWindow(), peers, m.nextRotation)
+		m.currentSlot = (m.currentSlot + 1) % windowSlots
+		clear(m.slots[m.currentSlot])
 	}
 }
 
-// countSenders returns the number of distinct senders in the current window.
-func (m *connectivityMonitor) countSenders() int {
+func (m *connectivityMonitor) sendersInWindow() int {
 	senders := map[string]struct{}{}
 	for _, slot := range m.slots {
 		maps.Copy(senders, slot)
@@ -109,8 +104,8 @@
 	return len(senders)
 }
 
-// evaluateWindow compares heard, the number of senders in the window that ended at the time at, with the baseline.
-func (m *connectivityMonitor) evaluateWindow(heard, peers int, at time.Duration) {
+// evaluateWindow compares the number of senders heard in the window that ended at endedAt with the baseline.
+func (m *connectivityMonitor) evaluateWindow(heard, peers int, endedAt time.Duration) {
 	m.silentWindows++
 	if heard > 0 {
 		m.silentWindows = 0
@@ -118,12 +113,12 @@
 	if len(m.history) < minBaselineWindows || peers == 0 {
 		m.heardFraction = 1
 		m.lowWindows = 0
-		if peers > 0 && (heard > 0 || len(m.history) > 0) { // windows before the first message do not count
+		if peers > 0 && (heard > 0 || len(m.history) > 0) { // windows before the first message are not typical
 			m.recordWindow(heard)
 		}
 		return
 	}
-	// The baseline is capped at the number of peers, so that members that have left are not expected.
+	// The baseline is limited to the number of present members, so that members that left are not missed.
 	m.heardFraction = min(1, float64(heard)/max(1, min(m.baseline(), float64(peers))))
 	if m.heardFraction >= m.config.DegradedBelow {
 		m.lowWindows = 0
@@ -132,9 +127,9 @@
 	}
 	m.lowWindows++
 	if m.lowWindows == 1 {
-		m.lowSince = at
+		m.lowSince = endedAt
 	}
-	if at-m.lowSince >= m.config.AdaptAfter { // start a new baseline
+	if endedAt-m.lowSince >= m.config.AdaptAfter { // collect a new baseline
 		m.history = m.history[:0]
 		m.lowWindows = 0
 		m.heardFraction = 1
@@ -148,8 +143,7 @@
 	m.history = append(m.history, heard)
 }
 
-// baseline returns the usual number of senders in a window: the median of the recorded windows, or 0 if there are
-// none.
+// baseline returns the usual number of senders in a window: the median of the recorded windows, or 0 without any.
 func (m *connectivityMonitor) baseline() float64 {
 	if len(m.history) == 0 {
 		return 0
@@ -158,14 +152,14 @@
 	return float64(sorted[len(sorted)/2])
 }
 
-// hearsNobody reports whether no member has been heard for two whole windows although there is a baseline.
+// hearsNobody reports whether the window has been empty for more than two window lengths although there is a baseline.
 func (m *connectivityMonitor) hearsNobody() bool {
 	return m.silentWindows > 2*windowSlots && len(m.history) >= minBaselineWindows
 }
 
-// localHealth returns the health that follows from the received messages alone. Two consecutive windows, one slot
-// apart, with almost no senders mean isolation. A window that is merely low may be so by chance; the process is
-// degraded only once the windows have remained low for one more whole window.
+// localHealth returns the health as far as it follows from received messages and acks. The process is isolated after
+// two consecutive windows, one slot apart, with almost no senders. A window that is merely low may be so by chance, so
+// the process is degraded only when the following windows stay low for a whole window length.
 func (m *connectivityMonitor) localHealth(now time.Duration, peers int) LocalHealth {
 	switch {
 	case peers == 0 || len(m.history) < minBaselineWindows:
@@ -180,17 +174,17 @@
 	return LocalHealthy
 }
 
-// ObserveSender records the sender of any message.
+// ObserveSender records the sender of a message of any kind.
 func (t *Table) ObserveSender(sender string) { t.connectivity.observeSender(sender) }
 
-// ObserveAck records an answer to a probe of this process.
+// ObserveAck records an ack to a probe of this process.
 func (t *Table) ObserveAck(now time.Duration) { t.connectivity.observeAck(now) }
 
-// HearsNobody reports whether this process is cut off so completely that its reports about other members are
-// meaningless and must not be sent.
+// HearsNobody reports whether this process has heard no member for so long that its reports about others are worthless
+// and must not be sent.
 func (t *Table) HearsNobody() bool { return t.connectivity.hearsNobody() }
 
-// localHealth returns the current health of this process.
+// localHealth returns the health of this process.
 func (t *Table) localHealth(now time.Duration) LocalHealth {
 	switch {
 	case t.fenced:
@@ -201,13 +195,13 @@
 	return t.connectivity.localHealth(now, t.countPresentMembers())
 }
 
-// healthy reports whether this process is not itself a likely cause of the failure detector's reports.
-func (t *Table) healthy(now time.Duration) bool {
+// locallyHealthy reports whether a report of the failure detector is not due to a fault of this process.
+func (t *Table) locallyHealthy(now time.Duration) bool {
 	health := t.localHealth(now)
 	return health == LocalHealthy || health == LocalLearning
 }
 
-// countPresentMembers returns the number of present members, which are those that can be heard.
+// countPresentMembers returns the number of members that this process can expect to hear.
 func (t *Table) countPresentMembers() (count int) {
 	for member := range allMembers(t.members) {
 		if member.State.Present() {
--- a/internal/membership/connectivity_test.go
+++ b/internal/membership/connectivity_test.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// A stall of 8 s while a member is lost does not cause the member to be declared gone: its deadline excludes the
-// stall. Messages that arrived during the stall count as old.
+// A stall of 8 s while a member is unreachable declares no member gone. The time for which the member is unreachable
+// continues without the stall, and heartbeats that arrived meanwhile count as that much older.
 func Example_stall() {
-	x := newHarness()
-	x.bringUp("a", "b")
-	x.HandleUnreachable(ID{"a", 7}, x.now)
-	x.advance(s / 2)
-	x.stall(8 * s)
-	fmt.Println(x.View().LocalHealth)
-	x.heartbeat("b", 7, 2, Metric{Name: "load", Value: 1, TTL: 5 * s})
-	m, _ := x.View().Get("b")
-	_, age, ok := m.Metric("load", x.now)
+	h := newHarness()
+	h.bringUp("a", "b")
+	h.HandleUnreachable(ID{"a", 7}, h.now)
+	h.advance(s / 2)
+	h.stall(8 * s)
+	fmt.Println(h.View().LocalHealth)
+	h.heartbeat("b", 7, 2, Metric{Name: "load", Value: 1, TTL: 5 * s})
+	m, _ := h.View().Get("b")
+	_, age, ok := m.Metric("load", h.now)
 	fmt.Println(age, ok)
-	x.advance(s)
-	x.alive("a", 7, 1) // it was alive during the stall
-	x.advanceWithHeartbeats(5*s, "a", "b")
-	fmt.Println(x.Stats.Stalls, x.View().Count(StateUp))
+	h.advance(s)
+	h.alive("a", 7, 1) // it was alive throughout
+	h.advanceWithHeartbeats(5*s, "a", "b")
+	fmt.Println(h.Stats.Stalls, h.View().Count(StateUp))
 	// Output:
 	// 0s a 1: joining -> joining, claimed
 	// 0s a 1: joining -> up, ready
@@ -33,32 +33,32 @@
 	// 1 2
 }
 
-// A process that no longer hears any member is itself cut off: it declares no member gone, reports HearsNobody, so
-// that it spreads no suspicions, and publishes the fraction that it hears. When it hears all members again, it is
-// healthy and they are up. A reduced number of senders that lasts becomes the new baseline.
-func Example_cutOff() {
-	x := newHarness()
-	x.bringUp("a", "b", "c")
-	x.reachableSenders = []string{"a", "b", "c"}
-	x.advanceWithHeartbeats(20*s, "a", "b", "c")
-	fmt.Println(x.View().LocalHealth, x.HearsNobody())
-	x.reachableSenders = nil
-	x.advance(3 * s)
+// A process that no longer hears any member is isolated: it declares none gone, sends no reports about others, and
+// publishes the fraction that it hears. When it hears them again, it is healthy and all members are up. If it keeps
+// hearing fewer members, that becomes the baseline.
+func Example_isolated() {
+	h := newHarness()
+	h.bringUp("a", "b", "c")
+	h.reachableSenders = []string{"a", "b", "c"}
+	h.advanceWithHeartbeats(20*s, "a", "b", "c")
+	fmt.Println(h.View().LocalHealth, h.HearsNobody())
+	h.reachableSenders = nil
+	h.advance(3 * s)
 	for _, n := range []Name{"a", "b", "c"} {
-		x.HandleUnreachable(ID{n, 7}, x.now)
+		h.HandleUnreachable(ID{n, 7}, h.now)
 	}
-	x.advance(30 * s)
-	fmt.Println(x.View().LocalHealth, x.HearsNobody(), x.View().HeardFraction)
-	x.reachableSenders = []string{"a", "b", "c"}
+	h.advance(30 * s)
+	fmt.Println(h.View().LocalHealth, h.HearsNobody(), h.View().HeardFraction)
+	h.reachableSenders = []string{"a", "b", "c"}
 	for _, n := range []Name{"a", "b", "c"} {
-		x.alive(n, 7, 1)
+		h.alive(n, 7, 1)
 	}
-	x.advanceWithHeartbeats(6*s, "a", "b", "c")
-	fmt.Println(x.View().LocalHealth, x.View().Count(StateUp))
-	x.reachableSenders = []string{"a"}
-	x.quiet = true
-	x.advanceWithHeartbeats(80*s, "a", "b", "c")
-	fmt.Println(x.View().LocalHealth)
+	h.advanceWithHeartbeats(6*s, "a", "b", "c")
+	fmt.Println(h.View().LocalHealth, h.View().Count(StateUp))
+	h.reachableSenders = []string{"a"}
+	h.quiet = true
+	h.advanceWithHeartbeats(80*s, "a", "b", "c")
+	fmt.Println(h.View().LocalHealth)
 	// Output:
 	// 0s a 1: joining -> joining, claimed
 	// 0s a 1: joining -> up, ready
@@ -72,48 +72,46 @@
 	// sound
 }
 
-// A third of the fleet fails. This process still hears most members, so it is healthy and declares the failed ones
-// gone.
-func Example_partOfFleetGone() {
-	x := newHarness()
-	x.quiet = true
-	x.bringUp("a", "b", "c", "d", "e", "f")
-	x.reachableSenders = []string{"a", "b", "c", "d", "e", "f"}
-	x.advanceWithHeartbeats(20*s, "a", "b", "c", "d", "e", "f")
-	x.reachableSenders = x.reachableSenders[:4]
-	x.HandleUnreachable(ID{"e", 7}, x.now)
-	x.HandleUnreachable(ID{"f", 7}, x.now)
-	x.advanceWithHeartbeats(8*s, "a", "b", "c", "d")
-	fmt.Println(x.View().LocalHealth, x.View().Count(StateGone))
-	// it hears the other members, but none answers its probes
+// A third of the fleet fails. This process still hears most members, so it is healthy and declares the others gone.
+func Example_membersGone() {
+	h := newHarness()
+	h.quiet = true
+	h.bringUp("a", "b", "c", "d", "e", "f")
+	h.reachableSenders = []string{"a", "b", "c", "d", "e", "f"}
+	h.advanceWithHeartbeats(20*s, "a", "b", "c", "d", "e", "f")
+	h.reachableSenders = h.reachableSenders[:4]
+	h.HandleUnreachable(ID{"e", 7}, h.now)
+	h.HandleUnreachable(ID{"f", 7}, h.now)
+	h.advanceWithHeartbeats(8*s, "a", "b", "c", "d")
+	fmt.Println(h.View().LocalHealth, h.View().Count(StateGone))
+	// it hears other members, but none answers its probes
 	for range 80 {
-		x.now += s / 10
-		for _, sender := range x.reachableSenders {
-			x.ObserveSender(sender)
+		h.now += s / 10
+		for _, sender := range h.reachableSenders {
+			h.ObserveSender(sender)
 		}
-		x.Tick(x.now)
+		h.Tick(h.now)
 	}
-	fmt.Println(x.View().LocalHealth)
+	fmt.Println(h.View().LocalHealth)
 	// Output:
 	// sound 2
 	// unheard
 }
 
-// If a member stops publishing while the failure detector still reaches it, its metrics expire and it becomes suspect
-// as silent.
+// When a member stops publishing heartbeats while its gossip continues, its metrics expire and it becomes suspect.
 func Example_silent() {
-	x := newHarness()
-	x.alive("a", 7, 1)
-	x.heartbeat("a", 7, 1,
+	h := newHarness()
+	h.alive("a", 7, 1)
+	h.heartbeat("a", 7, 1,
 		Metric{Name: "load", Value: 0.5, TTL: time.Hour}, Metric{Name: "odd", Value: math.NaN(), TTL: s})
 	for range 4 {
-		m, _ := x.View().Get("a")
-		v, age, ok := m.Metric("load", x.now)
-		fmt.Println(x.now, v, age, ok, len(m.Metrics))
-		x.advance(3 * s)
+		m, _ := h.View().Get("a")
+		v, age, ok := m.Metric("load", h.now)
+		fmt.Println(h.now, v, age, ok, len(m.Metrics))
+		h.advance(3 * s)
 	}
-	x.heartbeat("a", 7, 2)
-	fmt.Println(x.heartbeat("a", 7, 1)) // an earlier heartbeat that took a longer path
+	h.heartbeat("a", 7, 2)
+	fmt.Println(h.heartbeat("a", 7, 1)) // an earlier heartbeat that arrives late
 	// Output:
 	// 0s a 1: joining -> joining, claimed
 	// 0s a 1: joining -> up, ready
--- a/internal/membership/descriptor.go
+++ b/internal/membership/descriptor.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Roles is the set of roles of a member in the fleet. Its bits are part of the gossip messages.
+// Roles is the set of roles that a member has in the fleet. Its bits are part of the gossip messages.
 type Roles uint8
 
-// The bits of Roles.
+// The roles, one bit each.
 const (
 	RoleServer      Roles = 1 << iota // serves requests
 	RoleProxy                         // forwards requests
-	RoleCoordinator                   // holds the replicated state
-	RoleUpstream                      // runs beside an upstream service that servers call
+	RoleCoordinator                   // stores the replicated state
+	RoleUpstream                      // runs beside a service that servers call
 )
 
-// roleNames are the names of the roles in operators' files and on status sockets, in the order of the bits.
+// roleNames holds the names of the roles in operators' files and on status sockets, in bit order.
 var roleNames = []string{"instance", "relay", "steward", "below"}
 
 // String returns the names of the roles, joined by "+".
@@ -30,8 +30,7 @@
 	return strings.Join(names, "+")
 }
 
-// ParseRoles returns the set of the roles with the given names. unknown is the first name that is not the name of a
-// role, or empty if all are.
+// ParseRoles parses role names. unknown is the first name that is not a role, or empty if all are.
 func ParseRoles(names []string) (roles Roles, unknown string) {
 	for _, name := range names {
 		role, found := parseRole(name)
@@ -52,14 +51,14 @@
 	return 0, false
 }
 
-// Descriptor describes a member. A member announces it itself, and it remains the same while the process runs, except
-// for the incarnation.
+// Descriptor is the description that a member publishes of itself. Except for the incarnation, it is constant from the
+// start of the process to its end.
 type Descriptor struct {
 	Name        Name
 	Incarnation Incarnation
 	BootID      BootID
-	GossipAddr  string // address for gossip
-	ServiceAddr string // address at which it accepts requests; empty: it accepts none
+	GossipAddr  string // address for gossip messages
+	ServiceAddr string // address where it accepts requests; empty if it accepts none
 	Roles       Roles
 	Zone        string
 	Release     string
@@ -70,9 +69,8 @@
 // ID returns the identity of the process that the descriptor describes.
 func (d Descriptor) ID() ID { return ID{Name: d.Name, BootID: d.BootID} }
 
-// olderThan reports whether d belongs to an earlier process than other, which has the same name. Processes with the
-// same incarnation are ordered by their boot IDs, so that all members that receive both descriptors make the same
-// decision.
+// olderThan reports whether d describes an earlier process of the name than other does. Descriptors with the same
+// incarnation are ordered by their boot IDs, so that all members that see both make the same decision.
 func (d Descriptor) olderThan(other Descriptor) bool {
 	if d.Incarnation != other.Incarnation {
 		return d.Incarnation < other.Incarnation
--- a/internal/membership/fence_test.go
+++ b/internal/membership/fence_test.go
@@ -2,8 +2,7 @@
 
 import "testing"
 
-// An outdated process is notified by exactly two of the members, whichever member evaluates the ranks, and a notifier
-// does not notify it again immediately.
+// An outdated process is notified by two members, which all members select in the same way, and not again at once.
 func TestFenceNotifiers(t *testing.T) {
 	names := []Name{"a", "b", "c", "d", "e", "f", "g"}
 	for bootID := range BootID(50) {
@@ -16,7 +15,7 @@
 			}
 			notifiers++
 			if table.ShouldNotifyFenced(outdated, s) {
-				t.Fatal("ShouldNotifyFenced reported true again within the settle time")
+				t.Fatal("notified again within the settle time")
 			}
 		}
 		if notifiers != fenceNotifiers {
@@ -25,7 +24,7 @@
 	}
 }
 
-// tableOf returns the table of the member self, in which the other members of names are up.
+// tableOf returns the table of self, one of several members that know each other.
 func tableOf(self Name, names []Name) *Table {
 	table := NewTable(Descriptor{Name: self, BootID: 7, Incarnation: 1}, DefaultConfig(), 0)
 	for _, name := range names {
--- a/internal/membership/harness_test.go
+++ b/internal/membership/harness_test.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
+// s is a second, as a short unit for durations.
 const s = time.Second
 
-// tableHarness drives a table in simulated time and prints each change of a member, unless quiet is set.
+// tableHarness runs a table in simulated time and prints each state change, unless it is quiet.
 type tableHarness struct {
 	*Table
 	now              time.Duration
 	quiet            bool
-	reachableSenders []string // members that send messages and answer probes all the time
+	reachableSenders []string // members that send messages and acks at every step
 }
 
 func newHarness(changes ...func(*Config)) *tableHarness {
@@ -25,49 +26,50 @@
 	return &tableHarness{Table: NewTable(self, config, 0)}
 }
 
-func (x *tableHarness) advance(d time.Duration) {
-	for end := x.now + d; x.now < end; {
-		x.now += 100 * time.Millisecond
-		for _, sender := range x.reachableSenders {
-			x.ObserveSender(sender)
-			x.ObserveAck(x.now)
+// advance advances the time by d, with a tick every 100 ms.
+func (h *tableHarness) advance(d time.Duration) {
+	for end := h.now + d; h.now < end; {
+		h.now += 100 * time.Millisecond
+		for _, sender := range h.reachableSenders {
+			h.ObserveSender(sender)
+			h.ObserveAck(h.now)
 		}
-		x.Tick(x.now)
-		x.printChanges()
+		h.Tick(h.now)
+		h.printChanges()
 	}
 }
 
-// stall simulates a stall of this process.
-func (x *tableHarness) stall(d time.Duration) {
-	x.now += d
-	x.Tick(x.now)
-	x.printChanges()
+// stall advances the time by d in a single tick, as after a stall of the process.
+func (h *tableHarness) stall(d time.Duration) {
+	h.now += d
+	h.Tick(h.now)
+	h.printChanges()
 }
 
-func (x *tableHarness) printChanges() {
-	for _, c := range x.TakeChanges() {
-		if !x.quiet {
-			fmt.Printf("%v %s %d: %v -> %v, %s\n", x.now, c.Name, c.Incarnation, c.From, c.To, c.Reason)
+func (h *tableHarness) printChanges() {
+	for _, c := range h.TakeChanges() {
+		if !h.quiet {
+			fmt.Printf("%v %s %d: %v -> %v, %s\n", h.now, c.Name, c.Incarnation, c.From, c.To, c.Reason)
 		}
 	}
 }
 
 // alive passes a member's descriptor to the table.
-func (x *tableHarness) alive(name Name, bootID BootID, incarnation Incarnation) AliveResult {
-	result := x.HandleAlive(Descriptor{
+func (h *tableHarness) alive(name Name, bootID BootID, incarnation Incarnation) AliveResult {
+	result := h.HandleAlive(Descriptor{
 		Name:        name,
 		BootID:      bootID,
 		Incarnation: incarnation,
 		GossipAddr:  string(name) + ":1",
 		WarmUp:      5 * s,
-	}, x.now)
-	x.printChanges()
+	}, h.now)
+	h.printChanges()
 	return result
 }
 
-// heartbeat passes a heartbeat with an age of 0 to the table. The member has been ready for longer than its warm-up.
-func (x *tableHarness) heartbeat(name Name, bootID BootID, sequence uint64, metrics ...Metric) bool {
-	return x.publish(Heartbeat{
+// heartbeat passes a heartbeat to the table, written just now by a member that has been ready for 10 s.
+func (h *tableHarness) heartbeat(name Name, bootID BootID, sequence uint64, metrics ...Metric) bool {
+	return h.publish(Heartbeat{
 		ID:       ID{name, bootID},
 		Sequence: sequence,
 		Ready:    true,
@@ -76,53 +78,53 @@
 	}, 0)
 }
 
-// publish passes any heartbeat to the table.
-func (x *tableHarness) publish(heartbeat Heartbeat, age time.Duration) bool {
-	accepted := x.HandleHeartbeat(heartbeat, age, x.now)
-	x.printChanges()
+// publish passes a heartbeat to the table.
+func (h *tableHarness) publish(heartbeat Heartbeat, age time.Duration) bool {
+	accepted := h.HandleHeartbeat(heartbeat, age, h.now)
+	h.printChanges()
 	return accepted
 }
 
-// bringUp adds members that have been ready for longer than their warm-up.
-func (x *tableHarness) bringUp(names ...Name) {
+// bringUp adds members that have been ready for 10 s, twice their warm-up time.
+func (h *tableHarness) bringUp(names ...Name) {
 	for _, n := range names {
-		x.alive(n, 7, 1)
-		x.heartbeat(n, 7, 1)
+		h.alive(n, 7, 1)
+		h.heartbeat(n, 7, 1)
 	}
 }
 
-// advanceWithHeartbeats advances the time by d, while the named members publish a heartbeat each second.
-func (x *tableHarness) advanceWithHeartbeats(d time.Duration, names ...Name) {
-	for end := x.now + d; x.now < end; {
-		x.advance(s)
+// advanceWithHeartbeats advances the time by d, with a heartbeat of each named member every second.
+func (h *tableHarness) advanceWithHeartbeats(d time.Duration, names ...Name) {
+	for end := h.now + d; h.now < end; {
+		h.advance(s)
 		for _, n := range names {
-			m, _ := x.View().Get(n)
-			x.heartbeat(n, m.BootID, m.Sequence+1)
+			m, _ := h.View().Get(n)
+			h.heartbeat(n, m.BootID, m.Sequence+1)
 		}
 	}
 }
 
 func BenchmarkHandleHeartbeat(b *testing.B) {
-	x := newHarness()
-	x.quiet = true
+	h := newHarness()
+	h.quiet = true
 	for i := range 300 {
-		x.bringUp(Name(fmt.Sprint("n", i)))
+		h.bringUp(Name(fmt.Sprint("n", i)))
 	}
 	b.ReportAllocs()
 	for i := range b.N {
-		x.heartbeat(Name(fmt.Sprint("n", i%300)), 7, uint64(i+2), Metric{Name: "load", Value: 1, TTL: s})
+		h.heartbeat(Name(fmt.Sprint("n", i%300)), 7, uint64(i+2), Metric{Name: "load", Value: 1, TTL: s})
 	}
 }
 
 func BenchmarkTick(b *testing.B) {
-	x := newHarness()
-	x.quiet = true
+	h := newHarness()
+	h.quiet = true
 	for i := range 300 {
-		x.bringUp(Name(fmt.Sprint("n", i)))
+		h.bringUp(Name(fmt.Sprint("n", i)))
 	}
 	b.ReportAllocs()
 	for range b.N {
-		x.now += 100 * time.Millisecond
-		x.Tick(x.now)
+		h.now += 100 * time.Millisecond
+		h.Tick(h.now)
 	}
 }
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// Metric is one value that a member publishes about itself.
+// Metric is a value that a member publishes about itself.
 type Metric struct {
 	Name       string
 	Value      float64
-	TTL        time.Duration // how long it is valid
-	MeasuredAt time.Duration // by the local clock: the time of receipt minus its age at that time
+	TTL        time.Duration // how long the value is valid
+	MeasuredAt time.Duration // on the local clock; the age on arrival is subtracted
 }
 
-// Heartbeat is the status that a member publishes periodically. It contains durations instead of times, because the
-// clocks of members differ.
+// Heartbeat is the message that a member publishes periodically. Its times are durations, because clocks differ between
+// hosts.
 type Heartbeat struct {
 	ID
 	Incarnation Incarnation
-	Sequence    uint64        // the heartbeat with the highest sequence applies, in any order of arrival
-	Ready       bool          // it can serve
-	ReadyFor    time.Duration // time since it became ready
+	Sequence    uint64 // the heartbeat with the highest number is valid, in any order of arrival
+	Ready       bool   // the member can serve
+	ReadyFor    time.Duration
 	Draining    bool
-	ViewDigest  uint64 // digest of its view, including itself; 0: none
+	ViewDigest  uint64 // digest of its view, including itself; 0 for none
 	Metrics     []Metric
 }
 
-// HandleHeartbeat handles a heartbeat that was written the duration age ago. It reports whether the heartbeat was
-// new; an outdated or invalid one changes nothing but the counters in Stats.
+// HandleHeartbeat processes a heartbeat that was written age ago and reports whether it was accepted. A heartbeat that
+// is outdated or exceeds a limit is counted and otherwise ignored.
 func (t *Table) HandleHeartbeat(heartbeat Heartbeat, age time.Duration, now time.Duration) bool {
 	member, found := t.members.Get(heartbeat.Name)
 	if !found || member.BootID != heartbeat.BootID || heartbeat.Sequence <= member.Sequence {
@@ -38,7 +38,7 @@
 		t.Stats.InvalidHeartbeats++
 		return false
 	}
-	if now < t.settlingUntil { // it may have been queued during the stall
+	if now < t.settlingUntil { // it may have been queued while this process was stalled
 		age += t.lastStall
 	}
 	member.lastHeardAt = t.clock.at(now)
@@ -48,7 +48,7 @@
 	return true
 }
 
-// recordHeartbeat copies a heartbeat that was written at writtenAt into a member.
+// recordHeartbeat copies a heartbeat that was written at writtenAt, on the local clock, into a member.
 func (t *Table) recordHeartbeat(member *Member, heartbeat Heartbeat, writtenAt time.Duration) {
 	member.Sequence = heartbeat.Sequence
 	member.HeartbeatAt = writtenAt
@@ -70,10 +70,10 @@
 	}
 }
 
-// applyHeartbeat stores a member whose heartbeat was recorded, with the state that follows from the heartbeat.
+// applyHeartbeat stores a member with the state that follows from its recorded heartbeat.
 func (t *Table) applyHeartbeat(member Member, draining bool, now time.Duration) {
 	switch {
-	case !member.State.Present(): // a gone member returns only by its descriptor
+	case !member.State.Present(): // a relayed heartbeat of a gone member: only a descriptor brings it back
 		t.members = t.members.Set(member.Name, member)
 	case draining:
 		t.transition(member, StateLeaving, ReasonDraining, now)
@@ -82,23 +82,22 @@
 		t.markReachable(member, now)
 	case member.State == StateSuspect && member.Reason == ReasonSilent:
 		t.reclassify(member, ReasonRecovered, now)
-	case member.State == StateJoining && member.ready && !member.reachability.lost:
+	case member.State == StateJoining && member.ready && !member.reachability.unreachable:
 		t.reclassify(member, ReasonReady, now)
 	default:
 		t.members = t.members.Set(member.Name, member)
 	}
 }
 
-// refutesReport reports whether a member's last heartbeat was written well after the failure detector reported the
-// member unreachable. The member is then alive and has not flapped. Without this check, a process that missed the
-// refutation by gossip would be the only one to declare the member gone, and would not learn of the error for many
-// seconds.
+// refutesReport reports whether a member's last heartbeat was written long enough after the detector reported the
+// member unreachable to prove that it is alive and has not flapped. Without this check, a process that missed the
+// refutation would declare a member gone that all others reach, and would not hear of it again for many seconds.
 func (t *Table) refutesReport(member Member) bool {
-	return member.reachability.lost && member.HeartbeatAt > member.reachability.reportedAt+t.config.SuspectAfter
+	return member.reachability.unreachable && member.HeartbeatAt > member.reachability.reportedAt+t.config.SuspectAfter
 }
 
-// HeartbeatInterval returns the mean interval between two heartbeats of a member. It grows with the fleet, so that
-// the heartbeats of all members together do not exceed the configured rate.
+// HeartbeatInterval returns the mean time between two heartbeats of a member. It grows with the fleet, so that the
+// heartbeats of all members together stay within the configured rate.
 func (t *Table) HeartbeatInterval() time.Duration { return t.heartbeatIntervalFor(t.members.Len() + 1) }
 
 func (t *Table) heartbeatIntervalFor(fleetSize int) time.Duration {
@@ -106,20 +105,19 @@
 	return max(t.config.HeartbeatInterval, interval)
 }
 
-// MetricTTL returns the TTL of a metric that is part of every heartbeat: the metric remains valid if two heartbeats
-// in a row are lost.
+// MetricTTL returns the TTL of a metric that is part of every heartbeat. It allows for the loss of two heartbeats.
 func (t *Table) MetricTTL() time.Duration { return 3 * t.HeartbeatInterval() }
 
-// maxMetricTTL returns the maximum TTL of a metric, so that a value that is published only once does not remain valid
-// indefinitely.
+// maxMetricTTL returns the upper limit of the TTL that a member may request, so that a value that is published once
+// does not stay valid forever.
 func (t *Table) maxMetricTTL() time.Duration {
 	const minFleetSize = 10
 	return 4 * t.heartbeatIntervalFor(max(t.members.Len()+1, minFleetSize))
 }
 
-// heartbeatGrace returns the time after a member's last heartbeat in which the member does not become suspect: two
-// heartbeat intervals, but at most maxGrace. It does not delay the detection of a member that has really failed,
-// because such a member has been silent for about as long when the failure detector reports it.
+// heartbeatGrace returns the time after a heartbeat within which the next one is not overdue: two heartbeat intervals,
+// but at most maxGrace. A member that has really failed has been silent for about this long when the detector reports
+// it, so the grace period does not delay its detection.
 func (t *Table) heartbeatGrace() time.Duration {
 	const maxGrace = 3 * time.Second
 	return min(2*t.HeartbeatInterval(), maxGrace)
--- a/internal/membership/join_test.go
+++ b/internal/membership/join_test.go
@@ -2,29 +2,29 @@
 
 import "fmt"
 
-// NextJoinAddr returns a seed address without a reachable member, and a member that was lost without having left. It
-// does so with a low probability in a larger fleet and after a growing backoff, and never returns a present member or
-// one that has left.
+// The address to join is a seed without a known member, or a member that became unreachable without leaving. Attempts
+// are rare when many members miss the same address, and the delay grows after each failure. Reachable members and
+// members that have left are not joined.
 func Example_nextJoinAddr() {
-	x := newHarness(func(config *Config) { config.Seeds = []string{"a:1", "me:1", "z:1"} })
-	x.quiet = true
-	half := func() float64 { return 0.4 }
-	fmt.Println(x.NextJoinAddr(x.now, half))
-	x.bringUp("a", "b", "c", "d", "e", "f")
-	fmt.Println(x.NextJoinAddr(x.now, half))
+	h := newHarness(func(config *Config) { config.Seeds = []string{"a:1", "me:1", "z:1"} })
+	h.quiet = true
+	lowRandom := func() float64 { return 0.4 }
+	fmt.Println(h.NextJoinAddr(h.now, lowRandom))
+	h.bringUp("a", "b", "c", "d", "e", "f")
+	fmt.Println(h.NextJoinAddr(h.now, lowRandom))
 	for range 3 {
-		x.RecordJoin("z:1", false, x.now, half)
-		from := x.now
-		for _, due := x.NextJoinAddr(x.now, half); !due; _, due = x.NextJoinAddr(x.now, half) {
-			x.advance(s / 2)
+		h.RecordJoin("z:1", false, h.now, lowRandom)
+		from := h.now
+		for _, due := h.NextJoinAddr(h.now, lowRandom); !due; _, due = h.NextJoinAddr(h.now, lowRandom) {
+			h.advance(s / 2)
 		}
-		fmt.Println("again after", x.now-from)
+		fmt.Println("again after", h.now-from)
 	}
-	x.RecordJoin("z:1", false, x.now, half)
-	x.HandleLeft(ID{"b", 7}, x.now)
-	x.HandleUnreachable(ID{"c", 7}, x.now)
-	fmt.Println(x.NextJoinAddr(x.now, half))
-	fmt.Println(x.NextJoinAddr(x.now, func() float64 { return 0.99 }))
+	h.RecordJoin("z:1", false, h.now, lowRandom)
+	h.HandleLeft(ID{"b", 7}, h.now)
+	h.HandleUnreachable(ID{"c", 7}, h.now)
+	fmt.Println(h.NextJoinAddr(h.now, lowRandom))
+	fmt.Println(h.NextJoinAddr(h.now, func() float64 { return 0.99 }))
 	// Output:
 	// a:1 true
 	// z:1 true
@@ -35,22 +35,22 @@
 	//  false
 }
 
-// A member that called this process's predecessor is joined immediately, whatever the random number, and only once.
-// Known members are not joined, and the number of recorded callers is limited.
+// A member that called the predecessor is joined at once, whatever the random number, and once only. Members that are
+// already known are not joined, and at most four callers are recorded.
 func Example_predecessorCallers() {
-	x := newHarness(func(config *Config) { config.Seeds = []string{"me:1"} })
-	x.quiet = true
-	never := func() float64 { return 0.99 }
-	x.bringUp("a", "b")
-	x.AddPredecessorCaller("a:1")
-	fmt.Println(x.NextJoinAddr(x.now, never))
+	h := newHarness(func(config *Config) { config.Seeds = []string{"me:1"} })
+	h.quiet = true
+	highRandom := func() float64 { return 0.99 }
+	h.bringUp("a", "b")
+	h.AddPredecessorCaller("a:1")
+	fmt.Println(h.NextJoinAddr(h.now, highRandom))
 	for _, addr := range []string{"c:1", "c:1", "d:1", "e:1", "f:1", "g:1"} {
-		x.AddPredecessorCaller(addr)
+		h.AddPredecessorCaller(addr)
 	}
 	for range 5 {
-		addr, due := x.NextJoinAddr(x.now, never)
+		addr, due := h.NextJoinAddr(h.now, highRandom)
 		fmt.Println(addr, due)
-		x.RecordJoin(addr, addr != "d:1", x.now, never)
+		h.RecordJoin(addr, addr != "d:1", h.now, highRandom)
 	}
 	// Output:
 	//  false
@@ -61,17 +61,16 @@
 	//  false
 }
 
-// A member whose view differs from this process's view is joined once both views have settled, not while one of them
-// still changes.
+// A member whose view differs from the local one is joined when both views have settled, and not while either changes.
 func Example_divergentViews() {
-	x := newHarness()
-	x.quiet = true
-	x.bringUp("a", "b")
-	always := func() float64 { return 0 }
-	x.advance(4 * s)
-	fmt.Println(x.NextJoinAddr(x.now, always))
+	h := newHarness()
+	h.quiet = true
+	h.bringUp("a", "b")
+	zeroRandom := func() float64 { return 0 }
+	h.advance(4 * s)
+	fmt.Println(h.NextJoinAddr(h.now, zeroRandom))
 	publish := func(name Name, sequence, viewDigest uint64) {
-		x.publish(Heartbeat{
+		h.publish(Heartbeat{
 			ID:         ID{name, 7},
 			Sequence:   sequence,
 			Ready:      true,
@@ -79,16 +78,16 @@
 			ViewDigest: viewDigest,
 		}, 0)
 	}
-	publish("b", 2, x.ViewDigest())
-	fmt.Println(x.NextJoinAddr(x.now, always))
-	publish("a", 2, x.ViewDigest()^Fingerprint(ID{"c", 7}))
-	fmt.Println(x.NextJoinAddr(x.now, always))
-	x.alive("d", 7, 1)
-	changedAt := x.now
-	x.now += divergenceDelay
+	publish("b", 2, h.ViewDigest())
+	fmt.Println(h.NextJoinAddr(h.now, zeroRandom))
+	publish("a", 2, h.ViewDigest()^Fingerprint(ID{"c", 7}))
+	fmt.Println(h.NextJoinAddr(h.now, zeroRandom))
+	h.alive("d", 7, 1)
+	changedAt := h.now
+	h.now += divergenceDelay
 	publish("a", 3, 1)
-	fmt.Println(x.NextJoinAddr(changedAt+divergenceDelay/2, always))
-	fmt.Println(x.NextJoinAddr(changedAt+2*divergenceDelay, always))
+	fmt.Println(h.NextJoinAddr(changedAt+divergenceDelay/2, zeroRandom))
+	fmt.Println(h.NextJoinAddr(changedAt+2*divergenceDelay, zeroRandom))
 	// Output:
 	//  false
 	//  false
--- a/internal/membership/keys_test.go
+++ b/internal/membership/keys_test.go
@@ -9,8 +9,7 @@
 	_ "lanewheel/internal/rapidtest"
 )
 
-// During a rotation, the primary key is always in the keyring. After it, the keyring contains exactly the keys of the
-// new list, and the primary key is the first of them.
+// After each step of a rotation, the keyring contains the primary key. At the end, it contains the new list of keys.
 func TestPlanKeyRotation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from := drawKeys(t, "from")
--- a/internal/membership/reachability.go
+++ b/internal/membership/reachability.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// HandleUnreachable handles the failure detector's report that it no longer reaches a process.
+// HandleUnreachable processes a report of the failure detector that it can no longer reach a process.
 func (t *Table) HandleUnreachable(id ID, now time.Duration) {
-	member, present := t.presentMember(id)
+	member, present := t.findPresentMember(id)
 	switch {
 	case !present:
 		return
 	case member.State == StateLeaving:
 		t.markLeft(member, now)
-	case !member.reachability.lost:
+	case !member.reachability.unreachable:
 		member.reachability = reachability{
-			lost:       true,
-			lostSince:  t.clock.at(now),
-			reportedAt: now,
-			flapExempt: !t.healthy(now),
+			unreachable:      true,
+			unreachableSince: t.clock.at(now),
+			reportedAt:       now,
+			flapExempt:       !t.locallyHealthy(now),
 		}
 		t.members = t.members.Set(member.Name, member)
 	default:
@@ -24,48 +24,48 @@
 	t.publishView(now)
 }
 
-// HandleLeft handles a process's announcement that it has left.
+// HandleLeft processes the announcement of a process that it has left.
 func (t *Table) HandleLeft(id ID, now time.Duration) {
-	if member, present := t.presentMember(id); present {
+	if member, present := t.findPresentMember(id); present {
 		t.markLeft(member, now)
 		t.publishView(now)
 	}
 }
 
-// presentMember returns the member with the given identity; present is false if no such process is part of the fleet.
-func (t *Table) presentMember(id ID) (member Member, present bool) {
+// findPresentMember returns the member whose current process is id; present is false if it is not part of the fleet.
+func (t *Table) findPresentMember(id ID) (member Member, present bool) {
 	member, found := t.members.Get(id.Name)
 	return member, found && member.BootID == id.BootID && member.State.Present()
 }
 
 func (t *Table) markLeft(member Member, now time.Duration) {
-	member.reachability.lost = true
+	member.reachability.unreachable = true
 	t.transition(member, StateGone, ReasonLeft, now)
 }
 
-// markReachable handles a member that the failure detector reaches, possibly after it was lost.
+// markReachable stores a member that the detector reaches, possibly after it was unreachable or gone.
 func (t *Table) markReachable(member Member, now time.Duration) {
-	if !member.reachability.lost && member.State != StateGone {
+	if !member.reachability.unreachable && member.State != StateGone {
 		t.transition(member, member.State, member.Reason, now)
 		return
 	}
-	if member.State != StateSuspect && member.State != StateGone { // the report was refuted in time
+	if member.State != StateSuspect && member.State != StateGone { // the report was false and was refuted in time
 		t.Stats.RefutedSuspicions++
-		member.reachability.lost = false
+		member.reachability.unreachable = false
 		t.transition(member, member.State, member.Reason, now)
 		return
 	}
-	// A member that was lost together with many others, or while this process was cut off, has not flapped.
+	// A member has not flapped if it became unreachable together with many others, or while this process was cut off.
 	if !member.reachability.flapExempt {
-		member.flapping.add(t.config.FlapDamping, now)
+		member.flapping.addFlap(t.config.FlapDamping, now)
 	}
-	member.reachability.lost = false
+	member.reachability.unreachable = false
 	member.reachability.flapExempt = false
 	member.lastHeardAt = t.clock.at(now)
 	t.reclassify(member, ReasonRecovered, now)
 }
 
-// reclassify sets the state of a reachable member according to its last heartbeat and its flap penalty.
+// reclassify moves a reachable member to the state that follows from its last heartbeat and its flap penalty.
 func (t *Table) reclassify(member Member, reason Reason, now time.Duration) {
 	switch {
 	case member.State == StateLeaving || member.Reason == ReasonDraining:
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -14,22 +14,22 @@
 	From        State
 	To          State
 	Reason      Reason
-	ViewVersion uint64 // version of the first view that contains the change
+	ViewVersion uint64 // the first view version that shows the change
 }
 
-// Stats counts the events of a table since the start.
+// Stats counts events since the start of this process.
 type Stats struct {
-	Transitions          uint64 // changes of members' states
+	Transitions          uint64 // changes of a member's state
 	RejectedFull         uint64 // descriptors rejected because the table was full
-	StaleHeartbeats      uint64 // heartbeats of an unknown process, or not newer than its last one
-	InvalidHeartbeats    uint64 // heartbeats with too many metrics or a negative age
-	OutdatedIncarnations uint64 // descriptors of an earlier process with a known name
-	RefutedSuspicions    uint64 // false reports of the failure detector
+	StaleHeartbeats      uint64 // heartbeats of an unknown process, or not newer than the last one
+	InvalidHeartbeats    uint64 // heartbeats that exceeded a limit
+	OutdatedIncarnations uint64 // descriptors or notices of an earlier process of a name
+	RefutedSuspicions    uint64 // reports of the failure detector that proved false
 	Stalls               uint64 // stalls of this process
 }
 
-// Table holds the members and decides their states. Its methods must be called on a single goroutine. The views that
-// it publishes may be read on any goroutine.
+// Table holds the members and decides their states. Its methods may be called by one goroutine only. The views that it
+// publishes may be read by any goroutine.
 type Table struct {
 	config       Config
 	self         Descriptor
@@ -41,20 +41,20 @@
 
 	start             time.Duration
 	lastTick          time.Duration
-	lastStall         time.Duration // duration of this process's last stall
-	settlingUntil     time.Duration // end of the time after a stall in which the table may be out of date
-	clock             judgementClock
-	incarnationRaises int // number of times that this process's incarnation was raised
+	lastStall         time.Duration // duration of the last stall of this process
+	settlingUntil     time.Duration // until when the local view may be out of date after a stall
+	clock             pausableClock
+	incarnationRaises int // how often this process raised its own incarnation
 	fenced            bool
-	viewDigest        uint64        // digest of this process's view, including the process itself
-	viewDigestSince   time.Duration // when the view digest last changed
+	viewDigest        uint64        // digest of the local view, including this process
+	viewDigestSince   time.Duration // when viewDigest last changed
 	fenceNotices      fenceNotices
 	joins             joinSchedule
 
 	Stats Stats
 }
 
-// NewTable returns a table without other members for the process that self describes.
+// NewTable returns a table that contains only this process.
 func NewTable(self Descriptor, config Config, now time.Duration) *Table {
 	table := &Table{
 		config:       config,
@@ -70,7 +70,7 @@
 	return table
 }
 
-// SetConfig replaces the configuration. Deadlines that were already computed from the old one do not change.
+// SetConfig replaces the configuration. Deadlines that were already computed from the previous one do not change.
 func (t *Table) SetConfig(config Config) {
 	t.config = config
 	t.connectivity.config = config.Connectivity
@@ -82,10 +82,10 @@
 // View returns the last published view.
 func (t *Table) View() *View { return t.view }
 
-// ViewDigest returns the digest of this process's view for its heartbeats. It includes the process itself.
+// ViewDigest returns the digest of the local view that the heartbeats of this process carry.
 func (t *Table) ViewDigest() uint64 { return t.viewDigest }
 
-// TakeChanges returns the changes since its last call.
+// TakeChanges returns the changes since the previous call.
 func (t *Table) TakeChanges() []Change {
 	changes := t.changes
 	t.changes = nil
@@ -109,8 +109,8 @@
 	}
 }
 
-// transition stores a member with a state and a reason, and records a change if they or the process differ from
-// the stored ones.
+// transition stores a member with a state and a reason. It records a change if the state, the reason or the process is
+// new.
 func (t *Table) transition(member Member, state State, reason Reason, now time.Duration) {
 	previous, found := t.members.Get(member.Name)
 	if found && previous.State == state && previous.Reason == reason && previous.BootID == member.BootID {
@@ -140,11 +140,11 @@
 	})
 }
 
-// heardFractionStep is the minimum change of the heard fraction that causes a new view to be published.
+// heardFractionStep is the change of the heard fraction from which on a new view is published.
 const heardFractionStep = 0.1
 
-// Tick applies the deadlines that have expired. It must be called several times per stall threshold: a longer
-// interval than the threshold is taken for a stall of this process.
+// Tick applies the deadlines that have passed. It must be called several times within each stall threshold: a longer
+// time between two calls counts as a stall of this process.
 func (t *Table) Tick(now time.Duration) {
 	elapsed := now - t.lastTick
 	t.lastTick = now
@@ -163,7 +163,7 @@
 		t.clock.pause(now)
 	}
 	previousMembers := t.members
-	t.exemptMassLoss()
+	t.exemptMassOutage()
 	if !t.clock.paused {
 		for member := range allMembers(previousMembers) {
 			t.applyDeadlines(member, now)
@@ -176,40 +176,40 @@
 	}
 }
 
-// applyDeadlines changes the state of a member according to its expired deadlines.
+// applyDeadlines applies the deadlines of a member that have passed.
 func (t *Table) applyDeadlines(member Member, now time.Duration) {
 	damping := t.config.FlapDamping
-	if member.flapping.suppressed && member.flapping.decayed(damping, now) < damping.ReuseLimit {
+	if member.flapping.suppressed && member.flapping.decayedValue(damping, now) < damping.ReuseLimit {
 		member.flapping.suppressed = false
-		if member.State == StateSuspect && !member.reachability.lost {
+		if member.State == StateSuspect && !member.reachability.unreachable {
 			t.reclassify(member, ReasonRecovered, now)
 			return
 		}
 		t.members = t.members.Set(member.Name, member)
 	}
-	lostFor := t.clock.at(now) - member.reachability.lostSince
+	unreachableFor := t.clock.at(now) - member.reachability.unreachableSince
 	switch member.State {
 	case StateJoining, StateWarming, StateUp:
 		t.applyServingDeadlines(member, now)
 	case StateSuspect:
-		if member.reachability.lost && lostFor >= t.config.SuspectAfter+t.config.GoneAfter {
+		if member.reachability.unreachable && unreachableFor >= t.config.SuspectAfter+t.config.GoneAfter {
 			t.transition(member, StateGone, ReasonTimedOut, now)
 		}
 	case StateLeaving:
-		if member.reachability.lost {
+		if member.reachability.unreachable {
 			t.transition(member, StateGone, ReasonLeft, now)
 		}
 	}
 }
 
-// applyServingDeadlines changes the state of a joining, warming or up member according to its expired deadlines.
+// applyServingDeadlines applies the deadlines of a member that is joining, warming or up.
 func (t *Table) applyServingDeadlines(member Member, now time.Duration) {
-	judgementNow := t.clock.at(now)
-	lostFor := judgementNow - member.reachability.lostSince
-	silentFor := judgementNow - member.lastHeardAt
+	clockNow := t.clock.at(now)
+	unreachableFor := clockNow - member.reachability.unreachableSince
+	silentFor := clockNow - member.lastHeardAt
 	nextHeartbeatMissed := now >= member.HeartbeatAt+t.heartbeatGrace()+t.config.SuspectAfter
 	switch {
-	case member.reachability.lost && lostFor >= t.config.SuspectAfter && nextHeartbeatMissed:
+	case member.reachability.unreachable && unreachableFor >= t.config.SuspectAfter && nextHeartbeatMissed:
 		t.transition(member, StateSuspect, ReasonUnreachable, now)
 	case member.State == StateWarming && now >= member.warmUpUntil:
 		t.transition(member, StateUp, ReasonWarmedUp, now)
@@ -218,10 +218,9 @@
 	}
 }
 
-// evictGone deletes the members that have been gone for longer than GoneRetention. If there are none and needRoom is
-// set, it deletes the member that has been gone for the longest time. It reports whether the table has room for
-// another member. Gone members are otherwise kept, because an outdated process is fenced by their names and
-// incarnations.
+// evictGone deletes the members that have been gone for longer than the retention time. If needRoom is set and
+// it deleted none, it deletes the member that has been gone longest. It reports whether the table has room for another.
+// Outdated processes are fenced by the names and incarnations of gone members, so these are kept as long as possible.
 func (t *Table) evictGone(now time.Duration, needRoom bool) bool {
 	var oldest *Member
 	for member := range allMembers(t.members) {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -9,14 +9,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// View is one version of a process's view of the other members. It is immutable and may be read on any goroutine.
-// Later views share the unchanged members with it.
+// View is a snapshot of all members that this process knows. It is immutable and may be read by any goroutine.
+// Successive views share their unchanged parts.
 type View struct {
 	Version       uint64
 	PublishedAt   time.Duration
 	Self          Descriptor
 	LocalHealth   LocalHealth
-	HeardFraction float64 // members heard as a fraction of those usually heard, at most 1
+	HeardFraction float64 // number of members heard as a fraction of the usual number, at most 1
 	members       *immutable.SortedMap[Name, Member]
 }
 
@@ -24,7 +24,7 @@
 
 func (nameComparer) Compare(a, b Name) int { return cmp.Compare(a, b) }
 
-// Get returns the member with a name, and whether there is one.
+// Get returns the member with the given name.
 func (v *View) Get(name Name) (Member, bool) { return v.members.Get(name) }
 
 // Len returns the number of members in any state.
@@ -54,7 +54,7 @@
 }
 
 // Digest returns a digest of the processes that are joining, warming or up. It does not depend on the order in which
-// they joined.
+// they were added.
 func (v *View) Digest() (digest uint64) {
 	for member := range v.All() {
 		if member.State.Available() || member.State == StateJoining {
@@ -64,6 +64,6 @@
 	return digest
 }
 
-// Fingerprint returns the contribution of one process to the digest of a view, which is the exclusive or of all
-// contributions.
+// Fingerprint returns the contribution of one process to the digest of a view. Contributions are combined by exclusive
+// or.
 func Fingerprint(id ID) uint64 { return xxhash.Sum64String(id.String()) }
