--- a/internal/membership/alive.go
+++ b/internal/membership/alive.go
@@ -8,18 +8,19 @@
 // The results.
 const (
 	AliveAccepted          AliveResult = iota // the descriptor was stored in the table
-	AliveOutdated                             // it describes an earlier process of the name, which must be notified
+	AliveOutdated                             // the descriptor is that of an earlier process, which must be notified
 	AliveTableFull                            // the table has no room for another member
 	AliveIncarnationRaised                    // this process raised its incarnation and must announce it
-	AliveFenced                               // a later process has taken the name of this one, which is fenced
-	AliveOwn                                  // it is the descriptor of this process
+	AliveFenced                               // this process is fenced, because a later one has taken its name
+	AliveOwn                                  // the descriptor is that of this process
 )
 
 var aliveResultNames = [...]string{"accepted", "outdated", "table full", "incarnation raised", "fenced", "own"}
 
 func (r AliveResult) String() string { return aliveResultNames[r] }
 
-// HandleAlive processes a descriptor that was received by gossip, of a member that the failure detector can reach.
+// HandleAlive processes a descriptor that was received by gossip. The failure detector can reach the process that it
+// describes.
 func (t *Table) HandleAlive(descriptor Descriptor, now time.Duration) AliveResult {
 	if descriptor.Name == t.self.Name {
 		return t.resolveNameConflict(descriptor, now)
@@ -49,7 +50,7 @@
 	return Member{Descriptor: descriptor, fingerprint: Fingerprint(descriptor.ID())}
 }
 
-// supersede replaces the previous process of a name by a new one. Messages that the previous process still publishes
+// supersede replaces the previous process of a name with a new one. Messages that the previous process still publishes
 // do not affect the new one.
 func (t *Table) supersede(previous Member, descriptor Descriptor, now time.Duration) {
 	if previous.State.Present() {
@@ -64,8 +65,9 @@
 }
 
 // maxIncarnationRaises is the maximum number of times that this process raises its own incarnation. Two processes that
-// start under one name at the same moment raise their incarnations in turn. Boot IDs order equal incarnations, and this
-// limit ends the exchange.
+// start under one name at the same moment raise their incarnations in turn: if the incarnations are equal, the process
+// with the lower boot ID raises first. Boot IDs do not end the exchange, because each raise exceeds the other process's
+// incarnation. The process that uses up its raises first is fenced by the next higher incarnation.
 const maxIncarnationRaises = 3
 
 // resolveNameConflict handles a descriptor of another process that has the name of this one. Shortly after the start
@@ -95,7 +97,8 @@
 	return AliveFenced
 }
 
-// HandleFenceNotice processes a notice from another member that a later process has the name of this process.
+// HandleFenceNotice processes a notice from another member that a later process, with the given incarnation and boot
+// ID, has the name of this process.
 func (t *Table) HandleFenceNotice(incarnation Incarnation, bootID BootID, now time.Duration) AliveResult {
 	other := t.self
 	other.Incarnation = incarnation
--- a/internal/membership/alive_test.go
+++ b/internal/membership/alive_test.go
@@ -30,9 +30,9 @@
 	// 3s a 2: joining -> joining, claimed
 }
 
-// Another process has the name of this one. Shortly after its start, this process raises its incarnation above that of
-// its predecessor, which is higher because the clock went back between the two starts. A successor that
-// appears later fences this process, here by a fence notice from another member.
+// Another process has the name of this one. Its predecessor has a higher incarnation, because the clock went back
+// between the two starts: shortly after its start, this process raises its own incarnation above that one. A successor
+// that appears later fences this process, even if only a fence notice from another member reports it.
 func Example_nameConflict() {
 	h := newHarness()
 	fmt.Println(h.alive("me", 9, 5000) == AliveIncarnationRaised, h.Self().Incarnation)
@@ -81,7 +81,7 @@
 }
 
 // The table is limited to MaxMembers: present members stay, gone ones are evicted for new ones, and further names are
-// rejected.
+// rejected. A heartbeat with more than MaxMetrics metrics is rejected as well.
 func Example_memberLimit() {
 	h := newHarness(func(config *Config) { config.MaxMembers, config.MaxMetrics = 3, 1 })
 	h.quiet = true
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -4,22 +4,23 @@
 
 // Config holds the limits and timeouts of the membership decisions.
 type Config struct {
-	MaxMembers         int           // maximum number of members in any state; gone ones are evicted first
+	MaxMembers         int           // maximum number of other members in any state; gone ones are evicted first
 	GoneRetention      time.Duration // how long a gone member is kept in the table
 	SuspectAfter       time.Duration // from the detector's report to suspect; a false report can be refuted meanwhile
 	GoneAfter          time.Duration // from suspect to gone
-	SilentAfter        time.Duration // time without a heartbeat, beyond the metric TTL, until a serving member is suspect
+	SilentAfter        time.Duration // from the maximum metric TTL until a serving member without heartbeats is suspect
 	StallThreshold     time.Duration // a longer time between two ticks means that this process was stalled
-	SettleTime         time.Duration // time after a stall until the local view is up to date again
+	SettleTime         time.Duration // time after a stall during which the local view may be out of date
 	HeartbeatInterval  time.Duration // mean time between two heartbeats of a member in a small fleet
 	FleetHeartbeatRate float64       // heartbeats per second of all members together in a large fleet
 	MaxMetrics         int           // maximum number of metrics in a heartbeat
 	FlapDamping        FlapDampingConfig
 	Connectivity       ConnectivityConfig
-	Seeds              []string // gossip addresses to join while no member with that address is known
+	Seeds              []string // gossip addresses to join while no reachable member has them
 }
 
-// FlapDampingConfig configures how long members that repeatedly leave and return stay suspect.
+// FlapDampingConfig configures how long members that repeatedly become unreachable and return stay suspect. The penalty
+// is a decaying count of a member's returns.
 type FlapDampingConfig struct {
 	SuppressLimit float64       // from this penalty on, a returning member stays suspect
 	ReuseLimit    float64       // below this penalty, the member becomes available again
@@ -33,7 +34,7 @@
 	DegradedBelow float64       // fraction of the usual number of senders below which the process is degraded
 	IsolatedBelow float64       // fraction of the usual number of senders below which the process is isolated
 	AdaptAfter    time.Duration // time after which a lower number of senders becomes the new baseline
-	AckTimeout    time.Duration // time without an ack to an own probe until the process counts as unanswered
+	AckTimeout    time.Duration // time without an ack to its probes after which the process is unanswered
 }
 
 // DefaultConfig returns the default configuration.
--- a/internal/membership/connectivity.go
+++ b/internal/membership/connectivity.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// LocalHealth is how far a process may trust its observations of other members. Its names are shown on status sockets.
+// LocalHealth describes how far a process may trust its observations of other members. Its names are shown on status
+// sockets.
 type LocalHealth uint8
 
 // The values of LocalHealth.
@@ -16,7 +17,7 @@
 	LocalDegraded                      // it hears far fewer members than usual: part of the fleet may be cut off from it
 	LocalIsolated                      // it hears almost no members: it is cut off itself
 	LocalUnanswered                    // it hears other members, but none answers its probes
-	LocalResumed                       // it has just resumed after a stall, and its view is out of date
+	LocalResumed                       // it has just resumed after a stall, and its view may be out of date
 	LocalFenced                        // a later process has taken its name
 )
 
@@ -32,12 +33,13 @@
 const (
 	// windowSlots is the number of slots of a window. The window advances by one slot at a time.
 	windowSlots = 3
-	// baselineWindows is the maximum number of windows, each one slot after the previous, whose median is the baseline.
+	// baselineWindows is the maximum number of recorded windows. Their median is the baseline. Each window starts one
+	// slot after the previous one.
 	baselineWindows = 30
-	// minBaselineWindows is the number of recorded windows from which on there is a baseline.
+	// minBaselineWindows is the minimum number of recorded windows for a baseline.
 	minBaselineWindows = 6
-	// maxSenders is the maximum number of senders recorded per slot. A flood of packets with made-up senders must not fill
-	// the memory, and further senders would not change the result.
+	// maxSenders is the maximum number of senders recorded per slot. A flood of packets with made-up senders must not
+	// fill the memory, and further senders would not change the result.
 	maxSenders = 4096
 )
 
@@ -49,7 +51,7 @@
 	currentSlot   int                              // index of the slot that records new senders
 	nextRotation  time.Duration                    // when the next slot begins
 	history       []int                            // number of senders in each of the last windows, oldest first
-	lowWindows    int                              // consecutive windows far below the baseline
+	lowWindows    int                              // consecutive windows with a heard fraction below DegradedBelow
 	lowSince      time.Duration                    // when the first of the low windows ended
 	silentWindows int                              // consecutive windows without any sender
 	heardFraction float64                          // senders heard as a fraction of the baseline, at most 1
@@ -157,9 +159,9 @@
 	return m.silentWindows > 2*windowSlots && len(m.history) >= minBaselineWindows
 }
 
-// localHealth returns the health as far as it follows from received messages and acks. The process is isolated after
-// two consecutive windows, one slot apart, with almost no senders. A window that is merely low may be so by chance, so
-// the process is degraded only when the following windows stay low for a whole window length.
+// localHealth returns the health that follows from received messages and acks alone. The process is isolated after two
+// consecutive low windows, one slot apart, if the last one has almost no senders. A window that is merely low may be so
+// by chance, so the process is degraded only when the following windows stay low for a whole window length.
 func (m *connectivityMonitor) localHealth(now time.Duration, peers int) LocalHealth {
 	switch {
 	case peers == 0 || len(m.history) < minBaselineWindows:
@@ -195,7 +197,8 @@
 	return t.connectivity.localHealth(now, t.countPresentMembers())
 }
 
-// locallyHealthy reports whether a report of the failure detector is not due to a fault of this process.
+// locallyHealthy reports whether this process is healthy or still learning. Otherwise, a fault of its own may be the
+// cause of the failure detector's reports.
 func (t *Table) locallyHealthy(now time.Duration) bool {
 	health := t.localHealth(now)
 	return health == LocalHealthy || health == LocalLearning
--- a/internal/membership/connectivity_test.go
+++ b/internal/membership/connectivity_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A stall of 8 s while a member is unreachable declares no member gone. The time for which the member is unreachable
-// continues without the stall, and heartbeats that arrived meanwhile count as that much older.
+// After a stall of 8 s while a member is unreachable, no member is declared gone: the deadlines exclude the stall.
+// Heartbeats that are handled just after the stall count as older by its duration.
 func Example_stall() {
 	h := newHarness()
 	h.bringUp("a", "b")
@@ -20,7 +20,7 @@
 	_, age, ok := m.Metric("load", h.now)
 	fmt.Println(age, ok)
 	h.advance(s)
-	h.alive("a", 7, 1) // it was alive throughout
+	h.alive("a", 7, 1) // it was alive during the stall
 	h.advanceWithHeartbeats(5*s, "a", "b")
 	fmt.Println(h.Stats.Stalls, h.View().Count(StateUp))
 	// Output:
--- a/internal/membership/fence.go
+++ b/internal/membership/fence.go
@@ -21,9 +21,9 @@
 	}
 }
 
-// ShouldNotifyFenced reports whether this process must notify an outdated process that it is fenced. Only a few members
-// do so; all members with the same view select the same ones, and a notice is not repeated within the settle time.
-// A call that returns true is recorded as a notice.
+// ShouldNotifyFenced reports whether this process must notify an outdated process that it is fenced. Only
+// fenceNotifiers members notify it, and all members with the same view select the same ones. A notice is not repeated
+// within the settle time. A call that returns true is recorded as a notice.
 func (t *Table) ShouldNotifyFenced(id ID, now time.Duration) bool {
 	if notifiedAt, notified := t.fenceNotices[id]; notified && now-notifiedAt < t.config.SettleTime {
 		return false
@@ -42,7 +42,8 @@
 	return true
 }
 
-// notifierRank returns the rank of a member among the notifiers of an outdated process. The lowest ranks notify it.
+// notifierRank returns the rank of a member among the possible notifiers of an outdated process. The members with the
+// lowest ranks notify it.
 func notifierRank(notifier Name, outdated ID) uint64 {
 	return xxhash.Sum64String(string(notifier) + "\x00" + outdated.String())
 }
--- a/internal/membership/fence_test.go
+++ b/internal/membership/fence_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// An outdated process is notified by two members, which all members select in the same way, and not again at once.
+// An outdated process is notified by exactly two members: each member selects the same two from its own table. A
+// notifier does not repeat its notice within the settle time.
 func TestFenceNotifiers(t *testing.T) {
 	names := []Name{"a", "b", "c", "d", "e", "f", "g"}
 	for bootID := range BootID(50) {
@@ -24,7 +25,7 @@
 	}
 }
 
-// tableOf returns the table of self, one of several members that know each other.
+// tableOf returns the table of the member self, in which the other members of names are up.
 func tableOf(self Name, names []Name) *Table {
 	table := NewTable(Descriptor{Name: self, BootID: 7, Incarnation: 1}, DefaultConfig(), 0)
 	for _, name := range names {
--- a/internal/membership/flapping.go
+++ b/internal/membership/flapping.go
@@ -8,7 +8,7 @@
 // flapPenalty is a decaying count of a member's recent returns. It belongs to the name and survives restarts, because
 // a member that crashes as soon as it serves is a new process each time.
 type flapPenalty struct {
-	value      float64 // at the time updatedAt
+	value      float64 // penalty at the time updatedAt
 	updatedAt  time.Duration
 	suppressed bool // the member stays suspect until the penalty is below the reuse limit
 }
@@ -27,8 +27,8 @@
 	return p.value * math.Exp2(-float64(now-p.updatedAt)/float64(config.HalfLife))
 }
 
-// exemptMassOutage exempts members from the flap penalty that are unreachable together with many others. The cause is
-// then a network cut or the outage of a zone, and not flapping.
+// exemptMassOutage exempts members that are unreachable together with many others from the flap penalty: the cause is a
+// network partition or the outage of a zone, not flapping.
 func (t *Table) exemptMassOutage() {
 	threshold := max(1, t.members.Len()/8)
 	var unreachable []Member
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -10,7 +10,7 @@
 	Name       string
 	Value      float64
 	TTL        time.Duration // how long the value is valid
-	MeasuredAt time.Duration // on the local clock; the age on arrival is subtracted
+	MeasuredAt time.Duration // time of receipt minus the age of the heartbeat, on the local clock
 }
 
 // Heartbeat is the message that a member publishes periodically. Its times are durations, because clocks differ between
@@ -18,9 +18,9 @@
 type Heartbeat struct {
 	ID
 	Incarnation Incarnation
-	Sequence    uint64 // the heartbeat with the highest number is valid, in any order of arrival
-	Ready       bool   // the member can serve
-	ReadyFor    time.Duration
+	Sequence    uint64        // the heartbeat with the highest number applies, in any order of arrival
+	Ready       bool          // the member can serve
+	ReadyFor    time.Duration // time since it became ready
 	Draining    bool
 	ViewDigest  uint64 // digest of its view, including itself; 0 for none
 	Metrics     []Metric
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -11,8 +11,8 @@
 	maxJoinBackoff = 10 * time.Second
 )
 
-// fleetJoinRate is the number of join attempts per second that the whole fleet makes when many members miss the same
-// address. Without it, hundreds of members that miss one seed would all contact it as soon as it is back.
+// fleetJoinRate is the number of join attempts per second that the whole fleet makes when many members cannot reach the
+// same address. Without it, hundreds of members that cannot reach one seed would all contact it as soon as it is back.
 const fleetJoinRate = 3
 
 // maxPredecessorCallers is the maximum number of recorded callers of the predecessor. A few are enough, because one
@@ -20,10 +20,11 @@
 const maxPredecessorCallers = 4
 
 const (
-	// divergenceDelay is how long a view must be unchanged before it is compared with others: an update takes some rounds
-	// of gossip to reach all members.
+	// divergenceDelay is how long a view must be unchanged before it is compared with others: an update takes some
+	// rounds of gossip to reach all members.
 	divergenceDelay = 2 * time.Second
-	// divergentJoinChance is the probability, per second, that a member whose view differs from most others joins one.
+	// divergentJoinChance is the probability, per second, that a member whose view differs from most others joins one
+	// of them.
 	divergentJoinChance = 0.2
 )
 
@@ -48,10 +49,10 @@
 	j.predecessorCallers = slices.DeleteFunc(j.predecessorCallers, func(a string) bool { return a == addr })
 }
 
-// NextJoinAddr returns the gossip address to join now; ok is false if there is none. The caller must call it once a
-// second. A seed without a known member, or a member that became unreachable without leaving, may be in a part of the
-// fleet that does not know this process. Two halves of a fleet that have declared each other gone merge only by these
-// join attempts. random returns numbers from 0 to 1.
+// NextJoinAddr returns the gossip address to join now; ok is false if there is none. It must be called once a second,
+// because its probabilities are per second. A seed without a reachable member, or a member that became unreachable
+// without leaving, may be in a part of the fleet that does not know this process. Two halves of a fleet that have
+// declared each other gone merge only by these join attempts. random returns numbers from 0 to 1.
 func (t *Table) NextJoinAddr(now time.Duration, random func() float64) (addr string, ok bool) {
 	reachableAddrs := map[string]bool{t.self.GossipAddr: true}
 	present := 0
@@ -80,7 +81,7 @@
 }
 
 // joinChance returns the probability with which each member makes a join attempt each second, so that the whole fleet
-// makes fleetJoinRate attempts per second.
+// makes fleetJoinRate attempts per second. present is the number of other members that are present and reachable.
 func joinChance(present int) float64 { return float64(fleetJoinRate) / float64(present+1) }
 
 // pickRandom returns a random element of addrs, which must not be empty.
@@ -99,10 +100,10 @@
 	return missing
 }
 
-// AddPredecessorCaller records the address of a member that called the previous process with the name and address of
-// this one. The caller's part of the fleet does not know this process yet. When a seed restarts together with other
-// members, only these callers connect it to the fleet: the rest of the fleet would learn of it only when the detector
-// has reported the predecessors, many seconds later.
+// AddPredecessorCaller records the address of a member that called the predecessor of this process, which had the same
+// name and address. The caller's part of the fleet does not know this process yet. When a seed restarts together with
+// other members, only these callers connect it to the fleet early. Without them, the rest of the fleet would learn of
+// it only when the failure detector has reported the predecessors, many seconds later.
 func (t *Table) AddPredecessorCaller(addr string) {
 	joins := &t.joins
 	if len(joins.predecessorCallers) < maxPredecessorCallers && !slices.Contains(joins.predecessorCallers, addr) {
@@ -112,7 +113,8 @@
 
 // nextDivergentMember returns the address of a member whose view differs from the local one although both have had
 // time to receive the same updates; ok is false if no join attempt is due. Without it, a process that joins through a
-// member that suspects a third one at that moment would miss the third one, because its refutation was sent before.
+// member that suspects a third one at that moment would miss the third one, because the refutation was sent before the
+// join.
 func (t *Table) nextDivergentMember(now time.Duration, present int, random func() float64) (addr string, ok bool) {
 	if now-t.viewDigestSince < divergenceDelay || present == 0 {
 		return "", false
@@ -128,9 +130,9 @@
 			divergent = append(divergent, member.GossipAddr)
 		}
 	}
-	// A process whose view differs from most others has most likely missed an update. It joins with a higher probability
-	// instead of waiting to be joined. The attempt stays random, because every view differs from most others while the
-	// whole fleet changes.
+	// A process whose view differs from most others has most likely missed an update. It joins with a higher
+	// probability instead of waiting to be joined. The attempt stays random, because every view differs from most
+	// others while the whole fleet changes.
 	chance := joinChance(present)
 	if len(divergent) > agreeing {
 		chance = max(chance, divergentJoinChance)
@@ -147,7 +149,8 @@
 		member.HeartbeatAt > t.viewDigestSince+divergenceDelay/2
 }
 
-// RecordJoin records the result of a join attempt. The delay before the next attempt is jittered by half.
+// RecordJoin records the result of a join attempt. The delay before the next attempt is jittered by up to half of it in
+// either direction.
 func (t *Table) RecordJoin(addr string, succeeded bool, now time.Duration, random func() float64) {
 	t.joins.dropPredecessorCaller(addr)
 	if succeeded {
@@ -162,7 +165,8 @@
 	}
 }
 
-// Jitter returns half to one and a half times interval, proportional to random, which must be from 0 to 1.
+// Jitter returns half to one and a half times interval. The result increases linearly with random, which must be from 0
+// to 1.
 func Jitter(interval time.Duration, random float64) time.Duration {
 	return time.Duration((0.5 + random) * float64(interval))
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -10,7 +10,7 @@
 	StateJoining State = iota // its descriptor was received, but it has not reported that it can serve
 	StateWarming              // it serves at less than its full rate
 	StateUp                   // it serves
-	StateSuspect              // it may have failed; Reason has the cause
+	StateSuspect              // it may have failed or is flapping; see Reason
 	StateLeaving              // it reported that it is draining
 	StateGone                 // it left, or was declared gone
 	StateFenced               // a later process has taken its name
--- a/internal/membership/reachability_test.go
+++ b/internal/membership/reachability_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The life cycle of a member: its descriptor arrives, it is ready, warmed up, draining, and it leaves. The warm-up time
-// starts when it becomes ready and not when its first heartbeat arrives.
+// The life cycle of a member: its descriptor is received, it becomes ready, is warmed up, drains and leaves. The
+// warm-up time starts when it becomes ready and not when its first heartbeat arrives.
 func Example() {
 	h := newHarness()
 	h.alive("a", 7, 1)
@@ -68,7 +68,8 @@
 	// 13s a 1: suspect -> up, returned
 }
 
-// The more often a member flaps, the longer it stays suspect, but it always becomes up again in the end.
+// The more often a member flaps, the longer it stays suspect, but in the end its state is up again like that of any
+// other member.
 func Example_flapping() {
 	h := newHarness(func(config *Config) { config.GoneAfter = time.Minute })
 	h.quiet = true
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -14,7 +14,7 @@
 	From        State
 	To          State
 	Reason      Reason
-	ViewVersion uint64 // the first view version that shows the change
+	ViewVersion uint64 // version of the first view that contains the change
 }
 
 // Stats counts events since the start of this process.
@@ -22,7 +22,7 @@
 	Transitions          uint64 // changes of a member's state
 	RejectedFull         uint64 // descriptors rejected because the table was full
 	StaleHeartbeats      uint64 // heartbeats of an unknown process, or not newer than the last one
-	InvalidHeartbeats    uint64 // heartbeats that exceeded a limit
+	InvalidHeartbeats    uint64 // heartbeats with too many metrics or a negative age
 	OutdatedIncarnations uint64 // descriptors or notices of an earlier process of a name
 	RefutedSuspicions    uint64 // reports of the failure detector that proved false
 	Stalls               uint64 // stalls of this process
@@ -54,7 +54,7 @@
 	Stats Stats
 }
 
-// NewTable returns a table that contains only this process.
+// NewTable returns a table without other members for the process that self describes.
 func NewTable(self Descriptor, config Config, now time.Duration) *Table {
 	table := &Table{
 		config:       config,
@@ -82,7 +82,7 @@
 // View returns the last published view.
 func (t *Table) View() *View { return t.view }
 
-// ViewDigest returns the digest of the local view that the heartbeats of this process carry.
+// ViewDigest returns the digest of the local view, including this process. The heartbeats of this process carry it.
 func (t *Table) ViewDigest() uint64 { return t.viewDigest }
 
 // TakeChanges returns the changes since the previous call.
@@ -109,8 +109,8 @@
 	}
 }
 
-// transition stores a member with a state and a reason. It records a change if the state, the reason or the process is
-// new.
+// transition stores a member with a state and a reason. It records a change if the state, the reason or the process
+// differs from the stored one.
 func (t *Table) transition(member Member, state State, reason Reason, now time.Duration) {
 	previous, found := t.members.Get(member.Name)
 	if found && previous.State == state && previous.Reason == reason && previous.BootID == member.BootID {
@@ -140,11 +140,11 @@
 	})
 }
 
-// heardFractionStep is the change of the heard fraction from which on a new view is published.
+// heardFractionStep is the minimum change of the heard fraction that causes a new view to be published.
 const heardFractionStep = 0.1
 
-// Tick applies the deadlines that have passed. It must be called several times within each stall threshold: a longer
-// time between two calls counts as a stall of this process.
+// Tick applies the deadlines that have passed. It must be called several times per stall threshold: if the time between
+// two calls exceeds the threshold, it counts as a stall of this process.
 func (t *Table) Tick(now time.Duration) {
 	elapsed := now - t.lastTick
 	t.lastTick = now
@@ -218,8 +218,8 @@
 	}
 }
 
-// evictGone deletes the members that have been gone for longer than the retention time. If needRoom is set and
-// it deleted none, it deletes the member that has been gone longest. It reports whether the table has room for another.
+// evictGone deletes the members that have been gone for longer than the retention time. If there are none and needRoom
+// is set, it deletes the member that has been gone longest. It reports whether the table has room for another.
 // Outdated processes are fenced by the names and incarnations of gone members, so these are kept as long as possible.
 func (t *Table) evictGone(now time.Duration, needRoom bool) bool {
 	var oldest *Member
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -10,14 +10,14 @@
 	_ "lanewheel/internal/rapidtest"
 )
 
-// tableMachine is a state machine test of a table that receives messages in any order. check tests the invariants.
+// tableMachine applies random messages to a table and checks its invariants.
 type tableMachine struct {
 	*tableHarness
 	names          []Name
 	newest         map[Name]Descriptor  // the newest descriptor seen for each name
 	unreachableFor map[ID]time.Duration // how long each process has been unreachable while members could be declared gone
 	view           *View                // the last published view
-	digest         uint64               // of view when it was published
+	digest         uint64               // digest of view when it was published
 }
 
 func newTableMachine() *tableMachine {
@@ -45,7 +45,7 @@
 	}
 }
 
-func (m *tableMachine) reportLoss(t *rapid.T) {
+func (m *tableMachine) reportLeftOrUnreachable(t *rapid.T) {
 	id := m.drawID(t)
 	if _, already := m.unreachableFor[id]; !already {
 		if member, found := m.View().Get(id.Name); found && member.BootID == id.BootID {
@@ -116,19 +116,19 @@
 	}
 }
 
-// Invariants under any order of a few messages: the incarnation of a name does not decrease, no member is declared gone
-// before it has been unreachable long enough while this process could declare members gone, a published view never
-// changes, the table stays within MaxMembers, and no metric is valid beyond the maximum TTL.
+// Invariants under any order of a few messages: the incarnation of a name does not decrease; no member is declared gone
+// before its deadline, which counts only the time in which this process can declare members gone; a published view
+// never changes; the table stays within MaxMembers; and no metric is valid beyond the maximum TTL.
 func TestMessagesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machine := newTableMachine()
 		t.Repeat(map[string]func(*rapid.T){
-			"descriptor": machine.receiveDescriptor,
-			"heartbeat":  machine.receiveHeartbeat,
-			"loss":       machine.reportLoss,
-			"pass time":  machine.passTime,
-			"stall":      machine.stallProcess,
-			"":           machine.check,
+			"descriptor":          machine.receiveDescriptor,
+			"heartbeat":           machine.receiveHeartbeat,
+			"left or unreachable": machine.reportLeftOrUnreachable,
+			"pass time":           machine.passTime,
+			"stall":               machine.stallProcess,
+			"":                    machine.check,
 		})
 	})
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// View is a snapshot of all members that this process knows. It is immutable and may be read by any goroutine.
+// View is a snapshot of all other members that this process knows. It is immutable and may be read by any goroutine.
 // Successive views share their unchanged parts.
 type View struct {
 	Version       uint64
@@ -24,7 +24,7 @@
 
 func (nameComparer) Compare(a, b Name) int { return cmp.Compare(a, b) }
 
-// Get returns the member with the given name.
+// Get returns the member with the given name, and whether there is one.
 func (v *View) Get(name Name) (Member, bool) { return v.members.Get(name) }
 
 // Len returns the number of members in any state.
