--- a/internal/fleet/gossip/agent_test.go
+++ b/internal/fleet/gossip/agent_test.go
@@ -11,9 +11,9 @@
 	"lanewheel/internal/membership"
 )
 
-// memberlist's goroutines check a node against the limit of members while the event loop replaces the configuration:
-// with -race this fails where the limit is not shared safely.
-func TestConfigReplacedWhileNodesArrive(t *testing.T) {
+// memberlist's goroutines check nodes against the maximum number of members while the event loop replaces the
+// configuration. With -race, this test fails if the maximum is not shared safely.
+func TestSetConfigDuringNotifyAlive(t *testing.T) {
 	agent := goldenAgent()
 	agent.Loop = eventloop.New(1 << 10)
 	agent.memberlistConfig = &memberlist.Config{}
@@ -29,39 +29,39 @@
 		Port: 7946,
 		Meta: encodeDescriptor(membership.Descriptor{Capacity: 1}),
 	}
-	full := agent.config
-	full.Membership = membership.DefaultConfig()
-	full.Membership.MaxMembers = 1
-	full.MaxMessageRate = 100
-	roomy := full
-	roomy.Membership.MaxMembers = 100
-	received := make(chan struct{})
-	go func() { // what memberlist does meanwhile; each answer is right, as the configuration is on its way
-		defer close(received)
+	smallLimit := agent.config
+	smallLimit.Membership = membership.DefaultConfig()
+	smallLimit.Membership.MaxMembers = 1
+	smallLimit.MaxMessageRate = 100
+	largeLimit := smallLimit
+	largeLimit.Membership.MaxMembers = 100
+	callsDone := make(chan struct{})
+	go func() { // memberlist's concurrent calls; either result is correct while the configuration is changing
+		defer close(callsDone)
 		for range 10_000 {
 			_ = events.NotifyAlive(node)
 			events.MergeRemoteState(nil, false)
 		}
 	}()
 	for range 100 {
-		agent.SetConfig(full)
-		agent.SetConfig(roomy)
+		agent.SetConfig(smallLimit)
+		agent.SetConfig(largeLimit)
 	}
-	<-received
+	<-callsDone
 	for _, step := range []struct {
 		config   Config
 		accepted bool
-	}{{full, false}, {roomy, true}} {
+	}{{smallLimit, false}, {largeLimit, true}} {
 		applied := make(chan struct{})
 		agent.SetConfig(step.config)
 		agent.Post(func() { close(applied) })
 		select {
 		case <-applied:
 		case <-time.After(10 * time.Second):
-			t.Fatal("the configuration was not applied")
+			t.Fatal("configuration was not applied within 10 s")
 		}
 		if err := events.NotifyAlive(node); (err == nil) != step.accepted {
-			t.Errorf("with %d members at most: %v", step.config.Membership.MaxMembers, err)
+			t.Errorf("NotifyAlive with a maximum of %d members returned %v", step.config.Membership.MaxMembers, err)
 		}
 	}
 	agent.Post(agent.Quit)
--- a/internal/fleet/gossip/codec_member.go
+++ b/internal/fleet/gossip/codec_member.go
@@ -8,11 +8,11 @@
 
 const (
 	maxCapacity       = 1e6       // cores
-	maxWarmUpMillis   = 3_600_000 // an hour
+	maxWarmUpMillis   = 3_600_000 // 1 hour
 	maxReadyForMillis = math.MaxInt32 * 1000
 )
 
-// encodeDescriptor writes what memberlist carries beside a node's name and address.
+// encodeDescriptor encodes the fields of a descriptor that memberlist does not carry in a node's name and address.
 func encodeDescriptor(descriptor membership.Descriptor) []byte {
 	return encodeBody(wireDescriptor{
 		Incarnation:  uint64(descriptor.Incarnation),
@@ -25,9 +25,10 @@
 	})
 }
 
+// decodeDescriptor returns the descriptor of a memberlist node from its name, address and metadata.
 func decodeDescriptor(name, addr string, meta []byte) (descriptor membership.Descriptor, err error) {
 	id, ok := membership.ParseID(name)
-	if !ok || !validNames(string(id.Name)) {
+	if !ok || !validNameLengths(string(id.Name)) {
 		return descriptor, errOutOfRange
 	}
 	var wire wireDescriptor
@@ -35,8 +36,8 @@
 		return descriptor, err
 	}
 	validCapacity := wire.Capacity > 0 && wire.Capacity <= maxCapacity // false for NaN
-	if !validNames(wire.ServiceAddr, wire.Zone, wire.Release) || !validCapacity ||
-		!inMillis(wire.WarmUpMillis, maxWarmUpMillis) {
+	if !validNameLengths(wire.ServiceAddr, wire.Zone, wire.Release) || !validCapacity ||
+		!millisInRange(wire.WarmUpMillis, maxWarmUpMillis) {
 		return descriptor, errOutOfRange
 	}
 	return membership.Descriptor{
@@ -49,7 +50,7 @@
 		Zone:        wire.Zone,
 		Release:     wire.Release,
 		Capacity:    wire.Capacity,
-		WarmUp:      durationOf(wire.WarmUpMillis),
+		WarmUp:      durationFromMillis(wire.WarmUpMillis),
 	}, nil
 }
 
@@ -79,7 +80,7 @@
 	if err := decode(body, &wire); err != nil {
 		return heartbeat, err
 	}
-	if wire.Name == "" || !validNames(wire.Name) || !inMillis(wire.ReadyForMillis, maxReadyForMillis) {
+	if wire.Name == "" || !validNameLengths(wire.Name) || !millisInRange(wire.ReadyForMillis, maxReadyForMillis) {
 		return heartbeat, errOutOfRange
 	}
 	metrics, err := decodeMetrics(wire.Metrics)
@@ -91,7 +92,7 @@
 		Incarnation: membership.Incarnation(wire.Incarnation),
 		Sequence:    wire.Sequence,
 		Ready:       wire.Ready,
-		ReadyFor:    durationOf(wire.ReadyForMillis),
+		ReadyFor:    durationFromMillis(wire.ReadyForMillis),
 		Draining:    wire.Draining,
 		ViewDigest:  wire.ViewDigest,
 		Metrics:     metrics,
@@ -100,13 +101,14 @@
 
 func decodeMetrics(wire []wireMetric) (metrics []membership.Metric, err error) {
 	for _, metric := range wire {
-		if metric.Name == "" || len(metric.Name) > maxMetricNameBytes || !inMillis(metric.TTLMillis, math.MaxInt32) {
+		if metric.Name == "" || len(metric.Name) > maxMetricNameBytes ||
+			!millisInRange(metric.TTLMillis, math.MaxInt32) {
 			return nil, errOutOfRange
 		}
 		metrics = append(metrics, membership.Metric{
 			Name:  metric.Name,
 			Value: metric.Value,
-			TTL:   durationOf(metric.TTLMillis),
+			TTL:   durationFromMillis(metric.TTLMillis),
 		})
 	}
 	return metrics, nil
--- a/internal/fleet/gossip/codec_test.go
+++ b/internal/fleet/gossip/codec_test.go
@@ -14,8 +14,8 @@
 	_ "lanewheel/internal/rapidtest"
 )
 
-// bodyOf is what stands behind the head of a message.
-func bodyOf(message []byte) []byte { return message[headSize:] }
+// bodyOf returns a message without its header.
+func bodyOf(message []byte) []byte { return message[headerSize:] }
 
 func drawMillis(t *rapid.T, label string) time.Duration {
 	return time.Duration(rapid.IntRange(0, 3_600_000).Draw(t, label)) * time.Millisecond
@@ -46,7 +46,7 @@
 	return heartbeat
 }
 
-// What is encoded is decoded as it was; durations are in whole milliseconds.
+// Decoding an encoded value returns the same value. Durations are in whole milliseconds.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		heartbeat := drawHeartbeat(t)
@@ -54,8 +54,8 @@
 		if err != nil || received.kind != kindHeartbeat || received.age != 1500*time.Millisecond {
 			t.Fatal(received.kind, received.age, err)
 		}
-		if back, err := decodeHeartbeat(received.body); err != nil || !reflect.DeepEqual(back, heartbeat) {
-			t.Fatal(err, back, heartbeat)
+		if got, err := decodeHeartbeat(received.body); err != nil || !reflect.DeepEqual(got, heartbeat) {
+			t.Fatal(err, got, heartbeat)
 		}
 		checkDescriptorRoundTrip(t, heartbeat.ID, heartbeat.Incarnation)
 		checkLeaseRequestRoundTrip(t, heartbeat.ID)
@@ -77,11 +77,11 @@
 		WarmUp:      drawMillis(t, "warm-up"),
 	}
 	encoded := encodeDescriptor(descriptor)
-	if back, err := decodeDescriptor(id.String(), "a:1", encoded); err != nil || back != descriptor {
-		t.Fatal(err, back, descriptor)
+	if got, err := decodeDescriptor(id.String(), "a:1", encoded); err != nil || got != descriptor {
+		t.Fatal(err, got, descriptor)
 	}
 	if len(encoded) > 512 {
-		t.Fatalf("a descriptor of %d bytes", len(encoded))
+		t.Fatalf("encoded descriptor has %d bytes, maximum is 512", len(encoded))
 	}
 }
 
@@ -98,12 +98,12 @@
 		WantedCalls: drawCount(t, "wanted"),
 	}
 	body := bodyOf(encodeLeaseRequest(request, id, "a:1"))
-	back, addr, err := decodeLeaseRequest(body, id)
-	if err != nil || back != request || addr != "a:1" || len(body) > maxMessageBytes {
-		t.Fatal(err, back, request)
+	got, addr, err := decodeLeaseRequest(body, id)
+	if err != nil || got != request || addr != "a:1" || len(body) > maxMessageBytes {
+		t.Fatal(err, got, request)
 	}
 	if _, _, err := decodeLeaseRequest(body, membership.ID{Name: "another", BootID: 1}); err == nil {
-		t.Fatal("took a request to another allocator")
+		t.Fatal("accepted a request to another allocator")
 	}
 }
 
@@ -116,13 +116,13 @@
 		UnleasedCalls:   1,
 		MaxCallDuration: drawMillis(t, "call duration") + time.Millisecond,
 	}
-	if back, err := decodeLease(bodyOf(encodeLease(lease))); err != nil || back != lease {
-		t.Fatal(err, back, lease)
+	if got, err := decodeLease(bodyOf(encodeLease(lease))); err != nil || got != lease {
+		t.Fatal(err, got, lease)
 	}
 }
 
-// readHeartbeat decodes a whole message as a heartbeat.
-func readHeartbeat(message []byte) error {
+// decodeHeartbeatMessage decodes a whole message as a heartbeat.
+func decodeHeartbeatMessage(message []byte) error {
 	received, err := parseEnvelope(message)
 	if err == nil {
 		_, err = decodeHeartbeat(received.body)
@@ -130,20 +130,20 @@
 	return err
 }
 
-// What is cut, too long, out of range or foreign is an error and nothing else.
+// Decoding input that is truncated, too long, out of range or from a node with an invalid name only returns an error.
 func Example_malformed() {
 	message := encodeHeartbeat(membership.Heartbeat{
 		ID:      membership.ID{Name: "n", BootID: 1},
 		Metrics: []membership.Metric{{Name: "load", Value: 1, TTL: time.Second}},
 	})
-	refused := 0
+	rejected := 0
 	for cut := range len(message) {
-		if readHeartbeat(message[:cut]) != nil {
-			refused++
+		if decodeHeartbeatMessage(message[:cut]) != nil {
+			rejected++
 		}
 	}
-	fmt.Println(refused == len(message), readHeartbeat(append(message, make([]byte, 600)...)))
-	fmt.Println(readHeartbeat(encodeHeartbeat(membership.Heartbeat{
+	fmt.Println(rejected == len(message), decodeHeartbeatMessage(append(message, make([]byte, 600)...)))
+	fmt.Println(decodeHeartbeatMessage(encodeHeartbeat(membership.Heartbeat{
 		ID:      membership.ID{Name: "n"},
 		Metrics: []membership.Metric{{Name: "a name that is far too long"}},
 	})))
@@ -157,13 +157,14 @@
 	err = decodeState(encodeState([][]byte{{1}, {2, 3}, {4}}), 2, func([]byte) { count++ })
 	fmt.Println(count, err, decodeState([]byte{0, 9, 1}, 5, func([]byte) {}))
 	// Output:
-	// true too large
-	// out of range
-	// out of range out of range out of range out of range out of range
-	// 2 <nil> cut short
+	// true message body is too large
+	// value is out of range
+	// value is out of range value is out of range value is out of range value is out of range value is out of range
+	// 2 <nil> message is truncated
 }
 
-// Each limit of a heartbeat, a descriptor and a lease: the greatest value passes, the next one does not.
+// For each limit of a heartbeat, a descriptor and a lease, a value at the limit is accepted and the next one is
+// rejected.
 func TestDecodingLimits(t *testing.T) {
 	const longestName = "abcdefghijklmnopqrstuvwxyzabcdefghijklmnopqrstuvwxyzabcdefghijkl" // maxNameBytes
 	heartbeat := func(change func(*wireHeartbeat)) error {
@@ -223,7 +224,7 @@
 		},
 	} {
 		if test.within != nil || test.beyond == nil {
-			t.Errorf("%s: within its limit %v, beyond %v", name, test.within, test.beyond)
+			t.Errorf("%s: error %v for a value within the limit, %v for one beyond it", name, test.within, test.beyond)
 		}
 	}
 }
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -17,21 +17,21 @@
 	"lanewheel/internal/membership"
 )
 
-// The golden files hold what a released process sends and shows. Processes of two versions speak to each other while a
-// fleet is replaced, so these bytes stay as they are.
+// The golden files contain the messages that a released process sends and the snapshot that it shows. Processes of
+// two versions communicate while the processes of a fleet are replaced, so these bytes must not change.
 const (
 	messagesFile = "messages.txt"
 	snapshotFile = "snapshot.json"
 )
 
-// goldenMessage is one message as it is sent, and how it is decoded.
+// goldenMessage is an encoded message and a function that decodes and checks the stored one.
 type goldenMessage struct {
 	name    string
 	encoded []byte
 	decode  func(t *testing.T, stored []byte)
 }
 
-// goldenAge is the age of all golden messages that have one.
+// goldenAge is the age of all golden messages whose age is not 0.
 const goldenAge = 1500 * time.Millisecond
 
 var (
@@ -39,21 +39,21 @@
 	goldenOther = membership.ID{Name: "green", BootID: 0xfedcba9876543210}
 )
 
-// goldenMessages lists every message with all fields set.
+// goldenMessages returns one message of each type, with all fields set.
 func goldenMessages() []goldenMessage {
 	self, other := goldenSelf.String(), goldenOther.String()
 	return []goldenMessage{
 		goldenDescriptor(),
 		goldenHeartbeat(),
-		plain("fenced", kindFenceNotice, wireFenceNotice{Name: "blue", Incarnation: 3, BootID: 5}),
-		plain("query", kindQuery, wireQuery{Nonce: 42, To: self, From: other, ReplyAddr: "10.0.0.8:7946"}),
-		plain("word", kindQueryReply, wireQueryReply{
+		goldenWireMessage("fenced", kindFenceNotice, wireFenceNotice{Name: "blue", Incarnation: 3, BootID: 5}),
+		goldenWireMessage("query", kindQuery, wireQuery{Nonce: 42, To: self, From: other, ReplyAddr: "10.0.0.8:7946"}),
+		goldenWireMessage("word", kindQueryReply, wireQueryReply{
 			Nonce: 42, Load: -0.5, Finished: 300, WithinObjective: 299, TotalSeconds: 17.25,
 		}),
-		plain("permit", kindPermitNotice, wirePermitNotice{
+		goldenWireMessage("permit", kindPermitNotice, wirePermitNotice{
 			To: self, From: other, ReplyAddr: "10.0.0.8:7946", Number: 19, Begun: true,
 		}),
-		plain("begin", kindPermitBegin, wirePermitBegin{
+		goldenWireMessage("begin", kindPermitBegin, wirePermitBegin{
 			To: self, From: other, ReplyAddr: "10.0.0.8:7946", Incarnation: 1_700_000_000_123, Number: 19,
 		}),
 		goldenLeaseRequest(),
@@ -69,10 +69,10 @@
 		Zone:  "north", Release: "v7", Capacity: 2.5, WarmUp: 4500 * time.Millisecond}
 	return goldenMessage{"claim", encodeDescriptor(descriptor), func(t *testing.T, stored []byte) {
 		t.Helper()
-		back, err := decodeDescriptor(goldenSelf.String(), descriptor.GossipAddr, stored)
-		same(t, err, back, descriptor)
-		wire, err := decoded[wireDescriptor](stored)
-		same(t, err, wire, wireDescriptor{Incarnation: 1_700_000_000_123, Roles: 15, Zone: "north",
+		got, err := decodeDescriptor(goldenSelf.String(), descriptor.GossipAddr, stored)
+		checkEqualAllSet(t, err, got, descriptor)
+		wire, err := decodeAs[wireDescriptor](stored)
+		checkEqualAllSet(t, err, wire, wireDescriptor{Incarnation: 1_700_000_000_123, Roles: 15, Zone: "north",
 			Release: "v7", Capacity: 2.5, WarmUpMillis: 4500, ServiceAddr: "10.0.0.7:8000"})
 	}}
 }
@@ -91,11 +91,11 @@
 	encoded := setAge(encodeHeartbeat(heartbeat), goldenAge)
 	return goldenMessage{"bulletin", encoded, func(t *testing.T, stored []byte) {
 		t.Helper()
-		body := head(t, stored, kindHeartbeat, goldenAge)
-		back, err := decodeHeartbeat(body)
-		sameValues(t, err, back, heartbeat) // when a metric was measured is not sent: it is by the receiver's clock
-		wire, err := decoded[wireHeartbeat](body)
-		same(t, err, wire, wireHeartbeat{Name: "blue", BootID: 0x0123456789abcdef,
+		body := checkHeader(t, stored, kindHeartbeat, goldenAge)
+		got, err := decodeHeartbeat(body)
+		checkEqual(t, err, got, heartbeat) // the times of metrics refer to the receiver's clock and are not sent
+		wire, err := decodeAs[wireHeartbeat](body)
+		checkEqualAllSet(t, err, wire, wireHeartbeat{Name: "blue", BootID: 0x0123456789abcdef,
 			Incarnation: 1_700_000_000_123, Sequence: 77, Ready: true, ReadyForMillis: 61_001, Draining: true,
 			ViewDigest: 0xdeadbeef01234567, Metrics: []wireMetric{{Name: "health", Value: 0.75, TTLMillis: 3000},
 				{Name: "held", Value: 12, TTLMillis: 4000}}})
@@ -110,13 +110,13 @@
 	encoded := encodeLeaseRequest(request, goldenSelf, "10.0.0.8:7946")
 	return goldenMessage{"ask", encoded, func(t *testing.T, stored []byte) {
 		t.Helper()
-		body := head(t, stored, kindLeaseRequest, 0)
-		back, addr, err := decodeLeaseRequest(body, goldenSelf)
-		same(t, err, back, request)
-		same(t, nil, addr, "10.0.0.8:7946")
-		wire, err := decoded[wireLeaseRequest](body)
-		same(t, err, wire, wantWire)
-		same(t, nil, encode(kindLeaseRequest, wantWire), stored)
+		body := checkHeader(t, stored, kindLeaseRequest, 0)
+		got, addr, err := decodeLeaseRequest(body, goldenSelf)
+		checkEqualAllSet(t, err, got, request)
+		checkEqualAllSet(t, nil, addr, "10.0.0.8:7946")
+		wire, err := decodeAs[wireLeaseRequest](body)
+		checkEqualAllSet(t, err, wire, wantWire)
+		checkEqualAllSet(t, nil, encode(kindLeaseRequest, wantWire), stored)
 	}}
 }
 
@@ -127,12 +127,12 @@
 		MaxCallMillis: 5000}
 	return goldenMessage{"grant", encodeLease(lease), func(t *testing.T, stored []byte) {
 		t.Helper()
-		body := head(t, stored, kindLease, 0)
-		back, err := decodeLease(body)
-		same(t, err, back, lease)
-		wire, err := decoded[wireLease](body)
-		same(t, err, wire, wantWire)
-		same(t, nil, encode(kindLease, wantWire), stored)
+		body := checkHeader(t, stored, kindLease, 0)
+		got, err := decodeLease(body)
+		checkEqualAllSet(t, err, got, lease)
+		wire, err := decodeAs[wireLease](body)
+		checkEqualAllSet(t, err, wire, wantWire)
+		checkEqualAllSet(t, nil, encode(kindLease, wantWire), stored)
 	}}
 }
 
@@ -145,15 +145,15 @@
 		t.Helper()
 		var parts [][]byte
 		err := decodeState(stored, 2, func(part []byte) { parts = append(parts, part) })
-		same(t, err, parts, want)
+		checkEqualAllSet(t, err, parts, want)
 	}}
 }
 
-// The first byte of each kind of message is shared with other releases.
+// The first byte of each kind of message is part of the protocol between releases.
 func TestGoldenKinds(t *testing.T) {
 	kinds := []messageKind{kindHeartbeat, kindFenceNotice, kindQuery, kindQueryReply, kindLeaseRequest, kindLease,
 		kindPermitNotice, kindPermitBegin}
-	same(t, nil, string(firstBytes(kinds)), "bfqwagpi")
+	checkEqualAllSet(t, nil, string(firstBytes(kinds)), "bfqwagpi")
 }
 
 func firstBytes(kinds []messageKind) (bytes []byte) {
@@ -163,47 +163,49 @@
 	return bytes
 }
 
-// plain is a message whose wire struct is what the program uses.
-func plain[T any](name string, kind messageKind, value T) goldenMessage {
+// goldenWireMessage returns a golden message whose value is itself a wire struct, without conversion from another
+// type.
+func goldenWireMessage[T any](name string, kind messageKind, value T) goldenMessage {
 	return goldenMessage{name, setAge(encode(kind, value), goldenAge), func(t *testing.T, stored []byte) {
 		t.Helper()
-		back, err := decoded[T](head(t, stored, kind, goldenAge))
-		same(t, err, back, value)
+		got, err := decodeAs[T](checkHeader(t, stored, kind, goldenAge))
+		checkEqualAllSet(t, err, got, value)
 	}}
 }
 
-func decoded[T any](body []byte) (value T, err error) {
+func decodeAs[T any](body []byte) (value T, err error) {
 	err = decode(body, &value)
 	return value, err
 }
 
-// head checks a stored message's head and gives what stands behind it.
-func head(t *testing.T, stored []byte, wantKind messageKind, wantAge time.Duration) []byte {
+// checkHeader checks the header of a stored message and returns its body.
+func checkHeader(t *testing.T, stored []byte, wantKind messageKind, wantAge time.Duration) []byte {
 	t.Helper()
 	received, err := parseEnvelope(stored)
 	if err != nil || received.kind != wantKind || received.age != wantAge {
-		t.Fatalf("head %q %v, error %v; want %q %v", received.kind, received.age, err, wantKind, wantAge)
+		t.Fatalf("header is %q %v, error %v; want %q %v", received.kind, received.age, err, wantKind, wantAge)
 	}
 	return received.body
 }
 
-// same fails unless got is want and every field of want is set.
-func same[T any](t *testing.T, err error, got, want T) {
+// checkEqualAllSet reports a failure unless err is nil, got equals want and every field of want is set.
+func checkEqualAllSet[T any](t *testing.T, err error, got, want T) {
 	t.Helper()
-	sameValues(t, err, got, want)
+	checkEqual(t, err, got, want)
 	if unset := unsetFields(reflect.ValueOf(want), ""); len(unset) > 0 {
-		t.Errorf("fields without a value: %v", unset)
+		t.Errorf("fields not set: %v", unset)
 	}
 }
 
-func sameValues[T any](t *testing.T, err error, got, want T) {
+// checkEqual reports a failure unless err is nil and got equals want.
+func checkEqual[T any](t *testing.T, err error, got, want T) {
 	t.Helper()
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v\nerror %v", got, want, err)
 	}
 }
 
-// unsetFields names the fields of a value that are zero, each once.
+// unsetFields returns the names of the zero fields of a value, sorted and without duplicates.
 func unsetFields(v reflect.Value, path string) (unset []string) {
 	switch {
 	case v.Kind() == reflect.Struct:
@@ -222,7 +224,8 @@
 	return slices.Compact(unset)
 }
 
-// What is sent stays as the version before wrote it, and is read to the same values.
+// Each message is encoded to the same bytes as by the previous version, and the stored bytes are decoded to the same
+// values.
 func TestGoldenMessages(t *testing.T) {
 	all := goldenMessages()
 	var text strings.Builder
@@ -244,15 +247,15 @@
 		stored[name] = b
 	}
 	if len(stored) != len(all) {
-		t.Errorf("%d messages are stored, %d are known", len(stored), len(all))
+		t.Errorf("%d messages are stored, %d are defined", len(stored), len(all))
 	}
 	for _, m := range all {
 		t.Run(m.name, func(t *testing.T) {
 			if len(stored[m.name]) == 0 {
-				t.Fatal("is not stored")
+				t.Fatal("message is not stored")
 			}
 			if !bytes.Equal(m.encoded, stored[m.name]) {
-				t.Errorf("encodes to\n%x, stored is\n%x", m.encoded, stored[m.name])
+				t.Errorf("encoded message is\n%x, stored message is\n%x", m.encoded, stored[m.name])
 			}
 			m.decode(t, stored[m.name])
 		})
--- a/internal/fleet/gossip/join.go
+++ b/internal/fleet/gossip/join.go
@@ -6,14 +6,16 @@
 )
 
 const (
-	// joinInterval is how often the table is asked for an address to call.
+	// joinInterval is the interval at which the table is asked for an address to join.
 	joinInterval = time.Second
-	// While no other member is known it is asked sooner, jittered so that many that start at once do not call at once.
-	minLonelyJoinInterval = 100 * time.Millisecond
-	maxLonelyJoinInterval = 500 * time.Millisecond
+	// While no other member is known, the interval is shorter and chosen at random within these bounds, so that
+	// processes that start at the same time do not all attempt a join at the same time.
+	minIsolatedJoinInterval = 100 * time.Millisecond
+	maxIsolatedJoinInterval = 500 * time.Millisecond
 )
 
-// joinPeriodically has an address called that may belong to a part of the fleet that does not know of us.
+// joinPeriodically passes to runJoins the addresses of members that may belong to a part of the fleet that does not
+// know this process.
 func (a *Agent) joinPeriodically() {
 	if a.HasQuit() {
 		return
@@ -21,17 +23,18 @@
 	addr, due := a.table.NextJoinAddr(a.Now(), a.random.Float64)
 	if due && !a.joining && !a.draining && !a.fenced {
 		a.joining = true
-		a.joinAddrs <- addr // never blocks: one call is under way at most
+		a.joinAddrs <- addr // does not block: at most one join is in progress
 	}
 	interval := joinInterval
 	if a.table.View().Len() == 0 {
-		spread := float64(maxLonelyJoinInterval - minLonelyJoinInterval)
-		interval = minLonelyJoinInterval + time.Duration(a.random.Float64()*spread)
+		spread := float64(maxIsolatedJoinInterval - minIsolatedJoinInterval)
+		interval = minIsolatedJoinInterval + time.Duration(a.random.Float64()*spread)
 	}
 	a.ScheduleAt(a.Now()+interval, a.joinPeriodically)
 }
 
-// runJoins is the one goroutine that calls others; a call may block for some seconds.
+// runJoins joins other members, one at a time. It runs on a goroutine of its own, as a join may block for some
+// seconds.
 func (a *Agent) runJoins() {
 	for {
 		select {
@@ -45,13 +48,13 @@
 }
 
 func (a *Agent) recordJoin(addr string, joined bool, err error) {
-	const failed = "join failed"
+	const joinFailedMessage = "join failed"
 	a.joining = false
 	a.table.RecordJoin(addr, joined, a.Now(), a.random.Float64)
 	if joined {
 		a.table.ObserveAck(a.Now())
 		a.table.ObserveSender(hostOf(addr))
-	} else if a.logSampler.Allow(failed, a.WallTime()) {
-		slog.Info(failed, "addr", addr, "err", err)
+	} else if a.logSampler.Allow(joinFailedMessage, a.WallTime()) {
+		slog.Info(joinFailedMessage, "addr", addr, "err", err)
 	}
 }
--- a/internal/membership/alive_test.go
+++ b/internal/membership/alive_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Restarted within a second under its name and address, while its old messages still travel: the new process is never
-// taken for the old one.
+// A member restarts within a second under the same name and address while messages of its previous process are still in
+// transit. The new process must never be taken for the previous one.
 func Example_restart() {
-	x := newHarness()
-	x.bringUp("a")
-	x.alive("a", 8, 2)
-	fmt.Println(x.alive("a", 7, 1) == AliveOutdated, x.heartbeat("a", 7, 50))
-	x.HandleUnreachable(ID{"a", 7}, x.now) // the end of the old process is not the new one's
-	x.heartbeat("a", 8, 1)
-	x.advanceWithHeartbeats(3*s, "a")
-	// two of one incarnation: all who see both decide alike, in whatever order
-	fmt.Println(x.alive("a", 5, 2) == AliveOutdated)
-	x.alive("a", 9, 2)
+	h := newHarness()
+	h.bringUp("a")
+	h.alive("a", 8, 2)
+	fmt.Println(h.alive("a", 7, 1) == AliveOutdated, h.heartbeat("a", 7, 50))
+	h.HandleUnreachable(ID{"a", 7}, h.now) // a report about the previous process does not affect the new one
+	h.heartbeat("a", 8, 1)
+	h.advanceWithHeartbeats(3*s, "a")
+	// of two processes with the same incarnation, the one with the higher boot ID wins in any order of arrival
+	fmt.Println(h.alive("a", 5, 2) == AliveOutdated)
+	h.alive("a", 9, 2)
 	// Output:
 	// 0s a 1: joining -> joining, claimed
 	// 0s a 1: joining -> up, ready
@@ -30,15 +30,16 @@
 	// 3s a 2: joining -> joining, claimed
 }
 
-// Our own name: a predecessor whose incarnation is higher, as the clock went back between, is overtaken shortly after
-// our start; a successor that shows up later fences us, and so does one that another member notifies us of.
+// Another process has the name of this one. Its predecessor has a higher incarnation, because the clock went back
+// between the two starts: shortly after its start, this process raises its own incarnation above that one. A successor
+// that appears later fences this process, even if only a fence notice from another member reports it.
 func Example_nameConflict() {
-	x := newHarness()
-	fmt.Println(x.alive("me", 9, 5000) == AliveIncarnationRaised, x.Self().Incarnation)
-	fmt.Println(x.alive("me", 9, 5000) == AliveOutdated, x.alive("me", 1, 5001) == AliveOwn)
-	x.advance(20 * s)
-	fmt.Println(x.HandleFenceNotice(4000, 3, x.now) == AliveOutdated, x.View().LocalHealth)
-	fmt.Println(x.HandleFenceNotice(6000, 3, x.now) == AliveFenced, x.View().LocalHealth)
+	h := newHarness()
+	fmt.Println(h.alive("me", 9, 5000) == AliveIncarnationRaised, h.Self().Incarnation)
+	fmt.Println(h.alive("me", 9, 5000) == AliveOutdated, h.alive("me", 1, 5001) == AliveOwn)
+	h.advance(20 * s)
+	fmt.Println(h.HandleFenceNotice(4000, 3, h.now) == AliveOutdated, h.View().LocalHealth)
+	fmt.Println(h.HandleFenceNotice(6000, 3, h.now) == AliveFenced, h.View().LocalHealth)
 	// Output:
 	// true 5001
 	// true true
@@ -46,8 +47,9 @@
 	// true fenced
 }
 
-// Two that start under one name at one moment raise in turn, and one of them is over in the end.
-func Example_twins() {
+// Two processes that start under one name at the same moment raise their incarnations in turn until exactly one of them
+// is fenced.
+func Example_simultaneousStarts() {
 	now := time.Duration(0)
 	a := NewTable(Descriptor{Name: "n", Incarnation: 10, BootID: 1}, DefaultConfig(), 0)
 	b := NewTable(Descriptor{Name: "n", Incarnation: 10, BootID: 2}, DefaultConfig(), 0)
@@ -64,49 +66,51 @@
 	// Output: true true true
 }
 
-// A crash loop under one name is held back as well, though each start is a process of its own.
+// A crash loop under one name is suppressed as flapping, although each start is a new process.
 func Example_crashLoop() {
-	x := newHarness()
-	x.quiet = true
-	x.bringUp("a", "b")
+	h := newHarness()
+	h.quiet = true
+	h.bringUp("a", "b")
 	for bootID := BootID(20); bootID < 24; bootID++ {
-		x.alive("a", bootID, Incarnation(bootID))
-		x.heartbeat("a", bootID, 1)
+		h.alive("a", bootID, Incarnation(bootID))
+		h.heartbeat("a", bootID, 1)
 	}
-	m, _ := x.View().Get("a")
+	m, _ := h.View().Get("a")
 	fmt.Println(m.State, m.Reason, uint64(m.BootID))
 	// Output: suspect flapping 23
 }
 
-// Names without end: members that are here stay, those that are gone make room, the others are refused.
-func Example_bounds() {
-	x := newHarness(func(config *Config) { config.MaxMembers, config.MaxMetrics = 3, 1 })
-	x.quiet = true
-	x.bringUp("a", "b", "c")
-	fmt.Println(x.alive("d", 7, 1) == AliveTableFull, x.heartbeat("a", 7, 2, Metric{Name: "x"}, Metric{Name: "y"}))
-	x.HandleLeft(ID{"b", 7}, x.now)
-	fmt.Println(x.alive("d", 7, 1) == AliveAccepted, x.View().Len(), x.Stats.RejectedFull, x.Stats.InvalidHeartbeats)
+// The table is limited to MaxMembers: present members stay, gone ones are evicted for new ones, and further names are
+// rejected. A heartbeat with more than MaxMetrics metrics is rejected as well.
+func Example_memberLimit() {
+	h := newHarness(func(config *Config) { config.MaxMembers, config.MaxMetrics = 3, 1 })
+	h.quiet = true
+	h.bringUp("a", "b", "c")
+	fmt.Println(h.alive("d", 7, 1) == AliveTableFull, h.heartbeat("a", 7, 2, Metric{Name: "x"}, Metric{Name: "y"}))
+	h.HandleLeft(ID{"b", 7}, h.now)
+	fmt.Println(h.alive("d", 7, 1) == AliveAccepted, h.View().Len(), h.Stats.RejectedFull, h.Stats.InvalidHeartbeats)
 	// Output:
 	// true false
 	// true 3 1 1
 }
 
-// No list has a cap under 1,024: a fleet of so many others, each with a predecessor, is held as it stands.
-func Example_many() {
-	x := newHarness()
-	x.quiet = true
+// No internal list is limited to fewer than 1,024 entries: the table holds a fleet of 1,024 other members, each of
+// which has replaced a predecessor.
+func Example_fleetOf1024() {
+	h := newHarness()
+	h.quiet = true
 	for i := range 1024 {
 		n := Name(fmt.Sprint("n", i))
-		x.alive(n, 6, 1)
-		x.bringUp(n)
+		h.alive(n, 6, 1)
+		h.bringUp(n)
 	}
-	here := 0
-	for m := range x.View().All() {
+	available := 0
+	for m := range h.View().All() {
 		if m.State.Available() && m.BootID == 7 {
-			here++
+			available++
 		}
 	}
-	fmt.Println(here, x.Stats.RejectedFull)
+	fmt.Println(available, h.Stats.RejectedFull)
 	// Output:
 	// 1024 0
 }
