--- a/internal/cli/fleetcommands/coordinator_test.go
+++ b/internal/cli/fleetcommands/coordinator_test.go
@@ -75,7 +75,7 @@
 			RequestedAt:  time.Second,
 			StageSince:   2 * time.Second,
 			BeginTimeout: 30 * time.Second,
-			Overtakes:    4,
+			TimesOvertaken:    4,
 			WaitReason:   "budget all",
 			Outcome:      "dropped",
 		}},
--- a/internal/coordination/canary/analysis.go
+++ b/internal/coordination/canary/analysis.go
@@ -1,8 +1,9 @@
-// Package canary compares a new release with the old one, at the same time on the same work, and tells as soon as it
-// can whether the new one is worse.
+// Package canary compares a new release with the old one while both run at the same time on the same work, and decides
+// as early as possible whether the new release is worse.
 //
-// It is pure: windows of figures in, a verdict out. The test is sequential: it may be looked at after each window, and
-// the chance of ever being wrong stays under what is configured. docs/releases.md says which test and why.
+// The package has no side effects: it takes windows of measurements and returns a verdict. The statistical test is
+// sequential: it may be evaluated after every window, and the probability that it is ever wrong stays below the
+// configured error rate. docs/releases.md describes the test and the reasons for choosing it.
 package canary
 
 import (
@@ -10,17 +11,17 @@
 	"math"
 )
 
-// Config is what an analysis goes by.
+// Config holds the parameters of an analysis.
 type Config struct {
-	ErrorRate              float64 // probability of a wrong halt, and of a missed regression, each
-	DetectableLateIncrease float64 // regression to be found: increase of the share not served within its latency objective
-	DetectableSlowdown     float64 // regression to be found: increase of the mean duration, as a share
-	MinWindows             int     // windows before any verdict
-	MinRequests            float64 // requests that a window needs on either side to count
-	CrashLimit             int     // crashes of the new release that are a verdict at once; 0: none are
+	ErrorRate              float64 // maximum probability of a wrong halt, and separately of a missed regression
+	DetectableLateIncrease float64 // regression to detect: increase of the share not served within its latency objective
+	DetectableSlowdown     float64 // regression to detect: increase of the mean duration, as a fraction
+	MinWindows             int     // number of windows required before a verdict other than on crashes
+	MinRequests            float64 // number of requests that each side of a window needs for the window to count
+	CrashLimit             int     // number of crashes at which the new release fails at once; 0: crashes are ignored
 }
 
-// DefaultConfig returns the values that hold where nothing is configured.
+// DefaultConfig returns the values that apply unless others are configured.
 func DefaultConfig() Config {
 	return Config{
 		ErrorRate:              0.02,
@@ -32,18 +33,18 @@
 	}
 }
 
-// Sample is what the members of one release did in a window.
+// Sample holds the measurements of one release's members in one window.
 type Sample struct {
-	Requests    float64 // finished
-	OnTime      float64 // of them, within their latency objective
-	MeanSeconds float64 // from reading a request to its answer, on average
-	Crashes     int     // processes that ended by themselves
+	Requests    float64 // finished requests
+	OnTime      float64 // finished requests that met their latency objective
+	MeanSeconds float64 // mean time from reading a request to answering it
+	Crashes     int     // processes that exited on their own
 }
 
-// Verdict is what is known of the new release.
+// Verdict is the result of comparing the new release with the old one.
 type Verdict uint8
 
-// The verdicts.
+// The verdicts on a new release.
 const (
 	Inconclusive Verdict = iota
 	Passed
@@ -54,25 +55,25 @@
 
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Result is a verdict and what led to it, in words for operators.
+// Result is a verdict with its reason, which is shown to operators.
 type Result struct {
 	Verdict Verdict
 	Reason  string
 }
 
-// Analysis gathers the windows of one wave. It is not safe for concurrent use.
+// Analysis accumulates the windows of one wave. It is not safe for concurrent use.
 type Analysis struct {
 	config         Config
-	lateIncrease   runningStats // share not served on time, new release less old one
-	slowdown       runningStats // logarithm of the ratio of the mean durations, new to old
+	lateIncrease   runningStats // share not served on time: new release minus old release
+	slowdown       runningStats // logarithm of the ratio of the mean durations: new release to old release
 	crashes        int
-	skippedWindows int // with too few requests
+	skippedWindows int // windows with too few requests
 }
 
-// New returns an analysis without any window.
+// New returns an analysis without windows.
 func New(config Config) *Analysis { return &Analysis{config: config} }
 
-// Add takes in a window. One with too few requests on either side counts for its crashes alone.
+// Add adds a window to the analysis. If either side has too few requests, only the canary's crashes are counted.
 func (a *Analysis) Add(canary, baseline Sample) {
 	a.crashes += canary.Crashes
 	if canary.Requests < a.config.MinRequests || baseline.Requests < a.config.MinRequests {
@@ -85,10 +86,11 @@
 	}
 }
 
-// Result tells what is known by now. The release fails if a difference is over half of what has to be found, for
-// certain; it passes if both are under all of it, for certain. So a release that is no worse fails with a probability
-// of ErrorRate at most, and one that is worse by what has to be found passes with ErrorRate at most; in between
-// either may come.
+// Result returns the verdict on the windows added so far. The release fails if the confidence interval of either
+// metric is entirely above half of the regression to detect. It passes if the confidence intervals of both metrics are
+// entirely below the whole regression to detect. A release that is no worse therefore fails with a probability of at
+// most ErrorRate, and a release that is worse by the regression to detect passes with a probability of at most
+// ErrorRate. For a release between the two, either verdict is possible.
 func (a *Analysis) Result() Result {
 	if a.crashes >= a.config.CrashLimit && a.config.CrashLimit > 0 {
 		return Result{Failed, fmt.Sprintf("%d of its processes ended by themselves", a.crashes)}
@@ -107,7 +109,7 @@
 		{&a.lateIncrease, a.config.DetectableLateIncrease, "not served in time"},
 		{&a.slowdown, math.Log(1 + a.config.DetectableSlowdown), "time it takes"},
 	} {
-		// Two metrics are tested: each has half of the error rate.
+		// Two metrics are tested, so each may use half of the error rate.
 		low, high := metric.stats.confidenceBounds(a.config.ErrorRate / 2)
 		if low > metric.detectable/2 {
 			return Result{Failed, fmt.Sprintf("%s: %+.1f%%, between %+.1f%% and %+.1f%% after %.0f windows",
--- a/internal/coordination/canary/analysis_test.go
+++ b/internal/coordination/canary/analysis_test.go
@@ -11,31 +11,31 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
-	_ "gonum.org/v1/plot/vg/vgsvg" // the format of the picture
+	_ "gonum.org/v1/plot/vg/vgsvg" // registers the SVG format of the -picture file
 )
 
 var (
-	releases = flag.Int("releases", 200, "simulated releases for each case")
-	picture  = flag.String("picture", "", "where TestChances draws")
+	releases = flag.Int("releases", 200, "number of simulated releases for each case")
+	picture  = flag.String("picture", "", "file to which TestErrorProbabilities writes its chart")
 )
 
-// maxSimulatedWindows is when a simulated release without a verdict is left inconclusive.
+// maxSimulatedWindows is the number of windows after which a simulated release without a verdict is inconclusive.
 const maxSimulatedWindows = 600
 
-// regression is by how much a simulated release is worse than the old one.
+// regression is the amount by which a simulated release is worse than the old one.
 type regression struct {
-	slowdown float64 // of each request, as a share
-	late     float64 // share of requests that are never on time
+	slowdown  float64 // of each request, as a fraction
+	lateShare float64 // share of requests that are late however short they are
 }
 
-// simulateWindow draws what one side does in a window of a second.
-func simulateWindow(random *rand.Rand, requests, load float64, worse regression) Sample {
+// simulateWindow returns a random sample of one side in a window of one second.
+func simulateWindow(random *rand.Rand, requests, load float64, injected regression) Sample {
 	var sample Sample
 	for range int(requests * (0.8 + 0.4*random.Float64())) {
-		seconds := 0.05 * load * (1 + worse.slowdown) * (0.5 + 0.5*random.ExpFloat64())
+		seconds := 0.05 * load * (1 + injected.slowdown) * (0.5 + 0.5*random.ExpFloat64())
 		sample.Requests++
 		sample.MeanSeconds += seconds
-		if seconds < 0.35 && random.Float64() >= worse.late {
+		if seconds < 0.35 && random.Float64() >= injected.lateShare {
 			sample.OnTime++
 		}
 	}
@@ -43,15 +43,15 @@
 	return sample
 }
 
-// simulateRollout plays one rollout: both releases see the same load, which wanders. It returns the verdict and after
-// how many windows it came.
-func simulateRollout(seed uint64, requests float64, worse regression) (Verdict, int) {
+// simulateRollout simulates one rollout in which both releases see the same randomly varying load. It returns the
+// verdict and the number of windows until the verdict.
+func simulateRollout(seed uint64, requests float64, injected regression) (Verdict, int) {
 	random := rand.New(rand.NewPCG(seed, 9))
 	analysis := New(DefaultConfig())
 	load := 1.0
 	for window := 1; window <= maxSimulatedWindows; window++ {
 		load = min(3, max(0.5, load*math.Exp(0.1*random.NormFloat64())))
-		canary := simulateWindow(random, requests, load, worse)
+		canary := simulateWindow(random, requests, load, injected)
 		baseline := simulateWindow(random, requests, load, regression{})
 		analysis.Add(canary, baseline)
 		if result := analysis.Result(); result.Verdict != Inconclusive {
@@ -61,13 +61,13 @@
 	return Inconclusive, maxSimulatedWindows
 }
 
-// outcomes are the shares of many simulated releases.
+// outcomes holds the shares of the verdicts over many simulated releases, and the mean number of windows.
 type outcomes struct{ failed, passed, meanWindows float64 }
 
-func simulateRollouts(requests float64, worse regression) outcomes {
+func simulateRollouts(requests float64, injected regression) outcomes {
 	var sum outcomes
 	for seed := range uint64(*releases) {
-		verdict, windows := simulateRollout(seed, requests, worse)
+		verdict, windows := simulateRollout(seed, requests, injected)
 		sum.meanWindows += float64(windows)
 		switch verdict {
 		case Failed:
@@ -80,11 +80,11 @@
 	return outcomes{sum.failed / total, sum.passed / total, sum.meanWindows / total}
 }
 
-// What comes of a release, by how much worse it is: it is halted wrongly, and passes though it is worse by what has
-// to be found, no more often than configured.
-func TestChances(t *testing.T) {
+// A release that is no worse must not be halted, and a release that is worse by the regression to detect must not pass,
+// more often than the limits that this test sets.
+func TestErrorProbabilities(t *testing.T) {
 	chart := plot.New()
-	chart.Title.Text = "verdicts on a release that is slower, by requests a window on either side"
+	chart.Title.Text = "verdicts on a slower release, by requests per window on each side"
 	chart.X.Label.Text = "slower by"
 	chart.Y.Label.Text = "share halted"
 	chart.Legend.Top = true
@@ -99,10 +99,11 @@
 		chart.Legend.Add(fmt.Sprintf("%.0f requests", requests), line)
 	}
 	for _, late := range []float64{0, 0.02, 0.05} {
-		got := simulateRollouts(100, regression{late: late})
-		t.Logf("100 requests a window, %.2f more late: halted %.3f, passed %.3f", late, got.failed, got.passed)
+		got := simulateRollouts(100, regression{lateShare: late})
+		t.Logf("100 requests per window, late share increased by %.2f: halted %.3f, passed %.3f",
+			late, got.failed, got.passed)
 		if late == 0.05 && got.failed < 0.95 || late == 0.02 && got.passed > 0.04 {
-			t.Error("missed")
+			t.Error("regression was missed too often")
 		}
 	}
 	if *picture == "" {
@@ -113,28 +114,29 @@
 	}
 }
 
-// checkSlowdowns simulates releases that are slower by more and more, and returns the share halted of each.
+// checkSlowdowns simulates releases of increasing slowdown and returns the share that was halted for each slowdown.
 func checkSlowdowns(t *testing.T, requests float64) plotter.XYs {
 	t.Helper()
 	limit := 2 * DefaultConfig().ErrorRate
 	var points plotter.XYs
 	for _, slowdown := range []float64{0, 0.02, 0.05, 0.08, 0.1, 0.15, 0.2, 0.3} {
 		got := simulateRollouts(requests, regression{slowdown: slowdown})
-		t.Logf("%3.0f requests a window, slower by %.2f: halted %.3f, passed %.3f, inconclusive after %d windows %.3f, "+
+		t.Logf("%3.0f requests per window, slower by %.2f: halted %.3f, passed %.3f, inconclusive after %d windows %.3f, "+
 			"%.0f windows on average", requests, slowdown, got.failed, got.passed, maxSimulatedWindows,
 			1-got.failed-got.passed, got.meanWindows)
 		points = append(points, plotter.XY{X: slowdown, Y: got.failed})
 		if slowdown == 0 && got.failed > limit {
-			t.Error("halted wrongly")
+			t.Error("releases without a regression were halted too often")
 		}
 		if slowdown >= 0.1 && got.passed > limit {
-			t.Error("missed")
+			t.Error("regression was missed too often")
 		}
 	}
 	return points
 }
 
-// No verdict on little, one at once on crashes, and windows of too few requests do not count.
+// There is no verdict until enough windows are added, crashes lead to a verdict at once, and windows with too few
+// requests do not count.
 func Example() {
 	analysis := New(DefaultConfig())
 	fmt.Println(analysis.Result())
--- a/internal/coordination/canary/runningstats.go
+++ b/internal/coordination/canary/runningstats.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// runningStats is the mean and the variance of a series, updated value by value (Welford).
+// runningStats computes the mean and the variance of a series one value at a time (Welford's algorithm).
 type runningStats struct{ count, mean, squaredDeviations float64 }
 
 func (s *runningStats) add(value float64) {
@@ -12,15 +12,16 @@
 	s.squaredDeviations += delta * (value - s.mean)
 }
 
-// confidenceBounds are the bounds of the true mean, which hold at all counts at once but with probability alpha:
-// Robbins' normal mixture with the variance that was seen (an asymptotic confidence sequence after Waudby-Smith and
-// others, 2021). sigma and rho are the paper's.
+// confidenceBounds returns bounds of the true mean that hold at all counts at once, except with probability alpha.
+// They are Robbins' normal mixture with the observed variance, an asymptotic confidence sequence (Waudby-Smith and
+// others, 2021). sigma and rho are named as in that paper.
 func (s *runningStats) confidenceBounds(alpha float64) (low, high float64) {
-	const narrowestAt = 30.0 // values at which the bounds are tightest
+	const narrowestAt = 30.0 // number of values at which the bounds are tightest
 	if s.count < 2 {
 		return math.Inf(-1), math.Inf(1)
 	}
-	// A few values that happen to be alike would make the variance too small: two of an average deviation are added.
+	// A few values that happen to be similar would make the variance too small, so two values of average deviation
+	// are added.
 	sigma := math.Sqrt((s.squaredDeviations + 2*s.squaredDeviations/s.count) / (s.count - 1))
 	rho := math.Sqrt((-2*math.Log(alpha) + math.Log(-2*math.Log(alpha)) + 1) / narrowestAt)
 	t := s.count * rho * rho
--- a/internal/coordination/permit.go
+++ b/internal/coordination/permit.go
@@ -35,18 +35,18 @@
 
 // Permit allows one member to go out.
 type Permit struct {
-	ID           PermitID               `json:"Number"`
-	Member       Name                   `json:"Member"`
-	Incarnation  membership.Incarnation `json:"Of"` // of the member that holds it; 0 while it is queued
-	RequestedBy  string                 `json:"By"`
-	Purpose      PermitPurpose          `json:"Why"`
-	Stage        PermitStage            `json:"Stage"`
-	RequestedAt  time.Duration          `json:"Asked"`  // fleet time
-	StageSince   time.Duration          `json:"At"`     // fleet time
-	BeginTimeout time.Duration          `json:"Span"`   // from granted until it has to begin
-	Overtakes    int                    `json:"Passed"` // later requests that were granted before it
-	WaitReason   string                 `json:"Waits"`  // what it waited for when it was looked at last
-	Outcome      string                 `json:"Outcome"`
+	ID             PermitID               `json:"Number"`
+	Member         Name                   `json:"Member"`
+	Incarnation    membership.Incarnation `json:"Of"` // of the member that holds it; 0 while it is queued
+	RequestedBy    string                 `json:"By"`
+	Purpose        PermitPurpose          `json:"Why"`
+	Stage          PermitStage            `json:"Stage"`
+	RequestedAt    time.Duration          `json:"Asked"`  // fleet time
+	StageSince     time.Duration          `json:"At"`     // fleet time
+	BeginTimeout   time.Duration          `json:"Span"`   // from granted until it has to begin
+	TimesOvertaken int                    `json:"Passed"` // later requests that were granted before it
+	WaitReason     string                 `json:"Waits"`  // what it waited for when it was looked at last
+	Outcome        string                 `json:"Outcome"`
 }
 
 // requestPermit queues a member for a permit. One that has a permit keeps it, and the reply names that.
@@ -118,7 +118,7 @@
 			s.grant(permit, member, stillQueued)
 			continue
 		}
-		if permit.Overtakes >= s.Config.MaxOvertakes {
+		if permit.TimesOvertaken >= s.Config.MaxOvertakes {
 			for budget := range s.budgetsOf(member) {
 				reserved = append(reserved, budget.Selector)
 			}
@@ -131,7 +131,7 @@
 // grant grants a permit, which overtakes those that are still queued before it.
 func (s *State) grant(permit *Permit, member *Member, overtaken []PermitID) {
 	for _, id := range overtaken {
-		s.Permits[id].Overtakes++
+		s.Permits[id].TimesOvertaken++
 	}
 	permit.Stage = PermitGranted
 	permit.StageSince = s.Now
--- a/internal/fleet/coordinator/client/golden_values_test.go
+++ b/internal/fleet/coordinator/client/golden_values_test.go
@@ -39,7 +39,7 @@
 		RequestedAt:  50 * time.Second,
 		StageSince:   60 * time.Second,
 		BeginTimeout: 30 * time.Second,
-		Overtakes:    4,
+		TimesOvertaken:    4,
 		WaitReason:   "halted",
 		Outcome:      "back",
 	}
