--- a/internal/coordination/budget.go
+++ b/internal/coordination/budget.go
@@ -7,16 +7,16 @@
 	"slices"
 )
 
-// DisruptionBudget bounds how many of the members that it selects may be out at once, for whatever reason.
+// DisruptionBudget limits how many of the members that it selects may be unavailable at once, for any reason.
 type DisruptionBudget struct {
 	Name                   string   `json:"Name"`
 	Selector               Selector `json:"Of"`
-	MaxUnavailable         int      `json:"Most"`  // members out at once; negative: MaxUnavailableFraction applies
-	MaxUnavailableFraction float64  `json:"Share"` // of the members selected, 0 to 1
-	MinAvailableCapacity   float64  `json:"Least"` // cores that stay up
+	MaxUnavailable         int      `json:"Most"`  // unavailable members at once; negative: MaxUnavailableFraction applies
+	MaxUnavailableFraction float64  `json:"Share"` // fraction of the selected members, from 0 to 1
+	MinAvailableCapacity   float64  `json:"Least"` // cores that must stay available
 }
 
-// isValid tells whether the budget has a name and a bound.
+// isValid reports whether the budget has a name and valid limits.
 func (b DisruptionBudget) isValid() bool {
 	if b.Name == "" || math.IsNaN(b.MinAvailableCapacity) {
 		return false
@@ -24,7 +24,7 @@
 	return b.MaxUnavailable >= 0 || b.MaxUnavailableFraction >= 0 && b.MaxUnavailableFraction <= 1
 }
 
-// unavailableLimit is how many of a group of this size may be out at once.
+// unavailableLimit returns how many members of a group of this size may be unavailable at once.
 func (b DisruptionBudget) unavailableLimit(groupSize int) int {
 	if b.MaxUnavailable >= 0 {
 		return b.MaxUnavailable
@@ -42,7 +42,7 @@
 	return Reply{OK: true}
 }
 
-// budgetsOf yields the budgets that select a member.
+// budgetsOf yields the budgets that select the member.
 func (s *State) budgetsOf(member *Member) iter.Seq[DisruptionBudget] {
 	return func(yield func(DisruptionBudget) bool) {
 		for _, budget := range s.Budgets {
@@ -53,22 +53,22 @@
 	}
 }
 
-// BudgetUsage is how much of a budget is used.
+// BudgetUsage is the current usage of a budget.
 type BudgetUsage struct {
 	Budget            DisruptionBudget `json:"Budget"`
-	Members           int              `json:"Of"`    // selected
-	Unavailable       int              `json:"Out"`   // of them, those with a granted permit included
-	UnavailableLimit  int              `json:"Limit"` // members
-	AvailableCapacity float64          `json:"Up"`    // cores
+	Members           int              `json:"Of"`    // number of selected members
+	Unavailable       int              `json:"Out"`   // of these, including holders of granted permits
+	UnavailableLimit  int              `json:"Limit"` // maximum of Unavailable
+	AvailableCapacity float64          `json:"Up"`    // cores of the other selected members
 }
 
-// groupUsage is a budget's usage with what decides whether a member could ever go out.
+// groupUsage is a budget's usage with the total capacity, which shows whether a member can ever become unavailable.
 type groupUsage struct {
 	BudgetUsage
-	totalCapacity float64 // cores of all that the budget selects
+	totalCapacity float64 // cores of all members that the budget selects
 }
 
-// isUnavailable tells whether a member is out, or may go out at any moment without asking again.
+// isUnavailable reports whether a member is unavailable, or holds a permit with which it may become so at any moment.
 func (s *State) isUnavailable(member *Member) bool {
 	if member.State != MemberUp {
 		return true
@@ -77,7 +77,7 @@
 	return permit != nil && permit.Stage != PermitQueued
 }
 
-// Usage works out how much of a budget is used.
+// Usage returns the current usage of a budget.
 func (s *State) Usage(budget DisruptionBudget) BudgetUsage { return s.groupUsage(budget).BudgetUsage }
 
 func (s *State) groupUsage(budget DisruptionBudget) groupUsage {
@@ -98,14 +98,15 @@
 	return usage
 }
 
-// limitReason tells which limit the usage is at, in words for operators.
+// limitReason describes the limit on unavailable members and its usage for operators.
 func (u BudgetUsage) limitReason() string {
 	return fmt.Sprintf("budget %s: %d of %d out, %d may be",
 		u.Budget.Name, u.Unavailable, u.Members, u.UnavailableLimit)
 }
 
-// impossibleFor tells why a member could not go out even if all others were up, empty if it could.
-func (u groupUsage) impossibleFor(member *Member) string {
+// impossibleReason returns why the budget does not let the member become unavailable even if all other members are
+// available. It returns an empty string if the budget allows it.
+func (u groupUsage) impossibleReason(member *Member) string {
 	others := u.totalCapacity - member.Capacity
 	switch {
 	case u.UnavailableLimit < 1:
@@ -117,8 +118,8 @@
 	return ""
 }
 
-// blockedFor tells why a member may not go out now, empty if it may.
-func (u BudgetUsage) blockedFor(member *Member) string {
+// blockedReason returns why the member may not become unavailable now, or an empty string if it may.
+func (u BudgetUsage) blockedReason(member *Member) string {
 	switch {
 	case u.Unavailable+1 > u.UnavailableLimit:
 		return u.limitReason()
@@ -129,13 +130,14 @@
 	return ""
 }
 
-// budgetCheck is whether one more member may go out. The zero value is that it may.
+// budgetCheck is the result of checking whether a member may become unavailable. The zero value means that it may.
 type budgetCheck struct {
-	reason     string // what it waits for; empty: it may go out now
-	impossible bool   // no order of events would let it go out
+	reason     string // why the member has to wait; empty: it may become unavailable now
+	impossible bool   // waiting cannot help: the budgets never allow it
 }
 
-// checkBudgets tells whether a member may go out now by all budgets that select it.
+// checkBudgets checks whether all budgets that select the member let it become unavailable now. A member that no
+// budget selects may never become unavailable.
 func (s *State) checkBudgets(member *Member) budgetCheck {
 	if len(s.Budgets) == 0 {
 		return budgetCheck{reason: "there is no budget", impossible: true}
@@ -145,11 +147,11 @@
 	for budget := range s.budgetsOf(member) {
 		covered = true
 		usage := s.groupUsage(budget)
-		if never := usage.impossibleFor(member); never != "" {
-			return budgetCheck{reason: never, impossible: true}
+		if impossible := usage.impossibleReason(member); impossible != "" {
+			return budgetCheck{reason: impossible, impossible: true}
 		}
 		if reason == "" {
-			reason = usage.blockedFor(member)
+			reason = usage.blockedReason(member)
 		}
 	}
 	if !covered {
@@ -158,8 +160,9 @@
 	return budgetCheck{reason: reason}
 }
 
-// overdrawnBudget names the first budget of a member that is over its limit, empty if none is.
-func (s *State) overdrawnBudget(member *Member) string {
+// exceededBudget describes the first budget of the member whose limits are exceeded. It returns an empty string if
+// there is none.
+func (s *State) exceededBudget(member *Member) string {
 	for budget := range s.budgetsOf(member) {
 		usage := s.Usage(budget)
 		if usage.Unavailable > usage.UnavailableLimit || usage.AvailableCapacity < budget.MinAvailableCapacity {
--- a/internal/coordination/command.go
+++ b/internal/coordination/command.go
@@ -11,52 +11,52 @@
 // Name is the name of a member.
 type Name = membership.Name
 
-// PermitID identifies a permit. IDs grow and are never used again.
+// PermitID identifies a permit. IDs are assigned in increasing order and are never reused.
 type PermitID uint64
 
-// Kind is what a command does. Its values are stored in the log.
+// Kind is the kind of a command. Its values are stored in the log.
 type Kind string
 
-// The kinds of command.
+// The kinds of commands.
 const (
-	KindObserve       Kind = "see"     // members as the leader's membership has them
+	KindObserve       Kind = "see"     // records members as the leader's membership reports them
 	KindSetBudgets    Kind = "budgets" // replaces all budgets
-	KindRequestPermit Kind = "ask"     // a permit for one member
-	KindBeginPermit   Kind = "begin"   // by the holder, before it goes out
-	KindCancelPermit  Kind = "drop"    // a permit that has not begun
-	KindForgetMember  Kind = "forget"  // a member that does not come back
-	KindHalt          Kind = "halt"    // nothing further begins
+	KindRequestPermit Kind = "ask"     // requests a permit for one member
+	KindBeginPermit   Kind = "begin"   // sent by the permit's holder before it goes out of service
+	KindCancelPermit  Kind = "drop"    // cancels a permit that has not begun
+	KindForgetMember  Kind = "forget"  // removes a member that is not expected to return
+	KindHalt          Kind = "halt"    // stops permits from being granted or begun
 	KindResume        Kind = "resume"  // ends a halt
 	KindStartRollout  Kind = "release" // starts a rollout
 	KindRollBack      Kind = "back"    // rolls the latest rollout back
-	KindCanaryVerdict Kind = "verdict" // on a wave of the rollout
-	KindTick          Kind = "tick"    // time passes
-	KindDrain         Kind = "drain"   // requests permits for all members that match
-	KindCancelDrain   Kind = "undrain" // cancels those of them that have not begun
+	KindCanaryVerdict Kind = "verdict" // records the canary verdict on a wave of the rollout
+	KindTick          Kind = "tick"    // advances the fleet time only
+	KindDrain         Kind = "drain"   // requests permits for all members that the selector matches
+	KindCancelDrain   Kind = "undrain" // cancels permits to drain that have not begun
 )
 
 // Command is one entry of the replicated log.
 type Command struct {
 	Term           uint64                 `json:"Term"` // of the leader that wrote it
 	LeaderTime     time.Duration          `json:"At"`   // since that leader's process started, by its monotonic clock
-	IdempotencyKey string                 `json:"Key"`  // the same key is the same command; empty: each one counts
+	IdempotencyKey string                 `json:"Key"`  // a repeated key is the same command; empty: not deduplicated
 	RequestedBy    string                 `json:"By"`
 	Kind           Kind                   `json:"Do"`
-	Observations   []Observation          `json:"Seen"`    // of KindObserve
-	Budgets        []DisruptionBudget     `json:"Budgets"` // of KindSetBudgets
+	Observations   []Observation          `json:"Seen"`    // for KindObserve
+	Budgets        []DisruptionBudget     `json:"Budgets"` // for KindSetBudgets
 	Member         Name                   `json:"Member"`
-	Incarnation    membership.Incarnation `json:"Of"`     // of the member, with KindBeginPermit
-	Selector       Selector               `json:"Group"`  // of KindDrain and KindCancelDrain
-	PermitID       PermitID               `json:"Number"` // of KindBeginPermit and KindCancelPermit
-	BeginTimeout   time.Duration          `json:"Span"`   // of the permits requested; 0: the default
-	Reason         string                 `json:"Why"`    // for people; with KindRequestPermit the purpose
-	Plan           *RolloutPlan           `json:"Plan"`   // of KindStartRollout
+	Incarnation    membership.Incarnation `json:"Of"`     // of Member, for KindBeginPermit
+	Selector       Selector               `json:"Group"`  // for KindDrain and KindCancelDrain
+	PermitID       PermitID               `json:"Number"` // for KindBeginPermit and KindCancelPermit
+	BeginTimeout   time.Duration          `json:"Span"`   // of the requested permits; 0: defaultBeginTimeout
+	Reason         string                 `json:"Why"`    // for operators; for KindRequestPermit the purpose of the permit
+	Plan           *RolloutPlan           `json:"Plan"`   // for KindStartRollout
 	RolloutName    string                 `json:"Release"`
-	Wave           int                    `json:"Wave"` // of KindCanaryVerdict, from 0
-	Healthy        bool                   `json:"Good"` // of KindCanaryVerdict
+	Wave           int                    `json:"Wave"` // for KindCanaryVerdict, from 0
+	Healthy        bool                   `json:"Good"` // for KindCanaryVerdict
 }
 
-// summary describes the command in a few words, for the history.
+// summary returns a short description of the command for the history.
 func (c Command) summary() string {
 	switch {
 	case c.Kind == KindStartRollout && c.Plan != nil:
@@ -76,15 +76,15 @@
 // Reply is the outcome of a command.
 type Reply struct {
 	OK        bool       `json:"OK"`
-	Reason    string     `json:"Why"` // why it was refused, or what it waits for
+	Reason    string     `json:"Why"` // why it was refused; with OK, the stage of the member's existing permit
 	PermitID  PermitID   `json:"Number"`
 	PermitIDs []PermitID `json:"Numbers,omitempty"`
 }
 
-// refused is the reply to a command that changes nothing. The reason is shown to operators.
+// refused returns the reply to a command that is refused. The reason is shown to operators.
 func refused(format string, args ...any) Reply { return Reply{Reason: fmt.Sprintf(format, args...)} }
 
-// HistoryEntry is one command of the history and its outcome.
+// HistoryEntry is one command in the history with its reply.
 type HistoryEntry struct {
 	Sequence    uint64        `json:"Nth"`
 	At          time.Duration `json:"Now"` // fleet time
@@ -94,7 +94,7 @@
 	Reply
 }
 
-// execute carries out the command itself, without what follows from it.
+// execute applies the command alone. Apply then expires permits, advances the rollout and grants permits.
 func (s *State) execute(command Command) Reply {
 	switch command.Kind {
 	case KindTick:
--- a/internal/coordination/converge.go
+++ b/internal/coordination/converge.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// recordReturn counts a member that came back from a permit of the rollout on another release than it is to have. One
-// that went out before the rollout was rolled back did what it was to do.
-func (s *State) recordReturn(member *Member, permit *Permit) {
+// recordFailedAttempt increments the member's FailedAttempts if it returned from a permit of the rollout on a
+// release other than the desired one. A permit to update that ends during the rollback does not count: the member did
+// what that permit was requested for.
+func (s *State) recordFailedAttempt(member *Member, permit *Permit) {
 	rollout := s.Rollout
 	if !rollout.InProgress() || permit.Purpose != rollout.permitPurpose() {
 		return
@@ -17,7 +18,7 @@
 	}
 }
 
-// permitPurpose is the purpose of the permits that the rollout requests now.
+// permitPurpose returns the purpose of the permits that the rollout requests in its current phase.
 func (r *Rollout) permitPurpose() PermitPurpose {
 	if r.Phase == RolloutRollingBack {
 		return PurposeRollback
@@ -25,7 +26,7 @@
 	return PurposeRollout
 }
 
-// desiredRelease is the release that a member is to have by the rollout in progress.
+// desiredRelease returns the release that the rollout in progress brings the member to.
 func (s *State) desiredRelease(member *Member) string {
 	if s.Rollout.Phase == RolloutRollingBack {
 		return member.PreviousRelease
@@ -33,7 +34,7 @@
 	return s.Rollout.TargetRelease
 }
 
-// advanceRollout takes the rollout as many steps further as the state allows.
+// advanceRollout advances the rollout by as many steps as the state allows.
 func (s *State) advanceRollout() {
 	rollout := s.Rollout
 	for rollout.InProgress() {
@@ -63,7 +64,8 @@
 	}
 }
 
-// stepAnalysis goes on to the next wave once the pause is over and the verdict is there.
+// stepAnalysis starts the next wave, or completes the rollout, once the pause has ended and a required verdict has
+// been received.
 func (r *Rollout) stepAnalysis(now time.Duration) {
 	switch {
 	case now-r.PhaseSince < r.Pause:
@@ -79,7 +81,8 @@
 	}
 }
 
-// stepRollback rolls back several waves at the same time: faster than they were updated, and under the same budgets.
+// stepRollback rolls back RollbackWavesAtOnce waves at the same time, which makes a rollback faster than the update.
+// The same budgets apply.
 func (s *State) stepRollback(rollout *Rollout) {
 	firstWave := max(0, rollout.Wave+1-max(1, int(rollout.RollbackWavesAtOnce)))
 	var names []Name
@@ -97,15 +100,15 @@
 	}
 }
 
-// convergeMembers requests permits for the members that are not on the release that they are to have, and tells
-// whether all are on it and up. Else the rollout's WaitReason is that of the first one that is not.
+// convergeMembers requests permits for the members that are not on their desired release. It reports whether all
+// members are up and on that release. If not, it sets the rollout's WaitReason to that of the first such member.
 func (s *State) convergeMembers(names []Name) bool {
 	rollout := s.Rollout
 	converged := true
 	rollout.WaitReason = ""
 	for _, name := range names {
 		member := s.Members[name]
-		if member == nil { // forgotten since
+		if member == nil { // forgotten since the rollout started
 			continue
 		}
 		reason := s.convergeMember(member)
@@ -120,8 +123,8 @@
 	return converged
 }
 
-// convergeMember requests a permit for a member where it needs one, and tells what is waited for, empty if the member
-// is on its release and up.
+// convergeMember requests a permit for a member that needs one. It returns what the rollout waits for, or an empty
+// string if the member is up and on its desired release.
 func (s *State) convergeMember(member *Member) string {
 	if permit := s.Permits[member.PermitID]; permit != nil {
 		return s.permitWaitReason(permit)
@@ -142,12 +145,12 @@
 	return fmt.Sprintf("%s: permit %d is queued", member.Name, reply.PermitID)
 }
 
-// permitWaitReason tells what a member with a permit is waited for.
+// permitWaitReason returns what the rollout waits for at a member that has a permit.
 func (s *State) permitWaitReason(permit *Permit) string {
-	outFor := s.Now - permit.StageSince
+	unavailableFor := s.Now - permit.StageSince
 	switch {
-	case permit.Stage == PermitBegun && outFor > s.Config.StalledAfter:
-		return fmt.Sprintf("%s has been out for %v and does not come back", permit.Member, outFor.Round(time.Second))
+	case permit.Stage == PermitBegun && unavailableFor > s.Config.StalledAfter:
+		return fmt.Sprintf("%s has been out for %v and does not come back", permit.Member, unavailableFor.Round(time.Second))
 	case permit.Stage == PermitQueued && permit.WaitReason != "":
 		return fmt.Sprintf("%s: %s", permit.Member, permit.WaitReason)
 	}
--- a/internal/coordination/drain.go
+++ b/internal/coordination/drain.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// drain requests a permit for each member that the command selects, that is up and has none. It stops at the first one
-// that is refused: the permits before it stay, and the reply names them.
+// drain requests a permit for each member that the command selects, that is up and that has no permit. It stops at the
+// first request that is refused. The permits requested before it remain, and the reply lists their IDs.
 func (s *State) drain(command Command) Reply {
 	reply := Reply{OK: true}
 	for _, name := range slices.Sorted(maps.Keys(s.Members)) {
@@ -26,9 +26,10 @@
 	return reply
 }
 
-// cancelDrain ends the permits to drain, of one member or of all that the command selects, that have not begun.
+// cancelDrain cancels the permits to drain that have not begun, either of the command's member or of all members that
+// the command selects.
 func (s *State) cancelDrain(command Command) Reply {
-	isMeant := func(name Name) bool {
+	isSelected := func(name Name) bool {
 		if command.Member != "" {
 			return command.Member == name
 		}
@@ -37,7 +38,7 @@
 	}
 	reply := Reply{OK: true}
 	for _, permit := range s.permitsByID() {
-		if permit.Purpose == PurposeDrain && permit.Stage != PermitBegun && isMeant(permit.Member) {
+		if permit.Purpose == PurposeDrain && permit.Stage != PermitBegun && isSelected(permit.Member) {
 			reply.PermitIDs = append(reply.PermitIDs, permit.ID)
 			s.endPermit(permit, "dropped by "+command.RequestedBy)
 		}
--- a/internal/coordination/golden_test.go
+++ b/internal/coordination/golden_test.go
@@ -16,8 +16,8 @@
 
 var update = flag.Bool("update", false, "write the golden files anew; only where the stored form is meant to change")
 
-// golden checks that a value is stored as the file has it, and that the file reads as the value.
-func golden[T any](t *testing.T, name string, want T) {
+// checkGolden checks that a value is stored as the file has it, and that the file reads as the value.
+func checkGolden[T any](t *testing.T, name string, want T) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	text, err := json.MarshalIndent(want, "", "  ")
@@ -48,17 +48,17 @@
 	}
 }
 
-// zeros gives the paths of all fields that are zero, empty lists and maps among them.
-func zeros(v reflect.Value, path string) (all []string) {
+// zeroFields gives the paths of all fields that are zero, empty lists and maps among them.
+func zeroFields(v reflect.Value, path string) (all []string) {
 	switch v.Kind() {
 	case reflect.Pointer:
 		if v.IsNil() {
 			return []string{path}
 		}
-		return zeros(v.Elem(), path)
+		return zeroFields(v.Elem(), path)
 	case reflect.Struct:
 		for i := range v.NumField() {
-			all = append(all, zeros(v.Field(i), path+"."+v.Type().Field(i).Name)...)
+			all = append(all, zeroFields(v.Field(i), path+"."+v.Type().Field(i).Name)...)
 		}
 		return all
 	case reflect.Slice, reflect.Map:
@@ -66,11 +66,11 @@
 			return []string{path}
 		}
 		if v.Kind() == reflect.Slice {
-			return zeros(v.Index(0), path+"[]")
+			return zeroFields(v.Index(0), path+"[]")
 		}
 		entries := v.MapRange()
 		entries.Next()
-		return append(zeros(entries.Key(), path+".key"), zeros(entries.Value(), path+"[]")...)
+		return append(zeroFields(entries.Key(), path+".key"), zeroFields(entries.Value(), path+"[]")...)
 	}
 	if v.IsZero() {
 		return []string{path}
@@ -78,9 +78,9 @@
 	return nil
 }
 
-func nonZero(t *testing.T, v any) {
+func checkNoZeroFields(t *testing.T, v any) {
 	t.Helper()
-	if got := zeros(reflect.ValueOf(v), ""); len(got) > 0 {
+	if got := zeroFields(reflect.ValueOf(v), ""); len(got) > 0 {
 		t.Errorf("fields that the golden value leaves at zero: %q", got)
 	}
 }
@@ -165,9 +165,9 @@
 		Wave:           1,
 		Healthy:        true,
 	}
-	nonZero(t, command)
-	golden(t, "command.json", command)
-	golden(t, "command-empty.json", Command{})
+	checkNoZeroFields(t, command)
+	checkGolden(t, "command.json", command)
+	checkGolden(t, "command-empty.json", Command{})
 }
 
 // goldenState has no zero field but the two of the rollout's plan that are not stored.
@@ -232,13 +232,13 @@
 // A snapshot holds the whole state as JSON.
 func TestStateGolden(t *testing.T) {
 	state := goldenState()
-	filled := state
+	unstored := state
 	rollout := *state.Rollout
 	rollout.RolloutPlan = fullPlan
-	filled.Rollout = &rollout
-	nonZero(t, filled)
-	golden(t, "state.json", state)
-	golden(t, "state-empty.json", *NewState(DefaultConfig()))
+	unstored.Rollout = &rollout
+	checkNoZeroFields(t, unstored)
+	checkGolden(t, "state.json", state)
+	checkGolden(t, "state-empty.json", *NewState(DefaultConfig()))
 }
 
 // What a status shows of a budget.
@@ -250,8 +250,8 @@
 		UnavailableLimit:  2,
 		AvailableCapacity: 10.5,
 	}
-	nonZero(t, usage)
-	golden(t, "use.json", usage)
+	checkNoZeroFields(t, usage)
+	checkGolden(t, "use.json", usage)
 }
 
 // The words and numbers by which commands, states and roles are stored.
--- a/internal/coordination/halt.go
+++ b/internal/coordination/halt.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// Halt is that nothing further begins, and since when.
+// Halt describes the halt in effect. During a halt no permit is granted or begun and no rollout advances.
 type Halt struct {
 	At     time.Duration `json:"At"` // fleet time
 	By     string        `json:"By"`
 	Reason string        `json:"Why"`
 }
 
-// halt lets nothing further begin. What has begun goes on.
+// halt withdraws the granted permits and stops further ones from being granted or begun. Permits that have begun
+// continue. If a halt is already in effect, its time, requester and reason do not change.
 func (s *State) halt(requestedBy, reason string) {
 	if s.Halt == nil {
 		s.Halt = &Halt{At: s.Now, By: requestedBy, Reason: reason}
--- a/internal/coordination/member.go
+++ b/internal/coordination/member.go
@@ -6,38 +6,38 @@
 	"lanewheel/internal/membership"
 )
 
-// MemberState is whether a member is out, and why. Its values are stored.
+// MemberState states whether a member is available, and why not. Its values are stored.
 type MemberState string
 
-// The states of a member; in all but MemberUp it is out.
+// The states of a member. It is unavailable in all of them but MemberUp.
 const (
 	MemberUp        MemberState = ""
-	MemberWarmingUp MemberState = "cold"    // serving, not at its full rate yet
-	MemberJoining   MemberState = "joining" // there, not serving yet
+	MemberWarmingUp MemberState = "cold"    // serving, but not at its full rate yet
+	MemberJoining   MemberState = "joining" // running, but not serving yet
 	MemberSuspect   MemberState = "suspect"
 	MemberLeaving   MemberState = "leaving"
 	MemberGone      MemberState = "gone"
 )
 
-// Observation is a member as the leader's membership has it.
+// Observation is a member as the leader's membership reports it.
 type Observation struct {
 	Name        Name                   `json:"Name"`
 	Incarnation membership.Incarnation `json:"Incarnation"`
 	Zone        string                 `json:"Zone"`
 	Release     string                 `json:"Release"`
 	Roles       membership.Roles       `json:"Roles"`
-	Upstream    string                 `json:"Below"` // the upstream service that it is, empty if it is none
+	Upstream    string                 `json:"Below"` // upstream service that the member provides; empty: none
 	Capacity    float64                `json:"Capacity"`
 	State       MemberState            `json:"Why"`
 }
 
-// Member is a member that the fleet knows.
+// Member is a member of the fleet that has been observed and not forgotten.
 type Member struct {
 	Observation
 	StateSince      time.Duration `json:"Since"`  // fleet time
-	PermitID        PermitID      `json:"Permit"` // its permit, queued or further; 0: none
-	PreviousRelease string        `json:"Before"` // its release when the latest rollout started
-	FailedAttempts  int           `json:"Tries"`  // permits of the rollout after which it came back on another release
+	PermitID        PermitID      `json:"Permit"` // its queued, granted or begun permit; 0: none
+	PreviousRelease string        `json:"Before"` // its release at the start of the latest rollout
+	FailedAttempts  int           `json:"Tries"`  // rollout permits after which it was on another release
 }
 
 func (s *State) observeAll(observations []Observation) Reply {
@@ -47,18 +47,18 @@
 	return Reply{OK: true}
 }
 
-// observe takes in a member as it is now, and ends its permit where that follows.
+// observe records the current state of a member, and ends the member's permit if the state requires it.
 func (s *State) observe(observation Observation) {
 	member := s.Members[observation.Name]
 	if member == nil {
-		// A member that was never here is not out when it is gone.
+		// A member that is first observed when it is gone must not count as unavailable.
 		if len(s.Members) >= s.Config.MaxMembers || observation.State == MemberGone {
 			return
 		}
 		member = &Member{StateSince: s.Now}
 		s.Members[observation.Name] = member
 	}
-	// A late observation of an earlier incarnation must not be taken for the present one's.
+	// A late observation of an earlier incarnation must not be applied to the current one.
 	if observation.Incarnation < member.Incarnation {
 		return
 	}
@@ -75,15 +75,15 @@
 	switch {
 	case permit.Stage == PermitBegun && observation.State == MemberUp && restarted:
 		s.endPermit(permit, "back")
-		s.recordReturn(member, permit)
-	case permit.Stage != PermitBegun && permit.Incarnation != 0 && restarted: // the next incarnation holds nothing
+		s.recordFailedAttempt(member, permit)
+	case permit.Stage != PermitBegun && permit.Incarnation != 0 && restarted: // the new incarnation does not hold it
 		s.endPermit(permit, "its life was over before it began")
 	case permit.Stage == PermitQueued && observation.State != MemberUp:
 		s.endPermit(permit, "out already: "+string(observation.State))
 	}
 }
 
-// forgetMember removes a member that is out and does not come back.
+// forgetMember removes a member that is suspect, leaving or gone and is not expected to return, and ends its permit.
 func (s *State) forgetMember(command Command) Reply {
 	member := s.Members[command.Member]
 	if member == nil {
--- a/internal/coordination/model_invariants_test.go
+++ b/internal/coordination/model_invariants_test.go
@@ -41,10 +41,10 @@
 func violatedInvariant(before, after *State, command Command, reply Reply) string {
 	begun := 0
 	for id, permit := range after.Permits {
-		if violated := violatedByPermit(before, after, id); violated != "" {
+		if violated := permitViolation(before, after, id); violated != "" {
 			return violated
 		}
-		if violated := violatedByAdvance(before, after, permit, command, reply); violated != "" {
+		if violated := advanceViolation(before, after, permit, command, reply); violated != "" {
 			return violated
 		}
 		if permit.Stage == PermitBegun {
@@ -59,7 +59,7 @@
 			return "answered that it has begun, and it has not"
 		}
 	}
-	if violated := violatedByEnd(before, after); violated != "" {
+	if violated := endViolation(before, after); violated != "" {
 		return violated
 	}
 	for name, member := range after.Members {
@@ -77,8 +77,8 @@
 	return ""
 }
 
-// violatedByPermit checks what a permit is, beside what it was before the step.
-func violatedByPermit(before, after *State, id PermitID) string {
+// permitViolation checks what a permit is, beside what it was before the step.
+func permitViolation(before, after *State, id PermitID) string {
 	permit := after.Permits[id]
 	previous := before.Permits[id]
 	member := after.Members[permit.Member]
@@ -99,8 +99,8 @@
 	return ""
 }
 
-// violatedByAdvance checks a permit that was granted or begun by the step.
-func violatedByAdvance(before, after *State, permit *Permit, command Command, reply Reply) string {
+// advanceViolation checks a permit that was granted or begun by the step.
+func advanceViolation(before, after *State, permit *Permit, command Command, reply Reply) string {
 	previous := before.Permits[permit.ID]
 	if permit.Stage == PermitQueued || previous != nil && previous.Stage == permit.Stage {
 		return ""
@@ -120,8 +120,8 @@
 	return ""
 }
 
-// violatedByEnd checks the permits that the step has ended.
-func violatedByEnd(before, after *State) string {
+// endViolation checks the permits that the step has ended.
+func endViolation(before, after *State) string {
 	for id, previous := range before.Permits {
 		if after.Permits[id] != nil {
 			continue
--- a/internal/coordination/permit.go
+++ b/internal/coordination/permit.go
@@ -8,32 +8,32 @@
 	"lanewheel/internal/membership"
 )
 
-// defaultBeginTimeout holds for permits whose request names no timeout.
+// defaultBeginTimeout applies to permits whose request sets no timeout.
 const defaultBeginTimeout = 30 * time.Second
 
-// PermitStage is how far a permit is. Its values are stored.
+// PermitStage is the stage of a permit's life cycle. Its values are stored.
 type PermitStage string
 
 // The stages of a permit, in their order.
 const (
 	PermitQueued  PermitStage = "queued"
 	PermitGranted PermitStage = "granted" // its holder may begin; until it does, the permit can be withdrawn
-	PermitBegun   PermitStage = "begun"   // its holder goes out; never withdrawn, and counts until the holder is up again
+	PermitBegun   PermitStage = "begun"   // its holder goes out of service; never withdrawn, counts until it is up again
 	PermitEnded   PermitStage = "ended"
 )
 
-// PermitPurpose is what a permit was requested for. Its values are stored; an operator's request may name another one,
-// which is treated as neither a drain nor a rollout.
+// PermitPurpose is the purpose that a permit was requested for. Its values are stored. An operator's request may name
+// another purpose, which is treated as neither a drain nor a rollout.
 type PermitPurpose string
 
-// The purposes that decide what becomes of a permit and its member.
+// The purposes that determine how a permit and its member are handled.
 const (
 	PurposeDrain    PermitPurpose = "drain"   // the member stays out until its operator starts it
-	PurposeRollout  PermitPurpose = "release" // it comes back on the rollout's release
-	PurposeRollback PermitPurpose = "back"    // it comes back on its previous release
+	PurposeRollout  PermitPurpose = "release" // the member returns on the rollout's release
+	PurposeRollback PermitPurpose = "back"    // the member returns on its previous release
 )
 
-// Permit allows one member to go out.
+// Permit allows one member to go out of service.
 type Permit struct {
 	ID             PermitID               `json:"Number"`
 	Member         Name                   `json:"Member"`
@@ -43,13 +43,14 @@
 	Stage          PermitStage            `json:"Stage"`
 	RequestedAt    time.Duration          `json:"Asked"`  // fleet time
 	StageSince     time.Duration          `json:"At"`     // fleet time
-	BeginTimeout   time.Duration          `json:"Span"`   // from granted until it has to begin
-	TimesOvertaken int                    `json:"Passed"` // later requests that were granted before it
-	WaitReason     string                 `json:"Waits"`  // what it waited for when it was looked at last
+	BeginTimeout   time.Duration          `json:"Span"`   // maximum time from being granted to being begun
+	TimesOvertaken int                    `json:"Passed"` // number of later requests that were granted before it
+	WaitReason     string                 `json:"Waits"`  // what it waited for when it was last checked
 	Outcome        string                 `json:"Outcome"`
 }
 
-// requestPermit queues a member for a permit. One that has a permit keeps it, and the reply names that.
+// requestPermit queues a permit for a member. If the member already has a permit, the reply holds the ID of that permit
+// and no other is queued.
 func (s *State) requestPermit(name Name, requestedBy string, purpose PermitPurpose, beginTimeout time.Duration) Reply {
 	member := s.Members[name]
 	switch {
@@ -63,7 +64,7 @@
 	case len(s.PermitQueue) >= s.Config.MaxQueuedPermits:
 		return refused("%d wait already", len(s.PermitQueue))
 	}
-	// What can never be granted would wait for ever, and everything behind it with it.
+	// A permit that can never be granted would wait forever, and block everything that is queued behind it.
 	if check := s.checkBudgets(member); check.impossible {
 		return refused("never: %s", check.reason)
 	}
@@ -87,8 +88,9 @@
 	return Reply{OK: true, PermitID: permit.ID}
 }
 
-// grantPermits grants queued permits that fit the budgets, in the order of the requests. One that does not fit lets
-// later ones overtake it, up to Config.MaxOvertakes; from then on the groups that it waits for are reserved for it.
+// grantPermits grants queued permits that fit the budgets, in the order of the requests. Later permits may overtake a
+// permit that does not fit, up to Config.MaxOvertakes times. From then on the groups of members that its budgets select
+// are reserved for it.
 func (s *State) grantPermits() {
 	if s.Halt != nil {
 		for _, id := range s.PermitQueue {
@@ -98,7 +100,7 @@
 	}
 	var reserved []Selector
 	isReserved := func(member *Member) bool {
-		return slices.ContainsFunc(reserved, func(group Selector) bool { return group.matches(member.Observation) })
+		return slices.ContainsFunc(reserved, func(selector Selector) bool { return selector.matches(member.Observation) })
 	}
 	stillQueued := s.PermitQueue[:0]
 	for _, id := range s.PermitQueue {
@@ -106,7 +108,7 @@
 		member := s.Members[permit.Member]
 		check := s.checkBudgets(member)
 		if check.impossible { // the budgets have changed since the request
-			permit.Stage = PermitGranted // endPermit must not touch the queue that is being rebuilt
+			permit.Stage = PermitGranted // keeps endPermit from changing the queue that is being rebuilt
 			s.endPermit(permit, "never: "+check.reason)
 			continue
 		}
@@ -128,7 +130,7 @@
 	s.PermitQueue = stillQueued
 }
 
-// grant grants a permit, which overtakes those that are still queued before it.
+// grant grants a permit to the member. The permit overtakes those that are still queued before it.
 func (s *State) grant(permit *Permit, member *Member, overtaken []PermitID) {
 	for _, id := range overtaken {
 		s.Permits[id].TimesOvertaken++
@@ -138,9 +140,9 @@
 	permit.Incarnation = member.Incarnation
 }
 
-// beginPermit is the last moment at which a permit can be refused: its holder goes out once it has heard that this was
-// agreed, and not before. So what is withdrawn, halted or expired has not begun, whatever the holder's clock says and
-// however long the holder was paused.
+// beginPermit begins a granted permit. It is the last step at which a permit can be refused: the holder goes out of
+// service only after it has learned that the coordinators agreed on this command. A withdrawn, halted or expired permit
+// has therefore not begun, regardless of the holder's clock and of how long the holder was paused.
 func (s *State) beginPermit(command Command) Reply {
 	permit := s.Permits[command.PermitID]
 	switch {
@@ -153,7 +155,8 @@
 	case permit.Stage != PermitGranted:
 		return refused("permit %d is %s", command.PermitID, permit.Stage)
 	}
-	// After each command, what is halted, has expired or overdraws a budget is withdrawn: what is granted may begin.
+	// After each command, Apply withdraws permits that are halted, have expired or exceed a budget. A permit that is
+	// still granted may therefore begin.
 	permit.Stage = PermitBegun
 	permit.StageSince = s.Now
 	return Reply{OK: true, PermitID: permit.ID}
@@ -172,8 +175,8 @@
 	return Reply{OK: true, PermitID: command.PermitID}
 }
 
-// expirePermits ends granted permits that were not begun in time or whose member is out already, and withdraws those
-// that crashes have pushed over a budget, the latest one first.
+// expirePermits ends granted permits that were not begun in time or whose member is already unavailable. It also
+// withdraws granted permits whose budgets are exceeded because other members crashed, the latest permit first.
 func (s *State) expirePermits() {
 	permits := s.permitsByID()
 	slices.Reverse(permits)
@@ -182,19 +185,19 @@
 			continue
 		}
 		member := s.Members[permit.Member]
-		overdrawn := s.overdrawnBudget(member)
+		exceeded := s.exceededBudget(member)
 		switch {
 		case s.Now-permit.StageSince >= permit.BeginTimeout:
 			s.endPermit(permit, "not begun in time")
 		case member.State != MemberUp:
 			s.endPermit(permit, "out already: "+string(member.State))
-		case overdrawn != "":
-			s.endPermit(permit, "withdrawn: "+overdrawn)
+		case exceeded != "":
+			s.endPermit(permit, "withdrawn: "+exceeded)
 		}
 	}
 }
 
-// permitsByID returns the permits in the order of their IDs, so that every coordinator walks them alike.
+// permitsByID returns the permits in the order of their IDs, so that all coordinators iterate over them in the same order.
 func (s *State) permitsByID() []*Permit {
 	permits := make([]*Permit, 0, len(s.Permits))
 	for _, id := range slices.Sorted(maps.Keys(s.Permits)) {
@@ -203,7 +206,7 @@
 	return permits
 }
 
-// endPermit ends a permit in whatever stage it is. The outcome is shown to operators.
+// endPermit ends a permit in any stage. The outcome is stored and shown to operators.
 func (s *State) endPermit(permit *Permit, outcome string) {
 	if permit.Stage == PermitQueued {
 		s.PermitQueue = slices.DeleteFunc(s.PermitQueue, func(id PermitID) bool { return id == permit.ID })
--- a/internal/coordination/rollout.go
+++ b/internal/coordination/rollout.go
@@ -6,71 +6,75 @@
 	"time"
 )
 
-// Wave is a part of the fleet that a rollout goes to at one time. What the waves of a plan leave is a last wave.
+// Wave is a group of members that a rollout updates together. Members that no wave of the plan includes form an
+// additional last wave.
 type Wave struct {
-	Count    int     `json:"Count"` // members; 0: Fraction applies
-	Fraction float64 `json:"Share"` // of all that the rollout updates; at least one member
-	Zone     string  `json:"Zone"`  // all of a zone, in place of a number
+	Count    int     `json:"Count"` // number of members; 0: Fraction applies
+	Fraction float64 `json:"Share"` // of all members that the rollout updates; at least one member
+	Zone     string  `json:"Zone"`  // if set, all members of this zone, in place of Count and Fraction
 }
 
-// RolloutPlan is a rollout as it is requested.
+// RolloutPlan is a rollout as requested by an operator.
 type RolloutPlan struct {
 	Name                string        `json:"Name"`
 	TargetRelease       string        `json:"To"`
-	Selector            Selector      `json:"Of"` // the members that it is meant for
+	Selector            Selector      `json:"Of"` // members that the rollout applies to
 	Waves               []Wave        `json:"Waves"`
-	Pause               time.Duration `json:"Pause"`  // after each wave, before the next one at the earliest
-	AnalysisRequired    bool          `json:"Judged"` // a wave waits for its verdict; else for the pause alone
+	Pause               time.Duration `json:"Pause"`  // minimum time between the end of a wave and the next one
+	AnalysisRequired    bool          `json:"Judged"` // a wave waits for its verdict; otherwise for the pause alone
 	RollbackWavesAtOnce float64       `json:"Faster"` // waves that are rolled back at the same time
-	MaxAttempts         int           `json:"Tries"`  // permits of a member that may fail before an operator is waited for
+	MaxAttempts         int           `json:"Tries"`  // failed permits of a member after which the rollout waits for an operator
 }
 
-// RolloutPhase is where a rollout stands. Its values are stored.
+// RolloutPhase is the phase of a rollout. Its values are stored.
 type RolloutPhase string
 
 // The phases of a rollout.
 const (
 	RolloutUpdating    RolloutPhase = "going"
-	RolloutAnalyzing   RolloutPhase = "judging" // the wave is updated: its pause and its verdict are waited for
+	RolloutAnalyzing   RolloutPhase = "judging" // the wave is updated; its pause has not ended or its verdict is missing
 	RolloutRollingBack RolloutPhase = "going back"
 	RolloutCompleted   RolloutPhase = "done"
 	RolloutRolledBack  RolloutPhase = "back"
 )
 
-// Rollout is a plan on its way. There is one at a time.
+// Rollout is a plan with the state of its execution. At most one rollout is in progress at a time.
 //
-// Known fault: WaveMembers and Analyzed have the stored names of the plan's Selector and AnalysisRequired, "Of" and
-// "Judged". encoding/json writes and reads the outer fields alone, so a snapshot does not hold those two of the plan:
-// a state restored from it selects all members and waits for no verdict. A repair changes what is stored.
+// Known fault: WaveMembers and Analyzed have the same stored names, "Of" and "Judged", as the plan's Selector and
+// AnalysisRequired. encoding/json writes and reads only the outer fields, so a snapshot does not contain these two
+// fields of the plan. The rollout of a state restored from a snapshot selects all members and waits for no verdict. A
+// repair changes the stored form.
 type Rollout struct {
 	RolloutPlan
 	RequestedBy string        `json:"By"`
 	Phase       RolloutPhase  `json:"Phase"`
-	Wave        int           `json:"Wave"` // from 0; in a rollback the latest one that is not rolled back
+	Wave        int           `json:"Wave"` // from 0; during a rollback the last wave that is not rolled back yet
 	PhaseSince  time.Duration `json:"Since"`
-	WaveMembers [][]Name      `json:"Of"` // by wave, worked out at the start; hides RolloutPlan.Selector when stored
+	WaveMembers [][]Name      `json:"Of"` // by wave, assigned at the start; hides RolloutPlan.Selector when stored
 	WaitReason  string        `json:"Waits"`
-	Analyzed    bool          `json:"Judged"` // the wave has passed; hides RolloutPlan.AnalysisRequired when stored
-	Reason      string        `json:"Why"`    // of the failed verdict or the rollback
+	Analyzed    bool          `json:"Judged"` // the current wave has passed; hides RolloutPlan.AnalysisRequired when stored
+	Reason      string        `json:"Why"`    // reason of the failed verdict or of the rollback
 }
 
-// AppliesTo tells whether the rollout is meant for a member, on whatever release that is now.
+// AppliesTo reports whether the rollout applies to a member. A selector that names a release is compared with the
+// member's current release.
 func (r *Rollout) AppliesTo(observation Observation) bool {
 	return r.Selector.matches(observation)
 }
 
-// InProgress tells whether there is a rollout that is not over. It may be called on nil.
+// InProgress reports whether the rollout has neither completed nor been rolled back. It is false for nil.
 func (r *Rollout) InProgress() bool {
 	return r != nil && (r.Phase == RolloutUpdating || r.Phase == RolloutAnalyzing || r.Phase == RolloutRollingBack)
 }
 
-// enterPhase is the change to a phase, also to the same one for another wave.
+// enterPhase changes the phase and records when. It is also called with the same phase for another wave.
 func (r *Rollout) enterPhase(phase RolloutPhase, now time.Duration) {
 	r.Phase = phase
 	r.PhaseSince = now
 }
 
-// startRollout starts a rollout unless one is in progress: of two that operators start at once one is refused.
+// startRollout starts a rollout. It refuses the command while another rollout is in progress, so one of two rollouts
+// that operators start at the same time is refused.
 func (s *State) startRollout(command Command) Reply {
 	plan := command.Plan
 	switch {
@@ -105,7 +109,8 @@
 	return Reply{OK: true}
 }
 
-// assignWaves divides the members among the plan's waves, and what is left makes a last one. Empty waves are left out.
+// assignWaves divides the members among the plan's waves. The remaining members form a last wave. Waves without members
+// are omitted.
 func (p *RolloutPlan) assignWaves(members []*Member) [][]Name {
 	total := len(members)
 	var assigned [][]Name
@@ -132,8 +137,8 @@
 	return assigned
 }
 
-// rollBack rolls the latest rollout back: its waves in reverse, under the same budgets. It may be in the middle of a
-// wave, halted or completed.
+// rollBack starts to roll back the latest rollout: its waves in reverse order, under the same budgets. The rollout may
+// be in the middle of a wave, halted or completed.
 func (s *State) rollBack(command Command) Reply {
 	rollout := s.Rollout
 	switch {
@@ -142,7 +147,7 @@
 	case rollout.Phase == RolloutRollingBack || rollout.Phase == RolloutRolledBack:
 		return refused("release %s is %s", rollout.Name, rollout.Phase)
 	}
-	s.Halt = nil // a halt would keep the rollback itself from beginning
+	s.Halt = nil // a halt would also stop the rollback
 	for _, permit := range s.permitsByID() {
 		if permit.Purpose == PurposeRollout && permit.Stage != PermitBegun {
 			s.endPermit(permit, "the release goes back")
@@ -157,13 +162,13 @@
 	return Reply{OK: true}
 }
 
-// awaitsVerdict tells whether a verdict on a wave of a rollout can still count.
+// awaitsVerdict reports whether a verdict on a wave of the named rollout can still be applied. It may be called on nil.
 func (r *Rollout) awaitsVerdict(name string, wave int) bool {
 	return r != nil && r.Name == name && r.Wave == wave && (r.Phase == RolloutUpdating || r.Phase == RolloutAnalyzing)
 }
 
-// applyVerdict takes in a verdict on the current wave; a late one on an earlier wave is refused. A wave can fail
-// before it is updated whole, and passes only afterwards.
+// applyVerdict applies a verdict on the current wave. A late verdict on an earlier wave is refused. A wave can fail
+// before all of its members are updated, but can pass only afterwards.
 func (s *State) applyVerdict(command Command) Reply {
 	rollout := s.Rollout
 	switch {
@@ -180,7 +185,7 @@
 	return Reply{OK: true}
 }
 
-// restartAnalysis has the wave analyzed anew after a halt: what was measured before does not count.
+// restartAnalysis restarts the analysis of the wave after a halt. Measurements from before the halt do not count.
 func (r *Rollout) restartAnalysis(now time.Duration) {
 	if r.Phase == RolloutAnalyzing {
 		r.PhaseSince = now
--- a/internal/coordination/selector.go
+++ b/internal/coordination/selector.go
@@ -6,22 +6,22 @@
 	"lanewheel/internal/membership"
 )
 
-// Selector selects the members that have all that it names; an empty field matches any.
+// Selector selects the members that match all of its fields. An empty field matches any value.
 type Selector struct {
 	Zone     string `json:"Zone"`
 	Release  string `json:"Release"`
-	Role     string `json:"Role"`  // name of a role, as in the operator's file
-	Upstream string `json:"Below"` // upstream service that the member is
+	Role     string `json:"Role"`  // name of a role as in the operator's file
+	Upstream string `json:"Below"` // upstream service that the member provides
 }
 
-// String lists the fields that are set, "all" if none is.
-func (g Selector) String() string {
+// String lists the fields that are set, or returns "all" if none is set.
+func (s Selector) String() string {
 	var terms []string
 	for _, field := range []struct{ name, value string }{
-		{"zone", g.Zone},
-		{"release", g.Release},
-		{"role", g.Role},
-		{"below", g.Upstream},
+		{"zone", s.Zone},
+		{"release", s.Release},
+		{"role", s.Role},
+		{"below", s.Upstream},
 	} {
 		if field.value != "" {
 			terms = append(terms, field.name+"="+field.value)
@@ -33,15 +33,15 @@
 	return strings.Join(terms, " ")
 }
 
-func (g Selector) matches(observation Observation) bool {
-	if g.Role != "" {
-		roles, unknown := membership.ParseRoles([]string{g.Role})
+func (s Selector) matches(observation Observation) bool {
+	if s.Role != "" {
+		roles, unknown := membership.ParseRoles([]string{s.Role})
 		if unknown != "" || observation.Roles&roles == 0 {
 			return false
 		}
 	}
 	matchesField := func(want, have string) bool { return want == "" || want == have }
-	return matchesField(g.Zone, observation.Zone) &&
-		matchesField(g.Release, observation.Release) &&
-		matchesField(g.Upstream, observation.Upstream)
+	return matchesField(s.Zone, observation.Zone) &&
+		matchesField(s.Release, observation.Release) &&
+		matchesField(s.Upstream, observation.Upstream)
 }
--- a/internal/coordination/state.go
+++ b/internal/coordination/state.go
@@ -1,9 +1,9 @@
-// Package coordination holds what the coordinators of a fleet have agreed on: its members, disruption budgets, permits
-// to go out, the rollout in progress, and whether everything is halted.
+// Package coordination implements the replicated state machine of a fleet's coordinators: the members, the disruption
+// budgets, the permits to go out of service, the rollout in progress, and the halt.
 //
-// It is pure and deterministic: the same commands in the same order make the same state on every coordinator. Time
-// comes in with a command, as a duration since its leader started, so that no two clocks have to agree.
-// docs/releases.md has the states and why they hold.
+// The state machine has no side effects and is deterministic: the same commands in the same order produce the same
+// state on every coordinator. Time is an input: each command carries the duration since its leader started, so no two
+// clocks have to agree. docs/releases.md describes the states and the reasons why the guarantees hold.
 package coordination
 
 import (
@@ -11,17 +11,17 @@
 	"time"
 )
 
-// Config holds for the whole life of a fleet and is the same at every coordinator.
+// Config does not change during the life of a fleet and is the same on every coordinator.
 type Config struct {
-	MaxHistory         int           `json:"History"` // entries of History, and of EndedPermits, that are kept
-	MaxIdempotencyKeys int           `json:"Keys"`    // keys of commands whose replies are kept
-	MaxMembers         int           `json:"Members"` // members known at a time
-	MaxQueuedPermits   int           `json:"Waiting"` // permits that may be queued
-	MaxOvertakes       int           `json:"Passed"`  // later requests that may be granted before a queued one
-	StalledAfter       time.Duration `json:"Stuck"`   // a member out by a permit for longer is reported as stalled
+	MaxHistory         int           `json:"History"` // maximum number of entries in History, and in EndedPermits
+	MaxIdempotencyKeys int           `json:"Keys"`    // maximum number of idempotency keys whose replies are kept
+	MaxMembers         int           `json:"Members"` // maximum number of members at a time
+	MaxQueuedPermits   int           `json:"Waiting"` // maximum number of queued permits
+	MaxOvertakes       int           `json:"Passed"`  // maximum number of later requests granted before a queued one
+	StalledAfter       time.Duration `json:"Stuck"`   // a member unavailable by a permit for longer is reported as stalled
 }
 
-// DefaultConfig returns the values that hold where nothing is configured.
+// DefaultConfig returns the values that apply unless others are configured.
 func DefaultConfig() Config {
 	return Config{
 		MaxHistory:         1000,
@@ -33,28 +33,28 @@
 	}
 }
 
-// State is all that is agreed. Whoever shows it may read its fields; only Apply changes them. It is not safe for
-// concurrent use: its owner serializes the calls.
+// State is the state on which the coordinators agree. Its fields may be read for display, but only Apply may change them.
+// It is not safe for concurrent use: its owner must serialize the calls.
 type State struct {
 	Config         Config               `json:"Told"`
-	Now            time.Duration        `json:"Now"`    // fleet time: the sum of the time during which there was a leader
-	Term           uint64               `json:"Term"`   // of the leader whose command was applied last
-	LastLeaderTime time.Duration        `json:"LastAt"` // LeaderTime of that command, or the latest of its term
+	Now            time.Duration        `json:"Now"`    // fleet time: the total time during which there was a leader
+	Term           uint64               `json:"Term"`   // of the leader whose command was last applied
+	LastLeaderTime time.Duration        `json:"LastAt"` // latest LeaderTime of the commands of that term
 	Members        map[Name]*Member     `json:"Members"`
 	Budgets        []DisruptionBudget   `json:"Budgets"`
-	Permits        map[PermitID]*Permit `json:"Permits"` // that have not ended
-	PermitQueue    []PermitID           `json:"Waiting"` // queued permits, in the order of the requests
+	Permits        map[PermitID]*Permit `json:"Permits"` // permits that have not ended
+	PermitQueue    []PermitID           `json:"Waiting"` // queued permits in the order of the requests
 	LastPermitID   PermitID             `json:"Last"`
 	Halt           *Halt                `json:"Halted"`  // nil: not halted
-	Rollout        *Rollout             `json:"Release"` // the latest, in progress or over; nil: there was none
+	Rollout        *Rollout             `json:"Release"` // the latest, in progress or not; nil: there was none
 	Replies        map[string]Reply     `json:"Keys"`    // by idempotency key
-	ReplyOrder     []string             `json:"KeyRing"` // the keys of Replies, the oldest first
-	History        []HistoryEntry       `json:"History"` // the latest last
-	Sequence       uint64               `json:"Nth"`     // of the latest entry that History got
-	EndedPermits   []Permit             `json:"Over"`    // the latest last
+	ReplyOrder     []string             `json:"KeyRing"` // keys of Replies, oldest first
+	History        []HistoryEntry       `json:"History"` // latest last
+	Sequence       uint64               `json:"Nth"`     // of the latest entry added to History
+	EndedPermits   []Permit             `json:"Over"`    // latest last
 }
 
-// NewState returns the state of a fleet that has agreed on nothing: without a budget no member may go out.
+// NewState returns the state before any command. It has no budget, so no member may go out of service.
 func NewState(config Config) *State {
 	return &State{
 		Config:  config,
@@ -64,24 +64,24 @@
 	}
 }
 
-// Apply carries out one command and all that follows from it, and returns the command's reply.
+// Apply applies one command and its consequences, and returns the command's reply.
 func (s *State) Apply(command Command) Reply {
 	s.advanceClock(command)
-	// A client that got no answer asks again with the same key: it must not get a second permit.
-	if reply, known := s.Replies[command.IdempotencyKey]; known && command.IdempotencyKey != "" {
+	// A client that received no reply retries with the same key and must not get a second permit.
+	if reply, found := s.Replies[command.IdempotencyKey]; found && command.IdempotencyKey != "" {
 		return reply
 	}
 	reply := s.execute(command)
-	s.rememberReply(command.IdempotencyKey, reply)
-	s.record(command, reply)
+	s.storeReply(command.IdempotencyKey, reply)
+	s.recordHistory(command, reply)
 	s.expirePermits()
 	s.advanceRollout()
 	s.grantPermits()
 	return reply
 }
 
-// rememberReply keeps the reply to a command that has an idempotency key.
-func (s *State) rememberReply(key string, reply Reply) {
+// storeReply stores the reply to a command that has an idempotency key, and drops the oldest reply over the limit.
+func (s *State) storeReply(key string, reply Reply) {
 	if key == "" {
 		return
 	}
@@ -93,8 +93,8 @@
 	}
 }
 
-// record enters a command into the history. Ticks and observations come all the time and are left out.
-func (s *State) record(command Command, reply Reply) {
+// recordHistory adds a command to the history. Ticks and observations are omitted because they are continuous.
+func (s *State) recordHistory(command Command, reply Reply) {
 	if command.Kind == KindTick || command.Kind == KindObserve {
 		return
 	}
@@ -110,7 +110,7 @@
 	s.History = appendBounded(s.History, entry, s.Config.MaxHistory)
 }
 
-// appendBounded appends an item and drops the oldest ones over the limit.
+// appendBounded appends an item and drops the oldest items over the limit.
 func appendBounded[T any](list []T, item T, limit int) []T {
 	list = append(list, item)
 	if excess := len(list) - limit; excess > 0 {
@@ -119,8 +119,9 @@
 	return list
 }
 
-// advanceClock moves the fleet's time on. Only what passes while one coordinator leads counts, by its own clock:
-// clocks that differ by an hour can make a timeout longer when the leader changes, and never shorter.
+// advanceClock advances the fleet time. Only time that passes while one coordinator leads counts, measured by that
+// coordinator's clock. Clocks that differ by an hour can therefore make a timeout longer when the leader changes, but
+// never shorter.
 func (s *State) advanceClock(command Command) {
 	if command.Term != s.Term {
 		s.Term = command.Term
