--- a/internal/coordination/budget.go
+++ b/internal/coordination/budget.go
@@ -107,13 +107,13 @@
 // impossibleReason returns why the budget does not let the member become unavailable even if all other members are
 // available. It returns an empty string if the budget allows it.
 func (u groupUsage) impossibleReason(member *Member) string {
-	others := u.totalCapacity - member.Capacity
+	remainingCapacity := u.totalCapacity - member.Capacity
 	switch {
 	case u.UnavailableLimit < 1:
 		return fmt.Sprintf("budget %s lets none of %d go out", u.Budget.Name, u.Members)
-	case others < u.Budget.MinAvailableCapacity:
+	case remainingCapacity < u.Budget.MinAvailableCapacity:
 		return fmt.Sprintf("budget %s wants %g cores up, and all but this one have %g",
-			u.Budget.Name, u.Budget.MinAvailableCapacity, others)
+			u.Budget.Name, u.Budget.MinAvailableCapacity, remainingCapacity)
 	}
 	return ""
 }
--- a/internal/coordination/command.go
+++ b/internal/coordination/command.go
@@ -30,7 +30,7 @@
 	KindStartRollout  Kind = "release" // starts a rollout
 	KindRollBack      Kind = "back"    // rolls the latest rollout back
 	KindCanaryVerdict Kind = "verdict" // records the canary verdict on a wave of the rollout
-	KindTick          Kind = "tick"    // advances the fleet time only
+	KindTick          Kind = "tick"    // advances the fleet time
 	KindDrain         Kind = "drain"   // requests permits for all members that the selector matches
 	KindCancelDrain   Kind = "undrain" // cancels permits to drain that have not begun
 )
@@ -81,7 +81,7 @@
 	PermitIDs []PermitID `json:"Numbers,omitempty"`
 }
 
-// refused returns the reply to a command that is refused. The reason is shown to operators.
+// refused returns the reply to a refused command, which changes nothing. The reason is shown to operators.
 func refused(format string, args ...any) Reply { return Reply{Reason: fmt.Sprintf(format, args...)} }
 
 // HistoryEntry is one command in the history with its reply.
--- a/internal/coordination/converge.go
+++ b/internal/coordination/converge.go
@@ -101,7 +101,7 @@
 }
 
 // convergeMembers requests permits for the members that are not on their desired release. It reports whether all
-// members are up and on that release. If not, it sets the rollout's WaitReason to that of the first such member.
+// members are up and on that release. If not, the rollout's WaitReason is the reason for the first member that is not.
 func (s *State) convergeMembers(names []Name) bool {
 	rollout := s.Rollout
 	converged := true
--- a/internal/coordination/coordination_test.go
+++ b/internal/coordination/coordination_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// A drain from its request to its end. The second one waits for its turn; a member that is out counts until it is up
-// again, and at its full rate; a key that is used twice makes one permit.
+// Drains a member from the request to the end of its permit. A second drain is queued until the first one ends. An
+// unavailable member counts against the budget until it is up again at its full rate. Two requests with the same
+// idempotency key create one permit.
 func Example() {
 	f := newFleet(3, []string{"a"}, oneAtATime)
 	keyed := Command{Kind: KindRequestPermit, Member: "n0", IdempotencyKey: "k"}
@@ -32,8 +33,8 @@
 	// 1 n0: back | 2 n1 granted
 }
 
-// What keeps a permit from beginning: its timeout, a crash elsewhere, a halt, another incarnation, a cancellation.
-// What has begun is never withdrawn.
+// A permit cannot begin after its timeout, a crash of another member, a halt, a restart of its holder or a
+// cancellation. A permit that has begun is never withdrawn.
 func Example_withdrawn() {
 	f := newFleet(4, []string{"a"}, DisruptionBudget{Name: "two", MaxUnavailable: 2})
 	f.apply(Command{Kind: KindRequestPermit, Member: "n0", BeginTimeout: time.Second})
@@ -42,12 +43,12 @@
 	f.request("n0")
 	f.begin("n0", 2, 1)
 	f.request("n1")
-	f.setMemberState(3, MemberSuspect) // n0 begun, n1 granted, n3 suspect: three of two
+	f.setMemberState(3, MemberSuspect) // n0 begun, n1 granted, n3 suspect: three unavailable, two allowed
 	fmt.Println(f.lastEnded(), "|", f.permitSummary())
 	f.setMemberState(3, MemberUp)
 	f.request("n1")
 	fmt.Println(f.begin("n1", 4, 9).Reason)
-	f.observeInstance(1, 2, MemberUp, "1", "a") // it has restarted before it began
+	f.observeInstance(1, 2, MemberUp, "1", "a") // n1 has restarted before its permit began
 	fmt.Println(f.lastEnded())
 	f.request("n1")
 	f.apply(Command{Kind: KindHalt, RequestedBy: "op"})
@@ -71,10 +72,10 @@
 	// {false n2 is there 0 []} 2 n0 begun
 }
 
-// Budgets: what could never be granted is refused at once; budgets that change while a permit is queued or begun;
-// budgets that overlap; the capacity that stays up; a queued permit is overtaken only so often.
+// Covers permits that can never be granted and are refused at once, budgets that change while permits are queued or
+// begun, overlapping budgets, the minimum available capacity, and the limit on overtaking a queued permit.
 //
-//nolint:lll // the trace has one line a step
+//nolint:lll // the trace has one line per step
 func Example_budgets() {
 	f := newFleet(6, []string{"a", "b"}, DisruptionBudget{
 		Name: "tenth", MaxUnavailableFraction: 0.1, MaxUnavailable: -1})
@@ -115,7 +116,7 @@
 	// 1 n0 granted; 2 n2 queued (budget a: 1 of 2 out, 1 may be); 3 n1 granted; 4 n3 queued (others have waited longer)
 }
 
-// Clocks of leaders that differ by an hour, or run back: timeouts get longer by it, never shorter.
+// Leaders whose clocks differ by an hour, or a clock that goes backward, make timeouts longer and never shorter.
 //
 //nolint:lll // the trace is one line
 func Example_clocks() {
@@ -137,26 +138,26 @@
 	// Output: 9s 1 n0 granted; 9s 1 n0 granted; 9s 1 n0 granted; 9.5s 1 n0 granted; 9.5s 1 n0 granted; 10.5s ; 1 n0: not begun in time
 }
 
-// What is written to a snapshot and read is the same state.
+// A state restored from a snapshot must encode to the same JSON as the original state.
 func TestSnapshot(t *testing.T) {
 	f := newFleet(5, []string{"a", "b"}, oneAtATime)
 	plan := &RolloutPlan{Name: "r", TargetRelease: "2"}
 	f.apply(Command{Kind: KindStartRollout, Plan: plan, IdempotencyKey: "k"})
 	f.restartGranted(constantRelease("2"))
 	f.apply(Command{Kind: KindHalt})
-	stored, err := json.Marshal(f.State)
+	originalJSON, err := json.Marshal(f.State)
 	if err != nil {
 		t.Fatal(err)
 	}
 	restored := &State{}
-	if err := json.Unmarshal(stored, restored); err != nil {
+	if err := json.Unmarshal(originalJSON, restored); err != nil {
 		t.Fatal(err)
 	}
-	again, err := json.Marshal(restored)
+	restoredJSON, err := json.Marshal(restored)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if string(again) != string(stored) {
-		t.Fatalf("stored as\n%s\nread and stored again\n%s", stored, again)
+	if string(restoredJSON) != string(originalJSON) {
+		t.Fatalf("state encodes as\n%s\nand, after it is restored, as\n%s", originalJSON, restoredJSON)
 	}
 }
--- a/internal/coordination/fleet_test.go
+++ b/internal/coordination/fleet_test.go
@@ -8,12 +8,13 @@
 	"lanewheel/internal/membership"
 )
 
-// fleet is a state with instances n0, n1 ... in zones in turn, all up, and a leader's clock.
+// fleet is a state with a leader's clock. Its instances are named n0, n1 and so on.
 type fleet struct {
 	*State
 	leaderTime time.Duration
 }
 
+// newFleet returns a fleet whose instances are all up, run release 1 and are assigned to the zones in turn.
 func newFleet(size int, zones []string, budgets ...DisruptionBudget) *fleet {
 	f := &fleet{State: NewState(DefaultConfig())}
 	for i := range size {
@@ -25,23 +26,23 @@
 
 func instanceName(i int) Name { return Name(fmt.Sprint("n", i)) }
 
-func (f *fleet) apply(c Command) Reply {
-	c.Term = 1
-	c.LeaderTime = f.leaderTime
-	return f.Apply(c)
+func (f *fleet) apply(command Command) Reply {
+	command.Term = 1
+	command.LeaderTime = f.leaderTime
+	return f.Apply(command)
 }
 
-// request asks for a permit for a member.
+// request requests a permit for a member.
 func (f *fleet) request(name Name) Reply {
 	return f.apply(Command{Kind: KindRequestPermit, Member: name})
 }
 
-// begin has a member begin its permit.
+// begin begins a permit on behalf of a member.
 func (f *fleet) begin(name Name, id PermitID, incarnation membership.Incarnation) Reply {
 	return f.apply(Command{Kind: KindBeginPermit, Member: name, PermitID: id, Incarnation: incarnation})
 }
 
-// verdict is a canary verdict on a wave of the rollout r2.
+// verdict applies a canary verdict on a wave of the rollout r2.
 func (f *fleet) verdict(wave int, healthy bool) Reply {
 	return f.apply(Command{Kind: KindCanaryVerdict, RolloutName: "r2", Wave: wave, Healthy: healthy})
 }
@@ -62,7 +63,7 @@
 	})
 }
 
-// setMemberState changes the state of an instance and leaves all else as it was.
+// setMemberState changes the state of an instance and no other property.
 func (f *fleet) setMemberState(i int, state MemberState) {
 	member := f.Members[instanceName(i)]
 	f.observeInstance(i, int(member.Incarnation), state, member.Release, member.Zone)
@@ -93,7 +94,8 @@
 	return fmt.Sprintf("%d %s: %s", permit.ID, permit.Member, permit.Outcome)
 }
 
-// restartGranted has each member that holds a granted permit go out and come back on a release, until none holds one.
+// restartGranted restarts each member that holds a granted permit, on the release that the given function returns for
+// it, until no member holds one. It returns the names of the members in the order of their restarts.
 func (f *fleet) restartGranted(release func(Name) string) (restarted []Name) {
 	for {
 		before := len(restarted)
@@ -116,7 +118,7 @@
 	}
 }
 
-// constantRelease is for restartGranted: all members come back on the same release.
+// constantRelease returns a function for restartGranted that returns the same release for all members.
 func constantRelease(release string) func(Name) string {
 	return func(Name) string { return release }
 }
--- a/internal/coordination/golden_test.go
+++ b/internal/coordination/golden_test.go
@@ -14,9 +14,9 @@
 	"lanewheel/internal/membership"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew; only where the stored form is meant to change")
+var update = flag.Bool("update", false, "rewrite the golden files; only for an intended change of the stored form")
 
-// checkGolden checks that a value is stored as the file has it, and that the file reads as the value.
+// checkGolden checks that a value encodes to the contents of the golden file and that the file decodes to the value.
 func checkGolden[T any](t *testing.T, name string, want T) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -35,20 +35,20 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(text, stored) {
-		t.Errorf("%s: stored as\n%s\nnow written as\n%s", path, stored, text)
+		t.Errorf("%s contains\n%s\nbut the value encodes to\n%s", path, stored, text)
 	}
 	var got T
-	d := json.NewDecoder(bytes.NewReader(stored))
-	d.DisallowUnknownFields()
-	if err := d.Decode(&got); err != nil {
+	decoder := json.NewDecoder(bytes.NewReader(stored))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&got); err != nil {
 		t.Fatalf("%s: %v", path, err)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%s reads as\n%+v\nwanted\n%+v", path, got, want)
+		t.Errorf("%s decodes to\n%+v\nwant\n%+v", path, got, want)
 	}
 }
 
-// zeroFields gives the paths of all fields that are zero, empty lists and maps among them.
+// zeroFields returns the paths of all fields that are zero, including empty slices and maps.
 func zeroFields(v reflect.Value, path string) (all []string) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -78,10 +78,11 @@
 	return nil
 }
 
+// checkNoZeroFields checks that a golden value sets every field, so that the golden file covers every stored name.
 func checkNoZeroFields(t *testing.T, v any) {
 	t.Helper()
 	if got := zeroFields(reflect.ValueOf(v), ""); len(got) > 0 {
-		t.Errorf("fields that the golden value leaves at zero: %q", got)
+		t.Errorf("fields that are zero in the golden value: %q", got)
 	}
 }
 
@@ -144,7 +145,8 @@
 	}
 )
 
-// The log holds a command as JSON; a field whose stored name changes is lost to every log that was written before.
+// Commands are stored in the log as JSON. If the stored name of a field changes, the field is lost from every log that
+// was written before.
 func TestCommandGolden(t *testing.T) {
 	command := Command{
 		Term:           7,
@@ -170,10 +172,10 @@
 	checkGolden(t, "command-empty.json", Command{})
 }
 
-// goldenState has no zero field but the two of the rollout's plan that are not stored.
+// goldenState returns a state in which only the two fields of the rollout's plan that are not stored are zero.
 func goldenState() State {
 	storedPlan := fullPlan
-	// Rollout's own "Of" and "Judged" hide these two of the plan: the known fault that is noted at Rollout.
+	// The fields "Of" and "Judged" of Rollout hide these two fields of the plan: the known fault documented at Rollout.
 	storedPlan.Selector = Selector{}
 	storedPlan.AnalysisRequired = false
 	reply := Reply{OK: true, Reason: "a reason", PermitID: 42, PermitIDs: []PermitID{42, 43}}
@@ -229,19 +231,19 @@
 	}
 }
 
-// A snapshot holds the whole state as JSON.
+// A snapshot contains the whole state as JSON.
 func TestStateGolden(t *testing.T) {
 	state := goldenState()
-	unstored := state
+	complete := state
 	rollout := *state.Rollout
 	rollout.RolloutPlan = fullPlan
-	unstored.Rollout = &rollout
-	checkNoZeroFields(t, unstored)
+	complete.Rollout = &rollout
+	checkNoZeroFields(t, complete)
 	checkGolden(t, "state.json", state)
 	checkGolden(t, "state-empty.json", *NewState(DefaultConfig()))
 }
 
-// What a status shows of a budget.
+// The status shows the usage of a budget as JSON.
 func TestUsageGolden(t *testing.T) {
 	usage := BudgetUsage{
 		Budget:            fullBudget,
@@ -254,7 +256,7 @@
 	checkGolden(t, "use.json", usage)
 }
 
-// The words and numbers by which commands, states and roles are stored.
+// The stored values of enumerations, roles, incarnations and permit IDs must not change.
 func TestStoredValues(t *testing.T) {
 	for _, stored := range []struct {
 		value any
@@ -299,12 +301,13 @@
 	} {
 		text, err := json.Marshal(stored.value)
 		if err != nil || string(text) != stored.want {
-			t.Errorf("stored as %s, want %s (%v)", text, stored.want, err)
+			t.Errorf("encodes to %s, want %s (%v)", text, stored.want, err)
 		}
 	}
 }
 
-// A permit's purpose decides what becomes of it, and is stored as a word.
+// The purpose determines how a permit is handled and is stored as text. The purposes that rollouts use, and the
+// defaults of a request that sets no purpose and no timeout, must not change.
 func TestStoredPurpose(t *testing.T) {
 	if got := (&Rollout{Phase: RolloutUpdating}).permitPurpose(); got != "release" {
 		t.Error(got)
--- a/internal/coordination/member.go
+++ b/internal/coordination/member.go
@@ -6,7 +6,7 @@
 	"lanewheel/internal/membership"
 )
 
-// MemberState states whether a member is available, and why not. Its values are stored.
+// MemberState is the availability of a member: up, or the reason why it is unavailable. Its values are stored.
 type MemberState string
 
 // The states of a member. It is unavailable in all of them but MemberUp.
--- a/internal/coordination/model_invariants_test.go
+++ b/internal/coordination/model_invariants_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// fingerprint tells two states apart by all that later commands can find out, with permits by their order and times
-// by how much is left of them.
+// fingerprint returns a key that differs for states that later commands can distinguish. Permits are identified by
+// their order. Elapsed times are capped at the longest time that makes a difference.
 func fingerprint(s *State) string {
 	var b strings.Builder
 	ids := slices.Sorted(maps.Keys(s.Permits))
@@ -37,7 +37,7 @@
 	return b.String()
 }
 
-// violatedInvariant tells which invariant one step has broken, empty if none.
+// violatedInvariant describes the invariant that one step violates. It returns an empty string if there is none.
 func violatedInvariant(before, after *State, command Command, reply Reply) string {
 	begun := 0
 	for id, permit := range after.Permits {
@@ -52,11 +52,11 @@
 		}
 	}
 	if begun > 1 {
-		return "two have begun"
+		return "two permits have begun"
 	}
 	if command.Kind == KindBeginPermit && reply.OK {
 		if permit := after.Permits[command.PermitID]; permit == nil || permit.Stage != PermitBegun {
-			return "answered that it has begun, and it has not"
+			return "the reply states that the permit has begun, but it has not"
 		}
 	}
 	if violated := endViolation(before, after); violated != "" {
@@ -64,53 +64,53 @@
 	}
 	for name, member := range after.Members {
 		if permit := after.Permits[member.PermitID]; member.PermitID > 0 && (permit == nil || permit.Member != name) {
-			return "a member with a permit that is none"
+			return "a member refers to a permit that does not exist or has another holder"
 		}
 	}
 	if command.Kind == KindHalt && after.Halt == nil {
-		return "a halt that did not come into force"
+		return "the halt command did not take effect"
 	}
 	mayResume := command.Kind == KindResume || command.Kind == KindRollBack
 	if before.Halt != nil && after.Halt == nil && !mayResume {
-		return "a halt that is over by itself"
+		return "the halt ended without a command that ends it"
 	}
 	return ""
 }
 
-// permitViolation checks what a permit is, beside what it was before the step.
+// permitViolation compares a permit with its state before the step.
 func permitViolation(before, after *State, id PermitID) string {
 	permit := after.Permits[id]
 	previous := before.Permits[id]
 	member := after.Members[permit.Member]
 	switch {
 	case member == nil || member.PermitID != id:
-		return "a permit that its member does not have"
+		return "a permit whose member does not refer to it"
 	case previous == nil && id <= before.LastPermitID:
-		return "an ID that was over came again"
+		return "the ID of an ended permit was reused"
 	case previous == nil:
 		return ""
 	case previous.Member != permit.Member:
-		return "two holders of one permit"
+		return "the holder of a permit changed"
 	case previous.Stage != PermitQueued && previous.Incarnation != permit.Incarnation:
-		return "two incarnations hold one permit"
+		return "the incarnation that holds a permit changed"
 	case previous.Stage == PermitBegun && permit.Stage != PermitBegun:
-		return "one that had begun was withdrawn"
+		return "a permit that had begun was withdrawn"
 	}
 	return ""
 }
 
-// advanceViolation checks a permit that was granted or begun by the step.
+// advanceViolation checks a permit that the step granted or began.
 func advanceViolation(before, after *State, permit *Permit, command Command, reply Reply) string {
 	previous := before.Permits[permit.ID]
 	if permit.Stage == PermitQueued || previous != nil && previous.Stage == permit.Stage {
 		return ""
 	}
 	if after.Halt != nil {
-		return "it advanced in a halt"
+		return "a permit was granted or begun during a halt"
 	}
 	isHolder := command.Member == permit.Member && command.Incarnation == permit.Incarnation
 	if permit.Stage == PermitBegun && (command.Kind != KindBeginPermit || !isHolder || !reply.OK) {
-		return "it began without its holder"
+		return "a permit began without a command of its holder"
 	}
 	for _, budget := range after.Budgets {
 		if usage := after.Usage(budget); usage.Unavailable > usage.UnavailableLimit {
@@ -120,7 +120,7 @@
 	return ""
 }
 
-// endViolation checks the permits that the step has ended.
+// endViolation checks the permits that the step ended.
 func endViolation(before, after *State) string {
 	for id, previous := range before.Permits {
 		if after.Permits[id] != nil {
@@ -128,14 +128,14 @@
 		}
 		isEnded := func(permit Permit) bool { return permit.ID == id && permit.Outcome != "" }
 		if !slices.ContainsFunc(after.EndedPermits, isEnded) {
-			return "a permit was lost"
+			return "a permit disappeared without being recorded as ended"
 		}
 		member := after.Members[previous.Member]
 		if previous.Stage != PermitBegun || member == nil {
 			continue
 		}
 		if member.State != MemberUp || member.Incarnation == previous.Incarnation {
-			return "one that is out counts no more"
+			return "a begun permit ended before its member was up again as a later incarnation"
 		}
 	}
 	return ""
--- a/internal/coordination/model_test.go
+++ b/internal/coordination/model_test.go
@@ -11,27 +11,28 @@
 	"lanewheel/internal/membership"
 )
 
-var depth = flag.Int("depth", 6, "how deep TestModel looks")
+var depth = flag.Int("depth", 6, "number of consecutive commands that TestModel explores")
 
-// modelInstances is the size of TestModel's fleet.
+// modelInstances is the number of instances in TestModel's fleet.
 const modelInstances = 3
 
-// modelNode is a state that TestModel has reached, and the commands that led to it.
+// modelNode is a state that TestModel has reached, with the commands that led to it.
 type modelNode struct {
 	state *State
 	path  []string
 }
 
-// A small fleet explored whole, to a depth: three instances, a budget of one, all that may come in any order: members
-// that crash, are suspect, come back as a later incarnation; permits requested, begun by their holder, by an old
-// incarnation, late and twice, cancelled; halts, a rollout and its rollback; time. Deeper:
+// TestModel explores all sequences of commands, up to a depth, on a fleet of three instances with a budget of one. The
+// commands include members that crash, are suspect or return as a later incarnation; permits that are requested,
+// canceled, and begun by their holder, by an old incarnation, late or twice; halts; a rollout and its rollback; and
+// the passage of time. To explore further:
 // go test -timeout 30m -run Model ./internal/coordination -depth 8.
 func TestModel(t *testing.T) {
 	start := newFleet(modelInstances, []string{"a"}, oneAtATime)
 	start.Config.MaxOvertakes = 2
 	visited := map[string]bool{}
 	layer := []modelNode{{state: start.State}}
-	applied := 0
+	commandCount := 0
 	for level := range *depth {
 		var next []modelNode
 		for _, node := range layer {
@@ -40,10 +41,10 @@
 				command.Term = 1
 				command.LeaderTime += state.LastLeaderTime
 				reply := state.Apply(command)
-				applied++
+				commandCount++
 				step := fmt.Sprintf("%v %v %v", command.Kind, command.Member, command.PermitID)
 				if violated := violatedInvariant(node.state, state, command, reply); violated != "" {
-					t.Fatalf("%s: after %v, then %s", violated, node.path, step)
+					t.Fatalf("%s: commands %v, then %s", violated, node.path, step)
 				}
 				key := fingerprint(state)
 				if visited[key] {
@@ -59,10 +60,10 @@
 		}
 		layer = next
 	}
-	t.Logf("%d states, %d commands, to a depth of %d", len(visited), applied, *depth)
+	t.Logf("explored %d states with %d commands to a depth of %d", len(visited), commandCount, *depth)
 }
 
-// modelCommands are the commands that TestModel applies to a state.
+// modelCommands returns the commands that TestModel applies to a state.
 func modelCommands(s *State) []Command {
 	var all []Command
 	for i := range modelInstances {
@@ -89,7 +90,7 @@
 		Command{Kind: KindCanaryVerdict, RolloutName: "r", Healthy: false})
 }
 
-// modelMemberCommands are the commands about one member.
+// modelMemberCommands returns the commands that concern one member.
 func modelMemberCommands(member *Member) []Command {
 	all := []Command{{Kind: KindRequestPermit, Member: member.Name, BeginTimeout: 2 * time.Second}}
 	for _, state := range []MemberState{MemberUp, MemberSuspect, MemberGone} {
@@ -109,8 +110,8 @@
 	return append(all, Command{Kind: KindForgetMember, Member: member.Name})
 }
 
-// cloneState copies a state, so that applying a command to the copy leaves the original alone. The history is left
-// out.
+// cloneState copies a state so that applying a command to the copy does not change the original. The history is not
+// copied.
 func cloneState(s *State) *State {
 	c := *s
 	c.Members = make(map[Name]*Member, len(s.Members))
--- a/internal/coordination/permit.go
+++ b/internal/coordination/permit.go
@@ -14,11 +14,12 @@
 // PermitStage is the stage of a permit's life cycle. Its values are stored.
 type PermitStage string
 
-// The stages of a permit, in their order.
+// The stages of a permit, in their order. Granted and begun permits count against the budgets, begun ones until their
+// holder is up again.
 const (
 	PermitQueued  PermitStage = "queued"
 	PermitGranted PermitStage = "granted" // its holder may begin; until it does, the permit can be withdrawn
-	PermitBegun   PermitStage = "begun"   // its holder goes out of service; never withdrawn, counts until it is up again
+	PermitBegun   PermitStage = "begun"   // its holder goes out of service; never withdrawn
 	PermitEnded   PermitStage = "ended"
 )
 
@@ -155,8 +156,8 @@
 	case permit.Stage != PermitGranted:
 		return refused("permit %d is %s", command.PermitID, permit.Stage)
 	}
-	// After each command, Apply withdraws permits that are halted, have expired or exceed a budget. A permit that is
-	// still granted may therefore begin.
+	// After every command, granted permits have been withdrawn if there is a halt, if they have expired or if a budget
+	// is exceeded. A permit that is still granted may therefore begin.
 	permit.Stage = PermitBegun
 	permit.StageSince = s.Now
 	return Reply{OK: true, PermitID: permit.ID}
@@ -197,7 +198,8 @@
 	}
 }
 
-// permitsByID returns the permits in the order of their IDs, so that all coordinators iterate over them in the same order.
+// permitsByID returns the permits in the order of their IDs, so that every coordinator iterates over them in the same
+// order.
 func (s *State) permitsByID() []*Permit {
 	permits := make([]*Permit, 0, len(s.Permits))
 	for _, id := range slices.Sorted(maps.Keys(s.Permits)) {
--- a/internal/coordination/rollout.go
+++ b/internal/coordination/rollout.go
@@ -23,7 +23,7 @@
 	Pause               time.Duration `json:"Pause"`  // minimum time between the end of a wave and the next one
 	AnalysisRequired    bool          `json:"Judged"` // a wave waits for its verdict; otherwise for the pause alone
 	RollbackWavesAtOnce float64       `json:"Faster"` // waves that are rolled back at the same time
-	MaxAttempts         int           `json:"Tries"`  // failed permits of a member after which the rollout waits for an operator
+	MaxAttempts         int           `json:"Tries"`  // failed permits of a member before waiting for an operator
 }
 
 // RolloutPhase is the phase of a rollout. Its values are stored.
@@ -50,24 +50,25 @@
 	Phase       RolloutPhase  `json:"Phase"`
 	Wave        int           `json:"Wave"` // from 0; during a rollback the last wave that is not rolled back yet
 	PhaseSince  time.Duration `json:"Since"`
-	WaveMembers [][]Name      `json:"Of"` // by wave, assigned at the start; hides RolloutPlan.Selector when stored
+	WaveMembers [][]Name      `json:"Of"` // by wave, set at the start; hides RolloutPlan.Selector when stored
 	WaitReason  string        `json:"Waits"`
-	Analyzed    bool          `json:"Judged"` // the current wave has passed; hides RolloutPlan.AnalysisRequired when stored
+	Analyzed    bool          `json:"Judged"` // the wave has passed; hides RolloutPlan.AnalysisRequired when stored
 	Reason      string        `json:"Why"`    // reason of the failed verdict or of the rollback
 }
 
-// AppliesTo reports whether the rollout applies to a member. A selector that names a release is compared with the
-// member's current release.
+// AppliesTo reports whether the rollout's selector matches a member, whether or not the member already runs the target
+// release.
 func (r *Rollout) AppliesTo(observation Observation) bool {
 	return r.Selector.matches(observation)
 }
 
-// InProgress reports whether the rollout has neither completed nor been rolled back. It is false for nil.
+// InProgress reports whether the rollout has neither completed nor been rolled back. It may be called on nil.
 func (r *Rollout) InProgress() bool {
 	return r != nil && (r.Phase == RolloutUpdating || r.Phase == RolloutAnalyzing || r.Phase == RolloutRollingBack)
 }
 
-// enterPhase changes the phase and records when. It is also called with the same phase for another wave.
+// enterPhase changes the phase and records the time of the change. It is also called with the same phase for another
+// wave.
 func (r *Rollout) enterPhase(phase RolloutPhase, now time.Duration) {
 	r.Phase = phase
 	r.PhaseSince = now
--- a/internal/coordination/rollout_test.go
+++ b/internal/coordination/rollout_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// A rollout in waves: one member, a zone, the rest; each wave is analyzed. A failed verdict halts it: nothing begins
-// any more. The rollback brings all back that went, several waves at a time, under the same budget.
+// Runs a rollout in three waves: one member, one zone and the remaining members. Each wave is analyzed. A failed
+// verdict halts the rollout, so no further permit begins. The rollback returns all updated members to their previous
+// release, several waves at a time, under the same budget.
 func Example_rollout() {
 	f := newFleet(6, []string{"a", "b"}, oneAtATime)
 	plan := &RolloutPlan{
@@ -50,8 +51,8 @@
 	// [n1 n3 n5 n2 n0] back <nil>
 }
 
-// A rollout that can't go on tells what it waits for: a member that comes back on its old release, one that does not
-// come back.
+// A stalled rollout reports what it waits for: a member that returned on its old release, or a member that has not
+// returned.
 func Example_stalledRollout() {
 	f := newFleet(2, []string{"a"}, oneAtATime)
 	f.apply(Command{Kind: KindStartRollout, Plan: &RolloutPlan{Name: "r", TargetRelease: "2", MaxAttempts: 2}})
@@ -63,7 +64,7 @@
 	f.advanceTime(2 * time.Minute)
 	fmt.Println(f.Rollout.WaitReason)
 	f.observeInstance(0, 2, MemberUp, "2", "a")
-	f.observeInstance(0, 1, MemberGone, "1", "a") // late, of the earlier incarnation
+	f.observeInstance(0, 1, MemberGone, "1", "a") // late observation of the earlier incarnation
 	fmt.Println(f.Members["n0"].State == MemberUp, f.Members["n0"].Release)
 	// Output:
 	// [n0 n1 n0 n1] n0 came back 2 times on 1
--- a/internal/coordination/state.go
+++ b/internal/coordination/state.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// State is the state on which the coordinators agree. Its fields may be read for display, but only Apply may change them.
-// It is not safe for concurrent use: its owner must serialize the calls.
+// State is the state on which the coordinators agree. Its fields may be read for display, but only Apply may change
+// them. It is not safe for concurrent use: its owner must serialize the calls.
 type State struct {
 	Config         Config               `json:"Told"`
 	Now            time.Duration        `json:"Now"`    // fleet time: the total time during which there was a leader
--- a/internal/fleet/coordinator/client/golden_values_test.go
+++ b/internal/fleet/coordinator/client/golden_values_test.go
@@ -30,18 +30,18 @@
 		State:       coordination.MemberLeaving,
 	}
 	goldenPermit = coordination.Permit{
-		ID:           42,
-		Member:       "n1",
-		Incarnation:  1_700_000_000_001,
-		RequestedBy:  "operator",
-		Purpose:      "drain",
-		Stage:        coordination.PermitBegun,
-		RequestedAt:  50 * time.Second,
-		StageSince:   60 * time.Second,
-		BeginTimeout: 30 * time.Second,
-		TimesOvertaken:    4,
-		WaitReason:   "halted",
-		Outcome:      "back",
+		ID:             42,
+		Member:         "n1",
+		Incarnation:    1_700_000_000_001,
+		RequestedBy:    "operator",
+		Purpose:        "drain",
+		Stage:          coordination.PermitBegun,
+		RequestedAt:    50 * time.Second,
+		StageSince:     60 * time.Second,
+		BeginTimeout:   30 * time.Second,
+		TimesOvertaken: 4,
+		WaitReason:     "halted",
+		Outcome:        "back",
 	}
 	goldenReply = coordination.Reply{
 		OK: true, Reason: "a reason", PermitID: 42, PermitIDs: []coordination.PermitID{42, 43}}
