--- a/internal/coordination/converge.go
+++ b/internal/coordination/converge.go
@@ -7,7 +7,7 @@
 
 // recordFailedAttempt increments the member's FailedAttempts if it returned from a permit of the rollout on a
 // release other than the desired one. A permit to update that ends during the rollback does not count: the member did
-// what that permit was requested for.
+// what the permit required.
 func (s *State) recordFailedAttempt(member *Member, permit *Permit) {
 	rollout := s.Rollout
 	if !rollout.InProgress() || permit.Purpose != rollout.permitPurpose() {
@@ -123,8 +123,8 @@
 	return converged
 }
 
-// convergeMember requests a permit for a member that needs one. It returns what the rollout waits for, or an empty
-// string if the member is up and on its desired release.
+// convergeMember requests a permit for a member that needs one. It returns the reason why the rollout waits for the
+// member, or an empty string if the member is up and on its desired release.
 func (s *State) convergeMember(member *Member) string {
 	if permit := s.Permits[member.PermitID]; permit != nil {
 		return s.permitWaitReason(permit)
@@ -145,7 +145,7 @@
 	return fmt.Sprintf("%s: permit %d is queued", member.Name, reply.PermitID)
 }
 
-// permitWaitReason returns what the rollout waits for at a member that has a permit.
+// permitWaitReason returns the reason why the rollout waits for a member that has a permit.
 func (s *State) permitWaitReason(permit *Permit) string {
 	unavailableFor := s.Now - permit.StageSince
 	switch {
--- a/internal/coordination/permit.go
+++ b/internal/coordination/permit.go
@@ -29,7 +29,7 @@
 
 // The purposes that determine how a permit and its member are handled.
 const (
-	PurposeDrain    PermitPurpose = "drain"   // the member stays out until its operator starts it
+	PurposeDrain    PermitPurpose = "drain"   // the member stays out of service until its operator starts it
 	PurposeRollout  PermitPurpose = "release" // the member returns on the rollout's release
 	PurposeRollback PermitPurpose = "back"    // the member returns on its previous release
 )
@@ -46,7 +46,7 @@
 	StageSince     time.Duration          `json:"At"`     // fleet time
 	BeginTimeout   time.Duration          `json:"Span"`   // maximum time from being granted to being begun
 	TimesOvertaken int                    `json:"Passed"` // number of later requests that were granted before it
-	WaitReason     string                 `json:"Waits"`  // what it waited for when it was last checked
+	WaitReason     string                 `json:"Waits"`  // the reason for waiting at the last check
 	Outcome        string                 `json:"Outcome"`
 }
 
--- a/internal/coordination/rollout.go
+++ b/internal/coordination/rollout.go
@@ -62,7 +62,8 @@
 	return r.Selector.matches(observation)
 }
 
-// InProgress reports whether the rollout has neither completed nor been rolled back. It may be called on nil.
+// InProgress reports whether there is a rollout that has neither completed nor been rolled back. It may be called on
+// nil.
 func (r *Rollout) InProgress() bool {
 	return r != nil && (r.Phase == RolloutUpdating || r.Phase == RolloutAnalyzing || r.Phase == RolloutRollingBack)
 }
