--- a/internal/fleet/allocator/server.go
+++ b/internal/fleet/allocator/server.go
@@ -75,7 +75,7 @@
 func (s *Server) Serve() {
 	stopped := make(chan struct{})
 	defer close(stopped)
-	s.Post(s.logCommitted)
+	s.Post(s.logLeasedCalls)
 	go s.probeService(stopped)
 	s.Run(func() {})
 }
@@ -84,8 +84,8 @@
 // connection may take its time.
 func (s *Server) probeService(stopped <-chan struct{}) {
 	for {
-		up := s.canConnect()
-		s.Post(func() { s.setServiceUp(up) })
+		isUp := s.canConnect()
+		s.Post(func() { s.setServiceUp(isUp) })
 		select {
 		case <-stopped:
 			return
@@ -104,20 +104,20 @@
 	return true
 }
 
-func (s *Server) setServiceUp(up bool) {
-	if up == s.serviceUp {
+func (s *Server) setServiceUp(isUp bool) {
+	if isUp == s.serviceUp {
 		return
 	}
-	s.serviceUp = up
-	if up {
+	s.serviceUp = isUp
+	if isUp {
 		slog.Info("upstream reachable", "addr", s.serviceAddr)
 	} else {
 		slog.Info("upstream unreachable", "addr", s.serviceAddr)
 	}
 }
 
-// logCommitted logs how many calls are leased where that has changed by much, or to none.
-func (s *Server) logCommitted() {
+// logLeasedCalls logs how many calls are leased where that has changed by much, or to none.
+func (s *Server) logLeasedCalls() {
 	calls, holders := s.allocator.Committed(s.Now())
 	step := max(4, s.config.Capacity/4)
 	change := max(calls-s.loggedCalls, s.loggedCalls-calls)
@@ -126,7 +126,7 @@
 		slog.Info("leases granted", "calls", calls, "leasable", s.config.LeasableCalls(), "holders", holders,
 			"renew_only", s.allocator.RenewOnly(s.Now()))
 	}
-	s.ScheduleAt(s.Now()+logInterval, s.logCommitted)
+	s.ScheduleAt(s.Now()+logInterval, s.logLeasedCalls)
 }
 
 // Status implements gossip.Process.
@@ -168,13 +168,13 @@
 	s.draining = true
 	slog.Info("draining", "grace", timeout)
 	s.agent.Drain(timeout)
-	s.awaitAgent(s.Now() + timeout + leaveGrace)
+	s.waitForAgentDrain(s.Now() + timeout + leaveGrace)
 }
 
-func (s *Server) awaitAgent(deadline time.Duration) {
+func (s *Server) waitForAgentDrain(deadline time.Duration) {
 	if s.agent.Drained() || s.Now() >= deadline {
 		s.Quit()
 		return
 	}
-	s.ScheduleAt(s.Now()+leavePollInterval, func() { s.awaitAgent(deadline) })
+	s.ScheduleAt(s.Now()+leavePollInterval, func() { s.waitForAgentDrain(deadline) })
 }
--- a/internal/fleet/allocator/server_test.go
+++ b/internal/fleet/allocator/server_test.go
@@ -23,17 +23,17 @@
 		server.Serve()
 		close(done)
 	}()
-	awaitReady(t, server, true)
+	waitForReady(t, server, true)
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
-	awaitReady(t, server, false)
+	waitForReady(t, server, false)
 	server.Post(server.Quit)
 	<-done
 }
 
-// awaitReady waits until a server reports that it is ready, or that it is not.
-func awaitReady(t *testing.T, server *Server, want bool) {
+// waitForReady waits until a server reports that it is ready, or that it is not.
+func waitForReady(t *testing.T, server *Server, want bool) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		ready := make(chan bool, 1)
--- a/internal/fleet/coordinator/analysis.go
+++ b/internal/fleet/coordinator/analysis.go
@@ -84,8 +84,8 @@
 	totalSeconds := 0.0
 	for _, member := range group {
 		earlier, later := previous[member.Name], current[member.Name]
-		isSame := earlier.incarnation == later.incarnation && earlier.incarnation != 0
-		if !isSame || later.Finished < earlier.Finished {
+		sameIncarnation := earlier.incarnation == later.incarnation && earlier.incarnation != 0
+		if !sameIncarnation || later.Finished < earlier.Finished {
 			continue
 		}
 		sample.Requests += later.Finished - earlier.Finished
@@ -110,7 +110,7 @@
 		return
 	}
 	previous, current := analysis.nextWindow()
-	groups := c.groupMembers(rollout)
+	groups := c.groupByRelease(rollout)
 	sample := sampleBetween(previous, current, groups.canary)
 	sample.Crashes = groups.crashes
 	analysis.analysis.Add(sample, sampleBetween(previous, current, groups.baseline))
@@ -126,7 +126,7 @@
 	crashes  int // members of canary that have come back since the window before without a permit
 }
 
-func (c *Coordinator) groupMembers(rollout *coordination.Rollout) releaseGroups {
+func (c *Coordinator) groupByRelease(rollout *coordination.Rollout) releaseGroups {
 	lead := c.leadership
 	var groups releaseGroups
 	for _, name := range slices.Sorted(maps.Keys(lead.reported)) {
@@ -139,8 +139,8 @@
 			continue
 		}
 		groups.canary = append(groups.canary, member)
-		before := lead.canaryIncarnations[name]
-		if before != 0 && member.Incarnation != before && !c.hadPermit(name) {
+		previousIncarnation := lead.canaryIncarnations[name]
+		if previousIncarnation != 0 && member.Incarnation != previousIncarnation && !c.hadRecentPermit(name) {
 			groups.crashes++
 		}
 		lead.canaryIncarnations[name] = member.Incarnation
@@ -162,8 +162,8 @@
 
 // proposeVerdict has a verdict agreed on. A wave can fail at any time, and passes only once it is updated whole.
 func (c *Coordinator) proposeVerdict(rollout *coordination.Rollout, result canary.Result) {
-	isWhole := rollout.Phase == coordination.RolloutAnalyzing
-	if result.Verdict == canary.Inconclusive || result.Verdict == canary.Passed && !isWhole {
+	waveUpdated := rollout.Phase == coordination.RolloutAnalyzing
+	if result.Verdict == canary.Inconclusive || result.Verdict == canary.Passed && !waveUpdated {
 		return
 	}
 	reply, err := c.propose(coordination.Command{
@@ -182,8 +182,8 @@
 	c.leadership.analysis.wave = waveKey{}
 }
 
-// hadPermit tells whether a member has a permit or had one a short time ago.
-func (c *Coordinator) hadPermit(name coordination.Name) (had bool) {
+// hadRecentPermit tells whether a member has a permit or had one a short time ago.
+func (c *Coordinator) hadRecentPermit(name coordination.Name) (had bool) {
 	c.replica.inspect(func(state *coordination.State) {
 		member := state.Members[name]
 		had = member != nil && member.PermitID > 0
--- a/internal/fleet/coordinator/client/handshake.go
+++ b/internal/fleet/coordinator/client/handshake.go
@@ -64,8 +64,8 @@
 	return append(slices.Concat(listenerNonce, dialerNonce), byte(kind))
 }
 
-// keyOf is the key that a MAC was made with, nil if with none of them.
-func keyOf(keys []membership.Key, mac []byte, from side, transcript []byte) membership.Key {
+// findKey is the key that a MAC was made with, nil if with none of them.
+func findKey(keys []membership.Key, mac []byte, from side, transcript []byte) membership.Key {
 	for _, key := range keys {
 		if hmac.Equal(mac, handshakeMAC(key, from, transcript)) {
 			return key
@@ -107,7 +107,7 @@
 	if _, err := io.ReadFull(conn, mac); err != nil {
 		return ErrUnauthenticated // a listener that refuses our key closes
 	}
-	if keyOf(keys, mac, listenerSide, signed) == nil {
+	if findKey(keys, mac, listenerSide, signed) == nil {
 		return ErrUnauthenticated
 	}
 	return conn.SetDeadline(time.Time{})
@@ -136,7 +136,7 @@
 	}
 	kind := ConnectionKind(proof[0])
 	signed := transcript(listenerNonce, dialerNonce, kind)
-	key := keyOf(keys, proof[1:], dialerSide, signed)
+	key := findKey(keys, proof[1:], dialerSide, signed)
 	if key == nil {
 		return 0, ErrUnauthenticated
 	}
--- a/internal/fleet/coordinator/client/handshake_test.go
+++ b/internal/fleet/coordinator/client/handshake_test.go
@@ -16,26 +16,26 @@
 // documentedListener proves the key as a coordinator does, written out: 16 bytes of each side's, the kind, and
 // HMAC-SHA256 over a side's letter, the listener's bytes, the dialer's bytes and the kind.
 func documentedListener(conn net.Conn, key []byte) (kind byte, err error) {
-	own := []byte("listener's bytes")
-	theirs := make([]byte, 16)
-	if _, err := io.ReadFull(conn, theirs); err != nil {
+	ownNonce := []byte("listener's bytes")
+	peerNonce := make([]byte, 16)
+	if _, err := io.ReadFull(conn, peerNonce); err != nil {
 		return 0, err
 	}
-	if _, err := conn.Write(own); err != nil {
+	if _, err := conn.Write(ownNonce); err != nil {
 		return 0, err
 	}
 	proof := make([]byte, 33)
 	if _, err := io.ReadFull(conn, proof); err != nil {
 		return 0, err
 	}
-	if !hmac.Equal(proof[1:], mac(key, "d"+string(own)+string(theirs)+string(proof[:1]))) {
+	if !hmac.Equal(proof[1:], documentedMAC(key, "d"+string(ownNonce)+string(peerNonce)+string(proof[:1]))) {
 		return 0, errors.New("a proof by other steps")
 	}
-	_, err = conn.Write(mac(key, "l"+string(own)+string(theirs)+string(proof[:1])))
+	_, err = conn.Write(documentedMAC(key, "l"+string(ownNonce)+string(peerNonce)+string(proof[:1])))
 	return proof[0], err
 }
 
-func mac(key []byte, text string) []byte {
+func documentedMAC(key []byte, text string) []byte {
 	h := hmac.New(sha256.New, key)
 	h.Write([]byte(text))
 	return h.Sum(nil)
@@ -70,19 +70,19 @@
 		}
 		done <- err
 	}()
-	own, theirs := []byte("dialer's bytes.."), make([]byte, 16)
-	if _, err := dialer.Write(own); err != nil {
+	ownNonce, peerNonce := []byte("dialer's bytes.."), make([]byte, 16)
+	if _, err := dialer.Write(ownNonce); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.ReadFull(dialer, theirs); err != nil {
+	if _, err := io.ReadFull(dialer, peerNonce); err != nil {
 		t.Fatal(err)
 	}
-	both := string(theirs) + string(own) + string(byte(kind))
-	if _, err := dialer.Write(append([]byte{byte(kind)}, mac(clusterKey, "d"+both)...)); err != nil {
+	transcript := string(peerNonce) + string(ownNonce) + string(byte(kind))
+	if _, err := dialer.Write(append([]byte{byte(kind)}, documentedMAC(clusterKey, "d"+transcript)...)); err != nil {
 		t.Fatal(err)
 	}
 	proof := make([]byte, 32)
-	if _, err := io.ReadFull(dialer, proof); err != nil || !hmac.Equal(proof, mac(clusterKey, "l"+both)) {
+	if _, err := io.ReadFull(dialer, proof); err != nil || !hmac.Equal(proof, documentedMAC(clusterKey, "l"+transcript)) {
 		t.Error("a proof by other steps", err)
 	}
 	if err := <-done; err != nil {
--- a/internal/fleet/coordinator/client/messages_test.go
+++ b/internal/fleet/coordinator/client/messages_test.go
@@ -116,15 +116,15 @@
 	if ErrNoQuorum.Error() != "no majority of stewards" { // a client decides by it
 		t.Error(ErrNoQuorum)
 	}
-	for _, test := range []struct{ told, want error }{
+	for _, test := range []struct{ sent, want error }{
 		{ErrNoQuorum, ErrNoQuorum},
 		{fmt.Errorf("%w: leadership lost", ErrNoQuorum), ErrNoQuorum},
 		{errors.New("no coordinator \"s9\""), RemoteError("no coordinator \"s9\"")},
 	} {
 		var response Response
-		response.SetErr(test.told)
+		response.SetErr(test.sent)
 		if got := response.Err(); got != test.want { //nolint:errorlint // the very value, not one that wraps it
-			t.Errorf("%v told as %q, read as %v", test.told, response.Error, got)
+			t.Errorf("%v told as %q, read as %v", test.sent, response.Error, got)
 		}
 	}
 	if err := (Response{}).Err(); err != nil {
--- a/internal/fleet/coordinator/coordinator.go
+++ b/internal/fleet/coordinator/coordinator.go
@@ -28,7 +28,7 @@
 	// NotifyPermit tells an incarnation of a member that it holds a permit, or that the one it holds has begun.
 	NotifyPermit(name membership.Name, incarnation membership.Incarnation, permitID uint64, begun bool)
 	// QueryStats asks a member what it has done since its start; then may never be called, or on any goroutine.
-	QueryStats(name membership.Name, then func(gossip.RequestStats))
+	QueryStats(name membership.Name, callback func(gossip.RequestStats))
 }
 
 // Coordinator is one of the processes that hold what is agreed. Its exported methods may be called from any goroutine.
@@ -109,8 +109,8 @@
 	return isLeader
 }
 
-// takesCommands tells whether this coordinator leads and is not about to end.
-func (c *Coordinator) takesCommands() bool { return c.IsLeader() && !c.shuttingDown.Load() }
+// acceptsCommands tells whether this coordinator leads and is not about to end.
+func (c *Coordinator) acceptsCommands() bool { return c.IsLeader() && !c.shuttingDown.Load() }
 
 // propose has a command agreed on. It blocks, and returns an error that is client.ErrNoQuorum where that fails: the
 // command may have been agreed on all the same.
@@ -127,10 +127,10 @@
 // BeginPermit has it agreed that a member begins its permit. It returns at once; begun is called on a goroutine of
 // its own once that is agreed, and never if it is refused or this coordinator does not lead.
 func (c *Coordinator) BeginPermit(
-	name membership.Name, incarnation membership.Incarnation, permitID uint64, begun func(),
+	name membership.Name, incarnation membership.Incarnation, permitID uint64, onBegun func(),
 ) {
 	go func() {
-		if !c.takesCommands() {
+		if !c.acceptsCommands() {
 			return
 		}
 		reply, err := c.propose(coordination.Command{
@@ -143,7 +143,7 @@
 		switch {
 		case err != nil: // the member asks again
 		case reply.OK:
-			begun()
+			onBegun()
 		default:
 			slog.Info("permit refused", "permit", permitID, "member", string(name), "reason", reply.Reason)
 		}
--- a/internal/fleet/coordinator/disk_test.go
+++ b/internal/fleet/coordinator/disk_test.go
@@ -35,11 +35,11 @@
 // what was agreed holds, and one whose folder was wiped joins as another. A snapshot that was cut short is an error,
 // and is not used; where that leaves no majority, the one that has the state goes on alone when it is configured to,
 // and the others join it anew.
-func Example_disks() {
+func Example_recoveryFromDisk() {
 	f := newTestFleet(3, 3)
 	defer f.close()
 	f.leader(3, 3)
-	f.propose(oneAtATime)
+	f.propose(setBudgetOfOne)
 	f.propose(coordination.Command{Kind: coordination.KindRequestPermit, Member: "n0"})
 	for range 200 { // past two snapshots
 		f.propose(coordination.Command{Kind: coordination.KindCancelPermit, PermitID: 99})
@@ -83,11 +83,11 @@
 
 // A log whose last write was cut at any byte opens, with all that was whole. A folder that is not ours is an error,
 // and nothing in it is overwritten.
-func TestTorn(t *testing.T) {
+func TestTornLog(t *testing.T) {
 	f := newTestFleet(1, 1)
 	defer f.close()
 	f.leader(1, 1)
-	f.propose(oneAtATime)
+	f.propose(setBudgetOfOne)
 	for n := range 5 {
 		f.propose(coordination.Command{Kind: coordination.KindCancelPermit, PermitID: coordination.PermitID(n)})
 	}
@@ -114,19 +114,19 @@
 		f.kill(0)
 		must(os.WriteFile(path, whole, 0o600))
 	}
-	checkFolderError := func(problem string) {
+	checkDataDirError := func(problem string) {
 		t.Helper()
 		_, err := New(f.configs[0])
-		var folderError *DataDirError
-		if !errors.As(err, &folderError) || !strings.Contains(err.Error(), problem) {
+		var dirError *DataDirError
+		if !errors.As(err, &dirError) || !strings.Contains(err.Error(), problem) {
 			t.Fatal(err)
 		}
 	}
-	folderID := filepath.Join(folder, "life")
-	must(os.WriteFile(folderID, []byte("?"), 0o600))
-	checkFolderError("is damaged")
-	must(os.Remove(folderID))
-	checkFolderError("is missing beside a log")
+	idPath := filepath.Join(folder, "life")
+	must(os.WriteFile(idPath, []byte("?"), 0o600))
+	checkDataDirError("is damaged")
+	must(os.Remove(idPath))
+	checkDataDirError("is missing beside a log")
 	if now := fake.Must(os.ReadFile(path)); !slices.Equal(now, whole) {
 		t.Error("the log was overwritten")
 	}
--- a/internal/fleet/coordinator/fleet_test.go
+++ b/internal/fleet/coordinator/fleet_test.go
@@ -200,7 +200,7 @@
 	return leader
 }
 
-var oneAtATime = coordination.Command{
+var setBudgetOfOne = coordination.Command{
 	Kind: coordination.KindSetBudgets,
 	Budgets: []coordination.DisruptionBudget{{
 		Name: "one", MaxUnavailable: 1, Selector: coordination.Selector{Role: "instance"}}},
--- a/internal/fleet/coordinator/golden_test.go
+++ b/internal/fleet/coordinator/golden_test.go
@@ -86,13 +86,13 @@
 	folder := t.TempDir()
 	unpack(t, goldenFolder, folder)
 	checkGoldenFiles(t, folder, before)
-	folderID := string(fake.Must(os.ReadFile(filepath.Join(folder, "life"))))
+	dataDirID := string(fake.Must(os.ReadFile(filepath.Join(folder, "life"))))
 
 	coordinator := startGolden(folder)
 	defer stopGolden(coordinator)
 	replica := coordinator.replica
-	if replica.id != raft.ServerID("s0."+folderID) {
-		t.Errorf("it is %s, want s0.%s", replica.id, folderID)
+	if replica.id != raft.ServerID("s0."+dataDirID) {
+		t.Errorf("it is %s, want s0.%s", replica.id, dataDirID)
 	}
 	checkGoldenLog(t, replica, slices.Concat(before, after))
 	replica.inspect(func(state *coordination.State) {
--- a/internal/fleet/coordinator/leader.go
+++ b/internal/fleet/coordinator/leader.go
@@ -202,12 +202,12 @@
 	current := observeView(view)
 	var changed []coordination.Observation
 	for _, name := range slices.Sorted(maps.Keys(current)) {
-		if previous, known := lead.reported[name]; !known || previous != current[name] {
+		if previous, wasReported := lead.reported[name]; !wasReported || previous != current[name] {
 			changed = append(changed, current[name])
 		}
 	}
 	for name, previous := range lead.reported { // the membership has forgotten one that was gone for long
-		if _, known := current[name]; !known && previous.State != coordination.MemberGone {
+		if _, isCurrent := current[name]; !isCurrent && previous.State != coordination.MemberGone {
 			previous.State = coordination.MemberGone
 			changed = append(changed, previous)
 			current[name] = previous
--- a/internal/fleet/coordinator/linearizable_test.go
+++ b/internal/fleet/coordinator/linearizable_test.go
@@ -51,10 +51,10 @@
 			}},
 		})
 	}
-	start.Apply(oneAtATime)
-	first := string(fake.Must(json.Marshal(start)))
+	start.Apply(setBudgetOfOne)
+	initialState := string(fake.Must(json.Marshal(start)))
 	return porcupine.Model{
-		Init: func() any { return first },
+		Init: func() any { return initialState },
 		Step: func(stored, input, output any) (bool, any) {
 			state := &coordination.State{}
 			if err := json.Unmarshal([]byte(stored.(string)), state); err != nil {
@@ -76,7 +76,7 @@
 	f := newTestFleet(3, 3)
 	defer f.close()
 	f.leader(3, 3)
-	f.propose(oneAtATime)
+	f.propose(setBudgetOfOne)
 	fake.WaitFor("all to be known", func() bool { return f.coordinators[f.leader(3, 3)].status().MemberCount == 4 })
 	var mu sync.Mutex
 	var history []porcupine.Operation
--- a/internal/fleet/coordinator/raftlog.go
+++ b/internal/fleet/coordinator/raftlog.go
@@ -18,10 +18,10 @@
 
 // raftLogWriter enters raft's lines into our log, and only so many a second: raft repeats itself while a peer is down.
 type raftLogWriter struct {
-	mu          sync.Mutex
-	windowStart time.Time // guarded by mu
-	written     int       // guarded by mu: lines in the window
-	suppressed  int       // guarded by mu: lines in the window
+	mu              sync.Mutex
+	windowStart     time.Time // guarded by mu
+	writtenLines    int       // guarded by mu: lines in the window
+	suppressedLines int       // guarded by mu: lines in the window
 }
 
 // Write takes one line and never fails.
@@ -29,16 +29,16 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if time.Since(w.windowStart) > time.Second {
-		if w.suppressed > 0 {
-			slog.Info("raft lines dropped", "count", w.suppressed)
+		if w.suppressedLines > 0 {
+			slog.Info("raft lines dropped", "count", w.suppressedLines)
 		}
 		w.windowStart = time.Now()
-		w.written = 0
-		w.suppressed = 0
+		w.writtenLines = 0
+		w.suppressedLines = 0
 	}
-	w.written++
-	if w.written > maxRaftLinesPerSecond {
-		w.suppressed++
+	w.writtenLines++
+	if w.writtenLines > maxRaftLinesPerSecond {
+		w.suppressedLines++
 		return len(line), nil
 	}
 	text := levelPrefix.ReplaceAllString(strings.TrimSpace(string(line)), "")
--- a/internal/fleet/coordinator/replica.go
+++ b/internal/fleet/coordinator/replica.go
@@ -22,10 +22,10 @@
 )
 
 const (
-	keptSnapshots     = 2
-	snapshotInterval  = 10 * time.Second // between two looks at whether one is due
-	pooledConnections = 3                // kept open to each peer
-	peerTimeout       = 2 * time.Second  // of one call to a peer, snapshots aside
+	retainedSnapshots    = 2
+	snapshotInterval     = 10 * time.Second // between two looks at whether one is due
+	maxPooledConnections = 3                // kept open to each peer
+	peerTimeout          = 2 * time.Second  // of one call to a peer, snapshots aside
 )
 
 // errUnknownCoordinator is that no voter has the name.
@@ -79,11 +79,11 @@
 	if r.wal, err = wal.Open(dir, wal.WithMetaStore(r.metaStore)); err != nil {
 		return fmt.Errorf("the log in %s: %w", dir, err)
 	}
-	if r.snapshots, err = raft.NewFileSnapshotStoreWithLogger(dir, keptSnapshots, logger); err != nil {
+	if r.snapshots, err = raft.NewFileSnapshotStoreWithLogger(dir, retainedSnapshots, logger); err != nil {
 		return err
 	}
 	r.transport = &drainingTransport{
-		NetworkTransport: raft.NewNetworkTransportWithLogger(streamLayer, pooledConnections, peerTimeout, logger),
+		NetworkTransport: raft.NewNetworkTransportWithLogger(streamLayer, maxPooledConnections, peerTimeout, logger),
 	}
 	raftConfig := newRaftConfig(r.config, r.id, logger)
 	if r.config.Bootstrap {
@@ -120,8 +120,8 @@
 	return raftConfig
 }
 
-// alone is a configuration of this coordinator and no other.
-func (r *replica) alone() raft.Configuration {
+// singleVoterConfiguration is a configuration of this coordinator and no other.
+func (r *replica) singleVoterConfiguration() raft.Configuration {
 	return raft.Configuration{Servers: []raft.Server{{
 		ID:      r.id,
 		Address: raft.ServerAddress(r.config.AdvertiseAddr),
@@ -139,13 +139,13 @@
 		slog.Info("bootstrap skipped", "reason", "existing state")
 		return nil
 	}
-	return raft.BootstrapCluster(raftConfig, r.wal, r.wal, r.snapshots, r.transport, r.alone())
+	return raft.BootstrapCluster(raftConfig, r.wal, r.wal, r.snapshots, r.transport, r.singleVoterConfiguration())
 }
 
 // forceNewCluster makes this coordinator the only voter of the state that it has.
 func (r *replica) forceNewCluster(raftConfig *raft.Config) error {
 	slog.Warn("forcing new cluster", "id", string(r.id))
-	err := raft.RecoverCluster(raftConfig, (*stateMachine)(r), r.wal, r.wal, r.snapshots, r.transport, r.alone())
+	err := raft.RecoverCluster(raftConfig, (*stateMachine)(r), r.wal, r.wal, r.snapshots, r.transport, r.singleVoterConfiguration())
 	if err != nil {
 		return fmt.Errorf("the state in %s: %w", r.config.DataDir, err)
 	}
--- a/internal/fleet/coordinator/requests.go
+++ b/internal/fleet/coordinator/requests.go
@@ -11,14 +11,14 @@
 	"lanewheel/internal/fleet/coordinator/client"
 )
 
-// handle answers a request. Any coordinator shows what it knows; the leader alone takes commands, others name it.
-func (c *Coordinator) handle(request client.Request) client.Response {
+// handleRequest answers a request. Any coordinator shows what it knows; the leader alone takes commands, others name it.
+func (c *Coordinator) handleRequest(request client.Request) client.Response {
 	switch {
 	case request.Status:
 		return client.Response{Status: c.status()}
 	case request.History:
 		return c.history()
-	case !c.takesCommands():
+	case !c.acceptsCommands():
 		return c.redirect()
 	}
 	var response client.Response
@@ -81,12 +81,12 @@
 			status.Coordinators[string(server.ID)] = string(server.Address)
 		}
 	}
-	c.replica.inspect(func(state *coordination.State) { showState(state, status) })
+	c.replica.inspect(func(state *coordination.State) { copyState(state, status) })
 	return status
 }
 
-// showState copies into a status what it shows of the state.
-func showState(state *coordination.State, status *client.Status) {
+// copyState copies into a status what it shows of the state.
+func copyState(state *coordination.State, status *client.Status) {
 	status.FleetTime = state.Now.Round(time.Millisecond).String()
 	status.MemberCount = len(state.Members)
 	if state.Halt != nil {
--- a/internal/fleet/coordinator/restart.go
+++ b/internal/fleet/coordinator/restart.go
@@ -24,7 +24,7 @@
 // restartState is how far the operator's command is for one permit.
 type restartState struct {
 	running     atomic.Bool
-	done        atomic.Bool // it went well
+	succeeded   atomic.Bool // it went well
 	attempts    int         // owned by leadLoop
 	nextAttempt time.Time   // owned by leadLoop
 }
@@ -37,14 +37,14 @@
 // scheduleRestart runs the operator's command for a member that is out, again and later each time while it fails: a
 // member that has left the fleet and not ended yet can't be started, and would stay out for ever.
 func (c *Coordinator) scheduleRestart(restart *restartState, permit coordination.Permit, release string) {
-	if restart.running.Load() || restart.done.Load() || time.Now().Before(restart.nextAttempt) {
+	if restart.running.Load() || restart.succeeded.Load() || time.Now().Before(restart.nextAttempt) {
 		return
 	}
 	restart.attempts++
 	restart.nextAttempt = time.Now().Add(restartBackoff(restart.attempts))
 	restart.running.Store(true)
 	go func() {
-		restart.done.Store(c.runRestartCommand(permit, release))
+		restart.succeeded.Store(c.runRestartCommand(permit, release))
 		restart.running.Store(false)
 	}()
 }
--- a/internal/fleet/coordinator/serverid.go
+++ b/internal/fleet/coordinator/serverid.go
@@ -32,15 +32,15 @@
 func (e *DataDirError) Unwrap() error { return e.Err }
 
 const (
-	folderIDFile = "life" // in the folder
-	folderIDSize = 4      // bytes, stored as hex digits
+	dataDirIDFile = "life" // in the folder
+	dataDirIDSize = 4      // bytes, stored as hex digits
 )
 
 // loadServerID returns the coordinator's name with a part that is drawn once for its folder. A coordinator whose disk
 // was wiped has forgotten its vote, and could vote a second time in one election: with its new folder it is another
 // server, which the leader adds in place of the lost one.
 func loadServerID(config Config) (raft.ServerID, error) {
-	path := filepath.Join(config.DataDir, folderIDFile)
+	path := filepath.Join(config.DataDir, dataDirIDFile)
 	stored, err := os.ReadFile(path)
 	switch {
 	case errors.Is(err, os.ErrNotExist):
@@ -48,11 +48,11 @@
 	case err != nil:
 		return "", err
 	}
-	folderID := bytes.TrimSpace(stored)
-	if len(folderID) != hex.EncodedLen(folderIDSize) {
+	dataDirID := bytes.TrimSpace(stored)
+	if len(dataDirID) != hex.EncodedLen(dataDirIDSize) {
 		return "", &DataDirError{Path: path, Problem: "is damaged"}
 	}
-	return raft.ServerID(config.Name + "." + string(folderID)), nil
+	return raft.ServerID(config.Name + "." + string(dataDirID)), nil
 }
 
 // createServerID draws the part of a new folder and stores it.
@@ -61,15 +61,15 @@
 	if err == nil && len(segments) > 0 {
 		return "", &DataDirError{Path: path, Problem: "is missing beside a log"}
 	}
-	var random [folderIDSize]byte
+	var random [dataDirIDSize]byte
 	if _, err := rand.Read(random[:]); err != nil {
 		return "", err
 	}
-	folderID := hex.EncodeToString(random[:])
-	if err := writeNewFile(path, folderID); err != nil {
+	dataDirID := hex.EncodeToString(random[:])
+	if err := writeNewFile(path, dataDirID); err != nil {
 		return "", err
 	}
-	return raft.ServerID(config.Name + "." + folderID), nil
+	return raft.ServerID(config.Name + "." + dataDirID), nil
 }
 
 // writeNewFile creates a file that must not exist, and has it on disk when it returns.
--- a/internal/fleet/coordinator/streamlayer.go
+++ b/internal/fleet/coordinator/streamlayer.go
@@ -125,7 +125,7 @@
 	if err := json.NewDecoder(limited).Decode(&request); err != nil {
 		response.Error = "can't be read: " + err.Error()
 	} else {
-		response = c.handle(request)
+		response = c.handleRequest(request)
 	}
 	_ = json.NewEncoder(conn).Encode(response) // a client that is gone asks again
 }
