--- a/internal/fleet/allocator/golden_test.go
+++ b/internal/fleet/allocator/golden_test.go
@@ -10,7 +10,7 @@
 	"lanewheel/internal/membership"
 )
 
-// What an allocator reports of itself to the fleet, by the names that other releases read.
+// An allocator reports its status to the fleet under the metric names that other releases read.
 func TestStatusGolden(t *testing.T) {
 	config := concurrencylease.DefaultConfig()
 	config.Capacity = 16
@@ -32,12 +32,12 @@
 		{Name: "cap", Value: 16}, {Name: "granted", Value: 3}, {Name: "holders", Value: 1},
 	}}
 	if got := <-status; !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("status is %+v, want %+v", got, want)
 	}
 	load := make(chan float64, 1)
 	server.Load(func(reported float64, _ gossip.RequestStats) { load <- reported })
 	if got := <-load; got != 3 {
-		t.Errorf("load %v, want 3", got)
+		t.Errorf("load is %v, want 3", got)
 	}
 	server.Post(server.Quit)
 	<-done
--- a/internal/fleet/allocator/server.go
+++ b/internal/fleet/allocator/server.go
@@ -1,5 +1,6 @@
-// Package allocator is the process beside an upstream service: it shows the fleet where the service is and whether it
-// accepts connections, and grants leases of its concurrent calls. internal/concurrencylease decides.
+// Package allocator implements the process that runs beside an upstream service. It reports to the fleet where the
+// service is and whether it accepts connections, and grants leases of concurrent calls to it. internal/concurrencylease
+// decides which leases are granted.
 package allocator
 
 import (
@@ -15,22 +16,22 @@
 )
 
 const (
-	// maxPendingCallbacks bounds the event loop's queue.
+	// maxPendingCallbacks is the maximum length of the event loop's queue.
 	maxPendingCallbacks = 1 << 12
-	// The service is probed once in a probeInterval, by a connection.
+	// The service is probed at this interval by opening a connection.
 	probeInterval = time.Second
 	probeTimeout  = 500 * time.Millisecond
-	// logInterval is how often it is checked whether the leased calls have changed enough to be logged.
+	// logInterval is the interval between checks whether the number of leased calls has changed enough to be logged.
 	logInterval = time.Second
-	// permitDrainTimeout is how long it takes to leave by a permit.
+	// permitDrainTimeout is the timeout for leaving the fleet after a permit has been granted.
 	permitDrainTimeout = time.Second
-	// leaveGrace is how long beyond the timeout of a shutdown the gossip agent is waited for.
+	// leaveGrace is the time beyond the timeout of a shutdown that the server waits for the gossip agent to drain.
 	leaveGrace        = 200 * time.Millisecond
 	leavePollInterval = 10 * time.Millisecond
 )
 
-// Server is one such process. It implements gossip.Process. Its fields are owned by its event loop; its methods may be
-// called on any goroutine unless said otherwise.
+// Server is an allocator process. It implements gossip.Process. Its fields are owned by its event loop. Its exported
+// methods may be called from any goroutine unless their comment states otherwise.
 type Server struct {
 	*eventloop.Loop
 	serviceAddr string
@@ -39,16 +40,16 @@
 	agent       *gossip.Agent
 	serviceUp   bool // the service accepts connections
 	draining    bool
-	loggedCalls int // leased calls, as last logged
+	loggedCalls int // number of leased calls at the last log message
 }
 
-// New makes a server that grants nothing before Attach.
+// New returns a server that grants no leases before Attach is called.
 func New(config concurrencylease.Config, serviceAddr string) *Server {
 	return &Server{Loop: eventloop.New(maxPendingCallbacks), serviceAddr: serviceAddr, config: config}
 }
 
-// Attach gives the server the agent by which it speaks to the fleet. It is to be called before the agent is started and
-// before Serve.
+// Attach sets the gossip agent through which the server communicates with the fleet, and subscribes to the agent's
+// lease requests and views. It must be called before the agent is started and before Serve.
 func (s *Server) Attach(agent *gossip.Agent) {
 	s.agent = agent
 	s.allocator = concurrencylease.NewAllocator(s.config, agent.View().Self.BootID, s.Now())
@@ -60,13 +61,13 @@
 		})
 	}
 	agent.Subscribe(func(view *membership.View) {
-		if view.LocalHealth == membership.LocalFenced { // or two would lease the same calls
+		if view.LocalHealth == membership.LocalFenced { // otherwise two processes would lease the same calls
 			s.Post(s.allocator.Fence)
 		}
 	})
 }
 
-// SetConfig replaces the configuration of leases.
+// SetConfig replaces the lease configuration.
 func (s *Server) SetConfig(config concurrencylease.Config) {
 	s.Post(func() { s.allocator.SetConfig(config) })
 }
@@ -80,8 +81,8 @@
 	s.Run(func() {})
 }
 
-// probeService looks from time to time whether the service accepts connections. It is a goroutine of its own, as a
-// connection may take its time.
+// probeService checks at every probeInterval whether the service accepts connections. It runs on a separate goroutine,
+// because opening a connection may take up to probeTimeout.
 func (s *Server) probeService(stopped <-chan struct{}) {
 	for {
 		isUp := s.canConnect()
@@ -94,16 +95,18 @@
 	}
 }
 
+// canConnect reports whether a connection to the service can be opened within probeTimeout.
 func (s *Server) canConnect() bool {
 	dialer := net.Dialer{Timeout: probeTimeout}
 	conn, err := dialer.DialContext(context.Background(), "tcp", s.serviceAddr)
 	if err != nil {
 		return false
 	}
-	_ = conn.Close() // nothing was sent
+	_ = conn.Close() // no data was sent
 	return true
 }
 
+// setServiceUp records whether the service accepts connections, and logs a change.
 func (s *Server) setServiceUp(isUp bool) {
 	if isUp == s.serviceUp {
 		return
@@ -116,14 +119,15 @@
 	}
 }
 
-// logLeasedCalls logs how many calls are leased where that has changed by much, or to none.
+// logLeasedCalls logs the number of leased calls if it has dropped to 0, or if it has changed since the last log
+// message by at least a quarter of the capacity and at least 4. It schedules the next check after logInterval.
 func (s *Server) logLeasedCalls() {
 	calls, holders := s.allocator.Committed(s.Now())
 	step := max(4, s.config.Capacity/4)
 	change := max(calls-s.loggedCalls, s.loggedCalls-calls)
 	if change >= step || calls == 0 && s.loggedCalls > 0 {
 		s.loggedCalls = calls
-		slog.Info("leases granted", "calls", calls, "leasable", s.config.LeasableCalls(), "holders", holders,
+		slog.Info("leased calls changed", "calls", calls, "leasable", s.config.LeasableCalls(), "holders", holders,
 			"renew_only", s.allocator.RenewOnly(s.Now()))
 	}
 	s.ScheduleAt(s.Now()+logInterval, s.logLeasedCalls)
@@ -145,7 +149,7 @@
 	})
 }
 
-// Load implements gossip.Process.
+// Load implements gossip.Process. The load is the number of leased calls.
 func (s *Server) Load(callback func(float64, gossip.RequestStats)) {
 	s.Post(func() {
 		calls, _ := s.allocator.Committed(s.Now())
@@ -153,14 +157,14 @@
 	})
 }
 
-// Drain implements gossip.Process.
+// Drain implements gossip.Process. It shuts the server down.
 func (s *Server) Drain(_ uint64) { s.Post(func() { s.Shutdown(permitDrainTimeout) }) }
 
-// Fenced implements gossip.Process.
+// Fenced implements gossip.Process. The server grants no more leases.
 func (s *Server) Fenced() { s.Post(s.allocator.Fence) }
 
-// Shutdown leaves the fleet within a timeout and ends Serve. Leases run out by themselves. It is to be called on the
-// event loop.
+// Shutdown leaves the fleet within a timeout and then stops Serve. Granted leases expire on their own. Shutdown must be
+// called on the event loop.
 func (s *Server) Shutdown(timeout time.Duration) {
 	if s.draining {
 		return
@@ -171,6 +175,7 @@
 	s.waitForAgentDrain(s.Now() + timeout + leaveGrace)
 }
 
+// waitForAgentDrain stops the event loop once the agent is drained or the deadline has passed.
 func (s *Server) waitForAgentDrain(deadline time.Duration) {
 	if s.agent.Drained() || s.Now() >= deadline {
 		s.Quit()
--- a/internal/fleet/allocator/server_test.go
+++ b/internal/fleet/allocator/server_test.go
@@ -9,7 +9,7 @@
 	"lanewheel/internal/fleet/gossip"
 )
 
-// A service is reported up while it accepts connections.
+// An allocator reports that it is ready while the service accepts connections.
 func TestProbe(t *testing.T) {
 	var config net.ListenConfig
 	listener, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -32,7 +32,7 @@
 	<-done
 }
 
-// waitForReady waits until a server reports that it is ready, or that it is not.
+// waitForReady waits until the server reports the wanted readiness.
 func waitForReady(t *testing.T, server *Server, want bool) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
@@ -42,5 +42,5 @@
 			return
 		}
 	}
-	t.Fatalf("ready is not %v in time", want)
+	t.Fatalf("ready did not become %v before the deadline", want)
 }
--- a/internal/fleet/coordinator/analysis.go
+++ b/internal/fleet/coordinator/analysis.go
@@ -15,40 +15,42 @@
 )
 
 const (
-	// verdictRequester is who requests a verdict, as the history has it.
+	// verdictRequester is the requester of canary verdicts in the history. It is stored.
 	verdictRequester = "the judgement"
-	// permitGrace is how long after a permit has ended a new incarnation counts as started by it.
+	// permitGrace is the time after the end of a permit during which a new incarnation of its holder is attributed to
+	// the permit and does not count as a crash.
 	permitGrace = 10 * time.Second
 )
 
-// waveKey names a wave of a rollout. The zero value is none.
+// waveKey identifies a wave of a rollout. The zero value identifies no wave.
 type waveKey struct {
 	rollout     string
 	wave        int
 	requestedBy string
 }
 
-// waveAnalysis gathers what the members of both releases do during a wave, window by window. It is owned by leadLoop
-// but for what mu guards.
+// waveAnalysis collects the request statistics of the members of both releases during a wave, window by window. It is
+// owned by leadLoop, except for the fields that mu guards.
 type waveAnalysis struct {
 	wave        waveKey
 	analysis    *canary.Analysis
 	windowStart time.Time
 
 	mu       sync.Mutex
-	previous statsByMember // guarded by mu: as of the window before
-	current  statsByMember // guarded by mu: answers of this window
+	previous statsByMember // guarded by mu: statistics as of the previous window
+	current  statsByMember // guarded by mu: statistics received in the current window
 }
 
-// statsByMember is what members have done since their start.
+// statsByMember holds the request statistics of members since their start.
 type statsByMember map[coordination.Name]memberStats
 
+// memberStats holds the request statistics of one incarnation of a member since its start.
 type memberStats struct {
 	incarnation membership.Incarnation
 	gossip.RequestStats
 }
 
-// start begins the analysis of a wave.
+// start begins the analysis of a wave and discards the statistics of the previous wave.
 func (a *waveAnalysis) start(wave waveKey, config canary.Config) {
 	a.wave = wave
 	a.analysis = canary.New(config)
@@ -59,7 +61,7 @@
 	a.current = statsByMember{}
 }
 
-// nextWindow ends a window and returns the stats as of the one before and as of this one.
+// nextWindow ends the current window. It returns the statistics of the previous window and of the ended one.
 func (a *waveAnalysis) nextWindow() (previous, current statsByMember) {
 	a.windowStart = time.Now()
 	a.mu.Lock()
@@ -70,15 +72,15 @@
 	return previous, current
 }
 
-// record takes in a member's answer. It may be called from any goroutine.
+// record adds a member's statistics to the current window. It may be called from any goroutine.
 func (a *waveAnalysis) record(name coordination.Name, stats memberStats) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.current[name] = stats
 }
 
-// sampleBetween sums up what a group has done between two windows. A member counts if the same incarnation answered
-// both.
+// sampleBetween returns the totals of a group's requests between two windows. A member counts only if the same
+// incarnation reported its statistics in both windows.
 func sampleBetween(previous, current statsByMember, group []coordination.Observation) canary.Sample {
 	var sample canary.Sample
 	totalSeconds := 0.0
@@ -98,8 +100,8 @@
 	return sample
 }
 
-// analyzeWave compares what the new release and the old one do at the same time, and has the verdict agreed on once
-// there is one.
+// analyzeWave compares the new release with the old one over the same period, and proposes the verdict once there is
+// one.
 func (c *Coordinator) analyzeWave(rollout *coordination.Rollout) {
 	analysis := &c.leadership.analysis
 	wave := waveKey{rollout: rollout.Name, wave: rollout.Wave, requestedBy: rollout.RequestedBy}
@@ -119,13 +121,14 @@
 	c.proposeVerdict(rollout, analysis.analysis.Result())
 }
 
-// releaseGroups are the members that a rollout is meant for.
+// releaseGroups holds the members that a rollout applies to, by release.
 type releaseGroups struct {
 	canary   []coordination.Observation // on the new release
-	baseline []coordination.Observation
-	crashes  int // members of canary that have come back since the window before without a permit
+	baseline []coordination.Observation // on any other release
+	crashes  int                        // canary members that restarted without a permit since the previous window
 }
 
+// groupByRelease returns the members that the rollout applies to, and the number of crashes since the previous call.
 func (c *Coordinator) groupByRelease(rollout *coordination.Rollout) releaseGroups {
 	lead := c.leadership
 	var groups releaseGroups
@@ -148,7 +151,8 @@
 	return groups
 }
 
-// queryStats asks some members of a group, drawn anew for each window, what they have done.
+// queryStats requests the statistics of at most SampleSize members of a group. The members are chosen at random for
+// each window.
 func (c *Coordinator) queryStats(group []coordination.Observation) {
 	analysis := &c.leadership.analysis
 	order := rand.Perm(len(group))
@@ -160,7 +164,8 @@
 	}
 }
 
-// proposeVerdict has a verdict agreed on. A wave can fail at any time, and passes only once it is updated whole.
+// proposeVerdict proposes the verdict of a wave. A wave may fail at any time, but passes only after all of its members
+// are updated.
 func (c *Coordinator) proposeVerdict(rollout *coordination.Rollout, result canary.Result) {
 	waveUpdated := rollout.Phase == coordination.RolloutAnalyzing
 	if result.Verdict == canary.Inconclusive || result.Verdict == canary.Passed && !waveUpdated {
@@ -174,7 +179,7 @@
 		Healthy:     result.Verdict == canary.Passed,
 		Reason:      result.Reason,
 	})
-	if err != nil || !reply.OK { // the next window comes to a verdict again
+	if err != nil || !reply.OK { // the next window yields a verdict again
 		return
 	}
 	slog.Info("canary verdict", "rollout", rollout.Name, "wave", rollout.Wave+1,
@@ -182,7 +187,7 @@
 	c.leadership.analysis.wave = waveKey{}
 }
 
-// hadRecentPermit tells whether a member has a permit or had one a short time ago.
+// hadRecentPermit reports whether a member has a permit or had one that ended less than permitGrace ago.
 func (c *Coordinator) hadRecentPermit(name coordination.Name) (had bool) {
 	c.replica.inspect(func(state *coordination.State) {
 		member := state.Members[name]
--- a/internal/fleet/coordinator/analysis_test.go
+++ b/internal/fleet/coordinator/analysis_test.go
@@ -8,8 +8,8 @@
 	"lanewheel/internal/fleet/gossip"
 )
 
-// A member counts in a window if the same incarnation answered at its begin and at its end, and its counts did not go
-// back.
+// A member counts in a window if the same incarnation reported its statistics at the start and at the end of the
+// window, and its counters did not decrease.
 func TestSampleBetween(t *testing.T) {
 	previous := statsByMember{
 		"n0": {1, gossip.RequestStats{Finished: 10, WithinObjective: 9, TotalSeconds: 5}},
@@ -21,8 +21,8 @@
 		"n0": {1, gossip.RequestStats{Finished: 30, WithinObjective: 27, TotalSeconds: 15}},
 		"n1": {1, gossip.RequestStats{Finished: 20, WithinObjective: 19, TotalSeconds: 10}},
 		"n2": {2, gossip.RequestStats{Finished: 99}}, // restarted
-		"n3": {1, gossip.RequestStats{Finished: 9}},  // gone back
-		"n4": {1, gossip.RequestStats{Finished: 99}}, // new
+		"n3": {1, gossip.RequestStats{Finished: 9}},  // counter decreased
+		"n4": {1, gossip.RequestStats{Finished: 99}}, // not in the previous window
 	}
 	group := []coordination.Observation{{Name: "n0"}, {Name: "n1"}, {Name: "n2"}, {Name: "n3"}, {Name: "n4"}, {Name: "n5"}}
 	want := canary.Sample{Requests: 30, OnTime: 27, MeanSeconds: 0.5}
@@ -30,11 +30,11 @@
 		t.Errorf("%+v, want %+v", got, want)
 	}
 	if got := sampleBetween(nil, current, group); got != (canary.Sample{}) {
-		t.Errorf("in the first window: %+v", got)
+		t.Errorf("first window: %+v, want an empty sample", got)
 	}
 }
 
-// The stats of a window are those that came in since the one before; a new wave starts without any.
+// A window holds the statistics that were received since the previous window. A new wave starts without statistics.
 func TestWaveAnalysisWindows(t *testing.T) {
 	var analysis waveAnalysis
 	analysis.start(waveKey{rollout: "r", wave: 0}, canary.DefaultConfig())
--- a/internal/fleet/coordinator/client/client.go
+++ b/internal/fleet/coordinator/client/client.go
@@ -1,4 +1,4 @@
-// Package client is how coordinators are spoken to: the handshake by which both sides prove that they have the
+// Package client implements the protocol of the coordinators: a handshake by which both sides prove that they have the
 // cluster's key, requests and responses as lines of JSON, and a client that finds the leader.
 package client
 
@@ -11,7 +11,7 @@
 	"lanewheel/internal/membership"
 )
 
-// ErrNoCoordinators is that a client has no address to ask.
+// ErrNoCoordinators is returned if a client has no coordinator address.
 var ErrNoCoordinators = errors.New("no coordinator address is configured")
 
 const (
@@ -19,18 +19,19 @@
 	maxRetryBackoff = 200 * time.Millisecond
 )
 
-// Client asks the coordinators, whichever leads. It holds no connection and may be used from any goroutine.
+// Client sends requests to the coordinators and follows redirects to the leader. It opens a connection for each attempt
+// and may be used from any goroutine.
 type Client struct {
 	Coordinators []string // addresses
 	Keys         []membership.Key
 	LocalIP      string        // address to dial from, empty for any
-	Timeout      time.Duration // no attempt begins later
+	Timeout      time.Duration // of Do: no attempt starts after it
 }
 
-// Do asks one coordinator after the other until one that may answer does; it blocks. A request that changes something
-// must have an idempotency key, since it may be carried out without an answer and asked again. The error is
-// ErrNoQuorum, ErrNoCoordinators, ErrUnauthenticated or that of the last connection; what the coordinator refused is
-// in the response.
+// Do sends the request to one coordinator after the other until one of them handles it. It blocks. A request that
+// changes the state must have an idempotency key, because a request that was executed is repeated if its response was
+// lost. The error is or wraps ErrNoQuorum, ErrNoCoordinators, ErrUnauthenticated or the error of the last connection.
+// If the coordinator refused the request, the error is nil and the response contains the reason.
 func (c Client) Do(request Request) (Response, error) {
 	deadline := time.Now().Add(c.Timeout)
 	lastErr := ErrNoCoordinators
@@ -49,7 +50,7 @@
 			lastErr = fmt.Errorf("%s: %w", addr, err)
 		case response.Leader != "" && response.Leader != addr:
 			redirect = response.Leader
-			lastErr = fmt.Errorf("%s: the leader is %s", addr, response.Leader)
+			lastErr = fmt.Errorf("%s: redirected to the leader at %s", addr, response.Leader)
 		case errors.Is(response.Err(), ErrNoQuorum):
 			lastErr = fmt.Errorf("%s: %w", addr, ErrNoQuorum)
 		default:
@@ -60,18 +61,19 @@
 	return Response{}, lastErr
 }
 
-// retryBackoff is the pause after an attempt, counted from 0.
+// retryBackoff returns the delay after an attempt, numbered from 0.
 func retryBackoff(attempt int) time.Duration {
 	return min(maxRetryBackoff, time.Duration(attempt)*50*time.Millisecond)
 }
 
+// roundTrip sends one request over a new connection to addr and returns the response.
 func (c Client) roundTrip(addr string, request Request) (Response, error) {
 	dialer := Dialer{Keys: c.Keys, LocalIP: c.LocalIP, Timeout: dialTimeout}
 	conn, err := dialer.Dial(addr, ClientConnection)
 	if err != nil {
 		return Response{}, err
 	}
-	defer func() { _ = conn.Close() }() // the response is read whole or not at all
+	defer func() { _ = conn.Close() }() // the response is already decoded, or an error is returned
 	if err := conn.SetDeadline(time.Now().Add(RequestTimeout)); err != nil {
 		return Response{}, err
 	}
--- a/internal/fleet/coordinator/client/client_test.go
+++ b/internal/fleet/coordinator/client/client_test.go
@@ -14,13 +14,14 @@
 	"lanewheel/internal/membership"
 )
 
-// fakeCoordinator answers requests behind the documented handshake.
+// fakeCoordinator performs the documented handshake and answers requests.
 type fakeCoordinator struct {
 	addr     string
-	requests chan string // lines as they were received
+	requests chan string // received lines
 }
 
-// newFakeCoordinator starts one until the end of the test; answer makes the line that answers a request.
+// newFakeCoordinator starts a fake coordinator that runs until the end of the test. answer returns the response line
+// for a request line.
 func newFakeCoordinator(t *testing.T, answer func(request string) string) *fakeCoordinator {
 	t.Helper()
 	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -42,13 +43,14 @@
 	return server
 }
 
+// serveOne handles one connection. It returns the request line, or a description of a failed handshake.
 func serveOne(conn net.Conn, answer func(string) string) string {
 	kind, err := documentedListener(conn, clusterKey)
 	if err != nil || kind != 'o' {
 		return fmt.Sprint(string(kind), err)
 	}
-	line, _ := bufio.NewReader(conn).ReadString('\n') // the test compares what came
-	_, _ = io.WriteString(conn, answer(line)+"\n")    // a client that is gone is no fault here
+	line, _ := bufio.NewReader(conn).ReadString('\n') // the test compares the received line
+	_, _ = io.WriteString(conn, answer(line)+"\n")    // a disconnected client is not an error here
 	return line
 }
 
@@ -64,7 +66,7 @@
 	return string(text)
 }
 
-// A client follows the word of a coordinator that does not lead, and asks on where there is no quorum yet.
+// A client follows the redirect of a coordinator that is not the leader, and retries while there is no quorum.
 func TestDoFindsLeader(t *testing.T) {
 	answers := []Response{{Error: ErrNoQuorum.Error()}, {Reply: &goldenReply}}
 	leader := newFakeCoordinator(t, func(string) string {
@@ -82,15 +84,15 @@
 	}
 }
 
-// What a coordinator refuses is in its response; a client without an address, a key or a quorum returns an error to
-// decide by.
+// A refusal of a coordinator is in its response. Without an address, the right key or a quorum, Do returns an error
+// that callers can test for.
 func TestDoErrors(t *testing.T) {
 	if _, err := (Client{Timeout: time.Second}).Do(Request{Status: true}); !errors.Is(err, ErrNoCoordinators) {
 		t.Errorf("without an address: %v", err)
 	}
 	refusing := newFakeCoordinator(t, func(string) string { return responseLine(Response{Error: "a reason"}) })
 	response, err := refusing.client().Do(Request{RemoveCoordinator: "s9"})
-	if err != nil || response.Err() != RemoteError("a reason") { //nolint:errorlint // the very value
+	if err != nil || response.Err() != RemoteError("a reason") { //nolint:errorlint // the exact value
 		t.Errorf("refused: %+v, %v", response, err)
 	}
 	electing := newFakeCoordinator(t, func(string) string { return responseLine(Response{Error: ErrNoQuorum.Error()}) })
@@ -106,7 +108,7 @@
 	}
 }
 
-// A dialer goes out by the address that it is given.
+// A dialer connects from its configured local address.
 func TestDialLocalIP(t *testing.T) {
 	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -125,14 +127,14 @@
 	}()
 	dialer := Dialer{Keys: []membership.Key{clusterKey}, LocalIP: "127.0.0.2", Timeout: time.Second}
 	if _, err := dialer.Dial(listener.Addr().String(), ClientConnection); err == nil {
-		t.Error("a listener that says nothing was taken for a coordinator")
+		t.Error("Dial succeeded although the listener sent no handshake")
 	}
 	if got := <-from; got != "127.0.0.2" {
 		t.Errorf("dialed from %s", got)
 	}
 }
 
-// The pause between attempts grows to a bound.
+// The delay between attempts grows up to a maximum.
 func TestRetryBackoff(t *testing.T) {
 	for attempt, want := range []time.Duration{0, 50, 100, 150, 200, 200} {
 		if got := retryBackoff(attempt); got != want*time.Millisecond {
--- a/internal/fleet/coordinator/client/golden_values_test.go
+++ b/internal/fleet/coordinator/client/golden_values_test.go
@@ -7,7 +7,7 @@
 	"lanewheel/internal/membership"
 )
 
-// clusterKey is the key of the tests.
+// clusterKey is the cluster's key in the tests.
 var clusterKey = membership.Key("0123456789abcdef0123456789abcdef")
 
 var (
@@ -55,7 +55,7 @@
 		RollbackWavesAtOnce: 2.5,
 		MaxAttempts:         3,
 	}
-	// Rollout's own "Of" and "Judged" hide Selector and AnalysisRequired of its plan, which are not spoken.
+	// Rollout's own "Of" and "Judged" shadow Selector and AnalysisRequired of its plan, which are not encoded.
 	goldenRollout = coordination.Rollout{
 		RolloutPlan: coordination.RolloutPlan{
 			Name:                "r2",
--- a/internal/fleet/coordinator/client/handshake.go
+++ b/internal/fleet/coordinator/client/handshake.go
@@ -15,27 +15,27 @@
 )
 
 // Coordinators and operators share one listener. Both sides of a connection prove that they have the cluster's key
-// before anything else is read:
+// before any other data is read. They send in this order:
 //
-//	dialer    16 random bytes
-//	listener  16 random bytes
-//	dialer    the kind of connection and a MAC
+//	dialer    nonce: 16 random bytes
+//	listener  nonce: 16 random bytes
+//	dialer    the kind of the connection, and a MAC
 //	listener  a MAC
 //
-// A MAC is HMAC-SHA256 over the side's letter, the listener's and the dialer's bytes and the kind. The bytes of both
-// sides are in both MACs: what was recorded of an earlier connection proves nothing, and neither does a side's own
-// MAC.
+// A MAC is HMAC-SHA256 over the letter of its side, the listener's nonce, the dialer's nonce and the kind. Both nonces
+// are part of both MACs, so a MAC recorded on an earlier connection is invalid. The letter makes a MAC invalid if it is
+// sent back to the side that computed it.
 
-// ConnectionKind is what a connection is for.
+// ConnectionKind is the purpose of a connection.
 type ConnectionKind byte
 
-// The kinds of connection, as they are spoken.
+// The kinds of connections. Their values are part of the protocol.
 const (
-	PeerConnection   ConnectionKind = 'r' // the stream of another coordinator
+	PeerConnection   ConnectionKind = 'r' // a raft stream of another coordinator
 	ClientConnection ConnectionKind = 'o' // one request and its response
 )
 
-// side is the letter of one side of a connection in its MAC.
+// side is the letter that identifies one side of a connection in its MAC.
 type side byte
 
 const (
@@ -48,10 +48,10 @@
 	handshakeTimeout = 2 * time.Second
 )
 
-// ErrUnauthenticated is that the other side does not have the cluster's key.
+// ErrUnauthenticated is returned if the other side does not prove that it has the cluster's key.
 var ErrUnauthenticated = errors.New("the other side does not have the cluster's key")
 
-// handshakeMAC is what proves one side's key.
+// handshakeMAC returns the MAC by which one side proves that it has the key.
 func handshakeMAC(key membership.Key, from side, transcript []byte) []byte {
 	mac := hmac.New(sha256.New, key)
 	mac.Write([]byte{byte(from)})
@@ -59,12 +59,12 @@
 	return mac.Sum(nil)
 }
 
-// transcript is what both MACs are over.
+// transcript returns the data that both MACs authenticate.
 func transcript(listenerNonce, dialerNonce []byte, kind ConnectionKind) []byte {
 	return append(slices.Concat(listenerNonce, dialerNonce), byte(kind))
 }
 
-// findKey is the key that a MAC was made with, nil if with none of them.
+// findKey returns the key that the MAC was computed with, or nil if it is none of the keys.
 func findKey(keys []membership.Key, mac []byte, from side, transcript []byte) membership.Key {
 	for _, key := range keys {
 		if hmac.Equal(mac, handshakeMAC(key, from, transcript)) {
@@ -74,15 +74,16 @@
 	return nil
 }
 
-// newNonce returns the random bytes of one side.
+// newNonce returns the nonce of one side.
 func newNonce() ([]byte, error) {
 	nonce := make([]byte, nonceSize)
 	_, err := rand.Read(nonce)
 	return nonce, err
 }
 
-// clientHandshake proves the key to the listener and has it prove its own, so that a stranger that listens at a
-// coordinator's address gets no request.
+// clientHandshake proves the first key to the listener and verifies that the listener has one of the keys. A process
+// without the key that listens on a coordinator's address therefore receives no request. It returns ErrUnauthenticated
+// if the listener has no valid key or closes the connection.
 func clientHandshake(conn net.Conn, keys []membership.Key, kind ConnectionKind) error {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return err
@@ -105,7 +106,7 @@
 	}
 	mac := make([]byte, sha256.Size)
 	if _, err := io.ReadFull(conn, mac); err != nil {
-		return ErrUnauthenticated // a listener that refuses our key closes
+		return ErrUnauthenticated // a listener that rejects the key closes the connection
 	}
 	if findKey(keys, mac, listenerSide, signed) == nil {
 		return ErrUnauthenticated
@@ -113,8 +114,8 @@
 	return conn.SetDeadline(time.Time{})
 }
 
-// ServerHandshake is the listener's side: it returns what the dialer wants once both sides have proven their keys, and
-// ErrUnauthenticated if the dialer has not.
+// ServerHandshake performs the listener's side of the handshake and returns the kind of the connection. It returns
+// ErrUnauthenticated if the dialer does not prove that it has one of the keys.
 func ServerHandshake(conn net.Conn, keys []membership.Key) (ConnectionKind, error) {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return 0, err
@@ -146,25 +147,26 @@
 	return kind, conn.SetDeadline(time.Time{})
 }
 
-// Dialer dials coordinators.
+// Dialer opens authenticated connections to coordinators.
 type Dialer struct {
-	Keys    []membership.Key // the first one is proven, any of them is accepted
+	Keys    []membership.Key // the first key is proven; the listener may prove any of them
 	LocalIP string           // address to dial from, empty for any
-	Timeout time.Duration    // of the connect; the handshake has its own
+	Timeout time.Duration    // of the connect; the handshake is limited by handshakeTimeout
 }
 
-// Dial connects to a coordinator and does the handshake. It blocks.
+// Dial connects to a coordinator and performs the handshake. It blocks. It returns ErrUnauthenticated if the
+// coordinator does not prove that it has one of the keys.
 func (d Dialer) Dial(addr string, kind ConnectionKind) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: d.Timeout}
 	if d.LocalIP != "" {
 		dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(d.LocalIP)}
 	}
-	conn, err := dialer.DialContext(context.Background(), "tcp", addr) // bounded by the timeout
+	conn, err := dialer.DialContext(context.Background(), "tcp", addr) // limited by the timeout
 	if err != nil {
 		return nil, err
 	}
 	if err := clientHandshake(conn, d.Keys, kind); err != nil {
-		_ = conn.Close() // the handshake's error is what matters
+		_ = conn.Close() // the error of the handshake takes precedence
 		return nil, err
 	}
 	return conn, nil
--- a/internal/fleet/coordinator/client/handshake_test.go
+++ b/internal/fleet/coordinator/client/handshake_test.go
@@ -13,8 +13,9 @@
 	"lanewheel/internal/membership"
 )
 
-// documentedListener proves the key as a coordinator does, written out: 16 bytes of each side's, the kind, and
-// HMAC-SHA256 over a side's letter, the listener's bytes, the dialer's bytes and the kind.
+// documentedListener performs the listener's side of the handshake. It implements the documentation independently: a
+// nonce of 16 bytes from each side, the kind, and HMAC-SHA256 over the side's letter, the listener's nonce, the
+// dialer's nonce and the kind.
 func documentedListener(conn net.Conn, key []byte) (kind byte, err error) {
 	ownNonce := []byte("listener's bytes")
 	peerNonce := make([]byte, 16)
@@ -29,19 +30,21 @@
 		return 0, err
 	}
 	if !hmac.Equal(proof[1:], documentedMAC(key, "d"+string(ownNonce)+string(peerNonce)+string(proof[:1]))) {
-		return 0, errors.New("a proof by other steps")
+		return 0, errors.New("the dialer's MAC differs from the documented one")
 	}
 	_, err = conn.Write(documentedMAC(key, "l"+string(ownNonce)+string(peerNonce)+string(proof[:1])))
 	return proof[0], err
 }
 
+// documentedMAC returns the HMAC-SHA256 of a text.
 func documentedMAC(key []byte, text string) []byte {
 	h := hmac.New(sha256.New, key)
 	h.Write([]byte(text))
 	return h.Sum(nil)
 }
 
-// The MACs of both sides, and the letters that they begin with.
+// The MAC and the letters of the connection kinds have fixed values, and the listener accepts a dialer that follows the
+// documentation.
 func TestHandshakeGolden(t *testing.T) {
 	const want = "d2b5fc6ec5591b99529923fc42469d4f235c0081d186a6f9249ec08b2bbd9c2f"
 	got := hex.EncodeToString(handshakeMAC(clusterKey, 'd', []byte("listener's bytesdialer's bytes..o")))
@@ -56,7 +59,7 @@
 	}
 }
 
-// checkServerHandshake dials by the documented steps, with the second of the listener's keys.
+// checkServerHandshake performs the dialer's side as documented, with the second of the listener's keys.
 func checkServerHandshake(t *testing.T, kind ConnectionKind) {
 	t.Helper()
 	listener, dialer := net.Pipe()
@@ -66,7 +69,7 @@
 		keys := []membership.Key{membership.Key("another key of as many bytes...."), clusterKey}
 		got, err := ServerHandshake(listener, keys)
 		if err == nil && got != kind {
-			err = fmt.Errorf("taken for %q", got)
+			err = fmt.Errorf("kind is %q, want %q", got, kind)
 		}
 		done <- err
 	}()
@@ -77,20 +80,20 @@
 	if _, err := io.ReadFull(dialer, peerNonce); err != nil {
 		t.Fatal(err)
 	}
-	transcript := string(peerNonce) + string(ownNonce) + string(byte(kind))
-	if _, err := dialer.Write(append([]byte{byte(kind)}, documentedMAC(clusterKey, "d"+transcript)...)); err != nil {
+	signed := string(peerNonce) + string(ownNonce) + string(byte(kind))
+	if _, err := dialer.Write(append([]byte{byte(kind)}, documentedMAC(clusterKey, "d"+signed)...)); err != nil {
 		t.Fatal(err)
 	}
 	proof := make([]byte, 32)
-	if _, err := io.ReadFull(dialer, proof); err != nil || !hmac.Equal(proof, documentedMAC(clusterKey, "l"+transcript)) {
-		t.Error("a proof by other steps", err)
+	if _, err := io.ReadFull(dialer, proof); err != nil || !hmac.Equal(proof, documentedMAC(clusterKey, "l"+signed)) {
+		t.Error("the listener's MAC differs from the documented one:", err)
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 }
 
-// A side without the key gets nothing: neither the dialer's request nor the listener's answer.
+// The handshake fails on both sides if their keys differ, so that neither a request nor a response is sent.
 func TestHandshakeOtherKey(t *testing.T) {
 	listener, dialer := net.Pipe()
 	refused := make(chan error, 1)
--- a/internal/fleet/coordinator/client/messages_test.go
+++ b/internal/fleet/coordinator/client/messages_test.go
@@ -13,10 +13,10 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew; only where the spoken form is meant to change")
+var update = flag.Bool("update", false, "rewrite the golden files; only for intended changes of the protocol")
 
-// golden returns the lines of a file, after checking that the values are written as these lines and the lines read as
-// the values.
+// golden returns the lines of a golden file. It checks that the values are encoded as these lines, and that the lines
+// are decoded as the values.
 func golden[T any](t *testing.T, name string, want []T) []string {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -42,7 +42,7 @@
 	}
 	for i, line := range lines {
 		if line != now[i] {
-			t.Errorf("%s:%d: spoken as\n%s\nnow written as\n%s", path, i+1, line, now[i])
+			t.Errorf("%s:%d: the line is\n%s\nthe current code writes\n%s", path, i+1, line, now[i])
 		}
 		var got T
 		decoder := json.NewDecoder(strings.NewReader(line))
@@ -51,13 +51,13 @@
 			t.Fatalf("%s:%d: %v", path, i+1, err)
 		}
 		if !reflect.DeepEqual(got, want[i]) {
-			t.Errorf("%s:%d reads as\n%+v\nwant\n%+v", path, i+1, got, want[i])
+			t.Errorf("%s:%d is decoded as\n%+v\nwant\n%+v", path, i+1, got, want[i])
 		}
 	}
 	return lines
 }
 
-// setFields names the fields of a struct that are not zero.
+// setFields returns the names of the fields of a struct that are not zero.
 func setFields(v any) (names []string) {
 	value := reflect.ValueOf(v)
 	for i := range value.NumField() {
@@ -68,7 +68,7 @@
 	return names
 }
 
-// checkCovered checks that each field of a struct is set in one of the values.
+// checkCovered checks that each field of a struct is set in at least one of the values.
 func checkCovered[T any](t *testing.T, values []T) {
 	t.Helper()
 	covered := map[string]bool{}
@@ -82,9 +82,9 @@
 	}
 }
 
-// Every request and every response as it goes over a connection, a line each: coordinators and programs of two
-// versions speak with each other. What a client sends behind the documented handshake, and what it takes from an
-// answer.
+// The golden files contain every request and every response as sent over a connection, one per line. The encoding must
+// not change, because coordinators and programs of two versions communicate with each other. The test also checks the
+// line that a client sends after the documented handshake, and the response that it decodes.
 func TestMessagesGolden(t *testing.T) {
 	requestLines := golden(t, "questions.jsonl", goldenRequests)
 	responseLines := golden(t, "answers.jsonl", goldenResponses)
@@ -99,11 +99,11 @@
 		}
 	}
 	for i, request := range goldenRequests {
-		answer := 2 + i%3 // the first two would have the client ask elsewhere
+		answer := 2 + i%3 // the first two make the client retry or ask another coordinator
 		server := newFakeCoordinator(t, func(string) string { return responseLines[answer] })
 		got, err := server.client().Do(request)
 		if err != nil || !reflect.DeepEqual(got, goldenResponses[answer]) {
-			t.Errorf("request %d: response %+v %v", i, got, err)
+			t.Errorf("request %d: got %+v, %v", i, got, err)
 		}
 		if line := <-server.requests; line != requestLines[i]+"\n" {
 			t.Errorf("request %d: received %q, want %q", i, line, requestLines[i])
@@ -111,9 +111,9 @@
 	}
 }
 
-// Errors over the wire and back.
+// A response carries ErrNoQuorum and other errors to the client.
 func TestResponseErr(t *testing.T) {
-	if ErrNoQuorum.Error() != "no majority of stewards" { // a client decides by it
+	if ErrNoQuorum.Error() != "no majority of stewards" { // clients compare this text
 		t.Error(ErrNoQuorum)
 	}
 	for _, test := range []struct{ sent, want error }{
@@ -123,8 +123,8 @@
 	} {
 		var response Response
 		response.SetErr(test.sent)
-		if got := response.Err(); got != test.want { //nolint:errorlint // the very value, not one that wraps it
-			t.Errorf("%v told as %q, read as %v", test.sent, response.Error, got)
+		if got := response.Err(); got != test.want { //nolint:errorlint // the exact value, not one that wraps it
+			t.Errorf("%v is sent as %q and read as %v", test.sent, response.Error, got)
 		}
 	}
 	if err := (Response{}).Err(); err != nil {
--- a/internal/fleet/coordinator/config/config.go
+++ b/internal/fleet/coordinator/config/config.go
@@ -1,5 +1,5 @@
-// Package coordinatorconfig holds the configuration of a coordinator, apart from the coordinator itself, so that what
-// reads files does not link its log.
+// Package coordinatorconfig defines the configuration of a coordinator. It is separate from the coordinator, so that
+// packages that read configuration files do not link the replicated log.
 package coordinatorconfig
 
 import (
@@ -14,27 +14,27 @@
 type Config struct {
 	// Name and addresses.
 	Name          string
-	ListenAddr    string   // where the other coordinators and operators reach it
-	AdvertiseAddr string   // where the other coordinators dial it; empty: ListenAddr
+	ListenAddr    string   // address on which it accepts other coordinators and operators
+	AdvertiseAddr string   // address that the other coordinators dial; empty: ListenAddr
 	Coordinators  []string // addresses of all coordinators; its own may be among them
 	LocalIP       string   // address to dial from, empty for any
 	ClusterKeys   []membership.Key
 
-	// The log. Bootstrap and ForceNewCluster exclude each other.
-	DataDir           string // of the log, the snapshots and the identity
-	Bootstrap         bool   // it is the first one of a new fleet
-	ForceNewCluster   bool   // the others are lost for good: it goes on alone from its own state
+	// The replicated log. Bootstrap and ForceNewCluster are mutually exclusive.
+	DataDir           string // directory of the log, the snapshots and the identity file
+	Bootstrap         bool   // it is the first coordinator of a new fleet
+	ForceNewCluster   bool   // the others are permanently lost: it continues alone with its own state
 	HeartbeatTimeout  time.Duration
-	SnapshotThreshold uint64 // log entries between two snapshots
+	SnapshotThreshold uint64 // number of log entries between two snapshots
 
-	// What is agreed, and the analysis of rollouts.
+	// The replicated state and the analysis of rollouts.
 	Coordination   coordination.Config
 	Canary         canary.Config
 	AnalysisWindow time.Duration
-	SampleSize     int // members of each release that are asked in a window
+	SampleSize     int // maximum number of members of each release whose statistics are queried in a window
 
-	// The operator's command that starts a member anew; an empty one leaves that to others.
+	// The operator's command that restarts a member. If it is empty, the coordinator does not restart members.
 	RestartCommand     string
 	RestartTimeout     time.Duration // of one run
-	RestartOutputLimit int           // bytes of its output that are kept
+	RestartOutputLimit int           // maximum number of bytes of its output that are logged
 }
--- a/internal/fleet/coordinator/coordinator.go
+++ b/internal/fleet/coordinator/coordinator.go
@@ -1,6 +1,7 @@
-// Package coordinator is one of the few processes that hold what the fleet has agreed: the state of
-// internal/coordination, replicated by hashicorp/raft with a log and snapshots on disk. The leader observes the
-// fleet's members and advances permits and rollouts; any coordinator answers operators.
+// Package coordinator implements a coordinator: one of the few processes that replicate the agreed state of the fleet.
+// The state is that of internal/coordination; hashicorp/raft replicates it, with a log and snapshots on disk. The
+// leader observes the members of the fleet and advances permits and rollouts. Every coordinator answers operators; only
+// the leader accepts their commands.
 package coordinator
 
 import (
@@ -22,33 +23,37 @@
 // Config is the configuration of a coordinator.
 type Config = coordinatorconfig.Config
 
-// Fleet is how a coordinator sees and reaches the members. Its methods do not block and are called from any goroutine.
+// Fleet provides a coordinator with a view of the members and sends messages to them. Its methods must not block and
+// may be called from any goroutine.
 type Fleet interface {
+	// View returns the current view of the membership.
 	View() *membership.View
-	// NotifyPermit tells an incarnation of a member that it holds a permit, or that the one it holds has begun.
+	// NotifyPermit notifies an incarnation of a member that it holds a permit, or that the permit it holds has begun.
 	NotifyPermit(name membership.Name, incarnation membership.Incarnation, permitID uint64, begun bool)
-	// QueryStats asks a member what it has done since its start; then may never be called, or on any goroutine.
+	// QueryStats requests a member's request statistics since its start. The callback may run on any goroutine, or
+	// never.
 	QueryStats(name membership.Name, callback func(gossip.RequestStats))
 }
 
-// Coordinator is one of the processes that hold what is agreed. Its exported methods may be called from any goroutine.
+// Coordinator is one of the processes that replicate the agreed state. Its exported methods may be called from any
+// goroutine.
 type Coordinator struct {
 	config       Config
 	replica      *replica
 	streamLayer  *streamLayer
 	fleet        Fleet     // set by Serve, before its loops start
-	startedAt    time.Time // what LeaderTime of its commands counts from
+	startedAt    time.Time // start of the LeaderTime of its commands
 	clusterKeys  atomic.Pointer[[]membership.Key]
 	shuttingDown atomic.Bool
 	shutdownOnce sync.Once
-	closed       chan struct{} // ends the loops
+	closed       chan struct{} // closed to stop the loops
 	loops        sync.WaitGroup
 
-	leadership *leadership // owned by leadLoop; nil while another one leads
+	leadership *leadership // owned by leadLoop; nil while this coordinator does not lead
 }
 
-// New opens a coordinator's folder and listener; Serve joins it to the others. A folder that can't be gone on with is
-// a DataDirError.
+// New opens a coordinator's data directory and its listener. Serve then joins it to the other coordinators. New returns
+// a DataDirError if the data directory cannot be used.
 func New(config Config) (*Coordinator, error) {
 	if config.AdvertiseAddr == "" {
 		config.AdvertiseAddr = config.ListenAddr
@@ -62,19 +67,19 @@
 	c.streamLayer = newStreamLayer(c, listener)
 	c.replica, err = openReplica(config, c.streamLayer)
 	if err != nil {
-		_ = c.streamLayer.Close() // the folder's error is what matters
+		_ = c.streamLayer.Close() // the error of the data directory takes precedence
 		return nil, err
 	}
 	close(c.streamLayer.ready)
 	return c, nil
 }
 
-// SetClusterKeys replaces the keys for connections that begin later.
+// SetClusterKeys replaces the cluster keys. Only connections opened afterwards use the new keys.
 func (c *Coordinator) SetClusterKeys(keys []membership.Key) { c.clusterKeys.Store(&keys) }
 
 func (c *Coordinator) loadClusterKeys() []membership.Key { return *c.clusterKeys.Load() }
 
-// Serve does a coordinator's work and blocks until Shutdown has ended it.
+// Serve runs the coordinator and blocks until Shutdown has stopped it.
 func (c *Coordinator) Serve(fleet Fleet) {
 	c.fleet = fleet
 	c.loops.Add(2)
@@ -82,38 +87,39 @@
 	go c.leadLoop()
 	<-c.closed
 	c.loops.Wait()
-	_ = c.streamLayer.Close() // of a listener that is not needed any more
+	_ = c.streamLayer.Close() // the listener is no longer needed
 	c.replica.close()
 }
 
-// Shutdown has Serve end, and does not wait for it. A leader hands its leadership over first, so that nothing waits
-// for an election.
+// Shutdown stops Serve without waiting for it to return. A leader first transfers its leadership, so that the fleet
+// does not have to wait for an election.
 func (c *Coordinator) Shutdown() {
 	c.shutdownOnce.Do(func() {
 		c.shuttingDown.Store(true)
 		go func() {
 			if c.IsLeader() {
-				_ = c.replica.raft.LeadershipTransfer().Error() // without it the others elect a leader
+				_ = c.replica.raft.LeadershipTransfer().Error() // if it fails, the others elect a leader
 			}
 			close(c.closed)
 		}()
 	})
 }
 
-// Ready tells whether a leader is known.
+// Ready reports whether this coordinator knows the leader.
 func (c *Coordinator) Ready() bool { return c.replica.leaderAddr() != "" }
 
-// IsLeader tells whether this coordinator leads.
+// IsLeader reports whether this coordinator is the leader.
 func (c *Coordinator) IsLeader() bool {
 	_, isLeader := c.replica.leaderTerm()
 	return isLeader
 }
 
-// acceptsCommands tells whether this coordinator leads and is not about to end.
+// acceptsCommands reports whether this coordinator is the leader and is not shutting down.
 func (c *Coordinator) acceptsCommands() bool { return c.IsLeader() && !c.shuttingDown.Load() }
 
-// propose has a command agreed on. It blocks, and returns an error that is client.ErrNoQuorum where that fails: the
-// command may have been agreed on all the same.
+// propose replicates a command and returns its reply. It blocks until the command is applied or fails. It returns
+// client.ErrNoQuorum if this coordinator is not the leader, or an error that wraps it if replication fails; in the
+// latter case the command may still have been committed.
 func (c *Coordinator) propose(command coordination.Command) (coordination.Reply, error) {
 	term, isLeader := c.replica.leaderTerm()
 	if !isLeader {
@@ -124,8 +130,8 @@
 	return c.replica.apply(command)
 }
 
-// BeginPermit has it agreed that a member begins its permit. It returns at once; begun is called on a goroutine of
-// its own once that is agreed, and never if it is refused or this coordinator does not lead.
+// BeginPermit proposes that a member begins its permit. It returns at once. Once the command is accepted, onBegun is
+// called on a separate goroutine. It is never called if the command is refused or this coordinator is not the leader.
 func (c *Coordinator) BeginPermit(
 	name membership.Name, incarnation membership.Incarnation, permitID uint64, onBegun func(),
 ) {
@@ -141,7 +147,7 @@
 			PermitID:    coordination.PermitID(permitID),
 		})
 		switch {
-		case err != nil: // the member asks again
+		case err != nil: // the member repeats its request
 		case reply.OK:
 			onBegun()
 		default:
@@ -155,7 +161,8 @@
 	maxJoinPause = 2 * time.Second
 )
 
-// joinLoop asks the other coordinators to be made a voter for as long as this one is none.
+// joinLoop requests to join the voters whenever this coordinator is not one of them. It returns when the coordinator is
+// closed.
 func (c *Coordinator) joinLoop() {
 	defer c.loops.Done()
 	pause := minJoinPause
@@ -177,7 +184,7 @@
 	}
 }
 
-// requestJoin asks the leader to make this coordinator a voter.
+// requestJoin requests that the leader adds this coordinator as a voter.
 func (c *Coordinator) requestJoin() error {
 	var others []string
 	for _, addr := range c.config.Coordinators {
--- a/internal/fleet/coordinator/coordinator_test.go
+++ b/internal/fleet/coordinator/coordinator_test.go
@@ -12,8 +12,9 @@
 	"lanewheel/internal/membership"
 )
 
-// The leader ends between agreeing and the answer, as far as the client can tell: the client asks again with its key,
-// and there is one permit. The next leader goes on with it. A stranger without the cluster's key gets no answer.
+// The leader is killed after it granted a permit, and the client repeats its request with the same idempotency key, as
+// if the response had been lost. There is still one permit, and the next leader continues to process it. A client
+// without the cluster's key gets no response.
 func Example_failover() {
 	f := newTestFleet(3, 3)
 	defer f.close()
@@ -25,12 +26,12 @@
 	repeated := f.propose(command)
 	fmt.Println(repeated, f.propose(coordination.Command{Kind: coordination.KindRequestPermit, Member: "n1"}).PermitID)
 	next := f.leader(3, 3)
-	fake.WaitFor("the holder to be told", func() bool { return f.notice(1) != "" })
+	fake.WaitFor("the holder to be notified", func() bool { return f.notice(1) != "" })
 	fmt.Println(f.notice(1))
 	hasBegun := make(chan bool, 1)
 	f.coordinators[next].BeginPermit("n0", 1, 1, func() { hasBegun <- true })
 	fmt.Println(<-hasBegun)
-	f.coordinators[next].BeginPermit("n1", 1, 2, func() { panic("two out") })
+	f.coordinators[next].BeginPermit("n1", 1, 2, func() { panic("the budget of one unavailable member was exceeded") })
 	fmt.Println(f.propose(coordination.Command{
 		Kind: coordination.KindBeginPermit, Member: "n1", Incarnation: 1, PermitID: 2}))
 	stranger := f.client()
@@ -39,7 +40,7 @@
 	fmt.Println(errors.Is(err, client.ErrUnauthenticated))
 	f.startCoordinator(first)
 	f.markUp(0, 2, "1")
-	fake.WaitFor("n0's permit to be over, and n1's granted, at all three", func() bool {
+	fake.WaitFor("n0's permit to end and n1's permit to be granted on all three coordinators", func() bool {
 		for _, coordinator := range f.coordinators {
 			permits := coordinator.status().Permits
 			if len(permits) != 1 || permits[0].Stage != coordination.PermitGranted {
@@ -57,7 +58,7 @@
 	// true
 }
 
-// A request to remove a coordinator that there is not is refused, and its answer names it.
+// A request to remove an unknown coordinator is refused, and the error names the coordinator.
 func TestRemoveUnknownVoter(t *testing.T) {
 	f := newTestFleet(1, 1)
 	defer f.close()
--- a/internal/fleet/coordinator/disk_test.go
+++ b/internal/fleet/coordinator/disk_test.go
@@ -16,14 +16,14 @@
 	"lanewheel/internal/fleet/coordinator/client"
 )
 
-// must is for what a test's own files need.
+// must panics if an operation on the files of a test fails.
 func must(err error) {
 	if err != nil {
 		panic(err)
 	}
 }
 
-// truncateLast cuts bytes off the last of the files that match.
+// truncateLast removes count bytes from the end of the last file that matches the pattern.
 func truncateLast(pattern string, count int64) {
 	paths := fake.Must(filepath.Glob(pattern))
 	path := paths[len(paths)-1]
@@ -31,21 +31,21 @@
 	must(os.Truncate(path, max(0, info.Size()-count)))
 }
 
-// Without a majority nothing is agreed, and nothing that was is forgotten. All end at once and start again from disk:
-// what was agreed holds, and one whose folder was wiped joins as another. A snapshot that was cut short is an error,
-// and is not used; where that leaves no majority, the one that has the state goes on alone when it is configured to,
-// and the others join it anew.
+// Without a majority no command is committed, and the agreed state is not lost. After all coordinators stop and restart
+// from disk, the agreed state is still there, and a coordinator whose data directory was wiped joins under a new server
+// ID. A truncated snapshot is an error and is not used. If that leaves no majority, the coordinator that has the state
+// continues alone when ForceNewCluster is set, and the others join it again.
 func Example_recoveryFromDisk() {
 	f := newTestFleet(3, 3)
 	defer f.close()
 	f.leader(3, 3)
 	f.propose(setBudgetOfOne)
 	f.propose(coordination.Command{Kind: coordination.KindRequestPermit, Member: "n0"})
-	for range 200 { // past two snapshots
+	for range 200 { // enough commands for two snapshots
 		f.propose(coordination.Command{Kind: coordination.KindCancelPermit, PermitID: 99})
 	}
 	for _, coordinator := range f.coordinators {
-		_ = coordinator.replica.raft.Snapshot().Error() // one that has nothing new says so
+		_ = coordinator.replica.raft.Snapshot().Error() // fails if there are no new entries
 	}
 	f.propose(coordination.Command{Kind: coordination.KindHalt, Reason: "for the night"})
 	f.kill(1)
@@ -59,15 +59,15 @@
 	truncateLast(filepath.Join(f.configs[2].DataDir, "snapshots", "*", "state.bin"), 100)
 	must(os.RemoveAll(f.configs[1].DataDir))
 	_, err = New(f.configs[2])
-	fmt.Println(strings.Contains(fmt.Sprint(err), "move the folder away"))
+	fmt.Println(strings.Contains(fmt.Sprint(err), "move the data directory away"))
 	must(os.RemoveAll(f.configs[2].DataDir))
 	f.configs[0].ForceNewCluster = true
-	for i := range f.configs { // the first one by the same configuration as at its first start
+	for i := range f.configs { // the first one still has Bootstrap set, as at its first start
 		f.startCoordinator(i)
 	}
 	f.leader(3, 3)
 	_, err = New(f.configs[0])
-	fmt.Println(err != nil) // two on one folder, or one address
+	fmt.Println(err != nil) // the data directory and the address are in use
 	status := fake.Must(f.client().Do(client.Request{Status: true})).Status
 	isHalted := status.Halt != nil && status.Halt.Reason == "for the night"
 	fmt.Println(isHalted, len(status.Coordinators), status.Budgets[0].Budget.Name)
@@ -81,8 +81,8 @@
 	// withdrawn: halted true
 }
 
-// A log whose last write was cut at any byte opens, with all that was whole. A folder that is not ours is an error,
-// and nothing in it is overwritten.
+// A log whose last write was truncated at any byte opens with all complete entries. A data directory whose identity
+// file is damaged or missing is an error, and the log in it is not overwritten.
 func TestTornLog(t *testing.T) {
 	f := newTestFleet(1, 1)
 	defer f.close()
@@ -96,7 +96,7 @@
 	path := fake.Must(filepath.Glob(filepath.Join(folder, "*.wal")))[0]
 	whole := fake.Must(os.ReadFile(path))
 	end := len(whole)
-	for end > 0 && whole[end-1] == 0 { // the file is longer than what is written
+	for end > 0 && whole[end-1] == 0 { // the file is longer than the data and ends with zeros
 		end--
 	}
 	random := rand.New(rand.NewPCG(1, 1))
@@ -106,8 +106,9 @@
 		must(os.WriteFile(path, torn, 0o600))
 		f.startCoordinator(0)
 		f.leader(1, 1)
-		// A leader still has its log to apply: what was agreed before shows a moment later, and has to.
-		fake.WaitFor(fmt.Sprintf("the budget, cut at %d of %d", cut, end), func() bool {
+		// A new leader may not have applied its whole log yet, so the budget may appear with a delay, but it
+		// must appear.
+		fake.WaitFor(fmt.Sprintf("the budget, with the log truncated at %d of %d bytes", cut, end), func() bool {
 			budgets := f.coordinators[0].status().Budgets
 			return len(budgets) == 1 && budgets[0].Budget.Name == "one"
 		})
@@ -126,7 +127,7 @@
 	must(os.WriteFile(idPath, []byte("?"), 0o600))
 	checkDataDirError("is damaged")
 	must(os.Remove(idPath))
-	checkDataDirError("is missing beside a log")
+	checkDataDirError("is missing, but the directory contains a log")
 	if now := fake.Must(os.ReadFile(path)); !slices.Equal(now, whole) {
 		t.Error("the log was overwritten")
 	}
--- a/internal/fleet/coordinator/fleet_test.go
+++ b/internal/fleet/coordinator/fleet_test.go
@@ -17,25 +17,27 @@
 	"lanewheel/internal/membership"
 )
 
-// testFleet is some coordinators, s0 and so on, in a fleet whose members are as the test says. It is their Fleet.
+// testFleet is a set of coordinators, named s0, s1 and so on, in a fleet whose members the test controls. It implements
+// Fleet for them.
 type testFleet struct {
 	dir          string
 	configs      []Config
-	coordinators []*Coordinator // nil: not running
+	coordinators []*Coordinator // an element is nil while that coordinator is not running
 	done         []chan struct{}
 
 	mu      sync.Mutex
 	table   *membership.Table // guarded by mu
 	now     time.Duration     // guarded by mu
-	notices map[uint64]string // guarded by mu: by permit
+	notices map[uint64]string // guarded by mu: the latest notification for each permit
 }
 
 var clusterKey = membership.Key("0123456789abcdef0123456789abcdef")
 
-// fleetCount gives each fleet of this process addresses of its own.
+// fleetCount is the number of fleets created by this process. It gives each fleet its own IP address.
 var fleetCount int
 
-// testConfig is a coordinator with a short heartbeat and few log entries between snapshots.
+// testConfig returns the configuration of a coordinator with a short heartbeat timeout and few log entries between
+// snapshots.
 func testConfig(name, listenAddr, folder string) Config {
 	return Config{
 		Name:               name,
@@ -53,7 +55,7 @@
 	}
 }
 
-// newTestFleet starts coordinators in a fleet of instances n0 and so on, which are up.
+// newTestFleet starts coordinators in a fleet of instances, named n0, n1 and so on, that are up.
 func newTestFleet(coordinators, instances int) *testFleet {
 	fleetCount++
 	f := &testFleet{
@@ -82,19 +84,19 @@
 	return f
 }
 
-// listen opens a listener at a free port of a host.
+// listen opens a listener on a free port of a host.
 func listen(host string) net.Listener {
 	return fake.Must(new(net.ListenConfig).Listen(context.Background(), "tcp", host+":0"))
 }
 
-// freeAddr is an address of a host at which nobody listens.
+// freeAddr returns an address of a host with a port on which no process listens.
 func freeAddr(host string) string {
 	listener := listen(host)
 	defer func() { _ = listener.Close() }()
 	return listener.Addr().String()
 }
 
-// markUp has the fleet see an incarnation of an instance up.
+// markUp reports an incarnation of an instance as up.
 func (f *testFleet) markUp(i int, incarnation membership.Incarnation, release string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -127,7 +129,7 @@
 	f.notices[permitID] = fmt.Sprint(name, " ", incarnation, " ", begun)
 }
 
-// notice is what the holder of a permit was told last.
+// notice returns the latest notification that the holder of a permit received.
 func (f *testFleet) notice(permitID uint64) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -147,7 +149,7 @@
 	}()
 }
 
-// kill ends a coordinator without handing its leadership over.
+// kill stops a coordinator without a transfer of its leadership.
 func (f *testFleet) kill(i int) {
 	coordinator := f.coordinators[i]
 	coordinator.shutdownOnce.Do(func() { close(coordinator.closed) })
@@ -182,7 +184,8 @@
 	return *response.Reply
 }
 
-// leader waits for a leader that knows so many voters and members, and returns its index.
+// leader waits for a leader that knows exactly this many voters and at least this many members. It returns the index of
+// the leader.
 func (f *testFleet) leader(voters, members int) (leader int) {
 	fake.WaitFor("a leader", func() bool {
 		for i, coordinator := range f.coordinators {
@@ -200,6 +203,7 @@
 	return leader
 }
 
+// setBudgetOfOne is a command that sets a budget of one unavailable instance.
 var setBudgetOfOne = coordination.Command{
 	Kind: coordination.KindSetBudgets,
 	Budgets: []coordination.DisruptionBudget{{
--- a/internal/fleet/coordinator/golden_commands_test.go
+++ b/internal/fleet/coordinator/golden_commands_test.go
@@ -8,12 +8,12 @@
 	"lanewheel/internal/membership"
 )
 
-// goldenSeries makes the commands of one half of the golden log.
+// goldenSeries generates the commands of one half of the golden log.
 type goldenSeries struct {
 	term        uint64
 	leaderTime  time.Duration          // of the first command
-	firstPermit coordination.PermitID  // the first ID that it makes
-	incarnation membership.Incarnation // of all members at its begin
+	firstPermit coordination.PermitID  // the ID of the first permit that the commands create
+	incarnation membership.Incarnation // of all members at the start of the series
 	oldRelease  string
 	newRelease  string
 }
@@ -22,7 +22,7 @@
 	return coordination.Command{Kind: coordination.KindObserve, Observations: observations}
 }
 
-// server is an instance on the old release.
+// server returns the observation of an instance on the old release.
 func (g goldenSeries) server(name coordination.Name, zone string) coordination.Observation {
 	return coordination.Observation{
 		Name:        name,
@@ -34,7 +34,7 @@
 	}
 }
 
-// n0 is an instance in zone a.
+// n0 returns an observation of the instance n0 in zone a after a number of restarts.
 func (g goldenSeries) n0(
 	release string, restarts membership.Incarnation, state coordination.MemberState,
 ) coordination.Observation {
@@ -45,7 +45,7 @@
 	return observation
 }
 
-// members has all members observed, and sets budgets.
+// members returns commands that observe all members and set budgets.
 func (g goldenSeries) members() []coordination.Command {
 	upstream := coordination.Observation{
 		Name:        "d0",
@@ -84,7 +84,8 @@
 	}
 }
 
-// permits has permits requested, begun, cancelled and refused, and halts and resumes.
+// permits returns commands that request, begin and cancel permits, including a refused command, and that halt and
+// resume.
 func (g goldenSeries) permits() []coordination.Command {
 	keyed := coordination.Command{
 		Kind:           coordination.KindRequestPermit,
@@ -99,8 +100,8 @@
 	gone := g.server("n5", "c")
 	gone.State = coordination.MemberGone
 	return []coordination.Command{
-		keyed, // makes firstPermit
-		keyed, // the same command once more
+		keyed, // creates firstPermit
+		keyed, // repeats the same command
 		begin,
 		{ // firstPermit+1 is granted, +2 is queued
 			Kind: coordination.KindDrain, Selector: drained, BeginTimeout: 25 * time.Second},
@@ -117,7 +118,7 @@
 	}
 }
 
-// rollout has a rollout started, one of its waves analyzed, and rolled back.
+// rollout returns commands that start a rollout, report the verdict on one of its waves and roll it back.
 func (g goldenSeries) rollout() []coordination.Command {
 	plan := &coordination.RolloutPlan{
 		Name:                "r" + g.newRelease,
@@ -140,7 +141,7 @@
 	passed := coordination.Command{
 		Kind: coordination.KindCanaryVerdict, RolloutName: plan.Name, Wave: 0, Healthy: true, Reason: "+0.1%"}
 	return []coordination.Command{
-		{Kind: coordination.KindStartRollout, Plan: plan}, // firstPermit+4 is n0's
+		{Kind: coordination.KindStartRollout, Plan: plan}, // n0 gets firstPermit+4
 		begin(1, 4),
 		g.observe(g.n0(g.newRelease, 2, coordination.MemberWarmingUp)),
 		g.observe(g.n0(g.newRelease, 2, coordination.MemberUp)),
@@ -154,8 +155,8 @@
 	}
 }
 
-// commands are of every kind, and succeed unless it is noted. They leave n0 out by a permit, n3 with one that is
-// granted, and a rollback in progress.
+// commands returns the commands of the series. They cover every kind, and succeed unless a comment states otherwise. At
+// their end n0 is out of service with a permit, n3 has a granted permit, and a rollback is in progress.
 func (g goldenSeries) commands() []coordination.Command {
 	all := append(g.members(), append(g.permits(), g.rollout()...)...)
 	for i := range all {
@@ -169,7 +170,7 @@
 	return all
 }
 
-// goldenLog is the two halves of the log: before the snapshot and after it.
+// goldenLog returns the two halves of the golden log: the commands before the snapshot and those after it.
 func goldenLog() (before, after []coordination.Command) {
 	before = goldenSeries{
 		term:        2,
@@ -188,7 +189,7 @@
 		newRelease:  "3",
 	}.commands()
 	last := after[len(after)-1]
-	return before, append(after, coordination.Command{ // 19 is queued
+	return before, append(after, coordination.Command{ // permit 19, which is queued
 		Kind:        coordination.KindRequestPermit,
 		Term:        last.Term,
 		LeaderTime:  last.LeaderTime + time.Second,
--- a/internal/fleet/coordinator/golden_folder_test.go
+++ b/internal/fleet/coordinator/golden_folder_test.go
@@ -30,7 +30,7 @@
 	return os.WriteFile(path, packed.Bytes(), 0o644)
 }
 
-// unpack makes a folder of a compressed archive.
+// unpack extracts a compressed archive to a folder.
 func unpack(t *testing.T, path, folder string) {
 	t.Helper()
 	packed := fake.Must(os.ReadFile(path))
--- a/internal/fleet/coordinator/golden_state_test.go
+++ b/internal/fleet/coordinator/golden_state_test.go
@@ -9,7 +9,7 @@
 	"lanewheel/internal/membership"
 )
 
-// checkGoldenState checks the state that the golden folder holds.
+// checkGoldenState checks the state that is restored from the golden folder.
 func checkGoldenState(t *testing.T, state *coordination.State) {
 	t.Helper()
 	check := func(what string, got, want any) {
@@ -140,8 +140,8 @@
 	},
 }
 
-// goldenRollout was started after the snapshot, so its plan's Selector and AnalysisRequired are known; a snapshot
-// does not hold them.
+// goldenRollout was started after the snapshot, so its plan has its Selector and AnalysisRequired. A snapshot does not
+// contain these two fields.
 var goldenRollout = coordination.Rollout{
 	RolloutPlan: coordination.RolloutPlan{
 		Name:                "r3",
--- a/internal/fleet/coordinator/golden_test.go
+++ b/internal/fleet/coordinator/golden_test.go
@@ -18,15 +18,15 @@
 	"lanewheel/internal/fake"
 )
 
-var update = flag.Bool("update", false, "write the golden folder anew; only where the stored form is meant to change")
+var update = flag.Bool("update", false, "rewrite the golden folder; only for intended changes of the stored format")
 
 const (
 	goldenFolder = "testdata/folder.tar.gz"
 	goldenState  = "testdata/state.json"
-	goldenAddr   = "127.0.0.1:7373" // where the others would dial it: it is stored in the folder
+	goldenAddr   = "127.0.0.1:7373" // advertised address, which is stored in the folder
 )
 
-// goldenKinds are the stored words of all kinds of command.
+// goldenKinds lists the stored values of all command kinds.
 var goldenKinds = []coordination.Kind{
 	"see", "budgets", "ask", "begin", "drop", "forget", "halt", "resume", "release", "back", "verdict", "tick", "drain",
 	"undrain"}
@@ -39,11 +39,11 @@
 	return config
 }
 
-// startGolden starts a coordinator on a folder, without its loops, and waits until it leads with all of its log
-// applied.
+// startGolden starts a coordinator without its loops on a folder, and waits until it is the leader and has applied its
+// whole log.
 func startGolden(folder string) *Coordinator {
 	coordinator := fake.Must(New(goldenConfig(folder)))
-	fake.WaitFor("it leads", func() bool {
+	fake.WaitFor("the coordinator to lead", func() bool {
 		return coordinator.IsLeader() && coordinator.replica.raft.Barrier(time.Second).Error() == nil
 	})
 	return coordinator
@@ -54,7 +54,7 @@
 	coordinator.replica.close()
 }
 
-// writeGoldenFolder writes the golden folder by what the code does now.
+// writeGoldenFolder writes the golden folder with the current code.
 func writeGoldenFolder(t *testing.T, before, after []coordination.Command) {
 	t.Helper()
 	folder := t.TempDir()
@@ -76,8 +76,8 @@
 	}
 }
 
-// A folder that an earlier version wrote: its identity, its log with every kind of command, a snapshot amid them. It
-// opens, holds what was agreed, and goes on.
+// A coordinator opens a data directory that an earlier version wrote: its identity, its log with commands of every
+// kind, and a snapshot in the middle of them. It restores the agreed state and accepts further commands.
 func TestFolderGolden(t *testing.T) {
 	before, after := goldenLog()
 	if *update {
@@ -92,7 +92,7 @@
 	defer stopGolden(coordinator)
 	replica := coordinator.replica
 	if replica.id != raft.ServerID("s0."+dataDirID) {
-		t.Errorf("it is %s, want s0.%s", replica.id, dataDirID)
+		t.Errorf("server ID is %s, want s0.%s", replica.id, dataDirID)
 	}
 	checkGoldenLog(t, replica, slices.Concat(before, after))
 	replica.inspect(func(state *coordination.State) {
@@ -103,12 +103,12 @@
 			}
 		}
 		if want := fake.Must(os.ReadFile(goldenState)); !bytes.Equal(stored, want) {
-			t.Errorf("it holds\n%s\nwant\n%s", stored, want)
+			t.Errorf("state is\n%s\nwant\n%s", stored, want)
 		}
 		checkGoldenState(t, state)
 	})
 
-	// It goes on where it was.
+	// The coordinator accepts a command in the restored state.
 	reply := fake.Must(replica.apply(coordination.Command{
 		Term:        9,
 		LeaderTime:  time.Second,
@@ -121,8 +121,8 @@
 	}
 }
 
-// checkGoldenFiles checks the names of the folder's files, and that the snapshot is what the commands before it make,
-// as the code has it now.
+// checkGoldenFiles checks the names of the folder's files. It also checks that the snapshot equals the state that the
+// current code computes and encodes from the commands before the snapshot.
 func checkGoldenFiles(t *testing.T, folder string, before []coordination.Command) {
 	t.Helper()
 	var names []string
@@ -144,7 +144,7 @@
 		"00000000000000000001-0000000000000000.wal", "life", "lock", snapshot + "/meta.json", snapshot + "/state.bin",
 		"wal-meta.db"}
 	if !slices.Equal(names, want) {
-		t.Errorf("the folder holds %q, want %q", names, want)
+		t.Errorf("the folder contains %q, want %q", names, want)
 	}
 	state := coordination.NewState(coordination.DefaultConfig())
 	for _, command := range before {
@@ -152,11 +152,11 @@
 	}
 	stored := fake.Must(os.ReadFile(filepath.Join(folder, snapshot, "state.bin")))
 	if now := fake.Must(json.Marshal(state)); !bytes.Equal(stored, now) {
-		t.Errorf("the snapshot is\n%s\nnow written as\n%s", stored, now)
+		t.Errorf("the snapshot is\n%s\nthe current code writes\n%s", stored, now)
 	}
 }
 
-// checkGoldenLog checks that the log holds the commands byte for byte as they are written now.
+// checkGoldenLog checks that the log contains the commands, byte for byte as the current code encodes them.
 func checkGoldenLog(t *testing.T, replica *replica, commands []coordination.Command) {
 	t.Helper()
 	first, last := fake.Must(replica.wal.FirstIndex()), fake.Must(replica.wal.LastIndex())
@@ -175,17 +175,17 @@
 		}
 		var command coordination.Command
 		if err := json.Unmarshal(entry.Data, &command); err != nil || !reflect.DeepEqual(command, commands[next]) {
-			t.Errorf("entry %d reads as\n%+v\nwant\n%+v (%v)", index, command, commands[next], err)
+			t.Errorf("entry %d is decoded as\n%+v\nwant\n%+v (%v)", index, command, commands[next], err)
 		}
 		if now := fake.Must(json.Marshal(commands[next])); !bytes.Equal(entry.Data, now) {
-			t.Errorf("entry %d is\n%s\nnow written as\n%s", index, entry.Data, now)
+			t.Errorf("entry %d is\n%s\nthe current code writes\n%s", index, entry.Data, now)
 		}
 		counts[command.Kind]++
 		next++
 	}
 	for _, kind := range goldenKinds {
 		if counts[kind] < 2 {
-			t.Errorf("%d entries of %q, want some on either side of the snapshot", counts[kind], kind)
+			t.Errorf("%d entries of kind %q, want at least 2: one on each side of the snapshot", counts[kind], kind)
 		}
 	}
 }
--- a/internal/fleet/coordinator/leader.go
+++ b/internal/fleet/coordinator/leader.go
@@ -15,21 +15,23 @@
 	barrierTimeout      = 5 * time.Second
 	activeTickInterval  = 250 * time.Millisecond // while there is a permit or a rollout
 	idleTickInterval    = 5 * time.Second
-	notifyInterval      = 500 * time.Millisecond // a permit's holder is told again: a message may be lost
+	notifyInterval      = 500 * time.Millisecond // holders are notified repeatedly, as a message may be lost
 )
 
-// leadership is what a leader keeps beside the state; the next leader needs nothing of it. It is owned by leadLoop.
+// leadership holds a leader's data that is not part of the replicated state. The next leader starts without it. It is
+// owned by leadLoop.
 type leadership struct {
 	term       uint64
-	reported   map[coordination.Name]coordination.Observation // the latest agreed observation of each member
+	reported   map[coordination.Name]coordination.Observation // the latest committed observation of each member
 	lastTick   time.Time
 	notifiedAt map[coordination.PermitID]time.Time
 	restarts   map[coordination.PermitID]*restartState
 	analysis   waveAnalysis
-	// canaryIncarnations are those of the new release's members in the window before.
+	// canaryIncarnations holds the incarnations of the new release's members in the previous window.
 	canaryIncarnations map[coordination.Name]membership.Incarnation
 }
 
+// newLeadership returns the empty leadership of a term.
 func newLeadership(term uint64) *leadership {
 	return &leadership{
 		term:               term,
@@ -39,7 +41,8 @@
 	}
 }
 
-// leadLoop does the leader's rounds for as long as this coordinator leads.
+// leadLoop runs a leader round every leaderRoundInterval while this coordinator is the leader. It returns when the
+// coordinator is closed.
 func (c *Coordinator) leadLoop() {
 	defer c.loops.Done()
 	ticker := time.NewTicker(leaderRoundInterval)
@@ -56,7 +59,8 @@
 	}
 }
 
-// refreshLeadership tells whether this coordinator leads and has all in its state that was agreed before.
+// refreshLeadership updates c.leadership. It reports whether this coordinator is the leader and has applied all entries
+// that were committed before its term.
 func (c *Coordinator) refreshLeadership() bool {
 	term, isLeader := c.replica.leaderTerm()
 	if !isLeader {
@@ -69,7 +73,8 @@
 	if c.leadership != nil && c.leadership.term == term {
 		return true
 	}
-	// What was agreed before is in the log and may not be in the state yet. Nothing is decided before it is.
+	// Entries committed before this term are in the log but may not be applied to the state yet. The leader must not
+	// make decisions until they are.
 	if c.replica.raft.Barrier(barrierTimeout).Error() != nil {
 		return false
 	}
@@ -78,8 +83,8 @@
 	return true
 }
 
-// leaderRound reports what has changed among the members, passes the time, tells holders of their permits, starts
-// members anew and analyzes the rollout.
+// leaderRound reports changes among the members, advances the fleet time, notifies permit holders, restarts members and
+// analyzes the rollout.
 func (c *Coordinator) leaderRound() {
 	if !c.reportMembers() {
 		return
@@ -93,29 +98,30 @@
 	}
 	rollout := snapshot.rollout
 	switch {
-	case snapshot.halted: // what is measured meanwhile is of a wave that is analyzed anew after the halt
+	case snapshot.halted: // the wave is analyzed anew after the halt, without measurements made during it
 		c.leadership.analysis.wave = waveKey{}
 	case rollout.InProgress() && rollout.AnalysisRequired && rollout.Phase != coordination.RolloutRollingBack:
 		c.analyzeWave(rollout)
 	}
 }
 
-// roundSnapshot is what a leader's round needs of the state.
+// roundSnapshot is a copy of the parts of the state that a leader round needs.
 type roundSnapshot struct {
 	active  bool // there is a permit or a rollout in progress
 	halted  bool
 	permits []heldPermit          // granted or begun
-	rollout *coordination.Rollout // a copy; nil if there was none
+	rollout *coordination.Rollout // a copy; nil if there has been no rollout
 }
 
-// heldPermit is a granted or begun permit and how its holder is.
+// heldPermit is a granted or begun permit with the state of its holder.
 type heldPermit struct {
 	coordination.Permit
-	holderUp        bool // the incarnation that holds it
+	holderUp        bool // the incarnation that holds the permit is up
 	holderGone      bool
 	previousRelease string // of the holder, before the rollout
 }
 
+// takeSnapshot returns a snapshot of the state for one leader round.
 func (c *Coordinator) takeSnapshot() (snapshot roundSnapshot) {
 	c.replica.inspect(func(state *coordination.State) {
 		snapshot.active = len(state.Permits) > 0 || state.Rollout.InProgress()
@@ -140,7 +146,8 @@
 	return snapshot
 }
 
-// tick has the fleet's time pass, seldom while nothing is going on. It tells whether the round may go on.
+// tick advances the fleet time once the interval since the previous tick has passed: activeTickInterval if active,
+// idleTickInterval otherwise. It reports whether the round may continue.
 func (c *Coordinator) tick(active bool) bool {
 	interval := idleTickInterval
 	if active {
@@ -154,7 +161,7 @@
 	return err == nil
 }
 
-// advancePermit tells a holder of its permit until it has gone out, and starts it anew once it is gone.
+// advancePermit notifies the holder of its permit while it is up, and restarts it once it is gone.
 func (c *Coordinator) advancePermit(permit heldPermit, rollout *coordination.Rollout) {
 	lead := c.leadership
 	begun := permit.Stage == coordination.PermitBegun
@@ -162,8 +169,8 @@
 	case permit.holderUp && time.Since(lead.notifiedAt[permit.ID]) > notifyInterval:
 		lead.notifiedAt[permit.ID] = time.Now()
 		c.fleet.NotifyPermit(permit.Member, permit.Incarnation, uint64(permit.ID), begun)
-	// A member that was drained stays out until its operator starts it. One that still serves must not be started a
-	// second time: only a member that is gone is started.
+	// A drained member stays out until its operator starts it. A member that still serves must not be started a
+	// second time, so only members that are gone are restarted.
 	case permit.holderGone && begun && permit.Purpose != coordination.PurposeDrain &&
 		rollout != nil && c.config.RestartCommand != "":
 		release := rollout.TargetRelease
@@ -179,7 +186,7 @@
 	}
 }
 
-// memberStates is how a state of the membership is observed.
+// memberStates maps the states of the membership to those of observations.
 var memberStates = map[membership.State]coordination.MemberState{
 	membership.StateUp:      coordination.MemberUp,
 	membership.StateWarming: coordination.MemberWarmingUp,
@@ -190,9 +197,9 @@
 	membership.StateFenced:  coordination.MemberGone,
 }
 
-// reportMembers has what has changed among the members agreed on, and tells whether the view can be trusted and that
-// went well. A leader that is cut off from the fleet and not from the other coordinators would see all members as
-// gone, or as they were.
+// reportMembers proposes observations of all members that have changed since the previous report. It reports whether
+// the view can be trusted and the observations were committed. The view of a leader that is cut off from the fleet, but
+// not from the other coordinators, cannot be trusted: it would show all members as gone, or in their former states.
 func (c *Coordinator) reportMembers() bool {
 	view := c.fleet.View()
 	if !view.LocalHealth.CanDeclareGone() {
@@ -206,7 +213,7 @@
 			changed = append(changed, current[name])
 		}
 	}
-	for name, previous := range lead.reported { // the membership has forgotten one that was gone for long
+	for name, previous := range lead.reported { // the membership drops members that have been gone for a long time
 		if _, isCurrent := current[name]; !isCurrent && previous.State != coordination.MemberGone {
 			previous.State = coordination.MemberGone
 			changed = append(changed, previous)
@@ -224,7 +231,7 @@
 	return true
 }
 
-// observeView returns an observation of each member of a view, the observer among them.
+// observeView returns an observation of each member of a view, including the observer itself.
 func observeView(view *membership.View) map[coordination.Name]coordination.Observation {
 	observations := map[coordination.Name]coordination.Observation{}
 	add := func(descriptor membership.Descriptor, state coordination.MemberState) {
--- a/internal/fleet/coordinator/linearizable_test.go
+++ b/internal/fleet/coordinator/linearizable_test.go
@@ -15,7 +15,8 @@
 	"lanewheel/internal/membership"
 )
 
-// randomCommand is a command about one of three members or eight permits, which may be asked again.
+// randomCommand returns a random command about one of three members or eight permits. Its idempotency key makes it safe
+// to repeat.
 func randomCommand(random *rand.Rand, key string) coordination.Command {
 	command := coordination.Command{
 		IdempotencyKey: key,
@@ -36,7 +37,8 @@
 	return command
 }
 
-// linearizableModel is one state that starts as the coordinators' does. Its state is JSON.
+// linearizableModel returns a sequential model of the coordinators: a single state that starts with the same members
+// and budget. The model's state is encoded as JSON.
 func linearizableModel() porcupine.Model {
 	start := coordination.NewState(coordination.DefaultConfig())
 	for i := range 3 {
@@ -70,14 +72,14 @@
 	}
 }
 
-// What clients that ask at the same time are answered, while leaders end, is what one state would have answered them
-// one after the other (porcupine).
+// The replies to concurrent clients, while leaders are killed, are linearizable: a single state that processes the
+// commands one after the other could have given the same replies. Porcupine checks this.
 func TestLinearizable(t *testing.T) {
 	f := newTestFleet(3, 3)
 	defer f.close()
 	f.leader(3, 3)
 	f.propose(setBudgetOfOne)
-	fake.WaitFor("all to be known", func() bool { return f.coordinators[f.leader(3, 3)].status().MemberCount == 4 })
+	fake.WaitFor("all observations", func() bool { return f.coordinators[f.leader(3, 3)].status().MemberCount == 4 })
 	var mu sync.Mutex
 	var history []porcupine.Operation
 	startedAt := time.Now()
--- a/internal/fleet/coordinator/loopback_test.go
+++ b/internal/fleet/coordinator/loopback_test.go
@@ -8,7 +8,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// loopbackLayer is a stream layer on a free port of loopback.
+// loopbackLayer is a raft.StreamLayer on a free port of the loopback interface.
 type loopbackLayer struct {
 	net.Listener
 }
--- a/internal/fleet/coordinator/replica.go
+++ b/internal/fleet/coordinator/replica.go
@@ -23,15 +23,15 @@
 
 const (
 	retainedSnapshots    = 2
-	snapshotInterval     = 10 * time.Second // between two looks at whether one is due
-	maxPooledConnections = 3                // kept open to each peer
-	peerTimeout          = 2 * time.Second  // of one call to a peer, snapshots aside
+	snapshotInterval     = 10 * time.Second // interval between checks whether a snapshot is due
+	maxPooledConnections = 3                // idle connections kept open to each peer
+	peerTimeout          = 2 * time.Second  // of one call to a peer, except the transfer of a snapshot
 )
 
-// errUnknownCoordinator is that no voter has the name.
+// errUnknownCoordinator is returned if no voter has the given name. Its text is sent to clients.
 var errUnknownCoordinator = errors.New("no coordinator has this name")
 
-// replica is one coordinator's copy of the agreed state. Its methods may be called from any goroutine.
+// replica is one coordinator's copy of the replicated state. Its methods may be called from any goroutine.
 type replica struct {
 	config    Config
 	id        raft.ServerID
@@ -46,7 +46,8 @@
 	state *coordination.State // guarded by mu
 }
 
-// openReplica opens the copy in its folder and starts raft. Connections of the other coordinators come by streamLayer.
+// openReplica opens the replica in its data directory and starts raft. Raft communicates with the other coordinators
+// through streamLayer.
 func openReplica(config Config, streamLayer raft.StreamLayer) (*replica, error) {
 	if err := os.MkdirAll(config.DataDir, 0o700); err != nil {
 		return nil, err
@@ -68,7 +69,7 @@
 	return r, nil
 }
 
-// start opens what is in the folder and starts raft on it.
+// start opens the contents of the data directory and starts raft on them.
 func (r *replica) start(streamLayer raft.StreamLayer) error {
 	logger := hclog.New(&hclog.LoggerOptions{Output: &raftLogWriter{}, Level: hclog.Warn, DisableTime: true})
 	dir := r.config.DataDir
@@ -77,7 +78,7 @@
 		return err
 	}
 	if r.wal, err = wal.Open(dir, wal.WithMetaStore(r.metaStore)); err != nil {
-		return fmt.Errorf("the log in %s: %w", dir, err)
+		return fmt.Errorf("open the raft log in %s: %w", dir, err)
 	}
 	if r.snapshots, err = raft.NewFileSnapshotStoreWithLogger(dir, retainedSnapshots, logger); err != nil {
 		return err
@@ -98,13 +99,13 @@
 	}
 	r.raft, err = raft.NewRaft(raftConfig, (*stateMachine)(r), r.wal, r.wal, r.snapshots, r.transport)
 	if err != nil {
-		return &DataDirError{Path: "the state in " + dir, Problem: "can't be read", Err: err}
+		return &DataDirError{Path: "the state in " + dir, Problem: "cannot be read", Err: err}
 	}
 	return nil
 }
 
-// newRaftConfig derives raft's timing from the heartbeat timeout: a leader that is cut off knows it after one
-// heartbeat timeout, the others after one more.
+// newRaftConfig derives raft's timing from the heartbeat timeout. A leader that is cut off detects this within one
+// heartbeat timeout, and the other coordinators within one more.
 func newRaftConfig(config Config, id raft.ServerID, logger hclog.Logger) *raft.Config {
 	raftConfig := raft.DefaultConfig()
 	raftConfig.LocalID = id
@@ -120,7 +121,7 @@
 	return raftConfig
 }
 
-// singleVoterConfiguration is a configuration of this coordinator and no other.
+// singleVoterConfiguration returns a raft configuration with this coordinator as the only voter.
 func (r *replica) singleVoterConfiguration() raft.Configuration {
 	return raft.Configuration{Servers: []raft.Server{{
 		ID:      r.id,
@@ -128,8 +129,8 @@
 	}}}
 }
 
-// bootstrap begins a new fleet, unless there is a state: a start by the same command line as the first one must not
-// make a second fleet.
+// bootstrap creates a new cluster with this coordinator as the only voter, unless there is existing state: a restart
+// with the command line of the first start must not create a second cluster.
 func (r *replica) bootstrap(raftConfig *raft.Config) error {
 	exists, err := raft.HasExistingState(r.wal, r.wal, r.snapshots)
 	if err != nil {
@@ -142,29 +143,31 @@
 	return raft.BootstrapCluster(raftConfig, r.wal, r.wal, r.snapshots, r.transport, r.singleVoterConfiguration())
 }
 
-// forceNewCluster makes this coordinator the only voter of the state that it has.
+// forceNewCluster makes this coordinator the only voter and keeps its existing state.
 func (r *replica) forceNewCluster(raftConfig *raft.Config) error {
 	slog.Warn("forcing new cluster", "id", string(r.id))
-	err := raft.RecoverCluster(raftConfig, (*stateMachine)(r), r.wal, r.wal, r.snapshots, r.transport, r.singleVoterConfiguration())
+	err := raft.RecoverCluster(
+		raftConfig, (*stateMachine)(r), r.wal, r.wal, r.snapshots, r.transport, r.singleVoterConfiguration())
 	if err != nil {
-		return fmt.Errorf("the state in %s: %w", r.config.DataDir, err)
+		return fmt.Errorf("recover the state in %s: %w", r.config.DataDir, err)
 	}
-	r.state = coordination.NewState(r.config.Coordination) // raft reads it again
+	r.state = coordination.NewState(r.config.Coordination) // NewRaft restores it again
 	return nil
 }
 
-// leaderTerm returns the term, and whether this coordinator leads in it.
+// leaderTerm returns the current term and whether this coordinator is its leader.
 func (r *replica) leaderTerm() (term uint64, isLeader bool) {
 	return r.raft.CurrentTerm(), r.raft.State() == raft.Leader
 }
 
-// leaderAddr is where the leader is reached, empty if none is known.
+// leaderAddr returns the address of the leader, or an empty string if no leader is known.
 func (r *replica) leaderAddr() string {
 	addr, _ := r.raft.LeaderWithID()
 	return string(addr)
 }
 
-// apply has a command agreed on and returns its reply. It blocks. Any error of raft is client.ErrNoQuorum too.
+// apply replicates a command, applies it and returns its reply. It blocks. Every error of raft is wrapped together with
+// client.ErrNoQuorum.
 func (r *replica) apply(command coordination.Command) (coordination.Reply, error) {
 	data, err := json.Marshal(command)
 	if err != nil {
@@ -177,14 +180,14 @@
 	return future.Response().(coordination.Reply), nil
 }
 
-// inspect has visit see the state, which it must neither change nor keep.
+// inspect calls visit with the state while it holds the lock. visit must not modify or retain the state.
 func (r *replica) inspect(visit func(*coordination.State)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	visit(r.state)
 }
 
-// servers returns the coordinators of the latest configuration.
+// servers returns the coordinators in raft's latest configuration.
 func (r *replica) servers() ([]raft.Server, error) {
 	future := r.raft.GetConfiguration()
 	if err := future.Error(); err != nil {
@@ -193,7 +196,8 @@
 	return future.Configuration().Servers, nil
 }
 
-// addVoter makes a coordinator a voter, in place of one of the same name with an earlier folder. It blocks.
+// addVoter adds a coordinator as a voter. It first removes voters of the same name that have an earlier data directory.
+// It blocks.
 func (r *replica) addVoter(id raft.ServerID, addr string) error {
 	servers, err := r.servers()
 	if err != nil {
@@ -204,7 +208,7 @@
 			return nil
 		}
 		if server.ID != id && coordinatorName(server.ID) == coordinatorName(id) {
-			slog.Info("coordinator replaced", "old", string(server.ID), "new", string(id))
+			slog.Info("replacing coordinator", "old", string(server.ID), "new", string(id))
 			if err := r.removeServer(server.ID); err != nil {
 				return err
 			}
@@ -214,7 +218,8 @@
 	return r.raft.AddVoter(id, raft.ServerAddress(addr), 0, 5*r.config.HeartbeatTimeout).Error()
 }
 
-// removeVoter takes a coordinator out for good, by its name. It blocks.
+// removeVoter permanently removes the coordinator with the given name. It blocks. It returns an error that wraps
+// errUnknownCoordinator if there is no such voter.
 func (r *replica) removeVoter(name string) error {
 	servers, err := r.servers()
 	if err != nil {
@@ -232,7 +237,7 @@
 	return r.raft.RemoveServer(id, 0, 2*r.config.HeartbeatTimeout).Error()
 }
 
-// isVoter tells whether this coordinator is one of the voters, as far as it knows.
+// isVoter reports whether this coordinator is a voter in the latest configuration that it has.
 func (r *replica) isVoter() bool {
 	servers, err := r.servers()
 	if err != nil {
@@ -246,7 +251,8 @@
 	return false
 }
 
-// close ends whatever has been opened. Nothing can be done about an error: the log is read again at the next start.
+// close closes everything that has been opened. Errors are ignored because they cannot be handled: the next start
+// reads the log again.
 func (r *replica) close() {
 	if r.raft != nil {
 		_ = r.raft.Shutdown().Error()
@@ -258,6 +264,6 @@
 	if r.wal != nil {
 		_ = r.wal.Close()
 	}
-	_ = r.metaStore.Close() // the log leaves it open
+	_ = r.metaStore.Close() // closing the log does not close it
 	_ = r.dirLock.Close()
 }
--- a/internal/fleet/coordinator/requests.go
+++ b/internal/fleet/coordinator/requests.go
@@ -11,7 +11,8 @@
 	"lanewheel/internal/fleet/coordinator/client"
 )
 
-// handleRequest answers a request. Any coordinator shows what it knows; the leader alone takes commands, others name it.
+// handleRequest returns the response to a request. Every coordinator responds to status and history requests. Only the
+// leader accepts other requests; the other coordinators respond with the leader's address.
 func (c *Coordinator) handleRequest(request client.Request) client.Response {
 	switch {
 	case request.Status:
@@ -28,7 +29,7 @@
 	return response
 }
 
-// handleCommand carries out a request that only the leader takes.
+// handleCommand executes a request that only the leader accepts.
 func (c *Coordinator) handleCommand(request client.Request, response *client.Response) error {
 	switch {
 	case request.Command != nil:
@@ -45,11 +46,11 @@
 	return nil
 }
 
-// redirect names the leader, or tells that there is none.
+// redirect returns a response with the leader's address, or with client.ErrNoQuorum if there is no other leader.
 func (c *Coordinator) redirect() client.Response {
 	var response client.Response
 	leader := c.replica.leaderAddr()
-	if leader == "" || leader == c.config.AdvertiseAddr { // this one, which is about to end
+	if leader == "" || leader == c.config.AdvertiseAddr { // this leader is shutting down
 		response.SetErr(client.ErrNoQuorum)
 		return response
 	}
@@ -57,6 +58,7 @@
 	return response
 }
 
+// history returns a response with copies of the command history and the ended permits.
 func (c *Coordinator) history() (response client.Response) {
 	c.replica.inspect(func(state *coordination.State) {
 		response.History = slices.Clone(state.History)
@@ -65,7 +67,7 @@
 	return response
 }
 
-// status is what is agreed as this coordinator has it, a copy.
+// status returns a copy of the state as this coordinator has it.
 func (c *Coordinator) status() *client.Status {
 	status := &client.Status{
 		ID:           string(c.replica.id),
@@ -76,7 +78,7 @@
 		Coordinators: map[string]string{},
 	}
 	servers, err := c.replica.servers()
-	if err == nil { // else none is shown
+	if err == nil { // on an error the status lists no coordinators
 		for _, server := range servers {
 			status.Coordinators[string(server.ID)] = string(server.Address)
 		}
@@ -85,7 +87,7 @@
 	return status
 }
 
-// copyState copies into a status what it shows of the state.
+// copyState fills a status with copies of the parts of the state that it contains.
 func copyState(state *coordination.State, status *client.Status) {
 	status.FleetTime = state.Now.Round(time.Millisecond).String()
 	status.MemberCount = len(state.Members)
--- a/internal/fleet/coordinator/restart.go
+++ b/internal/fleet/coordinator/restart.go
@@ -16,26 +16,27 @@
 const (
 	minRestartBackoff = time.Second
 	maxRestartBackoff = 15 * time.Second
-	// restartWaitDelay is how long the command's output is waited for once it has ended: a child of its own may keep
-	// it open.
+	// restartWaitDelay limits the wait for the command's output after the command has exited, because a child process
+	// may keep the output open.
 	restartWaitDelay = time.Second
 )
 
-// restartState is how far the operator's command is for one permit.
+// restartState is the progress of the operator's restart command for one permit.
 type restartState struct {
 	running     atomic.Bool
-	succeeded   atomic.Bool // it went well
+	succeeded   atomic.Bool // the last run succeeded
 	attempts    int         // owned by leadLoop
 	nextAttempt time.Time   // owned by leadLoop
 }
 
-// restartBackoff is the pause after an attempt, counted from 1.
+// restartBackoff returns the delay from the start of an attempt, numbered from 1, to the next attempt.
 func restartBackoff(attempt int) time.Duration {
 	return min(minRestartBackoff<<min(attempt-1, 5), maxRestartBackoff)
 }
 
-// scheduleRestart runs the operator's command for a member that is out, again and later each time while it fails: a
-// member that has left the fleet and not ended yet can't be started, and would stay out for ever.
+// scheduleRestart starts the operator's command for a member that is out, unless the command is running, has succeeded
+// or is in backoff. A failed command is retried with increasing backoff: a member whose process has left the fleet but
+// has not exited yet cannot be started, and without a retry would stay out forever.
 func (c *Coordinator) scheduleRestart(restart *restartState, permit coordination.Permit, release string) {
 	if restart.running.Load() || restart.succeeded.Load() || time.Now().Before(restart.nextAttempt) {
 		return
@@ -49,8 +50,8 @@
 	}()
 }
 
-// runRestartCommand runs the operator's command, with bounds on its time and its output, and tells whether it went
-// well.
+// runRestartCommand runs the operator's command with limits on its duration and its output. It reports whether the
+// command succeeded.
 func (c *Coordinator) runRestartCommand(permit coordination.Permit, release string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), c.config.RestartTimeout)
 	defer cancel()
@@ -78,15 +79,15 @@
 	return err == nil
 }
 
-// limitedBuffer keeps the first bytes of what is written and counts the others.
+// limitedBuffer keeps the first bytes written to it, up to a limit, and counts the discarded ones.
 type limitedBuffer struct {
 	mu        sync.Mutex
 	data      []byte // guarded by mu
-	limit     int    // bytes
+	limit     int    // maximum number of bytes in data
 	discarded int    // bytes, guarded by mu
 }
 
-// Write never fails and never keeps the writer waiting.
+// Write never fails and never blocks. It discards the bytes beyond the limit.
 func (b *limitedBuffer) Write(data []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/fleet/coordinator/restart_test.go
+++ b/internal/fleet/coordinator/restart_test.go
@@ -10,7 +10,8 @@
 	"lanewheel/internal/fake"
 )
 
-// What an operator's command is given: the words {name} and {release}, and two variables.
+// The restart command receives the member's name and the release to start, through the placeholders {name} and
+// {release} and through two environment variables.
 func TestRestartGolden(t *testing.T) {
 	folder := t.TempDir()
 	script, output := filepath.Join(folder, "start"), filepath.Join(folder, "output")
@@ -27,11 +28,11 @@
 		t.Fatal("the command failed")
 	}
 	if got := string(fake.Must(os.ReadFile(output))); got != "at=n1 to=2 n1 2\n" {
-		t.Errorf("%q", got)
+		t.Errorf("the command wrote %q", got)
 	}
 }
 
-// The pause between runs of the operator's command.
+// The delay between runs of the restart command doubles up to a maximum.
 func TestRestartBackoff(t *testing.T) {
 	for i, seconds := range []time.Duration{1, 2, 4, 8, 15, 15, 15} {
 		if got := restartBackoff(i + 1); got != seconds*time.Second {
@@ -40,7 +41,7 @@
 	}
 }
 
-// The first bytes of an output are kept, the others counted.
+// The first bytes of an output are kept, and the discarded ones are counted.
 func TestLimitedBuffer(t *testing.T) {
 	buffer := &limitedBuffer{limit: 5}
 	for _, text := range []string{"abc", "def", "gh"} {
@@ -49,6 +50,6 @@
 		}
 	}
 	if string(buffer.data) != "abcde" || buffer.discarded != 3 {
-		t.Errorf("%q, %d more", buffer.data, buffer.discarded)
+		t.Errorf("kept %q, discarded %d bytes", buffer.data, buffer.discarded)
 	}
 }
--- a/internal/fleet/coordinator/serverid.go
+++ b/internal/fleet/coordinator/serverid.go
@@ -13,16 +13,16 @@
 	"github.com/hashicorp/raft"
 )
 
-// DataDirError is that a coordinator can't go on with its folder. Once the folder is moved away, the coordinator joins
-// the others anew.
+// DataDirError is returned if a coordinator cannot use its data directory. After the directory is moved away, the
+// coordinator joins the others again with a new one.
 type DataDirError struct {
-	Path    string // of the file, or a word for what is in the folder
+	Path    string // path of the damaged file, or a description of the unreadable data
 	Problem string
-	Err     error // nil: there is no other cause
+	Err     error // underlying error; may be nil
 }
 
 func (e *DataDirError) Error() string {
-	text := fmt.Sprintf("%s %s: move the folder away, and the coordinator joins the others anew", e.Path, e.Problem)
+	text := fmt.Sprintf("%s %s: move the data directory away to let the coordinator join again", e.Path, e.Problem)
 	if e.Err != nil {
 		text += ": " + e.Err.Error()
 	}
@@ -32,13 +32,14 @@
 func (e *DataDirError) Unwrap() error { return e.Err }
 
 const (
-	dataDirIDFile = "life" // in the folder
-	dataDirIDSize = 4      // bytes, stored as hex digits
+	dataDirIDFile = "life" // file name in the data directory
+	dataDirIDSize = 4      // bytes; stored as hexadecimal digits
 )
 
-// loadServerID returns the coordinator's name with a part that is drawn once for its folder. A coordinator whose disk
-// was wiped has forgotten its vote, and could vote a second time in one election: with its new folder it is another
-// server, which the leader adds in place of the lost one.
+// loadServerID returns the server ID: the coordinator's name and a random suffix that identifies its data directory. A
+// coordinator whose disk was wiped has lost the record of its vote and could vote twice in one election. Its new data
+// directory has another suffix, which makes it another server, and the leader adds it in place of the lost one. The
+// suffix is created at the first start.
 func loadServerID(config Config) (raft.ServerID, error) {
 	path := filepath.Join(config.DataDir, dataDirIDFile)
 	stored, err := os.ReadFile(path)
@@ -55,11 +56,12 @@
 	return raft.ServerID(config.Name + "." + string(dataDirID)), nil
 }
 
-// createServerID draws the part of a new folder and stores it.
+// createServerID generates and stores the suffix of a new data directory, and returns the server ID. It returns a
+// DataDirError if the directory contains a log, which means that the suffix has been lost.
 func createServerID(config Config, path string) (raft.ServerID, error) {
 	segments, err := filepath.Glob(filepath.Join(config.DataDir, "*.wal"))
 	if err == nil && len(segments) > 0 {
-		return "", &DataDirError{Path: path, Problem: "is missing beside a log"}
+		return "", &DataDirError{Path: path, Problem: "is missing, but the directory contains a log"}
 	}
 	var random [dataDirIDSize]byte
 	if _, err := rand.Read(random[:]); err != nil {
@@ -72,7 +74,7 @@
 	return raft.ServerID(config.Name + "." + dataDirID), nil
 }
 
-// writeNewFile creates a file that must not exist, and has it on disk when it returns.
+// writeNewFile creates a file and syncs it to disk before it returns. It returns an error if the file exists.
 func writeNewFile(path, text string) (err error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -85,7 +87,7 @@
 	return file.Sync()
 }
 
-// coordinatorName is the name of an ID without the part of the folder.
+// coordinatorName returns the coordinator's name: the server ID without the suffix of the data directory.
 func coordinatorName(id raft.ServerID) string {
 	return string(id[:max(0, strings.LastIndexByte(string(id), '.'))])
 }
--- a/internal/fleet/coordinator/statemachine.go
+++ b/internal/fleet/coordinator/statemachine.go
@@ -10,14 +10,14 @@
 	"lanewheel/internal/coordination"
 )
 
-// stateMachine is a replica as raft drives it: raft.FSM.
+// stateMachine implements raft.FSM on a replica.
 type stateMachine replica
 
-// Apply implements raft.FSM: it applies an entry of the log and returns a coordination.Reply.
+// Apply implements raft.FSM. It applies a log entry and returns a coordination.Reply.
 func (m *stateMachine) Apply(entry *raft.Log) any {
 	var command coordination.Command
 	if err := json.Unmarshal(entry.Data, &command); err != nil {
-		slog.Error("undecodable log entry", "index", entry.Index, "err", err)
+		slog.Error("raft log entry cannot be decoded", "index", entry.Index, "err", err)
 		return coordination.Reply{Reason: "can't be read: " + err.Error()}
 	}
 	m.mu.Lock()
@@ -38,7 +38,7 @@
 	return reply
 }
 
-// Snapshot implements raft.FSM.
+// Snapshot implements raft.FSM. It encodes the whole state.
 func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -46,9 +46,9 @@
 	return stateSnapshot(data), err
 }
 
-// Restore implements raft.FSM. A snapshot that can't be read is an error, and raft takes the one before it.
+// Restore implements raft.FSM. It returns an error if the snapshot cannot be decoded; raft then tries the previous one.
 func (m *stateMachine) Restore(snapshot io.ReadCloser) error {
-	defer func() { _ = snapshot.Close() }() // it is only read
+	defer func() { _ = snapshot.Close() }() // a read-only file
 	state := coordination.NewState(m.config.Coordination)
 	if err := json.NewDecoder(snapshot).Decode(state); err != nil {
 		return err
@@ -59,17 +59,17 @@
 	return nil
 }
 
-// stateSnapshot is the whole state as JSON: raft.FSMSnapshot.
+// stateSnapshot is the whole state as JSON. It implements raft.FSMSnapshot.
 type stateSnapshot []byte
 
 // Persist implements raft.FSMSnapshot.
 func (s stateSnapshot) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(s); err != nil {
-		_ = sink.Cancel() // the write's error is what matters
+		_ = sink.Cancel() // the write error takes precedence
 		return err
 	}
 	return sink.Close()
 }
 
-// Release implements raft.FSMSnapshot.
+// Release implements raft.FSMSnapshot. There is nothing to release.
 func (s stateSnapshot) Release() {}
--- a/internal/fleet/coordinator/streamlayer.go
+++ b/internal/fleet/coordinator/streamlayer.go
@@ -13,21 +13,22 @@
 	"lanewheel/internal/fleet/coordinator/client"
 )
 
-// maxPendingConnections bounds the connections in their handshake or with a request: those that never prove a key
-// could come by the hundred.
+// maxPendingConnections limits the connections that are in their handshake or have a request in progress. Without it,
+// clients that never authenticate could open hundreds of connections.
 const maxPendingConnections = 64
 
-// streamLayer is raft.StreamLayer over the listener that peers and clients share.
+// streamLayer implements raft.StreamLayer on the listener that peers and clients share.
 type streamLayer struct {
 	coordinator *Coordinator
 	listener    net.Listener
-	peers       chan net.Conn
-	slots       chan struct{} // one for each pending connection
-	ready       chan struct{} // closed once there is a state to answer from
+	peers       chan net.Conn // authenticated connections of peers, for Accept
+	slots       chan struct{} // holds one element for each pending connection
+	ready       chan struct{} // closed once the replica is open and requests can be handled
 	closed      chan struct{}
 	closeOnce   sync.Once
 }
 
+// newStreamLayer returns a stream layer on the listener and starts to accept connections.
 func newStreamLayer(coordinator *Coordinator, listener net.Listener) *streamLayer {
 	layer := &streamLayer{
 		coordinator: coordinator,
@@ -54,16 +55,17 @@
 				l.handleConn(conn)
 			}()
 		default:
-			_ = conn.Close() // refused
+			_ = conn.Close() // too many pending connections
 		}
 	}
 }
 
-// handleConn does the handshake, and hands a peer to raft or answers a client.
+// handleConn performs the handshake. It then passes the connection of a peer to raft, or handles the request of a
+// client.
 func (l *streamLayer) handleConn(conn net.Conn) {
 	kind, err := client.ServerHandshake(conn, l.coordinator.loadClusterKeys())
 	switch {
-	case err != nil: // a stranger, or a peer that is gone
+	case err != nil: // the other side is not authenticated or has disconnected
 	case kind == client.PeerConnection:
 		select {
 		case l.peers <- conn:
@@ -71,17 +73,17 @@
 		case <-l.closed:
 		}
 	case kind == client.ClientConnection:
-		// A request may come while the folder is still being read.
+		// A request may arrive before the data directory is open.
 		select {
 		case <-l.ready:
 			l.coordinator.serveRequest(conn)
 		case <-l.closed:
 		}
 	}
-	_ = conn.Close() // nothing more is written
+	_ = conn.Close() // no data is pending
 }
 
-// Accept implements net.Listener: it returns connections of peers.
+// Accept implements net.Listener. It returns only connections of peers.
 func (l *streamLayer) Accept() (net.Conn, error) {
 	select {
 	case conn := <-l.peers:
@@ -97,14 +99,14 @@
 	return l.listener.Close()
 }
 
-// Addr implements net.Listener: where the peers dial us. If that can't be resolved, it is a nil *net.TCPAddr, which
-// raft can print.
+// Addr implements net.Listener. It returns the address that peers dial. If the address cannot be resolved, it returns a
+// nil *net.TCPAddr, which raft can print.
 func (l *streamLayer) Addr() net.Addr {
 	addr, _ := net.ResolveTCPAddr("tcp", l.coordinator.config.AdvertiseAddr)
 	return addr
 }
 
-// Dial implements raft.StreamLayer.
+// Dial implements raft.StreamLayer. The connection is authenticated when Dial returns.
 func (l *streamLayer) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	dialer := client.Dialer{
 		Keys:    l.coordinator.loadClusterKeys(),
@@ -114,7 +116,7 @@
 	return dialer.Dial(string(addr), client.PeerConnection)
 }
 
-// serveRequest answers one request.
+// serveRequest reads one request from the connection and writes the response.
 func (c *Coordinator) serveRequest(conn net.Conn) {
 	if conn.SetDeadline(time.Now().Add(client.RequestTimeout)) != nil {
 		return // the connection is closed
@@ -127,5 +129,5 @@
 	} else {
 		response = c.handleRequest(request)
 	}
-	_ = json.NewEncoder(conn).Encode(response) // a client that is gone asks again
+	_ = json.NewEncoder(conn).Encode(response) // on an error the client repeats its request
 }
--- a/internal/fleet/coordinator/streamlayer_test.go
+++ b/internal/fleet/coordinator/streamlayer_test.go
@@ -9,8 +9,8 @@
 	"lanewheel/internal/membership"
 )
 
-// A request that comes while the coordinator's folder is still being read waits, and is not answered if the
-// coordinator ends before that.
+// A request that arrives before the coordinator's data directory is open waits. It gets no response if the coordinator
+// shuts down first.
 func Example_requestBeforeReady() {
 	listener := listen("127.0.0.1")
 	addr := listener.Addr().String()
@@ -24,7 +24,7 @@
 		_, err := requester.Do(client.Request{History: false})
 		clientErr <- err
 	}()
-	fake.WaitFor("it is being asked", func() bool { return len(layer.slots) == 1 })
+	fake.WaitFor("the request to be pending", func() bool { return len(layer.slots) == 1 })
 	must(layer.Close())
 	fmt.Println(<-clientErr != nil)
 	// Output:
--- a/internal/fleet/coordinator/transport_test.go
+++ b/internal/fleet/coordinator/transport_test.go
@@ -9,7 +9,8 @@
 	"lanewheel/internal/fake"
 )
 
-// The store is closed behind drain: a heartbeat that is being handled has ended by then, and none begins later.
+// The store is closed after drain returns. A heartbeat that was being handled must have finished by then, and no later
+// one may be handled.
 func TestDrainWaitsForHeartbeats(t *testing.T) {
 	layers := [2]*loopbackLayer{newLoopbackLayer(t), newLoopbackLayer(t)}
 	sender := raft.NewNetworkTransport(layers[0], 1, time.Second, nil)
@@ -52,15 +53,15 @@
 	close(finish)
 	<-drained
 	if err := <-first; err != nil {
-		t.Errorf("the heartbeat that was being handled: %v", err)
+		t.Errorf("heartbeat handled during drain: %v", err)
 	}
 
 	if err := heartbeat(); err == nil {
-		t.Error("a heartbeat behind drain had a response")
+		t.Error("a heartbeat after drain got a response")
 	}
 	select {
 	case <-handling:
-		t.Error("a heartbeat behind drain was handled")
+		t.Error("a heartbeat after drain was handled")
 	default:
 	}
 }
