--- a/internal/coordination/budget.go
+++ b/internal/coordination/budget.go
@@ -57,7 +57,7 @@
 type BudgetUsage struct {
 	Budget            DisruptionBudget `json:"Budget"`
 	Members           int              `json:"Of"`    // number of selected members
-	Unavailable       int              `json:"Out"`   // of these, including holders of granted permits
+	Unavailable       int              `json:"Out"`   // of these, including holders of granted or begun permits
 	UnavailableLimit  int              `json:"Limit"` // maximum of Unavailable
 	AvailableCapacity float64          `json:"Up"`    // cores of the other selected members
 }
@@ -68,7 +68,8 @@
 	totalCapacity float64 // cores of all members that the budget selects
 }
 
-// isUnavailable reports whether a member is unavailable, or holds a permit with which it may become so at any moment.
+// isUnavailable reports whether a member is unavailable or may become unavailable at any moment, because it holds a
+// granted or begun permit.
 func (s *State) isUnavailable(member *Member) bool {
 	if member.State != MemberUp {
 		return true
@@ -98,14 +99,14 @@
 	return usage
 }
 
-// limitReason describes the limit on unavailable members and its usage for operators.
+// limitReason describes for operators how many of the budget's members are unavailable and how many may be.
 func (u BudgetUsage) limitReason() string {
 	return fmt.Sprintf("budget %s: %d of %d out, %d may be",
 		u.Budget.Name, u.Unavailable, u.Members, u.UnavailableLimit)
 }
 
-// impossibleReason returns why the budget does not let the member become unavailable even if all other members are
-// available. It returns an empty string if the budget allows it.
+// impossibleReason returns the reason why the budget does not allow the member to become unavailable even if all other
+// members are available. It returns an empty string if the budget allows it.
 func (u groupUsage) impossibleReason(member *Member) string {
 	remainingCapacity := u.totalCapacity - member.Capacity
 	switch {
@@ -118,7 +119,7 @@
 	return ""
 }
 
-// blockedReason returns why the member may not become unavailable now, or an empty string if it may.
+// blockedReason returns the reason why the member may not become unavailable now, or an empty string if it may.
 func (u BudgetUsage) blockedReason(member *Member) string {
 	switch {
 	case u.Unavailable+1 > u.UnavailableLimit:
@@ -132,12 +133,12 @@
 
 // budgetCheck is the result of checking whether a member may become unavailable. The zero value means that it may.
 type budgetCheck struct {
-	reason     string // why the member has to wait; empty: it may become unavailable now
-	impossible bool   // waiting cannot help: the budgets never allow it
+	reason     string // reason why the member has to wait; empty: it may become unavailable now
+	impossible bool   // the member would wait forever: the budgets never allow it
 }
 
-// checkBudgets checks whether all budgets that select the member let it become unavailable now. A member that no
-// budget selects may never become unavailable.
+// checkBudgets checks whether all budgets that select the member allow it to become unavailable now. A member that no
+// budget selects is never allowed to become unavailable.
 func (s *State) checkBudgets(member *Member) budgetCheck {
 	if len(s.Budgets) == 0 {
 		return budgetCheck{reason: "there is no budget", impossible: true}
--- a/internal/coordination/canary/analysis.go
+++ b/internal/coordination/canary/analysis.go
@@ -13,11 +13,11 @@
 
 // Config holds the parameters of an analysis.
 type Config struct {
-	ErrorRate              float64 // maximum probability of a wrong halt, and separately of a missed regression
+	ErrorRate              float64 // maximum probability of a wrong halt, and also of a missed regression
 	DetectableLateIncrease float64 // regression to detect: increase of the share not served within its latency objective
 	DetectableSlowdown     float64 // regression to detect: increase of the mean duration, as a fraction
 	MinWindows             int     // number of windows required before a verdict other than on crashes
-	MinRequests            float64 // number of requests that each side of a window needs for the window to count
+	MinRequests            float64 // minimum number of requests on each side for a window to count
 	CrashLimit             int     // number of crashes at which the new release fails at once; 0: crashes are ignored
 }
 
--- a/internal/coordination/canary/analysis_test.go
+++ b/internal/coordination/canary/analysis_test.go
@@ -25,7 +25,7 @@
 // regression is the amount by which a simulated release is worse than the old one.
 type regression struct {
 	slowdown  float64 // of each request, as a fraction
-	lateShare float64 // share of requests that are late however short they are
+	lateShare float64 // share of requests that are late regardless of their duration
 }
 
 // simulateWindow returns a random sample of one side in a window of one second.
@@ -80,8 +80,9 @@
 	return outcomes{sum.failed / total, sum.passed / total, sum.meanWindows / total}
 }
 
-// A release that is no worse must not be halted, and a release that is worse by the regression to detect must not pass,
-// more often than the limits that this test sets.
+// The share of halted releases among those that are no worse, and the share of passed releases among those that are
+// worse by at least the regression to detect, must stay below the limits of this test. Nearly all releases with a much
+// larger late share must be halted.
 func TestErrorProbabilities(t *testing.T) {
 	chart := plot.New()
 	chart.Title.Text = "verdicts on a slower release, by requests per window on each side"
--- a/internal/coordination/canary/runningstats.go
+++ b/internal/coordination/canary/runningstats.go
@@ -12,7 +12,7 @@
 	s.squaredDeviations += delta * (value - s.mean)
 }
 
-// confidenceBounds returns bounds of the true mean that hold at all counts at once, except with probability alpha.
+// confidenceBounds returns bounds of the true mean. With probability 1-alpha, the bounds hold at every count of values.
 // They are Robbins' normal mixture with the observed variance, an asymptotic confidence sequence (Waudby-Smith and
 // others, 2021). sigma and rho are named as in that paper.
 func (s *runningStats) confidenceBounds(alpha float64) (low, high float64) {
--- a/internal/coordination/command.go
+++ b/internal/coordination/command.go
@@ -37,23 +37,23 @@
 
 // Command is one entry of the replicated log.
 type Command struct {
-	Term           uint64                 `json:"Term"` // of the leader that wrote it
+	Term           uint64                 `json:"Term"` // of the leader that proposed it
 	LeaderTime     time.Duration          `json:"At"`   // since that leader's process started, by its monotonic clock
-	IdempotencyKey string                 `json:"Key"`  // a repeated key is the same command; empty: not deduplicated
+	IdempotencyKey string                 `json:"Key"`  // a command is executed once per key; empty: always
 	RequestedBy    string                 `json:"By"`
 	Kind           Kind                   `json:"Do"`
 	Observations   []Observation          `json:"Seen"`    // for KindObserve
 	Budgets        []DisruptionBudget     `json:"Budgets"` // for KindSetBudgets
 	Member         Name                   `json:"Member"`
-	Incarnation    membership.Incarnation `json:"Of"`     // of Member, for KindBeginPermit
-	Selector       Selector               `json:"Group"`  // for KindDrain and KindCancelDrain
-	PermitID       PermitID               `json:"Number"` // for KindBeginPermit and KindCancelPermit
-	BeginTimeout   time.Duration          `json:"Span"`   // of the requested permits; 0: defaultBeginTimeout
-	Reason         string                 `json:"Why"`    // for operators; for KindRequestPermit the purpose of the permit
-	Plan           *RolloutPlan           `json:"Plan"`   // for KindStartRollout
-	RolloutName    string                 `json:"Release"`
-	Wave           int                    `json:"Wave"` // for KindCanaryVerdict, from 0
-	Healthy        bool                   `json:"Good"` // for KindCanaryVerdict
+	Incarnation    membership.Incarnation `json:"Of"`      // of Member, for KindBeginPermit
+	Selector       Selector               `json:"Group"`   // for KindDrain and KindCancelDrain
+	PermitID       PermitID               `json:"Number"`  // for KindBeginPermit and KindCancelPermit
+	BeginTimeout   time.Duration          `json:"Span"`    // of the requested permits; 0: defaultBeginTimeout
+	Reason         string                 `json:"Why"`     // for operators; the purpose for KindRequestPermit
+	Plan           *RolloutPlan           `json:"Plan"`    // for KindStartRollout
+	RolloutName    string                 `json:"Release"` // for KindCanaryVerdict
+	Wave           int                    `json:"Wave"`    // for KindCanaryVerdict, from 0
+	Healthy        bool                   `json:"Good"`    // for KindCanaryVerdict
 }
 
 // summary returns a short description of the command for the history.
@@ -76,7 +76,7 @@
 // Reply is the outcome of a command.
 type Reply struct {
 	OK        bool       `json:"OK"`
-	Reason    string     `json:"Why"` // why it was refused; with OK, the stage of the member's existing permit
+	Reason    string     `json:"Why"` // reason for a refusal; if OK is set, the stage of the member's existing permit
 	PermitID  PermitID   `json:"Number"`
 	PermitIDs []PermitID `json:"Numbers,omitempty"`
 }
@@ -94,7 +94,7 @@
 	Reply
 }
 
-// execute applies the command alone. Apply then expires permits, advances the rollout and grants permits.
+// execute applies only the command. Apply then expires permits, advances the rollout and grants permits.
 func (s *State) execute(command Command) Reply {
 	switch command.Kind {
 	case KindTick:
--- a/internal/coordination/converge.go
+++ b/internal/coordination/converge.go
@@ -6,8 +6,8 @@
 )
 
 // recordFailedAttempt increments the member's FailedAttempts if it returned from a permit of the rollout on a
-// release other than the desired one. A permit to update that ends during the rollback does not count: the member did
-// what the permit required.
+// release other than the desired one. A permit that was requested for the update and ends during the rollback does
+// not count, because the member did what that permit required.
 func (s *State) recordFailedAttempt(member *Member, permit *Permit) {
 	rollout := s.Rollout
 	if !rollout.InProgress() || permit.Purpose != rollout.permitPurpose() {
--- a/internal/coordination/fleet_test.go
+++ b/internal/coordination/fleet_test.go
@@ -75,15 +75,15 @@
 }
 
 func (f *fleet) permitSummary() string {
-	var all []string
+	var summaries []string
 	for _, permit := range f.permitsByID() {
 		text := fmt.Sprintf("%d %s %s", permit.ID, permit.Member, permit.Stage)
 		if permit.WaitReason != "" {
 			text += " (" + permit.WaitReason + ")"
 		}
-		all = append(all, text)
+		summaries = append(summaries, text)
 	}
-	return strings.Join(all, "; ")
+	return strings.Join(summaries, "; ")
 }
 
 func (f *fleet) lastEnded() string {
--- a/internal/coordination/golden_test.go
+++ b/internal/coordination/golden_test.go
@@ -49,7 +49,7 @@
 }
 
 // zeroFields returns the paths of all fields that are zero, including empty slices and maps.
-func zeroFields(v reflect.Value, path string) (all []string) {
+func zeroFields(v reflect.Value, path string) (paths []string) {
 	switch v.Kind() {
 	case reflect.Pointer:
 		if v.IsNil() {
@@ -58,9 +58,9 @@
 		return zeroFields(v.Elem(), path)
 	case reflect.Struct:
 		for i := range v.NumField() {
-			all = append(all, zeroFields(v.Field(i), path+"."+v.Type().Field(i).Name)...)
+			paths = append(paths, zeroFields(v.Field(i), path+"."+v.Type().Field(i).Name)...)
 		}
-		return all
+		return paths
 	case reflect.Slice, reflect.Map:
 		if v.Len() == 0 {
 			return []string{path}
@@ -175,7 +175,7 @@
 // goldenState returns a state in which only the two fields of the rollout's plan that are not stored are zero.
 func goldenState() State {
 	storedPlan := fullPlan
-	// The fields "Of" and "Judged" of Rollout hide these two fields of the plan: the known fault documented at Rollout.
+	// The fields of Rollout stored as "Of" and "Judged" hide these two fields of the plan. Rollout documents this fault.
 	storedPlan.Selector = Selector{}
 	storedPlan.AnalysisRequired = false
 	reply := Reply{OK: true, Reason: "a reason", PermitID: 42, PermitIDs: []PermitID{42, 43}}
--- a/internal/coordination/member.go
+++ b/internal/coordination/member.go
@@ -37,7 +37,7 @@
 	StateSince      time.Duration `json:"Since"`  // fleet time
 	PermitID        PermitID      `json:"Permit"` // its queued, granted or begun permit; 0: none
 	PreviousRelease string        `json:"Before"` // its release at the start of the latest rollout
-	FailedAttempts  int           `json:"Tries"`  // rollout permits after which it was on another release
+	FailedAttempts  int           `json:"Tries"`  // rollout permits from which it did not return on the desired release
 }
 
 func (s *State) observeAll(observations []Observation) Reply {
--- a/internal/coordination/model_invariants_test.go
+++ b/internal/coordination/model_invariants_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// fingerprint returns a key that differs for states that later commands can distinguish. Permits are identified by
-// their order. Elapsed times are capped at the longest time that makes a difference.
+// fingerprint returns a key by which TestModel recognizes a state that it has visited. States that later commands can
+// distinguish should have different keys; the key does not contain PreviousRelease and FailedAttempts of the members.
+// Permits are identified by their order. Elapsed times are capped at the longest time that makes a difference.
 func fingerprint(s *State) string {
 	var b strings.Builder
 	ids := slices.Sorted(maps.Keys(s.Permits))
@@ -84,7 +85,7 @@
 	member := after.Members[permit.Member]
 	switch {
 	case member == nil || member.PermitID != id:
-		return "a permit whose member does not refer to it"
+		return "the member of a permit does not refer to it"
 	case previous == nil && id <= before.LastPermitID:
 		return "the ID of an ended permit was reused"
 	case previous == nil:
--- a/internal/coordination/model_test.go
+++ b/internal/coordination/model_test.go
@@ -25,7 +25,7 @@
 // TestModel explores all sequences of commands, up to a depth, on a fleet of three instances with a budget of one. The
 // commands include members that crash, are suspect or return as a later incarnation; permits that are requested,
 // canceled, and begun by their holder, by an old incarnation, late or twice; halts; a rollout and its rollback; and
-// the passage of time. To explore further:
+// the passage of time. To explore longer sequences, run
 // go test -timeout 30m -run Model ./internal/coordination -depth 8.
 func TestModel(t *testing.T) {
 	start := newFleet(modelInstances, []string{"a"}, oneAtATime)
@@ -65,23 +65,23 @@
 
 // modelCommands returns the commands that TestModel applies to a state.
 func modelCommands(s *State) []Command {
-	var all []Command
+	var commands []Command
 	for i := range modelInstances {
 		if member := s.Members[instanceName(i)]; member != nil {
-			all = append(all, modelMemberCommands(member)...)
+			commands = append(commands, modelMemberCommands(member)...)
 		}
 	}
 	for id := max(1, s.LastPermitID) - 1; id <= s.LastPermitID; id++ {
 		for i := range modelInstances {
 			for incarnation := membership.Incarnation(1); incarnation <= 2; incarnation++ {
-				all = append(all, Command{
+				commands = append(commands, Command{
 					Kind: KindBeginPermit, Member: instanceName(i), PermitID: id, Incarnation: incarnation})
 			}
 		}
-		all = append(all, Command{Kind: KindCancelPermit, PermitID: id})
+		commands = append(commands, Command{Kind: KindCancelPermit, PermitID: id})
 	}
 	plan := &RolloutPlan{Name: "r", TargetRelease: "2", Waves: []Wave{{Count: 1}}, Pause: time.Second}
-	return append(all,
+	return append(commands,
 		Command{Kind: KindHalt},
 		Command{Kind: KindResume},
 		Command{Kind: KindTick, LeaderTime: time.Second},
@@ -92,12 +92,12 @@
 
 // modelMemberCommands returns the commands that concern one member.
 func modelMemberCommands(member *Member) []Command {
-	all := []Command{{Kind: KindRequestPermit, Member: member.Name, BeginTimeout: 2 * time.Second}}
+	commands := []Command{{Kind: KindRequestPermit, Member: member.Name, BeginTimeout: 2 * time.Second}}
 	for _, state := range []MemberState{MemberUp, MemberSuspect, MemberGone} {
 		observation := member.Observation
 		if observation.State != state {
 			observation.State = state
-			all = append(all, Command{Kind: KindObserve, Observations: []Observation{observation}})
+			commands = append(commands, Command{Kind: KindObserve, Observations: []Observation{observation}})
 		}
 	}
 	if member.Incarnation < 3 {
@@ -105,9 +105,9 @@
 		observation.Incarnation++
 		observation.State = MemberUp
 		observation.Release = "2"
-		all = append(all, Command{Kind: KindObserve, Observations: []Observation{observation}})
+		commands = append(commands, Command{Kind: KindObserve, Observations: []Observation{observation}})
 	}
-	return append(all, Command{Kind: KindForgetMember, Member: member.Name})
+	return append(commands, Command{Kind: KindForgetMember, Member: member.Name})
 }
 
 // cloneState copies a state so that applying a command to the copy does not change the original. The history is not
--- a/internal/coordination/permit.go
+++ b/internal/coordination/permit.go
@@ -18,7 +18,7 @@
 // holder is up again.
 const (
 	PermitQueued  PermitStage = "queued"
-	PermitGranted PermitStage = "granted" // its holder may begin; until it does, the permit can be withdrawn
+	PermitGranted PermitStage = "granted" // its holder may begin it; until then it can be withdrawn
 	PermitBegun   PermitStage = "begun"   // its holder goes out of service; never withdrawn
 	PermitEnded   PermitStage = "ended"
 )
@@ -46,12 +46,12 @@
 	StageSince     time.Duration          `json:"At"`     // fleet time
 	BeginTimeout   time.Duration          `json:"Span"`   // maximum time from being granted to being begun
 	TimesOvertaken int                    `json:"Passed"` // number of later requests that were granted before it
-	WaitReason     string                 `json:"Waits"`  // the reason for waiting at the last check
+	WaitReason     string                 `json:"Waits"`  // reason for waiting, as of the last check
 	Outcome        string                 `json:"Outcome"`
 }
 
-// requestPermit queues a permit for a member. If the member already has a permit, the reply holds the ID of that permit
-// and no other is queued.
+// requestPermit queues a permit for a member. If the member already has a permit, no other one is queued and the reply
+// contains the ID of the existing permit.
 func (s *State) requestPermit(name Name, requestedBy string, purpose PermitPurpose, beginTimeout time.Duration) Reply {
 	member := s.Members[name]
 	switch {
--- a/internal/coordination/rollout.go
+++ b/internal/coordination/rollout.go
@@ -21,9 +21,9 @@
 	Selector            Selector      `json:"Of"` // members that the rollout applies to
 	Waves               []Wave        `json:"Waves"`
 	Pause               time.Duration `json:"Pause"`  // minimum time between the end of a wave and the next one
-	AnalysisRequired    bool          `json:"Judged"` // a wave waits for its verdict; otherwise for the pause alone
-	RollbackWavesAtOnce float64       `json:"Faster"` // waves that are rolled back at the same time
-	MaxAttempts         int           `json:"Tries"`  // failed permits of a member before waiting for an operator
+	AnalysisRequired    bool          `json:"Judged"` // besides the pause, a wave waits for its verdict
+	RollbackWavesAtOnce float64       `json:"Faster"` // number of waves that are rolled back at the same time
+	MaxAttempts         int           `json:"Tries"`  // failed permits per member before the rollout waits for an operator
 }
 
 // RolloutPhase is the phase of a rollout. Its values are stored.
@@ -42,8 +42,8 @@
 //
 // Known fault: WaveMembers and Analyzed have the same stored names, "Of" and "Judged", as the plan's Selector and
 // AnalysisRequired. encoding/json writes and reads only the outer fields, so a snapshot does not contain these two
-// fields of the plan. The rollout of a state restored from a snapshot selects all members and waits for no verdict. A
-// repair changes the stored form.
+// fields of the plan. After a state is restored from a snapshot, its rollout selects all members and waits for no
+// verdict. A fix would change the stored form.
 type Rollout struct {
 	RolloutPlan
 	RequestedBy string        `json:"By"`
@@ -53,11 +53,10 @@
 	WaveMembers [][]Name      `json:"Of"` // by wave, set at the start; hides RolloutPlan.Selector when stored
 	WaitReason  string        `json:"Waits"`
 	Analyzed    bool          `json:"Judged"` // the wave has passed; hides RolloutPlan.AnalysisRequired when stored
-	Reason      string        `json:"Why"`    // reason of the failed verdict or of the rollback
+	Reason      string        `json:"Why"`    // reason for the failed verdict or for the rollback
 }
 
-// AppliesTo reports whether the rollout's selector matches a member, whether or not the member already runs the target
-// release.
+// AppliesTo reports whether the rollout's selector matches a member. The member may already run the target release.
 func (r *Rollout) AppliesTo(observation Observation) bool {
 	return r.Selector.matches(observation)
 }
@@ -75,8 +74,8 @@
 	r.PhaseSince = now
 }
 
-// startRollout starts a rollout. It refuses the command while another rollout is in progress, so one of two rollouts
-// that operators start at the same time is refused.
+// startRollout starts a rollout. It refuses the command while another rollout is in progress: if two operators start
+// rollouts at the same time, only the first one starts.
 func (s *State) startRollout(command Command) Reply {
 	plan := command.Plan
 	switch {
--- a/internal/coordination/state.go
+++ b/internal/coordination/state.go
@@ -11,14 +11,15 @@
 	"time"
 )
 
-// Config does not change during the life of a fleet and is the same on every coordinator.
+// Config holds the limits of the replicated state. It does not change during the life of a fleet and is the same on
+// every coordinator.
 type Config struct {
 	MaxHistory         int           `json:"History"` // maximum number of entries in History, and in EndedPermits
 	MaxIdempotencyKeys int           `json:"Keys"`    // maximum number of idempotency keys whose replies are kept
 	MaxMembers         int           `json:"Members"` // maximum number of members at a time
 	MaxQueuedPermits   int           `json:"Waiting"` // maximum number of queued permits
 	MaxOvertakes       int           `json:"Passed"`  // maximum number of later requests granted before a queued one
-	StalledAfter       time.Duration `json:"Stuck"`   // a member unavailable by a permit for longer is reported as stalled
+	StalledAfter       time.Duration `json:"Stuck"`   // time after which a begun permit's holder is reported as stalled
 }
 
 // DefaultConfig returns the values that apply unless others are configured.
@@ -80,7 +81,8 @@
 	return reply
 }
 
-// storeReply stores the reply to a command that has an idempotency key, and drops the oldest reply over the limit.
+// storeReply stores the reply to a command that has an idempotency key. Beyond Config.MaxIdempotencyKeys it drops the
+// oldest reply.
 func (s *State) storeReply(key string, reply Reply) {
 	if key == "" {
 		return
@@ -110,7 +112,7 @@
 	s.History = appendBounded(s.History, entry, s.Config.MaxHistory)
 }
 
-// appendBounded appends an item and drops the oldest items over the limit.
+// appendBounded appends an item and drops the oldest items if there are more than the limit.
 func appendBounded[T any](list []T, item T, limit int) []T {
 	list = append(list, item)
 	if excess := len(list) - limit; excess > 0 {
--- a/internal/fleet/allocator/server.go
+++ b/internal/fleet/allocator/server.go
@@ -1,6 +1,6 @@
 // Package allocator implements the process that runs beside an upstream service. It reports to the fleet where the
-// service is and whether it accepts connections, and grants leases of concurrent calls to it. internal/concurrencylease
-// decides which leases are granted.
+// service is and whether it accepts connections, and grants leases of concurrent calls to the service.
+// internal/concurrencylease decides which leases are granted.
 package allocator
 
 import (
@@ -18,14 +18,14 @@
 const (
 	// maxPendingCallbacks is the maximum length of the event loop's queue.
 	maxPendingCallbacks = 1 << 12
-	// The service is probed at this interval by opening a connection.
+	// probeInterval is the interval at which the service is probed by opening a connection.
 	probeInterval = time.Second
 	probeTimeout  = 500 * time.Millisecond
 	// logInterval is the interval between checks whether the number of leased calls has changed enough to be logged.
 	logInterval = time.Second
-	// permitDrainTimeout is the timeout for leaving the fleet after a permit has been granted.
+	// permitDrainTimeout is the timeout for leaving the fleet after a permit of the coordinators has begun.
 	permitDrainTimeout = time.Second
-	// leaveGrace is the time beyond the timeout of a shutdown that the server waits for the gossip agent to drain.
+	// leaveGrace is the time that the server waits for the gossip agent after the timeout of a shutdown.
 	leaveGrace        = 200 * time.Millisecond
 	leavePollInterval = 10 * time.Millisecond
 )
--- a/internal/fleet/coordinator/analysis.go
+++ b/internal/fleet/coordinator/analysis.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// verdictRequester is the requester of canary verdicts in the history. It is stored.
+	// verdictRequester is stored in the history as the requester of canary verdicts.
 	verdictRequester = "the judgement"
 	// permitGrace is the time after the end of a permit during which a new incarnation of its holder is attributed to
 	// the permit and does not count as a crash.
@@ -79,8 +79,8 @@
 	a.current[name] = stats
 }
 
-// sampleBetween returns the totals of a group's requests between two windows. A member counts only if the same
-// incarnation reported its statistics in both windows.
+// sampleBetween returns a sample of the requests that a group finished between two windows. A member counts only if the
+// same incarnation reported its statistics in both windows.
 func sampleBetween(previous, current statsByMember, group []coordination.Observation) canary.Sample {
 	var sample canary.Sample
 	totalSeconds := 0.0
--- a/internal/fleet/coordinator/client/client.go
+++ b/internal/fleet/coordinator/client/client.go
@@ -25,12 +25,12 @@
 	Coordinators []string // addresses
 	Keys         []membership.Key
 	LocalIP      string        // address to dial from, empty for any
-	Timeout      time.Duration // of Do: no attempt starts after it
+	Timeout      time.Duration // of Do: no attempt starts later
 }
 
 // Do sends the request to one coordinator after the other until one of them handles it. It blocks. A request that
 // changes the state must have an idempotency key, because a request that was executed is repeated if its response was
-// lost. The error is or wraps ErrNoQuorum, ErrNoCoordinators, ErrUnauthenticated or the error of the last connection.
+// lost. The error is or wraps ErrNoQuorum, ErrNoCoordinators, ErrUnauthenticated or the error of the last attempt.
 // If the coordinator refused the request, the error is nil and the response contains the reason.
 func (c Client) Do(request Request) (Response, error) {
 	deadline := time.Now().Add(c.Timeout)
--- a/internal/fleet/coordinator/client/handshake.go
+++ b/internal/fleet/coordinator/client/handshake.go
@@ -81,9 +81,9 @@
 	return nonce, err
 }
 
-// clientHandshake proves the first key to the listener and verifies that the listener has one of the keys. A process
-// without the key that listens on a coordinator's address therefore receives no request. It returns ErrUnauthenticated
-// if the listener has no valid key or closes the connection.
+// clientHandshake proves to the listener that the dialer has the first key, and verifies that the listener has one of
+// the keys. A process without the key that listens on a coordinator's address therefore receives no request. It returns
+// ErrUnauthenticated if the listener's MAC is missing or is not valid for any of the keys.
 func clientHandshake(conn net.Conn, keys []membership.Key, kind ConnectionKind) error {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return err
@@ -149,7 +149,7 @@
 
 // Dialer opens authenticated connections to coordinators.
 type Dialer struct {
-	Keys    []membership.Key // the first key is proven; the listener may prove any of them
+	Keys    []membership.Key // the dialer proves that it has the first key; the listener may have any of them
 	LocalIP string           // address to dial from, empty for any
 	Timeout time.Duration    // of the connect; the handshake is limited by handshakeTimeout
 }
--- a/internal/fleet/coordinator/client/handshake_test.go
+++ b/internal/fleet/coordinator/client/handshake_test.go
@@ -96,16 +96,16 @@
 // The handshake fails on both sides if their keys differ, so that neither a request nor a response is sent.
 func TestHandshakeOtherKey(t *testing.T) {
 	listener, dialer := net.Pipe()
-	refused := make(chan error, 1)
+	serverErr := make(chan error, 1)
 	go func() {
 		_, err := ServerHandshake(listener, []membership.Key{clusterKey})
-		refused <- errors.Join(err, listener.Close())
+		serverErr <- errors.Join(err, listener.Close())
 	}()
 	other := []membership.Key{membership.Key("another key of as many bytes....")}
 	if err := clientHandshake(dialer, other, ClientConnection); !errors.Is(err, ErrUnauthenticated) {
 		t.Errorf("dialer: %v", err)
 	}
-	if err := <-refused; !errors.Is(err, ErrUnauthenticated) {
+	if err := <-serverErr; !errors.Is(err, ErrUnauthenticated) {
 		t.Errorf("listener: %v", err)
 	}
 	_ = dialer.Close()
--- a/internal/fleet/coordinator/client/messages_test.go
+++ b/internal/fleet/coordinator/client/messages_test.go
@@ -15,9 +15,9 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files; only for intended changes of the protocol")
 
-// golden returns the lines of a golden file. It checks that the values are encoded as these lines, and that the lines
-// are decoded as the values.
-func golden[T any](t *testing.T, name string, want []T) []string {
+// checkGolden checks that the values are encoded as the lines of the golden file, and that the lines are decoded as the
+// values. It returns the lines.
+func checkGolden[T any](t *testing.T, name string, want []T) []string {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	var written bytes.Buffer
@@ -36,13 +36,13 @@
 		t.Fatal(err)
 	}
 	lines := strings.Split(strings.TrimSuffix(string(stored), "\n"), "\n")
-	now := strings.Split(strings.TrimSuffix(written.String(), "\n"), "\n")
+	encoded := strings.Split(strings.TrimSuffix(written.String(), "\n"), "\n")
 	if len(lines) != len(want) {
 		t.Fatalf("%s has %d lines, want %d", path, len(lines), len(want))
 	}
 	for i, line := range lines {
-		if line != now[i] {
-			t.Errorf("%s:%d: the line is\n%s\nthe current code writes\n%s", path, i+1, line, now[i])
+		if line != encoded[i] {
+			t.Errorf("%s:%d: the line is\n%s\nthe current code writes\n%s", path, i+1, line, encoded[i])
 		}
 		var got T
 		decoder := json.NewDecoder(strings.NewReader(line))
@@ -86,8 +86,8 @@
 // not change, because coordinators and programs of two versions communicate with each other. The test also checks the
 // line that a client sends after the documented handshake, and the response that it decodes.
 func TestMessagesGolden(t *testing.T) {
-	requestLines := golden(t, "questions.jsonl", goldenRequests)
-	responseLines := golden(t, "answers.jsonl", goldenResponses)
+	requestLines := checkGolden(t, "questions.jsonl", goldenRequests)
+	responseLines := checkGolden(t, "answers.jsonl", goldenResponses)
 	checkCovered(t, goldenRequests)
 	checkCovered(t, goldenResponses)
 	for _, whole := range []any{
--- a/internal/fleet/coordinator/coordinator.go
+++ b/internal/fleet/coordinator/coordinator.go
@@ -42,7 +42,7 @@
 	replica      *replica
 	streamLayer  *streamLayer
 	fleet        Fleet     // set by Serve, before its loops start
-	startedAt    time.Time // start of the LeaderTime of its commands
+	startedAt    time.Time // LeaderTime of its commands is the time since then
 	clusterKeys  atomic.Pointer[[]membership.Key]
 	shuttingDown atomic.Bool
 	shutdownOnce sync.Once
@@ -130,8 +130,9 @@
 	return c.replica.apply(command)
 }
 
-// BeginPermit proposes that a member begins its permit. It returns at once. Once the command is accepted, onBegun is
-// called on a separate goroutine. It is never called if the command is refused or this coordinator is not the leader.
+// BeginPermit proposes the command that begins a member's permit. It returns at once. Once the command is accepted,
+// onBegun is called on a separate goroutine. onBegun is never called if the command is refused or this coordinator is
+// not the leader.
 func (c *Coordinator) BeginPermit(
 	name membership.Name, incarnation membership.Incarnation, permitID uint64, onBegun func(),
 ) {
@@ -161,8 +162,8 @@
 	maxJoinPause = 2 * time.Second
 )
 
-// joinLoop requests to join the voters whenever this coordinator is not one of them. It returns when the coordinator is
-// closed.
+// joinLoop repeats the request to join until this coordinator is a voter, and again whenever it is no longer one. It
+// returns when the coordinator is closed.
 func (c *Coordinator) joinLoop() {
 	defer c.loops.Done()
 	pause := minJoinPause
@@ -184,7 +185,7 @@
 	}
 }
 
-// requestJoin requests that the leader adds this coordinator as a voter.
+// requestJoin asks the leader to add this coordinator as a voter.
 func (c *Coordinator) requestJoin() error {
 	var others []string
 	for _, addr := range c.config.Coordinators {
--- a/internal/fleet/coordinator/coordinator_test.go
+++ b/internal/fleet/coordinator/coordinator_test.go
@@ -34,9 +34,9 @@
 	f.coordinators[next].BeginPermit("n1", 1, 2, func() { panic("the budget of one unavailable member was exceeded") })
 	fmt.Println(f.propose(coordination.Command{
 		Kind: coordination.KindBeginPermit, Member: "n1", Incarnation: 1, PermitID: 2}))
-	stranger := f.client()
-	stranger.Keys = []membership.Key{membership.Key("another key of as many bytes....")}
-	_, err := stranger.Do(client.Request{Status: true})
+	wrongKeyClient := f.client()
+	wrongKeyClient.Keys = []membership.Key{membership.Key("another key of as many bytes....")}
+	_, err := wrongKeyClient.Do(client.Request{Status: true})
 	fmt.Println(errors.Is(err, client.ErrUnauthenticated))
 	f.startCoordinator(first)
 	f.markUp(0, 2, "1")
--- a/internal/fleet/coordinator/disk_test.go
+++ b/internal/fleet/coordinator/disk_test.go
@@ -92,8 +92,8 @@
 		f.propose(coordination.Command{Kind: coordination.KindCancelPermit, PermitID: coordination.PermitID(n)})
 	}
 	f.kill(0)
-	folder := f.configs[0].DataDir
-	path := fake.Must(filepath.Glob(filepath.Join(folder, "*.wal")))[0]
+	dataDir := f.configs[0].DataDir
+	path := fake.Must(filepath.Glob(filepath.Join(dataDir, "*.wal")))[0]
 	whole := fake.Must(os.ReadFile(path))
 	end := len(whole)
 	for end > 0 && whole[end-1] == 0 { // the file is longer than the data and ends with zeros
@@ -123,12 +123,12 @@
 			t.Fatal(err)
 		}
 	}
-	idPath := filepath.Join(folder, "life")
+	idPath := filepath.Join(dataDir, "life")
 	must(os.WriteFile(idPath, []byte("?"), 0o600))
 	checkDataDirError("is damaged")
 	must(os.Remove(idPath))
 	checkDataDirError("is missing, but the directory contains a log")
-	if now := fake.Must(os.ReadFile(path)); !slices.Equal(now, whole) {
+	if current := fake.Must(os.ReadFile(path)); !slices.Equal(current, whole) {
 		t.Error("the log was overwritten")
 	}
 }
--- a/internal/fleet/coordinator/fleet_test.go
+++ b/internal/fleet/coordinator/fleet_test.go
@@ -38,11 +38,11 @@
 
 // testConfig returns the configuration of a coordinator with a short heartbeat timeout and few log entries between
 // snapshots.
-func testConfig(name, listenAddr, folder string) Config {
+func testConfig(name, listenAddr, dataDir string) Config {
 	return Config{
 		Name:               name,
 		ListenAddr:         listenAddr,
-		DataDir:            folder,
+		DataDir:            dataDir,
 		HeartbeatTimeout:   300 * time.Millisecond,
 		ClusterKeys:        []membership.Key{clusterKey},
 		Coordination:       coordination.DefaultConfig(),
@@ -149,7 +149,7 @@
 	}()
 }
 
-// kill stops a coordinator without a transfer of its leadership.
+// kill stops a coordinator without transferring its leadership.
 func (f *testFleet) kill(i int) {
 	coordinator := f.coordinators[i]
 	coordinator.shutdownOnce.Do(func() { close(coordinator.closed) })
--- a/internal/fleet/coordinator/golden_commands_test.go
+++ b/internal/fleet/coordinator/golden_commands_test.go
@@ -158,16 +158,16 @@
 // commands returns the commands of the series. They cover every kind, and succeed unless a comment states otherwise. At
 // their end n0 is out of service with a permit, n3 has a granted permit, and a rollback is in progress.
 func (g goldenSeries) commands() []coordination.Command {
-	all := append(g.members(), append(g.permits(), g.rollout()...)...)
-	for i := range all {
-		command := &all[i]
+	commands := append(g.members(), append(g.permits(), g.rollout()...)...)
+	for i := range commands {
+		command := &commands[i]
 		command.Term = g.term
 		command.LeaderTime = g.leaderTime + time.Duration(i)*500*time.Millisecond
 		if command.Kind != coordination.KindObserve && command.Kind != coordination.KindTick {
 			command.RequestedBy = fmt.Sprint("operator-", g.term)
 		}
 	}
-	return all
+	return commands
 }
 
 // goldenLog returns the two halves of the golden log: the commands before the snapshot and those after it.
--- a/internal/fleet/coordinator/golden_folder_test.go
+++ b/internal/fleet/coordinator/golden_folder_test.go
@@ -13,15 +13,15 @@
 	"lanewheel/internal/fake"
 )
 
-// pack writes a folder to a compressed archive.
-func pack(folder, path string) error {
+// pack writes the contents of a directory to a compressed archive.
+func pack(dir, path string) error {
 	var packed bytes.Buffer
 	compressor, err := gzip.NewWriterLevel(&packed, gzip.BestCompression)
 	if err != nil {
 		return err
 	}
 	archive := tar.NewWriter(compressor)
-	if err := archive.AddFS(os.DirFS(folder)); err != nil {
+	if err := archive.AddFS(os.DirFS(dir)); err != nil {
 		return err
 	}
 	if err := errors.Join(archive.Close(), compressor.Close()); err != nil {
@@ -30,8 +30,8 @@
 	return os.WriteFile(path, packed.Bytes(), 0o644)
 }
 
-// unpack extracts a compressed archive to a folder.
-func unpack(t *testing.T, path, folder string) {
+// unpack extracts a compressed archive to a directory.
+func unpack(t *testing.T, path, dir string) {
 	t.Helper()
 	packed := fake.Must(os.ReadFile(path))
 	archive := tar.NewReader(fake.Must(gzip.NewReader(bytes.NewReader(packed))))
@@ -43,7 +43,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		target := filepath.Join(folder, filepath.FromSlash(header.Name))
+		target := filepath.Join(dir, filepath.FromSlash(header.Name))
 		if header.Typeflag == tar.TypeDir {
 			if err := os.MkdirAll(target, 0o700); err != nil {
 				t.Fatal(err)
--- a/internal/fleet/coordinator/golden_state_test.go
+++ b/internal/fleet/coordinator/golden_state_test.go
@@ -9,13 +9,13 @@
 	"lanewheel/internal/membership"
 )
 
-// checkGoldenState checks the state that is restored from the golden folder.
+// checkGoldenState checks the state that is restored from the golden data directory.
 func checkGoldenState(t *testing.T, state *coordination.State) {
 	t.Helper()
-	check := func(what string, got, want any) {
+	check := func(name string, got, want any) {
 		t.Helper()
 		if !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: %+v, want %+v", what, got, want)
+			t.Errorf("%s: %+v, want %+v", name, got, want)
 		}
 	}
 	check("config", state.Config, coordination.Config{
--- a/internal/fleet/coordinator/golden_test.go
+++ b/internal/fleet/coordinator/golden_test.go
@@ -18,12 +18,12 @@
 	"lanewheel/internal/fake"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden folder; only for intended changes of the stored format")
+var update = flag.Bool("update", false, "rewrite the golden files; only for intended changes of the stored format")
 
 const (
-	goldenFolder = "testdata/folder.tar.gz"
-	goldenState  = "testdata/state.json"
-	goldenAddr   = "127.0.0.1:7373" // advertised address, which is stored in the folder
+	goldenArchive = "testdata/folder.tar.gz"
+	goldenState   = "testdata/state.json"
+	goldenAddr    = "127.0.0.1:7373" // advertised address, which is stored in the data directory
 )
 
 // goldenKinds lists the stored values of all command kinds.
@@ -31,18 +31,18 @@
 	"see", "budgets", "ask", "begin", "drop", "forget", "halt", "resume", "release", "back", "verdict", "tick", "drain",
 	"undrain"}
 
-func goldenConfig(folder string) Config {
-	config := testConfig("s0", "127.0.0.1:0", folder)
+func goldenConfig(dataDir string) Config {
+	config := testConfig("s0", "127.0.0.1:0", dataDir)
 	config.AdvertiseAddr = goldenAddr
 	config.Bootstrap = true
 	config.SnapshotThreshold = 1000
 	return config
 }
 
-// startGolden starts a coordinator without its loops on a folder, and waits until it is the leader and has applied its
-// whole log.
-func startGolden(folder string) *Coordinator {
-	coordinator := fake.Must(New(goldenConfig(folder)))
+// startGolden starts a coordinator without its loops on a data directory, and waits until it is the leader and has
+// applied its whole log.
+func startGolden(dataDir string) *Coordinator {
+	coordinator := fake.Must(New(goldenConfig(dataDir)))
 	fake.WaitFor("the coordinator to lead", func() bool {
 		return coordinator.IsLeader() && coordinator.replica.raft.Barrier(time.Second).Error() == nil
 	})
@@ -54,11 +54,11 @@
 	coordinator.replica.close()
 }
 
-// writeGoldenFolder writes the golden folder with the current code.
-func writeGoldenFolder(t *testing.T, before, after []coordination.Command) {
+// writeGoldenArchive writes the golden data directory with the current code and packs it.
+func writeGoldenArchive(t *testing.T, before, after []coordination.Command) {
 	t.Helper()
-	folder := t.TempDir()
-	coordinator := startGolden(folder)
+	dataDir := t.TempDir()
+	coordinator := startGolden(dataDir)
 	apply := func(commands []coordination.Command) {
 		for _, command := range commands {
 			reply := fake.Must(coordinator.replica.apply(command))
@@ -71,24 +71,24 @@
 	}
 	apply(after)
 	stopGolden(coordinator)
-	if err := pack(folder, goldenFolder); err != nil {
+	if err := pack(dataDir, goldenArchive); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // A coordinator opens a data directory that an earlier version wrote: its identity, its log with commands of every
 // kind, and a snapshot in the middle of them. It restores the agreed state and accepts further commands.
-func TestFolderGolden(t *testing.T) {
+func TestDataDirGolden(t *testing.T) {
 	before, after := goldenLog()
 	if *update {
-		writeGoldenFolder(t, before, after)
+		writeGoldenArchive(t, before, after)
 	}
-	folder := t.TempDir()
-	unpack(t, goldenFolder, folder)
-	checkGoldenFiles(t, folder, before)
-	dataDirID := string(fake.Must(os.ReadFile(filepath.Join(folder, "life"))))
+	dataDir := t.TempDir()
+	unpack(t, goldenArchive, dataDir)
+	checkGoldenFiles(t, dataDir, before)
+	dataDirID := string(fake.Must(os.ReadFile(filepath.Join(dataDir, "life"))))
 
-	coordinator := startGolden(folder)
+	coordinator := startGolden(dataDir)
 	defer stopGolden(coordinator)
 	replica := coordinator.replica
 	if replica.id != raft.ServerID("s0."+dataDirID) {
@@ -121,12 +121,12 @@
 	}
 }
 
-// checkGoldenFiles checks the names of the folder's files. It also checks that the snapshot equals the state that the
-// current code computes and encodes from the commands before the snapshot.
-func checkGoldenFiles(t *testing.T, folder string, before []coordination.Command) {
+// checkGoldenFiles checks the names of the files in a data directory. It also checks that the snapshot equals the state
+// that the current code computes and encodes from the commands before the snapshot.
+func checkGoldenFiles(t *testing.T, dataDir string, before []coordination.Command) {
 	t.Helper()
 	var names []string
-	err := fs.WalkDir(os.DirFS(folder), ".", func(path string, entry fs.DirEntry, err error) error {
+	err := fs.WalkDir(os.DirFS(dataDir), ".", func(path string, entry fs.DirEntry, err error) error {
 		if !entry.IsDir() {
 			names = append(names, path)
 		}
@@ -135,7 +135,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	snapshots := fake.Must(filepath.Glob(filepath.Join(folder, "snapshots", "*")))
+	snapshots := fake.Must(filepath.Glob(filepath.Join(dataDir, "snapshots", "*")))
 	if len(snapshots) != 1 {
 		t.Fatal(snapshots)
 	}
@@ -144,15 +144,15 @@
 		"00000000000000000001-0000000000000000.wal", "life", "lock", snapshot + "/meta.json", snapshot + "/state.bin",
 		"wal-meta.db"}
 	if !slices.Equal(names, want) {
-		t.Errorf("the folder contains %q, want %q", names, want)
+		t.Errorf("the data directory contains %q, want %q", names, want)
 	}
 	state := coordination.NewState(coordination.DefaultConfig())
 	for _, command := range before {
 		state.Apply(command)
 	}
-	stored := fake.Must(os.ReadFile(filepath.Join(folder, snapshot, "state.bin")))
-	if now := fake.Must(json.Marshal(state)); !bytes.Equal(stored, now) {
-		t.Errorf("the snapshot is\n%s\nthe current code writes\n%s", stored, now)
+	stored := fake.Must(os.ReadFile(filepath.Join(dataDir, snapshot, "state.bin")))
+	if encoded := fake.Must(json.Marshal(state)); !bytes.Equal(stored, encoded) {
+		t.Errorf("the snapshot is\n%s\nthe current code writes\n%s", stored, encoded)
 	}
 }
 
@@ -177,8 +177,8 @@
 		if err := json.Unmarshal(entry.Data, &command); err != nil || !reflect.DeepEqual(command, commands[next]) {
 			t.Errorf("entry %d is decoded as\n%+v\nwant\n%+v (%v)", index, command, commands[next], err)
 		}
-		if now := fake.Must(json.Marshal(commands[next])); !bytes.Equal(entry.Data, now) {
-			t.Errorf("entry %d is\n%s\nthe current code writes\n%s", index, entry.Data, now)
+		if encoded := fake.Must(json.Marshal(commands[next])); !bytes.Equal(entry.Data, encoded) {
+			t.Errorf("entry %d is\n%s\nthe current code writes\n%s", index, entry.Data, encoded)
 		}
 		counts[command.Kind]++
 		next++
--- a/internal/fleet/coordinator/leader.go
+++ b/internal/fleet/coordinator/leader.go
@@ -98,7 +98,7 @@
 	}
 	rollout := snapshot.rollout
 	switch {
-	case snapshot.halted: // the wave is analyzed anew after the halt, without measurements made during it
+	case snapshot.halted: // after the halt the analysis starts again; measurements made during the halt do not count
 		c.leadership.analysis.wave = waveKey{}
 	case rollout.InProgress() && rollout.AnalysisRequired && rollout.Phase != coordination.RolloutRollingBack:
 		c.analyzeWave(rollout)
@@ -146,8 +146,8 @@
 	return snapshot
 }
 
-// tick advances the fleet time once the interval since the previous tick has passed: activeTickInterval if active,
-// idleTickInterval otherwise. It reports whether the round may continue.
+// tick advances the fleet time every activeTickInterval if active is set, and every idleTickInterval otherwise. It
+// reports whether the round may continue.
 func (c *Coordinator) tick(active bool) bool {
 	interval := idleTickInterval
 	if active {
@@ -161,7 +161,7 @@
 	return err == nil
 }
 
-// advancePermit notifies the holder of its permit while it is up, and restarts it once it is gone.
+// advancePermit notifies the permit's holder while the holder is up, and restarts the holder once it is gone.
 func (c *Coordinator) advancePermit(permit heldPermit, rollout *coordination.Rollout) {
 	lead := c.leadership
 	begun := permit.Stage == coordination.PermitBegun
@@ -198,8 +198,8 @@
 }
 
 // reportMembers proposes observations of all members that have changed since the previous report. It reports whether
-// the view can be trusted and the observations were committed. The view of a leader that is cut off from the fleet, but
-// not from the other coordinators, cannot be trusted: it would show all members as gone, or in their former states.
+// the view can be trusted and the observations were committed. A leader that is cut off from the fleet, but not from
+// the other coordinators, cannot trust its view: the view would show all members as gone, or in their former states.
 func (c *Coordinator) reportMembers() bool {
 	view := c.fleet.View()
 	if !view.LocalHealth.CanDeclareGone() {
--- a/internal/fleet/coordinator/linearizable_test.go
+++ b/internal/fleet/coordinator/linearizable_test.go
@@ -73,7 +73,7 @@
 }
 
 // The replies to concurrent clients, while leaders are killed, are linearizable: a single state that processes the
-// commands one after the other could have given the same replies. Porcupine checks this.
+// commands one after the other could have returned the same replies. Porcupine checks this.
 func TestLinearizable(t *testing.T) {
 	f := newTestFleet(3, 3)
 	defer f.close()
--- a/internal/fleet/coordinator/replica.go
+++ b/internal/fleet/coordinator/replica.go
@@ -166,8 +166,8 @@
 	return string(addr)
 }
 
-// apply replicates a command, applies it and returns its reply. It blocks. Every error of raft is wrapped together with
-// client.ErrNoQuorum.
+// apply replicates a command, applies it and returns its reply. It blocks. If raft fails, the returned error wraps both
+// raft's error and client.ErrNoQuorum.
 func (r *replica) apply(command coordination.Command) (coordination.Reply, error) {
 	data, err := json.Marshal(command)
 	if err != nil {
--- a/internal/fleet/coordinator/requests.go
+++ b/internal/fleet/coordinator/requests.go
@@ -67,7 +67,7 @@
 	return response
 }
 
-// status returns a copy of the state as this coordinator has it.
+// status returns the status of this coordinator with copies of its state.
 func (c *Coordinator) status() *client.Status {
 	status := &client.Status{
 		ID:           string(c.replica.id),
--- a/internal/fleet/coordinator/restart_test.go
+++ b/internal/fleet/coordinator/restart_test.go
@@ -13,8 +13,8 @@
 // The restart command receives the member's name and the release to start, through the placeholders {name} and
 // {release} and through two environment variables.
 func TestRestartGolden(t *testing.T) {
-	folder := t.TempDir()
-	script, output := filepath.Join(folder, "start"), filepath.Join(folder, "output")
+	dir := t.TempDir()
+	script, output := filepath.Join(dir, "start"), filepath.Join(dir, "output")
 	text := "#!/bin/sh\necho \"$1 $2 $LANEWHEEL_NAME $LANEWHEEL_RELEASE\" >" + output + "\n"
 	if err := os.WriteFile(script, []byte(text), 0o700); err != nil {
 		t.Fatal(err)
--- a/internal/fleet/coordinator/streamlayer.go
+++ b/internal/fleet/coordinator/streamlayer.go
@@ -13,8 +13,8 @@
 	"lanewheel/internal/fleet/coordinator/client"
 )
 
-// maxPendingConnections limits the connections that are in their handshake or have a request in progress. Without it,
-// clients that never authenticate could open hundreds of connections.
+// maxPendingConnections limits the connections that are in their handshake or have a request in progress. Without a
+// limit, clients that never authenticate could open hundreds of connections.
 const maxPendingConnections = 64
 
 // streamLayer implements raft.StreamLayer on the listener that peers and clients share.
--- a/internal/fleet/coordinator/transport.go
+++ b/internal/fleet/coordinator/transport.go
@@ -6,7 +6,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// drainingTransport is raft's network transport with a drain method, after which no heartbeat is handled any more.
+// drainingTransport is raft's network transport. After its method drain returns, no heartbeat is handled any more.
 //
 // Raft handles heartbeats on the transport's goroutines, and its shutdown does not wait for them. A heartbeat that
 // passed raft's own check before the shutdown could then write its term to a closed store. Raft treats that as a fatal
@@ -18,7 +18,7 @@
 	drained bool         // guarded by mu
 }
 
-// SetHeartbeatHandler sets the handler of heartbeats. It is called until drain.
+// SetHeartbeatHandler sets the handler of heartbeats. The handler is not called after drain.
 func (t *drainingTransport) SetHeartbeatHandler(handle func(raft.RPC)) {
 	t.NetworkTransport.SetHeartbeatHandler(func(rpc raft.RPC) {
 		t.mu.RLock()
