--- a/internal/coordination/golden_test.go
+++ b/internal/coordination/golden_test.go
@@ -14,10 +14,10 @@
 	"lanewheel/internal/membership"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew; only where the stored form is meant to change")
+var update = flag.Bool("update", false, "rewrite the golden files; only for an intended change of the stored form")
 
-// golden checks that a value is stored as the file has it, and that the file reads as the value.
-func golden[T any](t *testing.T, name string, want T) {
+// checkGolden checks that a value encodes to the contents of the golden file and that the file decodes to the value.
+func checkGolden[T any](t *testing.T, name string, want T) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	text, err := json.MarshalIndent(want, "", "  ")
@@ -35,42 +35,42 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(text, stored) {
-		t.Errorf("%s: stored as\n%s\nnow written as\n%s", path, stored, text)
+		t.Errorf("%s contains\n%s\nbut the value encodes to\n%s", path, stored, text)
 	}
 	var got T
-	d := json.NewDecoder(bytes.NewReader(stored))
-	d.DisallowUnknownFields()
-	if err := d.Decode(&got); err != nil {
+	decoder := json.NewDecoder(bytes.NewReader(stored))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&got); err != nil {
 		t.Fatalf("%s: %v", path, err)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%s reads as\n%+v\nwanted\n%+v", path, got, want)
+		t.Errorf("%s decodes to\n%+v\nwant\n%+v", path, got, want)
 	}
 }
 
-// zeros gives the paths of all fields that are zero, empty lists and maps among them.
-func zeros(v reflect.Value, path string) (all []string) {
+// zeroFields returns the paths of all fields that are zero, including empty slices and maps.
+func zeroFields(v reflect.Value, path string) (paths []string) {
 	switch v.Kind() {
 	case reflect.Pointer:
 		if v.IsNil() {
 			return []string{path}
 		}
-		return zeros(v.Elem(), path)
+		return zeroFields(v.Elem(), path)
 	case reflect.Struct:
 		for i := range v.NumField() {
-			all = append(all, zeros(v.Field(i), path+"."+v.Type().Field(i).Name)...)
+			paths = append(paths, zeroFields(v.Field(i), path+"."+v.Type().Field(i).Name)...)
 		}
-		return all
+		return paths
 	case reflect.Slice, reflect.Map:
 		if v.Len() == 0 {
 			return []string{path}
 		}
 		if v.Kind() == reflect.Slice {
-			return zeros(v.Index(0), path+"[]")
+			return zeroFields(v.Index(0), path+"[]")
 		}
 		entries := v.MapRange()
 		entries.Next()
-		return append(zeros(entries.Key(), path+".key"), zeros(entries.Value(), path+"[]")...)
+		return append(zeroFields(entries.Key(), path+".key"), zeroFields(entries.Value(), path+"[]")...)
 	}
 	if v.IsZero() {
 		return []string{path}
@@ -78,10 +78,11 @@
 	return nil
 }
 
-func nonZero(t *testing.T, v any) {
+// checkNoZeroFields checks that a golden value sets every field, so that the golden file covers every stored name.
+func checkNoZeroFields(t *testing.T, v any) {
 	t.Helper()
-	if got := zeros(reflect.ValueOf(v), ""); len(got) > 0 {
-		t.Errorf("fields that the golden value leaves at zero: %q", got)
+	if got := zeroFields(reflect.ValueOf(v), ""); len(got) > 0 {
+		t.Errorf("fields that are zero in the golden value: %q", got)
 	}
 }
 
@@ -115,36 +116,37 @@
 		MaxAttempts:         3,
 	}
 	fullPermit = Permit{
-		ID:           42,
-		Member:       "n1",
-		Incarnation:  1_700_000_000_001,
-		RequestedBy:  "operator",
-		Purpose:      "drain",
-		Stage:        PermitBegun,
-		RequestedAt:  50 * time.Second,
-		StageSince:   60 * time.Second,
-		BeginTimeout: 30 * time.Second,
-		Overtakes:    4,
-		WaitReason:   "budget zone-a: 2 of 8 out, 2 may be",
-		Outcome:      "back",
+		ID:             42,
+		Member:         "n1",
+		Incarnation:    1_700_000_000_001,
+		RequestedBy:    "operator",
+		Purpose:        "drain",
+		Stage:          PermitBegun,
+		RequestedAt:    50 * time.Second,
+		StageSince:     60 * time.Second,
+		BeginTimeout:   30 * time.Second,
+		TimesOvertaken: 4,
+		WaitReason:     "budget zone-a: 2 of 8 out, 2 may be",
+		Outcome:        "back",
 	}
 	fullEndedPermit = Permit{
-		ID:           41,
-		Member:       "n0",
-		Incarnation:  1_700_000_000_000,
-		RequestedBy:  "r1",
-		Purpose:      "release",
-		Stage:        PermitEnded,
-		RequestedAt:  10 * time.Second,
-		StageSince:   40 * time.Second,
-		BeginTimeout: 30 * time.Second,
-		Overtakes:    1,
-		WaitReason:   "halted",
-		Outcome:      "back",
+		ID:             41,
+		Member:         "n0",
+		Incarnation:    1_700_000_000_000,
+		RequestedBy:    "r1",
+		Purpose:        "release",
+		Stage:          PermitEnded,
+		RequestedAt:    10 * time.Second,
+		StageSince:     40 * time.Second,
+		BeginTimeout:   30 * time.Second,
+		TimesOvertaken: 1,
+		WaitReason:     "halted",
+		Outcome:        "back",
 	}
 )
 
-// The log holds a command as JSON; a field whose stored name changes is lost to every log that was written before.
+// Commands are stored in the log as JSON. If the stored name of a field changes, the field is lost from every log that
+// was written before.
 func TestCommandGolden(t *testing.T) {
 	command := Command{
 		Term:           7,
@@ -165,15 +167,15 @@
 		Wave:           1,
 		Healthy:        true,
 	}
-	nonZero(t, command)
-	golden(t, "command.json", command)
-	golden(t, "command-empty.json", Command{})
+	checkNoZeroFields(t, command)
+	checkGolden(t, "command.json", command)
+	checkGolden(t, "command-empty.json", Command{})
 }
 
-// goldenState has no zero field but the two of the rollout's plan that are not stored.
+// goldenState returns a state in which only the two fields of the rollout's plan that are not stored are zero.
 func goldenState() State {
 	storedPlan := fullPlan
-	// Rollout's own "Of" and "Judged" hide these two of the plan: the known fault that is noted at Rollout.
+	// The fields of Rollout stored as "Of" and "Judged" hide these two fields of the plan. Rollout documents this fault.
 	storedPlan.Selector = Selector{}
 	storedPlan.AnalysisRequired = false
 	reply := Reply{OK: true, Reason: "a reason", PermitID: 42, PermitIDs: []PermitID{42, 43}}
@@ -229,19 +231,19 @@
 	}
 }
 
-// A snapshot holds the whole state as JSON.
+// A snapshot contains the whole state as JSON.
 func TestStateGolden(t *testing.T) {
 	state := goldenState()
-	filled := state
+	complete := state
 	rollout := *state.Rollout
 	rollout.RolloutPlan = fullPlan
-	filled.Rollout = &rollout
-	nonZero(t, filled)
-	golden(t, "state.json", state)
-	golden(t, "state-empty.json", *NewState(DefaultConfig()))
+	complete.Rollout = &rollout
+	checkNoZeroFields(t, complete)
+	checkGolden(t, "state.json", state)
+	checkGolden(t, "state-empty.json", *NewState(DefaultConfig()))
 }
 
-// What a status shows of a budget.
+// The status shows the usage of a budget as JSON.
 func TestUsageGolden(t *testing.T) {
 	usage := BudgetUsage{
 		Budget:            fullBudget,
@@ -250,11 +252,11 @@
 		UnavailableLimit:  2,
 		AvailableCapacity: 10.5,
 	}
-	nonZero(t, usage)
-	golden(t, "use.json", usage)
+	checkNoZeroFields(t, usage)
+	checkGolden(t, "use.json", usage)
 }
 
-// The words and numbers by which commands, states and roles are stored.
+// The stored values of enumerations, roles, incarnations and permit IDs must not change.
 func TestStoredValues(t *testing.T) {
 	for _, stored := range []struct {
 		value any
@@ -299,12 +301,13 @@
 	} {
 		text, err := json.Marshal(stored.value)
 		if err != nil || string(text) != stored.want {
-			t.Errorf("stored as %s, want %s (%v)", text, stored.want, err)
+			t.Errorf("encodes to %s, want %s (%v)", text, stored.want, err)
 		}
 	}
 }
 
-// A permit's purpose decides what becomes of it, and is stored as a word.
+// The purpose determines how a permit is handled and is stored as text. The purposes that rollouts use, and the
+// defaults of a request that sets no purpose and no timeout, must not change.
 func TestStoredPurpose(t *testing.T) {
 	if got := (&Rollout{Phase: RolloutUpdating}).permitPurpose(); got != "release" {
 		t.Error(got)
--- a/internal/coordination/model_test.go
+++ b/internal/coordination/model_test.go
@@ -11,27 +11,28 @@
 	"lanewheel/internal/membership"
 )
 
-var depth = flag.Int("depth", 6, "how deep TestModel looks")
+var depth = flag.Int("depth", 6, "number of consecutive commands that TestModel explores")
 
-// modelInstances is the size of TestModel's fleet.
+// modelInstances is the number of instances in TestModel's fleet.
 const modelInstances = 3
 
-// modelNode is a state that TestModel has reached, and the commands that led to it.
+// modelNode is a state that TestModel has reached, with the commands that led to it.
 type modelNode struct {
 	state *State
 	path  []string
 }
 
-// A small fleet explored whole, to a depth: three instances, a budget of one, all that may come in any order: members
-// that crash, are suspect, come back as a later incarnation; permits requested, begun by their holder, by an old
-// incarnation, late and twice, cancelled; halts, a rollout and its rollback; time. Deeper:
+// TestModel explores all sequences of commands, up to a depth, on a fleet of three instances with a budget of one. The
+// commands include members that crash, are suspect or return as a later incarnation; permits that are requested,
+// canceled, and begun by their holder, by an old incarnation, late or twice; halts; a rollout and its rollback; and
+// the passage of time. To explore longer sequences, run
 // go test -timeout 30m -run Model ./internal/coordination -depth 8.
 func TestModel(t *testing.T) {
 	start := newFleet(modelInstances, []string{"a"}, oneAtATime)
 	start.Config.MaxOvertakes = 2
 	visited := map[string]bool{}
 	layer := []modelNode{{state: start.State}}
-	applied := 0
+	commandCount := 0
 	for level := range *depth {
 		var next []modelNode
 		for _, node := range layer {
@@ -40,10 +41,10 @@
 				command.Term = 1
 				command.LeaderTime += state.LastLeaderTime
 				reply := state.Apply(command)
-				applied++
+				commandCount++
 				step := fmt.Sprintf("%v %v %v", command.Kind, command.Member, command.PermitID)
 				if violated := violatedInvariant(node.state, state, command, reply); violated != "" {
-					t.Fatalf("%s: after %v, then %s", violated, node.path, step)
+					t.Fatalf("%s: commands %v, then %s", violated, node.path, step)
 				}
 				key := fingerprint(state)
 				if visited[key] {
@@ -59,28 +60,28 @@
 		}
 		layer = next
 	}
-	t.Logf("%d states, %d commands, to a depth of %d", len(visited), applied, *depth)
+	t.Logf("explored %d states with %d commands to a depth of %d", len(visited), commandCount, *depth)
 }
 
-// modelCommands are the commands that TestModel applies to a state.
+// modelCommands returns the commands that TestModel applies to a state.
 func modelCommands(s *State) []Command {
-	var all []Command
+	var commands []Command
 	for i := range modelInstances {
 		if member := s.Members[instanceName(i)]; member != nil {
-			all = append(all, modelMemberCommands(member)...)
+			commands = append(commands, modelMemberCommands(member)...)
 		}
 	}
 	for id := max(1, s.LastPermitID) - 1; id <= s.LastPermitID; id++ {
 		for i := range modelInstances {
 			for incarnation := membership.Incarnation(1); incarnation <= 2; incarnation++ {
-				all = append(all, Command{
+				commands = append(commands, Command{
 					Kind: KindBeginPermit, Member: instanceName(i), PermitID: id, Incarnation: incarnation})
 			}
 		}
-		all = append(all, Command{Kind: KindCancelPermit, PermitID: id})
+		commands = append(commands, Command{Kind: KindCancelPermit, PermitID: id})
 	}
 	plan := &RolloutPlan{Name: "r", TargetRelease: "2", Waves: []Wave{{Count: 1}}, Pause: time.Second}
-	return append(all,
+	return append(commands,
 		Command{Kind: KindHalt},
 		Command{Kind: KindResume},
 		Command{Kind: KindTick, LeaderTime: time.Second},
@@ -89,14 +90,14 @@
 		Command{Kind: KindCanaryVerdict, RolloutName: "r", Healthy: false})
 }
 
-// modelMemberCommands are the commands about one member.
+// modelMemberCommands returns the commands that concern one member.
 func modelMemberCommands(member *Member) []Command {
-	all := []Command{{Kind: KindRequestPermit, Member: member.Name, BeginTimeout: 2 * time.Second}}
+	commands := []Command{{Kind: KindRequestPermit, Member: member.Name, BeginTimeout: 2 * time.Second}}
 	for _, state := range []MemberState{MemberUp, MemberSuspect, MemberGone} {
 		observation := member.Observation
 		if observation.State != state {
 			observation.State = state
-			all = append(all, Command{Kind: KindObserve, Observations: []Observation{observation}})
+			commands = append(commands, Command{Kind: KindObserve, Observations: []Observation{observation}})
 		}
 	}
 	if member.Incarnation < 3 {
@@ -104,13 +105,13 @@
 		observation.Incarnation++
 		observation.State = MemberUp
 		observation.Release = "2"
-		all = append(all, Command{Kind: KindObserve, Observations: []Observation{observation}})
+		commands = append(commands, Command{Kind: KindObserve, Observations: []Observation{observation}})
 	}
-	return append(all, Command{Kind: KindForgetMember, Member: member.Name})
+	return append(commands, Command{Kind: KindForgetMember, Member: member.Name})
 }
 
-// cloneState copies a state, so that applying a command to the copy leaves the original alone. The history is left
-// out.
+// cloneState copies a state so that applying a command to the copy does not change the original. The history is not
+// copied.
 func cloneState(s *State) *State {
 	c := *s
 	c.Members = make(map[Name]*Member, len(s.Members))
--- a/internal/fleet/allocator/server_test.go
+++ b/internal/fleet/allocator/server_test.go
@@ -9,7 +9,7 @@
 	"lanewheel/internal/fleet/gossip"
 )
 
-// A service is reported up while it accepts connections.
+// An allocator reports that it is ready while the service accepts connections.
 func TestProbe(t *testing.T) {
 	var config net.ListenConfig
 	listener, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -23,17 +23,17 @@
 		server.Serve()
 		close(done)
 	}()
-	awaitReady(t, server, true)
+	waitForReady(t, server, true)
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
-	awaitReady(t, server, false)
+	waitForReady(t, server, false)
 	server.Post(server.Quit)
 	<-done
 }
 
-// awaitReady waits until a server reports that it is ready, or that it is not.
-func awaitReady(t *testing.T, server *Server, want bool) {
+// waitForReady waits until the server reports the wanted readiness.
+func waitForReady(t *testing.T, server *Server, want bool) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		ready := make(chan bool, 1)
@@ -42,5 +42,5 @@
 			return
 		}
 	}
-	t.Fatalf("ready is not %v in time", want)
+	t.Fatalf("ready did not become %v before the deadline", want)
 }
--- a/internal/fleet/coordinator/client/golden_values_test.go
+++ b/internal/fleet/coordinator/client/golden_values_test.go
@@ -7,7 +7,7 @@
 	"lanewheel/internal/membership"
 )
 
-// clusterKey is the key of the tests.
+// clusterKey is the cluster's key in the tests.
 var clusterKey = membership.Key("0123456789abcdef0123456789abcdef")
 
 var (
@@ -30,18 +30,18 @@
 		State:       coordination.MemberLeaving,
 	}
 	goldenPermit = coordination.Permit{
-		ID:           42,
-		Member:       "n1",
-		Incarnation:  1_700_000_000_001,
-		RequestedBy:  "operator",
-		Purpose:      "drain",
-		Stage:        coordination.PermitBegun,
-		RequestedAt:  50 * time.Second,
-		StageSince:   60 * time.Second,
-		BeginTimeout: 30 * time.Second,
-		Overtakes:    4,
-		WaitReason:   "halted",
-		Outcome:      "back",
+		ID:             42,
+		Member:         "n1",
+		Incarnation:    1_700_000_000_001,
+		RequestedBy:    "operator",
+		Purpose:        "drain",
+		Stage:          coordination.PermitBegun,
+		RequestedAt:    50 * time.Second,
+		StageSince:     60 * time.Second,
+		BeginTimeout:   30 * time.Second,
+		TimesOvertaken: 4,
+		WaitReason:     "halted",
+		Outcome:        "back",
 	}
 	goldenReply = coordination.Reply{
 		OK: true, Reason: "a reason", PermitID: 42, PermitIDs: []coordination.PermitID{42, 43}}
@@ -55,7 +55,7 @@
 		RollbackWavesAtOnce: 2.5,
 		MaxAttempts:         3,
 	}
-	// Rollout's own "Of" and "Judged" hide Selector and AnalysisRequired of its plan, which are not spoken.
+	// Rollout's own "Of" and "Judged" shadow Selector and AnalysisRequired of its plan, which are not encoded.
 	goldenRollout = coordination.Rollout{
 		RolloutPlan: coordination.RolloutPlan{
 			Name:                "r2",
