--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -173,7 +173,7 @@
 	name := f.Balancer.NameAt(index)
 	f.probeFunc(membership.Name(name), func(load float64, age time.Duration) {
 		f.loop.Post(func() {
-			if index, known := f.Balancer.IndexOf(name); known {
+			if index, present := f.Balancer.IndexOf(name); present {
 				f.Balancer.RecordProbe(f.loop.Now(), index, load, age)
 			}
 		})
--- a/internal/forward/forwarder_test.go
+++ b/internal/forward/forwarder_test.go
@@ -14,11 +14,11 @@
 
 // summary is what a test compares of a Result.
 type summary struct {
-	outcome                      balancer.Outcome
-	errorCode                    rpc.ErrorCode
-	notSent, noEndpoint, expired bool
-	mayHaveRun                   bool
-	disposition                  Disposition
+	outcome                       balancer.Outcome
+	errorCode                     rpc.ErrorCode
+	notSent, noEndpoint, timedOut bool
+	mayHaveRun                    bool
+	disposition                   Disposition
 }
 
 func summarize(result Result) summary {
@@ -27,7 +27,7 @@
 		errorCode:   result.Error,
 		notSent:     result.NotSent,
 		noEndpoint:  result.NoEndpoint,
-		expired:     result.TimedOut,
+		timedOut:    result.TimedOut,
 		mayHaveRun:  result.MayHaveRun(),
 		disposition: result.Disposition(),
 	}
@@ -59,7 +59,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			f := newTestFleet(t, 4, nil, test.steps...)
 			_, results := f.forward(3*time.Second, test.idempotent)
-			result := wait(t, results)
+			result := waitForResult(t, results)
 			if got := summarize(result); got != test.want {
 				t.Errorf("result %+v, want %+v", got, test.want)
 			}
@@ -69,7 +69,7 @@
 			if got := f.receivedSoFar(); len(got) != test.attempts || got[0] != "view 1" {
 				t.Errorf("attempts %v, want %d", got, test.attempts)
 			}
-			f.on(func() {
+			f.runOnLoop(func() {
 				if got := f.forwarder.Retries; got != uint64(test.attempts-1) {
 					t.Errorf("%d retries counted", got)
 				}
@@ -81,7 +81,7 @@
 // TestForwardWithoutEndpoints checks that the result comes at once, before Forward returns.
 func TestForwardWithoutEndpoints(t *testing.T) {
 	f := newTestFleet(t, 0, nil)
-	f.on(func() {
+	f.runOnLoop(func() {
 		var results []Result
 		options := Options{Deadline: f.loop.Now() + time.Second, Idempotent: true, MaxAttempts: 3}
 		f.forwarder.Forward(frontend.Request{ID: "1", Class: "view"}, options, func(result Result) {
@@ -100,11 +100,11 @@
 	f := newTestFleet(t, 1, nil, "silent")
 	startedAt := time.Now()
 	_, results := f.forward(150*time.Millisecond, true)
-	got := summarize(wait(t, results))
+	got := summarize(waitForResult(t, results))
 	want := summary{
 		outcome:     balancer.NoResponse,
 		errorCode:   "Failed",
-		expired:     true,
+		timedOut:    true,
 		mayHaveRun:  true,
 		disposition: Failed,
 	}
@@ -122,9 +122,9 @@
 	f := newTestFleet(t, 1, nil, "silent")
 	request, results := f.forward(300*time.Millisecond, true)
 	fake.WaitFor("the request to be there", func() bool { return f.receivedCount() == 1 })
-	f.on(request.Cancel)
-	f.on(request.Cancel)
-	f.on(request.Expire)
+	f.runOnLoop(request.Cancel)
+	f.runOnLoop(request.Cancel)
+	f.runOnLoop(request.Expire)
 	fake.WaitFor("the endpoint to be notified", func() bool { return f.receivedCount() == 2 })
 	select {
 	case result := <-results:
@@ -137,13 +137,13 @@
 func TestForwardTo(t *testing.T) {
 	f := newTestFleet(t, 3, nil, "busy")
 	results := make(chan Result, 1)
-	f.on(func() {
+	f.runOnLoop(func() {
 		request := frontend.Request{ID: "1", Class: "view"}
 		options := Options{Deadline: f.loop.Now() + time.Second, Idempotent: true}
 		f.forwarder.ForwardTo(2, request, options, func(result Result) { results <- result })
 	})
 	want := summary{outcome: balancer.Rejected, errorCode: "Busy", disposition: Rejected}
-	if got := summarize(wait(t, results)); got != want {
+	if got := summarize(waitForResult(t, results)); got != want {
 		t.Errorf("result %+v, want %+v", got, want)
 	}
 	if got := f.receivedCount(); got != 1 {
@@ -174,11 +174,11 @@
 	}
 	_, results := f.forward(time.Second, true)
 	want := summary{outcome: balancer.Rejected, errorCode: "Busy", noEndpoint: true, disposition: Rejected}
-	if got := summarize(wait(t, results)); got != want {
+	if got := summarize(waitForResult(t, results)); got != want {
 		t.Errorf("result %+v, want %+v", got, want)
 	}
-	f.on(first.Expire)
-	f.on(func() {
+	f.runOnLoop(first.Expire)
+	f.runOnLoop(func() {
 		if first.connection != nil || first.message.Body != nil {
 			t.Error("an expired request is kept")
 		}
@@ -188,9 +188,9 @@
 // TestIdleConnectionsClose checks that a connection that carries nothing is closed.
 func TestIdleConnectionsClose(t *testing.T) {
 	f := newTestFleet(t, 1, func(config *Config) { config.IdleTimeout = 100 * time.Millisecond })
-	f.on(f.forwarder.Start)
+	f.runOnLoop(f.forwarder.Start)
 	_, results := f.forward(time.Second, true)
-	wait(t, results)
+	waitForResult(t, results)
 	if got := f.connectionCount(); got != 1 {
 		t.Errorf("%d connections", got)
 	}
@@ -202,8 +202,8 @@
 func TestUpdateView(t *testing.T) {
 	f := newTestFleet(t, 2, nil)
 	_, results := f.forward(time.Second, true)
-	wait(t, results)
-	f.on(func() {
+	waitForResult(t, results)
+	f.runOnLoop(func() {
 		if got := f.forwarder.Balancer.Len(); got != 2 {
 			t.Errorf("%d endpoints", got)
 		}
@@ -211,13 +211,13 @@
 	f.table = forwardtest.NewTable("self")
 	f.updateView()
 	fake.WaitFor("the connection to close", func() bool { return f.connectionCount() == 0 })
-	f.on(func() {
+	f.runOnLoop(func() {
 		if got := f.forwarder.Balancer.Len(); got != 0 {
 			t.Errorf("%d endpoints of none", got)
 		}
 	})
 	subset := newTestFleet(t, 5, func(config *Config) { config.SubsetSize = 3 })
-	subset.on(func() {
+	subset.runOnLoop(func() {
 		if got := subset.forwarder.Balancer.Len(); got != 3 {
 			t.Errorf("%d endpoints of a subset of 3", got)
 		}
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -110,7 +110,7 @@
 }
 
 // detach ends the attempt: the endpoint is notified that nobody waits. expired says whether that counts against it.
-func (r *Request) detach(expired bool) {
+func (r *Request) detach(timedOut bool) {
 	connection := r.connection
 	if connection == nil {
 		return
@@ -122,7 +122,7 @@
 	} else if index := slices.Index(connection.waiting, r); index >= 0 {
 		connection.waiting = slices.Delete(connection.waiting, index, index+1)
 	}
-	if expired {
+	if timedOut {
 		now := r.forwarder.loop.Now()
 		r.forwarder.Balancer.RecordOutcome(now, connection.endpoint.name, balancer.NoResponse, 0)
 	} else {
--- a/internal/forward/testfleet_test.go
+++ b/internal/forward/testfleet_test.go
@@ -18,11 +18,11 @@
 
 // testFleet is a Forwarder and the scripted endpoints that it forwards to.
 type testFleet struct {
-	t         *testing.T
-	loop      *eventloop.Loop
-	forwarder *Forwarder
-	table     *membership.Table
-	forwarded int // requests; owned by the loop
+	t              *testing.T
+	loop           *eventloop.Loop
+	forwarder      *Forwarder
+	table          *membership.Table
+	forwardedCount int // requests; owned by the loop
 
 	mu          sync.Mutex // guards what follows
 	steps       []string   // what is done with the next requests, succeed when there are no more
@@ -72,34 +72,34 @@
 		}
 		parts := message.([]any)
 		if len(parts) == 3 {
-			f.receive(name, fmt.Sprint(parts[1]), "")
+			f.recordReceived(name, fmt.Sprint(parts[1]), "")
 			continue
 		}
 		params := parts[3].([]any)
 		fields := params[0].(map[string]any)
-		number, none := parts[1].(int), map[string]string{}
-		switch f.receive(name, fmt.Sprint(parts[2], " ", fields["passed"]), fmt.Sprint(fields["id"])) {
+		number, noMetadata := parts[1].(int), map[string]string{}
+		switch f.recordReceived(name, fmt.Sprint(parts[2], " ", fields["passed"]), fmt.Sprint(fields["id"])) {
 		case "succeed":
-			client.Send([]any{1, number, nil, []any{params[1], none}})
+			client.Send([]any{1, number, nil, []any{params[1], noMetadata}})
 		case "busy":
-			client.Send([]any{1, number, []any{"Busy", none}, nil})
+			client.Send([]any{1, number, []any{"Busy", noMetadata}, nil})
 		case "no-failover":
 			client.Send([]any{1, number, []any{"Busy", map[string]string{"last": "1"}}, nil})
 		case "deny":
-			client.Send([]any{1, number, []any{"Denied", none}, nil})
+			client.Send([]any{1, number, []any{"Denied", noMetadata}, nil})
 		case "fail":
-			client.Send([]any{1, number, []any{"Failed", none}, nil})
+			client.Send([]any{1, number, []any{"Failed", noMetadata}, nil})
 		case "close":
 			return
 		}
 	}
 }
 
-// receive notes what came and returns what is done with it.
-func (f *testFleet) receive(name membership.Name, what, id string) (step string) {
+// recordReceived notes what came and returns what is done with it.
+func (f *testFleet) recordReceived(name membership.Name, message, id string) (step string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.received = append(f.received, what)
+	f.received = append(f.received, message)
 	if id == "" {
 		return ""
 	}
@@ -132,8 +132,8 @@
 func (f *testFleet) forward(timeout time.Duration, idempotent bool) (*Request, <-chan Result) {
 	results, started := make(chan Result, 1), make(chan *Request, 1)
 	f.loop.Post(func() {
-		f.forwarded++
-		message := frontend.Request{ID: fmt.Sprint("request-", f.forwarded), Class: "view", Body: []byte("body")}
+		f.forwardedCount++
+		message := frontend.Request{ID: fmt.Sprint("request-", f.forwardedCount), Class: "view", Body: []byte("body")}
 		options := Options{Deadline: f.loop.Now() + timeout, Idempotent: idempotent, MaxAttempts: 3}
 		started <- f.forwarder.Forward(message, options, func(result Result) {
 			result.Result = slices.Clone(result.Result)
@@ -143,20 +143,20 @@
 	return <-started, results
 }
 
-// on runs something on the loop and waits for it.
-func (f *testFleet) on(do func()) {
+// runOnLoop runs something runOnLoop the loop and waits for it.
+func (f *testFleet) runOnLoop(do func()) {
 	done := make(chan struct{})
 	f.loop.Post(func() { do(); close(done) })
 	<-done
 }
 
 // newTestFleet starts a Forwarder before so many endpoints.
-func newTestFleet(t *testing.T, endpoints int, change func(*Config), steps ...string) *testFleet {
+func newTestFleet(t *testing.T, endpointCount int, configure func(*Config), steps ...string) *testFleet {
 	t.Helper()
 	config := Config{Balancer: balancer.DefaultConfig(), ConnectionsPerEndpoint: 2, IdleTimeout: time.Minute}
 	config.Balancer.RetryRatio = 1
-	if change != nil {
-		change(&config)
+	if configure != nil {
+		configure(&config)
 	}
 	f := &testFleet{
 		t:     t,
@@ -167,7 +167,7 @@
 	}
 	sockets := forwardtest.NewNet(t, f.loop)
 	f.forwarder = New(f.loop, sockets, config, 1, nil)
-	for i := range endpoints {
+	for i := range endpointCount {
 		f.addEndpoint(membership.Name(fmt.Sprint("m", i)))
 	}
 	f.updateView()
@@ -176,7 +176,7 @@
 	return f
 }
 
-func wait(t *testing.T, results <-chan Result) Result {
+func waitForResult(t *testing.T, results <-chan Result) Result {
 	t.Helper()
 	select {
 	case result := <-results:
--- a/internal/forward/view.go
+++ b/internal/forward/view.go
@@ -11,7 +11,7 @@
 type subset struct {
 	endpoints []balancer.EndpointName // that it was worked out for
 	peers     []balancer.EndpointName // that it was worked out for
-	ours      map[balancer.EndpointName]bool
+	selected  map[balancer.EndpointName]bool
 }
 
 // UpdateView takes a view of the fleet. The members with the same role as ours share the endpoints with us.
@@ -70,13 +70,13 @@
 		names = append(names, endpoint.Name)
 	}
 	if !slices.Equal(names, f.subset.endpoints) || !slices.Equal(peers, f.subset.peers) {
-		f.subset = subset{endpoints: names, peers: peers, ours: map[balancer.EndpointName]bool{}}
+		f.subset = subset{endpoints: names, peers: peers, selected: map[balancer.EndpointName]bool{}}
 		self := peers[0]
 		for _, name := range balancer.Subsets(peers, names, size)[self] {
-			f.subset.ours[name] = true
+			f.subset.selected[name] = true
 		}
 	}
-	return slices.DeleteFunc(endpoints, func(endpoint balancer.Endpoint) bool { return !f.subset.ours[endpoint.Name] })
+	return slices.DeleteFunc(endpoints, func(endpoint balancer.Endpoint) bool { return !f.subset.selected[endpoint.Name] })
 }
 
 // setEndpoints replaces the endpoints. What stays keeps its connections, unless it has another address: then it is
@@ -86,18 +86,18 @@
 	for _, candidate := range endpoints {
 		present[candidate.Name] = true
 		address := addresses[candidate.Name]
-		known := f.endpoints[candidate.Name]
-		if known != nil && known.address != address {
-			f.removeEndpoint(known)
-			known = nil
+		current := f.endpoints[candidate.Name]
+		if current != nil && current.address != address {
+			f.removeEndpoint(current)
+			current = nil
 		}
-		if known == nil {
+		if current == nil {
 			f.endpoints[candidate.Name] = &endpoint{name: candidate.Name, address: address}
 		}
 	}
-	for name, known := range f.endpoints {
+	for name, current := range f.endpoints {
 		if !present[name] {
-			f.removeEndpoint(known)
+			f.removeEndpoint(current)
 		}
 	}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -19,9 +19,9 @@
 
 // What the memory is divided into, the same as in an instance.
 const (
-	bodyFraction   = 4 // one in so many buffers is for the bodies of requests in flight
-	readFraction   = 8 // one in so many is for what was read and not worked off
-	unreadFraction = 8 // of the memory one in so many is for what clients have not read
+	bodyDivisor   = 4 // one in so many buffers is for the bodies of requests in flight
+	readDivisor   = 8 // one in so many is for what was read and not worked off
+	unreadDivisor = 8 // of the memory one in so many is for what clients have not read
 )
 
 // Config is what a proxy goes by, beside the platform's configuration.
@@ -73,9 +73,9 @@
 func Listen(platform server.Config, config Config, probe forward.ProbeFunc) (*Proxy, error) {
 	memoryBytes := int(platform.MemoryMB * (1 << 20))
 	bufferCount := memoryBytes / transport.BufferSize
-	config.MaxInFlight = min(config.MaxInFlight, bufferCount/bodyFraction)
+	config.MaxInFlight = min(config.MaxInFlight, bufferCount/bodyDivisor)
 	p := &Proxy{
-		Loop:     eventloop.New(bufferCount / readFraction),
+		Loop:     eventloop.New(bufferCount / readDivisor),
 		config:   config,
 		platform: platform,
 		buffers:  &server.BufferPool{},
@@ -90,7 +90,7 @@
 		OnFull:         func() { p.clients.EvictIdle() },
 		MaxAccepted:    int64(platform.MaxDescriptors) / 2,
 		MaxDescriptors: platform.MaxDescriptors,
-		MaxUnread:      int64(memoryBytes) / unreadFraction,
+		MaxUnread:      int64(memoryBytes) / unreadDivisor,
 		LocalIP:        config.LocalIP(),
 	}
 	p.net.ReadTokens.Store(true) // the instance checks them; a proxy forwards what is brought
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -48,9 +48,9 @@
 	received frontend.Request, _ *authn.Credential, responder frontend.Responder,
 ) frontend.Handle {
 	p.counters.received++
-	class, known := p.classes[received.Class]
+	class, defined := p.classes[received.Class]
 	switch {
-	case !known:
+	case !defined:
 		responder.RejectPermanently(frontend.UnknownClass, p.ResponseMetadata())
 		responder.Done()
 		return nil
--- a/internal/proxy/script_test.go
+++ b/internal/proxy/script_test.go
@@ -29,14 +29,14 @@
 }
 
 // nextStep notes what came and returns what is done with it.
-func (s *endpointScript) nextStep(what string) string {
+func (s *endpointScript) nextStep(message string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	step := "succeed"
 	if len(s.steps) > 0 {
 		step, s.steps = s.steps[0], s.steps[1:]
 	}
-	s.trace = append(s.trace, what+" "+step)
+	s.trace = append(s.trace, message+" "+step)
 	return step
 }
 
@@ -46,8 +46,8 @@
 	s.steps = steps
 }
 
-// checkID notes in the trace if an id comes a second time.
-func (s *endpointScript) checkID(id string) {
+// recordID notes in the trace if an id comes a second time.
+func (s *endpointScript) recordID(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ids[id] {
@@ -96,7 +96,7 @@
 			continue
 		}
 		params := parts[3].([]any)
-		s.checkID(fmt.Sprint(params[0].(map[string]any)["id"]))
+		s.recordID(fmt.Sprint(params[0].(map[string]any)["id"]))
 		if step := s.nextStep(fmt.Sprint(parts[2])); step == "close" {
 			return
 		} else if response := scriptedResponse(step, parts[1], params[1]); response != nil {
@@ -107,19 +107,19 @@
 
 // scriptedResponse returns the response of a step, nil for none.
 func scriptedResponse(step string, number, body any) []any {
-	none := map[string]string{}
+	noMetadata := map[string]string{}
 	switch step {
 	case "succeed":
 		return []any{1, number, nil, []any{body, map[string]string{"say": "0.5"}}}
 	case "late":
 		time.Sleep(250 * time.Millisecond)
-		return []any{1, number, nil, []any{body, none}}
+		return []any{1, number, nil, []any{body, noMetadata}}
 	case "busy":
 		return []any{1, number, []any{"Busy", map[string]string{"after": "70"}}, nil}
 	case "no-failover":
 		return []any{1, number, []any{"Busy", map[string]string{"last": "1"}}, nil}
 	case "fail":
-		return []any{1, number, []any{"Failed", none}, nil}
+		return []any{1, number, []any{"Failed", noMetadata}, nil}
 	}
 	return nil
 }
--- a/internal/spillover/eventlog.go
+++ b/internal/spillover/eventlog.go
@@ -13,9 +13,9 @@
 type eventKind uint8
 
 const (
-	requestKept     eventKind = iota // it was not forwarded, for a reason
-	requestSpilled                   // it was forwarded
-	requestFinished                  // it came back
+	requestNotSpilled eventKind = iota // it was not forwarded, for a reason
+	requestSpilled                     // it was forwarded
+	requestFinished                    // it came back
 )
 
 // event is what is counted and logged.
@@ -28,7 +28,7 @@
 // write logs an event with a count.
 func (e event) write(key string, count uint64) {
 	switch e.kind {
-	case requestKept:
+	case requestNotSpilled:
 		slog.Info("request kept", "reason", e.reason.String(), key, count)
 	case requestSpilled:
 		slog.Info("request spilled over", key, count)
--- a/internal/spillover/spillover.go
+++ b/internal/spillover/spillover.go
@@ -112,7 +112,7 @@
 	index, reason := s.pick(received, deadline)
 	s.forwarder.Probe() // whoever rejects a request wants recent reports for the next one
 	if reason != balancer.Allowed {
-		s.log.count(event{kind: requestKept, reason: reason}, s.loop.WallTime())
+		s.log.count(event{kind: requestNotSpilled, reason: reason}, s.loop.WallTime())
 		return nil
 	}
 	s.log.count(event{kind: requestSpilled}, s.loop.WallTime())
--- a/internal/spillover/spillover_test.go
+++ b/internal/spillover/spillover_test.go
@@ -22,19 +22,21 @@
 	calls []string
 }
 
-func (r *recorder) note(format string, args ...any) {
+func (r *recorder) record(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.calls = append(r.calls, fmt.Sprintf(format, args...))
 }
 
-func (r *recorder) Succeed(result []byte, _ frontend.ResponseMetadata) { r.note("succeed %s", result) }
-func (r *recorder) Reject(frontend.ResponseMetadata)                   { r.note("reject") }
-func (r *recorder) Fail(frontend.ResponseMetadata)                     { r.note("fail") }
+func (r *recorder) Succeed(result []byte, _ frontend.ResponseMetadata) {
+	r.record("succeed %s", result)
+}
+func (r *recorder) Reject(frontend.ResponseMetadata) { r.record("reject") }
+func (r *recorder) Fail(frontend.ResponseMetadata)   { r.record("fail") }
 func (r *recorder) RejectPermanently(code frontend.RejectionCode, _ frontend.ResponseMetadata) {
-	r.note("reject permanently: %s", code)
+	r.record("reject permanently: %s", code)
 }
-func (r *recorder) Done() { r.note("done") }
+func (r *recorder) Done() { r.record("done") }
 
 func (r *recorder) String() string {
 	r.mu.Lock()
@@ -49,11 +51,11 @@
 	spillover *Spillover
 }
 
-func newTestInstance(t *testing.T, step string) *testInstance {
+func newTestInstance(t *testing.T, behavior string) *testInstance {
 	t.Helper()
 	listener := fake.Must((&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0"))
 	t.Cleanup(func() { _ = listener.Close() })
-	go serve(listener, step)
+	go serve(listener, behavior)
 	x := &testInstance{loop: eventloop.New(256)}
 	sockets := forwardtest.NewNet(t, x.loop)
 	config := Config{
@@ -68,9 +70,9 @@
 	go x.loop.Run(sockets.Flush)
 	t.Cleanup(func() { x.loop.Post(x.loop.Quit) })
 	x.spillover.Start()
-	x.on(func() { x.spillover.UpdateView(table.View()) })
+	x.runOnLoop(func() { x.spillover.UpdateView(table.View()) })
 	fake.WaitFor("a report of the other's load", func() (reported bool) {
-		x.on(func() {
+		x.runOnLoop(func() {
 			now := x.loop.Now()
 			_, reason := balancer.NewSpilloverPolicy(config.Spillover, x.spillover.forwarder.Balancer).
 				Pick(now, time.Minute, 10, x.spillover.forwarder.Random)
@@ -82,7 +84,7 @@
 }
 
 // serve answers all requests in the same way.
-func serve(listener net.Listener, step string) {
+func serve(listener net.Listener, behavior string) {
 	for {
 		connection, err := listener.Accept()
 		if err != nil {
@@ -95,24 +97,24 @@
 				if err != nil {
 					return
 				}
-				parts, none := message.([]any), map[string]string{}
-				switch step {
+				parts, noMetadata := message.([]any), map[string]string{}
+				switch behavior {
 				case "succeed":
-					client.Send([]any{1, parts[1], nil, []any{parts[3].([]any)[1], none}})
+					client.Send([]any{1, parts[1], nil, []any{parts[3].([]any)[1], noMetadata}})
 				case "busy":
-					client.Send([]any{1, parts[1], []any{"Busy", none}, nil})
+					client.Send([]any{1, parts[1], []any{"Busy", noMetadata}, nil})
 				case "deny":
-					client.Send([]any{1, parts[1], []any{"Denied", none}, nil})
+					client.Send([]any{1, parts[1], []any{"Denied", noMetadata}, nil})
 				case "fail":
-					client.Send([]any{1, parts[1], []any{"Failed", none}, nil})
+					client.Send([]any{1, parts[1], []any{"Failed", noMetadata}, nil})
 				}
 			}
 		}()
 	}
 }
 
-// on runs something on the loop and waits for it.
-func (x *testInstance) on(do func()) {
+// runOnLoop runs something runOnLoop the loop and waits for it.
+func (x *testInstance) runOnLoop(do func()) {
 	done := make(chan struct{})
 	x.loop.Post(func() { do(); close(done) })
 	<-done
@@ -120,7 +122,7 @@
 
 // forward offers a request that may be answered within a second.
 func (x *testInstance) forward(hops int, responder frontend.Responder) (handle frontend.Handle) {
-	x.on(func() {
+	x.runOnLoop(func() {
 		request := frontend.Request{ID: "1", Class: "view", Hops: hops, Body: []byte("body")}
 		handle = x.spillover.Forward(request, x.loop.Now()+time.Second, false, responder)
 	})
@@ -129,14 +131,14 @@
 
 // total returns how often an event was counted.
 func (x *testInstance) total(e event) (total uint64) {
-	x.on(func() { total = x.spillover.log.totals[e] })
+	x.runOnLoop(func() { total = x.spillover.log.totals[e] })
 	return total
 }
 
 // TestForward checks that a request is answered by what the other instance did with it, and that this is counted.
 func TestForward(t *testing.T) {
 	for _, test := range []struct {
-		step        string
+		behavior    string
 		want        string
 		disposition forward.Disposition
 	}{
@@ -145,8 +147,8 @@
 		{"deny", "[reject permanently: denied done]", forward.Denied},
 		{"fail", "[fail done]", forward.Failed},
 	} {
-		t.Run(test.step, func(t *testing.T) {
-			x := newTestInstance(t, test.step)
+		t.Run(test.behavior, func(t *testing.T) {
+			x := newTestInstance(t, test.behavior)
 			responder := &recorder{}
 			if x.forward(0, responder) == nil {
 				t.Fatal("the request was kept")
@@ -156,7 +158,7 @@
 			if x.total(event{kind: requestSpilled}) != 1 || x.total(finished) != 1 {
 				t.Error("not counted")
 			}
-			x.on(func() {
+			x.runOnLoop(func() {
 				if !x.spillover.Drained() {
 					t.Error("not drained")
 				}
@@ -165,15 +167,15 @@
 	}
 }
 
-// TestKept checks that a request which was forwarded to us, and any while we drain, stays here.
-func TestKept(t *testing.T) {
+// TestNotForwarded checks that a request which was forwarded to us, and any while we drain, stays here.
+func TestNotForwarded(t *testing.T) {
 	x := newTestInstance(t, "succeed")
 	responder := &recorder{}
-	if x.forward(1, responder) != nil || x.total(event{kind: requestKept, reason: balancer.AlreadyForwarded}) != 1 {
+	if x.forward(1, responder) != nil || x.total(event{kind: requestNotSpilled, reason: balancer.AlreadyForwarded}) != 1 {
 		t.Error("a request is forwarded twice")
 	}
-	x.on(func() { x.spillover.Drain(time.Second) })
-	if x.forward(0, responder) != nil || x.total(event{kind: requestKept, reason: balancer.Draining}) != 1 {
+	x.runOnLoop(func() { x.spillover.Drain(time.Second) })
+	if x.forward(0, responder) != nil || x.total(event{kind: requestNotSpilled, reason: balancer.Draining}) != 1 {
 		t.Error("a request is forwarded while we drain")
 	}
 	if responder.String() != "[]" {
@@ -188,7 +190,7 @@
 	if x.forward(0, responder) == nil {
 		t.Fatal("the request was kept")
 	}
-	x.on(func() { x.spillover.Drain(200 * time.Millisecond) })
+	x.runOnLoop(func() { x.spillover.Drain(200 * time.Millisecond) })
 	startedAt := time.Now()
 	fake.WaitFor("a response", func() bool { return responder.String() == "[fail done]" })
 	if elapsed := time.Since(startedAt); elapsed < 100*time.Millisecond {
@@ -201,7 +203,7 @@
 	x := newTestInstance(t, "")
 	responder := &recorder{}
 	handle := x.forward(0, responder)
-	x.on(func() {
+	x.runOnLoop(func() {
 		x.spillover.Cancel(handle)
 		x.spillover.Cancel(handle)
 		x.spillover.Cancel(nil)
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -29,8 +29,8 @@
 	MaxCallDuration time.Duration // that a call may take
 }
 
-// RequestLease sends the allocator beside a service a request; the answer comes by HandleLease.
-type RequestLease func(name membership.Name, request concurrencylease.Request)
+// RequestLeaseFunc sends the allocator beside a service a request; the answer comes by HandleLease.
+type RequestLeaseFunc func(name membership.Name, request concurrencylease.Request)
 
 // Client is the services of one server. It implements server.Upstreams. It is owned by the server's event loop, on
 // which all its methods are to be called.
@@ -38,11 +38,11 @@
 	loop         *eventloop.Loop
 	config       Config
 	self         membership.ID
-	requestLease RequestLease
+	requestLease RequestLeaseFunc
 	balancer     *balancer.Balancer
 	random       *rand.Rand
 	services     map[balancer.EndpointName]*service
-	leased       map[balancer.EndpointName]*leasedLimit // of the services whose calls are leased
+	leasedLimits map[balancer.EndpointName]*leasedLimit // of the services whose calls are leased
 	onAvailable  func()
 	waitingCalls int // calls that wait for a place
 }
@@ -50,7 +50,7 @@
 // New makes the client of a server that the fleet knows as self. requestLease may be nil where all services have
 // configured addresses.
 func New(
-	loop *eventloop.Loop, config Config, self membership.ID, seed uint64, requestLease RequestLease,
+	loop *eventloop.Loop, config Config, self membership.ID, seed uint64, requestLease RequestLeaseFunc,
 ) *Client {
 	client := &Client{
 		loop:         loop,
@@ -60,21 +60,21 @@
 		balancer:     balancer.New(config.Balancer),
 		random:       rand.New(rand.NewPCG(seed, randomStream)),
 		services:     map[balancer.EndpointName]*service{},
-		leased:       map[balancer.EndpointName]*leasedLimit{},
+		leasedLimits: map[balancer.EndpointName]*leasedLimit{},
 		onAvailable:  func() {},
 	}
 	if len(config.Addresses) > 0 {
-		client.addConfigured(config.Addresses)
+		client.addConfiguredServices(config.Addresses)
 	}
 	return client
 }
 
-func (c *Client) addConfigured(addrs []string) {
+func (c *Client) addConfiguredServices(addrs []string) {
 	var endpoints []balancer.Endpoint
 	for _, addr := range addrs {
 		name := balancer.EndpointName(addr)
-		calls := fixedLimit{maxCalls: c.config.MaxCalls, maxDuration: c.config.MaxCallDuration}
-		c.services[name] = &service{name: name, addr: addr, calls: calls}
+		limit := fixedLimit{maxCalls: c.config.MaxCalls, maxDuration: c.config.MaxCallDuration}
+		c.services[name] = &service{name: name, addr: addr, limiter: limit}
 		endpoints = append(endpoints, balancer.Endpoint{Name: name, Capacity: 1})
 	}
 	c.balancer.SetEndpoints(0, endpoints)
@@ -111,7 +111,7 @@
 			Suspect:         member.State == membership.StateSuspect,
 		})
 	}
-	c.dropMissing(present)
+	c.removeMissing(present)
 	c.balancer.SetEndpoints(c.loop.Now(), endpoints)
 	c.onAvailable()
 }
@@ -127,28 +127,28 @@
 
 // addMember adds the service beside a member, or takes over its present address and allocator.
 func (c *Client) addMember(name balancer.EndpointName, member membership.Member) {
-	known := c.services[name]
-	if known == nil {
+	svc := c.services[name]
+	if svc == nil {
 		leased := &leasedLimit{holder: &concurrencylease.Holder{
 			ID:               c.self,
 			MaxUnleasedCalls: c.config.MaxCalls,
 			MaxCallDuration:  c.config.MaxCallDuration,
 		}}
-		known = &service{name: name, calls: leased}
-		c.services[name] = known
-		c.leased[name] = leased
+		svc = &service{name: name, limiter: leased}
+		c.services[name] = svc
+		c.leasedLimits[name] = leased
 	}
-	known.addr = member.ServiceAddr
-	known.allocatorBootID = member.BootID
+	svc.addr = member.ServiceAddr
+	svc.allocatorBootID = member.BootID
 }
 
-// dropMissing forgets services that are not present and have neither open nor leased calls.
-func (c *Client) dropMissing(present map[balancer.EndpointName]bool) {
+// removeMissing forgets services that are not present and have neither open nor leased calls.
+func (c *Client) removeMissing(present map[balancer.EndpointName]bool) {
 	now := c.loop.Now()
-	for name, known := range c.services {
-		if !present[name] && known.openCalls == 0 && !known.calls.inUse(now) {
+	for name, svc := range c.services {
+		if !present[name] && svc.openCalls == 0 && !svc.limiter.inForce(now) {
 			delete(c.services, name)
-			delete(c.leased, name)
+			delete(c.leasedLimits, name)
 		}
 	}
 }
@@ -166,53 +166,53 @@
 		return candidate.addr == excludedAddr && !onlyOne
 	})
 	if !found {
-		c.recordWaiting(now)
+		c.recordWaitingDemand(now)
 		return nil
 	}
 	chosen := c.services[c.balancer.NameAt(i)]
 	c.balancer.RecordStart(now, i)
 	chosen.openCalls++
-	chosen.calls.recordDemand(now, chosen.openCalls)
+	chosen.limiter.recordDemand(now, chosen.openCalls)
 	c.waitingCalls = waiting - 1
 	return &reservation{
 		client:      c,
 		service:     chosen,
 		startedAt:   now,
-		maxDuration: chosen.calls.maxCallDuration(),
+		maxDuration: chosen.limiter.maxCallDuration(),
 	}
 }
 
-// recordWaiting counts the calls that wait as wanted of all services with leases alike.
-func (c *Client) recordWaiting(now time.Duration) {
-	if len(c.leased) == 0 {
+// recordWaitingDemand counts the calls that wait as wanted of all services with leases alike.
+func (c *Client) recordWaitingDemand(now time.Duration) {
+	if len(c.leasedLimits) == 0 {
 		return
 	}
-	share := (c.waitingCalls + len(c.leased) - 1) / len(c.leased)
-	for name, leased := range c.leased {
-		leased.recordDemand(now, c.services[name].openCalls+share)
+	callsPerService := (c.waitingCalls + len(c.leasedLimits) - 1) / len(c.leasedLimits)
+	for name, leased := range c.leasedLimits {
+		leased.recordDemand(now, c.services[name].openCalls+callsPerService)
 	}
 }
 
 // requestLeases requests leases that are due, again and again.
 func (c *Client) requestLeases() {
 	now := c.loop.Now()
-	for name, leased := range c.leased {
-		known := c.services[name]
+	for name, leased := range c.leasedLimits {
+		svc := c.services[name]
 		if now >= leased.holder.NextRequestAt(now, c.waitingCalls > 0) {
-			request := leased.holder.NextRequest(now, known.allocatorBootID, known.openCalls)
+			request := leased.holder.NextRequest(now, svc.allocatorBootID, svc.openCalls)
 			c.requestLease(membership.Name(name), request)
 		}
-		leased.logChange(now, name, known.openCalls) // a lease that has expired is logged here
+		leased.logChange(now, name, svc.openCalls) // a lease that has expired is logged here
 	}
 	c.loop.ScheduleAt(now+leaseInterval, c.requestLeases)
 }
 
 // HandleLease takes an allocator's answer.
 func (c *Client) HandleLease(lease concurrencylease.Lease) {
-	for name, leased := range c.leased {
-		known := c.services[name]
-		if known.allocatorBootID == lease.AllocatorBootID && leased.holder.Accept(lease) {
-			leased.logChange(c.loop.Now(), name, known.openCalls)
+	for name, leased := range c.leasedLimits {
+		svc := c.services[name]
+		if svc.allocatorBootID == lease.AllocatorBootID && leased.holder.Accept(lease) {
+			leased.logChange(c.loop.Now(), name, svc.openCalls)
 			c.onAvailable()
 			return
 		}
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -60,8 +60,8 @@
 	return h
 }
 
-// do runs a function on the loop and waits for it.
-func (h *harness) do(f func()) {
+// runOnLoop runs a function on the loop and waits for it.
+func (h *harness) runOnLoop(f func()) {
 	h.t.Helper()
 	done := make(chan struct{})
 	h.loop.Post(func() {
@@ -78,7 +78,7 @@
 // acquire takes all slots that there are, fewer than maxSlots in each test.
 func (h *harness) acquire(excludedAddr string) (slots []server.UpstreamSlot) {
 	h.t.Helper()
-	h.do(func() {
+	h.runOnLoop(func() {
 		for len(slots) < maxSlots {
 			slot := h.client.Acquire(excludedAddr, 1)
 			if slot == nil {
@@ -118,10 +118,10 @@
 	if got := slots[0].MaxDuration(); got != time.Minute {
 		t.Errorf("a call may take %v", got)
 	}
-	h.do(func() { slots[0].Release(admission.Succeeded, false) })
+	h.runOnLoop(func() { slots[0].Release(admission.Succeeded, false) })
 	h.awaitAvailable()
-	if again := h.acquire(""); len(again) != 1 || again[0].Addr() != slots[0].Addr() {
-		t.Errorf("after one release: %v", countByAddr(again))
+	if reacquired := h.acquire(""); len(reacquired) != 1 || reacquired[0].Addr() != slots[0].Addr() {
+		t.Errorf("after one release: %v", countByAddr(reacquired))
 	}
 }
 
@@ -139,23 +139,23 @@
 
 // A call that may still be running at the service counts until its longest duration is over.
 func TestAbandonedCall(t *testing.T) {
-	const longest = 200 * time.Millisecond
-	h := newHarness(t, Config{Addresses: []string{"a:1"}, MaxCalls: 1, MaxCallDuration: longest})
+	const maxDuration = 200 * time.Millisecond
+	h := newHarness(t, Config{Addresses: []string{"a:1"}, MaxCalls: 1, MaxCallDuration: maxDuration})
 	startedAt := time.Now()
 	slots := h.acquire("")
 	if len(slots) != 1 {
 		t.Fatalf("%d slots, want 1", len(slots))
 	}
-	h.do(func() { slots[0].Release(admission.TimedOut, true) })
-	if early := h.acquire(""); len(early) != 0 && time.Since(startedAt) < longest {
+	h.runOnLoop(func() { slots[0].Release(admission.TimedOut, true) })
+	if slots := h.acquire(""); len(slots) != 0 && time.Since(startedAt) < maxDuration {
 		t.Error("a call that may be running does not count")
 	}
 	h.awaitAvailable()
-	if elapsed := time.Since(startedAt); elapsed < longest-10*time.Millisecond {
+	if elapsed := time.Since(startedAt); elapsed < maxDuration-10*time.Millisecond {
 		t.Errorf("available after %v", elapsed)
 	}
-	if late := h.acquire(""); len(late) != 1 {
-		t.Errorf("%d slots after the call is over, want 1", len(late))
+	if slots := h.acquire(""); len(slots) != 1 {
+		t.Errorf("%d slots after the call is over, want 1", len(slots))
 	}
 }
 
@@ -207,21 +207,21 @@
 func TestLeasedService(t *testing.T) {
 	h := newHarness(t, Config{MaxCalls: 1, MaxCallDuration: time.Minute})
 	view := upstreamTable(membership.DefaultConfig(), 7).View()
-	h.do(func() { h.client.SetView(view) })
+	h.runOnLoop(func() { h.client.SetView(view) })
 	h.awaitAvailable()
 	if slots := h.acquire(""); len(slots) != 0 {
 		t.Fatalf("%d calls without a lease", len(slots))
 	}
-	h.do(h.client.Start)
+	h.runOnLoop(h.client.Start)
 	request := h.nextRequest()
 	if request.Holder.Name != "me" || request.WantedCalls == 0 {
 		t.Errorf("requested %+v, though a call waits", request)
 	}
-	h.do(func() { h.client.HandleLease(leaseFor(request, 8, 3)) })
+	h.runOnLoop(func() { h.client.HandleLease(leaseFor(request, 8, 3)) })
 	if slots := h.acquire(""); len(slots) != 0 {
 		t.Fatalf("%d calls by a lease of another allocator", len(slots))
 	}
-	h.do(func() { h.client.HandleLease(leaseFor(request, 7, 3)) })
+	h.runOnLoop(func() { h.client.HandleLease(leaseFor(request, 7, 3)) })
 	h.awaitAvailable()
 	slots := h.acquire("")
 	if len(slots) != 4 { // 3 by the lease and 1 without
@@ -231,18 +231,18 @@
 		t.Errorf("a call to %s that may take %v", slots[0].Addr(), slots[0].MaxDuration())
 	}
 	empty := membership.NewTable(membership.Descriptor{Name: "me", BootID: 1}, membership.DefaultConfig(), 0).View()
-	h.do(func() {
+	h.runOnLoop(func() {
 		for _, slot := range slots {
 			slot.Release(admission.Failed, false)
 		}
 		h.client.SetView(empty)
 	})
-	if gone := h.acquire(""); len(gone) != 0 {
-		t.Errorf("%d calls to a service that no member stands beside", len(gone))
+	if slots := h.acquire(""); len(slots) != 0 {
+		t.Errorf("%d calls to a service that no member stands beside", len(slots))
 	}
-	h.do(func() { h.client.SetView(view) })
-	if back := h.acquire(""); len(back) != 4 {
-		t.Errorf("%d calls once it is back, want 4", len(back))
+	h.runOnLoop(func() { h.client.SetView(view) })
+	if slots := h.acquire(""); len(slots) != 4 {
+		t.Errorf("%d calls once it is back, want 4", len(slots))
 	}
 }
 
@@ -252,7 +252,7 @@
 	config.GoneAfter = time.Hour
 	table := upstreamTable(config, 7)
 	now := time.Duration(0)
-	pass := func(duration time.Duration, senders ...string) {
+	advance := func(duration time.Duration, senders ...string) {
 		for end := now + duration; now < end; {
 			now += 100 * time.Millisecond
 			for _, sender := range senders {
@@ -262,9 +262,9 @@
 			table.Tick(now)
 		}
 	}
-	pass(10*time.Second, "s", "a", "b", "c")
+	advance(10*time.Second, "s", "a", "b", "c")
 	table.HandleUnreachable(membership.ID{Name: "s", BootID: 7}, now)
-	pass(5*time.Second, "a", "b", "c")
+	advance(5*time.Second, "a", "b", "c")
 	member, _ := table.View().Get("s")
 	if member.State != membership.StateSuspect || !table.View().LocalHealth.CanDeclareGone() {
 		t.Fatalf("it is %v, we are %v", member.State, table.View().LocalHealth)
@@ -275,7 +275,7 @@
 	}{{"healthy", false}, {"isolated", true}} {
 		t.Run(test.name, func(t *testing.T) {
 			h := newHarness(t, Config{MaxCalls: 1, MaxCallDuration: time.Minute})
-			h.do(func() {
+			h.runOnLoop(func() {
 				h.client.SetView(table.View())
 				h.client.Start()
 			})
@@ -286,11 +286,11 @@
 				return
 			}
 			lease := leaseFor(h.nextRequest(), 7, 3)
-			h.do(func() { h.client.HandleLease(lease) })
+			h.runOnLoop(func() { h.client.HandleLease(lease) })
 			if slots := h.acquire(""); len(slots) != 4 {
 				t.Errorf("%d calls, want 4", len(slots))
 			}
 		})
-		pass(20 * time.Second)
+		advance(20 * time.Second)
 	}
 }
--- a/internal/upstream/reservation.go
+++ b/internal/upstream/reservation.go
@@ -28,15 +28,15 @@
 	now := r.client.loop.Now()
 	r.client.balancer.RecordOutcome(now, r.service.name, balancerOutcome(outcome), now-r.startedAt)
 	if !stillRunning {
-		r.finish()
+		r.free()
 		return
 	}
-	r.client.loop.ScheduleAt(max(now, r.startedAt+r.maxDuration), r.finish)
+	r.client.loop.ScheduleAt(max(now, r.startedAt+r.maxDuration), r.free)
 }
 
-// finish frees the place. What waits for it is served in a turn of its own, as whoever released it is in the middle of
+// free frees the place. What waits for it is served in a turn of its own, as whoever released it is in the middle of
 // something.
-func (r *reservation) finish() {
+func (r *reservation) free() {
 	r.service.openCalls--
 	loop := r.client.loop
 	loop.ScheduleAt(loop.Now(), r.client.onAvailable)
--- a/internal/upstream/service.go
+++ b/internal/upstream/service.go
@@ -14,7 +14,7 @@
 	name            balancer.EndpointName
 	addr            string
 	allocatorBootID membership.BootID // of the member beside it, where its calls are leased
-	calls           callLimiter
+	limiter         callLimiter
 	openCalls       int // calls that may be running there
 }
 
@@ -24,12 +24,12 @@
 	maxCallDuration() time.Duration
 	// recordDemand notes how many calls are wanted at a time.
 	recordDemand(now time.Duration, calls int)
-	// inUse reports whether what it has granted is still in force.
-	inUse(now time.Duration) bool
+	// inForce reports whether what it has granted is still in force.
+	inForce(now time.Duration) bool
 }
 
 // freeCapacity is how many more calls a service may be given.
-func (s *service) freeCapacity(now time.Duration) int { return s.calls.limit(now) - s.openCalls }
+func (s *service) freeCapacity(now time.Duration) int { return s.limiter.limit(now) - s.openCalls }
 
 // fixedLimit is the configured limit of a service at a configured address.
 type fixedLimit struct {
@@ -40,7 +40,7 @@
 func (l fixedLimit) limit(time.Duration) int         { return l.maxCalls }
 func (l fixedLimit) maxCallDuration() time.Duration  { return l.maxDuration }
 func (l fixedLimit) recordDemand(time.Duration, int) {}
-func (l fixedLimit) inUse(time.Duration) bool        { return true }
+func (l fixedLimit) inForce(time.Duration) bool      { return true }
 
 // leasedLimit is the limit by the leases of the allocator beside a service.
 type leasedLimit struct {
@@ -53,7 +53,7 @@
 
 func (l *leasedLimit) recordDemand(now time.Duration, calls int) { l.holder.RecordDemand(now, calls) }
 
-func (l *leasedLimit) inUse(now time.Duration) bool {
+func (l *leasedLimit) inForce(now time.Duration) bool {
 	return l.holder.Limit(now) > l.holder.UnleasedCalls
 }
 
