--- a/internal/forward/connection.go
+++ b/internal/forward/connection.go
@@ -10,33 +10,34 @@
 )
 
 const (
-	// maxInFlight is the protocol's limit of requests in progress on one connection.
+	// maxInFlight is the maximum number of requests in progress on one connection. The protocol sets this limit.
 	maxInFlight = 32
 
-	// connectTimeout is how long requests wait for a connection to be established before they go elsewhere: some round
-	// trips of a poor link.
+	// connectTimeout is how long requests wait for a connection to be established before they are sent to another
+	// endpoint. It allows for several round trips on a slow link.
 	connectTimeout = 300 * time.Millisecond
 
-	// idleCheckInterval is how often idle connections are looked for.
+	// idleCheckInterval is the interval between two searches for idle connections.
 	idleCheckInterval = time.Second
 )
 
-// connection is one connection to an endpoint. It is owned by the event loop.
+// connection is a connection to an endpoint. It is owned by the event loop.
 type connection struct {
 	forwarder   *Forwarder
 	endpoint    *endpoint
 	client      *rpc.ClientConn
 	established bool
-	draining    bool // no request is given to it any more; it may still be connecting
+	draining    bool // it accepts no further requests; it may still be connecting
 	lastID      uint32
 	inFlight    map[uint32]*Request // by message id
-	waiting     []*Request          // until it is established
-	lastUsed    time.Duration
+	waiting     []*Request          // sent once the connection is established
+	lastUsed    time.Duration       // on the loop's clock
 }
 
-// pickConnection returns the connection to an endpoint that a request goes on: the established one with the fewest
-// requests, else one that is connecting, else a new one. It returns nil where all are full. None is opened while
-// another has room: of hundreds of senders and hundreds of endpoints each would have one for each.
+// pickConnection returns the connection on which to send a request to an endpoint: the established connection with
+// the fewest requests in progress, otherwise one that is connecting, otherwise a new one. It returns nil if all
+// connections are full. A connection is opened only if no other one has room, because there may be hundreds of
+// senders, each with connections to hundreds of endpoints.
 func (f *Forwarder) pickConnection(endpoint *endpoint) *connection {
 	var leastUsed, connecting *connection
 	for _, c := range endpoint.connections {
@@ -59,7 +60,7 @@
 	return f.dial(endpoint)
 }
 
-// dial opens a connection.
+// dial starts to open a connection and adds it to the endpoint's connections.
 func (f *Forwarder) dial(endpoint *endpoint) *connection {
 	c := &connection{
 		forwarder: f,
@@ -94,7 +95,8 @@
 	c.closeIfDrained()
 }
 
-// failWaiting has the requests that wait for the connection go to other endpoints: nothing of them went out.
+// failWaiting ends the attempts that wait for the connection. Nothing of them has been sent, so their requests may be
+// retried at other endpoints.
 func (c *connection) failWaiting() {
 	waiting := c.waiting
 	c.waiting = nil
@@ -116,7 +118,8 @@
 	c.client.Send(request.id, request.message)
 }
 
-// handleResponse takes a response. One to a request that was abandoned meanwhile is dropped.
+// handleResponse ends the attempt that a response belongs to. It drops the response if the request has been canceled
+// or has timed out.
 func (c *connection) handleResponse(id uint32, response rpc.Response) {
 	request := c.inFlight[id]
 	if request == nil {
@@ -129,7 +132,7 @@
 		c.forwarder.finishAttempt(request, c.endpoint.name, response, attemptEnd{outcome: balancer.Succeeded})
 	case rpc.CodeBusy:
 		c.forwarder.finishAttempt(request, c.endpoint.name, response, attemptEnd{outcome: balancer.Rejected})
-	case rpc.CodeDenied: // it says nothing of the endpoint
+	case rpc.CodeDenied: // a denial depends on the caller, so it does not count for or against the endpoint
 		c.forwarder.Balancer.RecordCancel(c.endpoint.name)
 		request.connection = nil
 		request.finish(Result{LastOutcome: balancer.Rejected, Response: response})
@@ -139,7 +142,8 @@
 	c.closeIfDrained()
 }
 
-// drain gives the connection no further request: its endpoint asked for that, or is none any more.
+// drain stops new requests from using the connection and closes it as soon as it is established and no request is in
+// progress. It is called when the endpoint asks for it, when the endpoint is removed, and when the connection is idle.
 func (c *connection) drain() {
 	c.draining = true
 	c.closeIfDrained()
@@ -151,7 +155,7 @@
 	}
 }
 
-// handleClosed is called when the connection has ended. Whether what was in progress on it ran is not known.
+// handleClosed is called when the connection has been closed. The requests in progress on it may have run.
 func (c *connection) handleClosed() {
 	c.remove()
 	c.established = false
@@ -169,10 +173,10 @@
 	c.endpoint.connections = slices.DeleteFunc(c.endpoint.connections, func(other *connection) bool { return other == c })
 }
 
-// closeIdle closes connections that have carried nothing for IdleTimeout, and goes on doing so.
+// closeIdle closes the connections that have been idle for longer than IdleTimeout and schedules its next run.
 func (f *Forwarder) closeIdle() {
 	for _, endpoint := range f.endpoints {
-		for _, c := range slices.Clone(endpoint.connections) { // draining may remove it
+		for _, c := range slices.Clone(endpoint.connections) { // drain may remove c from endpoint.connections
 			if c.established && len(c.inFlight) == 0 && f.loop.Now()-c.lastUsed > f.config.IdleTimeout {
 				c.drain()
 			}
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -1,6 +1,6 @@
-// Package forward gives requests to other processes of the fleet and returns the result of each, once and by its
-// deadline. A proxy forwards all that it takes, an instance what it rejects itself. Which endpoint a request goes
-// to, and whether another is tried, is decided by internal/balancer.
+// Package forward sends requests to other processes of the fleet and returns the result of each request exactly once,
+// by its deadline. A proxy forwards all requests that it accepts; an instance forwards requests that it rejects itself.
+// internal/balancer decides which endpoint receives a request and whether another endpoint is tried.
 package forward
 
 import (
@@ -16,49 +16,52 @@
 	"lanewheel/internal/transport"
 )
 
-// Config is what forwarding goes by.
+// Config is the configuration of a Forwarder.
 type Config struct {
 	Balancer               balancer.Config
-	ProbesPerRequest       float64       // endpoints that are probed for their load, for each attempt
-	ConnectionsPerEndpoint int           // at the most
-	SubsetSize             int           // endpoints that we keep to; 0: all
-	IdleTimeout            time.Duration // a connection that carries nothing for so long is closed
-	LocalAddress           string        // address to dial from; empty: any
+	ProbesPerRequest       float64       // average number of endpoints probed for their load per attempt
+	ConnectionsPerEndpoint int           // maximum number of connections to one endpoint
+	SubsetSize             int           // maximum number of endpoints that this process uses; 0: all
+	IdleTimeout            time.Duration // idle time after which a connection is closed
+	LocalAddress           string        // IP address to dial from; empty: any
 }
 
-// LocalIP returns the address to dial from, nil for any.
+// LocalIP returns the IP address to dial from. It returns nil if any address may be used.
 func (c Config) LocalIP() net.IP { return net.ParseIP(c.LocalAddress) }
 
-// ProbeFunc asks an endpoint for its load. done may never be called, or on any goroutine.
+// ProbeFunc requests the load of an endpoint. It calls done with the load, in requests in progress per core, and the
+// age of that value. done may be called on any goroutine, or never.
 type ProbeFunc func(name membership.Name, done func(load float64, age time.Duration))
 
-// Forwarder forwards the requests of one process. All of it is owned by the event loop; its methods are called there.
+// Forwarder forwards the requests of one process. It is owned by the event loop: its fields and methods must be used
+// only there.
 type Forwarder struct {
 	Balancer *balancer.Balancer
-	Retries  uint64 // attempts after the first one of a request, since the start
+	Retries  uint64 // number of attempts after the first one of a request, since the process started
 
 	loop        *eventloop.Loop
 	net         *transport.Net
 	config      Config
 	random      *rand.Rand
-	probeFunc   ProbeFunc // nil: nothing is probed
-	probeCredit float64
+	probeFunc   ProbeFunc // nil: no endpoint is probed
+	probeCredit float64   // probes that are due; fractions are carried over to the next attempt
 	endpoints   map[balancer.EndpointName]*endpoint
 	subset      subset
 }
 
-// endpoint is a process that requests are given to, with the connections there.
+// endpoint is a process to which requests are forwarded, with the connections to it.
 type endpoint struct {
 	name        balancer.EndpointName
 	address     string
 	connections []*connection
 }
 
-// New returns a Forwarder without endpoints, which dials by net and has the loop's time.
+// New returns a Forwarder without endpoints. It opens connections through net and uses the clock of loop. seed seeds
+// its random numbers. probeFunc may be nil.
 func New(
 	loop *eventloop.Loop, net *transport.Net, config Config, seed uint64, probeFunc ProbeFunc,
 ) *Forwarder {
-	const stream = 3 // of the random numbers of a process with this seed
+	const stream = 3 // differs from the streams of the other random number generators that share the seed
 	return &Forwarder{
 		Balancer:  balancer.New(config.Balancer),
 		loop:      loop,
@@ -70,25 +73,25 @@
 	}
 }
 
-// Start begins to close idle connections.
+// Start starts the periodic closing of idle connections.
 func (f *Forwarder) Start() { f.closeIdle() }
 
-// Options is how a request is forwarded.
+// Options specifies how a request is forwarded.
 type Options struct {
-	Deadline    time.Duration // on the loop's clock; the result comes by then
-	Idempotent  bool          // it may run twice
-	MaxAttempts int           // endpoints that are tried one after the other; read by Forward alone
+	Deadline    time.Duration // time on the loop's clock by which onDone is called
+	Idempotent  bool          // the request may run twice
+	MaxAttempts int           // maximum number of endpoints tried one after the other; ForwardTo ignores it
 }
 
-// Forward forwards a request and calls onDone once, by its deadline and maybe before Forward returns. The request's
-// Body is copied.
+// Forward forwards a request. It calls onDone exactly once, by the deadline and possibly before Forward returns, unless
+// the request is canceled. The request's Body is copied.
 func (f *Forwarder) Forward(message frontend.Request, options Options, onDone func(Result)) *Request {
 	request := f.newRequest(message, options, onDone)
 	f.tryNext(request)
 	return request
 }
 
-// ForwardTo forwards a request to the endpoint at an index of the Balancer and to no other. Else it is as Forward.
+// ForwardTo is like Forward, but it sends the request only to the endpoint at an index of the Balancer.
 func (f *Forwarder) ForwardTo(index int, message frontend.Request, options Options, onDone func(Result)) *Request {
 	options.MaxAttempts = 1
 	request := f.newRequest(message, options, onDone)
@@ -96,12 +99,13 @@
 	return request
 }
 
-// tryNext gives a request to the next endpoint.
+// tryNext starts an attempt at the endpoint that the Balancer picks among those not tried yet. It finishes the request
+// if there is none.
 func (f *Forwarder) tryNext(request *Request) {
 	index, ok := f.Balancer.Pick(f.loop.Now(), f.random.Float64, func(index int) bool {
 		return request.hasTried(f.Balancer.NameAt(index))
 	})
-	if !ok { // each attempt before has proved that the request never ran
+	if !ok { // after earlier attempts, the request has not run or is idempotent, so the caller may send it again
 		request.finish(Result{LastOutcome: balancer.Rejected, NoEndpoint: true, Response: busyResponse})
 		return
 	}
@@ -111,7 +115,7 @@
 	}
 }
 
-// tryEndpoint gives a request to the endpoint at an index.
+// tryEndpoint starts an attempt at the endpoint at an index of the Balancer.
 func (f *Forwarder) tryEndpoint(request *Request, index int) {
 	endpoint := f.endpoints[f.Balancer.NameAt(index)]
 	f.Balancer.RecordStart(f.loop.Now(), index)
@@ -130,13 +134,13 @@
 	}
 }
 
-// attemptEnd is how an attempt ended.
+// attemptEnd describes how an attempt ended.
 type attemptEnd struct {
 	outcome balancer.Outcome
-	notSent bool // nothing of it went out
+	notSent bool // nothing of the request was sent
 }
 
-// finishAttempt is called when an attempt has ended: it finishes the request or has another endpoint tried.
+// finishAttempt is called when an attempt has ended. It either finishes the request or tries another endpoint.
 func (f *Forwarder) finishAttempt(
 	request *Request, name balancer.EndpointName, response rpc.Response, end attemptEnd,
 ) {
@@ -161,10 +165,10 @@
 	request.finish(Result{LastOutcome: end.outcome, NotSent: end.notSent, Response: response})
 }
 
-// Random draws a number in [0, 1).
+// Random returns a random number in [0, 1).
 func (f *Forwarder) Random() float64 { return f.random.Float64() }
 
-// Probe asks one endpoint for its load.
+// Probe requests the load of one endpoint, which the Balancer picks, and records the reply in the Balancer.
 func (f *Forwarder) Probe() {
 	index, ok := f.Balancer.PickProbe(f.loop.Now(), f.random.Float64)
 	if !ok || f.probeFunc == nil {
--- a/internal/forward/forwarder_test.go
+++ b/internal/forward/forwarder_test.go
@@ -12,7 +12,7 @@
 	"lanewheel/internal/rpc"
 )
 
-// summary is what a test compares of a Result.
+// summary contains the properties of a Result that tests compare.
 type summary struct {
 	outcome                       balancer.Outcome
 	errorCode                     rpc.ErrorCode
@@ -33,7 +33,7 @@
 	}
 }
 
-// TestForwardResults checks the result of a request and the number of its attempts by what endpoints do with it.
+// TestForwardResults checks the result of a request and the number of its attempts for each behavior of the endpoints.
 func TestForwardResults(t *testing.T) {
 	succeeded := summary{outcome: balancer.Succeeded, mayHaveRun: true}
 	failed := summary{outcome: balancer.Failed, errorCode: "Failed", mayHaveRun: true, disposition: Failed}
@@ -64,21 +64,21 @@
 				t.Errorf("result %+v, want %+v", got, test.want)
 			}
 			if result.Error == "" && string(result.Result) != "body" {
-				t.Errorf("body %q", result.Result)
+				t.Errorf("result body %q, want \"body\"", result.Result)
 			}
 			if got := f.receivedSoFar(); len(got) != test.attempts || got[0] != "view 1" {
-				t.Errorf("attempts %v, want %d", got, test.attempts)
+				t.Errorf("received %v, want %d attempts, the first of them \"view 1\"", got, test.attempts)
 			}
 			f.runOnLoop(func() {
 				if got := f.forwarder.Retries; got != uint64(test.attempts-1) {
-					t.Errorf("%d retries counted", got)
+					t.Errorf("%d retries counted, want one less than the attempts", got)
 				}
 			})
 		})
 	}
 }
 
-// TestForwardWithoutEndpoints checks that the result comes at once, before Forward returns.
+// TestForwardWithoutEndpoints checks that onDone is called before Forward returns if there is no endpoint.
 func TestForwardWithoutEndpoints(t *testing.T) {
 	f := newTestFleet(t, 0, nil)
 	f.runOnLoop(func() {
@@ -89,13 +89,13 @@
 		})
 		want := summary{outcome: balancer.Rejected, errorCode: "Busy", noEndpoint: true, disposition: Rejected}
 		if len(results) != 1 || summarize(results[0]) != want || results[0].Metadata.LoadReport != -1 {
-			t.Errorf("%+v", results)
+			t.Errorf("results %+v, want a single rejection without a load report", results)
 		}
 	})
 }
 
-// TestForwardDeadline checks that a request is answered at its deadline where no endpoint does, and that the
-// endpoint is notified that nobody waits.
+// TestForwardDeadline checks that a request to which no endpoint responds is finished at its deadline, and that the
+// endpoint is notified that the response is no longer needed.
 func TestForwardDeadline(t *testing.T) {
 	f := newTestFleet(t, 1, nil, "silent")
 	startedAt := time.Now()
@@ -113,7 +113,7 @@
 	}
 	fake.WaitFor("the endpoint to be notified", func() bool { return f.receivedCount() == 2 })
 	if got := f.receivedSoFar(); got[1] != "interrupt" {
-		t.Error(got)
+		t.Errorf("received %v, want \"interrupt\" as the second message", got)
 	}
 }
 
@@ -121,19 +121,19 @@
 func TestCancel(t *testing.T) {
 	f := newTestFleet(t, 1, nil, "silent")
 	request, results := f.forward(300*time.Millisecond, true)
-	fake.WaitFor("the request to be there", func() bool { return f.receivedCount() == 1 })
+	fake.WaitFor("the endpoint to receive the request", func() bool { return f.receivedCount() == 1 })
 	f.runOnLoop(request.Cancel)
 	f.runOnLoop(request.Cancel)
 	f.runOnLoop(request.Expire)
 	fake.WaitFor("the endpoint to be notified", func() bool { return f.receivedCount() == 2 })
 	select {
 	case result := <-results:
-		t.Errorf("a canceled request has the result %+v", result)
+		t.Errorf("canceled request has result %+v, want none", result)
 	case <-time.After(400 * time.Millisecond):
 	}
 }
 
-// TestForwardTo checks that a request goes to the endpoint that is named, and to no other.
+// TestForwardTo checks that a request is sent to the given endpoint only, even if that endpoint rejects it.
 func TestForwardTo(t *testing.T) {
 	f := newTestFleet(t, 3, nil, "busy")
 	results := make(chan Result, 1)
@@ -147,30 +147,30 @@
 		t.Errorf("result %+v, want %+v", got, want)
 	}
 	if got := f.receivedCount(); got != 1 {
-		t.Errorf("%d attempts", got)
+		t.Errorf("%d attempts, want 1", got)
 	}
 }
 
-// TestConnectionLimits checks that a connection carries as many requests as the protocol allows, that a further one is
-// opened up to the limit, and that a request beyond is rejected without being sent.
+// TestConnectionLimits checks that a connection carries as many requests as the protocol allows, that further
+// connections are opened up to the limit, and that a request in excess of the limit is rejected without being sent.
 func TestConnectionLimits(t *testing.T) {
 	const limit = 2 * maxInFlight
 	f := newTestFleet(t, 1, nil, slices.Repeat([]string{"silent"}, limit)...)
 	first, _ := f.forward(time.Second, true)
-	fake.WaitFor("the first request to be there", func() bool { return f.receivedCount() == 1 })
+	fake.WaitFor("the endpoint to receive the first request", func() bool { return f.receivedCount() == 1 })
 	for range maxInFlight - 1 {
 		f.forward(time.Second, true)
 	}
-	fake.WaitFor("a connection's worth to be there", func() bool { return f.receivedCount() == maxInFlight })
+	fake.WaitFor("requests that fill one connection", func() bool { return f.receivedCount() == maxInFlight })
 	if got := f.connectionCount(); got != 1 {
-		t.Errorf("%d connections for %d requests", got, maxInFlight)
+		t.Errorf("%d connections for %d requests, want 1", got, maxInFlight)
 	}
 	for range maxInFlight {
 		f.forward(time.Second, true)
 	}
-	fake.WaitFor("the limit to be there", func() bool { return f.receivedCount() == limit })
+	fake.WaitFor("requests that fill two connections", func() bool { return f.receivedCount() == limit })
 	if got := f.connectionCount(); got != 2 {
-		t.Errorf("%d connections for %d requests", got, limit)
+		t.Errorf("%d connections for %d requests, want 2", got, limit)
 	}
 	_, results := f.forward(time.Second, true)
 	want := summary{outcome: balancer.Rejected, errorCode: "Busy", noEndpoint: true, disposition: Rejected}
@@ -180,32 +180,32 @@
 	f.runOnLoop(first.Expire)
 	f.runOnLoop(func() {
 		if first.connection != nil || first.message.Body != nil {
-			t.Error("an expired request is kept")
+			t.Error("an expired request still has its connection or its body")
 		}
 	})
 }
 
-// TestIdleConnectionsClose checks that a connection that carries nothing is closed.
+// TestIdleConnectionsClose checks that an idle connection is closed.
 func TestIdleConnectionsClose(t *testing.T) {
 	f := newTestFleet(t, 1, func(config *Config) { config.IdleTimeout = 100 * time.Millisecond })
 	f.runOnLoop(f.forwarder.Start)
 	_, results := f.forward(time.Second, true)
 	waitForResult(t, results)
 	if got := f.connectionCount(); got != 1 {
-		t.Errorf("%d connections", got)
+		t.Errorf("%d connections, want 1", got)
 	}
 	fake.WaitFor("the connection to close", func() bool { return f.connectionCount() == 0 })
 }
 
-// TestUpdateView checks that requests go to the members of the view alone, or to a subset of them, and that connections
-// to the others close.
+// TestUpdateView checks that the endpoints are the members of the view or, if SubsetSize is set, a subset of them, and
+// that the connections to removed endpoints are closed.
 func TestUpdateView(t *testing.T) {
 	f := newTestFleet(t, 2, nil)
 	_, results := f.forward(time.Second, true)
 	waitForResult(t, results)
 	f.runOnLoop(func() {
 		if got := f.forwarder.Balancer.Len(); got != 2 {
-			t.Errorf("%d endpoints", got)
+			t.Errorf("%d endpoints, want 2", got)
 		}
 	})
 	f.table = forwardtest.NewTable("self")
@@ -213,13 +213,13 @@
 	fake.WaitFor("the connection to close", func() bool { return f.connectionCount() == 0 })
 	f.runOnLoop(func() {
 		if got := f.forwarder.Balancer.Len(); got != 0 {
-			t.Errorf("%d endpoints of none", got)
+			t.Errorf("%d endpoints after all members were removed, want 0", got)
 		}
 	})
 	subset := newTestFleet(t, 5, func(config *Config) { config.SubsetSize = 3 })
 	subset.runOnLoop(func() {
 		if got := subset.forwarder.Balancer.Len(); got != 3 {
-			t.Errorf("%d endpoints of a subset of 3", got)
+			t.Errorf("%d endpoints, want a subset of 3", got)
 		}
 	})
 }
--- a/internal/forward/forwardtest/forwardtest.go
+++ b/internal/forward/forwardtest/forwardtest.go
@@ -1,4 +1,4 @@
-// Package forwardtest has what tests of forwarding share: sockets, and a membership table of scripted instances.
+// Package forwardtest provides sockets and membership tables for tests of packages that forward requests.
 package forwardtest
 
 import (
@@ -10,13 +10,13 @@
 	"lanewheel/internal/transport"
 )
 
-// pool is a buffer pool without reuse.
+// pool is a buffer pool that allocates every buffer and reuses none.
 type pool struct{}
 
 func (pool) Get() []byte { return make([]byte, 0, transport.BufferSize) }
 func (pool) Put([]byte)  {}
 
-// NewNet returns the sockets of an event loop, which have started.
+// NewNet returns started sockets that post their events to an event loop.
 func NewNet(t testing.TB, loop *eventloop.Loop) *transport.Net {
 	t.Helper()
 	sockets := &transport.Net{
@@ -35,13 +35,13 @@
 	return sockets
 }
 
-// NewTable returns the membership table of a process that knows itself alone.
+// NewTable returns the membership table of a process named self. The process is its only member.
 func NewTable(self membership.Name) *membership.Table {
 	descriptor := membership.Descriptor{Name: self, Incarnation: 1, BootID: 1}
 	return membership.NewTable(descriptor, membership.DefaultConfig(), 0)
 }
 
-// AddInstance adds an instance that is ready and serves at an address.
+// AddInstance adds to a table an instance that is ready and serves requests at an address.
 func AddInstance(table *membership.Table, name membership.Name, addr string) {
 	id := membership.ID{Name: name, BootID: 1}
 	table.HandleAlive(membership.Descriptor{
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -10,38 +10,40 @@
 	"lanewheel/internal/frontend"
 )
 
-// maxTried is the number of endpoints that a request remembers; those beyond are not excluded from further attempts.
+// maxTried is the number of tried endpoints that a request records. Endpoints tried after that are not recorded, so
+// they may be tried again.
 const maxTried = 4
 
-// Request is a request that is being forwarded. It is owned by the event loop.
+// Request is a request that is being forwarded. It is owned by the event loop: its methods must be called only there.
 //
-// It is finished once onDone is nil. It is released, and its body reused, once it is finished and on no connection.
+// A request is finished once onDone is nil. Once it is finished and assigned to no connection, it is released and the
+// buffer of its body is reused.
 type Request struct {
 	forwarder     *Forwarder
 	message       frontend.Request // Body is nil once it is released
 	options       Options
-	onDone        func(Result) // nil: it was called, or nobody waits
+	onDone        func(Result) // nil: it has been called, or the request has been canceled
 	deadlineTimer *eventloop.Timer
 
 	attempts         int
-	tried            [maxTried]balancer.EndpointName // by the first attempts
+	tried            [maxTried]balancer.EndpointName // endpoints of the first attempts
 	attemptStartedAt time.Duration
-	connection       *connection // of the attempt; nil: there is none
-	id               uint32      // message id of the attempt, once it is sent
-	sent             bool
+	connection       *connection // of the current attempt; nil: no attempt is in progress
+	id               uint32      // message id of the current attempt; valid once sent is true
+	sent             bool        // the current attempt has been sent
 }
 
 func (f *Forwarder) newRequest(message frontend.Request, options Options, onDone func(Result)) *Request {
 	request := &Request{forwarder: f, message: message, options: options, onDone: onDone}
 	request.message.Body = append(f.net.Get(), message.Body...)
-	// Whoever gets a request that was forwarded leaves retries to us.
+	// Receivers do not retry a request that has been forwarded; this process retries it.
 	request.message.Hops++
-	// The request is answered at its deadline, even where its endpoint never answers.
+	// The request is finished at its deadline even if the endpoint never responds.
 	request.deadlineTimer = f.loop.ScheduleAt(max(f.loop.Now(), options.Deadline), request.Expire)
 	return request
 }
 
-// hasTried reports whether the request was given to an endpoint.
+// hasTried reports whether an endpoint is recorded as tried.
 func (r *Request) hasTried(name balancer.EndpointName) bool {
 	return slices.Contains(r.tried[:min(r.attempts, maxTried)], name)
 }
@@ -55,7 +57,7 @@
 	r.attemptStartedAt = r.forwarder.loop.Now()
 }
 
-// progress returns how far the request has come.
+// progress returns the progress of the request, on which the Balancer bases the decision to retry it.
 func (r *Request) progress() balancer.Attempt {
 	return balancer.Attempt{
 		Deadline:     r.options.Deadline,
@@ -66,13 +68,13 @@
 	}
 }
 
-// renewID gives the next attempt an id of its own, as the protocol wants it: an instance can't tell two attempts in
-// progress apart.
+// renewID replaces the id of the request before a retry. The protocol requires an id per attempt, because an instance
+// cannot distinguish two attempts in progress with the same id.
 func (r *Request) renewID() {
 	r.message.ID = fmt.Sprintf("%016x", r.forwarder.random.Uint64())
 }
 
-// Expire finishes the request as timed out, if it is not finished.
+// Expire finishes the request as timed out. It does nothing if the request is finished.
 func (r *Request) Expire() {
 	if r.onDone == nil {
 		return
@@ -87,19 +89,20 @@
 	})
 }
 
-// Cancel notes that nobody waits for the result any more; onDone is not called.
+// Cancel abandons the request: the result is no longer needed, and onDone is not called. It does nothing if the request
+// is finished.
 func (r *Request) Cancel() {
 	if r.onDone == nil {
 		return
 	}
 	r.onDone = nil
-	// An endpoint that takes requests and answers none looks idle: so one that is abandoned at its deadline counts against
-	// it. Before that it says nothing.
+	// An endpoint that accepts requests but never responds looks idle. A request that is canceled at or after its
+	// deadline therefore counts against the endpoint. A request canceled earlier does not.
 	r.detach(r.forwarder.loop.Now() >= r.options.Deadline)
 	r.release()
 }
 
-// finish calls onDone, once.
+// finish calls onDone unless the request is finished already, and releases the request if possible.
 func (r *Request) finish(result Result) {
 	onDone := r.onDone
 	r.onDone = nil
@@ -109,7 +112,8 @@
 	r.release()
 }
 
-// detach ends the attempt: the endpoint is notified that nobody waits. expired says whether that counts against it.
+// detach ends the current attempt, if there is one. If the attempt has been sent, the endpoint is notified that the
+// response is no longer needed. If timedOut is true, the attempt counts against the endpoint.
 func (r *Request) detach(timedOut bool) {
 	connection := r.connection
 	if connection == nil {
@@ -131,7 +135,8 @@
 	connection.closeIfDrained()
 }
 
-// release gives the body back once the request is finished and on no connection.
+// release stops the deadline timer and returns the body to the buffer pool. It does nothing unless the request is
+// finished and assigned to no connection.
 func (r *Request) release() {
 	if r.onDone != nil || r.connection != nil || r.message.Body == nil {
 		return
--- a/internal/forward/result.go
+++ b/internal/forward/result.go
@@ -8,41 +8,42 @@
 	"lanewheel/internal/rpc"
 )
 
-// Responses of our own, where no endpoint has given one.
+// Responses that this process creates if no endpoint has responded.
 var (
 	busyResponse   = rpc.Response{Error: rpc.CodeBusy, Metadata: frontend.ResponseMetadata{LoadReport: -1}}
 	failedResponse = rpc.Response{Error: rpc.CodeFailed, Metadata: frontend.ResponseMetadata{LoadReport: -1}}
 )
 
-// Result is what became of a request that was forwarded. Response.Result stays valid only during the call that it is
-// given to.
+// Result is the result of a request that was forwarded. Response.Result is valid only during the call to which the
+// Result is passed.
 type Result struct {
-	LastOutcome balancer.Outcome // of the last attempt
-	NotSent     bool             // nothing of the last attempt went out, and each before proved that the request never ran
-	NoEndpoint  bool             // there was no endpoint, or none left, to give it to
-	TimedOut    bool             // its deadline passed
+	LastOutcome balancer.Outcome // outcome of the last attempt
+	NotSent     bool             // nothing of the last attempt was sent; each earlier attempt allowed a retry
+	NoEndpoint  bool             // there was no endpoint to try, or no other endpoint to retry at
+	TimedOut    bool             // the deadline passed, or Expire was called
 	rpc.Response
 }
 
-// MayHaveRun reports whether the request may have run.
+// MayHaveRun reports whether the request may have run in its last attempt. Each earlier attempt allowed a retry: it
+// proved that the request has not run, or the request is idempotent.
 func (r Result) MayHaveRun() bool {
 	return r.LastOutcome != balancer.Rejected && !r.NotSent && !r.NoEndpoint
 }
 
-// Disposition is how a caller is answered.
+// Disposition is the kind of response that a caller receives.
 type Disposition uint8
 
 // The dispositions.
 const (
 	Succeeded Disposition = iota
-	Rejected              // it never ran
-	Denied                // its caller may not: it never ran, and a retry would not help
-	Failed                // it may have run
+	Rejected              // the request has not run
+	Denied                // the caller lacks permission: the request has not run, and a retry would be denied, too
+	Failed                // the request may have run
 )
 
 var dispositionNames = [...]string{"succeeded", "rejected", "denied", "failed"}
 
-// String returns the disposition as it is logged.
+// String returns the disposition as it appears in the log.
 func (d Disposition) String() string {
 	if int(d) < len(dispositionNames) {
 		return dispositionNames[d]
@@ -50,7 +51,7 @@
 	return fmt.Sprintf("Disposition(%d)", uint8(d))
 }
 
-// Disposition returns how the caller is answered.
+// Disposition returns the kind of response that the caller receives.
 func (r Result) Disposition() Disposition {
 	switch {
 	case r.LastOutcome == balancer.Succeeded:
@@ -63,7 +64,7 @@
 	return Failed
 }
 
-// Respond gives a responder the one response that it is owed.
+// Respond passes the response to a responder. The caller must call Done afterwards.
 func (r Result) Respond(responder frontend.Responder) {
 	switch r.Disposition() {
 	case Succeeded:
--- a/internal/forward/testfleet_test.go
+++ b/internal/forward/testfleet_test.go
@@ -22,15 +22,16 @@
 	loop           *eventloop.Loop
 	forwarder      *Forwarder
 	table          *membership.Table
-	forwardedCount int // requests; owned by the loop
+	forwardedCount int // requests forwarded; owned by the loop
 
-	mu          sync.Mutex // guards what follows
-	steps       []string   // what is done with the next requests, succeed when there are no more
-	received    []string   // the name of the endpoint and the class of the request, or of the notice
-	ids         map[string]bool
-	connections int
+	mu          sync.Mutex      // guards the fields below
+	steps       []string        // scripted reactions to the next requests; once they are used up, requests succeed
+	received    []string        // class and hop count of each request, method of each notification
+	ids         map[string]bool // ids of all requests received
+	connections int             // open connections to the endpoints
 }
 
+// addEndpoint starts an endpoint and adds it to the table.
 func (f *testFleet) addEndpoint(name membership.Name) {
 	listener := fake.Must((&net.ListenConfig{}).Listen(f.t.Context(), "tcp", "127.0.0.1:0"))
 	f.t.Cleanup(func() { _ = listener.Close() })
@@ -38,7 +39,7 @@
 	forwardtest.AddInstance(f.table, name, listener.Addr().String())
 }
 
-// updateView hands the members to the Forwarder.
+// updateView passes the members in the table to the Forwarder.
 func (f *testFleet) updateView() {
 	view := f.table.View()
 	f.loop.Post(func() { f.forwarder.UpdateView(view, membership.RoleProxy) })
@@ -95,7 +96,8 @@
 	}
 }
 
-// recordReceived notes what came and returns what is done with it.
+// recordReceived records a message that an endpoint received. For a request, it returns the step that determines the
+// reaction, and fails the test if the id was received before. For a notification, id is empty and step is empty.
 func (f *testFleet) recordReceived(name membership.Name, message, id string) (step string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -104,7 +106,7 @@
 		return ""
 	}
 	if f.ids[id] {
-		f.t.Errorf("%s got the id %s twice", name, id)
+		f.t.Errorf("endpoint %s received the request id %s, which was received before", name, id)
 	}
 	f.ids[id] = true
 	if len(f.steps) == 0 {
@@ -128,7 +130,8 @@
 	return f.connections
 }
 
-// forward forwards a request of class view with a timeout, and returns it and where its result comes.
+// forward forwards a request of class view with a timeout. It returns the request and the channel that receives its
+// result.
 func (f *testFleet) forward(timeout time.Duration, idempotent bool) (*Request, <-chan Result) {
 	results, started := make(chan Result, 1), make(chan *Request, 1)
 	f.loop.Post(func() {
@@ -150,7 +153,8 @@
 	<-done
 }
 
-// newTestFleet starts a Forwarder before so many endpoints.
+// newTestFleet starts endpointCount endpoints and a Forwarder that forwards to them. configure, which may be nil,
+// changes the configuration of the Forwarder. steps are the endpoints' reactions to the first requests.
 func newTestFleet(t *testing.T, endpointCount int, configure func(*Config), steps ...string) *testFleet {
 	t.Helper()
 	config := Config{Balancer: balancer.DefaultConfig(), ConnectionsPerEndpoint: 2, IdleTimeout: time.Minute}
@@ -176,13 +180,14 @@
 	return f
 }
 
+// waitForResult returns the result from a channel. It fails the test if there is none within fake.WaitTimeout.
 func waitForResult(t *testing.T, results <-chan Result) Result {
 	t.Helper()
 	select {
 	case result := <-results:
 		return result
 	case <-time.After(fake.WaitTimeout):
-		t.Fatal("no result")
+		t.Fatal("timeout waiting for the result of a request")
 		return Result{}
 	}
 }
--- a/internal/forward/view.go
+++ b/internal/forward/view.go
@@ -7,14 +7,15 @@
 	"lanewheel/internal/membership"
 )
 
-// subset is the part of the endpoints that we keep to, as last worked out.
+// subset is the last computed subset of the endpoints that this process uses.
 type subset struct {
-	endpoints []balancer.EndpointName // that it was worked out for
-	peers     []balancer.EndpointName // that it was worked out for
+	endpoints []balancer.EndpointName // all endpoints when the subset was computed
+	peers     []balancer.EndpointName // all peers when the subset was computed, this process first
 	selected  map[balancer.EndpointName]bool
 }
 
-// UpdateView takes a view of the fleet. The members with the same role as ours share the endpoints with us.
+// UpdateView replaces the endpoints with those in a view of the fleet. role is the role of this process. If SubsetSize
+// is set, this process and the available members with the same role each use a subset of the endpoints.
 func (f *Forwarder) UpdateView(view *membership.View, role membership.Roles) {
 	peers := []balancer.EndpointName{balancer.EndpointName(view.Self.Name)}
 	addresses := map[balancer.EndpointName]string{}
@@ -42,8 +43,9 @@
 	f.setEndpoints(endpoints, addresses)
 }
 
-// isEndpoint reports whether requests may be given to a member. A suspect gets none, unless we are cut off
-// ourselves: then we know no better than before, and who was there is still tried.
+// isEndpoint reports whether requests may be sent to a member. A suspect member receives no requests unless this
+// process is unable to declare members gone, for instance because it is isolated. The suspicion is then no evidence
+// against the member, so the member is still tried. A member that is suspect because of flapping is never tried.
 func isEndpoint(view *membership.View, member *membership.Member) bool {
 	if member.Roles&membership.RoleServer == 0 || member.ServiceAddr == "" {
 		return false
@@ -56,8 +58,8 @@
 		!view.LocalHealth.CanDeclareGone()
 }
 
-// selectSubset returns those of the endpoints that we keep to. Subsets are worked out for the whole fleet, so only when
-// somebody came or went.
+// selectSubset returns the endpoints that this process uses. Computing subsets covers the whole fleet, so they are
+// computed only when an endpoint or a peer has joined or left.
 func (f *Forwarder) selectSubset(
 	endpoints []balancer.Endpoint, peers []balancer.EndpointName,
 ) []balancer.Endpoint {
@@ -79,8 +81,8 @@
 	return slices.DeleteFunc(endpoints, func(endpoint balancer.Endpoint) bool { return !f.subset.selected[endpoint.Name] })
 }
 
-// setEndpoints replaces the endpoints. What stays keeps its connections, unless it has another address: then it is
-// a later incarnation.
+// setEndpoints replaces the endpoints. An endpoint that remains keeps its connections unless its address has changed:
+// an endpoint with another address is a later incarnation.
 func (f *Forwarder) setEndpoints(endpoints []balancer.Endpoint, addresses map[balancer.EndpointName]string) {
 	present := map[balancer.EndpointName]bool{}
 	for _, candidate := range endpoints {
@@ -102,7 +104,7 @@
 	}
 }
 
-// removeEndpoint gives nothing more to an endpoint; what is in progress there it may still answer.
+// removeEndpoint removes an endpoint, which receives no further requests. It may still respond to requests in progress.
 func (f *Forwarder) removeEndpoint(removed *endpoint) {
 	delete(f.endpoints, removed.name)
 	for _, connection := range removed.connections {
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -9,9 +9,9 @@
 	"lanewheel/internal/frontend"
 )
 
-// Drain is called at the notice to drain: the process is killed TerminationGrace from now. What comes within
-// DrainGrace is forwarded, what comes later is rejected. The clients are asked to leave, and all that was read is
-// answered.
+// Drain starts draining the proxy. It is called when the process receives the notice to drain, TerminationGrace before
+// it is killed. Requests that arrive within DrainGrace are forwarded; later requests are rejected. The clients are
+// asked to disconnect, and every request that was read is answered. Further calls do nothing.
 func (p *Proxy) Drain() {
 	if p.draining {
 		return
@@ -34,20 +34,20 @@
 	})
 }
 
-// expireAll answers all requests in flight as they stand.
+// expireAll answers all requests in flight as timed out.
 func (p *Proxy) expireAll() {
-	for _, request := range slices.Collect(maps.Values(p.inFlight)) { // answering takes them out
+	for _, request := range slices.Collect(maps.Values(p.inFlight)) { // answering a request removes it
 		request.forwarding.Expire()
 	}
 }
 
-// drained reports whether all is answered and all frontends have drained.
+// drained reports whether all requests have been answered and all frontends have drained.
 func (p *Proxy) drained() bool {
 	return len(p.inFlight) == 0 &&
 		!slices.ContainsFunc(p.frontends, func(attached frontend.Frontend) bool { return !attached.Drained() })
 }
 
-// stop ends the event loop; so many connections are left.
+// stop logs the counters and ends the event loop. connections is the number of connections that are still open.
 func (p *Proxy) stop(connections int) {
 	slog.Info("stopped",
 		"connections", connections,
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,6 +1,6 @@
-// Package proxy forwards requests: it takes them by the clients' protocol, gives each to one of many instances, and
-// owes the one response. It holds nothing beside the requests in flight. Which instance a request goes to, and
-// whether another is tried, is decided by internal/balancer.
+// Package proxy receives requests in the client protocol, forwards each of them to one of many instances and returns
+// its one response. It stores nothing except the requests in flight. internal/balancer decides which instance receives
+// a request and whether another instance is tried.
 package proxy
 
 import (
@@ -17,23 +17,23 @@
 	"lanewheel/internal/transport"
 )
 
-// What the memory is divided into, the same as in an instance.
+// The memory is divided in the same way as that of an instance.
 const (
-	bodyDivisor   = 4 // one in so many buffers is for the bodies of requests in flight
-	readDivisor   = 8 // one in so many is for what was read and not worked off
-	unreadDivisor = 8 // of the memory one in so many is for what clients have not read
+	bodyDivisor   = 4 // 1/bodyDivisor of the buffers is for the bodies of requests in flight
+	readDivisor   = 8 // 1/readDivisor of the buffers is for data that was read and not yet processed
+	unreadDivisor = 8 // 1/unreadDivisor of the memory is for data that was sent to clients and not yet read by them
 )
 
-// Config is what a proxy goes by, beside the platform's configuration.
+// Config is the configuration of a Proxy, in addition to the platform's configuration.
 type Config struct {
 	forward.Config
-	MaxInFlight int           // requests
-	DrainGrace  time.Duration // from the notice to drain until nothing more is forwarded
-	RetryAfter  time.Duration // sent to clients that are rejected as no instance is there; 0: none
+	MaxInFlight int           // maximum number of requests in flight
+	DrainGrace  time.Duration // time after the notice to drain during which requests are still forwarded
+	RetryAfter  time.Duration // sent with rejections for lack of an instance; 0: none is sent
 }
 
-// Proxy is one process that forwards requests. All of it is owned by its event loop; Post may be called on any
-// goroutine.
+// Proxy is a process that forwards requests. It is owned by its event loop: except for Attach, Serve and Post, its
+// methods must be called only there. Post may be called on any goroutine.
 type Proxy struct {
 	*eventloop.Loop
 	config      Config
@@ -43,33 +43,34 @@
 	clients     *clients.Frontend
 	forwarder   *forward.Forwarder
 	classes     map[string]classConfig
-	inFlight    map[string]*proxiedRequest // by the client's id
-	frontends   []frontend.Frontend
-	registry    *discovery.Registry // nil: there is none, or it was not reached yet
+	inFlight    map[string]*proxiedRequest // by the id that the client chose
+	frontends   []frontend.Frontend        // attached in addition to clients
+	registry    *discovery.Registry        // nil: none is configured, or it has not been reached yet
 	draining    bool
-	acceptUntil time.Duration // while draining: nothing is forwarded from then on
+	acceptUntil time.Duration // while draining: time from which on requests are rejected
 	counters    counters
 }
 
-// counters counts what became of requests, since the start.
+// counters counts requests by their results since the process started.
 type counters struct {
 	received   uint64
 	succeeded  uint64
 	rejected   uint64
-	failed     uint64 // with those of which no response came
+	failed     uint64 // includes noResponse
 	noResponse uint64
-	timedOut   uint64
+	timedOut   uint64 // counted under another result, too
 	noEndpoint uint64
 }
 
-// classConfig is what a proxy knows of a class of requests.
+// classConfig is the configuration of a class of requests.
 type classConfig struct {
 	idempotent bool
-	timeout    time.Duration
+	timeout    time.Duration // of requests that have no shorter timeout of their own
 }
 
-// Listen returns a proxy that listens. Of the platform's configuration it takes what an instance would, less the
-// runtime and the database. probe may be nil.
+// Listen returns a Proxy that listens on the platform's address. It uses the same settings of the platform's
+// configuration as an instance, except for those of the runtime and the database. probe may be nil. Listen returns an
+// error if the sockets cannot be started.
 func Listen(platform server.Config, config Config, probe forward.ProbeFunc) (*Proxy, error) {
 	memoryBytes := int(platform.MemoryMB * (1 << 20))
 	bufferCount := memoryBytes / transport.BufferSize
@@ -93,10 +94,10 @@
 		MaxUnread:      int64(memoryBytes) / unreadDivisor,
 		LocalIP:        config.LocalIP(),
 	}
-	p.net.ReadTokens.Store(true) // the instance checks them; a proxy forwards what is brought
+	p.net.ReadTokens.Store(true) // the proxy forwards tokens unchecked; the instances check them
 	p.net.ReadHops.Store(true)
 	p.forwarder = forward.New(p.Loop, p.net, config.Config, platform.Seed, probe)
-	idleTimeout := platform.Settings.MaxIdleTimeout // 0 where it is not set
+	idleTimeout := platform.Settings.MaxIdleTimeout // 0 if it is not set
 	p.clients = clients.New(p, p.Loop, p.net, nil, idleTimeout)
 	if err := p.net.Start(platform.ListenAddr); err != nil {
 		return nil, err
@@ -109,7 +110,7 @@
 	return p, nil
 }
 
-// classConfigs returns the classes of the settings by name.
+// classConfigs returns the configurations of the classes in the settings, by name.
 func classConfigs(settings admission.Settings) map[string]classConfig {
 	configs := map[string]classConfig{}
 	for _, class := range settings.Classes {
@@ -121,7 +122,7 @@
 	return configs
 }
 
-// Attach starts a frontend beside the clients'. It may be called before Serve alone.
+// Attach starts a frontend in addition to that of the clients. It must be called before Serve.
 func (p *Proxy) Attach(attached frontend.Frontend) {
 	p.frontends = append(p.frontends, attached)
 	attached.Start()
@@ -130,8 +131,8 @@
 // Serve runs the event loop until the proxy has drained.
 func (p *Proxy) Serve() { p.Run(p.net.Flush) }
 
-// UpdateView takes a view of the fleet.
+// UpdateView replaces the instances to which requests are forwarded with those in a view of the fleet.
 func (p *Proxy) UpdateView(view *membership.View) { p.forwarder.UpdateView(view, membership.RoleProxy) }
 
-// endpointCount returns the number of instances to forward to.
+// endpointCount returns the number of instances to which requests can be forwarded.
 func (p *Proxy) endpointCount() int { return p.forwarder.Balancer.Len() }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -7,9 +7,10 @@
 	"lanewheel/internal/fake"
 )
 
-// Example shows what becomes of a request by what instances do with it. Rejected, it is given to another instance
-// under an id of its own. When its connection is lost, one that may not run twice has failed and is given to nobody
-// else. When told that there is no failover, it goes nowhere else. What may have run is returned as it is.
+// Example shows the result of a request for each behavior of the instances. A request that an instance rejects is sent
+// to another instance under a new id, unless the rejection has the no-failover flag. If the connection is lost, an
+// idempotent request is sent to another instance; any other request fails. A failure response is returned as it is,
+// because the request may have run.
 func Example() {
 	for _, test := range []struct {
 		class string
@@ -41,9 +42,9 @@
 	// [view fail]: "Failed" "" map[]
 }
 
-// Example_silent shows an instance that never answers: the request is answered at its deadline all the same, the
-// instance is notified, and its late response is dropped. When a client cancels, the instance is notified. A connection
-// that is refused costs nothing: the next instance gets the request.
+// Example_silent shows an instance that does not respond in time: the request is answered at its deadline, the instance
+// is notified, and its late response is dropped. An instance is also notified if the client cancels a request. If an
+// instance refuses the connection, the request succeeds at the next instance.
 func Example_silent() {
 	proxy, script, addr := startProxy(1, "late", "interrupt")
 	client := fake.Dial(addr)
@@ -53,7 +54,7 @@
 	elapsed := time.Since(startedAt)
 	fmt.Println(response.Number, response.Error, elapsed > 140*time.Millisecond && elapsed < 240*time.Millisecond)
 	fake.WaitFor("the instance to be notified", func() bool { return len(script.takeTrace()) > 0 })
-	time.Sleep(200 * time.Millisecond) // its response comes meanwhile
+	time.Sleep(200 * time.Millisecond) // the late response arrives during this time
 	client.Send(fake.NewRequest(2, "view", fake.RequestID(2), []byte("x")))
 	response = fake.Must(client.NextResponse())
 	fmt.Println(response.Number, response.Error == "")
@@ -61,7 +62,7 @@
 	script.setSteps("silent")
 	script.takeTrace()
 	client.Send(fake.NewRequest(3, "view", fake.RequestID(3), nil))
-	fake.WaitFor("the request to be there", func() bool { return script.traceLength() == 1 })
+	fake.WaitFor("the instance to receive the request", func() bool { return script.traceLength() == 1 })
 	client.Send([]any{2, "interrupt", []any{3}})
 	fake.WaitFor("the instance to be notified", func() bool { return script.traceLength() == 2 })
 	fmt.Println(script.takeTrace())
@@ -90,7 +91,8 @@
 	// 20
 }
 
-// Example_noInstances shows that a request is rejected at once where there is no instance, with a time to come back.
+// Example_noInstances shows that a request is rejected immediately if there is no instance. The rejection specifies the
+// time after which to retry.
 func Example_noInstances() {
 	proxy, _, addr := startProxy(0)
 	client := fake.Dial(addr)
@@ -102,13 +104,14 @@
 	// ['\x01' '\x01' ["Busy" map["after":"90"]] <nil>]
 }
 
-// Example_drain rejects an id that is in flight and a class that is not known, as an instance does. At a notice to
-// drain requests are forwarded within the grace and rejected behind it, and all are answered.
+// Example_drain shows that a request is rejected, as by an instance, if another request in flight has the same id or if
+// its class is not defined. After a notice to drain, requests are forwarded during the grace period and rejected after
+// it. All requests are answered.
 func Example_drain() {
 	proxy, script, addr := startProxy(2, "silent")
 	client := fake.Dial(addr)
 	client.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil, "wait", "900"))
-	fake.WaitFor("the request to be there", func() bool { return script.traceLength() == 1 })
+	fake.WaitFor("the instance to receive the request", func() bool { return script.traceLength() == 1 })
 	other := fake.Dial(addr)
 	other.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil))
 	fmt.Println(other.NextText())
@@ -119,14 +122,14 @@
 	other.Send(fake.NewRequest(3, "view", fake.RequestID(3), nil))
 	fmt.Println(other.NextText())
 	other.Close()
-	time.Sleep(600 * time.Millisecond) // past the grace
+	time.Sleep(600 * time.Millisecond) // longer than the grace period of 500 ms
 	other = fake.Dial(addr)
 	fmt.Println(other.NextText())
 	other.Send(fake.NewRequest(4, "view", fake.RequestID(4), nil))
 	fmt.Println(other.NextText())
 	other.Close()
 	fmt.Println(client.NextText(), client.NextText())
-	fake.WaitFor("its end", func() bool { return !isRunning(proxy) })
+	fake.WaitFor("the proxy to stop", func() bool { return !isRunning(proxy) })
 	// Output:
 	// ['\x01' '\x01' ["Busy" map[]] <nil>]
 	// ['\x01' '\x02' ["Failed" map[]] <nil>]
@@ -137,7 +140,7 @@
 	// ['\x02' "goaway" []] ['\x01' '\x01' ["Failed" map[]] <nil>]
 }
 
-// isRunning reports whether a proxy's event loop runs.
+// isRunning reports whether a proxy's event loop runs a posted function within 100 ms.
 func isRunning(proxy *Proxy) bool {
 	running := make(chan struct{})
 	proxy.Post(func() { close(running) })
--- a/internal/proxy/registry.go
+++ b/internal/proxy/registry.go
@@ -7,10 +7,11 @@
 	"lanewheel/internal/discovery"
 )
 
-// registryInterval is how often a proxy reports to the registry, as an instance does.
+// registryInterval is the interval between reports to the registry. Instances report at the same interval.
 const registryInterval = 250 * time.Millisecond
 
-// reportToRegistry reports whether requests may be sent here, and goes on doing so.
+// reportToRegistry reports to the registry whether the proxy accepts requests and schedules its next run. It first
+// connects to the registry if that has not succeeded yet.
 func (p *Proxy) reportToRegistry() {
 	if p.registry == nil && p.platform.RegistryAddr != "" {
 		p.connectRegistry()
@@ -21,6 +22,7 @@
 	p.ScheduleAt(p.Now()+registryInterval, p.reportToRegistry)
 }
 
+// connectRegistry connects to the registry. It logs an error; the next report tries again.
 func (p *Proxy) connectRegistry() {
 	registry, err := discovery.NewRegistry(p.platform.RegistryAddr, p.platform.Name)
 	if err != nil {
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -9,24 +9,24 @@
 	"lanewheel/internal/frontend"
 )
 
-// maxAttempts is the number of instances that a request is given to at the most. Two that are full one after the other
-// are a full fleet.
+// maxAttempts is the maximum number of instances to which a request is sent. If two instances in succession are full,
+// the fleet is assumed to be full.
 const maxAttempts = 3
 
 // proxiedRequest is a request in flight.
 type proxiedRequest struct {
 	proxy      *Proxy
-	id         string             // the client's
-	responder  frontend.Responder // nil: it is answered, or nobody waits
+	id         string             // chosen by the client
+	responder  frontend.Responder // nil: the request has been answered or canceled
 	forwarding *forward.Request
 }
 
-// ResponseMetadata implements clients.Server: a proxy has no load report of its own.
+// ResponseMetadata implements clients.Server. A proxy has no load of its own to report.
 func (p *Proxy) ResponseMetadata() frontend.ResponseMetadata {
 	return frontend.ResponseMetadata{LoadReport: -1}
 }
 
-// CheckHealth implements clients.Server: a proxy is healthy while there is an instance to forward to.
+// CheckHealth implements clients.Server. A proxy is healthy if it has an instance to forward to and is not draining.
 func (p *Proxy) CheckHealth(_ bool, report func(healthy bool)) {
 	report(p.endpointCount() > 0 && !p.draining)
 }
@@ -43,7 +43,7 @@
 	}
 }
 
-// Submit implements frontend.Server.
+// Submit implements frontend.Server. It returns nil if the request has already been answered.
 func (p *Proxy) Submit(
 	received frontend.Request, _ *authn.Credential, responder frontend.Responder,
 ) frontend.Handle {
@@ -74,8 +74,9 @@
 	return request
 }
 
-// accepts reports whether a request with an id may be forwarded: there must be memory for its body, and no other
-// with the same id in flight, as nobody could tell whose the response is.
+// accepts reports whether a request with an id may be forwarded. There must be memory for its body, and no other
+// request in flight may have the same id, because their responses could not be told apart. While the proxy drains, it
+// accepts requests only until acceptUntil.
 func (p *Proxy) accepts(id string) bool {
 	if p.draining && p.Now() >= p.acceptUntil {
 		return false
@@ -83,7 +84,7 @@
 	return len(p.inFlight) < p.config.MaxInFlight && p.inFlight[id] == nil
 }
 
-// deadline returns the deadline of a request, which counts from when it was sent.
+// deadline returns the deadline of a request on the loop's clock. The timeout starts when the client sends the request.
 func (p *Proxy) deadline(received frontend.Request, class classConfig) time.Duration {
 	queueDelay := max(0, p.WallTime().Sub(time.UnixMilli(received.SentUnixMilli)))
 	timeout := class.timeout
@@ -93,7 +94,7 @@
 	return p.Now() - queueDelay + timeout
 }
 
-// Cancel implements frontend.Server.
+// Cancel implements frontend.Server. It does nothing if the request has been answered or canceled.
 func (p *Proxy) Cancel(handle frontend.Handle) {
 	if request, ok := handle.(*proxiedRequest); ok && request.responder != nil {
 		request.finish().Done()
@@ -101,7 +102,7 @@
 	}
 }
 
-// handleResult answers a request by what became of it.
+// handleResult answers a request according to its result.
 func (r *proxiedRequest) handleResult(result forward.Result) {
 	if result.NoEndpoint {
 		result.Metadata.RetryAfter = r.proxy.config.RetryAfter
@@ -112,7 +113,7 @@
 	responder.Done()
 }
 
-// finish takes the request out of those in flight and returns who is owed the response.
+// finish removes the request from those in flight and returns its responder. The caller must call the responder's Done.
 func (r *proxiedRequest) finish() frontend.Responder {
 	responder := r.responder
 	r.responder = nil
@@ -120,6 +121,7 @@
 	return responder
 }
 
+// count counts the result of a forwarded request.
 func (c *counters) count(result forward.Result) {
 	if result.TimedOut {
 		c.timedOut++
@@ -138,6 +140,6 @@
 		if result.LastOutcome == balancer.NoResponse {
 			c.noResponse++
 		}
-	case forward.Denied: // by an instance, not by us
+	case forward.Denied: // not counted: an instance denied the request, not the proxy
 	}
 }
--- a/internal/proxy/script_test.go
+++ b/internal/proxy/script_test.go
@@ -17,18 +17,18 @@
 	"lanewheel/internal/server"
 )
 
-// endpointScript is instances by script: what is done with the next request that comes to any of them. The steps are
-// succeed, busy, no-failover, fail, close, silent and late.
+// endpointScript controls scripted instances. Each message that any of them receives takes the next step, which
+// determines the reaction to a request: succeed, busy, no-failover, fail, close, silent or late.
 type endpointScript struct {
 	listeners []net.Listener
 
-	mu    sync.Mutex // guards what follows
-	steps []string   // succeed when there are no more
-	trace []string   // the class, or the notice, and the step of what came
-	ids   map[string]bool
+	mu    sync.Mutex      // guards the fields below
+	steps []string        // once they are used up, the step is succeed
+	trace []string        // class of each request or method of each notification, followed by its step
+	ids   map[string]bool // ids of all requests received
 }
 
-// nextStep notes what came and returns what is done with it.
+// nextStep records a message that an instance received and returns the step for it.
 func (s *endpointScript) nextStep(message string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,12 +46,12 @@
 	s.steps = steps
 }
 
-// recordID notes in the trace if an id comes a second time.
+// recordID records the id of a request. If the id was received before, it adds an entry to the trace.
 func (s *endpointScript) recordID(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ids[id] {
-		s.trace = append(s.trace, "an id twice")
+		s.trace = append(s.trace, "duplicate id")
 	}
 	s.ids[id] = true
 }
@@ -62,6 +62,7 @@
 	return len(s.trace)
 }
 
+// takeTrace returns the trace and clears it.
 func (s *endpointScript) takeTrace() (trace []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,7 +90,7 @@
 		}
 		parts, isRequest := message.([]any)
 		if !isRequest {
-			return // a process of another test dialled a port that had been its peer's; the proxy's own messages are lists
+			return // from a process of another test that dialed a port used by its peer before; the proxy sends only lists
 		}
 		if len(parts) == 3 {
 			s.nextStep(fmt.Sprint(parts[1]))
@@ -105,7 +106,8 @@
 	}
 }
 
-// scriptedResponse returns the response of a step, nil for none.
+// scriptedResponse returns the response for a step. It returns nil if the step has no response. For the step late, it
+// waits 250 ms first.
 func scriptedResponse(step string, number, body any) []any {
 	noMetadata := map[string]string{}
 	switch step {
@@ -128,10 +130,10 @@
 	return fake.Must((&net.ListenConfig{}).Listen(context.Background(), "tcp", addr))
 }
 
-// proxyCount is the number of proxies started; each listens on a loopback address of its own.
+// proxyCount is the number of proxies started. Each proxy listens on a different loopback address.
 var proxyCount int
 
-// freeAddress returns an address that nobody listens on.
+// freeAddress returns an address on which no process listens.
 func freeAddress() string {
 	proxyCount++
 	listener := listenOn(fmt.Sprintf("127.72.%d.%d:0", os.Getpid()%250, proxyCount))
@@ -139,7 +141,8 @@
 	return listener.Addr().String()
 }
 
-// startProxy starts a proxy before so many scripted instances, and returns it and the address that it listens on.
+// startProxy starts scripted instances and a proxy that forwards to them. It returns the proxy, the script of the
+// instances and the address on which the proxy listens.
 func startProxy(instances int, steps ...string) (*Proxy, *endpointScript, string) {
 	script := &endpointScript{steps: steps, ids: map[string]bool{}}
 	table := forwardtest.NewTable("relay")
@@ -167,7 +170,8 @@
 	return proxy, script, addr
 }
 
-// testPlatform is the platform's configuration of a proxy, with the classes view, which is idempotent, and pay.
+// testPlatform returns the platform's configuration of a proxy that listens on addr. The class view is idempotent, and
+// the class pay is not.
 func testPlatform(addr string) server.Config {
 	class := func(name admission.Class, idempotency admission.Idempotency) admission.ClassSettings {
 		return admission.ClassSettings{
--- a/internal/spillover/eventlog.go
+++ b/internal/spillover/eventlog.go
@@ -9,27 +9,27 @@
 	"lanewheel/internal/logging"
 )
 
-// eventKind is what is logged of a request.
+// eventKind is the kind of an event in the spillover of a request.
 type eventKind uint8
 
 const (
-	requestNotSpilled eventKind = iota // it was not forwarded, for a reason
-	requestSpilled                     // it was forwarded
-	requestFinished                    // it came back
+	requestNotSpilled eventKind = iota // the request was not forwarded
+	requestSpilled                     // the request was forwarded
+	requestFinished                    // a forwarded request has its result
 )
 
-// event is what is counted and logged.
+// event is an event that is counted and logged. Events that compare equal share a count.
 type event struct {
 	kind        eventKind
-	reason      balancer.SpilloverReason // of requestKept
-	disposition forward.Disposition      // of requestFinished
+	reason      balancer.SpilloverReason // set for requestNotSpilled
+	disposition forward.Disposition      // set for requestFinished
 }
 
-// write logs an event with a count.
+// write logs an event with a count under an attribute key.
 func (e event) write(key string, count uint64) {
 	switch e.kind {
 	case requestNotSpilled:
-		slog.Info("request kept", "reason", e.reason.String(), key, count)
+		slog.Info("request not spilled over", "reason", e.reason.String(), key, count)
 	case requestSpilled:
 		slog.Info("request spilled over", key, count)
 	case requestFinished:
@@ -37,14 +37,16 @@
 	}
 }
 
-// eventLog counts events and logs a few of each a second. It is owned by the event loop.
+// eventLog counts events and logs a limited number of each per second. It is owned by the event loop.
 type eventLog struct {
-	totals  map[event]uint64 // since the start
+	totals  map[event]uint64 // since the process started
 	sampler logging.Sampler[event]
 }
 
+// newEventLog returns an eventLog without events.
 func newEventLog() eventLog { return eventLog{totals: map[event]uint64{}} }
 
+// count counts an event and logs it with its total unless the sampler suppresses it.
 func (l *eventLog) count(e event, now time.Time) {
 	l.totals[e]++
 	if l.sampler.Allow(e, now) {
@@ -52,7 +54,7 @@
 	}
 }
 
-// flush logs how many events were not logged in the last second.
+// flush logs the number of suppressed events, at most once per second.
 func (l *eventLog) flush(now time.Time) {
 	l.sampler.FlushSuppressed(now, func(e event, suppressed int) { e.write("suppressed", uint64(suppressed)) })
 }
--- a/internal/spillover/spillover.go
+++ b/internal/spillover/spillover.go
@@ -1,5 +1,6 @@
-// Package spillover forwards a request that an instance rejects to another instance that has capacity, once. It decides
-// nothing: internal/balancer says whether and where, internal/forward carries it there.
+// Package spillover forwards requests that an instance rejects to other instances that have capacity. A request is
+// forwarded at most once. internal/balancer decides whether a request is forwarded and to which instance;
+// internal/forward sends it.
 package spillover
 
 import (
@@ -15,28 +16,28 @@
 )
 
 const (
-	// pollInterval is how often others are probed while requests are queued, and the log is flushed.
+	// pollInterval is how often other instances are probed while requests are queued, and how often the log is flushed.
 	pollInterval = 50 * time.Millisecond
 
-	// probesPerPoll is how many endpoints are probed at a time, so that there are recent reports when a request is
-	// rejected.
+	// probesPerPoll is the number of endpoints probed per poll while requests are queued. The probes ensure that recent
+	// load reports are available when a request is rejected.
 	probesPerPoll = 2
 
-	// answerMargin is how long before the end of a drain what is still elsewhere is answered.
+	// answerMargin is the time before the end of a drain at which forwarded requests without a result are answered.
 	answerMargin = 70 * time.Millisecond
 )
 
-// Config is what spilling over goes by.
+// Config is the configuration of a Spillover.
 type Config struct {
 	forward.Config
 	Spillover balancer.SpilloverConfig
 }
 
-// Spillover is the spillover of one instance; it implements server.Spillover and frontend.Frontend. All of it is
-// owned by the instance's event loop.
+// Spillover forwards the requests that one instance rejects. It implements server.Spillover and frontend.Frontend. It
+// is owned by the instance's event loop: except for Start, its methods must be called only there.
 type Spillover struct {
 	loop      *eventloop.Loop
-	load      func() frontend.Load // our own
+	load      func() frontend.Load // returns the load of this instance
 	forwarder *forward.Forwarder
 	policy    *balancer.SpilloverPolicy
 	inFlight  map[*spilledRequest]bool
@@ -47,11 +48,12 @@
 // spilledRequest is a request that was forwarded to another instance.
 type spilledRequest struct {
 	spillover  *Spillover
-	responder  frontend.Responder // nil: it is answered, or nobody waits
+	responder  frontend.Responder // nil: the request has been answered or canceled
 	forwarding *forward.Request
 }
 
-// New returns the spillover of an instance, whose event loop and sockets it shares.
+// New returns the Spillover of the instance srv. It shares the instance's event loop and its sockets, net. seed seeds
+// its random numbers. probe may be nil.
 func New(srv *server.Server, net *transport.Net, config Config, seed uint64, probe forward.ProbeFunc) *Spillover {
 	return newSpillover(srv.Loop, srv.Load, forward.New(srv.Loop, net, config.Config, seed, probe), config)
 }
@@ -69,12 +71,12 @@
 	}
 }
 
-// UpdateView takes a view of the fleet.
+// UpdateView replaces the instances to which requests are forwarded with those in a view of the fleet.
 func (s *Spillover) UpdateView(view *membership.View) {
 	s.forwarder.UpdateView(view, membership.RoleServer)
 }
 
-// SetConfig replaces the configuration of the policy; the forwarder keeps its own.
+// SetConfig replaces the configuration of the policy. The configuration of the forwarder remains unchanged.
 func (s *Spillover) SetConfig(config Config) { s.policy.SetConfig(config.Spillover) }
 
 // Start implements frontend.Frontend. It may be called on any goroutine.
@@ -85,7 +87,8 @@
 	})
 }
 
-// poll probes others while requests are queued here, and writes to the log what was suppressed; and goes on doing so.
+// poll probes other instances if requests are queued here, logs the numbers of suppressed events and schedules its
+// next run.
 func (s *Spillover) poll() {
 	if s.load().Queued > 0 && !s.draining {
 		for range probesPerPoll {
@@ -96,21 +99,22 @@
 	s.loop.ScheduleAt(s.loop.Now()+pollInterval, s.poll)
 }
 
-// ownLoad returns our requests in progress a core, as others report theirs.
+// ownLoad returns the number of requests in progress per core in this instance, the unit in which the other instances
+// report their load.
 func (s *Spillover) ownLoad() float64 {
 	load := s.load()
 	return float64(load.Queued+load.Running) / max(1, load.Cores)
 }
 
-// RequestArrived implements server.Spillover.
+// RequestArrived implements server.Spillover. Each request that arrives adds to the spillover budget.
 func (s *Spillover) RequestArrived() { s.policy.RecordArrival() }
 
-// Forward implements server.Spillover. It returns nil where the request stays here, or was answered at once.
+// Forward implements server.Spillover. It returns nil if the request is not forwarded or has already been answered.
 func (s *Spillover) Forward(
 	received frontend.Request, deadline time.Duration, idempotent bool, responder frontend.Responder,
 ) frontend.Handle {
 	index, reason := s.pick(received, deadline)
-	s.forwarder.Probe() // whoever rejects a request wants recent reports for the next one
+	s.forwarder.Probe() // the next request that is rejected needs recent load reports
 	if reason != balancer.Allowed {
 		s.log.count(event{kind: requestNotSpilled, reason: reason}, s.loop.WallTime())
 		return nil
@@ -126,7 +130,8 @@
 	return request
 }
 
-// pick returns the endpoint that a request may be forwarded to, or what keeps it here.
+// pick returns the index of the endpoint to which a request is forwarded. If the reason is not balancer.Allowed, the
+// request must not be forwarded.
 func (s *Spillover) pick(
 	received frontend.Request, deadline time.Duration,
 ) (index int, reason balancer.SpilloverReason) {
@@ -140,8 +145,8 @@
 	return s.policy.Pick(now, deadline-now, s.ownLoad(), s.forwarder.Random)
 }
 
-// handleResult answers a request by what became of it there. What proves that it never ran is a rejection, as ours
-// would have been.
+// handleResult answers a request according to its result. A result that proves that the request has not run becomes a
+// rejection, like the one that this instance would have sent.
 func (r *spilledRequest) handleResult(result forward.Result) {
 	s := r.spillover
 	delete(s.inFlight, r)
@@ -153,7 +158,7 @@
 	responder.Done()
 }
 
-// Cancel implements server.Spillover.
+// Cancel implements server.Spillover. It does nothing if the request has been answered or canceled.
 func (s *Spillover) Cancel(handle frontend.Handle) {
 	request, ok := handle.(*spilledRequest)
 	if !ok || request.responder == nil {
@@ -164,8 +169,8 @@
 	request.forwarding.Cancel()
 }
 
-// Drain implements frontend.Frontend. What is elsewhere may still come back; shortly before the end it is answered
-// as it stands.
+// Drain implements frontend.Frontend. Forwarded requests may still receive their results. Those without a result
+// answerMargin before the end of the drain are answered as timed out.
 func (s *Spillover) Drain(remaining time.Duration) {
 	s.draining = true
 	s.loop.ScheduleAt(s.loop.Now()+max(0, remaining-answerMargin), func() {
@@ -175,5 +180,5 @@
 	})
 }
 
-// Drained implements frontend.Frontend.
+// Drained implements frontend.Frontend. It reports whether no forwarded request is in progress.
 func (s *Spillover) Drained() bool { return len(s.inFlight) == 0 }
--- a/internal/spillover/spillover_test.go
+++ b/internal/spillover/spillover_test.go
@@ -16,7 +16,7 @@
 	"lanewheel/internal/membership"
 )
 
-// recorder is a Responder that notes its calls.
+// recorder is a frontend.Responder that records its calls.
 type recorder struct {
 	mu    sync.Mutex
 	calls []string
@@ -44,8 +44,8 @@
 	return fmt.Sprint(r.calls)
 }
 
-// testInstance is the spillover of an instance with a load of 10 before one other, which does with requests what its
-// step says: succeed, busy, deny, fail or nothing.
+// testInstance is the spillover of an instance with a load of 10 in a fleet with one other instance. The behavior of
+// the other instance is the same for all requests: succeed, busy, deny or fail. If it is empty, it never responds.
 type testInstance struct {
 	loop      *eventloop.Loop
 	spillover *Spillover
@@ -71,7 +71,7 @@
 	t.Cleanup(func() { x.loop.Post(x.loop.Quit) })
 	x.spillover.Start()
 	x.runOnLoop(func() { x.spillover.UpdateView(table.View()) })
-	fake.WaitFor("a report of the other's load", func() (reported bool) {
+	fake.WaitFor("a load report of the other instance", func() (reported bool) {
 		x.runOnLoop(func() {
 			now := x.loop.Now()
 			_, reason := balancer.NewSpilloverPolicy(config.Spillover, x.spillover.forwarder.Balancer).
@@ -83,7 +83,7 @@
 	return x
 }
 
-// serve answers all requests in the same way.
+// serve accepts connections and reacts to all requests with the same behavior.
 func serve(listener net.Listener, behavior string) {
 	for {
 		connection, err := listener.Accept()
@@ -120,7 +120,7 @@
 	<-done
 }
 
-// forward offers a request that may be answered within a second.
+// forward passes a request with a timeout of one second to the spillover.
 func (x *testInstance) forward(hops int, responder frontend.Responder) (handle frontend.Handle) {
 	x.runOnLoop(func() {
 		request := frontend.Request{ID: "1", Class: "view", Hops: hops, Body: []byte("body")}
@@ -129,13 +129,14 @@
 	return handle
 }
 
-// total returns how often an event was counted.
+// total returns the count of an event.
 func (x *testInstance) total(e event) (total uint64) {
 	x.runOnLoop(func() { total = x.spillover.log.totals[e] })
 	return total
 }
 
-// TestForward checks that a request is answered by what the other instance did with it, and that this is counted.
+// TestForward checks that a request is answered according to the other instance's response, and that the events are
+// counted.
 func TestForward(t *testing.T) {
 	for _, test := range []struct {
 		behavior    string
@@ -151,54 +152,55 @@
 			x := newTestInstance(t, test.behavior)
 			responder := &recorder{}
 			if x.forward(0, responder) == nil {
-				t.Fatal("the request was kept")
+				t.Fatal("the request was not forwarded")
 			}
 			fake.WaitFor("a response", func() bool { return responder.String() == test.want })
 			finished := event{kind: requestFinished, disposition: test.disposition}
 			if x.total(event{kind: requestSpilled}) != 1 || x.total(finished) != 1 {
-				t.Error("not counted")
+				t.Error("the spilled request and its result are not counted once each")
 			}
 			x.runOnLoop(func() {
 				if !x.spillover.Drained() {
-					t.Error("not drained")
+					t.Error("not drained although no request is in progress")
 				}
 			})
 		})
 	}
 }
 
-// TestNotForwarded checks that a request which was forwarded to us, and any while we drain, stays here.
+// TestNotForwarded checks that a request that has been forwarded to this instance is not forwarded again, and that no
+// request is forwarded while this instance drains.
 func TestNotForwarded(t *testing.T) {
 	x := newTestInstance(t, "succeed")
 	responder := &recorder{}
 	if x.forward(1, responder) != nil || x.total(event{kind: requestNotSpilled, reason: balancer.AlreadyForwarded}) != 1 {
-		t.Error("a request is forwarded twice")
+		t.Error("a request that had been forwarded is forwarded again or not counted as already forwarded")
 	}
 	x.runOnLoop(func() { x.spillover.Drain(time.Second) })
 	if x.forward(0, responder) != nil || x.total(event{kind: requestNotSpilled, reason: balancer.Draining}) != 1 {
-		t.Error("a request is forwarded while we drain")
+		t.Error("a request is forwarded during a drain or not counted as not forwarded for that reason")
 	}
 	if responder.String() != "[]" {
-		t.Error(responder)
+		t.Errorf("responder calls %v, want none", responder)
 	}
 }
 
-// TestDrain checks that what is elsewhere is answered shortly before the end.
+// TestDrain checks that a forwarded request without a result is answered shortly before the end of the drain.
 func TestDrain(t *testing.T) {
 	x := newTestInstance(t, "")
 	responder := &recorder{}
 	if x.forward(0, responder) == nil {
-		t.Fatal("the request was kept")
+		t.Fatal("the request was not forwarded")
 	}
 	x.runOnLoop(func() { x.spillover.Drain(200 * time.Millisecond) })
 	startedAt := time.Now()
 	fake.WaitFor("a response", func() bool { return responder.String() == "[fail done]" })
 	if elapsed := time.Since(startedAt); elapsed < 100*time.Millisecond {
-		t.Error("answered after ", elapsed)
+		t.Errorf("answered %v after the start of the drain, want at least 100ms", elapsed)
 	}
 }
 
-// TestCancel checks that nobody is answered who does not wait.
+// TestCancel checks that a canceled request is not answered, and that Cancel ignores repeated calls and a nil handle.
 func TestCancel(t *testing.T) {
 	x := newTestInstance(t, "")
 	responder := &recorder{}
@@ -208,11 +210,11 @@
 		x.spillover.Cancel(handle)
 		x.spillover.Cancel(nil)
 		if !x.spillover.Drained() {
-			t.Error("not drained")
+			t.Error("not drained although the only request was canceled")
 		}
 	})
 	time.Sleep(50 * time.Millisecond)
 	if responder.String() != "[]" {
-		t.Error(responder)
+		t.Errorf("responder calls %v, want none", responder)
 	}
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -1,6 +1,7 @@
-// Package upstream is the services that a server's calls go to, where there are several of them, or a hard cap on
-// calls that holds for the whole fleet. Which one a call goes to is decided by internal/balancer, how many calls
-// there may be at a time by internal/concurrencylease; this package knows who is there, and what is open.
+// Package upstream distributes a server's calls among upstream services. It is used if there are several services, or
+// if a hard limit on concurrent calls applies to the whole fleet. internal/balancer decides which service receives a
+// call, and internal/concurrencylease limits the number of concurrent calls. This package keeps track of the services
+// and of the open calls.
 package upstream
 
 import (
@@ -15,25 +16,29 @@
 )
 
 const (
-	// leaseInterval is how often it is checked whether a lease is to be requested: a hundredth of the shortest lease.
+	// leaseInterval is the interval at which the client checks whether leases must be requested. It is a hundredth of the
+	// shortest lease duration.
 	leaseInterval = 10 * time.Millisecond
-	// randomStream tells this package's random numbers from those of others with the same seed.
+	// randomStream differs from the streams of the other random number generators that share the seed.
 	randomStream = 11
 )
 
-// Config is what a client goes by.
+// Config is the configuration of a Client.
 type Config struct {
-	Balancer        balancer.Config
-	Addresses       []string      // of services; none: the members with the upstream role
-	MaxCalls        int           // at a time to one service at an address, and without a lease to one of a member
-	MaxCallDuration time.Duration // that a call may take
+	Balancer  balancer.Config
+	Addresses []string // addresses of the services; none: the services of members with the upstream role
+	// MaxCalls is the maximum number of concurrent calls to one service at a configured address. For the service of a
+	// member, it is the maximum number of concurrent calls without a lease.
+	MaxCalls        int
+	MaxCallDuration time.Duration // maximum duration of a call
 }
 
-// RequestLeaseFunc sends the allocator beside a service a request; the answer comes by HandleLease.
+// RequestLeaseFunc sends a lease request to the allocator of a service, which runs in the member with that name. The
+// answer must be passed to Client.HandleLease.
 type RequestLeaseFunc func(name membership.Name, request concurrencylease.Request)
 
-// Client is the services of one server. It implements server.Upstreams. It is owned by the server's event loop, on
-// which all its methods are to be called.
+// Client distributes the calls of one server among services. It implements server.Upstreams. It is owned by the
+// server's event loop: all methods must be called there.
 type Client struct {
 	loop         *eventloop.Loop
 	config       Config
@@ -42,13 +47,13 @@
 	balancer     *balancer.Balancer
 	random       *rand.Rand
 	services     map[balancer.EndpointName]*service
-	leasedLimits map[balancer.EndpointName]*leasedLimit // of the services whose calls are leased
-	onAvailable  func()
-	waitingCalls int // calls that wait for a place
+	leasedLimits map[balancer.EndpointName]*leasedLimit // limits of the services whose calls are leased
+	onAvailable  func()                                 // called when there may be free slots
+	waitingCalls int                                    // calls that wait for a slot
 }
 
-// New makes the client of a server that the fleet knows as self. requestLease may be nil where all services have
-// configured addresses.
+// New returns the client of a server whose identity in the fleet is self. seed seeds its random numbers. requestLease
+// may be nil if all services have configured addresses.
 func New(
 	loop *eventloop.Loop, config Config, self membership.ID, seed uint64, requestLease RequestLeaseFunc,
 ) *Client {
@@ -69,6 +74,7 @@
 	return client
 }
 
+// addConfiguredServices adds the services at the configured addresses.
 func (c *Client) addConfiguredServices(addrs []string) {
 	var endpoints []balancer.Endpoint
 	for _, addr := range addrs {
@@ -83,12 +89,12 @@
 // OnAvailable implements server.Upstreams.
 func (c *Client) OnAvailable(callback func()) { c.onAvailable = callback }
 
-// Start begins to request leases.
+// Start starts the periodic requests for leases.
 func (c *Client) Start() { c.requestLeases() }
 
-// SetView takes a view of the fleet and, unless addresses are configured, the services that members stand beside. A
-// member that is missing from the view may only be cut off from us while its calls go on, so what was leased for it
-// is kept until it has expired.
+// SetView replaces the services with those of the members in a view of the fleet. It does nothing if addresses are
+// configured. A member that is missing from the view may merely be unreachable from this process while calls to its
+// service continue. Its leases are therefore kept until they expire.
 func (c *Client) SetView(view *membership.View) {
 	if len(c.config.Addresses) > 0 {
 		return
@@ -116,8 +122,8 @@
 	c.onAvailable()
 }
 
-// isCallable reports whether calls may go to the service beside a member. A suspect one gets calls while this process
-// cannot tell whether the member is gone or it is cut off itself.
+// isCallable reports whether the service of a member may be called. The service of a suspect member is called only
+// while this process cannot determine whether the member is gone or this process is isolated itself.
 func isCallable(member membership.Member, health membership.LocalHealth) bool {
 	if member.Roles&membership.RoleUpstream == 0 || member.ServiceAddr == "" {
 		return false
@@ -125,7 +131,7 @@
 	return member.State.Available() || member.State == membership.StateSuspect && !health.CanDeclareGone()
 }
 
-// addMember adds the service beside a member, or takes over its present address and allocator.
+// addMember adds the service of a member, or updates the address and the allocator of a service that was added before.
 func (c *Client) addMember(name balancer.EndpointName, member membership.Member) {
 	svc := c.services[name]
 	if svc == nil {
@@ -142,7 +148,7 @@
 	svc.allocatorBootID = member.BootID
 }
 
-// removeMissing forgets services that are not present and have neither open nor leased calls.
+// removeMissing removes the services that are not present, unless they have open calls or a lease in force.
 func (c *Client) removeMissing(present map[balancer.EndpointName]bool) {
 	now := c.loop.Now()
 	for name, svc := range c.services {
@@ -153,7 +159,7 @@
 	}
 }
 
-// Acquire implements server.Upstreams.
+// Acquire implements server.Upstreams. The service at excludedAddr is chosen only if it is the only service.
 func (c *Client) Acquire(excludedAddr string, waiting int) server.UpstreamSlot {
 	now := c.loop.Now()
 	c.waitingCalls = waiting
@@ -182,7 +188,8 @@
 	}
 }
 
-// recordWaitingDemand counts the calls that wait as wanted of all services with leases alike.
+// recordWaitingDemand records the waiting calls as demand for leased calls, divided equally among the services whose
+// calls are leased and rounded up.
 func (c *Client) recordWaitingDemand(now time.Duration) {
 	if len(c.leasedLimits) == 0 {
 		return
@@ -193,7 +200,7 @@
 	}
 }
 
-// requestLeases requests leases that are due, again and again.
+// requestLeases sends the lease requests that are due and schedules its next run.
 func (c *Client) requestLeases() {
 	now := c.loop.Now()
 	for name, leased := range c.leasedLimits {
@@ -202,12 +209,13 @@
 			request := leased.holder.NextRequest(now, svc.allocatorBootID, svc.openCalls)
 			c.requestLease(membership.Name(name), request)
 		}
-		leased.logChange(now, name, svc.openCalls) // a lease that has expired is logged here
+		leased.logChange(now, name, svc.openCalls) // logs that a lease has expired
 	}
 	c.loop.ScheduleAt(now+leaseInterval, c.requestLeases)
 }
 
-// HandleLease takes an allocator's answer.
+// HandleLease processes an allocator's answer to a lease request. It ignores answers from allocators that have been
+// replaced, and answers that the holder of the leases does not accept.
 func (c *Client) HandleLease(lease concurrencylease.Lease) {
 	for name, leased := range c.leasedLimits {
 		svc := c.services[name]
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -17,13 +17,13 @@
 	maxSlots    = 9
 )
 
-// harness is a client on a running event loop.
+// harness runs a Client on an event loop.
 type harness struct {
 	t         *testing.T
 	loop      *eventloop.Loop
 	client    *Client
-	requests  chan concurrencylease.Request // leases that were requested
-	available chan struct{}                 // a token after OnAvailable was called
+	requests  chan concurrencylease.Request // lease requests sent by the client
+	available chan struct{}                 // receives a token when the callback of OnAvailable is called
 }
 
 func newHarness(t *testing.T, config Config) *harness {
@@ -37,7 +37,7 @@
 	}
 	requestLease := func(name membership.Name, request concurrencylease.Request) {
 		if name != "s" {
-			t.Errorf("asked %q for a lease", name)
+			t.Errorf("lease requested from member %q, want \"s\"", name)
 		}
 		h.requests <- request
 	}
@@ -60,7 +60,7 @@
 	return h
 }
 
-// runOnLoop runs a function on the loop and waits for it.
+// runOnLoop calls f on the event loop and waits until it returns.
 func (h *harness) runOnLoop(f func()) {
 	h.t.Helper()
 	done := make(chan struct{})
@@ -71,11 +71,11 @@
 	select {
 	case <-done:
 	case <-time.After(testTimeout):
-		h.t.Fatal("the event loop stands still")
+		h.t.Fatal("timeout waiting for the event loop")
 	}
 }
 
-// acquire takes all slots that there are, fewer than maxSlots in each test.
+// acquire acquires all available slots. Each test has fewer than maxSlots.
 func (h *harness) acquire(excludedAddr string) (slots []server.UpstreamSlot) {
 	h.t.Helper()
 	h.runOnLoop(func() {
@@ -90,13 +90,13 @@
 	return slots
 }
 
-// awaitAvailable waits until OnAvailable was called since the last token was taken.
+// awaitAvailable waits until the callback of OnAvailable has been called since the last token was taken.
 func (h *harness) awaitAvailable() {
 	h.t.Helper()
 	select {
 	case <-h.available:
 	case <-time.After(testTimeout):
-		h.t.Fatal("nothing became available")
+		h.t.Fatal("timeout waiting for the callback of OnAvailable")
 	}
 }
 
@@ -108,7 +108,8 @@
 	return counts
 }
 
-// Configured services take MaxCalls each; a slot that is released is available again.
+// TestConfiguredServices checks that each configured service accepts MaxCalls calls, and that a released slot becomes
+// available again.
 func TestConfiguredServices(t *testing.T) {
 	h := newHarness(t, Config{Addresses: []string{"a:1", "b:1"}, MaxCalls: 2, MaxCallDuration: time.Minute})
 	slots := h.acquire("")
@@ -116,20 +117,21 @@
 		t.Fatalf("calls by service: %v, want 2 each", counts)
 	}
 	if got := slots[0].MaxDuration(); got != time.Minute {
-		t.Errorf("a call may take %v", got)
+		t.Errorf("maximum duration of a call is %v, want 1m", got)
 	}
 	h.runOnLoop(func() { slots[0].Release(admission.Succeeded, false) })
 	h.awaitAvailable()
 	if reacquired := h.acquire(""); len(reacquired) != 1 || reacquired[0].Addr() != slots[0].Addr() {
-		t.Errorf("after one release: %v", countByAddr(reacquired))
+		t.Errorf("calls by service after one release: %v, want 1 at %s", countByAddr(reacquired), slots[0].Addr())
 	}
 }
 
-// A service that refused a call is not chosen for it again, unless it is the only one.
+// TestExcludedService checks that a service that refused a call is not chosen for the call again, unless it is the only
+// service.
 func TestExcludedService(t *testing.T) {
 	config := Config{Addresses: []string{"a:1", "b:1"}, MaxCalls: 3, MaxCallDuration: time.Minute}
 	if counts := countByAddr(newHarness(t, config).acquire("a:1")); counts["a:1"] != 0 || counts["b:1"] != 3 {
-		t.Errorf("calls by service: %v, want 3 at b:1 alone", counts)
+		t.Errorf("calls by service: %v, want 3 at b:1 only", counts)
 	}
 	config.Addresses = []string{"a:1"}
 	if counts := countByAddr(newHarness(t, config).acquire("a:1")); counts["a:1"] != 3 {
@@ -137,7 +139,8 @@
 	}
 }
 
-// A call that may still be running at the service counts until its longest duration is over.
+// TestAbandonedCall checks that a call that may still be running at the service occupies its slot until the maximum
+// call duration has passed.
 func TestAbandonedCall(t *testing.T) {
 	const maxDuration = 200 * time.Millisecond
 	h := newHarness(t, Config{Addresses: []string{"a:1"}, MaxCalls: 1, MaxCallDuration: maxDuration})
@@ -148,18 +151,18 @@
 	}
 	h.runOnLoop(func() { slots[0].Release(admission.TimedOut, true) })
 	if slots := h.acquire(""); len(slots) != 0 && time.Since(startedAt) < maxDuration {
-		t.Error("a call that may be running does not count")
+		t.Error("a call that may be running does not occupy its slot")
 	}
 	h.awaitAvailable()
 	if elapsed := time.Since(startedAt); elapsed < maxDuration-10*time.Millisecond {
-		t.Errorf("available after %v", elapsed)
+		t.Errorf("slot available after %v, want the maximum call duration %v", elapsed, maxDuration)
 	}
 	if slots := h.acquire(""); len(slots) != 1 {
-		t.Errorf("%d slots after the call is over, want 1", len(slots))
+		t.Errorf("%d slots after the maximum call duration, want 1", len(slots))
 	}
 }
 
-// upstreamTable knows a member that stands beside the service "s" and is up.
+// upstreamTable returns a membership table with an available member "s", which has the upstream role.
 func upstreamTable(config membership.Config, bootID membership.BootID) *membership.Table {
 	table := membership.NewTable(membership.Descriptor{Name: "me", BootID: 1}, config, 0)
 	table.HandleAlive(membership.Descriptor{
@@ -179,7 +182,7 @@
 	return table
 }
 
-// leaseFor answers a request.
+// leaseFor returns the lease by which the allocator with a boot ID answers a request.
 func leaseFor(request concurrencylease.Request, bootID membership.BootID, limit int) concurrencylease.Lease {
 	return concurrencylease.Lease{
 		AllocatorBootID: bootID,
@@ -191,19 +194,21 @@
 	}
 }
 
+// nextRequest returns the next lease request.
 func (h *harness) nextRequest() concurrencylease.Request {
 	h.t.Helper()
 	select {
 	case request := <-h.requests:
 		return request
 	case <-time.After(testTimeout):
-		h.t.Fatal("no lease was requested")
+		h.t.Fatal("timeout waiting for a lease request")
 		return concurrencylease.Request{}
 	}
 }
 
-// A member beside a service gets calls by leases of its allocator alone: none before the first lease, and those of an
-// allocator that was replaced don't count. What was leased is kept while the member is missing from a view.
+// TestLeasedService checks that the service of a member is called only within the limits set by its allocator: there
+// are no calls before the first lease, and a lease of another allocator is ignored. A lease is kept while the member is
+// missing from the view.
 func TestLeasedService(t *testing.T) {
 	h := newHarness(t, Config{MaxCalls: 1, MaxCallDuration: time.Minute})
 	view := upstreamTable(membership.DefaultConfig(), 7).View()
@@ -215,20 +220,20 @@
 	h.runOnLoop(h.client.Start)
 	request := h.nextRequest()
 	if request.Holder.Name != "me" || request.WantedCalls == 0 {
-		t.Errorf("requested %+v, though a call waits", request)
+		t.Errorf("lease request is %+v, want holder \"me\" and a positive number of calls, because a call waits", request)
 	}
 	h.runOnLoop(func() { h.client.HandleLease(leaseFor(request, 8, 3)) })
 	if slots := h.acquire(""); len(slots) != 0 {
-		t.Fatalf("%d calls by a lease of another allocator", len(slots))
+		t.Fatalf("%d calls with a lease of another allocator", len(slots))
 	}
 	h.runOnLoop(func() { h.client.HandleLease(leaseFor(request, 7, 3)) })
 	h.awaitAvailable()
 	slots := h.acquire("")
-	if len(slots) != 4 { // 3 by the lease and 1 without
+	if len(slots) != 4 { // 3 with the lease and 1 without
 		t.Fatalf("%d calls, want 4", len(slots))
 	}
 	if slots[0].Addr() != "s:1" || slots[0].MaxDuration() != time.Second {
-		t.Errorf("a call to %s that may take %v", slots[0].Addr(), slots[0].MaxDuration())
+		t.Errorf("call to %s with maximum duration %v, want s:1 and 1s", slots[0].Addr(), slots[0].MaxDuration())
 	}
 	empty := membership.NewTable(membership.Descriptor{Name: "me", BootID: 1}, membership.DefaultConfig(), 0).View()
 	h.runOnLoop(func() {
@@ -238,15 +243,16 @@
 		h.client.SetView(empty)
 	})
 	if slots := h.acquire(""); len(slots) != 0 {
-		t.Errorf("%d calls to a service that no member stands beside", len(slots))
+		t.Errorf("%d calls to the service of a member missing from the view, want 0", len(slots))
 	}
 	h.runOnLoop(func() { h.client.SetView(view) })
 	if slots := h.acquire(""); len(slots) != 4 {
-		t.Errorf("%d calls once it is back, want 4", len(slots))
+		t.Errorf("%d calls after the member returned to the view, want 4", len(slots))
 	}
 }
 
-// A suspect member is still called while this process cannot tell whether the member is gone or it is cut off itself.
+// TestSuspectService checks that the service of a suspect member is called only while this process cannot determine
+// whether the member is gone or this process is isolated itself.
 func TestSuspectService(t *testing.T) {
 	config := membership.DefaultConfig()
 	config.GoneAfter = time.Hour
@@ -267,7 +273,8 @@
 	advance(5*time.Second, "a", "b", "c")
 	member, _ := table.View().Get("s")
 	if member.State != membership.StateSuspect || !table.View().LocalHealth.CanDeclareGone() {
-		t.Fatalf("it is %v, we are %v", member.State, table.View().LocalHealth)
+		t.Fatalf("member is %v and local health is %v, want suspect and a health that can declare members gone",
+			member.State, table.View().LocalHealth)
 	}
 	for _, test := range []struct {
 		name   string
@@ -281,7 +288,7 @@
 			})
 			if !test.called {
 				if len(h.requests) > 0 {
-					t.Error("asked for a lease")
+					t.Error("lease requested for the service of a suspect member")
 				}
 				return
 			}
--- a/internal/upstream/reservation.go
+++ b/internal/upstream/reservation.go
@@ -7,8 +7,8 @@
 	"lanewheel/internal/balancer"
 )
 
-// reservation is one call's place at a service. It implements server.UpstreamSlot and belongs to the client's event
-// loop.
+// reservation is the slot of one call at a service. It implements server.UpstreamSlot. It is owned by the client's
+// event loop.
 type reservation struct {
 	client      *Client
 	service     *service
@@ -22,8 +22,8 @@
 // MaxDuration implements server.UpstreamSlot.
 func (r *reservation) MaxDuration() time.Duration { return r.maxDuration }
 
-// Release implements server.UpstreamSlot. A call that may still be running at the service counts until the longest
-// that a call takes is over: one that is abandoned and made again has two calls running there.
+// Release implements server.UpstreamSlot. A call that may still be running at the service occupies its slot until the
+// maximum call duration has passed: if a call is abandoned and retried, two calls may be running at the service.
 func (r *reservation) Release(outcome admission.Outcome, stillRunning bool) {
 	now := r.client.loop.Now()
 	r.client.balancer.RecordOutcome(now, r.service.name, balancerOutcome(outcome), now-r.startedAt)
@@ -34,15 +34,16 @@
 	r.client.loop.ScheduleAt(max(now, r.startedAt+r.maxDuration), r.free)
 }
 
-// free frees the place. What waits for it is served in a turn of its own, as whoever released it is in the middle of
-// something.
+// free frees the slot. Waiting calls are started in a separate turn of the event loop, because the caller of Release
+// may be in the middle of an operation.
 func (r *reservation) free() {
 	r.service.openCalls--
 	loop := r.client.loop
 	loop.ScheduleAt(loop.Now(), r.client.onAvailable)
 }
 
-// balancerOutcome is what an outcome says of the service; one that says nothing of it counts as no response.
+// balancerOutcome returns the balancer's outcome for the outcome of a call. Outcomes that provide no information about
+// the service count as balancer.NoResponse.
 func balancerOutcome(outcome admission.Outcome) balancer.Outcome {
 	switch outcome {
 	case admission.Succeeded:
