--- a/internal/forward/connection.go
+++ b/internal/forward/connection.go
@@ -60,7 +60,7 @@
 	return f.dial(endpoint)
 }
 
-// dial starts to open a connection and adds it to the endpoint's connections.
+// dial starts opening a connection and adds it to the endpoint's connections.
 func (f *Forwarder) dial(endpoint *endpoint) *connection {
 	c := &connection{
 		forwarder: f,
--- a/internal/forward/forwarder_test.go
+++ b/internal/forward/forwarder_test.go
@@ -71,7 +71,7 @@
 			}
 			f.runOnLoop(func() {
 				if got := f.forwarder.Retries; got != uint64(test.attempts-1) {
-					t.Errorf("%d retries counted, want one less than the attempts", got)
+					t.Errorf("%d retries counted, want %d", got, test.attempts-1)
 				}
 			})
 		})
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -36,7 +36,7 @@
 func (f *Forwarder) newRequest(message frontend.Request, options Options, onDone func(Result)) *Request {
 	request := &Request{forwarder: f, message: message, options: options, onDone: onDone}
 	request.message.Body = append(f.net.Get(), message.Body...)
-	// Receivers do not retry a request that has been forwarded; this process retries it.
+	// A receiver does not retry a request that has been forwarded; retries are left to this process.
 	request.message.Hops++
 	// The request is finished at its deadline even if the endpoint never responds.
 	request.deadlineTimer = f.loop.ScheduleAt(max(f.loop.Now(), options.Deadline), request.Expire)
--- a/internal/forward/result.go
+++ b/internal/forward/result.go
@@ -18,7 +18,7 @@
 // Result is passed.
 type Result struct {
 	LastOutcome balancer.Outcome // outcome of the last attempt
-	NotSent     bool             // nothing of the last attempt was sent; each earlier attempt allowed a retry
+	NotSent     bool             // nothing of the last attempt was sent
 	NoEndpoint  bool             // there was no endpoint to try, or no other endpoint to retry at
 	TimedOut    bool             // the deadline passed, or Expire was called
 	rpc.Response
@@ -64,7 +64,7 @@
 	return Failed
 }
 
-// Respond passes the response to a responder. The caller must call Done afterwards.
+// Respond passes the response to a responder. The caller of Respond must call the responder's Done afterwards.
 func (r Result) Respond(responder frontend.Responder) {
 	switch r.Disposition() {
 	case Succeeded:
--- a/internal/forward/testfleet_test.go
+++ b/internal/forward/testfleet_test.go
@@ -146,7 +146,7 @@
 	return <-started, results
 }
 
-// runOnLoop runs something runOnLoop the loop and waits for it.
+// runOnLoop calls do on the event loop and waits until it returns.
 func (f *testFleet) runOnLoop(do func()) {
 	done := make(chan struct{})
 	f.loop.Post(func() { do(); close(done) })
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -32,8 +32,8 @@
 	RetryAfter  time.Duration // sent with rejections for lack of an instance; 0: none is sent
 }
 
-// Proxy is a process that forwards requests. It is owned by its event loop: except for Attach, Serve and Post, its
-// methods must be called only there. Post may be called on any goroutine.
+// Proxy is a process that forwards requests. It is owned by its event loop: except for Attach and Serve, the methods
+// that Proxy defines must be called only there. Post may be called on any goroutine.
 type Proxy struct {
 	*eventloop.Loop
 	config      Config
--- a/internal/proxy/script_test.go
+++ b/internal/proxy/script_test.go
@@ -90,7 +90,7 @@
 		}
 		parts, isRequest := message.([]any)
 		if !isRequest {
-			return // from a process of another test that dialed a port used by its peer before; the proxy sends only lists
+			return // sent by a process of another test that dialed its former peer's port; the proxy sends only lists
 		}
 		if len(parts) == 3 {
 			s.nextStep(fmt.Sprint(parts[1]))
--- a/internal/spillover/spillover_test.go
+++ b/internal/spillover/spillover_test.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// runOnLoop runs something runOnLoop the loop and waits for it.
+// runOnLoop calls do on the event loop and waits until it returns.
 func (x *testInstance) runOnLoop(do func()) {
 	done := make(chan struct{})
 	x.loop.Post(func() { do(); close(done) })
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -37,8 +37,9 @@
 // answer must be passed to Client.HandleLease.
 type RequestLeaseFunc func(name membership.Name, request concurrencylease.Request)
 
-// Client distributes the calls of one server among services. It implements server.Upstreams. It is owned by the
-// server's event loop: all methods must be called there.
+// Client distributes the calls of one server among services. Services are configured by address, or run next to a
+// member with the upstream role, which advertises the service's address and allocates its leases. Client implements
+// server.Upstreams. It is owned by the server's event loop: all methods must be called there.
 type Client struct {
 	loop         *eventloop.Loop
 	config       Config
@@ -209,7 +210,7 @@
 			request := leased.holder.NextRequest(now, svc.allocatorBootID, svc.openCalls)
 			c.requestLease(membership.Name(name), request)
 		}
-		leased.logChange(now, name, svc.openCalls) // logs that a lease has expired
+		leased.logChange(now, name, svc.openCalls) // also logs the expiry of a lease
 	}
 	c.loop.ScheduleAt(now+leaseInterval, c.requestLeases)
 }
