--- a/internal/forward/connection.go
+++ b/internal/forward/connection.go
@@ -35,9 +35,10 @@
 }
 
 // pickConnection returns the connection on which to send a request to an endpoint: the established connection with
-// the fewest requests in progress, otherwise one that is connecting, otherwise a new one. It returns nil if all
-// connections are full. A connection is opened only if no other one has room, because there may be hundreds of
-// senders, each with connections to hundreds of endpoints.
+// the fewest requests in progress, otherwise one that is connecting, otherwise a new one. It returns nil if no existing
+// connection has room and ConnectionsPerEndpoint of them exist, including those that are draining. A connection is
+// opened only if no existing one has room, because there may be hundreds of senders, each with connections to hundreds
+// of endpoints.
 func (f *Forwarder) pickConnection(endpoint *endpoint) *connection {
 	var leastUsed, connecting *connection
 	for _, c := range endpoint.connections {
@@ -107,6 +108,7 @@
 	}
 }
 
+// send sends a request unless it has been finished or detached from the connection.
 func (c *connection) send(request *Request) {
 	if request.onDone == nil || request.connection != c {
 		return
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -91,7 +91,7 @@
 	return request
 }
 
-// ForwardTo is like Forward, but it sends the request only to the endpoint at an index of the Balancer.
+// ForwardTo is like Forward, but it sends the request only to the endpoint with this index in the Balancer.
 func (f *Forwarder) ForwardTo(index int, message frontend.Request, options Options, onDone func(Result)) *Request {
 	options.MaxAttempts = 1
 	request := f.newRequest(message, options, onDone)
@@ -99,13 +99,14 @@
 	return request
 }
 
-// tryNext starts an attempt at the endpoint that the Balancer picks among those not tried yet. It finishes the request
-// if there is none.
+// tryNext starts an attempt at the endpoint that the Balancer picks among those not recorded as tried, and then sends
+// the probes that are due. If there is no such endpoint, it finishes the request.
 func (f *Forwarder) tryNext(request *Request) {
 	index, ok := f.Balancer.Pick(f.loop.Now(), f.random.Float64, func(index int) bool {
 		return request.hasTried(f.Balancer.NameAt(index))
 	})
-	if !ok { // after earlier attempts, the request has not run or is idempotent, so the caller may send it again
+	if !ok {
+		// Each earlier attempt permitted a retry: the request has not run or is idempotent, so the caller may retry it, too.
 		request.finish(Result{LastOutcome: balancer.Rejected, NoEndpoint: true, Response: busyResponse})
 		return
 	}
@@ -115,7 +116,7 @@
 	}
 }
 
-// tryEndpoint starts an attempt at the endpoint at an index of the Balancer.
+// tryEndpoint starts an attempt at the endpoint with this index in the Balancer.
 func (f *Forwarder) tryEndpoint(request *Request, index int) {
 	endpoint := f.endpoints[f.Balancer.NameAt(index)]
 	f.Balancer.RecordStart(f.loop.Now(), index)
@@ -140,7 +141,8 @@
 	notSent bool // nothing of the request was sent
 }
 
-// finishAttempt is called when an attempt has ended. It either finishes the request or tries another endpoint.
+// finishAttempt is called when an attempt has ended. It records the outcome. It then finishes the request or tries
+// another endpoint, or releases the request if it has already been finished.
 func (f *Forwarder) finishAttempt(
 	request *Request, name balancer.EndpointName, response rpc.Response, end attemptEnd,
 ) {
--- a/internal/forward/forwarder_test.go
+++ b/internal/forward/forwarder_test.go
@@ -49,7 +49,7 @@
 	}{
 		{"success", false, nil, succeeded, 1},
 		{"rejected once", false, []string{"busy"}, succeeded, 2},
-		{"rejected by all attempts", true, []string{"busy", "busy", "busy", "busy"}, rejected, 3},
+		{"rejected in every attempt", true, []string{"busy", "busy", "busy", "busy"}, rejected, 3},
 		{"no failover", true, []string{"no-failover"}, rejected, 1},
 		{"denied", true, []string{"deny"}, denied, 1},
 		{"failed", true, []string{"fail"}, failed, 1},
@@ -109,7 +109,7 @@
 		disposition: Failed,
 	}
 	if elapsed := time.Since(startedAt); got != want || elapsed < 140*time.Millisecond {
-		t.Errorf("result %+v after %v, want %+v", got, elapsed, want)
+		t.Errorf("result %+v after %v, want %+v after at least 140ms", got, elapsed, want)
 	}
 	fake.WaitFor("the endpoint to be notified", func() bool { return f.receivedCount() == 2 })
 	if got := f.receivedSoFar(); got[1] != "interrupt" {
@@ -117,7 +117,8 @@
 	}
 }
 
-// TestCancel checks that a canceled request has no result, and that the endpoint is notified.
+// TestCancel checks that a canceled request has no result, that the endpoint is notified, and that later calls of
+// Cancel and Expire do nothing.
 func TestCancel(t *testing.T) {
 	f := newTestFleet(t, 1, nil, "silent")
 	request, results := f.forward(300*time.Millisecond, true)
--- a/internal/forward/forwardtest/forwardtest.go
+++ b/internal/forward/forwardtest/forwardtest.go
@@ -41,7 +41,7 @@
 	return membership.NewTable(descriptor, membership.DefaultConfig(), 0)
 }
 
-// AddInstance adds to a table an instance that is ready and serves requests at an address.
+// AddInstance adds a ready instance to a membership table. addr is the address at which it serves requests.
 func AddInstance(table *membership.Table, name membership.Name, addr string) {
 	id := membership.ID{Name: name, BootID: 1}
 	table.HandleAlive(membership.Descriptor{
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -20,7 +20,7 @@
 // buffer of its body is reused.
 type Request struct {
 	forwarder     *Forwarder
-	message       frontend.Request // Body is nil once it is released
+	message       frontend.Request // Body is nil once the request is released
 	options       Options
 	onDone        func(Result) // nil: it has been called, or the request has been canceled
 	deadlineTimer *eventloop.Timer
@@ -68,8 +68,8 @@
 	}
 }
 
-// renewID replaces the id of the request before a retry. The protocol requires an id per attempt, because an instance
-// cannot distinguish two attempts in progress with the same id.
+// renewID replaces the id of the request before a retry. The protocol requires a different id for each attempt, because
+// an instance cannot distinguish two attempts in progress with the same id.
 func (r *Request) renewID() {
 	r.message.ID = fmt.Sprintf("%016x", r.forwarder.random.Uint64())
 }
--- a/internal/forward/result.go
+++ b/internal/forward/result.go
@@ -14,8 +14,8 @@
 	failedResponse = rpc.Response{Error: rpc.CodeFailed, Metadata: frontend.ResponseMetadata{LoadReport: -1}}
 )
 
-// Result is the result of a request that was forwarded. Response.Result is valid only during the call to which the
-// Result is passed.
+// Result is the result of a request that was forwarded. Response.Result is valid only until the onDone callback that
+// receives the Result returns.
 type Result struct {
 	LastOutcome balancer.Outcome // outcome of the last attempt
 	NotSent     bool             // nothing of the last attempt was sent
@@ -24,8 +24,8 @@
 	rpc.Response
 }
 
-// MayHaveRun reports whether the request may have run in its last attempt. Each earlier attempt allowed a retry: it
-// proved that the request has not run, or the request is idempotent.
+// MayHaveRun reports whether the request may have run in its last attempt. Earlier attempts need no check, because a
+// request is retried only if the previous attempt proved that it has not run, or if it is idempotent.
 func (r Result) MayHaveRun() bool {
 	return r.LastOutcome != balancer.Rejected && !r.NotSent && !r.NoEndpoint
 }
@@ -36,8 +36,8 @@
 // The dispositions.
 const (
 	Succeeded Disposition = iota
-	Rejected              // the request has not run
-	Denied                // the caller lacks permission: the request has not run, and a retry would be denied, too
+	Rejected              // the request has not run, or it is idempotent and did not run in its last attempt
+	Denied                // like Rejected, but the caller lacks permission, and a retry would be denied, too
 	Failed                // the request may have run
 )
 
--- a/internal/forward/view.go
+++ b/internal/forward/view.go
@@ -7,11 +7,11 @@
 	"lanewheel/internal/membership"
 )
 
-// subset is the last computed subset of the endpoints that this process uses.
+// subset is the subset of the endpoints that this process uses, with the names from which it was computed.
 type subset struct {
-	endpoints []balancer.EndpointName // all endpoints when the subset was computed
-	peers     []balancer.EndpointName // all peers when the subset was computed, this process first
-	selected  map[balancer.EndpointName]bool
+	endpoints []balancer.EndpointName        // all endpoints when the subset was computed
+	peers     []balancer.EndpointName        // all peers when the subset was computed, this process first
+	selected  map[balancer.EndpointName]bool // the endpoints that this process uses
 }
 
 // UpdateView replaces the endpoints with those in a view of the fleet. role is the role of this process. If SubsetSize
@@ -43,9 +43,10 @@
 	f.setEndpoints(endpoints, addresses)
 }
 
-// isEndpoint reports whether requests may be sent to a member. A suspect member receives no requests unless this
-// process is unable to declare members gone, for instance because it is isolated. The suspicion is then no evidence
-// against the member, so the member is still tried. A member that is suspect because of flapping is never tried.
+// isEndpoint reports whether requests may be sent to a member. A suspect member receives no requests unless the local
+// health does not permit this process to declare members gone, for instance because the process is isolated. In that
+// case, the suspicion is no evidence against the member, so the member is still tried. A member that is suspect because
+// of flapping is never tried.
 func isEndpoint(view *membership.View, member *membership.Member) bool {
 	if member.Roles&membership.RoleServer == 0 || member.ServiceAddr == "" {
 		return false
@@ -58,8 +59,8 @@
 		!view.LocalHealth.CanDeclareGone()
 }
 
-// selectSubset returns the endpoints that this process uses. Computing subsets covers the whole fleet, so they are
-// computed only when an endpoint or a peer has joined or left.
+// selectSubset returns the endpoints that this process uses. balancer.Subsets computes the subsets of all peers at
+// once, so it is called only when an endpoint or a peer has joined or left.
 func (f *Forwarder) selectSubset(
 	endpoints []balancer.Endpoint, peers []balancer.EndpointName,
 ) []balancer.Endpoint {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,6 +1,6 @@
 // Package proxy receives requests in the client protocol, forwards each of them to one of many instances and returns
-// its one response. It stores nothing except the requests in flight. internal/balancer decides which instance receives
-// a request and whether another instance is tried.
+// exactly one response per request. It stores nothing except the requests in flight. internal/balancer decides which
+// instance receives a request and whether another instance is tried.
 package proxy
 
 import (
@@ -29,7 +29,7 @@
 	forward.Config
 	MaxInFlight int           // maximum number of requests in flight
 	DrainGrace  time.Duration // time after the notice to drain during which requests are still forwarded
-	RetryAfter  time.Duration // sent with rejections for lack of an instance; 0: none is sent
+	RetryAfter  time.Duration // Retry-After of rejections for which no instance was available; 0: none
 }
 
 // Proxy is a process that forwards requests. It is owned by its event loop: except for Attach and Serve, the methods
@@ -47,7 +47,7 @@
 	frontends   []frontend.Frontend        // attached in addition to clients
 	registry    *discovery.Registry        // nil: none is configured, or it has not been reached yet
 	draining    bool
-	acceptUntil time.Duration // while draining: time from which on requests are rejected
+	acceptUntil time.Duration // while draining: requests that arrive at or after this time are rejected
 	counters    counters
 }
 
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -104,9 +104,9 @@
 	// ['\x01' '\x01' ["Busy" map["after":"90"]] <nil>]
 }
 
-// Example_drain shows that a request is rejected, as by an instance, if another request in flight has the same id or if
-// its class is not defined. After a notice to drain, requests are forwarded during the grace period and rejected after
-// it. All requests are answered.
+// Example_drain shows that the proxy, like an instance, rejects a request if another request in flight has the same id
+// or if its class is not defined. After a notice to drain, requests are forwarded during the grace period and rejected
+// after it. All requests are answered.
 func Example_drain() {
 	proxy, script, addr := startProxy(2, "silent")
 	client := fake.Dial(addr)
--- a/internal/proxy/registry.go
+++ b/internal/proxy/registry.go
@@ -22,7 +22,8 @@
 	p.ScheduleAt(p.Now()+registryInterval, p.reportToRegistry)
 }
 
-// connectRegistry connects to the registry. It logs an error; the next report tries again.
+// connectRegistry connects to the registry. If it fails, it logs the error, and the next call of reportToRegistry
+// retries.
 func (p *Proxy) connectRegistry() {
 	registry, err := discovery.NewRegistry(p.platform.RegistryAddr, p.platform.Name)
 	if err != nil {
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -9,8 +9,8 @@
 	"lanewheel/internal/frontend"
 )
 
-// maxAttempts is the maximum number of instances to which a request is sent. If two instances in succession are full,
-// the fleet is assumed to be full.
+// maxAttempts is the maximum number of instances to which a request is sent. If the two instances tried after the first
+// one are also full, the fleet is assumed to be full.
 const maxAttempts = 3
 
 // proxiedRequest is a request in flight.
@@ -74,7 +74,7 @@
 	return request
 }
 
-// accepts reports whether a request with an id may be forwarded. There must be memory for its body, and no other
+// accepts reports whether a request with this id may be forwarded. There must be memory for its body, and no other
 // request in flight may have the same id, because their responses could not be told apart. While the proxy drains, it
 // accepts requests only until acceptUntil.
 func (p *Proxy) accepts(id string) bool {
--- a/internal/proxy/script_test.go
+++ b/internal/proxy/script_test.go
@@ -90,7 +90,7 @@
 		}
 		parts, isRequest := message.([]any)
 		if !isRequest {
-			return // sent by a process of another test that dialed its former peer's port; the proxy sends only lists
+			return // not from the proxy, which sends only lists: another test's process dialed the port of a former peer
 		}
 		if len(parts) == 3 {
 			s.nextStep(fmt.Sprint(parts[1]))
--- a/internal/spillover/eventlog.go
+++ b/internal/spillover/eventlog.go
@@ -25,7 +25,7 @@
 	disposition forward.Disposition      // set for requestFinished
 }
 
-// write logs an event with a count under an attribute key.
+// write logs the event. key is the attribute key for count.
 func (e event) write(key string, count uint64) {
 	switch e.kind {
 	case requestNotSpilled:
@@ -37,7 +37,8 @@
 	}
 }
 
-// eventLog counts events and logs a limited number of each per second. It is owned by the event loop.
+// eventLog counts events and logs a limited number of occurrences of each event per second. It is owned by the event
+// loop.
 type eventLog struct {
 	totals  map[event]uint64 // since the process started
 	sampler logging.Sampler[event]
@@ -54,7 +55,7 @@
 	}
 }
 
-// flush logs the number of suppressed events, at most once per second.
+// flush logs, for each event, how many occurrences were not logged. It does so at most once per second.
 func (l *eventLog) flush(now time.Time) {
 	l.sampler.FlushSuppressed(now, func(e event, suppressed int) { e.write("suppressed", uint64(suppressed)) })
 }
--- a/internal/spillover/spillover.go
+++ b/internal/spillover/spillover.go
@@ -52,8 +52,8 @@
 	forwarding *forward.Request
 }
 
-// New returns the Spillover of the instance srv. It shares the instance's event loop and its sockets, net. seed seeds
-// its random numbers. probe may be nil.
+// New returns the Spillover of the instance srv. It uses the event loop of srv and opens connections through net, which
+// it shares with srv. seed seeds its random numbers. probe may be nil.
 func New(srv *server.Server, net *transport.Net, config Config, seed uint64, probe forward.ProbeFunc) *Spillover {
 	return newSpillover(srv.Loop, srv.Load, forward.New(srv.Loop, net, config.Config, seed, probe), config)
 }
@@ -169,8 +169,8 @@
 	request.forwarding.Cancel()
 }
 
-// Drain implements frontend.Frontend. Forwarded requests may still receive their results. Those without a result
-// answerMargin before the end of the drain are answered as timed out.
+// Drain implements frontend.Frontend. Forwarded requests may still receive their results. At answerMargin before the
+// end of the drain, requests that still have no result are answered as timed out.
 func (s *Spillover) Drain(remaining time.Duration) {
 	s.draining = true
 	s.loop.ScheduleAt(s.loop.Now()+max(0, remaining-answerMargin), func() {
--- a/internal/spillover/spillover_test.go
+++ b/internal/spillover/spillover_test.go
@@ -44,13 +44,14 @@
 	return fmt.Sprint(r.calls)
 }
 
-// testInstance is the spillover of an instance with a load of 10 in a fleet with one other instance. The behavior of
-// the other instance is the same for all requests: succeed, busy, deny or fail. If it is empty, it never responds.
+// testInstance is the spillover of an instance with a load of 10 in a fleet with one other instance.
 type testInstance struct {
 	loop      *eventloop.Loop
 	spillover *Spillover
 }
 
+// newTestInstance starts both instances. behavior is the reaction of the other instance to all requests: succeed, busy,
+// deny or fail. If behavior is empty, the other instance never responds.
 func newTestInstance(t *testing.T, behavior string) *testInstance {
 	t.Helper()
 	listener := fake.Must((&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0"))
@@ -157,7 +158,7 @@
 			fake.WaitFor("a response", func() bool { return responder.String() == test.want })
 			finished := event{kind: requestFinished, disposition: test.disposition}
 			if x.total(event{kind: requestSpilled}) != 1 || x.total(finished) != 1 {
-				t.Error("the spilled request and its result are not counted once each")
+				t.Error("the spilled request or its result is not counted exactly once")
 			}
 			x.runOnLoop(func() {
 				if !x.spillover.Drained() {
@@ -174,11 +175,11 @@
 	x := newTestInstance(t, "succeed")
 	responder := &recorder{}
 	if x.forward(1, responder) != nil || x.total(event{kind: requestNotSpilled, reason: balancer.AlreadyForwarded}) != 1 {
-		t.Error("a request that had been forwarded is forwarded again or not counted as already forwarded")
+		t.Error("a request that was forwarded before is forwarded again, or is not counted with the reason already-forwarded")
 	}
 	x.runOnLoop(func() { x.spillover.Drain(time.Second) })
 	if x.forward(0, responder) != nil || x.total(event{kind: requestNotSpilled, reason: balancer.Draining}) != 1 {
-		t.Error("a request is forwarded during a drain or not counted as not forwarded for that reason")
+		t.Error("a request is forwarded during a drain, or is not counted with the reason draining")
 	}
 	if responder.String() != "[]" {
 		t.Errorf("responder calls %v, want none", responder)
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -33,13 +33,14 @@
 	MaxCallDuration time.Duration // maximum duration of a call
 }
 
-// RequestLeaseFunc sends a lease request to the allocator of a service, which runs in the member with that name. The
-// answer must be passed to Client.HandleLease.
+// RequestLeaseFunc sends a lease request to the allocator of a service. name is the name of the member in which the
+// allocator runs. The answer must be passed to Client.HandleLease.
 type RequestLeaseFunc func(name membership.Name, request concurrencylease.Request)
 
 // Client distributes the calls of one server among services. Services are configured by address, or run next to a
 // member with the upstream role, which advertises the service's address and allocates its leases. Client implements
-// server.Upstreams. It is owned by the server's event loop: all methods must be called there.
+// server.Upstreams. It is owned by the server's event loop: all methods must be called there, except that OnAvailable
+// may also be called before the loop runs.
 type Client struct {
 	loop         *eventloop.Loop
 	config       Config
@@ -124,7 +125,8 @@
 }
 
 // isCallable reports whether the service of a member may be called. The service of a suspect member is called only
-// while this process cannot determine whether the member is gone or this process is isolated itself.
+// while the local health does not permit this process to declare members gone, for instance because the process is
+// isolated. In that case, this process cannot determine whether the member is gone.
 func isCallable(member membership.Member, health membership.LocalHealth) bool {
 	if member.Roles&membership.RoleUpstream == 0 || member.ServiceAddr == "" {
 		return false
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -182,7 +182,7 @@
 	return table
 }
 
-// leaseFor returns the lease by which the allocator with a boot ID answers a request.
+// leaseFor returns the lease with which an allocator answers a request. bootID is the boot ID of the allocator.
 func leaseFor(request concurrencylease.Request, bootID membership.BootID, limit int) concurrencylease.Lease {
 	return concurrencylease.Lease{
 		AllocatorBootID: bootID,
@@ -215,7 +215,7 @@
 	h.runOnLoop(func() { h.client.SetView(view) })
 	h.awaitAvailable()
 	if slots := h.acquire(""); len(slots) != 0 {
-		t.Fatalf("%d calls without a lease", len(slots))
+		t.Fatalf("%d calls without a lease, want 0", len(slots))
 	}
 	h.runOnLoop(h.client.Start)
 	request := h.nextRequest()
@@ -224,7 +224,7 @@
 	}
 	h.runOnLoop(func() { h.client.HandleLease(leaseFor(request, 8, 3)) })
 	if slots := h.acquire(""); len(slots) != 0 {
-		t.Fatalf("%d calls with a lease of another allocator", len(slots))
+		t.Fatalf("%d calls with a lease of another allocator, want 0", len(slots))
 	}
 	h.runOnLoop(func() { h.client.HandleLease(leaseFor(request, 7, 3)) })
 	h.awaitAvailable()
@@ -251,8 +251,8 @@
 	}
 }
 
-// TestSuspectService checks that the service of a suspect member is called only while this process cannot determine
-// whether the member is gone or this process is isolated itself.
+// TestSuspectService checks that the service of a suspect member is called while this process is isolated, so that it
+// cannot determine whether the member is gone, and is not called while this process is healthy.
 func TestSuspectService(t *testing.T) {
 	config := membership.DefaultConfig()
 	config.GoneAfter = time.Hour
--- a/internal/upstream/reservation.go
+++ b/internal/upstream/reservation.go
@@ -42,8 +42,8 @@
 	loop.ScheduleAt(loop.Now(), r.client.onAvailable)
 }
 
-// balancerOutcome returns the balancer's outcome for the outcome of a call. Outcomes that provide no information about
-// the service count as balancer.NoResponse.
+// balancerOutcome returns the balancer's outcome for the outcome of a call. All outcomes without a response from the
+// service count as balancer.NoResponse, including those that provide no information about the service.
 func balancerOutcome(outcome admission.Outcome) balancer.Outcome {
 	switch outcome {
 	case admission.Succeeded:
--- a/internal/upstream/service.go
+++ b/internal/upstream/service.go
@@ -24,7 +24,7 @@
 	limit(now time.Duration) int
 	// maxCallDuration returns the maximum duration of a call.
 	maxCallDuration() time.Duration
-	// recordDemand records the number of concurrent calls that are wanted.
+	// recordDemand records the number of concurrent calls that are wanted, including the open ones.
 	recordDemand(now time.Duration, calls int)
 	// inForce reports whether the limit is configured or granted by a lease that has not expired.
 	inForce(now time.Duration) bool
