--- a/internal/spillover/spillover_test.go
+++ b/internal/spillover/spillover_test.go
@@ -50,8 +50,8 @@
 	spillover *Spillover
 }
 
-// newTestInstance starts both instances. behavior is the reaction of the other instance to all requests: succeed, busy,
-// deny or fail. If behavior is empty, the other instance never responds.
+// newTestInstance starts the spillover and the other instance. behavior is the reaction of the other instance to all
+// requests: succeed, busy, deny or fail. If behavior is empty, the other instance never responds.
 func newTestInstance(t *testing.T, behavior string) *testInstance {
 	t.Helper()
 	listener := fake.Must((&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0"))
