--- a/internal/forward/forwarder_test.go
+++ b/internal/forward/forwarder_test.go
@@ -12,13 +12,13 @@
 	"lanewheel/internal/rpc"
 )
 
-// summary is what a test compares of a Result.
+// summary contains the properties of a Result that tests compare.
 type summary struct {
-	outcome                      balancer.Outcome
-	errorCode                    rpc.ErrorCode
-	notSent, noEndpoint, expired bool
-	mayHaveRun                   bool
-	disposition                  Disposition
+	outcome                       balancer.Outcome
+	errorCode                     rpc.ErrorCode
+	notSent, noEndpoint, timedOut bool
+	mayHaveRun                    bool
+	disposition                   Disposition
 }
 
 func summarize(result Result) summary {
@@ -27,13 +27,13 @@
 		errorCode:   result.Error,
 		notSent:     result.NotSent,
 		noEndpoint:  result.NoEndpoint,
-		expired:     result.TimedOut,
+		timedOut:    result.TimedOut,
 		mayHaveRun:  result.MayHaveRun(),
 		disposition: result.Disposition(),
 	}
 }
 
-// TestForwardResults checks the result of a request and the number of its attempts by what endpoints do with it.
+// TestForwardResults checks the result of a request and the number of its attempts for each behavior of the endpoints.
 func TestForwardResults(t *testing.T) {
 	succeeded := summary{outcome: balancer.Succeeded, mayHaveRun: true}
 	failed := summary{outcome: balancer.Failed, errorCode: "Failed", mayHaveRun: true, disposition: Failed}
@@ -49,7 +49,7 @@
 	}{
 		{"success", false, nil, succeeded, 1},
 		{"rejected once", false, []string{"busy"}, succeeded, 2},
-		{"rejected by all attempts", true, []string{"busy", "busy", "busy", "busy"}, rejected, 3},
+		{"rejected in every attempt", true, []string{"busy", "busy", "busy", "busy"}, rejected, 3},
 		{"no failover", true, []string{"no-failover"}, rejected, 1},
 		{"denied", true, []string{"deny"}, denied, 1},
 		{"failed", true, []string{"fail"}, failed, 1},
@@ -59,29 +59,29 @@
 		t.Run(test.name, func(t *testing.T) {
 			f := newTestFleet(t, 4, nil, test.steps...)
 			_, results := f.forward(3*time.Second, test.idempotent)
-			result := wait(t, results)
+			result := waitForResult(t, results)
 			if got := summarize(result); got != test.want {
 				t.Errorf("result %+v, want %+v", got, test.want)
 			}
 			if result.Error == "" && string(result.Result) != "body" {
-				t.Errorf("body %q", result.Result)
+				t.Errorf("result body %q, want \"body\"", result.Result)
 			}
 			if got := f.receivedSoFar(); len(got) != test.attempts || got[0] != "view 1" {
-				t.Errorf("attempts %v, want %d", got, test.attempts)
+				t.Errorf("received %v, want %d attempts, the first of them \"view 1\"", got, test.attempts)
 			}
-			f.on(func() {
+			f.runOnLoop(func() {
 				if got := f.forwarder.Retries; got != uint64(test.attempts-1) {
-					t.Errorf("%d retries counted", got)
+					t.Errorf("%d retries counted, want %d", got, test.attempts-1)
 				}
 			})
 		})
 	}
 }
 
-// TestForwardWithoutEndpoints checks that the result comes at once, before Forward returns.
+// TestForwardWithoutEndpoints checks that onDone is called before Forward returns if there is no endpoint.
 func TestForwardWithoutEndpoints(t *testing.T) {
 	f := newTestFleet(t, 0, nil)
-	f.on(func() {
+	f.runOnLoop(func() {
 		var results []Result
 		options := Options{Deadline: f.loop.Now() + time.Second, Idempotent: true, MaxAttempts: 3}
 		f.forwarder.Forward(frontend.Request{ID: "1", Class: "view"}, options, func(result Result) {
@@ -89,137 +89,138 @@
 		})
 		want := summary{outcome: balancer.Rejected, errorCode: "Busy", noEndpoint: true, disposition: Rejected}
 		if len(results) != 1 || summarize(results[0]) != want || results[0].Metadata.LoadReport != -1 {
-			t.Errorf("%+v", results)
+			t.Errorf("results %+v, want a single rejection without a load report", results)
 		}
 	})
 }
 
-// TestForwardDeadline checks that a request is answered at its deadline where no endpoint does, and that the
-// endpoint is notified that nobody waits.
+// TestForwardDeadline checks that a request to which no endpoint responds is finished at its deadline, and that the
+// endpoint is notified that the response is no longer needed.
 func TestForwardDeadline(t *testing.T) {
 	f := newTestFleet(t, 1, nil, "silent")
 	startedAt := time.Now()
 	_, results := f.forward(150*time.Millisecond, true)
-	got := summarize(wait(t, results))
+	got := summarize(waitForResult(t, results))
 	want := summary{
 		outcome:     balancer.NoResponse,
 		errorCode:   "Failed",
-		expired:     true,
+		timedOut:    true,
 		mayHaveRun:  true,
 		disposition: Failed,
 	}
 	if elapsed := time.Since(startedAt); got != want || elapsed < 140*time.Millisecond {
-		t.Errorf("result %+v after %v, want %+v", got, elapsed, want)
+		t.Errorf("result %+v after %v, want %+v after at least 140ms", got, elapsed, want)
 	}
 	fake.WaitFor("the endpoint to be notified", func() bool { return f.receivedCount() == 2 })
 	if got := f.receivedSoFar(); got[1] != "interrupt" {
-		t.Error(got)
+		t.Errorf("received %v, want \"interrupt\" as the second message", got)
 	}
 }
 
-// TestCancel checks that a canceled request has no result, and that the endpoint is notified.
+// TestCancel checks that a canceled request has no result, that the endpoint is notified, and that later calls of
+// Cancel and Expire do nothing.
 func TestCancel(t *testing.T) {
 	f := newTestFleet(t, 1, nil, "silent")
 	request, results := f.forward(300*time.Millisecond, true)
-	fake.WaitFor("the request to be there", func() bool { return f.receivedCount() == 1 })
-	f.on(request.Cancel)
-	f.on(request.Cancel)
-	f.on(request.Expire)
+	fake.WaitFor("the endpoint to receive the request", func() bool { return f.receivedCount() == 1 })
+	f.runOnLoop(request.Cancel)
+	f.runOnLoop(request.Cancel)
+	f.runOnLoop(request.Expire)
 	fake.WaitFor("the endpoint to be notified", func() bool { return f.receivedCount() == 2 })
 	select {
 	case result := <-results:
-		t.Errorf("a canceled request has the result %+v", result)
+		t.Errorf("canceled request has result %+v, want none", result)
 	case <-time.After(400 * time.Millisecond):
 	}
 }
 
-// TestForwardTo checks that a request goes to the endpoint that is named, and to no other.
+// TestForwardTo checks that a request is sent to the given endpoint only, even if that endpoint rejects it.
 func TestForwardTo(t *testing.T) {
 	f := newTestFleet(t, 3, nil, "busy")
 	results := make(chan Result, 1)
-	f.on(func() {
+	f.runOnLoop(func() {
 		request := frontend.Request{ID: "1", Class: "view"}
 		options := Options{Deadline: f.loop.Now() + time.Second, Idempotent: true}
 		f.forwarder.ForwardTo(2, request, options, func(result Result) { results <- result })
 	})
 	want := summary{outcome: balancer.Rejected, errorCode: "Busy", disposition: Rejected}
-	if got := summarize(wait(t, results)); got != want {
+	if got := summarize(waitForResult(t, results)); got != want {
 		t.Errorf("result %+v, want %+v", got, want)
 	}
 	if got := f.receivedCount(); got != 1 {
-		t.Errorf("%d attempts", got)
+		t.Errorf("%d attempts, want 1", got)
 	}
 }
 
-// TestConnectionLimits checks that a connection carries as many requests as the protocol allows, that a further one is
-// opened up to the limit, and that a request beyond is rejected without being sent.
+// TestConnectionLimits checks that a connection carries as many requests as the protocol allows, that further
+// connections are opened up to the limit, and that a request in excess of the limit is rejected without being sent.
 func TestConnectionLimits(t *testing.T) {
 	const limit = 2 * maxInFlight
 	f := newTestFleet(t, 1, nil, slices.Repeat([]string{"silent"}, limit)...)
 	first, _ := f.forward(time.Second, true)
-	fake.WaitFor("the first request to be there", func() bool { return f.receivedCount() == 1 })
+	fake.WaitFor("the endpoint to receive the first request", func() bool { return f.receivedCount() == 1 })
 	for range maxInFlight - 1 {
 		f.forward(time.Second, true)
 	}
-	fake.WaitFor("a connection's worth to be there", func() bool { return f.receivedCount() == maxInFlight })
+	fake.WaitFor("requests that fill one connection", func() bool { return f.receivedCount() == maxInFlight })
 	if got := f.connectionCount(); got != 1 {
-		t.Errorf("%d connections for %d requests", got, maxInFlight)
+		t.Errorf("%d connections for %d requests, want 1", got, maxInFlight)
 	}
 	for range maxInFlight {
 		f.forward(time.Second, true)
 	}
-	fake.WaitFor("the limit to be there", func() bool { return f.receivedCount() == limit })
+	fake.WaitFor("requests that fill two connections", func() bool { return f.receivedCount() == limit })
 	if got := f.connectionCount(); got != 2 {
-		t.Errorf("%d connections for %d requests", got, limit)
+		t.Errorf("%d connections for %d requests, want 2", got, limit)
 	}
 	_, results := f.forward(time.Second, true)
 	want := summary{outcome: balancer.Rejected, errorCode: "Busy", noEndpoint: true, disposition: Rejected}
-	if got := summarize(wait(t, results)); got != want {
+	if got := summarize(waitForResult(t, results)); got != want {
 		t.Errorf("result %+v, want %+v", got, want)
 	}
-	f.on(first.Expire)
-	f.on(func() {
+	f.runOnLoop(first.Expire)
+	f.runOnLoop(func() {
 		if first.connection != nil || first.message.Body != nil {
-			t.Error("an expired request is kept")
+			t.Error("an expired request still has its connection or its body")
 		}
 	})
 }
 
-// TestIdleConnectionsClose checks that a connection that carries nothing is closed.
+// TestIdleConnectionsClose checks that an idle connection is closed.
 func TestIdleConnectionsClose(t *testing.T) {
 	f := newTestFleet(t, 1, func(config *Config) { config.IdleTimeout = 100 * time.Millisecond })
-	f.on(f.forwarder.Start)
+	f.runOnLoop(f.forwarder.Start)
 	_, results := f.forward(time.Second, true)
-	wait(t, results)
+	waitForResult(t, results)
 	if got := f.connectionCount(); got != 1 {
-		t.Errorf("%d connections", got)
+		t.Errorf("%d connections, want 1", got)
 	}
 	fake.WaitFor("the connection to close", func() bool { return f.connectionCount() == 0 })
 }
 
-// TestUpdateView checks that requests go to the members of the view alone, or to a subset of them, and that connections
-// to the others close.
+// TestUpdateView checks that the endpoints are the members of the view or, if SubsetSize is set, a subset of them, and
+// that the connections to removed endpoints are closed.
 func TestUpdateView(t *testing.T) {
 	f := newTestFleet(t, 2, nil)
 	_, results := f.forward(time.Second, true)
-	wait(t, results)
-	f.on(func() {
+	waitForResult(t, results)
+	f.runOnLoop(func() {
 		if got := f.forwarder.Balancer.Len(); got != 2 {
-			t.Errorf("%d endpoints", got)
+			t.Errorf("%d endpoints, want 2", got)
 		}
 	})
 	f.table = forwardtest.NewTable("self")
 	f.updateView()
 	fake.WaitFor("the connection to close", func() bool { return f.connectionCount() == 0 })
-	f.on(func() {
+	f.runOnLoop(func() {
 		if got := f.forwarder.Balancer.Len(); got != 0 {
-			t.Errorf("%d endpoints of none", got)
+			t.Errorf("%d endpoints after all members were removed, want 0", got)
 		}
 	})
 	subset := newTestFleet(t, 5, func(config *Config) { config.SubsetSize = 3 })
-	subset.on(func() {
+	subset.runOnLoop(func() {
 		if got := subset.forwarder.Balancer.Len(); got != 3 {
-			t.Errorf("%d endpoints of a subset of 3", got)
+			t.Errorf("%d endpoints, want a subset of 3", got)
 		}
 	})
 }
--- a/internal/forward/view.go
+++ b/internal/forward/view.go
@@ -7,14 +7,15 @@
 	"lanewheel/internal/membership"
 )
 
-// subset is the part of the endpoints that we keep to, as last worked out.
+// subset is the subset of the endpoints that this process uses, with the names from which it was computed.
 type subset struct {
-	endpoints []balancer.EndpointName // that it was worked out for
-	peers     []balancer.EndpointName // that it was worked out for
-	ours      map[balancer.EndpointName]bool
+	endpoints []balancer.EndpointName        // all endpoints when the subset was computed
+	peers     []balancer.EndpointName        // all peers when the subset was computed, this process first
+	selected  map[balancer.EndpointName]bool // the endpoints that this process uses
 }
 
-// UpdateView takes a view of the fleet. The members with the same role as ours share the endpoints with us.
+// UpdateView replaces the endpoints with those in a view of the fleet. role is the role of this process. If SubsetSize
+// is set, this process and the available members with the same role each use a subset of the endpoints.
 func (f *Forwarder) UpdateView(view *membership.View, role membership.Roles) {
 	peers := []balancer.EndpointName{balancer.EndpointName(view.Self.Name)}
 	addresses := map[balancer.EndpointName]string{}
@@ -42,8 +43,10 @@
 	f.setEndpoints(endpoints, addresses)
 }
 
-// isEndpoint reports whether requests may be given to a member. A suspect gets none, unless we are cut off
-// ourselves: then we know no better than before, and who was there is still tried.
+// isEndpoint reports whether requests may be sent to a member. A suspect member receives no requests unless the local
+// health does not permit this process to declare members gone, for instance because the process is isolated. In that
+// case, the suspicion is no evidence against the member, so the member is still tried. A member that is suspect because
+// of flapping is never tried.
 func isEndpoint(view *membership.View, member *membership.Member) bool {
 	if member.Roles&membership.RoleServer == 0 || member.ServiceAddr == "" {
 		return false
@@ -56,8 +59,8 @@
 		!view.LocalHealth.CanDeclareGone()
 }
 
-// selectSubset returns those of the endpoints that we keep to. Subsets are worked out for the whole fleet, so only when
-// somebody came or went.
+// selectSubset returns the endpoints that this process uses. balancer.Subsets computes the subsets of all peers at
+// once, so it is called only when an endpoint or a peer has joined or left.
 func (f *Forwarder) selectSubset(
 	endpoints []balancer.Endpoint, peers []balancer.EndpointName,
 ) []balancer.Endpoint {
@@ -70,39 +73,39 @@
 		names = append(names, endpoint.Name)
 	}
 	if !slices.Equal(names, f.subset.endpoints) || !slices.Equal(peers, f.subset.peers) {
-		f.subset = subset{endpoints: names, peers: peers, ours: map[balancer.EndpointName]bool{}}
+		f.subset = subset{endpoints: names, peers: peers, selected: map[balancer.EndpointName]bool{}}
 		self := peers[0]
 		for _, name := range balancer.Subsets(peers, names, size)[self] {
-			f.subset.ours[name] = true
+			f.subset.selected[name] = true
 		}
 	}
-	return slices.DeleteFunc(endpoints, func(endpoint balancer.Endpoint) bool { return !f.subset.ours[endpoint.Name] })
+	return slices.DeleteFunc(endpoints, func(endpoint balancer.Endpoint) bool { return !f.subset.selected[endpoint.Name] })
 }
 
-// setEndpoints replaces the endpoints. What stays keeps its connections, unless it has another address: then it is
-// a later incarnation.
+// setEndpoints replaces the endpoints. An endpoint that remains keeps its connections unless its address has changed:
+// an endpoint with another address is a later incarnation.
 func (f *Forwarder) setEndpoints(endpoints []balancer.Endpoint, addresses map[balancer.EndpointName]string) {
 	present := map[balancer.EndpointName]bool{}
 	for _, candidate := range endpoints {
 		present[candidate.Name] = true
 		address := addresses[candidate.Name]
-		known := f.endpoints[candidate.Name]
-		if known != nil && known.address != address {
-			f.removeEndpoint(known)
-			known = nil
+		current := f.endpoints[candidate.Name]
+		if current != nil && current.address != address {
+			f.removeEndpoint(current)
+			current = nil
 		}
-		if known == nil {
+		if current == nil {
 			f.endpoints[candidate.Name] = &endpoint{name: candidate.Name, address: address}
 		}
 	}
-	for name, known := range f.endpoints {
+	for name, current := range f.endpoints {
 		if !present[name] {
-			f.removeEndpoint(known)
+			f.removeEndpoint(current)
 		}
 	}
 }
 
-// removeEndpoint gives nothing more to an endpoint; what is in progress there it may still answer.
+// removeEndpoint removes an endpoint, which receives no further requests. It may still respond to requests in progress.
 func (f *Forwarder) removeEndpoint(removed *endpoint) {
 	delete(f.endpoints, removed.name)
 	for _, connection := range removed.connections {
--- a/internal/spillover/spillover_test.go
+++ b/internal/spillover/spillover_test.go
@@ -16,25 +16,27 @@
 	"lanewheel/internal/membership"
 )
 
-// recorder is a Responder that notes its calls.
+// recorder is a frontend.Responder that records its calls.
 type recorder struct {
 	mu    sync.Mutex
 	calls []string
 }
 
-func (r *recorder) note(format string, args ...any) {
+func (r *recorder) record(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.calls = append(r.calls, fmt.Sprintf(format, args...))
 }
 
-func (r *recorder) Succeed(result []byte, _ frontend.ResponseMetadata) { r.note("succeed %s", result) }
-func (r *recorder) Reject(frontend.ResponseMetadata)                   { r.note("reject") }
-func (r *recorder) Fail(frontend.ResponseMetadata)                     { r.note("fail") }
+func (r *recorder) Succeed(result []byte, _ frontend.ResponseMetadata) {
+	r.record("succeed %s", result)
+}
+func (r *recorder) Reject(frontend.ResponseMetadata) { r.record("reject") }
+func (r *recorder) Fail(frontend.ResponseMetadata)   { r.record("fail") }
 func (r *recorder) RejectPermanently(code frontend.RejectionCode, _ frontend.ResponseMetadata) {
-	r.note("reject permanently: %s", code)
+	r.record("reject permanently: %s", code)
 }
-func (r *recorder) Done() { r.note("done") }
+func (r *recorder) Done() { r.record("done") }
 
 func (r *recorder) String() string {
 	r.mu.Lock()
@@ -42,18 +44,19 @@
 	return fmt.Sprint(r.calls)
 }
 
-// testInstance is the spillover of an instance with a load of 10 before one other, which does with requests what its
-// step says: succeed, busy, deny, fail or nothing.
+// testInstance is the spillover of an instance with a load of 10 in a fleet with one other instance.
 type testInstance struct {
 	loop      *eventloop.Loop
 	spillover *Spillover
 }
 
-func newTestInstance(t *testing.T, step string) *testInstance {
+// newTestInstance starts the spillover and the other instance. behavior is the reaction of the other instance to all
+// requests: succeed, busy, deny or fail. If behavior is empty, the other instance never responds.
+func newTestInstance(t *testing.T, behavior string) *testInstance {
 	t.Helper()
 	listener := fake.Must((&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0"))
 	t.Cleanup(func() { _ = listener.Close() })
-	go serve(listener, step)
+	go serve(listener, behavior)
 	x := &testInstance{loop: eventloop.New(256)}
 	sockets := forwardtest.NewNet(t, x.loop)
 	config := Config{
@@ -68,9 +71,9 @@
 	go x.loop.Run(sockets.Flush)
 	t.Cleanup(func() { x.loop.Post(x.loop.Quit) })
 	x.spillover.Start()
-	x.on(func() { x.spillover.UpdateView(table.View()) })
-	fake.WaitFor("a report of the other's load", func() (reported bool) {
-		x.on(func() {
+	x.runOnLoop(func() { x.spillover.UpdateView(table.View()) })
+	fake.WaitFor("a load report of the other instance", func() (reported bool) {
+		x.runOnLoop(func() {
 			now := x.loop.Now()
 			_, reason := balancer.NewSpilloverPolicy(config.Spillover, x.spillover.forwarder.Balancer).
 				Pick(now, time.Minute, 10, x.spillover.forwarder.Random)
@@ -81,8 +84,8 @@
 	return x
 }
 
-// serve answers all requests in the same way.
-func serve(listener net.Listener, step string) {
+// serve accepts connections and reacts to all requests with the same behavior.
+func serve(listener net.Listener, behavior string) {
 	for {
 		connection, err := listener.Accept()
 		if err != nil {
@@ -95,48 +98,49 @@
 				if err != nil {
 					return
 				}
-				parts, none := message.([]any), map[string]string{}
-				switch step {
+				parts, noMetadata := message.([]any), map[string]string{}
+				switch behavior {
 				case "succeed":
-					client.Send([]any{1, parts[1], nil, []any{parts[3].([]any)[1], none}})
+					client.Send([]any{1, parts[1], nil, []any{parts[3].([]any)[1], noMetadata}})
 				case "busy":
-					client.Send([]any{1, parts[1], []any{"Busy", none}, nil})
+					client.Send([]any{1, parts[1], []any{"Busy", noMetadata}, nil})
 				case "deny":
-					client.Send([]any{1, parts[1], []any{"Denied", none}, nil})
+					client.Send([]any{1, parts[1], []any{"Denied", noMetadata}, nil})
 				case "fail":
-					client.Send([]any{1, parts[1], []any{"Failed", none}, nil})
+					client.Send([]any{1, parts[1], []any{"Failed", noMetadata}, nil})
 				}
 			}
 		}()
 	}
 }
 
-// on runs something on the loop and waits for it.
-func (x *testInstance) on(do func()) {
+// runOnLoop calls do on the event loop and waits until it returns.
+func (x *testInstance) runOnLoop(do func()) {
 	done := make(chan struct{})
 	x.loop.Post(func() { do(); close(done) })
 	<-done
 }
 
-// forward offers a request that may be answered within a second.
+// forward passes a request with a timeout of one second to the spillover.
 func (x *testInstance) forward(hops int, responder frontend.Responder) (handle frontend.Handle) {
-	x.on(func() {
+	x.runOnLoop(func() {
 		request := frontend.Request{ID: "1", Class: "view", Hops: hops, Body: []byte("body")}
 		handle = x.spillover.Forward(request, x.loop.Now()+time.Second, false, responder)
 	})
 	return handle
 }
 
-// total returns how often an event was counted.
+// total returns the count of an event.
 func (x *testInstance) total(e event) (total uint64) {
-	x.on(func() { total = x.spillover.log.totals[e] })
+	x.runOnLoop(func() { total = x.spillover.log.totals[e] })
 	return total
 }
 
-// TestForward checks that a request is answered by what the other instance did with it, and that this is counted.
+// TestForward checks that a request is answered according to the other instance's response, and that the events are
+// counted.
 func TestForward(t *testing.T) {
 	for _, test := range []struct {
-		step        string
+		behavior    string
 		want        string
 		disposition forward.Disposition
 	}{
@@ -145,72 +149,73 @@
 		{"deny", "[reject permanently: denied done]", forward.Denied},
 		{"fail", "[fail done]", forward.Failed},
 	} {
-		t.Run(test.step, func(t *testing.T) {
-			x := newTestInstance(t, test.step)
+		t.Run(test.behavior, func(t *testing.T) {
+			x := newTestInstance(t, test.behavior)
 			responder := &recorder{}
 			if x.forward(0, responder) == nil {
-				t.Fatal("the request was kept")
+				t.Fatal("the request was not forwarded")
 			}
 			fake.WaitFor("a response", func() bool { return responder.String() == test.want })
 			finished := event{kind: requestFinished, disposition: test.disposition}
 			if x.total(event{kind: requestSpilled}) != 1 || x.total(finished) != 1 {
-				t.Error("not counted")
+				t.Error("the spilled request or its result is not counted exactly once")
 			}
-			x.on(func() {
+			x.runOnLoop(func() {
 				if !x.spillover.Drained() {
-					t.Error("not drained")
+					t.Error("not drained although no request is in progress")
 				}
 			})
 		})
 	}
 }
 
-// TestKept checks that a request which was forwarded to us, and any while we drain, stays here.
-func TestKept(t *testing.T) {
+// TestNotForwarded checks that a request that has been forwarded to this instance is not forwarded again, and that no
+// request is forwarded while this instance drains.
+func TestNotForwarded(t *testing.T) {
 	x := newTestInstance(t, "succeed")
 	responder := &recorder{}
-	if x.forward(1, responder) != nil || x.total(event{kind: requestKept, reason: balancer.AlreadyForwarded}) != 1 {
-		t.Error("a request is forwarded twice")
+	if x.forward(1, responder) != nil || x.total(event{kind: requestNotSpilled, reason: balancer.AlreadyForwarded}) != 1 {
+		t.Error("a request that was forwarded before is forwarded again, or is not counted with the reason already-forwarded")
 	}
-	x.on(func() { x.spillover.Drain(time.Second) })
-	if x.forward(0, responder) != nil || x.total(event{kind: requestKept, reason: balancer.Draining}) != 1 {
-		t.Error("a request is forwarded while we drain")
+	x.runOnLoop(func() { x.spillover.Drain(time.Second) })
+	if x.forward(0, responder) != nil || x.total(event{kind: requestNotSpilled, reason: balancer.Draining}) != 1 {
+		t.Error("a request is forwarded during a drain, or is not counted with the reason draining")
 	}
 	if responder.String() != "[]" {
-		t.Error(responder)
+		t.Errorf("responder calls %v, want none", responder)
 	}
 }
 
-// TestDrain checks that what is elsewhere is answered shortly before the end.
+// TestDrain checks that a forwarded request without a result is answered shortly before the end of the drain.
 func TestDrain(t *testing.T) {
 	x := newTestInstance(t, "")
 	responder := &recorder{}
 	if x.forward(0, responder) == nil {
-		t.Fatal("the request was kept")
+		t.Fatal("the request was not forwarded")
 	}
-	x.on(func() { x.spillover.Drain(200 * time.Millisecond) })
+	x.runOnLoop(func() { x.spillover.Drain(200 * time.Millisecond) })
 	startedAt := time.Now()
 	fake.WaitFor("a response", func() bool { return responder.String() == "[fail done]" })
 	if elapsed := time.Since(startedAt); elapsed < 100*time.Millisecond {
-		t.Error("answered after ", elapsed)
+		t.Errorf("answered %v after the start of the drain, want at least 100ms", elapsed)
 	}
 }
 
-// TestCancel checks that nobody is answered who does not wait.
+// TestCancel checks that a canceled request is not answered, and that Cancel ignores repeated calls and a nil handle.
 func TestCancel(t *testing.T) {
 	x := newTestInstance(t, "")
 	responder := &recorder{}
 	handle := x.forward(0, responder)
-	x.on(func() {
+	x.runOnLoop(func() {
 		x.spillover.Cancel(handle)
 		x.spillover.Cancel(handle)
 		x.spillover.Cancel(nil)
 		if !x.spillover.Drained() {
-			t.Error("not drained")
+			t.Error("not drained although the only request was canceled")
 		}
 	})
 	time.Sleep(50 * time.Millisecond)
 	if responder.String() != "[]" {
-		t.Error(responder)
+		t.Errorf("responder calls %v, want none", responder)
 	}
 }
