--- a/cmd/lanewheel/certificates_test.go
+++ b/cmd/lanewheel/certificates_test.go
@@ -105,6 +105,9 @@
 		}
 		return n
 	}
+	const idleSockets = 4 // two listeners, the runtime link and the registry's socket
+	// The instance may not have closed the connection of the readiness check yet, which would count as one of before.
+	fake.WaitFor("the connection of the readiness check to be closed", func() bool { return held() == idleSockets })
 	before, most := held(), 0
 	for range 25 {
 		conn := fake.Must(dial(h.tlsAddr))
--- a/cmd/lanewheel/drain_test.go
+++ b/cmd/lanewheel/drain_test.go
@@ -173,6 +173,19 @@
 	// 0 true true ['\x01' '\x01' ["Failed" map[]] <nil>] ['\x02' "goaway" []] closed 0 true true
 }
 
+// isStopped reports whether all threads of a process are stopped by a signal. A signal stops them one after another:
+// until then a thread that still runs may accept a connection and read from it.
+func isStopped(pid int) bool {
+	for _, thread := range fake.Must(os.ReadDir(fmt.Sprintf("/proc/%d/task", pid))) {
+		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/task/%s/stat", pid, thread.Name()))
+		_, afterName, _ := strings.Cut(string(stat), ") ")
+		if err != nil || !strings.HasPrefix(afterName, "T") {
+			return false
+		}
+	}
+	return true
+}
+
 // A process is killed right after an accept: one connection stands in its queue with a request on it, another's
 // request runs. Both end with their process, at once and without a response; the first was never executed. The next
 // process takes the address and serves.
@@ -183,6 +196,7 @@
 	runs.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil))
 	fmt.Println(t.runtime.NextCommand())
 	_ = t.cmd.Process.Signal(syscall.SIGSTOP) // the kernel accepts for it
+	fake.WaitFor("the process to stop", func() bool { return isStopped(t.cmd.Process.Pid) })
 	queued = t.client()
 	queued.Send(fake.NewRequest(2, "view", fake.RequestID(2), nil))
 	_ = t.cmd.Process.Kill()
