--- a/internal/amqp/channel.go
+++ b/internal/amqp/channel.go
@@ -93,8 +93,8 @@
 	if s.ended || s.closing || s.channels[name] != c {
 		return
 	}
-	s.consumer.deduplicator.ChannelClosed(c.id)
-	s.consumer.flow.Disconnected(name)
+	s.consumer.deduplicator.ForgetChannel(c.id)
+	s.consumer.flow.ResetInFlight(name)
 	if c.link != nil {
 		s.enqueue(c.link.Close)
 	}
@@ -170,15 +170,15 @@
 
 func (s *session) trackDelivery(name delivery.QueueName, tag delivery.Tag) {
 	if c := s.channelOf(name, tag); c != nil {
-		c.acks.Received(tag.Number)
+		c.acks.AddDelivery(tag.Number)
 	}
 }
 
 // ack marks a delivery to be acked by the next flushAcks.
 func (s *session) ack(name delivery.QueueName, tag delivery.Tag) {
 	if c := s.channelOf(name, tag); c != nil {
-		c.acks.Acked(tag.Number)
-		s.consumer.flow.Settled(name)
+		c.acks.MarkAcked(tag.Number)
+		s.consumer.flow.RecordSettlement(name)
 	}
 }
 
@@ -199,7 +199,7 @@
 	if c == nil || !c.acks.Remove(tag.Number) {
 		return
 	}
-	s.consumer.flow.Settled(name)
+	s.consumer.flow.RecordSettlement(name)
 	link := c.link
 	s.enqueue(func() error {
 		if action == delivery.Reject {
--- a/internal/amqp/consumer.go
+++ b/internal/amqp/consumer.go
@@ -280,7 +280,7 @@
 	c.session = nil
 	c.brokers.failed(c.Now(), s.url)
 	for name := range c.queues {
-		c.flow.Disconnected(name)
+		c.flow.ResetInFlight(name)
 	}
 	if !c.draining {
 		c.connect()
--- a/internal/amqp/delivery/acktracker.go
+++ b/internal/amqp/delivery/acktracker.go
@@ -5,37 +5,37 @@
 	"slices"
 )
 
-// AckTracker collects the acks of one channel, so that several deliveries are acked by one message. An ack of several
-// covers every unsettled delivery before it, so it may only cover deliveries that are all done. The zero value is
-// ready for use. It belongs to one goroutine.
+// AckTracker collects the acks of one channel, so that one ack message can cover several deliveries. An ack of
+// several deliveries covers every unsettled delivery up to its tag, so all of those must have been marked. The zero
+// value is ready for use. An AckTracker must be used by one goroutine only.
 type AckTracker struct {
 	unsettled []trackedDelivery // by tag, ascending
 }
 
 type trackedDelivery struct {
 	tag   uint64
-	acked bool // to be acked by the next Flush
+	acked bool // the next Flush acks the delivery
 }
 
-// AckRange is one ack to send.
+// AckRange is one ack to send to the broker.
 type AckRange struct {
 	Tag      uint64
-	Multiple bool // for all unsettled deliveries before it, too
+	Multiple bool // the ack also covers all unsettled deliveries with lower tags
 }
 
-// Received notes a delivery. Tags ascend.
-func (t *AckTracker) Received(tag uint64) {
+// AddDelivery records an unsettled delivery. Tags must be added in ascending order.
+func (t *AckTracker) AddDelivery(tag uint64) {
 	t.unsettled = append(t.unsettled, trackedDelivery{tag: tag})
 }
 
-// Acked marks a delivery to be acked.
-func (t *AckTracker) Acked(tag uint64) {
+// MarkAcked marks a delivery to be acked by the next Flush. It ignores an unknown tag.
+func (t *AckTracker) MarkAcked(tag uint64) {
 	if i, found := t.find(tag); found {
 		t.unsettled[i].acked = true
 	}
 }
 
-// Remove drops a delivery that is settled otherwise. It tells whether the delivery was unsettled.
+// Remove drops a delivery that is settled without an ack. It reports whether the delivery was unsettled.
 func (t *AckTracker) Remove(tag uint64) bool {
 	i, found := t.find(tag)
 	if found {
@@ -50,8 +50,8 @@
 	})
 }
 
-// Flush returns the acks to send: one for all deliveries up to the first that is not done, and one for each other
-// that is.
+// Flush returns the acks to send, and forgets the deliveries that they cover. One ack covers all marked deliveries
+// before the first unmarked one; each other marked delivery has its own ack.
 func (t *AckTracker) Flush() []AckRange {
 	var acks []AckRange
 	done := 0
--- a/internal/amqp/delivery/acktracker_test.go
+++ b/internal/amqp/delivery/acktracker_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// A random history of deliveries: an ack of several covers only what is done, and Flush leaves nothing done unacked.
+// A random sequence of events: an ack covers only marked deliveries, and Flush acks every marked delivery.
 func TestAckTracker(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var tracker AckTracker
@@ -16,7 +16,7 @@
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
 				tag++
-				tracker.Received(tag)
+				tracker.AddDelivery(tag)
 				state[tag] = "open"
 			case 1, 2:
 				settled := uint64(rapid.IntRange(1, 80).Draw(t, "tag"))
@@ -27,7 +27,7 @@
 					tracker.Remove(settled)
 					state[settled] = "removed"
 				} else {
-					tracker.Acked(settled)
+					tracker.MarkAcked(settled)
 					state[settled] = "done"
 				}
 			case 3:
@@ -41,7 +41,7 @@
 	t.Helper()
 	for _, ack := range tracker.Flush() {
 		if state[ack.Tag] != "done" {
-			t.Fatalf("acks %d, which is %s", ack.Tag, state[ack.Tag])
+			t.Fatalf("delivery %d is acked in state %s, want done", ack.Tag, state[ack.Tag])
 		}
 		first := ack.Tag
 		if ack.Multiple {
@@ -50,15 +50,15 @@
 		for covered := first; covered <= ack.Tag; covered++ {
 			switch state[covered] {
 			case "open":
-				t.Fatalf("the ack of %d covers %d, which is not done", ack.Tag, covered)
+				t.Fatalf("the ack of delivery %d covers delivery %d, which is not done", ack.Tag, covered)
 			case "done":
 				state[covered] = "acked"
 			}
 		}
 	}
-	for tag, s := range state {
-		if s == "done" {
-			t.Fatalf("%d is done and not acked", tag)
+	for tag, tagState := range state {
+		if tagState == "done" {
+			t.Fatalf("delivery %d is done but was not acked", tag)
 		}
 	}
 }
--- a/internal/amqp/delivery/deduplicator.go
+++ b/internal/amqp/delivery/deduplicator.go
@@ -4,63 +4,64 @@
 	"time"
 )
 
-// MessageID is what a message is recognized by: its message-id, or an id derived from its content.
+// MessageID identifies a message: it is the message-id property, or an id derived from the content.
 type MessageID string
 
-// Tag identifies one delivery: a number on one channel of one connection.
+// Tag identifies one delivery by the channel that received it and the delivery tag on that channel.
 type Tag struct {
-	ChannelID uint64 // drawn anew for each channel that is opened
+	ChannelID uint64 // unique for each channel that is opened
 	Number    uint64 // the broker's delivery tag
 }
 
 // Arrival is one delivery of a message.
 type Arrival struct {
 	ID          MessageID
-	Digest      uint64 // of the message's content
+	Digest      uint64 // hash of the message's content
 	Tag         Tag
-	Redelivered bool // the broker has delivered it before, here or to a peer
-	Idempotent  bool // its class may be executed twice
+	Redelivered bool // the broker has delivered the message before, to this instance or to a peer
+	Idempotent  bool // the message's class may be executed twice
 }
 
-// Decision is what to do with a delivery.
+// Decision is how a delivery is handled.
 type Decision int
 
-// The decisions.
+// The decisions about a delivery.
 const (
-	Process        Decision = iota // submit it
-	Join                           // the message is in flight; the delivery is settled with it
-	AlreadyReplied                 // replied and confirmed: only the ack was lost
-	ResendReply                    // replied, but whether the reply reached the broker is unknown: publish it again
-	Uncertain                      // it may have been executed, here or at a peer, and must not be executed again
-	IDConflict                     // another message has its id
+	Process        Decision = iota // submit the message
+	Join                           // the message is in flight; settle the delivery together with it
+	AlreadyReplied                 // the reply is confirmed and only the ack was lost; ack the delivery
+	ResendReply                    // the reply is not confirmed; publish it again
+	Uncertain                      // the message may have been executed, here or at a peer; do not execute it again
+	IDConflict                     // another message has the same id
 )
 
-// Deduplicator recognizes messages that are delivered again. What it remembers is bounded in count and age; a
-// forgotten message that is redelivered is Uncertain unless its class is idempotent. It belongs to one goroutine.
+// Deduplicator recognizes redelivered messages. The number and the age of the settled messages that it remembers are
+// limited. A redelivered message that it does not remember is Uncertain unless its class is idempotent. A Deduplicator
+// must be used by one goroutine only.
 type Deduplicator[Reply any] struct {
 	maxSettled   int
 	maxAge       time.Duration
 	records      map[MessageID]*record[Reply]
-	settledOrder []*record[Reply] // the earliest settled first; a record that was settled twice is in it twice
+	settledOrder []*record[Reply] // in the order of settlement; a record that was settled twice is listed twice
 }
 
 type recordState int
 
 const (
 	stateInFlight  recordState = iota
-	stateReturned              // given back to the broker: it was not executed here
-	stateReplied               // the reply is not confirmed yet
-	stateConfirmed             // the broker has the reply
+	stateReturned              // returned to the broker without having been executed here
+	stateReplied               // replied to; the reply is not confirmed yet
+	stateConfirmed             // the broker has confirmed the reply
 )
 
 type record[Reply any] struct {
 	id        MessageID
 	digest    uint64
 	state     recordState
-	tags      []Tag // deliveries that wait for the outcome
+	tags      []Tag // deliveries to settle with the outcome
 	settledAt time.Duration
-	reply     Reply // while replied, to be sent again
-	returns   int   // times that it was returned
+	reply     Reply // kept in stateReplied, to be published again
+	returns   int   // how often the message was returned to the broker
 }
 
 // NewDeduplicator returns a deduplicator that remembers at most maxSettled settled messages, each for at most maxAge.
@@ -72,9 +73,9 @@
 	}
 }
 
-// Receive decides what to do with a delivery; with ResendReply it returns the reply. When a connection breaks, the
-// broker delivers all unsettled messages again: none that is in flight or was executed may be executed twice where
-// that does harm, and each is replied to once.
+// Receive decides how to handle a delivery. With ResendReply it also returns the reply to publish. When a connection
+// breaks, the broker redelivers all unsettled messages. A message that is in flight, or that was executed and is not
+// idempotent, must not be executed again, and each message must be replied to once.
 func (d *Deduplicator[Reply]) Receive(now time.Duration, arrival Arrival) (Decision, Reply) {
 	d.evict(now)
 	var none Reply
@@ -108,9 +109,9 @@
 	return ResendReply, r.reply
 }
 
-// ChannelClosed forgets the deliveries of a channel that is gone; the broker delivers their messages again, here or
-// to a peer.
-func (d *Deduplicator[Reply]) ChannelClosed(channelID uint64) {
+// ForgetChannel forgets the in-flight deliveries of a closed channel. The broker redelivers their messages, to this
+// instance or to a peer.
+func (d *Deduplicator[Reply]) ForgetChannel(channelID uint64) {
 	for _, r := range d.records {
 		if r.state != stateInFlight {
 			continue
@@ -125,17 +126,17 @@
 	}
 }
 
-// Returns is how often a message was returned from here.
-func (d *Deduplicator[Reply]) Returns(id MessageID) int {
+// ReturnCount returns how often this instance has returned a message to the broker.
+func (d *Deduplicator[Reply]) ReturnCount(id MessageID) int {
 	if r := d.records[id]; r != nil {
 		return r.returns
 	}
 	return 0
 }
 
-// Replied settles a message with its reply, which is remembered until ReplyConfirmed. It returns the deliveries that
-// are to be acked once the reply is confirmed.
-func (d *Deduplicator[Reply]) Replied(now time.Duration, id MessageID, reply Reply) []Tag {
+// MarkReplied settles a message with its reply, which is kept until MarkReplyConfirmed. It returns the deliveries to
+// ack once the reply is confirmed, or nil if the message is not in flight.
+func (d *Deduplicator[Reply]) MarkReplied(now time.Duration, id MessageID, reply Reply) []Tag {
 	r := d.records[id]
 	if r == nil || r.state != stateInFlight {
 		return nil
@@ -144,9 +145,9 @@
 	return d.settle(now, r, stateReplied)
 }
 
-// Returned settles a message that was not executed here and goes back to the broker. It returns the deliveries to
-// give back.
-func (d *Deduplicator[Reply]) Returned(now time.Duration, id MessageID) []Tag {
+// MarkReturned settles a message that was not executed here and is to be returned to the broker. It returns the
+// deliveries to return, or nil if the message is not in flight.
+func (d *Deduplicator[Reply]) MarkReturned(now time.Duration, id MessageID) []Tag {
 	r := d.records[id]
 	if r == nil || r.state != stateInFlight {
 		return nil
@@ -164,8 +165,8 @@
 	return tags
 }
 
-// ReplyConfirmed says that the broker has the message's reply.
-func (d *Deduplicator[Reply]) ReplyConfirmed(id MessageID) {
+// MarkReplyConfirmed records that the broker has confirmed the message's reply, and drops the reply.
+func (d *Deduplicator[Reply]) MarkReplyConfirmed(id MessageID) {
 	r := d.records[id]
 	if r == nil || r.state != stateReplied {
 		return
@@ -175,7 +176,7 @@
 	r.state = stateConfirmed
 }
 
-// evict forgets settled messages that are too old or too many.
+// evict forgets settled messages that exceed the limits of age and count.
 func (d *Deduplicator[Reply]) evict(now time.Duration) {
 	for len(d.settledOrder) > 0 {
 		r := d.settledOrder[0]
@@ -191,5 +192,5 @@
 	}
 }
 
-// Len is how many messages are remembered, in flight and settled.
+// Len returns the number of remembered messages, in flight and settled.
 func (d *Deduplicator[Reply]) Len() int { return len(d.records) }
--- a/internal/amqp/delivery/deduplicator_test.go
+++ b/internal/amqp/delivery/deduplicator_test.go
@@ -8,8 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// A random history against a model of it: nothing is executed twice that must not be, no message is executed beside
-// itself, what was replied and confirmed is not replied again, and the deliveries in flight are those of open channels.
+// A random sequence of events, checked against a model. A message that must not be executed twice is processed once, no
+// message is processed while it is in flight, a confirmed reply is not sent again, and the deliveries returned for
+// settlement are those of open channels.
 func TestDeduplicator(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := NewDeduplicator[string](1000, time.Hour)
@@ -38,14 +39,14 @@
 				}
 			case 3:
 				if model.inFlight && rapid.Bool().Draw(t, "returned") {
-					d.Returned(0, id)
+					d.MarkReturned(0, id)
 					model.inFlight, model.returned, model.tags = false, true, map[Tag]bool{}
 				} else if model.replied {
-					d.ReplyConfirmed(id)
+					d.MarkReplyConfirmed(id)
 					model.confirmed = true
 				}
 			case 4:
-				d.ChannelClosed(channel)
+				d.ForgetChannel(channel)
 				channel++
 				for _, other := range models {
 					clear(other.tags)
@@ -55,7 +56,7 @@
 	})
 }
 
-// modelMessage is what has happened to one message.
+// modelMessage is the expected state of one message.
 type modelMessage struct {
 	inFlight, replied, confirmed, returned, everReceived bool
 	tags                                                 map[Tag]bool
@@ -77,7 +78,7 @@
 		want = Uncertain
 	}
 	if decision != want {
-		t.Fatalf("%s: decision %d, want %d of %+v", arrival.ID, decision, want, m)
+		t.Fatalf("%s: decision %d, want %d for %+v", arrival.ID, decision, want, m)
 	}
 	if decision == Process || decision == Uncertain || decision == Join {
 		m.inFlight, m.everReceived, m.returned = true, true, false
@@ -87,21 +88,21 @@
 
 func (m *modelMessage) reply(t *rapid.T, d *Deduplicator[string], id MessageID) {
 	t.Helper()
-	tags := d.Replied(0, id, "reply")
+	tags := d.MarkReplied(0, id, "reply")
 	if len(tags) != len(m.tags) {
-		t.Fatalf("%s: %v in flight, want %v", id, tags, m.tags)
+		t.Fatalf("%s: deliveries to settle %v, want %v", id, tags, m.tags)
 	}
 	m.inFlight, m.replied, m.tags = false, true, map[Tag]bool{}
 }
 
-// What is remembered is bounded in count and in age.
+// The number and the age of the remembered messages are limited.
 func Example_deduplicatorBounds() {
 	d := NewDeduplicator[any](100, time.Minute)
 	for i := range 10_000 {
 		id := MessageID(fmt.Sprint(i))
 		tag := Tag{ChannelID: 1, Number: uint64(i)}
 		d.Receive(time.Duration(i), Arrival{ID: id, Tag: tag, Idempotent: true})
-		d.Replied(time.Duration(i), id, nil)
+		d.MarkReplied(time.Duration(i), id, nil)
 	}
 	inFlight := 0
 	for _, r := range d.records {
--- a/internal/amqp/delivery/flowcontroller.go
+++ b/internal/amqp/delivery/flowcontroller.go
@@ -1,5 +1,5 @@
-// Package delivery decides how many messages are taken from which queue, and what becomes of each. It does no I/O:
-// the time and random numbers are arguments. Nothing in it is safe for concurrent use; one event loop owns it all.
+// Package delivery decides how many messages to consume from each queue and how to settle each message. It does no I/O:
+// the time and random numbers are arguments. Nothing in it is safe for concurrent use; one event loop owns all of it.
 package delivery
 
 import (
@@ -8,34 +8,34 @@
 	"lanewheel/internal/frontend"
 )
 
-// UpdateInterval is how often FlowController.Update is called: some times within any latency objective.
+// UpdateInterval is the time between calls of FlowController.Update. Several updates fit into any latency objective.
 const UpdateInterval = 100 * time.Millisecond
 
 const (
-	// windowDecreaseFactor is what is left of the window after an interval in which the server was overloaded: the
-	// consumer is out of the way within half a second.
+	// windowDecreaseFactor multiplies the window after an interval in which the server was overloaded. With 0.7 the
+	// consumer gives way to other callers within half a second.
 	windowDecreaseFactor = 0.7
-	// windowUsedFraction of the window has to be in flight before it grows.
+	// windowUsedFraction is the fraction of the window that must be in flight before the window grows.
 	windowUsedFraction = 0.8
-	// overloadedQueuePerCore is how many requests may be queued at the server, for each core, before the window shrinks.
+	// overloadedQueuePerCore is how many requests per core may be queued at the server before the window shrinks.
 	overloadedQueuePerCore = 2
-	// growthQueuePerCore is how many may be queued, for each core, while the window grows.
+	// growthQueuePerCore is how many requests per core may be queued at the server while the window grows.
 	growthQueuePerCore = 1
 )
 
-// PauseReason is why nothing is taken from any queue.
+// PauseReason is the reason why no queue is consumed from.
 type PauseReason int
 
 // The pause reasons.
 const (
 	NotPaused         PauseReason = iota
-	PausedDraining                // the instance drains
+	PausedDraining                // the instance is draining
 	PausedRuntimeDown             // the server has no runtime
-	PausedBlocked                 // the broker accepts no replies
+	PausedBlocked                 // the broker has blocked publishing, so no replies can be sent
 	PausedMemory                  // the server has no memory for further requests
 )
 
-// String returns the reason as the status socket names it, empty for NotPaused.
+// String returns the reason as the status socket reports it. It is empty for NotPaused.
 func (r PauseReason) String() string {
 	switch r {
 	case NotPaused:
@@ -52,18 +52,18 @@
 	return "unknown"
 }
 
-// FlowController decides how many messages of each queue may be in flight. It belongs to one goroutine.
+// FlowController decides how many messages of each queue may be in flight. It must be used by one goroutine only.
 type FlowController struct {
 	queues      []*queue
-	maxInFlight int     // messages in flight over all queues
-	window      float64 // messages that may be in flight now, over all queues
-	updatedAt   time.Duration
-	updated     bool
-	rejected    int // messages that the server rejected since the last update
+	maxInFlight int           // messages in flight over all queues
+	window      float64       // messages that may be in flight now, over all queues
+	updatedAt   time.Duration // time of the last update, if updated is true
+	updated     bool          // Update has computed the limits at least once
+	rejected    int           // messages rejected by the server since the last Update
 	pauseReason PauseReason
 }
 
-// NewFlowController returns a controller for the queues, with at most maxInFlight messages in flight over all.
+// NewFlowController returns a controller for the queues that allows at most maxInFlight messages over all queues.
 func NewFlowController(queues []Queue, maxInFlight int) *FlowController {
 	c := &FlowController{maxInFlight: max(1, maxInFlight)}
 	for _, config := range queues {
@@ -73,7 +73,7 @@
 	return c
 }
 
-// minInFlight is what the queues may have in flight however busy the server is.
+// minInFlight returns how many messages all queues together may have in flight, however busy the server is.
 func (c *FlowController) minInFlight() (sum int) {
 	for _, q := range c.queues {
 		sum += max(0, q.MinInFlight)
@@ -90,38 +90,38 @@
 	return nil
 }
 
-// Received counts a delivery from the queue as in flight.
-func (c *FlowController) Received(name QueueName) {
+// RecordDelivery counts a delivery from the queue as in flight.
+func (c *FlowController) RecordDelivery(name QueueName) {
 	if q := c.lookup(name); q != nil {
 		q.inFlight++
 	}
 }
 
-// Settled counts a delivery from the queue as no longer in flight.
-func (c *FlowController) Settled(name QueueName) {
+// RecordSettlement counts a delivery from the queue as no longer in flight.
+func (c *FlowController) RecordSettlement(name QueueName) {
 	if q := c.lookup(name); q != nil && q.inFlight > 0 {
 		q.inFlight--
 	}
 }
 
-// Disconnected says that all deliveries of the queue went back to the broker with their channel.
-func (c *FlowController) Disconnected(name QueueName) {
+// ResetInFlight records that the queue's channel has closed and that the broker took back all its deliveries.
+func (c *FlowController) ResetInFlight(name QueueName) {
 	if q := c.lookup(name); q != nil {
 		q.inFlight = 0
 	}
 }
 
-// Rejected says that the server had no capacity for a message.
-func (c *FlowController) Rejected() { c.rejected++ }
+// RecordRejection records that the server had no capacity for a message.
+func (c *FlowController) RecordRejection() { c.rejected++ }
 
-// Finished says that a message of the queue was executed, and whether that failed.
-func (c *FlowController) Finished(now time.Duration, name QueueName, failed bool) {
+// RecordOutcome records that a message of the queue was executed, and whether it failed.
+func (c *FlowController) RecordOutcome(now time.Duration, name QueueName, failed bool) {
 	if q := c.lookup(name); q != nil {
-		q.finish(now, failed)
+		q.recordOutcome(now, failed)
 	}
 }
 
-// TotalInFlight is how many messages are in flight over all queues.
+// TotalInFlight returns the number of messages in flight over all queues.
 func (c *FlowController) TotalInFlight() (sum int) {
 	for _, q := range c.queues {
 		sum += q.inFlight
@@ -129,7 +129,7 @@
 	return sum
 }
 
-// InFlight is how many messages of the queue are in flight.
+// InFlight returns the number of messages of the queue that are in flight.
 func (c *FlowController) InFlight(name QueueName) int {
 	if q := c.lookup(name); q != nil {
 		return q.inFlight
@@ -137,13 +137,13 @@
 	return 0
 }
 
-// Window is how many messages may be in flight over all queues.
+// Window returns how many messages may be in flight over all queues.
 func (c *FlowController) Window() int { return int(c.window) }
 
-// PauseReason is why nothing is taken, NotPaused if something may be.
+// PauseReason returns the reason why no queue is consumed from, or NotPaused.
 func (c *FlowController) PauseReason() PauseReason { return c.pauseReason }
 
-// Limit is how many messages of the queue may be in flight. At 0 it is not consumed from.
+// Limit returns how many messages of the queue may be in flight. A queue with limit 0 is not consumed from.
 func (c *FlowController) Limit(name QueueName) int {
 	if q := c.lookup(name); q != nil {
 		return q.limit
@@ -151,7 +151,7 @@
 	return 0
 }
 
-// State says how the queue is treated.
+// State returns the pause reason and the mode of the queue.
 func (c *FlowController) State(name QueueName) QueueState {
 	q := c.lookup(name)
 	if q == nil {
@@ -160,10 +160,10 @@
 	return QueueState{pause: c.pauseReason, mode: q.mode}
 }
 
-// Update computes the limits anew; blocked says that the broker accepts no replies. A saturated instance leaves
-// messages in the queue for its peers and keeps its capacity for callers who wait on a connection: the window shrinks
-// while the server rejects messages or queues more requests than its cores can soon run, and grows, by the number of
-// cores, only while it is used.
+// Update recomputes the limits. blocked reports whether the broker has blocked publishing. A saturated instance leaves
+// messages in the queue for its peers and keeps its capacity for callers that wait on a connection: the window shrinks
+// while the server rejects messages or queues more requests than its cores can soon run. It grows by the number of
+// cores while it is used and the server is not busy.
 func (c *FlowController) Update(now time.Duration, load frontend.Load, blocked bool) {
 	rejected := c.rejected
 	c.rejected = 0
@@ -195,8 +195,8 @@
 	return NotPaused
 }
 
-// pause closes all queues. The window is reset, so that after the pause an instance that starts cold does not get at
-// once all that it had before.
+// pause sets the limits of all queues to 0. It also resets the window, so that an instance that starts cold after the
+// pause does not receive as many messages at once as before the pause.
 func (c *FlowController) pause() {
 	c.window = float64(c.minInFlight())
 	for _, q := range c.queues {
@@ -204,16 +204,17 @@
 	}
 }
 
-// resizeWindow shrinks the window if the server is overloaded, and grows it if it is used and the server is not busy.
+// resizeWindow shrinks the window if the server is overloaded. It grows the window if the window is used and the
+// server is not busy.
 func (c *FlowController) resizeWindow(load frontend.Load, rejected int) {
 	cores := max(1, load.Cores)
 	queued := float64(load.Queued)
-	lowest := float64(c.minInFlight())
+	minWindow := float64(c.minInFlight())
 	inFlight := c.TotalInFlight()
-	c.window = max(c.window, lowest) // a lack of capacity may have pushed it under the minimum
+	c.window = max(c.window, minWindow) // a lack of capacity may have reduced it below the minimum
 	switch {
 	case rejected > 0, !load.Healthy, queued > overloadedQueuePerCore*cores:
-		c.window = max(lowest, c.window*windowDecreaseFactor)
+		c.window = max(minWindow, c.window*windowDecreaseFactor)
 	case float64(inFlight) >= windowUsedFraction*c.window && queued <= growthQueuePerCore*cores:
 		c.window += cores
 	}
--- a/internal/amqp/delivery/flowcontroller_test.go
+++ b/internal/amqp/delivery/flowcontroller_test.go
@@ -12,10 +12,10 @@
 	_ "lanewheel/internal/rapidtest"
 )
 
-var calm = frontend.Load{Ready: true, Healthy: true, Cores: 4, FreeCapacity: 1000}
+var idleLoad = frontend.Load{Ready: true, Healthy: true, Cores: 4, FreeCapacity: 1000}
 
-// The window grows as long as it is used; it shrinks to the minimum while the server is overloaded, and closes when the
-// instance drains or what it needs is down.
+// The window grows while it is used, and shrinks to the minimum while the server is overloaded. All limits are 0 while
+// the instance drains, the server has no runtime or no capacity, or the broker blocks publishing.
 func Example() {
 	flow := NewFlowController([]Queue{{Name: "ops", Weight: 1, MinInFlight: 2, MaxInFlight: 50}}, 30)
 	now := time.Duration(0)
@@ -23,30 +23,30 @@
 		now += UpdateInterval
 		flow.Update(now, load, blocked)
 		for range flow.Limit("ops") - flow.TotalInFlight() {
-			flow.Received("ops")
+			flow.RecordDelivery("ops")
 		}
 		fmt.Print(flow.Limit("ops"), " ")
 	}
 	for range 9 {
-		update(calm, false)
+		update(idleLoad, false)
 	}
 	fmt.Println(flow.State("ops"))
 	for range 9 {
-		flow.Rejected()
-		update(calm, false)
+		flow.RecordRejection()
+		update(idleLoad, false)
 	}
 	fmt.Println(flow.State("ops"))
-	busy := calm
-	busy.Queued = 20
-	update(busy, false)
-	update(calm, true)
+	overloadedLoad := idleLoad
+	overloadedLoad.Queued = 20
+	update(overloadedLoad, false)
+	update(idleLoad, true)
 	fmt.Println(flow.State("ops"))
 	for _, change := range []func(*frontend.Load){
 		func(l *frontend.Load) { l.Ready = false },
 		func(l *frontend.Load) { l.Draining = true },
 		func(l *frontend.Load) { l.FreeCapacity = 0 },
 	} {
-		load := calm
+		load := idleLoad
 		change(&load)
 		update(load, false)
 		fmt.Println(flow.State("ops"))
@@ -60,7 +60,7 @@
 	// 0 memory
 }
 
-// Minimums first, then the higher priority, then weights; an empty queue leaves its part to the others.
+// Minimums are assigned first, then priorities and weights apply. An empty queue leaves its share to the others.
 func Example_priorities() {
 	flow := NewFlowController([]Queue{
 		{Name: "low", Weight: 1, MinInFlight: 2, MaxInFlight: 50},
@@ -71,7 +71,7 @@
 	show := func(busy ...QueueName) {
 		for range 20 {
 			now += UpdateInterval
-			flow.Update(now, calm, false)
+			flow.Update(now, idleLoad, false)
 			for _, q := range flow.queues {
 				for slices.Contains(busy, q.Name) && q.inFlight < q.limit {
 					q.inFlight++
@@ -92,7 +92,7 @@
 	// low 16 a 4 b 4
 }
 
-// A queue whose messages fail is probed with growing pauses, and recovers a few messages at a time.
+// A queue whose messages fail is probed after increasing delays. After a successful probe its limit grows step by step.
 func Example_failing() {
 	flow := NewFlowController([]Queue{{Name: "ops", Weight: 1, MinInFlight: 4, MaxInFlight: 50}}, 30)
 	now := time.Duration(0)
@@ -101,14 +101,14 @@
 	last := ""
 	for range 400 {
 		now += UpdateInterval
-		flow.Update(now, calm, false)
+		flow.Update(now, idleLoad, false)
 		for flow.TotalInFlight() < flow.Limit("ops") {
-			flow.Received("ops")
+			flow.RecordDelivery("ops")
 			taken++
 		}
 		for n := flow.TotalInFlight(); n > 0; n-- {
-			flow.Settled("ops")
-			flow.Finished(now, "ops", broken)
+			flow.RecordSettlement("ops")
+			flow.RecordOutcome(now, "ops", broken)
 		}
 		if state := flow.State("ops").String(); state != last {
 			fmt.Println(now, state, "taken", taken)
@@ -123,8 +123,8 @@
 	// 31.6s open taken 24
 }
 
-// Whatever the queues, loads and outcomes: never more in flight than configured, minimums kept while nothing is paused,
-// and nothing taken while it is.
+// With random queues, loads and outcomes: no limit exceeds the configured maximum, minimums are kept while consuming is
+// not paused, and all limits are 0 while it is.
 func TestFlowController(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		queues := drawQueues(t)
@@ -145,7 +145,7 @@
 				FreeCapacity: rapid.IntRange(0, 100).Draw(t, "capacity"),
 			}
 			if rapid.Bool().Draw(t, "rejected") {
-				flow.Rejected()
+				flow.RecordRejection()
 			}
 			flow.Update(now, load, false)
 			sum := 0
@@ -153,8 +153,8 @@
 				sum += flow.Limit(q.Name)
 				checkLimit(t, flow, q, load.FreeCapacity >= minimums)
 			}
-			if sum > maxInFlight+len(queues) { // each may be probed
-				t.Fatalf("%d in flight, configured %d", sum, maxInFlight)
+			if sum > maxInFlight+len(queues) { // each queue may be probed outside the window
+				t.Fatalf("limits add up to %d, configured maximum %d", sum, maxInFlight)
 			}
 			for _, q := range queues {
 				drawTraffic(t, flow, q.Name, now)
@@ -177,29 +177,29 @@
 	return queues
 }
 
-// checkLimit checks the limit of one queue; hasCapacity says that the server has capacity for all minimums.
+// checkLimit checks the limit of one queue. hasCapacity reports whether the server has capacity for all minimums.
 func checkLimit(t *rapid.T, flow *FlowController, q Queue, hasCapacity bool) {
 	t.Helper()
 	limit := flow.Limit(q.Name)
 	if limit < 0 || limit > q.MaxInFlight {
-		t.Fatalf("%s may have %d of %d", q.Name, limit, q.MaxInFlight)
+		t.Fatalf("%s: limit %d, want 0 to %d", q.Name, limit, q.MaxInFlight)
 	}
 	paused := flow.PauseReason() != NotPaused
 	if paused && limit > 0 {
-		t.Fatal("paused, and takes")
+		t.Fatalf("%s: limit %d while paused, want 0", q.Name, limit)
 	}
 	if !paused && flow.State(q.Name).String() == "open" && hasCapacity && limit < q.MinInFlight {
-		t.Fatalf("%s is under its minimum: %d", q.Name, limit)
+		t.Fatalf("%s: limit %d, want at least the minimum %d", q.Name, limit, q.MinInFlight)
 	}
 }
 
-// drawTraffic fills the queue's limit in part, and finishes a part of what is in flight.
+// drawTraffic adds deliveries within the queue's limit and finishes some of the messages in flight, at random.
 func drawTraffic(t *rapid.T, flow *FlowController, name QueueName, now time.Duration) {
 	for flow.lookup(name).inFlight < flow.Limit(name) && rapid.Bool().Draw(t, "arrives") {
-		flow.Received(name)
+		flow.RecordDelivery(name)
 	}
 	for flow.lookup(name).inFlight > 0 && rapid.Bool().Draw(t, "finishes") {
-		flow.Settled(name)
-		flow.Finished(now, name, rapid.Bool().Draw(t, "failed"))
+		flow.RecordSettlement(name)
+		flow.RecordOutcome(now, name, rapid.Bool().Draw(t, "failed"))
 	}
 }
--- a/internal/amqp/delivery/golden_test.go
+++ b/internal/amqp/delivery/golden_test.go
@@ -7,7 +7,7 @@
 	"lanewheel/internal/frontend"
 )
 
-// How replies, dead letters and counters name the outcomes.
+// The outcome names in replies, dead letters and counters.
 func TestGoldenOutcomes(t *testing.T) {
 	for outcome, want := range map[Outcome]string{
 		Succeeded:       "acked",
@@ -22,19 +22,19 @@
 		OutOfAttempts:   "out-of-attempts",
 	} {
 		if got := outcome.String(); got != want {
-			t.Errorf("%d is %q, want %q", outcome, got, want)
+			t.Errorf("outcome %d has name %q, want %q", outcome, got, want)
 		}
 	}
-	lastAttempt := Message{Attempt: 2, Remaining: time.Hour}
-	out := NewRetryBudget(1).Settle(lastAttempt, SettlementConfig{MaxAttempts: 3}, Rejected, 0, 0.5)
-	if out.Outcome.String() != "out-of-attempts" || !out.Reply {
-		t.Errorf("out of attempts: %+v", out)
+	lastAttempt := Message{PriorAttempts: 2, Remaining: time.Hour}
+	disposition := NewRetryBudget(1).Settle(lastAttempt, SettlementConfig{MaxAttempts: 3}, Rejected, 0, 0.5)
+	if disposition.Outcome.String() != "out-of-attempts" || !disposition.Reply {
+		t.Errorf("rejected in the last attempt: %+v, want a reply with outcome out-of-attempts", disposition)
 	}
 }
 
-// How the status socket names the state of a queue.
+// The queue state names on the status socket.
 func TestGoldenStates(t *testing.T) {
-	calm := frontend.Load{Ready: true, Healthy: true, Cores: 4, FreeCapacity: 1000}
+	idleLoad := frontend.Load{Ready: true, Healthy: true, Cores: 4, FreeCapacity: 1000}
 	open := Queue{Name: "q", Weight: 1, MinInFlight: 1, MaxInFlight: 10}
 	for want, change := range map[string]func(flow *FlowController, load *frontend.Load) (blocked bool){
 		"open":         func(*FlowController, *frontend.Load) bool { return false },
@@ -44,26 +44,26 @@
 		"memory":       func(_ *FlowController, l *frontend.Load) bool { l.FreeCapacity = 0; return false },
 		"probing": func(flow *FlowController, _ *frontend.Load) bool {
 			for range 8 {
-				flow.Finished(0, "q", true)
+				flow.RecordOutcome(0, "q", true)
 			}
 			return false
 		},
 		"coming": func(flow *FlowController, _ *frontend.Load) bool {
 			for range 8 {
-				flow.Finished(0, "q", true)
+				flow.RecordOutcome(0, "q", true)
 			}
-			flow.Finished(time.Minute, "q", false)
+			flow.RecordOutcome(time.Minute, "q", false)
 			return false
 		},
 	} {
-		flow, load := NewFlowController([]Queue{open}, 10), calm
+		flow, load := NewFlowController([]Queue{open}, 10), idleLoad
 		blocked := change(flow, &load)
 		flow.Update(time.Minute, load, blocked)
 		if got := flow.State("q").String(); got != want {
-			t.Errorf("%q, want %q", got, want)
+			t.Errorf("state %q, want %q", got, want)
 		}
 	}
 	if got := NewFlowController(nil, 1).State("none").String(); got != "unknown" {
-		t.Errorf("%q", got)
+		t.Errorf("state of an unconfigured queue %q, want %q", got, "unknown")
 	}
 }
--- a/internal/amqp/delivery/queue.go
+++ b/internal/amqp/delivery/queue.go
@@ -7,47 +7,47 @@
 )
 
 const (
-	// initialProbeBackoff and maxProbeBackoff are the first and the longest wait between two probes of a queue whose
+	// initialProbeBackoff and maxProbeBackoff are the first and the longest delay between two probes of a queue whose
 	// messages fail.
 	initialProbeBackoff = time.Second
 	maxProbeBackoff     = 30 * time.Second
-	// failureThreshold is the fraction of a queue's last messages that failed from which on the queue is failing.
+	// failureThreshold is the fraction of failures among a queue's recent outcomes from which on it counts as failing.
 	failureThreshold = 0.5
-	// minOutcomes is how many messages have to be finished before a queue can be failing.
+	// minOutcomes is how many messages must be finished before a queue can count as failing.
 	minOutcomes = 8
-	// outcomeWindow is how many of the last outcomes count: with some dozens a failing queue is no coincidence.
+	// outcomeWindow is how many recent outcomes are considered. Some dozens rule out a failing queue by coincidence.
 	outcomeWindow = 32
-	// minQueueWeight keeps a queue of weight 0 from getting nothing for ever.
+	// minQueueWeight is the lowest effective weight. Without it a queue of weight 0 would never get a share.
 	minQueueWeight = 0.01
-	// demandGrowthFactor and demandHeadroom say how many messages more than it has in flight a queue may ask for.
+	// A queue that has n messages in flight can be assigned at most demandGrowthFactor*n + demandHeadroom.
 	demandGrowthFactor = 2
 	demandHeadroom     = 4
 )
 
-// QueueName is a queue's name at the broker.
+// QueueName is the name of a queue at the broker.
 type QueueName string
 
 // Queue is the configuration of one queue.
 type Queue struct {
 	Name        QueueName
-	Weight      float64 // its share beside other queues of the same priority
-	Priority    int     // queues of a higher priority go first
-	MinInFlight int     // messages that may be in flight however busy the instance is, unless all is paused
-	MaxInFlight int     // messages that may be in flight at most
+	Weight      float64 // share relative to the other queues of the same priority
+	Priority    int     // queues of a higher priority are served first
+	MinInFlight int     // messages that may be in flight however busy the instance is, unless consuming is paused
+	MaxInFlight int     // maximum number of messages in flight
 }
 
-// queueMode is how a queue is treated for the outcomes of its messages.
+// queueMode determines how many messages a queue may have in flight, depending on the outcomes of its messages.
 type queueMode int
 
-// The queue modes. The zero value stands for a queue that is not configured.
+// The queue modes. The zero value is the mode of a queue that is not configured.
 const (
 	modeUnknown    queueMode = iota
-	modeOpen                 // limited by the window alone
-	modeProbing              // its messages fail: one at a time, with growing pauses
-	modeRecovering           // a probe succeeded: a few at a time, then more
+	modeOpen                 // limited by the window and MaxInFlight only
+	modeProbing              // its messages fail: one message at a time, after increasing delays
+	modeRecovering           // a probe succeeded: the limit grows by one with each success
 )
 
-// String returns the mode as the status socket names it.
+// String returns the mode as the status socket reports it.
 func (m queueMode) String() string {
 	switch m {
 	case modeOpen:
@@ -61,13 +61,13 @@
 	return "unknown"
 }
 
-// QueueState is a queue's mode, and why it is paused, if it is.
+// QueueState is a queue's mode, and the reason why consuming is paused, if it is.
 type QueueState struct {
 	pause PauseReason
 	mode  queueMode
 }
 
-// String returns the pause reason, or the mode if there is none, as the status socket names them.
+// String returns the pause reason, or the mode if consuming is not paused, as the status socket reports them.
 func (s QueueState) String() string {
 	if s.pause != NotPaused {
 		return s.pause.String()
@@ -75,60 +75,60 @@
 	return s.mode.String()
 }
 
-// queue is the state of one queue. It belongs to its FlowController.
+// queue is the state of one queue. It is owned by its FlowController.
 type queue struct {
 	Queue
-	inFlight      int // received and not settled
-	limit         int // messages that may be in flight
+	inFlight      int // deliveries received and not settled
+	limit         int // maximum number of messages in flight, set by the last Update
 	mode          queueMode
-	nextProbe     time.Duration // when a failing queue gets its next message
+	nextProbe     time.Duration // when a failing queue may receive its next message
 	probeBackoff  time.Duration
-	recoveryLimit int                 // messages that a recovering queue may have in flight
-	failures      [outcomeWindow]bool // whether the last messages failed, a ring
-	finished      int                 // outcomes written to the ring since the queue was opened
+	recoveryLimit int                 // maximum number of messages in flight in modeRecovering
+	failures      [outcomeWindow]bool // ring of the last outcomes, true for a failure
+	outcomeCount  int                 // outcomes written to the ring since the mode became modeOpen or modeRecovering
 }
 
-// finish takes the outcome of a message.
-func (q *queue) finish(now time.Duration, failed bool) {
-	q.failures[q.finished%len(q.failures)] = failed
-	q.finished++
+// recordOutcome records the outcome of an executed message and changes the mode accordingly.
+func (q *queue) recordOutcome(now time.Duration, failed bool) {
+	q.failures[q.outcomeCount%len(q.failures)] = failed
+	q.outcomeCount++
 	switch q.mode {
 	case modeOpen:
 		if q.isFailing() {
-			q.probeAfter(now, initialProbeBackoff)
+			q.scheduleProbe(now, initialProbeBackoff)
 		}
 	case modeProbing:
 		if failed {
-			q.probeAfter(now, min(2*q.probeBackoff, maxProbeBackoff))
+			q.scheduleProbe(now, min(2*q.probeBackoff, maxProbeBackoff))
 			return
 		}
 		q.mode = modeRecovering
 		q.recoveryLimit = 1
-		q.finished = 0
+		q.outcomeCount = 0
 	case modeRecovering:
 		if failed {
-			q.probeAfter(now, min(2*q.probeBackoff, maxProbeBackoff))
+			q.scheduleProbe(now, min(2*q.probeBackoff, maxProbeBackoff))
 			return
 		}
 		q.recoveryLimit++
 		if q.recoveryLimit > max(q.MinInFlight, minOutcomes) {
 			q.mode = modeOpen
-			q.finished = 0
+			q.outcomeCount = 0
 			q.probeBackoff = 0
 		}
 	case modeUnknown:
 	}
 }
 
-// probeAfter closes the queue but for one message after the backoff.
-func (q *queue) probeAfter(now, backoff time.Duration) {
+// scheduleProbe closes the queue, except for one message after the backoff.
+func (q *queue) scheduleProbe(now, backoff time.Duration) {
 	q.mode = modeProbing
 	q.probeBackoff = backoff
 	q.nextProbe = now + backoff
 }
 
 func (q *queue) isFailing() bool {
-	n := min(q.finished, len(q.failures))
+	n := min(q.outcomeCount, len(q.failures))
 	failed := 0
 	for _, isFailure := range q.failures[:n] {
 		if isFailure {
@@ -138,9 +138,9 @@
 	return n >= minOutcomes && float64(failed) >= failureThreshold*float64(n)
 }
 
-// ceiling is what the queue may have in flight by its own mode. A failing queue is probed, so that it is not emptied
-// into failures.
-func (q *queue) ceiling(now time.Duration) int {
+// modeLimit returns how many messages the queue's mode allows in flight. A failing queue is only probed, so that its
+// messages are not all consumed and failed.
+func (q *queue) modeLimit(now time.Duration) int {
 	switch q.mode {
 	case modeProbing:
 		if now >= q.nextProbe {
@@ -154,19 +154,20 @@
 	return q.MaxInFlight
 }
 
-// demand is what the queue can use: somewhat more than it has in flight, so that it shows whether it has more.
+// demand returns how many messages the queue can use. It exceeds the number in flight, so that a queue with more
+// messages can show that it has them.
 func (q *queue) demand(now time.Duration) int {
-	return min(q.ceiling(now), demandGrowthFactor*q.inFlight+demandHeadroom)
+	return min(q.modeLimit(now), demandGrowthFactor*q.inFlight+demandHeadroom)
 }
 
-// divideWindow divides the window among the queues: first the minimum of each, then what they can use, a higher
-// priority before a lower one, and by weight within one priority.
+// divideWindow divides the window among the queues. Each queue first gets its minimum. The rest goes to the queues by
+// priority, and by weight among queues of the same priority, up to the demand of each queue.
 func (c *FlowController) divideWindow(now time.Duration) {
 	remaining := int(c.window)
 	byPriority := slices.Clone(c.queues)
 	slices.SortStableFunc(byPriority, func(a, b *queue) int { return cmp.Compare(b.Priority, a.Priority) })
 	for _, q := range byPriority {
-		q.limit = min(q.MinInFlight, q.ceiling(now), max(remaining, 0))
+		q.limit = min(q.MinInFlight, q.modeLimit(now), max(remaining, 0))
 		remaining -= q.limit
 	}
 	for start := 0; start < len(byPriority) && remaining > 0; {
@@ -177,7 +178,7 @@
 		remaining = fillByWeight(byPriority[start:end], remaining, now)
 		start = end
 	}
-	// A probe needs no place in the window: without it a failing queue would stay closed as long as others fill that.
+	// A probe is allowed even if the window is full. Otherwise a failing queue would stay closed while others fill it.
 	for _, q := range c.queues {
 		if q.mode == modeProbing && now >= q.nextProbe && q.inFlight == 0 {
 			q.limit = 1
@@ -185,8 +186,8 @@
 	}
 }
 
-// fillByWeight raises the limits of queues of one priority, by weight, until each has what it demands. It returns
-// what remains.
+// fillByWeight raises the limits of queues of the same priority, by weight, until the demand of each is met or the
+// window is used up. It returns the remaining part of the window.
 func fillByWeight(queues []*queue, remaining int, now time.Duration) int {
 	for remaining > 0 {
 		totalWeight := 0.0
@@ -200,14 +201,14 @@
 		}
 		available := float64(remaining)
 		for _, q := range queues {
-			missing := q.demand(now) - q.limit
-			if missing <= 0 || remaining <= 0 {
+			unmetDemand := q.demand(now) - q.limit
+			if unmetDemand <= 0 || remaining <= 0 {
 				continue
 			}
 			share := int(available * max(q.Weight, minQueueWeight) / totalWeight)
-			part := min(missing, remaining, max(1, share))
-			q.limit += part
-			remaining -= part
+			granted := min(unmetDemand, remaining, max(1, share))
+			q.limit += granted
+			remaining -= granted
 		}
 	}
 	return remaining
--- a/internal/amqp/delivery/retrybudget.go
+++ b/internal/amqp/delivery/retrybudget.go
@@ -5,31 +5,31 @@
 )
 
 const (
-	// initialRetries is how many retries a new budget holds.
+	// initialRetries is how many retries a new budget contains.
 	initialRetries = 10
-	// maxSavedRetries is how many retries a budget may save up: some seconds of a busy queue's.
+	// maxSavedRetries is how many retries a budget can accumulate: the retries of a busy queue in some seconds.
 	maxSavedRetries = 100
-	// minRetryDelay is how long a rejected message is kept before it is returned, doubled with each attempt. Without it
-	// broker and instance would pass the message to and fro as fast as they can, and spend the budget on a moment's lack
-	// of capacity.
+	// minRetryDelay is how long a rejected message is kept before it is returned to the broker. It doubles with each
+	// attempt. Without it, broker and instance would exchange the message as fast as they can, and a brief lack of
+	// capacity would use up the budget.
 	minRetryDelay = 200 * time.Millisecond
-	// maxRetryDelayDoublings bounds the doubling of minRetryDelay.
+	// maxRetryDelayDoublings limits how often minRetryDelay is doubled.
 	maxRetryDelayDoublings = 8
 )
 
-// RetryBudget bounds the retries of all messages to a fraction of the fresh ones, so that an overloaded fleet does not
-// spend its time on passing the same messages round. It belongs to one goroutine.
+// RetryBudget limits the retries of all messages to a fraction of the fresh messages, so that an overloaded fleet does
+// not spend its time passing the same messages around. It must be used by one goroutine only.
 type RetryBudget struct {
 	fraction  float64 // retries granted for each fresh message
-	remaining float64 // retries
+	remaining float64 // retries that may still be granted
 }
 
-// NewRetryBudget returns a budget that grants fraction retries for each fresh message, and holds a few to begin with.
+// NewRetryBudget returns a budget that grants fraction retries for each fresh message, plus initialRetries.
 func NewRetryBudget(fraction float64) *RetryBudget {
 	return &RetryBudget{fraction: fraction, remaining: initialRetries}
 }
 
-// CountFresh counts a message that arrived for the first time.
+// CountFresh adds fraction retries to the budget, for a message that arrived for the first time.
 func (b *RetryBudget) CountFresh() {
 	b.remaining = min(maxSavedRetries, b.remaining+b.fraction)
 }
@@ -42,8 +42,8 @@
 	return true
 }
 
-// Settle decides what becomes of a message. retryAfter is when to come back, as the server said, 0 if it did not;
-// random is from 0 to under 1.
+// Settle decides how to settle a message. retryAfter is the delay before a retry that the server asked for, or 0.
+// random must be at least 0 and less than 1.
 func (b *RetryBudget) Settle(
 	message Message, config SettlementConfig, outcome Outcome, retryAfter time.Duration, random float64,
 ) Disposition {
@@ -66,9 +66,9 @@
 	}
 }
 
-// settleDrained returns the message whatever its attempts: it did not fail, the instance drains. A message that is
-// requeued is redelivered, and without idempotence could not be told from one that was executed; so it goes by the
-// retry queue where there is one.
+// settleDrained returns the message whatever its number of attempts, because the instance is draining and the message
+// did not fail. A requeued message is redelivered, and if it is not idempotent the next consumer cannot distinguish it
+// from one that was executed. Such a message is returned by way of the retry queue if the queue has one.
 func settleDrained(message Message, config SettlementConfig) Disposition {
 	if config.UseRetryQueue && !message.Idempotent {
 		return Disposition{Action: Reject}
@@ -76,15 +76,15 @@
 	return Disposition{Action: Requeue}
 }
 
-// settleRejected returns the message for a further attempt if its attempts, its deadline and the budget allow one.
+// settleRejected returns the message for another attempt if its attempts, its deadline and the budget allow one.
 func (b *RetryBudget) settleRejected(
 	message Message, config SettlementConfig, retryAfter time.Duration, random float64,
 ) Disposition {
-	if message.Attempt+1 >= config.MaxAttempts {
+	if message.PriorAttempts+1 >= config.MaxAttempts {
 		return finalDisposition(OutOfAttempts, config)
 	}
-	// From half to one and a half times, so that messages that were rejected together do not come back together.
-	delay := max(minRetryDelay<<min(message.Attempt, maxRetryDelayDoublings), retryAfter)
+	// Random between 0.5 and 1.5 times the delay, so that messages that were rejected together do not return together.
+	delay := max(minRetryDelay<<min(message.PriorAttempts, maxRetryDelayDoublings), retryAfter)
 	delay = delay/2 + time.Duration(random*float64(delay))
 	action := Requeue
 	total := delay
--- a/internal/amqp/delivery/settlement.go
+++ b/internal/amqp/delivery/settlement.go
@@ -4,22 +4,22 @@
 	"time"
 )
 
-// Outcome is what became of a message.
+// Outcome is the result of processing a message.
 type Outcome int
 
 // The outcomes.
 const (
-	NoOutcome       Outcome = iota // none that is replied: the message goes back to the broker
-	Succeeded                      // it was executed
-	Rejected                       // the server had no capacity; it was not executed here
-	Failed                         // it may have been executed
-	Denied                         // its caller may not; it was not executed
-	Unservable                     // it can't be served, now or later; it was not executed
-	Expired                        // it arrived after its deadline; it was not executed
-	MayHaveExecuted                // redelivered, not idempotent, and not known here
-	Drained                        // the instance drains; it was not executed
-	DuplicateID                    // another message with its id and another content is remembered
-	OutOfAttempts                  // rejected as often as is allowed; it was not executed
+	NoOutcome       Outcome = iota // no reply is sent; the message is returned to the broker
+	Succeeded                      // executed
+	Rejected                       // the server had no capacity; not executed here
+	Failed                         // may have been executed
+	Denied                         // the caller is not authorized; not executed
+	Unservable                     // cannot be served, now or later; not executed
+	Expired                        // arrived after its deadline; not executed
+	MayHaveExecuted                // redelivered, not idempotent, and not remembered by this instance
+	Drained                        // the instance is draining; not executed
+	DuplicateID                    // a message with the same id and different content is remembered
+	OutOfAttempts                  // rejected the maximum number of times; not executed
 )
 
 var outcomeNames = [...]string{
@@ -36,7 +36,7 @@
 	OutOfAttempts:   "out-of-attempts",
 }
 
-// String returns the outcome as replies, dead letters and counters name it, empty for NoOutcome.
+// String returns the outcome as replies, dead letters and counters report it. It is empty for NoOutcome.
 func (o Outcome) String() string {
 	if o < 0 || int(o) >= len(outcomeNames) {
 		return "unknown"
@@ -44,37 +44,37 @@
 	return outcomeNames[o]
 }
 
-// Message is what the decision on a message depends on.
+// Message holds the properties of a message on which its settlement depends.
 type Message struct {
-	Attempt    int           // earlier attempts, by the broker's count or ours
-	Remaining  time.Duration // until its deadline
-	Idempotent bool          // its class may be executed twice
+	PriorAttempts int           // earlier attempts, as counted by the broker or by this instance
+	Remaining     time.Duration // time until its deadline
+	Idempotent    bool          // the message's class may be executed twice
 }
 
-// SettlementConfig is how the messages of a queue are settled.
+// SettlementConfig configures how the messages of a queue are settled.
 type SettlementConfig struct {
-	MaxAttempts     int           // after so many attempts a message is replied to as failed
-	UseRetryQueue   bool          // the queue dead-letters rejected messages into one that returns them after a while
+	MaxAttempts     int           // a message rejected in this many attempts is replied to as out of attempts
+	UseRetryQueue   bool          // the queue dead-letters rejected messages into one that returns them after a delay
 	RetryQueueDelay time.Duration // how long the retry queue keeps a message
 	DeadLetter      bool          // messages that did not succeed are copied to a dead-letter queue
-	Reply           bool          // messages name the queue of their reply
+	Reply           bool          // messages name the queue for their reply
 }
 
-// Action is how a delivery is settled, after its reply if there is one.
+// Action is how a delivery is settled, after the reply if there is one.
 type Action int
 
-// The actions.
+// The actions that settle a delivery.
 const (
 	Ack     Action = iota
-	Requeue        // return it to the queue, for a peer
-	Reject         // dead-letter it into the retry queue
+	Requeue        // return the message to the queue, for a peer
+	Reject         // dead-letter the message into the retry queue
 )
 
-// Disposition is the decision on a message.
+// Disposition is the decision how to settle a message.
 type Disposition struct {
 	Reply      bool    // reply now; there is no further attempt
-	Outcome    Outcome // that is replied
-	DeadLetter bool    // copy it to the dead-letter queue
+	Outcome    Outcome // outcome reported in the reply
+	DeadLetter bool    // copy the message to the dead-letter queue
 	Action     Action
-	Delay      time.Duration // before the action
+	Delay      time.Duration // time to wait before the action
 }
--- a/internal/amqp/delivery/settlement_test.go
+++ b/internal/amqp/delivery/settlement_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// What becomes of a message.
+// The disposition of a message, by outcome and configuration. The last line shows the limit of the retry budget.
 func Example_settle() {
 	b := NewRetryBudget(0.1)
 	plain := SettlementConfig{MaxAttempts: 3, DeadLetter: true}
@@ -26,7 +26,7 @@
 	show("rejected, retry queue", m, retry, Rejected, 0)
 	show("rejected, no time", Message{Remaining: 20 * time.Millisecond}, plain, Rejected, 0)
 	show("rejected, no time for the retry queue", Message{Remaining: time.Second}, retry, Rejected, 0)
-	show("rejected, last attempt", Message{Remaining: time.Minute, Attempt: 2}, retry, Rejected, 0)
+	show("rejected, last attempt", Message{Remaining: time.Minute, PriorAttempts: 2}, retry, Rejected, 0)
 	show("failed", m, retry, Failed, 0)
 	show("denied", m, plain, Denied, 0)
 	show("drained", m, retry, Drained, 0)
@@ -56,8 +56,8 @@
 	// budget 7 false
 }
 
-// Any message is replied to or returned, never both. It is returned only if it was not executed, there is time for a
-// further attempt, and attempts and budget allow one; a failure is never called a success.
+// Each message is either replied to or returned. It is returned only if it was not executed, another attempt fits into
+// the remaining time, and the attempts and the budget allow one. No other outcome is replied as a success.
 func TestSettle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fraction := rapid.Float64Range(0, 1).Draw(t, "fraction")
@@ -71,11 +71,11 @@
 		fresh, retries := 0, 0
 		for range 100 {
 			message := Message{
-				Attempt:    rapid.IntRange(0, 6).Draw(t, "attempt"),
-				Idempotent: rapid.Bool().Draw(t, "idempotent"),
-				Remaining:  time.Duration(rapid.IntRange(-1000, 10_000).Draw(t, "remaining")) * time.Millisecond,
+				PriorAttempts: rapid.IntRange(0, 6).Draw(t, "attempt"),
+				Idempotent:    rapid.Bool().Draw(t, "idempotent"),
+				Remaining:     time.Duration(rapid.IntRange(-1000, 10_000).Draw(t, "remaining")) * time.Millisecond,
 			}
-			if message.Attempt == 0 {
+			if message.PriorAttempts == 0 {
 				budget.CountFresh()
 				fresh++
 			}
@@ -88,13 +88,13 @@
 				checkReturned(t, disposition, message, config, outcome)
 			}
 			if outcome == Drained && disposition.Reply {
-				t.Fatalf("drained: %+v", disposition)
+				t.Fatalf("drained message was replied to: %+v", disposition)
 			}
 			if outcome == Rejected && !disposition.Reply {
 				retries++
 			}
 			if float64(retries) > 10+fraction*float64(fresh) {
-				t.Fatalf("%d returned of %d fresh, fraction %f", retries, fresh, fraction)
+				t.Fatalf("%d retries for %d fresh messages, fraction %f", retries, fresh, fraction)
 			}
 		}
 	})
@@ -105,21 +105,21 @@
 	if d.Action != Ack || d.Delay != 0 || d.Outcome.String() == "" ||
 		(d.Outcome.String() == "acked") != (outcome == Succeeded) ||
 		d.DeadLetter != (config.DeadLetter && outcome != Succeeded) {
-		t.Fatalf("%s: %+v", outcome, d)
+		t.Fatalf("reply to outcome %s: %+v", outcome, d)
 	}
 }
 
 func checkReturned(t *rapid.T, d Disposition, message Message, config SettlementConfig, outcome Outcome) {
 	t.Helper()
 	if outcome != Rejected && outcome != Drained || d.Action == Ack || d.DeadLetter {
-		t.Fatalf("%s returned: %+v", outcome, d)
+		t.Fatalf("message with outcome %s was returned: %+v", outcome, d)
 	}
 	if outcome == Drained && (d.Delay != 0 || d.Action == Requeue && config.UseRetryQueue && !message.Idempotent) {
-		t.Fatalf("drained: %+v", d)
+		t.Fatalf("drained message: %+v", d)
 	}
-	if outcome == Rejected && (d.Delay >= message.Remaining || message.Attempt+1 >= config.MaxAttempts ||
+	if outcome == Rejected && (d.Delay >= message.Remaining || message.PriorAttempts+1 >= config.MaxAttempts ||
 		config.UseRetryQueue != (d.Action == Reject) ||
 		config.UseRetryQueue && d.Delay+config.RetryQueueDelay >= message.Remaining) {
-		t.Fatalf("rejected %+v: %+v", message, d)
+		t.Fatalf("rejected message %+v: %+v", message, d)
 	}
 }
--- a/internal/amqp/message.go
+++ b/internal/amqp/message.go
@@ -31,7 +31,7 @@
 	if c.session == nil || c.session.channelOf(queue.Name, tag) == nil {
 		return // its channel is gone; the broker delivers it again
 	}
-	c.flow.Received(queue.Name)
+	c.flow.RecordDelivery(queue.Name)
 	c.session.trackDelivery(queue.Name, tag)
 	if c.draining {
 		c.counters.events[eventReturnedAtDrain]++
@@ -89,7 +89,7 @@
 func (c *Consumer) resendReply(pending *pendingMessage, earlier *reply, tag delivery.Tag) {
 	s := c.session
 	s.publishReply(earlier, func() {
-		c.deduplicator.ReplyConfirmed(pending.message.id)
+		c.deduplicator.MarkReplyConfirmed(pending.message.id)
 		s.ack(pending.queue.Name, tag)
 	})
 }
@@ -115,9 +115,9 @@
 	pending *pendingMessage, outcome delivery.Outcome, retryAfter time.Duration,
 ) delivery.Disposition {
 	message := delivery.Message{
-		Attempt:    max(pending.message.attempt, c.deduplicator.Returns(pending.message.id)),
-		Remaining:  time.Until(pending.message.deadline),
-		Idempotent: c.isIdempotent(&pending.message),
+		PriorAttempts: max(pending.message.attempt, c.deduplicator.ReturnCount(pending.message.id)),
+		Remaining:     time.Until(pending.message.deadline),
+		Idempotent:    c.isIdempotent(&pending.message),
 	}
 	return c.retryBudget.Settle(message, pending.queue.Settlement, outcome, retryAfter, c.random.Float64())
 }
@@ -135,9 +135,9 @@
 	}
 	switch outcome {
 	case delivery.Rejected:
-		c.flow.Rejected()
+		c.flow.RecordRejection()
 	case delivery.Succeeded, delivery.Failed:
-		c.flow.Finished(c.Now(), pending.queue.Name, outcome == delivery.Failed)
+		c.flow.RecordOutcome(c.Now(), pending.queue.Name, outcome == delivery.Failed)
 	default: // it says nothing of the server or the queue
 	}
 	disposition := c.disposition(pending, outcome, metadata.RetryAfter)
@@ -155,7 +155,7 @@
 	id := pending.message.id
 	delete(c.inFlight, id)
 	if !disposition.Reply {
-		tags := c.deduplicator.Returned(c.Now(), id)
+		tags := c.deduplicator.MarkReturned(c.Now(), id)
 		c.counters.events[eventReturned]++
 		c.giveBack(pending.queue.Name, tags, disposition.Action)
 		return
@@ -163,7 +163,7 @@
 	c.counters.outcomes[disposition.Outcome]++
 	c.logOutcome(pending, disposition.Outcome, reason)
 	answer := newReply(&pending.message, result, disposition.Outcome, reason)
-	tags := c.deduplicator.Replied(c.Now(), id, answer)
+	tags := c.deduplicator.MarkReplied(c.Now(), id, answer)
 	c.publishOutcome(pending, answer, disposition.DeadLetter, tags)
 }
 
@@ -225,7 +225,7 @@
 func (c *Consumer) ackReplied(
 	s *session, pending *pendingMessage, outcome delivery.Outcome, tags []delivery.Tag,
 ) {
-	c.deduplicator.ReplyConfirmed(pending.message.id)
+	c.deduplicator.MarkReplyConfirmed(pending.message.id)
 	ack := func() {
 		for _, tag := range tags {
 			s.ack(pending.queue.Name, tag)
--- a/internal/amqp/session.go
+++ b/internal/amqp/session.go
@@ -212,7 +212,7 @@
 	_ = s.netConn.Close() // it may be closed already
 	s.stopWriter()
 	for _, c := range s.channels {
-		s.consumer.deduplicator.ChannelClosed(c.id)
+		s.consumer.deduplicator.ForgetChannel(c.id)
 	}
 	slog.Info("connection closed", "peer", "broker", "code", string(code), "addr", hostPort(s.url), "connection", s.id)
 	s.consumer.handleDisconnect(s)
