--- a/internal/amqp/ackpacer.go
+++ b/internal/amqp/ackpacer.go
@@ -4,12 +4,14 @@
 	"time"
 )
 
-// ackPaceInterval is how often paced acks are sent: several at a time, as each wake-up costs as much as a message.
+// ackPaceInterval is the time between two batches of paced acks. Acks are batched because a wake-up of the event loop
+// costs as much as a message.
 const ackPaceInterval = 10 * time.Millisecond
 
-// paceAck delays the ack of a message that was not executed, at most Config.UnstartedRate a second. A flood of such
-// messages, as fast as broker and server can pass them, would leave no time for callers who wait on a connection. Each
-// is replied to at once; but the broker delivers more only as they are acked.
+// paceAck delays the ack of a message that was not executed. At most Config.UnstartedRate of these acks are sent per
+// second. Without the limit, such messages could arrive as fast as broker and server can handle them, and leave no time
+// for callers that wait on a connection. The replies are not delayed, but the broker delivers further messages only as
+// earlier ones are acked.
 func (c *Consumer) paceAck(ack func()) {
 	c.pacedAcks = append(c.pacedAcks, ack)
 	if len(c.pacedAcks) == 1 {
@@ -17,6 +19,7 @@
 	}
 }
 
+// releasePacedAcks sends the paced acks of one interval, or all of them while the consumer drains.
 func (c *Consumer) releasePacedAcks() {
 	perInterval := max(1, int(ackPaceInterval.Seconds()*float64(c.config.UnstartedRate)))
 	released := min(len(c.pacedAcks), perInterval)
--- a/internal/amqp/brokerselector.go
+++ b/internal/amqp/brokerselector.go
@@ -5,30 +5,31 @@
 )
 
 const (
-	// initialBackoff is some round trips, maxBackoff what an operator waits for after repairing a broker.
+	// initialBackoff lasts some round trips. maxBackoff is the longest that an operator waits for the consumer to
+	// reconnect after repairing a broker, apart from the random variation.
 	initialBackoff = 200 * time.Millisecond
 	maxBackoff     = 30 * time.Second
-	// stableAfter is how long a connection has to last to reset its broker's backoff.
+	// stableAfter is how long a connection must last to reset its broker's backoff.
 	stableAfter = 10 * time.Second
-	// failbackAfter is how long another broker is used before the preferred one is tried again.
+	// failbackAfter is how long another broker is used before the consumer returns to the preferred one.
 	failbackAfter = 30 * time.Second
-	// minPickDelay keeps pick from being called again and again for a backoff that is all but over.
+	// minPickDelay keeps pick from being called repeatedly in quick succession when a backoff has almost expired.
 	minPickDelay = time.Millisecond
 )
 
-// brokerSelector decides which broker to connect to; the first is the preferred one. It does no I/O and belongs to one
-// goroutine. Times are by that goroutine's clock.
+// brokerSelector selects the broker to connect to. The first broker is the preferred one. It does no I/O and must be
+// used by one goroutine only. All times are by that goroutine's clock.
 type brokerSelector struct {
 	brokers     []brokerState
-	current     int // index of the connected broker, -1 for none
+	current     int // index of the connected broker, or -1
 	connectedAt time.Duration
-	random      func() float64 // from 0 to under 1
+	random      func() float64 // returns a number of at least 0 and less than 1
 }
 
 type brokerState struct {
 	url     string
-	backoff time.Duration // after the next failure
-	retryAt time.Duration
+	backoff time.Duration // mean delay after the next failure
+	retryAt time.Duration // when the broker may be tried again
 }
 
 // newBrokerSelector returns a selector with no broker connected.
@@ -40,7 +41,7 @@
 	return s
 }
 
-// pick returns the broker to try now, the first whose backoff is over, or else how long to wait.
+// pick returns the first broker whose backoff has expired. If there is none, it returns how long to wait.
 func (s *brokerSelector) pick(now time.Duration) (url string, wait time.Duration) {
 	soonest := time.Duration(-1)
 	for _, broker := range s.brokers {
@@ -54,6 +55,7 @@
 	return "", max(soonest, minPickDelay)
 }
 
+// indexOf returns the index of the broker with the URL, or -1.
 func (s *brokerSelector) indexOf(url string) int {
 	for i := range s.brokers {
 		if s.brokers[i].url == url {
@@ -63,15 +65,16 @@
 	return -1
 }
 
-// connected says that a broker is connected.
-func (s *brokerSelector) connected(now time.Duration, url string) {
+// onConnected records that a connection to the broker was opened.
+func (s *brokerSelector) onConnected(now time.Duration, url string) {
 	s.current = s.indexOf(url)
 	s.connectedAt = now
 }
 
-// failed says that a broker was not reached, refused the connection or lost it. Only a connection that lasted resets
-// the backoff: a broker that accepts connections and drops them would otherwise have the consumer flap.
-func (s *brokerSelector) failed(now time.Duration, url string) {
+// onFailure records that the connection to a broker could not be opened or has ended. Only the end of a connection that
+// lasted for stableAfter resets the backoff. Otherwise a broker that accepts connections and drops them would make the
+// consumer reconnect at short intervals.
+func (s *brokerSelector) onFailure(now time.Duration, url string) {
 	i := s.indexOf(url)
 	if i < 0 {
 		return
@@ -83,12 +86,12 @@
 		}
 		s.current = -1
 	}
-	// From half to one and a half times, so that consumers that a broker lost together do not come back together.
+	// Random between 0.5 and 1.5 times the backoff, so that consumers that lost a broker together reconnect separately.
 	broker.retryAt = now + broker.backoff/2 + time.Duration(s.random()*float64(broker.backoff))
 	broker.backoff = min(2*broker.backoff, maxBackoff)
 }
 
-// shouldFailBack tells whether to return to the preferred broker, from another one that was used for a while.
+// shouldFailBack reports whether to return to the preferred broker, after another one has been used for failbackAfter.
 func (s *brokerSelector) shouldFailBack(now time.Duration) bool {
 	return s.current > 0 && now-s.connectedAt >= failbackAfter && s.brokers[0].retryAt <= now
 }
--- a/internal/amqp/brokerselector_test.go
+++ b/internal/amqp/brokerselector_test.go
@@ -14,9 +14,9 @@
 		fmt.Println(now, url, wait, selector.shouldFailBack(now))
 	}
 	show()
-	selector.failed(now, "one")
+	selector.onFailure(now, "one")
 	show()
-	selector.connected(now, "two")
+	selector.onConnected(now, "two")
 	now = 29 * time.Second
 	show()
 	now = 30 * time.Second
@@ -25,9 +25,9 @@
 	for end := now + 10*time.Minute; now < end; now += 10 * time.Millisecond {
 		if url, _ := selector.pick(now); url == "one" {
 			tries++
-			selector.connected(now, "one")
+			selector.onConnected(now, "one")
 			now += 100 * time.Millisecond
-			selector.failed(now, "one")
+			selector.onFailure(now, "one")
 		}
 	}
 	fmt.Println("tries in ten minutes", tries)
--- a/internal/amqp/channel.go
+++ b/internal/amqp/channel.go
@@ -12,31 +12,32 @@
 )
 
 const (
-	// minReopenDelay and maxReopenDelay are the first and the longest wait before a channel is opened again.
+	// minReopenDelay and maxReopenDelay are the shortest and the longest delay before a closed channel is reopened.
 	minReopenDelay = time.Second
 	maxReopenDelay = 30 * time.Second
 )
 
-// channel is the channel of one queue. Its id is drawn anew whenever a channel is opened: what was delivered on one
-// can't be settled on another. Owned by the consumer's event loop, but for what the writer does with link.
-type channel struct {
+// queueChannel is the channel on which one queue is consumed. Each opened channel has a new id, because a delivery can be
+// settled only on the channel that received it. A queueChannel is owned by the consumer's event loop. The session's
+// writer uses only its constant fields and the clientChannel that the loop passes to it.
+type queueChannel struct {
 	id             uint64
 	queue          *Queue
-	link           *client.Channel // nil while it is being opened
-	prefetch       int             // as the broker was last told; 0: it does not consume
-	wantedPrefetch int
+	clientChannel  *client.Channel // nil while the channel is being opened
+	prefetch       int             // value last sent to the broker; 0: the queue is not consumed
+	targetPrefetch int
 	consumerTag    string
 	acks           delivery.AckTracker
 	reopenDelay    time.Duration
 }
 
-// openChannel opens a queue's channel after a delay.
+// openChannel opens a new channel for a queue after a delay.
 func (s *session) openChannel(queue *Queue, delay time.Duration) {
 	s.consumer.lastID++
-	c := &channel{
+	c := &queueChannel{
 		id:             s.consumer.lastID,
 		queue:          queue,
-		wantedPrefetch: s.consumer.flow.Limit(queue.Name),
+		targetPrefetch: s.consumer.flow.Limit(queue.Name),
 		reopenDelay:    delay,
 	}
 	s.channels[queue.Name] = c
@@ -44,18 +45,18 @@
 		if s.ended || s.closing {
 			return
 		}
-		s.enqueue(func() error { return s.openLink(c) })
+		s.enqueue(func() error { return s.openClientChannel(c) })
 	})
 }
 
-// openLink opens the channel at the broker. The writer calls it.
-func (s *session) openLink(c *channel) error {
-	link, err := s.connection.Channel()
+// openClientChannel opens the channel at the broker. It is called by the writer.
+func (s *session) openClientChannel(c *queueChannel) error {
+	clientChannel, err := s.connection.Channel()
 	if err != nil {
 		return err
 	}
-	closed := link.NotifyClose(make(chan *client.Error, 1))
-	cancellations := link.NotifyCancel(make(chan string, maxPendingCancellations))
+	closed := clientChannel.NotifyClose(make(chan *client.Error, 1))
+	cancellations := clientChannel.NotifyCancel(make(chan string, maxPendingCancellations))
 	go func() {
 		for range cancellations {
 			s.consumer.Post(func() {
@@ -69,76 +70,76 @@
 		s.consumer.Post(func() { s.handleChannelClosed(c, err) })
 	}()
 	s.consumer.Post(func() {
-		c.link = link
-		s.setPrefetch(c.queue.Name, c.wantedPrefetch)
+		c.clientChannel = clientChannel
+		s.setPrefetch(c.queue.Name, c.targetPrefetch)
 	})
 	return nil
 }
 
-// handleChannelClosed hears that a channel is closed; err is nil if that was in order.
-func (s *session) handleChannelClosed(c *channel, err *client.Error) {
+// handleChannelClosed handles the closing of a channel. err is nil if it was closed in order.
+func (s *session) handleChannelClosed(c *queueChannel, err *client.Error) {
 	if err != nil && s.channels[c.queue.Name] == c {
 		slog.Warn("queue channel closed by broker",
 			"queue", string(c.queue.Name),
 			"code", string(amqpCode(err)),
-			"err", truncate(err.Reason))
+			"err", truncateForLog(err.Reason))
 	}
 	s.reopenChannel(c)
 }
 
-// reopenChannel replaces a channel that is gone, or whose consumer the broker canceled; its deliveries come again. A
-// queue that is gone is asked for with growing delays.
-func (s *session) reopenChannel(c *channel) {
+// reopenChannel replaces a channel that was closed or whose consumer was canceled by the broker. The broker redelivers
+// its deliveries. The delay doubles with each reopening on the same connection, for example while the queue is missing.
+func (s *session) reopenChannel(c *queueChannel) {
 	name := c.queue.Name
 	if s.ended || s.closing || s.channels[name] != c {
 		return
 	}
 	s.consumer.deduplicator.ForgetChannel(c.id)
 	s.consumer.flow.ResetInFlight(name)
-	if c.link != nil {
-		s.enqueue(c.link.Close)
+	if c.clientChannel != nil {
+		s.enqueue(c.clientChannel.Close)
 	}
 	s.openChannel(c.queue, min(max(2*c.reopenDelay, minReopenDelay), maxReopenDelay))
 }
 
-// setPrefetch tells the broker how many messages of a queue may be unsettled; at 0 the queue is not consumed from.
-func (s *session) setPrefetch(name delivery.QueueName, wanted int) {
+// setPrefetch sets how many messages of a queue may be unsettled. With 0 the queue is not consumed.
+func (s *session) setPrefetch(name delivery.QueueName, target int) {
 	c := s.channels[name]
 	if c == nil {
 		return
 	}
-	c.wantedPrefetch = wanted
+	c.targetPrefetch = target
 	previous := c.prefetch
-	if c.link == nil || s.closing || wanted == previous || isSmallChange(previous, wanted) {
+	if c.clientChannel == nil || s.closing || target == previous || isSmallChange(previous, target) {
 		return
 	}
-	c.prefetch = wanted
-	link := c.link
+	c.prefetch = target
+	clientChannel := c.clientChannel
 	switch {
-	case wanted == 0:
+	case target == 0:
 		tag := c.consumerTag
-		s.enqueue(func() error { return link.Cancel(tag, false) })
+		s.enqueue(func() error { return clientChannel.Cancel(tag, false) })
 	case previous > 0:
-		s.enqueue(func() error { return link.Qos(wanted, 0, true) })
+		s.enqueue(func() error { return clientChannel.Qos(target, 0, true) })
 	default:
 		s.consumer.lastID++
 		c.consumerTag = "lanewheel-" + strconv.FormatUint(s.consumer.lastID, 10)
 		tag := c.consumerTag
-		s.enqueue(func() error { return s.consume(c, link, tag, wanted) })
+		s.enqueue(func() error { return s.consume(c, clientChannel, tag, target) })
 	}
 }
 
-// isSmallChange tells whether a limit above 0 changes by less than a tenth, which is not worth a round trip.
-func isSmallChange(previous, wanted int) bool {
-	return previous > 0 && wanted > 0 && wanted*10 > previous*9 && wanted*9 < previous*10
+// isSmallChange reports whether a limit above 0 changes by less than a tenth, too little to justify a round trip.
+func isSmallChange(previous, target int) bool {
+	return previous > 0 && target > 0 && target*10 > previous*9 && target*9 < previous*10
 }
 
-// consume begins to consume a queue. The writer calls it.
-func (s *session) consume(c *channel, link *client.Channel, tag string, prefetch int) error {
-	if err := link.Qos(prefetch, 0, true); err != nil {
+// consume starts to consume a queue. It is called by the writer.
+func (s *session) consume(c *queueChannel, clientChannel *client.Channel, tag string, prefetch int) error {
+	if err := clientChannel.Qos(prefetch, 0, true); err != nil {
 		return err
 	}
-	deliveries, err := link.Consume(string(c.queue.Name), tag, false, false, false, false, nil)
+	deliveries, err := clientChannel.Consume(string(c.queue.Name), tag, false, false, false, false, nil)
 	if err != nil {
 		return err
 	}
@@ -146,13 +147,13 @@
 	return nil
 }
 
-// readDeliveries reads one consumer's deliveries, on a goroutine of its own, until the consumer is canceled. It uses
-// only what is constant in the channel.
-func (s *session) readDeliveries(c *channel, deliveries <-chan client.Delivery) {
+// readDeliveries reads the deliveries of one consumer on its own goroutine until the consumer is canceled. It uses only
+// the constant fields of the channel.
+func (s *session) readDeliveries(c *queueChannel, deliveries <-chan client.Delivery) {
 	for incoming := range deliveries {
 		message := c.queue.Mapping.read(c.queue.Name, &incoming, placeholderDefect(incoming.Body), time.Now())
 		tag := delivery.Tag{ChannelID: c.id, Number: incoming.DeliveryTag}
-		if message.defect == badHeader { // nothing of it was read, so nothing can tell it from another
+		if message.defect == badHeader { // the properties were not read, so the message has no id of its own
 			message.id = delivery.MessageID(fmt.Sprintf("unread:%d:%d", tag.ChannelID, tag.Number))
 		}
 		redelivered := incoming.Redelivered
@@ -160,14 +161,15 @@
 	}
 }
 
-// channelOf returns the channel on which a delivery came, nil if it is gone.
-func (s *session) channelOf(name delivery.QueueName, tag delivery.Tag) *channel {
+// channelOf returns the channel that received a delivery, or nil if that channel has been replaced or closed.
+func (s *session) channelOf(name delivery.QueueName, tag delivery.Tag) *queueChannel {
 	if c := s.channels[name]; c != nil && c.id == tag.ChannelID && !s.ended {
 		return c
 	}
 	return nil
 }
 
+// trackDelivery records an unsettled delivery of the queue's current channel.
 func (s *session) trackDelivery(name delivery.QueueName, tag delivery.Tag) {
 	if c := s.channelOf(name, tag); c != nil {
 		c.acks.AddDelivery(tag.Number)
@@ -182,29 +184,29 @@
 	}
 }
 
-// flushAcks sends the acks that were marked, those of one batch of the event loop together.
+// flushAcks sends the acks of all marked deliveries. It is called once for each batch of the event loop.
 func (s *session) flushAcks() {
 	for _, c := range s.channels {
-		link := c.link
+		clientChannel := c.clientChannel
 		for _, ack := range c.acks.Flush() {
-			s.enqueue(func() error { return link.Ack(ack.Tag, ack.Multiple) })
+			s.enqueue(func() error { return clientChannel.Ack(ack.Tag, ack.Multiple) })
 		}
 	}
 }
 
-// giveBack settles a delivery without an ack: with delivery.Reject the broker dead-letters it into the retry queue,
-// else it returns to its queue, for a peer.
-func (s *session) giveBack(name delivery.QueueName, tag delivery.Tag, action delivery.Action) {
+// returnDelivery settles a delivery without an ack. With delivery.Reject the broker dead-letters the message into the
+// retry queue, otherwise it requeues the message for a peer.
+func (s *session) returnDelivery(name delivery.QueueName, tag delivery.Tag, action delivery.Action) {
 	c := s.channelOf(name, tag)
 	if c == nil || !c.acks.Remove(tag.Number) {
 		return
 	}
 	s.consumer.flow.RecordSettlement(name)
-	link := c.link
+	clientChannel := c.clientChannel
 	s.enqueue(func() error {
 		if action == delivery.Reject {
-			return link.Reject(tag.Number, false)
+			return clientChannel.Reject(tag.Number, false)
 		}
-		return link.Nack(tag.Number, false, true)
+		return clientChannel.Nack(tag.Number, false, true)
 	})
 }
--- a/internal/amqp/connectioncode.go
+++ b/internal/amqp/connectioncode.go
@@ -8,26 +8,26 @@
 	client "github.com/rabbitmq/amqp091-go"
 )
 
-// connectionCode is why a connection was not opened, or why it was closed, as the log names it.
+// connectionCode is the reason why a connection could not be opened or was closed, as logged under the key code.
 type connectionCode string
 
 const (
 	codeUnreachable  connectionCode = "unreachable"
 	codeTimeout      connectionCode = "timeout"
 	codeLoginRefused connectionCode = "login-refused"
-	codeVhost        connectionCode = "vhost" // the login may not use the virtual host, or there is none
+	codeVhost        connectionCode = "vhost" // the virtual host does not exist or the login may not use it
 
-	codeClosed   connectionCode = "closed"   // by the broker, or it is gone
-	codeShutdown connectionCode = "shutdown" // by us, at the end of a drain
-	codeFailback connectionCode = "failback" // by us, to return to the preferred broker
+	codeClosed   connectionCode = "closed"   // closed by the broker, or lost
+	codeShutdown connectionCode = "shutdown" // closed by the consumer at the end of a drain
+	codeFailback connectionCode = "failback" // closed by the consumer to return to the preferred broker
 )
 
-// amqpCode is the code of an exception of the protocol.
+// amqpCode returns the code of a protocol exception: "amqp-" and the reply code.
 func amqpCode(err *client.Error) connectionCode {
 	return connectionCode("amqp-" + strconv.Itoa(err.Code))
 }
 
-// connectErrorCode is why a connection was not opened.
+// connectErrorCode returns the reason why a connection could not be opened.
 func connectErrorCode(err error) connectionCode {
 	var exception *client.Error
 	var netError net.Error
--- a/internal/amqp/consumer.go
+++ b/internal/amqp/consumer.go
@@ -1,5 +1,5 @@
-// Package amqp is the front end for messages on queues (AMQP 0-9-1): it consumes from a broker, submits each message
-// as a request to the server, publishes the reply and settles the delivery. Package delivery holds its decisions;
+// Package amqp is the front end for messages on queues (AMQP 0-9-1). It consumes from a broker, submits each message as
+// a request to the server, publishes the reply and settles the delivery. The decisions are made in package delivery;
 // mapping.go, brokerselector.go and propertywalker.go do no I/O either.
 package amqp
 
@@ -20,11 +20,11 @@
 )
 
 const (
-	// maxPendingCalls is how many calls to the consumer's loop may be pending before PostBlocking waits.
+	// maxPendingCalls is how many calls to the consumer's event loop may be pending before PostBlocking waits.
 	maxPendingCalls = 1 << 16
-	// drainCheckInterval is how often a draining consumer checks whether all is settled.
+	// drainCheckInterval is the time between two checks of a draining consumer whether all messages are settled.
 	drainCheckInterval = 5 * time.Millisecond
-	// counterLogInterval is how often the counters are logged, if they have changed.
+	// counterLogInterval is the time between two log lines with the counters, if they have changed.
 	counterLogInterval = time.Minute
 )
 
@@ -32,15 +32,15 @@
 type Config struct {
 	BrokerURLs        []string // the preferred broker first
 	Queues            []Queue
-	MaxInFlight       int     // messages over all queues
-	RetryFraction     float64 // retries for each fresh message
-	UnstartedRate     int     // messages a second that may be settled without being executed
-	MaxRemembered     int     // settled messages that are remembered for redeliveries
-	RememberedFor     time.Duration
+	MaxInFlight       int           // maximum number of messages in flight over all queues
+	RetryFraction     float64       // retries granted for each fresh message
+	UnstartedRate     int           // messages per second that may be acked without having been executed
+	MaxRemembered     int           // maximum number of settled messages remembered to recognize redeliveries
+	RememberedFor     time.Duration // maximum time for which a settled message is remembered
 	HeartbeatInterval time.Duration
-	TLS               *tls.Config              // for amqps URLs; nil: the system's roots, no client certificate
-	StatusSocket      string                   // path of the local socket that shows the status; empty: none
-	Login             string                   // user:password, instead of the URLs'; empty: the URLs'
+	TLS               *tls.Config              // for amqps URLs; nil: the system's roots and no client certificate
+	StatusSocket      string                   // path of the local socket that serves the status; empty: none
+	Login             string                   // user:password, replaces the URLs' login; empty: the URLs' login
 	IdempotentClasses map[admission.Class]bool // the classes that may be executed twice
 }
 
@@ -49,12 +49,12 @@
 	delivery.Queue
 	Settlement      delivery.SettlementConfig
 	Mapping         Mapping
-	Identity        authz.Identity // the caller of all its messages; empty: each message brings a token
+	Identity        authz.Identity // caller of all its messages; empty: each message carries a token
 	DeadLetterQueue string         // empty: none
 }
 
-// Consumer is the front end. Its event loop owns all its state; what blocks in the broker's client library runs on
-// goroutines of the session.
+// Consumer is the front end. Its state is owned by its event loop, except where noted. Blocking calls to the broker's
+// client library run on goroutines of the session.
 type Consumer struct {
 	*eventloop.Loop
 	config       Config
@@ -67,21 +67,21 @@
 	brokers      *brokerSelector
 	queues       map[delivery.QueueName]*Queue
 	inFlight     map[delivery.MessageID]*pendingMessage
-	session      *session // nil while there is none
-	lastID       uint64   // of sessions, channels and consumer tags
-	pollingLoad  bool     // the server's load was asked for
+	session      *session // nil while no broker is connected
+	lastID       uint64   // last id given to a session, a channel or a consumer tag
+	pollingLoad  bool     // a request for the server's load is pending
 	pacedAcks    []func()
 	counters     counters
-	logSampler   logging.Sampler[sampledLine]
+	logSampler   logging.Sampler[logLineKind]
 
 	draining      bool
 	drainDeadline time.Duration // by the loop's clock
-	closed        chan struct{} // closed once all is drained; any goroutine may receive from it
+	closed        chan struct{} // closed when the consumer has drained; any goroutine may receive from it
 
 	credentials map[delivery.QueueName]*authn.Credential // owned by the server's event loop
 }
 
-// New returns a consumer that hands the messages to server; it consumes once Start is called. postToServer posts
+// New returns a consumer that submits messages to server. It starts to consume when Start is called. postToServer posts
 // calls to the server's event loop.
 func New(config Config, server frontend.Server, postToServer func(...func()), seed uint64) *Consumer {
 	c := &Consumer{
@@ -110,7 +110,7 @@
 	return c
 }
 
-// Start begins to consume.
+// Start starts the event loop, the status socket and consuming. It returns at once.
 func (c *Consumer) Start() {
 	if c.config.StatusSocket != "" {
 		statussocket.Serve(c.config.StatusSocket, c.closed, c.serveStatus)
@@ -126,8 +126,9 @@
 	})
 }
 
-// Drain is the notice to drain: consuming stops at once, what was not executed goes back, what is executed is replied
-// to, and all is closed within the given time. Any goroutine may call it.
+// Drain makes the consumer stop consuming and end within the given time. Messages that have not been executed are
+// returned to the broker; messages in execution are replied to and acked. Further calls have no effect. Any goroutine
+// may call it.
 func (c *Consumer) Drain(within time.Duration) {
 	c.Post(func() {
 		if c.draining {
@@ -140,7 +141,7 @@
 	})
 }
 
-// Drained tells whether all is closed. Any goroutine may call it.
+// Drained reports whether the consumer has drained and closed its connection. Any goroutine may call it.
 func (c *Consumer) Drained() bool {
 	select {
 	case <-c.closed:
@@ -150,8 +151,8 @@
 	}
 }
 
-// continueDrain closes the session once nothing is in flight, or at the deadline, and comes back until then. What is
-// left at the deadline goes back to the broker with its channel.
+// continueDrain closes the session once nothing is in flight, or at the deadline. Until then it schedules itself again.
+// When the channels close at the deadline, the broker takes back the messages that are still unsettled.
 func (c *Consumer) continueDrain() {
 	settled := len(c.inFlight)+len(c.pacedAcks) == 0 && (c.session == nil || c.session.idle())
 	if !settled && c.Now() < c.drainDeadline {
@@ -159,7 +160,7 @@
 		return
 	}
 	c.logCounters()
-	clear(c.inFlight) // the server finishes their requests; nobody waits for the outcomes here
+	clear(c.inFlight) // the server finishes these requests, but the consumer no longer needs their outcomes
 	finish := func() {
 		c.Quit()
 		close(c.closed)
@@ -172,7 +173,7 @@
 	c.session.whenClosed(finish)
 }
 
-// pollLoad asks the server for its load, updates the limits by it, and does so again after an interval.
+// pollLoad requests the server's load, updates the limits by it, and schedules itself again after an interval.
 func (c *Consumer) pollLoad() {
 	if c.pollingLoad {
 		return
@@ -184,7 +185,7 @@
 			c.pollingLoad = false
 			c.updateFlow(load)
 			c.applyLimits()
-			c.housekeep()
+			c.runPeriodicTasks()
 			if !c.HasQuit() {
 				c.ScheduleAt(c.Now()+delivery.UpdateInterval, c.pollLoad)
 			}
@@ -192,6 +193,7 @@
 	})
 }
 
+// updateFlow updates the flow controller and logs changes of the pause reason.
 func (c *Consumer) updateFlow(load frontend.Load) {
 	load.Draining = load.Draining || c.draining
 	blocked := c.session != nil && c.session.blocked
@@ -206,7 +208,7 @@
 	}
 }
 
-// applyLimits lets the session have as many messages of each queue unsettled as the flow controller allows.
+// applyLimits sets the prefetch of each queue to the limit of the flow controller, or to 0 while draining.
 func (c *Consumer) applyLimits() {
 	if c.session == nil {
 		return
@@ -220,8 +222,8 @@
 	}
 }
 
-// housekeep does what is due now and then.
-func (c *Consumer) housekeep() {
+// runPeriodicTasks logs suppressed lines and changed counters, and fails back to the preferred broker when it is due.
+func (c *Consumer) runPeriodicTasks() {
 	c.logSuppressed()
 	canFailBack := c.session != nil && !c.draining && len(c.inFlight) == 0
 	if canFailBack && c.brokers.shouldFailBack(c.Now()) {
@@ -233,7 +235,7 @@
 	}
 }
 
-// connect opens a session with the broker that is to be tried now, or comes back when one may be.
+// connect opens a session with the selected broker, or schedules itself again for when a backoff expires.
 func (c *Consumer) connect() {
 	if c.draining || c.session != nil {
 		return
@@ -247,38 +249,38 @@
 	c.openSession(c.lastID, url)
 }
 
-// handleConnectFailure hears that a session was not opened.
+// handleConnectFailure handles a failure to open a session.
 func (c *Consumer) handleConnectFailure(url string, err error) {
 	code := connectErrorCode(err)
-	c.brokers.failed(c.Now(), url)
-	if c.logSampler.Allow(sampledLine{connectionCode: code}, time.Now()) {
+	c.brokers.onFailure(c.Now(), url)
+	if c.logSampler.Allow(logLineKind{connectionCode: code}, time.Now()) {
 		slog.Warn("broker connection failed", "addr", hostPort(url), "code", string(code))
 	}
 	c.connect()
 }
 
-// handleConnect takes a session that was opened.
+// handleConnect takes over a session that has been opened.
 func (c *Consumer) handleConnect(s *session) {
 	if c.draining {
 		s.close(codeShutdown)
 		return
 	}
 	c.session = s
-	c.brokers.connected(c.Now(), s.url)
-	slog.Info("broker connected", "addr", hostPort(s.url), "connection", s.id)
+	c.brokers.onConnected(c.Now(), s.url)
+	slog.Info("connected to broker", "addr", hostPort(s.url), "connection", s.id)
 	for _, queue := range c.config.Queues {
 		s.openChannel(c.queues[queue.Name], 0)
 	}
 }
 
-// handleDisconnect hears that a session's connection is gone: its deliveries come again, here or at a peer, and what
-// is executed goes on.
+// handleDisconnect handles the loss of a session's connection. The broker redelivers the unsettled messages, to this
+// instance or to a peer; requests that the server is executing continue.
 func (c *Consumer) handleDisconnect(s *session) {
 	if c.session != s {
 		return
 	}
 	c.session = nil
-	c.brokers.failed(c.Now(), s.url)
+	c.brokers.onFailure(c.Now(), s.url)
 	for name := range c.queues {
 		c.flow.ResetInFlight(name)
 	}
--- a/internal/amqp/consumer_test.go
+++ b/internal/amqp/consumer_test.go
@@ -84,9 +84,9 @@
 // exchangeClasses are those of the messages of exchange, in turn: idempotent, not idempotent, idempotent by key.
 var exchangeClasses = []string{"view", "pay", "key"}
 
-// exchange sends twelve messages over connections with faults. It returns the frames of the first connection, and
+// runExchange sends twelve messages over connections with faults. It returns the frames of the first connection, and
 // what is wrong.
-func exchange(faults ...broker.Fault) (frames int, wrong string) {
+func runExchange(faults ...broker.Fault) (frames int, wrong string) {
 	b, server := newBroker(), newFakeServer()
 	b.SetFaults(faults...)
 	bed := startTestbed(b, server, testConfig(b))
@@ -133,7 +133,7 @@
 // The same exchange with the connection cut behind each of its frames, and inside it: whatever the frame, each message
 // has one final reply, none that is not idempotent is executed twice, and nothing is left unsettled.
 func TestCutAfterEachFrame(t *testing.T) {
-	frames, wrong := exchange()
+	frames, wrong := runExchange()
 	if wrong != "" || frames < 60 {
 		t.Fatalf("%d frames without a fault: %s", frames, wrong)
 	}
@@ -145,7 +145,7 @@
 			slots <- true
 			go func() {
 				defer running.Done()
-				_, wrong := exchange(
+				_, wrong := runExchange(
 					broker.Fault{Connection: 1, Frame: frame, Mode: mode},
 					// The second connection is cut as well, a little further on.
 					broker.Fault{Connection: 2, Frame: frame/2 + 9, Mode: mode},
@@ -204,7 +204,7 @@
 func Example_drain() {
 	for _, condition := range []string{"well", "dead", "silent"} {
 		b, server := newBroker(), newFakeServer()
-		var responses deferred
+		var responses pendingResponses
 		server.respond = func(_ frontend.Request, _ string, responder frontend.Responder) {
 			executed := responses.len() < 2
 			responses.add(func() {
@@ -258,7 +258,7 @@
 // executed again.
 func Example_duplicates() {
 	b, server := newBroker(), newFakeServer()
-	var responses deferred
+	var responses pendingResponses
 	server.respond = func(_ frontend.Request, body string, responder frontend.Responder) {
 		server.execute(body)
 		responses.add(func() {
--- a/internal/amqp/counters.go
+++ b/internal/amqp/counters.go
@@ -9,18 +9,18 @@
 	"lanewheel/internal/amqp/delivery"
 )
 
-// event is what is counted beside the outcomes of messages.
+// event is a kind of event counted in addition to the outcomes of messages.
 type event int
 
 const (
-	eventReturned        event = iota // a message went back to the broker
-	eventReturnedAtDrain              // a delivery that came while draining went back
-	eventJoined                       // a delivery of a message in flight
-	eventRepeated                     // a delivery of a message whose reply was confirmed
-	eventReplyResent                  // a delivery of a message whose reply was not
+	eventReturned        event = iota // a message was returned to the broker
+	eventReturnedAtDrain              // a delivery that arrived while draining was returned
+	eventJoined                       // a delivery joined a message in flight
+	eventRepeated                     // a delivery of a message whose reply was already confirmed
+	eventReplyResent                  // a delivery of a message whose reply was not yet confirmed
 )
 
-// String returns the event as the status socket and the log name it.
+// String returns the event as the status socket and the log report it.
 func (e event) String() string {
 	switch e {
 	case eventReturned:
@@ -37,19 +37,19 @@
 	return "unknown"
 }
 
-// counters counts since the start. It belongs to the consumer's event loop.
+// counters are the counters since the start of the process. They are owned by the consumer's event loop.
 type counters struct {
 	outcomes    map[delivery.Outcome]uint64
 	events      map[event]uint64
 	loggedAt    time.Duration // by the loop's clock
-	loggedTotal uint64        // sum of all counters when they were logged
+	loggedTotal uint64        // sum of all counters when they were last logged
 }
 
 func newCounters() counters {
 	return counters{outcomes: map[delivery.Outcome]uint64{}, events: map[event]uint64{}}
 }
 
-// byName returns the counters that are not 0.
+// byName returns the counters that are not 0, by the name of their outcome or event.
 func (c *counters) byName() map[string]uint64 {
 	all := map[string]uint64{}
 	for outcome, count := range c.outcomes {
@@ -61,7 +61,7 @@
 	return all
 }
 
-// logCounters logs the counters if they have changed since they were logged.
+// logCounters logs the counters if they have changed since they were last logged.
 func (c *Consumer) logCounters() {
 	all := c.counters.byName()
 	attributes := []any{"in_flight", len(c.inFlight), "remembered", c.deduplicator.Len()}
@@ -77,19 +77,22 @@
 	slog.Info("queue counters", attributes...)
 }
 
-// sampledLine is a kind of log line that may come by the hundred: either a message's outcome or a failed connection.
-type sampledLine struct {
-	outcome        delivery.Outcome // NoOutcome for a connection
+// logLineKind is a kind of log line that may occur hundreds of times: the outcome of a message, or the reason of a
+// failed connection. It is the key by which such lines are sampled.
+type logLineKind struct {
+	outcome        delivery.Outcome // NoOutcome for a failed connection
 	connectionCode connectionCode
 }
 
-// logSuppressed logs how many lines the sampler has kept back.
+// logSuppressed logs how many lines of each kind the sampler has suppressed.
 func (c *Consumer) logSuppressed() {
-	c.logSampler.FlushSuppressed(time.Now(), func(line sampledLine, suppressed int) {
+	c.logSampler.FlushSuppressed(time.Now(), func(line logLineKind, suppressed int) {
 		if line.outcome == delivery.NoOutcome {
-			slog.Info("broker connection failures suppressed", "code", string(line.connectionCode), "count", suppressed)
+			slog.Info("log lines on broker connection failures suppressed",
+				"code", string(line.connectionCode),
+				"count", suppressed)
 			return
 		}
-		slog.Info("queue messages suppressed", "outcome", line.outcome.String(), "count", suppressed)
+		slog.Info("log lines on queue messages suppressed", "outcome", line.outcome.String(), "count", suppressed)
 	})
 }
--- a/internal/amqp/framefilter.go
+++ b/internal/amqp/framefilter.go
@@ -6,14 +6,14 @@
 	"net"
 )
 
-// Frame types of the specification that matter here.
+// The frame types of the specification that the filter handles.
 const (
-	headerFrame = 2
-	bodyFrame   = 3
+	headerFrameType = 2
+	bodyFrameType   = 3
 )
 
-// The layout of a frame: type, channel and size, then the payload, then frameEnd. The payload of a header frame is
-// the class, a weight, the size of the body, the flags of the properties and those.
+// The layout of a frame: type, channel and payload size, then the payload, then frameEnd. The payload of a header frame
+// consists of the class, the weight, the body size, the property flags and the properties.
 const (
 	frameHeadBytes = 7
 	frameTailBytes = 1
@@ -24,14 +24,14 @@
 	minHeaderPayload = propertiesOffset + 2 - frameHeadBytes
 )
 
-// maxCountedBody keeps a body size that a broker makes up within an int.
-const maxCountedBody = 1 << 62
+// maxTrackedBodyBytes limits a body size announced by the broker, so that it fits into an int.
+const maxTrackedBodyBytes = 1 << 62
 
-// placeholders are the bodies that replace what is kept back, by its defect. They are drawn anew by each process, so
-// that no message can pretend to be one.
+// placeholders are the bodies that replace dropped content, by the defect. They are random for each process, so that no
+// message can imitate one.
 var placeholders = map[defect]string{tooLong: rand.Text(), badHeader: rand.Text()}
 
-// placeholderDefect returns the defect for which a body was replaced, noDefect if it was not.
+// placeholderDefect returns the defect for which the filter replaced a body, or noDefect if it did not replace it.
 func placeholderDefect(body []byte) defect {
 	for defect, placeholder := range placeholders {
 		if string(body) == placeholder {
@@ -41,26 +41,27 @@
 	return noDefect
 }
 
-// frameFilter lies between a broker's bytes and the client library. That collects a content of any size in memory
-// before anybody sees it, and reads tables of any depth: one message of 100 MB, or one with a table nested ten thousand
-// times, would end the process. Of a content whose body is too large only the header is passed on, of one whose header
-// is too large or can't be read an empty header; a placeholder replaces the body. Read belongs to one goroutine.
+// frameFilter is a connection that filters the broker's bytes before the client library reads them. The library
+// collects a content of any size in memory before it delivers it, and reads tables of any depth: one message of 100 MB,
+// or one with a table nested ten thousand times, would end the process. If the body is too large, the filter passes on
+// the header and drops the body. If the header is too large or invalid, the filter replaces it by an empty header and
+// drops the body too. A dropped body is replaced by a placeholder. Read must be called by one goroutine only.
 type frameFilter struct {
 	net.Conn
 	maxHeaderBytes, maxBodyBytes int
 
-	buffered  []byte // the beginning of a frame, until it is decided on
-	wanted    int    // bytes of the frame that have to be buffered for the decision
-	ready     []byte // to be returned by Read
-	passBytes int    // of the present frame that are still to be passed on
-	skipBytes int    // of the present frame that are still to be dropped
-	appended  []byte // is passed on behind the present frame
-	bodies    map[uint16]*bodyProgress
+	buffered         []byte                   // the beginning of the current frame, until the filter has decided about it
+	requiredBytes    int                      // bytes of the current frame that must be buffered for the decision
+	ready            []byte                   // filtered bytes that Read has yet to return
+	passBytes        int                      // remaining bytes of the current frame to pass on
+	skipBytes        int                      // remaining bytes of the current frame to drop
+	placeholderFrame []byte                   // body frame with a placeholder, passed on after the current frame
+	bodies           map[uint16]*bodyProgress // bodies being received, by channel
 }
 
-// bodyProgress is a body that arrives on a channel.
+// bodyProgress is the progress of a body that is being received on a channel.
 type bodyProgress struct {
-	remaining int // bytes
+	remaining int // bytes not yet received
 	drop      bool
 }
 
@@ -69,7 +70,7 @@
 		Conn:           conn,
 		maxHeaderBytes: maxHeaderBytes,
 		maxBodyBytes:   maxBodyBytes,
-		wanted:         frameHeadBytes,
+		requiredBytes:  frameHeadBytes,
 		bodies:         map[uint16]*bodyProgress{},
 	}
 }
@@ -90,7 +91,7 @@
 	return n, nil
 }
 
-// feed takes bytes of the broker and appends to ready what is passed on.
+// feed filters bytes read from the broker and appends the result to ready.
 func (f *frameFilter) feed(b []byte) {
 	for len(b) > 0 {
 		var n int
@@ -103,66 +104,66 @@
 			n = min(f.skipBytes, len(b))
 			f.skipBytes -= n
 		default:
-			n = min(f.wanted-len(f.buffered), len(b))
+			n = min(f.requiredBytes-len(f.buffered), len(b))
 			f.buffered = append(f.buffered, b[:n]...)
-			if len(f.buffered) == f.wanted {
-				f.decide()
+			if len(f.buffered) == f.requiredBytes {
+				f.inspectFrame()
 			}
 		}
 		b = b[n:]
-		if f.passBytes == 0 && f.skipBytes == 0 && f.appended != nil {
-			f.ready = append(f.ready, f.appended...)
-			f.appended = nil
+		if f.passBytes == 0 && f.skipBytes == 0 && f.placeholderFrame != nil {
+			f.ready = append(f.ready, f.placeholderFrame...)
+			f.placeholderFrame = nil
 		}
 	}
 }
 
-// decide looks at the buffered beginning of a frame. Either it decides what is passed on of the frame, or it wants
-// more of it.
-func (f *frameFilter) decide() {
+// inspectFrame decides whether to pass on or drop the current frame, based on its buffered beginning, or increases
+// requiredBytes if it needs more of the frame.
+func (f *frameFilter) inspectFrame() {
 	channel := binary.BigEndian.Uint16(f.buffered[1:])
 	size := int(binary.BigEndian.Uint32(f.buffered[3:]))
 	switch {
-	case f.buffered[0] == headerFrame && size >= minHeaderPayload:
-		f.decideHeader(channel, size)
-	case f.buffered[0] == bodyFrame && f.dropsBody(channel, size):
+	case f.buffered[0] == headerFrameType && size >= minHeaderPayload:
+		f.inspectHeader(channel, size)
+	case f.buffered[0] == bodyFrameType && f.trackBodyFrame(channel, size):
 		f.skipFrame(size)
 	default:
 		f.passFrame(size)
 	}
 }
 
-// decideHeader decides on a header frame. One that is not too large is looked at whole, of others just the beginning.
-func (f *frameFilter) decideHeader(channel uint16, size int) {
-	wanted := propertiesOffset
+// inspectHeader decides about a header frame. It validates the whole frame, unless that exceeds maxHeaderBytes.
+func (f *frameFilter) inspectHeader(channel uint16, size int) {
+	requiredBytes := propertiesOffset
 	if size <= f.maxHeaderBytes {
-		wanted = frameHeadBytes + size
+		requiredBytes = frameHeadBytes + size
 	}
-	if len(f.buffered) < wanted {
-		f.wanted = wanted
+	if len(f.buffered) < requiredBytes {
+		f.requiredBytes = requiredBytes
 		return
 	}
 	bodySize := binary.BigEndian.Uint64(f.buffered[bodySizeOffset:])
-	found := noDefect
+	messageDefect := noDefect
 	switch {
 	case size > f.maxHeaderBytes || !validProperties(f.buffered[propertiesOffset:]):
-		found = badHeader
+		messageDefect = badHeader
 	case bodySize > uint64(f.maxBodyBytes):
-		found = tooLong
+		messageDefect = tooLong
 	}
 	if bodySize > 0 {
-		remaining := int(min(bodySize, maxCountedBody))
-		f.bodies[channel] = &bodyProgress{remaining: remaining, drop: found != noDefect}
+		remaining := int(min(bodySize, maxTrackedBodyBytes))
+		f.bodies[channel] = &bodyProgress{remaining: remaining, drop: messageDefect != noDefect}
 	} else {
 		delete(f.bodies, channel)
 	}
-	if found == noDefect {
+	if messageDefect == noDefect {
 		f.passFrame(size)
 		return
 	}
-	placeholder := placeholders[found]
-	f.appended = bodyFrameOf(channel, placeholder)
-	if found == badHeader {
+	placeholder := placeholders[messageDefect]
+	f.placeholderFrame = encodeBodyFrame(channel, placeholder)
+	if messageDefect == badHeader {
 		f.ready = append(f.ready, emptyHeaderFrame(f.buffered, len(placeholder))...)
 		f.skipFrame(size)
 		return
@@ -171,8 +172,8 @@
 	f.passFrame(size)
 }
 
-// dropsBody counts a body frame and tells whether its content is kept back.
-func (f *frameFilter) dropsBody(channel uint16, size int) bool {
+// trackBodyFrame subtracts a body frame from the remaining body and reports whether the frame must be dropped.
+func (f *frameFilter) trackBodyFrame(channel uint16, size int) bool {
 	body := f.bodies[channel]
 	if body == nil {
 		return false
@@ -184,34 +185,36 @@
 	return body.drop
 }
 
-// passFrame passes on the frame of so many payload bytes that is buffered in part.
+// passFrame passes on the current, partly buffered frame. size is the number of its payload bytes.
 func (f *frameFilter) passFrame(size int) {
 	f.ready = append(f.ready, f.buffered...)
 	f.passBytes = frameHeadBytes + size + frameTailBytes - len(f.buffered)
 	f.resetBuffer()
 }
 
-// skipFrame drops the frame of so many payload bytes that is buffered in part.
+// skipFrame drops the current, partly buffered frame. size is the number of its payload bytes.
 func (f *frameFilter) skipFrame(size int) {
 	f.skipBytes = frameHeadBytes + size + frameTailBytes - len(f.buffered)
 	f.resetBuffer()
 }
 
+// resetBuffer prepares the buffer for the next frame.
 func (f *frameFilter) resetBuffer() {
 	f.buffered = f.buffered[:0]
-	f.wanted = frameHeadBytes
+	f.requiredBytes = frameHeadBytes
 }
 
-// emptyHeaderFrame is a header frame for the channel and class of another, without weight or properties.
+// emptyHeaderFrame returns a header frame for the channel and class of another one, without weight or properties.
 func emptyHeaderFrame(other []byte, bodySize int) []byte {
-	b := []byte{headerFrame, other[1], other[2], 0, 0, 0, minHeaderPayload}
+	b := []byte{headerFrameType, other[1], other[2], 0, 0, 0, minHeaderPayload}
 	b = append(b, other[frameHeadBytes], other[frameHeadBytes+1], 0, 0)
 	b = binary.BigEndian.AppendUint64(b, uint64(bodySize))
 	return append(b, 0, 0, frameEnd)
 }
 
-func bodyFrameOf(channel uint16, body string) []byte {
-	b := binary.BigEndian.AppendUint16([]byte{bodyFrame}, channel)
+// encodeBodyFrame returns a body frame.
+func encodeBodyFrame(channel uint16, body string) []byte {
+	b := binary.BigEndian.AppendUint16([]byte{bodyFrameType}, channel)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
 	return append(append(b, body...), frameEnd)
 }
--- a/internal/amqp/golden_test.go
+++ b/internal/amqp/golden_test.go
@@ -68,7 +68,7 @@
 
 // goldenMapping is a mapping with every default.
 func goldenMapping() Mapping {
-	return Mapping{DefaultWait: time.Minute, MaxBodyBytes: 16, DefaultRank: 0.5, DefaultKB: 4}
+	return Mapping{DefaultTimeout: time.Minute, MaxBodyBytes: 16, DefaultRank: 0.5, DefaultKB: 4}
 }
 
 // goldenMappings are one that reads headers and one that reads properties.
@@ -126,7 +126,7 @@
 			"message":          tt.name,
 			"id":               m.id,
 			"digest":           fmt.Sprintf("%016x", m.digest),
-			"attempt":          m.attempt,
+			"attempt":          m.priorAttempts,
 			"reply to":         m.replyTo,
 			"correlation id":   m.correlationID,
 			"due":              m.deadline.UnixMilli(),
@@ -154,8 +154,8 @@
 	}
 }
 
-// published is a message as it lies in a queue, by the names of the specification.
-func published(p client.Publishing) map[string]any {
+// publishedProperties is a message as it lies in a queue, by the names of the specification.
+func publishedProperties(p client.Publishing) map[string]any {
 	headers := map[string]string{}
 	for name, x := range p.Headers {
 		headers[name] = fmt.Sprintf("%T %v", x, x)
@@ -257,7 +257,7 @@
 	queues := map[string][]map[string]any{}
 	for _, name := range []string{"replies", "dead", "ops.retry"} {
 		for _, p := range b.DrainQueue(name) {
-			queues[name] = append(queues[name], published(p))
+			queues[name] = append(queues[name], publishedProperties(p))
 		}
 		slices.SortFunc(queues[name], func(x, y map[string]any) int {
 			return strings.Compare(fmt.Sprint(x), fmt.Sprint(y))
--- a/internal/amqp/mapping.go
+++ b/internal/amqp/mapping.go
@@ -22,7 +22,7 @@
 	maxAttemptCount           = 1e6
 )
 
-// defect is why a message can't be served. The defects are part of the protocol of queues.
+// defect is the reason why a message cannot be served. The values are part of the protocol of queues.
 type defect string
 
 const (
@@ -33,14 +33,14 @@
 	tooLong       defect = "too-long"
 )
 
-// Source is where in a message a value is read: a property, or a header. The zero Source has no value.
+// Source is the property or header of a message from which a value is read. The zero Source has no value.
 type Source struct {
 	Header bool
 	Name   string
 }
 
-// properties are those that a value can be read from.
-var properties = map[string]func(*client.Delivery) string{
+// propertyReaders return the propertyReaders from which a value can be read, by name.
+var propertyReaders = map[string]func(*client.Delivery) string{
 	"type":           func(d *client.Delivery) string { return d.Type },
 	"app-id":         func(d *client.Delivery) string { return d.AppId },
 	"user-id":        func(d *client.Delivery) string { return d.UserId },
@@ -49,22 +49,23 @@
 	"routing-key":    func(d *client.Delivery) string { return d.RoutingKey },
 }
 
-// ParseSource parses the name of a property, or header: and the name of a header. Empty is the zero Source.
+// ParseSource parses the name of a property, or "header:" followed by the name of a header. An empty text is the zero
+// Source. Any other text is an error.
 func ParseSource(text string) (Source, error) {
 	if name, isHeader := strings.CutPrefix(text, "header:"); isHeader && name != "" {
 		return Source{Header: true, Name: name}, nil
 	}
-	if _, known := properties[text]; !known && text != "" {
-		const wanted = "header:NAME, or one of type, app-id, user-id, content-type, correlation-id, routing-key"
-		return Source{}, fmt.Errorf("%q: wants %s", text, wanted)
+	if _, isProperty := propertyReaders[text]; !isProperty && text != "" {
+		const accepted = "header:NAME, or one of type, app-id, user-id, content-type, correlation-id, routing-key"
+		return Source{}, fmt.Errorf("value source %q must be %s", text, accepted)
 	}
 	return Source{Name: text}, nil
 }
 
-// value returns what a message has there, numbers as text, or nothing.
+// value returns the value in a message as text, or "" if there is none or its type is not supported.
 func (s Source) value(d *client.Delivery) string {
 	if !s.Header {
-		if read := properties[s.Name]; read != nil {
+		if read := propertyReaders[s.Name]; read != nil {
 			return read(d)
 		}
 		return ""
@@ -84,8 +85,9 @@
 	return ""
 }
 
-// number reads a finite number. Without one it leaves the value as it is; it returns false for anything else.
-func (s Source) number(d *client.Delivery, value *float64) bool {
+// readNumber stores a finite readNumber in value. It leaves value unchanged if the message has none. It returns false if
+// the text is not a finite readNumber.
+func (s Source) readNumber(d *client.Delivery, value *float64) bool {
 	text := s.value(d)
 	if text == "" {
 		return true
@@ -98,38 +100,39 @@
 	return true
 }
 
-// Mapping is how the messages of a queue are read.
+// Mapping configures how the messages of a queue are read.
 type Mapping struct {
 	Class, Tenant, Subject, Rank, Cost, KB, Token Source
 
-	DefaultWait  time.Duration // of a message without expiration
-	MaxBodyBytes int
-	DefaultRank  float64 // of a message without one
-	DefaultKB    float64 // of a message without one
+	DefaultTimeout time.Duration // timeout of a message without expiration
+	MaxBodyBytes   int
+	DefaultRank    float64 // rank of a message without one
+	DefaultKB      float64 // memory of a message without a value, in KB
 }
 
-// parsedMessage is a message as it was read.
+// parsedMessage is a message after it has been read.
 type parsedMessage struct {
 	id            delivery.MessageID
-	digest        uint64 // of its content
+	digest        uint64 // hash of its content
 	request       frontend.Request
-	attempt       int // earlier attempts that the broker has counted
+	priorAttempts int // earlier attempts, as counted by the broker
 	replyTo       string
-	correlationID string // of its reply
+	correlationID string // correlation id of the reply
 	deadline      time.Time
 	defect        defect
 }
 
-// read reads a message; now is the time of one without a timestamp. found is a defect that is known already. All but
-// the deadline of a message without a timestamp is the same for each delivery.
+// read reads a message. now is used as the time of a message without a timestamp. filterDefect is the defect that the
+// frame filter has found. Each delivery of a message yields the same id and digest and, if the message has a timestamp,
+// the same deadline.
 func (m *Mapping) read(
-	queue delivery.QueueName, incoming *client.Delivery, found defect, now time.Time,
+	queue delivery.QueueName, incoming *client.Delivery, filterDefect defect, now time.Time,
 ) parsedMessage {
 	message := parsedMessage{
 		replyTo:       incoming.ReplyTo,
 		correlationID: incoming.CorrelationId,
-		attempt:       rejections(queue, incoming.Headers),
-		defect:        found,
+		priorAttempts: rejectionCount(queue, incoming.Headers),
+		defect:        filterDefect,
 	}
 	sum := m.contentHash(incoming)
 	message.digest = binary.BigEndian.Uint64(sum)
@@ -148,8 +151,8 @@
 	return message
 }
 
-// contentHash is over all that a message says but its id, so that a redelivery has the same, in another version of
-// this program too.
+// contentHash hashes the content of a message without its id. The input must stay the same between versions of this
+// program, because a redelivery may be read by another version and must have the same hash.
 func (m *Mapping) contentHash(incoming *client.Delivery) []byte {
 	var content []byte
 	content = fmt.Appendf(content, "%q%q%q%q%d:",
@@ -161,6 +164,7 @@
 	return sum[:]
 }
 
+// readRequest fills in the request of a message, except for its timeout.
 func (m *Mapping) readRequest(message *parsedMessage, queue delivery.QueueName, incoming *client.Delivery) {
 	id := sha256.Sum256([]byte(string(queue) + "\x00" + string(message.id)))
 	message.request = frontend.Request{
@@ -182,7 +186,7 @@
 		{m.KB, &message.request.MemoryKB},
 		{m.Cost, &costMilliseconds},
 	} {
-		if !number.source.number(incoming, number.value) {
+		if !number.source.readNumber(incoming, number.value) {
 			message.markDefect(badNumber)
 		}
 	}
@@ -193,9 +197,9 @@
 	message.request.WorkHint = time.Duration(costMilliseconds * float64(time.Millisecond))
 }
 
-// readTimeout reads when a message was sent and how long it may take from then.
+// readTimeout reads when a message was sent, and its timeout, which is counted from that time.
 func (m *Mapping) readTimeout(message *parsedMessage, incoming *client.Delivery, now time.Time) {
-	timeout := m.DefaultWait
+	timeout := m.DefaultTimeout
 	if incoming.Expiration != "" {
 		milliseconds, err := strconv.ParseInt(incoming.Expiration, 10, 64)
 		if err != nil || milliseconds < 0 || milliseconds > maxExpirationMilliseconds {
@@ -214,15 +218,15 @@
 	message.deadline = sentAt.Add(timeout)
 }
 
-// markDefect notes a defect. The first counts.
-func (m *parsedMessage) markDefect(found defect) {
+// markDefect records a defect. Only the first one is kept.
+func (m *parsedMessage) markDefect(messageDefect defect) {
 	if m.defect == noDefect {
-		m.defect = found
+		m.defect = messageDefect
 	}
 }
 
-// rejections is how often a message was rejected by its queue's consumers, as the broker counts it in x-death.
-func rejections(queue delivery.QueueName, headers client.Table) int {
+// rejectionCount returns how often the queue's consumers have rejected a message, as counted in the x-death header.
+func rejectionCount(queue delivery.QueueName, headers client.Table) int {
 	entries, _ := headers["x-death"].([]any)
 	for _, x := range entries {
 		entry, _ := x.(client.Table)
--- a/internal/amqp/mapping_test.go
+++ b/internal/amqp/mapping_test.go
@@ -27,9 +27,9 @@
 			},
 		}
 		m := mapping.read("ops", incoming, noDefect, time.Unix(0, 0))
-		again := mapping.read("ops", incoming, noDefect, time.Unix(1, 0))
-		if m.id == "" || len(m.request.ID) != 16 || m.id != again.id || m.digest != again.digest ||
-			m.attempt < 0 || m.request.Timeout < 0 {
+		reread := mapping.read("ops", incoming, noDefect, time.Unix(1, 0))
+		if m.id == "" || len(m.request.ID) != 16 || m.id != reread.id || m.digest != reread.digest ||
+			m.priorAttempts < 0 || m.request.Timeout < 0 {
 			t.Fatalf("%+v", m)
 		}
 	})
--- a/internal/amqp/message.go
+++ b/internal/amqp/message.go
@@ -11,34 +11,34 @@
 	"lanewheel/internal/frontend"
 )
 
-// maxLoggedBytes bounds what a message or a broker can write into a log line.
+// maxLoggedBytes limits the text from a message or a broker in a log line.
 const maxLoggedBytes = 64
 
-// truncate bounds text from outside for the log.
-func truncate(s string) string { return s[:min(len(s), maxLoggedBytes)] }
+// truncateForLog limits external text to maxLoggedBytes.
+func truncateForLog(s string) string { return s[:min(len(s), maxLoggedBytes)] }
 
-// pendingMessage is a message in flight. It is the frontend.Responder of its request: those methods are called on the
-// server's event loop, all else belongs to the consumer's.
+// pendingMessage is a message in flight. It is the frontend.Responder of its request: the methods of that interface are
+// called on the server's event loop, everything else belongs to the consumer's event loop.
 type pendingMessage struct {
 	consumer *Consumer
 	queue    *Queue
 	message  parsedMessage
-	finished bool // its outcome has arrived
+	finished bool // the outcome has been received
 }
 
-// handleDelivery takes one delivery, which was read on a goroutine of its channel.
+// handleDelivery handles one delivery, which was read by the goroutine of its channel.
 func (c *Consumer) handleDelivery(queue *Queue, message parsedMessage, tag delivery.Tag, redelivered bool) {
 	if c.session == nil || c.session.channelOf(queue.Name, tag) == nil {
-		return // its channel is gone; the broker delivers it again
+		return // the channel has closed; the broker redelivers the message
 	}
 	c.flow.RecordDelivery(queue.Name)
 	c.session.trackDelivery(queue.Name, tag)
 	if c.draining {
 		c.counters.events[eventReturnedAtDrain]++
-		c.session.giveBack(queue.Name, tag, delivery.Requeue)
+		c.session.returnDelivery(queue.Name, tag, delivery.Requeue)
 		return
 	}
-	decision, earlier := c.deduplicator.Receive(c.Now(), delivery.Arrival{
+	decision, earlierReply := c.deduplicator.Receive(c.Now(), delivery.Arrival{
 		ID:          message.id,
 		Digest:      message.digest,
 		Tag:         tag,
@@ -47,10 +47,10 @@
 	})
 	conflict := decision == delivery.IDConflict
 	if conflict {
-		// Under its own id it would be confused with the other message, so its content becomes part of its id. It is
-		// not going to be executed, so a redelivery does no harm.
+		// Under its own id the message would be confused with the other one, so the digest of its content is added to
+		// its id. It is not going to be executed, so a redelivery does no harm.
 		message.id = delivery.MessageID(fmt.Sprintf("%s#%x", message.id, message.digest))
-		decision, earlier = c.deduplicator.Receive(c.Now(), delivery.Arrival{
+		decision, earlierReply = c.deduplicator.Receive(c.Now(), delivery.Arrival{
 			ID:         message.id,
 			Digest:     message.digest,
 			Tag:        tag,
@@ -66,35 +66,36 @@
 		c.session.ack(queue.Name, tag)
 	case delivery.ResendReply:
 		c.counters.events[eventReplyResent]++
-		c.resendReply(pending, earlier, tag)
+		c.resendReply(pending, earlierReply, tag)
 	case delivery.Uncertain:
-		c.settle(pending, nil, c.disposition(pending, delivery.MayHaveExecuted, 0), "")
+		c.settle(pending, nil, c.decideDisposition(pending, delivery.MayHaveExecuted, 0), "")
 	case delivery.Process, delivery.IDConflict:
 		if conflict {
-			c.settle(pending, nil, c.disposition(pending, delivery.DuplicateID, 0), "")
+			c.settle(pending, nil, c.decideDisposition(pending, delivery.DuplicateID, 0), "")
 			return
 		}
-		if message.attempt == 0 && !redelivered {
+		if message.priorAttempts == 0 && !redelivered {
 			c.retryBudget.CountFresh()
 		}
 		c.submit(pending)
 	}
 }
 
+// isIdempotent reports whether the class of a message may be executed twice.
 func (c *Consumer) isIdempotent(message *parsedMessage) bool {
 	return c.config.IdempotentClasses[admission.Class(message.request.Class)]
 }
 
-// resendReply publishes the reply of an earlier delivery again, as nobody knows whether the broker got it.
-func (c *Consumer) resendReply(pending *pendingMessage, earlier *reply, tag delivery.Tag) {
+// resendReply publishes the reply to an earlier delivery again, because it is unknown whether the broker received it.
+func (c *Consumer) resendReply(pending *pendingMessage, earlierReply *reply, tag delivery.Tag) {
 	s := c.session
-	s.publishReply(earlier, func() {
+	s.publishReply(earlierReply, func() {
 		c.deduplicator.MarkReplyConfirmed(pending.message.id)
 		s.ack(pending.queue.Name, tag)
 	})
 }
 
-// submit hands a message to the server, but for one that can't be served.
+// submit submits a message to the server, or completes it at once if it has a defect or its deadline has passed.
 func (c *Consumer) submit(pending *pendingMessage) {
 	message := &pending.message
 	c.inFlight[message.id] = pending
@@ -110,19 +111,19 @@
 	}
 }
 
-// disposition decides what becomes of a message.
-func (c *Consumer) disposition(
+// decideDisposition decides how to settle a message. A retry is taken from the budget.
+func (c *Consumer) decideDisposition(
 	pending *pendingMessage, outcome delivery.Outcome, retryAfter time.Duration,
 ) delivery.Disposition {
 	message := delivery.Message{
-		PriorAttempts: max(pending.message.attempt, c.deduplicator.ReturnCount(pending.message.id)),
+		PriorAttempts: max(pending.message.priorAttempts, c.deduplicator.ReturnCount(pending.message.id)),
 		Remaining:     time.Until(pending.message.deadline),
 		Idempotent:    c.isIdempotent(&pending.message),
 	}
 	return c.retryBudget.Settle(message, pending.queue.Settlement, outcome, retryAfter, c.random.Float64())
 }
 
-// complete takes the outcome of a message.
+// complete handles the outcome of a message. It ignores further outcomes of the same message.
 func (c *Consumer) complete(
 	pending *pendingMessage, outcome delivery.Outcome, result []byte, metadata frontend.ResponseMetadata,
 ) {
@@ -138,9 +139,9 @@
 		c.flow.RecordRejection()
 	case delivery.Succeeded, delivery.Failed:
 		c.flow.RecordOutcome(c.Now(), pending.queue.Name, outcome == delivery.Failed)
-	default: // it says nothing of the server or the queue
+	default: // the outcome has no bearing on the load of the server or the state of the queue
 	}
-	disposition := c.disposition(pending, outcome, metadata.RetryAfter)
+	disposition := c.decideDisposition(pending, outcome, metadata.RetryAfter)
 	if disposition.Delay > 0 {
 		c.ScheduleAt(c.Now()+disposition.Delay, func() { c.settle(pending, result, disposition, metadata.Reason) })
 		return
@@ -148,7 +149,7 @@
 	c.settle(pending, result, disposition, metadata.Reason)
 }
 
-// settle replies to a message, or gives it back to the broker.
+// settle replies to a message, or returns it to the broker.
 func (c *Consumer) settle(
 	pending *pendingMessage, result []byte, disposition delivery.Disposition, reason string,
 ) {
@@ -157,71 +158,74 @@
 	if !disposition.Reply {
 		tags := c.deduplicator.MarkReturned(c.Now(), id)
 		c.counters.events[eventReturned]++
-		c.giveBack(pending.queue.Name, tags, disposition.Action)
+		c.returnDeliveries(pending.queue.Name, tags, disposition.Action)
 		return
 	}
 	c.counters.outcomes[disposition.Outcome]++
 	c.logOutcome(pending, disposition.Outcome, reason)
-	answer := newReply(&pending.message, result, disposition.Outcome, reason)
-	tags := c.deduplicator.MarkReplied(c.Now(), id, answer)
-	c.publishOutcome(pending, answer, disposition.DeadLetter, tags)
+	outcomeReply := newReply(&pending.message, result, disposition.Outcome, reason)
+	tags := c.deduplicator.MarkReplied(c.Now(), id, outcomeReply)
+	c.publishOutcome(pending, outcomeReply, disposition.DeadLetter, tags)
 }
 
-func (c *Consumer) giveBack(queue delivery.QueueName, tags []delivery.Tag, action delivery.Action) {
+// returnDeliveries returns the deliveries of one message to the broker.
+func (c *Consumer) returnDeliveries(queue delivery.QueueName, tags []delivery.Tag, action delivery.Action) {
 	if c.session == nil {
-		return // the broker has the message back already
+		return // the broker took the message back when the connection closed
 	}
 	for _, tag := range tags {
-		c.session.giveBack(queue, tag, action)
+		c.session.returnDelivery(queue, tag, action)
 	}
 }
 
+// logOutcome logs an outcome other than Succeeded, unless the sampler suppresses the line.
 func (c *Consumer) logOutcome(pending *pendingMessage, outcome delivery.Outcome, reason string) {
-	if outcome == delivery.Succeeded || !c.logSampler.Allow(sampledLine{outcome: outcome}, time.Now()) {
+	if outcome == delivery.Succeeded || !c.logSampler.Allow(logLineKind{outcome: outcome}, time.Now()) {
 		return
 	}
-	slog.Info("queue message not succeeded",
+	slog.Info("queue message did not succeed",
 		"queue", string(pending.queue.Name),
 		"outcome", outcome.String(),
 		"reason", reason,
-		"message_id", truncate(string(pending.message.id)),
-		"attempt", pending.message.attempt)
+		"message_id", truncateForLog(string(pending.message.id)),
+		"attempt", pending.message.priorAttempts)
 }
 
-// publishOutcome publishes the reply and the copy for the dead-letter queue, and acks the deliveries once the broker
-// has confirmed both.
-func (c *Consumer) publishOutcome(pending *pendingMessage, answer *reply, deadLetter bool, tags []delivery.Tag) {
+// publishOutcome publishes the reply and the dead letter, if the message has them, and acks the deliveries once the
+// broker has confirmed both.
+func (c *Consumer) publishOutcome(pending *pendingMessage, outcomeReply *reply, deadLetter bool, tags []delivery.Tag) {
 	s := c.session
 	if s == nil {
-		return // the broker delivers the message again, and the reply is remembered
+		return // the broker redelivers the message, and the deduplicator keeps the reply
 	}
 	deadLetter = deadLetter && pending.queue.DeadLetterQueue != ""
 	unconfirmed := 0
-	if answer.replyTo != "" {
+	if outcomeReply.replyTo != "" {
 		unconfirmed++
 	}
 	if deadLetter {
 		unconfirmed++
 	}
 	if unconfirmed == 0 {
-		c.ackReplied(s, pending, answer.outcome, tags)
+		c.ackReplied(s, pending, outcomeReply.outcome, tags)
 		return
 	}
 	onConfirmed := func() {
 		unconfirmed--
 		if unconfirmed == 0 {
-			c.ackReplied(s, pending, answer.outcome, tags)
+			c.ackReplied(s, pending, outcomeReply.outcome, tags)
 		}
 	}
-	if answer.replyTo != "" {
-		s.publishReply(answer, onConfirmed)
+	if outcomeReply.replyTo != "" {
+		s.publishReply(outcomeReply, onConfirmed)
 	}
 	if deadLetter {
-		s.publishDeadLetter(pending, answer, onConfirmed)
+		s.publishDeadLetter(pending, outcomeReply, onConfirmed)
 	}
 }
 
-// ackReplied acks the deliveries of a message whose reply the broker has.
+// ackReplied acks the deliveries of a message whose reply the broker has confirmed, or that needs no reply. The acks of
+// messages that were not executed are paced.
 func (c *Consumer) ackReplied(
 	s *session, pending *pendingMessage, outcome delivery.Outcome, tags []delivery.Tag,
 ) {
@@ -238,7 +242,7 @@
 	c.paceAck(ack)
 }
 
-// report passes the outcome to the consumer's event loop; the result is the server's after the call.
+// report passes the outcome to the consumer's event loop. It copies the result, which belongs to the server after the call.
 func (m *pendingMessage) report(outcome delivery.Outcome, result []byte, metadata frontend.ResponseMetadata) {
 	result = bytes.Clone(result)
 	m.consumer.Post(func() { m.consumer.complete(m, outcome, result, metadata) })
@@ -259,7 +263,8 @@
 	m.report(delivery.Failed, nil, metadata)
 }
 
-// RejectPermanently implements frontend.Responder. A denial brings its reason along, all else has the code for one.
+// RejectPermanently implements frontend.Responder. A rejection with a reason is a denial; otherwise the code is the
+// reason.
 func (m *pendingMessage) RejectPermanently(code frontend.RejectionCode, metadata frontend.ResponseMetadata) {
 	if metadata.Reason != "" {
 		m.report(delivery.Denied, nil, metadata)
--- a/internal/amqp/propertywalker.go
+++ b/internal/amqp/propertywalker.go
@@ -1,26 +1,28 @@
 package amqp
 
-// Bits of the property flags, by the specification, whose properties are not short strings.
+// Bits of the property flags in the specification: the continuation flag, the lowest and the highest bit of a property,
+// and the properties that are not short strings.
 const (
-	moreFlags       = 1 << 0 // there are more flags than the specification has properties
-	lastPropertyBit = 2
-	timestampBit    = 6
-	priorityBit     = 11
-	deliveryModeBit = 12
-	headersBit      = 13
-	firstBit        = 15
+	continuationFlag = 1 << 0 // further flags follow, which the specification does not define
+	lastPropertyBit  = 2
+	timestampBit     = 6
+	priorityBit      = 11
+	deliveryModeBit  = 12
+	headersBit       = 13
+	firstBit         = 15
 )
 
-// maxTableDepth is how far tables may be nested.
+// maxTableDepth is the maximum nesting depth of tables and arrays in the headers.
 const maxTableDepth = 8
 
-// validProperties tells whether the client library can read properties, their flags first: strings where strings have
-// to be, tables of known types and of little depth. The library closes the connection over what it can't read, and
-// the broker delivers it again: a single message would keep a queue from ever being consumed.
+// validProperties reports whether the client library can read properties that begin with their flags: they are complete,
+// and their tables contain known types only and are not nested too deeply. The library closes the connection when it
+// cannot read a message, and the broker then redelivers it, so a single message could keep a queue from ever being
+// consumed.
 func validProperties(b []byte) bool {
 	w := propertyWalker{rest: b}
 	flags := w.readUint(2)
-	if flags&moreFlags != 0 {
+	if flags&continuationFlag != 0 {
 		return false
 	}
 	for bit := firstBit; bit >= lastPropertyBit; bit-- {
@@ -29,7 +31,7 @@
 		}
 		switch bit {
 		case headersBit:
-			w.table(0)
+			w.skipTable(0)
 		case deliveryModeBit, priorityBit:
 			w.skip(1)
 		case timestampBit:
@@ -41,20 +43,20 @@
 	return !w.invalid && len(w.rest) == 0
 }
 
-// propertyWalker walks over properties without reading their values.
+// propertyWalker traverses encoded properties without decoding their values.
 type propertyWalker struct {
 	rest    []byte
-	invalid bool // they end too early, or can't be read
+	invalid bool // the properties are incomplete or cannot be read
 }
 
-func (w *propertyWalker) fail() {
+func (w *propertyWalker) markInvalid() {
 	w.invalid = true
 	w.rest = nil
 }
 
 func (w *propertyWalker) skip(n int) {
 	if n < 0 || n > len(w.rest) {
-		w.fail()
+		w.markInvalid()
 		return
 	}
 	w.rest = w.rest[n:]
@@ -62,7 +64,7 @@
 
 func (w *propertyWalker) readUint(size int) (x int) {
 	if size > len(w.rest) {
-		w.fail()
+		w.markInvalid()
 		return 0
 	}
 	for _, c := range w.rest[:size] {
@@ -72,10 +74,10 @@
 	return x
 }
 
-// section returns a walker over the next n bytes, and skips them.
+// section returns a walker for the next n bytes, and skips them.
 func (w *propertyWalker) section(n int) propertyWalker {
 	if n < 0 || n > len(w.rest) {
-		w.fail()
+		w.markInvalid()
 		return propertyWalker{}
 	}
 	section := propertyWalker{rest: w.rest[:n]}
@@ -83,25 +85,25 @@
 	return section
 }
 
-func (w *propertyWalker) table(depth int) {
+func (w *propertyWalker) skipTable(depth int) {
 	section := w.section(w.readUint(4))
 	for len(section.rest) > 0 && !section.invalid {
 		section.skip(section.readUint(1))
-		section.value(depth)
+		section.skipValue(depth)
 	}
 	w.invalid = w.invalid || section.invalid
 }
 
-func (w *propertyWalker) array(depth int) {
+func (w *propertyWalker) skipArray(depth int) {
 	section := w.section(w.readUint(4))
 	for len(section.rest) > 0 && !section.invalid {
-		section.value(depth)
+		section.skipValue(depth)
 	}
 	w.invalid = w.invalid || section.invalid
 }
 
-// value walks over a value of a table or an array, which begins with its type.
-func (w *propertyWalker) value(depth int) {
+// skipValue skips a skipValue of a table or an array. The skipValue begins with its type.
+func (w *propertyWalker) skipValue(depth int) {
 	if depth > maxTableDepth {
 		w.invalid = true
 		return
@@ -120,9 +122,9 @@
 	case 'S', 'x':
 		w.skip(w.readUint(4))
 	case 'F':
-		w.table(depth + 1)
+		w.skipTable(depth + 1)
 	case 'A':
-		w.array(depth + 1)
+		w.skipArray(depth + 1)
 	case 'V':
 	default:
 		w.invalid = true
--- a/internal/amqp/reply.go
+++ b/internal/amqp/reply.go
@@ -8,7 +8,7 @@
 	"lanewheel/internal/amqp/delivery"
 )
 
-// The headers of replies and dead letters. They are part of the protocol of queues.
+// The headers of replies and dead letters. Their names are part of the protocol of queues.
 const (
 	outcomeHeader = "outcome"
 	reasonHeader  = "why"
@@ -16,9 +16,9 @@
 	attemptHeader = "attempt"
 )
 
-// reply is a reply as it is published.
+// reply is a reply to a message.
 type reply struct {
-	replyTo       string // empty: the message wants none
+	replyTo       string // empty: the message has no reply queue
 	correlationID string
 	outcome       delivery.Outcome
 	reason        string // empty: none
@@ -37,7 +37,7 @@
 	}
 }
 
-// outcomeHeaders are what replies and dead letters have in common.
+// outcomeHeaders returns the headers that replies and dead letters have in common.
 func (r *reply) outcomeHeaders() client.Table {
 	headers := client.Table{outcomeHeader: r.outcome.String()}
 	if r.reason != "" {
@@ -46,9 +46,9 @@
 	return headers
 }
 
-// publishReply publishes a reply; onConfirmed is called on the consumer's loop once the broker has confirmed it. The
-// reply's id is derived from the message's, so that whoever gets a reply twice recognizes the second: it is published
-// again if nobody could tell whether the first arrived.
+// publishReply publishes a reply. onConfirmed is called on the consumer's event loop once the broker has confirmed it.
+// A reply is published again if it is unknown whether the broker received it. Its id is derived from the message's id,
+// so that a client that receives it twice can recognize the duplicate.
 func (s *session) publishReply(r *reply, onConfirmed func()) {
 	s.publish(r.replyTo, client.Publishing{
 		MessageId:     "answer:" + string(r.messageID),
@@ -60,13 +60,13 @@
 	}, onConfirmed)
 }
 
-// publishDeadLetter copies a message to its queue's dead-letter queue, with the outcome and reason of its reply;
+// publishDeadLetter copies a message to its queue's dead-letter queue, with the outcome and the reason of its reply.
 // onConfirmed is called as by publishReply.
 func (s *session) publishDeadLetter(pending *pendingMessage, r *reply, onConfirmed func()) {
 	message := &pending.message
 	headers := r.outcomeHeaders()
 	headers[queueHeader] = string(pending.queue.Name)
-	headers[attemptHeader] = int64(message.attempt)
+	headers[attemptHeader] = int64(message.priorAttempts)
 	s.publish(pending.queue.DeadLetterQueue, client.Publishing{
 		MessageId:     string(message.id),
 		CorrelationId: message.correlationID,
@@ -79,8 +79,8 @@
 	}, onConfirmed)
 }
 
-// publish publishes to a queue by the default exchange. The number that a confirmation will carry is asked for right
-// before the message is published: both are right together because the writer alone publishes on this channel.
+// publish publishes to a queue by the default exchange. The sequence number that the confirmation will carry is read
+// right before the message is published. This is safe because only the writer publishes on this channel.
 func (s *session) publish(queue string, message client.Publishing, onConfirmed func()) {
 	s.mu.Lock()
 	s.unconfirmed++
@@ -93,8 +93,8 @@
 	})
 }
 
-// handleConfirmation hears from the broker that it has what was published, or has not: then the message stays
-// unsettled, and is delivered again with its channel. It is called on a goroutine of the session.
+// handleConfirmation handles a confirmation by the broker. After a negative one the message stays unsettled and is
+// redelivered when its channel closes. It is called on a goroutine of the session.
 func (s *session) handleConfirmation(confirmation client.Confirmation) {
 	s.mu.Lock()
 	onConfirmed := s.onConfirm[confirmation.DeliveryTag]
--- a/internal/amqp/session.go
+++ b/internal/amqp/session.go
@@ -16,49 +16,50 @@
 )
 
 const (
-	// dialTimeout bounds how long opening a connection may take: some round trips of a poor line.
+	// dialTimeout limits how long opening a connection may take: some round trips on a poor network.
 	dialTimeout = 5 * time.Second
-	// closeTimeout bounds how long the broker may take to close a connection in order.
+	// closeTimeout limits how long the broker may take to close a connection in order.
 	closeTimeout = 200 * time.Millisecond
-	// maxHeaderBytes bounds a message's properties: those of the specification and some dozen headers.
+	// maxHeaderBytes limits the properties of a message: those of the specification and some dozen headers.
 	maxHeaderBytes = 8 << 10
-	// How many notifications of the client library may wait for the goroutine that takes them.
-	maxPendingConfirmations = 1024
-	maxPendingBlockings     = 8
-	maxPendingCancellations = 8
+	// Buffer sizes of the channels on which the client library sends notifications.
+	maxPendingConfirmations  = 1024
+	maxPendingBlockedNotices = 8
+	maxPendingCancellations  = 8
 )
 
-// session is one connection to a broker, with one channel for each queue and one for replies. What blocks, or has to
-// go out in order, is done by its writer, one goroutine.
+// session is one connection to a broker, with one channel for each queue and one for replies. Calls that may block, or
+// that must be made in order, are made by its writer, which is one goroutine.
 type session struct {
 	consumer *Consumer
 	id       uint64
 	url      string
 
-	// Set by the goroutine that dials, before the consumer's event loop knows the session; constant after that.
+	// Set by the goroutine that dials, before the consumer's event loop receives the session; constant after that.
 	netConn      net.Conn
 	connection   *client.Connection
 	replyChannel *client.Channel
 
 	// Owned by the consumer's event loop.
-	channels  map[delivery.QueueName]*channel
-	blocked   bool // the broker accepts nothing that is published
+	channels  map[delivery.QueueName]*queueChannel
+	blocked   bool // the broker has blocked publishing
 	closing   bool
-	closeCode connectionCode // why we close; empty: we don't
+	closeCode connectionCode // why the consumer closes the session; empty: it is not closing it
 	ended     bool
 	onClosed  func() // called once the session has ended
 
-	mu          sync.Mutex
-	steps       []func() error // guarded by mu
-	wake        *sync.Cond     // by mu: there are steps, or the session has ended
-	stopped     bool           // guarded by mu
-	busy        bool           // guarded by mu: the writer is at steps that it took
-	unconfirmed int            // guarded by mu: published and not confirmed, or about to be published
-	// onConfirm is called for the number of a published message, guarded by mu.
+	mu            sync.Mutex
+	steps         []func() error // calls that the writer has yet to make; guarded by mu
+	wake          *sync.Cond     // condition on mu; signaled when steps are added or the writer must stop
+	writerStopped bool           // the writer must stop; guarded by mu
+	writerBusy    bool           // the writer is making calls that it took from steps; guarded by mu
+	unconfirmed   int            // messages queued for publishing or published, and not confirmed; guarded by mu
+	// onConfirm holds the function to call for each unconfirmed message, by its sequence number. Guarded by mu.
 	onConfirm map[uint64]func()
 }
 
-// hostPort returns a broker's address without the login that its URL may hold.
+// hostPort returns the host and port in a broker's URL, without the login that the URL may contain. It returns "?" for
+// an invalid URL.
 func hostPort(url string) string {
 	uri, err := client.ParseURI(url)
 	if err != nil {
@@ -67,17 +68,18 @@
 	return joinHostPort(&uri)
 }
 
+// joinHostPort returns the host and port of a broker.
 func joinHostPort(uri *client.URI) string {
 	return net.JoinHostPort(uri.Host, strconv.Itoa(uri.Port))
 }
 
-// openSession dials on a goroutine of its own. handleConnect or handleConnectFailure hears how that went.
+// openSession dials on a new goroutine. It then calls handleConnect or handleConnectFailure on the event loop.
 func (c *Consumer) openSession(id uint64, url string) {
 	s := &session{
 		consumer:  c,
 		id:        id,
 		url:       url,
-		channels:  map[delivery.QueueName]*channel{},
+		channels:  map[delivery.QueueName]*queueChannel{},
 		onConfirm: map[uint64]func(){},
 	}
 	s.wake = sync.NewCond(&s.mu)
@@ -86,7 +88,7 @@
 		c.Post(func() {
 			if err != nil {
 				if s.netConn != nil {
-					_ = s.netConn.Close() // it is of no use, and the error is known
+					_ = s.netConn.Close() // an error is of no interest here: dialing has failed already
 				}
 				c.handleConnectFailure(url, err)
 				return
@@ -134,11 +136,12 @@
 	if err := s.replyChannel.Confirm(false); err != nil {
 		return err
 	}
-	s.watch()
+	s.startNotificationHandlers()
 	return nil
 }
 
-// filteredConn is the connection as the client library reads it: without TLS, and without contents over our bounds.
+// filteredConn returns the connection that the client library reads: it decrypts TLS and filters contents that exceed
+// the limits.
 func (s *session) filteredConn(uri *client.URI) net.Conn {
 	conn := s.netConn
 	if uri.Scheme == "amqps" {
@@ -158,11 +161,12 @@
 	return newFrameFilter(conn, maxHeaderBytes, maxBodyBytes)
 }
 
-// watch starts the goroutines that take what the client library notifies. They end with the connection.
-func (s *session) watch() {
+// startNotificationHandlers starts the goroutines that handle the client library's notifications. They end with the
+// connection.
+func (s *session) startNotificationHandlers() {
 	closed := s.connection.NotifyClose(make(chan *client.Error, 1))
 	repliesClosed := s.replyChannel.NotifyClose(make(chan *client.Error, 1))
-	blockings := s.connection.NotifyBlocked(make(chan client.Blocking, maxPendingBlockings))
+	blockedNotices := s.connection.NotifyBlocked(make(chan client.Blocking, maxPendingBlockedNotices))
 	confirmations := s.replyChannel.NotifyPublish(make(chan client.Confirmation, maxPendingConfirmations))
 	go func() {
 		for confirmation := range confirmations {
@@ -170,8 +174,8 @@
 		}
 	}()
 	go func() {
-		for blocking := range blockings {
-			s.consumer.Post(func() { s.handleBlocking(blocking.Active) })
+		for notice := range blockedNotices {
+			s.consumer.Post(func() { s.handleBlocking(notice.Active) })
 		}
 	}()
 	go func() {
@@ -185,22 +189,23 @@
 			if err != nil {
 				code = "replies-" + amqpCode(err)
 			}
-			_ = s.netConn.Close() // without replies the session is of no use
+			_ = s.netConn.Close() // the session cannot be used without its reply channel
 		}
 		s.consumer.Post(func() { s.handleClosed(code) })
 	}()
 }
 
+// handleBlocking handles a notification that the broker blocks or accepts publishing.
 func (s *session) handleBlocking(blocked bool) {
 	s.blocked = blocked
 	if blocked {
-		slog.Warn("broker blocks publishing", "addr", hostPort(s.url))
+		slog.Warn("publishing blocked by broker", "addr", hostPort(s.url))
 	} else {
-		slog.Warn("broker accepts publishing again", "addr", hostPort(s.url))
+		slog.Warn("publishing unblocked by broker", "addr", hostPort(s.url))
 	}
 }
 
-// handleClosed hears that the connection is gone.
+// handleClosed handles the end of the connection. Only the first call has an effect.
 func (s *session) handleClosed(code connectionCode) {
 	if s.ended {
 		return
@@ -209,7 +214,7 @@
 	if s.closeCode != "" {
 		code = s.closeCode
 	}
-	_ = s.netConn.Close() // it may be closed already
+	_ = s.netConn.Close() // the connection may be closed already
 	s.stopWriter()
 	for _, c := range s.channels {
 		s.consumer.deduplicator.ForgetChannel(c.id)
@@ -221,27 +226,27 @@
 	}
 }
 
-// close ends the connection in order: channels with their consumers, then the connection. It does not wait for a
-// broker that does not answer.
+// close closes the session in order: first the channels with their consumers, then the connection. It waits at most
+// closeTimeout for the broker.
 func (s *session) close(code connectionCode) {
 	if s.closing || s.ended {
 		return
 	}
 	s.closing = true
 	s.closeCode = code
-	var links []*client.Channel
+	var clientChannels []*client.Channel
 	for _, c := range s.channels {
-		c.wantedPrefetch = 0
-		if c.link != nil {
-			links = append(links, c.link)
+		c.targetPrefetch = 0
+		if c.clientChannel != nil {
+			clientChannels = append(clientChannels, c.clientChannel)
 		}
 	}
 	go func() {
 		closed := make(chan struct{})
 		go func() {
-			// Errors say that the connection is gone, which is what is wanted.
-			for _, link := range links {
-				_ = link.Close()
+			// Errors mean that the connection is already closed.
+			for _, clientChannel := range clientChannels {
+				_ = clientChannel.Close()
 			}
 			_ = s.replyChannel.Close()
 			_ = s.connection.Close()
@@ -251,12 +256,12 @@
 		case <-closed:
 		case <-time.After(closeTimeout):
 		}
-		_ = s.netConn.Close() // it may be closed already
+		_ = s.netConn.Close() // the connection may be closed already
 		s.consumer.Post(func() { s.handleClosed(code) })
 	}()
 }
 
-// whenClosed calls a function on the consumer's event loop once the session has ended.
+// whenClosed calls a function on the consumer's event loop once the session has ended. It must be called there.
 func (s *session) whenClosed(callback func()) {
 	if s.ended {
 		callback()
--- a/internal/amqp/status.go
+++ b/internal/amqp/status.go
@@ -9,21 +9,22 @@
 )
 
 const (
-	// statusTimeout bounds how long the event loop may take to give the status, and a client to connect.
+	// statusTimeout limits how long the event loop may take to report the status, and how long a client may take to
+	// connect.
 	statusTimeout = time.Second
-	// statusReadTimeout bounds how long a client waits for the status.
+	// statusReadTimeout limits how long a client waits for the status after it has connected.
 	statusReadTimeout = 2 * time.Second
 )
 
-// Status is the state of the consumer as the status socket shows it.
+// Status is the state of the consumer as served on the status socket.
 type Status struct {
-	Broker      string            `json:"broker"` // empty: none is connected
-	PauseReason string            `json:"closed"` // why nothing is taken; empty: something is
+	Broker      string            `json:"broker"` // host and port; empty: not connected
+	PauseReason string            `json:"closed"` // why no queue is consumed; empty: consuming is not paused
 	Window      int               `json:"level"`  // messages that may be in flight
 	InFlight    int               `json:"in_hand"`
-	Remembered  int               `json:"known"` // messages, in flight and settled
+	Remembered  int               `json:"known"` // remembered messages, in flight and settled
 	Queues      []QueueStatus     `json:"queues"`
-	Counts      map[string]uint64 `json:"counts"` // by outcome and event
+	Counts      map[string]uint64 `json:"counts"` // by the name of the outcome or event
 }
 
 // QueueStatus is the state of one queue.
@@ -34,6 +35,7 @@
 	InFlight int    `json:"in_hand"`
 }
 
+// status returns the state of the consumer.
 func (c *Consumer) status() Status {
 	status := Status{
 		PauseReason: c.flow.PauseReason().String(),
@@ -56,18 +58,18 @@
 	return status
 }
 
-// serveStatus answers one client of the status socket, on a goroutine of that.
+// serveStatus sends the status to one client of the status socket. It runs on a goroutine of the socket.
 func (c *Consumer) serveStatus(conn net.Conn) {
 	statuses := make(chan Status, 1)
 	c.Post(func() { statuses <- c.status() })
 	select {
 	case status := <-statuses:
-		_ = json.NewEncoder(conn).Encode(status) // a client that is gone misses nothing
+		_ = json.NewEncoder(conn).Encode(status) // an error means that the client has closed the connection
 	case <-time.After(statusTimeout): // the consumer has ended
 	}
 }
 
-// ReadStatus reads the status from the socket of a running instance.
+// ReadStatus reads the status from the socket of a running instance. path is the path of the socket.
 func ReadStatus(path string) (Status, error) {
 	var status Status
 	dialer := net.Dialer{Timeout: statusTimeout}
@@ -75,12 +77,12 @@
 	if err != nil {
 		return status, err
 	}
-	defer func() { _ = conn.Close() }() // all that is wanted was read
+	defer func() { _ = conn.Close() }() // an error does not matter after the status has been read
 	if err := conn.SetDeadline(time.Now().Add(statusReadTimeout)); err != nil {
 		return status, err
 	}
 	if err := json.NewDecoder(conn).Decode(&status); err != nil {
-		return status, fmt.Errorf("status from %s: %w", path, err)
+		return status, fmt.Errorf("read status from %s: %w", path, err)
 	}
 	return status, nil
 }
--- a/internal/amqp/testbed_test.go
+++ b/internal/amqp/testbed_test.go
@@ -97,26 +97,26 @@
 	responder.Done()
 }
 
-// deferred are responses that a test gives later. Its methods may be called from any goroutine.
-type deferred struct {
+// pendingResponses are responses that a test gives later. Its methods may be called from any goroutine.
+type pendingResponses struct {
 	mu        sync.Mutex
 	responses []func()
 }
 
-func (d *deferred) add(response func()) {
+func (d *pendingResponses) add(response func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.responses = append(d.responses, response)
 }
 
-func (d *deferred) len() int {
+func (d *pendingResponses) len() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.responses)
 }
 
 // release gives the responses. The server's loop has to call it.
-func (d *deferred) release() {
+func (d *pendingResponses) release() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, response := range d.responses {
@@ -139,11 +139,11 @@
 		DeadLetterQueue: "dead",
 		Identity:        "token:depot",
 		Mapping: Mapping{
-			Class:        Source{Name: "type"},
-			DefaultWait:  30 * time.Second,
-			MaxBodyBytes: 2048,
-			DefaultRank:  0.5,
-			DefaultKB:    1,
+			Class:          Source{Name: "type"},
+			DefaultTimeout: 30 * time.Second,
+			MaxBodyBytes:   2048,
+			DefaultRank:    0.5,
+			DefaultKB:      1,
 		},
 	}
 }
--- a/internal/amqp/writer.go
+++ b/internal/amqp/writer.go
@@ -1,7 +1,8 @@
 package amqp
 
-// enqueue has the writer do a step. Its error means that the channel or connection is gone, which the session hears
-// otherwise. The queue is bounded by what is in flight: some steps for each message. Any goroutine may call it.
+// enqueue adds a call for the writer to make. If the call returns an error, the channel or connection has closed, and
+// the session is notified of that separately. The number of queued calls is bounded by the messages in flight, each of
+// which needs only a few. Any goroutine may call enqueue.
 func (s *session) enqueue(step func() error) {
 	s.mu.Lock()
 	s.steps = append(s.steps, step)
@@ -9,7 +10,7 @@
 	s.wake.Signal()
 }
 
-// writeLoop is the writer: it does the steps in order until stopWriter.
+// writeLoop runs the writer: it makes the queued calls in order until stopWriter is called.
 func (s *session) writeLoop() {
 	for {
 		steps, ok := s.nextSteps()
@@ -17,39 +18,40 @@
 			return
 		}
 		for _, step := range steps {
-			_ = step() // see enqueue
+			_ = step() // the error is reported separately, see enqueue
 		}
 	}
 }
 
-// nextSteps waits for steps. It returns false once the writer is to stop.
+// nextSteps waits for queued calls and returns them. It returns false if the writer must stop.
 func (s *session) nextSteps() ([]func() error, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.busy = false
-	for len(s.steps) == 0 && !s.stopped {
+	s.writerBusy = false
+	for len(s.steps) == 0 && !s.writerStopped {
 		s.wake.Wait()
 	}
-	if s.stopped {
+	if s.writerStopped {
 		return nil, false
 	}
 	steps := s.steps
 	s.steps = nil
-	s.busy = true
+	s.writerBusy = true
 	return steps, true
 }
 
+// stopWriter makes the writer stop. It drops the calls that the writer has not taken yet.
 func (s *session) stopWriter() {
 	s.mu.Lock()
-	s.stopped = true
+	s.writerStopped = true
 	s.mu.Unlock()
 	s.wake.Broadcast()
 }
 
-// idle tells whether all is written and confirmed.
+// idle sends pending acks and reports whether the writer has made all calls and the broker has confirmed all messages.
 func (s *session) idle() bool {
 	s.flushAcks()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.steps) == 0 && !s.busy && s.unconfirmed == 0
+	return len(s.steps) == 0 && !s.writerBusy && s.unconfirmed == 0
 }
--- a/internal/config/amqp.go
+++ b/internal/config/amqp.go
@@ -129,12 +129,12 @@
 func (s *section) readMapping() amqp.Mapping {
 	const maxBodyBytes = 2 << 10 // the runtime's bound
 	mapping := amqp.Mapping{
-		DefaultWait:  time.Minute,
-		MaxBodyBytes: maxBodyBytes,
-		DefaultRank:  0.5,
-		DefaultKB:    4,
+		DefaultTimeout: time.Minute,
+		MaxBodyBytes:   maxBodyBytes,
+		DefaultRank:    0.5,
+		DefaultKB:      4,
 	}
-	s.durationValue("default-timeout", &mapping.DefaultWait, 0, 24*time.Hour)
+	s.durationValue("default-timeout", &mapping.DefaultTimeout, 0, 24*time.Hour)
 	s.intValue("max-body-bytes", &mapping.MaxBodyBytes, 1, maxBodyBytes)
 	s.floatValue("default-rank", &mapping.DefaultRank, 0, 0.999999)
 	s.floatValue("default-kb", &mapping.DefaultKB, 0.001, 1999)
--- a/internal/config/listing_test.go
+++ b/internal/config/listing_test.go
@@ -129,7 +129,7 @@
 		l.add(name+".dead-letters", q.DeadLetterQueue)
 		l.add(name+".dead-letters (told)", q.Settlement.DeadLetter)
 		l.add(name+" (answers)", q.Settlement.Reply)
-		l.add(name+".wait", q.Mapping.DefaultWait)
+		l.add(name+".wait", q.Mapping.DefaultTimeout)
 		l.add(name+".longest", q.Mapping.MaxBodyBytes)
 		l.add(name+".type", source(q.Mapping.Class))
 		l.add(name+".tenant", source(q.Mapping.Tenant))
