--- a/internal/amqp/brokerselector_test.go
+++ b/internal/amqp/brokerselector_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// When the preferred broker fails, the second one is used; one that flaps does not have the consumer flap.
+// When the preferred broker fails, the second one is used. A broker that drops each connection is tried only rarely.
 func Example_failover() {
 	now := time.Duration(0)
 	selector := newBrokerSelector([]string{"one", "two"}, func() float64 { return 0.5 })
@@ -20,7 +20,7 @@
 	now = 29 * time.Second
 	show()
 	now = 30 * time.Second
-	show() // back to the preferred
+	show() // the consumer may fail back to the preferred broker
 	tries := 0
 	for end := now + 10*time.Minute; now < end; now += 10 * time.Millisecond {
 		if url, _ := selector.pick(now); url == "one" {
--- a/internal/amqp/channel.go
+++ b/internal/amqp/channel.go
@@ -17,8 +17,8 @@
 	maxReopenDelay = 30 * time.Second
 )
 
-// queueChannel is the channel on which one queue is consumed. Each opened channel has a new id, because a delivery can be
-// settled only on the channel that received it. A queueChannel is owned by the consumer's event loop. The session's
+// queueChannel is the channel on which one queue is consumed. Each opened channel has a new id, because a delivery can
+// be settled only on the channel that received it. A queueChannel is owned by the consumer's event loop. The session's
 // writer uses only its constant fields and the clientChannel that the loop passes to it.
 type queueChannel struct {
 	id             uint64
--- a/internal/amqp/connectioncode_test.go
+++ b/internal/amqp/connectioncode_test.go
@@ -24,7 +24,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			if got := connectErrorCode(tt.err); got != tt.want {
-				t.Errorf("%v is %q, want %q", tt.err, got, tt.want)
+				t.Errorf("%v has code %q, want %q", tt.err, got, tt.want)
 			}
 		})
 	}
@@ -32,7 +32,7 @@
 
 func TestIsSmallChange(t *testing.T) {
 	for _, tt := range []struct {
-		previous, wanted int
+		previous, target int
 		want             bool
 	}{
 		{100, 91, true},
@@ -43,8 +43,8 @@
 		{0, 1, false},
 		{2, 1, false},
 	} {
-		if got := isSmallChange(tt.previous, tt.wanted); got != tt.want {
-			t.Errorf("%d to %d: %v", tt.previous, tt.wanted, got)
+		if got := isSmallChange(tt.previous, tt.target); got != tt.want {
+			t.Errorf("change from %d to %d: small is %v, want %v", tt.previous, tt.target, got, tt.want)
 		}
 	}
 }
--- a/internal/amqp/consumer_test.go
+++ b/internal/amqp/consumer_test.go
@@ -16,7 +16,7 @@
 	"lanewheel/internal/frontend"
 )
 
-// nestedTables returns headers of so many tables, one in the other.
+// nestedTables returns headers with depth tables nested in each other.
 func nestedTables(depth int) client.Table {
 	table := client.Table{}
 	for range depth {
@@ -25,8 +25,8 @@
 	return table
 }
 
-// A message is consumed, executed, replied to and acked. What can't be served, came too late or was denied is replied
-// to without being executed, and copied to the dead-letter queue.
+// A message is consumed, executed, replied to and acked. A message that cannot be served, arrives after its deadline or
+// is denied is not executed, but replied to and copied to the dead-letter queue.
 func Example() {
 	b, server := newBroker(), newFakeServer()
 	server.respond = func(request frontend.Request, body string, responder frontend.Responder) {
@@ -43,23 +43,23 @@
 	long := newMessage("long", "view")
 	long.Body = bytes.Repeat([]byte("x"), 200_000)
 	nested, deeper := newMessage("nested", "view"), newMessage("deeper", "view")
-	nested.Headers = nestedTables(501) // short enough, and yet more than the library reads
+	nested.Headers = nestedTables(501) // within the size limit, but nested too deeply
 	deeper.Headers = nestedTables(5000)
 	for _, p := range []client.Publishing{lateMessage(), long, nested, deeper, badExpirationMessage()} {
 		b.Publish("ops", p)
 	}
 	bed.waitSettled()
-	bed.waitReplies(8) // nobody can tell where those of nested and deeper go
+	bed.waitReplies(8) // nested and deeper have no replies, because their properties, with the reply queue, are not read
 	for _, r := range bed.replies() {
 		fmt.Println(r)
 	}
-	var dead []string
+	var deadLetters []string
 	for _, p := range b.DrainQueue("dead") {
 		id, _, _ := strings.Cut(p.MessageId, ":")
-		dead = append(dead, fmt.Sprint(id, " ", p.Headers["outcome"], " ", p.Headers["why"]))
+		deadLetters = append(deadLetters, fmt.Sprint(id, " ", p.Headers["outcome"], " ", p.Headers["why"]))
 	}
-	slices.Sort(dead)
-	fmt.Println(strings.Join(dead, "\n"))
+	slices.Sort(deadLetters)
+	fmt.Println(strings.Join(deadLetters, "\n"))
 	fmt.Println(server.executions, b.Violations())
 	// Output:
 	// c-deny denied
@@ -81,12 +81,13 @@
 	// map[pay:1 view:1] []
 }
 
-// exchangeClasses are those of the messages of exchange, in turn: idempotent, not idempotent, idempotent by key.
+// exchangeClasses are the classes of the messages in runExchange, in turn: idempotent, not idempotent, and idempotent
+// by key.
 var exchangeClasses = []string{"view", "pay", "key"}
 
-// runExchange sends twelve messages over connections with faults. It returns the frames of the first connection, and
-// what is wrong.
-func runExchange(faults ...broker.Fault) (frames int, wrong string) {
+// runExchange sends twelve messages over connections with faults. It returns the number of frames on the first
+// connection and a description of the problems found, empty if there are none.
+func runExchange(faults ...broker.Fault) (frames int, problems string) {
 	b, server := newBroker(), newFakeServer()
 	b.SetFaults(faults...)
 	bed := startTestbed(b, server, testConfig(b))
@@ -104,15 +105,15 @@
 	for i := range messages {
 		class := exchangeClasses[i%len(exchangeClasses)]
 		id := fmt.Sprint(class, i)
-		wrong += checkExchanged(id, class, replies, server.executions[id])
+		problems += checkExchanged(id, class, replies, server.executions[id])
 	}
 	if violations := b.Violations(); len(violations) > 0 {
-		wrong += fmt.Sprint(violations)
+		problems += fmt.Sprint(violations)
 	}
-	return b.FrameCount(1), wrong
+	return b.FrameCount(1), problems
 }
 
-// checkExchanged says what is wrong with one message of an exchange: it has one reply and one execution.
+// checkExchanged checks that a message has one reply and one execution. It returns a description of the problem, or "".
 func checkExchanged(id, class string, replies []string, executions int) string {
 	count, wantExecutions := 0, 1
 	for _, r := range replies {
@@ -121,21 +122,21 @@
 		}
 		count++
 		if r == "c-"+id+" may-have-run" && class == "pay" {
-			wantExecutions = 0 // redelivered, and nobody can tell whether a peer had it before
+			wantExecutions = 0 // redelivered, and it is unknown whether a peer has executed it
 		}
 	}
 	if count != 1 || executions != wantExecutions {
-		return fmt.Sprintf("%s: %d replies, %d executions; ", id, count, executions)
+		return fmt.Sprintf("%s: %d replies, want 1, %d executions, want %d; ", id, count, executions, wantExecutions)
 	}
 	return ""
 }
 
-// The same exchange with the connection cut behind each of its frames, and inside it: whatever the frame, each message
-// has one final reply, none that is not idempotent is executed twice, and nothing is left unsettled.
+// The connection is cut after each frame and inside each frame of the exchange. In all cases each message has one final
+// reply, no message that is not idempotent is executed twice, and all messages are settled.
 func TestCutAfterEachFrame(t *testing.T) {
-	frames, wrong := runExchange()
-	if wrong != "" || frames < 60 {
-		t.Fatalf("%d frames without a fault: %s", frames, wrong)
+	frames, problems := runExchange()
+	if problems != "" || frames < 60 {
+		t.Fatalf("%d frames without a fault, want at least 60, and problems: %s", frames, problems)
 	}
 	var running sync.WaitGroup
 	slots := make(chan bool, 24)
@@ -145,24 +146,24 @@
 			slots <- true
 			go func() {
 				defer running.Done()
-				_, wrong := runExchange(
+				_, problems := runExchange(
 					broker.Fault{Connection: 1, Frame: frame, Mode: mode},
-					// The second connection is cut as well, a little further on.
+					// The second connection is cut as well, some frames later.
 					broker.Fault{Connection: 2, Frame: frame/2 + 9, Mode: mode},
 				)
-				if wrong != "" {
-					t.Errorf("cut %d at frame %d: %s", mode, frame, wrong)
+				if problems != "" {
+					t.Errorf("connection cut with mode %d at frame %d: %s", mode, frame, problems)
 				}
 				<-slots
 			}()
 		}
 	}
 	running.Wait()
-	t.Logf("%d frames, cut behind and inside each", frames)
+	t.Logf("connection cut after and inside each of %d frames", frames)
 }
 
-// A message that the server rejects goes back, by the retry queue where there is one, and is counted; out of attempts
-// it is replied to.
+// A message that the server rejects is returned to the broker, by way of the retry queue if there is one, and its
+// attempts are counted. After the last attempt it is replied to and copied to the dead-letter queue.
 func Example_rejected() {
 	for _, useRetryQueue := range []bool{false, true} {
 		b, server := newBroker(), newFakeServer()
@@ -188,7 +189,7 @@
 		fmt.Println(bed.replies(), "put back", counts.Requeued, "rejected", counts.Rejected)
 		if useRetryQueue {
 			b.Publish("ops", newMessage("never", "pay"))
-			fake.WaitFor("its end", func() bool { return b.Counts("dead").Ready == 1 })
+			fake.WaitFor("the message in the dead-letter queue", func() bool { return b.Counts("dead").Ready == 1 })
 			fmt.Println(bed.replies(), "rejected", b.Counts("ops").Rejected, "dead", b.Counts("dead").Ready)
 		}
 		bed.close()
@@ -199,8 +200,9 @@
 	// [c-never out-of-attempts] rejected 4 dead 1
 }
 
-// When the consumer drains, what was not executed goes back untouched, what is executed is replied to and acked, and
-// the connection closes in order; with a broker that has died, or is silent, the consumer ends all the same.
+// When the consumer drains, messages that were not executed are returned to the queue, messages in execution are
+// replied to and acked, and the connection closes in order. The consumer also ends if the broker has ended or does not
+// respond.
 func Example_drain() {
 	for _, condition := range []string{"well", "dead", "silent"} {
 		b, server := newBroker(), newFakeServer()
@@ -222,10 +224,10 @@
 		for i := range 20 {
 			b.Publish("ops", newMessage(fmt.Sprintf("m%02d", i), "view"))
 		}
-		fake.WaitFor("six in flight", func() bool { return responses.len() == 6 })
+		fake.WaitFor("six messages in flight", func() bool { return responses.len() == 6 })
 		server.changeLoad(func(l *frontend.Load) { l.Draining = true })
 		bed.consumer.Drain(800 * time.Millisecond)
-		bed.consumer.Drain(time.Hour) // a second notice changes nothing
+		bed.consumer.Drain(time.Hour) // a second call has no effect
 		switch condition {
 		case "dead":
 			b.Close()
@@ -234,7 +236,7 @@
 		}
 		start := time.Now()
 		server.Post(responses.release)
-		fake.WaitFor("the end", bed.consumer.Drained)
+		fake.WaitFor("the end of the drain", bed.consumer.Drained)
 		fmt.Println(condition, "in time", time.Since(start) < 1500*time.Millisecond)
 		if condition == "well" {
 			counts := b.Counts("ops")
@@ -253,9 +255,9 @@
 	// silent in time true
 }
 
-// Two messages with one id: with the same content they are one request, and both are settled with it; with another
-// content the second is told so. A channel that the broker closes is opened anew, and what was in flight is not
-// executed again.
+// Two deliveries with the same id and content are one request, and both are settled with it. A message with the same id
+// and different content is replied to with the outcome id-twice. When the broker closes the channel, the consumer opens
+// a new one and does not execute the messages in flight again.
 func Example_duplicates() {
 	b, server := newBroker(), newFakeServer()
 	var responses pendingResponses
@@ -272,11 +274,11 @@
 	other.Body = []byte("b")
 	b.Publish("ops", newMessage("a", "pay"))
 	b.Publish("ops", newMessage("a", "pay"))
-	fake.WaitFor("both in flight", func() bool { return b.Counts("ops").Unsettled == 2 })
+	fake.WaitFor("both deliveries in flight", func() bool { return b.Counts("ops").Unsettled == 2 })
 	b.Publish("ops", other)
-	fake.WaitFor("the other's end", func() bool { return b.Counts("ops").Acked == 1 })
+	fake.WaitFor("the ack of the other message", func() bool { return b.Counts("ops").Acked == 1 })
 	b.CloseConsumerChannels()
-	fake.WaitFor("both again", func() bool {
+	fake.WaitFor("the redelivery of both", func() bool {
 		counts := b.Counts("ops")
 		return counts.Redelivered == 2 && counts.Unsettled == 2
 	})
@@ -287,29 +289,29 @@
 	// [c-a acked done a c-a id-twice] map[a:1] 3
 }
 
-// Two instances on one queue, one of them slow: the fast one gets the work, and what the slow one left untouched goes
-// back.
+// Two instances consume one queue and one of them is slow. The fast one executes most messages, and those that the slow
+// one has not started are returned to the queue.
 func Example_twoInstances() {
 	b := newBroker()
 	slow, fast := newFakeServer(), newFakeServer()
 	slow.respond = func(_ frontend.Request, body string, responder frontend.Responder) {
 		slow.execute(body)
-		slow.load.Queued = 40 // more than its cores can run
+		slow.load.Queued = 40 // more than its cores can soon run
 		slow.ScheduleAt(slow.Now()+300*time.Millisecond, func() {
 			responder.Succeed([]byte("slow"), frontend.ResponseMetadata{})
 			responder.Done()
 		})
 	}
-	one, two := startTestbed(b, slow, testConfig(b)), startTestbed(b, fast, testConfig(b))
+	slowBed, fastBed := startTestbed(b, slow, testConfig(b)), startTestbed(b, fast, testConfig(b))
 	for i := range 300 {
 		b.Publish("ops", newMessage(fmt.Sprint(i), "view"))
 	}
-	one.waitSettled()
-	one.waitReplies(300)
-	fmt.Println(len(one.replies()), len(fast.executions)+len(slow.executions), len(slow.executions) < 30)
-	one.consumer.Drain(time.Second)
-	fake.WaitFor("its end", one.consumer.Drained)
-	two.close()
+	slowBed.waitSettled()
+	slowBed.waitReplies(300)
+	fmt.Println(len(slowBed.replies()), len(fast.executions)+len(slow.executions), len(slow.executions) < 30)
+	slowBed.consumer.Drain(time.Second)
+	fake.WaitFor("the end of the drain", slowBed.consumer.Drained)
+	fastBed.close()
 	// Output:
 	// 300 300 true
 }
--- a/internal/amqp/delivery/queue.go
+++ b/internal/amqp/delivery/queue.go
@@ -11,7 +11,7 @@
 	// messages fail.
 	initialProbeBackoff = time.Second
 	maxProbeBackoff     = 30 * time.Second
-	// failureThreshold is the fraction of failures among a queue's recent outcomes from which on it counts as failing.
+	// failureThreshold is the fraction of failures among a queue's recent outcomes at which it counts as failing.
 	failureThreshold = 0.5
 	// minOutcomes is how many messages must be finished before a queue can count as failing.
 	minOutcomes = 8
--- a/internal/amqp/delivery/settlement.go
+++ b/internal/amqp/delivery/settlement.go
@@ -70,7 +70,7 @@
 	Reject         // dead-letter the message into the retry queue
 )
 
-// Disposition is the decision how to settle a message.
+// Disposition is the decision on how to settle a message.
 type Disposition struct {
 	Reply      bool    // reply now; there is no further attempt
 	Outcome    Outcome // outcome reported in the reply
--- a/internal/amqp/delivery/settlement_test.go
+++ b/internal/amqp/delivery/settlement_test.go
@@ -57,7 +57,7 @@
 }
 
 // Each message is either replied to or returned. It is returned only if it was not executed, another attempt fits into
-// the remaining time, and the attempts and the budget allow one. No other outcome is replied as a success.
+// the remaining time, and the attempts and the budget allow one. Only Succeeded is replied to as a success.
 func TestSettle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fraction := rapid.Float64Range(0, 1).Draw(t, "fraction")
--- a/internal/amqp/framefilter_test.go
+++ b/internal/amqp/framefilter_test.go
@@ -10,13 +10,14 @@
 
 var _ net.Conn = (*frameFilter)(nil)
 
+// frameOf returns a frame of a type for a channel.
 func frameOf(kind byte, channel uint16, payload []byte) []byte {
 	b := binary.BigEndian.AppendUint16([]byte{kind}, channel)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(payload)))
 	return append(append(b, payload...), 0xce)
 }
 
-// headerOf is a header for a body of some bytes, with a message-id of so many.
+// headerOf returns the payload of a header frame for a body of bodySize bytes, with a message-id of idBytes bytes.
 func headerOf(bodySize, idBytes int) []byte {
 	b := binary.BigEndian.AppendUint64([]byte{0, 60, 0, 0}, uint64(bodySize))
 	if idBytes == 0 {
@@ -25,8 +26,8 @@
 	return append(append(b, 0, 1<<7, byte(idBytes)), make([]byte, idBytes)...)
 }
 
-// Contents of any size and tables of any depth do not reach the library; whatever way the bytes come cut, the same is
-// passed on.
+// The library receives placeholders for bodies and headers that exceed the limits. The result does not depend on how
+// the bytes are divided between reads.
 func TestFrameFilter(t *testing.T) {
 	stream := slices.Concat(
 		frameOf(1, 1, []byte("method")),
@@ -57,7 +58,7 @@
 			filter.feed(piece)
 		}
 		if !bytes.Equal(filter.ready, want) {
-			t.Fatalf("in pieces of %d: %q", size, filter.ready)
+			t.Fatalf("in pieces of %d bytes: got %q, want %q", size, filter.ready, want)
 		}
 	}
 }
--- a/internal/amqp/golden_test.go
+++ b/internal/amqp/golden_test.go
@@ -18,9 +18,9 @@
 	"lanewheel/internal/frontend"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew from what the code says")
+var update = flag.Bool("update", false, "rewrite the golden files from the current results")
 
-// compareGolden compares values with those of a file, both as JSON, or with -update writes the file.
+// compareGolden compares a value, encoded as JSON, with a golden file. With -update it writes the file instead.
 func compareGolden(t *testing.T, name string, got any) {
 	t.Helper()
 	path := "testdata/golden/" + name
@@ -32,11 +32,11 @@
 		return
 	}
 	if want := fake.Must(os.ReadFile(path)); string(text) != string(want) {
-		t.Errorf("%s is\n%swant\n%s", path, text, want)
+		t.Errorf("%s: got\n%swant\n%s", path, text, want)
 	}
 }
 
-// goldenDelivery uses every property and header by which a message can say something.
+// goldenDelivery returns a delivery that uses every property and header from which a value can be read.
 func goldenDelivery() client.Delivery {
 	return client.Delivery{
 		MessageId:     "order-7",
@@ -66,12 +66,12 @@
 	}
 }
 
-// goldenMapping is a mapping with every default.
+// goldenMapping returns a mapping with every default value set.
 func goldenMapping() Mapping {
 	return Mapping{DefaultTimeout: time.Minute, MaxBodyBytes: 16, DefaultRank: 0.5, DefaultKB: 4}
 }
 
-// goldenMappings are one that reads headers and one that reads properties.
+// goldenMappings returns a mapping that reads headers and one that reads properties.
 func goldenMappings() (byHeaders, byProperties Mapping) {
 	source := func(text string) Source { return fake.Must(ParseSource(text)) }
 	byHeaders = goldenMapping()
@@ -93,8 +93,8 @@
 	return byHeaders, byProperties
 }
 
-// Messages read as ever, from headers and from properties. Ids and digests are as good as stored: by them an
-// instance recognizes a message that another version has read, or derived the id of.
+// The result of reading messages, from headers and from properties. Ids and digests must not change between versions,
+// because an instance recognizes by them a message that another version has read, or whose id that version has derived.
 func TestGoldenMessages(t *testing.T) {
 	byHeaders, byProperties := goldenMappings()
 	changed := func(change func(d *client.Delivery)) client.Delivery {
@@ -137,6 +137,7 @@
 	compareGolden(t, "messages.json", all)
 }
 
+// goldenRequest returns the fields of a request by the names in the golden file.
 func goldenRequest(r *frontend.Request) map[string]any {
 	return map[string]any{
 		"id":      r.ID,
@@ -154,7 +155,7 @@
 	}
 }
 
-// publishedProperties is a message as it lies in a queue, by the names of the specification.
+// publishedProperties returns the properties of a message in a queue, by their names in the specification.
 func publishedProperties(p client.Publishing) map[string]any {
 	headers := map[string]string{}
 	for name, x := range p.Headers {
@@ -178,13 +179,13 @@
 	}
 }
 
-// pendingByClass are responses that a test gives later, one for each class. Any goroutine may call its methods.
+// pendingByClass holds delayed responses, one for each class. Any goroutine may call its methods.
 type pendingByClass struct {
 	mu        sync.Mutex
 	responses map[string]func()
 }
 
-// respond responds at once, but for messages whose body is hold.
+// respond responds at once, except to messages whose body is "hold".
 func (p *pendingByClass) respond(request frontend.Request, body string, responder frontend.Responder) {
 	if body != "hold" {
 		respondByClass(request, body, responder)
@@ -195,9 +196,9 @@
 	p.responses[request.Class] = func() { respondByClass(request, body, responder) }
 }
 
-// wait waits for a request of a class and returns its response.
+// wait waits for a held request of a class and returns the function that responds to it.
 func (p *pendingByClass) wait(class string) (response func()) {
-	fake.WaitFor("one in flight", func() bool {
+	fake.WaitFor("a request in flight", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		response = p.responses[class]
@@ -206,13 +207,13 @@
 	return response
 }
 
-// publishGolden publishes messages of all outcomes but that of redelivery, and returns once they are settled.
+// publishGolden publishes messages for all outcomes except MayHaveExecuted, and returns once they are settled.
 func publishGolden(bed *testbed, pending *pendingByClass) {
 	b := bed.broker
 	for _, class := range []string{"view", "deny", "what", "fail"} {
 		b.Publish("ops", newMessage(class, class))
 	}
-	again := newMessage("again", "refuse") // it was rejected twice before, of three attempts
+	again := newMessage("again", "refuse") // two of its three attempts have been rejected
 	again.Headers = client.Table{
 		"x-death": []any{client.Table{"queue": "ops", "reason": "rejected", "count": int64(2)}},
 	}
@@ -225,7 +226,7 @@
 	}
 	respond := pending.wait("view")
 	b.Publish("ops", second)
-	fake.WaitFor("all but one reply", func() bool { return b.Counts("replies").Ready == 9 })
+	fake.WaitFor("all replies but one", func() bool { return b.Counts("replies").Ready == 9 })
 	bed.server.Post(respond)
 	bed.waitSettled()
 	fake.WaitFor("all replies", func() bool {
@@ -233,8 +234,8 @@
 	})
 }
 
-// Replies, dead letters and what goes into the retry queue have the properties and headers that they always had,
-// whatever the outcome.
+// The properties and headers of replies, dead letters and messages in the retry queue, for all outcomes. They must not
+// change between versions.
 func TestGoldenPublished(t *testing.T) {
 	b, server := newRetryBroker(-1), newFakeServer()
 	pending := &pendingByClass{responses: map[string]func(){}}
@@ -243,7 +244,7 @@
 	queue.Settlement.UseRetryQueue = true
 	queue.Settlement.RetryQueueDelay = time.Millisecond
 	bed := startTestbed(b, server, testConfig(b, queue))
-	// One that a first consumer has in flight as it ends: it comes to the next one as redelivered.
+	// The first consumer drains with this message in flight, so the second one receives it as redelivered.
 	lost := newMessage("lost", "pay")
 	lost.Body = []byte("hold")
 	b.Publish("ops", lost)
@@ -266,8 +267,8 @@
 	compareGolden(t, "published.json", queues)
 }
 
-// What the status socket says, with every value set.
-func TestGoldenSnapshot(t *testing.T) {
+// The encoding of a status with all values set.
+func TestGoldenStatus(t *testing.T) {
 	const stored = `{"broker":"127.0.0.1:5672","closed":"blocked","level":7,"in_hand":5,"known":99,` +
 		`"queues":[{"name":"ops","state":"probing","limit":3,"in_hand":2}],"counts":{"acked":11,"put-back":4}}`
 	want := Status{Broker: "127.0.0.1:5672", PauseReason: "blocked", Window: 7, InFlight: 5, Remembered: 99,
@@ -275,14 +276,14 @@
 		Counts: map[string]uint64{"acked": 11, "put-back": 4}}
 	var got Status
 	if err := json.Unmarshal([]byte(stored), &got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("reads as %+v, %v", got, err)
+		t.Errorf("decoded as %+v, error %v, want %+v", got, err, want)
 	}
 	if text := fake.Must(json.Marshal(want)); string(text) != stored {
-		t.Errorf("is written as\n%s\nwant\n%s", text, stored)
+		t.Errorf("encoded as\n%s\nwant\n%s", text, stored)
 	}
 }
 
-// How the status socket and the log name the counters, as a consumer counts them.
+// The counter names on the status socket and in the log, as a consumer counts deliveries.
 func TestGoldenCounters(t *testing.T) {
 	b, server := newBroker(), newFakeServer()
 	bed := startTestbed(b, server, testConfig(b))
@@ -296,11 +297,11 @@
 	counts := (<-statuses).Counts
 	if counts["acked"] != 1 || counts["past-due"] != 1 ||
 		counts["joined"]+counts["repeated"]+counts["answered-again"] != 1 || len(counts) != 3 {
-		t.Errorf("%v", counts)
+		t.Errorf("unexpected counters: %v", counts)
 	}
 }
 
-// How the status socket and the log name the events.
+// The event names on the status socket and in the log.
 func TestGoldenEvents(t *testing.T) {
 	for event, want := range map[event]string{
 		eventReturned:        "put-back",
@@ -310,7 +311,7 @@
 		eventReplyResent:     "answered-again",
 	} {
 		if got := event.String(); got != want {
-			t.Errorf("%d is %q, want %q", event, got, want)
+			t.Errorf("event %d has name %q, want %q", event, got, want)
 		}
 	}
 }
--- a/internal/amqp/mapping.go
+++ b/internal/amqp/mapping.go
@@ -39,7 +39,7 @@
 	Name   string
 }
 
-// propertyReaders return the propertyReaders from which a value can be read, by name.
+// propertyReaders return the properties from which a value can be read, by name.
 var propertyReaders = map[string]func(*client.Delivery) string{
 	"type":           func(d *client.Delivery) string { return d.Type },
 	"app-id":         func(d *client.Delivery) string { return d.AppId },
@@ -85,8 +85,8 @@
 	return ""
 }
 
-// readNumber stores a finite readNumber in value. It leaves value unchanged if the message has none. It returns false if
-// the text is not a finite readNumber.
+// readNumber stores a finite number in value. It leaves value unchanged if the message has none. It returns false if
+// the text is not a finite number.
 func (s Source) readNumber(d *client.Delivery, value *float64) bool {
 	text := s.value(d)
 	if text == "" {
--- a/internal/amqp/mapping_test.go
+++ b/internal/amqp/mapping_test.go
@@ -7,7 +7,7 @@
 	client "github.com/rabbitmq/amqp091-go"
 )
 
-// Whatever a message says, it reads as a request, and a redelivery reads the same.
+// Any message can be read as a request, and a redelivery has the same id and digest.
 func FuzzMapping(f *testing.F) {
 	f.Add("id", "view", "1000", "water", "0.5", int64(3), []byte("body"))
 	f.Add("", "", "x", "", "NaN", int64(-1), []byte(nil))
@@ -26,11 +26,11 @@
 				"x-death": []any{client.Table{"queue": "ops", "reason": "rejected", "count": count}},
 			},
 		}
-		m := mapping.read("ops", incoming, noDefect, time.Unix(0, 0))
+		message := mapping.read("ops", incoming, noDefect, time.Unix(0, 0))
 		reread := mapping.read("ops", incoming, noDefect, time.Unix(1, 0))
-		if m.id == "" || len(m.request.ID) != 16 || m.id != reread.id || m.digest != reread.digest ||
-			m.priorAttempts < 0 || m.request.Timeout < 0 {
-			t.Fatalf("%+v", m)
+		if message.id == "" || len(message.request.ID) != 16 || message.id != reread.id || message.digest != reread.digest ||
+			message.priorAttempts < 0 || message.request.Timeout < 0 {
+			t.Fatalf("read as %+v, reread as %+v", message, reread)
 		}
 	})
 }
--- a/internal/amqp/message.go
+++ b/internal/amqp/message.go
@@ -242,7 +242,8 @@
 	c.paceAck(ack)
 }
 
-// report passes the outcome to the consumer's event loop. It copies the result, which belongs to the server after the call.
+// report passes the outcome to the consumer's event loop. It copies the result, because the server owns the original
+// after the call.
 func (m *pendingMessage) report(outcome delivery.Outcome, result []byte, metadata frontend.ResponseMetadata) {
 	result = bytes.Clone(result)
 	m.consumer.Post(func() { m.consumer.complete(m, outcome, result, metadata) })
--- a/internal/amqp/propertywalker.go
+++ b/internal/amqp/propertywalker.go
@@ -15,10 +15,10 @@
 // maxTableDepth is the maximum nesting depth of tables and arrays in the headers.
 const maxTableDepth = 8
 
-// validProperties reports whether the client library can read properties that begin with their flags: they are complete,
-// and their tables contain known types only and are not nested too deeply. The library closes the connection when it
-// cannot read a message, and the broker then redelivers it, so a single message could keep a queue from ever being
-// consumed.
+// validProperties reports whether the client library can read properties, which begin with their flags. They must be
+// complete, and tables must contain known types only and must not be nested too deeply. The library closes the
+// connection when it cannot read a message, and the broker then redelivers it, so a single message could keep a queue
+// from ever being consumed.
 func validProperties(b []byte) bool {
 	w := propertyWalker{rest: b}
 	flags := w.readUint(2)
@@ -85,6 +85,7 @@
 	return section
 }
 
+// skipTable skips a table with its length. depth is the number of tables and arrays that enclose it.
 func (w *propertyWalker) skipTable(depth int) {
 	section := w.section(w.readUint(4))
 	for len(section.rest) > 0 && !section.invalid {
@@ -94,6 +95,7 @@
 	w.invalid = w.invalid || section.invalid
 }
 
+// skipArray skips an array with its length. depth is the number of tables and arrays that enclose it.
 func (w *propertyWalker) skipArray(depth int) {
 	section := w.section(w.readUint(4))
 	for len(section.rest) > 0 && !section.invalid {
@@ -102,7 +104,7 @@
 	w.invalid = w.invalid || section.invalid
 }
 
-// skipValue skips a skipValue of a table or an array. The skipValue begins with its type.
+// skipValue skips a value of a table or an array. The value begins with its type.
 func (w *propertyWalker) skipValue(depth int) {
 	if depth > maxTableDepth {
 		w.invalid = true
--- a/internal/amqp/session_test.go
+++ b/internal/amqp/session_test.go
@@ -12,22 +12,22 @@
 	"lanewheel/internal/fake/broker"
 )
 
-// queueState returns how the work queue is treated.
+// queueState returns the state of the work queue.
 func (t *testbed) queueState() string {
 	state := make(chan string)
 	t.consumer.Post(func() { state <- t.consumer.flow.State("ops").String() })
 	return <-state
 }
 
-// A broker that blocks publishing gives the consumer nothing new; a queue that is deleted and comes back is consumed
-// again; a broker that refuses the login is tried less and less often.
+// While the broker blocks publishing, nothing is consumed. A queue that was deleted and declared again is consumed
+// again. A broker that refuses the login is retried after increasing delays.
 func Example_brokerFaults() {
 	b, server := newBroker(), newFakeServer()
 	bed := startTestbed(b, server, testConfig(b))
 	b.Publish("ops", newMessage("a", "view"))
 	bed.waitSettled()
 	b.SetBlocked(true)
-	fake.WaitFor("the pause of consuming", func() bool { return b.Counts("ops").Consumers == 0 })
+	fake.WaitFor("consuming to pause", func() bool { return b.Counts("ops").Consumers == 0 })
 	b.Publish("ops", newMessage("b", "view"))
 	fmt.Println(bed.queueState(), b.Counts("ops").Ready)
 	b.SetBlocked(false)
@@ -53,22 +53,22 @@
 	// tries true
 }
 
-// tlsCertificate returns an issued certificate with its key.
+// tlsCertificate returns an issued certificate and its key as a TLS certificate.
 func tlsCertificate(pair certs.KeyPair, err error) tls.Certificate {
 	cert, key, err := fake.Must(pair, err).EncodePEM()
 	fake.Must(cert, err)
 	return fake.Must(tls.X509KeyPair(cert, key))
 }
 
-// Brokers under TLS: one whose certificate the configured authority signed is consumed from, and gets our certificate;
-// another is not.
+// Brokers with TLS: the consumer connects to a broker whose certificate was issued by the configured authority, and
+// presents its client certificate. It does not connect to a broker with a certificate of another authority.
 func Example_tls() {
 	now := time.Now()
-	ours := fake.Must(certs.NewAuthority("ours", now, time.Hour))
+	trusted := fake.Must(certs.NewAuthority("ours", now, time.Hour))
 	other := fake.Must(certs.NewAuthority("other", now, time.Hour))
 	roots := x509.NewCertPool()
-	roots.AddCert(ours.Certificate)
-	for _, authority := range []certs.KeyPair{ours, other} {
+	roots.AddCert(trusted.Certificate)
+	for _, authority := range []certs.KeyPair{trusted, other} {
 		subject := certs.Subject{CommonName: "broker", Hosts: []string{"127.0.0.1"}}
 		listener := fake.Must(tls.Listen("tcp", "127.0.0.1:0", &tls.Config{
 			ClientCAs:    roots,
@@ -84,15 +84,15 @@
 		config.TLS = &tls.Config{
 			RootCAs: roots,
 			Certificates: []tls.Certificate{
-				tlsCertificate(ours.IssueClient(certs.Subject{CommonName: "node"}, now, time.Hour)),
+				tlsCertificate(trusted.IssueClient(certs.Subject{CommonName: "node"}, now, time.Hour)),
 			},
 		}
 		bed := startTestbed(b, server, config)
 		b.Publish("ops", newMessage("a", "view"))
-		if authority.Certificate == ours.Certificate {
+		if authority.Certificate == trusted.Certificate {
 			bed.waitSettled()
 		} else {
-			fake.WaitFor("some tries", func() bool { total, _ := b.Connections(); return total > 1 })
+			fake.WaitFor("repeated connection attempts", func() bool { total, _ := b.Connections(); return total > 1 })
 		}
 		fmt.Println(b.Counts("ops").Acked, bed.replies())
 		bed.close()
--- a/internal/amqp/testbed_test.go
+++ b/internal/amqp/testbed_test.go
@@ -29,14 +29,14 @@
 	os.Exit(m.Run())
 }
 
-// fakeServer executes what is submitted, and counts.
+// fakeServer executes submitted requests and counts the executions.
 type fakeServer struct {
 	*eventloop.Loop
 	mu         sync.Mutex
 	executions map[string]int // by body; guarded by mu
 	load       frontend.Load  // owned by the loop
 
-	// respond is called on the loop for each request; nil: each succeeds after a millisecond.
+	// respond is called on the loop for each request. If it is nil, each request succeeds after a millisecond.
 	respond func(request frontend.Request, body string, responder frontend.Responder)
 }
 
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// execute counts an execution.
+// execute counts an execution of a body. Any goroutine may call it.
 func (s *fakeServer) execute(body string) {
 	s.mu.Lock()
 	s.executions[body]++
@@ -80,7 +80,7 @@
 	s.Post(func() { change(&s.load) })
 }
 
-// respondByClass responds as the class of a request says; all but those of the classes named here succeed.
+// respondByClass responds according to the class of a request. Classes that are not listed here succeed.
 func respondByClass(request frontend.Request, body string, responder frontend.Responder) {
 	switch request.Class {
 	case "deny":
@@ -97,35 +97,35 @@
 	responder.Done()
 }
 
-// pendingResponses are responses that a test gives later. Its methods may be called from any goroutine.
+// pendingResponses holds delayed responses. Any goroutine may call add and len.
 type pendingResponses struct {
 	mu        sync.Mutex
 	responses []func()
 }
 
-func (d *pendingResponses) add(response func()) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.responses = append(d.responses, response)
+func (p *pendingResponses) add(response func()) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.responses = append(p.responses, response)
 }
 
-func (d *pendingResponses) len() int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return len(d.responses)
+func (p *pendingResponses) len() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.responses)
 }
 
-// release gives the responses. The server's loop has to call it.
-func (d *pendingResponses) release() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, response := range d.responses {
+// release sends the held responses. It must be called on the server's event loop.
+func (p *pendingResponses) release() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, response := range p.responses {
 		response()
 	}
-	d.responses = nil
+	p.responses = nil
 }
 
-// testbed is a consumer between a broker and a server.
+// testbed connects a consumer to a fake broker and a fake server.
 type testbed struct {
 	broker   *broker.Broker
 	server   *fakeServer
@@ -173,7 +173,8 @@
 	return b
 }
 
-// newRetryBroker is newBroker with a retry queue that keeps messages for so many milliseconds, for ever if negative.
+// newRetryBroker returns a broker with a retry queue that keeps messages for delayMilliseconds, or without a limit if
+// delayMilliseconds is negative.
 func newRetryBroker(delayMilliseconds int64) *broker.Broker {
 	b := broker.New()
 	b.DeclareQueue("ops", client.Table{"x-dead-letter-exchange": "", "x-dead-letter-routing-key": "ops.retry"})
@@ -199,7 +200,7 @@
 
 func (t *testbed) close() {
 	t.consumer.Drain(time.Second)
-	fake.WaitFor("the end of the consumer", t.consumer.Drained)
+	fake.WaitFor("the consumer to drain", t.consumer.Drained)
 	t.broker.Close()
 	t.server.Post(t.server.Quit)
 }
@@ -208,7 +209,7 @@
 	return client.Publishing{MessageId: id, Type: class, ReplyTo: "replies", CorrelationId: "c-" + id, Body: []byte(id)}
 }
 
-// lateMessage arrives after its deadline.
+// lateMessage returns a message whose deadline has passed.
 func lateMessage() client.Publishing {
 	message := newMessage("late", "view")
 	message.Timestamp = time.Now().Add(-time.Hour)
@@ -216,27 +217,28 @@
 	return message
 }
 
-// badExpirationMessage has an expiration that is no number.
+// badExpirationMessage returns a message whose expiration is not a number.
 func badExpirationMessage() client.Publishing {
 	message := newMessage("odd", "view")
 	message.Expiration = "soon"
 	return message
 }
 
-// waitSettled waits until nothing is left in the work queue.
+// waitSettled waits until the work queue has neither ready nor unsettled messages.
 func (t *testbed) waitSettled() {
-	fake.WaitFor("the end of ops", func() bool {
+	fake.WaitFor("the work queue to be empty", func() bool {
 		counts := t.broker.Counts("ops")
 		return counts.Ready+counts.Unsettled == 0
 	})
 }
 
-// waitReplies waits for so many replies.
+// waitReplies waits until the reply queue contains count messages.
 func (t *testbed) waitReplies(count int) {
 	fake.WaitFor("all replies", func() bool { return t.broker.Counts("replies").Ready == count })
 }
 
-// replies returns the replies, sorted; one that was published twice, with the same id and content, counts once.
+// replies removes the replies from the reply queue and returns them sorted. A reply that was published twice, with the
+// same id and content, is returned once.
 func (t *testbed) replies() []string {
 	var all []string
 	for _, p := range t.broker.DrainQueue("replies") {
