--- a/internal/amqp/ackpacer.go
+++ b/internal/amqp/ackpacer.go
@@ -8,10 +8,10 @@
 // costs as much as a message.
 const ackPaceInterval = 10 * time.Millisecond
 
-// paceAck delays the ack of a message that was not executed. At most Config.UnstartedRate of these acks are sent per
-// second. Without the limit, such messages could arrive as fast as broker and server can handle them, and leave no time
-// for callers that wait on a connection. The replies are not delayed, but the broker delivers further messages only as
-// earlier ones are acked.
+// paceAck delays the ack of a message that was not executed. These acks are limited to about Config.UnstartedRate per
+// second, see releasePacedAcks. Without the limit, such messages could arrive as fast as broker and server can handle
+// them, and leave no time for callers that wait on a connection. The replies are not delayed, but the broker delivers
+// further messages only as earlier ones are acked.
 func (c *Consumer) paceAck(ack func()) {
 	c.pacedAcks = append(c.pacedAcks, ack)
 	if len(c.pacedAcks) == 1 {
@@ -19,7 +19,8 @@
 	}
 }
 
-// releasePacedAcks sends the paced acks of one interval, or all of them while the consumer drains.
+// releasePacedAcks sends the paced acks of one interval, or all of them while the consumer drains. The number of acks
+// per interval is rounded down, but is at least 1.
 func (c *Consumer) releasePacedAcks() {
 	perInterval := max(1, int(ackPaceInterval.Seconds()*float64(c.config.UnstartedRate)))
 	released := min(len(c.pacedAcks), perInterval)
--- a/internal/amqp/brokerselector.go
+++ b/internal/amqp/brokerselector.go
@@ -86,7 +86,8 @@
 		}
 		s.current = -1
 	}
-	// Random between 0.5 and 1.5 times the backoff, so that consumers that lost a broker together reconnect separately.
+	// The backoff is multiplied by a random factor between 0.5 and 1.5, so that consumers that lost a broker together
+	// do not reconnect together.
 	broker.retryAt = now + broker.backoff/2 + time.Duration(s.random()*float64(broker.backoff))
 	broker.backoff = min(2*broker.backoff, maxBackoff)
 }
--- a/internal/amqp/channel.go
+++ b/internal/amqp/channel.go
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// handleChannelClosed handles the closing of a channel. err is nil if it was closed in order.
+// handleChannelClosed handles the closing of a channel. err is nil if it was closed without an error.
 func (s *session) handleChannelClosed(c *queueChannel, err *client.Error) {
 	if err != nil && s.channels[c.queue.Name] == c {
 		slog.Warn("queue channel closed by broker",
@@ -88,7 +88,8 @@
 }
 
 // reopenChannel replaces a channel that was closed or whose consumer was canceled by the broker. The broker redelivers
-// its deliveries. The delay doubles with each reopening on the same connection, for example while the queue is missing.
+// the messages that were not settled on it. The delay doubles with each reopening on the same connection, for example
+// while the queue is missing.
 func (s *session) reopenChannel(c *queueChannel) {
 	name := c.queue.Name
 	if s.ended || s.closing || s.channels[name] != c {
@@ -129,7 +130,8 @@
 	}
 }
 
-// isSmallChange reports whether a limit above 0 changes by less than a tenth, too little to justify a round trip.
+// isSmallChange reports whether two limits above 0 differ by less than a tenth of the higher one. Such a difference
+// does not justify a round trip.
 func isSmallChange(previous, target int) bool {
 	return previous > 0 && target > 0 && target*10 > previous*9 && target*9 < previous*10
 }
@@ -184,7 +186,8 @@
 	}
 }
 
-// flushAcks sends the acks of all marked deliveries. It is called once for each batch of the event loop.
+// flushAcks sends the acks of all marked deliveries. It is called after each batch of the event loop, so that the acks
+// of a batch are combined.
 func (s *session) flushAcks() {
 	for _, c := range s.channels {
 		clientChannel := c.clientChannel
--- a/internal/amqp/connectioncode_test.go
+++ b/internal/amqp/connectioncode_test.go
@@ -44,7 +44,7 @@
 		{2, 1, false},
 	} {
 		if got := isSmallChange(tt.previous, tt.target); got != tt.want {
-			t.Errorf("change from %d to %d: small is %v, want %v", tt.previous, tt.target, got, tt.want)
+			t.Errorf("isSmallChange(%d, %d) = %v, want %v", tt.previous, tt.target, got, tt.want)
 		}
 	}
 }
--- a/internal/amqp/consumer.go
+++ b/internal/amqp/consumer.go
@@ -22,9 +22,9 @@
 const (
 	// maxPendingCalls is how many calls to the consumer's event loop may be pending before PostBlocking waits.
 	maxPendingCalls = 1 << 16
-	// drainCheckInterval is the time between two checks of a draining consumer whether all messages are settled.
+	// drainCheckInterval is how often a draining consumer checks whether all messages are settled.
 	drainCheckInterval = 5 * time.Millisecond
-	// counterLogInterval is the time between two log lines with the counters, if they have changed.
+	// counterLogInterval is how often the counters are logged, if they have changed.
 	counterLogInterval = time.Minute
 )
 
@@ -70,7 +70,7 @@
 	session      *session // nil while no broker is connected
 	lastID       uint64   // last id given to a session, a channel or a consumer tag
 	pollingLoad  bool     // a request for the server's load is pending
-	pacedAcks    []func()
+	pacedAcks    []func() // acks delayed by paceAck, in order
 	counters     counters
 	logSampler   logging.Sampler[logLineKind]
 
@@ -173,7 +173,7 @@
 	c.session.whenClosed(finish)
 }
 
-// pollLoad requests the server's load, updates the limits by it, and schedules itself again after an interval.
+// pollLoad requests the server's load, updates the limits accordingly, and schedules itself again after an interval.
 func (c *Consumer) pollLoad() {
 	if c.pollingLoad {
 		return
@@ -222,7 +222,8 @@
 	}
 }
 
-// runPeriodicTasks logs suppressed lines and changed counters, and fails back to the preferred broker when it is due.
+// runPeriodicTasks logs the number of suppressed lines and the changed counters, and closes the session when it is time
+// to fail back to the preferred broker.
 func (c *Consumer) runPeriodicTasks() {
 	c.logSuppressed()
 	canFailBack := c.session != nil && !c.draining && len(c.inFlight) == 0
--- a/internal/amqp/consumer_test.go
+++ b/internal/amqp/consumer_test.go
@@ -49,7 +49,7 @@
 		b.Publish("ops", p)
 	}
 	bed.waitSettled()
-	bed.waitReplies(8) // nested and deeper have no replies, because their properties, with the reply queue, are not read
+	bed.waitReplies(8) // nested and deeper have no replies, because the name of the reply queue is not read
 	for _, r := range bed.replies() {
 		fmt.Println(r)
 	}
@@ -162,7 +162,7 @@
 	t.Logf("connection cut after and inside each of %d frames", frames)
 }
 
-// A message that the server rejects is returned to the broker, by way of the retry queue if there is one, and its
+// A message that the server rejects is returned to the broker, through the retry queue if there is one, and its
 // attempts are counted. After the last attempt it is replied to and copied to the dead-letter queue.
 func Example_rejected() {
 	for _, useRetryQueue := range []bool{false, true} {
@@ -201,8 +201,8 @@
 }
 
 // When the consumer drains, messages that were not executed are returned to the queue, messages in execution are
-// replied to and acked, and the connection closes in order. The consumer also ends if the broker has ended or does not
-// respond.
+// replied to and acked, and the connection closes gracefully. The consumer also ends if the broker has ended or does
+// not respond.
 func Example_drain() {
 	for _, condition := range []string{"well", "dead", "silent"} {
 		b, server := newBroker(), newFakeServer()
--- a/internal/amqp/counters.go
+++ b/internal/amqp/counters.go
@@ -41,7 +41,7 @@
 type counters struct {
 	outcomes    map[delivery.Outcome]uint64
 	events      map[event]uint64
-	loggedAt    time.Duration // by the loop's clock
+	loggedAt    time.Duration // when changes were last checked and logged, by the loop's clock
 	loggedTotal uint64        // sum of all counters when they were last logged
 }
 
@@ -77,7 +77,7 @@
 	slog.Info("queue counters", attributes...)
 }
 
-// logLineKind is a kind of log line that may occur hundreds of times: the outcome of a message, or the reason of a
+// logLineKind is a kind of log line that may occur hundreds of times: the outcome of a message, or the code of a
 // failed connection. It is the key by which such lines are sampled.
 type logLineKind struct {
 	outcome        delivery.Outcome // NoOutcome for a failed connection
@@ -88,11 +88,11 @@
 func (c *Consumer) logSuppressed() {
 	c.logSampler.FlushSuppressed(time.Now(), func(line logLineKind, suppressed int) {
 		if line.outcome == delivery.NoOutcome {
-			slog.Info("log lines on broker connection failures suppressed",
+			slog.Info("log lines about broker connection failures suppressed",
 				"code", string(line.connectionCode),
 				"count", suppressed)
 			return
 		}
-		slog.Info("log lines on queue messages suppressed", "outcome", line.outcome.String(), "count", suppressed)
+		slog.Info("log lines about queue messages suppressed", "outcome", line.outcome.String(), "count", suppressed)
 	})
 }
--- a/internal/amqp/delivery/acktracker.go
+++ b/internal/amqp/delivery/acktracker.go
@@ -54,15 +54,15 @@
 // before the first unmarked one; each other marked delivery has its own ack.
 func (t *AckTracker) Flush() []AckRange {
 	var acks []AckRange
-	done := 0
-	for done < len(t.unsettled) && t.unsettled[done].acked {
-		done++
+	leading := 0
+	for leading < len(t.unsettled) && t.unsettled[leading].acked {
+		leading++
 	}
-	if done > 0 {
-		acks = append(acks, AckRange{Tag: t.unsettled[done-1].tag, Multiple: done > 1})
+	if leading > 0 {
+		acks = append(acks, AckRange{Tag: t.unsettled[leading-1].tag, Multiple: leading > 1})
 	}
 	kept := t.unsettled[:0]
-	for _, d := range t.unsettled[done:] {
+	for _, d := range t.unsettled[leading:] {
 		if d.acked {
 			acks = append(acks, AckRange{Tag: d.tag})
 		} else {
--- a/internal/amqp/delivery/acktracker_test.go
+++ b/internal/amqp/delivery/acktracker_test.go
@@ -10,7 +10,7 @@
 func TestAckTracker(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var tracker AckTracker
-		state := map[uint64]string{} // open, done, acked or removed, by tag
+		state := map[uint64]string{} // open, marked, acked or removed, by tag
 		tag := uint64(0)
 		for range 80 {
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
@@ -28,7 +28,7 @@
 					state[settled] = "removed"
 				} else {
 					tracker.MarkAcked(settled)
-					state[settled] = "done"
+					state[settled] = "marked"
 				}
 			case 3:
 				checkFlush(t, &tracker, state)
@@ -40,8 +40,8 @@
 func checkFlush(t *rapid.T, tracker *AckTracker, state map[uint64]string) {
 	t.Helper()
 	for _, ack := range tracker.Flush() {
-		if state[ack.Tag] != "done" {
-			t.Fatalf("delivery %d is acked in state %s, want done", ack.Tag, state[ack.Tag])
+		if state[ack.Tag] != "marked" {
+			t.Fatalf("delivery %d is acked in state %s, want marked", ack.Tag, state[ack.Tag])
 		}
 		first := ack.Tag
 		if ack.Multiple {
@@ -50,15 +50,15 @@
 		for covered := first; covered <= ack.Tag; covered++ {
 			switch state[covered] {
 			case "open":
-				t.Fatalf("the ack of delivery %d covers delivery %d, which is not done", ack.Tag, covered)
-			case "done":
+				t.Fatalf("the ack of delivery %d covers delivery %d, which is not marked", ack.Tag, covered)
+			case "marked":
 				state[covered] = "acked"
 			}
 		}
 	}
 	for tag, tagState := range state {
-		if tagState == "done" {
-			t.Fatalf("delivery %d is done but was not acked", tag)
+		if tagState == "marked" {
+			t.Fatalf("delivery %d is marked but was not acked", tag)
 		}
 	}
 }
--- a/internal/amqp/delivery/flowcontroller.go
+++ b/internal/amqp/delivery/flowcontroller.go
@@ -23,14 +23,14 @@
 	growthQueuePerCore = 1
 )
 
-// PauseReason is the reason why no queue is consumed from.
+// PauseReason is the reason why consuming is paused on all queues.
 type PauseReason int
 
 // The pause reasons.
 const (
 	NotPaused         PauseReason = iota
 	PausedDraining                // the instance is draining
-	PausedRuntimeDown             // the server has no runtime
+	PausedRuntimeDown             // the server's runtime is not ready
 	PausedBlocked                 // the broker has blocked publishing, so no replies can be sent
 	PausedMemory                  // the server has no memory for further requests
 )
@@ -55,7 +55,7 @@
 // FlowController decides how many messages of each queue may be in flight. It must be used by one goroutine only.
 type FlowController struct {
 	queues      []*queue
-	maxInFlight int           // messages in flight over all queues
+	maxInFlight int           // maximum number of messages in flight over all queues
 	window      float64       // messages that may be in flight now, over all queues
 	updatedAt   time.Duration // time of the last update, if updated is true
 	updated     bool          // Update has computed the limits at least once
@@ -73,7 +73,8 @@
 	return c
 }
 
-// minInFlight returns how many messages all queues together may have in flight, however busy the server is.
+// minInFlight returns the sum of the queues' minimums, but at least 1. Overload does not shrink the window below it; a
+// lack of free capacity may.
 func (c *FlowController) minInFlight() (sum int) {
 	for _, q := range c.queues {
 		sum += max(0, q.MinInFlight)
@@ -140,10 +141,10 @@
 // Window returns how many messages may be in flight over all queues.
 func (c *FlowController) Window() int { return int(c.window) }
 
-// PauseReason returns the reason why no queue is consumed from, or NotPaused.
+// PauseReason returns the reason why consuming is paused, or NotPaused.
 func (c *FlowController) PauseReason() PauseReason { return c.pauseReason }
 
-// Limit returns how many messages of the queue may be in flight. A queue with limit 0 is not consumed from.
+// Limit returns how many messages of the queue may be in flight. A queue with limit 0 is not consumed.
 func (c *FlowController) Limit(name QueueName) int {
 	if q := c.lookup(name); q != nil {
 		return q.limit
@@ -160,10 +161,11 @@
 	return QueueState{pause: c.pauseReason, mode: q.mode}
 }
 
-// Update recomputes the limits. blocked reports whether the broker has blocked publishing. A saturated instance leaves
-// messages in the queue for its peers and keeps its capacity for callers that wait on a connection: the window shrinks
-// while the server rejects messages or queues more requests than its cores can soon run. It grows by the number of
-// cores while it is used and the server is not busy.
+// Update recomputes the limits, unless the last update is less than half of UpdateInterval ago. blocked reports whether
+// the broker has blocked publishing. A saturated instance leaves messages in the queue for its peers and keeps its
+// capacity for callers that wait on a connection: the window shrinks while the server rejects messages, is not healthy,
+// or queues more requests than its cores can soon run. It grows by the number of cores while it is used and the server
+// is not busy.
 func (c *FlowController) Update(now time.Duration, load frontend.Load, blocked bool) {
 	rejected := c.rejected
 	c.rejected = 0
--- a/internal/amqp/delivery/flowcontroller_test.go
+++ b/internal/amqp/delivery/flowcontroller_test.go
@@ -15,7 +15,7 @@
 var idleLoad = frontend.Load{Ready: true, Healthy: true, Cores: 4, FreeCapacity: 1000}
 
 // The window grows while it is used, and shrinks to the minimum while the server is overloaded. All limits are 0 while
-// the instance drains, the server has no runtime or no capacity, or the broker blocks publishing.
+// the instance drains, the server's runtime is not ready, the server has no capacity, or the broker blocks publishing.
 func Example() {
 	flow := NewFlowController([]Queue{{Name: "ops", Weight: 1, MinInFlight: 2, MaxInFlight: 50}}, 30)
 	now := time.Duration(0)
@@ -60,7 +60,8 @@
 	// 0 memory
 }
 
-// Minimums are assigned first, then priorities and weights apply. An empty queue leaves its share to the others.
+// Each queue first gets its minimum; the rest is divided by priority and weight. An empty queue leaves its share to the
+// others.
 func Example_priorities() {
 	flow := NewFlowController([]Queue{
 		{Name: "low", Weight: 1, MinInFlight: 2, MaxInFlight: 50},
--- a/internal/amqp/delivery/queue.go
+++ b/internal/amqp/delivery/queue.go
@@ -11,15 +11,18 @@
 	// messages fail.
 	initialProbeBackoff = time.Second
 	maxProbeBackoff     = 30 * time.Second
-	// failureThreshold is the fraction of failures among a queue's recent outcomes at which it counts as failing.
+	// failureThreshold is the fraction of failures among a queue's recent outcomes at which the queue counts as
+	// failing.
 	failureThreshold = 0.5
-	// minOutcomes is how many messages must be finished before a queue can count as failing.
+	// minOutcomes is the number of messages that must be finished before a queue can count as failing.
 	minOutcomes = 8
-	// outcomeWindow is how many recent outcomes are considered. Some dozens rule out a failing queue by coincidence.
+	// outcomeWindow is the number of recent outcomes that are considered. With some dozens, a queue is unlikely to
+	// count as failing by coincidence.
 	outcomeWindow = 32
 	// minQueueWeight is the lowest effective weight. Without it a queue of weight 0 would never get a share.
 	minQueueWeight = 0.01
-	// A queue that has n messages in flight can be assigned at most demandGrowthFactor*n + demandHeadroom.
+	// A queue that has n messages in flight is assigned at most demandGrowthFactor*n + demandHeadroom, or its minimum
+	// if that is higher.
 	demandGrowthFactor = 2
 	demandHeadroom     = 4
 )
@@ -120,7 +123,8 @@
 	}
 }
 
-// scheduleProbe closes the queue, except for one message after the backoff.
+// scheduleProbe sets the mode to modeProbing, in which no message is consumed until the backoff has expired, and then
+// one as a probe.
 func (q *queue) scheduleProbe(now, backoff time.Duration) {
 	q.mode = modeProbing
 	q.probeBackoff = backoff
@@ -154,8 +158,8 @@
 	return q.MaxInFlight
 }
 
-// demand returns how many messages the queue can use. It exceeds the number in flight, so that a queue with more
-// messages can show that it has them.
+// demand returns the highest limit that is useful for the queue. Unless the mode restricts it, it exceeds the number of
+// messages in flight, because the queue may hold further messages, and their number is not known.
 func (q *queue) demand(now time.Duration) int {
 	return min(q.modeLimit(now), demandGrowthFactor*q.inFlight+demandHeadroom)
 }
@@ -178,7 +182,8 @@
 		remaining = fillByWeight(byPriority[start:end], remaining, now)
 		start = end
 	}
-	// A probe is allowed even if the window is full. Otherwise a failing queue would stay closed while others fill it.
+	// A probe is allowed even if the window is full. Otherwise a failing queue would not be probed while other queues
+	// fill the window.
 	for _, q := range c.queues {
 		if q.mode == modeProbing && now >= q.nextProbe && q.inFlight == 0 {
 			q.limit = 1
--- a/internal/amqp/delivery/retrybudget.go
+++ b/internal/amqp/delivery/retrybudget.go
@@ -5,13 +5,13 @@
 )
 
 const (
-	// initialRetries is how many retries a new budget contains.
+	// initialRetries is the number of retries in a new budget.
 	initialRetries = 10
-	// maxSavedRetries is how many retries a budget can accumulate: the retries of a busy queue in some seconds.
+	// maxSavedRetries is the maximum number of retries in a budget: the retries of a busy queue in some seconds.
 	maxSavedRetries = 100
-	// minRetryDelay is how long a rejected message is kept before it is returned to the broker. It doubles with each
-	// attempt. Without it, broker and instance would exchange the message as fast as they can, and a brief lack of
-	// capacity would use up the budget.
+	// minRetryDelay is how long a message is kept after its first rejection before it is returned to the broker. The
+	// delay doubles with each further attempt. Without a delay, broker and instance would pass the message back and
+	// forth as fast as they can, and a brief lack of capacity would use up the budget.
 	minRetryDelay = 200 * time.Millisecond
 	// maxRetryDelayDoublings limits how often minRetryDelay is doubled.
 	maxRetryDelayDoublings = 8
@@ -66,9 +66,9 @@
 	}
 }
 
-// settleDrained returns the message whatever its number of attempts, because the instance is draining and the message
-// did not fail. A requeued message is redelivered, and if it is not idempotent the next consumer cannot distinguish it
-// from one that was executed. Such a message is returned by way of the retry queue if the queue has one.
+// settleDrained returns the message regardless of its number of attempts, because the instance is draining and the
+// message did not fail. A requeued message is redelivered, and if it is not idempotent the next consumer cannot
+// distinguish it from one that was executed. Such a message is returned through the retry queue if there is one.
 func settleDrained(message Message, config SettlementConfig) Disposition {
 	if config.UseRetryQueue && !message.Idempotent {
 		return Disposition{Action: Reject}
@@ -83,7 +83,8 @@
 	if message.PriorAttempts+1 >= config.MaxAttempts {
 		return finalDisposition(OutOfAttempts, config)
 	}
-	// Random between 0.5 and 1.5 times the delay, so that messages that were rejected together do not return together.
+	// The delay is multiplied by a random factor between 0.5 and 1.5, so that messages that were rejected together do
+	// not return together.
 	delay := max(minRetryDelay<<min(message.PriorAttempts, maxRetryDelayDoublings), retryAfter)
 	delay = delay/2 + time.Duration(random*float64(delay))
 	action := Requeue
--- a/internal/amqp/delivery/settlement.go
+++ b/internal/amqp/delivery/settlement.go
@@ -54,10 +54,10 @@
 // SettlementConfig configures how the messages of a queue are settled.
 type SettlementConfig struct {
 	MaxAttempts     int           // a message rejected in this many attempts is replied to as out of attempts
-	UseRetryQueue   bool          // the queue dead-letters rejected messages into one that returns them after a delay
+	UseRetryQueue   bool          // rejected messages are dead-lettered into a queue that returns them after a delay
 	RetryQueueDelay time.Duration // how long the retry queue keeps a message
 	DeadLetter      bool          // messages that did not succeed are copied to a dead-letter queue
-	Reply           bool          // messages name the queue for their reply
+	Reply           bool          // messages name a reply queue
 }
 
 // Action is how a delivery is settled, after the reply if there is one.
--- a/internal/amqp/delivery/settlement_test.go
+++ b/internal/amqp/delivery/settlement_test.go
@@ -105,21 +105,21 @@
 	if d.Action != Ack || d.Delay != 0 || d.Outcome.String() == "" ||
 		(d.Outcome.String() == "acked") != (outcome == Succeeded) ||
 		d.DeadLetter != (config.DeadLetter && outcome != Succeeded) {
-		t.Fatalf("reply to outcome %s: %+v", outcome, d)
+		t.Fatalf("invalid disposition of a message with outcome %s that is replied to: %+v", outcome, d)
 	}
 }
 
 func checkReturned(t *rapid.T, d Disposition, message Message, config SettlementConfig, outcome Outcome) {
 	t.Helper()
 	if outcome != Rejected && outcome != Drained || d.Action == Ack || d.DeadLetter {
-		t.Fatalf("message with outcome %s was returned: %+v", outcome, d)
+		t.Fatalf("invalid disposition of a returned message with outcome %s: %+v", outcome, d)
 	}
 	if outcome == Drained && (d.Delay != 0 || d.Action == Requeue && config.UseRetryQueue && !message.Idempotent) {
-		t.Fatalf("drained message: %+v", d)
+		t.Fatalf("invalid disposition of a drained message: %+v", d)
 	}
 	if outcome == Rejected && (d.Delay >= message.Remaining || message.PriorAttempts+1 >= config.MaxAttempts ||
 		config.UseRetryQueue != (d.Action == Reject) ||
 		config.UseRetryQueue && d.Delay+config.RetryQueueDelay >= message.Remaining) {
-		t.Fatalf("rejected message %+v: %+v", message, d)
+		t.Fatalf("invalid disposition of rejected message %+v: %+v", message, d)
 	}
 }
--- a/internal/amqp/framefilter.go
+++ b/internal/amqp/framefilter.go
@@ -27,7 +27,7 @@
 // maxTrackedBodyBytes limits a body size announced by the broker, so that it fits into an int.
 const maxTrackedBodyBytes = 1 << 62
 
-// placeholders are the bodies that replace dropped content, by the defect. They are random for each process, so that no
+// placeholders are the bodies that replace dropped bodies, by defect. They are random for each process, so that no
 // message can imitate one.
 var placeholders = map[defect]string{tooLong: rand.Text(), badHeader: rand.Text()}
 
@@ -42,15 +42,16 @@
 }
 
 // frameFilter is a connection that filters the broker's bytes before the client library reads them. The library
-// collects a content of any size in memory before it delivers it, and reads tables of any depth: one message of 100 MB,
-// or one with a table nested ten thousand times, would end the process. If the body is too large, the filter passes on
-// the header and drops the body. If the header is too large or invalid, the filter replaces it by an empty header and
-// drops the body too. A dropped body is replaced by a placeholder. Read must be called by one goroutine only.
+// collects a body of any size in memory before it delivers the message, and reads tables of any depth: one message of
+// 100 MB, or one with a table nested ten thousand times, would end the process. If the body is too large, the filter
+// passes on the header and drops the body. If the header is too large or invalid, the filter replaces it by an empty
+// header and drops the body too. A dropped body is replaced by a placeholder. Read must be called by one goroutine
+// only.
 type frameFilter struct {
 	net.Conn
 	maxHeaderBytes, maxBodyBytes int
 
-	buffered         []byte                   // the beginning of the current frame, until the filter has decided about it
+	buffered         []byte                   // the beginning of the current frame, until inspectFrame decides on it
 	requiredBytes    int                      // bytes of the current frame that must be buffered for the decision
 	ready            []byte                   // filtered bytes that Read has yet to return
 	passBytes        int                      // remaining bytes of the current frame to pass on
@@ -133,7 +134,8 @@
 	}
 }
 
-// inspectHeader decides about a header frame. It validates the whole frame, unless that exceeds maxHeaderBytes.
+// inspectHeader decides whether to pass on, modify or replace a header frame. It validates the whole frame, unless that
+// exceeds maxHeaderBytes.
 func (f *frameFilter) inspectHeader(channel uint16, size int) {
 	requiredBytes := propertiesOffset
 	if size <= f.maxHeaderBytes {
--- a/internal/amqp/golden_test.go
+++ b/internal/amqp/golden_test.go
@@ -93,8 +93,9 @@
 	return byHeaders, byProperties
 }
 
-// The result of reading messages, from headers and from properties. Ids and digests must not change between versions,
-// because an instance recognizes by them a message that another version has read, or whose id that version has derived.
+// The result of reading messages, from headers and from properties. Ids, including those derived from the content, and
+// digests must not change between versions, because an instance uses them to recognize a message that another version
+// has read.
 func TestGoldenMessages(t *testing.T) {
 	byHeaders, byProperties := goldenMappings()
 	changed := func(change func(d *client.Delivery)) client.Delivery {
@@ -104,10 +105,10 @@
 	}
 	var all []map[string]any
 	for _, tt := range []struct {
-		name     string
-		mapping  *Mapping
-		delivery client.Delivery
-		found    defect
+		name         string
+		mapping      *Mapping
+		delivery     client.Delivery
+		filterDefect defect
 	}{
 		{"all headers", &byHeaders, goldenDelivery(), noDefect},
 		{"all properties", &byProperties, changed(func(d *client.Delivery) { d.CorrelationId = "6" }), noDefect},
@@ -121,7 +122,7 @@
 			changed(func(d *client.Delivery) { d.Body = []byte("a body of more bytes") }), noDefect},
 		{"bad header", &byHeaders, changed(func(d *client.Delivery) { d.Headers = nil }), badHeader},
 	} {
-		m := tt.mapping.read("ops", &tt.delivery, tt.found, time.Unix(1_800_000_100, 0))
+		m := tt.mapping.read("ops", &tt.delivery, tt.filterDefect, time.Unix(1_800_000_100, 0))
 		all = append(all, map[string]any{
 			"message":          tt.name,
 			"id":               m.id,
@@ -207,7 +208,8 @@
 	return response
 }
 
-// publishGolden publishes messages for all outcomes except MayHaveExecuted, and returns once they are settled.
+// publishGolden publishes messages for all outcomes that are replied to, except MayHaveExecuted. It returns once they
+// are settled.
 func publishGolden(bed *testbed, pending *pendingByClass) {
 	b := bed.broker
 	for _, class := range []string{"view", "deny", "what", "fail"} {
@@ -297,7 +299,7 @@
 	counts := (<-statuses).Counts
 	if counts["acked"] != 1 || counts["past-due"] != 1 ||
 		counts["joined"]+counts["repeated"]+counts["answered-again"] != 1 || len(counts) != 3 {
-		t.Errorf("unexpected counters: %v", counts)
+		t.Errorf("counters %v, want one acked, one past-due and one of joined, repeated or answered-again", counts)
 	}
 }
 
--- a/internal/amqp/mapping.go
+++ b/internal/amqp/mapping.go
@@ -22,7 +22,8 @@
 	maxAttemptCount           = 1e6
 )
 
-// defect is the reason why a message cannot be served. The values are part of the protocol of queues.
+// defect is the reason why a message cannot be served. The values are sent in replies and are part of the protocol with
+// clients.
 type defect string
 
 const (
@@ -39,7 +40,7 @@
 	Name   string
 }
 
-// propertyReaders return the properties from which a value can be read, by name.
+// propertyReaders maps the name of each property from which a value can be read to the function that returns it.
 var propertyReaders = map[string]func(*client.Delivery) string{
 	"type":           func(d *client.Delivery) string { return d.Type },
 	"app-id":         func(d *client.Delivery) string { return d.AppId },
@@ -85,8 +86,8 @@
 	return ""
 }
 
-// readNumber stores a finite number in value. It leaves value unchanged if the message has none. It returns false if
-// the text is not a finite number.
+// readNumber reads a finite number into value. If the message has no value there, it leaves value unchanged. It returns
+// false if the text is not a finite number.
 func (s Source) readNumber(d *client.Delivery, value *float64) bool {
 	text := s.value(d)
 	if text == "" {
@@ -102,6 +103,7 @@
 
 // Mapping configures how the messages of a queue are read.
 type Mapping struct {
+	// The sources of the values of a request. Cost is in milliseconds of work, KB is the memory in KB.
 	Class, Tenant, Subject, Rank, Cost, KB, Token Source
 
 	DefaultTimeout time.Duration // timeout of a message without expiration
--- a/internal/amqp/message.go
+++ b/internal/amqp/message.go
@@ -18,7 +18,7 @@
 func truncateForLog(s string) string { return s[:min(len(s), maxLoggedBytes)] }
 
 // pendingMessage is a message in flight. It is the frontend.Responder of its request: the methods of that interface are
-// called on the server's event loop, everything else belongs to the consumer's event loop.
+// called on the server's event loop; everything else is owned by the consumer's event loop.
 type pendingMessage struct {
 	consumer *Consumer
 	queue    *Queue
@@ -48,7 +48,7 @@
 	conflict := decision == delivery.IDConflict
 	if conflict {
 		// Under its own id the message would be confused with the other one, so the digest of its content is added to
-		// its id. It is not going to be executed, so a redelivery does no harm.
+		// its id. It will not be executed, so a redelivery does no harm and the arrival is marked idempotent.
 		message.id = delivery.MessageID(fmt.Sprintf("%s#%x", message.id, message.digest))
 		decision, earlierReply = c.deduplicator.Receive(c.Now(), delivery.Arrival{
 			ID:         message.id,
@@ -149,7 +149,7 @@
 	c.settle(pending, result, disposition, metadata.Reason)
 }
 
-// settle replies to a message, or returns it to the broker.
+// settle replies to a message, or returns it to the broker, according to the disposition.
 func (c *Consumer) settle(
 	pending *pendingMessage, result []byte, disposition delivery.Disposition, reason string,
 ) {
--- a/internal/amqp/reply.go
+++ b/internal/amqp/reply.go
@@ -8,7 +8,7 @@
 	"lanewheel/internal/amqp/delivery"
 )
 
-// The headers of replies and dead letters. Their names are part of the protocol of queues.
+// The headers of replies and dead letters. Their names are part of the protocol with clients.
 const (
 	outcomeHeader = "outcome"
 	reasonHeader  = "why"
@@ -61,7 +61,7 @@
 }
 
 // publishDeadLetter copies a message to its queue's dead-letter queue, with the outcome and the reason of its reply.
-// onConfirmed is called as by publishReply.
+// onConfirmed is called as for publishReply.
 func (s *session) publishDeadLetter(pending *pendingMessage, r *reply, onConfirmed func()) {
 	message := &pending.message
 	headers := r.outcomeHeaders()
@@ -79,8 +79,8 @@
 	}, onConfirmed)
 }
 
-// publish publishes to a queue by the default exchange. The sequence number that the confirmation will carry is read
-// right before the message is published. This is safe because only the writer publishes on this channel.
+// publish publishes to a queue through the default exchange. The sequence number that the confirmation will carry is
+// read right before the message is published. This is safe because only the writer publishes on this channel.
 func (s *session) publish(queue string, message client.Publishing, onConfirmed func()) {
 	s.mu.Lock()
 	s.unconfirmed++
@@ -93,7 +93,7 @@
 	})
 }
 
-// handleConfirmation handles a confirmation by the broker. After a negative one the message stays unsettled and is
+// handleConfirmation handles a confirmation by the broker. If it is negative, the message stays unsettled and is
 // redelivered when its channel closes. It is called on a goroutine of the session.
 func (s *session) handleConfirmation(confirmation client.Confirmation) {
 	s.mu.Lock()
--- a/internal/amqp/session.go
+++ b/internal/amqp/session.go
@@ -18,7 +18,7 @@
 const (
 	// dialTimeout limits how long opening a connection may take: some round trips on a poor network.
 	dialTimeout = 5 * time.Second
-	// closeTimeout limits how long the broker may take to close a connection in order.
+	// closeTimeout limits how long the broker may take to close a connection gracefully.
 	closeTimeout = 200 * time.Millisecond
 	// maxHeaderBytes limits the properties of a message: those of the specification and some dozen headers.
 	maxHeaderBytes = 8 << 10
@@ -49,10 +49,10 @@
 	onClosed  func() // called once the session has ended
 
 	mu            sync.Mutex
-	steps         []func() error // calls that the writer has yet to make; guarded by mu
-	wake          *sync.Cond     // condition on mu; signaled when steps are added or the writer must stop
+	pendingCalls  []func() error // calls queued for the writer; guarded by mu
+	wake          *sync.Cond     // condition on mu; signaled when calls are queued or the writer must stop
 	writerStopped bool           // the writer must stop; guarded by mu
-	writerBusy    bool           // the writer is making calls that it took from steps; guarded by mu
+	writerBusy    bool           // the writer is making calls that it took from the queue; guarded by mu
 	unconfirmed   int            // messages queued for publishing or published, and not confirmed; guarded by mu
 	// onConfirm holds the function to call for each unconfirmed message, by its sequence number. Guarded by mu.
 	onConfirm map[uint64]func()
@@ -88,7 +88,7 @@
 		c.Post(func() {
 			if err != nil {
 				if s.netConn != nil {
-					_ = s.netConn.Close() // an error is of no interest here: dialing has failed already
+					_ = s.netConn.Close() // err is reported instead of a close error
 				}
 				c.handleConnectFailure(url, err)
 				return
@@ -226,8 +226,8 @@
 	}
 }
 
-// close closes the session in order: first the channels with their consumers, then the connection. It waits at most
-// closeTimeout for the broker.
+// close starts to close the session and returns at once. The channels with their consumers are closed first, then the
+// connection. If the broker does not respond within closeTimeout, the network connection is closed without waiting.
 func (s *session) close(code connectionCode) {
 	if s.closing || s.ended {
 		return
@@ -261,7 +261,8 @@
 	}()
 }
 
-// whenClosed calls a function on the consumer's event loop once the session has ended. It must be called there.
+// whenClosed calls a function on the consumer's event loop once the session has ended. It must itself be called
+// on that event loop, and supports one callback only.
 func (s *session) whenClosed(callback func()) {
 	if s.ended {
 		callback()
--- a/internal/amqp/writer.go
+++ b/internal/amqp/writer.go
@@ -1,11 +1,11 @@
 package amqp
 
-// enqueue adds a call for the writer to make. If the call returns an error, the channel or connection has closed, and
+// enqueue queues a call for the writer. If the call returns an error, the channel or connection has closed, and
 // the session is notified of that separately. The number of queued calls is bounded by the messages in flight, each of
 // which needs only a few. Any goroutine may call enqueue.
-func (s *session) enqueue(step func() error) {
+func (s *session) enqueue(call func() error) {
 	s.mu.Lock()
-	s.steps = append(s.steps, step)
+	s.pendingCalls = append(s.pendingCalls, call)
 	s.mu.Unlock()
 	s.wake.Signal()
 }
@@ -13,31 +13,31 @@
 // writeLoop runs the writer: it makes the queued calls in order until stopWriter is called.
 func (s *session) writeLoop() {
 	for {
-		steps, ok := s.nextSteps()
+		calls, ok := s.nextCalls()
 		if !ok {
 			return
 		}
-		for _, step := range steps {
-			_ = step() // the error is reported separately, see enqueue
+		for _, call := range calls {
+			_ = call() // the error is reported separately, see enqueue
 		}
 	}
 }
 
-// nextSteps waits for queued calls and returns them. It returns false if the writer must stop.
-func (s *session) nextSteps() ([]func() error, bool) {
+// nextCalls waits for queued calls and returns them. It returns false if the writer must stop.
+func (s *session) nextCalls() ([]func() error, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.writerBusy = false
-	for len(s.steps) == 0 && !s.writerStopped {
+	for len(s.pendingCalls) == 0 && !s.writerStopped {
 		s.wake.Wait()
 	}
 	if s.writerStopped {
 		return nil, false
 	}
-	steps := s.steps
-	s.steps = nil
+	calls := s.pendingCalls
+	s.pendingCalls = nil
 	s.writerBusy = true
-	return steps, true
+	return calls, true
 }
 
 // stopWriter makes the writer stop. It drops the calls that the writer has not taken yet.
@@ -53,5 +53,5 @@
 	s.flushAcks()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.steps) == 0 && !s.writerBusy && s.unconfirmed == 0
+	return len(s.pendingCalls) == 0 && !s.writerBusy && s.unconfirmed == 0
 }
