--- a/internal/keyring/folder.go
+++ b/internal/keyring/folder.go
@@ -21,18 +21,18 @@
 		if entry.IsDir() || strings.HasPrefix(entry.Name(), ".") || !strings.HasSuffix(entry.Name(), ".json") {
 			continue
 		}
-		name := filepath.Join(path, entry.Name())
+		file := filepath.Join(path, entry.Name())
 		if len(files) >= maxFiles {
 			return nil, diagnostic.List{{File: path, Want: fmt.Sprintf("wants %d files or fewer", maxFiles)}}
 		}
 		if info, err := entry.Info(); err == nil && info.Size() > maxFileBytes {
-			return nil, diagnostic.List{{File: name, Want: fmt.Sprintf("wants %d bytes or fewer", maxFileBytes)}}
+			return nil, diagnostic.List{{File: file, Want: fmt.Sprintf("wants %d bytes or fewer", maxFileBytes)}}
 		}
-		text, err := os.ReadFile(name)
+		text, err := os.ReadFile(file)
 		if err != nil {
-			return nil, diagnostic.List{{File: name, Want: "can't be read: " + err.Error()}}
+			return nil, diagnostic.List{{File: file, Want: "can't be read: " + err.Error()}}
 		}
-		files[name] = text
+		files[file] = text
 	}
 	return files, nil
 }
--- a/internal/keyring/golden_test.go
+++ b/internal/keyring/golden_test.go
@@ -17,7 +17,7 @@
 // are for this test alone.
 
 // Private keys read as what they are, and are written again to the byte.
-func TestGoldenPrivate(t *testing.T) {
+func TestGoldenPrivateKeys(t *testing.T) {
 	for name, algorithm := range map[string]string{"ed": "EdDSA", "es": "ES256", "rs": "RS256"} {
 		path := filepath.Join("testdata/golden", name+".private")
 		key := setuptest.Must(LoadPrivateKey(path))
@@ -32,11 +32,11 @@
 }
 
 // A folder of published keys reads with all that each says, and each file is written again to the byte.
-func TestGoldenPublished(t *testing.T) {
+func TestGoldenPublishedKeys(t *testing.T) {
 	set := setuptest.Must(LoadSet("testdata/golden"))
 	from := time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
 	until := time.Date(2066, 1, 1, 0, 0, 0, 0, time.UTC)
-	wanted := []struct {
+	wantKeys := []struct {
 		key    Key          // without its public half
 		early  authz.Denial // a second before from
 		during authz.Denial
@@ -55,12 +55,12 @@
 			late:   "withdrawn-key",
 		},
 	}
-	all := set.Keys()
-	if len(all) != len(wanted) {
-		t.Fatalf("%d keys, want %d", len(all), len(wanted))
+	keys := set.Keys()
+	if len(keys) != len(wantKeys) {
+		t.Fatalf("%d keys, want %d", len(keys), len(wantKeys))
 	}
-	for i, want := range wanted {
-		got := all[i]
+	for i, want := range wantKeys {
+		got := keys[i]
 		if got.ID != want.key.ID || got.Algorithm != want.key.Algorithm || got.Withdrawn != want.key.Withdrawn ||
 			!got.NotBefore.Equal(want.key.NotBefore) || !got.RetireAt.Equal(want.key.RetireAt) ||
 			filepath.Base(got.File) != string(want.key.ID)+".json" {
@@ -71,8 +71,8 @@
 			start:                  want.during,
 			until:                  want.late,
 		} {
-			if checked := got.CheckTime(at); checked != denial {
-				t.Errorf("%s at %v: %q, want %q", got.ID, at, checked, denial)
+			if gotDenial := got.CheckTime(at); gotDenial != denial {
+				t.Errorf("%s at %v: %q, want %q", got.ID, at, gotDenial, denial)
 			}
 		}
 		path := filepath.Join("testdata/golden", string(got.ID))
@@ -85,7 +85,7 @@
 }
 
 // The denials that are spoken, in answers, logs and listings.
-func TestGoldenReasons(t *testing.T) {
+func TestGoldenDenials(t *testing.T) {
 	for denial, want := range map[authz.Denial]string{
 		UnknownKey:  "unknown-key",
 		notYetValid: "early-key",
--- a/internal/keyring/key.go
+++ b/internal/keyring/key.go
@@ -50,6 +50,6 @@
 
 // SamePublicKey tells whether two keys are the same but for their ids and times.
 func (k *Key) SamePublicKey(other *Key) bool {
-	public, comparable := k.PublicKey.(interface{ Equal(crypto.PublicKey) bool })
-	return comparable && k.Algorithm == other.Algorithm && public.Equal(other.PublicKey)
+	public, hasEqual := k.PublicKey.(interface{ Equal(crypto.PublicKey) bool })
+	return hasEqual && k.Algorithm == other.Algorithm && public.Equal(other.PublicKey)
 }
--- a/internal/keyring/keyring.go
+++ b/internal/keyring/keyring.go
@@ -17,10 +17,10 @@
 	removed  boundedmap.Map[KeyID, struct{}]      // keys that were in force and whose files are gone
 	notFound boundedmap.Map[KeyID, time.Duration] // ids that a read did not find, and when it was begun
 
-	reloadInterval time.Duration // between two reads for unknown keys
-	reloadStarted  time.Duration // when the last one was begun
-	reloading      bool
-	everReloaded   bool
+	reloadInterval  time.Duration // between two reads for unknown keys
+	reloadStartedAt time.Duration // when the last one was begun
+	reloading       bool
+	everReloaded    bool
 }
 
 // NewKeyring starts with a set. reloadInterval is the least time between two reads of the folder for unknown keys.
@@ -82,28 +82,28 @@
 // share one read of the folder: forged tokens with ever new ids must neither keep the disk busy, nor hold up a key
 // that was just published.
 func (r *Keyring) ResolveUnknown(now time.Duration, id KeyID) (UnknownKeyAction, time.Duration) {
-	if at, recent := r.notFound.Get(id); recent && now-at < r.reloadInterval {
+	if readStarted, found := r.notFound.Get(id); found && now-readStarted < r.reloadInterval {
 		return Deny, 0
 	}
 	if r.reloading {
 		return Await, 0
 	}
-	if elapsed := now - r.reloadStarted; r.everReloaded && elapsed < r.reloadInterval {
+	if elapsed := now - r.reloadStartedAt; r.everReloaded && elapsed < r.reloadInterval {
 		return RetryLater, r.reloadInterval - elapsed
 	}
 	r.reloading = true
 	r.everReloaded = true
-	r.reloadStarted = now
+	r.reloadStartedAt = now
 	return Reload, 0
 }
 
 // ReloadDone ends a read of the folder; if it brought a set, Replace goes before it. Those of the sought ids that are
 // still unknown are denied until another read may be begun.
-func (r *Keyring) ReloadDone(sought []KeyID) {
+func (r *Keyring) ReloadDone(requestedIDs []KeyID) {
 	r.reloading = false
-	for _, id := range sought {
+	for _, id := range requestedIDs {
 		if r.set.Find(id) == nil {
-			r.notFound.Put(id, r.reloadStarted, maxRememberedIDs)
+			r.notFound.Put(id, r.reloadStartedAt, maxRememberedIDs)
 		}
 	}
 }
--- a/internal/keyring/keyring_test.go
+++ b/internal/keyring/keyring_test.go
@@ -32,16 +32,16 @@
 }
 
 // encodeTestKey makes a key and gives the file that publishes it.
-func encodeTestKey(id, algorithm string, counts lifetime, withdrawn bool) []byte {
+func encodeTestKey(id, algorithm string, period lifetime, withdrawn bool) []byte {
 	key := setuptest.Must(GenerateKey(algorithm))
 	key.KeyID = id
-	notBefore, retireAt := counts.times()
+	notBefore, retireAt := period.times()
 	return setuptest.Must(EncodePublic(*key, notBefore, retireAt, withdrawn))
 }
 
 // A key counts from its not-before until its retire-at, to the moment; what was withdrawn, what is gone and what nobody
 // knows are told apart.
-func Example_times() {
+func Example_validity() {
 	set := setuptest.Must(ParseSet(map[string][]byte{
 		"a.json": encodeTestKey("a", "EdDSA", lifetime{10, 20}, false),
 		"b.json": encodeTestKey("b", "ES256", lifetime{}, false),
@@ -68,20 +68,20 @@
 }
 
 // What is wrong with a folder is told by file, line and name; with one thing wrong nothing of it counts.
-func Example_faults() {
+func Example_invalidFiles() {
 	good := string(encodeTestKey("a", "EdDSA", lifetime{}, false))
 	private := string(setuptest.Must(setuptest.Must(GenerateKey("EdDSA")).MarshalJSON()))
-	changed := func(member, text string) string { return strings.Replace(good, member, text, 1) }
+	replaceIn := func(member, text string) string { return strings.Replace(good, member, text, 1) }
 	for _, text := range []string{
 		`{"keys":[`,
 		`{}`,
 		`{"keys":[{"kty":"oct","kid":"s","k":"c2VjcmV0"}]}`,
 		`{"keys":[` + private + `]}`,
-		changed(`"kid"`, `"nbf": 1800000000000, "kid"`),
-		changed(`"alg": "EdDSA"`, `"alg": "RS256"`),
-		changed(`"kid"`, `"kid": "z", "kid"`),
-		changed(`"a"`, `""`),
-		changed(`"kid"`, `"nbf": 20, "exp": 10, "kid"`),
+		replaceIn(`"kid"`, `"nbf": 1800000000000, "kid"`),
+		replaceIn(`"alg": "EdDSA"`, `"alg": "RS256"`),
+		replaceIn(`"kid"`, `"kid": "z", "kid"`),
+		replaceIn(`"a"`, `""`),
+		replaceIn(`"kid"`, `"nbf": 20, "exp": 10, "kid"`),
 	} {
 		_, err := ParseSet(map[string][]byte{"f.json": []byte(text)})
 		fmt.Println(err)
@@ -141,9 +141,9 @@
 
 // A file that is cut after any of its bytes is no set, or the same one; never another.
 func TestTruncatedFile(t *testing.T) {
-	whole := encodeTestKey("a", "ES256", lifetime{10, 20}, false)
-	for n := range len(whole) {
-		set, err := ParseSet(map[string][]byte{"a.json": whole[:n]})
+	text := encodeTestKey("a", "ES256", lifetime{10, 20}, false)
+	for n := range len(text) {
+		set, err := ParseSet(map[string][]byte{"a.json": text[:n]})
 		if err == nil && (len(set.Keys()) != 1 || !set.Find("a").RetireAt.Equal(start.Add(20*time.Second))) {
 			t.Fatalf("cut after %d bytes it reads as %v", n, set.Keys())
 		}
@@ -151,7 +151,7 @@
 }
 
 // Files are replaced whole, private keys are for their owner, and what is being written is no part of the folder.
-func Example_write() {
+func Example_writeFileAtomic() {
 	dir := setuptest.Must(os.MkdirTemp("", "keys"))
 	defer func() { _ = os.RemoveAll(dir) }() // left to the system if it fails
 	path := filepath.Join(dir, "a.json")
@@ -172,8 +172,8 @@
 
 // keyringModel is which keys are published, and which ever were.
 type keyringModel struct {
-	published map[string]lifetime
-	ever      map[string]bool
+	published     map[string]lifetime
+	everPublished map[string]bool
 }
 
 // drawReload draws the keys of another folder.
@@ -183,21 +183,21 @@
 		if rapid.Bool().Draw(t, "published") {
 			from := rapid.IntRange(1, 3).Draw(t, "from")
 			m.published[id] = lifetime{from, rapid.IntRange(4, 6).Draw(t, "until")}
-			m.ever[id] = true
+			m.everPublished[id] = true
 		}
 	}
 }
 
 func (m *keyringModel) denial(id string, seconds int) authz.Denial {
-	counts, published := m.published[id]
+	period, published := m.published[id]
 	switch {
-	case !published && m.ever[id]:
+	case !published && m.everPublished[id]:
 		return Withdrawn
 	case !published:
 		return UnknownKey
-	case seconds < counts.from:
+	case seconds < period.from:
 		return notYetValid
-	case seconds >= counts.until:
+	case seconds >= period.until:
 		return retired
 	}
 	return ""
@@ -206,21 +206,21 @@
 // The keyring against a table of what was published when.
 func TestKeyring(t *testing.T) {
 	files := map[string][]byte{} // making a key takes a while
-	file := func(id string, counts lifetime) []byte {
-		name := fmt.Sprint(id, counts)
+	encodedFile := func(id string, period lifetime) []byte {
+		name := fmt.Sprint(id, period)
 		if files[name] == nil {
-			files[name] = encodeTestKey(id, "EdDSA", counts, false)
+			files[name] = encodeTestKey(id, "EdDSA", period, false)
 		}
 		return files[name]
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		ring := NewKeyring(setuptest.Must(ParseSet(nil)), time.Second)
-		model := keyringModel{ever: map[string]bool{}}
+		model := keyringModel{everPublished: map[string]bool{}}
 		for range rapid.IntRange(1, 6).Draw(t, "reloads") {
 			model.drawReload(t)
 			folder := map[string][]byte{}
-			for id, counts := range model.published {
-				folder[id+".json"] = file(id, counts)
+			for id, period := range model.published {
+				folder[id+".json"] = encodedFile(id, period)
 			}
 			ring.Replace(setuptest.Must(ParseSet(folder)))
 			seconds := rapid.IntRange(0, 7).Draw(t, "seconds")
@@ -235,7 +235,7 @@
 	})
 }
 
-func FuzzRead(f *testing.F) {
+func FuzzParseSet(f *testing.F) {
 	f.Add(encodeTestKey("a", "EdDSA", lifetime{1, 2}, false))
 	f.Add([]byte(`{"keys":[{"kty":"oct","k":"AA","kid":"x"},{"kty":"RSA","n":"AQ","e":"AQAB","kid":"y","x5c":["AA"]}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/internal/keyring/parse.go
+++ b/internal/keyring/parse.go
@@ -108,10 +108,10 @@
 	}
 	key := &Key{ID: KeyID(jwk.KeyID), PublicKey: jwk.Key, Withdrawn: extra.Withdrawn}
 	var err error
-	if key.NotBefore, err = unixTime(extra.NotBefore); err != nil {
+	if key.NotBefore, err = parseUnixTime(extra.NotBefore); err != nil {
 		return nil, err
 	}
-	if key.RetireAt, err = unixTime(extra.RetireAt); err != nil {
+	if key.RetireAt, err = parseUnixTime(extra.RetireAt); err != nil {
 		return nil, err
 	}
 	if key.Algorithm, err = algorithmOf(jwk.Key); err != nil {
@@ -126,9 +126,9 @@
 	return key, nil
 }
 
-// unixTime gives the time of a member in seconds; nil: the zero time. A time in milliseconds, or one that nobody meant,
+// parseUnixTime gives the time of a member in seconds; nil: the zero time. A time in milliseconds, or one that nobody meant,
 // would keep a key for ever.
-func unixTime(seconds *float64) (time.Time, error) {
+func parseUnixTime(seconds *float64) (time.Time, error) {
 	if seconds == nil {
 		return time.Time{}, nil
 	}
--- a/internal/tokens/cache.go
+++ b/internal/tokens/cache.go
@@ -79,9 +79,9 @@
 	expiresAt  time.Duration
 }
 
-// permanent tells whether a denial stays true of a token whatever the time. One that was denied a moment too early must
+// isPermanent tells whether a denial stays true of a token whatever the time. One that was denied a moment too early must
 // not stay denied when its time has come.
-func permanent(denial authz.Denial) bool {
+func isPermanent(denial authz.Denial) bool {
 	switch denial {
 	case Malformed, WrongAlgorithm, CriticalHeader, BadSignature, WrongIssuer, WrongAudience, NoSubject, noTokenID:
 		return true
@@ -92,7 +92,7 @@
 // Lookup gives a token's entry, or why it proves nothing, if that is known. Otherwise RequestCheck has it checked.
 func (v *Verifier) Lookup(
 	now time.Duration, wall time.Time, raw string,
-) (entry *CachedToken, denial authz.Denial, known bool) {
+) (entry *CachedToken, denial authz.Denial, found bool) {
 	if len(raw) > v.policy.MaxBytes {
 		return nil, TooLong, true
 	}
@@ -104,9 +104,9 @@
 		v.cache.remove(entry)
 		return nil, "", false
 	}
-	earlier, denied := v.denials.Get(digest)
-	if denied && earlier.generation == v.generation && now < earlier.expiresAt {
-		return nil, earlier.denial, true
+	cached, denied := v.denials.Get(digest)
+	if denied && cached.generation == v.generation && now < cached.expiresAt {
+		return nil, cached.denial, true
 	}
 	return nil, "", false
 }
--- a/internal/tokens/check.go
+++ b/internal/tokens/check.go
@@ -63,11 +63,11 @@
 
 // pendingChecks are the tokens without a verdict.
 type pendingChecks struct {
-	byDigest        map[tokenDigest]*pendingCheck
-	waiting         int             // callbacks of all of them
-	inFlight        int             // checks that are asked for and not back
-	awaitingKeys    []*pendingCheck // for the read of the key folder that is under way
-	reloadOvertaken bool            // the keys were replaced since that read was begun
+	byDigest         map[tokenDigest]*pendingCheck
+	waiting          int             // callbacks of all of them
+	inFlight         int             // checks that are asked for and not back
+	awaitingKeys     []*pendingCheck // for the read of the key folder that is under way
+	reloadSuperseded bool            // the keys were replaced since that read was begun
 }
 
 // RequestCheck has a token checked that Lookup does not know. done is called once, at once or when the verdict is
@@ -126,7 +126,7 @@
 		return v.handleUnknownKey(now, wall, pending, result.Claims.KeyID)
 	}
 	if result.Denial != "" {
-		if permanent(result.Denial) {
+		if isPermanent(result.Denial) {
 			entry := cachedDenial{denial: result.Denial, generation: v.generation, expiresAt: now + denialTTL}
 			v.denials.Put(digest, entry, v.limits.MaxCached)
 		}
@@ -185,8 +185,8 @@
 // HandleKeys takes the set that was read from the key folder; nil if it could not be read, and the one in force stays.
 // It gives the tokens that are to be checked again, and whether another set is in force now.
 func (v *Verifier) HandleKeys(keys *keyring.KeySet) (recheck []string, replaced bool) {
-	if v.checks.reloadOvertaken { // a read that was begun before the keys were replaced would bring older ones back
-		v.checks.reloadOvertaken = false
+	if v.checks.reloadSuperseded { // a read that was begun before the keys were replaced would bring older ones back
+		v.checks.reloadSuperseded = false
 		keys = nil
 	}
 	if keys != nil && v.keyring.Replace(keys) {
@@ -195,17 +195,17 @@
 	}
 	awaiting := v.checks.awaitingKeys
 	v.checks.awaitingKeys = nil
-	var sought []keyring.KeyID
+	var requestedIDs []keyring.KeyID
 	for _, pending := range awaiting {
 		if pending.keysReloaded {
-			sought = append(sought, pending.keyID)
+			requestedIDs = append(requestedIDs, pending.keyID)
 		}
 		if v.checks.byDigest[pending.digest] == pending {
 			recheck = append(recheck, pending.raw)
 			v.checks.inFlight++
 		}
 	}
-	v.keyring.ReloadDone(sought)
+	v.keyring.ReloadDone(requestedIDs)
 	return recheck, replaced
 }
 
--- a/internal/tokens/check_test.go
+++ b/internal/tokens/check_test.go
@@ -16,7 +16,7 @@
 func Example_unknownKey() {
 	v := newTestVerifier("a")
 	v.published = publishedSet("a", "b")
-	fmt.Println(v.verdict(goodToken("b", nil)), "reads", v.reloads)
+	fmt.Println(v.verdict(goodToken("b", nil)), "reads", v.reloadCount)
 	for i := range 50 {
 		if got := v.verdict(goodToken(fmt.Sprint("x", i), nil)); got != "later 1s" {
 			fmt.Println(got)
@@ -24,10 +24,10 @@
 	}
 	v.advance(time.Second)
 	raw := goodToken("y", nil)
-	fmt.Println(v.verdict(raw), v.verdict(raw), "reads", v.reloads)
+	fmt.Println(v.verdict(raw), v.verdict(raw), "reads", v.reloadCount)
 	v.published = publishedSet("a", "b", "y")
 	v.advance(time.Second)
-	fmt.Println(v.verdict(raw), "reads", v.reloads)
+	fmt.Println(v.verdict(raw), "reads", v.reloadCount)
 	// Output:
 	// good reads 1
 	// unknown-key unknown-key reads 2
@@ -35,10 +35,10 @@
 }
 
 // A read that was begun before the keys were replaced does not bring the older ones back.
-func Example_overtakenReload() {
+func Example_supersededReload() {
 	v := newTestVerifier("a")
 	raw := goodToken("n", nil)
-	v.held = true
+	v.holdChecks = true
 	fmt.Println(v.verdict(raw))
 	step := v.HandleResult(0, start, CheckResult{
 		Raw:    raw,
@@ -57,9 +57,9 @@
 
 // A flood of forged tokens takes no more than its share of time; connections that have brought none still get their
 // checks, and a known token costs none. The requests that wait have a bound and an end.
-func Example_flood() {
+func Example_forgedTokenFlood() {
 	v := newTestVerifier("a")
-	v.cost = time.Millisecond
+	v.checkCost = time.Millisecond
 	good := goodToken("a", nil)
 	fmt.Println(v.verdict(good))
 	parts := strings.Split(good, ".")
@@ -81,7 +81,7 @@
 			Raw:      step.Token,
 			Suspect:  true,
 			Denial:   BadSignature,
-			Duration: v.cost,
+			Duration: v.checkCost,
 			KeySet:   v.KeySet(),
 		})
 		if next.Action != noAction {
@@ -92,7 +92,7 @@
 	bounded := denied <= limits.MaxCached
 	fmt.Println("checks", v.checkCount <= 102, deferred > 99_000, "denials", bounded, v.verdict(good))
 	fmt.Println(v.verdict(goodToken("a", func(c *jwt.Claims) { c.ID = "t2" })))
-	v.held = true
+	v.holdChecks = true
 	for i := range 6 {
 		fmt.Print(v.verdict(goodToken("a", func(c *jwt.Claims) { c.ID = fmt.Sprint(i) })), " ")
 	}
--- a/internal/tokens/golden_test.go
+++ b/internal/tokens/golden_test.go
@@ -19,8 +19,8 @@
 // The tokens of testdata/golden were issued by "lanewheel token issue", with the keys of
 // internal/keyring/testdata/golden. Those keys are for tests alone.
 
-// goldenPart reads the header or the claims of a token as they stand there.
-func goldenPart(t *testing.T, raw string, n int) map[string]any {
+// decodeTokenPart reads the header or the claims of a token as they stand there.
+func decodeTokenPart(t *testing.T, raw string, n int) map[string]any {
 	t.Helper()
 	var members map[string]any
 	if err := json.Unmarshal(setuptest.Must(base64.RawURLEncoding.DecodeString(strings.Split(raw, ".")[n])),
@@ -32,15 +32,15 @@
 
 // goldenToken is what a stored token proves, and by which policy.
 type goldenToken struct {
-	name      string
-	algorithm string
-	policy    *Policy
-	claims    Claims // without the times
-	private   []string
+	name              string
+	algorithm         string
+	policy            *Policy
+	claims            Claims // without the times
+	privateClaimNames []string
 }
 
 func goldenTokens() []goldenToken {
-	usual := &Policy{
+	defaultPolicy := &Policy{
 		Issuer:      "https://issuer.example",
 		Audience:    "rota",
 		Leeway:      30 * time.Second,
@@ -49,25 +49,25 @@
 		RolesClaim:  "roles",
 		SingleUse:   true,
 	}
-	named := *usual
-	named.TenantClaim = "org"
-	named.RolesClaim = "groups"
+	customNamesPolicy := *defaultPolicy
+	customNamesPolicy.TenantClaim = "org"
+	customNamesPolicy.RolesClaim = "groups"
 	return []goldenToken{
-		{"ed", "EdDSA", usual, Claims{
+		{"ed", "EdDSA", defaultPolicy, Claims{
 			Subject: "handheld-7",
 			ID:      "t-ed",
 			Tenant:  "water",
 			Roles:   []authz.RoleName{"crew", "visitor"},
 			KeyID:   "ed",
 		}, []string{"tenant", "roles"}},
-		{"es", "ES256", &named, Claims{
+		{"es", "ES256", &customNamesPolicy, Claims{
 			Subject: "handheld-8",
 			ID:      "t-es",
 			Tenant:  "roads",
 			Roles:   []authz.RoleName{"crew"},
 			KeyID:   "es",
 		}, []string{"org", "groups"}},
-		{"rs", "RS256", usual, Claims{Subject: "handheld-9", ID: "t-rs", KeyID: "rs"}, nil},
+		{"rs", "RS256", defaultPolicy, Claims{Subject: "handheld-9", ID: "t-rs", KeyID: "rs"}, nil},
 	}
 }
 
@@ -117,7 +117,7 @@
 func (g goldenToken) checkMembers(t *testing.T, raw string, claims Claims) {
 	t.Helper()
 	wantHeader := map[string]any{"alg": g.algorithm, "kid": g.name, "typ": "JWT"}
-	if header := goldenPart(t, raw, 0); !reflect.DeepEqual(header, wantHeader) {
+	if header := decodeTokenPart(t, raw, 0); !reflect.DeepEqual(header, wantHeader) {
 		t.Errorf("header %v, want %v", header, wantHeader)
 	}
 	want := map[string]any{
@@ -129,15 +129,15 @@
 		"nbf": float64(claims.NotBefore.Unix()),
 		"exp": float64(claims.Expiry.Unix()),
 	}
-	if g.private != nil {
+	if g.privateClaimNames != nil {
 		var roles []any
 		for _, role := range g.claims.Roles {
 			roles = append(roles, string(role))
 		}
-		want[g.private[0]] = string(g.claims.Tenant)
-		want[g.private[1]] = roles
+		want[g.privateClaimNames[0]] = string(g.claims.Tenant)
+		want[g.privateClaimNames[1]] = roles
 	}
-	if got := goldenPart(t, raw, 1); !reflect.DeepEqual(got, want) {
+	if got := decodeTokenPart(t, raw, 1); !reflect.DeepEqual(got, want) {
 		t.Errorf("claims %v, want %v", got, want)
 	}
 }
@@ -164,7 +164,7 @@
 }
 
 // The denials that are spoken, in answers, logs and listings.
-func TestGoldenReasons(t *testing.T) {
+func TestGoldenDenials(t *testing.T) {
 	for denial, want := range map[authz.Denial]string{
 		TooLong:        "too-long",
 		Malformed:      "malformed",
--- a/internal/tokens/helper_test.go
+++ b/internal/tokens/helper_test.go
@@ -90,14 +90,14 @@
 // testVerifier drives a Verifier as an authenticator does: checks are made at once unless they are held.
 type testVerifier struct {
 	*Verifier
-	now        time.Duration
-	wall       time.Time
-	published  *keyring.KeySet // what a read of the key folder finds
-	cost       time.Duration   // of a check
-	checkCount int
-	reloads    int
-	held       bool
-	heldChecks []string
+	now         time.Duration
+	wall        time.Time
+	published   *keyring.KeySet // what a read of the key folder finds
+	checkCost   time.Duration   // of a check
+	checkCount  int
+	reloadCount int
+	holdChecks  bool
+	heldChecks  []string
 }
 
 func newTestVerifier(ids ...string) *testVerifier {
@@ -113,13 +113,13 @@
 func (v *testVerifier) perform(step Step) {
 	switch step.Action {
 	case CheckToken:
-		if v.held {
+		if v.holdChecks {
 			v.heldChecks = append(v.heldChecks, step.Token)
 			return
 		}
 		v.check(step.Token)
 	case ReloadKeys:
-		v.reloads++
+		v.reloadCount++
 		recheck, _ := v.HandleKeys(v.published)
 		for _, raw := range recheck {
 			v.perform(Step{CheckToken, raw})
@@ -137,21 +137,21 @@
 		return nil, keyring.UnknownKey
 	}
 	claims, denial := Verify(raw, findKey, v.Policy())
-	result := CheckResult{Raw: raw, Claims: claims, Denial: denial, Duration: v.cost, KeySet: set}
+	result := CheckResult{Raw: raw, Claims: claims, Denial: denial, Duration: v.checkCost, KeySet: set}
 	v.perform(v.HandleResult(v.now, v.wall, result))
 }
 
 // verdict gives the verdict on a token as text.
 func (v *testVerifier) verdict(raw string) string {
-	if entry, denial, known := v.Lookup(v.now, v.wall, raw); known {
-		return textOf(Verdict{Entry: entry, Denial: denial})
+	if entry, denial, found := v.Lookup(v.now, v.wall, raw); found {
+		return verdictText(Verdict{Entry: entry, Denial: denial})
 	}
 	text := "waits"
-	v.perform(v.RequestCheck(v.now, raw, false, func(verdict Verdict) { text = textOf(verdict) }))
+	v.perform(v.RequestCheck(v.now, raw, false, func(verdict Verdict) { text = verdictText(verdict) }))
 	return text
 }
 
-func textOf(verdict Verdict) string {
+func verdictText(verdict Verdict) string {
 	switch {
 	case verdict.Denial != "":
 		return string(verdict.Denial)
--- a/internal/tokens/singleuse.go
+++ b/internal/tokens/singleuse.go
@@ -9,15 +9,15 @@
 
 const (
 	minSingleUseDelay = time.Millisecond // the shortest wait for an id to expire
-	noCapacityDelay   = time.Second      // where no id may be remembered at all
+	zeroLimitDelay    = time.Second      // where no id may be remembered at all
 )
 
 // singleUseIDs remembers the ids of tokens that count for one request, until they expire.
 type singleUseIDs struct {
-	limit           int
-	expiries        map[string]time.Time
-	byExpiry        expiryHeap
-	latestForgotten time.Time // the latest expiry of an id that was forgotten
+	limit                 int
+	expiries              map[string]time.Time
+	byExpiry              expiryHeap
+	latestForgottenExpiry time.Time // the latest expiry of an id that was forgotten
 }
 
 func newSingleUseIDs(limit int) singleUseIDs {
@@ -32,12 +32,12 @@
 	}
 	s.forgetExpired(wall)
 	// A wall clock that steps back must not make a token good again whose id is forgotten.
-	if !expiresAt.After(s.latestForgotten) {
+	if !expiresAt.After(s.latestForgottenExpiry) {
 		return expired, 0
 	}
 	if len(s.expiries) >= s.limit {
 		if len(s.byExpiry) == 0 {
-			return "", noCapacityDelay
+			return "", zeroLimitDelay
 		}
 		return "", max(minSingleUseDelay, s.byExpiry[0].expiresAt.Sub(wall))
 	}
@@ -50,7 +50,7 @@
 	for len(s.byExpiry) > 0 && !wall.Before(s.byExpiry[0].expiresAt) {
 		first := heap.Pop(&s.byExpiry).(expiry)
 		delete(s.expiries, first.id)
-		s.latestForgotten = first.expiresAt
+		s.latestForgottenExpiry = first.expiresAt
 	}
 }
 
--- a/internal/tokens/verifier.go
+++ b/internal/tokens/verifier.go
@@ -50,7 +50,7 @@
 
 // Reload puts another configuration in force. What is cached is validated again when it is next used.
 func (v *Verifier) Reload(keys *keyring.KeySet, policy *Policy, revocations *Revocations, limits Limits) {
-	v.checks.reloadOvertaken = v.keyring.Reloading()
+	v.checks.reloadSuperseded = v.keyring.Reloading()
 	v.keyring.Replace(keys)
 	if *policy != *v.policy { // what was checked by another policy is checked again
 		v.cache.clear()
--- a/internal/tokens/verifier_test.go
+++ b/internal/tokens/verifier_test.go
@@ -14,28 +14,28 @@
 
 // A token counts under an old key until the configured moment and not after, whenever the folder was read; a cached
 // token is not checked again until something changes, and then only by what has changed.
-func Example_cached() {
+func Example_cachedTokens() {
 	v := newTestVerifier("a", "b")
-	long := func(id string) string {
+	newLongLivedToken := func(id string) string {
 		return goodToken(id, func(c *jwt.Claims) { c.Expiry = jwt.NewNumericDate(start.Add(9 * time.Hour)) })
 	}
-	a, b := long("a"), long("b")
-	fmt.Println(v.verdict(a), v.verdict(a), v.verdict(b), "checks", v.checkCount)
+	tokenA, tokenB := newLongLivedToken("a"), newLongLivedToken("b")
+	fmt.Println(v.verdict(tokenA), v.verdict(tokenA), v.verdict(tokenB), "checks", v.checkCount)
 	v.Reload(publishedSet("a", "b", "c"), policy, nil, limits)
-	fmt.Println(v.verdict(a), v.verdict(b), "checks", v.checkCount)
+	fmt.Println(v.verdict(tokenA), v.verdict(tokenB), "checks", v.checkCount)
 	v.advance(time.Hour - time.Nanosecond)
-	fmt.Println(v.verdict(a))
+	fmt.Println(v.verdict(tokenA))
 	v.advance(time.Nanosecond)
-	fmt.Println(v.verdict(a), "checks", v.checkCount)
+	fmt.Println(v.verdict(tokenA), "checks", v.checkCount)
 	v = newTestVerifier("a", "b")
-	fmt.Println(v.verdict(a), v.verdict(b))
+	fmt.Println(v.verdict(tokenA), v.verdict(tokenB))
 	v.Reload(publishedSet("a!", "c"), policy, nil, limits)
-	fmt.Println(v.verdict(a), v.verdict(b))
+	fmt.Println(v.verdict(tokenA), v.verdict(tokenB))
 	v = newTestVerifier("a")
-	v.verdict(a)
+	v.verdict(tokenA)
 	revocations, _ := ParseRevocations("# revoked\njti t1\n\nsub nobody")
 	v.Reload(publishedSet("a"), policy, revocations, limits)
-	fmt.Println(v.verdict(a))
+	fmt.Println(v.verdict(tokenA))
 	_, line := ParseRevocations("jti x\njti")
 	fmt.Println("wrong line", line)
 	// Output:
@@ -50,7 +50,7 @@
 }
 
 // Clocks that differ by the leeway and by more; a clock that steps back keeps no cached token alive.
-func Example_clocks() {
+func Example_clockSkew() {
 	raw := goodToken("a", nil)
 	offsets := []time.Duration{-31 * time.Second, -30 * time.Second, 0, 90*time.Second - 1, 90 * time.Second}
 	for _, offset := range offsets {
@@ -86,16 +86,16 @@
 func lifetime(nth int) time.Duration { return time.Duration(nth+1) * 20 * time.Minute }
 
 func (m *tokenModel) verdict(elapsed time.Duration, keyID string, nth int) string {
-	published := ""
-	for _, mark := range m.published {
-		if strings.TrimSuffix(mark, "!") == keyID {
-			published = mark
+	publishedEntry := ""
+	for _, entry := range m.published {
+		if strings.TrimSuffix(entry, "!") == keyID {
+			publishedEntry = entry
 		}
 	}
 	switch {
-	case published == "" && m.removed[keyID], strings.HasSuffix(published, "!"):
+	case publishedEntry == "" && m.removed[keyID], strings.HasSuffix(publishedEntry, "!"):
 		return "withdrawn-key"
-	case published == "":
+	case publishedEntry == "":
 		return "unknown-key"
 	case elapsed >= time.Hour:
 		return "retired-key"
@@ -109,13 +109,13 @@
 
 // drawReload draws other keys and revocations, and gives the list of these.
 func (m *tokenModel) drawReload(t *rapid.T, ids []string) (revocations string) {
-	for _, mark := range m.published {
-		m.removed[strings.TrimSuffix(mark, "!")] = true
+	for _, entry := range m.published {
+		m.removed[strings.TrimSuffix(entry, "!")] = true
 	}
 	m.published = nil
 	for _, id := range ids {
-		if mark := rapid.SampledFrom([]string{"", id, id + "!"}).Draw(t, "key"); mark != "" {
-			m.published = append(m.published, mark)
+		if entry := rapid.SampledFrom([]string{"", id, id + "!"}).Draw(t, "key"); entry != "" {
+			m.published = append(m.published, entry)
 		}
 	}
 	m.revoked = map[string]bool{}
@@ -177,7 +177,7 @@
 	entry, _, _ := v.Lookup(v.now, v.wall, raw)
 	b.Run("by digest", func(b *testing.B) {
 		for range b.N {
-			if _, denial, known := v.Lookup(v.now, v.wall, raw); denial != "" || !known {
+			if _, denial, found := v.Lookup(v.now, v.wall, raw); denial != "" || !found {
 				b.Fatal(denial)
 			}
 		}
@@ -192,7 +192,7 @@
 }
 
 // Two keys are one only if algorithm and public key agree, whatever their ids and times.
-func TestAnotherKeyUnderTheSameIDIsCheckedAgain(t *testing.T) {
+func TestVerifierRechecksTokenOfReplacedKey(t *testing.T) {
 	v := newTestVerifier("a")
 	raw := goodToken("a", nil)
 	if got := v.verdict(raw); got != "good" {
--- a/internal/tokens/verify_test.go
+++ b/internal/tokens/verify_test.go
@@ -27,10 +27,10 @@
 	keys := setuptest.Must(keyring.ParseSet(files))
 	// The public half of an RSA key as the secret of an HMAC; an Ed25519 signature under the id of another kind of key.
 	der := setuptest.Must(x509.MarshalPKIXPublicKey(rs.Public().Key.(*rsa.PublicKey)))
-	secret := jose.JSONWebKey{Key: pem.EncodeToMemory(&pem.Block{Type: "PUBLIC KEY", Bytes: der}), KeyID: "rs"}
-	hmac := setuptest.Must(jose.NewSigner(jose.SigningKey{Algorithm: jose.HS256, Key: secret}, nil))
-	posing := *ed
-	posing.KeyID = "rs"
+	hmacKey := jose.JSONWebKey{Key: pem.EncodeToMemory(&pem.Block{Type: "PUBLIC KEY", Bytes: der}), KeyID: "rs"}
+	hmacSigner := setuptest.Must(jose.NewSigner(jose.SigningKey{Algorithm: jose.HS256, Key: hmacKey}, nil))
+	mismatchedKey := *ed
+	mismatchedKey.KeyID = "rs"
 	good := signToken(ed, claims(nil), nil)
 	parts := strings.Split(good, ".")
 	b64 := func(s string) string { return base64.RawURLEncoding.EncodeToString([]byte(s)) }
@@ -42,8 +42,8 @@
 	show("ES256", signToken(es, claims(nil), nil))
 	show("RS256", signToken(rs, claims(nil), nil))
 	show("none", b64(`{"alg":"none","kid":"ed"}`)+"."+parts[1]+".")
-	show("hmac", setuptest.Must(jwt.Signed(hmac).Claims(claims(nil)).Serialize()))
-	show("posing", signToken(&posing, claims(nil), nil))
+	show("hmac", setuptest.Must(jwt.Signed(hmacSigner).Claims(claims(nil)).Serialize()))
+	show("posing", signToken(&mismatchedKey, claims(nil), nil))
 	show("crit", signToken(ed, claims(nil), map[jose.HeaderKey]any{"crit": []string{"b64"}, "b64": true}))
 	show("forged", parts[0]+"."+parts[1]+"."+b64(strings.Repeat("x", 64)))
 	show("changed", parts[0]+"."+b64(`{"iss":"us","sub":"boss","aud":"rota","exp":1900000000}`)+"."+parts[2])
