--- a/internal/keyring/folder.go
+++ b/internal/keyring/folder.go
@@ -9,8 +9,8 @@
 	"lanewheel/internal/diagnostic"
 )
 
-// ReadFolder reads all files of a folder whose names end in .json, by their paths. Names that begin with a dot are left
-// out: a file that is being written has one. Its errors are a diagnostic.List.
+// ReadFolder returns the contents of all .json files of a folder, by path. It skips names that start with a dot, as
+// WriteFileAtomic uses them for files that are being written. The error is a diagnostic.List.
 func ReadFolder(path string) (map[string][]byte, error) {
 	entries, err := os.ReadDir(path)
 	if err != nil {
@@ -23,10 +23,10 @@
 		}
 		file := filepath.Join(path, entry.Name())
 		if len(files) >= maxFiles {
-			return nil, diagnostic.List{{File: path, Want: fmt.Sprintf("wants %d files or fewer", maxFiles)}}
+			return nil, diagnostic.List{{File: path, Want: fmt.Sprintf("must have at most %d .json files", maxFiles)}}
 		}
 		if info, err := entry.Info(); err == nil && info.Size() > maxFileBytes {
-			return nil, diagnostic.List{{File: file, Want: fmt.Sprintf("wants %d bytes or fewer", maxFileBytes)}}
+			return nil, diagnostic.List{{File: file, Want: fmt.Sprintf("must be at most %d bytes", maxFileBytes)}}
 		}
 		text, err := os.ReadFile(file)
 		if err != nil {
@@ -37,7 +37,7 @@
 	return files, nil
 }
 
-// LoadSet reads the set of a folder. Its errors are a diagnostic.List.
+// LoadSet reads and parses the key set of a folder. The error is a diagnostic.List.
 func LoadSet(path string) (*KeySet, error) {
 	files, err := ReadFolder(path)
 	if err != nil {
--- a/internal/keyring/generate.go
+++ b/internal/keyring/generate.go
@@ -16,7 +16,8 @@
 	"github.com/go-jose/go-jose/v4"
 )
 
-// GenerateKey makes a key pair for an algorithm: EdDSA, ES256 or RS256. Its id is the key's thumbprint (RFC 7638).
+// GenerateKey generates a key pair for EdDSA, ES256 or RS256, and returns an error for any other algorithm. The key
+// ID is the thumbprint of the key (RFC 7638).
 func GenerateKey(algorithm string) (*jose.JSONWebKey, error) {
 	var private crypto.Signer
 	var err error
@@ -28,7 +29,7 @@
 	case jose.RS256:
 		private, err = rsa.GenerateKey(rand.Reader, minRSABits)
 	default:
-		return nil, fmt.Errorf("algorithm %q: wants EdDSA, ES256 or RS256", algorithm)
+		return nil, fmt.Errorf("algorithm %q is not supported: must be EdDSA, ES256 or RS256", algorithm)
 	}
 	if err != nil {
 		return nil, err
@@ -42,8 +43,8 @@
 	return key, nil
 }
 
-// EncodePublic gives the text of a set with the public half of a key and the times between which it counts. A zero time
-// is none.
+// EncodePublic returns the JSON text of a JWK set that contains the public half of a key and its validity period. A
+// zero time is left out.
 func EncodePublic(key jose.JSONWebKey, notBefore, retireAt time.Time, withdrawn bool) ([]byte, error) {
 	public := key.Public()
 	text, err := public.MarshalJSON()
@@ -67,7 +68,7 @@
 	return append(set, '\n'), err
 }
 
-// LoadPrivateKey reads a private key's file. Its errors hold nothing of the key.
+// LoadPrivateKey reads a private key from a file. Its errors contain no part of the key.
 func LoadPrivateKey(path string) (jose.JSONWebKey, error) {
 	var key jose.JSONWebKey
 	text, err := os.ReadFile(path)
@@ -75,7 +76,7 @@
 		return key, err
 	}
 	if err := key.UnmarshalJSON(text); err != nil || key.IsPublic() || !key.Valid() {
-		return key, fmt.Errorf("%s: wants a private key as \"keys new\" writes it", path)
+		return key, fmt.Errorf("%s is not a private key in the format that \"keys new\" writes", path)
 	}
 	return key, nil
 }
--- a/internal/keyring/golden_test.go
+++ b/internal/keyring/golden_test.go
@@ -13,10 +13,10 @@
 	"lanewheel/internal/setuptest"
 )
 
-// The files of testdata/golden were written by "lanewheel keys new", "keys publish" and "keys retire". Their keys
-// are for this test alone.
+// The files in testdata/golden were written by "lanewheel keys new", "keys publish" and "keys retire". Their keys are
+// used in tests only.
 
-// Private keys read as what they are, and are written again to the byte.
+// Stored private keys are read correctly, and encoding them again yields the same bytes.
 func TestGoldenPrivateKeys(t *testing.T) {
 	for name, algorithm := range map[string]string{"ed": "EdDSA", "es": "ES256", "rs": "RS256"} {
 		path := filepath.Join("testdata/golden", name+".private")
@@ -26,20 +26,20 @@
 		}
 		text := append(setuptest.Must(key.MarshalJSON()), '\n')
 		if want := setuptest.Must(os.ReadFile(path)); !bytes.Equal(text, want) {
-			t.Errorf("%s is written as\n%swant\n%s", path, text, want)
+			t.Errorf("%s is encoded as\n%swant\n%s", path, text, want)
 		}
 	}
 }
 
-// A folder of published keys reads with all that each says, and each file is written again to the byte.
+// Published keys are read with all their members, and encoding them again yields the same bytes.
 func TestGoldenPublishedKeys(t *testing.T) {
 	set := setuptest.Must(LoadSet("testdata/golden"))
 	from := time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
 	until := time.Date(2066, 1, 1, 0, 0, 0, 0, time.UTC)
 	wantKeys := []struct {
-		key    Key          // without its public half
-		early  authz.Denial // a second before from
-		during authz.Denial
+		key    Key          // without PublicKey and File
+		early  authz.Denial // one second before from
+		during authz.Denial // between from and until
 		late   authz.Denial // at until
 	}{
 		{
@@ -64,7 +64,7 @@
 		if got.ID != want.key.ID || got.Algorithm != want.key.Algorithm || got.Withdrawn != want.key.Withdrawn ||
 			!got.NotBefore.Equal(want.key.NotBefore) || !got.RetireAt.Equal(want.key.RetireAt) ||
 			filepath.Base(got.File) != string(want.key.ID)+".json" {
-			t.Errorf("%s reads as %+v", want.key.ID, got)
+			t.Errorf("%s is read as %+v", want.key.ID, got)
 		}
 		for at, denial := range map[time.Time]authz.Denial{
 			from.Add(-time.Second): want.early,
@@ -84,7 +84,7 @@
 	}
 }
 
-// The denials that are spoken, in answers, logs and listings.
+// The texts of denials, which appear in responses, logs and command-line listings, must not change.
 func TestGoldenDenials(t *testing.T) {
 	for denial, want := range map[authz.Denial]string{
 		UnknownKey:  "unknown-key",
--- a/internal/keyring/key.go
+++ b/internal/keyring/key.go
@@ -1,6 +1,7 @@
-// Package keyring holds the keys that tokens are signed with: read whole or not at all from a folder of JWK sets (RFC
-// 7517), each key with the times between which it counts. Decisions do no I/O and take the time as an argument; the
-// functions of folder.go, generate.go and writefile.go read and write files.
+// Package keyring holds the public keys that verify token signatures. They are read from a folder of JWK sets (RFC
+// 7517), in which each key has a validity period. If any file of the folder is invalid, no key of the folder is used.
+// Keyring and KeySet do no I/O and take the time as an argument. The functions in folder.go, generate.go and
+// writefile.go read and write files.
 package keyring
 
 import (
@@ -12,30 +13,30 @@
 	"lanewheel/internal/authz"
 )
 
-// KeyID is a key's kid.
+// KeyID identifies a key: the kid member of its JWK.
 type KeyID string
 
-// Why a key does not count.
+// The reasons for which a key is not valid.
 const (
-	UnknownKey  authz.Denial = "unknown-key"   // no file has it
-	notYetValid authz.Denial = "early-key"     // it is published, but its time has not come
-	retired     authz.Denial = "retired-key"   // its time is over
-	Withdrawn   authz.Denial = "withdrawn-key" // withdrawn before its time was over, or its file is gone
+	UnknownKey  authz.Denial = "unknown-key"   // no file contains the key
+	notYetValid authz.Denial = "early-key"     // the key is published, but its validity period has not started
+	retired     authz.Denial = "retired-key"   // the validity period of the key has ended
+	Withdrawn   authz.Denial = "withdrawn-key" // withdrawn before the end of its period, or no longer in any file
 )
 
-// Key is one public key. It never changes.
+// Key is a public key. It is immutable once it is part of a KeySet.
 type Key struct {
 	ID        KeyID
-	Algorithm jose.SignatureAlgorithm // the only one that it counts for
+	Algorithm jose.SignatureAlgorithm // the only algorithm that the key is valid for
 	PublicKey crypto.PublicKey
-	NotBefore time.Time // zero: always
-	RetireAt  time.Time // the first moment at which it no longer counts; zero: never
+	NotBefore time.Time // zero: valid from the start
+	RetireAt  time.Time // the first moment at which the key is no longer valid; zero: no end
 	Withdrawn bool
-	File      string
+	File      string // the path of the file that contains the key
 }
 
-// CheckTime tells why a key does not count at a moment, empty if it does. That is the same for all instances, whenever
-// they read the file.
+// CheckTime returns the denial if the key is not valid at the given time, and "" if it is valid. The result depends on
+// the key's file and the time only, not on when an instance read the file.
 func (k *Key) CheckTime(wall time.Time) authz.Denial {
 	switch {
 	case k.Withdrawn:
@@ -48,7 +49,7 @@
 	return ""
 }
 
-// SamePublicKey tells whether two keys are the same but for their ids and times.
+// SamePublicKey reports whether two keys have the same algorithm and public key. Their IDs and times may differ.
 func (k *Key) SamePublicKey(other *Key) bool {
 	public, hasEqual := k.PublicKey.(interface{ Equal(crypto.PublicKey) bool })
 	return hasEqual && k.Algorithm == other.Algorithm && public.Equal(other.PublicKey)
--- a/internal/keyring/keyring.go
+++ b/internal/keyring/keyring.go
@@ -7,34 +7,36 @@
 	"lanewheel/internal/boundedmap"
 )
 
-// maxRememberedIDs bounds the ids that are no keys, or no longer: forged ones evict each other, and cost at most a read
-// of the folder.
+// maxRememberedIDs limits the remembered IDs of removed keys, and separately of keys that were not found. Forged IDs
+// evict each other. An evicted ID costs at most another read of the folder.
 const maxRememberedIDs = 1024
 
-// Keyring is the set in force, and decides when the folder is read again. It belongs to the event loop.
+// Keyring holds the current key set and decides when the folder is read again. It belongs to the event loop.
 type Keyring struct {
 	set      *KeySet                              // nil: no keys
-	removed  boundedmap.Map[KeyID, struct{}]      // keys that were in force and whose files are gone
-	notFound boundedmap.Map[KeyID, time.Duration] // ids that a read did not find, and when it was begun
+	removed  boundedmap.Map[KeyID, struct{}]      // keys of earlier sets that are in no file any more
+	notFound boundedmap.Map[KeyID, time.Duration] // IDs that a read did not find, with the start time of the read
 
-	reloadInterval  time.Duration // between two reads for unknown keys
-	reloadStartedAt time.Duration // when the last one was begun
+	reloadInterval  time.Duration // minimum time between two reads for unknown keys
+	reloadStartedAt time.Duration // start of the last read for unknown keys
 	reloading       bool
 	everReloaded    bool
 }
 
-// NewKeyring starts with a set. reloadInterval is the least time between two reads of the folder for unknown keys.
+// NewKeyring returns a keyring with an initial set. reloadInterval is the minimum time between two reads of the folder
+// for unknown keys.
 func NewKeyring(set *KeySet, reloadInterval time.Duration) *Keyring {
 	return &Keyring{set: set, reloadInterval: reloadInterval}
 }
 
-// Reloading tells whether a read of the folder is under way.
+// Reloading reports whether a read of the folder for an unknown key is in progress.
 func (r *Keyring) Reloading() bool { return r.reloading }
 
-// Set is the one in force.
+// Set returns the current key set.
 func (r *Keyring) Set() *KeySet { return r.set }
 
-// Replace puts a set in force and tells whether it is another one. Keys that are no longer in it count as withdrawn.
+// Replace replaces the current set and reports whether the new set differs from it. Keys that are not in the new set
+// are treated as withdrawn.
 func (r *Keyring) Replace(set *KeySet) bool {
 	if r.set != nil && set != nil && r.set.digest == set.digest {
 		return false
@@ -49,7 +51,7 @@
 	return true
 }
 
-// Find gives a key that counts at a moment, or why there is none.
+// Find returns the key with an ID if it is valid at the given time. Otherwise it returns nil and the denial.
 func (r *Keyring) Find(id KeyID, wall time.Time) (*Key, authz.Denial) {
 	if key := r.set.Find(id); key != nil {
 		if denial := key.CheckTime(wall); denial != "" {
@@ -63,24 +65,25 @@
 	return nil, UnknownKey
 }
 
-// UnknownKeyAction is what an unknown key leads to.
+// UnknownKeyAction is how to handle a token with an unknown key.
 type UnknownKeyAction int
 
 // The actions.
 const (
-	Deny       UnknownKeyAction = iota // the folder was read for this key a moment ago
-	Reload                             // read the folder now, and decide then
-	Await                              // a read is under way: decide when it is done
-	RetryLater                         // the next read may be begun after a while
+	Deny       UnknownKeyAction = iota // deny the token: a recent read of the folder did not find the key
+	Reload                             // read the folder now, then check the token again
+	Await                              // check the token again when the read in progress ends
+	RetryLater                         // have the client retry when the next read may start
 )
 
 func (a UnknownKeyAction) String() string {
 	return [...]string{"deny", "reload", "await", "retry later"}[a]
 }
 
-// ResolveUnknown decides what an unknown key leads to; the duration is the delay with RetryLater. All that ask
-// share one read of the folder: forged tokens with ever new ids must neither keep the disk busy, nor hold up a key
-// that was just published.
+// ResolveUnknown returns the action for an unknown key. For RetryLater, it also returns the time until the next read
+// may start. After Reload, the caller must call ReloadDone when the read ends. All unknown keys share one read of the
+// folder: forged tokens, each with a new ID, must neither keep the disk busy nor delay the use of a newly published
+// key.
 func (r *Keyring) ResolveUnknown(now time.Duration, id KeyID) (UnknownKeyAction, time.Duration) {
 	if readStarted, found := r.notFound.Get(id); found && now-readStarted < r.reloadInterval {
 		return Deny, 0
@@ -97,8 +100,8 @@
 	return Reload, 0
 }
 
-// ReloadDone ends a read of the folder; if it brought a set, Replace goes before it. Those of the sought ids that are
-// still unknown are denied until another read may be begun.
+// ReloadDone records the end of a read of the folder. If the read succeeded, the caller must call Replace before. Those
+// of the requested IDs that are still unknown are denied until the next read may start.
 func (r *Keyring) ReloadDone(requestedIDs []KeyID) {
 	r.reloading = false
 	for _, id := range requestedIDs {
--- a/internal/keyring/keyring_test.go
+++ b/internal/keyring/keyring_test.go
@@ -18,7 +18,7 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// lifetime is when a key counts, in seconds after start; 0 is no bound.
+// lifetime is the validity period of a key, in seconds after start. 0 means no limit.
 type lifetime struct{ from, until int }
 
 func (l lifetime) times() (notBefore, retireAt time.Time) {
@@ -31,7 +31,7 @@
 	return at(l.from), at(l.until)
 }
 
-// encodeTestKey makes a key and gives the file that publishes it.
+// encodeTestKey generates a key and returns the content of the file that publishes it.
 func encodeTestKey(id, algorithm string, period lifetime, withdrawn bool) []byte {
 	key := setuptest.Must(GenerateKey(algorithm))
 	key.KeyID = id
@@ -39,8 +39,8 @@
 	return setuptest.Must(EncodePublic(*key, notBefore, retireAt, withdrawn))
 }
 
-// A key counts from its not-before until its retire-at, to the moment; what was withdrawn, what is gone and what nobody
-// knows are told apart.
+// A key is valid from NotBefore until just before RetireAt. Find returns different denials for unknown keys and for
+// keys that are withdrawn or removed from the folder.
 func Example_validity() {
 	set := setuptest.Must(ParseSet(map[string][]byte{
 		"a.json": encodeTestKey("a", "EdDSA", lifetime{10, 20}, false),
@@ -67,7 +67,7 @@
 	// withdrawn-key
 }
 
-// What is wrong with a folder is told by file, line and name; with one thing wrong nothing of it counts.
+// Faults of key files are reported with file, line and name. If any file is invalid, ParseSet returns no set.
 func Example_invalidFiles() {
 	good := string(encodeTestKey("a", "EdDSA", lifetime{}, false))
 	private := string(setuptest.Must(setuptest.Must(GenerateKey("EdDSA")).MarshalJSON()))
@@ -89,19 +89,20 @@
 	_, err := ParseSet(map[string][]byte{"f.json": []byte(good), "g.json": []byte(good)})
 	fmt.Println(err)
 	// Output:
-	// f.json:1: can't be read: unexpected end of JSON input
-	// f.json: keys: wants a list of keys
-	// f.json:1: keys.0: wants a public key; this one is private or shared, and has to be replaced
-	// f.json:1: keys.0: wants a public key; this one is private or shared, and has to be replaced
-	// f.json:3: keys.0: wants nbf and exp in seconds since 1970
-	// f.json:3: keys.0: wants the alg EdDSA, which is what such a key is for
-	// f.json:3: keys.0: can't be read: json: duplicate key 'kid' in object (and 1 more)
-	// f.json:3: keys.0: wants a kid
-	// f.json:3: keys.0: wants an exp after its nbf
-	// g.json:6: keys.0.kid: is "a", is a key of f.json too
+	// f.json:1: cannot be parsed as a JWK set: unexpected end of JSON input
+	// f.json: keys: must be a list of keys
+	// f.json:1: keys.0: must be a public key; this key is private or symmetric and must be replaced
+	// f.json:1: keys.0: must be a public key; this key is private or symmetric and must be replaced
+	// f.json:3: keys.0: nbf and exp must be in seconds since 1970
+	// f.json:3: keys.0: alg must be EdDSA for this type of key, or absent
+	// f.json:3: keys.0: cannot be parsed as a JWK: json: duplicate key 'kid' in object (and 1 more)
+	// f.json:3: keys.0: must have a kid
+	// f.json:3: keys.0: exp must be later than nbf
+	// g.json:6: keys.0.kid: is "a", must be unique: f.json already has a key with this ID
 }
 
-// Any number of unknown ids leads to one read a second; a key that is published after a read is found by the next.
+// Unknown key IDs, however many, cause at most one read per second. A key that is published after a read is found by
+// the next one.
 func Example_reloads() {
 	ring := NewKeyring(setuptest.Must(ParseSet(nil)), time.Second)
 	resolve := func(now time.Duration, id KeyID) {
@@ -139,21 +140,22 @@
 	// 10 true
 }
 
-// A file that is cut after any of its bytes is no set, or the same one; never another.
+// A key file that is truncated at any byte is rejected or parses to the same set, never to a different one.
 func TestTruncatedFile(t *testing.T) {
 	text := encodeTestKey("a", "ES256", lifetime{10, 20}, false)
 	for n := range len(text) {
 		set, err := ParseSet(map[string][]byte{"a.json": text[:n]})
 		if err == nil && (len(set.Keys()) != 1 || !set.Find("a").RetireAt.Equal(start.Add(20*time.Second))) {
-			t.Fatalf("cut after %d bytes it reads as %v", n, set.Keys())
+			t.Fatalf("truncated after %d bytes, the file parses as %v", n, set.Keys())
 		}
 	}
 }
 
-// Files are replaced whole, private keys are for their owner, and what is being written is no part of the folder.
+// WriteFileAtomic sets the given file mode. LoadSet skips files that are being written, and rejects files that are too
+// long.
 func Example_writeFileAtomic() {
 	dir := setuptest.Must(os.MkdirTemp("", "keys"))
-	defer func() { _ = os.RemoveAll(dir) }() // left to the system if it fails
+	defer func() { _ = os.RemoveAll(dir) }() // best effort: the system cleans up temporary folders
 	path := filepath.Join(dir, "a.json")
 	fmt.Println(WriteFileAtomic(path, encodeTestKey("a", "EdDSA", lifetime{}, false), 0o600))
 	fmt.Println(os.WriteFile(filepath.Join(dir, ".b.json.new"), []byte("{"), 0o600))
@@ -167,16 +169,16 @@
 	// <nil>
 	// -rw------- 1
 	// <nil>
-	// DIR/b.json: wants 262144 bytes or fewer
+	// DIR/b.json: must be at most 262144 bytes
 }
 
-// keyringModel is which keys are published, and which ever were.
+// keyringModel records which keys are published and which ones were published at any time.
 type keyringModel struct {
 	published     map[string]lifetime
 	everPublished map[string]bool
 }
 
-// drawReload draws the keys of another folder.
+// drawReload draws a new set of published keys.
 func (m *keyringModel) drawReload(t *rapid.T) {
 	m.published = map[string]lifetime{}
 	for _, id := range []string{"a", "b", "c"} {
@@ -188,6 +190,7 @@
 	}
 }
 
+// denial returns the denial that the keyring must return for a key, seconds after start.
 func (m *keyringModel) denial(id string, seconds int) authz.Denial {
 	period, published := m.published[id]
 	switch {
@@ -203,9 +206,9 @@
 	return ""
 }
 
-// The keyring against a table of what was published when.
+// TestKeyring compares a keyring with a model over random reloads and times.
 func TestKeyring(t *testing.T) {
-	files := map[string][]byte{} // making a key takes a while
+	files := map[string][]byte{} // reused, as generating keys is slow
 	encodedFile := func(id string, period lifetime) []byte {
 		name := fmt.Sprint(id, period)
 		if files[name] == nil {
@@ -245,7 +248,7 @@
 		}
 		for _, key := range set.Keys() {
 			if key.ID == "" || key.PublicKey == nil || key.Algorithm == "" {
-				t.Fatalf("a key without what it needs: %+v", key)
+				t.Fatalf("key without an ID, a public key or an algorithm: %+v", key)
 			}
 		}
 	})
@@ -260,11 +263,11 @@
 	first := parse(setuptest.Must(EncodePublic(*key, time.Time{}, time.Time{}, false)))
 	later := parse(setuptest.Must(EncodePublic(*key, start, time.Time{}, false)))
 	if !first.SamePublicKey(later) {
-		t.Error("a key with another time is another one")
+		t.Error("keys that differ only in their times are reported as different")
 	}
 	for _, algorithm := range []string{"EdDSA", "ES256"} {
 		if other := parse(encodeTestKey("a", algorithm, lifetime{}, false)); first.SamePublicKey(other) {
-			t.Errorf("another key, of %s, is the same one", algorithm)
+			t.Errorf("a different key for %s is reported as the same", algorithm)
 		}
 	}
 }
--- a/internal/keyring/keyset.go
+++ b/internal/keyring/keyset.go
@@ -11,21 +11,21 @@
 	"lanewheel/internal/diagnostic"
 )
 
-// Bounds of a folder: a few rotations of a few issuers.
+// The limits of a key folder. They leave room for a few rotations of the keys of a few issuers.
 const (
 	maxKeys      = 256
 	maxFiles     = 64
 	maxFileBytes = 256 << 10
 )
 
-// KeySet is all keys of a folder. It never changes, and may be used from any goroutine; a nil one is empty.
+// KeySet holds all keys of a folder. It is immutable and may be used from any goroutine. A nil *KeySet is empty.
 type KeySet struct {
 	keys   map[KeyID]*Key
-	digest [sha256.Size]byte // of all files
+	digest [sha256.Size]byte // of the names and contents of all files
 }
 
-// ParseSet makes a set of files, by their names. All of them have to be right: the error is a diagnostic.List with all
-// that is wrong.
+// ParseSet parses the contents of key files, by file name. If any file is invalid, it returns no set, and the error
+// is a diagnostic.List with the faults of all files.
 func ParseSet(files map[string][]byte) (*KeySet, error) {
 	set := &KeySet{keys: map[KeyID]*Key{}}
 	var diagnostics diagnostic.List
@@ -40,7 +40,7 @@
 		diagnostics = append(diagnostics, diagnostic.Diagnostic{
 			File:  "keys",
 			Value: strconv.Itoa(len(set.keys)),
-			Want:  fmt.Sprintf("wants %d keys or fewer", maxKeys),
+			Want:  fmt.Sprintf("must be at most %d keys", maxKeys),
 		})
 	}
 	if err := diagnostics.Err(); err != nil {
@@ -50,7 +50,7 @@
 	return set, nil
 }
 
-// Keys are all keys, by id.
+// Keys returns all keys, sorted by ID.
 func (s *KeySet) Keys() []*Key {
 	if s == nil {
 		return nil
@@ -59,7 +59,7 @@
 	return slices.SortedFunc(maps.Values(s.keys), byID)
 }
 
-// Find gives a key, nil if the set has none of that id.
+// Find returns the key with an ID, or nil if the set has no such key.
 func (s *KeySet) Find(id KeyID) *Key {
 	if s == nil {
 		return nil
--- a/internal/keyring/parse.go
+++ b/internal/keyring/parse.go
@@ -16,7 +16,7 @@
 	"lanewheel/internal/diagnostic"
 )
 
-// Members of a published key beside those of RFC 7517.
+// The names of the members of a published key that RFC 7517 does not define.
 const (
 	notBeforeMember = "nbf" // seconds since 1970
 	retireAtMember  = "exp" // seconds since 1970
@@ -24,22 +24,23 @@
 )
 
 const (
-	signatureUse = "sig" // the only use of a key, in its member of that name
+	signatureUse = "sig" // the only accepted value of a key's use member
 
-	maxUnixSeconds = 3e10 // far beyond any time that is meant, and far below one in milliseconds
+	// maxUnixSeconds is far later than any plausible time in seconds, and far below any recent time in milliseconds.
+	maxUnixSeconds = 3e10
 
-	minRSABits = 2048 // shorter ones are weak
-	maxRSABits = 4096 // longer ones take too long to verify with
+	minRSABits = 2048 // shorter keys are weak
+	maxRSABits = 4096 // verification with longer keys takes too long
 )
 
-// extensions are the members of a published key beside those of RFC 7517.
+// extensions holds the members of a published key that RFC 7517 does not define.
 type extensions struct {
 	NotBefore *float64 `json:"nbf"`
 	RetireAt  *float64 `json:"exp"`
 	Withdrawn bool     `json:"withdrawn"`
 }
 
-// addFile adds the keys of one file, and gives all that is wrong with it.
+// addFile adds the keys of one file and returns the faults of the file.
 func (s *KeySet) addFile(name string, text []byte) diagnostic.List {
 	var diagnostics diagnostic.List
 	lines, duplicates := diagnostic.JSONLines(text)
@@ -53,21 +54,21 @@
 		})
 	}
 	if len(text) > maxFileBytes {
-		report("", strconv.Itoa(len(text)), fmt.Sprintf("wants %d bytes or fewer", maxFileBytes))
+		report("", strconv.Itoa(len(text)), fmt.Sprintf("must be at most %d bytes", maxFileBytes))
 		return diagnostics
 	}
-	for _, path := range duplicates { // readers differ in which of the two they take
-		report(path, "", "stands twice")
+	for _, path := range duplicates { // JSON parsers differ in which of the duplicates they use
+		report(path, "", "must not appear more than once")
 	}
 	var set struct {
 		Keys []json.RawMessage `json:"keys"`
 	}
 	if err := json.Unmarshal(text, &set); err != nil {
-		report("", "", "can't be read: "+err.Error())
+		report("", "", "cannot be parsed as a JWK set: "+err.Error())
 		return diagnostics
 	}
 	if set.Keys == nil {
-		report("keys", "", "wants a list of keys")
+		report("keys", "", "must be a list of keys")
 	}
 	for i, raw := range set.Keys {
 		path := fmt.Sprintf("keys.%d", i)
@@ -77,7 +78,7 @@
 			continue
 		}
 		if other := s.keys[key.ID]; other != nil {
-			report(path+".kid", string(key.ID), "is a key of "+other.File+" too")
+			report(path+".kid", string(key.ID), "must be unique: "+other.File+" already has a key with this ID")
 			continue
 		}
 		key.File = name
@@ -86,25 +87,25 @@
 	return diagnostics
 }
 
-// parseKey reads one key. Its error says what is wanted of it.
+// parseKey parses one key. The error states the requirement that the key does not meet.
 func parseKey(raw json.RawMessage) (*Key, error) {
 	var jwk jose.JSONWebKey
 	if err := jwk.UnmarshalJSON(raw); err != nil {
-		return nil, fmt.Errorf("can't be read: %w", err)
+		return nil, fmt.Errorf("cannot be parsed as a JWK: %w", err)
 	}
 	var extra extensions
 	if err := json.Unmarshal(raw, &extra); err != nil {
-		return nil, fmt.Errorf("can't be read: %w", err)
+		return nil, fmt.Errorf("cannot be parsed as a JWK: %w", err)
 	}
 	if jwk.KeyID == "" {
-		return nil, errors.New("wants a kid")
+		return nil, errors.New("must have a kid")
 	}
-	// All instances read the folder, and whoever else can: a private key in it is no secret any more.
+	// All instances, and possibly others, can read the folder: a private or symmetric key in it is no longer secret.
 	if !jwk.IsPublic() {
-		return nil, errors.New("wants a public key; this one is private or shared, and has to be replaced")
+		return nil, errors.New("must be a public key; this key is private or symmetric and must be replaced")
 	}
 	if jwk.Use != "" && jwk.Use != signatureUse {
-		return nil, fmt.Errorf("wants the use %q", signatureUse)
+		return nil, fmt.Errorf("use must be %q or absent", signatureUse)
 	}
 	key := &Key{ID: KeyID(jwk.KeyID), PublicKey: jwk.Key, Withdrawn: extra.Withdrawn}
 	var err error
@@ -118,41 +119,42 @@
 		return nil, err
 	}
 	if jwk.Algorithm != "" && jwk.Algorithm != string(key.Algorithm) {
-		return nil, fmt.Errorf("wants the alg %s, which is what such a key is for", key.Algorithm)
+		return nil, fmt.Errorf("alg must be %s for this type of key, or absent", key.Algorithm)
 	}
 	if !key.RetireAt.IsZero() && !key.NotBefore.Before(key.RetireAt) {
-		return nil, errors.New("wants an exp after its nbf")
+		return nil, errors.New("exp must be later than nbf")
 	}
 	return key, nil
 }
 
-// parseUnixTime gives the time of a member in seconds; nil: the zero time. A time in milliseconds, or one that nobody meant,
-// would keep a key for ever.
+// parseUnixTime converts seconds since 1970 to a time, and nil to the zero time. It returns an error unless the
+// seconds are positive and at most maxUnixSeconds: with a time in milliseconds, or an implausible one, a key would
+// never retire.
 func parseUnixTime(seconds *float64) (time.Time, error) {
 	if seconds == nil {
 		return time.Time{}, nil
 	}
 	if *seconds <= 0 || *seconds > maxUnixSeconds {
-		return time.Time{}, errors.New("wants nbf and exp in seconds since 1970")
+		return time.Time{}, errors.New("nbf and exp must be in seconds since 1970")
 	}
 	return time.UnixMilli(int64(*seconds * 1e3)), nil
 }
 
-// algorithmOf gives the one algorithm that a public key counts for.
+// algorithmOf returns the only algorithm that a public key is valid for. It returns an error for an unsupported key.
 func algorithmOf(public any) (jose.SignatureAlgorithm, error) {
 	switch public := public.(type) {
 	case ed25519.PublicKey:
 		return jose.EdDSA, nil
 	case *ecdsa.PublicKey:
 		if public.Curve != elliptic.P256() {
-			return "", errors.New("wants the curve P-256")
+			return "", errors.New("must use the curve P-256")
 		}
 		return jose.ES256, nil
 	case *rsa.PublicKey:
 		if bits := public.N.BitLen(); bits < minRSABits || bits > maxRSABits {
-			return "", fmt.Errorf("wants a modulus of %d to %d bits", minRSABits, maxRSABits)
+			return "", fmt.Errorf("must have a modulus of %d to %d bits", minRSABits, maxRSABits)
 		}
 		return jose.RS256, nil
 	}
-	return "", errors.New("wants a key of Ed25519, P-256 or RSA")
+	return "", errors.New("must be an Ed25519, P-256 or RSA key")
 }
--- a/internal/keyring/writefile.go
+++ b/internal/keyring/writefile.go
@@ -6,8 +6,8 @@
 	"path/filepath"
 )
 
-// WriteFileAtomic replaces a file whole: no reader sees a part of it. While it is written it has another name, with a
-// dot in front.
+// WriteFileAtomic replaces a file atomically: readers never see partial content. It writes a temporary file in the same
+// folder, whose name starts with a dot, and renames it.
 func WriteFileAtomic(path string, text []byte, mode os.FileMode) error {
 	temporary := filepath.Join(filepath.Dir(path), "."+filepath.Base(path)+".new")
 	file, err := os.OpenFile(temporary, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, mode)
@@ -20,7 +20,7 @@
 		err = os.Rename(temporary, path)
 	}
 	if err != nil {
-		_ = os.Remove(temporary) // the first error counts
+		_ = os.Remove(temporary) // best effort: the earlier error is returned
 	}
 	return err
 }
--- a/internal/tokens/cache.go
+++ b/internal/tokens/cache.go
@@ -8,8 +8,7 @@
 	"lanewheel/internal/keyring"
 )
 
-// denialTTL is how long a bad token is known as such without another check. A client that repeats it does so within
-// seconds.
+// denialTTL is the time for which a denial is cached. A client that repeats a denied token does so within seconds.
 const denialTTL = 10 * time.Second
 
 // tokenDigest identifies a token in the caches.
@@ -17,20 +16,21 @@
 
 func digestOf(raw string) tokenDigest { return sha256.Sum256([]byte(raw)) }
 
-// CachedToken is a good token that is remembered.
+// CachedToken is a verified token in the cache.
 type CachedToken struct {
 	Claims
 	digest     tokenDigest
-	generation uint64        // of the verifier's configuration that it was validated against
-	key        *keyring.Key  // as it was in force then
-	expiresAt  time.Duration // by the event loop's time, whatever the wall clock does
-	referenced bool          // since the eviction hand last passed
+	generation uint64        // the verifier's generation when the token was last validated
+	key        *keyring.Key  // the token's key in that generation
+	expiresAt  time.Duration // in event loop time, which does not depend on the wall clock
+	referenced bool          // used since the clock hand last passed
 }
 
-// cache holds good tokens. Eviction is by a clock: the first entry goes that was not used since the hand last passed.
+// cache holds verified tokens. It uses the clock algorithm: the hand evicts the first entry that was not used since it
+// last passed.
 type cache struct {
 	entries map[tokenDigest]*CachedToken
-	ring    []*CachedToken // all entries, and removed ones that the hand has not come to
+	ring    []*CachedToken // all entries, and removed entries that the hand has not reached yet
 	hand    int            // index into ring
 }
 
@@ -41,7 +41,7 @@
 
 func (c *cache) contains(entry *CachedToken) bool { return c.entries[entry.digest] == entry }
 
-// add keeps an entry, and evicts others while there are limit of them.
+// add adds an entry, and first evicts others until fewer than limit are left. A limit below 1 counts as 1.
 func (c *cache) add(entry *CachedToken, limit int) {
 	delete(c.entries, entry.digest)
 	for len(c.ring) >= max(1, limit) {
@@ -57,6 +57,7 @@
 	c.ring = append(c.ring, entry)
 }
 
+// evictAtHand removes the entry at the hand from the cache and from the ring.
 func (c *cache) evictAtHand() {
 	c.remove(c.ring[c.hand])
 	last := len(c.ring) - 1
@@ -65,22 +66,22 @@
 	c.ring = c.ring[:last]
 }
 
-// remove has an entry not found any more; its place in the ring is left to the hand.
+// remove removes an entry from the map. Its slot in the ring is freed when the hand reaches it.
 func (c *cache) remove(entry *CachedToken) {
 	if c.contains(entry) {
 		delete(c.entries, entry.digest)
 	}
 }
 
-// cachedDenial is why a token proves nothing.
+// cachedDenial is the denial of a token.
 type cachedDenial struct {
 	denial     authz.Denial
-	generation uint64 // of the verifier's configuration that says so
+	generation uint64 // the verifier's generation when the token was denied
 	expiresAt  time.Duration
 }
 
-// isPermanent tells whether a denial stays true of a token whatever the time. One that was denied a moment too early must
-// not stay denied when its time has come.
+// isPermanent reports whether a denial applies to a token at any time. Other denials must not be cached: a token that
+// is denied shortly before it becomes valid must not stay denied after that.
 func isPermanent(denial authz.Denial) bool {
 	switch denial {
 	case Malformed, WrongAlgorithm, CriticalHeader, BadSignature, WrongIssuer, WrongAudience, NoSubject, noTokenID:
@@ -89,7 +90,8 @@
 	return false
 }
 
-// Lookup gives a token's entry, or why it proves nothing, if that is known. Otherwise RequestCheck has it checked.
+// Lookup returns the cached entry of a token or its denial, or both for a cached token that is no longer valid. If
+// found is false, the token must be checked with RequestCheck.
 func (v *Verifier) Lookup(
 	now time.Duration, wall time.Time, raw string,
 ) (entry *CachedToken, denial authz.Denial, found bool) {
@@ -111,8 +113,9 @@
 	return nil, "", false
 }
 
-// Revalidate tells why a cached token no longer counts, if it does not. Where current is false it has to be looked up
-// again. It is called for each request, and costs a few comparisons while nothing has changed.
+// Revalidate returns the denial of a cached token that is no longer valid, and "" for a valid one. If current is false,
+// the entry is outdated, and the token must be looked up again. Revalidate is called for each request and costs a few
+// comparisons while the configuration is unchanged.
 func (v *Verifier) Revalidate(
 	now time.Duration, wall time.Time, entry *CachedToken,
 ) (denial authz.Denial, current bool) {
@@ -122,6 +125,8 @@
 	return v.validate(now, wall, entry)
 }
 
+// validate checks a cached token against the current configuration and time, and marks it as referenced. Its results
+// are those of Revalidate.
 func (v *Verifier) validate(now time.Duration, wall time.Time, entry *CachedToken) (authz.Denial, bool) {
 	entry.referenced = true
 	if entry.generation != v.generation {
@@ -130,7 +135,7 @@
 			_, denial := v.keyring.Find(entry.KeyID, wall)
 			return denial, denial != keyring.UnknownKey
 		}
-		if !key.SamePublicKey(entry.key) { // another key under the same id proves nothing about this token
+		if !key.SamePublicKey(entry.key) { // another key with the same ID does not verify this token
 			return "", false
 		}
 		if denial := key.CheckTime(wall); denial != "" {
@@ -145,7 +150,8 @@
 	if denial := entry.key.CheckTime(wall); denial != "" {
 		return denial, true
 	}
-	// The event loop's time guards against a wall clock that steps back and would let an expired token live on.
+	// The event loop's time does not step back. With the wall clock alone, an expired token would become valid again after
+	// a step back.
 	if now >= entry.expiresAt {
 		return expired, true
 	}
--- a/internal/tokens/check.go
+++ b/internal/tokens/check.go
@@ -7,73 +7,74 @@
 	"lanewheel/internal/keyring"
 )
 
-// maxWait is how long a request waits for the verdict on its token: a few reads of a folder, and a part of any latency
-// objective.
+// maxWait is the longest time for which a request waits for the verdict on its token. It is enough for a few reads of
+// the key folder and only a part of any latency objective.
 const maxWait = 250 * time.Millisecond
 
-// Verdict is what is known of a token. With neither Entry nor Denial it is not known, and to be asked for again.
+// Verdict is the outcome of the check of a token. If it has neither Entry nor Denial, the token could not be checked in
+// time, and the client is to retry after RetryAfter.
 type Verdict struct {
 	Entry      *CachedToken
 	Denial     authz.Denial
 	RetryAfter time.Duration
 }
 
-// callback is handed a verdict, once.
+// callback receives a verdict. It is called exactly once, on the event loop.
 type callback func(Verdict)
 
-// Action is what a Verifier wants done off the event loop.
+// Action is an operation that a Verifier requests and that its owner performs off the event loop.
 type Action int
 
 // The actions.
 const (
 	noAction   Action = iota
-	CheckToken        // verify the step's token, and hand the result to HandleResult
-	ReloadKeys        // read the key folder, and hand the set to HandleKeys
+	CheckToken        // verify the step's token, and pass the result to HandleResult
+	ReloadKeys        // read the key folder, and pass the set to HandleKeys
 )
 
 func (a Action) String() string {
 	return [...]string{"no action", "check token", "reload keys"}[a]
 }
 
-// Step is what a Verifier wants done. The zero value is nothing.
+// Step is an action and its argument. The zero value requests nothing.
 type Step struct {
 	Action Action
-	Token  string // to be verified, with CheckToken
+	Token  string // the token to verify, for CheckToken
 }
 
-// CheckResult is what a check came to.
+// CheckResult is the result of the check of a token.
 type CheckResult struct {
 	Raw      string
-	Suspect  bool // as given to RequestCheck
+	Suspect  bool // as passed to RequestCheck
 	Claims   Claims
 	Denial   authz.Denial
-	Duration time.Duration   // of a core
-	KeySet   *keyring.KeySet // that the token was verified by
+	Duration time.Duration   // the time that the check took on one CPU core
+	KeySet   *keyring.KeySet // the set that the token was verified with
 }
 
-// pendingCheck is a token whose check is asked for or under way, with all that wait for it.
+// pendingCheck is a token whose check is requested or in progress, with the callbacks that wait for its verdict.
 type pendingCheck struct {
 	raw          string
 	digest       tokenDigest
 	startedAt    time.Duration
-	keysReloaded bool // the key folder was read for it
-	keyID        keyring.KeyID
+	keysReloaded bool          // the key folder was read to find this token's key
+	keyID        keyring.KeyID // the key that the read looks for
 	callbacks    []callback
 }
 
-// pendingChecks are the tokens without a verdict.
+// pendingChecks are the tokens that have no verdict yet.
 type pendingChecks struct {
 	byDigest         map[tokenDigest]*pendingCheck
-	waiting          int             // callbacks of all of them
-	inFlight         int             // checks that are asked for and not back
-	awaitingKeys     []*pendingCheck // for the read of the key folder that is under way
-	reloadSuperseded bool            // the keys were replaced since that read was begun
+	waiting          int             // number of waiting callbacks, over all pending checks
+	inFlight         int             // number of requested checks without a result
+	awaitingKeys     []*pendingCheck // checks that wait for the current read of the key folder
+	reloadSuperseded bool            // the keys were replaced after that read started
 }
 
-// RequestCheck has a token checked that Lookup does not know. done is called once, at once or when the verdict is
-// there. suspect says that the connection has brought forged tokens. Checks take at most a fraction of a core, half
-// of it for connections that are not suspect, so that a flood of forged tokens does not keep others out; what finds
-// no capacity left is told when to retry.
+// RequestCheck requests the check of a token for which Lookup finds nothing. It calls done exactly once: before it
+// returns if the check cannot be queued, and otherwise when the verdict is available. suspect is true if the connection
+// has sent forged tokens. Checks may use a fraction of a CPU core. Half of it is reserved for connections that are not
+// suspect, so that a flood of forged tokens does not block them. If no capacity is left, the verdict has a RetryAfter.
 func (v *Verifier) RequestCheck(now time.Duration, raw string, suspect bool, done callback) Step {
 	digest := digestOf(raw)
 	full := v.checks.waiting >= v.limits.MaxWaiting
@@ -101,19 +102,20 @@
 	return v.startCheck(raw)
 }
 
+// startCheck counts a check as in flight and returns the step that performs it.
 func (v *Verifier) startCheck(raw string) Step {
 	v.checks.inFlight++
 	return Step{Action: CheckToken, Token: raw}
 }
 
-// HandleResult takes the result of a check. It may lead to a read of the key folder, or to another check if the keys
-// have changed since.
+// HandleResult processes the result of a check. The step that it returns may read the key folder, or check the token
+// again if the key set has changed in the meantime.
 func (v *Verifier) HandleResult(now time.Duration, wall time.Time, result CheckResult) Step {
 	v.checks.inFlight--
 	v.budget.spend(now, result.Duration, result.Suspect)
 	digest := digestOf(result.Raw)
 	pending := v.checks.byDigest[digest]
-	if pending == nil { // nobody waits any more
+	if pending == nil { // no request waits for the verdict any more
 		pending = &pendingCheck{raw: result.Raw, digest: digest, keysReloaded: true}
 	}
 	if result.KeySet != v.keyring.Set() {
@@ -137,7 +139,8 @@
 	return Step{}
 }
 
-// acceptClaims gives the verdict on a token that is verified by the key set in force, and caches it if it counts.
+// acceptClaims returns the verdict on a token that was verified with the current key set, and caches the token if it is
+// valid.
 func (v *Verifier) acceptClaims(now time.Duration, wall time.Time, digest tokenDigest, claims Claims) Verdict {
 	entry := &CachedToken{
 		Claims:     claims,
@@ -159,7 +162,8 @@
 	return Verdict{Entry: entry}
 }
 
-// handleUnknownKey decides on a token whose key is not in the set in force.
+// handleUnknownKey handles a token whose key is not in the current key set: it denies the token, asks the client to
+// retry, or waits for a read of the key folder.
 func (v *Verifier) handleUnknownKey(now time.Duration, wall time.Time, pending *pendingCheck, id keyring.KeyID) Step {
 	_, denial := v.keyring.Find(id, wall)
 	if denial == keyring.Withdrawn || pending.keysReloaded {
@@ -182,10 +186,10 @@
 	return Step{}
 }
 
-// HandleKeys takes the set that was read from the key folder; nil if it could not be read, and the one in force stays.
-// It gives the tokens that are to be checked again, and whether another set is in force now.
+// HandleKeys processes the set that was read from the key folder. If the read failed, keys is nil, and the current
+// set is kept. HandleKeys returns the tokens to check again and reports whether the set was replaced.
 func (v *Verifier) HandleKeys(keys *keyring.KeySet) (recheck []string, replaced bool) {
-	if v.checks.reloadSuperseded { // a read that was begun before the keys were replaced would bring older ones back
+	if v.checks.reloadSuperseded { // a read that started before the keys were replaced would restore older keys
 		v.checks.reloadSuperseded = false
 		keys = nil
 	}
@@ -209,8 +213,8 @@
 	return recheck, replaced
 }
 
-// ExpireWaiting tells requests to retry that have waited too long for a verdict, or all that wait. No response is held
-// up by a disk or by a queue of checks.
+// ExpireWaiting gives a verdict with a RetryAfter to the requests that have waited for at least maxWait, or to all
+// waiting requests if all is true. This way, neither a slow disk nor a queue of checks delays a response.
 func (v *Verifier) ExpireWaiting(now time.Duration, all bool) {
 	for _, pending := range v.checks.byDigest {
 		if all || now-pending.startedAt >= maxWait {
@@ -219,7 +223,7 @@
 	}
 }
 
-// resolve hands a verdict to all that wait for it.
+// resolve passes a verdict to all callbacks of a pending check and removes the check.
 func (v *Verifier) resolve(pending *pendingCheck, verdict Verdict) {
 	if v.checks.byDigest[pending.digest] == pending {
 		delete(v.checks.byDigest, pending.digest)
--- a/internal/tokens/check_test.go
+++ b/internal/tokens/check_test.go
@@ -11,14 +11,15 @@
 	"lanewheel/internal/keyring"
 )
 
-// A token under a key that is not read yet: one read of the folder finds it. Forged ids lead to one read a second, and
-// a token whose key is published right after one is told when to retry, not denied.
+// One read of the key folder finds the key of a token that is not loaded yet. Forged key IDs cause at most one read
+// per second. A token that arrives in the second after a read gets a retry delay, not a denial, as its key may just
+// have been published.
 func Example_unknownKey() {
 	v := newTestVerifier("a")
 	v.published = publishedSet("a", "b")
 	fmt.Println(v.verdict(goodToken("b", nil)), "reads", v.reloadCount)
 	for i := range 50 {
-		if got := v.verdict(goodToken(fmt.Sprint("x", i), nil)); got != "later 1s" {
+		if got := v.verdict(goodToken(fmt.Sprint("x", i), nil)); got != "retry after 1s" {
 			fmt.Println(got)
 		}
 	}
@@ -34,7 +35,7 @@
 	// good reads 3
 }
 
-// A read that was begun before the keys were replaced does not bring the older ones back.
+// A read that started before the keys were replaced does not restore the older keys.
 func Example_supersededReload() {
 	v := newTestVerifier("a")
 	raw := goodToken("n", nil)
@@ -51,12 +52,12 @@
 	recheck, replaced := v.HandleKeys(older)
 	fmt.Println(step.Action, len(recheck), replaced, len(v.KeySet().Keys()))
 	// Output:
-	// waits
+	// waiting
 	// reload keys 1 false 2
 }
 
-// A flood of forged tokens takes no more than its share of time; connections that have brought none still get their
-// checks, and a known token costs none. The requests that wait have a bound and an end.
+// A flood of forged tokens uses no more than its share of CPU time. Tokens of other connections are still checked,
+// and a cached token needs no check. The number of waiting requests and their waiting time are limited.
 func Example_forgedTokenFlood() {
 	v := newTestVerifier("a")
 	v.checkCost = time.Millisecond
@@ -103,6 +104,6 @@
 	// good
 	// checks true true denials true good
 	// good
-	// waits waits waits waits later 20ms later 20ms 4
+	// waiting waiting waiting waiting retry after 20ms retry after 20ms 4
 	// 0
 }
--- a/internal/tokens/claims.go
+++ b/internal/tokens/claims.go
@@ -12,26 +12,27 @@
 	"lanewheel/internal/keyring"
 )
 
-// Claims are what a good token proves.
+// Claims are the claims of a verified token.
 type Claims struct {
 	Subject   string
-	ID        string // jti; empty: none
+	ID        string // the jti claim; empty if the token has none
 	Tenant    admission.TenantID
 	Roles     []authz.RoleName
 	KeyID     keyring.KeyID
-	NotBefore time.Time // without the leeway; zero: none
+	NotBefore time.Time // without the leeway; zero if the token has no nbf claim
 	Expiry    time.Time // without the leeway
 }
 
-// NewID draws an id for a token.
+// NewID returns a random token ID.
 func NewID() string { return rand.Text() }
 
-// Identities are the identities that it proves.
+// Identities returns the identities that the token proves: its subject.
 func (c *Claims) Identities() []authz.Identity {
 	return []authz.Identity{authz.NewIdentity(authz.TokenIdentity, c.Subject)}
 }
 
-// CheckTime tells why claims do not count at a moment, with the policy's leeway; empty if they do.
+// CheckTime returns the denial if the claims are expired or not yet valid at the given time, allowing for the policy's
+// leeway. It returns "" if they are valid.
 func (c *Claims) CheckTime(wall time.Time, policy *Policy) authz.Denial {
 	switch {
 	case !wall.Before(c.Expiry.Add(policy.Leeway)):
@@ -42,7 +43,7 @@
 	return ""
 }
 
-// setRegistered copies the claims that every token has; registered has an expiry.
+// setRegistered copies the registered claims of RFC 7519. registered.Expiry must not be nil.
 func (c *Claims) setRegistered(registered *jwt.Claims) {
 	c.Subject = registered.Subject
 	c.ID = registered.ID
@@ -52,7 +53,8 @@
 	}
 }
 
-// setPrivate copies the claims that the policy names. One of another type than it should have counts as none.
+// setPrivate copies the tenant and role claims that the policy names. A claim of an unexpected type is treated as
+// missing.
 func (c *Claims) setPrivate(private map[string]any, policy *Policy) {
 	if policy.TenantClaim != "" {
 		tenant, _ := private[policy.TenantClaim].(string)
--- a/internal/tokens/cpubudget.go
+++ b/internal/tokens/cpubudget.go
@@ -3,20 +3,21 @@
 import "time"
 
 const (
-	// burstWindow bounds what a pool saves up: what it is given in so much time.
+	// burstWindow limits the unused CPU time that a pool accumulates to the amount that it gains in this time.
 	burstWindow = time.Second
-	// minRetryDelay is the shortest delay after which whoever found no capacity retries: some dozen checks.
+	// minRetryDelay is the shortest delay after which a request that found no capacity may retry. It corresponds to about
+	// a dozen checks.
 	minRetryDelay = 20 * time.Millisecond
-	// minPoolWait is the shortest wait for a pool that is used up.
+	// minPoolWait is the shortest wait for an exhausted pool.
 	minPoolWait = time.Millisecond
 )
 
-// pool is a part of the budget. Each gets half of it.
+// pool is one of the two equal parts of the budget.
 type pool int
 
 const (
-	cleanPool   pool = iota // for connections that have brought no forged token
-	suspectPool             // for the others
+	cleanPool   pool = iota // for connections that have sent no forged token
+	suspectPool             // for connections that have sent forged tokens
 	poolCount
 )
 
@@ -27,10 +28,11 @@
 	return cleanPool
 }
 
-// cpuBudget is the time that checks may take: buckets that fill with a fraction of the time that passes.
+// cpuBudget limits the CPU time of checks. It has one token bucket for each pool, which fills with CPU time as time
+// passes.
 type cpuBudget struct {
-	fraction   float64 // of a core
-	remaining  [poolCount]time.Duration
+	fraction   float64                  // fraction of a CPU core, for all pools together
+	remaining  [poolCount]time.Duration // CPU time; negative after a check that took more than the remaining time
 	refilledAt time.Duration
 }
 
@@ -42,7 +44,7 @@
 	return budget
 }
 
-// refillAmount is what a pool is given in some time.
+// refillAmount returns the CPU time that one pool gains in the elapsed time.
 func (b *cpuBudget) refillAmount(elapsed time.Duration) time.Duration {
 	return time.Duration(b.fraction / float64(poolCount) * float64(elapsed))
 }
@@ -55,7 +57,7 @@
 	b.refilledAt = max(b.refilledAt, now)
 }
 
-// waitTime is for how long no check may begin for such a connection, 0 if one may now.
+// waitTime returns the time until a check may start for a suspect or other connection, and 0 if one may start now.
 func (b *cpuBudget) waitTime(now time.Duration, suspect bool) time.Duration {
 	b.refill(now)
 	remaining := b.remaining[poolOf(suspect)]
@@ -65,12 +67,12 @@
 	return max(minPoolWait, time.Duration(float64(-remaining)/(b.fraction/float64(poolCount))))
 }
 
-// minRetryAfter is the shortest delay after which whoever found no capacity retries.
+// minRetryAfter returns the shortest delay after which a request that found no capacity may retry.
 func (b *cpuBudget) minRetryAfter(now time.Duration, suspect bool) time.Duration {
 	return max(b.waitTime(now, suspect), minRetryDelay)
 }
 
-// spend takes off what a check took. A check is not cut short, so a pool may become negative.
+// spend deducts the CPU time of a check from its pool. Checks are not interrupted, so a pool may become negative.
 func (b *cpuBudget) spend(now, duration time.Duration, suspect bool) {
 	b.refill(now)
 	b.remaining[poolOf(suspect)] -= duration
--- a/internal/tokens/golden_test.go
+++ b/internal/tokens/golden_test.go
@@ -16,10 +16,10 @@
 	"lanewheel/internal/setuptest"
 )
 
-// The tokens of testdata/golden were issued by "lanewheel token issue", with the keys of
-// internal/keyring/testdata/golden. Those keys are for tests alone.
+// The tokens in testdata/golden were issued by "lanewheel token issue" with the keys of
+// internal/keyring/testdata/golden, which are used in tests only.
 
-// decodeTokenPart reads the header or the claims of a token as they stand there.
+// decodeTokenPart decodes the header (part 0) or the claims (part 1) of a token without verifying it.
 func decodeTokenPart(t *testing.T, raw string, n int) map[string]any {
 	t.Helper()
 	var members map[string]any
@@ -30,13 +30,13 @@
 	return members
 }
 
-// goldenToken is what a stored token proves, and by which policy.
+// goldenToken is a stored token with its expected claims under a policy.
 type goldenToken struct {
 	name              string
 	algorithm         string
 	policy            *Policy
-	claims            Claims // without the times
-	privateClaimNames []string
+	claims            Claims   // without NotBefore and Expiry
+	privateClaimNames []string // of the tenant and the roles; nil if the token has neither
 }
 
 func goldenTokens() []goldenToken {
@@ -71,12 +71,13 @@
 	}
 }
 
-// Tokens of each algorithm verify, prove what they were issued for, and name their claims as ever.
+// Stored tokens of each algorithm are verified, with the claims they were issued with. The names of their header
+// members and claims must not change.
 func TestGoldenTokens(t *testing.T) {
 	keys := setuptest.Must(keyring.LoadSet("../keyring/testdata/golden"))
 	findKey := func(id keyring.KeyID) (*keyring.Key, authz.Denial) {
 		if key := keys.Find(id); key != nil {
-			return key, "" // whether it counts is decided in keyring
+			return key, "" // the tests of package keyring check the key's validity period
 		}
 		return nil, keyring.UnknownKey
 	}
@@ -94,14 +95,14 @@
 	}
 }
 
-// checkClaims compares what a token proves.
+// checkClaims compares the verified claims with the expected ones.
 func (g goldenToken) checkClaims(t *testing.T, got Claims) {
 	t.Helper()
 	if got.NotBefore.Unix() == 0 || got.Expiry.Sub(got.NotBefore) != 800_000*time.Hour {
-		t.Errorf("counts from %v until %v", got.NotBefore, got.Expiry)
+		t.Errorf("valid from %v until %v", got.NotBefore, got.Expiry)
 	}
 	if denial := got.CheckTime(start, g.policy); denial != "" {
-		t.Errorf("does not count: %s", denial)
+		t.Errorf("denied at %v: %s", start, denial)
 	}
 	if identities := fmt.Sprint(got.Identities()); identities != "[token:"+g.claims.Subject+"]" {
 		t.Errorf("identities %s", identities)
@@ -109,11 +110,11 @@
 	got.NotBefore = time.Time{}
 	got.Expiry = time.Time{}
 	if !reflect.DeepEqual(got, g.claims) {
-		t.Errorf("proves %+v, want %+v", got, g.claims)
+		t.Errorf("claims %+v, want %+v", got, g.claims)
 	}
 }
 
-// checkMembers compares the names and values of header and claims.
+// checkMembers compares the names and values of all header members and claims with the expected ones.
 func (g goldenToken) checkMembers(t *testing.T, raw string, claims Claims) {
 	t.Helper()
 	wantHeader := map[string]any{"alg": g.algorithm, "kid": g.name, "typ": "JWT"}
@@ -142,11 +143,11 @@
 	}
 }
 
-// A list of revocations as it is stored.
+// A stored revocation list is parsed completely, and subjects and token IDs are not confused.
 func TestGoldenRevocations(t *testing.T) {
 	revocations, line := ParseRevocations(string(setuptest.Must(os.ReadFile("testdata/golden/revoked.txt"))))
 	if line != 0 {
-		t.Fatalf("line %d is wrong", line)
+		t.Fatalf("line %d is invalid", line)
 	}
 	for _, c := range []struct {
 		claims  Claims
@@ -158,12 +159,12 @@
 		{Claims{ID: "handheld-9", Subject: "t-ed"}, false},
 	} {
 		if got := revocations.Contains(&c.claims); got != c.revoked {
-			t.Errorf("%+v revoked %v", c.claims, got)
+			t.Errorf("%+v: revoked is %v, want %v", c.claims, got, c.revoked)
 		}
 	}
 }
 
-// The denials that are spoken, in answers, logs and listings.
+// The texts of denials, which appear in responses, logs and command-line listings, must not change.
 func TestGoldenDenials(t *testing.T) {
 	for denial, want := range map[authz.Denial]string{
 		TooLong:        "too-long",
--- a/internal/tokens/helper_test.go
+++ b/internal/tokens/helper_test.go
@@ -33,7 +33,7 @@
 	keyPairs = map[string]*jose.JSONWebKey{}
 )
 
-// keyPair gives the key of an id, the same each time.
+// keyPair returns the key pair with an ID. It generates the pair on the first call only.
 func keyPair(id, algorithm string) *jose.JSONWebKey {
 	if keyPairs[id] == nil {
 		keyPairs[id] = setuptest.Must(keyring.GenerateKey(algorithm))
@@ -42,7 +42,8 @@
 	return keyPairs[id]
 }
 
-// publishedSet publishes keys that count for an hour around start; those with a ! are withdrawn.
+// publishedSet returns a set of keys that are valid from one hour before start until one hour after it. IDs with the
+// suffix "!" are published as withdrawn.
 func publishedSet(ids ...string) *keyring.KeySet {
 	files := map[string][]byte{}
 	for _, id := range ids {
@@ -54,12 +55,14 @@
 	return setuptest.Must(keyring.ParseSet(files))
 }
 
+// keyFinder returns a findKey argument for Verify that looks up keys in a set at a fixed time.
 func keyFinder(set *keyring.KeySet, wall time.Time) func(keyring.KeyID) (*keyring.Key, authz.Denial) {
 	ring := keyring.NewKeyring(set, time.Second)
 	return func(id keyring.KeyID) (*keyring.Key, authz.Denial) { return ring.Find(id, wall) }
 }
 
-// claims are those of a good token for a minute; change may change them.
+// claims returns the claims of a token that is valid for one minute from start. If change is not nil, it is applied to
+// them.
 func claims(change func(*jwt.Claims)) jwt.Claims {
 	claims := jwt.Claims{
 		Issuer:    "us",
@@ -75,6 +78,7 @@
 	return claims
 }
 
+// signToken returns a signed token with the given registered claims, a tenant and a role.
 func signToken(key *jose.JSONWebKey, claims jwt.Claims, header map[jose.HeaderKey]any) string {
 	signingKey := jose.SigningKey{Algorithm: jose.SignatureAlgorithm(key.Algorithm), Key: key}
 	signer := setuptest.Must(jose.NewSigner(signingKey, &jose.SignerOptions{ExtraHeaders: header}))
@@ -82,17 +86,17 @@
 	return setuptest.Must(jwt.Signed(signer).Claims(claims).Claims(private).Serialize())
 }
 
-// goodToken is signed with the key of an id.
+// goodToken returns a token with the given claims that is signed with the EdDSA key of an ID.
 func goodToken(id string, change func(*jwt.Claims)) string {
 	return signToken(keyPair(id, "EdDSA"), claims(change), nil)
 }
 
-// testVerifier drives a Verifier as an authenticator does: checks are made at once unless they are held.
+// testVerifier drives a Verifier as an authenticator does. It performs checks immediately unless holdChecks is set.
 type testVerifier struct {
 	*Verifier
 	now         time.Duration
 	wall        time.Time
-	published   *keyring.KeySet // what a read of the key folder finds
+	published   *keyring.KeySet // the result of a read of the key folder
 	checkCost   time.Duration   // of a check
 	checkCount  int
 	reloadCount int
@@ -110,6 +114,7 @@
 	v.wall = v.wall.Add(d)
 }
 
+// perform carries out a step and all steps that follow from it.
 func (v *testVerifier) perform(step Step) {
 	switch step.Action {
 	case CheckToken:
@@ -141,12 +146,13 @@
 	v.perform(v.HandleResult(v.now, v.wall, result))
 }
 
-// verdict gives the verdict on a token as text.
+// verdict looks up a token, requests its check if necessary, and returns the verdict as text, or "waiting" if the check
+// is not done.
 func (v *testVerifier) verdict(raw string) string {
 	if entry, denial, found := v.Lookup(v.now, v.wall, raw); found {
 		return verdictText(Verdict{Entry: entry, Denial: denial})
 	}
-	text := "waits"
+	text := "waiting"
 	v.perform(v.RequestCheck(v.now, raw, false, func(verdict Verdict) { text = verdictText(verdict) }))
 	return text
 }
@@ -158,5 +164,5 @@
 	case verdict.Entry != nil:
 		return "good"
 	}
-	return "later " + verdict.RetryAfter.Round(time.Millisecond).String()
+	return "retry after " + verdict.RetryAfter.Round(time.Millisecond).String()
 }
--- a/internal/tokens/revocations.go
+++ b/internal/tokens/revocations.go
@@ -2,18 +2,17 @@
 
 import "strings"
 
-// maxRevocations is how many entries a list may have; tokens that have expired need none.
+// maxRevocations is the maximum number of entries in a list. Expired tokens need no entry.
 const maxRevocations = 100_000
 
-// Revocations are the tokens and subjects that no longer count, whatever they prove. It never changes; a nil one is
-// empty.
+// Revocations is a list of revoked tokens and subjects. It is immutable. A nil *Revocations is empty.
 type Revocations struct {
 	tokenIDs map[string]bool
 	subjects map[string]bool
 }
 
-// ParseRevocations reads a list: a line each of "jti ID" or "sub SUBJECT"; # begins a comment. It gives the number
-// of the line that is wrong, 0 if none is.
+// ParseRevocations parses a list with one "jti ID" or "sub SUBJECT" entry per line. Lines that start with # are
+// comments. It returns the number of the first invalid line, counted from 1, and 0 if all lines are valid.
 func ParseRevocations(text string) (*Revocations, int) {
 	revocations := &Revocations{tokenIDs: map[string]bool{}, subjects: map[string]bool{}}
 	for i, line := range strings.Split(text, "\n") {
@@ -38,7 +37,7 @@
 	return revocations, 0
 }
 
-// Contains tells whether a token or its subject is revoked.
+// Contains reports whether a token or its subject is revoked.
 func (r *Revocations) Contains(claims *Claims) bool {
 	if r == nil {
 		return false
--- a/internal/tokens/singleuse.go
+++ b/internal/tokens/singleuse.go
@@ -8,30 +8,31 @@
 )
 
 const (
-	minSingleUseDelay = time.Millisecond // the shortest wait for an id to expire
-	zeroLimitDelay    = time.Second      // where no id may be remembered at all
+	minSingleUseDelay = time.Millisecond // the shortest wait for a remembered ID to expire
+	zeroLimitDelay    = time.Second      // the wait if the limit is zero, so that no ID can be remembered
 )
 
-// singleUseIDs remembers the ids of tokens that count for one request, until they expire.
+// singleUseIDs remembers the IDs of used single-use tokens until the tokens expire.
 type singleUseIDs struct {
 	limit                 int
 	expiries              map[string]time.Time
 	byExpiry              expiryHeap
-	latestForgottenExpiry time.Time // the latest expiry of an id that was forgotten
+	latestForgottenExpiry time.Time // the latest expiry of all forgotten IDs
 }
 
 func newSingleUseIDs(limit int) singleUseIDs {
 	return singleUseIDs{limit: limit, expiries: map[string]time.Time{}}
 }
 
-// use notes an id. Forgetting one before it expires would let it be used again: at the limit nothing is forgotten,
-// and a new id has to wait until the first one expires.
+// use records the use of an ID. It returns a denial if the ID is already recorded or the token has expired. An ID
+// that is forgotten before it expires could be used again, so no ID is forgotten early: at the limit, use records
+// nothing and returns the time until the first remembered ID expires.
 func (s *singleUseIDs) use(wall time.Time, id string, expiresAt time.Time) (denial authz.Denial, wait time.Duration) {
 	if _, used := s.expiries[id]; used {
 		return replayed, 0
 	}
 	s.forgetExpired(wall)
-	// A wall clock that steps back must not make a token good again whose id is forgotten.
+	// If the wall clock steps back, a token whose ID is already forgotten must not become valid again.
 	if !expiresAt.After(s.latestForgottenExpiry) {
 		return expired, 0
 	}
@@ -46,6 +47,7 @@
 	return "", 0
 }
 
+// forgetExpired forgets the IDs of tokens that have expired at the given time.
 func (s *singleUseIDs) forgetExpired(wall time.Time) {
 	for len(s.byExpiry) > 0 && !wall.Before(s.byExpiry[0].expiresAt) {
 		first := heap.Pop(&s.byExpiry).(expiry)
@@ -54,23 +56,23 @@
 	}
 }
 
-// expiry is an id and when it may be forgotten.
+// expiry is a remembered ID and the time from which it may be forgotten.
 type expiry struct {
 	expiresAt time.Time
 	id        string
 }
 
-// expiryHeap is a container/heap with the earliest expiry first.
+// expiryHeap implements heap.Interface with the earliest expiry first.
 type expiryHeap []expiry
 
 func (h expiryHeap) Len() int           { return len(h) }
 func (h expiryHeap) Less(i, j int) bool { return h[i].expiresAt.Before(h[j].expiresAt) }
 func (h expiryHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
-// Push is called by container/heap.
+// Push implements heap.Interface.
 func (h *expiryHeap) Push(x any) { *h = append(*h, x.(expiry)) }
 
-// Pop is called by container/heap.
+// Pop implements heap.Interface.
 func (h *expiryHeap) Pop() any {
 	last := len(*h) - 1
 	popped := (*h)[last]
--- a/internal/tokens/singleuse_test.go
+++ b/internal/tokens/singleuse_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A single-use token counts once. At the limit nothing is forgotten before it expires: new ids have to wait; and a
-// clock that steps back makes no id new that was forgotten.
+// A single-use token is accepted once. At the limit, no ID is forgotten before it expires, and new IDs must wait. If
+// the clock steps back, a forgotten ID is not accepted again.
 func Example_singleUse() {
 	ids := newSingleUseIDs(2)
 	use := func(wall time.Duration, id string, expiry time.Duration) {
--- a/internal/tokens/verifier.go
+++ b/internal/tokens/verifier.go
@@ -8,23 +8,23 @@
 	"lanewheel/internal/keyring"
 )
 
-// Limits are what a Verifier may use. All come from the operator's file.
+// Limits limits the resources that a Verifier uses. The values come from the operator's file.
 type Limits struct {
-	MaxCached         int           // good tokens, and as many bad ones
-	MaxWaiting        int           // requests that wait for a verdict at a time
-	CPUFraction       float64       // of a core that checks may take
-	MaxSingleUseIDs   int           // ids of single-use tokens that are remembered
-	KeyReloadInterval time.Duration // between two reads of the key folder for unknown keys
+	MaxCached         int           // maximum number of cached tokens, and separately of cached denials
+	MaxWaiting        int           // maximum number of requests that wait for a verdict, and of checks in flight
+	CPUFraction       float64       // fraction of a CPU core that checks may use
+	MaxSingleUseIDs   int           // maximum number of remembered IDs of single-use tokens
+	KeyReloadInterval time.Duration // minimum time between two reads of the key folder for unknown keys
 }
 
-// Verifier knows the verdicts on tokens and decides which are checked when. It belongs to the event loop, which asks it
-// for each request and carries out the Steps that it returns off the loop.
+// Verifier caches the verdicts on tokens and schedules the checks of tokens without one. It belongs to the event loop.
+// Its owner calls it for each request and carries out the Steps that it returns off the event loop.
 type Verifier struct {
 	keyring     *keyring.Keyring
 	policy      *Policy
 	revocations *Revocations
 	limits      Limits
-	generation  uint64 // counts changes of keys, policy and revocations
+	generation  uint64 // incremented by each Reload, and when HandleKeys replaces the key set
 
 	cache     cache
 	denials   boundedmap.Map[tokenDigest, cachedDenial]
@@ -33,7 +33,7 @@
 	checks    pendingChecks
 }
 
-// NewVerifier makes a verifier by keys, a policy and revocations that were checked before.
+// NewVerifier returns a verifier with the given configuration, which must be valid. revocations may be nil.
 func NewVerifier(keys *keyring.KeySet, policy *Policy, revocations *Revocations, limits Limits) *Verifier {
 	return &Verifier{
 		keyring:     keyring.NewKeyring(keys, limits.KeyReloadInterval),
@@ -48,11 +48,12 @@
 	}
 }
 
-// Reload puts another configuration in force. What is cached is validated again when it is next used.
+// Reload replaces the configuration. Cached tokens are validated again when they are next used. If the policy changes,
+// they are discarded instead.
 func (v *Verifier) Reload(keys *keyring.KeySet, policy *Policy, revocations *Revocations, limits Limits) {
 	v.checks.reloadSuperseded = v.keyring.Reloading()
 	v.keyring.Replace(keys)
-	if *policy != *v.policy { // what was checked by another policy is checked again
+	if *policy != *v.policy { // tokens verified under the old policy must be verified again
 		v.cache.clear()
 	}
 	v.policy = policy
@@ -63,14 +64,15 @@
 	v.generation++
 }
 
-// Policy is the one in force.
+// Policy returns the current policy.
 func (v *Verifier) Policy() *Policy { return v.policy }
 
-// KeySet is the one in force.
+// KeySet returns the current key set.
 func (v *Verifier) KeySet() *keyring.KeySet { return v.keyring.Set() }
 
-// UseOnce uses up a single-use token. It gives the denial if it was used before, and the time after which to retry
-// if no more ids can be remembered; neither for tokens that may be used again.
+// UseOnce records the use of a single-use token. It returns the denial if the token was used before or has expired,
+// and the delay after which to retry if the maximum number of IDs is already remembered. If the policy is not single
+// use, it returns neither.
 func (v *Verifier) UseOnce(wall time.Time, entry *CachedToken) (denial authz.Denial, retryAfter time.Duration) {
 	if !v.policy.SingleUse {
 		return "", 0
@@ -78,7 +80,7 @@
 	return v.singleUse.use(wall, entry.ID, entry.Expiry.Add(v.policy.Leeway))
 }
 
-// CacheSizes is how many good tokens and how many denials are cached.
+// CacheSizes returns the number of cached tokens and the number of cached denials.
 func (v *Verifier) CacheSizes() (cached, denied int) {
 	return len(v.cache.entries), v.denials.Len()
 }
--- a/internal/tokens/verifier_test.go
+++ b/internal/tokens/verifier_test.go
@@ -12,8 +12,9 @@
 	"lanewheel/internal/keyring"
 )
 
-// A token counts under an old key until the configured moment and not after, whenever the folder was read; a cached
-// token is not checked again until something changes, and then only by what has changed.
+// A token of an old key is valid until the configured moment and not after it, regardless of when the folder was
+// read. A cached token is not verified again after a reload that keeps its key and the policy. It is denied if its
+// key is withdrawn or removed, or if the token is revoked.
 func Example_cachedTokens() {
 	v := newTestVerifier("a", "b")
 	newLongLivedToken := func(id string) string {
@@ -37,7 +38,7 @@
 	v.Reload(publishedSet("a"), policy, revocations, limits)
 	fmt.Println(v.verdict(tokenA))
 	_, line := ParseRevocations("jti x\njti")
-	fmt.Println("wrong line", line)
+	fmt.Println("invalid line", line)
 	// Output:
 	// good good good checks 2
 	// good good checks 2
@@ -46,10 +47,11 @@
 	// good good
 	// withdrawn-key withdrawn-key
 	// revoked
-	// wrong line 2
+	// invalid line 2
 }
 
-// Clocks that differ by the leeway and by more; a clock that steps back keeps no cached token alive.
+// A token is accepted if the clocks differ by at most the leeway, and denied beyond it. A cached token that has expired
+// stays expired when the wall clock steps back.
 func Example_clockSkew() {
 	raw := goodToken("a", nil)
 	offsets := []time.Duration{-31 * time.Second, -30 * time.Second, 0, 90*time.Second - 1, 90 * time.Second}
@@ -62,7 +64,7 @@
 	v := newTestVerifier("a")
 	fmt.Print(v.verdict(raw), " ")
 	v.advance(2 * time.Minute)
-	v.wall = start // an hour's step back would do the same
+	v.wall = start // any larger step back has the same effect
 	fmt.Println(v.verdict(raw))
 	// Output:
 	// -31s early
@@ -73,18 +75,19 @@
 	// good expired
 }
 
-// tokenModel is the rules by which tokens count, read afresh for each verdict.
+// tokenModel computes the expected verdicts on tokens without a cache.
 type tokenModel struct {
-	published []string        // ids of keys, withdrawn ones with a !
-	removed   map[string]bool // keys that were published at some time
-	revoked   map[string]bool // ids of tokens
+	published []string        // IDs of the published keys; withdrawn ones have the suffix "!"
+	removed   map[string]bool // IDs of keys that were published before the last reload
+	revoked   map[string]bool // IDs of revoked tokens
 }
 
 func tokenID(keyID string, nth int) string { return fmt.Sprint(keyID, nth) }
 
-// lifetime is how long the nth token of a key counts.
+// lifetime returns the time after start for which the nth token of a key is valid, without the leeway.
 func lifetime(nth int) time.Duration { return time.Duration(nth+1) * 20 * time.Minute }
 
+// verdict returns the expected verdict on the nth token of a key.
 func (m *tokenModel) verdict(elapsed time.Duration, keyID string, nth int) string {
 	publishedEntry := ""
 	for _, entry := range m.published {
@@ -107,7 +110,7 @@
 	return "good"
 }
 
-// drawReload draws other keys and revocations, and gives the list of these.
+// drawReload draws new published keys and revocations, and returns the revocation list.
 func (m *tokenModel) drawReload(t *rapid.T, ids []string) (revocations string) {
 	for _, entry := range m.published {
 		m.removed[strings.TrimSuffix(entry, "!")] = true
@@ -127,8 +130,8 @@
 	return "jti " + id
 }
 
-// The verifier against rules that are read afresh each time: whatever is cached, reloaded and revoked, the same
-// verdict.
+// TestVerifier compares the verifier, which caches, with tokenModel, which does not, over random reloads, revocations
+// and delays. A verifier may also defer a check.
 func TestVerifier(t *testing.T) {
 	ids := []string{"a", "b", "c"}
 	raws := map[string]string{}
@@ -144,7 +147,7 @@
 		v := newTestVerifier("a")
 		model := &tokenModel{published: []string{"a"}, removed: map[string]bool{}, revoked: map[string]bool{}}
 		for range 30 {
-			switch rapid.IntRange(0, 3).Draw(t, "what") {
+			switch rapid.IntRange(0, 3).Draw(t, "operation") {
 			case 0:
 				revocations, _ := ParseRevocations(model.drawReload(t, ids))
 				v.published = publishedSet(model.published...)
@@ -157,19 +160,20 @@
 				elapsed := v.wall.Sub(start)
 				want := model.verdict(elapsed, id, nth)
 				got := v.verdict(raws[tokenID(id, nth)])
-				if got != want && !strings.HasPrefix(got, "later") {
+				if got != want && !strings.HasPrefix(got, "retry after") {
 					t.Fatalf("%s%d at %v: %s, want %s", id, nth, elapsed, got, want)
 				}
 			}
 			cached, denied := v.CacheSizes()
 			if cached > limits.MaxCached || denied > limits.MaxCached || v.checks.waiting != 0 {
-				t.Fatal("past its bounds")
+				t.Fatal("the caches exceed MaxCached, or requests are still waiting")
 			}
 		}
 	})
 }
 
-// What a cached token costs a request: found by its digest, and on the connection that brought it last.
+// BenchmarkLookup measures the cost of a cached token for a request: a lookup by digest, and the revalidation of the
+// entry that the connection used last.
 func BenchmarkLookup(b *testing.B) {
 	v := newTestVerifier("a")
 	raw := goodToken("a", nil)
@@ -191,7 +195,7 @@
 	})
 }
 
-// Two keys are one only if algorithm and public key agree, whatever their ids and times.
+// If a key is replaced by a different key with the same ID, a cached token is verified again with the new key.
 func TestVerifierRechecksTokenOfReplacedKey(t *testing.T) {
 	v := newTestVerifier("a")
 	raw := goodToken("a", nil)
@@ -204,9 +208,9 @@
 	v.published = publishedSet("a")
 	v.Reload(v.published, policy, nil, limits)
 	if got := v.verdict(raw); got != string(BadSignature) || v.checkCount != 2 {
-		t.Errorf("%s after %d checks, want signature after 2", got, v.checkCount)
+		t.Errorf("%s after %d checks, want %s after 2", got, v.checkCount, BadSignature)
 	}
 	if v.KeySet().Find(keyring.KeyID("a")) == nil {
-		t.Error("the other key is not in force")
+		t.Error("the new key is not in the current set")
 	}
 }
--- a/internal/tokens/verify.go
+++ b/internal/tokens/verify.go
@@ -1,5 +1,5 @@
-// Package tokens decides on signed tokens (JWT, RFC 7519): what one proves, what of it is cached, how much time checks
-// may take, and which may be used once. It does no I/O: keys and times are arguments.
+// Package tokens verifies signed tokens (JWT, RFC 7519). It caches verified tokens and denials, limits the CPU time
+// spent on checks, and enforces single use. It does no I/O: callers pass in keys and times.
 package tokens
 
 import (
@@ -16,43 +16,44 @@
 	"lanewheel/internal/keyring"
 )
 
-// Why a token proves nothing.
+// The reasons for which a token is denied.
 const (
 	TooLong        authz.Denial = "too-long"
 	Malformed      authz.Denial = "malformed"
-	WrongAlgorithm authz.Denial = "algorithm" // none, one that is not accepted, or not the key's own
-	CriticalHeader authz.Denial = "critical"  // it requires a header to be understood that is not
+	WrongAlgorithm authz.Denial = "algorithm" // "none", an algorithm that is not accepted, or not the key's algorithm
+	CriticalHeader authz.Denial = "critical"  // the crit header requires an extension, and none is supported
 	BadSignature   authz.Denial = "signature"
 	expired        authz.Denial = "expired"
 	notYetValid    authz.Denial = "early"
 	WrongIssuer    authz.Denial = "issuer"
 	WrongAudience  authz.Denial = "audience"
-	NoSubject      authz.Denial = "subject" // it names nobody
+	NoSubject      authz.Denial = "subject" // the sub claim is missing or empty
 	Revoked        authz.Denial = "revoked"
 	replayed       authz.Denial = "replayed"
-	noTokenID      authz.Denial = "no-id" // it has no jti, and the policy is single use
+	noTokenID      authz.Denial = "no-id" // the policy is single use, and the token has no jti claim
 )
 
-// Policy is what a token has to say.
+// Policy defines which tokens are accepted and how their claims are read.
 type Policy struct {
 	Issuer      string
 	Audience    string
-	Leeway      time.Duration // between the issuer's clock and ours
-	MaxBytes    int
-	TenantClaim string // the claim with the tenant; empty: the operator's file maps subjects
-	RolesClaim  string // the claim with the roles: a list, or words in a string
-	SingleUse   bool   // a token counts for one request
+	Leeway      time.Duration // tolerated difference between the issuer's clock and the local clock
+	MaxBytes    int           // maximum length of a token
+	TenantClaim string        // the claim that holds the tenant; if empty, the operator's file maps subjects to tenants
+	RolesClaim  string        // the claim that holds the roles: a list, or a string of words; if empty, no claim is read
+	SingleUse   bool          // each token is valid for one request only
 }
 
 var acceptedAlgorithms = []jose.SignatureAlgorithm{jose.EdDSA, jose.ES256, jose.RS256}
 
-// Verify reads a token and checks all that does not change while it is cached: its form, key, signature, issuer and
-// audience. findKey gives the key in force, or why it does not count; the claims have the key's id then, and only that.
-// It may be called from any goroutine.
+// Verify parses a token and checks the properties that do not change while it is cached: its form, key, signature,
+// issuer, audience, and that the required claims are present. It does not check the token's times or revocation.
+// findKey returns the key of an ID, or the denial if that key is not valid. If the token is denied after its key ID
+// was read, the returned claims hold only the key ID. Verify may be called from any goroutine.
 func Verify(
 	raw string, findKey func(keyring.KeyID) (*keyring.Key, authz.Denial), policy *Policy,
 ) (Claims, authz.Denial) {
-	// Before anything of the token is known, its length bounds the time and memory that it costs.
+	// The length check comes first: it limits the time and memory that an unverified token can cost.
 	if len(raw) > policy.MaxBytes {
 		return Claims{}, TooLong
 	}
@@ -66,7 +67,8 @@
 	if denial != "" {
 		return claims, denial
 	}
-	// The algorithm is the key's, not the token's choice: the public half of an RSA key must not pass as an HMAC's secret.
+	// The key determines the algorithm, not the token: the public half of an RSA key must not be accepted as an HMAC
+	// secret.
 	if header.Algorithm != string(key.Algorithm) {
 		return claims, WrongAlgorithm
 	}
@@ -86,7 +88,7 @@
 	return claims, ""
 }
 
-// parse takes a token apart without trusting anything in it. A parsed token has one header with a key's id.
+// parse parses a token without verifying it. A token that it returns has exactly one signature header, with a key ID.
 func parse(raw string) (*jwt.JSONWebToken, authz.Denial) {
 	header, _, _ := strings.Cut(raw, ".")
 	headerJSON, err := base64.RawURLEncoding.DecodeString(header)
@@ -97,7 +99,7 @@
 	if json.Unmarshal(headerJSON, &members) != nil {
 		return nil, Malformed
 	}
-	if _, critical := members["crit"]; critical { // the library accepts b64, which a JWT must not use
+	if _, critical := members["crit"]; critical { // the library accepts the b64 extension, which a JWT must not use
 		return nil, CriticalHeader
 	}
 	token, err := jwt.ParseSigned(raw, acceptedAlgorithms)
@@ -111,6 +113,8 @@
 	return token, ""
 }
 
+// checkRegistered returns the denial if a registered claim is missing or does not match the policy. It does not check
+// the token's times.
 func (p *Policy) checkRegistered(registered *jwt.Claims) authz.Denial {
 	switch {
 	case registered.Issuer != p.Issuer:
@@ -119,7 +123,7 @@
 		return WrongAudience
 	case registered.Subject == "":
 		return NoSubject
-	case registered.Expiry == nil: // a token has to expire
+	case registered.Expiry == nil: // every token must have an expiry
 		return Malformed
 	case p.SingleUse && registered.ID == "":
 		return noTokenID
--- a/internal/tokens/verify_test.go
+++ b/internal/tokens/verify_test.go
@@ -17,7 +17,8 @@
 	"lanewheel/internal/setuptest"
 )
 
-// Each way in which a token proves nothing; the algorithm is the key's, whatever the token says.
+// Verify accepts a valid token of each algorithm and returns the denial of each kind of invalid token. The key
+// determines the algorithm, not the token's header.
 func Example_verify() {
 	ed, es, rs := keyPair("ed", "EdDSA"), keyPair("es", "ES256"), keyPair("rs", "RS256")
 	files := map[string][]byte{}
@@ -25,7 +26,8 @@
 		files[key.KeyID] = setuptest.Must(keyring.EncodePublic(*key, start, time.Time{}, false))
 	}
 	keys := setuptest.Must(keyring.ParseSet(files))
-	// The public half of an RSA key as the secret of an HMAC; an Ed25519 signature under the id of another kind of key.
+	// hmacKey uses the public half of an RSA key as an HMAC secret. mismatchedKey signs with Ed25519 under the ID of an
+	// RSA key.
 	der := setuptest.Must(x509.MarshalPKIXPublicKey(rs.Public().Key.(*rsa.PublicKey)))
 	hmacKey := jose.JSONWebKey{Key: pem.EncodeToMemory(&pem.Block{Type: "PUBLIC KEY", Bytes: der}), KeyID: "rs"}
 	hmacSigner := setuptest.Must(jose.NewSigner(jose.SigningKey{Algorithm: jose.HS256, Key: hmacKey}, nil))
@@ -43,7 +45,7 @@
 	show("RS256", signToken(rs, claims(nil), nil))
 	show("none", b64(`{"alg":"none","kid":"ed"}`)+"."+parts[1]+".")
 	show("hmac", setuptest.Must(jwt.Signed(hmacSigner).Claims(claims(nil)).Serialize()))
-	show("posing", signToken(&mismatchedKey, claims(nil), nil))
+	show("mismatched key", signToken(&mismatchedKey, claims(nil), nil))
 	show("crit", signToken(ed, claims(nil), map[jose.HeaderKey]any{"crit": []string{"b64"}, "b64": true}))
 	show("forged", parts[0]+"."+parts[1]+"."+b64(strings.Repeat("x", 64)))
 	show("changed", parts[0]+"."+b64(`{"iss":"us","sub":"boss","aud":"rota","exp":1900000000}`)+"."+parts[2])
@@ -52,8 +54,8 @@
 	show("issuer", signToken(ed, claims(func(c *jwt.Claims) { c.Issuer = "them" }), nil))
 	show("audience", signToken(ed, claims(func(c *jwt.Claims) { c.Audience = nil }), nil))
 	show("subject", signToken(ed, claims(func(c *jwt.Claims) { c.Subject = "" }), nil))
-	show("endless", signToken(ed, claims(func(c *jwt.Claims) { c.Expiry = nil }), nil))
-	show("noise", "a.b.c")
+	show("no expiry", signToken(ed, claims(func(c *jwt.Claims) { c.Expiry = nil }), nil))
+	show("not a JWT", "a.b.c")
 	show("long", good+strings.Repeat("A", 2048))
 	// Output:
 	// EdDSA: "" depot water [crew]
@@ -61,7 +63,7 @@
 	// RS256: "" depot water [crew]
 	// none: "algorithm"   []
 	// hmac: "algorithm"   []
-	// posing: "algorithm"   []
+	// mismatched key: "algorithm"   []
 	// crit: "critical"   []
 	// forged: "signature"   []
 	// changed: "signature"   []
@@ -70,8 +72,8 @@
 	// issuer: "issuer"   []
 	// audience: "audience"   []
 	// subject: "subject"   []
-	// endless: "malformed"   []
-	// noise: "malformed"   []
+	// no expiry: "malformed"   []
+	// not a JWT: "malformed"   []
 	// long: "too-long"   []
 }
 
@@ -81,7 +83,7 @@
 	findKey := keyFinder(publishedSet("a"), start)
 	f.Fuzz(func(t *testing.T, raw string) {
 		if claims, denial := Verify(raw, findKey, policy); denial == "" && claims.Subject != "depot" {
-			t.Fatalf("%q is good for %q", raw, claims.Subject)
+			t.Fatalf("%q is accepted for subject %q", raw, claims.Subject)
 		}
 	})
 }
