--- a/internal/keyring/keyring.go
+++ b/internal/keyring/keyring.go
@@ -65,7 +65,7 @@
 	return nil, UnknownKey
 }
 
-// UnknownKeyAction is how to handle a token with an unknown key.
+// UnknownKeyAction is the action to take for a token whose key is unknown.
 type UnknownKeyAction int
 
 // The actions.
@@ -100,7 +100,7 @@
 	return Reload, 0
 }
 
-// ReloadDone records the end of a read of the folder. If the read succeeded, the caller must call Replace before. Those
+// ReloadDone records the end of a read of the folder. If the read succeeded, the caller must call Replace first. Those
 // of the requested IDs that are still unknown are denied until the next read may start.
 func (r *Keyring) ReloadDone(requestedIDs []KeyID) {
 	r.reloading = false
--- a/internal/tokens/check.go
+++ b/internal/tokens/check.go
@@ -213,7 +213,7 @@
 	return recheck, replaced
 }
 
-// ExpireWaiting gives a verdict with a RetryAfter to the requests that have waited for at least maxWait, or to all
+// ExpireWaiting passes a verdict with a RetryAfter to the requests that have waited for at least maxWait, or to all
 // waiting requests if all is true. This way, neither a slow disk nor a queue of checks delays a response.
 func (v *Verifier) ExpireWaiting(now time.Duration, all bool) {
 	for _, pending := range v.checks.byDigest {
--- a/internal/tokens/cpubudget.go
+++ b/internal/tokens/cpubudget.go
@@ -28,8 +28,8 @@
 	return cleanPool
 }
 
-// cpuBudget limits the CPU time of checks. It has one token bucket for each pool, which fills with CPU time as time
-// passes.
+// cpuBudget limits the CPU time of checks. It has one bucket for each pool, which fills with a fraction of the
+// elapsed time.
 type cpuBudget struct {
 	fraction   float64                  // fraction of a CPU core, for all pools together
 	remaining  [poolCount]time.Duration // CPU time; negative after a check that took more than the remaining time
@@ -57,7 +57,8 @@
 	b.refilledAt = max(b.refilledAt, now)
 }
 
-// waitTime returns the time until a check may start for a suspect or other connection, and 0 if one may start now.
+// waitTime returns the time until a check for a connection may start, and 0 if it may start now. suspect selects the
+// pool.
 func (b *cpuBudget) waitTime(now time.Duration, suspect bool) time.Duration {
 	b.refill(now)
 	remaining := b.remaining[poolOf(suspect)]
--- a/internal/tokens/helper_test.go
+++ b/internal/tokens/helper_test.go
@@ -97,7 +97,7 @@
 	now         time.Duration
 	wall        time.Time
 	published   *keyring.KeySet // the result of a read of the key folder
-	checkCost   time.Duration   // of a check
+	checkCost   time.Duration   // simulated duration of a check
 	checkCount  int
 	reloadCount int
 	holdChecks  bool
--- a/internal/tokens/verifier_test.go
+++ b/internal/tokens/verifier_test.go
@@ -50,8 +50,8 @@
 	// invalid line 2
 }
 
-// A token is accepted if the clocks differ by at most the leeway, and denied beyond it. A cached token that has expired
-// stays expired when the wall clock steps back.
+// A token is accepted from its not-before time minus the leeway until just before its expiry plus the leeway, and
+// denied otherwise. A cached token that has expired stays expired when the wall clock steps back.
 func Example_clockSkew() {
 	raw := goodToken("a", nil)
 	offsets := []time.Duration{-31 * time.Second, -30 * time.Second, 0, 90*time.Second - 1, 90 * time.Second}
@@ -64,7 +64,7 @@
 	v := newTestVerifier("a")
 	fmt.Print(v.verdict(raw), " ")
 	v.advance(2 * time.Minute)
-	v.wall = start // any larger step back has the same effect
+	v.wall = start // a step back of one hour has the same effect
 	fmt.Println(v.verdict(raw))
 	// Output:
 	// -31s early
@@ -131,7 +131,7 @@
 }
 
 // TestVerifier compares the verifier, which caches, with tokenModel, which does not, over random reloads, revocations
-// and delays. A verifier may also defer a check.
+// and delays. The verifier may return a retry delay instead of a verdict.
 func TestVerifier(t *testing.T) {
 	ids := []string{"a", "b", "c"}
 	raws := map[string]string{}
