--- a/internal/authn/authenticator_test.go
+++ b/internal/authn/authenticator_test.go
@@ -88,7 +88,7 @@
 
 func TestTokenIsCheckedOnceAndCached(t *testing.T) {
 	key, text := newKey("k1")
-	f := newFixture(t, withTokens(t.TempDir(), setOf(text)))
+	f := newFixture(t, withTokens(t.TempDir(), keySetOf(text)))
 	credential := &Credential{}
 	token := f.token(key, "roads")
 	for i := range 3 {
@@ -113,7 +113,7 @@
 
 func TestForgedTokenMakesConnectionSuspect(t *testing.T) {
 	key, text := newKey("k1")
-	f := newFixture(t, withTokens(t.TempDir(), setOf(text)))
+	f := newFixture(t, withTokens(t.TempDir(), keySetOf(text)))
 	credential := &Credential{}
 	good := f.token(key, "roads")
 	forged := good[:len(good)-8] + "AAAAAAAA"
@@ -132,7 +132,7 @@
 func TestUnknownKeyReloadsFolder(t *testing.T) {
 	_, text := newKey("k1")
 	f := newFixture(t, nil)
-	withTokens(f.keyDir, setOf(text))(&f.config)
+	withTokens(f.keyDir, keySetOf(text))(&f.config)
 	f.Reload(f.config)
 	f.publish("k1.json", text)
 	key, text := newKey("k2")
@@ -145,15 +145,15 @@
 	}
 	// A key that no file has is unknown, by one more read of the folder.
 	f.now += time.Second
-	stranger, _ := newKey("k3")
-	if got := f.authorize(&Credential{}, "set", f.token(stranger, "roads")); got.Denial != keyring.UnknownKey {
+	unknownKey, _ := newKey("k3")
+	if got := f.authorize(&Credential{}, "set", f.token(unknownKey, "roads")); got.Denial != keyring.UnknownKey {
 		t.Errorf("%+v, want unknown-key", got)
 	}
 }
 
 func TestStopDefersUncheckedTokens(t *testing.T) {
 	key, text := newKey("k1")
-	f := newFixture(t, withTokens(t.TempDir(), setOf(text)))
+	f := newFixture(t, withTokens(t.TempDir(), keySetOf(text)))
 	var decisions []Decision
 	request := Request{Request: authz.Request{Class: "view"}, Token: f.token(key, "roads")}
 	f.Authorize(&Credential{}, request, func(decision Decision) { decisions = append(decisions, decision) })
@@ -172,7 +172,7 @@
 
 func TestSweepExpiresWaitingAndLogs(t *testing.T) {
 	key, text := newKey("k1")
-	f := newFixture(t, withTokens(t.TempDir(), setOf(text)))
+	f := newFixture(t, withTokens(t.TempDir(), keySetOf(text)))
 	for range 6 {
 		f.authorize(&Credential{}, "set", "")
 	}
@@ -189,7 +189,7 @@
 	if len(lines) != 6 {
 		t.Fatalf("%d lines, want 4 denials, their suppressed count and the counters:\n%s", len(lines), f.log)
 	}
-	for i, want := range wantedLines {
+	for i, want := range wantLogLines {
 		if lines[i+3] != want {
 			t.Errorf("line %d: %s\nwant %s", i+3, lines[i+3], want)
 		}
@@ -202,7 +202,7 @@
 	}
 }
 
-var wantedLines = []string{
+var wantLogLines = []string{
 	`level=WARN msg="request denied" reason=no-identity identity="" class=set tenant=""`,
 	`level=WARN msg="requests denied" reason=no-identity suppressed=2`,
 	`level=INFO msg="authentication counters" admitted=0 deferred=1 cached_tokens=0 cached_denials=0 rate_entries=0` +
--- a/internal/authn/authorize.go
+++ b/internal/authn/authorize.go
@@ -26,12 +26,12 @@
 // and otherwise when the token is checked.
 func (a *Authenticator) Authorize(credential *Credential, request Request, done func(Decision)) {
 	if denial := a.RevocationReason(credential); denial != "" {
-		done(a.deny(credential.provenIdentity(), request, denial))
+		done(a.deny(credential.identityForLog(), request, denial))
 		return
 	}
 	// A token that nobody can check proves nothing, and takes nothing away.
 	if request.Token == "" || a.verifier == nil {
-		a.identifyByCertificate(credential)
+		a.resolveWithoutToken(credential)
 		done(a.decide(credential, request))
 		return
 	}
@@ -42,7 +42,7 @@
 			return
 		}
 	}
-	if entry, denial, known := a.verifier.Lookup(now, wall, request.Token); known {
+	if entry, denial, found := a.verifier.Lookup(now, wall, request.Token); found {
 		done(a.decideByVerdict(credential, request, tokens.Verdict{Entry: entry, Denial: denial}))
 		return
 	}
@@ -64,7 +64,7 @@
 
 // decideByCurrentToken decides by the token that the connection brought last; denial is why it no longer counts.
 func (a *Authenticator) decideByCurrentToken(credential *Credential, request Request, denial authz.Denial) Decision {
-	a.identifyByToken(credential, request.Token, credential.resolved.entry)
+	a.resolveByToken(credential, request.Token, credential.resolved.entry)
 	if denial != "" {
 		return a.deny(credential.resolved.principal.Identity, request, denial)
 	}
@@ -82,9 +82,9 @@
 	}
 	// The certificate may have been revoked while the token was checked.
 	if denial := a.RevocationReason(credential); denial != "" {
-		return a.deny(credential.provenIdentity(), request, denial)
+		return a.deny(credential.identityForLog(), request, denial)
 	}
-	a.identifyByToken(credential, request.Token, verdict.Entry)
+	a.resolveByToken(credential, request.Token, verdict.Entry)
 	return a.decide(credential, request)
 }
 
--- a/internal/authn/credential.go
+++ b/internal/authn/credential.go
@@ -15,13 +15,13 @@
 	Proof              *certs.VerifiedChain // nil: no certificate
 	ConfiguredIdentity authz.Identity       // set by the operator, as for a queue; empty: none
 
-	proof    proofCheck
-	resolved resolution
-	suspect  bool // it has brought forged tokens; never reset
+	lastCheck chainCheck
+	resolved  resolution
+	suspect   bool // it has brought forged tokens; never reset
 }
 
-// proofCheck is what the last check of a certificate came to.
-type proofCheck struct {
+// chainCheck is what the last check of a certificate came to.
+type chainCheck struct {
 	generation generation   // of the configuration that it was checked against
 	denial     authz.Denial // final once it is set
 }
@@ -36,8 +36,8 @@
 	entry      *tokens.CachedToken
 }
 
-// provenIdentity names the credential in the log where no principal is known.
-func (c *Credential) provenIdentity() authz.Identity {
+// identityForLog names the credential in the log where no principal is known.
+func (c *Credential) identityForLog() authz.Identity {
 	if c.Proof != nil && len(c.Proof.Identities) > 0 {
 		return c.Proof.Identities[0]
 	}
@@ -61,30 +61,30 @@
 // RevocationReason tells why a connection's certificate no longer counts, empty if it does. A reason is final. It costs
 // a comparison while nothing has changed.
 func (a *Authenticator) RevocationReason(credential *Credential) authz.Denial {
-	if credential.Proof == nil || credential.proof.denial != "" {
-		return credential.proof.denial
+	if credential.Proof == nil || credential.lastCheck.denial != "" {
+		return credential.lastCheck.denial
 	}
 	_, wall := a.clock()
-	if credential.proof.generation == a.generation && credential.Proof.ValidAt(wall) {
+	if credential.lastCheck.generation == a.generation && credential.Proof.ValidAt(wall) {
 		return ""
 	}
 	if a.config.TrustStore == nil {
-		credential.proof.denial = certs.Untrusted
-		return credential.proof.denial
+		credential.lastCheck.denial = certs.Untrusted
+		return credential.lastCheck.denial
 	}
-	credential.proof.denial = a.config.TrustStore.Recheck(credential.Proof, wall)
-	credential.proof.generation = a.generation
+	credential.lastCheck.denial = a.config.TrustStore.Recheck(credential.Proof, wall)
+	credential.lastCheck.generation = a.generation
 	credential.resolved.generation = 0
-	return credential.proof.denial
+	return credential.lastCheck.denial
 }
 
 // NeedsRecheck tells whether the configuration has changed since a connection's certificate was checked.
 func (a *Authenticator) NeedsRecheck(credential *Credential) bool {
-	return credential.Proof != nil && credential.proof.denial == "" && credential.proof.generation != a.generation
+	return credential.Proof != nil && credential.lastCheck.denial == "" && credential.lastCheck.generation != a.generation
 }
 
-// identifyByCertificate resolves a credential without a token: by its configured identity, or its certificate.
-func (a *Authenticator) identifyByCertificate(credential *Credential) {
+// resolveWithoutToken resolves a credential without a token: by its configured identity, or its certificate.
+func (a *Authenticator) resolveWithoutToken(credential *Credential) {
 	if credential.resolved.generation == a.generation && credential.resolved.entry == nil {
 		return
 	}
@@ -102,8 +102,8 @@
 	credential.resolved = resolved
 }
 
-// identifyByToken resolves a credential by a good token, whatever its certificate proves.
-func (a *Authenticator) identifyByToken(credential *Credential, token string, entry *tokens.CachedToken) {
+// resolveByToken resolves a credential by a good token, whatever its certificate proves.
+func (a *Authenticator) resolveByToken(credential *Credential, token string, entry *tokens.CachedToken) {
 	if credential.resolved.generation == a.generation && credential.resolved.entry == entry {
 		return
 	}
--- a/internal/authn/helper_test.go
+++ b/internal/authn/helper_test.go
@@ -43,9 +43,9 @@
 		keyDir:    t.TempDir(),
 		authority: setuptest.Must(certs.NewAuthority("authority", wall, time.Hour)),
 	}
-	before := slog.Default()
+	previous := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(f.log, &slog.HandlerOptions{ReplaceAttr: withoutTime})))
-	t.Cleanup(func() { slog.SetDefault(before) })
+	t.Cleanup(func() { slog.SetDefault(previous) })
 	config := Config{Policy: newPolicy(nil), MaxRateEntries: 10}
 	if change != nil {
 		change(&config)
@@ -101,7 +101,7 @@
 	return key, setuptest.Must(keyring.EncodePublic(*key, time.Time{}, time.Time{}, false))
 }
 
-func setOf(text []byte) *keyring.KeySet {
+func keySetOf(text []byte) *keyring.KeySet {
 	return setuptest.Must(keyring.ParseSet(map[string][]byte{"k.json": text}))
 }
 
--- a/internal/authz/denial.go
+++ b/internal/authz/denial.go
@@ -1,14 +1,15 @@
 package authz
 
-// Denial is why a request is denied, as it is answered, logged and listed; empty if it is not.
+// Denial is the reason why a request is denied, as sent in responses, logged and printed in listings. It is empty if
+// the request is not denied.
 type Denial string
 
-// The denials of the policy. Those of what proves an identity are in keyring, tokens and certs.
+// The denials of the policy. Packages keyring, tokens and certs define those of keys, tokens and certificates.
 const (
-	noIdentity    Denial = "no-identity" // none was proven, and callers without one have no role
-	unmapped      Denial = "unmapped"    // the identity is proven, but nothing maps it to a tenant or role
-	wrongTenant   Denial = "tenant"      // the request's tenant is neither the identity's nor that of one of its roles
-	wrongClass    Denial = "type"        // no role has the request's class
-	noWriteAccess Denial = "write"       // a role has the class, but only for reads
-	noReadAccess  Denial = "read"        // a role has the class, but only for writes
+	noIdentity    Denial = "no-identity" // the caller has proven no identity, and anonymous callers have no role
+	unmapped      Denial = "unmapped"    // the identity is proven, but neither a binding nor a claim gives it a role
+	wrongTenant   Denial = "tenant"      // the request's tenant is neither the identity's own nor allowed by its roles
+	wrongClass    Denial = "type"        // no role allows the request's class
+	noWriteAccess Denial = "write"       // a role allows the class, but only for reads
+	noReadAccess  Denial = "read"        // a role allows the class, but only for writes
 )
--- a/internal/authz/golden_test.go
+++ b/internal/authz/golden_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The denials that are spoken, in answers, logs and listings.
+// TestGoldenReasons checks the texts of the denials, which appear in responses, logs and listings.
 func TestGoldenReasons(t *testing.T) {
 	for denial, want := range map[Denial]string{
 		noIdentity:    "no-identity",
@@ -18,7 +18,7 @@
 	}
 }
 
-// The kinds of identities as an operator's file writes them.
+// TestGoldenIdentities checks the text of an identity of each kind, as written in the operator's file.
 func TestGoldenIdentities(t *testing.T) {
 	for got, want := range map[Identity]Identity{
 		NewIdentity(URIIdentity, "rota://water/7"): "uri:rota://water/7",
--- a/internal/authz/identity.go
+++ b/internal/authz/identity.go
@@ -1,12 +1,12 @@
 package authz
 
-// Identity is what a caller has proven to be: its kind, a colon and a name.
+// Identity is a proven identity of a caller: its kind, a colon and a name.
 type Identity string
 
-// IdentityKind says what an identity was proven by.
+// IdentityKind is the kind of proof that an identity was taken from.
 type IdentityKind string
 
-// The kinds as the operator's file writes them.
+// The kinds, as written in the operator's file.
 const (
 	URIIdentity     IdentityKind = "uri"     // a URI of a certificate
 	DNSIdentity     IdentityKind = "dns"     // a DNS name of a certificate
@@ -14,12 +14,12 @@
 	TokenIdentity   IdentityKind = "token"   // the subject of a token
 )
 
-// NewIdentity gives the identity of a kind with a name.
+// NewIdentity returns the identity with the given kind and name.
 func NewIdentity(kind IdentityKind, name string) Identity {
 	return Identity(string(kind) + ":" + name)
 }
 
-func (k IdentityKind) known() bool {
+func (k IdentityKind) valid() bool {
 	switch k {
 	case URIIdentity, DNSIdentity, SubjectIdentity, TokenIdentity:
 		return true
--- a/internal/authz/policy.go
+++ b/internal/authz/policy.go
@@ -1,5 +1,6 @@
-// Package authz decides who may do what, how often and how much at once. It does no I/O, and the time is an argument.
-// A Policy says who may do what and never changes; a RateLimiter counts what identities use.
+// Package authz decides which requests a caller may make, at which rate and how many at a time. It does no I/O and
+// takes the current time as an argument. A Policy is immutable and holds the permissions; a RateLimiter counts the
+// requests of each identity.
 package authz
 
 import (
@@ -10,50 +11,50 @@
 	"lanewheel/admission"
 )
 
-// Principal is a caller whose identity is known, with the permissions of the Policy that resolved it.
+// Principal is a caller with its identity and its permissions under the Policy that resolved it.
 type Principal struct {
 	Identity Identity // empty: anonymous
 	tenant   admission.TenantID
 	roles    []*Role
 }
 
-// Claims are what a token says of its subject's tenant and roles. The zero value says nothing.
+// Claims are the tenant and the roles that a token claims for its subject. The zero value claims neither.
 type Claims struct {
 	Tenant admission.TenantID
 	Roles  []RoleName
 }
 
-// Request is what a caller wants to do.
+// Request is a request for which a caller needs permission.
 type Request struct {
 	Class  admission.Class
-	Tenant admission.TenantID // empty: the identity's own
-	Write  bool               // as the request says of itself
+	Tenant admission.TenantID // empty: the identity's own tenant
+	Write  bool               // whether the request declares itself a write
 }
 
-// Grant is what a principal may do a request by.
+// Grant is the permission of a principal for one request.
 type Grant struct {
-	Tenant admission.TenantID
-	Roles  []*Role // those that allow it, in the principal's order
+	Tenant admission.TenantID // the tenant of the request
+	Roles  []*Role            // the roles that allow the request, in the principal's order
 }
 
-// Policy is who may do what. It never changes, and may be used from any goroutine.
+// Policy holds the permissions of all callers. It is immutable and may be used from any goroutine.
 type Policy struct {
 	roles        map[RoleName]*Role
 	bindings     []Binding
-	exact        map[Identity]int // index of the binding that names it whole
-	prefixes     []prefix         // the longest first
+	exact        map[Identity]int // index of the binding with this identity as a pattern without a wildcard
+	prefixes     []prefixPattern  // in order of decreasing length
 	writeClasses map[admission.Class]bool
-	anonymous    []*Role
+	anonymous    []*Role // roles of anonymous callers
 }
 
-// prefix is a pattern that ends in a wildcard, without it.
-type prefix struct {
-	text    string
-	binding int // index
+// prefixPattern is a pattern that ends in a wildcard.
+type prefixPattern struct {
+	text    string // the pattern without the wildcard
+	binding int    // index of its binding
 }
 
-// NewPolicy makes a policy, or says what is wrong with it. writeClasses are those whose requests are writes whatever
-// they say of themselves; anonymous are the roles of callers without an identity.
+// NewPolicy returns a policy, or an error that describes the first fault in its arguments. Requests of writeClasses
+// count as writes even if they declare themselves reads. anonymous are the roles of callers without an identity.
 func NewPolicy(
 	roles []Role, bindings []Binding, writeClasses []admission.Class, anonymous []RoleName,
 ) (*Policy, error) {
@@ -65,7 +66,7 @@
 	}
 	for i := range roles {
 		if policy.roles[roles[i].Name] != nil {
-			return nil, fmt.Errorf("role %q stands twice", roles[i].Name)
+			return nil, fmt.Errorf("role %q is defined twice", roles[i].Name)
 		}
 		policy.roles[roles[i].Name] = &roles[i]
 	}
@@ -74,14 +75,14 @@
 			return nil, err
 		}
 	}
-	// Of two prefixes that match, the longer one says more of whom it means.
-	slices.SortStableFunc(policy.prefixes, func(x, y prefix) int { return len(y.text) - len(x.text) })
+	// findBinding takes the first prefix that matches; the longest one is the most specific.
+	slices.SortStableFunc(policy.prefixes, func(x, y prefixPattern) int { return len(y.text) - len(x.text) })
 	for _, class := range writeClasses {
 		policy.writeClasses[class] = true
 	}
 	for _, name := range anonymous {
 		if policy.roles[name] == nil {
-			return nil, fmt.Errorf("callers without an identity: there is no role %q", name)
+			return nil, fmt.Errorf("callers without an identity: role %q is not defined", name)
 		}
 		policy.anonymous = append(policy.anonymous, policy.roles[name])
 	}
@@ -93,29 +94,29 @@
 	binding := p.bindings[index]
 	for _, name := range binding.Roles {
 		if p.roles[name] == nil {
-			return fmt.Errorf("caller %q: there is no role %q", binding.Name, name)
+			return fmt.Errorf("caller %q: role %q is not defined", binding.Name, name)
 		}
 	}
 	for _, pattern := range binding.Patterns {
 		kind, name, hasKind := strings.Cut(pattern, ":")
-		if !hasKind || name == "" || !IdentityKind(kind).known() {
-			return fmt.Errorf("caller %q: %q must begin with uri:, dns:, subject: or token:, and go on", binding.Name, pattern)
+		if !hasKind || name == "" || !IdentityKind(kind).valid() {
+			return fmt.Errorf("caller %q: pattern %q must be uri:, dns:, subject: or token: and a name", binding.Name, pattern)
 		}
 		if !p.addPattern(pattern, index) {
-			return fmt.Errorf("caller %q: %q is another caller's too", binding.Name, pattern)
+			return fmt.Errorf("caller %q: pattern %q is used twice", binding.Name, pattern)
 		}
 	}
 	return nil
 }
 
-// addPattern indexes a pattern, and tells whether no other binding has it.
+// addPattern adds a pattern to the index. It returns false if the pattern is already there.
 func (p *Policy) addPattern(pattern string, binding int) bool {
 	text, isPrefix := strings.CutSuffix(pattern, wildcard)
 	if isPrefix {
-		if slices.ContainsFunc(p.prefixes, func(other prefix) bool { return other.text == text }) {
+		if slices.ContainsFunc(p.prefixes, func(other prefixPattern) bool { return other.text == text }) {
 			return false
 		}
-		p.prefixes = append(p.prefixes, prefix{text, binding})
+		p.prefixes = append(p.prefixes, prefixPattern{text, binding})
 		return true
 	}
 	if _, duplicate := p.exact[Identity(pattern)]; duplicate {
@@ -125,7 +126,7 @@
 	return true
 }
 
-// Anonymous gives the caller that has proven nothing, or why it may do nothing.
+// Anonymous returns the principal of callers without an identity, or a denial if they have no role.
 func (p *Policy) Anonymous() (Principal, Denial) {
 	if len(p.anonymous) == 0 {
 		return Principal{}, noIdentity
@@ -133,9 +134,10 @@
 	return Principal{roles: p.anonymous}, ""
 }
 
-// Resolve gives the principal of a caller. identities are all that it has proven to be: the first that a binding names
-// whole counts, else the first that one has a prefix of. A binding goes before the claims; without one, the claims give
-// tenant and roles, and roles that the policy does not have give no permissions.
+// Resolve returns the principal of a caller, or a denial. identities are all identities that the caller has proven.
+// The first one that a binding matches exactly is used, or else the first one that a binding matches by a prefix. A
+// binding takes precedence over the claims. Without a binding, tenant and roles are taken from the claims, and roles
+// that the policy does not define are ignored.
 func (p *Policy) Resolve(identities []Identity, claims Claims) (Principal, Denial) {
 	if len(identities) == 0 {
 		return Principal{}, noIdentity
@@ -159,10 +161,10 @@
 	return principal, ""
 }
 
-// findBinding gives the binding that counts for a caller, and the identity that it matches; nil if there is none.
+// findBinding returns the binding of a caller and the identity that it matches, or nil if no binding matches.
 func (p *Policy) findBinding(identities []Identity) (*Binding, Identity) {
 	for _, identity := range identities {
-		if index, known := p.exact[identity]; known {
+		if index, found := p.exact[identity]; found {
 			return &p.bindings[index], identity
 		}
 	}
@@ -176,9 +178,9 @@
 	return nil, ""
 }
 
-// Authorize gives what a principal may do a request by, or why it may not: the denial of the role that came closest,
-// where the tenant is looked at first, then the class, then whether it reads or writes. A request of a class that is
-// listed as a write is one even if it says of itself that it reads.
+// Authorize returns the grant for a principal's request, or a denial. Each role is checked for the tenant, then for
+// the class, then for read or write access; the denial is that of the role that passed the most checks. A request of
+// one of the policy's write classes counts as a write even if it declares itself a read.
 func (p *Policy) Authorize(principal *Principal, request Request) (Grant, Denial) {
 	write := request.Write || p.writeClasses[request.Class]
 	grant := Grant{Tenant: request.Tenant}
--- a/internal/authz/policy_test.go
+++ b/internal/authz/policy_test.go
@@ -43,8 +43,9 @@
 	{Name: "roads", Patterns: []string{"uri:rota://*"}, Tenant: "roads", Roles: []RoleName{"crew", "viewer"}},
 }, []admission.Class{"set"}, nil))
 
-// Who a caller is, and what it may: a whole identity goes before a prefix, a longer prefix before a shorter one; a
-// write that says it is a read stays a write; another tenant's request is denied.
+// Example resolves callers and authorizes their requests. An exact pattern takes precedence over a prefix, and a
+// longer prefix over a shorter one. A request of a write class that declares itself a read counts as a write. A
+// request for another tenant is denied.
 func Example() {
 	for _, c := range []struct {
 		identity Identity
@@ -86,7 +87,7 @@
 	// token:x: "unmapped"
 	// token:dispatch-1 any for gas: ""
 	// no-identity
-	// caller "a": there is no role "none"
+	// caller "a": role "none" is not defined
 }
 
 var (
@@ -128,7 +129,7 @@
 	return bindings
 }
 
-// bestBinding gives the index of the binding that counts for an identity, -1 if none does.
+// bestBinding returns the index of the binding that applies to an identity, or -1 if none does.
 func bestBinding(bindings []Binding, identity string) int {
 	best, length := -1, -1
 	for i, binding := range bindings {
@@ -142,8 +143,8 @@
 	return best
 }
 
-// allowed tells whether a role allows a request to an identity with the binding's tenant.
-func allowed(role Role, binding Binding, request Request, writeClasses []admission.Class) bool {
+// isAllowed reports whether a role allows a request of an identity with the binding's tenant.
+func isAllowed(role Role, binding Binding, request Request, writeClasses []admission.Class) bool {
 	tenant := request.Tenant
 	if tenant == "" {
 		tenant = binding.Tenant
@@ -160,7 +161,7 @@
 	return role.CanRead
 }
 
-// The policy against rules that are read one by one.
+// TestPolicy compares the policy with a reference that goes through the bindings one by one.
 func TestPolicy(t *testing.T) {
 	identities := []string{"uri:a", "uri:ab", "uri:abc", "uri:c", "dns:a", "dns:b", "token:q"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -179,14 +180,14 @@
 		if best := bestBinding(bindings, identity); best >= 0 {
 			binding := bindings[best]
 			role := roles[slices.IndexFunc(roles, func(r Role) bool { return r.Name == binding.Roles[0] })]
-			want = allowed(role, binding, request, writeClasses)
+			want = isAllowed(role, binding, request, writeClasses)
 		}
 		principal, denial := policy.Resolve([]Identity{Identity(identity)}, Claims{})
 		if denial == "" {
 			_, denial = policy.Authorize(&principal, request)
 		}
 		if want != (denial == "") {
-			t.Fatalf("%s %+v: %q, want it allowed: %v", identity, request, denial, want)
+			t.Fatalf("%s %+v: denial %q, want allowed %v", identity, request, denial, want)
 		}
 	})
 }
--- a/internal/authz/ratelimiter.go
+++ b/internal/authz/ratelimiter.go
@@ -3,33 +3,35 @@
 import "time"
 
 const (
-	// MinRetryAfter is the shortest retry delay that is answered; the timers of clients are no finer.
+	// MinRetryAfter is the shortest retry delay in a response; the timers of clients have no finer resolution.
 	MinRetryAfter = time.Millisecond
-	// tableFullRetryAfter is the retry delay where no entry is free: entries become so within seconds, as buckets fill.
+	// tableFullRetryAfter is the retry delay while the table is full. Entries are freed within seconds, as their token
+	// buckets fill up.
 	tableFullRetryAfter = time.Second
 
-	// An entry that is added has some others looked at: more than one, so that the table is gone through faster than it
-	// fills, and more when it is full, but never so many that the event loop is held up.
+	// Maximum number of entries that are checked for eviction when an entry is added. It is greater than one so that
+	// the scan goes through the table faster than the table fills. It is larger when the table is full, but limited
+	// so that the event loop is not blocked.
 	evictionScan     = 2
 	evictionScanFull = 64
 )
 
-// RateLimiter counts what identities use of the bounds of their roles: a token bucket for the rate, and the requests in
-// flight. It belongs to one goroutine.
+// RateLimiter limits each identity to the rate and the number of requests in flight that its roles allow. It has a
+// token bucket and a count of requests in flight for each identity and role. It must be used from one goroutine.
 type RateLimiter struct {
 	maxEntries   int
 	entries      map[usageKey]*usage
-	evictionRing []usageKey // the keys of entries, in the order in which they are looked at
-	evictionHand int        // index of the next one to look at
+	evictionRing []usageKey // the keys of entries, in the order of the eviction scan
+	evictionHand int        // index in evictionRing at which the next scan starts
 }
 
-// usageKey is one identity under one role: the bounds of each role count separately.
+// usageKey is an identity and a role. The limits of each role are counted separately.
 type usageKey struct {
 	identity Identity
 	role     RoleName
 }
 
-// newRateLimiter makes one for at most so many entries, one for each identity and role with a bound.
+// newRateLimiter returns a limiter with at most maxEntries entries, one for each identity and role that has a limit.
 func newRateLimiter(maxEntries int) *RateLimiter {
 	return &RateLimiter{
 		maxEntries: max(1, maxEntries),
@@ -37,7 +39,8 @@
 	}
 }
 
-// Resize gives a limiter for so many entries that keeps what this one has counted; a nil one gives a new limiter.
+// Resize changes the maximum number of entries, keeps all counts and returns the limiter. If the limiter is nil, it
+// returns a new one.
 func (l *RateLimiter) Resize(maxEntries int) *RateLimiter {
 	if l == nil {
 		return newRateLimiter(maxEntries)
@@ -46,15 +49,16 @@
 	return l
 }
 
-// Permission is one admitted request, to be given to Release when it is done. The zero value is none that is counted.
+// Permission is the permission of one admitted request, which the caller passes to Release when the request is done.
+// The zero value belongs to no counted request.
 type Permission struct {
 	key       usageKey
 	grantedAt time.Duration
 	counted   bool
 }
 
-// Acquire admits a request by the first of the roles whose bounds have capacity left. If none has, it gives the time
-// after which to retry.
+// Acquire admits a request under the first of the roles whose limits have capacity left. If there is none, it returns
+// the delay after which to retry.
 func (l *RateLimiter) Acquire(
 	now time.Duration, principal *Principal, roles []*Role,
 ) (permission Permission, retryAfter time.Duration, admitted bool) {
@@ -66,11 +70,11 @@
 		key := usageKey{principal.Identity, role.Name}
 		entry := l.entry(now, key, role)
 		if entry == nil {
-			retryAfter = earlier(retryAfter, tableFullRetryAfter)
+			retryAfter = shorterDelay(retryAfter, tableFullRetryAfter)
 			continue
 		}
 		if wait, limited := entry.take(now, role); limited {
-			retryAfter = earlier(retryAfter, wait)
+			retryAfter = shorterDelay(retryAfter, wait)
 			continue
 		}
 		return Permission{key: key, grantedAt: now, counted: true}, 0, true
@@ -78,7 +82,7 @@
 	return Permission{}, max(retryAfter, MinRetryAfter), false
 }
 
-// Release takes a permission back: its request is done. A second time does nothing.
+// Release ends a permission when its request is done. A second call with the same permission does nothing.
 func (l *RateLimiter) Release(now time.Duration, permission *Permission) {
 	if !permission.counted {
 		return
@@ -89,26 +93,25 @@
 	}
 }
 
-// Len is how many entries there are.
+// Len returns the number of entries.
 func (l *RateLimiter) Len() int { return len(l.entries) }
 
-// entry gives the entry of a key, a new one if need be; nil if the table is full.
+// entry returns the entry of a key and creates it if necessary. It returns nil if the table is full.
 func (l *RateLimiter) entry(now time.Duration, key usageKey, role *Role) *usage {
-	if known := l.entries[key]; known != nil {
-		return known
+	if existing := l.entries[key]; existing != nil {
+		return existing
 	}
 	if !l.makeRoom(now) {
 		return nil
 	}
-	added := &usage{tokens: role.Burst, filledAt: now}
+	added := &usage{tokens: role.Burst, refilledAt: now}
 	l.entries[key] = added
 	l.evictionRing = append(l.evictionRing, key)
 	return added
 }
 
-// makeRoom tells whether one more entry fits. Entries that are as good as new are dropped, a few looked at each
-// time, so that the table does not grow with every identity ever seen. One that is in use is never dropped for a
-// newcomer.
+// makeRoom reports whether there is room for one more entry. Each call checks a few entries and evicts the idle ones,
+// so that the table does not grow with every identity ever seen. An entry in use is never evicted.
 func (l *RateLimiter) makeRoom(now time.Duration) bool {
 	for scanned := 0; len(l.evictionRing) > 0 && scanned < l.scanLimit(); scanned++ {
 		l.evictionHand %= len(l.evictionRing)
@@ -132,8 +135,8 @@
 	return evictionScan
 }
 
-// earlier gives the shorter of two delays; a negative first one is none yet.
-func earlier(a, b time.Duration) time.Duration {
+// shorterDelay returns the shorter of two delays. A negative a means that there is no delay yet.
+func shorterDelay(a, b time.Duration) time.Duration {
 	if a < 0 {
 		return b
 	}
--- a/internal/authz/ratelimiter_test.go
+++ b/internal/authz/ratelimiter_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// An identity's rate, its requests in flight, and when to retry; a request beyond its rate costs its neighbor nothing.
+// Example_rateLimiter shows the limits on the rate and on the requests in flight of an identity, and the retry delays.
+// A request beyond the rate of one identity does not count against another.
 func Example_rateLimiter() {
 	limiter := newRateLimiter(10)
 	water, _ := policy.Resolve([]Identity{"uri:rota://water/7"}, Claims{})
@@ -25,9 +26,9 @@
 	acquire(0, &other)
 	acquire(50*time.Millisecond, &water)
 	acquire(100*time.Millisecond, &water)
-	acquire(time.Second, &water) // its rate would allow it, but three are in flight
+	acquire(time.Second, &water) // the rate allows it, but three requests are in flight
 	limiter.Release(time.Second, &permission)
-	limiter.Release(time.Second, &permission) // a second time gives nothing back
+	limiter.Release(time.Second, &permission) // a second release has no effect
 	acquire(time.Second, &water)
 	fmt.Println(limiter.entries[usageKey{water.Identity, "crew"}].inFlight, limiter.Len())
 	// Output:
@@ -42,9 +43,10 @@
 	// 3 2
 }
 
-// A hundred thousand identities leave no more entries than configured; one in use is not dropped for a newcomer.
+// Example_bounded shows that 100,000 identities leave no more entries than configured, and that an entry in use is
+// not evicted for a new one.
 func Example_bounded() {
-	limiter := newRateLimiter(300) // a hundred are refilling at a time
+	limiter := newRateLimiter(300) // the buckets of 100 entries are refilling at a time
 	role := &Role{Name: "r", RatePerSecond: 10, Burst: 1}
 	rejected := 0
 	for i := range 100_000 {
@@ -69,7 +71,7 @@
 	// false 1s
 }
 
-// limiterModel remembers all that a limiter has ever admitted for one identity.
+// limiterModel records all requests that a limiter has admitted for one identity.
 type limiterModel struct {
 	*RateLimiter
 	role       *Role
@@ -101,22 +103,23 @@
 	return retryAfter, admitted
 }
 
-// checkBounds looks at each span that ends now.
+// checkBounds checks the number of requests in flight, and the number admitted in each period that ends now.
 func (m *limiterModel) checkBounds(t *rapid.T) {
 	if m.role.MaxInFlight > 0 && len(m.inFlight) > m.role.MaxInFlight {
-		t.Fatal("more in flight than the role allows")
+		t.Fatal("more requests in flight than the role allows")
 	}
 	for i, from := range m.admittedAt {
 		count := len(m.admittedAt) - i
 		limit := m.role.Burst + (m.now-from).Seconds()*m.role.RatePerSecond + 1e-6
 		if float64(count) > limit {
-			t.Fatalf("%d in %v, want at most %f", count, m.now-from, limit)
+			t.Fatalf("%d requests admitted in %v, want at most %f", count, m.now-from, limit)
 		}
 	}
 }
 
-// The limiter against a list of all that was ever admitted: never more than burst and rate allow in any span, never
-// more in flight than configured, no one rejected who keeps to both, and who retries when told is admitted.
+// TestRateLimiter compares the limiter with a record of all admitted requests. No period has more requests than burst
+// and rate allow, and there are never more in flight than configured. A request within both limits is admitted, and
+// so is one that is retried after the returned delay.
 func TestRateLimiter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawLimiterModel(t)
@@ -134,7 +137,7 @@
 			}
 			m.now += retryAfter + time.Microsecond
 			if _, admitted := m.acquire(); !admitted {
-				t.Fatalf("retried after %v and was rejected", retryAfter)
+				t.Fatalf("request retried after %v was rejected, want admitted", retryAfter)
 			}
 		}
 	})
--- a/internal/authz/usage.go
+++ b/internal/authz/usage.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// unknownDuration is taken for a request's duration where none is known.
-const unknownDuration = 100 * time.Millisecond
+// defaultDuration is the assumed duration of a request until the first one has finished.
+const defaultDuration = 100 * time.Millisecond
 
-// usage is what one identity uses of one role's bounds.
+// usage is the state of one identity under the limits of one role.
 type usage struct {
-	tokens    float64       // in the bucket, in requests
-	filledAt  time.Duration // when that was so
-	rate      float64       // of the role that it was refilled by last, in requests a second
-	burst     float64       // likewise, in requests
-	inFlight  int
-	durations [4]time.Duration // of the last requests; a handful shows about when one ends
-	finished  int
+	tokens     float64       // tokens in the bucket at refilledAt; one admits one request
+	refilledAt time.Duration // time of the last refill
+	rate       float64       // rate of the role at the last refill, in requests per second
+	burst      float64       // burst of the role at the last refill, in requests
+	inFlight   int
+	durations  [4]time.Duration // durations of the latest requests; 4 are enough to estimate when one ends
+	finished   int              // total number of finished requests
 }
 
-// take counts a request, or gives the time after which the role's bounds are likely to allow it.
+// take counts a request, or returns the delay after which the role's limits are likely to allow it.
 func (u *usage) take(now time.Duration, role *Role) (wait time.Duration, limited bool) {
 	u.refill(now, role)
 	if role.MaxInFlight > 0 && u.inFlight >= role.MaxInFlight {
@@ -32,15 +32,15 @@
 	return 0, false
 }
 
-// release counts a request as done that took so long.
+// release ends a request in flight and records its duration.
 func (u *usage) release(duration time.Duration) {
 	u.inFlight--
 	u.durations[u.finished%len(u.durations)] = duration
 	u.finished++
 }
 
-// refill brings the bucket up to now. A time before the last one fills nothing. Where the role's bounds have changed,
-// what was used stays used.
+// refill adds the tokens for the time since the last refill. A time before the last refill adds none. If the role's
+// limits have changed, the tokens that were already used remain used.
 func (u *usage) refill(now time.Duration, role *Role) {
 	if role.RatePerSecond != u.rate || role.Burst != u.burst {
 		if u.burst > 0 {
@@ -51,16 +51,16 @@
 		u.rate = role.RatePerSecond
 		u.burst = role.Burst
 	}
-	elapsed := max(0, (now - u.filledAt).Seconds())
+	elapsed := max(0, (now - u.refilledAt).Seconds())
 	u.tokens = min(role.Burst, u.tokens+elapsed*role.RatePerSecond)
-	u.filledAt = max(u.filledAt, now)
+	u.refilledAt = max(u.refilledAt, now)
 }
 
-// averageDuration is about how long a request of this entry takes.
+// averageDuration returns the average of the latest durations, or defaultDuration if there is none.
 func (u *usage) averageDuration() time.Duration {
 	count := min(u.finished, len(u.durations))
 	if count == 0 {
-		return unknownDuration
+		return defaultDuration
 	}
 	var sum time.Duration
 	for _, duration := range u.durations[:count] {
@@ -69,10 +69,10 @@
 	return sum / time.Duration(count)
 }
 
-// idle tells whether dropping the entry changes nothing: a new one would be like it.
+// idle reports whether the entry may be evicted without any effect, because a new entry would be equivalent.
 func (u *usage) idle(now time.Duration) bool {
 	if u.inFlight > 0 {
 		return false
 	}
-	return u.rate <= 0 || u.tokens+(now-u.filledAt).Seconds()*u.rate >= u.burst
+	return u.rate <= 0 || u.tokens+(now-u.refilledAt).Seconds()*u.rate >= u.burst
 }
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -34,10 +34,10 @@
 
 // revocations is an authority's list with the certificates of pairs.
 func revocations(authority KeyPair, validity time.Duration, pairs ...KeyPair) []byte {
-	return moreRevocations(authority, nil, validity, pairs...)
+	return appendRevocations(authority, nil, validity, pairs...)
 }
 
-func moreRevocations(authority KeyPair, previous []byte, validity time.Duration, pairs ...KeyPair) []byte {
+func appendRevocations(authority KeyPair, previous []byte, validity time.Duration, pairs ...KeyPair) []byte {
 	var serials []*big.Int
 	for _, pair := range pairs {
 		serials = append(serials, pair.Certificate.SerialNumber)
@@ -52,8 +52,8 @@
 	foreign := issueDevice(otherAuthority, "rota://water/7")
 	server := setuptest.Must(authority.IssueServer(Subject{CommonName: "node"}, start, time.Hour))
 	list := revocations(authority, 2*time.Hour, revoked)
-	graced := RevocationPolicy{Grace: time.Hour}
-	trust := setuptest.Must(NewTrustStore(encodeCertificates(authority), list, graced, start))
+	withGrace := RevocationPolicy{Grace: time.Hour}
+	trust := setuptest.Must(NewTrustStore(encodeCertificates(authority), list, withGrace, start))
 	show := func(name string, at time.Duration, chain ...KeyPair) {
 		var certificates []*x509.Certificate
 		for _, pair := range chain {
@@ -77,7 +77,7 @@
 	foreignList := revocations(otherAuthority, time.Hour)
 	_, err := NewTrustStore(encodeCertificates(authority), foreignList, RevocationPolicy{}, start)
 	fmt.Println(err)
-	_, err = NewTrustStore(encodeCertificates(authority), list, graced, start.Add(3*time.Hour))
+	_, err = NewTrustStore(encodeCertificates(authority), list, withGrace, start.Add(3*time.Hour))
 	fmt.Println(err)
 	_, err = NewTrustStore(encodeCertificates(good), nil, RevocationPolicy{}, start)
 	fmt.Println(err)
@@ -109,7 +109,7 @@
 	fmt.Printf("later %v %q\n", verified.ValidAt(later), trust.Recheck(verified, later))
 	trust = setuptest.Must(NewTrustStore(both, list, RevocationPolicy{AllowStale: true}, start))
 	fmt.Printf("allowed: %q\n", trust.Recheck(verified, later))
-	newer := moreRevocations(authority, list, time.Hour, device)
+	newer := appendRevocations(authority, list, time.Hour, device)
 	newerFirst := slices.Concat(newer, list) // the older one behind it changes nothing
 	trust = setuptest.Must(NewTrustStore(both, newerFirst, RevocationPolicy{}, start))
 	fmt.Printf("%q\n", trust.Recheck(verified, start))
--- a/internal/certs/chain.go
+++ b/internal/certs/chain.go
@@ -47,7 +47,7 @@
 		chain:       chains[0],
 		trustDigest: s.digest,
 	}
-	verified.boundTimes()
+	verified.setValidityPeriod()
 	return verified, s.checkRevocation(verified, now)
 }
 
@@ -66,8 +66,8 @@
 	return identities
 }
 
-// boundTimes takes the times between which all certificates of the chain are valid.
-func (c *VerifiedChain) boundTimes() {
+// setValidityPeriod takes the times between which all certificates of the chain are valid.
+func (c *VerifiedChain) setValidityPeriod() {
 	for _, certificate := range c.chain {
 		if c.notAfter.IsZero() || certificate.NotAfter.Before(c.notAfter) {
 			c.notAfter = certificate.NotAfter
@@ -91,9 +91,9 @@
 // authorities have changed since it was verified.
 func (s *TrustStore) Recheck(verified *VerifiedChain, now time.Time) authz.Denial {
 	if verified.trustDigest != s.digest {
-		again, denial := s.Verify(verified.chain, now)
+		reverified, denial := s.Verify(verified.chain, now)
 		if denial == "" {
-			*verified = *again
+			*verified = *reverified
 		}
 		return denial
 	}
--- a/internal/certs/golden_test.go
+++ b/internal/certs/golden_test.go
@@ -78,7 +78,7 @@
 			t.Errorf("%s proves %v, want %s", want.name, verified.Identities, want.identities)
 		}
 	}
-	list := setuptest.Must(x509.ParseRevocationList(block(golden("revoked.pem"))))
+	list := setuptest.Must(x509.ParseRevocationList(decodeRevocationList(golden("revoked.pem"))))
 	if len(trust.revocationLists) != 1 {
 		t.Fatalf("%d lists, want one", len(trust.revocationLists))
 	}
@@ -87,8 +87,8 @@
 	}
 }
 
-// block gives what one stored revocation list holds.
-func block(text []byte) []byte {
+// decodeRevocationList gives what one stored revocation list holds.
+func decodeRevocationList(text []byte) []byte {
 	decoded, rest := pem.Decode(text)
 	if decoded == nil || decoded.Type != "X509 CRL" || len(rest) > 0 {
 		panic("want one revocation list and nothing else")
@@ -100,13 +100,13 @@
 func TestGoldenList(t *testing.T) {
 	authority := setuptest.Must(ParseKeyPair(golden("authority.pem"), golden("authority.key")))
 	revoked := setuptest.Must(ParseCertificates(golden("taken.pem")))[0]
-	before := setuptest.Must(x509.ParseRevocationList(block(golden("revoked.pem"))))
+	before := setuptest.Must(x509.ParseRevocationList(decodeRevocationList(golden("revoked.pem"))))
 	if before.Number.Int64() != 2 || len(before.RevokedCertificateEntries) != 1 ||
 		before.RevokedCertificateEntries[0].SerialNumber.Cmp(revoked.SerialNumber) != 0 {
 		t.Fatalf("number %v, %+v", before.Number, before.RevokedCertificateEntries)
 	}
 	text := setuptest.Must(authority.Revoke(golden("revoked.pem"), []*big.Int{big.NewInt(77)}, start, time.Hour))
-	after := setuptest.Must(x509.ParseRevocationList(block(text)))
+	after := setuptest.Must(x509.ParseRevocationList(decodeRevocationList(text)))
 	if after.Number.Int64() != 3 || len(after.RevokedCertificateEntries) != 2 ||
 		after.RevokedCertificateEntries[1].SerialNumber.Int64() != 77 ||
 		after.RevokedCertificateEntries[0].SerialNumber.Cmp(revoked.SerialNumber) != 0 ||
--- a/internal/certs/revocationlist.go
+++ b/internal/certs/revocationlist.go
@@ -28,7 +28,7 @@
 		return err
 	}
 	// A list that anybody may have written would let revoked certificates back in, or lock everybody out.
-	if !s.isSigned(crl) {
+	if !s.isSignedByAuthority(crl) {
 		return fmt.Errorf("the list of %s is not signed by a told authority", crl.Issuer)
 	}
 	count := len(crl.RevokedCertificateEntries)
@@ -52,12 +52,12 @@
 	for _, entry := range crl.RevokedCertificateEntries {
 		list.serials[string(entry.SerialNumber.Bytes())] = true
 	}
-	s.keepNewer(list)
+	s.addIfNewer(list)
 	return nil
 }
 
-// isSigned tells whether an authority of the store signed a list.
-func (s *TrustStore) isSigned(crl *x509.RevocationList) bool {
+// isSignedByAuthority tells whether an authority of the store signed a list.
+func (s *TrustStore) isSignedByAuthority(crl *x509.RevocationList) bool {
 	for _, authority := range s.authorities {
 		if bytes.Equal(authority.RawSubject, crl.RawIssuer) && crl.CheckSignatureFrom(authority) == nil {
 			return true
@@ -66,8 +66,8 @@
 	return false
 }
 
-// keepNewer keeps a list unless there is a newer one of its authority.
-func (s *TrustStore) keepNewer(list *revocationList) {
+// addIfNewer keeps a list unless there is a newer one of its authority.
+func (s *TrustStore) addIfNewer(list *revocationList) {
 	for i, earlier := range s.revocationLists {
 		if !bytes.Equal(earlier.issuer, list.issuer) {
 			continue
