--- a/internal/authn/authenticator.go
+++ b/internal/authn/authenticator.go
@@ -1,6 +1,6 @@
-// Package authn tells who makes a request and whether it may be admitted. What is decided lives in authz, keyring,
-// tokens and certs; this package puts it together, and does what takes time (signatures, reading files) off the
-// event loop.
+// Package authn identifies the caller of a request and decides whether the request may be admitted. The rules are in
+// packages authz, keyring, tokens and certs. This package combines them, and verifies signatures and reads files off
+// the event loop, because both take time.
 package authn
 
 import (
@@ -14,42 +14,43 @@
 	"lanewheel/internal/tokens"
 )
 
-// Config is what the operator's file says of callers, read and checked whole.
+// Config is the configuration of callers from the operator's file. It has been read and checked completely.
 type Config struct {
 	Policy         *authz.Policy
-	MaxRateEntries int               // identities whose rates and requests in flight are counted at a time
+	MaxRateEntries int               // maximum number of entries of the rate limiter; see authz.RateLimiter
 	TrustStore     *certs.TrustStore // nil: certificates are not accepted
 	KeySet         *keyring.KeySet   // nil: tokens are not accepted
-	KeyDir         string            // the folder that the keys are read from again
+	KeyDir         string            // folder from which the keys are reloaded
 	TokenPolicy    *tokens.Policy
 	RevokedTokens  *tokens.Revocations
 	TokenLimits    tokens.Limits
 }
 
-// Authenticator decides on requests. Owned by the server's event loop, which calls all methods but VerifyCertificate:
-// that one is called from the goroutines of handshakes. Tokens are verified one after the other on a goroutine that is
-// started with the first keys and runs until the process ends.
+// Authenticator decides on requests. It is owned by the server's event loop, which calls all methods except
+// VerifyCertificate. That method is called from the goroutines of handshakes. Tokens are verified one at a time on a
+// goroutine that is started with the first keys and runs until the process ends.
 type Authenticator struct {
 	post  func(...func())                            // runs functions on the event loop
-	clock func() (now time.Duration, wall time.Time) // the event loop's time
+	clock func() (now time.Duration, wall time.Time) // returns the event loop's time
 
 	config     Config
-	generation generation
+	generation generation                       // generation of config
 	trust      atomic.Pointer[certs.TrustStore] // for handshakes; equals config.TrustStore
 	limiter    *authz.RateLimiter
 	verifier   *tokens.Verifier // nil: tokens are not accepted
 	checks     chan tokenCheck  // to the goroutine that verifies tokens; nil until there are keys
-	draining   bool             // no request waits for a check any more
+	draining   bool             // set by Stop: no request waits for a token check any more
 
 	counters  counters
 	denialLog logging.Sampler[authz.Denial]
 }
 
-// generation counts configurations, from 1 on. What was found out by an earlier one is found out again.
+// generation is the number of a configuration, starting at 1. Results that depend on the configuration are determined
+// again if they are of an earlier generation.
 type generation uint64
 
-// New makes an authenticator. post runs functions on the event loop and may be called from any goroutine; clock is the
-// event loop's time.
+// New returns an authenticator with the given configuration. post runs functions on the event loop and may be called
+// from any goroutine; clock returns the event loop's time.
 func New(config Config, post func(...func()), clock func() (time.Duration, time.Time)) *Authenticator {
 	a := &Authenticator{
 		post:     post,
@@ -60,7 +61,7 @@
 	return a
 }
 
-// Reload puts another configuration in force, whole. Requests that were admitted before stay admitted.
+// Reload replaces the whole configuration. Requests that are already admitted stay admitted.
 func (a *Authenticator) Reload(config Config) {
 	a.generation++
 	if a.limiter == nil || config.MaxRateEntries != a.config.MaxRateEntries {
@@ -83,14 +84,15 @@
 	}
 	a.verifier = tokens.NewVerifier(config.KeySet, config.TokenPolicy, config.RevokedTokens, config.TokenLimits)
 	if a.checks == nil {
-		// Never full: the verifier asks for at most as many checks as may wait, and once more for each after new keys.
+		// The channel is never full: the verifier requests at most one check for each request that may wait, and one more
+		// for each after the keys have changed.
 		a.checks = make(chan tokenCheck, 4*maxPendingChecks)
 		go verifyTokens(a.checks, a.handleResult)
 	}
 }
 
-// Sweep defers the requests that have waited too long for the check of their token, and logs what is due. It is called
-// several times a second.
+// Sweep defers the requests that have waited too long for the check of their token, and logs suppressed denials and
+// counters when they are due. It is called several times per second.
 func (a *Authenticator) Sweep() {
 	now, wall := a.clock()
 	if a.verifier != nil {
@@ -99,8 +101,8 @@
 	a.logSweep(now, wall)
 }
 
-// Stop defers all requests that wait for the check of a token, and lets none wait from now on: the server drains, and
-// answers everything at once.
+// Stop defers all requests that wait for the check of a token, and makes Authorize defer later ones at once. It is
+// called when the server drains, because a draining server must respond to each request immediately.
 func (a *Authenticator) Stop() {
 	a.draining = true
 	a.logCounters()
--- a/internal/authn/authorize.go
+++ b/internal/authn/authorize.go
@@ -8,28 +8,29 @@
 	"lanewheel/internal/tokens"
 )
 
-// Request is a request that wants to be admitted.
+// Request is a request to be authorized.
 type Request struct {
 	authz.Request
-	Token string // empty: the connection's credential counts alone
+	Token string // empty: only the connection's credential is used
 }
 
-// Decision is the answer to a Request: denied, deferred, or, with neither Denial nor RetryAfter, admitted for Tenant.
+// Decision is the result of authorizing a Request: denied, deferred, or, if neither Denial nor RetryAfter is set,
+// admitted for Tenant.
 type Decision struct {
 	Tenant     admission.TenantID
-	Permission authz.Permission // to be given to Release when the request is done
-	Denial     authz.Denial     // why it is denied; trying again is of no use
-	RetryAfter time.Duration    // it may be tried again after this time
+	Permission authz.Permission // must be passed to Release when the request is done
+	Denial     authz.Denial     // reason of the denial, which is permanent: a retry is useless
+	RetryAfter time.Duration    // delay after which the request may be retried
 }
 
-// Authorize decides on a request. done is called once, on the event loop: before Authorize returns where all is known,
-// and otherwise when the token is checked.
+// Authorize decides on a request. done is called exactly once, on the event loop: before Authorize returns if no token
+// check is necessary, or else when the token is checked or the wait for it has ended.
 func (a *Authenticator) Authorize(credential *Credential, request Request, done func(Decision)) {
 	if denial := a.RevocationReason(credential); denial != "" {
 		done(a.deny(credential.identityForLog(), request, denial))
 		return
 	}
-	// A token that nobody can check proves nothing, and takes nothing away.
+	// If tokens are not accepted, the token is ignored: it neither proves an identity nor leads to a denial.
 	if request.Token == "" || a.verifier == nil {
 		a.resolveWithoutToken(credential)
 		done(a.decide(credential, request))
@@ -56,13 +57,14 @@
 	a.perform(step, credential.suspect)
 }
 
-// Release gives back the permission of a request that is done.
+// Release ends the permission of a request that is done.
 func (a *Authenticator) Release(permission *authz.Permission) {
 	now, _ := a.clock()
 	a.limiter.Release(now, permission)
 }
 
-// decideByCurrentToken decides by the token that the connection brought last; denial is why it no longer counts.
+// decideByCurrentToken decides on a request with the token that the credential was last resolved from. denial is the
+// reason why the token is no longer valid, or empty.
 func (a *Authenticator) decideByCurrentToken(credential *Credential, request Request, denial authz.Denial) Decision {
 	a.resolveByToken(credential, request.Token, credential.resolved.entry)
 	if denial != "" {
@@ -71,7 +73,7 @@
 	return a.decide(credential, request)
 }
 
-// decideByVerdict decides once the verdict on the request's token is known.
+// decideByVerdict decides on a request by the verdict on its token.
 func (a *Authenticator) decideByVerdict(credential *Credential, request Request, verdict tokens.Verdict) Decision {
 	if verdict.Denial != "" {
 		credential.suspect = credential.suspect || IsForgery(verdict.Denial)
@@ -88,7 +90,7 @@
 	return a.decide(credential, request)
 }
 
-// decide decides on the request of a credential whose principal is known.
+// decide decides on a request by the principal of its credential, which must have been resolved.
 func (a *Authenticator) decide(credential *Credential, request Request) Decision {
 	principal := &credential.resolved.principal
 	if credential.resolved.denial != "" {
@@ -121,7 +123,7 @@
 	return Decision{RetryAfter: retryAfter}
 }
 
-// deny counts and logs a denial. identity is empty where none is proven.
+// deny counts and logs a denial. identity is empty if none is proven.
 func (a *Authenticator) deny(identity authz.Identity, request Request, denial authz.Denial) Decision {
 	a.counters.denied[denial]++
 	a.logDenial(identity, request, denial)
--- a/internal/authn/check.go
+++ b/internal/authn/check.go
@@ -9,10 +9,10 @@
 	"lanewheel/internal/tokens"
 )
 
-// maxPendingChecks bounds how many requests an operator may allow to wait for the check of a token.
+// maxPendingChecks is the largest number of requests waiting for token checks that an operator may configure.
 const maxPendingChecks = 4096
 
-// tokenCheck is a token to be verified off the event loop, with all that the check reads.
+// tokenCheck is a token to be verified off the event loop, with all data that the check reads.
 type tokenCheck struct {
 	raw     string
 	suspect bool
@@ -20,7 +20,7 @@
 	policy  *tokens.Policy
 }
 
-// verifyTokens verifies one token after the other, and hands each result to done on its own goroutine.
+// verifyTokens verifies the tokens of checks one at a time and calls done with each result, on the calling goroutine.
 func verifyTokens(checks <-chan tokenCheck, done func(tokens.CheckResult)) {
 	for check := range checks {
 		done(check.verify())
@@ -47,7 +47,7 @@
 	}
 }
 
-// handleResult brings a result to the event loop; it is called on the goroutine of the checks.
+// handleResult posts the result of a check to the event loop. It is called on the goroutine that verifies tokens.
 func (a *Authenticator) handleResult(result tokens.CheckResult) {
 	a.post(func() {
 		if a.verifier == nil { // tokens are no longer accepted
@@ -58,7 +58,7 @@
 	})
 }
 
-// perform starts what the verifier wants done off the event loop.
+// perform starts an action that the verifier requests off the event loop.
 func (a *Authenticator) perform(step tokens.Step, suspect bool) {
 	switch step.Action {
 	case tokens.CheckToken:
@@ -73,8 +73,8 @@
 	}
 }
 
-// reloadKeys reads the folder of keys again, off the event loop. The keyring sees to it that one read is under way at a
-// time. A verifier that was replaced in the meantime gets nothing of it.
+// reloadKeys reloads the key folder off the event loop. The keyring ensures that only one reload is in progress at a
+// time. The result is ignored if the verifier was replaced in the meantime.
 func (a *Authenticator) reloadKeys(verifier *tokens.Verifier, keyDir string) {
 	keys, err := keyring.LoadSet(keyDir)
 	if err != nil {
@@ -87,7 +87,8 @@
 	})
 }
 
-// handleKeys takes the keys that were read; nil if they could not be.
+// handleKeys passes reloaded keys to the verifier and starts the checks that waited for them. keys is nil if the folder
+// could not be read.
 func (a *Authenticator) handleKeys(keys *keyring.KeySet) {
 	recheck, replaced := a.verifier.HandleKeys(keys)
 	if replaced {
@@ -99,8 +100,8 @@
 	}
 }
 
-// IsForgery tells whether a token that is denied so was never good anywhere. A caller that brings several is none of
-// ours.
+// IsForgery reports whether a denial means that the token was never valid for this service. A caller that sends several
+// such tokens is not a legitimate client.
 func IsForgery(denial authz.Denial) bool {
 	switch denial {
 	case tokens.TooLong,
--- a/internal/authn/credential.go
+++ b/internal/authn/credential.go
@@ -9,34 +9,34 @@
 	"lanewheel/internal/tokens"
 )
 
-// Credential is what a connection has proven, with what was found out about it. Owned by the event loop. Proof and
-// ConfiguredIdentity are set before the first request and not changed afterwards.
+// Credential is the proof of identity of a connection, with the results of checking it. It is owned by the event loop.
+// Proof and ConfiguredIdentity are set before the first request and not changed afterwards.
 type Credential struct {
 	Proof              *certs.VerifiedChain // nil: no certificate
-	ConfiguredIdentity authz.Identity       // set by the operator, as for a queue; empty: none
+	ConfiguredIdentity authz.Identity       // set by the operator, for example for a queue; empty: none
 
 	lastCheck chainCheck
 	resolved  resolution
-	suspect   bool // it has brought forged tokens; never reset
+	suspect   bool // the connection has sent a forged token; never reset
 }
 
-// chainCheck is what the last check of a certificate came to.
+// chainCheck is the result of the last check of a certificate chain.
 type chainCheck struct {
-	generation generation   // of the configuration that it was checked against
+	generation generation   // generation of the configuration used for the check
 	denial     authz.Denial // final once it is set
 }
 
-// resolution is who a credential is: by a token if there is an entry, and otherwise by its certificate or configured
-// identity.
+// resolution is the principal of a credential. It is resolved from the token if entry is set, or else from the
+// certificate or the configured identity.
 type resolution struct {
-	generation generation // of the configuration that says so; 0: not known
+	generation generation // generation of the configuration used; 0: must be resolved again
 	principal  authz.Principal
-	denial     authz.Denial // why it is nobody
-	token      string       // the last good one
-	entry      *tokens.CachedToken
+	denial     authz.Denial        // reason why the principal has no permissions; empty: not denied
+	token      string              // the token of entry
+	entry      *tokens.CachedToken // nil: not resolved from a token
 }
 
-// identityForLog names the credential in the log where no principal is known.
+// identityForLog returns the identity that is logged for the credential if its principal is not known.
 func (c *Credential) identityForLog() authz.Identity {
 	if c.Proof != nil && len(c.Proof.Identities) > 0 {
 		return c.Proof.Identities[0]
@@ -44,8 +44,9 @@
 	return c.ConfiguredIdentity
 }
 
-// VerifyCertificate verifies a client's chain, its own certificate first: it gives a *certs.VerifiedChain, or an
-// authz.Denial as text. It may be called from any goroutine, and is called from those of handshakes.
+// VerifyCertificate verifies a client's chain, which starts with the client's own certificate. It returns a
+// *certs.VerifiedChain, or an authz.Denial as a string. It may be called from any goroutine and is called from the
+// goroutines of handshakes.
 func (a *Authenticator) VerifyCertificate(chain []*x509.Certificate) (any, string) {
 	trust := a.trust.Load()
 	if trust == nil {
@@ -58,8 +59,8 @@
 	return proof, ""
 }
 
-// RevocationReason tells why a connection's certificate no longer counts, empty if it does. A reason is final. It costs
-// a comparison while nothing has changed.
+// RevocationReason returns the reason why a connection's certificate is no longer accepted, or an empty denial. A
+// reason is final. If nothing has changed, the call takes only a few comparisons.
 func (a *Authenticator) RevocationReason(credential *Credential) authz.Denial {
 	if credential.Proof == nil || credential.lastCheck.denial != "" {
 		return credential.lastCheck.denial
@@ -78,12 +79,13 @@
 	return credential.lastCheck.denial
 }
 
-// NeedsRecheck tells whether the configuration has changed since a connection's certificate was checked.
+// NeedsRecheck reports whether the configuration has changed since a connection's certificate was checked.
 func (a *Authenticator) NeedsRecheck(credential *Credential) bool {
 	return credential.Proof != nil && credential.lastCheck.denial == "" && credential.lastCheck.generation != a.generation
 }
 
-// resolveWithoutToken resolves a credential without a token: by its configured identity, or its certificate.
+// resolveWithoutToken resolves a credential from its configured identity, or else from its certificate. If it has
+// neither, the caller is anonymous.
 func (a *Authenticator) resolveWithoutToken(credential *Credential) {
 	if credential.resolved.generation == a.generation && credential.resolved.entry == nil {
 		return
@@ -102,7 +104,7 @@
 	credential.resolved = resolved
 }
 
-// resolveByToken resolves a credential by a good token, whatever its certificate proves.
+// resolveByToken resolves a credential from a valid token, which takes precedence over its certificate.
 func (a *Authenticator) resolveByToken(credential *Credential, token string, entry *tokens.CachedToken) {
 	if credential.resolved.generation == a.generation && credential.resolved.entry == entry {
 		return
--- a/internal/authn/helper_test.go
+++ b/internal/authn/helper_test.go
@@ -19,8 +19,8 @@
 	"lanewheel/internal/tokens"
 )
 
-// fixture is an authenticator whose event loop is the test's own goroutine. Keys count by the wall clock, since tokens
-// are verified on a goroutine that reads it.
+// fixture is an authenticator whose event loop is the test's own goroutine. The validity of keys is checked against the
+// real wall clock, because the goroutine that verifies tokens reads it.
 type fixture struct {
 	*Authenticator
 	t         *testing.T
@@ -78,7 +78,7 @@
 	return setuptest.Must(authz.NewPolicy(roles, bindings, nil, anonymous))
 }
 
-// withTokens has a configuration take tokens; keys are those that are published in its folder.
+// withTokens returns a change of a configuration that makes it accept tokens. keys are the keys published in keyDir.
 func withTokens(keyDir string, keys *keyring.KeySet) func(*Config) {
 	return func(config *Config) {
 		config.KeyDir = keyDir
@@ -94,7 +94,7 @@
 	}
 }
 
-// newKey makes a key and gives the text that publishes it.
+// newKey creates a key and returns it with the text of its public key file.
 func newKey(id string) (*jose.JSONWebKey, []byte) {
 	key := setuptest.Must(keyring.GenerateKey("EdDSA"))
 	key.KeyID = id
@@ -123,7 +123,7 @@
 	}).Serialize())
 }
 
-// trustStore trusts the fixture's authority, which has revoked the given certificates.
+// trustStore returns a store with the fixture's authority, which has revoked the given certificates.
 func (f *fixture) trustStore(revoked ...*x509.Certificate) *certs.TrustStore {
 	f.t.Helper()
 	text, _, err := f.authority.EncodePEM()
@@ -143,7 +143,7 @@
 	return setuptest.Must(f.authority.IssueClient(subject, f.wall, time.Hour)).Certificate
 }
 
-// credentialOf is the credential of a connection whose handshake brought a certificate.
+// credentialOf returns the credential of a connection whose client presented a certificate in the handshake.
 func (f *fixture) credentialOf(certificate *x509.Certificate) *Credential {
 	f.t.Helper()
 	proof, denial := f.VerifyCertificate([]*x509.Certificate{certificate})
@@ -153,7 +153,7 @@
 	return &Credential{Proof: proof.(*certs.VerifiedChain)}
 }
 
-// authorize gives the decision, and runs the event loop until it is there.
+// authorize runs the event loop until the request is decided, and returns the decision.
 func (f *fixture) authorize(credential *Credential, class admission.Class, token string) Decision {
 	f.t.Helper()
 	var decisions []Decision
@@ -164,12 +164,12 @@
 		f.runPosted()
 	}
 	if len(decisions) > 1 {
-		f.t.Fatalf("%d decisions, want one", len(decisions))
+		f.t.Fatalf("%d decisions, want 1", len(decisions))
 	}
 	return decisions[0]
 }
 
-// runPosted waits for one call to the event loop and runs it.
+// runPosted waits for one function posted to the event loop and runs it.
 func (f *fixture) runPosted() {
 	f.t.Helper()
 	select {
--- a/internal/authn/log.go
+++ b/internal/authn/log.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	logInterval    = time.Minute // between two lines with the counters
-	maxLoggedBytes = 128         // of what a caller can write into the log
+	logInterval    = time.Minute // minimum interval between two log lines with the counters, except when draining
+	maxLoggedBytes = 128         // maximum length of a logged value that a caller controls
 )
 
-// counters count decisions since the start, and say which were logged.
+// counters are the numbers of decisions since the start, and the state of logging them.
 type counters struct {
 	admitted uint64
 	deferred uint64
 	denied   map[authz.Denial]uint64
 
-	loggedTotal uint64        // total when they were logged last
-	loggedAt    time.Duration // when that was, by the event loop's time
+	loggedTotal uint64        // value of total when the counters were last logged
+	loggedAt    time.Duration // event loop time at which logging the counters was last due
 }
 
 func (c *counters) total() uint64 {
@@ -32,7 +32,7 @@
 	return total
 }
 
-// logDenial logs a denial; some of each reason a second, the rest is counted.
+// logDenial logs a denial. Only a few denials of each reason are logged per second; the others are counted.
 func (a *Authenticator) logDenial(identity authz.Identity, request Request, denial authz.Denial) {
 	_, wall := a.clock()
 	if !a.denialLog.Allow(denial, wall) {
@@ -46,7 +46,7 @@
 	)
 }
 
-// logSweep logs how many denials were not logged one by one, and once in a while the counters.
+// logSweep logs how many denials were suppressed, and logs the counters at most once per logInterval.
 func (a *Authenticator) logSweep(now time.Duration, wall time.Time) {
 	a.denialLog.FlushSuppressed(wall, func(denial authz.Denial, suppressed int) {
 		slog.Warn("requests denied", "reason", denial, "suppressed", suppressed)
@@ -57,7 +57,7 @@
 	}
 }
 
-// logCounters logs the counters if they have changed since they were logged last.
+// logCounters logs the counters if they have changed since they were last logged.
 func (a *Authenticator) logCounters() {
 	total := a.counters.total()
 	if total == a.counters.loggedTotal {
@@ -81,5 +81,5 @@
 	slog.Info("authentication counters", attributes...)
 }
 
-// truncate bounds what a caller can write into the log.
+// truncate limits a value that a caller controls to maxLoggedBytes.
 func truncate(s string) string { return s[:min(len(s), maxLoggedBytes)] }
--- a/internal/authz/policy.go
+++ b/internal/authz/policy.go
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// addPattern adds a pattern to the index. It returns false if the pattern is already there.
+// addPattern adds a pattern to the index and reports whether the pattern is new.
 func (p *Policy) addPattern(pattern string, binding int) bool {
 	text, isPrefix := strings.CutSuffix(pattern, wildcard)
 	if isPrefix {
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -32,11 +32,12 @@
 	return setuptest.Must(authority.IssueClient(subject, start, 10*time.Hour))
 }
 
-// revocations is an authority's list with the certificates of pairs.
+// revocations returns a first revocation list of an authority with the certificates of pairs.
 func revocations(authority KeyPair, validity time.Duration, pairs ...KeyPair) []byte {
 	return appendRevocations(authority, nil, validity, pairs...)
 }
 
+// appendRevocations returns the successor of the revocation list previous, with the certificates of pairs added.
 func appendRevocations(authority KeyPair, previous []byte, validity time.Duration, pairs ...KeyPair) []byte {
 	var serials []*big.Int
 	for _, pair := range pairs {
@@ -45,7 +46,7 @@
 	return setuptest.Must(authority.Revoke(previous, serials, start, validity))
 }
 
-// What a chain proves, and each way in which it proves nothing.
+// Example shows the identities that a chain proves, each reason why a chain is denied, and errors of NewTrustStore.
 func Example() {
 	good := issueDevice(authority, "rota://water/7")
 	revoked := issueDevice(authority, "rota://water/8")
@@ -90,12 +91,13 @@
 	// too early: "expired"
 	// expired, and the list is stale: "expired"
 	// with a stale list: "stale-list"
-	// the list of CN=roads is not signed by a told authority
-	// the list of CN=water was due anew at 2027-01-15T10:00:00Z
-	// CN=handheld is no authority's certificate
+	// revocation list of CN=roads is not signed by a configured authority
+	// revocation list of CN=water is stale: the next one was due at 2027-01-15T10:00:00Z
+	// certificate CN=handheld is not a CA certificate
 }
 
-// A chain is checked again as lists, authorities and time change; while nothing has, that is a few comparisons.
+// Example_recheck checks a chain again as revocation lists, authorities and time change. If none of them has changed,
+// the check takes only a few comparisons.
 func Example_recheck() {
 	device := issueDevice(authority, "rota://water/7")
 	both := encodeCertificates(authority, otherAuthority)
@@ -110,7 +112,7 @@
 	trust = setuptest.Must(NewTrustStore(both, list, RevocationPolicy{AllowStale: true}, start))
 	fmt.Printf("allowed: %q\n", trust.Recheck(verified, later))
 	newer := appendRevocations(authority, list, time.Hour, device)
-	newerFirst := slices.Concat(newer, list) // the older one behind it changes nothing
+	newerFirst := slices.Concat(newer, list) // the older list after the newer one is ignored
 	trust = setuptest.Must(NewTrustStore(both, newerFirst, RevocationPolicy{}, start))
 	fmt.Printf("%q\n", trust.Recheck(verified, start))
 	trust = setuptest.Must(NewTrustStore(encodeCertificates(otherAuthority), nil, RevocationPolicy{}, start))
@@ -123,21 +125,22 @@
 	// "untrusted"
 }
 
-// Files that are cut after any byte are refused, or say the same; a list that is cut never says less.
+// TestTruncatedFiles checks that a revocation list that is truncated after any byte is rejected, and that truncated
+// authorities are rejected unless they end after the first certificate.
 func TestTruncatedFiles(t *testing.T) {
 	device := issueDevice(authority, "rota://water/7")
 	list := revocations(authority, time.Hour, device)
 	roots := encodeCertificates(authority, otherAuthority)
 	for n := 1; n < len(list)-1; n++ {
 		if _, err := NewTrustStore(roots, list[:n], RevocationPolicy{}, start); err == nil {
-			t.Fatalf("a list cut after %d of %d bytes is accepted", n, len(list))
+			t.Fatalf("revocation list truncated after %d of %d bytes is accepted", n, len(list))
 		}
 	}
 	first := len(encodeCertificates(authority))
-	for n := range len(roots) - 1 { // but for the line feed at the end
+	for n := range len(roots) - 1 { // a text without its last line feed is still complete
 		certificates, err := ParseCertificates(roots[:n])
 		if err == nil && (len(certificates) != 1 || n < first-1 || n > first) {
-			t.Fatalf("authorities cut after %d of %d bytes are accepted", n, len(roots))
+			t.Fatalf("authorities truncated after %d of %d bytes are accepted", n, len(roots))
 		}
 	}
 }
@@ -147,7 +150,7 @@
 	f.Add(encodeCertificates(authority), block.Bytes)
 	f.Fuzz(func(_ *testing.T, roots, list []byte) {
 		text := pem.EncodeToMemory(&pem.Block{Type: revocationListBlock, Bytes: list})
-		_, _ = NewTrustStore(roots, text, RevocationPolicy{}, start) // anything but a panic
+		_, _ = NewTrustStore(roots, text, RevocationPolicy{}, start) // must not panic
 		_, _ = NewTrustStore(encodeCertificates(authority), list, RevocationPolicy{}, start)
 	})
 }
--- a/internal/certs/chain.go
+++ b/internal/certs/chain.go
@@ -9,17 +9,19 @@
 	"lanewheel/internal/authz"
 )
 
-// VerifiedChain is a chain that was verified up to its authority. Recheck changes it: it belongs to one goroutine.
+// VerifiedChain is a chain that was verified up to its authority. It must be used from one goroutine at a time,
+// because Recheck changes it.
 type VerifiedChain struct {
-	Identities  []authz.Identity    // by URI, then by DNS name, then by the subject
+	Identities  []authz.Identity    // from the URIs, then from the DNS names, then from the subject
 	chain       []*x509.Certificate // the client's own certificate first, the authority's last
-	trustDigest [sha256.Size]byte   // of the authorities that it was verified by
+	trustDigest [sha256.Size]byte   // digest of the authorities that the chain was verified against
 	notBefore   time.Time
 	notAfter    time.Time
-	listExpiry  time.Time // when the first revocation list of its issuers is stale; zero: never
+	listExpiry  time.Time // when the first of its issuers' revocation lists becomes stale; zero: never
 }
 
-// Verify verifies a chain, the client's own certificate first.
+// Verify verifies a chain that starts with the client's own certificate. It returns a denial if the chain is not
+// accepted at the time now.
 func (s *TrustStore) Verify(presented []*x509.Certificate, now time.Time) (*VerifiedChain, authz.Denial) {
 	if len(presented) == 0 {
 		return nil, noCertificate
@@ -51,7 +53,7 @@
 	return verified, s.checkRevocation(verified, now)
 }
 
-// identitiesOf gives all identities that a certificate proves, in the order in which they count.
+// identitiesOf returns all identities that a certificate proves, in order of precedence.
 func identitiesOf(leaf *x509.Certificate) []authz.Identity {
 	var identities []authz.Identity
 	for _, uri := range leaf.URIs {
@@ -66,7 +68,7 @@
 	return identities
 }
 
-// setValidityPeriod takes the times between which all certificates of the chain are valid.
+// setValidityPeriod sets the period in which all certificates of the chain are valid.
 func (c *VerifiedChain) setValidityPeriod() {
 	for _, certificate := range c.chain {
 		if c.notAfter.IsZero() || certificate.NotAfter.Before(c.notAfter) {
@@ -78,8 +80,8 @@
 	}
 }
 
-// ValidAt tells whether all certificates of the chain are valid at a moment and the revocation lists of their issuers
-// are not stale. Otherwise Recheck says whether the chain still counts.
+// ValidAt reports whether all certificates of the chain are valid at a time and the revocation lists of their issuers
+// are not stale. If it returns false, Recheck decides whether the chain is still accepted.
 func (c *VerifiedChain) ValidAt(now time.Time) bool {
 	if now.Before(c.notBefore) || !now.Before(c.notAfter) {
 		return false
@@ -87,8 +89,8 @@
 	return c.listExpiry.IsZero() || now.Before(c.listExpiry)
 }
 
-// Recheck tells why a chain does not count now, empty if it does. It verifies signatures again only where the
-// authorities have changed since it was verified.
+// Recheck returns the reason why a chain is no longer accepted, or an empty denial. It verifies the signatures again
+// only if the authorities have changed since the chain was verified.
 func (s *TrustStore) Recheck(verified *VerifiedChain, now time.Time) authz.Denial {
 	if verified.trustDigest != s.digest {
 		reverified, denial := s.Verify(verified.chain, now)
--- a/internal/certs/golden_test.go
+++ b/internal/certs/golden_test.go
@@ -14,12 +14,13 @@
 	"lanewheel/internal/setuptest"
 )
 
-// The files of testdata/golden were written by "lanewheel cert authority", "cert issue" and "cert revoke", and are
-// good until 2117 at the least. Their keys are for this test alone.
+// The files in testdata/golden were written by "lanewheel cert authority", "cert issue" and "cert revoke". They are
+// valid until 2117 at least. Their keys are used only in these tests.
 
 func golden(name string) []byte { return setuptest.Must(os.ReadFile("testdata/golden/" + name)) }
 
-// Pairs read, and are written again to the byte; each is for what it was made for.
+// TestGoldenPairs checks that stored key pairs can be read, that encoding them yields the same bytes, and that each
+// certificate has the subject, key usage and names that it was issued with.
 func TestGoldenPairs(t *testing.T) {
 	authority := setuptest.Must(ParseKeyPair(golden("authority.pem"), golden("authority.key")))
 	for _, want := range []struct {
@@ -48,12 +49,13 @@
 		}
 		encoded, encodedKey, err := pair.EncodePEM()
 		if err != nil || !bytes.Equal(encoded, text) || !bytes.Equal(encodedKey, keyText) {
-			t.Errorf("%s is written as\n%s%swant\n%s%s %v", want.name, encoded, encodedKey, text, keyText, err)
+			t.Errorf("%s: encoded as\n%s%swant\n%s%s %v", want.name, encoded, encodedKey, text, keyText, err)
 		}
 	}
 }
 
-// What the stored chains prove, with the stored list and without it.
+// TestGoldenProofs checks the denials and identities of the stored certificates, with and without the stored revocation
+// list.
 func TestGoldenProofs(t *testing.T) {
 	policy := RevocationPolicy{Grace: time.Hour}
 	trust := setuptest.Must(NewTrustStore(golden("authority.pem"), golden("revoked.pem"), policy, start))
@@ -72,31 +74,31 @@
 		chain := setuptest.Must(ParseCertificates(golden(want.name + ".pem")))
 		verified, denial := want.trust.Verify(chain, start)
 		if denial != want.denial {
-			t.Errorf("%s: %q, want %q", want.name, denial, want.denial)
+			t.Errorf("%s: denial %q, want %q", want.name, denial, want.denial)
 		}
 		if denial == "" && fmt.Sprint(verified.Identities) != want.identities {
-			t.Errorf("%s proves %v, want %s", want.name, verified.Identities, want.identities)
+			t.Errorf("%s: identities %v, want %s", want.name, verified.Identities, want.identities)
 		}
 	}
 	list := setuptest.Must(x509.ParseRevocationList(decodeRevocationList(golden("revoked.pem"))))
 	if len(trust.revocationLists) != 1 {
-		t.Fatalf("%d lists, want one", len(trust.revocationLists))
+		t.Fatalf("%d revocation lists, want 1", len(trust.revocationLists))
 	}
 	if got := trust.revocationLists[0].validUntil; !got.Equal(list.NextUpdate.Add(time.Hour)) {
-		t.Errorf("the list counts until %v, want an hour after %v", got, list.NextUpdate)
+		t.Errorf("revocation list is valid until %v, want 1 h after %v", got, list.NextUpdate)
 	}
 }
 
-// decodeRevocationList gives what one stored revocation list holds.
+// decodeRevocationList returns the DER bytes of the only revocation list in a PEM text.
 func decodeRevocationList(text []byte) []byte {
 	decoded, rest := pem.Decode(text)
 	if decoded == nil || decoded.Type != "X509 CRL" || len(rest) > 0 {
-		panic("want one revocation list and nothing else")
+		panic("text must contain one revocation list and nothing else")
 	}
 	return decoded.Bytes
 }
 
-// A list continues the stored one: what was revoked stays so, and its number rises.
+// TestGoldenList checks that Revoke keeps the entries of the stored revocation list and increments its number.
 func TestGoldenList(t *testing.T) {
 	authority := setuptest.Must(ParseKeyPair(golden("authority.pem"), golden("authority.key")))
 	revoked := setuptest.Must(ParseCertificates(golden("taken.pem")))[0]
@@ -117,7 +119,7 @@
 	}
 }
 
-// The denials that are spoken, in answers, logs and listings.
+// TestGoldenReasons checks the texts of the denials, which appear in responses, logs and listings.
 func TestGoldenReasons(t *testing.T) {
 	for denial, want := range map[authz.Denial]string{
 		noCertificate:       "no-certificate",
--- a/internal/certs/issue.go
+++ b/internal/certs/issue.go
@@ -14,35 +14,36 @@
 )
 
 const (
-	clockSkew  = 5 * time.Minute // a certificate begins so much before now: clocks differ
-	serialBits = 120             // of entropy
+	// clockSkew is how far the start of validity of a certificate or revocation list is backdated, because clocks differ.
+	clockSkew  = 5 * time.Minute
+	serialBits = 120 // entropy of a serial number in bits
 )
 
-// Subject is whom a certificate is for.
+// Subject is the subject of a certificate.
 type Subject struct {
 	CommonName string
-	URIs       []string // as rota://water/handheld-7
+	URIs       []string // for example rota://water/handheld-7
 	Hosts      []string // DNS names and IP addresses
 }
 
-// NewAuthority makes an authority with a certificate that it signs itself, on P-256.
+// NewAuthority creates an authority with a P-256 key and a self-signed certificate.
 func NewAuthority(name string, now time.Time, validity time.Duration) (KeyPair, error) {
 	template, err := newTemplate(name, now, validity)
 	if err != nil {
 		return KeyPair{}, err
 	}
 	template.IsCA = true
-	template.MaxPathLenZero = true // it issues to clients and servers, not to other authorities
+	template.MaxPathLenZero = true // the authority issues certificates to clients and servers, not to other authorities
 	template.KeyUsage = x509.KeyUsageCertSign | x509.KeyUsageCRLSign
 	return signCertificate(template, nil)
 }
 
-// IssueClient makes a certificate for a client.
+// IssueClient creates a key and issues a certificate for a client.
 func (p KeyPair) IssueClient(subject Subject, now time.Time, validity time.Duration) (KeyPair, error) {
 	return p.issue(subject, x509.ExtKeyUsageClientAuth, now, validity)
 }
 
-// IssueServer makes a certificate for a server.
+// IssueServer creates a key and issues a certificate for a server.
 func (p KeyPair) IssueServer(subject Subject, now time.Time, validity time.Duration) (KeyPair, error) {
 	return p.issue(subject, x509.ExtKeyUsageServerAuth, now, validity)
 }
@@ -87,7 +88,8 @@
 	}, nil
 }
 
-// signCertificate makes a key for a template and has its certificate signed by an authority; nil: by itself.
+// signCertificate creates a key and a certificate from a template. The certificate is signed by authority, or
+// self-signed if authority is nil.
 func signCertificate(template *x509.Certificate, authority *KeyPair) (KeyPair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/internal/certs/keypair.go
+++ b/internal/certs/keypair.go
@@ -13,7 +13,7 @@
 	privateKey  crypto.Signer
 }
 
-// EncodePEM gives a pair as PEM: the certificate, and the private key in PKCS 8.
+// EncodePEM returns the certificate and the private key in PEM format. The private key is encoded in PKCS #8.
 func (p KeyPair) EncodePEM() (certificate, privateKey []byte, err error) {
 	der, err := x509.MarshalPKCS8PrivateKey(p.privateKey)
 	if err != nil {
@@ -24,7 +24,8 @@
 	return certificate, privateKey, nil
 }
 
-// ParseKeyPair reads what EncodePEM gave. Its errors hold nothing of the private key.
+// ParseKeyPair parses the certificate and the private key that EncodePEM returned. Its errors contain no part of the
+// private key.
 func ParseKeyPair(certificate, privateKey []byte) (KeyPair, error) {
 	certificates, err := ParseCertificates(certificate)
 	if err != nil {
@@ -32,15 +33,15 @@
 	}
 	block, _ := pem.Decode(privateKey)
 	if block == nil {
-		return KeyPair{}, errors.New("wants a private key in PEM")
+		return KeyPair{}, errors.New("private key must be in PEM format")
 	}
 	parsed, err := x509.ParsePKCS8PrivateKey(block.Bytes)
 	if err != nil {
-		return KeyPair{}, errors.New("wants a private key in PKCS 8")
+		return KeyPair{}, errors.New("private key must be in PKCS #8 format")
 	}
 	signer, isSigner := parsed.(crypto.Signer)
 	if !isSigner {
-		return KeyPair{}, errors.New("wants a private key that signs")
+		return KeyPair{}, errors.New("private key must support signing")
 	}
 	return KeyPair{certificates[0], signer}, nil
 }
--- a/internal/certs/pem.go
+++ b/internal/certs/pem.go
@@ -14,7 +14,8 @@
 	revocationListBlock = "X509 CRL"
 )
 
-// ParseCertificates reads all certificates of a PEM text, one at least; blocks of other types are skipped.
+// ParseCertificates parses all certificates in a PEM text and skips blocks of other types. It returns an error if
+// there is no certificate, if one is invalid, or if text follows the last complete block.
 func ParseCertificates(text []byte) ([]*x509.Certificate, error) {
 	var certificates []*x509.Certificate
 	for {
@@ -33,10 +34,10 @@
 		certificates = append(certificates, certificate)
 	}
 	if len(certificates) == 0 {
-		return nil, errors.New("wants a certificate in PEM")
+		return nil, errors.New("PEM text must contain a certificate")
 	}
-	if len(bytes.TrimSpace(text)) > 0 { // as of a file that is still being written
-		return nil, errors.New("ends in the middle of a certificate")
+	if len(bytes.TrimSpace(text)) > 0 { // for example if the file is still being written
+		return nil, errors.New("PEM text ends in the middle of a certificate")
 	}
 	return certificates, nil
 }
--- a/internal/certs/revocationlist.go
+++ b/internal/certs/revocationlist.go
@@ -10,30 +10,30 @@
 	"lanewheel/internal/authz"
 )
 
-// maxRevokedEntries bounds a list: far more than any fleet of devices needs.
+// maxRevokedEntries is the maximum number of entries of a revocation list, far more than any fleet of devices needs.
 const maxRevokedEntries = 200_000
 
-// revocationList is what one authority revoked.
+// revocationList holds the certificates that one authority revoked.
 type revocationList struct {
-	issuer     []byte // raw subject of the authority
-	serials    map[string]bool
-	number     *big.Int  // rises with each list
-	validUntil time.Time // when the next list was due, with the grace; zero: for ever
+	issuer     []byte          // raw subject of the authority
+	serials    map[string]bool // big-endian bytes of the revoked serial numbers
+	number     *big.Int        // increases with each list of the authority
+	validUntil time.Time       // when the next list is due, plus the grace period; zero: no limit
 }
 
-// addRevocationList reads one list.
+// addRevocationList parses and checks a list and adds it to the store.
 func (s *TrustStore) addRevocationList(der []byte, now time.Time) error {
 	crl, err := x509.ParseRevocationList(der)
 	if err != nil {
 		return err
 	}
-	// A list that anybody may have written would let revoked certificates back in, or lock everybody out.
+	// Without this check, anyone could supply a list that accepts revoked certificates again or revokes valid ones.
 	if !s.isSignedByAuthority(crl) {
-		return fmt.Errorf("the list of %s is not signed by a told authority", crl.Issuer)
+		return fmt.Errorf("revocation list of %s is not signed by a configured authority", crl.Issuer)
 	}
 	count := len(crl.RevokedCertificateEntries)
 	if count > maxRevokedEntries {
-		return fmt.Errorf("the list of %s has %d entries, wants %d or fewer", crl.Issuer, count, maxRevokedEntries)
+		return fmt.Errorf("revocation list of %s has %d entries, must have at most %d", crl.Issuer, count, maxRevokedEntries)
 	}
 	list := &revocationList{
 		issuer:  crl.RawIssuer,
@@ -46,7 +46,8 @@
 	if !crl.NextUpdate.IsZero() {
 		list.validUntil = crl.NextUpdate.Add(s.policy.Grace)
 		if !now.Before(list.validUntil) && !s.policy.AllowStale {
-			return fmt.Errorf("the list of %s was due anew at %s", crl.Issuer, crl.NextUpdate.UTC().Format(time.RFC3339))
+			return fmt.Errorf("revocation list of %s is stale: the next one was due at %s",
+				crl.Issuer, crl.NextUpdate.UTC().Format(time.RFC3339))
 		}
 	}
 	for _, entry := range crl.RevokedCertificateEntries {
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// isSignedByAuthority tells whether an authority of the store signed a list.
+// isSignedByAuthority reports whether an authority of the store signed a list.
 func (s *TrustStore) isSignedByAuthority(crl *x509.RevocationList) bool {
 	for _, authority := range s.authorities {
 		if bytes.Equal(authority.RawSubject, crl.RawIssuer) && crl.CheckSignatureFrom(authority) == nil {
@@ -66,7 +67,7 @@
 	return false
 }
 
-// addIfNewer keeps a list unless there is a newer one of its authority.
+// addIfNewer adds a list, or replaces the list of the same authority if the new one has a higher number.
 func (s *TrustStore) addIfNewer(list *revocationList) {
 	for i, earlier := range s.revocationLists {
 		if !bytes.Equal(earlier.issuer, list.issuer) {
@@ -80,7 +81,9 @@
 	s.revocationLists = append(s.revocationLists, list)
 }
 
-// checkRevocation looks each certificate of a chain up in the list of its issuer, and notes until when these count.
+// checkRevocation looks up each certificate of a chain in the revocation list of its issuer. It returns a denial if a
+// certificate is revoked or a list is stale. Otherwise it sets verified.listExpiry to the time when the first of the
+// lists becomes stale.
 func (s *TrustStore) checkRevocation(verified *VerifiedChain, now time.Time) authz.Denial {
 	verified.listExpiry = time.Time{}
 	for _, certificate := range verified.chain {
@@ -94,7 +97,7 @@
 			if s.policy.AllowStale || list.validUntil.IsZero() {
 				continue
 			}
-			// Whoever can keep new lists from us must not go on with a revoked certificate.
+			// Otherwise an attacker could keep using a revoked certificate by blocking the delivery of new lists.
 			if !now.Before(list.validUntil) {
 				return staleRevocationList
 			}
--- a/internal/certs/revoke.go
+++ b/internal/certs/revoke.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// Revoke gives a revocation list, PEM, with all that the previous one has and the serials given. previous is the
-// authority's last list, or empty. The next list is due after validity.
+// Revoke returns a revocation list in PEM format with all entries of the previous list and the given serial numbers.
+// previous is the authority's last list, or empty. The next list is due after validity. Revoke returns an error if
+// previous is not a list that this authority signed.
 func (p KeyPair) Revoke(previous []byte, serials []*big.Int, now time.Time, validity time.Duration) ([]byte, error) {
 	list := &x509.RevocationList{
 		Number:     big.NewInt(1),
@@ -37,11 +38,11 @@
 	return pem.EncodeToMemory(&pem.Block{Type: revocationListBlock, Bytes: der}), nil
 }
 
-// parseOwnList reads a list that this authority signed.
+// parseOwnList parses a list in PEM format and returns an error if this authority did not sign it.
 func (p KeyPair) parseOwnList(text []byte) (*x509.RevocationList, error) {
 	block, _ := pem.Decode(text)
 	if block == nil {
-		return nil, errors.New("wants a list in PEM")
+		return nil, errors.New("previous revocation list must be in PEM format")
 	}
 	list, err := x509.ParseRevocationList(block.Bytes)
 	if err != nil {
--- a/internal/certs/truststore.go
+++ b/internal/certs/truststore.go
@@ -1,6 +1,6 @@
-// Package certs decides on client certificates: whether a chain leads to a configured authority, whether a certificate
-// was revoked, and which identities it proves. It does no I/O, and the time is an argument. It also issues and revokes
-// certificates for the operators' commands.
+// Package certs verifies client certificates: whether a chain leads to a configured authority, whether a certificate
+// is revoked, and which identities it proves. It does no I/O and takes the current time as an argument. It also
+// issues and revokes certificates for the operators' commands.
 package certs
 
 import (
@@ -13,33 +13,35 @@
 	"time"
 )
 
-// maxAuthorities bounds the authorities that are read.
+// maxAuthorities is the maximum number of authorities of a TrustStore.
 const maxAuthorities = 32
 
-// RevocationPolicy says how long a revocation list counts.
+// RevocationPolicy defines when a revocation list becomes stale. Certificates of an authority with a stale list are
+// denied unless AllowStale is set.
 type RevocationPolicy struct {
-	Grace      time.Duration // for which a list counts after the next one was due
-	AllowStale bool          // a list counts for ever; else certificates of its authority are denied once it is stale
+	Grace      time.Duration // period after the due time of the next list in which a list is not yet stale
+	AllowStale bool          // stale lists are still used
 }
 
-// TrustStore is authorities and what they revoked. It never changes, and may be used from any goroutine.
+// TrustStore holds authorities and their revocation lists. It is immutable and may be used from any goroutine.
 type TrustStore struct {
 	roots           *x509.CertPool
 	authorities     []*x509.Certificate
-	digest          [sha256.Size]byte // of the authorities' text
-	revocationLists []*revocationList // one for each authority that has any
+	digest          [sha256.Size]byte // SHA-256 of the PEM text of the authorities
+	revocationLists []*revocationList // at most one for each authority
 	policy          RevocationPolicy
 }
 
-// NewTrustStore reads authorities and revocation lists, both PEM; lists may be empty. Each list has to be signed by one
-// of the authorities and, but for AllowStale, not to be stale now. Of two lists of one authority the newer one counts.
+// NewTrustStore parses authorities and revocation lists in PEM format; lists may be empty. It returns an error unless
+// each list is signed by one of the authorities and, without AllowStale, not stale now. If an authority has several
+// lists, the one with the highest number is used.
 func NewTrustStore(authorities, lists []byte, policy RevocationPolicy, now time.Time) (*TrustStore, error) {
 	parsed, err := ParseCertificates(authorities)
 	if err != nil {
 		return nil, err
 	}
 	if len(parsed) > maxAuthorities {
-		return nil, fmt.Errorf("%d authorities, wants %d or fewer", len(parsed), maxAuthorities)
+		return nil, fmt.Errorf("%d authorities, must be at most %d", len(parsed), maxAuthorities)
 	}
 	store := &TrustStore{
 		roots:       x509.NewCertPool(),
@@ -49,7 +51,7 @@
 	}
 	for _, authority := range parsed {
 		if !authority.IsCA {
-			return nil, fmt.Errorf("%s is no authority's certificate", authority.Subject)
+			return nil, fmt.Errorf("certificate %s is not a CA certificate", authority.Subject)
 		}
 		store.roots.AddCert(authority)
 	}
@@ -64,10 +66,10 @@
 		}
 	}
 	if len(bytes.TrimSpace(lists)) > 0 {
-		return nil, errors.New("a list of what was taken back is cut off")
+		return nil, errors.New("PEM text ends in the middle of a revocation list")
 	}
 	return store, nil
 }
 
-// Roots is the authorities, as a server names them to its clients.
+// Roots returns the pool of authorities, which a TLS server announces to its clients.
 func (s *TrustStore) Roots() *x509.CertPool { return s.roots }
