--- a/internal/authn/authenticator.go
+++ b/internal/authn/authenticator.go
@@ -17,7 +17,7 @@
 // Config is the configuration of callers from the operator's file. It has been read and checked completely.
 type Config struct {
 	Policy         *authz.Policy
-	MaxRateEntries int               // maximum number of entries of the rate limiter; see authz.RateLimiter
+	MaxRateEntries int               // maximum number of identities and roles counted by the rate limiter
 	TrustStore     *certs.TrustStore // nil: certificates are not accepted
 	KeySet         *keyring.KeySet   // nil: tokens are not accepted
 	KeyDir         string            // folder from which the keys are reloaded
--- a/internal/authn/authorize.go
+++ b/internal/authn/authorize.go
@@ -19,7 +19,7 @@
 type Decision struct {
 	Tenant     admission.TenantID
 	Permission authz.Permission // must be passed to Release when the request is done
-	Denial     authz.Denial     // reason of the denial, which is permanent: a retry is useless
+	Denial     authz.Denial     // reason of the denial; a retry cannot succeed
 	RetryAfter time.Duration    // delay after which the request may be retried
 }
 
--- a/internal/authn/check.go
+++ b/internal/authn/check.go
@@ -58,7 +58,7 @@
 	})
 }
 
-// perform starts an action that the verifier requests off the event loop.
+// perform starts the action of a verifier's step. The action runs off the event loop.
 func (a *Authenticator) perform(step tokens.Step, suspect bool) {
 	switch step.Action {
 	case tokens.CheckToken:
--- a/internal/authz/ratelimiter_test.go
+++ b/internal/authz/ratelimiter_test.go
@@ -103,8 +103,8 @@
 	return retryAfter, admitted
 }
 
-// checkBounds checks the number of requests in flight, and the number admitted in each period that ends now.
-func (m *limiterModel) checkBounds(t *rapid.T) {
+// checkLimits checks the number of requests in flight, and the number admitted in each period that ends now.
+func (m *limiterModel) checkLimits(t *rapid.T) {
 	if m.role.MaxInFlight > 0 && len(m.inFlight) > m.role.MaxInFlight {
 		t.Fatal("more requests in flight than the role allows")
 	}
@@ -131,7 +131,7 @@
 				continue
 			}
 			retryAfter, admitted := m.acquire()
-			m.checkBounds(t)
+			m.checkLimits(t)
 			if admitted || m.role.MaxInFlight > 0 && len(m.inFlight) >= m.role.MaxInFlight {
 				continue
 			}
