--- a/internal/authn/authorize.go
+++ b/internal/authn/authorize.go
@@ -8,30 +8,31 @@
 	"lanewheel/internal/tokens"
 )
 
-// Request is a request that wants to be admitted.
+// Request is a request to be authorized.
 type Request struct {
 	authz.Request
-	Token string // empty: the connection's credential counts alone
+	Token string // empty: only the connection's credential is used
 }
 
-// Decision is the answer to a Request: denied, deferred, or, with neither Denial nor RetryAfter, admitted for Tenant.
+// Decision is the result of authorizing a Request: denied, deferred, or, if neither Denial nor RetryAfter is set,
+// admitted for Tenant.
 type Decision struct {
 	Tenant     admission.TenantID
-	Permission authz.Permission // to be given to Release when the request is done
-	Denial     authz.Denial     // why it is denied; trying again is of no use
-	RetryAfter time.Duration    // it may be tried again after this time
+	Permission authz.Permission // must be passed to Release when the request is done
+	Denial     authz.Denial     // reason of the denial; a retry cannot succeed
+	RetryAfter time.Duration    // delay after which the request may be retried
 }
 
-// Authorize decides on a request. done is called once, on the event loop: before Authorize returns where all is known,
-// and otherwise when the token is checked.
+// Authorize decides on a request. done is called exactly once, on the event loop: before Authorize returns if no token
+// check is necessary, or else when the token is checked or the wait for it has ended.
 func (a *Authenticator) Authorize(credential *Credential, request Request, done func(Decision)) {
 	if denial := a.RevocationReason(credential); denial != "" {
-		done(a.deny(credential.provenIdentity(), request, denial))
+		done(a.deny(credential.identityForLog(), request, denial))
 		return
 	}
-	// A token that nobody can check proves nothing, and takes nothing away.
+	// If tokens are not accepted, the token is ignored: it neither proves an identity nor leads to a denial.
 	if request.Token == "" || a.verifier == nil {
-		a.identifyByCertificate(credential)
+		a.resolveWithoutToken(credential)
 		done(a.decide(credential, request))
 		return
 	}
@@ -42,7 +43,7 @@
 			return
 		}
 	}
-	if entry, denial, known := a.verifier.Lookup(now, wall, request.Token); known {
+	if entry, denial, found := a.verifier.Lookup(now, wall, request.Token); found {
 		done(a.decideByVerdict(credential, request, tokens.Verdict{Entry: entry, Denial: denial}))
 		return
 	}
@@ -56,22 +57,23 @@
 	a.perform(step, credential.suspect)
 }
 
-// Release gives back the permission of a request that is done.
+// Release ends the permission of a request that is done.
 func (a *Authenticator) Release(permission *authz.Permission) {
 	now, _ := a.clock()
 	a.limiter.Release(now, permission)
 }
 
-// decideByCurrentToken decides by the token that the connection brought last; denial is why it no longer counts.
+// decideByCurrentToken decides on a request with the token that the credential was last resolved from. denial is the
+// reason why the token is no longer valid, or empty.
 func (a *Authenticator) decideByCurrentToken(credential *Credential, request Request, denial authz.Denial) Decision {
-	a.identifyByToken(credential, request.Token, credential.resolved.entry)
+	a.resolveByToken(credential, request.Token, credential.resolved.entry)
 	if denial != "" {
 		return a.deny(credential.resolved.principal.Identity, request, denial)
 	}
 	return a.decide(credential, request)
 }
 
-// decideByVerdict decides once the verdict on the request's token is known.
+// decideByVerdict decides on a request by the verdict on its token.
 func (a *Authenticator) decideByVerdict(credential *Credential, request Request, verdict tokens.Verdict) Decision {
 	if verdict.Denial != "" {
 		credential.suspect = credential.suspect || IsForgery(verdict.Denial)
@@ -82,13 +84,13 @@
 	}
 	// The certificate may have been revoked while the token was checked.
 	if denial := a.RevocationReason(credential); denial != "" {
-		return a.deny(credential.provenIdentity(), request, denial)
+		return a.deny(credential.identityForLog(), request, denial)
 	}
-	a.identifyByToken(credential, request.Token, verdict.Entry)
+	a.resolveByToken(credential, request.Token, verdict.Entry)
 	return a.decide(credential, request)
 }
 
-// decide decides on the request of a credential whose principal is known.
+// decide decides on a request by the principal of its credential, which must have been resolved.
 func (a *Authenticator) decide(credential *Credential, request Request) Decision {
 	principal := &credential.resolved.principal
 	if credential.resolved.denial != "" {
@@ -121,7 +123,7 @@
 	return Decision{RetryAfter: retryAfter}
 }
 
-// deny counts and logs a denial. identity is empty where none is proven.
+// deny counts and logs a denial. identity is empty if none is proven.
 func (a *Authenticator) deny(identity authz.Identity, request Request, denial authz.Denial) Decision {
 	a.counters.denied[denial]++
 	a.logDenial(identity, request, denial)
