--- a/internal/authn/authenticator.go
+++ b/internal/authn/authenticator.go
@@ -14,7 +14,8 @@
 	"lanewheel/internal/tokens"
 )
 
-// Config is the configuration of callers from the operator's file. It has been read and checked completely.
+// Config holds the settings for identifying and authorizing callers, from the operator's file. All of them have been
+// read and validated.
 type Config struct {
 	Policy         *authz.Policy
 	MaxRateEntries int               // maximum number of identities and roles counted by the rate limiter
@@ -26,9 +27,9 @@
 	TokenLimits    tokens.Limits
 }
 
-// Authenticator decides on requests. It is owned by the server's event loop, which calls all methods except
-// VerifyCertificate. That method is called from the goroutines of handshakes. Tokens are verified one at a time on a
-// goroutine that is started with the first keys and runs until the process ends.
+// Authenticator decides which requests are admitted. It is owned by the server's event loop, which calls all methods
+// except VerifyCertificate. That method is called from the goroutines of handshakes. Tokens are verified one at a time
+// on a goroutine that is started with the first keys and runs until the process ends.
 type Authenticator struct {
 	post  func(...func())                            // runs functions on the event loop
 	clock func() (now time.Duration, wall time.Time) // returns the event loop's time
@@ -45,8 +46,8 @@
 	denialLog logging.Sampler[authz.Denial]
 }
 
-// generation is the number of a configuration, starting at 1. Results that depend on the configuration are determined
-// again if they are of an earlier generation.
+// generation is the number of a configuration, starting at 1. A result that was determined under an earlier generation
+// is determined again before it is used.
 type generation uint64
 
 // New returns an authenticator with the given configuration. post runs functions on the event loop and may be called
--- a/internal/authn/authorize.go
+++ b/internal/authn/authorize.go
@@ -19,12 +19,12 @@
 type Decision struct {
 	Tenant     admission.TenantID
 	Permission authz.Permission // must be passed to Release when the request is done
-	Denial     authz.Denial     // reason of the denial; a retry cannot succeed
+	Denial     authz.Denial     // reason for the denial; a retry cannot succeed
 	RetryAfter time.Duration    // delay after which the request may be retried
 }
 
-// Authorize decides on a request. done is called exactly once, on the event loop: before Authorize returns if no token
-// check is necessary, or else when the token is checked or the wait for it has ended.
+// Authorize decides whether a request is admitted. done is called exactly once, on the event loop: before Authorize
+// returns if no token check is necessary or none can be started, or else when the check or the wait for it has ended.
 func (a *Authenticator) Authorize(credential *Credential, request Request, done func(Decision)) {
 	if denial := a.RevocationReason(credential); denial != "" {
 		done(a.deny(credential.identityForLog(), request, denial))
@@ -73,7 +73,7 @@
 	return a.decide(credential, request)
 }
 
-// decideByVerdict decides on a request by the verdict on its token.
+// decideByVerdict decides on a request, given the verdict on its token.
 func (a *Authenticator) decideByVerdict(credential *Credential, request Request, verdict tokens.Verdict) Decision {
 	if verdict.Denial != "" {
 		credential.suspect = credential.suspect || IsForgery(verdict.Denial)
@@ -90,7 +90,7 @@
 	return a.decide(credential, request)
 }
 
-// decide decides on a request by the principal of its credential, which must have been resolved.
+// decide decides whether the principal of a credential may make a request. The credential must be resolved.
 func (a *Authenticator) decide(credential *Credential, request Request) Decision {
 	principal := &credential.resolved.principal
 	if credential.resolved.denial != "" {
--- a/internal/authn/check.go
+++ b/internal/authn/check.go
@@ -9,7 +9,7 @@
 	"lanewheel/internal/tokens"
 )
 
-// maxPendingChecks is the largest number of requests waiting for token checks that an operator may configure.
+// maxPendingChecks is the largest value of tokens.Limits.MaxWaiting that an operator may configure.
 const maxPendingChecks = 4096
 
 // tokenCheck is a token to be verified off the event loop, with all data that the check reads.
@@ -78,7 +78,7 @@
 func (a *Authenticator) reloadKeys(verifier *tokens.Verifier, keyDir string) {
 	keys, err := keyring.LoadSet(keyDir)
 	if err != nil {
-		slog.Warn("key folder unreadable, keeping current keys", "err", err)
+		slog.Warn("key folder reload failed, keeping current keys", "err", err)
 	}
 	a.post(func() {
 		if a.verifier == verifier {
@@ -88,7 +88,7 @@
 }
 
 // handleKeys passes reloaded keys to the verifier and starts the checks that waited for them. keys is nil if the folder
-// could not be read.
+// could not be loaded.
 func (a *Authenticator) handleKeys(keys *keyring.KeySet) {
 	recheck, replaced := a.verifier.HandleKeys(keys)
 	if replaced {
--- a/internal/authn/credential.go
+++ b/internal/authn/credential.go
@@ -59,8 +59,8 @@
 	return proof, ""
 }
 
-// RevocationReason returns the reason why a connection's certificate is no longer accepted, or an empty denial. A
-// reason is final. If nothing has changed, the call takes only a few comparisons.
+// RevocationReason returns the reason why a connection's certificate is no longer accepted, or an empty denial. Once
+// returned, a reason does not change. If nothing has changed, the call takes only a few comparisons.
 func (a *Authenticator) RevocationReason(credential *Credential) authz.Denial {
 	if credential.Proof == nil || credential.lastCheck.denial != "" {
 		return credential.lastCheck.denial
--- a/internal/authn/log.go
+++ b/internal/authn/log.go
@@ -14,7 +14,7 @@
 	maxLoggedBytes = 128         // maximum length of a logged value that a caller controls
 )
 
-// counters are the numbers of decisions since the start, and the state of logging them.
+// counters counts the decisions since the start and records when and at which total they were last logged.
 type counters struct {
 	admitted uint64
 	deferred uint64
--- a/internal/authz/denial.go
+++ b/internal/authz/denial.go
@@ -4,7 +4,7 @@
 // the request is not denied.
 type Denial string
 
-// The denials of the policy. Packages keyring, tokens and certs define those of keys, tokens and certificates.
+// The denials that a Policy returns. Packages keyring, tokens and certs define those for keys, tokens and certificates.
 const (
 	noIdentity    Denial = "no-identity" // the caller has proven no identity, and anonymous callers have no role
 	unmapped      Denial = "unmapped"    // the identity is proven, but neither a binding nor a claim gives it a role
--- a/internal/authz/golden_test.go
+++ b/internal/authz/golden_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestGoldenReasons checks the texts of the denials, which appear in responses, logs and listings.
-func TestGoldenReasons(t *testing.T) {
+// TestGoldenDenials checks the texts of the denials, which appear in responses, logs and listings.
+func TestGoldenDenials(t *testing.T) {
 	for denial, want := range map[Denial]string{
 		noIdentity:    "no-identity",
 		unmapped:      "unmapped",
--- a/internal/authz/identity.go
+++ b/internal/authz/identity.go
@@ -3,7 +3,7 @@
 // Identity is a proven identity of a caller: its kind, a colon and a name.
 type Identity string
 
-// IdentityKind is the kind of proof that an identity was taken from.
+// IdentityKind is the part of a certificate or token that an identity is taken from.
 type IdentityKind string
 
 // The kinds, as written in the operator's file.
--- a/internal/authz/policy.go
+++ b/internal/authz/policy.go
@@ -41,7 +41,7 @@
 type Policy struct {
 	roles        map[RoleName]*Role
 	bindings     []Binding
-	exact        map[Identity]int // index of the binding with this identity as a pattern without a wildcard
+	exact        map[Identity]int // index of a binding, by pattern; only patterns without a wildcard
 	prefixes     []prefixPattern  // in order of decreasing length
 	writeClasses map[admission.Class]bool
 	anonymous    []*Role // roles of anonymous callers
@@ -100,7 +100,8 @@
 	for _, pattern := range binding.Patterns {
 		kind, name, hasKind := strings.Cut(pattern, ":")
 		if !hasKind || name == "" || !IdentityKind(kind).valid() {
-			return fmt.Errorf("caller %q: pattern %q must be uri:, dns:, subject: or token: and a name", binding.Name, pattern)
+			return fmt.Errorf("caller %q: pattern %q must be uri:, dns:, subject: or token:, followed by a name",
+				binding.Name, pattern)
 		}
 		if !p.addPattern(pattern, index) {
 			return fmt.Errorf("caller %q: pattern %q is used twice", binding.Name, pattern)
--- a/internal/authz/ratelimiter.go
+++ b/internal/authz/ratelimiter.go
@@ -9,9 +9,9 @@
 	// buckets fill up.
 	tableFullRetryAfter = time.Second
 
-	// Maximum number of entries that are checked for eviction when an entry is added. It is greater than one so that
-	// the scan goes through the table faster than the table fills. It is larger when the table is full, but limited
-	// so that the event loop is not blocked.
+	// evictionScan is the maximum number of entries that are checked for eviction when an entry is added. It is greater
+	// than one so that the scan goes through the table faster than the table fills. evictionScanFull is the maximum
+	// while the table is full. It is larger, but limited so that the event loop is not blocked.
 	evictionScan     = 2
 	evictionScanFull = 64
 )
@@ -49,8 +49,8 @@
 	return l
 }
 
-// Permission is the permission of one admitted request, which the caller passes to Release when the request is done.
-// The zero value belongs to no counted request.
+// Permission allows one admitted request. The caller passes it to Release when the request is done. The zero value
+// belongs to no counted request.
 type Permission struct {
 	key       usageKey
 	grantedAt time.Duration
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -32,7 +32,7 @@
 	return setuptest.Must(authority.IssueClient(subject, start, 10*time.Hour))
 }
 
-// revocations returns a first revocation list of an authority with the certificates of pairs.
+// revocations returns the first revocation list of an authority, with the certificates of pairs.
 func revocations(authority KeyPair, validity time.Duration, pairs ...KeyPair) []byte {
 	return appendRevocations(authority, nil, validity, pairs...)
 }
--- a/internal/certs/chain.go
+++ b/internal/certs/chain.go
@@ -21,7 +21,7 @@
 }
 
 // Verify verifies a chain that starts with the client's own certificate. It returns a denial if the chain is not
-// accepted at the time now.
+// accepted at the given time.
 func (s *TrustStore) Verify(presented []*x509.Certificate, now time.Time) (*VerifiedChain, authz.Denial) {
 	if len(presented) == 0 {
 		return nil, noCertificate
@@ -80,8 +80,8 @@
 	}
 }
 
-// ValidAt reports whether all certificates of the chain are valid at a time and the revocation lists of their issuers
-// are not stale. If it returns false, Recheck decides whether the chain is still accepted.
+// ValidAt reports whether, at the given time, all certificates of the chain are valid and no revocation list of their
+// issuers is stale. If it returns false, Recheck decides whether the chain is still accepted.
 func (c *VerifiedChain) ValidAt(now time.Time) bool {
 	if now.Before(c.notBefore) || !now.Before(c.notAfter) {
 		return false
--- a/internal/certs/golden_test.go
+++ b/internal/certs/golden_test.go
@@ -15,7 +15,7 @@
 )
 
 // The files in testdata/golden were written by "lanewheel cert authority", "cert issue" and "cert revoke". They are
-// valid until 2117 at least. Their keys are used only in these tests.
+// valid until at least 2117. Their keys are used only in these tests.
 
 func golden(name string) []byte { return setuptest.Must(os.ReadFile("testdata/golden/" + name)) }
 
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestGoldenReasons checks the texts of the denials, which appear in responses, logs and listings.
-func TestGoldenReasons(t *testing.T) {
+// TestGoldenDenials checks the texts of the denials, which appear in responses, logs and listings.
+func TestGoldenDenials(t *testing.T) {
 	for denial, want := range map[authz.Denial]string{
 		noCertificate:       "no-certificate",
 		Untrusted:           "untrusted",
--- a/internal/certs/issue.go
+++ b/internal/certs/issue.go
@@ -14,7 +14,8 @@
 )
 
 const (
-	// clockSkew is how far the start of validity of a certificate or revocation list is backdated, because clocks differ.
+	// clockSkew is the time by which the start of validity of certificates and revocation lists is backdated, because
+	// clocks differ.
 	clockSkew  = 5 * time.Minute
 	serialBits = 120 // entropy of a serial number in bits
 )
--- a/internal/certs/keypair.go
+++ b/internal/certs/keypair.go
@@ -24,7 +24,7 @@
 	return certificate, privateKey, nil
 }
 
-// ParseKeyPair parses the certificate and the private key that EncodePEM returned. Its errors contain no part of the
+// ParseKeyPair parses a certificate and a private key in the format of EncodePEM. Its errors contain no part of the
 // private key.
 func ParseKeyPair(certificate, privateKey []byte) (KeyPair, error) {
 	certificates, err := ParseCertificates(certificate)
--- a/internal/certs/pem.go
+++ b/internal/certs/pem.go
@@ -37,7 +37,7 @@
 		return nil, errors.New("PEM text must contain a certificate")
 	}
 	if len(bytes.TrimSpace(text)) > 0 { // for example if the file is still being written
-		return nil, errors.New("PEM text ends in the middle of a certificate")
+		return nil, errors.New("PEM text of certificates must end with a complete block")
 	}
 	return certificates, nil
 }
--- a/internal/certs/revocationlist.go
+++ b/internal/certs/revocationlist.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		return err
 	}
-	// Without this check, anyone could supply a list that accepts revoked certificates again or revokes valid ones.
+	// Without this check, anyone could supply a list that reinstates revoked certificates or revokes valid ones.
 	if !s.isSignedByAuthority(crl) {
 		return fmt.Errorf("revocation list of %s is not signed by a configured authority", crl.Issuer)
 	}
@@ -97,7 +97,8 @@
 			if s.policy.AllowStale || list.validUntil.IsZero() {
 				continue
 			}
-			// Otherwise an attacker could keep using a revoked certificate by blocking the delivery of new lists.
+			// If stale lists were accepted, an attacker could keep using a revoked certificate by blocking the
+			// delivery of new lists.
 			if !now.Before(list.validUntil) {
 				return staleRevocationList
 			}
--- a/internal/certs/truststore.go
+++ b/internal/certs/truststore.go
@@ -19,7 +19,7 @@
 // RevocationPolicy defines when a revocation list becomes stale. Certificates of an authority with a stale list are
 // denied unless AllowStale is set.
 type RevocationPolicy struct {
-	Grace      time.Duration // period after the due time of the next list in which a list is not yet stale
+	Grace      time.Duration // time from the due time of the next list until the current one is stale
 	AllowStale bool          // stale lists are still used
 }
 
@@ -41,7 +41,7 @@
 		return nil, err
 	}
 	if len(parsed) > maxAuthorities {
-		return nil, fmt.Errorf("%d authorities, must be at most %d", len(parsed), maxAuthorities)
+		return nil, fmt.Errorf("PEM text has %d authorities, must have at most %d", len(parsed), maxAuthorities)
 	}
 	store := &TrustStore{
 		roots:       x509.NewCertPool(),
@@ -66,7 +66,7 @@
 		}
 	}
 	if len(bytes.TrimSpace(lists)) > 0 {
-		return nil, errors.New("PEM text ends in the middle of a revocation list")
+		return nil, errors.New("PEM text of revocation lists must end with a complete block")
 	}
 	return store, nil
 }
--- a/internal/keyring/folder.go
+++ b/internal/keyring/folder.go
@@ -14,7 +14,7 @@
 func ReadFolder(path string) (map[string][]byte, error) {
 	entries, err := os.ReadDir(path)
 	if err != nil {
-		return nil, diagnostic.List{{File: path, Want: "can't be read: " + err.Error()}}
+		return nil, diagnostic.List{{File: path, Want: "cannot be read: " + err.Error()}}
 	}
 	files := map[string][]byte{}
 	for _, entry := range entries {
@@ -30,7 +30,7 @@
 		}
 		text, err := os.ReadFile(file)
 		if err != nil {
-			return nil, diagnostic.List{{File: file, Want: "can't be read: " + err.Error()}}
+			return nil, diagnostic.List{{File: file, Want: "cannot be read: " + err.Error()}}
 		}
 		files[file] = text
 	}
--- a/internal/keyring/keyring_test.go
+++ b/internal/keyring/keyring_test.go
@@ -140,7 +140,7 @@
 	// 10 true
 }
 
-// A key file that is truncated at any byte is rejected or parses to the same set, never to a different one.
+// A key file that is truncated after any byte is rejected or parses to the same set, never to a different one.
 func TestTruncatedFile(t *testing.T) {
 	text := encodeTestKey("a", "ES256", lifetime{10, 20}, false)
 	for n := range len(text) {
@@ -172,7 +172,7 @@
 	// DIR/b.json: must be at most 262144 bytes
 }
 
-// keyringModel records which keys are published and which ones were published at any time.
+// keyringModel records which keys are published and which ones have ever been published.
 type keyringModel struct {
 	published     map[string]lifetime
 	everPublished map[string]bool
--- a/internal/tokens/cache.go
+++ b/internal/tokens/cache.go
@@ -80,8 +80,8 @@
 	expiresAt  time.Duration
 }
 
-// isPermanent reports whether a denial applies to a token at any time. Other denials must not be cached: a token that
-// is denied shortly before it becomes valid must not stay denied after that.
+// isPermanent reports whether a denial of a token still applies at any later time. Other denials must not be cached: a
+// token that is denied shortly before it becomes valid must not stay denied after that.
 func isPermanent(denial authz.Denial) bool {
 	switch denial {
 	case Malformed, WrongAlgorithm, CriticalHeader, BadSignature, WrongIssuer, WrongAudience, NoSubject, noTokenID:
@@ -150,8 +150,8 @@
 	if denial := entry.key.CheckTime(wall); denial != "" {
 		return denial, true
 	}
-	// The event loop's time does not step back. With the wall clock alone, an expired token would become valid again after
-	// a step back.
+	// The event loop's time does not step back. The check by the wall clock alone would accept an expired token again if
+	// that clock stepped back.
 	if now >= entry.expiresAt {
 		return expired, true
 	}
--- a/internal/tokens/check.go
+++ b/internal/tokens/check.go
@@ -7,12 +7,12 @@
 	"lanewheel/internal/keyring"
 )
 
-// maxWait is the longest time for which a request waits for the verdict on its token. It is enough for a few reads of
-// the key folder and only a part of any latency objective.
+// maxWait is the maximum time for which a request waits for the verdict on its token. It allows for a few reads of the
+// key folder and is only a fraction of any latency objective.
 const maxWait = 250 * time.Millisecond
 
-// Verdict is the outcome of the check of a token. If it has neither Entry nor Denial, the token could not be checked in
-// time, and the client is to retry after RetryAfter.
+// Verdict is the outcome of a request to check a token. If it has neither Entry nor Denial, the token was neither
+// accepted nor denied, and the client must retry after RetryAfter.
 type Verdict struct {
 	Entry      *CachedToken
 	Denial     authz.Denial
@@ -71,10 +71,11 @@
 	reloadSuperseded bool            // the keys were replaced after that read started
 }
 
-// RequestCheck requests the check of a token for which Lookup finds nothing. It calls done exactly once: before it
-// returns if the check cannot be queued, and otherwise when the verdict is available. suspect is true if the connection
-// has sent forged tokens. Checks may use a fraction of a CPU core. Half of it is reserved for connections that are not
-// suspect, so that a flood of forged tokens does not block them. If no capacity is left, the verdict has a RetryAfter.
+// RequestCheck requests a check of a token that Lookup did not find. It calls done exactly once: before it returns if
+// the check cannot be queued, and otherwise when the verdict is available. suspect is true if the connection has sent
+// forged tokens. Checks may use a fraction of a CPU core. Half of that fraction is reserved for connections that are
+// not suspect, so that a flood of forged tokens does not block them. If no capacity is left, the verdict has a
+// RetryAfter.
 func (v *Verifier) RequestCheck(now time.Duration, raw string, suspect bool, done callback) Step {
 	digest := digestOf(raw)
 	full := v.checks.waiting >= v.limits.MaxWaiting
@@ -213,8 +214,8 @@
 	return recheck, replaced
 }
 
-// ExpireWaiting passes a verdict with a RetryAfter to the requests that have waited for at least maxWait, or to all
-// waiting requests if all is true. This way, neither a slow disk nor a queue of checks delays a response.
+// ExpireWaiting ends the checks that were requested at least maxWait ago, or all pending checks if all is true, with a
+// verdict that has a RetryAfter. This limits the delay of a response by a slow disk or a queue of checks.
 func (v *Verifier) ExpireWaiting(now time.Duration, all bool) {
 	for _, pending := range v.checks.byDigest {
 		if all || now-pending.startedAt >= maxWait {
--- a/internal/tokens/cpubudget.go
+++ b/internal/tokens/cpubudget.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// burstWindow limits the unused CPU time that a pool accumulates to the amount that it gains in this time.
+	// burstWindow limits the unused CPU time of a pool: a pool holds at most the CPU time that it gains in one window.
 	burstWindow = time.Second
 	// minRetryDelay is the shortest delay after which a request that found no capacity may retry. It corresponds to about
 	// a dozen checks.
--- a/internal/tokens/golden_test.go
+++ b/internal/tokens/golden_test.go
@@ -99,7 +99,7 @@
 func (g goldenToken) checkClaims(t *testing.T, got Claims) {
 	t.Helper()
 	if got.NotBefore.Unix() == 0 || got.Expiry.Sub(got.NotBefore) != 800_000*time.Hour {
-		t.Errorf("valid from %v until %v", got.NotBefore, got.Expiry)
+		t.Errorf("valid from %v until %v, want a period of 800,000 h", got.NotBefore, got.Expiry)
 	}
 	if denial := got.CheckTime(start, g.policy); denial != "" {
 		t.Errorf("denied at %v: %s", start, denial)
--- a/internal/tokens/singleuse.go
+++ b/internal/tokens/singleuse.go
@@ -9,7 +9,7 @@
 
 const (
 	minSingleUseDelay = time.Millisecond // the shortest wait for a remembered ID to expire
-	zeroLimitDelay    = time.Second      // the wait if the limit is zero, so that no ID can be remembered
+	zeroLimitDelay    = time.Second      // the wait if the limit is zero and therefore no ID can be remembered
 )
 
 // singleUseIDs remembers the IDs of used single-use tokens until the tokens expire.
@@ -24,9 +24,9 @@
 	return singleUseIDs{limit: limit, expiries: map[string]time.Time{}}
 }
 
-// use records the use of an ID. It returns a denial if the ID is already recorded or the token has expired. An ID
-// that is forgotten before it expires could be used again, so no ID is forgotten early: at the limit, use records
-// nothing and returns the time until the first remembered ID expires.
+// use records the use of an ID. It returns a denial if the ID is already recorded, or if the token expires no later
+// than one whose ID is forgotten. An ID that is forgotten before it expires could be used again, so no ID is forgotten
+// early: at the limit, use records nothing and returns the time until the first remembered ID expires.
 func (s *singleUseIDs) use(wall time.Time, id string, expiresAt time.Time) (denial authz.Denial, wait time.Duration) {
 	if _, used := s.expiries[id]; used {
 		return replayed, 0
--- a/internal/tokens/verifier.go
+++ b/internal/tokens/verifier.go
@@ -8,7 +8,7 @@
 	"lanewheel/internal/keyring"
 )
 
-// Limits limits the resources that a Verifier uses. The values come from the operator's file.
+// Limits are the resource limits of a Verifier. The values come from the operator's file.
 type Limits struct {
 	MaxCached         int           // maximum number of cached tokens, and separately of cached denials
 	MaxWaiting        int           // maximum number of requests that wait for a verdict, and of checks in flight
@@ -17,8 +17,8 @@
 	KeyReloadInterval time.Duration // minimum time between two reads of the key folder for unknown keys
 }
 
-// Verifier caches the verdicts on tokens and schedules the checks of tokens without one. It belongs to the event loop.
-// Its owner calls it for each request and carries out the Steps that it returns off the event loop.
+// Verifier caches the verdicts on tokens and schedules the checks of tokens that have no cached verdict. It belongs to
+// the event loop. Its owner calls it for each request and performs the returned Steps off the event loop.
 type Verifier struct {
 	keyring     *keyring.Keyring
 	policy      *Policy
--- a/internal/tokens/verifier_test.go
+++ b/internal/tokens/verifier_test.go
@@ -12,9 +12,9 @@
 	"lanewheel/internal/keyring"
 )
 
-// A token of an old key is valid until the configured moment and not after it, regardless of when the folder was
-// read. A cached token is not verified again after a reload that keeps its key and the policy. It is denied if its
-// key is withdrawn or removed, or if the token is revoked.
+// A token that expires later than its key retires is valid until that moment and not after it, regardless of when the
+// folder was read. A cached token is not verified again after a reload that keeps its key and the policy. It is denied
+// if its key is withdrawn or removed, or if the token is revoked.
 func Example_cachedTokens() {
 	v := newTestVerifier("a", "b")
 	newLongLivedToken := func(id string) string {
--- a/internal/tokens/verify.go
+++ b/internal/tokens/verify.go
@@ -40,16 +40,16 @@
 	Leeway      time.Duration // tolerated difference between the issuer's clock and the local clock
 	MaxBytes    int           // maximum length of a token
 	TenantClaim string        // the claim that holds the tenant; if empty, the operator's file maps subjects to tenants
-	RolesClaim  string        // the claim that holds the roles: a list, or a string of words; if empty, no claim is read
+	RolesClaim  string        // the claim that holds the roles: a list or a space-separated string; if empty, none is read
 	SingleUse   bool          // each token is valid for one request only
 }
 
 var acceptedAlgorithms = []jose.SignatureAlgorithm{jose.EdDSA, jose.ES256, jose.RS256}
 
 // Verify parses a token and checks the properties that do not change while it is cached: its form, key, signature,
-// issuer, audience, and that the required claims are present. It does not check the token's times or revocation.
-// findKey returns the key of an ID, or the denial if that key is not valid. If the token is denied after its key ID
-// was read, the returned claims hold only the key ID. Verify may be called from any goroutine.
+// issuer, audience and required claims. It does not check the token's times or revocation. findKey returns the key
+// with an ID, or a denial if there is no valid key with that ID. If the token is denied after its key ID was read, the
+// returned claims hold only the key ID. Verify may be called from any goroutine.
 func Verify(
 	raw string, findKey func(keyring.KeyID) (*keyring.Key, authz.Denial), policy *Policy,
 ) (Claims, authz.Denial) {
