--- a/internal/keyring/golden_test.go
+++ b/internal/keyring/golden_test.go
@@ -13,11 +13,11 @@
 	"lanewheel/internal/setuptest"
 )
 
-// The files of testdata/golden were written by "lanewheel keys new", "keys publish" and "keys retire". Their keys
-// are for this test alone.
+// The files in testdata/golden were written by "lanewheel keys new", "keys publish" and "keys retire". Their keys are
+// used in tests only.
 
-// Private keys read as what they are, and are written again to the byte.
-func TestGoldenPrivate(t *testing.T) {
+// Stored private keys are read correctly, and encoding them again yields the same bytes.
+func TestGoldenPrivateKeys(t *testing.T) {
 	for name, algorithm := range map[string]string{"ed": "EdDSA", "es": "ES256", "rs": "RS256"} {
 		path := filepath.Join("testdata/golden", name+".private")
 		key := setuptest.Must(LoadPrivateKey(path))
@@ -26,20 +26,20 @@
 		}
 		text := append(setuptest.Must(key.MarshalJSON()), '\n')
 		if want := setuptest.Must(os.ReadFile(path)); !bytes.Equal(text, want) {
-			t.Errorf("%s is written as\n%swant\n%s", path, text, want)
+			t.Errorf("%s is encoded as\n%swant\n%s", path, text, want)
 		}
 	}
 }
 
-// A folder of published keys reads with all that each says, and each file is written again to the byte.
-func TestGoldenPublished(t *testing.T) {
+// Published keys are read with all their members, and encoding them again yields the same bytes.
+func TestGoldenPublishedKeys(t *testing.T) {
 	set := setuptest.Must(LoadSet("testdata/golden"))
 	from := time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
 	until := time.Date(2066, 1, 1, 0, 0, 0, 0, time.UTC)
-	wanted := []struct {
-		key    Key          // without its public half
-		early  authz.Denial // a second before from
-		during authz.Denial
+	wantKeys := []struct {
+		key    Key          // without PublicKey and File
+		early  authz.Denial // one second before from
+		during authz.Denial // between from and until
 		late   authz.Denial // at until
 	}{
 		{
@@ -55,24 +55,24 @@
 			late:   "withdrawn-key",
 		},
 	}
-	all := set.Keys()
-	if len(all) != len(wanted) {
-		t.Fatalf("%d keys, want %d", len(all), len(wanted))
+	keys := set.Keys()
+	if len(keys) != len(wantKeys) {
+		t.Fatalf("%d keys, want %d", len(keys), len(wantKeys))
 	}
-	for i, want := range wanted {
-		got := all[i]
+	for i, want := range wantKeys {
+		got := keys[i]
 		if got.ID != want.key.ID || got.Algorithm != want.key.Algorithm || got.Withdrawn != want.key.Withdrawn ||
 			!got.NotBefore.Equal(want.key.NotBefore) || !got.RetireAt.Equal(want.key.RetireAt) ||
 			filepath.Base(got.File) != string(want.key.ID)+".json" {
-			t.Errorf("%s reads as %+v", want.key.ID, got)
+			t.Errorf("%s is read as %+v", want.key.ID, got)
 		}
 		for at, denial := range map[time.Time]authz.Denial{
 			from.Add(-time.Second): want.early,
 			start:                  want.during,
 			until:                  want.late,
 		} {
-			if checked := got.CheckTime(at); checked != denial {
-				t.Errorf("%s at %v: %q, want %q", got.ID, at, checked, denial)
+			if gotDenial := got.CheckTime(at); gotDenial != denial {
+				t.Errorf("%s at %v: %q, want %q", got.ID, at, gotDenial, denial)
 			}
 		}
 		path := filepath.Join("testdata/golden", string(got.ID))
@@ -84,8 +84,8 @@
 	}
 }
 
-// The denials that are spoken, in answers, logs and listings.
-func TestGoldenReasons(t *testing.T) {
+// The texts of denials, which appear in responses, logs and command-line listings, must not change.
+func TestGoldenDenials(t *testing.T) {
 	for denial, want := range map[authz.Denial]string{
 		UnknownKey:  "unknown-key",
 		notYetValid: "early-key",
--- a/internal/tokens/check_test.go
+++ b/internal/tokens/check_test.go
@@ -11,34 +11,35 @@
 	"lanewheel/internal/keyring"
 )
 
-// A token under a key that is not read yet: one read of the folder finds it. Forged ids lead to one read a second, and
-// a token whose key is published right after one is told when to retry, not denied.
+// One read of the key folder finds the key of a token that is not loaded yet. Forged key IDs cause at most one read
+// per second. A token that arrives in the second after a read gets a retry delay, not a denial, as its key may just
+// have been published.
 func Example_unknownKey() {
 	v := newTestVerifier("a")
 	v.published = publishedSet("a", "b")
-	fmt.Println(v.verdict(goodToken("b", nil)), "reads", v.reloads)
+	fmt.Println(v.verdict(goodToken("b", nil)), "reads", v.reloadCount)
 	for i := range 50 {
-		if got := v.verdict(goodToken(fmt.Sprint("x", i), nil)); got != "later 1s" {
+		if got := v.verdict(goodToken(fmt.Sprint("x", i), nil)); got != "retry after 1s" {
 			fmt.Println(got)
 		}
 	}
 	v.advance(time.Second)
 	raw := goodToken("y", nil)
-	fmt.Println(v.verdict(raw), v.verdict(raw), "reads", v.reloads)
+	fmt.Println(v.verdict(raw), v.verdict(raw), "reads", v.reloadCount)
 	v.published = publishedSet("a", "b", "y")
 	v.advance(time.Second)
-	fmt.Println(v.verdict(raw), "reads", v.reloads)
+	fmt.Println(v.verdict(raw), "reads", v.reloadCount)
 	// Output:
 	// good reads 1
 	// unknown-key unknown-key reads 2
 	// good reads 3
 }
 
-// A read that was begun before the keys were replaced does not bring the older ones back.
-func Example_overtakenReload() {
+// A read that started before the keys were replaced does not restore the older keys.
+func Example_supersededReload() {
 	v := newTestVerifier("a")
 	raw := goodToken("n", nil)
-	v.held = true
+	v.holdChecks = true
 	fmt.Println(v.verdict(raw))
 	step := v.HandleResult(0, start, CheckResult{
 		Raw:    raw,
@@ -51,15 +52,15 @@
 	recheck, replaced := v.HandleKeys(older)
 	fmt.Println(step.Action, len(recheck), replaced, len(v.KeySet().Keys()))
 	// Output:
-	// waits
+	// waiting
 	// reload keys 1 false 2
 }
 
-// A flood of forged tokens takes no more than its share of time; connections that have brought none still get their
-// checks, and a known token costs none. The requests that wait have a bound and an end.
-func Example_flood() {
+// A flood of forged tokens uses no more than its share of CPU time. Tokens of other connections are still checked,
+// and a cached token needs no check. The number of waiting requests and their waiting time are limited.
+func Example_forgedTokenFlood() {
 	v := newTestVerifier("a")
-	v.cost = time.Millisecond
+	v.checkCost = time.Millisecond
 	good := goodToken("a", nil)
 	fmt.Println(v.verdict(good))
 	parts := strings.Split(good, ".")
@@ -81,7 +82,7 @@
 			Raw:      step.Token,
 			Suspect:  true,
 			Denial:   BadSignature,
-			Duration: v.cost,
+			Duration: v.checkCost,
 			KeySet:   v.KeySet(),
 		})
 		if next.Action != noAction {
@@ -92,7 +93,7 @@
 	bounded := denied <= limits.MaxCached
 	fmt.Println("checks", v.checkCount <= 102, deferred > 99_000, "denials", bounded, v.verdict(good))
 	fmt.Println(v.verdict(goodToken("a", func(c *jwt.Claims) { c.ID = "t2" })))
-	v.held = true
+	v.holdChecks = true
 	for i := range 6 {
 		fmt.Print(v.verdict(goodToken("a", func(c *jwt.Claims) { c.ID = fmt.Sprint(i) })), " ")
 	}
@@ -103,6 +104,6 @@
 	// good
 	// checks true true denials true good
 	// good
-	// waits waits waits waits later 20ms later 20ms 4
+	// waiting waiting waiting waiting retry after 20ms retry after 20ms 4
 	// 0
 }
--- a/internal/tokens/verifier_test.go
+++ b/internal/tokens/verifier_test.go
@@ -12,32 +12,33 @@
 	"lanewheel/internal/keyring"
 )
 
-// A token counts under an old key until the configured moment and not after, whenever the folder was read; a cached
-// token is not checked again until something changes, and then only by what has changed.
-func Example_cached() {
+// A token that expires later than its key retires is valid until that moment and not after it, regardless of when the
+// folder was read. A cached token is not verified again after a reload that keeps its key and the policy. It is denied
+// if its key is withdrawn or removed, or if the token is revoked.
+func Example_cachedTokens() {
 	v := newTestVerifier("a", "b")
-	long := func(id string) string {
+	newLongLivedToken := func(id string) string {
 		return goodToken(id, func(c *jwt.Claims) { c.Expiry = jwt.NewNumericDate(start.Add(9 * time.Hour)) })
 	}
-	a, b := long("a"), long("b")
-	fmt.Println(v.verdict(a), v.verdict(a), v.verdict(b), "checks", v.checkCount)
+	tokenA, tokenB := newLongLivedToken("a"), newLongLivedToken("b")
+	fmt.Println(v.verdict(tokenA), v.verdict(tokenA), v.verdict(tokenB), "checks", v.checkCount)
 	v.Reload(publishedSet("a", "b", "c"), policy, nil, limits)
-	fmt.Println(v.verdict(a), v.verdict(b), "checks", v.checkCount)
+	fmt.Println(v.verdict(tokenA), v.verdict(tokenB), "checks", v.checkCount)
 	v.advance(time.Hour - time.Nanosecond)
-	fmt.Println(v.verdict(a))
+	fmt.Println(v.verdict(tokenA))
 	v.advance(time.Nanosecond)
-	fmt.Println(v.verdict(a), "checks", v.checkCount)
+	fmt.Println(v.verdict(tokenA), "checks", v.checkCount)
 	v = newTestVerifier("a", "b")
-	fmt.Println(v.verdict(a), v.verdict(b))
+	fmt.Println(v.verdict(tokenA), v.verdict(tokenB))
 	v.Reload(publishedSet("a!", "c"), policy, nil, limits)
-	fmt.Println(v.verdict(a), v.verdict(b))
+	fmt.Println(v.verdict(tokenA), v.verdict(tokenB))
 	v = newTestVerifier("a")
-	v.verdict(a)
+	v.verdict(tokenA)
 	revocations, _ := ParseRevocations("# revoked\njti t1\n\nsub nobody")
 	v.Reload(publishedSet("a"), policy, revocations, limits)
-	fmt.Println(v.verdict(a))
+	fmt.Println(v.verdict(tokenA))
 	_, line := ParseRevocations("jti x\njti")
-	fmt.Println("wrong line", line)
+	fmt.Println("invalid line", line)
 	// Output:
 	// good good good checks 2
 	// good good checks 2
@@ -46,11 +47,12 @@
 	// good good
 	// withdrawn-key withdrawn-key
 	// revoked
-	// wrong line 2
+	// invalid line 2
 }
 
-// Clocks that differ by the leeway and by more; a clock that steps back keeps no cached token alive.
-func Example_clocks() {
+// A token is accepted from its not-before time minus the leeway until just before its expiry plus the leeway, and
+// denied otherwise. A cached token that has expired stays expired when the wall clock steps back.
+func Example_clockSkew() {
 	raw := goodToken("a", nil)
 	offsets := []time.Duration{-31 * time.Second, -30 * time.Second, 0, 90*time.Second - 1, 90 * time.Second}
 	for _, offset := range offsets {
@@ -62,7 +64,7 @@
 	v := newTestVerifier("a")
 	fmt.Print(v.verdict(raw), " ")
 	v.advance(2 * time.Minute)
-	v.wall = start // an hour's step back would do the same
+	v.wall = start // a step back of one hour has the same effect
 	fmt.Println(v.verdict(raw))
 	// Output:
 	// -31s early
@@ -73,29 +75,30 @@
 	// good expired
 }
 
-// tokenModel is the rules by which tokens count, read afresh for each verdict.
+// tokenModel computes the expected verdicts on tokens without a cache.
 type tokenModel struct {
-	published []string        // ids of keys, withdrawn ones with a !
-	removed   map[string]bool // keys that were published at some time
-	revoked   map[string]bool // ids of tokens
+	published []string        // IDs of the published keys; withdrawn ones have the suffix "!"
+	removed   map[string]bool // IDs of keys that were published before the last reload
+	revoked   map[string]bool // IDs of revoked tokens
 }
 
 func tokenID(keyID string, nth int) string { return fmt.Sprint(keyID, nth) }
 
-// lifetime is how long the nth token of a key counts.
+// lifetime returns the time after start for which the nth token of a key is valid, without the leeway.
 func lifetime(nth int) time.Duration { return time.Duration(nth+1) * 20 * time.Minute }
 
+// verdict returns the expected verdict on the nth token of a key.
 func (m *tokenModel) verdict(elapsed time.Duration, keyID string, nth int) string {
-	published := ""
-	for _, mark := range m.published {
-		if strings.TrimSuffix(mark, "!") == keyID {
-			published = mark
+	publishedEntry := ""
+	for _, entry := range m.published {
+		if strings.TrimSuffix(entry, "!") == keyID {
+			publishedEntry = entry
 		}
 	}
 	switch {
-	case published == "" && m.removed[keyID], strings.HasSuffix(published, "!"):
+	case publishedEntry == "" && m.removed[keyID], strings.HasSuffix(publishedEntry, "!"):
 		return "withdrawn-key"
-	case published == "":
+	case publishedEntry == "":
 		return "unknown-key"
 	case elapsed >= time.Hour:
 		return "retired-key"
@@ -107,15 +110,15 @@
 	return "good"
 }
 
-// drawReload draws other keys and revocations, and gives the list of these.
+// drawReload draws new published keys and revocations, and returns the revocation list.
 func (m *tokenModel) drawReload(t *rapid.T, ids []string) (revocations string) {
-	for _, mark := range m.published {
-		m.removed[strings.TrimSuffix(mark, "!")] = true
+	for _, entry := range m.published {
+		m.removed[strings.TrimSuffix(entry, "!")] = true
 	}
 	m.published = nil
 	for _, id := range ids {
-		if mark := rapid.SampledFrom([]string{"", id, id + "!"}).Draw(t, "key"); mark != "" {
-			m.published = append(m.published, mark)
+		if entry := rapid.SampledFrom([]string{"", id, id + "!"}).Draw(t, "key"); entry != "" {
+			m.published = append(m.published, entry)
 		}
 	}
 	m.revoked = map[string]bool{}
@@ -127,8 +130,8 @@
 	return "jti " + id
 }
 
-// The verifier against rules that are read afresh each time: whatever is cached, reloaded and revoked, the same
-// verdict.
+// TestVerifier compares the verifier, which caches, with tokenModel, which does not, over random reloads, revocations
+// and delays. The verifier may return a retry delay instead of a verdict.
 func TestVerifier(t *testing.T) {
 	ids := []string{"a", "b", "c"}
 	raws := map[string]string{}
@@ -144,7 +147,7 @@
 		v := newTestVerifier("a")
 		model := &tokenModel{published: []string{"a"}, removed: map[string]bool{}, revoked: map[string]bool{}}
 		for range 30 {
-			switch rapid.IntRange(0, 3).Draw(t, "what") {
+			switch rapid.IntRange(0, 3).Draw(t, "operation") {
 			case 0:
 				revocations, _ := ParseRevocations(model.drawReload(t, ids))
 				v.published = publishedSet(model.published...)
@@ -157,19 +160,20 @@
 				elapsed := v.wall.Sub(start)
 				want := model.verdict(elapsed, id, nth)
 				got := v.verdict(raws[tokenID(id, nth)])
-				if got != want && !strings.HasPrefix(got, "later") {
+				if got != want && !strings.HasPrefix(got, "retry after") {
 					t.Fatalf("%s%d at %v: %s, want %s", id, nth, elapsed, got, want)
 				}
 			}
 			cached, denied := v.CacheSizes()
 			if cached > limits.MaxCached || denied > limits.MaxCached || v.checks.waiting != 0 {
-				t.Fatal("past its bounds")
+				t.Fatal("the caches exceed MaxCached, or requests are still waiting")
 			}
 		}
 	})
 }
 
-// What a cached token costs a request: found by its digest, and on the connection that brought it last.
+// BenchmarkLookup measures the cost of a cached token for a request: a lookup by digest, and the revalidation of the
+// entry that the connection used last.
 func BenchmarkLookup(b *testing.B) {
 	v := newTestVerifier("a")
 	raw := goodToken("a", nil)
@@ -177,7 +181,7 @@
 	entry, _, _ := v.Lookup(v.now, v.wall, raw)
 	b.Run("by digest", func(b *testing.B) {
 		for range b.N {
-			if _, denial, known := v.Lookup(v.now, v.wall, raw); denial != "" || !known {
+			if _, denial, found := v.Lookup(v.now, v.wall, raw); denial != "" || !found {
 				b.Fatal(denial)
 			}
 		}
@@ -191,8 +195,8 @@
 	})
 }
 
-// Two keys are one only if algorithm and public key agree, whatever their ids and times.
-func TestAnotherKeyUnderTheSameIDIsCheckedAgain(t *testing.T) {
+// If a key is replaced by a different key with the same ID, a cached token is verified again with the new key.
+func TestVerifierRechecksTokenOfReplacedKey(t *testing.T) {
 	v := newTestVerifier("a")
 	raw := goodToken("a", nil)
 	if got := v.verdict(raw); got != "good" {
@@ -204,9 +208,9 @@
 	v.published = publishedSet("a")
 	v.Reload(v.published, policy, nil, limits)
 	if got := v.verdict(raw); got != string(BadSignature) || v.checkCount != 2 {
-		t.Errorf("%s after %d checks, want signature after 2", got, v.checkCount)
+		t.Errorf("%s after %d checks, want %s after 2", got, v.checkCount, BadSignature)
 	}
 	if v.KeySet().Find(keyring.KeyID("a")) == nil {
-		t.Error("the other key is not in force")
+		t.Error("the new key is not in the current set")
 	}
 }
