--- a/internal/boundedmap/boundedmap.go
+++ b/internal/boundedmap/boundedmap.go
@@ -9,8 +9,8 @@
 
 // Get gives the value of a key, and whether there is one.
 func (m *Map[K, V]) Get(key K) (V, bool) {
-	value, known := m.entries[key]
-	return value, known
+	value, found := m.entries[key]
+	return value, found
 }
 
 // Put sets the value of a key. A new key that makes more than limit entries, one at least, evicts the oldest one; a
@@ -19,7 +19,7 @@
 	if m.entries == nil {
 		m.entries = map[K]V{}
 	}
-	if _, known := m.entries[key]; !known {
+	if _, found := m.entries[key]; !found {
 		m.order = append(m.order, key)
 		if len(m.order) > max(1, limit) {
 			delete(m.entries, m.order[0])
--- a/internal/boundedmap/boundedmap_test.go
+++ b/internal/boundedmap/boundedmap_test.go
@@ -35,7 +35,7 @@
 }
 
 // The map against a list of the keys in the order in which they came.
-func TestMapKeepsTheLatest(t *testing.T) {
+func TestMapKeepsLatestEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(1, 5).Draw(t, "limit")
 		var m Map[int, int]
--- a/internal/database/conn.go
+++ b/internal/database/conn.go
@@ -12,12 +12,12 @@
 
 // The parts of a call's head, in their order.
 const (
-	requestLine          = "POST /v1/exec HTTP/1.1\r\n"
-	headerHost           = "Host: "
-	headerRequestID      = "\r\nRequest-Ref: "
-	headerTimeoutMillis  = "\r\nStatement-Timeout-Ms: "
-	headerContentLength  = "\r\nContent-Length: "
-	headerConnectionLast = "\r\nConnection: close\r\n\r\n"
+	requestLine           = "POST /v1/exec HTTP/1.1\r\n"
+	headerHost            = "Host: "
+	headerRequestID       = "\r\nRequest-Ref: "
+	headerTimeoutMillis   = "\r\nStatement-Timeout-Ms: "
+	headerContentLength   = "\r\nContent-Length: "
+	headerConnectionClose = "\r\nConnection: close\r\n\r\n"
 )
 
 // Conn is the connection of one call. The fields are its callbacks, called on the owner loop; the methods are for the
@@ -30,7 +30,7 @@
 
 // Dial opens a connection; ready is called as by transport.Conn.Dial. The callbacks have to be set before the owner
 // loop goes on.
-func Dial(net *transport.Net, addr string, ready func(refused error)) *Conn {
+func Dial(net *transport.Net, addr string, ready func(err error)) *Conn {
 	conn := &Conn{Conn: net.NewDialed(transport.DialOptions{Peer: transport.PeerDatabase, ResetOnClose: true})}
 	conn.SetHandler(conn.handler())
 	conn.Dial(addr, ready)
@@ -54,6 +54,6 @@
 	b = strconv.AppendInt(b, max(1, timeout.Milliseconds()), 10)
 	b = append(b, headerContentLength...)
 	b = strconv.AppendInt(b, int64(len(body)), 10)
-	b = append(b, headerConnectionLast...)
+	b = append(b, headerConnectionClose...)
 	c.SetOutput(append(b, body...))
 }
--- a/internal/database/reply.go
+++ b/internal/database/reply.go
@@ -109,7 +109,7 @@
 func (h *replyHead) parseField(line string) error {
 	name, value, found := strings.Cut(line, ":")
 	value = strings.Trim(value, " \t")
-	if !found || name == "" || strings.ContainsFunc(name, notInName) || strings.ContainsFunc(value, notInValue) {
+	if !found || name == "" || strings.ContainsFunc(name, invalidInName) || strings.ContainsFunc(value, invalidInValue) {
 		return errMalformed
 	}
 	switch strings.ToLower(name) {
@@ -130,16 +130,16 @@
 	return nil
 }
 
-func notInName(c rune) bool { return c <= ' ' || c >= 0x7f }
+func invalidInName(c rune) bool { return c <= ' ' || c >= 0x7f }
 
-func notInValue(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f }
+func invalidInValue(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f }
 
 // checkLength tells whether there is one way to read the body, and room for it.
-func (h *replyHead) checkLength(room int) error {
+func (h *replyHead) checkLength(available int) error {
 	switch {
 	case h.chunked && h.length >= 0, !h.chunked && h.length < 0 && h.status == http.StatusOK:
 		return errMalformed
-	case h.length > room:
+	case h.length > available:
 		return transport.ErrTooLong
 	}
 	return nil
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -23,7 +23,7 @@
 
 // Dial opens a connection to an instance; ready is called as by transport.Conn.Dial. The callbacks have to be set
 // before the owner loop goes on.
-func Dial(net *transport.Net, addr string, ready func(refused error)) *ClientConn {
+func Dial(net *transport.Net, addr string, ready func(err error)) *ClientConn {
 	client := newClientConn(net.NewDialed(transport.DialOptions{Peer: transport.PeerInstance}))
 	client.SetHandler(client.handler())
 	client.Dial(addr, ready)
@@ -76,11 +76,11 @@
 }
 
 func (c *ClientConn) parseResponse(d *decoder) func() {
-	messageID, isID := d.readMessageID()
+	messageID, valid := d.readMessageID()
 	response := Response{Metadata: frontend.ResponseMetadata{LoadReport: noLoadReport}}
 	var result []byte
 	switch {
-	case d.malformed || !isID:
+	case d.malformed || !valid:
 		d.malformed = true
 	case !d.readNil():
 		d.readError(&response)
--- a/internal/rpc/encode.go
+++ b/internal/rpc/encode.go
@@ -35,44 +35,46 @@
 
 // fieldWriter writes a map of strings to strings with at most 15 fields behind the bytes that it has.
 type fieldWriter struct {
-	output []byte
-	head   int // where the tag with the number of fields stands
+	output    []byte
+	tagOffset int // where the tag with the number of fields stands
 }
 
 func newFieldWriter(b []byte) fieldWriter {
-	return fieldWriter{output: append(b, tagFixMap), head: len(b)}
+	return fieldWriter{output: append(b, tagFixMap), tagOffset: len(b)}
 }
 
-func (w *fieldWriter) text(name, value string) {
-	w.output[w.head]++
+func (w *fieldWriter) addText(name, value string) {
+	w.output[w.tagOffset]++
 	w.output = appendString(appendString(w.output, name), value)
 }
 
-func (w *fieldWriter) integer(name string, value int64) { w.text(name, strconv.FormatInt(value, 10)) }
+func (w *fieldWriter) addInteger(name string, value int64) {
+	w.addText(name, strconv.FormatInt(value, 10))
+}
 
-func (w *fieldWriter) number(name string, value float64) {
-	w.text(name, strconv.FormatFloat(value, 'f', -1, 64))
+func (w *fieldWriter) addNumber(name string, value float64) {
+	w.addText(name, strconv.FormatFloat(value, 'f', -1, 64))
 }
 
-// milliseconds writes a duration with its fraction.
-func (w *fieldWriter) milliseconds(name string, value time.Duration) {
-	w.number(name, float64(value)/float64(time.Millisecond))
+// addMilliseconds writes a duration with its fraction.
+func (w *fieldWriter) addMilliseconds(name string, value time.Duration) {
+	w.addNumber(name, float64(value)/float64(time.Millisecond))
 }
 
 // appendMetadata writes the fields beside a result or error.
 func appendMetadata(b []byte, metadata frontend.ResponseMetadata) []byte {
 	fields := newFieldWriter(b)
 	if metadata.LoadReport >= 0 {
-		fields.number(fieldLoadReport, metadata.LoadReport)
+		fields.addNumber(fieldLoadReport, metadata.LoadReport)
 	}
 	if metadata.RetryAfter > 0 { // whole milliseconds, rounded up
-		fields.integer(fieldRetryAfter, int64((metadata.RetryAfter+time.Millisecond-1)/time.Millisecond))
+		fields.addInteger(fieldRetryAfter, int64((metadata.RetryAfter+time.Millisecond-1)/time.Millisecond))
 	}
 	if metadata.NoFailover {
-		fields.text(fieldNoFailover, "1")
+		fields.addText(fieldNoFailover, "1")
 	}
 	if metadata.Reason != "" {
-		fields.text(fieldReason, metadata.Reason)
+		fields.addText(fieldReason, metadata.Reason)
 	}
 	return fields.output
 }
@@ -80,26 +82,26 @@
 // appendRequestFields writes the fields beside a request's body.
 func appendRequestFields(b []byte, request *frontend.Request) []byte {
 	fields := newFieldWriter(b)
-	fields.text(fieldRequestID, request.ID)
-	fields.integer(fieldSentAt, request.SentUnixMilli)
-	fields.integer(fieldCaller, int64(request.Caller))
+	fields.addText(fieldRequestID, request.ID)
+	fields.addInteger(fieldSentAt, request.SentUnixMilli)
+	fields.addInteger(fieldCaller, int64(request.Caller))
 	if request.HasTimeout {
-		fields.milliseconds(fieldTimeout, request.Timeout)
+		fields.addMilliseconds(fieldTimeout, request.Timeout)
 	}
 	if request.Tenant != "" {
-		fields.text(fieldTenant, request.Tenant)
+		fields.addText(fieldTenant, request.Tenant)
 	}
 	if request.Resource != "" {
-		fields.text(fieldResource, request.Resource)
+		fields.addText(fieldResource, request.Resource)
 	}
-	fields.milliseconds(fieldWorkHint, request.WorkHint)
-	fields.number(fieldMemoryKB, request.MemoryKB)
-	fields.number(fieldRank, request.Rank)
+	fields.addMilliseconds(fieldWorkHint, request.WorkHint)
+	fields.addNumber(fieldMemoryKB, request.MemoryKB)
+	fields.addNumber(fieldRank, request.Rank)
 	if request.Token != "" {
-		fields.text(fieldToken, request.Token)
+		fields.addText(fieldToken, request.Token)
 	}
 	if request.Hops > 0 {
-		fields.integer(fieldHops, int64(request.Hops))
+		fields.addInteger(fieldHops, int64(request.Hops))
 	}
 	return fields.output
 }
--- a/internal/rpc/golden_test.go
+++ b/internal/rpc/golden_test.go
@@ -12,16 +12,16 @@
 	"lanewheel/internal/transport"
 )
 
-// clientRead is what a client is told.
-type clientRead struct {
+// clientEvent is what a client is told.
+type clientEvent struct {
 	messageID   uint32
 	response    Response
 	goAway      bool
 	closeReason string
 }
 
-// serverRead is what a server is told of a client.
-type serverRead struct {
+// serverEvent is what a server is told of a client.
+type serverEvent struct {
 	messageID     uint32
 	request       *frontend.Request
 	cancel        bool
@@ -30,29 +30,29 @@
 	protocolError string
 }
 
-func readByServer(b []byte) (all []serverRead) {
+func readByServer(b []byte) (all []serverEvent) {
 	l := transport.NewDetached()
 	l.Net().ReadTokens.Store(true)
 	l.Net().ReadHops.Store(true)
 	s := NewServerConn(l.Conn)
-	s.OnRequest = func(n uint32, a frontend.Request) { all = append(all, serverRead{messageID: n, request: &a}) }
-	s.OnCancel = func(n uint32) { all = append(all, serverRead{messageID: n, cancel: true}) }
+	s.OnRequest = func(n uint32, a frontend.Request) { all = append(all, serverEvent{messageID: n, request: &a}) }
+	s.OnCancel = func(n uint32) { all = append(all, serverEvent{messageID: n, cancel: true}) }
 	s.OnHealthCheck = func(n uint32, deep bool) {
-		all = append(all, serverRead{messageID: n, healthCheck: true, deep: deep})
+		all = append(all, serverEvent{messageID: n, healthCheck: true, deep: deep})
 	}
-	s.OnProtocolError = func(code string) { all = append(all, serverRead{protocolError: code}) }
+	s.OnProtocolError = func(code string) { all = append(all, serverEvent{protocolError: code}) }
 	l.Receive(b)
 	return all
 }
 
-func readByClient(b []byte) (all []clientRead) {
+func readByClient(b []byte) (all []clientEvent) {
 	l := transport.NewDetached()
 	c := newClientConn(l.Conn)
 	handler := c.handler()
-	handler.OnUnreadable = func(code string) { all = append(all, clientRead{closeReason: code}) }
+	handler.OnUnreadable = func(code string) { all = append(all, clientEvent{closeReason: code}) }
 	c.SetHandler(handler)
-	c.OnResponse = func(n uint32, a Response) { all = append(all, clientRead{messageID: n, response: a}) }
-	c.OnGoAway = func() { all = append(all, clientRead{goAway: true}) }
+	c.OnResponse = func(n uint32, a Response) { all = append(all, clientEvent{messageID: n, response: a}) }
+	c.OnGoAway = func() { all = append(all, clientEvent{goAway: true}) }
 	l.Receive(b)
 	return all
 }
@@ -102,20 +102,20 @@
 	for _, tc := range []struct {
 		name  string
 		write func(*ClientConn) // nil: our client never sends it
-		want  serverRead
+		want  serverEvent
 	}{
-		{"request", func(c *ClientConn) { c.Send(7, full) }, serverRead{messageID: 7, request: &full}},
-		{"request-long", func(c *ClientConn) { c.Send(1<<32-1, long) }, serverRead{messageID: 1<<32 - 1, request: &long}},
-		{"request-least", func(c *ClientConn) { c.Send(1, minimal) }, serverRead{messageID: 1, request: &minimal}},
-		{"interrupt", func(c *ClientConn) { c.Cancel(7) }, serverRead{messageID: 7, cancel: true}},
-		{"check", nil, serverRead{messageID: 8, healthCheck: true}},
-		{"check-deep", nil, serverRead{messageID: 9, healthCheck: true, deep: true}},
+		{"request", func(c *ClientConn) { c.Send(7, full) }, serverEvent{messageID: 7, request: &full}},
+		{"request-long", func(c *ClientConn) { c.Send(1<<32-1, long) }, serverEvent{messageID: 1<<32 - 1, request: &long}},
+		{"request-least", func(c *ClientConn) { c.Send(1, minimal) }, serverEvent{messageID: 1, request: &minimal}},
+		{"interrupt", func(c *ClientConn) { c.Cancel(7) }, serverEvent{messageID: 7, cancel: true}},
+		{"check", nil, serverEvent{messageID: 8, healthCheck: true}},
+		{"check-deep", nil, serverEvent{messageID: 9, healthCheck: true, deep: true}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if tc.write != nil {
 				file.Check(tc.name, written(tc.write))
 			}
-			if got := readByServer(file.Bytes(tc.name)); !reflect.DeepEqual(got, []serverRead{tc.want}) {
+			if got := readByServer(file.Bytes(tc.name)); !reflect.DeepEqual(got, []serverEvent{tc.want}) {
 				t.Errorf("read as %+v, want %+v", got, tc.want)
 			}
 		})
@@ -136,30 +136,30 @@
 	for _, tc := range []struct {
 		name  string
 		write func(*ServerConn)
-		want  clientRead
+		want  clientEvent
 	}{
 		{"result", func(s *ServerConn) { s.Succeed(7, short, metadata) },
-			clientRead{messageID: 7, response: Response{Metadata: metadata, Result: short}}},
+			clientEvent{messageID: 7, response: Response{Metadata: metadata, Result: short}}},
 		{"result-long", func(s *ServerConn) { s.Succeed(1<<32-1, long, bare) },
-			clientRead{messageID: 1<<32 - 1, response: Response{Metadata: bare, Result: long}}},
+			clientEvent{messageID: 1<<32 - 1, response: Response{Metadata: bare, Result: long}}},
 		{"busy", func(s *ServerConn) { s.Reject(8, metadata) },
-			clientRead{messageID: 8, response: Response{Error: "Busy", Metadata: metadata, Result: none}}},
+			clientEvent{messageID: 8, response: Response{Error: "Busy", Metadata: metadata, Result: none}}},
 		{"failed", func(s *ServerConn) { s.Fail(9, metadata) },
-			clientRead{messageID: 9, response: Response{Error: "Failed", Metadata: metadata, Result: none}}},
+			clientEvent{messageID: 9, response: Response{Error: "Failed", Metadata: metadata, Result: none}}},
 		{"denied", func(s *ServerConn) { s.Deny(10, metadata) },
-			clientRead{messageID: 10, response: Response{Error: "Denied", Metadata: metadata, Result: none}}},
+			clientEvent{messageID: 10, response: Response{Error: "Denied", Metadata: metadata, Result: none}}},
 		{"check-good", func(s *ServerConn) { s.AnswerHealthCheck(11, true, metadata) },
-			clientRead{messageID: 11, response: Response{Metadata: metadata, Result: none}}},
+			clientEvent{messageID: 11, response: Response{Metadata: metadata, Result: none}}},
 		{"check-bad", func(s *ServerConn) { s.AnswerHealthCheck(12, false, bare) },
-			clientRead{messageID: 12, response: Response{Metadata: bare, Result: none}}},
-		{"goaway", func(s *ServerConn) { s.GoAway() }, clientRead{goAway: true}},
+			clientEvent{messageID: 12, response: Response{Metadata: bare, Result: none}}},
+		{"goaway", func(s *ServerConn) { s.GoAway() }, clientEvent{goAway: true}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l := transport.NewDetached()
 			tc.write(NewServerConn(l.Conn))
 			output, _ := l.Output()
 			file.Check(tc.name, output)
-			if got := readByClient(file.Bytes(tc.name)); !reflect.DeepEqual(got, []clientRead{tc.want}) {
+			if got := readByClient(file.Bytes(tc.name)); !reflect.DeepEqual(got, []clientEvent{tc.want}) {
 				t.Errorf("read as %+v, want %+v", got, tc.want)
 			}
 		})
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -104,11 +104,11 @@
 }
 
 func (s *ServerConn) parseCall(d *decoder) func() {
-	messageID, isID := d.readMessageID()
+	messageID, valid := d.readMessageID()
 	method := string(d.readString())
 	params := d.readArrayLength()
 	switch {
-	case d.malformed || !isID:
+	case d.malformed || !valid:
 		d.malformed = true
 	case params == 2:
 		return s.parseRequest(d, messageID, method)
@@ -132,8 +132,8 @@
 		d.malformed = true
 		return nil
 	}
-	messageID, isID := d.readMessageID()
-	if !isID { // none of ours has it
+	messageID, valid := d.readMessageID()
+	if !valid { // none of ours has it
 		return nil
 	}
 	return func() { s.OnCancel(messageID) }
@@ -220,7 +220,7 @@
 }
 
 // readMessageID reads an integer and tells whether it can be a message's id.
-func (d *decoder) readMessageID() (messageID uint32, isID bool) {
+func (d *decoder) readMessageID() (messageID uint32, valid bool) {
 	x := d.readInteger()
 	return uint32(x), x >= 0 && x <= math.MaxUint32
 }
--- a/internal/transport/close.go
+++ b/internal/transport/close.go
@@ -84,7 +84,7 @@
 	c.net.unreadBytes.Add(-c.unwritten.Load() - int64(len(c.outputBeforePoll)))
 	c.outputBeforePoll = nil
 	code := c.closeCode(err)
-	if now := time.Now(); c.net.closeTally.Allow(closeKind{c.peer, code}, now) {
+	if now := time.Now(); c.net.closeSampler.Allow(closeKind{c.peer, code}, now) {
 		slog.Info("connection closed", "peer", c.peer.String(), "code", code, "duration", now.Sub(c.openedAt))
 	}
 	if c.output != nil {
--- a/internal/transport/close_test.go
+++ b/internal/transport/close_test.go
@@ -13,25 +13,25 @@
 
 // A connection is closed while more lies unread on it: the peer still gets its response and an end in good order, not a
 // reset. One that does not end its side then is aborted.
-func Example_closeOverUnread() {
+func Example_closeWithUnreadInput() {
 	x := newTestNet()
 	c, s := x.connect()
 	other, _ := x.connect()
-	free := x.holdNextRead()
+	releaseRead := x.holdNextRead()
 	write(other, healthCheckMessage)
-	<-x.held
+	<-x.readHeld
 	write(c, healthCheckMessage)
 	waitReady(s.Descriptor(), unix.POLLIN)
 	x.onOwner(func() {
 		s.AnswerHealthCheck(1, true, frontend.ResponseMetadata{LoadReport: -1})
 		s.Close("unused")
 	})
-	close(free)
+	close(releaseRead)
 	for range 2 { // what lies unread is read and thrown away, and so is what comes behind the close
-		for left := 1; left > 0; time.Sleep(time.Millisecond) {
-			left = 0
+		for unread := 1; unread > 0; time.Sleep(time.Millisecond) {
+			unread = 0
 			if fd, open := s.LockDescriptor(); open {
-				left, _ = unix.IoctlGetInt(fd, unix.TIOCINQ)
+				unread, _ = unix.IoctlGetInt(fd, unix.TIOCINQ)
 				s.UnlockDescriptor()
 			}
 		}
@@ -39,10 +39,10 @@
 	}
 	raw, _ := c.(*net.TCPConn).SyscallConn()
 	_ = raw.Control(func(fd uintptr) {
-		wrong, _ := unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_ERROR)
-		fmt.Println("wrong:", wrong)
+		socketError, _ := unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_ERROR)
+		fmt.Println("wrong:", socketError)
 	})
-	fmt.Println(readAnswer(c), readAnswer(c))
+	fmt.Println(readHealthCheckResponse(c), readHealthCheckResponse(c))
 	x.onOwner(s.Abort)
 	fmt.Println(<-x.closed)
 	// Output:
@@ -53,14 +53,14 @@
 
 // A peer that reads nothing has its responses wait here, in order, up to the bound, and its connection is closed
 // then; one that reads in time gets them all, and the close behind them, whoever comes last to the last byte.
-func Example_lastByte() {
+func Example_closeAfterLastByte() {
 	x := newTestNet()
 	for range 20 {
 		c, s := x.connect()
 		// The library opens a connection before it has the poller watch it, and what is left to write in between is never
 		// written: clients are written to only once something has come from them.
 		write(c, healthCheckMessage)
-		readAnswer(c)
+		readHealthCheckResponse(c)
 		x.onOwner(func() {
 			_ = unix.SetsockoptInt(s.Descriptor(), unix.SOL_SOCKET, unix.SO_SNDBUF, 8<<10)
 			for i := range 30 {
@@ -68,9 +68,9 @@
 			}
 			s.Close("unused")
 		})
-		all, err := io.ReadAll(c)
-		if err != nil || len(all) != 30*(4096+13) {
-			fmt.Println(len(all), err)
+		received, err := io.ReadAll(c)
+		if err != nil || len(received) != 30*(4096+13) {
+			fmt.Println(len(received), err)
 		}
 		closeAll(c)
 		if code := <-x.closed; code != "unused" {
--- a/internal/transport/detached.go
+++ b/internal/transport/detached.go
@@ -16,7 +16,7 @@
 }
 
 // Receive takes bytes as if the poller had read them.
-func (d Detached) Receive(b []byte) { d.received(b) }
+func (d Detached) Receive(b []byte) { d.handleInput(b) }
 
 // Output is what the next flush would write, and whether one is pending.
 func (d Detached) Output() (output []byte, flushPending bool) {
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -27,18 +27,18 @@
 
 // Dial opens the connection. ready is called on the owner loop, with nil once the connection stands, or with why it
 // does not: then nothing was sent, and Handler.OnClose is not called.
-func (c *Conn) Dial(addr string, ready func(refused error)) {
+func (c *Conn) Dial(addr string, ready func(err error)) {
 	queue := c.net.dialQueue(c.peer)
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancelDial = cancel
 	c.net.dialedConns.Add(1)
-	finish := func(refused error) {
+	finish := func(err error) {
 		cancel()
 		c.cancelDial = nil
-		if refused != nil {
+		if err != nil {
 			c.net.dialedConns.Add(-1)
 		}
-		ready(refused)
+		ready(err)
 	}
 	queue <- func() { c.connect(ctx, addr, finish) }
 }
@@ -62,7 +62,7 @@
 }
 
 // connect runs on a worker; finish is called on the owner loop.
-func (c *Conn) connect(ctx context.Context, addr string, finish func(refused error)) {
+func (c *Conn) connect(ctx context.Context, addr string, finish func(err error)) {
 	polled, err := c.dialSocket(ctx, addr)
 	if err != nil {
 		c.net.Post(func() { finish(err) })
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -17,11 +17,11 @@
 // accepting fails again and again and uses up the core, and takes the descriptors of our own connections.
 type boundedListener struct {
 	*net.TCPListener
-	net         *Net
-	alsoFull    func() bool // a further bound; nil: none
-	closing     atomic.Bool
-	allAccepted atomic.Bool   // all that was accepted has been handed over, and nothing more will be
-	forever     chan struct{} // never closed
+	net          *Net
+	atOtherLimit func() bool // a further bound; nil: none
+	closing      atomic.Bool
+	allAccepted  atomic.Bool   // all that was accepted has been handed over, and nothing more will be
+	neverClosed  chan struct{} // never closed
 }
 
 // Accept waits for room under the bound and for a connection.
@@ -29,7 +29,7 @@
 	for {
 		if l.closing.Load() {
 			l.allAccepted.Store(true)
-			<-l.forever // the poller would ask again at once, for ever
+			<-l.neverClosed // the poller would ask again at once, for ever
 		}
 		if l.full() {
 			l.net.Post(l.net.OnFull)
@@ -56,7 +56,7 @@
 	if l.net.refusing.Load() {
 		return l.net.MaxConns > 0 && accepted+l.net.dialedConns.Load() >= l.net.MaxConns
 	}
-	return accepted >= l.net.MaxAccepted || l.alsoFull != nil && l.alsoFull()
+	return accepted >= l.net.MaxAccepted || l.atOtherLimit != nil && l.atOtherLimit()
 }
 
 // RefuseNew has the kernel drop what asks for a connection from here on; connections that stand already are accepted
--- a/internal/transport/net.go
+++ b/internal/transport/net.go
@@ -59,9 +59,9 @@
 	tlsListener *tlsListener // nil: no listener with TLS
 
 	// Owned by the owner loop.
-	unflushed  []*Conn
-	dialQueues map[Peer]chan func()
-	closeTally logging.Sampler[closeKind] // connections that were closed in this second
+	unflushed    []*Conn
+	dialQueues   map[Peer]chan func()
+	closeSampler logging.Sampler[closeKind] // connections that were closed in this second
 
 	acceptedConns atomic.Int64 // connections that were accepted and are not closed
 	dialedConns   atomic.Int64 // connections that are being dialled, or were and are not closed
@@ -95,7 +95,7 @@
 	if err != nil {
 		return nil, err
 	}
-	bounded := &boundedListener{TCPListener: listener.(*net.TCPListener), net: n, forever: make(chan struct{})}
+	bounded := &boundedListener{TCPListener: listener.(*net.TCPListener), net: n, neverClosed: make(chan struct{})}
 	n.listeners = append(n.listeners, bounded)
 	return bounded, nil
 }
@@ -116,13 +116,13 @@
 	case conn.tls != nil:
 		conn.tls.receive(b)
 	default:
-		conn.received(b)
+		conn.handleInput(b)
 	}
 }
 
 func handleWritten(polled *nbio.Conn, _ []byte, size int) {
 	if conn, isConn := polled.Session().(*Conn); isConn {
-		conn.written(size)
+		conn.handleWritten(size)
 	}
 }
 
@@ -168,8 +168,8 @@
 		conn.flush()
 	}
 	n.unflushed = n.unflushed[:0]
-	if n.closeTally.HasPending() {
-		n.closeTally.FlushSuppressed(time.Now(), func(kind closeKind, count int) {
+	if n.closeSampler.HasPending() {
+		n.closeSampler.FlushSuppressed(time.Now(), func(kind closeKind, count int) {
 			slog.Info("connections closed", "peer", kind.peer.String(), "code", kind.code, "count", count)
 		})
 	}
--- a/internal/transport/read.go
+++ b/internal/transport/read.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// received cuts whole messages off the bytes and hands them over together. It runs on the poller, or on the goroutine
+// handleInput cuts whole messages off the bytes and hands them over together. It runs on the poller, or on the goroutine
 // of a TLS stream.
-func (c *Conn) received(b []byte) {
+func (c *Conn) handleInput(b []byte) {
 	var calls []func()
 	err := c.parseInput(b, &calls)
 	if len(c.partial) == 0 && c.partial != nil {
@@ -33,9 +33,9 @@
 func (c *Conn) parseInput(b []byte, calls *[]func()) error {
 	for len(b) > 0 && !c.ignoresInput && !c.closing.Load() {
 		if len(c.partial) == 0 {
-			return c.parseFresh(b, calls)
+			return c.parseWithoutPartial(b, calls)
 		}
-		n, err := c.parseBehindPartial(b, calls)
+		n, err := c.parseWithPartial(b, calls)
 		if err != nil {
 			return err
 		}
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// parseFresh parses bytes that begin with a message.
-func (c *Conn) parseFresh(b []byte, calls *[]func()) error {
+// parseWithoutPartial parses bytes that begin with a message.
+func (c *Conn) parseWithoutPartial(b []byte, calls *[]func()) error {
 	n, err := c.parseMessages(b, calls)
 	b = b[n:]
 	if err != nil || len(b) == 0 || c.ignoresInput {
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// parseBehindPartial takes as many of the bytes as fit behind the partial message, and parses both.
-func (c *Conn) parseBehindPartial(b []byte, calls *[]func()) (taken int, err error) {
+// parseWithPartial takes as many of the bytes as fit behind the partial message, and parses both.
+func (c *Conn) parseWithPartial(b []byte, calls *[]func()) (taken int, err error) {
 	taken = min(len(b), BufferSize-len(c.partial))
 	if taken == 0 {
 		return 0, ErrTooLong
--- a/internal/transport/testnet_test.go
+++ b/internal/transport/testnet_test.go
@@ -19,12 +19,12 @@
 // testNet is connections on real sockets whose poller and owner loop a test holds where it wants them.
 type testNet struct {
 	*transport.Net
-	posted   chan func()
-	accepted chan *rpc.ServerConn
-	holds    chan chan struct{} // one for each reading that is to be held
-	held     chan struct{}      // the poller stands in such a reading
-	closed   chan string
-	peers    []net.Conn // kept, as the collector would close one that is out of use
+	posted    chan func()
+	accepted  chan *rpc.ServerConn
+	readHolds chan chan struct{} // one for each reading that is to be held
+	readHeld  chan struct{}      // the poller stands in such a reading
+	closed    chan string
+	peers     []net.Conn // kept, as the collector would close one that is out of use
 }
 
 func newTestNet() *testNet { return newTestNetWithLimit(0) }
@@ -32,11 +32,11 @@
 // newTestNetWithLimit has a configured limit of descriptors.
 func newTestNetWithLimit(maxDescriptors int) *testNet {
 	x := &testNet{
-		posted:   make(chan func(), 1000),
-		accepted: make(chan *rpc.ServerConn, 100),
-		holds:    make(chan chan struct{}, 9),
-		held:     make(chan struct{}),
-		closed:   make(chan string, 100),
+		posted:    make(chan func(), 1000),
+		accepted:  make(chan *rpc.ServerConn, 100),
+		readHolds: make(chan chan struct{}, 9),
+		readHeld:  make(chan struct{}),
+		closed:    make(chan string, 100),
 	}
 	x.Net = &transport.Net{
 		BufferPool:     unpooledBuffers{},
@@ -47,9 +47,9 @@
 		Post:           x.post,
 		PostRead: func(calls ...func()) {
 			select {
-			case free := <-x.holds:
-				x.held <- struct{}{}
-				<-free
+			case release := <-x.readHolds:
+				x.readHeld <- struct{}{}
+				<-release
 			default:
 			}
 			x.post(calls...)
@@ -90,16 +90,16 @@
 func (unpooledBuffers) Put([]byte)  {}
 
 // holdNextRead has the next reading stand until free is closed.
-func (x *testNet) holdNextRead() (free chan struct{}) {
-	free = make(chan struct{})
-	x.holds <- free
-	return free
+func (x *testNet) holdNextRead() (release chan struct{}) {
+	release = make(chan struct{})
+	x.readHolds <- release
+	return release
 }
 
 // onOwner runs on the owner.
-func (x *testNet) onOwner(call func()) {
+func (x *testNet) onOwner(f func()) {
 	done := make(chan struct{})
-	x.posted <- func() { call(); close(done) }
+	x.posted <- func() { f(); close(done) }
 	<-done
 }
 
@@ -116,27 +116,27 @@
 
 // prepareConnects gives calls that connect, with sockets that there are already, and give our end: no descriptor
 // number goes to a peer meanwhile.
-func (x *testNet) prepareConnects(n int) (all []func() *rpc.ServerConn) {
+func (x *testNet) prepareConnects(n int) (connects []func() *rpc.ServerConn) {
 	addr := x.ListenAddr()
 	for range n {
 		fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 		if err != nil {
 			panic(err)
 		}
-		all = append(all, func() *rpc.ServerConn {
+		connects = append(connects, func() *rpc.ServerConn {
 			if err := unix.Connect(fd, &unix.SockaddrInet4{Port: addr.Port, Addr: [4]byte(addr.IP.To4())}); err != nil {
 				panic(err)
 			}
 			return <-x.accepted
 		})
 	}
-	return all
+	return connects
 }
 
 var healthCheckMessage = append([]byte{0x94, 0, 1}, "\xa5check\x91\x80"...)
 
-// readAnswer gives what a peer reads to the end of its connection, or to the end of one answer to a health check.
-func readAnswer(c net.Conn) string {
+// readHealthCheckResponse returns one health check response in hex, or why it could not be read in full.
+func readHealthCheckResponse(c net.Conn) string {
 	b := make([]byte, 11)
 	_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	n, err := io.ReadFull(c, b)
--- a/internal/transport/tls_listener.go
+++ b/internal/transport/tls_listener.go
@@ -27,7 +27,7 @@
 
 type tlsListener struct {
 	TLSListener
-	base       *tls.Config  // holds the keys of session tickets, whatever Config gives
+	baseConfig *tls.Config  // holds the keys of session tickets, whatever Config gives
 	handshakes atomic.Int64 // handshakes under way
 	limiter    *rate.Limiter
 }
@@ -43,14 +43,14 @@
 		TLSListener: config,
 		limiter:     rate.NewLimiter(rate.Limit(config.HandshakesPerSecond), burst),
 	}
-	listener.base = &tls.Config{GetConfigForClient: listener.configFor}
+	listener.baseConfig = &tls.Config{GetConfigForClient: listener.configFor}
 	n.tlsListener = listener
 	bounded := &boundedListener{
 		TCPListener: socket.(*net.TCPListener),
 		net:         n,
 		// Many handshakes at a time would take the core, or the memory, from those who are connected.
-		alsoFull: func() bool { return listener.handshakes.Load() >= listener.MaxHandshakes },
-		forever:  make(chan struct{}),
+		atOtherLimit: func() bool { return listener.handshakes.Load() >= listener.MaxHandshakes },
+		neverClosed:  make(chan struct{}),
 	}
 	n.listeners = append(n.listeners, bounded)
 	go n.acceptTLS(bounded)
@@ -92,7 +92,7 @@
 			_ = socket.Close() // there is no descriptor for it, and nothing was read or written
 			continue
 		}
-		stream := newTLSStream(polled, n.tlsListener.base)
+		stream := newTLSStream(polled, n.tlsListener.baseConfig)
 		n.tlsListener.handshakes.Add(1)
 		stream.owner = n.newAccepted(polled, stream)
 		stream.owner.onOpen = func(*nbio.Conn) {} // it stands already
@@ -102,7 +102,7 @@
 }
 
 // Handshakes tells how many handshakes are under way, and how many may be.
-func (n *Net) Handshakes() (now, limit int64) {
+func (n *Net) Handshakes() (active, limit int64) {
 	if n.tlsListener == nil {
 		return 0, 1
 	}
--- a/internal/transport/tls_stream.go
+++ b/internal/transport/tls_stream.go
@@ -65,7 +65,7 @@
 	for err == nil {
 		var size int
 		if size, err = s.conn.Read(buffer[:BufferSize]); size > 0 {
-			s.owner.received(buffer[:size])
+			s.owner.handleInput(buffer[:size])
 		}
 	}
 	n.Put(buffer)
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -46,9 +46,9 @@
 	if c.closed || c.polled == nil || len(b) == 0 {
 		return
 	}
-	const slack = 16 << 10 // bytes: some responses with the longest results
+	const guaranteedUnread = 16 << 10 // bytes: some responses with the longest results
 	// Peers that read nothing, each within its own bound, would together hold all the memory.
-	if c.net.unreadBytes.Add(int64(len(b))) > c.net.MaxUnread && c.unwritten.Load() > slack {
+	if c.net.unreadBytes.Add(int64(len(b))) > c.net.MaxUnread && c.unwritten.Load() > guaranteedUnread {
 		c.net.unreadBytes.Add(-int64(len(b)))
 		c.SetCloseReason(codeUnreadLimit)
 		c.Abort()
@@ -73,15 +73,15 @@
 // transmit sends what it can and leaves the rest to the poller. The bytes were counted as unread before. After a
 // failure the poller closes the connection, which its callback tells.
 func (c *Conn) transmit(b []byte) {
-	before := c.unwritten.Add(int64(len(b))) - int64(len(b))
+	unwrittenBefore := c.unwritten.Add(int64(len(b))) - int64(len(b))
 	var err error
-	if before+int64(len(b)) > maxUnwritten {
+	if unwrittenBefore+int64(len(b)) > maxUnwritten {
 		err = errUnreadLimit
-	} else if before == 0 { // else what comes first is not written yet
+	} else if unwrittenBefore == 0 { // else what comes first is not written yet
 		var n int
 		n, err = c.writeNow(b)
 		if b = b[n:]; n > 0 {
-			c.written(n)
+			c.handleWritten(n)
 		}
 	}
 	if err == nil && len(b) > 0 {
@@ -94,8 +94,8 @@
 	}
 }
 
-// written hears that the kernel has taken so many bytes, on any goroutine.
-func (c *Conn) written(size int) {
+// handleWritten hears that the kernel has taken so many bytes, on any goroutine.
+func (c *Conn) handleWritten(size int) {
 	c.net.unreadBytes.Add(-int64(size))
 	if c.unwritten.Add(-int64(size)) == 0 && c.closing.Load() {
 		c.net.Post(c.finishClose)
