--- a/internal/boundedmap/boundedmap.go
+++ b/internal/boundedmap/boundedmap.go
@@ -1,20 +1,22 @@
-// Package boundedmap is a map with a bound: an entry beyond it takes the place of the oldest one.
+// Package boundedmap provides a map with a limited number of entries. A new entry beyond the limit evicts the
+// oldest one.
 package boundedmap
 
-// Map keeps the latest entries by their keys. The zero value is ready for use. It belongs to one goroutine.
+// Map holds the most recently added entries by their keys. The zero value is ready for use. A Map is not safe for
+// concurrent use.
 type Map[K comparable, V any] struct {
 	entries map[K]V
-	order   []K // of entries, the oldest first
+	order   []K // keys of entries, oldest first
 }
 
-// Get gives the value of a key, and whether there is one.
+// Get returns the value of a key and reports whether the key has an entry.
 func (m *Map[K, V]) Get(key K) (V, bool) {
 	value, found := m.entries[key]
 	return value, found
 }
 
-// Put sets the value of a key. A new key that makes more than limit entries, one at least, evicts the oldest one; a
-// known key keeps its place.
+// Put sets the value of a key. If a new key brings the number of entries above limit, the oldest entry is evicted. A
+// limit below one is treated as one. Setting an existing key does not change its age.
 func (m *Map[K, V]) Put(key K, value V, limit int) {
 	if m.entries == nil {
 		m.entries = map[K]V{}
@@ -29,10 +31,10 @@
 	m.entries[key] = value
 }
 
-// Len is how many entries there are.
+// Len returns the number of entries.
 func (m *Map[K, V]) Len() int { return len(m.entries) }
 
-// Clear drops all entries.
+// Clear removes all entries.
 func (m *Map[K, V]) Clear() {
 	clear(m.entries)
 	m.order = m.order[:0]
--- a/internal/database/conn.go
+++ b/internal/database/conn.go
@@ -1,5 +1,5 @@
-// Package database calls the database, or another upstream service, by HTTP/1.1: a connection carries one call and is
-// closed with its reply.
+// Package database calls the database, or another upstream service, over HTTP/1.1. Each connection carries one
+// call and is closed after the reply.
 package database
 
 import (
@@ -10,7 +10,7 @@
 	"lanewheel/internal/transport"
 )
 
-// The parts of a call's head, in their order.
+// The parts of the header section of a call, in order.
 const (
 	requestLine           = "POST /v1/exec HTTP/1.1\r\n"
 	headerHost            = "Host: "
@@ -20,16 +20,16 @@
 	headerConnectionClose = "\r\nConnection: close\r\n\r\n"
 )
 
-// Conn is the connection of one call. The fields are its callbacks, called on the owner loop; the methods are for the
-// owner loop.
+// Conn is the connection of one call. The fields are its callbacks, which are called on the owner loop. The
+// methods must be called on the owner loop.
 type Conn struct {
 	*transport.Conn
 	OnReply func(Reply)
 	OnClose func(code string)
 }
 
-// Dial opens a connection; ready is called as by transport.Conn.Dial. The callbacks have to be set before the owner
-// loop goes on.
+// Dial starts opening a connection. It must be called on the owner loop; ready is called as described at
+// transport.Conn.Dial. The caller must set the callbacks before it returns to the owner loop.
 func Dial(net *transport.Net, addr string, ready func(err error)) *Conn {
 	conn := &Conn{Conn: net.NewDialed(transport.DialOptions{Peer: transport.PeerDatabase, ResetOnClose: true})}
 	conn.SetHandler(conn.handler())
@@ -44,7 +44,7 @@
 	}
 }
 
-// Call sends the call. The timeout is sent as whole milliseconds, at least one.
+// Call sends the call. The timeout is rounded down to whole milliseconds, but at least one is sent.
 func (c *Conn) Call(host string, id admission.RequestID, timeout time.Duration, body []byte) {
 	b := append(c.OutputBuffer(), requestLine+headerHost...)
 	b = append(b, host...)
--- a/internal/database/golden_test.go
+++ b/internal/database/golden_test.go
@@ -9,19 +9,19 @@
 	"lanewheel/internal/transport"
 )
 
-// What is asked of the database.
+// Calls to the database are encoded as the golden bytes.
 func TestGoldenToDatabase(t *testing.T) {
 	file := goldentest.Open(t, "testdata/database_calls.golden")
-	for name, limit := range map[string]time.Duration{"call": 1500 * time.Millisecond, "call-late": time.Microsecond} {
-		l := transport.NewDetached()
-		d := &Conn{Conn: l.Conn}
-		d.Call("127.0.0.1:5432", "0123456789abcdef", limit, []byte("statement"))
-		output, _ := l.Output()
+	for name, timeout := range map[string]time.Duration{"call": 1500 * time.Millisecond, "call-late": time.Microsecond} {
+		detached := transport.NewDetached()
+		conn := &Conn{Conn: detached.Conn}
+		conn.Call("127.0.0.1:5432", "0123456789abcdef", timeout, []byte("statement"))
+		output, _ := detached.Output()
 		file.Check(name, output)
 	}
 }
 
-// What the database answers. Only 503 and 409 prove that a call never ran.
+// Replies of the database are decoded. Only the statuses 503 and 409 prove that a call never ran.
 func TestGoldenFromDatabase(t *testing.T) {
 	file := goldentest.Open(t, "testdata/database_replies.golden")
 	for _, tc := range []struct {
@@ -37,15 +37,15 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var got []Reply
-			l := transport.NewDetached()
-			d := &Conn{Conn: l.Conn}
-			handler := d.handler()
+			detached := transport.NewDetached()
+			conn := &Conn{Conn: detached.Conn}
+			handler := conn.handler()
 			handler.OnUnreadable = func(code string) { t.Error(code) }
-			d.SetHandler(handler)
-			d.OnReply = func(r Reply) { got = append(got, r) }
-			l.Receive(file.Bytes(tc.name))
+			conn.SetHandler(handler)
+			conn.OnReply = func(r Reply) { got = append(got, r) }
+			detached.Receive(file.Bytes(tc.name))
 			if !reflect.DeepEqual(got, []Reply{tc.want}) {
-				t.Errorf("read as %+v, want %+v", got, tc.want)
+				t.Errorf("decoded %+v, want %+v", got, tc.want)
 			}
 		})
 	}
--- a/internal/database/reply.go
+++ b/internal/database/reply.go
@@ -9,7 +9,7 @@
 	"lanewheel/internal/transport"
 )
 
-// errMalformed ends a connection on which something else came than one reply that can be read in one way.
+// errMalformed closes a connection whose input is not one unambiguous reply.
 const errMalformed transport.ParseError = "bad-reply"
 
 const (
@@ -19,36 +19,37 @@
 	headEnd       = "\r\n\r\n"
 )
 
-// The fields of a reply that are read, in lower case.
+// The header fields of a reply that are evaluated, in lower case, and their values.
 const (
 	fieldContentLength    = "content-length"
 	fieldTransferEncoding = "transfer-encoding"
-	fieldNeverStarted     = "never-started" // 1: the call never ran
+	fieldNeverStarted     = "never-started" // 1 if the call never ran
 	encodingChunked       = "chunked"
 )
 
-// Reply is what came back.
+// Reply is the reply to a call.
 type Reply struct {
 	Status       int
 	NeverStarted bool   // the status and fields prove that the call never ran
 	Body         []byte // valid only during the call of OnReply
 }
 
-// noLength is the length of a reply that does not tell one.
+// noLength is the value of replyHead.length for a reply without a content-length field.
 const noLength = -1
 
-// replyHead is the status line and fields of a reply.
+// replyHead is the decoded status line and header fields of a reply.
 type replyHead struct {
 	status       int
 	neverStarted bool
-	length       int // bytes; noLength: not told
+	length       int // content length in bytes, or noLength
 	chunked      bool
 }
 
-// parseReply reads the one reply, and interim ones before it. What could be read in more than one way, as its length is
-// told twice or against itself, or not at all, is malformed.
+// parseReply parses the reply, and interim replies before it. It implements transport.Handler.Parse. A reply is
+// malformed if it can be interpreted in more than one way, because its length is contradictory, or missing with
+// status 200.
 func (c *Conn) parseReply(b []byte) (int, func(), error) {
-	if n := min(len(b), len(versionPrefix)); string(b[:n]) != versionPrefix[:n] { // noise, and no need to wait for its end
+	if n := min(len(b), len(versionPrefix)); string(b[:n]) != versionPrefix[:n] { // not HTTP; do not wait for more
 		return 0, nil, errMalformed
 	}
 	end := bytes.Index(b, []byte(headEnd))
@@ -60,7 +61,7 @@
 		return 0, nil, err
 	}
 	offset := end + len(headEnd)
-	if head.status < http.StatusOK { // an interim reply: the real one follows
+	if head.status < http.StatusOK { // an interim reply, which the final one follows
 		return offset, nil, nil
 	}
 	if err := head.checkLength(transport.BufferSize - offset); err != nil {
@@ -71,7 +72,7 @@
 		c.Net().Put(body)
 		return 0, nil, err
 	}
-	c.IgnoreInput() // whatever comes behind it belongs to nothing
+	c.IgnoreInput() // there is only one call, so further input has no meaning
 	reply := Reply{Status: head.status, NeverStarted: head.neverStarted, Body: body}
 	call := func() {
 		c.OnReply(reply)
@@ -95,7 +96,7 @@
 	return head, nil
 }
 
-// parseStatus reads the three digits of a status line.
+// parseStatus returns the three-digit status code of a status line.
 func parseStatus(line string) (int, error) {
 	code, _, _ := strings.Cut(line[min(len(line), statusOffset):], " ")
 	status, err := strconv.Atoi(code)
@@ -105,7 +106,7 @@
 	return status, nil
 }
 
-// parseField reads a line with a name and value; the status is known already.
+// parseField evaluates a header field. h.status must be set.
 func (h *replyHead) parseField(line string) error {
 	name, value, found := strings.Cut(line, ":")
 	value = strings.Trim(value, " \t")
@@ -134,7 +135,7 @@
 
 func invalidInValue(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f }
 
-// checkLength tells whether there is one way to read the body, and room for it.
+// checkLength returns an error if the length of the body is contradictory or missing, or exceeds available bytes.
 func (h *replyHead) checkLength(available int) error {
 	switch {
 	case h.chunked && h.length >= 0, !h.chunked && h.length < 0 && h.status == http.StatusOK:
@@ -145,7 +146,7 @@
 	return nil
 }
 
-// readBody appends the body to a buffer and gives how much of the input it takes; under 0: it is not complete.
+// readBody appends the body to buffer and returns its size in the input, or incomplete if the input ends too early.
 func (h *replyHead) readBody(buffer, input []byte) (body []byte, size int, err error) {
 	if h.chunked {
 		return readChunks(buffer, input)
@@ -157,10 +158,10 @@
 	return append(buffer, input[:size]...), size, nil
 }
 
-// incomplete is the size of a body that is not there to its end.
+// incomplete is the size returned for a body that has not been received completely.
 const incomplete = -1
 
-// readChunks reads a chunked body, like readBody.
+// readChunks appends a chunked body to body. The results are those of readBody.
 func readChunks(body, input []byte) ([]byte, int, error) {
 	offset := 0
 	for {
@@ -169,7 +170,7 @@
 			return body, incomplete, nil
 		}
 		offset = next
-		digits, _, _ := strings.Cut(string(line), ";") // extensions follow
+		digits, _, _ := strings.Cut(string(line), ";") // chunk extensions follow the semicolon
 		size, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 16)
 		if err != nil || int(size)+len(body) > transport.BufferSize {
 			return body, 0, errMalformed
@@ -186,7 +187,8 @@
 	}
 }
 
-// skipTrailer passes over fields behind the last chunk and the empty line behind them.
+// skipTrailer skips the trailer fields after the last chunk and the empty line after them. It returns the offset
+// of the byte after them, or incomplete.
 func skipTrailer(input []byte, offset int) int {
 	for {
 		line, next, found := cutLine(input, offset)
@@ -200,7 +202,7 @@
 	}
 }
 
-// cutLine gives the line at an offset and the offset of the next one.
+// cutLine returns the line at an offset and the offset of the next line.
 func cutLine(input []byte, offset int) (line []byte, next int, found bool) {
 	end := bytes.Index(input[offset:], []byte(lineEnd))
 	if end < 0 {
--- a/internal/database/reply_test.go
+++ b/internal/database/reply_test.go
@@ -9,19 +9,19 @@
 	"lanewheel/internal/transport/transporttest"
 )
 
-// databaseTrace is what a caller is told of bytes that come in these reads.
-func databaseTrace(pieces ...[]byte) string {
+// databaseTrace returns a text that lists the callbacks of a connection that receives the input in these reads.
+func databaseTrace(reads ...[]byte) string {
 	var out strings.Builder
-	l := transport.NewDetached()
-	d := &Conn{Conn: l.Conn}
-	handler := d.handler()
+	detached := transport.NewDetached()
+	conn := &Conn{Conn: detached.Conn}
+	handler := conn.handler()
 	handler.OnUnreadable = func(code string) { fmt.Fprintln(&out, code) }
-	d.SetHandler(handler)
-	d.OnReply = func(r Reply) {
+	conn.SetHandler(handler)
+	conn.OnReply = func(r Reply) {
 		fmt.Fprintf(&out, "%d never started %v body %q\n", r.Status, r.NeverStarted, r.Body)
 	}
-	for _, b := range pieces {
-		l.Receive(b)
+	for _, b := range reads {
+		detached.Receive(b)
 	}
 	return out.String()
 }
@@ -36,7 +36,8 @@
 	[]byte("HTTP/1.1 500 No\r\nNever-Started: 1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\nx"),
 }
 
-// One reply is taken from a connection, whatever comes before or behind it; malformed ones are none.
+// One reply is decoded from a connection, regardless of interim replies before it and input after it. A malformed
+// reply closes the connection.
 func Example_replies() {
 	for _, b := range databaseReplies {
 		fmt.Print(databaseTrace(b))
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -8,7 +8,7 @@
 	"lanewheel/internal/goldentest"
 )
 
-// What is reported to the registry, one datagram each.
+// Each report to the registry is one datagram with the golden bytes.
 func TestGoldenToRegistry(t *testing.T) {
 	file := goldentest.Open(t, "testdata/registry_reports.golden")
 	registry, err := (&net.ListenConfig{}).ListenPacket(t.Context(), "udp", "127.0.0.1:0")
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -1,4 +1,4 @@
-// Package discovery reports to the registry of service instances: one datagram a report, and no answer comes.
+// Package discovery reports to the registry of service instances. Each report is one datagram without a response.
 package discovery
 
 import (
@@ -8,34 +8,36 @@
 	"time"
 )
 
-// The words of a report, which is "HERE <name> <state>".
+// The parts of a report, whose format is "HERE <name> <state>".
 const (
 	reportPrefix     = "HERE "
 	stateAvailable   = " on"
 	stateUnavailable = " off"
 )
 
-// maxWriteWait bounds a report, as a full socket must not hold up the event loop.
+// maxWriteWait is the maximum time spent on sending a report, so that a full socket buffer does not block the
+// event loop.
 const maxWriteWait = time.Millisecond
 
-// Registry is where an instance or a proxy reports to. It is owned by the event loop of whoever reports.
+// Registry sends the reports of an instance or a proxy to the registry. It is owned by the event loop of that
+// process.
 type Registry struct {
 	conn net.Conn
 	name string
 }
 
-// NewRegistry opens the socket that the reports of the named instance go out of. Nothing is sent yet, so a registry
-// that is down is no error.
+// NewRegistry opens the socket for the reports of the named instance. It sends nothing, so it does not return an
+// error if the registry is down.
 func NewRegistry(addr, name string) (*Registry, error) {
-	conn, err := (&net.Dialer{}).DialContext(context.Background(), "udp", addr) // it sends nothing, and does not wait
+	conn, err := (&net.Dialer{}).DialContext(context.Background(), "udp", addr) // sends nothing and does not block
 	if err != nil {
-		return nil, fmt.Errorf("socket for reports to the registry: %w", err)
+		return nil, fmt.Errorf("open socket for registry reports: %w", err)
 	}
 	return &Registry{conn: conn, name: name}, nil
 }
 
-// Report tells whether the instance takes requests. A registry that is down shows as an error here, which is dropped:
-// the next report is due soon.
+// Report reports whether the instance accepts requests. If the registry is down, sending may fail. The error is
+// ignored because the next report follows soon.
 func (r *Registry) Report(available bool) {
 	state := stateUnavailable
 	if available {
@@ -45,7 +47,7 @@
 	_, _ = r.conn.Write([]byte(reportPrefix + r.name + state))
 }
 
-// Close gives the socket's descriptor back.
+// Close closes the socket.
 func (r *Registry) Close() {
-	_ = r.conn.Close() // a datagram socket has nothing that could be lost
+	_ = r.conn.Close() // a datagram socket has no buffered data to lose
 }
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -5,24 +5,24 @@
 	"lanewheel/internal/transport"
 )
 
-// ClientConn is a connection on which we are a client of an instance: requests go out, responses come in. The fields
-// are its callbacks, called on the owner loop, and the methods are for the owner loop.
+// ClientConn is a connection to an instance that sends requests and receives responses. The fields are its callbacks,
+// which are called on the owner loop. The methods must be called on the owner loop.
 type ClientConn struct {
 	*transport.Conn
 	OnResponse func(messageID uint32, response Response)
-	OnGoAway   func() // the instance asks for no further requests
+	OnGoAway   func() // the instance requests that no further requests are sent
 	OnClose    func(code string)
 }
 
-// Response is the answer to a request. Result stays valid only during the call that it is given to.
+// Response is the response to a request. Result is valid only during the call of OnResponse.
 type Response struct {
-	Error    ErrorCode // CodeNone: it succeeded
+	Error    ErrorCode // CodeNone if the request succeeded
 	Metadata frontend.ResponseMetadata
 	Result   []byte
 }
 
-// Dial opens a connection to an instance; ready is called as by transport.Conn.Dial. The callbacks have to be set
-// before the owner loop goes on.
+// Dial starts opening a connection to an instance. It must be called on the owner loop; ready is called as
+// described at transport.Conn.Dial. The caller must set the callbacks before it returns to the owner loop.
 func Dial(net *transport.Net, addr string, ready func(err error)) *ClientConn {
 	client := newClientConn(net.NewDialed(transport.DialOptions{Peer: transport.PeerInstance}))
 	client.SetHandler(client.handler())
@@ -47,13 +47,13 @@
 	c.SetOutput(appendBytes(b, request.Body))
 }
 
-// Cancel says that nobody waits for the response any more.
+// Cancel notifies the instance that the response to a request is no longer needed.
 func (c *ClientConn) Cancel(messageID uint32) {
 	b := appendNotificationHead(c.OutputBuffer(), methodCancel)
 	c.SetOutput(appendMessageID(append(b, tagFixArray|1), messageID))
 }
 
-// parseMessage reads one response or notification.
+// parseMessage parses one response or notification. It implements transport.Handler.Parse.
 func (c *ClientConn) parseMessage(b []byte) (int, func(), error) {
 	d := decoder{input: b}
 	parts := d.readArrayLength()
@@ -75,6 +75,7 @@
 	return d.finish(call)
 }
 
+// parseResponse parses a response after its kind and returns the function that handles it.
 func (c *ClientConn) parseResponse(d *decoder) func() {
 	messageID, valid := d.readMessageID()
 	response := Response{Metadata: frontend.ResponseMetadata{LoadReport: noLoadReport}}
@@ -97,7 +98,7 @@
 	}
 }
 
-// readError reads [name, fields] and the nil that stands for the result.
+// readError reads [name, fields] and the nil in place of the result.
 func (d *decoder) readError(response *Response) {
 	if d.readArrayLength() != 2 {
 		d.malformed = true
@@ -110,7 +111,7 @@
 	}
 }
 
-// readResult reads [result, fields]. The result of a health check is a bool, which is passed over.
+// readResult reads [result, fields]. The result of a health check is a bool, which is skipped.
 func (d *decoder) readResult(response *Response) (result []byte) {
 	if d.readArrayLength() != 2 {
 		d.malformed = true
@@ -125,10 +126,10 @@
 	return result
 }
 
-// noLoadReport is the load report of a response that brings none.
+// noLoadReport is the value of ResponseMetadata.LoadReport for a response without a load report.
 const noLoadReport = -1
 
-// readMetadata reads the fields beside a result or error. Unknown ones are skipped.
+// readMetadata reads the fields that accompany a result or error. Unknown fields are skipped.
 func (d *decoder) readMetadata() frontend.ResponseMetadata {
 	metadata := frontend.ResponseMetadata{LoadReport: noLoadReport}
 	for i := d.readMapLength(); i > 0 && !d.failed(); i-- {
--- a/internal/rpc/decoder.go
+++ b/internal/rpc/decoder.go
@@ -8,18 +8,19 @@
 	"lanewheel/internal/transport"
 )
 
-// decoder reads MessagePack values off the front of its input. Once it is truncated or malformed, what it reads is
-// zero.
+// decoder reads consecutive MessagePack values from its input. Once truncated or malformed is set, further
+// values read are zero.
 type decoder struct {
 	input     []byte
 	offset    int
-	truncated bool // there is not enough input yet; this counts before malformed
-	malformed bool // something else stands there than what was asked for
+	truncated bool // the input is incomplete; takes precedence over malformed
+	malformed bool // the input is not a value of the expected type or size
 }
 
+// failed reports whether the input is truncated or malformed.
 func (d *decoder) failed() bool { return d.truncated || d.malformed }
 
-// finish gives what transport.Handler.Parse has to, for a message that was read to its end.
+// finish returns the results of transport.Handler.Parse after a message has been read to its end.
 func (d *decoder) finish(call func()) (int, func(), error) {
 	switch {
 	case d.truncated:
@@ -30,7 +31,8 @@
 	return d.offset, call, nil
 }
 
-// next takes n bytes. A length that no message can hold is malformed, instead of being waited for.
+// next reads n bytes. A length that no message can contain sets malformed, so that the connection does not wait for
+// more input.
 func (d *decoder) next(n int) []byte {
 	if n < 0 || n > transport.BufferSize {
 		d.malformed = true
@@ -46,7 +48,7 @@
 	return d.input[d.offset-n : d.offset]
 }
 
-// peek gives the next byte without taking it.
+// peek returns the next byte without consuming it.
 func (d *decoder) peek() (tag byte, found bool) {
 	if d.offset >= len(d.input) {
 		return 0, false
@@ -61,7 +63,7 @@
 	return 0
 }
 
-// readUint reads a big-endian number of so many bytes.
+// readUint reads a big-endian unsigned integer of size bytes.
 func (d *decoder) readUint(size int) (x uint64) {
 	for _, b := range d.next(size) {
 		x = x<<8 | uint64(b)
@@ -72,8 +74,8 @@
 func (d *decoder) readArrayLength() int { return d.readLength(tagFixArray, fixArrayMask, tagArray16) }
 func (d *decoder) readMapLength() int   { return d.readLength(tagFixMap, fixMapMask, tagMap16) }
 
-// readLength reads the head of an array or map: its fixed tag, or tag16 and 16 bits, or the tag behind that and 32
-// bits.
+// readLength reads the header of an array or map: its fixed tag, or tag16 and 16 bits, or the tag following tag16
+// and 32 bits.
 func (d *decoder) readLength(fixed, mask, tag16 byte) int {
 	switch tag := d.readByte(); {
 	case d.failed():
@@ -89,15 +91,15 @@
 	return 0
 }
 
-// isString tells whether a tag is that of a str.
+// isString reports whether a tag is that of a str.
 func isString(tag byte) bool {
 	return tag&^fixStringMask == tagFixString || tag >= tagString8 && tag <= tagString32
 }
 
-// isBin tells whether a tag is that of a bin.
+// isBin reports whether a tag is that of a bin.
 func isBin(tag byte) bool { return tag >= tagBin8 && tag <= tagBin32 }
 
-// readString reads a str, or a bin, which older clients send for it.
+// readString reads a str, or a bin, which older clients send instead.
 func (d *decoder) readString() []byte {
 	if tag, found := d.peek(); found && tag&^fixStringMask == tagFixString {
 		return d.next(int(d.readByte() & fixStringMask))
@@ -116,10 +118,10 @@
 	return nil
 }
 
-// readBytes reads a bin, or a str, which older clients send for it.
+// readBytes reads a bin, or a str, which older clients send instead.
 func (d *decoder) readBytes() []byte { return d.readString() }
 
-// readNil passes over a nil and tells whether one stood there.
+// readNil skips a nil and reports whether the next value was nil.
 func (d *decoder) readNil() bool {
 	if tag, found := d.peek(); !found || tag != tagNil {
 		return false
@@ -128,7 +130,7 @@
 	return true
 }
 
-// readNumber reads any of the integers and floats, or text of one, which is how clients write their fields.
+// readNumber reads an integer, a float, or a number as text, the form in which clients send their fields.
 func (d *decoder) readNumber() float64 {
 	switch tag := d.readByte(); {
 	case d.failed():
@@ -158,10 +160,10 @@
 	return x
 }
 
-// maxExactFloat is the highest integer up to which a float64 holds each one.
+// maxExactFloat is the limit up to which a float64 represents every integer exactly.
 const maxExactFloat = 1 << 53
 
-// readInteger reads an integer, or a float or text without a fraction.
+// readInteger reads an integer, or a float or text whose value has no fraction.
 func (d *decoder) readInteger() int64 {
 	switch tag := d.readByte(); {
 	case d.failed():
@@ -190,7 +192,7 @@
 	return 0
 }
 
-// maxMilliseconds is the longest duration that is read: some 31 years.
+// maxMilliseconds is the longest duration that is accepted, about 31 years.
 const maxMilliseconds = 1e12
 
 func (d *decoder) readMilliseconds() time.Duration {
@@ -202,7 +204,8 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// skip passes over one value of any form. The depth limits the recursion, which a peer could have use up the stack.
+// skip skips one value of any type. depth is the nesting depth of the value; its limit prevents a peer from
+// exhausting the stack.
 func (d *decoder) skip(depth int) {
 	if depth > maxDepth {
 		d.malformed = true
@@ -231,22 +234,22 @@
 	}
 }
 
-// skipScalar passes over a value that holds no others, and is no str or bin.
+// skipScalar skips a value that is not an array, map, str or bin.
 func (d *decoder) skipScalar(tag byte) {
 	switch {
-	case tag >= tagExt8 && tag <= tagExt32: // its length and type come before the bytes
+	case tag >= tagExt8 && tag <= tagExt32: // length and type precede the bytes
 		d.offset++
 		size := int(d.readUint(1 << (tag - tagExt8)))
 		d.next(1)
 		d.next(size)
-	case tag >= tagFixExt1 && tag <= tagFixExt16: // the type, and 1 to 16 bytes
+	case tag >= tagFixExt1 && tag <= tagFixExt16: // the type, followed by 1 to 16 bytes
 		d.offset++
 		d.next(1 + 1<<(tag-tagFixExt1))
 	case tag == tagNil, tag == tagFalse, tag == tagTrue:
 		d.offset++
 	case tag == tagFloat32:
 		d.next(5)
-	case tag == tagFloat64, tag == tagUint64: // readInteger refuses what is over an int64
+	case tag == tagFloat64, tag == tagUint64: // readInteger rejects a uint64 that exceeds an int64
 		d.next(9)
 	default:
 		d.readInteger()
--- a/internal/rpc/encode.go
+++ b/internal/rpc/encode.go
@@ -8,12 +8,12 @@
 	"lanewheel/internal/frontend"
 )
 
-// appendMessageID writes an id in the one form that all messages from here have.
+// appendMessageID appends a message id, always encoded as a uint32.
 func appendMessageID(b []byte, messageID uint32) []byte {
 	return binary.BigEndian.AppendUint32(append(b, tagUint32), messageID)
 }
 
-// appendNotificationHead writes a notification up to its params.
+// appendNotificationHead appends a notification up to its params.
 func appendNotificationHead(b []byte, method string) []byte {
 	return appendString(append(b, tagFixArray|notificationParts, kindNotification), method)
 }
@@ -33,10 +33,10 @@
 	return append(b, body...)
 }
 
-// fieldWriter writes a map of strings to strings with at most 15 fields behind the bytes that it has.
+// fieldWriter appends a map of strings to strings, with at most 15 fields, to its output.
 type fieldWriter struct {
 	output    []byte
-	tagOffset int // where the tag with the number of fields stands
+	tagOffset int // offset in output of the tag that contains the number of fields
 }
 
 func newFieldWriter(b []byte) fieldWriter {
@@ -56,12 +56,12 @@
 	w.addText(name, strconv.FormatFloat(value, 'f', -1, 64))
 }
 
-// addMilliseconds writes a duration with its fraction.
+// addMilliseconds adds a duration in milliseconds, with its fraction.
 func (w *fieldWriter) addMilliseconds(name string, value time.Duration) {
 	w.addNumber(name, float64(value)/float64(time.Millisecond))
 }
 
-// appendMetadata writes the fields beside a result or error.
+// appendMetadata appends the fields that accompany a result or error.
 func appendMetadata(b []byte, metadata frontend.ResponseMetadata) []byte {
 	fields := newFieldWriter(b)
 	if metadata.LoadReport >= 0 {
@@ -79,7 +79,7 @@
 	return fields.output
 }
 
-// appendRequestFields writes the fields beside a request's body.
+// appendRequestFields appends the fields that accompany the body of a request.
 func appendRequestFields(b []byte, request *frontend.Request) []byte {
 	fields := newFieldWriter(b)
 	fields.addText(fieldRequestID, request.ID)
--- a/internal/rpc/golden_test.go
+++ b/internal/rpc/golden_test.go
@@ -12,7 +12,7 @@
 	"lanewheel/internal/transport"
 )
 
-// clientEvent is what a client is told.
+// clientEvent is the callback of a client, or the close, that a message causes.
 type clientEvent struct {
 	messageID   uint32
 	response    Response
@@ -20,7 +20,7 @@
 	closeReason string
 }
 
-// serverEvent is what a server is told of a client.
+// serverEvent is the callback of a server that a message causes.
 type serverEvent struct {
 	messageID     uint32
 	request       *frontend.Request
@@ -30,31 +30,35 @@
 	protocolError string
 }
 
-func readByServer(b []byte) (all []serverEvent) {
-	l := transport.NewDetached()
-	l.Net().ReadTokens.Store(true)
-	l.Net().ReadHops.Store(true)
-	s := NewServerConn(l.Conn)
-	s.OnRequest = func(n uint32, a frontend.Request) { all = append(all, serverEvent{messageID: n, request: &a}) }
-	s.OnCancel = func(n uint32) { all = append(all, serverEvent{messageID: n, cancel: true}) }
+func decodeByServer(b []byte) (events []serverEvent) {
+	detached := transport.NewDetached()
+	detached.Net().ReadTokens.Store(true)
+	detached.Net().ReadHops.Store(true)
+	s := NewServerConn(detached.Conn)
+	s.OnRequest = func(n uint32, request frontend.Request) {
+		events = append(events, serverEvent{messageID: n, request: &request})
+	}
+	s.OnCancel = func(n uint32) { events = append(events, serverEvent{messageID: n, cancel: true}) }
 	s.OnHealthCheck = func(n uint32, deep bool) {
-		all = append(all, serverEvent{messageID: n, healthCheck: true, deep: deep})
+		events = append(events, serverEvent{messageID: n, healthCheck: true, deep: deep})
 	}
-	s.OnProtocolError = func(code string) { all = append(all, serverEvent{protocolError: code}) }
-	l.Receive(b)
-	return all
+	s.OnProtocolError = func(code string) { events = append(events, serverEvent{protocolError: code}) }
+	detached.Receive(b)
+	return events
 }
 
-func readByClient(b []byte) (all []clientEvent) {
-	l := transport.NewDetached()
-	c := newClientConn(l.Conn)
+func decodeByClient(b []byte) (events []clientEvent) {
+	detached := transport.NewDetached()
+	c := newClientConn(detached.Conn)
 	handler := c.handler()
-	handler.OnUnreadable = func(code string) { all = append(all, clientEvent{closeReason: code}) }
+	handler.OnUnreadable = func(code string) { events = append(events, clientEvent{closeReason: code}) }
 	c.SetHandler(handler)
-	c.OnResponse = func(n uint32, a Response) { all = append(all, clientEvent{messageID: n, response: a}) }
-	c.OnGoAway = func() { all = append(all, clientEvent{goAway: true}) }
-	l.Receive(b)
-	return all
+	c.OnResponse = func(n uint32, response Response) {
+		events = append(events, clientEvent{messageID: n, response: response})
+	}
+	c.OnGoAway = func() { events = append(events, clientEvent{goAway: true}) }
+	detached.Receive(b)
+	return events
 }
 
 func goldenRequest() frontend.Request {
@@ -77,31 +81,31 @@
 	}
 }
 
-// goldenLongRequest has a text and a body past the short forms of their heads.
+// goldenLongRequest returns a request whose token and body are too long for the short forms of their headers.
 func goldenLongRequest() frontend.Request {
-	a := goldenRequest()
-	a.Token, a.Body = strings.Repeat("t", 40), bytes.Repeat([]byte("b"), 300)
-	return a
+	request := goldenRequest()
+	request.Token, request.Body = strings.Repeat("t", 40), bytes.Repeat([]byte("b"), 300)
+	return request
 }
 
-// goldenMinimalRequest has nothing that may be left out.
+// goldenMinimalRequest returns a request without any optional field.
 func goldenMinimalRequest() frontend.Request {
 	return frontend.Request{ID: "0123456789abcdef", Class: "view", NewIDPerAttempt: true, Body: []byte{}}
 }
 
-// What a client sends: our own client writes the stored bytes, and the server reads them as what was meant.
+// The client encodes messages as the golden bytes, and the server decodes these as the messages.
 func TestGoldenFromClients(t *testing.T) {
 	file := goldentest.Open(t, "testdata/rpc_from_client.golden")
 	long, minimal, full := goldenLongRequest(), goldenMinimalRequest(), goldenRequest()
-	written := func(write func(*ClientConn)) []byte {
-		l := transport.NewDetached()
-		write(newClientConn(l.Conn))
-		output, _ := l.Output()
+	encode := func(write func(*ClientConn)) []byte {
+		detached := transport.NewDetached()
+		write(newClientConn(detached.Conn))
+		output, _ := detached.Output()
 		return output
 	}
 	for _, tc := range []struct {
 		name  string
-		write func(*ClientConn) // nil: our client never sends it
+		write func(*ClientConn) // nil if ClientConn never sends the message
 		want  serverEvent
 	}{
 		{"request", func(c *ClientConn) { c.Send(7, full) }, serverEvent{messageID: 7, request: &full}},
@@ -113,16 +117,16 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if tc.write != nil {
-				file.Check(tc.name, written(tc.write))
+				file.Check(tc.name, encode(tc.write))
 			}
-			if got := readByServer(file.Bytes(tc.name)); !reflect.DeepEqual(got, []serverEvent{tc.want}) {
-				t.Errorf("read as %+v, want %+v", got, tc.want)
+			if got := decodeByServer(file.Bytes(tc.name)); !reflect.DeepEqual(got, []serverEvent{tc.want}) {
+				t.Errorf("decoded %+v, want %+v", got, tc.want)
 			}
 		})
 	}
 }
 
-// What a server sends to clients: it writes the stored bytes, and our own client reads them as what was meant.
+// The server encodes messages as the golden bytes, and the client decodes these as the messages.
 func TestGoldenToClients(t *testing.T) {
 	file := goldentest.Open(t, "testdata/rpc_to_client.golden")
 	metadata := frontend.ResponseMetadata{
@@ -155,12 +159,12 @@
 		{"goaway", func(s *ServerConn) { s.GoAway() }, clientEvent{goAway: true}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l := transport.NewDetached()
-			tc.write(NewServerConn(l.Conn))
-			output, _ := l.Output()
+			detached := transport.NewDetached()
+			tc.write(NewServerConn(detached.Conn))
+			output, _ := detached.Output()
 			file.Check(tc.name, output)
-			if got := readByClient(file.Bytes(tc.name)); !reflect.DeepEqual(got, []clientEvent{tc.want}) {
-				t.Errorf("read as %+v, want %+v", got, tc.want)
+			if got := decodeByClient(file.Bytes(tc.name)); !reflect.DeepEqual(got, []clientEvent{tc.want}) {
+				t.Errorf("decoded %+v, want %+v", got, tc.want)
 			}
 		})
 	}
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -7,24 +7,25 @@
 	"lanewheel/internal/transport"
 )
 
-// ServerConn is the connection of a client at the server. The fields are its callbacks, called on the owner loop; all
-// but OnAuthenticated have to be set before the goroutine that accepted the connection goes on. The methods are for
-// the owner loop.
+// ServerConn is the server's end of a client connection. The fields are its callbacks, which are called on the
+// owner loop. Net.OnAccept must set all of them before it returns, except OnAuthenticated. The methods must be
+// called on the owner loop.
 type ServerConn struct {
 	*transport.Conn
-	// OnRequest takes a request. Its Body stays valid only during the call.
+	// OnRequest is called with a request, whose Body is valid only during the call.
 	OnRequest       func(messageID uint32, request frontend.Request)
-	OnCancel        func(messageID uint32) // nobody waits for the response any more
+	OnCancel        func(messageID uint32) // the response is no longer needed
 	OnHealthCheck   func(messageID uint32, deep bool)
-	OnProtocolError func(code string) // has to close the connection
+	OnProtocolError func(code string) // must close the connection
 	OnClose         func(code string)
-	// OnAuthenticated takes what the chain of a TLS client proved; on a plain connection it is never called.
+	// OnAuthenticated is called with the identity of a TLS client after the handshake. It must be set for a connection
+	// with TLS, and is never called on a plain connection.
 	OnAuthenticated func(identity any)
 
-	lastToken string // the last one read, which the next is likely to be; owned by what parses
+	lastToken string // last token read, likely to be repeated; owned by the goroutine that parses
 }
 
-// NewServerConn makes an accepted connection one of a client. It is called where Net.OnAccept is.
+// NewServerConn sets up an accepted connection as that of a client. It must be called by Net.OnAccept.
 func NewServerConn(conn *transport.Conn) *ServerConn {
 	server := &ServerConn{Conn: conn}
 	conn.SetHandler(transport.Handler{
@@ -36,7 +37,7 @@
 	return server
 }
 
-// Succeed answers a request with its result.
+// Succeed sends the result of a request.
 func (s *ServerConn) Succeed(messageID uint32, result []byte, metadata frontend.ResponseMetadata) {
 	b := appendResponseHead(s.OutputBuffer(), messageID)
 	b = append(b, tagNil, tagFixArray|2)
@@ -44,17 +45,17 @@
 	s.SetOutput(appendMetadata(b, metadata))
 }
 
-// Reject answers a request that was not admitted, and never ran.
+// Reject responds to a request that was not admitted and never ran.
 func (s *ServerConn) Reject(messageID uint32, metadata frontend.ResponseMetadata) {
 	s.sendError(messageID, CodeBusy, metadata)
 }
 
-// Fail answers a request that failed.
+// Fail responds to a request that failed and may have run.
 func (s *ServerConn) Fail(messageID uint32, metadata frontend.ResponseMetadata) {
 	s.sendError(messageID, CodeFailed, metadata)
 }
 
-// Deny answers a request that its caller may not make; metadata.Reason says why in one word.
+// Deny responds to a request that its caller is not permitted to make. metadata.Reason is the reason, in one word.
 func (s *ServerConn) Deny(messageID uint32, metadata frontend.ResponseMetadata) {
 	s.sendError(messageID, CodeDenied, metadata)
 }
@@ -65,7 +66,7 @@
 	s.SetOutput(append(appendMetadata(b, metadata), tagNil))
 }
 
-// AnswerHealthCheck answers a health check.
+// AnswerHealthCheck responds to a health check.
 func (s *ServerConn) AnswerHealthCheck(messageID uint32, healthy bool, metadata frontend.ResponseMetadata) {
 	result := byte(tagFalse)
 	if healthy {
@@ -76,7 +77,8 @@
 	s.SetOutput(appendMetadata(b, metadata))
 }
 
-// GoAway asks the client to send nothing new here and to close when all is answered.
+// GoAway asks the client to send no further requests on this connection and to close it once all requests have been
+// answered.
 func (s *ServerConn) GoAway() {
 	s.SetOutput(append(appendNotificationHead(s.OutputBuffer(), methodGoAway), tagFixArray))
 }
@@ -85,7 +87,7 @@
 	return appendMessageID(append(b, tagFixArray|responseParts, kindResponse), messageID)
 }
 
-// parseMessage reads one request, health check or notification.
+// parseMessage parses one request, health check or notification. It implements transport.Handler.Parse.
 func (s *ServerConn) parseMessage(b []byte) (int, func(), error) {
 	d := decoder{input: b}
 	parts := d.readArrayLength()
@@ -103,6 +105,7 @@
 	return d.finish(call)
 }
 
+// parseCall parses a request or health check after its kind.
 func (s *ServerConn) parseCall(d *decoder) func() {
 	messageID, valid := d.readMessageID()
 	method := string(d.readString())
@@ -121,7 +124,7 @@
 	return nil
 }
 
-// parseNotification reads a notification. One that is not known asks for nothing.
+// parseNotification parses a notification after its kind. Unknown notifications are ignored.
 func (s *ServerConn) parseNotification(d *decoder) func() {
 	method := string(d.readString())
 	if method != methodCancel {
@@ -133,7 +136,7 @@
 		return nil
 	}
 	messageID, valid := d.readMessageID()
-	if !valid { // none of ours has it
+	if !valid { // no request has this id
 		return nil
 	}
 	return func() { s.OnCancel(messageID) }
@@ -157,7 +160,8 @@
 	}
 }
 
-// parseFields reads the fields of a request or, with deep, of a health check. Unknown ones are skipped.
+// parseFields reads the fields of a request or health check. deep is a field of health checks. Unknown fields are
+// skipped.
 func (s *ServerConn) parseFields(d *decoder) (request frontend.Request, deep bool) {
 	for i := d.readMapLength(); i > 0 && !d.failed(); i-- {
 		switch name := d.readString(); string(name) {
@@ -193,8 +197,8 @@
 	return request, deep
 }
 
-// parseToken reads a token. The last one's text serves again: one comparison instead of some hundred new bytes for each
-// request.
+// parseToken reads a token. If it equals the last token, that string is reused: a comparison avoids allocating
+// several hundred bytes per request.
 func (s *ServerConn) parseToken(d *decoder) string {
 	if !s.Net().ReadTokens.Load() {
 		d.skip(0)
@@ -219,7 +223,7 @@
 	return int(hops)
 }
 
-// readMessageID reads an integer and tells whether it can be a message's id.
+// readMessageID reads an integer and reports whether it is a valid message id.
 func (d *decoder) readMessageID() (messageID uint32, valid bool) {
 	x := d.readInteger()
 	return uint32(x), x >= 0 && x <= math.MaxUint32
--- a/internal/rpc/server_test.go
+++ b/internal/rpc/server_test.go
@@ -13,26 +13,26 @@
 	"lanewheel/internal/transport/transporttest"
 )
 
-// serverTrace is what a server is told of bytes that come in these reads.
-func serverTrace(pieces ...[]byte) string {
+// serverTrace returns a text that lists the callbacks of a server that receives the input in these reads.
+func serverTrace(reads ...[]byte) string {
 	var out strings.Builder
-	l := transport.NewDetached()
-	s := NewServerConn(l.Conn)
-	s.OnRequest = func(n uint32, a frontend.Request) {
+	detached := transport.NewDetached()
+	s := NewServerConn(detached.Conn)
+	s.OnRequest = func(n uint32, r frontend.Request) {
 		fmt.Fprintf(&out, "request %d %s %s sent at %d caller %d tenant %q resource %q body %d\n",
-			n, a.Class, a.ID, a.SentUnixMilli, a.Caller, a.Tenant, a.Resource, len(a.Body))
-		fmt.Fprintf(&out, "  timeout %v %v work %v %g KB rank %g\n", a.HasTimeout, a.Timeout, a.WorkHint, a.MemoryKB, a.Rank)
+			n, r.Class, r.ID, r.SentUnixMilli, r.Caller, r.Tenant, r.Resource, len(r.Body))
+		fmt.Fprintf(&out, "  timeout %v %v work %v %g KB rank %g\n", r.HasTimeout, r.Timeout, r.WorkHint, r.MemoryKB, r.Rank)
 	}
 	s.OnCancel = func(n uint32) { fmt.Fprintf(&out, "cancel %d\n", n) }
 	s.OnHealthCheck = func(n uint32, deep bool) { fmt.Fprintf(&out, "health check %d deep %v\n", n, deep) }
 	s.OnProtocolError = func(code string) { fmt.Fprintln(&out, code) }
-	for _, b := range pieces {
-		l.Receive(b)
+	for _, b := range reads {
+		detached.Receive(b)
 	}
 	return out.String()
 }
 
-// unhex reads hex with spaces, and text in single quotes as it stands.
+// unhex decodes hex, in which spaces are ignored and text in single quotes is copied literally.
 func unhex(s string) (b []byte) {
 	for i, part := range strings.Split(s, "'") {
 		if i%2 == 1 {
@@ -51,11 +51,11 @@
 const sampleIDField = "a2 'id' b0 '0123456789abcdef'"
 
 var clientMessages = [][]byte{
-	// as clients write it: all fields are text
+	// the form in which clients send it: all field values are text
 	unhex("94 00 01 a4 'view' 92 8a " + sampleIDField + " a2 'at' ad '1764576000123' a4 'from' a1 '4'" +
 		" a6 'tenant' a4 'acme' a4 'wait' a3 '480' a4 'cost' a5 '12.50' a2 'kb' a4 '24.5' a4 'rank' a6 '0.6250'" +
 		" a3 'key' a2 'k1' a1 'x' a1 'y' c4 02 ffc1"),
-	// numbers in all their forms, unknown fields of all kinds, wide heads
+	// all encodings of numbers, unknown fields of all types, long forms of headers
 	unhex("dc0004 cc00 cd0102 d904 'view' dd00000002 de0007 d90269 64 da0010 '0123456789abcdef'" +
 		" a2 'at' cf0000019adb9bcc7b" +
 		" a4 'from' d0 05 a4 'wait' ca43f00000 a4 'cost' cb4029000000000000 a2 'kb' d1 0018 a4 'rank' 00 c5 0001 00"),
@@ -66,7 +66,7 @@
 	unhex("93 02 a9 'interrupt' 91 07"), unhex("93 02 a9 'interrupt' 91 ff"), unhex("93 02 a4 'what' 92 01 a1 'x'"),
 }
 
-// Every form that a message can take.
+// The server decodes messages in all encodings that a client may use.
 func Example_clientMessages() {
 	fmt.Print(serverTrace(bytes.Join(clientMessages, nil)))
 	// Output:
@@ -81,16 +81,16 @@
 	// cancel 7
 }
 
-// A token is read where callers are known, and may have any form where they are not.
+// A token is decoded if ReadTokens is set. Otherwise it is skipped and may be a value of any type.
 func Example_token() {
-	for _, known := range []bool{false, true} {
+	for _, readTokens := range []bool{false, true} {
 		for _, token := range []string{"a3 'abc'", "da 0003 'abc'", "92 c3 c0"} {
-			l := transport.NewDetached()
-			l.Net().ReadTokens.Store(known)
-			s := NewServerConn(l.Conn)
-			s.OnRequest = func(_ uint32, a frontend.Request) { fmt.Printf("%v %q\n", known, a.Token) }
-			s.OnProtocolError = func(code string) { fmt.Println(known, code) }
-			l.Receive(unhex("94 00 01 a1 'w' 92 82 " + sampleIDField + " a5 'token' " + token + " c4 00"))
+			detached := transport.NewDetached()
+			detached.Net().ReadTokens.Store(readTokens)
+			s := NewServerConn(detached.Conn)
+			s.OnRequest = func(_ uint32, request frontend.Request) { fmt.Printf("%v %q\n", readTokens, request.Token) }
+			s.OnProtocolError = func(code string) { fmt.Println(readTokens, code) }
+			detached.Receive(unhex("94 00 01 a1 'w' 92 82 " + sampleIDField + " a5 'token' " + token + " c4 00"))
 		}
 	}
 	// Output:
@@ -102,7 +102,7 @@
 	// true bad-message
 }
 
-// What can't be read ends the connection; what came before it counts, and nothing behind it does.
+// A malformed message closes the connection. Messages before it are handled, and input after it is ignored.
 func Example_malformedMessages() {
 	for _, b := range [][]byte{
 		unhex("93 02 a9 'interrupt' 91 07 c1 93 02 a9 'interrupt' 91 08"),
@@ -133,21 +133,21 @@
 	// "bad-message\n"
 }
 
-// What we write to a client, in one piece with the codes of the bytes.
+// The encoded responses and notifications of a server, split before each response.
 func Example_responses() {
-	l := transport.NewDetached()
-	s := NewServerConn(l.Conn)
+	detached := transport.NewDetached()
+	s := NewServerConn(detached.Conn)
 	s.Succeed(7, []byte{0, 255}, frontend.ResponseMetadata{LoadReport: 0.25})
 	s.Reject(8, frontend.ResponseMetadata{LoadReport: -1, RetryAfter: 1500000, NoFailover: true})
 	s.Fail(9, frontend.ResponseMetadata{LoadReport: -1})
 	s.AnswerHealthCheck(10, true, frontend.ResponseMetadata{LoadReport: -1})
 	s.GoAway()
-	output, _ := l.Output()
+	output, _ := detached.Output()
 	for _, response := range bytes.SplitAfter(output, []byte{0x94, 1}) {
 		fmt.Printf("%+q\n", response)
 	}
 	s.Succeed(11, make([]byte, 4096), frontend.ResponseMetadata{LoadReport: -1})
-	output, flushPending := l.Output()
+	output, flushPending := detached.Output()
 	fmt.Println(len(output), cap(output) == transport.BufferSize, flushPending)
 	// Output:
 	// "\x94\x01"
--- a/internal/rpc/wire.go
+++ b/internal/rpc/wire.go
@@ -1,35 +1,37 @@
-// Package rpc is the protocol of client requests, MessagePack-RPC, from both ends: a request is a call whose method
-// is its class. Nothing outside this package knows MessagePack or the protocol's words, which are mapped to the
-// fields of frontend.Request, frontend.ResponseMetadata and Response here.
+// Package rpc implements the client and server sides of the protocol of client requests, which is based on
+// MessagePack-RPC. A request is a call whose method is its class. No other package depends on MessagePack or on
+// the names used on the wire; this package maps them to the fields of frontend.Request, frontend.ResponseMetadata
+// and Response.
 package rpc
 
 import "lanewheel/internal/transport"
 
-// errMalformed ends a connection whose peer breaks the protocol.
+// errMalformed closes a connection whose peer violates the protocol.
 const errMalformed transport.ParseError = "bad-message"
 
-// The kinds of messages: [request, id, method, params], [response, id, error, result], [notification, method, params].
+// The message kinds. The messages are [request, id, method, params], [response, id, error, result] and
+// [notification, method, params].
 const (
 	kindRequest      = 0
 	kindResponse     = 1
 	kindNotification = 2
 )
 
-// The lengths of these messages.
+// The numbers of elements of the messages.
 const (
 	requestParts      = 4
 	responseParts     = 4
 	notificationParts = 3
 )
 
-// The methods that are no class of requests.
+// The methods that are not classes of requests.
 const (
 	methodHealthCheck = "check"     // a request: [fields]
 	methodCancel      = "interrupt" // a notification: [id]
 	methodGoAway      = "goaway"    // a notification to the client: []
 )
 
-// The fields beside the body of a request or health check.
+// The fields of a request, in addition to its body, or of a health check.
 const (
 	fieldRequestID = "id"
 	fieldTenant    = "tenant"
@@ -42,40 +44,41 @@
 	fieldRank      = "rank"
 	fieldToken     = "token"
 	fieldHops      = "passed"
-	fieldDeep      = "deep" // 1: a health check that tests the runtime
+	fieldDeep      = "deep" // 1 if the health check also tests the runtime
 )
 
-// The fields beside a result or error.
+// The fields that accompany a result or error.
 const (
 	fieldLoadReport = "say"
 	fieldRetryAfter = "after" // milliseconds
-	fieldNoFailover = "last"  // 1: yes
+	fieldNoFailover = "last"  // 1 if set
 	fieldReason     = "why"
 )
 
-// ErrorCode is the error of a response, as the wire has it.
+// ErrorCode is the error of a response, as sent on the wire.
 type ErrorCode string
 
-// The error codes. A peer may send others; then the request may have run.
+// The error codes. A peer may send other codes; the request may have run in that case.
 const (
 	CodeNone   ErrorCode = ""       // the request succeeded
-	CodeBusy   ErrorCode = "Busy"   // it was rejected, and never ran
-	CodeFailed ErrorCode = "Failed" // it failed, and may have run
-	CodeDenied ErrorCode = "Denied" // the caller may not make it, and it never ran
+	CodeBusy   ErrorCode = "Busy"   // the request was rejected and never ran
+	CodeFailed ErrorCode = "Failed" // the request failed and may have run
+	CodeDenied ErrorCode = "Denied" // the caller is not permitted to make the request, which never ran
 )
 
 const (
-	// maxHops is how many processes may have forwarded a request: two are usual, so what has more goes in a circle.
+	// maxHops is the maximum number of processes that may have forwarded a request. Two are usual; a request that
+	// exceeds the limit is being forwarded in a loop.
 	maxHops = 8
-	// maxBodyBytes is the longest body of a request.
+	// maxBodyBytes is the maximum length of the body of a request.
 	maxBodyBytes = 2 << 10
-	// requestIDBytes is the length of each request id.
+	// requestIDBytes is the length of a request id.
 	requestIDBytes = 16
-	// maxDepth limits the recursion over nested values.
+	// maxDepth is the maximum nesting depth of values that are skipped.
 	maxDepth = 16
 )
 
-// The tags of MessagePack that are used here. A fixed tag holds the length, or the number, in its low bits.
+// The MessagePack tags that are used. A fixed tag contains the length, or the number, in its low bits.
 const (
 	tagFixMap         = 0x80
 	tagFixArray       = 0x90
@@ -106,7 +109,7 @@
 	tagMap32          = 0xdf
 	tagNegativeFixInt = 0xe0
 
-	fixMapMask    = 0x0f // the bits of the length
+	fixMapMask    = 0x0f // the masks select the length
 	fixArrayMask  = 0x0f
 	fixStringMask = 0x1f
 )
--- a/internal/transport/close.go
+++ b/internal/transport/close.go
@@ -9,25 +9,27 @@
 	"time"
 )
 
-// The codes of closes that no caller of Close gave.
+// The codes of closes for which no caller set a code.
 const (
 	codePeerClosed      = "peer-closed"
 	codePeerReset       = "peer-reset"
 	codeUnreadLimit     = "never-reads"
-	codeSystemError     = "errno-" // before the text of the error
+	codeSystemError     = "errno-" // followed by the text of the error
 	codeHandshakeFailed = "handshake-failed"
 	codeMalformedRecord = "bad-record"
 )
 
-// SetCloseReason notes the code of a connection that is going to be closed, whoever closes it. The first one counts.
+// SetCloseReason records the code with which the connection will be reported as closed, regardless of which side
+// closes it. Only the first call takes effect.
 func (c *Conn) SetCloseReason(code string) {
 	if c.closeReason == "" {
 		c.closeReason = code
 	}
 }
 
-// Close ends the connection once all that was gathered for it is written. One that was accepted is ended by a
-// half-close: it is closed when the peer has ended its side too, or by Abort, which the caller has to see to.
+// Close closes the connection after all buffered output has been written. An accepted connection is half-closed:
+// it remains open until the peer also closes its side or Abort is called. The caller must make sure that it is
+// aborted if the peer does not close its side.
 func (c *Conn) Close(code string) {
 	c.SetCloseReason(code)
 	if c.polled == nil {
@@ -38,7 +40,7 @@
 	}
 	c.flush()
 	if c.tls != nil && c.tls.established.Load() {
-		_ = c.tls.conn.CloseWrite() // so that the peer can tell our end from one that somebody else made
+		_ = c.tls.conn.CloseWrite() // lets the peer distinguish a close by this process from one forged by a third party
 	}
 	c.closing.Store(true)
 	if c.unwritten.Load() <= 0 && len(c.outputBeforePoll) == 0 {
@@ -46,9 +48,10 @@
 	}
 }
 
-// finishClose ends what is closing and has nothing left to write; it may be called twice. A close over bytes that
-// nobody has read resets the connection, and the peer loses the responses that it has not read yet: so our side ends
-// first, what still comes is read and dropped, and the poller closes at the peer's end.
+// finishClose completes the close of a connection that is closing and has no output left. It may be called twice.
+// Closing a socket that still holds unread input resets the connection, and the peer loses the responses that it has
+// not read yet. Therefore only the write side of an accepted connection is shut down; further input is read and
+// discarded, and the poller closes the connection when the peer closes its side.
 func (c *Conn) finishClose() {
 	if c.halfCloses {
 		c.shutdown(syscall.SHUT_WR, nil)
@@ -57,28 +60,29 @@
 	}
 }
 
-// Abort ends the connection at once, whatever is not written yet.
+// Abort closes the connection immediately and discards output that is not written yet.
 func (c *Conn) Abort() {
 	if !c.closed {
-		c.closing.Store(true) // nothing that still comes is parsed
+		c.closing.Store(true) // further input is not parsed
 		c.shutdown(syscall.SHUT_RDWR, nil)
 	}
 }
 
-// CancelDial has a dial that is under way end as refused. A connection that stands already stays.
+// CancelDial cancels a dial in progress, which then fails. It has no effect on an established connection.
 func (c *Conn) CancelDial() {
 	if c.cancelDial != nil {
 		c.cancelDial()
 	}
 }
 
-// handleClosed gives back what the connection holds, logs the close and tells the handler.
+// handleClosed releases the resources of the connection, logs the close and calls Handler.OnClose. It runs on the
+// owner loop.
 func (c *Conn) handleClosed(err error) {
 	if c.closed {
 		return
 	}
 	c.closed = true
-	if !c.halfCloses { // we dialled it
+	if !c.halfCloses { // the connection was dialed
 		c.net.dialedConns.Add(-1)
 	}
 	c.net.unreadBytes.Add(-c.unwritten.Load() - int64(len(c.outputBeforePoll)))
@@ -96,7 +100,7 @@
 	}
 }
 
-// closeCode is the code of a close that the poller tells with err.
+// closeCode returns the code of a close that the poller reports with err.
 func (c *Conn) closeCode(err error) string {
 	if c.closeReason != "" {
 		return c.closeReason
@@ -112,7 +116,7 @@
 		return codePeerReset
 	case errors.As(err, &errno):
 		return codeSystemError + errno.Error()
-	default: // errUnreadLimit, or the poller's own bound of the same size
+	default: // errUnreadLimit, or the poller's own limit of the same size
 		return codeUnreadLimit
 	}
 }
--- a/internal/transport/close_test.go
+++ b/internal/transport/close_test.go
@@ -11,8 +11,8 @@
 	"lanewheel/internal/frontend"
 )
 
-// A connection is closed while more lies unread on it: the peer still gets its response and an end in good order, not a
-// reset. One that does not end its side then is aborted.
+// Closing a connection that holds unread input must not reset it: the peer still receives its response and then
+// EOF. If the peer does not close its side, the connection is closed by Abort.
 func Example_closeWithUnreadInput() {
 	x := newTestNet()
 	c, s := x.connect()
@@ -27,7 +27,7 @@
 		s.Close("unused")
 	})
 	close(releaseRead)
-	for range 2 { // what lies unread is read and thrown away, and so is what comes behind the close
+	for range 2 { // unread input is read and discarded, and so is input received after the close
 		for unread := 1; unread > 0; time.Sleep(time.Millisecond) {
 			unread = 0
 			if fd, open := s.LockDescriptor(); open {
@@ -51,14 +51,15 @@
 	// unused
 }
 
-// A peer that reads nothing has its responses wait here, in order, up to the bound, and its connection is closed
-// then; one that reads in time gets them all, and the close behind them, whoever comes last to the last byte.
+// A peer that reads receives all its responses, and then the close, regardless of whether the owner loop or the
+// poller writes the last byte. Responses to a peer that reads nothing are kept, in order, up to the limit; then
+// its connection is closed.
 func Example_closeAfterLastByte() {
 	x := newTestNet()
 	for range 20 {
 		c, s := x.connect()
-		// The library opens a connection before it has the poller watch it, and what is left to write in between is never
-		// written: clients are written to only once something has come from them.
+		// The library opens a connection before it registers it with the poller, and never writes output that the kernel
+		// does not accept in between. Therefore clients are written to only after input from them has been read.
 		write(c, healthCheckMessage)
 		readHealthCheckResponse(c)
 		x.onOwner(func() {
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -8,32 +8,33 @@
 	"github.com/lesismal/nbio"
 )
 
-// Handler is what a codec does with the input of a connection and its end.
+// Handler holds the callbacks with which a codec handles the input and the close of a connection.
 type Handler struct {
-	// Parse takes one message off the front of b, and gives its size and what the owner loop is to do with it, if
-	// anything. The size is 0 while the message is not complete. An error, seldom other than a ParseError, ends the
-	// connection; its text is the code of the close. It is called beside the owner loop, by one goroutine at a time,
-	// and b is valid only during the call.
+	// Parse parses one message at the start of b. It returns the size of the message and a function that handles it on
+	// the owner loop, or nil if there is nothing to do. The size is 0 if the message is incomplete. An error, usually a
+	// ParseError, closes the connection; its text is the close code. Parse does not run on the owner loop; it is called
+	// by one goroutine at a time, and b is valid only during the call.
 	Parse func(b []byte) (size int, call func(), err error)
-	// OnUnreadable is called on the owner loop after Parse failed, with the code, and has to close the connection.
-	// If nil, the connection is closed with the code.
+	// OnUnreadable is called on the owner loop with the close code after Parse has failed, and must close the
+	// connection. If it is nil, the connection is closed with the code.
 	OnUnreadable func(code string)
-	// OnClose is called on the owner loop when the connection is closed, once, with the code of the reason.
+	// OnClose is called once on the owner loop, with the close code, when the connection has been closed. It may be nil.
 	OnClose func(code string)
-	// OnAuthenticated is called on the owner loop after a TLS handshake, with what VerifyChain made of the chain.
+	// OnAuthenticated is called on the owner loop after a TLS handshake, with the identity that VerifyChain returned, or
+	// nil if the client presented no certificate. It may be nil.
 	OnAuthenticated func(identity any)
 }
 
-// ParseError is why input can't be read: the code that its connection is closed with.
+// ParseError is the reason why input cannot be parsed. Its text is the code with which the connection is closed.
 type ParseError string
 
-// Error is the code.
+// Error returns the close code.
 func (e ParseError) Error() string { return string(e) }
 
-// ErrTooLong is a message that does not fit a buffer.
+// ErrTooLong reports a message that does not fit into a buffer of BufferSize bytes.
 const ErrTooLong ParseError = "too-long"
 
-// Conn is one connection. Its methods are for the owner loop.
+// Conn is a connection. Its methods must be called on the owner loop unless their comments state otherwise.
 type Conn struct {
 	net      *Net
 	peer     Peer
@@ -41,39 +42,41 @@
 	handler  Handler
 	tls      *tlsStream // nil on a plain connection
 
-	// resetOnClose has it closed without a lingering state: a connection for each call would otherwise leave all ports
-	// waiting for late bytes.
+	// resetOnClose makes the kernel reset the connection on close instead of keeping it in TIME_WAIT. With one
+	// connection per call, all local ports would otherwise end up in that state.
 	resetOnClose bool
-	// halfCloses has it closed by a half-close, so that the last responses reach a peer that is still sending. It is set
-	// for what was accepted.
+	// halfCloses makes Close shut down only the write side, so that the last responses reach a peer that is still
+	// sending. It is set for accepted connections.
 	halfCloses bool
 
-	// Owned by the goroutine that opens the connection; opened orders that before the poller's reading.
-	onOpen func(polled *nbio.Conn) // called before anything is read
+	// Owned by the goroutine that opens the connection. Setting opened makes its writes visible to the poller before it
+	// reads.
+	onOpen func(polled *nbio.Conn) // called before any input is read
 	opened atomic.Bool
 
-	// Owned by what reads: the poller, or under TLS the stream's goroutine.
-	partial      []byte       // a message that is not complete
-	partialSince atomic.Int64 // when it began, in Unix nanoseconds; 0: there is none
-	ignoresInput bool         // what comes is read, so that the peer's close is seen, and dropped
+	// Owned by the goroutine that reads: the poller, or with TLS the stream's goroutine.
+	partial      []byte       // an incomplete message
+	partialSince atomic.Int64 // time at which partial began, in Unix nanoseconds; 0 if there is none
+	ignoresInput bool         // input is read and discarded, so that a close by the peer is noticed
 
 	// Owned by the owner loop.
 	polled           *nbio.Conn
-	cancelDial       context.CancelFunc // nil: no dial is under way
-	output           []byte             // what the next flush writes
+	cancelDial       context.CancelFunc // nil if no dial is in progress
+	output           []byte             // buffered until the next flush; nil if empty
 	flushPending     bool
 	closed           bool
 	closeReason      string
-	unpolled         bool   // the poller does not watch it yet
-	outputBeforePoll []byte // to be written once it does; counted in Net.unreadBytes, not in unwritten
+	unpolled         bool   // the connection is open, but not yet registered with the poller
+	outputBeforePoll []byte // output held back while unpolled; counted in Net.unreadBytes, not in unwritten
 
-	// For any goroutine.
-	closeError atomic.Pointer[error] // why it has to be closed, where that is better known here than to the poller
-	unwritten  atomic.Int64          // bytes that the kernel has not taken
+	// Safe for concurrent use.
+	closeError atomic.Pointer[error] // reason for the close; it takes precedence over the error that the poller reports
+	unwritten  atomic.Int64          // bytes that the kernel has not accepted yet
 	closing    atomic.Bool
 }
 
-// newAccepted makes a Conn of what was accepted, under TLS if stream is not nil.
+// newAccepted returns a Conn for an accepted connection and passes it to OnAccept. The connection uses TLS if
+// stream is not nil.
 func (n *Net) newAccepted(polled *nbio.Conn, stream *tlsStream) *Conn {
 	n.acceptedConns.Add(1)
 	conn := &Conn{
@@ -89,9 +92,9 @@
 	return conn
 }
 
-// SetHandler sets the handler, for a connection that was accepted on the goroutine that calls Net.OnAccept, and for one
-// that is to be dialled before Dial.
+// SetHandler sets the handler. For an accepted connection it must be called by Net.OnAccept, on the same
+// goroutine; for a connection to be dialed, it must be called before Dial.
 func (c *Conn) SetHandler(handler Handler) { c.handler = handler }
 
-// Net is the poller of the connection. It may be called from any goroutine.
+// Net returns the Net to which the connection belongs. It may be called from any goroutine.
 func (c *Conn) Net() *Net { return c.net }
--- a/internal/transport/descriptor.go
+++ b/internal/transport/descriptor.go
@@ -10,21 +10,22 @@
 	"github.com/lesismal/nbio"
 )
 
-// closedFieldOffset is where nbio.Conn has its mark of being closed. The library holds its lock while it sets the
-// mark, and closes the descriptor after that; it tells of it on another goroutine, some time later, and can't be
-// asked. Whoever uses the descriptor beside it has to hold that lock and to see the mark unset, or acts on a later
-// connection with the same number. The lock is the first field of the struct; that both are where they are expected
-// is checked here.
+// closedFieldOffset is the offset of the unexported field closed in nbio.Conn. The library sets the field under
+// its mutex and closes the descriptor afterwards. It reports the close later, on another goroutine, and has no
+// method that returns the state. Code that uses the descriptor outside the library must hold the mutex and find
+// the field unset; otherwise it could act on a later connection with the same descriptor number. The mutex is the
+// first field of the struct. The initialization panics if either field is not where it is expected.
 var closedFieldOffset = func() uintptr {
 	conn := reflect.TypeFor[nbio.Conn]()
 	closed, found := conn.FieldByName("closed")
 	if !found || closed.Type.Kind() != reflect.Bool || conn.Field(0).Type != reflect.TypeFor[sync.Mutex]() {
-		panic("transport: nbio.Conn has another shape than that of v1.6.8")
+		panic("transport: layout of nbio.Conn differs from that of v1.6.8")
 	}
 	return closed.Offset
 }()
 
-// lockDescriptor locks the descriptor and tells whether it is open; only then unlockDescriptor has to be called.
+// lockDescriptor locks the descriptor and reports whether it is open. If it is open, the caller must call
+// unlockDescriptor; otherwise the descriptor is not locked.
 func (c *Conn) lockDescriptor() (fd int, open bool) {
 	if c.polled == nil {
 		return 0, false
@@ -34,16 +35,16 @@
 		c.descriptorMutex().Unlock()
 		return 0, false
 	}
-	return c.polled.Hash(), true // the library's hash is the descriptor
+	return c.polled.Hash(), true // Hash returns the descriptor
 }
 
 func (c *Conn) unlockDescriptor() { c.descriptorMutex().Unlock() }
 
 func (c *Conn) descriptorMutex() *sync.Mutex { return (*sync.Mutex)(unsafe.Pointer(c.polled)) }
 
-// shutdown ends one or both directions and leaves the closing to the poller, which hears of it: a descriptor that is
-// closed beside the poller is given out again at once, and an event that the poller has fetched for the old connection
-// would end the new one.
+// shutdown shuts down one or both directions and records reason, if it is not nil and the first one. The poller is
+// notified and closes the descriptor. If the descriptor were closed here, its number could be reused at once, and an
+// event that the poller has already fetched for the old connection would close the new one.
 func (c *Conn) shutdown(direction int, reason error) {
 	fd, open := c.lockDescriptor()
 	if !open {
@@ -53,10 +54,10 @@
 	if reason != nil {
 		c.closeError.CompareAndSwap(nil, &reason)
 	}
-	_ = syscall.Shutdown(fd, direction) // it fails if the peer has gone, and then the poller closes all the same
+	_ = syscall.Shutdown(fd, direction) // if it fails, the peer has disconnected and the poller closes the connection
 }
 
-// writeNow writes what the kernel takes now and tells how much that was.
+// writeNow writes as much as the kernel accepts without blocking and returns the number of bytes written.
 func (c *Conn) writeNow(b []byte) (int, error) {
 	fd, open := c.lockDescriptor()
 	if !open {
--- a/internal/transport/descriptor_test.go
+++ b/internal/transport/descriptor_test.go
@@ -11,8 +11,9 @@
 	"lanewheel/internal/rpc"
 )
 
-// The poller has fetched the ends of two connections when the owner ends them too, and new ones are accepted before the
-// poller goes on. The new ones live.
+// New connections that reuse the descriptor numbers of closed ones must stay open. The poller has already fetched
+// the close events of two connections when the owner loop aborts them as well, and new connections are accepted
+// before the poller handles the events.
 func Example_descriptorReuse() {
 	x := newTestNet()
 	_, first := x.connect()
@@ -25,7 +26,7 @@
 	releaseFirstRead := x.holdNextRead()
 	write(other, healthCheckMessage)
 	<-x.readHeld
-	// With the poller standing, in this order: something to read, and two ends.
+	// While the poller is blocked, these events occur in order: input on one connection, and the closes of two others.
 	releaseSecondRead := x.holdNextRead()
 	write(second, healthCheckMessage)
 	waitReady(s.Descriptor(), unix.POLLIN)
@@ -34,7 +35,7 @@
 	closeAll(fourth)
 	waitReady(s4.Descriptor(), unix.POLLRDHUP)
 	close(releaseFirstRead)
-	<-x.readHeld // it has fetched all three, and stands in the first
+	<-x.readHeld // the poller has fetched all three events, and is blocked in the first one
 	x.onOwner(func() { s3.Abort(); s4.Abort() })
 	var later []*rpc.ServerConn
 	for _, connect := range connects {
@@ -42,12 +43,12 @@
 	}
 	close(releaseSecondRead)
 	fmt.Println(<-x.closed, <-x.closed)
-	last, _ := x.connect() // the poller has taken all that it had fetched
+	last, _ := x.connect() // a response on it shows that the poller has handled all events it had fetched
 	write(last, healthCheckMessage)
 	fmt.Println(readHealthCheckResponse(last))
 	for _, s := range later {
 		if fd, open := s.LockDescriptor(); !open {
-			fmt.Println("a later one was ended:", fd)
+			fmt.Println("a new connection was closed:", fd)
 		} else {
 			s.UnlockDescriptor()
 		}
@@ -57,21 +58,21 @@
 	// 9401ce00000001c092c380
 }
 
-// A call's connection that its peer has ended is closed by its owner when its descriptor's number is a client's
-// already: the client's connection is left as it is.
+// The owner loop closes a connection to the database after the database has closed it and its descriptor number
+// has been reused for a client. The connection of the client must not be affected.
 func Example_closeAfterDescriptorReuse() {
 	x := newTestNet()
-	l := listen()
+	listener := listen()
 	var dbConns []*database.Conn
 	var remotes []net.Conn
 	for range 2 {
 		dialed := make(chan error, 1)
 		x.onOwner(func() {
-			conn := database.Dial(x.Net, l.Addr().String(), func(err error) { dialed <- err })
+			conn := database.Dial(x.Net, listener.Addr().String(), func(err error) { dialed <- err })
 			conn.OnClose, conn.OnReply = func(string) {}, func(database.Reply) {}
 			dbConns = append(dbConns, conn)
 		})
-		c, _ := l.Accept()
+		c, _ := listener.Accept()
 		remotes = append(remotes, c)
 		if err := <-dialed; err != nil {
 			panic(err)
@@ -81,13 +82,14 @@
 	x.onOwner(func() {
 		for i, conn := range dbConns {
 			closeAll(remotes[i])
-			// Until the poller has closed it, which the owner has not heard yet.
+			// Wait until the poller has closed the descriptor. The owner loop has not been notified yet.
 			for closed := false; !closed; time.Sleep(time.Millisecond) {
 				_, err := unix.FcntlInt(uintptr(conn.Descriptor()), unix.F_GETFD, 0)
 				closed = err == unix.EBADF
 			}
 		}
-		// What is accepted gets the lowest free number, and the poller's library a copy with the next one.
+		// An accepted connection gets the lowest free descriptor number, and the poller's library a duplicate with the
+		// next one.
 		reused, linger := false, 0
 		for _, connect := range connects {
 			s := connect()
--- a/internal/transport/detached.go
+++ b/internal/transport/detached.go
@@ -1,9 +1,9 @@
 package transport
 
-// Detached is a connection without a socket. Tests of codecs feed it bytes and look at what it would write.
+// Detached is a connection without a socket. Tests of codecs pass input to it and inspect its output.
 type Detached struct{ *Conn }
 
-// NewDetached makes a detached connection; what is posted to its owner loop runs at once.
+// NewDetached returns a detached connection. Functions passed to PostRead run immediately.
 func NewDetached() Detached {
 	return Detached{&Conn{net: &Net{
 		BufferPool: unpooledBuffers{},
@@ -15,10 +15,10 @@
 	}}}
 }
 
-// Receive takes bytes as if the poller had read them.
+// Receive handles b as if the poller had read it.
 func (d Detached) Receive(b []byte) { d.handleInput(b) }
 
-// Output is what the next flush would write, and whether one is pending.
+// Output returns the buffered output and reports whether a flush is pending.
 func (d Detached) Output() (output []byte, flushPending bool) {
 	return d.output, d.flushPending && len(d.net.unflushed) == 1
 }
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -10,23 +10,25 @@
 
 const (
 	dialTimeout = 2 * time.Second
-	// maxQueuedDials is how many dials to one kind of peer may wait: more than there are descriptors for.
+	// maxQueuedDials is the maximum number of dials waiting for one kind of peer. It exceeds the number of available
+	// descriptors.
 	maxQueuedDials = 1024
 )
 
-// DialOptions is what a connection that is dialled is like.
+// DialOptions configures a connection to be dialed.
 type DialOptions struct {
 	Peer         Peer
-	ResetOnClose bool // closed without a lingering state: for a connection that carries one call
+	ResetOnClose bool // reset on close instead of kept in TIME_WAIT; for a connection that carries one call
 }
 
-// NewDialed makes a connection that Dial opens.
+// NewDialed returns an unopened connection. Dial opens it.
 func (n *Net) NewDialed(options DialOptions) *Conn {
 	return &Conn{net: n, peer: options.Peer, resetOnClose: options.ResetOnClose, openedAt: time.Now()}
 }
 
-// Dial opens the connection. ready is called on the owner loop, with nil once the connection stands, or with why it
-// does not: then nothing was sent, and Handler.OnClose is not called.
+// Dial starts opening the connection. ready is called on the owner loop, with nil when the connection is
+// established, or with the error if the dial has failed. After an error nothing was sent, and Handler.OnClose is
+// not called.
 func (c *Conn) Dial(addr string, ready func(err error)) {
 	queue := c.net.dialQueue(c.peer)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -43,8 +45,9 @@
 	queue <- func() { c.connect(ctx, addr, finish) }
 }
 
-// dialQueue is the queue of the dials to a kind of peer. Its workers dial with the standard library: the poller's own
-// DialAsync (v1.6.8) takes the first four bytes of an address that has sixteen, and so connects to 0.0.0.0.
+// dialQueue returns the queue of dials to a kind of peer; the first call for a kind starts its workers. The
+// workers dial with the standard library because DialAsync of the poller (v1.6.8) uses the first four bytes of a
+// sixteen-byte address and so connects to 0.0.0.0.
 func (n *Net) dialQueue(peer Peer) chan func() {
 	if queue := n.dialQueues[peer]; queue != nil {
 		return queue
@@ -61,7 +64,7 @@
 	return queue
 }
 
-// connect runs on a worker; finish is called on the owner loop.
+// connect opens the connection. It runs on a dial worker; finish is called on the owner loop.
 func (c *Conn) connect(ctx context.Context, addr string, finish func(err error)) {
 	polled, err := c.dialSocket(ctx, addr)
 	if err != nil {
@@ -82,17 +85,17 @@
 		})
 	}
 	_, err = c.net.engine.AddConn(polled)
-	if !opened { // the library had no place for it, and tells nobody
+	if !opened { // the library's table has no entry for the descriptor, and it calls no callback
 		c.net.Post(func() { finish(err) })
 		return
 	}
-	c.net.Post(c.handlePolled) // if AddConn failed, the library has closed the connection, which is told
+	c.net.Post(c.handlePolled) // if AddConn failed, the library has closed the connection and calls handleClose
 }
 
-// dialSocket dials. Where the address swallows what is sent there, the dial would hold up the others to its kind of
-// peer: with ctx cancelled it ends at once, and one that has not begun does not begin.
+// dialSocket dials addr. A dial to an address that does not answer occupies a worker, and so delays other dials
+// to the same kind of peer. Canceling ctx ends the dial at once, or prevents it from starting.
 func (c *Conn) dialSocket(ctx context.Context, addr string) (*nbio.Conn, error) {
-	// No keepalive: it costs four system calls, and no connection stays open and silent here.
+	// Keepalive is disabled: it costs four system calls, and no dialed connection remains open and silent.
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	if c.net.LocalIP != nil {
 		dialer.LocalAddr = &net.TCPAddr{IP: c.net.LocalIP}
@@ -102,18 +105,19 @@
 		return nil, err
 	}
 	if c.resetOnClose {
-		_ = socket.(*net.TCPConn).SetLinger(0) // it fails only on a socket that is closed
+		_ = socket.(*net.TCPConn).SetLinger(0) // it fails only on a closed socket
 	}
 	polled, err := nbio.NBConn(socket)
 	if err != nil {
-		_ = socket.Close() // at the descriptor limit the second one that NBConn takes is refused, and the first would stay
+		_ = socket.Close() // at the descriptor limit NBConn cannot duplicate the descriptor and leaves the socket open
 		return nil, err
 	}
 	return polled, nil
 }
 
-// handlePolled writes what had to wait until the poller watches the connection: the library opens a connection before
-// that, and what the kernel does not take in between is kept by it and never written, as nobody is woken for it.
+// handlePolled writes the output that was held back until the connection was registered with the poller. The library
+// opens a connection before it registers it. Bytes that the kernel does not accept in between are kept by the library
+// and never written, because no event triggers the write.
 func (c *Conn) handlePolled() {
 	c.unpolled = false
 	output := c.outputBeforePoll
--- a/internal/transport/dial_test.go
+++ b/internal/transport/dial_test.go
@@ -19,7 +19,7 @@
 	"lanewheel/internal/transport"
 )
 
-// Small writes are never held back, on what is accepted and on what is dialled.
+// TCP_NODELAY is set on accepted and on dialed connections, so that small writes are not delayed.
 func Example_noDelay() {
 	x := newTestNet()
 	noDelay := func(conn *transport.Conn) int {
@@ -28,9 +28,9 @@
 	}
 	_, s := x.connect()
 	fmt.Println("accepted", noDelay(s.Conn))
-	l := listen()
-	defer closeAll(l) // kept until then: the collector closes one that is out of use, and what stands there is reset
-	addr := l.Addr().String()
+	listener := listen()
+	defer closeAll(listener) // keeps it reachable: when collected, it is closed and resets its connections
+	addr := listener.Addr().String()
 	var pendingDials sync.WaitGroup
 	ready := func(error) { pendingDials.Done() }
 	pendingDials.Add(3)
@@ -49,11 +49,12 @@
 	// dialled 1 1 1
 }
 
-// A dial that an address swallows can be cancelled at once, and holds up no other to its kind of peer.
+// Dials to an address that does not answer can be canceled immediately, and then do not delay other dials to the same
+// kind of peer.
 func Example_unansweredDials() {
 	x := newTestNet()
 	hole := blackHoleAddr()
-	l := listen()
+	listener := listen()
 	results := make(chan error, 99)
 	var conns []*database.Conn
 	x.onOwner(func() {
@@ -71,19 +72,19 @@
 	})
 	for range conns {
 		if err := <-results; err == nil {
-			fmt.Println("stands")
+			fmt.Println("connection established")
 		}
 	}
 	x.onOwner(func() {
-		database.Dial(x.Net, l.Addr().String(), func(err error) { results <- err }).OnClose = func(string) {}
+		database.Dial(x.Net, listener.Addr().String(), func(err error) { results <- err }).OnClose = func(string) {}
 	})
-	fmt.Println(<-results, time.Since(began) < 5*time.Second) // ten times two seconds otherwise
-	closeAll(l)
+	fmt.Println(<-results, time.Since(began) < 5*time.Second) // without cancellation, ten times the timeout of two seconds
+	closeAll(listener)
 	// Output:
 	// <nil> true
 }
 
-// blackHoleAddr gives an address whose queue is full: what connects there hears nothing.
+// blackHoleAddr returns the address of a listener whose queue is full, so that connection attempts are not answered.
 func blackHoleAddr() string {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
 	if err != nil {
@@ -105,9 +106,9 @@
 	}
 }
 
-// What is written to a connection that we dial before the poller watches it, more than the kernel takes at once,
-// comes whole, and the close behind it. The connection is handed to the poller only once the owner has taken that it
-// is open, so it always writes before.
+// Output written to a dialed connection before it is registered with the poller arrives completely, followed by the
+// close, even if it is more than the kernel accepts at once. The test delays the registration until the owner loop has
+// handled the opening of the connection, so the output is always written before.
 func Example_writeBeforePolled() {
 	smallReceiveBuffer := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { _ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 4096) })
@@ -120,13 +121,13 @@
 	x := newTestNet()
 	conn := x.NewDialed(transport.DialOptions{Peer: transport.PeerDatabase})
 	conn.SetHandler(transport.Handler{Parse: func([]byte) (int, func(), error) { return 0, nil, nil }})
-	const size = 150 << 10 // under the bound of what a peer may leave unread, over what the kernel takes
+	const size = 150 << 10 // less than a peer may leave unread, and more than the kernel accepts
 	post := x.Post
 	x.onOwner(func() {
-		var posted atomic.Bool
+		var firstPosted atomic.Bool
 		x.Post = func(calls ...func()) {
-			// The first is that of the open connection: who hands it in waits until the owner has taken it.
-			if !posted.CompareAndSwap(false, true) {
+			// The first call reports the open connection. It blocks the dial worker until the owner loop has handled it.
+			if !firstPosted.CompareAndSwap(false, true) {
 				post(calls...)
 				return
 			}
@@ -159,14 +160,14 @@
 	// true <nil>
 }
 
-// A dial that the library has no place for is refused and leaves nothing open.
+// A dial whose descriptor number exceeds the library's table fails and leaves no connection open.
 func Example_dialBeyondDescriptorTable() {
 	before := nbio.MaxOpenFiles
 	x := newTestNetWithLimit(64)
 	defer func() { nbio.MaxOpenFiles = before }()
 	listener := listen()
 	defer closeAll(listener)
-	for { // numbers up to the table's end are taken
+	for { // use up all descriptor numbers within the table
 		fd, err := unix.FcntlInt(0, unix.F_DUPFD_CLOEXEC, 3)
 		if err != nil {
 			panic(err)
@@ -185,7 +186,7 @@
 	case err := <-result:
 		fmt.Println(err != nil, x.DialedConns())
 	case <-time.After(10 * time.Second):
-		fmt.Println("not told")
+		fmt.Println("ready was not called")
 	}
 	c, err := listener.Accept()
 	if err != nil {
--- a/internal/transport/export_test.go
+++ b/internal/transport/export_test.go
@@ -2,26 +2,26 @@
 
 import "net"
 
-// What the tests outside the package need of its inside. They are outside because the codecs that they speak by
-// import it.
+// This file exports internals to the tests in package transport_test. These tests use codecs, which import this
+// package, and therefore cannot be part of it.
 
-// ListenAddr is the address of the first listener.
+// ListenAddr returns the address of the first listener.
 func (n *Net) ListenAddr() *net.TCPAddr { return n.listeners[0].Addr().(*net.TCPAddr) }
 
-// UnreadBytes is what all peers have left unread.
+// UnreadBytes returns the number of bytes that all peers have left unread.
 func (n *Net) UnreadBytes() int64 { return n.unreadBytes.Load() }
 
-// DialedConns is how many connections were dialled and are not closed.
+// DialedConns returns the number of open dialed connections, including dials in progress.
 func (n *Net) DialedConns() int64 { return n.dialedConns.Load() }
 
-// Descriptor is the number of the descriptor, whether it is open or not.
+// Descriptor returns the descriptor number, even if the descriptor has been closed.
 func (c *Conn) Descriptor() int { return c.polled.Hash() }
 
-// LockDescriptor is lockDescriptor.
+// LockDescriptor calls lockDescriptor.
 func (c *Conn) LockDescriptor() (fd int, open bool) { return c.lockDescriptor() }
 
-// UnlockDescriptor is unlockDescriptor.
+// UnlockDescriptor calls unlockDescriptor.
 func (c *Conn) UnlockDescriptor() { c.unlockDescriptor() }
 
-// FlushNow writes what was gathered for this connection.
+// FlushNow writes the buffered output of this connection.
 func (c *Conn) FlushNow() { c.flush() }
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -10,26 +10,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// acceptRetryInterval is some round trips on one machine: short against a request, long against what a core does in it.
+// acceptRetryInterval is the time between attempts to accept a connection: several round trips on one machine. It is
+// short compared to a request, and long enough that retrying takes little CPU time.
 const acceptRetryInterval = 2 * time.Millisecond
 
-// boundedListener is a listening socket that leaves in the backlog what is over the bound: at the descriptor limit
-// accepting fails again and again and uses up the core, and takes the descriptors of our own connections.
+// boundedListener is a listening socket that leaves connections beyond the limit in the backlog. Without the limit,
+// accepting would take the descriptors that dialed connections need; and at the descriptor limit it would fail
+// continuously and use up a CPU core.
 type boundedListener struct {
 	*net.TCPListener
 	net          *Net
-	atOtherLimit func() bool // a further bound; nil: none
+	atOtherLimit func() bool // reports whether a further limit has been reached; nil if there is none
 	closing      atomic.Bool
-	allAccepted  atomic.Bool   // all that was accepted has been handed over, and nothing more will be
-	neverClosed  chan struct{} // never closed
+	allAccepted  atomic.Bool   // all accepted connections have been passed on, and no more will be accepted
+	neverClosed  chan struct{} // blocks Accept after the listener has been closed
 }
 
-// Accept waits for room under the bound and for a connection.
+// Accept waits until the number of connections is below the limit, and then for a connection. It never returns an
+// error. After the listener has been closed it blocks forever.
 func (l *boundedListener) Accept() (net.Conn, error) {
 	for {
 		if l.closing.Load() {
 			l.allAccepted.Store(true)
-			<-l.neverClosed // the poller would ask again at once, for ever
+			<-l.neverClosed // the poller would call Accept again at once, in an endless loop
 		}
 		if l.full() {
 			l.net.Post(l.net.OnFull)
@@ -40,8 +43,9 @@
 		if err == nil {
 			return conn, nil
 		}
-		// The descriptors may be used up below the configured limit, by others in the process or by a lower limit of the
-		// machine. OnFull makes room by closing an unused connection, and accepting goes on.
+		// The descriptors may be exhausted below the configured limit, because other code in the process uses them or
+		// because the limit of the machine is lower. OnFull makes room by closing an unused connection, and accepting
+		// continues.
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 			l.net.Post(l.net.OnFull)
 		}
@@ -49,8 +53,9 @@
 	}
 }
 
-// full tells whether there is no room for a further connection. After RefuseNew all that is in the backlog is let in,
-// as far as the descriptors go, as it would be reset with the listening socket, with the requests written there.
+// full reports whether there is no room for another connection. After RefuseNew all connections in the backlog
+// are accepted, within the limit MaxConns: closing the listening socket would reset them, and the requests
+// already written to them would be lost.
 func (l *boundedListener) full() bool {
 	accepted := l.net.acceptedConns.Load()
 	if l.net.refusing.Load() {
@@ -59,41 +64,43 @@
 	return accepted >= l.net.MaxAccepted || l.atOtherLimit != nil && l.atOtherLimit()
 }
 
-// RefuseNew has the kernel drop what asks for a connection from here on; connections that stand already are accepted
-// until CloseListeners. A listening socket that is closed without it resets what it has not accepted yet, and the
-// requests written there are lost.
+// RefuseNew makes the kernel drop new connection requests. Connections already established are still accepted until
+// CloseListeners is called. Closing a listening socket without this step resets the connections that are not accepted
+// yet, and the requests written to them are lost.
 func (n *Net) RefuseNew() {
 	n.refusing.Store(true)
 	dropAll := unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K}
 	n.controlListeners(func(fd int) {
-		// A kernel that refuses the filter lets connections come until CloseListeners.
+		// If the kernel rejects the filter, new connections are established until CloseListeners is called.
 		_ = unix.SetsockoptSockFprog(fd, unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &unix.SockFprog{Len: 1, Filter: &dropAll})
 	})
 }
 
-// HasBacklog tells whether connections stand that were not accepted yet. It is for the time after RefuseNew.
+// HasBacklog reports whether there are established connections that are not accepted yet. It is meant to be
+// called after RefuseNew.
 func (n *Net) HasBacklog() bool {
 	waiting := false
 	n.controlListeners(func(fd int) {
-		// Of a listening socket Unacked is the length of its queue. Where the kernel does not tell, none is known to wait.
+		// For a listening socket, Unacked is the length of its accept queue. If the kernel does not report it, the queue is
+		// taken to be empty.
 		info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 		waiting = waiting || err == nil && info.Unacked > 0
 	})
 	return waiting
 }
 
-// controlListeners calls f with the descriptor of each listening socket that is open.
+// controlListeners calls f with the descriptor of each open listening socket.
 func (n *Net) controlListeners(f func(fd int)) {
 	for _, listener := range n.listeners {
 		raw, err := listener.SyscallConn()
 		if err != nil {
 			continue
 		}
-		_ = raw.Control(func(fd uintptr) { f(int(fd)) }) // it fails on a socket that is closed
+		_ = raw.Control(func(fd uintptr) { f(int(fd)) }) // it fails on a closed socket
 	}
 }
 
-// AllAccepted tells, after CloseListeners, whether all connections that were accepted have been handed to Net.OnAccept.
+// AllAccepted reports, after CloseListeners, whether all accepted connections have been passed to Net.OnAccept.
 func (n *Net) AllAccepted() bool {
 	for _, listener := range n.listeners {
 		if !listener.allAccepted.Load() {
@@ -103,10 +110,10 @@
 	return true
 }
 
-// CloseListeners closes the listening sockets.
+// CloseListeners closes the listening sockets. Accepted connections remain open.
 func (n *Net) CloseListeners() {
 	for _, listener := range n.listeners {
 		listener.closing.Store(true)
-		_ = listener.Close() // nothing listens there any more, either way
+		_ = listener.Close() // even if this fails, no more connections are accepted
 	}
 }
--- a/internal/transport/net.go
+++ b/internal/transport/net.go
@@ -1,10 +1,11 @@
-// Package transport keeps the connections of a process: one poller that reads them all, dialling, TLS, and the buffers
-// that messages are read into and written from. What the bytes mean is a codec's business: a Handler cuts the messages
-// off the front, and packages rpc, runtimelink and database bring one each.
+// Package transport manages the connections of a process: one poller that reads all of them, dialing, TLS, and
+// the buffers for input and output. It does not interpret the bytes. A codec provides a Handler that parses them
+// into messages; packages rpc, runtimelink and database contain one codec each.
 //
-// Two goroutines matter. The poller reads, and has the Handler's Parse cut what it read into closures; the owner loop,
-// which Net.Post and Net.PostRead reach, runs these closures and alone calls the other methods of Net and Conn, except
-// where a method says otherwise.
+// Two goroutines are involved. The poller reads, and calls Handler.Parse to turn the input into closures. The
+// owner loop runs these closures, which it receives by Net.Post and Net.PostRead. All other methods of Net and
+// Conn must be called on the owner loop, unless their comments state otherwise. With TLS, a goroutine of the
+// connection calls Parse.
 package transport
 
 import (
@@ -22,54 +23,57 @@
 	"lanewheel/internal/logging"
 )
 
-// BufferSize is the one size of all buffers, in bytes: the longest line of the runtime, a result of 4 KiB in base64
+// BufferSize is the size of all buffers, in bytes. The longest line of the runtime, a result of 4 KiB in base64
 // with its fields, takes 6 KiB.
 const BufferSize = 8 << 10
 
-// maxUnwritten is what one peer may leave unread, in bytes: the responses to 32 requests with the longest results.
+// maxUnwritten is the maximum number of bytes that one peer may leave unread. The responses to 32 requests with the
+// longest results fit into it.
 const maxUnwritten = 160 << 10
 
-// BufferPool is the pool that buffers are taken from and given back to.
+// BufferPool provides buffers and takes them back. Its methods must be safe for concurrent use.
 type BufferPool interface {
-	Get() []byte // empty, with a capacity of BufferSize
-	Put([]byte)
+	Get() []byte // returns an empty buffer with a capacity of BufferSize
+	Put([]byte)  // returns a buffer to the pool
 }
 
-// Net is the one poller that all connections share. The exported fields are set before Start.
+// Net is the poller shared by all connections, with their limits. The exported fields must be set before Start,
+// except ReadTokens and ReadHops, which may be changed at any time.
 type Net struct {
 	BufferPool
-	Post     func(...func()) // hands closures to the owner loop; never waits
-	PostRead func(...func()) // waits while the owner loop has too much to do; for the poller's reading alone
+	Post     func(...func()) // passes functions to the owner loop; never blocks
+	PostRead func(...func()) // like Post, but blocks while the owner loop is overloaded; only for goroutines that read
 	OnAccept func(*Conn)     // called for each accepted connection, on the goroutine that accepted it
-	OnFull   func()          // called on the owner loop: a connection waits for room under MaxAccepted
+	OnFull   func()          // called on the owner loop when a limit prevents accepting a connection
 
-	MaxAccepted    int64  // accepted connections at a time
-	MaxConns       int64  // connections at a time, accepted and dialled; 0: only MaxAccepted bounds them
-	MaxDescriptors int    // descriptors that the process may have; 0: not configured
-	LocalIP        net.IP // the address to dial from; nil: any
-	MaxUnread      int64  // in bytes, of all peers; beyond it a peer that leaves more than a few unread is closed
+	MaxAccepted    int64  // maximum number of open accepted connections
+	MaxConns       int64  // maximum number of open connections, accepted and dialed; 0 if only MaxAccepted limits them
+	MaxDescriptors int    // maximum number of descriptors of the process; 0 if not configured
+	LocalIP        net.IP // local address of dialed connections; nil for any
+	MaxUnread      int64  // limit on the unread bytes of all peers; beyond it, a peer with more than 16 KiB is closed
 
-	// ReadTokens has the codec of client requests read their tokens; else the field is skipped like an unknown one.
+	// ReadTokens makes the codec of client requests read their tokens; otherwise it skips the field like an unknown one.
 	ReadTokens atomic.Bool
-	// ReadHops has the codec of client requests read how many processes have forwarded a request.
+	// ReadHops makes the codec of client requests read the number of processes that have forwarded a request; otherwise
+	// it skips the field.
 	ReadHops atomic.Bool
 
 	engine      *nbio.Engine
 	listeners   []*boundedListener
-	tlsListener *tlsListener // nil: no listener with TLS
+	tlsListener *tlsListener // nil if there is no TLS listener
 
 	// Owned by the owner loop.
 	unflushed    []*Conn
 	dialQueues   map[Peer]chan func()
-	closeSampler logging.Sampler[closeKind] // connections that were closed in this second
+	closeSampler logging.Sampler[closeKind] // limits the log lines on closed connections
 
-	acceptedConns atomic.Int64 // connections that were accepted and are not closed
-	dialedConns   atomic.Int64 // connections that are being dialled, or were and are not closed
-	unreadBytes   atomic.Int64 // written to all connections and not taken by their peers yet
+	acceptedConns atomic.Int64 // open accepted connections
+	dialedConns   atomic.Int64 // open dialed connections, and dials in progress
+	unreadBytes   atomic.Int64 // bytes written to all connections and not accepted by the kernel yet
 	refusing      atomic.Bool  // RefuseNew was called
 }
 
-// Start listens at the address and starts the poller.
+// Start listens on addr and starts the poller. It must be called before the owner loop runs.
 func (n *Net) Start(addr string) error {
 	nbiolog.SetLevel(nbiolog.LevelError)
 	n.dialQueues = map[Peer]chan func(){}
@@ -81,7 +85,7 @@
 		Listen:                       n.listen,
 		ReadBufferSize:               BufferSize,
 		MaxWriteBufferSize:           maxUnwritten,
-		MaxConnReadTimesPerEventLoop: 16, // 128 KiB of one peer before the next one's turn
+		MaxConnReadTimesPerEventLoop: 16, // reads at most 128 KiB from one peer before the next peer's turn
 	})
 	n.engine.OnOpen(n.handleOpen)
 	n.engine.OnData(handleData)
@@ -131,7 +135,7 @@
 	if !isConn {
 		return
 	}
-	if conn.opened.Load() && conn.halfCloses { // it was accepted, and counted
+	if conn.opened.Load() && conn.halfCloses { // the connection was accepted and counted
 		n.acceptedConns.Add(-1)
 	}
 	if conn.tls != nil {
@@ -142,10 +146,11 @@
 
 var descriptorTableMutex sync.Mutex // guards nbio.MaxOpenFiles
 
-// limitDescriptorTable sizes the library's table of connections, an entry for each number that a descriptor may have,
-// by the configured limit. Its default is the machine's limit, which may be a million: 8 MB that the collector reads
-// through, an eighth of a small instance. The kernel gives out the lowest number that is free, so twice the limit and
-// what a parent may leave open is far above all that are used.
+// limitDescriptorTable limits the size of the library's connection table, which has one entry per possible
+// descriptor number. The default size is the descriptor limit of the machine, which may be a million: 8 MB that
+// the garbage collector scans, an eighth of the memory of a small instance. The kernel assigns the lowest free
+// number. Twice the configured limit, plus 1024 for descriptors inherited from a parent process, is therefore far
+// above all numbers in use.
 func (n *Net) limitDescriptorTable() {
 	descriptorTableMutex.Lock()
 	defer descriptorTableMutex.Unlock()
@@ -154,14 +159,14 @@
 	}
 }
 
-// closeKind is what closed connections are counted by.
+// closeKind is the key by which the log lines on closed connections are counted.
 type closeKind struct {
 	peer Peer
 	code string
 }
 
-// Flush writes what was gathered since the last call, each connection's messages together, and once a second logs a
-// line for each kind of close of which some were left out.
+// Flush writes the output buffered since the last call, all messages of a connection together. Once a second it
+// logs, for each kind of close, the number of closes that were not logged individually.
 func (n *Net) Flush() {
 	for _, conn := range n.unflushed {
 		conn.flushPending = false
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -1,11 +1,11 @@
 package transport
 
-// Peer is the kind of program at the other end of a connection. Dials to one kind wait only for others of that kind.
+// Peer is the kind of program at the other end of a connection. Dials wait only for other dials to the same kind.
 type Peer uint8
 
 // The kinds of peers.
 const (
-	PeerClient   Peer = iota // a client, or a proxy on behalf of clients: it was accepted
+	PeerClient   Peer = iota // a client, or a proxy on behalf of clients; the kind of all accepted connections
 	PeerRuntime              // the runtime
 	PeerDatabase             // a database or another upstream service
 	PeerInstance             // an instance that requests are forwarded to
@@ -18,12 +18,12 @@
 	PeerInstance: "instance",
 }
 
-// String is the peer as the log has it.
+// String returns the name of the kind as it is logged.
 func (p Peer) String() string { return peerNames[p] }
 
-// dialWorkers is how many dials to peers of this kind go on at a time.
+// dialWorkers returns the maximum number of concurrent dials to peers of this kind.
 func (p Peer) dialWorkers() int {
-	if p == PeerInstance { // there are hundreds, and dials to a lost zone hang until they time out
+	if p == PeerInstance { // there may be hundreds, and dials to an unreachable zone block until they time out
 		return 32
 	}
 	return 4
--- a/internal/transport/read.go
+++ b/internal/transport/read.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// handleInput cuts whole messages off the bytes and hands them over together. It runs on the poller, or on the goroutine
-// of a TLS stream.
+// handleInput parses the complete messages in b, together with a partial message before it, and passes their
+// handlers to the owner loop in one call. It runs on the poller, or on the goroutine of a TLS stream.
 func (c *Conn) handleInput(b []byte) {
 	var calls []func()
 	err := c.parseInput(b, &calls)
@@ -29,7 +29,8 @@
 	c.Close(code)
 }
 
-// parseInput parses the bytes behind the partial message, if there is one, and keeps what is not complete.
+// parseInput parses b, which continues the partial message if there is one, and stores an incomplete message at
+// its end.
 func (c *Conn) parseInput(b []byte, calls *[]func()) error {
 	for len(b) > 0 && !c.ignoresInput && !c.closing.Load() {
 		if len(c.partial) == 0 {
@@ -44,7 +45,7 @@
 	return nil
 }
 
-// parseWithoutPartial parses bytes that begin with a message.
+// parseWithoutPartial parses b, which starts at the beginning of a message, and stores an incomplete rest.
 func (c *Conn) parseWithoutPartial(b []byte, calls *[]func()) error {
 	n, err := c.parseMessages(b, calls)
 	b = b[n:]
@@ -62,7 +63,8 @@
 	return nil
 }
 
-// parseWithPartial takes as many of the bytes as fit behind the partial message, and parses both.
+// parseWithPartial appends as many bytes of b to the partial message as fit into a buffer, parses the result, and
+// returns the number of bytes taken.
 func (c *Conn) parseWithPartial(b []byte, calls *[]func()) (taken int, err error) {
 	taken = min(len(b), BufferSize-len(c.partial))
 	if taken == 0 {
@@ -80,6 +82,7 @@
 	return taken, err
 }
 
+// parseMessages parses the complete messages at the start of b and returns the number of bytes used.
 func (c *Conn) parseMessages(b []byte, calls *[]func()) (used int, err error) {
 	for used < len(b) && !c.ignoresInput {
 		n, call, err := c.handler.Parse(b[used:])
@@ -94,10 +97,11 @@
 	return used, nil
 }
 
-// IgnoreInput drops what comes behind the message that is being parsed. It is for Handler.Parse alone.
+// IgnoreInput discards all input after the message that is being parsed. It must be called only by Handler.Parse.
 func (c *Conn) IgnoreInput() { c.ignoresInput = true }
 
-// PartialFor tells for how long a message has been incomplete; 0: there is none.
+// PartialFor returns how long the message being received has been incomplete, or 0 if there is none. It may be called
+// from any goroutine.
 func (c *Conn) PartialFor(now time.Time) time.Duration {
 	if since := c.partialSince.Load(); since != 0 {
 		return now.Sub(time.Unix(0, since))
@@ -105,5 +109,5 @@
 	return 0
 }
 
-// HasPartial tells whether a part of a message was read.
+// HasPartial reports whether an incomplete message has been received. It may be called from any goroutine.
 func (c *Conn) HasPartial() bool { return c.partialSince.Load() != 0 }
--- a/internal/transport/testnet_test.go
+++ b/internal/transport/testnet_test.go
@@ -16,20 +16,21 @@
 	"lanewheel/internal/transport"
 )
 
-// testNet is connections on real sockets whose poller and owner loop a test holds where it wants them.
+// testNet is a Net on real sockets with an owner loop. A test can block its poller and run functions on the owner
+// loop.
 type testNet struct {
 	*transport.Net
 	posted    chan func()
 	accepted  chan *rpc.ServerConn
-	readHolds chan chan struct{} // one for each reading that is to be held
-	readHeld  chan struct{}      // the poller stands in such a reading
+	readHolds chan chan struct{} // one channel for each read to be blocked
+	readHeld  chan struct{}      // receives when the poller is blocked in such a read
 	closed    chan string
-	peers     []net.Conn // kept, as the collector would close one that is out of use
+	peers     []net.Conn // kept reachable: the garbage collector would close unused ones
 }
 
 func newTestNet() *testNet { return newTestNetWithLimit(0) }
 
-// newTestNetWithLimit has a configured limit of descriptors.
+// newTestNetWithLimit returns a started testNet with a configured descriptor limit; 0 is none.
 func newTestNetWithLimit(maxDescriptors int) *testNet {
 	x := &testNet{
 		posted:    make(chan func(), 1000),
@@ -89,21 +90,21 @@
 func (unpooledBuffers) Get() []byte { return make([]byte, 0, transport.BufferSize) }
 func (unpooledBuffers) Put([]byte)  {}
 
-// holdNextRead has the next reading stand until free is closed.
+// holdNextRead blocks the poller in the next read until release is closed.
 func (x *testNet) holdNextRead() (release chan struct{}) {
 	release = make(chan struct{})
 	x.readHolds <- release
 	return release
 }
 
-// onOwner runs on the owner.
+// onOwner runs f on the owner loop and waits until it has returned.
 func (x *testNet) onOwner(f func()) {
 	done := make(chan struct{})
 	x.posted <- func() { f(); close(done) }
 	<-done
 }
 
-// connect connects and gives both ends.
+// connect opens a client connection and returns both ends.
 func (x *testNet) connect() (net.Conn, *rpc.ServerConn) {
 	var dialer net.Dialer
 	c, err := dialer.DialContext(context.Background(), "tcp", x.ListenAddr().String())
@@ -114,8 +115,8 @@
 	return c, <-x.accepted
 }
 
-// prepareConnects gives calls that connect, with sockets that there are already, and give our end: no descriptor
-// number goes to a peer meanwhile.
+// prepareConnects creates n sockets and returns functions that connect them and return the server's end. As the
+// sockets already exist, connecting them does not allocate descriptors for the client's ends.
 func (x *testNet) prepareConnects(n int) (connects []func() *rpc.ServerConn) {
 	addr := x.ListenAddr()
 	for range n {
@@ -149,14 +150,14 @@
 	return fmt.Sprintf("%d bytes, %v", n, err)
 }
 
-// waitReady waits until the kernel has something for a descriptor.
+// waitReady waits until the kernel reports one of the events for a descriptor.
 func waitReady(fd int, events int16) {
 	p := []unix.PollFd{{Fd: int32(fd), Events: events}}
 	for {
 		if n, err := unix.Poll(p, 10000); n == 1 && p[0].Revents&events != 0 {
 			return
 		} else if !errors.Is(err, syscall.EINTR) {
-			panic(fmt.Sprint("nothing comes: ", n, err))
+			panic(fmt.Sprint("descriptor is not ready: ", n, err))
 		}
 	}
 }
@@ -170,14 +171,14 @@
 	return listener
 }
 
-// write writes to a connection that stands.
+// write writes b to c and panics if that fails.
 func write(c net.Conn, b []byte) {
 	if _, err := c.Write(b); err != nil {
 		panic(err)
 	}
 }
 
-// closeAll closes what was not closed before.
+// closeAll closes all closers and panics if closing one fails.
 func closeAll(closers ...io.Closer) {
 	for _, closer := range closers {
 		if err := closer.Close(); err != nil {
--- a/internal/transport/tls_listener.go
+++ b/internal/transport/tls_listener.go
@@ -12,27 +12,27 @@
 	"golang.org/x/time/rate"
 )
 
-// TLSListener configures a further listener, with TLS.
+// TLSListener configures an additional listener that uses TLS.
 type TLSListener struct {
 	Addr string
-	// Config gives the configuration for the next handshake. It is called on the connection's goroutine, and what it
-	// returned is not changed any more.
+	// Config returns the configuration for the next handshake. It is called on the connection's goroutine. The returned
+	// value must not be modified afterwards.
 	Config func() *tls.Config
-	// VerifyChain gives the identity that a client's chain proves, or a code for why it proves none. It is called on the
-	// connection's goroutine.
+	// VerifyChain returns the identity that a client's certificate chain proves, or the code of the reason why it proves
+	// none, with which the connection is closed. It is called on the connection's goroutine.
 	VerifyChain         func(chain []*x509.Certificate) (identity any, code string)
-	MaxHandshakes       int64   // handshakes at a time
-	HandshakesPerSecond float64 // handshakes begun
+	MaxHandshakes       int64   // maximum number of concurrent handshakes
+	HandshakesPerSecond float64 // maximum rate at which handshakes are started
 }
 
 type tlsListener struct {
 	TLSListener
-	baseConfig *tls.Config  // holds the keys of session tickets, whatever Config gives
-	handshakes atomic.Int64 // handshakes under way
+	baseConfig *tls.Config  // holds the session ticket keys, regardless of what Config returns
+	handshakes atomic.Int64 // handshakes in progress
 	limiter    *rate.Limiter
 }
 
-// ListenTLS listens for connections with TLS. It is called after Start, before the owner loop runs.
+// ListenTLS listens for TLS connections. It must be called after Start and before the owner loop runs.
 func (n *Net) ListenTLS(config TLSListener) error {
 	socket, err := (&net.ListenConfig{KeepAlive: -1}).Listen(context.Background(), "tcp", config.Addr)
 	if err != nil {
@@ -48,7 +48,7 @@
 	bounded := &boundedListener{
 		TCPListener: socket.(*net.TCPListener),
 		net:         n,
-		// Many handshakes at a time would take the core, or the memory, from those who are connected.
+		// Many concurrent handshakes would take CPU time and memory from established connections.
 		atOtherLimit: func() bool { return listener.handshakes.Load() >= listener.MaxHandshakes },
 		neverClosed:  make(chan struct{}),
 	}
@@ -57,17 +57,17 @@
 	return nil
 }
 
-// configFor is the configuration of one handshake, which leaves the identity in the connection's stream.
+// configFor returns the configuration of one handshake. The handshake stores the identity in the connection's stream.
 func (l *tlsListener) configFor(hello *tls.ClientHelloInfo) (*tls.Config, error) {
 	stream, isStream := hello.Conn.(*tlsStream)
 	if !isStream {
 		return nil, errors.New("tls handshake on a connection of another listener")
 	}
 	config := l.Config().Clone()
-	// Unlike VerifyPeerCertificate it is called for a resumed session too, which must not outlive a certificate that was
-	// revoked.
+	// Unlike VerifyPeerCertificate, VerifyConnection is also called for resumed sessions: a session must not be resumed
+	// after its certificate has been revoked.
 	config.VerifyConnection = func(state tls.ConnectionState) error {
-		if len(state.PeerCertificates) == 0 { // where one is required, crypto/tls has refused the handshake
+		if len(state.PeerCertificates) == 0 { // if a certificate is required, crypto/tls has already rejected the handshake
 			return nil
 		}
 		identity, code := l.VerifyChain(state.PeerCertificates)
@@ -82,26 +82,27 @@
 
 func (n *Net) acceptTLS(listener *boundedListener) {
 	for {
-		_ = n.tlsListener.limiter.Wait(context.Background()) // it fails only with its context, or a burst of 0
+		_ = n.tlsListener.limiter.Wait(context.Background()) // it fails only if the context ends or the burst is 0
 		socket, err := listener.Accept()
 		if err != nil {
 			return
 		}
 		polled, err := nbio.NBConn(socket)
 		if err != nil {
-			_ = socket.Close() // there is no descriptor for it, and nothing was read or written
+			_ = socket.Close() // no descriptor is available, and nothing was read or written
 			continue
 		}
 		stream := newTLSStream(polled, n.tlsListener.baseConfig)
 		n.tlsListener.handshakes.Add(1)
 		stream.owner = n.newAccepted(polled, stream)
-		stream.owner.onOpen = func(*nbio.Conn) {} // it stands already
+		stream.owner.onOpen = func(*nbio.Conn) {} // the Conn is already set up
 		go stream.serve()
-		_, _ = n.engine.AddConn(polled) // a failure closes it, which is told
+		_, _ = n.engine.AddConn(polled) // on failure the library closes the connection and calls handleClose
 	}
 }
 
-// Handshakes tells how many handshakes are under way, and how many may be.
+// Handshakes returns the number of handshakes in progress and its limit. Without a TLS listener, the
+// limit is 1.
 func (n *Net) Handshakes() (active, limit int64) {
 	if n.tlsListener == nil {
 		return 0, 1
@@ -109,10 +110,11 @@
 	return n.tlsListener.handshakes.Load(), n.tlsListener.MaxHandshakes
 }
 
-// Handshaking tells whether the connection is still in its handshake.
+// Handshaking reports whether the TLS handshake of the connection has not been completed. It may be called from any
+// goroutine.
 func (c *Conn) Handshaking() bool { return c.tls != nil && !c.tls.established.Load() }
 
-// verifyError is a code for why a certificate proves nothing.
+// verifyError is the code of the reason why VerifyChain rejected a certificate chain.
 type verifyError string
 
 func (e verifyError) Error() string { return string(e) }
--- a/internal/transport/tls_stream.go
+++ b/internal/transport/tls_stream.go
@@ -14,26 +14,27 @@
 	"github.com/lesismal/nbio"
 )
 
-// tlsStream lies between a connection's TLS and the poller: crypto/tls takes it for a net.Conn whose reads wait and
-// whose writes do not. The poller reads and writes its socket as all others, and what it reads is fed to one
-// goroutine a connection, which shakes hands and decrypts. What is written is encrypted where it is written, and
-// never waits. docs/identity.md says what else was weighed.
+// tlsStream connects crypto/tls with the poller. For crypto/tls it is a net.Conn whose reads block and whose
+// writes do not. The poller reads and writes the socket like any other, and passes the input to a goroutine of
+// the connection, which performs the handshake and decrypts. Output is encrypted on the goroutine that writes it,
+// which never blocks. docs/identity.md describes the alternatives considered.
 type tlsStream struct {
 	conn        *tls.Conn
 	polled      *nbio.Conn
 	owner       *Conn
-	identity    any         // what the handshake proved; written and read by the goroutine that runs serve
-	established atomic.Bool // the handshake is over, and went well
+	identity    any         // result of VerifyChain; owned by the goroutine that runs serve
+	established atomic.Bool // the handshake has succeeded
 
 	mu       sync.Mutex
-	readable sync.Cond // Read waits for it: there is input, or err
-	consumed sync.Cond // the poller waits for it in receive: there is room for input, or err
+	readable sync.Cond // signaled when input or err is set; Read waits for it
+	consumed sync.Cond // signaled when input has been consumed or err is set; the poller waits for it in receive
 	input    []byte    // guarded by mu
-	err      error     // guarded by mu; nothing more is read
+	err      error     // guarded by mu; returned by Read once input is empty
 }
 
-// maxEncryptedInput is how many bytes may wait to be decrypted before the poller waits: some records. It waits only
-// while the owner loop has so much to do that plain connections wait too.
+// maxEncryptedInput is the number of bytes waiting for decryption, equal to several TLS records, above which the
+// poller waits. It waits only while the owner loop is so overloaded that reading from plain connections blocks as
+// well.
 const maxEncryptedInput = 64 << 10
 
 func newTLSStream(polled *nbio.Conn, config *tls.Config) *tlsStream {
@@ -44,10 +45,10 @@
 	return stream
 }
 
-// serve shakes hands and reads until the connection ends.
+// serve performs the handshake and reads until the connection ends. It runs on the connection's goroutine.
 func (s *tlsStream) serve() {
 	n := s.owner.net
-	// The front end closes a connection whose handshake takes too long.
+	// A context without a deadline is enough because the front end closes connections whose handshake takes too long.
 	err := s.conn.HandshakeContext(context.Background())
 	s.established.Store(err == nil)
 	n.tlsListener.handshakes.Add(-1)
@@ -69,8 +70,8 @@
 		}
 	}
 	n.Put(buffer)
-	// The client has ended its side, or sent what can't be decrypted. Nobody reads on, and the poller must not wait in
-	// receive for somebody who does.
+	// The client has closed its side, or sent data that cannot be decrypted. Nothing reads the input from now on, so the
+	// poller must not wait in receive for it to be consumed.
 	s.endInput(io.EOF)
 	n.Post(func() {
 		if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
@@ -80,7 +81,7 @@
 	})
 }
 
-// closeUnauthenticated closes the connection after a handshake that failed.
+// closeUnauthenticated closes the connection after a failed handshake.
 func (s *tlsStream) closeUnauthenticated(err error) {
 	code := codeHandshakeFailed
 	var reason verifyError
@@ -93,7 +94,8 @@
 	})
 }
 
-// receive takes what the poller has read, and waits while too much of it is not decrypted yet.
+// receive appends bytes that the poller has read to the input, and waits while the input exceeds
+// maxEncryptedInput. After endInput it discards them. It is called on the poller.
 func (s *tlsStream) receive(b []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +112,8 @@
 	s.readable.Signal()
 }
 
-// endInput has Read fail from now on, once the input is read, and receive drop what comes.
+// endInput makes Read return err once the remaining input has been read, and receive discard further input. It may be
+// called from any goroutine.
 func (s *tlsStream) endInput(err error) {
 	s.mu.Lock()
 	s.err = err
@@ -119,7 +122,7 @@
 	s.consumed.Broadcast()
 }
 
-// Read gives input to decrypt, and waits for it.
+// Read returns input to decrypt. It blocks until there is input, or endInput has been called.
 func (s *tlsStream) Read(b []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,31 +142,32 @@
 	return n, nil
 }
 
-// Write counts and writes what TLS has encrypted. It is called on the owner loop, and by serve during the handshake.
+// Write counts encrypted bytes as unread and sends them. It is called on the owner loop, and by serve during the
+// handshake. It never blocks and never returns an error.
 func (s *tlsStream) Write(b []byte) (int, error) {
 	s.owner.net.unreadBytes.Add(int64(len(b)))
 	s.owner.transmit(b)
 	return len(b), nil
 }
 
-// Close ends both directions; the poller closes the descriptor.
+// Close shuts down both directions; the poller closes the descriptor.
 func (s *tlsStream) Close() error {
 	s.endInput(io.EOF)
 	s.owner.shutdown(syscall.SHUT_RDWR, nil)
 	return nil
 }
 
-// LocalAddr is the address of our end.
+// LocalAddr returns the local address.
 func (s *tlsStream) LocalAddr() net.Addr { return s.polled.LocalAddr() }
 
-// RemoteAddr is the address of the peer's end.
+// RemoteAddr returns the address of the peer.
 func (s *tlsStream) RemoteAddr() net.Addr { return s.polled.RemoteAddr() }
 
-// SetDeadline does nothing: who waits too long is closed by the front end.
+// SetDeadline does nothing. The front end closes connections that wait too long.
 func (s *tlsStream) SetDeadline(time.Time) error { return nil }
 
-// SetReadDeadline does nothing, like SetDeadline.
+// SetReadDeadline does nothing, for the same reason as SetDeadline.
 func (s *tlsStream) SetReadDeadline(time.Time) error { return nil }
 
-// SetWriteDeadline does nothing: writes do not wait.
+// SetWriteDeadline does nothing, because writes do not block.
 func (s *tlsStream) SetWriteDeadline(time.Time) error { return nil }
--- a/internal/transport/transporttest/splits.go
+++ b/internal/transport/transporttest/splits.go
@@ -1,4 +1,4 @@
-// Package transporttest has what the tests of codecs share.
+// Package transporttest contains helpers for the tests of codecs.
 package transporttest
 
 import (
@@ -7,7 +7,8 @@
 	"lanewheel/internal/transport"
 )
 
-// FuzzSplits fuzzes a codec: however the bytes are split across reads, the trace of what is read is the same.
+// FuzzSplits fuzzes a codec. It checks that the trace of the input does not depend on how the input is split across
+// reads. trace passes the reads to a new connection and returns a text that lists the messages read.
 func FuzzSplits(f *testing.F, trace func(reads ...[]byte) string, seeds ...[]byte) {
 	for _, seed := range seeds {
 		f.Add(seed, 1)
@@ -24,7 +25,7 @@
 			rest = rest[n:]
 		}
 		if whole, split := trace(input), trace(reads...); whole != split {
-			t.Errorf("whole:\n%ssplit:\n%s", whole, split)
+			t.Errorf("trace of one read:\n%strace of split reads:\n%s", whole, split)
 		}
 	})
 }
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -5,11 +5,11 @@
 	"syscall"
 )
 
-// errUnreadLimit closes a connection whose peer leaves too much unread.
-var errUnreadLimit = errors.New("peer leaves too much unread")
+// errUnreadLimit is the reason for closing a connection whose peer leaves more than maxUnwritten bytes unread.
+var errUnreadLimit = errors.New("unread output exceeds the limit of the connection")
 
-// OutputBuffer gives what was gathered for the next flush, to append a message of at most BufferSize to. SetOutput has
-// to follow.
+// OutputBuffer returns the output buffered for the next flush, so that the caller can append a message of at most
+// BufferSize bytes. The caller must pass the result to SetOutput.
 func (c *Conn) OutputBuffer() []byte {
 	if c.output == nil {
 		c.output = c.net.Get()
@@ -21,9 +21,9 @@
 	return c.output
 }
 
-// SetOutput takes back what OutputBuffer gave, with the message behind it.
+// SetOutput stores the buffer returned by OutputBuffer after a message has been appended to it.
 func (c *Conn) SetOutput(output []byte) {
-	if cap(output) > BufferSize { // grown past its buffer: written at once, so that the pool keeps one size
+	if cap(output) > BufferSize { // append reallocated it: written at once, so that all pooled buffers have one size
 		c.net.Put(c.output)
 		c.output = nil
 		c.write(output)
@@ -46,8 +46,8 @@
 	if c.closed || c.polled == nil || len(b) == 0 {
 		return
 	}
-	const guaranteedUnread = 16 << 10 // bytes: some responses with the longest results
-	// Peers that read nothing, each within its own bound, would together hold all the memory.
+	const guaranteedUnread = 16 << 10 // bytes; several responses with the longest results
+	// Without a common limit, peers that read nothing, each within its own limit, could together use up all memory.
 	if c.net.unreadBytes.Add(int64(len(b))) > c.net.MaxUnread && c.unwritten.Load() > guaranteedUnread {
 		c.net.unreadBytes.Add(-int64(len(b)))
 		c.SetCloseReason(codeUnreadLimit)
@@ -55,10 +55,10 @@
 		return
 	}
 	if c.tls != nil {
-		// tls.Conn.Write would have the owner loop wait for a handshake. What it encrypts is counted again, and written,
-		// by tlsStream.Write.
+		// Before the handshake has completed, tls.Conn.Write would block the owner loop. tlsStream.Write counts the
+		// encrypted bytes again and sends them.
 		if c.tls.established.Load() {
-			_, _ = c.tls.conn.Write(b) // a failure ends the connection, which is told
+			_, _ = c.tls.conn.Write(b) // a failure closes the connection, which is reported by handleClose
 		}
 		c.net.unreadBytes.Add(-int64(len(b)))
 		return
@@ -70,14 +70,14 @@
 	c.transmit(b)
 }
 
-// transmit sends what it can and leaves the rest to the poller. The bytes were counted as unread before. After a
-// failure the poller closes the connection, which its callback tells.
+// transmit sends as much as the kernel accepts and leaves the rest to the poller. The caller must already have
+// counted the bytes in Net.unreadBytes. After a failure the poller closes the connection and calls handleClose.
 func (c *Conn) transmit(b []byte) {
 	unwrittenBefore := c.unwritten.Add(int64(len(b))) - int64(len(b))
 	var err error
 	if unwrittenBefore+int64(len(b)) > maxUnwritten {
 		err = errUnreadLimit
-	} else if unwrittenBefore == 0 { // else what comes first is not written yet
+	} else if unwrittenBefore == 0 { // otherwise earlier output is still waiting to be written
 		var n int
 		n, err = c.writeNow(b)
 		if b = b[n:]; n > 0 {
@@ -94,7 +94,7 @@
 	}
 }
 
-// handleWritten hears that the kernel has taken so many bytes, on any goroutine.
+// handleWritten records that the kernel has accepted size bytes. It may be called from any goroutine.
 func (c *Conn) handleWritten(size int) {
 	c.net.unreadBytes.Add(-int64(size))
 	if c.unwritten.Add(-int64(size)) == 0 && c.closing.Load() {
