--- a/internal/clients/closing_test.go
+++ b/internal/clients/closing_test.go
@@ -7,7 +7,7 @@
 	"lanewheel/internal/fake"
 )
 
-// Nothing, or half a message, for 1.5 s ends a connection.
+// A connection on which no message, or only half a message, arrives for 1.5 s is closed.
 func TestMessageTimeouts(t *testing.T) {
 	for _, test := range []struct{ name, sent, reason string }{
 		{"nothing", "", "first-message-timeout"},
@@ -20,7 +20,7 @@
 			fake.Must(client.Conn.Write([]byte(test.sent)))
 			expect(t, client, closedText)
 			if after := time.Since(began); after < 1400*time.Millisecond || after > 5*time.Second {
-				t.Error("closed after", after)
+				t.Error("the connection was closed after", after)
 			}
 			_ = client.Conn.Close()
 			server.waitForReason(test.reason)
@@ -28,7 +28,8 @@
 	}
 }
 
-// An unused connection is asked to go, and closed if it does not; one with a request stays.
+// The client of an unused connection is asked to go away, and the connection is closed if it does not. A
+// connection with a pending request stays open.
 func TestIdleTimeout(t *testing.T) {
 	server := newFakeServer(t, nil)
 	idle, busy := server.newClient(), server.newClient()
@@ -44,8 +45,8 @@
 	expect(t, busy, textOn(succeededOn, 2), goAway, closedText)
 }
 
-// Where there is no room, the connection goes that has been unused for longest, those on which nothing ever came
-// first, and none with a request.
+// If there is no room, the connection that has been unused for longest is closed. Connections on which no
+// message has ever arrived are closed first, and connections with a pending request are not closed.
 func TestEvictIdle(t *testing.T) {
 	server := newFakeServer(t, nil)
 	used, busy := server.newClient(), server.newClient()
@@ -55,27 +56,28 @@
 	send(busy, 2)
 	server.waitFor("the request", func() bool { return len(server.pending) == 1 })
 	silent := server.newClient()
-	server.onLoop(server.clients.EvictIdle) // all have been used just now
+	server.onLoop(server.clients.EvictIdle) // too soon after the last use of each connection
 	time.Sleep(150 * time.Millisecond)
 	server.onLoop(server.clients.EvictIdle)
 	expect(t, silent, closedText)
 	_ = silent.Conn.Close()
 	server.waitForReason("evicted")
-	server.waitFor("its end", func() bool { return len(server.clients.connections) == 2 })
-	server.onLoop(server.clients.EvictIdle) // used a moment ago
+	server.waitFor("the end of the connection", func() bool { return len(server.clients.connections) == 2 })
+	server.onLoop(server.clients.EvictIdle) // too soon after the last use of the remaining connections
 	time.Sleep(time.Second)
 	server.onLoop(server.clients.EvictIdle)
 	expect(t, used, closedText)
 	server.onLoop(func() {
 		for _, c := range server.clients.connections {
 			if len(c.pending) > 0 && c.closeReason != "" {
-				t.Error("the one with a request was closed")
+				t.Error("the connection with a pending request was closed")
 			}
 		}
 	})
 }
 
-// A connection that is closing and has had time to read gives its room at once.
+// A connection that is closing, and whose client has had time to read the responses, is aborted at once to make
+// room.
 func TestEvictClosing(t *testing.T) {
 	server := newFakeServer(t, nil)
 	client := server.newClient()
@@ -84,10 +86,10 @@
 	expect(t, client, textOn(failedOn, 1), closedText)
 	time.Sleep(150 * time.Millisecond)
 	server.onLoop(server.clients.EvictIdle)
-	server.waitFor("its end", func() bool { return len(server.clients.connections) == 0 })
+	server.waitFor("the end of the connection", func() bool { return len(server.clients.connections) == 0 })
 }
 
-// A connection that comes after GoAway is asked to go, too.
+// A client that connects after GoAway is also asked to go away.
 func TestGoAway(t *testing.T) {
 	server := newFakeServer(t, nil)
 	before := server.newClient()
@@ -96,7 +98,7 @@
 	expect(t, server.newClient(), goAway)
 }
 
-// A drain ends when all connections have gone.
+// A drain ends when all connections are closed and the other front ends are drained.
 func TestDrain(t *testing.T) {
 	server := newFakeServer(t, nil)
 	client := server.newClient()
@@ -115,7 +117,7 @@
 	_ = client.Conn.Close()
 	select {
 	case <-done:
-		t.Fatal("it has not waited for the others")
+		t.Fatal("the drain ended before the other front ends were drained")
 	case <-time.After(100 * time.Millisecond):
 	}
 	server.onLoop(func() { others = true })
@@ -125,11 +127,11 @@
 			t.Errorf("%d connections were closed", connections)
 		}
 	case <-time.After(time.Second):
-		t.Error("it does not end")
+		t.Error("the drain has not ended")
 	}
 }
 
-// Connections that stay are closed shortly before the kill.
+// Connections that are still open shortly before the kill are closed.
 func TestDrainForced(t *testing.T) {
 	server := newFakeServer(t, nil)
 	client := server.newClient()
@@ -146,7 +148,7 @@
 		t.Errorf("%d connections were closed", connections)
 	}
 	if after := time.Since(began); after < 240*time.Millisecond {
-		t.Error("ended after", after)
+		t.Error("the drain ended after", after)
 	}
 	server.waitForReason("shutdown")
 }
--- a/internal/clients/connection.go
+++ b/internal/clients/connection.go
@@ -11,33 +11,34 @@
 	"lanewheel/internal/rpc"
 )
 
-// maxPending is how many requests may be pending on a connection, by the protocol.
+// maxPending is the maximum number of pending requests on a connection. It is part of the protocol.
 const maxPending = 32
 
-// connection is a client's connection, with the requests that are pending on it. Owned by the event loop.
+// connection is a client connection with its pending requests. It is owned by the event loop.
 type connection struct {
-	frontend      *Frontend
-	conn          *rpc.ServerConn
-	credential    authn.Credential
-	pending       map[uint32]*responder // by message id
-	pendingChecks int                   // health checks that are not answered yet
-	invalidInRow  int                   // requests in a row that could never be served
-	received      bool                  // a whole message has come
-	lastUsed      time.Duration         // when a request last came or was answered, or it was closed
+	frontend           *Frontend
+	conn               *rpc.ServerConn
+	credential         authn.Credential
+	pending            map[uint32]*responder // by message id
+	pendingChecks      int                   // unanswered health checks
+	consecutiveInvalid int                   // consecutive requests that can never be served
+	received           bool                  // a complete message has been received
+	lastUsed           time.Duration         // time of the last request or response, or of the close
 
-	asked        bool          // to go away
-	askedAt      time.Duration // when it was
-	barredReason closeReason   // why nothing more is taken from it; it is closed when nothing is pending on it
-	closeReason  closeReason   // empty until it is closed
+	goAwayRequested     bool          // the client has been asked to go away
+	goAwayRequestedAt   time.Duration // time of that request
+	deferredCloseReason closeReason   // reason for closing it once nothing is pending; empty if it stays open
+	closeReason         closeReason   // empty until the connection is closed
 }
 
-// submit hands a request to the server.
+// submit submits a request to the server. If the request violates the protocol, submit fails all pending
+// requests and closes the connection.
 func (c *connection) submit(messageID uint32, request *frontend.Request) {
 	if c.closeReason != "" {
 		return
 	}
 	if reason := c.protocolError(messageID, request.ID); reason != "" {
-		c.failAll(reason)
+		c.failAndClose(reason)
 		return
 	}
 	pending := &responder{conn: c, messageID: messageID, requestID: request.ID}
@@ -46,7 +47,7 @@
 	pending.handle = c.frontend.server.Submit(*request, &c.credential, pending)
 }
 
-// protocolError tells what is wrong with a request beside those that are pending, empty if nothing is.
+// protocolError returns the reason why a request conflicts with the pending requests, or "" if it does not.
 func (c *connection) protocolError(messageID uint32, requestID string) closeReason {
 	if c.pending[messageID] != nil {
 		return closeDuplicateMessageID
@@ -62,14 +63,14 @@
 	return ""
 }
 
-// cancel hears that the client no longer waits for a request.
+// cancel cancels a pending request for which the client no longer waits.
 func (c *connection) cancel(messageID uint32) {
 	if pending := c.pending[messageID]; pending != nil {
 		c.frontend.server.Cancel(pending.handle)
 	}
 }
 
-// checkHealth answers a health check.
+// checkHealth has the server check its health and sends the result to the client.
 func (c *connection) checkHealth(messageID uint32, deep bool) {
 	if c.closeReason != "" {
 		return
@@ -82,34 +83,35 @@
 	})
 }
 
-// authenticated hears that the TLS handshake is completed.
-func (c *connection) authenticated(proof any) {
+// onAuthenticated handles the completion of the TLS handshake.
+func (c *connection) onAuthenticated(proof any) {
 	c.lastUsed = c.frontend.loop.Now()
 	c.credential.Proof, _ = proof.(*certs.VerifiedChain)
-	if c.asked { // it could not be sent before
+	if c.goAwayRequested { // it cannot be sent during the handshake
 		c.conn.GoAway()
 	}
 }
 
-// goAway asks the client, once, to send nothing new here.
+// goAway asks the client to send no further requests on the connection. It does so only once.
 func (c *connection) goAway() {
-	if c.asked {
+	if c.goAwayRequested {
 		return
 	}
-	c.asked = true
-	c.askedAt = c.frontend.loop.Now()
+	c.goAwayRequested = true
+	c.goAwayRequestedAt = c.frontend.loop.Now()
 	c.conn.GoAway()
 }
 
-// inUse tells whether responses are owed on the connection.
+// inUse reports whether requests or health checks on the connection are unanswered.
 func (c *connection) inUse() bool { return len(c.pending) > 0 || c.pendingChecks > 0 }
 
-// unusedFor is how long nothing has come or gone on the connection.
+// unusedFor returns the time since the connection was last used.
 func (c *connection) unusedFor() time.Duration { return c.frontend.loop.Now() - c.lastUsed }
 
-// failAll fails what is pending on the connection of a client that broke the protocol, and closes it, at once:
-// nothing of such a client succeeds any more, and it must not wait for the rest.
-func (c *connection) failAll(reason closeReason) {
+// failAndClose fails all pending requests of a client that violated the protocol and closes the connection. It
+// does so at once, because no request of this client may succeed any more and the client must not wait for the
+// remaining responses.
+func (c *connection) failAndClose(reason closeReason) {
 	if c.closeReason != "" {
 		return
 	}
@@ -120,7 +122,7 @@
 	c.close(reason)
 }
 
-// close closes the connection. What was written goes before the close.
+// close closes the connection. Messages that have been written are sent before the close.
 func (c *connection) close(reason closeReason) {
 	c.closeReason = reason
 	c.lastUsed = c.frontend.loop.Now()
--- a/internal/clients/evict.go
+++ b/internal/clients/evict.go
@@ -3,19 +3,20 @@
 import "time"
 
 const (
-	// crossingGrace is how long a connection is kept after its last use: twice what a request may take to come that was
-	// sent before its client saw the close.
-	crossingGrace = 100 * time.Millisecond
-	// reuseGrace is the same for connections on which messages have come.
+	// inFlightGrace is the time for which a connection is kept after its last use. It is twice the time that a
+	// request sent before the client sees the close may take to arrive.
+	inFlightGrace = 100 * time.Millisecond
+	// reuseGrace replaces inFlightGrace for connections on which a message has been received.
 	reuseGrace = time.Second
 )
 
-// EvictIdle makes room for a connection that waits to be accepted. It closes the connection that has been unused for
-// longest, those first on which nothing whole has ever come; none, if all are in use.
+// EvictIdle makes room for a connection that waits to be accepted. It closes the connection that has been
+// unused for longest, and prefers connections on which no complete message has ever been received. If all
+// connections are in use, it closes none.
 func (f *Frontend) EvictIdle() {
 	var candidate, closing *connection
 	handshakes, maxHandshakes := f.net.Handshakes()
-	onlyHandshaking := handshakes >= maxHandshakes // there is room for connections, but for no more handshakes
+	onlyHandshaking := handshakes >= maxHandshakes // there is room for connections, but for no further handshake
 	for _, c := range f.connections {
 		if c.closeReason != "" && (closing == nil || c.lastUsed < closing.lastUsed) {
 			closing = c
@@ -28,14 +29,14 @@
 		}
 	}
 	switch {
-	case closing != nil && closing.unusedFor() > crossingGrace: // it has had time to read its last responses
+	case closing != nil && closing.unusedFor() > inFlightGrace: // the client has had time to read its last responses
 		closing.conn.Abort()
 	case candidate != nil:
 		candidate.close(closeEvicted)
 	}
 }
 
-// evictable tells whether the connection may be closed to make room.
+// evictable reports whether the connection may be closed to make room.
 func (c *connection) evictable() bool {
 	if c.closeReason != "" || c.inUse() {
 		return false
@@ -43,10 +44,10 @@
 	if c.received {
 		return c.unusedFor() >= reuseGrace
 	}
-	return c.unusedFor() >= crossingGrace
+	return c.unusedFor() >= inFlightGrace
 }
 
-// evictedBefore tells whether the connection is the one to close of the two.
+// evictedBefore reports whether the connection is to be evicted rather than the other one.
 func (c *connection) evictedBefore(other *connection) bool {
 	if c.received != other.received {
 		return !c.received
--- a/internal/clients/frontend.go
+++ b/internal/clients/frontend.go
@@ -1,12 +1,13 @@
-// Package clients is the front end of clients on connections. It hands their requests to a server and gives them the
-// responses, and closes the connections of those that break the protocol, stay silent or are not used. It holds nothing
-// that outlives a connection.
+// Package clients implements the front end for clients that connect directly. It submits their requests to a
+// server and sends the responses. It closes connections whose client violates the protocol or sends no complete
+// message, and connections that are unused. It holds no state that outlives a connection.
 //
 // # Goroutines
 //
-// A Frontend belongs to the event loop of its server: all methods are called there, and all callbacks of
-// connections come there, but for Accept, which the poller calls on its own goroutine for each connection that it
-// has accepted. What a connection brings is handed to the loop after what Accept has posted, in order.
+// A Frontend is owned by the event loop of its server. All methods except Accept, and all callbacks of
+// connections, are called on that loop. The poller calls Accept on its own goroutine for each connection that
+// it has accepted. The callbacks of a connection are posted to the loop in order, after the closure that Accept
+// posts.
 package clients
 
 import (
@@ -22,39 +23,41 @@
 	"lanewheel/internal/transport"
 )
 
-// Server is what a Frontend needs beside what any front end does. Its methods are called on the event loop.
+// Server is the server of a Frontend. It extends frontend.Server, which all front ends use. Its methods are
+// called on the event loop.
 type Server interface {
 	frontend.Server
-	// CheckHealth calls then, at once or later, with whether the server is healthy. deep asks whether work gets done.
+	// CheckHealth calls then with true if the server is healthy, either at once or later. A deep check tests
+	// whether the server executes requests.
 	CheckHealth(deep bool, then func(healthy bool))
-	// ResponseMetadata is part of the responses that the front end gives of itself.
+	// ResponseMetadata returns the metadata for responses that the front end sends on its own.
 	ResponseMetadata() frontend.ResponseMetadata
 }
 
-// Authenticator knows the credentials of connections. Its methods are called on the event loop.
+// Authenticator checks the credentials of connections. Its methods are called on the event loop.
 type Authenticator interface {
-	// RevocationReason tells why a credential no longer counts, empty if it does.
+	// RevocationReason returns the reason why a credential is no longer valid, or "" if it is valid.
 	RevocationReason(*authn.Credential) authz.Denial
-	// NeedsRecheck tells whether what a credential rests on has changed since it was checked.
+	// NeedsRecheck reports whether the configuration that a credential depends on has changed since the last check.
 	NeedsRecheck(*authn.Credential) bool
-	// Sweep drops what is no longer needed to check credentials.
+	// Sweep removes state that is no longer needed for checking credentials.
 	Sweep()
 }
 
-// Frontend is the client connections of a server. Owned by the event loop.
+// Frontend manages the client connections of a server. It is owned by the event loop.
 type Frontend struct {
 	server        Server
 	loop          *eventloop.Loop
 	net           *transport.Net
 	authenticator Authenticator // nil: every client may do everything
 	connections   map[*rpc.ServerConn]*connection
-	idleTimeout   time.Duration // for unused connections; 0: none
-	draining      bool          // all clients are asked to go away
+	idleTimeout   time.Duration // for unused connections; 0: no timeout
+	draining      bool          // clients are asked to go away, including new ones
 	lastSweep     time.Duration
 }
 
-// New returns the front end of a server whose event loop and connections it shares. A nil authenticator lets every
-// client in; an idle timeout of 0 is none.
+// New returns the front end of a server. It uses the server's event loop and connections. If authenticator is
+// nil, every client is accepted. If idleTimeout is 0, unused connections stay open.
 func New(
 	server Server, loop *eventloop.Loop, net *transport.Net, authenticator Authenticator, idleTimeout time.Duration,
 ) *Frontend {
@@ -68,10 +71,10 @@
 	}
 }
 
-// SetIdleTimeout sets how long an unused connection may stay.
+// SetIdleTimeout sets how long an unused connection may stay open. With 0, there is no limit.
 func (f *Frontend) SetIdleTimeout(timeout time.Duration) { f.idleTimeout = timeout }
 
-// Accept makes an accepted connection one of a client. It is called on the poller's goroutine.
+// Accept adds an accepted connection as a client connection. It is called on the poller's goroutine.
 func (f *Frontend) Accept(accepted *transport.Conn) {
 	conn := rpc.NewServerConn(accepted)
 	c := &connection{frontend: f, conn: conn, pending: map[uint32]*responder{}}
@@ -87,8 +90,8 @@
 		c.received = true
 		c.checkHealth(messageID, deep)
 	}
-	conn.OnAuthenticated = c.authenticated
-	conn.OnProtocolError = func(code string) { c.failAll(closeReason(code)) }
+	conn.OnAuthenticated = c.onAuthenticated
+	conn.OnProtocolError = func(code string) { c.failAndClose(closeReason(code)) }
 	conn.OnClose = func(string) { f.remove(c) }
 	f.loop.Post(func() { f.add(c) })
 }
@@ -101,7 +104,8 @@
 	}
 }
 
-// remove hears that a connection is closed. Nobody waits any more for what is pending on it.
+// remove removes a closed connection and cancels its pending requests, because their caller no longer waits for
+// them.
 func (f *Frontend) remove(c *connection) {
 	delete(f.connections, c.conn)
 	for _, messageID := range slices.Sorted(maps.Keys(c.pending)) {
@@ -109,7 +113,7 @@
 	}
 }
 
-// GoAway asks all clients to send nothing new here, also those that are accepted from now on.
+// GoAway asks all clients to send no further requests, including clients whose connections are accepted later.
 func (f *Frontend) GoAway() {
 	f.draining = true
 	for _, c := range f.connections {
--- a/internal/clients/helper_test.go
+++ b/internal/clients/helper_test.go
@@ -37,14 +37,13 @@
 	return strings.Contains(b.text.String(), text)
 }
 
-// bufferPool gives new buffers.
+// bufferPool is a transport buffer pool that allocates each buffer and reuses none.
 type bufferPool struct{}
 
 func (bufferPool) Get() []byte { return make([]byte, 0, transport.BufferSize) }
 func (bufferPool) Put([]byte)  {}
 
-// fakeServer keeps the requests that it is handed, by id, until a test answers them. Its fields belong to its event
-// loop.
+// fakeServer holds the submitted requests by id until a test answers them. Its fields are owned by its event loop.
 type fakeServer struct {
 	*eventloop.Loop
 	t        *testing.T
@@ -54,10 +53,10 @@
 	clients  *Frontend
 	pending  map[string]frontend.Responder
 	canceled []string
-	onSubmit func(request frontend.Request, responder frontend.Responder) // answers at once; nil: requests are kept
+	onSubmit func(request frontend.Request, responder frontend.Responder) // answers a request at once; nil: requests are held
 }
 
-// newFakeServer starts a server whose clients are accepted by a Frontend.
+// newFakeServer starts a fake server with a Frontend.
 func newFakeServer(t *testing.T, authenticator Authenticator) *fakeServer {
 	t.Helper()
 	s := &fakeServer{Loop: eventloop.New(4096), t: t, log: &logBuffer{}, pending: map[string]frontend.Responder{}}
@@ -97,7 +96,7 @@
 	return s
 }
 
-// onLoop runs a function on the event loop and waits for it.
+// onLoop runs f on the event loop and waits until it has returned.
 func (s *fakeServer) onLoop(f func()) {
 	done := make(chan struct{})
 	s.Post(func() {
@@ -108,21 +107,21 @@
 }
 
 // waitFor waits until a condition holds on the event loop.
-func (s *fakeServer) waitFor(what string, condition func() bool) {
+func (s *fakeServer) waitFor(description string, condition func() bool) {
 	s.t.Helper()
-	fake.WaitFor(what, func() (holds bool) {
+	fake.WaitFor(description, func() (holds bool) {
 		s.onLoop(func() { holds = condition() })
 		return holds
 	})
 }
 
-// waitForReason waits until a connection was closed for this reason, as the log has it.
+// waitForReason waits until the log contains the close of a connection with the given reason.
 func (s *fakeServer) waitForReason(reason string) {
 	s.t.Helper()
 	fake.WaitFor("a connection closed for "+reason, func() bool { return s.log.contains("code=" + reason + " ") })
 }
 
-// answer answers a request that is pending.
+// answer waits until the request with the given number is pending, and answers it.
 func (s *fakeServer) answer(number int, respond func(frontend.Responder)) {
 	s.t.Helper()
 	id := fake.RequestID(number)
@@ -150,8 +149,8 @@
 }
 
 func (s *fakeServer) Cancel(handle frontend.Handle) {
-	id, known := handle.(string)
-	if !known || s.pending[id] == nil {
+	id, isID := handle.(string)
+	if !isID || s.pending[id] == nil {
 		return
 	}
 	s.canceled = append(s.canceled, id)
@@ -172,17 +171,17 @@
 	return frontend.ResponseMetadata{LoadReport: -1}
 }
 
-// fakeAuthenticator finds revoked what a test says.
+// fakeAuthenticator reports revocations that a test sets.
 type fakeAuthenticator struct {
-	denial  authz.Denial // of all credentials; empty: none is revoked
-	recheck bool         // all credentials are to be checked again
+	denial  authz.Denial // reason for which all credentials are revoked; empty: none is revoked
+	recheck bool         // all credentials need a recheck
 }
 
 func (a *fakeAuthenticator) RevocationReason(*authn.Credential) authz.Denial { return a.denial }
 func (a *fakeAuthenticator) NeedsRecheck(*authn.Credential) bool             { return a.recheck }
 func (a *fakeAuthenticator) Sweep()                                          {}
 
-// newClient connects a client and waits until it is accepted.
+// newClient connects a client and waits until the Frontend has added the connection.
 func (s *fakeServer) newClient() *fake.Client {
 	s.t.Helper()
 	count := 0
@@ -193,12 +192,12 @@
 	return client
 }
 
-// send sends a request whose message and request ids are made of a number.
+// send sends a request whose message id and request id are derived from a number.
 func send(client *fake.Client, number int) {
 	client.Send(fake.NewRequest(number, "view", fake.RequestID(number), nil))
 }
 
-// expect reads messages and compares their texts.
+// expect reads one message for each text and fails the test if they differ.
 func expect(t *testing.T, client *fake.Client, want ...string) {
 	t.Helper()
 	for _, text := range want {
@@ -208,7 +207,7 @@
 	}
 }
 
-// Texts of messages.
+// Texts of messages as returned by fake.Client.NextText. Those with a verb are formatted by textOn.
 const (
 	goAway      = `['\x02' "goaway" []]`
 	closedText  = "closed"
--- a/internal/clients/requests_test.go
+++ b/internal/clients/requests_test.go
@@ -31,11 +31,11 @@
 func TestHealthCheck(t *testing.T) {
 	server := newFakeServer(t, nil)
 	if !server.newClient().CheckHealth() {
-		t.Error("not healthy")
+		t.Error("the health check was answered as unhealthy")
 	}
 }
 
-// A client that breaks the protocol has all that is pending on its connection fail, and loses it.
+// If a client violates the protocol, all requests pending on its connection fail and the connection is closed.
 func TestProtocolErrors(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -69,13 +69,13 @@
 			_ = client.Conn.Close()
 			server.waitForReason(test.reason)
 			if canceled := server.canceledRequests(); !slices.Equal(canceled, ids) {
-				t.Errorf("canceled: %v", canceled)
+				t.Errorf("canceled requests: %v", canceled)
 			}
 		})
 	}
 }
 
-// The id of a request that is pending on another connection is the server's to judge.
+// A request whose id is pending on another connection is submitted to the server, which decides how to answer it.
 func TestRequestIDOfAnotherConnection(t *testing.T) {
 	server := newFakeServer(t, nil)
 	first, second := server.newClient(), server.newClient()
@@ -95,14 +95,14 @@
 	send(client, 2)
 	server.waitFor("the requests", func() bool { return len(server.pending) == 2 })
 	_ = client.Conn.Close()
-	server.waitFor("the end", func() bool { return len(server.clients.connections) == 0 })
+	server.waitFor("the end of the connection", func() bool { return len(server.clients.connections) == 0 })
 	if canceled := server.canceledRequests(); !slices.Equal(canceled, []string{fake.RequestID(1), fake.RequestID(2)}) {
-		t.Errorf("canceled: %v", canceled)
+		t.Errorf("canceled requests: %v", canceled)
 	}
 }
 
-// Requests that could never be served end the connection when there are eight in a row. One that the runtime does
-// not know ends it at once.
+// Eight consecutive requests that can never be served close the connection. A request that the runtime does not
+// know closes it at once.
 func TestInvalidRequests(t *testing.T) {
 	server := newFakeServer(t, nil)
 	code := frontend.UnknownClass
@@ -120,7 +120,7 @@
 		send(client, number)
 		expect(t, client, textOn(failedOn, number))
 	}
-	client.Send(fake.NewRequest(8, "list", fake.RequestID(8), nil)) // the count begins anew
+	client.Send(fake.NewRequest(8, "list", fake.RequestID(8), nil)) // resets the count
 	expect(t, client, textOn(rejectedOn, 8))
 	for number := 9; number <= 16; number++ {
 		send(client, number)
@@ -138,7 +138,7 @@
 	server.waitForReason("unknown-request")
 }
 
-// A denial counts as invalid only where the credential is forged.
+// A denied request counts as invalid only if its credential is forged.
 func TestDenials(t *testing.T) {
 	server := newFakeServer(t, &fakeAuthenticator{})
 	denial := authz.Denial("tenant")
@@ -169,8 +169,8 @@
 	server.waitForReason("denied")
 }
 
-// A client whose certificate is revoked is asked to go, gets the responses that it is owed, and then loses its
-// connection.
+// A client whose certificate is revoked is asked to go away. Its connection is closed after the responses to
+// its pending requests.
 func TestRevokedCertificate(t *testing.T) {
 	authenticator := &fakeAuthenticator{}
 	server := newFakeServer(t, authenticator)
@@ -188,7 +188,7 @@
 	server.waitForReason("revoked")
 }
 
-// A request by a certificate that turns out to be revoked is denied, and the connection ends.
+// A request with a certificate that has meanwhile been revoked is denied, and the connection is closed.
 func TestRevokedAtRequest(t *testing.T) {
 	server := newFakeServer(t, &fakeAuthenticator{denial: "revoked"})
 	server.onLoop(func() {
--- a/internal/clients/responder.go
+++ b/internal/clients/responder.go
@@ -6,35 +6,38 @@
 	"lanewheel/internal/frontend"
 )
 
-// maxInvalidInRow is how many requests in a row that could never be served close a connection. A client that sends the
-// same again at once, for ever, would take the event loop's time from the others; so it has to connect anew.
-const maxInvalidInRow = 8
+// maxConsecutiveInvalid is the number of consecutive requests that can never be served after which the
+// connection is closed. Without this limit, a client that endlessly repeats such a request without a delay
+// would take the event loop's time from the other clients. With the limit, it has to reconnect.
+const maxConsecutiveInvalid = 8
 
-// responder gives a request's response to the client. It is a frontend.Responder, owned by the event loop.
+// responder sends the response to one request to the client. It implements frontend.Responder and is owned by
+// the event loop.
 type responder struct {
 	conn      *connection
 	messageID uint32
 	requestID string
-	handle    frontend.Handle // nil until the server has taken the request
+	handle    frontend.Handle // nil until the server has accepted the request
 }
 
 func (r *responder) Succeed(result []byte, metadata frontend.ResponseMetadata) {
-	r.conn.invalidInRow = 0
+	r.conn.consecutiveInvalid = 0
 	r.conn.conn.Succeed(r.messageID, result, metadata)
 }
 
 func (r *responder) Reject(metadata frontend.ResponseMetadata) {
-	r.conn.invalidInRow = 0
+	r.conn.consecutiveInvalid = 0
 	r.conn.conn.Reject(r.messageID, metadata)
 }
 
 func (r *responder) Fail(metadata frontend.ResponseMetadata) {
-	r.conn.invalidInRow = 0
+	r.conn.consecutiveInvalid = 0
 	r.conn.conn.Fail(r.messageID, metadata)
 }
 
-// RejectPermanently answers a request that could never be served. One that the runtime does not know closes the
-// connection, as do several in a row; a certificate that is revoked bars it.
+// RejectPermanently answers a request that can never be served. It closes the connection if the runtime does
+// not know the request or if this is the last of maxConsecutiveInvalid consecutive ones. If the client's
+// certificate has been revoked, the connection is closed as soon as nothing is pending on it.
 func (r *responder) RejectPermanently(code frontend.RejectionCode, metadata frontend.ResponseMetadata) {
 	conn := r.conn
 	invalid := true
@@ -42,25 +45,25 @@
 		conn.conn.Fail(r.messageID, metadata)
 	} else {
 		conn.conn.Deny(r.messageID, metadata)
-		if conn.barIfRevoked() {
+		if conn.closeIfRevoked() {
 			return
 		}
 		invalid = authn.IsForgery(authz.Denial(metadata.Reason))
 	}
 	if invalid {
-		conn.invalidInRow++
+		conn.consecutiveInvalid++
 	}
-	if code == frontend.UnknownRequest || conn.invalidInRow >= maxInvalidInRow {
-		delete(conn.pending, r.messageID) // it is answered; the others fail
-		conn.failAll(closeReasonFor(code))
+	if code == frontend.UnknownRequest || conn.consecutiveInvalid >= maxConsecutiveInvalid {
+		delete(conn.pending, r.messageID) // it has been answered; failAndClose fails the others
+		conn.failAndClose(closeReasonFor(code))
 	}
 }
 
-// Done removes the request from those that are pending.
+// Done removes the request from the pending requests.
 func (r *responder) Done() {
 	if r.conn.pending[r.messageID] == r {
 		delete(r.conn.pending, r.messageID)
 	}
 	r.conn.lastUsed = r.conn.frontend.loop.Now()
-	r.conn.closeIfBarred()
+	r.conn.finishDeferredClose()
 }
--- a/internal/clients/revocation.go
+++ b/internal/clients/revocation.go
@@ -1,10 +1,11 @@
 package clients
 
-// maxRechecksPerSweep is how many credentials are checked again in one sweep after keys, authorities or revocation
-// lists have changed. Each request has its credential checked besides.
+// maxRechecksPerSweep is the maximum number of credentials that one sweep rechecks after keys, authorities or
+// revocation lists have changed. In addition, the credential is checked at each request.
 const maxRechecksPerSweep = 64
 
-// recheckCredentials bars connections whose certificates have been revoked, used or not.
+// recheckCredentials closes connections whose certificates have been revoked, including connections without
+// requests. Each is closed as soon as nothing is pending on it.
 func (f *Frontend) recheckCredentials() {
 	f.authenticator.Sweep()
 	rechecks := 0
@@ -14,13 +15,14 @@
 		}
 		if c.closeReason == "" && f.authenticator.NeedsRecheck(&c.credential) {
 			rechecks++
-			c.barIfRevoked()
+			c.closeIfRevoked()
 		}
 	}
 }
 
-// barIfRevoked bars the connection if its certificate is revoked, and tells whether it is.
-func (c *connection) barIfRevoked() bool {
+// closeIfRevoked reports whether the certificate of the connection has been revoked. If so, the connection is
+// closed as soon as nothing is pending on it.
+func (c *connection) closeIfRevoked() bool {
 	if c.frontend.authenticator == nil {
 		return false
 	}
@@ -28,29 +30,30 @@
 	if reason == "" {
 		return false
 	}
-	c.bar(closeReason(reason))
+	c.closeWhenUnused(closeReason(reason))
 	return true
 }
 
-// bar takes nothing more from the connection. What was read is answered; the connection is closed after the last
-// response.
-func (c *connection) bar(reason closeReason) {
-	if c.barredReason != "" || c.closeReason != "" {
+// closeWhenUnused asks the client to go away and closes the connection after the last response. Requests that
+// have been read are still answered.
+func (c *connection) closeWhenUnused(reason closeReason) {
+	if c.deferredCloseReason != "" || c.closeReason != "" {
 		return
 	}
-	c.barredReason = reason
+	c.deferredCloseReason = reason
 	c.goAway()
-	c.closeIfBarred()
+	c.finishDeferredClose()
 }
 
-func (c *connection) closeIfBarred() {
-	if c.barredReason == "" || c.inUse() || c.closeReason != "" {
+// finishDeferredClose closes the connection if closeWhenUnused has been called and nothing is pending.
+func (c *connection) finishDeferredClose() {
+	if c.deferredCloseReason == "" || c.inUse() || c.closeReason != "" {
 		return
 	}
-	// The response that is being given is written before the close.
+	// The close is posted, so that the response that is being sent is written first.
 	c.frontend.loop.ScheduleAt(c.frontend.loop.Now(), func() {
 		if len(c.pending) == 0 && c.closeReason == "" {
-			c.close(c.barredReason)
+			c.close(c.deferredCloseReason)
 		}
 	})
 }
--- a/internal/clients/sweep.go
+++ b/internal/clients/sweep.go
@@ -4,25 +4,27 @@
 
 const (
 	sweepInterval = 100 * time.Millisecond
-	// goAwayGrace is how long a client has to close its connection after it was asked to go away.
+	// goAwayGrace is the time that a client has to close its connection after it was asked to go away.
 	goAwayGrace = 250 * time.Millisecond
-	// messageTimeout is how long the first message may take to come, and any message to be completed: many round trips
-	// on a poor link.
+	// messageTimeout is the time limit for receiving the first message, and for completing any message. It
+	// allows for many round trips on a poor link.
 	messageTimeout = 1500 * time.Millisecond
-	// handshakeTimeout is how long a TLS handshake may take: two round trips, each of which may come a second late.
+	// handshakeTimeout is the time limit for a TLS handshake. It allows for two round trips, each delayed by a
+	// second.
 	handshakeTimeout = 3 * time.Second
-	// closeTimeout is how long a client may take to read its last responses and close its side.
+	// closeTimeout is the time that a client has to read its last responses and close its side.
 	closeTimeout = time.Second
-	// maxSweepDelay is how late a sweep may come before the process counts as suspended.
+	// maxSweepDelay is the time between two sweeps beyond which the process is assumed to have been suspended.
 	maxSweepDelay = 5 * sweepInterval
 )
 
-// Sweep looks through all connections, again and again: it asks clients to go away that have not used theirs for
-// the idle timeout, and closes those on which nothing whole comes, which would fill the table by the hundred. It is
-// called once.
+// Sweep checks all connections and schedules itself to do so repeatedly. It asks clients whose connections have
+// been unused for the idle timeout to go away. It closes connections on which no complete message is received,
+// which would otherwise fill the connection table by the hundred. It must be called once, to start the sweeps.
 func (f *Frontend) Sweep() {
 	now := f.loop.Now()
-	// After a process was suspended, what came meanwhile has not been read yet: silence proves nothing.
+	// If the process was suspended, the messages that arrived meanwhile have not been read yet. The absence of
+	// messages is then no reason to close a connection.
 	suspended := now-f.lastSweep > maxSweepDelay
 	f.lastSweep = now
 	if f.authenticator != nil {
@@ -34,7 +36,7 @@
 	f.loop.ScheduleAt(now+sweepInterval, f.Sweep)
 }
 
-// sweep looks at one connection.
+// sweep checks one connection.
 func (f *Frontend) sweep(c *connection, suspended bool) {
 	unused := c.unusedFor()
 	switch {
@@ -43,16 +45,16 @@
 			c.conn.Abort()
 		}
 	case c.conn.PartialFor(f.loop.WallTime()) > messageTimeout && !suspended:
-		c.failAll(closeReadTimeout)
+		c.failAndClose(closeReadTimeout)
 	case c.conn.Handshaking():
 		if unused > handshakeTimeout && !suspended {
 			c.close(closeHandshakeTimeout)
 		}
-	case c.inUse() || c.conn.HasPartial(): // a request whose message is cut off would have to begin again elsewhere
+	case c.inUse() || c.conn.HasPartial(): // a partly received request would have to be sent again elsewhere
 	case !c.received && unused > messageTimeout && !suspended:
 		c.close(closeFirstMessageTimeout)
-	case c.asked:
-		if f.loop.Now()-max(c.askedAt, c.lastUsed) > goAwayGrace {
+	case c.goAwayRequested:
+		if f.loop.Now()-max(c.goAwayRequestedAt, c.lastUsed) > goAwayGrace {
 			c.close(closeIdle)
 		}
 	case f.idleTimeout > 0 && unused > f.idleTimeout:
--- a/internal/runtimelink/command.go
+++ b/internal/runtimelink/command.go
@@ -13,11 +13,11 @@
 
 func newCommandLine(output []byte, kind string) commandLine {
 	output = append(output, '{')
-	return appendQuoted(appendName(output, fieldKind), kind)
+	return appendQuoted(appendFieldName(output, fieldKind), kind)
 }
 
 func (l commandLine) sequence(n uint64) commandLine {
-	return strconv.AppendUint(l.name(fieldSequence), n, 10)
+	return strconv.AppendUint(l.beginField(fieldSequence), n, 10)
 }
 
 func (l commandLine) requestID(id admission.RequestID) commandLine {
@@ -25,21 +25,21 @@
 }
 
 func (l commandLine) text(name, value string) commandLine {
-	return appendQuoted(l.name(name), value)
+	return appendQuoted(l.beginField(name), value)
 }
 
 func (l commandLine) body(body []byte) commandLine {
-	l = append(l.name(fieldBody), '"')
+	l = append(l.beginField(fieldBody), '"')
 	return append(base64.StdEncoding.AppendEncode(l, body), '"')
 }
 
 // end completes the command.
 func (l commandLine) end() []byte { return append(l, '}', '\n') }
 
-// name begins a further field.
-func (l commandLine) name(name string) commandLine { return appendName(append(l, ','), name) }
+// beginField begins a further field.
+func (l commandLine) beginField(name string) commandLine { return appendFieldName(append(l, ','), name) }
 
-func appendName(b []byte, name string) []byte {
+func appendFieldName(b []byte, name string) []byte {
 	b = append(append(b, '"'), name...)
 	return append(b, '"', ':')
 }
--- a/internal/simulator/instance.go
+++ b/internal/simulator/instance.go
@@ -14,12 +14,12 @@
 	simulation *simulation
 	number     int
 	controller *admission.Controller
-	touched    bool // has had an event in this batch
+	needsDecision    bool // has had an event in this batch
 	onCall     map[admission.RequestID]func()
 	onRunEnd   map[admission.RequestID]func(admission.Outcome, time.Duration)
 	onCallDone map[admission.RequestID]func(admission.Outcome, time.Duration)
 	onTimer    map[string]func(admission.Gauges) // by token
-	timers     uint64                            // set so far, for their tokens
+	timerCount     uint64                            // set so far, for their tokens
 }
 
 func newInstance(s *simulation, number int) *instance {
@@ -184,8 +184,8 @@
 }
 
 func (in *instance) WakeAt(at time.Duration, then func(admission.Gauges)) {
-	in.timers++
-	token := strconv.FormatUint(in.timers, 10)
+	in.timerCount++
+	token := strconv.FormatUint(in.timerCount, 10)
 	in.onTimer[token] = then
 	in.action(actionArm).seconds(at).text(token).end()
 }
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -20,7 +20,7 @@
 	now       time.Duration // of the batch
 	inBatch   bool
 	instances map[int]*instance // that are up, by number
-	touched   []*instance       // those with an event in this batch, in order of the first
+	undecided   []*instance       // those with an event in this batch, in order of the first
 }
 
 func newSimulation() *simulation { return &simulation{instances: map[int]*instance{}} }
@@ -108,13 +108,13 @@
 
 // closeBatch has each instance decide that had an event, unless it is dead or was started anew.
 func (s *simulation) closeBatch() {
-	for _, in := range s.touched {
+	for _, in := range s.undecided {
 		if s.instances[in.number] == in {
 			in.controller.Decide()
 		}
-		in.touched = false
+		in.needsDecision = false
 	}
-	s.touched, s.inBatch = s.touched[:0], false
+	s.undecided, s.inBatch = s.undecided[:0], false
 }
 
 func (s *simulation) handleEvent(l line) error {
@@ -129,7 +129,7 @@
 	if in == nil {
 		return fmt.Errorf("%s: who: instance %d was never booted", l.name, number)
 	}
-	s.markTouched(in)
+	s.markUndecided(in)
 	return in.handle(l)
 }
 
@@ -141,14 +141,14 @@
 	}
 	in := newInstance(s, number)
 	s.instances[number] = in
-	s.markTouched(in)
+	s.markUndecided(in)
 	in.controller = admission.New(event.seed, event.settings, in)
 	return nil
 }
 
-func (s *simulation) markTouched(in *instance) {
-	if !in.touched {
-		in.touched = true
-		s.touched = append(s.touched, in)
+func (s *simulation) markUndecided(in *instance) {
+	if !in.needsDecision {
+		in.needsDecision = true
+		s.undecided = append(s.undecided, in)
 	}
 }
