--- a/internal/clients/helper_test.go
+++ b/internal/clients/helper_test.go
@@ -53,7 +53,7 @@
 	clients  *Frontend
 	pending  map[string]frontend.Responder
 	canceled []string
-	onSubmit func(request frontend.Request, responder frontend.Responder) // answers a request at once; nil: requests are held
+	onSubmit func(request frontend.Request, responder frontend.Responder) // answers at once; nil: requests are held
 }
 
 // newFakeServer starts a fake server with a Frontend.
--- a/internal/runtimelink/command.go
+++ b/internal/runtimelink/command.go
@@ -8,7 +8,7 @@
 	"lanewheel/admission"
 )
 
-// commandLine is what is to be written, with a command that is not complete at its end.
+// commandLine is output for the runtime that ends with an incomplete command.
 type commandLine []byte
 
 func newCommandLine(output []byte, kind string) commandLine {
@@ -33,18 +33,20 @@
 	return append(base64.StdEncoding.AppendEncode(l, body), '"')
 }
 
-// end completes the command.
+// end completes the command and returns the output.
 func (l commandLine) end() []byte { return append(l, '}', '\n') }
 
-// beginField begins a further field.
-func (l commandLine) beginField(name string) commandLine { return appendFieldName(append(l, ','), name) }
+// beginField appends the name of a field after the first one.
+func (l commandLine) beginField(name string) commandLine {
+	return appendFieldName(append(l, ','), name)
+}
 
 func appendFieldName(b []byte, name string) []byte {
 	b = append(append(b, '"'), name...)
 	return append(b, '"', ':')
 }
 
-// appendQuoted writes a string as JSON has it.
+// appendQuoted appends a string in JSON form.
 func appendQuoted(b []byte, s string) []byte {
 	const hexDigits = "0123456789abcdef"
 	b = append(b, '"')
--- a/internal/runtimelink/conn.go
+++ b/internal/runtimelink/conn.go
@@ -5,16 +5,16 @@
 	"lanewheel/internal/transport"
 )
 
-// Conn is a link to the runtime. The fields are its callbacks, called on the owner loop; the methods, a command each,
-// are for the owner loop.
+// Conn is a link to the runtime. Its fields are callbacks, which are called on the owner loop. Its methods send
+// one command each and must be called on the owner loop.
 type Conn struct {
 	*transport.Conn
 	OnEvent func(Event)
 	OnClose func(code string)
 }
 
-// Dial opens a link; ready is called as by transport.Conn.Dial. The callbacks have to be set before the owner loop goes
-// on.
+// Dial opens a link. ready is called as documented at transport.Conn.Dial. The caller must set the callbacks of
+// the Conn before it returns to the owner loop.
 func Dial(net *transport.Net, addr string, ready func(refused error)) *Conn {
 	conn := &Conn{Conn: net.NewDialed(transport.DialOptions{Peer: transport.PeerRuntime})}
 	conn.SetHandler(conn.handler())
@@ -29,37 +29,39 @@
 	}
 }
 
-// Sync has the runtime send the events behind the last one that was read on an earlier link.
+// Sync asks the runtime to send the events that follow lastSequence, which is the last event read on an earlier
+// link.
 func (c *Conn) Sync(lastSequence uint64) {
 	c.SetOutput(c.newCommand(commandSync).sequence(lastSequence).end())
 }
 
-// Start has a request run.
+// Start starts the run of a request.
 func (c *Conn) Start(id admission.RequestID, class admission.Class, body []byte) {
 	c.SetOutput(c.newCommand(commandStart).requestID(id).text(fieldClass, string(class)).body(body).end())
 }
 
-// Stop has a run end before it is done.
+// Stop ends a run before it is complete.
 func (c *Conn) Stop(id admission.RequestID) {
 	c.SetOutput(c.newCommand(commandStop).requestID(id).end())
 }
 
-// SendCallReply gives the reply to the call that a run stands at.
+// SendCallReply sends the reply to the upstream call that a run waits for.
 func (c *Conn) SendCallReply(id admission.RequestID, reply []byte) {
 	c.SetOutput(c.newCommand(commandReply).requestID(id).body(reply).end())
 }
 
-// SkipCall has a run go on without the reply to its call, which the event with this number told of.
+// SkipCall lets a run continue without a reply to its upstream call. sequence is that of the EventCallPoint of
+// the call.
 func (c *Conn) SkipCall(id admission.RequestID, sequence uint64) {
 	c.SetOutput(c.newCommand(commandSkipCall).requestID(id).sequence(sequence).end())
 }
 
-// RequestGauges asks for an EventGauges with this id.
+// RequestGauges requests an EventGauges with this correlation id.
 func (c *Conn) RequestGauges(correlationID string) {
 	c.SetOutput(c.newCommand(commandGauges).text(fieldCorrelationID, correlationID).end())
 }
 
-// RequestSelfTest asks for an EventSelfTest with this id.
+// RequestSelfTest requests an EventSelfTest with this correlation id.
 func (c *Conn) RequestSelfTest(correlationID string) {
 	c.SetOutput(c.newCommand(commandSelfTest).text(fieldCorrelationID, correlationID).end())
 }
--- a/internal/runtimelink/conn_test.go
+++ b/internal/runtimelink/conn_test.go
@@ -9,20 +9,20 @@
 	"lanewheel/internal/transport/transporttest"
 )
 
-// runtimeTrace is what the owner of a link is told of bytes that come in these reads.
+// runtimeTrace returns the callbacks of a link as text, one per line. Each piece arrives in one read.
 func runtimeTrace(pieces ...[]byte) string {
 	var out strings.Builder
-	l := transport.NewDetached()
-	r := &Conn{Conn: l.Conn}
-	handler := r.handler()
+	detached := transport.NewDetached()
+	conn := &Conn{Conn: detached.Conn}
+	handler := conn.handler()
 	handler.OnUnreadable = func(code string) { fmt.Fprintln(&out, code) }
-	r.SetHandler(handler)
-	r.OnEvent = func(n Event) {
+	conn.SetHandler(handler)
+	conn.OnEvent = func(e Event) {
 		fmt.Fprintf(&out, "%s no %d rid %q status %q mark %q after %v bytes %q gauges %v\n",
-			n.Kind, n.Sequence, n.RequestID, n.Status, n.CorrelationID, n.Elapsed, n.Body, n.Gauges)
+			e.Kind, e.Sequence, e.RequestID, e.Status, e.CorrelationID, e.Elapsed, e.Body, e.Gauges)
 	}
-	for _, b := range pieces {
-		l.Receive(b)
+	for _, piece := range pieces {
+		detached.Receive(piece)
 	}
 	return out.String()
 }
@@ -35,10 +35,10 @@
 {"t":"info","no":4,"status":"","b64":""}
 `)
 
-// Every form that a line can take, what ends the link, and each command.
+// Lines of every form, lines that close the link, and every command.
 func Example_lines() {
 	fmt.Print(runtimeTrace(runtimeLines))
-	for _, b := range []string{
+	for _, malformed := range []string{
 		"{}x\n",
 		"[1]\n",
 		`{"t":"end","b64":"A*"}` + "\n",
@@ -48,18 +48,18 @@
 		`{"a":"\u00"}` + "\n",
 		strings.Repeat(" ", transport.BufferSize+1),
 	} {
-		fmt.Print(runtimeTrace([]byte(b)))
+		fmt.Print(runtimeTrace([]byte(malformed)))
 	}
-	l := transport.NewDetached()
-	r := &Conn{Conn: l.Conn}
-	r.Sync(0)
-	r.Start("0123456789abcdef", `a"b`, []byte{0, 255})
-	r.Stop("0123456789abcdef")
-	r.SendCallReply("0123456789abcdef", nil)
-	r.SkipCall("0123456789abcdef", 9)
-	r.RequestGauges("g-1")
-	r.RequestSelfTest("t-2")
-	output, _ := l.Output()
+	detached := transport.NewDetached()
+	conn := &Conn{Conn: detached.Conn}
+	conn.Sync(0)
+	conn.Start("0123456789abcdef", `a"b`, []byte{0, 255})
+	conn.Stop("0123456789abcdef")
+	conn.SendCallReply("0123456789abcdef", nil)
+	conn.SkipCall("0123456789abcdef", 9)
+	conn.RequestGauges("g-1")
+	conn.RequestSelfTest("t-2")
+	output, _ := detached.Output()
 	fmt.Printf("%s", output)
 	// Output:
 	// ready no 0 rid "" status "booting" mark "" after 12.5ms bytes "" gauges []
--- a/internal/runtimelink/event.go
+++ b/internal/runtimelink/event.go
@@ -8,19 +8,19 @@
 	"lanewheel/internal/transport"
 )
 
-// Event is one line of the runtime. Which fields are set depends on its kind.
+// Event is one line that the runtime sent. The kind determines which fields are set.
 type Event struct {
 	Kind          EventKind
 	RequestID     string
 	Status        Status
-	CorrelationID string        // that of the command which it replies to
-	Sequence      uint64        // counts the events of runs; 0: it is none
-	Elapsed       time.Duration // for how long the run has run, or what it took to come up
-	Body          []byte        // a result, or what is asked upstream; valid only during the call of OnEvent
+	CorrelationID string        // of the command that the event replies to
+	Sequence      uint64        // number among the events of runs; 0: not an event of a run
+	Elapsed       time.Duration // run time so far, or time that the runtime took to start
+	Body          []byte        // result or upstream request; valid only during the call of OnEvent
 	Gauges        []float64
 }
 
-// parseLine reads one line. Empty ones are passed over.
+// parseLine parses one line as transport.Handler.Parse requires. It ignores empty lines.
 func (c *Conn) parseLine(b []byte) (int, func(), error) {
 	end := bytes.IndexByte(b, '\n')
 	if end < 0 {
@@ -43,8 +43,8 @@
 	return end + 1, call, nil
 }
 
-// parseEvent picks what we know out of the object; unknown names are passed over, whatever they hold. buffer is the
-// event's body's, to be given back; nil: there is none.
+// parseEvent reads the defined fields of an object and ignores all others, whatever their values. buffer holds
+// the body of the event and must be returned to the pool; it is nil if there is no body.
 func (c *Conn) parseEvent(line []byte) (event Event, buffer []byte, ok bool) {
 	reader := jsonReader{input: line}
 	reader.expect('{')
@@ -58,7 +58,7 @@
 			event.readField(&reader, string(name))
 			continue
 		}
-		if buffer != nil { // a second body
+		if buffer != nil { // the object has a second body
 			reader.malformed = true
 			continue
 		}
@@ -73,7 +73,7 @@
 	return event, buffer, true
 }
 
-// readField reads the value of any field but the body.
+// readField reads the value of any field except the body.
 func (e *Event) readField(reader *jsonReader, name string) {
 	switch name {
 	case fieldKind:
@@ -101,7 +101,7 @@
 	}
 }
 
-// readBody reads the body into a buffer that it takes for it.
+// readBody decodes the body into a buffer that it takes from the pool.
 func (c *Conn) readBody(reader *jsonReader, event *Event) (buffer []byte) {
 	text := reader.readString()
 	if reader.malformed || base64.StdEncoding.DecodedLen(len(text)) > transport.BufferSize {
--- a/internal/runtimelink/golden_test.go
+++ b/internal/runtimelink/golden_test.go
@@ -9,7 +9,7 @@
 	"lanewheel/internal/transport"
 )
 
-// What is sent to the runtime.
+// The encoding of each command.
 func TestGoldenToRuntime(t *testing.T) {
 	file := goldentest.Open(t, "testdata/runtime_commands.golden")
 	const id = "0123456789abcdef"
@@ -17,25 +17,25 @@
 		name  string
 		write func(*Conn)
 	}{
-		{"sync", func(r *Conn) { r.Sync(1<<64 - 1) }},
-		{"start", func(r *Conn) { r.Start(id, "a\"b\\\x01\u00e9", []byte{0, 255}) }},
-		{"stop", func(r *Conn) { r.Stop(id) }},
-		{"give", func(r *Conn) { r.SendCallReply(id, []byte("rows")) }},
-		{"omit", func(r *Conn) { r.SkipCall(id, 9) }},
-		{"gauges", func(r *Conn) { r.RequestGauges("look-1") }},
-		{"selftest", func(r *Conn) { r.RequestSelfTest("test-2") }},
+		{"sync", func(c *Conn) { c.Sync(1<<64 - 1) }},
+		{"start", func(c *Conn) { c.Start(id, "a\"b\\\x01\u00e9", []byte{0, 255}) }},
+		{"stop", func(c *Conn) { c.Stop(id) }},
+		{"give", func(c *Conn) { c.SendCallReply(id, []byte("rows")) }},
+		{"omit", func(c *Conn) { c.SkipCall(id, 9) }},
+		{"gauges", func(c *Conn) { c.RequestGauges("look-1") }},
+		{"selftest", func(c *Conn) { c.RequestSelfTest("test-2") }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l := transport.NewDetached()
-			tc.write(&Conn{Conn: l.Conn})
-			output, _ := l.Output()
+			detached := transport.NewDetached()
+			tc.write(&Conn{Conn: detached.Conn})
+			output, _ := detached.Output()
 			file.Check(tc.name, output)
 		})
 	}
 }
 
-// What the runtime sends. One line has all fields that are known, whatever kind has them, and some that are not;
-// one has all escapes and all words of JSON.
+// The decoding of each kind of event. The line "all" has every defined field, regardless of its kind, and some
+// undefined ones. The line "escapes" has all escapes and all literal names of JSON.
 func TestGoldenFromRuntime(t *testing.T) {
 	file := goldentest.Open(t, "testdata/runtime_notices.golden")
 	const id = "0123456789abcdef"
@@ -63,13 +63,13 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var got []Event
-			l := transport.NewDetached()
-			r := &Conn{Conn: l.Conn}
-			handler := r.handler()
+			detached := transport.NewDetached()
+			conn := &Conn{Conn: detached.Conn}
+			handler := conn.handler()
 			handler.OnUnreadable = func(code string) { t.Error(code) }
-			r.SetHandler(handler)
-			r.OnEvent = func(n Event) { got = append(got, n) }
-			l.Receive(file.Bytes(tc.name))
+			conn.SetHandler(handler)
+			conn.OnEvent = func(e Event) { got = append(got, e) }
+			detached.Receive(file.Bytes(tc.name))
 			if !reflect.DeepEqual(got, []Event{tc.want}) {
 				t.Errorf("read as %+v, want %+v", got, tc.want)
 			}
--- a/internal/runtimelink/jsonreader.go
+++ b/internal/runtimelink/jsonreader.go
@@ -7,14 +7,14 @@
 	"unicode/utf8"
 )
 
-// jsonReader reads JSON values off the front of a whole line.
+// jsonReader reads consecutive JSON values from a complete line.
 type jsonReader struct {
 	input     []byte
 	offset    int
-	malformed bool // something else stands there than what was asked for; what is read then is zero
+	malformed bool // the input does not match what a method expects; further values are zero
 }
 
-// peek gives the next byte that is no space.
+// peek skips white space and returns the next byte without consuming it.
 func (r *jsonReader) peek() byte {
 	for r.offset < len(r.input) && isSpace(r.input[r.offset]) {
 		r.offset++
@@ -28,7 +28,7 @@
 
 func isSpace(c byte) bool { return c == ' ' || c == '\t' || c == '\r' }
 
-// expect passes over c, which has to come next.
+// expect consumes c, which must be the next byte other than white space.
 func (r *jsonReader) expect(c byte) {
 	if r.peek() == c && !r.malformed {
 		r.offset++
@@ -37,7 +37,7 @@
 	r.malformed = true
 }
 
-// accept passes over c if it comes next.
+// accept consumes c if it is the next byte other than white space, and reports whether it is.
 func (r *jsonReader) accept(c byte) bool {
 	if r.peek() != c || r.malformed {
 		return false
@@ -46,11 +46,11 @@
 	return true
 }
 
-// readString reads a string. It is a part of the input, or new if it has escapes.
+// readString reads a string. The result is a part of the input, or a new slice if the string contains escapes.
 func (r *jsonReader) readString() []byte {
 	r.expect('"')
 	from := r.offset
-	plain := true // without escapes
+	plain := true // contains no escapes
 	for ; !r.malformed; r.offset++ {
 		switch {
 		case r.offset >= len(r.input) || r.input[r.offset] < 0x20:
@@ -99,7 +99,7 @@
 	return out
 }
 
-// readHex reads the four digits at an index.
+// readHex reads the four hex digits at index.
 func (r *jsonReader) readHex(s []byte, index int) rune {
 	if index+4 > len(s) {
 		r.malformed = true
@@ -124,7 +124,8 @@
 	return x
 }
 
-// skip passes over one value of any form. The depth limits the recursion, which a peer could have use up the stack.
+// skip skips one value of any type. It rejects values nested deeper than maxDepth, because a peer could
+// otherwise exhaust the stack by recursion.
 func (r *jsonReader) skip(depth int) {
 	switch c := r.peek(); {
 	case r.malformed || depth > maxDepth:
@@ -133,7 +134,7 @@
 		r.readString()
 	case c == '{' || c == '[':
 		r.offset++
-		for first := true; !r.malformed && !r.accept(c+2); first = false { // the closing one stands two after
+		for first := true; !r.malformed && !r.accept(c+2); first = false { // the code of the closing bracket is 2 higher
 			if !first {
 				r.expect(',')
 			}
--- a/internal/runtimelink/wire.go
+++ b/internal/runtimelink/wire.go
@@ -1,11 +1,11 @@
-// Package runtimelink is the protocol of the link to the runtime: JSON, one flat object a line, bodies in base64.
-// Nothing outside this package knows the protocol's words, which are mapped to the fields of Event and the methods of
-// Conn here.
+// Package runtimelink implements the protocol of the link to the runtime. Each line is a flat JSON object, with
+// bodies in base64. The package maps the words of the protocol to the fields of Event and the methods of Conn;
+// other packages do not use these words.
 package runtimelink
 
 import "lanewheel/internal/transport"
 
-// errMalformed ends a link on which something else came than lines of the protocol.
+// errMalformed closes a link on which a line was received that does not follow the protocol.
 const errMalformed transport.ParseError = "bad-line"
 
 // The kinds of commands.
@@ -19,22 +19,22 @@
 	commandSelfTest = "selftest"
 )
 
-// EventKind is the kind of an Event. A runtime may send others than those below.
+// EventKind is the kind of an Event. A runtime may also send kinds that are not listed below.
 type EventKind string
 
 // The kinds of events.
 const (
-	EventReady     EventKind = "ready"   // the runtime is up; Status tells how
-	EventGauges    EventKind = "load"    // the reply to RequestGauges, or unasked
+	EventReady     EventKind = "ready"   // the runtime is up; Status is its state
+	EventGauges    EventKind = "load"    // the reply to RequestGauges, or unsolicited
 	EventSelfTest  EventKind = "verdict" // the result of RequestSelfTest, in Status
-	EventCallPoint EventKind = "wants"   // a run stands at an upstream call, and waits for SendCallReply or SkipCall
-	EventEnd       EventKind = "end"     // a run is over; Status tells how
+	EventCallPoint EventKind = "wants"   // a run has reached an upstream call and waits for SendCallReply or SkipCall
+	EventEnd       EventKind = "end"     // a run has ended; Status is its outcome
 	EventRefused   EventKind = "nack"    // a command was refused
-	EventInfo      EventKind = "info"    // asks for nothing
+	EventInfo      EventKind = "info"    // for information; requires no action
 )
 
-// Status is how a run, a self-test or the start of the runtime ended, as an Event tells it. A runtime may send others
-// than those below.
+// Status is the outcome of a run or a self-test, the state of the runtime or the kind of a refused command,
+// depending on the kind of the Event. A runtime may also send statuses that are not listed below.
 type Status string
 
 // The statuses.
@@ -42,12 +42,12 @@
 	StatusSuccess     Status = "success"
 	StatusFailure     Status = "failure"
 	StatusInterrupted Status = "interrupted" // the run was stopped
-	StatusNotStarted  Status = "nothing"     // there was no such run
-	StatusStart       Status = "start"       // of EventRefused: the command was a start
-	StatusBooting     Status = "booting"     // of EventReady: it has just come up
+	StatusNotStarted  Status = "nothing"     // there was no run with this id
+	StatusStart       Status = "start"       // in an EventRefused: the refused command was a start
+	StatusBooting     Status = "booting"     // in an EventReady: the runtime has just started
 )
 
-// The fields of commands and events.
+// The field names of commands and events.
 const (
 	fieldKind          = "t"
 	fieldSequence      = "no"
@@ -60,5 +60,5 @@
 	fieldBody          = "b64"
 )
 
-// maxDepth limits the recursion over nested values.
+// maxDepth is the maximum nesting depth of JSON values, which limits the recursion of the reader.
 const maxDepth = 16
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -16,7 +16,7 @@
 	settings admission.Settings
 }
 
-// timerEvent is a timer that fired, with the gauges of the moment.
+// timerEvent is the firing of a timer, with the gauges measured at that moment.
 type timerEvent struct {
 	token  string
 	gauges admission.Gauges
@@ -29,21 +29,22 @@
 	outcome admission.Outcome
 }
 
-// decodeInstance reads which instance a line is for, of each line but tick and flush.
+// decodeInstance returns the number of the instance that a line is for. All lines except tick and flush are for an
+// instance.
 func decodeInstance(l line) (int, error) {
 	f := &fieldReader{line: l}
 	const field = "who"
 	if len(l.values) == 0 {
-		f.fail(field, "a value")
+		f.fail(field, "present")
 	}
 	instance := f.integer(field)
 	if instance < 0 {
-		f.fail(field, "a small number")
+		f.fail(field, "an integer of 0 or more")
 	}
 	return int(instance), f.err
 }
 
-// decodeTick reads the clock that opens a batch.
+// decodeTick returns the time of the batch that a tick opens.
 func decodeTick(l line) (time.Duration, error) {
 	f := newFieldReader(l, 1, 1)
 	clock := f.duration("clock-s")
@@ -67,7 +68,7 @@
 	return bootEvent{seed: seed, settings: parsed}, nil
 }
 
-// The bits of an order.
+// The bits of the field "bits" of an order.
 const (
 	orderHasHint = 1 << iota
 	orderIsRetry
@@ -118,7 +119,7 @@
 	return event, f.err
 }
 
-// decodeRequestID reads a line that only names a request: blocked and aborted.
+// decodeRequestID decodes a line that holds only a request id, which is blocked or aborted.
 func decodeRequestID(l line) (admission.RequestID, error) {
 	f := newFieldReader(l, 2, 2)
 	f.skipInstance()
@@ -133,7 +134,7 @@
 	return event, f.err
 }
 
-// decodeCallDone reads the end of a call, whose outcome comes before its time.
+// decodeCallDone decodes the end of a call. Unlike in decodeRunEnded, the outcome precedes the elapsed time.
 func decodeCallDone(l line) (endEvent, error) {
 	f := newFieldReader(l, 4, 4)
 	f.skipInstance()
@@ -141,7 +142,7 @@
 	return event, f.err
 }
 
-// decodeTerminateSoon reads when the instance will be killed.
+// decodeTerminateSoon returns the time at which the instance will be killed.
 func decodeTerminateSoon(l line) (time.Duration, error) {
 	f := newFieldReader(l, 2, 2)
 	f.skipInstance()
--- a/internal/simulator/fields.go
+++ b/internal/simulator/fields.go
@@ -11,48 +11,50 @@
 	"lanewheel/internal/settings"
 )
 
-// maxInteger is up to where a JSON number is an exact integer.
+// maxInteger is the largest magnitude up to which every integer is exact as a JSON number.
 const maxInteger = 1 << 53
 
-// fieldReader reads the values of a line in order, and keeps the first error. After an error values are zero.
+// fieldReader reads the values of a line in order and keeps the first error. After an error, all values are zero.
 type fieldReader struct {
 	line line
 	next int
 	err  error
 }
 
-// newFieldReader checks how many values a line has; the last ones may be left out.
+// newFieldReader checks that a line has minValues to maxValues values. The values after the first minValues are
+// optional.
 func newFieldReader(l line, minValues, maxValues int) *fieldReader {
 	f := &fieldReader{line: l}
 	if n := len(l.values); n < minValues || n > maxValues {
-		f.err = fmt.Errorf("%s: has %d values, wants %d to %d", l.name, n, minValues, maxValues)
+		f.err = fmt.Errorf("%s: has %d values, must have %d to %d", l.name, n, minValues, maxValues)
 	}
 	return f
 }
 
-// fail keeps an error unless there is one.
-func (f *fieldReader) fail(field, want string) {
+// fail records an error about a field unless there is one already. The error states that the field must be the
+// expected value.
+func (f *fieldReader) fail(field, expected string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("%s: %s: wants %s", f.line.name, field, want)
+		f.err = fmt.Errorf("%s: %s: must be %s", f.line.name, field, expected)
 	}
 }
 
-// value takes the next value, nil if it is left out or of another type.
-func (f *fieldReader) value(field, want string, wantType fastjson.Type) *fastjson.Value {
+// value returns the next value, or nil if it is left out or of another type.
+func (f *fieldReader) value(field, expected string, expectedType fastjson.Type) *fastjson.Value {
 	i := f.next
 	f.next++
 	if f.err != nil || i >= len(f.line.values) {
 		return nil
 	}
 	v := f.line.values[i]
-	if v.Type() != wantType {
-		f.fail(field, want)
+	if v.Type() != expectedType {
+		f.fail(field, expected)
 		return nil
 	}
 	return v
 }
 
-// skipNull passes over a value that is null or left out, and tells whether it did.
+// skipNull skips the next value if it is null or left out, and reports whether it did.
 func (f *fieldReader) skipNull() bool {
 	if f.next < len(f.line.values) && f.line.values[f.next].Type() != fastjson.TypeNull {
 		return false
@@ -62,19 +64,19 @@
 }
 
 func (f *fieldReader) number(field string) float64 {
-	const want = "a number"
-	v := f.value(field, want, fastjson.TypeNumber)
+	const expected = "a number"
+	v := f.value(field, expected, fastjson.TypeNumber)
 	if v == nil {
 		return 0
 	}
 	x, err := v.Float64()
 	if err != nil || math.IsInf(x, 0) || math.IsNaN(x) {
-		f.fail(field, want)
+		f.fail(field, expected)
 	}
 	return x
 }
 
-// optionalNumber is 0 where the value is null or left out.
+// optionalNumber returns the next number, or 0 if the value is null or left out.
 func (f *fieldReader) optionalNumber(field string) float64 {
 	if f.skipNull() {
 		return 0
@@ -90,10 +92,10 @@
 	return int64(x)
 }
 
-// unsigned keeps all the bits of a seed, which a float would not.
+// unsigned returns the next integer with all its bits, which a seed needs and a float64 cannot hold.
 func (f *fieldReader) unsigned(field string) uint64 {
-	const want = "an integer"
-	v := f.value(field, want, fastjson.TypeNumber)
+	const expected = "an integer"
+	v := f.value(field, expected, fastjson.TypeNumber)
 	if v == nil {
 		return 0
 	}
@@ -102,20 +104,20 @@
 	}
 	i, err := v.Int64()
 	if err != nil {
-		f.fail(field, want)
+		f.fail(field, expected)
 	}
 	return uint64(i)
 }
 
 func (f *fieldReader) text(field string) string {
-	v := f.value(field, "text", fastjson.TypeString)
+	v := f.value(field, "a string", fastjson.TypeString)
 	if v == nil {
 		return ""
 	}
 	return string(v.GetStringBytes())
 }
 
-// optionalText is empty where the value is null, left out or 0.
+// optionalText returns the next string, or "" if the value is null, left out or 0.
 func (f *fieldReader) optionalText(field string) string {
 	if f.skipNull() {
 		return ""
@@ -127,7 +129,7 @@
 	return f.text(field)
 }
 
-// skipInstance passes over the number of the instance that a line is for; see decodeInstance.
+// skipInstance skips the number of the instance, which decodeInstance reads.
 func (f *fieldReader) skipInstance() { f.integer("who") }
 
 func (f *fieldReader) requestID() admission.RequestID {
@@ -135,7 +137,7 @@
 	return f.checkRequestID(field, f.text(field))
 }
 
-// duplicateOf reads the request that another one repeats, empty for none.
+// duplicateOf returns the id of the request that this one duplicates, or "" if it duplicates none.
 func (f *fieldReader) duplicateOf() admission.RequestID {
 	const field = "dup-of"
 	id := f.optionalText(field)
@@ -164,16 +166,16 @@
 	return true
 }
 
-// duration reads seconds.
+// duration returns the next value, which is a number of seconds.
 func (f *fieldReader) duration(field string) time.Duration {
 	seconds := f.number(field)
 	if seconds < 0 {
-		f.fail(field, "a time of 0 or more")
+		f.fail(field, "a duration of 0 or more")
 	}
 	return settings.SecondsToDuration(seconds)
 }
 
-// outcomes are the codes of how a run or a call ended.
+// outcomes maps the codes of the wire to the outcomes of runs and calls.
 var outcomes = map[int64]admission.Outcome{
 	0:  admission.Succeeded,
 	1:  admission.Stopped,
@@ -187,8 +189,8 @@
 
 func (f *fieldReader) outcome() admission.Outcome {
 	const field = "how"
-	outcome, known := outcomes[f.integer(field)]
-	if !known {
+	outcome, ok := outcomes[f.integer(field)]
+	if !ok {
 		f.fail(field, "an outcome code")
 	}
 	return outcome
--- a/internal/simulator/golden_test.go
+++ b/internal/simulator/golden_test.go
@@ -27,14 +27,14 @@
 	return l
 }
 
-// decoded is what a line says, whatever its kind.
+// decoded is the content of a line of any kind.
 type decoded struct {
 	name     string
 	instance int
 	event    any
 }
 
-// decode reads a line as the simulation would.
+// decode decodes a line with the functions that a simulation uses.
 func decode(t *testing.T, text []byte) decoded {
 	t.Helper()
 	l := parseLine(t, text)
@@ -67,7 +67,7 @@
 	case linePowerOff:
 		err = checkPowerOff(l)
 	default:
-		t.Fatalf("unknown line %s", l.name)
+		t.Fatalf("unknown line name %q", l.name)
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -75,7 +75,7 @@
 	return result
 }
 
-// Each line that the simulator writes, and what it is read as.
+// The decoding of each kind of line that the simulator sends.
 func TestGoldenLines(t *testing.T) {
 	file := goldentest.Open(t, "testdata/lines.golden")
 	for _, tc := range []struct {
@@ -128,13 +128,13 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := decode(t, file.Bytes(tc.name)); !reflect.DeepEqual(got, tc.want) {
-				t.Errorf("read as %+v, want %+v", got, tc.want)
+				t.Errorf("decoded as %+v, want %+v", got, tc.want)
 			}
 		})
 	}
 }
 
-// Each code of an outcome, of a run and of a call.
+// The decoding of each outcome code, for runs and for calls.
 func TestGoldenOutcomes(t *testing.T) {
 	codes := map[int]admission.Outcome{
 		0:  admission.Succeeded,
@@ -147,22 +147,22 @@
 		14: admission.Unreachable,
 	}
 	for code := range 256 {
-		want, known := codes[code]
+		want, valid := codes[code]
 		run, err := decodeRunEnded(parseLine(t, fmt.Appendf(nil, `["ended",3,%q,0.3,%d]`, firstID, code)))
-		if known != (err == nil) || known && run.outcome != want {
-			t.Errorf("a run's code %d is read as %v, %v", code, run.outcome, err)
+		if valid != (err == nil) || valid && run.outcome != want {
+			t.Errorf("code %d of a run is decoded as %v, error %v", code, run.outcome, err)
 		}
 		call, err := decodeCallDone(parseLine(t, fmt.Appendf(nil, `["call-done",3,%q,%d,0.3]`, firstID, code)))
-		if known != (err == nil) || known && call.outcome != want {
-			t.Errorf("a call's code %d is read as %v, %v", code, call.outcome, err)
+		if valid != (err == nil) || valid && call.outcome != want {
+			t.Errorf("code %d of a call is decoded as %v, error %v", code, call.outcome, err)
 		}
 	}
 }
 
-// Each kind of value that a reply may hold.
+// The encoding of each kind of value in a reply.
 func TestGoldenReply(t *testing.T) {
 	var r reply
-	for range 2 { // one that was finished is begun anew
+	for range 2 { // finish resets the reply, so that it can be used again
 		r.action("name", 3).id(firstID).text("a\"b\\<\u00e9\x01").flag(true).flag(false).number(0.1234567).number(12).
 			seconds(1850 * time.Microsecond).seconds(-time.Second).end()
 		r.action("none", 4).end()
@@ -170,7 +170,7 @@
 			`,true,false,0.123457,12.000000,0.001850,0.000000]` + "\n" +
 			`["none",4]` + "\n" + `["eor"]` + "\n"
 		if got := string(r.finish()); got != want {
-			t.Errorf("written %s, want %s", got, strings.TrimSpace(want))
+			t.Errorf("the reply is %s, want %s", got, strings.TrimSpace(want))
 		}
 	}
 }
--- a/internal/simulator/instance.go
+++ b/internal/simulator/instance.go
@@ -8,18 +8,18 @@
 	"lanewheel/admission"
 )
 
-// instance is one incarnation of a service instance, with the functions that wait for events. It implements
-// admission.Executor: each action is a line of the reply.
+// instance is one incarnation of a service instance, with the callbacks for future events. It implements
+// admission.Executor and writes each action as a line of the reply.
 type instance struct {
-	simulation *simulation
-	number     int
-	controller *admission.Controller
-	needsDecision    bool // has had an event in this batch
-	onCall     map[admission.RequestID]func()
-	onRunEnd   map[admission.RequestID]func(admission.Outcome, time.Duration)
-	onCallDone map[admission.RequestID]func(admission.Outcome, time.Duration)
-	onTimer    map[string]func(admission.Gauges) // by token
-	timerCount     uint64                            // set so far, for their tokens
+	simulation    *simulation
+	number        int
+	controller    *admission.Controller
+	needsDecision bool // an event of the current batch was for this instance
+	onCall        map[admission.RequestID]func()
+	onRunEnd      map[admission.RequestID]func(admission.Outcome, time.Duration)
+	onCallDone    map[admission.RequestID]func(admission.Outcome, time.Duration)
+	onTimer       map[string]func(admission.Gauges) // by token
+	timerCount    uint64                            // number of timers set so far, from which their tokens are made
 }
 
 func newInstance(s *simulation, number int) *instance {
@@ -33,7 +33,7 @@
 	}
 }
 
-// handlers handle the lines for an instance that is up.
+// handlers holds the handler of each kind of line for a running instance.
 var handlers = map[string]func(*instance, line) error{
 	lineOrder:         (*instance).handleOrder,
 	lineTimer:         (*instance).handleTimer,
@@ -46,8 +46,8 @@
 }
 
 func (in *instance) handle(l line) error {
-	handler, known := handlers[l.name]
-	if !known {
+	handler, ok := handlers[l.name]
+	if !ok {
 		return fmt.Errorf("%s: unknown message", l.name)
 	}
 	return handler(in, l)
@@ -67,9 +67,9 @@
 	if err != nil {
 		return err
 	}
-	if then, known := in.onTimer[event.token]; known {
+	if onTimer, ok := in.onTimer[event.token]; ok {
 		delete(in.onTimer, event.token)
-		then(event.gauges)
+		onTimer(event.gauges)
 	}
 	return nil
 }
@@ -79,8 +79,8 @@
 	if err != nil {
 		return err
 	}
-	if then, known := in.onCall[id]; known {
-		then()
+	if onCall, ok := in.onCall[id]; ok {
+		onCall()
 	}
 	return nil
 }
@@ -90,12 +90,12 @@
 	if err != nil {
 		return err
 	}
-	then, known := in.onRunEnd[event.id]
+	onRunEnd, ok := in.onRunEnd[event.id]
 	delete(in.onRunEnd, event.id)
 	delete(in.onCall, event.id)
 	delete(in.onCallDone, event.id)
-	if known {
-		then(event.outcome, event.elapsed)
+	if ok {
+		onRunEnd(event.outcome, event.elapsed)
 	}
 	return nil
 }
@@ -105,9 +105,9 @@
 	if err != nil {
 		return err
 	}
-	if then, known := in.onCallDone[event.id]; known {
+	if onCallDone, ok := in.onCallDone[event.id]; ok {
 		delete(in.onCallDone, event.id)
-		then(event.outcome, event.elapsed)
+		onCallDone(event.outcome, event.elapsed)
 	}
 	return nil
 }
@@ -190,7 +190,7 @@
 	in.action(actionArm).seconds(at).text(token).end()
 }
 
-// stateNames are the wire's words for the states.
+// stateNames holds the names of the states on the wire.
 var stateNames = map[admission.State]string{
 	admission.StateHealthy:  "well",
 	admission.StateStalled:  "stuck",
--- a/internal/simulator/reply.go
+++ b/internal/simulator/reply.go
@@ -9,7 +9,7 @@
 	"lanewheel/admission"
 )
 
-// The names of the lines that go out.
+// The names of the output lines.
 const (
 	actionServe      = "serve"
 	actionAttach     = "attach"
@@ -27,10 +27,10 @@
 	actionArm        = "arm"
 )
 
-// reply gathers the lines of one reply.
+// reply collects the lines of one reply.
 type reply struct{ buf []byte }
 
-// finish ends the reply and returns its text, which is valid until the next action.
+// finish completes the reply, returns its text and starts a new reply. The text is valid until the next action.
 func (r *reply) finish() []byte {
 	r.buf = append(r.buf, "[\"eor\"]\n"...)
 	out := r.buf
@@ -38,7 +38,8 @@
 	return out
 }
 
-// action begins a line, to which its values are added; end completes it.
+// action begins a line. The caller adds the values to the returned action and completes the line with its
+// method end.
 func (r *reply) action(name string, instance int) action {
 	r.buf = append(r.buf, '[')
 	r.buf = strconv.AppendQuote(r.buf, name)
@@ -47,7 +48,7 @@
 	return action{r}
 }
 
-// action is a line that is being written.
+// action is an incomplete line of a reply.
 type action struct{ reply *reply }
 
 func (a action) end() { a.reply.buf = append(a.reply.buf, ']', '\n') }
@@ -55,7 +56,7 @@
 func (a action) id(id admission.RequestID) action { return a.text(string(id)) }
 
 func (a action) text(s string) action {
-	quoted, _ := json.Marshal(s) // a string always has a JSON form
+	quoted, _ := json.Marshal(s) // encoding a string never fails
 	a.reply.buf = append(append(a.reply.buf, ','), quoted...)
 	return a
 }
@@ -70,5 +71,5 @@
 	return a
 }
 
-// seconds writes a duration; a negative one is none.
+// seconds appends a duration in seconds. A negative duration is written as 0.
 func (a action) seconds(d time.Duration) action { return a.number(math.Max(0, d.Seconds())) }
--- a/internal/simulator/session_test.go
+++ b/internal/simulator/session_test.go
@@ -11,8 +11,8 @@
 	"lanewheel/internal/goldentest"
 )
 
-// A whole session in which each kind of line comes in, and all that goes out. What is printed is for people and may be
-// worded otherwise.
+// The complete output of a session whose input has every kind of line. The texts of print actions are for
+// people and are not compared, so their wording may change.
 func TestGoldenSession(t *testing.T) {
 	in, err := os.ReadFile("testdata/session.in")
 	if err != nil {
@@ -21,7 +21,7 @@
 	for _, name := range []string{"boot", "order", "timeout-fired", "blocked", "ended", "call-done", "terminate-soon",
 		"aborted", "power-off"} {
 		if !bytes.Contains(in, []byte(`["`+name+`",3`)) {
-			t.Errorf("no %s in the session", name)
+			t.Errorf("the session has no line %s", name)
 		}
 	}
 	var out bytes.Buffer
@@ -32,7 +32,7 @@
 	goldentest.CheckText(t, "testdata/session.out", printed.ReplaceAll(out.Bytes(), []byte(`$1"TEXT"]`)))
 }
 
-// Each action that an instance may take, as it goes out.
+// The output line of each action of an instance.
 func TestGoldenActions(t *testing.T) {
 	s := newSimulation()
 	in := newInstance(s, 3)
@@ -54,10 +54,10 @@
 	in.LogTransition(admission.Transition{To: admission.StateDraining, Queued: 1, Running: 2})
 	in.WakeAt(6*time.Second, nil)
 	out := s.reply.finish()
-	// The file leaves open how the change of state is worded.
+	// The golden file does not contain the wording of the transition.
 	transition := []byte(`["print",3,"well -\u003e leaving: held 1, running 2"]`)
 	if bytes.Count(out, transition) != 1 {
-		t.Errorf("written %s, want one line %s", out, transition)
+		t.Errorf("the reply is %s, want one line %s in it", out, transition)
 	}
 	goldentest.CheckText(t, "testdata/actions.out", bytes.Replace(out, transition, []byte(`["print",3,"text"]`), 1))
 }
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -10,23 +10,24 @@
 	"lanewheel/admission"
 )
 
-// readBufferSize holds the usual lines; longer ones are read too.
+// readBufferSize is the size of the read buffer in bytes. Usual lines fit into it; longer ones are read as well.
 const readBufferSize = 1 << 20
 
-// simulation turns events into calls on the instances, and what they decide into a reply for each batch.
+// simulation passes events to the instances and collects their actions in one reply for each batch.
 type simulation struct {
 	parser    lineParser
 	reply     reply
-	now       time.Duration // of the batch
+	now       time.Duration // time of the current batch
 	inBatch   bool
-	instances map[int]*instance // that are up, by number
-	undecided   []*instance       // those with an event in this batch, in order of the first
+	instances map[int]*instance // running instances by number
+	undecided []*instance       // instances with an event in the current batch, in the order of their first event
 }
 
 func newSimulation() *simulation { return &simulation{instances: map[int]*instance{}} }
 
-// Serve answers batches until the input ends. A reply is written whole or, after an error, not at all. The error names
-// the line, from 1, and what is wanted there.
+// Serve replies to batches until the input ends. After an error in a batch, nothing of its reply is written.
+// The error contains the line number, starting at 1, and states what is wrong with the line. Serve returns nil
+// if the input ends between two batches.
 func Serve(in io.Reader, out io.Writer) error {
 	input := lineReader{buffered: bufio.NewReaderSize(in, readBufferSize)}
 	s := newSimulation()
@@ -60,7 +61,8 @@
 	long     []byte // the last line that was longer than the buffer
 }
 
-// next returns a line, valid until the next one is read, or io.EOF behind the last. The last line may lack its end.
+// next returns the next line, which is valid until the following call, or io.EOF after the last line. The last
+// line need not end with a newline.
 func (r *lineReader) next() ([]byte, error) {
 	text, err := r.buffered.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -75,7 +77,7 @@
 	return text, err
 }
 
-// handleLine handles one line and tells whether it closed the batch.
+// handleLine handles one line and reports whether it closed the batch.
 func (s *simulation) handleLine(text []byte) (batchClosed bool, err error) {
 	l, err := s.parser.parse(text)
 	if err != nil {
@@ -85,7 +87,7 @@
 	case l.name == lineTick:
 		return false, s.openBatch(l)
 	case !s.inBatch:
-		return false, fmt.Errorf("%s: outside a batch", l.name)
+		return false, fmt.Errorf("%s: not allowed outside a batch", l.name)
 	case l.name == lineFlush:
 		s.closeBatch()
 		return true, checkFlush(l)
@@ -95,18 +97,18 @@
 
 func (s *simulation) openBatch(l line) error {
 	if s.inBatch {
-		return errors.New("tick: inside a batch")
+		return errors.New("tick: not allowed inside a batch")
 	}
 	s.inBatch = true
 	clock, err := decodeTick(l)
 	if err == nil && clock < s.now {
-		err = errors.New("tick: clock-s: the clock goes back")
+		err = errors.New("tick: clock-s: must not be before the previous tick")
 	}
 	s.now = clock
 	return err
 }
 
-// closeBatch has each instance decide that had an event, unless it is dead or was started anew.
+// closeBatch lets each instance that had an event decide, unless it has ended or was replaced.
 func (s *simulation) closeBatch() {
 	for _, in := range s.undecided {
 		if s.instances[in.number] == in {
@@ -127,13 +129,13 @@
 	}
 	in := s.instances[number]
 	if in == nil {
-		return fmt.Errorf("%s: who: instance %d was never booted", l.name, number)
+		return fmt.Errorf("%s: who: instance %d is not running", l.name, number)
 	}
 	s.markUndecided(in)
 	return in.handle(l)
 }
 
-// boot starts an instance, in the place of one with its number.
+// boot starts an instance. It replaces a running instance with the same number.
 func (s *simulation) boot(number int, l line) error {
 	event, err := decodeBoot(l)
 	if err != nil {
--- a/internal/simulator/simulation_test.go
+++ b/internal/simulator/simulation_test.go
@@ -12,7 +12,8 @@
 
 const order = `["order",3,"addf482b5d3a91c4","view",0.625,1,null,17,8.65,0.012,24.5,0.00185,"x",null]`
 
-// A short stream: a start, a request that calls the upstream and is duplicated, the end of the run, a clean end.
+// A short stream: an instance starts, a request makes an upstream call and is duplicated, its run ends, and
+// the instance drains and ends.
 func Example_stream() {
 	in := strings.Join([]string{
 		`["tick",5.5]`, boot, `["flush"]`,
@@ -52,8 +53,8 @@
 	// <nil>
 }
 
-// Each error is named, and nothing is written of the batch that has it.
-func Example_faults() {
+// Each error states what is wrong in which line, and nothing of the reply to its batch is written.
+func Example_errors() {
 	for _, batch := range []string{
 		`{"tick":1}`,
 		`["tick",1`,
@@ -76,22 +77,22 @@
 		fmt.Println(Serve(strings.NewReader(batch+"\n"), os.Stdout))
 	}
 	// Output:
-	// line 1: message is not an array that starts with its name
+	// line 1: message is not an array that starts with a name
 	// line 1: malformed JSON: cannot parse JSON: cannot parse array: unexpected end of array; unparsed tail: ""
 	// line 1: message is not UTF-8
-	// line 1: flush: outside a batch
-	// line 1: tick: clock-s: wants a time of 0 or more
-	// line 1: tick: has 0 values, wants 1 to 1
-	// line 2: surprise: who: instance 3 was never booted
-	// line 2: order: who: instance 3 was never booted
-	// line 3: order: kb: wants a number
-	// line 3: order: tid: wants 16 hex digits
-	// line 3: ended: how: wants an outcome code
-	// line 3: aborted: has 1 values, wants 2 to 2
-	// line 3: timeout-fired: health-info.runnable: wants a number
+	// line 1: flush: not allowed outside a batch
+	// line 1: tick: clock-s: must be a duration of 0 or more
+	// line 1: tick: has 0 values, must have 1 to 1
+	// line 2: surprise: who: instance 3 is not running
+	// line 2: order: who: instance 3 is not running
+	// line 3: order: kb: must be a number
+	// line 3: order: tid: must be 16 hex digits
+	// line 3: ended: how: must be an outcome code
+	// line 3: aborted: has 1 values, must have 2 to 2
+	// line 3: timeout-fired: health-info.runnable: must be a number
 	// line 2: boot: boot-info: [domain cpus]: must not be of type string
 	// line 2: boot: boot-info: classes: must be a non-empty list
 	// line 3: input ends inside a batch
 	// ["eor"]
-	// line 3: tick: clock-s: the clock goes back
+	// line 3: tick: clock-s: must not be before the previous tick
 }
