--- a/internal/clients/closereason.go
+++ b/internal/clients/closereason.go
@@ -7,18 +7,18 @@
 type closeReason string
 
 const (
-	closeShutdown            closeReason = "shutdown"              // a drain has reached its end
+	closeShutdown            closeReason = "shutdown"              // still open at the end of a drain
 	closeIdle                closeReason = "idle-timeout"          // unused; the client was asked to go away and did not
 	closeEvicted             closeReason = "evicted"               // unused for longest when there was no room
 	closeFirstMessageTimeout closeReason = "first-message-timeout" // no complete message has ever been received
 	closeReadTimeout         closeReason = "read-timeout"          // a message was received only in part
 	closeHandshakeTimeout    closeReason = "handshake-timeout"
-	closeDuplicateMessageID  closeReason = "duplicate-message-id" // equals that of a pending request
-	closeDuplicateRequestID  closeReason = "duplicate-request-id" // equals that of a request pending on the connection
+	closeDuplicateMessageID  closeReason = "duplicate-message-id" // message id of a pending request
+	closeDuplicateRequestID  closeReason = "duplicate-request-id" // request id of a request pending on the connection
 	closeTooManyPending      closeReason = "too-many-pending"
 	closeUnknownRequest      closeReason = "unknown-request" // the runtime does not know the request
 
-	// The code of the last of several consecutive invalid requests:
+	// Reasons for closing after several consecutive invalid requests. The last of these requests determines the reason.
 
 	closeUnknownClass  closeReason = "unknown-class"
 	closeUnknownTenant closeReason = "unknown-tenant"
--- a/internal/clients/closing_test.go
+++ b/internal/clients/closing_test.go
@@ -20,7 +20,7 @@
 			fake.Must(client.Conn.Write([]byte(test.sent)))
 			expect(t, client, closedText)
 			if after := time.Since(began); after < 1400*time.Millisecond || after > 5*time.Second {
-				t.Error("the connection was closed after", after)
+				t.Errorf("the connection was closed after %v, want 1.4s to 5s", after)
 			}
 			_ = client.Conn.Close()
 			server.waitForReason(test.reason)
@@ -124,7 +124,7 @@
 	select {
 	case connections := <-done:
 		if connections != 0 {
-			t.Errorf("%d connections were closed", connections)
+			t.Errorf("the drain closed %d connections, want 0", connections)
 		}
 	case <-time.After(time.Second):
 		t.Error("the drain has not ended")
@@ -145,10 +145,10 @@
 	expect(t, client, goAway, closedText)
 	_ = client.Conn.Close()
 	if connections := <-done; connections != 1 {
-		t.Errorf("%d connections were closed", connections)
+		t.Errorf("the drain closed %d connections, want 1", connections)
 	}
 	if after := time.Since(began); after < 240*time.Millisecond {
-		t.Error("the drain ended after", after)
+		t.Errorf("the drain ended after %v, want at least 240ms", after)
 	}
 	server.waitForReason("shutdown")
 }
@@ -162,7 +162,7 @@
 		0:                {},
 	} {
 		if got := DrainScheduleFor(grace); got != want {
-			t.Errorf("%v: %v, want %v", grace, got, want)
+			t.Errorf("DrainScheduleFor(%v) = %v, want %v", grace, got, want)
 		}
 	}
 }
--- a/internal/clients/connection.go
+++ b/internal/clients/connection.go
@@ -17,7 +17,7 @@
 // connection is a client connection with its pending requests. It is owned by the event loop.
 type connection struct {
 	frontend           *Frontend
-	conn               *rpc.ServerConn
+	rpcConn            *rpc.ServerConn
 	credential         authn.Credential
 	pending            map[uint32]*responder // by message id
 	pendingChecks      int                   // unanswered health checks
@@ -79,7 +79,7 @@
 	c.pendingChecks++
 	c.frontend.server.CheckHealth(deep, func(healthy bool) {
 		c.pendingChecks--
-		c.conn.AnswerHealthCheck(messageID, healthy, c.frontend.server.ResponseMetadata())
+		c.rpcConn.AnswerHealthCheck(messageID, healthy, c.frontend.server.ResponseMetadata())
 	})
 }
 
@@ -87,8 +87,8 @@
 func (c *connection) onAuthenticated(proof any) {
 	c.lastUsed = c.frontend.loop.Now()
 	c.credential.Proof, _ = proof.(*certs.VerifiedChain)
-	if c.goAwayRequested { // it cannot be sent during the handshake
-		c.conn.GoAway()
+	if c.goAwayRequested { // GoAway could not be sent during the handshake
+		c.rpcConn.GoAway()
 	}
 }
 
@@ -99,7 +99,7 @@
 	}
 	c.goAwayRequested = true
 	c.goAwayRequestedAt = c.frontend.loop.Now()
-	c.conn.GoAway()
+	c.rpcConn.GoAway()
 }
 
 // inUse reports whether requests or health checks on the connection are unanswered.
@@ -116,7 +116,7 @@
 		return
 	}
 	for _, messageID := range slices.Sorted(maps.Keys(c.pending)) {
-		c.conn.Fail(messageID, c.frontend.server.ResponseMetadata())
+		c.rpcConn.Fail(messageID, c.frontend.server.ResponseMetadata())
 		c.frontend.server.Cancel(c.pending[messageID].handle)
 	}
 	c.close(reason)
@@ -126,5 +126,5 @@
 func (c *connection) close(reason closeReason) {
 	c.closeReason = reason
 	c.lastUsed = c.frontend.loop.Now()
-	c.conn.Close(string(reason))
+	c.rpcConn.Close(string(reason))
 }
--- a/internal/clients/drain.go
+++ b/internal/clients/drain.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Times of the checks during a drain.
+// The intervals of the checks during a drain, and the delay before the first one.
 const (
 	drainCheckInterval  = 5 * time.Millisecond  // once all connections have been accepted
 	acceptCheckInterval = time.Millisecond      // while connections are still being accepted
@@ -21,7 +21,7 @@
 
 // DrainScheduleFor returns the schedule for the grace period, which is the time between the notice and the
 // kill. The durations allow for delays of the machine: a request sent before its client receives GoAway arrives
-// within 50 ms, and a process may be suspended for some hundredths of a second. If the grace period is short,
+// within 50 ms, and a process may be suspended for a few hundredths of a second. If the grace period is short,
 // each duration is limited to a fraction of it, so that the order of the steps stays the same.
 func DrainScheduleFor(grace time.Duration) DrainSchedule {
 	return DrainSchedule{
@@ -45,7 +45,7 @@
 	forceClosed int  // connections that were still open at forceClose
 }
 
-// Drain refuses new connections, asks all clients to go away and closes the connections of those that stay. It
+// Drain refuses new connections, asks all clients to go away and closes the connections of those that do not. It
 // calls done with the number of connections that it had to close, as soon as all connections are closed and
 // othersDrained returns true, or otherwise shortly before the kill. It must be called DrainSchedule.GoAway
 // before killAt.
--- a/internal/clients/evict.go
+++ b/internal/clients/evict.go
@@ -10,9 +10,10 @@
 	reuseGrace = time.Second
 )
 
-// EvictIdle makes room for a connection that waits to be accepted. It closes the connection that has been
-// unused for longest, and prefers connections on which no complete message has ever been received. If all
-// connections are in use, it closes none.
+// EvictIdle makes room for a connection that waits to be accepted. If a connection is already closing and its
+// client has had time to read the last responses, EvictIdle aborts that connection. Otherwise it closes the connection
+// that has been unused for longest, and prefers connections on which no complete message has ever been received. If
+// all connections are in use, it closes none.
 func (f *Frontend) EvictIdle() {
 	var candidate, closing *connection
 	handshakes, maxHandshakes := f.net.Handshakes()
@@ -21,7 +22,7 @@
 		if c.closeReason != "" && (closing == nil || c.lastUsed < closing.lastUsed) {
 			closing = c
 		}
-		if !c.evictable() || onlyHandshaking && !c.conn.Handshaking() {
+		if !c.evictable() || onlyHandshaking && !c.rpcConn.Handshaking() {
 			continue
 		}
 		if candidate == nil || c.evictedBefore(candidate) {
@@ -30,7 +31,7 @@
 	}
 	switch {
 	case closing != nil && closing.unusedFor() > inFlightGrace: // the client has had time to read its last responses
-		closing.conn.Abort()
+		closing.rpcConn.Abort()
 	case candidate != nil:
 		candidate.close(closeEvicted)
 	}
@@ -47,7 +48,7 @@
 	return c.unusedFor() >= inFlightGrace
 }
 
-// evictedBefore reports whether the connection is to be evicted rather than the other one.
+// evictedBefore reports whether the connection should be evicted before the other one.
 func (c *connection) evictedBefore(other *connection) bool {
 	if c.received != other.received {
 		return !c.received
--- a/internal/clients/frontend.go
+++ b/internal/clients/frontend.go
@@ -5,9 +5,9 @@
 // # Goroutines
 //
 // A Frontend is owned by the event loop of its server. All methods except Accept, and all callbacks of
-// connections, are called on that loop. The poller calls Accept on its own goroutine for each connection that
-// it has accepted. The callbacks of a connection are posted to the loop in order, after the closure that Accept
-// posts.
+// connections, are called on that loop. Package transport calls Accept for each accepted connection, on the
+// goroutine that accepted it. The callbacks of a connection are posted to the loop in order, after the closure that
+// Accept posts.
 package clients
 
 import (
@@ -27,7 +27,7 @@
 // called on the event loop.
 type Server interface {
 	frontend.Server
-	// CheckHealth calls then with true if the server is healthy, either at once or later. A deep check tests
+	// CheckHealth calls then once, immediately or later; healthy is true if the server is healthy. A deep check tests
 	// whether the server executes requests.
 	CheckHealth(deep bool, then func(healthy bool))
 	// ResponseMetadata returns the metadata for responses that the front end sends on its own.
@@ -56,8 +56,8 @@
 	lastSweep     time.Duration
 }
 
-// New returns the front end of a server. It uses the server's event loop and connections. If authenticator is
-// nil, every client is accepted. If idleTimeout is 0, unused connections stay open.
+// New returns the front end of a server. loop and net are those of the server. If authenticator is nil, every
+// client is accepted. If idleTimeout is 0, unused connections stay open.
 func New(
 	server Server, loop *eventloop.Loop, net *transport.Net, authenticator Authenticator, idleTimeout time.Duration,
 ) *Frontend {
@@ -74,10 +74,11 @@
 // SetIdleTimeout sets how long an unused connection may stay open. With 0, there is no limit.
 func (f *Frontend) SetIdleTimeout(timeout time.Duration) { f.idleTimeout = timeout }
 
-// Accept adds an accepted connection as a client connection. It is called on the poller's goroutine.
+// Accept adds an accepted connection as a client connection. It is called on the goroutine that accepted the
+// connection.
 func (f *Frontend) Accept(accepted *transport.Conn) {
 	conn := rpc.NewServerConn(accepted)
-	c := &connection{frontend: f, conn: conn, pending: map[uint32]*responder{}}
+	c := &connection{frontend: f, rpcConn: conn, pending: map[uint32]*responder{}}
 	conn.OnRequest = func(messageID uint32, request frontend.Request) {
 		c.received = true
 		c.submit(messageID, &request)
@@ -98,7 +99,7 @@
 
 func (f *Frontend) add(c *connection) {
 	c.lastUsed = f.loop.Now()
-	f.connections[c.conn] = c
+	f.connections[c.rpcConn] = c
 	if f.draining {
 		c.goAway()
 	}
@@ -107,7 +108,7 @@
 // remove removes a closed connection and cancels its pending requests, because their caller no longer waits for
 // them.
 func (f *Frontend) remove(c *connection) {
-	delete(f.connections, c.conn)
+	delete(f.connections, c.rpcConn)
 	for _, messageID := range slices.Sorted(maps.Keys(c.pending)) {
 		f.server.Cancel(c.pending[messageID].handle)
 	}
--- a/internal/clients/requests_test.go
+++ b/internal/clients/requests_test.go
@@ -69,7 +69,7 @@
 			_ = client.Conn.Close()
 			server.waitForReason(test.reason)
 			if canceled := server.canceledRequests(); !slices.Equal(canceled, ids) {
-				t.Errorf("canceled requests: %v", canceled)
+				t.Errorf("canceled requests are %v, want %v", canceled, ids)
 			}
 		})
 	}
@@ -97,7 +97,7 @@
 	_ = client.Conn.Close()
 	server.waitFor("the end of the connection", func() bool { return len(server.clients.connections) == 0 })
 	if canceled := server.canceledRequests(); !slices.Equal(canceled, []string{fake.RequestID(1), fake.RequestID(2)}) {
-		t.Errorf("canceled requests: %v", canceled)
+		t.Errorf("canceled requests are %v, want requests 1 and 2", canceled)
 	}
 }
 
@@ -154,7 +154,7 @@
 		send(client, number)
 		response := fake.Must(client.NextResponse())
 		if response.Error != "Denied" || response.Fields["why"] != string(denial) {
-			t.Fatalf("%+v", response)
+			t.Fatalf("the response is %+v, want Denied with reason %q", response, denial)
 		}
 	}
 	for number := 1; number <= 20; number++ {
@@ -200,7 +200,7 @@
 	client := server.newClient()
 	send(client, 1)
 	if response := fake.Must(client.NextResponse()); response.Error != "Denied" {
-		t.Errorf("%+v", response)
+		t.Errorf("the response is %+v, want Denied", response)
 	}
 	expect(t, client, goAway, closedText)
 	_ = client.Conn.Close()
--- a/internal/clients/responder.go
+++ b/internal/clients/responder.go
@@ -6,8 +6,8 @@
 	"lanewheel/internal/frontend"
 )
 
-// maxConsecutiveInvalid is the number of consecutive requests that can never be served after which the
-// connection is closed. Without this limit, a client that endlessly repeats such a request without a delay
+// maxConsecutiveInvalid limits the consecutive requests on a connection that can never be served; the connection
+// is closed when it is reached. Without this limit, a client that endlessly repeats such a request without a delay
 // would take the event loop's time from the other clients. With the limit, it has to reconnect.
 const maxConsecutiveInvalid = 8
 
@@ -22,17 +22,17 @@
 
 func (r *responder) Succeed(result []byte, metadata frontend.ResponseMetadata) {
 	r.conn.consecutiveInvalid = 0
-	r.conn.conn.Succeed(r.messageID, result, metadata)
+	r.conn.rpcConn.Succeed(r.messageID, result, metadata)
 }
 
 func (r *responder) Reject(metadata frontend.ResponseMetadata) {
 	r.conn.consecutiveInvalid = 0
-	r.conn.conn.Reject(r.messageID, metadata)
+	r.conn.rpcConn.Reject(r.messageID, metadata)
 }
 
 func (r *responder) Fail(metadata frontend.ResponseMetadata) {
 	r.conn.consecutiveInvalid = 0
-	r.conn.conn.Fail(r.messageID, metadata)
+	r.conn.rpcConn.Fail(r.messageID, metadata)
 }
 
 // RejectPermanently answers a request that can never be served. It closes the connection if the runtime does
@@ -42,9 +42,9 @@
 	conn := r.conn
 	invalid := true
 	if metadata.Reason == "" {
-		conn.conn.Fail(r.messageID, metadata)
+		conn.rpcConn.Fail(r.messageID, metadata)
 	} else {
-		conn.conn.Deny(r.messageID, metadata)
+		conn.rpcConn.Deny(r.messageID, metadata)
 		if conn.closeIfRevoked() {
 			return
 		}
--- a/internal/clients/revocation.go
+++ b/internal/clients/revocation.go
@@ -50,7 +50,7 @@
 	if c.deferredCloseReason == "" || c.inUse() || c.closeReason != "" {
 		return
 	}
-	// The close is posted, so that the response that is being sent is written first.
+	// The close is scheduled on the loop, so that the response that is being sent is written first.
 	c.frontend.loop.ScheduleAt(c.frontend.loop.Now(), func() {
 		if len(c.pending) == 0 && c.closeReason == "" {
 			c.close(c.deferredCloseReason)
--- a/internal/clients/sweep.go
+++ b/internal/clients/sweep.go
@@ -19,8 +19,8 @@
 )
 
 // Sweep checks all connections and schedules itself to do so repeatedly. It asks clients whose connections have
-// been unused for the idle timeout to go away. It closes connections on which no complete message is received,
-// which would otherwise fill the connection table by the hundred. It must be called once, to start the sweeps.
+// been unused for the idle timeout to go away. It closes connections on which no complete message is received;
+// hundreds of them would otherwise fill the connection table. It must be called once, to start the sweeps.
 func (f *Frontend) Sweep() {
 	now := f.loop.Now()
 	// If the process was suspended, the messages that arrived meanwhile have not been read yet. The absence of
@@ -42,15 +42,15 @@
 	switch {
 	case c.closeReason != "":
 		if unused > closeTimeout {
-			c.conn.Abort()
+			c.rpcConn.Abort()
 		}
-	case c.conn.PartialFor(f.loop.WallTime()) > messageTimeout && !suspended:
+	case c.rpcConn.PartialFor(f.loop.WallTime()) > messageTimeout && !suspended:
 		c.failAndClose(closeReadTimeout)
-	case c.conn.Handshaking():
+	case c.rpcConn.Handshaking():
 		if unused > handshakeTimeout && !suspended {
 			c.close(closeHandshakeTimeout)
 		}
-	case c.inUse() || c.conn.HasPartial(): // a partly received request would have to be sent again elsewhere
+	case c.inUse() || c.rpcConn.HasPartial(): // a partly received request would have to be sent again elsewhere
 	case !c.received && unused > messageTimeout && !suspended:
 		c.close(closeFirstMessageTimeout)
 	case c.goAwayRequested:
--- a/internal/database/conn.go
+++ b/internal/database/conn.go
@@ -28,7 +28,7 @@
 	OnClose func(code string)
 }
 
-// Dial starts opening a connection. It must be called on the owner loop; ready is called as described at
+// Dial starts opening a connection. It must be called on the owner loop; ready is called as documented for
 // transport.Conn.Dial. The caller must set the callbacks before it returns to the owner loop.
 func Dial(net *transport.Net, addr string, ready func(err error)) *Conn {
 	conn := &Conn{Conn: net.NewDialed(transport.DialOptions{Peer: transport.PeerDatabase, ResetOnClose: true})}
--- a/internal/database/reply.go
+++ b/internal/database/reply.go
@@ -9,7 +9,7 @@
 	"lanewheel/internal/transport"
 )
 
-// errMalformed closes a connection whose input is not one unambiguous reply.
+// errMalformed closes a connection whose input is not a single unambiguous reply.
 const errMalformed transport.ParseError = "bad-reply"
 
 const (
@@ -46,8 +46,7 @@
 }
 
 // parseReply parses the reply, and interim replies before it. It implements transport.Handler.Parse. A reply is
-// malformed if it can be interpreted in more than one way, because its length is contradictory, or missing with
-// status 200.
+// malformed if its length is ambiguous: contradictory, or missing although the status is 200.
 func (c *Conn) parseReply(b []byte) (int, func(), error) {
 	if n := min(len(b), len(versionPrefix)); string(b[:n]) != versionPrefix[:n] { // not HTTP; do not wait for more
 		return 0, nil, errMalformed
@@ -135,7 +134,8 @@
 
 func invalidInValue(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f }
 
-// checkLength returns an error if the length of the body is contradictory or missing, or exceeds available bytes.
+// checkLength returns an error if the length of the body is contradictory or missing, or exceeds the number of
+// available bytes.
 func (h *replyHead) checkLength(available int) error {
 	switch {
 	case h.chunked && h.length >= 0, !h.chunked && h.length < 0 && h.status == http.StatusOK:
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -5,12 +5,12 @@
 	"lanewheel/internal/transport"
 )
 
-// ClientConn is a connection to an instance that sends requests and receives responses. The fields are its callbacks,
-// which are called on the owner loop. The methods must be called on the owner loop.
+// ClientConn is the client's end of a connection to an instance. The fields are its callbacks, which are called on the
+// owner loop. The methods must be called on the owner loop.
 type ClientConn struct {
 	*transport.Conn
 	OnResponse func(messageID uint32, response Response)
-	OnGoAway   func() // the instance requests that no further requests are sent
+	OnGoAway   func() // the instance asks for no further requests on the connection
 	OnClose    func(code string)
 }
 
@@ -22,7 +22,7 @@
 }
 
 // Dial starts opening a connection to an instance. It must be called on the owner loop; ready is called as
-// described at transport.Conn.Dial. The caller must set the callbacks before it returns to the owner loop.
+// documented for transport.Conn.Dial. The caller must set the callbacks before it returns to the owner loop.
 func Dial(net *transport.Net, addr string, ready func(err error)) *ClientConn {
 	client := newClientConn(net.NewDialed(transport.DialOptions{Peer: transport.PeerInstance}))
 	client.SetHandler(client.handler())
@@ -75,7 +75,7 @@
 	return d.finish(call)
 }
 
-// parseResponse parses a response after its kind and returns the function that handles it.
+// parseResponse parses the rest of a response whose kind has been read, and returns the function that handles it.
 func (c *ClientConn) parseResponse(d *decoder) func() {
 	messageID, valid := d.readMessageID()
 	response := Response{Metadata: frontend.ResponseMetadata{LoadReport: noLoadReport}}
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -25,7 +25,7 @@
 	lastToken string // last token read, likely to be repeated; owned by the goroutine that parses
 }
 
-// NewServerConn sets up an accepted connection as that of a client. It must be called by Net.OnAccept.
+// NewServerConn sets up an accepted connection as a client connection. It must be called by Net.OnAccept.
 func NewServerConn(conn *transport.Conn) *ServerConn {
 	server := &ServerConn{Conn: conn}
 	conn.SetHandler(transport.Handler{
@@ -105,7 +105,7 @@
 	return d.finish(call)
 }
 
-// parseCall parses a request or health check after its kind.
+// parseCall parses the rest of a request or health check whose kind has been read.
 func (s *ServerConn) parseCall(d *decoder) func() {
 	messageID, valid := d.readMessageID()
 	method := string(d.readString())
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// parseNotification parses a notification after its kind. Unknown notifications are ignored.
+// parseNotification parses the rest of a notification whose kind has been read. Unknown notifications are ignored.
 func (s *ServerConn) parseNotification(d *decoder) func() {
 	method := string(d.readString())
 	if method != methodCancel {
@@ -136,7 +136,7 @@
 		return nil
 	}
 	messageID, valid := d.readMessageID()
-	if !valid { // no request has this id
+	if !valid { // no request can have this id
 		return nil
 	}
 	return func() { s.OnCancel(messageID) }
--- a/internal/rpc/server_test.go
+++ b/internal/rpc/server_test.go
@@ -133,7 +133,8 @@
 	// "bad-message\n"
 }
 
-// The encoded responses and notifications of a server, split before each response.
+// The encoded responses and notifications of a server. The output is split after the two bytes that each response
+// starts with, and printed piece by piece.
 func Example_responses() {
 	detached := transport.NewDetached()
 	s := NewServerConn(detached.Conn)
--- a/internal/rpc/wire.go
+++ b/internal/rpc/wire.go
@@ -24,11 +24,11 @@
 	notificationParts = 3
 )
 
-// The methods that are not classes of requests.
+// The methods that are not request classes, with the params of their messages.
 const (
-	methodHealthCheck = "check"     // a request: [fields]
-	methodCancel      = "interrupt" // a notification: [id]
-	methodGoAway      = "goaway"    // a notification to the client: []
+	methodHealthCheck = "check"     // a request; params: [fields]
+	methodCancel      = "interrupt" // a notification; params: [id]
+	methodGoAway      = "goaway"    // a notification to the client; params: []
 )
 
 // The fields of a request, in addition to its body, or of a health check.
--- a/internal/runtimelink/command.go
+++ b/internal/runtimelink/command.go
@@ -8,7 +8,7 @@
 	"lanewheel/admission"
 )
 
-// commandLine is output for the runtime that ends with an incomplete command.
+// commandLine is buffered output whose last command is incomplete.
 type commandLine []byte
 
 func newCommandLine(output []byte, kind string) commandLine {
@@ -36,7 +36,7 @@
 // end completes the command and returns the output.
 func (l commandLine) end() []byte { return append(l, '}', '\n') }
 
-// beginField appends the name of a field after the first one.
+// beginField appends a comma and the name of a field, which must not be the first one.
 func (l commandLine) beginField(name string) commandLine {
 	return appendFieldName(append(l, ','), name)
 }
--- a/internal/runtimelink/conn.go
+++ b/internal/runtimelink/conn.go
@@ -13,9 +13,9 @@
 	OnClose func(code string)
 }
 
-// Dial opens a link. ready is called as documented at transport.Conn.Dial. The caller must set the callbacks of
-// the Conn before it returns to the owner loop.
-func Dial(net *transport.Net, addr string, ready func(refused error)) *Conn {
+// Dial starts opening a link. It must be called on the owner loop; ready is called as documented for
+// transport.Conn.Dial. The caller must set the callbacks before it returns to the owner loop.
+func Dial(net *transport.Net, addr string, ready func(err error)) *Conn {
 	conn := &Conn{Conn: net.NewDialed(transport.DialOptions{Peer: transport.PeerRuntime})}
 	conn.SetHandler(conn.handler())
 	conn.Dial(addr, ready)
@@ -50,8 +50,8 @@
 	c.SetOutput(c.newCommand(commandReply).requestID(id).body(reply).end())
 }
 
-// SkipCall lets a run continue without a reply to its upstream call. sequence is that of the EventCallPoint of
-// the call.
+// SkipCall lets a run continue without a reply to its upstream call. sequence is the sequence number of the
+// EventCallPoint that reported the call.
 func (c *Conn) SkipCall(id admission.RequestID, sequence uint64) {
 	c.SetOutput(c.newCommand(commandSkipCall).requestID(id).sequence(sequence).end())
 }
--- a/internal/runtimelink/conn_test.go
+++ b/internal/runtimelink/conn_test.go
@@ -9,8 +9,8 @@
 	"lanewheel/internal/transport/transporttest"
 )
 
-// runtimeTrace returns the callbacks of a link as text, one per line. Each piece arrives in one read.
-func runtimeTrace(pieces ...[]byte) string {
+// runtimeTrace returns a text that lists the callbacks of a link that receives the input in these reads.
+func runtimeTrace(reads ...[]byte) string {
 	var out strings.Builder
 	detached := transport.NewDetached()
 	conn := &Conn{Conn: detached.Conn}
@@ -21,8 +21,8 @@
 		fmt.Fprintf(&out, "%s no %d rid %q status %q mark %q after %v bytes %q gauges %v\n",
 			e.Kind, e.Sequence, e.RequestID, e.Status, e.CorrelationID, e.Elapsed, e.Body, e.Gauges)
 	}
-	for _, piece := range pieces {
-		detached.Receive(piece)
+	for _, read := range reads {
+		detached.Receive(read)
 	}
 	return out.String()
 }
--- a/internal/runtimelink/event.go
+++ b/internal/runtimelink/event.go
@@ -14,13 +14,13 @@
 	RequestID     string
 	Status        Status
 	CorrelationID string        // of the command that the event replies to
-	Sequence      uint64        // number among the events of runs; 0: not an event of a run
+	Sequence      uint64        // sequence number of an event of a run; 0 for other events
 	Elapsed       time.Duration // run time so far, or time that the runtime took to start
 	Body          []byte        // result or upstream request; valid only during the call of OnEvent
 	Gauges        []float64
 }
 
-// parseLine parses one line as transport.Handler.Parse requires. It ignores empty lines.
+// parseLine parses one line. It implements transport.Handler.Parse and ignores empty lines.
 func (c *Conn) parseLine(b []byte) (int, func(), error) {
 	end := bytes.IndexByte(b, '\n')
 	if end < 0 {
--- a/internal/runtimelink/golden_test.go
+++ b/internal/runtimelink/golden_test.go
@@ -71,7 +71,7 @@
 			conn.OnEvent = func(e Event) { got = append(got, e) }
 			detached.Receive(file.Bytes(tc.name))
 			if !reflect.DeepEqual(got, []Event{tc.want}) {
-				t.Errorf("read as %+v, want %+v", got, tc.want)
+				t.Errorf("decoded %+v, want %+v", got, tc.want)
 			}
 		})
 	}
--- a/internal/runtimelink/jsonreader.go
+++ b/internal/runtimelink/jsonreader.go
@@ -11,7 +11,7 @@
 type jsonReader struct {
 	input     []byte
 	offset    int
-	malformed bool // the input does not match what a method expects; further values are zero
+	malformed bool // the input is invalid or not of the expected type; further values are zero
 }
 
 // peek skips white space and returns the next byte without consuming it.
--- a/internal/runtimelink/wire.go
+++ b/internal/runtimelink/wire.go
@@ -1,6 +1,6 @@
 // Package runtimelink implements the protocol of the link to the runtime. Each line is a flat JSON object, with
-// bodies in base64. The package maps the words of the protocol to the fields of Event and the methods of Conn;
-// other packages do not use these words.
+// bodies in base64. The package maps the names used on the wire to the fields of Event and the methods of Conn;
+// other packages do not depend on these names.
 package runtimelink
 
 import "lanewheel/internal/transport"
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -119,7 +119,7 @@
 	return event, f.err
 }
 
-// decodeRequestID decodes a line that holds only a request id, which is blocked or aborted.
+// decodeRequestID decodes a line that holds only a request id: a blocked or an aborted line.
 func decodeRequestID(l line) (admission.RequestID, error) {
 	f := newFieldReader(l, 2, 2)
 	f.skipInstance()
--- a/internal/simulator/fields.go
+++ b/internal/simulator/fields.go
@@ -11,10 +11,11 @@
 	"lanewheel/internal/settings"
 )
 
-// maxInteger is the largest magnitude up to which every integer is exact as a JSON number.
+// maxInteger is the largest magnitude up to which a float64 represents every integer exactly.
 const maxInteger = 1 << 53
 
-// fieldReader reads the values of a line in order and keeps the first error. After an error, all values are zero.
+// fieldReader reads the values of a line in order and keeps the first error. After an error, all further values
+// are zero.
 type fieldReader struct {
 	line line
 	next int
@@ -31,8 +32,8 @@
 	return f
 }
 
-// fail records an error about a field unless there is one already. The error states that the field must be the
-// expected value.
+// fail records an error about a field unless there is one already. expected describes the accepted values and follows
+// "must be" in the error.
 func (f *fieldReader) fail(field, expected string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("%s: %s: must be %s", f.line.name, field, expected)
@@ -92,7 +93,7 @@
 	return int64(x)
 }
 
-// unsigned returns the next integer with all its bits, which a seed needs and a float64 cannot hold.
+// unsigned returns the next integer with all 64 bits. A seed needs them, and a float64 cannot hold them.
 func (f *fieldReader) unsigned(field string) uint64 {
 	const expected = "an integer"
 	v := f.value(field, expected, fastjson.TypeNumber)
@@ -175,7 +176,7 @@
 	return settings.SecondsToDuration(seconds)
 }
 
-// outcomes maps the codes of the wire to the outcomes of runs and calls.
+// outcomes maps the outcome codes used on the wire to the outcomes of runs and calls.
 var outcomes = map[int64]admission.Outcome{
 	0:  admission.Succeeded,
 	1:  admission.Stopped,
--- a/internal/simulator/golden_test.go
+++ b/internal/simulator/golden_test.go
@@ -128,7 +128,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := decode(t, file.Bytes(tc.name)); !reflect.DeepEqual(got, tc.want) {
-				t.Errorf("decoded as %+v, want %+v", got, tc.want)
+				t.Errorf("decoded %+v, want %+v", got, tc.want)
 			}
 		})
 	}
@@ -150,11 +150,13 @@
 		want, valid := codes[code]
 		run, err := decodeRunEnded(parseLine(t, fmt.Appendf(nil, `["ended",3,%q,0.3,%d]`, firstID, code)))
 		if valid != (err == nil) || valid && run.outcome != want {
-			t.Errorf("code %d of a run is decoded as %v, error %v", code, run.outcome, err)
+			t.Errorf("code %d of a run is decoded as %v, error %v; want %v, valid %v",
+				code, run.outcome, err, want, valid)
 		}
 		call, err := decodeCallDone(parseLine(t, fmt.Appendf(nil, `["call-done",3,%q,%d,0.3]`, firstID, code)))
 		if valid != (err == nil) || valid && call.outcome != want {
-			t.Errorf("code %d of a call is decoded as %v, error %v", code, call.outcome, err)
+			t.Errorf("code %d of a call is decoded as %v, error %v; want %v, valid %v",
+				code, call.outcome, err, want, valid)
 		}
 	}
 }
--- a/internal/simulator/session_test.go
+++ b/internal/simulator/session_test.go
@@ -21,7 +21,7 @@
 	for _, name := range []string{"boot", "order", "timeout-fired", "blocked", "ended", "call-done", "terminate-soon",
 		"aborted", "power-off"} {
 		if !bytes.Contains(in, []byte(`["`+name+`",3`)) {
-			t.Errorf("the session has no line %s", name)
+			t.Errorf("the input of the session has no %s line for instance 3", name)
 		}
 	}
 	var out bytes.Buffer
@@ -57,7 +57,7 @@
 	// The golden file does not contain the wording of the transition.
 	transition := []byte(`["print",3,"well -\u003e leaving: held 1, running 2"]`)
 	if bytes.Count(out, transition) != 1 {
-		t.Errorf("the reply is %s, want one line %s in it", out, transition)
+		t.Errorf("the reply is %s, want it to contain exactly one line %s", out, transition)
 	}
 	goldentest.CheckText(t, "testdata/actions.out", bytes.Replace(out, transition, []byte(`["print",3,"text"]`), 1))
 }
--- a/internal/transport/close.go
+++ b/internal/transport/close.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// The codes of closes for which no caller set a code.
+// The close codes set by this package. A code that a caller has set takes precedence.
 const (
 	codePeerClosed      = "peer-closed"
 	codePeerReset       = "peer-reset"
@@ -60,7 +60,7 @@
 	}
 }
 
-// Abort closes the connection immediately and discards output that is not written yet.
+// Abort closes the connection immediately and discards output that has not been written yet.
 func (c *Conn) Abort() {
 	if !c.closed {
 		c.closing.Store(true) // further input is not parsed
--- a/internal/transport/close_test.go
+++ b/internal/transport/close_test.go
@@ -40,13 +40,13 @@
 	raw, _ := c.(*net.TCPConn).SyscallConn()
 	_ = raw.Control(func(fd uintptr) {
 		socketError, _ := unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_ERROR)
-		fmt.Println("wrong:", socketError)
+		fmt.Println("socket error:", socketError)
 	})
 	fmt.Println(readHealthCheckResponse(c), readHealthCheckResponse(c))
 	x.onOwner(s.Abort)
 	fmt.Println(<-x.closed)
 	// Output:
-	// wrong: 0
+	// socket error: 0
 	// 9401ce00000001c092c380 0 bytes, EOF
 	// unused
 }
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -49,8 +49,8 @@
 	// sending. It is set for accepted connections.
 	halfCloses bool
 
-	// Owned by the goroutine that opens the connection. Setting opened makes its writes visible to the poller before it
-	// reads.
+	// Owned by the goroutine that opens the connection, until it sets opened. The poller handles input only if opened is
+	// set, and therefore sees all earlier writes of that goroutine.
 	onOpen func(polled *nbio.Conn) // called before any input is read
 	opened atomic.Bool
 
--- a/internal/transport/descriptor.go
+++ b/internal/transport/descriptor.go
@@ -42,9 +42,10 @@
 
 func (c *Conn) descriptorMutex() *sync.Mutex { return (*sync.Mutex)(unsafe.Pointer(c.polled)) }
 
-// shutdown shuts down one or both directions and records reason, if it is not nil and the first one. The poller is
-// notified and closes the descriptor. If the descriptor were closed here, its number could be reused at once, and an
-// event that the poller has already fetched for the old connection would close the new one.
+// shutdown shuts down one or both directions. It records reason as the close error, unless reason is nil or an earlier
+// one has been recorded. The poller is notified and closes the descriptor. If the descriptor were closed here, its
+// number could be reused at once, and an event that the poller has already fetched for the old connection would close
+// the new one.
 func (c *Conn) shutdown(direction int, reason error) {
 	fd, open := c.lockDescriptor()
 	if !open {
--- a/internal/transport/descriptor_test.go
+++ b/internal/transport/descriptor_test.go
@@ -105,8 +105,8 @@
 				linger, _ = unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_LINGER)
 			}
 		}
-		fmt.Println("same number:", reused, "lingers:", linger)
+		fmt.Println("same number:", reused, "linger:", linger)
 	})
 	// Output:
-	// same number: true lingers: 0
+	// same number: true linger: 0
 }
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -17,8 +17,10 @@
 
 // DialOptions configures a connection to be dialed.
 type DialOptions struct {
-	Peer         Peer
-	ResetOnClose bool // reset on close instead of kept in TIME_WAIT; for a connection that carries one call
+	Peer Peer
+	// ResetOnClose makes the kernel reset the connection on close, so that it does not enter TIME_WAIT. It is meant for
+	// connections that carry one call.
+	ResetOnClose bool
 }
 
 // NewDialed returns an unopened connection. Dial opens it.
@@ -85,7 +87,7 @@
 		})
 	}
 	_, err = c.net.engine.AddConn(polled)
-	if !opened { // the library's table has no entry for the descriptor, and it calls no callback
+	if !opened { // the descriptor number exceeds the library's table; no callback is called
 		c.net.Post(func() { finish(err) })
 		return
 	}
--- a/internal/transport/dial_test.go
+++ b/internal/transport/dial_test.go
@@ -43,10 +43,10 @@
 		rt.OnClose, cl.OnClose = db.OnClose, db.OnClose
 	})
 	pendingDials.Wait()
-	fmt.Println("dialled", noDelay(db.Conn), noDelay(rt.Conn), noDelay(cl.Conn))
+	fmt.Println("dialed", noDelay(db.Conn), noDelay(rt.Conn), noDelay(cl.Conn))
 	// Output:
 	// accepted 1
-	// dialled 1 1 1
+	// dialed 1 1 1
 }
 
 // Dials to an address that does not answer can be canceled immediately, and then do not delay other dials to the same
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -10,8 +10,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// acceptRetryInterval is the time between attempts to accept a connection: several round trips on one machine. It is
-// short compared to a request, and long enough that retrying takes little CPU time.
+// acceptRetryInterval is the time between attempts to accept a connection after a failure or while there is no room.
+// It equals several round trips on one machine: short compared with the duration of a request, and long enough that
+// retrying takes little CPU time.
 const acceptRetryInterval = 2 * time.Millisecond
 
 // boundedListener is a listening socket that leaves connections beyond the limit in the backlog. Without the limit,
@@ -65,8 +66,8 @@
 }
 
 // RefuseNew makes the kernel drop new connection requests. Connections already established are still accepted until
-// CloseListeners is called. Closing a listening socket without this step resets the connections that are not accepted
-// yet, and the requests written to them are lost.
+// CloseListeners is called. Closing a listening socket without this step resets the connections that have not been
+// accepted yet, and the requests written to them are lost.
 func (n *Net) RefuseNew() {
 	n.refusing.Store(true)
 	dropAll := unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K}
@@ -76,8 +77,8 @@
 	})
 }
 
-// HasBacklog reports whether there are established connections that are not accepted yet. It is meant to be
-// called after RefuseNew.
+// HasBacklog reports whether there are established connections that have not been accepted yet. It is
+// meant to be called after RefuseNew.
 func (n *Net) HasBacklog() bool {
 	waiting := false
 	n.controlListeners(func(fd int) {
--- a/internal/transport/net.go
+++ b/internal/transport/net.go
@@ -4,8 +4,8 @@
 //
 // Two goroutines are involved. The poller reads, and calls Handler.Parse to turn the input into closures. The
 // owner loop runs these closures, which it receives by Net.Post and Net.PostRead. All other methods of Net and
-// Conn must be called on the owner loop, unless their comments state otherwise. With TLS, a goroutine of the
-// connection calls Parse.
+// Conn must be called on the owner loop, unless their comments state otherwise. A TLS connection has an additional
+// goroutine, which calls Parse in place of the poller.
 package transport
 
 import (
@@ -50,7 +50,7 @@
 	MaxConns       int64  // maximum number of open connections, accepted and dialed; 0 if only MaxAccepted limits them
 	MaxDescriptors int    // maximum number of descriptors of the process; 0 if not configured
 	LocalIP        net.IP // local address of dialed connections; nil for any
-	MaxUnread      int64  // limit on the unread bytes of all peers; beyond it, a peer with more than 16 KiB is closed
+	MaxUnread      int64  // maximum unread bytes of all peers; beyond it, connections with over 16 KiB are closed
 
 	// ReadTokens makes the codec of client requests read their tokens; otherwise it skips the field like an unknown one.
 	ReadTokens atomic.Bool
@@ -65,7 +65,7 @@
 	// Owned by the owner loop.
 	unflushed    []*Conn
 	dialQueues   map[Peer]chan func()
-	closeSampler logging.Sampler[closeKind] // limits the log lines on closed connections
+	closeSampler logging.Sampler[closeKind] // limits the log lines about closed connections
 
 	acceptedConns atomic.Int64 // open accepted connections
 	dialedConns   atomic.Int64 // open dialed connections, and dials in progress
@@ -159,7 +159,7 @@
 	}
 }
 
-// closeKind is the key by which the log lines on closed connections are counted.
+// closeKind is the key by which the log lines about closed connections are limited and counted.
 type closeKind struct {
 	peer Peer
 	code string
--- a/internal/transport/read.go
+++ b/internal/transport/read.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// handleInput parses the complete messages in b, together with a partial message before it, and passes their
-// handlers to the owner loop in one call. It runs on the poller, or on the goroutine of a TLS stream.
+// handleInput parses the complete messages in b, together with a partial message before it, and passes the functions
+// that handle them to the owner loop in one call. It runs on the poller, or on the goroutine of a TLS stream.
 func (c *Conn) handleInput(b []byte) {
 	var calls []func()
 	err := c.parseInput(b, &calls)
@@ -45,7 +45,8 @@
 	return nil
 }
 
-// parseWithoutPartial parses b, which starts at the beginning of a message, and stores an incomplete rest.
+// parseWithoutPartial parses b, which starts at the beginning of a message, and stores an incomplete message
+// at its end.
 func (c *Conn) parseWithoutPartial(b []byte, calls *[]func()) error {
 	n, err := c.parseMessages(b, calls)
 	b = b[n:]
--- a/internal/transport/testnet_test.go
+++ b/internal/transport/testnet_test.go
@@ -30,7 +30,7 @@
 
 func newTestNet() *testNet { return newTestNetWithLimit(0) }
 
-// newTestNetWithLimit returns a started testNet with a configured descriptor limit; 0 is none.
+// newTestNetWithLimit returns a started testNet with a configured descriptor limit; 0 means no limit.
 func newTestNetWithLimit(maxDescriptors int) *testNet {
 	x := &testNet{
 		posted:    make(chan func(), 1000),
@@ -136,7 +136,7 @@
 
 var healthCheckMessage = append([]byte{0x94, 0, 1}, "\xa5check\x91\x80"...)
 
-// readHealthCheckResponse returns one health check response in hex, or why it could not be read in full.
+// readHealthCheckResponse returns one health check response in hex, or the reason why it could not be read in full.
 func readHealthCheckResponse(c net.Conn) string {
 	b := make([]byte, 11)
 	_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
--- a/internal/transport/tls_listener.go
+++ b/internal/transport/tls_listener.go
@@ -18,8 +18,8 @@
 	// Config returns the configuration for the next handshake. It is called on the connection's goroutine. The returned
 	// value must not be modified afterwards.
 	Config func() *tls.Config
-	// VerifyChain returns the identity that a client's certificate chain proves, or the code of the reason why it proves
-	// none, with which the connection is closed. It is called on the connection's goroutine.
+	// VerifyChain returns the identity that a client's certificate chain proves and an empty code. If it rejects the
+	// chain, code is the reason, and the connection is closed with it. It is called on the connection's goroutine.
 	VerifyChain         func(chain []*x509.Certificate) (identity any, code string)
 	MaxHandshakes       int64   // maximum number of concurrent handshakes
 	HandshakesPerSecond float64 // maximum rate at which handshakes are started
@@ -110,11 +110,11 @@
 	return n.tlsListener.handshakes.Load(), n.tlsListener.MaxHandshakes
 }
 
-// Handshaking reports whether the TLS handshake of the connection has not been completed. It may be called from any
-// goroutine.
+// Handshaking reports whether the connection uses TLS and its handshake has not succeeded yet. It may be called from
+// any goroutine.
 func (c *Conn) Handshaking() bool { return c.tls != nil && !c.tls.established.Load() }
 
-// verifyError is the code of the reason why VerifyChain rejected a certificate chain.
+// verifyError is the code with which VerifyChain rejected a certificate chain.
 type verifyError string
 
 func (e verifyError) Error() string { return string(e) }
--- a/internal/transport/tls_stream.go
+++ b/internal/transport/tls_stream.go
@@ -16,8 +16,8 @@
 
 // tlsStream connects crypto/tls with the poller. For crypto/tls it is a net.Conn whose reads block and whose
 // writes do not. The poller reads and writes the socket like any other, and passes the input to a goroutine of
-// the connection, which performs the handshake and decrypts. Output is encrypted on the goroutine that writes it,
-// which never blocks. docs/identity.md describes the alternatives considered.
+// the connection, which performs the handshake and decrypts. Output is encrypted by the goroutine that writes it;
+// writing never blocks. docs/identity.md describes the alternatives considered.
 type tlsStream struct {
 	conn        *tls.Conn
 	polled      *nbio.Conn
@@ -32,9 +32,9 @@
 	err      error     // guarded by mu; returned by Read once input is empty
 }
 
-// maxEncryptedInput is the number of bytes waiting for decryption, equal to several TLS records, above which the
-// poller waits. It waits only while the owner loop is so overloaded that reading from plain connections blocks as
-// well.
+// maxEncryptedInput limits the input waiting for decryption, in bytes. It is the size of several TLS records. While
+// the input exceeds the limit, the poller waits. This happens only while the owner loop is so overloaded that reading
+// from plain connections blocks as well.
 const maxEncryptedInput = 64 << 10
 
 func newTLSStream(polled *nbio.Conn, config *tls.Config) *tlsStream {
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -23,7 +23,8 @@
 
 // SetOutput stores the buffer returned by OutputBuffer after a message has been appended to it.
 func (c *Conn) SetOutput(output []byte) {
-	if cap(output) > BufferSize { // append reallocated it: written at once, so that all pooled buffers have one size
+	// If append has reallocated the buffer, it is written at once and not pooled: all pooled buffers have the same size.
+	if cap(output) > BufferSize {
 		c.net.Put(c.output)
 		c.output = nil
 		c.write(output)
@@ -46,7 +47,7 @@
 	if c.closed || c.polled == nil || len(b) == 0 {
 		return
 	}
-	const guaranteedUnread = 16 << 10 // bytes; several responses with the longest results
+	const guaranteedUnread = 16 << 10 // bytes per peer; several responses with the longest results
 	// Without a common limit, peers that read nothing, each within its own limit, could together use up all memory.
 	if c.net.unreadBytes.Add(int64(len(b))) > c.net.MaxUnread && c.unwritten.Load() > guaranteedUnread {
 		c.net.unreadBytes.Add(-int64(len(b)))
@@ -55,8 +56,8 @@
 		return
 	}
 	if c.tls != nil {
-		// Before the handshake has completed, tls.Conn.Write would block the owner loop. tlsStream.Write counts the
-		// encrypted bytes again and sends them.
+		// Until the handshake has completed, output is discarded, because tls.Conn.Write would block the owner loop.
+		// tlsStream.Write counts the encrypted bytes separately and sends them.
 		if c.tls.established.Load() {
 			_, _ = c.tls.conn.Write(b) // a failure closes the connection, which is reported by handleClose
 		}
