--- a/internal/transport/close_test.go
+++ b/internal/transport/close_test.go
@@ -11,27 +11,27 @@
 	"lanewheel/internal/frontend"
 )
 
-// A connection is closed while more lies unread on it: the peer still gets its response and an end in good order, not a
-// reset. One that does not end its side then is aborted.
-func Example_closeOverUnread() {
+// Closing a connection that holds unread input must not reset it: the peer still receives its response and then
+// EOF. If the peer does not close its side, the connection is closed by Abort.
+func Example_closeWithUnreadInput() {
 	x := newTestNet()
 	c, s := x.connect()
 	other, _ := x.connect()
-	free := x.holdNextRead()
+	releaseRead := x.holdNextRead()
 	write(other, healthCheckMessage)
-	<-x.held
+	<-x.readHeld
 	write(c, healthCheckMessage)
 	waitReady(s.Descriptor(), unix.POLLIN)
 	x.onOwner(func() {
 		s.AnswerHealthCheck(1, true, frontend.ResponseMetadata{LoadReport: -1})
 		s.Close("unused")
 	})
-	close(free)
-	for range 2 { // what lies unread is read and thrown away, and so is what comes behind the close
-		for left := 1; left > 0; time.Sleep(time.Millisecond) {
-			left = 0
+	close(releaseRead)
+	for range 2 { // unread input is read and discarded, and so is input received after the close
+		for unread := 1; unread > 0; time.Sleep(time.Millisecond) {
+			unread = 0
 			if fd, open := s.LockDescriptor(); open {
-				left, _ = unix.IoctlGetInt(fd, unix.TIOCINQ)
+				unread, _ = unix.IoctlGetInt(fd, unix.TIOCINQ)
 				s.UnlockDescriptor()
 			}
 		}
@@ -39,28 +39,29 @@
 	}
 	raw, _ := c.(*net.TCPConn).SyscallConn()
 	_ = raw.Control(func(fd uintptr) {
-		wrong, _ := unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_ERROR)
-		fmt.Println("wrong:", wrong)
+		socketError, _ := unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_ERROR)
+		fmt.Println("socket error:", socketError)
 	})
-	fmt.Println(readAnswer(c), readAnswer(c))
+	fmt.Println(readHealthCheckResponse(c), readHealthCheckResponse(c))
 	x.onOwner(s.Abort)
 	fmt.Println(<-x.closed)
 	// Output:
-	// wrong: 0
+	// socket error: 0
 	// 9401ce00000001c092c380 0 bytes, EOF
 	// unused
 }
 
-// A peer that reads nothing has its responses wait here, in order, up to the bound, and its connection is closed
-// then; one that reads in time gets them all, and the close behind them, whoever comes last to the last byte.
-func Example_lastByte() {
+// A peer that reads receives all its responses, and then the close, regardless of whether the owner loop or the
+// poller writes the last byte. Responses to a peer that reads nothing are kept, in order, up to the limit; then
+// its connection is closed.
+func Example_closeAfterLastByte() {
 	x := newTestNet()
 	for range 20 {
 		c, s := x.connect()
-		// The library opens a connection before it has the poller watch it, and what is left to write in between is never
-		// written: clients are written to only once something has come from them.
+		// The library opens a connection before it registers it with the poller, and never writes output that the kernel
+		// does not accept in between. Therefore clients are written to only after input from them has been read.
 		write(c, healthCheckMessage)
-		readAnswer(c)
+		readHealthCheckResponse(c)
 		x.onOwner(func() {
 			_ = unix.SetsockoptInt(s.Descriptor(), unix.SOL_SOCKET, unix.SO_SNDBUF, 8<<10)
 			for i := range 30 {
@@ -68,9 +69,9 @@
 			}
 			s.Close("unused")
 		})
-		all, err := io.ReadAll(c)
-		if err != nil || len(all) != 30*(4096+13) {
-			fmt.Println(len(all), err)
+		received, err := io.ReadAll(c)
+		if err != nil || len(received) != 30*(4096+13) {
+			fmt.Println(len(received), err)
 		}
 		closeAll(c)
 		if code := <-x.closed; code != "unused" {
--- a/internal/transport/descriptor_test.go
+++ b/internal/transport/descriptor_test.go
@@ -11,9 +11,10 @@
 	"lanewheel/internal/rpc"
 )
 
-// The poller has fetched the ends of two connections when the owner ends them too, and new ones are accepted before the
-// poller goes on. The new ones live.
-func Example_descriptorGivenOutAgain() {
+// New connections that reuse the descriptor numbers of closed ones must stay open. The poller has already fetched
+// the close events of two connections when the owner loop aborts them as well, and new connections are accepted
+// before the poller handles the events.
+func Example_descriptorReuse() {
 	x := newTestNet()
 	_, first := x.connect()
 	second, s := x.connect()
@@ -22,32 +23,32 @@
 	fourth, s4 := x.connect()
 	_ = first
 	connects := x.prepareConnects(12)
-	free := x.holdNextRead()
+	releaseFirstRead := x.holdNextRead()
 	write(other, healthCheckMessage)
-	<-x.held
-	// With the poller standing, in this order: something to read, and two ends.
-	then := x.holdNextRead()
+	<-x.readHeld
+	// While the poller is blocked, these events occur in order: input on one connection, and the closes of two others.
+	releaseSecondRead := x.holdNextRead()
 	write(second, healthCheckMessage)
 	waitReady(s.Descriptor(), unix.POLLIN)
 	closeAll(third)
 	waitReady(s3.Descriptor(), unix.POLLRDHUP)
 	closeAll(fourth)
 	waitReady(s4.Descriptor(), unix.POLLRDHUP)
-	close(free)
-	<-x.held // it has fetched all three, and stands in the first
+	close(releaseFirstRead)
+	<-x.readHeld // the poller has fetched all three events, and is blocked in the first one
 	x.onOwner(func() { s3.Abort(); s4.Abort() })
 	var later []*rpc.ServerConn
 	for _, connect := range connects {
 		later = append(later, connect())
 	}
-	close(then)
+	close(releaseSecondRead)
 	fmt.Println(<-x.closed, <-x.closed)
-	again, _ := x.connect() // the poller has taken all that it had fetched
-	write(again, healthCheckMessage)
-	fmt.Println(readAnswer(again))
+	last, _ := x.connect() // a response on it shows that the poller has handled all events it had fetched
+	write(last, healthCheckMessage)
+	fmt.Println(readHealthCheckResponse(last))
 	for _, s := range later {
 		if fd, open := s.LockDescriptor(); !open {
-			fmt.Println("a later one was ended:", fd)
+			fmt.Println("a new connection was closed:", fd)
 		} else {
 			s.UnlockDescriptor()
 		}
@@ -57,54 +58,55 @@
 	// 9401ce00000001c092c380
 }
 
-// A call's connection that its peer has ended is closed by its owner when its descriptor's number is a client's
-// already: the client's connection is left as it is.
-func Example_lingerOfAnother() {
+// The owner loop closes a connection to the database after the database has closed it and its descriptor number
+// has been reused for a client. The connection of the client must not be affected.
+func Example_closeAfterDescriptorReuse() {
 	x := newTestNet()
-	l := listen()
-	var calls []*database.Conn
-	var far []net.Conn
+	listener := listen()
+	var dbConns []*database.Conn
+	var remotes []net.Conn
 	for range 2 {
-		stands := make(chan error, 1)
+		dialed := make(chan error, 1)
 		x.onOwner(func() {
-			d := database.Dial(x.Net, l.Addr().String(), func(refused error) { stands <- refused })
-			d.OnClose, d.OnReply = func(string) {}, func(database.Reply) {}
-			calls = append(calls, d)
+			conn := database.Dial(x.Net, listener.Addr().String(), func(err error) { dialed <- err })
+			conn.OnClose, conn.OnReply = func(string) {}, func(database.Reply) {}
+			dbConns = append(dbConns, conn)
 		})
-		c, _ := l.Accept()
-		far = append(far, c)
-		if err := <-stands; err != nil {
+		c, _ := listener.Accept()
+		remotes = append(remotes, c)
+		if err := <-dialed; err != nil {
 			panic(err)
 		}
 	}
 	connects := x.prepareConnects(12)
 	x.onOwner(func() {
-		for i, d := range calls {
-			closeAll(far[i])
-			// Until the poller has closed it, which the owner has not heard yet.
-			for gone := false; !gone; time.Sleep(time.Millisecond) {
-				_, err := unix.FcntlInt(uintptr(d.Descriptor()), unix.F_GETFD, 0)
-				gone = err == unix.EBADF
+		for i, conn := range dbConns {
+			closeAll(remotes[i])
+			// Wait until the poller has closed the descriptor. The owner loop has not been notified yet.
+			for closed := false; !closed; time.Sleep(time.Millisecond) {
+				_, err := unix.FcntlInt(uintptr(conn.Descriptor()), unix.F_GETFD, 0)
+				closed = err == unix.EBADF
 			}
 		}
-		// What is accepted gets the lowest free number, and the poller's library a copy with the next one.
-		same, lingers := false, 0
+		// An accepted connection gets the lowest free descriptor number, and the poller's library a duplicate with the
+		// next one.
+		reused, linger := false, 0
 		for _, connect := range connects {
 			s := connect()
-			if same {
+			if reused {
 				continue
 			}
 			fd := s.Descriptor()
-			same = fd == calls[0].Descriptor() || fd == calls[1].Descriptor()
-			if same {
-				for _, d := range calls {
-					d.Close("timed-out")
+			reused = fd == dbConns[0].Descriptor() || fd == dbConns[1].Descriptor()
+			if reused {
+				for _, conn := range dbConns {
+					conn.Close("timed-out")
 				}
-				lingers, _ = unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_LINGER)
+				linger, _ = unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_LINGER)
 			}
 		}
-		fmt.Println("same number:", same, "lingers:", lingers)
+		fmt.Println("same number:", reused, "linger:", linger)
 	})
 	// Output:
-	// same number: true lingers: 0
+	// same number: true linger: 0
 }
