--- a/internal/diagnostic/diagnostic.go
+++ b/internal/diagnostic/diagnostic.go
@@ -1,5 +1,5 @@
-// Package diagnostic tells what is wrong with a file that a person wrote: the place, what stands there and what is
-// wanted.
+// Package diagnostic describes errors in files that people write: the position, the value that was read and what is
+// accepted instead.
 package diagnostic
 
 import (
@@ -8,21 +8,21 @@
 	"strings"
 )
 
-// maxValueBytes is how much of a value is told: enough to show which one it is.
+// maxValueBytes is the maximum number of bytes of a value that a message includes: enough to recognize the value.
 const maxValueBytes = 60
 
-// Diagnostic is one thing that is wrong.
+// Diagnostic describes one error in a file.
 //
-//nolint:errname // a finding that is listed, and an error only for who handles it alone
+//nolint:errname // normally an element of a List; an error only if it is handled on its own
 type Diagnostic struct {
 	File  string
-	Line  int    // counts from 1; 0: no line is to blame
-	Name  string // of the setting or section; empty: the file as a whole
-	Value string // as it was read; empty: it is missing, or not worth telling
-	Want  string // what is wanted, or, without a value, what is wrong
+	Line  int    // counts from 1; 0 if the error is not on a particular line
+	Name  string // the name of the setting or section; empty if the error concerns the whole file
+	Value string // the value as read; empty if it is missing or would not help
+	Want  string // what is accepted, for example "must be a path", or what is wrong
 }
 
-// Error is the diagnostic on one line: "file:line: name: is "value", want".
+// Error returns the diagnostic as one line: file:line: name: is "value", want.
 func (d Diagnostic) Error() string {
 	var b strings.Builder
 	b.WriteString(d.File)
--- a/internal/diagnostic/jsonlines.go
+++ b/internal/diagnostic/jsonlines.go
@@ -7,12 +7,12 @@
 	"strings"
 )
 
-// maxDepth limits the recursion over nested values.
+// maxDepth is the maximum depth of nested values that are read. It limits the recursion.
 const maxDepth = 32
 
-// JSONLines tells on which line each name of a JSON text stands, by its path: names, and indices of arrays, with dots
-// between; the text itself is the empty path. Paths of names that one object has twice come back as duplicates, once
-// for each time too many. A text that can't be read gives the lines up to there.
+// JSONLines returns the line of each name in a JSON text, by path. A path consists of names and array indices separated
+// by dots; the path of the text as a whole is empty. If an object contains a name more than once, duplicates contains
+// its path once for each repetition. If the text is malformed, JSONLines returns the lines up to the error.
 func JSONLines(text []byte) (lines map[string]int, duplicates []string) {
 	index := lineIndex{
 		decoder: json.NewDecoder(bytes.NewReader(text)),
@@ -25,17 +25,17 @@
 	return index.lines, index.duplicates
 }
 
-// lineIndex reads a JSON text and notes the lines of its paths.
+// lineIndex reads a JSON text and records the line of each path.
 type lineIndex struct {
 	decoder    *json.Decoder
 	text       []byte
 	line       int // of the last token
-	counted    int // bytes of the text up to which line ends were counted
+	counted    int // the offset in bytes up to which line ends have been counted
 	lines      map[string]int
 	duplicates []string
 }
 
-// currentLine is the line of the last token.
+// currentLine returns the line of the last token.
 func (x *lineIndex) currentLine() int {
 	end := int(x.decoder.InputOffset())
 	x.line += bytes.Count(x.text[x.counted:end], []byte{'\n'})
@@ -43,13 +43,13 @@
 	return x.line
 }
 
-// readValue reads a value and all in it, and tells whether it could.
+// readValue reads a value with all its nested values and reports whether it succeeded.
 func (x *lineIndex) readValue(path string, depth int) bool {
 	token, err := x.decoder.Token()
 	if err != nil || depth > maxDepth {
 		return false
 	}
-	if _, known := x.lines[path]; !known {
+	if _, recorded := x.lines[path]; !recorded {
 		x.lines[path] = x.currentLine()
 	}
 	delimiter, isContainer := token.(json.Delim)
@@ -81,10 +81,10 @@
 	return name, ok
 }
 
-// readChild reads the value that the last token named, or that is the next one of an array.
+// readChild reads the value whose name was the last token, or the next element of an array.
 func (x *lineIndex) readChild(path, name string, depth int) bool {
 	child := strings.TrimPrefix(path+"."+name, ".")
-	if _, known := x.lines[child]; known {
+	if _, duplicate := x.lines[child]; duplicate {
 		x.duplicates = append(x.duplicates, child)
 	}
 	x.lines[child] = x.currentLine()
--- a/internal/diagnostic/list.go
+++ b/internal/diagnostic/list.go
@@ -6,24 +6,24 @@
 	"slices"
 )
 
-// List is all that is wrong with what was read together. As an error it tells the first and how many more there are.
+// List contains all the errors that were found in files that were read together.
 //
-//nolint:errname // it is a list of diagnostics first; see Diagnostic
+//nolint:errname // primarily a list of diagnostics; see Diagnostic
 type List []Diagnostic
 
-// Error is the first diagnostic, with the number of the others.
+// Error returns the first diagnostic and the number of the others.
 func (l List) Error() string {
 	switch len(l) {
 	case 0:
-		return "nothing is wrong"
+		return "no errors"
 	case 1:
 		return l[0].Error()
 	}
 	return fmt.Sprintf("%v (and %d more)", l[0], len(l)-1)
 }
 
-// Err is the list as an error, for errors.As a List; nil if nothing is wrong. It sorts the list in place, in the
-// order of the lines.
+// Err sorts the list by line, in place, and returns it as an error, which errors.As converts to a List. It returns nil
+// if the list is empty.
 func (l List) Err() error {
 	if len(l) == 0 {
 		return nil
