--- a/internal/config/allocator.go
+++ b/internal/config/allocator.go
@@ -6,10 +6,10 @@
 	"lanewheel/internal/concurrencylease"
 )
 
-// Allocator is the process beside an upstream service that leases its concurrency.
+// Allocator configures the process beside an upstream service that leases the service's concurrency.
 type Allocator struct {
 	Enabled  bool
-	LockFile string // that one allocator alone may hold; empty for none
+	LockFile string // locked by the process, so that only one allocator runs; empty for none
 	Config   concurrencylease.Config
 }
 
@@ -17,17 +17,17 @@
 	parsed := Allocator{Config: concurrencylease.DefaultConfig()}
 	s := r.section("allocator")
 	parsed.Enabled = s.exists()
-	s.requireFleet(fleet, "the holders are known")
+	s.requireFleet(fleet, "the lease holders")
 	if parsed.Enabled && fleet.Enabled && (fleet.Name == "" || fleet.ServiceAddress == "") {
-		s.report("", "", "wants fleet.name, and in fleet.service-address where the service is")
+		s.report("", "", "must be used with fleet.name and fleet.service-address, the address of the service")
 	}
 	s.pathValue("lock-file", &parsed.LockFile)
 	config := &parsed.Config
 	if parsed.Enabled {
-		config.Capacity = 0 // it has no default
+		config.Capacity = 0 // the setting has no default
 		s.intValue("max-concurrency", &config.Capacity, 1, 1_000_000)
 		if config.Capacity == 0 {
-			s.report("max-concurrency", "", "wants the calls at a time that the service takes")
+			s.report("max-concurrency", "", "must be the number of concurrent calls that the service accepts")
 		}
 	}
 	s.intValue("unleased-per-process", &config.UnleasedCalls, 0, 1000)
@@ -38,7 +38,7 @@
 	s.intValue("max-holders", &config.MaxHolders, 1, 10_000)
 	if parsed.Enabled && config.Capacity > 0 && config.LeasableCalls() == 0 {
 		s.report("unleased-per-process", "",
-			"leaves nothing to be leased: max-concurrency is no more than unleased-per-process times max-processes")
+			"must leave calls to lease: unleased-per-process times max-processes must be less than max-concurrency")
 	}
 	s.reportUnknownNames()
 	return parsed
--- a/internal/config/amqp.go
+++ b/internal/config/amqp.go
@@ -12,19 +12,19 @@
 	"lanewheel/internal/authz"
 )
 
-// AMQP is the front end for messages on queues.
+// AMQP configures the front end that serves requests from message queues.
 type AMQP struct {
 	Enabled         bool
 	Config          amqp.Config
-	LoginFile       string // with user:password
-	AuthoritiesFile string // for amqps brokers; empty: the system's
-	CertificateFile string // to log in with, empty for none
+	LoginFile       string // contains user:password
+	AuthoritiesFile string // the CA certificates for amqps brokers; empty for those of the system
+	CertificateFile string // the client certificate to log in with; empty for none
 	KeyFile         string
-	effective       []string
+	effective       []string // the settings with their effective values, as "name = value"
 }
 
-// StartupFingerprint is all that this front end goes by from its start on, as text to compare and to show: the names
-// and values that a file would have.
+// StartupFingerprint returns all settings that the front end uses from its start on, as text to compare and to print:
+// the names and the values as in a file.
 func (a *AMQP) StartupFingerprint() string {
 	if !a.Enabled {
 		return "off"
@@ -34,10 +34,10 @@
 
 func (r *reader) readAMQP() AMQP {
 	parsed := AMQP{Config: amqp.Config{
-		MaxInFlight:       200, // some times the cores of a large runtime
+		MaxInFlight:       200, // several times the number of cores of a large runtime
 		RetryFraction:     0.2,
-		UnstartedRate:     500,    // a second
-		MaxRemembered:     20_000, // some minutes of a busy queue
+		UnstartedRate:     500,    // per second
+		MaxRemembered:     20_000, // a few minutes of messages from a busy queue
 		RememberedFor:     10 * time.Minute,
 		HeartbeatInterval: 5 * time.Second,
 	}}
@@ -46,11 +46,12 @@
 	config := &parsed.Config
 	config.BrokerURLs = s.listValue("brokers")
 	if parsed.Enabled && len(config.BrokerURLs) == 0 {
-		s.report("brokers", "", "wants addresses with commas between, as amqp://user@10.0.0.7:5672/, the preferred first")
+		s.report("brokers", "", "must be a comma-separated list of addresses, for example amqp://user@10.0.0.7:5672/, "+
+			"with the preferred broker first")
 	}
 	for _, address := range config.BrokerURLs {
 		if _, err := client.ParseURI(address); err != nil {
-			s.report("brokers", address, "wants an address, as amqp://user@10.0.0.7:5672/")
+			s.report("brokers", address, "must be an address, for example amqp://user@10.0.0.7:5672/")
 		}
 	}
 	s.pathValue("login-file", &parsed.LoginFile)
@@ -59,7 +60,7 @@
 	s.pathValue("certificate", &parsed.CertificateFile)
 	s.pathValue("key", &parsed.KeyFile)
 	if (parsed.CertificateFile == "") != (parsed.KeyFile == "") {
-		s.report("certificate", parsed.CertificateFile, "wants both, certificate and key, or neither")
+		s.report("certificate", parsed.CertificateFile, "must be set if and only if key is set")
 	}
 	s.intValue("max-in-flight", &config.MaxInFlight, 1, 60_000)
 	s.floatValue("retry-budget", &config.RetryFraction, 0, 1)
@@ -74,10 +75,10 @@
 }
 
 // readQueues reads each [queue NAME].
-func (r *reader) readQueues(front *section, parsed *AMQP) {
+func (r *reader) readQueues(amqpSection *section, parsed *AMQP) {
 	for _, s := range r.sectionsOfKind("queue") {
 		if !parsed.Enabled {
-			s.report("", "", "wants a section amqp, which names the brokers")
+			s.report("", "", "must be accompanied by a section [amqp], which names the brokers")
 		}
 		parsed.Config.Queues = append(parsed.Config.Queues, s.readQueue())
 		for _, setting := range s.effective {
@@ -85,7 +86,7 @@
 		}
 	}
 	if parsed.Enabled && len(parsed.Config.Queues) == 0 {
-		front.report("", "", "wants a section queue NAME")
+		amqpSection.report("", "", "must be accompanied by a section [queue NAME]")
 	}
 }
 
@@ -111,7 +112,7 @@
 	s.stringValue("identity", &identity)
 	if identity != "" && identity != "message" {
 		if !isIdentity(identity) {
-			s.report("identity", identity, "wants message, or an identity as token:depot")
+			s.report("identity", identity, "must be message or an identity, for example token:depot")
 		}
 		queue.Identity = authz.Identity(identity)
 	}
@@ -125,9 +126,9 @@
 	return queue
 }
 
-// readMapping reads how a message becomes a request.
+// readMapping reads how messages are mapped to requests.
 func (s *section) readMapping() amqp.Mapping {
-	const maxBodyBytes = 2 << 10 // the runtime's bound
+	const maxBodyBytes = 2 << 10 // the limit of the runtime
 	mapping := amqp.Mapping{
 		DefaultTimeout: time.Minute,
 		MaxBodyBytes:   maxBodyBytes,
@@ -155,7 +156,7 @@
 		s.stringValue(source.name, &text)
 		parsed, err := amqp.ParseSource(text)
 		if err != nil {
-			s.report(source.name, text, "wants header:NAME, or a property")
+			s.report(source.name, text, "must be header:NAME or the name of a message property, for example type")
 		}
 		*source.target = parsed
 	}
--- a/internal/config/budgets.go
+++ b/internal/config/budgets.go
@@ -2,8 +2,9 @@
 
 import "lanewheel/internal/coordination"
 
-// ParseBudgets reads a file of sections [budget NAME], which an operator hands to the coordinators; path is what its
-// diagnostics name. It warns of earlier names.
+// ParseBudgets parses the text of a file of disruption budgets, which consists of sections [budget NAME] and which an
+// operator sends to the coordinators. Diagnostics name the file by path. ParseBudgets logs a warning about earlier
+// names. The error is a diagnostic.List with all errors.
 func ParseBudgets(path string, text []byte) ([]coordination.DisruptionBudget, error) {
 	r := newReader(path, text, &planRenames)
 	var budgets []coordination.DisruptionBudget
@@ -11,14 +12,14 @@
 		budgets = append(budgets, s.readBudget())
 	}
 	if len(budgets) == 0 && len(r.diagnostics) == 0 {
-		r.report("", "", "", "wants sections [budget NAME]")
+		r.report("", "", "", "must contain a section [budget NAME]")
 	}
 	r.reportUnknownSections("budget")
 	r.renamed.Warn()
 	return budgets, r.diagnostics.Err()
 }
 
-// readBudget reads one budget. Of the two limits the one that is not given is negative.
+// readBudget reads one budget. Exactly one of the two limits must be set; the other one is negative.
 func (s *section) readBudget() coordination.DisruptionBudget {
 	budget := coordination.DisruptionBudget{
 		Name:                   s.label(),
@@ -30,14 +31,14 @@
 	s.intValue("max-unavailable", &budget.MaxUnavailable, 0, 100_000)
 	s.floatValue("max-unavailable-fraction", &budget.MaxUnavailableFraction, 0, 1)
 	if (budget.MaxUnavailableFraction < 0) == (budget.MaxUnavailable < 0) {
-		s.report("max-unavailable", "", "wants one of max-unavailable and max-unavailable-fraction")
+		s.report("max-unavailable", "", "must be set if and only if max-unavailable-fraction is not set")
 	}
 	s.floatValue("min-capacity", &budget.MinAvailableCapacity, 0, 1e9)
 	s.reportUnknownNames()
 	return budget
 }
 
-// readMemberSelector reads which members are meant; prefix stands before each name.
+// readMemberSelector reads a selector of members from settings whose names begin with prefix.
 func (s *section) readMemberSelector(prefix string) coordination.Selector {
 	var selector coordination.Selector
 	s.stringValue(prefix+"zone", &selector.Zone)
--- a/internal/config/callers.go
+++ b/internal/config/callers.go
@@ -8,34 +8,35 @@
 	"lanewheel/internal/authz"
 )
 
-// Callers is who may do what. It is on if the file has any section that speaks of callers.
+// Callers configures the authorization of callers. It is enabled if the file has a section [callers], [role NAME],
+// [caller NAME], [tokens] or [tls].
 type Callers struct {
 	Enabled        bool
-	anonymousRoles []authz.RoleName  // of callers that prove nothing
-	writeClasses   []admission.Class // what changes something, whatever a request says of itself
-	MaxRateEntries int               // identities whose rates and counts are kept, by role
+	anonymousRoles []authz.RoleName  // the roles of callers without a proven identity
+	writeClasses   []admission.Class // the classes of requests that always count as writes, even if declared as reads
+	MaxRateEntries int               // the maximum number of identities whose rates and counts are kept, by role
 	Roles          []authz.Role
 	Bindings       []authz.Binding
 	Policy         *authz.Policy
 }
 
-// readCallers reads [callers], and each [role NAME] and [caller NAME].
+// readCallers reads [callers], each [role NAME] and each [caller NAME].
 func (r *reader) readCallers() Callers {
-	callers := Callers{MaxRateEntries: 10_000} // some times the devices that one instance sees
+	callers := Callers{MaxRateEntries: 10_000} // several times the number of devices that use one instance
 	s := r.section("callers")
 	callers.Enabled = s.exists()
 	callers.anonymousRoles = namesOf[authz.RoleName](s.listValue("anonymous-roles"))
 	callers.writeClasses = namesOf[admission.Class](s.listValue("write-classes"))
 	s.intValue("max-rate-entries", &callers.MaxRateEntries, 16, 1_000_000)
 	s.reportUnknownNames()
-	knownRoles := map[string]bool{}
+	definedRoles := map[string]bool{}
 	for _, s := range r.sectionsOfKind("role") {
 		callers.Enabled = true
 		callers.Roles = append(callers.Roles, s.readRole())
-		knownRoles[s.label()] = true
+		definedRoles[s.label()] = true
 	}
-	s.checkRoles("anonymous-roles", callers.anonymousRoles, knownRoles)
-	r.readBindings(&callers, knownRoles)
+	s.checkRoles("anonymous-roles", callers.anonymousRoles, definedRoles)
+	r.readBindings(&callers, definedRoles)
 	if len(r.diagnostics) > 0 {
 		return callers
 	}
@@ -47,16 +48,16 @@
 	return callers
 }
 
-// readBindings reads each [caller NAME]. Two may not match by the same pattern.
-func (r *reader) readBindings(callers *Callers, knownRoles map[string]bool) {
+// readBindings reads each [caller NAME]. Two of them must not have the same pattern.
+func (r *reader) readBindings(callers *Callers, definedRoles map[string]bool) {
 	boundPatterns := map[string]string{}
 	for _, s := range r.sectionsOfKind("caller") {
 		callers.Enabled = true
 		binding := s.readBinding()
-		s.checkRoles("roles", binding.Roles, knownRoles)
+		s.checkRoles("roles", binding.Roles, definedRoles)
 		for _, pattern := range binding.Patterns {
 			if otherBinding, duplicate := boundPatterns[pattern]; duplicate {
-				s.report("match", pattern, "is matched by caller "+otherBinding+" already")
+				s.report("match", pattern, "must be unique; caller "+otherBinding+" has the same pattern")
 			}
 			boundPatterns[pattern] = binding.Name
 		}
@@ -64,10 +65,10 @@
 	}
 }
 
-func (s *section) checkRoles(name string, roles []authz.RoleName, known map[string]bool) {
+func (s *section) checkRoles(name string, roles []authz.RoleName, definedRoles map[string]bool) {
 	for _, role := range roles {
-		if !known[string(role)] {
-			s.report(name, string(role), "is no role of this file; wants one of "+joinSorted(known))
+		if !definedRoles[string(role)] {
+			s.report(name, string(role), "must be one of the roles in this file: "+joinSorted(definedRoles))
 		}
 	}
 }
@@ -77,7 +78,7 @@
 	role.Tenants = namesOf[admission.TenantID](s.listValue("tenants"))
 	role.Classes = namesOf[admission.Class](s.listValue("classes"))
 	if len(role.Classes) == 0 {
-		s.report("classes", "", "wants classes with commas between, or * for all")
+		s.report("classes", "", "must be a comma-separated list of classes, or * for all")
 	}
 	for _, permission := range s.listValue("permissions") {
 		switch permission {
@@ -86,14 +87,14 @@
 		case "write":
 			role.CanWrite = true
 		default:
-			s.report("permissions", permission, "wants read, write or both")
+			s.report("permissions", permission, "must be read, write or both")
 		}
 	}
 	if !role.CanRead && !role.CanWrite {
-		s.report("permissions", "", "wants read, write or both")
+		s.report("permissions", "", "must be read, write or both")
 	}
 	s.floatValue("rate", &role.RatePerSecond, 0, 1e6)
-	role.Burst = max(1, role.RatePerSecond) // a second's worth
+	role.Burst = max(1, role.RatePerSecond) // the requests of one second
 	s.floatValue("burst", &role.Burst, 1, 1e6)
 	s.intValue("max-in-flight", &role.MaxInFlight, 0, 1_000_000)
 	s.reportUnknownNames()
@@ -103,11 +104,11 @@
 func (s *section) readBinding() authz.Binding {
 	binding := authz.Binding{Name: s.label(), Patterns: s.listValue("match")}
 	if len(binding.Patterns) == 0 {
-		s.report("match", "", "wants identities, as uri:rota://water/* or token:depot-7")
+		s.report("match", "", "must be a comma-separated list of identities, for example uri:rota://water/*, token:depot-7")
 	}
 	for _, pattern := range binding.Patterns {
 		if !isIdentity(pattern) {
-			s.report("match", pattern, "wants uri:, dns:, subject: or token: in front")
+			s.report("match", pattern, "must be uri:, dns:, subject: or token: followed by a name")
 		}
 	}
 	var tenant string
@@ -115,20 +116,20 @@
 	binding.Tenant = admission.TenantID(tenant)
 	binding.Roles = namesOf[authz.RoleName](s.listValue("roles"))
 	if len(binding.Roles) == 0 {
-		s.report("roles", "", "wants roles with commas between")
+		s.report("roles", "", "must be a comma-separated list of roles")
 	}
 	s.reportUnknownNames()
 	return binding
 }
 
-// isIdentity tells whether a text has the form of an identity, or of a pattern of identities: a kind, and what it is
-// called.
+// isIdentity reports whether a text has the form of an identity or of a pattern for identities: a kind, a colon and a
+// name.
 func isIdentity(text string) bool {
 	kind, rest, _ := strings.Cut(text, ":")
 	return rest != "" && slices.Contains([]string{"uri", "dns", "subject", "token"}, kind)
 }
 
-// namesOf gives texts the type of the names that they are; none stays nil.
+// namesOf converts texts to names of type T. It returns nil if there are none.
 func namesOf[T ~string](texts []string) []T {
 	var names []T
 	for _, text := range texts {
--- a/internal/config/clusterkeys.go
+++ b/internal/config/clusterkeys.go
@@ -10,8 +10,9 @@
 	"lanewheel/internal/membership"
 )
 
-// ParseClusterKeys reads the text of a file of keys: one a line, 16, 24 or 32 bytes in base64, the one to write with
-// first. No diagnostic says what stands in the file.
+// ParseClusterKeys parses the text of a file of cluster keys: one key per line, 16, 24 or 32 bytes in base64. The first
+// key is the one that messages are encrypted with. Diagnostics name the file by path and do not contain any of its
+// text, because it is secret. The error is a diagnostic.List with all errors.
 func ParseClusterKeys(path string, text []byte) ([]membership.Key, error) {
 	var keys []membership.Key
 	var diagnostics diagnostic.List
@@ -25,16 +26,16 @@
 		key, err := base64.StdEncoding.DecodeString(line)
 		switch n := len(key); {
 		case err != nil || n != 16 && n != 24 && n != 32:
-			report(i+1, "wants 16, 24 or 32 bytes in base64")
+			report(i+1, "must be 16, 24 or 32 bytes in base64")
 		case slices.ContainsFunc(keys, func(x membership.Key) bool { return string(x) == string(key) }):
-			report(i+1, "stands there already")
+			report(i+1, "must be unique; the same key appears on an earlier line")
 		default:
 			keys = append(keys, key)
 		}
 	}
-	const maxKeys = 8 // each message that is not ours is tried with all of them
+	const maxKeys = 8 // a message from outside the cluster is tried with every key
 	if len(keys) == 0 && len(diagnostics) == 0 || len(keys) > maxKeys {
-		report(0, "wants from 1 to 8 keys")
+		report(0, "must contain from 1 to 8 keys")
 	}
 	slices.SortFunc(diagnostics, func(a, b diagnostic.Diagnostic) int { return cmp.Compare(a.Line, b.Line) })
 	return keys, diagnostics.Err()
--- a/internal/config/clusterkeys_test.go
+++ b/internal/config/clusterkeys_test.go
@@ -9,8 +9,8 @@
 	"lanewheel/internal/membership"
 )
 
-// The file of cluster keys is an operator's: comments, blanks and the three sizes of keys read as
-// ever, in the order of the file.
+// Operators write the file of cluster keys. Comments, blank lines and keys of all three sizes are read, in the order of
+// the file.
 func TestClusterKeyFile(t *testing.T) {
 	const path = "testdata/cluster.keys"
 	text, err := os.ReadFile(path)
--- a/internal/config/coordinator.go
+++ b/internal/config/coordinator.go
@@ -8,7 +8,7 @@
 	coordinatorconfig "lanewheel/internal/fleet/coordinator/config"
 )
 
-// Coordinator is a process that holds the replicated state of the fleet.
+// Coordinator configures a process that holds the replicated state of the fleet.
 type Coordinator struct {
 	Enabled bool
 	Config  coordinatorconfig.Config
@@ -27,9 +27,9 @@
 	}}
 	s := r.section("coordinator")
 	parsed.Enabled = s.exists()
-	s.requireFleet(fleet, "the members are known")
+	s.requireFleet(fleet, "the members")
 	if parsed.Enabled && fleet.Enabled && fleet.Name == "" {
-		s.report("", "", "wants fleet.name: a coordinator keeps its name over restarts")
+		s.report("", "", "must be used with fleet.name, because a coordinator keeps its name across restarts")
 	}
 	config := &parsed.Config
 	config.Name = fleet.Name
@@ -51,7 +51,7 @@
 	return parsed
 }
 
-// readCoordinatorAddresses reads where the coordinator is reached, and where all of them are.
+// readCoordinatorAddresses reads the addresses of this coordinator and those of all coordinators.
 func (s *section) readCoordinatorAddresses(config *coordinatorconfig.Config) {
 	s.requiredString("listen", &config.ListenAddr)
 	s.checkAddress("listen", config.ListenAddr)
@@ -66,11 +66,11 @@
 		s.checkAddress("coordinators", address)
 	}
 	if s.exists() && len(config.Coordinators) == 0 {
-		s.report("coordinators", "", "wants the addresses of the coordinators, one of which leads")
+		s.report("coordinators", "", "must be a comma-separated list of the addresses of all coordinators")
 	}
 }
 
-// readAnalysis reads how waves of a rollout are analyzed.
+// readAnalysis reads the settings of the canary analysis of the waves of a rollout.
 func (s *section) readAnalysis(config *coordinatorconfig.Config) {
 	s.floatValue("error-probability", &config.Canary.ErrorRate, 0.0001, 0.2)
 	s.floatValue("late-regression", &config.Canary.DetectableLateIncrease, 0.001, 1)
--- a/internal/config/drill.go
+++ b/internal/config/drill.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// Drill is a script for a game-day drill: so many processes, a load, and what is done to them.
+// Drill is a script for a game-day drill: the processes, the load, the faults and the goals.
 type Drill struct {
 	Path     string
-	KeepLogs bool // what the processes logged, also if all held; no setting of the script
+	KeepLogs bool // keep the logs of the processes even if the drill passes; not a setting of the script
 
 	// The processes.
 	Instances       int
 	Proxies         int
-	Allocators      int // each beside an upstream service of its own
+	Allocators      int // each beside its own upstream service
 	Coordinators    int
-	SeedMembers     int // how many of them the others are configured with
+	SeedMembers     int // the number of processes that the others are configured with as seeds
 	Zones           []string
 	Releases        []string
-	MaxMemoryMB     float64 // that one process may hold
-	StartupDuration time.Duration
-	SettleTimeout   time.Duration // after a fault is over, until all has to be as it should
+	MaxMemoryMB     float64       // the maximum memory of a process
+	StartupDuration time.Duration // the time over which the starts of the processes are spread
+	SettleTimeout   time.Duration // the time after the end of a fault within which the fleet must recover
 
 	// The load.
 	Clients              int
 	RandomSeed           uint64
-	LoadDuration         time.Duration // from when all are up
-	RequestRate          float64       // a second, all together
+	LoadDuration         time.Duration // starts when all processes are up
+	RequestRate          float64       // per second, from all clients together
 	MeanRunTime          time.Duration
-	UpstreamCallDuration time.Duration // that a call takes at an upstream service
+	UpstreamCallDuration time.Duration // the duration of a call at an upstream service
 
-	// What is copied into the sections of the processes' files.
+	// Settings that are copied into the sections of the processes' files.
 	FleetSettings       []Setting
 	ProxySettings       []Setting
 	UpstreamSettings    []Setting
@@ -40,54 +40,57 @@
 	SpilloverSettings   []Setting
 	SpilloverEnabled    bool
 
-	// What has to hold.
+	// The goals, and the faulty release.
 	Balance            DrillBalance
 	BadRelease         DrillBadRelease
-	FinalRelease       string // that all instances are to be on at the end
-	LimitedRelease     string // that no more than MaxLimitedFraction of them may ever have been on
+	FinalRelease       string // the release that all instances must run at the end
+	LimitedRelease     string // the release that at most MaxLimitedFraction of the instances may ever have run
 	MaxLimitedFraction float64
 
 	Faults []DrillFault
 }
 
-// Setting is a name and its value in a section of an operator's file.
+// Setting is the name and the value of a setting in a section of an operator's file.
 type Setting struct{ Name, Value string }
 
-// DrillBalance is how evenly load has to be spread, while nothing is done and RecoveryTime after it.
+// DrillBalance is how evenly the load must be spread over the instances. It applies except during a fault and for
+// RecoveryTime after it.
 type DrillBalance struct {
 	Enabled      bool
-	MaxImbalance float64 // the most loaded of a second, of what chance gives the most loaded under a perfect balancer
-	MaxIdleGaps  float64 // the longest that one waits for a request, in expected gaps
+	MaxImbalance float64 // load of the most loaded instance in a second, relative to that expected of a perfect balancer
+	MaxIdleGaps  float64 // the longest time that an instance may wait for a request, in expected gaps between requests
 	RecoveryTime time.Duration
 }
 
-// DrillBadRelease is what is wrong with a release.
+// DrillBadRelease describes the faults of a release.
 type DrillBadRelease struct {
 	Release       string
-	RunTimeFactor float64 // its runs take so many times as long
+	RunTimeFactor float64 // the factor by which run times are multiplied
 	FailRuns      bool
-	CrashAfter    time.Duration // it ends by itself so long after its start; 0: it does not
-	NeverReady    bool          // its runtime never comes up
+	CrashAfter    time.Duration // the time from the start of a process until it crashes; 0 if it does not crash
+	NeverReady    bool          // the runtime never becomes ready
 }
 
-// LoadDrill reads a script; overrides are values in place of its own, each as section.name=value. It warns of earlier
-// names. The error is a diagnostic.List with all that is wrong.
+// LoadDrill reads a script from a file. overrides replace or add values of settings, each as section.name=value.
+// LoadDrill logs a warning about earlier names. The error is a diagnostic.List with all errors.
 func LoadDrill(path string, overrides ...string) (Drill, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return Drill{}, unreadable(path, err)
+		return Drill{}, readError(path, err)
 	}
 	return ParseDrill(path, text, overrides...)
 }
 
-// ParseDrill reads a script's text; path is what its diagnostics name. It warns of earlier names.
+// ParseDrill parses the text of a script. overrides replace or add values of settings, each as section.name=value.
+// Diagnostics name the file by path. ParseDrill logs a warning about earlier names. The error is a diagnostic.List with
+// all errors.
 func ParseDrill(path string, text []byte, overrides ...string) (Drill, error) {
 	r := newReader(path, text, &drillRenames)
 	for _, override := range overrides {
 		name, value, complete := strings.Cut(override, "=")
 		dot := strings.LastIndexByte(name, '.')
 		if !complete || dot < 0 || r.ini == nil {
-			r.report("", "", override, "wants section.name=value")
+			r.report("", "", override, "must be section.name=value")
 			continue
 		}
 		r.override(name[:dot], name[dot+1:], value)
@@ -153,8 +156,8 @@
 	return drill
 }
 
-// readProcessSettings reads what is copied into the processes' files, by the names that it has now. The processes check
-// it.
+// readProcessSettings reads the settings that are copied into the files of the processes, under their current names.
+// The processes check the values.
 func (r *reader) readProcessSettings(drill *Drill) {
 	for _, copied := range []struct {
 		section string
--- a/internal/config/drillaction.go
+++ b/internal/config/drillaction.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// DrillAction is what a drill does to links or processes. Its value is the word in records of drills; files have
-// another word for some.
+// DrillAction is what a fault of a drill does to links, processes, the load or the coordinators. Its value is the word
+// in the records of drills. Files use another word for some actions: see earlierActions.
 type DrillAction string
 
 // Actions on links.
@@ -43,7 +43,7 @@
 	ActionCoordinatorCommand DrillAction = "agree"
 )
 
-// linkActions are the actions that need both ends of links.
+// linkActions are the actions that require selectors for both ends of links.
 var linkActions = []DrillAction{
 	ActionRefuse,
 	ActionBlackhole,
@@ -57,7 +57,8 @@
 	ActionGarble,
 }
 
-// otherActions are the actions that need processes, but for ActionCoordinatorCommand.
+// otherActions are the actions that require a selector of processes, except for ActionCoordinatorCommand, which does
+// not require one.
 var otherActions = []DrillAction{
 	ActionKill,
 	ActionWipe,
@@ -76,17 +77,17 @@
 	ActionCoordinatorCommand,
 }
 
-// onLinks tells whether the action is one on links.
-func (a DrillAction) onLinks() bool { return slices.Contains(linkActions, a) }
+// affectsLinks reports whether the action is one on links.
+func (a DrillAction) affectsLinks() bool { return slices.Contains(linkActions, a) }
 
-// readAction reads what is done; empty if that is none of the actions.
+// readAction reads an action. It returns "" if the setting is missing or is not an action.
 func (s *section) readAction(name string) DrillAction {
 	actions := map[string]DrillAction{}
 	var words []string
 	for _, action := range slices.Concat(linkActions, otherActions) {
 		word := string(action)
-		if now, renamed := earlierActions[word]; renamed {
-			word = now
+		if current, renamed := earlierActions[word]; renamed {
+			word = current
 		}
 		actions[word] = action
 		words = append(words, word)
@@ -94,7 +95,7 @@
 	word := ""
 	s.enumValue(name, &word, words...)
 	if word == "" {
-		s.report(name, "", "wants what is done, as blackhole or kill")
+		s.report(name, "", "must be an action, for example blackhole or kill")
 	}
 	return actions[word]
 }
--- a/internal/config/drillfault.go
+++ b/internal/config/drillfault.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// DrillFault is one thing that is done, to links or to processes.
+// DrillFault is a fault that a drill injects into links or processes, a change of the load, or a command for the
+// coordinators.
 type DrillFault struct {
 	Name              string
-	Action            DrillAction   // empty is an error of the script
-	Earliest, Latest  time.Duration // it begins between these, by chance
-	Duration          time.Duration // until it is undone; 0 for what can't be
+	Action            DrillAction   // empty only in a script with errors
+	Earliest, Latest  time.Duration // the fault begins at a random time between these, counted from when all are up
+	Duration          time.Duration // the time until the fault is undone; 0 if it cannot be undone
 	Targets, From, To DrillSelector
 	Bidirectional     bool
 	Fraction          float64
-	Factor            float64 // so many times as long, or as much
-	Command           string  // for the coordinators
+	Factor            float64 // the factor by which run times or the load are multiplied
+	Command           string  // the command for the coordinators
 	Delay, Jitter     time.Duration
 	BytesPerSecond    int
-	KeyNumbers        []int // from 1, the one to write with first
+	KeyNumbers        []int // the keys in use, counted from 1; the first one is the key that messages are encrypted with
 	SeedMembers       int
-	ForbidEviction    bool // no member that is there may be evicted over it
-	AllowUnanswered   bool // requests may be without an answer while it lasts
+	ForbidEviction    bool // the fault must not cause the eviction of a running member
+	AllowUnanswered   bool // requests may remain unanswered during the fault
 }
 
 func (s *section) readDrillFault(drill *Drill) DrillFault {
@@ -34,18 +35,18 @@
 	parsed.To = s.readSelector("to", drill)
 	commandsCoordinators := parsed.Action == ActionCoordinatorCommand
 	switch {
-	case parsed.Action.onLinks() && (parsed.From.Kind == "" || parsed.To.Kind == ""):
-		s.report("from", "", "wants both, from and to, as the fault is one of links")
-	case !parsed.Action.onLinks() && parsed.Targets.Kind == "" && parsed.Action != "" && !commandsCoordinators:
-		s.report("targets", "", "wants processes, as zone a, draw 5 or draw 33%")
+	case parsed.Action.affectsLinks() && (parsed.From.Kind == "" || parsed.To.Kind == ""):
+		s.report("from", "", "must be set together with to, because the action affects links")
+	case !parsed.Action.affectsLinks() && parsed.Targets.Kind == "" && parsed.Action != "" && !commandsCoordinators:
+		s.report("targets", "", "must be a selector of processes, for example zone a, draw 5 or draw 33%")
 	}
 	s.boolValue("bidirectional", &parsed.Bidirectional)
 	s.floatValue("fraction", &parsed.Fraction, 0, 1)
 	s.floatValue("factor", &parsed.Factor, 0.01, 1000)
 	s.stringValue("command", &parsed.Command)
 	if commandsCoordinators && parsed.Command == "" {
-		s.report("command", "", "wants a command for the coordinators, as release FILE, halt, resume, back, budgets FILE, "+
-			"drain NAME, drain zone NAME")
+		s.report("command", "", "must be a command for the coordinators, for example release FILE, halt, resume, back, "+
+			"budgets FILE, drain NAME, drain zone NAME")
 	}
 	s.durationValue("delay", &parsed.Delay, 0, time.Minute)
 	s.durationValue("jitter", &parsed.Jitter, 0, time.Minute)
@@ -58,7 +59,7 @@
 	return parsed
 }
 
-// readFaultTime reads when a fault begins, a time or two with .. between, and how long it lasts.
+// readFaultTime reads the start of a fault, which is a duration or a range of two separated by "..", and its duration.
 func (s *section) readFaultTime(parsed *DrillFault) {
 	window, _ := s.lookup("at")
 	first, last, isRange := strings.Cut(window, "..")
@@ -70,18 +71,18 @@
 		parsed.Latest, err = time.ParseDuration(strings.TrimSpace(last))
 	}
 	if err != nil || parsed.Earliest < 0 || parsed.Latest < parsed.Earliest {
-		s.report("at", window, "wants a time, or two with .. between, from when all are up")
+		s.report("at", window, "must be a duration from when all processes are up, or an ascending range like 5s..10s")
 	}
 	s.durationValue("duration", &parsed.Duration, 0, 24*time.Hour)
 }
 
-// readKeyNumbers reads which of the cluster's keys are in force.
+// readKeyNumbers reads the numbers of the cluster keys that are in use.
 func (s *section) readKeyNumbers() []int {
 	var numbers []int
 	for _, text := range s.listValue("keys") {
 		number, err := strconv.Atoi(text)
 		if err != nil || number < 1 || number > 8 {
-			s.report("keys", text, "wants numbers from 1 to 8, the one to write with first")
+			s.report("keys", text, "must be a number from 1 to 8; the first one is the key to encrypt with")
 		}
 		numbers = append(numbers, number)
 	}
--- a/internal/config/drillselector.go
+++ b/internal/config/drillselector.go
@@ -6,33 +6,34 @@
 	"strings"
 )
 
-// SelectorKind is how processes are named. Its value is the word of the first drills; files have another word for some.
+// SelectorKind is the way in which a DrillSelector selects processes. Its value is the word in the records of drills.
+// Files use another word for some kinds: see earlierSelectors.
 type SelectorKind string
 
-// The kinds.
+// The kinds of selectors.
 const (
 	SelectAll          SelectorKind = "all"
 	SelectInstances    SelectorKind = "instances"
 	SelectProxies      SelectorKind = "relays"
 	SelectAllocators   SelectorKind = "desks"
 	SelectCoordinators SelectorKind = "stewards"
-	SelectOthers       SelectorKind = "rest" // none of those at the link's other end
+	SelectOthers       SelectorKind = "rest" // all processes that are not at the other end of the link
 	SelectZone         SelectorKind = "zone"
 	SelectRelease      SelectorKind = "release"
-	SelectProcess      SelectorKind = "process" // one, by its number
-	SelectFirst        SelectorKind = "first"   // so many
-	SelectDraw         SelectorKind = "draw"    // so many instances, or a percentage of them, by chance
+	SelectProcess      SelectorKind = "process" // one process, by its number
+	SelectFirst        SelectorKind = "first"   // the first Count processes
+	SelectDraw         SelectorKind = "draw"    // a random choice of Count instances, or of Fraction of the instances
 )
 
-// DrillSelector names processes. Its zero value names none.
+// DrillSelector selects processes. Its zero value selects none.
 type DrillSelector struct {
 	Kind     SelectorKind
-	Name     string // what stands behind the kind: a zone, a release, a number
+	Name     string // the text after the kind: a zone, a release or a number
 	Count    int
-	Fraction float64 // of all instances; 0: Count says
+	Fraction float64 // of all instances; 0 if Count applies
 }
 
-// readSelector reads which processes are meant.
+// readSelector reads a selector of processes.
 func (s *section) readSelector(name string, drill *Drill) DrillSelector {
 	text, written, found := s.lookupWords(name)
 	if !found {
@@ -64,8 +65,8 @@
 		valid = err == nil && count >= 0 && count <= limit && (!isPercentage || selector.Kind == SelectDraw)
 	}
 	if !valid {
-		s.report(name, written, "wants all, others, proxies, instances, allocators, coordinators, zone NAME, release NAME, "+
-			"process N, first N, draw N or draw N%")
+		s.report(name, written, "must be all, others, proxies, instances, allocators, coordinators, zone NAME, "+
+			"release NAME, process N, first N, draw N or draw N%")
 	}
 	return selector
 }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -8,14 +8,14 @@
 	"lanewheel/internal/membership"
 )
 
-// Fleet is the process's place among the others.
+// Fleet configures the process as a member of the fleet.
 type Fleet struct {
 	Enabled          bool
-	Name             string // empty: the instance's
+	Name             string // empty for the name of the instance
 	Cluster          string
 	ListenAddress    string
 	AdvertiseAddress string
-	ServiceAddress   string // where others reach what it serves; empty: where it listens for clients
+	ServiceAddress   string // the address at which others use the service; empty for the one where clients connect
 	Roles            membership.Roles
 	Zone             string
 	Release          string
@@ -23,7 +23,7 @@
 	WarmUp           time.Duration
 	KeyFile          string
 	ProbeInterval    time.Duration
-	MaxMessageRate   float64 // a second
+	MaxMessageRate   float64 // per second
 	StatusSocket     string  // empty for none
 	DrainWhenFenced  bool
 	RequirePermit    bool
@@ -59,7 +59,8 @@
 	return fleet
 }
 
-// readFleetAddresses reads where the process is reached, and by whom it finds the others.
+// readFleetAddresses reads the addresses of the process and those of the seeds, from which it learns of the other
+// members.
 func (s *section) readFleetAddresses(fleet *Fleet) {
 	s.requiredString("listen", &fleet.ListenAddress)
 	s.checkAddress("listen", fleet.ListenAddress)
@@ -73,9 +74,9 @@
 	}
 }
 
-// readFleetIdentity reads what the process says of itself.
+// readFleetIdentity reads the properties that the process announces about itself.
 func (s *section) readFleetIdentity(fleet *Fleet) {
-	const maxNameBytes = 64 // what a member says of itself goes into one packet
+	const maxNameBytes = 64 // all properties of a member must fit into one packet
 	for _, text := range []struct {
 		name   string
 		target *string
@@ -87,7 +88,7 @@
 	} {
 		s.stringValue(text.name, text.target)
 		if len(*text.target) > maxNameBytes || strings.ContainsAny(*text.target, "@ \t") {
-			s.report(text.name, *text.target, "wants up to 64 bytes without @ or blanks")
+			s.report(text.name, *text.target, "must be at most 64 bytes without @, spaces or tabs")
 		}
 	}
 	s.readRoles(&fleet.Roles)
@@ -95,7 +96,7 @@
 	s.durationValue("warm-up", &fleet.WarmUp, 0, time.Hour)
 }
 
-// readRoles reads what the process does for the fleet.
+// readRoles reads the roles of the process in the fleet.
 func (s *section) readRoles(target *membership.Roles) {
 	text, _, _ := s.lookupWords("roles")
 	names := splitList(text)
@@ -106,7 +107,7 @@
 	for _, name := range names {
 		role, unknown := membership.ParseRoles([]string{storedRole(name)})
 		if unknown != "" {
-			s.report("roles", name, "wants some of "+strings.Join(memberRoles, ", "))
+			s.report("roles", name, "must be one of "+strings.Join(memberRoles, ", "))
 			return
 		}
 		roles |= role
@@ -117,7 +118,7 @@
 // memberRoles are the words for roles in files.
 var memberRoles = []string{"instance", "proxy", "coordinator", "upstream"}
 
-// readMembership reads by which the process holds others to be members, and what it tells them.
+// readMembership reads when the process considers other members suspect or dead, and how often it publishes facts.
 func (s *section) readMembership(config *membership.Config) {
 	s.intValue("max-members", &config.MaxMembers, 2, 10_000)
 	s.durationValue("dead-retention", &config.GoneRetention, time.Second, 24*time.Hour)
@@ -131,24 +132,24 @@
 	s.intValue("facts-per-message", &config.MaxMetrics, 1, 64)
 }
 
-// readFlapDamping reads what becomes of members that come and go.
+// readFlapDamping reads how members that repeatedly leave and return are suppressed.
 func (s *section) readFlapDamping(damping *membership.FlapDampingConfig) {
 	s.floatValue("flap-suppress", &damping.SuppressLimit, 1, 100)
 	s.floatValue("flap-reuse", &damping.ReuseLimit, 0.01, 100)
 	damping.MaxPenalty = max(damping.MaxPenalty, 2*damping.SuppressLimit)
 	if damping.ReuseLimit >= damping.SuppressLimit {
-		s.report("flap-reuse", formatFloat(damping.ReuseLimit), "wants less than flap-suppress")
+		s.report("flap-reuse", formatFloat(damping.ReuseLimit), "must be less than flap-suppress")
 	}
 	s.durationValue("flap-half-life", &damping.HalfLife, time.Second, time.Hour)
 }
 
-// readConnectivity reads by which the process notices that it is cut off.
+// readConnectivity reads how the process detects that it is isolated from the fleet.
 func (s *section) readConnectivity(connectivity *membership.ConnectivityConfig) {
 	s.durationValue("contact-window", &connectivity.Window, 300*time.Millisecond, time.Minute)
 	s.floatValue("degraded-threshold", &connectivity.DegradedBelow, 0.01, 1)
 	s.floatValue("isolated-threshold", &connectivity.IsolatedBelow, 0.01, 1)
 	if connectivity.IsolatedBelow > connectivity.DegradedBelow {
-		s.report("isolated-threshold", formatFloat(connectivity.IsolatedBelow), "wants degraded-threshold or less")
+		s.report("isolated-threshold", formatFloat(connectivity.IsolatedBelow), "must be degraded-threshold or less")
 	}
 	s.durationValue("baseline-adapt-time", &connectivity.AdaptAfter, time.Second, time.Hour)
 	s.durationValue("probe-timeout", &connectivity.AckTimeout, 500*time.Millisecond, time.Hour)
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -12,13 +12,13 @@
 	"lanewheel/internal/setuptest"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew from what the code reads")
+var update = flag.Bool("update", false, "rewrite the golden files with the present listings")
 
-// listGolden lists one of the golden files as its kind, which its name tells.
+// listGolden parses and lists a golden file. The prefix of its name determines its kind.
 func listGolden(t *testing.T, l *listing, path string, text []byte) {
 	t.Helper()
 	name := filepath.Base(path)
-	path = "etc/" + name // so that the golden listings name no other folder
+	path = "etc/" + name // so that the golden listings contain no other directory
 	switch {
 	case strings.HasPrefix(name, "drill-"):
 		d, err := ParseDrill(path, text)
@@ -47,8 +47,8 @@
 	}
 }
 
-// compare compares a listing with the one beside its file, or with -update writes that.
-func compare(t *testing.T, path, got string) {
+// compareGolden compares a listing with the golden listing at path. With -update, it writes the listing there instead.
+func compareGolden(t *testing.T, path, got string) {
 	t.Helper()
 	if *update {
 		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
@@ -67,8 +67,7 @@
 	}
 }
 
-// The files that were shipped, and files that say everything there is, are read as they always were: each setting
-// by its name.
+// All files that have been shipped, and the files that contain every setting, must still be read with the same result.
 func TestGoldenFiles(t *testing.T) {
 	files := setuptest.Must(filepath.Glob("testdata/golden/*.ini"))
 	if len(files) < 25 {
@@ -78,24 +77,24 @@
 		t.Run(filepath.Base(path), func(t *testing.T) {
 			var l listing
 			listGolden(t, &l, path, setuptest.Must(os.ReadFile(path)))
-			compare(t, strings.TrimSuffix(path, ".ini")+".golden", l.String())
+			compareGolden(t, strings.TrimSuffix(path, ".ini")+".golden", l.String())
 		})
 	}
 }
 
-// Without a file, and with an empty one, what holds is as it always was.
+// The defaults without a file and with an empty file must not change.
 func TestGoldenDefaults(t *testing.T) {
 	var l listing
 	f := setuptest.Must(Load(""))
 	listFile(&l, &f)
-	compare(t, "testdata/golden/without-file.golden", l.String())
+	compareGolden(t, "testdata/golden/without-file.golden", l.String())
 	l.Reset()
 	f = setuptest.Must(Parse("etc/empty.ini", nil))
 	listFile(&l, &f)
-	compare(t, "testdata/golden/empty-file.golden", l.String())
+	compareGolden(t, "testdata/golden/empty-file.golden", l.String())
 }
 
-// Values that are set in place of a script's.
+// Overrides replace values of a script, also under earlier names.
 func TestGoldenSet(t *testing.T) {
 	text := setuptest.Must(os.ReadFile("testdata/golden/drill-release-bad.ini"))
 	d := setuptest.Must(ParseDrill("etc/x", text, "bad-release.slow=1", "bad-release.crashes-after=8s", "drill.for=60s",
@@ -106,7 +105,7 @@
 	}
 }
 
-// A file of cluster keys: one a line in base64, the one to write with first.
+// A file of cluster keys contains one key per line in base64. The keys are read in the order of the file.
 func TestGoldenClusterKeys(t *testing.T) {
 	text := setuptest.Must(os.ReadFile("testdata/golden/cluster-keys.txt"))
 	keys := setuptest.Must(ParseClusterKeys("cluster-keys", text))
--- a/internal/config/listing_test.go
+++ b/internal/config/listing_test.go
@@ -9,8 +9,8 @@
 	"lanewheel/internal/balancer"
 )
 
-// listing is what was read of a file, one "section.name = value" a line. The names are the earliest ones of the
-// settings, so that the listing stays the same whatever the settings and the fields that hold them are called.
+// listing is the content of a file as it was parsed, with one "section.name = value" per line. It uses the earliest
+// names of the settings, so that it does not change if settings or fields are renamed.
 type listing struct{ strings.Builder }
 
 func (l *listing) add(name string, value any) {
@@ -22,8 +22,8 @@
 	_, _ = fmt.Fprintf(l, "%s = "+verb+"\n", name, value)
 }
 
-// either is the word that stands in a file for a value that is held as a bool.
-func either(on bool, yes, no string) string {
+// boolWord returns the word that a file uses for a value that is stored as a bool.
+func boolWord(on bool, yes, no string) string {
 	if on {
 		return yes
 	}
@@ -94,8 +94,8 @@
 	l.add("tls.authorities", t.AuthoritiesFile)
 	l.add("tls.revoked", t.RevocationFile)
 	l.add("tls.revoked-grace", t.RevocationGrace)
-	l.add("tls.stale-list", either(t.AllowStaleRevocations, "allow", "deny"))
-	l.add("tls.clients", either(t.RequireClientCertificate, "required", "asked"))
+	l.add("tls.stale-list", boolWord(t.AllowStaleRevocations, "allow", "deny"))
+	l.add("tls.clients", boolWord(t.RequireClientCertificate, "required", "asked"))
 	l.add("tls.oldest", t.MinVersion)
 	l.add("tls.handshakes", t.MaxHandshakes)
 	l.add("tls.handshake-rate", t.HandshakeRate)
@@ -115,7 +115,7 @@
 	l.add("amqp.remembered-for", a.Config.RememberedFor)
 	l.add("amqp.heartbeat", a.Config.HeartbeatInterval)
 	l.add("amqp.watch", a.Config.StatusSocket)
-	source := func(s amqp.Source) string { return either(s.Header, "header:", "") + s.Name }
+	source := func(s amqp.Source) string { return boolWord(s.Header, "header:", "") + s.Name }
 	for _, q := range a.Config.Queues {
 		name := "queue " + string(q.Name)
 		l.add(name+".weight", q.Weight)
@@ -159,7 +159,7 @@
 	l.add("fleet.warm-up", f.WarmUp)
 	l.add("fleet.keys", f.KeyFile)
 	l.add("fleet.watch", f.StatusSocket)
-	l.add("fleet.fenced", either(f.DrainWhenFenced, "leave", "serve"))
+	l.add("fleet.fenced", boolWord(f.DrainWhenFenced, "leave", "serve"))
 	l.add("fleet.permits", f.RequirePermit)
 	l.add("fleet.call-every", f.ProbeInterval)
 	l.add("fleet.messages", f.MaxMessageRate)
@@ -185,8 +185,7 @@
 	l.add("fleet.unanswered", t.Connectivity.AckTimeout)
 }
 
-// listBalancer lists what holds of every choice among members or services; the names that stand in [relay] alone are
-// the last ones.
+// listBalancer lists the balancer settings of a section. A file can set those from way to retry-saved in [relay] only.
 func listBalancer(l *listing, name string, t *balancer.Config) {
 	l.add(name+" (zone)", t.LocalZone)
 	l.add(name+".near", t.LocalZoneUtilization)
--- a/internal/config/listingdrill_test.go
+++ b/internal/config/listingdrill_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// listCopied lists what is copied into the files of processes.
+// listCopied lists the settings that are copied into the files of processes.
 func listCopied(l *listing, d *Drill) {
 	for _, copied := range []struct {
 		name     string
@@ -44,7 +44,7 @@
 		{"stewarding", coordinatorRenames, d.CoordinatorSettings},
 		{"handing", spilloverRenames, d.SpilloverSettings},
 	} {
-		earlier := inverted(copied.renames)
+		earlier := invert(copied.renames)
 		for _, setting := range copied.settings {
 			name := setting.Name
 			if earlier[name] != "" {
@@ -96,11 +96,11 @@
 	l.add(name+".refuses", f.AllowUnanswered)
 }
 
-func listSelector(l *listing, before string, g coordination.Selector) {
-	l.add(before+"zone", g.Zone)
-	l.add(before+"release", g.Release)
-	l.add(before+"role", g.Role)
-	l.add(before+"below", g.Upstream)
+func listSelector(l *listing, prefix string, g coordination.Selector) {
+	l.add(prefix+"zone", g.Zone)
+	l.add(prefix+"release", g.Release)
+	l.add(prefix+"role", g.Role)
+	l.add(prefix+"below", g.Upstream)
 }
 
 func listBudgets(l *listing, all []coordination.DisruptionBudget) {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -1,10 +1,10 @@
-// Package config reads the operator's file, an INI that says what a process does beyond what the platform tells it, and
-// the other files of that form: scripts of drills, disruption budgets and rollouts.
+// Package config reads the operator's file, an INI file that configures a process beyond the platform's configuration,
+// and the other files in this format: scripts of drills, disruption budgets and rollouts.
 //
-// Every value is checked, with its file, line and name; a name or section that is not known is wrong, not passed over.
-// An earlier name is accepted: see renamed.go.
+// Every value is checked. Errors name the file, the line and the setting. An unknown setting or section is an error; it
+// is not ignored. Earlier names are accepted: see renamed.go.
 //
-// The errors of all that reads a text are a diagnostic.List, for errors.As.
+// All errors of the functions that read or parse a file are a diagnostic.List, for errors.As.
 package config
 
 import (
@@ -13,8 +13,7 @@
 	"lanewheel/internal/diagnostic"
 )
 
-// Operator is a whole operator's file. Its zero value, but for the log's format, is what holds without one: everything
-// off.
+// Operator is the content of an operator's file. Without a file, everything is disabled: only Log.Format is set.
 type Operator struct {
 	Path        string
 	Log         Log
@@ -28,35 +27,38 @@
 	Allocator   Allocator
 	Spillover   Spillover
 	Coordinator Coordinator
-	Renamed     RenamedSettings // for whoever goes by the file to warn of
+	Renamed     RenamedSettings // about which the process that uses the file must warn
 }
 
-// Log is how lines are written.
+// Log configures how log lines are written.
 type Log struct {
 	Format string // text or json
 }
 
-// Load reads the file at path; no path gives an Operator with everything off, and without the defaults that a file
-// gives to what it does not say. It warns of earlier names. The error is a diagnostic.List with all that is wrong.
+// Load reads the file at path. If path is empty, it returns an Operator in which everything is disabled, without the
+// defaults of settings that are missing from a file. Load logs a warning about earlier names. The error is a
+// diagnostic.List with all errors.
 func Load(path string) (Operator, error) {
 	if path == "" {
 		return Operator{Log: Log{Format: "text"}}, nil
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return Operator{}, unreadable(path, err)
+		return Operator{}, readError(path, err)
 	}
 	operator, err := Parse(path, text)
 	operator.Renamed.Warn()
 	return operator, err
 }
 
-func unreadable(path string, err error) error {
+// readError returns the error for a file that could not be read, as a diagnostic.List.
+func readError(path string, err error) error {
 	return diagnostic.List{{File: path, Want: "can't be read: " + err.Error()}}
 }
 
-// Parse reads the text of a file; path is what its diagnostics name, and where paths in it count from. It warns of
-// nothing: Operator.Renamed has what there is to warn of.
+// Parse parses the text of an operator's file. Diagnostics name the file by path, and relative paths in the file are
+// resolved against the directory of path. Parse logs no warning about earlier names: they are in Operator.Renamed. The
+// error is a diagnostic.List with all errors.
 func Parse(path string, text []byte) (Operator, error) {
 	r := newReader(path, text, &operatorRenames)
 	operator := Operator{Path: path}
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -32,7 +32,8 @@
 authorities = ca.pem
 `
 
-// Defaults stand where nothing is said, and paths count from the file's folder; without a file everything is off.
+// Settings that are missing have defaults, and relative paths are resolved against the directory of the file. Without a
+// file, everything is disabled.
 func Example() {
 	f := setuptest.Must(Parse("etc/op.ini", []byte(validFile)))
 	r := f.Callers.Roles[0]
@@ -49,16 +50,17 @@
 	// false false false text
 }
 
-// printDiagnostics prints all that is wrong, a line each.
+// printDiagnostics prints the diagnostics of an error, one per line.
 func printDiagnostics(err error) {
 	var diagnostics diagnostic.List
-	_ = errors.As(err, &diagnostics) // any other error is none that is expected, and misses in the output
+	_ = errors.As(err, &diagnostics) // an error of another type is unexpected; the output would lack diagnostics
 	for _, d := range diagnostics {
 		fmt.Println(d)
 	}
 }
 
-// Every fault has its place; a value that needs another section is one too.
+// Each diagnostic has the position of the error. A value that requires another setting, which is missing, is an error
+// as well.
 //
 //nolint:lll // each diagnostic is one line
 func Example_faults() {
@@ -79,21 +81,21 @@
 		printDiagnostics(err)
 	}
 	// Output:
-	// op.ini:6: role crew.rate: is "many", wants a number from 0 to 1e+06
-	// op.ini:5: role crew.permissions: is "wrote", wants read, write or both
-	// op.ini:5: role crew.permissions: wants read, write or both
-	// op.ini:10: caller water.roles: is "crwe", is no role of this file; wants one of crew
-	// op.ini:8: caller water.match: is "rota://water/*", wants uri:, dns:, subject: or token: in front
-	// op.ini:11: tokens.key-dir: wants a path
-	// op.ini:16: tls.listen: is "9443", wants an address and a port, as 127.0.0.1:9443
-	// op.ini:15: tls.authorities: wants a path, as client-certificates is required
-	// op.ini:19: tls.revocation-lists: is "list.pem", wants authorities, which sign it
-	// op.ini:14: tokens.issuer: stands in line 13 already
-	// op.ini:1: stray: stands before the first section
-	// op.ini:3: role: is no section; wants allocator, amqp, caller NAME, callers, coordinator, fleet, log, proxy, queue NAME, role NAME, spillover, tls, tokens, upstream
+	// op.ini:6: role crew.rate: is "many", must be a number from 0 to 1e+06
+	// op.ini:5: role crew.permissions: is "wrote", must be read, write or both
+	// op.ini:5: role crew.permissions: must be read, write or both
+	// op.ini:10: caller water.roles: is "crwe", must be one of the roles in this file: crew
+	// op.ini:8: caller water.match: is "rota://water/*", must be uri:, dns:, subject: or token: followed by a name
+	// op.ini:11: tokens.key-dir: must be a path
+	// op.ini:16: tls.listen: is "9443", must be an address and a port, for example 127.0.0.1:9443
+	// op.ini:15: tls.authorities: must be a path, because client-certificates is required
+	// op.ini:19: tls.revocation-lists: is "list.pem", must be used with authorities, which sign the lists
+	// op.ini:14: tokens.issuer: must be unique; already appears on line 13
+	// op.ini:1: stray: must be in a section, but appears before the first one
+	// op.ini:3: role: is not a known section; must be one of allocator, amqp, caller NAME, callers, coordinator, fleet, log, proxy, queue NAME, role NAME, spillover, tls, tokens, upstream
 }
 
-// The example that operators start from names every name there is.
+// The example file for operators contains every section and, of these settings, each one.
 func TestExample(t *testing.T) {
 	text := setuptest.Must(os.ReadFile("../../deploy/edge.ini"))
 	if _, err := Parse("edge.ini", text); err != nil {
@@ -116,7 +118,7 @@
 			t.Errorf("the example has no [%s]", name)
 		}
 	}
-	for _, known := range []string{
+	for _, setting := range []string{
 		"callers.anonymous-roles",
 		"callers.write-classes",
 		"callers.max-rate-entries",
@@ -129,8 +131,8 @@
 		"tls.stale-revocation-list",
 		"tls.handshake-rate",
 	} {
-		if r.lines[known] == 0 {
-			t.Errorf("the example has no %s", known)
+		if r.lines[setting] == 0 {
+			t.Errorf("the example has no %s", setting)
 		}
 	}
 }
@@ -141,7 +143,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		file, err := Parse("f.ini", text)
 		if err == nil && file.Callers.Enabled && file.Callers.Policy == nil {
-			t.Fatal("callers without rights")
+			t.Fatal("callers are enabled without a policy")
 		}
 	})
 }
--- a/internal/config/proxy.go
+++ b/internal/config/proxy.go
@@ -8,7 +8,7 @@
 	"lanewheel/internal/proxy"
 )
 
-// Proxy is how a process forwards requests.
+// Proxy configures how a process forwards requests to instances.
 type Proxy struct {
 	Enabled bool
 	Config  proxy.Config
@@ -27,10 +27,10 @@
 	}}
 	s := r.section("proxy")
 	parsed.Enabled = s.exists()
-	s.requireFleet(fleet, "it knows the members")
+	s.requireFleet(fleet, "the members")
 	config := &parsed.Config
 	config.Balancer.LocalZone = fleet.Zone
-	config.LocalAddress = hostOf(fleet.ListenAddress) // so that whoever stands between knows both ends
+	config.LocalAddress = hostOf(fleet.ListenAddress) // so that a component on the path can identify both ends
 	s.readPolicy(&config.Balancer.Policy)
 	balancing := &config.Balancer
 	s.intValue("choice-count", &balancing.ChoiceCount, 1, 64)
@@ -50,7 +50,7 @@
 	return parsed
 }
 
-// readPolicy reads how an endpoint is picked.
+// readPolicy reads the policy by which an endpoint is chosen.
 func (s *section) readPolicy(target *balancer.Policy) {
 	policies := map[string]balancer.Policy{}
 	var names []string
@@ -63,7 +63,7 @@
 	*target = policies[name]
 }
 
-// readBalancer reads what holds of whoever chooses among members or services.
+// readBalancer reads the balancer settings that [proxy] and [upstream] have in common.
 func (s *section) readBalancer(config *balancer.Config) {
 	s.floatValue("zone-affinity", &config.LocalZoneUtilization, 0, 1.6)
 	s.floatValue("ejected-fraction", &config.OutlierWeight, 0.0001, 1)
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -9,24 +9,25 @@
 	"lanewheel/internal/diagnostic"
 )
 
-// reader reads the sections of one file and gathers what is wrong with them. Sections and names go by the terms that
-// they have now, also where the file has earlier ones; what is wrong is told by what stands in the file.
+// reader reads the sections of one file and collects the errors in them. Its methods take the current names of sections
+// and settings, even if the file uses earlier ones. Diagnostics use the names as written in the file.
 type reader struct {
 	file          string
 	renames       *renames
 	ini           *ini.File         // as written
-	lines         map[string]int    // by section, or section and name with a dot between
-	written       map[string]string // what stands in the file for a key of lines, where that is an earlier term
+	lines         map[string]int    // by section, or by section and name separated by a dot; current names
+	written       map[string]string // the earlier name in the file, by key of lines; only if the file uses one
 	renamed       RenamedSettings
-	knownSections map[string]bool
+	knownSections map[string]bool // the current names of sections that have been looked up
 	diagnostics   diagnostic.List
 }
 
-// maxFileBytes is how many bytes an operator's file may have: some thousands of callers, and far from what hurts.
+// maxFileBytes is the maximum size of a file in bytes. It is enough for some thousands of callers and small enough not
+// to use much memory.
 const maxFileBytes = 1 << 20
 
-// newReader takes the text apart. What stands twice is wrong, also by an earlier and the present term: the library
-// would let the later one win in silence.
+// newReader parses the text. A section or setting that appears twice is an error, also if it appears once under an
+// earlier name and once under the current one, because the library would silently use the later one.
 func newReader(file string, text []byte, renames *renames) *reader {
 	r := &reader{
 		file:          file,
@@ -36,12 +37,12 @@
 		knownSections: map[string]bool{},
 	}
 	if len(text) > maxFileBytes {
-		r.report("", "", "", fmt.Sprintf("wants %d bytes or fewer", maxFileBytes))
+		r.report("", "", "", fmt.Sprintf("must be %d bytes or fewer", maxFileBytes))
 		return r
 	}
 	r.readLines(string(text))
 	var err error
-	// No shadows, no continuation lines, nothing behind a value: a line says what it says.
+	// Without repeated keys, continuation lines and inline comments, each line can be read on its own.
 	r.ini, err = ini.LoadSources(ini.LoadOptions{
 		IgnoreInlineComment:     true,
 		IgnoreContinuation:      true,
@@ -54,12 +55,12 @@
 		return r
 	}
 	if unnamed := r.ini.Section(ini.DefaultSection); len(unnamed.Keys()) > 0 {
-		r.report("", unnamed.Keys()[0].Name(), "", "stands before the first section")
+		r.report("", unnamed.Keys()[0].Name(), "", "must be in a section, but appears before the first one")
 	}
 	return r
 }
 
-// readLines notes where each section and name stands.
+// readLines records the line of each section and each name.
 func (r *reader) readLines(text string) {
 	section := ""
 	for i, line := range strings.Split(text, "\n") {
@@ -82,16 +83,17 @@
 				File: r.file,
 				Line: i + 1,
 				Name: written,
-				Want: fmt.Sprintf("stands in line %d already", firstLine),
+				Want: fmt.Sprintf("must be unique; already appears on line %d", firstLine),
 			})
 			continue
 		}
 		r.lines[key] = i + 1
-		r.noteWritten(section, name, key)
+		r.recordWritten(section, name, key)
 	}
 }
 
-// resolve returns the key of lines for a section and a name as written; no name is the section itself.
+// resolve returns the key of lines for a section and a name as written. If name is empty, it is the key of the section
+// itself.
 func (r *reader) resolve(section, name string) string {
 	section = r.renames.section(section)
 	if name == "" {
@@ -100,8 +102,8 @@
 	return section + "." + r.renames.name(section, name)
 }
 
-// noteWritten notes what stands in the file for a key, if an earlier term does.
-func (r *reader) noteWritten(section, name, key string) {
+// recordWritten records the name as written for a key of lines if it contains an earlier name.
+func (r *reader) recordWritten(section, name, key string) {
 	written := section
 	if name != "" {
 		written += "." + name
@@ -110,26 +112,26 @@
 		return
 	}
 	r.written[key] = written
-	switch now := r.renames.section(section); {
+	switch current := r.renames.section(section); {
 	case name == "":
-		r.noteRenamed("[" + section + "] is now [" + key + "]")
-	case r.renames.name(now, name) != name:
-		r.noteRenamed(written + " is now " + key)
+		r.addRenamed("[" + section + "] is now [" + key + "]")
+	case r.renames.name(current, name) != name:
+		r.addRenamed(written + " is now " + key)
 	}
 }
 
-// noteRenamed adds an earlier term to those that the process warns of.
-func (r *reader) noteRenamed(use string) { r.renamed = append(r.renamed, use) }
+// addRenamed adds the use of an earlier name or word to those that the process warns about.
+func (r *reader) addRenamed(use string) { r.renamed = append(r.renamed, use) }
 
-// override puts a value in place of what the file says, or beside it.
+// override replaces the value of a setting, or adds the setting if the file does not have it.
 func (r *reader) override(section, name, value string) {
 	key := r.resolve(section, name)
 	if r.lines[key] == 0 {
-		r.noteWritten(section, name, key)
+		r.recordWritten(section, name, key)
 	}
 	source := r.source(r.renames.section(section))
 	if source == nil {
-		source = r.ini.Section(r.renames.section(section)) // makes it
+		source = r.ini.Section(r.renames.section(section)) // creates the section
 	}
 	written := name
 	for _, candidate := range source.KeyStrings() {
@@ -141,7 +143,7 @@
 	source.Key(written).SetValue(value)
 }
 
-// report notes a fault; a name that does not stand in the file is told with its section's line.
+// report adds a diagnostic. If the file does not contain the name, the diagnostic has the line of the section.
 func (r *reader) report(section, name, value, want string) {
 	key := section
 	if name != "" {
@@ -160,7 +162,7 @@
 	})
 }
 
-// display returns a section, or one of its names, as the file has it.
+// display returns the name of a section or of a setting in it, as written in the file.
 func (r *reader) display(section, name string) string {
 	written := section
 	if earlier := r.written[section]; earlier != "" {
@@ -175,8 +177,8 @@
 	return written + "." + name
 }
 
-// source returns the section of the file that has the name now, nil if there is none. Of an earlier and the present
-// name together, which is an error, the first counts.
+// source returns the section of the file with the given current name, or nil if there is none. If the file has the
+// section under both an earlier and the current name, which is an error, source returns the first one.
 func (r *reader) source(section string) *ini.Section {
 	if r.ini == nil {
 		return nil
@@ -189,7 +191,7 @@
 	return nil
 }
 
-// section gives a section that has a place of its own in the program.
+// section returns the section with the given current name, which need not exist, and records that the name is known.
 func (r *reader) section(name string) *section {
 	r.knownSections[name] = true
 	s := &section{
@@ -203,14 +205,15 @@
 		return s
 	}
 	for _, written := range s.source.KeyStrings() {
-		if now := r.renames.name(name, written); s.written[now] == "" {
-			s.written[now] = written
+		if current := r.renames.name(name, written); s.written[current] == "" {
+			s.written[current] = written
 		}
 	}
 	return s
 }
 
-// sectionsOfKind gives the sections of a kind that may stand several times, as [role crew]; in the file's order.
+// sectionsOfKind returns the sections of a kind of which a file can have several, for example [role crew], in the order
+// of the file.
 func (r *reader) sectionsOfKind(kind string) []*section {
 	var sections []*section
 	if r.ini == nil {
@@ -224,7 +227,8 @@
 	return sections
 }
 
-// reportUnknownSections flags the sections that nobody asked for.
+// reportUnknownSections reports the sections that have not been looked up. kinds are the kinds of which the file may
+// have several sections.
 func (r *reader) reportUnknownSections(kinds ...string) {
 	if r.ini == nil {
 		return
@@ -242,6 +246,6 @@
 		for _, kind := range kinds {
 			allowed[kind+" NAME"] = true
 		}
-		r.report(name, "", "", "is no section; wants "+joinSorted(allowed))
+		r.report(name, "", "", "is not a known section; must be one of "+joinSorted(allowed))
 	}
 }
--- a/internal/config/renamed.go
+++ b/internal/config/renamed.go
@@ -6,32 +6,33 @@
 	"sync"
 )
 
-// renames are the earlier terms that one kind of file may still use, each with the one that it has now. They are
-// accepted, and never suggested.
+// renames maps the earlier terms that a kind of file may still use to the current ones. Earlier terms are accepted, but
+// diagnostics never suggest them.
 type renames struct {
 	sections map[string]string            // whole names of sections
-	names    map[string]map[string]string // names, by the section's first word as it is now
-	values   map[string]map[string]string // words as values, by the section's first word and the name as they are now
+	names    map[string]map[string]string // names of settings, by the first word of the section's current name
+	values   map[string]map[string]string // words in values, by that word and the setting's current name, dot-separated
 }
 
-// section returns the name of a section as it is now.
+// section returns the current name of a section.
 func (t *renames) section(written string) string {
-	if now, renamed := t.sections[written]; renamed {
-		return now
+	if current, renamed := t.sections[written]; renamed {
+		return current
 	}
 	return written
 }
 
-// name returns a name as it is now, in a section as it is now.
+// name returns the current name of a setting in the section with the given current name.
 func (t *renames) name(section, written string) string {
 	kind, _, _ := strings.Cut(section, " ")
-	if now, renamed := t.names[kind][written]; renamed {
-		return now
+	if current, renamed := t.names[kind][written]; renamed {
+		return current
 	}
 	return written
 }
 
-// value returns a value in which each of the words, which commas separate, is as it is now.
+// value returns the value of a setting with each of its comma-separated words replaced by the current one. section and
+// name are current names.
 func (t *renames) value(section, name, written string) string {
 	kind, _, _ := strings.Cut(section, " ")
 	words := t.values[kind+"."+name]
@@ -41,8 +42,8 @@
 	items := strings.Split(written, ",")
 	renamed := false
 	for i, item := range items {
-		if now, found := words[strings.TrimSpace(item)]; found {
-			items[i], renamed = strings.Replace(item, strings.TrimSpace(item), now, 1), true
+		if current, found := words[strings.TrimSpace(item)]; found {
+			items[i], renamed = strings.Replace(item, strings.TrimSpace(item), current, 1), true
 		}
 	}
 	if !renamed {
@@ -51,34 +52,36 @@
 	return strings.Join(items, ",")
 }
 
-// RenamedSettings are the earlier terms that a file uses, each with the one that it has now.
+// RenamedSettings lists the earlier terms that a file uses, each with the current one, as "EARLIER is now CURRENT".
 type RenamedSettings []string
 
-// warnedRenames are the terms that this process has warned of, guarded by its mutex.
+// warnedRenames contains the uses of earlier terms about which this process has warned. Its mutex guards it.
 var warnedRenames = struct {
 	sync.Mutex
 	uses map[string]bool
 }{uses: map[string]bool{}}
 
-// Warn logs the terms that this process has not warned of yet, all in one warning. Any goroutine may call it.
+// Warn logs one warning that lists the uses of earlier terms about which this process has not warned yet. Any goroutine
+// may call it.
 //
-// It is apart from the reading: a program that hands over to its sibling reads the file first, and the sibling warns.
+// Parse does not call it, because a program that replaces itself with another program reads the file first, and then
+// that program reads it again and warns.
 func (s RenamedSettings) Warn() {
 	warnedRenames.Lock()
 	defer warnedRenames.Unlock()
-	var fresh []string
+	var unwarned []string
 	for _, use := range s {
 		if !warnedRenames.uses[use] {
 			warnedRenames.uses[use] = true
-			fresh = append(fresh, use)
+			unwarned = append(unwarned, use)
 		}
 	}
-	if len(fresh) > 0 {
-		slog.Warn("renamed settings", "use", strings.Join(fresh, "; "))
+	if len(unwarned) > 0 {
+		slog.Warn("renamed settings", "use", strings.Join(unwarned, "; "))
 	}
 }
 
-// operatorRenames are the earlier terms of an operator's file.
+// operatorRenames contains the earlier terms of an operator's file.
 var operatorRenames = renames{
 	sections: map[string]string{
 		"relay":    "proxy",
@@ -108,7 +111,7 @@
 	},
 }
 
-// planRenames are the earlier terms of the files that operators hand to the coordinators.
+// planRenames contains the earlier terms of the files that operators send to the coordinators.
 var planRenames = renames{
 	names: map[string]map[string]string{
 		"budget": {
@@ -130,15 +133,15 @@
 	},
 }
 
-// earlierRoles are the earlier words for roles. Gossip, status sockets and the coordinators' log still speak them:
-// storedRoles is the way back.
+// earlierRoles maps the earlier words for roles to the current ones. Gossip, status sockets and the coordinators' log
+// still use the earlier words; storedRoles is the inverse mapping.
 var earlierRoles = map[string]string{"relay": "proxy", "steward": "coordinator", "below": "upstream"}
 
-// storedRoles are the roles as gossip, status sockets and the coordinators' log speak them, where a file has another
-// word.
-var storedRoles = inverted(earlierRoles)
+// storedRoles maps the current words for roles to those in gossip, status sockets and the coordinators' log, where they
+// differ.
+var storedRoles = invert(earlierRoles)
 
-// storedRole returns a role of a file as it is stored.
+// storedRole returns the word that gossip, status sockets and the coordinators' log use for a role in a file.
 func storedRole(role string) string {
 	if stored, differs := storedRoles[role]; differs {
 		return stored
@@ -146,7 +149,7 @@
 	return role
 }
 
-func inverted(table map[string]string) map[string]string {
+func invert(table map[string]string) map[string]string {
 	result := make(map[string]string, len(table))
 	for key, value := range table {
 		result[value] = key
@@ -308,8 +311,8 @@
 	"asked":          "sampled-members",
 }
 
-// drillRenames are the earlier terms of a script for a drill. The sections that are copied into those of processes
-// have the terms of the operator's file.
+// drillRenames contains the earlier terms of a script for a drill. The sections that are copied into the files of
+// processes have the same earlier terms as in an operator's file.
 var drillRenames = renames{
 	sections: map[string]string{
 		"members":    "fleet",
@@ -381,8 +384,9 @@
 	"refuses":   "allow-unanswered",
 }
 
-// earlierActions and earlierSelectors are the earlier words for what a drill does, and to whom. Records of drills still
-// speak them: they are the values of DrillAction and SelectorKind, and storedSelectors is the way back.
+// earlierActions and earlierSelectors map the earlier words for the actions of a drill and the selectors of processes to
+// the current ones. The records of drills still use the earlier words: they are the values of DrillAction and
+// SelectorKind. storedSelectors is the inverse of earlierSelectors.
 var (
 	earlierActions   = map[string]string{"swallow": "blackhole", "narrow": "throttle", "agree": "coordinator-command"}
 	earlierSelectors = map[string]string{
@@ -391,5 +395,5 @@
 		"stewards": "coordinators",
 		"rest":     "others",
 	}
-	storedSelectors = inverted(earlierSelectors)
+	storedSelectors = invert(earlierSelectors)
 )
--- a/internal/config/renamed_test.go
+++ b/internal/config/renamed_test.go
@@ -15,7 +15,7 @@
 	"lanewheel/internal/setuptest"
 )
 
-// parseGolden reads a file as its kind, which its name tells, and gives the earlier terms that it uses.
+// parseGolden parses a file and returns the earlier terms that it uses. The prefix of its name determines its kind.
 func parseGolden(path string, text []byte) (RenamedSettings, error) {
 	switch name := filepath.Base(path); {
 	case strings.HasPrefix(name, "drill-"):
@@ -32,8 +32,8 @@
 	return operator.Renamed, err
 }
 
-// TestRenamedFiles reads each of the golden files in the terms that hold now: what is read is the same, and there is
-// nothing to warn of.
+// TestRenamedFiles reads the version of each golden file that uses the current terms. The result must be the same, and
+// there must be no warning.
 func TestRenamedFiles(t *testing.T) {
 	warnings := captureWarnings(t)
 	files := setuptest.Must(filepath.Glob("testdata/golden/*.ini"))
@@ -42,19 +42,19 @@
 			text := setuptest.Must(os.ReadFile(filepath.Join("testdata/renamed", filepath.Base(path))))
 			var l listing
 			listGolden(t, &l, path, text)
-			compare(t, strings.TrimSuffix(path, ".ini")+".golden", l.String())
+			compareGolden(t, strings.TrimSuffix(path, ".ini")+".golden", l.String())
 			if renamed, err := parseGolden(path, text); err != nil || len(renamed) > 0 {
 				t.Errorf("earlier terms %q, error %v", renamed, err)
 			}
 		})
 	}
 	if warnings.Len() > 0 {
-		t.Errorf("warned of\n%s", warnings)
+		t.Errorf("unexpected warnings\n%s", warnings)
 	}
 }
 
-// TestRenamedEveryTerm checks that the files that say everything there is use every earlier term, and in the terms that
-// hold now none.
+// TestRenamedEveryTerm checks that the golden files with all settings contain every setting and section that has an
+// earlier name.
 func TestRenamedEveryTerm(t *testing.T) {
 	for _, kind := range []struct {
 		files   []string
@@ -73,36 +73,36 @@
 				seen[kind+"."+name] = true
 			}
 		}
-		for earlier, now := range kind.renames.sections {
-			if !seen[now+"."] {
-				t.Errorf("[%s], now [%s], stands in no file", earlier, now)
+		for earlier, current := range kind.renames.sections {
+			if !seen[current+"."] {
+				t.Errorf("no file contains [%s], which is now [%s]", earlier, current)
 			}
 		}
 		for section, names := range kind.renames.names {
 			if kind.renames == &drillRenames && operatorRenames.names[section] != nil {
-				continue // copied into an operator's file
+				continue // checked with operatorRenames, because the section is copied into an operator's file
 			}
-			for earlier, now := range names {
-				if !seen[section+"."+now] {
-					t.Errorf("%s.%s, now %s, stands in no file", section, earlier, now)
+			for earlier, current := range names {
+				if !seen[section+"."+current] {
+					t.Errorf("no file contains %s.%s, which is now %s", section, earlier, current)
 				}
 			}
 		}
 	}
 }
 
-// TestRenamesUnambiguous checks that no term is an earlier and a present one in the same place, and that no two earlier
-// ones are the same now.
+// TestRenamesUnambiguous checks that no term is both an earlier and a current one in the same section or setting, and
+// that no two earlier terms there have the same current term.
 func TestRenamesUnambiguous(t *testing.T) {
 	check := func(place string, table map[string]string) {
-		now := slices.Collect(maps.Values(table))
-		slices.Sort(now)
-		if len(slices.Compact(slices.Clone(now))) != len(now) {
-			t.Errorf("%s: two earlier terms are the same now", place)
+		current := slices.Collect(maps.Values(table))
+		slices.Sort(current)
+		if len(slices.Compact(slices.Clone(current))) != len(current) {
+			t.Errorf("%s: two earlier terms have the same current term", place)
 		}
-		for _, term := range now {
+		for _, term := range current {
 			if _, earlier := table[term]; earlier {
-				t.Errorf("%s: %s is an earlier term, too", place, term)
+				t.Errorf("%s: %s is both an earlier and a current term", place, term)
 			}
 		}
 	}
@@ -121,45 +121,45 @@
 	}
 }
 
-// TestRenamedDiagnostics checks what is said of a file with earlier terms: by what stands in it, and with suggestions
-// in the present ones alone.
+// TestRenamedDiagnostics checks the diagnostics of a file with earlier terms. They use the names as written in the file
+// and suggest current terms only.
 func TestRenamedDiagnostics(t *testing.T) {
 	for _, test := range []struct {
 		name, text string
 		want       []string
 	}{
 		{"misspelt name", "[relay]\nwya = informed\n" + fleetSection, []string{
-			"x:2: relay.wya: is no name of this section; wants choice-count, connections-per-member, drain-grace, " +
-				"ejected-fraction, idle-timeout, load-half-life, load-max-age, max-ejected-fraction, max-in-flight, " +
-				"outcome-half-life, policy, probes-per-request, retry-after, retry-budget, retry-burst, subset-size, " +
-				"zone-affinity",
+			"x:2: relay.wya: is not a setting of this section; must be one of choice-count, connections-per-member, " +
+				"drain-grace, ejected-fraction, idle-timeout, load-half-life, load-max-age, max-ejected-fraction, " +
+				"max-in-flight, outcome-half-life, policy, probes-per-request, retry-after, retry-budget, retry-burst, " +
+				"subset-size, zone-affinity",
 		}},
 		{"misspelt section", "[stewrad]\n" + fleetSection, []string{
-			"x:1: stewrad: is no section; wants allocator, amqp, caller NAME, callers, coordinator, fleet, log, proxy, " +
-				"queue NAME, role NAME, spillover, tls, tokens, upstream",
+			"x:1: stewrad: is not a known section; must be one of allocator, amqp, caller NAME, callers, coordinator, fleet, " +
+				"log, proxy, queue NAME, role NAME, spillover, tls, tokens, upstream",
 		}},
-		{"a wrong value", "[relay]\nway = best\n[queue a]\nfloor = x\n[amqp]\nbrokers = amqp://h\n" + fleetSection, []string{
-			`x:2: relay.way: is "best", wants one of greedy, informed, least-open, random, round-robin, two-own, two-told`,
-			`x:4: queue a.floor: is "x", wants a whole number from 0 to 1000`,
+		{"invalid value", "[relay]\nway = best\n[queue a]\nfloor = x\n[amqp]\nbrokers = amqp://h\n" + fleetSection, []string{
+			`x:2: relay.way: is "best", must be one of greedy, informed, least-open, random, round-robin, two-own, two-told`,
+			`x:4: queue a.floor: is "x", must be a whole number from 0 to 1000`,
 		}},
-		{"a wrong word", "[fleet]\nlisten = 127.0.0.1:1\nkeys = k\nfenced = go\nroles = relay, king\n", []string{
-			`x:4: fleet.fenced: is "go", wants one of drain, serve`,
-			`x:5: fleet.roles: is "king", wants some of instance, proxy, coordinator, upstream`,
+		{"invalid word", "[fleet]\nlisten = 127.0.0.1:1\nkeys = k\nfenced = go\nroles = relay, king\n", []string{
+			`x:4: fleet.fenced: is "go", must be one of drain, serve`,
+			`x:5: fleet.roles: is "king", must be one of instance, proxy, coordinator, upstream`,
 		}},
-		{"a missing name", "[steward]\nlisten = 127.0.0.1:1\nstewards = 127.0.0.1:1\n[fleet]\nname = n\n" +
-			"listen = 127.0.0.1:2\nkeys = k\n", []string{"x:1: steward.data-dir: wants a path"}},
-		{"name twice", "[proxy]\nway = informed\npolicy = informed\n" + fleetSection, []string{
-			"x:3: proxy.policy: stands in line 2 already",
+		{"missing name", "[steward]\nlisten = 127.0.0.1:1\nstewards = 127.0.0.1:1\n[fleet]\nname = n\n" +
+			"listen = 127.0.0.1:2\nkeys = k\n", []string{"x:1: steward.data-dir: must be a path"}},
+		{"repeated name", "[proxy]\nway = informed\npolicy = informed\n" + fleetSection, []string{
+			"x:3: proxy.policy: must be unique; already appears on line 2",
 		}},
-		{"name twice, the earlier one last", "[proxy]\npolicy = informed\nway = informed\n" + fleetSection, []string{
-			"x:3: proxy.way: stands in line 2 already",
+		{"repeated name, the earlier one last", "[proxy]\npolicy = informed\nway = informed\n" + fleetSection, []string{
+			"x:3: proxy.way: must be unique; already appears on line 2",
 		}},
-		{"section twice", "[relay]\nway = informed\n[proxy]\nchoice-count = 2\n" + fleetSection, []string{
-			"x:3: proxy: stands in line 1 already",
+		{"repeated section", "[relay]\nway = informed\n[proxy]\nchoice-count = 2\n" + fleetSection, []string{
+			"x:3: proxy: must be unique; already appears on line 1",
 		}},
-		{"names over both sections", "[relay]\nway = informed\n[proxy]\npolicy = random\n" + fleetSection, []string{
-			"x:3: proxy: stands in line 1 already",
-			"x:4: proxy.policy: stands in line 2 already",
+		{"repeated section with a repeated name", "[relay]\nway = informed\n[proxy]\npolicy = random\n" + fleetSection, []string{
+			"x:3: proxy: must be unique; already appears on line 1",
+			"x:4: proxy.policy: must be unique; already appears on line 2",
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -175,7 +175,7 @@
 	t.Helper()
 	var diagnostics diagnostic.List
 	if !errors.As(err, &diagnostics) {
-		t.Fatalf("error %v", err)
+		t.Fatalf("error %v is not a list of diagnostics", err)
 	}
 	var got []string
 	for _, d := range diagnostics {
@@ -186,37 +186,37 @@
 	}
 }
 
-// TestRenamedDrillDiagnostics does the same for scripts and plans.
+// TestRenamedDrillDiagnostics checks the diagnostics of drill scripts, budgets and rollout plans with earlier terms.
 func TestRenamedDrillDiagnostics(t *testing.T) {
 	_, err := ParseDrill("x", []byte("[drill]\nrelays = 2\nproxies = 2\nrelyas = 1\n"+
 		"[fault a]\ndo = kil\nat = 1s\non = desk\n"))
 	checkDiagnostics(t, err, []string{
-		"x:3: drill.proxies: stands in line 2 already",
-		"x:4: drill.relyas: is no name of this section; wants allocators, clients, coordinators, duration, max-memory-mb, " +
-			"mean-run-time, processes, proxies, rate, releases, seed, seed-members, settle, startup, " +
+		"x:3: drill.proxies: must be unique; already appears on line 2",
+		"x:4: drill.relyas: is not a setting of this section; must be one of allocators, clients, coordinators, duration, " +
+			"max-memory-mb, mean-run-time, processes, proxies, rate, releases, seed, seed-members, settle, startup, " +
 			"upstream-call-duration, zones",
-		`x:6: fault a.do: is "kil", wants one of blackhole, burst, coordinator-command, delay, duplicate, fail-runs, ` +
+		`x:6: fault a.do: is "kil", must be one of blackhole, burst, coordinator-command, delay, duplicate, fail-runs, ` +
 			"flood, garble, half-close, keys, kill, late-runtime, leave, lose, lose-runs, pause, refuse, reorder, replace, " +
 			"restart, seeds, slow-runs, stall, throttle, wipe",
-		"x:6: fault a.do: wants what is done, as blackhole or kill",
-		`x:8: fault a.on: is "desk", wants all, others, proxies, instances, allocators, coordinators, zone NAME, ` +
+		"x:6: fault a.do: must be an action, for example blackhole or kill",
+		`x:8: fault a.on: is "desk", must be all, others, proxies, instances, allocators, coordinators, zone NAME, ` +
 			"release NAME, process N, first N, draw N or draw N%",
 	})
 	_, err = ParseDrill("x", []byte("[relay]\n[drill]\n"))
 	checkDiagnostics(t, err, []string{
-		"x:1: relay: is no section; wants allocator, bad-release, balance, coordinator, drill, fault NAME, fleet, proxy, " +
-			"rollout, spillover, upstream",
+		"x:1: relay: is not a known section; must be one of allocator, bad-release, balance, coordinator, drill, " +
+			"fault NAME, fleet, proxy, rollout, spillover, upstream",
 	})
 	_, err = ParseBudgets("x", []byte("[budget a]\nmost = 1\nmax-unavailable = 1\nrole = king\n"))
 	checkDiagnostics(t, err, []string{
-		"x:3: budget a.max-unavailable: stands in line 2 already",
-		`x:4: budget a.role: is "king", wants one of coordinator, instance, proxy, upstream`,
+		"x:3: budget a.max-unavailable: must be unique; already appears on line 2",
+		`x:4: budget a.role: is "king", must be one of coordinator, instance, proxy, upstream`,
 	})
 	_, err = ParseRollout("x", []byte("[release]\nname = n\nto = 2\ntarget-release = 2\n"))
-	checkDiagnostics(t, err, []string{"x:4: release.target-release: stands in line 3 already"})
+	checkDiagnostics(t, err, []string{"x:4: release.target-release: must be unique; already appears on line 3"})
 }
 
-// TestRenamedOverrides checks values in place of a script's by either name, whichever of them the script has.
+// TestRenamedOverrides checks that overrides work with earlier and with current names, whichever the script uses.
 func TestRenamedOverrides(t *testing.T) {
 	for _, script := range []string{
 		"[drill]\nrelays = 2\n[relaying]\nway = informed\nsubset = 3\n",
@@ -234,13 +234,14 @@
 			wantFleet := []Setting{{"when-fenced", "drain"}}
 			if drill.Proxies != 4 || drill.Balance.MaxImbalance != 9 || !drill.Balance.Enabled ||
 				!slices.Equal(drill.ProxySettings, wantProxy) || !slices.Equal(drill.FleetSettings, wantFleet) {
-				t.Errorf("%q over %q: %+v", overrides, script, drill)
+				t.Errorf("overrides %q of script %q: %+v", overrides, script, drill)
 			}
 		}
 	}
 }
 
-// captureWarnings has the log written to the buffer until the test ends, as in a process that has warned of nothing.
+// captureWarnings redirects the log to the returned buffer until the test ends. As in a new process, all earlier terms
+// count as not warned about.
 func captureWarnings(t *testing.T) *bytes.Buffer {
 	t.Helper()
 	var text bytes.Buffer
@@ -261,8 +262,8 @@
 	return &text
 }
 
-// TestRenamedWarning checks that a process warns once of all earlier terms that a file uses, by the one that each has
-// now; later of those alone that are new to it.
+// TestRenamedWarning checks that a process logs one warning about all earlier terms in a file, with the current terms,
+// and later warns only about terms that it has not warned about yet.
 func TestRenamedWarning(t *testing.T) {
 	warnings := captureWarnings(t)
 	path := filepath.Join(t.TempDir(), "op.ini")
@@ -294,7 +295,7 @@
 	}
 }
 
-// TestRenamedPlansWarning checks the warnings of scripts, budgets and rollouts.
+// TestRenamedPlansWarning checks the warnings about earlier terms in drill scripts, budgets and rollout plans.
 func TestRenamedPlansWarning(t *testing.T) {
 	warnings := captureWarnings(t)
 	if _, err := ParseDrill("x", []byte("[drill]\nfor = 3s\n[fault a]\naction = kill\nat = 1s\non = desks\n"),
@@ -318,7 +319,7 @@
 	}
 }
 
-// TestStartupFingerprint checks that what a reload can't change is told by the names that a file has.
+// TestStartupFingerprint checks that the settings that a reload cannot change are printed under their current names.
 func TestStartupFingerprint(t *testing.T) {
 	const text = "[amqp]\nbrokers = amqp://h\nin-hand = 9\n[queue a]\nmost = 7\n"
 	operator := setuptest.Must(Parse("etc/op.ini", []byte(text)))
--- a/internal/config/rollout.go
+++ b/internal/config/rollout.go
@@ -8,8 +8,9 @@
 	"lanewheel/internal/coordination"
 )
 
-// ParseRollout reads a file with a section [release], which an operator hands to the coordinators; path is what its
-// diagnostics name. It warns of earlier names.
+// ParseRollout parses the text of a rollout plan, which consists of a section [release] and which an operator sends to
+// the coordinators. Diagnostics name the file by path. ParseRollout logs a warning about earlier names. The error is a
+// diagnostic.List with all errors.
 func ParseRollout(path string, text []byte) (coordination.RolloutPlan, error) {
 	r := newReader(path, text, &planRenames)
 	plan := coordination.RolloutPlan{
@@ -31,7 +32,7 @@
 	for _, spec := range s.listValue("waves") {
 		wave, valid := parseWave(spec)
 		if !valid {
-			s.report("waves", spec, "wants a number, a share as 10%, or zone NAME")
+			s.report("waves", spec, "must be a number, a percentage, for example 10%, or zone NAME")
 		}
 		plan.Waves = append(plan.Waves, wave)
 	}
@@ -45,7 +46,7 @@
 	return plan, r.diagnostics.Err()
 }
 
-// parseWave reads who goes together: a number of members, a share as 10%, or zone NAME.
+// parseWave parses the members of a wave: a number of members, a percentage of them, for example 10%, or zone NAME.
 func parseWave(spec string) (wave coordination.Wave, valid bool) {
 	if zone, isZone := strings.CutPrefix(spec, "zone "); isZone {
 		return coordination.Wave{Zone: strings.TrimSpace(zone)}, true
--- a/internal/config/section.go
+++ b/internal/config/section.go
@@ -14,26 +14,27 @@
 	"gopkg.in/ini.v1"
 )
 
-// section is one section that is being read. Names are those that settings have now.
+// section is a section that is being read. Methods take the current names of settings.
 type section struct {
 	reader     *reader
 	name       string
-	source     *ini.Section      // nil if the file has none such
-	written    map[string]string // the names that stand in the file, by those that they have now
-	knownNames map[string]bool
-	effective  []string // the settings with the values that hold, as they would stand in a file
+	source     *ini.Section      // nil if the file does not have the section
+	written    map[string]string // the names as written in the file, by current name
+	knownNames map[string]bool   // the current names that have been looked up
+	effective  []string          // the settings with their effective values, as "name = value"
 }
 
-// exists tells whether the file has the section.
+// exists reports whether the file has the section.
 func (s *section) exists() bool { return s.source != nil }
 
-// label is what stands behind the kind in the section's name.
+// label returns the part of the section's name that follows the kind, for example crew in [role crew].
 func (s *section) label() string {
 	_, label, _ := strings.Cut(s.name, " ")
 	return strings.TrimSpace(label)
 }
 
-// lookup is what stands under a name. Raw: the library's %(name)s is no part of our form.
+// lookup returns the value of a setting and whether the file sets it. The value is as written: the library's %(name)s
+// substitution is not part of the file format.
 func (s *section) lookup(name string) (string, bool) {
 	s.knownNames[name] = true
 	written, found := s.written[name]
@@ -43,41 +44,41 @@
 	return s.source.Key(written).Value(), true
 }
 
-// lookupWords is lookup for a value of words, each of which is returned as it is now; written is what stands in the
-// file.
+// lookupWords is like lookup for a value that consists of words. In text, earlier words are replaced by the current
+// ones; written is the value in the file.
 func (s *section) lookupWords(name string) (text, written string, found bool) {
 	written, found = s.lookup(name)
 	text = s.reader.renames.value(s.name, name, written)
 	if text != written {
-		s.reader.noteRenamed(fmt.Sprintf("%s = %s is now %s", s.reader.display(s.name, name), written, text))
+		s.reader.addRenamed(fmt.Sprintf("%s = %s is now %s", s.reader.display(s.name, name), written, text))
 	}
 	return text, written, found
 }
 
 func (s *section) report(name, value, want string) { s.reader.report(s.name, name, value, want) }
 
-// noteEffective notes the value that holds for a name, whether or not it stands in the file.
-func (s *section) noteEffective(name string, value any) {
+// addEffective records the effective value of a setting, whether or not the file sets it.
+func (s *section) addEffective(name string, value any) {
 	s.effective = append(s.effective, fmt.Sprintf("%s = %v", name, value))
 }
 
-// stringValue reads a value; an empty one counts as none.
+// stringValue reads a string. An empty string counts as not set.
 func (s *section) stringValue(name string, target *string) {
 	if text, found := s.lookup(name); found && text != "" {
 		*target = text
 	}
-	s.noteEffective(name, *target)
+	s.addEffective(name, *target)
 }
 
-// requiredString is text that has to stand there once its section does.
+// requiredString reads a string that must be set if the section exists.
 func (s *section) requiredString(name string, target *string) {
 	if s.stringValue(name, target); *target == "" && s.exists() {
-		s.report(name, "", "wants text")
+		s.report(name, "", "must be a non-empty string")
 	}
 }
 
-// pathValue reads the path of a file or folder; one that does not begin at the root counts from where the file that
-// names it is.
+// pathValue reads the path of a file or directory. A relative path is resolved against the directory of the file that
+// sets it.
 func (s *section) pathValue(name string, target *string) {
 	if text, found := s.lookup(name); found && text != "" {
 		*target = text
@@ -85,26 +86,26 @@
 	if *target != "" && !filepath.IsAbs(*target) {
 		*target = filepath.Join(filepath.Dir(s.reader.file), *target)
 	}
-	s.noteEffective(name, *target)
+	s.addEffective(name, *target)
 }
 
-// requiredPath is a path that has to stand there once its section does.
+// requiredPath reads a path that must be set if the section exists.
 func (s *section) requiredPath(name string, target *string) {
 	if s.pathValue(name, target); *target == "" && s.exists() {
-		s.report(name, "", "wants a path")
+		s.report(name, "", "must be a path")
 	}
 }
 
-// enumValue reads one of some words; an earlier one is read as that which it is now.
+// enumValue reads one of the allowed words. An earlier word is read as the current one.
 func (s *section) enumValue(name string, target *string, allowed ...string) {
 	text, written, found := s.lookupWords(name)
 	switch {
 	case found && slices.Contains(allowed, text):
 		*target = text
 	case found:
-		s.report(name, written, "wants one of "+strings.Join(slices.Sorted(slices.Values(allowed)), ", "))
+		s.report(name, written, "must be one of "+strings.Join(slices.Sorted(slices.Values(allowed)), ", "))
 	}
-	s.noteEffective(name, *target)
+	s.addEffective(name, *target)
 }
 
 // boolValue reads yes or no.
@@ -122,12 +123,12 @@
 	if text, found := s.lookup(name); found {
 		parsed, err := strconv.ParseFloat(text, 64)
 		if err != nil || math.IsNaN(parsed) || parsed < lowest || parsed > highest {
-			s.report(name, text, fmt.Sprintf("wants a number from %g to %g", lowest, highest))
+			s.report(name, text, fmt.Sprintf("must be a number from %g to %g", lowest, highest))
 			return
 		}
 		*target = parsed
 	}
-	s.noteEffective(name, *target)
+	s.addEffective(name, *target)
 }
 
 // intValue reads a whole number from lowest to highest.
@@ -135,36 +136,36 @@
 	if text, found := s.lookup(name); found {
 		parsed, err := strconv.Atoi(text)
 		if err != nil || parsed < lowest || parsed > highest {
-			s.report(name, text, fmt.Sprintf("wants a whole number from %d to %d", lowest, highest))
+			s.report(name, text, fmt.Sprintf("must be a whole number from %d to %d", lowest, highest))
 			return
 		}
 		*target = parsed
 	}
-	s.noteEffective(name, *target)
+	s.addEffective(name, *target)
 }
 
-// durationValue reads a time with its unit, as 30s or 1h30m.
+// durationValue reads a duration with its unit, for example 30s or 1h30m, from lowest to highest.
 func (s *section) durationValue(name string, target *time.Duration, lowest, highest time.Duration) {
 	if text, found := s.lookup(name); found {
 		parsed, err := time.ParseDuration(text)
 		if err != nil || parsed < lowest || parsed > highest {
-			s.report(name, text, fmt.Sprintf("wants a time from %v to %v, as 1m30s", lowest, highest))
+			s.report(name, text, fmt.Sprintf("must be a duration from %v to %v, for example 1m30s", lowest, highest))
 			return
 		}
 		*target = parsed
 	}
-	s.noteEffective(name, *target)
+	s.addEffective(name, *target)
 }
 
-// listValue reads values with commas between.
+// listValue reads a comma-separated list.
 func (s *section) listValue(name string) []string {
 	text, _ := s.lookup(name)
 	items := splitList(text)
-	s.noteEffective(name, strings.Join(items, ", "))
+	s.addEffective(name, strings.Join(items, ", "))
 	return items
 }
 
-// splitList takes values with commas between apart; empty ones are none.
+// splitList splits a comma-separated list and skips empty items.
 func splitList(text string) []string {
 	var items []string
 	for _, item := range strings.Split(text, ",") {
@@ -175,8 +176,8 @@
 	return items
 }
 
-// checkAddress checks an address in figures. A host's name is wrong: looking it up would hang where no resolver
-// answers.
+// checkAddress checks that a value that is not empty is an IP address with a port. A host name is rejected because its
+// lookup would block where no resolver answers.
 func (s *section) checkAddress(name, value string) {
 	if value == "" {
 		return
@@ -184,30 +185,30 @@
 	host, port, err := net.SplitHostPort(value)
 	number, portErr := strconv.Atoi(port)
 	if err != nil || net.ParseIP(host) == nil || portErr != nil || number < 1 || number > 65535 {
-		s.report(name, value, "wants an address in figures and a port, as 10.0.0.7:7946")
+		s.report(name, value, "must be an IP address and a port, for example 10.0.0.7:7946")
 	}
 }
 
-// requireFleet flags a section that needs [fleet], which the file does not have.
-func (s *section) requireFleet(fleet *Fleet, purpose string) {
+// requireFleet reports the section if it exists while the file has no [fleet]; provided is what [fleet] provides to it.
+func (s *section) requireFleet(fleet *Fleet, provided string) {
 	if s.exists() && !fleet.Enabled {
-		s.report("", "", "wants a section [fleet], by which "+purpose)
+		s.report("", "", "must be accompanied by a section [fleet], which provides "+provided)
 	}
 }
 
-// reportUnknownNames flags the names in the section that nobody asked for.
+// reportUnknownNames reports the names in the section that have not been looked up.
 func (s *section) reportUnknownNames() {
 	if s.source == nil {
 		return
 	}
 	for _, written := range s.source.KeyStrings() {
 		if !s.knownNames[s.reader.renames.name(s.name, written)] {
-			s.report(written, "", "is no name of this section; wants "+joinSorted(s.knownNames))
+			s.report(written, "", "is not a setting of this section; must be one of "+joinSorted(s.knownNames))
 		}
 	}
 }
 
-// hostOf returns the host of an address, empty if it has none.
+// hostOf returns the host of an address with a port, or "" if the address is not valid.
 func hostOf(address string) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/internal/config/shipped_test.go
+++ b/internal/config/shipped_test.go
@@ -5,7 +5,8 @@
 	"os"
 )
 
-// The shipped file says what holds without it, but for its examples, and can be read; what is wrong is said whole.
+// The shipped file of the fleet is valid and contains the defaults, except for its examples. All errors in a file are
+// reported.
 func Example_fleet() {
 	text, err := os.ReadFile("../../deploy/fleet.ini")
 	if err != nil {
@@ -26,18 +27,18 @@
 	// Output:
 	// <nil> true true true
 	// true
-	// op.ini:1: fleet.key-file: wants a path
-	// op.ini:2: fleet.listen: is "here:7946", wants an address in figures and a port, as 10.0.0.7:7946
-	// op.ini:3: fleet.seeds: is "10.0.0.2", wants an address in figures and a port, as 10.0.0.7:7946
-	// op.ini:4: fleet.roles: is "king", wants some of instance, proxy, coordinator, upstream
-	// op.ini:5: fleet.zone: is "a b", wants up to 64 bytes without @ or blanks
-	// op.ini:7: fleet.flap-reuse: is "2", wants less than flap-suppress
-	// op.ini:8: fleet.isolated-threshold: is "0.9", wants degraded-threshold or less
-	// keys:3: stands there already (and 1 more)
+	// op.ini:1: fleet.key-file: must be a path
+	// op.ini:2: fleet.listen: is "here:7946", must be an IP address and a port, for example 10.0.0.7:7946
+	// op.ini:3: fleet.seeds: is "10.0.0.2", must be an IP address and a port, for example 10.0.0.7:7946
+	// op.ini:4: fleet.roles: is "king", must be one of instance, proxy, coordinator, upstream
+	// op.ini:5: fleet.zone: is "a b", must be at most 64 bytes without @, spaces or tabs
+	// op.ini:7: fleet.flap-reuse: is "2", must be less than flap-suppress
+	// op.ini:8: fleet.isolated-threshold: is "0.9", must be degraded-threshold or less
+	// keys:3: must be unique; the same key appears on an earlier line (and 1 more)
 }
 
-// The shipped files of upstream services and of spillover say what holds without them, but for their examples; what is
-// wrong is said whole.
+// The shipped files of upstream services and of spillover contain the defaults, except for their examples. All errors
+// in a file are reported.
 //
 //nolint:lll // each diagnostic is one line
 func Example_upstream() {
@@ -51,12 +52,12 @@
 		fmt.Print(err, " ")
 		return f
 	}
-	shipped, over := read("upstream.ini"), read("spillover.ini")
+	shipped, spillover := read("upstream.ini"), read("spillover.ini")
 	bare, err := Parse("x", []byte("[upstream]\n[allocator]\nmax-concurrency = 200\n[spillover]\n"+fleet))
 	shipped.Upstream.Config.Addresses, shipped.Allocator.LockFile = nil, ""
-	bare.Spillover.Config.LocalAddress = over.Spillover.Config.LocalAddress
+	bare.Spillover.Config.LocalAddress = spillover.Spillover.Config.LocalAddress
 	fmt.Println(err, fmt.Sprint(shipped.Upstream) == fmt.Sprint(bare.Upstream), shipped.Allocator == bare.Allocator,
-		over.Spillover == bare.Spillover)
+		spillover.Spillover == bare.Spillover)
 	_, err = Parse("x", []byte("[upstream]\nmax-concurrency = some\n"+
 		"[allocator]\nmax-concurrency = 5\nunleased-per-process = 1\n[spillover]\nbudget = 2\n"))
 	printDiagnostics(err)
@@ -64,18 +65,18 @@
 	printDiagnostics(err)
 	// Output:
 	// <nil> <nil> <nil> true true true
-	// x:1: upstream.addresses: wants addresses, or a section [fleet] by which members with the role upstream are known
-	// x:2: upstream.max-concurrency: is "some", wants a whole number from 0 to 100000
-	// x:3: allocator: wants a section [fleet], by which the holders are known
-	// x:5: allocator.unleased-per-process: leaves nothing to be leased: max-concurrency is no more than unleased-per-process times max-processes
-	// x:6: spillover: wants a section [fleet], by which it knows the members
-	// x:7: spillover.budget: is "2", wants a number from 0 to 1
-	// x:1: allocator.max-concurrency: wants the calls at a time that the service takes
-	// x:2: allocator.lease-duration: is "1ms", wants a time from 200ms to 1m0s, as 1m30s
+	// x:1: upstream.addresses: must be a comma-separated list of addresses, unless a section [fleet] provides the members with the role upstream
+	// x:2: upstream.max-concurrency: is "some", must be a whole number from 0 to 100000
+	// x:3: allocator: must be accompanied by a section [fleet], which provides the lease holders
+	// x:5: allocator.unleased-per-process: must leave calls to lease: unleased-per-process times max-processes must be less than max-concurrency
+	// x:6: spillover: must be accompanied by a section [fleet], which provides the members
+	// x:7: spillover.budget: is "2", must be a number from 0 to 1
+	// x:1: allocator.max-concurrency: must be the number of concurrent calls that the service accepts
+	// x:2: allocator.lease-duration: is "1ms", must be a duration from 200ms to 1m0s, for example 1m30s
 }
 
-// The shipped file of a coordinator says what holds without it, but for its examples; budgets and rollouts are read
-// whole or not at all.
+// The shipped file of a coordinator contains the defaults, except for its examples. The shipped files of budgets and
+// rollouts are valid. All errors in a file are reported.
 func Example_coordinator() {
 	text, err := os.ReadFile("../../deploy/coordinator.ini")
 	if err != nil {
@@ -106,24 +107,24 @@
 	printDiagnostics(err)
 	// Output:
 	// <nil> true
-	// x:1: coordinator: wants a section [fleet], by which the members are known
-	// x:1: coordinator.coordinators: wants the addresses of the coordinators, one of which leads
-	// x:1: coordinator.data-dir: wants a path
-	// x:2: coordinator.listen: is "here", wants an address in figures and a port, as 10.0.0.7:7946
-	// x:3: coordinator.leader-timeout: is "1ms", wants a time from 100ms to 1m0s, as 1m30s
+	// x:1: coordinator: must be accompanied by a section [fleet], which provides the members
+	// x:1: coordinator.coordinators: must be a comma-separated list of the addresses of all coordinators
+	// x:1: coordinator.data-dir: must be a path
+	// x:2: coordinator.listen: is "here", must be an IP address and a port, for example 10.0.0.7:7946
+	// x:3: coordinator.leader-timeout: is "1ms", must be a duration from 100ms to 1m0s, for example 1m30s
 	// 3 {all role=instance 3 -1 0} <nil>
 	// 7 {all role=instance 12 -1 0} <nil>
 	// r2 2 [{1 0 } {0 0.25 }] 1s false <nil>
 	// r2 2 [{4 0 } {0 0.1 } {0 0.4 }] 4s true <nil>
-	// b:2: budget x.max-unavailable: wants one of max-unavailable and max-unavailable-fraction
-	// b:4: budget y.max-unavailable: wants one of max-unavailable and max-unavailable-fraction
-	// b:5: other: is no section; wants budget NAME
-	// p:1: release.name: wants text
-	// p:3: release.waves: is "ten", wants a number, a share as 10%, or zone NAME
-	// p:3: release.waves: is "120%", wants a number, a share as 10%, or zone NAME
+	// b:2: budget x.max-unavailable: must be set if and only if max-unavailable-fraction is not set
+	// b:4: budget y.max-unavailable: must be set if and only if max-unavailable-fraction is not set
+	// b:5: other: is not a known section; must be one of budget NAME
+	// p:1: release.name: must be a non-empty string
+	// p:3: release.waves: is "ten", must be a number, a percentage, for example 10%, or zone NAME
+	// p:3: release.waves: is "120%", must be a number, a percentage, for example 10%, or zone NAME
 }
 
-// The shipped file of a proxy says what holds without it.
+// The shipped file of a proxy contains the defaults.
 func Example_proxy() {
 	text, err := os.ReadFile("../../deploy/proxy.ini")
 	if err != nil {
@@ -136,7 +137,7 @@
 	printDiagnostics(err)
 	// Output:
 	// <nil> true
-	// x:1: proxy: wants a section [fleet], by which it knows the members
-	// x:2: proxy.policy: is "best", wants one of greedy, informed, least-open, random, round-robin, two-own, two-told
-	// x:3: proxy.probes-per-request: is "many", wants a number from 0 to 16
+	// x:1: proxy: must be accompanied by a section [fleet], which provides the members
+	// x:2: proxy.policy: is "best", must be one of greedy, informed, least-open, random, round-robin, two-own, two-told
+	// x:3: proxy.probes-per-request: is "many", must be a number from 0 to 16
 }
--- a/internal/config/spillover.go
+++ b/internal/config/spillover.go
@@ -8,7 +8,7 @@
 	"lanewheel/internal/spillover"
 )
 
-// Spillover is whether requests that are rejected here are forwarded to another instance.
+// Spillover configures whether requests that this instance rejects are forwarded to another instance.
 type Spillover struct {
 	Enabled bool
 	Config  spillover.Config
@@ -25,7 +25,7 @@
 	}}
 	s := r.section("spillover")
 	parsed.Enabled = s.exists()
-	s.requireFleet(fleet, "it knows the members")
+	s.requireFleet(fleet, "the members")
 	parsed.Config.Balancer.LocalZone = fleet.Zone
 	parsed.Config.LocalAddress = hostOf(fleet.ListenAddress)
 	config := &parsed.Config.Spillover
--- a/internal/config/tls.go
+++ b/internal/config/tls.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// TLS is a further listener.
+// TLS configures an additional listener with TLS.
 type TLS struct {
 	Enabled                  bool
 	ListenAddress            string
 	CertificateFile          string
 	KeyFile                  string
-	AuthoritiesFile          string // empty: no client certificates
-	RevocationFile           string // lists, empty for none
+	AuthoritiesFile          string // the CA certificates for client certificates; empty to accept no client certificates
+	RevocationFile           string // the revocation lists; empty for none
 	RevocationGrace          time.Duration
 	AllowStaleRevocations    bool
-	RequireClientCertificate bool   // a client has to bring a certificate
-	MinVersion               string // 1.3 or 1.2
-	MaxHandshakes            int    // at a time
-	HandshakeRate            float64
+	RequireClientCertificate bool
+	MinVersion               string  // 1.3 or 1.2
+	MaxHandshakes            int     // the maximum number of concurrent handshakes
+	HandshakeRate            float64 // the maximum number of handshakes per second
 }
 
 func (r *reader) readTLS() TLS {
 	parsed := TLS{
 		RevocationGrace: time.Hour,
 		MinVersion:      "1.3",
-		MaxHandshakes:   64,  // a megabyte or two of their state
-		HandshakeRate:   200, // a second: about a tenth of a core
+		MaxHandshakes:   64,  // use one or two megabytes of state
+		HandshakeRate:   200, // per second, which uses about a tenth of a core
 	}
 	s := r.section("tls")
 	parsed.Enabled = s.exists()
 	if s.requiredString("listen", &parsed.ListenAddress); parsed.ListenAddress != "" {
 		if _, _, err := net.SplitHostPort(parsed.ListenAddress); err != nil {
-			s.report("listen", parsed.ListenAddress, "wants an address and a port, as 127.0.0.1:9443")
+			s.report("listen", parsed.ListenAddress, "must be an address and a port, for example 127.0.0.1:9443")
 		}
 	}
 	s.requiredPath("certificate", &parsed.CertificateFile)
@@ -40,7 +40,7 @@
 	s.pathValue("authorities", &parsed.AuthoritiesFile)
 	s.pathValue("revocation-lists", &parsed.RevocationFile)
 	if parsed.RevocationFile != "" && parsed.AuthoritiesFile == "" {
-		s.report("revocation-lists", parsed.RevocationFile, "wants authorities, which sign it")
+		s.report("revocation-lists", parsed.RevocationFile, "must be used with authorities, which sign the lists")
 	}
 	s.durationValue("revocation-grace", &parsed.RevocationGrace, 0, 30*24*time.Hour)
 	staleList := "deny"
@@ -50,7 +50,7 @@
 	s.enumValue("client-certificates", &clientCertificates, "required", "optional")
 	parsed.RequireClientCertificate = clientCertificates == "required"
 	if parsed.RequireClientCertificate && parsed.AuthoritiesFile == "" && s.exists() {
-		s.report("authorities", "", "wants a path, as client-certificates is required")
+		s.report("authorities", "", "must be a path, because client-certificates is required")
 	}
 	s.enumValue("min-version", &parsed.MinVersion, "1.3", "1.2")
 	s.intValue("max-handshakes", &parsed.MaxHandshakes, 1, 10_000)
--- a/internal/config/tokens.go
+++ b/internal/config/tokens.go
@@ -6,10 +6,10 @@
 	"lanewheel/internal/tokens"
 )
 
-// Tokens is how signed tokens are checked.
+// Tokens configures how signed tokens are verified.
 type Tokens struct {
 	Enabled        bool
-	KeyDir         string // of the published keys
+	KeyDir         string // the directory of the published keys
 	RevocationFile string // empty for none
 	Policy         tokens.Policy
 	Limits         tokens.Limits
@@ -18,11 +18,11 @@
 func (r *reader) readTokens() Tokens {
 	parsed := Tokens{
 		Policy: tokens.Policy{
-			Leeway:   30 * time.Second, // devices set their clocks by the network now and then
-			MaxBytes: 2048,             // an RSA signature and a page of claims
+			Leeway:   30 * time.Second, // devices synchronize their clocks with the network only occasionally
+			MaxBytes: 2048,             // enough for an RSA signature and a page of claims
 		},
 		Limits: tokens.Limits{
-			MaxSingleUseIDs:   65_536, // some minutes of a busy instance
+			MaxSingleUseIDs:   65_536, // a few minutes of requests at a busy instance
 			MaxCached:         8_192,
 			MaxWaiting:        256,
 			CPUFraction:       0.1, // of a core
--- a/internal/config/upstream.go
+++ b/internal/config/upstream.go
@@ -7,7 +7,7 @@
 	"lanewheel/internal/upstream"
 )
 
-// Upstream is the services that an instance's calls go to.
+// Upstream configures the upstream services that an instance calls.
 type Upstream struct {
 	Enabled bool
 	Config  upstream.Config
@@ -28,7 +28,8 @@
 		s.checkAddress("addresses", address)
 	}
 	if parsed.Enabled && !fleet.Enabled && len(config.Addresses) == 0 {
-		s.report("addresses", "", "wants addresses, or a section [fleet] by which members with the role upstream are known")
+		s.report("addresses", "", "must be a comma-separated list of addresses, unless a section [fleet] provides "+
+			"the members with the role upstream")
 	}
 	s.intValue("max-concurrency", &config.MaxCalls, 0, 100_000)
 	s.durationValue("call-timeout", &config.MaxCallDuration, 10*time.Millisecond, time.Hour)
--- a/internal/drill/timeline_test.go
+++ b/internal/drill/timeline_test.go
@@ -71,14 +71,14 @@
 	}
 	// Output:
 	// true
-	// x.ini:2: drill.processes: is "1", wants a whole number from 2 to 1000
-	// x.ini:3: drill.speed: is no name of this section; wants allocators, clients, coordinators, duration, max-memory-mb, mean-run-time, processes, proxies, rate, releases, seed, seed-members, settle, startup, upstream-call-duration, zones
-	// x.ini:5: fault a.action: is "explode", wants one of blackhole, burst, coordinator-command, delay, duplicate, fail-runs, flood, garble, half-close, keys, kill, late-runtime, leave, lose, lose-runs, pause, refuse, reorder, replace, restart, seeds, slow-runs, stall, throttle, wipe
-	// x.ini:5: fault a.action: wants what is done, as blackhole or kill
-	// x.ini:6: fault a.at: is "3s..1s", wants a time, or two with .. between, from when all are up
-	// x.ini:7: fault b.at: wants a time, or two with .. between, from when all are up
-	// x.ini:7: fault b.from: wants both, from and to, as the fault is one of links
-	// x.ini:9: fault b.targets: is "zone q", wants all, others, proxies, instances, allocators, coordinators, zone NAME, release NAME, process N, first N, draw N or draw N%
+	// x.ini:2: drill.processes: is "1", must be a whole number from 2 to 1000
+	// x.ini:3: drill.speed: is not a setting of this section; must be one of allocators, clients, coordinators, duration, max-memory-mb, mean-run-time, processes, proxies, rate, releases, seed, seed-members, settle, startup, upstream-call-duration, zones
+	// x.ini:5: fault a.action: is "explode", must be one of blackhole, burst, coordinator-command, delay, duplicate, fail-runs, flood, garble, half-close, keys, kill, late-runtime, leave, lose, lose-runs, pause, refuse, reorder, replace, restart, seeds, slow-runs, stall, throttle, wipe
+	// x.ini:5: fault a.action: must be an action, for example blackhole or kill
+	// x.ini:6: fault a.at: is "3s..1s", must be a duration from when all processes are up, or an ascending range like 5s..10s
+	// x.ini:7: fault b.at: must be a duration from when all processes are up, or an ascending range like 5s..10s
+	// x.ini:7: fault b.from: must be set together with to, because the action affects links
+	// x.ini:9: fault b.targets: is "zone q", must be all, others, proxies, instances, allocators, coordinators, zone NAME, release NAME, process N, first N, draw N or draw N%
 }
 
 // TestTimelineText checks how many processes are abbreviated.
