--- a/internal/config/amqp.go
+++ b/internal/config/amqp.go
@@ -23,8 +23,8 @@
 	effective       []string // the settings with their effective values, as "name = value"
 }
 
-// StartupFingerprint returns all settings that the front end uses from its start on, as text to compare and to print:
-// the names and the values as in a file.
+// StartupFingerprint returns all settings of the front end, which take effect only at startup, as text to compare and
+// to print: the current names and the effective values. It returns "off" if the front end is disabled.
 func (a *AMQP) StartupFingerprint() string {
 	if !a.Enabled {
 		return "off"
--- a/internal/config/drill.go
+++ b/internal/config/drill.go
@@ -56,8 +56,10 @@
 // DrillBalance is how evenly the load must be spread over the instances. It applies except during a fault and for
 // RecoveryTime after it.
 type DrillBalance struct {
-	Enabled      bool
-	MaxImbalance float64 // load of the most loaded instance in a second, relative to that expected of a perfect balancer
+	Enabled bool
+	// MaxImbalance is the maximum load of the most loaded instance of a second, relative to the load that the most
+	// loaded instance has by chance under a perfect balancer.
+	MaxImbalance float64
 	MaxIdleGaps  float64 // the longest time that an instance may wait for a request, in expected gaps between requests
 	RecoveryTime time.Duration
 }
--- a/internal/config/renamed.go
+++ b/internal/config/renamed.go
@@ -384,8 +384,8 @@
 	"refuses":   "allow-unanswered",
 }
 
-// earlierActions and earlierSelectors map the earlier words for the actions of a drill and the selectors of processes to
-// the current ones. The records of drills still use the earlier words: they are the values of DrillAction and
+// earlierActions and earlierSelectors map the earlier words for the actions of a drill and for the kinds of selectors
+// to the current ones. The records of drills still use the earlier words: they are the values of DrillAction and
 // SelectorKind. storedSelectors is the inverse of earlierSelectors.
 var (
 	earlierActions   = map[string]string{"swallow": "blackhole", "narrow": "throttle", "agree": "coordinator-command"}
--- a/internal/config/renamed_test.go
+++ b/internal/config/renamed_test.go
@@ -157,7 +157,7 @@
 		{"repeated section", "[relay]\nway = informed\n[proxy]\nchoice-count = 2\n" + fleetSection, []string{
 			"x:3: proxy: must be unique; already appears on line 1",
 		}},
-		{"repeated section with a repeated name", "[relay]\nway = informed\n[proxy]\npolicy = random\n" + fleetSection, []string{
+		{"repeated section and name", "[relay]\nway = informed\n[proxy]\npolicy = random\n" + fleetSection, []string{
 			"x:3: proxy: must be unique; already appears on line 1",
 			"x:4: proxy.policy: must be unique; already appears on line 2",
 		}},
