--- a/cmd/lanewheel/commandline_test.go
+++ b/cmd/lanewheel/commandline_test.go
@@ -82,7 +82,7 @@
 	// 1 bad.ini:2: log.format: is "xml", must be one of json, text
 	// bad.ini:3: log.formt: is not a setting of this section; must be one of format
 	// bad.ini:5: lgo: is not a known section; must be one of allocator, amqp, caller NAME, callers, coordinator, fleet, log, proxy, queue NAME, role NAME, spillover, tls, tokens, upstream
-	// bad.ini:6: log: must be unique; already appears on line 1
+	// bad.ini:6: log: must appear only once, but already appears on line 1
 	// 1 bad.json:2: roster: is "7", wants text
 	// bad.json:3: limits.cores: is "-1", wants a number over 0
 	// bad.json:3: limits.sockets: wants a number of 32 or more
--- a/internal/config/allocator.go
+++ b/internal/config/allocator.go
@@ -6,7 +6,7 @@
 	"lanewheel/internal/concurrencylease"
 )
 
-// Allocator configures the process beside an upstream service that leases the service's concurrency.
+// Allocator configures the process that runs beside an upstream service and grants leases on the service's concurrency.
 type Allocator struct {
 	Enabled  bool
 	LockFile string // locked by the process, so that only one allocator runs; empty for none
--- a/internal/config/amqp.go
+++ b/internal/config/amqp.go
@@ -23,8 +23,9 @@
 	effective       []string // the settings with their effective values, as "name = value"
 }
 
-// StartupFingerprint returns all settings of the front end, which take effect only at startup, as text to compare and
-// to print: the current names and the effective values. It returns "off" if the front end is disabled.
+// StartupFingerprint returns the current names and effective values of all settings of the front end as text, which can
+// be compared and printed. These settings take effect only at startup. If the front end is disabled, StartupFingerprint
+// returns "off".
 func (a *AMQP) StartupFingerprint() string {
 	if !a.Enabled {
 		return "off"
@@ -46,12 +47,12 @@
 	config := &parsed.Config
 	config.BrokerURLs = s.listValue("brokers")
 	if parsed.Enabled && len(config.BrokerURLs) == 0 {
-		s.report("brokers", "", "must be a comma-separated list of addresses, for example amqp://user@10.0.0.7:5672/, "+
-			"with the preferred broker first")
+		s.report("brokers", "", "must be a comma-separated list of amqp or amqps URLs, for example "+
+			"amqp://user@10.0.0.7:5672/, with the preferred broker first")
 	}
 	for _, address := range config.BrokerURLs {
 		if _, err := client.ParseURI(address); err != nil {
-			s.report("brokers", address, "must be an address, for example amqp://user@10.0.0.7:5672/")
+			s.report("brokers", address, "must be an amqp or amqps URL, for example amqp://user@10.0.0.7:5672/")
 		}
 	}
 	s.pathValue("login-file", &parsed.LoginFile)
@@ -78,7 +79,7 @@
 func (r *reader) readQueues(amqpSection *section, parsed *AMQP) {
 	for _, s := range r.sectionsOfKind("queue") {
 		if !parsed.Enabled {
-			s.report("", "", "must be accompanied by a section [amqp], which names the brokers")
+			s.report("", "", "must be used with a section [amqp], which names the brokers")
 		}
 		parsed.Config.Queues = append(parsed.Config.Queues, s.readQueue())
 		for _, setting := range s.effective {
@@ -86,7 +87,7 @@
 		}
 	}
 	if parsed.Enabled && len(parsed.Config.Queues) == 0 {
-		amqpSection.report("", "", "must be accompanied by a section [queue NAME]")
+		amqpSection.report("", "", "must be used with a section [queue NAME]")
 	}
 }
 
@@ -126,7 +127,7 @@
 	return queue
 }
 
-// readMapping reads how messages are mapped to requests.
+// readMapping reads the mapping of messages to requests.
 func (s *section) readMapping() amqp.Mapping {
 	const maxBodyBytes = 2 << 10 // the limit of the runtime
 	mapping := amqp.Mapping{
@@ -156,7 +157,8 @@
 		s.stringValue(source.name, &text)
 		parsed, err := amqp.ParseSource(text)
 		if err != nil {
-			s.report(source.name, text, "must be header:NAME or the name of a message property, for example type")
+			s.report(source.name, text, "must be header:NAME or one of app-id, content-type, correlation-id, routing-key, "+
+				"type, user-id")
 		}
 		*source.target = parsed
 	}
--- a/internal/config/budgets.go
+++ b/internal/config/budgets.go
@@ -2,9 +2,9 @@
 
 import "lanewheel/internal/coordination"
 
-// ParseBudgets parses the text of a file of disruption budgets, which consists of sections [budget NAME] and which an
-// operator sends to the coordinators. Diagnostics name the file by path. ParseBudgets logs a warning about earlier
-// names. The error is a diagnostic.List with all errors.
+// ParseBudgets parses the text of a file of disruption budgets, which an operator sends to the coordinators. The file
+// consists of sections [budget NAME]. path is the name of the file in diagnostics. ParseBudgets logs a warning about
+// earlier names. The error is a diagnostic.List with all errors.
 func ParseBudgets(path string, text []byte) ([]coordination.DisruptionBudget, error) {
 	r := newReader(path, text, &planRenames)
 	var budgets []coordination.DisruptionBudget
@@ -19,7 +19,8 @@
 	return budgets, r.diagnostics.Err()
 }
 
-// readBudget reads one budget. Exactly one of the two limits must be set; the other one is negative.
+// readBudget reads one budget. Exactly one of MaxUnavailable and MaxUnavailableFraction must be set; the other one is
+// negative.
 func (s *section) readBudget() coordination.DisruptionBudget {
 	budget := coordination.DisruptionBudget{
 		Name:                   s.label(),
--- a/internal/config/callers.go
+++ b/internal/config/callers.go
@@ -14,7 +14,7 @@
 	Enabled        bool
 	anonymousRoles []authz.RoleName  // the roles of callers without a proven identity
 	writeClasses   []admission.Class // the classes of requests that always count as writes, even if declared as reads
-	MaxRateEntries int               // the maximum number of identities whose rates and counts are kept, by role
+	MaxRateEntries int               // the maximum number of pairs of identity and role whose rates and counts are kept
 	Roles          []authz.Role
 	Bindings       []authz.Binding
 	Policy         *authz.Policy
@@ -48,7 +48,7 @@
 	return callers
 }
 
-// readBindings reads each [caller NAME]. Two of them must not have the same pattern.
+// readBindings reads each [caller NAME]. Each pattern must appear only once in all of them.
 func (r *reader) readBindings(callers *Callers, definedRoles map[string]bool) {
 	boundPatterns := map[string]string{}
 	for _, s := range r.sectionsOfKind("caller") {
@@ -57,7 +57,7 @@
 		s.checkRoles("roles", binding.Roles, definedRoles)
 		for _, pattern := range binding.Patterns {
 			if otherBinding, duplicate := boundPatterns[pattern]; duplicate {
-				s.report("match", pattern, "must be unique; caller "+otherBinding+" has the same pattern")
+				s.report("match", pattern, "must appear only once, but already appears in caller "+otherBinding)
 			}
 			boundPatterns[pattern] = binding.Name
 		}
@@ -65,10 +65,11 @@
 	}
 }
 
+// checkRoles reports each role that no section [role NAME] defines.
 func (s *section) checkRoles(name string, roles []authz.RoleName, definedRoles map[string]bool) {
 	for _, role := range roles {
 		if !definedRoles[string(role)] {
-			s.report(name, string(role), "must be one of the roles in this file: "+joinSorted(definedRoles))
+			s.report(name, string(role), "must be defined by a section [role NAME]; defined roles: "+joinSorted(definedRoles))
 		}
 	}
 }
@@ -87,11 +88,11 @@
 		case "write":
 			role.CanWrite = true
 		default:
-			s.report("permissions", permission, "must be read, write or both")
+			s.report("permissions", permission, "must be one of read, write")
 		}
 	}
 	if !role.CanRead && !role.CanWrite {
-		s.report("permissions", "", "must be read, write or both")
+		s.report("permissions", "", "must be a comma-separated list of at least one of read, write")
 	}
 	s.floatValue("rate", &role.RatePerSecond, 0, 1e6)
 	role.Burst = max(1, role.RatePerSecond) // the requests of one second
--- a/internal/config/clusterkeys.go
+++ b/internal/config/clusterkeys.go
@@ -11,8 +11,8 @@
 )
 
 // ParseClusterKeys parses the text of a file of cluster keys: one key per line, 16, 24 or 32 bytes in base64. The first
-// key is the one that messages are encrypted with. Diagnostics name the file by path and do not contain any of its
-// text, because it is secret. The error is a diagnostic.List with all errors.
+// key is the one that messages are encrypted with. path is the name of the file in diagnostics, which contain none of
+// its text, because the keys are secret. The error is a diagnostic.List with all errors.
 func ParseClusterKeys(path string, text []byte) ([]membership.Key, error) {
 	var keys []membership.Key
 	var diagnostics diagnostic.List
--- a/internal/config/drill.go
+++ b/internal/config/drill.go
@@ -26,7 +26,7 @@
 	// The load.
 	Clients              int
 	RandomSeed           uint64
-	LoadDuration         time.Duration // starts when all processes are up
+	LoadDuration         time.Duration // counted from when all processes are up
 	RequestRate          float64       // per second, from all clients together
 	MeanRunTime          time.Duration
 	UpstreamCallDuration time.Duration // the duration of a call at an upstream service
@@ -53,12 +53,13 @@
 // Setting is the name and the value of a setting in a section of an operator's file.
 type Setting struct{ Name, Value string }
 
-// DrillBalance is how evenly the load must be spread over the instances. It applies except during a fault and for
-// RecoveryTime after it.
+// DrillBalance is the goal for the distribution of the load over the instances. It does not apply during a fault or
+// within RecoveryTime after it.
 type DrillBalance struct {
 	Enabled bool
-	// MaxImbalance is the maximum load of the most loaded instance of a second, relative to the load that the most
-	// loaded instance has by chance under a perfect balancer.
+	// MaxImbalance is the maximum ratio of the load of the most loaded instance of each second to the load that the
+	// most loaded instance would have by chance under a perfect balancer. Both loads are summed over all seconds that
+	// count.
 	MaxImbalance float64
 	MaxIdleGaps  float64 // the longest time that an instance may wait for a request, in expected gaps between requests
 	RecoveryTime time.Duration
@@ -84,15 +85,15 @@
 }
 
 // ParseDrill parses the text of a script. overrides replace or add values of settings, each as section.name=value.
-// Diagnostics name the file by path. ParseDrill logs a warning about earlier names. The error is a diagnostic.List with
-// all errors.
+// path is the name of the file in diagnostics. ParseDrill logs a warning about earlier names. The error is a
+// diagnostic.List with all errors.
 func ParseDrill(path string, text []byte, overrides ...string) (Drill, error) {
 	r := newReader(path, text, &drillRenames)
 	for _, override := range overrides {
 		name, value, complete := strings.Cut(override, "=")
 		dot := strings.LastIndexByte(name, '.')
 		if !complete || dot < 0 || r.ini == nil {
-			r.report("", "", override, "must be section.name=value")
+			r.report("", "", override, "must be an override of the form section.name=value, and the file must be readable")
 			continue
 		}
 		r.override(name[:dot], name[dot+1:], value)
--- a/internal/config/drillaction.go
+++ b/internal/config/drillaction.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// DrillAction is what a fault of a drill does to links, processes, the load or the coordinators. Its value is the word
-// in the records of drills. Files use another word for some actions: see earlierActions.
+// DrillAction is the effect of a fault on links, processes, the load or the coordinators. Its value is the word in the
+// records of drills. Files use another word for some actions: see earlierActions.
 type DrillAction string
 
 // Actions on links.
@@ -57,8 +57,8 @@
 	ActionGarble,
 }
 
-// otherActions are the actions that require a selector of processes, except for ActionCoordinatorCommand, which does
-// not require one.
+// otherActions are the actions that do not affect links. All except ActionCoordinatorCommand require a selector of
+// processes.
 var otherActions = []DrillAction{
 	ActionKill,
 	ActionWipe,
@@ -77,7 +77,7 @@
 	ActionCoordinatorCommand,
 }
 
-// affectsLinks reports whether the action is one on links.
+// affectsLinks reports whether the action affects links and thus requires selectors for both ends.
 func (a DrillAction) affectsLinks() bool { return slices.Contains(linkActions, a) }
 
 // readAction reads an action. It returns "" if the setting is missing or is not an action.
--- a/internal/config/drillfault.go
+++ b/internal/config/drillfault.go
@@ -11,7 +11,7 @@
 type DrillFault struct {
 	Name              string
 	Action            DrillAction   // empty only in a script with errors
-	Earliest, Latest  time.Duration // the fault begins at a random time between these, counted from when all are up
+	Earliest, Latest  time.Duration // the range of the random start, counted from when all processes are up
 	Duration          time.Duration // the time until the fault is undone; 0 if it cannot be undone
 	Targets, From, To DrillSelector
 	Bidirectional     bool
@@ -36,7 +36,7 @@
 	commandsCoordinators := parsed.Action == ActionCoordinatorCommand
 	switch {
 	case parsed.Action.affectsLinks() && (parsed.From.Kind == "" || parsed.To.Kind == ""):
-		s.report("from", "", "must be set together with to, because the action affects links")
+		s.report("from", "", "must be set together with the setting to, because the action affects links")
 	case !parsed.Action.affectsLinks() && parsed.Targets.Kind == "" && parsed.Action != "" && !commandsCoordinators:
 		s.report("targets", "", "must be a selector of processes, for example zone a, draw 5 or draw 33%")
 	}
@@ -71,7 +71,8 @@
 		parsed.Latest, err = time.ParseDuration(strings.TrimSpace(last))
 	}
 	if err != nil || parsed.Earliest < 0 || parsed.Latest < parsed.Earliest {
-		s.report("at", window, "must be a duration from when all processes are up, or an ascending range like 5s..10s")
+		s.report("at", window, "must be a duration of 0s or more, or an ascending range, for example 5s..10s; "+
+			"it counts from when all processes are up")
 	}
 	s.durationValue("duration", &parsed.Duration, 0, 24*time.Hour)
 }
@@ -82,7 +83,8 @@
 	for _, text := range s.listValue("keys") {
 		number, err := strconv.Atoi(text)
 		if err != nil || number < 1 || number > 8 {
-			s.report("keys", text, "must be a number from 1 to 8; the first one is the key to encrypt with")
+			s.report("keys", text, "must be a whole number from 1 to 8; "+
+				"the first one is the key that messages are encrypted with")
 		}
 		numbers = append(numbers, number)
 	}
--- a/internal/config/drillselector.go
+++ b/internal/config/drillselector.go
@@ -66,7 +66,8 @@
 	}
 	if !valid {
 		s.report(name, written, "must be all, others, proxies, instances, allocators, coordinators, zone NAME, "+
-			"release NAME, process N, first N, draw N or draw N%")
+			"release NAME, process N, first N, draw N or draw N%; NAME must be in drill.zones or drill.releases, "+
+			"N from 0 to the number of processes, and N% from 0% to 100%")
 	}
 	return selector
 }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -15,7 +15,7 @@
 	Cluster          string
 	ListenAddress    string
 	AdvertiseAddress string
-	ServiceAddress   string // the address at which others use the service; empty for the one where clients connect
+	ServiceAddress   string // the address where others reach the service; empty for the address where clients connect
 	Roles            membership.Roles
 	Zone             string
 	Release          string
@@ -118,7 +118,7 @@
 // memberRoles are the words for roles in files.
 var memberRoles = []string{"instance", "proxy", "coordinator", "upstream"}
 
-// readMembership reads when the process considers other members suspect or dead, and how often it publishes facts.
+// readMembership reads the settings for considering other members suspect or dead and for publishing metrics.
 func (s *section) readMembership(config *membership.Config) {
 	s.intValue("max-members", &config.MaxMembers, 2, 10_000)
 	s.durationValue("dead-retention", &config.GoneRetention, time.Second, 24*time.Hour)
@@ -132,7 +132,7 @@
 	s.intValue("facts-per-message", &config.MaxMetrics, 1, 64)
 }
 
-// readFlapDamping reads how members that repeatedly leave and return are suppressed.
+// readFlapDamping reads the settings for suppressing members that repeatedly leave and return.
 func (s *section) readFlapDamping(damping *membership.FlapDampingConfig) {
 	s.floatValue("flap-suppress", &damping.SuppressLimit, 1, 100)
 	s.floatValue("flap-reuse", &damping.ReuseLimit, 0.01, 100)
@@ -143,13 +143,13 @@
 	s.durationValue("flap-half-life", &damping.HalfLife, time.Second, time.Hour)
 }
 
-// readConnectivity reads how the process detects that it is isolated from the fleet.
+// readConnectivity reads the settings for detecting that the process is isolated from the fleet.
 func (s *section) readConnectivity(connectivity *membership.ConnectivityConfig) {
 	s.durationValue("contact-window", &connectivity.Window, 300*time.Millisecond, time.Minute)
 	s.floatValue("degraded-threshold", &connectivity.DegradedBelow, 0.01, 1)
 	s.floatValue("isolated-threshold", &connectivity.IsolatedBelow, 0.01, 1)
 	if connectivity.IsolatedBelow > connectivity.DegradedBelow {
-		s.report("isolated-threshold", formatFloat(connectivity.IsolatedBelow), "must be degraded-threshold or less")
+		s.report("isolated-threshold", formatFloat(connectivity.IsolatedBelow), "must be at most degraded-threshold")
 	}
 	s.durationValue("baseline-adapt-time", &connectivity.AdaptAfter, time.Second, time.Hour)
 	s.durationValue("probe-timeout", &connectivity.AckTimeout, 500*time.Millisecond, time.Hour)
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -12,7 +12,7 @@
 	"lanewheel/internal/setuptest"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden files with the present listings")
+var update = flag.Bool("update", false, "rewrite the golden files with the current listings")
 
 // listGolden parses and lists a golden file. The prefix of its name determines its kind.
 func listGolden(t *testing.T, l *listing, path string, text []byte) {
@@ -59,7 +59,7 @@
 	want := strings.Split(string(setuptest.Must(os.ReadFile(path))), "\n")
 	for i, line := range strings.Split(got, "\n") {
 		if i >= len(want) || line != want[i] {
-			t.Fatalf("%s:%d: reads as\n%s\nwant\n%s", path, i+1, line, want[min(i, len(want)-1)])
+			t.Fatalf("%s:%d: got\n%s\nwant\n%s", path, i+1, line, want[min(i, len(want)-1)])
 		}
 	}
 	if strings.Count(got, "\n")+1 != len(want) {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -1,10 +1,10 @@
-// Package config reads the operator's file, an INI file that configures a process beyond the platform's configuration,
-// and the other files in this format: scripts of drills, disruption budgets and rollouts.
+// Package config reads the operator's file, an INI file that configures a process in addition to the platform's
+// configuration, and the other files in this format: scripts of drills, disruption budgets and rollouts.
 //
 // Every value is checked. Errors name the file, the line and the setting. An unknown setting or section is an error; it
 // is not ignored. Earlier names are accepted: see renamed.go.
 //
-// All errors of the functions that read or parse a file are a diagnostic.List, for errors.As.
+// The functions that read or parse a file return errors of type diagnostic.List, which errors.As can extract.
 package config
 
 import (
@@ -27,17 +27,16 @@
 	Allocator   Allocator
 	Spillover   Spillover
 	Coordinator Coordinator
-	Renamed     RenamedSettings // about which the process that uses the file must warn
+	Renamed     RenamedSettings // the earlier names that the file uses; Load calls Warn, callers of Parse have to
 }
 
-// Log configures how log lines are written.
+// Log configures the format of log lines.
 type Log struct {
 	Format string // text or json
 }
 
-// Load reads the file at path. If path is empty, it returns an Operator in which everything is disabled, without the
-// defaults of settings that are missing from a file. Load logs a warning about earlier names. The error is a
-// diagnostic.List with all errors.
+// Load reads the file at path. If path is empty, it returns an Operator in which everything is disabled and only
+// Log.Format has its default. Load logs a warning about earlier names. The error is a diagnostic.List with all errors.
 func Load(path string) (Operator, error) {
 	if path == "" {
 		return Operator{Log: Log{Format: "text"}}, nil
@@ -56,8 +55,8 @@
 	return diagnostic.List{{File: path, Want: "can't be read: " + err.Error()}}
 }
 
-// Parse parses the text of an operator's file. Diagnostics name the file by path, and relative paths in the file are
-// resolved against the directory of path. Parse logs no warning about earlier names: they are in Operator.Renamed. The
+// Parse parses the text of an operator's file. path is the name of the file in diagnostics, and relative paths in the
+// file are resolved against its directory. Parse logs no warning about earlier names: they are in Operator.Renamed. The
 // error is a diagnostic.List with all errors.
 func Parse(path string, text []byte) (Operator, error) {
 	r := newReader(path, text, &operatorRenames)
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -59,11 +59,11 @@
 	}
 }
 
-// Each diagnostic has the position of the error. A value that requires another setting, which is missing, is an error
-// as well.
+// Each diagnostic has the position of the error. It is also an error if a value requires another setting that is
+// missing.
 //
 //nolint:lll // each diagnostic is one line
-func Example_faults() {
+func Example_diagnostics() {
 	for _, change := range [][2]string{
 		{"rate = 5", "rate = many"},
 		{"permissions = read, write", "permissions = wrote"},
@@ -82,20 +82,20 @@
 	}
 	// Output:
 	// op.ini:6: role crew.rate: is "many", must be a number from 0 to 1e+06
-	// op.ini:5: role crew.permissions: is "wrote", must be read, write or both
-	// op.ini:5: role crew.permissions: must be read, write or both
-	// op.ini:10: caller water.roles: is "crwe", must be one of the roles in this file: crew
+	// op.ini:5: role crew.permissions: is "wrote", must be one of read, write
+	// op.ini:5: role crew.permissions: must be a comma-separated list of at least one of read, write
+	// op.ini:10: caller water.roles: is "crwe", must be defined by a section [role NAME]; defined roles: crew
 	// op.ini:8: caller water.match: is "rota://water/*", must be uri:, dns:, subject: or token: followed by a name
 	// op.ini:11: tokens.key-dir: must be a path
 	// op.ini:16: tls.listen: is "9443", must be an address and a port, for example 127.0.0.1:9443
 	// op.ini:15: tls.authorities: must be a path, because client-certificates is required
 	// op.ini:19: tls.revocation-lists: is "list.pem", must be used with authorities, which sign the lists
-	// op.ini:14: tokens.issuer: must be unique; already appears on line 13
+	// op.ini:14: tokens.issuer: must appear only once, but already appears on line 13
 	// op.ini:1: stray: must be in a section, but appears before the first one
 	// op.ini:3: role: is not a known section; must be one of allocator, amqp, caller NAME, callers, coordinator, fleet, log, proxy, queue NAME, role NAME, spillover, tls, tokens, upstream
 }
 
-// The example file for operators contains every section and, of these settings, each one.
+// TestExample checks that the example file for operators is valid and contains the sections and settings listed here.
 func TestExample(t *testing.T) {
 	text := setuptest.Must(os.ReadFile("../../deploy/edge.ini"))
 	if _, err := Parse("edge.ini", text); err != nil {
--- a/internal/config/proxy.go
+++ b/internal/config/proxy.go
@@ -30,7 +30,7 @@
 	s.requireFleet(fleet, "the members")
 	config := &parsed.Config
 	config.Balancer.LocalZone = fleet.Zone
-	config.LocalAddress = hostOf(fleet.ListenAddress) // so that a component on the path can identify both ends
+	config.LocalAddress = hostOf(fleet.ListenAddress) // so that a component on the network path can identify both ends
 	s.readPolicy(&config.Balancer.Policy)
 	balancing := &config.Balancer
 	s.intValue("choice-count", &balancing.ChoiceCount, 1, 64)
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -14,20 +14,20 @@
 type reader struct {
 	file          string
 	renames       *renames
-	ini           *ini.File         // as written
-	lines         map[string]int    // by section, or by section and name separated by a dot; current names
-	written       map[string]string // the earlier name in the file, by key of lines; only if the file uses one
+	ini           *ini.File         // with the names as written; nil if the file could not be parsed
+	lines         map[string]int    // line numbers; the key is SECTION or SECTION.NAME, with current names
+	written       map[string]string // names as written, by key of lines; only those that contain an earlier name
 	renamed       RenamedSettings
 	knownSections map[string]bool // the current names of sections that have been looked up
 	diagnostics   diagnostic.List
 }
 
-// maxFileBytes is the maximum size of a file in bytes. It is enough for some thousands of callers and small enough not
-// to use much memory.
+// maxFileBytes is the maximum size of a file in bytes. It is enough for several thousand callers and small enough
+// not to use much memory.
 const maxFileBytes = 1 << 20
 
-// newReader parses the text. A section or setting that appears twice is an error, also if it appears once under an
-// earlier name and once under the current one, because the library would silently use the later one.
+// newReader parses the text. A section or setting that appears twice is an error, because the library would silently
+// use the later one. An earlier name and the current one count as the same name.
 func newReader(file string, text []byte, renames *renames) *reader {
 	r := &reader{
 		file:          file,
@@ -51,7 +51,7 @@
 		SkipUnrecognizableLines: false,
 	}, text)
 	if err != nil {
-		r.report("", "", "", "can't be read: "+strings.TrimSpace(err.Error()))
+		r.report("", "", "", "must be a valid INI file: "+strings.TrimSpace(err.Error()))
 		return r
 	}
 	if unnamed := r.ini.Section(ini.DefaultSection); len(unnamed.Keys()) > 0 {
@@ -60,7 +60,7 @@
 	return r
 }
 
-// readLines records the line of each section and each name.
+// readLines records the line of each section and each setting, and reports those that appear more than once.
 func (r *reader) readLines(text string) {
 	section := ""
 	for i, line := range strings.Split(text, "\n") {
@@ -83,7 +83,7 @@
 				File: r.file,
 				Line: i + 1,
 				Name: written,
-				Want: fmt.Sprintf("must be unique; already appears on line %d", firstLine),
+				Want: fmt.Sprintf("must appear only once, but already appears on line %d", firstLine),
 			})
 			continue
 		}
@@ -92,8 +92,8 @@
 	}
 }
 
-// resolve returns the key of lines for a section and a name as written. If name is empty, it is the key of the section
-// itself.
+// resolve returns the key of lines for a section and a name as written. If name is empty, resolve returns the key of
+// the section itself.
 func (r *reader) resolve(section, name string) string {
 	section = r.renames.section(section)
 	if name == "" {
--- a/internal/config/renamed.go
+++ b/internal/config/renamed.go
@@ -11,7 +11,7 @@
 type renames struct {
 	sections map[string]string            // whole names of sections
 	names    map[string]map[string]string // names of settings, by the first word of the section's current name
-	values   map[string]map[string]string // words in values, by that word and the setting's current name, dot-separated
+	values   map[string]map[string]string // words in values, by the key in names, a dot and the setting's current name
 }
 
 // section returns the current name of a section.
@@ -31,8 +31,8 @@
 	return written
 }
 
-// value returns the value of a setting with each of its comma-separated words replaced by the current one. section and
-// name are current names.
+// value returns the value of a setting, in which it replaces each earlier word by the current one. Words are separated
+// by commas. section and name are current names.
 func (t *renames) value(section, name, written string) string {
 	kind, _, _ := strings.Cut(section, " ")
 	words := t.values[kind+"."+name]
@@ -64,8 +64,8 @@
 // Warn logs one warning that lists the uses of earlier terms about which this process has not warned yet. Any goroutine
 // may call it.
 //
-// Parse does not call it, because a program that replaces itself with another program reads the file first, and then
-// that program reads it again and warns.
+// Parse does not call Warn, because the warning would then be logged twice when a program replaces itself with another
+// program: both read the file, and only the other program is to warn.
 func (s RenamedSettings) Warn() {
 	warnedRenames.Lock()
 	defer warnedRenames.Unlock()
--- a/internal/config/renamed_test.go
+++ b/internal/config/renamed_test.go
@@ -149,17 +149,17 @@
 		{"missing name", "[steward]\nlisten = 127.0.0.1:1\nstewards = 127.0.0.1:1\n[fleet]\nname = n\n" +
 			"listen = 127.0.0.1:2\nkeys = k\n", []string{"x:1: steward.data-dir: must be a path"}},
 		{"repeated name", "[proxy]\nway = informed\npolicy = informed\n" + fleetSection, []string{
-			"x:3: proxy.policy: must be unique; already appears on line 2",
+			"x:3: proxy.policy: must appear only once, but already appears on line 2",
 		}},
 		{"repeated name, the earlier one last", "[proxy]\npolicy = informed\nway = informed\n" + fleetSection, []string{
-			"x:3: proxy.way: must be unique; already appears on line 2",
+			"x:3: proxy.way: must appear only once, but already appears on line 2",
 		}},
 		{"repeated section", "[relay]\nway = informed\n[proxy]\nchoice-count = 2\n" + fleetSection, []string{
-			"x:3: proxy: must be unique; already appears on line 1",
+			"x:3: proxy: must appear only once, but already appears on line 1",
 		}},
 		{"repeated section and name", "[relay]\nway = informed\n[proxy]\npolicy = random\n" + fleetSection, []string{
-			"x:3: proxy: must be unique; already appears on line 1",
-			"x:4: proxy.policy: must be unique; already appears on line 2",
+			"x:3: proxy: must appear only once, but already appears on line 1",
+			"x:4: proxy.policy: must appear only once, but already appears on line 2",
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -191,7 +191,7 @@
 	_, err := ParseDrill("x", []byte("[drill]\nrelays = 2\nproxies = 2\nrelyas = 1\n"+
 		"[fault a]\ndo = kil\nat = 1s\non = desk\n"))
 	checkDiagnostics(t, err, []string{
-		"x:3: drill.proxies: must be unique; already appears on line 2",
+		"x:3: drill.proxies: must appear only once, but already appears on line 2",
 		"x:4: drill.relyas: is not a setting of this section; must be one of allocators, clients, coordinators, duration, " +
 			"max-memory-mb, mean-run-time, processes, proxies, rate, releases, seed, seed-members, settle, startup, " +
 			"upstream-call-duration, zones",
@@ -200,7 +200,8 @@
 			"restart, seeds, slow-runs, stall, throttle, wipe",
 		"x:6: fault a.do: must be an action, for example blackhole or kill",
 		`x:8: fault a.on: is "desk", must be all, others, proxies, instances, allocators, coordinators, zone NAME, ` +
-			"release NAME, process N, first N, draw N or draw N%",
+			"release NAME, process N, first N, draw N or draw N%; NAME must be in drill.zones or drill.releases, " +
+			"N from 0 to the number of processes, and N% from 0% to 100%",
 	})
 	_, err = ParseDrill("x", []byte("[relay]\n[drill]\n"))
 	checkDiagnostics(t, err, []string{
@@ -209,11 +210,11 @@
 	})
 	_, err = ParseBudgets("x", []byte("[budget a]\nmost = 1\nmax-unavailable = 1\nrole = king\n"))
 	checkDiagnostics(t, err, []string{
-		"x:3: budget a.max-unavailable: must be unique; already appears on line 2",
+		"x:3: budget a.max-unavailable: must appear only once, but already appears on line 2",
 		`x:4: budget a.role: is "king", must be one of coordinator, instance, proxy, upstream`,
 	})
 	_, err = ParseRollout("x", []byte("[release]\nname = n\nto = 2\ntarget-release = 2\n"))
-	checkDiagnostics(t, err, []string{"x:4: release.target-release: must be unique; already appears on line 3"})
+	checkDiagnostics(t, err, []string{"x:4: release.target-release: must appear only once, but already appears on line 3"})
 }
 
 // TestRenamedOverrides checks that overrides work with earlier and with current names, whichever the script uses.
--- a/internal/config/rollout.go
+++ b/internal/config/rollout.go
@@ -8,9 +8,9 @@
 	"lanewheel/internal/coordination"
 )
 
-// ParseRollout parses the text of a rollout plan, which consists of a section [release] and which an operator sends to
-// the coordinators. Diagnostics name the file by path. ParseRollout logs a warning about earlier names. The error is a
-// diagnostic.List with all errors.
+// ParseRollout parses the text of a rollout plan, which an operator sends to the coordinators. The file consists of a
+// section [release]. path is the name of the file in diagnostics. ParseRollout logs a warning about earlier names. The
+// error is a diagnostic.List with all errors.
 func ParseRollout(path string, text []byte) (coordination.RolloutPlan, error) {
 	r := newReader(path, text, &planRenames)
 	plan := coordination.RolloutPlan{
@@ -32,7 +32,7 @@
 	for _, spec := range s.listValue("waves") {
 		wave, valid := parseWave(spec)
 		if !valid {
-			s.report("waves", spec, "must be a number, a percentage, for example 10%, or zone NAME")
+			s.report("waves", spec, "must be a whole number of at least 1, a percentage from 1% to 100%, or zone NAME")
 		}
 		plan.Waves = append(plan.Waves, wave)
 	}
@@ -46,17 +46,17 @@
 	return plan, r.diagnostics.Err()
 }
 
-// parseWave parses the members of a wave: a number of members, a percentage of them, for example 10%, or zone NAME.
+// parseWave parses a wave: a number of members, a percentage of all members, for example 10%, or zone NAME.
 func parseWave(spec string) (wave coordination.Wave, valid bool) {
 	if zone, isZone := strings.CutPrefix(spec, "zone "); isZone {
 		return coordination.Wave{Zone: strings.TrimSpace(zone)}, true
 	}
-	number, isShare := strings.CutSuffix(spec, "%")
+	number, isPercentage := strings.CutSuffix(spec, "%")
 	n, err := strconv.Atoi(number)
 	switch {
-	case err != nil || n < 1 || isShare && n > 100:
+	case err != nil || n < 1 || isPercentage && n > 100:
 		return wave, false
-	case isShare:
+	case isPercentage:
 		return coordination.Wave{Fraction: float64(n) / 100}, true
 	}
 	return coordination.Wave{Count: n}, true
--- a/internal/config/section.go
+++ b/internal/config/section.go
@@ -14,7 +14,7 @@
 	"gopkg.in/ini.v1"
 )
 
-// section is a section that is being read. Methods take the current names of settings.
+// section reads the settings of one section of a file. Its methods take the current names of settings.
 type section struct {
 	reader     *reader
 	name       string
@@ -149,7 +149,7 @@
 	if text, found := s.lookup(name); found {
 		parsed, err := time.ParseDuration(text)
 		if err != nil || parsed < lowest || parsed > highest {
-			s.report(name, text, fmt.Sprintf("must be a duration from %v to %v, for example 1m30s", lowest, highest))
+			s.report(name, text, fmt.Sprintf("must be a duration with its unit, from %v to %v", lowest, highest))
 			return
 		}
 		*target = parsed
@@ -176,7 +176,7 @@
 	return items
 }
 
-// checkAddress checks that a value that is not empty is an IP address with a port. A host name is rejected because its
+// checkAddress reports a value that is neither empty nor an IP address with a port. A host name is rejected because its
 // lookup would block where no resolver answers.
 func (s *section) checkAddress(name, value string) {
 	if value == "" {
@@ -185,14 +185,15 @@
 	host, port, err := net.SplitHostPort(value)
 	number, portErr := strconv.Atoi(port)
 	if err != nil || net.ParseIP(host) == nil || portErr != nil || number < 1 || number > 65535 {
-		s.report(name, value, "must be an IP address and a port, for example 10.0.0.7:7946")
+		s.report(name, value, "must be an IP address and a port from 1 to 65535, for example 10.0.0.7:7946")
 	}
 }
 
-// requireFleet reports the section if it exists while the file has no [fleet]; provided is what [fleet] provides to it.
+// requireFleet reports the section if it exists but the file has no [fleet]. provided names the information that the
+// section needs from [fleet].
 func (s *section) requireFleet(fleet *Fleet, provided string) {
 	if s.exists() && !fleet.Enabled {
-		s.report("", "", "must be accompanied by a section [fleet], which provides "+provided)
+		s.report("", "", "must be used with a section [fleet], which provides "+provided)
 	}
 }
 
--- a/internal/config/shipped_test.go
+++ b/internal/config/shipped_test.go
@@ -28,12 +28,12 @@
 	// <nil> true true true
 	// true
 	// op.ini:1: fleet.key-file: must be a path
-	// op.ini:2: fleet.listen: is "here:7946", must be an IP address and a port, for example 10.0.0.7:7946
-	// op.ini:3: fleet.seeds: is "10.0.0.2", must be an IP address and a port, for example 10.0.0.7:7946
+	// op.ini:2: fleet.listen: is "here:7946", must be an IP address and a port from 1 to 65535, for example 10.0.0.7:7946
+	// op.ini:3: fleet.seeds: is "10.0.0.2", must be an IP address and a port from 1 to 65535, for example 10.0.0.7:7946
 	// op.ini:4: fleet.roles: is "king", must be one of instance, proxy, coordinator, upstream
 	// op.ini:5: fleet.zone: is "a b", must be at most 64 bytes without @, spaces or tabs
 	// op.ini:7: fleet.flap-reuse: is "2", must be less than flap-suppress
-	// op.ini:8: fleet.isolated-threshold: is "0.9", must be degraded-threshold or less
+	// op.ini:8: fleet.isolated-threshold: is "0.9", must be at most degraded-threshold
 	// keys:3: must be unique; the same key appears on an earlier line (and 1 more)
 }
 
@@ -67,12 +67,12 @@
 	// <nil> <nil> <nil> true true true
 	// x:1: upstream.addresses: must be a comma-separated list of addresses, unless a section [fleet] provides the members with the role upstream
 	// x:2: upstream.max-concurrency: is "some", must be a whole number from 0 to 100000
-	// x:3: allocator: must be accompanied by a section [fleet], which provides the lease holders
+	// x:3: allocator: must be used with a section [fleet], which provides the lease holders
 	// x:5: allocator.unleased-per-process: must leave calls to lease: unleased-per-process times max-processes must be less than max-concurrency
-	// x:6: spillover: must be accompanied by a section [fleet], which provides the members
+	// x:6: spillover: must be used with a section [fleet], which provides the members
 	// x:7: spillover.budget: is "2", must be a number from 0 to 1
 	// x:1: allocator.max-concurrency: must be the number of concurrent calls that the service accepts
-	// x:2: allocator.lease-duration: is "1ms", must be a duration from 200ms to 1m0s, for example 1m30s
+	// x:2: allocator.lease-duration: is "1ms", must be a duration with its unit, from 200ms to 1m0s
 }
 
 // The shipped file of a coordinator contains the defaults, except for its examples. The shipped files of budgets and
@@ -107,11 +107,11 @@
 	printDiagnostics(err)
 	// Output:
 	// <nil> true
-	// x:1: coordinator: must be accompanied by a section [fleet], which provides the members
+	// x:1: coordinator: must be used with a section [fleet], which provides the members
 	// x:1: coordinator.coordinators: must be a comma-separated list of the addresses of all coordinators
 	// x:1: coordinator.data-dir: must be a path
-	// x:2: coordinator.listen: is "here", must be an IP address and a port, for example 10.0.0.7:7946
-	// x:3: coordinator.leader-timeout: is "1ms", must be a duration from 100ms to 1m0s, for example 1m30s
+	// x:2: coordinator.listen: is "here", must be an IP address and a port from 1 to 65535, for example 10.0.0.7:7946
+	// x:3: coordinator.leader-timeout: is "1ms", must be a duration with its unit, from 100ms to 1m0s
 	// 3 {all role=instance 3 -1 0} <nil>
 	// 7 {all role=instance 12 -1 0} <nil>
 	// r2 2 [{1 0 } {0 0.25 }] 1s false <nil>
@@ -120,8 +120,8 @@
 	// b:4: budget y.max-unavailable: must be set if and only if max-unavailable-fraction is not set
 	// b:5: other: is not a known section; must be one of budget NAME
 	// p:1: release.name: must be a non-empty string
-	// p:3: release.waves: is "ten", must be a number, a percentage, for example 10%, or zone NAME
-	// p:3: release.waves: is "120%", must be a number, a percentage, for example 10%, or zone NAME
+	// p:3: release.waves: is "ten", must be a whole number of at least 1, a percentage from 1% to 100%, or zone NAME
+	// p:3: release.waves: is "120%", must be a whole number of at least 1, a percentage from 1% to 100%, or zone NAME
 }
 
 // The shipped file of a proxy contains the defaults.
@@ -137,7 +137,7 @@
 	printDiagnostics(err)
 	// Output:
 	// <nil> true
-	// x:1: proxy: must be accompanied by a section [fleet], which provides the members
+	// x:1: proxy: must be used with a section [fleet], which provides the members
 	// x:2: proxy.policy: is "best", must be one of greedy, informed, least-open, random, round-robin, two-own, two-told
 	// x:3: proxy.probes-per-request: is "many", must be a number from 0 to 16
 }
--- a/internal/config/tls.go
+++ b/internal/config/tls.go
@@ -25,8 +25,8 @@
 	parsed := TLS{
 		RevocationGrace: time.Hour,
 		MinVersion:      "1.3",
-		MaxHandshakes:   64,  // use one or two megabytes of state
-		HandshakeRate:   200, // per second, which uses about a tenth of a core
+		MaxHandshakes:   64,  // 64 handshakes use one or two megabytes of state
+		HandshakeRate:   200, // per second; 200 handshakes per second use about a tenth of a core
 	}
 	s := r.section("tls")
 	parsed.Enabled = s.exists()
--- a/internal/diagnostic/diagnostic_test.go
+++ b/internal/diagnostic/diagnostic_test.go
@@ -49,7 +49,7 @@
 }
 
 // For a malformed text, JSONLines returns only the lines up to the error.
-func TestJSONLinesOfBrokenText(t *testing.T) {
+func TestJSONLinesMalformed(t *testing.T) {
 	for text, want := range map[string]string{
 		``:                          `map[]`,
 		`{"a":1,` + "\n" + `"b" 2}`: `map[:1 a:1 b:2]`,
--- a/internal/diagnostic/jsonlines.go
+++ b/internal/diagnostic/jsonlines.go
@@ -12,7 +12,8 @@
 
 // JSONLines returns the line of each name in a JSON text, by path. A path consists of names and array indices separated
 // by dots; the path of the text as a whole is empty. If an object contains a name more than once, duplicates contains
-// its path once for each repetition. If the text is malformed, JSONLines returns the lines up to the error.
+// its path once for each repetition. If the text is malformed or nested too deeply, JSONLines returns the lines up to
+// that point.
 func JSONLines(text []byte) (lines map[string]int, duplicates []string) {
 	index := lineIndex{
 		decoder: json.NewDecoder(bytes.NewReader(text)),
--- a/internal/diagnostic/list.go
+++ b/internal/diagnostic/list.go
@@ -22,8 +22,8 @@
 	return fmt.Sprintf("%v (and %d more)", l[0], len(l)-1)
 }
 
-// Err sorts the list by line, in place, and returns it as an error, which errors.As converts to a List. It returns nil
-// if the list is empty.
+// Err sorts the list by line, in place, and returns it as an error, from which errors.As extracts the List. Err returns
+// nil if the list is empty.
 func (l List) Err() error {
 	if len(l) == 0 {
 		return nil
--- a/internal/drill/timeline_test.go
+++ b/internal/drill/timeline_test.go
@@ -75,10 +75,10 @@
 	// x.ini:3: drill.speed: is not a setting of this section; must be one of allocators, clients, coordinators, duration, max-memory-mb, mean-run-time, processes, proxies, rate, releases, seed, seed-members, settle, startup, upstream-call-duration, zones
 	// x.ini:5: fault a.action: is "explode", must be one of blackhole, burst, coordinator-command, delay, duplicate, fail-runs, flood, garble, half-close, keys, kill, late-runtime, leave, lose, lose-runs, pause, refuse, reorder, replace, restart, seeds, slow-runs, stall, throttle, wipe
 	// x.ini:5: fault a.action: must be an action, for example blackhole or kill
-	// x.ini:6: fault a.at: is "3s..1s", must be a duration from when all processes are up, or an ascending range like 5s..10s
-	// x.ini:7: fault b.at: must be a duration from when all processes are up, or an ascending range like 5s..10s
-	// x.ini:7: fault b.from: must be set together with to, because the action affects links
-	// x.ini:9: fault b.targets: is "zone q", must be all, others, proxies, instances, allocators, coordinators, zone NAME, release NAME, process N, first N, draw N or draw N%
+	// x.ini:6: fault a.at: is "3s..1s", must be a duration of 0s or more, or an ascending range, for example 5s..10s; it counts from when all processes are up
+	// x.ini:7: fault b.at: must be a duration of 0s or more, or an ascending range, for example 5s..10s; it counts from when all processes are up
+	// x.ini:7: fault b.from: must be set together with the setting to, because the action affects links
+	// x.ini:9: fault b.targets: is "zone q", must be all, others, proxies, instances, allocators, coordinators, zone NAME, release NAME, process N, first N, draw N or draw N%; NAME must be in drill.zones or drill.releases, N from 0 to the number of processes, and N% from 0% to 100%
 }
 
 // TestTimelineText checks how many processes are abbreviated.
