--- a/cmd/lanewheel/commandline_test.go
+++ b/cmd/lanewheel/commandline_test.go
@@ -34,10 +34,10 @@
 	}
 	// Output:
 	// 1 0  cannot parse JSON: cannot parse object: cannot parse object value: cannot parse empty string; unparsed tail: \"\""
-	// 1 0  name: wants text" suppressed=6
-	// 1 0 1: limits.cores: is \"0\", wants a number over 0"
+	// 1 0  name: must be a non-empty string" suppressed=6
+	// 1 0 1: limits.cores: is \"0\", must be a number greater than 0"
 	// 1 0 6: settings.domain.cpus: is \"two\", must not be of type string"
-	// 1 0  settings: wants an object"
+	// 1 0  settings: must be an object"
 	// 1 0 msg="start failed" err="listen tcp ADDR: bind: address already in use"
 }
 
@@ -83,9 +83,9 @@
 	// bad.ini:3: log.formt: is no name of this section; wants format
 	// bad.ini:5: lgo: is no section; wants allocator, amqp, caller NAME, callers, coordinator, fleet, log, proxy, queue NAME, role NAME, spillover, tls, tokens, upstream
 	// bad.ini:6: log: stands in line 1 already
-	// 1 bad.json:2: roster: is "7", wants text
-	// bad.json:3: limits.cores: is "-1", wants a number over 0
-	// bad.json:3: limits.sockets: wants a number of 32 or more
+	// 1 bad.json:2: roster: is "7", must be a non-empty string
+	// bad.json:3: limits.cores: is "-1", must be a number greater than 0
+	// bad.json:3: limits.sockets: must be a number of 32 or more
 	// bad.json:4: settings.domain.cpus: must be a number of 1 or more
 	// bad.json:5: settings.classes.1.credit: is "x", must not be of type string
 }
--- a/cmd/lanewheel/upstreamcalls_test.go
+++ b/cmd/lanewheel/upstreamcalls_test.go
@@ -222,5 +222,5 @@
 	// HERE n1 on
 	// start 3 route list body ""
 	// POST /v1/exec for 3 timed true body "ask"
-	// 1  db: wants text, as calls go to what settings.domain.below tells of (shared)"
+	// 1  db: must be an address, because settings.domain.below (shared) requires upstream calls"
 }
--- a/internal/filelock/filelock_test.go
+++ b/internal/filelock/filelock_test.go
@@ -7,16 +7,16 @@
 	"testing"
 )
 
-func never() bool { return false }
+func noRetry() bool { return false }
 
-// One holder at a time; the lock is free again once its holder has closed it.
+// Only one holder has the lock at a time, and the lock can be acquired after its holder has closed it.
 func TestAcquire(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "lock")
-	first, err := Acquire(path, never)
+	first, err := Acquire(path, noRetry)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Acquire(path, never); !errors.Is(err, errLocked) {
+	if _, err := Acquire(path, noRetry); !errors.Is(err, errLocked) {
 		t.Fatalf("a second holder: %v, want %v", err, errLocked)
 	}
 	retries := 0
@@ -37,7 +37,7 @@
 	}
 }
 
-// A file that cannot be opened is an error at once.
+// Acquire returns an error without retrying if the file cannot be opened.
 func TestAcquireWithoutDirectory(t *testing.T) {
 	_, err := Acquire(filepath.Join(t.TempDir(), "missing", "lock"), func() bool {
 		t.Error("retried")
--- a/internal/lifecycle/allocators/allocators.go
+++ b/internal/lifecycle/allocators/allocators.go
@@ -1,4 +1,4 @@
-// Package allocators starts and stops an allocator, the process beside an upstream service that leases its
+// Package allocators starts and stops an allocator, the process next to an upstream service that leases the service's
 // concurrency to the fleet.
 package allocators
 
@@ -14,22 +14,22 @@
 	"lanewheel/internal/lifecycle"
 )
 
-// shutdownTimeout is how long an allocator takes to leave the fleet.
+// shutdownTimeout is the maximum time that an allocator takes to leave the fleet.
 const shutdownTimeout = time.Second
 
-// lockRetryInterval is how often a lock that another process holds is tried.
+// lockRetryInterval is the interval between attempts to acquire a lock that another process holds.
 const lockRetryInterval = 200 * time.Millisecond
 
-// Attach brings an allocator into its fleet, before it serves. The function that it returns puts an operator's file
-// that was read again in force; it is called on the goroutine that handles signals.
+// Attach connects an allocator to its fleet before it serves. The returned function applies an operator's file that was
+// read again; it is called on the goroutine that handles signals.
 type Attach func(
 	server *allocator.Server, operatorConfig *lifecycle.OperatorConfig,
 ) (reload func(*lifecycle.OperatorConfig), err error)
 
-// Run starts the allocator that the operator's file configures, and serves until it is told to end. While another
+// Run starts the allocator that the operator's file configures, and serves until a signal to terminate. While another
 // process holds the lock file, it waits. It is called on the main goroutine.
 func Run(options lifecycle.Options, attach Attach) error {
-	started, err := lifecycle.StartStandalone(options, "wants the sections [fleet] and [allocator]",
+	started, err := lifecycle.StartStandalone(options, "must have the sections [fleet] and [allocator]",
 		func(file *config.Operator) bool { return file.Allocator.Enabled })
 	if err != nil {
 		return err
@@ -56,11 +56,11 @@
 	return nil
 }
 
-// acquireLock waits for the lock until the process is told to end.
+// acquireLock waits for the lock. It returns an error if a signal to terminate arrives before it has the lock.
 func acquireLock(path string, started *lifecycle.Standalone) (io.Closer, error) {
 	return filelock.Acquire(path, func() bool {
 		select {
-		case <-started.Terminated():
+		case <-started.TerminateSignals():
 			return false
 		case <-time.After(lockRetryInterval):
 			return true
--- a/internal/lifecycle/coordinators/coordinators.go
+++ b/internal/lifecycle/coordinators/coordinators.go
@@ -1,4 +1,4 @@
-// Package coordinators starts and stops a coordinator, the process that holds what the fleet has agreed on.
+// Package coordinators starts and stops a coordinator, the process that holds the agreed state of the fleet.
 package coordinators
 
 import (
@@ -13,26 +13,27 @@
 )
 
 const (
-	shutdownTimeout = 2 * time.Second // for leaving the fleet
-	drainedInterval = 10 * time.Millisecond
+	shutdownTimeout     = 2 * time.Second // maximum time for leaving the fleet
+	drainedPollInterval = 10 * time.Millisecond
 )
 
-// Formation is how the group of coordinators is formed. The zero value joins one that there is.
+// Formation selects how the group of coordinators is formed. With the zero value, the coordinator joins an existing
+// group.
 type Formation struct {
-	Bootstrap       bool // begin a new group
-	ForceNewCluster bool // go on alone with what this one has stored
+	Bootstrap       bool // start a new group
+	ForceNewCluster bool // continue alone with the state that this coordinator has stored
 }
 
-// Attach returns the agent by which a coordinator speaks to its fleet, before it is started. The function that it
-// returns puts an operator's file that was read again in force; it is called on the goroutine that handles signals.
+// Attach returns the agent, not yet started, through which a coordinator communicates with its fleet. The returned
+// function applies an operator's file that was read again; it is called on the goroutine that handles signals.
 type Attach func(
 	process gossip.Process, operatorConfig *lifecycle.OperatorConfig,
 ) (agent *gossip.Agent, reload func(*lifecycle.OperatorConfig), err error)
 
-// Run starts the coordinator that the operator's file configures, and serves until it is told to end. It is called
+// Run starts the coordinator that the operator's file configures, and serves until a signal to terminate. It is called
 // on the main goroutine.
 func Run(options lifecycle.Options, formation Formation, attach Attach) error {
-	started, err := lifecycle.StartStandalone(options, "wants the sections [fleet] and [coordinator]",
+	started, err := lifecycle.StartStandalone(options, "must have the sections [fleet] and [coordinator]",
 		func(file *config.Operator) bool { return file.Coordinator.Enabled })
 	if err != nil {
 		return err
@@ -62,7 +63,7 @@
 	})
 	node.Serve(process)
 	for deadline := time.Now().Add(shutdownTimeout); !agent.Drained() && time.Now().Before(deadline); {
-		time.Sleep(drainedInterval)
+		time.Sleep(drainedPollInterval)
 	}
 	return nil
 }
--- a/internal/lifecycle/coordinators/coordinators_test.go
+++ b/internal/lifecycle/coordinators/coordinators_test.go
@@ -20,9 +20,9 @@
 	"lanewheel/internal/statussocket"
 )
 
-var update = flag.Bool("update", false, "write the golden file again; only where what is shown is meant to change")
+var update = flag.Bool("update", false, "rewrite the golden file; only for an intended change of the snapshot")
 
-// What a coordinator's status socket shows, a line of JSON, and what is read from it.
+// The snapshot on a coordinator's status socket is one line of JSON, and ReadSnapshot reads every field of it.
 func TestStatusGolden(t *testing.T) {
 	want := gossip.Snapshot{
 		Name: "s0", BootID: "00000000000000ff", Incarnation: 1_700_000_000_001, Zone: "a", Release: "1",
@@ -48,37 +48,37 @@
 	}
 	stored := fake.Must(os.ReadFile(path))
 	if !bytes.Equal(text, stored) {
-		t.Errorf("stored\n%s\nwritten\n%s", stored, text)
+		t.Errorf("golden file\n%s\nencoded\n%s", stored, text)
 	}
-	// No field is left out.
+	// The example sets every field.
 	for _, x := range []any{want, want.Members[0]} {
 		v := reflect.ValueOf(x)
 		for i := range v.NumField() {
 			if v.Field(i).IsZero() {
-				t.Errorf("%T.%s is not shown", x, v.Type().Field(i).Name)
+				t.Errorf("%T.%s is not set", x, v.Type().Field(i).Name)
 			}
 		}
 	}
 	socket := filepath.Join(t.TempDir(), "s")
 	closed := make(chan struct{})
 	defer close(closed)
-	asked := make(chan string, 1)
+	requests := make(chan string, 1)
 	statussocket.Serve(socket, closed, func(c net.Conn) {
 		b := make([]byte, 16)
 		n, _ := c.Read(b)
-		asked <- string(b[:n])
+		requests <- string(b[:n])
 		_, _ = c.Write(stored)
 	})
 	got, err := gossip.ReadSnapshot(socket, gossip.SnapshotBrief)
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("read as\n%+v\nwanted\n%+v (%v)", got, want, err)
+		t.Errorf("read\n%+v\nwant\n%+v (error %v)", got, want, err)
 	}
-	if q := <-asked; q != "brief\n" || gossip.SnapshotFull != "view" {
-		t.Errorf("asked for %q", q)
+	if request := <-requests; request != "brief\n" || gossip.SnapshotFull != "view" {
+		t.Errorf("request %q", request)
 	}
 }
 
-// What a coordinator reports of itself, by the name of the metric that others read.
+// A leader reports that it is ready and that it leads, by the name of the metric that other members read.
 func TestReportGolden(t *testing.T) {
 	node := fake.Must(coordinator.New(coordinator.Config{
 		Name:              "s0",
@@ -100,7 +100,7 @@
 		node.Serve(emptyFleet{membership.NewTable(self, membership.DefaultConfig(), 0).View()})
 		close(done)
 	}()
-	fake.WaitFor("it leads", func() bool { return node.IsLeader() && node.Ready() })
+	fake.WaitFor("leadership", func() bool { return node.IsLeader() && node.Ready() })
 	process.Status(func(status gossip.ProcessStatus) {
 		want := gossip.ProcessStatus{Ready: true, Metrics: []membership.Metric{{Name: "leads", Value: 1}}}
 		if !reflect.DeepEqual(status, want) {
--- a/internal/lifecycle/fleet.go
+++ b/internal/lifecycle/fleet.go
@@ -6,13 +6,13 @@
 	"lanewheel/internal/server"
 )
 
-// FleetJoiner brings a server into the fleet, and to the upstream services, that the operator's file names. It is
-// called before the server serves. The function that it returns puts a file that was read again in force; any
+// FleetJoiner makes an instance join the fleet, and use the upstream services, that the operator's file configures. It
+// is called before the server serves. The returned function applies an operator's file that was read again; any
 // goroutine may call it, one call at a time.
 type FleetJoiner func(
-	joining *server.Server, config server.Config, operatorConfig *OperatorConfig,
+	instance *server.Server, config server.Config, operatorConfig *OperatorConfig,
 ) (reload func(*OperatorConfig), err error)
 
-// ErrFleetNotLinked says that the operator's file asks for parts that this program has not linked.
+// ErrFleetNotLinked is returned if the operator's file enables components that are not linked into this program.
 var ErrFleetNotLinked = errors.New(
-	"the operator's file tells of a fleet or of services, which another program has linked")
+	"the operator's file enables a fleet or upstream services, which are not linked into this program")
--- a/internal/lifecycle/frontends.go
+++ b/internal/lifecycle/frontends.go
@@ -10,8 +10,8 @@
 	"lanewheel/internal/transport"
 )
 
-// attachFrontends starts the further front ends that the operator's file enables.
-func attachFrontends(attachTo *server.Server, config *server.Config, operatorConfig *OperatorConfig) {
+// attachFrontends adds to the instance the additional front ends that the operator's file enables.
+func attachFrontends(instance *server.Server, config *server.Config, operatorConfig *OperatorConfig) {
 	if !operatorConfig.File.AMQP.Enabled {
 		return
 	}
@@ -20,11 +20,11 @@
 	for _, class := range config.Settings.Classes {
 		queueConfig.IdempotentClasses[class.Name] = class.Idempotency == admission.Idempotent
 	}
-	attachTo.AddFrontend(amqp.New(queueConfig, attachTo, attachTo.Post, config.Seed))
+	instance.AddFrontend(amqp.New(queueConfig, instance, instance.Post, config.Seed))
 }
 
-// tlsListener returns the further listener with TLS, nil if none is enabled. Handshakes go by what serverTLS holds when
-// they begin.
+// tlsListener returns the additional listener with TLS, or nil if none is enabled. Each handshake uses the
+// configuration that serverTLS holds when the handshake begins.
 func (o *OperatorConfig) tlsListener(serverTLS *atomic.Pointer[tls.Config]) *transport.TLSListener {
 	if o.serverTLS == nil {
 		return nil
--- a/internal/lifecycle/instanceconfig.go
+++ b/internal/lifecycle/instanceconfig.go
@@ -16,13 +16,15 @@
 	"lanewheel/internal/settings"
 )
 
-// minDescriptors is the least limit on descriptors that an instance works with.
+// minDescriptors is the lowest limit on file descriptors with which an instance works.
 const minDescriptors = 32
 
-// LoadConfig reads the platform's configuration of an instance. The error is a diagnostic.List with all that is wrong.
+// LoadConfig reads the platform's configuration of an instance. The error is a diagnostic.List of all problems.
 func LoadConfig(path string) (server.Config, error) {
 	if path == "" {
-		return server.Config{}, diagnostic.List{{File: "RELAY_CONFIG", Want: "is not set; wants the path of a configuration"}}
+		return server.Config{}, diagnostic.List{
+			{File: "RELAY_CONFIG", Want: "must be set to the path of a configuration file"},
+		}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -32,7 +34,7 @@
 	return config, diagnostics.Err()
 }
 
-// parseConfig reads a configuration as far as it can be read, and tells all that is wrong with it.
+// parseConfig parses a configuration as far as possible and returns all problems with it.
 func parseConfig(path string, text []byte) (server.Config, diagnostic.List) {
 	root, err := fastjson.ParseBytes(text)
 	if err != nil {
@@ -46,21 +48,21 @@
 	return parser.config, parser.diagnostics
 }
 
-// configParser reads one configuration.
+// configParser parses one configuration.
 type configParser struct {
 	path        string
 	text        []byte
 	root        *fastjson.Value
-	lines       map[string]int // of names; nil until something is wrong
+	lines       map[string]int // line numbers by name; nil until a problem is reported
 	config      server.Config
 	diagnostics diagnostic.List
 }
 
-// report notes what is wrong with a value, by its name in the text. What is absent is reported with the line of
-// what it is missing in.
+// report adds a diagnostic about the value with the given name. A value that is absent is reported with the line of the
+// innermost object around it that is present.
 func (p *configParser) report(name, want string) {
 	if p.lines == nil {
-		p.lines, _ = diagnostic.JSONLines(p.text) // names that stand twice are no fault here
+		p.lines, _ = diagnostic.JSONLines(p.text) // duplicate names are not a problem here
 	}
 	value := ""
 	found := p.root.Get(strings.Split(name, ".")...)
@@ -77,8 +79,8 @@
 	})
 }
 
-// readAddresses reads the name of the instance and the addresses of the others. An optional one that is absent, null or
-// empty says that there is no such party.
+// readAddresses reads the name and the listen address of the instance, and the addresses of the runtime, the database
+// and the registry. An optional address that is absent, null or empty means that there is no such process.
 func (p *configParser) readAddresses() {
 	for _, field := range []struct {
 		name     string
@@ -92,19 +94,19 @@
 		{"roster", &p.config.RegistryAddr, true},
 	} {
 		*field.value = string(p.root.GetStringBytes(field.name))
-		mayBeEmpty := field.optional && p.isTextOrAbsent(field.name)
+		mayBeEmpty := field.optional && p.isStringOrAbsent(field.name)
 		if *field.value == "" && !mayBeEmpty {
-			p.report(field.name, "wants text")
+			p.report(field.name, "must be a non-empty string")
 		}
 	}
 }
 
-func (p *configParser) isTextOrAbsent(name string) bool {
+func (p *configParser) isStringOrAbsent(name string) bool {
 	found := p.root.Get(name)
 	return found == nil || found.Type() == fastjson.TypeNull || found.Type() == fastjson.TypeString
 }
 
-// readLimits reads what the process may use, and how long it has to drain.
+// readLimits reads the resource limits of the process, and the time that it has to drain.
 func (p *configParser) readLimits() {
 	for _, limit := range []struct {
 		name  string
@@ -115,18 +117,18 @@
 	} {
 		*limit.value = p.root.GetFloat64("limits", limit.name)
 		if *limit.value <= 0 {
-			p.report("limits."+limit.name, "wants a number over 0")
+			p.report("limits."+limit.name, "must be a number greater than 0")
 		}
 	}
 	p.config.MaxDescriptors = p.root.GetInt("limits", "sockets")
 	if p.config.MaxDescriptors < minDescriptors {
-		p.report("limits.sockets", "wants a number of 32 or more")
+		p.report("limits.sockets", "must be a number of 32 or more")
 	}
 	p.config.TerminationGrace = time.Duration(p.root.GetFloat64("stop_ms") * float64(time.Millisecond))
 }
 
-// readSeed reads the seed of random choices. One that is no hexadecimal number, or absent, is hashed: it need not
-// be any.
+// readSeed reads the seed of random choices. A seed need not be a hexadecimal number: the hash of any other text, or of
+// an empty text if the seed is absent, is used.
 func (p *configParser) readSeed() {
 	text := p.root.GetStringBytes("seed")
 	seed, err := strconv.ParseUint(string(text), 16, 64)
@@ -138,11 +140,11 @@
 	p.config.Seed = seed
 }
 
-// readSettings reads the settings of the admission controller, and what the server needs beside them.
+// readSettings reads the settings of the admission controller and the further settings of the server.
 func (p *configParser) readSettings() {
 	object := p.root.Get("settings")
 	if object == nil {
-		p.report("settings", "wants an object")
+		p.report("settings", "must be an object")
 		return
 	}
 	var problems []settings.FieldError
@@ -155,17 +157,17 @@
 	p.config.ReportReadiness = object.GetBool("domain", "readiness")
 }
 
-// checkDatabase reports an address of the database that is absent although calls go there. Where no request makes a
-// call, or calls end at this tier, there is no database, and the instance has to start without.
+// checkDatabase reports a missing database address if the settings require upstream calls. If no request makes a call,
+// or calls end at this tier, there is no database, and the instance has to start without one.
 func (p *configParser) checkDatabase(object *fastjson.Value) {
 	upstream := p.config.Settings.Upstream
-	callsNothing := upstream == admission.UpstreamUnspecified || upstream == admission.UpstreamNone
-	if p.config.DatabaseAddr != "" || callsNothing || len(p.diagnostics) > 0 {
+	noUpstreamCalls := upstream == admission.UpstreamUnspecified || upstream == admission.UpstreamNone
+	if p.config.DatabaseAddr != "" || noUpstreamCalls || len(p.diagnostics) > 0 {
 		return
 	}
 	name := upstream.String()
 	if upstream == admission.UpstreamUnknown {
 		name = string(object.GetStringBytes("domain", "below"))
 	}
-	p.report("db", fmt.Sprintf("wants text, as calls go to what settings.domain.below tells of (%s)", name))
+	p.report("db", fmt.Sprintf("must be an address, because settings.domain.below (%s) requires upstream calls", name))
 }
--- a/internal/lifecycle/instanceconfig_test.go
+++ b/internal/lifecycle/instanceconfig_test.go
@@ -13,8 +13,8 @@
 	"lanewheel/internal/server"
 )
 
-// Each field of an instance's configuration, by its stored name, and what it is read as. The settings have a golden
-// file of their own, beside the package that reads them.
+// Each field of an instance's configuration is read by its stored name. The settings have a golden file of their own,
+// next to the package that reads them.
 func TestGoldenConfiguration(t *testing.T) {
 	text, err := os.ReadFile("testdata/config.json")
 	if err != nil {
@@ -51,7 +51,7 @@
 		name, before, after string
 		seed                uint64
 	}{
-		{"as it is", "", "", want.Seed},
+		{"unchanged", "", "", want.Seed},
 		{"a seed that is not hexadecimal is hashed", "8c1f30d27a5be964", "instance-1", 0x3ca7aed14d2daa34},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -66,7 +66,7 @@
 			}
 		})
 	}
-	// All that is required is reported by its stored name.
+	// Each missing required field is reported by its stored name.
 	_, diagnostics := parseConfig("config.json", []byte("{}"))
 	var names []string
 	for _, f := range diagnostics {
@@ -78,8 +78,9 @@
 	}
 }
 
-// A configuration that cannot be read is named, as is an address that is missing where calls go somewhere.
-func TestGoldenPaths(t *testing.T) {
+// A diagnostic names the setting that is invalid, the database address that is missing although the settings require
+// upstream calls, or RELAY_CONFIG if it is not set.
+func TestConfigurationDiagnostics(t *testing.T) {
 	text, err := os.ReadFile("testdata/config.json")
 	if err != nil {
 		t.Fatal(err)
@@ -90,12 +91,12 @@
 	}
 	without := strings.NewReplacer(`"db"`, `"was-db"`, `"next_hop"`, `"silent"`, `"roster"`, `"was-roster"`)
 	if _, diagnostics = parseConfig("config.json", []byte(without.Replace(string(text)))); len(diagnostics) > 0 {
-		t.Errorf("no calls and no registry: %v", diagnostics)
+		t.Errorf("no upstream calls and no registry: %v", diagnostics)
 	}
 	broken := strings.Replace(string(text), `"cpus":2`, `"cpus":"two"`, 1)
 	_, diagnostics = parseConfig("config.json", []byte(broken))
 	if len(diagnostics) != 1 || diagnostics[0].Name != "settings.domain.cpus" || diagnostics[0].Line != 6 {
-		t.Errorf("a wrong setting: %v, want settings.domain.cpus in line 6", diagnostics)
+		t.Errorf("an invalid setting: %v, want settings.domain.cpus in line 6", diagnostics)
 	}
 	var list diagnostic.List
 	if _, err = LoadConfig(""); !errors.As(err, &list) || len(list) != 1 || list[0].File != "RELAY_CONFIG" {
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,9 +1,9 @@
 // Package lifecycle starts, reloads, drains and stops a service instance: it reads the configuration and the operator's
-// file, puts the parts together and carries out what signals ask for. The packages below it do the same for the other
-// processes of a fleet.
+// file, connects the components and handles signals. The packages below it do the same for the other processes of
+// a fleet.
 //
-// Run, and Run of the packages below, are called on the main goroutine. What signals ask for is carried out on one
-// of its own, which reaches a running server by its Post alone.
+// Run, and Run of the packages below, are called on the main goroutine. Signals are handled on a separate goroutine,
+// which accesses a running server only through its Post.
 package lifecycle
 
 import (
@@ -20,15 +20,16 @@
 	"lanewheel/internal/server"
 )
 
-// Options is what a process is started with.
+// Options holds the command-line options of a process.
 type Options struct {
-	ConfigPath   string         // of the platform's configuration, JSON
-	OperatorPath string         // of the operator's file, INI; empty: none
-	LogFormat    logging.Format // empty: the operator's file says
+	ConfigPath   string         // path of the platform's configuration (JSON)
+	OperatorPath string         // path of the operator's file (INI); empty if there is none
+	LogFormat    logging.Format // if empty, the operator's file sets the format
 }
 
-// Run starts an instance and serves until it has drained. joinFleet is nil in a program that has no parts of a fleet
-// linked. The error is a diagnostic.List if a file is wrong, ErrFleetNotLinked, or why something could not be opened.
+// Run starts an instance and serves until it has drained. joinFleet is nil in a program that is linked without the
+// fleet components. The error is a diagnostic.List if a file is invalid, ErrFleetNotLinked, or the reason why
+// something could not be opened.
 func Run(options Options, joinFleet FleetJoiner) error {
 	signals := notifySignals()
 	logging.Setup(os.Stderr, options.LogFormat)
@@ -75,17 +76,18 @@
 	return nil
 }
 
-// setLogFormat has the log follow the operator's file, unless a format was given.
+// setLogFormat sets the log format from the operator's file, unless the options set one.
 func (o *Options) setLogFormat(operatorConfig *OperatorConfig) {
 	if o.LogFormat == "" {
 		logging.Setup(os.Stderr, logging.Format(operatorConfig.File.Log.Format))
 	}
 }
 
-// SetRuntimeLimits limits Go's processors and heap by the cores and the memory of a configuration. There are as
-// many processors as cores, rounded up: a further one on a part of a core would wake and sleep for each message.
-// otherPollers counts the parts whose sockets do not wait in the poller, as each keeps a processor for a while when
-// it waits. Half of the memory is left to the kernel and the binary.
+// SetRuntimeLimits limits the processors (GOMAXPROCS) and the heap of the Go runtime by the cores and the memory of a
+// configuration. The number of processors is the number of cores, rounded up: a further processor, with only part of
+// a core to run on, would wake and sleep for each message. otherPollers is the number of components whose sockets do
+// not wait in the runtime's poller; one processor is added for each, because such a component occupies a processor for
+// a while when it waits. Half of the memory is reserved for the kernel and the binary.
 func SetRuntimeLimits(config *server.Config, otherPollers int) {
 	const heapBytesPerMB = 1 << 19
 	runtime.GOMAXPROCS(int(math.Ceil(config.Cores)) + otherPollers)
@@ -93,17 +95,17 @@
 }
 
 const (
-	addressTimeout       = 3 * time.Second // longer than the last steps of a drain
+	addressInUseTimeout  = 3 * time.Second // longer than the last steps of a drain
 	addressRetryInterval = 20 * time.Millisecond
 )
 
-// openServer returns a server that listens. While its address is in use it tries again, as the process that it replaces
-// may still be in the last moments of its drain. It returns neither a server nor an error if the process is told to end
-// meanwhile.
+// openServer returns a server that listens. While its address is in use it retries for up to addressInUseTimeout,
+// because the process that it replaces may not have finished its drain. If a signal to terminate arrives meanwhile, it
+// returns neither a server nor an error.
 func openServer(config server.Config, terminate <-chan os.Signal) (*server.Server, error) {
-	for began := time.Now(); ; {
+	for start := time.Now(); ; {
 		opened, err := server.New(config)
-		if !errors.Is(err, syscall.EADDRINUSE) || time.Since(began) > addressTimeout {
+		if !errors.Is(err, syscall.EADDRINUSE) || time.Since(start) > addressInUseTimeout {
 			return opened, err
 		}
 		select {
--- a/internal/lifecycle/operatorconfig.go
+++ b/internal/lifecycle/operatorconfig.go
@@ -9,22 +9,22 @@
 	"lanewheel/internal/membership"
 )
 
-// OperatorConfig is an operator's file with all the files that it names, read and checked whole. It is not changed
-// after it was read.
+// OperatorConfig holds an operator's file and all files that it names, read and checked as a whole. It is immutable
+// after it has been read.
 type OperatorConfig struct {
 	File        config.Operator
-	Authn       *authn.Config    // nil: every caller may do everything
-	ClusterKeys []membership.Key // the first is the one to write with
+	Authn       *authn.Config    // nil if every caller is allowed to do everything
+	ClusterKeys []membership.Key // the first is used to encrypt
 
-	serverTLS *tls.Config // nil: no listener with TLS
+	serverTLS *tls.Config // nil if there is no listener with TLS
 	digest    digest      // of all files
 }
 
-// digest tells apart what was read at two times.
+// digest identifies the contents of all files that were read, so that two reads can be compared.
 type digest [sha256.Size]byte
 
-// LoadOperatorConfig reads an operator's file and the keys, certificates and lists that it names. An empty path is
-// a file that enables nothing. The error is a diagnostic.List, or why a folder could not be read.
+// LoadOperatorConfig reads an operator's file and the keys, certificates and lists that it names. An empty path stands
+// for a file that enables nothing. The error is a diagnostic.List, or the reason why a folder could not be read.
 func LoadOperatorConfig(path string) (OperatorConfig, error) {
 	if path == "" {
 		file, err := config.Load(path)
@@ -39,7 +39,7 @@
 	return loaded, nil
 }
 
-// readOperatorConfig reads an operator's file and all that it names.
+// readOperatorConfig reads an operator's file and all files that it names.
 func (r *fileReader) readOperatorConfig(path string) (loaded OperatorConfig, err error) {
 	text, err := r.readFile(path)
 	if err != nil {
@@ -71,7 +71,7 @@
 	return loaded, nil
 }
 
-// keyCount is how many keys tokens are checked with.
+// keyCount returns the number of keys that tokens are verified with.
 func (o *OperatorConfig) keyCount() int {
 	if o.Authn == nil {
 		return 0
--- a/internal/lifecycle/operatorconfig_test.go
+++ b/internal/lifecycle/operatorconfig_test.go
@@ -29,7 +29,7 @@
 	return loaded
 }
 
-// Without a file nothing is enabled.
+// Without an operator's file nothing is enabled.
 func TestNoOperatorConfig(t *testing.T) {
 	loaded := load(t, "")
 	if loaded.Authn != nil || loaded.serverTLS != nil || loaded.ClusterKeys != nil || loaded.File.Log.Format != "text" {
@@ -37,7 +37,7 @@
 	}
 }
 
-// The digest tells two contents apart, and is the same for the same.
+// Equal contents have equal digests, and different contents have different digests.
 func TestDigest(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "op.ini")
 	writeFile(t, path, callersFile)
@@ -48,7 +48,7 @@
 	}
 }
 
-// What is taken at the start only must not change, the rest may.
+// Settings that take effect only when the process starts must not change; all others may.
 func TestCheckUnchanged(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "op.ini")
 	writeFile(t, path, callersFile)
@@ -75,8 +75,8 @@
 	}
 }
 
-// What a file names is read with it.
-func TestFileThatIsMissing(t *testing.T) {
+// A missing file that the operator's file names is an error that names it.
+func TestMissingReferencedFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "op.ini")
 	missing := filepath.Join(t.TempDir(), "missing.pem")
 	writeFile(t, path, "[tls]\nlisten = 127.0.0.1:1\ncertificate = "+missing+"\nkey = "+missing+"\nclients = asked\n")
@@ -86,14 +86,14 @@
 	}
 }
 
-// A standalone process wants its section.
+// The operator's file of a standalone process must have the section of the process.
 func TestStartStandalone(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "op.ini")
 	writeFile(t, path, callersFile)
 	var diagnostics diagnostic.List
-	_, err := StartStandalone(Options{OperatorPath: path}, "wants the section [x]",
+	_, err := StartStandalone(Options{OperatorPath: path}, "must have the section [x]",
 		func(*config.Operator) bool { return false })
-	if !errors.As(err, &diagnostics) || diagnostics[0].File != path || diagnostics[0].Want != "wants the section [x]" {
+	if !errors.As(err, &diagnostics) || diagnostics[0].File != path || diagnostics[0].Want != "must have the section [x]" {
 		t.Error(err)
 	}
 	started, err := StartStandalone(Options{OperatorPath: path}, "", func(*config.Operator) bool { return true })
--- a/internal/lifecycle/operatorfiles.go
+++ b/internal/lifecycle/operatorfiles.go
@@ -19,7 +19,7 @@
 	"lanewheel/internal/tokens"
 )
 
-// fileReader reads the files that an operator's file names, and takes a digest of all that it reads.
+// fileReader reads the files that an operator's file names, and computes a digest of all of them.
 type fileReader struct{ hash hash.Hash }
 
 func newFileReader() *fileReader { return &fileReader{sha256.New()} }
@@ -29,7 +29,7 @@
 	return sum
 }
 
-// add takes a file into the digest. A hash never fails.
+// add adds a file to the digest. Writing to a hash never fails.
 func (r *fileReader) add(name string, text []byte) {
 	_, _ = fmt.Fprintf(r.hash, "%q%d:", name, len(text))
 	_, _ = r.hash.Write(text)
@@ -44,7 +44,7 @@
 	return text, nil
 }
 
-// readTokens reads the keys that tokens are checked with, and the list of revoked tokens.
+// readTokens reads the keys that tokens are verified with, and the list of revoked tokens.
 func (r *fileReader) readTokens(loaded *OperatorConfig) error {
 	section := &loaded.File.Tokens
 	files, err := keyring.ReadFolder(section.KeyDir)
@@ -69,13 +69,13 @@
 	}
 	revoked, line := tokens.ParseRevocations(string(text))
 	if line > 0 {
-		return diagnostic.List{{File: section.RevocationFile, Line: line, Want: `wants "jti ID" or "sub SUBJECT"`}}
+		return diagnostic.List{{File: section.RevocationFile, Line: line, Want: `must be "jti ID" or "sub SUBJECT"`}}
 	}
 	loaded.Authn.RevokedTokens = revoked
 	return nil
 }
 
-// readKeyPair reads a certificate and its key. What is wrong with them is told without what stands in the key's file.
+// readKeyPair reads a certificate and its key. Its errors do not contain the contents of the key file.
 func (r *fileReader) readKeyPair(certificatePath, keyPath string) (tls.Certificate, error) {
 	certificate, err := r.readFile(certificatePath)
 	if err != nil {
@@ -109,7 +109,7 @@
 			return err
 		}
 		serverTLS.ClientCAs = loaded.Authn.TrustStore.Roots()
-		// The chain is verified by package certs, as it is again and again later.
+		// Package certs verifies the chain, because it also verifies it repeatedly after the handshake.
 		serverTLS.ClientAuth = tls.RequestClientCert
 		if section.RequireClientCertificate {
 			serverTLS.ClientAuth = tls.RequireAnyClientCert
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// readFleet reads the keys of the fleet's messages.
+// readFleet reads the fleet's gossip keys.
 func (r *fileReader) readFleet(loaded *OperatorConfig) error {
 	path := loaded.File.Fleet.KeyFile
 	text, err := r.readFile(path)
@@ -152,7 +152,7 @@
 	return err
 }
 
-// readAMQP reads the login and the certificates for the broker.
+// readAMQP reads the login and the certificates for connections to the broker.
 func (r *fileReader) readAMQP(loaded *OperatorConfig) error {
 	section := &loaded.File.AMQP
 	if section.LoginFile != "" {
@@ -161,8 +161,8 @@
 			return err
 		}
 		section.Config.Login = strings.TrimSpace(string(text))
-		if !strings.Contains(section.Config.Login, ":") { // told without what stands in the file
-			return diagnostic.List{{File: section.LoginFile, Want: "wants user:password"}}
+		if !strings.Contains(section.Config.Login, ":") { // the error must not contain the login
+			return diagnostic.List{{File: section.LoginFile, Want: "must contain user:password"}}
 		}
 	}
 	brokerTLS := &tls.Config{MinVersion: tls.VersionTLS12}
@@ -173,7 +173,7 @@
 		}
 		brokerTLS.RootCAs = x509.NewCertPool()
 		if !brokerTLS.RootCAs.AppendCertsFromPEM(text) {
-			return diagnostic.List{{File: section.AuthoritiesFile, Want: "wants certificates in PEM"}}
+			return diagnostic.List{{File: section.AuthoritiesFile, Want: "must contain certificates in PEM format"}}
 		}
 	}
 	if section.CertificateFile != "" {
--- a/internal/lifecycle/proxies/proxies.go
+++ b/internal/lifecycle/proxies/proxies.go
@@ -11,11 +11,11 @@
 	"lanewheel/internal/server"
 )
 
-// lastMessageDelay is how long the gossip's last message takes to leave the process.
+// lastMessageDelay is the time that the last gossip message takes to leave the process.
 const lastMessageDelay = 10 * time.Millisecond
 
-// Join returns a proxy that listens and is in its fleet. The function that it returns puts an operator's file that
-// was read again in force; it is called on the goroutine that handles signals.
+// Join returns a proxy that listens and has joined its fleet. The returned function applies an operator's file that was
+// read again; it is called on the goroutine that handles signals.
 type Join func(
 	config server.Config, operatorConfig *lifecycle.OperatorConfig,
 ) (joined *proxy.Proxy, reload func(*lifecycle.OperatorConfig), err error)
@@ -23,7 +23,7 @@
 // Run starts the proxy that the platform's configuration and the operator's file configure, and forwards requests
 // until it has drained. It is called on the main goroutine.
 func Run(options lifecycle.Options, join Join) error {
-	started, err := lifecycle.StartStandalone(options, "wants the sections [fleet] and [proxy]",
+	started, err := lifecycle.StartStandalone(options, "must have the sections [fleet] and [proxy]",
 		func(file *config.Operator) bool { return file.Fleet.Enabled && file.Proxy.Enabled })
 	if err != nil {
 		return err
@@ -40,6 +40,6 @@
 	slog.Info("listening", "name", platform.Name, "addr", platform.ListenAddr, "role", "proxy")
 	go started.HandleSignals(func() { joined.Post(joined.Drain) }, reload)
 	joined.Serve()
-	time.Sleep(lastMessageDelay) // the last responses are the kernel's to send by now
+	time.Sleep(lastMessageDelay) // the last responses have already been handed to the kernel
 	return nil
 }
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -10,51 +10,52 @@
 	"lanewheel/internal/server"
 )
 
-// Before a reload that failed is tried again: a file takes far less to write than the first, a person far more.
+// Bounds of the delay before a failed reload is retried. Writing a file takes far less than the minimum; a person takes
+// far longer.
 const (
-	minReloadRetry = 50 * time.Millisecond
-	maxReloadRetry = 5 * time.Second
+	minReloadRetryDelay = 50 * time.Millisecond
+	maxReloadRetryDelay = 5 * time.Second
 )
 
-// stabilityDelay is how long files have to stay as they are before they count: longer than a program takes between two
-// writes.
+// stabilityDelay is how long files must remain unchanged before they are applied. It is longer than the time that
+// a program takes between two writes.
 const stabilityDelay = 20 * time.Millisecond
 
-// Log messages of a reload, of an instance and of a standalone process.
+// Log messages about reloads of an instance or a standalone process.
 const (
 	reloadFailedMessage = "reload failed, configuration kept"
 	reloadedMessage     = "operator configuration reloaded"
 )
 
-// reloader has a running server go by its files as they are now. Owned by the goroutine of handleSignals, but for
-// serverTLS, which handshakes read.
+// reloader applies changed files to a running server. It is owned by the goroutine of handleSignals, except serverTLS,
+// which TLS handshakes read.
 type reloader struct {
-	server         *server.Server
-	configPath     string
-	operatorPath   string         // empty: no operator's file
-	operatorConfig OperatorConfig // in force
-	reloadFleet    func(*OperatorConfig)
-	serverTLS      atomic.Pointer[tls.Config]
-	pause          func() // between two readings
+	server           *server.Server
+	configPath       string
+	operatorPath     string         // empty if there is no operator's file
+	operatorConfig   OperatorConfig // in force
+	reloadFleet      func(*OperatorConfig)
+	serverTLS        atomic.Pointer[tls.Config]
+	waitBetweenReads func() // waits between the two reads of the operator's files
 }
 
 func newReloader(options Options, operatorConfig OperatorConfig) *reloader {
 	return &reloader{
-		configPath:     options.ConfigPath,
-		operatorPath:   options.OperatorPath,
-		operatorConfig: operatorConfig,
-		pause:          func() { time.Sleep(stabilityDelay) },
+		configPath:       options.ConfigPath,
+		operatorPath:     options.OperatorPath,
+		operatorConfig:   operatorConfig,
+		waitBetweenReads: func() { time.Sleep(stabilityDelay) },
 	}
 }
 
-// handleSignals carries out what signals ask for. It never returns. A file that can't be read, or is being written,
-// must neither end nor change a running instance: the old ones stay in force, and the files are read again, soon
-// and then less and less often. They are read on another goroutine, one reading at a time, so that a disk that
-// hangs does not keep the signal to terminate from the server.
+// handleSignals handles the signals to terminate and to reload. It never returns. A file that can't be read, or that
+// is being written, must neither stop nor change a running instance: the previous configuration stays in force, and
+// the files are read again with a growing delay. They are read on another goroutine, one read at a time, so that
+// a disk that hangs does not keep the signal to terminate from the server.
 func (r *reloader) handleSignals(signals signalChannels) {
 	var retry <-chan time.Time
-	var wait time.Duration // before the last retry; 0: no reading has failed since the signal
-	wanted, reading := false, false
+	var retryDelay time.Duration // before the last retry; 0 if no read has failed since the signal
+	requested, reading := false, false
 	results := make(chan reloadResult, 1)
 	for {
 		select {
@@ -62,37 +63,37 @@
 			r.server.Post(r.server.Drain)
 			continue
 		case <-signals.reload:
-			wanted = true
-			wait = 0
+			requested = true
+			retryDelay = 0
 		case <-retry:
-			wanted = true
+			requested = true
 		case result := <-results:
 			reading = false
 			if err := r.apply(result); err != nil {
-				if wait == 0 {
+				if retryDelay == 0 {
 					slog.Warn(reloadFailedMessage, "err", err)
 				}
-				wait = min(max(2*wait, minReloadRetry), maxReloadRetry)
-				retry = time.After(wait)
+				retryDelay = min(max(2*retryDelay, minReloadRetryDelay), maxReloadRetryDelay)
+				retry = time.After(retryDelay)
 			}
 		}
-		if wanted && !reading {
-			wanted, reading = false, true
+		if requested && !reading {
+			requested, reading = false, true
 			retry = nil
 			go func() { results <- r.read() }()
 		}
 	}
 }
 
-// reloadResult is what the files say now, or what is wrong with them.
+// reloadResult holds the contents of the files, or the error that occurred when they were read.
 type reloadResult struct {
 	config         server.Config
 	operatorConfig OperatorConfig
 	err            error
 }
 
-// read reads all files. The operator's files are read twice: one that is cut off behind a whole line reads as one that
-// says less, and what is being written is different a moment later.
+// read reads all files. The operator's files are read twice, with a delay between: a file that is truncated after
+// a complete line parses as one with fewer settings, and a file that is being written differs at the second read.
 func (r *reloader) read() (result reloadResult) {
 	if result.config, result.err = LoadConfig(r.configPath); result.err != nil || r.operatorPath == "" {
 		return result
@@ -100,16 +101,16 @@
 	if result.operatorConfig, result.err = LoadOperatorConfig(r.operatorPath); result.err != nil {
 		return result
 	}
-	r.pause()
+	r.waitBetweenReads()
 	second, err := LoadOperatorConfig(r.operatorPath)
 	if err == nil && second.digest != result.operatorConfig.digest {
-		err = diagnostic.List{{File: r.operatorPath, Want: "or a file it names, is being written"}}
+		err = diagnostic.List{{File: r.operatorPath, Want: "this file or a file that it names is being written"}}
 	}
 	result.err = err
 	return result
 }
 
-// apply puts in force what was read, all of it or nothing.
+// apply puts the files that were read in force: all of them, or none if it returns an error.
 func (r *reloader) apply(result reloadResult) error {
 	if result.err != nil {
 		return result.err
--- a/internal/lifecycle/reload_test.go
+++ b/internal/lifecycle/reload_test.go
@@ -13,8 +13,8 @@
 	`"limits":{"cores":1,"memory_mb":1,"sockets":64},` +
 	`"settings":{"classes":[{"name":"view"}],"domain":{"cpus":1}}}`
 
-// A file that is cut off behind a whole line reads as one that says less: what changes between two readings is not
-// taken, nor is what is taken at the start only.
+// A file that is truncated after a complete line parses as one with fewer settings. Therefore a file that changes
+// between two reads is rejected, as is a changed setting that takes effect only when the process starts.
 func Example_partlyWritten() {
 	dir := fake.Must(os.MkdirTemp("", "lifecycle"))
 	defer func() { _ = os.RemoveAll(dir) }() // the system clears it in any case
@@ -30,21 +30,21 @@
 	operatorPath := write("op.ini", whole)
 	operatorConfig := fake.Must(LoadOperatorConfig(operatorPath))
 	reload := newReloader(Options{ConfigPath: configPath, OperatorPath: operatorPath}, operatorConfig)
-	reload.pause = func() {}
+	reload.waitBetweenReads = func() {}
 	printResult := func(result reloadResult) {
 		roles := len(result.operatorConfig.File.Callers.Roles)
 		fmt.Println(roles, strings.ReplaceAll(fmt.Sprint(result.err), dir+"/", ""))
 	}
 	printResult(reload.read())
 	write("op.ini", whole[:len(whole)/2])
-	reload.pause = func() { write("op.ini", whole) }
+	reload.waitBetweenReads = func() { write("op.ini", whole) }
 	printResult(reload.read())
-	reload.pause = func() {}
+	reload.waitBetweenReads = func() {}
 	write("op.ini", whole+"[log]\nformat = json\n")
 	result := reload.read()
 	fmt.Println(strings.ReplaceAll(fmt.Sprint(reload.apply(result)), dir+"/", ""))
 	// Output:
 	// 2 <nil>
-	// 1 op.ini: or a file it names, is being written
-	// op.ini: log.format: is "json", was "text" at the start, and changes with the next one only
+	// 1 op.ini: this file or a file that it names is being written
+	// op.ini: log.format: is "json", must remain "text" until the process is restarted
 }
--- a/internal/lifecycle/signals.go
+++ b/internal/lifecycle/signals.go
@@ -6,15 +6,16 @@
 	"syscall"
 )
 
-// signalChannels are the signals that a process goes by. Each channel holds one, which stands for all that come
-// until it is taken. They are apart so that many of one kind leave room for the other at a slow start.
+// signalChannels holds the channels of the signals that a process handles. Each channel buffers one signal, which
+// represents all signals of its kind that arrive until it is received. The channels are separate so that many signals
+// of one kind during a slow start leave room for the other kind.
 type signalChannels struct {
-	terminate <-chan os.Signal // SIGTERM: drain and end
-	reload    <-chan os.Signal // SIGHUP: go by the files as they are now
+	terminate <-chan os.Signal // SIGTERM: drain and exit
+	reload    <-chan os.Signal // SIGHUP: read the files again and apply them
 }
 
-// notifySignals returns the channels. It is called before all else, as either signal would end the process until
-// then. A reader of the log that is gone must not end it either, so SIGPIPE is ignored.
+// notifySignals returns the channels. It is called before anything else, because until then either signal would kill
+// the process. SIGPIPE is ignored, because a log reader that has exited must not end the process either.
 func notifySignals() signalChannels {
 	terminate := make(chan os.Signal, 1)
 	reload := make(chan os.Signal, 1)
--- a/internal/lifecycle/standalone.go
+++ b/internal/lifecycle/standalone.go
@@ -9,10 +9,11 @@
 	"lanewheel/internal/logging"
 )
 
-// AgentProcessors is GOMAXPROCS of a process that serves no requests: one is for the sockets of the gossip.
+// AgentProcessors is GOMAXPROCS of a process that serves no requests. One of the processors is for the gossip sockets.
 const AgentProcessors = 2
 
-// Standalone is a process beside the instances that goes by an operator's file: a proxy, an allocator, a coordinator.
+// Standalone is a process other than an instance that is configured by an operator's file: a proxy, an allocator or
+// a coordinator.
 type Standalone struct {
 	OperatorConfig OperatorConfig // at the start
 
@@ -20,8 +21,8 @@
 	signals      signalChannels
 }
 
-// StartStandalone sets up the log and the signals, and reads the operator's file, which must have enabled what the
-// process is for. The error is a diagnostic.List; want is what it says of a file that has not.
+// StartStandalone sets up the log and the signal handling, and reads the operator's file, which must enable the role
+// of the process. The error is a diagnostic.List. If enabled returns false, its only diagnostic has the text want.
 func StartStandalone(options Options, want string, enabled func(*config.Operator) bool) (*Standalone, error) {
 	started := &Standalone{operatorPath: options.OperatorPath, signals: notifySignals()}
 	logging.Setup(os.Stderr, options.LogFormat)
@@ -37,12 +38,13 @@
 	return started, nil
 }
 
-// Terminated receives a signal to terminate, until HandleSignals takes them.
-func (s *Standalone) Terminated() <-chan os.Signal { return s.signals.terminate }
+// TerminateSignals returns the channel of signals to terminate. It must not be used after HandleSignals is called,
+// which receives from the same channel.
+func (s *Standalone) TerminateSignals() <-chan os.Signal { return s.signals.terminate }
 
-// HandleSignals calls drain for a signal to terminate, and reload with the operator's file as it is now for one to
-// reload, on the calling goroutine. It never returns. A file that is being written may be wrong for a moment: the
-// old one holds, and the next signal reads it again.
+// HandleSignals calls drain for each signal to terminate. For each signal to reload it reads the operator's file again
+// and calls reload with it. Both are called on the calling goroutine. It never returns. A file that is being written
+// may be invalid for a moment: the previous one then stays in force, and the next signal reads the file again.
 func (s *Standalone) HandleSignals(drain func(), reload func(*OperatorConfig)) {
 	current := s.OperatorConfig
 	for {
--- a/internal/lifecycle/unchanged.go
+++ b/internal/lifecycle/unchanged.go
@@ -10,25 +10,26 @@
 	"lanewheel/internal/diagnostic"
 )
 
-// checkUnchanged returns a diagnostic.List if a file that was read again differs from the one before in what is
-// taken at the start only. A file is put in force whole or not at all.
-func (o *OperatorConfig) checkUnchanged(before *OperatorConfig) error {
-	now, then := o.startSettings(), before.startSettings()
-	for _, name := range slices.Sorted(maps.Keys(now)) {
-		if now[name] != then[name] {
+// checkUnchanged returns a diagnostic.List if a file that was read again differs from the current one in a setting that
+// takes effect only when the process starts. A file is applied as a whole or not at all.
+func (o *OperatorConfig) checkUnchanged(current *OperatorConfig) error {
+	next, initial := o.startupSettings(), current.startupSettings()
+	for _, name := range slices.Sorted(maps.Keys(next)) {
+		if next[name] != initial[name] {
 			return diagnostic.List{{
 				File:  o.File.Path,
 				Name:  name,
-				Value: now[name],
-				Want:  "was " + strconv.Quote(then[name]) + " at the start, and changes with the next one only",
+				Value: next[name],
+				Want:  "must remain " + strconv.Quote(initial[name]) + " until the process is restarted",
 			}}
 		}
 	}
 	return nil
 }
 
-// startSettings is what is taken at the start only, as text, by the names of sections and keys.
-func (o *OperatorConfig) startSettings() map[string]string {
+// startupSettings returns, as text, the settings that take effect only when the process starts, by the names of their
+// sections and keys.
+func (o *OperatorConfig) startupSettings() map[string]string {
 	listener, allocator := &o.File.TLS, &o.File.Allocator
 	return map[string]string{
 		"callers":            strconv.FormatBool(o.Authn != nil),
@@ -37,7 +38,7 @@
 		"tls.handshake-rate": fmt.Sprint(listener.HandshakeRate),
 		"log.format":         o.File.Log.Format,
 		"amqp":               o.File.AMQP.StartupFingerprint(),
-		"fleet":              fleetStartSettings(&o.File.Fleet),
+		"fleet":              fleetStartupSettings(&o.File.Fleet),
 		"proxy":              fmt.Sprint(o.File.Proxy),
 		"upstream":           fmt.Sprint(o.File.Upstream),
 		"allocator": fmt.Sprint(allocator.Enabled, allocator.LockFile,
@@ -46,7 +47,7 @@
 	}
 }
 
-func fleetStartSettings(f *config.Fleet) string {
+func fleetStartupSettings(f *config.Fleet) string {
 	return fmt.Sprint(f.Enabled, f.Name, f.Cluster, f.ListenAddress, f.AdvertiseAddress, f.ServiceAddress, f.Roles,
 		f.Zone, f.Release, f.Capacity, f.WarmUp, f.ProbeInterval, f.StatusSocket, f.DrainWhenFenced, f.RequirePermit)
 }
--- a/internal/logging/asyncwriter.go
+++ b/internal/logging/asyncwriter.go
@@ -7,30 +7,31 @@
 	"time"
 )
 
-// maxQueuedLines is how many lines wait: some seconds of the most that closing connections leave.
+// maxQueuedLines is the maximum number of lines that wait to be written. It holds some seconds of the lines that
+// closing connections log at most.
 const maxQueuedLines = 256
 
-// flushInterval is how often flush looks.
-const flushInterval = 100 * time.Microsecond
+// flushPollInterval is the interval at which flush checks for unwritten lines.
+const flushPollInterval = 100 * time.Microsecond
 
-// asyncWriter writes lines on a goroutine of its own. If the reader of the log stops reading, its pipe fills, and
-// the next line would hold up whoever logs it, the event loop and with it every response. Any goroutine may call
-// its methods.
+// asyncWriter writes lines on a separate goroutine. If the reader of the log stops reading, its pipe fills, and the
+// next line would block the goroutine that logs it: the event loop, and with it every response. Any goroutine may
+// call its methods.
 type asyncWriter struct {
-	destination io.Writer // of the writing goroutine
+	destination io.Writer // used by the writing goroutine only
 	lines       chan []byte
-	dropped     atomic.Uint64 // lines, since the last one that was written
-	unwritten   atomic.Int64  // lines that were queued and are not written yet
+	dropped     atomic.Uint64 // number of lines dropped since the last line was written
+	unwritten   atomic.Int64  // number of lines that are queued or being written
 }
 
-// newAsyncWriter starts a writer, for as long as the program runs.
+// newAsyncWriter starts a writer that runs until the program exits.
 func newAsyncWriter(destination io.Writer) *asyncWriter {
 	writer := &asyncWriter{destination: destination, lines: make(chan []byte, maxQueuedLines)}
 	go writer.run()
 	return writer
 }
 
-// run writes the lines. An error has nowhere to be reported to.
+// run writes the lines. It ignores write errors, because there is nowhere to report them.
 func (w *asyncWriter) run() {
 	for line := range w.lines {
 		if dropped := w.dropped.Swap(0); dropped > 0 {
@@ -42,7 +43,7 @@
 	}
 }
 
-// Write queues one line, and never waits: if there is no room, the line is dropped and counted.
+// Write queues one line and never blocks: if the queue is full, the line is dropped and counted.
 func (w *asyncWriter) Write(line []byte) (int, error) {
 	w.unwritten.Add(1)
 	select {
@@ -54,10 +55,10 @@
 	return len(line), nil
 }
 
-// flush waits until all lines are written, or for the timeout.
+// flush waits until all lines are written or the timeout expires.
 func (w *asyncWriter) flush(timeout time.Duration) {
 	deadline := time.Now().Add(timeout)
 	for w.unwritten.Load() > 0 && time.Now().Before(deadline) {
-		time.Sleep(flushInterval)
+		time.Sleep(flushPollInterval)
 	}
 }
--- a/internal/logging/asyncwriter_test.go
+++ b/internal/logging/asyncwriter_test.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// A reader that stops holds up nobody who logs. Lines that there is no room for are counted, and reported once it reads
-// again.
+// A log reader that stops reading does not block goroutines that log. Lines that do not fit into the queue are counted,
+// and their number is logged when it reads again.
 func Example_stoppedReader() {
 	reader, pipe := io.Pipe()
 	writer := newAsyncWriter(pipe)
-	for i := range maxQueuedLines + 10 { // one line is being written, the rest wait, some are dropped
+	for i := range maxQueuedLines + 10 { // one line is being written, maxQueuedLines wait, the rest are dropped
 		if i == 1 {
-			for len(writer.lines) > 0 { // the first has been taken by then
+			for len(writer.lines) > 0 { // until the writing goroutine has received the first line
 				time.Sleep(time.Millisecond)
 			}
 		}
 		_, _ = fmt.Fprintln(writer, "line", i) // never fails
 	}
-	writer.flush(time.Millisecond) // in vain
+	writer.flush(time.Millisecond) // times out
 	fmt.Println("waiting:", writer.unwritten.Load())
 	go func() {
 		writer.flush(time.Minute)
--- a/internal/logging/sampler_test.go
+++ b/internal/logging/sampler_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A few lines of each key, then a count, and the next window anew.
+// In each window a few lines of each key are allowed, and the others are counted; the next window starts from zero.
 func Example_sampler() {
 	var sampler Sampler[string]
 	now := time.Unix(0, 0)
--- a/internal/logging/setup.go
+++ b/internal/logging/setup.go
@@ -1,5 +1,5 @@
-// Package logging sets up the program's one log, key=value or JSON lines, so that writing it holds nobody up, and
-// limits lines that could come by the hundred.
+// Package logging sets up the program's log, key=value or JSON lines, so that writing it blocks no goroutine, and
+// limits the rate of lines that could occur by the hundred.
 package logging
 
 import (
@@ -11,26 +11,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// Format is the form of the log's lines.
+// Format is the format of log lines.
 type Format string
 
-// The formats. Any other is Text.
+// The log formats. Any other value is treated as Text.
 const (
 	Text Format = "text" // key=value
-	JSON Format = "json" // an object a line
+	JSON Format = "json" // one object per line
 )
 
 const (
 	flushTimeout        = time.Second
-	blockedFlushTimeout = 10 * time.Millisecond // if the reader of the log has stopped reading
+	blockedFlushTimeout = 10 * time.Millisecond // when the reader of the log has stopped reading
 )
 
-// programWriter is behind the log of the program. It is set by the first Setup; Setup and Flush are called on the main
+// programWriter writes the program's log. The first call of Setup sets it; Setup and Flush are called on the main
 // goroutine only.
 var programWriter *asyncWriter
 
-// Setup has the program log to w, for as long as it runs. A later call changes the format only. It is called on the
-// main goroutine.
+// Setup makes w the destination of the program's log until the program exits. Later calls change only the format. It is
+// called on the main goroutine.
 func Setup(w io.Writer, format Format) {
 	if programWriter == nil {
 		programWriter = newAsyncWriter(w)
@@ -53,8 +53,8 @@
 	slog.SetDefault(slog.New(handler))
 }
 
-// Flush waits until the last lines are written, but not for long if their reader has stopped: the program may be
-// killed in a moment. It is called on the main goroutine, at the end of the program.
+// Flush waits until the last lines are written. It waits only briefly if the reader of the log has stopped reading,
+// because the program may be killed at any moment. It is called on the main goroutine, before the program exits.
 func Flush() {
 	if programWriter == nil {
 		return
@@ -66,7 +66,7 @@
 	programWriter.flush(timeout)
 }
 
-// writable tells whether writing to a file would not block, or that is not known.
+// writable reports whether writing to a file would not block. It returns true if that cannot be determined.
 func writable(file *os.File) bool {
 	pollFDs := []unix.PollFd{{Fd: int32(file.Fd()), Events: unix.POLLOUT}}
 	n, err := unix.Poll(pollFDs, 0)
--- a/internal/logging/setup_test.go
+++ b/internal/logging/setup_test.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Both formats of a line have the same names.
+// Both formats use the same attribute names.
 func Example_formats() {
 	defer slog.SetDefault(slog.Default())
 	for _, format := range []Format{Text, JSON} {
--- a/internal/statussocket/statussocket.go
+++ b/internal/statussocket/statussocket.go
@@ -1,4 +1,4 @@
-// Package statussocket is a local socket on which a process shows its state to clients on the same machine.
+// Package statussocket serves a local socket on which a process shows its state to clients on the same machine.
 package statussocket
 
 import (
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// clientTimeout is how long one client may take. A client that connects and does not read would hold up the others, as
-// they are served one after the other.
+// clientTimeout is the maximum time to serve one client. Clients are served one after the other, so a client that
+// connects and does not read would block the others.
 const clientTimeout = time.Second
 
-// Serve listens at path and hands each connection to handle, one after the other on a goroutine of its own, until
-// done is closed. It replaces what an earlier process left at path. A socket that cannot be opened is logged and is
-// no reason for the process to stop. Clients of other users are refused from when Serve has returned.
+// Serve listens at path until done is closed. It calls handle for one connection at a time, on a separate goroutine.
+// It replaces a socket that an earlier process left at path. An error when opening the socket is only logged, because
+// the process can run without it. Once Serve has returned, clients of other users cannot connect.
 func Serve(path string, done <-chan struct{}, handle func(net.Conn)) {
 	listener, err := listen(path)
 	if err != nil {
@@ -26,14 +26,14 @@
 	}
 	go func() {
 		<-done
-		_ = listener.Close() // the process stops
+		_ = listener.Close() // the process is stopping
 	}()
 	go serve(listener, handle)
 }
 
 func listen(path string) (net.Listener, error) {
 	if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		slog.Warn("status socket not replaced", "path", path, "err", err)
+		slog.Warn("previous status socket not removed", "path", path, "err", err)
 	}
 	var config net.ListenConfig
 	listener, err := config.Listen(context.Background(), "unix", path)
@@ -41,12 +41,12 @@
 		return nil, err
 	}
 	if err := os.Chmod(path, 0o600); err != nil {
-		slog.Warn("status socket open to other users", "path", path, "err", err)
+		slog.Warn("status socket accessible to other users", "path", path, "err", err)
 	}
 	return listener, nil
 }
 
-// serve ends when the listener is closed.
+// serve accepts connections until the listener is closed.
 func serve(listener net.Listener, handle func(net.Conn)) {
 	for {
 		conn, err := listener.Accept()
@@ -56,6 +56,6 @@
 		if err := conn.SetDeadline(time.Now().Add(clientTimeout)); err == nil {
 			handle(conn)
 		}
-		_ = conn.Close() // what the client did not get, it asks for again
+		_ = conn.Close() // the client repeats a request that was not served
 	}
 }
--- a/internal/statussocket/statussocket_test.go
+++ b/internal/statussocket/statussocket_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// ask connects, sends a line and gives the line that comes back.
-func ask(path, line string) (string, error) {
+// request connects, sends a line and returns the response line.
+func request(path, line string) (string, error) {
 	dialer := net.Dialer{Timeout: 5 * time.Second}
 	conn, err := dialer.DialContext(context.Background(), "unix", path)
 	if err != nil {
@@ -30,11 +30,11 @@
 
 func echo(conn net.Conn) {
 	if line, err := bufio.NewReader(conn).ReadString('\n'); err == nil {
-		_, _ = fmt.Fprint(conn, "got "+line) // the test sees what did not arrive
+		_, _ = fmt.Fprint(conn, "got "+line) // the test fails if the response does not arrive
 	}
 }
 
-// Clients are served one after the other, also past one that sends nothing, until the process is done.
+// Clients are served one after the other until done is closed, even if a client before them sends nothing.
 func TestServe(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "status")
 	if err := os.WriteFile(path, []byte("left by an earlier process"), 0o600); err != nil {
@@ -55,25 +55,25 @@
 	}
 	defer func() { _ = silent.Close() }()
 	for _, line := range []string{"a", "b"} {
-		if answer, err := ask(path, line); err != nil || answer != "got "+line+"\n" {
-			t.Errorf("answer %q, error %v", answer, err)
+		if response, err := request(path, line); err != nil || response != "got "+line+"\n" {
+			t.Errorf("response %q, error %v", response, err)
 		}
 	}
 	close(done)
 	deadline := time.Now().Add(5 * time.Second)
 	for _, err := os.Stat(path); err == nil; _, err = os.Stat(path) {
 		if time.Now().After(deadline) {
-			t.Fatal("the socket is there after the end")
+			t.Fatal("the socket still exists after done was closed")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// A path that cannot be listened at is no reason to stop.
+// Serve returns, and nothing listens, if the socket cannot be created.
 func TestServeWithoutDirectory(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "missing", "status")
 	Serve(path, make(chan struct{}), echo)
-	if _, err := ask(path, "a"); err == nil {
-		t.Error("somebody answers")
+	if _, err := request(path, "a"); err == nil {
+		t.Error("a request succeeded without a socket")
 	}
 }
