--- a/internal/lifecycle/instanceconfig.go
+++ b/internal/lifecycle/instanceconfig.go
@@ -140,7 +140,7 @@
 	p.config.Seed = seed
 }
 
-// readSettings reads the settings of the admission controller and the further settings of the server.
+// readSettings reads the settings of the admission controller and the additional settings of the server.
 func (p *configParser) readSettings() {
 	object := p.root.Get("settings")
 	if object == nil {
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -20,7 +20,7 @@
 	"lanewheel/internal/server"
 )
 
-// Options holds the command-line options of a process.
+// Options holds the options that a process is started with.
 type Options struct {
 	ConfigPath   string         // path of the platform's configuration (JSON)
 	OperatorPath string         // path of the operator's file (INI); empty if there is none
--- a/internal/lifecycle/operatorconfig.go
+++ b/internal/lifecycle/operatorconfig.go
@@ -14,7 +14,7 @@
 type OperatorConfig struct {
 	File        config.Operator
 	Authn       *authn.Config    // nil if every caller is allowed to do everything
-	ClusterKeys []membership.Key // the first is used to encrypt
+	ClusterKeys []membership.Key // the first is the key for outgoing messages
 
 	serverTLS *tls.Config // nil if there is no listener with TLS
 	digest    digest      // of all files
--- a/internal/lifecycle/operatorconfig_test.go
+++ b/internal/lifecycle/operatorconfig_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// A missing file that the operator's file names is an error that names it.
+// If a file that the operator's file names is missing, the error contains its path.
 func TestMissingReferencedFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "op.ini")
 	missing := filepath.Join(t.TempDir(), "missing.pem")
--- a/internal/lifecycle/standalone.go
+++ b/internal/lifecycle/standalone.go
@@ -12,7 +12,7 @@
 // AgentProcessors is GOMAXPROCS of a process that serves no requests. One of the processors is for the gossip sockets.
 const AgentProcessors = 2
 
-// Standalone is a process other than an instance that is configured by an operator's file: a proxy, an allocator or
+// Standalone is a process that is configured by an operator's file and is not an instance: a proxy, an allocator or
 // a coordinator.
 type Standalone struct {
 	OperatorConfig OperatorConfig // at the start
--- a/internal/statussocket/statussocket.go
+++ b/internal/statussocket/statussocket.go
@@ -16,7 +16,7 @@
 const clientTimeout = time.Second
 
 // Serve listens at path until done is closed. It calls handle for one connection at a time, on a separate goroutine.
-// It replaces a socket that an earlier process left at path. An error when opening the socket is only logged, because
+// It replaces a file that an earlier process left at path. An error when opening the socket is only logged, because
 // the process can run without it. Once Serve has returned, clients of other users cannot connect.
 func Serve(path string, done <-chan struct{}, handle func(net.Conn)) {
 	listener, err := listen(path)
