--- a/cmd/lanewheel/commandline_test.go
+++ b/cmd/lanewheel/commandline_test.go
@@ -83,9 +83,9 @@
 	// bad.ini:3: log.formt: is no name of this section; wants format
 	// bad.ini:5: lgo: is no section; wants allocator, amqp, caller NAME, callers, coordinator, fleet, log, proxy, queue NAME, role NAME, spillover, tls, tokens, upstream
 	// bad.ini:6: log: stands in line 1 already
-	// 1 bad.json:2: roster: is "7", must be a non-empty string
+	// 1 bad.json:2: roster: is "7", must be a string
 	// bad.json:3: limits.cores: is "-1", must be a number greater than 0
-	// bad.json:3: limits.sockets: must be a number of 32 or more
+	// bad.json:3: limits.sockets: must be a whole number of 32 or more, in digits only
 	// bad.json:4: settings.domain.cpus: must be a number of 1 or more
 	// bad.json:5: settings.classes.1.credit: is "x", must not be of type string
 }
--- a/internal/filelock/filelock.go
+++ b/internal/filelock/filelock.go
@@ -1,4 +1,4 @@
-// Package filelock provides a lock file that only one process of a machine can hold at a time.
+// Package filelock provides a file lock that only one process on a machine can hold at a time.
 package filelock
 
 import (
@@ -13,10 +13,10 @@
 var errLocked = errors.New("another process holds the lock")
 
 // Acquire locks the file at path, which it creates if it does not exist. While another process holds the lock,
-// Acquire calls retry, which should wait for a while, and tries again if retry returns true. If it returns false,
+// Acquire calls retry, which should wait for a while, and tries again if retry returns true. If retry returns false,
 // Acquire returns an error. The lock is released by Close or, when its holder exits, by the kernel. It is not
-// released earlier: a process that is stopped or hangs keeps it. So two processes can neither use the same directory
-// nor grant the same leases, each according to its own memory.
+// released earlier: a process that is stopped or hangs keeps it. This prevents two processes from using the same
+// directory at the same time, and from granting the same leases because neither knows what the other has granted.
 func Acquire(path string, retry func() bool) (io.Closer, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
--- a/internal/filelock/filelock_test.go
+++ b/internal/filelock/filelock_test.go
@@ -30,7 +30,7 @@
 		return true
 	})
 	if err != nil || retries != 3 {
-		t.Fatalf("after %d retries: %v, want 3", retries, err)
+		t.Fatalf("%d retries, error %v; want 3 retries, no error", retries, err)
 	}
 	if err := second.Close(); err != nil {
 		t.Error(err)
--- a/internal/lifecycle/allocators/allocators.go
+++ b/internal/lifecycle/allocators/allocators.go
@@ -14,20 +14,20 @@
 	"lanewheel/internal/lifecycle"
 )
 
-// shutdownTimeout is the maximum time that an allocator takes to leave the fleet.
+// shutdownTimeout is the maximum time that an allocator takes to leave the fleet after a signal to terminate.
 const shutdownTimeout = time.Second
 
 // lockRetryInterval is the interval between attempts to acquire a lock that another process holds.
 const lockRetryInterval = 200 * time.Millisecond
 
-// Attach connects an allocator to its fleet before it serves. The returned function applies an operator's file that was
-// read again; it is called on the goroutine that handles signals.
+// Attach connects an allocator to its fleet before it serves. The returned function applies a reloaded operator's file;
+// it is called on the goroutine that handles signals.
 type Attach func(
 	server *allocator.Server, operatorConfig *lifecycle.OperatorConfig,
 ) (reload func(*lifecycle.OperatorConfig), err error)
 
-// Run starts the allocator that the operator's file configures, and serves until a signal to terminate. While another
-// process holds the lock file, it waits. It is called on the main goroutine.
+// Run starts the allocator that the operator's file configures, and serves until it has drained after a signal to
+// terminate or with a permit. While another process holds the lock file, Run waits. It is called on the main goroutine.
 func Run(options lifecycle.Options, attach Attach) error {
 	started, err := lifecycle.StartStandalone(options, "must have the sections [fleet] and [allocator]",
 		func(file *config.Operator) bool { return file.Allocator.Enabled })
--- a/internal/lifecycle/coordinators/coordinators.go
+++ b/internal/lifecycle/coordinators/coordinators.go
@@ -25,13 +25,13 @@
 }
 
 // Attach returns the agent, not yet started, through which a coordinator communicates with its fleet. The returned
-// function applies an operator's file that was read again; it is called on the goroutine that handles signals.
+// function applies a reloaded operator's file; it is called on the goroutine that handles signals.
 type Attach func(
 	process gossip.Process, operatorConfig *lifecycle.OperatorConfig,
 ) (agent *gossip.Agent, reload func(*lifecycle.OperatorConfig), err error)
 
-// Run starts the coordinator that the operator's file configures, and serves until a signal to terminate. It is called
-// on the main goroutine.
+// Run starts the coordinator that the operator's file configures, and serves until it is shut down by a signal to
+// terminate, by a drain with a permit, or because it is fenced. It is called on the main goroutine.
 func Run(options lifecycle.Options, formation Formation, attach Attach) error {
 	started, err := lifecycle.StartStandalone(options, "must have the sections [fleet] and [coordinator]",
 		func(file *config.Operator) bool { return file.Coordinator.Enabled })
--- a/internal/lifecycle/coordinators/coordinators_test.go
+++ b/internal/lifecycle/coordinators/coordinators_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// A leader reports that it is ready and that it leads, by the name of the metric that other members read.
+// A leader reports that it is ready, and reports its leadership under the metric name that other members read.
 func TestReportGolden(t *testing.T) {
 	node := fake.Must(coordinator.New(coordinator.Config{
 		Name:              "s0",
--- a/internal/lifecycle/fleet.go
+++ b/internal/lifecycle/fleet.go
@@ -6,9 +6,9 @@
 	"lanewheel/internal/server"
 )
 
-// FleetJoiner makes an instance join the fleet, and use the upstream services, that the operator's file configures. It
-// is called before the server serves. The returned function applies an operator's file that was read again; any
-// goroutine may call it, one call at a time.
+// FleetJoiner connects an instance to the fleet and the upstream services that the operator's file configures. It is
+// called before the server serves. The returned function applies a reloaded operator's file; any goroutine may call it,
+// one call at a time.
 type FleetJoiner func(
 	instance *server.Server, config server.Config, operatorConfig *OperatorConfig,
 ) (reload func(*OperatorConfig), err error)
--- a/internal/lifecycle/frontends.go
+++ b/internal/lifecycle/frontends.go
@@ -10,7 +10,7 @@
 	"lanewheel/internal/transport"
 )
 
-// attachFrontends adds to the instance the additional front ends that the operator's file enables.
+// attachFrontends adds the front ends that the operator's file enables to the instance.
 func attachFrontends(instance *server.Server, config *server.Config, operatorConfig *OperatorConfig) {
 	if !operatorConfig.File.AMQP.Enabled {
 		return
@@ -23,7 +23,7 @@
 	instance.AddFrontend(amqp.New(queueConfig, instance, instance.Post, config.Seed))
 }
 
-// tlsListener returns the additional listener with TLS, or nil if none is enabled. Each handshake uses the
+// tlsListener returns the additional TLS listener, or nil if none is enabled. Each handshake uses the
 // configuration that serverTLS holds when the handshake begins.
 func (o *OperatorConfig) tlsListener(serverTLS *atomic.Pointer[tls.Config]) *transport.TLSListener {
 	if o.serverTLS == nil {
--- a/internal/lifecycle/instanceconfig.go
+++ b/internal/lifecycle/instanceconfig.go
@@ -16,7 +16,7 @@
 	"lanewheel/internal/settings"
 )
 
-// minDescriptors is the lowest limit on file descriptors with which an instance works.
+// minDescriptors is the smallest file descriptor limit with which an instance can run.
 const minDescriptors = 32
 
 // LoadConfig reads the platform's configuration of an instance. The error is a diagnostic.List of all problems.
@@ -53,16 +53,16 @@
 	path        string
 	text        []byte
 	root        *fastjson.Value
-	lines       map[string]int // line numbers by name; nil until a problem is reported
+	lines       map[string]int // line numbers by dotted name; nil until a problem is reported
 	config      server.Config
 	diagnostics diagnostic.List
 }
 
-// report adds a diagnostic about the value with the given name. A value that is absent is reported with the line of the
-// innermost object around it that is present.
+// report adds a diagnostic about the value with the given dotted name. An absent value is reported with the line of the
+// innermost enclosing object that is present.
 func (p *configParser) report(name, want string) {
 	if p.lines == nil {
-		p.lines, _ = diagnostic.JSONLines(p.text) // duplicate names are not a problem here
+		p.lines, _ = diagnostic.JSONLines(p.text) // duplicate names are not reported here
 	}
 	value := ""
 	found := p.root.Get(strings.Split(name, ".")...)
@@ -86,17 +86,18 @@
 		name     string
 		value    *string
 		optional bool
+		want     string
 	}{
-		{"name", &p.config.Name, false},
-		{"listen", &p.config.ListenAddr, false},
-		{"runtime", &p.config.RuntimeAddr, false},
-		{"db", &p.config.DatabaseAddr, true},
-		{"roster", &p.config.RegistryAddr, true},
+		{"name", &p.config.Name, false, "must be a non-empty string"},
+		{"listen", &p.config.ListenAddr, false, "must be a non-empty string"},
+		{"runtime", &p.config.RuntimeAddr, false, "must be a non-empty string"},
+		{"db", &p.config.DatabaseAddr, true, "must be a string"},
+		{"roster", &p.config.RegistryAddr, true, "must be a string"},
 	} {
 		*field.value = string(p.root.GetStringBytes(field.name))
 		mayBeEmpty := field.optional && p.isStringOrAbsent(field.name)
 		if *field.value == "" && !mayBeEmpty {
-			p.report(field.name, "must be a non-empty string")
+			p.report(field.name, field.want)
 		}
 	}
 }
@@ -122,13 +123,13 @@
 	}
 	p.config.MaxDescriptors = p.root.GetInt("limits", "sockets")
 	if p.config.MaxDescriptors < minDescriptors {
-		p.report("limits.sockets", "must be a number of 32 or more")
+		p.report("limits.sockets", "must be a whole number of 32 or more, in digits only")
 	}
 	p.config.TerminationGrace = time.Duration(p.root.GetFloat64("stop_ms") * float64(time.Millisecond))
 }
 
-// readSeed reads the seed of random choices. A seed need not be a hexadecimal number: the hash of any other text, or of
-// an empty text if the seed is absent, is used.
+// readSeed reads the seed for random choices. A seed need not be a hexadecimal number: the hash of any other text,
+// or of an empty text if the seed is absent, is used.
 func (p *configParser) readSeed() {
 	text := p.root.GetStringBytes("seed")
 	seed, err := strconv.ParseUint(string(text), 16, 64)
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,9 +1,8 @@
 // Package lifecycle starts, reloads, drains and stops a service instance: it reads the configuration and the operator's
-// file, connects the components and handles signals. The packages below it do the same for the other processes of
-// a fleet.
+// file, connects the components and handles signals. Its subpackages do the same for the other processes of a fleet.
 //
-// Run, and Run of the packages below, are called on the main goroutine. Signals are handled on a separate goroutine,
-// which accesses a running server only through its Post.
+// Run, and Run of each subpackage, is called on the main goroutine. Signals are handled on a separate goroutine, which
+// accesses a running server only through its Post method.
 package lifecycle
 
 import (
@@ -28,8 +27,8 @@
 }
 
 // Run starts an instance and serves until it has drained. joinFleet is nil in a program that is linked without the
-// fleet components. The error is a diagnostic.List if a file is invalid, ErrFleetNotLinked, or the reason why
-// something could not be opened.
+// fleet components. The error is a diagnostic.List if a file cannot be read or is invalid, ErrFleetNotLinked, an error
+// from opening the server's listeners, or an error from joinFleet.
 func Run(options Options, joinFleet FleetJoiner) error {
 	signals := notifySignals()
 	logging.Setup(os.Stderr, options.LogFormat)
@@ -52,27 +51,27 @@
 		otherPollers = 1
 	}
 	SetRuntimeLimits(&config, otherPollers)
-	reload := newReloader(options, operatorConfig)
+	reloader := newReloader(options, operatorConfig)
 	config.Authn = operatorConfig.Authn
-	config.TLS = operatorConfig.tlsListener(&reload.serverTLS)
-	reload.server, err = openServer(config, signals.terminate)
-	if reload.server == nil {
+	config.TLS = operatorConfig.tlsListener(&reloader.serverTLS)
+	reloader.server, err = openServer(config, signals.terminate)
+	if reloader.server == nil {
 		return err
 	}
-	attachFrontends(reload.server, &config, &operatorConfig)
+	attachFrontends(reloader.server, &config, &operatorConfig)
 	if needsFleet {
-		reload.reloadFleet, err = joinFleet(reload.server, config, &operatorConfig)
+		reloader.reloadFleet, err = joinFleet(reloader.server, config, &operatorConfig)
 		if err != nil {
 			return err
 		}
 	}
-	go reload.handleSignals(signals)
+	go reloader.handleSignals(signals)
 	slog.Info("listening", "name", config.Name, "addr", config.ListenAddr)
 	if operatorConfig.serverTLS != nil {
 		listener := &operatorConfig.File.TLS
 		slog.Info("listening", "name", config.Name, "addr", listener.ListenAddress, "tls", listener.MinVersion)
 	}
-	reload.server.Serve()
+	reloader.server.Serve()
 	return nil
 }
 
--- a/internal/lifecycle/operatorconfig.go
+++ b/internal/lifecycle/operatorconfig.go
@@ -16,7 +16,7 @@
 	Authn       *authn.Config    // nil if every caller is allowed to do everything
 	ClusterKeys []membership.Key // the first is the key for outgoing messages
 
-	serverTLS *tls.Config // nil if there is no listener with TLS
+	serverTLS *tls.Config // nil if there is no TLS listener
 	digest    digest      // of all files
 }
 
@@ -24,7 +24,7 @@
 type digest [sha256.Size]byte
 
 // LoadOperatorConfig reads an operator's file and the keys, certificates and lists that it names. An empty path stands
-// for a file that enables nothing. The error is a diagnostic.List, or the reason why a folder could not be read.
+// for a file that enables nothing. The error is a diagnostic.List.
 func LoadOperatorConfig(path string) (OperatorConfig, error) {
 	if path == "" {
 		file, err := config.Load(path)
--- a/internal/lifecycle/operatorfiles.go
+++ b/internal/lifecycle/operatorfiles.go
@@ -19,7 +19,7 @@
 	"lanewheel/internal/tokens"
 )
 
-// fileReader reads the files that an operator's file names, and computes a digest of all of them.
+// fileReader reads an operator's file and the files that it names, and computes a digest of all of them.
 type fileReader struct{ hash hash.Hash }
 
 func newFileReader() *fileReader { return &fileReader{sha256.New()} }
@@ -69,7 +69,11 @@
 	}
 	revoked, line := tokens.ParseRevocations(string(text))
 	if line > 0 {
-		return diagnostic.List{{File: section.RevocationFile, Line: line, Want: `must be "jti ID" or "sub SUBJECT"`}}
+		return diagnostic.List{{
+			File: section.RevocationFile,
+			Line: line,
+			Want: `must be "jti ID" or "sub SUBJECT", within the maximum number of entries`,
+		}}
 	}
 	loaded.Authn.RevokedTokens = revoked
 	return nil
@@ -93,7 +97,7 @@
 	return pair, nil
 }
 
-// readServerTLS reads the certificates of the listener with TLS.
+// readServerTLS reads the certificates of the TLS listener.
 func (r *fileReader) readServerTLS(loaded *OperatorConfig) error {
 	section := &loaded.File.TLS
 	pair, err := r.readKeyPair(section.CertificateFile, section.KeyFile)
@@ -109,7 +113,7 @@
 			return err
 		}
 		serverTLS.ClientCAs = loaded.Authn.TrustStore.Roots()
-		// Package certs verifies the chain, because it also verifies it repeatedly after the handshake.
+		// crypto/tls does not verify the chain: package certs does so, and checks it again after the handshake.
 		serverTLS.ClientAuth = tls.RequestClientCert
 		if section.RequireClientCertificate {
 			serverTLS.ClientAuth = tls.RequireAnyClientCert
@@ -119,7 +123,7 @@
 	return nil
 }
 
-// readTrustStore reads the authorities of client certificates and their revocation lists.
+// readTrustStore reads the certificate authorities for client certificates and their revocation lists.
 func (r *fileReader) readTrustStore(loaded *OperatorConfig) error {
 	section := &loaded.File.TLS
 	authorities, err := r.readFile(section.AuthoritiesFile)
--- a/internal/lifecycle/proxies/proxies.go
+++ b/internal/lifecycle/proxies/proxies.go
@@ -11,11 +11,11 @@
 	"lanewheel/internal/server"
 )
 
-// lastMessageDelay is the time that the last gossip message takes to leave the process.
+// lastMessageDelay is the time allowed for the last gossip message to leave the process.
 const lastMessageDelay = 10 * time.Millisecond
 
-// Join returns a proxy that listens and has joined its fleet. The returned function applies an operator's file that was
-// read again; it is called on the goroutine that handles signals.
+// Join returns a proxy that listens and has joined its fleet. The returned function applies a reloaded operator's file;
+// it is called on the goroutine that handles signals.
 type Join func(
 	config server.Config, operatorConfig *lifecycle.OperatorConfig,
 ) (joined *proxy.Proxy, reload func(*lifecycle.OperatorConfig), err error)
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	lifecycle.SetRuntimeLimits(&platform, 1) // the gossip's sockets do not wait in the poller
+	lifecycle.SetRuntimeLimits(&platform, 1) // the gossip sockets do not wait in the runtime's poller
 	joined, reload, err := join(platform, &started.OperatorConfig)
 	if err != nil {
 		return err
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -10,8 +10,8 @@
 	"lanewheel/internal/server"
 )
 
-// Bounds of the delay before a failed reload is retried. Writing a file takes far less than the minimum; a person takes
-// far longer.
+// Bounds of the delay before a failed reload is retried. A program writes a file in far less time than the minimum;
+// a person who edits one takes far longer than that.
 const (
 	minReloadRetryDelay = 50 * time.Millisecond
 	maxReloadRetryDelay = 5 * time.Second
@@ -51,10 +51,10 @@
 // handleSignals handles the signals to terminate and to reload. It never returns. A file that can't be read, or that
 // is being written, must neither stop nor change a running instance: the previous configuration stays in force, and
 // the files are read again with a growing delay. They are read on another goroutine, one read at a time, so that
-// a disk that hangs does not keep the signal to terminate from the server.
+// a hanging disk does not prevent a signal to terminate from reaching the server.
 func (r *reloader) handleSignals(signals signalChannels) {
 	var retry <-chan time.Time
-	var retryDelay time.Duration // before the last retry; 0 if no read has failed since the signal
+	var retryDelay time.Duration // before the last retry; 0 if no reload has failed since the signal
 	requested, reading := false, false
 	results := make(chan reloadResult, 1)
 	for {
@@ -92,7 +92,7 @@
 	err            error
 }
 
-// read reads all files. The operator's files are read twice, with a delay between: a file that is truncated after
+// read reads all files. The operator's files are read twice, with a delay in between: a file that is truncated after
 // a complete line parses as one with fewer settings, and a file that is being written differs at the second read.
 func (r *reloader) read() (result reloadResult) {
 	if result.config, result.err = LoadConfig(r.configPath); result.err != nil || r.operatorPath == "" {
@@ -104,13 +104,13 @@
 	r.waitBetweenReads()
 	second, err := LoadOperatorConfig(r.operatorPath)
 	if err == nil && second.digest != result.operatorConfig.digest {
-		err = diagnostic.List{{File: r.operatorPath, Want: "this file or a file that it names is being written"}}
+		err = diagnostic.List{{File: r.operatorPath, Want: "this file or a file that it names changed during the reload"}}
 	}
 	result.err = err
 	return result
 }
 
-// apply puts the files that were read in force: all of them, or none if it returns an error.
+// apply applies the files that were read: all of them, or none if it returns an error.
 func (r *reloader) apply(result reloadResult) error {
 	if result.err != nil {
 		return result.err
--- a/internal/lifecycle/reload_test.go
+++ b/internal/lifecycle/reload_test.go
@@ -29,22 +29,22 @@
 	const whole = "[role a]\ntypes = view\nmay = read\n[role b]\ntypes = view\nmay = read\n"
 	operatorPath := write("op.ini", whole)
 	operatorConfig := fake.Must(LoadOperatorConfig(operatorPath))
-	reload := newReloader(Options{ConfigPath: configPath, OperatorPath: operatorPath}, operatorConfig)
-	reload.waitBetweenReads = func() {}
+	reloader := newReloader(Options{ConfigPath: configPath, OperatorPath: operatorPath}, operatorConfig)
+	reloader.waitBetweenReads = func() {}
 	printResult := func(result reloadResult) {
 		roles := len(result.operatorConfig.File.Callers.Roles)
 		fmt.Println(roles, strings.ReplaceAll(fmt.Sprint(result.err), dir+"/", ""))
 	}
-	printResult(reload.read())
+	printResult(reloader.read())
 	write("op.ini", whole[:len(whole)/2])
-	reload.waitBetweenReads = func() { write("op.ini", whole) }
-	printResult(reload.read())
-	reload.waitBetweenReads = func() {}
+	reloader.waitBetweenReads = func() { write("op.ini", whole) }
+	printResult(reloader.read())
+	reloader.waitBetweenReads = func() {}
 	write("op.ini", whole+"[log]\nformat = json\n")
-	result := reload.read()
-	fmt.Println(strings.ReplaceAll(fmt.Sprint(reload.apply(result)), dir+"/", ""))
+	result := reloader.read()
+	fmt.Println(strings.ReplaceAll(fmt.Sprint(reloader.apply(result)), dir+"/", ""))
 	// Output:
 	// 2 <nil>
-	// 1 op.ini: this file or a file that it names is being written
+	// 1 op.ini: this file or a file that it names changed during the reload
 	// op.ini: log.format: is "json", must remain "text" until the process is restarted
 }
--- a/internal/lifecycle/signals.go
+++ b/internal/lifecycle/signals.go
@@ -15,7 +15,7 @@
 }
 
 // notifySignals returns the channels. It is called before anything else, because until then either signal would kill
-// the process. SIGPIPE is ignored, because a log reader that has exited must not end the process either.
+// the process. SIGPIPE is ignored, because otherwise a log reader that has exited would end the process.
 func notifySignals() signalChannels {
 	terminate := make(chan os.Signal, 1)
 	reload := make(chan os.Signal, 1)
--- a/internal/lifecycle/unchanged.go
+++ b/internal/lifecycle/unchanged.go
@@ -10,8 +10,8 @@
 	"lanewheel/internal/diagnostic"
 )
 
-// checkUnchanged returns a diagnostic.List if a file that was read again differs from the current one in a setting that
-// takes effect only when the process starts. A file is applied as a whole or not at all.
+// checkUnchanged returns a diagnostic.List if a reloaded file differs from the current one in a setting that takes
+// effect only when the process starts. A file is applied as a whole or not at all.
 func (o *OperatorConfig) checkUnchanged(current *OperatorConfig) error {
 	next, initial := o.startupSettings(), current.startupSettings()
 	for _, name := range slices.Sorted(maps.Keys(next)) {
@@ -27,8 +27,8 @@
 	return nil
 }
 
-// startupSettings returns, as text, the settings that take effect only when the process starts, by the names of their
-// sections and keys.
+// startupSettings returns the settings that take effect only when the process starts. The keys are the names of
+// sections, or of sections and settings; the values are the settings as text.
 func (o *OperatorConfig) startupSettings() map[string]string {
 	listener, allocator := &o.File.TLS, &o.File.Allocator
 	return map[string]string{
--- a/internal/logging/asyncwriter.go
+++ b/internal/logging/asyncwriter.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// maxQueuedLines is the maximum number of lines that wait to be written. It is enough
-// for some seconds at the highest rate at which closing connections are logged.
+// maxQueuedLines is the maximum number of lines that wait to be written. It is enough for some seconds at the highest
+// rate at which closing connections are logged.
 const maxQueuedLines = 256
 
 // flushPollInterval is the interval at which flush checks for unwritten lines.
--- a/internal/logging/sampler.go
+++ b/internal/logging/sampler.go
@@ -19,7 +19,8 @@
 	windowStart time.Time // time of the first line in this window
 }
 
-// Allow counts a line and reports whether it may be logged.
+// Allow counts a line and reports whether it may be logged. Once maxKeys keys have been counted in a
+// window, lines of other keys are neither counted nor allowed.
 func (s *Sampler[K]) Allow(key K, now time.Time) bool {
 	if s.counts == nil {
 		s.counts = map[K]int{}
--- a/internal/logging/setup.go
+++ b/internal/logging/setup.go
@@ -1,5 +1,5 @@
-// Package logging sets up the program's log, key=value or JSON lines, so that writing it blocks no goroutine, and
-// limits the rate of lines that could occur by the hundred.
+// Package logging sets up the program's log, in key=value or JSON format, so that logging never blocks the calling
+// goroutine. It also limits the rate of log lines that may occur by the hundred.
 package logging
 
 import (
--- a/internal/statussocket/statussocket_test.go
+++ b/internal/statussocket/statussocket_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// Clients are served one after the other until done is closed, even if a client before them sends nothing.
+// Clients are served one after the other until done is closed, even if an earlier client sends nothing.
 func TestServe(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "status")
 	if err := os.WriteFile(path, []byte("left by an earlier process"), 0o600); err != nil {
