--- a/internal/fake/autorun.go
+++ b/internal/fake/autorun.go
@@ -8,12 +8,13 @@
 	"time"
 )
 
-// callEvery is which part of the runs stands at a call once: one in so many.
+// callEvery is the number of runs per run that makes a call: one run in callEvery makes exactly one call.
 const callEvery = 3
 
-// AutoRun has the runtime carry out what it is told by itself, until its link closes: as many runs at a time as cores,
-// the others wait. What a run takes is drawn about mean; every third one stands at a call once. onStart, if not nil, is
-// called for each start, on another goroutine.
+// AutoRun makes the runtime carry out the instance's commands by itself until its link closes. At most cores runs use a
+// core at the same time; the others wait. The duration of a run is drawn from an exponential distribution with the given
+// mean. Every third run makes one call and waits for its result. If onStart is not nil, it is called for each start, on
+// another goroutine.
 func (r *Runtime) AutoRun(cores int, mean time.Duration, seed uint64, onStart func(id, class, body string)) {
 	w := &worker{
 		runtime: r,
@@ -31,30 +32,30 @@
 	}()
 }
 
-// worker carries out runs.
+// worker executes the runs of a runtime.
 type worker struct {
 	runtime *Runtime
 	cores   int
 	mean    time.Duration
 	onStart func(id, class, body string)
 
-	mu      sync.Mutex // guards what follows, and the sending of notices
+	mu      sync.Mutex // guards the fields below and the sending of notices
 	random  *rand.Rand
-	runs    map[string]*run // that have not ended
-	waiting []*run          // for a core
-	busy    int             // cores
-	started int
+	runs    map[string]*run // runs that have not ended, by request id
+	waiting []*run          // runs that wait for a core
+	busy    int             // number of cores in use
+	started int             // number of runs started so far
 }
 
 type run struct {
 	id      string
 	left    time.Duration
-	calls   bool // it has a call to come
-	stopped bool
-	lost    bool
+	calls   bool // the run has yet to make its call
+	stopped bool // the instance has asked to stop the run
+	lost    bool // the run never ends
 }
 
-// handle takes one message.
+// handle processes one message from the instance.
 func (w *worker) handle(message map[string]any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -62,7 +63,7 @@
 	current := w.runs[id]
 	switch message[fieldKind] {
 	case "start":
-		if current == nil { // else it is sent anew
+		if current == nil { // otherwise the message is a retransmission
 			w.start(id, message)
 		}
 	case "give", "omit":
@@ -106,12 +107,12 @@
 	}
 	if w.onStart != nil {
 		encoded, _ := message[fieldBody].(string)
-		body, _ := base64.StdEncoding.DecodeString(encoded) // what can be decoded of it
+		body, _ := base64.StdEncoding.DecodeString(encoded) // on an error, the part that was decoded
 		w.onStart(id, fmt.Sprint(message[fieldClass]), string(body))
 	}
 }
 
-// runWaiting gives free cores to the runs that wait.
+// runWaiting assigns free cores to waiting runs.
 func (w *worker) runWaiting() {
 	for w.busy < w.cores && len(w.waiting) > 0 {
 		w.busy++
@@ -120,7 +121,7 @@
 	}
 }
 
-// runSlice has a run use a core up to its call or end, and give it back.
+// runSlice makes a run occupy a core until its call or its end, and then releases the core.
 func (w *worker) runSlice(running *run) {
 	slice := running.left
 	if running.calls {
--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// Client is a client's connection. One goroutine at a time may use it, or one that sends and one that reads.
+// Client is a client's connection to an instance. At any time one goroutine may send and one may read.
 type Client struct {
 	Conn   net.Conn
 	reader *bufio.Reader
 }
 
-// NewClient speaks on a connection that stands.
+// NewClient returns a Client that uses an established connection.
 func NewClient(conn net.Conn) *Client { return &Client{Conn: conn, reader: bufio.NewReader(conn)} }
 
-// Dial connects to an instance, which may have to come up first.
+// Dial connects to an instance. It retries for up to WaitTimeout because the instance may still be starting.
 func Dial(addr string) *Client {
 	var conn net.Conn
 	var dialer net.Dialer
@@ -32,10 +32,10 @@
 	return NewClient(conn)
 }
 
-// Close ends the connection, if it stands.
+// Close closes the connection if it is open.
 func (c *Client) Close() { _ = c.Conn.Close() }
 
-// Send writes messages together.
+// Send writes the messages in a single write.
 func (c *Client) Send(messages ...[]any) {
 	var b []byte
 	for _, message := range messages {
@@ -44,8 +44,8 @@
 	Must(c.Conn.Write(b))
 }
 
-// NewRequest is the message of a request that is sent now and waits 2 s for its response; extra are names and values of
-// fields, beside these or in their place.
+// NewRequest returns the message of a request that is sent now and waits 2 s for its response. extra holds alternating
+// names and values of fields that are added to the default fields or replace them.
 func NewRequest(number int, class, id string, body []byte, extra ...string) []any {
 	fields := map[string]string{
 		"id":   id,
@@ -62,16 +62,17 @@
 	return []any{0, number, class, []any{fields, body}}
 }
 
-// RequestID makes a request's id of a number.
+// RequestID returns the request id for a number: 16 hexadecimal digits.
 func RequestID(n int) string { return fmt.Sprintf("%016x", n) }
 
-// Next waits for the next message; an error is the connection's end.
+// Next waits up to WaitTimeout for the next message. It returns an error if the connection ended or no message came.
 func (c *Client) Next() (any, error) {
-	_ = c.Conn.SetReadDeadline(time.Now().Add(WaitTimeout)) // if it failed, so does the read
+	_ = c.Conn.SetReadDeadline(time.Now().Add(WaitTimeout)) // if this fails, the read fails too
 	return decode(c.reader)
 }
 
-// NextText waits for the next message, and gives it as text, or how the connection ended.
+// NextText waits for the next message and returns it as text. It returns "closed" if the peer closed the connection, and
+// the text of the error if reading failed in another way.
 func (c *Client) NextText() string {
 	message, err := c.Next()
 	switch {
@@ -85,13 +86,13 @@
 
 // Response is the response to a request.
 type Response struct {
-	Number int            // of the request; 0: the message is no response
-	Error  string         // the code; empty: the request succeeded
-	Fields map[string]any // beside the error or result
+	Number int            // number of the request; 0 if the message is not a response
+	Error  string         // error code; empty if the request succeeded
+	Fields map[string]any // fields that accompany the error or the result
 	Result []byte
 }
 
-// NextResponse waits for the next message.
+// NextResponse waits for the next message and returns it as a Response; see Response.Number for other messages.
 func (c *Client) NextResponse() (response Response, err error) {
 	message, err := c.Next()
 	if err != nil {
@@ -112,7 +113,7 @@
 	return response, nil
 }
 
-// CheckHealth asks whether the instance is healthy, with a test of its runtime.
+// CheckHealth sends a deep health check, which also tests the runtime, and reports whether the instance is healthy.
 func (c *Client) CheckHealth() bool {
 	c.Send([]any{0, 1, "check", []any{map[string]string{"deep": "1"}}})
 	return strings.Contains(c.NextText(), "true")
--- a/internal/fake/database.go
+++ b/internal/fake/database.go
@@ -10,23 +10,23 @@
 	"time"
 )
 
-// maxWaitingCalls is how many calls, or ends of connections, may wait to be looked at.
+// maxWaitingCalls is the capacity of the channels of calls and of ended connections.
 const maxWaitingCalls = 100
 
-// Database takes calls, each on a connection of its own.
+// Database is a fake database that receives the calls of an instance over HTTP.
 type Database struct {
 	Listener         net.Listener
 	Calls            chan *Call
-	ConnectionsEnded chan struct{} // one for each connection that its peer has ended
+	ConnectionsEnded chan struct{} // receives one value for each connection that the peer has closed
 }
 
-// Call is one call that waits for its reply.
+// Call is a call that waits for its reply.
 type Call struct {
 	Conn net.Conn
-	Text string // the call, as a script prints it
+	Text string // the call as printed by a scripted test
 }
 
-// NewDatabase makes a database on a free port.
+// NewDatabase starts a database on a free port of the loopback address.
 func NewDatabase() *Database {
 	d := &Database{
 		Listener:         listen(),
@@ -37,7 +37,7 @@
 	return d
 }
 
-// Addr is where calls go to.
+// Addr returns the address that accepts calls.
 func (d *Database) Addr() string { return d.Listener.Addr().String() }
 
 func (d *Database) acceptLoop() {
@@ -68,25 +68,25 @@
 	return fmt.Sprintf("%s %s for %s timed %v body %q", request.Method, request.URL, id, hasTimeout, body)
 }
 
-// NextCall waits for the next call.
+// NextCall waits for the next call, and panics if none arrives within WaitTimeout.
 func (d *Database) NextCall() *Call {
 	select {
 	case call := <-d.Calls:
 		return call
 	case <-time.After(WaitTimeout):
-		panic("no call at the database")
+		panic("no call arrived at the database")
 	}
 }
 
-// Reply answers a call; fields are whole header lines. Nothing is told if the caller has gone.
+// Reply answers the call; fields holds complete header lines. It ignores errors because the caller may have disconnected.
 func (c *Call) Reply(status, fields, body string) {
 	_, _ = fmt.Fprintf(c.Conn, "HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, fields, len(body), body)
 }
 
-// AutoReply has the database answer every call by itself, at once.
+// AutoReply makes the database answer every call immediately by itself.
 func (d *Database) AutoReply() { d.AutoReplyAfter(0) }
 
-// AutoReplyAfter has the database answer every call by itself, the given time after it came.
+// AutoReplyAfter makes the database answer every call by itself, with the given delay after its arrival.
 func (d *Database) AutoReplyAfter(delay time.Duration) {
 	go func() {
 		for range d.ConnectionsEnded {
--- a/internal/fake/fake.go
+++ b/internal/fake/fake.go
@@ -1,6 +1,6 @@
-// Package fake is the programs that an instance speaks with, as tests and "lanewheel try" need them: clients, the
-// runtime, the database and the registry. They follow a script, or work by themselves after a call of an Auto method.
-// What can't go on ends the process with a panic.
+// Package fake provides fakes of the programs that an instance communicates with, for tests and for "lanewheel try":
+// clients, the runtime, the database and the registry. A fake is driven step by step by a script, or works by itself
+// after a call of one of its Auto methods. An unrecoverable error panics and so ends the process.
 package fake
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Must gives x, and panics on an error.
+// Must returns x, and panics if err is not nil.
 func Must[T any](x T, err error) T {
 	if err != nil {
 		panic(err)
@@ -17,13 +17,14 @@
 	return x
 }
 
-// WaitTimeout is for how long a condition is waited for: far longer than any of them takes on a busy machine.
+// WaitTimeout is the maximum time to wait for a condition or a message. It is far longer than any of them takes, even on
+// a busy machine.
 const WaitTimeout = 10 * time.Second
 
-// pollInterval is how often WaitFor looks.
+// pollInterval is the time between two evaluations of the condition in WaitFor.
 const pollInterval = time.Millisecond
 
-// WaitFor waits for a condition, and panics with what it is if it does not hold in time.
+// WaitFor waits until the condition holds. It panics with the description in what if that takes longer than WaitTimeout.
 func WaitFor(what string, condition func() bool) {
 	for end := time.Now().Add(WaitTimeout); !condition(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
@@ -32,8 +33,8 @@
 	}
 }
 
-// Settings are an instance's settings for two cores and three classes: one that is idempotent, one that is not, and one
-// that can do without its calls. IDLE and FRESH are seconds, to be replaced.
+// Settings holds an instance's settings for two cores and three classes: one idempotent class, one that is not idempotent,
+// and one whose calls can be skipped. IDLE and FRESH are placeholders for numbers of seconds.
 const Settings = `{"classes":[
  {"name":"view","credit":1,"promise-s":1,"give-up-s":3,"late-share":0,"repeat":"idempotent"},
  {"name":"pay","credit":1,"promise-s":1,"give-up-s":3,"late-share":0,"repeat":"at_most_once"},
@@ -47,7 +48,7 @@
  "fleet-size":1,"rules":{"drain-grace-s":0.5,"fall-multiple":8,"grace-to-answer-s":0.1,"start-capacity":0.3,
  "tip-after-s":2,"warm-within-s":5},"policy-limits":{"retry-after":false},"tenants":[],"tick-s":0.002}`
 
-// listen listens on a free port of the loopback address.
+// listen returns a TCP listener on a free port of the loopback address.
 func listen() net.Listener {
 	return Must((&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0"))
 }
--- a/internal/fake/fake_test.go
+++ b/internal/fake/fake_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// dial connects to a fake.
+// dial connects to a fake; the connection is closed when the test ends.
 func dial(t *testing.T, network, addr string) net.Conn {
 	t.Helper()
 	var dialer net.Dialer
@@ -26,7 +26,7 @@
 	return conn
 }
 
-// What a client sends is in the forms that an instance reads, each value in one of them.
+// Encode uses only the MessagePack formats that an instance reads, and one format for each kind of value.
 func TestEncode(t *testing.T) {
 	for want, value := range map[string]any{
 		"c0":                                 nil,
@@ -43,7 +43,7 @@
 	}
 }
 
-// What an instance writes is read, and a message that is cut off is an error wherever that is.
+// A message in the formats that an instance writes is decoded; a message truncated at any byte returns an error.
 func TestDecode(t *testing.T) {
 	message := []byte("\x94\x01\xce\x00\x00\x00\x07\xc0\x93\xc4\x02\x00\xff\xc5\x00\x01a\x82\xa3say\xa40.25\xa4last\xc3")
 	want := []any{1, 7, nil, []any{[]byte{0, 255}, []byte("a"), map[string]any{"say": "0.25", "last": true}}}
@@ -53,15 +53,15 @@
 	}
 	for size := range message {
 		if got, err := decode(bufio.NewReader(bytes.NewReader(message[:size]))); err == nil {
-			t.Errorf("%d bytes were read as %#v", size, got)
+			t.Errorf("message truncated to %d bytes was decoded as %#v", size, got)
 		}
 	}
 	if _, err := decode(bufio.NewReader(strings.NewReader("\xc1"))); err == nil || errors.Is(err, io.EOF) {
-		t.Errorf("an unknown tag: %v", err)
+		t.Errorf("unknown tag: got error %v, want one other than EOF", err)
 	}
 }
 
-// A response tells its request, and what became of it; another message has no number.
+// A response carries the number of its request and its result or error; any other message has number 0.
 func TestNextResponse(t *testing.T) {
 	near, far := net.Pipe()
 	client := NewClient(near)
@@ -82,11 +82,11 @@
 		}
 	}
 	if got := client.NextText(); got != "closed" {
-		t.Errorf("behind the end: %s", got)
+		t.Errorf("after the end of the connection: got %s, want closed", got)
 	}
 }
 
-// Reports come one by one.
+// NextReport returns the reports one at a time, in the order of their arrival.
 func TestRegistry(t *testing.T) {
 	registry := NewRegistry()
 	defer registry.Close()
@@ -101,7 +101,7 @@
 	}
 }
 
-// A call is told as text and answered; the end of its connection is told.
+// A call is described as text and can be answered; the end of its connection is reported.
 func TestDatabase(t *testing.T) {
 	database := NewDatabase()
 	defer func() { _ = database.Listener.Close() }()
@@ -125,7 +125,7 @@
 	<-database.ConnectionsEnded
 }
 
-// runtimeLink is an instance's end of a link.
+// runtimeLink is the instance's end of a link to a fake runtime.
 type runtimeLink struct {
 	t      *testing.T
 	conn   net.Conn
@@ -171,7 +171,8 @@
 	}
 }
 
-// By script all but the gauges is handed over, and the end of the link is told.
+// In scripted mode the test receives every message except requests for gauges, which are answered automatically, and the
+// end of the link is reported.
 func TestRuntimeByScript(t *testing.T) {
 	runtime := NewRuntime()
 	defer func() { _ = runtime.Listener.Close() }()
@@ -194,11 +195,11 @@
 	}
 	_ = link.conn.Close()
 	if got := runtime.NextCommand(); got != "link closed" {
-		t.Errorf("got %s behind the end", got)
+		t.Errorf("after the end of the link: got %s, want link closed", got)
 	}
 }
 
-// By itself it runs what is started, on its one core, has each third run stand at a call, and stops runs.
+// After AutoRun the runtime executes the started runs on its one core and makes a call in every third run.
 func TestAutoRun(t *testing.T) {
 	runtime := NewRuntime()
 	defer func() { _ = runtime.Listener.Close() }()
@@ -211,7 +212,7 @@
 	}
 	link.send(`{"t":"start","rid":"c","route":"view","b64":""}`)
 	link.expect("wants", "c", "")
-	link.send(`{"t":"start","rid":"c","route":"view","b64":""}`) // sent anew: it runs once
+	link.send(`{"t":"start","rid":"c","route":"view","b64":""}`) // a retransmission: the run is executed once
 	link.send(`{"t":"give","rid":"c","b64":""}`)
 	link.expect("end", "c", "success")
 	link.send(`{"t":"selftest","mark":"s"}`)
@@ -225,7 +226,7 @@
 	}
 }
 
-// Its faults are shown by runs that start from then on.
+// A change of the faults affects the runs that start after it.
 func TestRuntimeFaults(t *testing.T) {
 	runtime := NewRuntime()
 	defer func() { _ = runtime.Listener.Close() }()
@@ -241,7 +242,7 @@
 	link.send(`{"t":"stop","rid":"b"}`)
 	faults <- RuntimeFaults{}
 	link.send(`{"t":"start","rid":"c"}`)
-	link.expect("wants", "c", "") // and nothing came of b
+	link.expect("wants", "c", "") // the lost run b has sent nothing
 	link.send(`{"t":"stop","rid":"c"}`)
 	link.expect("end", "c", "interrupted")
 }
--- a/internal/fake/msgpack.go
+++ b/internal/fake/msgpack.go
@@ -7,7 +7,8 @@
 	"io"
 )
 
-// The tags of MessagePack that are used here. A fixed tag holds the length, or the number, in its low bits.
+// MessagePack tags that are used here. A fix tag holds the length in its low bits; a tag below tagFixMap is the number
+// itself.
 const (
 	tagFixMap    = 0x80
 	tagFixArray  = 0x90
@@ -21,12 +22,12 @@
 	tagString8   = 0xd9
 	tagString16  = 0xda
 
-	fixMask       = 0x0f // of maps and arrays
-	fixStringMask = 0x1f
+	fixMask       = 0x0f // length bits of fix maps and fix arrays
+	fixStringMask = 0x1f // length bits of fix strings
 )
 
-// Encode appends a value of one of the few kinds that a client sends: nil, int, string, []byte, []any and
-// map[string]string, with at most 15 elements.
+// Encode appends the encoding of value to b. It supports the kinds of values that a client sends: nil, int, string,
+// []byte, []any and map[string]string. A list or map has at most 15 elements.
 func Encode(b []byte, value any) []byte {
 	switch value := value.(type) {
 	case nil:
@@ -54,7 +55,7 @@
 	return b
 }
 
-// decode reads one value of the kinds that an instance writes.
+// decode reads one value. It supports the formats that an instance writes and returns an error for any other tag.
 func decode(r *bufio.Reader) (any, error) {
 	tag, err := r.ReadByte()
 	if err != nil {
@@ -82,7 +83,7 @@
 	case tag == tagBin16:
 		return decodeBin(r, 2)
 	}
-	return nil, fmt.Errorf("message with tag %x, which no instance writes", tag)
+	return nil, fmt.Errorf("message tag %x is not one that an instance writes", tag)
 }
 
 func decodeArray(r *bufio.Reader, length int) (any, error) {
@@ -111,7 +112,7 @@
 	return fields, nil
 }
 
-// decodeBin reads a bin whose length takes so many bytes.
+// decodeBin reads binary data whose length is encoded in lengthBytes bytes.
 func decodeBin(r *bufio.Reader, lengthBytes int) (any, error) {
 	length, err := readUint(r, lengthBytes)
 	if err != nil {
@@ -120,7 +121,7 @@
 	return readBytes(r, length)
 }
 
-// readUint reads a big-endian number of so many bytes.
+// readUint reads a big-endian number of size bytes.
 func readUint(r *bufio.Reader, size int) (x int, err error) {
 	b, err := readBytes(r, size)
 	for _, digit := range b {
--- a/internal/fake/registry.go
+++ b/internal/fake/registry.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// maxReportBytes is more than any report has.
+// maxReportBytes is the size of the read buffer; every report is shorter.
 const maxReportBytes = 100
 
-// Registry takes the reports.
+// Registry is a fake registry that receives the reports of instances as UDP datagrams.
 type Registry struct{ conn net.PacketConn }
 
-// NewRegistry makes a registry on a free port.
+// NewRegistry starts a registry on a free port of the loopback address.
 func NewRegistry() *Registry {
 	return &Registry{conn: Must((&net.ListenConfig{}).ListenPacket(context.Background(), "udp", "127.0.0.1:0"))}
 }
 
-// Addr is where reports go to.
+// Addr returns the address that receives reports.
 func (r *Registry) Addr() string { return r.conn.LocalAddr().String() }
 
-// Close has the registry go away.
+// Close closes the registry's socket.
 func (r *Registry) Close() { _ = r.conn.Close() }
 
-// NextReport waits for the next datagram.
+// NextReport waits for the next datagram and returns it, and panics if none arrives within WaitTimeout.
 func (r *Registry) NextReport() string {
 	buffer := make([]byte, maxReportBytes)
-	_ = r.conn.SetReadDeadline(time.Now().Add(WaitTimeout)) // if it failed, so does the read
+	_ = r.conn.SetReadDeadline(time.Now().Add(WaitTimeout)) // if this fails, the read fails too
 	n, _, err := r.conn.ReadFrom(buffer)
 	return string(buffer[:Must(n, err)])
 }
--- a/internal/fake/runtime.go
+++ b/internal/fake/runtime.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// The fields of the runtime's messages. The fake has its own names of them, so that it does not follow a mistake of the
-// codec.
+// Field names of the runtime's messages. The fake defines them itself, so that a mistake in the names of the codec under
+// test is detected.
 const (
 	fieldKind      = "t"
 	fieldSequence  = "no"
@@ -21,53 +21,54 @@
 	fieldBody      = "b64"
 )
 
-// maxWaitingMessages is how many messages may wait to be looked at.
+// maxWaitingMessages is the capacity of Runtime.Messages.
 const maxWaitingMessages = 100
 
-// Runtime carries out runs: by script, or after AutoRun by itself. One goroutine at a time may use it, beside the one
-// that AutoRun starts.
+// Runtime is a fake runtime that executes runs: driven by a script, or by itself after AutoRun. Only one goroutine at a
+// time may use it, apart from the one that AutoRun starts.
 type Runtime struct {
 	Listener   net.Listener
 	Conn       net.Conn             // the link that was accepted last
-	Messages   chan map[string]any  // all that came on it but requests for gauges, which are answered; closed at its end
-	Silent     bool                 // links that are accepted from now on have no requests for gauges answered
-	LastNotice int                  // the number of the last notice
-	Faults     func() RuntimeFaults // the faults that AutoRun shows now; nil: none
+	Messages   chan map[string]any  // messages of Conn except requests for gauges; closed when the link ends
+	Silent     bool                 // on links accepted from now on, requests for gauges are not answered
+	LastNotice int                  // number of the last notice sent
+	Faults     func() RuntimeFaults // returns the faults that apply to a run started by AutoRun; nil means no faults
 }
 
-// RuntimeFaults are the faults of a runtime that works by itself.
+// RuntimeFaults describes the faults that a runtime shows after AutoRun.
 type RuntimeFaults struct {
-	SlowFactor float64 // runs take so many times as long; 0: as long as without faults
-	FailRuns   bool    // runs fail at once
-	LoseRuns   bool    // runs never end, and can't be stopped
+	SlowFactor float64 // factor by which the duration of runs is multiplied; 0 leaves it unchanged
+	FailRuns   bool    // runs fail immediately
+	LoseRuns   bool    // runs never end and cannot be stopped
 }
 
-// NewRuntime makes a runtime on a free port.
+// NewRuntime returns a runtime that listens on a free port of the loopback address.
 func NewRuntime() *Runtime { return &Runtime{Listener: listen()} }
 
-// Addr is where links go to.
+// Addr returns the address that accepts links.
 func (r *Runtime) Addr() string { return r.Listener.Addr().String() }
 
-// Accept waits for the next link and gives the number that it is synchronized with.
+// Accept waits for the next link and returns the sequence number of its synchronization message.
 func (r *Runtime) Accept() any {
-	_ = r.Listener.(*net.TCPListener).SetDeadline(time.Now().Add(WaitTimeout)) // if it failed, so does Accept
+	_ = r.Listener.(*net.TCPListener).SetDeadline(time.Now().Add(WaitTimeout)) // if this fails, Accept fails too
 	r.readMessages(Must(r.Listener.Accept()))
 	return r.NextMessage()[fieldSequence]
 }
 
-// TryAccept takes the next link, whenever it comes, and has it synchronized; false: nothing listens any more.
+// TryAccept accepts the next link without a time limit and waits for its synchronization message. It returns false if the
+// listener is closed.
 func (r *Runtime) TryAccept() bool {
 	conn, err := r.Listener.Accept()
 	if err != nil {
 		return false
 	}
 	r.readMessages(conn)
-	<-r.Messages // the number that it is synchronized with
+	<-r.Messages // the synchronization message
 	return true
 }
 
-// readMessages has the messages of a link come, instead of those of the last one. A line that is cut off is none, as
-// its sender was killed.
+// readMessages makes conn the current link and starts to read its messages. An incomplete last line is dropped because
+// its sender was killed while it wrote.
 func (r *Runtime) readMessages(conn net.Conn) {
 	messages := make(chan map[string]any, maxWaitingMessages)
 	r.Conn = conn
@@ -93,27 +94,28 @@
 	}()
 }
 
-// writeLine writes a line. One that the peer does not take is lost with the link, whose end is told otherwise.
+// writeLine writes a line. A write error is ignored because the reader of the link reports the end of the link.
 func writeLine(conn net.Conn, format string, args ...any) {
 	_, _ = fmt.Fprintf(conn, format+"\n", args...)
 }
 
-// SendReady says that the runtime is up, in this state.
+// SendReady sends the message that the runtime is ready, with the given state.
 func (r *Runtime) SendReady(state string) {
 	writeLine(r.Conn, `{"t":"ready","status":%q,"time_ms":10}`, state)
 }
 
-// NextMessage waits for the next message; nil: the link was closed.
+// NextMessage waits for the next message and returns it, or nil if the link was closed. It panics if no message arrives
+// within WaitTimeout.
 func (r *Runtime) NextMessage() map[string]any {
 	select {
 	case message := <-r.Messages:
 		return message
 	case <-time.After(WaitTimeout):
-		panic("no message from the instance")
+		panic("no message arrived from the instance")
 	}
 }
 
-// NextCommand waits for the next message, and gives it as a script prints it.
+// NextCommand waits for the next message and returns it as text, or "link closed".
 func (r *Runtime) NextCommand() string {
 	message := r.NextMessage()
 	if message == nil {
@@ -132,7 +134,7 @@
 	return text
 }
 
-// SendNotice sends a numbered notice of a run.
+// SendNotice sends a notice about a run, with the next number.
 func (r *Runtime) SendNotice(kind, requestID, status, body string) {
 	r.LastNotice++
 	writeLine(r.Conn, `{"t":%q,"no":%d,"rid":%q,"status":%q,"time_ms":20,"b64":%q}`,
