--- a/internal/fake/autorun.go
+++ b/internal/fake/autorun.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// callEvery is the number of runs per run that makes a call: one run in callEvery makes exactly one call.
-const callEvery = 3
+// callInterval is the interval, in started runs, between runs that make a call: every third run makes exactly one.
+const callInterval = 3
 
 // AutoRun makes the runtime carry out the instance's commands by itself until its link closes. At most cores runs use a
 // core at the same time; the others wait. The duration of a run is drawn from an exponential distribution with the given
@@ -27,7 +27,7 @@
 	messages := r.Messages
 	go func() {
 		for message := range messages {
-			w.handle(message)
+			w.handleMessage(message)
 		}
 	}()
 }
@@ -39,24 +39,24 @@
 	mean    time.Duration
 	onStart func(id, class, body string)
 
-	mu      sync.Mutex // guards the fields below and the sending of notices
-	random  *rand.Rand
-	runs    map[string]*run // runs that have not ended, by request id
-	waiting []*run          // runs that wait for a core
-	busy    int             // number of cores in use
-	started int             // number of runs started so far
+	mu         sync.Mutex // guards the fields below and the sending of notices
+	random     *rand.Rand
+	runs       map[string]*run // runs that have not ended, by request id
+	waiting    []*run          // runs that wait for a core
+	busyCores  int             // number of cores in use
+	startCount int             // number of runs started so far
 }
 
 type run struct {
-	id      string
-	left    time.Duration
-	calls   bool // the run has yet to make its call
-	stopped bool // the instance has asked to stop the run
-	lost    bool // the run never ends
+	id          string
+	remaining   time.Duration
+	callPending bool // the run has yet to make its call
+	stopped     bool // the instance has asked to stop the run
+	lost        bool // the run never ends
 }
 
-// handle processes one message from the instance.
-func (w *worker) handle(message map[string]any) {
+// handleMessage processes one message from the instance.
+func (w *worker) handleMessage(message map[string]any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	id, _ := message[fieldRequestID].(string)
@@ -73,7 +73,7 @@
 	case "stop":
 		if current != nil && !current.lost {
 			current.stopped = true
-			current.left = 0
+			current.remaining = 0
 			w.waiting = append(w.waiting, current)
 		}
 	case "selftest":
@@ -83,11 +83,11 @@
 }
 
 func (w *worker) start(id string, message map[string]any) {
-	w.started++
+	w.startCount++
 	started := &run{
-		id:    id,
-		left:  time.Duration(w.random.ExpFloat64() * float64(w.mean)),
-		calls: w.started%callEvery == 0,
+		id:          id,
+		remaining:   time.Duration(w.random.ExpFloat64() * float64(w.mean)),
+		callPending: w.startCount%callInterval == 0,
 	}
 	w.runs[id] = started
 	var faults RuntimeFaults
@@ -95,7 +95,7 @@
 		faults = w.runtime.Faults()
 	}
 	if faults.SlowFactor > 0 {
-		started.left = time.Duration(faults.SlowFactor * float64(started.left))
+		started.remaining = time.Duration(faults.SlowFactor * float64(started.remaining))
 	}
 	switch {
 	case faults.LoseRuns:
@@ -114,8 +114,8 @@
 
 // runWaiting assigns free cores to waiting runs.
 func (w *worker) runWaiting() {
-	for w.busy < w.cores && len(w.waiting) > 0 {
-		w.busy++
+	for w.busyCores < w.cores && len(w.waiting) > 0 {
+		w.busyCores++
 		w.runSlice(w.waiting[0])
 		w.waiting = w.waiting[1:]
 	}
@@ -123,20 +123,20 @@
 
 // runSlice makes a run occupy a core until its call or its end, and then releases the core.
 func (w *worker) runSlice(running *run) {
-	slice := running.left
-	if running.calls {
+	slice := running.remaining
+	if running.callPending {
 		slice /= 2
 	}
 	time.AfterFunc(slice, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.busy--
-		running.left -= slice
+		w.busyCores--
+		running.remaining -= slice
 		switch {
 		case running.stopped:
 			w.finish(running, "interrupted", "")
-		case running.calls:
-			running.calls = false
+		case running.callPending:
+			running.callPending = false
 			w.runtime.SendNotice("wants", running.id, "", "ask "+running.id)
 		default:
 			w.finish(running, "success", "done "+running.id)
--- a/internal/fake/broker/broker.go
+++ b/internal/fake/broker/broker.go
@@ -1,5 +1,5 @@
-// Package broker is a fake message broker: the server's side of AMQP 0-9-1, written from the specification, as far as
-// the consumer here uses it. It counts every delivery and settlement, and fails by a script.
+// Package broker is a fake message broker. It implements the server's side of AMQP 0-9-1 from the specification, limited
+// to the parts that this project's consumer uses. It counts every delivery and settlement, and injects scripted faults.
 package broker
 
 import (
@@ -11,17 +11,17 @@
 	amqp "github.com/rabbitmq/amqp091-go"
 )
 
-// Counts are what happened to a queue's messages.
+// Counts holds the counters of a queue.
 type Counts struct {
 	Published   int
 	Delivered   int
-	Redelivered int // contained in Delivered
+	Redelivered int // included in Delivered
 	Acked       int
 	Requeued    int
 	Rejected    int
 	Expired     int
 
-	// What there is now.
+	// The current numbers of ready messages, unsettled deliveries and consumers.
 	Ready     int
 	Unsettled int
 	Consumers int
@@ -31,17 +31,17 @@
 type Broker struct {
 	listener net.Listener
 
-	mu           sync.Mutex // guards all below, and all in queues, connections and channels
+	mu           sync.Mutex // guards the fields below and the state of queues, connections and channels
 	queues       map[string]*queue
-	bindings     map[string]map[string][]string // exchange, routing key, queues
+	bindings     map[string]map[string][]string // queue names by exchange and routing key
 	connections  map[*connection]bool
-	accepted     int    // connections
-	lastSequence uint64 // of a message
+	accepted     int    // number of connections accepted so far
+	lastSequence uint64 // sequence number of the newest message
 	faults       []Fault
 	refuseLogins bool
 	blocked      bool
 	silent       bool
-	frameCounts  map[int]int // by a connection's number
+	frameCounts  map[int]int // by connection number
 	violations   []string
 }
 
@@ -79,19 +79,19 @@
 	}
 }
 
-// Addr is where clients connect to.
+// Addr returns the address that accepts clients.
 func (b *Broker) Addr() string { return b.listener.Addr().String() }
 
-// URL is Addr with the credentials of a user that is let in.
+// URL returns the AMQP URL of the broker with the credentials of a user whose login is accepted.
 func (b *Broker) URL() string { return "amqp://guest:guest@" + b.Addr() + "/" }
 
-// Close ends the broker with all its connections.
+// Close stops the broker and closes all connections.
 func (b *Broker) Close() {
-	_ = b.listener.Close() // it listens no more, either way
+	_ = b.listener.Close() // the listener is closed even if Close returns an error
 	b.DropConnections()
 }
 
-// DropConnections ends all connections without a word. New ones are accepted.
+// DropConnections closes the sockets of all connections without sending connection.close. New connections are accepted.
 func (b *Broker) DropConnections() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -100,28 +100,28 @@
 	}
 }
 
-// SetFaults replaces the faults to come.
+// SetFaults replaces the list of scripted faults.
 func (b *Broker) SetFaults(faults ...Fault) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.faults = faults
 }
 
-// RefuseLogins has logins refused.
+// RefuseLogins sets whether logins are refused.
 func (b *Broker) RefuseLogins(on bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refuseLogins = on
 }
 
-// SetSilent has what comes from clients dropped, heartbeats too.
+// SetSilent sets whether all frames from clients, including heartbeats, are ignored.
 func (b *Broker) SetSilent(on bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.silent = on
 }
 
-// SetBlocked tells all clients that no messages are taken for now, or that they are again.
+// SetBlocked notifies all clients that the broker does not accept published messages, or that it accepts them again.
 func (b *Broker) SetBlocked(on bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -135,7 +135,7 @@
 	}
 }
 
-// CloseConsumerChannels closes all channels that consume, as after a wrong settlement.
+// CloseConsumerChannels closes all channels that have consumers, with the error that follows an invalid settlement.
 func (b *Broker) CloseConsumerChannels() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -148,14 +148,14 @@
 	}
 }
 
-// DeclareQueue makes a queue if there is none of the name.
+// DeclareQueue creates a queue if none has that name.
 func (b *Broker) DeclareQueue(name string, args amqp.Table) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.declare(name, args)
 }
 
-// DeleteQueue takes a queue away, and tells its consumers.
+// DeleteQueue deletes a queue and sends basic.cancel to its consumers.
 func (b *Broker) DeleteQueue(name string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -170,14 +170,14 @@
 	}
 }
 
-// Publish puts a message in a queue, which it makes if there is none of the name.
+// Publish adds a message to a queue, and creates the queue if none has that name.
 func (b *Broker) Publish(name string, p amqp.Publishing) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.enqueue(b.declare(name, nil), &message{Publishing: p, routingKey: name})
 }
 
-// DrainQueue gives and removes all that is ready in a queue.
+// DrainQueue removes and returns all ready messages of a queue.
 func (b *Broker) DrainQueue(name string) (messages []amqp.Publishing) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -192,7 +192,7 @@
 	return messages
 }
 
-// Counts tells what happened to a queue's messages.
+// Counts returns the counters of a queue. They are all 0 if the queue does not exist.
 func (b *Broker) Counts(name string) Counts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -205,27 +205,27 @@
 	counts.Consumers = len(q.consumers)
 	for c := range b.connections {
 		for _, ch := range c.channels {
-			counts.Unsettled += ch.unsettledOf(q)
+			counts.Unsettled += ch.unsettledCount(q)
 		}
 	}
 	return counts
 }
 
-// Connections tells how many connections were accepted, and how many stand.
-func (b *Broker) Connections() (accepted, standing int) {
+// Connections returns the number of connections accepted so far and the number of open connections.
+func (b *Broker) Connections() (accepted, open int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.accepted, len(b.connections)
 }
 
-// FrameCount tells how many frames passed on a connection, by its number, behind the handshake.
+// FrameCount returns the number of frames sent and received after the handshake on the connection with the given number.
 func (b *Broker) FrameCount(connection int) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.frameCounts[connection]
 }
 
-// Violations tells what clients did that the specification forbids, or that the fake does not know.
+// Violations returns descriptions of the client actions that the specification forbids or the fake does not support.
 func (b *Broker) Violations() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/fake/broker/broker_test.go
+++ b/internal/fake/broker/broker_test.go
@@ -10,10 +10,10 @@
 	amqp "github.com/rabbitmq/amqp091-go"
 )
 
-// timeout is far longer than anything here takes.
+// timeout is the maximum time to wait for an event; it is far longer than any event here takes.
 const timeout = 10 * time.Second
 
-// open starts a broker and opens a channel there.
+// open starts a broker and opens a channel to it.
 func open(t *testing.T) (*Broker, *amqp.Channel) {
 	t.Helper()
 	b := New()
@@ -49,7 +49,7 @@
 	select {
 	case d, open := <-deliveries:
 		if !open {
-			t.Fatal("the deliveries ended")
+			t.Fatal("the channel of deliveries was closed")
 		}
 		return d
 	case <-time.After(timeout):
@@ -67,7 +67,7 @@
 	}
 }
 
-// All properties of a message arrive as they were published, with a body over the size of a frame.
+// All properties of a message arrive as they were published, together with a body larger than one frame.
 func TestMessageRoundTrip(t *testing.T) {
 	b, ch := open(t)
 	b.DeclareQueue("q", nil)
@@ -117,7 +117,7 @@
 	}
 }
 
-// Prefetch bounds what is unsettled; what is requeued comes first again, as redelivered; each settlement is counted.
+// Prefetch limits the unsettled deliveries, a requeued message is redelivered first, and each settlement is counted.
 func TestSettlement(t *testing.T) {
 	b, ch := open(t)
 	for _, body := range []string{"a", "b", "c"} {
@@ -134,7 +134,7 @@
 	}
 	again := next(t, deliveries)
 	if string(again.Body) != "a" || !again.Redelivered {
-		t.Errorf("got %q, redelivered %v, behind a requeue of a", again.Body, again.Redelivered)
+		t.Errorf("after a was requeued: got %q, redelivered %v", again.Body, again.Redelivered)
 	}
 	if err := again.Ack(false); err != nil {
 		t.Fatal(err)
@@ -150,7 +150,7 @@
 	}
 }
 
-// An unknown delivery tag closes the channel, and what it had is ready again.
+// An unknown delivery tag closes the channel, and the channel's unsettled messages become ready again.
 func TestUnknownDeliveryTag(t *testing.T) {
 	b, ch := open(t)
 	b.Publish("q", amqp.Publishing{})
@@ -160,7 +160,7 @@
 		t.Fatal(err)
 	}
 	if err := <-closed; err == nil || err.Code != replyPreconditionFailed {
-		t.Errorf("closed with %v", err)
+		t.Errorf("the channel closed with %v, want code %d", err, replyPreconditionFailed)
 	}
 	waitForCounts(t, b, "q", Counts{Published: 1, Delivered: 1, Requeued: 1, Ready: 1})
 	if violations := b.Violations(); len(violations) != 1 {
@@ -168,7 +168,7 @@
 	}
 }
 
-// The higher priority is delivered first, and of one priority what came first.
+// Messages of a higher priority are delivered first; messages of equal priority in the order of publication.
 func TestPriorities(t *testing.T) {
 	b, ch := open(t)
 	b.DeclareQueue("q", amqp.Table{"x-max-priority": 9})
@@ -184,7 +184,8 @@
 	}
 }
 
-// What expires, by its own time or the queue's, and what is rejected is dead-lettered, with a count for each reason.
+// A message that expires by its own TTL or its queue's and a rejected message are dead-lettered, with a count for each queue and
+// reason.
 func TestDeadLetters(t *testing.T) {
 	b, ch := open(t)
 	b.DeclareQueue("dead", nil)
@@ -205,49 +206,49 @@
 	got := addDeath(want, "short", "expired", "e")
 	counted := []any{amqp.Table{"queue": "short", "reason": "expired", "count": int64(2), "exchange": "e"}, want[0]}
 	if !reflect.DeepEqual(got, counted) {
-		t.Errorf("a second expiry: got %v, want %v", got, counted)
+		t.Errorf("after a second expiry: got %v, want %v", got, counted)
 	}
 }
 
-// Of the message's time to live and the queue's the shorter one counts; one under 0 is none.
+// The shorter of the message's time to live and the queue's applies; a negative or unreadable one is ignored.
 func TestTTL(t *testing.T) {
 	for _, tc := range []struct {
-		own     string
-		ofQueue any
-		want    time.Duration
-		expires bool
+		messageTTL string
+		queueTTL   any
+		want       time.Duration
+		expires    bool
 	}{
-		{own: ""},
-		{own: "5", want: 5 * time.Millisecond, expires: true},
-		{own: "5", ofQueue: 3, want: 3 * time.Millisecond, expires: true},
-		{own: "5", ofQueue: int64(7), want: 5 * time.Millisecond, expires: true},
-		{own: "-5", ofQueue: int32(7), want: 7 * time.Millisecond, expires: true},
-		{own: "x", ofQueue: "text"},
+		{messageTTL: ""},
+		{messageTTL: "5", want: 5 * time.Millisecond, expires: true},
+		{messageTTL: "5", queueTTL: 3, want: 3 * time.Millisecond, expires: true},
+		{messageTTL: "5", queueTTL: int64(7), want: 5 * time.Millisecond, expires: true},
+		{messageTTL: "-5", queueTTL: int32(7), want: 7 * time.Millisecond, expires: true},
+		{messageTTL: "x", queueTTL: "text"},
 	} {
-		q := &queue{args: amqp.Table{"x-message-ttl": tc.ofQueue}}
-		ttl, expires := q.ttlOf(&message{Publishing: amqp.Publishing{Expiration: tc.own}})
+		q := &queue{args: amqp.Table{"x-message-ttl": tc.queueTTL}}
+		ttl, expires := q.ttlOf(&message{Publishing: amqp.Publishing{Expiration: tc.messageTTL}})
 		if expires != tc.expires || expires && ttl != tc.want {
-			t.Errorf("%q in a queue with %v: got %v, %v", tc.own, tc.ofQueue, ttl, expires)
+			t.Errorf("message TTL %q, queue TTL %v: got %v, expires %v", tc.messageTTL, tc.queueTTL, ttl, expires)
 		}
 	}
 }
 
-// A login with a wrong password, or while logins are refused, is.
+// A login fails with a wrong password, and with a correct one while logins are refused.
 func TestLogin(t *testing.T) {
 	b, _ := open(t)
 	if _, err := amqp.Dial("amqp://guest:other@" + b.Addr() + "/"); err == nil {
-		t.Error("a wrong password is let in")
+		t.Error("a login with a wrong password was accepted")
 	}
 	b.RefuseLogins(true)
 	if _, err := amqp.Dial(b.URL()); err == nil {
-		t.Error("refused logins are let in")
+		t.Error("a login was accepted while logins are refused")
 	}
 	if accepted, _ := b.Connections(); accepted != 3 {
 		t.Errorf("accepted %d connections, want 3", accepted)
 	}
 }
 
-// A fault ends the connection at its frame, in whichever direction that goes; connections behind it are not touched.
+// A fault ends its connection at its frame, whether the frame is sent or received; later connections are not affected.
 func TestFaults(t *testing.T) {
 	for _, mode := range []FaultMode{Disconnect, TruncateFrame} {
 		for frame := 1; frame <= 6; frame++ {
@@ -255,22 +256,22 @@
 			b.SetFaults(Fault{Connection: 1, Frame: frame, Mode: mode})
 			b.Publish("q", amqp.Publishing{Body: []byte("m")})
 			if exchangeFrames(b) == nil {
-				t.Errorf("mode %d at frame %d shows nothing", mode, frame)
+				t.Errorf("mode %d at frame %d: the connection did not fail", mode, frame)
 			}
-			if got := b.FrameCount(1); got < frame { // replies to the frame are counted too
-				t.Errorf("mode %d: %d frames, want at least %d", mode, got, frame)
+			if got := b.FrameCount(1); got < frame { // the replies to the frame are counted too
+				t.Errorf("mode %d: got %d frames, want at least %d", mode, got, frame)
 			}
 			b.Publish("q", amqp.Publishing{Body: []byte("m")})
 			if err := exchangeFrames(b); err != nil {
-				t.Errorf("the second connection: %v", err)
+				t.Errorf("mode %d at frame %d: the second connection failed: %v", mode, frame, err)
 			}
 			b.Close()
 		}
 	}
 }
 
-// exchangeFrames opens a channel, has a message delivered, and tells what went wrong. The message is there with the
-// 7th frame.
+// exchangeFrames opens a channel and waits for one message. It returns an error if the connection fails first. The
+// message arrives with the 7th frame.
 func exchangeFrames(b *Broker) error {
 	conn, err := amqp.Dial(b.URL())
 	if err != nil {
--- a/internal/fake/broker/channel.go
+++ b/internal/fake/broker/channel.go
@@ -6,25 +6,25 @@
 	amqp "github.com/rabbitmq/amqp091-go"
 )
 
-// channel is a channel of a connection. Guarded by Broker.mu, like all here.
+// channel is a channel of a connection. Broker.mu guards it, as it guards all other types in this file.
 type channel struct {
 	connection *connection
 	id         uint16
-	prefetch   int // unsettled deliveries; 0: any number
+	prefetch   int // maximum number of unsettled deliveries; 0 means no limit
 	consumers  map[string]*consumer
 	unsettled  []unsettled
-	lastTag    uint64 // of a delivery
-	confirms   bool   // what is published is confirmed
-	published  uint64
+	lastTag    uint64 // the last delivery tag
+	confirms   bool   // published messages are confirmed
+	published  uint64 // number of messages published in confirm mode
 
-	// What is being published: its method came, and its header or body did not.
-	exchange   string
-	routingKey string
-	publishing *amqp.Publishing // nil: nothing is
-	bodyLeft   int
+	// The message being published: its method has arrived, its header or a part of its body has not.
+	exchange      string
+	routingKey    string
+	publishing    *amqp.Publishing // nil if no message is being published
+	remainingBody int              // bytes of the body that have not arrived
 }
 
-// unsettled is a delivery that was not settled yet.
+// unsettled is a delivery that the client has not settled.
 type unsettled struct {
 	tag     uint64
 	message *message
@@ -38,8 +38,8 @@
 	ch.send(newClose(channelClose, code, text))
 }
 
-// unsettledOf counts the deliveries of a queue that were not settled.
-func (ch *channel) unsettledOf(q *queue) int {
+// unsettledCount returns the number of unsettled deliveries from a queue.
+func (ch *channel) unsettledCount(q *queue) int {
 	count := 0
 	for _, u := range ch.unsettled {
 		if u.queue == q {
@@ -49,7 +49,7 @@
 	return count
 }
 
-// handleMethod carries out a method.
+// handleMethod executes a method of the channel.
 func (ch *channel) handleMethod(r *payloadReader) {
 	switch id := r.method(); id {
 	case channelClose:
@@ -78,7 +78,7 @@
 		ch.exchange = r.shortString()
 		ch.routingKey = r.shortString()
 		ch.publishing = &amqp.Publishing{}
-		ch.bodyLeft = 0
+		ch.remainingBody = 0
 	case basicAck:
 		tag, bits := r.u64(), r.u8()
 		ch.settle(tag, bits&ackMultiple != 0, func(u unsettled) { u.queue.counts.Acked++ })
@@ -114,7 +114,7 @@
 }
 
 func (ch *channel) setPrefetch(r *payloadReader) {
-	r.u32() // a bound in bytes, which RabbitMQ has not either
+	r.u32() // the limit in bytes; RabbitMQ does not support it either
 	ch.prefetch = int(r.u16())
 	ch.send(newMethod(basicQosOK))
 	for _, c := range ch.consumers {
@@ -137,7 +137,7 @@
 	ch.connection.broker.deliver(q)
 }
 
-// cancel ends a consumer; what was delivered to it stays unsettled.
+// cancel removes a consumer. The messages that were delivered to it stay unsettled.
 func (ch *channel) cancel(tag string) {
 	if c := ch.consumers[tag]; c != nil {
 		delete(ch.consumers, tag)
@@ -152,7 +152,7 @@
 	if !to.noAck {
 		ch.unsettled = append(ch.unsettled, unsettled{tag: ch.lastTag, message: m, queue: to.queue})
 	}
-	const exchange = "" // the one that it was published to is not kept
+	const exchange = "" // the exchange that the message was published to is not stored
 	method := newMethod(basicDeliver).shortString(to.tag).u64(ch.lastTag).boolean(m.redelivered)
 	ch.send(method.shortString(exchange).shortString(m.routingKey))
 	const weight = 0 // reserved
@@ -165,7 +165,7 @@
 	}
 }
 
-// reject settles deliveries by requeueing or dead-lettering them.
+// reject settles deliveries by requeueing or dead-lettering their messages.
 func (ch *channel) reject(tag uint64, multiple, requeue bool) {
 	b := ch.connection.broker
 	ch.settle(tag, multiple, func(u unsettled) {
@@ -178,7 +178,8 @@
 	})
 }
 
-// settle settles a delivery, or all up to it; a tag that is none closes the channel.
+// settle settles a delivery, or all deliveries up to it if multiple is true, and calls apply for each. Tag 0 with
+// multiple means all deliveries. A tag that matches no unsettled delivery closes the channel.
 func (ch *channel) settle(tag uint64, multiple bool, apply func(unsettled)) {
 	var kept, settled []unsettled
 	for _, u := range ch.unsettled {
@@ -204,24 +205,24 @@
 	}
 }
 
-// handleHeader takes the header of what is being published.
+// handleHeader reads the content header of the message being published.
 func (ch *channel) handleHeader(r *payloadReader) {
 	r.u32() // class and weight
-	ch.bodyLeft = int(r.u64())
+	ch.remainingBody = int(r.u64())
 	*ch.publishing = r.properties()
 	ch.routeWhenComplete()
 }
 
-// handleBody takes a part of the body of what is being published.
+// handleBody appends a part of the body of the message being published.
 func (ch *channel) handleBody(part []byte) {
 	ch.publishing.Body = append(ch.publishing.Body, part...)
-	ch.bodyLeft -= len(part)
+	ch.remainingBody -= len(part)
 	ch.routeWhenComplete()
 }
 
-// routeWhenComplete routes what is being published once its body is whole.
+// routeWhenComplete routes the message being published if its body is complete.
 func (ch *channel) routeWhenComplete() {
-	if ch.bodyLeft > 0 {
+	if ch.remainingBody > 0 {
 		return
 	}
 	p := *ch.publishing
--- a/internal/fake/broker/connection.go
+++ b/internal/fake/broker/connection.go
@@ -10,10 +10,10 @@
 	amqp "github.com/rabbitmq/amqp091-go"
 )
 
-// protocolHeader is what a client sends first.
+// protocolHeader is the sequence of bytes that a client sends first.
 const protocolHeader = "AMQP\x00\x00\x09\x01"
 
-// What clients are told in connection.start and connection.tune.
+// Values that the broker sends in connection.start and connection.tune.
 const (
 	majorVersion     = 0
 	minorVersion     = 9
@@ -21,19 +21,20 @@
 	heartbeatSeconds = 1
 )
 
-// maxQueuedFrames is how many frames may wait for a client to read; with more the connection ends.
+// maxQueuedFrames is the maximum number of frames that wait for a client to read them. The connection ends when it is
+// exceeded.
 const maxQueuedFrames = 1 << 16
 
-// connection is one client's connection. Guarded by Broker.mu, but for outgoing and netConn.
+// connection is one client's connection. Broker.mu guards all fields except outgoing and netConn.
 type connection struct {
 	broker   *Broker
 	netConn  net.Conn
-	number   int // counts from 1
+	number   int // number of the connection, from 1 in the order of acceptance
 	channels map[uint16]*channel
-	outgoing chan []byte // frames for writeLoop; closed together with closed
-	opened   bool        // the handshake is over
-	frames   int         // that passed since then
-	closed   bool        // nothing more is sent
+	outgoing chan []byte // frames for writeLoop; closed when the field closed is set
+	opened   bool        // the handshake is complete
+	frames   int         // number of frames sent and received since the handshake
+	closed   bool        // no more frames are sent
 }
 
 func (b *Broker) newConnection(netConn net.Conn) *connection {
@@ -59,7 +60,7 @@
 	close(c.outgoing)
 }
 
-// writeFrame sends a frame.
+// writeFrame queues a frame for writeLoop, subject to the faults of the script.
 func (c *connection) writeFrame(f frame) {
 	if c.closed {
 		return
@@ -88,7 +89,7 @@
 	c.sendMethod(0, newMethod(connectionBlocked).shortString("memory"))
 }
 
-// writeLoop writes what is sent, and drops the connection when nothing more is.
+// writeLoop writes the queued frames, and closes the socket when the queue is closed or a write fails.
 func (c *connection) writeLoop() {
 	for b := range c.outgoing {
 		if _, err := c.netConn.Write(b); err != nil {
@@ -96,14 +97,14 @@
 		}
 	}
 	c.drop()
-	for range c.outgoing { // so that nobody waits in writeFrame until serve has ended
+	for range c.outgoing { // drain the queue so that writeFrame does not block until serve has ended
 	}
 }
 
-// serve carries out what comes, until the connection ends.
+// serve handles the frames of the client until the connection ends.
 func (c *connection) serve() {
 	defer c.shutdown()
-	defer func() { _ = recover() }() // payloadReader's panic; a connection that breaks the protocol ends
+	defer func() { _ = recover() }() // payloadReader panics on a protocol error, which ends the connection
 	head := make([]byte, len(protocolHeader))
 	if _, err := io.ReadFull(c.netConn, head); err != nil || !bytes.Equal(head, []byte(protocolHeader)) {
 		return
@@ -133,7 +134,8 @@
 	c.sendMethod(0, start.longString("PLAIN").longString("en_US"))
 }
 
-// handleFrame carries out one frame with its fault, and tells whether the connection goes on.
+// handleFrame applies the fault of a received frame, if any, and dispatches the frame. It reports whether the connection
+// stays open.
 func (c *connection) handleFrame(f frame) bool {
 	b := c.broker
 	b.mu.Lock()
@@ -146,7 +148,7 @@
 		return c.dispatch(f)
 	}
 	switch fault.Mode {
-	case TruncateFrame: // it did not arrive
+	case TruncateFrame: // the frame did not arrive
 		return false
 	case Stall:
 		b.mu.Unlock()
@@ -156,7 +158,7 @@
 	return c.dispatch(f) && fault.Mode != Disconnect
 }
 
-// dispatch carries out one frame, and tells whether the connection goes on.
+// dispatch executes one frame and reports whether the connection stays open.
 func (c *connection) dispatch(f frame) bool {
 	ch := c.channels[f.channel]
 	reader := &payloadReader{f.payload}
@@ -170,7 +172,7 @@
 	case f.kind == frameMethod:
 		ch.handleMethod(reader)
 	case ch == nil || ch.publishing == nil:
-		c.broker.recordViolation("content without a publish")
+		c.broker.recordViolation("content frame without a basic.publish method")
 		return false
 	case f.kind == frameHeader:
 		ch.handleHeader(reader)
@@ -180,7 +182,7 @@
 	return true
 }
 
-// handleMethod carries out a method of the connection, and tells whether the connection goes on.
+// handleMethod executes a method of the connection and reports whether the connection stays open.
 func (c *connection) handleMethod(r *payloadReader) bool {
 	switch r.method() {
 	case connectionStartOK:
@@ -200,7 +202,7 @@
 	return true
 }
 
-// handleLogin lets a user in whose password is its name.
+// handleLogin accepts a user whose password equals the user name, unless logins are refused.
 func (c *connection) handleLogin(r *payloadReader) {
 	r.table()       // the client's properties
 	r.shortString() // the mechanism
@@ -213,7 +215,7 @@
 }
 
 func (c *connection) openChannel(id uint16, r *payloadReader) {
-	if r.method() != channelOpen { // what was sent before the client heard that the channel is closed
+	if r.method() != channelOpen { // the client sent it before it received the channel's close
 		return
 	}
 	ch := &channel{connection: c, id: id, consumers: map[string]*consumer{}}
@@ -221,7 +223,7 @@
 	ch.send(newMethod(channelOpenOK).longString(""))
 }
 
-// closeChannel takes a channel away, and requeues what it has not settled.
+// closeChannel removes a channel and its consumers, and requeues its unsettled deliveries.
 func (c *connection) closeChannel(ch *channel) {
 	delete(c.channels, ch.id)
 	for _, consumer := range ch.consumers {
@@ -234,7 +236,7 @@
 	}
 }
 
-// shutdown takes the connection away.
+// shutdown closes the socket, and removes the connection and its channels.
 func (c *connection) shutdown() {
 	c.drop()
 	c.broker.mu.Lock()
--- a/internal/fake/broker/fault.go
+++ b/internal/fake/broker/fault.go
@@ -2,26 +2,25 @@
 
 import "time"
 
-// Fault is one failure of the script: what happens to a connection, numbered from 1, at one of its frames, in both
-// directions together, numbered from 1 behind the handshake.
+// Fault is one scripted fault of a connection at one of its frames.
 type Fault struct {
-	Connection int
-	Frame      int
+	Connection int // number of the connection, from 1
+	Frame      int // number of the frame, from 1 after the handshake; both directions are counted together
 	Mode       FaultMode
-	Duration   time.Duration // of a stall
+	Duration   time.Duration // duration of a stall
 }
 
-// FaultMode is what a fault does.
+// FaultMode is the effect of a fault.
 type FaultMode int
 
-// The modes of faults.
+// The fault modes.
 const (
-	Disconnect    FaultMode = iota // the connection ends behind the frame
+	Disconnect    FaultMode = iota // the connection ends after the frame
 	TruncateFrame                  // the connection ends in the middle of the frame, which does not arrive
-	Stall                          // nothing moves for a while; of frames that come in alone
+	Stall                          // handling of the frame is delayed by Duration; received frames only
 )
 
-// nextFault counts a frame and gives the fault that the script has for it; nil: none.
+// nextFault counts a frame and returns its scripted fault, or nil if there is none.
 func (c *connection) nextFault() *Fault {
 	if !c.opened {
 		return nil
--- a/internal/fake/broker/frame.go
+++ b/internal/fake/broker/frame.go
@@ -7,7 +7,7 @@
 	"io"
 )
 
-// Frame types, and the octet behind each frame.
+// Frame types, and the octet that ends each frame.
 const (
 	frameMethod    = 1
 	frameHeader    = 2
@@ -16,10 +16,10 @@
 	frameEnd       = 0xce
 )
 
-// maxFrameBytes is how large a payload may be; clients are told in connection.tune.
+// maxFrameBytes is the maximum size of a payload in bytes. It is sent to clients in connection.tune.
 const maxFrameBytes = 128 << 10
 
-// frameOverhead is the bytes of a frame beside its payload.
+// frameOverhead is the number of bytes of a frame in addition to its payload.
 const frameOverhead = 8
 
 type frame struct {
@@ -37,14 +37,14 @@
 	f.channel = binary.BigEndian.Uint16(head[1:])
 	size := binary.BigEndian.Uint32(head[3:])
 	if size > maxFrameBytes {
-		return f, fmt.Errorf("frame of %d bytes, want at most %d", size, maxFrameBytes)
+		return f, fmt.Errorf("frame payload has %d bytes, must be at most %d", size, maxFrameBytes)
 	}
 	f.payload = make([]byte, size+1)
 	if _, err = io.ReadFull(r, f.payload); err != nil {
 		return f, err
 	}
 	if f.payload[size] != frameEnd {
-		return f, errors.New("frame without its end octet")
+		return f, errors.New("frame does not end with the frame-end octet")
 	}
 	f.payload = f.payload[:size]
 	return f, nil
--- a/internal/fake/broker/method.go
+++ b/internal/fake/broker/method.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// methodID is a method's class, in its upper half, and number.
+// methodID holds the class of a method in its upper 16 bits and the method's number in its lower 16 bits.
 type methodID uint32
 
-// The methods, by their numbers in the specification.
+// The supported methods, with their class and number in the specification.
 const (
 	connectionStart     methodID = 10<<16 | 10
 	connectionStartOK   methodID = 10<<16 | 11
@@ -47,12 +47,12 @@
 	confirmSelectOK methodID = 85<<16 | 11
 )
 
-// classBasic is the class of contents.
+// classBasic is the class in content headers.
 const classBasic = 60
 
-// The bits of methods' last octets.
+// Flags in the last octet of methods.
 const (
-	declarePassive = 1 << 0 // queue.declare: it has to be there
+	declarePassive = 1 << 0 // queue.declare: the queue must exist
 	consumeNoAck   = 1 << 1
 	ackMultiple    = 1 << 0
 	rejectRequeue  = 1 << 0
@@ -60,7 +60,7 @@
 	nackRequeue    = 1 << 1
 )
 
-// The reply codes.
+// Reply codes.
 const (
 	replyAccessRefused      = 403
 	replyNotFound           = 404
@@ -71,7 +71,7 @@
 
 func newMethod(id methodID) *payloadWriter { return (&payloadWriter{}).u32(uint32(id)) }
 
-// newClose is a connection.close or channel.close.
+// newClose returns a connection.close or channel.close method.
 func newClose(id methodID, code uint16, text string) *payloadWriter {
 	const causedByNoMethod = 0
 	return newMethod(id).u16(code).shortString(text).u16(causedByNoMethod).u16(causedByNoMethod)
--- a/internal/fake/broker/payload_reader.go
+++ b/internal/fake/broker/payload_reader.go
@@ -10,7 +10,8 @@
 	amqp "github.com/rabbitmq/amqp091-go"
 )
 
-// payloadReader reads the parts of a payload. It panics on one that is too short or unknown, which ends the connection.
+// payloadReader decodes the parts of a payload. Its methods panic if the payload is too short or contains a value of an
+// unknown type; the panic ends the connection.
 type payloadReader struct{ rest []byte }
 
 func (r *payloadReader) take(n int) []byte {
@@ -43,7 +44,7 @@
 	return t
 }
 
-// value reads a value of a table, behind the letter of its kind.
+// value reads a table value: the letter of its type and the value itself.
 func (r *payloadReader) value() any {
 	switch kind := r.u8(); kind {
 	case 't':
@@ -83,9 +84,9 @@
 	case 'V':
 		return nil
 	default:
-		panic(fmt.Errorf("field of unknown kind %q", kind))
+		panic(fmt.Errorf("field type %q is unknown", kind))
 	}
 }
 
-// method reads what a method begins with.
+// method reads the method id at the start of a method's payload.
 func (r *payloadReader) method() methodID { return methodID(r.u32()) }
--- a/internal/fake/broker/payload_writer.go
+++ b/internal/fake/broker/payload_writer.go
@@ -8,7 +8,7 @@
 	amqp "github.com/rabbitmq/amqp091-go"
 )
 
-// payloadWriter writes the parts of a payload; its methods can be chained.
+// payloadWriter encodes the parts of a payload; most of its methods return the writer for chaining.
 type payloadWriter struct{ buffer []byte }
 
 func (w *payloadWriter) u8(x byte) *payloadWriter {
@@ -58,7 +58,7 @@
 	return w.longString(string(part.buffer))
 }
 
-// value writes a value of a table; one of a kind that is not known is void.
+// value writes a table value; a value of an unsupported type is written as void.
 func (w *payloadWriter) value(x any) {
 	switch x := x.(type) {
 	case bool:
--- a/internal/fake/broker/properties.go
+++ b/internal/fake/broker/properties.go
@@ -6,7 +6,7 @@
 	amqp "github.com/rabbitmq/amqp091-go"
 )
 
-// The bits of a content header that tell which properties follow, in their order.
+// Flags in a content header that mark the properties that follow, in the order of the properties.
 const (
 	hasContentType     = 1 << 15
 	hasContentEncoding = 1 << 14
@@ -23,7 +23,7 @@
 	hasAppID           = 1 << 3
 )
 
-// properties reads a content header behind its sizes.
+// properties reads the part of a content header that follows the body size.
 func (r *payloadReader) properties() (p amqp.Publishing) {
 	flags := r.u16()
 	has := func(bit uint16) bool { return flags&bit != 0 }
@@ -56,7 +56,7 @@
 	return p
 }
 
-// properties writes a content header behind its sizes.
+// properties writes the part of a content header that follows the body size.
 func (w *payloadWriter) properties(p *amqp.Publishing) *payloadWriter {
 	var flags uint16
 	var part payloadWriter
--- a/internal/fake/broker/queue.go
+++ b/internal/fake/broker/queue.go
@@ -8,7 +8,7 @@
 	amqp "github.com/rabbitmq/amqp091-go"
 )
 
-// The arguments of a queue that are followed.
+// The queue arguments that are supported.
 const (
 	argMaxPriority          = "x-max-priority"
 	argMessageTTL           = "x-message-ttl" // milliseconds
@@ -16,28 +16,28 @@
 	argDeadLetterRoutingKey = "x-dead-letter-routing-key"
 )
 
-// headerDeaths is the header that tells where a message was dead-lettered.
+// headerDeaths is the header that lists the queues that dead-lettered a message.
 const headerDeaths = "x-death"
 
-// The reasons of dead-lettering.
+// The reasons for dead-lettering.
 const (
 	reasonExpired  = "expired"
 	reasonRejected = "rejected"
 )
 
-// queue is a queue. Guarded by Broker.mu, like all here.
+// queue is a message queue. Broker.mu guards it, as it guards all other types in this file.
 type queue struct {
 	name         string
 	args         amqp.Table
-	ready        []*message // by priority, where the queue has them, and sequence
+	ready        []*message // sorted by priority, if the queue has priorities, and then by sequence
 	consumers    []*consumer
-	nextConsumer int // the index of the one whose turn it is
+	nextConsumer int // index of the consumer that is considered first for the next delivery
 	counts       Counts
 }
 
 type message struct {
 	amqp.Publishing
-	sequence    uint64 // 0 until it is in a queue
+	sequence    uint64 // 0 until the message is added to a queue
 	routingKey  string
 	redelivered bool
 }
@@ -50,7 +50,7 @@
 	noAck   bool
 }
 
-// hasRoom tells whether the consumer's channel may be sent one more message.
+// hasRoom reports whether the prefetch limit of the consumer's channel allows one more delivery.
 func (c *consumer) hasRoom() bool {
 	return c.channel.prefetch == 0 || len(c.channel.unsettled) < c.channel.prefetch
 }
@@ -64,7 +64,8 @@
 	return q
 }
 
-// enqueue puts a message into a queue: a new one at the end, another one where it was.
+// enqueue adds a message to a queue: a new message at the end, a requeued one at its earlier position. In a queue with
+// priorities these are the positions within the message's priority.
 func (b *Broker) enqueue(q *queue, added *message) {
 	if added.sequence == 0 {
 		b.lastSequence++
@@ -79,7 +80,7 @@
 	b.deliver(q)
 }
 
-// compare is the order of the queue.
+// compare returns a negative number if x comes before y in the queue, and a positive number if it comes after y.
 func (q *queue) compare(x, y *message) int {
 	if _, hasPriorities := q.args[argMaxPriority]; hasPriorities && x.Priority != y.Priority {
 		return int(y.Priority) - int(x.Priority)
@@ -87,7 +88,7 @@
 	return int(x.sequence) - int(y.sequence)
 }
 
-// ttlOf tells how long a message may be ready: the shorter one of its own time and the queue's.
+// ttlOf returns how long a message may stay ready: the shorter of its own time to live and the queue's.
 func (q *queue) ttlOf(m *message) (ttl time.Duration, expires bool) {
 	if own, err := time.ParseDuration(m.Expiration + "ms"); err == nil {
 		ttl = own
@@ -118,7 +119,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	index := slices.Index(q.ready, m)
-	if index < 0 { // it was delivered, or drained
+	if index < 0 { // the message was delivered or drained
 		return
 	}
 	q.ready = slices.Delete(q.ready, index, index+1)
@@ -126,7 +127,8 @@
 	b.deadLetter(q, m, reasonExpired)
 }
 
-// deadLetter moves a message to where its queue tells, with a count in x-death as RabbitMQ's extension has it.
+// deadLetter routes a message to the queue's dead-letter exchange, and counts it in the x-death header as RabbitMQ's
+// extension does. Without a dead-letter exchange the message is lost.
 func (b *Broker) deadLetter(q *queue, m *message, reason string) {
 	exchange, found := q.args[argDeadLetterExchange].(string)
 	if !found {
@@ -144,7 +146,7 @@
 	b.route(exchange, key, p)
 }
 
-// addDeath counts one more death in a queue for a reason, and puts it first.
+// addDeath returns the x-death list with one more death counted for the queue and reason. That entry comes first.
 func addDeath(earlier any, queueName, reason, exchange string) []any {
 	count := int64(1)
 	others, _ := earlier.([]any)
@@ -161,9 +163,9 @@
 	return append([]any{death}, others...)
 }
 
-// route puts a message into the queues that its routing key is bound to. Without one it is lost.
+// route adds a message to each queue that its routing key is bound to. If there is none, the message is lost.
 func (b *Broker) route(exchange, key string, p amqp.Publishing) {
-	names := []string{key} // of the default exchange
+	names := []string{key} // the default exchange routes to the queue that the key names
 	if exchange != "" {
 		names = b.bindings[exchange][key]
 	}
@@ -185,10 +187,10 @@
 	}
 }
 
-// deliver delivers what is ready to consumers with room, in turn.
+// deliver delivers ready messages in turn to the consumers whose prefetch limit allows it.
 func (b *Broker) deliver(q *queue) {
 	for len(q.ready) > 0 {
-		receiver := q.takeTurn()
+		receiver := q.selectConsumer()
 		if receiver == nil {
 			return
 		}
@@ -202,8 +204,8 @@
 	}
 }
 
-// takeTurn gives the next consumer with room; nil: there is none.
-func (q *queue) takeTurn() *consumer {
+// selectConsumer returns the next consumer whose prefetch limit allows a delivery, or nil if there is none.
+func (q *queue) selectConsumer() *consumer {
 	for i := range q.consumers {
 		index := (q.nextConsumer + i) % len(q.consumers)
 		if c := q.consumers[index]; c.hasRoom() {
@@ -218,7 +220,7 @@
 	q.consumers = slices.DeleteFunc(q.consumers, func(c *consumer) bool { return c == removed })
 }
 
-// requeue puts a delivery in its queue again, where it was, as redelivered.
+// requeue returns the message of a delivery to its earlier position in the queue and marks it as redelivered.
 func (b *Broker) requeue(u unsettled) {
 	u.message.redelivered = true
 	u.queue.counts.Requeued++
