--- a/internal/fake/autorun.go
+++ b/internal/fake/autorun.go
@@ -11,10 +11,10 @@
 // callInterval is the interval, in started runs, between runs that make a call: every third run makes exactly one.
 const callInterval = 3
 
-// AutoRun makes the runtime carry out the instance's commands by itself until its link closes. At most cores runs use a
-// core at the same time; the others wait. The duration of a run is drawn from an exponential distribution with the given
-// mean. Every third run makes one call and waits for its result. If onStart is not nil, it is called for each start, on
-// another goroutine.
+// AutoRun makes the runtime carry out the instance's commands by itself until its link closes. At most cores runs use
+// a core at the same time; the others wait. The duration of a run is drawn from an exponential distribution with the
+// given mean. Every third run makes one call and waits for its result. If onStart is not nil, it is called for each
+// start, on another goroutine.
 func (r *Runtime) AutoRun(cores int, mean time.Duration, seed uint64, onStart func(id, class, body string)) {
 	w := &worker{
 		runtime: r,
--- a/internal/fake/broker/broker.go
+++ b/internal/fake/broker/broker.go
@@ -1,5 +1,6 @@
-// Package broker is a fake message broker. It implements the server's side of AMQP 0-9-1 from the specification, limited
-// to the parts that this project's consumer uses. It counts every delivery and settlement, and injects scripted faults.
+// Package broker is a fake message broker. It implements the server's side of AMQP 0-9-1 from the specification,
+// limited to the parts that this project's consumer uses. It counts every delivery and settlement, and injects
+// scripted faults.
 package broker
 
 import (
@@ -218,7 +219,8 @@
 	return b.accepted, len(b.connections)
 }
 
-// FrameCount returns the number of frames sent and received after the handshake on the connection with the given number.
+// FrameCount returns the number of frames sent and received after the handshake on the connection with the given
+// number.
 func (b *Broker) FrameCount(connection int) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/fake/broker/broker_test.go
+++ b/internal/fake/broker/broker_test.go
@@ -184,8 +184,8 @@
 	}
 }
 
-// A message that expires by its own TTL or its queue's and a rejected message are dead-lettered, with a count for each queue and
-// reason.
+// A message that expires by its own TTL or its queue's and a rejected message are dead-lettered, with a count for
+// each queue and reason.
 func TestDeadLetters(t *testing.T) {
 	b, ch := open(t)
 	b.DeclareQueue("dead", nil)
--- a/internal/fake/broker/connection.go
+++ b/internal/fake/broker/connection.go
@@ -134,8 +134,8 @@
 	c.sendMethod(0, start.longString("PLAIN").longString("en_US"))
 }
 
-// handleFrame applies the fault of a received frame, if any, and dispatches the frame. It reports whether the connection
-// stays open.
+// handleFrame applies the fault of a received frame, if any, and dispatches the frame. It reports whether the
+// connection stays open.
 func (c *connection) handleFrame(f frame) bool {
 	b := c.broker
 	b.mu.Lock()
--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -71,8 +71,8 @@
 	return decode(c.reader)
 }
 
-// NextText waits for the next message and returns it as text. It returns "closed" if the peer closed the connection, and
-// the text of the error if reading failed in another way.
+// NextText waits for the next message and returns it as text. It returns "closed" if the peer closed the connection,
+// and the text of the error if reading failed in another way.
 func (c *Client) NextText() string {
 	message, err := c.Next()
 	switch {
--- a/internal/fake/database.go
+++ b/internal/fake/database.go
@@ -78,7 +78,8 @@
 	}
 }
 
-// Reply answers the call; fields holds complete header lines. It ignores errors because the caller may have disconnected.
+// Reply answers the call; fields holds complete header lines. It ignores errors because the caller may have
+// disconnected.
 func (c *Call) Reply(status, fields, body string) {
 	_, _ = fmt.Fprintf(c.Conn, "HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, fields, len(body), body)
 }
--- a/internal/fake/fake.go
+++ b/internal/fake/fake.go
@@ -17,14 +17,15 @@
 	return x
 }
 
-// WaitTimeout is the maximum time to wait for a condition or a message. It is far longer than any of them takes, even on
-// a busy machine.
+// WaitTimeout is the maximum time to wait for a condition or a message. It is far longer than any of them takes, even
+// on a busy machine.
 const WaitTimeout = 10 * time.Second
 
 // pollInterval is the time between two evaluations of the condition in WaitFor.
 const pollInterval = time.Millisecond
 
-// WaitFor waits until the condition holds. It panics with the description in what if that takes longer than WaitTimeout.
+// WaitFor waits until the condition holds. It panics with the description in what if that takes longer than
+// WaitTimeout.
 func WaitFor(what string, condition func() bool) {
 	for end := time.Now().Add(WaitTimeout); !condition(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
@@ -33,8 +34,8 @@
 	}
 }
 
-// Settings holds an instance's settings for two cores and three classes: one idempotent class, one that is not idempotent,
-// and one whose calls can be skipped. IDLE and FRESH are placeholders for numbers of seconds.
+// Settings holds an instance's settings for two cores and three classes: one idempotent class, one that is not
+// idempotent, and one whose calls can be skipped. IDLE and FRESH are placeholders for numbers of seconds.
 const Settings = `{"classes":[
  {"name":"view","credit":1,"promise-s":1,"give-up-s":3,"late-share":0,"repeat":"idempotent"},
  {"name":"pay","credit":1,"promise-s":1,"give-up-s":3,"late-share":0,"repeat":"at_most_once"},
--- a/internal/fake/fake_test.go
+++ b/internal/fake/fake_test.go
@@ -171,8 +171,8 @@
 	}
 }
 
-// In scripted mode the test receives every message except requests for gauges, which are answered automatically, and the
-// end of the link is reported.
+// In scripted mode the test receives every message except requests for gauges, which are answered automatically, and
+// the end of the link is reported.
 func TestRuntimeByScript(t *testing.T) {
 	runtime := NewRuntime()
 	defer func() { _ = runtime.Listener.Close() }()
--- a/internal/fake/runtime.go
+++ b/internal/fake/runtime.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Field names of the runtime's messages. The fake defines them itself, so that a mistake in the names of the codec under
-// test is detected.
+// Field names of the runtime's messages. The fake defines them itself, so that a mistake in the names of the codec
+// under test is detected.
 const (
 	fieldKind      = "t"
 	fieldSequence  = "no"
@@ -55,8 +55,8 @@
 	return r.NextMessage()[fieldSequence]
 }
 
-// TryAccept accepts the next link without a time limit and waits for its synchronization message. It returns false if the
-// listener is closed.
+// TryAccept accepts the next link without a time limit and waits for its synchronization message. It returns false if
+// the listener is closed.
 func (r *Runtime) TryAccept() bool {
 	conn, err := r.Listener.Accept()
 	if err != nil {
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,6 +1,6 @@
-// Package goldentest is imported by tests alone. It compares what the code writes with files under testdata, which
-// prove that the form of a stored file or of a message stays as it is. With the flag -update the files are written
-// anew.
+// Package goldentest compares the output of the code under test with golden files under testdata. The golden files
+// ensure that the format of stored files and of messages does not change. With the flag -update the golden files are
+// rewritten. Only tests import this package.
 package goldentest
 
 import (
@@ -13,20 +13,20 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write golden files anew with what the code under test writes")
+var update = flag.Bool("update", false, "rewrite golden files with the output of the code under test")
 
-// File holds named messages, one a line: the name, a blank and the bytes as a quoted Go string. It belongs to the
-// goroutine of one test.
+// File is a golden file of named messages, one per line: the name, a space and the bytes as a quoted Go string. Only
+// the goroutine of one test may use it.
 type File struct {
 	t      *testing.T
 	path   string
 	names  []string // in the order of the file
 	stored map[string][]byte
-	used   map[string]bool // asked for by the test
+	used   map[string]bool // names that the test has passed to Bytes or Check
 }
 
-// Open reads the file at path. When the test ends, each message of the file has to have been asked for by Bytes or
-// Check; with -update the file is written with those that were.
+// Open reads the file at path. When the test ends, it fails if a message of the file was not used by Bytes or Check.
+// With -update the file is rewritten with the used messages instead.
 func Open(t *testing.T, path string) *File {
 	t.Helper()
 	f := &File{t: t, path: path, stored: map[string][]byte{}, used: map[string]bool{}}
@@ -47,22 +47,22 @@
 	return f
 }
 
-// Bytes gives a copy of a stored message. The test fails at once if there is none of that name.
+// Bytes returns a copy of a stored message. It stops the test as failed if no message has that name.
 func (f *File) Bytes(name string) []byte {
 	f.t.Helper()
-	message, known := f.stored[name]
-	if !known {
+	message, found := f.stored[name]
+	if !found {
 		f.t.Fatalf("%s has no message %q", f.path, name)
 	}
 	f.used[name] = true
 	return bytes.Clone(message)
 }
 
-// Check compares what the code writes with a stored message; with -update it becomes the stored one.
+// Check fails the test if written differs from the stored message. With -update written replaces the stored message.
 func (f *File) Check(name string, written []byte) {
 	f.t.Helper()
 	if *update {
-		if _, known := f.stored[name]; !known {
+		if _, found := f.stored[name]; !found {
 			f.names = append(f.names, name)
 		}
 		f.stored[name] = bytes.Clone(written)
@@ -72,7 +72,7 @@
 	}
 }
 
-// close checks that all messages were asked for and writes the file with -update.
+// close checks that all messages were used. With -update it rewrites the file instead.
 func (f *File) close() {
 	var text bytes.Buffer
 	for _, name := range f.names {
@@ -80,7 +80,7 @@
 		case f.used[name]:
 			fmt.Fprintf(&text, "%s %s\n", name, strconv.QuoteToASCII(string(f.stored[name])))
 		case !*update && !f.t.Failed():
-			f.t.Errorf("%s: no test asks for %q", f.path, name)
+			f.t.Errorf("%s: message %q is not used by the test", f.path, name)
 		}
 	}
 	if *update && !f.t.Failed() {
@@ -90,7 +90,7 @@
 	}
 }
 
-// CheckText compares the whole file at path with what the code writes; with -update it is written anew.
+// CheckText fails the test if written differs from the whole file at path. With -update written replaces the file.
 func CheckText(t *testing.T, path string, written []byte) {
 	t.Helper()
 	if *update {
--- a/internal/setuptest/setuptest.go
+++ b/internal/setuptest/setuptest.go
@@ -1,7 +1,8 @@
-// Package setuptest is imported by tests alone. It holds what their set-up needs in many packages.
+// Package setuptest provides helpers for the set-up of tests in many packages. Only tests import this package.
 package setuptest
 
-// Must gives a value, for an example or a test whose set-up cannot fail; it panics if it does.
+// Must returns value, and panics if err is not nil. It is for examples and for test set-up that is not expected to
+// fail.
 func Must[T any](value T, err error) T {
 	if err != nil {
 		panic(err)
--- a/test.sh
+++ b/test.sh
@@ -1,11 +1,12 @@
 #!/bin/bash
-# Format, vet, lint, build and tests (.ci/tests, with what KNOWN-RED.txt lists); needs Go, a C compiler and the module
-# proxy, nothing else. The linter is the one that tools/go.mod pins; .golangci.yml says what it looks at.
+# Checks the format, runs vet and the linter, builds, and runs the tests with .ci/tests, which skips the failures listed
+# in KNOWN-RED.txt. Requires only Go, a C compiler and the module proxy. tools/go.mod pins the linter's version, and
+# .golangci.yml configures it.
 set -euo pipefail
 cd "$(dirname "$0")"
 unformatted=$(gofmt -l .)
 if [ -n "$unformatted" ]; then
-	echo "gofmt would change: $unformatted"
+	echo "files are not formatted with gofmt: $unformatted"
 	exit 1
 fi
 go vet ./...
