--- a/build.sh
+++ b/build.sh
@@ -4,7 +4,7 @@
 set -euo pipefail
 cd "$(dirname "$0")"
 if ! command -v "${CC:-cc}" >/dev/null; then
-	echo "build.sh: C compiler ${CC:-cc} not found; the deployed program is linked against the C library: install gcc or clang"
+	echo "build.sh: C compiler ${CC:-cc} not found; install gcc or clang (the program is linked against the C library)"
 	exit 1
 fi
 eval "$(sed -n 's/^build *= *"\(.*\)"$/\1/p' deploy/balancer.toml)"
