--- a/internal/fake/runtime.go
+++ b/internal/fake/runtime.go
@@ -29,10 +29,10 @@
 type Runtime struct {
 	Listener   net.Listener
 	Conn       net.Conn             // the link that was accepted last
-	Messages   chan map[string]any  // messages of Conn except requests for gauges; closed when the link ends
+	Messages   chan map[string]any  // messages of Conn except requests for gauges, which are answered; closed when it ends
 	Silent     bool                 // on links accepted from now on, requests for gauges are not answered
 	LastNotice int                  // number of the last notice sent
-	Faults     func() RuntimeFaults // returns the faults that apply to a run started by AutoRun; nil means no faults
+	Faults     func() RuntimeFaults // returns the faults of a run that starts now, after AutoRun; nil: no faults
 }
 
 // RuntimeFaults describes the faults that a runtime shows after AutoRun.
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -26,7 +26,7 @@
 }
 
 // Open reads the file at path. When the test ends, it fails if a message of the file was not used by Bytes or Check.
-// With -update the file is rewritten with the used messages instead.
+// With -update the file is rewritten with the used messages instead, unless the test failed.
 func Open(t *testing.T, path string) *File {
 	t.Helper()
 	f := &File{t: t, path: path, stored: map[string][]byte{}, used: map[string]bool{}}
@@ -72,7 +72,7 @@
 	}
 }
 
-// close checks that all messages were used. With -update it rewrites the file instead.
+// close checks that all messages were used. With -update it rewrites the file instead, unless the test failed.
 func (f *File) close() {
 	var text bytes.Buffer
 	for _, name := range f.names {
