--- a/internal/drill/balance.go
+++ b/internal/drill/balance.go
@@ -21,14 +21,14 @@
 // balanceCheck measures how the load was spread over the instances in the calm seconds: those in which nothing was
 // done.
 type balanceCheck struct {
-	cluster   *cluster
-	calm      []bool          // by second
-	faulty    map[int]bool    // instances whose runs failed or were lost: each sender ejects them for a while
-	runs      [][]int         // by second and instance
-	totalRuns int             // in calm seconds
-	lastRun   []time.Duration // by instance; 0: none yet
-	longest   []float64       // by instance, its longest idle time, s
-	idlest    string          // which instance had the longest of all, and when
+	cluster       *cluster
+	calm          []bool          // by second
+	faulty        map[int]bool    // instances whose runs failed or were lost: each sender ejects them for a while
+	runs          [][]int         // by second and instance
+	totalRuns     int             // in calm seconds
+	lastRun       []time.Duration // by instance; 0: none yet
+	longest       []float64       // by instance, its longest idle time, s
+	longestDetail string          // which instance had the longest of all, and when
 }
 
 // instanceRun is a run of a request, since the start of the load.
@@ -67,7 +67,7 @@
 		metric{"most loaded of a second, of what chance gives", spread.imbalance},
 		metric{"... in the worst second", spread.worst},
 		metric{"longest idle, expected gaps", longestGaps})
-	c.print("longest idle: " + check.idlest)
+	c.print("longest idle: " + check.longestDetail)
 	return metrics, check.violations(spread.imbalance, longestGaps)
 }
 
@@ -146,7 +146,7 @@
 	}
 	b.longest[run.process] = idle
 	if idle == slices.Max(b.longest) {
-		b.idlest = fmt.Sprintf("%s until %.1f s", b.cluster.processes[run.process].name, run.at.Seconds())
+		b.longestDetail = fmt.Sprintf("%s until %.1f s", b.cluster.processes[run.process].name, run.at.Seconds())
 	}
 }
 
--- a/internal/drill/cluster.go
+++ b/internal/drill/cluster.go
@@ -29,7 +29,7 @@
 // callbacks are what a cluster tells the drill. They are called on any goroutine.
 type callbacks struct {
 	onExecution func(p *process, requestID string) // a process has begun to run a request
-	fail        func(detail string)                // a process did what it should not
+	onFailure   func(detail string)                // a process did what it should not
 	print       func(line string)
 }
 
--- a/internal/drill/coordinators.go
+++ b/internal/drill/coordinators.go
@@ -72,7 +72,7 @@
 	switch action {
 	case "budgets":
 		command.Kind = coordination.KindSetBudgets
-		file, err := c.readBeside(argument)
+		file, err := c.readScriptFile(argument)
 		if err != nil {
 			return command, err
 		}
@@ -80,7 +80,7 @@
 		return command, err
 	case "release":
 		command.Kind = coordination.KindStartRollout
-		file, err := c.readBeside(argument)
+		file, err := c.readScriptFile(argument)
 		if err != nil {
 			return command, err
 		}
@@ -103,8 +103,8 @@
 	return command, nil
 }
 
-// readBeside reads a file that a script names, beside the script.
-func (c *cluster) readBeside(name string) ([]byte, error) {
+// readScriptFile reads a file that a script names, beside the script.
+func (c *cluster) readScriptFile(name string) ([]byte, error) {
 	return os.ReadFile(filepath.Join(filepath.Dir(c.script.Path), name))
 }
 
@@ -133,7 +133,7 @@
 	defer c.disruptions.mu.Unlock()
 	maxOut := c.disruptions.maxOut[allProcesses]
 	metrics = append(metrics, metric{"out by permits at a time, the most of all", float64(maxOut)})
-	violate := func(format string, args ...any) {
+	addViolation := func(format string, args ...any) {
 		violations = append(violations, violation{c.script.LoadDuration, ruleRelease, fmt.Sprintf(format, args...)})
 	}
 	if release := c.script.FinalRelease; release != "" {
@@ -141,14 +141,14 @@
 		name := "instances that are not on release " + release + " at the end"
 		metrics = append(metrics, metric{name, float64(others)})
 		if others > 0 {
-			violate("%d instances are not on release %s at the end", others, release)
+			addViolation("%d instances are not on release %s at the end", others, release)
 		}
 	}
 	if release := c.script.LimitedRelease; release != "" {
-		count := len(c.disruptions.everOnReleases[release])
+		count := len(c.disruptions.processesByRelease[release])
 		metrics = append(metrics, metric{"instances that were ever on release " + release, float64(count)})
 		if float64(count) > c.script.MaxLimitedFraction*float64(c.script.Instances) {
-			violate("%d instances were on release %s, %.0f%% is told", count, release, 100*c.script.MaxLimitedFraction)
+			addViolation("%d instances were on release %s, %.0f%% is told", count, release, 100*c.script.MaxLimitedFraction)
 		}
 	}
 	return metrics, violations
--- a/internal/drill/disruption.go
+++ b/internal/drill/disruption.go
@@ -28,36 +28,36 @@
 // disruptionLog is who is out by a permit, by the drill's own clock and eyes: from the end of a process to when its
 // next incarnation has come up.
 type disruptionLog struct {
-	mu             sync.Mutex // guards what follows
-	out            map[*process]bool
-	lastReturn     time.Time
-	maxOut         map[group]int              // the most at a time
-	limits         map[group]int              // the most that may be out; a group that is not named has none
-	everOnReleases map[string]map[string]bool // names of processes by the releases that they were ever on
+	mu                 sync.Mutex // guards what follows
+	out                map[*process]bool
+	lastReturn         time.Time
+	maxOut             map[group]int              // the most at a time
+	limits             map[group]int              // the most that may be out; a group that is not named has none
+	processesByRelease map[string]map[string]bool // names of processes by the releases that they were ever on
 }
 
 func newDisruptionLog() *disruptionLog {
 	return &disruptionLog{
-		out:            map[*process]bool{},
-		maxOut:         map[group]int{},
-		limits:         map[group]int{},
-		everOnReleases: map[string]map[string]bool{},
+		out:                map[*process]bool{},
+		maxOut:             map[group]int{},
+		limits:             map[group]int{},
+		processesByRelease: map[string]map[string]bool{},
 	}
 }
 
-// noteRelease notes which release a process is on.
-func (l *disruptionLog) noteRelease(p *process) {
+// recordRelease notes which release a process is on.
+func (l *disruptionLog) recordRelease(p *process) {
 	release := p.currentRelease()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.everOnReleases[release] == nil {
-		l.everOnReleases[release] = map[string]bool{}
+	if l.processesByRelease[release] == nil {
+		l.processesByRelease[release] = map[string]bool{}
 	}
-	l.everOnReleases[release][p.name] = true
+	l.processesByRelease[release][p.name] = true
 }
 
-// noteOut notes that a process has ended by a permit, and fails the drill if more are out than may be.
-func (l *disruptionLog) noteOut(c *cluster, p *process) {
+// recordDeparture notes that a process has ended by a permit, and fails the drill if more are out than may be.
+func (l *disruptionLog) recordDeparture(c *cluster, p *process) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.out[p] = true
@@ -70,13 +70,13 @@
 		}
 		l.maxOut[group] = max(l.maxOut[group], count)
 		if limit, limited := l.limits[group]; limited && count > limit {
-			go c.fail(fmt.Sprintf("%s left by a permit and %d of %s are out by one, %d may be", p.name, count, group, limit))
+			go c.onFailure(fmt.Sprintf("%s left by a permit and %d of %s are out by one, %d may be", p.name, count, group, limit))
 		}
 	}
 }
 
-// noteBack notes that a process has come up.
-func (l *disruptionLog) noteBack(p *process) {
+// recordReturn notes that a process has come up.
+func (l *disruptionLog) recordReturn(p *process) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.out[p] {
--- a/internal/drill/disruption_test.go
+++ b/internal/drill/disruption_test.go
@@ -15,13 +15,13 @@
 	failures := make(chan string, 10)
 	script := &config.Drill{Instances: 4, Zones: []string{"a", "b"}}
 	c := &cluster{
-		callbacks:   callbacks{fail: func(detail string) { failures <- detail }},
+		callbacks:   callbacks{onFailure: func(detail string) { failures <- detail }},
 		script:      script,
 		disruptions: newDisruptionLog(),
 	}
 	for i, name := range []string{"p0", "p1", "p2", "p3"} {
 		c.processes = append(c.processes, &process{cluster: c, index: i, name: name, release: "1"})
-		c.disruptions.noteRelease(c.processes[i])
+		c.disruptions.recordRelease(c.processes[i])
 	}
 	c.disruptions.setLimits([]coordination.DisruptionBudget{
 		{Selector: coordination.Selector{Role: "instance"}, MaxUnavailable: 2},
@@ -30,9 +30,9 @@
 		{Selector: coordination.Selector{Release: "1"}, MaxUnavailable: 0},
 		{Selector: coordination.Selector{Role: "relay"}, MaxUnavailable: 0},
 	})
-	out := func(index int, want string) {
+	expectDeparture := func(index int, want string) {
 		t.Helper()
-		c.disruptions.noteOut(c, c.processes[index])
+		c.disruptions.recordDeparture(c, c.processes[index])
 		select {
 		case got := <-failures:
 			if want == "" || !strings.Contains(got, want) {
@@ -44,20 +44,20 @@
 			}
 		}
 	}
-	out(0, "")
-	out(1, "")
-	c.disruptions.noteBack(c.processes[1])
-	out(2, "p2 left by a permit and 2 of zone a are out by one, 1 may be")
-	c.disruptions.noteBack(c.processes[0])
-	out(1, "")
-	out(3, "p3 left by a permit and 3 of all are out by one, 2 may be")
+	expectDeparture(0, "")
+	expectDeparture(1, "")
+	c.disruptions.recordReturn(c.processes[1])
+	expectDeparture(2, "p2 left by a permit and 2 of zone a are out by one, 1 may be")
+	c.disruptions.recordReturn(c.processes[0])
+	expectDeparture(1, "")
+	expectDeparture(3, "p3 left by a permit and 3 of all are out by one, 2 may be")
 	if got := c.disruptions.maxOut[allProcesses]; got != 3 {
 		t.Errorf("%d out at the most", got)
 	}
 	if !c.disruptions.inProgress() || (*disruptionLog)(nil).inProgress() {
 		t.Error("in progress")
 	}
-	if got := len(c.disruptions.everOnReleases["1"]); got != 4 {
+	if got := len(c.disruptions.processesByRelease["1"]); got != 4 {
 		t.Errorf("%d were on release 1", got)
 	}
 }
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -109,7 +109,7 @@
 	r.failures.reset(time.Now())
 	cluster, err := newCluster(r.script, binary, dir, callbacks{
 		onExecution: r.requests.recordExecution,
-		fail:        r.failures.add,
+		onFailure:   r.failures.add,
 		print:       func(line string) { printf(r.out, "%s\n", line) },
 	})
 	if err != nil {
@@ -261,7 +261,7 @@
 
 // nameOf returns the name of the process at an index of the network.
 func (r *run) nameOf(index int) string {
-	if index == stranger {
+	if index == unknownSender {
 		return "a stranger"
 	}
 	return r.cluster.processes[index].name
--- a/internal/drill/faults.go
+++ b/internal/drill/faults.go
@@ -21,7 +21,7 @@
 	case event.Fault.Action == config.ActionCoordinatorCommand && event.Undo:
 		c.restartDrained()
 	case event.Fault.Action == config.ActionCoordinatorCommand:
-		go c.command(event)
+		go c.issueCommand(event)
 	case event.Fault.Action == config.ActionBurst && event.Undo:
 		c.setLoadFactor(1)
 	case event.Fault.Action == config.ActionBurst:
@@ -41,17 +41,17 @@
 			continue
 		}
 		if err := c.restart(p.name, ""); err != nil {
-			c.fail(p.name + ": " + err.Error())
+			c.onFailure(p.name + ": " + err.Error())
 		}
 	}
 }
 
-// command gives the coordinators a command and prints their answer.
-func (c *cluster) command(event Event) {
+// issueCommand gives the coordinators a issueCommand and prints their answer.
+func (c *cluster) issueCommand(event Event) {
 	fault := event.Fault
 	reply, err := c.runCommand(fault.Command, fmt.Sprint(fault.Name, event.At))
 	if err != nil {
-		c.fail(fault.Name + ": " + err.Error())
+		c.onFailure(fault.Name + ": " + err.Error())
 	}
 	c.print(fmt.Sprintf("        %s: %s, release %s", fault.Command, reply, c.rolloutPhase()))
 }
@@ -68,7 +68,7 @@
 				err = p.apply(event.Fault)
 			}
 			if err != nil {
-				c.fail(fmt.Sprintf("%s: %s: %v", event.Fault.Name, p.name, err))
+				c.onFailure(fmt.Sprintf("%s: %s: %v", event.Fault.Name, p.name, err))
 			}
 		})
 	}
@@ -115,7 +115,7 @@
 func (p *process) undo(fault *config.DrillFault) error {
 	switch fault.Action {
 	case config.ActionKill, config.ActionWipe, config.ActionLeave:
-		return p.startAgain()
+		return p.startUnlessRunning()
 	case config.ActionPause:
 		p.pause(false)
 	case config.ActionLateRuntime:
@@ -126,9 +126,9 @@
 	return nil
 }
 
-// startAgain starts a process that a fault has ended, unless the coordinators have done so: one that was out by their
+// startUnlessRunning starts a process that a fault has ended, unless the coordinators have done so: one that was out by their
 // permit is theirs to start, and a second process on its addresses would fail for them.
-func (p *process) startAgain() error {
+func (p *process) startUnlessRunning() error {
 	p.mu.Lock()
 	running := p.isRunning()
 	p.mu.Unlock()
--- a/internal/drill/faults_test.go
+++ b/internal/drill/faults_test.go
@@ -9,7 +9,7 @@
 
 // A process that the coordinators started again while a fault had it ended is left alone when the fault is over:
 // a second one would find its addresses taken.
-func TestUndoOfProcessThatRuns(t *testing.T) {
+func TestUndoKeepsRunningProcess(t *testing.T) {
 	for _, action := range []config.DrillAction{config.ActionKill, config.ActionWipe, config.ActionLeave} {
 		running := &exec.Cmd{}
 		p := &process{name: "p000", dir: t.TempDir(), cmd: running}
--- a/internal/drill/golden_figures_test.go
+++ b/internal/drill/golden_figures_test.go
@@ -22,13 +22,13 @@
 
 // figuresRun is a drill of two instances of which one runs, with a status socket that always answers the same.
 type figuresRun struct {
-	t          *testing.T
-	cluster    *cluster
-	check      *membershipCheck
-	id         membership.ID // of the one that runs
-	questions  chan string   // what its status socket was asked
-	metrics    []metric
-	violations []violation
+	t              *testing.T
+	cluster        *cluster
+	check          *membershipCheck
+	id             membership.ID // of the one that runs
+	statusRequests chan string   // what its status socket was asked
+	metrics        []metric
+	violations     []violation
 }
 
 func newFiguresRun(t *testing.T) *figuresRun {
@@ -51,9 +51,9 @@
 	}
 	running := &process{name: "p000", dir: t.TempDir(), cmd: &exec.Cmd{}, release: "1"}
 	r := &figuresRun{
-		t:         t,
-		id:        membership.ID{Name: "p000", BootID: 0x1f},
-		questions: make(chan string, 64),
+		t:              t,
+		id:             membership.ID{Name: "p000", BootID: 0x1f},
+		statusRequests: make(chan string, 64),
 		cluster: &cluster{
 			callbacks: callbacks{print: func(string) {}},
 			script:    script,
@@ -77,7 +77,7 @@
 			return
 		}
 		line, _ := bufio.NewReader(connection).ReadString('\n')
-		r.questions <- line
+		r.statusRequests <- line
 		_, _ = fmt.Fprintf(connection, statusLine, membership.Fingerprint(r.id))
 		_ = connection.Close()
 	}
@@ -86,7 +86,7 @@
 // pollFirst polls and checks what is read of the status.
 func (r *figuresRun) pollFirst() {
 	r.check.poll(0)
-	if got := <-r.questions; got != "brief\n" {
+	if got := <-r.statusRequests; got != "brief\n" {
 		r.t.Fatalf("asked %q", got)
 	}
 	counts := r.check.counts
@@ -127,7 +127,7 @@
 func (r *figuresRun) checkRollout() {
 	r.cluster.disruptions = newDisruptionLog()
 	r.cluster.disruptions.maxOut[allProcesses] = 2
-	r.cluster.disruptions.everOnReleases["3"] = map[string]bool{"p000": true}
+	r.cluster.disruptions.processesByRelease["3"] = map[string]bool{"p000": true}
 	r.add(r.cluster.checkRollout())
 }
 
--- a/internal/drill/golden_files_test.go
+++ b/internal/drill/golden_files_test.go
@@ -83,7 +83,7 @@
 				t.Fatal(err)
 			}
 			if name == "fleet.ini" {
-				checkPresentTerms(t, p.name, file)
+				checkNoRenamedTerms(t, p.name, file)
 			}
 			fmt.Fprintf(&text, "# %s %s\n%s\n", p.name, name, strings.NewReplacer(names...).Replace(string(file)))
 		}
@@ -91,8 +91,8 @@
 	goldentest.CheckText(t, "testdata/files.txt", text.Bytes())
 }
 
-// checkPresentTerms checks that an operator's file has no earlier terms: each process would warn of them.
-func checkPresentTerms(t *testing.T, name string, file []byte) {
+// checkNoRenamedTerms checks that an operator's file has no earlier terms: each process would warn of them.
+func checkNoRenamedTerms(t *testing.T, name string, file []byte) {
 	t.Helper()
 	operator, err := config.Parse("fleet.ini", file)
 	if err != nil || len(operator.Renamed) > 0 {
--- a/internal/drill/golden_record_test.go
+++ b/internal/drill/golden_record_test.go
@@ -15,8 +15,8 @@
 	"lanewheel/internal/goldentest"
 )
 
-// recordAll returns a record with a row of each kind, put together as at the end of a drill.
-func recordAll() Record {
+// sampleRecord returns a record with a row of each kind, put together as at the end of a drill.
+func sampleRecord() Record {
 	startedAt := time.Unix(1_700_000_000, 0)
 	at := func(ms int) time.Time { return startedAt.Add(time.Duration(ms) * time.Millisecond) }
 	processes := []*process{{name: "p000"}, {name: "p001"}}
@@ -80,7 +80,7 @@
 		{0, "figure", "", "calm seconds", "", 3},
 		{0, "link", "p000", "p001", links, 6},
 	}
-	if got := recordAll(); !slices.Equal(got, want) {
+	if got := sampleRecord(); !slices.Equal(got, want) {
 		t.Fatalf("the rows of a drill are others than before:\n%v", got)
 	}
 	path := filepath.Join(t.TempDir(), "record.parquet")
--- a/internal/drill/hook.go
+++ b/internal/drill/hook.go
@@ -48,7 +48,7 @@
 func (c *cluster) listenForHooks() error {
 	c.disruptions = newDisruptionLog()
 	for _, p := range c.processes {
-		c.disruptions.noteRelease(p)
+		c.disruptions.recordRelease(p)
 	}
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "unix", c.hookPath())
 	if err != nil {
@@ -104,7 +104,7 @@
 		return fmt.Errorf("%s is there", p.name)
 	}
 	if release != "" {
-		p.cluster.disruptions.noteRelease(p)
+		p.cluster.disruptions.recordRelease(p)
 	}
 	if err := p.writeFiles(); err != nil {
 		return err
--- a/internal/drill/hook_test.go
+++ b/internal/drill/hook_test.go
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = listener.Close() }()
-	heard := make(chan string, 1)
+	received := make(chan string, 1)
 	go func() {
 		connection, err := listener.Accept()
 		if err != nil {
@@ -38,14 +38,14 @@
 		}
 		defer func() { _ = connection.Close() }()
 		line, _ := bufio.NewReader(connection).ReadString('\n')
-		heard <- line
+		received <- line
 		_, _ = io.WriteString(connection, "started\n")
 	}()
 	out.Reset()
 	if err := RunHook(listener.Addr().String(), "p001", "2", &out); err != nil {
 		t.Fatal(err)
 	}
-	if got := <-heard; got != "p001 2\n" || out.String() != "started\n" {
+	if got := <-received; got != "p001 2\n" || out.String() != "started\n" {
 		t.Fatalf("%q %q", got, out.String())
 	}
 }
--- a/internal/drill/idle.go
+++ b/internal/drill/idle.go
@@ -38,8 +38,8 @@
 	processes := 0
 	var bytes, cpuMillis, packets float64
 	for id, after := range check.usage {
-		before, known := u.before[id]
-		if !known {
+		before, exists := u.before[id]
+		if !exists {
 			continue
 		}
 		processes++
--- a/internal/drill/load.go
+++ b/internal/drill/load.go
@@ -222,14 +222,14 @@
 	for {
 		response, err := s.fake.NextResponse()
 		if err != nil {
-			s.noteEnd()
+			s.recordDisconnect()
 			return
 		}
-		s.noteResponse(response)
+		s.recordResponse(response)
 	}
 }
 
-func (s *loadSession) noteResponse(response fake.Response) {
+func (s *loadSession) recordResponse(response fake.Response) {
 	s.client.log.mu.Lock()
 	defer s.client.log.mu.Unlock()
 	request := s.inFlight[response.Number]
@@ -244,8 +244,8 @@
 	}
 }
 
-// noteEnd notes that the connection has ended: what has no response gets none.
-func (s *loadSession) noteEnd() {
+// recordDisconnect notes that the connection has ended: what has no response gets none.
+func (s *loadSession) recordDisconnect() {
 	s.client.log.mu.Lock()
 	defer s.client.log.mu.Unlock()
 	for _, request := range s.inFlight {
--- a/internal/drill/membership.go
+++ b/internal/drill/membership.go
@@ -62,7 +62,7 @@
 
 // poll asks all processes that are up for their views, and compares them with what is so.
 func (m *membershipCheck) poll(now time.Duration) {
-	answers := m.ask()
+	answers := m.queryAll()
 	var expected uint64
 	for _, answer := range answers {
 		expected ^= membership.Fingerprint(answer.process.currentID())
@@ -72,12 +72,12 @@
 	m.compare(answers, fmt.Sprintf("%016x", expected))
 	m.count(answers)
 	if m.converged {
-		m.noteConvergence(now)
+		m.recordConvergence(now)
 	}
 }
 
-// ask asks all processes that are up, a few at a time.
-func (m *membershipCheck) ask() []pollAnswer {
+// queryAll asks all processes that are up, a few at a time.
+func (m *membershipCheck) queryAll() []pollAnswer {
 	var answers []pollAnswer
 	for _, p := range m.cluster.processes {
 		if p.isUp() {
@@ -148,8 +148,8 @@
 	}
 }
 
-// noteConvergence notes that all know of all changes. mu must be held.
-func (m *membershipCheck) noteConvergence(now time.Duration) {
+// recordConvergence notes that all know of all changes. mu must be held.
+func (m *membershipCheck) recordConvergence(now time.Duration) {
 	for name, elapsed := range m.convergence {
 		if elapsed == converging {
 			m.convergence[name] = now - m.changedAt
@@ -195,7 +195,7 @@
 	if event != nil {
 		name = event.Fault.Name
 	}
-	if !m.converged && !m.isInFlux() {
+	if !m.converged && !m.isMembershipChanging() {
 		detail := fmt.Sprintf("%d processes hold others to be there than are, %v after %s; %s",
 			m.divergent, now-m.changedAt, name, m.divergentDetail)
 		violations = append(violations, violation{now, ruleViewsEqual, detail})
@@ -214,8 +214,8 @@
 	return violations
 }
 
-// isInFlux reports whether members come and go all the time, by a rollout or a release that crashes. Views are
+// isMembershipChanging reports whether members come and go all the time, by a rollout or a release that crashes. Views are
 // checked once that is over.
-func (m *membershipCheck) isInFlux() bool {
+func (m *membershipCheck) isMembershipChanging() bool {
 	return m.cluster.disruptions.inProgress() || m.cluster.script.BadRelease.CrashAfter > 0
 }
--- a/internal/drill/network.go
+++ b/internal/drill/network.go
@@ -11,8 +11,8 @@
 	"lanewheel/internal/config"
 )
 
-// stranger is the index of a sender that is no process.
-const stranger = -1
+// unknownSender is the index of a sender that is no process.
+const unknownSender = -1
 
 // garbleMask is what a byte of a garbled message is combined with.
 const garbleMask = 0x55
@@ -150,8 +150,8 @@
 func (n *network) lookup(host string, target int) conditions {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	found := conditions{from: stranger}
-	if index, known := n.processByHost[host]; known {
+	found := conditions{from: unknownSender}
+	if index, isProcess := n.processByHost[host]; isProcess {
 		found.from = index
 		found.senderFront = n.fronts[index]
 	}
@@ -173,16 +173,16 @@
 			if from == to {
 				continue
 			}
-			n.applyTo(link{from, to}, event)
+			n.applyToLink(link{from, to}, event)
 			if event.Fault.Bidirectional {
-				n.applyTo(link{to, from}, event)
+				n.applyToLink(link{to, from}, event)
 			}
 		}
 	}
 }
 
-// applyTo does so on one link. mu must be held.
-func (n *network) applyTo(l link, event Event) {
+// applyToLink does so on one link. mu must be held.
+func (n *network) applyToLink(l link, event Event) {
 	if event.Undo {
 		var remaining []*config.DrillFault
 		for _, fault := range n.faults[l] {
--- a/internal/drill/network_test.go
+++ b/internal/drill/network_test.go
@@ -140,15 +140,15 @@
 
 func (test datagramTest) run(t *testing.T, p *linkedPair) {
 	t.Helper()
-	forth, back, before := p.received[1].Load(), p.received[0].Load(), p.network.total()
+	forward, backward, before := p.received[1].Load(), p.received[0].Load(), p.network.total()
 	undo := p.apply(test.action)
 	defer undo()
 	startedAt := time.Now()
 	p.send(0, 10)
 	p.send(1, 3) // the way back is as it was
-	fake.WaitFor("the way back", func() bool { return p.received[0].Load() == back+3 })
+	fake.WaitFor("the way back", func() bool { return p.received[0].Load() == backward+3 })
 	if test.received > 0 {
-		fake.WaitFor(string(test.action), func() bool { return p.received[1].Load() == forth+test.received })
+		fake.WaitFor(string(test.action), func() bool { return p.received[1].Load() == forward+test.received })
 	} else {
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -158,7 +158,7 @@
 	after := p.network.total()
 	got := datagramTest{
 		action:      test.action,
-		received:    p.received[1].Load() - forth,
+		received:    p.received[1].Load() - forward,
 		dropped:     after.dropped - before.dropped,
 		minDuration: test.minDuration,
 		corrupts:    after.corrupted > before.corrupted,
--- a/internal/drill/process.go
+++ b/internal/drill/process.go
@@ -139,11 +139,11 @@
 	close(exit)
 	switch {
 	case byPermit:
-		p.cluster.disruptions.noteOut(p.cluster, p)
+		p.cluster.disruptions.recordDeparture(p.cluster, p)
 	case crashed:
 		time.AfterFunc(restartDelay, func() { _ = p.cluster.restart(p.name, "") }) // it may be running again
 	case unexpected:
-		p.cluster.fail(fmt.Sprintf("%s ended by itself: %v; %s", p.name, err, logTail(p.path("log"))))
+		p.cluster.onFailure(fmt.Sprintf("%s ended by itself: %v; %s", p.name, err, logTail(p.path("log"))))
 	}
 }
 
--- a/internal/drill/requests.go
+++ b/internal/drill/requests.go
@@ -62,9 +62,9 @@
 	return check.violations
 }
 
-func (c *requestCheck) violate(request *issuedRequest, rule, what string) {
+func (c *requestCheck) addViolation(request *issuedRequest, rule, problem string) {
 	detail := fmt.Sprintf("op %s (%s) at %s: %s; ran %s",
-		request.id, request.class, c.cluster.processes[request.process].name, what, c.describeRuns(request))
+		request.id, request.class, c.cluster.processes[request.process].name, problem, c.describeRuns(request))
 	c.violations = append(c.violations, violation{request.sentAt.Sub(c.startedAt), rule, detail})
 }
 
@@ -76,25 +76,25 @@
 	elapsed := request.answeredAt.Sub(request.sentAt)
 	switch {
 	case request.responses > 1:
-		c.violate(request, ruleNoRequestLost, fmt.Sprint(request.responses, " final answers"))
+		c.addViolation(request, ruleNoRequestLost, fmt.Sprint(request.responses, " final answers"))
 	case request.outcome == outcomeNone && c.endedAt.Sub(request.sentAt) > requestTimeout && !excused:
-		c.violate(request, ruleNoRequestLost, "no answer")
+		c.addViolation(request, ruleNoRequestLost, "no answer")
 	case request.outcome == outcomeBroken && !excused &&
 		!p.outBetween(request.sentAt.Add(-after), request.answeredAt.Add(after)):
-		c.violate(request, ruleNoRequestLost, "its connection ended")
+		c.addViolation(request, ruleNoRequestLost, "its connection ended")
 	case request.responses == 1 && elapsed > requestTimeout && !excused:
-		c.violate(request, ruleNoRequestLost, "answered after "+elapsed.String())
+		c.addViolation(request, ruleNoRequestLost, "answered after "+elapsed.String())
 	case request.outcome == outcomeSucceeded && len(request.executions) == 0:
-		c.violate(request, ruleNoRequestLost, "acked and never run")
+		c.addViolation(request, ruleNoRequestLost, "acked and never run")
 	case request.outcome == outcomeRejected && len(request.executions) > 0 && request.class == classPay:
-		c.violate(request, ruleNoEffectTwice, "nacked as never run, and run")
+		c.addViolation(request, ruleNoEffectTwice, "nacked as never run, and run")
 	}
 }
 
 // checkEffects checks that a request that is not idempotent runs once; the others may run again.
 func (c *requestCheck) checkEffects(request *issuedRequest) {
 	if len(request.executions) > 1 && request.class == classPay {
-		c.violate(request, ruleNoEffectTwice, "run more than once")
+		c.addViolation(request, ruleNoEffectTwice, "run more than once")
 	}
 }
 
@@ -108,7 +108,7 @@
 		}
 		for _, drain := range drains {
 			if request.sentAt.Sub(drain.from) > drainGrace+drainSlack && execution.at.Before(drain.to) {
-				c.violate(request, ruleSafeDrains, "run although it came later than the grace after the notice")
+				c.addViolation(request, ruleSafeDrains, "run although it came later than the grace after the notice")
 			}
 		}
 	}
--- a/internal/drill/runtime.go
+++ b/internal/drill/runtime.go
@@ -24,7 +24,7 @@
 		runtime.Faults = p.currentRuntimeFaults
 		runtime.SendReady("steady")
 		if c.disruptions != nil {
-			c.disruptions.noteBack(p)
+			c.disruptions.recordReturn(p)
 		}
 		seed := c.script.RandomSeed + incarnation<<32 + uint64(p.index)
 		runtime.AutoRun(runtimeCores, c.script.MeanRunTime, seed, func(_, _, body string) { c.onExecution(p, body) })
--- a/internal/drill/streams.go
+++ b/internal/drill/streams.go
@@ -16,8 +16,8 @@
 	streamDialTimeout = time.Second
 
 	// How often a stream that a fault holds up looks whether it is over: before it is connected, and in the middle.
-	swallowCheckInterval = 50 * time.Millisecond
-	stallCheckInterval   = 20 * time.Millisecond
+	blackholeCheckInterval = 50 * time.Millisecond
+	stallCheckInterval     = 20 * time.Millisecond
 )
 
 func (n *network) acceptStreams(front *processFront, listener *net.TCPListener, port int) {
@@ -42,7 +42,7 @@
 		return
 	}
 	for current.has(config.ActionBlackhole) { // the stream is taken, and nothing comes of it
-		time.Sleep(swallowCheckInterval)
+		time.Sleep(blackholeCheckInterval)
 		if current = n.lookup(host, front.process); n.isClosed() {
 			return
 		}
@@ -53,15 +53,15 @@
 		return
 	}
 	defer func() { _ = outgoing.Close() }() // it may be closed already
-	forth, back := link{current.from, front.process}, link{front.process, current.from}
-	n.trackStream(outgoing, forth)
-	n.trackStream(incoming, back)
+	forward, backward := link{current.from, front.process}, link{front.process, current.from}
+	n.trackStream(outgoing, forward)
+	n.trackStream(incoming, backward)
 	var copying sync.WaitGroup
-	copying.Go(func() { n.copyStream(outgoing, incoming, host, forth.to) })
-	copying.Go(func() { n.copyStream(incoming, outgoing, front.target.IP.String(), back.to) })
+	copying.Go(func() { n.copyStream(outgoing, incoming, host, forward.to) })
+	copying.Go(func() { n.copyStream(incoming, outgoing, front.target.IP.String(), backward.to) })
 	copying.Wait()
-	n.forgetStream(outgoing)
-	n.forgetStream(incoming)
+	n.untrackStream(outgoing)
+	n.untrackStream(incoming)
 }
 
 // dialProcess connects to a process from the front of the sender; a stranger comes from the process's own front.
@@ -85,7 +85,7 @@
 	n.streams[connection] = l
 }
 
-func (n *network) forgetStream(connection *net.TCPConn) {
+func (n *network) untrackStream(connection *net.TCPConn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.streams, connection)
--- a/internal/drill/timeline_test.go
+++ b/internal/drill/timeline_test.go
@@ -81,8 +81,8 @@
 	// x.ini:9: fault b.targets: is "zone q", wants all, others, proxies, instances, allocators, coordinators, zone NAME, release NAME, process N, first N, draw N or draw N%
 }
 
-// TestTimelineText checks how many processes are abbreviated.
-func TestTimelineText(t *testing.T) {
+// TestAbbreviate checks how many processes are abbreviated.
+func TestAbbreviate(t *testing.T) {
 	for _, test := range []struct {
 		numbers []int
 		want    string
