--- a/internal/drill/balance.go
+++ b/internal/drill/balance.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	// warmUpSeconds is how long the load of instances that have just started does not count.
+	// warmUpSeconds is how long the load of a newly started instance is excluded from the measurement, in seconds.
 	warmUpSeconds = 8
 
-	// minCalmSeconds is how many seconds there must be to measure the balance.
+	// minCalmSeconds is the minimum number of calm seconds that the balance is measured over.
 	minCalmSeconds = 3
 )
 
-// balanceCheck measures how the load was spread over the instances in the calm seconds: those in which nothing was
-// done.
+// balanceCheck measures how the load was spread over the instances during the calm seconds, which are the seconds
+// that no event affects.
 type balanceCheck struct {
 	cluster       *cluster
 	calm          []bool          // by second
-	faulty        map[int]bool    // instances whose runs failed or were lost: each sender ejects them for a while
+	faulty        map[int]bool    // instances whose runs failed or were lost; senders eject them temporarily
 	runs          [][]int         // by second and instance
 	totalRuns     int             // in calm seconds
 	lastRun       []time.Duration // by instance; 0: none yet
 	longest       []float64       // by instance, its longest idle time, s
-	longestDetail string          // which instance had the longest of all, and when
+	longestDetail string          // the instance with the longest idle time of all, and when that ended
 }
 
-// instanceRun is a run of a request, since the start of the load.
+// instanceRun is a run of a request on a process.
 type instanceRun struct {
-	at      time.Duration
-	process int
+	at      time.Duration // since the start of the load
+	process int           // index
 }
 
-// checkBalance returns what the balance of the load was, and the violations where the script limits it.
+// checkBalance returns the metrics of the load balance, and the violations of the script's limits.
 func checkBalance(
 	c *cluster, log *requestLog, events []Event, startedAt, endedAt time.Time,
 ) (metrics []metric, violations []violation) {
@@ -54,7 +54,7 @@
 		metrics = append(metrics, metric{"ops handed over and run", float64(forwarded)})
 	}
 	spread := check.spread()
-	alwaysOut := script.Coordinators > 0 // somebody is, by permits
+	alwaysOut := script.Coordinators > 0 // coordinators grant permits, so some instance is always out
 	if spread.seconds < minCalmSeconds || check.totalRuns == 0 || alwaysOut {
 		return metrics, nil
 	}
@@ -88,7 +88,7 @@
 	return check
 }
 
-// excludeEvent notes the seconds that are not calm for an event.
+// excludeEvent marks the seconds that an event affects as not calm.
 func (b *balanceCheck) excludeEvent(event *Event) {
 	fault := event.Fault
 	if fault.Action == config.ActionFailRuns || fault.Action == config.ActionLoseRuns {
@@ -100,7 +100,7 @@
 	if fault.Duration > 0 && !event.Undo {
 		to += fault.Duration
 	}
-	if len(event.Targets) > 0 { // they may have started anew
+	if len(event.Targets) > 0 { // the targets may have restarted
 		to += warmUpSeconds * time.Second
 	}
 	for second := range b.calm {
@@ -110,7 +110,8 @@
 	}
 }
 
-// instanceRuns returns all runs in their order, and how many were elsewhere than at the process that got the request.
+// instanceRuns returns all runs in order of time, and the number of runs on a process other than the one that
+// received the request.
 func (l *requestLog) instanceRuns(startedAt time.Time) (runs []instanceRun, forwarded int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -126,7 +127,7 @@
 	return runs, forwarded
 }
 
-// countRun counts a run of an instance in a calm second.
+// countRun counts a run if it was on an instance and in a calm second.
 func (b *balanceCheck) countRun(run instanceRun) {
 	second := int(run.at / time.Second)
 	if run.process >= len(b.lastRun) || second < 0 || second >= len(b.calm) || !b.calm[second] {
@@ -136,7 +137,7 @@
 	b.totalRuns++
 	last := b.lastRun[run.process]
 	b.lastRun[run.process] = run.at
-	// An idle time counts where all of it is calm.
+	// An idle time counts only if all of it is calm.
 	if last == 0 || b.faulty[run.process] || slices.Contains(b.calm[int(last/time.Second):second], false) {
 		return
 	}
@@ -150,11 +151,11 @@
 	}
 }
 
-// loadSpread is how the runs of the calm seconds were spread.
+// loadSpread describes how the runs in the calm seconds were spread over the instances.
 type loadSpread struct {
 	seconds   int
-	imbalance float64 // runs of the most loaded instance of a second, against what chance gives
-	worst     float64 // the same in the worst second
+	imbalance float64 // runs of the most loaded instance per second, relative to the maximum expected by chance
+	worst     float64 // the same ratio in the worst second
 }
 
 func (b *balanceCheck) spread() (spread loadSpread) {
@@ -197,14 +198,14 @@
 	return violations
 }
 
-// expectedMaximum returns how many of some requests the most loaded of some processes gets on average, if each request
-// goes to any with the same chance.
+// expectedMaximum returns the expected number of requests on the most loaded process if each request goes to a
+// process drawn uniformly at random.
 func expectedMaximum(requests, processes int) float64 {
 	const negligible = 1e-12
 	mean := float64(requests) / float64(processes)
 	expected, atMost, probability := 0.0, 0.0, math.Exp(-mean)
 	for count := 0; count <= requests; count++ {
-		atMost += probability // of a Poisson distribution: at most count
+		atMost += probability // that a Poisson variable is at most count
 		expected += 1 - math.Pow(min(1, atMost), float64(processes))
 		probability *= mean / float64(count+1)
 		if float64(count) > mean && probability < negligible {
--- a/internal/drill/cluster.go
+++ b/internal/drill/cluster.go
@@ -16,25 +16,25 @@
 	"lanewheel/internal/fake"
 )
 
-// Ports of each process, at its own host and at its front.
+// Ports of each process, the same on its own host and on its front.
 const (
 	gossipPort      = 7946
 	coordinatorPort = 7960
 	clientPort      = 8443
 )
 
-// clusterKeyCount is the number of cluster keys that a script may name, from 1 on.
+// clusterKeyCount is the number of cluster keys that a script may refer to, by the numbers from 1 on.
 const clusterKeyCount = 8
 
-// callbacks are what a cluster tells the drill. They are called on any goroutine.
+// callbacks are the functions that a cluster reports to the drill with. They may be called on any goroutine.
 type callbacks struct {
-	onExecution func(p *process, requestID string) // a process has begun to run a request
-	onFailure   func(detail string)                // a process did what it should not
+	onExecution func(p *process, requestID string) // a process has started to run a request
+	onFailure   func(detail string)                // a process misbehaved or a fault could not be applied
 	print       func(line string)
 }
 
-// cluster is all that runs in a drill. Its fields are set before the first process starts and do not change, but
-// for what says otherwise.
+// cluster holds everything that runs in a drill: the processes, their fakes and the network between them. Its fields
+// are set before the first process starts and do not change after that, except loadFactor.
 type cluster struct {
 	callbacks
 	script       *config.Drill
@@ -45,14 +45,14 @@
 	registry     *fake.Registry
 	processes    []*process
 	services     []*fakeService
-	disruptions  *disruptionLog // nil: there are no coordinators
-	hookListener net.Listener   // nil: there are no coordinators
-	keys         []string       // cluster keys, by number less one
-	starts       chan func()    // work for the thread that starts processes
-	loadFactor   atomic.Uint64  // by which the load is multiplied, as the bits of a float64
+	disruptions  *disruptionLog // nil without coordinators
+	hookListener net.Listener   // nil without coordinators
+	keys         []string       // cluster keys; the key with number n is at index n-1
+	starts       chan func()    // start functions for the thread that starts processes
+	loadFactor   atomic.Uint64  // multiplier of the load, as the bits of a float64
 }
 
-// newCluster makes all processes, the fakes beside them and the links between them. None is started.
+// newCluster creates all processes, their fakes and the links between them. It starts no process.
 func newCluster(script *config.Drill, binary, dir string, callbacks callbacks) (*cluster, error) {
 	c := &cluster{
 		callbacks: callbacks,
@@ -76,7 +76,8 @@
 	return c, nil
 }
 
-// runStarts starts processes on one thread that stays: the kernel ends a child with the thread that started it.
+// runStarts starts processes on one thread that lives as long as the cluster: the kernel kills a child when the
+// thread that started it ends.
 func (c *cluster) runStarts() {
 	runtime.LockOSThread()
 	for start := range c.starts {
@@ -84,7 +85,7 @@
 	}
 }
 
-// makeClusterKeys returns the keys that a script names by number, the same for the same seed.
+// makeClusterKeys returns the keys that a script refers to by number. The same seed returns the same keys.
 func makeClusterKeys(seed uint64) (keys []string) {
 	for number := 1; number <= clusterKeyCount; number++ {
 		key := fmt.Sprintf("drill key %02d %019d", number, seed)
@@ -93,7 +94,7 @@
 	return keys
 }
 
-// streamPorts returns the ports that processes take streams at, the gossip's first.
+// streamPorts returns the ports on which processes accept streams. The gossip port is the first.
 func streamPorts(script *config.Drill) []int {
 	if script.Coordinators > 0 {
 		return []int{gossipPort, clientPort, coordinatorPort}
@@ -101,8 +102,8 @@
 	return []int{gossipPort, clientPort}
 }
 
-// addProcess makes a process with its fakes and its front. Drills on one machine must not meet: each has loopback
-// networks of its own, by its process id.
+// addProcess creates a process with its fakes and its front. Each drill uses its own loopback networks, derived from
+// its process id, so that concurrent drills on one machine do not interfere.
 func (c *cluster) addProcess(index int) error {
 	const hostsPerNetwork = 250
 	octet := 64 + os.Getpid()%64
@@ -142,13 +143,13 @@
 	return nil
 }
 
-// setLoadFactor multiplies the load. It may be called on any goroutine.
+// setLoadFactor sets the multiplier of the load. It may be called on any goroutine.
 func (c *cluster) setLoadFactor(factor float64) { c.loadFactor.Store(math.Float64bits(factor)) }
 
-// currentLoadFactor may be called on any goroutine.
+// currentLoadFactor returns the multiplier of the load. It may be called on any goroutine.
 func (c *cluster) currentLoadFactor() float64 { return math.Float64frombits(c.loadFactor.Load()) }
 
-// clientTargets returns the processes that clients know: the proxies if there are any, else the instances.
+// clientTargets returns the processes that clients connect to: the proxies if there are any, otherwise the instances.
 func (c *cluster) clientTargets() []*process {
 	l := layoutOf(c.script)
 	if c.script.Proxies > 0 {
@@ -157,7 +158,8 @@
 	return c.processes[:l.proxies]
 }
 
-// close ends all processes and fakes. Errors of closing are of no interest any more.
+// close kills all processes and closes the fakes and the network. Errors of closing are ignored because the drill is
+// complete.
 func (c *cluster) close() {
 	var stopping sync.WaitGroup
 	for _, p := range c.processes {
--- a/internal/drill/coordinators.go
+++ b/internal/drill/coordinators.go
@@ -19,7 +19,7 @@
 	statusTimeout  = time.Second
 )
 
-// instanceRole is how instances are called in selectors of the coordinators.
+// instanceRole is the role of instances in the coordinators' selectors.
 const instanceRole = "instance"
 
 // coordinatorClient returns a client of all coordinators.
@@ -37,7 +37,8 @@
 	return coordinators, nil
 }
 
-// runCommand gives the coordinators a command of a script and returns their answer.
+// runCommand sends a command of a script to the coordinators and returns their answer: "agreed", or "refused: " with
+// the reason. It returns an error if the command is invalid, cannot be sent or fails.
 func (c *cluster) runCommand(text, idempotencyKey string) (answer string, err error) {
 	command, err := c.parseCommand(text)
 	if err != nil {
@@ -64,8 +65,8 @@
 	return "agreed", nil
 }
 
-// parseCommand reads a command as an operator would give it: budgets FILE, release FILE, halt, resume, back, drain
-// NAME or drain zone NAME.
+// parseCommand parses a command in the form that an operator uses: budgets FILE, release FILE, halt, resume, back,
+// drain NAME or drain zone NAME.
 func (c *cluster) parseCommand(text string) (command coordination.Command, err error) {
 	action, argument, _ := strings.Cut(text, " ")
 	argument = strings.TrimSpace(argument)
@@ -103,12 +104,13 @@
 	return command, nil
 }
 
-// readScriptFile reads a file that a script names, beside the script.
+// readScriptFile reads a file that a script refers to, from the script's directory.
 func (c *cluster) readScriptFile(name string) ([]byte, error) {
 	return os.ReadFile(filepath.Join(filepath.Dir(c.script.Path), name))
 }
 
-// rolloutPhase returns how far the rollout is, by whichever coordinator answers.
+// rolloutPhase returns the phase of the rollout as reported by any coordinator, "halted" or "none", or "unknown" if no
+// coordinator answers.
 func (c *cluster) rolloutPhase() string {
 	coordinators, err := c.coordinatorClient(statusTimeout)
 	if err != nil {
@@ -126,8 +128,8 @@
 	return string(response.Status.Rollout.Phase)
 }
 
-// checkRollout checks what the script says of the end: which release all instances are on, and how many were ever
-// on one.
+// checkRollout checks the script's requirements on releases: the release that all instances run at the end, and the
+// largest fraction of instances that may ever have run the limited release.
 func (c *cluster) checkRollout() (metrics []metric, violations []violation) {
 	c.disruptions.mu.Lock()
 	defer c.disruptions.mu.Unlock()
@@ -154,7 +156,7 @@
 	return metrics, violations
 }
 
-// countNotOn returns the number of instances that do not run on a release.
+// countNotOn returns the number of instances that are not running, or run another release.
 func (c *cluster) countNotOn(release string) (count int) {
 	for _, p := range c.processes[:c.script.Instances] {
 		p.mu.Lock()
--- a/internal/drill/datagrams.go
+++ b/internal/drill/datagrams.go
@@ -8,10 +8,10 @@
 	"lanewheel/internal/config"
 )
 
-// reorderDelay puts a datagram behind those of the next rounds of gossip.
+// reorderDelay is long enough for a datagram to arrive after those of the next gossip rounds.
 const reorderDelay = 20 * time.Millisecond
 
-// forwardDatagrams forwards what comes to a process's front until it is closed.
+// forwardDatagrams forwards the datagrams that arrive at a process's front until the front is closed.
 func (n *network) forwardDatagrams(front *processFront) {
 	const maxDatagramBytes = 64 << 10
 	buffer := make([]byte, maxDatagramBytes)
@@ -24,8 +24,8 @@
 	}
 }
 
-// forwardDatagram forwards one datagram, which it may change, under what holds on its link. It comes from the sender's
-// front.
+// forwardDatagram forwards one datagram from the sender's front, subject to the faults of its link. It may change the
+// message.
 func (n *network) forwardDatagram(front *processFront, sender *net.UDPAddr, message []byte) {
 	current := n.lookup(sender.IP.String(), front.process)
 	n.increment(&current.counters.datagrams, 1)
@@ -36,7 +36,7 @@
 	}
 	copies, delay := n.applyToDatagram(current, message)
 	for range copies {
-		send := func() { _, _ = out.WriteToUDP(message, front.target) } // what is lost is lost
+		send := func() { _, _ = out.WriteToUDP(message, front.target) } // datagrams may be lost
 		if delay > 0 {
 			time.AfterFunc(delay, send)
 		} else {
@@ -45,7 +45,8 @@
 	}
 }
 
-// applyToDatagram applies the faults of a link to a datagram, which it may change.
+// applyToDatagram applies the faults of a link to a datagram, which it may change. It returns how many copies to send,
+// and after which delay.
 func (n *network) applyToDatagram(current conditions, message []byte) (copies int, delay time.Duration) {
 	copies = 1
 	for _, fault := range current.faults {
--- a/internal/drill/disruption.go
+++ b/internal/drill/disruption.go
@@ -8,16 +8,17 @@
 	"lanewheel/internal/coordination"
 )
 
-// settleAfterReturn is how long after the last return from a permit membership may still change.
+// settleAfterReturn is how long membership may still change after the last process that was out by a permit has
+// returned.
 const settleAfterReturn = 10 * time.Second
 
-// group is whom a limit of disruption holds for: all processes, or those of a zone.
+// group is the set of processes that a disruption limit applies to: all processes, or those of a zone.
 type group struct{ zone string }
 
-// allProcesses is the group of all.
+// allProcesses is the group of all processes.
 var allProcesses = group{}
 
-// String returns the group as it is recorded.
+// String returns the group's name as it appears in records.
 func (g group) String() string {
 	if g == allProcesses {
 		return "all"
@@ -25,15 +26,15 @@
 	return "zone " + g.zone
 }
 
-// disruptionLog is who is out by a permit, by the drill's own clock and eyes: from the end of a process to when its
-// next incarnation has come up.
+// disruptionLog records which processes are out by a permit, as the drill observes it independently of the
+// coordinators: from the end of a process until its next incarnation is up. Its methods may be called on any goroutine.
 type disruptionLog struct {
-	mu                 sync.Mutex // guards what follows
+	mu                 sync.Mutex // guards the fields below
 	out                map[*process]bool
 	lastReturn         time.Time
-	maxOut             map[group]int              // the most at a time
-	limits             map[group]int              // the most that may be out; a group that is not named has none
-	processesByRelease map[string]map[string]bool // names of processes by the releases that they were ever on
+	maxOut             map[group]int              // the most processes that were out at once
+	limits             map[group]int              // the most processes that may be out at once; other groups have no limit
+	processesByRelease map[string]map[string]bool // by release, the names of the processes that ever ran it
 }
 
 func newDisruptionLog() *disruptionLog {
@@ -45,7 +46,7 @@
 	}
 }
 
-// recordRelease notes which release a process is on.
+// recordRelease records the release that a process runs.
 func (l *disruptionLog) recordRelease(p *process) {
 	release := p.currentRelease()
 	l.mu.Lock()
@@ -56,7 +57,8 @@
 	l.processesByRelease[release][p.name] = true
 }
 
-// recordDeparture notes that a process has ended by a permit, and fails the drill if more are out than may be.
+// recordDeparture records that a process has ended by a permit, and reports a failure if more processes are out than a
+// limit allows.
 func (l *disruptionLog) recordDeparture(c *cluster, p *process) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,7 +77,7 @@
 	}
 }
 
-// recordReturn notes that a process has come up.
+// recordReturn records that a process is up.
 func (l *disruptionLog) recordReturn(p *process) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -85,7 +87,8 @@
 	delete(l.out, p)
 }
 
-// inProgress reports whether a process is out by a permit, or was a moment ago. The log may be nil.
+// inProgress reports whether a process is out by a permit, or has returned within settleAfterReturn. The log may be
+// nil.
 func (l *disruptionLog) inProgress() bool {
 	if l == nil {
 		return false
@@ -95,7 +98,8 @@
 	return len(l.out) > 0 || time.Since(l.lastReturn) < settleAfterReturn
 }
 
-// setLimits takes what may be out, as far as the drill can see it: counts over all instances and by zone.
+// setLimits sets the limits from the disruption budgets that the drill can check: absolute numbers over all instances
+// or over those of a zone.
 func (l *disruptionLog) setLimits(budgets []coordination.DisruptionBudget) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/drill/disruption_test.go
+++ b/internal/drill/disruption_test.go
@@ -9,8 +9,8 @@
 	"lanewheel/internal/coordination"
 )
 
-// TestDisruptionLog checks that more processes out by a permit than a budget allows fail the drill, over all and by
-// zone, and what is recorded of it.
+// TestDisruptionLog checks that the drill fails if more processes are out by a permit than a budget allows, over all
+// processes and by zone, and checks the recorded maximum and releases.
 func TestDisruptionLog(t *testing.T) {
 	failures := make(chan string, 10)
 	script := &config.Drill{Instances: 4, Zones: []string{"a", "b"}}
@@ -52,17 +52,17 @@
 	expectDeparture(1, "")
 	expectDeparture(3, "p3 left by a permit and 3 of all are out by one, 2 may be")
 	if got := c.disruptions.maxOut[allProcesses]; got != 3 {
-		t.Errorf("%d out at the most", got)
+		t.Errorf("at most %d processes were out at once, want 3", got)
 	}
 	if !c.disruptions.inProgress() || (*disruptionLog)(nil).inProgress() {
-		t.Error("in progress")
+		t.Error("inProgress: want true with processes out and false for a nil log")
 	}
 	if got := len(c.disruptions.processesByRelease["1"]); got != 4 {
-		t.Errorf("%d were on release 1", got)
+		t.Errorf("%d processes were on release 1, want 4", got)
 	}
 }
 
-// TestParseCommand checks what the commands of a script are for the coordinators.
+// TestParseCommand checks which coordinator commands the commands of a script are parsed into.
 func TestParseCommand(t *testing.T) {
 	c := &cluster{script: &config.Drill{Path: "testdata/everything.ini"}}
 	for text, want := range map[string]coordination.Command{
@@ -74,17 +74,17 @@
 	} {
 		got, err := c.parseCommand(text)
 		if err != nil || got.Kind != want.Kind || got.Member != want.Member || got.Selector != want.Selector {
-			t.Errorf("%q is %+v, want %+v: %v", text, got, want, err)
+			t.Errorf("parseCommand(%q) = %+v, want %+v; error %v", text, got, want, err)
 		}
 	}
 	for _, text := range []string{"", "explode", "budgets missing.ini", "release missing.ini"} {
 		if got, err := c.parseCommand(text); err == nil {
-			t.Errorf("%q is %+v, want an error", text, got)
+			t.Errorf("parseCommand(%q) = %+v, want an error", text, got)
 		}
 	}
 }
 
-// TestExpectedMaximum checks how many of some requests the most loaded process gets by chance.
+// TestExpectedMaximum checks the number of requests that the most loaded process is expected to get by chance.
 func TestExpectedMaximum(t *testing.T) {
 	for _, test := range []struct {
 		requests, processes int
@@ -96,7 +96,8 @@
 		{1000, 10, 112, 118},
 	} {
 		if got := expectedMaximum(test.requests, test.processes); got < test.min || got > test.max {
-			t.Errorf("of %d requests over %d the most loaded gets %.2f", test.requests, test.processes, got)
+			t.Errorf("expectedMaximum(%d, %d) = %.2f, want %g to %g",
+				test.requests, test.processes, got, test.min, test.max)
 		}
 	}
 }
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -1,5 +1,5 @@
-// Package drill carries out game-day drills: it starts processes of this very program among fakes, injects the
-// faults of a script into them and into the links between them, and checks the invariants.
+// Package drill runs game-day drills: it starts processes of this program among fakes, injects the faults of a script
+// into the processes and the links between them, and checks invariants.
 package drill
 
 import (
@@ -15,22 +15,25 @@
 )
 
 const (
-	// startTimeout is how long, beyond the script's start, the processes may take to know each other.
+	// startTimeout is the maximum time until all processes know each other, in addition to the script's startup
+	// duration.
 	startTimeout = 60 * time.Second
 
-	// Views are compared this often; with hundreds of processes that each have to answer less often.
+	// The interval at which views are compared: at least the minimum, and longer with hundreds of instances, because
+	// each process has to answer.
 	minPollInterval        = 250 * time.Millisecond
 	pollIntervalPerProcess = 3 * time.Millisecond
 
-	// coordinatorBinary has all that the others have, and is used for all processes where there are coordinators.
+	// coordinatorBinary is the program that runs all processes if there are coordinators. It includes the commands of
+	// the other programs.
 	coordinatorBinary = "lanewheel-coordinator"
 )
 
-// printf prints to whoever watches a drill, who sees what is missing.
+// printf prints output for the operator. Write errors are ignored: the operator notices missing output.
 func printf(out io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(out, format, args...) }
 
-// Run carries a script out with processes of the program at binary, prints its progress and returns the record. An
-// error is what kept it from being carried out; what did not hold is in the record.
+// Run runs a script with processes of the program at binary, prints its progress and returns the record. It returns an
+// error if the drill could not be run; violated invariants are in the record.
 func Run(script *config.Drill, binary string, out io.Writer) (Record, error) {
 	if err := checkMemory(script, out); err != nil {
 		return nil, err
@@ -45,18 +48,19 @@
 	r := newRun(script, out)
 	record, err := r.execute(binary, dir)
 	if r.cluster != nil && (err != nil || record.violationCount() > 0 || script.KeepLogs) {
-		printf(out, "what the processes logged is under %s\n", dir)
+		printf(out, "logs of the processes are under %s\n", dir)
 	} else {
-		_ = os.RemoveAll(dir) // what is left of a temporary folder does no harm
+		_ = os.RemoveAll(dir) // remaining files in a temporary directory do no harm
 	}
 	return record, err
 }
 
-// run is one drill under way. Its fields are owned by the goroutine of Run, but for failures.
+// run is one drill in progress. Its fields are owned by the goroutine of Run, except failures, which may be used on any
+// goroutine.
 type run struct {
 	script     *config.Drill
 	out        io.Writer
-	cluster    *cluster // nil until it is made
+	cluster    *cluster // nil until setUp has created it
 	requests   *requestLog
 	membership *membershipCheck
 	idle       *idleUsage
@@ -78,7 +82,7 @@
 	}
 }
 
-// execute carries the drill out.
+// execute runs the drill and returns its record, or an error if the processes could not be started.
 func (r *run) execute(binary, dir string) (Record, error) {
 	if err := r.setUp(binary, dir); err != nil {
 		return nil, err
@@ -104,7 +108,7 @@
 	return r.finish(), nil
 }
 
-// setUp makes the cluster and prints the timeline.
+// setUp creates the cluster and prints the timeline.
 func (r *run) setUp(binary, dir string) error {
 	r.failures.reset(time.Now())
 	cluster, err := newCluster(r.script, binary, dir, callbacks{
@@ -129,7 +133,8 @@
 	return nil
 }
 
-// startAll starts all processes over the script's start and waits until each knows all.
+// startAll starts all processes, spread over the script's startup duration, and waits until each process knows all
+// others. It returns an error if that takes too long.
 func (r *run) startAll() error {
 	processes := r.cluster.processes
 	for _, p := range processes {
@@ -148,7 +153,7 @@
 	limit := startTimeout + r.script.StartupDuration
 	for r.membership.poll(0); !r.membership.converged; r.membership.poll(0) {
 		if time.Since(startedAt) > limit {
-			return fmt.Errorf("%d of %d processes don't know all others after %v; %s",
+			return fmt.Errorf("%d of %d processes do not know all others after %v; %s",
 				r.membership.divergent, len(processes), limit, r.membership.divergentDetail)
 		}
 		time.Sleep(pollInterval(r.script))
@@ -162,7 +167,7 @@
 // elapsed returns the time since the start of the load.
 func (r *run) elapsed() time.Duration { return time.Since(r.startedAt) }
 
-// duration returns how long the drill takes at the least: the last fault has its time to settle.
+// duration returns the minimum duration of the drill, which includes the settle timeout of the last event.
 func (r *run) duration() time.Duration {
 	if len(r.events) == 0 {
 		return r.script.LoadDuration
@@ -170,7 +175,7 @@
 	return max(r.script.LoadDuration, r.events[len(r.events)-1].At+r.script.SettleTimeout)
 }
 
-// pollInterval returns how often views are compared.
+// pollInterval returns the interval at which views are compared.
 func pollInterval(script *config.Drill) time.Duration {
 	return max(minPollInterval, time.Duration(script.Instances)*pollIntervalPerProcess)
 }
@@ -190,7 +195,8 @@
 	r.membership.afterEvent(r.elapsed())
 }
 
-// observe looks at all processes, and checks the invariants once the last event has had its time to settle.
+// observe polls all processes and checks their memory, and checks the invariants once the settle timeout of the last
+// event has passed.
 func (r *run) observe(now time.Duration) {
 	r.membership.poll(now)
 	r.divergent = append(r.divergent, Row{
@@ -209,8 +215,9 @@
 	}
 }
 
-// settledEvent returns the last event if the invariants are to be checked after it now, else nil: they were, it has
-// not had its time to settle, it is not its fault's last, or the next one comes within that time.
+// settledEvent returns the last event if the invariants must be checked for it now. It returns nil if they were checked
+// already, if the event's settle timeout has not passed, if the event's fault has yet to end, or if the next event
+// comes within the settle timeout.
 func (r *run) settledEvent(now time.Duration) *Event {
 	if r.next == 0 {
 		return nil
@@ -226,7 +233,7 @@
 	return event
 }
 
-// finish checks what is checked at the end, and returns the record.
+// finish makes the final checks and returns the record.
 func (r *run) finish() Record {
 	endedAt := time.Now()
 	r.membership.poll(r.elapsed())
@@ -267,7 +274,8 @@
 	return r.cluster.processes[index].name
 }
 
-// measureProcesses measures the memory of the processes and the calls of the services.
+// measureProcesses records the memory of the processes and the calls to the services, and reports a failure for each
+// service with more concurrent calls than its capacity.
 func (r *run) measureProcesses() {
 	peak := 0.0
 	for _, p := range r.cluster.processes {
@@ -285,14 +293,14 @@
 	}
 }
 
-// failures collects what processes did that they should not. Its methods may be called on any goroutine.
+// failures collects the failures of processes, as violations. Its methods may be called on any goroutine.
 type failures struct {
 	mu         sync.Mutex
 	since      time.Time
 	violations []violation
 }
 
-// reset sets the time that failures are counted from.
+// reset sets the time that the times of failures are relative to.
 func (f *failures) reset(since time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/drill/fakeservice.go
+++ b/internal/drill/fakeservice.go
@@ -12,26 +12,26 @@
 	"lanewheel/internal/config"
 )
 
-// fakeService is what an allocator stands beside: it works at every call for as long as that takes, whoever still
-// waits for it, and counts.
+// fakeService is the service behind an allocator. It spends the full work time on each call, up to the call's timeout,
+// even if the caller has gone, and counts the calls.
 type fakeService struct {
 	name     string
-	capacity int // calls at a time that there may be; 0: not configured
+	capacity int // maximum number of concurrent calls; 0: not configured
 	listener net.Listener
-	workTime time.Duration // mean of a call
+	workTime time.Duration // mean work time of a call
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	inFlight    int
-	maxInFlight int
-	calls       int
+	maxInFlight int // the most concurrent calls so far
+	calls       int // in total
 }
 
-// newFakeService starts a service of an allocator's name.
+// newFakeService starts the service of an allocator, which has the allocator's name.
 func newFakeService(name string, script *config.Drill) (*fakeService, error) {
 	service := &fakeService{name: name, workTime: script.UpstreamCallDuration}
 	for _, setting := range script.AllocatorSettings {
 		if setting.Name == "max-concurrency" {
-			service.capacity, _ = strconv.Atoi(setting.Value) // the allocator says so if it is no number
+			service.capacity, _ = strconv.Atoi(setting.Value) // the allocator reports a value that is not a number
 		}
 	}
 	var err error
@@ -45,10 +45,10 @@
 
 func (s *fakeService) address() string { return s.listener.Addr().String() }
 
-// ServeHTTP answers a call when its work is done, or its time is up.
+// ServeHTTP answers a call when its work is done, or with status 504 when its timeout has passed.
 func (s *fakeService) ServeHTTP(response http.ResponseWriter, request *http.Request) {
 	number := s.begin()
-	timeoutMS, _ := strconv.Atoi(request.Header.Get("Statement-Timeout-Ms")) // without one there is no time
+	timeoutMS, _ := strconv.Atoi(request.Header.Get("Statement-Timeout-Ms")) // without the header the timeout is 0
 	timeout := time.Duration(timeoutMS) * time.Millisecond
 	workTime := s.drawWorkTime(number)
 	time.Sleep(min(workTime, timeout))
@@ -57,7 +57,7 @@
 		response.WriteHeader(http.StatusGatewayTimeout)
 		return
 	}
-	_, _ = response.Write([]byte("rows")) // the caller may have gone
+	_, _ = response.Write([]byte("rows")) // the caller may have disconnected
 }
 
 // begin counts a call and returns its number.
@@ -76,13 +76,14 @@
 	s.inFlight--
 }
 
-// drawWorkTime returns how long a call works, exponentially distributed by its number: the same for the same order.
+// drawWorkTime returns the work time of a call. Work times are exponentially distributed and depend on the number of
+// the call alone, so that the same order of calls gets the same times.
 func (s *fakeService) drawWorkTime(number int) time.Duration {
 	const goldenRatio = 0.6180339887 // its multiples are spread evenly over [0, 1)
 	return time.Duration(-math.Log(1-math.Mod(float64(number)*goldenRatio, 1)) * float64(s.workTime))
 }
 
-// totals returns how many calls were running at a time at the most, and how many there were.
+// totals returns the largest number of concurrent calls, and the number of all calls.
 func (s *fakeService) totals() (maxInFlight, calls int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/drill/faults.go
+++ b/internal/drill/faults.go
@@ -14,8 +14,8 @@
 	"lanewheel/internal/fake"
 )
 
-// apply carries out an event of processes, and waits until it is done; but not for the coordinators' answer to a
-// command.
+// apply applies an event of processes, a burst of load or a coordinator command. It returns when the event has been
+// applied, but does not wait for the coordinators' answer to a command.
 func (c *cluster) apply(event Event) {
 	switch {
 	case event.Fault.Action == config.ActionCoordinatorCommand && event.Undo:
@@ -31,7 +31,7 @@
 	}
 }
 
-// restartDrained starts the instances again that have drained by a permit.
+// restartDrained restarts the instances that have drained by a permit and ended.
 func (c *cluster) restartDrained() {
 	for _, p := range c.processes[:c.script.Instances] {
 		p.mu.Lock()
@@ -75,7 +75,7 @@
 	targets.Wait()
 }
 
-// apply does to the process what a fault says.
+// apply applies a fault to the process.
 func (p *process) apply(fault *config.DrillFault) error {
 	switch fault.Action {
 	case config.ActionKill:
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// undo ends what a fault has done to the process.
+// undo reverts the effect of a fault on the process.
 func (p *process) undo(fault *config.DrillFault) error {
 	switch fault.Action {
 	case config.ActionKill, config.ActionWipe, config.ActionLeave:
@@ -126,8 +126,9 @@
 	return nil
 }
 
-// startUnlessRunning starts a process that a fault has ended, unless the coordinators have done so: one that was out by their
-// permit is theirs to start, and a second process on its addresses would fail for them.
+// startUnlessRunning starts a process that a fault has ended, unless the coordinators have restarted it already. The
+// coordinators restart a process that was out by their permit, and a second process would fail because its addresses
+// are in use.
 func (p *process) startUnlessRunning() error {
 	p.mu.Lock()
 	running := p.isRunning()
@@ -141,7 +142,7 @@
 	return p.start()
 }
 
-// reconfigure has the process read other keys or seeds.
+// reconfigure changes the keys or seeds of the process and makes it reload them.
 func (p *process) reconfigure(fault *config.DrillFault) error {
 	if len(fault.KeyNumbers) > 0 {
 		p.keyNumbers = fault.KeyNumbers
@@ -154,7 +155,8 @@
 	return nil
 }
 
-// flood is a stranger without the key, who sends noise to the process's gossip, as datagrams and streams, for so long.
+// flood acts as an unknown sender without the cluster key: for the duration, it sends pseudo-random bytes to the
+// process's gossip port, as datagrams and streams.
 func (p *process) flood(duration time.Duration) {
 	const datagramBytes, datagramsPerRound, streamBytes = 1400, 20, 100
 	ctx, cancel := context.WithTimeout(context.Background(), duration)
@@ -173,10 +175,10 @@
 			payload[i] = byte(i * int(time.Now().UnixNano()))
 		}
 		for range datagramsPerRound {
-			_, _ = datagrams.Write(payload[:1+time.Now().UnixNano()%datagramBytes]) // what is lost is lost
+			_, _ = datagrams.Write(payload[:1+time.Now().UnixNano()%datagramBytes]) // datagrams may be lost
 		}
 		if stream, err := streamDialer.DialContext(ctx, "tcp", addr); err == nil {
-			_, _ = stream.Write(payload[:streamBytes]) // it may be refused
+			_, _ = stream.Write(payload[:streamBytes]) // the stream may be refused
 			_ = stream.Close()
 		}
 		time.Sleep(10 * time.Millisecond)
--- a/internal/drill/faults_test.go
+++ b/internal/drill/faults_test.go
@@ -7,8 +7,8 @@
 	"lanewheel/internal/config"
 )
 
-// A process that the coordinators started again while a fault had it ended is left alone when the fault is over:
-// a second one would find its addresses taken.
+// TestUndoKeepsRunningProcess checks that the end of a fault starts no second process if the coordinators have
+// restarted the process during the fault: the addresses of the second process would be in use.
 func TestUndoKeepsRunningProcess(t *testing.T) {
 	for _, action := range []config.DrillAction{config.ActionKill, config.ActionWipe, config.ActionLeave} {
 		running := &exec.Cmd{}
@@ -17,7 +17,7 @@
 			t.Errorf("%v: %v", action, err)
 		}
 		if p.cmd != running {
-			t.Errorf("%v: another process was started", action)
+			t.Errorf("%v: undo started another process", action)
 		}
 	}
 }
--- a/internal/drill/files.go
+++ b/internal/drill/files.go
@@ -10,8 +10,8 @@
 	"lanewheel/internal/fake"
 )
 
-// settingsReplacer fills in the settings of the fakes: a process of a drill has memory and calls for all that the load
-// brings.
+// settingsReplacer fills in the placeholders of the fakes' settings, and raises the memory and the calls to a
+// dependency, so that a process can take the load of a drill.
 var settingsReplacer = strings.NewReplacer(
 	"IDLE", "30",
 	"FRESH", "0",
@@ -19,10 +19,10 @@
 	`"dep-share":8,`, `"dep-share":800,`,
 )
 
-// iniText is an operator's file that is being written.
+// iniText builds the text of an operator's file.
 type iniText struct{ strings.Builder }
 
-// section begins a section with settings.
+// section writes the header of a section and its settings.
 func (t *iniText) section(name string, settings []config.Setting) {
 	t.WriteString("[" + name + "]\n")
 	t.settings(settings)
@@ -38,7 +38,7 @@
 	t.WriteString(name + " = " + fmt.Sprintf(format, values...) + "\n")
 }
 
-// writeFiles writes all that the process reads to its folder.
+// writeFiles writes the configuration and key files of the process to its directory.
 func (p *process) writeFiles() error {
 	if err := os.MkdirAll(p.dir, 0o700); err != nil {
 		return err
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// platformText returns the platform's configuration.
+// platformText returns the text of the platform's configuration file.
 func (p *process) platformText() string {
 	c := p.cluster
 	return fmt.Sprintf(`{"name":%q,"listen":"%s:%d","runtime":%q,"roster":%q,"db":%q,"seed":"%x","stop_ms":1500,`+
@@ -68,7 +68,7 @@
 		c.script.RandomSeed+uint64(p.index), c.script.MaxMemoryMB, settingsReplacer.Replace(fake.Settings))
 }
 
-// operatorText returns the operator's file.
+// operatorText returns the text of the operator's file.
 func (p *process) operatorText() string {
 	script := p.cluster.script
 	var text iniText
--- a/internal/drill/golden_figures_test.go
+++ b/internal/drill/golden_figures_test.go
@@ -15,18 +15,19 @@
 	"lanewheel/internal/membership"
 )
 
-// statusLine is what a process says of itself on its status socket, as much of it as a drill reads.
+// statusLine is the part of a process's answer on its status socket that a drill reads.
 const statusLine = `{"name":"p000","life":"000000000000001f","standing":"whole","reach":1,"digest":"%016x",` +
 	`"states":{"up":1},"members":[{"name":"p001","state":"suspect","why":"silent"}],` +
 	`"counts":{"suspect-gone":3,"up-suspect":5,"bytes-in":1000,"bytes-out":200,"packets-out":7},"cpu_ms":40}` + "\n"
 
-// figuresRun is a drill of two instances of which one runs, with a status socket that always answers the same.
+// figuresRun is a drill of two instances, one of which runs. The status socket of that one always returns the same
+// answer.
 type figuresRun struct {
 	t              *testing.T
 	cluster        *cluster
 	check          *membershipCheck
-	id             membership.ID // of the one that runs
-	statusRequests chan string   // what its status socket was asked
+	id             membership.ID // of the running process
+	statusRequests chan string   // lines that its status socket received
 	metrics        []metric
 	violations     []violation
 }
@@ -83,11 +84,11 @@
 	}
 }
 
-// pollFirst polls and checks what is read of the status.
+// pollFirst polls the processes and checks the values that are read from the status.
 func (r *figuresRun) pollFirst() {
 	r.check.poll(0)
 	if got := <-r.statusRequests; got != "brief\n" {
-		r.t.Fatalf("asked %q", got)
+		r.t.Fatalf("status request %q, want \"brief\\n\"", got)
 	}
 	counts := r.check.counts
 	want := usage{bytes: 1200, cpuMillis: 40, packets: 7}
@@ -96,7 +97,7 @@
 	}
 }
 
-// measureIdle takes the names of the metrics at rest, whose values are measured by the clock.
+// measureIdle records the metrics of idle usage by name, with the value 0, because their values depend on the clock.
 func (r *figuresRun) measureIdle() {
 	idle := newIdleUsage(r.check)
 	idle.before = map[membership.ID]usage{r.id: {}}
@@ -107,7 +108,7 @@
 	}
 }
 
-// checkMembership has a fault come and go over which a process is evicted.
+// checkMembership applies and reverts a fault during which a process is evicted.
 func (r *figuresRun) checkMembership() {
 	fault := &config.DrillFault{Name: "halves", Action: "kill", Duration: 2 * time.Second, ForbidEviction: true}
 	begin := &Event{At: 9 * time.Second, Fault: fault, Targets: []int{0}}
@@ -131,7 +132,7 @@
 	r.add(r.cluster.checkRollout())
 }
 
-// checkBalance has 200 requests run, two thirds of them at the first instance.
+// checkBalance checks the balance of 200 requests, two thirds of which run on the first instance.
 func (r *figuresRun) checkBalance() {
 	startedAt := time.Unix(1_700_000_000, 0)
 	log := &requestLog{}
@@ -155,8 +156,8 @@
 	r.violations = append(r.violations, violations...)
 }
 
-// TestGoldenFigures checks what is read of a process's status, and the names of the metrics and rules that come of
-// that and of the load.
+// TestGoldenFigures checks the values that are read from a process's status, and the names of the metrics and rules
+// that are derived from them and from the load.
 func TestGoldenFigures(t *testing.T) {
 	r := newFiguresRun(t)
 	r.pollFirst()
--- a/internal/drill/golden_files_test.go
+++ b/internal/drill/golden_files_test.go
@@ -13,7 +13,7 @@
 	"lanewheel/internal/goldentest"
 )
 
-// newTestCluster returns the cluster of a script, with the fakes and without links. Nothing is started.
+// newTestCluster returns the cluster of a script, with the fakes and without links. It starts no process.
 func newTestCluster(t *testing.T, script *config.Drill) *cluster {
 	t.Helper()
 	c := &cluster{
@@ -52,8 +52,8 @@
 	return c
 }
 
-// TestGoldenFiles checks the files of a process of each role, which are read by the program that is drilled.
-// Addresses that the system has given are replaced, and the settings of the fakes.
+// TestGoldenFiles checks the files that a process of each role reads. Addresses that the system has assigned and the
+// settings of the fakes are replaced by placeholders.
 func TestGoldenFiles(t *testing.T) {
 	script, err := config.LoadDrill("testdata/everything.ini")
 	if err != nil {
@@ -91,16 +91,17 @@
 	goldentest.CheckText(t, "testdata/files.txt", text.Bytes())
 }
 
-// checkNoRenamedTerms checks that an operator's file has no earlier terms: each process would warn of them.
+// checkNoRenamedTerms checks that an operator's file uses no renamed terms, because each process would log a warning
+// for them.
 func checkNoRenamedTerms(t *testing.T, name string, file []byte) {
 	t.Helper()
 	operator, err := config.Parse("fleet.ini", file)
 	if err != nil || len(operator.Renamed) > 0 {
-		t.Errorf("%s: earlier terms %q, error %v", name, operator.Renamed, err)
+		t.Errorf("%s: renamed terms %q, error %v", name, operator.Renamed, err)
 	}
 }
 
-// TestSettingsReplacer checks that all that is filled in stands in the settings of the fakes.
+// TestSettingsReplacer checks that each text that settingsReplacer replaces occurs in the settings of the fakes.
 func TestSettingsReplacer(t *testing.T) {
 	settings := settingsReplacer.Replace(fake.Settings)
 	for _, want := range []string{`"memory-kb":190000`, `"dep-share":800,`} {
--- a/internal/drill/golden_record_test.go
+++ b/internal/drill/golden_record_test.go
@@ -15,7 +15,7 @@
 	"lanewheel/internal/goldentest"
 )
 
-// sampleRecord returns a record with a row of each kind, put together as at the end of a drill.
+// sampleRecord returns a record with rows of each kind, built as at the end of a drill.
 func sampleRecord() Record {
 	startedAt := time.Unix(1_700_000_000, 0)
 	at := func(ms int) time.Time { return startedAt.Add(time.Duration(ms) * time.Millisecond) }
@@ -59,7 +59,7 @@
 	return results.record(processes)
 }
 
-// TestGoldenRecord checks that a record keeps its columns and the words in them: kinds, outcomes, rules and the
+// TestGoldenRecord checks that the columns of a record and the words in them do not change: kinds, outcomes, rules and
 // names of metrics.
 func TestGoldenRecord(t *testing.T) {
 	links := "1 datagrams of 2 bytes, 3 streams of 4; lost 5, delayed 6, twice 7, late 8, garbled 9, refused 10, " +
@@ -81,7 +81,7 @@
 		{0, "link", "p000", "p001", links, 6},
 	}
 	if got := sampleRecord(); !slices.Equal(got, want) {
-		t.Fatalf("the rows of a drill are others than before:\n%v", got)
+		t.Fatalf("the rows of a drill have changed:\n%v", got)
 	}
 	path := filepath.Join(t.TempDir(), "record.parquet")
 	if err := want.Save(path); err != nil {
@@ -97,7 +97,7 @@
 		t.Fatal(err)
 	}
 	if !slices.Equal(read, want) {
-		t.Fatalf("read otherwise than before:\n%v", read)
+		t.Fatalf("the rows read from the stored record have changed:\n%v", read)
 	}
 	var table, difference bytes.Buffer
 	read.WriteTable(&table)
@@ -125,6 +125,6 @@
 		"at_ms INT(64,true)", "kind STRING", "process STRING", "name STRING", "outcome STRING", "value DOUBLE",
 	}
 	if !slices.Equal(columns, want) {
-		t.Fatalf("%q", columns)
+		t.Fatalf("columns %q, want %q", columns, want)
 	}
 }
--- a/internal/drill/golden_scripts_test.go
+++ b/internal/drill/golden_scripts_test.go
@@ -12,10 +12,10 @@
 	"lanewheel/internal/goldentest"
 )
 
-// parsedScript is all of a script that is not zero, by the names of its keys.
+// parsedScript builds a text with all non-zero values of a script and the names of their keys.
 type parsedScript struct{ strings.Builder }
 
-// section writes a section; values are names and values in turn.
+// section writes a section; values alternates names and values.
 func (s *parsedScript) section(name string, values ...any) {
 	zero := []string{"", "0", "0s", "[]", "false", "{  0 0}"}
 	s.WriteString("[" + name + "]")
@@ -96,8 +96,8 @@
 	return fmt.Sprintf("{%s %s %d %g}", s.Kind, s.Name, s.Count, s.Fraction)
 }
 
-// TestGoldenScripts checks the scripts of drills/ and one that sets everything, as they are read, and what is drawn
-// from their seeds: when, and to whom.
+// TestGoldenScripts checks the parsed scripts of drills/ and of a script that sets everything, and the times and
+// targets of the events that are drawn from their seeds.
 func TestGoldenScripts(t *testing.T) {
 	paths, err := filepath.Glob("../../drills/*.ini")
 	if err != nil || len(paths) == 0 {
--- a/internal/drill/hook.go
+++ b/internal/drill/hook.go
@@ -12,11 +12,12 @@
 	"time"
 )
 
-// hookStarted is the answer of a hook that has started a process; any other is an error.
+// hookStarted is the drill's answer to a hook after it has started a process. Any other answer is an error text.
 const hookStarted = "started"
 
-// RunHook asks the drill at a socket to start a process anew on a release: it is the command that the coordinators of a
-// drill are told to run. The answer is printed to out; one that is an error is returned, too.
+// RunHook asks the drill that listens on a socket to restart a process on a release. It implements the restart command
+// that is configured for the coordinators of a drill. It prints the answer to out, and returns an answer that is an
+// error text as an error as well.
 func RunHook(socket, name, release string, out io.Writer) error {
 	const dialTimeout, answerTimeout = time.Second, 20 * time.Second
 	dialer := net.Dialer{Timeout: dialTimeout}
@@ -24,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = connection.Close() }() // the answer is complete, or an error is returned
+	defer func() { _ = connection.Close() }() // the answer is complete, or another error is returned
 	if err := connection.SetDeadline(time.Now().Add(answerTimeout)); err != nil {
 		return err
 	}
@@ -44,7 +45,7 @@
 
 func (c *cluster) hookPath() string { return filepath.Join(c.dir, "hook") }
 
-// listenForHooks listens at the socket by which the coordinators have processes started.
+// listenForHooks listens on the socket that the coordinators' hooks connect to, and creates the disruption log.
 func (c *cluster) listenForHooks() error {
 	c.disruptions = newDisruptionLog()
 	for _, p := range c.processes {
@@ -67,9 +68,9 @@
 	return nil
 }
 
-// answerHook reads one line "NAME RELEASE" and answers with one line.
+// answerHook reads one line "NAME RELEASE", restarts the process and answers with one line.
 func (c *cluster) answerHook(connection net.Conn) {
-	defer func() { _ = connection.Close() }() // who asks may have gone
+	defer func() { _ = connection.Close() }() // the hook may have disconnected
 	line, err := bufio.NewReader(connection).ReadString('\n')
 	if err == nil {
 		name, release, _ := strings.Cut(strings.TrimSpace(line), " ")
@@ -82,8 +83,8 @@
 	_, _ = io.WriteString(connection, answer+"\n")
 }
 
-// restart starts a process that has ended, on another release unless that is empty. The text of its errors is an
-// answer of the hook.
+// restart starts a process that has ended, on another release unless release is empty. The texts of its errors are
+// sent to the hook as answers.
 func (c *cluster) restart(name, release string) error {
 	for _, p := range c.processes {
 		if p.name == name {
--- a/internal/drill/hook_test.go
+++ b/internal/drill/hook_test.go
@@ -11,8 +11,8 @@
 	"lanewheel/internal/config"
 )
 
-// TestGoldenHook checks the lines by which a coordinator's hook has a process started: those that a drill answers,
-// and those that a hook sends and takes.
+// TestGoldenHook checks the lines that a coordinator's hook and a drill exchange to restart a process: the drill's
+// answer, the hook's request, and the answer that the hook accepts.
 func TestGoldenHook(t *testing.T) {
 	c := &cluster{dir: t.TempDir(), script: &config.Drill{}}
 	if err := c.listenForHooks(); err != nil {
@@ -22,7 +22,7 @@
 	var out bytes.Buffer
 	want := `no process "p009"`
 	if err := RunHook(c.hookPath(), "p009", "2", &out); err == nil || err.Error() != want || out.String() != want+"\n" {
-		t.Fatalf("%v, printed %q", err, out.String())
+		t.Fatalf("error %v, printed %q, want %q", err, out.String(), want)
 	}
 
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "unix", filepath.Join(t.TempDir(), "hook"))
@@ -46,6 +46,6 @@
 		t.Fatal(err)
 	}
 	if got := <-received; got != "p001 2\n" || out.String() != "started\n" {
-		t.Fatalf("%q %q", got, out.String())
+		t.Fatalf("sent %q, printed %q", got, out.String())
 	}
 }
--- a/internal/drill/idle.go
+++ b/internal/drill/idle.go
@@ -6,17 +6,18 @@
 	"lanewheel/internal/membership"
 )
 
-// minIdleDuration is how long nothing must have been done for the usage at rest to be measured.
+// minIdleDuration is the minimum time without events over which idle usage is measured.
 const minIdleDuration = 2 * time.Second
 
-// usage is what a process has used since its start.
+// usage is the resource usage of a process since its start.
 type usage struct {
-	bytes     uint64 // of gossip, both ways
+	bytes     uint64 // of gossip, sent and received
 	cpuMillis uint64
 	packets   uint64 // of gossip, sent
 }
 
-// idleUsage measures what a process uses while nothing is done to it: from the start of the load to the first fault.
+// idleUsage measures the resource usage of the processes while no event affects them: from the start of the load to the
+// first fault.
 type idleUsage struct {
 	startedAt time.Time
 	before    map[membership.ID]usage
@@ -28,7 +29,8 @@
 	return &idleUsage{startedAt: time.Now(), before: check.usage}
 }
 
-// finish ends the measurement at a time since the start of the load, if that was long enough and it has not ended.
+// finish ends the measurement unless it has ended already or lasted less than minIdleDuration; now is the time since
+// the start of the load.
 func (u *idleUsage) finish(check *membershipCheck, now time.Duration) {
 	if u.finished || now < minIdleDuration {
 		return
@@ -58,5 +60,5 @@
 	}
 }
 
-// increase returns by how much a counter has grown, 0 where it has started anew.
+// increase returns the increase of a counter, 0 if the counter was reset.
 func increase(before, after uint64) float64 { return float64(after - min(after, before)) }
--- a/internal/drill/interval.go
+++ b/internal/drill/interval.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// interval is a span of time; to is zero while it has not ended.
+// interval is a span of time. The field to is zero until the interval has ended.
 type interval struct{ from, to time.Time }
 
-// overlaps reports whether some of the interval lies between two times.
+// overlaps reports whether the interval overlaps the one between two times.
 func (i interval) overlaps(from, to time.Time) bool {
 	return i.from.Before(to) && (i.to.IsZero() || i.to.After(from))
 }
