--- a/internal/drill/disruption.go
+++ b/internal/drill/disruption.go
@@ -72,7 +72,8 @@
 		}
 		l.maxOut[group] = max(l.maxOut[group], count)
 		if limit, limited := l.limits[group]; limited && count > limit {
-			go c.onFailure(fmt.Sprintf("%s left by a permit and %d of %s are out by one, %d may be", p.name, count, group, limit))
+			go c.onFailure(fmt.Sprintf("%s left by a permit and %d of %s are out by one, %d may be",
+				p.name, count, group, limit))
 		}
 	}
 }
--- a/internal/drill/disruption_test.go
+++ b/internal/drill/disruption_test.go
@@ -52,7 +52,7 @@
 	expectDeparture(1, "")
 	expectDeparture(3, "p3 left by a permit and 3 of all are out by one, 2 may be")
 	if got := c.disruptions.maxOut[allProcesses]; got != 3 {
-		t.Errorf("at most %d processes were out at once, want 3", got)
+		t.Errorf("maxOut of all processes is %d, want 3", got)
 	}
 	if !c.disruptions.inProgress() || (*disruptionLog)(nil).inProgress() {
 		t.Error("inProgress: want true with processes out and false for a nil log")
--- a/internal/drill/faults.go
+++ b/internal/drill/faults.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// issueCommand gives the coordinators a issueCommand and prints their answer.
+// issueCommand sends a command to the coordinators and prints their answer.
 func (c *cluster) issueCommand(event Event) {
 	fault := event.Fault
 	reply, err := c.runCommand(fault.Command, fmt.Sprint(fault.Name, event.At))
--- a/internal/drill/load.go
+++ b/internal/drill/load.go
@@ -13,39 +13,39 @@
 )
 
 const (
-	// requestTimeout is the timeout in the settings of the fakes, with half a second for a busy machine.
+	// requestTimeout is the timeout in the settings of the fakes, plus half a second for a busy machine.
 	requestTimeout = 3*time.Second + 500*time.Millisecond
 
-	// maxOutstanding is the protocol's limit of requests in progress on one connection; past it a client sends nothing.
+	// maxOutstanding is the protocol's limit of requests in progress on one connection. Clients drop requests above it.
 	maxOutstanding = 32
 
 	clientDialTimeout = 200 * time.Millisecond
-	clientDialDelay   = 20 * time.Millisecond // after a connection that could not be established
+	clientDialDelay   = 20 * time.Millisecond // after a failed connection attempt
 
-	// A connection is kept for a time that is drawn from these.
+	// A connection is kept open for a random time: at least minConnectionAge, and up to connectionAgeSpread longer.
 	minConnectionAge    = 5 * time.Second
 	connectionAgeSpread = 10 * time.Second
 
 	responseCheckInterval = 5 * time.Millisecond
 )
 
-// requestOutcome is what became of a request at its client. Records hold it.
+// requestOutcome is the outcome of a request as its client saw it. The values are stored in records.
 type requestOutcome string
 
 const (
-	outcomeNone      requestOutcome = "" // no response came
+	outcomeNone      requestOutcome = "" // no response was received
 	outcomeSucceeded requestOutcome = "acked"
 	outcomeRejected  requestOutcome = "Busy"
 	outcomeFailed    requestOutcome = "Failed"
-	outcomeBroken    requestOutcome = "broken" // its connection ended first
+	outcomeBroken    requestOutcome = "broken" // the connection ended before a response
 )
 
-// requestOutcomes are all outcomes in the order in which they are shown.
+// requestOutcomes lists all outcomes in the order in which they are printed.
 var requestOutcomes = []requestOutcome{
 	outcomeSucceeded, outcomeRejected, outcomeFailed, outcomeBroken, outcomeNone,
 }
 
-// classPay is the class that is not idempotent.
+// classPay is the only class of requests that is not idempotent.
 const classPay = "pay"
 
 var classes = []string{"view", classPay, "list"}
@@ -54,9 +54,9 @@
 type issuedRequest struct {
 	id         string
 	class      string
-	process    int // index of the process that it was sent to
+	process    int // index of the process that received it
 	sentAt     time.Time
-	answeredAt time.Time // when the last response came, or the connection ended
+	answeredAt time.Time // time of the last response, or of the end of the connection
 	outcome    requestOutcome
 	responses  int
 	executions []execution
@@ -68,9 +68,9 @@
 	at      time.Time
 }
 
-// requestLog is every request of a drill.
+// requestLog records every request of a drill.
 type requestLog struct {
-	mu       sync.Mutex // guards what follows, and the requests themselves
+	mu       sync.Mutex // guards the fields below and the requests that they refer to
 	byID     map[string]*issuedRequest
 	requests []*issuedRequest
 }
@@ -83,8 +83,8 @@
 	}
 }
 
-// generateLoad sends requests at the script's rate, whatever comes back, until a time; it returns when all clients have
-// what they wait for.
+// generateLoad sends requests until a time, at the script's rate and regardless of the responses. It returns when no
+// client waits for responses any longer.
 func (l *requestLog) generateLoad(c *cluster, until time.Time) {
 	var clients sync.WaitGroup
 	for number := range c.script.Clients {
@@ -101,7 +101,7 @@
 	clients.Wait()
 }
 
-// loadClient sends requests by one connection after the other, to processes that are drawn anew each time.
+// loadClient sends requests over one connection at a time. Each connection is to a process drawn at random.
 type loadClient struct {
 	cluster  *cluster
 	log      *requestLog
@@ -141,10 +141,10 @@
 	target   *process
 	fake     *fake.Client
 	ended    chan struct{}          // closed when read has returned
-	inFlight map[int]*issuedRequest // sent here, by number; guarded by the log's mu
+	inFlight map[int]*issuedRequest // sent on this connection, by number; guarded by the log's mu
 }
 
-// run sends requests until the connection has had its time or ends, waits for the responses and closes it.
+// run sends requests until the connection has reached its age or ends, waits for the responses and closes it.
 func (s *loadSession) run() {
 	c := s.client
 	age := minConnectionAge + time.Duration(c.random.Float64()*float64(connectionAgeSpread))
@@ -159,7 +159,7 @@
 	<-s.ended
 }
 
-// awaitNext waits until the next request is due; it returns false if the connection has ended before.
+// awaitNext waits until the next request is due. It returns false if the connection ends before that.
 func (s *loadSession) awaitNext() bool {
 	c := s.client
 	script := c.cluster.script
@@ -173,7 +173,7 @@
 	}
 }
 
-// send sends a request, unless too many are outstanding; it returns false if the connection has ended.
+// send sends a request, or drops it if too many are outstanding. It returns false if the connection has ended.
 func (s *loadSession) send(number int) bool {
 	c := s.client
 	request := &issuedRequest{
@@ -189,7 +189,7 @@
 		"from", strconv.Itoa(c.number), "kb", "1", "rank", "0.5", "cost", "5"))
 }
 
-// track notes a request that is about to be sent; it returns false where too many are outstanding.
+// track records a request that is about to be sent. It returns false, and records nothing, if too many are outstanding.
 func (s *loadSession) track(number int, request *issuedRequest) bool {
 	log := s.client.log
 	log.mu.Lock()
@@ -209,14 +209,15 @@
 	return true
 }
 
-// trySend sends a message; it returns false if the connection has ended, which the fake panics at.
+// trySend sends a message and reports whether it was sent. It recovers from the panic of the fake client on a
+// connection that has ended.
 func trySend(client *fake.Client, message []any) (sent bool) {
 	defer func() { sent = recover() == nil }()
 	client.Send(message)
 	return true
 }
 
-// read notes the responses until the connection ends.
+// read records the responses until the connection ends.
 func (s *loadSession) read() {
 	defer close(s.ended)
 	for {
@@ -244,7 +245,7 @@
 	}
 }
 
-// recordDisconnect notes that the connection has ended: what has no response gets none.
+// recordDisconnect records the end of the connection as the outcome of all requests without a response.
 func (s *loadSession) recordDisconnect() {
 	s.client.log.mu.Lock()
 	defer s.client.log.mu.Unlock()
@@ -256,7 +257,7 @@
 	}
 }
 
-// awaitResponses waits until all requests are answered, the connection has ended, or the time is up.
+// awaitResponses waits until all requests are answered, the connection has ended or requestTimeout has passed.
 func (s *loadSession) awaitResponses() {
 	for deadline := time.Now().Add(requestTimeout); time.Now().Before(deadline) && !s.allAnswered(); {
 		select {
--- a/internal/drill/membership.go
+++ b/internal/drill/membership.go
@@ -10,36 +10,36 @@
 	"lanewheel/internal/membership"
 )
 
-// maxConcurrentPolls is how many processes are asked for their views at a time.
+// maxConcurrentPolls is the maximum number of processes that are asked for their views concurrently.
 const maxConcurrentPolls = 16
 
-// converging marks a change that not all processes know of yet.
+// converging marks a change that not all processes know yet.
 const converging = time.Duration(-1)
 
-// membershipCheck checks the invariant of membership: once a fault is over, all processes that are there hold the same
-// incarnations to be there, and these are those that are; and where the script says so, nobody was evicted over it.
+// membershipCheck checks the membership invariant: after a fault has ended, the view of every running process consists
+// of exactly the running incarnations. If the script requires it, it also checks that the fault caused no evictions.
 type membershipCheck struct {
 	cluster *cluster
 
-	mu              sync.Mutex // guards what follows
+	mu              sync.Mutex // guards the fields below
 	converged       bool
-	divergent       int                      // processes whose view is not as it should be
-	divergentDetail string                   // what the first of them believed
-	changedAt       time.Duration            // when something was last done
-	convergence     map[string]time.Duration // by change: how long until all knew it, or converging
+	divergent       int                      // number of processes with a wrong view
+	divergentDetail string                   // describes the view of the first of them
+	changedAt       time.Duration            // time of the last event, since the start of the load
+	convergence     map[string]time.Duration // by change: the time until all processes knew it, or converging
 	counts          evictionCounts
-	countsBefore    evictionCounts // when the fault began; zero before the first poll
+	countsBefore    evictionCounts // at the start of the fault; zero before the first poll
 	usage           map[membership.ID]usage
 	metrics         []metric
 }
 
-// evictionCounts is how often each incarnation has held others to be gone, and suspected them.
+// evictionCounts holds how many times each incarnation has evicted and suspected other members.
 type evictionCounts struct {
 	evictions  map[membership.ID]uint64
 	suspicions map[membership.ID]uint64
 }
 
-// since returns the growth of the counts since others, over all incarnations that are there.
+// since returns the increase of the counts since earlier ones, summed over the incarnations in c.
 func (c evictionCounts) since(before evictionCounts) (evictions, suspicions uint64) {
 	for id, count := range c.evictions {
 		evictions += count - min(count, before.evictions[id])
@@ -52,7 +52,7 @@
 	return &membershipCheck{cluster: c, convergence: map[string]time.Duration{}}
 }
 
-// pollAnswer is what one process said of its view.
+// pollAnswer is one process's answer to a poll, or the error of asking it.
 type pollAnswer struct {
 	process  *process
 	id       membership.ID
@@ -60,7 +60,7 @@
 	err      error
 }
 
-// poll asks all processes that are up for their views, and compares them with what is so.
+// poll asks all processes that are up for their views, and compares the views with the actual membership.
 func (m *membershipCheck) poll(now time.Duration) {
 	answers := m.queryAll()
 	var expected uint64
@@ -76,7 +76,7 @@
 	}
 }
 
-// queryAll asks all processes that are up, a few at a time.
+// queryAll asks all processes that are up for their views, at most maxConcurrentPolls at a time.
 func (m *membershipCheck) queryAll() []pollAnswer {
 	var answers []pollAnswer
 	for _, p := range m.cluster.processes {
@@ -99,8 +99,8 @@
 	return answers
 }
 
-// compare compares the views with the digest that they should have. A process that has gone down meanwhile is left out.
-// mu must be held.
+// compare compares the digests of the views with the expected digest. It skips processes that have gone down in the
+// meantime. mu must be held.
 func (m *membershipCheck) compare(answers []pollAnswer, expectedDigest string) {
 	m.divergent = 0
 	m.divergentDetail = ""
@@ -126,7 +126,7 @@
 		p.name, snapshot.LocalHealth, snapshot.HeardFraction, snapshot.States, strings.Join(members, ", "))
 }
 
-// count takes the counters of the processes. mu must be held.
+// count stores the counters and the resource usage that the processes report. mu must be held.
 func (m *membershipCheck) count(answers []pollAnswer) {
 	m.counts = evictionCounts{map[membership.ID]uint64{}, map[membership.ID]uint64{}}
 	m.usage = map[membership.ID]usage{}
@@ -148,7 +148,8 @@
 	}
 }
 
-// recordConvergence notes that all know of all changes. mu must be held.
+// recordConvergence records the convergence time of every change that was still converging. It is called when all views
+// are correct. mu must be held.
 func (m *membershipCheck) recordConvergence(now time.Duration) {
 	for name, elapsed := range m.convergence {
 		if elapsed == converging {
@@ -170,24 +171,24 @@
 		m.countsBefore = m.counts
 	}
 	for earlier, elapsed := range m.convergence {
-		if elapsed == converging { // the event overtakes it
+		if elapsed == converging { // the new event precedes its convergence
 			delete(m.convergence, earlier)
 		}
 	}
 	m.changedAt = now
-	if event.Targets != nil || event.Undo { // while links are cut nobody has gone
+	if event.Targets != nil || event.Undo { // the start of a fault of links changes no membership
 		m.convergence[name] = converging
 	}
 }
 
-// afterEvent is called when an event was applied.
+// afterEvent is called after an event has been applied.
 func (m *membershipCheck) afterEvent(now time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.changedAt = now
 }
 
-// check checks the invariant when an event has had its time to settle, or, with nil, at the end.
+// check checks the invariant after the settle timeout of an event, or at the end of the drill if event is nil.
 func (m *membershipCheck) check(event *Event, now time.Duration) (violations []violation) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -214,8 +215,8 @@
 	return violations
 }
 
-// isMembershipChanging reports whether members come and go all the time, by a rollout or a release that crashes. Views are
-// checked once that is over.
+// isMembershipChanging reports whether members join and leave continuously because of a rollout or of a release that
+// crashes. Views are checked only after that has ended.
 func (m *membershipCheck) isMembershipChanging() bool {
 	return m.cluster.disruptions.inProgress() || m.cluster.script.BadRelease.CrashAfter > 0
 }
--- a/internal/drill/network.go
+++ b/internal/drill/network.go
@@ -11,32 +11,33 @@
 	"lanewheel/internal/config"
 )
 
-// unknownSender is the index of a sender that is no process.
+// unknownSender is the index of a sender that is not a process of the drill.
 const unknownSender = -1
 
-// garbleMask is what a byte of a garbled message is combined with.
+// garbleMask is XORed with one byte of a garbled message.
 const garbleMask = 0x55
 
-// network stands between the processes. Each process is reached at a front address, where we listen. Whoever sends
-// there does so from its own address, and what we forward comes from the sender's front: so both ends of every
-// datagram and stream are known, and the processes know nothing of us.
+// network forwards the traffic between the processes and applies faults to it. Each process is reached at a front
+// address, on which the network listens. A process sends from its own address, and the network forwards from the
+// sender's front. The network thus knows both ends of every datagram and stream, and is transparent to the processes.
+// Its methods may be called on any goroutine.
 type network struct {
-	ports []int // where streams are taken; the gossip's first, where datagrams are taken, too
+	ports []int // on which streams are accepted; the first is the gossip port, which also receives datagrams
 
-	mu            sync.Mutex     // guards what follows, and the counters that counters points to
-	processByHost map[string]int // by the host that it sends from
+	mu            sync.Mutex     // guards the fields below, and the linkCounters in counters
+	processByHost map[string]int // indexes of processes, by the host that they send from
 	fronts        []*processFront
 	faults        map[link][]*config.DrillFault
 	counters      map[link]*linkCounters
 	random        *rand.Rand
 	closed        bool
-	streams       map[*net.TCPConn]link // by the connection that the link's bytes are written to
+	streams       map[*net.TCPConn]link // by the connection that the bytes of the link are written to
 }
 
 // link is one direction between two processes, by their indexes.
 type link struct{ from, to int }
 
-// processFront is where one process is reached. It does not change once it listens.
+// processFront holds the sockets at which one process is reached. Its fields do not change after it listens.
 type processFront struct {
 	process int
 	target  *net.UDPAddr // the process itself
@@ -45,7 +46,7 @@
 	ip      net.IP // of the front
 }
 
-// linkCounters is what became of one link's traffic.
+// linkCounters counts the traffic of one link and the effects of faults on it.
 type linkCounters struct {
 	datagrams, bytes, streams, streamBytes int64
 	dropped, delayed, duplicated           int64
@@ -53,7 +54,7 @@
 	refused, reset, halfClosed             int64 // streams
 }
 
-// add adds what became of another link's traffic.
+// add adds the counters of another link.
 func (c *linkCounters) add(other *linkCounters) {
 	c.datagrams += other.datagrams
 	c.bytes += other.bytes
@@ -69,7 +70,7 @@
 	c.halfClosed += other.halfClosed
 }
 
-// String returns the counters as they are recorded.
+// String returns the counters in the form that records contain.
 func (c *linkCounters) String() string {
 	return fmt.Sprintf("%d datagrams of %d bytes, %d streams of %d; lost %d, delayed %d, twice %d, late %d, garbled %d, "+
 		"refused %d, cut %d, halved %d",
@@ -78,7 +79,7 @@
 }
 
 func newNetwork(seed uint64, ports ...int) *network {
-	const stream = 99 // of the random numbers of a drill with this seed
+	const stream = 99 // selects the network's sequence of random numbers of this seed
 	return &network{
 		ports:         ports,
 		processByHost: map[string]int{},
@@ -89,7 +90,7 @@
 	}
 }
 
-// addProcess makes the front, at an address, of a process that sends from and listens on a host.
+// addProcess creates a front at an address for a process that sends from and listens on a host.
 func (n *network) addProcess(index int, host, address string) error {
 	front, err := n.listen(index, host, address)
 	if err != nil {
@@ -120,7 +121,7 @@
 	if front.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: front.ip, Port: n.ports[0]}); err != nil {
 		return nil, err
 	}
-	_ = front.udp.SetReadBuffer(readBufferBytes) // a smaller one loses some under load, as any network
+	_ = front.udp.SetReadBuffer(readBufferBytes) // a smaller buffer loses datagrams under load, like any network
 	for _, port := range n.ports {
 		listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: front.ip, Port: port})
 		if err != nil {
@@ -131,7 +132,7 @@
 	return front, nil
 }
 
-// conditions is what holds on a link now.
+// conditions is the present state of a link.
 type conditions struct {
 	from        int // index of the sender, or stranger
 	senderFront *processFront
@@ -139,14 +140,14 @@
 	faults      []*config.DrillFault
 }
 
-// has reports whether one of some actions is in force.
+// has reports whether a fault with one of the actions is active.
 func (c conditions) has(actions ...config.DrillAction) bool {
 	return slices.ContainsFunc(c.faults, func(fault *config.DrillFault) bool {
 		return slices.Contains(actions, fault.Action)
 	})
 }
 
-// lookup returns what holds on the link from a host to a process now.
+// lookup returns the present conditions of the link from a host to a process.
 func (n *network) lookup(host string, target int) conditions {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -164,7 +165,7 @@
 	return found
 }
 
-// apply puts a fault on links, or takes it off.
+// apply adds the fault of an event to its links, or removes the fault if the event is an undo.
 func (n *network) apply(event Event) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -181,7 +182,7 @@
 	}
 }
 
-// applyToLink does so on one link. mu must be held.
+// applyToLink adds the fault of an event to one link, or removes it. mu must be held.
 func (n *network) applyToLink(l link, event Event) {
 	if event.Undo {
 		var remaining []*config.DrillFault
@@ -197,8 +198,8 @@
 	n.cutStreams(l, event.Fault.Action)
 }
 
-// cutStreams ends the streams that are open on a link where it is cut; a half-close ends one direction of them. mu
-// must be held. A stream that has just ended by itself may refuse: that is of no interest.
+// cutStreams resets the open streams of a link if the action is refuse, and closes one direction of them if the action
+// is half-close. It ignores errors, which occur if a stream has just ended by itself. mu must be held.
 func (n *network) cutStreams(l link, action config.DrillAction) {
 	for connection, streamLink := range n.streams {
 		if streamLink != l {
@@ -217,11 +218,11 @@
 
 // resetConnection closes a connection so that its peer sees a reset.
 func resetConnection(connection *net.TCPConn) {
-	_ = connection.SetLinger(0) // else the peer sees a close, which ends the stream as well
+	_ = connection.SetLinger(0) // on an error the peer sees a close, which ends the stream as well
 	_ = connection.Close()
 }
 
-// chance draws whether something of a probability happens.
+// chance draws a random number and returns true with the given probability.
 func (n *network) chance(probability float64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -234,17 +235,17 @@
 	*counter += int64(amount)
 }
 
-// drawDelay returns the delay of a fault with its jitter, which is not drawn from the drill's seed.
+// drawDelay returns the delay of a fault plus random jitter. The jitter does not depend on the drill's seed.
 func drawDelay(fault *config.DrillFault) time.Duration {
 	return fault.Delay + time.Duration(rand.Float64()*float64(fault.Jitter))
 }
 
-// transferTime returns how long so many bytes take on a link that is narrowed by a fault.
+// transferTime returns the time that size bytes take on a link that a fault throttles.
 func transferTime(fault *config.DrillFault, size int) time.Duration {
 	return time.Duration(float64(size) / float64(max(1, fault.BytesPerSecond)) * float64(time.Second))
 }
 
-// garble changes one byte of a message that is not empty.
+// garble changes one byte of a message, which must not be empty.
 func garble(message []byte) { message[rand.IntN(len(message))] ^= garbleMask }
 
 func (n *network) isClosed() bool {
@@ -253,7 +254,7 @@
 	return n.closed
 }
 
-// rows returns a row for each link.
+// rows returns a row of the record for each link.
 func (n *network) rows(nameOf func(index int) string) (rows []Row) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -269,7 +270,7 @@
 	return rows
 }
 
-// total returns what became of the traffic of all links.
+// total returns the sum of the counters of all links.
 func (n *network) total() (total linkCounters) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -279,7 +280,7 @@
 	return total
 }
 
-// close ends all streams and stops listening. Errors of closing are of no interest any more.
+// close closes all streams and fronts. Errors of closing are ignored because the drill is complete.
 func (n *network) close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/drill/network_test.go
+++ b/internal/drill/network_test.go
@@ -17,14 +17,14 @@
 
 const testPort = 7999
 
-// linkedPair is two ends with links between them. Each counts the datagrams that come and echoes streams.
+// linkedPair is two ends with links between them. Each end counts the datagrams that it receives and echoes streams.
 type linkedPair struct {
 	t        *testing.T
 	network  *network
 	hosts    [2]string
 	udp      [2]*net.UDPConn
 	received [2]atomic.Int64 // datagrams
-	last     [2]atomic.Value // string: the last datagram and whence it came
+	last     [2]atomic.Value // string: the last datagram and whether it came from the other end's front
 }
 
 func newLinkedPair(t *testing.T) *linkedPair {
@@ -78,7 +78,7 @@
 	}
 }
 
-// send sends so many datagrams from an end to the other.
+// send sends count datagrams from an end to the other.
 func (p *linkedPair) send(from, count int) {
 	target := &net.UDPAddr{IP: net.ParseIP(p.front(1 - from)), Port: testPort}
 	for i := range count {
@@ -98,7 +98,7 @@
 	return dialer.DialContext(p.t.Context(), "tcp", net.JoinHostPort(p.front(1-from), strconv.Itoa(testPort)))
 }
 
-// apply puts a fault on the link from the first end to the second; undo takes it off.
+// apply adds a fault to the link from the first end to the second. The returned function removes it.
 func (p *linkedPair) apply(action config.DrillAction) (undo func()) {
 	fault := &config.DrillFault{Action: action, Fraction: 1, BytesPerSecond: 1000, Delay: 30 * time.Millisecond}
 	event := Event{Fault: fault, From: []int{0}, To: []int{1}}
@@ -107,7 +107,7 @@
 	return func() { p.network.apply(event) }
 }
 
-// TestDatagrams checks that each fault does to datagrams what it says, one way only, and counts it.
+// TestDatagrams checks that each fault has its effect on datagrams in one direction only, and is counted.
 func TestDatagrams(t *testing.T) {
 	p := newLinkedPair(t)
 	p.send(0, 1)
@@ -128,7 +128,7 @@
 	}
 }
 
-// datagramTest is what a fault does to ten datagrams.
+// datagramTest is the expected effect of a fault on ten datagrams.
 type datagramTest struct {
 	action      config.DrillAction
 	received    int64
@@ -145,15 +145,15 @@
 	defer undo()
 	startedAt := time.Now()
 	p.send(0, 10)
-	p.send(1, 3) // the way back is as it was
-	fake.WaitFor("the way back", func() bool { return p.received[0].Load() == backward+3 })
+	p.send(1, 3) // the opposite direction is not affected
+	fake.WaitFor("datagrams in the opposite direction", func() bool { return p.received[0].Load() == backward+3 })
 	if test.received > 0 {
 		fake.WaitFor(string(test.action), func() bool { return p.received[1].Load() == forward+test.received })
 	} else {
 		time.Sleep(20 * time.Millisecond)
 	}
 	if elapsed := time.Since(startedAt); elapsed < test.minDuration {
-		t.Errorf("%s: %v", test.action, elapsed)
+		t.Errorf("%s: took %v, want at least %v", test.action, elapsed, test.minDuration)
 	}
 	after := p.network.total()
 	got := datagramTest{
@@ -169,7 +169,7 @@
 	}
 }
 
-// echo writes to a stream and returns what comes back within a time.
+// echo writes to a stream and returns the text that is echoed within a timeout.
 func echo(t *testing.T, connection net.Conn, text string, timeout time.Duration) string {
 	t.Helper()
 	if _, err := io.WriteString(connection, text); err != nil {
@@ -178,19 +178,19 @@
 	return readText(t, connection, len(text), timeout)
 }
 
-// readText returns what comes of so many bytes within a time.
+// readText returns up to size bytes that are received within a timeout.
 func readText(t *testing.T, connection net.Conn, size int, timeout time.Duration) string {
 	t.Helper()
 	buffer := make([]byte, size)
 	if err := connection.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		t.Fatal(err)
 	}
-	n, _ := io.ReadFull(connection, buffer) // less is for the caller to compare
+	n, _ := io.ReadFull(connection, buffer) // the caller detects a short read by comparison
 	return string(buffer[:n])
 }
 
-// TestStreams checks that streams are carried whole, refused, swallowed until the fault is over, stalled in the
-// middle and half-closed, one way only.
+// TestStreams checks that streams are forwarded completely, and refused, blackholed until the fault has ended, stalled
+// in mid-stream and half-closed by faults, in one direction only.
 func TestStreams(t *testing.T) {
 	p := newLinkedPair(t)
 	stream := fake.Must(p.dial(0))
@@ -199,7 +199,7 @@
 	}
 	undo := p.apply(config.ActionStall)
 	if got := echo(t, stream, "there", 100*time.Millisecond); got != "" {
-		t.Fatal("stalled, and came: ", got)
+		t.Fatal("received through a stalled link: ", got)
 	}
 	undo()
 	if got := readText(t, stream, 5, time.Second); got != "there" {
@@ -207,12 +207,12 @@
 	}
 
 	undo = p.apply(config.ActionBlackhole)
-	swallowed := fake.Must(p.dial(0))
-	if got := echo(t, swallowed, "late", 100*time.Millisecond); got != "" {
-		t.Fatal("swallowed, and came: ", got)
+	blackholed := fake.Must(p.dial(0))
+	if got := echo(t, blackholed, "late", 100*time.Millisecond); got != "" {
+		t.Fatal("received through a blackholed link: ", got)
 	}
 	undo()
-	if got := readText(t, swallowed, 4, time.Second); got != "late" {
+	if got := readText(t, blackholed, 4, time.Second); got != "late" {
 		t.Fatal(got)
 	}
 
@@ -220,7 +220,7 @@
 	if err := stream.SetReadDeadline(time.Now().Add(time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := stream.Read(make([]byte, 1)); !errors.Is(err, io.EOF) { // the other end saw an end, and gave one
+	if _, err := stream.Read(make([]byte, 1)); !errors.Is(err, io.EOF) { // the other end saw the close and closed too
 		t.Fatal(err)
 	}
 	undo()
@@ -228,7 +228,7 @@
 	undo = p.apply(config.ActionRefuse)
 	if refused, err := p.dial(0); err == nil {
 		if _, err := refused.Read(make([]byte, 1)); err == nil {
-			t.Fatal("refused, and stands")
+			t.Fatal("a refused stream is open")
 		}
 	}
 	back := fake.Must(p.dial(1))
--- a/internal/drill/picture.go
+++ b/internal/drill/picture.go
@@ -22,24 +22,25 @@
 	red    = color.RGBA{200, 0, 0, 255}
 )
 
-// loadQuantiles are how many quantiles of the load are drawn: the least, the quartiles and the most.
+// loadQuantiles is the number of quantiles of the load that are drawn: the minimum, the quartiles and the maximum.
 const loadQuantiles = 5
 
-// series is a line of a picture, with a value for each second.
+// series is a line of a chart, with a value for each second.
 type series struct {
 	name   string
 	values []float64
 	color  color.Color
 }
 
-// timelines is what a record says of each second.
+// timelines holds the values of a record for each second.
 type timelines struct {
 	issued, succeeded []float64   // requests
 	divergent         []float64   // processes
-	loadQuantiles     [][]float64 // runs of a process: the least, the quartiles and the most
+	loadQuantiles     [][]float64 // runs of a process: the minimum, the quartiles and the maximum
 }
 
-// Draw draws the record as an SVG: service, load by process, and divergent views. Faults stand in each as lines.
+// Draw writes an SVG picture of the record to a file, with charts of the requests, the load by process and the
+// divergent views. Each chart marks the beginnings of faults with vertical lines.
 func (r Record) Draw(path string) error {
 	t := r.timelines()
 	quantiles := t.loadQuantiles
@@ -56,7 +57,7 @@
 			{"most", quantiles[4], grey},
 			{"upper", quantiles[3], orange},
 		}},
-		{"processes whose view is not what is so", []series{{"divergent", t.divergent, blue}}},
+		{"processes whose view diverges", []series{{"divergent", t.divergent, blue}}},
 	} {
 		chart, err := r.drawPanel(panel.title, panel.lines)
 		if err != nil {
@@ -67,7 +68,7 @@
 	return saveCharts(path, charts)
 }
 
-// timelines returns what the record says of each second.
+// timelines returns the values of the record for each second.
 func (r Record) timelines() timelines {
 	seconds := int64(1)
 	for _, row := range r {
@@ -100,7 +101,7 @@
 	return t
 }
 
-// quantilesBySecond returns the quantiles over all processes for each second, 0 where there are none.
+// quantilesBySecond returns the quantiles over all processes for each second. They are 0 if there are no processes.
 func quantilesBySecond(loads [][]float64, seconds int64) [][]float64 {
 	quantiles := make([][]float64, loadQuantiles)
 	for i := range quantiles {
@@ -122,7 +123,7 @@
 	return quantiles
 }
 
-// drawPanel draws lines, and the beginnings of the faults.
+// drawPanel returns a chart of lines that also marks the beginnings of the faults.
 func (r Record) drawPanel(title string, lines []series) (*plot.Plot, error) {
 	chart := plot.New()
 	chart.Title.Text = title
@@ -154,7 +155,7 @@
 	return chart, nil
 }
 
-// saveCharts writes charts, one below the other, to a file.
+// saveCharts writes charts to a file as an SVG, one below the other.
 func saveCharts(path string, charts []*plot.Plot) error {
 	canvas := vgsvg.New(24*vg.Centimeter, 27*vg.Centimeter)
 	tiles := draw.Tiles{Rows: len(charts), Cols: 1, PadY: vg.Points(8)}
--- a/internal/drill/process.go
+++ b/internal/drill/process.go
@@ -18,17 +18,17 @@
 )
 
 const (
-	// stopTimeout is how long a process may take to end by a signal before it is killed.
+	// stopTimeout is the maximum time that a process may take to end after a signal. It is killed after that.
 	stopTimeout = 5 * time.Second
 
-	// restartDelay is how long after a crash whoever supervises a process starts it again.
+	// restartDelay is the delay between a crash and the restart of the process, as by a supervisor.
 	restartDelay = time.Second
 
-	// logTailBytes is how much of a log is shown where a process ended by itself.
+	// logTailBytes is how much of the end of a log is reported if a process ended by itself.
 	logTailBytes = 600
 )
 
-// role is what a process is started as.
+// role is the role that a process is started in.
 type role uint8
 
 const (
@@ -38,7 +38,7 @@
 	roleCoordinator
 )
 
-// subcommands by role.
+// subcommands holds the subcommand that starts a process, by role.
 var subcommands = [...]string{"serve", "proxy", "allocator", "coordinator"}
 
 // process is one process of a drill, through all its incarnations.
@@ -47,34 +47,35 @@
 	index     int
 	role      role
 	name      string
-	host      string // address that it listens on and dials from
-	frontHost string // address that the others reach it at
+	host      string // address on which it listens and from which it dials
+	frontHost string // address at which the others reach it
 	dir       string
 	runtime   *fake.Runtime
-	service   *fakeService // that an allocator stands beside, else nil
+	service   *fakeService // the service behind an allocator; nil for other roles
 
-	// Owned by whoever starts the process: the timeline, or a hook while the process is out.
+	// The goroutine that starts the process owns these fields: that of the timeline, or that of a hook while the process
+	// is out.
 	startedBefore bool
 	keyNumbers    []int
 	seedCount     int
 
-	mu             sync.Mutex // guards what follows
+	mu             sync.Mutex // guards the fields below
 	release        string
-	runtimeDelayed bool // its runtime takes no links
+	runtimeDelayed bool // its runtime does not become ready
 	runtimeFaults  fake.RuntimeFaults
 	cmd            *exec.Cmd     // nil before the first start
 	exit           chan struct{} // closed at the end of cmd
-	stopExpected   bool          // its end is our doing
+	stopExpected   bool          // the drill has stopped it
 	paused         bool
 	exited         bool
 	id             membership.ID // of this incarnation, once it has reported it
-	outages        []interval    // when it could not answer, by our doing
-	drains         []interval    // from each notice to drain to the end of that incarnation
+	outages        []interval    // when it could not answer, because of the drill
+	drains         []interval    // from each drain notice to the end of that incarnation
 }
 
 func (p *process) path(name string) string { return filepath.Join(p.dir, name) }
 
-// start starts the process in its folder.
+// start starts the process with the files in its directory.
 func (p *process) start() error {
 	logFile, err := os.OpenFile(p.path("log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -83,12 +84,12 @@
 	cmd := exec.CommandContext(context.Background(), p.cluster.binary, p.arguments()...)
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+p.path("config.json"))
 	cmd.Stdout, cmd.Stderr = logFile, logFile
-	// A drill that is killed would leave hundreds of processes behind: so the kernel ends them with us.
+	// Without Pdeathsig, a drill that is killed would leave hundreds of processes running.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	started := make(chan error)
 	p.cluster.starts <- func() { started <- cmd.Start() }
 	err = <-started
-	_ = logFile.Close() // the process has its own
+	_ = logFile.Close() // the process has its own descriptor
 	if err != nil {
 		return err
 	}
@@ -109,7 +110,8 @@
 	return nil
 }
 
-// arguments returns the command line. The first coordinator founds the cluster at its first start.
+// arguments returns the command-line arguments of the process. The first coordinator bootstraps the cluster at its
+// first start.
 func (p *process) arguments() []string {
 	arguments := []string{subcommands[p.role], "--operator", p.path("fleet.ini")}
 	if p.role != roleCoordinator {
@@ -122,7 +124,8 @@
 	return arguments
 }
 
-// wait waits for the end of one incarnation and tells whose doing it was.
+// wait waits for the end of one incarnation and handles an end that the drill did not cause: an end by a permit is
+// recorded, a crash that the script intends is followed by a restart, and any other end is reported as a failure.
 func (p *process) wait(cmd *exec.Cmd, exit chan struct{}, crashes bool) {
 	err := cmd.Wait()
 	p.mu.Lock()
@@ -141,21 +144,21 @@
 	case byPermit:
 		p.cluster.disruptions.recordDeparture(p.cluster, p)
 	case crashed:
-		time.AfterFunc(restartDelay, func() { _ = p.cluster.restart(p.name, "") }) // it may be running again
+		time.AfterFunc(restartDelay, func() { _ = p.cluster.restart(p.name, "") }) // it may already be running
 	case unexpected:
 		p.cluster.onFailure(fmt.Sprintf("%s ended by itself: %v; %s", p.name, err, logTail(p.path("log"))))
 	}
 }
 
-// logTail returns the end of a log, for whoever reads why a process ended.
+// logTail returns the last logTailBytes bytes of a log, or the text of the error of reading it.
 func logTail(path string) string {
 	file, err := os.Open(path)
 	if err != nil {
 		return err.Error()
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // the file was only read
 	if info, err := file.Stat(); err == nil && info.Size() > logTailBytes {
-		_, _ = file.Seek(-logTailBytes, io.SeekEnd) // else it is shown whole
+		_, _ = file.Seek(-logTailBytes, io.SeekEnd) // on an error the whole log is returned
 	}
 	text, err := io.ReadAll(file)
 	if err != nil {
@@ -164,7 +167,7 @@
 	return string(text)
 }
 
-// stop ends the process by a signal and waits for it; it is killed if it does not end.
+// stop sends a signal to the process and waits for its end. It kills the process after stopTimeout.
 func (p *process) stop(signal syscall.Signal) {
 	p.mu.Lock()
 	cmd, exit := p.cmd, p.exit
@@ -196,21 +199,21 @@
 	p.drains[len(p.drains)-1].to = time.Now()
 }
 
-// beginOutage notes that the process can't answer from now on. mu must be held.
+// beginOutage records that the process cannot answer from now on. mu must be held.
 func (p *process) beginOutage() {
 	if n := len(p.outages); n == 0 || !p.outages[n-1].to.IsZero() {
 		p.outages = append(p.outages, interval{from: time.Now()})
 	}
 }
 
-// endOutage notes that the process can answer again. mu must be held.
+// endOutage records that the process can answer again. mu must be held.
 func (p *process) endOutage() {
 	if n := len(p.outages); n > 0 && p.outages[n-1].to.IsZero() {
 		p.outages[n-1].to = time.Now()
 	}
 }
 
-// pause stops the process without ending it, or lets it go on.
+// pause suspends the process, or resumes it if paused is false.
 func (p *process) pause(paused bool) {
 	p.mu.Lock()
 	p.paused = paused
@@ -235,17 +238,17 @@
 	}
 }
 
-// isRunning reports whether the process was started and has not ended. mu must be held.
+// isRunning reports whether the process has been started and has not ended. mu must be held.
 func (p *process) isRunning() bool { return p.cmd != nil && !p.exited }
 
-// isUp reports whether the process should be among the others now, and answer.
+// isUp reports whether the process is expected to be a member and to answer.
 func (p *process) isUp() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.isRunning() && !p.stopExpected && !p.paused
 }
 
-// outBetween reports whether the process could not answer at some time between two, by our doing.
+// outBetween reports whether the drill kept the process from answering at any time between two times.
 func (p *process) outBetween(from, to time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -257,7 +260,8 @@
 	return false
 }
 
-// status asks the process for its view.
+// status asks the process for its view and records the id that it reports. It returns an error if the process does not
+// answer or reports an invalid boot id.
 func (p *process) status() (gossip.Snapshot, error) {
 	snapshot, err := gossip.ReadSnapshot(p.path("w"), gossip.SnapshotBrief)
 	if err != nil {
@@ -265,7 +269,7 @@
 	}
 	bootID, err := strconv.ParseUint(snapshot.BootID, 16, 64)
 	if err != nil {
-		return gossip.Snapshot{}, fmt.Errorf("%s: boot id of the status: %w", p.name, err)
+		return gossip.Snapshot{}, fmt.Errorf("%s: invalid boot id in status: %w", p.name, err)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -280,7 +284,8 @@
 	return p.id
 }
 
-// residentMB returns the memory that the process holds, without the pages of the binary; 0 if it does not run.
+// residentMB returns the resident memory of the process in MB, without the pages of the binary, or 0 if the process is
+// not running.
 func (p *process) residentMB() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/drill/record.go
+++ b/internal/drill/record.go
@@ -7,19 +7,19 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// The kinds of rows.
+// The kinds of rows, as stored in records.
 const (
 	kindRequest   = "op"        // a request: its process, id, outcome and latency in ms
 	kindRun       = "run"       // a run of a request: its process and the request's id
-	kindBegin     = "done"      // a fault began: its text, action and second
-	kindEnd       = "undone"    // a fault ended: the same
-	kindDivergent = "differs"   // how many processes had another view than they should have
-	kindViolation = "violation" // what did not hold: its text and rule
+	kindBegin     = "done"      // the beginning of a fault: its text, action and time in seconds
+	kindEnd       = "undone"    // the end of a fault: its text, action and time in seconds
+	kindDivergent = "differs"   // the number of processes with a wrong view
+	kindViolation = "violation" // a violation: its text and rule
 	kindMetric    = "figure"    // a measured value: its name and value
 	kindLink      = "link"      // the traffic between two processes
 )
 
-// Row is one line of a record. Its columns and the words in them are stored.
+// Row is one row of a record. Its columns and the words in them are stored.
 type Row struct {
 	AtMS    int64   `parquet:"at_ms"`     // since the start of the load
 	Kind    string  `parquet:"kind,dict"` // op, run, done, undone, differs, violation, figure or link
@@ -29,22 +29,22 @@
 	Value   float64 `parquet:"value"`
 }
 
-// Record is a drill as it went, row by row.
+// Record is the record of a drill: its requests, events, measurements and violations as rows.
 type Record []Row
 
-// schema names the root of a record's Parquet schema, which would follow the name of the Go type.
+// schema sets the name of the root of a record's Parquet schema, which would otherwise be the name of the Go type.
 var schema = parquet.NewSchema("Row", parquet.SchemaOf(Row{}))
 
-// Save writes the record to a file, as Parquet.
+// Save writes the record to a Parquet file.
 func (r Record) Save(path string) error { return parquet.WriteFile(path, []Row(r), schema) }
 
-// LoadRecord reads a record that was saved.
+// LoadRecord reads a record from a file that Save has written.
 func LoadRecord(path string) (Record, error) {
 	rows, err := parquet.ReadFile[Row](path)
 	return Record(rows), err
 }
 
-// violationCount returns how many rules and invariants did not hold.
+// violationCount returns the number of violations of rules and invariants.
 func (r Record) violationCount() int { return len(r.rowsOf(kindViolation)) }
 
 func (r Record) rowsOf(kind string) (rows []Row) {
@@ -56,7 +56,7 @@
 	return rows
 }
 
-// results is all that a drill came to.
+// results holds all results of a drill.
 type results struct {
 	startedAt  time.Time // of the load
 	requests   *requestLog
@@ -67,7 +67,7 @@
 	metrics    []metric
 }
 
-// record returns the results as rows; processes are those that indexes mean.
+// record returns the results as rows. The indexes in the results refer to processes.
 func (r *results) record(processes []*process) Record {
 	record := r.requestRows(processes)
 	for _, event := range r.events {
--- a/internal/drill/record_test.go
+++ b/internal/drill/record_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestRecord checks that a record that was saved is the same when it is read, and can be drawn and compared.
+// TestRecord checks that a saved record is read back unchanged, and can be drawn and compared.
 func TestRecord(t *testing.T) {
 	record := Record{
 		{100, kindRequest, "p0", "1", "acked", 5},
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	if text, err := os.ReadFile(picture); err != nil || !bytes.Contains(text, []byte("<svg")) {
-		t.Fatal("no picture: ", err)
+		t.Fatal("the picture is not an SVG: ", err)
 	}
 	var out bytes.Buffer
 	Compare(&out, record, append(Record{{200, kindRequest, "p0", "2", "Busy", 1}}, record...))
--- a/internal/drill/requests.go
+++ b/internal/drill/requests.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The rules and invariants of a drill, as records hold them.
+// The rules and invariants of a drill, as stored in records.
 const (
 	ruleNoRequestLost  = "no op lost"
 	ruleNoEffectTwice  = "no effect twice"
@@ -21,14 +21,14 @@
 )
 
 const (
-	// drainGrace is the grace of a drain in the settings of the fakes.
+	// drainGrace is the grace period of a drain in the settings of the fakes.
 	drainGrace = 500 * time.Millisecond
 
-	// drainSlack is what a busy machine may add to it.
+	// drainSlack is the tolerance added to drainGrace for a busy machine.
 	drainSlack = 150 * time.Millisecond
 )
 
-// violation is a rule or an invariant that did not hold.
+// violation is a violation of a rule or an invariant.
 type violation struct {
 	At     time.Duration // since the start of the load
 	Rule   string
@@ -41,7 +41,7 @@
 	Value float64
 }
 
-// requestCheck checks the rules of requests over the whole fleet.
+// requestCheck checks the rules for requests over the whole fleet.
 type requestCheck struct {
 	cluster    *cluster
 	startedAt  time.Time // of the load
@@ -49,7 +49,7 @@
 	violations []violation
 }
 
-// checkRequestRules returns the violations of the rules of requests.
+// checkRequestRules returns the violations of the rules for requests.
 func checkRequestRules(c *cluster, log *requestLog, startedAt, endedAt time.Time) []violation {
 	log.mu.Lock()
 	defer log.mu.Unlock()
@@ -68,9 +68,10 @@
 	c.violations = append(c.violations, violation{request.sentAt.Sub(c.startedAt), rule, detail})
 }
 
-// checkResponses checks that a request has one response in time that is true, unless its process could not answer.
+// checkResponses checks that a request has exactly one response, that the response is in time, and that it agrees with
+// the runs of the request. A response may be missing or late if the process could not answer.
 func (c *requestCheck) checkResponses(request *issuedRequest) {
-	const before, after = 100 * time.Millisecond, time.Second // of an outage that may have cost the response
+	const before, after = 100 * time.Millisecond, time.Second // margins of an outage that may have caused the loss
 	p := c.cluster.processes[request.process]
 	excused := p.outBetween(request.sentAt.Add(-before), request.sentAt.Add(requestTimeout+after))
 	elapsed := request.answeredAt.Sub(request.sentAt)
@@ -91,15 +92,15 @@
 	}
 }
 
-// checkEffects checks that a request that is not idempotent runs once; the others may run again.
+// checkEffects checks that a request that is not idempotent runs at most once. Others may run several times.
 func (c *requestCheck) checkEffects(request *issuedRequest) {
 	if len(request.executions) > 1 && request.class == classPay {
 		c.addViolation(request, ruleNoEffectTwice, "run more than once")
 	}
 }
 
-// checkDrains checks that nothing runs that came later than the grace after a notice to drain. Where a request came
-// by a proxy, the proxy's notice counts as well.
+// checkDrains checks that no process runs a request that was sent after the grace period of its drain. For a request
+// that was received by another process, such as a proxy, the drains of that process count as well.
 func (c *requestCheck) checkDrains(request *issuedRequest) {
 	for _, execution := range request.executions {
 		drains := c.cluster.processes[execution.process].drainsSoFar()
@@ -126,7 +127,7 @@
 	return strings.Join(runs, ", ")
 }
 
-// drainsSoFar returns the drains of the process.
+// drainsSoFar returns a copy of the drains of the process up to now.
 func (p *process) drainsSoFar() []interval {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/drill/requests_test.go
+++ b/internal/drill/requests_test.go
@@ -7,7 +7,7 @@
 	"lanewheel/internal/config"
 )
 
-// TestRequestRules checks that a history that breaks a rule once is one violation, and one that does not is none.
+// TestRequestRules checks that a request that breaks a rule yields one violation, and any other request none.
 func TestRequestRules(t *testing.T) {
 	startedAt := time.Now()
 	at := func(ms int) time.Time { return startedAt.Add(time.Duration(ms) * time.Millisecond) }
@@ -22,10 +22,10 @@
 		log := &requestLog{requests: []*issuedRequest{&request}}
 		violations := checkRequestRules(c, log, startedAt, at(20000))
 		if test.rule == "" && len(violations) > 0 {
-			t.Errorf("%s: %v", test.name, violations)
+			t.Errorf("%s: violations %v, want none", test.name, violations)
 		}
 		if test.rule != "" && (len(violations) != 1 || violations[0].Rule != test.rule) {
-			t.Errorf("%s: %v, want one of %q", test.name, violations, test.rule)
+			t.Errorf("%s: violations %v, want one of rule %q", test.name, violations, test.rule)
 		}
 	}
 }
@@ -33,12 +33,12 @@
 // requestRuleTest is a request and the rule that it breaks.
 type requestRuleTest struct {
 	name    string
-	rule    string // that is broken; empty: none is
+	rule    string // the rule that is broken, empty if none
 	request issuedRequest
 	ran     []execution
 }
 
-// requestRuleTests returns requests at times in ms; the processes are those of TestRequestRules.
+// requestRuleTests returns requests at times in ms. The indexes refer to the processes of TestRequestRules.
 func requestRuleTests(at func(ms int) time.Time) []requestRuleTest {
 	return []requestRuleTest{
 		{"succeeded", "", issuedRequest{
@@ -47,13 +47,13 @@
 		{"rejected", "", issuedRequest{
 			class: classPay, sentAt: at(0), answeredAt: at(10), outcome: outcomeRejected, responses: 1,
 		}, nil},
-		{"no response of a process that is out", "", issuedRequest{
+		{"no response from a process that is out", "", issuedRequest{
 			class: "view", process: 2, sentAt: at(1000),
 		}, nil},
 		{"within the grace of a drain", "", issuedRequest{
 			class: "view", process: 1, sentAt: at(9400), answeredAt: at(9500), outcome: outcomeSucceeded, responses: 1,
 		}, []execution{{1, at(9450)}}},
-		{"the next incarnation", "", issuedRequest{
+		{"run by the next incarnation after a drain", "", issuedRequest{
 			class: "view", process: 1, sentAt: at(10600), answeredAt: at(10700), outcome: outcomeSucceeded, responses: 1,
 		}, []execution{{1, at(10650)}}},
 
--- a/internal/drill/runtime.go
+++ b/internal/drill/runtime.go
@@ -8,10 +8,11 @@
 
 const (
 	runtimeCores      = 2                     // of each fake runtime
-	runtimeDelayCheck = 20 * time.Millisecond // how often it is checked whether a runtime may take its link
+	runtimeDelayCheck = 20 * time.Millisecond // how often a delayed runtime checks whether it may become ready
 )
 
-// serveRuntime is a process's runtime: whichever link comes, it is up and works, as often as the process is started.
+// serveRuntime runs the fake runtime of a process until its listener is closed. Each incarnation of the process
+// connects to it anew. A connection that becomes ready marks the return of a process that was out by a permit.
 func (c *cluster) serveRuntime(p *process) {
 	for incarnation := uint64(0); ; incarnation++ {
 		runtime := &fake.Runtime{Listener: p.runtime.Listener}
@@ -31,8 +32,8 @@
 	}
 }
 
-// currentRuntimeFaults returns the faults of the process's runtime: those of the script's timeline, else those of a bad
-// release.
+// currentRuntimeFaults returns the faults of the process's runtime: those of the script's timeline, or those of a bad
+// release if the timeline sets none.
 func (p *process) currentRuntimeFaults() fake.RuntimeFaults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/drill/streams.go
+++ b/internal/drill/streams.go
@@ -12,10 +12,11 @@
 )
 
 const (
-	// streamDialTimeout is how long the connection to a process may take.
+	// streamDialTimeout is the maximum time for connecting to a process.
 	streamDialTimeout = time.Second
 
-	// How often a stream that a fault holds up looks whether it is over: before it is connected, and in the middle.
+	// The intervals at which a stream that a fault blocks checks whether the fault has ended: before the stream is
+	// connected, and in mid-stream.
 	blackholeCheckInterval = 50 * time.Millisecond
 	stallCheckInterval     = 20 * time.Millisecond
 )
@@ -41,7 +42,7 @@
 		resetConnection(incoming)
 		return
 	}
-	for current.has(config.ActionBlackhole) { // the stream is taken, and nothing comes of it
+	for current.has(config.ActionBlackhole) { // the stream is accepted but not forwarded
 		time.Sleep(blackholeCheckInterval)
 		if current = n.lookup(host, front.process); n.isClosed() {
 			return
@@ -64,7 +65,8 @@
 	n.untrackStream(incoming)
 }
 
-// dialProcess connects to a process from the front of the sender; a stranger comes from the process's own front.
+// dialProcess connects to a process from the front of the sender, or from the process's own front if the sender is
+// unknown.
 func (n *network) dialProcess(front *processFront, current conditions, port int) (*net.TCPConn, error) {
 	local := front.ip
 	if current.senderFront != nil {
@@ -91,8 +93,8 @@
 	delete(n.streams, connection)
 }
 
-// copyStream copies one direction of a stream, from a host to a process, under what holds on its link. An end is passed
-// on as an end, an error as a reset.
+// copyStream copies one direction of a stream, from a host to a process, subject to the faults of its link. It forwards
+// the end of the stream as a close, and an error as a reset.
 func (n *network) copyStream(to, from *net.TCPConn, host string, target int) {
 	const bufferBytes = 8 << 10
 	buffer := make([]byte, bufferBytes)
@@ -116,12 +118,12 @@
 	}
 }
 
-// applyToStream applies the faults of a link to a part of a stream, which it may change; it returns when the part
-// may be written.
+// applyToStream applies the faults of a link to a part of a stream, which it may change. It returns when the part may
+// be written.
 func (n *network) applyToStream(part []byte, host string, target int) {
 	current := n.lookup(host, target)
 	n.increment(&current.counters.streamBytes, len(part))
-	for current.has(config.ActionStall, config.ActionBlackhole) && !n.isClosed() { // in the middle of whatever it carries
+	for current.has(config.ActionStall, config.ActionBlackhole) && !n.isClosed() { // even within a message
 		time.Sleep(stallCheckInterval)
 		current = n.lookup(host, target)
 	}
--- a/internal/drill/table.go
+++ b/internal/drill/table.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// metrics returns the measured values, those of the requests among them.
+// metrics returns the metrics of the record, including those derived from its requests.
 func (r Record) metrics() []metric {
 	counts := map[requestOutcome]int{}
 	var latencies []float64 // ms, of succeeded requests
@@ -36,7 +36,7 @@
 	return append(metrics, metric{"violations", float64(r.violationCount())})
 }
 
-// quantile returns a quantile of sorted values, 0 of none.
+// quantile returns a quantile of sorted values, or 0 if there are none.
 func quantile(sorted []float64, fraction float64) float64 {
 	if len(sorted) == 0 {
 		return 0
@@ -44,7 +44,7 @@
 	return sorted[min(len(sorted)-1, int(fraction*float64(len(sorted))))]
 }
 
-// WriteTable prints what a drill came to: its faults, what did not hold, and the metrics.
+// WriteTable prints the results of a drill: its faults, the violations and the metrics.
 func (r Record) WriteTable(out io.Writer) {
 	for _, row := range r {
 		if row.Kind == kindBegin || row.Kind == kindViolation {
@@ -55,7 +55,7 @@
 	for _, m := range r.metrics() {
 		printf(table, "%s\t%.4g\n", m.Name, m.Value)
 	}
-	_ = table.Flush() // who reads out sees that something is missing
+	_ = table.Flush() // the reader of out notices missing output
 }
 
 // Compare prints the metrics of two records side by side.
@@ -81,5 +81,5 @@
 			printf(table, "%s\t-\t%.4g\t\n", m.Name, m.Value)
 		}
 	}
-	_ = table.Flush() // who reads out sees that something is missing
+	_ = table.Flush() // the reader of out notices missing output
 }
--- a/internal/drill/timeline.go
+++ b/internal/drill/timeline.go
@@ -11,17 +11,17 @@
 	"lanewheel/internal/config"
 )
 
-// Event is one moment of the timeline: a fault begins or ends.
+// Event is the beginning or the end of a fault in the timeline.
 type Event struct {
 	At       time.Duration // since the start of the load
 	Fault    *config.DrillFault
-	Undo     bool  // it ends
-	Targets  []int // indexes of processes; nil: it is a fault of links
-	From, To []int // indexes of processes, of a fault of links
-	checked  bool  // the invariants were checked after it
+	Undo     bool  // the fault ends
+	Targets  []int // indexes of processes; nil for a fault of links
+	From, To []int // indexes of processes, for a fault of links
+	checked  bool  // the invariants have been checked after it
 }
 
-// String returns the event as it is printed and recorded.
+// String returns the text of the event that is printed and stored in records.
 func (e Event) String() string {
 	action := string(e.Fault.Action)
 	if e.Undo {
@@ -37,7 +37,7 @@
 	return prefix + action + " on " + abbreviate(e.Targets)
 }
 
-// abbreviate returns numbers as text: all of a few, of many the first ones and their count.
+// abbreviate returns numbers as text: all of them if there are few, otherwise the first ones and the count.
 func abbreviate(numbers []int) string {
 	const few, shown = 6, 4
 	if len(numbers) <= few {
@@ -46,7 +46,7 @@
 	return fmt.Sprintf("%s ... (%d)", strings.Trim(fmt.Sprint(numbers[:shown]), "[]"), len(numbers))
 }
 
-// Timeline returns the events of a script in their order. The same seed gives the same.
+// Timeline returns the events of a script in order of time. The same script and seed produce the same events.
 func Timeline(script *config.Drill) []Event {
 	var events []Event
 	for i := range script.Faults {
@@ -56,8 +56,9 @@
 	return events
 }
 
-// faultEvents returns the beginning of a fault, and its end if it has one. Each fault has random numbers of its own, so
-// that one more or less in the script leaves the others as they were.
+// faultEvents returns the beginning of a fault, and its end if it has one. Each fault has its own sequence of random
+// numbers, selected by its position in the script, so that a fault that is changed, added or removed leaves those
+// before it unchanged.
 func faultEvents(script *config.Drill, index int) []Event {
 	fault := &script.Faults[index]
 	random := rand.New(rand.NewPCG(script.RandomSeed, uint64(index)+1))
@@ -83,9 +84,10 @@
 	return []Event{begin, end}
 }
 
-// layout is where the kinds of processes are: instances first, then proxies, allocators and coordinators.
+// layout holds the ranges of indexes of the processes of each kind: instances first, then proxies, allocators and
+// coordinators.
 type layout struct {
-	proxies, allocators, coordinators, end int // first index of each kind
+	proxies, allocators, coordinators, end int // first index of each kind, and the number of processes
 }
 
 func layoutOf(script *config.Drill) layout {
@@ -97,7 +99,8 @@
 	return l
 }
 
-// selectProcesses returns the indexes of the processes that a selector names; except are those at a link's other end.
+// selectProcesses returns the indexes of the processes that a selector matches. The selector "others" matches all
+// processes but those in except, which are at the other end of the link.
 func selectProcesses(selector config.DrillSelector, script *config.Drill, except []int, random *rand.Rand) []int {
 	l := layoutOf(script)
 	all := make([]int, l.end)
@@ -144,7 +147,7 @@
 // zoneOf returns the zone of a process.
 func zoneOf(script *config.Drill, index int) string { return script.Zones[index%len(script.Zones)] }
 
-// releaseOf returns the release that a process starts on.
+// releaseOf returns the release that a process runs at the start of the drill.
 func releaseOf(script *config.Drill, index int) string {
 	return script.Releases[index/len(script.Zones)%len(script.Releases)]
 }
--- a/internal/drill/timeline_test.go
+++ b/internal/drill/timeline_test.go
@@ -43,7 +43,8 @@
 	return lines
 }
 
-// Example_timeline draws the same events by the same seed; another seed draws other times and processes.
+// Example_timeline shows that the same seed draws the same events, and that another seed draws other times and
+// processes.
 func Example_timeline() {
 	first := timelineText(timelineScript, 7)
 	fmt.Print(first)
@@ -57,7 +58,7 @@
 	// true false
 }
 
-// Example_invalid shows that all that is wrong with a script is reported, each with its line.
+// Example_invalid shows that all errors in a script are reported, each with its line.
 //
 //nolint:lll // each diagnostic is one line
 func Example_invalid() {
@@ -81,7 +82,7 @@
 	// x.ini:9: fault b.targets: is "zone q", wants all, others, proxies, instances, allocators, coordinators, zone NAME, release NAME, process N, first N, draw N or draw N%
 }
 
-// TestAbbreviate checks how many processes are abbreviated.
+// TestAbbreviate checks how lists of process indexes are abbreviated.
 func TestAbbreviate(t *testing.T) {
 	for _, test := range []struct {
 		numbers []int
@@ -93,7 +94,7 @@
 		{[]int{1, 2, 3, 4, 5, 6, 7}, "1 2 3 4 ... (7)"},
 	} {
 		if got := abbreviate(test.numbers); got != test.want {
-			t.Errorf("%v is %q, want %q", test.numbers, got, test.want)
+			t.Errorf("abbreviate(%v) = %q, want %q", test.numbers, got, test.want)
 		}
 	}
 }
