--- a/internal/drill/cluster.go
+++ b/internal/drill/cluster.go
@@ -158,8 +158,8 @@
 	return c.processes[:l.proxies]
 }
 
-// close kills all processes and closes the fakes and the network. Errors of closing are ignored because the drill is
-// complete.
+// close kills all processes and closes the fakes and the network. Errors of closing are ignored because the drill has
+// ended.
 func (c *cluster) close() {
 	var stopping sync.WaitGroup
 	for _, p := range c.processes {
--- a/internal/drill/network.go
+++ b/internal/drill/network.go
@@ -280,7 +280,7 @@
 	return total
 }
 
-// close closes all streams and fronts. Errors of closing are ignored because the drill is complete.
+// close closes all streams and fronts. Errors of closing are ignored because the drill has ended.
 func (n *network) close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
