--- a/internal/drill/balance.go
+++ b/internal/drill/balance.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// warmUpSeconds is how long the load of a newly started instance is excluded from the measurement, in seconds.
+	// warmUpSeconds is the number of seconds that are excluded from the measurement after instances have started.
 	warmUpSeconds = 8
 
 	// minCalmSeconds is the minimum number of calm seconds that the balance is measured over.
@@ -21,14 +21,14 @@
 // balanceCheck measures how the load was spread over the instances during the calm seconds, which are the seconds
 // that no event affects.
 type balanceCheck struct {
-	cluster       *cluster
-	calm          []bool          // by second
-	faulty        map[int]bool    // instances whose runs failed or were lost; senders eject them temporarily
-	runs          [][]int         // by second and instance
-	totalRuns     int             // in calm seconds
-	lastRun       []time.Duration // by instance; 0: none yet
-	longest       []float64       // by instance, its longest idle time, s
-	longestDetail string          // the instance with the longest idle time of all, and when that ended
+	cluster           *cluster
+	calm              []bool          // by second
+	faulty            map[int]bool    // instances whose runs failed or were lost; senders eject them temporarily
+	runs              [][]int         // by second and instance
+	totalRuns         int             // in calm seconds
+	lastRun           []time.Duration // by instance; 0: none yet
+	longestIdle       []float64       // by instance, its longest idle time, s
+	longestIdleDetail string          // the instance with the longest idle time of all, and when that ended
 }
 
 // instanceRun is a run of a request on a process.
@@ -60,26 +60,26 @@
 	}
 	perInstance := float64(check.totalRuns) / float64(spread.seconds) / float64(script.Instances)
 	meanGap := float64(spread.seconds) * float64(script.Instances) / float64(check.totalRuns)
-	longestGaps := slices.Max(check.longest) / meanGap
+	longestIdleGaps := slices.Max(check.longestIdle) / meanGap
 	metrics = append(metrics,
 		metric{"calm seconds", float64(spread.seconds)},
 		metric{"ops a second of an instance, calm", perInstance},
 		metric{"most loaded of a second, of what chance gives", spread.imbalance},
 		metric{"... in the worst second", spread.worst},
-		metric{"longest idle, expected gaps", longestGaps})
-	c.print("longest idle: " + check.longestDetail)
-	return metrics, check.violations(spread.imbalance, longestGaps)
+		metric{"longest idle, expected gaps", longestIdleGaps})
+	c.print("longest idle: " + check.longestIdleDetail)
+	return metrics, check.violations(spread.imbalance, longestIdleGaps)
 }
 
 func newBalanceCheck(c *cluster, seconds int) *balanceCheck {
 	instances := c.script.Instances
 	check := &balanceCheck{
-		cluster: c,
-		calm:    make([]bool, max(0, seconds)),
-		faulty:  map[int]bool{},
-		runs:    make([][]int, max(0, seconds)),
-		lastRun: make([]time.Duration, instances),
-		longest: make([]float64, instances),
+		cluster:     c,
+		calm:        make([]bool, max(0, seconds)),
+		faulty:      map[int]bool{},
+		runs:        make([][]int, max(0, seconds)),
+		lastRun:     make([]time.Duration, instances),
+		longestIdle: make([]float64, instances),
 	}
 	for second := range check.calm {
 		check.calm[second] = second >= warmUpSeconds
@@ -110,8 +110,8 @@
 	}
 }
 
-// instanceRuns returns all runs in order of time, and the number of runs on a process other than the one that
-// received the request.
+// instanceRuns returns all runs in order of time, and the number of runs on a process other than the target of the
+// request.
 func (l *requestLog) instanceRuns(startedAt time.Time) (runs []instanceRun, forwarded int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -142,12 +142,12 @@
 		return
 	}
 	idle := (run.at - last).Seconds()
-	if idle <= b.longest[run.process] {
+	if idle <= b.longestIdle[run.process] {
 		return
 	}
-	b.longest[run.process] = idle
-	if idle == slices.Max(b.longest) {
-		b.longestDetail = fmt.Sprintf("%s until %.1f s", b.cluster.processes[run.process].name, run.at.Seconds())
+	b.longestIdle[run.process] = idle
+	if idle == slices.Max(b.longestIdle) {
+		b.longestIdleDetail = fmt.Sprintf("%s until %.1f s", b.cluster.processes[run.process].name, run.at.Seconds())
 	}
 }
 
@@ -180,7 +180,7 @@
 	return spread
 }
 
-func (b *balanceCheck) violations(imbalance, longestGaps float64) (violations []violation) {
+func (b *balanceCheck) violations(imbalance, longestIdleGaps float64) (violations []violation) {
 	script := b.cluster.script
 	limits := script.Balance
 	if !limits.Enabled {
@@ -191,8 +191,8 @@
 			imbalance, limits.MaxImbalance)
 		violations = append(violations, violation{script.LoadDuration, ruleLoadEven, detail})
 	}
-	if longestGaps > limits.MaxIdleGaps {
-		detail := fmt.Sprintf("one waited for %.1f expected gaps, %.1f is told", longestGaps, limits.MaxIdleGaps)
+	if longestIdleGaps > limits.MaxIdleGaps {
+		detail := fmt.Sprintf("one waited for %.1f expected gaps, %.1f is told", longestIdleGaps, limits.MaxIdleGaps)
 		violations = append(violations, violation{script.LoadDuration, ruleNoneIdle, detail})
 	}
 	return violations
--- a/internal/drill/cluster.go
+++ b/internal/drill/cluster.go
@@ -23,10 +23,10 @@
 	clientPort      = 8443
 )
 
-// clusterKeyCount is the number of cluster keys that a script may refer to, by the numbers from 1 on.
+// clusterKeyCount is the number of cluster keys that a script may refer to. They are numbered from 1.
 const clusterKeyCount = 8
 
-// callbacks are the functions that a cluster reports to the drill with. They may be called on any goroutine.
+// callbacks are the functions through which a cluster reports to the drill. They may be called on any goroutine.
 type callbacks struct {
 	onExecution func(p *process, requestID string) // a process has started to run a request
 	onFailure   func(detail string)                // a process misbehaved or a fault could not be applied
@@ -158,8 +158,7 @@
 	return c.processes[:l.proxies]
 }
 
-// close kills all processes and closes the fakes and the network. Errors of closing are ignored because the drill has
-// ended.
+// close kills all processes and closes the fakes and the network. It ignores close errors because the drill has ended.
 func (c *cluster) close() {
 	var stopping sync.WaitGroup
 	for _, p := range c.processes {
--- a/internal/drill/coordinators.go
+++ b/internal/drill/coordinators.go
@@ -109,8 +109,8 @@
 	return os.ReadFile(filepath.Join(filepath.Dir(c.script.Path), name))
 }
 
-// rolloutPhase returns the phase of the rollout as reported by any coordinator, "halted" or "none", or "unknown" if no
-// coordinator answers.
+// rolloutPhase returns the phase of the rollout as reported by any coordinator. It returns "halted" if rollouts are
+// halted, "none" if there is no rollout, and "unknown" if no coordinator answers.
 func (c *cluster) rolloutPhase() string {
 	coordinators, err := c.coordinatorClient(statusTimeout)
 	if err != nil {
--- a/internal/drill/disruption.go
+++ b/internal/drill/disruption.go
@@ -8,8 +8,8 @@
 	"lanewheel/internal/coordination"
 )
 
-// settleAfterReturn is how long membership may still change after the last process that was out by a permit has
-// returned.
+// settleAfterReturn is the maximum time for which membership may still change after the return of the last process that
+// was out under a permit.
 const settleAfterReturn = 10 * time.Second
 
 // group is the set of processes that a disruption limit applies to: all processes, or those of a zone.
@@ -26,14 +26,15 @@
 	return "zone " + g.zone
 }
 
-// disruptionLog records which processes are out by a permit, as the drill observes it independently of the
-// coordinators: from the end of a process until its next incarnation is up. Its methods may be called on any goroutine.
+// disruptionLog records which processes are out under a permit. The drill observes this independently of the
+// coordinators: a process is out from its end until its next incarnation is up. The methods may be called on any
+// goroutine.
 type disruptionLog struct {
 	mu                 sync.Mutex // guards the fields below
 	out                map[*process]bool
 	lastReturn         time.Time
-	maxOut             map[group]int              // the most processes that were out at once
-	limits             map[group]int              // the most processes that may be out at once; other groups have no limit
+	maxOut             map[group]int              // maximum number of processes that were out at once
+	limits             map[group]int              // allowed number of processes out at once; no entry: no limit
 	processesByRelease map[string]map[string]bool // by release, the names of the processes that ever ran it
 }
 
@@ -57,8 +58,8 @@
 	l.processesByRelease[release][p.name] = true
 }
 
-// recordDeparture records that a process has ended by a permit, and reports a failure if more processes are out than a
-// limit allows.
+// recordDeparture records that a process has ended under a permit, and reports a failure if more processes are out than
+// a limit allows.
 func (l *disruptionLog) recordDeparture(c *cluster, p *process) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -88,8 +89,8 @@
 	delete(l.out, p)
 }
 
-// inProgress reports whether a process is out by a permit, or has returned within settleAfterReturn. The log may be
-// nil.
+// inProgress reports whether a process is out under a permit, or has returned within the last settleAfterReturn. The
+// log may be nil.
 func (l *disruptionLog) inProgress() bool {
 	if l == nil {
 		return false
--- a/internal/drill/disruption_test.go
+++ b/internal/drill/disruption_test.go
@@ -9,7 +9,7 @@
 	"lanewheel/internal/coordination"
 )
 
-// TestDisruptionLog checks that the drill fails if more processes are out by a permit than a budget allows, over all
+// TestDisruptionLog checks that the drill fails if more processes are out under a permit than a budget allows, over all
 // processes and by zone, and checks the recorded maximum and releases.
 func TestDisruptionLog(t *testing.T) {
 	failures := make(chan string, 10)
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -1,5 +1,5 @@
-// Package drill runs game-day drills: it starts processes of this program among fakes, injects the faults of a script
-// into the processes and the links between them, and checks invariants.
+// Package drill runs game-day drills: it starts processes of this program with fake dependencies, injects the faults of
+// a script into the processes and the links between them, and checks invariants.
 package drill
 
 import (
@@ -24,8 +24,8 @@
 	minPollInterval        = 250 * time.Millisecond
 	pollIntervalPerProcess = 3 * time.Millisecond
 
-	// coordinatorBinary is the program that runs all processes if there are coordinators. It includes the commands of
-	// the other programs.
+	// coordinatorBinary is the program that all processes run if the script has coordinators. It includes the commands
+	// of the other programs.
 	coordinatorBinary = "lanewheel-coordinator"
 )
 
@@ -266,7 +266,7 @@
 	r.violations = append(r.violations, violations...)
 }
 
-// nameOf returns the name of the process at an index of the network.
+// nameOf returns the name of the process with the given index. For unknownSender it returns the text that records hold.
 func (r *run) nameOf(index int) string {
 	if index == unknownSender {
 		return "a stranger"
@@ -293,14 +293,15 @@
 	}
 }
 
-// failures collects the failures of processes, as violations. Its methods may be called on any goroutine.
+// failures collects failures during a drill as violations of ruleNothingCrashes. Its methods may be called on any
+// goroutine.
 type failures struct {
 	mu         sync.Mutex
 	since      time.Time
 	violations []violation
 }
 
-// reset sets the time that the times of failures are relative to.
+// reset sets the reference time: each violation added later holds the time since then.
 func (f *failures) reset(since time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/drill/faults.go
+++ b/internal/drill/faults.go
@@ -14,8 +14,8 @@
 	"lanewheel/internal/fake"
 )
 
-// apply applies an event of processes, a burst of load or a coordinator command. It returns when the event has been
-// applied, but does not wait for the coordinators' answer to a command.
+// apply applies an event that targets processes, changes the load or sends a coordinator command. It returns when the
+// event has been applied, but does not wait for the coordinators' answer to a command.
 func (c *cluster) apply(event Event) {
 	switch {
 	case event.Fault.Action == config.ActionCoordinatorCommand && event.Undo:
@@ -31,7 +31,7 @@
 	}
 }
 
-// restartDrained restarts the instances that have drained by a permit and ended.
+// restartDrained restarts the instances that have drained under a permit and ended.
 func (c *cluster) restartDrained() {
 	for _, p := range c.processes[:c.script.Instances] {
 		p.mu.Lock()
@@ -127,8 +127,8 @@
 }
 
 // startUnlessRunning starts a process that a fault has ended, unless the coordinators have restarted it already. The
-// coordinators restart a process that was out by their permit, and a second process would fail because its addresses
-// are in use.
+// coordinators restart a process that is out under a permit, and a second process would fail because the addresses are
+// in use.
 func (p *process) startUnlessRunning() error {
 	p.mu.Lock()
 	running := p.isRunning()
--- a/internal/drill/files.go
+++ b/internal/drill/files.go
@@ -10,7 +10,7 @@
 	"lanewheel/internal/fake"
 )
 
-// settingsReplacer fills in the placeholders of the fakes' settings, and raises the memory and the calls to a
+// settingsReplacer fills in the placeholders of fake.Settings, and raises the limits of memory and of calls to a
 // dependency, so that a process can take the load of a drill.
 var settingsReplacer = strings.NewReplacer(
 	"IDLE", "30",
--- a/internal/drill/golden_figures_test.go
+++ b/internal/drill/golden_figures_test.go
@@ -20,8 +20,8 @@
 	`"states":{"up":1},"members":[{"name":"p001","state":"suspect","why":"silent"}],` +
 	`"counts":{"suspect-gone":3,"up-suspect":5,"bytes-in":1000,"bytes-out":200,"packets-out":7},"cpu_ms":40}` + "\n"
 
-// figuresRun is a drill of two instances, one of which runs. The status socket of that one always returns the same
-// answer.
+// figuresRun is a drill of two instances, one of which runs. The status socket of the running instance always returns
+// the same answer.
 type figuresRun struct {
 	t              *testing.T
 	cluster        *cluster
--- a/internal/drill/hook.go
+++ b/internal/drill/hook.go
@@ -16,8 +16,8 @@
 const hookStarted = "started"
 
 // RunHook asks the drill that listens on a socket to restart a process on a release. It implements the restart command
-// that is configured for the coordinators of a drill. It prints the answer to out, and returns an answer that is an
-// error text as an error as well.
+// that is configured for the coordinators of a drill. It prints the answer to out. If the answer is an error text, it
+// also returns it as an error.
 func RunHook(socket, name, release string, out io.Writer) error {
 	const dialTimeout, answerTimeout = time.Second, 20 * time.Second
 	dialer := net.Dialer{Timeout: dialTimeout}
--- a/internal/drill/load.go
+++ b/internal/drill/load.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// requestTimeout is the timeout in the settings of the fakes, plus half a second for a busy machine.
+	// requestTimeout is the request timeout in fake.Settings, plus a tolerance of half a second for a busy machine.
 	requestTimeout = 3*time.Second + 500*time.Millisecond
 
 	// maxOutstanding is the protocol's limit of requests in progress on one connection. Clients drop requests above it.
@@ -54,7 +54,7 @@
 type issuedRequest struct {
 	id         string
 	class      string
-	process    int // index of the process that received it
+	process    int // index of the process that the client sent it to
 	sentAt     time.Time
 	answeredAt time.Time // time of the last response, or of the end of the connection
 	outcome    requestOutcome
@@ -83,8 +83,8 @@
 	}
 }
 
-// generateLoad sends requests until a time, at the script's rate and regardless of the responses. It returns when no
-// client waits for responses any longer.
+// generateLoad sends requests at the script's rate until the given time, without waiting for earlier responses. It
+// returns when no client waits for responses any longer.
 func (l *requestLog) generateLoad(c *cluster, until time.Time) {
 	var clients sync.WaitGroup
 	for number := range c.script.Clients {
@@ -144,11 +144,12 @@
 	inFlight map[int]*issuedRequest // sent on this connection, by number; guarded by the log's mu
 }
 
-// run sends requests until the connection has reached its age or ends, waits for the responses and closes it.
+// run sends requests until the connection has reached its maximum age or has ended. It then waits for the responses and
+// closes the connection.
 func (s *loadSession) run() {
 	c := s.client
-	age := minConnectionAge + time.Duration(c.random.Float64()*float64(connectionAgeSpread))
-	for reconnectAt := c.nextAt.Add(age); c.nextAt.Before(c.until) && c.nextAt.Before(reconnectAt); {
+	maxAge := minConnectionAge + time.Duration(c.random.Float64()*float64(connectionAgeSpread))
+	for reconnectAt := c.nextAt.Add(maxAge); c.nextAt.Before(c.until) && c.nextAt.Before(reconnectAt); {
 		c.requests++
 		if !s.awaitNext() || !s.send(c.requests) {
 			break
--- a/internal/drill/membership.go
+++ b/internal/drill/membership.go
@@ -28,7 +28,7 @@
 	changedAt       time.Duration            // time of the last event, since the start of the load
 	convergence     map[string]time.Duration // by change: the time until all processes knew it, or converging
 	counts          evictionCounts
-	countsBefore    evictionCounts // at the start of the fault; zero before the first poll
+	countsBefore    evictionCounts // at the start of the last fault; zero before the first poll
 	usage           map[membership.ID]usage
 	metrics         []metric
 }
@@ -39,7 +39,7 @@
 	suspicions map[membership.ID]uint64
 }
 
-// since returns the increase of the counts since earlier ones, summed over the incarnations in c.
+// since returns the increase of the counts over those in before, summed over the incarnations in c.
 func (c evictionCounts) since(before evictionCounts) (evictions, suspicions uint64) {
 	for id, count := range c.evictions {
 		evictions += count - min(count, before.evictions[id])
@@ -52,7 +52,7 @@
 	return &membershipCheck{cluster: c, convergence: map[string]time.Duration{}}
 }
 
-// pollAnswer is one process's answer to a poll, or the error of asking it.
+// pollAnswer is one process's answer to a poll, or the error if the process could not be polled.
 type pollAnswer struct {
 	process  *process
 	id       membership.ID
@@ -70,7 +70,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.compare(answers, fmt.Sprintf("%016x", expected))
-	m.count(answers)
+	m.recordCounters(answers)
 	if m.converged {
 		m.recordConvergence(now)
 	}
@@ -126,8 +126,8 @@
 		p.name, snapshot.LocalHealth, snapshot.HeardFraction, snapshot.States, strings.Join(members, ", "))
 }
 
-// count stores the counters and the resource usage that the processes report. mu must be held.
-func (m *membershipCheck) count(answers []pollAnswer) {
+// recordCounters stores the counters and the resource usage that the processes report. mu must be held.
+func (m *membershipCheck) recordCounters(answers []pollAnswer) {
 	m.counts = evictionCounts{map[membership.ID]uint64{}, map[membership.ID]uint64{}}
 	m.usage = map[membership.ID]usage{}
 	for _, answer := range answers {
@@ -176,7 +176,7 @@
 		}
 	}
 	m.changedAt = now
-	if event.Targets != nil || event.Undo { // the start of a fault of links changes no membership
+	if event.Targets != nil || event.Undo { // the start of a link fault changes no membership
 		m.convergence[name] = converging
 	}
 }
@@ -216,7 +216,7 @@
 }
 
 // isMembershipChanging reports whether members join and leave continuously because of a rollout or of a release that
-// crashes. Views are checked only after that has ended.
+// crashes. Views are not checked during that time.
 func (m *membershipCheck) isMembershipChanging() bool {
 	return m.cluster.disruptions.inProgress() || m.cluster.script.BadRelease.CrashAfter > 0
 }
--- a/internal/drill/network.go
+++ b/internal/drill/network.go
@@ -121,7 +121,7 @@
 	if front.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: front.ip, Port: n.ports[0]}); err != nil {
 		return nil, err
 	}
-	_ = front.udp.SetReadBuffer(readBufferBytes) // a smaller buffer loses datagrams under load, like any network
+	_ = front.udp.SetReadBuffer(readBufferBytes) // a smaller buffer may lose datagrams under load, as any network may
 	for _, port := range n.ports {
 		listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: front.ip, Port: port})
 		if err != nil {
@@ -134,7 +134,7 @@
 
 // conditions is the present state of a link.
 type conditions struct {
-	from        int // index of the sender, or stranger
+	from        int // index of the sender, or unknownSender
 	senderFront *processFront
 	counters    *linkCounters
 	faults      []*config.DrillFault
@@ -280,7 +280,7 @@
 	return total
 }
 
-// close closes all streams and fronts. Errors of closing are ignored because the drill has ended.
+// close closes all streams and fronts. It ignores close errors because the drill has ended.
 func (n *network) close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/drill/network_test.go
+++ b/internal/drill/network_test.go
@@ -17,7 +17,8 @@
 
 const testPort = 7999
 
-// linkedPair is two ends with links between them. Each end counts the datagrams that it receives and echoes streams.
+// linkedPair is a pair of hosts that are connected through a network. Each end counts the datagrams that it receives
+// and echoes streams.
 type linkedPair struct {
 	t        *testing.T
 	network  *network
@@ -78,7 +79,7 @@
 	}
 }
 
-// send sends count datagrams from an end to the other.
+// send sends count datagrams from one end to the other.
 func (p *linkedPair) send(from, count int) {
 	target := &net.UDPAddr{IP: net.ParseIP(p.front(1 - from)), Port: testPort}
 	for i := range count {
@@ -89,7 +90,7 @@
 	}
 }
 
-// dial opens a stream from an end to the other.
+// dial opens a stream from one end to the other.
 func (p *linkedPair) dial(from int) (net.Conn, error) {
 	dialer := net.Dialer{
 		LocalAddr: &net.TCPAddr{IP: net.ParseIP(p.hosts[from])},
--- a/internal/drill/picture.go
+++ b/internal/drill/picture.go
@@ -49,13 +49,13 @@
 		title string
 		lines []series
 	}{
-		{"requests a second", []series{{"succeeded", t.succeeded, blue}, {"sent", t.issued, grey}}},
-		{"runs a second by process: least, quartiles, most", []series{
-			{"least", quantiles[0], grey},
-			{"lower", quantiles[1], orange},
+		{"requests per second", []series{{"succeeded", t.succeeded, blue}, {"sent", t.issued, grey}}},
+		{"runs per second by process: minimum, quartiles, maximum", []series{
+			{"minimum", quantiles[0], grey},
+			{"lower quartile", quantiles[1], orange},
 			{"median", quantiles[2], blue},
-			{"most", quantiles[4], grey},
-			{"upper", quantiles[3], orange},
+			{"maximum", quantiles[4], grey},
+			{"upper quartile", quantiles[3], orange},
 		}},
 		{"processes whose view diverges", []series{{"divergent", t.divergent, blue}}},
 	} {
@@ -123,7 +123,7 @@
 	return quantiles
 }
 
-// drawPanel returns a chart of lines that also marks the beginnings of the faults.
+// drawPanel returns a line chart that also marks the beginnings of the faults.
 func (r Record) drawPanel(title string, lines []series) (*plot.Plot, error) {
 	chart := plot.New()
 	chart.Title.Text = title
--- a/internal/drill/process.go
+++ b/internal/drill/process.go
@@ -24,7 +24,7 @@
 	// restartDelay is the delay between a crash and the restart of the process, as by a supervisor.
 	restartDelay = time.Second
 
-	// logTailBytes is how much of the end of a log is reported if a process ended by itself.
+	// logTailBytes is the number of bytes at the end of a log that are reported if a process ended by itself.
 	logTailBytes = 600
 )
 
@@ -53,8 +53,8 @@
 	runtime   *fake.Runtime
 	service   *fakeService // the service behind an allocator; nil for other roles
 
-	// The goroutine that starts the process owns these fields: that of the timeline, or that of a hook while the process
-	// is out.
+	// These fields are owned by the goroutine that starts the process: the timeline's goroutine, or a hook's goroutine
+	// while the process is out.
 	startedBefore bool
 	keyNumbers    []int
 	seedCount     int
@@ -68,8 +68,8 @@
 	stopExpected   bool          // the drill has stopped it
 	paused         bool
 	exited         bool
-	id             membership.ID // of this incarnation, once it has reported it
-	outages        []interval    // when it could not answer, because of the drill
+	id             membership.ID // of the current incarnation; zero until the process has reported it
+	outages        []interval    // when the drill kept it from answering
 	drains         []interval    // from each drain notice to the end of that incarnation
 }
 
@@ -93,9 +93,9 @@
 	if err != nil {
 		return err
 	}
-	bad := p.cluster.script.BadRelease
+	badRelease := p.cluster.script.BadRelease
 	p.mu.Lock()
-	crashes := bad.CrashAfter > 0 && p.release == bad.Release
+	crashes := badRelease.CrashAfter > 0 && p.release == badRelease.Release
 	p.cmd = cmd
 	p.exit = make(chan struct{})
 	p.stopExpected, p.paused, p.exited = false, false, false
@@ -104,7 +104,7 @@
 	exit := p.exit
 	p.mu.Unlock()
 	if crashes {
-		time.AfterFunc(bad.CrashAfter, func() { _ = cmd.Process.Kill() })
+		time.AfterFunc(badRelease.CrashAfter, func() { _ = cmd.Process.Kill() })
 	}
 	go p.wait(cmd, exit, crashes)
 	return nil
@@ -124,8 +124,8 @@
 	return arguments
 }
 
-// wait waits for the end of one incarnation and handles an end that the drill did not cause: an end by a permit is
-// recorded, a crash that the script intends is followed by a restart, and any other end is reported as a failure.
+// wait waits for the end of one incarnation and handles an end that the drill did not cause: an end under a permit
+// is recorded, a crash that the script intends is followed by a restart, and any other end is reported as a failure.
 func (p *process) wait(cmd *exec.Cmd, exit chan struct{}, crashes bool) {
 	err := cmd.Wait()
 	p.mu.Lock()
@@ -150,7 +150,7 @@
 	}
 }
 
-// logTail returns the last logTailBytes bytes of a log, or the text of the error of reading it.
+// logTail returns the last logTailBytes bytes of a log, or an error text if the log cannot be read.
 func logTail(path string) string {
 	file, err := os.Open(path)
 	if err != nil {
@@ -248,7 +248,7 @@
 	return p.isRunning() && !p.stopExpected && !p.paused
 }
 
-// outBetween reports whether the drill kept the process from answering at any time between two times.
+// outBetween reports whether the drill kept the process from answering at any time between from and to.
 func (p *process) outBetween(from, to time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -277,7 +277,7 @@
 	return snapshot, nil
 }
 
-// currentID returns the id of this incarnation, zero before it has reported it.
+// currentID returns the id of the current incarnation, or zero if the process has not reported it yet.
 func (p *process) currentID() membership.ID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/drill/record.go
+++ b/internal/drill/record.go
@@ -19,7 +19,7 @@
 	kindLink      = "link"      // the traffic between two processes
 )
 
-// Row is one row of a record. Its columns and the words in them are stored.
+// Row is one row of a record. The names of the columns, the kinds and the outcomes are part of the stored format.
 type Row struct {
 	AtMS    int64   `parquet:"at_ms"`     // since the start of the load
 	Kind    string  `parquet:"kind,dict"` // op, run, done, undone, differs, violation, figure or link
--- a/internal/drill/requests.go
+++ b/internal/drill/requests.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	// drainGrace is the grace period of a drain in the settings of the fakes.
+	// drainGrace is the grace period of a drain in fake.Settings.
 	drainGrace = 500 * time.Millisecond
 
 	// drainSlack is the tolerance added to drainGrace for a busy machine.
@@ -71,7 +71,7 @@
 // checkResponses checks that a request has exactly one response, that the response is in time, and that it agrees with
 // the runs of the request. A response may be missing or late if the process could not answer.
 func (c *requestCheck) checkResponses(request *issuedRequest) {
-	const before, after = 100 * time.Millisecond, time.Second // margins of an outage that may have caused the loss
+	const before, after = 100 * time.Millisecond, time.Second // an outage this long before or after may be the cause
 	p := c.cluster.processes[request.process]
 	excused := p.outBetween(request.sentAt.Add(-before), request.sentAt.Add(requestTimeout+after))
 	elapsed := request.answeredAt.Sub(request.sentAt)
@@ -92,15 +92,16 @@
 	}
 }
 
-// checkEffects checks that a request that is not idempotent runs at most once. Others may run several times.
+// checkEffects checks that a request that is not idempotent runs at most once. Idempotent requests may run several
+// times.
 func (c *requestCheck) checkEffects(request *issuedRequest) {
 	if len(request.executions) > 1 && request.class == classPay {
 		c.addViolation(request, ruleNoEffectTwice, "run more than once")
 	}
 }
 
-// checkDrains checks that no process runs a request that was sent after the grace period of its drain. For a request
-// that was received by another process, such as a proxy, the drains of that process count as well.
+// checkDrains checks that a draining process runs no request that was sent after the grace period of the drain. If the
+// request was sent to another process, such as a proxy, the drains of that process count as well.
 func (c *requestCheck) checkDrains(request *issuedRequest) {
 	for _, execution := range request.executions {
 		drains := c.cluster.processes[execution.process].drainsSoFar()
--- a/internal/drill/requests_test.go
+++ b/internal/drill/requests_test.go
@@ -38,7 +38,8 @@
 	ran     []execution
 }
 
-// requestRuleTests returns requests at times in ms. The indexes refer to the processes of TestRequestRules.
+// requestRuleTests returns the test cases. The function at takes the milliseconds since the start of the load. The
+// indexes refer to the processes of TestRequestRules.
 func requestRuleTests(at func(ms int) time.Time) []requestRuleTest {
 	return []requestRuleTest{
 		{"succeeded", "", issuedRequest{
--- a/internal/drill/runtime.go
+++ b/internal/drill/runtime.go
@@ -11,8 +11,8 @@
 	runtimeDelayCheck = 20 * time.Millisecond // how often a delayed runtime checks whether it may become ready
 )
 
-// serveRuntime runs the fake runtime of a process until its listener is closed. Each incarnation of the process
-// connects to it anew. A connection that becomes ready marks the return of a process that was out by a permit.
+// serveRuntime runs the fake runtime of a process until its listener is closed. Each incarnation of the process opens a
+// new connection to it. A connection that becomes ready marks the return of a process that was out under a permit.
 func (c *cluster) serveRuntime(p *process) {
 	for incarnation := uint64(0); ; incarnation++ {
 		runtime := &fake.Runtime{Listener: p.runtime.Listener}
@@ -37,9 +37,9 @@
 func (p *process) currentRuntimeFaults() fake.RuntimeFaults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	bad := p.cluster.script.BadRelease
-	if p.runtimeFaults == (fake.RuntimeFaults{}) && bad.Release != "" && p.release == bad.Release {
-		return fake.RuntimeFaults{SlowFactor: bad.RunTimeFactor, FailRuns: bad.FailRuns}
+	badRelease := p.cluster.script.BadRelease
+	if p.runtimeFaults == (fake.RuntimeFaults{}) && badRelease.Release != "" && p.release == badRelease.Release {
+		return fake.RuntimeFaults{SlowFactor: badRelease.RunTimeFactor, FailRuns: badRelease.FailRuns}
 	}
 	return p.runtimeFaults
 }
@@ -53,8 +53,8 @@
 func (p *process) isRuntimeDelayed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	bad := p.cluster.script.BadRelease
-	return p.runtimeDelayed || bad.NeverReady && p.release == bad.Release
+	badRelease := p.cluster.script.BadRelease
+	return p.runtimeDelayed || badRelease.NeverReady && p.release == badRelease.Release
 }
 
 func (p *process) setRuntimeDelayed(delayed bool) {
--- a/internal/drill/timeline.go
+++ b/internal/drill/timeline.go
@@ -16,8 +16,8 @@
 	At       time.Duration // since the start of the load
 	Fault    *config.DrillFault
 	Undo     bool  // the fault ends
-	Targets  []int // indexes of processes; nil for a fault of links
-	From, To []int // indexes of processes, for a fault of links
+	Targets  []int // indexes of processes; nil for a link fault
+	From, To []int // indexes of processes, for a link fault
 	checked  bool  // the invariants have been checked after it
 }
 
@@ -57,8 +57,8 @@
 }
 
 // faultEvents returns the beginning of a fault, and its end if it has one. Each fault has its own sequence of random
-// numbers, selected by its position in the script, so that a fault that is changed, added or removed leaves those
-// before it unchanged.
+// numbers, selected by its position in the script. Changing a fault therefore leaves the events of all others
+// unchanged. Adding or removing one leaves the events of the faults before it unchanged.
 func faultEvents(script *config.Drill, index int) []Event {
 	fault := &script.Faults[index]
 	random := rand.New(rand.NewPCG(script.RandomSeed, uint64(index)+1))
