--- a/internal/drill/faults.go
+++ b/internal/drill/faults.go
@@ -14,14 +14,14 @@
 	"lanewheel/internal/fake"
 )
 
-// apply carries out an event of processes, and waits until it is done; but not for the coordinators' answer to a
-// command.
+// apply applies an event that targets processes, changes the load or sends a coordinator command. It returns when the
+// event has been applied, but does not wait for the coordinators' answer to a command.
 func (c *cluster) apply(event Event) {
 	switch {
 	case event.Fault.Action == config.ActionCoordinatorCommand && event.Undo:
 		c.restartDrained()
 	case event.Fault.Action == config.ActionCoordinatorCommand:
-		go c.command(event)
+		go c.issueCommand(event)
 	case event.Fault.Action == config.ActionBurst && event.Undo:
 		c.setLoadFactor(1)
 	case event.Fault.Action == config.ActionBurst:
@@ -31,7 +31,7 @@
 	}
 }
 
-// restartDrained starts the instances again that have drained by a permit.
+// restartDrained restarts the instances that have drained under a permit and ended.
 func (c *cluster) restartDrained() {
 	for _, p := range c.processes[:c.script.Instances] {
 		p.mu.Lock()
@@ -41,17 +41,17 @@
 			continue
 		}
 		if err := c.restart(p.name, ""); err != nil {
-			c.fail(p.name + ": " + err.Error())
+			c.onFailure(p.name + ": " + err.Error())
 		}
 	}
 }
 
-// command gives the coordinators a command and prints their answer.
-func (c *cluster) command(event Event) {
+// issueCommand sends a command to the coordinators and prints their answer.
+func (c *cluster) issueCommand(event Event) {
 	fault := event.Fault
 	reply, err := c.runCommand(fault.Command, fmt.Sprint(fault.Name, event.At))
 	if err != nil {
-		c.fail(fault.Name + ": " + err.Error())
+		c.onFailure(fault.Name + ": " + err.Error())
 	}
 	c.print(fmt.Sprintf("        %s: %s, release %s", fault.Command, reply, c.rolloutPhase()))
 }
@@ -68,14 +68,14 @@
 				err = p.apply(event.Fault)
 			}
 			if err != nil {
-				c.fail(fmt.Sprintf("%s: %s: %v", event.Fault.Name, p.name, err))
+				c.onFailure(fmt.Sprintf("%s: %s: %v", event.Fault.Name, p.name, err))
 			}
 		})
 	}
 	targets.Wait()
 }
 
-// apply does to the process what a fault says.
+// apply applies a fault to the process.
 func (p *process) apply(fault *config.DrillFault) error {
 	switch fault.Action {
 	case config.ActionKill:
@@ -111,11 +111,11 @@
 	return nil
 }
 
-// undo ends what a fault has done to the process.
+// undo reverts the effect of a fault on the process.
 func (p *process) undo(fault *config.DrillFault) error {
 	switch fault.Action {
 	case config.ActionKill, config.ActionWipe, config.ActionLeave:
-		return p.startAgain()
+		return p.startUnlessRunning()
 	case config.ActionPause:
 		p.pause(false)
 	case config.ActionLateRuntime:
@@ -126,9 +126,10 @@
 	return nil
 }
 
-// startAgain starts a process that a fault has ended, unless the coordinators have done so: one that was out by their
-// permit is theirs to start, and a second process on its addresses would fail for them.
-func (p *process) startAgain() error {
+// startUnlessRunning starts a process that a fault has ended, unless the coordinators have restarted it already. The
+// coordinators restart a process that is out under a permit, and a second process would fail because the addresses are
+// in use.
+func (p *process) startUnlessRunning() error {
 	p.mu.Lock()
 	running := p.isRunning()
 	p.mu.Unlock()
@@ -141,7 +142,7 @@
 	return p.start()
 }
 
-// reconfigure has the process read other keys or seeds.
+// reconfigure changes the keys or seeds of the process and makes it reload them.
 func (p *process) reconfigure(fault *config.DrillFault) error {
 	if len(fault.KeyNumbers) > 0 {
 		p.keyNumbers = fault.KeyNumbers
@@ -154,7 +155,8 @@
 	return nil
 }
 
-// flood is a stranger without the key, who sends noise to the process's gossip, as datagrams and streams, for so long.
+// flood acts as an unknown sender without the cluster key: for the duration, it sends pseudo-random bytes to the
+// process's gossip port, as datagrams and streams.
 func (p *process) flood(duration time.Duration) {
 	const datagramBytes, datagramsPerRound, streamBytes = 1400, 20, 100
 	ctx, cancel := context.WithTimeout(context.Background(), duration)
@@ -173,10 +175,10 @@
 			payload[i] = byte(i * int(time.Now().UnixNano()))
 		}
 		for range datagramsPerRound {
-			_, _ = datagrams.Write(payload[:1+time.Now().UnixNano()%datagramBytes]) // what is lost is lost
+			_, _ = datagrams.Write(payload[:1+time.Now().UnixNano()%datagramBytes]) // datagrams may be lost
 		}
 		if stream, err := streamDialer.DialContext(ctx, "tcp", addr); err == nil {
-			_, _ = stream.Write(payload[:streamBytes]) // it may be refused
+			_, _ = stream.Write(payload[:streamBytes]) // the stream may be refused
 			_ = stream.Close()
 		}
 		time.Sleep(10 * time.Millisecond)
--- a/internal/drill/runtime.go
+++ b/internal/drill/runtime.go
@@ -8,10 +8,11 @@
 
 const (
 	runtimeCores      = 2                     // of each fake runtime
-	runtimeDelayCheck = 20 * time.Millisecond // how often it is checked whether a runtime may take its link
+	runtimeDelayCheck = 20 * time.Millisecond // how often a delayed runtime checks whether it may become ready
 )
 
-// serveRuntime is a process's runtime: whichever link comes, it is up and works, as often as the process is started.
+// serveRuntime runs the fake runtime of a process until its listener is closed. Each incarnation of the process opens a
+// new connection to it. A connection that becomes ready marks the return of a process that was out under a permit.
 func (c *cluster) serveRuntime(p *process) {
 	for incarnation := uint64(0); ; incarnation++ {
 		runtime := &fake.Runtime{Listener: p.runtime.Listener}
@@ -24,21 +25,21 @@
 		runtime.Faults = p.currentRuntimeFaults
 		runtime.SendReady("steady")
 		if c.disruptions != nil {
-			c.disruptions.noteBack(p)
+			c.disruptions.recordReturn(p)
 		}
 		seed := c.script.RandomSeed + incarnation<<32 + uint64(p.index)
 		runtime.AutoRun(runtimeCores, c.script.MeanRunTime, seed, func(_, _, body string) { c.onExecution(p, body) })
 	}
 }
 
-// currentRuntimeFaults returns the faults of the process's runtime: those of the script's timeline, else those of a bad
-// release.
+// currentRuntimeFaults returns the faults of the process's runtime: those of the script's timeline, or those of a bad
+// release if the timeline sets none.
 func (p *process) currentRuntimeFaults() fake.RuntimeFaults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	bad := p.cluster.script.BadRelease
-	if p.runtimeFaults == (fake.RuntimeFaults{}) && bad.Release != "" && p.release == bad.Release {
-		return fake.RuntimeFaults{SlowFactor: bad.RunTimeFactor, FailRuns: bad.FailRuns}
+	badRelease := p.cluster.script.BadRelease
+	if p.runtimeFaults == (fake.RuntimeFaults{}) && badRelease.Release != "" && p.release == badRelease.Release {
+		return fake.RuntimeFaults{SlowFactor: badRelease.RunTimeFactor, FailRuns: badRelease.FailRuns}
 	}
 	return p.runtimeFaults
 }
@@ -52,8 +53,8 @@
 func (p *process) isRuntimeDelayed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	bad := p.cluster.script.BadRelease
-	return p.runtimeDelayed || bad.NeverReady && p.release == bad.Release
+	badRelease := p.cluster.script.BadRelease
+	return p.runtimeDelayed || badRelease.NeverReady && p.release == badRelease.Release
 }
 
 func (p *process) setRuntimeDelayed(delayed bool) {
--- a/internal/drill/streams.go
+++ b/internal/drill/streams.go
@@ -12,12 +12,13 @@
 )
 
 const (
-	// streamDialTimeout is how long the connection to a process may take.
+	// streamDialTimeout is the maximum time for connecting to a process.
 	streamDialTimeout = time.Second
 
-	// How often a stream that a fault holds up looks whether it is over: before it is connected, and in the middle.
-	swallowCheckInterval = 50 * time.Millisecond
-	stallCheckInterval   = 20 * time.Millisecond
+	// The intervals at which a stream that a fault blocks checks whether the fault has ended: before the stream is
+	// connected, and in mid-stream.
+	blackholeCheckInterval = 50 * time.Millisecond
+	stallCheckInterval     = 20 * time.Millisecond
 )
 
 func (n *network) acceptStreams(front *processFront, listener *net.TCPListener, port int) {
@@ -41,8 +42,8 @@
 		resetConnection(incoming)
 		return
 	}
-	for current.has(config.ActionBlackhole) { // the stream is taken, and nothing comes of it
-		time.Sleep(swallowCheckInterval)
+	for current.has(config.ActionBlackhole) { // the stream is accepted but not forwarded
+		time.Sleep(blackholeCheckInterval)
 		if current = n.lookup(host, front.process); n.isClosed() {
 			return
 		}
@@ -53,18 +54,19 @@
 		return
 	}
 	defer func() { _ = outgoing.Close() }() // it may be closed already
-	forth, back := link{current.from, front.process}, link{front.process, current.from}
-	n.trackStream(outgoing, forth)
-	n.trackStream(incoming, back)
+	forward, backward := link{current.from, front.process}, link{front.process, current.from}
+	n.trackStream(outgoing, forward)
+	n.trackStream(incoming, backward)
 	var copying sync.WaitGroup
-	copying.Go(func() { n.copyStream(outgoing, incoming, host, forth.to) })
-	copying.Go(func() { n.copyStream(incoming, outgoing, front.target.IP.String(), back.to) })
+	copying.Go(func() { n.copyStream(outgoing, incoming, host, forward.to) })
+	copying.Go(func() { n.copyStream(incoming, outgoing, front.target.IP.String(), backward.to) })
 	copying.Wait()
-	n.forgetStream(outgoing)
-	n.forgetStream(incoming)
+	n.untrackStream(outgoing)
+	n.untrackStream(incoming)
 }
 
-// dialProcess connects to a process from the front of the sender; a stranger comes from the process's own front.
+// dialProcess connects to a process from the front of the sender, or from the process's own front if the sender is
+// unknown.
 func (n *network) dialProcess(front *processFront, current conditions, port int) (*net.TCPConn, error) {
 	local := front.ip
 	if current.senderFront != nil {
@@ -85,14 +87,14 @@
 	n.streams[connection] = l
 }
 
-func (n *network) forgetStream(connection *net.TCPConn) {
+func (n *network) untrackStream(connection *net.TCPConn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.streams, connection)
 }
 
-// copyStream copies one direction of a stream, from a host to a process, under what holds on its link. An end is passed
-// on as an end, an error as a reset.
+// copyStream copies one direction of a stream, from a host to a process, subject to the faults of its link. It forwards
+// the end of the stream as a close, and an error as a reset.
 func (n *network) copyStream(to, from *net.TCPConn, host string, target int) {
 	const bufferBytes = 8 << 10
 	buffer := make([]byte, bufferBytes)
@@ -116,12 +118,12 @@
 	}
 }
 
-// applyToStream applies the faults of a link to a part of a stream, which it may change; it returns when the part
-// may be written.
+// applyToStream applies the faults of a link to a part of a stream, which it may change. It returns when the part may
+// be written.
 func (n *network) applyToStream(part []byte, host string, target int) {
 	current := n.lookup(host, target)
 	n.increment(&current.counters.streamBytes, len(part))
-	for current.has(config.ActionStall, config.ActionBlackhole) && !n.isClosed() { // in the middle of whatever it carries
+	for current.has(config.ActionStall, config.ActionBlackhole) && !n.isClosed() { // even within a message
 		time.Sleep(stallCheckInterval)
 		current = n.lookup(host, target)
 	}
