--- a/internal/drill/picture.go
+++ b/internal/drill/picture.go
@@ -51,11 +51,11 @@
 	}{
 		{"requests per second", []series{{"succeeded", t.succeeded, blue}, {"sent", t.issued, grey}}},
 		{"runs per second by process: minimum, quartiles, maximum", []series{
-			{"minimum", quantiles[0], grey},
-			{"lower quartile", quantiles[1], orange},
+			{"least", quantiles[0], grey},
+			{"lower", quantiles[1], orange},
 			{"median", quantiles[2], blue},
-			{"maximum", quantiles[4], grey},
-			{"upper quartile", quantiles[3], orange},
+			{"most", quantiles[4], grey},
+			{"upper", quantiles[3], orange},
 		}},
 		{"processes whose view diverges", []series{{"divergent", t.divergent, blue}}},
 	} {
