--- a/internal/fake/autorun.go
+++ b/internal/fake/autorun.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// callInterval is the interval, in started runs, between runs that make a call: every third run makes exactly one.
+// callInterval determines which runs make a call: every callInterval-th started run makes exactly one.
 const callInterval = 3
 
 // AutoRun makes the runtime carry out the instance's commands by itself until its link closes. At most cores runs use
--- a/internal/fake/broker/broker_test.go
+++ b/internal/fake/broker/broker_test.go
@@ -13,8 +13,8 @@
 // timeout is the maximum time to wait for an event; it is far longer than any event here takes.
 const timeout = 10 * time.Second
 
-// open starts a broker and opens a channel to it.
-func open(t *testing.T) (*Broker, *amqp.Channel) {
+// newBrokerAndChannel starts a broker and opens a channel to it.
+func newBrokerAndChannel(t *testing.T) (*Broker, *amqp.Channel) {
 	t.Helper()
 	b := New()
 	t.Cleanup(b.Close)
@@ -44,7 +44,7 @@
 	return deliveries
 }
 
-func next(t *testing.T, deliveries <-chan amqp.Delivery) amqp.Delivery {
+func nextDelivery(t *testing.T, deliveries <-chan amqp.Delivery) amqp.Delivery {
 	t.Helper()
 	select {
 	case d, open := <-deliveries:
@@ -69,7 +69,7 @@
 
 // All properties of a message arrive as they were published, together with a body larger than one frame.
 func TestMessageRoundTrip(t *testing.T) {
-	b, ch := open(t)
+	b, ch := newBrokerAndChannel(t)
 	b.DeclareQueue("q", nil)
 	want := amqp.Publishing{
 		ContentType:     "type",
@@ -91,7 +91,7 @@
 	if err := ch.PublishWithContext(t.Context(), "", "q", false, false, want); err != nil {
 		t.Fatal(err)
 	}
-	d := next(t, consume(t, ch, "q"))
+	d := nextDelivery(t, consume(t, ch, "q"))
 	got := amqp.Publishing{
 		ContentType:     d.ContentType,
 		ContentEncoding: d.ContentEncoding,
@@ -113,13 +113,13 @@
 		t.Errorf("got %+v, want %+v, or the bodies differ", got, want)
 	}
 	if d.RoutingKey != "q" || d.Redelivered {
-		t.Errorf("got routing key %q, redelivered %v", d.RoutingKey, d.Redelivered)
+		t.Errorf("got routing key %q, redelivered %v, want q, false", d.RoutingKey, d.Redelivered)
 	}
 }
 
 // Prefetch limits the unsettled deliveries, a requeued message is redelivered first, and each settlement is counted.
 func TestSettlement(t *testing.T) {
-	b, ch := open(t)
+	b, ch := newBrokerAndChannel(t)
 	for _, body := range []string{"a", "b", "c"} {
 		b.Publish("q", amqp.Publishing{Body: []byte(body)})
 	}
@@ -127,22 +127,22 @@
 		t.Fatal(err)
 	}
 	deliveries := consume(t, ch, "q")
-	first := next(t, deliveries)
+	first := nextDelivery(t, deliveries)
 	waitForCounts(t, b, "q", Counts{Published: 3, Delivered: 1, Ready: 2, Unsettled: 1, Consumers: 1})
 	if err := first.Nack(false, true); err != nil {
 		t.Fatal(err)
 	}
-	again := next(t, deliveries)
+	again := nextDelivery(t, deliveries)
 	if string(again.Body) != "a" || !again.Redelivered {
-		t.Errorf("after a was requeued: got %q, redelivered %v", again.Body, again.Redelivered)
+		t.Errorf("after a was requeued: got %q, redelivered %v, want a, true", again.Body, again.Redelivered)
 	}
 	if err := again.Ack(false); err != nil {
 		t.Fatal(err)
 	}
-	if err := next(t, deliveries).Reject(false); err != nil {
+	if err := nextDelivery(t, deliveries).Reject(false); err != nil {
 		t.Fatal(err)
 	}
-	next(t, deliveries)
+	nextDelivery(t, deliveries)
 	waitForCounts(t, b, "q", Counts{Published: 3, Delivered: 4, Redelivered: 1, Acked: 1, Requeued: 1, Rejected: 1,
 		Unsettled: 1, Consumers: 1})
 	if violations := b.Violations(); violations != nil {
@@ -152,9 +152,9 @@
 
 // An unknown delivery tag closes the channel, and the channel's unsettled messages become ready again.
 func TestUnknownDeliveryTag(t *testing.T) {
-	b, ch := open(t)
+	b, ch := newBrokerAndChannel(t)
 	b.Publish("q", amqp.Publishing{})
-	next(t, consume(t, ch, "q"))
+	nextDelivery(t, consume(t, ch, "q"))
 	closed := ch.NotifyClose(make(chan *amqp.Error, 1))
 	if err := ch.Ack(7, false); err != nil {
 		t.Fatal(err)
@@ -170,7 +170,7 @@
 
 // Messages of a higher priority are delivered first; messages of equal priority in the order of publication.
 func TestPriorities(t *testing.T) {
-	b, ch := open(t)
+	b, ch := newBrokerAndChannel(t)
 	b.DeclareQueue("q", amqp.Table{"x-max-priority": 9})
 	for _, p := range []amqp.Publishing{{Priority: 1, Body: []byte("c")}, {Priority: 5, Body: []byte("a")},
 		{Priority: 1, Body: []byte("d")}, {Priority: 5, Body: []byte("b")}} {
@@ -178,30 +178,30 @@
 	}
 	deliveries := consume(t, ch, "q")
 	for _, want := range []string{"a", "b", "c", "d"} {
-		if got := next(t, deliveries); string(got.Body) != want {
+		if got := nextDelivery(t, deliveries); string(got.Body) != want {
 			t.Errorf("got %s, want %s", got.Body, want)
 		}
 	}
 }
 
-// A message that expires by its own TTL or its queue's and a rejected message are dead-lettered, with a count for
-// each queue and reason.
+// Messages are dead-lettered when they expire, by their own TTL or by their queue's, and when they are rejected. The
+// x-death header has a count for each queue and reason.
 func TestDeadLetters(t *testing.T) {
-	b, ch := open(t)
+	b, ch := newBrokerAndChannel(t)
 	b.DeclareQueue("dead", nil)
 	b.DeclareQueue("q", amqp.Table{"x-dead-letter-exchange": "", "x-dead-letter-routing-key": "dead"})
 	b.DeclareQueue("short", amqp.Table{"x-message-ttl": 1, "x-dead-letter-exchange": "", "x-dead-letter-routing-key": "q"})
 	b.Publish("short", amqp.Publishing{Expiration: "60000", Body: []byte("m")})
-	if err := next(t, consume(t, ch, "q")).Reject(false); err != nil {
+	if err := nextDelivery(t, consume(t, ch, "q")).Reject(false); err != nil {
 		t.Fatal(err)
 	}
-	d := next(t, consume(t, ch, "dead"))
+	d := nextDelivery(t, consume(t, ch, "dead"))
 	want := []any{
 		amqp.Table{"queue": "q", "reason": "rejected", "count": int64(1), "exchange": ""},
 		amqp.Table{"queue": "short", "reason": "expired", "count": int64(1), "exchange": ""},
 	}
 	if !reflect.DeepEqual(d.Headers["x-death"], want) || d.Expiration != "" {
-		t.Errorf("got %v, expiration %q, want %v", d.Headers["x-death"], d.Expiration, want)
+		t.Errorf("got %v, expiration %q, want %v, no expiration", d.Headers["x-death"], d.Expiration, want)
 	}
 	got := addDeath(want, "short", "expired", "e")
 	counted := []any{amqp.Table{"queue": "short", "reason": "expired", "count": int64(2), "exchange": "e"}, want[0]}
@@ -210,7 +210,7 @@
 	}
 }
 
-// The shorter of the message's time to live and the queue's applies; a negative or unreadable one is ignored.
+// The shorter of the message's time to live and the queue's applies; one below 0 or malformed is ignored.
 func TestTTL(t *testing.T) {
 	for _, tc := range []struct {
 		messageTTL string
@@ -235,7 +235,7 @@
 
 // A login fails with a wrong password, and with a correct one while logins are refused.
 func TestLogin(t *testing.T) {
-	b, _ := open(t)
+	b, _ := newBrokerAndChannel(t)
 	if _, err := amqp.Dial("amqp://guest:other@" + b.Addr() + "/"); err == nil {
 		t.Error("a login with a wrong password was accepted")
 	}
@@ -255,14 +255,14 @@
 			b := New()
 			b.SetFaults(Fault{Connection: 1, Frame: frame, Mode: mode})
 			b.Publish("q", amqp.Publishing{Body: []byte("m")})
-			if exchangeFrames(b) == nil {
+			if receiveMessage(b) == nil {
 				t.Errorf("mode %d at frame %d: the connection did not fail", mode, frame)
 			}
 			if got := b.FrameCount(1); got < frame { // the replies to the frame are counted too
 				t.Errorf("mode %d: got %d frames, want at least %d", mode, got, frame)
 			}
 			b.Publish("q", amqp.Publishing{Body: []byte("m")})
-			if err := exchangeFrames(b); err != nil {
+			if err := receiveMessage(b); err != nil {
 				t.Errorf("mode %d at frame %d: the second connection failed: %v", mode, frame, err)
 			}
 			b.Close()
@@ -270,9 +270,9 @@
 	}
 }
 
-// exchangeFrames opens a channel and waits for one message. It returns an error if the connection fails first. The
+// receiveMessage opens a channel and waits for one message. It returns an error if the connection fails first. The
 // message arrives with the 7th frame.
-func exchangeFrames(b *Broker) error {
+func receiveMessage(b *Broker) error {
 	conn, err := amqp.Dial(b.URL())
 	if err != nil {
 		return err
--- a/internal/fake/broker/connection.go
+++ b/internal/fake/broker/connection.go
@@ -97,7 +97,7 @@
 		}
 	}
 	c.drop()
-	for range c.outgoing { // drain the queue so that writeFrame does not block until serve has ended
+	for range c.outgoing { // drain the queue until it is closed so that writeFrame never blocks
 	}
 }
 
@@ -158,7 +158,7 @@
 	return c.dispatch(f) && fault.Mode != Disconnect
 }
 
-// dispatch executes one frame and reports whether the connection stays open.
+// dispatch processes one frame and reports whether the connection stays open.
 func (c *connection) dispatch(f frame) bool {
 	ch := c.channels[f.channel]
 	reader := &payloadReader{f.payload}
@@ -215,7 +215,7 @@
 }
 
 func (c *connection) openChannel(id uint16, r *payloadReader) {
-	if r.method() != channelOpen { // the client sent it before it received the channel's close
+	if r.method() != channelOpen { // the client sent this method before it received channel.close
 		return
 	}
 	ch := &channel{connection: c, id: id, consumers: map[string]*consumer{}}
--- a/internal/fake/broker/queue.go
+++ b/internal/fake/broker/queue.go
@@ -90,14 +90,14 @@
 
 // ttlOf returns how long a message may stay ready: the shorter of its own time to live and the queue's.
 func (q *queue) ttlOf(m *message) (ttl time.Duration, expires bool) {
-	if own, err := time.ParseDuration(m.Expiration + "ms"); err == nil {
-		ttl = own
-		expires = own >= 0
+	if messageTTL, err := time.ParseDuration(m.Expiration + "ms"); err == nil {
+		ttl = messageTTL
+		expires = messageTTL >= 0
 	}
 	if ms, hasTTL := toInt64(q.args[argMessageTTL]); hasTTL {
-		if ofQueue := time.Duration(ms) * time.Millisecond; !expires || ofQueue < ttl {
-			ttl = ofQueue
-			expires = ofQueue >= 0
+		if queueTTL := time.Duration(ms) * time.Millisecond; !expires || queueTTL < ttl {
+			ttl = queueTTL
+			expires = queueTTL >= 0
 		}
 	}
 	return ttl, expires
--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -44,8 +44,8 @@
 	Must(c.Conn.Write(b))
 }
 
-// NewRequest returns the message of a request that is sent now and waits 2 s for its response. extra holds alternating
-// names and values of fields that are added to the default fields or replace them.
+// NewRequest returns a request message whose sending time is now and whose sender waits 2 s for the response. extra
+// holds alternating names and values of fields that are added to the default fields or replace them.
 func NewRequest(number int, class, id string, body []byte, extra ...string) []any {
 	fields := map[string]string{
 		"id":   id,
@@ -92,7 +92,8 @@
 	Result []byte
 }
 
-// NextResponse waits for the next message and returns it as a Response; see Response.Number for other messages.
+// NextResponse waits for the next message and returns it as a Response. If the message is not a response, it returns
+// the zero Response.
 func (c *Client) NextResponse() (response Response, err error) {
 	message, err := c.Next()
 	if err != nil {
--- a/internal/fake/database.go
+++ b/internal/fake/database.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// maxWaitingCalls is the capacity of the channels of calls and of ended connections.
+// maxWaitingCalls is the capacity of Database.Calls and of Database.ConnectionsEnded.
 const maxWaitingCalls = 100
 
 // Database is a fake database that receives the calls of an instance over HTTP.
@@ -23,7 +23,7 @@
 // Call is a call that waits for its reply.
 type Call struct {
 	Conn net.Conn
-	Text string // the call as printed by a scripted test
+	Text string // description of the call, which scripted tests print
 }
 
 // NewDatabase starts a database on a free port of the loopback address.
@@ -84,10 +84,10 @@
 	_, _ = fmt.Fprintf(c.Conn, "HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, fields, len(body), body)
 }
 
-// AutoReply makes the database answer every call immediately by itself.
+// AutoReply makes the database answer every call automatically and immediately.
 func (d *Database) AutoReply() { d.AutoReplyAfter(0) }
 
-// AutoReplyAfter makes the database answer every call by itself, with the given delay after its arrival.
+// AutoReplyAfter makes the database answer every call automatically, with the given delay after the call arrived.
 func (d *Database) AutoReplyAfter(delay time.Duration) {
 	go func() {
 		for range d.ConnectionsEnded {
--- a/internal/fake/fake.go
+++ b/internal/fake/fake.go
@@ -1,6 +1,6 @@
 // Package fake provides fakes of the programs that an instance communicates with, for tests and for "lanewheel try":
 // clients, the runtime, the database and the registry. A fake is driven step by step by a script, or works by itself
-// after a call of one of its Auto methods. An unrecoverable error panics and so ends the process.
+// after a call of one of its Auto methods. An unrecoverable error causes a panic, which ends the process.
 package fake
 
 import (
--- a/internal/fake/fake_test.go
+++ b/internal/fake/fake_test.go
@@ -26,7 +26,7 @@
 	return conn
 }
 
-// Encode uses only the MessagePack formats that an instance reads, and one format for each kind of value.
+// Encode writes each value in a MessagePack format that an instance reads.
 func TestEncode(t *testing.T) {
 	for want, value := range map[string]any{
 		"c0":                                 nil,
@@ -179,7 +179,7 @@
 	link := linkTo(t, runtime)
 	link.send(`{"t":"gauges","mark":"g"}`)
 	if got := link.next(); got["t"] != "load" || got["mark"] != "g" {
-		t.Errorf("got %v for gauges", got)
+		t.Errorf("reply to gauges: got %v, want load with mark g", got)
 	}
 	link.send(`{"t":"start","rid":"0007","route":"view","b64":"YQ=="}`)
 	if got, want := runtime.NextCommand(), `start 7 route view body "a"`; got != want {
@@ -187,11 +187,11 @@
 	}
 	runtime.SendReady("steady")
 	if got := link.next(); got["t"] != "ready" || got["status"] != "steady" {
-		t.Errorf("got %v for ready", got)
+		t.Errorf("got %v, want ready with status steady", got)
 	}
 	runtime.SendNotice("end", "0007", "success", "r")
 	if got := link.next(); got["no"] != 1.0 || got["b64"] != "cg==" {
-		t.Errorf("got %v for the first notice", got)
+		t.Errorf("first notice: got %v, want no 1 and b64 cg==", got)
 	}
 	_ = link.conn.Close()
 	if got := runtime.NextCommand(); got != "link closed" {
@@ -217,7 +217,7 @@
 	link.expect("end", "c", "success")
 	link.send(`{"t":"selftest","mark":"s"}`)
 	if got := link.next(); got["t"] != "verdict" || got["mark"] != "s" || got["status"] != "success" {
-		t.Errorf("got %v for a self-test", got)
+		t.Errorf("reply to a self-test: got %v, want verdict with mark s and status success", got)
 	}
 	for _, want := range []string{"aviewx", "bviewx", "cview"} {
 		if got := <-started; got != want {
@@ -226,7 +226,8 @@
 	}
 }
 
-// A change of the faults affects the runs that start after it.
+// Each run has the faults that are set when it starts. A lost run sends no notice, even after a stop; another run that
+// is stopped ends as interrupted.
 func TestRuntimeFaults(t *testing.T) {
 	runtime := NewRuntime()
 	defer func() { _ = runtime.Listener.Close() }()
--- a/internal/fake/msgpack.go
+++ b/internal/fake/msgpack.go
@@ -83,7 +83,7 @@
 	case tag == tagBin16:
 		return decodeBin(r, 2)
 	}
-	return nil, fmt.Errorf("message tag %x is not one that an instance writes", tag)
+	return nil, fmt.Errorf("message tag %x is not used by instances", tag)
 }
 
 func decodeArray(r *bufio.Reader, length int) (any, error) {
--- a/internal/fake/runtime.go
+++ b/internal/fake/runtime.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Field names of the runtime's messages. The fake defines them itself, so that a mistake in the names of the codec
-// under test is detected.
+// Field names of the runtime's messages. The fake does not use the names that the codec under test defines, so that a
+// wrong name in the codec is detected.
 const (
 	fieldKind      = "t"
 	fieldSequence  = "no"
@@ -29,13 +29,13 @@
 type Runtime struct {
 	Listener   net.Listener
 	Conn       net.Conn             // the link that was accepted last
-	Messages   chan map[string]any  // messages of Conn except requests for gauges, which are answered; closed when it ends
-	Silent     bool                 // on links accepted from now on, requests for gauges are not answered
+	Messages   chan map[string]any  // from Conn, except requests for gauges, which are answered; closed when Conn ends
+	Silent     bool                 // requests for gauges are not answered on links that are accepted while Silent is set
 	LastNotice int                  // number of the last notice sent
-	Faults     func() RuntimeFaults // returns the faults of a run that starts now, after AutoRun; nil: no faults
+	Faults     func() RuntimeFaults // after AutoRun, called at the start of each run for its faults; nil: no faults
 }
 
-// RuntimeFaults describes the faults that a runtime shows after AutoRun.
+// RuntimeFaults describes the faults of the runs that a runtime executes after AutoRun.
 type RuntimeFaults struct {
 	SlowFactor float64 // factor by which the duration of runs is multiplied; 0 leaves it unchanged
 	FailRuns   bool    // runs fail immediately
@@ -55,8 +55,8 @@
 	return r.NextMessage()[fieldSequence]
 }
 
-// TryAccept accepts the next link without a time limit and waits for its synchronization message. It returns false if
-// the listener is closed.
+// TryAccept accepts the next link without a time limit and waits for its synchronization message. It reports whether a
+// link was accepted, which is not possible once the listener is closed.
 func (r *Runtime) TryAccept() bool {
 	conn, err := r.Listener.Accept()
 	if err != nil {
@@ -115,7 +115,7 @@
 	}
 }
 
-// NextCommand waits for the next message and returns it as text, or "link closed".
+// NextCommand waits for the next message and returns it as text, or "link closed" if the link was closed.
 func (r *Runtime) NextCommand() string {
 	message := r.NextMessage()
 	if message == nil {
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -47,7 +47,7 @@
 	return f
 }
 
-// Bytes returns a copy of a stored message. It stops the test as failed if no message has that name.
+// Bytes returns a copy of a stored message. It fails the test immediately if no message has that name.
 func (f *File) Bytes(name string) []byte {
 	f.t.Helper()
 	message, found := f.stored[name]
--- a/internal/setuptest/setuptest_test.go
+++ b/internal/setuptest/setuptest_test.go
@@ -7,7 +7,7 @@
 
 func TestMust(t *testing.T) {
 	if got := Must(3, nil); got != 3 {
-		t.Errorf("Must(3, nil) = %d", got)
+		t.Errorf("Must(3, nil) = %d, want 3", got)
 	}
 	failure := errors.New("failed")
 	defer func() {
--- a/test.sh
+++ b/test.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
-# Checks the format, runs vet and the linter, builds, and runs the tests with .ci/tests, which skips the failures listed
-# in KNOWN-RED.txt. Requires only Go, a C compiler and the module proxy. tools/go.mod pins the linter's version, and
-# .golangci.yml configures it.
+# Checks the format, runs vet and the linter, builds, and runs the tests with .ci/tests, which ignores the failures
+# listed in KNOWN-RED.txt. Requires only Go, a C compiler and the module proxy. tools/go.mod pins the linter's version,
+# and .golangci.yml configures it.
 set -euo pipefail
 cd "$(dirname "$0")"
 unformatted=$(gofmt -l .)
