--- a/internal/drill/disruption.go
+++ b/internal/drill/disruption.go
@@ -8,16 +8,17 @@
 	"lanewheel/internal/coordination"
 )
 
-// settleAfterReturn is how long after the last return from a permit membership may still change.
+// settleAfterReturn is the maximum time for which membership may still change after the return of the last process that
+// was out under a permit.
 const settleAfterReturn = 10 * time.Second
 
-// group is whom a limit of disruption holds for: all processes, or those of a zone.
+// group is the set of processes that a disruption limit applies to: all processes, or those of a zone.
 type group struct{ zone string }
 
-// allProcesses is the group of all.
+// allProcesses is the group of all processes.
 var allProcesses = group{}
 
-// String returns the group as it is recorded.
+// String returns the group's name as it appears in records.
 func (g group) String() string {
 	if g == allProcesses {
 		return "all"
@@ -25,39 +26,41 @@
 	return "zone " + g.zone
 }
 
-// disruptionLog is who is out by a permit, by the drill's own clock and eyes: from the end of a process to when its
-// next incarnation has come up.
+// disruptionLog records which processes are out under a permit. The drill observes this independently of the
+// coordinators: a process is out from its end until its next incarnation is up. The methods may be called on any
+// goroutine.
 type disruptionLog struct {
-	mu             sync.Mutex // guards what follows
-	out            map[*process]bool
-	lastReturn     time.Time
-	maxOut         map[group]int              // the most at a time
-	limits         map[group]int              // the most that may be out; a group that is not named has none
-	everOnReleases map[string]map[string]bool // names of processes by the releases that they were ever on
+	mu                 sync.Mutex // guards the fields below
+	out                map[*process]bool
+	lastReturn         time.Time
+	maxOut             map[group]int              // maximum number of processes that were out at once
+	limits             map[group]int              // allowed number of processes out at once; no entry: no limit
+	processesByRelease map[string]map[string]bool // by release, the names of the processes that ever ran it
 }
 
 func newDisruptionLog() *disruptionLog {
 	return &disruptionLog{
-		out:            map[*process]bool{},
-		maxOut:         map[group]int{},
-		limits:         map[group]int{},
-		everOnReleases: map[string]map[string]bool{},
+		out:                map[*process]bool{},
+		maxOut:             map[group]int{},
+		limits:             map[group]int{},
+		processesByRelease: map[string]map[string]bool{},
 	}
 }
 
-// noteRelease notes which release a process is on.
-func (l *disruptionLog) noteRelease(p *process) {
+// recordRelease records the release that a process runs.
+func (l *disruptionLog) recordRelease(p *process) {
 	release := p.currentRelease()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.everOnReleases[release] == nil {
-		l.everOnReleases[release] = map[string]bool{}
+	if l.processesByRelease[release] == nil {
+		l.processesByRelease[release] = map[string]bool{}
 	}
-	l.everOnReleases[release][p.name] = true
+	l.processesByRelease[release][p.name] = true
 }
 
-// noteOut notes that a process has ended by a permit, and fails the drill if more are out than may be.
-func (l *disruptionLog) noteOut(c *cluster, p *process) {
+// recordDeparture records that a process has ended under a permit, and reports a failure if more processes are out than
+// a limit allows.
+func (l *disruptionLog) recordDeparture(c *cluster, p *process) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.out[p] = true
@@ -70,13 +73,14 @@
 		}
 		l.maxOut[group] = max(l.maxOut[group], count)
 		if limit, limited := l.limits[group]; limited && count > limit {
-			go c.fail(fmt.Sprintf("%s left by a permit and %d of %s are out by one, %d may be", p.name, count, group, limit))
+			go c.onFailure(fmt.Sprintf("%s left by a permit and %d of %s are out by one, %d may be",
+				p.name, count, group, limit))
 		}
 	}
 }
 
-// noteBack notes that a process has come up.
-func (l *disruptionLog) noteBack(p *process) {
+// recordReturn records that a process is up.
+func (l *disruptionLog) recordReturn(p *process) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.out[p] {
@@ -85,7 +89,8 @@
 	delete(l.out, p)
 }
 
-// inProgress reports whether a process is out by a permit, or was a moment ago. The log may be nil.
+// inProgress reports whether a process is out under a permit, or has returned within the last settleAfterReturn. The
+// log may be nil.
 func (l *disruptionLog) inProgress() bool {
 	if l == nil {
 		return false
@@ -95,7 +100,8 @@
 	return len(l.out) > 0 || time.Since(l.lastReturn) < settleAfterReturn
 }
 
-// setLimits takes what may be out, as far as the drill can see it: counts over all instances and by zone.
+// setLimits sets the limits from the disruption budgets that the drill can check: absolute numbers over all instances
+// or over those of a zone.
 func (l *disruptionLog) setLimits(budgets []coordination.DisruptionBudget) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/drill/requests.go
+++ b/internal/drill/requests.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The rules and invariants of a drill, as records hold them.
+// The rules and invariants of a drill, as stored in records.
 const (
 	ruleNoRequestLost  = "no op lost"
 	ruleNoEffectTwice  = "no effect twice"
@@ -21,14 +21,14 @@
 )
 
 const (
-	// drainGrace is the grace of a drain in the settings of the fakes.
+	// drainGrace is the grace period of a drain in fake.Settings.
 	drainGrace = 500 * time.Millisecond
 
-	// drainSlack is what a busy machine may add to it.
+	// drainSlack is the tolerance added to drainGrace for a busy machine.
 	drainSlack = 150 * time.Millisecond
 )
 
-// violation is a rule or an invariant that did not hold.
+// violation is a violation of a rule or an invariant.
 type violation struct {
 	At     time.Duration // since the start of the load
 	Rule   string
@@ -41,7 +41,7 @@
 	Value float64
 }
 
-// requestCheck checks the rules of requests over the whole fleet.
+// requestCheck checks the rules for requests over the whole fleet.
 type requestCheck struct {
 	cluster    *cluster
 	startedAt  time.Time // of the load
@@ -49,7 +49,7 @@
 	violations []violation
 }
 
-// checkRequestRules returns the violations of the rules of requests.
+// checkRequestRules returns the violations of the rules for requests.
 func checkRequestRules(c *cluster, log *requestLog, startedAt, endedAt time.Time) []violation {
 	log.mu.Lock()
 	defer log.mu.Unlock()
@@ -62,44 +62,46 @@
 	return check.violations
 }
 
-func (c *requestCheck) violate(request *issuedRequest, rule, what string) {
+func (c *requestCheck) addViolation(request *issuedRequest, rule, problem string) {
 	detail := fmt.Sprintf("op %s (%s) at %s: %s; ran %s",
-		request.id, request.class, c.cluster.processes[request.process].name, what, c.describeRuns(request))
+		request.id, request.class, c.cluster.processes[request.process].name, problem, c.describeRuns(request))
 	c.violations = append(c.violations, violation{request.sentAt.Sub(c.startedAt), rule, detail})
 }
 
-// checkResponses checks that a request has one response in time that is true, unless its process could not answer.
+// checkResponses checks that a request has exactly one response, that the response is in time, and that it agrees with
+// the runs of the request. A response may be missing or late if the process could not answer.
 func (c *requestCheck) checkResponses(request *issuedRequest) {
-	const before, after = 100 * time.Millisecond, time.Second // of an outage that may have cost the response
+	const before, after = 100 * time.Millisecond, time.Second // an outage this long before or after may be the cause
 	p := c.cluster.processes[request.process]
 	excused := p.outBetween(request.sentAt.Add(-before), request.sentAt.Add(requestTimeout+after))
 	elapsed := request.answeredAt.Sub(request.sentAt)
 	switch {
 	case request.responses > 1:
-		c.violate(request, ruleNoRequestLost, fmt.Sprint(request.responses, " final answers"))
+		c.addViolation(request, ruleNoRequestLost, fmt.Sprint(request.responses, " final answers"))
 	case request.outcome == outcomeNone && c.endedAt.Sub(request.sentAt) > requestTimeout && !excused:
-		c.violate(request, ruleNoRequestLost, "no answer")
+		c.addViolation(request, ruleNoRequestLost, "no answer")
 	case request.outcome == outcomeBroken && !excused &&
 		!p.outBetween(request.sentAt.Add(-after), request.answeredAt.Add(after)):
-		c.violate(request, ruleNoRequestLost, "its connection ended")
+		c.addViolation(request, ruleNoRequestLost, "its connection ended")
 	case request.responses == 1 && elapsed > requestTimeout && !excused:
-		c.violate(request, ruleNoRequestLost, "answered after "+elapsed.String())
+		c.addViolation(request, ruleNoRequestLost, "answered after "+elapsed.String())
 	case request.outcome == outcomeSucceeded && len(request.executions) == 0:
-		c.violate(request, ruleNoRequestLost, "acked and never run")
+		c.addViolation(request, ruleNoRequestLost, "acked and never run")
 	case request.outcome == outcomeRejected && len(request.executions) > 0 && request.class == classPay:
-		c.violate(request, ruleNoEffectTwice, "nacked as never run, and run")
+		c.addViolation(request, ruleNoEffectTwice, "nacked as never run, and run")
 	}
 }
 
-// checkEffects checks that a request that is not idempotent runs once; the others may run again.
+// checkEffects checks that a request that is not idempotent runs at most once. Idempotent requests may run several
+// times.
 func (c *requestCheck) checkEffects(request *issuedRequest) {
 	if len(request.executions) > 1 && request.class == classPay {
-		c.violate(request, ruleNoEffectTwice, "run more than once")
+		c.addViolation(request, ruleNoEffectTwice, "run more than once")
 	}
 }
 
-// checkDrains checks that nothing runs that came later than the grace after a notice to drain. Where a request came
-// by a proxy, the proxy's notice counts as well.
+// checkDrains checks that a draining process runs no request that was sent after the grace period of the drain. If the
+// request was sent to another process, such as a proxy, the drains of that process count as well.
 func (c *requestCheck) checkDrains(request *issuedRequest) {
 	for _, execution := range request.executions {
 		drains := c.cluster.processes[execution.process].drainsSoFar()
@@ -108,7 +110,7 @@
 		}
 		for _, drain := range drains {
 			if request.sentAt.Sub(drain.from) > drainGrace+drainSlack && execution.at.Before(drain.to) {
-				c.violate(request, ruleSafeDrains, "run although it came later than the grace after the notice")
+				c.addViolation(request, ruleSafeDrains, "run although it came later than the grace after the notice")
 			}
 		}
 	}
@@ -126,7 +128,7 @@
 	return strings.Join(runs, ", ")
 }
 
-// drainsSoFar returns the drains of the process.
+// drainsSoFar returns a copy of the drains of the process up to now.
 func (p *process) drainsSoFar() []interval {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fake/autorun.go
+++ b/internal/fake/autorun.go
@@ -8,12 +8,13 @@
 	"time"
 )
 
-// callEvery is which part of the runs stands at a call once: one in so many.
-const callEvery = 3
+// callInterval determines which runs make a call: every callInterval-th started run makes exactly one.
+const callInterval = 3
 
-// AutoRun has the runtime carry out what it is told by itself, until its link closes: as many runs at a time as cores,
-// the others wait. What a run takes is drawn about mean; every third one stands at a call once. onStart, if not nil, is
-// called for each start, on another goroutine.
+// AutoRun makes the runtime carry out the instance's commands by itself until its link closes. At most cores runs use
+// a core at the same time; the others wait. The duration of a run is drawn from an exponential distribution with the
+// given mean. Every third run makes one call and waits for its result. If onStart is not nil, it is called for each
+// start, on another goroutine.
 func (r *Runtime) AutoRun(cores int, mean time.Duration, seed uint64, onStart func(id, class, body string)) {
 	w := &worker{
 		runtime: r,
@@ -26,43 +27,43 @@
 	messages := r.Messages
 	go func() {
 		for message := range messages {
-			w.handle(message)
+			w.handleMessage(message)
 		}
 	}()
 }
 
-// worker carries out runs.
+// worker executes the runs of a runtime.
 type worker struct {
 	runtime *Runtime
 	cores   int
 	mean    time.Duration
 	onStart func(id, class, body string)
 
-	mu      sync.Mutex // guards what follows, and the sending of notices
-	random  *rand.Rand
-	runs    map[string]*run // that have not ended
-	waiting []*run          // for a core
-	busy    int             // cores
-	started int
+	mu         sync.Mutex // guards the fields below and the sending of notices
+	random     *rand.Rand
+	runs       map[string]*run // runs that have not ended, by request id
+	waiting    []*run          // runs that wait for a core
+	busyCores  int             // number of cores in use
+	startCount int             // number of runs started so far
 }
 
 type run struct {
-	id      string
-	left    time.Duration
-	calls   bool // it has a call to come
-	stopped bool
-	lost    bool
+	id          string
+	remaining   time.Duration
+	callPending bool // the run has yet to make its call
+	stopped     bool // the instance has asked to stop the run
+	lost        bool // the run never ends
 }
 
-// handle takes one message.
-func (w *worker) handle(message map[string]any) {
+// handleMessage processes one message from the instance.
+func (w *worker) handleMessage(message map[string]any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	id, _ := message[fieldRequestID].(string)
 	current := w.runs[id]
 	switch message[fieldKind] {
 	case "start":
-		if current == nil { // else it is sent anew
+		if current == nil { // otherwise the message is a retransmission
 			w.start(id, message)
 		}
 	case "give", "omit":
@@ -72,7 +73,7 @@
 	case "stop":
 		if current != nil && !current.lost {
 			current.stopped = true
-			current.left = 0
+			current.remaining = 0
 			w.waiting = append(w.waiting, current)
 		}
 	case "selftest":
@@ -82,11 +83,11 @@
 }
 
 func (w *worker) start(id string, message map[string]any) {
-	w.started++
+	w.startCount++
 	started := &run{
-		id:    id,
-		left:  time.Duration(w.random.ExpFloat64() * float64(w.mean)),
-		calls: w.started%callEvery == 0,
+		id:          id,
+		remaining:   time.Duration(w.random.ExpFloat64() * float64(w.mean)),
+		callPending: w.startCount%callInterval == 0,
 	}
 	w.runs[id] = started
 	var faults RuntimeFaults
@@ -94,7 +95,7 @@
 		faults = w.runtime.Faults()
 	}
 	if faults.SlowFactor > 0 {
-		started.left = time.Duration(faults.SlowFactor * float64(started.left))
+		started.remaining = time.Duration(faults.SlowFactor * float64(started.remaining))
 	}
 	switch {
 	case faults.LoseRuns:
@@ -106,36 +107,36 @@
 	}
 	if w.onStart != nil {
 		encoded, _ := message[fieldBody].(string)
-		body, _ := base64.StdEncoding.DecodeString(encoded) // what can be decoded of it
+		body, _ := base64.StdEncoding.DecodeString(encoded) // on an error, the part that was decoded
 		w.onStart(id, fmt.Sprint(message[fieldClass]), string(body))
 	}
 }
 
-// runWaiting gives free cores to the runs that wait.
+// runWaiting assigns free cores to waiting runs.
 func (w *worker) runWaiting() {
-	for w.busy < w.cores && len(w.waiting) > 0 {
-		w.busy++
+	for w.busyCores < w.cores && len(w.waiting) > 0 {
+		w.busyCores++
 		w.runSlice(w.waiting[0])
 		w.waiting = w.waiting[1:]
 	}
 }
 
-// runSlice has a run use a core up to its call or end, and give it back.
+// runSlice makes a run occupy a core until its call or its end, and then releases the core.
 func (w *worker) runSlice(running *run) {
-	slice := running.left
-	if running.calls {
+	slice := running.remaining
+	if running.callPending {
 		slice /= 2
 	}
 	time.AfterFunc(slice, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.busy--
-		running.left -= slice
+		w.busyCores--
+		running.remaining -= slice
 		switch {
 		case running.stopped:
 			w.finish(running, "interrupted", "")
-		case running.calls:
-			running.calls = false
+		case running.callPending:
+			running.callPending = false
 			w.runtime.SendNotice("wants", running.id, "", "ask "+running.id)
 		default:
 			w.finish(running, "success", "done "+running.id)
--- a/internal/fake/broker/broker_test.go
+++ b/internal/fake/broker/broker_test.go
@@ -10,11 +10,11 @@
 	amqp "github.com/rabbitmq/amqp091-go"
 )
 
-// timeout is far longer than anything here takes.
+// timeout is the maximum time to wait for an event; it is far longer than any event here takes.
 const timeout = 10 * time.Second
 
-// open starts a broker and opens a channel there.
-func open(t *testing.T) (*Broker, *amqp.Channel) {
+// newBrokerAndChannel starts a broker and opens a channel to it.
+func newBrokerAndChannel(t *testing.T) (*Broker, *amqp.Channel) {
 	t.Helper()
 	b := New()
 	t.Cleanup(b.Close)
@@ -44,12 +44,12 @@
 	return deliveries
 }
 
-func next(t *testing.T, deliveries <-chan amqp.Delivery) amqp.Delivery {
+func nextDelivery(t *testing.T, deliveries <-chan amqp.Delivery) amqp.Delivery {
 	t.Helper()
 	select {
 	case d, open := <-deliveries:
 		if !open {
-			t.Fatal("the deliveries ended")
+			t.Fatal("the channel of deliveries was closed")
 		}
 		return d
 	case <-time.After(timeout):
@@ -67,9 +67,9 @@
 	}
 }
 
-// All properties of a message arrive as they were published, with a body over the size of a frame.
+// All properties of a message arrive as they were published, together with a body larger than one frame.
 func TestMessageRoundTrip(t *testing.T) {
-	b, ch := open(t)
+	b, ch := newBrokerAndChannel(t)
 	b.DeclareQueue("q", nil)
 	want := amqp.Publishing{
 		ContentType:     "type",
@@ -91,7 +91,7 @@
 	if err := ch.PublishWithContext(t.Context(), "", "q", false, false, want); err != nil {
 		t.Fatal(err)
 	}
-	d := next(t, consume(t, ch, "q"))
+	d := nextDelivery(t, consume(t, ch, "q"))
 	got := amqp.Publishing{
 		ContentType:     d.ContentType,
 		ContentEncoding: d.ContentEncoding,
@@ -113,13 +113,13 @@
 		t.Errorf("got %+v, want %+v, or the bodies differ", got, want)
 	}
 	if d.RoutingKey != "q" || d.Redelivered {
-		t.Errorf("got routing key %q, redelivered %v", d.RoutingKey, d.Redelivered)
+		t.Errorf("got routing key %q, redelivered %v, want q, false", d.RoutingKey, d.Redelivered)
 	}
 }
 
-// Prefetch bounds what is unsettled; what is requeued comes first again, as redelivered; each settlement is counted.
+// Prefetch limits the unsettled deliveries, a requeued message is redelivered first, and each settlement is counted.
 func TestSettlement(t *testing.T) {
-	b, ch := open(t)
+	b, ch := newBrokerAndChannel(t)
 	for _, body := range []string{"a", "b", "c"} {
 		b.Publish("q", amqp.Publishing{Body: []byte(body)})
 	}
@@ -127,22 +127,22 @@
 		t.Fatal(err)
 	}
 	deliveries := consume(t, ch, "q")
-	first := next(t, deliveries)
+	first := nextDelivery(t, deliveries)
 	waitForCounts(t, b, "q", Counts{Published: 3, Delivered: 1, Ready: 2, Unsettled: 1, Consumers: 1})
 	if err := first.Nack(false, true); err != nil {
 		t.Fatal(err)
 	}
-	again := next(t, deliveries)
+	again := nextDelivery(t, deliveries)
 	if string(again.Body) != "a" || !again.Redelivered {
-		t.Errorf("got %q, redelivered %v, behind a requeue of a", again.Body, again.Redelivered)
+		t.Errorf("after a was requeued: got %q, redelivered %v, want a, true", again.Body, again.Redelivered)
 	}
 	if err := again.Ack(false); err != nil {
 		t.Fatal(err)
 	}
-	if err := next(t, deliveries).Reject(false); err != nil {
+	if err := nextDelivery(t, deliveries).Reject(false); err != nil {
 		t.Fatal(err)
 	}
-	next(t, deliveries)
+	nextDelivery(t, deliveries)
 	waitForCounts(t, b, "q", Counts{Published: 3, Delivered: 4, Redelivered: 1, Acked: 1, Requeued: 1, Rejected: 1,
 		Unsettled: 1, Consumers: 1})
 	if violations := b.Violations(); violations != nil {
@@ -150,17 +150,17 @@
 	}
 }
 
-// An unknown delivery tag closes the channel, and what it had is ready again.
+// An unknown delivery tag closes the channel, and the channel's unsettled messages become ready again.
 func TestUnknownDeliveryTag(t *testing.T) {
-	b, ch := open(t)
+	b, ch := newBrokerAndChannel(t)
 	b.Publish("q", amqp.Publishing{})
-	next(t, consume(t, ch, "q"))
+	nextDelivery(t, consume(t, ch, "q"))
 	closed := ch.NotifyClose(make(chan *amqp.Error, 1))
 	if err := ch.Ack(7, false); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-closed; err == nil || err.Code != replyPreconditionFailed {
-		t.Errorf("closed with %v", err)
+		t.Errorf("the channel closed with %v, want code %d", err, replyPreconditionFailed)
 	}
 	waitForCounts(t, b, "q", Counts{Published: 1, Delivered: 1, Requeued: 1, Ready: 1})
 	if violations := b.Violations(); len(violations) != 1 {
@@ -168,9 +168,9 @@
 	}
 }
 
-// The higher priority is delivered first, and of one priority what came first.
+// Messages of a higher priority are delivered first; messages of equal priority in the order of publication.
 func TestPriorities(t *testing.T) {
-	b, ch := open(t)
+	b, ch := newBrokerAndChannel(t)
 	b.DeclareQueue("q", amqp.Table{"x-max-priority": 9})
 	for _, p := range []amqp.Publishing{{Priority: 1, Body: []byte("c")}, {Priority: 5, Body: []byte("a")},
 		{Priority: 1, Body: []byte("d")}, {Priority: 5, Body: []byte("b")}} {
@@ -178,100 +178,101 @@
 	}
 	deliveries := consume(t, ch, "q")
 	for _, want := range []string{"a", "b", "c", "d"} {
-		if got := next(t, deliveries); string(got.Body) != want {
+		if got := nextDelivery(t, deliveries); string(got.Body) != want {
 			t.Errorf("got %s, want %s", got.Body, want)
 		}
 	}
 }
 
-// What expires, by its own time or the queue's, and what is rejected is dead-lettered, with a count for each reason.
+// Messages are dead-lettered when they expire, by their own TTL or by their queue's, and when they are rejected. The
+// x-death header has a count for each queue and reason.
 func TestDeadLetters(t *testing.T) {
-	b, ch := open(t)
+	b, ch := newBrokerAndChannel(t)
 	b.DeclareQueue("dead", nil)
 	b.DeclareQueue("q", amqp.Table{"x-dead-letter-exchange": "", "x-dead-letter-routing-key": "dead"})
 	b.DeclareQueue("short", amqp.Table{"x-message-ttl": 1, "x-dead-letter-exchange": "", "x-dead-letter-routing-key": "q"})
 	b.Publish("short", amqp.Publishing{Expiration: "60000", Body: []byte("m")})
-	if err := next(t, consume(t, ch, "q")).Reject(false); err != nil {
+	if err := nextDelivery(t, consume(t, ch, "q")).Reject(false); err != nil {
 		t.Fatal(err)
 	}
-	d := next(t, consume(t, ch, "dead"))
+	d := nextDelivery(t, consume(t, ch, "dead"))
 	want := []any{
 		amqp.Table{"queue": "q", "reason": "rejected", "count": int64(1), "exchange": ""},
 		amqp.Table{"queue": "short", "reason": "expired", "count": int64(1), "exchange": ""},
 	}
 	if !reflect.DeepEqual(d.Headers["x-death"], want) || d.Expiration != "" {
-		t.Errorf("got %v, expiration %q, want %v", d.Headers["x-death"], d.Expiration, want)
+		t.Errorf("got %v, expiration %q, want %v, no expiration", d.Headers["x-death"], d.Expiration, want)
 	}
 	got := addDeath(want, "short", "expired", "e")
 	counted := []any{amqp.Table{"queue": "short", "reason": "expired", "count": int64(2), "exchange": "e"}, want[0]}
 	if !reflect.DeepEqual(got, counted) {
-		t.Errorf("a second expiry: got %v, want %v", got, counted)
+		t.Errorf("after a second expiry: got %v, want %v", got, counted)
 	}
 }
 
-// Of the message's time to live and the queue's the shorter one counts; one under 0 is none.
+// The shorter of the message's time to live and the queue's applies; one below 0 or malformed is ignored.
 func TestTTL(t *testing.T) {
 	for _, tc := range []struct {
-		own     string
-		ofQueue any
-		want    time.Duration
-		expires bool
+		messageTTL string
+		queueTTL   any
+		want       time.Duration
+		expires    bool
 	}{
-		{own: ""},
-		{own: "5", want: 5 * time.Millisecond, expires: true},
-		{own: "5", ofQueue: 3, want: 3 * time.Millisecond, expires: true},
-		{own: "5", ofQueue: int64(7), want: 5 * time.Millisecond, expires: true},
-		{own: "-5", ofQueue: int32(7), want: 7 * time.Millisecond, expires: true},
-		{own: "x", ofQueue: "text"},
+		{messageTTL: ""},
+		{messageTTL: "5", want: 5 * time.Millisecond, expires: true},
+		{messageTTL: "5", queueTTL: 3, want: 3 * time.Millisecond, expires: true},
+		{messageTTL: "5", queueTTL: int64(7), want: 5 * time.Millisecond, expires: true},
+		{messageTTL: "-5", queueTTL: int32(7), want: 7 * time.Millisecond, expires: true},
+		{messageTTL: "x", queueTTL: "text"},
 	} {
-		q := &queue{args: amqp.Table{"x-message-ttl": tc.ofQueue}}
-		ttl, expires := q.ttlOf(&message{Publishing: amqp.Publishing{Expiration: tc.own}})
+		q := &queue{args: amqp.Table{"x-message-ttl": tc.queueTTL}}
+		ttl, expires := q.ttlOf(&message{Publishing: amqp.Publishing{Expiration: tc.messageTTL}})
 		if expires != tc.expires || expires && ttl != tc.want {
-			t.Errorf("%q in a queue with %v: got %v, %v", tc.own, tc.ofQueue, ttl, expires)
+			t.Errorf("message TTL %q, queue TTL %v: got %v, expires %v", tc.messageTTL, tc.queueTTL, ttl, expires)
 		}
 	}
 }
 
-// A login with a wrong password, or while logins are refused, is.
+// A login fails with a wrong password, and with a correct one while logins are refused.
 func TestLogin(t *testing.T) {
-	b, _ := open(t)
+	b, _ := newBrokerAndChannel(t)
 	if _, err := amqp.Dial("amqp://guest:other@" + b.Addr() + "/"); err == nil {
-		t.Error("a wrong password is let in")
+		t.Error("a login with a wrong password was accepted")
 	}
 	b.RefuseLogins(true)
 	if _, err := amqp.Dial(b.URL()); err == nil {
-		t.Error("refused logins are let in")
+		t.Error("a login was accepted while logins are refused")
 	}
 	if accepted, _ := b.Connections(); accepted != 3 {
 		t.Errorf("accepted %d connections, want 3", accepted)
 	}
 }
 
-// A fault ends the connection at its frame, in whichever direction that goes; connections behind it are not touched.
+// A fault ends its connection at its frame, whether the frame is sent or received; later connections are not affected.
 func TestFaults(t *testing.T) {
 	for _, mode := range []FaultMode{Disconnect, TruncateFrame} {
 		for frame := 1; frame <= 6; frame++ {
 			b := New()
 			b.SetFaults(Fault{Connection: 1, Frame: frame, Mode: mode})
 			b.Publish("q", amqp.Publishing{Body: []byte("m")})
-			if exchangeFrames(b) == nil {
-				t.Errorf("mode %d at frame %d shows nothing", mode, frame)
+			if receiveMessage(b) == nil {
+				t.Errorf("mode %d at frame %d: the connection did not fail", mode, frame)
 			}
-			if got := b.FrameCount(1); got < frame { // replies to the frame are counted too
-				t.Errorf("mode %d: %d frames, want at least %d", mode, got, frame)
+			if got := b.FrameCount(1); got < frame { // the replies to the frame are counted too
+				t.Errorf("mode %d: got %d frames, want at least %d", mode, got, frame)
 			}
 			b.Publish("q", amqp.Publishing{Body: []byte("m")})
-			if err := exchangeFrames(b); err != nil {
-				t.Errorf("the second connection: %v", err)
+			if err := receiveMessage(b); err != nil {
+				t.Errorf("mode %d at frame %d: the second connection failed: %v", mode, frame, err)
 			}
 			b.Close()
 		}
 	}
 }
 
-// exchangeFrames opens a channel, has a message delivered, and tells what went wrong. The message is there with the
-// 7th frame.
-func exchangeFrames(b *Broker) error {
+// receiveMessage opens a channel and waits for one message. It returns an error if the connection fails first. The
+// message arrives with the 7th frame.
+func receiveMessage(b *Broker) error {
 	conn, err := amqp.Dial(b.URL())
 	if err != nil {
 		return err
