--- a/internal/coordination/command.go
+++ b/internal/coordination/command.go
@@ -22,7 +22,7 @@
 	KindObserve       Kind = "see"     // records members as the leader's membership reports them
 	KindSetBudgets    Kind = "budgets" // replaces all budgets
 	KindRequestPermit Kind = "ask"     // requests a permit for one member
-	KindBeginPermit   Kind = "begin"   // sent by the permit's holder before it goes out of service
+	KindBeginPermit   Kind = "begin"   // begins a granted permit; its holder requests this before it goes out of service
 	KindCancelPermit  Kind = "drop"    // cancels a permit that has not begun
 	KindForgetMember  Kind = "forget"  // removes a member that is not expected to return
 	KindHalt          Kind = "halt"    // stops permits from being granted or begun
--- a/internal/coordination/member.go
+++ b/internal/coordination/member.go
@@ -37,7 +37,7 @@
 	StateSince      time.Duration `json:"Since"`  // fleet time
 	PermitID        PermitID      `json:"Permit"` // its queued, granted or begun permit; 0: none
 	PreviousRelease string        `json:"Before"` // its release at the start of the latest rollout
-	FailedAttempts  int           `json:"Tries"`  // rollout permits from which it did not return on the desired release
+	FailedAttempts  int           `json:"Tries"`  // rollout permits after which it returned on an undesired release
 }
 
 func (s *State) observeAll(observations []Observation) Reply {
@@ -47,7 +47,7 @@
 	return Reply{OK: true}
 }
 
-// observe records the current state of a member, and ends the member's permit if the state requires it.
+// observe records an observation of a member, and ends the member's permit if the new state or incarnation requires it.
 func (s *State) observe(observation Observation) {
 	member := s.Members[observation.Name]
 	if member == nil {
--- a/internal/fleet/allocator/server.go
+++ b/internal/fleet/allocator/server.go
@@ -21,9 +21,9 @@
 	// probeInterval is the interval at which the service is probed by opening a connection.
 	probeInterval = time.Second
 	probeTimeout  = 500 * time.Millisecond
-	// logInterval is the interval between checks whether the number of leased calls has changed enough to be logged.
+	// logInterval is the interval at which the number of leased calls is compared with the last logged number.
 	logInterval = time.Second
-	// permitDrainTimeout is the timeout for leaving the fleet after a permit of the coordinators has begun.
+	// permitDrainTimeout is the timeout for leaving the fleet after this process's permit has begun.
 	permitDrainTimeout = time.Second
 	// leaveGrace is the time that the server waits for the gossip agent after the timeout of a shutdown.
 	leaveGrace        = 200 * time.Millisecond
@@ -67,12 +67,12 @@
 	})
 }
 
-// SetConfig replaces the lease configuration.
+// SetConfig replaces the configuration by which leases are granted.
 func (s *Server) SetConfig(config concurrencylease.Config) {
 	s.Post(func() { s.allocator.SetConfig(config) })
 }
 
-// Serve runs the event loop until the server has left the fleet.
+// Serve runs the event loop until it is stopped, normally by Shutdown.
 func (s *Server) Serve() {
 	stopped := make(chan struct{})
 	defer close(stopped)
--- a/internal/fleet/coordinator/client/handshake.go
+++ b/internal/fleet/coordinator/client/handshake.go
@@ -99,8 +99,8 @@
 	if _, err := io.ReadFull(conn, listenerNonce); err != nil {
 		return err
 	}
-	signed := transcript(listenerNonce, dialerNonce, kind)
-	proof := append([]byte{byte(kind)}, handshakeMAC(keys[0], dialerSide, signed)...)
+	authenticated := transcript(listenerNonce, dialerNonce, kind)
+	proof := append([]byte{byte(kind)}, handshakeMAC(keys[0], dialerSide, authenticated)...)
 	if _, err := conn.Write(proof); err != nil {
 		return err
 	}
@@ -108,7 +108,7 @@
 	if _, err := io.ReadFull(conn, mac); err != nil {
 		return ErrUnauthenticated // a listener that rejects the key closes the connection
 	}
-	if findKey(keys, mac, listenerSide, signed) == nil {
+	if findKey(keys, mac, listenerSide, authenticated) == nil {
 		return ErrUnauthenticated
 	}
 	return conn.SetDeadline(time.Time{})
@@ -136,12 +136,12 @@
 		return 0, err
 	}
 	kind := ConnectionKind(proof[0])
-	signed := transcript(listenerNonce, dialerNonce, kind)
-	key := findKey(keys, proof[1:], dialerSide, signed)
+	authenticated := transcript(listenerNonce, dialerNonce, kind)
+	key := findKey(keys, proof[1:], dialerSide, authenticated)
 	if key == nil {
 		return 0, ErrUnauthenticated
 	}
-	if _, err := conn.Write(handshakeMAC(key, listenerSide, signed)); err != nil {
+	if _, err := conn.Write(handshakeMAC(key, listenerSide, authenticated)); err != nil {
 		return 0, err
 	}
 	return kind, conn.SetDeadline(time.Time{})
--- a/internal/fleet/coordinator/coordinator.go
+++ b/internal/fleet/coordinator/coordinator.go
@@ -131,8 +131,8 @@
 }
 
 // BeginPermit proposes the command that begins a member's permit. It returns at once. Once the command is accepted,
-// onBegun is called on a separate goroutine. onBegun is never called if the command is refused or this coordinator is
-// not the leader.
+// onBegun is called on a separate goroutine. onBegun is never called if the command is refused, if its replication
+// fails, or if this coordinator is not the leader or is shutting down.
 func (c *Coordinator) BeginPermit(
 	name membership.Name, incarnation membership.Incarnation, permitID uint64, onBegun func(),
 ) {
@@ -162,8 +162,8 @@
 	maxJoinPause = 2 * time.Second
 )
 
-// joinLoop repeats the request to join until this coordinator is a voter, and again whenever it is no longer one. It
-// returns when the coordinator is closed.
+// joinLoop requests to join while this coordinator is not a voter, with a random pause between attempts. It sends no
+// request while the coordinator bootstraps a new cluster. It returns when the coordinator is closed.
 func (c *Coordinator) joinLoop() {
 	defer c.loops.Done()
 	pause := minJoinPause
--- a/internal/fleet/coordinator/golden_test.go
+++ b/internal/fleet/coordinator/golden_test.go
@@ -54,7 +54,8 @@
 	coordinator.replica.close()
 }
 
-// writeGoldenArchive writes the golden data directory with the current code and packs it.
+// writeGoldenArchive writes the golden data directory with the current code and packs it. The arguments are the
+// commands before and after the snapshot.
 func writeGoldenArchive(t *testing.T, before, after []coordination.Command) {
 	t.Helper()
 	dataDir := t.TempDir()
@@ -117,7 +118,7 @@
 		RequestedBy: "operator",
 	}))
 	if want := (coordination.Reply{OK: true, PermitID: 18}); !reflect.DeepEqual(reply, want) {
-		t.Errorf("%+v, want %+v", reply, want)
+		t.Errorf("reply is %+v, want %+v", reply, want)
 	}
 }
 
@@ -137,7 +138,7 @@
 	}
 	snapshots := fake.Must(filepath.Glob(filepath.Join(dataDir, "snapshots", "*")))
 	if len(snapshots) != 1 {
-		t.Fatal(snapshots)
+		t.Fatal("want one snapshot, found:", snapshots)
 	}
 	snapshot := "snapshots/" + filepath.Base(snapshots[0])
 	want := []string{
--- a/internal/fleet/coordinator/restart.go
+++ b/internal/fleet/coordinator/restart.go
@@ -29,14 +29,15 @@
 	nextAttempt time.Time   // owned by leadLoop
 }
 
-// restartBackoff returns the delay from the start of an attempt, numbered from 1, to the next attempt.
+// restartBackoff returns the minimum time between the start of an attempt and that of the next one. Attempts are
+// numbered from 1.
 func restartBackoff(attempt int) time.Duration {
 	return min(minRestartBackoff<<min(attempt-1, 5), maxRestartBackoff)
 }
 
-// scheduleRestart starts the operator's command for a member that is out, unless the command is running, has succeeded
+// scheduleRestart starts the operator's command for a member that is gone, unless the command is running, has succeeded
 // or is in backoff. A failed command is retried with increasing backoff: a member whose process has left the fleet but
-// has not exited yet cannot be started, and without a retry would stay out forever.
+// has not exited yet cannot be started, and without a retry it would stay out of service forever.
 func (c *Coordinator) scheduleRestart(restart *restartState, permit coordination.Permit, release string) {
 	if restart.running.Load() || restart.succeeded.Load() || time.Now().Before(restart.nextAttempt) {
 		return
--- a/internal/fleet/coordinator/restart_test.go
+++ b/internal/fleet/coordinator/restart_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// The delay between runs of the restart command doubles up to a maximum.
+// The minimum time between the starts of two runs of the restart command doubles up to a maximum.
 func TestRestartBackoff(t *testing.T) {
 	for i, seconds := range []time.Duration{1, 2, 4, 8, 15, 15, 15} {
 		if got := restartBackoff(i + 1); got != seconds*time.Second {
--- a/internal/fleet/gossip/agent.go
+++ b/internal/fleet/gossip/agent.go
@@ -43,7 +43,7 @@
 
 	publisher   publisher
 	queries     queries
-	joinAddrs   chan string // addresses for runJoins
+	joinAddrs   chan string // addresses for runJoins; shared
 	joining     bool        // a join is in progress
 	draining    bool
 	fenced      bool
@@ -71,7 +71,7 @@
 	// OnPermitBegin handles a member's request to begin its permit if the process is a coordinator. The handler calls
 	// done, on any goroutine, once the permit has begun. OnPermitBegin is called on the agent's loop and must be set
 	// before Start. If it is nil, such requests are ignored.
-	OnPermitBegin func(name membership.Name, incarnation membership.Incarnation, number uint64, done func())
+	OnPermitBegin func(name membership.Name, incarnation membership.Incarnation, permitID uint64, done func())
 }
 
 // Subscribe registers callback, which is called on the agent's loop with each new view. Subscribe must be called before
--- a/internal/fleet/gossip/message.go
+++ b/internal/fleet/gossip/message.go
@@ -8,8 +8,8 @@
 	"lanewheel/internal/membership"
 )
 
-// handleMessage decodes a message and acts on it. transit is the minimum time that the message took to arrive; it is
-// added to the age of the message.
+// handleMessage decodes a message and acts on it, or counts it as malformed. transit is the minimum time that the
+// message took to arrive; it is added to the age of the message.
 func (a *Agent) handleMessage(message []byte, transit time.Duration) {
 	received, err := parseEnvelope(message)
 	if err == nil {
@@ -77,8 +77,8 @@
 	return memberlist.Address{Addr: member.GossipAddr, Name: member.ID().String()}
 }
 
-// replyAddress returns the address to which the reply to a message is sent: the reply address and the ID of its
-// sender.
+// replyAddress returns the memberlist address for the reply to a message. addr is the message's ReplyAddr field, and
+// from is the ID of its sender.
 func replyAddress(addr, from string) memberlist.Address {
 	return memberlist.Address{Addr: addr, Name: from}
 }
--- a/internal/fleet/gossip/process.go
+++ b/internal/fleet/gossip/process.go
@@ -24,8 +24,8 @@
 	// Load calls callback with the work in progress and the request totals. A load below 0 means that the process is
 	// idle and encodes for how long (balancer.IdleLoad).
 	Load(callback func(load float64, stats RequestStats))
-	// Drain starts to drain the process. permit is the number of the permit that the coordinators have granted for it.
-	Drain(permit uint64)
+	// Drain starts to drain the process. permitID is the ID of the process's permit, which has begun.
+	Drain(permitID uint64)
 	// Fenced is called when a later process has taken this process's name, if Config.LeaveWhenFenced is set.
 	Fenced()
 }
--- a/internal/fleet/gossip/wire.go
+++ b/internal/fleet/gossip/wire.go
@@ -1,8 +1,10 @@
 package gossip
 
-// The structs in this file are the bodies of messages. Their tags are part of the protocol between releases.
+// The structs in this file are the bodies of messages, parts of them, or the metadata of a memberlist node. Their tags
+// are part of the protocol between releases.
 
-// wireDescriptor is a membership.Descriptor without the fields that memberlist itself carries.
+// wireDescriptor is the metadata of a memberlist node: a membership.Descriptor without the fields that are carried in
+// the node's name and address.
 type wireDescriptor struct {
 	Incarnation  uint64  `codec:"i"`
 	Roles        uint8   `codec:"r"`
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -8,7 +8,7 @@
 	GoneRetention      time.Duration // how long a gone member is kept in the table
 	SuspectAfter       time.Duration // from the detector's report to suspect; a false report can be refuted meanwhile
 	GoneAfter          time.Duration // from suspect to gone
-	SilentAfter        time.Duration // from the maximum metric TTL until a serving member without heartbeats is suspect
+	SilentAfter        time.Duration // a serving member silent for this plus the maximum metric TTL is suspect
 	StallThreshold     time.Duration // a longer time between two ticks means that this process was stalled
 	SettleTime         time.Duration // time after a stall during which the local view may be out of date
 	HeartbeatInterval  time.Duration // mean time between two heartbeats of a member in a small fleet
--- a/internal/membership/connectivity_test.go
+++ b/internal/membership/connectivity_test.go
@@ -33,9 +33,9 @@
 	// 1 2
 }
 
-// A process that no longer hears any member is isolated: it declares none gone, sends no reports about others, and
-// publishes the fraction that it hears. When it hears them again, it is healthy and all members are up. If it keeps
-// hearing fewer members, that becomes the baseline.
+// A process that no longer hears any member is isolated: it declares none gone and sends no reports about others. Its
+// view contains the fraction of the usual senders that it hears. When it hears them again, it is healthy and all
+// members are up. If it hears fewer members for long enough, their number becomes the baseline.
 func Example_isolated() {
 	h := newHarness()
 	h.bringUp("a", "b", "c")
@@ -72,7 +72,8 @@
 	// sound
 }
 
-// A third of the fleet fails. This process still hears most members, so it is healthy and declares the others gone.
+// Two of six other members fail. This process still hears most members, so it is healthy and declares the two gone.
+// Later it hears members, but none answers its probes, so it is unanswered.
 func Example_membersGone() {
 	h := newHarness()
 	h.quiet = true
@@ -98,7 +99,8 @@
 	// unheard
 }
 
-// When a member stops publishing heartbeats while its gossip continues, its metrics expire and it becomes suspect.
+// When a member stops publishing heartbeats while its gossip continues, its metrics expire and it becomes suspect. A
+// metric whose value is NaN is dropped.
 func Example_silent() {
 	h := newHarness()
 	h.alive("a", 7, 1)
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -27,7 +27,7 @@
 }
 
 // HandleHeartbeat processes a heartbeat that was written age ago and reports whether it was accepted. A heartbeat that
-// is outdated or exceeds a limit is counted and otherwise ignored.
+// is outdated, from an unknown process or invalid is counted and otherwise ignored.
 func (t *Table) HandleHeartbeat(heartbeat Heartbeat, age time.Duration, now time.Duration) bool {
 	member, found := t.members.Get(heartbeat.Name)
 	if !found || member.BootID != heartbeat.BootID || heartbeat.Sequence <= member.Sequence {
--- a/internal/membership/join_test.go
+++ b/internal/membership/join_test.go
@@ -35,8 +35,8 @@
 	//  false
 }
 
-// A member that called the predecessor is joined at once, whatever the random number, and once only. Members that are
-// already known are not joined, and at most four callers are recorded.
+// A member that probed the predecessor of this process is joined at once, whatever the random number, and once only.
+// Members that are already known are not joined, and at most four callers are recorded.
 func Example_predecessorCallers() {
 	h := newHarness(func(config *Config) { config.Seeds = []string{"me:1"} })
 	h.quiet = true
