--- a/internal/amqp/channel.go
+++ b/internal/amqp/channel.go
@@ -103,7 +103,8 @@
 	s.openChannel(c.queue, min(max(2*c.reopenDelay, minReopenDelay), maxReopenDelay))
 }
 
-// setPrefetch sets how many messages of a queue may be unsettled. With 0 the queue is not consumed.
+// setPrefetch sets how many messages of a queue may be unsettled. With 0 the queue is not consumed. A small change is
+// not sent to the broker. While the channel is being opened, the value is only stored.
 func (s *session) setPrefetch(name delivery.QueueName, target int) {
 	c := s.channels[name]
 	if c == nil {
@@ -163,7 +164,8 @@
 	}
 }
 
-// channelOf returns the channel that received a delivery, or nil if that channel has been replaced or closed.
+// channelOf returns the channel that received a delivery, or nil if that channel has been replaced or the session has
+// ended.
 func (s *session) channelOf(name delivery.QueueName, tag delivery.Tag) *queueChannel {
 	if c := s.channels[name]; c != nil && c.id == tag.ChannelID && !s.ended {
 		return c
--- a/internal/amqp/delivery/queue.go
+++ b/internal/amqp/delivery/queue.go
@@ -14,7 +14,8 @@
 	// failureThreshold is the fraction of failures among a queue's recent outcomes at which the queue counts as
 	// failing.
 	failureThreshold = 0.5
-	// minOutcomes is the number of messages that must be finished before a queue can count as failing.
+	// minOutcomes is the number of messages that must be finished before a queue can count as failing. A recovering queue
+	// returns to modeOpen when its limit exceeds minOutcomes and its MinInFlight.
 	minOutcomes = 8
 	// outcomeWindow is the number of recent outcomes that are considered. With some dozens, a queue is unlikely to
 	// count as failing by coincidence.
@@ -158,8 +159,8 @@
 	return q.MaxInFlight
 }
 
-// demand returns the highest limit that is useful for the queue. Unless the mode restricts it, it exceeds the number of
-// messages in flight, because the queue may hold further messages, and their number is not known.
+// demand returns the highest limit that is useful for the queue. Unless the mode or MaxInFlight restricts it, it
+// exceeds the number of messages in flight, because the queue may hold further messages, and their number is not known.
 func (q *queue) demand(now time.Duration) int {
 	return min(q.modeLimit(now), demandGrowthFactor*q.inFlight+demandHeadroom)
 }
--- a/internal/authn/authenticator.go
+++ b/internal/authn/authenticator.go
@@ -18,7 +18,7 @@
 // read and validated.
 type Config struct {
 	Policy         *authz.Policy
-	MaxRateEntries int               // maximum number of identities and roles counted by the rate limiter
+	MaxRateEntries int               // maximum number of pairs of identity and role in the rate limiter
 	TrustStore     *certs.TrustStore // nil: certificates are not accepted
 	KeySet         *keyring.KeySet   // nil: tokens are not accepted
 	KeyDir         string            // folder from which the keys are reloaded
--- a/internal/authn/helper_test.go
+++ b/internal/authn/helper_test.go
@@ -78,7 +78,8 @@
 	return setuptest.Must(authz.NewPolicy(roles, bindings, nil, anonymous))
 }
 
-// withTokens returns a change of a configuration that makes it accept tokens. keys are the keys published in keyDir.
+// withTokens returns a function that changes a configuration so that tokens are accepted. keys are the keys published
+// in keyDir.
 func withTokens(keyDir string, keys *keyring.KeySet) func(*Config) {
 	return func(config *Config) {
 		config.KeyDir = keyDir
--- a/internal/clients/closereason.go
+++ b/internal/clients/closereason.go
@@ -3,7 +3,8 @@
 import "lanewheel/internal/frontend"
 
 // closeReason is the reason for closing a connection, as written to the log. Besides the constants below, there
-// are the codes of package transport and, for revoked certificates, the values of authz.Denial.
+// are the error codes of packages transport and rpc and, for certificates that are no longer valid, the values of
+// authz.Denial.
 type closeReason string
 
 const (
@@ -16,7 +17,7 @@
 	closeDuplicateMessageID  closeReason = "duplicate-message-id" // message id of a pending request
 	closeDuplicateRequestID  closeReason = "duplicate-request-id" // request id of a request pending on the connection
 	closeTooManyPending      closeReason = "too-many-pending"
-	closeUnknownRequest      closeReason = "unknown-request" // the runtime does not know the request
+	closeUnknownRequest      closeReason = "unknown-request" // the runtime does not know the request's class or body
 
 	// Reasons for closing after several consecutive invalid requests. The last of these requests determines the reason.
 
--- a/internal/clients/closing_test.go
+++ b/internal/clients/closing_test.go
@@ -105,10 +105,10 @@
 	send(client, 1)
 	server.waitFor("the request", func() bool { return len(server.pending) == 1 })
 	done := make(chan int, 1)
-	others := false
+	othersDrained := false
 	server.onLoop(func() {
 		schedule := DrainScheduleFor(4 * time.Second)
-		server.clients.Drain(schedule, server.Now()+4*time.Second, func() bool { return others },
+		server.clients.Drain(schedule, server.Now()+4*time.Second, func() bool { return othersDrained },
 			func(connections int) { done <- connections })
 	})
 	expect(t, client, goAway)
@@ -120,7 +120,7 @@
 		t.Fatal("the drain ended before the other front ends were drained")
 	case <-time.After(100 * time.Millisecond):
 	}
-	server.onLoop(func() { others = true })
+	server.onLoop(func() { othersDrained = true })
 	select {
 	case connections := <-done:
 		if connections != 0 {
@@ -131,7 +131,7 @@
 	}
 }
 
-// Connections that are still open shortly before the kill are closed.
+// Connections that are still open shortly before the process is killed are closed.
 func TestDrainForced(t *testing.T) {
 	server := newFakeServer(t, nil)
 	client := server.newClient()
--- a/internal/clients/requests_test.go
+++ b/internal/clients/requests_test.go
@@ -149,7 +149,7 @@
 		}
 	})
 	client := server.newClient()
-	denied := func(number int) {
+	expectDenied := func(number int) {
 		t.Helper()
 		send(client, number)
 		response := fake.Must(client.NextResponse())
@@ -158,11 +158,11 @@
 		}
 	}
 	for number := 1; number <= 20; number++ {
-		denied(number)
+		expectDenied(number)
 	}
 	server.onLoop(func() { denial = "signature" })
 	for number := 21; number <= 28; number++ {
-		denied(number)
+		expectDenied(number)
 	}
 	expect(t, client, closedText)
 	_ = client.Conn.Close()
--- a/internal/drill/network_test.go
+++ b/internal/drill/network_test.go
@@ -108,7 +108,8 @@
 	return func() { p.network.apply(event) }
 }
 
-// TestDatagrams checks that each fault has its effect on datagrams in one direction only, and is counted.
+// TestDatagrams checks that faults affect datagrams in one direction only, and that dropped, corrupted and duplicated
+// datagrams are counted.
 func TestDatagrams(t *testing.T) {
 	p := newLinkedPair(t)
 	p.send(0, 1)
--- a/internal/drill/picture.go
+++ b/internal/drill/picture.go
@@ -22,8 +22,8 @@
 	red    = color.RGBA{200, 0, 0, 255}
 )
 
-// loadQuantiles is the number of quantiles of the load that are drawn: the minimum, the quartiles and the maximum.
-const loadQuantiles = 5
+// loadQuantileCount is the number of quantiles of the load that are drawn: the minimum, the quartiles and the maximum.
+const loadQuantileCount = 5
 
 // series is a line of a chart, with a value for each second.
 type series struct {
@@ -36,7 +36,7 @@
 type timelines struct {
 	issued, succeeded []float64   // requests
 	divergent         []float64   // processes
-	loadQuantiles     [][]float64 // runs of a process: the minimum, the quartiles and the maximum
+	loadQuantiles     [][]float64 // runs per process: the minimum, the quartiles and the maximum over the processes
 }
 
 // Draw writes an SVG picture of the record to a file, with charts of the requests, the load by process and the
@@ -101,9 +101,10 @@
 	return t
 }
 
-// quantilesBySecond returns the quantiles over all processes for each second. They are 0 if there are no processes.
+// quantilesBySecond returns the quantiles over all processes for each second, from the minimum to the maximum.
+// They are 0 if there are no processes.
 func quantilesBySecond(loads [][]float64, seconds int64) [][]float64 {
-	quantiles := make([][]float64, loadQuantiles)
+	quantiles := make([][]float64, loadQuantileCount)
 	for i := range quantiles {
 		quantiles[i] = make([]float64, seconds)
 	}
@@ -117,7 +118,7 @@
 		}
 		slices.Sort(values)
 		for i := range quantiles {
-			quantiles[i][second] = values[i*(len(values)-1)/(loadQuantiles-1)]
+			quantiles[i][second] = values[i*(len(values)-1)/(loadQuantileCount-1)]
 		}
 	}
 	return quantiles
--- a/internal/fake/broker/fault.go
+++ b/internal/fake/broker/fault.go
@@ -20,7 +20,8 @@
 	Stall                          // handling of the frame is delayed by Duration; received frames only
 )
 
-// nextFault counts a frame and returns its scripted fault, or nil if there is none.
+// nextFault counts a frame and returns its scripted fault, or nil if there is none. Frames of the handshake are not
+// counted.
 func (c *connection) nextFault() *Fault {
 	if !c.opened {
 		return nil
--- a/internal/fake/broker/frame.go
+++ b/internal/fake/broker/frame.go
@@ -16,7 +16,8 @@
 	frameEnd       = 0xce
 )
 
-// maxFrameBytes is the maximum size of a payload in bytes. It is sent to clients in connection.tune.
+// maxFrameBytes is the maximum size of a frame in bytes, which is sent to clients in connection.tune. readFrame applies
+// it to the payload alone.
 const maxFrameBytes = 128 << 10
 
 // frameOverhead is the number of bytes of a frame in addition to its payload.
--- a/internal/fake/broker/method.go
+++ b/internal/fake/broker/method.go
@@ -50,10 +50,10 @@
 // classBasic is the class in content headers.
 const classBasic = 60
 
-// Flags in the last octet of methods.
+// Flags of methods. All flags of a method are in one octet.
 const (
 	declarePassive = 1 << 0 // queue.declare: the queue must exist
-	consumeNoAck   = 1 << 1
+	consumeNoAck   = 1 << 1 // basic.consume: deliveries are not acked
 	ackMultiple    = 1 << 0
 	rejectRequeue  = 1 << 0
 	nackMultiple   = 1 << 0
--- a/internal/fake/runtime.go
+++ b/internal/fake/runtime.go
@@ -24,8 +24,9 @@
 // maxWaitingMessages is the capacity of Runtime.Messages.
 const maxWaitingMessages = 100
 
-// Runtime is a fake runtime that executes runs: driven by a script, or by itself after AutoRun. Only one goroutine at a
-// time may use it, apart from the one that AutoRun starts.
+// Runtime is a fake runtime. In scripted mode the test receives the instance's messages and sends the notices. After
+// AutoRun, the runtime executes runs by itself. Only one goroutine at a time may use it, apart from the one that
+// AutoRun starts.
 type Runtime struct {
 	Listener   net.Listener
 	Conn       net.Conn             // the link that was accepted last
--- a/internal/keyring/key.go
+++ b/internal/keyring/key.go
@@ -18,10 +18,10 @@
 
 // The reasons for which a key is not valid.
 const (
-	UnknownKey  authz.Denial = "unknown-key"   // no file contains the key
+	UnknownKey  authz.Denial = "unknown-key"   // no file contains the key, and it is not remembered as removed
 	notYetValid authz.Denial = "early-key"     // the key is published, but its validity period has not started
 	retired     authz.Denial = "retired-key"   // the validity period of the key has ended
-	Withdrawn   authz.Denial = "withdrawn-key" // withdrawn before the end of its period, or no longer in any file
+	Withdrawn   authz.Denial = "withdrawn-key" // marked in its file to end its validity early, or in no file any more
 )
 
 // Key is a public key. It is immutable once it is part of a KeySet.
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -50,7 +50,7 @@
 	s.sendError(messageID, CodeBusy, metadata)
 }
 
-// Fail responds to a request that failed and may have run.
+// Fail responds to a request that failed and may have run, or that was rejected permanently.
 func (s *ServerConn) Fail(messageID uint32, metadata frontend.ResponseMetadata) {
 	s.sendError(messageID, CodeFailed, metadata)
 }
@@ -60,9 +60,9 @@
 	s.sendError(messageID, CodeDenied, metadata)
 }
 
-func (s *ServerConn) sendError(messageID uint32, name ErrorCode, metadata frontend.ResponseMetadata) {
+func (s *ServerConn) sendError(messageID uint32, code ErrorCode, metadata frontend.ResponseMetadata) {
 	b := appendResponseHead(s.OutputBuffer(), messageID)
-	b = appendString(append(b, tagFixArray|2), string(name))
+	b = appendString(append(b, tagFixArray|2), string(code))
 	s.SetOutput(append(appendMetadata(b, metadata), tagNil))
 }
 
--- a/internal/transport/descriptor_test.go
+++ b/internal/transport/descriptor_test.go
@@ -16,12 +16,12 @@
 // before the poller handles the events.
 func Example_descriptorReuse() {
 	x := newTestNet()
-	_, first := x.connect()
-	second, s := x.connect()
+	_, s1 := x.connect()
+	second, s2 := x.connect()
 	third, s3 := x.connect()
 	other, _ := x.connect()
 	fourth, s4 := x.connect()
-	_ = first
+	_ = s1
 	connects := x.prepareConnects(12)
 	releaseFirstRead := x.holdNextRead()
 	write(other, healthCheckMessage)
@@ -29,7 +29,7 @@
 	// While the poller is blocked, these events occur in order: input on one connection, and the closes of two others.
 	releaseSecondRead := x.holdNextRead()
 	write(second, healthCheckMessage)
-	waitReady(s.Descriptor(), unix.POLLIN)
+	waitReady(s2.Descriptor(), unix.POLLIN)
 	closeAll(third)
 	waitReady(s3.Descriptor(), unix.POLLRDHUP)
 	closeAll(fourth)
@@ -88,8 +88,8 @@
 				closed = err == unix.EBADF
 			}
 		}
-		// An accepted connection gets the lowest free descriptor number, and the poller's library a duplicate with the
-		// next one.
+		// An accepted connection gets the lowest free descriptor number. The poller's library duplicates the descriptor,
+		// and the duplicate gets the next free number.
 		reused, linger := false, 0
 		for _, connect := range connects {
 			s := connect()
