--- a/admission/answer.go
+++ b/admission/answer.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// answerMarginTicks is the number of ticks before its deadline by which a request is answered.
+// answerMarginTicks is the minimum number of ticks between the answer to a request and its deadline.
 const answerMarginTicks = 2
 
 // reject rejects a request that has not started, with Retry-After advice.
--- a/admission/arrivals_test.go
+++ b/admission/arrivals_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A deadline at a share of the timeout that no other arrival has marks a retry, whose slack is reduced.
+// All first attempts have 1500 ms left until their deadline. A request with a different time left is taken for a retry:
+// the time that its earlier attempts took, the timeout of 3 s minus the time left, is subtracted from its slack.
 func Example_earlierAttemptTime() {
 	s := newFixture(Settings{})
 	for i := range 16 {
--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -52,8 +52,8 @@
 	return min(max(limit, c.cores+c.gauges.blockedRuns()), c.concurrencyCeiling())
 }
 
-// allWithinSlack reports whether the fitted run time of each class is within the slack if the given number of
-// requests is running.
+// allWithinSlack reports whether the fitted run time of each class, at the given number of running requests, is within
+// the slack.
 func (c *Controller) allWithinSlack(classes map[*classState]bool, running int, slack, now time.Duration) bool {
 	meets := true
 	for class := range classes { // the result does not depend on the iteration order
@@ -62,9 +62,9 @@
 	return meets
 }
 
-// raiseLimit raises the limit to one more than the running requests if cores are idle, and reports whether it did.
-// It is called while requests are queued. It requires a completion since it last raised the limit: the cores also
-// look idle during a hang, and the limit would otherwise grow until all queued requests had started.
+// raiseLimit raises the limit to one more than the number of running requests if cores are idle, and reports whether it
+// did. It is called while requests are queued. It requires a completion since it last raised the limit: the cores
+// also look idle during a hang, and the limit would otherwise grow until all queued requests had started.
 func (c *Controller) raiseLimit(now time.Duration) bool {
 	reading, measured := c.gauges.last()
 	running := len(c.requests.running)
@@ -79,9 +79,9 @@
 	return true
 }
 
-// concurrencyCeiling returns the maximum number of runs on the cores, so that the instance survives when the runs
-// at calls return. During slow start, the survivable runs beyond one per core are reduced in proportion to the speed.
-// If the survivable number is not known, the result is defaultRunsPerCore for each core.
+// concurrencyCeiling returns the maximum number of runs on the cores at which the instance still survives when the
+// runs at calls return. During slow start, the survivable runs beyond one per core are reduced in proportion to
+// speedShare. If the survivable number is not known, the result is defaultRunsPerCore for each core.
 //
 // When the upstream recovers, all runs in a call return at once, and runs that wait for a call go on without it
 // when their slack is used up. Both kinds therefore reduce the result. However many runs wait, as many runs as there
@@ -111,9 +111,9 @@
 	return max(usableConcurrencyShare*survivable, min(survivable, float64(c.cores+1)))
 }
 
-// allowsOneMore reports whether one more run may be on the cores, or in a call from which it returns, in addition
-// to the open calls and the given number of runs on the cores. A single run is always allowed. There is no limit if
-// the survivable number is not known.
+// allowsOneMore reports whether one more run may be on the cores or in a call, in addition to the open calls and the
+// given number of runs on the cores. A run is always allowed if no other run is on the cores or in a call. There is no
+// limit if the survivable number is not known.
 func (c *Controller) allowsOneMore(running int) bool {
 	if c.survivableConcurrency() <= 0 || len(c.requests.running)+c.upstream.open == 0 {
 		return true
--- a/admission/idletimeout_test.go
+++ b/admission/idletimeout_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Connections of callers that return are kept. If each caller sends only one request, the timeout of unused
-// connections is reduced by one step per sample, unless more requests are rejected than started.
+// The idle timeout stays at its maximum if callers send further requests on their connections. If each caller sends
+// only one request, the timeout is halved at each sample, unless the rejection rate is at least
+// keepOpenRejectionRate.
 func Example_idleTimeout() {
 	play := func(callers int, work time.Duration) {
 		s := newFixture(Settings{MaxIdleTimeout: 8 * time.Second})
--- a/admission/memory_test.go
+++ b/admission/memory_test.go
@@ -7,7 +7,7 @@
 	big.MemoryKB = 200
 	s.submit(big)
 	big.ID = "second"
-	s.submit(big) // would need 4 x 200 KB more
+	s.submit(big) // its run needs 4 x 200 KB, as much as the run of big; the limit is 1100 KB
 	big.ID, big.MemoryKB = "third", 900
 	s.submit(big)
 	s.finish(Succeeded, 200*ms, "big")
--- a/admission/quota_test.go
+++ b/admission/quota_test.go
@@ -2,8 +2,9 @@
 
 import "fmt"
 
-// Requests of a tenant beyond its quota wait for those of other tenants. Its first request is within the quota, and
-// the later ones are not.
+// Requests of a tenant beyond its quota wait for those of other tenants. The first request of tenant x is within its
+// quota, and the later ones are not. At a quota of 100 a second, the 441st of simultaneous arrivals is the first beyond
+// the quota: the quota is 400 in the window of 4 s, and twice its square root is allowed for chance.
 func Example_quota() {
 	s := newFixture(Settings{FleetSize: 1, Tenants: []TenantSettings{
 		{Name: "x", QuotaPerSecond: 0.1},
--- a/admission/upstreamcalls.go
+++ b/admission/upstreamcalls.go
@@ -12,10 +12,10 @@
 	latestCallCount = 8
 	// minCallTimes is the minimum number of call times for an estimate.
 	minCallTimes = 16
-	// slowCallFactor times the fastest quartile of call times is the call time above which calls are throttled. It
-	// is about twice the usual call time.
+	// slowCallFactor times the fastest quartile of call times is the call time above which calls are throttled.
+	// This product is about twice the usual call time.
 	slowCallFactor = 4
-	// minThrottleShare is the part of the share that always remains, because calls may be slow without overload.
+	// minThrottleShare is the minimum of callThrottle.share. It is not 0, because calls may be slow without overload.
 	minThrottleShare = 0.25
 )
 
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// report probes an endpoint, and in every third step records a load report of another one.
+// report probes an endpoint, and in every third step records a load report of a random one.
 func (l *decisionLog) report(step int) {
 	if index, ok := l.balancer.PickProbe(l.now, l.random.Float64); ok {
 		fmt.Fprint(&l.text, "q", index)
--- a/internal/balancer/report.go
+++ b/internal/balancer/report.go
@@ -8,8 +8,8 @@
 // probePoolSize is the number of recent probe answers that are compared for one request, as in the Prequal paper.
 const probePoolSize = 16
 
-// Bounds of the half-life of a load report if none is configured. A load changes as fast as requests start and end, so
-// the half-life is about the latency of one request, but never less than a round trip.
+// Initial value and bounds of the half-life of a load report if no half-life is configured. A load changes as fast as
+// requests start and end, so the half-life is about the latency of one request, but never less than a round trip.
 const (
 	initialLoadHalfLife = 100 * time.Millisecond // until there is a latency sample
 	minLoadHalfLife     = 10 * time.Millisecond
@@ -77,7 +77,7 @@
 
 // estimatedLoad estimates the current load of an endpoint in requests in progress per core. It is the reported load,
 // moved towards the mean with the report's age because other senders act on the same report, plus the requests that
-// this sender has started since.
+// this sender has started since. Without a recent report, it is the mean plus this sender's requests in progress.
 func (b *Balancer) estimatedLoad(now time.Duration, state *endpointState) float64 {
 	if !state.hasRecentReport(now, b.config.LoadMaxAge) {
 		return b.meanLoad + float64(state.outstanding)/state.Capacity
--- a/internal/balancer/retry_test.go
+++ b/internal/balancer/retry_test.go
@@ -6,7 +6,8 @@
 )
 
 // Example_retryBudget shows the retry budget: one retry per ten requests, up to ten saved up, and none for requests
-// that another process has forwarded.
+// that another process has forwarded. 100 requests earn only 9 retries, because adding 0.1 one hundred times gives
+// slightly less than 10 in floating point.
 func Example_retryBudget() {
 	balancer := newBalancer(DefaultConfig(), makeEndpoints(3))
 	initial := 0
--- a/internal/concurrencylease/fairshare.go
+++ b/internal/concurrencylease/fairshare.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// lotteryPeriod is how long a holder keeps the extra call that it won in the lottery. If more holders want calls than
-	// there are leasable calls, it is the holder's only call.
+	// lotteryPeriod is how long a holder keeps the extra call that it won in the lottery. If more holders want calls
+	// than there are leasable calls, the extra call is the holder's only call.
 	lotteryPeriod = 3 * time.Second
-	// With at least minHoldersToThrottle holders, the level is recomputed at most once per recomputeInterval instead
-	// of for each request.
-	minHoldersToThrottle = 64
-	recomputeInterval    = 20 * time.Millisecond
+	// With at least minHoldersToDelayUpdate holders, changed demands lead to a new fair share at most once per
+	// minUpdateInterval instead of at each request. At the start of a lottery period it is always recomputed.
+	minHoldersToDelayUpdate = 64
+	minUpdateInterval       = 20 * time.Millisecond
 )
 
 // fairShare is the max-min fair division of the leasable calls: each holder gets as many as it wants, up to a level
@@ -27,7 +27,7 @@
 
 // fairLimit returns the maximum number of calls that a holder gets by its fair share.
 func (a *Allocator) fairLimit(now time.Duration, holder *holderState) int {
-	recent := now-a.share.computedAt < recomputeInterval && len(a.holders) >= minHoldersToThrottle
+	recent := now-a.share.computedAt < minUpdateInterval && len(a.holders) >= minHoldersToDelayUpdate
 	if a.share.stale && !recent || a.share.computedAt/lotteryPeriod != now/lotteryPeriod {
 		a.updateFairShare(now)
 	}
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -10,8 +10,9 @@
 )
 
 // Drain starts draining the proxy. It is called when the process receives the notice to drain, TerminationGrace before
-// it is killed. Requests that arrive within DrainGrace are forwarded; later requests are rejected. The clients are
-// asked to disconnect, and every request that was read is answered. Further calls do nothing.
+// it is killed. Requests that arrive within DrainGrace are forwarded, but none after the time of the last answers.
+// Later requests are rejected. The clients are asked to send no further requests, and every request that was read is
+// answered. Further calls do nothing.
 func (p *Proxy) Drain() {
 	if p.draining {
 		return
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -43,8 +43,8 @@
 }
 
 // Example_silent shows an instance that does not respond in time: the request is answered at its deadline, the instance
-// is notified, and its late response is dropped. An instance is also notified if the client cancels a request. If an
-// instance refuses the connection, the request succeeds at the next instance.
+// receives an interrupt notification, and its late response is dropped. An instance also receives an interrupt if the
+// client cancels a request. If an instance refuses the connection, the request succeeds at the next instance.
 func Example_silent() {
 	proxy, script, addr := startProxy(1, "late", "interrupt")
 	client := fake.Dial(addr)
@@ -53,7 +53,7 @@
 	response := fake.Must(client.NextResponse())
 	elapsed := time.Since(startedAt)
 	fmt.Println(response.Number, response.Error, elapsed > 140*time.Millisecond && elapsed < 240*time.Millisecond)
-	fake.WaitFor("the instance to be notified", func() bool { return len(script.takeTrace()) > 0 })
+	fake.WaitFor("the instance to receive the interrupt", func() bool { return len(script.takeTrace()) > 0 })
 	time.Sleep(200 * time.Millisecond) // the late response arrives during this time
 	client.Send(fake.NewRequest(2, "view", fake.RequestID(2), []byte("x")))
 	response = fake.Must(client.NextResponse())
@@ -64,7 +64,7 @@
 	client.Send(fake.NewRequest(3, "view", fake.RequestID(3), nil))
 	fake.WaitFor("the instance to receive the request", func() bool { return script.traceLength() == 1 })
 	client.Send([]any{2, "interrupt", []any{3}})
-	fake.WaitFor("the instance to be notified", func() bool { return script.traceLength() == 2 })
+	fake.WaitFor("the instance to receive the interrupt", func() bool { return script.traceLength() == 2 })
 	fmt.Println(script.takeTrace())
 	client.Close()
 	proxy.Post(proxy.Quit)
@@ -104,9 +104,9 @@
 	// ['\x01' '\x01' ["Busy" map["after":"90"]] <nil>]
 }
 
-// Example_drain shows that the proxy, like an instance, rejects a request if another request in flight has the same id
-// or if its class is not defined. After a notice to drain, requests are forwarded during the grace period and rejected
-// after it. All requests are answered.
+// Example_drain shows that the proxy, like an instance, rejects a request if another request in flight has the same id,
+// and rejects it permanently (Failed on the wire) if its class is not defined. After a notice to drain, requests are
+// forwarded during the grace period and rejected after it. All requests are answered.
 func Example_drain() {
 	proxy, script, addr := startProxy(2, "silent")
 	client := fake.Dial(addr)
--- a/internal/server/descriptors.go
+++ b/internal/server/descriptors.go
@@ -30,10 +30,11 @@
 // system: the descriptors that a process inherits, and a margin.
 const assumedOpenDescriptors = 16
 
-// divideDescriptors divides the descriptor limit between clients and calls, given the number of descriptors that are
-// already open. Idle clients must not use up the descriptors that are needed for the runtime link, calls and reports.
-// Clients may open half of the limit, an eighth is for client connections that are being closed, and a quarter is for
-// calls. Where descriptors are scarce, the reserved ones are subtracted first and the remainder is shared.
+// divideDescriptors divides the descriptor limit, or the process's RLIMIT_NOFILE if that is lower, between clients and
+// calls. alreadyOpen is the number of descriptors that are already open. Idle clients must not use up the descriptors
+// that are needed for the runtime link, for calls and for reports to the registry. Clients may open half of the limit,
+// an eighth is for client connections that are being closed, and a quarter is for calls. Where descriptors are scarce,
+// the reserved ones are subtracted first and the remainder is shared.
 func divideDescriptors(limit, alreadyOpen int) descriptorBudget {
 	var processLimit syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &processLimit) == nil && processLimit.Cur < uint64(limit) {
@@ -52,5 +53,5 @@
 	if err != nil {
 		return assumedOpenDescriptors
 	}
-	return len(entries) - 1 // not the one that the directory is read with
+	return len(entries) - 1 // without the descriptor that ReadDir uses
 }
--- a/internal/server/executor.go
+++ b/internal/server/executor.go
@@ -11,8 +11,9 @@
 // loop, like the controller, which is its only caller.
 type executor struct {
 	server *Server
-	// clockOffset is subtracted from the loop's time to get the controller's time. It is the runtime's uptime while the
-	// controller is created, because an instance warms up from the start of its runtime, and 0 afterwards.
+	// clockOffset is subtracted from the loop's time to get the controller's time. While the controller is created, it
+	// is the runtime's uptime, so that the controller takes the start of the runtime as the start of the warm-up.
+	// Afterwards it is 0.
 	clockOffset time.Duration
 }
 
@@ -145,11 +146,12 @@
 		"from", change.From.String(), "to", change.To.String(), "queued", change.Queued, "running", change.Running)
 }
 
-// WakeAt calls callback with the runtime's gauges at a time since the start of the loop, or soon after it.
+// WakeAt calls callback with the runtime's gauges at the given time, or soon after it. at is the time since the start
+// of the loop.
 func (e *executor) WakeAt(at time.Duration, callback func(admission.Gauges)) {
 	s := e.server
 	s.ScheduleAt(at, func() {
-		s.decisionPending = true // decisions that are due are made in this batch, even if the gauges do not arrive in it
+		s.decisionPending = true // due decisions are made in this batch of events, even if the gauges arrive later
 		s.gauges.request(callback)
 	})
 }
--- a/internal/server/gauges.go
+++ b/internal/server/gauges.go
@@ -21,7 +21,8 @@
 }
 
 // request calls callback with the gauges. If they do not arrive within gaugeTimeout, or there is no link to the
-// runtime, it passes the last values. Calls that are made while a request is pending share its round trip.
+// runtime, it passes the last values, or nil if they are older than gaugeMaxAge. Calls that are made while a request is
+// pending share its round trip.
 func (g *gaugeReader) request(callback func(admission.Gauges)) {
 	g.waiters = append(g.waiters, callback)
 	if !g.server.runtime.synced {
@@ -41,7 +42,7 @@
 	})
 }
 
-// update replaces the values by those of an event, which are in the order of the configured names.
+// update replaces the values with those of an event, which are in the order of the configured names.
 func (g *gaugeReader) update(values []float64) {
 	g.values = admission.Gauges{}
 	g.updatedAt = g.server.Now()
@@ -52,8 +53,8 @@
 	}
 }
 
-// deliver passes the values to all waiters, or nil if the values are older than gaugeMaxAge. Values from before the
-// loss of a link must not be used for as long as there is no link.
+// deliver passes the values to all waiters, or nil if the values are older than gaugeMaxAge. Without this limit, the
+// last values from before the loss of a link would be used until there is a new link.
 func (g *gaugeReader) deliver() {
 	waiters := g.waiters
 	g.waiters = nil
--- a/internal/server/idempotency_test.go
+++ b/internal/server/idempotency_test.go
@@ -13,9 +13,10 @@
 	return &newServer(Config{Settings: settings}).idempotency
 }
 
-// The record of a keyed request does not expire while the request is in flight, however short the window. Once it has
-// finished, the record applies to attempts that were sent within the window, however late they are read. A request
-// whose run was never started leaves no record. The record of a read expires at the end of its window.
+// The record of a keyed request does not expire while the request is in flight, however short the window. Once the
+// request has finished, the record applies to attempts that were sent within the window, even if the server reads them
+// later. A keyed request that was run and failed keeps its record; a request whose run was never started leaves none.
+// The record of a read expires at the end of its window.
 func Example_recordsExpire() {
 	cache := newTestCache()
 	count := 0
--- a/internal/server/run.go
+++ b/internal/server/run.go
@@ -24,13 +24,14 @@
 
 // callPoint is the last upstream call that a run has reached, and how the run was allowed to continue.
 type callPoint struct {
-	sequence uint64 // sequence number of the event that reported the call; 0 while the run does not wait
+	sequence uint64 // sequence number of the event that reported the call; 0 before the first call and after a reply
 	body     []byte // body of the call
 	reply    []byte // reply passed to the run; nil if there is none
 	skipped  uint64 // sequence number of the event whose call was skipped; 0 if no call was skipped
 }
 
-// reached reports whether the run waits for an upstream call.
+// reached reports whether the run has reached an upstream call and has no reply to it. A skipped call counts, too,
+// until the run reaches the next one.
 func (p *callPoint) reached() bool { return p.sequence != 0 }
 
 // reach replaces the last call of the run with the next one.
@@ -76,7 +77,7 @@
 	}
 }
 
-// endRun ends a run. If the run succeeded or failed, its request is answered.
+// endRun ends a run and answers its request, unless the run was stopped or the request has been answered.
 func (s *Server) endRun(active *activeRequest, outcome admission.Outcome, elapsed time.Duration, result []byte) {
 	run := active.run
 	s.database.cancel(run.call)
@@ -93,14 +94,15 @@
 	}
 	s.decisionPending = true
 	run.onEnd(outcome, elapsed)
-	if outcome == admission.NotStarted { // nothing ran, so a request that the controller has not answered can only fail
+	if outcome == admission.NotStarted { // nothing ran: the request fails unless the controller has answered it
 		s.fail(active)
 	}
 	s.removeIfFinished(active)
 }
 
-// handleRefused handles the event that the runtime refused a command. A refused start ends its request, because the
-// runtime does not know its class or body. The controller must not count that as a failed run.
+// handleRefused handles the event that the runtime refused a command. If it refused a start, it does not know the class
+// or body of the request, so the request is rejected permanently. The run ends as not started, because the controller
+// must not count it as a failed run.
 func (s *Server) handleRefused(event *runtimelink.Event) {
 	active := s.requests.getRunning(admission.RequestID(event.RequestID))
 	if active == nil || active.run.confirmed || event.Status != runtimelink.StatusStart {
@@ -111,7 +113,7 @@
 	s.endRun(active, admission.NotStarted, 0, nil)
 }
 
-// resendCommands sends on a new link all commands that the runtime may not have received on an earlier one.
+// resendCommands sends on a new link all commands that may have been lost on an earlier link.
 func (s *Server) resendCommands() {
 	conn := s.runtime.conn
 	for _, id := range slices.Sorted(maps.Keys(s.requests.byID)) {
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// acquire acquires all available slots. Each test has fewer than maxSlots.
+// acquire acquires all available slots, up to maxSlots. Each test has fewer.
 func (h *harness) acquire(excludedAddr string) (slots []server.UpstreamSlot) {
 	h.t.Helper()
 	h.runOnLoop(func() {
@@ -220,7 +220,7 @@
 	h.runOnLoop(h.client.Start)
 	request := h.nextRequest()
 	if request.Holder.Name != "me" || request.WantedCalls == 0 {
-		t.Errorf("lease request is %+v, want holder \"me\" and a positive number of calls, because a call waits", request)
+		t.Errorf("lease request is %+v, want holder \"me\" and at least 1 call, because a call is waiting", request)
 	}
 	h.runOnLoop(func() { h.client.HandleLease(leaseFor(request, 8, 3)) })
 	if slots := h.acquire(""); len(slots) != 0 {
@@ -251,8 +251,8 @@
 	}
 }
 
-// TestSuspectService checks that the service of a suspect member is called while this process is isolated, so that it
-// cannot determine whether the member is gone, and is not called while this process is healthy.
+// TestSuspectService checks that the service of a suspect member is called while this process is isolated, because an
+// isolated process cannot determine whether the member is gone, and is not called while this process is healthy.
 func TestSuspectService(t *testing.T) {
 	config := membership.DefaultConfig()
 	config.GoneAfter = time.Hour
