--- a/internal/cli/allocator.go
+++ b/internal/cli/allocator.go
@@ -12,7 +12,7 @@
 }
 
 func (c *allocatorCommand) Run() error {
-	return runLinked(func(linked *Components) error {
+	return runWithComponents(func(linked *Components) error {
 		return reportStartFailure(linked.RunAllocator(c.Operator, c.Log))
 	})
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -16,8 +16,8 @@
 
 // Exit codes. A command that failed has said why.
 const (
-	exitDone   = 0
-	exitFailed = 1
+	exitSuccess   = 0
+	exitFailure = 1
 	exitUsage  = 2 // the command line can't be read
 )
 
@@ -51,20 +51,20 @@
 // errReported ends a command with exitFailed whose errors are printed already.
 var errReported = errors.New("errors were already reported")
 
-// passedArgs is the command line that a sibling program gets: in the terms that hold now, so that it does not warn
+// forwardedArgs is the command line that a sibling program gets: in the terms that hold now, so that it does not warn
 // again. Main sets it before any command runs.
-var passedArgs []string
+var forwardedArgs []string
 
 // Main carries a command line out and gives the exit code. With no arguments it serves; the platform starts it so, and
 // the parser is not even built then.
 func Main(args []string, out, errs io.Writer) int {
 	defer logging.Flush()
 	if len(args) == 0 {
-		passedArgs = nil
+		forwardedArgs = nil
 		return serve("", "")
 	}
 	args, renamed := renameArgs(args)
-	passedArgs = args
+	forwardedArgs = args
 	var commands commandLine
 	code := -1
 	parser, err := newParser(&commands, currentUser(), kong.Writers(out, errs), kong.Exit(func(c int) { code = c }))
@@ -82,12 +82,12 @@
 	commands.warnRenamed(parsed.Command(), renamed)
 	switch err := parsed.Run(output{out, errs}); {
 	case err == nil:
-		return exitDone
+		return exitSuccess
 	case errors.Is(err, errReported):
-		return exitFailed
+		return exitFailure
 	default:
 		_, _ = fmt.Fprintf(errs, "lanewheel: %v\n", err)
-		return exitFailed
+		return exitFailure
 	}
 }
 
--- a/internal/cli/commandline_test.go
+++ b/internal/cli/commandline_test.go
@@ -16,8 +16,8 @@
 
 var update = flag.Bool("update", false, "write the golden files anew from what the code says")
 
-// listCommand lists a command with its flags and arguments, and all below it.
-func listCommand(b *strings.Builder, n *kong.Node) {
+// writeCommand lists a command with its flags and arguments, and all below it.
+func writeCommand(b *strings.Builder, n *kong.Node) {
 	fmt.Fprintf(b, "%s", n.FullPath())
 	if n.Hidden {
 		b.WriteString(" (hidden)")
@@ -61,7 +61,7 @@
 	children := slices.Clone(n.Children)
 	slices.SortFunc(children, func(x, y *kong.Node) int { return strings.Compare(x.Name, y.Name) })
 	for _, child := range children {
-		listCommand(b, child)
+		writeCommand(b, child)
 	}
 }
 
@@ -74,7 +74,7 @@
 // Every command, flag and argument that there was is there, under its name, with what holds without it.
 func TestGoldenCommandLine(t *testing.T) {
 	var b strings.Builder
-	listCommand(&b, testModel())
+	writeCommand(&b, testModel())
 	const path = "testdata/golden/command-line.txt"
 	if *update {
 		if err := os.WriteFile(path, []byte(b.String()), 0o644); err != nil {
--- a/internal/cli/components.go
+++ b/internal/cli/components.go
@@ -15,7 +15,7 @@
 // Components is what only a program brings that has the fleet's parts linked. Those that run a process take the
 // operator's file and the log's format, and return when it has ended.
 type Components struct {
-	FleetHooks     lifecycle.FleetJoiner
+	JoinFleet     lifecycle.FleetJoiner
 	RunProxy       func(operatorPath, logFormat string) error
 	RunAllocator   func(operatorPath, logFormat string) error
 	ShowMembers    func(fleet config.Fleet, against []string, asJSON bool, out io.Writer) error
@@ -46,8 +46,8 @@
 	coordinatorProgram = "lanewheel-coordinator"
 )
 
-// runLinked runs what a command needs of the fleet's parts, or hands over to the program that has them.
-func runLinked(run func(linked *Components) error) error {
+// runWithComponents runs what a command needs of the fleet's parts, or hands over to the program that has them.
+func runWithComponents(run func(linked *Components) error) error {
 	if components == nil {
 		return execProgram(fleetProgram)
 	}
@@ -63,6 +63,6 @@
 	}
 	path := filepath.Join(filepath.Dir(self), name)
 	logging.Flush()
-	err = syscall.Exec(path, append([]string{path}, passedArgs...), os.Environ())
+	err = syscall.Exec(path, append([]string{path}, forwardedArgs...), os.Environ())
 	return fmt.Errorf("this needs %s, which is built with lanewheel and stands beside it: %w", name, err)
 }
--- a/internal/cli/coordinator.go
+++ b/internal/cli/coordinator.go
@@ -14,7 +14,7 @@
 	ActionResume  CoordinatorAction = "resume"
 	ActionBudgets CoordinatorAction = "budgets"
 	ActionRelease CoordinatorAction = "release"
-	ActionBack    CoordinatorAction = "back"
+	ActionRollback    CoordinatorAction = "back"
 	ActionLeave   CoordinatorAction = "leave"
 )
 
@@ -39,7 +39,7 @@
 }
 
 func (f coordinatorFlags) request(o output, command CoordinatorCommand) error {
-	return runLinked(func(linked *Components) error {
+	return runWithComponents(func(linked *Components) error {
 		command.File = f.Operator
 		command.RequestedBy = f.RequestedBy
 		return linked.Request(command, o.out)
--- a/internal/cli/credentials_test.go
+++ b/internal/cli/credentials_test.go
@@ -119,9 +119,9 @@
 		"h.example", "--host", "10.0.0.1", "--validity", "1h")
 	certificate, key := setuptest.Must(os.ReadFile(path+".pem")), setuptest.Must(os.ReadFile(path+".key"))
 	pair := setuptest.Must(certs.ParseKeyPair(certificate, key))
-	if is := fmt.Sprint(pair.Certificate.Subject, pair.Certificate.URIs, pair.Certificate.DNSNames,
-		pair.Certificate.IPAddresses); is != "CN=handheld [rota://water/7] [h.example] [10.0.0.1]" {
-		t.Error(is)
+	if got := fmt.Sprint(pair.Certificate.Subject, pair.Certificate.URIs, pair.Certificate.DNSNames,
+		pair.Certificate.IPAddresses); got != "CN=handheld [rota://water/7] [h.example] [10.0.0.1]" {
+		t.Error(got)
 	}
 	run(t, "cert", "revoke", path+".pem", "--authority", folder, "--next-update", "1h")
 	if len(setuptest.Must(os.ReadFile(filepath.Join(folder,
--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -20,11 +20,11 @@
 	Script   string   `arg:"" name:"script" help:"${help_drill_script}" type:"path"`
 }
 
-// checkRecord is the record's name by which RunDrill only prints what would be done.
-const checkRecord = "check"
+// checkOnlyRecord is the record's name by which RunDrill only prints what would be done.
+const checkOnlyRecord = "check"
 
 func (c *drillRun) Run(o output) error {
-	return runLinked(func(linked *Components) error {
+	return runWithComponents(func(linked *Components) error {
 		script, err := config.LoadDrill(c.Script, c.Set...)
 		if err != nil {
 			return err
@@ -38,7 +38,7 @@
 		script.KeepLogs = c.KeepLogs
 		record, picture := c.Record, c.Picture
 		if c.Check {
-			record, picture = checkRecord, ""
+			record, picture = checkOnlyRecord, ""
 		}
 		violations, err := linked.RunDrill(&script, record, picture, o.out)
 		if err == nil && violations > 0 {
@@ -54,7 +54,7 @@
 }
 
 func (c *drillShow) Run(o output) error {
-	return runLinked(func(linked *Components) error {
+	return runWithComponents(func(linked *Components) error {
 		return linked.ShowRecord(c.Record, c.Picture, o.out)
 	})
 }
@@ -65,7 +65,7 @@
 }
 
 func (c *drillDiff) Run(o output) error {
-	return runLinked(func(linked *Components) error {
+	return runWithComponents(func(linked *Components) error {
 		return linked.CompareRecords(c.First, c.Second, o.out)
 	})
 }
@@ -78,7 +78,7 @@
 }
 
 func (c *drillHookCommand) Run(o output) error {
-	return runLinked(func(linked *Components) error {
+	return runWithComponents(func(linked *Components) error {
 		return linked.RunDrillHook(c.Socket, c.Name, c.Release, o.out)
 	})
 }
--- a/internal/cli/fleetcommands/coordinator.go
+++ b/internal/cli/fleetcommands/coordinator.go
@@ -140,7 +140,7 @@
 		command.Kind = coordination.KindHalt
 	case cli.ActionResume:
 		command.Kind = coordination.KindResume
-	case cli.ActionBack:
+	case cli.ActionRollback:
 		command.Kind = coordination.KindRollBack
 	case cli.ActionBudgets:
 		content, err := os.ReadFile(arguments.Path)
--- a/internal/cli/fleetcommands/coordinator_test.go
+++ b/internal/cli/fleetcommands/coordinator_test.go
@@ -164,8 +164,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			golden(t, name+"-answer.json", append(text, '\n'))
-			answer := stored(t, name+"-answer.json")
+			compareGolden(t, name+"-answer.json", append(text, '\n'))
+			answer := readGolden(t, name+"-answer.json")
 			var got client.Response
 			if err := json.Unmarshal(answer, &got); err != nil {
 				t.Fatal(err)
@@ -180,7 +180,7 @@
 				t.Fatal(err)
 			}
 			<-requests
-			golden(t, name+"-printed.json", out.Bytes())
+			compareGolden(t, name+"-printed.json", out.Bytes())
 			if name == "history" {
 				return
 			}
@@ -189,7 +189,7 @@
 			if err := runCoordinatorCommand(arguments, &out); err != nil {
 				t.Fatal(err)
 			}
-			golden(t, name+"-printed.txt", out.Bytes())
+			compareGolden(t, name+"-printed.txt", out.Bytes())
 		})
 	}
 }
@@ -251,7 +251,7 @@
 		request := key.ReplaceAllString(<-requests, `"Key":"16 hex digits"`)
 		fmt.Fprintf(&printed, "%s: %s%s", arguments.Action, request, out.String())
 	}
-	golden(t, "questions.txt", []byte(printed.String()))
+	compareGolden(t, "questions.txt", []byte(printed.String()))
 }
 
 // A refusal, an error of the coordinator and a command that can't be built are errors; nothing is printed.
--- a/internal/cli/fleetcommands/drill.go
+++ b/internal/cli/fleetcommands/drill.go
@@ -9,13 +9,13 @@
 	"lanewheel/internal/drill"
 )
 
-// checkOnly stands in the place of a record's path for a drill whose timeline is only printed.
-const checkOnly = "check"
+// checkOnlyRecord stands in the place of a record's path for a drill whose timeline is only printed.
+const checkOnlyRecord = "check"
 
 // runDrill carries a script out and returns how many violations there were. The record and the picture are written
 // where a path is given. What can't be printed is no reason to end a drill that has run: the violations are returned.
 func runDrill(script *config.Drill, record, picture string, out io.Writer) (violations int, err error) {
-	if record == checkOnly {
+	if record == checkOnlyRecord {
 		for _, event := range drill.Timeline(script) {
 			if _, err := fmt.Fprintln(out, event); err != nil {
 				return 0, err
--- a/internal/cli/fleetcommands/golden_test.go
+++ b/internal/cli/fleetcommands/golden_test.go
@@ -11,8 +11,8 @@
 
 var update = flag.Bool("update", false, "write the golden files of testdata anew")
 
-// golden compares what is written today with the file of testdata that an earlier version wrote.
-func golden(t *testing.T, name string, got []byte) {
+// compareGolden compares what is written today with the file of testdata that an earlier version wrote.
+func compareGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if *update {
@@ -20,7 +20,7 @@
 			t.Fatal(err)
 		}
 	}
-	if want := stored(t, name); !bytes.Equal(got, want) {
+	if want := readGolden(t, name); !bytes.Equal(got, want) {
 		if bytes.IndexByte(got, 0) >= 0 {
 			got = fmt.Appendf(nil, "%d bytes", len(got))
 		}
@@ -28,8 +28,8 @@
 	}
 }
 
-// stored reads a file of testdata.
-func stored(t *testing.T, name string) []byte {
+// readGolden reads a file of testdata.
+func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
--- a/internal/cli/fleetcommands/history.go
+++ b/internal/cli/fleetcommands/history.go
@@ -11,7 +11,7 @@
 
 // printHistory prints the history for people.
 func printHistory(entries []coordination.HistoryEntry, out io.Writer) error {
-	var printed text
+	var printed textBuffer
 	printed.rowf("nth\tat\tby\tdid\twhat\tcame to")
 	for _, entry := range entries {
 		outcome := "agreed"
--- a/internal/cli/fleetcommands/history_test.go
+++ b/internal/cli/fleetcommands/history_test.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "history.parquet", written)
+	compareGolden(t, "history.parquet", written)
 	rows, err := parquet.ReadFile[historyRow]("testdata/history.parquet")
 	if err != nil {
 		t.Fatal(err)
@@ -48,7 +48,7 @@
 	if !reflect.DeepEqual(rows, want) {
 		t.Fatalf("%+v", rows)
 	}
-	content := stored(t, "history.parquet")
+	content := readGolden(t, "history.parquet")
 	file, err := parquet.OpenFile(bytes.NewReader(content), int64(len(content)))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cli/fleetcommands/join.go
+++ b/internal/cli/fleetcommands/join.go
@@ -45,7 +45,7 @@
 	var spill *spillover.Spillover
 	if file.Spillover.Enabled {
 		srv.EnableSpillover(func(net *transport.Net) server.Spillover {
-			spill = spillover.New(srv, net, file.Spillover.Config, platform.Seed, prober(agent))
+			spill = spillover.New(srv, net, file.Spillover.Config, platform.Seed, probeFunc(agent))
 			return spill
 		})
 		subscribe(agent, srv.Loop, spill.UpdateView)
--- a/internal/cli/fleetcommands/members.go
+++ b/internal/cli/fleetcommands/members.go
@@ -21,7 +21,7 @@
 	if asJSON {
 		return printJSON(out, snapshot)
 	}
-	var printed text
+	var printed textBuffer
 	printSnapshot(&printed, snapshot)
 	for _, socket := range sockets {
 		other, err := gossip.ReadSnapshot(socket, gossip.SnapshotFull)
@@ -34,7 +34,7 @@
 	return printed.writeTo(out)
 }
 
-func printSnapshot(printed *text, snapshot gossip.Snapshot) {
+func printSnapshot(printed *textBuffer, snapshot gossip.Snapshot) {
 	printed.printf("%s, incarnation %d, %s, reach %.2f, view %d\n", snapshot.Name, snapshot.Incarnation,
 		snapshot.LocalHealth, snapshot.HeardFraction, snapshot.ViewVersion)
 	printed.rowf("member\tincarnation\tstate\twhy\tfor\tspoke\troles\tzone\trelease\tcores\tfacts")
@@ -65,7 +65,7 @@
 }
 
 // compareViews prints on which members two views differ. Each process takes itself to be up, which no view says.
-func compareViews(printed *text, first, second gossip.Snapshot) {
+func compareViews(printed *textBuffer, first, second gossip.Snapshot) {
 	states := func(snapshot gossip.Snapshot) map[string]string {
 		byName := map[string]string{snapshot.Name: fmt.Sprint("up ", snapshot.Incarnation)}
 		for _, member := range snapshot.Members {
--- a/internal/cli/fleetcommands/members_test.go
+++ b/internal/cli/fleetcommands/members_test.go
@@ -76,8 +76,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "members-answer.json", append(text, '\n'))
-	socket, requests := newStatusSocket(t, stored(t, "members-answer.json"))
+	compareGolden(t, "members-answer.json", append(text, '\n'))
+	socket, requests := newStatusSocket(t, readGolden(t, "members-answer.json"))
 	got, err := gossip.ReadSnapshot(socket, gossip.SnapshotFull)
 	if err != nil || !reflect.DeepEqual(got, goldenSnapshot) {
 		t.Fatalf("%v, read otherwise than before: %+v", err, got)
@@ -89,12 +89,12 @@
 	if err := showMembers(config.Fleet{StatusSocket: socket}, nil, true, &out); err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "members-printed.json", out.Bytes())
+	compareGolden(t, "members-printed.json", out.Bytes())
 	out.Reset()
 	if err := showMembers(config.Fleet{StatusSocket: socket}, []string{socket}, false, &out); err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "members-printed.txt", out.Bytes())
+	compareGolden(t, "members-printed.txt", out.Bytes())
 }
 
 // Views are compared by the state and the incarnation of each member; each process takes itself to be up.
@@ -106,7 +106,7 @@
 		member("b", "up"), member("c", "up"), member("d", "gone")}}
 	second := gossip.Snapshot{Name: "b", Incarnation: 1, Members: []gossip.MemberSnapshot{
 		member("a", "up"), member("c", "suspect")}}
-	var printed text
+	var printed textBuffer
 	compareViews(&printed, first, second)
 	want := `c: a holds "up 1", b holds "suspect 1"
 d: a holds "gone 1", b holds ""
--- a/internal/cli/fleetcommands/output.go
+++ b/internal/cli/fleetcommands/output.go
@@ -8,27 +8,27 @@
 	"text/tabwriter"
 )
 
-// text collects what a command prints; it goes out in one write.
-type text struct {
+// textBuffer collects what a command prints; it goes out in one write.
+type textBuffer struct {
 	buffer  bytes.Buffer
 	columns *tabwriter.Writer // rows that are not aligned yet
 }
 
 // printf adds text after what is there.
-func (t *text) printf(format string, args ...any) {
+func (t *textBuffer) printf(format string, args ...any) {
 	t.endTable()
 	fmt.Fprintf(&t.buffer, format, args...)
 }
 
 // rowf adds a row of cells that are separated by tabs. Rows one after the other are aligned as one table.
-func (t *text) rowf(format string, args ...any) {
+func (t *textBuffer) rowf(format string, args ...any) {
 	if t.columns == nil {
 		t.columns = tabwriter.NewWriter(&t.buffer, 0, 0, 2, ' ', 0)
 	}
 	_, _ = fmt.Fprintf(t.columns, format+"\n", args...) // a buffer takes all
 }
 
-func (t *text) endTable() {
+func (t *textBuffer) endTable() {
 	if t.columns != nil {
 		_ = t.columns.Flush() // a buffer takes all
 		t.columns = nil
@@ -36,7 +36,7 @@
 }
 
 // writeTo writes what was collected.
-func (t *text) writeTo(out io.Writer) error {
+func (t *textBuffer) writeTo(out io.Writer) error {
 	t.endTable()
 	_, err := t.buffer.WriteTo(out)
 	return err
--- a/internal/cli/fleetcommands/process_test.go
+++ b/internal/cli/fleetcommands/process_test.go
@@ -29,18 +29,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	front, err := proxy.Listen(config, proxy.Config{}, nil)
+	proxyServer, err := proxy.Listen(config, proxy.Config{}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	go instance.Serve()
-	go front.Serve()
+	go proxyServer.Serve()
 	t.Cleanup(func() {
 		instance.Post(instance.Quit)
-		front.Post(front.Quit)
+		proxyServer.Post(proxyServer.Quit)
 	})
 	var names strings.Builder
-	for _, process := range []gossip.Process{&serverProcess{instance}, &proxyProcess{front}} {
+	for _, process := range []gossip.Process{&serverProcess{instance}, &proxyProcess{proxyServer}} {
 		statuses := make(chan gossip.ProcessStatus, 1)
 		process.Status(func(status gossip.ProcessStatus) { statuses <- status })
 		for _, metric := range (<-statuses).Metrics {
--- a/internal/cli/fleetcommands/proxy.go
+++ b/internal/cli/fleetcommands/proxy.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	process.proxy, err = proxy.Listen(platform, operatorConfig.File.Proxy.Config, prober(agent))
+	process.proxy, err = proxy.Listen(platform, operatorConfig.File.Proxy.Config, probeFunc(agent))
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/cli/fleetcommands/status.go
+++ b/internal/cli/fleetcommands/status.go
@@ -10,7 +10,7 @@
 
 // printStatus prints what is agreed, for people.
 func printStatus(status *client.Status, out io.Writer) error {
-	var printed text
+	var printed textBuffer
 	printed.printf("%s, term %d, entry %d of the log, led by %s, %d stewards, %d members, fleet's time %s\n", status.ID,
 		status.Term, status.AppliedIndex, status.Leader, len(status.Coordinators), status.MemberCount, status.FleetTime)
 	if status.Halt != nil {
@@ -39,7 +39,7 @@
 	return printed.writeTo(out)
 }
 
-func printRollout(printed *text, rollout *coordination.Rollout) {
+func printRollout(printed *textBuffer, rollout *coordination.Rollout) {
 	printed.printf("release %s to %s by %s: %s, wave %d of %d", rollout.Name, rollout.TargetRelease,
 		rollout.RequestedBy, rollout.Phase, rollout.Wave+1, len(rollout.WaveMembers))
 	if rollout.WaitReason != "" {
--- a/internal/cli/fleetcommands/subscribe.go
+++ b/internal/cli/fleetcommands/subscribe.go
@@ -30,8 +30,8 @@
 	})
 }
 
-// prober asks other members for their load.
-func prober(agent *gossip.Agent) forward.ProbeFunc {
+// probeFunc asks other members for their load.
+func probeFunc(agent *gossip.Agent) forward.ProbeFunc {
 	return func(name membership.Name, report func(float64, time.Duration)) {
 		agent.Post(func() { agent.QueryLoad(name, report) })
 	}
--- a/internal/cli/members.go
+++ b/internal/cli/members.go
@@ -14,25 +14,25 @@
 }
 
 func (c *membersCommand) Run(o output) error {
-	return runLinked(func(linked *Components) error {
-		shown, err := loadWatchedFleet(c.File)
+	return runWithComponents(func(linked *Components) error {
+		primary, err := loadFleetSection(c.File)
 		if err != nil {
 			return err
 		}
 		var sockets []string
 		for _, path := range c.Against {
-			fleet, err := loadWatchedFleet(path)
+			fleet, err := loadFleetSection(path)
 			if err != nil {
 				return err
 			}
 			sockets = append(sockets, fleet.StatusSocket)
 		}
-		return linked.ShowMembers(shown, sockets, c.JSON, o.out)
+		return linked.ShowMembers(primary, sockets, c.JSON, o.out)
 	})
 }
 
-// loadWatchedFleet reads the fleet's section of an operator's file; it has to name a status socket.
-func loadWatchedFleet(path string) (config.Fleet, error) {
+// loadFleetSection reads the fleet's section of an operator's file; it has to name a status socket.
+func loadFleetSection(path string) (config.Fleet, error) {
 	operator, err := config.Load(path)
 	if err != nil {
 		return config.Fleet{}, err
--- a/internal/cli/proxy.go
+++ b/internal/cli/proxy.go
@@ -12,7 +12,7 @@
 }
 
 func (c *proxyCommand) Run() error {
-	return runLinked(func(linked *Components) error {
+	return runWithComponents(func(linked *Components) error {
 		return reportStartFailure(linked.RunProxy(c.Operator, c.Log))
 	})
 }
--- a/internal/cli/queuesend.go
+++ b/internal/cli/queuesend.go
@@ -56,7 +56,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		sender.takeReplies(o, replies)
+		sender.receiveReplies(o, replies)
 	}()
 	if err := sender.sendAll(); err != nil {
 		return err
@@ -121,25 +121,25 @@
 	return nil
 }
 
-// takeReplies takes replies until each message has one, none comes for too long, or the connection ends. The body of a
+// receiveReplies takes replies until each message has one, none comes for too long, or the connection ends. The body of a
 // single one is printed.
-func (s *queueSender) takeReplies(o output, replies <-chan client.Delivery) {
+func (s *queueSender) receiveReplies(o output, replies <-chan client.Delivery) {
 	const grace = 5 * time.Second
-	sendTime := time.Duration(float64(s.command.Count) / s.command.Rate * float64(time.Second))
-	maxSilence := s.command.Timeout + sendTime + grace
-	for left := s.command.Count; left > 0; {
+	sendDuration := time.Duration(float64(s.command.Count) / s.command.Rate * float64(time.Second))
+	replyTimeout := s.command.Timeout + sendDuration + grace
+	for remaining := s.command.Count; remaining > 0; {
 		select {
 		case reply, open := <-replies:
 			if !open {
 				return
 			}
 			if s.record(&reply) {
-				left--
+				remaining--
 			}
 			if s.command.Count == 1 {
 				o.printf("%s\n", reply.Body)
 			}
-		case <-time.After(maxSilence):
+		case <-time.After(replyTimeout):
 			return
 		}
 	}
--- a/internal/cli/renamed_test.go
+++ b/internal/cli/renamed_test.go
@@ -54,17 +54,17 @@
 // TestEarlierCommandLine checks that every command, flag and argument that there was is there still, by its earlier
 // name, with what holds without it; and that no earlier name is shown.
 func TestEarlierCommandLine(t *testing.T) {
-	now := map[string][]string{} // the lines of flags and arguments, by command
+	current := map[string][]string{} // the lines of flags and arguments, by command
 	var b strings.Builder
-	listCommand(&b, testModel())
+	writeCommand(&b, testModel())
 	command := ""
 	for line := range strings.Lines(b.String()) {
 		if line = strings.TrimRight(line, "\n"); !strings.HasPrefix(line, " ") {
 			command = line
-			now[command] = nil
+			current[command] = nil
 			continue
 		}
-		now[command] = append(now[command], line)
+		current[command] = append(current[command], line)
 	}
 	earlier := string(setuptest.Must(os.ReadFile("testdata/golden/command-line-earlier.txt")))
 	var words []string
@@ -79,7 +79,7 @@
 			if hasRest {
 				command += " (" + rest
 			}
-			if _, found := now[command]; !found {
+			if _, found := current[command]; !found {
 				t.Errorf("%s: there is no %s", line, command)
 			}
 			count++
@@ -90,7 +90,7 @@
 			renamed, _ := renameArgs(append(slices.Clone(words), flag))
 			want = "    " + renamed[len(renamed)-1] + " " + rest
 		}
-		if !slices.Contains(now[command], want) {
+		if !slices.Contains(current[command], want) {
 			t.Errorf("%s: %s has no %s", line, command, want)
 		}
 	}
@@ -98,7 +98,7 @@
 		t.Errorf("%d commands", count)
 	}
 	for earlier := range renamedCommands {
-		if _, shown := now["lanewheel "+earlier]; shown {
+		if _, shown := current["lanewheel "+earlier]; shown {
 			t.Errorf("%s is a command still", earlier)
 		}
 	}
--- a/internal/cli/rollout.go
+++ b/internal/cli/rollout.go
@@ -48,5 +48,5 @@
 }
 
 func (c *releaseRollback) Run(o output) error {
-	return c.request(o, CoordinatorCommand{Action: ActionBack, Reason: c.Reason})
+	return c.request(o, CoordinatorCommand{Action: ActionRollback, Reason: c.Reason})
 }
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -15,7 +15,7 @@
 }
 
 func (c *serveCommand) Run() error {
-	if serve(c.Operator, c.Log) != exitDone {
+	if serve(c.Operator, c.Log) != exitSuccess {
 		return errReported
 	}
 	return nil
@@ -29,14 +29,14 @@
 	}
 	var joinFleet lifecycle.FleetJoiner
 	if components != nil {
-		joinFleet = components.FleetHooks
+		joinFleet = components.JoinFleet
 	}
 	err := lifecycle.Run(options, joinFleet)
 	if errors.Is(err, lifecycle.ErrFleetNotLinked) {
 		err = execProgram(fleetProgram)
 	}
 	if reportStartFailure(err) != nil {
-		return exitFailed
+		return exitFailure
 	}
-	return exitDone
+	return exitSuccess
 }
--- a/internal/cli/token.go
+++ b/internal/cli/token.go
@@ -125,8 +125,8 @@
 	if operatorConfig.Authn == nil || operatorConfig.Authn.KeySet == nil {
 		return errors.New("the operator's file has no section tokens")
 	}
-	callers := operatorConfig.Authn
-	denial := verifyNow(raw, callers.KeySet, callers.TokenPolicy, callers.RevokedTokens)
+	authn := operatorConfig.Authn
+	denial := verifyNow(raw, authn.KeySet, authn.TokenPolicy, authn.RevokedTokens)
 	if denial != "" {
 		o.printf("denied: %s\n", denial)
 		return errReported
--- a/internal/cli/try.go
+++ b/internal/cli/try.go
@@ -32,7 +32,7 @@
 // What can be wrong with a trial.
 var (
 	errTryFlags      = errors.New("--rate, --duration and --clients must be greater than 0")
-	errTwoOperators  = errors.New("--amqp brings an operator's file of its own")
+	errOperatorWithAMQP  = errors.New("--amqp brings an operator's file of its own")
 	errNotReady      = errors.New("the instance does not become ready")
 	errNotTerminated = errors.New("it does not end after SIGTERM")
 )
@@ -105,7 +105,7 @@
 // newTrial starts the fakes.
 func newTrial(c *tryCommand) (*trial, error) {
 	if c.AMQP && c.Operator != "" {
-		return nil, errTwoOperators
+		return nil, errOperatorWithAMQP
 	}
 	dir, err := os.MkdirTemp("", "lanewheel-try")
 	if err != nil {
@@ -152,7 +152,7 @@
 		return err
 	}
 	configPath := filepath.Join(t.dir, "config.json")
-	if err := os.WriteFile(configPath, []byte(t.platformText()), 0o600); err != nil {
+	if err := os.WriteFile(configPath, []byte(t.platformConfig()), 0o600); err != nil {
 		return err
 	}
 	arguments := []string{"serve"}
@@ -219,8 +219,8 @@
 	}
 }
 
-// platformText returns the platform's configuration.
-func (t *trial) platformText() string {
+// platformConfig returns the platform's configuration.
+func (t *trial) platformConfig() string {
 	settings := strings.NewReplacer(
 		"IDLE", "30",
 		"FRESH", "0",
--- a/internal/cli/tryload.go
+++ b/internal/cli/tryload.go
@@ -87,7 +87,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		c.takeResponses()
+		c.receiveResponses()
 	}()
 	gap := float64(c.command.Clients) / rate * float64(time.Second)
 	began := time.Now()
@@ -110,18 +110,18 @@
 	}
 }
 
-// takeResponses records responses until the connection ends.
-func (c *tryClient) takeResponses() {
+// receiveResponses records responses until the connection ends.
+func (c *tryClient) receiveResponses() {
 	for {
 		response, err := c.connection.NextResponse()
 		if err != nil {
 			return
 		}
 		c.mu.Lock()
-		request, known := c.pending[response.Number]
+		request, found := c.pending[response.Number]
 		delete(c.pending, response.Number)
 		c.mu.Unlock()
-		if known {
+		if found {
 			c.test.record(request.class, time.Since(request.sentAt), response)
 		}
 	}
@@ -161,9 +161,9 @@
 	const requestTimeout = 3 * time.Second // of the settings of the fakes
 	for end := time.Now().Add(requestTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		c.mu.Lock()
-		left := len(c.pending)
+		remaining := len(c.pending)
 		c.mu.Unlock()
-		if left == 0 {
+		if remaining == 0 {
 			return
 		}
 	}
@@ -177,7 +177,7 @@
 	gap := time.Duration(3 / c.Rate * float64(time.Second))
 	for n := 0; time.Since(began) < c.Duration; n++ {
 		for next := began.Add(time.Duration(n) * gap); time.Now().Before(next); time.Sleep(time.Millisecond) {
-			t.takeReplies(queue, sentAt)
+			t.recordReplies(queue, sentAt)
 		}
 		id := fmt.Sprint("m", n)
 		sentAt[id] = time.Now()
@@ -192,13 +192,13 @@
 		})
 	}
 	for end := time.Now().Add(replyTimeout); len(sentAt) > 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
-		t.takeReplies(queue, sentAt)
+		t.recordReplies(queue, sentAt)
 	}
 	t.countUnanswered(queueRow, len(sentAt))
 }
 
-// takeReplies records the replies that have come; sentAt has the messages without one.
-func (t *loadTest) takeReplies(queue *broker.Broker, sentAt map[string]time.Time) {
+// recordReplies records the replies that have come; sentAt has the messages without one.
+func (t *loadTest) recordReplies(queue *broker.Broker, sentAt map[string]time.Time) {
 	for _, reply := range queue.DrainQueue(tryReplyQueue) {
 		sent, pending := sentAt[reply.CorrelationId]
 		if !pending {
