--- a/cmd/lanewheel-coordinator/main.go
+++ b/cmd/lanewheel-coordinator/main.go
@@ -1,5 +1,5 @@
-// Command lanewheel-coordinator is lanewheel-fleet with the coordinators' replicated log linked. It is a program of its
-// own because the log takes memory at rest; lanewheel hands over to it for its coordinator command.
+// Command lanewheel-coordinator is lanewheel-fleet linked with the coordinators' replicated log. It is a separate
+// program because the log takes memory even when idle. lanewheel executes it for the command "coordinator".
 package main
 
 import (
--- a/cmd/lanewheel-fleet/main.go
+++ b/cmd/lanewheel-fleet/main.go
@@ -1,5 +1,6 @@
-// Command lanewheel-fleet is lanewheel with the parts linked that speak to other processes, and the drill. They are a
-// program of their own as what they link takes memory at rest; lanewheel executes it where they are wanted.
+// Command lanewheel-fleet is lanewheel linked with the packages that communicate with other processes of the fleet, and
+// with the drill. It is a separate program because these packages take memory even when idle. lanewheel executes it for
+// the commands that need them.
 package main
 
 import (
--- a/cmd/lanewheel-sim/main.go
+++ b/cmd/lanewheel-sim/main.go
@@ -1,5 +1,6 @@
-// Command lanewheel-sim hosts many instances of the decisions on the simulator's wire: events on standard input,
-// actions on standard output. It exits with 1 after an error, which it prints on standard error.
+// Command lanewheel-sim runs the admission decisions of many instances under the simulator's protocol: it reads events
+// from standard input and writes actions to standard output. On an error it prints the error to standard error and
+// exits with 1.
 package main
 
 import (
--- a/internal/cli/allocator.go
+++ b/internal/cli/allocator.go
@@ -1,14 +1,14 @@
 package cli
 
-// allocatorCommand leases the concurrency of an upstream service, beside which it stands.
+// allocatorCommand runs the process that is deployed beside an upstream service and leases its concurrency.
 type allocatorCommand struct {
 	Operator string `name:"operator" help:"${help_operator}" placeholder:"FILE" type:"path" required:""`
 	logFlag
 }
 
-// Help is shown with the command's own help.
+// Help returns the text that is appended to the command's help.
 func (c *allocatorCommand) Help() string {
-	return "The operator's file needs the sections [fleet] and [allocator]."
+	return "The operator's file must have the sections [fleet] and [allocator]."
 }
 
 func (c *allocatorCommand) Run() error {
--- a/internal/cli/cert.go
+++ b/internal/cli/cert.go
@@ -11,17 +11,18 @@
 	"lanewheel/internal/keyring"
 )
 
-// certCommand makes what a deployment needs to know devices by certificates, with this program alone.
+// certCommand creates a certificate authority, certificates and revocation lists, so that a deployment can authenticate
+// devices by certificate without another tool.
 type certCommand struct {
 	Authority certAuthority `cmd:"" name:"authority" help:"${help_cert_authority}"`
 	Issue     certIssue     `cmd:"" name:"issue" help:"${help_cert_issue}"`
-	Revoke    certRevoke    `cmd:"" name:"revoke" help:"Revoke certificates: write the authority's list anew."`
+	Revoke    certRevoke    `cmd:"" name:"revoke" help:"Revoke certificates: rewrite the authority's revocation list."`
 }
 
 type certAuthority struct {
-	Folder   string        `arg:"" name:"folder" help:"Folder to make it in." type:"path"`
-	Name     string        `name:"name" default:"lanewheel authority" help:"Its name."`
-	Validity time.Duration `name:"validity" default:"43800h" help:"How long it is valid."`
+	Folder   string        `arg:"" name:"folder" help:"Folder to create it in." type:"path"`
+	Name     string        `name:"name" default:"lanewheel authority" help:"Name of the authority."`
+	Validity time.Duration `name:"validity" default:"43800h" help:"Validity period."`
 }
 
 func (c *certAuthority) Run(o output) error {
@@ -35,7 +36,7 @@
 	if err := savePair(o, pair, filepath.Join(c.Folder, "authority")); err != nil {
 		return err
 	}
-	// An empty list from the start: an instance that is configured with a list does not start without one.
+	// The revocation list is written at once, empty: an instance that is configured with a list does not start without it.
 	list, err := pair.Revoke(nil, nil, time.Now(), c.Validity)
 	if err != nil {
 		return err
@@ -43,7 +44,7 @@
 	return keyring.WriteFileAtomic(filepath.Join(c.Folder, "revoked.pem"), list, 0o644)
 }
 
-// savePair writes a pair as PATH.pem and PATH.key; a file that exists is never overwritten.
+// savePair writes a key pair to PATH.pem and PATH.key. It returns an error if either file already exists.
 func savePair(o output, pair certs.KeyPair, path string) error {
 	for _, extension := range []string{".pem", ".key"} {
 		if _, err := os.Stat(path + extension); err == nil {
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// loadAuthority reads the authority of a folder.
+// loadAuthority reads an authority's certificate and private key from its folder.
 func loadAuthority(folder string) (certs.KeyPair, error) {
 	cert, err := os.ReadFile(filepath.Join(folder, "authority.pem"))
 	if err != nil {
@@ -78,13 +79,13 @@
 }
 
 type certIssue struct {
-	Path      string        `arg:"" name:"path" help:"Where to write it, without an ending." type:"path"`
+	Path      string        `arg:"" name:"path" help:"Path of the files, without an extension." type:"path"`
 	Authority string        `name:"authority" required:"" help:"Folder of the authority." type:"path"`
-	Name      string        `name:"name" help:"Common name; without it, the last part of the path."`
-	URI       []string      `name:"uri" help:"Identities, as rota://water/handheld-7."`
-	Host      []string      `name:"host" help:"DNS names and addresses."`
-	Server    bool          `name:"server" help:"For an instance instead of a client."`
-	Validity  time.Duration `name:"validity" default:"8760h" help:"How long it is valid."`
+	Name      string        `name:"name" help:"Common name; by default the last element of the path."`
+	URI       []string      `name:"uri" help:"URI identities, for example rota://water/handheld-7."`
+	Host      []string      `name:"host" help:"DNS names and IP addresses."`
+	Server    bool          `name:"server" help:"Issue it to an instance instead of a client."`
+	Validity  time.Duration `name:"validity" default:"8760h" help:"Validity period."`
 }
 
 func (c *certIssue) Run(o output) error {
@@ -111,7 +112,7 @@
 type certRevoke struct {
 	Certs      []string      `arg:"" name:"certs" optional:"" help:"${help_cert_files}" type:"path"`
 	Authority  string        `name:"authority" required:"" help:"Folder of the authority." type:"path"`
-	NextUpdate time.Duration `name:"next-update" default:"720h" help:"When the next list is due."`
+	NextUpdate time.Duration `name:"next-update" default:"720h" help:"Time until the next list is due."`
 }
 
 func (c *certRevoke) Run(o output) error {
@@ -135,11 +136,12 @@
 	if err := keyring.WriteFileAtomic(path, list, 0o644); err != nil {
 		return err
 	}
-	o.printf("%s: %d more taken back\n", path, len(serials))
+	o.printf("%s: %d more certificates revoked\n", path, len(serials))
 	return nil
 }
 
-// loadSerials reads the serial numbers of certificates that the authority has issued.
+// loadSerials returns the serial number of the first certificate in each file. It returns an error for a certificate
+// that the authority did not issue.
 func loadSerials(files []string, authority certs.KeyPair) ([]*big.Int, error) {
 	var serials []*big.Int
 	for _, file := range files {
@@ -152,7 +154,7 @@
 			return nil, fmt.Errorf("%s: %w", file, err)
 		}
 		if err := certificates[0].CheckSignatureFrom(authority.Certificate); err != nil {
-			return nil, fmt.Errorf("%s is not this authority's: %w", file, err)
+			return nil, fmt.Errorf("%s was not issued by this authority: %w", file, err)
 		}
 		serials = append(serials, certificates[0].SerialNumber)
 	}
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -10,7 +10,7 @@
 	"lanewheel/internal/lifecycle"
 )
 
-// checkCommand reads a file as an instance would, and says all that is wrong with it.
+// checkCommand reads files as an instance would and prints every diagnostic.
 type checkCommand struct {
 	IncludeNamedFiles bool     `name:"include-named-files" help:"${help_include_named}"`
 	Files             []string `arg:"" name:"file" help:"${help_check_file}"`
--- a/internal/cli/components.go
+++ b/internal/cli/components.go
@@ -12,10 +12,10 @@
 	"lanewheel/internal/logging"
 )
 
-// Components is what only a program brings that has the fleet's parts linked. Those that run a process take the
-// operator's file and the log's format, and return when it has ended.
+// Components holds the functions that only a program linked with the fleet packages provides. Those that run a process
+// take the path of the operator's file and the log format, and return when the process has ended.
 type Components struct {
-	JoinFleet     lifecycle.FleetJoiner
+	JoinFleet      lifecycle.FleetJoiner
 	RunProxy       func(operatorPath, logFormat string) error
 	RunAllocator   func(operatorPath, logFormat string) error
 	ShowMembers    func(fleet config.Fleet, against []string, asJSON bool, out io.Writer) error
@@ -25,28 +25,28 @@
 	CoordinatorFuncs
 }
 
-// CoordinatorFuncs is what a program brings that can ask the coordinators. One that can't be a coordinator has no
-// RunCoordinator.
+// CoordinatorFuncs holds the functions of a program that can send requests to the coordinators. RunCoordinator is nil
+// in a program that can't run as a coordinator.
 type CoordinatorFuncs struct {
 	Request        func(command CoordinatorCommand, out io.Writer) error
 	RunCoordinator func(operatorPath, logFormat string, bootstrap, forceNewCluster bool) error
 	RunDrillHook   func(socket, name, release string, out io.Writer) error
 }
 
-// components is what the program has linked, nil for lanewheel itself. Link sets it before Main.
+// components holds the linked functions. It is nil in lanewheel itself. Link sets it before Main runs.
 var components *Components
 
-// Link says what is linked. It is called once, before Main.
+// Link registers the linked functions. It must be called at most once, before Main.
 func Link(parts Components) { components = &parts }
 
-// The programs that stand beside lanewheel: fleetProgram has the fleet's parts linked, coordinatorProgram the
-// coordinators' log, too.
+// The sibling programs, which are installed in the same directory as lanewheel. fleetProgram is linked with the fleet
+// packages, coordinatorProgram also with the coordinators' replicated log.
 const (
 	fleetProgram       = "lanewheel-fleet"
 	coordinatorProgram = "lanewheel-coordinator"
 )
 
-// runWithComponents runs what a command needs of the fleet's parts, or hands over to the program that has them.
+// runWithComponents calls run with the linked functions. In a program without them it executes fleetProgram instead.
 func runWithComponents(run func(linked *Components) error) error {
 	if components == nil {
 		return execProgram(fleetProgram)
@@ -54,8 +54,8 @@
 	return run(components)
 }
 
-// execProgram hands this process over to a sibling, with the same command line: its number, files and signals stay as
-// they are. It returns only with an error.
+// execProgram replaces this process by a sibling program with the same command line. The process ID, open files and
+// signal settings are kept. It returns only on error.
 func execProgram(name string) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -64,5 +64,5 @@
 	path := filepath.Join(filepath.Dir(self), name)
 	logging.Flush()
 	err = syscall.Exec(path, append([]string{path}, forwardedArgs...), os.Environ())
-	return fmt.Errorf("this needs %s, which is built with lanewheel and stands beside it: %w", name, err)
+	return fmt.Errorf("cannot execute %s, which is built with lanewheel and must be in the same directory: %w", name, err)
 }
--- a/internal/cli/coordinator.go
+++ b/internal/cli/coordinator.go
@@ -1,38 +1,39 @@
 package cli
 
-// CoordinatorAction is what an operator has the coordinators do. Its text is printed when it is agreed.
+// CoordinatorAction is an action that an operator requests from the coordinators. Its text is printed once the
+// coordinators have agreed on the action.
 type CoordinatorAction string
 
-// The actions.
+// The actions that an operator can request.
 const (
-	ActionStatus  CoordinatorAction = "status"
-	ActionHistory CoordinatorAction = "history"
-	ActionDrain   CoordinatorAction = "drain"
-	ActionUndrain CoordinatorAction = "undrain"
-	ActionForget  CoordinatorAction = "forget"
-	ActionHalt    CoordinatorAction = "halt"
-	ActionResume  CoordinatorAction = "resume"
-	ActionBudgets CoordinatorAction = "budgets"
-	ActionRelease CoordinatorAction = "release"
-	ActionRollback    CoordinatorAction = "back"
-	ActionLeave   CoordinatorAction = "leave"
+	ActionStatus   CoordinatorAction = "status"
+	ActionHistory  CoordinatorAction = "history"
+	ActionDrain    CoordinatorAction = "drain"
+	ActionUndrain  CoordinatorAction = "undrain"
+	ActionForget   CoordinatorAction = "forget"
+	ActionHalt     CoordinatorAction = "halt"
+	ActionResume   CoordinatorAction = "resume"
+	ActionBudgets  CoordinatorAction = "budgets"
+	ActionRelease  CoordinatorAction = "release"
+	ActionRollback CoordinatorAction = "back"
+	ActionLeave    CoordinatorAction = "leave"
 )
 
-// CoordinatorCommand is what an operator asks the coordinators.
+// CoordinatorCommand is an operator's request to the coordinators.
 type CoordinatorCommand struct {
 	File        string // operator's file with the sections [coordinator] and [fleet]
 	Action      CoordinatorAction
 	Name        string // of a member or coordinator
 	Zone        string
 	Upstream    string
-	Path        string // of budgets, a rollout, or where history goes
+	Path        string // file of the budgets or of the rollout plan, or file to export the history to
 	Reason      string
 	RequestedBy string
 	JSON        bool
 	Wait        bool
 }
 
-// coordinatorFlags is what all commands take that ask the coordinators.
+// coordinatorFlags holds the flags of all commands that send a request to the coordinators.
 type coordinatorFlags struct {
 	Operator    string `name:"operator" help:"${help_request_operator}" placeholder:"FILE" type:"path" required:""`
 	RequestedBy string `name:"by" help:"${help_by}" default:"${user}"`
@@ -46,7 +47,7 @@
 	})
 }
 
-// coordinatorCommand is one of the processes that hold the replicated state of the fleet.
+// coordinatorCommand runs a coordinator, one of the processes that hold the replicated state of the fleet.
 type coordinatorCommand struct {
 	Operator  string `name:"operator" help:"${help_operator}" placeholder:"FILE" type:"path" required:""`
 	Bootstrap bool   `name:"bootstrap" help:"${help_bootstrap}"`
@@ -54,9 +55,9 @@
 	logFlag
 }
 
-// Help is shown with the command's own help.
+// Help returns the text that is appended to the command's help.
 func (c *coordinatorCommand) Help() string {
-	return "The operator's file needs the sections [fleet] and [coordinator]."
+	return "The operator's file must have the sections [fleet] and [coordinator]."
 }
 
 func (c *coordinatorCommand) Run() error {
--- a/internal/cli/drain.go
+++ b/internal/cli/drain.go
@@ -1,13 +1,13 @@
 package cli
 
-// drainCommand requests permits to take members out, and waits for them.
+// drainCommand requests permits to take members out of service, and waits for them.
 type drainCommand struct {
 	coordinatorFlags
-	Name     string `arg:"" name:"name" optional:"" help:"A member."`
+	Name     string `arg:"" name:"name" optional:"" help:"Name of a member."`
 	Zone     string `name:"zone" help:"${help_drain_zone}"`
 	Upstream string `name:"upstream" help:"${help_drain_upstream}"`
 	Cancel   bool   `name:"cancel" help:"${help_cancel}"`
-	Wait     bool   `name:"wait" help:"Say how it goes until all are out." default:"true" negatable:""`
+	Wait     bool   `name:"wait" help:"Print the progress until all are out of service." default:"true" negatable:""`
 }
 
 func (c *drainCommand) Run(o output) error {
--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -2,9 +2,9 @@
 
 import "lanewheel/internal/config"
 
-// drillCommand runs game-day drills, and shows their records.
+// drillCommand runs game-day drills and prints their records.
 type drillCommand struct {
-	RunScript drillRun  `cmd:"" name:"run" default:"withargs" help:"Carry a script out."`
+	RunScript drillRun  `cmd:"" name:"run" default:"withargs" help:"Run a script."`
 	Show      drillShow `cmd:"" name:"show" help:"Print the table of a record."`
 	Diff      drillDiff `cmd:"" name:"diff" help:"Print the figures of two records side by side."`
 }
@@ -12,15 +12,15 @@
 type drillRun struct {
 	Check    bool     `name:"check" help:"${help_drill_check}"`
 	Set      []string `name:"set" help:"${help_drill_set}" placeholder:"SECTION.NAME=VALUE"`
-	Seed     *int     `name:"seed" help:"In place of the script's."`
-	Size     int      `name:"size" help:"Processes, in place of the script's." default:"0"`
-	KeepLogs bool     `name:"keep" help:"Keep what the processes logged, also if all held."`
+	Seed     *int     `name:"seed" help:"Random seed, in place of the script's."`
+	Size     int      `name:"size" help:"Number of instances, in place of the script's." default:"0"`
+	KeepLogs bool     `name:"keep" help:"Keep the logs of the processes even if every invariant held."`
 	Record   string   `name:"record" help:"Write the raw record as Parquet." placeholder:"FILE" type:"path"`
-	Picture  string   `name:"picture" help:"Draw it as SVG." placeholder:"FILE" type:"path"`
+	Picture  string   `name:"picture" help:"Draw the record as SVG." placeholder:"FILE" type:"path"`
 	Script   string   `arg:"" name:"script" help:"${help_drill_script}" type:"path"`
 }
 
-// checkOnlyRecord is the record's name by which RunDrill only prints what would be done.
+// checkOnlyRecord is passed to RunDrill in place of a record's path to print the timeline without running the drill.
 const checkOnlyRecord = "check"
 
 func (c *drillRun) Run(o output) error {
@@ -49,7 +49,7 @@
 }
 
 type drillShow struct {
-	Picture string `name:"picture" help:"Draw it as SVG." placeholder:"FILE" type:"path"`
+	Picture string `name:"picture" help:"Draw the record as SVG." placeholder:"FILE" type:"path"`
 	Record  string `arg:"" name:"record" type:"path"`
 }
 
@@ -70,7 +70,8 @@
 	})
 }
 
-// drillHookCommand has a drill start a member anew: it is the restart command that a drill gives its coordinators.
+// drillHookCommand asks a running drill to restart a member. A drill configures it as the restart command of its
+// coordinators.
 type drillHookCommand struct {
 	Socket  string `arg:"" name:"socket"`
 	Name    string `arg:"" name:"name"`
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -1,18 +1,18 @@
 package cli
 
-// fleetCommand shows and changes the replicated state.
+// fleetCommand prints and changes the replicated state of the fleet.
 type fleetCommand struct {
 	Status  releaseStatus `cmd:"" name:"status" help:"${help_fleet_status}"`
-	History fleetHistory  `cmd:"" name:"history" help:"Every command, who gave it and what became of it."`
+	History fleetHistory  `cmd:"" name:"history" help:"List every command with its requester and its outcome."`
 	Budgets fleetBudgets  `cmd:"" name:"budgets" help:"${help_budgets}"`
-	Forget  fleetForget   `cmd:"" name:"forget" help:"Forget a member that does not come back."`
-	Leave   fleetLeave    `cmd:"" name:"leave" help:"Remove a coordinator from the others, for good."`
+	Forget  fleetForget   `cmd:"" name:"forget" help:"Forget a member that will not return."`
+	Leave   fleetLeave    `cmd:"" name:"leave" help:"Remove a coordinator permanently."`
 }
 
 type fleetHistory struct {
 	coordinatorFlags
 	JSON    bool   `name:"json"`
-	Parquet string `name:"parquet" help:"Write it as Parquet." placeholder:"FILE" type:"path"`
+	Parquet string `name:"parquet" help:"Write the history as Parquet." placeholder:"FILE" type:"path"`
 }
 
 func (c *fleetHistory) Run(o output) error {
@@ -21,7 +21,7 @@
 
 type fleetBudgets struct {
 	coordinatorFlags
-	File string `arg:"" name:"file" help:"An INI with sections [budget NAME]." type:"path"`
+	File string `arg:"" name:"file" help:"INI file with sections [budget NAME]." type:"path"`
 }
 
 func (c *fleetBudgets) Run(o output) error {
--- a/internal/cli/fleetcommands/commands.go
+++ b/internal/cli/fleetcommands/commands.go
@@ -13,7 +13,7 @@
 // Commands returns all that lanewheel-fleet has beside lanewheel.
 func Commands() cli.Components {
 	return cli.Components{
-		JoinFleet:     joinFleet,
+		JoinFleet:      joinFleet,
 		RunProxy:       runProxy,
 		RunAllocator:   runAllocator,
 		ShowMembers:    showMembers,
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -13,18 +13,18 @@
 	"lanewheel/internal/keyring"
 )
 
-// keysCommand makes and looks after the keys that tokens are signed with.
+// keysCommand creates, lists, publishes and retires the keys that sign tokens.
 type keysCommand struct {
 	New     keysNew     `cmd:"" name:"new" help:"${help_keys_new}"`
 	List    keysList    `cmd:"" name:"list" help:"List the published keys of a folder and whether they are valid now."`
 	Publish keysPublish `cmd:"" name:"publish" help:"${help_keys_publish}"`
-	Retire  keysRetire  `cmd:"" name:"retire" help:"Say when a published key stops being valid, or revoke it now."`
+	Retire  keysRetire  `cmd:"" name:"retire" help:"Set the time at which a published key expires, or revoke it now."`
 }
 
 type keysNew struct {
 	PrivateDir string `name:"private" help:"Folder for the private key." required:"" type:"path"`
 	Algorithm  string `name:"algorithm" help:"EdDSA, ES256 or RS256." enum:"EdDSA,ES256,RS256" default:"EdDSA"`
-	KeyID      string `name:"id" help:"The key's id; without it, its thumbprint." placeholder:"KID"`
+	KeyID      string `name:"id" help:"Key ID; by default the key's thumbprint." placeholder:"KID"`
 }
 
 func (c *keysNew) Run(o output) error {
@@ -53,7 +53,8 @@
 	return nil
 }
 
-// keyFileName makes a file's name of a key's id, which may hold anything.
+// keyFileName returns the base name of a key's file. Each character of the key ID that is not an ASCII letter, a digit,
+// '-' or '_' becomes '_', as a key ID may contain any character.
 func keyFileName(id string) string {
 	return strings.Map(func(r rune) rune {
 		if r == '-' || r == '_' || r >= '0' && r <= '9' || r >= 'A' && r <= 'Z' || r >= 'a' && r <= 'z' {
@@ -91,13 +92,13 @@
 	return t.UTC().Format(time.RFC3339)
 }
 
-// validityFlags are the two ends of a time, each absolute or from now.
+// validityFlags are the start and end of a validity period, each an absolute time or a duration from now.
 type validityFlags struct {
 	From  string `name:"from" help:"${help_key_from}" placeholder:"WHEN"`
 	Until string `name:"until" help:"${help_key_until}" placeholder:"WHEN"`
 }
 
-// parseTime reads an absolute time, or one from now. An empty text is the zero time.
+// parseTime parses an absolute time in RFC 3339 or a duration from now. It returns the zero time for an empty text.
 func parseTime(text string) (time.Time, error) {
 	if text == "" {
 		return time.Time{}, nil
@@ -107,7 +108,7 @@
 	}
 	t, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		return t, fmt.Errorf("%q: want a time as 2027-01-31T06:00:00Z, or one from now as 36h: %w", text, err)
+		return t, fmt.Errorf("%q must be a time like 2027-01-31T06:00:00Z or a duration from now like 36h: %w", text, err)
 	}
 	return t, nil
 }
@@ -134,14 +135,15 @@
 	return publishKey(o, c.Folder, publication{key: key, from: from, until: until})
 }
 
-// publication is a key with the times between which it is valid; withdrawn, it never is.
+// publication is a key with its validity period. A withdrawn key is never valid.
 type publication struct {
 	key         jose.JSONWebKey
 	from, until time.Time
 	withdrawn   bool
 }
 
-// publishKey writes a key's file, and proves that the folder is valid with it before instances see it.
+// publishKey writes the file of a published key. Before writing, so that instances never read an invalid folder, it
+// checks that the folder would be valid with the file.
 func publishKey(o output, folder string, published publication) error {
 	key := published.key
 	text, err := keyring.EncodePublic(key, published.from, published.until, published.withdrawn)
@@ -168,10 +170,10 @@
 }
 
 type keysRetire struct {
-	KeyID    string `arg:"" name:"kid" help:"The key's id."`
+	KeyID    string `arg:"" name:"kid" help:"Key ID."`
 	Folder   string `name:"folder" help:"Folder of the published keys." required:"" type:"path"`
-	RetireAt string `name:"at" help:"When it stops being valid: RFC 3339, or a time from now." placeholder:"WHEN"`
-	Withdraw bool   `name:"now" help:"Revoke it now: whatever it signed is invalid."`
+	RetireAt string `name:"at" help:"Time at which it expires: RFC 3339, or a duration from now." placeholder:"WHEN"`
+	Withdraw bool   `name:"now" help:"Revoke it now: every token that it signed becomes invalid."`
 }
 
 func (c *keysRetire) Run(o output) error {
@@ -194,7 +196,7 @@
 		at = key.RetireAt
 	}
 	if filepath.Base(key.File) != keyFileName(c.KeyID)+".json" {
-		return fmt.Errorf("%s was not written by \"keys publish\": change it there", key.File)
+		return fmt.Errorf("%s was not written by \"keys publish\" and must be edited directly", key.File)
 	}
 	return publishKey(o, c.Folder, publication{
 		key: jose.JSONWebKey{
--- a/internal/cli/members.go
+++ b/internal/cli/members.go
@@ -6,7 +6,7 @@
 	"lanewheel/internal/config"
 )
 
-// membersCommand shows how a running process sees its fleet.
+// membersCommand prints a running process's view of its fleet.
 type membersCommand struct {
 	JSON    bool     `name:"json" help:"Print the whole view as JSON."`
 	Against []string `name:"against" help:"${help_against}" placeholder:"FILE" type:"path"`
@@ -31,14 +31,15 @@
 	})
 }
 
-// loadFleetSection reads the fleet's section of an operator's file; it has to name a status socket.
+// loadFleetSection reads the section [fleet] of an operator's file. It returns an error if the section is missing or
+// does not set a status socket.
 func loadFleetSection(path string) (config.Fleet, error) {
 	operator, err := config.Load(path)
 	if err != nil {
 		return config.Fleet{}, err
 	}
 	if !operator.Fleet.Enabled || operator.Fleet.StatusSocket == "" {
-		return config.Fleet{}, fmt.Errorf("%s: fleet.status-socket names no socket", path)
+		return config.Fleet{}, fmt.Errorf("%s: fleet.status-socket must be set", path)
 	}
 	return operator.Fleet, nil
 }
--- a/internal/cli/proxy.go
+++ b/internal/cli/proxy.go
@@ -1,14 +1,14 @@
 package cli
 
-// proxyCommand forwards requests to the instances of its fleet.
+// proxyCommand runs a proxy, which forwards requests to the instances of its fleet.
 type proxyCommand struct {
 	Operator string `name:"operator" help:"${help_operator}" placeholder:"FILE" type:"path" required:""`
 	logFlag
 }
 
-// Help is shown with the command's own help.
+// Help returns the text that is appended to the command's help.
 func (c *proxyCommand) Help() string {
-	return "The operator's file needs the sections [fleet] and [proxy]."
+	return "The operator's file must have the sections [fleet] and [proxy]."
 }
 
 func (c *proxyCommand) Run() error {
--- a/internal/cli/queue.go
+++ b/internal/cli/queue.go
@@ -15,14 +15,15 @@
 	"lanewheel/internal/lifecycle"
 )
 
-// queueCommand looks at the queues of an operator's file, and sends to them.
+// queueCommand checks and watches the queues of an operator's file, and sends requests to them.
 type queueCommand struct {
 	Check queueCheck `cmd:"" name:"check" help:"${help_queue_check}"`
-	Send  queueSend  `cmd:"" name:"send" help:"Send requests to a queue and wait for their answers."`
+	Send  queueSend  `cmd:"" name:"send" help:"Send requests to a queue and wait for their replies."`
 	Watch queueWatch `cmd:"" name:"watch" help:"${help_queue_watch}"`
 }
 
-// loadQueues reads the operator's file with all that it names for queues.
+// loadQueues reads the section [amqp] of an operator's file, with the queues and the files that the operator's file
+// names. It returns an error if the section is missing.
 func loadQueues(path string) (config.AMQP, error) {
 	operatorConfig, err := lifecycle.LoadOperatorConfig(path)
 	if err != nil {
@@ -30,7 +31,7 @@
 	}
 	operatorConfig.File.Renamed.Warn()
 	if !operatorConfig.File.AMQP.Enabled {
-		return config.AMQP{}, fmt.Errorf("%s has no section amqp", path)
+		return config.AMQP{}, fmt.Errorf("%s has no section [amqp]", path)
 	}
 	return operatorConfig.File.AMQP, nil
 }
@@ -77,7 +78,8 @@
 	return nil
 }
 
-// checkBroker adds a row for each queue of a broker, and tells whether all is as it should be.
+// checkBroker adds a row for each queue of a broker. It reports whether the broker accepted the connection and has all
+// queues.
 func checkBroker(table table, queues *config.AMQP, address string) bool {
 	uri, err := client.ParseURI(address)
 	if err != nil {
@@ -90,7 +92,7 @@
 		table.row(hostPort, "", "", "", err)
 		return false
 	}
-	defer func() { _ = connection.Close() }() // all has been asked
+	defer func() { _ = connection.Close() }() // every queue has been inspected, so an error does not matter
 	valid := true
 	check := func(name, finding string) {
 		queue, err := inspectQueue(connection, name)
@@ -111,7 +113,8 @@
 	return valid
 }
 
-// inspectQueue asks for a queue on a channel of its own: for one that does not exist the broker closes the channel.
+// inspectQueue returns the state of a queue. It uses a separate channel, as the broker closes the channel on which a
+// queue that does not exist is declared.
 func inspectQueue(connection *client.Connection, name string) (client.Queue, error) {
 	channel, err := connection.Channel()
 	if err != nil {
@@ -122,12 +125,12 @@
 }
 
 type queueWatch struct {
-	Operator string        `arg:"" name:"operator" help:"Operator's file, which names the socket." type:"path"`
-	Interval time.Duration `name:"every" default:"1s" help:"How often."`
-	Count    int           `name:"count" default:"0" help:"How often at most; 0: until it is interrupted."`
+	Operator string        `arg:"" name:"operator" help:"Operator's file, which names the status socket." type:"path"`
+	Interval time.Duration `name:"every" default:"1s" help:"Interval between two outputs."`
+	Count    int           `name:"count" default:"0" help:"Maximum number of outputs; 0 means until interrupted."`
 }
 
-var errNoStatusSocket = errors.New("the file's section amqp names no status socket")
+var errNoStatusSocket = errors.New("amqp.status-socket must be set in the operator's file")
 
 func (c *queueWatch) Run(o output) error {
 	queues, err := loadQueues(c.Operator)
--- a/internal/cli/queuesend.go
+++ b/internal/cli/queuesend.go
@@ -17,17 +17,17 @@
 type queueSend struct {
 	Operator string            `arg:"" name:"operator" help:"Operator's file, which names the brokers." type:"path"`
 	Queue    string            `name:"queue" required:"" help:"Queue to send to."`
-	Class    string            `name:"type" required:"" help:"Class, in the property type."`
-	Body     string            `name:"body" default:"" help:"Body of each."`
-	Headers  map[string]string `name:"header" help:"Headers, as tenant=water." placeholder:"NAME=VALUE;..."`
-	Timeout  time.Duration     `name:"wait" default:"10s" help:"How long each may take, in the property expiration."`
-	Count    int               `name:"count" default:"1" help:"How many."`
-	Rate     float64           `name:"rate" default:"100" help:"Messages a second."`
+	Class    string            `name:"type" required:"" help:"Class of the requests, sent as the property type."`
+	Body     string            `name:"body" default:"" help:"Body of each message."`
+	Headers  map[string]string `name:"header" help:"Headers, for example tenant=water." placeholder:"NAME=VALUE;..."`
+	Timeout  time.Duration     `name:"wait" default:"10s" help:"Timeout of each message, sent as the property expiration."`
+	Count    int               `name:"count" default:"1" help:"Number of messages."`
+	Rate     float64           `name:"rate" default:"100" help:"Messages per second."`
 }
 
 var errSendFlags = errors.New("--count and --rate must be greater than 0")
 
-// Run sends and waits: a queue of its own takes the answers, and each message has one.
+// Run sends the messages and waits for one reply to each, on an exclusive reply queue that it declares.
 func (c *queueSend) Run(o output) error {
 	queues, err := loadQueues(c.Operator)
 	if err != nil {
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = connection.Close() }() // all has been answered, or is given up
+	defer func() { _ = connection.Close() }() // no reply is awaited any more, so an error does not matter
 	channel, err := connection.Channel()
 	if err != nil {
 		return err
@@ -71,10 +71,10 @@
 	channel    *client.Channel
 	replyQueue string
 
-	mu         sync.Mutex           // guards what follows
-	pending    map[string]time.Time // when each was sent, by its id
+	mu         sync.Mutex           // guards the fields below
+	pending    map[string]time.Time // send times of the messages without a reply, by message ID
 	outcomes   map[string]int
-	duplicates int
+	duplicates int                     // replies other than the first one to a message
 	latencies  *hdrhistogram.Histogram // µs
 }
 
@@ -90,7 +90,7 @@
 	}
 }
 
-// sendAll sends all messages at the rate.
+// sendAll sends all messages at the configured rate.
 func (s *queueSender) sendAll() error {
 	c := s.command
 	headers := client.Table{}
@@ -121,8 +121,8 @@
 	return nil
 }
 
-// receiveReplies takes replies until each message has one, none comes for too long, or the connection ends. The body of a
-// single one is printed.
+// receiveReplies receives replies until each message has one, no reply has arrived for replyTimeout, or the connection
+// is closed. If only one message is sent, the body of its reply is printed.
 func (s *queueSender) receiveReplies(o output, replies <-chan client.Delivery) {
 	const grace = 5 * time.Second
 	sendDuration := time.Duration(float64(s.command.Count) / s.command.Rate * float64(time.Second))
@@ -145,7 +145,7 @@
 	}
 }
 
-// record counts a reply, and tells whether it is the first one of its message.
+// record counts a reply and reports whether it is the first one to its message.
 func (s *queueSender) record(reply *client.Delivery) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,13 +155,14 @@
 		return false
 	}
 	delete(s.pending, reply.CorrelationId)
-	_ = s.latencies.RecordValue(max(1, time.Since(sentAt).Microseconds())) // beyond the maximum it is not counted
+	_ = s.latencies.RecordValue(max(1, time.Since(sentAt).Microseconds())) // latencies beyond the maximum are not recorded
 	reason, _ := reply.Headers["why"].(string)
 	s.outcomes[strings.TrimSpace(reply.Type+" "+reason)]++
 	return true
 }
 
-// printResult prints what became of the messages. That some have no reply is a failure.
+// printResult prints the number of messages by outcome and the latencies. It returns errReported if a message has no
+// reply.
 func (s *queueSender) printResult(o output) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/cli/renamed.go
+++ b/internal/cli/renamed.go
@@ -8,8 +8,8 @@
 	"lanewheel/internal/logging"
 )
 
-// renamedCommands are the earlier names of commands, each with the one that it has now. They are accepted, and shown in
-// no help.
+// renamedCommands maps the earlier names of commands to their current names. Earlier names are accepted but not shown
+// in the help.
 var renamedCommands = map[string]string{
 	"steward":      "coordinator",
 	"desk":         "allocator",
@@ -18,7 +18,7 @@
 	"release back": "release rollback",
 }
 
-// renamedFlags are the earlier names of flags, by the command's name now.
+// renamedFlags maps, for each command by its current name, the earlier names of its flags to their current names.
 var renamedFlags = map[string]map[string]string{
 	"coordinator":    {"--begin": "--bootstrap", "--alone": "--recover"},
 	"drain":          {"--below": "--upstream", "--drop": "--cancel"},
@@ -30,8 +30,8 @@
 	"check":          {"--named": "--include-named-files"},
 }
 
-// renameArgs returns a command line in the terms that hold now, and what it used of earlier ones, as "desk is now
-// allocator".
+// renameArgs returns a command line with the earlier names replaced by the current ones. uses describes each
+// replacement, for example "desk is now allocator".
 func renameArgs(args []string) (renamed, uses []string) {
 	renamed = append(renamed, args...)
 	note := func(earlier, now string) { uses = append(uses, earlier+" is now "+now) }
@@ -67,7 +67,8 @@
 	return renamed, uses
 }
 
-// warnRenamed logs all earlier terms of the command line in one warning, in the form that the command will log in.
+// warnRenamed logs all earlier names on the command line in one warning, in the log format of the command. uses is the
+// result of renameArgs; nothing is logged if it is empty.
 func (c *commandLine) warnRenamed(command string, uses []string) {
 	if len(uses) == 0 {
 		return
--- a/internal/cli/rollout.go
+++ b/internal/cli/rollout.go
@@ -1,12 +1,12 @@
 package cli
 
-// releaseCommand rolls a release out in waves.
+// releaseCommand starts, controls and shows the rollout of a release in waves.
 type releaseCommand struct {
 	Start    releaseStart    `cmd:"" name:"start" help:"Start a rollout."`
-	Status   releaseStatus   `cmd:"" name:"status" help:"How far it is, and what it waits for."`
-	Halt     releaseHalt     `cmd:"" name:"halt" help:"Nothing further begins, anywhere."`
-	Resume   releaseResume   `cmd:"" name:"resume" help:"Go on."`
-	Rollback releaseRollback `cmd:"" name:"rollback" help:"Roll back: waves in reverse, under the same budgets."`
+	Status   releaseStatus   `cmd:"" name:"status" help:"Show the state of the fleet and of the rollout."`
+	Halt     releaseHalt     `cmd:"" name:"halt" help:"Halt the whole fleet: no further change begins."`
+	Resume   releaseResume   `cmd:"" name:"resume" help:"Resume after a halt."`
+	Rollback releaseRollback `cmd:"" name:"rollback" help:"Roll back: the waves in reverse order, under the same budgets."`
 }
 
 type releaseStart struct {
@@ -29,7 +29,7 @@
 
 type releaseHalt struct {
 	coordinatorFlags
-	Reason string `arg:"" name:"why" optional:"" help:"Why, for the history."`
+	Reason string `arg:"" name:"why" optional:"" help:"Reason to record in the history."`
 }
 
 func (c *releaseHalt) Run(o output) error {
@@ -44,7 +44,7 @@
 
 type releaseRollback struct {
 	coordinatorFlags
-	Reason string `arg:"" name:"why" optional:"" help:"Why, for the history."`
+	Reason string `arg:"" name:"why" optional:"" help:"Reason to record in the history."`
 }
 
 func (c *releaseRollback) Run(o output) error {
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -8,9 +8,9 @@
 	"lanewheel/internal/logging"
 )
 
-// serveCommand is one instance, as the platform starts it.
+// serveCommand runs one instance, as the platform does by starting the program without arguments.
 type serveCommand struct {
-	Operator string `name:"operator" help:"Operator's file (INI); read again at SIGHUP." placeholder:"FILE" type:"path"`
+	Operator string `name:"operator" help:"Operator's file (INI); reloaded on SIGHUP." placeholder:"FILE" type:"path"`
 	logFlag
 }
 
@@ -21,6 +21,8 @@
 	return nil
 }
 
+// serve runs an instance until it has ended and returns the exit code. If the operator's file requires the fleet
+// packages and they are not linked, it executes fleetProgram.
 func serve(operatorFile, logFormat string) int {
 	options := lifecycle.Options{
 		ConfigPath:   os.Getenv("RELAY_CONFIG"),
--- a/internal/cli/token.go
+++ b/internal/cli/token.go
@@ -17,7 +17,7 @@
 	"lanewheel/internal/tokens"
 )
 
-// tokenCommand issues and shows tokens.
+// tokenCommand issues tokens and prints their contents.
 type tokenCommand struct {
 	Issue tokenIssue `cmd:"" name:"issue" help:"Sign a token and print it."`
 	Show  tokenShow  `cmd:"" name:"show" help:"${help_token_show}"`
@@ -25,15 +25,15 @@
 
 type tokenIssue struct {
 	Key         string        `name:"key" help:"File of the private key." required:"" type:"path"`
-	Issuer      string        `name:"issuer" required:"" help:"Who issues it, as instances are configured."`
-	Audience    string        `name:"audience" required:"" help:"For whom it is, as instances are configured."`
-	Subject     string        `name:"subject" required:"" help:"Whom it is for, as handheld-7."`
+	Issuer      string        `name:"issuer" required:"" help:"Issuer, as configured in the instances."`
+	Audience    string        `name:"audience" required:"" help:"Audience, as configured in the instances."`
+	Subject     string        `name:"subject" required:"" help:"Subject, for example handheld-7."`
 	Tenant      string        `name:"tenant" help:"Tenant, in the claim that --tenant-claim names."`
 	Roles       []string      `name:"roles" help:"Roles, in the claim that --roles-claim names." placeholder:"ROLE,..."`
 	TenantClaim string        `name:"tenant-claim" default:"tenant" help:"Name of the claim with the tenant."`
 	RolesClaim  string        `name:"roles-claim" default:"roles" help:"Name of the claim with the roles."`
-	Validity    time.Duration `name:"validity" default:"1h" help:"How long it is valid."`
-	TokenID     string        `name:"jti" help:"Its id; without one, it has one drawn at random."`
+	Validity    time.Duration `name:"validity" default:"1h" help:"Validity period."`
+	TokenID     string        `name:"jti" help:"Token ID; random by default."`
 }
 
 func (c *tokenIssue) Run(o output) error {
@@ -104,18 +104,19 @@
 	return c.printVerdict(o, raw)
 }
 
-// readToken reads the token's text.
+// readToken reads the token from the file or from standard input.
 func (c *tokenShow) readToken() (string, error) {
 	if c.File != "-" {
 		text, err := os.ReadFile(c.File)
 		return strings.TrimSpace(string(text)), err
 	}
-	const maxBytes = 1 << 16 // many times the longest token that an instance takes
+	const maxBytes = 1 << 16 // many times the size of the longest token that an instance accepts
 	text, err := io.ReadAll(io.LimitReader(os.Stdin, maxBytes))
 	return strings.TrimSpace(string(text)), err
 }
 
-// printVerdict prints whether a token is valid now, by the operator's file.
+// printVerdict prints whether a token is valid now under the settings of the operator's file. It returns errReported if
+// the token is denied.
 func (c *tokenShow) printVerdict(o output, raw string) error {
 	operatorConfig, err := lifecycle.LoadOperatorConfig(c.Operator)
 	if err != nil {
@@ -123,7 +124,7 @@
 	}
 	operatorConfig.File.Renamed.Warn()
 	if operatorConfig.Authn == nil || operatorConfig.Authn.KeySet == nil {
-		return errors.New("the operator's file has no section tokens")
+		return errors.New("the operator's file has no section [tokens]")
 	}
 	authn := operatorConfig.Authn
 	denial := verifyNow(raw, authn.KeySet, authn.TokenPolicy, authn.RevokedTokens)
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// verifyNow returns why an instance would deny a token now, empty if it would not.
+// verifyNow returns the reason why an instance would deny a token now, or the empty denial if it would accept it.
 func verifyNow(raw string, keys *keyring.KeySet, policy *tokens.Policy, revoked *tokens.Revocations) authz.Denial {
 	now := time.Now()
 	ring := keyring.NewKeyring(keys, time.Second)
--- a/internal/cli/try.go
+++ b/internal/cli/try.go
@@ -16,25 +16,25 @@
 	"lanewheel/internal/fake/broker"
 )
 
-// tryCommand runs an instance with nothing else running.
+// tryCommand runs an instance under load on one machine, with fakes of all its dependencies.
 type tryCommand struct {
-	Duration    time.Duration `name:"duration" help:"How long the load goes on." default:"10s"`
+	Duration    time.Duration `name:"duration" help:"Duration of the load." default:"10s"`
 	Rate        float64       `name:"rate" help:"${help_try_rate}" default:"200"`
-	Clients     int           `name:"clients" help:"Clients, a connection each." default:"8"`
+	Clients     int           `name:"clients" help:"Number of clients, each with its own connection." default:"8"`
 	MeanRunTime time.Duration `name:"mean-run-time" help:"${help_try_run_time}" default:"5ms"`
-	Seed        uint64        `name:"seed" help:"For chance: the same seed gives the same load." default:"1"`
+	Seed        uint64        `name:"seed" help:"Random seed: the same seed generates the same load." default:"1"`
 	Operator    string        `name:"operator" help:"Operator's file for the instance." placeholder:"FILE" type:"path"`
 	AMQP        bool          `name:"amqp" help:"${help_try_amqp}"`
 	Token       string        `name:"token" help:"${help_try_token}" placeholder:"FILE" type:"path"`
 	Log         string        `name:"log" help:"${help_try_log}" placeholder:"FILE" type:"path"`
 }
 
-// What can be wrong with a trial.
+// Errors of a trial.
 var (
-	errTryFlags      = errors.New("--rate, --duration and --clients must be greater than 0")
-	errOperatorWithAMQP  = errors.New("--amqp brings an operator's file of its own")
-	errNotReady      = errors.New("the instance does not become ready")
-	errNotTerminated = errors.New("it does not end after SIGTERM")
+	errTryFlags         = errors.New("--rate, --duration and --clients must be greater than 0")
+	errOperatorWithAMQP = errors.New("--amqp generates its own operator's file and must not be used with --operator")
+	errNotReady         = errors.New("the instance did not become ready")
+	errNotTerminated    = errors.New("still running after SIGTERM")
 )
 
 func (c *tryCommand) Run(o output) (err error) {
@@ -55,7 +55,7 @@
 			o.printf("the instance's log is %s\n", trial.logPath)
 			return
 		}
-		_ = os.RemoveAll(trial.dir) // what stays is in the system's temporary folder
+		_ = os.RemoveAll(trial.dir) // on an error, the files remain in the system's temporary folder
 	}()
 	if err := trial.start(); err != nil {
 		return err
@@ -70,12 +70,12 @@
 		return err
 	}
 	if stopErr != nil {
-		return fmt.Errorf("the instance: %w", stopErr)
+		return fmt.Errorf("the instance did not stop cleanly: %w", stopErr)
 	}
 	return nil
 }
 
-// readToken reads the token that the clients bring, empty for none.
+// readToken reads the token that the clients send. It returns an empty text if no file is set.
 func (c *tryCommand) readToken() (string, error) {
 	if c.Token == "" {
 		return "", nil
@@ -84,10 +84,10 @@
 	return strings.TrimSpace(string(text)), err
 }
 
-// trial is an instance with the fakes of all that it speaks to.
+// trial is an instance with the fakes of its dependencies.
 type trial struct {
 	command    *tryCommand
-	dir        string // of its files
+	dir        string // temporary folder of its files
 	logPath    string
 	log        *os.File
 	listenAddr string
@@ -99,10 +99,10 @@
 
 	instance *exec.Cmd
 	exited   chan struct{} // closed when the instance has ended
-	exitErr  error         // to be read after that
+	exitErr  error         // result of Wait; read only after exited is closed
 }
 
-// newTrial starts the fakes.
+// newTrial starts the fakes. It does not start the instance.
 func newTrial(c *tryCommand) (*trial, error) {
 	if c.AMQP && c.Operator != "" {
 		return nil, errOperatorWithAMQP
@@ -132,7 +132,7 @@
 	return t, nil
 }
 
-// close ends the fakes and closes the log.
+// close stops the fakes and closes the log.
 func (t *trial) close() {
 	_ = t.runtime.Listener.Close()
 	_ = t.database.Listener.Close()
@@ -184,11 +184,12 @@
 	return t.waitReady()
 }
 
-// waitReady has the runtime get ready, and returns once it runs what comes.
+// waitReady makes the fake runtime report ready and returns once it runs requests. It returns an error if the instance
+// exits or does not connect in time.
 func (t *trial) waitReady() error {
 	ready := make(chan struct{})
 	go func() {
-		defer func() { _ = recover() }() // the instance never came: its end tells why
+		defer func() { _ = recover() }() // the fake panics if the instance does not connect; its exit shows the cause
 		t.runtime.Accept()
 		t.runtime.SendReady("steady")
 		const cores = 2
@@ -199,27 +200,27 @@
 	case <-ready:
 		return nil
 	case <-t.exited:
-		text, _ := os.ReadFile(t.logPath) // without it, the error has no text
+		text, _ := os.ReadFile(t.logPath) // if the log can't be read, the error lacks its text
 		return fmt.Errorf("the instance did not start:\n%s", text)
 	case <-time.After(2 * fake.WaitTimeout):
-		_ = t.instance.Process.Kill() // it may have ended
+		_ = t.instance.Process.Kill() // it may have exited already
 		return errNotReady
 	}
 }
 
-// stop has the instance drain and end.
+// stop drains the instance with SIGTERM and waits until it has exited. It kills an instance that does not exit in time.
 func (t *trial) stop() error {
-	_ = t.instance.Process.Signal(syscall.SIGTERM) // it may have ended
+	_ = t.instance.Process.Signal(syscall.SIGTERM) // it may have exited already
 	select {
 	case <-t.exited:
 		return t.exitErr
 	case <-time.After(fake.WaitTimeout):
-		_ = t.instance.Process.Kill() // it may have ended
+		_ = t.instance.Process.Kill() // it may have exited already
 		return errNotTerminated
 	}
 }
 
-// platformConfig returns the platform's configuration.
+// platformConfig returns the platform's configuration as JSON.
 func (t *trial) platformConfig() string {
 	settings := strings.NewReplacer(
 		"IDLE", "30",
@@ -231,7 +232,8 @@
 		t.listenAddr, t.runtime.Addr(), t.registry.Addr(), t.database.Addr(), t.command.Seed, settings)
 }
 
-// operatorPath returns the path of the operator's file, empty for none; one for the queue is written.
+// operatorPath returns the path of the operator's file, empty if there is none. With --amqp it writes a file that
+// configures the fake broker and its queue.
 func (t *trial) operatorPath() (string, error) {
 	if t.broker == nil {
 		return t.command.Operator, nil
@@ -242,7 +244,7 @@
 	return path, os.WriteFile(path, []byte(text), 0o600)
 }
 
-// freeAddress returns an address of this machine that nobody listens on.
+// freeAddress returns a loopback address with a free TCP port.
 func freeAddress() (string, error) {
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/cli/tryload.go
+++ b/internal/cli/tryload.go
@@ -12,16 +12,17 @@
 	"lanewheel/internal/fake/broker"
 )
 
-// tryClasses are the classes of the load, of which each is as likely.
+// tryClasses are the classes of the load. Clients choose them with equal probability.
 var tryClasses = []string{"view", "pay", "list"}
 
-// The queues of a trial.
+// The queues of a trial, for requests and for their replies.
 const (
 	tryQueue      = "try"
 	tryReplyQueue = "try.answers"
 )
 
-// run sends the load and returns when all is answered or overdue. A third of it goes by the queue, if there is one.
+// run sends the load and returns when every request has a response or has timed out. With a broker, a third of the
+// requests is sent through its queue.
 func (t *loadTest) run(o output, c *tryCommand, trial *trial, token string) {
 	done := make(chan struct{})
 	defer close(done)
@@ -39,12 +40,14 @@
 	<-sent
 }
 
-// runClients sends at a rate in all, each client its part, whatever comes back: an open loop.
+// runClients sends requests at a total rate, in requests per second, divided equally among the clients. The load is an
+// open loop: the rate does not depend on the responses.
 func (t *loadTest) runClients(c *tryCommand, rate float64, addr, token string) {
 	var clients sync.WaitGroup
 	for number := range c.Clients {
 		clients.Go(func() {
-			defer func() { _ = recover() }() // a connection that is closed on it is in the table, as unanswered
+			// The fake client panics on a closed connection. The table shows its requests as unanswered.
+			defer func() { _ = recover() }()
 			client := newTryClient(t, c, number, addr)
 			defer client.connection.Close()
 			client.run(rate, token)
@@ -65,7 +68,7 @@
 	pending map[int]tryRequest
 }
 
-// tryRequest is a request that is not answered yet.
+// tryRequest is a request without a response.
 type tryRequest struct {
 	class  string
 	sentAt time.Time
@@ -82,7 +85,8 @@
 	}
 }
 
-// run sends the client's part of the rate, and waits a while for what is not answered.
+// run sends the client's part of the rate, then waits for the pending responses and counts the missing ones as
+// unanswered.
 func (c *tryClient) run(rate float64, token string) {
 	done := make(chan struct{})
 	go func() {
@@ -110,7 +114,7 @@
 	}
 }
 
-// receiveResponses records responses until the connection ends.
+// receiveResponses records responses until the connection is closed.
 func (c *tryClient) receiveResponses() {
 	for {
 		response, err := c.connection.NextResponse()
@@ -127,10 +131,11 @@
 	}
 }
 
-// send sends one request, unless as many are pending as the protocol lets.
+// send sends one request. If the client has as many pending requests as the protocol allows, the request is not sent
+// and counts as unanswered.
 func (c *tryClient) send(number int, token string) {
-	const maxPending = 32 // the protocol's bound
-	const maxRank = 0.999 // under 1, rounded too
+	const maxPending = 32 // limit of the protocol
+	const maxRank = 0.999 // less than 1 even when rounded to three decimals
 	class := tryClasses[c.random.IntN(len(tryClasses))]
 	fields := []string{
 		"from", fmt.Sprint(c.number),
@@ -156,9 +161,9 @@
 	c.connection.Send(fake.NewRequest(number, class, key, []byte("body"), fields...))
 }
 
-// awaitResponses waits until all is answered, at most for as long as a request may take.
+// awaitResponses waits until no request is pending, at most for the timeout of a request.
 func (c *tryClient) awaitResponses() {
-	const requestTimeout = 3 * time.Second // of the settings of the fakes
+	const requestTimeout = 3 * time.Second // as in the settings of the fakes
 	for end := time.Now().Add(requestTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		c.mu.Lock()
 		remaining := len(c.pending)
@@ -169,7 +174,7 @@
 	}
 }
 
-// runQueue sends a third of the rate as messages, and takes their replies.
+// runQueue sends messages at a third of the rate and records their replies.
 func (t *loadTest) runQueue(c *tryCommand, queue *broker.Broker) {
 	const replyTimeout = 5 * time.Second
 	sentAt := map[string]time.Time{}
@@ -197,7 +202,8 @@
 	t.countUnanswered(queueRow, len(sentAt))
 }
 
-// recordReplies records the replies that have come; sentAt has the messages without one.
+// recordReplies records the replies that have arrived. sentAt holds the send times of the messages without a reply, by
+// message ID.
 func (t *loadTest) recordReplies(queue *broker.Broker, sentAt map[string]time.Time) {
 	for _, reply := range queue.DrainQueue(tryReplyQueue) {
 		sent, pending := sentAt[reply.CorrelationId]
--- a/internal/cli/tryresult.go
+++ b/internal/cli/tryresult.go
@@ -15,21 +15,21 @@
 	"lanewheel/internal/fake"
 )
 
-// classResult is what became of the requests of one class.
+// classResult counts the requests of one class by outcome.
 type classResult struct {
 	sent, succeeded, rejected, failed, denied, unanswered int
 
-	latency *hdrhistogram.Histogram // µs of those that succeeded
+	latency *hdrhistogram.Histogram // of the successful requests, in µs
 }
 
-// queueRow is the row of the table for messages.
+// queueRow is the name of the table's row for messages sent through the queue.
 const queueRow = "by queue"
 
-// loadTest is what became of the load so far.
+// loadTest collects the results of the load.
 type loadTest struct {
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	classes map[string]*classResult
-	denials map[string]int // by their reason
+	denials map[string]int // number of denials by reason
 }
 
 func newLoadTest(withQueue bool) *loadTest {
@@ -65,7 +65,7 @@
 	switch response.Error {
 	case "":
 		result.succeeded++
-		_ = result.latency.RecordValue(max(1, latency.Microseconds())) // beyond the maximum it is not counted
+		_ = result.latency.RecordValue(max(1, latency.Microseconds())) // latencies beyond the maximum are not recorded
 	case "Busy":
 		result.rejected++
 	case "Denied":
@@ -76,7 +76,7 @@
 	}
 }
 
-// printProgress prints a line a second until done.
+// printProgress prints the totals once a second until done is closed.
 func (t *loadTest) printProgress(o output, done chan struct{}) {
 	began := time.Now()
 	tick := time.NewTicker(time.Second)
@@ -93,7 +93,7 @@
 	}
 }
 
-// sum adds the classes up, without the latencies.
+// sum returns the totals of all classes, without the unanswered requests and the latencies.
 func (t *loadTest) sum() classResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -108,7 +108,7 @@
 	return sum
 }
 
-// printTable prints what became of the load, and what CPU time of the instance it took.
+// printTable prints the results of each class, the denials by reason and the instance's CPU time per request.
 func (t *loadTest) printTable(o output, cpuTime time.Duration) error {
 	sent := t.sum().sent
 	t.mu.Lock()
@@ -138,14 +138,15 @@
 	return nil
 }
 
-// cpuTimeOf is the CPU time that a process has used so far; 0 where /proc does not tell.
+// cpuTimeOf returns the CPU time that a process has used so far, or 0 if it can't be read from /proc.
 func cpuTimeOf(pid int) time.Duration {
-	const tick = 10 * time.Millisecond // of the figures in /proc/PID/stat, on all architectures that we build for
+	const tick = 10 * time.Millisecond // unit of the times in /proc/PID/stat on all supported architectures
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
 	}
-	// The name, which may hold anything, ends with the last bracket; user and system time are fields 14 and 15.
+	// The process name may contain any character, but ends at the last closing parenthesis. The fields after it start at
+	// field 3, so that the user and system time, fields 14 and 15, have the indexes 11 and 12.
 	fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
 	const userField, systemField = 11, 12
 	if len(fields) <= systemField {
