--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -35,7 +35,7 @@
 	Proxy       proxyCommand       `cmd:"" name:"proxy" help:"Forward requests to the instances of a fleet."`
 	Allocator   allocatorCommand   `cmd:"" name:"allocator" help:"${help_allocator}"`
 	Coordinator coordinatorCommand `cmd:"" name:"coordinator" help:"${help_coordinator}"`
-	Drain       drainCommand       `cmd:"" name:"drain" help:"Request a permit to take a member out of service, and wait for it."`
+	Drain       drainCommand       `cmd:"" name:"drain" help:"Request a permit to take a member down, and wait for it."`
 	Release     releaseCommand     `cmd:"" name:"release" help:"Roll out a release in waves, halt it or roll it back."`
 	Fleet       fleetCommand       `cmd:"" name:"fleet" help:"Show and change the replicated state of the fleet."`
 	DrillHook   drillHookCommand   `cmd:"" name:"drill-hook" hidden:""`
--- a/internal/cli/commandline_test.go
+++ b/internal/cli/commandline_test.go
@@ -14,9 +14,9 @@
 	"lanewheel/internal/setuptest"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew from what the code says")
+var update = flag.Bool("update", false, "rewrite the golden files from the current code")
 
-// writeCommand lists a command with its flags and arguments, and all below it.
+// writeCommand appends a command with its flags and arguments, and all of its sub-commands.
 func writeCommand(b *strings.Builder, n *kong.Node) {
 	fmt.Fprintf(b, "%s", n.FullPath())
 	if n.Hidden {
@@ -65,13 +65,13 @@
 	}
 }
 
-// testModel is the command line as the parser knows it.
+// testModel returns the parser's model of the command line.
 func testModel() *kong.Node {
 	var commands commandLine
 	return setuptest.Must(newParser(&commands, "somebody", kong.Writers(io.Discard, io.Discard))).Model.Node
 }
 
-// Every command, flag and argument that there was is there, under its name, with what holds without it.
+// TestGoldenCommandLine checks that the commands, flags and arguments with their names and defaults are unchanged.
 func TestGoldenCommandLine(t *testing.T) {
 	var b strings.Builder
 	writeCommand(&b, testModel())
--- a/internal/cli/coordinatorcommands/coordinator.go
+++ b/internal/cli/coordinatorcommands/coordinator.go
@@ -1,4 +1,5 @@
-// Package coordinatorcommands adds the coordinator to the commands, for the program that has its log linked.
+// Package coordinatorcommands implements the command that runs a coordinator. It is linked only into
+// lanewheel-coordinator, together with the coordinators' replicated log.
 package coordinatorcommands
 
 import (
@@ -13,7 +14,7 @@
 	"lanewheel/internal/membership"
 )
 
-// WithCoordinator adds the coordinator to the commands that lanewheel-fleet has.
+// WithCoordinator returns the commands of lanewheel-fleet with RunCoordinator added.
 func WithCoordinator(commands cli.Components) cli.Components {
 	commands.RunCoordinator = func(operatorPath, logFormat string, bootstrap, forceNewCluster bool) error {
 		options := lifecycle.Options{OperatorPath: operatorPath, LogFormat: logging.Format(logFormat)}
@@ -23,7 +24,8 @@
 	return commands
 }
 
-// attach gives a coordinator its place in the fleet, and returns what takes a reloaded file.
+// attach creates the gossip agent of a coordinator. The returned function applies a reloaded operator's file to the
+// agent.
 func attach(
 	process gossip.Process, operatorConfig *lifecycle.OperatorConfig,
 ) (*gossip.Agent, func(*lifecycle.OperatorConfig), error) {
--- a/internal/cli/credentials_test.go
+++ b/internal/cli/credentials_test.go
@@ -17,19 +17,20 @@
 	"lanewheel/internal/setuptest"
 )
 
-// run carries a command line out that has to succeed, and gives what it printed.
+// run runs a command line that must succeed and returns its output.
 func run(t *testing.T, args ...string) string {
 	t.Helper()
 	var out, errs bytes.Buffer
 	if code := Main(args, &out, &errs); code != 0 {
-		t.Fatalf("%q ends with %d: %s%s", args, code, &out, &errs)
+		t.Fatalf("%q exits with %d: %s%s", args, code, &out, &errs)
 	}
 	return out.String()
 }
 
 const goldenKeys = "../keyring/testdata/golden/"
 
-// Keys are made, published and retired as they were when the golden files of the keyring were written.
+// TestGoldenKeys checks that publishing and retiring keys still writes the golden files of the keyring, and that a new
+// private key has the same JSON members and file mode as before.
 func TestGoldenKeys(t *testing.T) {
 	folder := t.TempDir()
 	run(t, "keys", "publish", goldenKeys+"ed.private", "--folder", folder, "--from", "2026-12-01T00:00:00Z", "--until",
@@ -53,10 +54,10 @@
 		t.Fatal(err)
 	}
 	if names := sortedNames(members); names != "alg crv d kid kty use x y" {
-		t.Errorf("a private key's file names %s", names)
+		t.Errorf("the private key's file has the members %s", names)
 	}
 	if mode := setuptest.Must(os.Stat(filepath.Join(folder, "a_b.private"))).Mode(); mode != 0o600 {
-		t.Errorf("a private key's file is %v", mode)
+		t.Errorf("the private key's file has the mode %v", mode)
 	}
 }
 
@@ -69,7 +70,7 @@
 	return strings.Join(names, " ")
 }
 
-// A token has the header and the claims that it always had.
+// TestGoldenToken checks that the header and the claims of an issued token are unchanged.
 func TestGoldenToken(t *testing.T) {
 	raw := run(t, "token", "issue", "--key", goldenKeys+"ed.private", "--issuer", "https://issuer.example", "--audience",
 		"rota", "--subject", "handheld-7",
@@ -91,7 +92,7 @@
 	if issued == 0 || !reflect.DeepEqual(claims, want) {
 		t.Errorf("claims %v, want %v", claims, want)
 	}
-	// Under other names, which the command line gives.
+	// The tenant and the roles are in the claims that the command line names.
 	raw = run(t, "token", "issue", "--key", goldenKeys+"es.private", "--issuer", "i", "--audience", "a", "--subject",
 		"s", "--tenant", "water", "--roles", "crew",
 		"--tenant-claim", "org", "--roles-claim", "groups")
@@ -105,7 +106,8 @@
 	}
 }
 
-// An authority's folder, certificates and lists are as ever; a folder that was written before goes on.
+// TestGoldenCertificates checks that the files of a new authority and the fields of a certificate are unchanged, and
+// that a folder written by an earlier version still works for issuing and revoking.
 func TestGoldenCertificates(t *testing.T) {
 	folder := t.TempDir()
 	for _, name := range []string{"authority.pem", "authority.key", "revoked.pem"} {
@@ -126,7 +128,7 @@
 	run(t, "cert", "revoke", path+".pem", "--authority", folder, "--next-update", "1h")
 	if len(setuptest.Must(os.ReadFile(filepath.Join(folder,
 		"revoked.pem")))) <= len(setuptest.Must(os.ReadFile("../certs/testdata/golden/revoked.pem"))) {
-		t.Error("the list has not grown")
+		t.Error("the revocation list has not grown")
 	}
 	fresh := filepath.Join(folder, "fresh")
 	run(t, "cert", "authority", fresh)
--- a/internal/cli/fleetcommands/allocator.go
+++ b/internal/cli/fleetcommands/allocator.go
@@ -11,17 +11,18 @@
 	"lanewheel/internal/membership"
 )
 
-// runAllocator runs a process that grants the leases of upstream services, until it has drained.
+// runAllocator runs an allocator, which grants leases for the concurrency of upstream services, until it has drained.
 func runAllocator(operatorPath, logFormat string) error {
 	return allocators.Run(standaloneOptions(operatorPath, logFormat), attachAllocator)
 }
 
-// standaloneOptions are the options of a process that needs no configuration of the platform.
+// standaloneOptions returns the options of a process that does not read the platform's configuration.
 func standaloneOptions(operatorPath, logFormat string) lifecycle.Options {
 	return lifecycle.Options{OperatorPath: operatorPath, LogFormat: logging.Format(logFormat)}
 }
 
-// attachAllocator gives an allocator its place in the fleet, and returns what takes a reloaded file.
+// attachAllocator creates and starts the gossip agent of an allocator. The returned function applies a reloaded
+// operator's file to the agent and the allocator.
 func attachAllocator(
 	process *allocator.Server, operatorConfig *lifecycle.OperatorConfig,
 ) (func(*lifecycle.OperatorConfig), error) {
--- a/internal/cli/fleetcommands/commands.go
+++ b/internal/cli/fleetcommands/commands.go
@@ -1,4 +1,5 @@
-// Package fleetcommands holds the commands of the programs that have the fleet's parts linked.
+// Package fleetcommands implements the commands that communicate with other processes of the fleet, and the drill. It
+// is linked into lanewheel-fleet and lanewheel-coordinator.
 package fleetcommands
 
 import (
@@ -10,7 +11,7 @@
 	"lanewheel/internal/membership"
 )
 
-// Commands returns all that lanewheel-fleet has beside lanewheel.
+// Commands returns the functions that lanewheel-fleet provides in addition to lanewheel. RunCoordinator is nil.
 func Commands() cli.Components {
 	return cli.Components{
 		JoinFleet:      joinFleet,
@@ -27,16 +28,16 @@
 	}
 }
 
-// StandaloneGossipConfig is the gossip configuration of a process that is neither a server nor a proxy, and has the
-// one role.
+// StandaloneGossipConfig returns the gossip configuration of a process that is neither a server nor a proxy and has
+// only the given role.
 func StandaloneGossipConfig(operatorConfig *lifecycle.OperatorConfig, role membership.Roles) gossip.Config {
 	fleet := operatorConfig.File.Fleet
 	fleet.Roles = role
 	return gossipConfig(&fleet, "", "", operatorConfig.ClusterKeys)
 }
 
-// gossipConfig makes the gossip configuration of a fleet section. The name and the service's address hold where the
-// section has none.
+// gossipConfig returns the gossip configuration for the section [fleet]. name and address are the defaults of the
+// member's name and its service address, for a section that does not set them.
 func gossipConfig(fleet *config.Fleet, name, address string, keys []membership.Key) gossip.Config {
 	if fleet.Name != "" {
 		name = fleet.Name
--- a/internal/cli/fleetcommands/coordinator.go
+++ b/internal/cli/fleetcommands/coordinator.go
@@ -16,13 +16,14 @@
 	"lanewheel/internal/lifecycle"
 )
 
-// coordinatorTimeout is how long a leader is looked for.
+// coordinatorTimeout limits how long a client searches for the leader.
 const coordinatorTimeout = 20 * time.Second
 
-// errNoDrainTarget is that a drain names nothing to drain.
+// errNoDrainTarget is returned for a drain that specifies no target.
 var errNoDrainTarget = errors.New("a member, --zone or --upstream is required")
 
-// runCoordinatorCommand asks the coordinators, and prints what they answer.
+// runCoordinatorCommand sends a request to the coordinators and prints the response. It returns a client.RemoteError if
+// they reject it.
 func runCoordinatorCommand(arguments cli.CoordinatorCommand, out io.Writer) error {
 	coordinators, err := newCoordinatorClient(arguments.File)
 	if err != nil {
@@ -43,7 +44,7 @@
 	return proposeCommand(coordinators, arguments, out)
 }
 
-// newCoordinatorClient reads an operator's file for the coordinators' addresses and the cluster's keys.
+// newCoordinatorClient returns a client for the coordinators and with the cluster keys that an operator's file names.
 func newCoordinatorClient(path string) (client.Client, error) {
 	operatorConfig, err := lifecycle.LoadOperatorConfig(path)
 	if err != nil {
@@ -85,7 +86,8 @@
 	return printHistory(response.History, out)
 }
 
-// proposeCommand has a command agreed on, and waits for the permits of a drain where that is asked for.
+// proposeCommand submits a command to the coordinators and prints the action and its permits once they have agreed. For
+// a drain with Wait set, it then waits for the permits.
 func proposeCommand(coordinators client.Client, arguments cli.CoordinatorCommand, out io.Writer) error {
 	command, err := buildCommand(arguments)
 	if err != nil {
@@ -117,8 +119,8 @@
 	return nil
 }
 
-// newIdempotencyKey draws a key that stays the same however often the command is asked: a coordinator that fails
-// between agreeing and answering leaves no second permit behind.
+// newIdempotencyKey returns a random key for a command. Retries of the command send the same key, so that no second
+// permit is created when a coordinator fails after agreeing on the command and before responding.
 func newIdempotencyKey() (string, error) {
 	var key [8]byte
 	if _, err := rand.Read(key[:]); err != nil {
@@ -127,7 +129,8 @@
 	return hex.EncodeToString(key[:]), nil
 }
 
-// buildCommand makes the command that an operator's action means. An unknown action makes a command that is refused.
+// buildCommand returns the command for an operator's action. For an unknown action it returns a command without a kind,
+// which the coordinators reject.
 func buildCommand(arguments cli.CoordinatorCommand) (coordination.Command, error) {
 	command := coordination.Command{RequestedBy: arguments.RequestedBy, Reason: arguments.Reason}
 	switch arguments.Action {
@@ -163,8 +166,8 @@
 	return command, nil
 }
 
-// buildDrain completes a command that requests permits to drain, or cancels such requests: of one member, or of all
-// that are in a zone or beside an upstream service.
+// buildDrain completes a command that requests permits to drain or cancels these requests. It applies to one member, to
+// all members of a zone or to the allocators of an upstream service. Without any of them it returns errNoDrainTarget.
 func buildDrain(command coordination.Command, arguments cli.CoordinatorCommand) (coordination.Command, error) {
 	if arguments.Name == "" && arguments.Zone == "" && arguments.Upstream == "" {
 		return command, errNoDrainTarget
--- a/internal/cli/fleetcommands/coordinator_test.go
+++ b/internal/cli/fleetcommands/coordinator_test.go
@@ -22,7 +22,8 @@
 )
 
 func goldenRollout() *coordination.Rollout {
-	// A rollout's own "Of" and "Judged" stand where its plan's Selector and AnalysisRequired would: both are not stored.
+	// The plan's Selector and AnalysisRequired are not set: they are not stored, as the rollout has its own fields named
+	// "Of" and "Judged" in the stored form, which shadow them.
 	plan := coordination.RolloutPlan{
 		Name:                "r2",
 		TargetRelease:       "2",
@@ -44,7 +45,7 @@
 	}
 }
 
-// goldenStatus is what a coordinator answers, with every field set.
+// goldenStatus returns a coordinator's status with every field set.
 func goldenStatus() client.Status {
 	budget := coordination.DisruptionBudget{
 		Name:                   "all",
@@ -111,8 +112,8 @@
 	}}
 }
 
-// newFakeCoordinator answers each request with the same bytes, and writes an operator's file that names it; what it
-// was asked comes on the channel.
+// newFakeCoordinator starts a coordinator that answers each request with the same bytes, and writes an operator's file
+// that names its address. It sends the received requests to the returned channel.
 func newFakeCoordinator(t *testing.T, answer []byte) (file string, requests chan string) {
 	t.Helper()
 	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -130,7 +131,7 @@
 			}
 			kind, err := client.ServerHandshake(conn, keys)
 			if err == nil && kind == client.ClientConnection {
-				line, _ := bufio.NewReader(conn).ReadString('\n') // the test compares what came
+				line, _ := bufio.NewReader(conn).ReadString('\n') // the test compares the received line
 				requests <- line
 				_, _ = conn.Write(answer)
 			}
@@ -152,8 +153,9 @@
 	}
 }
 
-// What a coordinator answers is read as ever, and "--json" prints it as ever.
-func TestGoldenAnswers(t *testing.T) {
+// TestGoldenResponses checks that a coordinator's responses are decoded as before and that both output formats are
+// unchanged.
+func TestGoldenResponses(t *testing.T) {
 	status := goldenStatus()
 	for name, want := range map[string]client.Response{
 		"status":  {Status: &status},
@@ -171,7 +173,7 @@
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(got, want) {
-				t.Fatalf("read otherwise than before: %+v", got)
+				t.Fatalf("the decoded response differs from the golden one: %+v", got)
 			}
 			file, requests := newFakeCoordinator(t, answer)
 			arguments := cli.CoordinatorCommand{File: file, Action: cli.CoordinatorAction(name), JSON: true}
@@ -219,8 +221,9 @@
 `
 )
 
-// What each command asks the coordinators, as it goes over the wire; the key is drawn anew each time.
-func TestGoldenQuestions(t *testing.T) {
+// TestGoldenRequests checks the request that each command sends to the coordinators. The idempotency key is random, so
+// that a placeholder replaces it.
+func TestGoldenRequests(t *testing.T) {
 	folder := t.TempDir()
 	budgets, plan := filepath.Join(folder, "budgets.ini"), filepath.Join(folder, "plan.ini")
 	writeFile(t, budgets, goldenBudgetsFile)
@@ -254,7 +257,8 @@
 	compareGolden(t, "questions.txt", []byte(printed.String()))
 }
 
-// A refusal, an error of the coordinator and a command that can't be built are errors; nothing is printed.
+// TestCommandErrors checks that a rejected command, an error of the coordinator and a command that can't be built
+// return an error and print nothing.
 func TestCommandErrors(t *testing.T) {
 	var out bytes.Buffer
 	for answer, want := range map[string]string{
@@ -283,7 +287,7 @@
 	}
 }
 
-// How far a permit is, as the wait for a drain prints it.
+// TestProgressOf checks the progress of a permit as printed while waiting for a drain.
 func TestProgressOf(t *testing.T) {
 	gone := &client.Status{Unavailable: []coordination.Member{
 		{Observation: coordination.Observation{Name: "p001", State: coordination.MemberGone}},
--- a/internal/cli/fleetcommands/drain.go
+++ b/internal/cli/fleetcommands/drain.go
@@ -10,11 +10,11 @@
 	"lanewheel/internal/fleet/coordinator/client"
 )
 
-// permitPollInterval is how often the state of permits is asked while they are waited for.
+// permitPollInterval is the interval at which waitForPermits requests the state of the permits.
 const permitPollInterval = 500 * time.Millisecond
 
-// waitForPermits prints how permits advance until all have begun and their members are out, or have ended. It ends
-// early when the coordinators can't be asked any more.
+// waitForPermits prints the progress of permits until each has either ended or begun with its member gone. It returns
+// an error as soon as a request to the coordinators fails.
 func waitForPermits(coordinators client.Client, permits []coordination.PermitID, out io.Writer) error {
 	reported := map[coordination.PermitID]string{}
 	for {
@@ -48,12 +48,13 @@
 	}
 }
 
-// permitProgress is how far a permit is.
+// permitProgress is the progress of a permit.
 type permitProgress struct {
-	text  string // for people
-	isOut bool   // it has begun and its member is out
+	text  string // human-readable
+	isOut bool   // the permit has begun and its member is gone
 }
 
+// progressOf returns the progress of a permit in a status of the coordinators.
 func progressOf(permit coordination.Permit, status *client.Status) permitProgress {
 	isGone := slices.ContainsFunc(status.Unavailable, func(member coordination.Member) bool {
 		return member.Name == permit.Member && member.State == coordination.MemberGone
--- a/internal/cli/fleetcommands/drill.go
+++ b/internal/cli/fleetcommands/drill.go
@@ -9,11 +9,11 @@
 	"lanewheel/internal/drill"
 )
 
-// checkOnlyRecord stands in the place of a record's path for a drill whose timeline is only printed.
+// checkOnlyRecord is passed in place of a record's path to print the timeline of a drill without running it.
 const checkOnlyRecord = "check"
 
-// runDrill carries a script out and returns how many violations there were. The record and the picture are written
-// where a path is given. What can't be printed is no reason to end a drill that has run: the violations are returned.
+// runDrill runs a script and returns the number of violations. The record and the picture are written if their paths
+// are not empty. An error in printing the results is ignored, so that the violations of a completed drill are returned.
 func runDrill(script *config.Drill, record, picture string, out io.Writer) (violations int, err error) {
 	if record == checkOnlyRecord {
 		for _, event := range drill.Timeline(script) {
@@ -53,7 +53,7 @@
 	return violations, err
 }
 
-// showRecord prints a drill's record, and draws it where a path is given.
+// showRecord prints a drill's record and draws it if the path of the picture is not empty.
 func showRecord(record, picture string, out io.Writer) error {
 	loaded, err := drill.LoadRecord(record)
 	if err != nil {
@@ -66,7 +66,7 @@
 	return loaded.Draw(picture)
 }
 
-// compareRecords prints how two records of drills differ.
+// compareRecords prints the differences between two drill records.
 func compareRecords(first, second string, out io.Writer) error {
 	firstRecord, err := drill.LoadRecord(first)
 	if err != nil {
--- a/internal/cli/fleetcommands/golden_test.go
+++ b/internal/cli/fleetcommands/golden_test.go
@@ -9,9 +9,10 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files of testdata anew")
+var update = flag.Bool("update", false, "rewrite the golden files in testdata")
 
-// compareGolden compares what is written today with the file of testdata that an earlier version wrote.
+// compareGolden fails the test if got differs from the golden file in testdata. With -update it rewrites the file
+// first.
 func compareGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -24,11 +25,11 @@
 		if bytes.IndexByte(got, 0) >= 0 {
 			got = fmt.Appendf(nil, "%d bytes", len(got))
 		}
-		t.Fatalf("%s: written otherwise than before; now:\n%s", path, got)
+		t.Fatalf("output differs from %s; got:\n%s", path, got)
 	}
 }
 
-// readGolden reads a file of testdata.
+// readGolden reads a golden file from testdata.
 func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join("testdata", name))
--- a/internal/cli/fleetcommands/history.go
+++ b/internal/cli/fleetcommands/history.go
@@ -9,7 +9,7 @@
 	"lanewheel/internal/coordination"
 )
 
-// printHistory prints the history for people.
+// printHistory prints the history as a table.
 func printHistory(entries []coordination.HistoryEntry, out io.Writer) error {
 	var printed textBuffer
 	printed.rowf("nth\tat\tby\tdid\twhat\tcame to")
@@ -27,7 +27,7 @@
 	return printed.writeTo(out)
 }
 
-// historyRow is one command of the history as it is exported. The columns' names are stored.
+// historyRow is one exported command of the history. The column names are part of the stored format.
 type historyRow struct {
 	Sequence    int64  `parquet:"nth"`
 	AtMillis    int64  `parquet:"at_ms"` // fleet time
@@ -39,10 +39,10 @@
 	PermitID    int64  `parquet:"number"`
 }
 
-// historySchema names the root of the exported schema, which would follow the name of the Go type.
+// historySchema sets the name of the exported schema's root, which would otherwise be the name of the Go type.
 var historySchema = parquet.NewSchema("line", parquet.SchemaOf(historyRow{}))
 
-// exportHistory writes the history as Parquet.
+// exportHistory writes the history to a Parquet file.
 func exportHistory(entries []coordination.HistoryEntry, path string) error {
 	rows := make([]historyRow, 0, len(entries))
 	for _, entry := range entries {
--- a/internal/cli/fleetcommands/history_test.go
+++ b/internal/cli/fleetcommands/history_test.go
@@ -18,7 +18,7 @@
 const goldenColumns = "nth INT(64,true), at_ms INT(64,true), by STRING, do STRING, what STRING, agreed BOOLEAN, " +
 	"why STRING, number INT(64,true)"
 
-// The history as Parquet: columns, and every value of a row.
+// TestGoldenHistory checks the bytes, the columns and the values of a history exported as Parquet.
 func TestGoldenHistory(t *testing.T) {
 	history := append(goldenHistory(), coordination.HistoryEntry{
 		Sequence:    10,
--- a/internal/cli/fleetcommands/join.go
+++ b/internal/cli/fleetcommands/join.go
@@ -14,24 +14,24 @@
 	"lanewheel/internal/upstream"
 )
 
-// Names of the metrics that a process reports of itself. They are spoken by gossip, and read by the balancer and in
-// "members".
+// Names of the metrics that a process reports about itself. Gossip distributes them; the balancer reads them and the
+// command "members" prints them.
 const (
 	metricHealth   = "health" // 1: healthy
 	metricLoad     = "signal" // the load report
 	metricQueued   = "held"
 	metricRunning  = "running"
 	metricCores    = "cores"
-	metricInFlight = "passing" // of a proxy
+	metricInFlight = "passing" // requests in flight in a proxy
 )
 
-// joinFleet gives an instance the fleet's parts that the operator's file enables, and returns what takes a reloaded
-// file.
+// joinFleet adds to an instance the fleet features that the operator's file enables. The returned function applies a
+// reloaded operator's file.
 func joinFleet(
 	srv *server.Server, platform server.Config, operatorConfig *lifecycle.OperatorConfig,
 ) (func(*lifecycle.OperatorConfig), error) {
 	file := &operatorConfig.File
-	if !file.Fleet.Enabled { // upstream services at configured addresses need no fleet
+	if !file.Fleet.Enabled { // upstream services at configured addresses are called without a fleet
 		addUpstreams(srv, upstream.New(srv.Loop, file.Upstream.Config, membership.ID{}, platform.Seed, nil))
 		return func(*lifecycle.OperatorConfig) {}, nil
 	}
@@ -70,7 +70,7 @@
 	}, nil
 }
 
-// addUpstreams has an instance call upstream services by a client, which belongs to the instance's event loop.
+// addUpstreams makes an instance call upstream services through a client, which runs on the instance's event loop.
 func addUpstreams(srv *server.Server, upstreams *upstream.Client) {
 	srv.UseUpstreams(upstreams)
 	srv.Post(upstreams.Start)
@@ -85,7 +85,7 @@
 		"keys", len(operatorConfig.ClusterKeys))
 }
 
-// serverProcess speaks for an instance in the fleet: what it reports is read on the instance's event loop.
+// serverProcess represents an instance in the fleet. It reads the reported values on the instance's event loop.
 type serverProcess struct{ server *server.Server }
 
 // Status implements gossip.Process.
--- a/internal/cli/fleetcommands/members.go
+++ b/internal/cli/fleetcommands/members.go
@@ -12,7 +12,8 @@
 	"lanewheel/internal/fleet/gossip"
 )
 
-// showMembers prints how a process sees its fleet, and how far the views of the processes at other sockets differ.
+// showMembers prints a process's view of its fleet and how it differs from the views of the processes at other status
+// sockets.
 func showMembers(fleet config.Fleet, sockets []string, asJSON bool, out io.Writer) error {
 	snapshot, err := gossip.ReadSnapshot(fleet.StatusSocket, gossip.SnapshotFull)
 	if err != nil {
@@ -48,11 +49,12 @@
 	}
 }
 
-// roundedAge is a time in milliseconds as a table shows it.
+// roundedAge converts milliseconds to a duration, rounded to 100 ms for a table.
 func roundedAge(ms int64) time.Duration {
 	return (time.Duration(ms) * time.Millisecond).Round(100 * time.Millisecond)
 }
 
+// metricsText returns the metrics of a member as one line, followed by the names of the stale ones.
 func metricsText(member gossip.MemberSnapshot) string {
 	var terms []string
 	for _, name := range slices.Sorted(maps.Keys(member.Metrics)) {
@@ -64,7 +66,8 @@
 	return strings.Join(terms, " ")
 }
 
-// compareViews prints on which members two views differ. Each process takes itself to be up, which no view says.
+// compareViews prints the members on which two views differ. A view does not contain its own process, which is assumed
+// to be up.
 func compareViews(printed *textBuffer, first, second gossip.Snapshot) {
 	states := func(snapshot gossip.Snapshot) map[string]string {
 		byName := map[string]string{snapshot.Name: fmt.Sprint("up ", snapshot.Incarnation)}
--- a/internal/cli/fleetcommands/members_test.go
+++ b/internal/cli/fleetcommands/members_test.go
@@ -45,7 +45,8 @@
 	}},
 }
 
-// newStatusSocket answers each request at a socket with the same bytes; what it was asked comes on the channel.
+// newStatusSocket starts a status socket that answers each request with the same bytes. It sends the received requests
+// to the returned channel.
 func newStatusSocket(t *testing.T, answer []byte) (path string, requests chan string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "w")
@@ -61,7 +62,7 @@
 			if err != nil {
 				return
 			}
-			line, _ := bufio.NewReader(conn).ReadString('\n') // the test compares what came
+			line, _ := bufio.NewReader(conn).ReadString('\n') // the test compares the received line
 			requests <- line
 			_, _ = conn.Write(answer)
 			_ = conn.Close()
@@ -70,7 +71,8 @@
 	return path, requests
 }
 
-// A process's status is read from its socket as ever, and "members --json" prints it as ever.
+// TestGoldenMembers checks that a process's status is decoded from its socket as before and that both output formats of
+// "members" are unchanged.
 func TestGoldenMembers(t *testing.T) {
 	text, err := json.Marshal(goldenSnapshot)
 	if err != nil {
@@ -80,10 +82,10 @@
 	socket, requests := newStatusSocket(t, readGolden(t, "members-answer.json"))
 	got, err := gossip.ReadSnapshot(socket, gossip.SnapshotFull)
 	if err != nil || !reflect.DeepEqual(got, goldenSnapshot) {
-		t.Fatalf("%v, read otherwise than before: %+v", err, got)
+		t.Fatalf("%v, the decoded snapshot differs from the golden one: %+v", err, got)
 	}
 	if line := <-requests; line != "view\n" {
-		t.Fatalf("asked %q", line)
+		t.Fatalf("the request is %q", line)
 	}
 	var out bytes.Buffer
 	if err := showMembers(config.Fleet{StatusSocket: socket}, nil, true, &out); err != nil {
@@ -97,7 +99,8 @@
 	compareGolden(t, "members-printed.txt", out.Bytes())
 }
 
-// Views are compared by the state and the incarnation of each member; each process takes itself to be up.
+// TestCompareViews checks that views are compared by the state and the incarnation of each member, and that each
+// process counts as up in its own view.
 func TestCompareViews(t *testing.T) {
 	member := func(name, state string) gossip.MemberSnapshot {
 		return gossip.MemberSnapshot{Name: name, Incarnation: 1, State: state}
--- a/internal/cli/fleetcommands/process_test.go
+++ b/internal/cli/fleetcommands/process_test.go
@@ -13,8 +13,8 @@
 	"lanewheel/internal/server"
 )
 
-// The names of the metrics that an instance and a proxy gossip of themselves.
-func TestGoldenFacts(t *testing.T) {
+// TestGoldenMetricNames checks the names of the metrics that an instance and a proxy report by gossip.
+func TestGoldenMetricNames(t *testing.T) {
 	config := server.Config{
 		Name:             "n",
 		ListenAddr:       "127.0.0.1:0",
--- a/internal/cli/fleetcommands/proxy.go
+++ b/internal/cli/fleetcommands/proxy.go
@@ -18,7 +18,8 @@
 	return proxies.Run(options, attachProxy)
 }
 
-// attachProxy makes a proxy and its place in the fleet, and returns what takes a reloaded file.
+// attachProxy creates a proxy with its gossip agent. The returned function applies a reloaded operator's file to the
+// agent.
 func attachProxy(
 	platform server.Config, operatorConfig *lifecycle.OperatorConfig,
 ) (*proxy.Proxy, func(*lifecycle.OperatorConfig), error) {
@@ -45,7 +46,7 @@
 	}, nil
 }
 
-// proxyProcess speaks for a proxy in the fleet: what it reports is read on the proxy's event loop.
+// proxyProcess represents a proxy in the fleet. It reads the reported values on the proxy's event loop.
 type proxyProcess struct{ proxy *proxy.Proxy }
 
 // Status implements gossip.Process.
--- a/internal/cli/fleetcommands/status.go
+++ b/internal/cli/fleetcommands/status.go
@@ -8,7 +8,7 @@
 	"lanewheel/internal/fleet/coordinator/client"
 )
 
-// printStatus prints what is agreed, for people.
+// printStatus prints the replicated state of the fleet as text.
 func printStatus(status *client.Status, out io.Writer) error {
 	var printed textBuffer
 	printed.printf("%s, term %d, entry %d of the log, led by %s, %d stewards, %d members, fleet's time %s\n", status.ID,
--- a/internal/cli/fleetcommands/subscribe.go
+++ b/internal/cli/fleetcommands/subscribe.go
@@ -10,11 +10,11 @@
 	"lanewheel/internal/membership"
 )
 
-// viewDelay is how long views are gathered before the latest one is handed on: they come by the dozen a second, and
-// this is far less than they are old.
+// viewDelay is the time for which views are collected before the latest one is passed on. Views arrive dozens of times
+// per second, and the delay is much shorter than the age of the information in them.
 const viewDelay = 100 * time.Millisecond
 
-// subscribe has update called with the latest view on an event loop, at most once every viewDelay.
+// subscribe makes the event loop call update with the latest view, at most once per viewDelay.
 func subscribe(agent *gossip.Agent, eventLoop *eventloop.Loop, update func(*membership.View)) {
 	var scheduled atomic.Bool
 	agent.Subscribe(func(*membership.View) {
@@ -30,7 +30,7 @@
 	})
 }
 
-// probeFunc asks other members for their load.
+// probeFunc returns a function that queries another member's load through the agent.
 func probeFunc(agent *gossip.Agent) forward.ProbeFunc {
 	return func(name membership.Name, report func(float64, time.Duration)) {
 		agent.Post(func() { agent.QueryLoad(name, report) })
--- a/internal/cli/help.go
+++ b/internal/cli/help.go
@@ -42,8 +42,8 @@
 
 	"help_keys_new":       "Create a key pair without publishing it; only its owner may read the private key.",
 	"help_keys_publish":   "Publish the public key of a key pair, with its validity period.",
-	"help_key_from":       "Start of validity: RFC 3339, or a duration from now such as 10m. By default there is no start.",
-	"help_key_until":      "End of validity: RFC 3339, or a duration from now such as 720h. By default there is no end.",
+	"help_key_from":       "Start of validity: RFC 3339, or a duration from now such as 10m. By default, no start.",
+	"help_key_until":      "End of validity: RFC 3339, or a duration from now such as 720h. By default, no end.",
 	"help_key_folder":     "Folder of the published keys, from which instances read them.",
 	"help_token_operator": "Operator's file with the keys and rules for verifying the token.",
 	"help_try_token":      "File with a token that the clients send.",
--- a/internal/cli/renamed_test.go
+++ b/internal/cli/renamed_test.go
@@ -12,7 +12,7 @@
 	"lanewheel/internal/setuptest"
 )
 
-// TestRenameArgs rewrites each earlier command and flag, and nothing else.
+// TestRenameArgs checks that each earlier command and flag is replaced, and that nothing else is.
 func TestRenameArgs(t *testing.T) {
 	for _, test := range []struct{ args, want, uses string }{
 		{"steward --operator f --begin", "coordinator --operator f --bootstrap",
@@ -43,18 +43,18 @@
 		args := strings.Fields(test.args)
 		renamed, uses := renameArgs(args)
 		if got := strings.Join(renamed, " "); got != test.want || strings.Join(uses, "; ") != test.uses {
-			t.Errorf("%s: is now %s (%q), want %s", test.args, got, uses, test.want)
+			t.Errorf("%s: got %s (%q), want %s (%q)", test.args, got, uses, test.want, test.uses)
 		}
 		if strings.Join(args, " ") != test.args {
-			t.Errorf("%s: has changed to %q", test.args, args)
+			t.Errorf("%s: the argument slice was changed to %q", test.args, args)
 		}
 	}
 }
 
-// TestEarlierCommandLine checks that every command, flag and argument that there was is there still, by its earlier
-// name, with what holds without it; and that no earlier name is shown.
+// TestEarlierCommandLine checks that every earlier command, flag and argument is still accepted under its earlier name,
+// with the same default, and that no earlier name is shown.
 func TestEarlierCommandLine(t *testing.T) {
-	current := map[string][]string{} // the lines of flags and arguments, by command
+	current := map[string][]string{} // lines of the flags and arguments, by command
 	var b strings.Builder
 	writeCommand(&b, testModel())
 	command := ""
@@ -95,16 +95,16 @@
 		}
 	}
 	if count < 30 {
-		t.Errorf("%d commands", count)
+		t.Errorf("only %d commands in the golden file, want at least 30", count)
 	}
 	for earlier := range renamedCommands {
 		if _, shown := current["lanewheel "+earlier]; shown {
-			t.Errorf("%s is a command still", earlier)
+			t.Errorf("the earlier name %s is still a command of its own", earlier)
 		}
 	}
 }
 
-// TestRenamedWarning checks that a command line with earlier names does what it did, and is warned of once.
+// TestRenamedWarning checks that a command line with earlier names still works and logs one warning.
 func TestRenamedWarning(t *testing.T) {
 	var warnings bytes.Buffer
 	before := slog.Default()
--- a/internal/cli/tryload.go
+++ b/internal/cli/tryload.go
@@ -46,7 +46,8 @@
 	var clients sync.WaitGroup
 	for number := range c.Clients {
 		clients.Go(func() {
-			// The fake client panics on a closed connection. The table shows its requests as unanswered.
+			// The fake client panics on a closed connection. This ends the one client, and its requests without a
+			// response count as sent only.
 			defer func() { _ = recover() }()
 			client := newTryClient(t, c, number, addr)
 			defer client.connection.Close()
