--- a/internal/cli/cert.go
+++ b/internal/cli/cert.go
@@ -16,7 +16,7 @@
 type certCommand struct {
 	Authority certAuthority `cmd:"" name:"authority" help:"${help_cert_authority}"`
 	Issue     certIssue     `cmd:"" name:"issue" help:"${help_cert_issue}"`
-	Revoke    certRevoke    `cmd:"" name:"revoke" help:"Revoke certificates: rewrite the authority's revocation list."`
+	Revoke    certRevoke    `cmd:"" name:"revoke" help:"Revoke certificates by rewriting the revocation list."`
 }
 
 type certAuthority struct {
@@ -36,7 +36,7 @@
 	if err := savePair(o, pair, filepath.Join(c.Folder, "authority")); err != nil {
 		return err
 	}
-	// The revocation list is written at once, empty: an instance that is configured with a list does not start without it.
+	// An empty revocation list is written at once: an instance that is configured with a list does not start without it.
 	list, err := pair.Revoke(nil, nil, time.Now(), c.Validity)
 	if err != nil {
 		return err
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -32,10 +32,10 @@
 	Queue queueCommand `cmd:"" name:"queue" help:"Check and watch the queues of an operator's file, and send to them."`
 	Cert  certCommand  `cmd:"" name:"cert" help:"Create an authority, issue certificates and revoke them."`
 
-	Proxy       proxyCommand       `cmd:"" name:"proxy" help:"Forward requests to the instances of a fleet."`
+	Proxy       proxyCommand       `cmd:"" name:"proxy" help:"Run a proxy that forwards requests to instances of a fleet."`
 	Allocator   allocatorCommand   `cmd:"" name:"allocator" help:"${help_allocator}"`
 	Coordinator coordinatorCommand `cmd:"" name:"coordinator" help:"${help_coordinator}"`
-	Drain       drainCommand       `cmd:"" name:"drain" help:"Request a permit to take a member down, and wait for it."`
+	Drain       drainCommand       `cmd:"" name:"drain" help:"Drain members by permit, and wait until they are out."`
 	Release     releaseCommand     `cmd:"" name:"release" help:"Roll out a release in waves, halt it or roll it back."`
 	Fleet       fleetCommand       `cmd:"" name:"fleet" help:"Show and change the replicated state of the fleet."`
 	DrillHook   drillHookCommand   `cmd:"" name:"drill-hook" hidden:""`
--- a/internal/cli/drain.go
+++ b/internal/cli/drain.go
@@ -1,6 +1,6 @@
 package cli
 
-// drainCommand requests permits to take members out of service, and waits for them.
+// drainCommand requests permits to take members out of service, and waits until the members are out.
 type drainCommand struct {
 	coordinatorFlags
 	Name     string `arg:"" name:"name" optional:"" help:"Name of a member."`
--- a/internal/cli/drill.go
+++ b/internal/cli/drill.go
@@ -4,9 +4,9 @@
 
 // drillCommand runs game-day drills and prints their records.
 type drillCommand struct {
-	RunScript drillRun  `cmd:"" name:"run" default:"withargs" help:"Run a script."`
-	Show      drillShow `cmd:"" name:"show" help:"Print the table of a record."`
-	Diff      drillDiff `cmd:"" name:"diff" help:"Print the figures of two records side by side."`
+	RunScript drillRun  `cmd:"" name:"run" default:"withargs" help:"Run a drill script."`
+	Show      drillShow `cmd:"" name:"show" help:"Print the table of a drill's record."`
+	Diff      drillDiff `cmd:"" name:"diff" help:"Print the figures of two drill records side by side."`
 }
 
 type drillRun struct {
--- a/internal/cli/fleetcommands/commands.go
+++ b/internal/cli/fleetcommands/commands.go
@@ -36,8 +36,8 @@
 	return gossipConfig(&fleet, "", "", operatorConfig.ClusterKeys)
 }
 
-// gossipConfig returns the gossip configuration for the section [fleet]. name and address are the defaults of the
-// member's name and its service address, for a section that does not set them.
+// gossipConfig returns the gossip configuration for the section [fleet]. name is the member's name and address its
+// service address if the section does not set them.
 func gossipConfig(fleet *config.Fleet, name, address string, keys []membership.Key) gossip.Config {
 	if fleet.Name != "" {
 		name = fleet.Name
--- a/internal/cli/fleetcommands/coordinator.go
+++ b/internal/cli/fleetcommands/coordinator.go
@@ -44,7 +44,7 @@
 	return proposeCommand(coordinators, arguments, out)
 }
 
-// newCoordinatorClient returns a client for the coordinators and with the cluster keys that an operator's file names.
+// newCoordinatorClient returns a client that uses the coordinators and the cluster keys named in an operator's file.
 func newCoordinatorClient(path string) (client.Client, error) {
 	operatorConfig, err := lifecycle.LoadOperatorConfig(path)
 	if err != nil {
--- a/internal/cli/fleetcommands/coordinator_test.go
+++ b/internal/cli/fleetcommands/coordinator_test.go
@@ -153,8 +153,8 @@
 	}
 }
 
-// TestGoldenResponses checks that a coordinator's responses are decoded as before and that both output formats are
-// unchanged.
+// TestGoldenResponses checks that a coordinator's responses are decoded as before, and that the JSON output of both
+// commands and the text output of the status are unchanged.
 func TestGoldenResponses(t *testing.T) {
 	status := goldenStatus()
 	for name, want := range map[string]client.Response{
@@ -222,7 +222,7 @@
 )
 
 // TestGoldenRequests checks the request that each command sends to the coordinators. The idempotency key is random, so
-// that a placeholder replaces it.
+// a placeholder replaces it.
 func TestGoldenRequests(t *testing.T) {
 	folder := t.TempDir()
 	budgets, plan := filepath.Join(folder, "budgets.ini"), filepath.Join(folder, "plan.ini")
--- a/internal/cli/fleetcommands/drain.go
+++ b/internal/cli/fleetcommands/drain.go
@@ -13,8 +13,8 @@
 // permitPollInterval is the interval at which waitForPermits requests the state of the permits.
 const permitPollInterval = 500 * time.Millisecond
 
-// waitForPermits prints the progress of permits until each has either ended or begun with its member gone. It returns
-// an error as soon as a request to the coordinators fails.
+// waitForPermits prints the progress of permits until each permit has ended, or has begun and its member is gone. It
+// returns an error as soon as a request to the coordinators fails.
 func waitForPermits(coordinators client.Client, permits []coordination.PermitID, out io.Writer) error {
 	reported := map[coordination.PermitID]string{}
 	for {
@@ -54,7 +54,7 @@
 	isOut bool   // the permit has begun and its member is gone
 }
 
-// progressOf returns the progress of a permit in a status of the coordinators.
+// progressOf returns the progress of a permit according to a status of the coordinators.
 func progressOf(permit coordination.Permit, status *client.Status) permitProgress {
 	isGone := slices.ContainsFunc(status.Unavailable, func(member coordination.Member) bool {
 		return member.Name == permit.Member && member.State == coordination.MemberGone
--- a/internal/cli/fleetcommands/drill.go
+++ b/internal/cli/fleetcommands/drill.go
@@ -66,7 +66,7 @@
 	return loaded.Draw(picture)
 }
 
-// compareRecords prints the differences between two drill records.
+// compareRecords prints the figures of two drill records side by side, with the change of each.
 func compareRecords(first, second string, out io.Writer) error {
 	firstRecord, err := drill.LoadRecord(first)
 	if err != nil {
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -142,8 +142,8 @@
 	withdrawn   bool
 }
 
-// publishKey writes the file of a published key. Before writing, so that instances never read an invalid folder, it
-// checks that the folder would be valid with the file.
+// publishKey writes the file of a published key. It first checks that the folder would be valid with the file, so that
+// instances never read an invalid folder.
 func publishKey(o output, folder string, published publication) error {
 	key := published.key
 	text, err := keyring.EncodePublic(key, published.from, published.until, published.withdrawn)
--- a/internal/cli/queue.go
+++ b/internal/cli/queue.go
@@ -22,8 +22,8 @@
 	Watch queueWatch `cmd:"" name:"watch" help:"${help_queue_watch}"`
 }
 
-// loadQueues reads the section [amqp] of an operator's file, with the queues and the files that the operator's file
-// names. It returns an error if the section is missing.
+// loadQueues reads the section [amqp] and the queues of an operator's file, and the files that it names. It returns an
+// error if the operator's file has no section [amqp].
 func loadQueues(path string) (config.AMQP, error) {
 	operatorConfig, err := lifecycle.LoadOperatorConfig(path)
 	if err != nil {
@@ -113,8 +113,8 @@
 	return valid
 }
 
-// inspectQueue returns the state of a queue. It uses a separate channel, as the broker closes the channel on which a
-// queue that does not exist is declared.
+// inspectQueue returns the state of a queue. It uses a separate channel because the broker closes a channel when a
+// passive declaration on it names a queue that does not exist.
 func inspectQueue(connection *client.Connection, name string) (client.Queue, error) {
 	channel, err := connection.Channel()
 	if err != nil {
--- a/internal/cli/queuesend.go
+++ b/internal/cli/queuesend.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = connection.Close() }() // no reply is awaited any more, so an error does not matter
+	defer func() { _ = connection.Close() }() // no more replies are awaited, so an error does not matter
 	channel, err := connection.Channel()
 	if err != nil {
 		return err
--- a/internal/cli/renamed.go
+++ b/internal/cli/renamed.go
@@ -30,11 +30,11 @@
 	"check":          {"--named": "--include-named-files"},
 }
 
-// renameArgs returns a command line with the earlier names replaced by the current ones. uses describes each
+// renameArgs returns a command line with the earlier names replaced by the current ones. replacements describes each
 // replacement, for example "desk is now allocator".
-func renameArgs(args []string) (renamed, uses []string) {
+func renameArgs(args []string) (renamed, replacements []string) {
 	renamed = append(renamed, args...)
-	note := func(earlier, now string) { uses = append(uses, earlier+" is now "+now) }
+	note := func(earlier, now string) { replacements = append(replacements, earlier+" is now "+now) }
 	command := ""
 	for words := 1; words <= min(2, len(renamed)); words++ {
 		written := strings.Join(renamed[:words], " ")
@@ -64,13 +64,13 @@
 			renamed[i] += "=" + value
 		}
 	}
-	return renamed, uses
+	return renamed, replacements
 }
 
-// warnRenamed logs all earlier names on the command line in one warning, in the log format of the command. uses is the
-// result of renameArgs; nothing is logged if it is empty.
-func (c *commandLine) warnRenamed(command string, uses []string) {
-	if len(uses) == 0 {
+// warnRenamed logs all earlier names on the command line in one warning, in the log format of the command. replacements
+// is the result of renameArgs; nothing is logged if it is empty.
+func (c *commandLine) warnRenamed(command string, replacements []string) {
+	if len(replacements) == 0 {
 		return
 	}
 	name, _, _ := strings.Cut(command, " ")
@@ -80,8 +80,8 @@
 		"allocator":   c.Allocator.Log,
 		"coordinator": c.Coordinator.Log,
 	}
-	if format, logs := formats[name]; logs {
+	if format, found := formats[name]; found {
 		logging.Setup(os.Stderr, logging.Format(format))
 	}
-	slog.Warn("renamed commands", "use", strings.Join(uses, "; "))
+	slog.Warn("renamed commands", "use", strings.Join(replacements, "; "))
 }
--- a/internal/cli/renamed_test.go
+++ b/internal/cli/renamed_test.go
@@ -14,7 +14,7 @@
 
 // TestRenameArgs checks that each earlier command and flag is replaced, and that nothing else is.
 func TestRenameArgs(t *testing.T) {
-	for _, test := range []struct{ args, want, uses string }{
+	for _, test := range []struct{ args, want, replacements string }{
 		{"steward --operator f --begin", "coordinator --operator f --bootstrap",
 			"steward is now coordinator; --begin is now --bootstrap"},
 		{"coordinator --operator f --alone", "coordinator --operator f --recover", "--alone is now --recover"},
@@ -41,9 +41,10 @@
 		{"--operator f", "--operator f", ""},
 	} {
 		args := strings.Fields(test.args)
-		renamed, uses := renameArgs(args)
-		if got := strings.Join(renamed, " "); got != test.want || strings.Join(uses, "; ") != test.uses {
-			t.Errorf("%s: got %s (%q), want %s (%q)", test.args, got, uses, test.want, test.uses)
+		renamed, replacements := renameArgs(args)
+		if got := strings.Join(renamed, " "); got != test.want || strings.Join(replacements, "; ") != test.replacements {
+			t.Errorf("%s: got %s (%q), want %s (%q)", test.args, got, replacements, test.want,
+				test.replacements)
 		}
 		if strings.Join(args, " ") != test.args {
 			t.Errorf("%s: the argument slice was changed to %q", test.args, args)
--- a/internal/cli/rollout.go
+++ b/internal/cli/rollout.go
@@ -3,10 +3,10 @@
 // releaseCommand starts, controls and shows the rollout of a release in waves.
 type releaseCommand struct {
 	Start    releaseStart    `cmd:"" name:"start" help:"Start a rollout."`
-	Status   releaseStatus   `cmd:"" name:"status" help:"Show the state of the fleet and of the rollout."`
-	Halt     releaseHalt     `cmd:"" name:"halt" help:"Halt the whole fleet: no further change begins."`
-	Resume   releaseResume   `cmd:"" name:"resume" help:"Resume after a halt."`
-	Rollback releaseRollback `cmd:"" name:"rollback" help:"Roll back: the waves in reverse order, under the same budgets."`
+	Status   releaseStatus   `cmd:"" name:"status" help:"Show the state of the fleet, the rollout and what it waits for."`
+	Halt     releaseHalt     `cmd:"" name:"halt" help:"Halt the whole fleet, so that no further change begins."`
+	Resume   releaseResume   `cmd:"" name:"resume" help:"Resume the fleet's changes after a halt."`
+	Rollback releaseRollback `cmd:"" name:"rollback" help:"Roll back the waves in reverse order, under the same budgets."`
 }
 
 type releaseStart struct {
--- a/internal/cli/try.go
+++ b/internal/cli/try.go
@@ -55,7 +55,7 @@
 			o.printf("the instance's log is %s\n", trial.logPath)
 			return
 		}
-		_ = os.RemoveAll(trial.dir) // on an error, the files remain in the system's temporary folder
+		_ = os.RemoveAll(trial.dir) // if this fails, the files remain in the system's temporary folder
 	}()
 	if err := trial.start(); err != nil {
 		return err
@@ -184,8 +184,8 @@
 	return t.waitReady()
 }
 
-// waitReady makes the fake runtime report ready and returns once it runs requests. It returns an error if the instance
-// exits or does not connect in time.
+// waitReady makes the fake runtime report that it is ready, and returns once the fake runs requests. It returns an
+// error if the instance exits or does not connect in time.
 func (t *trial) waitReady() error {
 	ready := make(chan struct{})
 	go func() {
--- a/internal/cli/tryload.go
+++ b/internal/cli/tryload.go
@@ -46,8 +46,8 @@
 	var clients sync.WaitGroup
 	for number := range c.Clients {
 		clients.Go(func() {
-			// The fake client panics on a closed connection. This ends the one client, and its requests without a
-			// response count as sent only.
+			// The fake client panics when it writes to a closed connection. This ends only that client. Its requests
+			// without a response are then counted as sent but not as unanswered.
 			defer func() { _ = recover() }()
 			client := newTryClient(t, c, number, addr)
 			defer client.connection.Close()
