--- a/internal/cli/commandline_test.go
+++ b/internal/cli/commandline_test.go
@@ -14,10 +14,10 @@
 	"lanewheel/internal/setuptest"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew from what the code says")
+var update = flag.Bool("update", false, "rewrite the golden files from the current code")
 
-// listCommand lists a command with its flags and arguments, and all below it.
-func listCommand(b *strings.Builder, n *kong.Node) {
+// writeCommand appends a command with its flags and arguments, and all of its sub-commands.
+func writeCommand(b *strings.Builder, n *kong.Node) {
 	fmt.Fprintf(b, "%s", n.FullPath())
 	if n.Hidden {
 		b.WriteString(" (hidden)")
@@ -61,20 +61,20 @@
 	children := slices.Clone(n.Children)
 	slices.SortFunc(children, func(x, y *kong.Node) int { return strings.Compare(x.Name, y.Name) })
 	for _, child := range children {
-		listCommand(b, child)
+		writeCommand(b, child)
 	}
 }
 
-// testModel is the command line as the parser knows it.
+// testModel returns the parser's model of the command line.
 func testModel() *kong.Node {
 	var commands commandLine
 	return setuptest.Must(newParser(&commands, "somebody", kong.Writers(io.Discard, io.Discard))).Model.Node
 }
 
-// Every command, flag and argument that there was is there, under its name, with what holds without it.
+// TestGoldenCommandLine checks that the commands, flags and arguments with their names and defaults are unchanged.
 func TestGoldenCommandLine(t *testing.T) {
 	var b strings.Builder
-	listCommand(&b, testModel())
+	writeCommand(&b, testModel())
 	const path = "testdata/golden/command-line.txt"
 	if *update {
 		if err := os.WriteFile(path, []byte(b.String()), 0o644); err != nil {
--- a/internal/cli/fleetcommands/golden_test.go
+++ b/internal/cli/fleetcommands/golden_test.go
@@ -9,10 +9,11 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files of testdata anew")
+var update = flag.Bool("update", false, "rewrite the golden files in testdata")
 
-// golden compares what is written today with the file of testdata that an earlier version wrote.
-func golden(t *testing.T, name string, got []byte) {
+// compareGolden fails the test if got differs from the golden file in testdata. With -update it rewrites the file
+// first.
+func compareGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if *update {
@@ -20,16 +21,16 @@
 			t.Fatal(err)
 		}
 	}
-	if want := stored(t, name); !bytes.Equal(got, want) {
+	if want := readGolden(t, name); !bytes.Equal(got, want) {
 		if bytes.IndexByte(got, 0) >= 0 {
 			got = fmt.Appendf(nil, "%d bytes", len(got))
 		}
-		t.Fatalf("%s: written otherwise than before; now:\n%s", path, got)
+		t.Fatalf("output differs from %s; got:\n%s", path, got)
 	}
 }
 
-// stored reads a file of testdata.
-func stored(t *testing.T, name string) []byte {
+// readGolden reads a golden file from testdata.
+func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
--- a/internal/cli/fleetcommands/history_test.go
+++ b/internal/cli/fleetcommands/history_test.go
@@ -18,7 +18,7 @@
 const goldenColumns = "nth INT(64,true), at_ms INT(64,true), by STRING, do STRING, what STRING, agreed BOOLEAN, " +
 	"why STRING, number INT(64,true)"
 
-// The history as Parquet: columns, and every value of a row.
+// TestGoldenHistory checks the bytes, the columns and the values of a history exported as Parquet.
 func TestGoldenHistory(t *testing.T) {
 	history := append(goldenHistory(), coordination.HistoryEntry{
 		Sequence:    10,
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "history.parquet", written)
+	compareGolden(t, "history.parquet", written)
 	rows, err := parquet.ReadFile[historyRow]("testdata/history.parquet")
 	if err != nil {
 		t.Fatal(err)
@@ -48,7 +48,7 @@
 	if !reflect.DeepEqual(rows, want) {
 		t.Fatalf("%+v", rows)
 	}
-	content := stored(t, "history.parquet")
+	content := readGolden(t, "history.parquet")
 	file, err := parquet.OpenFile(bytes.NewReader(content), int64(len(content)))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cli/renamed.go
+++ b/internal/cli/renamed.go
@@ -8,8 +8,8 @@
 	"lanewheel/internal/logging"
 )
 
-// renamedCommands are the earlier names of commands, each with the one that it has now. They are accepted, and shown in
-// no help.
+// renamedCommands maps the earlier names of commands to their current names. Earlier names are accepted but not shown
+// in the help.
 var renamedCommands = map[string]string{
 	"steward":      "coordinator",
 	"desk":         "allocator",
@@ -18,7 +18,7 @@
 	"release back": "release rollback",
 }
 
-// renamedFlags are the earlier names of flags, by the command's name now.
+// renamedFlags maps, for each command by its current name, the earlier names of its flags to their current names.
 var renamedFlags = map[string]map[string]string{
 	"coordinator":    {"--begin": "--bootstrap", "--alone": "--recover"},
 	"drain":          {"--below": "--upstream", "--drop": "--cancel"},
@@ -30,11 +30,11 @@
 	"check":          {"--named": "--include-named-files"},
 }
 
-// renameArgs returns a command line in the terms that hold now, and what it used of earlier ones, as "desk is now
-// allocator".
-func renameArgs(args []string) (renamed, uses []string) {
+// renameArgs returns a command line with the earlier names replaced by the current ones. replacements describes each
+// replacement, for example "desk is now allocator".
+func renameArgs(args []string) (renamed, replacements []string) {
 	renamed = append(renamed, args...)
-	note := func(earlier, now string) { uses = append(uses, earlier+" is now "+now) }
+	note := func(earlier, now string) { replacements = append(replacements, earlier+" is now "+now) }
 	command := ""
 	for words := 1; words <= min(2, len(renamed)); words++ {
 		written := strings.Join(renamed[:words], " ")
@@ -64,12 +64,13 @@
 			renamed[i] += "=" + value
 		}
 	}
-	return renamed, uses
+	return renamed, replacements
 }
 
-// warnRenamed logs all earlier terms of the command line in one warning, in the form that the command will log in.
-func (c *commandLine) warnRenamed(command string, uses []string) {
-	if len(uses) == 0 {
+// warnRenamed logs all earlier names on the command line in one warning, in the log format of the command. replacements
+// is the result of renameArgs; nothing is logged if it is empty.
+func (c *commandLine) warnRenamed(command string, replacements []string) {
+	if len(replacements) == 0 {
 		return
 	}
 	name, _, _ := strings.Cut(command, " ")
@@ -79,8 +80,8 @@
 		"allocator":   c.Allocator.Log,
 		"coordinator": c.Coordinator.Log,
 	}
-	if format, logs := formats[name]; logs {
+	if format, found := formats[name]; found {
 		logging.Setup(os.Stderr, logging.Format(format))
 	}
-	slog.Warn("renamed commands", "use", strings.Join(uses, "; "))
+	slog.Warn("renamed commands", "use", strings.Join(replacements, "; "))
 }
--- a/internal/cli/renamed_test.go
+++ b/internal/cli/renamed_test.go
@@ -12,9 +12,9 @@
 	"lanewheel/internal/setuptest"
 )
 
-// TestRenameArgs rewrites each earlier command and flag, and nothing else.
+// TestRenameArgs checks that each earlier command and flag is replaced, and that nothing else is.
 func TestRenameArgs(t *testing.T) {
-	for _, test := range []struct{ args, want, uses string }{
+	for _, test := range []struct{ args, want, replacements string }{
 		{"steward --operator f --begin", "coordinator --operator f --bootstrap",
 			"steward is now coordinator; --begin is now --bootstrap"},
 		{"coordinator --operator f --alone", "coordinator --operator f --recover", "--alone is now --recover"},
@@ -41,30 +41,31 @@
 		{"--operator f", "--operator f", ""},
 	} {
 		args := strings.Fields(test.args)
-		renamed, uses := renameArgs(args)
-		if got := strings.Join(renamed, " "); got != test.want || strings.Join(uses, "; ") != test.uses {
-			t.Errorf("%s: is now %s (%q), want %s", test.args, got, uses, test.want)
+		renamed, replacements := renameArgs(args)
+		if got := strings.Join(renamed, " "); got != test.want || strings.Join(replacements, "; ") != test.replacements {
+			t.Errorf("%s: got %s (%q), want %s (%q)", test.args, got, replacements, test.want,
+				test.replacements)
 		}
 		if strings.Join(args, " ") != test.args {
-			t.Errorf("%s: has changed to %q", test.args, args)
+			t.Errorf("%s: the argument slice was changed to %q", test.args, args)
 		}
 	}
 }
 
-// TestEarlierCommandLine checks that every command, flag and argument that there was is there still, by its earlier
-// name, with what holds without it; and that no earlier name is shown.
+// TestEarlierCommandLine checks that every earlier command, flag and argument is still accepted under its earlier name,
+// with the same default, and that no earlier name is shown.
 func TestEarlierCommandLine(t *testing.T) {
-	now := map[string][]string{} // the lines of flags and arguments, by command
+	current := map[string][]string{} // lines of the flags and arguments, by command
 	var b strings.Builder
-	listCommand(&b, testModel())
+	writeCommand(&b, testModel())
 	command := ""
 	for line := range strings.Lines(b.String()) {
 		if line = strings.TrimRight(line, "\n"); !strings.HasPrefix(line, " ") {
 			command = line
-			now[command] = nil
+			current[command] = nil
 			continue
 		}
-		now[command] = append(now[command], line)
+		current[command] = append(current[command], line)
 	}
 	earlier := string(setuptest.Must(os.ReadFile("testdata/golden/command-line-earlier.txt")))
 	var words []string
@@ -79,7 +80,7 @@
 			if hasRest {
 				command += " (" + rest
 			}
-			if _, found := now[command]; !found {
+			if _, found := current[command]; !found {
 				t.Errorf("%s: there is no %s", line, command)
 			}
 			count++
@@ -90,21 +91,21 @@
 			renamed, _ := renameArgs(append(slices.Clone(words), flag))
 			want = "    " + renamed[len(renamed)-1] + " " + rest
 		}
-		if !slices.Contains(now[command], want) {
+		if !slices.Contains(current[command], want) {
 			t.Errorf("%s: %s has no %s", line, command, want)
 		}
 	}
 	if count < 30 {
-		t.Errorf("%d commands", count)
+		t.Errorf("only %d commands in the golden file, want at least 30", count)
 	}
 	for earlier := range renamedCommands {
-		if _, shown := now["lanewheel "+earlier]; shown {
-			t.Errorf("%s is a command still", earlier)
+		if _, shown := current["lanewheel "+earlier]; shown {
+			t.Errorf("the earlier name %s is still a command of its own", earlier)
 		}
 	}
 }
 
-// TestRenamedWarning checks that a command line with earlier names does what it did, and is warned of once.
+// TestRenamedWarning checks that a command line with earlier names still works and logs one warning.
 func TestRenamedWarning(t *testing.T) {
 	var warnings bytes.Buffer
 	before := slog.Default()
