--- a/cmd/lanewheel/authdeployment_test.go
+++ b/cmd/lanewheel/authdeployment_test.go
@@ -13,12 +13,13 @@
 	"lanewheel/internal/fake"
 )
 
-// authDeployment is a deployment that knows its callers, set up from nothing by the program's own commands.
+// authDeployment is a deployment that authenticates its callers. The program's own commands create its keys and
+// certificates.
 type authDeployment struct {
 	*deployment
 	dir          string
-	tlsAddr      string // of the listener with TLS
-	operatorFile string
+	tlsAddr      string // address of the TLS listener
+	operatorFile string // text of the operator's file
 }
 
 const authOperatorFile = `[callers]
@@ -63,7 +64,7 @@
 
 var authDeploymentCount int
 
-// runCommand carries out a command of the program, which has to go well, and gives what it prints.
+// runCommand runs a command of the program and returns its output. It panics if the command fails.
 func (h *authDeployment) runCommand(args ...string) string {
 	text := runCommand(args...)
 	if !strings.HasPrefix(text, "0 ") {
@@ -80,9 +81,10 @@
 	}
 }
 
-// deployWithAuth sets one up and has it serve; changes are pairs of text to replace in the operator's file.
+// deployWithAuth creates an authDeployment and waits until it serves. changes are pairs of a text in the operator's
+// file and its replacement.
 func deployWithAuth(changes ...string) *authDeployment {
-	h := &authDeployment{dir: fake.Must(os.MkdirTemp(tempDir, "house"))}
+	h := &authDeployment{dir: fake.Must(os.MkdirTemp(tempDir, "auth"))}
 	authDeploymentCount++
 	h.tlsAddr = fmt.Sprintf("127.73.%d.%d:%d", os.Getpid()%250, authDeploymentCount, 9000+authDeploymentCount)
 	h.runCommand("keys", "new", "--private", h.path("private"), "--id", "k1")
@@ -101,19 +103,20 @@
 	return h
 }
 
-// client gives a connection on which something was said: commands that take long do not make it a silent one.
+// client returns a connection on which one request was answered, so that the instance does not close it as silent while
+// a slow command runs.
 func (h *authDeployment) client() *fake.Client {
 	s := h.deployment.client()
 	s.CheckHealth()
 	return s
 }
 
-// reloadAndWait asks for a reload and waits until it is in force.
+// reloadAndWait triggers a reload and waits until it is in force.
 func (h *authDeployment) reloadAndWait() {
 	before := h.reloads()
 	h.sendHangup()
 	fake.WaitFor("the reload", func() bool { return h.reloads() > before })
-	h.client().CheckHealth() // what was handed to the loop before is done
+	h.client().CheckHealth() // the event loop has by now handled all events that were queued before
 }
 
 func (h *authDeployment) token(key, subject string, more ...string) string {
@@ -122,7 +125,7 @@
 		"--subject", subject}, more...)...)
 }
 
-// clientTLS is a handheld's configuration with the certificate of that name, none if empty.
+// clientTLS returns a client's TLS configuration with the named certificate, or without one if name is empty.
 func (h *authDeployment) clientTLS(name string) *tls.Config {
 	roots := x509.NewCertPool()
 	roots.AppendCertsFromPEM(fake.Must(os.ReadFile(h.path("ca/authority.pem"))))
@@ -141,8 +144,8 @@
 	return fake.NewClient(conn), nil
 }
 
-// requestAnswer sends one request and returns its response without the load report; the runtime ends its run if it
-// gets there.
+// requestAnswer sends one request and returns its response without the load report. If the request is started, the fake
+// runtime ends its run with success.
 func (h *authDeployment) requestAnswer(s *fake.Client, n int, more ...string) string {
 	s.Send(fake.NewRequest(n, "view", fake.RequestID(n), nil, append([]string{"kb", "1", "cost", "1"}, more...)...))
 	answers := make(chan string, 1)
@@ -159,19 +162,19 @@
 	}()
 	for {
 		select {
-		case said := <-answers:
-			return said
-		case line := <-h.runtime.Messages:
-			if line["t"] == "start" {
-				h.runtime.SendNotice("end", line["rid"].(string), "success", "done")
+		case answer := <-answers:
+			return answer
+		case message := <-h.runtime.Messages:
+			if message["t"] == "start" {
+				h.runtime.SendNotice("end", message["rid"].(string), "success", "done")
 			}
 		case <-time.After(fake.WaitTimeout):
-			panic("no answer")
+			panic("timed out waiting for a response")
 		}
 	}
 }
 
-// reloads counts the reloads of the operator's file that the log tells of.
+// reloads returns the number of reloads of the operator's file in the log.
 func (h *authDeployment) reloads() int {
 	return strings.Count(h.log.text(), `msg="operator configuration reloaded"`)
 }
--- a/cmd/lanewheel/authentication_test.go
+++ b/cmd/lanewheel/authentication_test.go
@@ -8,8 +8,9 @@
 	"lanewheel/internal/fake"
 )
 
-// Who may do what, by token and by certificate, and each denial in one word; what is denied never runs.
-func Example_callers() {
+// Example_authorization checks the permissions of callers that authenticate by token or by certificate, and the reason
+// of each denial. A denied request never runs.
+func Example_authorization() {
 	h := deployWithAuth()
 	defer h.close()
 	s := h.client()
@@ -45,7 +46,8 @@
 	// 0 7 false
 }
 
-// Reads of the same resource are coalesced within a tenant, never across: another tenant's read runs.
+// Example_coalescedWithinTenant checks that reads of the same resource are coalesced within a tenant only. A read of
+// another tenant runs on its own.
 func Example_coalescedWithinTenant() {
 	h := deployWithAuth()
 	defer h.close()
@@ -83,59 +85,63 @@
 	h.runCommand("keys", "new", "--private", h.path("private"), "--id", "k2", "--algorithm", "ES256")
 	h.runCommand("keys", "publish", h.path("private/k2.private"), "--folder", h.path("keys"))
 	fmt.Println(h.requestAnswer(s, 1, "token", h.token("k2", "water-1")), h.requestAnswer(s, 2, "token", old))
-	at := time.Now().Add(1200 * time.Millisecond).Truncate(time.Second).Add(time.Second) // files tell whole seconds
+	// The key files hold whole seconds.
+	at := time.Now().Add(1200 * time.Millisecond).Truncate(time.Second).Add(time.Second)
 	h.runCommand("keys", "retire", "k1", "--folder", h.path("keys"), "--at", at.Format(time.RFC3339))
 	h.reloadAndWait()
 	n, wrong := 3, 0
 	for ; time.Now().Before(at.Add(200 * time.Millisecond)); n++ {
 		before := time.Now()
-		said := h.requestAnswer(s, n, "token", old)
+		answer := h.requestAnswer(s, n, "token", old)
 		after := time.Now()
-		if after.Before(at) && said != "done" || !before.Before(at) && said != "Denied retired-key" {
+		if after.Before(at) && answer != "done" || !before.Before(at) && answer != "Denied retired-key" {
 			wrong++
 		}
 	}
-	fmt.Println("asked", n > 100, "wrong", wrong)
+	fmt.Println("more than 100 requests", n > 100, "wrong", wrong)
 	h.runCommand("keys", "retire", "k2", "--folder", h.path("keys"), "--now")
 	h.reloadAndWait()
 	fmt.Println(h.requestAnswer(s, n, "token", h.token("k2", "water-1")))
 	// Output:
 	// done done
-	// asked true wrong 0
+	// more than 100 requests true wrong 0
 	// Denied withdrawn-key
 }
 
-// One identity that sends ten times its rate is rejected with a time to come back; its neighbor feels nothing. A
-// request whose token expires while it is queued is answered all the same.
+// Example_rateLimits checks that requests of an identity that sends ten times its rate are rejected with a Retry-After,
+// and that another identity is not affected. A request whose token expires while it is queued is still answered.
 func Example_rateLimits() {
 	h := deployWithAuth()
 	defer h.close()
 	slow, water := h.token("k1", "slow"), h.token("k1", "water-1")
 	s, other := h.client(), h.client()
-	said := map[string]int{}
+	counts := map[string]int{}
 	began := time.Now()
 	n := 0
 	for ; time.Since(began) < 500*time.Millisecond; n += 2 {
-		said["slow "+h.requestAnswer(s, n+1, "token", slow)]++
-		said["water "+h.requestAnswer(other, n+2, "token", water)]++
+		counts["slow "+h.requestAnswer(s, n+1, "token", slow)]++
+		counts["water "+h.requestAnswer(other, n+2, "token", water)]++
 	}
-	fmt.Println(said["slow done"] <= 2+11, said["slow done"] >= 8, said["slow Busy <nil>"] > 10, said["water done"]*2 == n)
+	fmt.Println(
+		counts["slow done"] <= 2+11, counts["slow done"] >= 8, counts["slow Busy <nil>"] > 10, counts["water done"]*2 == n)
 	s.Send(
 		fake.NewRequest(9, "view", fake.RequestID(999999), nil, "token", slow),
 		fake.NewRequest(10, "view", fake.RequestID(999998), nil, "token", slow),
 		fake.NewRequest(11, "view", fake.RequestID(999997), nil, "token", slow))
-	heard := ""
-	for range 2 { // at most two of the three are let in
-		heard += s.NextText()
+	answers := ""
+	for range 2 { // at most two of the three are admitted
+		answers += s.NextText()
 		h.runtime.SendNotice("end", fake.RequestID(999999), "success", "x")
 		h.runtime.SendNotice("end", fake.RequestID(999998), "success", "x")
 	}
-	fmt.Println(strings.Contains(heard, `["Busy" map["after":`))
+	fmt.Println(strings.Contains(answers, `["Busy" map["after":`))
 	short := h.token("k1", "water-1", "--validity", "1s")
 	s = h.client()
 	s.Send(fake.NewRequest(12, "view", fake.RequestID(12), nil, "token", short, "cost", "1500"))
-	fake.WaitFor("its start", func() bool { return strings.HasPrefix(h.runtime.NextCommand(), "start c ") })
-	fake.WaitFor("its expiry", func() bool { return h.requestAnswer(other, 13, "token", short) == "Denied expired" })
+	fake.WaitFor("the request to start", func() bool { return strings.HasPrefix(h.runtime.NextCommand(), "start c ") })
+	fake.WaitFor("the token to expire", func() bool {
+		return h.requestAnswer(other, 13, "token", short) == "Denied expired"
+	})
 	h.runtime.SendNotice("end", fake.RequestID(12), "success", "late")
 	fmt.Println(s.NextText())
 	// Output:
@@ -144,8 +150,8 @@
 	// ['\x01' '\f' <nil> ["late" map[]]]
 }
 
-// Requests whose callers leave while a token is being verified, by cancel and by closing: neither runs, and the ids
-// are free again.
+// Example_canceledWhileAuthenticated checks requests that are canceled, or whose connection is closed, while their token
+// is being verified. Neither runs, and their message ids can be used again.
 func Example_canceledWhileAuthenticated() {
 	h := deployWithAuth()
 	defer h.close()
@@ -155,14 +161,16 @@
 	s.Send(fake.NewRequest(2, "view", fake.RequestID(1), nil, "token", one, "kb", "1"), []any{2, "interrupt", []any{2}})
 	closed.Send(fake.NewRequest(2, "view", fake.RequestID(2), nil, "token", two, "kb", "1"))
 	closed.Close()
-	fake.WaitFor("the end of it", func() bool { return strings.Contains(h.log.text(), "code=peer-closed") })
+	fake.WaitFor("the connection to be closed", func() bool {
+		return strings.Contains(h.log.text(), "code=peer-closed")
+	})
 	s.Send(fake.NewRequest(3, "view", fake.RequestID(3), nil, "token", three, "kb", "1"))
-	heard := h.runtime.NextCommand()
-	// Its check may have been over before the close came.
-	for strings.HasPrefix(heard, "start 2 ") || strings.HasPrefix(heard, "stop 2") {
-		heard = h.runtime.NextCommand()
+	command := h.runtime.NextCommand()
+	// The token of request 2 may have been verified before the connection was closed.
+	for strings.HasPrefix(command, "start 2 ") || strings.HasPrefix(command, "stop 2") {
+		command = h.runtime.NextCommand()
 	}
-	fmt.Println(heard)
+	fmt.Println(command)
 	h.runtime.SendNotice("end", fake.RequestID(3), "success", "three")
 	fmt.Println(s.NextText())
 	// Output:
@@ -170,7 +178,8 @@
 	// ['\x01' '\x03' <nil> ["three" map[]]]
 }
 
-// Forged tokens close the connections that bring them, while known callers are served.
+// Example_forgedTokens checks that the instance closes a connection that sends forged tokens, and serves callers with
+// valid tokens meanwhile.
 func Example_forgedTokens() {
 	h := deployWithAuth()
 	defer h.close()
@@ -181,11 +190,11 @@
 		bad := h.client()
 		for i := range 40 {
 			token := fmt.Sprintf("%s%04d", good[:len(good)-4], 1000*k+i)
-			if said := h.requestAnswer(bad, i+1, "token", token); said == "closed" {
+			if answer := h.requestAnswer(bad, i+1, "token", token); answer == "closed" {
 				fmt.Print(i, " ")
 				break
-			} else if said != "Denied signature" {
-				panic(said)
+			} else if answer != "Denied signature" {
+				panic(answer)
 			}
 		}
 	}
@@ -195,7 +204,8 @@
 	// 8 8 8 8 8 done
 }
 
-// A single-use token is good for one request; the second is a replay.
+// Example_singleUseToken checks that a single-use token is accepted for one request and denied as replayed for the
+// second, and that requests are rejected once the maximum number of remembered token ids is reached.
 func Example_singleUseToken() {
 	h := deployWithAuth("revocation-file = revoked.txt", "single-use = yes\nmax-single-use-ids = 2")
 	defer h.close()
@@ -210,7 +220,7 @@
 	// done Busy <nil>
 }
 
-// Where no callers are configured a token changes nothing, whatever form it has.
+// Example_callersNotConfigured checks that a token of any form is ignored if no callers are configured.
 func Example_callersNotConfigured() {
 	t := deployReady()
 	defer t.close()
--- a/cmd/lanewheel/bench_test.go
+++ b/cmd/lanewheel/bench_test.go
@@ -15,20 +15,20 @@
 	"lanewheel/internal/fake"
 )
 
-// cpuTime is the CPU that a process has used, in the kernel's ticks of 10 ms.
+// cpuTime returns the CPU time that a process has used. The kernel counts it in ticks of 10 ms.
 func cpuTime(pid int) time.Duration {
 	text := string(fake.Must(os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))))
 	f := strings.Fields(text[strings.LastIndexByte(text, ')')+2:])
 	return time.Duration(fake.Must(strconv.Atoi(f[11]))+fake.Must(strconv.Atoi(f[12]))) * 10 * time.Millisecond
 }
 
-// residentKB is what a process holds, in KB.
+// residentKB returns the resident memory of a process in KB.
 func residentKB(pid int) int {
 	_, rest, _ := strings.Cut(string(fake.Must(os.ReadFile(fmt.Sprintf("/proc/%d/status", pid)))), "VmRSS:")
 	return fake.Must(strconv.Atoi(strings.Fields(rest)[0]))
 }
 
-// endRunsAtOnce has the runtime end each run at once.
+// endRunsAtOnce makes the runtime end each run at once.
 func (t *deployment) endRunsAtOnce() {
 	go func() {
 		for line := range t.runtime.Messages {
@@ -39,15 +39,15 @@
 	}()
 }
 
-// roomyConfig are changes of a configuration by which nothing is rejected.
+// roomyConfig is a list of changes to the configuration that raise its limits so far that no request is rejected.
 var roomyConfig = []string{
 	`"cpus":2`, `"cpus":64`, `"memory-kb":1900`, `"memory-kb":1900000`, `"sockets":64`, `"sockets":1024`,
 }
 
-// sendRequests sends requests on connections, eight pending on each, until count are answered, and returns how many did
-// not succeed.
+// sendRequests sends requests on the given number of connections, up to eight pending on each, until count are
+// answered. It returns the number of requests that did not succeed.
 func sendRequests(dial func() *fake.Client, conns, count int, token string) int64 {
-	var asked, other atomic.Int64
+	var sent, unsuccessful atomic.Int64
 	var all sync.WaitGroup
 	for k := range conns {
 		all.Add(1)
@@ -55,43 +55,44 @@
 			defer all.Done()
 			s := dial()
 			defer s.Close()
-			n, open := 0, 0
+			n, pending := 0, 0
 			for {
-				for open < 8 && asked.Add(1) <= int64(count) {
+				for pending < 8 && sent.Add(1) <= int64(count) {
 					n++
-					open++
+					pending++
 					more := []string{"from", fmt.Sprint(k + 1), "kb", "1"}
 					if token != "" {
 						more = append(more, "token", token)
 					}
 					s.Send(fake.NewRequest(n, "view", fmt.Sprintf("%08x%08x", k, n), []byte("body of some length"), more...))
 				}
-				if open == 0 {
+				if pending == 0 {
 					return
 				}
 				if a, err := s.NextResponse(); err != nil {
 					panic(err)
 				} else if a.Error != "" {
-					other.Add(1)
+					unsuccessful.Add(1)
 				}
-				open--
+				pending--
 			}
 		}()
 	}
 	all.Wait()
-	return other.Load()
+	return unsuccessful.Load()
 }
 
-// What a request costs an instance: without callers, with a remembered token, under TLS, and under both.
+// BenchmarkRequest measures the cost of a request to an instance: without authentication, with a cached token, under
+// TLS, and with both.
 //
 //	go test -run xxx -bench Request -benchtime 60000x ./cmd/lanewheel
 func BenchmarkRequest(b *testing.B) {
-	for _, how := range []string{"plain", "token", "tls", "tls and token"} {
-		b.Run(how, func(b *testing.B) {
+	for _, mode := range []string{"plain", "token", "tls", "tls and token"} {
+		b.Run(mode, func(b *testing.B) {
 			var t *deployment
 			token := ""
 			dial := func() *fake.Client { return t.client() }
-			if how == "plain" {
+			if mode == "plain" {
 				t = deployReady(roomyConfig...)
 			} else {
 				h := deployWithAuth(
@@ -103,10 +104,10 @@
 				h.deployment = deployReady(append(roomyConfig, `"tenants":[]`, `"tenants":[{"name":"water"},{"name":"roads"}]`)...)
 				operatorPath = ""
 				t = h.deployment
-				if how != "tls" {
+				if mode != "tls" {
 					token = h.token("k1", "water-1", "--validity", "10h")
 				}
-				if how != "token" {
+				if mode != "token" {
 					c := h.clientTLS("water-7")
 					dial = func() *fake.Client { return fake.Must(h.dialTLS(c)) }
 				}
@@ -116,21 +117,22 @@
 			sendRequests(dial, 16, 2000, token)
 			before := cpuTime(t.cmd.Process.Pid)
 			b.ResetTimer()
-			turned := sendRequests(dial, 16, b.N, token)
+			unsuccessful := sendRequests(dial, 16, b.N, token)
 			b.StopTimer()
 			b.ReportMetric(float64((cpuTime(t.cmd.Process.Pid)-before).Microseconds())/float64(b.N), "cpu-µs/op")
-			b.ReportMetric(float64(turned)/float64(b.N), "turned/op")
+			b.ReportMetric(float64(unsuccessful)/float64(b.N), "unsuccessful/op")
 		})
 	}
 }
 
-// What a connection holds at rest: plain, and under TLS with a client's certificate.
+// BenchmarkConnections measures the memory that an instance uses for an idle connection: plain, and under TLS with a
+// client certificate.
 //
 //	go test -run xxx -bench Connections -benchtime 1x ./cmd/lanewheel
 func BenchmarkConnections(b *testing.B) {
-	const many = 500
-	for _, how := range []string{"plain", "tls"} {
-		b.Run(how, func(b *testing.B) {
+	const connections = 500
+	for _, mode := range []string{"plain", "tls"} {
+		b.Run(mode, func(b *testing.B) {
 			h := deployWithAuth("client-certificates = optional", "client-certificates = optional\nhandshake-rate = 10000")
 			h.close()
 			operatorPath = h.path("op.ini")
@@ -139,26 +141,27 @@
 			defer h.close()
 			before := residentKB(h.cmd.Process.Pid)
 			c := h.clientTLS("water-7")
-			for range many {
-				s := h.client
-				if how == "tls" {
-					s = func() *fake.Client { return fake.Must(h.dialTLS(c)) }
+			for range connections {
+				dialClient := h.client
+				if mode == "tls" {
+					dialClient = func() *fake.Client { return fake.Must(h.dialTLS(c)) }
 				}
-				one := s()
-				one.CheckHealth()
-				defer one.Close()
+				s := dialClient()
+				s.CheckHealth()
+				defer s.Close()
 			}
 			b.ReportMetric(float64(before)/1024, "MB-at-rest")
-			b.ReportMetric(float64(residentKB(h.cmd.Process.Pid)-before)/many, "KB/connection")
+			b.ReportMetric(float64(residentKB(h.cmd.Process.Pid)-before)/connections, "KB/connection")
 		})
 	}
 }
 
-// sendForged sends requests with tokens like a good one, on one connection after the other, and counts their responses.
+// sendForged sends requests with tokens forged from a valid one, on one connection after the other, until stop is true.
+// It adds the number of responses to forged.
 func (h *authDeployment) sendForged(k int, good string, stop *atomic.Bool, forged *atomic.Int64) {
 	for n := 0; !stop.Load(); {
 		s := h.deployment.client()
-		for range 8 { // as many as end a connection
+		for range 8 { // after as many forged tokens the instance closes the connection
 			n++
 			s.Send(fake.NewRequest(n, "view", fmt.Sprintf("%08x%08x", k+9, n), nil, "kb", "1",
 				"token", fmt.Sprintf("%s%d%07d", good[:len(good)-8], k, n%10_000_000)))
@@ -171,8 +174,8 @@
 	}
 }
 
-// How a known caller fares, 200 requests a second on one connection, without and with a flood of forged tokens from
-// four others.
+// BenchmarkForged measures the latency of an authenticated caller that sends 200 requests a second on one connection,
+// without and with a flood of forged tokens on four other connections.
 //
 //	go test -run xxx -bench Forged -benchtime 2000x ./cmd/lanewheel
 func BenchmarkForged(b *testing.B) {
@@ -196,7 +199,7 @@
 				}()
 			}
 			s := h.client()
-			took := hdrhistogram.New(1, 60e6, 3)
+			latencies := hdrhistogram.New(1, 60e6, 3)
 			before := cpuTime(h.cmd.Process.Pid)
 			b.ResetTimer()
 			began := time.Now()
@@ -207,11 +210,11 @@
 				if a, err := s.NextResponse(); err != nil || a.Error != "" {
 					b.Fatal(a, err)
 				}
-				_ = took.RecordValue(time.Since(at).Microseconds())
+				_ = latencies.RecordValue(time.Since(at).Microseconds())
 			}
 			b.StopTimer()
-			b.ReportMetric(float64(took.ValueAtQuantile(50))/1e3, "median-ms")
-			b.ReportMetric(float64(took.ValueAtQuantile(99))/1e3, "99th-ms")
+			b.ReportMetric(float64(latencies.ValueAtQuantile(50))/1e3, "median-ms")
+			b.ReportMetric(float64(latencies.ValueAtQuantile(99))/1e3, "99th-ms")
 			b.ReportMetric(float64(forged.Load())/time.Since(began).Seconds(), "forged/s")
 			b.ReportMetric((cpuTime(h.cmd.Process.Pid)-before).Seconds()/time.Since(began).Seconds(), "cores")
 			stop.Store(true)
@@ -220,29 +223,30 @@
 	}
 }
 
-// How long a start takes, by its parts: from exec to the line "listening", from there to the link with the runtime,
-// and from the runtime's ready event to the first good health check; alone, with the database and the registry
-// silent, and many at one moment as in a fleet's restart.
+// BenchmarkStart measures the duration of a start by its phases: from exec to the log line "listening", from there to
+// the link with the runtime, and from there, with the runtime's ready event sent at once, to the first successful health
+// check. It measures one instance, one whose database and registry do not answer, and 60 instances started at the same
+// time, as in the restart of a fleet.
 //
 //	go test -run xxx -bench Start -benchtime 20x ./cmd/lanewheel
 func BenchmarkStart(b *testing.B) {
-	for _, how := range []struct {
-		name string
-		at   int // started at one moment
-		mute bool
-	}{{"alone", 1, false}, {"database and list silent", 1, true}, {"60 at once", 60, false}} {
-		b.Run(how.name, func(b *testing.B) {
-			var parts [4]*hdrhistogram.Histogram
-			for i := range parts {
-				parts[i] = hdrhistogram.New(1, 60e6, 3)
+	for _, test := range []struct {
+		name            string
+		instances       int  // number of instances started at the same time
+		peersNotRunning bool // the database and the registry do not run
+	}{{"alone", 1, false}, {"database and registry silent", 1, true}, {"60 at once", 60, false}} {
+		b.Run(test.name, func(b *testing.B) {
+			var phases [4]*hdrhistogram.Histogram
+			for i := range phases {
+				phases[i] = hdrhistogram.New(1, 60e6, 3)
 			}
 			var mu sync.Mutex
 			for range b.N {
 				var all sync.WaitGroup
-				for range how.at {
+				for range test.instances {
 					began := time.Now()
 					t := deploy()
-					if how.mute {
+					if test.peersNotRunning {
 						_ = t.database.Listener.Close()
 						t.registry.Close()
 					}
@@ -250,30 +254,32 @@
 					go func() {
 						defer all.Done()
 						defer t.close()
-						fake.WaitFor("listening", func() bool { return strings.Contains(t.log.text(), "listening") })
-						listens := time.Now()
+						fake.WaitFor("the instance to listen", func() bool {
+							return strings.Contains(t.log.text(), "listening")
+						})
+						listening := time.Now()
 						t.runtime.Accept()
 						linked := time.Now()
 						s := t.client()
 						t.runtime.SendReady("steady")
-						fake.WaitFor("health", func() bool { return s.CheckHealth() })
-						ready := time.Now()
+						fake.WaitFor("a successful health check", func() bool { return s.CheckHealth() })
+						healthy := time.Now()
 						s.Close()
 						mu.Lock()
 						defer mu.Unlock()
-						for i, span := range []time.Duration{
-							listens.Sub(began), linked.Sub(listens), ready.Sub(linked), ready.Sub(began),
+						for i, duration := range []time.Duration{
+							listening.Sub(began), linked.Sub(listening), healthy.Sub(linked), healthy.Sub(began),
 						} {
-							_ = parts[i].RecordValue(span.Microseconds())
+							_ = phases[i].RecordValue(duration.Microseconds())
 						}
 					}()
 				}
 				all.Wait()
 			}
-			for i, name := range []string{"listening", "link", "healthy", "in-all"} {
-				b.ReportMetric(float64(parts[i].Min())/1e3, name+"-least-ms")
-				b.ReportMetric(float64(parts[i].ValueAtQuantile(50))/1e3, name+"-median-ms")
-				b.ReportMetric(float64(parts[i].Max())/1e3, name+"-most-ms")
+			for i, name := range []string{"listening", "link", "healthy", "total"} {
+				b.ReportMetric(float64(phases[i].Min())/1e3, name+"-min-ms")
+				b.ReportMetric(float64(phases[i].ValueAtQuantile(50))/1e3, name+"-median-ms")
+				b.ReportMetric(float64(phases[i].Max())/1e3, name+"-max-ms")
 			}
 		})
 	}
--- a/cmd/lanewheel/certificates_test.go
+++ b/cmd/lanewheel/certificates_test.go
@@ -12,8 +12,9 @@
 	"lanewheel/internal/fake"
 )
 
-// A certificate is revoked while a request is pending on its connection: the request is answered, the next is
-// denied, the connection is closed, and neither a new handshake nor a resumed session gets in. Others go on.
+// Example_revokedCertificate checks the revocation of a certificate while a request is pending on its connection. The
+// pending request is answered, the next one is denied, and the connection is closed. Neither a new handshake nor a
+// resumed session is accepted afterwards. Connections with other certificates stay open.
 func Example_revokedCertificate() {
 	h := deployWithAuth()
 	defer h.close()
@@ -29,12 +30,12 @@
 	h.runCommand("cert", "revoke", h.path("water-7.pem"), "--authority", h.path("ca"))
 	h.reloadAndWait()
 	s.Send(fake.NewRequest(4, "view", fake.RequestID(4), nil, "kb", "1"))
-	heard := []string{s.NextText(), s.NextText()} // goaway may come before the response or behind it
-	slices.Sort(heard)
-	fmt.Println(heard)
+	received := []string{s.NextText(), s.NextText()} // goaway may arrive before or after the response
+	slices.Sort(received)
+	fmt.Println(received)
 	h.runtime.SendNotice("end", fake.RequestID(3), "success", "one")
 	fmt.Println(s.NextText(), s.NextText())
-	fake.WaitFor("the end of the idle one", func() bool { return again.NextText() == "closed" })
+	fake.WaitFor("the idle connection to be closed", func() bool { return again.NextText() == "closed" })
 	fmt.Println(h.requestAnswer(other, 5), len(h.runtime.Messages))
 	for range 2 {
 		late, err := h.dialTLS(c)
@@ -54,7 +55,8 @@
 	// true true
 }
 
-// Hundreds of connections that stop in the handshake keep nobody out for long; half a handshake has an end.
+// Example_stalledHandshakes checks that 200 connections that stall in the handshake delay another client by less than
+// 4 s, and that an incomplete handshake times out.
 func Example_stalledHandshakes() {
 	h := deployWithAuth("client-certificates = optional",
 		"client-certificates = required\nmax-handshakes = 16\nhandshake-rate = 10000")
@@ -71,16 +73,18 @@
 	for _, c := range stalled {
 		_ = c.SetReadDeadline(time.Now().Add(fake.WaitTimeout))
 		if _, err := c.Read(make([]byte, 64)); os.IsTimeout(err) {
-			panic("a handshake without end")
+			panic("the instance did not close a connection with an incomplete handshake")
 		}
 		_ = c.Close()
 	}
-	noise := fake.Must(dial(h.tlsAddr))
-	_, _ = noise.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
-	fake.WaitFor("its end", func() bool { return strings.Contains(h.log.text(), "code=handshake-failed") })
-	none, err := h.dialTLS(h.clientTLS(""))
-	if err == nil { // the client hears of the refusal with its first read
-		_, err = none.NextResponse()
+	plaintext := fake.Must(dial(h.tlsAddr))
+	_, _ = plaintext.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
+	fake.WaitFor("the plaintext connection to be closed", func() bool {
+		return strings.Contains(h.log.text(), "code=handshake-failed")
+	})
+	withoutCertificate, err := h.dialTLS(h.clientTLS(""))
+	if err == nil { // the client receives the alert with its first read
+		_, err = withoutCertificate.NextResponse()
 	}
 	fmt.Println(strings.Contains(err.Error(), "certificate required"))
 	fmt.Println(h.requestAnswer(s, 2))
@@ -90,8 +94,8 @@
 	// done
 }
 
-// However many connections stop in the handshake, no more than configured hold a descriptor and memory; the others
-// wait outside.
+// Example_maxHandshakes checks that no more than the configured number of connections use a descriptor and memory
+// during the handshake, however many clients stall in it. The others wait in the backlog.
 func Example_maxHandshakes() {
 	h := deployWithAuth("client-certificates = optional",
 		"client-certificates = optional\nmax-handshakes = 4\nhandshake-rate = 10000")
@@ -106,7 +110,7 @@
 		return n
 	}
 	const idleSockets = 4 // two listeners, the runtime link and the registry's socket
-	// The instance may not have closed the connection of the readiness check yet, which would count as one of before.
+	// The instance may not have closed the connection of the readiness check yet, which would be counted in before.
 	fake.WaitFor("the connection of the readiness check to be closed", func() bool { return held() == idleSockets })
 	before, most := held(), 0
 	for range 25 {
--- a/cmd/lanewheel/helper_test.go
+++ b/cmd/lanewheel/helper_test.go
@@ -17,20 +17,20 @@
 	"lanewheel/internal/fake"
 )
 
-// deployment is one instance, as its own process, among fakes of all that it speaks to.
+// deployment is one instance that runs in a process of its own, with a fake of each peer.
 type deployment struct {
 	cmd        *exec.Cmd
 	log        *logBuffer
-	exited     chan struct{} // closed when the program has ended
+	exited     chan struct{} // closed when the program has exited
 	listenAddr string
-	configPath string // of its configuration
-	config     string
+	configPath string // path of the configuration file
+	config     string // text of the configuration file
 	runtime    *fake.Runtime
 	database   *fake.Database
 	registry   *fake.Registry
 }
 
-// logBuffer gathers what the program logs.
+// logBuffer collects the log of the program. It may be used by several goroutines.
 type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -51,8 +51,8 @@
 var (
 	binaryPath, tempDir string
 	deploymentCount     int
-	operatorPath        string   // the operator's file of the next deployment
-	logFile             *os.File // where the next deployment logs to, in place of its own log
+	operatorPath        string   // path of the operator's file of the next deployment, empty for none
+	logFile             *os.File // receives the log of the next deployment instead of its logBuffer, if not nil
 )
 
 func listen(addr string) (net.Listener, error) {
@@ -63,7 +63,7 @@
 	return (&net.Dialer{}).DialContext(context.Background(), "tcp", addr)
 }
 
-// buildProgram makes the program once for all tests.
+// buildProgram builds the program once for all tests.
 func buildProgram() {
 	tempDir = fake.Must(os.MkdirTemp("", "lanewheel"))
 	binaryPath = filepath.Join(tempDir, "lanewheel")
@@ -79,27 +79,28 @@
 	}
 }
 
-// deployWords gives the words that stand between two others in a line of the deploy file, so that the tests run
-// what is deployed.
+// deployWords returns the words between two texts in a line of the deploy file. The tests use it to run the program as
+// it is deployed.
 func deployWords(line, after, before string) []string {
 	for _, text := range strings.Split(string(fake.Must(os.ReadFile("../../deploy/balancer.toml"))), "\n") {
-		if rest, is := strings.CutPrefix(text, line+" = "); is {
+		if rest, found := strings.CutPrefix(text, line+" = "); found {
 			_, rest, _ = strings.Cut(strings.Trim(rest, `"`), after)
 			rest, _, _ = strings.Cut(rest, before)
 			return strings.Fields(rest)
 		}
 	}
-	panic("no line " + line)
+	panic("the deploy file has no line " + line)
 }
 
-// deploy starts a deployment whose runtime is not up yet; changes are pairs of text to replace in the configuration.
+// deploy starts a deployment whose runtime is not ready yet. changes are pairs of a text in the configuration and its
+// replacement.
 func deploy(changes ...string) *deployment {
 	t := &deployment{
 		log: &logBuffer{}, exited: make(chan struct{}), runtime: fake.NewRuntime(), database: fake.NewDatabase(),
 	}
 	t.registry = fake.NewRegistry()
-	// A free port that is given back may be taken by a connection of another test, so each deployment listens on a
-	// loopback address of its own, where nobody else binds.
+	// A connection of another test may take a free port once it is released. Each deployment therefore listens on a
+	// loopback address of its own, which no other test binds.
 	deploymentCount++
 	host := fmt.Sprintf("127.%d.%d.%d", 71+deploymentCount/250, os.Getpid()%250, 1+deploymentCount%250)
 	free := fake.Must(listen(host + ":0"))
@@ -114,14 +115,14 @@
 	return t
 }
 
-// start runs the program with a configuration.
+// start writes the configuration to a new file and runs the program with it.
 func (t *deployment) start(text string) {
 	t.configPath = filepath.Join(tempDir, fmt.Sprintf("%d.json", time.Now().UnixNano()))
 	t.writeConfig(text)
 	t.run()
 }
 
-// run runs the program on the configuration at t.path.
+// run runs the program with the configuration at t.configPath.
 func (t *deployment) run() {
 	t.cmd = exec.CommandContext(context.Background(), binaryPath)
 	if operatorPath != "" {
@@ -141,7 +142,7 @@
 	}()
 }
 
-// writeConfig replaces the configuration.
+// writeConfig replaces the configuration file.
 func (t *deployment) writeConfig(text string) {
 	t.config = text
 	if err := os.WriteFile(t.configPath, []byte(text), 0o600); err != nil {
@@ -149,7 +150,8 @@
 	}
 }
 
-// movedConfig returns the configuration with new fakes of the runtime, the database and the registry.
+// movedConfig replaces the fakes of the runtime, the database and the registry by new ones, stops the old listeners and
+// returns the configuration with the new addresses.
 func (t *deployment) movedConfig() string {
 	rt, db, roster := fake.NewRuntime(), fake.NewDatabase(), fake.NewRegistry()
 	text := strings.NewReplacer(t.runtime.Addr(), rt.Addr(), t.database.Addr(), db.Addr(),
@@ -163,13 +165,13 @@
 
 func (t *deployment) sendHangup() { _ = t.cmd.Process.Signal(syscall.SIGHUP) }
 
-// deployReady starts a deployment whose runtime is up.
+// deployReady starts a deployment and waits until its runtime is ready and it is healthy.
 func deployReady(changes ...string) *deployment {
 	t := deploy(changes...)
 	t.runtime.Accept()
 	t.runtime.SendReady("steady")
 	c := t.client()
-	fake.WaitFor("health", func() bool { return c.CheckHealth() })
+	fake.WaitFor("a successful health check", func() bool { return c.CheckHealth() })
 	c.Close()
 	return t
 }
@@ -185,12 +187,12 @@
 	}
 }
 
-// waitExit waits for the program's end and gives its exit code and what it logged without the times.
+// waitExit waits for the program to exit and returns its exit code and its log lines without their times.
 func (t *deployment) waitExit() (int, string) {
 	select {
 	case <-t.exited:
 	case <-time.After(fake.WaitTimeout):
-		panic("the program runs on")
+		panic("timed out waiting for the program to exit")
 	}
 	var lines []string
 	for _, line := range strings.Split(strings.TrimSpace(t.log.text()), "\n") {
@@ -205,8 +207,8 @@
 
 func (t *deployment) client() *fake.Client { return fake.Dial(t.listenAddr) }
 
-// reloadFailed begins the log's line on a reload that failed.
+// reloadFailed is the start of the log line of a failed reload.
 const reloadFailed = `msg="reload failed, configuration kept"`
 
-// failedReloads counts the reloads that failed.
+// failedReloads returns the number of failed reloads in the log.
 func (t *deployment) failedReloads() int { return strings.Count(t.log.text(), reloadFailed) }
--- a/cmd/lanewheel/main.go
+++ b/cmd/lanewheel/main.go
@@ -1,4 +1,4 @@
-// Command lanewheel is one service instance on sockets, and the operators' commands round it.
+// Command lanewheel runs one service instance and provides the operator commands.
 package main
 
 import (
