--- a/cmd/lanewheel/commandline_test.go
+++ b/cmd/lanewheel/commandline_test.go
@@ -12,9 +12,9 @@
 	"lanewheel/internal/fake"
 )
 
-// A start that fails: one line that says why, and a code that is not 0.
+// Example_startFails checks that a failed start logs one line with the cause and exits with a code other than 0.
 //
-//nolint:lll // a line of the trace is long
+//nolint:lll // a line of the output is long
 func Example_startFails() {
 	taken := fake.Must(listen("127.0.0.1:0"))
 	defer func() { _ = taken.Close() }()
@@ -41,7 +41,7 @@
 	// 1 0 msg="start failed" err="listen tcp ADDR: bind: address already in use"
 }
 
-// runCommand gives the exit code and all that the program prints for a command line.
+// runCommand runs the program with arguments and returns its exit code, a space and all its output.
 func runCommand(args ...string) string {
 	cmd := exec.CommandContext(context.Background(), binaryPath, args...)
 	cmd.Env = []string{"TMPDIR=" + tempDir}
@@ -49,10 +49,10 @@
 	return fmt.Sprintf("%d %s", cmd.ProcessState.ExitCode(), strings.ReplaceAll(string(out), tempDir+"/", ""))
 }
 
-// The command line: help on every level, files checked with each fault in its place, a wrong word told from a wrong
-// file.
+// Example_commandLine checks the help of the program and of its sub-commands, and the diagnostics of the check command
+// with the line of each fault. An unknown sub-command exits with 2, a file with faults with 1.
 //
-//nolint:lll // a line of the trace is long
+//nolint:lll // a line of the output is long
 func Example_commandLine() {
 	for _, args := range [][]string{{"--help"}, {"check", "--help"}, {"try", "--help"}} {
 		text := runCommand(args...)
@@ -90,7 +90,8 @@
 	// bad.json:5: settings.classes.1.credit: is "x", must not be of type string
 }
 
-// A newcomer's first command: it starts, serves, ends with its table, and all that was requested is in it.
+// Example_try checks that the try command starts an instance, sends requests and prints a table that accounts for each
+// request that it sent.
 func Example_try() {
 	text := runCommand("try", "--duration", "1s", "--rate", "100", "--mean-run-time", "1ms")
 	lines := strings.Split(strings.TrimSpace(text), "\n")
--- a/cmd/lanewheel/connections_test.go
+++ b/cmd/lanewheel/connections_test.go
@@ -12,27 +12,29 @@
 	"lanewheel/internal/fake"
 )
 
-// Who sends nothing, or half a request, loses the connection in time; who has sent a request once stays.
+// Example_silentClients checks that the instance closes the connection of a client that sends nothing, or only half a
+// request, within the timeout. The connection of a client that has sent a complete request stays open.
 func Example_silentClients() {
 	t := deployReady()
 	defer t.close()
 	began := time.Now()
-	silent, half, asked := t.client(), t.client(), t.client()
-	asked.Send([]any{0, 1, "check", []any{map[string]string{}}})
-	asked.NextText()
+	silent, half, active := t.client(), t.client(), t.client()
+	active.Send([]any{0, 1, "check", []any{map[string]string{}}})
+	active.NextText()
 	half.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil, "cost", "900"))
 	fmt.Println(t.runtime.NextCommand())
 	message := fake.Encode(nil, fake.NewRequest(2, "view", fake.RequestID(2), nil))
 	_, _ = half.Conn.Write(message[:len(message)/2])
 	fmt.Println(silent.NextText(), half.NextText(), half.NextText())
-	fmt.Println(time.Since(began) < 2500*time.Millisecond, asked.CheckHealth())
+	fmt.Println(time.Since(began) < 2500*time.Millisecond, active.CheckHealth())
 	// Output:
 	// start 1 route view body ""
 	// closed ['\x01' '\x01' ["Failed" map[]] <nil>] closed
 	// true true
 }
 
-// An unused connection is asked to go and closed; one more request that crosses the asking is served.
+// Example_idleConnection checks that an idle connection receives a goaway message and is then closed. A request that the
+// client sends before the connection is closed is still served.
 func Example_idleConnection() {
 	t := deployReady("IDLE", "0.3")
 	defer t.close()
@@ -50,22 +52,22 @@
 	// closed
 }
 
-// More connections than the limit wait in the backlog; those that are unused make room, the silent ones first, and
-// one with a pending request never.
+// Example_connectionLimit checks that connections beyond the limit wait in the backlog until idle connections are
+// evicted. Silent connections are evicted first, a connection with a pending request never.
 func Example_connectionLimit() {
 	t := deployReady()
 	defer t.close()
 	s := t.client()
 	s.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil, "cost", "900"))
 	fmt.Println(t.runtime.NextCommand())
-	asked := t.client()
-	asked.CheckHealth()
+	active := t.client()
+	active.CheckHealth()
 	for range 60 { // of 64 descriptors 40 are for clients
 		t.client()
 	}
 	late := t.client()
 	late.Send(fake.NewRequest(1, "view", fake.RequestID(2), nil, "cost", "900"))
-	fmt.Println(t.runtime.NextCommand(), asked.CheckHealth())
+	fmt.Println(t.runtime.NextCommand(), active.CheckHealth())
 	t.runtime.SendNotice("end", fake.RequestID(2), "success", "late")
 	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
 	fmt.Println(late.NextText(), s.NextText())
@@ -77,7 +79,8 @@
 	// true
 }
 
-// Hundreds of connections, each with a request, stay far within the memory.
+// Example_manyConnections checks that an instance with 500 connections, each with a request, stays under 96 MB of its
+// 192 MB.
 func Example_manyConnections() {
 	t := deployReady(`"sockets":64`, `"sockets":1024`)
 	defer t.close()
@@ -100,32 +103,34 @@
 	// under 96 MB: true
 }
 
-// Idle clients fill the descriptors, by the kernel's own limit: the instance links to its runtime after that,
-// serves, makes calls, reports, takes new addresses and drains; it never holds more than configured, and the
-// connection that is idle for longest goes first.
+// Example_descriptorLimit checks an instance whose descriptors are all used by idle clients, with the limit enforced by
+// the kernel. The instance still connects to its runtime, serves requests, makes upstream calls, sends reports, connects
+// to changed addresses and drains. It never has more descriptors open than configured, and evicts the connection first
+// that has been idle for longest.
 func Example_descriptorLimit() {
-	const most = 40
+	const maxDescriptors = 40
 	t := deploy("\"sockets\":64", "\"sockets\":40")
 	defer t.close()
-	limit := unix.Rlimit{Cur: most, Max: most}
+	limit := unix.Rlimit{Cur: maxDescriptors, Max: maxDescriptors}
 	if err := unix.Prlimit(t.cmd.Process.Pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil {
 		panic(err)
 	}
-	held := func() int {
+	openDescriptors := func() int {
 		return len(fake.Must(os.ReadDir(fmt.Sprintf("/proc/%d/fd", t.cmd.Process.Pid))))
 	}
 	var idle []*fake.Client
 	peak := 0
 	for range 60 {
 		idle = append(idle, t.client())
-		peak = max(peak, held())
+		peak = max(peak, openDescriptors())
 	}
-	t.runtime.Accept() // the link comes, or came before them
+	t.runtime.Accept() // the link is made now or was made before the clients connected
 	t.runtime.SendReady("steady")
 	s := t.client()
-	fake.WaitFor("health", func() bool { return s.CheckHealth() })
-	asked := map[string]int{}
-	// As many calls at a time as their share lets through, more than there is room for connections.
+	fake.WaitFor("a successful health check", func() bool { return s.CheckHealth() })
+	calls := map[string]int{}
+	// These are as many concurrent calls as the upstream share permits, more than there are descriptors for their
+	// connections.
 	for n := 1; n <= 6; n++ {
 		s.Send(fake.NewRequest(n, "pay", fake.RequestID(n), nil, "kb", "1"))
 		t.runtime.NextCommand()
@@ -133,15 +138,15 @@
 	}
 	for range 40 {
 		idle = append(idle, t.client())
-		peak = max(peak, held())
+		peak = max(peak, openDescriptors())
 	}
 	for range 6 {
 		call := t.database.NextCall()
-		asked[call.Text[:14]]++
+		calls[call.Text[:14]]++
 		call.Reply("200 OK", "", "rows")
 		fmt.Print(t.runtime.NextCommand()[:4], " ")
 	}
-	fmt.Println(asked)
+	fmt.Println(calls)
 	for n := 1; n <= 6; n++ {
 		t.runtime.SendNotice("end", fake.RequestID(n), "success", "done")
 		s.NextText()
@@ -156,11 +161,11 @@
 	fmt.Println(t.runtime.NextCommand())
 	t.runtime.SendNotice("end", fake.RequestID(7), "success", "seven")
 	fmt.Println(s.NextText())
-	peak = max(peak, held())
-	fmt.Println("first to rest, first to go:", idle[0].NextText())
+	peak = max(peak, openDescriptors())
+	fmt.Println("connection with the longest idle time:", idle[0].NextText())
 	t.sendTerminate()
 	code, _ := t.waitExit()
-	fmt.Println(code, "within the limit:", peak <= most)
+	fmt.Println(code, "within the limit:", peak <= maxDescriptors)
 	// Output:
 	// give give give give give give map[POST /v1/exec :6]
 	// HERE n1 on
@@ -168,36 +173,36 @@
 	// HERE n1 on
 	// start 7 route pay body ""
 	// ['\x01' '\a' <nil> ["seven" map[]]]
-	// first to rest, first to go: closed
+	// connection with the longest idle time: closed
 	// 0 within the limit: true
 }
 
-// No list has a limit under 1,024: as many tenants and classes configured, and clients connected at a time, each
-// served.
+// Example_manyClassesAndTenants checks that an instance supports at least 1,024 tenants, 1,024 classes and 1,024
+// concurrent clients, and serves each of them.
 func Example_manyClassesAndTenants() {
-	const many = 1024
-	var tenants, types []string
-	for i := range many {
+	const count = 1024
+	var tenants, classes []string
+	for i := range count {
 		tenants = append(tenants, fmt.Sprintf(`{"name":"t%d","quota-per-s":5}`, i))
-		types = append(types, fmt.Sprintf(
+		classes = append(classes, fmt.Sprintf(
 			`{"name":"k%d","credit":%d,"promise-s":1,"give-up-s":9,"repeat":"idempotent"}`, i, 1+i%5))
 	}
 	t := deployReady(`"tenants":[]`, `"tenants":[`+strings.Join(tenants, ",")+"]",
-		`"classes":[`, `"classes":[`+strings.Join(types, ",")+",",
+		`"classes":[`, `"classes":[`+strings.Join(classes, ",")+",",
 		`"sockets":64`, `"sockets":4096`, `"memory-kb":1900`, `"memory-kb":1900000`, `"cpus":2`, `"cpus":64`)
 	defer t.close()
 	t.endRunsAtOnce()
-	var all []*fake.Client
+	var clients []*fake.Client
 	answers := map[string]int{}
-	for i := range many {
+	for i := range count {
 		s := t.client()
-		all = append(all, s)
+		clients = append(clients, s)
 		s.Send(fake.NewRequest(1, fmt.Sprint("k", i), fake.RequestID(i), nil,
-			"tenant", fmt.Sprint("t", many-1-i), "kb", "1", "from", fmt.Sprint(i)))
+			"tenant", fmt.Sprint("t", count-1-i), "kb", "1", "from", fmt.Sprint(i)))
 		answers[s.NextText()]++
 	}
-	fmt.Println(len(all), answers, strings.Contains(t.log.text(), "evicted"))
-	for _, s := range all {
+	fmt.Println(len(clients), answers, strings.Contains(t.log.text(), "evicted"))
+	for _, s := range clients {
 		s.Close()
 	}
 	// Output:
--- a/cmd/lanewheel/deployed_test.go
+++ b/cmd/lanewheel/deployed_test.go
@@ -16,44 +16,44 @@
 	"lanewheel/internal/fake"
 )
 
-// The deployed line alone, as the platform starts it: what it opens is what it speaks with, and nothing that is off
-// adds a socket, a thread or a file. A socket of the runtime's link, one that listens, one that reports; the
-// poller's.
+// Example_deployed starts the program with the command line of the deploy file, without an operator's file, as the
+// platform does. It checks that features that are off add no socket, thread or file. The three sockets are the runtime
+// link, the listener and the socket of the registry reports; the other descriptors belong to the poller.
 func Example_deployed() {
 	fmt.Println(deployWords("run", "exec ", "\x00"))
 	t := deployReady()
 	defer t.close()
 	pid := t.cmd.Process.Pid
-	// A file that whoever runs the tests left open goes through them to every program they start, under its
-	// number; that one is not the program's.
-	given := map[string]string{}
+	// A descriptor that the parent of the test process left open without close-on-exec is inherited by every program
+	// that the tests start, under the same number. It is not counted as the program's.
+	inheritedFiles := map[string]string{}
 	for _, fd := range fake.Must(os.ReadDir("/proc/self/fd")) {
 		n, _ := strconv.Atoi(fd.Name())
 		flags, _, errno := syscall.Syscall(syscall.SYS_FCNTL, uintptr(n), syscall.F_GETFD, 0)
 		inherited := n > 2 && errno == 0 && flags&syscall.FD_CLOEXEC == 0
 		if to, err := os.Readlink("/proc/self/fd/" + fd.Name()); err == nil && inherited {
-			given[fd.Name()] = to
+			inheritedFiles[fd.Name()] = to
 		}
 	}
 	open := func() []string {
 		kinds := map[string]int{}
 		for _, fd := range fake.Must(os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))) {
 			to, err := os.Readlink(fmt.Sprintf("/proc/%d/fd/%s", pid, fd.Name()))
-			if err != nil || given[fd.Name()] == to {
+			if err != nil || inheritedFiles[fd.Name()] == to {
 				continue
 			}
-			// Go's own look at its cores, where there are such; ours is what is left.
+			// The Go runtime keeps the CPU limit files of its cgroup open, where they exist. They are not counted.
 			if strings.HasPrefix(to, "/sys/fs/cgroup/") || to == "/dev/null" {
 				continue
 			}
 			kinds[regexp.MustCompile(`[:\[].*`).ReplaceAllString(to, "")]++
 		}
-		var all []string
+		var counts []string
 		for kind, n := range kinds {
-			all = append(all, fmt.Sprint(kind, " ", n))
+			counts = append(counts, fmt.Sprint(kind, " ", n))
 		}
-		slices.Sort(all)
-		return all
+		slices.Sort(counts)
+		return counts
 	}
 	want := []string{"anon_inode 4", "pipe 2", "socket 3"}
 	last := open()
@@ -80,23 +80,23 @@
 	// mapped: 2 true true
 }
 
-// The deploy file's list of what the instance is made of names all that it links, less the decisions, and nothing
-// else.
-func Example_nodeList() {
+// Example_deployedPackages checks that the deploy file lists exactly the packages of this module that the program
+// links, except admission, which makes the decisions.
+func Example_deployedPackages() {
 	var linked []string
 	listed := fake.Must(exec.CommandContext(context.Background(), "go", "list", "-deps", ".").Output())
 	for _, path := range strings.Fields(string(listed)) {
-		if folder, ours := strings.CutPrefix(path, "lanewheel/"); ours && folder != "admission" {
+		if folder, inModule := strings.CutPrefix(path, "lanewheel/"); inModule && folder != "admission" {
 			linked = append(linked, strconv.Quote(folder))
 		}
 	}
-	var named []string
+	var deployed []string
 	for _, word := range deployWords("node", "[", "]") {
-		named = append(named, strings.TrimSuffix(word, ","))
+		deployed = append(deployed, strings.TrimSuffix(word, ","))
 	}
 	slices.Sort(linked)
-	slices.Sort(named)
-	fmt.Println(len(linked) > 20, slices.Equal(linked, named))
+	slices.Sort(deployed)
+	fmt.Println(len(linked) > 20, slices.Equal(linked, deployed))
 	// Output:
 	// true true
 }
--- a/cmd/lanewheel/drain_test.go
+++ b/cmd/lanewheel/drain_test.go
@@ -13,7 +13,8 @@
 	"lanewheel/internal/fake"
 )
 
-// Told to end, the instance reports so, answers what it has, asks its clients to go away and ends by itself with 0.
+// Example_drain checks that after SIGTERM the instance reports to the registry that it leaves, answers the pending
+// requests, sends goaway to its clients and exits with 0.
 func Example_drain() {
 	t := deployReady()
 	defer t.close()
@@ -21,7 +22,7 @@
 	s.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil))
 	t.runtime.NextCommand()
 	t.sendTerminate()
-	fake.WaitFor("the roster is told", func() bool { return t.registry.NextReport() == "HERE n1 off" })
+	fake.WaitFor("the report to the registry", func() bool { return t.registry.NextReport() == "HERE n1 off" })
 	t.sendTerminate()
 	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
 	fmt.Println(s.NextText())
@@ -43,8 +44,9 @@
 	// refused: true
 }
 
-// A client that connects while the listening socket is being closed is accepted and answered, or refused; SIGTERM
-// before the runtime is up ends the program at once.
+// Example_earlyTerminate checks that SIGTERM before the runtime is ready ends the program at once, with a goaway to the
+// connected client. A client that connects while the listening socket is being closed is either accepted and answered
+// or refused.
 func Example_earlyTerminate() {
 	t := deploy()
 	defer t.close()
@@ -59,8 +61,8 @@
 	// 0
 }
 
-// Signals of both kinds while the configuration is still being read: none ends the program, and SIGTERM is not lost
-// among the others.
+// Example_signalsBeforeConfiguration sends SIGHUP and SIGTERM while the program still reads its configuration. Neither
+// ends the program there, and SIGTERM is not lost among 100 SIGHUPs: the program drains once it has started.
 func Example_signalsBeforeConfiguration() {
 	t := &deployment{
 		log: &logBuffer{}, exited: make(chan struct{}),
@@ -75,11 +77,11 @@
 		panic(err)
 	}
 	t.run()
-	// Opened once the program has opened it too, which then waits for what stands in it.
+	// Opening the pipe for writing blocks until the program has opened it for reading. The program then waits for data.
 	pipe := fake.Must(os.OpenFile(t.configPath, os.O_WRONLY, 0))
 	for range 100 {
 		t.sendHangup()
-		fake.WaitFor("the notice is taken", func() bool { return !signalPending(t.cmd.Process.Pid) })
+		fake.WaitFor("the signal to be delivered", func() bool { return !signalPending(t.cmd.Process.Pid) })
 	}
 	t.sendTerminate()
 	_, _ = fmt.Fprint(pipe, text)
@@ -90,29 +92,30 @@
 	// 0 true true
 }
 
-// signalPending tells whether a signal that was sent to the process has not been delivered.
+// signalPending reports whether a signal that was sent to the process has not been delivered yet.
 func signalPending(pid int) bool {
 	for _, line := range strings.Split(string(fake.Must(os.ReadFile(fmt.Sprintf("/proc/%d/status", pid)))), "\n") {
-		if mask, is := strings.CutPrefix(line, "ShdPnd:"); is {
+		if mask, found := strings.CutPrefix(line, "ShdPnd:"); found {
 			return strings.Trim(mask, "\t0") != ""
 		}
 	}
 	return false
 }
 
-// Connections that stand in the backlog, with a request written on each, when listening ends while the table is
-// full: each request is answered.
+// Example_backlogWhileDraining checks connections that wait in the backlog, each with a request already written, when
+// the instance stops listening while its connection table is full. Each of these requests is answered.
 func Example_backlogWhileDraining() {
 	t := deployReady()
 	defer t.close()
 	var busy, waiting []*fake.Client
-	// Of 64 descriptors, as many as may be connected; none can be evicted, as a request is pending on each.
+	// 32 clients are as many as may be connected with 64 descriptors. None can be evicted, as a request is pending on
+	// each connection.
 	for i := range 32 {
 		s := t.client()
 		s.Send(fake.NewRequest(1, "pay", fake.RequestID(i), nil, "kb", "1"))
 		busy = append(busy, s)
 	}
-	fake.WaitFor("all are in", func() bool { return t.runtime.NextCommand() != "" && len(busy) == 32 })
+	fake.WaitFor("a request to start", func() bool { return t.runtime.NextCommand() != "" && len(busy) == 32 })
 	for i := range 8 {
 		s := t.client()
 		s.Send(fake.NewRequest(1, "pay", fake.RequestID(100+i), nil, "kb", "1"))
@@ -121,9 +124,9 @@
 	t.sendTerminate()
 	answers := map[string]int{}
 	for _, s := range waiting {
-		for h := s.NextText(); ; h = s.NextText() {
-			if !strings.Contains(h, "goaway") {
-				answers[h]++
+		for message := s.NextText(); ; message = s.NextText() {
+			if !strings.Contains(message, "goaway") {
+				answers[message]++
 				break
 			}
 		}
@@ -139,29 +142,29 @@
 	// 0
 }
 
-// A client that stays until the instance closes the connection, with half a request written when it is asked to go
-// away: its connection is closed in good order, long before a peer's timeout, however short the time to the kill
-// is, and a pending request is answered.
+// Example_idleWhileDraining checks a client that has written half a request when it receives goaway and stays until the
+// instance closes the connection. The instance closes it without a reset, long before a peer's timeout, and answers the
+// pending request of another client, however short the configured time until the process is killed.
 func Example_idleWhileDraining() {
 	for _, stop := range []string{"1500", "240", "60", "0"} {
 		t := deployReady(`"stop_ms":1500`, `"stop_ms":`+stop)
-		s, rests := t.client(), t.client()
-		fmt.Print(stop, " ", rests.CheckHealth())
+		s, idle := t.client(), t.client()
+		fmt.Print(stop, " ", idle.CheckHealth())
 		s.Send(fake.NewRequest(1, "pay", fake.RequestID(1), nil))
 		t.runtime.NextCommand()
 		half := fake.Encode(nil, fake.NewRequest(2, "view", fake.RequestID(2), nil))
-		_, _ = rests.Conn.Write(half[:len(half)/2])
+		_, _ = idle.Conn.Write(half[:len(half)/2])
 		later := t.client()
-		fmt.Print(" ", later.CheckHealth()) // what came before it is read too
+		fmt.Print(" ", later.CheckHealth()) // the instance has by now read the half request too
 		later.Close()
 		began := time.Now()
 		t.sendTerminate()
-		h := s.NextText()
-		for strings.Contains(h, "goaway") {
-			h = s.NextText()
+		message := s.NextText()
+		for strings.Contains(message, "goaway") {
+			message = s.NextText()
 		}
-		fmt.Print(" ", h)
-		fmt.Print(" ", rests.NextText(), " ", rests.NextText())
+		fmt.Print(" ", message)
+		fmt.Print(" ", idle.NextText(), " ", idle.NextText())
 		code, log := t.waitExit()
 		fmt.Println("", code, time.Since(began) < 5*time.Second, strings.Contains(log, "msg=stopped"))
 		t.close()
@@ -173,8 +176,8 @@
 	// 0 true true ['\x01' '\x01' ["Failed" map[]] <nil>] ['\x02' "goaway" []] closed 0 true true
 }
 
-// isStopped reports whether all threads of a process are stopped by a signal. A signal stops them one after another:
-// until then a thread that still runs may accept a connection and read from it.
+// isStopped reports whether all threads of a process are stopped by a signal. A signal stops them one after another.
+// Until all are stopped, a running thread may accept a connection and read from it.
 func isStopped(pid int) bool {
 	for _, thread := range fake.Must(os.ReadDir(fmt.Sprintf("/proc/%d/task", pid))) {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/task/%s/stat", pid, thread.Name()))
@@ -186,30 +189,30 @@
 	return true
 }
 
-// A process is killed right after an accept: one connection stands in its queue with a request on it, another's
-// request runs. Both end with their process, at once and without a response; the first was never executed. The next
-// process takes the address and serves.
+// Example_killedAfterAccept kills a process while one connection waits in its accept queue with a request on it and the
+// request of another connection runs. Both connections end with the process, at once and without a response, and the
+// request in the queue is never executed. The next process binds the same address and serves.
 func Example_killedAfterAccept() {
 	t := deployReady()
 	defer t.close()
-	runs, queued := t.client(), (*fake.Client)(nil)
-	runs.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil))
+	running, queued := t.client(), (*fake.Client)(nil)
+	running.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil))
 	fmt.Println(t.runtime.NextCommand())
-	_ = t.cmd.Process.Signal(syscall.SIGSTOP) // the kernel accepts for it
+	_ = t.cmd.Process.Signal(syscall.SIGSTOP) // the kernel still completes connections while the process is stopped
 	fake.WaitFor("the process to stop", func() bool { return isStopped(t.cmd.Process.Pid) })
 	queued = t.client()
 	queued.Send(fake.NewRequest(2, "view", fake.RequestID(2), nil))
 	_ = t.cmd.Process.Kill()
 	<-t.exited
-	// A reset, over the bytes that it never read.
-	fmt.Println(runs.NextText(), strings.HasSuffix(queued.NextText(), "connection reset by peer"))
+	// The queued connection is reset, as the process never read the bytes on it.
+	fmt.Println(running.NextText(), strings.HasSuffix(queued.NextText(), "connection reset by peer"))
 	fmt.Println(t.runtime.NextCommand())
 	t.exited = make(chan struct{})
 	t.run()
 	t.runtime.Accept()
 	t.runtime.SendReady("booting")
 	s := t.client()
-	fake.WaitFor("health", func() bool { return s.CheckHealth() })
+	fake.WaitFor("a successful health check", func() bool { return s.CheckHealth() })
 	s.Send(fake.NewRequest(1, "view", fake.RequestID(3), nil))
 	fmt.Println(t.runtime.NextCommand())
 	// Output:
--- a/cmd/lanewheel/duplicates_test.go
+++ b/cmd/lanewheel/duplicates_test.go
@@ -9,8 +9,8 @@
 	"lanewheel/internal/fake"
 )
 
-// Reads of the same class and resource within the configured time get the first one's result, without a run of
-// their own.
+// Example_coalescedReads checks that reads of the same class and resource within the configured time are answered with
+// the result of the first one and are not run.
 func Example_coalescedReads() {
 	t := deployReady("FRESH", "5")
 	defer t.close()
@@ -36,8 +36,8 @@
 	// true 0
 }
 
-// A read whose caller has left runs on until its stop is confirmed. Duplicates from before that get its result;
-// later ones have a run of their own.
+// Example_duplicateOfAbandonedRead checks a read whose client cancels it, which runs on until the runtime confirms the
+// stop. Duplicates that arrived before the cancel get its result; a later duplicate is run itself.
 func Example_duplicateOfAbandonedRead() {
 	t := deployReady("FRESH", "5")
 	defer t.close()
@@ -67,14 +67,15 @@
 	// ['\x01' '\x04' <nil> ["three" map[]]]
 }
 
-// The requests of a further tier are calls, which carry the resource of the request that makes them: each has a
-// result of its own, and only one with the same body is answered with another's.
+// Example_duplicatesInFurtherTier checks coalescing in a further tier, whose requests are calls that carry the resource
+// key of the request that makes them. Calls with the same key may have different results, so a call is answered with the
+// result of another only if their bodies are equal too.
 func Example_duplicatesInFurtherTier() {
 	t := deployReady("FRESH", "5", `{"classes"`, `{"tier":1,"classes"`)
 	defer t.close()
 	s := t.client()
-	call := func(n int, says string) []any {
-		return fake.NewRequest(n, "view", fake.RequestID(n), []byte(says), "key", "k", "kb", "1")
+	call := func(n int, body string) []any {
+		return fake.NewRequest(n, "view", fake.RequestID(n), []byte(body), "key", "k", "kb", "1")
 	}
 	s.Send(call(1, "lamps"), call(2, "poles"))
 	fmt.Println(t.runtime.NextCommand())
@@ -93,19 +94,19 @@
 	// ['\x01' '\x03' <nil> ["of lamps" map[]]]
 }
 
-// A duplicate of a read while the first runs, in the moment in which the first is answered, when its run has
-// failed, and from another tenant, in another class, after the configured time: the first's result, or a run of its
-// own, and one response each.
+// Example_duplicateReads checks duplicates of a read that arrive while the first runs, at the moment when it is
+// answered, after its run has failed, from another tenant, in another class and after the configured time. Each is
+// answered once, with the result of the first or of a run of its own.
 func Example_duplicateReads() {
 	t := deployReady("FRESH", "2", `"tenants":[]`, `"tenants":[{"name":"water"},{"name":"roads"}]`)
 	defer t.close()
 	s := t.client()
-	read := func(n int, kind, tenant string) []any {
-		return fake.NewRequest(n, kind, fake.RequestID(n), nil, "key", "k", "tenant", tenant, "kb", "1")
+	read := func(n int, class, tenant string) []any {
+		return fake.NewRequest(n, class, fake.RequestID(n), nil, "key", "k", "tenant", tenant, "kb", "1")
 	}
 	s.Send(read(1, "view", "water"), read(2, "view", "water"))
 	fmt.Println(t.runtime.NextCommand())
-	for n := 3; n < 30; n++ { // the end and repeats cross, in any order
+	for n := 3; n < 30; n++ { // the end of the run arrives among the duplicates, in any order
 		s.Send(read(n, "view", "water"))
 		if n == 15 {
 			t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
@@ -131,15 +132,15 @@
 	fmt.Println(t.runtime.NextCommand())
 	t.runtime.SendNotice("end", fake.RequestID(64), "success", "two")
 	fmt.Println(s.NextText())
-	// Past the configured time the result is dropped: some duplicate runs.
+	// After the configured time the result is dropped, so that a duplicate is run.
 	n := 65
-	fake.WaitFor("the end of its time", func() bool {
+	fake.WaitFor("the result to expire", func() bool {
 		s.Send(read(n, "view", "roads"))
 		n++
 		select {
-		case line := <-t.runtime.Messages:
-			t.runtime.SendNotice("end", line["rid"].(string), "success", "five")
-			fmt.Println(line["t"], strings.Contains(s.NextText(), "five"))
+		case message := <-t.runtime.Messages:
+			t.runtime.SendNotice("end", message["rid"].(string), "success", "five")
+			fmt.Println(message["t"], strings.Contains(s.NextText(), "five"))
 			return true
 		case <-time.After(20 * time.Millisecond):
 			return s.NextText() == ""
@@ -158,31 +159,31 @@
 	// start true
 }
 
-// Attempts of one request that is idempotent by key, each under an id of its own and by whichever client: one runs.
-// The others get its result, while it runs and afterwards, or its failure. Another body, or another class, is
-// another request.
+// Example_retriesByKey checks several attempts of one request that is idempotent by key, each with an id of its own and
+// from any client. Only one is run; the others get its result or its failure, while it runs and afterwards. A request
+// with another body or class is a different request.
 func Example_retriesByKey() {
 	t := deployReady(`"repeat":"at_most_once"}`, `"repeat":"deduplicated","dedup-window-s":60}`)
 	defer t.close()
 	s, other := t.client(), t.client()
-	try := func(n int, kind, body string) []any {
-		return fake.NewRequest(n, kind, fake.RequestID(n), []byte(body), "kb", "1")
+	attempt := func(n int, class, body string) []any {
+		return fake.NewRequest(n, class, fake.RequestID(n), []byte(body), "kb", "1")
 	}
-	s.Send(try(1, "pay", "x"))
+	s.Send(attempt(1, "pay", "x"))
 	fmt.Println(t.runtime.NextCommand())
-	other.Send(try(2, "pay", "x"))
-	s.Send(try(3, "pay", "y"))
+	other.Send(attempt(2, "pay", "x"))
+	s.Send(attempt(3, "pay", "y"))
 	fmt.Println(t.runtime.NextCommand())
-	s.Send(try(4, "view", "x"))
+	s.Send(attempt(4, "view", "x"))
 	fmt.Println(t.runtime.NextCommand())
 	fmt.Println(other.CheckHealth())
 	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
 	fmt.Println(s.NextText(), other.NextText())
-	other.Send(try(5, "pay", "x"))
+	other.Send(attempt(5, "pay", "x"))
 	fmt.Println(other.NextText())
 	t.runtime.SendNotice("end", fake.RequestID(3), "failure", "")
 	fmt.Println(s.NextText())
-	other.Send(try(6, "pay", "y"))
+	other.Send(attempt(6, "pay", "y"))
 	fmt.Println(other.NextText())
 	s.Send([]any{2, "interrupt", []any{4}})
 	fmt.Println(t.runtime.NextCommand(), len(t.runtime.Messages))
--- a/cmd/lanewheel/log_test.go
+++ b/cmd/lanewheel/log_test.go
@@ -9,8 +9,8 @@
 	"lanewheel/internal/fake"
 )
 
-// Nobody reads the log, and its pipe is full; then its reader is gone. Requests are answered all the same, and the
-// program ends with 0.
+// Example_logReaderStopped checks an instance whose log goes to a full pipe that nobody reads and that loses its reader
+// later. Requests are still answered, and the program exits with 0.
 func Example_logReaderStopped() {
 	var ends [2]int
 	if err := unix.Pipe2(ends[:], unix.O_CLOEXEC|unix.O_NONBLOCK); err != nil {
@@ -21,7 +21,7 @@
 			break
 		}
 	}
-	if _, err := unix.FcntlInt(uintptr(ends[1]), unix.F_SETFL, 0); err != nil { // the program's writes wait
+	if _, err := unix.FcntlInt(uintptr(ends[1]), unix.F_SETFL, 0); err != nil { // the program's writes block
 		panic(err)
 	}
 	logFile = os.NewFile(uintptr(ends[1]), "log")
@@ -30,16 +30,16 @@
 	logFile = nil
 	defer t.close()
 	s := t.client()
-	ask := func(n int) {
+	sendRequest := func(n int) {
 		s.Send(fake.NewRequest(n, "view", fake.RequestID(n), nil))
 		t.runtime.NextCommand()
 		t.runtime.SendNotice("end", fake.RequestID(n), "success", "one")
 		fmt.Println(s.NextText())
 	}
-	ask(1)
-	_ = unix.Close(ends[0]) // what is being written is refused
-	t.client().Close()      // and leaves a line
-	ask(2)
+	sendRequest(1)
+	_ = unix.Close(ends[0]) // the pending write and later ones fail
+	t.client().Close()      // the instance logs a line about this connection
+	sendRequest(2)
 	t.sendTerminate()
 	s.Close()
 	code, _ := t.waitExit()
--- a/cmd/lanewheel/protocol_test.go
+++ b/cmd/lanewheel/protocol_test.go
@@ -9,7 +9,8 @@
 	"lanewheel/internal/fake"
 )
 
-// A cancel that crosses the end, one for an id that was never seen, a connection that closes with pending requests.
+// Example_cancelCrossings checks a cancel that arrives when the run has ended, a cancel for an unknown message id, and a
+// connection that is closed with pending requests.
 func Example_cancelCrossings() {
 	t := deployReady()
 	defer t.close()
@@ -33,7 +34,8 @@
 	// true
 }
 
-// A connection that breaks the protocol has what is pending on it fail and is closed at once; the others go on.
+// Example_protocolErrors checks that after a protocol error the pending requests of the connection fail and the
+// connection is closed at once. Other connections are not affected.
 func Example_protocolErrors() {
 	t := deployReady()
 	defer t.close()
@@ -42,7 +44,7 @@
 		{0xc1},
 		fake.Encode(nil, fake.NewRequest(1, "view", fake.RequestID(50), nil)),
 		fake.Encode(nil, fake.NewRequest(2, "view", fake.RequestID(3), nil)),
-		{0x94, 0, 2, 0xa4, 'v', 'i', 'e', 'w', 0x92, 0x81, 0xa2, 'i', 'd', 0xdb, 0x03, 0x90, 0, 0}} { // 60 MB to come
+		{0x94, 0, 2, 0xa4, 'v', 'i', 'e', 'w', 0x92, 0x81, 0xa2, 'i', 'd', 0xdb, 0x03, 0x90, 0, 0}} { // announces a string of 60 MB
 		s := t.client()
 		s.Send(fake.NewRequest(1, "view", fake.RequestID(i+1), nil))
 		fmt.Println(t.runtime.NextCommand())
@@ -51,12 +53,14 @@
 		t.runtime.SendNotice("end", fake.RequestID(i+1), "interrupted", "")
 	}
 	s := t.client()
-	var many [][]any
+	var requests [][]any
 	for i := range 33 {
-		many = append(many, fake.NewRequest(i, "view", fake.RequestID(100+i), nil, "kb", "0.1"))
+		requests = append(requests, fake.NewRequest(i, "view", fake.RequestID(100+i), nil, "kb", "0.1"))
 	}
-	s.Send(many...)
-	fake.WaitFor("the end of a crowd", func() bool { return strings.Contains(t.log.text(), "too-many-pending") })
+	s.Send(requests...)
+	fake.WaitFor("the connection with too many requests to be closed", func() bool {
+		return strings.Contains(t.log.text(), "too-many-pending")
+	})
 	fmt.Println(other.CheckHealth())
 	t.sendTerminate()
 	_, log := t.waitExit()
@@ -79,11 +83,12 @@
 	// too-many-pending 1
 }
 
-// What could never be served fails and does not reach the runtime; a client that goes on so loses its connection.
-// An id in flight that comes by another connection is rejected, and its first bearer served. Ids that the runtime
-// does not know are no failed runs: dozens of them leave the instance healthy.
+// Example_invalidRequests checks that a request with invalid fields fails without reaching the runtime, and that a
+// client that keeps sending such requests loses its connection. A request whose id is in flight on another connection is
+// rejected, and the first request with that id is served. A start that the runtime refuses is not a failed run: dozens
+// of them leave the instance healthy.
 //
-//nolint:lll // a line of the trace is long
+//nolint:lll // a line of the output is long
 func Example_invalidRequests() {
 	t := deployReady(`"tenants":[]`, `"tenants":[{"name":"acme"}]`)
 	defer t.close()
@@ -106,7 +111,7 @@
 		if i == 0 {
 			fmt.Print(bad.NextText(), " ")
 		}
-		fake.WaitFor("its end", func() bool { return bad.NextText() == "closed" })
+		fake.WaitFor("the connection to be closed", func() bool { return bad.NextText() == "closed" })
 	}
 	bad = t.client()
 	bad.Send(fake.NewRequest(1, "what", fake.RequestID(1), nil))
@@ -121,31 +126,32 @@
 	// ['\x01' '\x01' <nil> ["one" map[]]] false
 }
 
-// A client that never reads loses its connection before its responses hold much memory; the others go on.
+// Example_clientNeverReads checks that the instance closes the connection of a client that never reads before the unread
+// responses use much memory. Other connections are not affected.
 func Example_clientNeverReads() {
 	t := deployReady()
 	defer t.close()
-	deaf, other := t.client(), t.client()
-	_ = deaf.Conn.(*net.TCPConn).SetReadBuffer(4096)
+	nonReader, other := t.client(), t.client()
+	_ = nonReader.Conn.(*net.TCPConn).SetReadBuffer(4096)
 	result := strings.Repeat("x", 4096)
 	ended := func() bool { return strings.Contains(t.log.text(), "never-reads") }
 	for i := 0; !ended(); i++ {
-		if i == 3000 { // as many rounds of 10 results are 120 MiB, far more than the kernel takes
-			panic("unread answers pile up")
+		if i == 3000 { // 3000 rounds of 10 results are 120 MiB, far more than the kernel buffers
+			panic("the instance keeps the connection of a client that never reads")
 		}
 		var b []byte
 		for n := range 10 {
 			b = fake.Encode(b, fake.NewRequest(10*i+n, "view", fake.RequestID(10*i+n), nil, "kb", "1", "cost", "900"))
 		}
-		_, _ = deaf.Conn.Write(b) // fails once the connection is lost
+		_, _ = nonReader.Conn.Write(b) // fails once the connection is closed
 		for n := 0; n < 10 && !ended(); {
 			select {
-			case line := <-t.runtime.Messages:
-				if line["t"] == "start" {
-					t.runtime.SendNotice("end", line["rid"].(string), "success", result)
+			case message := <-t.runtime.Messages:
+				if message["t"] == "start" {
+					t.runtime.SendNotice("end", message["rid"].(string), "success", result)
 					n++
 				}
-			case <-time.After(50 * time.Millisecond): // the rest of them were rejected
+			case <-time.After(50 * time.Millisecond): // the other requests of this round were rejected
 				n = 10
 			}
 		}
@@ -155,9 +161,9 @@
 	// true
 }
 
-// A client that closes its side of the connection and waits for the responses: the protocol knows no such end (a
-// client closes once everything is answered), and it is taken for its leaving, at once: its run is stopped, nothing
-// is answered, and its connection is closed.
+// Example_halfClosed checks a client that closes its sending side while it waits for a response. The protocol has no half
+// close, as a client closes only once all its requests are answered. The instance therefore handles it at once as a full
+// close: it stops the run, sends no response and closes the connection.
 func Example_halfClosed() {
 	t := deployReady()
 	defer t.close()
