--- a/cmd/lanewheel/authentication_test.go
+++ b/cmd/lanewheel/authentication_test.go
@@ -74,9 +74,9 @@
 	// ['\x01' '\x03' <nil> ["for roads-1" map[]]]
 }
 
-// A key is published before it signs and kept after it stops: a request under the old one is admitted until the
-// configured moment, by instances that read it whenever; one under a key that is not read yet leads to a look,
-// without a reload.
+// Example_keyRotation checks that a key is published before it signs and kept after it stops. Requests with tokens of
+// the old key are admitted until its configured retirement time, whenever the instance read that time. A token signed by
+// a key that the instance has not read yet makes it read the key directory without a reload.
 func Example_keyRotation() {
 	h := deployWithAuth()
 	defer h.close()
@@ -151,7 +151,7 @@
 }
 
 // Example_canceledWhileAuthenticated checks requests that are canceled, or whose connection is closed, while their token
-// is being verified. Neither runs, and their message ids can be used again.
+// is being verified. Neither runs, and their ids can be used again.
 func Example_canceledWhileAuthenticated() {
 	h := deployWithAuth()
 	defer h.close()
--- a/cmd/lanewheel/queue_test.go
+++ b/cmd/lanewheel/queue_test.go
@@ -35,13 +35,14 @@
 min-in-flight = 4
 `
 
-// deployWithQueue starts one; changes are pairs of text to replace in the configuration.
+// deployWithQueue starts a queueDeployment with the text of an operator's file and waits until it serves. changes are
+// pairs of a text in the configuration and its replacement.
 func deployWithQueue(file string, changes ...string) *queueDeployment {
 	d := &queueDeployment{broker: broker.New()}
 	for _, name := range []string{"ops", "dead", "replies"} {
 		d.broker.DeclareQueue(name, nil)
 	}
-	path := filepath.Join(tempDir, fmt.Sprintf("depot%d.ini", time.Now().UnixNano()))
+	path := filepath.Join(tempDir, fmt.Sprintf("queue%d.ini", time.Now().UnixNano()))
 	text := strings.NewReplacer("URL", d.broker.URL(), "WATCH", path+".sock").Replace(file)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		panic(err)
@@ -57,26 +58,26 @@
 	d.broker.Close()
 }
 
-func queueMessage(id, kind string) client.Publishing {
+func queueMessage(id, class string) client.Publishing {
 	return client.Publishing{
-		MessageId: id, CorrelationId: id, ReplyTo: "replies", Type: kind,
+		MessageId: id, CorrelationId: id, ReplyTo: "replies", Type: class,
 		Timestamp: time.Now(), Expiration: "20000", Body: []byte(id),
 	}
 }
 
-// answers waits for as many and gives them sorted; an answer sent twice counts once.
-func (d *queueDeployment) answers(n int) (all []string) {
-	fake.WaitFor("answers", func() bool { return d.broker.Counts("replies").Ready >= n })
+// answers waits for n answers in the reply queue and returns them sorted, without duplicates.
+func (d *queueDeployment) answers(n int) (answers []string) {
+	fake.WaitFor("the answers", func() bool { return d.broker.Counts("replies").Ready >= n })
 	for _, p := range d.broker.DrainQueue("replies") {
 		why, _ := p.Headers["why"].(string)
-		all = append(all, strings.TrimSpace(fmt.Sprint(p.CorrelationId, " ", p.Type, " ", string(p.Body), why)))
+		answers = append(answers, strings.TrimSpace(fmt.Sprint(p.CorrelationId, " ", p.Type, " ", string(p.Body), why)))
 	}
-	slices.Sort(all)
-	return slices.Compact(all)
+	slices.Sort(answers)
+	return slices.Compact(answers)
 }
 
-// A message's request runs beside those of clients; a connection that drops while it runs does not run it again,
-// and its answer goes out on the next one.
+// Example_queue checks that the request of a message runs beside the requests of clients. If the broker connection drops
+// while it runs, it is not run again, and its answer is published on the next connection.
 func Example_queue() {
 	d := deployWithQueue(queueOperatorFile)
 	defer d.close()
@@ -85,8 +86,8 @@
 	fmt.Println(start["t"], start["route"])
 	d.broker.DropConnections()
 	fake.WaitFor("the next connection", func() bool {
-		ever, _ := d.broker.Connections()
-		return ever == 2 && d.broker.Counts("ops").Unsettled == 1
+		connections, _ := d.broker.Connections()
+		return connections == 2 && d.broker.Counts("ops").Unsettled == 1
 	})
 	d.runtime.SendNotice("end", start["rid"].(string), "success", "one")
 	fmt.Println(d.answers(1))
@@ -97,7 +98,7 @@
 	d.runtime.SendNotice("end", fake.RequestID(1), "success", "two")
 	fmt.Println(s.NextText(), d.answers(1))
 	fake.WaitFor("the acks", func() bool { return d.broker.Counts("ops").Acked == 2 })
-	// An ack is only sent once the reply and the dead letter are confirmed.
+	// A message is acknowledged only after the broker has confirmed its reply and its dead letter.
 	fmt.Println(d.broker.Counts("dead").Ready, len(d.runtime.Messages), d.broker.Violations())
 	// Output:
 	// start pay
@@ -107,7 +108,8 @@
 	// 1 0 []
 }
 
-// Authorization holds for queues, too: one identity for all of a queue, or a token with each message.
+// Example_queueIdentity checks the authorization of messages, whose identity is either configured for the whole queue or
+// taken from a token in each message.
 func Example_queueIdentity() {
 	h := deployWithAuth()
 	defer h.close()
@@ -123,15 +125,15 @@
 	h.deployment = deployReady(`"tenants":[]`, `"tenants":[{"name":"water"},{"name":"roads"}]`)
 	operatorPath = ""
 	d := &queueDeployment{deployment: h.deployment, broker: b}
-	with := func(id, name, value string) client.Publishing {
+	messageWithHeader := func(id, name, value string) client.Publishing {
 		p := queueMessage(id, "view")
 		p.Headers = client.Table{name: value}
 		return p
 	}
 	h.endRunsAtOnce()
-	b.Publish("water", with("a", "tenant", "water"))
-	b.Publish("water", with("b", "tenant", "roads"))
-	b.Publish("any", with("c", "token", h.token("k1", "roads-1")))
+	b.Publish("water", messageWithHeader("a", "tenant", "water"))
+	b.Publish("water", messageWithHeader("b", "tenant", "roads"))
+	b.Publish("any", messageWithHeader("c", "token", h.token("k1", "roads-1")))
 	b.Publish("any", queueMessage("d", "view"))
 	for _, a := range d.answers(4) {
 		fmt.Println(a)
@@ -143,8 +145,8 @@
 	// d denied no-identity
 }
 
-// The operators' commands: what is there at the broker and what is missing, requests sent and answered, the
-// consumer's state.
+// Example_queueCommands checks the operator commands for queues: queue check lists the existing and the missing queues,
+// queue send publishes requests and counts their answers, and queue watch prints the state of the consumer.
 func Example_queueCommands() {
 	d := deployWithQueue(queueOperatorFile + "[queue none]\n")
 	defer d.close()
@@ -167,70 +169,70 @@
 	// 0 true true
 }
 
-// At SIGTERM consuming stops, what runs is answered and acknowledged, what was not started goes back, and the
-// program ends with 0.
+// Example_queueDrain checks that after SIGTERM the instance stops consuming, answers and acknowledges the messages whose
+// requests run, returns those that were not started to the queue, and exits with 0.
 func Example_queueDrain() {
 	d := deployWithQueue(strings.Replace(queueOperatorFile, "min-in-flight = 4", "min-in-flight = 30", 1))
 	defer d.close()
 	for i := range 60 {
 		d.broker.Publish("ops", queueMessage(fmt.Sprintf("m%02d", i), "view"))
 	}
-	fake.WaitFor("as many in hand as told", func() bool { return d.broker.Counts("ops").Unsettled == 30 })
-	ran := 1
+	fake.WaitFor("min-in-flight deliveries", func() bool { return d.broker.Counts("ops").Unsettled == 30 })
+	started := 1
 	d.runtime.SendNotice("end", d.runtime.NextMessage()["rid"].(string), "success", "done")
 	d.sendTerminate()
-	for line := range d.runtime.Messages {
-		if line["t"] == "start" {
-			ran++
-			d.runtime.SendNotice("end", line["rid"].(string), "success", "done")
+	for message := range d.runtime.Messages {
+		if message["t"] == "start" {
+			started++
+			d.runtime.SendNotice("end", message["rid"].(string), "success", "done")
 		}
 	}
 	code, log := d.waitExit()
 	counts := d.broker.Counts("ops")
-	all := d.answers(counts.Acked)
+	answers := d.answers(counts.Acked)
 	outcomes := map[string]int{}
-	for _, a := range all {
-		outcomes[strings.Fields(a)[1]]++
+	for _, answer := range answers {
+		outcomes[strings.Fields(answer)[1]]++
 	}
-	if outcomes["acked"] > ran || outcomes["acked"]+outcomes["failed"] != counts.Acked {
-		fmt.Println(outcomes, ran, counts)
+	if outcomes["acked"] > started || outcomes["acked"]+outcomes["failed"] != counts.Acked {
+		fmt.Println(outcomes, started, counts)
 	}
-	fmt.Println(code, len(all) == counts.Acked, counts.Acked+counts.Ready, counts.Unsettled,
+	fmt.Println(code, len(answers) == counts.Acked, counts.Acked+counts.Ready, counts.Unsettled,
 		strings.Contains(log, "peer=broker code=shutdown"))
 	// Output:
 	// 0 true 60 0 true
 }
 
-// Over a script of cut connections, the broker's count of every acknowledgment and every answer agrees with what
-// was sent, to the message, in ten runs of one script with the same totals.
+// TestQueueTotals plays a script of connection faults ten times. Each time the broker must count exactly one
+// acknowledgment and one answer for each message sent, and all ten runs must have the same totals.
 func TestQueueTotals(t *testing.T) {
-	const many = 200
-	// A call times out after four times the slowest of the last ones, so calls take longer than a busy machine
-	// usually pauses a process: a pause is then no call that never returns, which fails its request.
+	const messageCount = 200
+	// An upstream call times out after four times the slowest of the last calls. Calls take longer than a busy machine
+	// usually pauses a process, so that a pause does not cause a timeout, which would fail the request.
 	const callTime = 20 * time.Millisecond
-	play := func() string {
+	runScript := func() string {
 		d := deployWithQueue(queueOperatorFile, roomyConfig...)
 		defer d.close()
 		var mu sync.Mutex
 		runs := map[string]int{}
-		d.runtime.AutoRun(8, 200*time.Microsecond, 7, func(id, kind, _ string) { mu.Lock(); runs[id]++; mu.Unlock() })
+		d.runtime.AutoRun(8, 200*time.Microsecond, 7, func(id, _, _ string) { mu.Lock(); runs[id]++; mu.Unlock() })
 		d.database.AutoReplyAfter(callTime)
 		d.broker.SetFaults(
 			broker.Fault{Connection: 1, Frame: 90},
 			broker.Fault{Connection: 2, Frame: 333, Mode: broker.TruncateFrame},
 			broker.Fault{Connection: 3, Frame: 200, Mode: broker.Stall, Duration: 50 * time.Millisecond},
 			broker.Fault{Connection: 3, Frame: 412, Mode: broker.TruncateFrame})
-		for i := range many {
+		for i := range messageCount {
 			d.broker.Publish("ops", queueMessage(fmt.Sprintf("m%03d", i), []string{"view", "pay", "list"}[i%3]))
 		}
 		fake.WaitFor("the last ack", func() bool {
 			c := d.broker.Counts("ops")
-			return c.Acked == many && c.Unsettled+c.Ready == 0
+			return c.Acked == messageCount && c.Unsettled+c.Ready == 0
 		})
-		all := d.answers(many) // each was confirmed before its ack
+		answers := d.answers(messageCount) // each was confirmed before its message was acknowledged
 		outcomes := map[string]int{}
-		for _, a := range all {
-			outcomes[strings.Fields(a)[1]]++
+		for _, answer := range answers {
+			outcomes[strings.Fields(answer)[1]]++
 		}
 		mu.Lock()
 		defer mu.Unlock()
@@ -240,23 +242,23 @@
 				twice++
 			}
 		}
-		if got := outcomes["acked"] + outcomes["may-have-run"]; got != many || len(runs) != outcomes["acked"] {
-			t.Errorf("%v, %d ran", outcomes, len(runs))
+		if got := outcomes["acked"] + outcomes["may-have-run"]; got != messageCount || len(runs) != outcomes["acked"] {
+			t.Errorf("outcomes %v, but %d requests ran", outcomes, len(runs))
 		}
-		return fmt.Sprint("answers ", len(all), " acks ", d.broker.Counts("ops").Acked,
-			" ran twice ", twice, " wrong ", d.broker.Violations())
+		return fmt.Sprint("answers ", len(answers), " acks ", d.broker.Counts("ops").Acked,
+			" ran twice ", twice, " protocol violations ", d.broker.Violations())
 	}
-	first := play()
+	first := runScript()
 	t.Log(first)
 	for range 9 {
-		if again := play(); again != first {
-			t.Errorf("%s; before: %s", again, first)
+		if next := runScript(); next != first {
+			t.Errorf("totals %s, but in the first run %s", next, first)
 		}
 	}
 }
 
-// A flood of messages past their deadline, while a client's requests go on at a rate: how long each of those takes,
-// without and with it.
+// BenchmarkFlood measures the latency of a client that sends requests at a constant rate, without and with a flood of
+// messages past their deadline.
 //
 //	go test -run xxx -bench Flood -benchtime 1000x ./cmd/lanewheel
 func BenchmarkFlood(b *testing.B) {
@@ -265,12 +267,12 @@
 			d := deployWithQueue(queueOperatorFile, roomyConfig...)
 			defer d.close()
 			d.endRunsAtOnce()
-			const flood = 5_000 // a tenth of what the queues' page speaks of: ten seconds of it
+			const flood = 5_000 // a tenth of the flood in the documentation of queues: 10 s of it
 			began := time.Now()
-			var drained time.Duration
-			over := make(chan bool)
+			var drainTime time.Duration
+			floodDone := make(chan bool)
 			go func() {
-				defer close(over)
+				defer close(floodDone)
 				if !flooded {
 					return
 				}
@@ -282,11 +284,11 @@
 				for d.broker.Counts("replies").Ready < flood {
 					time.Sleep(time.Millisecond)
 				}
-				drained = time.Since(began)
+				drainTime = time.Since(began)
 			}()
 			s := d.client()
 			s.CheckHealth()
-			took := hdrhistogram.New(1, 60e6, 3)
+			latencies := hdrhistogram.New(1, 60e6, 3)
 			b.ResetTimer()
 			for n := range b.N {
 				time.Sleep(time.Until(began.Add(time.Duration(n) * 5 * time.Millisecond)))
@@ -295,22 +297,22 @@
 				if a, err := s.NextResponse(); err != nil || a.Error != "" {
 					b.Fatal(a, err)
 				}
-				_ = took.RecordValue(time.Since(at).Microseconds())
+				_ = latencies.RecordValue(time.Since(at).Microseconds())
 			}
 			b.StopTimer()
-			<-over
-			b.ReportMetric(float64(took.ValueAtQuantile(50))/1e3, "median-ms")
-			b.ReportMetric(float64(took.ValueAtQuantile(99))/1e3, "99th-ms")
-			b.ReportMetric(drained.Seconds(), "s-to-drain")
+			<-floodDone
+			b.ReportMetric(float64(latencies.ValueAtQuantile(50))/1e3, "median-ms")
+			b.ReportMetric(float64(latencies.ValueAtQuantile(99))/1e3, "99th-ms")
+			b.ReportMetric(drainTime.Seconds(), "s-to-drain")
 		})
 	}
 }
 
-// What an instance holds with thousands of messages in hand that do not end.
+// BenchmarkWaiting measures the memory of an instance with 5,000 unsettled messages whose runs do not end.
 //
 //	go test -run xxx -bench Waiting -benchtime 1x ./cmd/lanewheel
 func BenchmarkWaiting(b *testing.B) {
-	const many = 5000 // of 6,144 requests for which 192 MB have room
+	const messageCount = 5000 // of 6,144 requests, the maximum with 192 MB
 	file := strings.Replace(queueOperatorFile, "min-in-flight = 4", "min-in-flight = 1000\nmax-in-flight = 5000", 1)
 	file = strings.NewReplacer(
 		"min-in-flight = 4", "min-in-flight = 5000\nmax-in-flight = 5000",
@@ -323,20 +325,21 @@
 		for range d.runtime.Messages {
 		}
 	}()
-	for i := range many {
+	for i := range messageCount {
 		p := queueMessage(fmt.Sprint(i), "pay")
 		p.Expiration = "2900000"
 		d.broker.Publish("ops", p)
 	}
-	most := 0
+	maxUnsettled := 0
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		most = max(most, d.broker.Counts("ops").Unsettled)
+		maxUnsettled = max(maxUnsettled, d.broker.Counts("ops").Unsettled)
 	}
-	b.ReportMetric(float64(most), "in-hand")
+	b.ReportMetric(float64(maxUnsettled), "unsettled")
 	b.ReportMetric(float64(residentKB(d.cmd.Process.Pid)-before)/1024, "MB-more")
 }
 
-// Messages a second, and what one costs an instance, beside the clients' requests of BenchmarkRequest.
+// BenchmarkMessages measures the throughput of messages and the cost of a message to an instance, to compare with the
+// client requests of BenchmarkRequest.
 //
 //	go test -run xxx -bench Messages -benchtime 30000x ./cmd/lanewheel
 func BenchmarkMessages(b *testing.B) {
@@ -344,7 +347,7 @@
 	d := deployWithQueue(file, roomyConfig...)
 	defer d.close()
 	d.endRunsAtOnce()
-	before, held := cpuTime(d.cmd.Process.Pid), residentKB(d.cmd.Process.Pid)
+	cpuBefore, residentBefore := cpuTime(d.cmd.Process.Pid), residentKB(d.cmd.Process.Pid)
 	b.ResetTimer()
 	for i := range b.N {
 		d.broker.Publish("ops", queueMessage(fmt.Sprint(i), "view"))
@@ -353,17 +356,17 @@
 		time.Sleep(time.Millisecond)
 	}
 	b.StopTimer()
-	b.ReportMetric(float64((cpuTime(d.cmd.Process.Pid)-before).Microseconds())/float64(b.N), "cpu-µs/op")
-	b.ReportMetric(float64(residentKB(d.cmd.Process.Pid)-held)/1024, "MB-more")
+	b.ReportMetric(float64((cpuTime(d.cmd.Process.Pid)-cpuBefore).Microseconds())/float64(b.N), "cpu-µs/op")
+	b.ReportMetric(float64(residentKB(d.cmd.Process.Pid)-residentBefore)/1024, "MB-more")
 	outcomes := map[string]int{}
 	for _, p := range d.broker.DrainQueue("replies") {
 		outcomes[p.Type]++
 	}
-	b.ReportMetric(float64(b.N-outcomes["acked"])/float64(b.N), "turned/op")
+	b.ReportMetric(float64(b.N-outcomes["acked"])/float64(b.N), "unsuccessful/op")
 	began := time.Now()
 	d.broker.DropConnections()
-	ever, _ := d.broker.Connections()
-	for ; ever < 2 || d.broker.Counts("ops").Consumers == 0; ever, _ = d.broker.Connections() {
+	connections, _ := d.broker.Connections()
+	for ; connections < 2 || d.broker.Counts("ops").Consumers == 0; connections, _ = d.broker.Connections() {
 		time.Sleep(time.Millisecond)
 	}
 	b.ReportMetric(float64(time.Since(began).Milliseconds()), "ms-to-consume-again")
--- a/cmd/lanewheel/reload_test.go
+++ b/cmd/lanewheel/reload_test.go
@@ -8,9 +8,9 @@
 	"lanewheel/internal/fake"
 )
 
-// SIGHUP moves runtime, database and registry. While the file is half written the old addresses stay; when it is
-// whole, requests, runs and event numbers carry on at the new ones without another signal. A second move comes
-// before the first is done.
+// Example_addressesReloaded changes the addresses of the runtime, the database and the registry by SIGHUP. While the
+// configuration file is incomplete, the old addresses stay in use. Once it is complete, requests, runs and event numbers
+// continue at the new addresses without another signal. A second change arrives before the first is complete.
 func Example_addressesReloaded() {
 	t := deployReady()
 	defer t.close()
@@ -21,13 +21,13 @@
 	text := t.movedConfig()
 	t.writeConfig(text[:len(text)/2])
 	t.sendHangup()
-	fake.WaitFor("the half file", func() bool { return t.failedReloads() > 0 })
+	fake.WaitFor("the reload of the incomplete file to fail", func() bool { return t.failedReloads() > 0 })
 	s.Send(fake.NewRequest(2, "pay", fake.RequestID(2), nil))
 	fmt.Println(old.NextCommand())
 	old.SendNotice("end", fake.RequestID(2), "success", "two")
 	fmt.Println(s.NextText())
 	t.writeConfig(text)
-	fmt.Println("sync", t.runtime.Accept()) // no ready yet, and it moves again
+	fmt.Println("sync", t.runtime.Accept()) // the runtime is not ready yet when its address changes again
 	fmt.Println(old.NextCommand())
 	first := t.runtime
 	t.writeConfig(t.movedConfig())
@@ -36,7 +36,8 @@
 	fmt.Println("sync", t.runtime.Accept())
 	fmt.Println(first.NextCommand())
 	t.runtime.SendReady("steady")
-	fmt.Println(t.runtime.NextCommand()) // it may have been swallowed; nothing happens if it was not
+	// The start is repeated on the new link, as it may have been lost. The runtime ignores a repeated start.
+	fmt.Println(t.runtime.NextCommand())
 	t.runtime.LastNotice = 1
 	t.runtime.SendNotice("wants", fake.RequestID(1), "", "ask")
 	t.database.NextCall().Reply("200 OK", "", "rows")
@@ -67,8 +68,9 @@
 	// 0 1 3
 }
 
-// A configuration is read again while the instance drains: runtime, database and registry move, the run that is
-// under way ends by the new ones, and the drain goes on by its own times; a wrong one changes nothing.
+// Example_reloadedWhileDraining checks a reload while the instance drains. The addresses of the runtime, the database
+// and the registry change, the pending run continues and ends at the new ones, and the drain keeps its own timeouts. An
+// invalid configuration changes nothing.
 func Example_reloadedWhileDraining() {
 	t := deployReady()
 	defer t.close()
@@ -76,12 +78,12 @@
 	s.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil))
 	fmt.Println(t.runtime.NextCommand())
 	t.sendTerminate()
-	fake.WaitFor("the notice", func() bool { return strings.Contains(t.log.text(), "msg=draining") })
-	whole := t.config
+	fake.WaitFor("the instance to drain", func() bool { return strings.Contains(t.log.text(), "msg=draining") })
+	config := t.config
 	t.writeConfig("{")
 	t.sendHangup()
-	fake.WaitFor("the wrong file", func() bool { return t.failedReloads() > 0 })
-	t.config = whole
+	fake.WaitFor("the reload of the invalid file to fail", func() bool { return t.failedReloads() > 0 })
+	t.config = config
 	t.writeConfig(t.movedConfig())
 	t.sendHangup()
 	fmt.Println("sync", t.runtime.Accept())
@@ -90,11 +92,11 @@
 	t.runtime.LastNotice = 0
 	t.runtime.SendNotice("wants", fake.RequestID(1), "", "ask")
 	t.database.NextCall().Reply("200 OK", "", "rows")
-	heard := t.runtime.NextCommand()
-	if strings.HasPrefix(heard, "start 1 ") { // said again on the new link, as it may have been lost on the old one
-		heard = t.runtime.NextCommand()
+	command := t.runtime.NextCommand()
+	if strings.HasPrefix(command, "start 1 ") { // repeated on the new link, as it may have been lost on the old one
+		command = t.runtime.NextCommand()
 	}
-	fmt.Println(heard)
+	fmt.Println(command)
 	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
 	fmt.Println(s.NextText())
 	fmt.Println(s.NextText())
@@ -111,21 +113,22 @@
 	// 0 1
 }
 
-// Reloads that come twice at once, half written, cut off behind a whole line, while draining and during a
-// handshake: never half a change, and nothing is dropped.
+// Example_reloads checks reloads that are requested twice at once, of files that are half written or truncated after a
+// complete line, while the instance drains and during a handshake. A reload is applied as a whole or not at all, and no
+// request or connection is lost.
 func Example_reloads() {
 	h := deployWithAuth()
 	defer h.close()
 	s, water := h.client(), h.token("k1", "water-1")
-	standing := fake.Must(dial(h.tlsAddr)) // a handshake that stands
-	defer func() { _ = standing.Close() }()
-	kept := h.failedReloads
+	stalled := fake.Must(dial(h.tlsAddr)) // a handshake that does not proceed
+	defer func() { _ = stalled.Close() }()
+	failures := h.failedReloads
 	for _, file := range []string{"op.ini", "keys/k1.json", "server.pem", "ca/revoked.pem", "ca/authority.pem"} {
 		whole := fake.Must(os.ReadFile(h.path(file)))
-		before := kept()
+		before := failures()
 		h.writeFile(file, string(whole[:len(whole)*2/3]))
 		h.sendHangup()
-		fake.WaitFor("the refusal of "+file, func() bool { return kept() > before })
+		fake.WaitFor("the reload of the truncated "+file+" to fail", func() bool { return failures() > before })
 		fmt.Println(h.requestAnswer(s, 1, "token", water))
 		before = h.reloads()
 		h.writeFile(file, string(whole))
@@ -133,10 +136,11 @@
 		h.sendHangup()
 		fake.WaitFor("the reload", func() bool { return h.reloads() > before })
 	}
-	h.writeFile("op.ini", strings.Replace(h.operatorFile, h.tlsAddr, "127.0.0.1:1", 1)) // holds from the next start
-	before := kept()
+	// A changed listen address takes effect only at the next start, so its reload fails.
+	h.writeFile("op.ini", strings.Replace(h.operatorFile, h.tlsAddr, "127.0.0.1:1", 1))
+	before := failures()
 	h.sendHangup()
-	fake.WaitFor("the refusal", func() bool { return kept() > before })
+	fake.WaitFor("the reload of the changed address to fail", func() bool { return failures() > before })
 	h.writeFile("op.ini", strings.Replace(h.operatorFile, "roles = crew", "roles = slow", 1))
 	h.reloadAndWait()
 	s.Send(fake.NewRequest(2, "pay", fake.RequestID(2), nil, "token", water))
--- a/cmd/lanewheel/requests_test.go
+++ b/cmd/lanewheel/requests_test.go
@@ -7,7 +7,8 @@
 	"lanewheel/internal/fake"
 )
 
-// A request's way: read, started, at an upstream call, given the reply, ended, answered.
+// Example_requestLifecycle checks the stages of a request: it is read and started, makes an upstream call, receives the
+// reply, ends and is answered.
 func Example_requestLifecycle() {
 	t := deployReady()
 	defer t.close()
@@ -34,8 +35,9 @@
 	// ['\x01' '\b' ["Failed" map[]] <nil>]
 }
 
-// A request larger than the memory is rejected before it is started; one that takes too long fails and its run is
-// stopped, and the end that comes then is no second response. Gauges that never come hold up no response.
+// Example_rejectedAndTimedOut checks that a request larger than the memory is rejected before it is started. A request
+// that takes too long fails and its run is stopped; the end of the run that arrives later does not cause a second
+// response. Missing gauges of the runtime delay no response.
 func Example_rejectedAndTimedOut() {
 	t := deployReady()
 	defer t.close()
@@ -55,7 +57,9 @@
 	fmt.Println(t.runtime.NextCommand())
 	t.runtime.SendNotice("end", fake.RequestID(4), "interrupted", "")
 	s.Send([]any{0, 9, "check", []any{map[string]string{}}})
-	fmt.Println(s.NextText()[:20]) // the health check's response, no second one of the request; not healthy, as a run hung
+	// This is the response to the health check, not a second one to the request. The instance is not healthy, as a run
+	// hung.
+	fmt.Println(s.NextText()[:20])
 	// Output:
 	// ['\x01' '\x03' ["Busy" map[]] <nil>]
 	// start 4 route pay body ""
@@ -65,20 +69,20 @@
 	// ['\x01' '\t' <nil> [
 }
 
-// A clock that was set back or forth loses no request: one from far ahead is served, one from long ago rejected at
-// once.
+// Example_clockSteps checks that every request is answered after a clock step: a request with a time in the future is
+// served, and one with a time long ago is rejected at once.
 func Example_clockSteps() {
 	t := deployReady()
 	defer t.close()
 	s := t.client()
-	at := func(off time.Duration) string { return fmt.Sprint(time.Now().Add(off).UnixMilli()) }
+	at := func(offset time.Duration) string { return fmt.Sprint(time.Now().Add(offset).UnixMilli()) }
 	s.Send(
 		fake.NewRequest(1, "view", fake.RequestID(1), nil, "at", at(time.Hour)),
 		fake.NewRequest(2, "view", fake.RequestID(2), nil, "at", at(-time.Hour)),
 		fake.NewRequest(3, "view", fake.RequestID(3), nil, "at", "0"))
 	fmt.Println(t.runtime.NextCommand())
-	heard := map[string]bool{s.NextText(): true, s.NextText(): true}
-	fmt.Println(heard)
+	answers := map[string]bool{s.NextText(): true, s.NextText(): true}
+	fmt.Println(answers)
 	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
 	fmt.Println(s.NextText())
 	// Output:
@@ -87,11 +91,11 @@
 	// ['\x01' '\x01' <nil> ["one" map[]]]
 }
 
-// A class whose timeout is not configured, or is huge: what callers say of their deadlines and of the work still
-// counts.
+// Example_unusualTimeouts checks classes whose timeout is not configured, zero or huge. Their requests are served, with
+// the deadlines and costs that the callers send.
 func Example_unusualTimeouts() {
-	for _, told := range []string{``, `"give-up-s":0,`, `"give-up-s":3e9,`, `"give-up-s":1e300,`} {
-		t := deployReady(`{"name":"view","credit":1,"promise-s":1,"give-up-s":3,`, `{"name":"view","credit":1,`+told)
+	for _, timeout := range []string{``, `"give-up-s":0,`, `"give-up-s":3e9,`, `"give-up-s":1e300,`} {
+		t := deployReady(`{"name":"view","credit":1,"promise-s":1,"give-up-s":3,`, `{"name":"view","credit":1,`+timeout)
 		s := t.client()
 		s.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil))
 		fmt.Print(t.runtime.NextCommand(), " ")
--- a/cmd/lanewheel/rotation_test.go
+++ b/cmd/lanewheel/rotation_test.go
@@ -19,77 +19,81 @@
 	"lanewheel/internal/keyring"
 )
 
-// A long form turns the keys every minute:  go test -run Rotation ./cmd/lanewheel -rotate-for 10m -rotate-every 1m
-// -timeout 20m
+// These flags set the duration of TestRotation. A long run rotates the keys every minute:
+//
+//	go test -run Rotation ./cmd/lanewheel -rotate-for 10m -rotate-every 1m -timeout 20m
 var (
-	rotateFor   = flag.Duration("rotate-for", 6*time.Second, "how long the load of TestRotation goes on")
-	rotateEvery = flag.Duration("rotate-every", time.Second, "how often its keys turn; whole seconds")
+	rotateFor   = flag.Duration("rotate-for", 6*time.Second, "duration of the load of TestRotation")
+	rotateEvery = flag.Duration("rotate-every", time.Second, "interval of its key rotations, in whole seconds")
 )
 
-// signingKey is a key as the test knows it: published before it signs, kept after it stops.
+// signingKey is a key of the issuer. It is published before the first signature and stays published after the last.
 type signingKey struct {
 	key    *jose.JSONWebKey
-	retire time.Time
+	retire time.Time // tokens of this key are denied from this time on
 }
 
-// issuer rotates keys and revokes tokens; it is also the oracle, which knows for each request what is right.
+// issuer rotates keys and revokes tokens. It is also the oracle that determines the expected result of each request. Its
+// methods may be called by several goroutines.
 type issuer struct {
-	deployment *authDeployment
-	mu         sync.Mutex
-	current    *signingKey
-	serial     int
-	revoked    map[string][2]time.Time // jti to when the list was being written, and when it was in force
-	lastHonest issuedToken             // of an honest handheld's, to be taken back
-	lines      strings.Builder
+	deployment     *authDeployment
+	mu             sync.Mutex
+	current        *signingKey
+	serial         int
+	revoked        map[string][2]time.Time // by jti: when writing of the list began, and when the list was in force
+	lastHonest     issuedToken             // last token of the honest client water-0, to be revoked
+	revocationList strings.Builder
 }
 
-// issuedToken is a token with all that makes it good or not.
+// issuedToken is a token with the facts that determine whether it is valid.
 type issuedToken struct {
 	raw, id, subject string
 	expiry, retire   time.Time
 	forged           bool
 }
 
-func (i *issuer) sign(subject string, span time.Duration, forge string) issuedToken {
+// sign issues a token for subject. forge is empty, or the kind of forgery: a foreign key under the current key's id
+// ("key"), a foreign key under an unknown id ("id"), or a changed subject under a valid signature ("body").
+func (i *issuer) sign(subject string, validity time.Duration, forge string) issuedToken {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.serial++
-	h := issuedToken{
+	token := issuedToken{
 		id: fmt.Sprint("t", i.serial), subject: subject,
-		retire: i.current.retire, expiry: time.Now().Add(span).Truncate(time.Second),
+		retire: i.current.retire, expiry: time.Now().Add(validity).Truncate(time.Second),
 	}
 	key := *i.current.key
 	switch forge {
-	case "key": // signed by a key of its own under the id of ours
+	case "key":
 		key = *fake.Must(keyring.GenerateKey("EdDSA"))
 		key.KeyID = i.current.key.KeyID
 	case "id":
 		key = *fake.Must(keyring.GenerateKey("EdDSA"))
 	}
-	s := fake.Must(jose.NewSigner(jose.SigningKey{Algorithm: jose.EdDSA, Key: key}, nil))
-	h.raw = fake.Must(jwt.Signed(s).Claims(jwt.Claims{
-		Issuer: "us", Audience: jwt.Audience{"rota"}, Subject: subject, ID: h.id,
-		Expiry: jwt.NewNumericDate(h.expiry),
+	signer := fake.Must(jose.NewSigner(jose.SigningKey{Algorithm: jose.EdDSA, Key: key}, nil))
+	token.raw = fake.Must(jwt.Signed(signer).Claims(jwt.Claims{
+		Issuer: "us", Audience: jwt.Audience{"rota"}, Subject: subject, ID: token.id,
+		Expiry: jwt.NewNumericDate(token.expiry),
 	}).Serialize())
-	h.forged = forge != ""
+	token.forged = forge != ""
 	if forge == "body" {
-		parts := strings.Split(h.raw, ".")
+		parts := strings.Split(token.raw, ".")
 		body := fake.Must(base64.RawURLEncoding.DecodeString(parts[1]))
 		parts[1] = base64.RawURLEncoding.EncodeToString(bytes.Replace(body, []byte(subject), []byte("water-99"), 1))
-		h.raw = strings.Join(parts, ".")
+		token.raw = strings.Join(parts, ".")
 	}
 	if forge == "" && subject == "water-0" {
-		i.lastHonest = h
+		i.lastHonest = token
 	}
-	return h
+	return token
 }
 
-// expected tells what is right for an op at a moment: why it is to be denied, empty if it is not. unsure: a reload
-// was under way.
-func (i *issuer) expected(t issuedToken, tenant, kind string, at time.Time) (why string, unsure bool) {
+// expectedDenial returns the reason for which a request at the given time must be denied, empty if it must be admitted.
+// unsure is true if a reload was in progress at that time, so that either result is correct.
+func (i *issuer) expectedDenial(t issuedToken, tenant, class string, at time.Time) (why string, unsure bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	taken, listed := i.revoked[t.id]
+	revokedAt, listed := i.revoked[t.id]
 	switch {
 	case t.forged:
 		return "forged", false
@@ -97,60 +101,62 @@
 		return "retired-key", false
 	case !at.Before(t.expiry.Add(time.Second)): // the leeway
 		return "expired", false
-	case listed && at.After(taken[0]):
-		return "revoked", taken[1].IsZero() || at.Before(taken[1])
+	case listed && at.After(revokedAt[0]):
+		return "revoked", revokedAt[1].IsZero() || at.Before(revokedAt[1])
 	case tenant != strings.Split(t.subject, "-")[0]:
 		return "tenant", false
-	case kind == "set":
+	case class == "set":
 		return "type", false
 	}
 	return "", false
 }
 
-// rotate publishes the next key, signs with it once it is there, and retires the one before a while after that.
+// rotate publishes the next key and makes it the signing key. The key retires three rotation intervals and one second
+// later. Every second key is read by a reload, the others when the instance finds their id in a token.
 func (i *issuer) rotate(n int) {
 	key := fake.Must(keyring.GenerateKey("EdDSA"))
-	key.KeyID = fmt.Sprint("turn-", n)
+	key.KeyID = fmt.Sprint("rotation-", n)
 	retire := time.Now().Truncate(time.Second).Add(3*(*rotateEvery) + time.Second)
 	text := fake.Must(keyring.EncodePublic(*key, time.Now().Add(-time.Second), retire, false))
 	path := filepath.Join(i.deployment.path("keys"), key.KeyID+".json")
 	if err := keyring.WriteFileAtomic(path, text, 0o644); err != nil {
 		panic(err)
 	}
-	if n%2 == 0 { // every other one is found by a look
-		i.deployment.reloadOnce()
+	if n%2 == 0 {
+		i.deployment.reloadFiles()
 	}
 	i.mu.Lock()
 	i.current = &signingKey{key: key, retire: retire}
 	i.mu.Unlock()
 }
 
-// revoke revokes a token and waits until that is in force.
+// revoke revokes a token and waits until the revocation is in force.
 func (i *issuer) revoke(t issuedToken) {
 	i.mu.Lock()
 	i.revoked[t.id] = [2]time.Time{time.Now(), {}}
-	fmt.Fprintln(&i.lines, "jti", t.id)
-	text := i.lines.String()
+	fmt.Fprintln(&i.revocationList, "jti", t.id)
+	text := i.revocationList.String()
 	i.mu.Unlock()
 	if err := keyring.WriteFileAtomic(i.deployment.path("revoked.txt"), []byte(text), 0o644); err != nil {
 		panic(err)
 	}
-	i.deployment.reloadOnce()
+	i.deployment.reloadFiles()
 	i.mu.Lock()
 	i.revoked[t.id] = [2]time.Time{i.revoked[t.id][0], time.Now()}
 	i.mu.Unlock()
 }
 
-// reloadOnce asks for a reload that reads what is there now, and waits for it.
-func (h *authDeployment) reloadOnce() {
-	for range 2 { // one reading may have begun before the files were written
+// reloadFiles triggers two reloads one after the other and waits for them, so that the files are read as they are now: a
+// reload that was in progress before may have read the earlier ones.
+func (h *authDeployment) reloadFiles() {
+	for range 2 {
 		before := h.reloads()
 		h.sendHangup()
 		fake.WaitFor("the reload", func() bool { return h.reloads() > before })
 	}
 }
 
-// loadResult is what became of the requests, by how they came out and what was right.
+// loadResult counts the results of the requests and lists those that differ from the expected ones.
 type loadResult struct {
 	mu                                                    sync.Mutex
 	sent, succeeded, denied, rejected, failed, unanswered int
@@ -159,7 +165,7 @@
 	deniedIDs                                             map[string]bool
 }
 
-// recordExecuted counts a request that was not denied or rejected.
+// recordExecuted counts a request that was neither denied nor rejected. It must be called with mu held.
 func (s *loadResult) recordExecuted(succeeded bool) {
 	if succeeded {
 		s.succeeded++
@@ -168,23 +174,24 @@
 	}
 }
 
-// misbehave draws what a dishonest client does: it claims another's tenant, sends a class that it may not, or forges.
-func misbehave(chance *rand.Rand, tenant, other string) (claims, kind, forge string) {
-	switch chance.IntN(6) {
+// misbehave chooses at random the next request of a dishonest client: it claims another tenant, has a class for which
+// the client has no permission, has a forged token, or is correct.
+func misbehave(random *rand.Rand, tenant, other string) (claimed, class, forge string) {
+	switch random.IntN(6) {
 	case 0:
 		return other, "view", ""
 	case 1:
 		return tenant, "set", ""
 	case 2:
-		return tenant, "view", [...]string{"key", "id", "body"}[chance.IntN(3)]
+		return tenant, "view", [...]string{"key", "id", "body"}[random.IntN(3)]
 	}
 	return tenant, "view", ""
 }
 
-// runClient sends one request after the other with tokens that it renews; an honest one has its own tenant and good
-// tokens.
+// runClient sends one request after the other until end and renews its tokens. An honest client uses its own tenant and
+// tokens that are not forged.
 func (s *loadResult) runClient(i *issuer, k int, honest bool, end time.Time) {
-	chance := rand.New(rand.NewPCG(uint64(k), 7))
+	random := rand.New(rand.NewPCG(uint64(k), 7))
 	tenant, other := "water", "roads"
 	if k%2 == 1 {
 		tenant, other = other, tenant
@@ -193,17 +200,17 @@
 	defer func() { conn.Close() }()
 	var t issuedToken
 	for n := 1; time.Now().Before(end); n++ {
-		claims, kind, forge := tenant, "view", ""
+		claimed, class, forge := tenant, "view", ""
 		if !honest {
-			claims, kind, forge = misbehave(chance, tenant, other)
+			claimed, class, forge = misbehave(random, tenant, other)
 		}
-		// A token is used until well past its end, so that both sides of the end are seen.
-		if t.raw == "" || forge != "" || t.forged || time.Since(t.expiry) > 1500*time.Millisecond || chance.IntN(200) == 0 {
-			t = i.sign(fmt.Sprint(tenant, "-", k), time.Duration(chance.IntN(8))*(*rotateEvery)/2+time.Second, forge)
+		// A token is used until well after its expiry, so that requests before and after it are tested.
+		if t.raw == "" || forge != "" || t.forged || time.Since(t.expiry) > 1500*time.Millisecond || random.IntN(200) == 0 {
+			t = i.sign(fmt.Sprint(tenant, "-", k), time.Duration(random.IntN(8))*(*rotateEvery)/2+time.Second, forge)
 		}
 		id := fmt.Sprintf("%08x%08x", k, n)
 		before := time.Now()
-		conn.Send(fake.NewRequest(n, kind, id, nil, "kb", "1", "cost", "1", "token", t.raw, "tenant", claims))
+		conn.Send(fake.NewRequest(n, class, id, nil, "kb", "1", "cost", "1", "token", t.raw, "tenant", claimed))
 		a, err := conn.NextResponse()
 		after := time.Now()
 		s.mu.Lock()
@@ -215,25 +222,28 @@
 			t = issuedToken{}
 			continue
 		}
-		first, unsure := i.expected(t, claims, kind, before)
-		last, alsoUnsure := i.expected(t, claims, kind, after)
-		sure := !unsure && !alsoUnsure
+		whyBefore, unsureBefore := i.expectedDenial(t, claimed, class, before)
+		whyAfter, unsureAfter := i.expectedDenial(t, claimed, class, after)
+		sure := !unsureBefore && !unsureAfter
 		why, _ := a.Fields["why"].(string)
 		switch a.Error {
 		case "Denied":
 			s.denied++
 			s.denials[why]++
 			s.deniedIDs[id] = true
-			if first == "" && last == "" && sure {
-				s.violations = append(s.violations, fmt.Sprintf("refused %s %s of %s: %s", kind, claims, t.subject, why))
+			if whyBefore == "" && whyAfter == "" && sure {
+				s.violations = append(s.violations, fmt.Sprintf(
+					"request of class %s for tenant %s with token of %s denied with reason %s, must be admitted",
+					class, claimed, t.subject, why))
 			}
 		case "Busy":
 			s.rejected++
 		default:
 			s.recordExecuted(a.Error == "")
-			if first != "" && last != "" && sure {
-				s.violations = append(s.violations,
-					fmt.Sprintf("admitted %s %s of %s: should be %s", kind, claims, t.subject, first))
+			if whyBefore != "" && whyAfter != "" && sure {
+				s.violations = append(s.violations, fmt.Sprintf(
+					"request of class %s for tenant %s with token of %s admitted, must be denied with reason %s",
+					class, claimed, t.subject, whyBefore))
 			}
 		}
 		s.mu.Unlock()
@@ -241,19 +251,19 @@
 			conn.Close()
 			conn = i.deployment.client()
 		}
-		time.Sleep(time.Duration(chance.IntN(20)) * time.Millisecond)
+		time.Sleep(time.Duration(random.IntN(20)) * time.Millisecond)
 	}
 }
 
-// Keys are rotated, tokens revoked and files read again under a few hundred requests a second from clients of two
-// tenants, honest and not: no wrongful denial, no wrongful admission, one response each, and nothing that was
-// denied ever runs.
+// TestRotation rotates keys, revokes tokens and reloads files under a few hundred requests a second from honest and
+// dishonest clients of two tenants. It checks that no request is wrongly denied or admitted, that each gets one response,
+// and that a denied request never runs.
 func TestRotation(t *testing.T) {
 	h := deployWithAuth()
 	defer h.close()
 	var ran sync.Map
 	h.database.AutoReply()
-	h.runtime.AutoRun(2, 500*time.Microsecond, 1, func(id, kind, _ string) { ran.Store(id, kind) })
+	h.runtime.AutoRun(2, 500*time.Microsecond, 1, func(id, class, _ string) { ran.Store(id, class) })
 	i := &issuer{deployment: h, revoked: map[string][2]time.Time{}}
 	i.rotate(0)
 	s := &loadResult{denials: map[string]int{}, deniedIDs: map[string]bool{}}
@@ -278,29 +288,30 @@
 	all.Wait()
 	t.Logf("sent %d, succeeded %d, denied %d %v, rejected %d, failed %d, unanswered %d",
 		s.sent, s.succeeded, s.denied, s.denials, s.rejected, s.failed, s.unanswered)
-	for _, w := range s.violations[:min(len(s.violations), 10)] {
-		t.Error(w)
+	for _, violation := range s.violations[:min(len(s.violations), 10)] {
+		t.Error(violation)
 	}
 	for id := range s.deniedIDs {
-		if kind, there := ran.Load(id); there {
-			t.Errorf("%s was denied and ran as %s", id, kind)
+		if class, found := ran.Load(id); found {
+			t.Errorf("request %s of class %s was denied but ran", id, class)
 		}
 	}
 	switch {
 	case s.succeeded < 100 || s.denied < 50:
-		t.Error("too little was asked to tell")
+		t.Errorf("%d requests succeeded and %d were denied, must be at least 100 and 50", s.succeeded, s.denied)
 	case s.unanswered > 0:
-		t.Error("an op without an answer")
+		t.Errorf("%d requests were not answered", s.unanswered)
 	case s.failed > 0 || s.rejected*20 > s.sent:
-		t.Error("requests that failed, or more than one in twenty rejected")
+		t.Errorf("%d requests failed, must be 0; %d of %d were rejected, must be at most one in 20",
+			s.failed, s.rejected, s.sent)
 	}
 	for _, why := range []string{"tenant", "type", "signature", "unknown-key", "expired", "revoked"} {
 		if s.denials[why] == 0 {
-			t.Errorf("nothing was denied for %s", why)
+			t.Errorf("no request was denied with reason %s", why)
 		}
 	}
 	h.sendTerminate()
 	if code, _ := h.waitExit(); code != 0 {
-		t.Error("exit code", code)
+		t.Errorf("exit code %d, must be 0", code)
 	}
 }
--- a/cmd/lanewheel/runtimelink_test.go
+++ b/cmd/lanewheel/runtimelink_test.go
@@ -7,15 +7,17 @@
 	"lanewheel/internal/fake"
 )
 
-// answerFence answers the mark behind the replayed notices of a link whose gauges are otherwise left unanswered.
+// answerFence answers the mark that follows the replayed notices on a new link, for a runtime that does not send gauges
+// by itself. It answers every mark from fence-0 to fence-8, as the number of the mark is not known here.
 func answerFence(t *deployment) {
 	for i := range 9 {
 		_, _ = fmt.Fprintf(t.runtime.Conn, `{"t":"load","mark":"fence-%d","v":[0.1,0]}`+"\n", i)
 	}
 }
 
-// A link lost with one run at a call whose reply is on its way, one whose end is missed, and one request read
-// without a link: on the new one nothing starts twice, and each is answered once.
+// Example_lostLink checks a runtime link that is lost while the reply to one run's upstream call is pending and before
+// the end of another run arrives. A third request is read while there is no working link. On the new link no run starts
+// twice, and each request is answered once.
 func Example_lostLink() {
 	t := deployReady()
 	defer t.close()
@@ -31,15 +33,15 @@
 	call.Reply("200 OK", "", "rows")
 	fmt.Println("sync", t.runtime.Accept())
 	s.Send(fake.NewRequest(3, "pay", fake.RequestID(3), []byte("c")))
-	fmt.Println("deaf link, well:", s.CheckHealth())
+	fmt.Println("healthy before the runtime is ready:", s.CheckHealth())
 	t.runtime.SendReady("steady")
 	t.runtime.SendNotice("end", fake.RequestID(2), "success", "two")
 	fmt.Println(s.NextText())
-	heard := map[string]int{}
+	commands := map[string]int{}
 	for range 2 {
-		heard[t.runtime.NextCommand()]++
+		commands[t.runtime.NextCommand()]++
 	}
-	fmt.Println(heard)
+	fmt.Println(commands)
 	t.runtime.SendNotice("end", fake.RequestID(3), "success", "three")
 	fmt.Println(s.NextText())
 	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
@@ -52,7 +54,7 @@
 	// start 1 route pay body ""
 	// start 2 route pay body "b"
 	// sync 1
-	// deaf link, well: true
+	// healthy before the runtime is ready: true
 	// ['\x01' '\x02' <nil> ["two" map[]]]
 	// map[give 1 body "rows":1 start 3 route pay body "c":1]
 	// ['\x01' '\x03' <nil> ["three" map[]]]
@@ -61,7 +63,8 @@
 	// true 0
 }
 
-// A stop that the lost link swallowed is sent again; a start that is refused ends its request.
+// Example_unsentStop checks that a stop that could not be sent on a lost link is sent on the next link, and that a
+// request fails if the runtime refuses its start.
 func Example_unsentStop() {
 	t := deployReady()
 	defer t.close()
@@ -69,7 +72,7 @@
 	s.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil))
 	fmt.Println(t.runtime.NextCommand())
 	_ = t.runtime.Conn.Close()
-	fake.WaitFor("the end of the link", func() bool { return t.runtime.NextCommand() == "link closed" })
+	fake.WaitFor("the link to be closed", func() bool { return t.runtime.NextCommand() == "link closed" })
 	s.Send([]any{2, "interrupt", []any{1}})
 	fmt.Println(s.CheckHealth(), "sync", t.runtime.Accept())
 	t.runtime.SendReady("steady")
@@ -89,7 +92,8 @@
 	// ['\x01' '\x02' ["Failed" map[]] <nil>]
 }
 
-// Health is not good, and nothing is admitted, before the runtime is up. The registry gets reports each second.
+// Example_lateRuntime checks that health checks fail and no request is admitted before the runtime is ready. The
+// registry receives a report every second.
 func Example_lateRuntime() {
 	t := deploy()
 	defer t.close()
@@ -100,7 +104,7 @@
 	fmt.Println(s.NextText())
 	fmt.Println("sync", t.runtime.Accept())
 	t.runtime.SendReady("booting")
-	fake.WaitFor("health", func() bool { return s.CheckHealth() })
+	fake.WaitFor("a successful health check", func() bool { return s.CheckHealth() })
 	began := time.Now()
 	fmt.Println(t.registry.NextReport(), time.Since(began) < 1200*time.Millisecond)
 	// Output:
--- a/cmd/lanewheel/start_test.go
+++ b/cmd/lanewheel/start_test.go
@@ -12,47 +12,48 @@
 	"lanewheel/internal/fake"
 )
 
-// An address that the process before still holds: the start waits for it, and does not fail; SIGTERM ends the wait.
+// Example_addressInUse checks a start while the previous process still holds the listen address. The start does not fail
+// but waits for the address; SIGTERM ends the wait.
 func Example_addressInUse() {
-	for _, leave := range []bool{false, true} {
-		before := fake.Must(listen(fmt.Sprintf("127.70.%d.1:0", os.Getpid()%250)))
+	for _, terminate := range []bool{false, true} {
+		previous := fake.Must(listen(fmt.Sprintf("127.70.%d.1:0", os.Getpid()%250)))
 		t := deploy()
 		_ = t.cmd.Process.Kill()
 		<-t.exited
-		text := strings.Replace(t.config, t.listenAddr, before.Addr().String(), 1)
-		t.exited, t.log, t.listenAddr = make(chan struct{}), &logBuffer{}, before.Addr().String()
-		t.configPath = filepath.Join(tempDir, fmt.Sprint("held", leave))
+		text := strings.Replace(t.config, t.listenAddr, previous.Addr().String(), 1)
+		t.exited, t.log, t.listenAddr = make(chan struct{}), &logBuffer{}, previous.Addr().String()
+		t.configPath = filepath.Join(tempDir, fmt.Sprint("held", terminate))
 		if err := unix.Mkfifo(t.configPath, 0o600); err != nil {
 			panic(err)
 		}
 		t.run()
-		t.writeConfig(text) // it is read to its end by one who heeds notices already
-		if leave {
+		t.writeConfig(text) // once the program has read it from the pipe, it already handles signals
+		if terminate {
 			t.sendTerminate()
 			code, _ := t.waitExit()
-			fmt.Println("left with", code, t.log.text() == "")
+			fmt.Println("exited with", code, t.log.text() == "")
 		} else {
-			time.Sleep(100 * time.Millisecond) // some tries; without them the program is over by now
-			_ = before.Close()
+			time.Sleep(100 * time.Millisecond) // some attempts to bind; without retries the program would have exited
+			_ = previous.Close()
 			t.runtime.Accept()
 			t.runtime.SendReady("steady")
 			s := t.client()
-			fake.WaitFor("health", func() bool { return s.CheckHealth() })
+			fake.WaitFor("a successful health check", func() bool { return s.CheckHealth() })
 			fmt.Println("up")
 		}
 		t.close()
-		_ = before.Close()
+		_ = previous.Close()
 	}
 	// Output:
 	// up
-	// left with 0 true
+	// exited with 0 true
 }
 
-// A start among peers that are late or silent: the runtime refuses at first, the database's address never answers,
-// nobody listens at the registry's. Once the runtime is there the instance is ready without waiting for anybody
-// else; what can do without the others is served.
+// Example_latePeers checks a start with peers that are not available: the runtime refuses connections at first, the
+// database's address never answers, and nothing listens at the registry's. Once the runtime is ready, the instance is
+// ready without waiting for the other peers, and serves the requests that can do without them.
 func Example_latePeers() {
-	hole, fd := blackHoleAddr()
+	blackHole, fd := blackHoleAddr()
 	defer func() { _ = unix.Close(fd) }()
 	free := fake.Must(listen("127.0.0.1:0"))
 	_ = free.Close()
@@ -62,7 +63,7 @@
 	_ = t.runtime.Listener.Close()
 	t.exited, t.log = make(chan struct{}), &logBuffer{}
 	t.start(strings.NewReplacer(
-		t.database.Addr(), hole,
+		t.database.Addr(), blackHole,
 		t.registry.Addr(), free.Addr().String(),
 		t.runtime.Addr(), free.Addr().String(),
 	).Replace(t.config))
@@ -73,13 +74,13 @@
 	t.runtime.Accept()
 	t.runtime.SendReady("booting")
 	began := time.Now()
-	fake.WaitFor("health", func() bool { return s.CheckHealth() })
+	fake.WaitFor("a successful health check", func() bool { return s.CheckHealth() })
 	fmt.Println("ready at once:", time.Since(began) < time.Second)
 	s.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil))
 	fmt.Println(t.runtime.NextCommand())
 	t.runtime.SendNotice("end", fake.RequestID(1), "success", "one")
 	fmt.Println(s.NextText())
-	// It can skip the call, and does before its time is over.
+	// Requests of this class can skip the call. This one skips it before its deadline.
 	s.Send(fake.NewRequest(2, "list", fake.RequestID(2), nil))
 	fmt.Println(t.runtime.NextCommand())
 	t.runtime.SendNotice("wants", fake.RequestID(2), "", "ask")
--- a/cmd/lanewheel/upstreamcalls_test.go
+++ b/cmd/lanewheel/upstreamcalls_test.go
@@ -15,13 +15,13 @@
 	"lanewheel/internal/fake"
 )
 
-// What each end of an upstream call proves: only a call that was never executed is made again for a request that is
-// not idempotent.
+// Example_upstreamCalls checks the different outcomes of an upstream call. A call of a request that is not idempotent is
+// retried only if the outcome proves that it was never executed.
 func Example_upstreamCalls() {
 	t := deployReady()
 	defer t.close()
 	s := t.client()
-	for i, how := range []func(c *fake.Call){
+	for i, answer := range []func(c *fake.Call){
 		func(c *fake.Call) { c.Reply("500 Failed", "", "") },
 		func(c *fake.Call) { c.Reply("504 Late", "", "") },
 		func(c *fake.Call) { _ = c.Conn.Close() },
@@ -33,7 +33,7 @@
 		s.Send(fake.NewRequest(n, "pay", fake.RequestID(n), nil))
 		t.runtime.NextCommand()
 		t.runtime.SendNotice("wants", fake.RequestID(n), "", "ask")
-		how(t.database.NextCall())
+		answer(t.database.NextCall())
 		if i < 4 {
 			fmt.Println(s.NextText())
 		} else {
@@ -42,9 +42,9 @@
 		}
 		t.runtime.SendNotice("end", fake.RequestID(n), "interrupted", "")
 	}
-	// each has its own connection, and the run's end gives its call up
-	fake.WaitFor("the end of all connections", func() bool { return len(t.database.ConnectionsEnded) == 8 })
-	// refused: it never ran, and this type can do without
+	// Each call has a connection of its own, which is closed at the latest when its run ends.
+	fake.WaitFor("all connections to be closed", func() bool { return len(t.database.ConnectionsEnded) == 8 })
+	// The connection is refused, so the call was never executed. Requests of this class can do without it.
 	_ = t.database.Listener.Close()
 	s.Send(fake.NewRequest(9, "list", fake.RequestID(9), nil))
 	t.runtime.NextCommand()
@@ -60,23 +60,24 @@
 	// omit 9 no 13
 }
 
-// The database's address never answers; SIGHUP names another. Calls that wait at the old one go to the new one at
-// once, and dials for calls that timed out hold up nobody.
+// Example_databaseMovedFromBlackHole checks a database whose address never answers and is changed by SIGHUP. Calls that
+// wait for a connection to the old address are sent to the new one at once, and dials for calls that timed out delay no
+// other request.
 func Example_databaseMovedFromBlackHole() {
-	hole, fd := blackHoleAddr()
+	blackHole, fd := blackHoleAddr()
 	defer func() { _ = unix.Close(fd) }()
 	t := deployReady()
 	defer t.close()
-	t.writeConfig(strings.Replace(t.config, t.database.Addr(), hole, 1))
+	t.writeConfig(strings.Replace(t.config, t.database.Addr(), blackHole, 1))
 	t.sendHangup()
-	fake.WaitFor("the move", func() bool { return strings.Contains(t.log.text(), "database="+hole) })
+	fake.WaitFor("the change of address", func() bool { return strings.Contains(t.log.text(), "database="+blackHole) })
 	s := t.client()
 	for i := range 12 {
 		s.Send(fake.NewRequest(i, "pay", fake.RequestID(i), nil, "kb", "1"))
 		t.runtime.NextCommand()
 		t.runtime.SendNotice("wants", fake.RequestID(i), "", "ask")
 	}
-	for i := range 11 { // all but the last are over
+	for i := range 11 { // cancels all but the last
 		s.Send([]any{2, "interrupt", []any{i}})
 	}
 	fmt.Println(s.CheckHealth())
@@ -84,18 +85,18 @@
 		t.runtime.SendNotice("end", fake.RequestID(i), "interrupted", "")
 	}
 	s.Send(fake.NewRequest(12, "view", fake.RequestID(12), nil, "kb", "1"))
-	for heard := ""; heard != `start c route view body ""`; {
-		heard = t.runtime.NextCommand()
+	for command := ""; command != `start c route view body ""`; {
+		command = t.runtime.NextCommand()
 	}
 	t.runtime.SendNotice("end", fake.RequestID(12), "success", "all read")
 	fmt.Println(s.NextText())
-	t.writeConfig(strings.Replace(t.config, hole, t.database.Addr(), 1))
+	t.writeConfig(strings.Replace(t.config, blackHole, t.database.Addr(), 1))
 	t.sendHangup()
 	call := t.database.NextCall()
 	fmt.Println(call.Text)
 	call.Reply("200 OK", "", "rows")
-	for heard := ""; !strings.HasPrefix(heard, "give"); {
-		heard = t.runtime.NextCommand()
+	for command := ""; !strings.HasPrefix(command, "give"); {
+		command = t.runtime.NextCommand()
 	}
 	t.runtime.SendNotice("end", fake.RequestID(11), "success", "one")
 	fmt.Println(s.NextText())
@@ -106,7 +107,8 @@
 	// ['\x01' '\v' <nil> ["one" map[]]]
 }
 
-// blackHoleAddr gives an address whose queue is full: what knocks there hears nothing.
+// blackHoleAddr returns the address of a listener whose accept queue is full, so that connection attempts get no answer,
+// and the descriptor of the listener.
 func blackHoleAddr() (addr string, fd int) {
 	fd = fake.Must(unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0))
 	err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
@@ -126,11 +128,11 @@
 	}
 }
 
-// Several upstream services with configured addresses, one call at a time each: calls go to both; the third waits
-// until one is over; one that is refused goes to the other service, as nothing of it was sent; and a call that
-// timed out counts until its time at the service is over.
+// Example_severalUpstreams checks two upstream services with configured addresses and one concurrent call each. Calls go
+// to both services, and a third call waits until one of them ends. A call whose connection is refused goes to the other
+// service, as nothing of it was sent. A call that timed out counts as pending until its timeout at the service ends.
 func Example_severalUpstreams() {
-	// The program that has this linked stands beside.
+	// The code for several upstreams is linked in lanewheel-fleet, which is expected in the same directory.
 	program := filepath.Join(tempDir, "lanewheel-fleet")
 	build := exec.CommandContext(context.Background(), "go", "build", "-o", program, "../lanewheel-fleet")
 	if out, err := build.CombinedOutput(); err != nil {
@@ -148,16 +150,16 @@
 	t := deployReady(`"dep-share":8,`, `"dep-share":800,`)
 	defer t.close()
 	s := t.client()
-	ask := func(n int) {
+	requestCall := func(n int) {
 		s.Send(fake.NewRequest(n, "pay", fake.RequestID(n), nil))
 		t.runtime.NextCommand()
 		t.runtime.SendNotice("wants", fake.RequestID(n), "", fmt.Sprint("ask", n))
 	}
-	ask(1)
-	ask(2)
+	requestCall(1)
+	requestCall(2)
 	first, second := a.NextCall(), b.NextCall()
 	fmt.Println(first.Text != second.Text)
-	ask(3)
+	requestCall(3)
 	fmt.Println(len(a.Calls), len(b.Calls))
 	second.Reply("200 OK", "", "rows")
 	fmt.Println(t.runtime.NextCommand()[:4])
@@ -166,9 +168,9 @@
 	third.Reply("200 OK", "", "rows")
 	t.runtime.NextCommand()
 
-	// The first one's time below runs out; nothing more goes there before that, and then it does.
+	// The first call times out at its service. The next call is sent there after that, not before.
 	_ = b.Listener.Close()
-	ask(4)
+	requestCall(4)
 	fmt.Println(len(a.Calls))
 	fmt.Println(a.NextCall().Text)
 	fmt.Println(len(t.database.Calls))
@@ -182,9 +184,9 @@
 	// 0
 }
 
-// A configuration without a database and a registry: the instance starts and serves, and a call that a run wants
-// all the same is one that was never executed. Once the file names a database, calls go there. Where the settings
-// say that calls go somewhere, a configuration without the address is wrong.
+// Example_noUpstream checks a configuration without a database and a registry. The instance starts and serves, and a
+// call that a run makes anyway counts as never executed. Once the file contains a database, calls are sent there. A
+// configuration without the address is invalid if the settings require upstream calls.
 func Example_noUpstream() {
 	absent := []string{`"db":`, `"was-db":`, `"roster":`, `"was-roster":`}
 	t := deployReady(append(absent, `"below":"common"`, `"below":"silent"`)...)
@@ -202,16 +204,18 @@
 	fmt.Println(s.NextText())
 	t.writeConfig(strings.NewReplacer(`"was-db":`, `"db":`, `"was-roster":`, `"roster":`).Replace(t.config))
 	t.sendHangup()
-	fake.WaitFor("the move", func() bool { return strings.Contains(t.log.text(), `msg="addresses changed"`) })
+	fake.WaitFor("the change of address", func() bool {
+		return strings.Contains(t.log.text(), `msg="addresses changed"`)
+	})
 	fmt.Println(t.registry.NextReport())
 	s.Send(fake.NewRequest(3, "list", fake.RequestID(3), nil))
 	fmt.Println(t.runtime.NextCommand())
 	t.runtime.SendNotice("wants", fake.RequestID(3), "", "ask")
 	fmt.Println(t.database.NextCall().Text)
 
-	cut := deploy(absent...)
-	defer cut.close()
-	code, log := cut.waitExit()
+	invalid := deploy(absent...)
+	defer invalid.close()
+	code, log := invalid.waitExit()
 	fmt.Println(code, log[strings.Index(log, ".json:")+6:])
 	// Output:
 	// start 1 route view body "a"
