--- a/cmd/lanewheel-fleet/benchmark_test.go
+++ b/cmd/lanewheel-fleet/benchmark_test.go
@@ -14,12 +14,13 @@
 	"lanewheel/internal/fake"
 )
 
-// clockTick is the unit of the CPU times in /proc.
+// clockTick is the unit of CPU times in /proc.
 const clockTick = 10 * time.Millisecond
 
-// BenchmarkProxy sends one request after the other, straight to an instance and by a proxy before two: what the
-// proxy adds to each, and the CPU that a request takes of the proxy. go test -run xxx -bench Proxy -benchtime 5000x
-// ./cmd/lanewheel-fleet
+// BenchmarkProxy sends one request after the other, directly to an instance and through a proxy in front of two
+// instances. It measures the latency that the proxy adds and the CPU time that a request costs the proxy.
+//
+//	go test -run xxx -bench Proxy -benchtime 5000x ./cmd/lanewheel-fleet
 func BenchmarkProxy(b *testing.B) {
 	x := startNode(nodeOptions{name: "x", host: 31, keys: "x", seeds: []int{31}, extra: "zone = a\n"})
 	defer x.stop(syscall.SIGKILL)
@@ -32,16 +33,16 @@
 	y.waitFor("r", "up")
 	sender := &requestSender{}
 	for _, path := range []struct{ name, addr string }{
-		{"straight", clientAddr(31)},
+		{"direct", clientAddr(31)},
 		{"proxy", clientAddr(33)},
 	} {
 		b.Run(path.name, func(b *testing.B) {
-			sender.send(path.addr, 200) // connections, and what is learnt
+			sender.send(path.addr, 200) // warms up the connections and the estimates
 			cpuBefore, startedAt := cpuTime(proxyPID), time.Now()
 			latencies := sender.send(path.addr, b.N)
 			cpu, elapsed := cpuTime(proxyPID)-cpuBefore, time.Since(startedAt)
 			if len(latencies) < b.N*9/10 {
-				b.Fatalf("%d of %d succeeded", len(latencies), b.N)
+				b.Fatalf("%d of %d requests succeeded, must be at least 90%%", len(latencies), b.N)
 			}
 			b.ReportMetric(float64(latencies[len(latencies)/2].Microseconds()), "median-us")
 			b.ReportMetric(float64(latencies[len(latencies)*99/100].Microseconds()), "99th-us")
@@ -51,7 +52,7 @@
 	}
 }
 
-// startProxy starts a proxy named r with the configuration of an instance, and returns its process id.
+// startProxy starts a proxy named r with the configuration of an instance and returns its process id.
 func startProxy(b *testing.B, instance *node) (pid int) {
 	b.Helper()
 	config, err := os.ReadFile(filepath.Join(filepath.Dir(instance.operatorPath), "config.json"))
@@ -75,16 +76,16 @@
 	}
 	b.Cleanup(func() {
 		_ = proxy.Process.Kill()
-		_ = proxy.Wait() // it was killed
+		_ = proxy.Wait() // returns an error because the proxy was killed
 		_ = os.RemoveAll(dir)
 	})
 	return proxy.Process.Pid
 }
 
-// requestSender sends requests with ids of their own.
+// requestSender sends requests, each with an id of its own.
 type requestSender struct{ sent int }
 
-// send sends so many requests one after the other and returns the latencies of those that succeeded, sorted.
+// send sends count requests one after the other and returns the latencies of those that succeeded, sorted.
 func (s *requestSender) send(addr string, count int) (latencies []time.Duration) {
 	client := fake.Dial(addr)
 	defer client.Close()
@@ -100,14 +101,14 @@
 	return latencies
 }
 
-// cpuTime returns the CPU time of a process, 0 if it does not run.
+// cpuTime returns the CPU time of a process, 0 if the process does not exist.
 func cpuTime(pid int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
 	}
 	_, afterName, _ := strings.Cut(string(text), ")")
-	fields := strings.Fields(afterName) // from the third one on
+	fields := strings.Fields(afterName) // starts with the third field of the line
 	user, _ := strconv.Atoi(fields[11])
 	system, _ := strconv.Atoi(fields[12])
 	return time.Duration(user+system) * clockTick
--- a/cmd/lanewheel-fleet/main.go
+++ b/cmd/lanewheel-fleet/main.go
@@ -1,5 +1,6 @@
-// Command lanewheel-fleet is lanewheel with the parts linked that speak to other processes, and the drill. They are a
-// program of their own as what they link takes memory at rest; lanewheel executes it where they are wanted.
+// Command lanewheel-fleet is lanewheel linked with the drill and with the parts that communicate with other
+// instances. They are a separate program because the packages that they link use memory even when idle. The program
+// lanewheel executes lanewheel-fleet if these parts are needed.
 package main
 
 import (
--- a/cmd/lanewheel-fleet/main_test.go
+++ b/cmd/lanewheel-fleet/main_test.go
@@ -12,8 +12,9 @@
 	"lanewheel/internal/fake"
 )
 
-// Example_members has two processes know each other. One leaves by a notice and the other knows that it has left. A
-// stranger with another key is ignored until both keys are given to both, and then nobody is lost.
+// Example_members checks two processes that are members of each other's view. One leaves with a notice, and the other
+// then holds it as gone. A third process with another cluster key is ignored until both keys are configured on both
+// sides; the views then differ in no other member.
 func Example_members() {
 	a := startNode(nodeOptions{name: "a", host: 1, keys: "x", seeds: []int{1}})
 	defer a.stop(syscall.SIGKILL)
@@ -22,7 +23,7 @@
 	b.waitFor("a", "up")
 	c := startNode(nodeOptions{name: "c", host: 3, keys: "y", seeds: []int{1}})
 	defer c.stop(syscall.SIGKILL)
-	fake.WaitFor("a to refuse what it can't read", func() bool {
+	fake.WaitFor("a to reject a message with another key", func() bool {
 		return a.snapshot().Counters["gossip-not-our-key"] > 0
 	})
 	c.waitForNoMembers()
@@ -31,7 +32,7 @@
 	for _, m := range a.snapshot().Members {
 		fmt.Println(m.Name, m.State, m.Reason, m.Zone, m.Roles)
 	}
-	a.setKeys("xy") // each still writes with its own
+	a.setKeys("xy") // each still encrypts with its own key
 	c.setKeys("yx")
 	a.waitFor("c", "up")
 	out, err := command("members", "--against", c.operatorPath, a.operatorPath).CombinedOutput()
@@ -44,9 +45,9 @@
 	// a, [member incarnation state why] b: a holds "gone N", c holds ""; a and c differ on 1 of 3 <nil>
 }
 
-// Example_fenced has a process started under a name that another has: it is its later incarnation. The earlier one
-// is fenced and told so, wherever it is, and leaves if its file says so. One that was paused over its successor's
-// start finds out when it goes on.
+// Example_fenced starts a process under the name of a running one, which makes it the later incarnation of that
+// member. The earlier process is notified that it is fenced, at whatever address it is, and drains if so
+// configured. It is paused while its successor starts, so that it is notified only when it resumes.
 func Example_fenced() {
 	const quick = "settle-time = 100ms\ndead-after = 500ms\n"
 	a := startNode(nodeOptions{name: "a", host: 11, keys: "x", seeds: []int{11}, extra: quick})
@@ -55,11 +56,11 @@
 	a.waitFor("b", "up")
 	old.waitFor("a", "up")
 	oldIncarnation := old.snapshot().Incarnation
-	time.Sleep(700 * time.Millisecond) // past the time that it is settling in
+	time.Sleep(700 * time.Millisecond) // longer than the settle time
 	old.signal(syscall.SIGSTOP)
 	next := startNode(nodeOptions{name: "b", host: 13, keys: "x", seeds: []int{11}, extra: quick})
 	defer next.stop(syscall.SIGKILL)
-	fake.WaitFor("a to hold the later incarnation to be up", func() bool {
+	fake.WaitFor("a to hold the later incarnation as up", func() bool {
 		members := a.snapshot().Members
 		return len(members) > 0 && members[0].State == "up" && members[0].Incarnation > oldIncarnation
 	})
@@ -76,9 +77,9 @@
 	// 1 b up true
 }
 
-// Example_seedAmongRestarted has two processes killed and started again at one moment, the only seed among them:
-// they know but each other, and the rest holds their former incarnations to be there. They find the rest by its
-// calls to these, before anybody has evicted them.
+// Example_seedAmongRestarted kills and restarts two of four processes at the same time, among them the only seed.
+// The restarted processes know only each other, and the other two still hold their former incarnations as up. The
+// restarted processes find the others by their messages to the former incarnations, before any of these is evicted.
 func Example_seedAmongRestarted() {
 	start := func(name string, host int) *node {
 		return startNode(nodeOptions{name: name, host: host, keys: "x", seeds: []int{31}})
@@ -109,9 +110,9 @@
 	// 0 0
 }
 
-// TestStartRefused checks that a process whose address is taken, or whose keys are missing, does not start and says
-// why.
-func TestStartRefused(t *testing.T) {
+// TestStartFails checks that a process does not start and logs the cause if its address is in use or its operator's
+// file contains an invalid value.
+func TestStartFails(t *testing.T) {
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", gossipAddr(21))
 	if err != nil {
 		t.Fatal(err)
@@ -132,23 +133,25 @@
 	} {
 		n := startNode(test.options)
 		if code := n.waitForExit(); code != 1 {
-			t.Errorf("%s: exit code %d", n.name, code)
+			t.Errorf("%s: exit code is %d, must be 1", n.name, code)
 		}
 		for _, want := range test.want {
 			if !strings.Contains(n.log.String(), want) {
-				t.Errorf("%s: the log does not say %q: %s", n.name, want, n.log)
+				t.Errorf("%s: the log does not contain %q: %s", n.name, want, n.log)
 			}
 		}
 	}
 }
 
-// TestDrills runs the short drills, beside each other: processes under faults, and the invariants hold.
+// TestDrills runs the short drills in parallel. Each checks its invariants while faults act on the processes:
 //
-//   - members: a third of the processes are paused, two are killed, halves are partitioned for longer than it takes to
-//     evict one another, four are restarted; nobody is evicted wrongly, and views are equal after each.
-//   - spread: 12 instances, 4 proxies, a slow link, two instances killed, a proxy replaced.
-//   - below: caps hold while holders die, are cut off and come, an allocator is paused and another restarted.
-//   - handover: both ends drain, links between them end behind a request, stall, and ends are paused.
+//   - members: a third of the processes are paused, two are killed, the processes are partitioned in halves for
+//     longer than the halves take to evict each other, and four are restarted. No process is evicted wrongly, and all
+//     views are equal after each fault.
+//   - spread: 12 instances and 4 proxies, with a slow link; two instances are killed and a proxy is replaced.
+//   - below: concurrency caps hold while holders die, are cut off and join, an allocator is paused and another is
+//     restarted.
+//   - handover: both ends drain, links between them are closed after a request or stall, and the ends are paused.
 //   - release: twelve instances are rolled out in waves while the leader is killed, another coordinator loses its
 //     disk and an instance dies.
 func TestDrills(t *testing.T) {
--- a/cmd/lanewheel-fleet/node_test.go
+++ b/cmd/lanewheel-fleet/node_test.go
@@ -22,10 +22,10 @@
 	clientPort = 8443
 )
 
-// binDir is where the programs are, side by side as they are deployed.
+// binDir is the directory of the built programs. They are side by side, as they are deployed.
 var binDir string
 
-// TestMain builds the programs.
+// TestMain builds the programs before the tests.
 func TestMain(m *testing.M) {
 	binDir = fake.Must(os.MkdirTemp("", "lanewheel-fleet"))
 	for _, name := range []string{"lanewheel", "lanewheel-fleet", "lanewheel-coordinator"} {
@@ -36,39 +36,40 @@
 		}
 	}
 	code := m.Run()
-	_ = os.RemoveAll(binDir) // what is left of a temporary folder does no harm
+	_ = os.RemoveAll(binDir) // remaining files in a temporary directory are harmless
 	os.Exit(code)
 }
 
-// command returns a command of the small program, which executes the others. It ends with the tests.
+// command returns a command of the program lanewheel, which executes the other programs. The process is killed when
+// the tests end.
 func command(arguments ...string) *exec.Cmd {
 	cmd := exec.CommandContext(context.Background(), filepath.Join(binDir, "lanewheel"), arguments...)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	return cmd
 }
 
-// node is one instance in a fleet, started as an operator does.
+// node is one instance in a fleet, started with the command line that an operator uses.
 type node struct {
 	name         string
 	operatorPath string
 	cmd          *exec.Cmd
-	log          *bytes.Buffer // to be read once the process has exited
-	exited       chan struct{}
+	log          *bytes.Buffer // may be read only after the process has exited
+	exited       chan struct{} // closed when the process has exited
 }
 
-// nodeOptions is what a node is started with.
+// nodeOptions are the options with which a node is started.
 type nodeOptions struct {
 	name  string
-	host  int    // number of its loopback address
-	keys  string // a letter for each cluster key, the one that it writes with first
+	host  int    // number of the node's loopback address
+	keys  string // one letter for each cluster key; the node encrypts with the first one
 	seeds []int  // numbers of the seeds' loopback addresses
-	extra string // lines of the section [fleet]
+	extra string // additional lines of the section [fleet]
 }
 
-// nodeCount is the number of nodes started; each has a folder of its own.
+// nodeCount is the number of started nodes. Each has a directory of its own.
 var nodeCount int
 
-// startNode starts a node beside fakes of its own.
+// startNode starts a node with fakes of its own.
 func startNode(options nodeOptions) *node {
 	nodeCount++
 	dir := filepath.Join(binDir, fmt.Sprint(nodeCount))
@@ -90,13 +91,13 @@
 		panic(err)
 	}
 	go func() {
-		_ = n.cmd.Wait() // its state is read
+		_ = n.cmd.Wait() // the exit code is read from ProcessState
 		close(n.exited)
 	}()
 	return n
 }
 
-// platformText returns the platform's configuration, and starts the fakes that it names.
+// platformText starts the fakes of the node and returns the platform's configuration with their addresses.
 func (o nodeOptions) platformText() string {
 	runtime, database, registry := fake.NewRuntime(), fake.NewDatabase(), fake.NewRegistry()
 	database.AutoReply()
@@ -107,7 +108,7 @@
 		o.name, clientAddr(o.host), runtime.Addr(), registry.Addr(), database.Addr(), replacer.Replace(fake.Settings))
 }
 
-// serveRuntime takes one link after the other; each is up at once.
+// serveRuntime accepts one link after the other and reports the runtime as ready on each at once.
 func serveRuntime(runtime *fake.Runtime) {
 	for {
 		link := &fake.Runtime{Listener: runtime.Listener}
@@ -119,7 +120,7 @@
 	}
 }
 
-// operatorText returns the operator's file.
+// operatorText returns the text of the operator's file.
 func (o nodeOptions) operatorText() string {
 	var seeds []string
 	for _, seed := range o.seeds {
@@ -134,7 +135,7 @@
 		o.extra
 }
 
-// writeFiles writes files to a new folder.
+// writeFiles creates a directory and writes files to it.
 func writeFiles(dir string, files map[string]string) {
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		panic(err)
@@ -146,14 +147,14 @@
 	}
 }
 
-// loopback returns the loopback address of a number, where nobody else listens.
+// loopback returns the loopback address with the given number, on which no other process listens.
 func loopback(host int) string { return fmt.Sprintf("127.%d.77.%d", 40+os.Getpid()%20, host) }
 
 func gossipAddr(host int) string { return fmt.Sprintf("%s:%d", loopback(host), gossipPort) }
 
 func clientAddr(host int) string { return fmt.Sprintf("%s:%d", loopback(host), clientPort) }
 
-// clusterKeys returns a file of cluster keys, one for each letter.
+// clusterKeys returns the text of a cluster key file with one key for each letter.
 func clusterKeys(letters string) (text string) {
 	for _, letter := range letters {
 		text += base64.StdEncoding.EncodeToString(bytes.Repeat([]byte{byte(letter)}, 32)) + "\n"
@@ -161,7 +162,7 @@
 	return text
 }
 
-// setKeys replaces the cluster keys and has the node read them.
+// setKeys replaces the cluster keys and triggers a reload of the node.
 func (n *node) setKeys(letters string) {
 	path := filepath.Join(filepath.Dir(n.operatorPath), "keys")
 	if err := os.WriteFile(path, []byte(clusterKeys(letters)), 0o600); err != nil {
@@ -170,7 +171,7 @@
 	n.signal(syscall.SIGHUP)
 }
 
-// snapshot returns what the node's status socket says, nothing while it does not answer.
+// snapshot returns the snapshot from the node's status socket, an empty one if the socket does not answer.
 func (n *node) snapshot() gossip.Snapshot {
 	path := filepath.Join(filepath.Dir(n.operatorPath), "w")
 	snapshot, err := gossip.ReadSnapshot(path, gossip.SnapshotFull)
@@ -181,10 +182,11 @@
 }
 
 func (n *node) signal(signal syscall.Signal) {
-	_ = n.cmd.Process.Signal(signal) // it may have exited
+	_ = n.cmd.Process.Signal(signal) // the process may have exited
 }
 
-// stop ends the node by a signal. A panic or a data race in its log fails the test.
+// stop sends a signal that ends the node and waits until it has exited. A panic or a data race in its log fails the
+// test.
 func (n *node) stop(signal syscall.Signal) {
 	n.signal(signal)
 	<-n.exited
@@ -199,13 +201,13 @@
 	case <-n.exited:
 		return n.cmd.ProcessState.ExitCode()
 	case <-time.After(fake.WaitTimeout):
-		panic(n.name + " stays: " + n.log.String())
+		panic("timed out waiting for " + n.name + " to exit: " + n.log.String())
 	}
 }
 
-// waitFor waits until the node holds another to be in a state.
+// waitFor waits until the node's view has another member in a state.
 func (n *node) waitFor(other, state string) {
-	fake.WaitFor(n.name+" to hold "+other+" to be "+state, func() bool {
+	fake.WaitFor(n.name+" to hold "+other+" as "+state, func() bool {
 		for _, member := range n.snapshot().Members {
 			if member.Name == other && member.State == state {
 				return true
@@ -215,9 +217,9 @@
 	})
 }
 
-// waitForNoMembers waits until the node answers and knows nobody.
+// waitForNoMembers waits until the node answers with a view that has no members.
 func (n *node) waitForNoMembers() {
-	fake.WaitFor(n.name+" to know nobody", func() bool {
+	fake.WaitFor(n.name+" to have no members", func() bool {
 		snapshot := n.snapshot()
 		return snapshot.Name != "" && len(snapshot.Members) == 0
 	})
--- a/cmd/lanewheel-fleet/renamed_test.go
+++ b/cmd/lanewheel-fleet/renamed_test.go
@@ -11,8 +11,8 @@
 	"lanewheel/internal/fake"
 )
 
-// TestRenamedWarnedOnce checks that a process that is handed over to the sibling program warns of earlier names once,
-// those of the command line and those of the operator's file, and does what it did.
+// TestRenamedWarnedOnce checks that a process that executes the sibling program warns only once of the earlier
+// names in the command line and in the operator's file, and that the earlier names still have their effect.
 func TestRenamedWarnedOnce(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "files")
 	writeFiles(dir, map[string]string{
@@ -21,8 +21,8 @@
 			"stewards = 127.0.0.1:7960\nsnapshot-every = 1\n[fleet]\nname = n\nlisten = " + gossipAddr(25) +
 			"\nserves = 127.0.0.1:1\nkeys = keys\n",
 	})
-	// A wrong value has the process end before it serves: the command line is warned of, and the fault names what stands
-	// in the file.
+	// Because of an invalid value the process exits before it serves. It warns of the command line, and the
+	// diagnostic contains the name as written in the file.
 	for arguments, want := range map[string]string{
 		"relay --operator ":              "relay is now proxy",
 		"desk --operator ":               "desk is now allocator",
@@ -33,12 +33,13 @@
 		text := string(out)
 		if err == nil || strings.Count(text, "renamed commands") != 1 || !strings.Contains(text, want) ||
 			!strings.Contains(text, "steward.snapshot-every: is") {
-			t.Errorf("%s: %v\n%s", arguments, err, text)
+			t.Errorf("%s: error %v, output\n%s", arguments, err, text)
 		}
 	}
 }
 
-// TestRenamedSettingsWarnedOnce checks the same for an operator's file by which a process serves.
+// TestRenamedSettingsWarnedOnce checks that a process that serves with earlier names in its operator's file warns of
+// them once, also if it reloads the file.
 func TestRenamedSettingsWarnedOnce(t *testing.T) {
 	extra := "gone-after = 2s\nfenced = leave\n"
 	n := startNode(nodeOptions{name: "a", host: 26, keys: "x", seeds: []int{26}, extra: extra})
@@ -48,14 +49,16 @@
 		t.Fatal(err)
 	}
 	n.signal(syscall.SIGHUP)
-	time.Sleep(time.Second) // its log can be read once it has exited, which then says whether it has read the file
+	// The log may be read only after the process has exited, so the test cannot wait for the line of the reload. It
+	// checks below that the line is there.
+	time.Sleep(time.Second)
 	n.stop(syscall.SIGTERM)
 	logged := n.log.String()
 	want := `msg="renamed settings" use="fleet.gone-after is now fleet.dead-after; ` +
 		`fleet.fenced is now fleet.when-fenced; fleet.fenced = leave is now drain"`
 	if strings.Count(logged, "renamed settings") != 1 || !strings.Contains(logged, want) ||
 		!strings.Contains(logged, "msg=\"operator configuration reloaded\"") {
-		t.Errorf("logged\n%s", logged)
+		t.Errorf("the log must contain one warning %s and the line of the reload, but is\n%s", want, logged)
 	}
 }
 
--- a/cmd/lanewheel/authdeployment_test.go
+++ b/cmd/lanewheel/authdeployment_test.go
@@ -103,8 +103,8 @@
 	return h
 }
 
-// client returns a connection on which one request was answered, so that the instance does not close it as silent while
-// a slow command runs.
+// client returns a connection on which one request was answered, so that the instance does not close it as silent
+// while a slow command runs.
 func (h *authDeployment) client() *fake.Client {
 	s := h.deployment.client()
 	s.CheckHealth()
@@ -144,8 +144,8 @@
 	return fake.NewClient(conn), nil
 }
 
-// requestAnswer sends one request and returns its response without the load report. If the request is started, the fake
-// runtime ends its run with success.
+// requestAnswer sends one request and returns its response without the load report. If the request is started, the
+// fake runtime ends its run with success.
 func (h *authDeployment) requestAnswer(s *fake.Client, n int, more ...string) string {
 	s.Send(fake.NewRequest(n, "view", fake.RequestID(n), nil, append([]string{"kb", "1", "cost", "1"}, more...)...))
 	answers := make(chan string, 1)
--- a/cmd/lanewheel/authentication_test.go
+++ b/cmd/lanewheel/authentication_test.go
@@ -8,8 +8,8 @@
 	"lanewheel/internal/fake"
 )
 
-// Example_authorization checks the permissions of callers that authenticate by token or by certificate, and the reason
-// of each denial. A denied request never runs.
+// Example_authorization checks the permissions of callers that authenticate by token or by certificate, and the
+// reason of each denial. A denied request never runs.
 func Example_authorization() {
 	h := deployWithAuth()
 	defer h.close()
@@ -74,9 +74,9 @@
 	// ['\x01' '\x03' <nil> ["for roads-1" map[]]]
 }
 
-// Example_keyRotation checks that a key is published before it signs and kept after it stops. Requests with tokens of
-// the old key are admitted until its configured retirement time, whenever the instance read that time. A token signed by
-// a key that the instance has not read yet makes it read the key directory without a reload.
+// Example_keyRotation checks that a key is published before it signs and kept after it stops. Requests with tokens
+// of the old key are admitted until its configured retirement time, whenever the instance read that time. A token
+// signed by a key that the instance has not read yet makes it read the key directory without a reload.
 func Example_keyRotation() {
 	h := deployWithAuth()
 	defer h.close()
@@ -108,8 +108,9 @@
 	// Denied withdrawn-key
 }
 
-// Example_rateLimits checks that requests of an identity that sends ten times its rate are rejected with a Retry-After,
-// and that another identity is not affected. A request whose token expires while it is queued is still answered.
+// Example_rateLimits checks that requests of an identity that sends ten times its rate are rejected with a
+// Retry-After, and that another identity is not affected. A request whose token expires while it is queued is still
+// answered.
 func Example_rateLimits() {
 	h := deployWithAuth()
 	defer h.close()
@@ -150,8 +151,8 @@
 	// ['\x01' '\f' <nil> ["late" map[]]]
 }
 
-// Example_canceledWhileAuthenticated checks requests that are canceled, or whose connection is closed, while their token
-// is being verified. Neither runs, and their ids can be used again.
+// Example_canceledWhileAuthenticated checks requests that are canceled, or whose connection is closed, while their
+// token is being verified. Neither runs, and their ids can be used again.
 func Example_canceledWhileAuthenticated() {
 	h := deployWithAuth()
 	defer h.close()
--- a/cmd/lanewheel/bench_test.go
+++ b/cmd/lanewheel/bench_test.go
@@ -39,8 +39,8 @@
 	}()
 }
 
-// roomyConfig is a list of changes to the configuration that raise its limits so far that no request is rejected.
-var roomyConfig = []string{
+// highLimits is a list of changes to the configuration that raise its limits so far that no request is rejected.
+var highLimits = []string{
 	`"cpus":2`, `"cpus":64`, `"memory-kb":1900`, `"memory-kb":1900000`, `"sockets":64`, `"sockets":1024`,
 }
 
@@ -93,7 +93,7 @@
 			token := ""
 			dial := func() *fake.Client { return t.client() }
 			if mode == "plain" {
-				t = deployReady(roomyConfig...)
+				t = deployReady(highLimits...)
 			} else {
 				h := deployWithAuth(
 					"max-in-flight = 8", "max-in-flight = 0",
@@ -101,7 +101,7 @@
 				)
 				h.close()
 				operatorPath = h.path("op.ini")
-				h.deployment = deployReady(append(roomyConfig, `"tenants":[]`, `"tenants":[{"name":"water"},{"name":"roads"}]`)...)
+				h.deployment = deployReady(append(highLimits, `"tenants":[]`, `"tenants":[{"name":"water"},{"name":"roads"}]`)...)
 				operatorPath = ""
 				t = h.deployment
 				if mode != "tls" {
@@ -136,7 +136,7 @@
 			h := deployWithAuth("client-certificates = optional", "client-certificates = optional\nhandshake-rate = 10000")
 			h.close()
 			operatorPath = h.path("op.ini")
-			h.deployment = deployReady(roomyConfig...)
+			h.deployment = deployReady(highLimits...)
 			operatorPath = ""
 			defer h.close()
 			before := residentKB(h.cmd.Process.Pid)
@@ -156,8 +156,8 @@
 	}
 }
 
-// sendForged sends requests with tokens forged from a valid one, on one connection after the other, until stop is true.
-// It adds the number of responses to forged.
+// sendForged sends requests with tokens forged from a valid one, on one connection after the other, until stop is
+// true. It adds the number of responses to forged.
 func (h *authDeployment) sendForged(k int, good string, stop *atomic.Bool, forged *atomic.Int64) {
 	for n := 0; !stop.Load(); {
 		s := h.deployment.client()
@@ -223,10 +223,10 @@
 	}
 }
 
-// BenchmarkStart measures the duration of a start by its phases: from exec to the log line "listening", from there to
-// the link with the runtime, and from there, with the runtime's ready event sent at once, to the first successful health
-// check. It measures one instance, one whose database and registry do not answer, and 60 instances started at the same
-// time, as in the restart of a fleet.
+// BenchmarkStart measures the duration of a start by its phases: from exec to the log line "listening", from there
+// to the link with the runtime, and from there, with the runtime's ready event sent at once, to the first
+// successful health check. It measures one instance, one whose database and registry do not answer, and 60
+// instances started at the same time, as in the restart of a fleet.
 //
 //	go test -run xxx -bench Start -benchtime 20x ./cmd/lanewheel
 func BenchmarkStart(b *testing.B) {
--- a/cmd/lanewheel/commandline_test.go
+++ b/cmd/lanewheel/commandline_test.go
@@ -49,8 +49,8 @@
 	return fmt.Sprintf("%d %s", cmd.ProcessState.ExitCode(), strings.ReplaceAll(string(out), tempDir+"/", ""))
 }
 
-// Example_commandLine checks the help of the program and of its sub-commands, and the diagnostics of the check command
-// with the line of each fault. An unknown sub-command exits with 2, a file with faults with 1.
+// Example_commandLine checks the help of the program and of its sub-commands, and the diagnostics of the check
+// command with the line of each fault. An unknown sub-command exits with 2, a file with faults with 1.
 //
 //nolint:lll // a line of the output is long
 func Example_commandLine() {
@@ -90,8 +90,8 @@
 	// bad.json:5: settings.classes.1.credit: is "x", must not be of type string
 }
 
-// Example_try checks that the try command starts an instance, sends requests and prints a table that accounts for each
-// request that it sent.
+// Example_try checks that the try command starts an instance, sends requests and prints a table that accounts for
+// each request that it sent.
 func Example_try() {
 	text := runCommand("try", "--duration", "1s", "--rate", "100", "--mean-run-time", "1ms")
 	lines := strings.Split(strings.TrimSpace(text), "\n")
--- a/cmd/lanewheel/connections_test.go
+++ b/cmd/lanewheel/connections_test.go
@@ -33,8 +33,8 @@
 	// true true
 }
 
-// Example_idleConnection checks that an idle connection receives a goaway message and is then closed. A request that the
-// client sends before the connection is closed is still served.
+// Example_idleConnection checks that an idle connection receives a goaway message and is then closed. A request
+// that the client sends before the connection is closed is still served.
 func Example_idleConnection() {
 	t := deployReady("IDLE", "0.3")
 	defer t.close()
@@ -103,10 +103,10 @@
 	// under 96 MB: true
 }
 
-// Example_descriptorLimit checks an instance whose descriptors are all used by idle clients, with the limit enforced by
-// the kernel. The instance still connects to its runtime, serves requests, makes upstream calls, sends reports, connects
-// to changed addresses and drains. It never has more descriptors open than configured, and evicts the connection first
-// that has been idle for longest.
+// Example_descriptorLimit checks an instance whose descriptors are all used by idle clients, with the limit
+// enforced by the kernel. The instance still connects to its runtime, serves requests, makes upstream calls, sends
+// reports, connects to changed addresses and drains. It never has more descriptors open than configured, and evicts
+// the connection first that has been idle for longest.
 func Example_descriptorLimit() {
 	const maxDescriptors = 40
 	t := deploy("\"sockets\":64", "\"sockets\":40")
@@ -152,7 +152,7 @@
 		s.NextText()
 	}
 	fmt.Println(t.registry.NextReport())
-	t.writeConfig(t.movedConfig())
+	t.writeConfig(t.replaceFakes())
 	t.sendHangup()
 	fmt.Println("sync", t.runtime.Accept())
 	t.runtime.SendReady("steady")
--- a/cmd/lanewheel/deployed_test.go
+++ b/cmd/lanewheel/deployed_test.go
@@ -17,10 +17,10 @@
 )
 
 // Example_deployed starts the program with the command line of the deploy file, without an operator's file, as the
-// platform does. It checks that features that are off add no socket, thread or file. The three sockets are the runtime
-// link, the listener and the socket of the registry reports; the other descriptors belong to the poller.
+// platform does. It checks that features that are off add no socket, thread or file. The three sockets are the
+// runtime link, the listener and the socket of the registry reports; the other descriptors belong to the poller.
 func Example_deployed() {
-	fmt.Println(deployWords("run", "exec ", "\x00"))
+	fmt.Println(deployFileWords("run", "exec ", "\x00"))
 	t := deployReady()
 	defer t.close()
 	pid := t.cmd.Process.Pid
@@ -91,7 +91,7 @@
 		}
 	}
 	var deployed []string
-	for _, word := range deployWords("node", "[", "]") {
+	for _, word := range deployFileWords("node", "[", "]") {
 		deployed = append(deployed, strings.TrimSuffix(word, ","))
 	}
 	slices.Sort(linked)
--- a/cmd/lanewheel/drain_test.go
+++ b/cmd/lanewheel/drain_test.go
@@ -44,9 +44,9 @@
 	// refused: true
 }
 
-// Example_earlyTerminate checks that SIGTERM before the runtime is ready ends the program at once, with a goaway to the
-// connected client. A client that connects while the listening socket is being closed is either accepted and answered
-// or refused.
+// Example_earlyTerminate checks that SIGTERM before the runtime is ready ends the program at once, with a goaway to
+// the connected client. A client that connects while the listening socket is being closed is either accepted and
+// answered or refused.
 func Example_earlyTerminate() {
 	t := deploy()
 	defer t.close()
@@ -61,8 +61,9 @@
 	// 0
 }
 
-// Example_signalsBeforeConfiguration sends SIGHUP and SIGTERM while the program still reads its configuration. Neither
-// ends the program there, and SIGTERM is not lost among 100 SIGHUPs: the program drains once it has started.
+// Example_signalsBeforeConfiguration sends SIGHUP and SIGTERM while the program still reads its configuration.
+// Neither ends the program there, and SIGTERM is not lost among 100 SIGHUPs: the program drains once it has
+// started.
 func Example_signalsBeforeConfiguration() {
 	t := &deployment{
 		log: &logBuffer{}, exited: make(chan struct{}),
@@ -77,7 +78,8 @@
 		panic(err)
 	}
 	t.run()
-	// Opening the pipe for writing blocks until the program has opened it for reading. The program then waits for data.
+	// Opening the pipe for writing blocks until the program has opened it for reading. The program then waits for
+	// data.
 	pipe := fake.Must(os.OpenFile(t.configPath, os.O_WRONLY, 0))
 	for range 100 {
 		t.sendHangup()
@@ -142,9 +144,9 @@
 	// 0
 }
 
-// Example_idleWhileDraining checks a client that has written half a request when it receives goaway and stays until the
-// instance closes the connection. The instance closes it without a reset, long before a peer's timeout, and answers the
-// pending request of another client, however short the configured time until the process is killed.
+// Example_idleWhileDraining checks a client that has written half a request when it receives goaway and stays until
+// the instance closes the connection. The instance closes it without a reset, long before a peer's timeout, and
+// answers the pending request of another client, however short the configured time until the process is killed.
 func Example_idleWhileDraining() {
 	for _, stop := range []string{"1500", "240", "60", "0"} {
 		t := deployReady(`"stop_ms":1500`, `"stop_ms":`+stop)
@@ -189,9 +191,9 @@
 	return true
 }
 
-// Example_killedAfterAccept kills a process while one connection waits in its accept queue with a request on it and the
-// request of another connection runs. Both connections end with the process, at once and without a response, and the
-// request in the queue is never executed. The next process binds the same address and serves.
+// Example_killedAfterAccept kills a process while one connection waits in its accept queue with a request on it and
+// the request of another connection runs. Both connections end with the process, at once and without a response,
+// and the request in the queue is never executed. The next process binds the same address and serves.
 func Example_killedAfterAccept() {
 	t := deployReady()
 	defer t.close()
--- a/cmd/lanewheel/duplicates_test.go
+++ b/cmd/lanewheel/duplicates_test.go
@@ -9,8 +9,8 @@
 	"lanewheel/internal/fake"
 )
 
-// Example_coalescedReads checks that reads of the same class and resource within the configured time are answered with
-// the result of the first one and are not run.
+// Example_coalescedReads checks that reads of the same class and resource within the configured time are answered
+// with the result of the first one and are not run.
 func Example_coalescedReads() {
 	t := deployReady("FRESH", "5")
 	defer t.close()
@@ -36,8 +36,8 @@
 	// true 0
 }
 
-// Example_duplicateOfAbandonedRead checks a read whose client cancels it, which runs on until the runtime confirms the
-// stop. Duplicates that arrived before the cancel get its result; a later duplicate is run itself.
+// Example_duplicateOfAbandonedRead checks a read whose client cancels it, which runs on until the runtime confirms
+// the stop. Duplicates that arrived before the cancel get its result; a later duplicate is run itself.
 func Example_duplicateOfAbandonedRead() {
 	t := deployReady("FRESH", "5")
 	defer t.close()
@@ -67,9 +67,9 @@
 	// ['\x01' '\x04' <nil> ["three" map[]]]
 }
 
-// Example_duplicatesInFurtherTier checks coalescing in a further tier, whose requests are calls that carry the resource
-// key of the request that makes them. Calls with the same key may have different results, so a call is answered with the
-// result of another only if their bodies are equal too.
+// Example_duplicatesInFurtherTier checks coalescing in a further tier, whose requests are calls that carry the
+// resource key of the request that makes them. Calls with the same key may have different results, so a call is
+// answered with the result of another only if their bodies are equal too.
 func Example_duplicatesInFurtherTier() {
 	t := deployReady("FRESH", "5", `{"classes"`, `{"tier":1,"classes"`)
 	defer t.close()
@@ -159,9 +159,9 @@
 	// start true
 }
 
-// Example_retriesByKey checks several attempts of one request that is idempotent by key, each with an id of its own and
-// from any client. Only one is run; the others get its result or its failure, while it runs and afterwards. A request
-// with another body or class is a different request.
+// Example_retriesByKey checks several attempts of one request that is idempotent by key, each with an id of its own
+// and from any client. Only one is run; the others get its result or its failure, while it runs and afterwards. A
+// request with another body or class is a different request.
 func Example_retriesByKey() {
 	t := deployReady(`"repeat":"at_most_once"}`, `"repeat":"deduplicated","dedup-window-s":60}`)
 	defer t.close()
--- a/cmd/lanewheel/helper_test.go
+++ b/cmd/lanewheel/helper_test.go
@@ -67,7 +67,7 @@
 func buildProgram() {
 	tempDir = fake.Must(os.MkdirTemp("", "lanewheel"))
 	binaryPath = filepath.Join(tempDir, "lanewheel")
-	args := append(append([]string{"build"}, deployWords("build", "go build ", " -o ")...), "-o", binaryPath)
+	args := append(append([]string{"build"}, deployFileWords("build", "go build ", " -o ")...), "-o", binaryPath)
 	info, _ := debug.ReadBuildInfo()
 	for _, setting := range info.Settings {
 		if setting.Key == "-race" && setting.Value == "true" {
@@ -79,9 +79,9 @@
 	}
 }
 
-// deployWords returns the words between two texts in a line of the deploy file. The tests use it to run the program as
-// it is deployed.
-func deployWords(line, after, before string) []string {
+// deployFileWords returns the words between two texts in a line of the deploy file. The tests use it to run the program
+// as it is deployed.
+func deployFileWords(line, after, before string) []string {
 	for _, text := range strings.Split(string(fake.Must(os.ReadFile("../../deploy/balancer.toml"))), "\n") {
 		if rest, found := strings.CutPrefix(text, line+" = "); found {
 			_, rest, _ = strings.Cut(strings.Trim(rest, `"`), after)
@@ -150,9 +150,9 @@
 	}
 }
 
-// movedConfig replaces the fakes of the runtime, the database and the registry by new ones, stops the old listeners and
-// returns the configuration with the new addresses.
-func (t *deployment) movedConfig() string {
+// replaceFakes replaces the fakes of the runtime, the database and the registry by new ones, stops the old listeners
+// and returns the configuration with the new addresses.
+func (t *deployment) replaceFakes() string {
 	rt, db, roster := fake.NewRuntime(), fake.NewDatabase(), fake.NewRegistry()
 	text := strings.NewReplacer(t.runtime.Addr(), rt.Addr(), t.database.Addr(), db.Addr(),
 		t.registry.Addr(), roster.Addr()).Replace(t.config)
@@ -207,8 +207,8 @@
 
 func (t *deployment) client() *fake.Client { return fake.Dial(t.listenAddr) }
 
-// reloadFailed is the start of the log line of a failed reload.
-const reloadFailed = `msg="reload failed, configuration kept"`
+// reloadFailedLog is the start of the log line of a failed reload.
+const reloadFailedLog = `msg="reload failed, configuration kept"`
 
 // failedReloads returns the number of failed reloads in the log.
-func (t *deployment) failedReloads() int { return strings.Count(t.log.text(), reloadFailed) }
+func (t *deployment) failedReloads() int { return strings.Count(t.log.text(), reloadFailedLog) }
--- a/cmd/lanewheel/log_test.go
+++ b/cmd/lanewheel/log_test.go
@@ -9,8 +9,8 @@
 	"lanewheel/internal/fake"
 )
 
-// Example_logReaderStopped checks an instance whose log goes to a full pipe that nobody reads and that loses its reader
-// later. Requests are still answered, and the program exits with 0.
+// Example_logReaderStopped checks an instance whose log goes to a full pipe that nobody reads and that loses its
+// reader later. Requests are still answered, and the program exits with 0.
 func Example_logReaderStopped() {
 	var ends [2]int
 	if err := unix.Pipe2(ends[:], unix.O_CLOEXEC|unix.O_NONBLOCK); err != nil {
--- a/cmd/lanewheel/protocol_test.go
+++ b/cmd/lanewheel/protocol_test.go
@@ -9,8 +9,8 @@
 	"lanewheel/internal/fake"
 )
 
-// Example_cancelCrossings checks a cancel that arrives when the run has ended, a cancel for an unknown message id, and a
-// connection that is closed with pending requests.
+// Example_cancelCrossings checks a cancel that arrives when the run has ended, a cancel for an unknown message id,
+// and a connection that is closed with pending requests.
 func Example_cancelCrossings() {
 	t := deployReady()
 	defer t.close()
@@ -44,7 +44,7 @@
 		{0xc1},
 		fake.Encode(nil, fake.NewRequest(1, "view", fake.RequestID(50), nil)),
 		fake.Encode(nil, fake.NewRequest(2, "view", fake.RequestID(3), nil)),
-		{0x94, 0, 2, 0xa4, 'v', 'i', 'e', 'w', 0x92, 0x81, 0xa2, 'i', 'd', 0xdb, 0x03, 0x90, 0, 0}} { // announces a string of 60 MB
+		{0x94, 0, 2, 0xa4, 'v', 'i', 'e', 'w', 0x92, 0x81, 0xa2, 'i', 'd', 0xdb, 0x03, 0x90, 0, 0}} { // 60 MB to follow
 		s := t.client()
 		s.Send(fake.NewRequest(1, "view", fake.RequestID(i+1), nil))
 		fmt.Println(t.runtime.NextCommand())
@@ -84,9 +84,9 @@
 }
 
 // Example_invalidRequests checks that a request with invalid fields fails without reaching the runtime, and that a
-// client that keeps sending such requests loses its connection. A request whose id is in flight on another connection is
-// rejected, and the first request with that id is served. A start that the runtime refuses is not a failed run: dozens
-// of them leave the instance healthy.
+// client that keeps sending such requests loses its connection. A request whose id is in flight on another
+// connection is rejected, and the first request with that id is served. A start that the runtime refuses is not a
+// failed run: dozens of them leave the instance healthy.
 //
 //nolint:lll // a line of the output is long
 func Example_invalidRequests() {
@@ -126,8 +126,8 @@
 	// ['\x01' '\x01' <nil> ["one" map[]]] false
 }
 
-// Example_clientNeverReads checks that the instance closes the connection of a client that never reads before the unread
-// responses use much memory. Other connections are not affected.
+// Example_clientNeverReads checks that the instance closes the connection of a client that never reads before the
+// unread responses use much memory. Other connections are not affected.
 func Example_clientNeverReads() {
 	t := deployReady()
 	defer t.close()
@@ -161,9 +161,9 @@
 	// true
 }
 
-// Example_halfClosed checks a client that closes its sending side while it waits for a response. The protocol has no half
-// close, as a client closes only once all its requests are answered. The instance therefore handles it at once as a full
-// close: it stops the run, sends no response and closes the connection.
+// Example_halfClosed checks a client that closes its sending side while it waits for a response. The protocol has
+// no half close, as a client closes only once all its requests are answered. The instance therefore handles it at
+// once as a full close: it stops the run, sends no response and closes the connection.
 func Example_halfClosed() {
 	t := deployReady()
 	defer t.close()
--- a/cmd/lanewheel/queue_test.go
+++ b/cmd/lanewheel/queue_test.go
@@ -76,8 +76,8 @@
 	return slices.Compact(answers)
 }
 
-// Example_queue checks that the request of a message runs beside the requests of clients. If the broker connection drops
-// while it runs, it is not run again, and its answer is published on the next connection.
+// Example_queue checks that the request of a message runs beside the requests of clients. If the broker connection
+// drops while it runs, it is not run again, and its answer is published on the next connection.
 func Example_queue() {
 	d := deployWithQueue(queueOperatorFile)
 	defer d.close()
@@ -108,8 +108,8 @@
 	// 1 0 []
 }
 
-// Example_queueIdentity checks the authorization of messages, whose identity is either configured for the whole queue or
-// taken from a token in each message.
+// Example_queueIdentity checks the authorization of messages, whose identity is either configured for the whole
+// queue or taken from a token in each message.
 func Example_queueIdentity() {
 	h := deployWithAuth()
 	defer h.close()
@@ -145,8 +145,8 @@
 	// d denied no-identity
 }
 
-// Example_queueCommands checks the operator commands for queues: queue check lists the existing and the missing queues,
-// queue send publishes requests and counts their answers, and queue watch prints the state of the consumer.
+// Example_queueCommands checks the operator commands for queues: queue check lists the existing and the missing
+// queues, queue send publishes requests and counts their answers, and queue watch prints the state of the consumer.
 func Example_queueCommands() {
 	d := deployWithQueue(queueOperatorFile + "[queue none]\n")
 	defer d.close()
@@ -169,8 +169,8 @@
 	// 0 true true
 }
 
-// Example_queueDrain checks that after SIGTERM the instance stops consuming, answers and acknowledges the messages whose
-// requests run, returns those that were not started to the queue, and exits with 0.
+// Example_queueDrain checks that after SIGTERM the instance stops consuming, answers and acknowledges the messages
+// whose requests run, returns those that were not started to the queue, and exits with 0.
 func Example_queueDrain() {
 	d := deployWithQueue(strings.Replace(queueOperatorFile, "min-in-flight = 4", "min-in-flight = 30", 1))
 	defer d.close()
@@ -207,11 +207,11 @@
 // acknowledgment and one answer for each message sent, and all ten runs must have the same totals.
 func TestQueueTotals(t *testing.T) {
 	const messageCount = 200
-	// An upstream call times out after four times the slowest of the last calls. Calls take longer than a busy machine
-	// usually pauses a process, so that a pause does not cause a timeout, which would fail the request.
+	// An upstream call times out after four times the slowest of the last calls. Calls take longer than a busy
+	// machine usually pauses a process, so that a pause does not cause a timeout, which would fail the request.
 	const callTime = 20 * time.Millisecond
 	runScript := func() string {
-		d := deployWithQueue(queueOperatorFile, roomyConfig...)
+		d := deployWithQueue(queueOperatorFile, highLimits...)
 		defer d.close()
 		var mu sync.Mutex
 		runs := map[string]int{}
@@ -264,7 +264,7 @@
 func BenchmarkFlood(b *testing.B) {
 	for _, flooded := range []bool{false, true} {
 		b.Run(fmt.Sprint("flood ", flooded), func(b *testing.B) {
-			d := deployWithQueue(queueOperatorFile, roomyConfig...)
+			d := deployWithQueue(queueOperatorFile, highLimits...)
 			defer d.close()
 			d.endRunsAtOnce()
 			const flood = 5_000 // a tenth of the flood in the documentation of queues: 10 s of it
@@ -318,7 +318,7 @@
 		"min-in-flight = 4", "min-in-flight = 5000\nmax-in-flight = 5000",
 		"[queue", "max-in-flight = 5000\n[queue",
 	).Replace(file)
-	d := deployWithQueue(file, roomyConfig...)
+	d := deployWithQueue(file, highLimits...)
 	defer d.close()
 	before := residentKB(d.cmd.Process.Pid)
 	go func() {
@@ -344,7 +344,7 @@
 //	go test -run xxx -bench Messages -benchtime 30000x ./cmd/lanewheel
 func BenchmarkMessages(b *testing.B) {
 	file := strings.Replace(queueOperatorFile, "min-in-flight = 4", "min-in-flight = 64\nmax-in-flight = 128", 1)
-	d := deployWithQueue(file, roomyConfig...)
+	d := deployWithQueue(file, highLimits...)
 	defer d.close()
 	d.endRunsAtOnce()
 	cpuBefore, residentBefore := cpuTime(d.cmd.Process.Pid), residentKB(d.cmd.Process.Pid)
--- a/cmd/lanewheel/registry_test.go
+++ b/cmd/lanewheel/registry_test.go
@@ -27,8 +27,8 @@
 	// ['\x01' '\x01' <nil> ["late" map[]]]
 }
 
-// Example_registryDown checks an instance whose registry is down at the start, comes up later, stops answering and moves
-// to another address. The instance keeps sending reports, each with its state at the time.
+// Example_registryDown checks an instance whose registry is down at the start, comes up later, stops answering and
+// moves to another address. The instance keeps sending reports, each with its state at the time.
 func Example_registryDown() {
 	t := deploy()
 	defer t.close()
--- a/cmd/lanewheel/reload_test.go
+++ b/cmd/lanewheel/reload_test.go
@@ -8,9 +8,10 @@
 	"lanewheel/internal/fake"
 )
 
-// Example_addressesReloaded changes the addresses of the runtime, the database and the registry by SIGHUP. While the
-// configuration file is incomplete, the old addresses stay in use. Once it is complete, requests, runs and event numbers
-// continue at the new addresses without another signal. A second change arrives before the first is complete.
+// Example_addressesReloaded changes the addresses of the runtime, the database and the registry by SIGHUP. While
+// the configuration file is incomplete, the old addresses stay in use. Once it is complete, requests, runs and
+// event numbers continue at the new addresses without another signal. A second change arrives before the first is
+// complete.
 func Example_addressesReloaded() {
 	t := deployReady()
 	defer t.close()
@@ -18,7 +19,7 @@
 	old := t.runtime
 	s.Send(fake.NewRequest(1, "view", fake.RequestID(1), nil))
 	fmt.Println(old.NextCommand())
-	text := t.movedConfig()
+	text := t.replaceFakes()
 	t.writeConfig(text[:len(text)/2])
 	t.sendHangup()
 	fake.WaitFor("the reload of the incomplete file to fail", func() bool { return t.failedReloads() > 0 })
@@ -30,7 +31,7 @@
 	fmt.Println("sync", t.runtime.Accept()) // the runtime is not ready yet when its address changes again
 	fmt.Println(old.NextCommand())
 	first := t.runtime
-	t.writeConfig(t.movedConfig())
+	t.writeConfig(t.replaceFakes())
 	t.sendHangup()
 	t.sendHangup()
 	fmt.Println("sync", t.runtime.Accept())
@@ -46,12 +47,12 @@
 	fmt.Println(s.NextText())
 	fmt.Println(t.registry.NextReport())
 	t.sendTerminate()
-	t.writeConfig(t.movedConfig())
+	t.writeConfig(t.replaceFakes())
 	t.sendHangup()
 	fmt.Println("sync", t.runtime.Accept())
 	s.Close()
 	code, log := t.waitExit()
-	fmt.Println(code, strings.Count(log, reloadFailed), strings.Count(log, "code=address-changed"))
+	fmt.Println(code, strings.Count(log, reloadFailedLog), strings.Count(log, "code=address-changed"))
 	// Output:
 	// start 1 route view body ""
 	// start 2 route pay body ""
@@ -68,9 +69,9 @@
 	// 0 1 3
 }
 
-// Example_reloadedWhileDraining checks a reload while the instance drains. The addresses of the runtime, the database
-// and the registry change, the pending run continues and ends at the new ones, and the drain keeps its own timeouts. An
-// invalid configuration changes nothing.
+// Example_reloadedWhileDraining checks a reload while the instance drains. The addresses of the runtime, the
+// database and the registry change, the pending run continues and ends at the new ones, and the drain keeps its own
+// timeouts. An invalid configuration changes nothing.
 func Example_reloadedWhileDraining() {
 	t := deployReady()
 	defer t.close()
@@ -84,7 +85,7 @@
 	t.sendHangup()
 	fake.WaitFor("the reload of the invalid file to fail", func() bool { return t.failedReloads() > 0 })
 	t.config = config
-	t.writeConfig(t.movedConfig())
+	t.writeConfig(t.replaceFakes())
 	t.sendHangup()
 	fmt.Println("sync", t.runtime.Accept())
 	t.runtime.SendReady("steady")
@@ -113,9 +114,9 @@
 	// 0 1
 }
 
-// Example_reloads checks reloads that are requested twice at once, of files that are half written or truncated after a
-// complete line, while the instance drains and during a handshake. A reload is applied as a whole or not at all, and no
-// request or connection is lost.
+// Example_reloads checks reloads that are requested twice at once, of files that are half written or truncated
+// after a complete line, while the instance drains and during a handshake. A reload is applied as a whole or not at
+// all, and no request or connection is lost.
 func Example_reloads() {
 	h := deployWithAuth()
 	defer h.close()
--- a/cmd/lanewheel/requests_test.go
+++ b/cmd/lanewheel/requests_test.go
@@ -7,8 +7,8 @@
 	"lanewheel/internal/fake"
 )
 
-// Example_requestLifecycle checks the stages of a request: it is read and started, makes an upstream call, receives the
-// reply, ends and is answered.
+// Example_requestLifecycle checks the stages of a request: it is read and started, makes an upstream call, receives
+// the reply, ends and is answered.
 func Example_requestLifecycle() {
 	t := deployReady()
 	defer t.close()
@@ -35,9 +35,9 @@
 	// ['\x01' '\b' ["Failed" map[]] <nil>]
 }
 
-// Example_rejectedAndTimedOut checks that a request larger than the memory is rejected before it is started. A request
-// that takes too long fails and its run is stopped; the end of the run that arrives later does not cause a second
-// response. Missing gauges of the runtime delay no response.
+// Example_rejectedAndTimedOut checks that a request larger than the memory is rejected before it is started. A
+// request that takes too long fails and its run is stopped; the end of the run that arrives later does not cause a
+// second response. Missing gauges of the runtime delay no response.
 func Example_rejectedAndTimedOut() {
 	t := deployReady()
 	defer t.close()
@@ -45,7 +45,7 @@
 	t.runtime.Silent = true
 	t.runtime.Accept()
 	t.runtime.SendReady("steady")
-	answerFence(t)
+	answerFenceMarks(t)
 	s := t.client()
 	s.Send(fake.NewRequest(3, "view", fake.RequestID(3), nil, "kb", "1999"))
 	fmt.Println(s.NextText())
@@ -57,8 +57,8 @@
 	fmt.Println(t.runtime.NextCommand())
 	t.runtime.SendNotice("end", fake.RequestID(4), "interrupted", "")
 	s.Send([]any{0, 9, "check", []any{map[string]string{}}})
-	// This is the response to the health check, not a second one to the request. The instance is not healthy, as a run
-	// hung.
+	// This is the response to the health check, not a second one to the request. The instance is not healthy, as a
+	// run hung.
 	fmt.Println(s.NextText()[:20])
 	// Output:
 	// ['\x01' '\x03' ["Busy" map[]] <nil>]
@@ -91,8 +91,8 @@
 	// ['\x01' '\x01' <nil> ["one" map[]]]
 }
 
-// Example_unusualTimeouts checks classes whose timeout is not configured, zero or huge. Their requests are served, with
-// the deadlines and costs that the callers send.
+// Example_unusualTimeouts checks classes whose timeout is not configured, zero or huge. Their requests are served,
+// with the deadlines and costs that the callers send.
 func Example_unusualTimeouts() {
 	for _, timeout := range []string{``, `"give-up-s":0,`, `"give-up-s":3e9,`, `"give-up-s":1e300,`} {
 		t := deployReady(`{"name":"view","credit":1,"promise-s":1,"give-up-s":3,`, `{"name":"view","credit":1,`+timeout)
--- a/cmd/lanewheel/rotation_test.go
+++ b/cmd/lanewheel/rotation_test.go
@@ -33,8 +33,8 @@
 	retire time.Time // tokens of this key are denied from this time on
 }
 
-// issuer rotates keys and revokes tokens. It is also the oracle that determines the expected result of each request. Its
-// methods may be called by several goroutines.
+// issuer rotates keys and revokes tokens. It is also the oracle that determines the expected result of each
+// request. Its methods may be called by several goroutines.
 type issuer struct {
 	deployment     *authDeployment
 	mu             sync.Mutex
@@ -88,8 +88,8 @@
 	return token
 }
 
-// expectedDenial returns the reason for which a request at the given time must be denied, empty if it must be admitted.
-// unsure is true if a reload was in progress at that time, so that either result is correct.
+// expectedDenial returns the reason for which a request at the given time must be denied, empty if it must be
+// admitted. unsure is true if a reload was in progress at that time, so that either result is correct.
 func (i *issuer) expectedDenial(t issuedToken, tenant, class string, at time.Time) (why string, unsure bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -146,8 +146,8 @@
 	i.mu.Unlock()
 }
 
-// reloadFiles triggers two reloads one after the other and waits for them, so that the files are read as they are now: a
-// reload that was in progress before may have read the earlier ones.
+// reloadFiles triggers two reloads one after the other and waits for them, so that the files are read as they are
+// now: a reload that was in progress before may have read the earlier ones.
 func (h *authDeployment) reloadFiles() {
 	for range 2 {
 		before := h.reloads()
@@ -174,9 +174,9 @@
 	}
 }
 
-// misbehave chooses at random the next request of a dishonest client: it claims another tenant, has a class for which
+// chooseRequest chooses at random the next request of a dishonest client: it claims another tenant, has a class for which
 // the client has no permission, has a forged token, or is correct.
-func misbehave(random *rand.Rand, tenant, other string) (claimed, class, forge string) {
+func chooseRequest(random *rand.Rand, tenant, other string) (claimed, class, forge string) {
 	switch random.IntN(6) {
 	case 0:
 		return other, "view", ""
@@ -188,8 +188,8 @@
 	return tenant, "view", ""
 }
 
-// runClient sends one request after the other until end and renews its tokens. An honest client uses its own tenant and
-// tokens that are not forged.
+// runClient sends one request after the other until end and renews its tokens. An honest client uses its own tenant
+// and tokens that are not forged.
 func (s *loadResult) runClient(i *issuer, k int, honest bool, end time.Time) {
 	random := rand.New(rand.NewPCG(uint64(k), 7))
 	tenant, other := "water", "roads"
@@ -202,7 +202,7 @@
 	for n := 1; time.Now().Before(end); n++ {
 		claimed, class, forge := tenant, "view", ""
 		if !honest {
-			claimed, class, forge = misbehave(random, tenant, other)
+			claimed, class, forge = chooseRequest(random, tenant, other)
 		}
 		// A token is used until well after its expiry, so that requests before and after it are tested.
 		if t.raw == "" || forge != "" || t.forged || time.Since(t.expiry) > 1500*time.Millisecond || random.IntN(200) == 0 {
@@ -256,8 +256,8 @@
 }
 
 // TestRotation rotates keys, revokes tokens and reloads files under a few hundred requests a second from honest and
-// dishonest clients of two tenants. It checks that no request is wrongly denied or admitted, that each gets one response,
-// and that a denied request never runs.
+// dishonest clients of two tenants. It checks that no request is wrongly denied or admitted, that each gets one
+// response, and that a denied request never runs.
 func TestRotation(t *testing.T) {
 	h := deployWithAuth()
 	defer h.close()
--- a/cmd/lanewheel/runtimelink_test.go
+++ b/cmd/lanewheel/runtimelink_test.go
@@ -7,17 +7,17 @@
 	"lanewheel/internal/fake"
 )
 
-// answerFence answers the mark that follows the replayed notices on a new link, for a runtime that does not send gauges
-// by itself. It answers every mark from fence-0 to fence-8, as the number of the mark is not known here.
-func answerFence(t *deployment) {
+// answerFenceMarks answers the mark that follows the replayed notices on a new link, for a runtime that does not send
+// gauges by itself. It answers every mark from fence-0 to fence-8, as the number of the mark is not known here.
+func answerFenceMarks(t *deployment) {
 	for i := range 9 {
 		_, _ = fmt.Fprintf(t.runtime.Conn, `{"t":"load","mark":"fence-%d","v":[0.1,0]}`+"\n", i)
 	}
 }
 
-// Example_lostLink checks a runtime link that is lost while the reply to one run's upstream call is pending and before
-// the end of another run arrives. A third request is read while there is no working link. On the new link no run starts
-// twice, and each request is answered once.
+// Example_lostLink checks a runtime link that is lost while the reply to one run's upstream call is pending and
+// before the end of another run arrives. A third request is read while there is no working link. On the new link no
+// run starts twice, and each request is answered once.
 func Example_lostLink() {
 	t := deployReady()
 	defer t.close()
--- a/cmd/lanewheel/start_test.go
+++ b/cmd/lanewheel/start_test.go
@@ -12,8 +12,8 @@
 	"lanewheel/internal/fake"
 )
 
-// Example_addressInUse checks a start while the previous process still holds the listen address. The start does not fail
-// but waits for the address; SIGTERM ends the wait.
+// Example_addressInUse checks a start while the previous process still holds the listen address. The start does not
+// fail but waits for the address; SIGTERM ends the wait.
 func Example_addressInUse() {
 	for _, terminate := range []bool{false, true} {
 		previous := fake.Must(listen(fmt.Sprintf("127.70.%d.1:0", os.Getpid()%250)))
--- a/cmd/lanewheel/upstreamcalls_test.go
+++ b/cmd/lanewheel/upstreamcalls_test.go
@@ -15,8 +15,8 @@
 	"lanewheel/internal/fake"
 )
 
-// Example_upstreamCalls checks the different outcomes of an upstream call. A call of a request that is not idempotent is
-// retried only if the outcome proves that it was never executed.
+// Example_upstreamCalls checks the different outcomes of an upstream call. A call of a request that is not
+// idempotent is retried only if the outcome proves that it was never executed.
 func Example_upstreamCalls() {
 	t := deployReady()
 	defer t.close()
@@ -60,9 +60,9 @@
 	// omit 9 no 13
 }
 
-// Example_databaseMovedFromBlackHole checks a database whose address never answers and is changed by SIGHUP. Calls that
-// wait for a connection to the old address are sent to the new one at once, and dials for calls that timed out delay no
-// other request.
+// Example_databaseMovedFromBlackHole checks a database whose address never answers and is changed by SIGHUP. Calls
+// that wait for a connection to the old address are sent to the new one at once, and dials for calls that timed out
+// delay no other request.
 func Example_databaseMovedFromBlackHole() {
 	blackHole, fd := blackHoleAddr()
 	defer func() { _ = unix.Close(fd) }()
@@ -107,8 +107,8 @@
 	// ['\x01' '\v' <nil> ["one" map[]]]
 }
 
-// blackHoleAddr returns the address of a listener whose accept queue is full, so that connection attempts get no answer,
-// and the descriptor of the listener.
+// blackHoleAddr returns the address of a listener whose accept queue is full, so that connection attempts get no
+// answer, and the descriptor of the listener.
 func blackHoleAddr() (addr string, fd int) {
 	fd = fake.Must(unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0))
 	err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
@@ -128,9 +128,10 @@
 	}
 }
 
-// Example_severalUpstreams checks two upstream services with configured addresses and one concurrent call each. Calls go
-// to both services, and a third call waits until one of them ends. A call whose connection is refused goes to the other
-// service, as nothing of it was sent. A call that timed out counts as pending until its timeout at the service ends.
+// Example_severalUpstreams checks two upstream services with configured addresses and one concurrent call each.
+// Calls go to both services, and a third call waits until one of them ends. A call whose connection is refused goes
+// to the other service, as nothing of it was sent. A call that timed out counts as pending until its timeout at the
+// service ends.
 func Example_severalUpstreams() {
 	// The code for several upstreams is linked in lanewheel-fleet, which is expected in the same directory.
 	program := filepath.Join(tempDir, "lanewheel-fleet")
