--- a/cmd/lanewheel/bench_test.go
+++ b/cmd/lanewheel/bench_test.go
@@ -225,16 +225,16 @@
 
 // BenchmarkStart measures the duration of a start by its phases: from exec to the log line "listening", from there
 // to the link with the runtime, and from there, with the runtime's ready event sent at once, to the first
-// successful health check. It measures one instance, one whose database and registry do not answer, and 60
+// successful health check. It measures one instance, one whose database and registry are stopped, and 60
 // instances started at the same time, as in the restart of a fleet.
 //
 //	go test -run xxx -bench Start -benchtime 20x ./cmd/lanewheel
 func BenchmarkStart(b *testing.B) {
 	for _, test := range []struct {
-		name            string
-		instances       int  // number of instances started at the same time
-		peersNotRunning bool // the database and the registry do not run
-	}{{"alone", 1, false}, {"database and registry silent", 1, true}, {"60 at once", 60, false}} {
+		name      string
+		instances int  // number of instances started at the same time
+		stopPeers bool // whether the database and the registry are stopped
+	}{{"alone", 1, false}, {"database and registry stopped", 1, true}, {"60 at once", 60, false}} {
 		b.Run(test.name, func(b *testing.B) {
 			var phases [4]*hdrhistogram.Histogram
 			for i := range phases {
@@ -246,7 +246,7 @@
 				for range test.instances {
 					began := time.Now()
 					t := deploy()
-					if test.peersNotRunning {
+					if test.stopPeers {
 						_ = t.database.Listener.Close()
 						t.registry.Close()
 					}
--- a/cmd/lanewheel/rotation_test.go
+++ b/cmd/lanewheel/rotation_test.go
@@ -174,8 +174,8 @@
 	}
 }
 
-// chooseRequest chooses at random the next request of a dishonest client: it claims another tenant, has a class for which
-// the client has no permission, has a forged token, or is correct.
+// chooseRequest chooses at random the next request of a dishonest client: it claims another tenant, has a class for
+// which the client has no permission, has a forged token, or is correct.
 func chooseRequest(random *rand.Rand, tenant, other string) (claimed, class, forge string) {
 	switch random.IntN(6) {
 	case 0:
@@ -232,17 +232,15 @@
 			s.denials[why]++
 			s.deniedIDs[id] = true
 			if whyBefore == "" && whyAfter == "" && sure {
-				s.violations = append(s.violations, fmt.Sprintf(
-					"request of class %s for tenant %s with token of %s denied with reason %s, must be admitted",
-					class, claimed, t.subject, why))
+				s.violations = append(s.violations,
+					fmt.Sprintf("denied %s of tenant %s by %s with reason %s", class, claimed, t.subject, why))
 			}
 		case "Busy":
 			s.rejected++
 		default:
 			s.recordExecuted(a.Error == "")
 			if whyBefore != "" && whyAfter != "" && sure {
-				s.violations = append(s.violations, fmt.Sprintf(
-					"request of class %s for tenant %s with token of %s admitted, must be denied with reason %s",
+				s.violations = append(s.violations, fmt.Sprintf("admitted %s of tenant %s by %s, must be denied with reason %s",
 					class, claimed, t.subject, whyBefore))
 			}
 		}
