--- a/cmd/lanewheel-fleet/main_test.go
+++ b/cmd/lanewheel-fleet/main_test.go
@@ -12,9 +12,9 @@
 	"lanewheel/internal/fake"
 )
 
-// Example_members checks two processes that are members of each other's view. One leaves with a notice, and the other
-// then holds it as gone. A third process with another cluster key is ignored until both keys are configured on both
-// sides; the views then differ in no other member.
+// Example_members starts two processes that report each other as up. One leaves with a notice, and the other then
+// reports it as gone. A third process with another cluster key is ignored until both keys are configured on both
+// sides. The views then differ only in the member that left before the third process joined.
 func Example_members() {
 	a := startNode(nodeOptions{name: "a", host: 1, keys: "x", seeds: []int{1}})
 	defer a.stop(syscall.SIGKILL)
@@ -45,9 +45,10 @@
 	// a, [member incarnation state why] b: a holds "gone N", c holds ""; a and c differ on 1 of 3 <nil>
 }
 
-// Example_fenced starts a process under the name of a running one, which makes it the later incarnation of that
-// member. The earlier process is notified that it is fenced, at whatever address it is, and drains if so
-// configured. It is paused while its successor starts, so that it is notified only when it resumes.
+// Example_fenced starts a process under the name of a running process. The new process is the later incarnation of the
+// member. The earlier process is notified that it is fenced, even though its address differs from that of its
+// successor, and drains if so configured. It is paused while its successor starts, so that it is notified only after
+// it resumes.
 func Example_fenced() {
 	const quick = "settle-time = 100ms\ndead-after = 500ms\n"
 	a := startNode(nodeOptions{name: "a", host: 11, keys: "x", seeds: []int{11}, extra: quick})
@@ -60,7 +61,7 @@
 	old.signal(syscall.SIGSTOP)
 	next := startNode(nodeOptions{name: "b", host: 13, keys: "x", seeds: []int{11}, extra: quick})
 	defer next.stop(syscall.SIGKILL)
-	fake.WaitFor("a to hold the later incarnation as up", func() bool {
+	fake.WaitFor("a to report the later incarnation as up", func() bool {
 		members := a.snapshot().Members
 		return len(members) > 0 && members[0].State == "up" && members[0].Incarnation > oldIncarnation
 	})
@@ -78,8 +79,9 @@
 }
 
 // Example_seedAmongRestarted kills and restarts two of four processes at the same time, among them the only seed.
-// The restarted processes know only each other, and the other two still hold their former incarnations as up. The
-// restarted processes find the others by their messages to the former incarnations, before any of these is evicted.
+// The restarted processes know only each other, and the other two still report their former incarnations as up. Because
+// the other two send messages to the former incarnations, the restarted processes discover them before any former
+// incarnation is evicted.
 func Example_seedAmongRestarted() {
 	start := func(name string, host int) *node {
 		return startNode(nodeOptions{name: name, host: host, keys: "x", seeds: []int{31}})
@@ -151,7 +153,7 @@
 //   - spread: 12 instances and 4 proxies, with a slow link; two instances are killed and a proxy is replaced.
 //   - below: concurrency caps hold while holders die, are cut off and join, an allocator is paused and another is
 //     restarted.
-//   - handover: both ends drain, links between them are closed after a request or stall, and the ends are paused.
+//   - handover: both ends drain, links between them are closed after a request or are stalled, and the ends are paused.
 //   - release: twelve instances are rolled out in waves while the leader is killed, another coordinator loses its
 //     disk and an instance dies.
 func TestDrills(t *testing.T) {
--- a/cmd/lanewheel-fleet/node_test.go
+++ b/cmd/lanewheel-fleet/node_test.go
@@ -60,16 +60,16 @@
 // nodeOptions are the options with which a node is started.
 type nodeOptions struct {
 	name  string
-	host  int    // number of the node's loopback address
+	host  int    // last byte of the node's loopback address
 	keys  string // one letter for each cluster key; the node encrypts with the first one
-	seeds []int  // numbers of the seeds' loopback addresses
+	seeds []int  // last bytes of the seeds' loopback addresses
 	extra string // additional lines of the section [fleet]
 }
 
 // nodeCount is the number of started nodes. Each has a directory of its own.
 var nodeCount int
 
-// startNode starts a node with fakes of its own.
+// startNode starts a node with its own fakes of the runtime, the database and the registry.
 func startNode(options nodeOptions) *node {
 	nodeCount++
 	dir := filepath.Join(binDir, fmt.Sprint(nodeCount))
@@ -147,7 +147,7 @@
 	}
 }
 
-// loopback returns the loopback address with the given number, on which no other process listens.
+// loopback returns the loopback address with the given last byte. No other process listens on the address.
 func loopback(host int) string { return fmt.Sprintf("127.%d.77.%d", 40+os.Getpid()%20, host) }
 
 func gossipAddr(host int) string { return fmt.Sprintf("%s:%d", loopback(host), gossipPort) }
@@ -205,9 +205,9 @@
 	}
 }
 
-// waitFor waits until the node's view has another member in a state.
+// waitFor waits until the node reports the member other in the given state.
 func (n *node) waitFor(other, state string) {
-	fake.WaitFor(n.name+" to hold "+other+" as "+state, func() bool {
+	fake.WaitFor(n.name+" to report "+other+" as "+state, func() bool {
 		for _, member := range n.snapshot().Members {
 			if member.Name == other && member.State == state {
 				return true
--- a/cmd/lanewheel-fleet/renamed_test.go
+++ b/cmd/lanewheel-fleet/renamed_test.go
@@ -11,8 +11,8 @@
 	"lanewheel/internal/fake"
 )
 
-// TestRenamedWarnedOnce checks that a process that executes the sibling program warns only once of the earlier
-// names in the command line and in the operator's file, and that the earlier names still have their effect.
+// TestRenamedWarnedOnce checks that a process that executes the sibling program warns only once about the earlier
+// names in the command line and in the operator's file, and that the earlier names still take effect.
 func TestRenamedWarnedOnce(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "files")
 	writeFiles(dir, map[string]string{
@@ -21,8 +21,8 @@
 			"stewards = 127.0.0.1:7960\nsnapshot-every = 1\n[fleet]\nname = n\nlisten = " + gossipAddr(25) +
 			"\nserves = 127.0.0.1:1\nkeys = keys\n",
 	})
-	// Because of an invalid value the process exits before it serves. It warns of the command line, and the
-	// diagnostic contains the name as written in the file.
+	// Because of an invalid value the process exits before it serves. It warns about the earlier names in the command
+	// line, and the diagnostic contains the setting's name as written in the file.
 	for arguments, want := range map[string]string{
 		"relay --operator ":              "relay is now proxy",
 		"desk --operator ":               "desk is now allocator",
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestRenamedSettingsWarnedOnce checks that a process that serves with earlier names in its operator's file warns of
-// them once, also if it reloads the file.
+// TestRenamedSettingsWarnedOnce checks that a process that serves with earlier names in its operator's file warns about
+// them only once, even if it reloads the file.
 func TestRenamedSettingsWarnedOnce(t *testing.T) {
 	extra := "gone-after = 2s\nfenced = leave\n"
 	n := startNode(nodeOptions{name: "a", host: 26, keys: "x", seeds: []int{26}, extra: extra})
@@ -49,8 +49,8 @@
 		t.Fatal(err)
 	}
 	n.signal(syscall.SIGHUP)
-	// The log may be read only after the process has exited, so the test cannot wait for the line of the reload. It
-	// checks below that the line is there.
+	// The log may be read only after the process has exited, so the test cannot wait for the log line of the reload. It
+	// checks below that the log contains the line.
 	time.Sleep(time.Second)
 	n.stop(syscall.SIGTERM)
 	logged := n.log.String()
@@ -58,7 +58,7 @@
 		`fleet.fenced is now fleet.when-fenced; fleet.fenced = leave is now drain"`
 	if strings.Count(logged, "renamed settings") != 1 || !strings.Contains(logged, want) ||
 		!strings.Contains(logged, "msg=\"operator configuration reloaded\"") {
-		t.Errorf("the log must contain one warning %s and the line of the reload, but is\n%s", want, logged)
+		t.Errorf("the log must contain one warning %s and the log line of the reload, but is\n%s", want, logged)
 	}
 }
 
--- a/cmd/lanewheel/authdeployment_test.go
+++ b/cmd/lanewheel/authdeployment_test.go
@@ -103,8 +103,8 @@
 	return h
 }
 
-// client returns a connection on which one request was answered, so that the instance does not close it as silent
-// while a slow command runs.
+// client returns a connection on which one request was answered. The instance therefore does not consider the
+// connection silent and does not close it while a slow command runs.
 func (h *authDeployment) client() *fake.Client {
 	s := h.deployment.client()
 	s.CheckHealth()
--- a/cmd/lanewheel/bench_test.go
+++ b/cmd/lanewheel/bench_test.go
@@ -31,9 +31,9 @@
 // endRunsAtOnce makes the runtime end each run at once.
 func (t *deployment) endRunsAtOnce() {
 	go func() {
-		for line := range t.runtime.Messages {
-			if line["t"] == "start" {
-				t.runtime.SendNotice("end", line["rid"].(string), "success", "res")
+		for message := range t.runtime.Messages {
+			if message["t"] == "start" {
+				t.runtime.SendNotice("end", message["rid"].(string), "success", "res")
 			}
 		}
 	}()
@@ -156,12 +156,12 @@
 	}
 }
 
-// sendForged sends requests with tokens forged from a valid one, on one connection after the other, until stop is
-// true. It adds the number of responses to forged.
+// sendForged sends requests with tokens forged from the valid token good, on one connection after the other, until
+// stop is true. It increments forged by one for each response.
 func (h *authDeployment) sendForged(k int, good string, stop *atomic.Bool, forged *atomic.Int64) {
 	for n := 0; !stop.Load(); {
 		s := h.deployment.client()
-		for range 8 { // after as many forged tokens the instance closes the connection
+		for range 8 { // the instance closes a connection after eight forged tokens
 			n++
 			s.Send(fake.NewRequest(n, "view", fmt.Sprintf("%08x%08x", k+9, n), nil, "kb", "1",
 				"token", fmt.Sprintf("%s%d%07d", good[:len(good)-8], k, n%10_000_000)))
--- a/cmd/lanewheel/certificates_test.go
+++ b/cmd/lanewheel/certificates_test.go
@@ -100,7 +100,7 @@
 	h := deployWithAuth("client-certificates = optional",
 		"client-certificates = optional\nmax-handshakes = 4\nhandshake-rate = 10000")
 	defer h.close()
-	held := func() (n int) {
+	openSockets := func() (n int) {
 		for _, fd := range fake.Must(os.ReadDir(fmt.Sprintf("/proc/%d/fd", h.cmd.Process.Pid))) {
 			to, _ := os.Readlink(fmt.Sprintf("/proc/%d/fd/%s", h.cmd.Process.Pid, fd.Name())) // it may be closed by now
 			if strings.HasPrefix(to, "socket:") {
@@ -109,18 +109,18 @@
 		}
 		return n
 	}
-	const idleSockets = 4 // two listeners, the runtime link and the registry's socket
-	// The instance may not have closed the connection of the readiness check yet, which would be counted in before.
-	fake.WaitFor("the connection of the readiness check to be closed", func() bool { return held() == idleSockets })
-	before, most := held(), 0
+	const idleSockets = 4 // two listeners, the runtime link and the socket of the registry reports
+	// Until the instance has closed the connection of the readiness check, before would include it.
+	fake.WaitFor("the connection of the readiness check to be closed", func() bool { return openSockets() == idleSockets })
+	before, maxIncrease := openSockets(), 0
 	for range 25 {
 		conn := fake.Must(dial(h.tlsAddr))
 		defer func() { _ = conn.Close() }()
 	}
 	for end := time.Now().Add(500 * time.Millisecond); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
-		most = max(most, held()-before)
+		maxIncrease = max(maxIncrease, openSockets()-before)
 	}
-	fmt.Println(most >= 4, most < 12) // some are closed while others are accepted
+	fmt.Println(maxIncrease >= 4, maxIncrease < 12) // some are closed while others are accepted
 	// Output:
 	// true true
 }
--- a/cmd/lanewheel/connections_test.go
+++ b/cmd/lanewheel/connections_test.go
@@ -62,7 +62,7 @@
 	fmt.Println(t.runtime.NextCommand())
 	active := t.client()
 	active.CheckHealth()
-	for range 60 { // of 64 descriptors 40 are for clients
+	for range 60 { // with 64 descriptors, at most 32 clients can be connected
 		t.client()
 	}
 	late := t.client()
@@ -105,8 +105,8 @@
 
 // Example_descriptorLimit checks an instance whose descriptors are all used by idle clients, with the limit
 // enforced by the kernel. The instance still connects to its runtime, serves requests, makes upstream calls, sends
-// reports, connects to changed addresses and drains. It never has more descriptors open than configured, and evicts
-// the connection first that has been idle for longest.
+// reports, connects to changed addresses and drains. It never has more descriptors open than configured, and it first
+// evicts the connection that has been idle for longest.
 func Example_descriptorLimit() {
 	const maxDescriptors = 40
 	t := deploy("\"sockets\":64", "\"sockets\":40")
@@ -129,8 +129,8 @@
 	s := t.client()
 	fake.WaitFor("a successful health check", func() bool { return s.CheckHealth() })
 	calls := map[string]int{}
-	// These are as many concurrent calls as the upstream share permits, more than there are descriptors for their
-	// connections.
+	// Six is the number of concurrent calls that the upstream share permits. There are fewer descriptors for the
+	// connections of calls.
 	for n := 1; n <= 6; n++ {
 		s.Send(fake.NewRequest(n, "pay", fake.RequestID(n), nil, "kb", "1"))
 		t.runtime.NextCommand()
--- a/cmd/lanewheel/drain_test.go
+++ b/cmd/lanewheel/drain_test.go
@@ -13,7 +13,7 @@
 	"lanewheel/internal/fake"
 )
 
-// Example_drain checks that after SIGTERM the instance reports to the registry that it leaves, answers the pending
+// Example_drain checks that after SIGTERM the instance reports to the registry that it is leaving, answers the pending
 // requests, sends goaway to its clients and exits with 0.
 func Example_drain() {
 	t := deployReady()
@@ -62,8 +62,8 @@
 }
 
 // Example_signalsBeforeConfiguration sends SIGHUP and SIGTERM while the program still reads its configuration.
-// Neither ends the program there, and SIGTERM is not lost among 100 SIGHUPs: the program drains once it has
-// started.
+// Neither signal ends the program at that point, and SIGTERM is not lost after 100 SIGHUPs: the program drains once
+// it has started.
 func Example_signalsBeforeConfiguration() {
 	t := &deployment{
 		log: &logBuffer{}, exited: make(chan struct{}),
@@ -110,7 +110,7 @@
 	t := deployReady()
 	defer t.close()
 	var busy, waiting []*fake.Client
-	// 32 clients are as many as may be connected with 64 descriptors. None can be evicted, as a request is pending on
+	// With 64 descriptors, at most 32 clients can be connected. None of them can be evicted, as a request is pending on
 	// each connection.
 	for i := range 32 {
 		s := t.client()
--- a/cmd/lanewheel/helper_test.go
+++ b/cmd/lanewheel/helper_test.go
@@ -150,22 +150,22 @@
 	}
 }
 
-// replaceFakes replaces the fakes of the runtime, the database and the registry by new ones, stops the old listeners
+// replaceFakes replaces the fakes of the runtime, the database and the registry with new ones, closes the old listeners
 // and returns the configuration with the new addresses.
 func (t *deployment) replaceFakes() string {
-	rt, db, roster := fake.NewRuntime(), fake.NewDatabase(), fake.NewRegistry()
+	rt, db, registry := fake.NewRuntime(), fake.NewDatabase(), fake.NewRegistry()
 	text := strings.NewReplacer(t.runtime.Addr(), rt.Addr(), t.database.Addr(), db.Addr(),
-		t.registry.Addr(), roster.Addr()).Replace(t.config)
+		t.registry.Addr(), registry.Addr()).Replace(t.config)
 	_ = t.runtime.Listener.Close()
 	_ = t.database.Listener.Close()
 	t.registry.Close()
-	rt.LastNotice, t.runtime, t.database, t.registry = t.runtime.LastNotice, rt, db, roster
+	rt.LastNotice, t.runtime, t.database, t.registry = t.runtime.LastNotice, rt, db, registry
 	return text
 }
 
 func (t *deployment) sendHangup() { _ = t.cmd.Process.Signal(syscall.SIGHUP) }
 
-// deployReady starts a deployment and waits until its runtime is ready and it is healthy.
+// deployReady starts a deployment with a ready runtime and waits until a health check succeeds.
 func deployReady(changes ...string) *deployment {
 	t := deploy(changes...)
 	t.runtime.Accept()
--- a/cmd/lanewheel/protocol_test.go
+++ b/cmd/lanewheel/protocol_test.go
@@ -9,7 +9,7 @@
 	"lanewheel/internal/fake"
 )
 
-// Example_cancelCrossings checks a cancel that arrives when the run has ended, a cancel for an unknown message id,
+// Example_cancelCrossings checks a cancel that crosses the end of its run, a cancel for an unknown message id,
 // and a connection that is closed with pending requests.
 func Example_cancelCrossings() {
 	t := deployReady()
--- a/cmd/lanewheel/queue_test.go
+++ b/cmd/lanewheel/queue_test.go
@@ -170,7 +170,7 @@
 }
 
 // Example_queueDrain checks that after SIGTERM the instance stops consuming, answers and acknowledges the messages
-// whose requests run, returns those that were not started to the queue, and exits with 0.
+// whose requests are running, puts messages whose requests were not started back into the queue, and exits with 0.
 func Example_queueDrain() {
 	d := deployWithQueue(strings.Replace(queueOperatorFile, "min-in-flight = 4", "min-in-flight = 30", 1))
 	defer d.close()
@@ -203,7 +203,7 @@
 	// 0 true 60 0 true
 }
 
-// TestQueueTotals plays a script of connection faults ten times. Each time the broker must count exactly one
+// TestQueueTotals runs the same sequence of connection faults ten times. Each time the broker must count exactly one
 // acknowledgment and one answer for each message sent, and all ten runs must have the same totals.
 func TestQueueTotals(t *testing.T) {
 	const messageCount = 200
@@ -267,7 +267,7 @@
 			d := deployWithQueue(queueOperatorFile, highLimits...)
 			defer d.close()
 			d.endRunsAtOnce()
-			const flood = 5_000 // a tenth of the flood in the documentation of queues: 10 s of it
+			const flood = 5_000 // a tenth of the flood described in the queue documentation, the messages of 10 s
 			began := time.Now()
 			var drainTime time.Duration
 			floodDone := make(chan bool)
@@ -308,11 +308,12 @@
 	}
 }
 
-// BenchmarkWaiting measures the memory of an instance with 5,000 unsettled messages whose runs do not end.
+// BenchmarkWaiting measures the memory that an instance uses for thousands of unsettled messages whose runs do not end.
+// 5,000 messages are published; the benchmark reports the highest number that is unsettled at the same time.
 //
 //	go test -run xxx -bench Waiting -benchtime 1x ./cmd/lanewheel
 func BenchmarkWaiting(b *testing.B) {
-	const messageCount = 5000 // of 6,144 requests, the maximum with 192 MB
+	const messageCount = 5000 // below 6,144, the maximum number of requests with 192 MB
 	file := strings.Replace(queueOperatorFile, "min-in-flight = 4", "min-in-flight = 1000\nmax-in-flight = 5000", 1)
 	file = strings.NewReplacer(
 		"min-in-flight = 4", "min-in-flight = 5000\nmax-in-flight = 5000",
@@ -335,7 +336,7 @@
 		maxUnsettled = max(maxUnsettled, d.broker.Counts("ops").Unsettled)
 	}
 	b.ReportMetric(float64(maxUnsettled), "unsettled")
-	b.ReportMetric(float64(residentKB(d.cmd.Process.Pid)-before)/1024, "MB-more")
+	b.ReportMetric(float64(residentKB(d.cmd.Process.Pid)-before)/1024, "MB-added")
 }
 
 // BenchmarkMessages measures the throughput of messages and the cost of a message to an instance, to compare with the
@@ -357,7 +358,7 @@
 	}
 	b.StopTimer()
 	b.ReportMetric(float64((cpuTime(d.cmd.Process.Pid)-cpuBefore).Microseconds())/float64(b.N), "cpu-µs/op")
-	b.ReportMetric(float64(residentKB(d.cmd.Process.Pid)-residentBefore)/1024, "MB-more")
+	b.ReportMetric(float64(residentKB(d.cmd.Process.Pid)-residentBefore)/1024, "MB-added")
 	outcomes := map[string]int{}
 	for _, p := range d.broker.DrainQueue("replies") {
 		outcomes[p.Type]++
--- a/cmd/lanewheel/reload_test.go
+++ b/cmd/lanewheel/reload_test.go
@@ -114,9 +114,9 @@
 	// 0 1
 }
 
-// Example_reloads checks reloads that are requested twice at once, of files that are half written or truncated
-// after a complete line, while the instance drains and during a handshake. A reload is applied as a whole or not at
-// all, and no request or connection is lost.
+// Example_reloads checks two reloads that are requested at the same time, reloads of files that are half written or
+// truncated after a complete line, and reloads during a handshake and while the instance drains. A reload is applied
+// as a whole or not at all, and no request or connection is lost.
 func Example_reloads() {
 	h := deployWithAuth()
 	defer h.close()
--- a/cmd/lanewheel/rotation_test.go
+++ b/cmd/lanewheel/rotation_test.go
@@ -19,12 +19,13 @@
 	"lanewheel/internal/keyring"
 )
 
-// These flags set the duration of TestRotation. A long run rotates the keys every minute:
+// These flags set the duration of TestRotation and the interval of its key rotations. A long run rotates the keys
+// every minute:
 //
 //	go test -run Rotation ./cmd/lanewheel -rotate-for 10m -rotate-every 1m -timeout 20m
 var (
 	rotateFor   = flag.Duration("rotate-for", 6*time.Second, "duration of the load of TestRotation")
-	rotateEvery = flag.Duration("rotate-every", time.Second, "interval of its key rotations, in whole seconds")
+	rotateEvery = flag.Duration("rotate-every", time.Second, "interval of key rotations in TestRotation, in whole seconds")
 )
 
 // signingKey is a key of the issuer. It is published before the first signature and stays published after the last.
@@ -146,8 +147,8 @@
 	i.mu.Unlock()
 }
 
-// reloadFiles triggers two reloads one after the other and waits for them, so that the files are read as they are
-// now: a reload that was in progress before may have read the earlier ones.
+// reloadFiles triggers two reloads one after the other and waits for each. The first wait may end with a reload that
+// was already in progress and has read the previous files.
 func (h *authDeployment) reloadFiles() {
 	for range 2 {
 		before := h.reloads()
