--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -28,11 +28,12 @@
 	// requests stay in it.
 	LocalZoneUtilization float64
 
-	OutlierWeight      float64       // fraction of its weight that an outlier keeps, so that its recovery is detected
-	MaxOutlierFraction float64       // maximum fraction of the endpoints that may be treated as outliers at a time
+	// OutlierWeight is the fraction of its weight that an outlier or a suspect keeps, so that its recovery is detected.
+	OutlierWeight      float64
+	MaxOutlierFraction float64       // if more endpoints than this fraction look like outliers, none is treated as one
 	OutcomeHalfLife    time.Duration // age at which an outcome has half its weight
 
-	RetryRatio float64 // retries earned by each request
+	RetryRatio float64 // retries earned by each attempt that is sent, retries included
 	RetryBurst float64 // maximum number of retries that can be saved up
 }
 
@@ -98,7 +99,7 @@
 		} else {
 			state = &endpointState{lastOutcomeAt: now, creditedPicks: b.pickCount}
 		}
-		if endpoint.WarmUpRemaining > state.WarmUpRemaining { // the endpoint has restarted
+		if endpoint.WarmUpRemaining > state.WarmUpRemaining { // the endpoint is new or has restarted
 			state.slowStartCredit = 0
 			state.slowStartBegun = false
 		}
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	// weightsMaxAge is how long weights are used unless the endpoints change. The inputs of the weights change more
-	// slowly than this.
-	weightsMaxAge = 100 * time.Millisecond
+	// staleWeightsMaxAge is the age up to which weights are used although an input has changed. SetEndpoints recomputes
+	// them at once. The inputs of the weights change more slowly than this.
+	staleWeightsMaxAge = 100 * time.Millisecond
 
-	// minSlowStartWeight is the fraction of its weight that an endpoint starts with. An endpoint that receives no
-	// requests never warms up.
+	// minSlowStartWeight is the fraction of its weight that an endpoint has right after a start or a recovery. It is not
+	// 0 because an endpoint that receives no requests never warms up.
 	minSlowStartWeight = 0.1
 
 	// maxSparseLoadFactor is the maximum half-life of a load report, as a multiple of the mean latency, while
@@ -35,9 +35,9 @@
 	return low
 }
 
-// refreshWeights recomputes the weights if they are stale and at least weightsMaxAge old.
+// refreshWeights recomputes the weights if they are stale and at least staleWeightsMaxAge old.
 func (b *Balancer) refreshWeights(now time.Duration) {
-	if b.weightsStale && (b.weightsAt == 0 || now-b.weightsAt >= weightsMaxAge) {
+	if b.weightsStale && (b.weightsAt == 0 || now-b.weightsAt >= staleWeightsMaxAge) {
 		b.recomputeWeights(now)
 	}
 }
@@ -123,8 +123,8 @@
 	return weight
 }
 
-// healthWeight reduces the weight of an outlier, to 0 while it is ejected, and that of a slow endpoint in inverse
-// proportion to its latency.
+// healthWeight returns weight, reduced if the endpoint is an outlier or slow. The result is 0 for an outlier that is
+// ejected. For a slow endpoint, it is in inverse proportion to the latency, but not below that of an outlier.
 func (b *Balancer) healthWeight(now time.Duration, state *endpointState, weight float64) float64 {
 	if state.outlier {
 		if now < state.ejectedUntil {
@@ -132,8 +132,8 @@
 		}
 		return weight * b.config.OutlierWeight
 	}
-	if latency := b.relativeLatency(now, state); latency > slowLatencyFactor {
-		return weight * max(b.config.OutlierWeight, 1/latency)
+	if relative := b.relativeLatency(now, state); relative > slowLatencyFactor {
+		return weight * max(b.config.OutlierWeight, 1/relative)
 	}
 	return weight
 }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -9,8 +9,8 @@
 )
 
 // Loop is an event loop. The goroutine that calls Run owns the Loop and the state that is documented as owned by it.
-// Any goroutine may call Post and PostBlocking. The other methods may be called only from posted callbacks and timers,
-// and before Run.
+// Any goroutine may call Post and PostBlocking. The other methods may be called only before Run and, while it runs,
+// from posted callbacks, timers and the function that Run calls after each batch.
 type Loop struct {
 	mu           sync.Mutex
 	pending      []func()   // guarded by mu
--- a/internal/forward/view.go
+++ b/internal/forward/view.go
@@ -43,10 +43,10 @@
 	f.setEndpoints(endpoints, addresses)
 }
 
-// isEndpoint reports whether requests may be sent to a member. A suspect member receives no requests unless the local
-// health does not permit this process to declare members gone, for instance because the process is isolated. In that
-// case, the suspicion is no evidence against the member, so the member is still tried. A member that is suspect because
-// of flapping is never tried.
+// isEndpoint reports whether requests may be sent to a member. A suspect member receives requests only while the
+// local health does not permit this process to declare members gone, for instance because the process is isolated. In
+// that case, the suspicion is no evidence against the member, so the member is still tried. A member that is suspect
+// because of flapping is never tried.
 func isEndpoint(view *membership.View, member *membership.Member) bool {
 	if member.Roles&membership.RoleServer == 0 || member.ServiceAddr == "" {
 		return false
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -23,7 +23,7 @@
 
 	WorkHint time.Duration // approximate work; 0 if the request states none
 	MemoryKB float64       // memory that the request takes while it is queued
-	Rank     float64       // at least 0 and less than 1
+	Rank     float64       // priority: at least 0 and less than 1; each priority weight has a band, higher weights above
 
 	Token           string // empty if the caller presents none
 	Hops            int    // number of processes that have forwarded the request
@@ -72,7 +72,7 @@
 
 // Load is the state of the server. A front end may use it to adjust the rate of its requests.
 type Load struct {
-	Ready        bool // the runtime is ready and its link is synced
+	Ready        bool // the runtime is ready, and all events that it sent while disconnected have been read
 	Draining     bool
 	Healthy      bool          // health checks are answered as healthy
 	Cores        float64       // cores of the runtime
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -43,7 +43,7 @@
 	clients     *clients.Frontend
 	forwarder   *forward.Forwarder
 	classes     map[string]classConfig
-	inFlight    map[string]*proxiedRequest // by the id that the client chose
+	inFlight    map[string]*proxiedRequest // by the ID that the client chose
 	frontends   []frontend.Frontend        // attached in addition to clients
 	registry    *discovery.Registry        // nil: none is configured, or it has not been reached yet
 	draining    bool
@@ -69,8 +69,8 @@
 }
 
 // Listen returns a Proxy that listens on the platform's address. It uses the same settings of the platform's
-// configuration as an instance, except for those of the runtime and the database. probe may be nil. Listen returns an
-// error if the sockets cannot be started.
+// configuration as an instance, except for those of the runtime and the database. If probe is nil, no instance is
+// probed. Listen returns an error if the address cannot be listened on.
 func Listen(platform server.Config, config Config, probe forward.ProbeFunc) (*Proxy, error) {
 	memoryBytes := int(platform.MemoryMB * (1 << 20))
 	bufferCount := memoryBytes / transport.BufferSize
@@ -122,7 +122,7 @@
 	return configs
 }
 
-// Attach starts a frontend in addition to that of the clients. It must be called before Serve.
+// Attach starts a front end in addition to that of the clients. It must be called before Serve.
 func (p *Proxy) Attach(attached frontend.Frontend) {
 	p.frontends = append(p.frontends, attached)
 	attached.Start()
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -21,7 +21,7 @@
 	slog.Info("draining", "grace", grace, "requests", len(s.requests.byID))
 	s.report()
 	schedule := clients.DrainScheduleFor(grace)
-	for _, f := range s.frontends { // they must close while responses can still be sent on their connections
+	for _, f := range s.frontends { // must have drained while responses can still be sent on their connections
 		f.Drain(max(0, grace-schedule.FrontendsDrained))
 	}
 	if s.controller == nil { // no request was ever admitted, so there is no run to wait for
--- a/internal/server/idempotency.go
+++ b/internal/server/idempotency.go
@@ -77,8 +77,7 @@
 	started bool   // a run of the request was started
 }
 
-// identify returns the identity of a request. Reads of the same resource by different tenants are not duplicates of
-// each other.
+// identify returns the identity of a request. Requests of different tenants are not duplicates of each other.
 func (c *idempotencyCache) identify(active *activeRequest, newIDPerAttempt, byKey bool) requestIdentity {
 	switch {
 	case byKey && newIDPerAttempt:
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -31,7 +31,7 @@
 	started bool // a run was started, even if it has ended since
 
 	identity  requestIdentity
-	record    *idempotencyRecord // nil until the controller keeps a record
+	record    *idempotencyRecord // nil until the controller has had a record stored
 	coalesced *coalescedWait     // nil unless the request waits for the result of another one
 }
 
--- a/internal/server/stats.go
+++ b/internal/server/stats.go
@@ -16,7 +16,7 @@
 // Stats returns the counts so far.
 func (s *Server) Stats() Stats { return s.stats }
 
-// recordOutcome counts a request that is about to be answered, unless it was canceled.
+// recordOutcome counts a request that is about to be answered, unless it was canceled or its arrival time is 0.
 func (s *Server) recordOutcome(active *activeRequest, succeeded bool) {
 	if active.responder == nil || active.arrivedAt == 0 {
 		return
--- a/internal/server/upstreams.go
+++ b/internal/server/upstreams.go
@@ -12,8 +12,9 @@
 
 // Upstreams is a set of services that upstream calls are distributed to. Its methods are called on the event loop.
 type Upstreams interface {
-	// Acquire returns a slot for a call at one of the services, except the one at refusedAddr, which refused the call. It
-	// returns nil if there is no free slot. waiting is the number of calls that wait for a slot, including this one.
+	// Acquire returns a slot for a call at one of the services, or nil if there is no free slot. refusedAddr is the
+	// address of the service that refused the call, or empty if none did; that service is chosen only if it is the only
+	// one. waiting is the number of calls that wait for a slot, including this one.
 	Acquire(refusedAddr string, waiting int) UpstreamSlot
 	// OnAvailable registers callback, which is called on the event loop whenever slots may have become available.
 	OnAvailable(callback func())
@@ -62,8 +63,9 @@
 	}
 }
 
-// retryElsewhere retries a call that a service refused at another service, or queues it until there is a slot there. It
-// returns false if the call has no attempts left.
+// retryElsewhere is called when the service at refusedAddr has refused a call. It retries the call, at another service
+// if there is one, or queues it until a connection and a slot are free. It returns false if the call has no attempts
+// left.
 func (d *databaseCalls) retryElsewhere(call *databaseCall, refusedAddr string) bool {
 	call.releaseSlot(admission.Unreachable, false)
 	call.refusedAddr = refusedAddr
--- a/internal/settings/read.go
+++ b/internal/settings/read.go
@@ -80,7 +80,8 @@
 	return x, err == nil
 }
 
-// duration reads a number of seconds. A negative number is read as 0.
+// duration reads a number of seconds. A negative number is read as 0, but one below -maxSeconds is read as the
+// longest duration; see SecondsToDuration.
 func duration(v *fastjson.Value) (time.Duration, bool) {
 	seconds, ok := number(v)
 	return max(0, SecondsToDuration(seconds)), ok
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -39,9 +39,9 @@
 // Parse reads the settings, applies the defaults, and returns all errors that it finds. Missing settings, null
 // values and unknown names are ignored. The cores and the classes are required, because no decisions are possible
 // without them.
-func Parse(stored *fastjson.Value) (admission.Settings, []FieldError) {
+func Parse(raw *fastjson.Value) (admission.Settings, []FieldError) {
 	var parsed admission.Settings
-	problems := readObject(stored, instanceFields, &parsed)
+	problems := readObject(raw, instanceFields, &parsed)
 	parsed.ApplyDefaults()
 	err := parsed.Validate()
 	if errors.Is(err, admission.ErrNoCores) {
@@ -73,17 +73,17 @@
 }
 
 // GaugeName converts the name of a gauge on the wire. An unknown name is returned unchanged.
-func GaugeName(stored string) admission.Gauge {
-	if name, ok := gaugeNames[stored]; ok {
+func GaugeName(wireName string) admission.Gauge {
+	if name, ok := gaugeNames[wireName]; ok {
 		return name
 	}
-	return admission.Gauge(stored)
+	return admission.Gauge(wireName)
 }
 
 // GaugeNames returns the names of the gauges in the order in which the runtime reports them.
-func GaugeNames(stored *fastjson.Value) []admission.Gauge {
+func GaugeNames(raw *fastjson.Value) []admission.Gauge {
 	var names []admission.Gauge
-	for _, v := range stored.GetArray("domain", "meters") {
+	for _, v := range raw.GetArray("domain", "meters") {
 		names = append(names, GaugeName(string(v.GetStringBytes())))
 	}
 	return names
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// leaseInterval is the interval at which the client checks whether leases must be requested. It is a hundredth of the
-	// shortest lease duration.
+	// leaseInterval is the interval at which the client checks whether leases must be requested. It is a twentieth of the
+	// shortest lease duration that can be configured, 200 ms.
 	leaseInterval = 10 * time.Millisecond
 	// randomStream differs from the streams of the other random number generators that share the seed.
 	randomStream = 11
