--- a/internal/coordination/budget.go
+++ b/internal/coordination/budget.go
@@ -57,9 +57,9 @@
 type BudgetUsage struct {
 	Budget            DisruptionBudget `json:"Budget"`
 	Members           int              `json:"Of"`    // number of selected members
-	Unavailable       int              `json:"Out"`   // of these, including holders of granted or begun permits
-	UnavailableLimit  int              `json:"Limit"` // maximum of Unavailable
-	AvailableCapacity float64          `json:"Up"`    // cores of the other selected members
+	Unavailable       int              `json:"Out"`   // members that are not up or hold a granted or begun permit
+	UnavailableLimit  int              `json:"Limit"` // maximum number that the budget allows for Unavailable
+	AvailableCapacity float64          `json:"Up"`    // cores of the selected members that Unavailable does not count
 }
 
 // groupUsage is a budget's usage with the total capacity, which shows whether a member can ever become unavailable.
@@ -161,8 +161,8 @@
 	return budgetCheck{reason: reason}
 }
 
-// exceededBudget describes the first budget of the member whose limits are exceeded. It returns an empty string if
-// there is none.
+// exceededBudget describes the first budget that selects the member and whose limits are exceeded. It returns an empty
+// string if there is none.
 func (s *State) exceededBudget(member *Member) string {
 	for budget := range s.budgetsOf(member) {
 		usage := s.Usage(budget)
--- a/internal/coordination/canary/analysis.go
+++ b/internal/coordination/canary/analysis.go
@@ -16,8 +16,8 @@
 	ErrorRate              float64 // maximum probability of a wrong halt, and also of a missed regression
 	DetectableLateIncrease float64 // regression to detect: increase of the share not served within its latency objective
 	DetectableSlowdown     float64 // regression to detect: increase of the mean duration, as a fraction
-	MinWindows             int     // number of windows required before a verdict other than on crashes
-	MinRequests            float64 // minimum number of requests on each side for a window to count
+	MinWindows             int     // minimum number of windows for a verdict; failing at CrashLimit requires none
+	MinRequests            float64 // minimum number of requests of each release for a window to count
 	CrashLimit             int     // number of crashes at which the new release fails at once; 0: crashes are ignored
 }
 
@@ -73,7 +73,8 @@
 // New returns an analysis without windows.
 func New(config Config) *Analysis { return &Analysis{config: config} }
 
-// Add adds a window to the analysis. If either side has too few requests, only the canary's crashes are counted.
+// Add adds a window to the analysis: the samples of the new release, the canary, and of the old one, the baseline. If
+// either sample has too few requests, only the canary's crashes are counted.
 func (a *Analysis) Add(canary, baseline Sample) {
 	a.crashes += canary.Crashes
 	if canary.Requests < a.config.MinRequests || baseline.Requests < a.config.MinRequests {
@@ -86,11 +87,12 @@
 	}
 }
 
-// Result returns the verdict on the windows added so far. The release fails if the confidence interval of either
-// metric is entirely above half of the regression to detect. It passes if the confidence intervals of both metrics are
-// entirely below the whole regression to detect. A release that is no worse therefore fails with a probability of at
-// most ErrorRate, and a release that is worse by the regression to detect passes with a probability of at most
-// ErrorRate. For a release between the two, either verdict is possible.
+// Result returns the verdict on the windows added so far. The release fails if its crashes reach CrashLimit. Otherwise
+// the verdict is inconclusive until MinWindows windows count. From then on, the release fails if the confidence
+// interval of either metric is entirely above half of the regression to detect. It passes if the confidence intervals
+// of both metrics are entirely below the whole regression to detect. Crashes aside, a release that is no worse
+// therefore fails with a probability of at most ErrorRate, and a release that is worse by the regression to detect
+// passes with a probability of at most ErrorRate. For a release between the two, either verdict is possible.
 func (a *Analysis) Result() Result {
 	if a.crashes >= a.config.CrashLimit && a.config.CrashLimit > 0 {
 		return Result{Failed, fmt.Sprintf("%d of its processes ended by themselves", a.crashes)}
--- a/internal/coordination/converge.go
+++ b/internal/coordination/converge.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// recordFailedAttempt increments the member's FailedAttempts if it returned from a permit of the rollout on a
-// release other than the desired one. A permit that was requested for the update and ends during the rollback does
-// not count, because the member did what that permit required.
+// recordFailedAttempt increments the member's FailedAttempts if the member restarted under a permit of the rollout's
+// current phase and does not run its desired release. A permit that was requested for the update and ends during the
+// rollback does not count, because the member did what that permit required.
 func (s *State) recordFailedAttempt(member *Member, permit *Permit) {
 	rollout := s.Rollout
 	if !rollout.InProgress() || permit.Purpose != rollout.permitPurpose() {
@@ -101,7 +101,8 @@
 }
 
 // convergeMembers requests permits for the members that are not on their desired release. It reports whether all
-// members are up and on that release. If not, the rollout's WaitReason is the reason for the first member that is not.
+// members are up and on that release. If not, it sets the rollout's WaitReason to the reason for the first member that
+// the rollout waits for.
 func (s *State) convergeMembers(names []Name) bool {
 	rollout := s.Rollout
 	converged := true
@@ -147,10 +148,10 @@
 
 // permitWaitReason returns the reason why the rollout waits for a member that has a permit.
 func (s *State) permitWaitReason(permit *Permit) string {
-	unavailableFor := s.Now - permit.StageSince
+	timeInStage := s.Now - permit.StageSince
 	switch {
-	case permit.Stage == PermitBegun && unavailableFor > s.Config.StalledAfter:
-		return fmt.Sprintf("%s has been out for %v and does not come back", permit.Member, unavailableFor.Round(time.Second))
+	case permit.Stage == PermitBegun && timeInStage > s.Config.StalledAfter:
+		return fmt.Sprintf("%s has been out for %v and does not come back", permit.Member, timeInStage.Round(time.Second))
 	case permit.Stage == PermitQueued && permit.WaitReason != "":
 		return fmt.Sprintf("%s: %s", permit.Member, permit.WaitReason)
 	}
--- a/internal/coordination/permit.go
+++ b/internal/coordination/permit.go
@@ -65,7 +65,8 @@
 	case len(s.PermitQueue) >= s.Config.MaxQueuedPermits:
 		return refused("%d wait already", len(s.PermitQueue))
 	}
-	// A permit that can never be granted would wait forever, and block everything that is queued behind it.
+	// A permit that can never be granted would wait forever. After MaxOvertakes grants of later permits, it would also
+	// block the later permits of all groups that are reserved for it.
 	if check := s.checkBudgets(member); check.impossible {
 		return refused("never: %s", check.reason)
 	}
@@ -142,8 +143,9 @@
 }
 
 // beginPermit begins a granted permit. It is the last step at which a permit can be refused: the holder goes out of
-// service only after it has learned that the coordinators agreed on this command. A withdrawn, halted or expired permit
-// has therefore not begun, regardless of the holder's clock and of how long the holder was paused.
+// service only after it has learned that the coordinators agreed on this command. The holder of a permit that has
+// expired or was withdrawn, for instance by a halt, has therefore not gone out of service under it, regardless of the
+// holder's clock and of how long the holder was paused.
 func (s *State) beginPermit(command Command) Reply {
 	permit := s.Permits[command.PermitID]
 	switch {
--- a/internal/coordination/rollout.go
+++ b/internal/coordination/rollout.go
@@ -21,9 +21,9 @@
 	Selector            Selector      `json:"Of"` // members that the rollout applies to
 	Waves               []Wave        `json:"Waves"`
 	Pause               time.Duration `json:"Pause"`  // minimum time between the end of a wave and the next one
-	AnalysisRequired    bool          `json:"Judged"` // besides the pause, a wave waits for its verdict
+	AnalysisRequired    bool          `json:"Judged"` // besides the pause, the rollout waits for a verdict on each wave
 	RollbackWavesAtOnce float64       `json:"Faster"` // number of waves that are rolled back at the same time
-	MaxAttempts         int           `json:"Tries"`  // failed permits per member before the rollout waits for an operator
+	MaxAttempts         int           `json:"Tries"`  // failed attempts of a member after which an operator must act
 }
 
 // RolloutPhase is the phase of a rollout. Its values are stored.
--- a/internal/coordination/selector.go
+++ b/internal/coordination/selector.go
@@ -10,7 +10,7 @@
 type Selector struct {
 	Zone     string `json:"Zone"`
 	Release  string `json:"Release"`
-	Role     string `json:"Role"`  // name of a role as in the operator's file
+	Role     string `json:"Role"`  // name of a role that membership.ParseRoles accepts
 	Upstream string `json:"Below"` // upstream service that the member provides
 }
 
--- a/internal/fleet/coordinator/analysis.go
+++ b/internal/fleet/coordinator/analysis.go
@@ -80,7 +80,7 @@
 }
 
 // sampleBetween returns a sample of the requests that a group finished between two windows. A member counts only if the
-// same incarnation reported its statistics in both windows.
+// same incarnation reported its statistics in both windows and its number of requests has not decreased.
 func sampleBetween(previous, current statsByMember, group []coordination.Observation) canary.Sample {
 	var sample canary.Sample
 	totalSeconds := 0.0
@@ -184,7 +184,7 @@
 	}
 	slog.Info("canary verdict", "rollout", rollout.Name, "wave", rollout.Wave+1,
 		"verdict", result.Verdict.String(), "reason", result.Reason)
-	c.leadership.analysis.wave = waveKey{}
+	c.leadership.analysis.wave = waveKey{} // the next call of analyzeWave starts a new analysis
 }
 
 // hadRecentPermit reports whether a member has a permit or had one that ended less than permitGrace ago.
--- a/internal/fleet/coordinator/client/client.go
+++ b/internal/fleet/coordinator/client/client.go
@@ -25,7 +25,7 @@
 	Coordinators []string // addresses
 	Keys         []membership.Key
 	LocalIP      string        // address to dial from, empty for any
-	Timeout      time.Duration // of Do: no attempt starts later
+	Timeout      time.Duration // time after the start of Do within which attempts may start
 }
 
 // Do sends the request to one coordinator after the other until one of them handles it. It blocks. A request that
--- a/internal/fleet/coordinator/config/config.go
+++ b/internal/fleet/coordinator/config/config.go
@@ -14,7 +14,7 @@
 type Config struct {
 	// Name and addresses.
 	Name          string
-	ListenAddr    string   // address on which it accepts other coordinators and operators
+	ListenAddr    string   // address on which it accepts connections from other coordinators and operators
 	AdvertiseAddr string   // address that the other coordinators dial; empty: ListenAddr
 	Coordinators  []string // addresses of all coordinators; its own may be among them
 	LocalIP       string   // address to dial from, empty for any
@@ -35,6 +35,6 @@
 
 	// The operator's command that restarts a member. If it is empty, the coordinator does not restart members.
 	RestartCommand     string
-	RestartTimeout     time.Duration // of one run
-	RestartOutputLimit int           // maximum number of bytes of its output that are logged
+	RestartTimeout     time.Duration // maximum duration of one run of the command
+	RestartOutputLimit int           // maximum number of bytes of the command's output that are logged
 }
--- a/internal/fleet/coordinator/replica.go
+++ b/internal/fleet/coordinator/replica.go
@@ -151,7 +151,8 @@
 	if err != nil {
 		return fmt.Errorf("recover the state in %s: %w", r.config.DataDir, err)
 	}
-	r.state = coordination.NewState(r.config.Coordination) // NewRaft restores it again
+	// RecoverCluster has restored the state. NewRaft restores it again, into an empty state.
+	r.state = coordination.NewState(r.config.Coordination)
 	return nil
 }
 
@@ -196,8 +197,8 @@
 	return future.Configuration().Servers, nil
 }
 
-// addVoter adds a coordinator as a voter. It first removes voters of the same name that have an earlier data directory.
-// It blocks.
+// addVoter adds a coordinator as a voter, unless it already is one with this address. It first removes the voters of
+// the same name with another ID, because the coordinator's current data directory replaces theirs. It blocks.
 func (r *replica) addVoter(id raft.ServerID, addr string) error {
 	servers, err := r.servers()
 	if err != nil {
--- a/internal/fleet/coordinator/requests.go
+++ b/internal/fleet/coordinator/requests.go
@@ -50,7 +50,7 @@
 func (c *Coordinator) redirect() client.Response {
 	var response client.Response
 	leader := c.replica.leaderAddr()
-	if leader == "" || leader == c.config.AdvertiseAddr { // this leader is shutting down
+	if leader == "" || leader == c.config.AdvertiseAddr { // no leader is known, or this one is shutting down
 		response.SetErr(client.ErrNoQuorum)
 		return response
 	}
@@ -87,7 +87,7 @@
 	return status
 }
 
-// copyState fills a status with copies of the parts of the state that it contains.
+// copyState copies the parts of the state that a status reports into status.
 func copyState(state *coordination.State, status *client.Status) {
 	status.FleetTime = state.Now.Round(time.Millisecond).String()
 	status.MemberCount = len(state.Members)
--- a/internal/fleet/gossip/codec.go
+++ b/internal/fleet/gossip/codec.go
@@ -28,12 +28,12 @@
 // message is sent. No message carries a wall clock time.
 const headerSize = 5
 
-// Maximum sizes in bytes of the names and messages that a member sends. A heartbeat must fit into a packet together
-// with other messages, and a descriptor into the 512 bytes that memberlist allows for it.
+// Maximum sizes in bytes of names and of message bodies. A heartbeat must fit into a packet together with other
+// messages, and a descriptor into the 512 bytes that memberlist allows for it.
 const (
 	maxNameBytes       = 64
 	maxMetricNameBytes = 16
-	maxMessageBytes    = 512
+	maxBodyBytes       = 512
 )
 
 // Decoding errors. A message that causes one is counted as malformed.
@@ -47,8 +47,8 @@
 // errTableFull is returned for a node that would exceed the maximum number of members.
 var errTableFull = errors.New("maximum number of members is reached")
 
-// maxInitialLength limits how many elements the decoder allocates in advance for a length that a message declares,
-// whether or not that many elements follow.
+// maxInitialLength is the maximum number of elements for which the decoder allocates memory before it reads them. The
+// length that a message declares may exceed the number of elements that follow.
 const maxInitialLength = 64
 
 var msgpackHandle = func() *codec.MsgpackHandle {
@@ -81,7 +81,7 @@
 }
 
 func decode(body []byte, value any) error {
-	if len(body) > maxMessageBytes {
+	if len(body) > maxBodyBytes {
 		return errTooLarge
 	}
 	return codec.NewDecoderBytes(body, msgpackHandle).Decode(value)
@@ -107,7 +107,8 @@
 	}, nil
 }
 
-// lengthPrefixSize is the size in bytes of the big-endian length that precedes each message of a state.
+// lengthPrefixSize is the size in bytes of the big-endian length that precedes each message of a state. A state is the
+// data that memberlist exchanges between two members over a stream.
 const lengthPrefixSize = 2
 
 // encodeState concatenates messages, each preceded by its length.
--- a/internal/fleet/gossip/codec_test.go
+++ b/internal/fleet/gossip/codec_test.go
@@ -99,7 +99,7 @@
 	}
 	body := bodyOf(encodeLeaseRequest(request, id, "a:1"))
 	got, addr, err := decodeLeaseRequest(body, id)
-	if err != nil || got != request || addr != "a:1" || len(body) > maxMessageBytes {
+	if err != nil || got != request || addr != "a:1" || len(body) > maxBodyBytes {
 		t.Fatal(err, got, request)
 	}
 	if _, _, err := decodeLeaseRequest(body, membership.ID{Name: "another", BootID: 1}); err == nil {
--- a/internal/fleet/gossip/config.go
+++ b/internal/fleet/gossip/config.go
@@ -16,7 +16,7 @@
 	Roles           membership.Roles
 	Zone            string
 	Release         string
-	Capacity        float64 // share of the work relative to other members, in cores
+	Capacity        float64 // in cores; a member's share of the work is proportional to it
 	WarmUp          time.Duration
 	Keys            []membership.Key // the first is the primary key; empty: gossip is not encrypted
 	ProbeInterval   time.Duration    // interval between two probes of other members
--- a/internal/fleet/gossip/librarylog.go
+++ b/internal/fleet/gossip/librarylog.go
@@ -61,13 +61,14 @@
 const maxLoggedTextBytes = 200
 
 // libraryLog counts memberlist's log lines by event and logs a few lines of each code per second, so that messages
-// from unknown senders cannot fill the log. It is written to on memberlist's goroutines.
+// from unknown senders cannot fill the log. Debug lines and lines of eventOutdatedMember are counted but not logged.
+// Write is called on memberlist's goroutines.
 type libraryLog struct {
 	mu      sync.Mutex
 	sampler logging.Sampler[string] // by code; guarded by mu
 	counts  map[libraryEvent]uint64 // guarded by mu
-	// onPredecessorCaller is called with the address of a member that called the process that previously had this
-	// process's name. It is set before memberlist writes to the log.
+	// onPredecessorCaller is called, with mu held, with the gossip address of a member that probed this process's
+	// predecessor: the process that previously had its name. It never changes.
 	onPredecessorCaller func(addr string)
 }
 
@@ -113,9 +114,9 @@
 	return eventOther
 }
 
-// predecessorCaller returns the gossip address of a member that probed the process that previously had this process's
-// name. Only a packet is sent from the address on which the member listens; a connection comes from an ephemeral
-// port. memberlist quotes the node's name only in the log line for a packet.
+// predecessorCaller returns the gossip address of the member that probed this process's predecessor, if the log line is
+// about a packet. Packets are sent from the address on which a member listens, whereas connections come from an
+// ephemeral port. memberlist quotes the node's name only in the log line for a packet.
 func predecessorCaller(text string) (addr string, ok bool) {
 	_, addr, hasAddr := strings.Cut(text, fromMarker)
 	if !hasAddr || !strings.Contains(text, "node '") {
--- a/internal/fleet/gossip/query.go
+++ b/internal/fleet/gossip/query.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// queryTimeout is the maximum time to wait for a reply.
+	// queryTimeout is the time after which a query without a reply expires.
 	queryTimeout = time.Second
 	// maxPendingQueries limits the queries that wait for a reply, which accumulate if no member replies. It is more
 	// than the number of queries that a proxy sends in a second.
@@ -25,7 +25,7 @@
 	callback func(reply wireQueryReply, age time.Duration)
 }
 
-// expire drops the queries whose reply has not arrived within queryTimeout.
+// expire drops the queries that were sent more than queryTimeout ago.
 func (q *queries) expire(now time.Duration) {
 	for nonce, query := range q.pending {
 		if now-query.sentAt > queryTimeout {
@@ -34,8 +34,8 @@
 	}
 }
 
-// QueryLoad asks a member for its load with one datagram. If a reply arrives within a second, callback is called on
-// the agent's loop with the load and its estimated age. QueryLoad must be called on the agent's loop.
+// QueryLoad asks a member for its load with one datagram. If a reply arrives before the query expires, callback is
+// called on the agent's loop with the load and its estimated age. QueryLoad must be called on the agent's loop.
 func (a *Agent) QueryLoad(name membership.Name, callback func(load float64, age time.Duration)) {
 	a.sendQuery(name, func(reply wireQueryReply, age time.Duration) { callback(reply.Load, age) })
 }
@@ -89,7 +89,8 @@
 	return nil
 }
 
-// handleQueryReply passes a reply to the callback of its query. It drops a reply that is late or belongs to no query.
+// handleQueryReply passes a reply to the callback of its query. It drops a reply whose query has expired or is
+// unknown.
 func (a *Agent) handleQueryReply(body []byte) error {
 	var reply wireQueryReply
 	if err := decode(body, &reply); err != nil {
--- a/internal/fleet/gossip/transport.go
+++ b/internal/fleet/gossip/transport.go
@@ -11,13 +11,13 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport extends memberlist's own transport. It dials from the address on which it listens, so that a firewall
-// between two members knows both ends; it counts packets; and it reports the senders of packets and streams. Its
-// methods are called on memberlist's goroutines.
+// transport extends memberlist's own transport. It dials from the IP address on which it listens, so that firewall
+// rules between two members can name both IP addresses. It also counts packets and reports the IP addresses from which
+// packets and streams arrive. Its methods are called on memberlist's goroutines.
 type transport struct {
 	*memberlist.NetTransport
 	localIP  net.IP
-	onSender func(sender string)
+	onSender func(ip string)
 	packets  chan *memberlist.Packet
 	streams  chan net.Conn
 	// muted makes the transport drop outgoing packets: a process that receives nothing would otherwise report to all
--- a/internal/membership/alive.go
+++ b/internal/membership/alive.go
@@ -8,7 +8,7 @@
 // The results.
 const (
 	AliveAccepted          AliveResult = iota // the descriptor was stored in the table
-	AliveOutdated                             // the descriptor is that of an earlier process, which must be notified
+	AliveOutdated                             // the descriptor is of an earlier process, which must get a fence notice
 	AliveTableFull                            // the table has no room for another member
 	AliveIncarnationRaised                    // this process raised its incarnation and must announce it
 	AliveFenced                               // this process is fenced, because a later one has taken its name
--- a/internal/membership/reachability.go
+++ b/internal/membership/reachability.go
@@ -24,7 +24,7 @@
 	t.publishView(now)
 }
 
-// HandleLeft processes the announcement of a process that it has left.
+// HandleLeft processes a process's announcement that it has left the fleet.
 func (t *Table) HandleLeft(id ID, now time.Duration) {
 	if member, present := t.findPresentMember(id); present {
 		t.markLeft(member, now)
@@ -49,7 +49,7 @@
 		t.transition(member, member.State, member.Reason, now)
 		return
 	}
-	if member.State != StateSuspect && member.State != StateGone { // the report was false and was refuted in time
+	if member.State != StateSuspect && member.State != StateGone { // it was reachable again before it became suspect
 		t.Stats.RefutedSuspicions++
 		member.reachability.unreachable = false
 		t.transition(member, member.State, member.Reason, now)
