--- a/admission/arrivals.go
+++ b/admission/arrivals.go
@@ -97,8 +97,9 @@
 	return reuse
 }
 
-// maxRecentQueueDelay returns the longest time that a recently read request had waited unread. While the queue is
-// short, reading takes the cores, and requests have already used up part of their time when they are read.
+// maxRecentQueueDelay returns the longest time that a recently read request had waited unread. If reading
+// requests occupies the cores, the queue is short, although requests have used up part of their time before they are
+// read.
 func (h *arrivalHistory) maxRecentQueueDelay(now time.Duration) time.Duration {
 	var longest time.Duration
 	for _, a := range h.recent {
--- a/admission/batch.go
+++ b/admission/batch.go
@@ -10,7 +10,8 @@
 
 // selectBatch selects the candidates to start within the capacity left by the limit. It follows the start order,
 // unless no core is free and starting the head would make another request miss its objective. In that case it
-// selects the best batch around a request at risk.
+// selects, among the batches around each request at risk, the largest, and among equally large ones the batch with the
+// highest sum of values.
 func (c *Controller) selectBatch(candidates []candidate, capacity int, now time.Duration) []candidate {
 	head := candidates[:min(1, capacity, len(candidates))]
 	if c.coreFree(now) || len(candidates) < 2 {
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -38,11 +38,11 @@
 
 	publishedLoad float64 // the last load report, or unpublished
 	idle          idleTimeoutState
-	wakeAt        time.Duration // when the pending timer fires; 0: no timer is set
+	wakeAt        time.Duration // when the timer that was set last fires or fired; 0: none was set
 }
 
 // New returns the Controller of an instance that has just started, and sets its health to healthy through the
-// Executor. The settings must be valid, see Settings.Validate. The same seed and events result in the same
+// Executor. The settings must be valid, see Settings.Validate. The same seed, settings and events result in the same
 // decisions.
 func New(seed uint64, settings Settings, executor Executor) *Controller {
 	cores := max(1, int(settings.Cores))
@@ -86,8 +86,9 @@
 	c.scheduleWake(now)
 }
 
-// scheduleWake keeps one timer set. It fires when the next answer is due or, while there is work, when the next
-// gauge sample is due.
+// scheduleWake sets a timer for the next gauge sample or for the next due answer, whichever is earlier, unless the
+// timer that was set last is pending and fires no later. It sets none if there are no requests, the state is
+// StateHealthy and loadIsReduced returns false.
 func (c *Controller) scheduleWake(now time.Duration) {
 	next := time.Duration(0)
 	if len(c.requests.byID) > 0 || c.health.state != StateHealthy || c.loadIsReduced() {
@@ -103,7 +104,8 @@
 	c.executor.WakeAt(next, c.recordGauges)
 }
 
-// loadIsReduced reports whether the last load report asked callers for less than their usual traffic.
+// loadIsReduced reports whether load reports are published and the instance currently accepts less than its usual
+// traffic.
 func (c *Controller) loadIsReduced() bool { return c.publishedLoad >= 0 && c.acceptance() < 1 }
 
 // sampleInterval returns the time between samples of the gauges.
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -27,8 +27,8 @@
 	return d.killAt - max(minKillMargin, (d.killAt-d.notifiedAt)/killMarginDivisor)
 }
 
-// rejectWhileDraining rejects a queued request that arrived after the grace, or whose run would not end before the
-// kill.
+// rejectWhileDraining rejects a queued request that arrived later than answerMarginTicks before the end of the grace,
+// or whose estimated run time is longer than its remaining time, which ends before the kill.
 func (c *Controller) rejectWhileDraining(r *trackedRequest, now time.Duration) {
 	cutoff := c.drain.notifiedAt + c.settings.DrainGrace - answerMarginTicks*c.settings.Tick
 	if r.arrivedAt > cutoff || c.estimatedRunTime(r, len(c.requests.running), now) > c.remainingTime(r, now) {
--- a/admission/estimate.go
+++ b/admission/estimate.go
@@ -21,11 +21,12 @@
 	minHintVariance = 0.01
 	// minConcurrencyVariance is the variance of a deviation by one run. Below it, no slope can be determined.
 	minConcurrencyVariance = 1
-	// Hints may be rough: an estimate is kept between these multiples of the mean, and its slope above the minimum.
+	// Hints may be rough: an estimate is kept between these multiples of the mean, and hintSlope is at least the
+	// minimum.
 	minHintScale, maxHintScale = 0.25, 8
 	minHintSlope               = 0.25
-	// unknownWorkDivisor divides the latency objective of a class to obtain its estimated work while there are no
-	// samples. The result is low enough to admit the first runs.
+	// unknownWorkDivisor divides the latency objective of a class to obtain the estimated work of a request without a
+	// hint while there are no samples. The result is low enough to admit the first runs.
 	unknownWorkDivisor = 8
 )
 
@@ -135,7 +136,7 @@
 func runsPerCore(running float64, cores int) float64 { return max(1, running/float64(cores)) }
 
 // estimatedWork returns the estimated run time of a request that has a core to itself: the paper's r, equation 7.
-// It is the mean of run time divided by runs per core, scaled by the ratio of the hint to the mean hint.
+// With samples, it is the mean of run time divided by runs per core, multiplied by workScale.
 func (c *Controller) estimatedWork(r *trackedRequest, now time.Duration) time.Duration {
 	return c.classWork(r.class, r.WorkHint, now)
 }
@@ -159,7 +160,7 @@
 }
 
 // fittedRunTime returns the run time of a class for the given number of running requests. It is taken from the line
-// fit, or is proportional to the runs per core if there are few runs or all had the same concurrency.
+// fit, or is proportional to the runs per core if there are too few runs or their concurrencies are too similar.
 func (c *Controller) fittedRunTime(class *classState, running int, now time.Duration) time.Duration {
 	e := class.runs.estimate(now)
 	if e.runs < minFitRuns || e.concurrencyVariance < minConcurrencyVariance {
--- a/admission/executor.go
+++ b/admission/executor.go
@@ -42,7 +42,8 @@
 	PublishLoad(level float64)
 	// SetIdleTimeout sets how long an unused connection may stay open.
 	SetIdleTimeout(timeout time.Duration)
-	// WakeAt calls then at the given time or shortly afterwards, with the gauges measured at that moment.
+	// WakeAt calls then at the given time or shortly afterwards, with the gauges measured at that moment. It does not
+	// replace timers that were set earlier.
 	WakeAt(at time.Duration, then func(Gauges))
 	// LogTransition logs a change of state.
 	LogTransition(change Transition)
--- a/admission/fit.go
+++ b/admission/fit.go
@@ -3,7 +3,7 @@
 type point struct{ x, y float64 }
 
 // fitLine fits a line by least squares. It returns the mean of y, the slope, and the variance of x. All are 0 if
-// all points have the same x.
+// there are no points or all have the same x.
 func fitLine(points []point) (mean, slope, variance float64) {
 	n := float64(len(points))
 	var sumX, sumY, sumXX, sumXY float64
--- a/admission/gauges.go
+++ b/admission/gauges.go
@@ -93,7 +93,8 @@
 	return len(h.readings) == readingHistorySize
 }
 
-// recordGauges adds a reading of the given gauges, taken now.
+// recordGauges adds a reading of the given gauges, taken now, and lowers the adaptive limit if too many runs are
+// runnable.
 func (c *Controller) recordGauges(gauges Gauges) {
 	now := c.executor.Now()
 	reading := gaugeReading{
--- a/admission/health.go
+++ b/admission/health.go
@@ -106,7 +106,7 @@
 	return float64(sinceProgress) > float64(runTime)*(stalledRunTimes+stalledExtraRunTimes/float64(len(running)))
 }
 
-// updateState updates the state, and logs and publishes a change once.
+// updateState updates the state. If it has changed, updateState logs the change and sets the result of health checks.
 func (c *Controller) updateState(now time.Duration) {
 	previous := c.health.state
 	c.health.state = c.currentState(now)
--- a/admission/idletimeout.go
+++ b/admission/idletimeout.go
@@ -17,10 +17,11 @@
 // idleTimeoutState holds the current idle timeout and the decisions from which it is adjusted.
 type idleTimeoutState struct {
 	current  time.Duration // the last value set; 0: none
-	rejected []bool        // for each recent request within quota: whether it was rejected (true) or started
+	rejected []bool        // whether each recent request was rejected (true) or started; see addDecision
 }
 
-// addDecision records that a request was started, or rejected without being started.
+// addDecision records that a request was started, or rejected without being started. It is not called for rejected
+// requests beyond a quota.
 func (t *idleTimeoutState) addDecision(rejected bool) {
 	t.rejected = appendRecent(t.rejected, rejected, decisionHistorySize)
 }
@@ -37,8 +38,8 @@
 }
 
 // adjustIdleTimeout adjusts how long an unused connection may stay open. Too many rarely used connections would
-// take capacity, and new callers would be refused before their requests are seen. The timeout changes by one step
-// per sample, so that a single sample does not close all of them.
+// take capacity, and new callers would be refused before their requests are seen. Once it is set, the timeout changes
+// by at most a factor of 2 per sample, so that a single sample does not close all of them.
 func (c *Controller) adjustIdleTimeout(now time.Duration) {
 	current := c.idle.current
 	timeout := c.targetIdleTimeout(now)
@@ -54,7 +55,8 @@
 }
 
 // targetIdleTimeout returns the configured timeout, halved until unused connections are reused at least once per
-// idleSecondsPerHandshake seconds of waiting. The less busy the cores are, the longer the wait that it allows.
+// idleSecondsPerHandshake seconds of waiting. The less busy the cores are, the more waiting is allowed.
+// The timeout is not halved if there are too few arrivals or if the rejection rate is keepOpenRejectionRate or more.
 func (c *Controller) targetIdleTimeout(now time.Duration) time.Duration {
 	timeout := c.settings.MaxIdleTimeout
 	for timeout > c.sampleInterval() && !c.arrivals.hasTooFew() && c.idle.rejectionRate() < keepOpenRejectionRate {
--- a/admission/loadreport.go
+++ b/admission/loadreport.go
@@ -104,15 +104,15 @@
 	return c.acceptance() * max(1, c.capacity(now)/c.arrivals.callerSpread(c.settings.Callers))
 }
 
-// warmUpTokens returns each caller's part of the capacity. The sum of the requests of all callers, including those
-// that have not sent any yet, would otherwise overload an instance during slow start.
+// warmUpTokens returns each caller's part of the capacity, multiplied by the acceptance. The sum of the requests of all
+// callers, including those that have not sent any yet, would otherwise overload an instance during slow start.
 func (c *Controller) warmUpTokens(now time.Duration) float64 {
 	callers := max(c.arrivals.callerSpread(c.settings.Callers), c.settings.Callers)
 	return c.acceptance() * c.capacity(now) / callers
 }
 
 // capacity returns the number of requests that can be on this instance and still be answered within their
-// objective: the running requests, plus those that can wait for half an objective.
+// objective: the limit on concurrent runs, plus the requests that can wait for half an objective.
 func (c *Controller) capacity(now time.Duration) float64 {
 	var objective, work time.Duration
 	for _, class := range c.classes {
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -10,7 +10,7 @@
 
 const (
 	// urgentRunTimeShare is the paper's alpha: a request is urgent if its run time is greater than this share of
-	// its slack. At 1, only requests that already miss their objective would be urgent.
+	// its slack. At 1, only requests that would miss their objective even if they started now would be urgent.
 	urgentRunTimeShare = 0.5
 	// minSlack is the paper's epsilon: it keeps the division defined when no slack remains.
 	minSlack = time.Millisecond
@@ -18,32 +18,32 @@
 	protectedRank = 0.8
 )
 
-// First level of the sort key. Requests beyond their tenant's quota are one level lower.
+// First level of the sort key, in ascending order. It is 1 greater for requests beyond their tenant's quota.
 const (
 	levelProtected = 0
 	levelUsual     = 1
 )
 
-// Second level of the sort key.
+// Second level of the sort key, in ascending order.
 const (
 	urgencyUrgent  = 0
 	urgencyRelaxed = 1
 )
 
-// candidate is a queued request with its sort key. It is computed once per round.
+// candidate is a queued request with its sort key. The key is computed once per call of startRequests.
 type candidate struct {
 	request *trackedRequest
-	level   int           // the paper's 1-g
+	level   int           // the paper's 1-g, plus 1 beyond the quota
 	urgency int           // the paper's 1-urgent
 	work    time.Duration // the paper's r
 	slack   time.Duration // the paper's s
 	runTime time.Duration // the paper's T with the currently running requests
 }
 
-// startOrder sorts the queue.
+// startOrder holds the data for sorting the queue.
 type startOrder struct {
-	weightBands int // number of different priority weights
-	candidates  []candidate
+	weightBands int         // number of different priority weights
+	candidates  []candidate // buffer for the result of sortQueue, reused
 }
 
 func newStartOrder(classes map[Class]*classState) startOrder {
@@ -54,8 +54,9 @@
 	return startOrder{weightBands: len(weights)}
 }
 
-// isProtected reports whether a request is protected: the paper's safeguard flag g. Its rank must be in the band of
-// the highest weight, as each weight has a band of equal width, or at least protectedRank if there is one weight.
+// isProtected reports whether a request is protected: the paper's safeguard flag g. Each weight has a band of ranks of
+// equal width. The rank of a protected request is in the band of the highest weight, or is at least protectedRank if
+// there is only one weight.
 func (o *startOrder) isProtected(r *trackedRequest) bool {
 	if o.weightBands < 2 {
 		return r.Rank >= protectedRank
@@ -64,7 +65,8 @@
 }
 
 // sortQueue returns the queue sorted by (1-g, 1-urgent, r): protected requests first, then urgent ones, then those
-// with the least work. Equations 10 to 13. The result is valid until the next call.
+// with the least work, as in equations 10 to 13. The first level is 1 greater for requests beyond their tenant's
+// quota. The result is valid until the next call.
 func (c *Controller) sortQueue(now time.Duration) []candidate {
 	candidates := c.order.candidates[:0]
 	for _, r := range c.requests.queue {
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -8,7 +8,8 @@
 const (
 	// quotaWindow is long enough for some tens of arrivals at the usual loads.
 	quotaWindow = 4 * time.Second
-	// tenantArrivalHistorySize is 500 arrivals per second over the window, twice the highest rate of one instance.
+	// tenantArrivalHistorySize holds about 500 arrivals per second over the window, twice the highest rate of one
+	// instance.
 	tenantArrivalHistorySize = 2048
 	// quotaDeviations is the number of standard deviations by which a tenant may exceed its quota by chance.
 	quotaDeviations = 2
@@ -50,11 +51,12 @@
 	}
 	since := now - quotaWindow
 	arrived, quotas := q.totals(since)
+	// A quota per second times share is this instance's part of the quota over the window.
 	share := quotaWindow.Seconds() / max(1, q.fleetSize)
 	// In a storm of unmarked retries all tenants exceed their quotas. The quotas are then scaled up with the
 	// arrivals.
 	instanceQuota := tenant.quotaPerSecond * share * max(1, arrived/(quotas*share))
-	// At low rates, a tenant within its quota exceeds its part by chance.
+	// At low rates, a tenant within its quota may exceed its part by chance.
 	return float64(tenant.countSince(since)) > instanceQuota+quotaDeviations*math.Sqrt(instanceQuota)
 }
 
--- a/admission/records.go
+++ b/admission/records.go
@@ -44,7 +44,7 @@
 }
 
 // keepRecord has the Executor keep a record of a request that may be duplicated, before it can run. It returns
-// false if a record is required and there is no memory for it.
+// false if there is no memory for the record.
 func (c *Controller) keepRecord(r *trackedRequest, now time.Duration) bool {
 	window := c.recordWindow(r, now)
 	if window <= 0 {
--- a/admission/request.go
+++ b/admission/request.go
@@ -71,9 +71,9 @@
 	deadline           time.Duration // when its answer is due
 	latencyObjective   time.Duration // relative to arrivedAt, less the time of earlier attempts
 	startedAt          time.Duration
-	concurrencyAtStart int // number of runs when it started, including itself
-	callAttempts       int // attempts made for the upstream call that it is at
-	inCall             bool
+	concurrencyAtStart int  // number of runs when it started, including itself
+	callAttempts       int  // attempts made for the upstream call that it is at
+	inCall             bool // whether that call is open
 	answered           bool
 	overQuota          bool   // its tenant exceeds its quota
 	onDeadline         func() // called when the answer is due; depends on the state of the request
--- a/admission/retryafter.go
+++ b/admission/retryafter.go
@@ -16,8 +16,8 @@
 )
 
 // retryAfter returns how long the caller of a rejected request should send nothing to this instance. The longest
-// advice increases as the acceptance decreases. The advice is drawn from the upper half of that range, so that
-// callers do not all return at the same time.
+// advice increases as the acceptance decreases. The advice is drawn between half of the longest advice and all of it,
+// so that callers do not all return at the same time.
 //
 // If requests wait unread, advice reaches callers late: all of them would stay away and return together, with idle
 // cores in between. A healthy instance then sends only a small part of the advice and relies on the load report.
--- a/admission/run.go
+++ b/admission/run.go
@@ -63,7 +63,8 @@
 	}
 }
 
-// stopRun removes a run whose answer nobody waits for from the cores, if runs can be stopped.
+// stopRun removes a run from the cores if runs can be stopped. It is called when the answer of the run is no longer
+// needed.
 func (c *Controller) stopRun(r *trackedRequest) {
 	if c.canStopRuns() {
 		c.executor.Stop(r.ID)
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -21,7 +21,7 @@
 
 	// SurvivableRunsPerCore is the number of runs per core that the instance survives at full speed; 0: not known.
 	SurvivableRunsPerCore float64
-	OverloadTolerance     time.Duration // how long the instance survives more runs than that
+	OverloadTolerance     time.Duration // how long it survives more than SurvivableRunsPerCore
 	Halt                  HaltMode      // what happens to a run that is stopped
 	Tick                  time.Duration // resolution of timers
 	DrainGrace            time.Duration // requests that arrive within this time after the notice to drain may run
--- a/admission/shedding.go
+++ b/admission/shedding.go
@@ -10,7 +10,8 @@
 const minLateAnswerValue = 0.5
 
 // remainingTime returns the time during which an answer keeps its value: until the latency objective, or until the
-// deadline if a late answer has at least half the value. It never extends past the kill.
+// deadline if a late answer has at least half the value. It never extends past the deadline or, during a drain, past
+// the time by which all requests must be answered ahead of the kill.
 func (c *Controller) remainingTime(r *trackedRequest, now time.Duration) time.Duration {
 	remaining := r.slack(now)
 	if r.class.LateValue >= minLateAnswerValue {
--- a/admission/upstream.go
+++ b/admission/upstream.go
@@ -17,8 +17,8 @@
 	minUpstreamWindow = time.Second
 	// callBudgetFactor is the multiple of the current call time that must remain in a time budget for another call.
 	callBudgetFactor = 4
-	// firstCallTimeoutFactor times the slowest recent call time limits the first attempt of an idempotent request.
-	// Random variation alone does not make a call that slow.
+	// firstCallTimeoutFactor is the maximum time of the first attempt of an idempotent request's call, as a multiple
+	// of the slowest recent call time. Random variation alone does not make a call that slow.
 	firstCallTimeoutFactor = 4
 	// maxCallAttempts is the maximum number of attempts for a call, enough to outlast a short overload.
 	maxCallAttempts = 3
@@ -32,12 +32,12 @@
 	if !slices.Contains(c.requests.atCall, r) {
 		c.requests.atCall = append(c.requests.atCall, r)
 	}
-	c.upstream.end(r, now, now) // a call that the run no longer waits for would count as open forever
+	c.upstream.end(r, now, now) // otherwise a call that the run no longer waits for would count as open forever
 	r.callAttempts = 0
 }
 
 // scheduleCalls makes the waiting calls that are allowed, those with the least slack first. The other runs go on
-// without their call when their slack is used up, if an answer without the call has a value.
+// without their call when too little slack remains, if an answer without the call has a value.
 func (c *Controller) scheduleCalls(now time.Duration) {
 	waiting := slices.DeleteFunc(slices.Clone(c.requests.atCall), func(r *trackedRequest) bool { return r.inCall })
 	slices.SortStableFunc(waiting, func(a, b *trackedRequest) int {
@@ -72,8 +72,8 @@
 // survives the calls of all instances. Abandoned calls linger at the upstream and count until they have ended
 // there. No share is configured for an upstream with its own admission control.
 //
-// The cores must survive the runs and all calls if the calls return at once. Calls must also leave room for runs on
-// half of the cores, because no run could start until they return otherwise.
+// The instance must survive the runs and all calls if the calls return at once. Calls must also leave room for runs on
+// half of the cores. Otherwise no run could start until the calls return.
 func (c *Controller) callAllowed(now time.Duration) bool {
 	otherRuns := max(len(c.requests.running), min(c.halfCores(), int(c.maxConcurrency())-1))
 	if !c.allowsOneMore(otherRuns) {
@@ -100,10 +100,10 @@
 // that there is no limit.
 type callTimeBudget struct{ limit, used time.Duration }
 
-// callTimeBudget returns the budget for a share below one call, which is a part of the time. If several calls are
-// allowed at once, only their number is limited. A limit on their time would shorten calls because of the time that
-// earlier ones used. These calls would be abandoned, linger and use more time, until none is answered long after
-// the upstream has recovered.
+// callTimeBudget returns the budget for a share below 1, which is the part of the time during which a call may be open.
+// If several calls are allowed at once, only their number is limited. A limit on their time would shorten calls because
+// of the time that earlier ones used. These calls would be abandoned, linger and use more time, and even long
+// after the upstream has recovered, none would be answered.
 func (c *Controller) callTimeBudget(now time.Duration) callTimeBudget {
 	share, window := c.settings.UpstreamShare, c.upstreamWindow()
 	if share >= 1 {
@@ -177,8 +177,9 @@
 }
 
 // shouldRepeatCall reports whether a call is repeated instead of skipped. It is repeated after a lost connection or
-// an isolated timeout while there is time for a whole run. It is not repeated if the call was rejected, or timed
-// out at an overloaded upstream.
+// an isolated timeout while there is time for a whole run. Otherwise, for instance if the call was rejected or
+// timed out at an overloaded upstream, onCallDone skips the call. If the call cannot be skipped, onCallDone either
+// fails the request or leaves the run at the call, and scheduleCalls then makes the call again.
 func (c *Controller) shouldRepeatCall(r *trackedRequest, outcome Outcome, now time.Duration) bool {
 	if r.callAttempts >= maxCallAttempts {
 		return false
